--- a/Makefile
+++ b/Makefile
@@ -14,33 +14,33 @@
 test: lint build
 	go test -count=1 ./...
 	go test -count=1 -tags debug ./...
-	go test -count=1 -race ./internal/run ./cmd/railrelay
+	go test -count=1 -race ./internal/eventloop ./cmd/railrelay
 
 # Wants ROUTER_LISTEN and ROUTER_CONFIG, see the README.
 run: build
 	exec bin/railrelay
 
-# A look beyond the seeds, by hand: make fuzz FUZZ=FuzzRead IN=./internal/clients
+# A look beyond the seeds, by hand: make fuzz FUZZ=FuzzRead IN=./internal/msgpackrpc
 FUZZ ?= FuzzRead
-IN ?= ./internal/clients
+IN ?= ./internal/msgpackrpc
 fuzz:
 	go test -fuzz $(FUZZ) -fuzztime 30s $(IN)
 
 # Six stand-in engines, a feed and a controller with teams; 20 s of queries, one
 # team flooding; a table by team.
 try: build
-	bin/raillab try
+	bin/railrelay-bench try
 
 # An issue's measurement, in under 50 s: make measure IN=fair SEED=1
 SEED ?= 1
 measure: build
 	if [ "$(IN)" = together ]; then $(MAKE) -s bin/planted; fi
-	bin/raillab measure $(IN) --seed $(SEED)
+	bin/railrelay-bench measure $(IN) --seed $(SEED)
 
 # Tests built with one planted fault each (testdata/planted, laid over by go test -overlay),
 # which must be found and named, and without.
 .PHONY: planted bin/planted
 bin/planted:
-	bin/raillab planted --build
+	bin/railrelay-bench planted --build
 planted: build bin/planted
-	bin/raillab planted
+	bin/railrelay-bench planted
--- a/cmd/raillab/datapath.go
+++ b/cmd/railrelay-bench/datapath.go
@@ -7,13 +7,13 @@
 
 	"github.com/spf13/cobra"
 
+	"railrelay.dev/railrelay/internal/bench"
 	"railrelay.dev/railrelay/internal/capacity"
-	"railrelay.dev/railrelay/internal/lab"
 )
 
 // datapath measures the data path of one controller.
 func datapath() *cobra.Command {
-	path := lab.UsualDatapath()
+	path := bench.UsualDatapath()
 	file := ""
 	c := &cobra.Command{Use: "datapath", Short: "what engines, clients and queries cost one controller", Args: cobra.NoArgs,
 		Long: "One controller's process before stand-in engines, clients and a feed: idle before engines of each size, with idle\n" +
@@ -34,7 +34,7 @@
 }
 
 // measureDatapath measures, and adds the figures to a file if one is named.
-func measureDatapath(ctx context.Context, out io.Writer, path lab.Datapath, file string) error {
+func measureDatapath(ctx context.Context, out io.Writer, path bench.Datapath, file string) error {
 	if file != "" { // a damaged file is told before minutes of work
 		if err := capacity.Append(file, nil); err != nil {
 			return err
--- a/cmd/raillab/figures.go
+++ b/cmd/railrelay-bench/figures.go
@@ -3,14 +3,14 @@
 import (
 	"fmt"
 
+	"railrelay.dev/railrelay/internal/bench"
 	"railrelay.dev/railrelay/internal/capacity"
-	"railrelay.dev/railrelay/internal/lab"
 )
 
 // keepScale adds a scale run's figures to a file. Those of a fleet with relays, or with
 // machines set aside alone, have names of their own: they begin with "4 relays: " or
 // "set aside: ", so that runs without and with them stand side by side.
-func keepScale(path string, s lab.Scale) func([]lab.ScaleRow) error {
+func keepScale(path string, s bench.Scale) func([]bench.ScaleRow) error {
 	variant := ""
 	switch {
 	case s.Relays > 0:
@@ -19,7 +19,7 @@
 		variant = "set aside: "
 	}
 	machine, commit := capacity.Machine(), capacity.Commit()
-	return func(figures []lab.ScaleRow) error {
+	return func(figures []bench.ScaleRow) error {
 		rows := make([]capacity.Row, len(figures))
 		for i, figure := range figures {
 			rows[i] = capacity.Row{Role: figure.Role, What: variant + figure.What, Size: figure.Size, Seed: figure.Seed,
--- a/cmd/raillab/fleets.go
+++ b/cmd/railrelay-bench/fleets.go
@@ -6,7 +6,7 @@
 
 	"github.com/spf13/cobra"
 
-	"railrelay.dev/railrelay/internal/lab"
+	"railrelay.dev/railrelay/internal/bench"
 )
 
 func fleets() *cobra.Command {
@@ -14,7 +14,7 @@
 	var plays int
 	c := &cobra.Command{Use: "fleets", Short: "play drawn fleets in virtual time, and say how the first broke a rule", Args: cobra.NoArgs}
 	c.RunE = func(c *cobra.Command, _ []string) error {
-		runs, ordered, late, broken, first := lab.Hunt(c.Context(), from, plays, time.Hour)
+		runs, ordered, late, broken, first := bench.Hunt(c.Context(), from, plays, time.Hour)
 		fmt.Fprintf(c.OutOrStdout(), "runs=%d rules_broken=%d order_checked=%d late_deliveries=%d\n", runs, broken, ordered, late)
 		if first == nil {
 			return nil
--- a/cmd/raillab/large.go
+++ b/cmd/railrelay-bench/large.go
@@ -3,7 +3,7 @@
 import (
 	"github.com/spf13/cobra"
 
-	"railrelay.dev/railrelay/internal/lab"
+	"railrelay.dev/railrelay/internal/bench"
 )
 
 func large() *cobra.Command {
@@ -11,7 +11,7 @@
 	var results, size int
 	c := &cobra.Command{Use: "large", Short: "large results through a program of 64 MB, on the disk of this machine", Args: cobra.NoArgs}
 	c.RunE = func(c *cobra.Command, _ []string) error {
-		return lab.Large(c.Context(), c.OutOrStdout(), program, results, size)
+		return bench.Large(c.Context(), c.OutOrStdout(), program, results, size)
 	}
 	c.Flags().StringVar(&program, "program", programDefault, "the controller")
 	c.Flags().IntVar(&results, "results", 1, "all of them are kept on disk")
--- a/cmd/raillab/main.go
+++ b/cmd/railrelay-bench/main.go
@@ -1,4 +1,4 @@
-// Command raillab is the laboratory: it plays the product against stand-ins and
+// Command railrelay-bench is the laboratory: it plays the product against stand-ins and
 // measures what it does.
 package main
 
@@ -21,7 +21,7 @@
 func main() {
 	// a play that is interrupted ends what it has started
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
-	root := &cobra.Command{Use: "raillab", Short: "railrelay's laboratory", SilenceUsage: true}
+	root := &cobra.Command{Use: "railrelay-bench", Short: "railrelay's laboratory", SilenceUsage: true}
 	root.AddCommand(fleets(), many(), planted(), measure(), try(), speed(), large(), scale(), hollowProcess(), datapath(), page())
 	err := root.ExecuteContext(ctx)
 	stop()
--- a/cmd/raillab/many.go
+++ b/cmd/railrelay-bench/many.go
@@ -5,11 +5,11 @@
 
 	"github.com/spf13/cobra"
 
-	"railrelay.dev/railrelay/internal/lab"
+	"railrelay.dev/railrelay/internal/bench"
 )
 
 func many() *cobra.Command {
-	play := lab.Many{Lease: 2 * time.Second, Changes: 5, Entries: 100_000}
+	play := bench.Many{Lease: 2 * time.Second, Changes: 5, Entries: 100_000}
 	c := &cobra.Command{Use: "many", Short: "a fleet of many processes: what each costs, how soon a change is in force on all", Args: cobra.NoArgs}
 	c.RunE = func(c *cobra.Command, _ []string) error {
 		cost, err := play.Measure(c.Context())
--- a/cmd/raillab/measure.go
+++ b/cmd/railrelay-bench/measure.go
@@ -5,7 +5,7 @@
 
 	"github.com/spf13/cobra"
 
-	"railrelay.dev/railrelay/internal/lab"
+	"railrelay.dev/railrelay/internal/bench"
 )
 
 func measure() *cobra.Command {
@@ -17,15 +17,15 @@
 	c.RunE = func(c *cobra.Command, args []string) error {
 		switch args[0] {
 		case "fair":
-			return lab.MeasureFair(c.OutOrStdout(), seed, detail)
+			return bench.MeasureFair(c.OutOrStdout(), seed, detail)
 		case "spool":
-			return lab.MeasureSpool(c.Context(), c.OutOrStdout(), program, seed)
+			return bench.MeasureSpool(c.Context(), c.OutOrStdout(), program, seed)
 		case "together":
-			return lab.MeasureTogether(c.Context(), c.OutOrStdout(), program, planted, seed, detail)
+			return bench.MeasureTogether(c.Context(), c.OutOrStdout(), program, planted, seed, detail)
 		case "fleet":
-			return lab.MeasureFleet(c.Context(), c.OutOrStdout(), program, seed)
+			return bench.MeasureFleet(c.Context(), c.OutOrStdout(), program, seed)
 		case "scale":
-			return lab.MeasureScale(c.Context(), c.OutOrStdout(), program, seed)
+			return bench.MeasureScale(c.Context(), c.OutOrStdout(), program, seed)
 		}
 		return fmt.Errorf("no measurement is called %q: there are %v", args[0], c.ValidArgs)
 	}
--- a/cmd/raillab/planted.go
+++ b/cmd/railrelay-bench/planted.go
@@ -3,7 +3,7 @@
 import (
 	"github.com/spf13/cobra"
 
-	"railrelay.dev/railrelay/internal/lab"
+	"railrelay.dev/railrelay/internal/bench"
 )
 
 func planted() *cobra.Command {
@@ -12,9 +12,9 @@
 	c := &cobra.Command{Use: "planted", Short: "play the tests that have one planted fault each", Args: cobra.NoArgs}
 	c.RunE = func(c *cobra.Command, _ []string) error {
 		if build {
-			return lab.BuildPlanted(c.Context(), ".", directory)
+			return bench.BuildPlanted(c.Context(), ".", directory)
 		}
-		return lab.FindPlanted(c.Context(), c.OutOrStdout(), directory)
+		return bench.FindPlanted(c.Context(), c.OutOrStdout(), directory)
 	}
 	c.Flags().StringVar(&directory, "planted", plantedDefault, "where they are")
 	c.Flags().BoolVar(&build, "build", false, "only build them, from the root of the tree")
--- a/cmd/raillab/scale.go
+++ b/cmd/railrelay-bench/scale.go
@@ -6,18 +6,18 @@
 
 	"github.com/spf13/cobra"
 
+	"railrelay.dev/railrelay/internal/bench"
 	"railrelay.dev/railrelay/internal/capacity"
-	"railrelay.dev/railrelay/internal/lab"
-	"railrelay.dev/railrelay/internal/standin/hollow"
+	"railrelay.dev/railrelay/internal/emulator/hollow"
 )
 
 func scale() *cobra.Command {
-	s := lab.UsualScale(programDefault, 580)
+	s := bench.UsualScale(programDefault, 580)
 	c := &cobra.Command{Use: "scale", Args: cobra.NoArgs, Short: "a fleet of real and hollow controllers: what each role costs, how soon a change is in force, in faults too",
 		Long: "Starts real controllers and hollow ones (the real core and wire, a record in memory, no queries)\n" +
 			"before idle engines, looks at them at rest, changes the policy, and changes it during faults:\n\n  " +
-			strings.Join(lab.ScaleFaults(), "\n  ")}
-	growth := lab.Growth{Members: 73_000, Changes: 365_000, Steps: 4, Lease: 2 * time.Second}
+			strings.Join(bench.ScaleFaults(), "\n  ")}
+	growth := bench.Growth{Members: 73_000, Changes: 365_000, Steps: 4, Lease: 2 * time.Second}
 	var grow bool
 	csv := ""
 	c.RunE = func(c *cobra.Command, _ []string) error {
--- a/cmd/raillab/scale_test.go
+++ b/cmd/railrelay-bench/scale_test.go
@@ -31,7 +31,7 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			directory := t.TempDir()
-			run := exec.Command(filepath.Join(bin, "raillab"), "scale", "--program", filepath.Join(bin, "railrelay"), "--controllers", "12", "--real", "4",
+			run := exec.Command(filepath.Join(bin, "railrelay-bench"), "scale", "--program", filepath.Join(bin, "railrelay"), "--controllers", "12", "--real", "4",
 				"--engines", "4", "--compare", "0", "--settle", "1m")
 			run.Env = append(os.Environ(), "TMPDIR="+directory)
 			out, err := run.StdoutPipe()
--- a/cmd/raillab/speed.go
+++ b/cmd/railrelay-bench/speed.go
@@ -5,7 +5,7 @@
 
 	"github.com/spf13/cobra"
 
-	"railrelay.dev/railrelay/internal/lab"
+	"railrelay.dev/railrelay/internal/bench"
 )
 
 func speed() *cobra.Command {
@@ -13,7 +13,7 @@
 	var turns int
 	c := &cobra.Command{Use: "speed", Short: "queries a second with fairness on and off, on sockets", Args: cobra.NoArgs}
 	c.RunE = func(c *cobra.Command, _ []string) error {
-		_, err := lab.SpeedOnSockets(c.Context(), c.OutOrStdout(), program, 3*time.Second, turns)
+		_, err := bench.SpeedOnSockets(c.Context(), c.OutOrStdout(), program, 3*time.Second, turns)
 		return err
 	}
 	c.Flags().StringVar(&program, "program", programDefault, "the controller")
--- a/cmd/raillab/try.go
+++ b/cmd/railrelay-bench/try.go
@@ -7,17 +7,17 @@
 
 	"github.com/spf13/cobra"
 
-	"railrelay.dev/railrelay/internal/lab"
+	"railrelay.dev/railrelay/internal/bench"
 )
 
 func try() *cobra.Command {
-	trial := &lab.Trial{Engines: 6, Log: os.Stderr}
+	trial := &bench.Trial{Engines: 6, Log: os.Stderr}
 	c := &cobra.Command{Use: "try", Short: "start stand-in engines, a feed and a controller with teams, and look", Args: cobra.NoArgs}
 	c.RunE = func(c *cobra.Command, _ []string) error {
 		fmt.Fprintf(c.OutOrStdout(), "%d stand-in engines, a feed and a controller with teams; %v of queries, the last team floods\n", trial.Engines, trial.Long)
 		rows, err := trial.Run(c.Context())
 		if err == nil {
-			lab.PrintRows(c.OutOrStdout(), rows)
+			bench.PrintRows(c.OutOrStdout(), rows)
 		}
 		return err
 	}
--- a/cmd/railrelay-fleet/command.go
+++ b/cmd/railrelay-fleet/command.go
@@ -18,9 +18,9 @@
 
 	"github.com/spf13/cobra"
 
+	"railrelay.dev/railrelay/internal/cli"
 	"railrelay.dev/railrelay/internal/fleet"
-	"railrelay.dev/railrelay/internal/fleet/peers"
-	"railrelay.dev/railrelay/internal/program"
+	"railrelay.dev/railrelay/internal/fleet/transport"
 	"railrelay.dev/railrelay/internal/setup"
 )
 
@@ -189,7 +189,7 @@
 }
 
 // where is whom to ask, and by which keys.
-func (d *desk) where() (address string, keys peers.Keys, err error) {
+func (d *desk) where() (address string, keys transport.Keys, err error) {
 	address, file := d.control, d.keys
 	if d.setup != "" {
 		have, err := setup.Load(d.setup)
@@ -204,7 +204,7 @@
 	if address == "" || file == "" {
 		return "", nil, errors.New("whom to ask? Give --setup FILE, or --control ADDRESS and --keys FILE")
 	}
-	keys, err = peers.ReadKeys(file)
+	keys, err = transport.ReadKeys(file)
 	return address, keys, err
 }
 
@@ -229,7 +229,7 @@
 		err = show(c.OutOrStdout(), r)
 	}
 	if status := r.Exit(); status != 0 && err == nil {
-		return program.Status{Code: status}
+		return cli.Status{Code: status}
 	}
 	return err
 }
@@ -245,8 +245,8 @@
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), time.Duration(a.Wait)*time.Millisecond+asksAfter)
 	defer cancel()
-	r, err := peers.AskControl(ctx, address, keys, a)
-	var away *peers.UnreachableError
+	r, err := transport.AskControl(ctx, address, keys, a)
+	var away *transport.UnreachableError
 	if errors.As(err, &away) && away.Sent && a.ID != "" {
 		return &fleet.Reply{ID: a.ID, Word: "unknown", Why: away.Error(), Remedy: away.Remedy()}, nil
 	}
@@ -263,7 +263,7 @@
 func remedied(err error) error {
 	var r fleet.Remedied
 	if errors.As(err, &r) {
-		return program.Failed(1, fmt.Errorf("%w\n%s", err, r.Remedy()))
+		return cli.Failed(1, fmt.Errorf("%w\n%s", err, r.Remedy()))
 	}
 	return err
 }
--- a/cmd/railrelay-fleet/control_test.go
+++ b/cmd/railrelay-fleet/control_test.go
@@ -11,7 +11,7 @@
 	"time"
 
 	"railrelay.dev/railrelay/internal/fleet"
-	"railrelay.dev/railrelay/internal/fleet/edge"
+	"railrelay.dev/railrelay/internal/fleet/driver"
 	"railrelay.dev/railrelay/internal/fleet/node"
 	"railrelay.dev/railrelay/internal/setup"
 )
@@ -244,18 +244,18 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	before := checkControl(own, "first", []byte("placement: [{name: a, team: x, engines: [linz]}]"), edge.Have{})
+	before := checkControl(own, "first", []byte("placement: [{name: a, team: x, engines: [linz]}]"), driver.Have{})
 	if before.Why != "" || before.RulesUnknown || len(before.Scopes) != 1 || before.Scopes[0].Team != "x" {
 		t.Fatalf("%+v", before)
 	}
 	unstated := []byte("groups: [{name: lookup, target: 2s}]")
-	if c := checkControl(own, "second", unstated, edge.Have{Policy: before.Policy}); !strings.Contains(c.Why, "placement: is missing") || !strings.Contains(c.Why, "apply it again") {
+	if c := checkControl(own, "second", unstated, driver.Have{Policy: before.Policy}); !strings.Contains(c.Why, "placement: is missing") || !strings.Contains(c.Why, "apply it again") {
 		t.Errorf("%+v", c)
 	}
-	if c := checkControl(own, "in force 3", unstated, edge.Have{Policy: before.Policy, Decided: true}); c.Why != "" || c.Policy == nil || !c.RulesUnknown {
+	if c := checkControl(own, "in force 3", unstated, driver.Have{Policy: before.Policy, Decided: true}); c.Why != "" || c.Policy == nil || !c.RulesUnknown {
 		t.Errorf("%+v", c)
 	}
-	if c := checkControl(own, "third", []byte("placement: 3"), edge.Have{Decided: true}); c.Why == "" {
+	if c := checkControl(own, "third", []byte("placement: 3"), driver.Have{Decided: true}); c.Why == "" {
 		t.Errorf("no policy at all is taken: %+v", c)
 	}
 }
--- a/cmd/railrelay-fleet/fleet_test.go
+++ b/cmd/railrelay-fleet/fleet_test.go
@@ -17,8 +17,8 @@
 	"testing"
 	"time"
 
+	"railrelay.dev/railrelay/internal/emulator/loopback"
 	"railrelay.dev/railrelay/internal/fleet"
-	"railrelay.dev/railrelay/internal/standin/loopback"
 )
 
 const patienceMost = 30 * time.Second // for what has to come; only a fault makes a test wait so long
--- a/cmd/railrelay-fleet/join.go
+++ b/cmd/railrelay-fleet/join.go
@@ -6,14 +6,14 @@
 
 	"github.com/rs/zerolog"
 
+	"railrelay.dev/railrelay/internal/cli"
+	"railrelay.dev/railrelay/internal/controller"
+	"railrelay.dev/railrelay/internal/eventloop"
 	"railrelay.dev/railrelay/internal/fleet"
-	"railrelay.dev/railrelay/internal/fleet/agree"
-	"railrelay.dev/railrelay/internal/fleet/edge"
+	"railrelay.dev/railrelay/internal/fleet/consensus"
+	"railrelay.dev/railrelay/internal/fleet/driver"
 	"railrelay.dev/railrelay/internal/fleet/node"
-	"railrelay.dev/railrelay/internal/program"
-	"railrelay.dev/railrelay/internal/relay"
 	"railrelay.dev/railrelay/internal/residency"
-	"railrelay.dev/railrelay/internal/run"
 	"railrelay.dev/railrelay/internal/setup"
 )
 
@@ -23,7 +23,7 @@
 	b := node.Begin{Self: have.Member(), Lease: terms.Lease, LeaseBound: terms.LeaseBound, Drift: terms.Drift,
 		Election: terms.Election, Heartbeat: terms.Heartbeat, KeepAtMost: terms.Keep, Relay: part.Relay}
 	for _, voter := range part.Voters {
-		b.Voters = append(b.Voters, agree.Voter{Name: voter.Name, Address: voter.Address})
+		b.Voters = append(b.Voters, consensus.Voter{Name: voter.Name, Address: voter.Address})
 	}
 	for _, relay := range part.Relays {
 		b.Relays = append(b.Relays, node.Upstream{Name: relay.Name, Address: relay.Address})
@@ -32,31 +32,33 @@
 }
 
 // join opens the set-up's part in its fleet.
-func join(have *setup.Setup, means *relay.Means, log zerolog.Logger) (program.Joined, error) {
+func join(have *setup.Setup, means *controller.Config, log zerolog.Logger) (cli.Joined, error) {
 	f := have.Fleet
 	judge := check
 	if have.Control() {
 		judge = checkControl
 	}
-	e, err := edge.Open(edge.Options{Begin: begin(have), Fleet: f.Name, Listen: f.Listen, Control: f.Control, Directory: f.Directory, Keys: f.Keys,
-		Started: means.Started, Log: log, Check: func(change string, text []byte, now edge.Have) edge.Checked { return judge(have, change, text, now) }})
+	e, err := driver.Open(driver.Options{Begin: begin(have), Fleet: f.Name, Listen: f.Listen, Control: f.Control, Directory: f.Directory, Keys: f.Keys,
+		Started: means.Started, Log: log, Check: func(change string, text []byte, now driver.Have) driver.Checked {
+			return judge(have, change, text, now)
+		}})
 	if err != nil {
-		return program.Joined{}, remedied(err)
+		return cli.Joined{}, remedied(err)
 	}
-	means.Fleet = &relay.Fleet{Word: &fleet.Word{}, HoldMost: f.Terms().Hold}
+	means.Fleet = &controller.FleetConfig{Word: &fleet.Word{}, HoldMost: f.Terms().Hold}
 	status := func(ctx context.Context) *fleet.Status { return e.Ask(ctx, &fleet.Ask{Kind: "status"}).Status }
-	return program.Joined{Peers: run.Peers{Orders: e.Orders(), Reports: e.Reports()}, Serve: e.Serve, Again: e.Again, Status: status}, nil
+	return cli.Joined{Peers: eventloop.FleetChannels{Orders: e.Orders(), Reports: e.Reports()}, Serve: e.Serve, Again: e.Again, Status: status}, nil
 }
 
 // check makes of a policy's text what the reducer decides by, and tells what of it is
 // narrower than what is in force.
-func check(own *setup.Setup, change string, text []byte, have edge.Have) edge.Checked {
+func check(own *setup.Setup, change string, text []byte, have driver.Have) driver.Checked {
 	policy, watched, voters, err := setup.ParsePolicy("policy "+change, text, own)
 	if err != nil {
 		return refused(err)
 	}
-	c := edge.Checked{Policy: policy, Watched: watched, Voters: voters}
-	before, _ := have.Policy.(*relay.Policy)
+	c := driver.Checked{Policy: policy, Watched: watched, Voters: voters}
+	before, _ := have.Policy.(*controller.Policy)
 	if before == nil {
 		before, _ = own.Base()
 	}
@@ -73,13 +75,13 @@
 // checkControl makes of a policy's text what a control process leads by, and tells what
 // has to be purged for it. Such a process knows no teams, groups or engines: it checks the
 // form only, and each controller the rest.
-func checkControl(own *setup.Setup, change string, text []byte, have edge.Have) edge.Checked {
+func checkControl(own *setup.Setup, change string, text []byte, have driver.Have) driver.Checked {
 	file := "policy " + change
 	policy, err := setup.ParseControlPolicy(file, text, own)
 	if err != nil {
 		return refused(err)
 	}
-	c := edge.Checked{Policy: policy, Watched: policy.Watched, Voters: policy.Voters, RulesUnknown: !policy.Known}
+	c := driver.Checked{Policy: policy, Watched: policy.Watched, Voters: policy.Voters, RulesUnknown: !policy.Known}
 	if have.Decided { // what it purges was worked out before it was decided
 		return c
 	}
@@ -94,11 +96,11 @@
 }
 
 // refused is the word on a policy that can't be taken.
-func refused(err error) edge.Checked {
+func refused(err error) driver.Checked {
 	why := err.Error()
 	var r fleet.Remedied
 	if errors.As(err, &r) {
 		why += "; " + r.Remedy()
 	}
-	return edge.Checked{Why: why}
+	return driver.Checked{Why: why}
 }
--- a/cmd/railrelay-fleet/main.go
+++ b/cmd/railrelay-fleet/main.go
@@ -3,6 +3,6 @@
 // fleet part; started by itself it does all that railrelay does.
 package main
 
-import "railrelay.dev/railrelay/internal/program"
+import "railrelay.dev/railrelay/internal/cli"
 
-func main() { program.Main(&program.Fleet{Command: command, Join: join}) }
+func main() { cli.Main(&cli.Fleet{Command: command, Join: join}) }
--- a/cmd/railrelay-fleet/plan.go
+++ b/cmd/railrelay-fleet/plan.go
@@ -10,12 +10,12 @@
 
 	"github.com/spf13/cobra"
 
-	"railrelay.dev/railrelay/decide"
+	"railrelay.dev/railrelay/internal/cli"
+	"railrelay.dev/railrelay/internal/controller"
+	"railrelay.dev/railrelay/internal/discovery"
 	"railrelay.dev/railrelay/internal/fleet"
-	"railrelay.dev/railrelay/internal/list"
-	"railrelay.dev/railrelay/internal/program"
-	"railrelay.dev/railrelay/internal/relay"
 	"railrelay.dev/railrelay/internal/residency"
+	"railrelay.dev/railrelay/internal/scheduler"
 	"railrelay.dev/railrelay/internal/setup"
 )
 
@@ -44,7 +44,7 @@
 			}
 			next, _, _, err := setup.ParsePolicy(args[0], text, own)
 			if err != nil {
-				return program.Failed(3, remedied(err))
+				return cli.Failed(3, remedied(err))
 			}
 			if alone {
 				if d.json {
@@ -68,7 +68,7 @@
 				_, err = fmt.Fprint(c.OutOrStdout(), args[0]+": good\n"+o.Table())
 			}
 			if len(o.None) > 0 && err == nil {
-				return program.Status{Code: 3}
+				return cli.Status{Code: 3}
 			}
 			return err
 		}}
@@ -77,7 +77,7 @@
 }
 
 // world asks for what there is: the policy in force, controllers, bindings, engines.
-func (d *desk) world(c *cobra.Command, own *setup.Setup) (now *relay.Policy, w residency.World, err error) {
+func (d *desk) world(c *cobra.Command, own *setup.Setup) (now *controller.Policy, w residency.World, err error) {
 	policy, err := d.reply(c, &fleet.Ask{Kind: "policy"})
 	if err != nil {
 		return nil, w, err
@@ -113,7 +113,7 @@
 	}
 	defer conn.Close()
 	conn.SetDeadline(time.Now().Add(within))
-	if _, err := conn.Write(list.Since(nil, 0)); err != nil {
+	if _, err := conn.Write(discovery.Since(nil, 0)); err != nil {
 		return nil, fmt.Errorf("the feed of engines: %w", err)
 	}
 	h := &hearer{cores: map[string]float64{}, all: map[string]residency.Engine{}}
@@ -125,7 +125,7 @@
 		if err != nil {
 			return nil, fmt.Errorf("the feed of engines: %w", err)
 		}
-		if _, err := list.Read(line, len(line), h); err != nil {
+		if _, err := discovery.Read(line, len(line), h); err != nil {
 			return nil, fmt.Errorf("the feed of engines: %w", err)
 		}
 	}
@@ -153,8 +153,8 @@
 	return true
 }
 
-func (h *hearer) Engine(id, _, location, kind string, _ int, state decide.EngineState, _ int64) {
-	if delete(h.all, id); state == decide.On {
+func (h *hearer) Engine(id, _, location, kind string, _ int, state scheduler.EngineState, _ int64) {
+	if delete(h.all, id); state == scheduler.EngineActive {
 		h.all[id] = residency.Engine{Name: id, Site: location, Threads: h.cores[kind]}
 	}
 }
--- a/cmd/railrelay-fleet/purge_test.go
+++ b/cmd/railrelay-fleet/purge_test.go
@@ -12,9 +12,9 @@
 	"testing"
 	"time"
 
+	"railrelay.dev/railrelay/internal/emulator/client"
+	"railrelay.dev/railrelay/internal/emulator/engine"
 	"railrelay.dev/railrelay/internal/fleet"
-	"railrelay.dev/railrelay/internal/standin/caller"
-	"railrelay.dev/railrelay/internal/standin/engine"
 )
 
 // customer is one connection of a team's.
@@ -42,7 +42,7 @@
 }
 
 // hears sends a call and gives its answer.
-func (c *customer) hears(call func(dst []byte, msg uint32) []byte) caller.Answer {
+func (c *customer) hears(call func(dst []byte, msg uint32) []byte) client.Answer {
 	c.t.Helper()
 	c.msg++
 	if _, err := c.conn.Write(call(nil, c.msg)); err != nil {
@@ -51,7 +51,7 @@
 	c.conn.SetReadDeadline(time.Now().Add(patienceMost))
 	p := make([]byte, 1<<16)
 	for {
-		a, n, err := caller.Read(c.in)
+		a, n, err := client.Read(c.in)
 		if err != nil {
 			c.t.Fatal(err)
 		}
@@ -66,23 +66,23 @@
 	}
 }
 
-func (c *customer) asks(id string, fields ...string) caller.Answer {
+func (c *customer) asks(id string, fields ...string) client.Answer {
 	c.t.Helper()
 	return c.hears(func(dst []byte, msg uint32) []byte {
-		return caller.Call(dst, msg, "lookup", engine.Statement(engine.Work{Threads: 1, CPU: 5 * time.Millisecond, MemoryMB: 1, Rows: 6000, Tables: 3}),
+		return client.Call(dst, msg, "lookup", engine.Statement(engine.Work{Threads: 1, CPU: 5 * time.Millisecond, MemoryMB: 1, Rows: 6000, Tables: 3}),
 			append([]string{"trace", id, "patience", "20000", "team", "a"}, fields...)...)
 	})
 }
 
-func (c *customer) page(token string) caller.Answer {
+func (c *customer) page(token string) client.Answer {
 	c.t.Helper()
-	return c.hears(func(dst []byte, msg uint32) []byte { return caller.Page(dst, msg, token, "1", "team", "a") })
+	return c.hears(func(dst []byte, msg uint32) []byte { return client.Page(dst, msg, token, "1", "team", "a") })
 }
 
-func (c *customer) purges(fields ...string) caller.Answer {
+func (c *customer) purges(fields ...string) client.Answer {
 	c.t.Helper()
 	return c.hears(func(dst []byte, msg uint32) []byte {
-		return caller.Purge(dst, msg, append([]string{"team", "a"}, fields...)...)
+		return client.Purge(dst, msg, append([]string{"team", "a"}, fields...)...)
 	})
 }
 
@@ -122,7 +122,7 @@
 		}
 	}
 	whole, again := all[2].customer().asks("00000000000000b0"), all[2].customer().asks("00000000000000b1")
-	if whole.Kind != caller.Finished || !bytes.Equal(whole.Rows, again.Rows) {
+	if whole.Kind != client.Finished || !bytes.Equal(whole.Rows, again.Rows) {
 		t.Fatalf("no answer is kept: %v %v", whole.Kind, again.Kind)
 	}
 	dir := filepath.Dir(all[0].setup)
@@ -148,13 +148,13 @@
 	first := all[0].customer().purges("patience", "1000", "tables", "3,9")
 	id := first.About["id"]
 	for end := time.Now().Add(patienceMost); first.About["outstanding"] != "c1" || first.About["stage"] != "unreachable"; { // the one down may have led
-		if first.Kind != caller.Finished || first.About["state"] != "not yet" || id == "" || time.Now().After(end) {
+		if first.Kind != client.Finished || first.About["state"] != "not yet" || id == "" || time.Now().After(end) {
 			t.Fatalf("while one is down: %+v", first)
 		}
 		first = all[0].customer().purges("patience", "1000", "id", id)
 	}
 	for i, m := range []*member{all[0], all[2]} {
-		if a := m.customer().page(tokens[2*i]); a.Kind != caller.Killed {
+		if a := m.customer().page(tokens[2*i]); a.Kind != client.Killed {
 			t.Fatalf("%s serves what was purged: %v", m.name, a.Kind)
 		}
 	}
@@ -167,10 +167,10 @@
 		t.Fatal("purged is told, and it is in ", l)
 	}
 	all[1].until("a lease", serves)
-	if a := all[1].customer().page(tokens[1]); a.Kind != caller.Killed {
+	if a := all[1].customer().page(tokens[1]); a.Kind != client.Killed {
 		t.Fatalf("what was purged while it was down is served: %v", a.Kind)
 	}
-	if a := all[2].customer().asks("00000000000000b2"); a.Kind != caller.Finished || bytes.Equal(a.Rows, whole.Rows) {
+	if a := all[2].customer().asks("00000000000000b2"); a.Kind != client.Finished || bytes.Equal(a.Rows, whole.Rows) {
 		t.Fatalf("a cached answer outlives its purge: %v", a.Kind)
 	}
 	if r, status := all[1].fleet("status", "--id", id); status != 0 || r.Word != "purged" || r.Counts == nil || *r.Counts == (fleet.Counts{}) {
--- /dev/null
+++ b/cmd/railrelay-sim/main.go
@@ -0,0 +1,17 @@
+// Command railrelay-sim puts the decisions on the bench's wire, on standard input and
+// output.
+package main
+
+import (
+	"fmt"
+	"os"
+
+	"railrelay.dev/railrelay/internal/simadapter"
+)
+
+func main() {
+	if err := simadapter.Run(os.Stdin, os.Stdout); err != nil {
+		fmt.Fprintln(os.Stderr, "railrelay-sim:", err)
+		os.Exit(1)
+	}
+}
--- a/cmd/railrelay/controller_test.go
+++ b/cmd/railrelay/controller_test.go
@@ -25,7 +25,7 @@
 	limit   string // what the shell does before
 }
 
-const settings = `{"balancers":1,"me":0,"zones":["here"],"kinds":["std"],"quantum_ms":5.0,"discovery":"pushed",
+const testSettings = `{"balancers":1,"me":0,"zones":["here"],"kinds":["std"],"quantum_ms":5.0,"discovery":"pushed",
 "allowed":{"may_cancel":true,"may_probe":true,"second_copies":true,"max_attempts":3,"connect_timeout_ms":250.0,"keepalive_ms":15000.0,
 "retry_after":true,"max_retry_after_ms":1000.0},"report":{"how":"on_probe","fields":["outstanding","utilization"]},
 "obligations":{"drain_grace_ms":1000.0,"key_rest_ms":300.0,"cold_from":0.3,"warm_after_ms":15000.0,"tip_multiple":3.0,"fall_ms":1000.0},
@@ -36,7 +36,7 @@
 
 func start(t *testing.T, feed string, sockets int, listen string, entries ...string) *controller {
 	t.Helper()
-	return startWith(t, settings, 192, feed, sockets, listen, entries...)
+	return startWith(t, testSettings, 192, feed, sockets, listen, entries...)
 }
 
 func startWith(t *testing.T, settings string, memoryMB int, feed string, sockets int, listen string, entries ...string) *controller {
--- a/cmd/railrelay/main.go
+++ b/cmd/railrelay/main.go
@@ -1,7 +1,7 @@
 // Command railrelay is one controller on sockets: it takes clients' queries,
-// has package decide decide on them and speaks to engines and the list.
+// has package scheduler decide on them and speaks to engines and the list.
 package main
 
-import both "railrelay.dev/railrelay/internal/program"
+import both "railrelay.dev/railrelay/internal/cli"
 
 func main() { both.Main(nil) }
--- a/cmd/railrelay/main_test.go
+++ b/cmd/railrelay/main_test.go
@@ -464,7 +464,7 @@
 			first = append(first, entry(fmt.Sprint("e", i), address, "SERVING"))
 			later = append(later, entry(fmt.Sprint("e", i), address, "DELETED"), entry(fmt.Sprint("n", i), address, "SERVING"))
 		}
-		c := startWith(t, strings.Replace(settings, `"balancers":1,"me":0`, fmt.Sprintf(`"balancers":%d,"me":%d`, n, n-1), 1), 32,
+		c := startWith(t, strings.Replace(testSettings, `"balancers":1,"me":0`, fmt.Sprintf(`"balancers":%d,"me":%d`, n, n-1), 1), 32,
 			f.Addr().String(), 256, "127.0.0.1:0", first...)
 		<-f.lines
 		a := c.client()
@@ -491,6 +491,6 @@
 func TestOddSettingsAreSaidAndServed(t *testing.T) {
 	e, f := newStand(t, serves(false)), newFeed(t)
 	odd := strings.NewReplacer(`"balancers":1`, `"balancers":0`, `"effect":"non_idempotent"`, `"effect":"whatever"`,
-		`"objective_ms":3000.0`, `"objective_ms":"soon"`).Replace(settings)
+		`"objective_ms":3000.0`, `"objective_ms":"soon"`).Replace(testSettings)
 	startWith(t, odd, 64, f.Addr().String(), 256, "127.0.0.1:0", entry("e1", e.address(), "SERVING"), entry("e2", e.address(), "WHATEVER")).servesBoth()
 }
--- a/cmd/railrelay/shape_test.go
+++ b/cmd/railrelay/shape_test.go
@@ -8,7 +8,7 @@
 	"strings"
 	"testing"
 
-	"railrelay.dev/railrelay/internal/terms"
+	"railrelay.dev/railrelay/internal/settings"
 )
 
 // shapes are the deployments that one build serves, by settings alone: engines that tell
@@ -27,8 +27,8 @@
 func TestOneBuildServesAllShapes(t *testing.T) {
 	for name, shape := range shapes {
 		e, f := newStand(t, serves(false)), newFeed(t)
-		text := shape.Replace(settings)
-		if name != "as before" && text == settings {
+		text := shape.Replace(testSettings)
+		if name != "as before" && text == testSettings {
 			t.Fatal("nothing is other in ", name)
 		}
 		c := startWith(t, text, 64, f.Addr().String(), 256, "127.0.0.1:0", entry("e1", e.address(), "SERVING"))
@@ -46,8 +46,8 @@
 		{`"class_waits":[true,false]`, `"class_waits":[true]`, "settings.family_info.class_waits:", "classes.count"},
 		{`"kind_cores":[8]`, `"kind_cores":[8,12]`, "settings.family_info.kind_cores:", "kinds"},
 	} {
-		mixed := strings.Replace(settings, c.old, c.new, 1)
-		if mixed == settings {
+		mixed := strings.Replace(testSettings, c.old, c.new, 1)
+		if mixed == testSettings {
 			t.Fatalf("%s is not in the settings", c.old)
 		}
 		config := filepath.Join(t.TempDir(), "config.json")
@@ -63,8 +63,8 @@
 		}
 	}
 	for name, shape := range shapes {
-		facts, err := terms.FromJSON([]byte(shape.Replace(settings)))
-		if refused, odd := terms.Mixed(facts); err != nil || len(refused)+len(odd) > 0 {
+		facts, err := settings.FromJSON([]byte(shape.Replace(testSettings)))
+		if refused, odd := settings.Mixed(facts); err != nil || len(refused)+len(odd) > 0 {
 			t.Errorf("%s is no mix: %v %v %v", name, err, refused, odd)
 		}
 	}
@@ -84,18 +84,18 @@
 		{`"key_rest_ms":300.0`, `"key_rest_ms":300.0,"ratio_span_ms":10000.0`, ""},
 		{`"report":{"how":"on_probe","fields":["outstanding","utilization"]},`, ``, ""},
 	} {
-		text := strings.Replace(settings, c.old, c.new, 1)
-		if text == settings {
+		text := strings.Replace(testSettings, c.old, c.new, 1)
+		if text == testSettings {
 			t.Fatalf("%s is not in the settings", c.old)
 		}
-		facts, err := terms.FromJSON([]byte(text))
-		refused, odd := terms.Mixed(facts)
-		if err != nil || len(refused) > 0 || len(odd) != min(1, len(c.key)) || len(odd) == 1 && "settings."+terms.Key(odd[0][0])+":" != c.key {
+		facts, err := settings.FromJSON([]byte(text))
+		refused, odd := settings.Mixed(facts)
+		if err != nil || len(refused) > 0 || len(odd) != min(1, len(c.key)) || len(odd) == 1 && "settings."+settings.Key(odd[0][0])+":" != c.key {
 			t.Errorf("%s: %v, refused %v, odd %v", c.new, err, refused, odd)
 		}
 	}
 	e, f := newStand(t, serves(false)), newFeed(t)
-	c := startWith(t, strings.Replace(settings, `"may_probe":true`, `"may_probe":false`, 1), 64, f.Addr().String(), 256, "127.0.0.1:0",
+	c := startWith(t, strings.Replace(testSettings, `"may_probe":true`, `"may_probe":false`, 1), 64, f.Addr().String(), 256, "127.0.0.1:0",
 		entry("e1", e.address(), "SERVING"))
 	c.servesBoth()
 }
--- a/internal/lab/datapath_clients.go
+++ b/internal/bench/datapath_clients.go
@@ -1,4 +1,4 @@
-package lab
+package bench
 
 import (
 	"context"
@@ -10,8 +10,8 @@
 	"sync"
 	"time"
 
-	"railrelay.dev/railrelay/internal/standin/caller"
-	"railrelay.dev/railrelay/internal/standin/engine"
+	"railrelay.dev/railrelay/internal/emulator/client"
+	"railrelay.dev/railrelay/internal/emulator/engine"
 )
 
 // idleClients are connections that have asked whether the controller is ready, and no more.
@@ -127,11 +127,11 @@
 	a.open[number] = due
 	a.mu.Unlock()
 	trace := fmt.Sprintf("%08x%08x", a.number+1, number)
-	_, err := a.Write(caller.Call(nil, number, "lookup", statement, "trace", trace, "patience", "5000", "team", "a"))
+	_, err := a.Write(client.Call(nil, number, "lookup", statement, "trace", trace, "patience", "5000", "team", "a"))
 	return true, err
 }
 
-func (a *asker) take(answer caller.Answer) {
+func (a *asker) take(answer client.Answer) {
 	a.mu.Lock()
 	due, is := a.open[answer.Msg]
 	delete(a.open, answer.Msg)
@@ -142,10 +142,10 @@
 	a.seen.mu.Lock()
 	defer a.seen.mu.Unlock()
 	switch answer.Kind {
-	case caller.Finished:
+	case client.Finished:
 		a.seen.finished++
 		a.seen.latencies = append(a.seen.latencies, float64(time.Since(due))/float64(time.Millisecond))
-	case caller.Deferred:
+	case client.Deferred:
 		a.seen.deferred++
 	default:
 		a.seen.killed++
@@ -167,7 +167,7 @@
 	askers := make([]*asker, len(clients))
 	for i, c := range clients {
 		askers[i] = &asker{Conn: c, number: i, seen: seen, open: map[uint32]time.Time{}}
-		go caller.ReadAll(askers[i], askers[i].take)
+		go client.ReadAll(askers[i], askers[i].take)
 	}
 	rng := rand.New(rand.NewPCG(seed, 1))
 	due := time.Now()
--- a/internal/lab/datapath_stage.go
+++ b/internal/bench/datapath_stage.go
@@ -1,4 +1,4 @@
-package lab
+package bench
 
 import (
 	"context"
@@ -15,10 +15,10 @@
 
 	"gonum.org/v1/gonum/stat"
 
-	"railrelay.dev/railrelay/internal/standin/caller"
-	"railrelay.dev/railrelay/internal/standin/engine"
-	"railrelay.dev/railrelay/internal/standin/feed"
-	"railrelay.dev/railrelay/internal/standin/loopback"
+	"railrelay.dev/railrelay/internal/emulator/client"
+	"railrelay.dev/railrelay/internal/emulator/engine"
+	"railrelay.dev/railrelay/internal/emulator/feed"
+	"railrelay.dev/railrelay/internal/emulator/loopback"
 )
 
 // datapathStage is one controller before engines and a feed that count what they carry.
@@ -156,7 +156,7 @@
 func askAlive(c net.Conn) error {
 	c.SetDeadline(time.Now().Add(aliveMost))
 	defer c.SetDeadline(time.Time{})
-	if _, err := c.Write(caller.Alive(nil, 1)); err != nil {
+	if _, err := c.Write(client.Alive(nil, 1)); err != nil {
 		return err
 	}
 	var in []byte
@@ -166,7 +166,7 @@
 			return err
 		}
 		in = append(in, p[:n]...)
-		answer, took, err := caller.Read(in)
+		answer, took, err := client.Read(in)
 		switch {
 		case err != nil:
 			return err
--- a/internal/lab/datapath_takeover.go
+++ b/internal/bench/datapath_takeover.go
@@ -1,4 +1,4 @@
-package lab
+package bench
 
 import (
 	"context"
@@ -8,8 +8,8 @@
 	"sync"
 	"time"
 
-	"railrelay.dev/railrelay/internal/standin/caller"
-	"railrelay.dev/railrelay/internal/standin/engine"
+	"railrelay.dev/railrelay/internal/emulator/client"
+	"railrelay.dev/railrelay/internal/emulator/engine"
 )
 
 // A table group's loads follow one another at one engine, their chain's. takeover is how
@@ -64,7 +64,7 @@
 type endedLoad struct {
 	asked time.Time
 	took  time.Duration
-	kind  caller.Kind
+	kind  client.Kind
 }
 
 func (l *loads) ask(ctx context.Context) {
@@ -81,11 +81,11 @@
 			l.mu.Unlock()
 		}
 		trace := fmt.Sprintf("%016x", number)
-		l.Write(caller.Call(nil, number, "load", statement, "trace", trace, "patience", "20000", "entity", trace, "team", "a"))
+		l.Write(client.Call(nil, number, "load", statement, "trace", trace, "patience", "20000", "entity", trace, "team", "a"))
 	}
 }
 
-func (l *loads) take(answer caller.Answer) {
+func (l *loads) take(answer client.Answer) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if asked, is := l.asked[answer.Msg]; is {
@@ -108,7 +108,7 @@
 	for _, x := range l.ended {
 		if within(x.asked) {
 			worst = max(worst, x.took)
-			if x.kind != caller.Finished {
+			if x.kind != client.Finished {
 				failed++
 			}
 		}
@@ -151,7 +151,7 @@
 	l := &loads{Conn: c, asked: map[uint32]time.Time{}}
 	asking, stop := context.WithCancel(ctx)
 	defer stop()
-	go caller.ReadAll(l, l.take)
+	go client.ReadAll(l, l.take)
 	go l.ask(asking)
 	for round := range uint64(takeoverRounds) {
 		if err := d.takeoverOnce(b, way, s, l, came, round); err != nil {
--- a/internal/lab/datapath_test.go
+++ b/internal/bench/datapath_test.go
@@ -1,4 +1,4 @@
-package lab
+package bench
 
 import (
 	"bytes"
@@ -10,9 +10,9 @@
 	"time"
 
 	"railrelay.dev/railrelay/internal/capacity"
+	"railrelay.dev/railrelay/internal/emulator/client"
+	"railrelay.dev/railrelay/internal/emulator/engine"
 	"railrelay.dev/railrelay/internal/setup"
-	"railrelay.dev/railrelay/internal/standin/caller"
-	"railrelay.dev/railrelay/internal/standin/engine"
 )
 
 func TestDatapathSetupIsAccepted(t *testing.T) {
@@ -116,12 +116,12 @@
 	l := &loads{asked: map[uint32]time.Time{}}
 	begun := time.Now().Add(-time.Second)
 	l.asked[1], l.asked[2], l.asked[3] = begun, begun, begun.Add(time.Hour)
-	l.take(caller.Answer{Msg: 1, Kind: caller.Finished})
+	l.take(client.Answer{Msg: 1, Kind: client.Finished})
 	if _, _, all := l.between(begun, begun); all {
 		t.Error("one is not answered yet")
 	}
-	l.take(caller.Answer{Msg: 2, Kind: caller.Killed})
-	l.take(caller.Answer{Msg: 2, Kind: caller.Killed}) // a second answer is none
+	l.take(client.Answer{Msg: 2, Kind: client.Killed})
+	l.take(client.Answer{Msg: 2, Kind: client.Killed}) // a second answer is none
 	if worst, failed, all := l.between(begun, begun); !all || failed != 1 || worst < time.Second {
 		t.Error(worst, failed, all)
 	}
--- a/internal/lab/fairness.go
+++ b/internal/bench/fairness.go
@@ -1,5 +1,5 @@
-// Package lab plays the product against stand-ins and measures what it does.
-package lab
+// Package bench plays the product against stand-ins and measures what it does.
+package bench
 
 import (
 	"fmt"
@@ -13,11 +13,11 @@
 	"strconv"
 	"time"
 
-	"railrelay.dev/railrelay/internal/fair"
-	"railrelay.dev/railrelay/internal/relay"
-	"railrelay.dev/railrelay/internal/standin/caller"
-	"railrelay.dev/railrelay/internal/standin/engine"
-	"railrelay.dev/railrelay/internal/standin/world"
+	"railrelay.dev/railrelay/internal/controller"
+	"railrelay.dev/railrelay/internal/emulator/client"
+	"railrelay.dev/railrelay/internal/emulator/engine"
+	"railrelay.dev/railrelay/internal/emulator/world"
+	"railrelay.dev/railrelay/internal/fairqueue"
 )
 
 // Homes are the addresses of the laboratory's clients, Home one of them.
@@ -84,19 +84,19 @@
 }
 
 // Teams is a tree of three kinds with four teams each, of unequal weights.
-func Teams() []fair.Team {
-	var l []fair.Team
+func Teams() []fairqueue.Team {
+	var l []fairqueue.Team
 	for i, kind := range []string{"municipalities", "brigades", "gauges"} {
-		k := fair.Team{Name: kind, Weight: float64(3 - i)}
+		k := fairqueue.Team{Name: kind, Weight: float64(3 - i)}
 		for j := range 4 {
-			k.Teams = append(k.Teams, fair.Team{Name: fmt.Sprintf("%s-%d", kind, j+1), Weight: float64(1 + j%2)})
+			k.Teams = append(k.Teams, fairqueue.Team{Name: fmt.Sprintf("%s-%d", kind, j+1), Weight: float64(1 + j%2)})
 		}
 		l = append(l, k)
 	}
 	return l
 }
 
-func leaves(l []fair.Team, share float64, each func(name string, share float64)) {
+func leaves(l []fairqueue.Team, share float64, each func(name string, share float64)) {
 	sum := 0.0
 	for _, t := range l {
 		sum += t.Weight
@@ -134,7 +134,7 @@
 }
 
 // NewNight makes one. shape nil: the program without teams.
-func NewNight(seed uint64, engines int, kinds []Kind, teams []fair.Team, shape *fair.Shape, facts map[string]string) *Night {
+func NewNight(seed uint64, engines int, kinds []Kind, teams []fairqueue.Team, shape *fairqueue.Shape, facts map[string]string) *Night {
 	f := engine.Usual()
 	f.Disks = 16
 	figures := make([]engine.Figures, engines)
@@ -151,9 +151,9 @@
 	leaves(teams, 1, func(name string, share float64) {
 		n.Names, n.Shares = append(n.Names, name), append(n.Shares, share)
 	})
-	n.World = world.New(seed, figures, relay.Means{MemoryMB: 512, Sockets: 8192, Facts: all, Fair: shape,
-		Words:   relay.Words{Team: "team", Wait: "tell", Again: "first"},
-		Manners: []relay.Manners{{From: Homes, Open: 100_000, Messages: 100_000}}})
+	n.World = world.New(seed, figures, controller.Config{MemoryMB: 512, Sockets: 8192, Facts: all, Fair: shape,
+		Words:   controller.FieldNames{Team: "team", Wait: "tell", Again: "first"},
+		Manners: []controller.ClientLimits{{From: Homes, Open: 100_000, Messages: 100_000}}})
 	n.sample()
 	return n
 }
@@ -299,11 +299,11 @@
 		}
 		if a.Answered {
 			switch a.Answer {
-			case caller.Finished:
+			case client.Finished:
 				t.Finished++
-			case caller.Deferred:
+			case client.Deferred:
 				t.Deferred++
-			case caller.Killed:
+			case client.Killed:
 				t.Killed++
 			}
 		}
@@ -362,7 +362,7 @@
 		}
 	}
 	return []pattern{
-		{name: "steady", play: func(n *Night) { each(n, 1.3, 0, nightLong+fair.DefaultAge, nil) }},
+		{name: "steady", play: func(n *Night) { each(n, 1.3, 0, nightLong+fairqueue.DefaultAge, nil) }},
 		{name: "alert", play: func(n *Night) {
 			each(n, 0.5, 0, nightLong, nil)
 			for at := 5 * time.Second; at < nightLong; at += 12 * time.Second {
@@ -374,7 +374,7 @@
 			}
 		}},
 		{name: "badplans", play: func(n *Night) {
-			each(n, 1.1, 0, nightLong+fair.DefaultAge, func() float64 {
+			each(n, 1.1, 0, nightLong+fairqueue.DefaultAge, func() float64 {
 				if n.rng.Float64() < 0.005 {
 					return 20
 				}
@@ -382,13 +382,13 @@
 			})
 		}},
 		{name: "enginelost", beat: true, play: func(n *Night) {
-			each(n, 1.1, 0, nightLong+fair.DefaultAge, nil)
+			each(n, 1.1, 0, nightLong+fairqueue.DefaultAge, nil)
 			n.At(15*time.Second, func() { n.Engines[0].Crash(30 * time.Second) })
 		}},
 	}
 }
 
-func shape() *fair.Shape { return &fair.Shape{} }
+func shape() *fairqueue.Shape { return &fairqueue.Shape{} }
 
 // MeasureFair is the measurement of fair queues: patterns of load in virtual time
 // against stand-in engines, printed one by one, and a last line of all.
@@ -421,7 +421,7 @@
 		idle, wait = idle+n.IdleTime, wait+n.WaitTime
 	}
 	jain := [2]float64{}
-	for i, s := range []*fair.Shape{shape(), nil} {
+	for i, s := range []*fairqueue.Shape{shape(), nil} {
 		n := NewNight(seed, engines, Usual(), Teams(), s, nil)
 		for _, name := range n.Names { // all alike, whatever their weights: far more than any share
 			n.Stream(name, 4.0/float64(len(n.Names)), 0, 45*time.Second, nil)
@@ -460,7 +460,7 @@
 		fmt.Fprintln(out, "broken:", f)
 	}
 	fmt.Fprintf(out, "measured within20=%.4f worst_wait_ratio=%.3f idle_while_waiting=%.5f max_start_gap_s=%.3f bound_s=%.3f jain=%.4f jain_before=%.4f bad_plan_ratio=%.3f us_per_query=%.3f broken=%d\n",
-		counted.Share(), worst, ratio(idle, wait), gap.Seconds(), fair.DefaultAge.Seconds()*1.25, jain[0], jain[1], bad, us, len(faults))
+		counted.Share(), worst, ratio(idle, wait), gap.Seconds(), fairqueue.DefaultAge.Seconds()*1.25, jain[0], jain[1], bad, us, len(faults))
 	if len(faults) > 0 {
 		return fmt.Errorf("%d rules broken", len(faults))
 	}
@@ -504,21 +504,21 @@
 // SpeedFair is the time of one in and one out, in microseconds, with so many
 // teams and queries waiting.
 func SpeedFair(teams, waiting, rounds int) float64 {
-	s := fair.Shape{Lanes: []fair.Lane{{Name: "a", Threads: 1, Value: 1, Usual: 50 * time.Millisecond},
+	s := fairqueue.Shape{Lanes: []fairqueue.Lane{{Name: "a", Threads: 1, Value: 1, Usual: 50 * time.Millisecond},
 		{Name: "b", Threads: 3, Value: 5, Usual: 500 * time.Millisecond}}, Age: time.Hour, Waiting: 2 * waiting}
 	for i := range 100 {
-		k := fair.Team{Name: "k" + strconv.Itoa(i), Weight: 1 + float64(i%7)}
+		k := fairqueue.Team{Name: "k" + strconv.Itoa(i), Weight: 1 + float64(i%7)}
 		for j := range teams / 100 {
-			k.Teams = append(k.Teams, fair.Team{Name: fmt.Sprintf("t%d-%d", i, j), Weight: 1 + float64(j%5)})
+			k.Teams = append(k.Teams, fairqueue.Team{Name: fmt.Sprintf("t%d-%d", i, j), Weight: 1 + float64(j%5)})
 		}
 		s.Teams = append(s.Teams, k)
 	}
-	c := fair.New(s)
-	all := make([]fair.Waiter, waiting+1)
+	c := fairqueue.New(s)
+	all := make([]fairqueue.Waiter, waiting+1)
 	rng := rand.New(rand.NewPCG(1, 1))
 	now := time.Duration(1)
-	enter := func(w *fair.Waiter) {
-		*w = fair.Waiter{Lane: rng.IntN(2), Team: teamAt(rng.IntN(teams)), Key: -1, Chain: -1, Until: time.Hour}
+	enter := func(w *fairqueue.Waiter) {
+		*w = fairqueue.Waiter{Lane: rng.IntN(2), Team: teamAt(rng.IntN(teams)), Key: -1, Chain: -1, Until: time.Hour}
 		c.Enter(now, w)
 	}
 	c.Full(now, 0, true)
@@ -526,20 +526,20 @@
 	for i := range waiting {
 		enter(&all[i])
 	}
-	free := []*fair.Waiter{&all[waiting]} // one goes out for each that comes in, or nearly
+	free := []*fairqueue.Waiter{&all[waiting]} // one goes out for each that comes in, or nearly
 	runtime.GC()
 	start := time.Now()
 	for i := range rounds {
 		now += 10 * time.Microsecond
 		if len(free) == 0 {
-			free = append(free, &fair.Waiter{})
+			free = append(free, &fairqueue.Waiter{})
 		}
 		last := len(free) - 1
 		enter(free[last])
 		free = free[:last]
 		if w := c.Next(now, i%2); w != nil {
 			c.Started(now, w)
-			c.Ended(now, w, fair.Finished, 0, 0)
+			c.Ended(now, w, fairqueue.Finished, 0, 0)
 			free = append(free, w)
 		}
 	}
--- a/internal/lab/fairness_test.go
+++ b/internal/bench/fairness_test.go
@@ -1,4 +1,4 @@
-package lab
+package bench
 
 import (
 	"bytes"
@@ -14,9 +14,9 @@
 
 	"pgregory.net/rapid"
 
-	"railrelay.dev/railrelay/internal/fair"
-	"railrelay.dev/railrelay/internal/standin/caller"
-	"railrelay.dev/railrelay/internal/standin/world"
+	"railrelay.dev/railrelay/internal/emulator/client"
+	"railrelay.dev/railrelay/internal/emulator/world"
+	"railrelay.dev/railrelay/internal/fairqueue"
 )
 
 func TestMain(m *testing.M) {
@@ -27,9 +27,9 @@
 	os.Exit(m.Run())
 }
 
-func flat(names ...string) (l []fair.Team) {
+func flat(names ...string) (l []fairqueue.Team) {
 	for _, n := range names {
-		l = append(l, fair.Team{Name: n, Weight: 1})
+		l = append(l, fairqueue.Team{Name: n, Weight: 1})
 	}
 	return l
 }
@@ -88,9 +88,9 @@
 				})
 			case 6:
 				n.At(at, func() {
-					n.Reload(&fair.Shape{Teams: Teams()[1:], Trusted: []netip.Prefix{netip.MustParsePrefix("10.0.0.0/8")}})
+					n.Reload(&fairqueue.Shape{Teams: Teams()[1:], Trusted: []netip.Prefix{netip.MustParsePrefix("10.0.0.0/8")}})
 					n.After(time.Second, func() {
-						n.Reload(&fair.Shape{Teams: Teams(), Trusted: []netip.Prefix{netip.MustParsePrefix("10.0.0.0/8")}})
+						n.Reload(&fairqueue.Shape{Teams: Teams(), Trusted: []netip.Prefix{netip.MustParsePrefix("10.0.0.0/8")}})
 					})
 				})
 			}
@@ -178,7 +178,7 @@
 	if late.Finished < 100 || late.Deferred == 0 {
 		t.Fatalf("after the loss %d were finished, %d deferred", late.Finished, late.Deferred)
 	}
-	if n.MaxGap > fair.DefaultAge*5/4 {
+	if n.MaxGap > fairqueue.DefaultAge*5/4 {
 		t.Fatalf("a team went %v without a start", n.MaxGap)
 	}
 }
@@ -198,7 +198,7 @@
 	n := crowd(t, 4, 150)
 	deferred, last := 0, time.Duration(0)
 	for _, a := range n.All {
-		if a.Answered && a.Answer == caller.Deferred {
+		if a.Answered && a.Answer == client.Deferred {
 			if deferred++; a.Over > a.At+20*time.Millisecond {
 				t.Fatalf("held for %v before it was deferred", a.Over-a.At)
 			}
@@ -232,7 +232,7 @@
 		}
 	}
 	teams := 0
-	n.R.Teams(func(_ string, waiting int, _ fair.Counts) { teams += waiting })
+	n.R.Teams(func(_ string, waiting int, _ fairqueue.Counts) { teams += waiting })
 	if teams != 0 {
 		t.Fatalf("%d still wait", teams)
 	}
@@ -278,7 +278,7 @@
 	n := crowd(t, 4, 150)
 	var first *world.Asked
 	for _, a := range n.All {
-		if a.Answered && a.Answer == caller.Deferred {
+		if a.Answered && a.Answer == client.Deferred {
 			first = a
 		}
 	}
@@ -286,7 +286,7 @@
 	c := n.conns[first.Team]
 	c.Ask("00000000000000ff", first.Group, "", 12*time.Second, first.Work, "team", first.Team, "first", first.ID)
 	repeats := 0
-	n.R.Teams(func(_ string, _ int, x fair.Counts) { repeats += x.Repeated })
+	n.R.Teams(func(_ string, _ int, x fairqueue.Counts) { repeats += x.Repeated })
 	if repeats != 1 {
 		t.Fatalf("%d repeats were known", repeats)
 	}
--- a/internal/lab/fleet.go
+++ b/internal/bench/fleet.go
@@ -1,4 +1,4 @@
-package lab
+package bench
 
 import (
 	"fmt"
@@ -7,10 +7,10 @@
 	"strconv"
 	"time"
 
-	"railrelay.dev/railrelay/internal/check"
-	"railrelay.dev/railrelay/internal/due"
-	"railrelay.dev/railrelay/internal/standin/engine"
-	"railrelay.dev/railrelay/internal/standin/feed"
+	"railrelay.dev/railrelay/internal/emulator/engine"
+	"railrelay.dev/railrelay/internal/emulator/feed"
+	"railrelay.dev/railrelay/internal/historycheck"
+	"railrelay.dev/railrelay/internal/timerqueue"
 )
 
 // Ill is something that befalls a fleet.
@@ -85,7 +85,7 @@
 	FleetDay
 	now     time.Duration
 	rng     *rand.Rand
-	events  due.Times
+	events  timerqueue.Times
 	all     []*fleetController
 	engines []*fleetEngine
 	byAddr  map[string]*fleetEngine
@@ -150,7 +150,7 @@
 		}
 		f.out.Broken = append(f.out.Broken, c.history.Faults...)
 		f.out.Ordered += c.history.Ordered
-		f.out.Served += c.history.Answers[check.Finished]
+		f.out.Served += c.history.Answers[historycheck.Finished]
 	}
 	f.coldUse()
 	return &f.out
--- a/internal/lab/fleet_controllers.go
+++ b/internal/bench/fleet_controllers.go
@@ -1,4 +1,4 @@
-package lab
+package bench
 
 import (
 	"bytes"
@@ -7,20 +7,20 @@
 	"strconv"
 	"time"
 
-	"railrelay.dev/railrelay/internal/check"
-	"railrelay.dev/railrelay/internal/relay"
-	"railrelay.dev/railrelay/internal/standin/caller"
-	"railrelay.dev/railrelay/internal/standin/engine"
-	"railrelay.dev/railrelay/internal/standin/feed"
-	"railrelay.dev/railrelay/internal/standin/world"
+	"railrelay.dev/railrelay/internal/controller"
+	"railrelay.dev/railrelay/internal/emulator/client"
+	"railrelay.dev/railrelay/internal/emulator/engine"
+	"railrelay.dev/railrelay/internal/emulator/feed"
+	"railrelay.dev/railrelay/internal/emulator/world"
+	"railrelay.dev/railrelay/internal/historycheck"
 )
 
 type fleetController struct {
 	*fleetRun
 	n       int
-	r       *relay.Relay
-	history check.History
-	ends    map[*relay.Link]*fleetEnd
+	r       *controller.Controller
+	history historycheck.History
+	ends    map[*controller.Connection]*fleetEnd
 	stalled time.Duration
 	waiting []func() // what came while it stood still
 	woken   int
@@ -42,14 +42,14 @@
 }
 
 func (f *fleetRun) start(n int) {
-	c := &fleetController{fleetRun: f, n: n, ends: map[*relay.Link]*fleetEnd{}, open: map[uint32]*world.Asked{}, stalled: -1, fed: f.log.Last()}
+	c := &fleetController{fleetRun: f, n: n, ends: map[*controller.Connection]*fleetEnd{}, open: map[uint32]*world.Asked{}, stalled: -1, fed: f.log.Last()}
 	facts := map[string]string{}
 	for k, v := range f.facts {
 		facts[k] = v
 	}
 	facts["own.number"] = strconv.Itoa(n)
 	ms := func(name string) time.Duration { return time.Duration(number(facts[name])) * time.Millisecond }
-	c.history = check.History{KeyRest: ms("key.rest"), Rests: true, Grace: ms("drain.grace"), Most: int(number(facts["submissions.most"])),
+	c.history = historycheck.History{KeyRest: ms("key.rest"), Rests: true, Grace: ms("drain.grace"), Most: int(number(facts["submissions.most"])),
 		Alone: facts["may.copy"] != "true"}
 	for i := range int(number(facts["groups"])) {
 		at := fmt.Sprintf("group.%d.", i)
@@ -59,8 +59,8 @@
 		c.ways = append(c.ways, &fleetWay{delay: time.Duration(100+f.rng.IntN(2000)) * time.Microsecond})
 	}
 	f.all = append(f.all, c)
-	r, effects := relay.New(relay.Means{Seed: f.rng.Uint64(), MemoryMB: 256, Sockets: 512, Feed: "feed", Known: f.log.Known(), Facts: facts,
-		Started: time.UnixMilli(fleetEpoch), Manners: []relay.Manners{{From: Homes, Open: 100_000, Messages: 100_000, Idle: time.Minute}}})
+	r, effects := controller.New(controller.Config{Seed: f.rng.Uint64(), MemoryMB: 256, Sockets: 512, Feed: "feed", Known: f.log.Known(), Facts: facts,
+		Started: time.UnixMilli(fleetEpoch), Manners: []controller.ClientLimits{{From: Homes, Open: 100_000, Messages: 100_000, Idle: time.Minute}}})
 	c.r = r
 	c.perform(effects)
 }
@@ -68,10 +68,10 @@
 // connects has the clients' connection stand: one that says nothing is ended.
 func (c *fleetController) connects() {
 	if c.client == nil || c.client.gone {
-		c.client = &fleetEnd{link: &relay.Link{From: Home}, client: true}
+		c.client = &fleetEnd{link: &controller.Connection{From: Home}, client: true}
 		c.ends[c.client.link] = c.client
 		end := c.client
-		c.deliver(func() { c.step(relay.Event{Kind: relay.Accepted, Link: end.link}) })
+		c.deliver(func() { c.step(controller.Event{Kind: controller.ClientAccepted, Connection: end.link}) })
 	}
 }
 
@@ -117,7 +117,7 @@
 			c.out.Asked++
 			c.connects()
 			end := c.client
-			p := caller.Call(nil, m, k.Name, engine.Statement(work), fields...)
+			p := client.Call(nil, m, k.Name, engine.Statement(work), fields...)
 			c.deliver(func() {
 				// taken once it is read: a patience that passed while it stood still is the client's
 				c.history.Asked(c.now, id, k.Name, key, max(a.Until, c.now)+c.stood(a.At))
@@ -143,25 +143,25 @@
 	do()
 }
 
-func (c *fleetController) event(ev relay.Event) { c.deliver(func() { c.step(ev) }) }
+func (c *fleetController) event(ev controller.Event) { c.deliver(func() { c.step(ev) }) }
 
-func (c *fleetController) step(ev relay.Event) { c.perform(c.r.Step(c.now, ev)) }
+func (c *fleetController) step(ev controller.Event) { c.perform(c.r.Step(c.now, ev)) }
 
 func (c *fleetController) gets(e *fleetEnd, p []byte) {
 	for len(p) > 0 && !e.gone {
 		n := copy(e.link.In.Space(), p)
 		p = p[n:]
-		c.step(relay.Event{Kind: relay.Got, Link: e.link, N: n})
+		c.step(controller.Event{Kind: controller.BytesReceived, Connection: e.link, N: n})
 	}
 }
 
-func (c *fleetController) perform(effects []relay.Effect) {
+func (c *fleetController) perform(effects []controller.Effect) {
 	for _, fx := range effects {
-		e := c.ends[fx.Link]
-		switch fx.Verb {
-		case relay.Dial:
-			c.dial(fx.Link, fx.Address, fx.Within)
-		case relay.Write:
+		e := c.ends[fx.Connection]
+		switch fx.Kind {
+		case controller.Dial:
+			c.dial(fx.Connection, fx.Address, fx.Within)
+		case controller.Write:
 			if e == nil || e.gone {
 				break
 			}
@@ -180,18 +180,18 @@
 				c.follows(e, c.Lag/4)
 				c.beat(e)
 			}
-		case relay.Close:
+		case controller.Close:
 			if e != nil {
 				e.aborted = e.aborted || fx.Abort
 				c.after(0, func() { c.lose(e) })
 			}
-		case relay.Wake:
+		case controller.SetTimer:
 			c.woken++
 			mine := c.woken
 			c.after(fx.Within, func() {
 				c.deliver(func() {
 					if mine == c.woken {
-						c.step(relay.Event{Kind: relay.Woken})
+						c.step(controller.Event{Kind: controller.TimerFired})
 					}
 				})
 			})
@@ -203,7 +203,7 @@
 func (c *fleetController) hears(p []byte) {
 	c.in = append(c.in, p...)
 	for {
-		ans, n, err := caller.Read(c.in)
+		ans, n, err := client.Read(c.in)
 		if err != nil {
 			c.history.Broken(c.now, err.Error())
 			return
@@ -212,7 +212,7 @@
 			return
 		}
 		c.in = bytes.Clone(c.in[n:])
-		if ans.Kind == caller.Told {
+		if ans.Kind == client.Told {
 			continue
 		}
 		a := c.open[ans.Msg]
@@ -226,7 +226,7 @@
 		if c.now-c.stalled < 50*time.Millisecond { // nothing can be answered while it stands still
 			at = min(at, a.Until)
 		}
-		c.history.Answered(at, a.ID, check.Answer(ans.Kind), ans.Rows, world.Rows(a))
+		c.history.Answered(at, a.ID, historycheck.Answer(ans.Kind), ans.Rows, world.Rows(a))
 	}
 }
 
--- a/internal/lab/fleet_engines.go
+++ b/internal/bench/fleet_engines.go
@@ -1,4 +1,4 @@
-package lab
+package bench
 
 import (
 	"bytes"
@@ -6,8 +6,8 @@
 	"strings"
 	"time"
 
-	"railrelay.dev/railrelay/internal/standin/engine"
-	"railrelay.dev/railrelay/internal/standin/feed"
+	"railrelay.dev/railrelay/internal/emulator/engine"
+	"railrelay.dev/railrelay/internal/emulator/feed"
 )
 
 type fleetEngine struct {
--- a/internal/lab/fleet_network.go
+++ b/internal/bench/fleet_network.go
@@ -1,4 +1,4 @@
-package lab
+package bench
 
 import (
 	"bytes"
@@ -6,8 +6,8 @@
 	"strings"
 	"time"
 
-	"railrelay.dev/railrelay/internal/relay"
-	"railrelay.dev/railrelay/internal/standin/engine"
+	"railrelay.dev/railrelay/internal/controller"
+	"railrelay.dev/railrelay/internal/emulator/engine"
 )
 
 // fleetWay is the network between a controller and an engine's place. What is written into
@@ -25,7 +25,7 @@
 }
 
 type fleetEnd struct {
-	link     *relay.Link
+	link     *controller.Connection
 	e        *fleetEngine
 	way      *fleetWay
 	conn     *engine.Conn
@@ -38,7 +38,7 @@
 
 func (c *fleetController) wrote(e *fleetEnd, n int) {
 	if !e.gone {
-		c.event(relay.Event{Kind: relay.Wrote, Link: e.link, N: n})
+		c.event(controller.Event{Kind: controller.BytesWritten, Connection: e.link, N: n})
 	}
 }
 
@@ -51,7 +51,7 @@
 	if e.conn != nil {
 		e.way.pass(func() bool { return true }, func() { e.e.Server.Gone(e.conn) })
 	}
-	c.event(relay.Event{Kind: relay.Ended, Link: e.link})
+	c.event(controller.Event{Kind: controller.ConnectionClosed, Connection: e.link})
 }
 
 // pass has something cross, or lie until the cut heals, if it is still wanted then.
@@ -67,32 +67,32 @@
 	})
 }
 
-func (c *fleetController) dial(link *relay.Link, address string, within time.Duration) {
+func (c *fleetController) dial(link *controller.Connection, address string, within time.Duration) {
 	e := &fleetEnd{link: link}
 	c.ends[link] = e
 	if address == "feed" {
 		e.feed = true
-		c.after(time.Millisecond, func() { c.event(relay.Event{Kind: relay.Up, Link: link}) })
+		c.after(time.Millisecond, func() { c.event(controller.Event{Kind: controller.Connected, Connection: link}) })
 		return
 	}
 	to := c.byAddr[address]
-	fail := func(kind relay.Kind, at time.Duration) {
+	fail := func(kind controller.EventKind, at time.Duration) {
 		c.after(at, func() {
 			if e.gone { // it was closed before
 				return
 			}
 			delete(c.ends, link)
 			e.gone = true
-			c.event(relay.Event{Kind: kind, Link: link})
+			c.event(controller.Event{Kind: kind, Connection: link})
 		})
 	}
 	way := c.ways[to.place]
 	switch {
 	case to.Silent() || way.cut > 0:
-		fail(relay.Unanswered, within)
+		fail(controller.ConnectTimedOut, within)
 		return
 	case to.down:
-		fail(relay.Refused, 2*way.delay)
+		fail(controller.ConnectRefused, 2*way.delay)
 		return
 	}
 	e.e, e.way = to, way
@@ -116,7 +116,7 @@
 	c.after(2*way.delay, func() {
 		if !e.gone {
 			to.Accept(e.conn)
-			c.event(relay.Event{Kind: relay.Up, Link: link})
+			c.event(controller.Event{Kind: controller.Connected, Connection: link})
 		}
 	})
 }
--- a/internal/lab/many.go
+++ b/internal/bench/many.go
@@ -1,4 +1,4 @@
-package lab
+package bench
 
 import (
 	"context"
@@ -9,12 +9,12 @@
 	"slices"
 	"time"
 
+	"railrelay.dev/railrelay/internal/emulator/engine"
+	"railrelay.dev/railrelay/internal/emulator/feed"
+	"railrelay.dev/railrelay/internal/emulator/hollow"
 	"railrelay.dev/railrelay/internal/fleet"
-	"railrelay.dev/railrelay/internal/fleet/agree"
-	"railrelay.dev/railrelay/internal/fleet/disk"
-	"railrelay.dev/railrelay/internal/standin/engine"
-	"railrelay.dev/railrelay/internal/standin/feed"
-	"railrelay.dev/railrelay/internal/standin/hollow"
+	"railrelay.dev/railrelay/internal/fleet/consensus"
+	"railrelay.dev/railrelay/internal/fleet/storage"
 )
 
 // Many is a fleet of many processes that take no queries: what each costs, and how soon
@@ -268,12 +268,12 @@
 
 // startFrom starts a voter from a record. It is the only one of its fleet, so that it can
 // vote alone: with others' votes missing it would wait for them.
-func (m Many) startFrom(ctx context.Context, feedAddress string, kept agree.Kept) (f *processFleet, took time.Duration, err error) {
+func (m Many) startFrom(ctx context.Context, feedAddress string, kept consensus.Kept) (f *processFleet, took time.Duration, err error) {
 	f, err = m.prepare(ctx, feedAddress, 1)
 	if err != nil {
 		return nil, 0, err
 	}
-	store, _, err := disk.Open(f.controllers[0].directory, func() string { return "long" })
+	store, _, err := storage.Open(f.controllers[0].directory, func() string { return "long" })
 	if err == nil {
 		err = errors.Join(store.Write(kept), store.Close())
 	}
--- a/internal/lab/many_process.go
+++ b/internal/bench/many_process.go
@@ -1,4 +1,4 @@
-package lab
+package bench
 
 import (
 	"bufio"
@@ -14,9 +14,9 @@
 	"syscall"
 	"time"
 
+	"railrelay.dev/railrelay/internal/emulator/hollow"
 	"railrelay.dev/railrelay/internal/fleet"
-	"railrelay.dev/railrelay/internal/fleet/peers"
-	"railrelay.dev/railrelay/internal/standin/hollow"
+	"railrelay.dev/railrelay/internal/fleet/transport"
 )
 
 // controllerSetup is what the set-up file of a controller in a fleet of many is made of.
@@ -90,7 +90,7 @@
 type workplace struct {
 	directory string
 	keyFile   string
-	keys      peers.Keys
+	keys      transport.Keys
 }
 
 func newWorkplace(pattern string) (w *workplace, err error) {
@@ -100,7 +100,7 @@
 	}
 	w.keyFile = filepath.Join(w.directory, "keys")
 	if err = os.WriteFile(w.keyFile, []byte(strings.Repeat("5e", 32)), 0o600); err == nil {
-		w.keys, err = peers.ReadKeys(w.keyFile)
+		w.keys, err = transport.ReadKeys(w.keyFile)
 	}
 	if err != nil {
 		os.RemoveAll(w.directory)
@@ -202,14 +202,14 @@
 // operator asks one controller as its operators do. It may be used by several goroutines.
 type operator struct {
 	control string // the controller's address for operators
-	keys    peers.Keys
+	keys    transport.Keys
 }
 
 // ask puts something to the controller.
 func (o operator) ask(ctx context.Context, a *fleet.Ask) (*fleet.Reply, error) {
 	ctx, stop := context.WithTimeout(ctx, time.Duration(a.Wait)*time.Millisecond+2*time.Second)
 	defer stop()
-	return peers.AskControl(ctx, o.control, o.keys, a)
+	return transport.AskControl(ctx, o.control, o.keys, a)
 }
 
 // status is how it sees the fleet; an empty one if it can't be asked.
--- a/internal/lab/many_record.go
+++ b/internal/bench/many_record.go
@@ -1,36 +1,36 @@
-package lab
+package bench
 
 import (
 	"errors"
 	"fmt"
 	"time"
 
+	"railrelay.dev/railrelay/internal/emulator/hollow"
 	"railrelay.dev/railrelay/internal/fleet"
-	"railrelay.dev/railrelay/internal/fleet/agree"
-	"railrelay.dev/railrelay/internal/fleet/record"
-	"railrelay.dev/railrelay/internal/standin/hollow"
+	"railrelay.dev/railrelay/internal/fleet/consensus"
+	"railrelay.dev/railrelay/internal/fleet/statemachine"
 )
 
 // recordBuilder makes what the disk of a fleet's only voter holds, by way of its own
 // agreement in virtual time.
 type recordBuilder struct {
 	name   string
-	core   *agree.Core
-	state  *record.State
+	core   *consensus.Core
+	state  *statemachine.State
 	now    time.Duration
-	kept   agree.Kept
+	kept   consensus.Kept
 	leads  bool
 	stores int // under way
 }
 
 // newRecordBuilder gives one whose voter leads.
 func newRecordBuilder(name string) (*recordBuilder, error) {
-	core, effects, err := agree.New(agree.Begin{Self: name, Voters: []agree.Voter{{Name: name, Address: "127.0.0.1:1"}}, Seed: 1,
+	core, effects, err := consensus.New(consensus.Begin{Self: name, Voters: []consensus.Voter{{Name: name, Address: "127.0.0.1:1"}}, Seed: 1,
 		Election: time.Second, Heartbeat: 100 * time.Millisecond})
 	if err != nil {
 		return nil, err
 	}
-	b := &recordBuilder{name: name, core: core, state: record.NewState()}
+	b := &recordBuilder{name: name, core: core, state: statemachine.NewState()}
 	if err := b.perform(effects); err != nil {
 		return nil, err
 	}
@@ -38,7 +38,7 @@
 		if b.now = max(b.now+time.Millisecond, core.Due()); b.now > time.Minute {
 			return nil, errors.New("a voter that is alone doesn't lead")
 		}
-		if err := b.step(agree.Event{Kind: agree.Tick}); err != nil {
+		if err := b.step(consensus.Event{Kind: consensus.Tick}); err != nil {
 			return nil, err
 		}
 	}
@@ -46,24 +46,26 @@
 }
 
 // step takes an event in, and stores at once what comes of it.
-func (b *recordBuilder) step(event agree.Event) error { return b.perform(b.core.Step(b.now, event)) }
+func (b *recordBuilder) step(event consensus.Event) error {
+	return b.perform(b.core.Step(b.now, event))
+}
 
-func (b *recordBuilder) perform(effects []agree.Effect) error {
+func (b *recordBuilder) perform(effects []consensus.Effect) error {
 	err := b.take(effects)
 	for err == nil && b.stores > 0 {
 		b.stores--
-		err = b.take(b.core.Step(b.now, agree.Event{Kind: agree.Stored}))
+		err = b.take(b.core.Step(b.now, consensus.Event{Kind: consensus.Stored}))
 	}
 	return err
 }
 
-func (b *recordBuilder) take(effects []agree.Effect) error {
+func (b *recordBuilder) take(effects []consensus.Effect) error {
 	for _, e := range effects {
 		switch e.Kind {
-		case agree.Store:
+		case consensus.Store:
 			b.kept = hollow.Merge(b.kept, *e.Kept)
 			b.stores++
-		case agree.Decided:
+		case consensus.Decided:
 			data := e.Record.Data
 			if e.Record.Conf {
 				data = nil
@@ -71,7 +73,7 @@
 			if err := b.state.Apply(e.Record.Index, data); err != nil {
 				return err
 			}
-		case agree.Led:
+		case consensus.Led:
 			b.leads = e.Leader == b.name
 		}
 	}
@@ -81,7 +83,7 @@
 // decide puts entries into the record, one after the other.
 func (b *recordBuilder) decide(entries ...*fleet.Entry) error {
 	for _, e := range entries {
-		if err := b.step(agree.Event{Kind: agree.Propose, Data: record.Encode(e)}); err != nil {
+		if err := b.step(consensus.Event{Kind: consensus.Propose, Data: statemachine.Encode(e)}); err != nil {
 			return err
 		}
 	}
@@ -109,7 +111,7 @@
 
 // compact has a snapshot replace the log so far.
 func (b *recordBuilder) compact() error {
-	return b.step(agree.Event{Kind: agree.Compacted, Snapshot: &agree.Snapshot{Index: b.state.Index, Data: b.state.Encode()}})
+	return b.step(consensus.Event{Kind: consensus.Compacted, Snapshot: &consensus.Snapshot{Index: b.state.Index, Data: b.state.Encode()}})
 }
 
 // compactEvery compacts once the log has so many entries.
@@ -124,18 +126,18 @@
 
 // longRecord is what the disk of a fleet's only voter holds after so many entries of
 // changes of policy, all but the last in a snapshot.
-func longRecord(name string, entries int) (agree.Kept, error) {
+func longRecord(name string, entries int) (consensus.Kept, error) {
 	b, err := newRecordBuilder(name)
 	if err != nil {
-		return agree.Kept{}, err
+		return consensus.Kept{}, err
 	}
 	for b.state.Index < uint64(entries) {
 		if err := b.change(); err != nil {
-			return agree.Kept{}, err
+			return consensus.Kept{}, err
 		}
 		if b.state.Index >= uint64(entries-entriesAfterSnapshot) && b.kept.Snapshot == nil {
 			if err := b.compact(); err != nil {
-				return agree.Kept{}, err
+				return consensus.Kept{}, err
 			}
 		}
 	}
--- a/internal/lab/many_test.go
+++ b/internal/bench/many_test.go
@@ -1,11 +1,11 @@
-package lab
+package bench
 
 import (
 	"testing"
 	"time"
 )
 
-// Few processes and a short record; raillab many has more of both.
+// Few processes and a short record; railrelay-bench many has more of both.
 func TestFewOfMany(t *testing.T) {
 	m := Many{Program: both(t), Controllers: 5, Lease: time.Second, Rest: time.Second, Changes: 2, Entries: 10_000}
 	c, err := m.Measure(t.Context())
--- a/internal/lab/planted.go
+++ b/internal/bench/planted.go
@@ -1,4 +1,4 @@
-package lab
+package bench
 
 import (
 	"context"
@@ -31,15 +31,15 @@
 
 // Planted are all of them. `make planted` builds and plays them.
 var Planted = []Plant{
-	{"fence", "no fence on restart", "internal/fleet/node", "./internal/lab", "^TestStartedCutOff$", "mixed:"},
-	{"force", "in force before all closed", "internal/fleet/node", "./internal/lab", "^TestBriefSchedules$", "mixed:"},
-	{"down", "purge confirmed without those down", "internal/fleet/node", "./internal/lab", "^TestBriefSchedules$", "confirmed_wrongly:"},
-	{"write", "lease not looked at before writing", "internal/run", "./internal/run", "^TestTheWordIsAskedRightBeforeAWrite$", `: "free by 7 free too", [`},
-	{"draw", "drawn answer kept over a purge", "internal/answers", "./internal/answers", "^TestDrawnOverAPurge$", "what was drawn before a purge is served after it"},
-	{"copy", "a copy past the boundary", "decide", "./decide", "^TestNoEngineOutsideGetsABoundQuery$", "and it may be at ["},
-	{"follow", "followed binding not recorded first", "internal/relay", "./internal/relay", "^TestALoadIsSentOnceWhatItBindsIsRecorded$", "sent before the record has it"},
-	{"relay", "a relay that answers a renewal by itself", "internal/fleet/node", "./internal/lab", "^TestBriefSchedulesWithRelays$", "mixed:"},
-	{"mac", "MAC not checked", "internal/fleet/peers", "./internal/fleet/peers", "^(TestAStrangersAskIsRefused|TestAMACIsForItsPurposeAndItsBytes)$", "a wrong MAC was accepted"},
+	{"fence", "no fence on restart", "internal/fleet/node", "./internal/bench", "^TestStartedCutOff$", "mixed:"},
+	{"force", "in force before all closed", "internal/fleet/node", "./internal/bench", "^TestBriefSchedules$", "mixed:"},
+	{"down", "purge confirmed without those down", "internal/fleet/node", "./internal/bench", "^TestBriefSchedules$", "confirmed_wrongly:"},
+	{"write", "lease not looked at before writing", "internal/eventloop", "./internal/eventloop", "^TestTheWordIsAskedRightBeforeAWrite$", `: "free by 7 free too", [`},
+	{"draw", "drawn answer kept over a purge", "internal/resultcache", "./internal/resultcache", "^TestDrawnOverAPurge$", "what was drawn before a purge is served after it"},
+	{"copy", "a copy past the boundary", "internal/scheduler", "./internal/scheduler", "^TestNoEngineOutsideGetsABoundQuery$", "and it may be at ["},
+	{"follow", "followed binding not recorded first", "internal/controller", "./internal/controller", "^TestALoadIsSentOnceWhatItBindsIsRecorded$", "sent before the record has it"},
+	{"relay", "a relay that answers a renewal by itself", "internal/fleet/node", "./internal/bench", "^TestBriefSchedulesWithRelays$", "mixed:"},
+	{"mac", "MAC not checked", "internal/fleet/transport", "./internal/fleet/transport", "^(TestAStrangersAskIsRefused|TestAMACIsForItsPurposeAndItsBytes)$", "a wrong MAC was accepted"},
 }
 
 // sound is the name of the build of its tests without a fault.
--- a/internal/lab/relays_faults_test.go
+++ b/internal/bench/relays_faults_test.go
@@ -1,4 +1,4 @@
-package lab
+package bench
 
 import (
 	"fmt"
@@ -6,8 +6,8 @@
 	"strings"
 	"time"
 
-	"railrelay.dev/railrelay/internal/fleet/disk"
-	"railrelay.dev/railrelay/internal/standin/link"
+	"railrelay.dev/railrelay/internal/emulator/faultproxy"
+	"railrelay.dev/railrelay/internal/fleet/storage"
 )
 
 // relayRound is one way in which relays fail. After play there is one more change.
@@ -205,9 +205,9 @@
 	relay, other, leader, p := f.relays[0], f.relays[1], f.leading(), f.controllers[0]
 	f.cutFromVoters(p)
 	f.cut(p, other)
-	f.mesh.Set(leader.name, relay.name, link.Fault{Kind: link.Delay, Way: link.There, By: late})
+	f.mesh.Set(leader.name, relay.name, faultproxy.Fault{Kind: faultproxy.Delay, Way: faultproxy.There, By: late})
 	f.pastLease()
-	f.mesh.Set(relay.name, leader.name, link.Fault{Kind: link.Cut, Silent: true})
+	f.mesh.Set(relay.name, leader.name, faultproxy.Fault{Kind: faultproxy.Cut, Silent: true})
 	time.Sleep(2 * late) // one answer may have waited for the one before it
 	f.cut(relay, leader)
 	f.changes(f.asker())
@@ -233,8 +233,8 @@
 	time.Sleep(relayedSlack) // queries that the controller holds must not be sent by the version before
 	for _, m := range f.members {
 		if m != p {
-			f.mesh.Set(relay.name, m.name, link.Fault{})
-			f.mesh.Set(m.name, relay.name, link.Fault{})
+			f.mesh.Set(relay.name, m.name, faultproxy.Fault{})
+			f.mesh.Set(m.name, relay.name, faultproxy.Fault{})
 		}
 	}
 	f.serveAll()
@@ -247,7 +247,7 @@
 func grantsLate(f *relayed) {
 	const late = 400 * time.Millisecond
 	p := f.controllers[0]
-	f.mesh.Set("", p.name, link.Fault{Kind: link.Delay, Way: link.There, By: late})
+	f.mesh.Set("", p.name, faultproxy.Fault{Kind: faultproxy.Delay, Way: faultproxy.There, By: late})
 	begin := time.Now()
 	f.pastLease() // what was granted before is over
 	f.changes(f.asker())
@@ -275,7 +275,7 @@
 	}
 	before := refused()
 	for _, relay := range f.relays {
-		f.mesh.Set(relay.name, "", link.Fault{Kind: link.Double})
+		f.mesh.Set(relay.name, "", faultproxy.Fault{Kind: faultproxy.Double})
 	}
 	f.awaits("replays of grants that are refused", func() bool { return refused() > before })
 	f.changes(f.asker())
@@ -331,7 +331,7 @@
 	again := f.anotherRun(old, secondRun)
 	f.must(os.CopyFS(f.path(again.name+"-fleet"), os.DirFS(f.path(old.name+"-fleet"))))
 	f.mesh.Target(old.name, again.listen)
-	f.mesh.Set("", old.name, link.Fault{Kind: link.Reset}) // what is connected goes to the new run from now on
+	f.mesh.Set("", old.name, faultproxy.Fault{Kind: faultproxy.Reset}) // what is connected goes to the new run from now on
 	f.must(f.begin(again))
 	f.relays[0] = again
 	f.serveAll()
@@ -375,7 +375,7 @@
 	}
 	said, err := os.ReadFile(f.path(second.name + ".log"))
 	f.must(err)
-	held := &disk.HeldError{Dir: directory}
+	held := &storage.HeldError{Dir: directory}
 	if !strings.Contains(string(said), held.Error()) || !strings.Contains(string(said), held.Remedy()) {
 		f.t.Errorf("a second run says why it ended: %s", said)
 	}
--- a/internal/lab/relays_fleet_test.go
+++ b/internal/bench/relays_fleet_test.go
@@ -1,4 +1,4 @@
-package lab
+package bench
 
 import (
 	"context"
@@ -12,10 +12,10 @@
 	"testing"
 	"time"
 
-	"railrelay.dev/railrelay/internal/check"
+	"railrelay.dev/railrelay/internal/emulator/faultproxy"
 	"railrelay.dev/railrelay/internal/fleet"
-	"railrelay.dev/railrelay/internal/fleet/peers"
-	"railrelay.dev/railrelay/internal/standin/link"
+	"railrelay.dev/railrelay/internal/fleet/transport"
+	"railrelay.dev/railrelay/internal/historycheck"
 )
 
 const (
@@ -67,7 +67,7 @@
 	f.must(f.engines())
 	f.must(f.writeKeys("keys", keyOfFleet))
 	var err error
-	f.keys, err = peers.ReadKeys(f.path("keys"))
+	f.keys, err = transport.ReadKeys(f.path("keys"))
 	f.must(err)
 	f.populate(plan)
 	for i, p := range f.members[:len(f.members)-len(f.later)] {
@@ -85,7 +85,7 @@
 	g := &gathering{Together: Together{Program: both(t), Seed: 1, Lease: relayedLease}, ctx: ctx, stop: stop, start: time.Now(), dir: t.TempDir(),
 		rng: rand.New(rand.NewPCG(1, 0x7e1a)), quit: make(chan struct{}), asked: map[string]*askedFor{},
 		marks: map[int]marked{0: {"the set-up's", 1}}, next: 1, version: 1, faults: map[string]int{}, known: map[string]string{}}
-	g.rules = check.History{KeyRest: 300 * time.Millisecond, Grace: time.Second, Most: 3, Slack: relayedSlack}
+	g.rules = historycheck.History{KeyRest: 300 * time.Millisecond, Grace: time.Second, Most: 3, Slack: relayedSlack}
 	g.rules.Group("lookup", "read-only", false)
 	g.rules.Group("report", "read-only", false)
 	g.rules.Group("load", "mutating", true)
@@ -98,7 +98,7 @@
 func (f *relayed) populate(plan relayedPlan) {
 	f.t.Helper()
 	names := slices.Concat(numbered("c", plan.controllers), numbered("v", relayedVoters), numbered("r", relayedRelays), plan.later)
-	f.mesh = link.NewMesh(names...)
+	f.mesh = faultproxy.NewMesh(names...)
 	f.closers = append(f.closers, f.mesh.Close)
 	for _, name := range names {
 		f.add(name)
@@ -342,8 +342,8 @@
 	f.awaits(a.ID+" under way", func() bool { return f.heldBy(leader, a.ID, held.name) || f.hasWord(a.ID) })
 	strike()
 	struck = slices.ContainsFunc(f.voters, func(p *process) bool { return f.isUnderWay(p, a.ID) })
-	f.mesh.Set(held.name, "", link.Fault{})
-	f.mesh.Set("", held.name, link.Fault{})
+	f.mesh.Set(held.name, "", faultproxy.Fault{})
+	f.mesh.Set("", held.name, faultproxy.Fault{})
 	<-asked
 	f.comesInForce(f.asker(), a)
 	return struck
--- a/internal/lab/relays_hollow_test.go
+++ b/internal/bench/relays_hollow_test.go
@@ -1,4 +1,4 @@
-package lab
+package bench
 
 import (
 	"bufio"
@@ -12,8 +12,8 @@
 
 	"github.com/cespare/xxhash/v2"
 
+	"railrelay.dev/railrelay/internal/emulator/hollow"
 	"railrelay.dev/railrelay/internal/fleet"
-	"railrelay.dev/railrelay/internal/standin/hollow"
 )
 
 const (
--- a/internal/lab/relays_strangers_test.go
+++ b/internal/bench/relays_strangers_test.go
@@ -1,4 +1,4 @@
-package lab
+package bench
 
 import (
 	"context"
@@ -8,7 +8,7 @@
 	"time"
 
 	"railrelay.dev/railrelay/internal/fleet"
-	"railrelay.dev/railrelay/internal/fleet/peers"
+	"railrelay.dev/railrelay/internal/fleet/transport"
 )
 
 // strangerRounds are played on one fleet without clients.
@@ -25,7 +25,7 @@
 	relay, controller string // names
 	named             string // what the controller takes the relay to be called
 	fleet, key        string // of the relay
-	refused           peers.Refused
+	refused           transport.Refused
 }
 
 const (
@@ -36,9 +36,9 @@
 
 func foreigners() []foreign {
 	return []foreign{
-		{"x0", "n0", "x0", "another", keyOfFleet, &peers.OtherFleetError{From: "n0", Fleet: "together", Own: "another"}},
-		{"x1", "n1", "x1", "together", keyOfStranger, &peers.StrangerError{What: "a frame"}},
-		{"x2", "n2", "r0", "together", keyOfFleet, &peers.AddresseeError{From: "n2", To: "r0", Own: "x2"}},
+		{"x0", "n0", "x0", "another", keyOfFleet, &transport.OtherFleetError{From: "n0", Fleet: "together", Own: "another"}},
+		{"x1", "n1", "x1", "together", keyOfStranger, &transport.StrangerError{What: "a frame"}},
+		{"x2", "n2", "r0", "together", keyOfFleet, &transport.AddresseeError{From: "n2", To: "r0", Own: "x2"}},
 	}
 }
 
@@ -118,11 +118,11 @@
 
 // foreignStatus is how a foreign relay sees its own fleet.
 func (f *relayed) foreignStatus(x foreign) *fleet.Status {
-	keys, err := peers.ReadKeys(f.path("keys-" + x.relay))
+	keys, err := transport.ReadKeys(f.path("keys-" + x.relay))
 	f.must(err)
 	ctx, stop := context.WithTimeout(f.ctx, comesWithin)
 	defer stop()
-	reply, err := peers.AskControl(ctx, f.named(x.relay).control, keys, &fleet.Ask{Kind: "status"})
+	reply, err := transport.AskControl(ctx, f.named(x.relay).control, keys, &fleet.Ask{Kind: "status"})
 	if err != nil || reply.Status == nil {
 		return &fleet.Status{}
 	}
--- a/internal/lab/relays_test.go
+++ b/internal/bench/relays_test.go
@@ -1,4 +1,4 @@
-package lab
+package bench
 
 import (
 	"fmt"
@@ -7,7 +7,7 @@
 	"testing"
 	"time"
 
-	"railrelay.dev/railrelay/internal/check"
+	"railrelay.dev/railrelay/internal/historycheck"
 )
 
 const relayedControllers = 4
@@ -110,7 +110,7 @@
 	broken = append(broken, f.watch.broken(f)...)
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if agreed, why := check.Agreed(f.words, relayedSlack); !agreed {
+	if agreed, why := historycheck.Agreed(f.words, relayedSlack); !agreed {
 		broken = append(broken, "there is no order of these words:\n"+why)
 	}
 	if len(broken) > 0 {
--- a/internal/lab/scale_faults.go
+++ b/internal/bench/scale_faults.go
@@ -1,4 +1,4 @@
-package lab
+package bench
 
 import (
 	"context"
@@ -7,8 +7,8 @@
 	"slices"
 	"time"
 
-	"railrelay.dev/railrelay/internal/standin/hollow"
-	"railrelay.dev/railrelay/internal/standin/link"
+	"railrelay.dev/railrelay/internal/emulator/faultproxy"
+	"railrelay.dev/railrelay/internal/emulator/hollow"
 )
 
 // scaleFault is something that befalls the fleet while the policy changes.
@@ -291,7 +291,7 @@
 	for _, a := range f.real {
 		for _, b := range f.real {
 			if a.place.Region != b.place.Region {
-				f.mesh.Set(a.name, b.name, link.Fault{Kind: link.Cut, Silent: true})
+				f.mesh.Set(a.name, b.name, faultproxy.Fault{Kind: faultproxy.Cut, Silent: true})
 			}
 		}
 	}
--- a/internal/lab/scale_fleet.go
+++ b/internal/bench/scale_fleet.go
@@ -1,4 +1,4 @@
-package lab
+package bench
 
 import (
 	"context"
@@ -11,11 +11,11 @@
 	"sync/atomic"
 	"time"
 
+	"railrelay.dev/railrelay/internal/emulator/engine"
+	"railrelay.dev/railrelay/internal/emulator/faultproxy"
+	"railrelay.dev/railrelay/internal/emulator/feed"
+	"railrelay.dev/railrelay/internal/emulator/hollow"
 	"railrelay.dev/railrelay/internal/fleet"
-	"railrelay.dev/railrelay/internal/standin/engine"
-	"railrelay.dev/railrelay/internal/standin/feed"
-	"railrelay.dev/railrelay/internal/standin/hollow"
-	"railrelay.dev/railrelay/internal/standin/link"
 )
 
 const (
@@ -62,7 +62,7 @@
 	real    []*scaleMember
 	hollow  []*scaleMember
 	hollows []*hollowProcess
-	mesh    *link.Mesh
+	mesh    *faultproxy.Mesh
 	feed    *feed.Listener
 	judge   *scaleJudge
 	closers []func()
@@ -153,7 +153,7 @@
 		}
 	}
 	if f.Linked {
-		f.mesh = link.NewMesh(names...)
+		f.mesh = faultproxy.NewMesh(names...)
 		f.closers = append(f.closers, func() { f.mesh.Close() })
 	}
 	for i := range f.Controllers {
@@ -228,7 +228,7 @@
 		for _, b := range f.real {
 			if a != b {
 				span := scaleLinks.OneWay(a.place, b.place)
-				f.mesh.Set(a.name, b.name, link.Fault{Kind: link.Delay, By: span, Jitter: time.Duration(float64(span) * scaleLinks.Jitter), Seed: random.Uint64()})
+				f.mesh.Set(a.name, b.name, faultproxy.Fault{Kind: faultproxy.Delay, By: span, Jitter: time.Duration(float64(span) * scaleLinks.Jitter), Seed: random.Uint64()})
 			}
 		}
 	}
--- a/internal/lab/scale_hollow.go
+++ b/internal/bench/scale_hollow.go
@@ -1,4 +1,4 @@
-package lab
+package bench
 
 import (
 	"bufio"
@@ -13,7 +13,7 @@
 	"syscall"
 	"time"
 
-	"railrelay.dev/railrelay/internal/standin/hollow"
+	"railrelay.dev/railrelay/internal/emulator/hollow"
 )
 
 const hollowAtMost = 200 // controllers in one process
--- a/internal/lab/scale_limits.go
+++ b/internal/bench/scale_limits.go
@@ -1,4 +1,4 @@
-package lab
+package bench
 
 import (
 	"bufio"
@@ -24,7 +24,7 @@
 
 // Remedy says what to do.
 func (e *ScaleSizeError) Remedy() string {
-	return "give another number: raillab scale --help says which are possible"
+	return "give another number: railrelay-bench scale --help says which are possible"
 }
 
 // ScaleRoomError is a machine that hasn't enough of something for the size asked for.
--- a/internal/lab/scale_measure.go
+++ b/internal/bench/scale_measure.go
@@ -1,4 +1,4 @@
-package lab
+package bench
 
 import (
 	"context"
--- a/internal/lab/scale_test.go
+++ b/internal/bench/scale_test.go
@@ -1,4 +1,4 @@
-package lab
+package bench
 
 import (
 	"bytes"
@@ -13,20 +13,20 @@
 	"railrelay.dev/railrelay/internal/fleet"
 )
 
-// laboratory builds raillab beside the programs.
-func laboratory(t *testing.T) (program, raillab string) {
+// laboratory builds railrelay-bench beside the programs.
+func laboratory(t *testing.T) (program, benchProgram string) {
 	program = both(t)
-	raillab = filepath.Join(filepath.Dir(program), "raillab")
-	if out, err := exec.Command("go", "build", "-o", raillab, "../../cmd/raillab").CombinedOutput(); err != nil {
+	benchProgram = filepath.Join(filepath.Dir(program), "railrelay-bench")
+	if out, err := exec.Command("go", "build", "-o", benchProgram, "../../cmd/railrelay-bench").CombinedOutput(); err != nil {
 		t.Fatal(string(out))
 	}
-	return program, raillab
+	return program, benchProgram
 }
 
 func TestASmallScaleRun(t *testing.T) {
-	program, raillab := laboratory(t)
+	program, benchProgram := laboratory(t)
 	var rows []ScaleRow
-	s := Scale{Program: program, Laboratory: raillab, Controllers: 14, Real: 4, Voters: 3, Engines: 5, Seed: 3, Lease: time.Second, Rest: time.Second,
+	s := Scale{Program: program, Laboratory: benchProgram, Controllers: 14, Real: 4, Voters: 3, Engines: 5, Seed: 3, Lease: time.Second, Rest: time.Second,
 		Changes: 3, Large: 1, PolicyBytes: 1000, LargeBytes: 20_000, Faults: []string{"killed", "regions"}, Linked: true,
 		Record: func(l []ScaleRow) error { rows = l; return nil }}
 	var out bytes.Buffer
--- a/internal/lab/scale_usage.go
+++ b/internal/bench/scale_usage.go
@@ -1,11 +1,11 @@
-package lab
+package bench
 
 import (
 	"fmt"
 	"io"
 	"time"
 
-	"railrelay.dev/railrelay/internal/standin/hollow"
+	"railrelay.dev/railrelay/internal/emulator/hollow"
 )
 
 // scaleSight is what every controller has used up to a moment.
--- a/internal/lab/schedule_actors.go
+++ b/internal/bench/schedule_actors.go
@@ -1,4 +1,4 @@
-package lab
+package bench
 
 import (
 	"fmt"
@@ -8,7 +8,7 @@
 	"time"
 
 	"railrelay.dev/railrelay/internal/fleet"
-	"railrelay.dev/railrelay/internal/fleet/agree"
+	"railrelay.dev/railrelay/internal/fleet/consensus"
 	"railrelay.dev/railrelay/internal/fleet/node"
 )
 
@@ -21,8 +21,8 @@
 	boot    uint64
 	began   time.Duration
 	rate    float64 // its clock's
-	kept    agree.Kept
-	storing *agree.Kept
+	kept    consensus.Kept
+	storing *consensus.Kept
 	slow    time.Duration // its disk is, until
 	wake    int
 	stopped time.Duration // it does nothing until then
@@ -55,9 +55,9 @@
 	a.word = new(fleet.Word)
 	a.version, a.policy, a.queue, a.busy, a.index, a.shut = 0, "", nil, false, 0, ""
 	a.drops = map[string]fleet.Order{}
-	var voters []agree.Voter
+	var voters []consensus.Voter
 	for _, v := range p.all[:p.Voters] {
-		voters = append(voters, agree.Voter{Name: v.name, Address: v.member.Peer})
+		voters = append(voters, consensus.Voter{Name: v.name, Address: v.member.Peer})
 	}
 	p.check.Note(p.now, a.name+" starts", a.name)
 	begin := node.Begin{Self: a.member, Voters: voters, Lease: p.Lease, LeaseBound: p.Lease / 2, Drift: 0.01,
@@ -90,7 +90,7 @@
 	return false, upstreams
 }
 
-func clone(k agree.Kept) agree.Kept {
+func clone(k consensus.Kept) consensus.Kept {
 	k.Hard, k.Records = slices.Clone(k.Hard), slices.Clone(k.Records)
 	return k
 }
@@ -163,13 +163,13 @@
 }
 
 // keep takes so many of a store's records to disk, and with all of them the rest.
-func (a *actor) keep(k agree.Kept, records int) {
+func (a *actor) keep(k consensus.Kept, records int) {
 	if s := k.Snapshot; s != nil {
 		a.kept.Snapshot = s
-		a.kept.Records = slices.DeleteFunc(slices.Clone(a.kept.Records), func(r agree.Record) bool { return r.Index <= s.Index })
+		a.kept.Records = slices.DeleteFunc(slices.Clone(a.kept.Records), func(r consensus.Record) bool { return r.Index <= s.Index })
 	}
 	for _, r := range k.Records[:records] {
-		if i := slices.IndexFunc(a.kept.Records, func(x agree.Record) bool { return x.Index >= r.Index }); i >= 0 {
+		if i := slices.IndexFunc(a.kept.Records, func(x consensus.Record) bool { return x.Index >= r.Index }); i >= 0 {
 			a.kept.Records = slices.Clone(a.kept.Records[:i])
 		}
 		a.kept.Records = append(a.kept.Records, r)
--- a/internal/lab/schedule_operators.go
+++ b/internal/bench/schedule_operators.go
@@ -1,4 +1,4 @@
-package lab
+package bench
 
 import (
 	"fmt"
@@ -7,9 +7,9 @@
 	"strings"
 	"time"
 
-	"railrelay.dev/railrelay/internal/check"
 	"railrelay.dev/railrelay/internal/fleet"
 	"railrelay.dev/railrelay/internal/fleet/node"
+	"railrelay.dev/railrelay/internal/historycheck"
 )
 
 // operation is one change or purge, asked for at one place and again at others.
@@ -132,7 +132,7 @@
 	switch o.ask.Kind {
 	case "apply":
 		p.check.Changed(p.now, x.at.name, o.ask.ID, r.Word, r.Version)
-		p.words = append(p.words, check.Word{Client: len(p.words) % 7, From: x.from, To: p.now + 1, ID: o.ask.ID, Base: o.ask.Base, Proposes: true,
+		p.words = append(p.words, historycheck.Word{Client: len(p.words) % 7, From: x.from, To: p.now + 1, ID: o.ask.ID, Base: o.ask.Base, Proposes: true,
 			Word: r.Word, Version: r.Version})
 	case "purge":
 		p.check.PurgeTold(p.now, x.at.name, o.ask.ID, r.Word, r.Counts)
--- a/internal/lab/speed.go
+++ b/internal/bench/speed.go
@@ -1,4 +1,4 @@
-package lab
+package bench
 
 import (
 	"context"
@@ -11,8 +11,8 @@
 	"sync/atomic"
 	"time"
 
-	"railrelay.dev/railrelay/internal/standin/caller"
-	"railrelay.dev/railrelay/internal/standin/engine"
+	"railrelay.dev/railrelay/internal/emulator/client"
+	"railrelay.dev/railrelay/internal/emulator/engine"
 )
 
 // SpeedOnSockets compares the queries a second of a controller on one core with
@@ -70,7 +70,7 @@
 	ask := func() error {
 		msg++
 		team := trialTeams[int(msg)%len(trialTeams)].name
-		_, err := c.Write(caller.Call(nil, msg, "lookup", statement, "trace", fmt.Sprintf("%08x%08x", n+1, msg), "patience", "5000",
+		_, err := c.Write(client.Call(nil, msg, "lookup", statement, "trace", fmt.Sprintf("%08x%08x", n+1, msg), "patience", "5000",
 			"team", team))
 		return err
 	}
@@ -89,7 +89,7 @@
 		}
 		in = append(in, p[:k]...)
 		for {
-			a, took, err := caller.Read(in)
+			a, took, err := client.Read(in)
 			if err != nil {
 				return err
 			}
@@ -97,7 +97,7 @@
 				break
 			}
 			in = in[took:]
-			if a.Kind == caller.Finished {
+			if a.Kind == client.Finished {
 				atomic.AddInt64(done, 1)
 			}
 			if err := ask(); err != nil {
--- a/internal/lab/spool.go
+++ b/internal/bench/spool.go
@@ -1,4 +1,4 @@
-package lab
+package bench
 
 import (
 	"bytes"
@@ -14,10 +14,10 @@
 	"sync"
 	"time"
 
-	"railrelay.dev/railrelay/internal/standin/caller"
-	"railrelay.dev/railrelay/internal/standin/engine"
-	"railrelay.dev/railrelay/internal/standin/world"
-	"railrelay.dev/railrelay/internal/store"
+	"railrelay.dev/railrelay/internal/emulator/client"
+	"railrelay.dev/railrelay/internal/emulator/engine"
+	"railrelay.dev/railrelay/internal/emulator/world"
+	"railrelay.dev/railrelay/internal/resultstore"
 )
 
 // spoolSetup is a controller that keeps results in a directory; without one it is the
@@ -154,7 +154,7 @@
 					if err != nil {
 						return
 					}
-					if a.Kind != caller.Finished || a.About["token"] == "" {
+					if a.Kind != client.Finished || a.About["token"] == "" {
 						continue
 					}
 					p.first, p.about = a.Rows, a.About
@@ -191,7 +191,7 @@
 
 // writeRatio is what the store takes in a second beside what plain writes to one file
 // take with the same syncs.
-func writeRatio(dir string, sync store.Sync) (ours, plain float64, err error) {
+func writeRatio(dir string, sync resultstore.Sync) (ours, plain float64, err error) {
 	const results, pages, size = 60, 32, 32 << 10
 	const segment = 16 // results of 1 MB: one that was filled is synced, whatever the setting but never
 	body := bytes.Repeat([]byte("0123456789abcde\n"), size/16)
@@ -206,7 +206,7 @@
 				return 0, 0, err
 			}
 		}
-		if sync == store.Never || sync == store.AtTicks && n%segment != segment-1 {
+		if sync == resultstore.Never || sync == resultstore.AtTicks && n%segment != segment-1 {
 			continue
 		}
 		if err := f.Sync(); err != nil {
@@ -217,7 +217,7 @@
 	os.Remove(f.Name())
 	total := float64(results*pages*size) / (1 << 20)
 	plain = total / time.Since(begin).Seconds()
-	k, err := store.OpenKeeper(filepath.Join(dir, fmt.Sprint("ours", sync)), store.Terms{Sync: sync})
+	k, err := resultstore.OpenKeeper(filepath.Join(dir, fmt.Sprint("ours", sync)), resultstore.Terms{Sync: sync})
 	if err != nil {
 		return 0, 0, err
 	}
@@ -227,11 +227,11 @@
 		id := k.First() + uint64(i) + 1
 		rows := make([]uint32, pages)
 		for n := range pages {
-			j := &store.Job{Pages: []store.Record{{Kind: store.Page, Result: id, Page: uint32(n), Body: body}}}
+			j := &resultstore.Job{Pages: []resultstore.Record{{Kind: resultstore.Page, Result: id, Page: uint32(n), Body: body}}}
 			if n == pages-1 {
-				j.Promise = &store.Meta{Result: id, Rows: rows}
+				j.Promise = &resultstore.Meta{Result: id, Rows: rows}
 			}
-			if k.Do([]*store.Job{j}); j.Err != nil {
+			if k.Do([]*resultstore.Job{j}); j.Err != nil {
 				return 0, 0, j.Err
 			}
 		}
@@ -265,7 +265,7 @@
 			return 0, 0, err
 		}
 		a, err := r.answer(ctx)
-		if err != nil || a.Kind != caller.Finished {
+		if err != nil || a.Kind != client.Finished {
 			return 0, 0, fmt.Errorf("an answer: %v %v", err, a.Kind)
 		}
 		size = len(a.Rows)
@@ -281,7 +281,7 @@
 	before = used()
 	for range 5 * calls {
 		b, err := r.page(ctx, a.About["token"], 1)
-		if err != nil || b.Kind != caller.Finished || len(b.Rows) < size*4/5 {
+		if err != nil || b.Kind != client.Finished || len(b.Rows) < size*4/5 {
 			return 0, 0, fmt.Errorf("a page: %v %v, %d bytes of %d", err, b.Kind, len(b.Rows), size)
 		}
 	}
@@ -304,15 +304,15 @@
 // reopen is how long it takes to open so many results.
 func reopen(dir string, results int) (time.Duration, error) {
 	path := filepath.Join(dir, "many")
-	k, err := store.OpenKeeper(path, store.Terms{Sync: store.Never, Keep: 20_000})
+	k, err := resultstore.OpenKeeper(path, resultstore.Terms{Sync: resultstore.Never, Keep: 20_000})
 	if err != nil {
 		return 0, err
 	}
 	for i := range results {
 		id := k.First() + uint64(i) + 1
-		j := &store.Job{Pages: []store.Record{{Kind: store.Page, Result: id, Body: []byte("a\tb\tc\n")}, {Kind: store.Page, Result: id, Page: 1, Body: []byte("d\te\tf\n")}},
-			Promise: &store.Meta{Result: id, Query: fmt.Sprintf("%016x", i), Team: "linz", Ends: 1 << 60, Rows: []uint32{1, 1}}}
-		if k.Do([]*store.Job{j}); j.Err != nil {
+		j := &resultstore.Job{Pages: []resultstore.Record{{Kind: resultstore.Page, Result: id, Body: []byte("a\tb\tc\n")}, {Kind: resultstore.Page, Result: id, Page: 1, Body: []byte("d\te\tf\n")}},
+			Promise: &resultstore.Meta{Result: id, Query: fmt.Sprintf("%016x", i), Team: "linz", Ends: 1 << 60, Rows: []uint32{1, 1}}}
+		if k.Do([]*resultstore.Job{j}); j.Err != nil {
 			return 0, j.Err
 		}
 		if k.Behind() {
@@ -325,7 +325,7 @@
 		return 0, err
 	}
 	begin := time.Now()
-	if k, err = store.OpenKeeper(path, store.Terms{}); err != nil {
+	if k, err = resultstore.OpenKeeper(path, resultstore.Terms{}); err != nil {
 		return 0, err
 	}
 	took := time.Since(begin)
@@ -359,7 +359,7 @@
 	defer os.RemoveAll(dir)
 	ratio := 0.0
 	for i, name := range []string{"promise", "ticks", "never"} {
-		ours, plain, err := writeRatio(dir, store.Sync(i))
+		ours, plain, err := writeRatio(dir, resultstore.Sync(i))
 		if err != nil {
 			return err
 		}
--- a/internal/lab/spool_client.go
+++ b/internal/bench/spool_client.go
@@ -1,4 +1,4 @@
-package lab
+package bench
 
 import (
 	"bytes"
@@ -9,9 +9,9 @@
 	"sync"
 	"time"
 
-	"railrelay.dev/railrelay/internal/standin/caller"
-	"railrelay.dev/railrelay/internal/standin/engine"
-	"railrelay.dev/railrelay/internal/standin/world"
+	"railrelay.dev/railrelay/internal/emulator/client"
+	"railrelay.dev/railrelay/internal/emulator/engine"
+	"railrelay.dev/railrelay/internal/emulator/world"
 )
 
 // patience is what clients wait for an answer.
@@ -36,26 +36,26 @@
 	return &reader{Conn: c, pace: pace}, nil
 }
 
-func (r *reader) answer(ctx context.Context) (caller.Answer, error) {
+func (r *reader) answer(ctx context.Context) (client.Answer, error) {
 	p := make([]byte, 64<<10)
 	if r.pace > 0 {
 		p = p[:r.pace/4]
 	}
 	for {
-		if a, n, err := caller.Read(r.in); err != nil || n > 0 {
+		if a, n, err := client.Read(r.in); err != nil || n > 0 {
 			r.in = slices.Clone(r.in[n:])
 			return a, err
 		}
 		if r.pace > 0 {
 			select {
 			case <-ctx.Done():
-				return caller.Answer{}, ctx.Err()
+				return client.Answer{}, ctx.Err()
 			case <-time.After(time.Second / 4):
 			}
 		}
 		n, err := r.Read(p)
 		if r.in = append(r.in, p[:n]...); err != nil {
-			return caller.Answer{}, err
+			return client.Answer{}, err
 		}
 	}
 }
@@ -67,14 +67,14 @@
 	if paged {
 		fields = append(fields, "pages", "1")
 	}
-	_, err := r.Write(caller.Call(nil, r.msg, "report", engine.Statement(engine.Work{Threads: 1, CPU: 2 * time.Millisecond, MemoryMB: 10, Rows: rows}), fields...))
+	_, err := r.Write(client.Call(nil, r.msg, "report", engine.Statement(engine.Work{Threads: 1, CPU: 2 * time.Millisecond, MemoryMB: 10, Rows: rows}), fields...))
 	return err
 }
 
-func (r *reader) page(ctx context.Context, token string, page int) (caller.Answer, error) {
+func (r *reader) page(ctx context.Context, token string, page int) (client.Answer, error) {
 	r.msg++
-	if _, err := r.Write(caller.Page(nil, r.msg, token, strconv.Itoa(page))); err != nil {
-		return caller.Answer{}, err
+	if _, err := r.Write(client.Page(nil, r.msg, token, strconv.Itoa(page))); err != nil {
+		return client.Answer{}, err
 	}
 	return r.answer(ctx)
 }
@@ -93,7 +93,7 @@
 	got := slices.Clone(p.first)
 	for i := 1; i < n; i++ {
 		a, err := r.page(ctx, p.about["token"], i)
-		if err != nil || a.Kind != caller.Finished {
+		if err != nil || a.Kind != client.Finished {
 			return true, false
 		}
 		got = append(got, a.Rows...)
--- a/internal/lab/spool_large.go
+++ b/internal/bench/spool_large.go
@@ -1,4 +1,4 @@
-package lab
+package bench
 
 import (
 	"context"
@@ -13,8 +13,8 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"railrelay.dev/railrelay/internal/standin/caller"
-	"railrelay.dev/railrelay/internal/standin/engine"
+	"railrelay.dev/railrelay/internal/emulator/client"
+	"railrelay.dev/railrelay/internal/emulator/engine"
 )
 
 // Large draws so many results, each of so many MB, through a program of 64 MB, one
@@ -69,7 +69,7 @@
 			return err
 		}
 		a, err := r.answer(ctx)
-		if err != nil || a.Kind != caller.Finished {
+		if err != nil || a.Kind != client.Finished {
 			return fmt.Errorf("result %d: error %v, answer of kind %d %s", n, err, a.Kind, a.Why)
 		}
 		drawn += time.Since(begin)
@@ -83,7 +83,7 @@
 		begin = time.Now()
 		for i := 1; i < pages; i++ {
 			b, err := r.page(ctx, a.About["token"], i)
-			if err != nil || b.Kind != caller.Finished {
+			if err != nil || b.Kind != client.Finished {
 				return fmt.Errorf("result %d, page %d of %d: %v, %s", n, i, pages, err, b.Why)
 			}
 			got.Write(b.Rows)
--- a/internal/lab/spool_test.go
+++ b/internal/bench/spool_test.go
@@ -1,4 +1,4 @@
-package lab
+package bench
 
 import (
 	"context"
@@ -11,9 +11,9 @@
 	"testing"
 	"time"
 
-	"railrelay.dev/railrelay/internal/standin/caller"
-	"railrelay.dev/railrelay/internal/standin/engine"
-	"railrelay.dev/railrelay/internal/standin/world"
+	"railrelay.dev/railrelay/internal/emulator/client"
+	"railrelay.dev/railrelay/internal/emulator/engine"
+	"railrelay.dev/railrelay/internal/emulator/world"
 )
 
 // The program is killed while it promises results, on sockets and real files.
@@ -60,7 +60,7 @@
 		t.Fatal(err)
 	}
 	a, err := r.answer(t.Context())
-	if err != nil || a.Kind != caller.Finished || a.About["token"] == "" {
+	if err != nil || a.Kind != client.Finished || a.About["token"] == "" {
 		t.Fatal(err, a.Kind, a.About)
 	}
 	for _, what := range []string{"ls", "verify", "gc"} {
@@ -101,7 +101,7 @@
 	want := world.Rows(&world.Asked{ID: id, Work: engine.Work{Rows: 5000}})
 	for i := range 5 { // the others are served
 		b, err := r.page(t.Context(), a.About["token"], i)
-		if err != nil || (b.Kind == caller.Finished) != (i != 1) || !strings.Contains(string(want), string(b.Rows)) {
+		if err != nil || (b.Kind == client.Finished) != (i != 1) || !strings.Contains(string(want), string(b.Rows)) {
 			t.Errorf("page %d: %v %v", i, err, b.Kind)
 		}
 	}
--- a/internal/lab/storm.go
+++ b/internal/bench/storm.go
@@ -1,4 +1,4 @@
-package lab
+package bench
 
 import (
 	"bytes"
@@ -14,12 +14,12 @@
 	"sync"
 	"time"
 
-	"railrelay.dev/railrelay/internal/check"
+	"railrelay.dev/railrelay/internal/emulator/engine"
+	"railrelay.dev/railrelay/internal/emulator/faultproxy"
+	"railrelay.dev/railrelay/internal/emulator/feed"
+	"railrelay.dev/railrelay/internal/emulator/loopback"
 	"railrelay.dev/railrelay/internal/fleet"
-	"railrelay.dev/railrelay/internal/standin/engine"
-	"railrelay.dev/railrelay/internal/standin/feed"
-	"railrelay.dev/railrelay/internal/standin/link"
-	"railrelay.dev/railrelay/internal/standin/loopback"
+	"railrelay.dev/railrelay/internal/historycheck"
 )
 
 // round is one fault while a change is under way, and its end.
@@ -37,7 +37,7 @@
 func short(*gathering) time.Duration { return 500 * time.Millisecond }
 
 // links is a round of a fault on the links from and to whom pick says, "" is any.
-func links(name string, f link.Fault, pick func(g *gathering) (from, to string), purges bool, lasts func(*gathering) time.Duration) round {
+func links(name string, f faultproxy.Fault, pick func(g *gathering) (from, to string), purges bool, lasts func(*gathering) time.Duration) round {
 	return round{name, func(g *gathering) {
 		from, to := pick(g)
 		g.mu.Lock()
@@ -91,12 +91,12 @@
 			g.note(p, "cut off")
 			g.mesh.Isolate(p.name)
 		}, func(g *gathering) { g.mesh.Heal() }, past, true},
-		links("one way", link.Fault{Kind: link.OneWay, Way: link.There}, toFollower, false, past),
-		links("slow", link.Fault{Kind: link.Slow, Rate: 30_000}, ofLeader, false, short),
-		links("jitter", link.Fault{Kind: link.Delay, By: 2 * time.Millisecond, Jitter: 60 * time.Millisecond}, (*gathering).all, true, short),
-		links("reset", link.Fault{Kind: link.Reset}, (*gathering).all, false, short),
-		links("stall", link.Fault{Kind: link.Stall, After: 1500}, ofLeader, false, short),
-		links("double", link.Fault{Kind: link.Double}, (*gathering).all, true, short),
+		links("one way", faultproxy.Fault{Kind: faultproxy.OneWay, Way: faultproxy.There}, toFollower, false, past),
+		links("slow", faultproxy.Fault{Kind: faultproxy.Slow, Rate: 30_000}, ofLeader, false, short),
+		links("jitter", faultproxy.Fault{Kind: faultproxy.Delay, By: 2 * time.Millisecond, Jitter: 60 * time.Millisecond}, (*gathering).all, true, short),
+		links("reset", faultproxy.Fault{Kind: faultproxy.Reset}, (*gathering).all, false, short),
+		links("stall", faultproxy.Fault{Kind: faultproxy.Stall, After: 1500}, ofLeader, false, short),
+		links("double", faultproxy.Fault{Kind: faultproxy.Double}, (*gathering).all, true, short),
 		{"the majority lost", func(g *gathering) {
 			two = g.members[:g.Voters/2+1]
 			for _, p := range two {
@@ -314,7 +314,7 @@
 		return !slices.ContainsFunc(g.acts, func(l []mark) bool { return len(l) == 0 || l[len(l)-1].version != g.version })
 	}); err != nil {
 		g.mu.Lock()
-		g.fleet.Faults = append(g.fleet.Faults, check.Fault{Kind: check.Half, What: err.Error()})
+		g.fleet.Faults = append(g.fleet.Faults, historycheck.Fault{Kind: historycheck.Half, What: err.Error()})
 		g.mu.Unlock()
 	}
 	close(g.quit)
@@ -325,8 +325,8 @@
 	for _, f := range g.fleet.Faults {
 		broken = append(broken, f.String())
 	}
-	if ok, why := check.Agreed(g.words, 2*time.Second); !ok {
-		f := check.Fault{Kind: check.FalseWord, What: "there is no order of these words:\n" + why}
+	if ok, why := historycheck.Agreed(g.words, 2*time.Second); !ok {
+		f := historycheck.Fault{Kind: historycheck.FalseWord, What: "there is no order of these words:\n" + why}
 		g.fleet.Faults = append(g.fleet.Faults, f)
 		broken = append(broken, f.String())
 	}
@@ -526,8 +526,8 @@
 	}
 	fmt.Fprintf(out, "measured controllers=%d faults=%d changes=%d withdrawn=%d mixed=%d half=%d false_word=%d purges=%d served_after=%d confirmed_wrongly=%d "+
 		"bound_queries=%d crossed=%d emergencies=%d rules_broken=%d switch_hold_ms=%.1f round_trip_ms=%.2f sync_ms=%.2f purge_ms=%.0f on_off=%.3f "+
-		"faults_found=%d/%d schedules=%d\n", len(g.members), faults, f.Changes, f.Withdrawn, f.Count(check.Mixed), f.Count(check.Half),
-		f.Count(check.FalseWord), f.Purges, f.Count(check.ServedAfter), f.Count(check.ConfirmedWrongly), f.Bound, f.Count(check.Crossed), g.emergencies,
+		"faults_found=%d/%d schedules=%d\n", len(g.members), faults, f.Changes, f.Withdrawn, f.Count(historycheck.Mixed), f.Count(historycheck.Half),
+		f.Count(historycheck.FalseWord), f.Purges, f.Count(historycheck.ServedAfter), f.Count(historycheck.ConfirmedWrongly), f.Bound, f.Count(historycheck.Crossed), g.emergencies,
 		len(g.rules.Faults), inMS(hold), inMS(trip), inMS(sync1), inMS(purge), ratio, found, planted, schedules.Schedules)
 	switch {
 	case len(broken) > 0:
--- a/internal/lab/together.go
+++ b/internal/bench/together.go
@@ -1,4 +1,4 @@
-package lab
+package bench
 
 import (
 	"context"
@@ -14,13 +14,13 @@
 	"syscall"
 	"time"
 
-	"railrelay.dev/railrelay/internal/check"
+	"railrelay.dev/railrelay/internal/emulator/engine"
+	"railrelay.dev/railrelay/internal/emulator/faultproxy"
+	"railrelay.dev/railrelay/internal/emulator/feed"
+	"railrelay.dev/railrelay/internal/emulator/loopback"
 	"railrelay.dev/railrelay/internal/fleet"
-	"railrelay.dev/railrelay/internal/fleet/peers"
-	"railrelay.dev/railrelay/internal/standin/engine"
-	"railrelay.dev/railrelay/internal/standin/feed"
-	"railrelay.dev/railrelay/internal/standin/link"
-	"railrelay.dev/railrelay/internal/standin/loopback"
+	"railrelay.dev/railrelay/internal/fleet/transport"
+	"railrelay.dev/railrelay/internal/historycheck"
 )
 
 // Together is many processes of the program, a link with faults between every two of
@@ -40,8 +40,8 @@
 	dir     string
 	start   time.Time
 	rng     *rand.Rand
-	keys    peers.Keys
-	mesh    *link.Mesh
+	keys    transport.Keys
+	mesh    *faultproxy.Mesh
 	feed    *feed.Listener
 	list    []feed.Engine
 	members []*process
@@ -50,9 +50,9 @@
 	quit    chan struct{} // closed: clients ask no more
 
 	mu          sync.Mutex
-	rules       check.History
-	fleet       check.Fleet
-	words       []check.Word
+	rules       historycheck.History
+	fleet       historycheck.Fleet
+	words       []historycheck.Word
 	asked       map[string]*askedFor
 	serial      int
 	kept        []keptAt
@@ -89,7 +89,7 @@
 	if g.dir, err = os.MkdirTemp("", "railrelay-together"); err != nil {
 		return g, err
 	}
-	g.rules = check.History{KeyRest: 300 * time.Millisecond, Grace: time.Second, Most: 3, Slack: 50 * time.Millisecond}
+	g.rules = historycheck.History{KeyRest: 300 * time.Millisecond, Grace: time.Second, Most: 3, Slack: 50 * time.Millisecond}
 	g.rules.Group("lookup", "read-only", false)
 	g.rules.Group("report", "read-only", false)
 	g.rules.Group("load", "mutating", true)
@@ -101,14 +101,14 @@
 	if err = os.WriteFile(g.path("keys"), []byte(strings.Repeat("5e", 32)), 0o600); err != nil {
 		return g, err
 	}
-	if g.keys, err = peers.ReadKeys(g.path("keys")); err != nil {
+	if g.keys, err = transport.ReadKeys(g.path("keys")); err != nil {
 		return g, err
 	}
 	var names []string
 	for i := range t.Voters + t.Followers {
 		names = append(names, fmt.Sprintf("c%d", i))
 	}
-	g.mesh = link.NewMesh(names...)
+	g.mesh = faultproxy.NewMesh(names...)
 	g.closers = append(g.closers, g.mesh.Close)
 	for i, name := range names {
 		p := &process{name: name, site: []string{"east", "west"}[i%2]}
@@ -211,7 +211,9 @@
 	g.acts[q.controller] = append(g.acts[q.controller], mark{now, m.version})
 }
 
-func (g *gathering) bound() check.Rule { return check.Rule{Team: "linz", Sites: []string{"east"}} }
+func (g *gathering) bound() historycheck.Rule {
+	return historycheck.Rule{Team: "linz", Sites: []string{"east"}}
+}
 
 func placementText(k int) string {
 	return fmt.Sprintf(`placement:
--- a/internal/lab/together_clients.go
+++ b/internal/bench/together_clients.go
@@ -1,4 +1,4 @@
-package lab
+package bench
 
 import (
 	"bytes"
@@ -11,10 +11,10 @@
 	"strings"
 	"time"
 
-	"railrelay.dev/railrelay/internal/check"
-	"railrelay.dev/railrelay/internal/standin/caller"
-	"railrelay.dev/railrelay/internal/standin/engine"
-	"railrelay.dev/railrelay/internal/standin/world"
+	"railrelay.dev/railrelay/internal/emulator/client"
+	"railrelay.dev/railrelay/internal/emulator/engine"
+	"railrelay.dev/railrelay/internal/emulator/world"
+	"railrelay.dev/railrelay/internal/historycheck"
 )
 
 // marks are sites of their own: each policy binds the team mark to another one, so that
@@ -75,7 +75,7 @@
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if a.Kind == caller.Finished {
+	if a.Kind == client.Finished {
 		if !strings.Contains(string(a.Rows), k.id) {
 			g.rules.Broken(g.since(), "a page of "+k.id+" that is another's")
 		}
@@ -170,8 +170,8 @@
 		g.mu.Unlock()
 		r.msg++
 		r.SetDeadline(time.Now().Add(patienceTogether))
-		_, err := r.Write(caller.Call(nil, r.msg, group, engine.Statement(w), append([]string{"trace", id}, fields...)...))
-		var a caller.Answer
+		_, err := r.Write(client.Call(nil, r.msg, group, engine.Statement(w), append([]string{"trace", id}, fields...)...))
+		var a client.Answer
 		if err == nil {
 			a, err = r.answer(g.ctx)
 		}
@@ -187,8 +187,8 @@
 		if paged && len(a.Rows) > 0 && bytes.HasPrefix(made, a.Rows) {
 			made = a.Rows
 		}
-		g.rules.Answered(g.since(), id, check.Answer(a.Kind), a.Rows, made)
-		if a.Kind == caller.Finished && a.About["token"] != "" {
+		g.rules.Answered(g.since(), id, historycheck.Answer(a.Kind), a.Rows, made)
+		if a.Kind == client.Finished && a.About["token"] != "" {
 			g.kept = append(g.kept, keptAt{id, team, a.About["token"], n})
 		}
 		var k *keptAt
--- a/internal/lab/together_operators.go
+++ b/internal/bench/together_operators.go
@@ -1,11 +1,11 @@
-package lab
+package bench
 
 import (
 	"fmt"
 	"time"
 
-	"railrelay.dev/railrelay/internal/check"
 	"railrelay.dev/railrelay/internal/fleet"
+	"railrelay.dev/railrelay/internal/historycheck"
 )
 
 // change makes a policy of its own mark; spoilt ones name what no controller has.
@@ -36,7 +36,7 @@
 	r, err := g.ask(p, a)
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	w := check.Word{Client: len(g.words) % 11, From: from, To: g.since(), ID: a.ID, Base: a.Base, Proposes: true, Word: "unknown"}
+	w := historycheck.Word{Client: len(g.words) % 11, From: from, To: g.since(), ID: a.ID, Base: a.Base, Proposes: true, Word: "unknown"}
 	if err == nil {
 		w.Word, w.Version = r.Word, r.Version
 		g.fleet.Changed(g.since(), p.name, a.ID, r.Word, r.Version)
--- a/internal/lab/together_processes.go
+++ b/internal/bench/together_processes.go
@@ -1,4 +1,4 @@
-package lab
+package bench
 
 import (
 	"context"
@@ -11,7 +11,7 @@
 	"time"
 
 	"railrelay.dev/railrelay/internal/fleet"
-	"railrelay.dev/railrelay/internal/fleet/peers"
+	"railrelay.dev/railrelay/internal/fleet/transport"
 )
 
 // process is one controller.
@@ -110,7 +110,7 @@
 func (g *gathering) ask(p *process, a *fleet.Ask) (*fleet.Reply, error) {
 	ctx, stop := context.WithTimeout(g.ctx, time.Duration(a.Wait)*time.Millisecond+2*time.Second)
 	defer stop()
-	return peers.AskControl(ctx, p.control, g.keys, a)
+	return transport.AskControl(ctx, p.control, g.keys, a)
 }
 
 func (g *gathering) status(p *process) *fleet.Status {
--- a/internal/lab/try.go
+++ b/internal/bench/try.go
@@ -1,4 +1,4 @@
-package lab
+package bench
 
 import (
 	"context"
@@ -18,10 +18,10 @@
 	"text/tabwriter"
 	"time"
 
-	"railrelay.dev/railrelay/internal/standin/caller"
-	"railrelay.dev/railrelay/internal/standin/engine"
-	"railrelay.dev/railrelay/internal/standin/feed"
-	"railrelay.dev/railrelay/internal/standin/loopback"
+	"railrelay.dev/railrelay/internal/emulator/client"
+	"railrelay.dev/railrelay/internal/emulator/engine"
+	"railrelay.dev/railrelay/internal/emulator/feed"
+	"railrelay.dev/railrelay/internal/emulator/loopback"
 )
 
 // Trial is a short look at a controller with teams, on sockets of this machine.
@@ -95,7 +95,7 @@
 	at            time.Time
 	told          time.Duration
 	started, over time.Time
-	answer        caller.Kind
+	answer        client.Kind
 }
 
 // trialLog keeps what the clients and engines saw.
@@ -257,11 +257,11 @@
 		c, err := net.Dial("tcp", address)
 		if err == nil {
 			c.SetDeadline(time.Now().Add(time.Second))
-			c.Write(caller.Alive(nil, 1))
+			c.Write(client.Alive(nil, 1))
 			p := make([]byte, 64)
 			n, _ := c.Read(p)
 			c.Close()
-			if a, _, err := caller.Read(p[:n]); err == nil && a.Ready {
+			if a, _, err := client.Read(p[:n]); err == nil && a.Ready {
 				return nil
 			}
 		}
@@ -299,7 +299,7 @@
 			n, err := c.Read(p)
 			in = append(in, p[:n]...)
 			for {
-				a, took, bad := caller.Read(in)
+				a, took, bad := client.Read(in)
 				if bad != nil {
 					done <- fmt.Errorf("team %s: %w", trialTeams[team].name, bad)
 					return
@@ -312,7 +312,7 @@
 				q := open[a.Msg]
 				if q != nil {
 					seen.mu.Lock()
-					if a.Kind == caller.Told {
+					if a.Kind == client.Told {
 						if q.told < 0 {
 							q.told = a.Wait
 						}
@@ -368,7 +368,7 @@
 		mu.Lock()
 		open[msg] = q
 		mu.Unlock()
-		if _, err := c.Write(caller.Call(nil, msg, k.Name, engine.Statement(w), fields...)); err != nil {
+		if _, err := c.Write(client.Call(nil, msg, k.Name, engine.Statement(w), fields...)); err != nil {
 			return err
 		}
 	}
@@ -399,13 +399,13 @@
 		r := &rows[q.team]
 		r.Asked++
 		switch q.answer {
-		case caller.Finished:
+		case client.Finished:
 			r.Finished++
 			r.Share += q.work.CPU.Seconds()
 			all += q.work.CPU.Seconds()
-		case caller.Deferred:
+		case client.Deferred:
 			r.Deferred++
-		case caller.Killed:
+		case client.Killed:
 			r.Killed++
 		}
 		if q.started.IsZero() {
--- a/internal/conn/buffer.go
+++ b/internal/bytebuf/buffer.go
@@ -1,5 +1,5 @@
-// Package conn holds what every connection has, whoever is at its other end.
-package conn
+// Package bytebuf holds what every connection has, whoever is at its other end.
+package bytebuf
 
 const (
 	least = 4 << 10  // room offered to a read
--- a/internal/conn/buffer_test.go
+++ b/internal/bytebuf/buffer_test.go
@@ -1,4 +1,4 @@
-package conn
+package bytebuf
 
 import (
 	"bytes"
--- a/internal/capacity/page_test.go
+++ b/internal/capacity/page_test.go
@@ -26,7 +26,7 @@
 }
 
 // The page's tables are what the file of figures gives. One who adds rows fills the page
-// anew: bin/raillab page.
+// anew: bin/railrelay-bench page.
 func TestThePageAgreesWithTheFigures(t *testing.T) {
 	page, rows := readPage(t)
 	filled, err := Fill(page, rows)
--- a/internal/program/control.go
+++ b/internal/cli/control.go
@@ -1,4 +1,4 @@
-package program
+package cli
 
 import (
 	"context"
@@ -9,8 +9,8 @@
 	"github.com/rs/zerolog"
 	"golang.org/x/sync/errgroup"
 
-	"railrelay.dev/railrelay/internal/fleet/idle"
-	"railrelay.dev/railrelay/internal/relay"
+	"railrelay.dev/railrelay/internal/controller"
+	"railrelay.dev/railrelay/internal/fleet/noop"
 	"railrelay.dev/railrelay/internal/setup"
 )
 
@@ -24,7 +24,7 @@
 	if have.Placement == nil {
 		log.Info().Msg("placement is left out: as leader this process watches for no emergency of rules that controllers' set-ups have")
 	}
-	means := relay.Means{Started: started}
+	means := controller.Config{Started: started}
 	joined, err := part.Join(have, &means, log)
 	if err != nil {
 		return err
@@ -34,7 +34,7 @@
 	defer stop()
 	group.Go(func() error { return joined.Serve(ctx) })
 	group.Go(func() error {
-		return idle.Reducer{Word: means.Fleet.Word}.Serve(ctx, joined.Peers.Orders, joined.Peers.Reports)
+		return noop.Reducer{Word: means.Fleet.Word}.Serve(ctx, joined.Peers.Orders, joined.Peers.Reports)
 	})
 	group.Go(func() error {
 		defer stop()
--- a/internal/program/platform.go
+++ b/internal/cli/platform.go
@@ -1,4 +1,4 @@
-package program
+package cli
 
 import (
 	"encoding/json"
@@ -12,8 +12,8 @@
 
 	"github.com/rs/zerolog"
 
-	"railrelay.dev/railrelay/internal/relay"
-	"railrelay.dev/railrelay/internal/terms"
+	"railrelay.dev/railrelay/internal/controller"
+	"railrelay.dev/railrelay/internal/settings"
 )
 
 // given is what the platform's configuration file says.
@@ -42,7 +42,7 @@
 }
 
 // platformWords are the platform's names for what a call may tell besides.
-var platformWords = relay.Words{Whose: "customer", Work: "weight", Need: "ram", Token: "nonce"}
+var platformWords = controller.FieldNames{Whose: "customer", Work: "weight", Need: "ram", Token: "nonce"}
 
 // servePlatform serves by ROUTER_CONFIG and what stands beside it.
 func servePlatform(signals <-chan os.Signal) error {
@@ -52,20 +52,20 @@
 	if err != nil {
 		return err
 	}
-	facts, err := terms.FromJSON(g.Settings)
+	facts, err := settings.FromJSON(g.Settings)
 	if err != nil {
 		return err
 	}
 	log := logger("", "")
-	refused, strange := terms.Mixed(facts)
+	refused, strange := settings.Mixed(facts)
 	for _, m := range refused {
-		err = errors.Join(err, fmt.Errorf("config: settings.%s: %s", terms.Key(m[0]), m[1]))
+		err = errors.Join(err, fmt.Errorf("config: settings.%s: %s", settings.Key(m[0]), m[1]))
 	}
 	if err != nil {
 		return err
 	}
 	for _, m := range strange {
-		log.Log().Msg("config: settings." + terms.Key(m[0]) + ": " + m[1])
+		log.Log().Msg("config: settings." + settings.Key(m[0]) + ": " + m[1])
 	}
 	for _, line := range odd(facts) {
 		log.Log().Msg(line)
@@ -78,16 +78,16 @@
 	if address == "" {
 		address = g.Listen
 	}
-	means := relay.Means{Words: platformWords, Seed: seed, MemoryMB: g.Limits.MemoryMB, Sockets: g.Limits.Sockets,
+	means := controller.Config{Words: platformWords, Seed: seed, MemoryMB: g.Limits.MemoryMB, Sockets: g.Limits.Sockets,
 		Feed: g.Feed, Known: g.Known, Facts: facts, Started: started}
-	return listen(address, g.Limits.Cores, means, nil, func(log zerolog.Logger) <-chan relay.Event {
-		return follow(signals, func() (relay.Event, error) {
+	return listen(address, g.Limits.Cores, means, nil, func(log zerolog.Logger) <-chan controller.Event {
+		return follow(signals, func() (controller.Event, error) {
 			next, err := again(path, g, log)
 			if err != nil {
-				return relay.Event{}, err
+				return controller.Event{}, err
 			}
 			g.Feed = next.Feed
-			return relay.Event{Kind: relay.Reload, Feed: next.Feed}, nil
+			return controller.Event{Kind: controller.ConfigurationReloaded, Feed: next.Feed}, nil
 		}, log)
 	}, Joined{}, log)
 }
@@ -143,7 +143,7 @@
 
 // alike: the same settings, however they are laid out.
 func alike(a, b json.RawMessage) bool {
-	x, err := terms.FromJSON(a)
-	y, other := terms.FromJSON(b)
+	x, err := settings.FromJSON(a)
+	y, other := settings.FromJSON(b)
 	return err == nil && other == nil && maps.Equal(x, y)
 }
--- a/internal/program/platform_test.go
+++ b/internal/cli/platform_test.go
@@ -1,4 +1,4 @@
-package program
+package cli
 
 import (
 	"strings"
--- a/internal/program/program.go
+++ b/internal/cli/program.go
@@ -1,4 +1,4 @@
-// Package program is the command line of a controller: it reads the environment or
+// Package cli is the command line of a controller: it reads the environment or
 // the set-up, listens, and hands signals on.
 //
 // There are two programs of it. railrelay is what the platform starts; it links no
@@ -6,7 +6,7 @@
 // on. railrelay-fleet has these, too, and railrelay becomes it, by exec and in its own
 // place, where a set-up has a fleet part or `railrelay fleet` is asked for: the two
 // stand in one directory.
-package program
+package cli
 
 import (
 	"context"
@@ -26,11 +26,11 @@
 	"github.com/spf13/cobra"
 	"golang.org/x/sync/errgroup"
 
+	"railrelay.dev/railrelay/internal/controller"
+	"railrelay.dev/railrelay/internal/eventloop"
 	"railrelay.dev/railrelay/internal/fleet"
-	"railrelay.dev/railrelay/internal/relay"
-	"railrelay.dev/railrelay/internal/run"
+	"railrelay.dev/railrelay/internal/resultstore"
 	"railrelay.dev/railrelay/internal/setup"
-	"railrelay.dev/railrelay/internal/store"
 )
 
 // Fleet is what a program has that can take part in a fleet.
@@ -39,12 +39,12 @@
 	Command func() *cobra.Command
 	// Join opens what the set-up's fleet part names, and puts into means what the
 	// reducer needs of it.
-	Join func(have *setup.Setup, means *relay.Means, log zerolog.Logger) (Joined, error)
+	Join func(have *setup.Setup, means *controller.Config, log zerolog.Logger) (Joined, error)
 }
 
 // Joined is one controller's part in the fleet.
 type Joined struct {
-	Peers  run.Peers                               // what the reducer takes from it and tells it
+	Peers  eventloop.FleetChannels                 // what the reducer takes from it and tells it
 	Serve  func(ctx context.Context) error         // until ctx ends; closes all that was opened
 	Again  func() error                            // reads the key file again
 	Status func(ctx context.Context) *fleet.Status // how this process sees the fleet; nil: no word before ctx ended
@@ -183,7 +183,7 @@
 }
 
 // listen runs a controller until it is done, and beside it its part in a fleet, if it has one.
-func listen(address string, cores float64, means relay.Means, disk *store.Keeper, asked func(zerolog.Logger) <-chan relay.Event,
+func listen(address string, cores float64, means controller.Config, disk *resultstore.Keeper, asked func(zerolog.Logger) <-chan controller.Event,
 	joined Joined, log zerolog.Logger) error {
 	if address == "" {
 		return errors.New("no address to listen on")
@@ -195,26 +195,26 @@
 		return err
 	}
 	if joined.Serve == nil {
-		return run.Serve(context.Background(), listener, means, disk, run.Peers{}, asked(log), log)
+		return eventloop.Serve(context.Background(), listener, means, disk, eventloop.FleetChannels{}, asked(log), log)
 	}
 	group, ctx := errgroup.WithContext(context.Background())
 	ctx, done := context.WithCancel(ctx)
 	group.Go(func() error { return joined.Serve(ctx) })
 	group.Go(func() error {
 		defer done()
-		return run.Serve(ctx, listener, means, disk, joined.Peers, asked(log), log)
+		return eventloop.Serve(ctx, listener, means, disk, joined.Peers, asked(log), log)
 	})
 	return group.Wait()
 }
 
 // follow turns signals into what they ask for; again reads the configuration anew.
-func follow(signals <-chan os.Signal, again func() (relay.Event, error), log zerolog.Logger) <-chan relay.Event {
-	events := make(chan relay.Event)
+func follow(signals <-chan os.Signal, again func() (controller.Event, error), log zerolog.Logger) <-chan controller.Event {
+	events := make(chan controller.Event)
 	go func() {
 		for s := range signals {
 			switch s {
 			case syscall.SIGUSR1:
-				events <- relay.Event{Kind: relay.Tell}
+				events <- controller.Event{Kind: controller.CountersRequested}
 			case syscall.SIGHUP:
 				ev, err := again()
 				if err != nil {
@@ -224,7 +224,7 @@
 				log.Log().Str("feed", ev.Feed).Msg("the configuration was read again")
 				events <- ev
 			default:
-				events <- relay.Event{Kind: relay.Stop}
+				events <- controller.Event{Kind: controller.ShutdownRequested}
 			}
 		}
 	}()
@@ -259,13 +259,13 @@
 			return err
 		}
 	}
-	return listen(have.Listen, have.Cores(), means, disk, func(log zerolog.Logger) <-chan relay.Event {
-		return follow(signals, func() (relay.Event, error) {
+	return listen(have.Listen, have.Cores(), means, disk, func(log zerolog.Logger) <-chan controller.Event {
+		return follow(signals, func() (controller.Event, error) {
 			next, err := reread(have, path, joined, log)
 			if err != nil {
-				return relay.Event{}, err
+				return controller.Event{}, err
 			}
-			return relay.Event{Kind: relay.Reload, Feed: next.Feed, Fair: next.Shape()}, nil
+			return controller.Event{Kind: controller.ConfigurationReloaded, Feed: next.Feed, Fair: next.Shape()}, nil
 		}, log)
 	}, joined, log)
 }
--- a/internal/program/spool.go
+++ b/internal/cli/spool.go
@@ -1,4 +1,4 @@
-package program
+package cli
 
 import (
 	"errors"
@@ -9,20 +9,20 @@
 
 	"github.com/spf13/cobra"
 
-	"railrelay.dev/railrelay/internal/store"
+	"railrelay.dev/railrelay/internal/resultstore"
 )
 
 // spoolCommand looks after a spool's directory while no program has it.
 func spoolCommand() *cobra.Command {
 	root := &cobra.Command{Use: "spool", Short: "Look at a spool's directory, check or clean it; none that is in use"}
-	with := func(do func(c *cobra.Command, k *store.Keeper) error) func(*cobra.Command, []string) error {
+	with := func(do func(c *cobra.Command, k *resultstore.Keeper) error) func(*cobra.Command, []string) error {
 		return func(c *cobra.Command, args []string) (err error) {
 			if i, err := os.Stat(args[0]); err != nil {
 				return err
 			} else if !i.IsDir() {
 				return fmt.Errorf("%s is no directory", args[0])
 			}
-			k, err := store.OpenKeeper(args[0], store.Terms{})
+			k, err := resultstore.OpenKeeper(args[0], resultstore.Terms{})
 			if err != nil {
 				return err
 			}
@@ -33,17 +33,17 @@
 			return do(c, k)
 		}
 	}
-	ls := &cobra.Command{Use: "ls DIR", Short: "List what is kept", Args: cobra.ExactArgs(1), RunE: with(func(c *cobra.Command, k *store.Keeper) error {
+	ls := &cobra.Command{Use: "ls DIR", Short: "List what is kept", Args: cobra.ExactArgs(1), RunE: with(func(c *cobra.Command, k *resultstore.Keeper) error {
 		w := tabwriter.NewWriter(c.OutOrStdout(), 0, 0, 2, ' ', 0)
 		fmt.Fprintln(w, "result\tquery\tteam\tpages\trows\tbytes\tmade\tends")
 		day := func(ms int64) string { return time.UnixMilli(ms).UTC().Format(time.DateTime) }
-		err := k.Each(func(m *store.Meta) error {
+		err := k.Each(func(m *resultstore.Meta) error {
 			_, err := fmt.Fprintf(w, "%016x\t%s\t%s\t%d\t%d\t%d\t%s\t%s\n", m.Result, m.Query, m.Team, len(m.Rows), m.Count(), m.Size(), day(m.Made), day(m.Ends))
 			return err
 		})
 		return errors.Join(err, w.Flush())
 	})}
-	verify := &cobra.Command{Use: "verify DIR", Short: "Check every sum", Args: cobra.ExactArgs(1), RunE: with(func(c *cobra.Command, k *store.Keeper) error {
+	verify := &cobra.Command{Use: "verify DIR", Short: "Check every sum", Args: cobra.ExactArgs(1), RunE: with(func(c *cobra.Command, k *resultstore.Keeper) error {
 		v, err := k.Verify()
 		if err != nil {
 			return err
@@ -57,7 +57,7 @@
 		}
 		return nil
 	})}
-	gc := &cobra.Command{Use: "gc DIR", Short: "Drop what is past its life and give the space back", Args: cobra.ExactArgs(1), RunE: with(func(c *cobra.Command, k *store.Keeper) error {
+	gc := &cobra.Command{Use: "gc DIR", Short: "Drop what is past its life and give the space back", Args: cobra.ExactArgs(1), RunE: with(func(c *cobra.Command, k *resultstore.Keeper) error {
 		before := k.Total()
 		n, err := k.GC(time.Now().UnixMilli())
 		fmt.Fprintf(c.OutOrStdout(), "%d results dropped, %d bytes before, %d now\n", n, before, k.Total())
--- a/internal/relay/answers.go
+++ b/internal/controller/answers.go
@@ -1,39 +1,39 @@
-package relay
+package controller
 
 import (
 	"slices"
 	"time"
 
-	"railrelay.dev/railrelay/internal/answers"
-	"railrelay.dev/railrelay/internal/clients"
-	"railrelay.dev/railrelay/internal/due"
-	"railrelay.dev/railrelay/internal/fair"
+	"railrelay.dev/railrelay/internal/fairqueue"
+	"railrelay.dev/railrelay/internal/msgpackrpc"
+	"railrelay.dev/railrelay/internal/resultcache"
+	"railrelay.dev/railrelay/internal/timerqueue"
 )
 
 // caching answers read-only queries from what others were answered. Without a part of
 // the set-up for it it is nil, and costs nothing.
 type caching struct {
-	*Relay
-	core   *answers.Cache
+	*Controller
+	core   *resultcache.Cache
 	groups map[string]bool // whose answers are kept
 }
 
 // memo is what the cache knows of a query.
 type memo struct {
-	ask     *answers.Ask // it asks: read-only
-	follows *due.Item    // until when it may follow another
-	goes    func()       // its way, if it has to lead
-	changes bool         // it changes tables, which nothing of is answered until it is over
+	ask     *resultcache.Ask // it asks: read-only
+	follows *timerqueue.Item // until when it may follow another
+	goes    func()           // its way, if it has to lead
+	changes bool             // it changes tables, which nothing of is answered until it is over
 	tables  []int64
 }
 
-func newCaching(r *Relay, l *answers.Limits) *caching {
-	core, err := answers.New(*l, r.Started.UnixMilli())
+func newCaching(r *Controller, l *resultcache.Limits) *caching {
+	core, err := resultcache.New(*l, r.Started.UnixMilli())
 	if err != nil {
 		r.say(true, err.Error())
 		return nil
 	}
-	a := &caching{Relay: r, core: core, groups: map[string]bool{}}
+	a := &caching{Controller: r, core: core, groups: map[string]bool{}}
 	for _, g := range r.groups {
 		a.groups[g.name] = !g.load && !g.inOrder && g.readOnly && (len(l.Groups) == 0 || slices.Contains(l.Groups, g.name))
 	}
@@ -49,7 +49,7 @@
 // tablesOf are the groups of tables that a statement reads or writes, nil if any of it
 // can't be told.
 func tablesOf(statement []byte) []int64 {
-	read, written, known := clients.AllTables(statement)
+	read, written, known := msgpackrpc.AllTables(statement)
 	if !known {
 		return nil
 	}
@@ -64,7 +64,7 @@
 // changing notes a query that changes tables, as soon as it is taken.
 func (a *caching) changing(q *query) {
 	if q.group.load || !q.group.readOnly {
-		_, written, known := clients.AllTables(q.statement)
+		_, written, known := msgpackrpc.AllTables(q.statement)
 		if !known {
 			written = nil
 		}
@@ -79,21 +79,21 @@
 	if !a.groups[q.group.name] || q.memo != nil || q.kept != nil || a.closing || a.purges.barred() || !a.keeps(q) {
 		return true
 	}
-	m := &memo{ask: &answers.Ask{Team: a.owner(from), Group: q.group.index, Statement: q.statement, Tables: tablesOf(q.statement),
+	m := &memo{ask: &resultcache.Ask{Team: a.owner(from), Group: q.group.index, Statement: q.statement, Tables: tablesOf(q.statement),
 		Index: a.purges.index(), Until: q.deadline - answerBefore, Of: q}}
 	verdict, pages := a.core.Ask(a.now, m.ask)
 	switch verdict {
-	case answers.Hit:
+	case resultcache.Hit:
 		a.purges.serving(func() { a.finished(q, pages) })
 		a.purges.hands(q)
 		return false
-	case answers.Follow:
+	case resultcache.Follow:
 		from.Fields = from.Fields.Clone() // the call lies in its connection's buffer
 		q.memo = m
 		m.goes = func() { goes(from) }
 		m.follows = a.due.Add(max(a.now, m.ask.Until), func() { a.deferred(q, 0) })
 		return false
-	case answers.Lead:
+	case resultcache.Lead:
 		q.memo = m
 	}
 	return true
@@ -132,7 +132,7 @@
 }
 
 // leads has one that followed go its way.
-func (a *caching) leads(next *answers.Ask) {
+func (a *caching) leads(next *resultcache.Ask) {
 	if next == nil {
 		return
 	}
@@ -152,7 +152,7 @@
 			a.deferred(o, a.warrant.pause())
 			continue
 		}
-		if a.close(o, fair.Finished) {
+		if a.close(o, fairqueue.Finished) {
 			a.tally.finished++
 			a.purges.serving(func() { o.asker.finished(pages) })
 			a.purges.hands(o)
@@ -162,7 +162,7 @@
 
 // Answers is what the cache holds and counts, nil without one. It is for reports,
 // between two steps.
-func (r *Relay) Answers() *answers.Cache {
+func (r *Controller) Answers() *resultcache.Cache {
 	if r.caching == nil {
 		return nil
 	}
--- a/internal/relay/client.go
+++ b/internal/controller/client.go
@@ -1,4 +1,4 @@
-package relay
+package controller
 
 import (
 	"cmp"
@@ -9,8 +9,8 @@
 
 	"github.com/gaissmai/bart"
 
-	"railrelay.dev/railrelay/internal/clients"
-	"railrelay.dev/railrelay/internal/conn"
+	"railrelay.dev/railrelay/internal/bytebuf"
+	"railrelay.dev/railrelay/internal/msgpackrpc"
 )
 
 // The platform's figures, for whoever has no others.
@@ -22,9 +22,9 @@
 	heardMost  = 4 * openMost    // messages on one connection between two sweeps
 )
 
-// Manners are what is expected of the connections from some addresses. A figure
+// ClientLimits are what is expected of the connections from some addresses. A figure
 // of 0 is the platform's.
-type Manners struct {
+type ClientLimits struct {
 	From     []netip.Prefix
 	Open     int           // queries open on one connection
 	Messages int           // on one connection in a quarter of a second
@@ -32,7 +32,7 @@
 	Whole    time.Duration // a message takes no longer, from connecting or from its first byte
 }
 
-func (m Manners) orPlatform() Manners {
+func (m ClientLimits) orPlatform() ClientLimits {
 	m.Open, m.Messages = cmp.Or(m.Open, openMost), cmp.Or(m.Messages, heardMost)
 	m.Idle, m.Whole = cmp.Or(m.Idle, idleMost), cmp.Or(m.Whole, wholeMost)
 	return m
@@ -40,12 +40,12 @@
 
 // manners finds those that hold for an address: the narrowest set it is in.
 type manners struct {
-	all  []Manners
+	all  []ClientLimits
 	sets *bart.Table[int] // nil: there are none
 }
 
-func newManners(l []Manners) manners {
-	m := manners{all: []Manners{Manners{}.orPlatform()}}
+func newManners(l []ClientLimits) manners {
+	m := manners{all: []ClientLimits{ClientLimits{}.orPlatform()}}
 	for _, x := range l {
 		if m.sets == nil {
 			m.sets = &bart.Table[int]{}
@@ -58,7 +58,7 @@
 	return m
 }
 
-func (m *manners) of(a netip.Addr) *Manners {
+func (m *manners) of(a netip.Addr) *ClientLimits {
 	if m.sets != nil && a.IsValid() {
 		if i, ok := m.sets.Lookup(a.Unmap()); ok {
 			return &m.all[i]
@@ -79,9 +79,9 @@
 
 // client is one connection from a client.
 type client struct {
-	*Relay
-	link   *Link
-	wants  *Manners
+	*Controller
+	link   *Connection
+	wants  *ClientLimits
 	open   []*asking     // in the order taken
 	stuck  time.Duration // since when it has taken nothing of what is written, -1: it has
 	unread int           // what was unread then
@@ -100,8 +100,8 @@
 	q   *query
 }
 
-func (r *Relay) accept(l *Link) {
-	c := &client{Relay: r, link: l, wants: r.manners.of(l.From), stuck: -1, begun: r.now, idle: r.now}
+func (r *Controller) accept(l *Connection) {
+	c := &client{Controller: r, link: l, wants: r.manners.of(l.From), stuck: -1, begun: r.now, idle: r.now}
 	l.got, l.last, l.ended = c.got, c.allLeft, c.ended
 	r.clients = append(r.clients, c)
 	r.tally.connections++
@@ -112,7 +112,7 @@
 // whole, then those idle, the longest first, then those whose call may be on its
 // way, and the newcomer only if all others have something open: connections
 // that cost their owners nothing must not keep out those that mean to ask.
-func (r *Relay) makeWay(newcomer *client) {
+func (r *Controller) makeWay(newcomer *client) {
 	rank := func(c *client) int {
 		switch {
 		case len(c.open) > 0, c.link.pending > 0 && (c.stuck < 0 || r.now-c.stuck < wholeMost):
@@ -146,11 +146,11 @@
 func (c *client) got() {
 	whole := false
 	for !c.link.closed {
-		var hearer clients.Hearer = c
+		var hearer msgpackrpc.Hearer = c
 		if c.heard >= c.wants.Messages { // one more and all the others would have to wait
 			hearer = &flooding{c}
 		}
-		n, err := clients.Read(c.link.In.Bytes(), c.messageMost, hearer)
+		n, err := msgpackrpc.Read(c.link.In.Bytes(), c.messageMost, hearer)
 		switch {
 		case err != nil:
 			c.tally.malformed++
@@ -178,19 +178,19 @@
 
 func (f *flooding) tell(msg uint32) {
 	if f.find(msg) == nil {
-		f.answer(clients.Killed(nil, msg, "more than "+strconv.Itoa(f.wants.Messages)+" messages in "+sweepEvery.String()+
+		f.answer(msgpackrpc.Killed(nil, msg, "more than "+strconv.Itoa(f.wants.Messages)+" messages in "+sweepEvery.String()+
 			" on one connection: it is closed"))
 	}
 }
 
-func (f *flooding) Query(msg uint32, _, _ []byte, _ time.Duration, _ []byte, _ bool, _ []byte, _ clients.Fields) {
+func (f *flooding) Query(msg uint32, _, _ []byte, _ time.Duration, _ []byte, _ bool, _ []byte, _ msgpackrpc.Fields) {
 	f.tell(msg)
 }
-func (f *flooding) Page(msg uint32, _ []byte, _ int, _ clients.Fields)  { f.tell(msg) }
-func (f *flooding) Purge(msg uint32, _ clients.Purge, _ clients.Fields) { f.tell(msg) }
-func (f *flooding) Alive(msg uint32)                                    { f.tell(msg) }
-func (f *flooding) Wrong(msg uint32, _ string)                          { f.tell(msg) }
-func (f *flooding) Left(msg uint32)                                     { f.client.Left(msg) }
+func (f *flooding) Page(msg uint32, _ []byte, _ int, _ msgpackrpc.Fields)     { f.tell(msg) }
+func (f *flooding) Purge(msg uint32, _ msgpackrpc.Purge, _ msgpackrpc.Fields) { f.tell(msg) }
+func (f *flooding) Alive(msg uint32)                                          { f.tell(msg) }
+func (f *flooding) Wrong(msg uint32, _ string)                                { f.tell(msg) }
+func (f *flooding) Left(msg uint32)                                           { f.client.Left(msg) }
 
 // end closes the connection from our side; what was open on it is lost to it.
 func (c *client) end(gently bool) {
@@ -199,7 +199,7 @@
 }
 
 func (c *client) ended() {
-	c.link.In = conn.Buffer{} // what is due for its queries may outlive it
+	c.link.In = bytebuf.Buffer{} // what is due for its queries may outlive it
 	c.clients = slices.DeleteFunc(c.clients, func(x *client) bool { return x == c })
 	c.allLeft()
 }
@@ -221,7 +221,7 @@
 
 func (c *client) answer(p []byte) { c.write(c.link, p) }
 
-func (c *client) Query(msg uint32, name, id []byte, patience time.Duration, k []byte, keyed bool, statement []byte, all clients.Fields) {
+func (c *client) Query(msg uint32, name, id []byte, patience time.Duration, k []byte, keyed bool, statement []byte, all msgpackrpc.Fields) {
 	switch {
 	case c.find(msg) != nil:
 		// answers could no longer be told apart
@@ -243,7 +243,7 @@
 	case "":
 	case tooMuch: // counted as a fault it would in the end cost what else is open on the connection
 		c.tally.deferred++
-		c.answer(clients.Deferred(nil, msg, min(c.span("return.most"), patience/2)))
+		c.answer(msgpackrpc.Deferred(nil, msg, min(c.span("return.most"), patience/2)))
 		return
 	default:
 		c.Wrong(msg, why)
@@ -253,25 +253,25 @@
 	c.open = append(c.open, a)
 }
 
-func (a *asking) finished(pages [][]byte) { a.c.answer(clients.Answer(nil, a.msg, pages)) }
+func (a *asking) finished(pages [][]byte) { a.c.answer(msgpackrpc.Answer(nil, a.msg, pages)) }
 
-func (a *asking) paged(first []byte, rest clients.Paging) {
-	a.c.answer(clients.Paged(nil, a.msg, first, rest))
+func (a *asking) paged(first []byte, rest msgpackrpc.Paging) {
+	a.c.answer(msgpackrpc.Paged(nil, a.msg, first, rest))
 }
 
 func (a *asking) deferred(comeBack time.Duration) {
-	a.c.answer(clients.Deferred(nil, a.msg, comeBack))
+	a.c.answer(msgpackrpc.Deferred(nil, a.msg, comeBack))
 }
 
 func (a *asking) directed(comeBack time.Duration, controllers []string) {
-	a.c.answer(clients.Directed(nil, a.msg, comeBack, controllers))
+	a.c.answer(msgpackrpc.Directed(nil, a.msg, comeBack, controllers))
 }
 
-func (a *asking) killed(why string) { a.c.answer(clients.Killed(nil, a.msg, why)) }
+func (a *asking) killed(why string) { a.c.answer(msgpackrpc.Killed(nil, a.msg, why)) }
 
-func (a *asking) told(wait time.Duration) { a.c.answer(clients.Told(nil, a.msg, wait)) }
+func (a *asking) told(wait time.Duration) { a.c.answer(msgpackrpc.Told(nil, a.msg, wait)) }
 
-func (a *asking) from() *Link { return a.c.link }
+func (a *asking) from() *Connection { return a.c.link }
 
 func (a *asking) closed() {
 	a.c.open = slices.DeleteFunc(a.c.open, func(x *asking) bool { return x == a })
@@ -280,12 +280,12 @@
 
 func (c *client) Alive(msg uint32) {
 	c.tally.alive++
-	c.answer(clients.Alive(nil, msg, c.feed.listed && (c.warrant == nil || c.warrant.ready())))
+	c.answer(msgpackrpc.Alive(nil, msg, c.feed.listed && (c.warrant == nil || c.warrant.ready())))
 }
 
 func (c *client) Left(msg uint32) {
 	if a := c.find(msg); a != nil {
-		c.Relay.left(a.q)
+		c.Controller.left(a.q)
 	}
 }
 
@@ -295,7 +295,7 @@
 		c.end(true)
 		return
 	}
-	c.answer(clients.Killed(nil, msg, why))
+	c.answer(msgpackrpc.Killed(nil, msg, why))
 	if c.faults++; c.faults > faultsMost {
 		c.end(true)
 	}
@@ -304,7 +304,7 @@
 // sweepClients ends those that don't take what is written to them, each may
 // hold some and all together a part of the memory; those that begin what they
 // don't end, or nothing; and those idle for longer than clients keep theirs.
-func (r *Relay) sweepClients() {
+func (r *Controller) sweepClients() {
 	r.unread = 0
 	// nobody is to blame for what we stood still ourselves: what came meanwhile is not read yet
 	stood := r.now - r.swept - sweepEvery
@@ -351,9 +351,9 @@
 // relieve ends the client with the most of an unread message under way, or else
 // the engine's line, where all buffers together hold more than their part of the
 // memory. What fits a buffer that any connection may keep is not to blame.
-func (r *Relay) relieve() {
+func (r *Controller) relieve() {
 	var worst *client
-	most := conn.Keeps
+	most := bytebuf.Keeps
 	for _, c := range r.clients {
 		if !c.link.closed && c.begun >= 0 && c.link.held > most {
 			worst, most = c, c.link.held
@@ -377,5 +377,5 @@
 
 const stuckMost = 10 * time.Second
 
-var _ clients.Hearer = (*client)(nil)
+var _ msgpackrpc.Hearer = (*client)(nil)
 var _ asker = (*asking)(nil)
--- a/internal/relay/client_test.go
+++ b/internal/controller/client_test.go
@@ -1,4 +1,4 @@
-package relay
+package controller
 
 import (
 	"fmt"
@@ -159,7 +159,7 @@
 	s := newStage(t, 1, 256, nil)
 	s.connect()
 	c := s.connect()
-	s.step(Event{Kind: Stop})
+	s.step(Event{Kind: ShutdownRequested})
 	early := s.query(c, "load", "k", 3*time.Second, 1)
 	s.until(s.now + stopGrace + 10*time.Millisecond)
 	late := s.query(c, "load", "k", 3*time.Second, 1)
@@ -184,7 +184,7 @@
 func TestWhatComesLateOnOpenConnectionsIsTurnedAwayAtOnce(t *testing.T) {
 	s := newStage(t, 1, 256, nil)
 	c := s.connect()
-	s.step(Event{Kind: Stop})
+	s.step(Event{Kind: ShutdownRequested})
 	s.until(s.now + 600*time.Millisecond)
 	if in := s.query(c, "report", "", 20*time.Second, 1); in.answer != "" || s.one("POST", in.id) == nil {
 		t.Fatalf("%q while queries may still come", in.answer)
@@ -202,7 +202,7 @@
 	c := s.connect()
 	s.until(s.now + 100*time.Millisecond)
 	s.now += 2500 * time.Millisecond
-	s.step(Event{Kind: Woken})
+	s.step(Event{Kind: TimerFired})
 	if a := s.query(c, "lookup", "", 5*time.Second, 1); c.gone || s.one("POST", a.id) == nil {
 		t.Fatal("ended though it asked in time")
 	}
--- a/internal/relay/endings_test.go
+++ b/internal/controller/endings_test.go
@@ -1,12 +1,12 @@
-package relay
+package controller
 
 import (
 	"strings"
 	"testing"
 	"time"
 
-	"railrelay.dev/railrelay/decide"
-	"railrelay.dev/railrelay/internal/must"
+	"railrelay.dev/railrelay/internal/invariant"
+	"railrelay.dev/railrelay/internal/scheduler"
 )
 
 // A repeat of what is tokened that was decided in time may have to wait for its connection. By the
@@ -39,7 +39,7 @@
 			s.until(from + 700*time.Millisecond)
 		}
 		slow.up = true
-		s.step(Event{Kind: Up, Link: slow.link})
+		s.step(Event{Kind: Connected, Connection: slow.link})
 		if sent := len(a.subs) > 1; sent == late {
 			t.Fatalf("late: %v, and sent: %v", late, sent)
 		}
@@ -47,7 +47,7 @@
 }
 
 // started finds what a step asks to have written that starts a submission.
-func started(effects []Effect) *Permit {
+func started(effects []Effect) *WritePermit {
 	for _, f := range effects {
 		if f.Permit != nil {
 			return f.Permit
@@ -61,9 +61,12 @@
 // up; its engine drains or is gone; its time is over.
 func TestWhatWaitsToBeWrittenLosesItsPermit(t *testing.T) {
 	for what, ends := range map[string]func(s *stage, a *asked){
-		"cancelled":        func(s *stage, a *asked) { s.leave(a) },
-		"hung up":          func(s *stage, a *asked) { s.drop(a.from) },
-		"last bytes":       func(s *stage, a *asked) { a.left = true; s.step(Event{Kind: Got, Link: a.from.link, Last: true}) },
+		"cancelled": func(s *stage, a *asked) { s.leave(a) },
+		"hung up":   func(s *stage, a *asked) { s.drop(a.from) },
+		"last bytes": func(s *stage, a *asked) {
+			a.left = true
+			s.step(Event{Kind: BytesReceived, Connection: a.from.link, Last: true})
+		},
 		"engine drains":    func(s *stage, _ *asked) { m := s.all()[0]; m.state = "DRAINING"; s.tell(m.entry(0)) },
 		"engine is gone":   func(s *stage, _ *asked) { m := s.all()[0]; m.state = "DELETED"; s.tell(m.entry(0)) },
 		"nothing happened": nil,
@@ -78,7 +81,7 @@
 			}
 		}
 		dialled.up = true
-		permit := started(s.r.Step(s.now, Event{Kind: Up, Link: dialled.link})) // its bytes wait with the runner
+		permit := started(s.r.Step(s.now, Event{Kind: Connected, Connection: dialled.link})) // its bytes wait with the runner
 		if permit == nil || !permit.Holds(s.now) {
 			t.Fatal("no submission begins, and the test proves nothing")
 		}
@@ -115,7 +118,7 @@
 func TestWhatIsBarredNeverRan(t *testing.T) {
 	s := newStage(t, 2, 256, map[string]string{"may.probe": "false"})
 	s.until(10 * time.Millisecond)
-	broken := must.Broken()
+	broken := invariant.Broken()
 	s.stopped = beginMost // the runner stands still between the step and the write
 	a := s.query(s.connect(), "load", "k", 5*time.Second, 1)
 	for range 20 {
@@ -126,12 +129,12 @@
 	if s.r.tally.barred != 1 || len(a.subs) > 0 {
 		t.Fatalf("%d barred, sent %d times", s.r.tally.barred, len(a.subs))
 	}
-	if n := must.Broken() - broken; n > 0 {
+	if n := invariant.Broken() - broken; n > 0 {
 		t.Fatalf("%d times something did not hold", n)
 	}
 	s.stopped = 0
 	s.one("POST", a.id) // a mutating one goes again: nothing of it ran
-	if s.r.tally.ends[decide.NeverSent] == 0 || a.answer != "" {
+	if s.r.tally.ends[scheduler.NeverSent] == 0 || a.answer != "" {
 		t.Fatalf("%v, %q", s.r.tally.ends, a.answer)
 	}
 }
@@ -190,7 +193,7 @@
 	a := s.query(s.connect(), "lookup", "", 5*time.Second, 1)
 	s.reply(s.one("POST", a.id), "runs")
 	s.one("GET", a.id)
-	s.step(Event{Kind: Stop})
+	s.step(Event{Kind: ShutdownRequested})
 	s.until(s.now + 900*time.Millisecond)
 	h := s.one("GET", a.id)
 	if h.s == nil || s.quit {
@@ -278,11 +281,11 @@
 		s.early = early
 		for _, e := range lines {
 			if !e.shut {
-				s.step(Event{Kind: Got, Link: e.link, N: copy(e.link.In.Space(), answer)})
+				s.step(Event{Kind: BytesReceived, Connection: e.link, N: copy(e.link.In.Space(), answer)})
 			}
 		}
 		s.early = false
-		s.step(Event{Kind: Woken})
+		s.step(Event{Kind: TimerFired})
 		if late := lines[0].shut || lines[1].shut || lines[2].shut || s.r.tally.again > 0; late == early {
 			t.Fatalf("early: %v, held to be late: %v, %v %v %v %d", early, late, lines[0].shut, lines[1].shut, lines[2].shut, s.r.tally.again)
 		}
--- a/internal/relay/engine.go
+++ b/internal/controller/engine.go
@@ -1,20 +1,20 @@
-package relay
+package controller
 
 import (
 	"slices"
 	"time"
 
-	"railrelay.dev/railrelay/decide"
-	"railrelay.dev/railrelay/internal/due"
-	"railrelay.dev/railrelay/internal/engines"
-	"railrelay.dev/railrelay/internal/must"
+	"railrelay.dev/railrelay/internal/enginehttp"
+	"railrelay.dev/railrelay/internal/invariant"
+	"railrelay.dev/railrelay/internal/scheduler"
+	"railrelay.dev/railrelay/internal/timerqueue"
 )
 
 // engine is one executor of the list: known by its id, since a new one may
 // have the address of one that is gone.
 type engine struct {
 	id, address string
-	state       decide.EngineState
+	state       scheduler.EngineState
 	kind        int // its place in the list of kinds
 	location    int // and in that of locations, -1: in none
 	lines       []*line
@@ -33,7 +33,7 @@
 
 // line is a connection to an engine, for one call at a time.
 type line struct {
-	link      *Link
+	link      *Connection
 	n         int // in the log
 	e         *engine
 	up        bool
@@ -77,7 +77,7 @@
 	size   int // bytes to write
 
 	answered bool
-	limit    *due.Item
+	limit    *timerqueue.Item
 	over     bool
 }
 
@@ -100,7 +100,7 @@
 	lineRest = 10 * time.Millisecond
 )
 
-func (r *Relay) call(c *call) {
+func (r *Controller) call(c *call) {
 	if c.within == 0 {
 		c.within = answerMost
 	}
@@ -133,7 +133,7 @@
 // changed priority's, which would say that it was given up before that has come.
 // After a good look it goes on with any: a copy of that fits no call but a look, and
 // what was looked at is sent to at once. Else each look costs two connections.
-func (r *Relay) idle(c *call) (found *line) {
+func (r *Controller) idle(c *call) (found *line) {
 	for _, l := range c.e.lines {
 		if l.up && l.call == nil && !l.link.closed && (r.now-l.idleSince >= lineRest || c.s != nil && (l.last == c.s && !(l.ranked && c.what == "DELETE") || l.looked)) &&
 			(found == nil || l.idleSince > found.idleSince) {
@@ -149,7 +149,7 @@
 
 // makeRoom closes the line of any engine that was idle longest. Its
 // descriptor is not free until its end is told: the call waits for that.
-func (r *Relay) makeRoom() {
+func (r *Controller) makeRoom() {
 	var oldest *line
 	for _, l := range r.pool.lines {
 		if l.up && l.call == nil && !l.link.closed && (oldest == nil || l.idleSince < oldest.idleSince) {
@@ -161,9 +161,9 @@
 	}
 }
 
-func (r *Relay) dial(c *call) {
+func (r *Controller) dial(c *call) {
 	r.pool.dialled++
-	l := &line{link: &Link{}, n: r.pool.dialled, e: c.e, call: c}
+	l := &line{link: &Connection{}, n: r.pool.dialled, e: c.e, call: c}
 	if r.Trace && c.s != nil {
 		r.trace(c.s.about(), "line %d dialled for %s", l.n, c.what)
 	}
@@ -195,20 +195,20 @@
 		r.fail(l, lost)
 	}
 	r.tally.dials++
-	r.do(Effect{Verb: Dial, Link: l.link, Address: c.e.address, Within: r.connectWithin})
+	r.do(Effect{Kind: Dial, Connection: l.link, Address: c.e.address, Within: r.connectWithin})
 }
 
 // cut closes a line. With a call under way its bytes must not arrive later: a
 // kernel that is left to it goes on sending for minutes, and would start a
 // query behind a link that heals long after it was held to be over.
-func (r *Relay) cut(l *line) {
+func (r *Controller) cut(l *line) {
 	if !l.link.closed {
 		l.link.closed = true
-		r.do(Effect{Verb: Close, Link: l.link, Abort: l.call != nil})
+		r.do(Effect{Kind: Close, Connection: l.link, Abort: l.call != nil})
 	}
 }
 
-func (r *Relay) gone(l *line) {
+func (r *Controller) gone(l *line) {
 	is := func(x *line) bool { return x == l }
 	l.e.lines, r.pool.lines = slices.DeleteFunc(l.e.lines, is), slices.DeleteFunc(r.pool.lines, is)
 	r.pool.links--
@@ -219,7 +219,7 @@
 	r.soon(r.next)
 }
 
-func (r *Relay) fail(l *line, as how) {
+func (r *Controller) fail(l *line, as how) {
 	if c := l.call; c != nil {
 		l.call = nil
 		r.over(c, as, 0, nil, nil)
@@ -227,8 +227,8 @@
 }
 
 // put writes a call on a line that is up and has none.
-func (r *Relay) put(l *line, c *call) {
-	must.Hold(l.up && l.call == nil && l.e == c.e, "one call at a time on a connection")
+func (r *Controller) put(l *line, c *call) {
+	invariant.Hold(l.up && l.call == nil && l.e == c.e, "one call at a time on a connection")
 	if c.over || c.fit != nil && !c.fit() {
 		r.free(l)
 		r.over(c, unfit, 0, nil, nil)
@@ -257,7 +257,7 @@
 }
 
 // free has a line wait for its next call, or the next call take it.
-func (r *Relay) free(l *line) {
+func (r *Controller) free(l *line) {
 	l.call, l.idleSince = nil, r.now
 	if len(r.pool.urgent)+len(r.pool.asks) > 0 {
 		r.soon(r.next)
@@ -266,7 +266,7 @@
 }
 
 // next serves the calls that wait for a line.
-func (r *Relay) next() {
+func (r *Controller) next() {
 	for _, queue := range []*[]*call{&r.pool.urgent, &r.pool.asks} {
 		for len(*queue) > 0 {
 			c := (*queue)[0]
@@ -288,7 +288,7 @@
 	}
 }
 
-func (r *Relay) heard(l *line) {
+func (r *Controller) heard(l *line) {
 	in := &l.link.In
 	if l.call == nil {
 		if len(in.Bytes()) > 0 {
@@ -301,7 +301,7 @@
 		var say func()
 		sound, rows, status := false, false, 0
 		c := l.call
-		n, keep, err := engines.Read(in.Bytes(), answerBytes, func(as int, field func(string) string, body []byte) {
+		n, keep, err := enginehttp.Read(in.Bytes(), answerBytes, func(as int, field func(string) string, body []byte) {
 			sound, rows, status = c.fits(as, field, body), len(body) > 0, as
 			say = func() { r.over(c, answered, status, field, body) }
 		})
@@ -337,7 +337,7 @@
 	}
 }
 
-func (r *Relay) over(c *call, as how, status int, field func(string) string, body []byte) {
+func (r *Controller) over(c *call, as how, status int, field func(string) string, body []byte) {
 	if !c.over {
 		c.over = true
 		r.due.Drop(c.limit)
@@ -350,7 +350,7 @@
 
 // vacate: another has the engine's address, so its process is no more, and its
 // calls must not reach the other one, which may run a query of the same id.
-func (r *Relay) vacate(e *engine) {
+func (r *Controller) vacate(e *engine) {
 	if r.atAddress[e.address] == e {
 		delete(r.atAddress, e.address)
 	}
@@ -361,9 +361,9 @@
 }
 
 // sweepEngines forgets those that are gone, once nothing can be on its way to them.
-func (r *Relay) sweepEngines() {
+func (r *Controller) sweepEngines() {
 	for id, e := range r.engines {
-		if e.state == decide.Gone && r.now-e.goneAt > r.longest && e.untold+len(e.lines)+len(e.leaving)+len(e.waiting) == 0 {
+		if e.state == scheduler.EngineRemoved && r.now-e.goneAt > r.longest && e.untold+len(e.lines)+len(e.leaving)+len(e.waiting) == 0 {
 			r.vacate(e)
 			delete(r.engines, id)
 		}
@@ -371,7 +371,7 @@
 }
 
 // sweepLines closes what has been idle for so long that its engine may close it.
-func (r *Relay) sweepLines() {
+func (r *Controller) sweepLines() {
 	for _, l := range r.pool.lines {
 		if l.up && l.call == nil && r.lineIdle > 0 && r.now-l.idleSince > r.lineIdle*3/4 {
 			r.cut(l)
@@ -380,24 +380,24 @@
 }
 
 // probe looks at an engine; no answer in the time a connection may take is one too.
-func (r *Relay) probe(e *engine) {
+func (r *Controller) probe(e *engine) {
 	if e.look != nil && !e.look.over { // with all descriptors in use one waits, and more of them would starve the news
 		return
 	}
 	r.tally.probes++
-	e.look = &call{what: "probe", e: e, within: r.connectWithin, fits: engines.FitsProbe,
-		write: func(dst []byte) []byte { return engines.Probe(dst, e.address, r.reports) },
+	e.look = &call{what: "probe", e: e, within: r.connectWithin, fits: enginehttp.FitsProbe,
+		write: func(dst []byte) []byte { return enginehttp.Probe(dst, e.address, r.reports) },
 		then: func(as how, status int, field func(string) string, _ []byte) {
-			outcome, report := decide.TimedOut, map[string]float64(nil)
+			outcome, report := scheduler.TimedOut, map[string]float64(nil)
 			switch {
 			case as == answered && status == 200:
-				outcome, report = decide.Finished, engines.Load(field)
+				outcome, report = scheduler.Finished, enginehttp.Load(field)
 			case as == answered:
-				outcome = decide.Full
+				outcome = scheduler.Rejected
 			case as == refused || as == unreached:
-				outcome = decide.Unreachable
+				outcome = scheduler.Unreachable
 			case as == lost || as == unwritten || as == garbled:
-				outcome = decide.Reset
+				outcome = scheduler.ConnectionReset
 			}
 			r.soon(func() { r.gate.Probed(r.now, e.id, outcome, report) })
 		}}
--- a/internal/relay/fairness.go
+++ b/internal/controller/fairness.go
@@ -1,4 +1,4 @@
-package relay
+package controller
 
 import (
 	"fmt"
@@ -8,14 +8,14 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"railrelay.dev/railrelay/decide"
-	"railrelay.dev/railrelay/internal/clients"
-	"railrelay.dev/railrelay/internal/fair"
+	"railrelay.dev/railrelay/internal/fairqueue"
+	"railrelay.dev/railrelay/internal/msgpackrpc"
+	"railrelay.dev/railrelay/internal/scheduler"
 )
 
-// Words are the names of call fields that a set-up may give; an empty one is
+// FieldNames are the names of call fields that a set-up may give; an empty one is
 // not looked for.
-type Words struct {
+type FieldNames struct {
 	Team  string // whose the call is, believed from where the set-up says
 	Wait  string // its client wants to be told how long it waits
 	Again string // the trace of the call that this one repeats
@@ -29,38 +29,38 @@
 // From is where a call comes from and what it says beside the query itself.
 type From struct {
 	Address netip.Addr
-	Fields  clients.Fields
+	Fields  msgpackrpc.Fields
 }
 
 // fairness stands between the fronts and the decisions where the set-up has
 // teams: a query goes to the decisions when its turn comes. Without teams it is
 // nil, and costs nothing.
 type fairness struct {
-	*Relay
-	core   *fair.Core
-	words  Words
-	pauses time.Duration // the longest that clients follow, 0: none is named
-	shape  *fair.Shape   // last followed
+	*Controller
+	core   *fairqueue.Core
+	words  FieldNames
+	pauses time.Duration    // the longest that clients follow, 0: none is named
+	shape  *fairqueue.Shape // last followed
 }
 
-func newFairness(r *Relay, shape *fair.Shape, words Words) *fairness {
-	f := &fairness{Relay: r, words: words, shape: shape}
+func newFairness(r *Controller, shape *fairqueue.Shape, words FieldNames) *fairness {
+	f := &fairness{Controller: r, words: words, shape: shape}
 	if r.Facts["may.name-return"] == "true" {
 		f.pauses = r.span("return.most")
 	}
 	s := *shape
 	s.Lanes = f.lanes()
-	f.core = fair.New(s)
+	f.core = fairqueue.New(s)
 	f.cores()
 	f.sweep()
 	return f
 }
 
 // lanes are the resource groups as fairness needs to know them.
-func (f *fairness) lanes() []fair.Lane {
-	l := make([]fair.Lane, len(f.groups))
+func (f *fairness) lanes() []fairqueue.Lane {
+	l := make([]fairqueue.Lane, len(f.groups))
 	for _, g := range f.groups {
-		l[g.index] = fair.Lane{Name: g.name, Threads: g.threads, Value: g.value, Ordered: g.inOrder, Chained: g.load,
+		l[g.index] = fairqueue.Lane{Name: g.name, Threads: g.threads, Value: g.value, Ordered: g.inOrder, Chained: g.load,
 			Usual: time.Duration(float64(g.target) / 2 * g.threads)}
 	}
 	return l
@@ -70,7 +70,7 @@
 func (f *fairness) cores() {
 	n := 0.0
 	for _, e := range f.engines {
-		if e.state == decide.On {
+		if e.state == scheduler.EngineActive {
 			n += max(1, number(item(f.Facts["kind.cores"], e.kind)))
 		}
 	}
@@ -78,16 +78,16 @@
 }
 
 func (f *fairness) sweep() {
-	f.after(fair.SweepEvery, f.sweep)
-	f.core.Sweep(f.now, func(w *fair.Waiter, on bool) {
+	f.after(fairqueue.SweepEvery, f.sweep)
+	f.core.Sweep(f.now, func(w *fairqueue.Waiter, on bool) {
 		q := w.Of.(*query)
 		if on {
-			f.sayOf(About{Query: q.id, Group: q.group.name, Team: f.core.Team(w.Team)}, "makes way: its priority is the least for now")
+			f.sayOf(LogFields{Query: q.id, Group: q.group.name, Team: f.core.Team(w.Team)}, "makes way: its priority is the least for now")
 		}
 		for _, s := range q.subs {
 			f.rank(s)
 		}
-	}, func(w *fair.Waiter, wait time.Duration) {
+	}, func(w *fairqueue.Waiter, wait time.Duration) {
 		w.Of.(*query).asker.told(wait)
 	})
 }
@@ -98,7 +98,7 @@
 		f.gate.Take(f.now, q.id, q.group.index, q.customer, q.deadline-f.now, tables, key, q.work, q.need)
 		return
 	}
-	w := &fair.Waiter{Of: q, Lane: q.group.index, Key: key, Chain: tables, Until: q.deadline,
+	w := &fairqueue.Waiter{Of: q, Lane: q.group.index, Key: key, Chain: tables, Until: q.deadline,
 		Team: f.core.Whose(from.Address, from.Fields.Get(f.words.Team)), Ask: len(from.Fields.Get(f.words.Wait)) > 0}
 	if f.words.Again != "" {
 		w.Self = name(q.id)
@@ -110,7 +110,7 @@
 	q.tables, q.number = tables, key
 	v := f.core.Enter(f.now, w)
 	if !v.Taken {
-		f.sayOf(About{Query: q.id, Group: q.group.name, Team: f.core.Team(w.Team)},
+		f.sayOf(LogFields{Query: q.id, Group: q.group.name, Team: f.core.Team(w.Team)},
 			"deferred: "+v.Why.String()+", "+v.Estimate.String())
 		f.deferred(q, f.pause(v.Estimate))
 		return
@@ -137,7 +137,7 @@
 // next hands one query on to the decisions if they would take it.
 func (f *fairness) next() bool {
 	for lane := range len(f.groups) {
-		full := f.gate.Full(lane)
+		full := f.gate.QueueBlocked(lane)
 		if f.core.Full(f.now, lane, full); full {
 			continue
 		}
@@ -159,7 +159,7 @@
 
 // answered: a query that waits leaves at once, one that was handed on only once
 // nothing of it runs.
-func (f *fairness) answered(q *query, end fair.End) {
+func (f *fairness) answered(q *query, end fairqueue.End) {
 	if q.turn == nil {
 		return
 	}
@@ -188,11 +188,11 @@
 
 // close defers all that wait: the program ends.
 func (f *fairness) close() {
-	f.core.Each(func(w *fair.Waiter) { f.deferred(w.Of.(*query), f.pause(f.core.Back(f.now, w))) })
+	f.core.Each(func(w *fairqueue.Waiter) { f.deferred(w.Of.(*query), f.pause(f.core.Back(f.now, w))) })
 }
 
 // reload follows another set of teams.
-func (f *fairness) reload(shape *fair.Shape) {
+func (f *fairness) reload(shape *fairqueue.Shape) {
 	f.shape = shape
 	s := *shape
 	s.Lanes = f.lanes()
@@ -212,7 +212,7 @@
 
 // Teams hands over what happened to each team's queries so far; nothing without
 // fairness. It is for reports, between two steps.
-func (r *Relay) Teams(each func(path string, waiting int, n fair.Counts)) {
+func (r *Controller) Teams(each func(path string, waiting int, n fairqueue.Counts)) {
 	if r.fair != nil {
 		r.fair.core.Teams(each)
 	}
--- a/internal/relay/fairness_test.go
+++ b/internal/controller/fairness_test.go
@@ -1,4 +1,4 @@
-package relay
+package controller
 
 import (
 	"bytes"
@@ -7,14 +7,14 @@
 	"testing"
 	"time"
 
-	"railrelay.dev/railrelay/internal/clients"
-	"railrelay.dev/railrelay/internal/fair"
+	"railrelay.dev/railrelay/internal/fairqueue"
+	"railrelay.dev/railrelay/internal/msgpackrpc"
 )
 
 // Limits on a connection follow the narrowest set that its address is in.
 func TestMannersByAddress(t *testing.T) {
 	p := netip.MustParsePrefix
-	m := newManners([]Manners{{From: []netip.Prefix{p("10.0.0.0/8")}, Open: 100}, {From: []netip.Prefix{p("10.1.0.0/16")}, Open: 7, Idle: time.Minute}})
+	m := newManners([]ClientLimits{{From: []netip.Prefix{p("10.0.0.0/8")}, Open: 100}, {From: []netip.Prefix{p("10.1.0.0/16")}, Open: 7, Idle: time.Minute}})
 	for from, want := range map[string]int{"10.2.0.1": 100, "10.1.0.1": 7, "::ffff:10.1.0.1": 7, "192.0.2.1": openMost} {
 		if got := m.of(netip.MustParseAddr(from)); got.Open != want || got.Messages != heardMost || got.Whole != wholeMost {
 			t.Errorf("%s: %+v", from, got)
@@ -51,10 +51,10 @@
 // A gateway's set lets it send what would close anybody else's connection.
 func TestAGatewayMaySendMore(t *testing.T) {
 	s := newStage(t, 1, 256, nil)
-	s.r.manners = newManners([]Manners{{From: []netip.Prefix{netip.MustParsePrefix("10.0.0.0/8")}, Messages: 5000, Open: 500}})
-	c := &end{n: len(s.ends), link: &Link{From: netip.MustParseAddr("10.9.9.9")}, client: true, up: true}
+	s.r.manners = newManners([]ClientLimits{{From: []netip.Prefix{netip.MustParsePrefix("10.0.0.0/8")}, Messages: 5000, Open: 500}})
+	c := &end{n: len(s.ends), link: &Connection{From: netip.MustParseAddr("10.9.9.9")}, client: true, up: true}
 	s.ends = append(s.ends, c)
-	s.step(Event{Kind: Accepted, Link: c.link})
+	s.step(Event{Kind: ClientAccepted, Connection: c.link})
 	var p []byte
 	for range 10 * heardMost {
 		p = append(p, "\x94\x00\x01\xa5alive\x91\x80"...)
@@ -67,11 +67,11 @@
 // A call's further fields reach fairness, and what it is told reaches the call.
 func TestFieldsAndNotices(t *testing.T) {
 	s := newStage(t, 0, 256, nil)
-	s.r.fair = newFairness(s.r, &fair.Shape{Teams: []fair.Team{{Name: "a", Weight: 1}, {Name: "b", Weight: 1}},
-		Trusted: []netip.Prefix{netip.MustParsePrefix("10.0.0.0/8")}}, Words{Team: "team", Wait: "tell", Again: "first"})
-	c := &end{n: len(s.ends), link: &Link{From: netip.MustParseAddr("10.0.0.1")}, client: true, up: true}
+	s.r.fair = newFairness(s.r, &fairqueue.Shape{Teams: []fairqueue.Team{{Name: "a", Weight: 1}, {Name: "b", Weight: 1}},
+		Trusted: []netip.Prefix{netip.MustParsePrefix("10.0.0.0/8")}}, FieldNames{Team: "team", Wait: "tell", Again: "first"})
+	c := &end{n: len(s.ends), link: &Connection{From: netip.MustParseAddr("10.0.0.1")}, client: true, up: true}
 	s.ends = append(s.ends, c)
-	s.step(Event{Kind: Accepted, Link: c.link})
+	s.step(Event{Kind: ClientAccepted, Connection: c.link})
 	c.msgs++
 	a := &asked{id: "00000000000000aa", group: "lookup", msg: 1, from: c, deadline: time.Minute}
 	s.asked = append(s.asked, a)
@@ -85,7 +85,7 @@
 	if q == nil || q.turn == nil || s.r.fair.core.Team(q.turn.Team) != "b" || !q.turn.Ask {
 		t.Fatalf("%+v", q)
 	}
-	got := clients.Told(nil, 300, 1234*time.Millisecond)
+	got := msgpackrpc.Told(nil, 300, 1234*time.Millisecond)
 	if want := "\x93\x02\xa4wait\x92\xcd\x01\x2c\xcd\x04\xd2"; string(got) != want {
 		t.Fatalf("%q", got)
 	}
@@ -102,7 +102,7 @@
 	if q.rank() != 3 {
 		t.Fatal("without teams it is not the decisions'")
 	}
-	q.turn = &fair.Waiter{}
+	q.turn = &fairqueue.Waiter{}
 	if q.rank() != 3 {
 		t.Fatal("lowered for nothing")
 	}
--- a/internal/relay/feed.go
+++ b/internal/controller/feed.go
@@ -1,15 +1,15 @@
-package relay
+package controller
 
 import (
 	"time"
 
-	"railrelay.dev/railrelay/decide"
-	"railrelay.dev/railrelay/internal/list"
+	"railrelay.dev/railrelay/internal/discovery"
+	"railrelay.dev/railrelay/internal/scheduler"
 )
 
 // feed follows the list of engines.
 type feed struct {
-	link   *Link
+	link   *Connection
 	last   int64 // the event had last
 	listed bool  // a list was had at all
 	heard  time.Duration
@@ -32,7 +32,7 @@
 // feedHurry bounds a wait for the feed once the first of what was missed is about to count as told:
 // half of the time that a drained engine may still be sent to, so that a try and the wait before it
 // are over within that once the feed is back. Before that nobody counts on it, and calls are priced.
-func (r *Relay) feedHurry(most time.Duration) time.Duration {
+func (r *Controller) feedHurry(most time.Duration) time.Duration {
 	if grace := r.span("drain.grace"); grace > 0 && r.now-r.feed.had > feedTold-feedWaitsMax-feedDials {
 		return max(2*feedWaits, min(most, grace/2))
 	}
@@ -42,12 +42,12 @@
 // follow connects to the feed and asks for what comes after what we have. A
 // connection that goes silent, breaks a line or skips a number is given up for
 // a new one.
-func (r *Relay) follow() {
+func (r *Controller) follow() {
 	f := &r.feed
 	if r.Feed == "" || f.link != nil { // a new address may have come while this try waited
 		return
 	}
-	l := &Link{}
+	l := &Connection{}
 	f.link, f.heard, f.past = l, r.now, 0
 	again := func() {
 		if f.link == l {
@@ -58,14 +58,14 @@
 	}
 	l.up = func() {
 		f.heard = r.now
-		r.write(l, list.Since(nil, f.last))
+		r.write(l, discovery.Since(nil, f.last))
 	}
 	l.failed = func(bool) { again() }
 	l.ended = again
 	l.got = func() {
 		for !l.closed {
 			// its own bound, not a client's: one event names all engines there are
-			n, err := list.Read(l.In.Bytes(), r.bufferedMost, r)
+			n, err := discovery.Read(l.In.Bytes(), r.bufferedMost, r)
 			if err != nil {
 				if f.spoilt == f.last && n > 0 { // it is no better: later ones are to be heard
 					f.past++
@@ -87,13 +87,13 @@
 		}
 	}
 	r.tally.feedDials++
-	r.do(Effect{Verb: Dial, Link: l, Address: r.Feed, Within: r.feedHurry(feedDials)})
+	r.do(Effect{Kind: Dial, Connection: l, Address: r.Feed, Within: r.feedHurry(feedDials)})
 	r.watch(l, again)
 }
 
 // refeed follows the list to another address at once, from the last event held:
 // the old one tells nothing more, and the numbers go on.
-func (r *Relay) refeed(address string) {
+func (r *Controller) refeed(address string) {
 	f := &r.feed
 	if r.tally.reloads++; address == r.Feed {
 		return
@@ -107,7 +107,7 @@
 
 // watch gives a feed up once a number that was due has not come, though nothing was closed: what
 // it should have told since counts as told, and a drain among it must pass no grace.
-func (r *Relay) watch(l *Link, again func()) {
+func (r *Controller) watch(l *Connection, again func()) {
 	due := r.feed.heard + feedSilent
 	r.at(due, func() {
 		switch {
@@ -125,7 +125,7 @@
 	})
 }
 
-func (r *Relay) Event(number int64, whole bool) bool {
+func (r *Controller) Event(number int64, whole bool) bool {
 	switch {
 	case number <= r.feed.last:
 		return false
@@ -140,7 +140,7 @@
 }
 
 // Last tells of events that should have come before it.
-func (r *Relay) Last(number int64) {
+func (r *Controller) Last(number int64) {
 	f := &r.feed
 	switch {
 	case number <= f.last:
@@ -152,14 +152,14 @@
 	}
 }
 
-func (r *Relay) gap() {
+func (r *Controller) gap() {
 	if l := r.feed.link; l != nil {
 		r.tally.feedFaults++
 		r.shut(l, false)
 	}
 }
 
-func (r *Relay) Engine(id, address, location, kind string, cell int, state decide.EngineState, startedMs int64) {
+func (r *Controller) Engine(id, address, location, kind string, cell int, state scheduler.EngineState, startedMs int64) {
 	e := r.engines[id]
 	if e == nil {
 		e = &engine{id: id}
@@ -169,22 +169,22 @@
 		r.vacate(e)
 		e.address = address
 	}
-	if e.state != state && state == decide.Gone {
+	if e.state != state && state == scheduler.EngineRemoved {
 		r.away(e)
 	}
-	if state != decide.On {
+	if state != scheduler.EngineActive {
 		e.bar()
 	}
 	e.state, e.kind, e.location = state, r.place("kinds", kind), r.place("locations", location)
 	e.named = r.feed.last
 	switch x := r.atAddress[e.address]; {
 	case e.address == "" || x == e:
-	case x != nil && state == decide.Gone && x.state != decide.Gone:
+	case x != nil && state == scheduler.EngineRemoved && x.state != scheduler.EngineRemoved:
 		r.vacate(e)
 	default:
 		if x != nil {
-			if x.state == decide.On && state == decide.On {
-				r.sayOf(About{Engine: x.id}, "has its address no more, "+e.id+" is listed there")
+			if x.state == scheduler.EngineActive && state == scheduler.EngineActive {
+				r.sayOf(LogFields{Engine: x.id}, "has its address no more, "+e.id+" is listed there")
 			}
 			r.vacate(x)
 		}
@@ -195,9 +195,9 @@
 }
 
 // EventEnds ends an event of the feed: what a whole list leaves out is gone.
-func (r *Relay) EventEnds() {
+func (r *Controller) EventEnds() {
 	for _, e := range r.engines {
-		if r.feed.whole && e.state != decide.Gone && e.named != r.feed.last {
+		if r.feed.whole && e.state != scheduler.EngineRemoved && e.named != r.feed.last {
 			r.away(e)
 		}
 	}
@@ -219,9 +219,9 @@
 	}
 }
 
-func (r *Relay) away(e *engine) {
+func (r *Controller) away(e *engine) {
 	e.bar()
-	e.state, e.goneAt = decide.Gone, r.now
+	e.state, e.goneAt = scheduler.EngineRemoved, r.now
 	for _, l := range e.lines {
 		if l.up && l.call == nil {
 			r.cut(l)
@@ -229,7 +229,7 @@
 	}
 }
 
-func (r *Relay) Odd(why string) {
+func (r *Controller) Odd(why string) {
 	r.tally.odd++
 	r.say(true, "passed over in the list: "+why)
 }
--- a/internal/relay/feed_test.go
+++ b/internal/controller/feed_test.go
@@ -1,4 +1,4 @@
-package relay
+package controller
 
 import (
 	"fmt"
@@ -7,7 +7,7 @@
 	"testing"
 	"time"
 
-	"railrelay.dev/railrelay/decide"
+	"railrelay.dev/railrelay/internal/scheduler"
 )
 
 func TestFeedThatSkips(t *testing.T) {
@@ -102,7 +102,7 @@
 		t.Fatalf("%d engines, %d faults", n, s.r.tally.feedFaults)
 	}
 	s.tell(`{"id":"big7","phase":"WHATEVER"},{"phase":"SERVING"},{"id":"big8","host_port":"10.1.0.9:6565","phase":"DELETED"}`)
-	if s.r.tally.odd != 2 || s.r.feed.last != s.events || s.r.engines["big8"].state != decide.Gone {
+	if s.r.tally.odd != 2 || s.r.feed.last != s.events || s.r.engines["big8"].state != scheduler.EngineRemoved {
 		t.Fatalf("%d odd, event %d of %d", s.r.tally.odd, s.r.feed.last, s.events)
 	}
 }
@@ -126,7 +126,7 @@
 	m := s.all()[0]
 	m.state = "DRAINING"
 	s.tell(m.entry(0)) // the one after it
-	if s.r.feed.last != 3 || s.r.engines[m.id].state != decide.Draining || s.r.tally.feedFaults != 1 {
+	if s.r.feed.last != 3 || s.r.engines[m.id].state != scheduler.EngineDraining || s.r.tally.feedFaults != 1 {
 		t.Fatalf("event %d, %d faults", s.r.feed.last, s.r.tally.feedFaults)
 	}
 	twice()
@@ -135,7 +135,7 @@
 	}
 	m.state = "SERVING" // a start that no clock knows
 	s.tell(strings.Replace(m.entry(0), `"up_since_ms":0`, `"up_since_ms":1e300`, 1))
-	if s.r.engines[m.id].state != decide.On || s.r.tally.odd != 1 {
+	if s.r.engines[m.id].state != scheduler.EngineActive || s.r.tally.odd != 1 {
 		t.Fatalf("%v, %d odd", s.r.engines[m.id].state, s.r.tally.odd)
 	}
 }
--- a/internal/relay/fleet.go
+++ b/internal/controller/fleet.go
@@ -1,4 +1,4 @@
-package relay
+package controller
 
 import (
 	"cmp"
@@ -8,14 +8,14 @@
 	"strings"
 	"time"
 
-	"railrelay.dev/railrelay/decide"
-	"railrelay.dev/railrelay/internal/due"
-	"railrelay.dev/railrelay/internal/fair"
+	"railrelay.dev/railrelay/internal/fairqueue"
 	"railrelay.dev/railrelay/internal/fleet"
+	"railrelay.dev/railrelay/internal/scheduler"
+	"railrelay.dev/railrelay/internal/timerqueue"
 )
 
-// Fleet is what a controller with peers starts with.
-type Fleet struct {
+// FleetConfig is what a controller with peers starts with.
+type FleetConfig struct {
 	Word *fleet.Word
 	// HoldMost is the longest that a query is held while this controller may not
 	// decide, before it is deferred. 0: holdMost.
@@ -49,7 +49,7 @@
 type Policy struct {
 	Version uint64
 	// Fair are the teams, nil to leave them as they are.
-	Fair *fair.Shape
+	Fair *fairqueue.Shape
 	// Facts are the groups' limits and the customers' shares in the decisions'
 	// words; other settings in it are passed over. nil leaves them as they are.
 	Facts map[string]string
@@ -71,8 +71,8 @@
 // version they are decided, and what is held while they may not be. Without peers
 // it is nil, and costs nothing.
 type warrant struct {
-	*Relay
-	Fleet
+	*Controller
+	FleetConfig
 	purging purging // nil: nothing is kept of teams
 	placing *placement
 	picture *fleet.Picture
@@ -80,8 +80,8 @@
 	version uint64           // last opened
 	shutFor string           // the change that it is shut for, until that is told
 	since   [2]time.Duration // since when nothing may be decided, and nothing of bound teams; -1: it may
-	ends    *due.Item        // the lease
-	lapses  *due.Item        // what is held too long is given up
+	ends    *timerqueue.Item // the lease
+	lapses  *timerqueue.Item // what is held too long is given up
 	held    []*unjudged      // in the order in which they came
 	waiting int              // of those, how many are still to be answered
 	fields  int              // bytes of theirs
@@ -101,8 +101,8 @@
 	from From
 }
 
-func newWarrant(r *Relay, f *Fleet) *warrant {
-	w := &warrant{Relay: r, Fleet: *f, picture: &fleet.Picture{}, since: [2]time.Duration{-1, -1}}
+func newWarrant(r *Controller, f *FleetConfig) *warrant {
+	w := &warrant{Controller: r, FleetConfig: *f, picture: &fleet.Picture{}, since: [2]time.Duration{-1, -1}}
 	w.HoldMost, w.Back = cmp.Or(w.HoldMost, holdMost), cmp.Or(w.Back, backAfter)
 	w.placing = newPlacement(w)
 	w.look()
@@ -203,7 +203,7 @@
 }
 
 // retell takes over other limits of groups and other shares of customers.
-func (r *Relay) retell(facts map[string]string) {
+func (r *Controller) retell(facts map[string]string) {
 	next := maps.Clone(r.Facts)
 	maps.DeleteFunc(next, func(name, _ string) bool { return shared(name) })
 	for name, value := range facts {
@@ -217,7 +217,7 @@
 		r.longest = max(r.longest, g.timeout)
 	}
 	r.named()
-	r.gate.Retell(r.now, next)
+	r.gate.UpdateSettings(r.now, next)
 }
 
 // watchLease looks again when the lease ends, if nothing else has by then.
@@ -245,7 +245,7 @@
 		case !may && w.since[i] < 0:
 			w.since[i], shut = w.now, true
 			if i == 0 {
-				w.gate.Hold(w.now, true)
+				w.gate.SetPaused(w.now, true)
 			}
 		case may && w.since[i] >= 0:
 			w.since[i], opened = -1, true
@@ -336,7 +336,7 @@
 		s.start() // which is parked again if it is of a bound team, and those still may not
 	}
 	if !w.stands() {
-		w.gate.Hold(w.now, false)
+		w.gate.SetPaused(w.now, false)
 	}
 	all := w.held
 	w.held, w.fields = nil, 0
@@ -364,7 +364,7 @@
 		w.parked = append(w.parked, s)
 		return false
 	case !w.placing.allows(s.q, s.e):
-		s.end(decide.NeverSent)
+		s.end(scheduler.NeverSent)
 		return false
 	}
 	s.version = by
@@ -398,7 +398,7 @@
 	}
 	for _, s := range w.parked {
 		if !s.ended && long(s.q) && s.q.mayRun() {
-			w.withdraw(s, decide.NeverSent)
+			w.withdraw(s, scheduler.NeverSent)
 		}
 	}
 	w.parked = slices.DeleteFunc(w.parked, func(s *submission) bool { return s.ended })
@@ -428,10 +428,10 @@
 	w.sayOf(q.about(), "deferred: this controller may not decide now")
 	subs := q.subs
 	w.deferred(q, w.pause())
-	w.soon(func() { w.gate.Dropped(w.now, q.id) })
+	w.soon(func() { w.gate.QueryDropped(w.now, q.id) })
 	for _, s := range subs {
 		if !s.sent {
-			w.withdraw(s, decide.NeverSent)
+			w.withdraw(s, scheduler.NeverSent)
 		}
 	}
 }
@@ -458,7 +458,7 @@
 func (w *warrant) report(p fleet.Report) {
 	switch {
 	case len(w.untold) == 0:
-		w.do(Effect{Verb: Report, Report: &p})
+		w.do(Effect{Kind: ReportToFleet, Report: &p})
 	case p.Kind != fleet.Sites: // those come again
 		w.untold = append(w.untold, p)
 	}
@@ -505,7 +505,7 @@
 func (w *warrant) serving() (l []string) {
 	has := map[int]bool{}
 	for _, e := range w.engines {
-		if e.state == decide.On {
+		if e.state == scheduler.EngineActive {
 			has[e.location] = true
 		}
 	}
--- a/internal/relay/fleet_test.go
+++ b/internal/controller/fleet_test.go
@@ -1,4 +1,4 @@
-package relay
+package controller
 
 import (
 	"slices"
@@ -8,17 +8,17 @@
 
 	"pgregory.net/rapid"
 
-	"railrelay.dev/railrelay/internal/fair"
+	"railrelay.dev/railrelay/internal/fairqueue"
 	"railrelay.dev/railrelay/internal/fleet"
 	"railrelay.dev/railrelay/internal/residency"
 )
 
 // withPeers is a stage whose controller has peers, with nothing opened yet.
-func withPeers(t interface{ Fatalf(string, ...any) }, engines int, more map[string]string, change ...func(*Means)) *stage {
-	return newStage(t, engines, 256, more, append([]func(*Means){func(m *Means) { m.Fleet = &Fleet{Word: &fleet.Word{}} }}, change...)...)
+func withPeers(t interface{ Fatalf(string, ...any) }, engines int, more map[string]string, change ...func(*Config)) *stage {
+	return newStage(t, engines, 256, more, append([]func(*Config){func(m *Config) { m.Fleet = &FleetConfig{Word: &fleet.Word{}} }}, change...)...)
 }
 
-func (s *stage) order(o fleet.Order) { s.step(Event{Kind: Ordered, Order: &o}) }
+func (s *stage) order(o fleet.Order) { s.step(Event{Kind: FleetOrdered, Order: &o}) }
 
 // opens has it decide by a version, with a lease for so long.
 func (s *stage) opens(version uint64, lease time.Duration) {
@@ -28,7 +28,7 @@
 
 // mayGo is the runner's last look: by the time it writes, it may be later.
 func (s *stage) mayGo(f Effect) bool {
-	w := s.r.Means.Fleet.Word
+	w := s.r.Config.Fleet.Word
 	if !w.Enter(s.now+s.stopped, f.Guard, f.Bound) {
 		return false
 	}
@@ -152,10 +152,10 @@
 // A switch is told closed only once nothing is being written, and what waited is
 // judged by the next version: its limits, its teams' places, its placement.
 func TestASwitchIsJudgedByTheNextVersion(t *testing.T) {
-	s := withPeers(t, 1, map[string]string{"teams": "1", "team.0.name": "old", "team.0.quota": "5"}, func(m *Means) { m.Words.Whose = "who" })
+	s := withPeers(t, 1, map[string]string{"teams": "1", "team.0.name": "old", "team.0.quota": "5"}, func(m *Config) { m.Words.Whose = "who" })
 	s.opens(1, time.Minute)
 	c := s.connect()
-	word := s.r.Means.Fleet.Word
+	word := s.r.Config.Fleet.Word
 	word.Enter(s.now, 1, false) // one is being written
 	s.order(fleet.Order{Kind: fleet.Shut, Change: "c"})
 	s.until(10 * time.Millisecond)
@@ -215,7 +215,7 @@
 // Bound teams' queries can need a shorter lease: only they wait, and none of their
 // key overtakes them.
 func TestOnlyBoundTeamsWaitForTheirLease(t *testing.T) {
-	s := withPeers(t, 1, nil, func(m *Means) { m.Fleet.Bound = func(_ string, tables int64) bool { return tables == 7 } })
+	s := withPeers(t, 1, nil, func(m *Config) { m.Fleet.Bound = func(_ string, tables int64) bool { return tables == 7 } })
 	s.order(fleet.Order{Kind: fleet.Open, Version: 1})
 	s.order(fleet.Order{Kind: fleet.Renewed, Until: fleet.Forever})
 	c := s.connect()
@@ -231,7 +231,7 @@
 
 // Teams' turns stand still with all else, and a full ring loses no report.
 func TestFairnessStandsAndReportsAreKept(t *testing.T) {
-	s := withPeers(t, 0, nil, func(m *Means) { m.Fair = &fair.Shape{Teams: []fair.Team{{Name: "a", Weight: 1}}} })
+	s := withPeers(t, 0, nil, func(m *Config) { m.Fair = &fairqueue.Shape{Teams: []fairqueue.Team{{Name: "a", Weight: 1}}} })
 	s.opens(1, time.Minute)
 	c := s.connect()
 	for range 3 {
@@ -244,7 +244,7 @@
 	if s.r.fair.core.Waiting() != waits || s.told(fleet.Closed) != 0 {
 		t.Fatal("it went on")
 	}
-	s.order(fleet.Order{Kind: fleet.Open, Version: 2, Policy: &Policy{Version: 2, Fair: &fair.Shape{Teams: []fair.Team{{Name: "b", Weight: 1}}}}})
+	s.order(fleet.Order{Kind: fleet.Open, Version: 2, Policy: &Policy{Version: 2, Fair: &fairqueue.Shape{Teams: []fairqueue.Team{{Name: "b", Weight: 1}}}}})
 	s.order(fleet.Order{Kind: fleet.Drop, ID: "p", Scope: &fleet.Scope{Team: "a"}})
 	s.full, s.reports = false, nil
 	s.until(s.now + 2*untoldEvery)
@@ -255,7 +255,7 @@
 	if !slices.Equal(kinds, []fleet.ReportKind{fleet.Closed, fleet.Opened, fleet.Unreached, fleet.Wiped}) {
 		t.Fatal(kinds)
 	}
-	s.step(Event{Kind: Tell})
+	s.step(Event{Kind: CountersRequested})
 	if text := s.said[len(s.said)-1]; !strings.Contains(text, "fleet version 2 switches 1") {
 		t.Fatal(text)
 	}
@@ -269,9 +269,9 @@
 		choices := rapid.SliceOfN(rapid.Uint16(), 60, 150).Draw(t, "choices")
 		orders := rapid.SliceOfN(rapid.IntRange(0, 7), 8, 8).Draw(t, "orders")
 		teams := rapid.Bool().Draw(t, "teams")
-		s := withPeers(t, 3, nil, func(m *Means) {
+		s := withPeers(t, 3, nil, func(m *Config) {
 			if teams {
-				m.Fair = &fair.Shape{Teams: []fair.Team{{Name: "a", Weight: 1}}}
+				m.Fair = &fairqueue.Shape{Teams: []fairqueue.Team{{Name: "a", Weight: 1}}}
 			}
 		})
 		s.opens(1, time.Minute)
@@ -322,7 +322,7 @@
 
 // A query costs no more allocations with peers than without.
 func TestPeersCostAQueryNothing(t *testing.T) {
-	cost := func(with ...func(*Means)) float64 {
+	cost := func(with ...func(*Config)) float64 {
 		s := newStage(t, 1, 256, nil, with...)
 		if s.r.warrant != nil {
 			s.opens(1, time.Hour)
@@ -343,7 +343,7 @@
 		one()
 		return testing.AllocsPerRun(100, one)
 	}
-	off, on := cost(), cost(func(m *Means) { m.Fleet = &Fleet{Word: &fleet.Word{}} })
+	off, on := cost(), cost(func(m *Config) { m.Fleet = &FleetConfig{Word: &fleet.Word{}} })
 	if on > off+1 { // the sites told each second
 		t.Fatalf("%v off, %v on", off, on)
 	}
--- a/internal/relay/keep_test.go
+++ b/internal/controller/keep_test.go
@@ -1,37 +1,37 @@
-package relay_test
+package controller_test
 
 import (
 	"strings"
 	"testing"
 	"time"
 
+	"railrelay.dev/railrelay/internal/controller"
+	"railrelay.dev/railrelay/internal/emulator/client"
 	"railrelay.dev/railrelay/internal/fleet"
-	"railrelay.dev/railrelay/internal/relay"
 	"railrelay.dev/railrelay/internal/residency"
-	"railrelay.dev/railrelay/internal/standin/caller"
 )
 
 // What a rule forbids to keep here is answered whole and not cached, and what was kept
 // before the rule is read no more, though it is not purged yet.
 func TestNothingIsKeptWhereItMayNotBe(t *testing.T) {
-	s := keeps(t, &fleet.Word{}, func(m *relay.Means) {
+	s := keeps(t, &fleet.Word{}, func(m *controller.Config) {
 		m.Facts["teams"], m.Facts["team.0.name"], m.Facts["team.0.quota"], m.Facts["own.location"] = "1", "linz", "1000", "0"
 	})
 	here, _, _ := strings.Cut(s.R.Facts["locations"], ",")
 	open := func(version uint64, rules ...residency.Rule) {
-		s.Order(fleet.Order{Kind: fleet.Open, Version: version, Policy: &relay.Policy{Version: version, Rules: rules}})
+		s.Order(fleet.Order{Kind: fleet.Open, Version: version, Policy: &controller.Policy{Version: version, Rules: rules}})
 	}
 	s.Order(fleet.Order{Kind: fleet.Renewed, Until: fleet.Forever, UntilBound: fleet.Forever})
 	open(1, residency.Rule{Name: "r", Team: "linz", Engines: []string{here}})
 	c := s.client()
-	page := func(token string) *caller.Answer {
-		ans := &caller.Answer{Kind: -1}
-		c.Page(token, 1, func(x caller.Answer) { *ans = x }, "team", "linz")
+	page := func(token string) *client.Answer {
+		ans := &client.Answer{Kind: -1}
+		c.Page(token, 1, func(x client.Answer) { *ans = x }, "team", "linz")
 		s.ran(time.Second)
 		return ans
 	}
 	kept := s.of(c, "linz", 3, "pages", "1")
-	if s.ran(2*time.Second) && page(kept.Paging["token"]).Kind != caller.Finished {
+	if s.ran(2*time.Second) && page(kept.Paging["token"]).Kind != client.Finished {
 		t.Fatal("it isn't kept to begin with")
 	}
 	s.of(c, "linz", 4)
@@ -40,12 +40,12 @@
 		t.Fatalf("%+v", s.R.Answers().Counts)
 	}
 	open(2, residency.Rule{Name: "r", Team: "linz", Tables: []int64{3, 4}, Engines: []string{here}, Keep: []string{}})
-	if ans := page(kept.Paging["token"]); ans.Kind != caller.Killed {
+	if ans := page(kept.Paging["token"]); ans.Kind != client.Killed {
 		t.Fatalf("a page came, or nothing did: kind %v", ans.Kind)
 	}
 	whole, again := s.of(c, "linz", 3, "pages", "1"), s.of(c, "linz", 4)
 	s.ran(3 * time.Second)
-	if whole.Answer != caller.Finished || pagesOf(whole) > 0 || len(whole.Rows) == 0 || again.Answer != caller.Finished {
+	if whole.Answer != client.Finished || pagesOf(whole) > 0 || len(whole.Rows) == 0 || again.Answer != client.Finished {
 		t.Fatalf("%v %v of %v bytes, %v", whole.Answer, whole.Paging, len(whole.Rows), again.Answer)
 	}
 	if n := s.R.Answers().Counts.Hits; n != 1 {
--- a/internal/relay/permit.go
+++ b/internal/controller/permit.go
@@ -1,30 +1,30 @@
-package relay
+package controller
 
 import (
 	"sync/atomic"
 	"time"
 )
 
-// Permit is what lets the first byte of a submission out. What was decided may have lost its
+// WritePermit is what lets the first byte of a submission out. What was decided may have lost its
 // reason by the time it is written: its client left, its engine drains, its time or the window
 // for its repeats is over, or this process stood still meanwhile. The reducer revokes it, and
 // whoever writes asks it last: here and nowhere else, so that no queue on the way needs its own look.
-type Permit struct {
+type WritePermit struct {
 	revoked atomic.Bool
 	until   time.Duration // since the start; nothing begins from then on
 }
 
-// NewPermit makes one that holds until a time since the start.
-func NewPermit(until time.Duration) *Permit { return &Permit{until: until} }
+// NewWritePermit makes one that holds until a time since the start.
+func NewWritePermit(until time.Duration) *WritePermit { return &WritePermit{until: until} }
 
 // Revoke takes it back; what is not out by then doesn't go. It may be called again.
-func (p *Permit) Revoke() {
+func (p *WritePermit) Revoke() {
 	if p != nil {
 		p.revoked.Store(true)
 	}
 }
 
 // Holds says whether the first byte may go out at a time since the start. A nil one always holds.
-func (p *Permit) Holds(now time.Duration) bool {
+func (p *WritePermit) Holds(now time.Duration) bool {
 	return p == nil || !p.revoked.Load() && now < p.until
 }
--- a/internal/relay/placing.go
+++ b/internal/controller/placing.go
@@ -1,4 +1,4 @@
-package relay
+package controller
 
 import (
 	"cmp"
@@ -9,11 +9,11 @@
 	"strings"
 	"time"
 
-	"railrelay.dev/railrelay/decide"
-	"railrelay.dev/railrelay/internal/clients"
-	"railrelay.dev/railrelay/internal/fair"
+	"railrelay.dev/railrelay/internal/fairqueue"
 	"railrelay.dev/railrelay/internal/fleet"
+	"railrelay.dev/railrelay/internal/msgpackrpc"
 	"railrelay.dev/railrelay/internal/residency"
+	"railrelay.dev/railrelay/internal/scheduler"
 )
 
 // placement holds queries to where their teams' data may be: when they are taken, when
@@ -86,7 +86,7 @@
 // tell looks at its statement, for as long as it is there.
 func (x *placed) tell(q *query) {
 	x.told = true
-	x.read, x.written, x.known = clients.AllTables(q.statement)
+	x.read, x.written, x.known = msgpackrpc.AllTables(q.statement)
 	x.all = slices.Concat(x.read, x.written)
 	if len(q.statement) == 0 || q.group.load && len(x.written) == 0 {
 		x.known = false // it is forgotten, or loads into what can't be told: the strictest
@@ -156,7 +156,7 @@
 		}
 	}
 	p.sayOf(q.about(), (&residency.Outside{Team: q.place.team, Site: p.core.Site(), Rules: v.Rules, Controllers: may}).Error())
-	if q.answered || !p.close(q, fair.Deferred) {
+	if q.answered || !p.close(q, fairqueue.Deferred) {
 		return
 	}
 	p.tally.deferred++
@@ -256,10 +256,10 @@
 				continue
 			}
 			if !p.fits(q, v) {
-				p.soon(func() { p.gate.Dropped(p.now, q.id) })
+				p.soon(func() { p.gate.QueryDropped(p.now, q.id) })
 				for _, s := range q.subs {
 					if !s.sent {
-						p.withdraw(s, decide.NeverSent)
+						p.withdraw(s, scheduler.NeverSent)
 					}
 				}
 				continue
@@ -269,7 +269,7 @@
 			p.ask(need) // what it takes along may be there already
 		}
 		inside := p.inside(q)
-		p.soon(func() { p.gate.Inside(p.now, q.id, inside) })
+		p.soon(func() { p.gate.ConfineQuery(p.now, q.id, inside) })
 	}
 }
 
@@ -298,7 +298,7 @@
 	if q.place != nil {
 		inside = p.inside(q)
 	}
-	p.gate.TakeInside(p.now, q.id, q.group.index, q.customer, q.deadline-p.now, q.tables, q.number, q.work, q.need, inside)
+	p.gate.ConfinedQueryArrived(p.now, q.id, q.group.index, q.customer, q.deadline-p.now, q.tables, q.number, q.work, q.need, inside)
 }
 
 func (p *placement) allows(q *query, e *engine) bool {
@@ -369,7 +369,7 @@
 
 // Crossed lists the latest queries that an emergency let over a boundary, and how many
 // there were. It is for reports, between two steps.
-func (r *Relay) Crossed() ([]residency.Crossing, int) {
+func (r *Controller) Crossed() ([]residency.Crossing, int) {
 	if r.warrant == nil || r.warrant.placing == nil {
 		return nil, 0
 	}
--- a/internal/relay/purge.go
+++ b/internal/controller/purge.go
@@ -1,4 +1,4 @@
-package relay
+package controller
 
 import (
 	"cmp"
@@ -10,18 +10,18 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"railrelay.dev/railrelay/internal/answers"
-	"railrelay.dev/railrelay/internal/clients"
-	"railrelay.dev/railrelay/internal/due"
 	"railrelay.dev/railrelay/internal/fleet"
+	"railrelay.dev/railrelay/internal/msgpackrpc"
+	"railrelay.dev/railrelay/internal/resultcache"
 	"railrelay.dev/railrelay/internal/spool"
+	"railrelay.dev/railrelay/internal/timerqueue"
 )
 
 // purges has what is kept of a team go: results and cached answers, here where the
 // controller has no peers, else as the fleet orders it. Where nothing is kept it is
 // nil, and costs nothing.
 type purges struct {
-	*Relay
+	*Controller
 	serial uint64
 	place  uint64            // in the record: what is asked for now is asked for after it
 	here   map[string]*purge // without peers, by id
@@ -48,13 +48,13 @@
 	id    string
 	team  string
 	by    time.Duration
-	until *due.Item // that time
+	until *timerqueue.Item // that time
 	over  bool
 }
 
 // handed is a connection that kept bytes of a team were written to.
 type handed struct {
-	link *Link
+	link *Connection
 	team string
 }
 
@@ -69,8 +69,8 @@
 	leavesEvery  = 2 * time.Millisecond
 )
 
-func newPurges(r *Relay) *purges {
-	return &purges{Relay: r, here: map[string]*purge{}, waits: map[string][]*purgeCall{}, unsaid: map[string]*fleet.Ask{}, links: map[handed]bool{}}
+func newPurges(r *Controller) *purges {
+	return &purges{Controller: r, here: map[string]*purge{}, waits: map[string][]*purgeCall{}, unsaid: map[string]*fleet.Ask{}, links: map[handed]bool{}}
 }
 
 // index is the place in the record after which a query that comes now is taken.
@@ -85,7 +85,7 @@
 func (p *purges) barred() bool { return p.warrant != nil && p.warrant.may(true) == 0 }
 
 // owner is whose a call is: its team, or its customer where there are no teams.
-func (r *Relay) owner(from From) string {
+func (r *Controller) owner(from From) string {
 	if r.fair == nil && r.Words.Whose != "" {
 		if name := string(from.Fields.Get(r.Words.Whose)); name != "" {
 			return name
@@ -114,7 +114,7 @@
 }
 
 // handsOut: kept bytes of a team, "" if it isn't known, are on their way out by a link.
-func (p *purges) handsOut(l *Link, team string) {
+func (p *purges) handsOut(l *Connection, team string) {
 	if len(p.links) >= 2*p.swept+64 {
 		p.flushed(nil)
 		p.swept = len(p.links)
@@ -163,7 +163,7 @@
 	p.place = max(p.place, index)
 	var found fleet.Counts
 	if p.caching != nil {
-		var next []*answers.Ask
+		var next []*resultcache.Ask
 		found, next = p.caching.core.Drop(p.now, s, index)
 		for _, a := range next {
 			p.caching.leads(a)
@@ -224,7 +224,7 @@
 }
 
 // those are the queries for which something holds, in the order in which they came.
-func (r *Relay) those(holds func(q *query) bool) (l []*query) {
+func (r *Controller) those(holds func(q *query) bool) (l []*query) {
 	for _, q := range r.queries {
 		if holds(q) {
 			l = append(l, q)
@@ -248,12 +248,12 @@
 }
 
 func (p *purges) sayPurged(id, team string, n fleet.Counts) {
-	p.sayOf(About{Team: team}, fmt.Sprintf("purge %s is done here: %d results and %d answers, %d bytes", id, n.Results, n.Answers, n.Bytes))
+	p.sayOf(LogFields{Team: team}, fmt.Sprintf("purge %s is done here: %d results and %d answers, %d bytes", id, n.Results, n.Answers, n.Bytes))
 }
 
 // Purge is a client's call to have what is kept of its team go, or, with an id, for how
 // far a purge has come.
-func (c *client) Purge(msg uint32, call clients.Purge, all clients.Fields) {
+func (c *client) Purge(msg uint32, call msgpackrpc.Purge, all msgpackrpc.Fields) {
 	p := c.purges
 	if p == nil {
 		c.Wrong(msg, "no such method")
@@ -269,7 +269,7 @@
 		}
 	}
 	if c.pages >= c.wants.Open || waiting >= purgesMost || len(p.unsaid) >= purgesPast {
-		c.answer(clients.Deferred(nil, msg, spoolPause))
+		c.answer(msgpackrpc.Deferred(nil, msg, spoolPause))
 		return
 	}
 	x := &purgeCall{c: c, msg: msg, id: string(call.ID), team: team}
@@ -330,7 +330,7 @@
 	for _, w := range p.waiting(id) {
 		switch {
 		case x == nil || x.team != w.team:
-			p.over(w, clients.Killed(nil, w.msg, unknownPurge))
+			p.over(w, msgpackrpc.Killed(nil, w.msg, unknownPurge))
 		case x.done:
 			p.tell(w, "purged", "", &x.counts, nil)
 		}
@@ -362,9 +362,9 @@
 				p.tell(x, notYet, cmp.Or(stages[r.Stage], stages[""]), nil, r.Outstanding)
 			}
 		case r.Word == "refused" && r.Why != "":
-			p.over(x, clients.Killed(nil, x.msg, r.Why))
+			p.over(x, msgpackrpc.Killed(nil, x.msg, r.Why))
 		default:
-			p.over(x, clients.Killed(nil, x.msg, unknownPurge))
+			p.over(x, msgpackrpc.Killed(nil, x.msg, unknownPurge))
 		}
 	}
 	return len(l) > 0 || again != nil
@@ -395,7 +395,7 @@
 	if len(outstanding) > 0 {
 		fields = append(fields, "outstanding", strings.Join(outstanding, ","))
 	}
-	p.over(x, clients.Purged(nil, x.msg, fields...))
+	p.over(x, msgpackrpc.Purged(nil, x.msg, fields...))
 }
 
 // over answers a call.
