--- a/internal/relay/purge_test.go
+++ b/internal/controller/purge_test.go
@@ -1,4 +1,4 @@
-package relay_test
+package controller_test
 
 import (
 	"bytes"
@@ -8,31 +8,31 @@
 	"testing"
 	"time"
 
-	"railrelay.dev/railrelay/internal/answers"
+	"railrelay.dev/railrelay/internal/controller"
+	"railrelay.dev/railrelay/internal/emulator/client"
+	"railrelay.dev/railrelay/internal/emulator/disk"
+	"railrelay.dev/railrelay/internal/emulator/engine"
+	"railrelay.dev/railrelay/internal/emulator/world"
 	"railrelay.dev/railrelay/internal/fleet"
-	"railrelay.dev/railrelay/internal/relay"
 	"railrelay.dev/railrelay/internal/residency"
-	"railrelay.dev/railrelay/internal/standin/caller"
-	"railrelay.dev/railrelay/internal/standin/disk"
-	"railrelay.dev/railrelay/internal/standin/engine"
-	"railrelay.dev/railrelay/internal/standin/world"
+	"railrelay.dev/railrelay/internal/resultcache"
 )
 
 // keeps is a world whose controller keeps results and answers, alone or in a fleet.
-func keeps(t *testing.T, word *fleet.Word, change ...func(*relay.Means)) *spooled {
+func keeps(t *testing.T, word *fleet.Word, change ...func(*controller.Config)) *spooled {
 	d := disk.New()
 	return keepsOn(t, d, disk.NewIndex(d), word, change...)
 }
 
-func keepsOn(t *testing.T, d *disk.Disk, x *disk.Index, word *fleet.Word, change ...func(*relay.Means)) *spooled {
+func keepsOn(t *testing.T, d *disk.Disk, x *disk.Index, word *fleet.Word, change ...func(*controller.Config)) *spooled {
 	small := limits()
 	small.Memory = 200 << 10
-	return newSpooled(t, d, x, small, nil, func(m *relay.Means) {
-		l := answers.Usual()
+	return newSpooled(t, d, x, small, nil, func(m *controller.Config) {
+		l := resultcache.Usual()
 		m.Answers = &l
 		m.Words.Whose = "team" // whose a call is, believed from anybody
 		if word != nil {
-			m.Fleet = &relay.Fleet{Word: word}
+			m.Fleet = &controller.FleetConfig{Word: word}
 		}
 		for _, do := range change {
 			do(m)
@@ -47,9 +47,9 @@
 }
 
 // purge asks for one and gives what was told; nil while nothing was.
-func (s *spooled) purge(c *world.Client, fields ...string) *caller.Answer {
-	a := &caller.Answer{Msg: 0}
-	c.Purge(func(ans caller.Answer) { *a = ans }, fields...)
+func (s *spooled) purge(c *world.Client, fields ...string) *client.Answer {
+	a := &client.Answer{Msg: 0}
+	c.Purge(func(ans client.Answer) { *a = ans }, fields...)
 	return a
 }
 
@@ -70,9 +70,9 @@
 	if len(s.d.Holds(mark(theirs))) == 0 || pagesOf(theirs) < 3 {
 		t.Fatal("it isn't on disk")
 	}
-	page := func(a *world.Asked, n int) *caller.Answer {
-		ans := &caller.Answer{Kind: -1}
-		c.Page(a.Paging["token"], n, func(x caller.Answer) { *ans = x }, "team", a.Team)
+	page := func(a *world.Asked, n int) *client.Answer {
+		ans := &client.Answer{Kind: -1}
+		c.Page(a.Paging["token"], n, func(x client.Answer) { *ans = x }, "team", a.Team)
 		return ans
 	}
 	s.Disk = 20 * time.Millisecond
@@ -85,7 +85,7 @@
 	s.Until(s.Now + time.Millisecond)
 	late := page(theirs, 1)
 	s.Until(s.Now + time.Second)
-	if under.Kind != caller.Killed || late.Kind != caller.Killed || under.Why != late.Why {
+	if under.Kind != client.Killed || late.Kind != client.Killed || under.Why != late.Why {
 		t.Fatalf("read after its purge: %+v %+v", under, late)
 	}
 	if n := done.About; n["state"] != "purged" || n["results"] != "1" || n["id"] == "" {
@@ -95,14 +95,14 @@
 		t.Fatal("purged is told, and it is in ", l)
 	}
 	for _, a := range []*world.Asked{other, elsewhere} {
-		if ans := page(a, 1); s.ran(time.Second) && ans.Kind != caller.Finished {
+		if ans := page(a, 1); s.ran(time.Second) && ans.Kind != client.Finished {
 			t.Fatalf("another's went, too: %+v", ans)
 		}
 	}
 	again := s.purge(c, "patience", "100", "id", done.About["id"], "team", "linz")
 	foreign := s.purge(c, "patience", "100", "id", done.About["id"], "team", "steyr")
 	s.Until(s.Now + time.Second)
-	if again.About["state"] != "purged" || again.About["bytes"] != done.About["bytes"] || foreign.Kind != caller.Killed {
+	if again.About["state"] != "purged" || again.About["bytes"] != done.About["bytes"] || foreign.Kind != client.Killed {
 		t.Fatalf("asked again: %+v, by another team: %+v", again, foreign)
 	}
 }
@@ -120,7 +120,7 @@
 	s.Until(100 * time.Millisecond)
 	done := s.purge(c, "patience", "5000", "team", "linz")
 	s.Until(3 * time.Second)
-	if a.Answer != caller.Deferred || !a.Answered || done.About["state"] != "purged" {
+	if a.Answer != client.Deferred || !a.Answered || done.About["state"] != "purged" {
 		t.Fatalf("%v, %+v", a.Answer, done)
 	}
 	if held, _, _ := s.R.Spooled(); held != 0 || s.keeper.Live() != 0 {
@@ -148,12 +148,12 @@
 	s.Order(fleet.Order{Kind: fleet.Pictured, Picture: &fleet.Picture{Index: 7}})
 	later := s.of(c, "linz", 3, "pages", "1")
 	s.Until(3900 * time.Millisecond)
-	asks := []*caller.Answer{s.purge(c, "patience", "1000", "team", "linz"), s.purge(c, "patience", "9000", "id", "p1", "team", "linz")}
+	asks := []*client.Answer{s.purge(c, "patience", "1000", "team", "linz"), s.purge(c, "patience", "9000", "id", "p1", "team", "linz")}
 	s.Until(4100 * time.Millisecond) // the lease of bound teams is over
-	barred, cached := &caller.Answer{}, s.of(c, "linz", 3)
-	c.Page(a.Paging["token"], 1, func(ans caller.Answer) { *barred = ans }, "team", "linz")
+	barred, cached := &client.Answer{}, s.of(c, "linz", 3)
+	c.Page(a.Paging["token"], 1, func(ans client.Answer) { *barred = ans }, "team", "linz")
 	s.Until(4200 * time.Millisecond)
-	if barred.Kind != caller.Deferred || cached.Answered && cached.Answer == caller.Finished && bytes.Equal(cached.Rows, whole.Rows) {
+	if barred.Kind != client.Deferred || cached.Answered && cached.Answer == client.Finished && bytes.Equal(cached.Rows, whole.Rows) {
 		t.Fatalf("served without a lease: %+v", barred)
 	}
 	s.Reports = slices.DeleteFunc(s.Reports, func(p fleet.Report) bool { return p.Kind == fleet.Sites || p.Kind == fleet.Opened })
@@ -188,11 +188,11 @@
 	}
 	silent := s.purge(c, "patience", "300", "team", "linz") // the fleet says nothing
 	s.Order(fleet.Order{Kind: fleet.Renewed, Until: fleet.Forever, UntilBound: fleet.Forever})
-	gone, stays := &caller.Answer{}, &caller.Answer{}
-	c.Page(a.Paging["token"], 1, func(ans caller.Answer) { *gone = ans }, "team", "linz")
-	c.Page(later.Paging["token"], 1, func(ans caller.Answer) { *stays = ans }, "team", "linz")
+	gone, stays := &client.Answer{}, &client.Answer{}
+	c.Page(a.Paging["token"], 1, func(ans client.Answer) { *gone = ans }, "team", "linz")
+	c.Page(later.Paging["token"], 1, func(ans client.Answer) { *stays = ans }, "team", "linz")
 	s.Until(6 * time.Second)
-	if gone.Kind != caller.Killed || stays.Kind != caller.Finished {
+	if gone.Kind != client.Killed || stays.Kind != client.Finished {
 		t.Errorf("what was asked for before: %+v, after: %+v", gone, stays)
 	}
 	if silent.About["state"] != "not yet" {
@@ -208,14 +208,14 @@
 	s.Order(fleet.Order{Kind: fleet.Renewed, Until: fleet.Forever, UntilBound: fleet.Forever})
 	a := s.of(c, "linz", 3, "pages", "1")
 	s.Until(3 * time.Second)
-	for i, want := range []caller.Kind{caller.Finished, caller.Killed, caller.Finished} {
+	for i, want := range []client.Kind{client.Finished, client.Killed, client.Finished} {
 		var rules []residency.Rule
 		if i == 1 { // this controller stands nowhere
 			rules = []residency.Rule{{Name: "inside", Team: "linz", Tables: []int64{3}, Engines: []string{"here"}, Controllers: []string{"here"}, Keep: []string{"here"}}}
 		}
-		s.Order(fleet.Order{Kind: fleet.Open, Version: uint64(i + 2), Policy: &relay.Policy{Version: uint64(i + 2), Rules: rules}})
-		got := caller.Kind(-1)
-		c.Page(a.Paging["token"], 1, func(ans caller.Answer) { got = ans.Kind }, "team", "linz")
+		s.Order(fleet.Order{Kind: fleet.Open, Version: uint64(i + 2), Policy: &controller.Policy{Version: uint64(i + 2), Rules: rules}})
+		got := client.Kind(-1)
+		c.Page(a.Paging["token"], 1, func(ans client.Answer) { got = ans.Kind }, "team", "linz")
 		s.Until(s.Now + time.Second)
 		if got != want {
 			t.Errorf("by rules %v: %v", rules, got)
@@ -235,7 +235,7 @@
 		}
 		s.Until(s.Now + 2*time.Second)
 		for _, a := range l {
-			if !a.Answered || a.Answer != caller.Finished || !bytes.Equal(a.Rows, l[0].Rows) {
+			if !a.Answered || a.Answer != client.Finished || !bytes.Equal(a.Rows, l[0].Rows) {
 				t.Fatalf("of %d one has %v %v", n, a.Answered, a.Answer)
 			}
 		}
@@ -254,7 +254,7 @@
 	s.serial++
 	load := c.Ask(fmt.Sprintf("%016x", s.serial), "load", "k", 12*time.Second, engine.Work{Threads: 1, CPU: 10 * time.Millisecond, Rows: 1, Tables: 3, Load: true}, "team", "steyr")
 	s.Until(s.Now + 2*time.Second)
-	if n := runs(); load.Answer != caller.Finished || n != 3 {
+	if n := runs(); load.Answer != client.Finished || n != 3 {
 		t.Fatal("no load: ", load.Answer, n)
 	}
 	if after := group(2, "linz", 3); runs() != 4 || bytes.Equal(after[0].Rows, first[0].Rows) {
@@ -269,7 +269,7 @@
 	s.Until(s.Now + 50*time.Millisecond)
 	c.Leave(l[0])
 	s.Until(s.Now + 2*time.Second)
-	if l[1].Answer != caller.Finished || !bytes.Equal(l[1].Rows, world.Rows(l[1])) || !bytes.Equal(l[2].Rows, l[1].Rows) {
+	if l[1].Answer != client.Finished || !bytes.Equal(l[1].Rows, world.Rows(l[1])) || !bytes.Equal(l[2].Rows, l[1].Rows) {
 		t.Fatal("nobody leads once the first has left")
 	}
 	if line := s.R.Answers().Text(); !strings.Contains(line, "hits 5 followed 22") {
--- a/internal/relay/query.go
+++ b/internal/controller/query.go
@@ -1,18 +1,18 @@
-package relay
+package controller
 
 import (
 	"slices"
 	"strconv"
 	"time"
 
-	"railrelay.dev/railrelay/decide"
-	"railrelay.dev/railrelay/internal/clients"
-	"railrelay.dev/railrelay/internal/due"
-	"railrelay.dev/railrelay/internal/engines"
-	"railrelay.dev/railrelay/internal/fair"
-	"railrelay.dev/railrelay/internal/must"
+	"railrelay.dev/railrelay/internal/enginehttp"
+	"railrelay.dev/railrelay/internal/fairqueue"
+	"railrelay.dev/railrelay/internal/invariant"
+	"railrelay.dev/railrelay/internal/msgpackrpc"
+	"railrelay.dev/railrelay/internal/scheduler"
+	"railrelay.dev/railrelay/internal/settings"
 	"railrelay.dev/railrelay/internal/spool"
-	"railrelay.dev/railrelay/internal/terms"
+	"railrelay.dev/railrelay/internal/timerqueue"
 )
 
 // asker is whoever a query belongs to: a call on a connection, or what stands
@@ -21,7 +21,7 @@
 type asker interface {
 	finished(pages [][]byte)
 	// paged: finished, with the first page of a result that is kept.
-	paged(first []byte, rest clients.Paging)
+	paged(first []byte, rest msgpackrpc.Paging)
 	deferred(comeBack time.Duration)
 	killed(why string)
 	// told: it should start after so long. Only those that asked are told.
@@ -29,7 +29,7 @@
 	// closed: no answer is owed any more, or it follows in the same breath.
 	closed()
 	// from is the connection it came by, whose end ends it; nil: none.
-	from() *Link
+	from() *Connection
 }
 
 // query is one thing taken, until it is answered and nothing of it is out.
@@ -51,9 +51,9 @@
 	memo              *memo         // where answers are cached
 
 	// where teams wait for their turn, and only there
-	turn           *fair.Waiter
-	latest         *due.Item // or while it is held
-	came           fair.End
+	turn           *fairqueue.Waiter
+	latest         *timerqueue.Item // or while it is held
+	came           fairqueue.End
 	tables, number int64
 	customer       int // its place in the settings, -1: none
 	work           time.Duration
@@ -82,8 +82,8 @@
 const tooMuch = "too much is in hand"
 
 // unfit says why a call can't be taken, "" if it can.
-func (r *Relay) unfit(name, id string, patience time.Duration, keyed bool, size int, from From) string {
-	g := r.groups[terms.Plain(name)]
+func (r *Controller) unfit(name, id string, patience time.Duration, keyed bool, size int, from From) string {
+	g := r.groups[settings.Plain(name)]
 	switch {
 	case g == nil:
 		return "no such method"
@@ -91,7 +91,7 @@
 		return "no such patience"
 	case g.inOrder && !keyed:
 		return "no entity"
-	case g.tokened && !engines.Sendable(from.Fields.Get(r.Words.Token)):
+	case g.tokened && !enginehttp.Sendable(from.Fields.Get(r.Words.Token)):
 		return "no such token"
 	case r.queries[id] != nil:
 		return "this trace is in hand"
@@ -103,11 +103,11 @@
 
 // take is the one way in, whichever front a query came by. It copies what it
 // keeps; why tells what is wrong with a call that isn't taken.
-func (r *Relay) take(a asker, name, id string, patience time.Duration, k []byte, keyed bool, statement []byte, from From) (q *query, why string) {
+func (r *Controller) take(a asker, name, id string, patience time.Duration, k []byte, keyed bool, statement []byte, from From) (q *query, why string) {
 	if why = r.unfit(name, id, patience, keyed, len(statement), from); why != "" {
 		return nil, why
 	}
-	g := r.groups[terms.Plain(name)]
+	g := r.groups[settings.Plain(name)]
 	r.inHand += len(statement)
 	q = &query{id: id, method: name, asker: a, group: g, statement: append([]byte{}, statement...),
 		takenAt: r.now, deadline: r.now + patience, priority: -1}
@@ -140,16 +140,16 @@
 }
 
 // customer is the place of the one that a call names among the settings', -1: none.
-func (r *Relay) customer(from From) int {
-	return slices.Index(r.customers, terms.Plain(string(from.Fields.Get(r.Words.Whose))))
+func (r *Controller) customer(from From) int {
+	return slices.Index(r.customers, settings.Plain(string(from.Fields.Get(r.Words.Whose))))
 }
 
 // enter hands a query on to its turn or to the decisions.
-func (r *Relay) enter(q *query, from From, number int64) {
+func (r *Controller) enter(q *query, from From, number int64) {
 	if q.answered {
 		return
 	}
-	q.tables, q.number = clients.Tables(q.statement), number
+	q.tables, q.number = msgpackrpc.Tables(q.statement), number
 	if r.warrant != nil && !r.closing && !r.warrant.enters(q, from) {
 		return
 	}
@@ -169,10 +169,10 @@
 }
 
 // keeps: its result or answer may be kept here.
-func (r *Relay) keeps(q *query) bool { return r.warrant == nil || r.warrant.placing.keeps(q) }
+func (r *Controller) keeps(q *query) bool { return r.warrant == nil || r.warrant.placing.keeps(q) }
 
 // begin hands a query on to the decisions.
-func (r *Relay) begin(q *query) {
+func (r *Controller) begin(q *query) {
 	if r.warrant != nil {
 		r.warrant.placing.begins(q)
 		return
@@ -189,23 +189,23 @@
 }
 
 // left: its asker wants no answer any more.
-func (r *Relay) left(q *query) {
+func (r *Controller) left(q *query) {
 	r.tally.left++
 	r.soon(func() { r.gate.ClientLeft(r.now, q.id) }) // before the end of what was not sent, or it counts as answered
-	r.close(q, fair.Left)
+	r.close(q, fairqueue.Left)
 }
 
-var endNames = [...]string{fair.Finished: "finished", fair.Deferred: "deferred", fair.Killed: "killed", fair.Left: "left"}
+var endNames = [...]string{fairqueue.Finished: "finished", fairqueue.Deferred: "deferred", fairqueue.Killed: "killed", fairqueue.Left: "left"}
 
 // close marks the query answered, or no answer owed.
-func (r *Relay) close(q *query, end fair.End) bool {
-	if !must.Hold(!q.answered, "one final answer a query") {
+func (r *Controller) close(q *query, end fairqueue.End) bool {
+	if !invariant.Hold(!q.answered, "one final answer a query") {
 		return false
 	}
 	q.answered = true
 	for _, s := range q.subs {
 		if s.permit.Revoke(); !s.sent { // where nothing may be cancelled, too: its key's next would wait for a dial
-			r.withdraw(s, decide.NeverSent)
+			r.withdraw(s, scheduler.NeverSent)
 		}
 	}
 	if r.Trace {
@@ -225,12 +225,12 @@
 	return true
 }
 
-func (r *Relay) finished(q *query, pages [][]byte) {
+func (r *Controller) finished(q *query, pages [][]byte) {
 	var others []*query
 	if r.caching != nil && !q.answered {
 		others = r.caching.done(q, pages)
 	}
-	if r.close(q, fair.Finished) {
+	if r.close(q, fairqueue.Finished) {
 		r.tally.finished++
 		q.asker.finished(pages)
 	}
@@ -239,22 +239,22 @@
 	}
 }
 
-func (r *Relay) deferred(q *query, comeBack time.Duration) {
-	if !q.answered && r.close(q, fair.Deferred) {
+func (r *Controller) deferred(q *query, comeBack time.Duration) {
+	if !q.answered && r.close(q, fairqueue.Deferred) {
 		r.tally.deferred++
 		q.asker.deferred(comeBack)
 	}
 }
 
-func (r *Relay) killed(q *query, why string) {
-	if !q.answered && r.close(q, fair.Killed) {
+func (r *Controller) killed(q *query, why string) {
+	if !q.answered && r.close(q, fairqueue.Killed) {
 		r.tally.killed++
 		q.asker.killed(why)
 	}
 }
 
 // drop forgets a query once it is answered and nothing of it is out.
-func (r *Relay) drop(q *query) {
+func (r *Controller) drop(q *query) {
 	if !q.answered {
 		return
 	}
--- a/internal/relay/relay.go
+++ b/internal/controller/relay.go
@@ -1,9 +1,9 @@
-// Package relay is the reducer: it owns the decisions and all state of a
+// Package controller is the reducer: it owns the decisions and all state of a
 // controller, takes one event at a time and asks for effects. It does no I/O
 // and reads no clock, so that it can be driven without either. It picks no
 // engine, resends, defers and retries nothing by itself: what it can't do it
 // tells the decisions as an outcome.
-package relay
+package controller
 
 import (
 	"fmt"
@@ -13,86 +13,86 @@
 	"strings"
 	"time"
 
-	"railrelay.dev/railrelay/decide"
-	"railrelay.dev/railrelay/internal/answers"
-	"railrelay.dev/railrelay/internal/conn"
-	"railrelay.dev/railrelay/internal/due"
-	"railrelay.dev/railrelay/internal/fair"
+	"railrelay.dev/railrelay/internal/bytebuf"
+	"railrelay.dev/railrelay/internal/discovery"
+	"railrelay.dev/railrelay/internal/fairqueue"
 	"railrelay.dev/railrelay/internal/fleet"
-	"railrelay.dev/railrelay/internal/list"
-	"railrelay.dev/railrelay/internal/must"
+	"railrelay.dev/railrelay/internal/invariant"
+	"railrelay.dev/railrelay/internal/resultcache"
+	"railrelay.dev/railrelay/internal/scheduler"
+	"railrelay.dev/railrelay/internal/settings"
 	"railrelay.dev/railrelay/internal/spool"
-	"railrelay.dev/railrelay/internal/terms"
+	"railrelay.dev/railrelay/internal/timerqueue"
 )
 
-// Kind is what an Event tells.
-type Kind int
+// EventKind is what an Event tells.
+type EventKind int
 
 const (
-	Accepted   Kind = iota // Link came from a client
-	Up                     // Link, dialled, is there
-	Refused                // Link, dialled, was refused
-	Unanswered             // Link, dialled, did not come up in time
-	Got                    // N bytes more are in Link's buffer
-	Wrote                  // N bytes of what was to be written are out
-	Ended                  // Link is gone, and with it its descriptor
-	Woken                  // the time asked for has come
-	Stop                   // end once what was taken is answered
-	Tell                   // say the counters
-	Reload                 // Feed is where the list comes from now
-	Stored                 // Work is done
-	Ordered                // Order by the fleet
-	Untold                 // Report found no room: it is to be told again
-	Barred                 // what was guarded on Link wasn't written: it may not be any more. Its end follows
+	ClientAccepted        EventKind = iota // Link came from a client
+	Connected                              // Link, dialled, is there
+	ConnectRefused                         // Link, dialled, was refused
+	ConnectTimedOut                        // Link, dialled, did not come up in time
+	BytesReceived                          // N bytes more are in Link's buffer
+	BytesWritten                           // N bytes of what was to be written are out
+	ConnectionClosed                       // Link is gone, and with it its descriptor
+	TimerFired                             // the time asked for has come
+	ShutdownRequested                      // end once what was taken is answered
+	CountersRequested                      // say the counters
+	ConfigurationReloaded                  // Feed is where the list comes from now
+	SpoolWorkDone                          // Work is done
+	FleetOrdered                           // Order by the fleet
+	FleetReportRejected                    // Report found no room: it is to be told again
+	WriteBarred                            // what was guarded on Link wasn't written: it may not be any more. Its end follows
 )
 
 // Event is one thing that happened.
 type Event struct {
-	Kind Kind
-	Link *Link
-	N    int
-	Last bool // with Got: its end came right behind, nothing more follows
+	Kind       EventKind
+	Connection *Connection
+	N          int
+	Last       bool // with Got: its end came right behind, nothing more follows
 	// We stood still, and this came meanwhile: what is due waits until all of it was heard, as a
 	// Woken then says. An answer that lies here unread is not late.
 	Early bool
 	Feed  string
-	Fair  *fair.Shape // with Reload: the teams, nil to leave them as they are
+	Fair  *fairqueue.Shape // with Reload: the teams, nil to leave them as they are
 	Work  *spool.Work
 
 	Order  *fleet.Order
 	Report *fleet.Report // with Untold
 }
 
-// Verb is what an Effect asks for.
-type Verb int
+// EffectKind is what an Effect asks for.
+type EffectKind int
 
 const (
-	Dial   Verb = iota // Link to Address, up Within a time
-	Write              // Bytes, after all that was asked to be written before
-	Close              // Link, once what was asked to be written is out if Gently, or Within a time; with Abort what is not there yet never arrives
-	Wake               // a Woken Within a time; only the last one asked for
-	Say                // Text, Loud if it is to be seen without being asked for, Fine if only by those who trace
-	Count              // Text, the counters, with what N queries cost
-	Quit               // the program is done
-	Store              // Work, on the spool's disk
-	Report             // Report, to the fleet; an Untold if there is no room
+	Dial            EffectKind = iota // Link to Address, up Within a time
+	Write                             // Bytes, after all that was asked to be written before
+	Close                             // Link, once what was asked to be written is out if Gently, or Within a time; with Abort what is not there yet never arrives
+	SetTimer                          // a Woken Within a time; only the last one asked for
+	LogMessage                        // Text, Loud if it is to be seen without being asked for, Fine if only by those who trace
+	LogCounters                       // Text, the counters, with what N queries cost
+	Exit                              // the program is done
+	SubmitSpoolWork                   // Work, on the spool's disk
+	ReportToFleet                     // Report, to the fleet; an Untold if there is no room
 )
 
 // Effect is one thing to be done.
 type Effect struct {
-	Verb    Verb
-	Link    *Link
-	Address string
-	Within  time.Duration
-	Bytes   []byte
-	Gently  bool
-	Abort   bool
-	Loud    bool
-	Fine    bool
-	Text    string
-	About   About // with Say
-	N       int
-	Work    *spool.Work
+	Kind       EffectKind
+	Connection *Connection
+	Address    string
+	Within     time.Duration
+	Bytes      []byte
+	Gently     bool
+	Abort      bool
+	Loud       bool
+	Fine       bool
+	Text       string
+	About      LogFields // with Say
+	N          int
+	Work       *spool.Work
 	// with Write: the version these bytes were decided by, 0: none. They go out only
 	// while the fleet's word is that version, by the lease of bound teams if Bound.
 	Guard uint64
@@ -100,22 +100,22 @@
 	Kept  bool // with Write: what is kept of a team, which goes out only while the lease of bound teams holds
 	// with Write of what starts a query: Permit is asked right before the first byte, and
 	// what came from For, its client's connection, and was not stepped yet goes before it
-	Permit *Permit
-	For    *Link
+	Permit *WritePermit
+	For    *Connection
 	Report *fleet.Report
 }
 
-// About is what a line of the log is about; the log has each under its own name,
+// LogFields is what a line of the log is about; the log has each under its own name,
 // the same everywhere.
-type About struct {
+type LogFields struct {
 	Query, Group, Team, Engine string
 	Try                        int // from 1, 0: none
 }
 
-// Link is one connection, up or being dialled. What it is for stands in its
+// Connection is one connection, up or being dialled. What it is for stands in its
 // closures: each is handed the events that concern it.
-type Link struct {
-	In   conn.Buffer
+type Connection struct {
+	In   bytebuf.Buffer
 	From netip.Addr // of a client
 
 	up      func()
@@ -128,41 +128,41 @@
 	held    int // memory of its buffer, as last looked at
 }
 
-// Means are the limits and facts that the program starts with.
-type Means struct {
+// Config are the limits and facts that the program starts with.
+type Config struct {
 	Seed     uint64
 	MemoryMB float64
 	Sockets  int
 	Feed     string
 	Known    []byte
 	Facts    map[string]string
-	Fair     *fair.Shape // teams, nil: there are none and whoever comes first goes first
-	Words    Words
-	Spool    *Spool          // nil: results are answered whole
-	Answers  *answers.Limits // nil: every query goes to an engine
-	Draw     func() uint64   // a number that no other controller draws, for the names of purges; nil: the start's time
-	Fleet    *Fleet          // nil: it has no peers
-	Manners  []Manners       // of clients, by address; whoever is in no set has the platform's
-	Started  time.Time       // what the list's clock times are told against
-	Trace    bool            // say every call of every query: who reads it follows one id through what became of it
+	Fair     *fairqueue.Shape // teams, nil: there are none and whoever comes first goes first
+	Words    FieldNames
+	Spool    *SpoolConfig        // nil: results are answered whole
+	Answers  *resultcache.Limits // nil: every query goes to an engine
+	Draw     func() uint64       // a number that no other controller draws, for the names of purges; nil: the start's time
+	Fleet    *FleetConfig        // nil: it has no peers
+	Manners  []ClientLimits      // of clients, by address; whoever is in no set has the platform's
+	Started  time.Time           // what the list's clock times are told against
+	Trace    bool                // say every call of every query: who reads it follows one id through what became of it
 }
 
 // spare: a third of the descriptors is for clients; of the rest some is kept
 // back for the listener, the feed, the runtime and connections on their way out.
-func (m Means) spare() int { return 16 + m.Sockets/32 }
+func (m Config) spare() int { return 16 + m.Sockets/32 }
 
 // ClientsMost is how many connections of clients there may be with those that
 // are on their way out.
-func (m Means) ClientsMost() int { return max(1, m.Sockets/3) + m.spare()/2 }
+func (m Config) ClientsMost() int { return max(1, m.Sockets/3) + m.spare()/2 }
 
-// Relay is one controller.
-type Relay struct {
-	Means
-	gate  *decide.Gateway
+// Controller is one controller.
+type Controller struct {
+	Config
+	gate  *scheduler.Scheduler
 	now   time.Duration
 	out   []Effect
 	later []func() // for the decisions, which must not be called while they act
-	due   due.Times
+	due   timerqueue.Times
 	woken time.Duration // when the next Woken is due, -1 if none
 	tally tally
 
@@ -206,8 +206,8 @@
 }
 
 // New makes a controller and what it does first.
-func New(means Means) (*Relay, []Effect) {
-	r := &Relay{Means: means, woken: -1, hand: hand{queries: map[string]*query{}},
+func New(means Config) (*Controller, []Effect) {
+	r := &Controller{Config: means, woken: -1, hand: hand{queries: map[string]*query{}},
 		engines: map[string]*engine{}, atAddress: map[string]*engine{}, groups: map[string]*group{}}
 	f := means.Facts
 	r.connectWithin, r.lineIdle = r.span("connect.timeout"), r.span("idle.most")
@@ -230,13 +230,13 @@
 		g := &group{index: i, name: f[at+"name"], inOrder: f[at+"in-order"] == "true", load: item(f["loads"], i) == "true",
 			readOnly: f[at+"effect"] == "read-only", tokened: f[at+"effect"] == "tokened"}
 		g.read(r)
-		r.groups[terms.Plain(g.name)] = g
+		r.groups[settings.Plain(g.name)] = g
 		r.longest = max(r.longest, g.timeout)
 	}
 	r.named()
-	r.gate = decide.New(r, means.Seed, f)
+	r.gate = scheduler.New(r, means.Seed, f)
 	if len(means.Known) > 0 {
-		if err := list.Known(means.Known, r); err != nil {
+		if err := discovery.Known(means.Known, r); err != nil {
 			r.say(true, "the known list can't be read: "+err.Error())
 		}
 	}
@@ -272,18 +272,18 @@
 }
 
 // read takes from the settings what of a group may change while it runs.
-func (g *group) read(r *Relay) {
+func (g *group) read(r *Controller) {
 	at := "group." + strconv.Itoa(g.index) + "."
 	g.timeout, g.target = r.span(at+"timeout"), r.span(at+"target")
 	g.threads, g.value = max(1, number(item(r.Facts["threads"], g.index))), number(r.Facts[at+"value"])
 }
 
 // named takes the customers from the settings.
-func (r *Relay) named() {
+func (r *Controller) named() {
 	r.customers = nil
 	n, _ := strconv.Atoi(r.Facts["teams"])
 	for i := range n {
-		r.customers = append(r.customers, terms.Plain(r.Facts["team."+strconv.Itoa(i)+".name"]))
+		r.customers = append(r.customers, settings.Plain(r.Facts["team."+strconv.Itoa(i)+".name"]))
 	}
 }
 
@@ -299,39 +299,39 @@
 	return x
 }
 
-func (r *Relay) span(name string) time.Duration {
+func (r *Controller) span(name string) time.Duration {
 	ms, _ := strconv.ParseFloat(r.Facts[name], 64)
 	return time.Duration(ms * float64(time.Millisecond))
 }
 
 // Step takes an event and gives the effects it leads to, valid until the next.
-func (r *Relay) Step(now time.Duration, ev Event) []Effect {
+func (r *Controller) Step(now time.Duration, ev Event) []Effect {
 	r.step(now, ev)
 	return r.out
 }
 
-func (r *Relay) step(now time.Duration, ev Event) {
+func (r *Controller) step(now time.Duration, ev Event) {
 	r.now = max(now, r.now)
 	clear(r.out)
 	r.out = r.out[:0]
-	l := ev.Link
-	if !must.Debug {
+	l := ev.Connection
+	if !invariant.Debug {
 		defer r.caught(l)
 	}
 	if r.warrant != nil {
 		r.warrant.look()
 	}
 	switch ev.Kind {
-	case Accepted:
+	case ClientAccepted:
 		r.accept(l)
-	case Up:
+	case Connected:
 		if !l.closed {
 			l.up()
 		}
-	case Refused, Unanswered:
+	case ConnectRefused, ConnectTimedOut:
 		l.closed = true
-		l.failed(ev.Kind == Refused)
-	case Got:
+		l.failed(ev.Kind == ConnectRefused)
+	case BytesReceived:
 		if !l.closed {
 			l.In.Took(ev.N)
 			l.got()
@@ -343,31 +343,31 @@
 				r.relieve()
 			}
 		}
-	case Wrote:
+	case BytesWritten:
 		r.wrote(l, ev.N)
-	case Ended:
+	case ConnectionClosed:
 		l.closed = true
 		l.ended()
 		l.pending = 0
 		r.holds(l, 0)
-	case Woken:
+	case TimerFired:
 		r.woken = -1
-	case Stop:
+	case ShutdownRequested:
 		r.stop()
-	case Tell:
+	case CountersRequested:
 		r.count()
-	case Stored:
+	case SpoolWorkDone:
 		r.paging.did(ev.Work)
-	case Ordered:
+	case FleetOrdered:
 		r.warrant.ordered(ev.Order)
-	case Untold:
+	case FleetReportRejected:
 		r.warrant.noRoom(ev.Report)
-	case Barred:
+	case WriteBarred:
 		r.tally.barred++
 		if r.warrant != nil {
 			r.warrant.refusedWrites++
 		}
-	case Reload:
+	case ConfigurationReloaded:
 		r.refeed(ev.Feed)
 		if r.fair != nil && ev.Fair != nil && r.warrant == nil { // where there are peers teams are the fleet's to change
 			r.fair.reload(ev.Fair)
@@ -378,22 +378,22 @@
 
 // caught: a fault of ours costs the connection that it came by, not all that is
 // served on the others.
-func (r *Relay) caught(l *Link) {
+func (r *Controller) caught(l *Connection) {
 	if fault := recover(); fault != nil {
-		must.Hold(false, "no step fails")
+		invariant.Hold(false, "no step fails")
 		r.say(true, fmt.Sprintf("a fault: %v at %s", fault, debug.Stack()))
 		if l != nil {
 			r.shut(l, false)
 		}
 		if r.woken < 0 { // the next step settles what this one could not
 			r.woken = r.now + time.Millisecond
-			r.do(Effect{Verb: Wake, Within: time.Millisecond})
+			r.do(Effect{Kind: SetTimer, Within: time.Millisecond})
 		}
 	}
 }
 
 // settle does what is due and tells the decisions what waits to be told; early, only the latter.
-func (r *Relay) settle(early bool) {
+func (r *Controller) settle(early bool) {
 	for {
 		if len(r.later) > 0 {
 			do := r.later[0]
@@ -411,88 +411,92 @@
 	}
 	if at, ok := r.due.First(); ok && (r.woken < 0 || at < r.woken) {
 		r.woken = at
-		r.do(Effect{Verb: Wake, Within: max(0, at-r.now)})
+		r.do(Effect{Kind: SetTimer, Within: max(0, at-r.now)})
 	}
-	if must.Debug {
+	if invariant.Debug {
 		for id, e := range r.engines {
-			out, known := r.gate.Out(id)
-			must.Hold(!known || out == e.untold, "decisions know what is out")
+			out, known := r.gate.InFlight(id)
+			invariant.Hold(!known || out == e.untold, "decisions know what is out")
 		}
 	}
-	must.Hold(r.pool.links >= 0 && r.pool.links <= r.pool.most, "engine links within their part")
+	invariant.Hold(r.pool.links >= 0 && r.pool.links <= r.pool.most, "engine links within their part")
 }
 
-func (r *Relay) overdue(early bool) (func(), bool) {
+func (r *Controller) overdue(early bool) (func(), bool) {
 	if early {
 		return nil, false
 	}
 	return r.due.Next(r.now)
 }
 
-func (r *Relay) do(e Effect)                         { r.out = append(r.out, e) }
-func (r *Relay) at(when time.Duration, what func())  { r.due.Add(when, what) }
-func (r *Relay) after(span time.Duration, do func()) { r.due.Add(r.now+span, do) }
-func (r *Relay) say(loud bool, text string)          { r.do(Effect{Verb: Say, Loud: loud, Text: text}) }
-func (r *Relay) sayOf(about About, text string) {
-	r.do(Effect{Verb: Say, Text: text, About: about})
+func (r *Controller) do(e Effect)                         { r.out = append(r.out, e) }
+func (r *Controller) at(when time.Duration, what func())  { r.due.Add(when, what) }
+func (r *Controller) after(span time.Duration, do func()) { r.due.Add(r.now+span, do) }
+func (r *Controller) say(loud bool, text string) {
+	r.do(Effect{Kind: LogMessage, Loud: loud, Text: text})
+}
+func (r *Controller) sayOf(about LogFields, text string) {
+	r.do(Effect{Kind: LogMessage, Text: text, About: about})
 }
 
 // trace says what becomes of a query, step by step. Callers ask for Trace first, so
 // that nothing is made on every call for a log that nobody reads.
-func (r *Relay) trace(about About, what string, more ...any) {
-	r.do(Effect{Verb: Say, Fine: true, About: about, Text: fmt.Sprintf(what, more...)})
+func (r *Controller) trace(about LogFields, what string, more ...any) {
+	r.do(Effect{Kind: LogMessage, Fine: true, About: about, Text: fmt.Sprintf(what, more...)})
 }
 
-func (q *query) about() About { return About{Query: q.id, Group: q.group.name} }
+func (q *query) about() LogFields { return LogFields{Query: q.id, Group: q.group.name} }
 
-func (s *submission) about() About {
+func (s *submission) about() LogFields {
 	a := s.q.about()
 	a.Engine, a.Try = s.e.id, s.try+1
 	return a
 }
 
-func (r *Relay) count()           { r.do(Effect{Verb: Count, Text: r.tally.text(r), N: r.tally.taken}) }
-func (r *Relay) soon(what func()) { r.later = append(r.later, what) }
+func (r *Controller) count() {
+	r.do(Effect{Kind: LogCounters, Text: r.tally.text(r), N: r.tally.taken})
+}
+func (r *Controller) soon(what func()) { r.later = append(r.later, what) }
 
-func (r *Relay) write(l *Link, p []byte) { r.writeBy(l, p, nil) }
+func (r *Controller) write(l *Connection, p []byte) { r.writeBy(l, p, nil) }
 
 // writeBy writes what starts a submission, which goes out only while the fleet's word is the
 // version it was decided by, and by its permit; nil: anything else.
-func (r *Relay) writeBy(l *Link, p []byte, s *submission) {
+func (r *Controller) writeBy(l *Connection, p []byte, s *submission) {
 	if l.closed || len(p) == 0 {
 		return
 	}
 	l.pending += len(p)
-	e := Effect{Verb: Write, Link: l, Bytes: p, Kept: r.serves}
+	e := Effect{Kind: Write, Connection: l, Bytes: p, Kept: r.serves}
 	if s != nil {
 		e.Guard, e.Bound, e.Permit, e.For = s.version, s.q.bound, s.permit, s.q.asker.from()
 	}
 	r.do(e)
 }
 
-func (r *Relay) holds(l *Link, bytes int) {
+func (r *Controller) holds(l *Connection, bytes int) {
 	r.buffered += bytes - l.held
 	l.held = bytes
 }
 
-func (r *Relay) wrote(l *Link, n int) { l.pending = max(0, l.pending-n) }
+func (r *Controller) wrote(l *Connection, n int) { l.pending = max(0, l.pending-n) }
 
 // shut closes a link for good; its Ended comes when its descriptor is free.
-func (r *Relay) shut(l *Link, gently bool) { r.shutWithin(l, gently, wholeMost) }
+func (r *Controller) shut(l *Connection, gently bool) { r.shutWithin(l, gently, wholeMost) }
 
 // shutWithin closes a link; gently, its peer has so long to take what was written and to
 // close its own side: a close over bytes that nobody read would reset what it has not taken.
-func (r *Relay) shutWithin(l *Link, gently bool, within time.Duration) {
+func (r *Controller) shutWithin(l *Connection, gently bool, within time.Duration) {
 	if !l.closed {
 		l.closed = true
-		r.do(Effect{Verb: Close, Link: l, Gently: gently, Within: within})
+		r.do(Effect{Kind: Close, Connection: l, Gently: gently, Within: within})
 	}
 }
 
 const sweepEvery = 250 * time.Millisecond
 
 // sweep is the one periodic timer.
-func (r *Relay) sweep() {
+func (r *Controller) sweep() {
 	r.after(sweepEvery, r.sweep)
 	r.sweepLines()
 	r.sweepEngines()
@@ -500,7 +504,7 @@
 	r.keys.sweep(r.now - max(r.keyRest, min(r.longest, keyHeld)))
 }
 
-func (r *Relay) stop() {
+func (r *Controller) stop() {
 	if !r.stopping {
 		r.stopping, r.stopAt = true, r.now
 		r.say(false, "stopping once all is answered")
@@ -524,7 +528,7 @@
 // leave ends the program once it was told to and all that was taken is answered.
 // What still comes after the grace is the decisions' to turn away, or the end
 // might never come; nor does it wait for clients that don't read.
-func (r *Relay) leave() {
+func (r *Controller) leave() {
 	past := r.now - r.stopAt
 	if !r.stopping || past < stopGrace {
 		return
@@ -546,12 +550,12 @@
 	if !busy {
 		r.stopping = false
 		r.count()
-		r.do(Effect{Verb: Quit})
+		r.do(Effect{Kind: Exit})
 	}
 }
 
 // gives: something that was given up is not yet over at its engine, which would work on for nobody.
-func (r *Relay) gives() bool {
+func (r *Controller) gives() bool {
 	for _, e := range r.engines {
 		if len(e.leaving) > 0 {
 			return true
--- a/internal/relay/relay_test.go
+++ b/internal/controller/relay_test.go
@@ -1,4 +1,4 @@
-package relay
+package controller
 
 import (
 	"flag"
@@ -12,7 +12,7 @@
 
 	"pgregory.net/rapid"
 
-	"railrelay.dev/railrelay/internal/must"
+	"railrelay.dev/railrelay/internal/invariant"
 )
 
 func TestMain(m *testing.M) {
@@ -108,7 +108,7 @@
 	s.reply(s.one("POST", a.id), "runs")
 	h := s.one("GET", a.id)
 	s.r.soon(func() { s.r.Cancel(a.id, 0) }) // as the decisions do when they move it
-	s.step(Event{Kind: Woken})
+	s.step(Event{Kind: TimerFired})
 	if len(a.subs) != 1 || len(s.r.queries[a.id].subs) != 2 {
 		t.Fatal("sent again while the first is being given up there")
 	}
@@ -297,7 +297,7 @@
 	s := newStage(t, 0, 256, map[string]string{"group.0.timeout": "5000", "group.1.timeout": "5000", "group.2.timeout": "5000"})
 	s.until(s.now + 10*time.Millisecond)
 	sizes := func() [6]int {
-		return [6]int{len(s.r.engines), len(s.r.queries), len(s.r.keys.byName), len(s.r.clients), s.r.inHand, s.r.gate.Known()}
+		return [6]int{len(s.r.engines), len(s.r.queries), len(s.r.keys.byName), len(s.r.clients), s.r.inHand, s.r.gate.EntryCount()}
 	}
 	var early [6]int
 	for i := range 1500 { // each engine serves a few, then another takes its place and its address
@@ -340,7 +340,7 @@
 }
 
 func TestAFaultCostsOneConnection(t *testing.T) {
-	if must.Debug {
+	if invariant.Debug {
 		t.Skip("a debug build stops at once")
 	}
 	s := newStage(t, 1, 256, nil)
@@ -361,7 +361,7 @@
 func TestDueTimesLeaveWithWhatTheyAreFor(t *testing.T) {
 	s := newStage(t, 1, 256, nil)
 	s.until(s.now + 10*time.Millisecond)
-	before := s.r.due.Len() + s.r.gate.Known()
+	before := s.r.due.Len() + s.r.gate.EntryCount()
 	c := s.connect()
 	for range 200 { // asked and taken back, each with a long queue timeout
 		a := s.query(c, "lookup", "", 30*time.Second, 1)
@@ -372,7 +372,7 @@
 		}
 	}
 	s.until(s.now + 3*time.Second)
-	if after := s.r.due.Len() + s.r.gate.Known(); after > before+30 {
+	if after := s.r.due.Len() + s.r.gate.EntryCount(); after > before+30 {
 		t.Fatalf("%d, then %d", before, after)
 	}
 }
@@ -471,7 +471,7 @@
 func TestACallTellsItsCustomerAndEstimates(t *testing.T) {
 	s := newStage(t, 1, 64, map[string]string{"teams": "2", "team.0.name": "upper", "team.0.quota": "9", "team.1.name": "lower",
 		"team.1.quota": "9", "over.worth": "0.1"})
-	s.r.Words = Words{Whose: "customer", Work: "weight", Need: "ram"}
+	s.r.Words = FieldNames{Whose: "customer", Work: "weight", Need: "ram"}
 	c := s.connect()
 	for _, x := range []struct {
 		more     []string
@@ -507,7 +507,7 @@
 	}
 	s.now += 3 * time.Second
 	s.heal(m)
-	s.step(Event{Kind: Woken})
+	s.step(Event{Kind: TimerFired})
 	s.until(s.now + time.Second) // posted checks the order
 	if len(first.subs) != 1 || len(next.subs) > 0 {
 		t.Fatalf("the first came %d times, the next %d", len(first.subs), len(next.subs))
--- a/internal/relay/spool.go
+++ b/internal/controller/spool.go
@@ -1,18 +1,18 @@
-package relay
+package controller
 
 import (
 	"bytes"
 	"fmt"
 	"time"
 
-	"railrelay.dev/railrelay/decide"
-	"railrelay.dev/railrelay/internal/clients"
-	"railrelay.dev/railrelay/internal/fair"
+	"railrelay.dev/railrelay/internal/fairqueue"
+	"railrelay.dev/railrelay/internal/msgpackrpc"
+	"railrelay.dev/railrelay/internal/scheduler"
 	"railrelay.dev/railrelay/internal/spool"
 )
 
-// Spool is what the program starts the spool with.
-type Spool struct {
+// SpoolConfig is what the program starts the spool with.
+type SpoolConfig struct {
 	Limits spool.Limits
 	Keys   *spool.Keyring
 	First  uint64 // number for its results
@@ -23,15 +23,15 @@
 // paging keeps results for clients that read them page by page. Without a spool it
 // is nil, and costs nothing.
 type paging struct {
-	*Relay
+	*Controller
 	core   *spool.Core
 	latest uint64 // place in the record of what the disk held
 }
 
-func newPaging(r *Relay, s *Spool) *paging {
-	p := &paging{Relay: r}
+func newPaging(r *Controller, s *SpoolConfig) *paging {
+	p := &paging{Controller: r}
 	p.core = spool.New(s.Limits, s.Keys, r.Started.UnixMilli(), s.First, func(w *spool.Work) {
-		r.do(Effect{Verb: Store, Work: w})
+		r.do(Effect{Kind: SubmitSpoolWork, Work: w})
 	})
 	if s.Restore != nil {
 		if err := s.Restore(func(f *spool.Found) {
@@ -51,7 +51,7 @@
 }
 
 // teamOf is whose a call is, as the spool's limits and tokens have it.
-func (r *Relay) teamOf(from From) string {
+func (r *Controller) teamOf(from From) string {
 	if r.fair == nil {
 		return ""
 	}
@@ -106,7 +106,7 @@
 		if !s.q.answered {
 			p.killed(s.q, err.Error())
 		}
-		s.end(decide.Finished)
+		s.end(scheduler.Finished)
 	case spool.Wait:
 		// its engine keeps it for as long as it is asked for
 		asked := false
@@ -145,7 +145,7 @@
 		if !s.q.answered {
 			p.killed(s.q, "its result may not be kept here any more")
 		}
-		s.end(decide.Finished)
+		s.end(scheduler.Finished)
 		return
 	}
 	p.core.Whole(p.now, s.result, func(err error) {
@@ -159,7 +159,7 @@
 			if !s.q.answered {
 				p.killed(s.q, fmt.Sprintf("the result of %d bytes can't be kept: %v", r.Bytes(), err))
 			}
-			s.end(decide.Finished)
+			s.end(scheduler.Finished)
 		default:
 			s.kept = true
 			token := p.core.Token(r)
@@ -177,12 +177,12 @@
 	case err != nil:
 		p.killed(s.q, "its result can't be read: "+err.Error())
 		p.soon(func() { p.core.Drop(p.now, r) })
-	case p.close(s.q, fair.Finished):
+	case p.close(s.q, fairqueue.Finished):
 		p.tally.finished++
-		s.q.asker.paged(body, clients.Paging{Pages: r.Pages(), Bytes: r.Bytes(), Rows: r.Rows(), Token: token, Lasts: p.core.Kept(r)})
+		s.q.asker.paged(body, msgpackrpc.Paging{Pages: r.Pages(), Bytes: r.Bytes(), Rows: r.Rows(), Token: token, Lasts: p.core.Kept(r)})
 	}
 	if !s.ended {
-		s.end(decide.Finished)
+		s.end(scheduler.Finished)
 	}
 }
 
@@ -213,17 +213,17 @@
 }
 
 // Page is a client's call for a page of a result that was promised.
-func (c *client) Page(msg uint32, token []byte, number int, all clients.Fields) {
+func (c *client) Page(msg uint32, token []byte, number int, all msgpackrpc.Fields) {
 	if c.paging == nil {
 		c.Wrong(msg, "no such method")
 		return
 	}
 	if c.pages >= c.wants.Open {
-		c.answer(clients.Deferred(nil, msg, spoolBusy))
+		c.answer(msgpackrpc.Deferred(nil, msg, spoolBusy))
 		return
 	}
 	if c.purges.barred() {
-		c.answer(clients.Deferred(nil, msg, c.warrant.pause()))
+		c.answer(msgpackrpc.Deferred(nil, msg, c.warrant.pause()))
 		return
 	}
 	c.pages++
@@ -242,13 +242,13 @@
 		switch {
 		case c.link.closed:
 		case c.purges.barred():
-			c.answer(clients.Deferred(nil, msg, c.warrant.pause()))
+			c.answer(msgpackrpc.Deferred(nil, msg, c.warrant.pause()))
 		case err == spool.ErrBusy:
-			c.answer(clients.Deferred(nil, msg, spoolBusy))
+			c.answer(msgpackrpc.Deferred(nil, msg, spoolBusy))
 		case err != nil || outside():
-			c.answer(clients.Killed(nil, msg, spool.ErrNone.Error()))
+			c.answer(msgpackrpc.Killed(nil, msg, spool.ErrNone.Error()))
 		default:
-			c.purges.serving(func() { c.answer(clients.Answer(nil, msg, [][]byte{body})) })
+			c.purges.serving(func() { c.answer(msgpackrpc.Answer(nil, msg, [][]byte{body})) })
 			c.purges.handsOut(c.link, owner)
 		}
 	})
@@ -258,7 +258,7 @@
 
 // Spooled is what the spool holds: results, and bytes in memory and on disk; nothing
 // without one. It is for reports, between two steps.
-func (r *Relay) Spooled() (results int, memory, disk int64) {
+func (r *Controller) Spooled() (results int, memory, disk int64) {
 	if r.paging == nil {
 		return 0, 0, 0
 	}
--- a/internal/relay/spool_test.go
+++ b/internal/controller/spool_test.go
@@ -1,4 +1,4 @@
-package relay_test
+package controller_test
 
 import (
 	"bytes"
@@ -10,15 +10,15 @@
 	"testing"
 	"time"
 
-	"railrelay.dev/railrelay/internal/fair"
-	"railrelay.dev/railrelay/internal/lab"
-	"railrelay.dev/railrelay/internal/relay"
+	"railrelay.dev/railrelay/internal/bench"
+	"railrelay.dev/railrelay/internal/controller"
+	"railrelay.dev/railrelay/internal/emulator/client"
+	"railrelay.dev/railrelay/internal/emulator/disk"
+	"railrelay.dev/railrelay/internal/emulator/engine"
+	"railrelay.dev/railrelay/internal/emulator/world"
+	"railrelay.dev/railrelay/internal/fairqueue"
+	"railrelay.dev/railrelay/internal/resultstore"
 	"railrelay.dev/railrelay/internal/spool"
-	"railrelay.dev/railrelay/internal/standin/caller"
-	"railrelay.dev/railrelay/internal/standin/disk"
-	"railrelay.dev/railrelay/internal/standin/engine"
-	"railrelay.dev/railrelay/internal/standin/world"
-	"railrelay.dev/railrelay/internal/store"
 )
 
 // spooled is a world whose controller keeps results.
@@ -27,7 +27,7 @@
 	t        *testing.T
 	d        *disk.Disk
 	x        *disk.Index
-	keeper   *store.Keeper
+	keeper   *resultstore.Keeper
 	finished map[string]time.Duration // at engines
 	released map[string]time.Duration
 	serial   int
@@ -39,8 +39,8 @@
 	return l
 }
 
-func newSpooled(t *testing.T, d *disk.Disk, x *disk.Index, l spool.Limits, shape *fair.Shape, change ...func(*relay.Means)) *spooled {
-	keeper, err := store.NewKeeper(d, x, store.Terms{SegmentBytes: 256 << 10})
+func newSpooled(t *testing.T, d *disk.Disk, x *disk.Index, l spool.Limits, shape *fairqueue.Shape, change ...func(*controller.Config)) *spooled {
+	keeper, err := resultstore.NewKeeper(d, x, resultstore.Terms{SegmentBytes: 256 << 10})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -63,9 +63,9 @@
 		t.Fatal(err)
 	}
 	figures := engine.Usual()
-	means := relay.Means{MemoryMB: 64, Sockets: 4096, Facts: lab.Facts(lab.Usual(), figures), Fair: shape, Started: time.UnixMilli(0),
-		Words: relay.Words{Team: "team", Pages: "pages"},
-		Spool: &relay.Spool{Limits: l, Keys: keys, First: keeper.First(), Restore: keeper.Restore}}
+	means := controller.Config{MemoryMB: 64, Sockets: 4096, Facts: bench.Facts(bench.Usual(), figures), Fair: shape, Started: time.UnixMilli(0),
+		Words: controller.FieldNames{Team: "team", Pages: "pages"},
+		Spool: &controller.SpoolConfig{Limits: l, Keys: keys, First: keeper.First(), Restore: keeper.Restore}}
 	for _, do := range change {
 		do(&means)
 	}
@@ -99,7 +99,7 @@
 		engine.Work{Threads: 1, CPU: 20 * time.Millisecond, MemoryMB: 10, Rows: rows}, append(more, "pages", "1")...)
 }
 
-func (s *spooled) client() *world.Client { return s.Connect("c", lab.Home) }
+func (s *spooled) client() *world.Client { return s.Connect("c", bench.Home) }
 
 func pagesOf(a *world.Asked) int {
 	n, _ := strconv.Atoi(a.Paging["pages"])
@@ -115,9 +115,9 @@
 	left := 0
 	for _, i := range order {
 		left++
-		c.Page(a.Paging["token"], i, func(ans caller.Answer) {
+		c.Page(a.Paging["token"], i, func(ans client.Answer) {
 			left--
-			if ans.Kind != caller.Finished {
+			if ans.Kind != client.Finished {
 				s.t.Errorf("page %d of %d: %v %s", i, n, ans.Kind, ans.Why)
 			}
 			parts[i] = ans.Rows
@@ -184,14 +184,14 @@
 	// it goes after page two and is back minutes later on another connection
 	b := s.ask(c, 4000)
 	s.Until(s.Now + 2*time.Second)
-	c.Page(b.Paging["token"], 1, func(caller.Answer) {})
+	c.Page(b.Paging["token"], 1, func(client.Answer) {})
 	s.Until(s.Now + time.Second)
 	c.Drop()
 	s.Until(s.Now + 7*time.Minute)
 	s.reads(s.client(), b, from1(pagesOf(b)))
 	s.Until(s.Now + 16*time.Minute) // past its life
 	late := ""
-	s.client().Page(b.Paging["token"], 1, func(ans caller.Answer) { late = ans.Why })
+	s.client().Page(b.Paging["token"], 1, func(ans client.Answer) { late = ans.Why })
 	s.Until(s.Now + time.Second)
 	if late != "no such page" {
 		t.Error("past its life: ", late)
@@ -208,9 +208,9 @@
 	c := s.client()
 	a := s.ask(c, 400_000) // 10 MB
 	killed := ""
-	c.Heard = func(_ *world.Asked, ans caller.Answer) { killed = ans.Why }
+	c.Heard = func(_ *world.Asked, ans client.Answer) { killed = ans.Why }
 	s.Until(15 * time.Second)
-	if !a.Answered || a.Answer != caller.Killed || !strings.Contains(killed, "too large") || !strings.Contains(killed, "7864320") {
+	if !a.Answered || a.Answer != client.Killed || !strings.Contains(killed, "too large") || !strings.Contains(killed, "7864320") {
 		t.Fatal(a.Answered, a.Answer, killed)
 	}
 	if s.keeper.Live() != 0 {
@@ -267,7 +267,7 @@
 			if !a.Answered && !a.Left {
 				t.Error("no answer")
 			}
-			if a.Answered && a.Answer == caller.Finished {
+			if a.Answered && a.Answer == client.Finished {
 				t.Error("finished all the same")
 			}
 			if held, _, _ := s.R.Spooled(); held != 0 || s.keeper.Live() != 0 {
@@ -293,7 +293,7 @@
 	c := s.client()
 	var asked []*world.Asked
 	promisedAt := map[*world.Asked]int{}
-	c.Heard = func(a *world.Asked, _ caller.Answer) { promisedAt[a] = s.d.Steps() }
+	c.Heard = func(a *world.Asked, _ client.Answer) { promisedAt[a] = s.d.Steps() }
 	for range 8 {
 		asked = append(asked, s.ask(c, 3000))
 		s.Until(s.Now + 40*time.Millisecond)
@@ -348,7 +348,7 @@
 			s.Until(100 * time.Millisecond)
 			trouble(s)
 			s.Until(8 * time.Second)
-			if a.Answer != caller.Finished || !a.Answered {
+			if a.Answer != client.Finished || !a.Answered {
 				t.Fatal("not finished: ", a.Answered, a.Answer)
 			}
 			s.reads(s.client(), a, from1(pagesOf(a)))
@@ -372,7 +372,7 @@
 		return nil
 	}
 	s.Until(20 * time.Second)
-	if !a.Answered || a.Answer != caller.Killed || s.History.Sent != 1 {
+	if !a.Answered || a.Answer != client.Killed || s.History.Sent != 1 {
 		t.Error(a.Answered, a.Answer, s.History.Sent)
 	}
 	s.done()
@@ -395,11 +395,11 @@
 	}
 	spoilt, good, want := 0, 0, world.Rows(a)
 	for i := range pagesOf(a) {
-		c.Page(a.Paging["token"], i, func(ans caller.Answer) {
-			if ans.Kind == caller.Finished && !bytes.Contains(want, ans.Rows) {
+		c.Page(a.Paging["token"], i, func(ans client.Answer) {
+			if ans.Kind == client.Finished && !bytes.Contains(want, ans.Rows) {
 				t.Error("a spoilt page is served")
 			}
-			if ans.Kind == caller.Killed {
+			if ans.Kind == client.Killed {
 				spoilt++
 			} else {
 				good++
@@ -433,11 +433,11 @@
 		var read func()
 		read = func() {
 			if next < pagesOf(a) {
-				c.Page(a.Paging["token"], next, func(caller.Answer) { s.After(16*time.Second, read) }) // 1 KB/s
+				c.Page(a.Paging["token"], next, func(client.Answer) { s.After(16*time.Second, read) }) // 1 KB/s
 				next++
 			}
 		}
-		c.Heard = func(*world.Asked, caller.Answer) { s.After(time.Second, read) }
+		c.Heard = func(*world.Asked, client.Answer) { s.After(time.Second, read) }
 		s.Until(s.Now + 10*time.Millisecond)
 		_, memory, _ := s.R.Spooled()
 		most = max(most, memory)
@@ -445,7 +445,7 @@
 	s.Until(s.Now + 30*time.Second)
 	answered := 0
 	for _, a := range all {
-		if a.Answered && a.Answer == caller.Finished {
+		if a.Answered && a.Answer == client.Finished {
 			answered++
 		}
 	}
@@ -461,21 +461,21 @@
 // Teams' tokens open for their own team alone, and spooled work is charged as any other.
 func TestPagesOfTeams(t *testing.T) {
 	d := disk.New()
-	shape := &fair.Shape{Teams: lab.Teams(), Trusted: lab.Homes}
+	shape := &fairqueue.Shape{Teams: bench.Teams(), Trusted: bench.Homes}
 	s := newSpooled(t, d, disk.NewIndex(d), limits(), shape)
 	c := s.client()
 	a := s.ask(c, 3000, "team", "gauges-1")
 	s.Until(3 * time.Second)
-	got := map[string]caller.Kind{}
+	got := map[string]client.Kind{}
 	for _, team := range []string{"gauges-1", "gauges-2", ""} {
-		c.Page(a.Paging["token"], 1, func(ans caller.Answer) { got[team] = ans.Kind }, "team", team)
+		c.Page(a.Paging["token"], 1, func(ans client.Answer) { got[team] = ans.Kind }, "team", team)
 	}
 	s.Until(s.Now + time.Second)
-	if got["gauges-1"] != caller.Finished || got["gauges-2"] != caller.Killed || got[""] != caller.Killed {
+	if got["gauges-1"] != client.Finished || got["gauges-2"] != client.Killed || got[""] != client.Killed {
 		t.Error(got)
 	}
 	charged := 0.0
-	s.R.Teams(func(path string, _ int, n fair.Counts) {
+	s.R.Teams(func(path string, _ int, n fairqueue.Counts) {
 		if strings.HasSuffix(path, "gauges-1") {
 			charged = n.Charged
 		}
--- a/internal/relay/stage_clients_test.go
+++ b/internal/controller/stage_clients_test.go
@@ -1,4 +1,4 @@
-package relay
+package controller
 
 import (
 	"bytes"
@@ -55,9 +55,9 @@
 }
 
 func (s *stage) connect() *end {
-	e := &end{n: len(s.ends), link: &Link{}, client: true, up: true}
+	e := &end{n: len(s.ends), link: &Connection{}, client: true, up: true}
 	s.ends = append(s.ends, e)
-	s.step(Event{Kind: Accepted, Link: e.link})
+	s.step(Event{Kind: ClientAccepted, Connection: e.link})
 	return e
 }
 
@@ -65,7 +65,7 @@
 	for len(p) > 0 && !e.gone {
 		n := copy(e.link.In.Space(), p)
 		p = p[n:]
-		s.step(Event{Kind: Got, Link: e.link, N: n})
+		s.step(Event{Kind: BytesReceived, Connection: e.link, N: n})
 	}
 }
 
--- a/internal/relay/stage_test.go
+++ b/internal/controller/stage_test.go
@@ -1,4 +1,4 @@
-package relay
+package controller
 
 import (
 	"fmt"
@@ -17,7 +17,7 @@
 // It checks the rules at what is written, and lets choices say what happens.
 type stage struct {
 	t       interface{ Fatalf(string, ...any) }
-	r       *Relay
+	r       *Controller
 	now     time.Duration
 	wake    time.Duration
 	ends    []*end
@@ -44,7 +44,7 @@
 
 type end struct {
 	n                       int
-	link                    *Link
+	link                    *Connection
 	address                 string
 	client                  bool
 	dialAt                  time.Duration
@@ -75,7 +75,7 @@
 	return f
 }
 
-func newStage(t interface{ Fatalf(string, ...any) }, engines, sockets int, more map[string]string, with ...func(*Means)) *stage {
+func newStage(t interface{ Fatalf(string, ...any) }, engines, sockets int, more map[string]string, with ...func(*Config)) *stage {
 	s := &stage{t: t, wake: -1, mills: map[string]*mill{}, feedUp: true, sockets: sockets}
 	var members []string
 	for i := range engines {
@@ -87,7 +87,7 @@
 	}
 	s.events = 1
 	var effects []Effect
-	means := Means{Seed: 7, MemoryMB: 64, Sockets: sockets, Feed: "feed", Facts: plainFacts(more),
+	means := Config{Seed: 7, MemoryMB: 64, Sockets: sockets, Feed: "feed", Facts: plainFacts(more),
 		Known: []byte(`{"n":1,"events":[{"n":1,"members":{"complete":true,"members":[` + strings.Join(members, ",") + `]}}]}`)}
 	for _, change := range with {
 		change(&means)
@@ -118,7 +118,7 @@
 	}
 }
 
-func (s *stage) end(l *Link) *end {
+func (s *stage) end(l *Connection) *end {
 	for _, e := range s.ends {
 		if e.link == l {
 			return e
@@ -129,10 +129,10 @@
 
 func (s *stage) perform(effects []Effect) {
 	for _, f := range effects {
-		e := s.end(f.Link)
-		switch f.Verb {
+		e := s.end(f.Connection)
+		switch f.Kind {
 		case Dial:
-			e = &end{n: len(s.ends), link: f.Link, address: f.Address, dialAt: s.now}
+			e = &end{n: len(s.ends), link: f.Connection, address: f.Address, dialAt: s.now}
 			s.ends = append(s.ends, e)
 			if f.Address == "feed" {
 				s.feed = e
@@ -155,11 +155,11 @@
 				break
 			}
 			if !f.Permit.Holds(s.now+s.stopped) || f.Guard != 0 && !s.mayGo(f) {
-				s.back = append(s.back, Event{Kind: Barred, Link: f.Link})
+				s.back = append(s.back, Event{Kind: WriteBarred, Connection: f.Connection})
 				s.lose(e)
 				break
 			}
-			s.back = append(s.back, Event{Kind: Wrote, Link: f.Link, N: len(f.Bytes)})
+			s.back = append(s.back, Event{Kind: BytesWritten, Connection: f.Connection, N: len(f.Bytes)})
 			if e.client {
 				s.answered(e, f.Bytes)
 			} else if e.address != "feed" {
@@ -176,19 +176,19 @@
 				s.lose(e)
 			} else {
 				e.gone = true
-				s.back = append(s.back, Event{Kind: Unanswered, Link: e.link})
+				s.back = append(s.back, Event{Kind: ConnectTimedOut, Connection: e.link})
 			}
-		case Wake:
+		case SetTimer:
 			s.wake = s.now + f.Within
-		case Say, Count:
+		case LogMessage, LogCounters:
 			s.said = append(s.said, f.Text)
-		case Report:
+		case ReportToFleet:
 			if s.full {
-				s.back = append(s.back, Event{Kind: Untold, Report: f.Report})
+				s.back = append(s.back, Event{Kind: FleetReportRejected, Report: f.Report})
 			} else {
 				s.reports = append(s.reports, *f.Report)
 			}
-		case Quit:
+		case Exit:
 			s.quit = true
 		}
 	}
@@ -199,7 +199,7 @@
 	if !e.gone {
 		e.gone = true
 		s.held = slices.DeleteFunc(s.held, func(h *held) bool { return h.e == e })
-		s.back = append(s.back, Event{Kind: Ended, Link: e.link})
+		s.back = append(s.back, Event{Kind: ConnectionClosed, Connection: e.link})
 	}
 }
 
@@ -213,7 +213,7 @@
 			}
 		}
 		if s.wake >= 0 {
-			soonest(s.wake, func() { s.wake = -1; s.step(Event{Kind: Woken}) })
+			soonest(s.wake, func() { s.wake = -1; s.step(Event{Kind: TimerFired}) })
 		}
 		for _, h := range s.held {
 			if !h.m.silent && !h.m.cut {
@@ -249,15 +249,17 @@
 
 func (s *stage) dialled(e *end, soonest func(time.Duration, func())) {
 	m := s.mills[e.address]
-	up := func() { e.up = true; s.step(Event{Kind: Up, Link: e.link}) }
-	fail := func(kind Kind) func() { return func() { e.gone = true; s.step(Event{Kind: kind, Link: e.link}) } }
+	up := func() { e.up = true; s.step(Event{Kind: Connected, Connection: e.link}) }
+	fail := func(kind EventKind) func() {
+		return func() { e.gone = true; s.step(Event{Kind: kind, Connection: e.link}) }
+	}
 	switch {
 	case m == nil && s.feedUp:
 		soonest(e.dialAt+time.Millisecond, func() { up(); s.tell("") })
 	case m == nil || m.silent || m.cut:
-		soonest(e.dialAt+waits, fail(Unanswered))
+		soonest(e.dialAt+waits, fail(ConnectTimedOut))
 	case m.dead:
-		soonest(e.dialAt+time.Millisecond, fail(Refused))
+		soonest(e.dialAt+time.Millisecond, fail(ConnectRefused))
 	default:
 		soonest(e.dialAt+time.Millisecond, up)
 	}
@@ -284,7 +286,7 @@
 func (s *stage) play(choices []uint16) {
 	s.some(choices)
 	s.until(s.now + 12*time.Second)
-	s.step(Event{Kind: Stop})
+	s.step(Event{Kind: ShutdownRequested})
 	s.until(s.now + 6*time.Second)
 	if !s.quit {
 		s.t.Fatalf("it does not end: %d queries open", len(s.r.queries))
--- a/internal/relay/standing_test.go
+++ b/internal/controller/standing_test.go
@@ -1,4 +1,4 @@
-package relay
+package controller
 
 import (
 	"testing"
@@ -9,7 +9,7 @@
 func TestTheEndIsNotBeforeClientsKnow(t *testing.T) {
 	s := newStage(t, 1, 256, nil)
 	s.connect()
-	s.step(Event{Kind: Stop})
+	s.step(Event{Kind: ShutdownRequested})
 	from := s.now
 	s.until(from + 740*time.Millisecond)
 	if s.quit {
--- a/internal/relay/submission.go
+++ b/internal/controller/submission.go
@@ -1,37 +1,37 @@
-package relay
+package controller
 
 import (
 	"strconv"
 	"time"
 
-	"railrelay.dev/railrelay/decide"
-	"railrelay.dev/railrelay/internal/due"
-	"railrelay.dev/railrelay/internal/engines"
+	"railrelay.dev/railrelay/internal/enginehttp"
+	"railrelay.dev/railrelay/internal/scheduler"
 	"railrelay.dev/railrelay/internal/spool"
+	"railrelay.dev/railrelay/internal/timerqueue"
 )
 
 // submission is one sending of a query to an engine. It is tied to no
 // connection: what is known of it is asked for, call by call.
 type submission struct {
-	*Relay
+	*Controller
 	q       *query
 	e       *engine
 	try     int
 	at      time.Duration
 	endedAt time.Duration // when its end was told
 	until   time.Duration
-	permit  *Permit       // of its first byte, from when it was handed over to be written
-	sent    bool          // its first byte was let go
-	posted  bool          // the call that starts it has come out, in one way or another
-	settled bool          // the call that starts it can't arrive any more, or has
-	ended   bool          // no more is done for it
-	certain bool          // and how is known: outcome
-	told    bool          // and the decisions know
-	askedAt time.Duration // when its news were last asked for
-	open    int           // calls that it is kept for, under way: written, and their lines not gone
-	arrived time.Duration // when the last of the others may have arrived at the latest
-	onSet   []func()      // waits for settled
-	limit   *due.Item     // when it is given up at the latest
+	permit  *WritePermit     // of its first byte, from when it was handed over to be written
+	sent    bool             // its first byte was let go
+	posted  bool             // the call that starts it has come out, in one way or another
+	settled bool             // the call that starts it can't arrive any more, or has
+	ended   bool             // no more is done for it
+	certain bool             // and how is known: outcome
+	told    bool             // and the decisions know
+	askedAt time.Duration    // when its news were last asked for
+	open    int              // calls that it is kept for, under way: written, and their lines not gone
+	arrived time.Duration    // when the last of the others may have arrived at the latest
+	onSet   []func()         // waits for settled
+	limit   *timerqueue.Item // when it is given up at the latest
 
 	astray  bool          // it went unheard of since the last word: it may be forgotten there
 	strays  time.Duration // until when a word that it runs is an old one: it went unasked for so long that it may have been dropped
@@ -46,7 +46,7 @@
 	goodAt  time.Duration // when an answer last could be read, or the first call was made
 	why     string        // its last call's result, for the log
 
-	outcome decide.Outcome
+	outcome scheduler.Outcome
 	version uint64 // of the policy it was decided by, where there are peers
 
 	// where its client reads page by page
@@ -102,19 +102,19 @@
 	}
 }
 
-func (r *Relay) submit(q *query, e *engine, within time.Duration) {
+func (r *Controller) submit(q *query, e *engine, within time.Duration) {
 	until := q.deadline
 	if within != 0 {
 		until = min(until, r.now+within)
 	}
-	s := &submission{Relay: r, q: q, e: e, try: len(q.subs), at: r.now, until: until}
+	s := &submission{Controller: r, q: q, e: e, try: len(q.subs), at: r.now, until: until}
 	q.subs = append(q.subs, s)
 	e.untold++
 	if r.fair != nil {
 		r.fair.started(q)
 	}
 	r.tally.submissions++
-	s.limit = r.due.Add(until, func() { r.withdraw(s, decide.TimedOut) })
+	s.limit = r.due.Add(until, func() { r.withdraw(s, scheduler.TimedOut) })
 	// two of one id at one engine can't be told apart: what ends the first would
 	// end the second
 	if e.holds(q.id) {
@@ -143,7 +143,7 @@
 			if s.try == 0 {
 				s.tally.firstByte(s.now - s.q.takenAt)
 			}
-			return engines.Submit(dst, s.e.address, s.q.id, s.q.method, s.q.token, s.until-s.now,
+			return enginehttp.Submit(dst, s.e.address, s.q.id, s.q.method, s.q.token, s.until-s.now,
 				s.q.grantMB, s.ranked, s.q.statement)
 		},
 		then: func(as how, status int, field func(string) string, body []byte) {
@@ -152,9 +152,9 @@
 		}}
 	c.fit = func() bool {
 		// it may have waited for its turn, a descriptor or its connection: what it was decided on is asked anew
-		by := min(s.until, s.gate.BeginsBy(s.q.id, s.try), s.now+beginMost)
-		fit := !s.ended && !s.q.answered && s.now < by && s.e.state == decide.On
-		s.permit = NewPermit(by)
+		by := min(s.until, s.gate.StartDeadline(s.q.id, s.try), s.now+beginMost)
+		fit := !s.ended && !s.q.answered && s.now < by && s.e.state == scheduler.EngineActive
+		s.permit = NewWritePermit(by)
 		if fit && s.warrant != nil && !s.warrant.lets(s) {
 			c.over, fit = true, false // it came to nothing here: another starts it once it may go
 		}
@@ -174,7 +174,7 @@
 
 func (s *submission) fits(page int) func(int, func(string) string, []byte) bool {
 	return func(status int, field func(string) string, body []byte) bool {
-		return engines.Fits(page, status, field, body)
+		return enginehttp.Fits(page, status, field, body)
 	}
 }
 
@@ -187,7 +187,7 @@
 				s.astray, s.strays = true, s.now+2*newsMost
 			}
 			s.askedAt = s.now
-			return engines.Ask(dst, s.e.address, s.q.id, page)
+			return enginehttp.Ask(dst, s.e.address, s.q.id, page)
 		},
 		then: func(as how, status int, field func(string) string, body []byte) {
 			s.came(page, as, status, field, body)
@@ -204,22 +204,22 @@
 	case as == answered:
 		s.pause, s.goodAt = 0, s.now
 		if s.inline {
-			if report := engines.Load(field); report != nil {
+			if report := enginehttp.Load(field); report != nil {
 				s.soon(func() { s.gate.Reported(s.now, s.e.id, report) })
 			}
 		}
-		engines.Hear(page, status, field, body, &hearing{s})
+		enginehttp.Hear(page, status, field, body, &hearing{s})
 	case !s.sent && as == unfit, !s.posted && as == unwritten:
 		// a connection that ends says nothing against its engine
-		s.end(decide.NeverSent)
+		s.end(scheduler.NeverSent)
 	case !s.sent:
-		s.end(decide.Unreachable)
+		s.end(scheduler.Unreachable)
 	case s.died(as):
-		s.end(decide.Reset)
+		s.end(scheduler.ConnectionReset)
 	case as == garbled && s.now-s.goodAt >= forgets:
-		s.withdraw(s, decide.Reset) // it is not one answer that was spoilt on its way
+		s.withdraw(s, scheduler.ConnectionReset) // it is not one answer that was spoilt on its way
 	case s.gone():
-		s.end(decide.TimedOut) // if it still ran there, it has been forgotten by now
+		s.end(scheduler.TimedOut) // if it still ran there, it has been forgotten by now
 	default:
 		// the call or its answer may have been lost and the query not: another
 		// connection tells, its end and its pages too, as often as they are asked for.
@@ -245,7 +245,7 @@
 	h.ask(0)
 }
 
-func (h *hearing) Note(sign decide.Sign, x float64) {
+func (h *hearing) Note(sign scheduler.NoteKind, x float64) {
 	s := h.submission
 	s.tally.notes++
 	s.soon(func() {
@@ -272,7 +272,7 @@
 		s.of = of
 	}
 	if s.held += len(rows); s.held > s.messageMost {
-		s.end(decide.Errored)
+		s.end(scheduler.Failed)
 		return
 	}
 	s.pages = append(s.pages, append([]byte{}, rows...))
@@ -283,7 +283,7 @@
 	if !s.q.answered {
 		s.finished(s.q, s.pages)
 	}
-	s.end(decide.Finished)
+	s.end(scheduler.Finished)
 }
 
 // Ends: an error after it went unheard of may just mean that it is not known
@@ -291,9 +291,9 @@
 // has not taken it up yet, and still runs it, for all this one says. Where order
 // is asked for it is given up, so that the next of its key never overtakes it.
 // Where there is none the engine, which answers, is not to be held to have died.
-func (h *hearing) Ends(outcome decide.Outcome) {
-	if h.astray && outcome == decide.Errored && h.late() {
-		h.withdraw(h.submission, decide.Reset)
+func (h *hearing) Ends(outcome scheduler.Outcome) {
+	if h.astray && outcome == scheduler.Failed && h.late() {
+		h.withdraw(h.submission, scheduler.ConnectionReset)
 		return
 	}
 	h.end(outcome)
@@ -301,14 +301,14 @@
 
 // end is an end that is certain: nothing of it runs any more, or how it runs on
 // can't be known.
-func (s *submission) end(outcome decide.Outcome) {
+func (s *submission) end(outcome scheduler.Outcome) {
 	if !s.ended {
 		s.ended = true
 		s.tell(outcome)
 	}
 }
 
-func (s *submission) tell(outcome decide.Outcome) {
+func (s *submission) tell(outcome scheduler.Outcome) {
 	s.pages = nil
 	if s.paging != nil {
 		s.paging.drop(s)
@@ -321,7 +321,7 @@
 	if s.Trace {
 		s.trace(s.about(), "told %s after %v, %s", outcomeNames[outcome], took, s.why)
 	}
-	if outcome != decide.Finished && outcome != decide.Cancelled {
+	if outcome != scheduler.Finished && outcome != scheduler.Cancelled {
 		s.sayOf(s.about(), outcomeNames[outcome]+" after "+took.String()+", "+s.why)
 	}
 	s.soon(func() {
@@ -336,7 +336,7 @@
 // may overlap with what comes next; where order is asked for, or no second
 // copy may be out, not before it is over at the engine: it was given up
 // there, its process is gone, or it went unasked for as long as engines keep it.
-func (r *Relay) withdraw(s *submission, outcome decide.Outcome) {
+func (r *Controller) withdraw(s *submission, outcome scheduler.Outcome) {
 	if s.ended {
 		return
 	}
@@ -346,7 +346,7 @@
 		r.trace(s.about(), "withdrawn")
 	}
 	if !s.sent {
-		s.tell(decide.NeverSent)
+		s.tell(scheduler.NeverSent)
 		return
 	}
 	late := s.late()
@@ -379,9 +379,9 @@
 func (s *submission) died(as how) bool { return as == refused && !s.e.alive() && !s.late() }
 
 // giveUp ends it at its engine, asking until that came whole or is moot.
-func (r *Relay) giveUp(s *submission, then func()) {
-	r.call(&call{what: "DELETE", e: s.e, s: s, fits: engines.FitsDone,
-		write: func(dst []byte) []byte { return engines.GiveUp(dst, s.e.address, s.q.id) },
+func (r *Controller) giveUp(s *submission, then func()) {
+	r.call(&call{what: "DELETE", e: s.e, s: s, fits: enginehttp.FitsDone,
+		write: func(dst []byte) []byte { return enginehttp.GiveUp(dst, s.e.address, s.q.id) },
 		then: func(as how, _ int, _ func(string) string, _ []byte) {
 			if as == answered || s.died(as) || s.gone() {
 				then()
@@ -411,13 +411,13 @@
 }
 
 // rank passes a change of priority on to what is out.
-func (r *Relay) rank(s *submission) {
+func (r *Controller) rank(s *submission) {
 	if !s.sent || s.ended || s.released || s.ranking || s.q.rank() == s.ranked {
 		return
 	}
 	s.ranking, s.ranked = true, s.q.rank()
-	r.call(&call{what: "PUT", e: s.e, s: s, fits: engines.FitsDone, fit: func() bool { return !s.ended },
-		write: func(dst []byte) []byte { return engines.Rank(dst, s.e.address, s.q.id, s.ranked) },
+	r.call(&call{what: "PUT", e: s.e, s: s, fits: enginehttp.FitsDone, fit: func() bool { return !s.ended },
+		write: func(dst []byte) []byte { return enginehttp.Rank(dst, s.e.address, s.q.id, s.ranked) },
 		then: func(how, int, func(string) string, []byte) {
 			s.ranking = false
 			r.rank(s) // it may have changed again meanwhile
--- a/internal/relay/tally.go
+++ b/internal/controller/tally.go
@@ -1,4 +1,4 @@
-package relay
+package controller
 
 import (
 	"fmt"
@@ -6,7 +6,7 @@
 	"strings"
 	"time"
 
-	"railrelay.dev/railrelay/internal/must"
+	"railrelay.dev/railrelay/internal/invariant"
 )
 
 // tally counts what comes in, goes out and is answered.
@@ -33,7 +33,7 @@
 	t.delays = append(t.delays, delay)
 }
 
-func (t *tally) text(r *Relay) string {
+func (t *tally) text(r *Controller) string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "taken %d finished %d deferred %d killed %d left %d open %d", t.taken, t.finished, t.deferred,
 		t.killed, t.left, len(r.queries))
@@ -71,7 +71,7 @@
 	if r.warrant != nil {
 		b.WriteString(r.warrant.text())
 	}
-	fmt.Fprintf(&b, "; did not hold %d", must.Broken())
+	fmt.Fprintf(&b, "; did not hold %d", invariant.Broken())
 	return b.String()
 }
 
--- a/internal/relay/testdata/planted/follow/recorded.go
+++ b/internal/controller/testdata/planted/follow/recorded.go
@@ -1,4 +1,4 @@
-package relay
+package controller
 
 import "railrelay.dev/railrelay/internal/fleet"
 
--- a/internal/relay/watch_test.go
+++ b/internal/controller/watch_test.go
@@ -1,4 +1,4 @@
-package relay
+package controller
 
 import (
 	"testing"
@@ -22,7 +22,7 @@
 			watch, from, m := s.feed, s.now, s.all()[0]
 			watch.up = true
 			if !spoke {
-				s.step(Event{Kind: Up, Link: watch.link})
+				s.step(Event{Kind: Connected, Connection: watch.link})
 			}
 			m.state = "DRAINING" // told in that very moment, and never heard on this one
 			for s.feed == watch || !s.feed.up {
@@ -52,7 +52,7 @@
 	s.tell("")
 	watch := s.feed
 	s.now += 3 * time.Second
-	s.step(Event{Kind: Woken})
+	s.step(Event{Kind: TimerFired})
 	if s.tell(""); s.feed != watch || s.r.tally.feedFaults > 0 {
 		t.Fatal("a feed that spoke all the time was given up")
 	}
--- a/internal/list/list.go
+++ b/internal/discovery/list.go
@@ -1,6 +1,6 @@
-// Package list reads the feed of the engine list and writes what is asked of
+// Package discovery reads the feed of the engine list and writes what is asked of
 // it, over bytes only.
-package list
+package discovery
 
 import (
 	"bytes"
@@ -8,7 +8,7 @@
 	"errors"
 	"strconv"
 
-	"railrelay.dev/railrelay/decide"
+	"railrelay.dev/railrelay/internal/scheduler"
 )
 
 var errForm = errors.New("not a line of the feed")
@@ -17,7 +17,7 @@
 type Hearer interface {
 	// Event opens an event; false if it is not the one that comes next.
 	Event(number int64, whole bool) bool
-	Engine(id, address, location, kind string, cell int, state decide.EngineState, startedMs int64)
+	Engine(id, address, location, kind string, cell int, state scheduler.EngineState, startedMs int64)
 	EventEnds()
 	// Last is the number of the newest event there is.
 	Last(number int64)
@@ -116,7 +116,7 @@
 		h.Odd("an entry without an id")
 	case !known:
 		h.Odd("engine " + e.ID + ", of unknown state " + strconv.Quote(e.Phase))
-	case e.HostPort == "" && state == decide.On:
+	case e.HostPort == "" && state == scheduler.EngineActive:
 		h.Odd("engine " + e.ID + ", which has no address")
 	default:
 		if e.Up < 0 || e.Up > startMost {
@@ -130,4 +130,4 @@
 // startMost bounds the milliseconds of a start, in the year 2255: beyond it spans overflow.
 const startMost = 9e12
 
-var states = map[string]decide.EngineState{"SERVING": decide.On, "DRAINING": decide.Draining, "DELETED": decide.Gone}
+var states = map[string]scheduler.EngineState{"SERVING": scheduler.EngineActive, "DRAINING": scheduler.EngineDraining, "DELETED": scheduler.EngineRemoved}
--- a/internal/list/list_test.go
+++ b/internal/discovery/list_test.go
@@ -1,11 +1,11 @@
-package list
+package discovery
 
 import (
 	"fmt"
 	"strings"
 	"testing"
 
-	"railrelay.dev/railrelay/decide"
+	"railrelay.dev/railrelay/internal/scheduler"
 )
 
 type notes struct{ said []string }
@@ -14,7 +14,7 @@
 	n.add("event %d %v", number, whole)
 	return number != 9
 }
-func (n *notes) Engine(id, address, location, kind string, cell int, state decide.EngineState, ms int64) {
+func (n *notes) Engine(id, address, location, kind string, cell int, state scheduler.EngineState, ms int64) {
 	n.add("%s %s %s %s %d %d %d", id, address, location, kind, cell, state, ms)
 }
 func (n *notes) EventEnds()                { n.add("ends") }
--- a/internal/standin/caller/caller.go
+++ b/internal/emulator/client/caller.go
@@ -1,6 +1,6 @@
-// Package caller is a stand-in client's side of MessagePack-RPC, over bytes only:
+// Package client is a stand-in client's side of MessagePack-RPC, over bytes only:
 // it writes calls and reads what comes back.
-package caller
+package client
 
 import (
 	"encoding/binary"
--- a/internal/standin/caller/caller_test.go
+++ b/internal/emulator/client/caller_test.go
@@ -1,4 +1,4 @@
-package caller
+package client
 
 import (
 	"bytes"
--- a/internal/standin/disk/disk.go
+++ b/internal/emulator/disk/disk.go
@@ -12,7 +12,7 @@
 	"slices"
 	"sync"
 
-	"railrelay.dev/railrelay/internal/store"
+	"railrelay.dev/railrelay/internal/resultstore"
 )
 
 // Disk is a directory. It is safe for use by several goroutines.
@@ -60,7 +60,7 @@
 }
 
 // Create makes a file.
-func (d *Disk) Create(name string) (store.File, error) {
+func (d *Disk) Create(name string) (resultstore.File, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if err := d.fails("create", name); err != nil {
@@ -76,7 +76,7 @@
 }
 
 // Open opens one that is there.
-func (d *Disk) Open(name string) (store.File, error) {
+func (d *Disk) Open(name string) (resultstore.File, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if f := d.files[name]; f != nil {
--- a/internal/standin/disk/index.go
+++ b/internal/emulator/disk/index.go
@@ -5,7 +5,7 @@
 	"slices"
 	"sync"
 
-	"railrelay.dev/railrelay/internal/store"
+	"railrelay.dev/railrelay/internal/resultstore"
 )
 
 // Index is an index in memory that remembers what it held after each step of a disk.
@@ -17,7 +17,7 @@
 
 type held struct {
 	step    int
-	results map[uint64]*store.Meta
+	results map[uint64]*resultstore.Meta
 	segment uint64
 	offset  int64
 }
@@ -49,12 +49,12 @@
 }
 
 // Commit changes it at once.
-func (x *Index) Commit(put []*store.Meta, gone []uint64, segment uint64, offset int64) error {
+func (x *Index) Commit(put []*resultstore.Meta, gone []uint64, segment uint64, offset int64) error {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	next := maps.Clone(x.last().results)
 	if next == nil {
-		next = map[uint64]*store.Meta{}
+		next = map[uint64]*resultstore.Meta{}
 	}
 	for _, m := range put {
 		next[m.Result] = m
@@ -67,17 +67,17 @@
 }
 
 // Get is one result.
-func (x *Index) Get(id uint64) (*store.Meta, error) {
+func (x *Index) Get(id uint64) (*resultstore.Meta, error) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	if m := x.last().results[id]; m != nil {
 		return m, nil
 	}
-	return nil, store.ErrNone
+	return nil, resultstore.ErrNone
 }
 
 // Each hands over all, by number.
-func (x *Index) Each(do func(m *store.Meta) error) error {
+func (x *Index) Each(do func(m *resultstore.Meta) error) error {
 	x.mu.Lock()
 	all := x.last().results
 	x.mu.Unlock()
--- a/internal/standin/link/fault.go
+++ b/internal/emulator/faultproxy/fault.go
@@ -1,8 +1,8 @@
-// Package link is a stand-in for the network between processes of a test: a TCP proxy
+// Package faultproxy is a stand-in for the network between processes of a test: a TCP proxy
 // on loopback that puts faults on what passes. fault.go is the pure part: what a fault
 // does to some bytes, and scripts of faults. link.go has the sockets, mesh.go one link
 // for every ordered pair of processes.
-package link
+package faultproxy
 
 import (
 	"math/rand/v2"
--- a/internal/standin/link/mesh.go
+++ b/internal/emulator/faultproxy/mesh.go
@@ -1,4 +1,4 @@
-package link
+package faultproxy
 
 import (
 	"fmt"
--- a/internal/standin/hollow/controller.go
+++ b/internal/emulator/hollow/controller.go
@@ -13,10 +13,10 @@
 	"golang.org/x/sync/errgroup"
 
 	"railrelay.dev/railrelay/internal/fleet"
-	"railrelay.dev/railrelay/internal/fleet/agree"
-	"railrelay.dev/railrelay/internal/fleet/disk"
-	"railrelay.dev/railrelay/internal/fleet/edge"
+	"railrelay.dev/railrelay/internal/fleet/consensus"
+	"railrelay.dev/railrelay/internal/fleet/driver"
 	"railrelay.dev/railrelay/internal/fleet/node"
+	"railrelay.dev/railrelay/internal/fleet/storage"
 )
 
 const (
@@ -34,7 +34,7 @@
 	gate   *gate
 	tell   func(Event)
 
-	running *edge.Edge
+	running *driver.Edge
 	stop    context.CancelFunc
 	done    chan struct{}
 }
@@ -54,13 +54,13 @@
 	}
 	listener, err := net.Listen("tcp", c.member.Listen)
 	if err != nil {
-		return &edge.ListenError{What: "peers", Address: c.member.Listen, Err: err}
+		return &driver.ListenError{What: "peers", Address: c.member.Listen, Err: err}
 	}
 	started := time.Now().Add(-c.offset())
 	shape := c.shaper(listener.Addr())
 	dialer := &dialer{local: hostOf(listener.Addr()), direct: c.config.Direct, shape: shape, gate: c.gate, abroad: c.abroad}
-	opened, err := edge.Open(edge.Options{Begin: c.begin(), Fleet: c.config.Fleet, Keys: c.config.Keys, Control: c.member.Control, Started: started, Log: zerolog.Nop(), Check: check,
-		OpenStore: func() (edge.Store, disk.Found, error) { return c.store, c.store.Found(), nil },
+	opened, err := driver.Open(driver.Options{Begin: c.begin(), Fleet: c.config.Fleet, Keys: c.config.Keys, Control: c.member.Control, Started: started, Log: zerolog.Nop(), Check: check,
+		OpenStore: func() (driver.Store, storage.Found, error) { return c.store, c.store.Found(), nil },
 		Listener:  &shapedListener{listener, shape}, Dial: dialer.dial})
 	if err != nil {
 		return err
@@ -93,7 +93,7 @@
 }
 
 // tellSites reports, once, the sites that a real controller would see engines in.
-func (c *controller) tellSites(ctx context.Context, opened *edge.Edge) error {
+func (c *controller) tellSites(ctx context.Context, opened *driver.Edge) error {
 	if len(c.config.Sites) == 0 {
 		return nil
 	}
@@ -135,7 +135,7 @@
 		Clients: c.member.Clients}, Lease: c.config.Lease,
 		LeaseBound: c.config.Lease, Drift: drift, Election: c.config.Election, Heartbeat: c.config.Heartbeat, KeepAtMost: keepAtMost}
 	for _, v := range c.config.Voters {
-		b.Voters = append(b.Voters, agree.Voter{Name: v.Name, Address: v.Address})
+		b.Voters = append(b.Voters, consensus.Voter{Name: v.Name, Address: v.Address})
 	}
 	for _, r := range c.member.Relays {
 		b.Relays = append(b.Relays, node.Upstream{Name: r.Name, Address: r.Address})
@@ -190,8 +190,8 @@
 }
 
 // check takes every policy: there is no set-up to hold it against.
-func check(_ string, text []byte, _ edge.Have) edge.Checked {
-	return edge.Checked{Policy: append([]byte{}, text...)}
+func check(_ string, text []byte, _ driver.Have) driver.Checked {
+	return driver.Checked{Policy: append([]byte{}, text...)}
 }
 
 // do carries a command out.
--- a/internal/standin/hollow/hollow_test.go
+++ b/internal/emulator/hollow/hollow_test.go
@@ -16,8 +16,8 @@
 	"go.uber.org/goleak"
 
 	"railrelay.dev/railrelay/internal/fleet"
-	"railrelay.dev/railrelay/internal/fleet/agree"
-	"railrelay.dev/railrelay/internal/fleet/peers"
+	"railrelay.dev/railrelay/internal/fleet/consensus"
+	"railrelay.dev/railrelay/internal/fleet/transport"
 )
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
@@ -29,7 +29,7 @@
 	t        *testing.T
 	commands *json.Encoder
 	events   chan Event
-	keys     peers.Keys
+	keys     transport.Keys
 	control  string
 	serving  map[string]uint64 // by which version, as far as events were read
 }
@@ -40,7 +40,7 @@
 	if err := os.WriteFile(file, []byte(strings.Repeat("5e", 32)), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	keys, err := peers.ReadKeys(file)
+	keys, err := transport.ReadKeys(file)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -133,7 +133,7 @@
 	p.t.Helper()
 	ctx, stop := context.WithTimeout(p.t.Context(), patience)
 	defer stop()
-	r, err := peers.AskControl(ctx, p.control, p.keys, &fleet.Ask{Kind: "apply", ID: id, Base: base, Policy: []byte("# " + id), Wait: 15000})
+	r, err := transport.AskControl(ctx, p.control, p.keys, &fleet.Ask{Kind: "apply", ID: id, Base: base, Policy: []byte("# " + id), Wait: 15000})
 	if err != nil {
 		p.t.Fatal(err)
 	}
@@ -213,17 +213,17 @@
 }
 
 func TestWhatIsKeptIsWhatADiskWouldKeep(t *testing.T) {
-	record := func(index, term uint64) agree.Record { return agree.Record{Index: index, Term: term} }
-	kept := Merge(agree.Kept{}, agree.Kept{Hard: []byte("a"), Records: []agree.Record{record(1, 1), record(2, 1), record(3, 1)}})
-	next := Merge(kept, agree.Kept{Records: []agree.Record{record(2, 2)}})
+	record := func(index, term uint64) consensus.Record { return consensus.Record{Index: index, Term: term} }
+	kept := Merge(consensus.Kept{}, consensus.Kept{Hard: []byte("a"), Records: []consensus.Record{record(1, 1), record(2, 1), record(3, 1)}})
+	next := Merge(kept, consensus.Kept{Records: []consensus.Record{record(2, 2)}})
 	if len(next.Records) != 2 || next.Records[1].Term != 2 || string(next.Hard) != "a" || kept.Records[1].Term != 1 {
 		t.Errorf("%+v, and before it %+v", next, kept)
 	}
-	next = Merge(next, agree.Kept{Hard: []byte("b"), Snapshot: &agree.Snapshot{Index: 2}, Records: []agree.Record{record(2, 2), record(3, 2)}})
+	next = Merge(next, consensus.Kept{Hard: []byte("b"), Snapshot: &consensus.Snapshot{Index: 2}, Records: []consensus.Record{record(2, 2), record(3, 2)}})
 	if len(next.Records) != 2 || next.Snapshot.Index != 2 || string(next.Hard) != "b" {
 		t.Errorf("%+v", next)
 	}
-	if next = Merge(next, agree.Kept{Snapshot: &agree.Snapshot{Index: 9}}); len(next.Records) != 0 {
+	if next = Merge(next, consensus.Kept{Snapshot: &consensus.Snapshot{Index: 9}}); len(next.Records) != 0 {
 		t.Errorf("%+v", next)
 	}
 }
--- a/internal/standin/hollow/process.go
+++ b/internal/emulator/hollow/process.go
@@ -1,7 +1,7 @@
 // Package hollow is a stand-in for controllers of a fleet, hundreds in one process: the
 // real core, edge and peers' wire with real frames and MACs on TCP connections, each with
 // an address, a clock offset, timers and connections of its own. In place of the rest it
-// has a record kept in memory (Store, each write takes a delay), package idle for the
+// has a record kept in memory (Store, each write takes a delay), package noop for the
 // reducer, and no clients, engines or feed; a policy isn't held against any set-up.
 //
 // A paused one differs from a stopped process in one thing: its timers go on, and what
--- a/internal/standin/hollow/reducer.go
+++ b/internal/emulator/hollow/reducer.go
@@ -8,7 +8,7 @@
 	"github.com/cespare/xxhash/v2"
 
 	"railrelay.dev/railrelay/internal/fleet"
-	"railrelay.dev/railrelay/internal/fleet/idle"
+	"railrelay.dev/railrelay/internal/fleet/noop"
 )
 
 // observer stands between the edge and the idle reducer: it passes orders and reports on,
@@ -55,7 +55,7 @@
 			}
 		}
 	}()
-	err := idle.Reducer{}.Serve(ctx, passed, reports)
+	err := noop.Reducer{}.Serve(ctx, passed, reports)
 	<-done
 	o.end("stopped")
 	return err
--- a/internal/standin/hollow/store.go
+++ b/internal/emulator/hollow/store.go
@@ -4,8 +4,8 @@
 	"sync"
 	"time"
 
-	"railrelay.dev/railrelay/internal/fleet/agree"
-	"railrelay.dev/railrelay/internal/fleet/disk"
+	"railrelay.dev/railrelay/internal/fleet/consensus"
+	"railrelay.dev/railrelay/internal/fleet/storage"
 )
 
 // Store keeps a controller's record in memory, over its restarts. Each write takes a
@@ -15,7 +15,7 @@
 	name string // of the disk that it stands for
 
 	mu    sync.Mutex
-	kept  agree.Kept
+	kept  consensus.Kept
 	delay time.Duration
 }
 
@@ -30,16 +30,16 @@
 }
 
 // Found is what a disk would hold at a start.
-func (s *Store) Found() disk.Found {
+func (s *Store) Found() storage.Found {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	kept := s.kept
-	kept.Records = append([]agree.Record(nil), kept.Records...)
-	return disk.Found{Disk: s.name, Kept: kept}
+	kept.Records = append([]consensus.Record(nil), kept.Records...)
+	return storage.Found{Disk: s.name, Kept: kept}
 }
 
 // Write keeps what a disk would, after the delay.
-func (s *Store) Write(k agree.Kept) error {
+func (s *Store) Write(k consensus.Kept) error {
 	s.mu.Lock()
 	delay := s.delay
 	s.mu.Unlock()
@@ -53,8 +53,8 @@
 // Close does nothing: what is kept stays for the next start.
 func (s *Store) Close() error { return nil }
 
-// Merge gives what is kept once next has been written over before, as agree.Kept says.
-func Merge(before, next agree.Kept) agree.Kept {
+// Merge gives what is kept once next has been written over before, as consensus.Kept says.
+func Merge(before, next consensus.Kept) consensus.Kept {
 	merged := before
 	if next.Hard != nil {
 		merged.Hard = next.Hard
--- a/internal/standin/world/world.go
+++ b/internal/emulator/world/world.go
@@ -11,36 +11,36 @@
 	"strings"
 	"time"
 
-	"railrelay.dev/railrelay/internal/check"
-	"railrelay.dev/railrelay/internal/due"
-	"railrelay.dev/railrelay/internal/fair"
+	"railrelay.dev/railrelay/internal/controller"
+	"railrelay.dev/railrelay/internal/emulator/client"
+	"railrelay.dev/railrelay/internal/emulator/engine"
+	"railrelay.dev/railrelay/internal/emulator/feed"
+	"railrelay.dev/railrelay/internal/fairqueue"
 	"railrelay.dev/railrelay/internal/fleet"
-	"railrelay.dev/railrelay/internal/relay"
+	"railrelay.dev/railrelay/internal/historycheck"
+	"railrelay.dev/railrelay/internal/resultstore"
 	"railrelay.dev/railrelay/internal/spool"
-	"railrelay.dev/railrelay/internal/standin/caller"
-	"railrelay.dev/railrelay/internal/standin/engine"
-	"railrelay.dev/railrelay/internal/standin/feed"
-	"railrelay.dev/railrelay/internal/store"
+	"railrelay.dev/railrelay/internal/timerqueue"
 )
 
 // World is one run.
 type World struct {
 	Now     time.Duration
-	R       *relay.Relay
+	R       *controller.Controller
 	Engines []*Engine
 	Clients []*Client
 	Feed    feed.Log
-	History check.History
+	History historycheck.History
 	Rand    *rand.Rand
 	Quit    bool
-	Keeper  *store.Keeper // of the spool's disk, nil: none
-	Disk    time.Duration // what work on it takes
+	Keeper  *resultstore.Keeper // of the spool's disk, nil: none
+	Disk    time.Duration       // what work on it takes
 	Reports []fleet.Report
 	Said    []string // what the controller logged aloud, and its counters
 
 	delay  time.Duration
-	events due.Times
-	ends   map[*relay.Link]*end
+	events timerqueue.Times
+	ends   map[*controller.Connection]*end
 	byAddr map[string]*Engine
 	feeds  []*end
 	woken  uint64
@@ -60,7 +60,7 @@
 
 // end is a connection of the controller's as the world sees it.
 type end struct {
-	link  *relay.Link
+	link  *controller.Connection
 	conn  *engine.Conn
 	to    *Engine
 	from  *Client
@@ -78,9 +78,9 @@
 	in    []byte
 	next  uint32
 	open  map[uint32]*Asked
-	pages map[uint32]func(ans caller.Answer)
+	pages map[uint32]func(ans client.Answer)
 	Gone  bool
-	Heard func(a *Asked, ans caller.Answer)
+	Heard func(a *Asked, ans client.Answer)
 }
 
 // Asked is a query that a client asked for.
@@ -92,7 +92,7 @@
 	Tells           int
 	Started         time.Duration // when an engine first got it, -1: never
 	Over            time.Duration
-	Answer          caller.Kind
+	Answer          client.Kind
 	Answered, Left  bool
 	Pause           time.Duration
 	Work            engine.Work
@@ -103,8 +103,8 @@
 
 // New makes a world with engines of these figures and a controller of these
 // means, whose feed and list are the world's.
-func New(seed uint64, engines []engine.Figures, means relay.Means) *World {
-	w := &World{Rand: rand.New(rand.NewPCG(seed, 1)), ends: map[*relay.Link]*end{}, byAddr: map[string]*Engine{},
+func New(seed uint64, engines []engine.Figures, means controller.Config) *World {
+	w := &World{Rand: rand.New(rand.NewPCG(seed, 1)), ends: map[*controller.Connection]*end{}, byAddr: map[string]*Engine{},
 		delay: 100 * time.Microsecond}
 	var all []feed.Engine
 	for i, f := range engines {
@@ -120,7 +120,7 @@
 		at := fmt.Sprintf("group.%d.", i)
 		w.History.Group(means.Facts[at+"name"], means.Facts[at+"effect"], means.Facts[at+"in-order"] == "true")
 	}
-	r, effects := relay.New(means)
+	r, effects := controller.New(means)
 	w.R = r
 	w.perform(effects)
 	return w
@@ -177,30 +177,30 @@
 	w.Now = max(w.Now, end)
 }
 
-func (w *World) step(ev relay.Event) {
+func (w *World) step(ev controller.Event) {
 	if !w.Quit { // what it wrote before is on its way still
 		w.perform(w.R.Step(w.Now, ev))
 	}
 }
 
-func (w *World) perform(effects []relay.Effect) {
+func (w *World) perform(effects []controller.Effect) {
 	for _, f := range effects {
-		e := w.ends[f.Link]
-		switch f.Verb {
-		case relay.Dial:
-			w.dial(f.Link, f.Address, f.Within)
-		case relay.Write:
+		e := w.ends[f.Connection]
+		switch f.Kind {
+		case controller.Dial:
+			w.dial(f.Connection, f.Address, f.Within)
+		case controller.Write:
 			if e == nil || e.gone {
 				break
 			}
 			p := append([]byte{}, f.Bytes...)
 			w.After(0, func() {
 				if !e.gone {
-					w.step(relay.Event{Kind: relay.Wrote, Link: e.link, N: len(p)})
+					w.step(controller.Event{Kind: controller.BytesWritten, Connection: e.link, N: len(p)})
 				}
 			})
 			w.After(w.delay, func() { w.arrived(e, p) })
-		case relay.Close:
+		case controller.Close:
 			if e != nil {
 				at := time.Duration(0)
 				if f.Gently { // what was written before comes first
@@ -208,19 +208,19 @@
 				}
 				w.After(at, func() { w.lose(e) })
 			}
-		case relay.Wake:
+		case controller.SetTimer:
 			w.woken++
 			mine := w.woken
 			w.After(f.Within, func() {
 				if mine == w.woken {
-					w.step(relay.Event{Kind: relay.Woken})
+					w.step(controller.Event{Kind: controller.TimerFired})
 				}
 			})
-		case relay.Say, relay.Count:
-			if f.Loud || f.Verb == relay.Count {
+		case controller.LogMessage, controller.LogCounters:
+			if f.Loud || f.Kind == controller.LogCounters {
 				w.Said = append(w.Said, f.Text)
 			}
-		case relay.Store:
+		case controller.SubmitSpoolWork:
 			work := f.Work
 			w.After(w.Disk, func() {
 				if work.Fetch != nil {
@@ -231,11 +231,11 @@
 						return
 					}
 				}
-				w.step(relay.Event{Kind: relay.Stored, Work: work})
+				w.step(controller.Event{Kind: controller.SpoolWorkDone, Work: work})
 			})
-		case relay.Report:
+		case controller.ReportToFleet:
 			w.Reports = append(w.Reports, *f.Report)
-		case relay.Quit:
+		case controller.Exit:
 			w.Quit = true
 		}
 	}
@@ -245,20 +245,20 @@
 func (w *World) erase() {
 	w.Keeper.Tick()
 	for _, work := range w.Keeper.Erased() {
-		w.step(relay.Event{Kind: relay.Stored, Work: work})
+		w.step(controller.Event{Kind: controller.SpoolWorkDone, Work: work})
 	}
 	if w.Keeper.Erases() {
 		w.After(w.Disk, w.erase)
 	}
 }
 
-func (w *World) dial(link *relay.Link, address string, within time.Duration) {
+func (w *World) dial(link *controller.Connection, address string, within time.Duration) {
 	e := &end{link: link}
 	w.ends[link] = e
 	if address == "feed" {
 		e.feed = true
 		w.feeds = append(w.feeds, e)
-		w.After(2*w.delay, func() { w.step(relay.Event{Kind: relay.Up, Link: link}) })
+		w.After(2*w.delay, func() { w.step(controller.Event{Kind: controller.Connected, Connection: link}) })
 		return
 	}
 	to := w.byAddr[address]
@@ -266,13 +266,13 @@
 	case to != nil && to.down:
 		w.After(2*w.delay, func() {
 			delete(w.ends, link)
-			w.step(relay.Event{Kind: relay.Refused, Link: link})
+			w.step(controller.Event{Kind: controller.ConnectRefused, Connection: link})
 		})
 		return
 	case to == nil || to.Silent():
 		w.After(within, func() {
 			delete(w.ends, link)
-			w.step(relay.Event{Kind: relay.Unanswered, Link: link})
+			w.step(controller.Event{Kind: controller.ConnectTimedOut, Connection: link})
 		})
 		return
 	}
@@ -287,7 +287,7 @@
 	w.After(2*w.delay, func() {
 		if !e.gone {
 			to.Accept(e.conn)
-			w.step(relay.Event{Kind: relay.Up, Link: link})
+			w.step(controller.Event{Kind: controller.Connected, Connection: link})
 		}
 	})
 }
@@ -326,7 +326,7 @@
 	for len(p) > 0 && !e.gone {
 		n := copy(e.link.In.Space(), p)
 		p = p[n:]
-		w.step(relay.Event{Kind: relay.Got, Link: e.link, N: n})
+		w.step(controller.Event{Kind: controller.BytesReceived, Connection: e.link, N: n})
 	}
 }
 
@@ -349,7 +349,7 @@
 		}
 		clear(e.from.open)
 	}
-	w.step(relay.Event{Kind: relay.Ended, Link: e.link})
+	w.step(controller.Event{Kind: controller.ConnectionClosed, Connection: e.link})
 }
 
 // wake asks for the engine's next due time.
@@ -409,11 +409,11 @@
 
 // Connect makes a client's connection from an address.
 func (w *World) Connect(name string, from netip.Addr) *Client {
-	c := &Client{w: w, Name: name, open: map[uint32]*Asked{}, pages: map[uint32]func(ans caller.Answer){}}
-	c.end = &end{link: &relay.Link{From: from}, from: c}
+	c := &Client{w: w, Name: name, open: map[uint32]*Asked{}, pages: map[uint32]func(ans client.Answer){}}
+	c.end = &end{link: &controller.Connection{From: from}, from: c}
 	w.ends[c.end.link] = c.end
 	w.Clients = append(w.Clients, c)
-	w.step(relay.Event{Kind: relay.Accepted, Link: c.end.link})
+	w.step(controller.Event{Kind: controller.ClientAccepted, Connection: c.end.link})
 	return c
 }
 
@@ -428,33 +428,35 @@
 	}
 	c.open[a.Msg] = a
 	w.History.Asked(w.Now, id, group, key, a.Until)
-	w.feedBytes(c.end, caller.Call(nil, a.Msg, group, engine.Statement(work), fields...))
+	w.feedBytes(c.end, client.Call(nil, a.Msg, group, engine.Statement(work), fields...))
 	return a
 }
 
 // Page asks for a page of a result; then is called with the answer.
-func (c *Client) Page(token string, page int, then func(ans caller.Answer), fields ...string) {
+func (c *Client) Page(token string, page int, then func(ans client.Answer), fields ...string) {
 	c.next++
 	c.pages[c.next] = then
-	c.w.feedBytes(c.end, caller.Page(nil, c.next, token, strconv.Itoa(page), fields...))
+	c.w.feedBytes(c.end, client.Page(nil, c.next, token, strconv.Itoa(page), fields...))
 }
 
 // Purge asks for what is kept of its team to go; then is called with the answer.
-func (c *Client) Purge(then func(ans caller.Answer), fields ...string) {
+func (c *Client) Purge(then func(ans client.Answer), fields ...string) {
 	c.next++
 	c.pages[c.next] = then
-	c.w.feedBytes(c.end, caller.Purge(nil, c.next, fields...))
+	c.w.feedBytes(c.end, client.Purge(nil, c.next, fields...))
 }
 
 // Order has the controller do what a fleet orders; Reports has what it told in turn.
-func (w *World) Order(o fleet.Order) { w.step(relay.Event{Kind: relay.Ordered, Order: &o}) }
+func (w *World) Order(o fleet.Order) {
+	w.step(controller.Event{Kind: controller.FleetOrdered, Order: &o})
+}
 
 // Leave takes a query back.
 func (c *Client) Leave(a *Asked) {
 	if !a.Answered && !a.Left && !c.Gone {
 		a.Left = true
 		c.w.History.Left(c.w.Now, a.ID)
-		c.w.feedBytes(c.end, caller.Cancel(nil, a.Msg))
+		c.w.feedBytes(c.end, client.Cancel(nil, a.Msg))
 	}
 }
 
@@ -464,7 +466,7 @@
 func (c *Client) got(p []byte) {
 	c.in = append(c.in, p...)
 	for {
-		ans, n, err := caller.Read(c.in)
+		ans, n, err := client.Read(c.in)
 		if err != nil {
 			c.w.History.Broken(c.w.Now, c.Name+": "+err.Error())
 			c.Drop()
@@ -481,12 +483,12 @@
 			continue
 		}
 		if a == nil {
-			if ans.Kind != caller.Told && ans.Kind != caller.Ready && !(ans.Kind == caller.Killed && ans.Msg > c.next) {
+			if ans.Kind != client.Told && ans.Kind != client.Ready && !(ans.Kind == client.Killed && ans.Msg > c.next) {
 				c.w.History.Broken(c.w.Now, fmt.Sprintf("%s: an answer to %d that nobody waits for", c.Name, ans.Msg))
 			}
 			continue
 		}
-		if ans.Kind == caller.Told {
+		if ans.Kind == client.Told {
 			if a.Tells++; a.Told < 0 {
 				a.Told = ans.Wait
 			}
@@ -499,7 +501,7 @@
 				if a.Paging["token"] != "" { // whoever asks for the other pages compares them
 					made = made[:min(len(made), len(ans.Rows))]
 				}
-				c.w.History.Answered(c.w.Now, a.ID, check.Answer(ans.Kind), ans.Rows, made)
+				c.w.History.Answered(c.w.Now, a.ID, historycheck.Answer(ans.Kind), ans.Rows, made)
 			}
 		}
 		if c.Heard != nil {
@@ -518,8 +520,8 @@
 }
 
 // Stop tells the controller to end, Reload to follow other teams.
-func (w *World) Stop() { w.step(relay.Event{Kind: relay.Stop}) }
+func (w *World) Stop() { w.step(controller.Event{Kind: controller.ShutdownRequested}) }
 
-func (w *World) Reload(shape *fair.Shape) {
-	w.step(relay.Event{Kind: relay.Reload, Feed: "feed", Fair: shape})
+func (w *World) Reload(shape *fairqueue.Shape) {
+	w.step(controller.Event{Kind: controller.ConfigurationReloaded, Feed: "feed", Fair: shape})
 }
--- a/internal/engines/engines.go
+++ b/internal/enginehttp/engines.go
@@ -1,4 +1,4 @@
-package engines
+package enginehttp
 
 import (
 	"bytes"
@@ -6,8 +6,8 @@
 	"strings"
 	"time"
 
-	"railrelay.dev/railrelay/decide"
-	"railrelay.dev/railrelay/internal/terms"
+	"railrelay.dev/railrelay/internal/scheduler"
+	"railrelay.dev/railrelay/internal/settings"
 )
 
 // Submit writes the call that starts a statement; token "": none goes with it.
@@ -68,11 +68,11 @@
 // Hearer is handed what an engine's answer says of a query.
 type Hearer interface {
 	Runs()
-	Note(sign decide.Sign, x float64)
+	Note(sign scheduler.NoteKind, x float64)
 	Page(number, of int, rows []byte)
 	// Finished comes with page 0: the work and memory that were needed.
 	Finished(work time.Duration, memoryMB float64)
-	Ends(outcome decide.Outcome)
+	Ends(outcome scheduler.Outcome)
 }
 
 // Fits reports whether the answer is one to the call for a page (0: the news, Submit's too).
@@ -123,8 +123,8 @@
 		h.Runs()
 		x, is := figure(field("Reading"))
 		if sign, ok := signs[field("X-Cache")]; ok && is {
-			if sign == decide.WaitsForMemory && x == 2 {
-				sign = decide.WaitsForLoad
+			if sign == scheduler.WaitsForMemory && x == 2 {
+				sign = scheduler.WaitsForLoad
 			}
 			h.Note(sign, x)
 		}
@@ -138,16 +138,16 @@
 		}
 		h.Page(page, number, body)
 	case status == 503 && neverRan:
-		h.Ends(decide.Full)
+		h.Ends(scheduler.Rejected)
 	case status == 504 && neverRan:
-		h.Ends(decide.NeverSent)
+		h.Ends(scheduler.NeverSent)
 	default:
-		h.Ends(decide.Errored)
+		h.Ends(scheduler.Failed)
 	}
 }
 
-var signs = map[string]decide.Sign{
-	"advance": decide.Progress, "disk": decide.Spilling, "stall": decide.WaitsForMemory,
+var signs = map[string]scheduler.NoteKind{
+	"advance": scheduler.Progress, "disk": scheduler.Spilling, "stall": scheduler.WaitsForMemory,
 }
 
 // wholeRows: every row ends, and has its three columns.
@@ -172,7 +172,7 @@
 	for pair := range strings.SplitSeq(text, ";") {
 		name, value, _ := strings.Cut(pair, ":")
 		x, is := figure(value)
-		if ours := terms.Figure(strings.TrimSpace(name)); is && ours != "" {
+		if ours := settings.Figure(strings.TrimSpace(name)); is && ours != "" {
 			report[ours] = x
 		}
 	}
--- a/internal/engines/engines_test.go
+++ b/internal/enginehttp/engines_test.go
@@ -1,4 +1,4 @@
-package engines
+package enginehttp
 
 import (
 	"fmt"
@@ -6,18 +6,18 @@
 	"testing"
 	"time"
 
-	"railrelay.dev/railrelay/decide"
+	"railrelay.dev/railrelay/internal/scheduler"
 )
 
 type notes struct{ said []string }
 
-func (n *notes) Runs()                         { n.add("runs") }
-func (n *notes) Note(s decide.Sign, x float64) { n.add("note %d %g", s, x) }
+func (n *notes) Runs()                                { n.add("runs") }
+func (n *notes) Note(s scheduler.NoteKind, x float64) { n.add("note %d %g", s, x) }
 func (n *notes) Page(number, of int, rows []byte) {
 	n.add("page %d of %d %q", number, of, rows)
 }
 func (n *notes) Finished(w time.Duration, mb float64) { n.add("finished %v %g", w, mb) }
-func (n *notes) Ends(o decide.Outcome)                { n.add("ends %d", o) }
+func (n *notes) Ends(o scheduler.Outcome)             { n.add("ends %d", o) }
 func (n *notes) add(form string, a ...any)            { n.said = append(n.said, fmt.Sprintf(form, a...)) }
 
 func hear(text string, page, step int) (string, bool, error) {
@@ -49,7 +49,7 @@
 	answer := func(status int, fields, body string) string {
 		return fmt.Sprintf("HTTP/1.1 %d Some words\r\n%sContent-Length: %d\r\n\r\n%s", status, fields, len(body), body)
 	}
-	errored, full, never := fmt.Sprintf("ends %d", decide.Errored), fmt.Sprintf("ends %d", decide.Full), fmt.Sprintf("ends %d", decide.NeverSent)
+	errored, full, never := fmt.Sprintf("ends %d", scheduler.Failed), fmt.Sprintf("ends %d", scheduler.Rejected), fmt.Sprintf("ends %d", scheduler.NeverSent)
 	for _, c := range []struct {
 		page       int
 		text, want string
--- a/internal/engines/http.go
+++ b/internal/enginehttp/http.go
@@ -1,6 +1,6 @@
-// Package engines reads and writes what engines speak, HTTP/1.1 with one call
+// Package enginehttp reads and writes what engines speak, HTTP/1.1 with one call
 // at a time on a connection, over bytes only.
-package engines
+package enginehttp
 
 import (
 	"bytes"
--- a/internal/run/disk.go
+++ b/internal/eventloop/disk.go
@@ -1,9 +1,9 @@
-package run
+package eventloop
 
 import (
 	"sync"
 
-	"railrelay.dev/railrelay/internal/relay"
+	"railrelay.dev/railrelay/internal/controller"
 	"railrelay.dev/railrelay/internal/spool"
 )
 
@@ -48,7 +48,7 @@
 
 func (l *loop) stored(w *spool.Work) {
 	select {
-	case l.events <- event{Event: relay.Event{Kind: relay.Stored, Work: w}}:
+	case l.events <- event{Event: controller.Event{Kind: controller.SpoolWorkDone, Work: w}}:
 	case <-l.ctx.Done():
 	}
 }
--- a/internal/run/endings_clients_test.go
+++ b/internal/eventloop/endings_clients_test.go
@@ -1,4 +1,4 @@
-package run
+package eventloop
 
 import (
 	"io"
@@ -9,8 +9,8 @@
 
 	"golang.org/x/sync/errgroup"
 
-	"railrelay.dev/railrelay/internal/relay"
-	"railrelay.dev/railrelay/internal/standin/caller"
+	"railrelay.dev/railrelay/internal/controller"
+	"railrelay.dev/railrelay/internal/emulator/client"
 )
 
 // waiting is where a query waits, and what lets it go on from there.
@@ -125,7 +125,7 @@
 		y.engine.over(id(90))
 		y.engine.over(id(91))
 		for range 2 {
-			if a, ok := first.answer(); !ok || a.Kind != caller.Finished {
+			if a, ok := first.answer(); !ok || a.Kind != client.Finished {
 				t.Fatalf("%v %+v", ok, a)
 			}
 		}
@@ -144,12 +144,12 @@
 // what lies in a queue to be written asks for its permit right before its first byte.
 func TestWhatAClientSaysGoesBeforeWhatBeginsForIt(t *testing.T) {
 	for _, leaves := range []bool{false, true} {
-		l := &loop{group: &errgroup.Group{}, wires: map[*relay.Link]*wire{}, later: map[*wire][]func(){}, start: time.Now()}
-		engine, client := newWire(&relay.Link{}, nil), newWire(&relay.Link{}, nil)
+		l := &loop{group: &errgroup.Group{}, wires: map[*controller.Connection]*wire{}, later: map[*wire][]func(){}, start: time.Now()}
+		engine, client := newWire(&controller.Connection{}, nil), newWire(&controller.Connection{}, nil)
 		l.wires[engine.link], l.wires[client.link] = engine, client
 		client.unheard.Store(true)
-		permit := relay.NewPermit(time.Hour)
-		l.perform([]relay.Effect{{Verb: relay.Write, Link: engine.link, Bytes: []byte("POST"), Permit: permit, For: client.link}})
+		permit := controller.NewWritePermit(time.Hour)
+		l.perform([]controller.Effect{{Kind: controller.Write, Connection: engine.link, Bytes: []byte("POST"), Permit: permit, For: client.link}})
 		if len(engine.queue) > 0 {
 			t.Fatal("queued before its client was heard")
 		}
@@ -168,7 +168,7 @@
 
 func TestAPermitIsAskedRightBeforeTheFirstByte(t *testing.T) {
 	now := time.Now().Add(-time.Minute)
-	for what, p := range map[string]*relay.Permit{"it holds": relay.NewPermit(time.Hour), "revoked": relay.NewPermit(time.Hour), "over": relay.NewPermit(30 * time.Second)} {
+	for what, p := range map[string]*controller.WritePermit{"it holds": controller.NewWritePermit(time.Hour), "revoked": controller.NewWritePermit(time.Hour), "over": controller.NewWritePermit(30 * time.Second)} {
 		if what == "revoked" {
 			p.Revoke()
 		}
@@ -177,7 +177,7 @@
 			if out != "free starts free too" {
 				t.Fatalf("%q, %v", out, kinds)
 			}
-		} else if out != "free " || len(kinds) != 3 || kinds[1] != relay.Barred || kinds[2] != relay.Ended {
+		} else if out != "free " || len(kinds) != 3 || kinds[1] != controller.WriteBarred || kinds[2] != controller.ConnectionClosed {
 			t.Fatalf("%s: %q, %v", what, out, kinds)
 		}
 	}
@@ -187,7 +187,7 @@
 // and the connection still ends well; read before, it is answered whole.
 func TestAQueryCrossesOurClose(t *testing.T) {
 	t.Parallel()
-	y := newYard(t, options{manners: []relay.Manners{{From: loopback, Idle: time.Millisecond}}})
+	y := newYard(t, options{manners: []controller.ClientLimits{{From: loopback, Idle: time.Millisecond}}})
 	after := y.client()
 	if _, ok := after.answer(); ok {
 		t.Fatal("an answer to nothing")
@@ -205,9 +205,9 @@
 		c := y.client()
 		time.Sleep(time.Duration(n*9) * time.Millisecond / 2)
 		c.msgs++
-		c.Write(caller.Call(nil, c.msgs, "squall", []byte("SELECT 1 FROM sales_3.x"), "trace", id(n), "patience", "5000"))
+		c.Write(client.Call(nil, c.msgs, "squall", []byte("SELECT 1 FROM sales_3.x"), "trace", id(n), "patience", "5000"))
 		y.engine.over(id(n))
-		if a, ok := c.answer(); ok != (y.engine.heard.has("POST "+id(n)) == 1) || ok && a.Kind != caller.Finished {
+		if a, ok := c.answer(); ok != (y.engine.heard.has("POST "+id(n)) == 1) || ok && a.Kind != client.Finished {
 			t.Fatalf("query %d: sent %d times, answered: %v %+v", n, y.engine.heard.has("POST "+id(n)), ok, a)
 		}
 		c.Close()
@@ -225,7 +225,7 @@
 	ours, theirs := pair(t)
 	defer theirs.Close()
 	l := &loop{ctx: t.Context(), group: &errgroup.Group{}, events: make(chan event), start: time.Now()}
-	w := newWire(&relay.Link{}, ours)
+	w := newWire(&controller.Connection{}, ours)
 	w.client = true
 	ours.(*net.TCPConn).SetWriteBuffer(4 << 20)
 	size := 3 << 20
@@ -233,11 +233,11 @@
 	ended, out := make(chan struct{}), make(chan struct{})
 	go func() {
 		for ev := range l.events {
-			if ev.Kind == relay.Got {
+			if ev.Kind == controller.BytesReceived {
 				w.turn <- struct{}{}
-			} else if ev.Kind == relay.Wrote {
+			} else if ev.Kind == controller.BytesWritten {
 				close(out)
-			} else if ev.Kind == relay.Ended {
+			} else if ev.Kind == controller.ConnectionClosed {
 				close(ended)
 				return
 			}
@@ -280,7 +280,7 @@
 	y.engine.heard.wait(1, "POST "+id(1))
 	y.engine.over(id(1))
 	asks.finished(1)
-	if _, err := asks.Write(caller.Alive(nil, 77)); err != nil {
+	if _, err := asks.Write(client.Alive(nil, 77)); err != nil {
 		t.Fatal(err)
 	}
 	if a, ok := asks.answer(); !ok || !a.Ready {
--- a/internal/run/endings_test.go
+++ b/internal/eventloop/endings_test.go
@@ -1,4 +1,4 @@
-package run
+package eventloop
 
 import (
 	"io"
@@ -8,8 +8,8 @@
 
 	"golang.org/x/sync/errgroup"
 
-	"railrelay.dev/railrelay/internal/relay"
-	"railrelay.dev/railrelay/internal/standin/caller"
+	"railrelay.dev/railrelay/internal/controller"
+	"railrelay.dev/railrelay/internal/emulator/client"
 )
 
 // At the end of the program a client that rests hears that nothing more comes, and isn't waited
@@ -21,11 +21,11 @@
 	rests, asks := y.client(), y.client()
 	asks.ask("squall", 1, 15*time.Second)
 	y.engine.heard.wait(1, "POST "+id(1))
-	y.tell(relay.Stop)
+	y.tell(controller.ShutdownRequested)
 	rests.ask("squall", 2, 15*time.Second) // on a connection that rested, as the word comes
 	y.engine.heard.wait(1, "POST "+id(2))
-	y.tell(relay.Stop)
-	y.tell(relay.Reload)
+	y.tell(controller.ShutdownRequested)
+	y.tell(controller.ConfigurationReloaded)
 	y.engine.over(id(2))
 	rests.finished(2)
 	late := y.client()
@@ -37,7 +37,7 @@
 			t.Fatal("ended with a query in hand")
 		}
 		time.Sleep(4 * time.Millisecond) // more at a time would be a flood
-		if a.Kind == caller.Deferred {
+		if a.Kind == client.Deferred {
 			if y.engine.heard.has("POST "+id(n)) > 0 {
 				t.Fatal("deferred, and sent")
 			}
@@ -78,13 +78,13 @@
 	y.log.wait(0, "")
 	c.ask("squall", 5, patience) // its connection doesn't come up
 	y.log.wait(1, "dialled for POST", id(5))
-	y.tell(relay.Stop)
+	y.tell(controller.ShutdownRequested)
 	for range 5 {
 		a, ok := c.answer()
-		if !ok || a.Kind == caller.Finished {
+		if !ok || a.Kind == client.Finished {
 			t.Fatalf("%v %+v", ok, a)
 		}
-		if a.Kind == caller.Deferred && a.Msg == 2 {
+		if a.Kind == client.Deferred && a.Msg == 2 {
 			t.Fatal("deferred, and it runs")
 		}
 	}
@@ -260,7 +260,7 @@
 			if ok && a.Msg == 1 {
 				a, ok = c.answer()
 			}
-			if !ok || a.Msg != 2 || a.Kind != caller.Finished {
+			if !ok || a.Msg != 2 || a.Kind != client.Finished {
 				t.Fatalf("%v %+v", ok, a)
 			}
 			c.Close()
@@ -301,20 +301,20 @@
 	ours, theirs := pair(t)
 	defer theirs.Close()
 	l := &loop{ctx: t.Context(), group: &errgroup.Group{}, events: make(chan event), start: time.Now()}
-	w := newWire(&relay.Link{}, ours)
+	w := newWire(&controller.Connection{}, ours)
 	io.WriteString(theirs, good(id(1)))
 	go l.serve(w)
 	first := <-l.events // read, and not stepped
 	w.write([]byte("POST"), guard{})
-	var kinds []relay.Kind
-	for kinds = append(kinds, first.Kind); kinds[len(kinds)-1] != relay.Ended; {
+	var kinds []controller.EventKind
+	for kinds = append(kinds, first.Kind); kinds[len(kinds)-1] != controller.ConnectionClosed; {
 		ev := <-l.events
 		kinds = append(kinds, ev.Kind)
-		if ev.Kind == relay.Barred {
+		if ev.Kind == controller.WriteBarred {
 			w.turn <- struct{}{}
 		}
 	}
-	if len(kinds) != 3 || kinds[0] != relay.Got || kinds[1] != relay.Barred {
+	if len(kinds) != 3 || kinds[0] != controller.BytesReceived || kinds[1] != controller.WriteBarred {
 		t.Fatal(kinds)
 	}
 	theirs.SetReadDeadline(time.Now().Add(patienceMost))
@@ -339,7 +339,7 @@
 	y.engine.page(page)
 	held <- strings.Replace(first, "Chunks: 1", "Chunks: 9", 1)
 	y.log.wait(1, "closed: finished", id(1))
-	y.tell(relay.Stop)
+	y.tell(controller.ShutdownRequested)
 	y.log.wait(1, "taken 1 finished 1") // the counters, with which it ends
 	c.ask("squall", 2, 10*time.Second)
 	a, ok := c.answer()
@@ -360,11 +360,11 @@
 	c, late := y.client(), y.client()
 	c.ask("squall", 1, 15*time.Second)
 	y.engine.heard.wait(1, "GET "+id(1))
-	y.tell(relay.Stop)
+	y.tell(controller.ShutdownRequested)
 	for n := 2; ; n++ {
 		late.ask("squall", n, 15*time.Second)
 		y.engine.over(id(n))
-		if a, ok := late.answer(); !ok || a.Kind == caller.Deferred {
+		if a, ok := late.answer(); !ok || a.Kind == client.Deferred {
 			break
 		}
 		time.Sleep(4 * time.Millisecond)
--- a/internal/run/fleet_test.go
+++ b/internal/eventloop/fleet_test.go
@@ -1,4 +1,4 @@
-package run
+package eventloop
 
 import (
 	"context"
@@ -10,13 +10,13 @@
 	"github.com/rs/zerolog"
 	"golang.org/x/sync/errgroup"
 
+	"railrelay.dev/railrelay/internal/controller"
 	"railrelay.dev/railrelay/internal/fleet"
-	"railrelay.dev/railrelay/internal/relay"
 )
 
 // sends writes on a connection what a word guards, and tells what came out and which
 // events it led to.
-func sends(t *testing.T, started time.Time, by string, g guard, set func(*fleet.Word)) (string, []relay.Kind) {
+func sends(t *testing.T, started time.Time, by string, g guard, set func(*fleet.Word)) (string, []controller.EventKind) {
 	t.Helper()
 	ours, theirs := pair(t)
 	defer theirs.Close()
@@ -27,7 +27,7 @@
 		set(word)
 	}
 	l := &loop{ctx: ctx, group: &errgroup.Group{}, events: make(chan event), start: started, word: word}
-	w := newWire(&relay.Link{}, ours)
+	w := newWire(&controller.Connection{}, ours)
 	w.write([]byte("free "), guard{})
 	w.write([]byte(by), g)
 	w.write([]byte("free too"), guard{})
@@ -40,11 +40,11 @@
 		theirs.Close()
 		read <- string(out)
 	}()
-	var kinds []relay.Kind
+	var kinds []controller.EventKind
 	for wait := time.After(20 * time.Second); ; {
 		select {
 		case ev := <-l.events:
-			if kinds = append(kinds, ev.Kind); ev.Kind != relay.Ended {
+			if kinds = append(kinds, ev.Kind); ev.Kind != controller.ConnectionClosed {
 				continue
 			}
 		case <-wait:
@@ -70,7 +70,7 @@
 	}
 	for what, set := range map[string]func(*fleet.Word){"another version": open(8, time.Hour), "shut": open(0, time.Hour), "no lease": open(7, 30*time.Second)} {
 		out, kinds := sends(t, now.Add(-time.Minute), "by 7 ", guard{version: 7}, set)
-		if want := "free "; out != want || len(kinds) != 3 || kinds[0] != relay.Wrote || kinds[1] != relay.Barred {
+		if want := "free "; out != want || len(kinds) != 3 || kinds[0] != controller.BytesWritten || kinds[1] != controller.WriteBarred {
 			t.Fatalf("%s: %q, %v", what, out, kinds)
 		}
 	}
@@ -83,7 +83,7 @@
 		t.Fatal(out, kinds)
 	}
 	out, kinds := sends(t, now.Add(-time.Minute), "kept ", guard{kept: true}, func(w *fleet.Word) { w.Set(7); w.Lease(time.Hour, 30*time.Second) })
-	if out != "free " || len(kinds) != 3 || kinds[1] != relay.Barred {
+	if out != "free " || len(kinds) != 3 || kinds[1] != controller.WriteBarred {
 		t.Fatalf("%q, %v", out, kinds)
 	}
 }
@@ -96,11 +96,11 @@
 		t.Fatal(err)
 	}
 	ctx, stop := context.WithCancel(context.Background())
-	orders, reports, asked := make(chan fleet.Order), make(chan fleet.Report, 1), make(chan relay.Event)
+	orders, reports, asked := make(chan fleet.Order), make(chan fleet.Report, 1), make(chan controller.Event)
 	done := make(chan error)
-	means := relay.Means{MemoryMB: 32, Sockets: 64, Started: time.Now(), Fleet: &relay.Fleet{Word: &fleet.Word{}},
+	means := controller.Config{MemoryMB: 32, Sockets: 64, Started: time.Now(), Fleet: &controller.FleetConfig{Word: &fleet.Word{}},
 		Facts: map[string]string{"locations": "here"}}
-	go func() { done <- Serve(ctx, listener, means, nil, Peers{orders, reports}, asked, zerolog.Nop()) }()
+	go func() { done <- Serve(ctx, listener, means, nil, FleetChannels{orders, reports}, asked, zerolog.Nop()) }()
 	orders <- fleet.Order{Kind: fleet.Renewed, Until: fleet.Forever, UntilBound: fleet.Forever}
 	for i := range 3 {
 		orders <- fleet.Order{Kind: fleet.Open, Version: uint64(i + 1)}
--- a/internal/run/gate_test.go
+++ b/internal/eventloop/gate_test.go
@@ -1,4 +1,4 @@
-package run
+package eventloop
 
 import (
 	"bufio"
@@ -18,8 +18,8 @@
 
 	"github.com/rs/zerolog"
 
-	"railrelay.dev/railrelay/internal/relay"
-	"railrelay.dev/railrelay/internal/standin/caller"
+	"railrelay.dev/railrelay/internal/controller"
+	"railrelay.dev/railrelay/internal/emulator/client"
 )
 
 // What stands round a controller on loopback: an engine, a feed and clients that stop at named
@@ -360,7 +360,7 @@
 	log     *record
 	engine  *gate
 	feed    *watched
-	asked   chan relay.Event
+	asked   chan controller.Event
 	done    chan error
 	address string
 	stop    context.CancelFunc
@@ -369,7 +369,7 @@
 type options struct {
 	facts   map[string]string
 	sockets int
-	manners []relay.Manners
+	manners []controller.ClientLimits
 	state   string       // of the engine at the start
 	engine  net.Listener // nil: one that accepts
 	more    []string     // entries of the list
@@ -378,7 +378,7 @@
 
 func newYard(t testing.TB, o options) *yard {
 	t.Helper()
-	y := &yard{t: t, log: newRecord(t), asked: make(chan relay.Event), done: make(chan error, 1)}
+	y := &yard{t: t, log: newRecord(t), asked: make(chan controller.Event), done: make(chan error, 1)}
 	l := o.engine
 	if l == nil {
 		y.engine = newGate(t, nil)
@@ -395,23 +395,23 @@
 		o.feed = y.feed.Addr().String()
 	}
 	known := listed(1, true, append([]string{entry("e1", l, o.state)}, o.more...)...)
-	means := relay.Means{Seed: 5, MemoryMB: 64, Sockets: o.sockets, Feed: o.feed, Facts: facts(o.facts), Started: time.Now(), Trace: true,
-		Manners: o.manners, Words: relay.Words{Token: "nonce"}, Known: []byte(`{"n":1,"events":[` + known + `]}`)}
+	means := controller.Config{Seed: 5, MemoryMB: 64, Sockets: o.sockets, Feed: o.feed, Facts: facts(o.facts), Started: time.Now(), Trace: true,
+		Manners: o.manners, Words: controller.FieldNames{Token: "nonce"}, Known: []byte(`{"n":1,"events":[` + known + `]}`)}
 	front := listen(t)
 	y.address = front.Addr().String()
 	ctx, stop := context.WithCancel(context.Background())
 	y.stop = stop
 	log := zerolog.New(y.log).Level(zerolog.DebugLevel)
-	go func() { y.done <- Serve(ctx, front, means, nil, Peers{}, y.asked, log) }()
+	go func() { y.done <- Serve(ctx, front, means, nil, FleetChannels{}, y.asked, log) }()
 	t.Cleanup(stop)
 	return y
 }
 
 // tell has the reducer hear what no connection says.
-func (y *yard) tell(k relay.Kind) {
+func (y *yard) tell(k controller.EventKind) {
 	y.t.Helper()
 	select {
-	case y.asked <- relay.Event{Kind: k, Feed: y.feed.Addr().String()}:
+	case y.asked <- controller.Event{Kind: k, Feed: y.feed.Addr().String()}:
 	case <-time.After(patienceMost):
 		y.t.Fatal("nobody takes it")
 	}
@@ -420,7 +420,7 @@
 // ends stops the controller and waits until it has gone.
 func (y *yard) ends() {
 	y.t.Helper()
-	y.tell(relay.Stop)
+	y.tell(controller.ShutdownRequested)
 	y.gone()
 }
 
@@ -466,23 +466,23 @@
 	if group == "haul" {
 		tables = 1
 	}
-	if _, err := c.Write(caller.Call(nil, c.msgs, group, []byte("SELECT * FROM sales_"+strconv.Itoa(tables)+".orders"), fields...)); err != nil {
+	if _, err := c.Write(client.Call(nil, c.msgs, group, []byte("SELECT * FROM sales_"+strconv.Itoa(tables)+".orders"), fields...)); err != nil {
 		c.t.Fatal(err)
 	}
 }
 
 func (c *asker) cancel() {
 	c.t.Helper()
-	if _, err := c.Write(caller.Cancel(nil, c.msgs)); err != nil {
+	if _, err := c.Write(client.Cancel(nil, c.msgs)); err != nil {
 		c.t.Fatal(err)
 	}
 }
 
 // answer reads the next one; false at the connection's end.
-func (c *asker) answer() (caller.Answer, bool) {
+func (c *asker) answer() (client.Answer, bool) {
 	c.t.Helper()
 	for p := make([]byte, 64<<10); ; {
-		a, n, err := caller.Read(c.in)
+		a, n, err := client.Read(c.in)
 		if err != nil {
 			c.t.Fatal(err)
 		}
@@ -504,7 +504,7 @@
 func (c *asker) finished(n int) {
 	c.t.Helper()
 	a, ok := c.answer()
-	if !ok || a.Kind != caller.Finished || !strings.HasPrefix(string(a.Rows), id(n)) {
+	if !ok || a.Kind != client.Finished || !strings.HasPrefix(string(a.Rows), id(n)) {
 		c.t.Fatalf("query %d: %v %+v", n, ok, a)
 	}
 }
--- a/internal/run/look.go
+++ b/internal/eventloop/look.go
@@ -1,4 +1,4 @@
-package run
+package eventloop
 
 import "time"
 
--- a/internal/run/run.go
+++ b/internal/eventloop/run.go
@@ -1,7 +1,7 @@
-// Package run performs the effects that the reducer asks for and brings back
+// Package eventloop performs the effects that the reducer asks for and brings back
 // what came of them as events. It knows connections and the clock, and nothing
 // of what is said on them.
-package run
+package eventloop
 
 import (
 	"context"
@@ -13,9 +13,9 @@
 	"github.com/rs/zerolog"
 	"golang.org/x/sync/errgroup"
 
+	"railrelay.dev/railrelay/internal/controller"
 	"railrelay.dev/railrelay/internal/fleet"
-	"railrelay.dev/railrelay/internal/relay"
-	"railrelay.dev/railrelay/internal/store"
+	"railrelay.dev/railrelay/internal/resultstore"
 )
 
 // loop is the one goroutine that owns the reducer, with those that read and
@@ -24,38 +24,38 @@
 	ctx    context.Context
 	group  *errgroup.Group
 	events chan event
-	wires  map[*relay.Link]*wire
+	wires  map[*controller.Connection]*wire
 	later  map[*wire][]func() // writes that wait for what has come from a client to be stepped
 	wakeAt time.Duration      // when the reducer is to be woken, since the start
 	log    zerolog.Logger
 	start  time.Time
 	timer  *time.Timer
-	room   chan struct{} // one a client's connection: there are never more than it holds
-	disk   *store.Keeper // nil: there is no spool on disk
+	room   chan struct{}       // one a client's connection: there are never more than it holds
+	disk   *resultstore.Keeper // nil: there is no spool on disk
 	work   backlog
 	word   *fleet.Word // nil: there are no peers
-	peers  Peers
+	peers  FleetChannels
 	untold []*fleet.Report // found no room, for the reducer to keep
 }
 
-// Peers joins the reducer and the fleet's side, which runs beside it.
-type Peers struct {
+// FleetChannels joins the reducer and the fleet's side, which runs beside it.
+type FleetChannels struct {
 	Orders  <-chan fleet.Order  // a full one makes the fleet's side wait
 	Reports chan<- fleet.Report // nobody waits for it: what finds no room goes back to the reducer
 }
 
 // event is one for the reducer, with its link's connection where that is new.
 type event struct {
-	relay.Event
+	controller.Event
 	wire *wire
 }
 
 // Serve runs a controller on a listener until it is done or ctx ends. Peers are left
 // empty where it has none.
-func Serve(ctx context.Context, listener net.Listener, means relay.Means, disk *store.Keeper, peers Peers, asked <-chan relay.Event, log zerolog.Logger) error {
+func Serve(ctx context.Context, listener net.Listener, means controller.Config, disk *resultstore.Keeper, peers FleetChannels, asked <-chan controller.Event, log zerolog.Logger) error {
 	group, ctx := errgroup.WithContext(ctx)
 	ctx, cancel := context.WithCancel(ctx)
-	l := &loop{ctx: ctx, group: group, events: make(chan event), wires: map[*relay.Link]*wire{}, later: map[*wire][]func(){}, log: log,
+	l := &loop{ctx: ctx, group: group, events: make(chan event), wires: map[*controller.Connection]*wire{}, later: map[*wire][]func(){}, log: log,
 		start: means.Started, timer: time.NewTimer(time.Hour), room: make(chan struct{}, means.ClientsMost()), disk: disk, peers: peers}
 	if means.Fleet != nil {
 		l.word = means.Fleet.Word
@@ -78,34 +78,34 @@
 	return err
 }
 
-func (l *loop) run(means relay.Means, asked <-chan relay.Event) error {
+func (l *loop) run(means controller.Config, asked <-chan controller.Event) error {
 	defer func() {
 		for _, w := range l.wires {
 			w.close()
 		}
 	}()
-	r, effects := relay.New(means)
+	r, effects := controller.New(means)
 	done := l.perform(effects)
 	for !done {
 		for len(l.untold) > 0 { // it keeps these, and asks for none of them again at once
 			p := l.untold[0]
 			l.untold = l.untold[1:]
-			done = l.perform(r.Step(time.Since(l.start), relay.Event{Kind: relay.Untold, Report: p})) || done
+			done = l.perform(r.Step(time.Since(l.start), controller.Event{Kind: controller.FleetReportRejected, Report: p})) || done
 		}
 		var ev event
 		select {
 		case ev = <-l.events:
 		case <-l.timer.C:
-			ev.Kind = relay.Woken
+			ev.Kind = controller.TimerFired
 		case ev.Event = <-asked:
 		case o := <-l.peers.Orders:
-			ev.Kind, ev.Order = relay.Ordered, &o
+			ev.Kind, ev.Order = controller.FleetOrdered, &o
 		case <-l.ctx.Done():
 			return l.ctx.Err()
 		}
 		if now := time.Since(l.start); l.wakeAt > 0 && now > l.wakeAt+stoodMost {
 			done = l.meanwhile(r, ev)
-			ev = event{Event: relay.Event{Kind: relay.Woken}}
+			ev = event{Event: controller.Event{Kind: controller.TimerFired}}
 		}
 		done = l.step(r, ev) || done
 	}
@@ -114,25 +114,25 @@
 }
 
 // step has the reducer hear an event and performs what it asks for.
-func (l *loop) step(r *relay.Relay, ev event) (done bool) {
+func (l *loop) step(r *controller.Controller, ev event) (done bool) {
 	if ev.wire != nil {
-		l.wires[ev.Link] = ev.wire
+		l.wires[ev.Connection] = ev.wire
 	}
-	w := l.wires[ev.Link]
-	if ev.Kind == relay.Got && w != nil && w.client {
+	w := l.wires[ev.Connection]
+	if ev.Kind == controller.BytesReceived && w != nil && w.client {
 		ev.N, ev.Last = w.more(ev.N)
 	}
-	if w != nil && (ev.Kind == relay.Got || ev.Kind == relay.Ended) {
+	if w != nil && (ev.Kind == controller.BytesReceived || ev.Kind == controller.ConnectionClosed) {
 		w.unheard.Store(false)
 	}
-	if ev.Kind == relay.Ended || ev.Kind == relay.Refused || ev.Kind == relay.Unanswered {
-		delete(l.wires, ev.Link)
+	if ev.Kind == controller.ConnectionClosed || ev.Kind == controller.ConnectRefused || ev.Kind == controller.ConnectTimedOut {
+		delete(l.wires, ev.Connection)
 	}
 	done = l.perform(r.Step(time.Since(l.start), ev.Event))
-	if ev.Kind == relay.Got || ev.Kind == relay.Ended {
+	if ev.Kind == controller.BytesReceived || ev.Kind == controller.ConnectionClosed {
 		l.heard(w)
 	}
-	if w != nil && ev.Kind == relay.Got {
+	if w != nil && ev.Kind == controller.BytesReceived {
 		w.turn <- struct{}{}
 	}
 	return done
@@ -149,10 +149,10 @@
 // meanwhile is for when we stood still ourselves, or had no processor: what came is heard before
 // anything that is due is done. A client may have hung up long ago, and an answer that is held to
 // be late lies here unread. The pause lets those that read run, who then wait with what they have.
-func (l *loop) meanwhile(r *relay.Relay, ev event) (done bool) {
+func (l *loop) meanwhile(r *controller.Controller, ev event) (done bool) {
 	time.Sleep(time.Millisecond)
 	for n := 0; ; n++ {
-		if ev.Kind != relay.Woken {
+		if ev.Kind != controller.TimerFired {
 			ev.Early = true
 			done = l.step(r, ev) || done
 		}
@@ -187,14 +187,14 @@
 	for wait := time.After(2 * finishMost); left > 0; {
 		select {
 		case ev := <-l.events:
-			switch w := l.wires[ev.Link]; {
+			switch w := l.wires[ev.Connection]; {
 			case ev.wire != nil:
 				ev.wire.close()
 			case w == nil:
-			case ev.Kind == relay.Got:
+			case ev.Kind == controller.BytesReceived:
 				w.turn <- struct{}{}
-			case ev.Kind == relay.Ended:
-				delete(l.wires, ev.Link)
+			case ev.Kind == controller.ConnectionClosed:
+				delete(l.wires, ev.Connection)
 				left--
 			}
 		case <-wait:
@@ -206,13 +206,13 @@
 // finishMost is for the last answers to come to clients that are there to read them.
 const finishMost = 200 * time.Millisecond
 
-func (l *loop) perform(effects []relay.Effect) (done bool) {
+func (l *loop) perform(effects []controller.Effect) (done bool) {
 	for _, e := range effects {
-		w := l.wires[e.Link]
-		switch e.Verb {
-		case relay.Dial:
-			l.dial(e.Link, e.Address, e.Within)
-		case relay.Write:
+		w := l.wires[e.Connection]
+		switch e.Kind {
+		case controller.Dial:
+			l.dial(e.Connection, e.Address, e.Within)
+		case controller.Write:
 			if w == nil {
 				break
 			}
@@ -223,16 +223,16 @@
 			} else {
 				w.write(bytes, g)
 			}
-		case relay.Close:
+		case controller.Close:
 			if w != nil && e.Gently {
 				w.closeGently(e.Within)
 			} else if w != nil {
 				w.end(e.Abort)
 			}
-		case relay.Wake:
+		case controller.SetTimer:
 			l.timer.Reset(e.Within)
 			l.wakeAt = time.Since(l.start) + e.Within
-		case relay.Say:
+		case controller.LogMessage:
 			if e.Loud {
 				told(l.log.Log(), e.About).Msg(e.Text)
 			} else if e.Fine {
@@ -240,13 +240,13 @@
 			} else {
 				told(l.log.Info(), e.About).Msg(e.Text)
 			}
-		case relay.Count:
+		case controller.LogCounters:
 			l.log.Log().Float64("cpu_ms_a_query", cpuMs()/float64(max(1, e.N))).Msg(e.Text)
-		case relay.Store:
+		case controller.SubmitSpoolWork:
 			l.store(e.Work)
-		case relay.Report:
+		case controller.ReportToFleet:
 			l.report(e.Report)
-		case relay.Quit:
+		case controller.Exit:
 			done = true
 		}
 	}
@@ -266,7 +266,7 @@
 }
 
 // told puts what a line is about into fields of its own.
-func told(line *zerolog.Event, a relay.About) *zerolog.Event {
+func told(line *zerolog.Event, a controller.LogFields) *zerolog.Event {
 	for _, f := range [...][2]string{{"query", a.Query}, {"group", a.Group}, {"team", a.Team}, {"engine", a.Engine}} {
 		if f[1] != "" {
 			line = line.Str(f[0], f[1])
@@ -279,9 +279,9 @@
 }
 
 // tell hands an event to the reducer; false once it is gone.
-func (l *loop) tell(kind relay.Kind, w *wire, n int) bool {
-	ev := event{Event: relay.Event{Kind: kind, Link: w.link, N: n}}
-	if kind == relay.Accepted {
+func (l *loop) tell(kind controller.EventKind, w *wire, n int) bool {
+	ev := event{Event: controller.Event{Kind: kind, Connection: w.link, N: n}}
+	if kind == controller.ClientAccepted {
 		ev.wire = w
 	}
 	select {
--- a/internal/run/run_test.go
+++ b/internal/eventloop/run_test.go
@@ -1,4 +1,4 @@
-package run
+package eventloop
 
 import (
 	"context"
@@ -8,7 +8,7 @@
 
 	"golang.org/x/sync/errgroup"
 
-	"railrelay.dev/railrelay/internal/relay"
+	"railrelay.dev/railrelay/internal/controller"
 )
 
 // A peer that never reads holds up what is written to it; told to go, it may
@@ -19,14 +19,14 @@
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
 	l := &loop{ctx: ctx, group: &errgroup.Group{}, events: make(chan event)}
-	w := newWire(&relay.Link{}, ours)
+	w := newWire(&controller.Connection{}, ours)
 	w.write([]byte("what is never read"), guard{})
 	w.closeGently(20 * time.Millisecond)
 	go l.serve(w)
 	for wait := time.After(20 * time.Second); ; {
 		select {
 		case ev := <-l.events:
-			if ev.Kind == relay.Ended {
+			if ev.Kind == controller.ConnectionClosed {
 				return
 			}
 		case <-wait:
@@ -43,7 +43,7 @@
 		defer theirs.Close()
 		ours.SetWriteDeadline(time.Now().Add(50 * time.Millisecond))
 		out, _ := ours.Write(make([]byte, 32<<20)) // as much as both kernels hold: nobody reads
-		w := newWire(&relay.Link{}, ours)
+		w := newWire(&controller.Connection{}, ours)
 		w.end(abort)
 		theirs.SetReadDeadline(time.Now().Add(20 * time.Second))
 		p := make([]byte, 1<<20)
--- a/internal/run/testdata/planted/write/look.go
+++ b/internal/eventloop/testdata/planted/write/look.go
@@ -1,4 +1,4 @@
-package run
+package eventloop
 
 // mayWrite asks the fleet's word, by the clock as it is now: the process may have been
 // stopped since the reducer asked. If it says yes, wrote must follow.
--- a/internal/run/wire.go
+++ b/internal/eventloop/wire.go
@@ -1,4 +1,4 @@
-package run
+package eventloop
 
 import (
 	"context"
@@ -9,13 +9,13 @@
 	"syscall"
 	"time"
 
-	"railrelay.dev/railrelay/internal/relay"
+	"railrelay.dev/railrelay/internal/controller"
 )
 
 // wire is a link's connection. Its reader and the reducer take turns with the
 // link's buffer.
 type wire struct {
-	link   *relay.Link
+	link   *controller.Connection
 	client bool
 	stop   context.CancelFunc // while dialling
 	turn   chan struct{}
@@ -36,13 +36,13 @@
 	version uint64 // 0: they always may
 	bound   bool
 	kept    bool // what is kept of a team: within the lease of bound teams only
-	permit  *relay.Permit
+	permit  *controller.WritePermit
 }
 
 // asks: there is something to be asked before it goes out.
 func (g guard) asks() bool { return g.version != 0 || g.kept || g.permit != nil }
 
-func newWire(link *relay.Link, conn net.Conn) *wire {
+func newWire(link *controller.Connection, conn net.Conn) *wire {
 	return &wire{link: link, conn: conn, turn: make(chan struct{}, 1), wake: make(chan struct{}, 1), stop: func() {}}
 }
 
@@ -68,13 +68,13 @@
 			}
 			continue
 		}
-		link := &relay.Link{}
+		link := &controller.Connection{}
 		if a, ok := c.RemoteAddr().(*net.TCPAddr); ok {
 			link.From = a.AddrPort().Addr()
 		}
 		w := newWire(link, c)
 		w.client = true
-		if !l.tell(relay.Accepted, w, 0) { // before the next: it may be one too many
+		if !l.tell(controller.ClientAccepted, w, 0) { // before the next: it may be one too many
 			w.close()
 			return nil
 		}
@@ -86,7 +86,7 @@
 	}
 }
 
-func (l *loop) dial(link *relay.Link, address string, within time.Duration) {
+func (l *loop) dial(link *controller.Connection, address string, within time.Duration) {
 	ctx, stop := context.WithCancel(l.ctx)
 	w := newWire(link, nil)
 	w.stop = stop
@@ -96,15 +96,15 @@
 		d := net.Dialer{Timeout: within, KeepAlive: -1}
 		c, err := d.DialContext(ctx, "tcp", address)
 		if err != nil {
-			kind := relay.Unanswered
+			kind := controller.ConnectTimedOut
 			if errors.Is(err, syscall.ECONNREFUSED) {
-				kind = relay.Refused
+				kind = controller.ConnectRefused
 			}
 			l.tell(kind, w, 0)
 			return nil
 		}
 		w.have(c)
-		if l.tell(relay.Up, w, 0) {
+		if l.tell(controller.Connected, w, 0) {
 			l.serve(w)
 		}
 		w.close()
@@ -135,7 +135,7 @@
 				}
 				break
 			}
-			if !l.tell(relay.Got, w, n) {
+			if !l.tell(controller.BytesReceived, w, n) {
 				return
 			}
 			select {
@@ -150,7 +150,7 @@
 	}
 	w.close()
 	<-sent // what was written must be known before the end: it may prove that nothing was
-	l.tell(relay.Ended, w, 0)
+	l.tell(controller.ConnectionClosed, w, 0)
 }
 
 // send writes what is queued, in one go what has gathered meanwhile.
@@ -172,7 +172,7 @@
 		case len(p) > 0:
 			// an engine that has said something since was not asked for it, and it would pass for the answer
 			if !w.client && w.unheard.Load() || !g.permit.Holds(time.Since(l.start)) || g.kept && !l.word.Holds(time.Since(l.start)) || g.version != 0 && !l.mayWrite(g) {
-				l.tell(relay.Barred, w, 0)
+				l.tell(controller.WriteBarred, w, 0)
 				w.close() // nothing of it went out, and its end says so
 				return
 			}
@@ -180,7 +180,7 @@
 			if g.version != 0 {
 				l.wrote()
 			}
-			if n > 0 && !l.tell(relay.Wrote, w, n) {
+			if n > 0 && !l.tell(controller.BytesWritten, w, n) {
 				return
 			}
 			if err != nil {
--- a/internal/fair/fair.go
+++ b/internal/fairqueue/fair.go
@@ -1,17 +1,17 @@
-// Package fair says whose query is next, how long each will wait, and which
+// Package fairqueue says whose query is next, how long each will wait, and which
 // running ones make way. It stands before the decisions: these choose engines
 // and what is turned away for want of them; this chooses whose turn it is
 // whenever they would take one more.
 //
 // It is a pure core: no I/O, no clock, no goroutine. Times are spans since the
 // start and never run backwards inside. Amounts of work are thread seconds.
-package fair
+package fairqueue
 
 import (
 	"net/netip"
 	"time"
 
-	"railrelay.dev/railrelay/internal/linked"
+	"railrelay.dev/railrelay/internal/intrusivelist"
 )
 
 // Counts are what happened to a team's queries.
@@ -78,7 +78,7 @@
 	asking   []*Waiter
 
 	debtors []*node
-	idle    linked.List[node] // in the order in which they became so
+	idle    intrusivelist.List[node] // in the order in which they became so
 	sweptAt time.Duration
 	// Total counts all teams together.
 	Total Counts
--- a/internal/fair/fair_test.go
+++ b/internal/fairqueue/fair_test.go
@@ -1,4 +1,4 @@
-package fair
+package fairqueue
 
 import (
 	"flag"
--- a/internal/fair/lane.go
+++ b/internal/fairqueue/lane.go
@@ -1,11 +1,11 @@
-package fair
+package fairqueue
 
-import "railrelay.dev/railrelay/internal/linked"
+import "railrelay.dev/railrelay/internal/intrusivelist"
 
 // lane is the state of one resource group.
 type lane struct {
 	Lane
-	byAge         linked.List[Waiter] // all that wait
+	byAge         intrusivelist.List[Waiter] // all that wait
 	waiting       int
 	busy, wasBusy bool // it is at its capacity
 	full          bool // the decisions would take no more when last asked
--- a/internal/fair/reload.go
+++ b/internal/fairqueue/reload.go
@@ -1,9 +1,9 @@
-package fair
+package fairqueue
 
 import (
 	"time"
 
-	"railrelay.dev/railrelay/internal/linked"
+	"railrelay.dev/railrelay/internal/intrusivelist"
 )
 
 func (c *Core) reshape(shape Shape) {
@@ -93,7 +93,7 @@
 	for len(c.debtors) > 0 {
 		c.payAll(time.Hour)
 	}
-	c.idle, c.refills, c.nodes = linked.List[node]{}, nil, 0
+	c.idle, c.refills, c.nodes = intrusivelist.List[node]{}, nil, 0
 	c.root = &node{weight: 1}
 	c.reshape(shape)
 	for i := range c.lanes {
@@ -132,7 +132,7 @@
 		if w.inLeaf {
 			offered = append(offered, w)
 		}
-		w.inTurn, w.inLeaf = linked.Element[Waiter]{}, false
+		w.inTurn, w.inLeaf = intrusivelist.Element[Waiter]{}, false
 	}
 	// only now: one that is offered may bring back those parked behind it, which must
 	// be in their new teams by then
--- a/internal/fair/tree.go
+++ b/internal/fairqueue/tree.go
@@ -1,10 +1,10 @@
-package fair
+package fairqueue
 
 import (
 	"math"
 	"time"
 
-	"railrelay.dev/railrelay/internal/linked"
+	"railrelay.dev/railrelay/internal/intrusivelist"
 )
 
 // plan is a team as set up, without any state: a team that has nothing to do
@@ -62,7 +62,7 @@
 	waitMost      int
 
 	idleAt time.Duration
-	inIdle linked.Element[node]
+	inIdle intrusivelist.Element[node]
 	counts Counts
 }
 
--- a/internal/fair/waiter.go
+++ b/internal/fairqueue/waiter.go
@@ -1,9 +1,9 @@
-package fair
+package fairqueue
 
 import (
 	"time"
 
-	"railrelay.dev/railrelay/internal/linked"
+	"railrelay.dev/railrelay/internal/intrusivelist"
 )
 
 // Waiter is a query as fairness knows it: its owner keeps it inside its own
@@ -45,8 +45,8 @@
 	ahead    float64       // of its team before it, with all that had gone
 	listed   bool
 
-	inTurn linked.Element[Waiter] // in its leaf's list, or among the running
-	inAge  linked.Element[Waiter] // in its lane, all that wait
+	inTurn intrusivelist.Element[Waiter] // in its leaf's list, or among the running
+	inAge  intrusivelist.Element[Waiter] // in its lane, all that wait
 	inLeaf bool
 	links  [2]link // its places in the lines of its key and its chain
 	parked bool    // its turn came, and one of its chain that can't go has to go first
@@ -79,7 +79,7 @@
 }
 
 // list is what may go of a leaf in a lane, oldest first, or what runs.
-type list = linked.List[Waiter]
+type list = intrusivelist.List[Waiter]
 
 // mayGo: its key's turn is its own. Who stands behind another of its chain may
 // have a turn: the other goes on it.
--- a/internal/fleet/agree/agree.go
+++ b/internal/fleet/consensus/agree.go
@@ -1,8 +1,8 @@
-// Package agree keeps one log in one order among the voters, by go.etcd.io/raft/v3:
+// Package consensus keeps one log in one order among the voters, by go.etcd.io/raft/v3:
 // messages and entries go in and come out, nothing is sent or stored here, no clock is
 // read and chance is seeded. Elections are called by its own seeded times, so that a
 // schedule plays the same way each time.
-package agree
+package consensus
 
 import "time"
 
--- a/internal/fleet/agree/errors.go
+++ b/internal/fleet/consensus/errors.go
@@ -1,4 +1,4 @@
-package agree
+package consensus
 
 import (
 	"fmt"
--- a/internal/fleet/edge/edge.go
+++ b/internal/fleet/driver/edge.go
@@ -1,9 +1,9 @@
-// Package edge performs what a controller's part in the fleet asks for, and brings back
+// Package driver performs what a controller's part in the fleet asks for, and brings back
 // what came of it: it knows the disk, the peers' wire, the operators' listener and the
 // clock, and decides nothing.
 //
 // One goroutine has each duty: the core (Serve), the disk, the policies' checks; the
-// peers' and operators' connections have theirs in package peers. What joins them is
+// peers' and operators' connections have theirs in package transport. What joins them is
 // bounded:
 //
 //   - messages of peers: a full ring drops the message, which counts; whoever sent it
@@ -16,7 +16,7 @@
 //     once, and past the bound the core takes nothing in until there is room: its leases
 //     run out meanwhile, which is the safe side;
 //   - asks by operators: past the bound they are told that it isn't known yet.
-package edge
+package driver
 
 import (
 	"context"
@@ -30,7 +30,7 @@
 	"golang.org/x/sync/errgroup"
 
 	"railrelay.dev/railrelay/internal/fleet"
-	"railrelay.dev/railrelay/internal/fleet/agree"
+	"railrelay.dev/railrelay/internal/fleet/consensus"
 	"railrelay.dev/railrelay/internal/fleet/node"
 )
 
@@ -54,7 +54,7 @@
 // keeper keeps what must survive. Write returns once it is synced; after an error
 // nothing more is written.
 type keeper interface {
-	Write(agree.Kept) error
+	Write(consensus.Kept) error
 }
 
 // wire sends to peers.
@@ -105,7 +105,7 @@
 	orders   chan fleet.Order
 	asks     chan asked
 	gone     chan uint64
-	stores   chan *agree.Kept
+	stores   chan *consensus.Kept
 	stored   chan error
 	checks   chan toCheck
 	checked  chan node.Event
@@ -139,7 +139,7 @@
 func newEdge(c core, first []node.Effect, o *Options) *Edge {
 	return &Edge{core: c, first: first, check: o.Check, log: o.Log, started: o.Started, name: o.Begin.Self.Name,
 		messages: make(chan *node.Message, messagesMost), reports: make(chan fleet.Report, reportsMost), orders: make(chan fleet.Order),
-		asks: make(chan asked, asksMost), gone: make(chan uint64, asksMost), stores: make(chan *agree.Kept, 1), stored: make(chan error, 1),
+		asks: make(chan asked, asksMost), gone: make(chan uint64, asksMost), stores: make(chan *consensus.Kept, 1), stored: make(chan error, 1),
 		checks: make(chan toCheck, checksMost), checked: make(chan node.Event), open: map[uint64]chan *fleet.Reply{}, ended: make(chan struct{})}
 }
 
--- a/internal/fleet/edge/edge_test.go
+++ b/internal/fleet/driver/edge_test.go
@@ -1,4 +1,4 @@
-package edge
+package driver
 
 import (
 	"bytes"
@@ -13,7 +13,7 @@
 	"go.uber.org/goleak"
 
 	"railrelay.dev/railrelay/internal/fleet"
-	"railrelay.dev/railrelay/internal/fleet/agree"
+	"railrelay.dev/railrelay/internal/fleet/consensus"
 	"railrelay.dev/railrelay/internal/fleet/node"
 )
 
@@ -48,10 +48,10 @@
 
 type paper struct {
 	err    error
-	writes chan agree.Kept
+	writes chan consensus.Kept
 }
 
-func (p *paper) Write(k agree.Kept) error { p.writes <- k; return p.err }
+func (p *paper) Write(k consensus.Kept) error { p.writes <- k; return p.err }
 
 type mute struct{}
 
@@ -81,7 +81,7 @@
 		Check: func(change string, text []byte, have Have) Checked {
 			return Checked{Why: change + string(text) + have.Policy.(string)}
 		}})
-	e.disk, e.wire = &paper{disk, make(chan agree.Kept, 100)}, mute{}
+	e.disk, e.wire = &paper{disk, make(chan consensus.Kept, 100)}, mute{}
 	ctx, stop := context.WithCancel(context.Background())
 	done := make(chan error, 1)
 	go func() { done <- e.serve(ctx) }()
@@ -98,7 +98,7 @@
 	e, s, _ := play(t, func(ev node.Event) []node.Effect {
 		switch ev.Kind {
 		case node.Came:
-			return []node.Effect{{Kind: node.Order, Order: fleet.Order{Kind: fleet.Open, Policy: "now"}}, {Kind: node.Store, Kept: &agree.Kept{}}, {Kind: node.Check, Change: "c1", Text: []byte("x")}, {Kind: node.Wake}}
+			return []node.Effect{{Kind: node.Order, Order: fleet.Order{Kind: fleet.Open, Policy: "now"}}, {Kind: node.Store, Kept: &consensus.Kept{}}, {Kind: node.Check, Change: "c1", Text: []byte("x")}, {Kind: node.Wake}}
 		case node.Asked:
 			if ev.Ask.Kind == "status" {
 				return []node.Effect{{Kind: node.Told, Handle: ev.Handle, Reply: &fleet.Reply{Word: "status", Status: &fleet.Status{}}}}
@@ -178,7 +178,7 @@
 func TestADiskThatFails(t *testing.T) {
 	e, s, log := play(t, func(ev node.Event) []node.Effect {
 		if ev.Kind == node.Came {
-			return []node.Effect{{Kind: node.Order, Order: fleet.Order{Kind: fleet.Renewed, Until: fleet.Forever}}, {Kind: node.Store, Kept: &agree.Kept{}}}
+			return []node.Effect{{Kind: node.Order, Order: fleet.Order{Kind: fleet.Renewed, Until: fleet.Forever}}, {Kind: node.Store, Kept: &consensus.Kept{}}}
 		}
 		return nil
 	}, errors.New("no space left on device"))
--- a/internal/fleet/edge/open.go
+++ b/internal/fleet/driver/open.go
@@ -1,4 +1,4 @@
-package edge
+package driver
 
 import (
 	"context"
@@ -12,10 +12,10 @@
 	"github.com/rs/zerolog"
 
 	"railrelay.dev/railrelay/internal/fleet"
-	"railrelay.dev/railrelay/internal/fleet/agree"
-	"railrelay.dev/railrelay/internal/fleet/disk"
+	"railrelay.dev/railrelay/internal/fleet/consensus"
 	"railrelay.dev/railrelay/internal/fleet/node"
-	"railrelay.dev/railrelay/internal/fleet/peers"
+	"railrelay.dev/railrelay/internal/fleet/storage"
+	"railrelay.dev/railrelay/internal/fleet/transport"
 )
 
 // Options are what a controller's part in the fleet is opened with.
@@ -31,7 +31,7 @@
 	Log       zerolog.Logger
 
 	// OpenStore opens what keeps the record in place of the disk at Directory; nil: that disk.
-	OpenStore func() (Store, disk.Found, error)
+	OpenStore func() (Store, storage.Found, error)
 	// Listener is where peers come in, in place of Listen, which is not used then; nil: none.
 	// It is closed with the edge, and where Open fails.
 	Listener net.Listener
@@ -42,7 +42,7 @@
 // Store keeps a controller's part of the record. Write returns once it is synced; after
 // an error nothing more is written.
 type Store interface {
-	Write(agree.Kept) error
+	Write(consensus.Kept) error
 	Close() error
 }
 
@@ -78,7 +78,7 @@
 			}
 		}
 	}()
-	keys, err := peers.ReadKeys(o.Keys)
+	keys, err := transport.ReadKeys(o.Keys)
 	if err != nil {
 		return nil, err
 	}
@@ -126,16 +126,16 @@
 	if at, ok := inward.Addr().(*net.TCPAddr); ok && !at.IP.IsUnspecified() {
 		local = at.IP
 	}
-	w, err := peers.Open(peers.Options{Local: local, Fleet: o.Fleet, Self: b.Self.Name, Boot: b.Boot, Keys: keys, Listener: inward, Got: e.got,
+	w, err := transport.Open(transport.Options{Local: local, Fleet: o.Fleet, Self: b.Self.Name, Boot: b.Boot, Keys: keys, Listener: inward, Got: e.got,
 		OnRefused: refused, Seed: draw(), Dial: o.Dial})
 	if err != nil {
 		return nil, err
 	}
 	undo = append(undo, w.Close)
-	closeAll, setKeys := []func() error{w.Close, store.Close}, []func(peers.Keys) error{w.SetKeys}
+	closeAll, setKeys := []func() error{w.Close, store.Close}, []func(transport.Keys) error{w.SetKeys}
 	line := o.Log.Info().Str("peers", inward.Addr().String()).Str("disk", b.Self.Disk)
 	if operators != nil {
-		d, err := peers.Control(operators, keys, func(ctx context.Context, a *fleet.Ask) (*fleet.Reply, error) { return e.Ask(ctx, a), nil }, refused)
+		d, err := transport.Control(operators, keys, func(ctx context.Context, a *fleet.Ask) (*fleet.Reply, error) { return e.Ask(ctx, a), nil }, refused)
 		if err != nil {
 			return nil, err
 		}
@@ -144,7 +144,7 @@
 	}
 	e.wire, e.close = w, func() error { return eachOf(closeAll) }
 	e.keys = func() error {
-		keys, err := peers.ReadKeys(o.Keys)
+		keys, err := transport.ReadKeys(o.Keys)
 		if err != nil {
 			return err
 		}
@@ -158,14 +158,14 @@
 }
 
 // openDisk opens the disk at Directory and claims it for this controller's name.
-func (o *Options) openDisk() (Store, disk.Found, error) {
-	store, found, err := disk.Open(o.Directory, func() string { return fmt.Sprintf("%016x", draw()) })
+func (o *Options) openDisk() (Store, storage.Found, error) {
+	store, found, err := storage.Open(o.Directory, func() string { return fmt.Sprintf("%016x", draw()) })
 	if err != nil {
-		return nil, disk.Found{}, err
+		return nil, storage.Found{}, err
 	}
 	if err := store.Claim(o.Begin.Self.Name); err != nil {
 		store.Close()
-		return nil, disk.Found{}, err
+		return nil, storage.Found{}, err
 	}
 	return store, found, nil
 }
--- a/internal/fleet/node/api.go
+++ b/internal/fleet/node/api.go
@@ -7,21 +7,21 @@
 	"time"
 
 	"railrelay.dev/railrelay/internal/fleet"
-	"railrelay.dev/railrelay/internal/fleet/agree"
+	"railrelay.dev/railrelay/internal/fleet/consensus"
 )
 
 // Begin is what it starts with.
 type Begin struct {
 	Self       fleet.Member
-	Voters     []agree.Voter // by the set-up; the record's go before these
-	Lease      time.Duration // 0: without an end
-	LeaseBound time.Duration // for bound teams; 0: as Lease
-	Drift      float64       // clocks differ by at most this part of a span: 0.01
+	Voters     []consensus.Voter // by the set-up; the record's go before these
+	Lease      time.Duration     // 0: without an end
+	LeaseBound time.Duration     // for bound teams; 0: as Lease
+	Drift      float64           // clocks differ by at most this part of a span: 0.01
 	Election   time.Duration
 	Heartbeat  time.Duration
 	Seed       uint64
 	Boot       uint64 // drawn anew at each start
-	Kept       agree.Kept
+	Kept       consensus.Kept
 	KeepAtMost int // records kept before a snapshot replaces them
 
 	// Relays are asked for the lease and bring the record, in place of the leader: the
@@ -83,7 +83,7 @@
 	To      string
 	Address string
 	Message *Message
-	Kept    *agree.Kept
+	Kept    *consensus.Kept
 	Change  string
 	Text    []byte
 	Order   fleet.Order
@@ -141,8 +141,8 @@
 
 // Follow brings the record to those who don't vote.
 type Follow struct {
-	Snapshot *agree.Snapshot `cbor:",omitempty"`
-	Records  []agree.Record  `cbor:",omitempty"`
+	Snapshot *consensus.Snapshot `cbor:",omitempty"`
+	Records  []consensus.Record  `cbor:",omitempty"`
 	Decided  uint64
 	Leader   string
 }
--- a/internal/fleet/node/follow.go
+++ b/internal/fleet/node/follow.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"railrelay.dev/railrelay/internal/fleet/agree"
+	"railrelay.dev/railrelay/internal/fleet/consensus"
 )
 
 const (
@@ -93,7 +93,7 @@
 }
 
 // snapshot is the state as it is, encoded once for all that are sent it.
-func (c *Core) snapshot() *agree.Snapshot {
+func (c *Core) snapshot() *consensus.Snapshot {
 	if c.latest == nil || c.latest.Index != c.state.Index {
 		c.latest = c.newSnapshot()
 	}
@@ -101,6 +101,6 @@
 }
 
 // newSnapshot encodes the state as it is.
-func (c *Core) newSnapshot() *agree.Snapshot {
-	return &agree.Snapshot{Index: c.state.Index, Term: c.term, Data: c.state.Encode()}
+func (c *Core) newSnapshot() *consensus.Snapshot {
+	return &consensus.Snapshot{Index: c.state.Index, Term: c.term, Data: c.state.Encode()}
 }
--- a/internal/fleet/node/lead.go
+++ b/internal/fleet/node/lead.go
@@ -7,8 +7,8 @@
 	"time"
 
 	"railrelay.dev/railrelay/internal/fleet"
-	"railrelay.dev/railrelay/internal/fleet/agree"
-	"railrelay.dev/railrelay/internal/fleet/record"
+	"railrelay.dev/railrelay/internal/fleet/consensus"
+	"railrelay.dev/railrelay/internal/fleet/statemachine"
 )
 
 // leading is what only counts while this controller leads.
@@ -90,7 +90,7 @@
 		}
 	}
 	c.leading.confirmed = c.now
-	c.agreed(c.vote.Step(c.now, agree.Event{Kind: agree.Confirm, Handle: c.handle}))
+	c.agreed(c.vote.Step(c.now, consensus.Event{Kind: consensus.Confirm, Handle: c.handle}))
 }
 
 // renewed: a controller asks for a lease and tells of itself.
@@ -285,7 +285,7 @@
 	if e == nil || !c.leads {
 		return
 	}
-	c.agreed(c.vote.Step(c.now, agree.Event{Kind: agree.Propose, Data: record.Encode(e)}))
+	c.agreed(c.vote.Step(c.now, consensus.Event{Kind: consensus.Propose, Data: statemachine.Encode(e)}))
 }
 
 // drive moves on what is under way, while this controller leads.
@@ -329,7 +329,7 @@
 	most := time.Duration(u.AtMost) * time.Millisecond
 	late := u.AtMost > 0 && c.now-c.seenAt[u.ID] >= most
 	switch u.Phase {
-	case record.Proposed:
+	case statemachine.Proposed:
 		for _, name := range c.members() {
 			if p := c.peers[name]; p != nil && p.r != nil && p.r.Ready[u.ID] != "" {
 				withdraw(name + " can't take it: " + p.r.Ready[u.ID])
@@ -350,7 +350,7 @@
 			c.once("close "+u.ID, func() { c.propose(&fleet.Entry{Kind: fleet.Close, ID: u.ID, Scopes: k.scopes, Voters: k.voters}) })
 		}
 		c.wait(u.ID, wait)
-	case record.Closing:
+	case statemachine.Closing:
 		wait := c.missing(c.b.Lease, func(r *Renew) bool { return r.Closed == u.ID })
 		if late && len(wait) > 0 {
 			withdraw(fmt.Sprintf("not stopped by %s within %v", list(wait), most))
@@ -360,7 +360,7 @@
 			c.once("force "+u.ID, func() { c.propose(&fleet.Entry{Kind: fleet.Force, ID: u.ID}) })
 		}
 		c.wait(u.ID, wait)
-	case record.Decided:
+	case statemachine.Decided:
 		// one that was down while it was checked and can't take it serves nothing by it
 		wait := c.missing(c.b.Lease, func(r *Renew) bool { return r.Version >= u.Version || r.Ready[u.ID] != "" })
 		if barrierPassed(wait) {
@@ -377,7 +377,7 @@
 }
 
 // drivePurge moves a purge on: first nobody who may serve has it any more, then no disk.
-func (c *Core) drivePurge(run *record.Run) {
+func (c *Core) drivePurge(run *statemachine.Run) {
 	switch run.Stage {
 	case "":
 		wait := c.missing(c.bound(), func(r *Renew) bool { return slices.Contains(r.Unreached, run.ID) })
@@ -452,7 +452,7 @@
 func (c *Core) finish() {
 	for _, id := range sorted(c.state.Changes) {
 		ch := c.state.Changes[id]
-		if ch.Phase != record.InForce || ch.Settled {
+		if ch.Phase != statemachine.InForce || ch.Settled {
 			continue
 		}
 		done := true
@@ -469,17 +469,17 @@
 
 // reelect brings those who vote in line with the record.
 func (c *Core) reelect() {
-	var want []agree.Voter
+	var want []consensus.Voter
 	for _, v := range c.state.Voters {
-		name, address := record.VoterOf(v)
-		want = append(want, agree.Voter{Name: name, Address: address})
+		name, address := statemachine.VoterOf(v)
+		want = append(want, consensus.Voter{Name: name, Address: address})
 	}
 	same := len(want) == len(c.voters)
 	for _, v := range want {
 		same = same && slices.Contains(c.voters, v)
 	}
 	if !same {
-		c.once("voters", func() { c.agreed(c.vote.Step(c.now, agree.Event{Kind: agree.Voters, Voters: want})) })
+		c.once("voters", func() { c.agreed(c.vote.Step(c.now, consensus.Event{Kind: consensus.Voters, Voters: want})) })
 	}
 }
 
--- a/internal/fleet/node/member.go
+++ b/internal/fleet/node/member.go
@@ -11,7 +11,7 @@
 	"github.com/cespare/xxhash/v2"
 
 	"railrelay.dev/railrelay/internal/fleet"
-	"railrelay.dev/railrelay/internal/fleet/record"
+	"railrelay.dev/railrelay/internal/fleet/statemachine"
 )
 
 // member is the part that every controller has: its lease, what its reducer was told,
@@ -210,7 +210,7 @@
 	if !c.caught || c.bad != nil {
 		return
 	}
-	if u != nil && u.Phase == record.Closing {
+	if u != nil && u.Phase == statemachine.Closing {
 		if c.shutFor != u.ID {
 			c.shutFor, c.open, c.opened = u.ID, 0, 0
 			c.do(Effect{Kind: Order, Order: fleet.Order{Kind: fleet.Shut, Change: u.ID}})
@@ -245,7 +245,7 @@
 	if u != nil && c.checks[u.ID] == nil {
 		c.check(u.ID, u.Version, u.Policy)
 	}
-	if u != nil && u.Phase == record.Closing || c.open == c.state.Version || have == nil {
+	if u != nil && u.Phase == statemachine.Closing || c.open == c.state.Version || have == nil {
 		return
 	}
 	c.open, c.opened, c.shutFor, c.closed = c.state.Version, 0, "", ""
@@ -297,7 +297,7 @@
 
 // purge tells the reducer of a purge once, and says for those that don't concern this
 // controller that there is nothing of them here.
-func (c *Core) purge(r *record.Run) {
+func (c *Core) purge(r *statemachine.Run) {
 	if r.Stage == fleet.Erased {
 		if c.dropped[r.ID] {
 			delete(c.here, r.ID)
--- a/internal/fleet/node/node.go
+++ b/internal/fleet/node/node.go
@@ -7,8 +7,8 @@
 	"time"
 
 	"railrelay.dev/railrelay/internal/fleet"
-	"railrelay.dev/railrelay/internal/fleet/agree"
-	"railrelay.dev/railrelay/internal/fleet/record"
+	"railrelay.dev/railrelay/internal/fleet/consensus"
+	"railrelay.dev/railrelay/internal/fleet/statemachine"
 )
 
 // Core is one controller's part in the fleet.
@@ -16,26 +16,26 @@
 	b     Begin
 	now   time.Duration
 	out   []Effect
-	state *record.State
+	state *statemachine.State
 	bad   fleet.Remedied // what keeps this controller from ever serving
 
-	vote     *agree.Core // nil: it only follows
-	voters   []agree.Voter
-	log      []agree.Record // since a little before the last snapshot, for those who follow
-	term     uint64         // of the last record applied
-	kept     int            // records since the last snapshot
+	vote     *consensus.Core // nil: it only follows
+	voters   []consensus.Voter
+	log      []consensus.Record // since a little before the last snapshot, for those who follow
+	term     uint64             // of the last record applied
+	kept     int                // records since the last snapshot
 	storing  []*storing
-	spoken   time.Duration  // when agreement last heard of another voter
-	outvoted bool           // others vote by now, and the record up to here doesn't tell yet
-	hard     []byte         // what it voted for last, as agreement has it
-	agreeing []agree.Effect // not performed yet
+	spoken   time.Duration      // when agreement last heard of another voter
+	outvoted bool               // others vote by now, and the record up to here doesn't tell yet
+	hard     []byte             // what it voted for last, as agreement has it
+	agreeing []consensus.Effect // not performed yet
 	inside   bool
 	coming   uint64 // the last record that is stored or being stored, where it only follows
 
 	gatherer *gatherer // nil: this controller is no relay
 	roster   roster
-	begun    bool            // the first event has come: before it there is no clock
-	latest   *agree.Snapshot // of the state, for those far behind; nil: none was asked for yet
+	begun    bool                // the first event has come: before it there is no clock
+	latest   *consensus.Snapshot // of the state, for those far behind; nil: none was asked for yet
 
 	member
 	leading
@@ -45,7 +45,7 @@
 
 // storing is one write that the disk has not told of yet.
 type storing struct {
-	kept *agree.Kept
+	kept *consensus.Kept
 	then func()
 }
 
@@ -66,13 +66,13 @@
 	if b.KeepAtMost == 0 {
 		b.KeepAtMost = 2000
 	}
-	c := &Core{b: b, state: record.NewState(), Counts: map[string]int{}}
+	c := &Core{b: b, state: statemachine.NewState(), Counts: map[string]int{}}
 	c.member.start()
 	c.enrolAll()
 	c.startRelay()
 	c.voters = b.Voters
 	if s := b.Kept.Snapshot; s != nil {
-		state, err := record.DecodeState(s.Data)
+		state, err := statemachine.DecodeState(s.Data)
 		if err != nil {
 			return nil, nil, err
 		}
@@ -112,8 +112,8 @@
 }
 
 // voteWith begins to vote.
-func (c *Core) voteWith(kept agree.Kept, voters []agree.Voter) error {
-	vote, effects, err := agree.New(agree.Begin{Self: c.b.Self.Name, Voters: voters, Kept: kept, Seed: c.b.Seed, Election: c.b.Election,
+func (c *Core) voteWith(kept consensus.Kept, voters []consensus.Voter) error {
+	vote, effects, err := consensus.New(consensus.Begin{Self: c.b.Self.Name, Voters: voters, Kept: kept, Seed: c.b.Seed, Election: c.b.Election,
 		Heartbeat: c.b.Heartbeat})
 	if err != nil {
 		return err
@@ -126,9 +126,9 @@
 // votes: this controller is named to vote, by the record or, before that tells, by the set-up.
 func (c *Core) votes() bool {
 	if len(c.state.Voters) > 0 {
-		return slices.ContainsFunc(c.state.Voters, func(v string) bool { n, _ := record.VoterOf(v); return n == c.b.Self.Name })
+		return slices.ContainsFunc(c.state.Voters, func(v string) bool { n, _ := statemachine.VoterOf(v); return n == c.b.Self.Name })
 	}
-	return slices.ContainsFunc(c.b.Voters, func(v agree.Voter) bool { return v.Name == c.b.Self.Name })
+	return slices.ContainsFunc(c.b.Voters, func(v consensus.Voter) bool { return v.Name == c.b.Self.Name })
 }
 
 // Step takes an event and gives the effects it leads to, valid until the next.
@@ -160,7 +160,7 @@
 // settle does what is due and what has become possible.
 func (c *Core) settle() {
 	if c.vote != nil && c.now >= c.vote.Due() {
-		c.agreed(c.vote.Step(c.now, agree.Event{Kind: agree.Tick}))
+		c.agreed(c.vote.Step(c.now, consensus.Event{Kind: consensus.Tick}))
 	}
 	if c.vote != nil && !c.voting(c.b.Self.Name) {
 		c.retire()
@@ -248,7 +248,7 @@
 		c.outvoted = false // it is counted among those who vote
 	case len(m.Agree) > 0 && c.vote != nil:
 		c.spoken = c.now
-		c.agreed(c.vote.Step(c.now, agree.Event{Kind: agree.Message, From: m.From, Bytes: m.Agree}))
+		c.agreed(c.vote.Step(c.now, consensus.Event{Kind: consensus.Message, From: m.From, Bytes: m.Agree}))
 	case m.Renew != nil:
 		c.renewed(m.From, m.Disk, m.Renew)
 	case m.Grant != nil:
@@ -271,7 +271,7 @@
 }
 
 // store has something written before what follows from it.
-func (c *Core) store(kept *agree.Kept, then func()) {
+func (c *Core) store(kept *consensus.Kept, then func()) {
 	c.storing = append(c.storing, &storing{kept, then})
 	if len(c.storing) == 1 {
 		c.do(Effect{Kind: Store, Kept: kept})
@@ -292,7 +292,7 @@
 
 // agreed performs what agreement asks for, in its order: what comes of an effect waits
 // until those before it are done.
-func (c *Core) agreed(effects []agree.Effect) {
+func (c *Core) agreed(effects []consensus.Effect) {
 	c.agreeing = append(c.agreeing, effects...)
 	if c.inside {
 		return
@@ -303,9 +303,9 @@
 		e := c.agreeing[0]
 		c.agreeing = c.agreeing[1:]
 		switch e.Kind {
-		case agree.Send:
+		case consensus.Send:
 			c.send(e.To, c.addressOf(e.To), &Message{Agree: e.Bytes})
-		case agree.Store:
+		case consensus.Store:
 			if e.Kept.Hard != nil {
 				c.hard = e.Kept.Hard
 			}
@@ -314,19 +314,19 @@
 				if vote == nil || c.vote != vote { // it votes no more
 					return
 				}
-				c.agreed(c.vote.Step(c.now, agree.Event{Kind: agree.Stored}))
+				c.agreed(c.vote.Step(c.now, consensus.Event{Kind: consensus.Stored}))
 			})
-		case agree.Decided:
+		case consensus.Decided:
 			c.apply(e.Record)
-		case agree.Restored:
+		case consensus.Restored:
 			c.restore(e.Snapshot)
-		case agree.Confirmed:
+		case consensus.Confirmed:
 			c.confirmed(e.Handle, e.Index)
-		case agree.Denied:
+		case consensus.Denied:
 			c.denied(e.Handle)
-		case agree.Led:
+		case consensus.Led:
 			c.led(e.Leader)
-		case agree.Voting:
+		case consensus.Voting:
 			c.kept = max(c.kept, c.b.KeepAtMost) // who votes anew is given a snapshot that names it
 			c.voters = e.Voters
 		}
@@ -335,7 +335,7 @@
 
 // apply takes the next record. What it asks of the reducer is worked out afterwards,
 // from the state alone, so that a snapshot leads to the same.
-func (c *Core) apply(r agree.Record) {
+func (c *Core) apply(r consensus.Record) {
 	if r.Index <= c.state.Index || c.bad != nil {
 		return
 	}
@@ -359,11 +359,11 @@
 	c.moved()
 }
 
-func (c *Core) restore(s *agree.Snapshot) {
+func (c *Core) restore(s *consensus.Snapshot) {
 	if s == nil || s.Index <= c.state.Index || c.bad != nil {
 		return
 	}
-	state, err := record.DecodeState(s.Data)
+	state, err := statemachine.DecodeState(s.Data)
 	if err != nil {
 		c.bad = err.(fleet.Remedied)
 		c.wrong(c.bad)
@@ -407,7 +407,7 @@
 		return
 	}
 	c.say(true, "this controller votes from now on")
-	if err := c.voteWith(agree.Kept{Hard: agree.Voted(c.hard)}, nil); err != nil {
+	if err := c.voteWith(consensus.Kept{Hard: consensus.Voted(c.hard)}, nil); err != nil {
 		c.say(true, "it can't vote: %v", err)
 	}
 }
@@ -420,9 +420,9 @@
 	c.kept = 0
 	s := c.newSnapshot()
 	if c.vote != nil {
-		c.agreed(c.vote.Step(c.now, agree.Event{Kind: agree.Compacted, Snapshot: s}))
+		c.agreed(c.vote.Step(c.now, consensus.Event{Kind: consensus.Compacted, Snapshot: s}))
 	} else {
-		c.store(&agree.Kept{Snapshot: s}, func() {})
+		c.store(&consensus.Kept{Snapshot: s}, func() {})
 	}
 	if over := len(c.log) - c.b.KeepAtMost; over > 0 {
 		c.log = slices.Clone(c.log[over:])
@@ -448,9 +448,9 @@
 	}
 	if s := f.Snapshot; s != nil && s.Index > c.coming {
 		c.coming = s.Index
-		c.store(&agree.Kept{Snapshot: s}, func() { c.restore(s) })
+		c.store(&consensus.Kept{Snapshot: s}, func() { c.restore(s) })
 	}
-	var fresh []agree.Record
+	var fresh []consensus.Record
 	for _, r := range f.Records {
 		if r.Index == c.coming+1 {
 			fresh = append(fresh, r)
@@ -458,7 +458,7 @@
 		}
 	}
 	if len(fresh) > 0 {
-		c.store(&agree.Kept{Records: fresh}, func() {
+		c.store(&consensus.Kept{Records: fresh}, func() {
 			for _, r := range fresh {
 				c.apply(r)
 			}
@@ -470,11 +470,11 @@
 }
 
 func (c *Core) voting(name string) bool {
-	return slices.ContainsFunc(c.voters, func(v agree.Voter) bool { return v.Name == name })
+	return slices.ContainsFunc(c.voters, func(v consensus.Voter) bool { return v.Name == name })
 }
 
 // State is what the record says here, for tests; it must not be changed.
-func (c *Core) State() *record.State { return c.state }
+func (c *Core) State() *statemachine.State { return c.state }
 
 // Leads tells whether this controller leads, as far as it knows.
 func (c *Core) Leads() bool { return c.leads }
--- a/internal/fleet/node/node_test.go
+++ b/internal/fleet/node/node_test.go
@@ -8,7 +8,7 @@
 	"time"
 
 	"railrelay.dev/railrelay/internal/fleet"
-	"railrelay.dev/railrelay/internal/fleet/record"
+	"railrelay.dev/railrelay/internal/fleet/statemachine"
 )
 
 func TestAChangeTakesHoldEverywhere(t *testing.T) {
@@ -17,7 +17,7 @@
 	a := s.all["f0"]
 	a.step(Event{Kind: Asked, Handle: 1, Ask: &fleet.Ask{Kind: "apply", ID: "c1", Base: 1, Policy: []byte("x")}})
 	s.until(5*time.Second, "in force", func() bool { return s.word(a, 1) != nil })
-	if w := s.word(a, 1); w.Word != record.InForce || w.Version != 2 {
+	if w := s.word(a, 1); w.Word != statemachine.InForce || w.Version != 2 {
 		t.Fatalf("%+v", w)
 	}
 	for _, n := range s.names {
@@ -31,13 +31,13 @@
 	b.step(Event{Kind: Asked, Handle: 3, Ask: &fleet.Ask{Kind: "apply", ID: "c3", Base: 2, Policy: []byte("z")}})
 	s.until(5*time.Second, "both answered", func() bool { return s.word(a, 2) != nil && s.word(b, 3) != nil })
 	words := []string{s.word(a, 2).Word, s.word(b, 3).Word}
-	if slices.Sort(words); !slices.Equal(words, []string{record.InForce, record.Refused}) {
+	if slices.Sort(words); !slices.Equal(words, []string{statemachine.InForce, statemachine.Refused}) {
 		t.Errorf("%v", words)
 	}
 	// one can't take it: it is withdrawn everywhere
 	a.step(Event{Kind: Asked, Handle: 4, Ask: &fleet.Ask{Kind: "apply", ID: "c4", Base: 3, Policy: []byte("bad for f2")}})
 	s.until(5*time.Second, "withdrawn", func() bool { return s.word(a, 4) != nil })
-	if w := s.word(a, 4); w.Word != record.Withdrawn || w.Exit() != 3 {
+	if w := s.word(a, 4); w.Word != statemachine.Withdrawn || w.Exit() != 3 {
 		t.Errorf("%+v", w)
 	}
 	s.until(2*time.Second, "all serve again", func() bool { return s.serve(s.names...) })
@@ -53,7 +53,7 @@
 	l.step(Event{Kind: Asked, Handle: 2, Ask: &fleet.Ask{Kind: "purge", ID: "p1", Scope: &fleet.Scope{Team: "a"}, Until: fleet.Unreachable, Wait: 30000}})
 	l.step(Event{Kind: Asked, Handle: 3, Ask: &fleet.Ask{Kind: "purge", ID: "p1", Scope: &fleet.Scope{Team: "a"}, Wait: 30000}})
 	s.until(5*time.Second, "in force, unreachable", func() bool { return s.word(l, 1) != nil && s.word(l, 2) != nil })
-	if s.word(l, 1).Word != record.InForce || s.word(l, 2).Word != fleet.Unreachable || s.word(l, 3) != nil {
+	if s.word(l, 1).Word != statemachine.InForce || s.word(l, 2).Word != fleet.Unreachable || s.word(l, 3) != nil {
 		t.Fatalf("%+v %+v %+v", s.word(l, 1), s.word(l, 2), s.word(l, 3))
 	}
 	if o := l.core.outstanding("p1"); !slices.Equal(o, []string{"f1"}) {
@@ -95,7 +95,7 @@
 		}
 		l.run = 0
 		s.until(20*time.Second, "in force", func() bool { return s.word(a, 1) != nil })
-		if s.word(a, 1).Word != record.InForce {
+		if s.word(a, 1).Word != statemachine.InForce {
 			t.Fatalf("seed %d: %+v", seed, s.word(a, 1))
 		}
 		for _, n := range s.names {
@@ -107,7 +107,7 @@
 		s.until(10*time.Second, "all serve", func() bool { return s.serve(s.names...) })
 	}
 	t.Log(phases)
-	for _, p := range []string{record.Proposed, record.Closing, record.Decided, record.InForce} {
+	for _, p := range []string{statemachine.Proposed, statemachine.Closing, statemachine.Decided, statemachine.InForce} {
 		if phases[p] == 0 {
 			t.Errorf("no leader was lost while %s", p)
 		}
@@ -167,7 +167,7 @@
 	l.run = 0
 	var rest []string
 	for _, v := range want {
-		if n, _ := record.VoterOf(v); n != l.name {
+		if n, _ := statemachine.VoterOf(v); n != l.name {
 			rest = append(rest, n)
 		}
 	}
@@ -191,7 +191,7 @@
 	at := s.now
 	a.step(Event{Kind: Asked, Handle: 1, Ask: &fleet.Ask{Kind: "apply", ID: "c1", Base: 1, Policy: []byte("x")}})
 	s.until(5*time.Second, "in force", func() bool { return s.word(a, 1) != nil })
-	if s.word(a, 1).Word != record.InForce {
+	if s.word(a, 1).Word != statemachine.InForce {
 		t.Fatalf("%+v", s.word(a, 1))
 	}
 	t.Logf("a change is in force on all after %v", s.now-at)
@@ -296,10 +296,10 @@
 		t.Errorf("it is held against what isn't in force: %q", l)
 	}
 	f.step(Event{Kind: Checked, Change: "c2", Voters: []string{"f0=f0:1"}})
-	s.until(5*time.Second, "closing", func() bool { return f.core.state.Changes["c2"].Phase == record.Closing })
+	s.until(5*time.Second, "closing", func() bool { return f.core.state.Changes["c2"].Phase == statemachine.Closing })
 	anew()
 	s.until(20*time.Second, "in force", func() bool { return s.word(f, 2) != nil })
-	if w := s.word(f, 2); w.Word != record.InForce || !slices.Equal(f.core.state.Voters, []string{"f0=f0:1"}) {
+	if w := s.word(f, 2); w.Word != statemachine.InForce || !slices.Equal(f.core.state.Voters, []string{"f0=f0:1"}) {
 		t.Errorf("%+v, voters %v", w, f.core.state.Voters)
 	}
 }
--- a/internal/fleet/node/relay_test.go
+++ b/internal/fleet/node/relay_test.go
@@ -7,7 +7,7 @@
 	"time"
 
 	"railrelay.dev/railrelay/internal/fleet"
-	"railrelay.dev/railrelay/internal/fleet/record"
+	"railrelay.dev/railrelay/internal/fleet/statemachine"
 )
 
 // relayStage is voters v0.., relays r0.. that don't vote, and followers f0.. of which
@@ -76,7 +76,7 @@
 
 func (s *stage) inForce(a *actor, handle uint64) {
 	s.t.Helper()
-	if w := s.word(a, handle); w.Word != record.InForce {
+	if w := s.word(a, handle); w.Word != statemachine.InForce {
 		s.t.Fatalf("%+v", w)
 	}
 }
@@ -317,7 +317,7 @@
 		lost.start()
 		s.until(10*time.Second, "all serve", func() bool { s.noMix(); return s.serve(s.names...) })
 	}
-	for _, p := range []string{record.Proposed, record.Closing, record.Decided} {
+	for _, p := range []string{statemachine.Proposed, statemachine.Closing, statemachine.Decided} {
 		if phases[p] == 0 {
 			t.Errorf("nobody was lost while %s: %v", p, phases)
 		}
@@ -526,7 +526,7 @@
 	l := s.leader()
 	l.step(Event{Kind: Asked, Handle: 1, Ask: &fleet.Ask{Kind: "apply", ID: "c1", Base: 1, Policy: []byte("bad for " + l.name)}})
 	s.until(5*time.Second, "a word", func() bool { return s.word(l, 1) != nil })
-	if w := s.word(l, 1); w.Word != record.Withdrawn {
+	if w := s.word(l, 1); w.Word != statemachine.Withdrawn {
 		t.Errorf("%+v", w)
 	}
 }
--- a/internal/fleet/node/stage_test.go
+++ b/internal/fleet/node/stage_test.go
@@ -10,7 +10,7 @@
 	"time"
 
 	"railrelay.dev/railrelay/internal/fleet"
-	"railrelay.dev/railrelay/internal/fleet/agree"
+	"railrelay.dev/railrelay/internal/fleet/consensus"
 )
 
 // stage is some controllers in virtual time, with reducers that do at once what they
@@ -61,7 +61,7 @@
 	core         *Core
 	run          int // which start of it, 0: it is down
 	starts       int
-	disk         agree.Kept
+	disk         consensus.Kept
 	wake         time.Duration
 	word         fleet.Word
 	orders       []fleet.Order
@@ -89,14 +89,14 @@
 	return &stage{t: t, rand: rand.New(rand.NewPCG(seed, 1)), all: map[string]*actor{}, cut: map[string]bool{}, words: map[string][]*fleet.Reply{}}
 }
 
-func votersNamed(n int) (l []agree.Voter) {
+func votersNamed(n int) (l []consensus.Voter) {
 	for i := range n {
-		l = append(l, agree.Voter{Name: fmt.Sprintf("v%d", i), Address: fmt.Sprintf("v%d:1", i)})
+		l = append(l, consensus.Voter{Name: fmt.Sprintf("v%d", i), Address: fmt.Sprintf("v%d:1", i)})
 	}
 	return l
 }
 
-func beginOf(name string, voters []agree.Voter, seed uint64, lease time.Duration) Begin {
+func beginOf(name string, voters []consensus.Voter, seed uint64, lease time.Duration) Begin {
 	return Begin{Self: fleet.Member{Name: name, Disk: "disk " + name, Site: "here", Peer: name + ":1"},
 		Voters: voters, Lease: lease, Drift: 0.01, Election: 200 * time.Millisecond, Heartbeat: 40 * time.Millisecond, Seed: seed, KeepAtMost: 50}
 }
@@ -200,13 +200,13 @@
 }
 
 // after is what a disk holds once it was written to.
-func after(d agree.Kept, k *agree.Kept) agree.Kept {
+func after(d consensus.Kept, k *consensus.Kept) consensus.Kept {
 	if k.Hard != nil {
 		d.Hard = k.Hard
 	}
 	if s := k.Snapshot; s != nil {
 		d.Snapshot = s
-		var l []agree.Record
+		var l []consensus.Record
 		for _, r := range d.Records {
 			if r.Index > s.Index {
 				l = append(l, r)
--- a/internal/fleet/idle/idle.go
+++ b/internal/fleet/noop/idle.go
@@ -1,7 +1,7 @@
-// Package idle stands in for the reducer in a process that takes no queries: it carries
+// Package noop stands in for the reducer in a process that takes no queries: it carries
 // out each order of the fleet's side at once and reports that it is done. A process of
 // the control role and the hollow controllers of scale runs use it.
-package idle
+package noop
 
 import (
 	"context"
--- a/internal/fleet/idle/idle_test.go
+++ b/internal/fleet/noop/idle_test.go
@@ -1,4 +1,4 @@
-package idle
+package noop
 
 import (
 	"slices"
--- a/internal/fleet/remedies_test.go
+++ b/internal/fleet/remedies_test.go
@@ -10,15 +10,15 @@
 	"strings"
 	"testing"
 
-	"railrelay.dev/railrelay/internal/answers"
+	"railrelay.dev/railrelay/internal/bench"
 	"railrelay.dev/railrelay/internal/capacity"
 	"railrelay.dev/railrelay/internal/fleet"
-	"railrelay.dev/railrelay/internal/fleet/agree"
-	"railrelay.dev/railrelay/internal/fleet/disk"
-	"railrelay.dev/railrelay/internal/fleet/edge"
-	"railrelay.dev/railrelay/internal/fleet/peers"
-	"railrelay.dev/railrelay/internal/lab"
+	"railrelay.dev/railrelay/internal/fleet/consensus"
+	"railrelay.dev/railrelay/internal/fleet/driver"
+	"railrelay.dev/railrelay/internal/fleet/storage"
+	"railrelay.dev/railrelay/internal/fleet/transport"
 	"railrelay.dev/railrelay/internal/residency"
+	"railrelay.dev/railrelay/internal/resultcache"
 	"railrelay.dev/railrelay/internal/setup"
 )
 
@@ -30,7 +30,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	all := slices.Concat(answers.Errors(), capacity.Errors(), fleet.Errors(), agree.Errors(), disk.Errors(), edge.Errors(), lab.Errors(), peers.Errors(), residency.Errors(), setup.Errors())
+	all := slices.Concat(resultcache.Errors(), capacity.Errors(), fleet.Errors(), consensus.Errors(), storage.Errors(), driver.Errors(), bench.Errors(), transport.Errors(), residency.Errors(), setup.Errors())
 	known, texts := map[string]bool{}, map[string]string{}
 	for _, e := range all {
 		name := strings.TrimPrefix(fmt.Sprintf("%T", e), "*")
--- a/internal/fleet/record/state.go
+++ b/internal/fleet/statemachine/state.go
@@ -1,6 +1,6 @@
-// Package record is the state that follows from the record's entries. It is pure, and
+// Package statemachine is the state that follows from the record's entries. It is pure, and
 // apart from package fleet so that a program without peers links no encoding.
-package record
+package statemachine
 
 import (
 	"fmt"
--- a/internal/fleet/disk/disk.go
+++ b/internal/fleet/storage/disk.go
@@ -1,4 +1,4 @@
-// Package disk keeps what a controller must know of the fleet after a restart: its
+// Package storage keeps what a controller must know of the fleet after a restart: its
 // part of the record, and a few notes. It is one bbolt file in a directory of its own.
 // What Write has returned from is on the disk, synced. Each value bears a sum, the
 // records' count is kept beside them, and both of the file's heads must be whole, so
@@ -6,7 +6,7 @@
 //
 // One thing can't be seen: a whole older copy of the directory put in its place. A
 // voter that forgets what it promised may break the record; see Remedy of TornError.
-package disk
+package storage
 
 import (
 	"encoding/binary"
@@ -28,7 +28,7 @@
 	"go.etcd.io/bbolt"
 	berrors "go.etcd.io/bbolt/errors"
 
-	"railrelay.dev/railrelay/internal/fleet/agree"
+	"railrelay.dev/railrelay/internal/fleet/consensus"
 )
 
 // patience is how long a program that is just ending may still hold the directory.
@@ -45,7 +45,7 @@
 
 // Found is what a directory held.
 type Found struct {
-	Kept  agree.Kept
+	Kept  consensus.Kept
 	Disk  string // the directory's own name, drawn when it was made
 	Owner string // who it belongs to, "" until a Claim
 	Fresh bool   // it was made just now
@@ -109,7 +109,7 @@
 		return nil, Found{}, err
 	}
 	f := d.found
-	f.Notes, d.found.Kept = maps.Clone(f.Notes), agree.Kept{} // the caller's alone: it may be long
+	f.Notes, d.found.Kept = maps.Clone(f.Notes), consensus.Kept{} // the caller's alone: it may be long
 	return d, f, nil
 }
 
@@ -244,7 +244,10 @@
 			{nameKey, true, func(b []byte) error { f.Disk = string(b); return nil }},
 			{ownerKey, false, func(b []byte) error { f.Owner = string(b); return nil }},
 			{hardKey, false, func(b []byte) error { f.Kept.Hard = append([]byte{}, b...); return nil }},
-			{snapshotKey, false, func(b []byte) error { f.Kept.Snapshot = &agree.Snapshot{}; return cbor.Unmarshal(b, f.Kept.Snapshot) }},
+			{snapshotKey, false, func(b []byte) error {
+				f.Kept.Snapshot = &consensus.Snapshot{}
+				return cbor.Unmarshal(b, f.Kept.Snapshot)
+			}},
 			{spanKey, true, func(b []byte) error { return cbor.Unmarshal(b, &d.span) }},
 		} {
 			b, ok := get(state, at.key)
@@ -264,7 +267,7 @@
 		if known != 0 || d.span.First == 0 || d.span.Last+1 < d.span.First {
 			return &SpoiltError{path, "state"}
 		}
-		f.Kept.Records = make([]agree.Record, 0, min(d.span.Last+1-d.span.First, 1<<20))
+		f.Kept.Records = make([]consensus.Record, 0, min(d.span.Last+1-d.span.First, 1<<20))
 		next := d.span.First
 		for c, k := recs.Cursor(), []byte(nil); ; next++ {
 			var v []byte
@@ -276,7 +279,7 @@
 			if k == nil {
 				break
 			}
-			var r agree.Record
+			var r consensus.Record
 			if b, ok := unsummed(k, v); !ok || len(k) != 8 || binary.BigEndian.Uint64(k) != next || next > d.span.Last ||
 				cbor.Unmarshal(b, &r) != nil || r.Index != next {
 				return &SpoiltError{path, "record " + strconv.FormatUint(next, 10)}
@@ -333,7 +336,7 @@
 // returns. Records take the place of those from the first one's index on; a snapshot
 // that of all records that don't come along with it. Once it failed it always does,
 // with the same error, until the directory is opened anew.
-func (d *Disk) Write(k agree.Kept) error {
+func (d *Disk) Write(k consensus.Kept) error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	next := d.span
@@ -349,11 +352,11 @@
 			next.First = first
 		}
 		if first > next.Last+1 {
-			return &agree.GapError{Index: first}
+			return &consensus.GapError{Index: first}
 		}
 		for i, r := range k.Records {
 			if r.Index != first+uint64(i) {
-				return &agree.GapError{Index: r.Index}
+				return &consensus.GapError{Index: r.Index}
 			}
 		}
 		next.Last = k.Records[n-1].Index
--- a/internal/fleet/disk/disk_test.go
+++ b/internal/fleet/storage/disk_test.go
@@ -1,4 +1,4 @@
-package disk
+package storage
 
 import (
 	"bytes"
@@ -16,7 +16,7 @@
 	"github.com/google/go-cmp/cmp"
 
 	"railrelay.dev/railrelay/internal/fleet"
-	"railrelay.dev/railrelay/internal/fleet/agree"
+	"railrelay.dev/railrelay/internal/fleet/consensus"
 )
 
 func named() string { return "disk-1" }
@@ -36,10 +36,10 @@
 	return d, f
 }
 
-func records(from, to uint64, term uint64) []agree.Record {
-	var rs []agree.Record
+func records(from, to uint64, term uint64) []consensus.Record {
+	var rs []consensus.Record
 	for i := from; i <= to; i++ {
-		rs = append(rs, agree.Record{Index: i, Term: term, Conf: i%7 == 0, Data: fmt.Appendf(nil, "what was decided as %d in %d", i, term)})
+		rs = append(rs, consensus.Record{Index: i, Term: term, Conf: i%7 == 0, Data: fmt.Appendf(nil, "what was decided as %d in %d", i, term)})
 	}
 	return rs
 }
@@ -62,7 +62,7 @@
 	}
 	must(t, d.Claim("north"))
 	want := Found{Disk: "disk-1", Owner: "north", Notes: map[string][]byte{}}
-	write := func(k agree.Kept) {
+	write := func(k consensus.Kept) {
 		t.Helper()
 		must(t, d.Write(k))
 		if k.Hard != nil {
@@ -88,17 +88,17 @@
 		}
 		must(t, d.Claim("north"))
 	}
-	write(agree.Kept{Hard: []byte("1"), Records: records(1, 50, 1)})
+	write(consensus.Kept{Hard: []byte("1"), Records: records(1, 50, 1)})
 	again()
-	write(agree.Kept{Records: records(31, 40, 2)}) // ten of the old ones are void
+	write(consensus.Kept{Records: records(31, 40, 2)}) // ten of the old ones are void
 	again()
-	write(agree.Kept{Hard: []byte("2"), Snapshot: &agree.Snapshot{Index: 35, Term: 2, Conf: []byte("c"), Data: []byte("state")},
+	write(consensus.Kept{Hard: []byte("2"), Snapshot: &consensus.Snapshot{Index: 35, Term: 2, Conf: []byte("c"), Data: []byte("state")},
 		Records: want.Kept.Records[19:]})
 	again()
-	write(agree.Kept{Records: records(41, 60, 3)})
+	write(consensus.Kept{Records: records(41, 60, 3)})
 	again()
-	write(agree.Kept{Snapshot: &agree.Snapshot{Index: 900, Term: 4}}) // from a leader: nothing before it counts
-	write(agree.Kept{Records: records(901, 903, 4)})
+	write(consensus.Kept{Snapshot: &consensus.Snapshot{Index: 900, Term: 4}}) // from a leader: nothing before it counts
+	write(consensus.Kept{Records: records(901, 903, 4)})
 	must(t, d.Note("p1", []byte("wiped")))
 	must(t, d.Note("p2", []byte{}))
 	must(t, d.Note("p3", []byte("x")))
@@ -111,8 +111,8 @@
 	if got := typeOf(t, d.Claim("south")); got != "StrangerError" {
 		t.Fatal(got)
 	}
-	var gap *agree.GapError
-	if err := d.Write(agree.Kept{Records: records(905, 906, 4)}); !errors.As(err, &gap) || gap.Index != 905 {
+	var gap *consensus.GapError
+	if err := d.Write(consensus.Kept{Records: records(905, 906, 4)}); !errors.As(err, &gap) || gap.Index != 905 {
 		t.Fatal(err)
 	}
 	again()
@@ -123,11 +123,11 @@
 	dir = t.TempDir()
 	d, _ := open(t, Opening{}, dir)
 	must(t, d.Claim("north"))
-	must(t, d.Write(agree.Kept{Hard: []byte("hard"), Records: records(1, 300, 1)}))
-	must(t, d.Write(agree.Kept{Snapshot: &agree.Snapshot{Index: 200, Term: 1, Conf: []byte("conf"), Data: bytes.Repeat([]byte("s"), 9000)},
+	must(t, d.Write(consensus.Kept{Hard: []byte("hard"), Records: records(1, 300, 1)}))
+	must(t, d.Write(consensus.Kept{Snapshot: &consensus.Snapshot{Index: 200, Term: 1, Conf: []byte("conf"), Data: bytes.Repeat([]byte("s"), 9000)},
 		Records: records(100, 300, 1)}))
 	must(t, d.Note("p1", []byte("wiped")))
-	must(t, d.Write(agree.Kept{Records: records(301, 600, 2)}))
+	must(t, d.Write(consensus.Kept{Records: records(301, 600, 2)}))
 	must(t, d.Close())
 	d, held = open(t, Opening{}, dir)
 	must(t, d.Close())
@@ -218,7 +218,7 @@
 	d, _, err := o.Open(dir, named)
 	must(t, err)
 	for from := uint64(601); err == nil && from < 100_000; from += 500 {
-		if err = d.Write(agree.Kept{Records: records(from, from+499, 3)}); err == nil {
+		if err = d.Write(consensus.Kept{Records: records(from, from+499, 3)}); err == nil {
 			held.Kept.Records = append(held.Kept.Records, records(from, from+499, 3)...)
 		}
 	}
@@ -226,7 +226,7 @@
 		t.Fatalf("want %s, got %v", want, err)
 	}
 	off()
-	if again := d.Write(agree.Kept{Hard: []byte("x")}); again != err {
+	if again := d.Write(consensus.Kept{Hard: []byte("x")}); again != err {
 		t.Fatal(again)
 	}
 	if again := d.Note("a", []byte("b")); again != err {
@@ -237,7 +237,7 @@
 	if x := diff(held, f); x != "" {
 		t.Fatal(x)
 	}
-	must(t, d.Write(agree.Kept{Hard: []byte("x")}))
+	must(t, d.Write(consensus.Kept{Hard: []byte("x")}))
 }
 
 func TestFull(t *testing.T) {
@@ -300,7 +300,7 @@
 	begin := time.Now()
 	const n = 100_000
 	for from := uint64(1); from <= n; from += 10_000 {
-		must(t, d.Write(agree.Kept{Records: records(from, from+9999, 1)}))
+		must(t, d.Write(consensus.Kept{Records: records(from, from+9999, 1)}))
 	}
 	t.Logf("%d records were written in %v", n, time.Since(begin))
 	must(t, d.Close())
@@ -312,7 +312,7 @@
 		t.Fatalf("%d records in %v", len(f.Kept.Records), took)
 	}
 	begin = time.Now()
-	must(t, d.Write(agree.Kept{Hard: []byte("h"), Snapshot: &agree.Snapshot{Index: n, Term: 1, Data: make([]byte, 1<<20)}, Records: records(n-199, n, 1)}))
+	must(t, d.Write(consensus.Kept{Hard: []byte("h"), Snapshot: &consensus.Snapshot{Index: n, Term: 1, Data: make([]byte, 1<<20)}, Records: records(n-199, n, 1)}))
 	t.Logf("a snapshot in place of all but 200 took %v", time.Since(begin))
 	must(t, d.Close())
 	begin = time.Now()
@@ -337,7 +337,7 @@
 	i := uint64(0)
 	for b.Loop() {
 		i++
-		must(b, d.Write(agree.Kept{Hard: []byte("h"), Records: records(i, i, 1)}))
+		must(b, d.Write(consensus.Kept{Hard: []byte("h"), Records: records(i, i, 1)}))
 	}
 }
 
--- a/internal/fleet/disk/errors.go
+++ b/internal/fleet/storage/errors.go
@@ -1,4 +1,4 @@
-package disk
+package storage
 
 import (
 	"errors"
--- a/internal/fleet/peers/errors.go
+++ b/internal/fleet/transport/errors.go
@@ -1,4 +1,4 @@
-package peers
+package transport
 
 import (
 	"fmt"
--- a/internal/fleet/peers/faults_test.go
+++ b/internal/fleet/transport/faults_test.go
@@ -1,4 +1,4 @@
-package peers
+package transport
 
 import (
 	"fmt"
@@ -7,14 +7,14 @@
 	"testing"
 	"time"
 
+	"railrelay.dev/railrelay/internal/emulator/faultproxy"
 	"railrelay.dev/railrelay/internal/fleet/node"
-	"railrelay.dev/railrelay/internal/standin/link"
 )
 
-func between(t *testing.T, o Options) (a, b *end, l *link.Link) {
+func between(t *testing.T, o Options) (a, b *end, l *faultproxy.Link) {
 	t.Helper()
 	a, b = pair(t, o, Options{Timeout: o.Timeout})
-	l, err := link.New(b.address)
+	l, err := faultproxy.New(b.address)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -24,7 +24,7 @@
 
 func TestADuplicateConnectionIsAReplay(t *testing.T) {
 	a, b, l := between(t, Options{})
-	l.Set(link.Fault{Kind: link.Double})
+	l.Set(faultproxy.Fault{Kind: faultproxy.Double})
 	for i := range 5 {
 		a.Send("b", l.Address(), &node.Message{Agree: []byte(fmt.Sprint(i))})
 		b.hears(t, "a", fmt.Sprint(i))
@@ -39,11 +39,11 @@
 
 func TestAFrameThatStallsIsCutAndTheNextPasses(t *testing.T) {
 	a, b, l := between(t, Options{Timeout: 50 * time.Millisecond})
-	l.Set(link.Fault{Kind: link.Stall, Way: link.There, After: 2000}) // a hello passes
+	l.Set(faultproxy.Fault{Kind: faultproxy.Stall, Way: faultproxy.There, After: 2000}) // a hello passes
 	a.Send("b", l.Address(), &node.Message{Agree: make([]byte, 5000)})
 	a.until(t, "lost", 1)
 	b.until(t, "cut", 1)
-	l.Set(link.Fault{Kind: link.Reset})
+	l.Set(faultproxy.Fault{Kind: faultproxy.Reset})
 	a.Send("b", l.Address(), &node.Message{Agree: []byte("after")})
 	b.hears(t, "a", "after")
 }
@@ -59,14 +59,14 @@
 		a.Send("b", l.Address(), &node.Message{Agree: []byte(text)})
 	}
 	for i := range 30 {
-		l.Set(link.Draw(r))
+		l.Set(faultproxy.Draw(r))
 		before := a.Counts()["bytes_out"]
 		for j := range 10 {
 			say(fmt.Sprintf("%d.%d", i, j))
 		}
 		a.until(t, "bytes_out", before+1)
 	}
-	l.Set(link.Fault{})
+	l.Set(faultproxy.Fault{})
 	say("healed")
 	for last := ""; last != "healed"; {
 		select {
@@ -89,7 +89,7 @@
 }
 
 func TestThroughAMeshByOneAddressEach(t *testing.T) {
-	m := link.NewMesh("a", "b")
+	m := faultproxy.NewMesh("a", "b")
 	o := func(name string) Options {
 		l, err := net.Listen("tcp", m.Source(name)+":0")
 		if err != nil {
@@ -109,7 +109,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	m.Set("a", "b", link.Fault{Kind: link.Cut, Silent: true})
+	m.Set("a", "b", faultproxy.Fault{Kind: faultproxy.Cut, Silent: true})
 	a.Send("b", toB, &node.Message{Agree: []byte("held up")})
 	b.Send("a", toA, &node.Message{Agree: []byte("other way")})
 	a.hears(t, "b", "other way")
--- a/internal/fleet/peers/frame.go
+++ b/internal/fleet/transport/frame.go
@@ -1,11 +1,11 @@
-// Package peers carries what controllers of one fleet say to each other, and what
+// Package transport carries what controllers of one fleet say to each other, and what
 // operators ask of them. Everything bears a keyed MAC; nothing is hidden by it: who
 // listens between two controllers reads policies and reports, so a network that isn't
 // the operator's own needs a tunnel besides.
 //
 // frame.go is the pure part: what is authentic, new and for this controller. wire.go
 // and control.go are the sockets.
-package peers
+package transport
 
 import (
 	"errors"
--- a/internal/check/check.go
+++ b/internal/historycheck/check.go
@@ -1,7 +1,7 @@
-// Package check holds the rules over a recorded history: one checker for tests,
+// Package historycheck holds the rules over a recorded history: one checker for tests,
 // rehearsals and fuzzing. It knows nothing of how the controller works, only what
 // was asked, sent, run and answered, and when.
-package check
+package historycheck
 
 import (
 	"bytes"
--- a/internal/check/record.go
+++ b/internal/historycheck/record.go
@@ -1,4 +1,4 @@
-package check
+package historycheck
 
 import (
 	"cmp"
--- a/internal/linked/linked.go
+++ b/internal/intrusivelist/linked.go
@@ -1,7 +1,7 @@
-// Package linked is a doubly linked list as container/list is one, but its elements are
+// Package intrusivelist is a doubly linked list as container/list is one, but its elements are
 // fields of the values that are in it: putting a value in and taking it out allocates
 // nothing. A value may be in several lists, by an element for each.
-package linked
+package intrusivelist
 
 // Element is a value's place in one list. The zero value is in none.
 type Element[V any] struct {
--- a/internal/linked/linked_test.go
+++ b/internal/intrusivelist/linked_test.go
@@ -1,4 +1,4 @@
-package linked
+package intrusivelist
 
 import (
 	"slices"
--- a/internal/must/debug.go
+++ b/internal/invariant/debug.go
@@ -1,6 +1,6 @@
 //go:build debug
 
-package must
+package invariant
 
 // Debug is true: checks that cost much are made.
 const Debug = true
--- a/internal/must/must.go
+++ b/internal/invariant/must.go
@@ -1,7 +1,7 @@
-// Package must asserts in debug builds (-tags debug) what has to hold, and
+// Package invariant asserts in debug builds (-tags debug) what has to hold, and
 // counts in release builds where it did not: a fault of ours should not take
 // down what still works.
-package must
+package invariant
 
 import "sync/atomic"
 
--- a/internal/must/release.go
+++ b/internal/invariant/release.go
@@ -1,6 +1,6 @@
 //go:build !debug
 
-package must
+package invariant
 
 // Debug is false: checks that cost much are left out.
 const Debug = false
--- a/internal/clients/clients.go
+++ b/internal/msgpackrpc/clients.go
@@ -1,6 +1,6 @@
-// Package clients reads and writes what clients speak, MessagePack-RPC, over
+// Package msgpackrpc reads and writes what clients speak, MessagePack-RPC, over
 // bytes only.
-package clients
+package msgpackrpc
 
 import (
 	"math"
--- a/internal/clients/clients_test.go
+++ b/internal/msgpackrpc/clients_test.go
@@ -1,4 +1,4 @@
-package clients
+package msgpackrpc
 
 import (
 	"bytes"
--- a/internal/answers/answers.go
+++ b/internal/resultcache/answers.go
@@ -1,4 +1,4 @@
-// Package answers is a bounded cache of finished answers of read-only queries. What is
+// Package resultcache is a bounded cache of finished answers of read-only queries. What is
 // kept is found by team, resource group and statement, byte for byte, and is fresh for
 // as long as the set-up says. Of many who ask the same at once one leads and the others
 // follow: one run at an engine answers them all. It is a pure core: no I/O, no clock,
@@ -12,7 +12,7 @@
 //
 // Whose queries may come here is the caller's to see to: read-only ones, without a
 // token and without an order by key.
-package answers
+package resultcache
 
 import (
 	"bytes"
@@ -25,7 +25,7 @@
 	"github.com/cespare/xxhash/v2"
 
 	"railrelay.dev/railrelay/internal/fleet"
-	"railrelay.dev/railrelay/internal/linked"
+	"railrelay.dev/railrelay/internal/intrusivelist"
 )
 
 // Limits are the cache's figures. All must be set but Groups.
@@ -114,16 +114,16 @@
 	pages     [][]byte
 	size      int64
 	ends      time.Duration
-	wall      int64                // when its run began
-	index     uint64               // of the record then
-	used      uint64               // the higher the later
-	inUse     linked.Element[kept] // of its team's byUse
+	wall      int64                       // when its run began
+	index     uint64                      // of the record then
+	used      uint64                      // the higher the later
+	inUse     intrusivelist.Element[kept] // of its team's byUse
 }
 
 type team struct {
 	name  string
 	bytes int64
-	byUse linked.List[kept] // the longest unused first
+	byUse intrusivelist.List[kept] // the longest unused first
 }
 
 // Counts are counted since the start.
--- a/internal/answers/answers_test.go
+++ b/internal/resultcache/answers_test.go
@@ -1,4 +1,4 @@
-package answers
+package resultcache
 
 import (
 	"errors"
--- a/internal/store/erase.go
+++ b/internal/resultstore/erase.go
@@ -1,4 +1,4 @@
-package store
+package resultstore
 
 // erasing is what has to be gone from the disk for good, all that counts no more: it
 // stands in segments until these are compacted, which else waits until enough of one
--- a/internal/store/files.go
+++ b/internal/resultstore/files.go
@@ -1,4 +1,4 @@
-package store
+package resultstore
 
 import (
 	"errors"
--- a/internal/store/store.go
+++ b/internal/resultstore/store.go
@@ -1,4 +1,4 @@
-// Package store keeps results' pages on disk through crashes: segment files of
+// Package resultstore keeps results' pages on disk through crashes: segment files of
 // checksummed records, an index in an embedded store, a manifest replaced at once.
 //
 // The segments are the truth. The manifest names those that count, the index is a
@@ -13,7 +13,7 @@
 //     synced elsewhere, and its file is removed after that.
 //
 // One goroutine writes (Do, Tick, Close); Fetch may be called from others meanwhile.
-package store
+package resultstore
 
 import (
 	"errors"
