--- a/internal/store/store_test.go
+++ b/internal/resultstore/store_test.go
@@ -1,4 +1,4 @@
-package store_test
+package resultstore_test
 
 import (
 	"bytes"
@@ -11,8 +11,8 @@
 	"syscall"
 	"testing"
 
-	"railrelay.dev/railrelay/internal/standin/disk"
-	"railrelay.dev/railrelay/internal/store"
+	"railrelay.dev/railrelay/internal/emulator/disk"
+	"railrelay.dev/railrelay/internal/resultstore"
 )
 
 // life is what a test knows of a result.
@@ -30,17 +30,17 @@
 	rng   *rand.Rand
 	d     *disk.Disk
 	x     *disk.Index
-	s     *store.Store
+	s     *resultstore.Store
 	lives map[uint64]*life
 	open  []uint64
 	whole []uint64
 	next  uint64
 }
 
-func newScript(t testing.TB, seed uint64, terms store.Terms) *script {
+func newScript(t testing.TB, seed uint64, terms resultstore.Terms) *script {
 	d := disk.New()
 	x := disk.NewIndex(d)
-	s, _, err := store.Open(d, x, terms)
+	s, _, err := resultstore.Open(d, x, terms)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -55,22 +55,22 @@
 	return append(p, '\n')
 }
 
-func (c *script) do(j *store.Job) error {
-	c.s.Do([]*store.Job{j})
+func (c *script) do(j *resultstore.Job) error {
+	c.s.Do([]*resultstore.Job{j})
 	return j.Err
 }
 
 func (c *script) write(id uint64) {
 	l := c.lives[id]
 	p := c.page()
-	if c.do(&store.Job{Pages: []store.Record{{Kind: store.Page, Result: id, Page: uint32(len(l.pages)), Body: p}}}) == nil {
+	if c.do(&resultstore.Job{Pages: []resultstore.Record{{Kind: resultstore.Page, Result: id, Page: uint32(len(l.pages)), Body: p}}}) == nil {
 		l.pages, l.rows = append(l.pages, p), append(l.rows, 1)
 	}
 }
 
 func (c *script) promise(id uint64) error {
 	l := c.lives[id]
-	err := c.do(&store.Job{Promise: &store.Meta{Result: id, Query: fmt.Sprintf("%016x", id), Team: "linz", Made: 1, Ends: 1000, Rows: l.rows}})
+	err := c.do(&resultstore.Job{Promise: &resultstore.Meta{Result: id, Query: fmt.Sprintf("%016x", id), Team: "linz", Made: 1, Ends: 1000, Rows: l.rows}})
 	if err == nil {
 		l.promised = c.d.Steps()
 	}
@@ -80,7 +80,7 @@
 func (c *script) drop(id uint64) {
 	l := c.lives[id]
 	l.dropping = max(1, c.d.Steps())
-	if c.do(&store.Job{Drop: []uint64{id}}) == nil {
+	if c.do(&resultstore.Job{Drop: []uint64{id}}) == nil {
 		l.dropped = c.d.Steps()
 	}
 }
@@ -119,19 +119,21 @@
 }
 
 // matches: what is there is equal byte for byte to what was written.
-func matches(t testing.TB, s *store.Store, id uint64, l *life) {
+func matches(t testing.TB, s *resultstore.Store, id uint64, l *life) {
 	t.Helper()
 	for i, want := range l.pages {
 		if got, err := s.Fetch(id, i); err != nil || !bytes.Equal(got, want) {
 			t.Fatalf("page %d of %d: %v, %d bytes of %d", i, len(l.pages), err, len(got), len(want))
 		}
 	}
-	if _, err := s.Fetch(id, len(l.pages)); !errors.Is(err, store.ErrNone) {
+	if _, err := s.Fetch(id, len(l.pages)); !errors.Is(err, resultstore.ErrNone) {
 		t.Fatal("a page behind the last: ", err)
 	}
 }
 
-func small() store.Terms { return store.Terms{SegmentBytes: 2 << 10, Keep: 5, StepBytes: 1 << 10} }
+func small() resultstore.Terms {
+	return resultstore.Terms{SegmentBytes: 2 << 10, Keep: 5, StepBytes: 1 << 10}
+}
 
 // Every write of a run is cut, in three ways, with and without the index, and what is
 // found then is all that was promised and nothing else.
@@ -156,7 +158,7 @@
 				if !lost {
 					x = c.x.After(k, d)
 				}
-				s, found, err := store.Open(d, x, small())
+				s, found, err := resultstore.Open(d, x, small())
 				if err != nil {
 					t.Fatalf("cut at %d, %v: %v", k, how, err)
 				}
@@ -164,7 +166,7 @@
 					t.Fatalf("cut at %d, %v: promised and lost %x", k, how, found.Lost)
 				}
 				there := map[uint64]bool{}
-				s.Each(func(m *store.Meta) error {
+				s.Each(func(m *resultstore.Meta) error {
 					there[m.Result] = true
 					l := c.lives[m.Result]
 					if l == nil || len(l.rows) != len(m.Rows) || l.promised == 0 && l.dropping == 0 && k >= steps {
@@ -222,7 +224,7 @@
 		for _, id := range c.whole {
 			matches(t, c.s, id, c.lives[id])
 		}
-		s, found, err := store.Open(c.d, c.x, small())
+		s, found, err := resultstore.Open(c.d, c.x, small())
 		if err != nil || len(found.Lost) > 0 {
 			t.Fatal(err, found)
 		}
@@ -233,7 +235,7 @@
 }
 
 func TestFlippedBit(t *testing.T) {
-	c := newScript(t, 3, store.Terms{})
+	c := newScript(t, 3, resultstore.Terms{})
 	c.next++
 	id := c.next
 	c.lives[id] = &life{}
@@ -250,7 +252,7 @@
 		for i, want := range c.lives[id].pages {
 			if p, err := c.s.Fetch(id, i); err == nil && !bytes.Equal(p, want) {
 				t.Fatalf("a bit at %d: page %d was served spoilt", at, i)
-			} else if err != nil && !errors.Is(err, store.ErrSpoilt) {
+			} else if err != nil && !errors.Is(err, resultstore.ErrSpoilt) {
 				t.Fatal(err)
 			}
 		}
@@ -264,23 +266,23 @@
 
 func TestOnRealFiles(t *testing.T) {
 	path := t.TempDir()
-	open := func() (*store.Store, store.Recovered, *store.Dir) {
-		d, err := store.Hold(path)
+	open := func() (*resultstore.Store, resultstore.Recovered, *resultstore.Dir) {
+		d, err := resultstore.Hold(path)
 		if err != nil {
 			t.Fatal(err)
 		}
-		x, err := store.OpenBolt(d.Path("index.db"))
+		x, err := resultstore.OpenBolt(d.Path("index.db"))
 		if err != nil {
 			t.Fatal(err)
 		}
-		s, found, err := store.Open(d, x, small())
+		s, found, err := resultstore.Open(d, x, small())
 		if err != nil {
 			t.Fatal(err)
 		}
 		return s, found, d
 	}
 	s, _, d := open()
-	if _, err := store.Hold(path); !errors.Is(err, store.ErrInUse) {
+	if _, err := resultstore.Hold(path); !errors.Is(err, resultstore.ErrInUse) {
 		t.Fatal("two programs have one directory: ", err)
 	}
 	c := &script{t: t, rng: rand.New(rand.NewPCG(5, 1)), d: disk.New(), s: s, lives: map[uint64]*life{}, next: s.First()}
@@ -328,7 +330,7 @@
 func TestDirectoryThatCantBeWritten(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "file")
 	os.WriteFile(path, nil, 0o600)
-	if _, err := store.Hold(filepath.Join(path, "spool")); err == nil {
+	if _, err := resultstore.Hold(filepath.Join(path, "spool")); err == nil {
 		t.Fatal("a directory within a file")
 	}
 }
--- a/decide/decide.go
+++ b/internal/scheduler/decide.go
@@ -1,11 +1,11 @@
-// Package decide holds the decisions of a railrelay gateway, all in this file. New (door.go) makes a Gateway
+// Package scheduler holds the decisions of a railrelay gateway, all in this file. New (door.go) makes a Gateway
 // from an Actor, a seed and a map of settings; an adapter calls the methods of Gate, each with the time since
 // the start, and the Gateway acts through its Actor before it returns. Nothing blocks or reads a clock.
 //
 // The ordinary path follows Gargamel (docs/design.md): loads go into a chain per table group, the rest into
 // a queue per resource group, release lets them out in arrival order and pick draws an engine. submit is the
 // only way to an engine and asks maySend and allowed, which hold the rules; giveUp the only way to an answer.
-package decide
+package scheduler
 
 import (
 	"cmp"
@@ -28,14 +28,14 @@
 // ---- engines coming and going
 
 // restarted: a new process under a known id; what was learned is void, and it is cold from its start on.
-func (g *Gateway) restarted(e *engine, started time.Duration) {
+func (g *Scheduler) restarted(e *engine, started time.Duration) {
 	g.forget(e)
 	e.started, e.coldFrom, e.coldUntil = started, started, max(e.coldUntil, started+g.facts.span("cold.span", 0))
 }
 
 // ---- queries
 
-func (g *Gateway) take(q *query) {
+func (g *Scheduler) take(q *query) {
 	rg := q.rg
 	if g.closing { // refused at once: its client can go elsewhere, and the end comes
 		g.giveUp(q)
@@ -63,7 +63,7 @@
 }
 
 // late: past its target, which is a sign in itself where no note tells why.
-func (g *Gateway) late(q *query) {
+func (g *Scheduler) late(q *query) {
 	quiet := g.facts.span("note.period", 0)*3/2 + 300*time.Millisecond // none is sure to come before
 	for _, s := range q.subs {
 		if !s.ended && (g.facts.span("note.period", 0) <= 0 || quiet > q.deadline-q.takenAt) {
@@ -76,7 +76,7 @@
 // behind: what those before it in its key's line should take alone leaves it no time. Given up at once
 // it comes back in its own time; a long line kept is given up in one moment when its head ends late, and
 // clients, who space a key's queries, send the last with most of their time gone: queries were lost so.
-func (g *Gateway) behind(q *query, line *keyLine) {
+func (g *Scheduler) behind(q *query, line *keyLine) {
 	before := 0.0
 	for _, x := range line.line[:len(line.line)-1] {
 		before += g.expect(x)
@@ -86,7 +86,7 @@
 	}
 }
 
-func (g *Gateway) begin(q *query) {
+func (g *Scheduler) begin(q *query) {
 	if q.over {
 		return
 	}
@@ -102,7 +102,7 @@
 }
 
 // join is the paper's classifier: behind the running link, or at the head of a chain.
-func (g *Gateway) join(q *query) {
+func (g *Scheduler) join(q *query) {
 	c := g.chains[q.tables]
 	if c == nil {
 		c = &chain{}
@@ -122,7 +122,7 @@
 	})
 }
 
-func (g *Gateway) lead(c *chain, q *query) {
+func (g *Scheduler) lead(c *chain, q *query) {
 	c.link = q
 	recent := c.engine != nil && c.ended && g.now-c.endedAt < chainWindow
 	if !recent || !g.hasRoom(c.engine, q) || !g.submit(q, c.engine) {
@@ -130,7 +130,7 @@
 	}
 }
 
-func (g *Gateway) linkEnded(q *query) {
+func (g *Scheduler) linkEnded(q *query) {
 	c := q.chain
 	if c == nil || c.drop(q) || c.link != q {
 		return
@@ -143,7 +143,7 @@
 	}
 }
 
-func (g *Gateway) enqueue(q *query) {
+func (g *Scheduler) enqueue(q *query) {
 	if q.next == nil {
 		q.next = func(e *engine) bool { return g.submit(q, e) }
 	}
@@ -152,7 +152,7 @@
 
 // release lets held queries go, the group with the most value for its work first, each in arrival order. A
 // head that no engine may take whatever its room is passed over: it must not hold up those that one may.
-func (g *Gateway) release() {
+func (g *Scheduler) release() {
 	for _, rg := range g.ranked {
 		var shut []int64 // tables that no clear engine is left for, asked once a round: queues get long
 		rg.full = false
@@ -186,7 +186,7 @@
 
 // thin: a queue that is more than can be begun in time gives up at once what costs most for its
 // worth. In plain arrival order a long query would take the room of several that are worth as much.
-func (g *Gateway) thin(rg *resourceGroup) {
+func (g *Scheduler) thin(rg *resourceGroup) {
 	work := 0.0
 	for _, q := range rg.queue {
 		work += g.lone(q) * rg.threads
@@ -203,7 +203,7 @@
 }
 
 // dear is what a query takes for its worth: less is had of a team that is over its share.
-func (g *Gateway) dear(q *query) float64 {
+func (g *Scheduler) dear(q *query) float64 {
 	if len(q.subs) > 0 {
 		return 0 // begun once: what was done would be lost
 	}
@@ -212,23 +212,23 @@
 
 // over is the part of a team's queries that go beyond its share, as far as one's own tell: against
 // the quotas' even part, and against how busy one is in the long run, as traffic isn't even.
-func (g *Gateway) over(t *team) float64 {
+func (g *Scheduler) over(t *team) float64 {
 	return max(0, 1-t.quota*max(1, g.busy.or(1))/max(0.01, g.rate(t.took)))
 }
 
-func (g *Gateway) rate(of float64) float64 {
+func (g *Scheduler) rate(of float64) float64 {
 	return of / min(flowSpan, max(time.Second, g.now)).Seconds()
 }
 
 // hopeless: what can't earn its keep is given up before it takes room from what can; what is worth
 // nothing late isn't sat on till its client leaves, though nobody waits behind it.
-func (g *Gateway) hopeless(q *query, backlog bool) bool {
+func (g *Scheduler) hopeless(q *query, backlog bool) bool {
 	return g.left(q) < g.lone(q)/2 || backlog && g.now > g.latest(q) ||
 		q.rg.lateShare <= 0 && g.now+seconds(g.lone(q)) > q.aim
 }
 
 // latest is when a query has to start at the latest to be done when it should be.
-func (g *Gateway) latest(q *query) time.Duration {
+func (g *Scheduler) latest(q *query) time.Duration {
 	by := min(q.aim, q.deadline)   // some come with less time than is aimed for
 	if q.rg.leaving.value > 0.05 { // clients that hang up early, whatever they said they would wait
 		by = min(by, q.takenAt+seconds(q.rg.patience.value))
@@ -238,12 +238,12 @@
 
 // ---- which engine
 
-func (g *Gateway) ready(e *engine) bool {
-	return e.state == On && !(e.silent && g.looks) && g.now >= e.restUntil
+func (g *Scheduler) ready(e *engine) bool {
+	return e.state == EngineActive && !(e.silent && g.looks) && g.now >= e.restUntil
 }
 
 // pick draws an engine, odds in step with room; barred: not for room that none is found.
-func (g *Gateway) pick(q *query) (found *engine, barred bool) {
+func (g *Scheduler) pick(q *query) (found *engine, barred bool) {
 	if !g.maySend(q) {
 		return nil, true
 	}
@@ -269,7 +269,7 @@
 	for _, e := range g.on() {
 		if g.known(e) {
 			weigh(e)
-		} else if e.state == On && g.now >= e.restUntil {
+		} else if e.state == EngineActive && g.now >= e.restUntil {
 			unseen = append(unseen, e) // a silent one too: this is how it is heard again
 			if g.names(q, e) && g.ready(e) && !g.lately(e) && !g.loadRuns(e, q.tables) && g.allowed(q, e) {
 				named = append(named, e) // the chance alone leaves room there: no look is paid for
@@ -322,7 +322,7 @@
 }
 
 // away: a light query goes to another location only for want of room; heavy ones, few, even the load out.
-func (g *Gateway) away(q *query, e *engine) int {
+func (g *Scheduler) away(q *query, e *engine) int {
 	if e.home || !g.light(q.rg) {
 		return 0
 	}
@@ -330,12 +330,12 @@
 }
 
 // known: a report tells how full it is, or there is nothing to be had by looking.
-func (g *Gateway) known(e *engine) bool {
+func (g *Scheduler) known(e *engine) bool {
 	return !g.looks || e.report != nil && g.now-e.reportAt < reportKeeps
 }
 
 // hasRoom: the thread bound, which binds only under pressure.
-func (g *Gateway) hasRoom(e *engine, q *query) bool {
+func (g *Scheduler) hasRoom(e *engine, q *query) bool {
 	if !g.ready(e) || e.stood > 0 && (len(e.out) > 0 || !g.light(q.rg)) {
 		return false // what stood still is tried with one light query first
 	}
@@ -358,17 +358,17 @@
 
 // dealt: where a query is larger than one's part of an engine, all gateways with one each there would be
 // several times its bound. So many as fit are dealt among them by number.
-func (g *Gateway) dealt(e *engine, part float64) bool {
+func (g *Scheduler) dealt(e *engine, part float64) bool {
 	n := max(1, g.facts.num("gateways", 1))
 	return math.Mod(float64(e.mark)+g.facts.num("own.number", 0), n) < math.Round(n*part)
 }
 
 // light groups take less than the mean of the work: they fill no engine.
-func (g *Gateway) light(rg *resourceGroup) bool { return g.usual(rg) < g.meanWork.value }
+func (g *Scheduler) light(rg *resourceGroup) bool { return g.usual(rg) < g.meanWork.value }
 
-func (g *Gateway) lately(e *engine) bool { return e.fullAt > 0 && g.now-e.fullAt < 2*time.Second }
+func (g *Scheduler) lately(e *engine) bool { return e.fullAt > 0 && g.now-e.fullAt < 2*time.Second }
 
-func (g *Gateway) pressed(e *engine, q *query) bool {
+func (g *Scheduler) pressed(e *engine, q *query) bool {
 	// with a small share of one's own the bound rations next to nothing: an engine is used while it has room
 	full := max(0.7, 0.85-0.5*g.share)
 	if !g.looks && (g.counts || g.fillSeen.count == 0) && q.rg == g.ranked[0] && g.light(q.rg) {
@@ -380,7 +380,7 @@
 // ownShare is one's own part of all work: by what was out of late against what engines report to hold. Where
 // nothing tells, an even part in the mean: what was left of it of late goes on top within a second, the more
 // so the more of it one query takes, as few go up and down far more than many.
-func (g *Gateway) ownShare() float64 {
+func (g *Scheduler) ownShare() float64 {
 	n := max(1, g.facts.num("gateways", 1))
 	threads, _, _, cores := g.sums()
 	if even := threadsPerCore * cores / n; !g.looks && g.fillSeen.count == 0 {
@@ -394,7 +394,7 @@
 
 // filled guesses how full an engine is with the work of all gateways; 1 is full: by its report, whichever is
 // nearest its end, and what was sent since; else as those seen of late, or as if all did as this one.
-func (g *Gateway) filled(e *engine) float64 {
+func (g *Scheduler) filled(e *engine) float64 {
 	most := threadsPerCore * e.cores * g.able(e)
 	if e.report != nil && g.now-e.reportAt < reportKeeps {
 		return max(g.memoryOn(e), (g.heldOn(e)+g.since(e.threads-e.threadsAtReport))/most)
@@ -409,7 +409,7 @@
 
 // heldOn is the threads on an engine seen: of the queries it tells of, or, where it tells of none, of
 // its busy cores. Taken as none, an engine looked the emptier the more of one's own stood still there.
-func (g *Gateway) heldOn(e *engine) float64 {
+func (g *Scheduler) heldOn(e *engine) float64 {
 	if held, told := e.report["held"]; told {
 		return held * max(1, g.usualThreads.value/max(0.1, g.usualCount.value))
 	}
@@ -421,26 +421,26 @@
 }
 
 // memoryOn is the same for memory alone, of an engine seen.
-func (g *Gateway) memoryOn(e *engine) float64 {
+func (g *Scheduler) memoryOn(e *engine) float64 {
 	held := g.heldOn(e) * g.usualMemory.value / max(0.1, g.usualThreads.value)
 	return (held + g.since(e.memory-e.memoryAtReport)) / e.ram
 }
 
 // since guesses what all gateways sent to an engine since its report, by one's own: they look as often, and
 // each that looked at it while a report keeps saw the same room and fills it alike.
-func (g *Gateway) since(own float64) float64 {
+func (g *Scheduler) since(own float64) float64 {
 	part := min(1, g.rate(g.looked)*reportKeeps.Seconds()/max(1, float64(len(g.on())))) // of engines, seen
 	return own + max(0, own)*part*(max(1, g.facts.num("gateways", 1))-1)
 }
 
-func (g *Gateway) room(e *engine) float64 {
+func (g *Scheduler) room(e *engine) float64 {
 	return e.cores * g.able(e) * max(0.02, 1-g.filled(e)) / e.slow
 }
 
 // ---- what it takes
 
 // lone is the time a query should take alone, in seconds.
-func (g *Gateway) lone(q *query) float64 {
+func (g *Scheduler) lone(q *query) float64 {
 	work := q.work
 	if work <= 0 {
 		work = q.rg.work.or(q.rg.guess())
@@ -451,13 +451,13 @@
 }
 
 // needs is the memory a query should need, in MB; 0 while nothing is known.
-func (g *Gateway) needs(q *query) float64 { return cmp.Or(q.memory, q.rg.need.or(0)) }
+func (g *Scheduler) needs(q *query) float64 { return cmp.Or(q.memory, q.rg.need.or(0)) }
 
 // expect is the time it should take as things are, in seconds.
-func (g *Gateway) expect(q *query) float64 { return g.lone(q) * max(1, q.rg.stretchy.or(1)) }
+func (g *Scheduler) expect(q *query) float64 { return g.lone(q) * max(1, q.rg.stretchy.or(1)) }
 
 // learn takes one ratio of time taken to time alone, of a submission at e.
-func (g *Gateway) learn(s *submission, ratio float64) {
+func (g *Scheduler) learn(s *submission, ratio float64) {
 	rg := s.q.rg
 	rg.stretchy.add(min(ratio, 20), 60)
 	if rg.floor == 0 || ratio < rg.floor { // slowly up and quickly down, to stay near the best
@@ -471,7 +471,7 @@
 // ---- the rules on what may be sent, all in one place
 
 // maySend asks what is the same for all engines.
-func (g *Gateway) maySend(q *query) bool {
+func (g *Scheduler) maySend(q *query) bool {
 	f, l := g.facts, g.line(q)
 	switch {
 	case q.over || g.now >= q.deadline, // 1
@@ -483,16 +483,16 @@
 }
 
 // affords: the submission budget has one more.
-func (g *Gateway) affords() bool {
+func (g *Scheduler) affords() bool {
 	f, span := g.facts, g.facts.span("budget.span", 0)
 	most := f.num("budget.least", 0) + f.num("budget.share", 0)*float64(within(&g.taken, g.now-span))
 	return span <= 0 || float64(within(&g.extras, g.now-span)+1) <= most
 }
 
-func (g *Gateway) allowed(q *query, e *engine) bool {
+func (g *Scheduler) allowed(q *query, e *engine) bool {
 	rg := q.rg
 	switch {
-	case e.state != On, // 3: not even within the grace
+	case e.state != EngineActive, // 3: not even within the grace
 		q.inside != nil && !slices.Contains(q.inside, strconv.Itoa(e.location)),
 		len(rg.kinds) > 0 && !slices.Contains(rg.kinds, strconv.Itoa(e.kind)):
 		return false // 6
@@ -510,7 +510,7 @@
 func (rg *resourceGroup) guess() float64 { return rg.target.Seconds() / 2 * rg.threads }
 
 // usual is a group's ordinary work, corrected by its best times where estimates are off.
-func (g *Gateway) usual(rg *resourceGroup) float64 {
+func (g *Scheduler) usual(rg *resourceGroup) float64 {
 	work := rg.work.or(rg.guess())
 	if rg.floor > 0 && !g.facts.yes("answers.cost") {
 		work *= rg.floor
@@ -519,7 +519,7 @@
 }
 
 // able is the part of its capacity that an engine has at the least.
-func (g *Gateway) able(e *engine) float64 {
+func (g *Scheduler) able(e *engine) float64 {
 	if g.now >= e.coldUntil {
 		return 1
 	}
@@ -531,14 +531,14 @@
 // names: among many, a cold engine that a light query's chance allows gets the query. Drawn for among all
 // others besides, next to nothing would go there, while what is warm is full. Heavy queries are drawn for: it
 // stands one or two in a window, and several gateways may send at once; so are groups little is known of.
-func (g *Gateway) names(q *query, e *engine) bool {
+func (g *Scheduler) names(q *query, e *engine) bool {
 	return g.now < e.coldUntil && g.facts.num("gateways", 1) > 1 && g.light(q.rg) && q.rg.work.count >= 10
 }
 
 // coldFits keeps all gateways together under what a cold engine stands, however many they are and however
 // unevenly traffic lies: each query may go there by a chance that in sum, were all who may to go, makes a
 // part of the limit; a smaller one of heavy queries, none while two pass it. Its own sum holds the busiest.
-func (g *Gateway) coldFits(q *query, e *engine) bool {
+func (g *Scheduler) coldFits(q *query, e *engine) bool {
 	f, window := g.facts, g.facts.span("cold.window", time.Second)
 	limit := f.num("cold.multiple", 1) * g.able(e) * 0.85 * e.cores * window.Seconds()
 	work, most, part := g.usual(q.rg), 0.33, 0.3
@@ -556,7 +556,7 @@
 	return draw < chance && e.coldSum(g.now-window)+work <= most*limit
 }
 
-func (g *Gateway) submit(q *query, e *engine) bool {
+func (g *Scheduler) submit(q *query, e *engine) bool {
 	if !g.maySend(q) || !g.allowed(q, e) {
 		return false
 	}
@@ -570,7 +570,7 @@
 
 // setTerms: priority by the order of groups, the least once the target runtime has
 // passed; all the memory there is where asking costs nothing, else by estimate.
-func (g *Gateway) setTerms(q *query) {
+func (g *Scheduler) setTerms(q *query) {
 	if q.over {
 		return
 	}
@@ -597,7 +597,7 @@
 
 // ---- what comes back
 
-func (g *Gateway) ended(s *submission, took time.Duration, over bool, work, memoryMB float64) {
+func (g *Scheduler) ended(s *submission, took time.Duration, over bool, work, memoryMB float64) {
 	q := s.q
 	if s.outcome != Cancelled && s.outcome != TimedOut && s.outcome != NeverSent {
 		g.heard(s.e)
@@ -630,14 +630,14 @@
 }
 
 // afterEnd is what an end other than an answer leads to.
-func (g *Gateway) afterEnd(s *submission) {
+func (g *Scheduler) afterEnd(s *submission) {
 	q, e := s.q, s.e
 	switch s.outcome {
-	case Full:
+	case Rejected:
 		e.fullAt, e.restUntil = g.now, g.now+short(250*time.Millisecond, q.rg.timeout/6)
 	case Unreachable:
 		e.restUntil = g.now + time.Second
-	case Reset:
+	case ConnectionReset:
 		e.restUntil = g.now + 500*time.Millisecond
 	}
 	q.avoid = e
@@ -651,7 +651,7 @@
 }
 
 // harmless: what was sent so far leaves room for a repeat somewhere, by rule 2.
-func (g *Gateway) harmless(q *query) bool {
+func (g *Scheduler) harmless(q *query) bool {
 	ran := q.mayHaveRun()
 	return len(ran) == 0 || q.rg.effect == "read-only" ||
 		q.rg.effect == "tokened" && g.now-ran[0].at < q.rg.window
@@ -659,9 +659,9 @@
 
 // beginsBy: one may have waited for its connection past what it was decided on. What is tokened is repeated
 // within the window only, from the first that may have run.
-func (g *Gateway) beginsBy(s *submission) time.Duration {
+func (g *Scheduler) beginsBy(s *submission) time.Duration {
 	ran, rg := s.q.mayHaveRun(), s.q.rg
-	if s.q.over || s.e.state != On {
+	if s.q.over || s.e.state != EngineActive {
 		return 0
 	} else if rg.effect == "tokened" && ran[0] != s {
 		return min(s.q.deadline, ran[0].at+rg.window)
@@ -669,12 +669,12 @@
 	return s.q.deadline
 }
 
-func (g *Gateway) mayRepeat(q *query) bool {
+func (g *Scheduler) mayRepeat(q *query) bool {
 	return len(q.subs) < int(g.facts.num("submissions.most", 1)) && g.harmless(q)
 }
 
 // giveUp answers at once: a deferral where trying again is harmless, else a kill.
-func (g *Gateway) giveUp(q *query) {
+func (g *Scheduler) giveUp(q *query) {
 	if q.over || q.begun {
 		return
 	}
@@ -687,7 +687,7 @@
 	g.settle(q)
 }
 
-func (g *Gateway) abandoned(q *query) { // the client left before its time
+func (g *Scheduler) abandoned(q *query) { // the client left before its time
 	q.rg.leaving.add(1, 100)
 	q.rg.patience.add((g.now - q.takenAt).Seconds(), 30)
 	g.finish(q)
@@ -695,7 +695,7 @@
 }
 
 // finish marks the end; work still out for it is called off where that helps.
-func (g *Gateway) finish(q *query) {
+func (g *Scheduler) finish(q *query) {
 	if q.over {
 		return
 	}
@@ -707,7 +707,7 @@
 	}
 }
 
-func (g *Gateway) heard(e *engine) {
+func (g *Scheduler) heard(e *engine) {
 	if e.silent && g.now-e.heardAt > 4*time.Second {
 		// it may be a new process that the list doesn't name yet, and is warmed up as one, at the cost of some room
 		e.coldFrom, e.coldUntil = g.now, max(e.coldUntil, g.now+g.facts.span("cold.span", 0))
@@ -717,13 +717,13 @@
 }
 
 // unanswered: a look that came to nothing, by a crash, a cut link or a stall; the list tells late, if at all.
-func (g *Gateway) unanswered(e *engine) {
+func (g *Scheduler) unanswered(e *engine) {
 	e.report, e.restUntil = nil, max(e.restUntil, g.now+2*time.Second)
 }
 
 // reported: cold engines, nearly empty and looked at most while there are some, say nothing of
 // how full the others are; with theirs in the mean all gateways took warm ones for half empty.
-func (g *Gateway) reported(e *engine, report map[string]float64) {
+func (g *Scheduler) reported(e *engine, report map[string]float64) {
 	if g.now < e.coldUntil {
 		return
 	}
@@ -736,7 +736,7 @@
 
 // noted: progress far behind what a fresh submission would need is a bad plan, a slow or a crowded engine;
 // all are met by moving the query, where that stops the work left behind.
-func (g *Gateway) noted(s *submission, sign Sign, x float64) {
+func (g *Scheduler) noted(s *submission, sign NoteKind, x float64) {
 	g.heard(s.e)
 	s.notedAt = g.now
 	if sign == WaitsForLoad {
@@ -750,7 +750,7 @@
 // stands: no note tells why a submission is late. Others have come back from there since: it waits for
 // a load. None has: the engine is past its memory, does next to nothing, and has idle cores to show,
 // by which all would draw it before any other.
-func (g *Gateway) stands(s *submission) {
+func (g *Scheduler) stands(s *submission) {
 	if s.e.doneLast > s.at {
 		s.e.locked(s.q.tables, g.now+2*time.Second)
 		return
@@ -763,14 +763,14 @@
 	g.move(s, math.Inf(1))
 }
 
-func (g *Gateway) shut(s *submission, span time.Duration) {
+func (g *Scheduler) shut(s *submission, span time.Duration) {
 	s.stuck = true
 	s.e.locked(s.q.tables, g.now+span)
 	g.move(s, math.Inf(1))
 }
 
 // remains is the time it should still take, by its last note or what was expected.
-func (g *Gateway) remains(s *submission) float64 {
+func (g *Scheduler) remains(s *submission) float64 {
 	if s.share <= 0 {
 		return max(1, g.expect(s.q)-(g.now-s.at).Seconds())
 	}
@@ -779,7 +779,7 @@
 
 // move calls a submission off for a fresh one, if what remains is long against that;
 // one that can't be done in its client's time, for good: it holds what others could use.
-func (g *Gateway) move(s *submission, remains float64) {
+func (g *Scheduler) move(s *submission, remains float64) {
 	q, slow := s.q, !math.IsInf(remains, 1)
 	fresh, far := g.expect(q), 3.0
 	if q.work <= 0 {
@@ -802,7 +802,7 @@
 
 // ---- time
 
-func (g *Gateway) periodic() {
+func (g *Scheduler) periodic() {
 	g.act.Wake(tick, tickTag)
 	// by value for the thread time a query was seen to take, which the bound rations
 	slices.SortStableFunc(g.ranked, func(a, b *resourceGroup) int {
@@ -874,7 +874,7 @@
 	}
 }
 
-func (g *Gateway) look(e *engine) {
+func (g *Scheduler) look(e *engine) {
 	if g.facts.yes("may.probe") && (!e.probing || g.now-e.probedAt > 300*time.Millisecond) {
 		e.probing, e.probedAt, g.looked = true, g.now, g.looked+1
 		g.act.Probe(e.id)
--- a/decide/decide_test.go
+++ b/internal/scheduler/decide_test.go
@@ -1,4 +1,4 @@
-package decide
+package scheduler
 
 import (
 	"slices"
@@ -50,12 +50,12 @@
 	case n < 60:
 		q, k := out(t, w)
 		if q != nil {
-			w.end(q, k, rapid.SampledFrom([]Outcome{Finished, Errored, Full, TimedOut, Unreachable, Reset, Cancelled,
+			w.end(q, k, rapid.SampledFrom([]Outcome{Finished, Failed, Rejected, TimedOut, Unreachable, ConnectionReset, Cancelled,
 				NeverSent}).Draw(t, "outcome"))
 		}
 	case n < 68:
 		if q, k := out(t, w); q != nil {
-			w.g.Note(w.now, q.id, k, Sign(rapid.IntRange(0, 3).Draw(t, "sign")), rapid.Float64Range(0, 1).Draw(t, "x"))
+			w.g.Note(w.now, q.id, k, NoteKind(rapid.IntRange(0, 3).Draw(t, "sign")), rapid.Float64Range(0, 1).Draw(t, "x"))
 			w.check()
 		}
 	case n < 73 && engine != "":
@@ -170,11 +170,11 @@
 
 func TestQueuesReleaseInArrivalOrder(t *testing.T) {
 	w := newWorld(t, 1, nil)
-	w.set("e0", Draining)
+	w.set("e0", EngineDraining)
 	for range 6 {
 		w.take(0, 1, -1, 5*sec)
 	}
-	w.set("e0", On)
+	w.set("e0", EngineActive)
 	for i, did := range w.did {
 		if len(w.did) != 6 || !strings.HasPrefix(did, w.order[i].id) {
 			t.Fatal(w.did)
@@ -250,7 +250,7 @@
 // Clients that hang up early: a queue that waits longer than they do serves none.
 func TestHeldQueriesAreGivenUpByThePatienceSeen(t *testing.T) {
 	w := newWorld(t, 1, nil)
-	w.set("e0", Draining)
+	w.set("e0", EngineDraining)
 	for range 20 {
 		q := w.take(1, 1, -1, 15*sec)
 		w.pass(500 * ms)
@@ -401,8 +401,8 @@
 	if w.pass(11 * sec); !line[19].answered {
 		t.Fatal("nineteen loads of a second and a half before it, and twenty seconds of time")
 	}
-	w.set("e0", Draining) // no room: the queue is not empty when the next's turn comes
-	w.set("e1", Draining)
+	w.set("e0", EngineDraining) // no room: the queue is not empty when the next's turn comes
+	w.set("e1", EngineDraining)
 	w.take(2, 3, -1, 20*sec)
 	w.end(head, 0, Finished)
 	w.pass(ms)
--- a/decide/door.go
+++ b/internal/scheduler/door.go
@@ -1,4 +1,4 @@
-package decide
+package scheduler
 
 import (
 	"hash/fnv"
@@ -20,9 +20,9 @@
 )
 
 // New starts an instance.
-func New(act Actor, seed uint64, given map[string]string) *Gateway {
+func New(act Actions, seed uint64, given map[string]string) *Scheduler {
 	f := newFacts(given)
-	g := &Gateway{act: act, facts: f, askedAt: -time.Hour, rng: newPCG(seed), byID: map[string]*engine{},
+	g := &Scheduler{act: act, facts: f, askedAt: -time.Hour, rng: newPCG(seed), byID: map[string]*engine{},
 		queries: map[string]*query{}, chains: map[int64]*chain{}, keys: map[int64]*keyLine{}, wakeAt: -1}
 	for i := range int(f.num("groups", 0)) {
 		rg := newGroup(f, i)
@@ -45,11 +45,11 @@
 	return g
 }
 
-func (g *Gateway) ListBegins(now time.Duration, whole bool) {
+func (g *Scheduler) ListBegins(now time.Duration, whole bool) {
 	g.now, g.whole, g.listing, g.subscribed = now, whole, map[*engine]bool{}, g.askedAt >= 0
 }
 
-func (g *Gateway) ListEngine(id string, location, kind, cell int, state EngineState,
+func (g *Scheduler) ListEngine(id string, location, kind, cell int, state EngineState,
 	started time.Duration, fresh bool) {
 	e := g.byID[id]
 	if e == nil {
@@ -60,7 +60,7 @@
 		e.mark = h.Sum32()
 	}
 	g.listing[e] = true
-	if state == Gone && e.state != Gone {
+	if state == EngineRemoved && e.state != EngineRemoved {
 		e.goneAt = g.now
 	}
 	e.location, e.kind, e.cell, e.state = location, kind, cell, state
@@ -74,29 +74,29 @@
 	}
 }
 
-func (g *Gateway) ListEnds() {
+func (g *Scheduler) ListEnds() {
 	for _, e := range g.engines {
-		if g.whole && !g.listing[e] && e.state != Gone {
-			e.state, e.goneAt = Gone, g.now
+		if g.whole && !g.listing[e] && e.state != EngineRemoved {
+			e.state, e.goneAt = EngineRemoved, g.now
 		}
 	}
 	g.stale = true
 	g.step()
 }
 
-func (g *Gateway) ListRefused(now time.Duration) {
+func (g *Scheduler) ListRefused(now time.Duration) {
 	g.now, g.subscribed = now, false
 	g.step()
 }
 
-func (g *Gateway) Take(now time.Duration, id string, group, team int, budget time.Duration, tables, key int64,
+func (g *Scheduler) Take(now time.Duration, id string, group, team int, budget time.Duration, tables, key int64,
 	work time.Duration, memoryMB float64) {
-	g.TakeInside(now, id, group, team, budget, tables, key, work, memoryMB, nil)
+	g.ConfinedQueryArrived(now, id, group, team, budget, tables, key, work, memoryMB, nil)
 }
 
 // TakeInside takes a query that may only be sent to engines at some of its group's
 // locations, by their places in the settings; nil: at all of them, empty: at none.
-func (g *Gateway) TakeInside(now time.Duration, id string, group, team int, budget time.Duration, tables, key int64,
+func (g *Scheduler) ConfinedQueryArrived(now time.Duration, id string, group, team int, budget time.Duration, tables, key int64,
 	work time.Duration, memoryMB float64, inside []string) {
 	g.now = now
 	if group < 0 || group >= len(g.groups) {
@@ -114,7 +114,7 @@
 }
 
 // Inside changes where a query may be sent; what is out stays where it is.
-func (g *Gateway) Inside(now time.Duration, id string, inside []string) {
+func (g *Scheduler) ConfineQuery(now time.Duration, id string, inside []string) {
 	g.now = now
 	if q := g.queries[id]; q != nil {
 		q.keepInside(inside)
@@ -141,14 +141,14 @@
 }
 
 // team is whose share a query counts to; who has none is never over it.
-func (g *Gateway) team(i int) *team {
+func (g *Scheduler) team(i int) *team {
 	if i < 0 || i >= len(g.teams) || g.teams[i].quota <= 0 {
 		return &g.nobody
 	}
 	return g.teams[i]
 }
 
-func (g *Gateway) submission(id string, try int) *submission {
+func (g *Scheduler) submission(id string, try int) *submission {
 	q := g.queries[id]
 	if q == nil || try < 0 || try >= len(q.subs) || q.subs[try].ended {
 		return nil
@@ -156,7 +156,7 @@
 	return q.subs[try]
 }
 
-func (g *Gateway) Ended(now time.Duration, id string, try int, outcome Outcome, took time.Duration, over bool,
+func (g *Scheduler) Ended(now time.Duration, id string, try int, outcome Outcome, took time.Duration, over bool,
 	work time.Duration, memoryMB float64, report map[string]float64) {
 	g.now = now
 	s := g.submission(id, try)
@@ -173,7 +173,7 @@
 }
 
 // sent keeps the count of a query that goes to an engine.
-func (g *Gateway) sent(q *query, e *engine, memory, work float64) *submission {
+func (g *Scheduler) sent(q *query, e *engine, memory, work float64) *submission {
 	s := &submission{q: q, e: e, try: len(q.subs), at: g.now, threads: q.rg.threads, memory: memory}
 	if s.try > 0 {
 		g.extras = append(g.extras, g.now)
@@ -191,12 +191,12 @@
 }
 
 // forget drops what was learned of a process that is no more.
-func (g *Gateway) forget(e *engine) {
+func (g *Scheduler) forget(e *engine) {
 	e.slow, e.silent, e.report, e.loadSeen, e.heardAt = 1, false, nil, nil, g.now
 }
 
 // report keeps what an engine told of itself, and what was one's own of it.
-func (g *Gateway) report(e *engine, report map[string]float64) {
+func (g *Scheduler) report(e *engine, report map[string]float64) {
 	if len(report) > 0 {
 		e.report, e.reportAt, e.threadsAtReport, e.memoryAtReport = report, g.now, e.threads, e.memory
 		g.reported(e, report)
@@ -204,13 +204,13 @@
 }
 
 // count adds what a submission takes to its engine, or takes it off.
-func (g *Gateway) count(s *submission, sign float64) {
+func (g *Scheduler) count(s *submission, sign float64) {
 	g.stale = true
 	s.e.threads += sign * s.threads
 	s.e.memory += sign * s.memory
 }
 
-func (g *Gateway) Note(now time.Duration, id string, try int, sign Sign, x float64) {
+func (g *Scheduler) Note(now time.Duration, id string, try int, sign NoteKind, x float64) {
 	g.now = now
 	if s := g.submission(id, try); s != nil {
 		g.noted(s, sign, x)
@@ -218,14 +218,14 @@
 	}
 }
 
-func (g *Gateway) Begun(now time.Duration, id string) {
+func (g *Scheduler) Begun(now time.Duration, id string) {
 	g.now = now
 	if q := g.queries[id]; q != nil {
 		q.begun = true
 	}
 }
 
-func (g *Gateway) ClientLeft(now time.Duration, id string) {
+func (g *Scheduler) ClientLeft(now time.Duration, id string) {
 	g.now = now
 	if q := g.queries[id]; q != nil {
 		g.abandoned(q)
@@ -233,9 +233,9 @@
 	}
 }
 
-func (g *Gateway) Closing(now time.Duration) { g.now, g.closing = now, true }
+func (g *Scheduler) Closing(now time.Duration) { g.now, g.closing = now, true }
 
-func (g *Gateway) Probed(now time.Duration, id string, outcome Outcome, report map[string]float64) {
+func (g *Scheduler) Probed(now time.Duration, id string, outcome Outcome, report map[string]float64) {
 	g.now = now
 	e := g.byID[id]
 	if e == nil {
@@ -251,7 +251,7 @@
 	g.step()
 }
 
-func (g *Gateway) Reported(now time.Duration, id string, report map[string]float64) {
+func (g *Scheduler) Reported(now time.Duration, id string, report map[string]float64) {
 	g.now = now
 	if e := g.byID[id]; e != nil {
 		g.report(e, report)
@@ -262,7 +262,7 @@
 // BeginsBy is until when the first byte of a submission may go, 0 where it may not any more:
 // an adapter that let it wait for a connection asks once more. It changes nothing, so that
 // it may be asked while the decisions act.
-func (g *Gateway) BeginsBy(id string, try int) time.Duration {
+func (g *Scheduler) StartDeadline(id string, try int) time.Duration {
 	if s := g.submission(id, try); s != nil {
 		return g.beginsBy(s)
 	}
@@ -270,7 +270,7 @@
 }
 
 // Out is how many submissions an engine is thought to have.
-func (g *Gateway) Out(id string) (out int, known bool) {
+func (g *Scheduler) InFlight(id string) (out int, known bool) {
 	e := g.byID[id]
 	if e == nil {
 		return 0, false
@@ -280,12 +280,12 @@
 
 // Full reports whether a query of the group is held for want of room: one more would be
 // held behind it. What is held for a load or its key's turn fills nothing.
-func (g *Gateway) Full(group int) bool {
+func (g *Scheduler) QueueBlocked(group int) bool {
 	return group >= 0 && group < len(g.groups) && g.groups[group].full
 }
 
 // Known is how many engines, chains, keys, tables, queries and due times are in mind.
-func (g *Gateway) Known() int {
+func (g *Scheduler) EntryCount() int {
 	n := g.due.Len() + len(g.engines) + len(g.byID) + len(g.chains) + len(g.keys) + len(g.queries)
 	for _, e := range g.engines {
 		n += len(e.doneAt) + len(e.loadSeen) + len(e.coldSent)
@@ -295,13 +295,13 @@
 
 // tidy forgets what can matter no more: engines that are gone, chains, keys and
 // tables at rest. Without it they would stay as long as the instance runs.
-func (g *Gateway) tidy() {
+func (g *Scheduler) tidy() {
 	if g.now < g.tidyAt {
 		return
 	}
 	g.tidyAt = g.now + time.Second
 	g.engines = slices.DeleteFunc(g.engines, func(e *engine) bool {
-		old := e.state == Gone && g.now-e.goneAt > g.longest && len(e.out) == 0
+		old := e.state == EngineRemoved && g.now-e.goneAt > g.longest && len(e.out) == 0
 		if old {
 			delete(g.byID, e.id)
 		}
@@ -323,7 +323,7 @@
 	within(&g.extras, since)
 }
 
-func (g *Gateway) Woken(now time.Duration, tag int) {
+func (g *Scheduler) Woken(now time.Duration, tag int) {
 	g.now = now
 	if tag == duesTag {
 		g.wakeAt = -1
@@ -335,11 +335,13 @@
 }
 
 // of has something done for a query when it is due, unless the query has left by then.
-func (g *Gateway) of(q *query, t time.Duration, do func()) { q.dues = append(q.dues, g.due.Add(t, do)) }
+func (g *Scheduler) of(q *query, t time.Duration, do func()) {
+	q.dues = append(q.dues, g.due.Add(t, do))
+}
 
 // step ends every call in: what is due is done, what can go is let go, and the
 // next due time is asked for.
-func (g *Gateway) step() {
+func (g *Scheduler) step() {
 	for do, ok := g.due.Next(g.now); ok; do, ok = g.due.Next(g.now) {
 		do()
 	}
@@ -353,7 +355,7 @@
 }
 
 // settle passes the turn on once a query is over and nothing of it is out.
-func (g *Gateway) settle(q *query) {
+func (g *Scheduler) settle(q *query) {
 	if !q.over || q.out > 0 || g.queries[q.id] == nil {
 		return
 	}
@@ -371,10 +373,10 @@
 	}
 }
 
-func (g *Gateway) left(q *query) float64 { return (q.deadline - g.now).Seconds() }
+func (g *Scheduler) left(q *query) float64 { return (q.deadline - g.now).Seconds() }
 
 // line is the order a query stands in by its key, nil if its group asks for none.
-func (g *Gateway) line(q *query) *keyLine {
+func (g *Scheduler) line(q *query) *keyLine {
 	if !q.rg.inOrder || q.key < 0 {
 		return nil
 	}
--- a/decide/fleet_test.go
+++ b/internal/scheduler/fleet_test.go
@@ -1,4 +1,4 @@
-package decide
+package scheduler
 
 import (
 	"fmt"
@@ -11,14 +11,14 @@
 	"testing"
 	"time"
 
-	"railrelay.dev/railrelay/internal/due"
+	"railrelay.dev/railrelay/internal/timerqueue"
 )
 
 // fleet is many gateways that share engines, all in virtual time: what one does
 // alone is summed at the engines, which is where rule 4 is judged.
 type fleet struct {
 	now      time.Duration
-	events   due.Times
+	events   timerqueue.Times
 	rng      *rand.Rand
 	gates    []*member
 	engines  map[string]*worker
@@ -55,7 +55,7 @@
 // member is one gateway with what stands round it.
 type member struct {
 	f    *fleet
-	g    *Gateway
+	g    *Scheduler
 	open map[string]*wanted
 }
 
@@ -184,8 +184,8 @@
 	}
 	f.after(way, func() {
 		f.weigh(w, q.group)
-		if len(w.tasks) >= 32 || w.state == Gone {
-			f.after(500*time.Microsecond, func() { m.done(t, Full) })
+		if len(w.tasks) >= 32 || w.state == EngineRemoved {
+			f.after(500*time.Microsecond, func() { m.done(t, Rejected) })
 			return
 		}
 		f.on(w)
@@ -261,7 +261,7 @@
 func (m *member) Probe(engine string) {
 	w, f := m.f.engines[engine], m.f
 	f.after(time.Millisecond, func() {
-		if w.state == Gone {
+		if w.state == EngineRemoved {
 			m.g.Probed(f.now, engine, Unreachable, nil)
 			return
 		}
@@ -384,10 +384,10 @@
 	for _, id := range ids {
 		f.after(at, func() {
 			w := f.engines[id]
-			w.state = Draining
+			w.state = EngineDraining
 			tell(id)
 			f.after(3*time.Second, func() {
-				w.state = Gone
+				w.state = EngineRemoved
 				tell(id)
 				f.add(id+"n", f.now)
 				tell(id + "n")
--- a/decide/inside_test.go
+++ b/internal/scheduler/inside_test.go
@@ -1,4 +1,4 @@
-package decide
+package scheduler
 
 import (
 	"fmt"
@@ -50,7 +50,7 @@
 			}
 			g.ListEnds()
 		}
-		list(0, func(int) EngineState { return On })
+		list(0, func(int) EngineState { return EngineActive })
 		bounds := rapid.SampledFrom([][]string{{"0"}, {"1", "2"}, {"2"}, {}})
 		for now, n := 20*ms, 0; n < 60; now, n = now+rapid.SampledFrom([]time.Duration{ms, 40 * ms, 400 * ms}).Draw(t, "later"), n+1 {
 			switch rapid.IntRange(0, 5).Draw(t, "what") {
@@ -62,7 +62,7 @@
 					inside = bounds.Draw(t, "inside")
 					f.inside[id] = inside
 				}
-				g.TakeInside(now, id, group, -1, budget, int64(n%3), int64(n%4), 300*ms, 64, inside)
+				g.ConfinedQueryArrived(now, id, group, -1, budget, int64(n%3), int64(n%4), 300*ms, 64, inside)
 			case 3:
 				if len(f.out) > 0 {
 					i := rapid.IntRange(0, len(f.out)-1).Draw(t, "which")
@@ -70,26 +70,26 @@
 					var try int
 					fmt.Sscan(f.out[i], &id, &try)
 					f.out = slices.Delete(f.out, i, i+1)
-					if how := rapid.SampledFrom([]Outcome{Finished, Full, Reset, Unreachable, NeverSent, Cancelled}).Draw(t, "end"); how == Finished ||
+					if how := rapid.SampledFrom([]Outcome{Finished, Rejected, ConnectionReset, Unreachable, NeverSent, Cancelled}).Draw(t, "end"); how == Finished ||
 						rapid.Bool().Draw(t, "ends") {
 						g.Ended(now, id, try, how, 100*ms, how == Finished, 0, 0, nil)
 					} else {
-						g.Note(now, id, try, rapid.SampledFrom([]Sign{WaitsForLoad, Progress}).Draw(t, "sign"), 0.001)
+						g.Note(now, id, try, rapid.SampledFrom([]NoteKind{WaitsForLoad, Progress}).Draw(t, "sign"), 0.001)
 					}
 				}
 			case 4:
 				down := rapid.IntRange(0, 7).Draw(t, "down") // all of its location, from 3 on none
 				list(now, func(i int) EngineState {
 					if i%3 == down {
-						return Draining
+						return EngineDraining
 					}
-					return On
+					return EngineActive
 				})
 			case 5:
 				for _, id := range rapid.Permutation([]string{"q0", "q3", "q5", "q9", "q20"}).Draw(t, "other bounds")[:2] {
 					if g.queries[id] != nil {
 						f.inside[id] = bounds.Draw(t, "then")
-						g.Inside(now, id, f.inside[id])
+						g.ConfineQuery(now, id, f.inside[id])
 					}
 				}
 			}
@@ -112,15 +112,15 @@
 	f := &fence{t: t, inside: map[string][]string{"bound": {"5"}}, at: map[string]int{"e0": 0}, tries: map[string]int{}, sent: map[int]int{}}
 	g := New(f, 7, plainFacts(nil))
 	g.ListBegins(0, true)
-	g.ListEngine("e0", 0, 0, 0, On, 0, false)
+	g.ListEngine("e0", 0, 0, 0, EngineActive, 0, false)
 	g.ListEnds()
-	g.TakeInside(ms, "bound", 0, -1, 5*sec, 1, -1, 0, 0, []string{"5"})
+	g.ConfinedQueryArrived(ms, "bound", 0, -1, 5*sec, 1, -1, 0, 0, []string{"5"})
 	g.Take(ms, "free", 0, -1, 5*sec, 1, -1, 0, 0)
 	if f.tries["free"] != 1 || f.tries["bound"] != 0 {
 		t.Fatal(f.tries)
 	}
 	f.inside["bound"] = []string{"0"}
-	if g.Inside(2*ms, "bound", []string{"0"}); f.tries["bound"] != 1 {
+	if g.ConfineQuery(2*ms, "bound", []string{"0"}); f.tries["bound"] != 1 {
 		t.Fatal("a boundary that opened lets it go", f.tries)
 	}
 }
--- a/decide/interface.go
+++ b/internal/scheduler/interface.go
@@ -1,10 +1,10 @@
-package decide
+package scheduler
 
 import "time"
 
-// Actor is what the decisions act through. An adapter provides it for one
+// Actions is what the decisions act through. An adapter provides it for one
 // instance; ids are the ones that came in at the door.
-type Actor interface {
+type Actions interface {
 	Submit(query, engine string, within time.Duration) // within 0: until the client gives up
 	Cancel(query string, try int)
 	Terms(query string, priority, grantMB int) // grant 0: the engine's own choice
@@ -20,45 +20,45 @@
 type Outcome int
 
 const (
-	Finished    Outcome = iota
-	Errored             // answered with an error; may have run
-	Full                // turned away unseen
-	TimedOut            // may have run, may still run
-	Unreachable         // no connection; never ran
-	Reset               // connection lost; may have run
-	Cancelled           // may have run
-	NeverSent           // stopped at the door
+	Finished        Outcome = iota
+	Failed                  // answered with an error; may have run
+	Rejected                // turned away unseen
+	TimedOut                // may have run, may still run
+	Unreachable             // no connection; never ran
+	ConnectionReset         // connection lost; may have run
+	Cancelled               // may have run
+	NeverSent               // stopped at the door
 )
 
 // neverRan holds for the outcomes that prove it.
-func (o Outcome) neverRan() bool { return o == Full || o == Unreachable || o == NeverSent }
+func (o Outcome) neverRan() bool { return o == Rejected || o == Unreachable || o == NeverSent }
 
 // mayLinger holds for the outcomes after which the engine may still be at work.
-func (o Outcome) mayLinger() bool { return o == TimedOut || o == Reset || o == Cancelled }
+func (o Outcome) mayLinger() bool { return o == TimedOut || o == ConnectionReset || o == Cancelled }
 
 // EngineState is what the list says of an engine.
 type EngineState int
 
 const (
-	On EngineState = iota
-	Draining
-	Gone
+	EngineActive EngineState = iota
+	EngineDraining
+	EngineRemoved
 )
 
-// Sign is what a note on a running submission tells.
-type Sign int
+// NoteKind is what a note on a running submission tells.
+type NoteKind int
 
 const (
-	Progress Sign = iota // x: share done
-	Spilling             // x: MB missing
+	Progress NoteKind = iota // x: share done
+	Spilling                 // x: MB missing
 	WaitsForMemory
 	WaitsForLoad
 )
 
-// Gate is what comes in. Times are spans since the instance started; a report
+// Events is what comes in. Times are spans since the instance started; a report
 // maps an engine's load figures, in our words, to their values: "held" queries
 // in hand, "cores" share busy. Figures that the engine doesn't tell are not in it.
-type Gate interface {
+type Events interface {
 	// ListBegins opens what the list has to say; whole says that an engine
 	// left out is gone. ListEngine follows for each entry, then ListEnds.
 	ListBegins(now time.Duration, whole bool)
@@ -69,7 +69,7 @@
 	// team: whose it is, a place among the settings' teams; out of them, nobody's with a share.
 	Take(now time.Duration, id string, group, team int, budget time.Duration, tables, key int64,
 		work time.Duration, memoryMB float64)
-	Note(now time.Duration, id string, try int, sign Sign, x float64)
+	Note(now time.Duration, id string, try int, sign NoteKind, x float64)
 	Ended(now time.Duration, id string, try int, outcome Outcome, took time.Duration, over bool,
 		work time.Duration, memoryMB float64, report map[string]float64)
 	Begun(now time.Duration, id string)
@@ -83,4 +83,4 @@
 	Woken(now time.Duration, tag int)
 }
 
-var _ Gate = (*Gateway)(nil)
+var _ Events = (*Scheduler)(nil)
--- a/decide/pcg.go
+++ b/internal/scheduler/pcg.go
@@ -1,4 +1,4 @@
-package decide
+package scheduler
 
 // pcg is a permuted congruential generator (PCG-XSH-RR, 64 bits of state). The
 // standard library's sources are not used so that a run can be repeated from
--- a/decide/retell.go
+++ b/internal/scheduler/retell.go
@@ -1,4 +1,4 @@
-package decide
+package scheduler
 
 import (
 	"cmp"
@@ -15,7 +15,7 @@
 
 // Hold has nothing held let go until it is told otherwise: what comes back meanwhile
 // waits in its queue, and whoever waits is given up at the end of its time as ever.
-func (g *Gateway) Hold(now time.Duration, on bool) {
+func (g *Scheduler) SetPaused(now time.Duration, on bool) {
 	if g.now = now; g.holds != on {
 		g.holds = on
 		g.step()
@@ -24,7 +24,7 @@
 
 // Dropped tells that a query was answered by its adapter, and nothing of it has run. Its
 // client has not left, so nothing is learned of how long clients wait.
-func (g *Gateway) Dropped(now time.Duration, id string) {
+func (g *Scheduler) QueryDropped(now time.Duration, id string) {
 	g.now = now
 	if q := g.queries[id]; q != nil {
 		g.finish(q)
@@ -37,7 +37,7 @@
 // target, timeout, stretch, late share and threads, and the teams with their shares.
 // What waits stays where it is in its queue; what was not sent yet aims at the new
 // target. Teams are known again by name; nobody's share holds for those that went.
-func (g *Gateway) Retell(now time.Duration, given map[string]string) {
+func (g *Scheduler) UpdateSettings(now time.Duration, given map[string]string) {
 	g.now = now
 	old, f := g.facts, newFacts(given)
 	g.facts = f
--- a/decide/retell_test.go
+++ b/internal/scheduler/retell_test.go
@@ -1,4 +1,4 @@
-package decide
+package scheduler
 
 import (
 	"fmt"
@@ -12,9 +12,9 @@
 	a := &quiet{}
 	g := New(a, 7, plainFacts(map[string]string{"report.how": "off", "may.probe": ""}))
 	g.ListBegins(0, true)
-	g.ListEngine("e0", 0, 0, 0, On, 0, false)
+	g.ListEngine("e0", 0, 0, 0, EngineActive, 0, false)
 	g.ListEnds()
-	g.Hold(ms, true)
+	g.SetPaused(ms, true)
 	for i := range 3 {
 		g.Take(ms, fmt.Sprint("q", i), 0, -1, 5*sec, 1, -1, 0, 0)
 	}
@@ -22,11 +22,11 @@
 	if len(a.sent) > 0 {
 		t.Fatal(a.sent)
 	}
-	g.Dropped(60*ms, "q1")
+	g.QueryDropped(60*ms, "q1")
 	if rg := g.groups[0]; rg.leaving.count > 0 {
 		t.Fatal("it passes for one whose client left")
 	}
-	g.Hold(70*ms, false)
+	g.SetPaused(70*ms, false)
 	if !slices.Equal(a.sent, []string{"q0", "q2"}) || len(g.queries) != 2 {
 		t.Fatal(a.sent, len(g.queries))
 	}
@@ -42,7 +42,7 @@
 	next := maps.Clone(facts)
 	maps.Copy(next, map[string]string{"teams": "1", "team.0.name": "b", "team.0.quota": "8", "group.0.target": "250", "group.0.stretch": "0",
 		"group.0.value": "42", "group.0.effect": "mutating", "threads": "2,3,2"})
-	g.Retell(2*ms, next)
+	g.UpdateSettings(2*ms, next)
 	rg := g.groups[0]
 	if rg.value != 42 || rg.threads != 2 || rg.target != 250*ms || rg.effect == "mutating" {
 		t.Fatalf("%+v", rg)
--- a/decide/shape_test.go
+++ b/internal/scheduler/shape_test.go
@@ -1,4 +1,4 @@
-package decide
+package scheduler
 
 import (
 	"fmt"
@@ -160,7 +160,7 @@
 	}
 	for _, id := range w.ids() {
 		if w.engines[id].location == 1 {
-			w.set(id, Draining)
+			w.set(id, EngineDraining)
 		}
 	}
 	if q := w.take(0, 3, -1, 5*sec); sentTo(q) == "" {
@@ -266,7 +266,7 @@
 func TestWhatIsWorthNothingLateIsNotSatOn(t *testing.T) {
 	for _, late := range []string{"0", "0.1", ""} {
 		w := newWorld(t, 1, map[string]string{"group.0.late-share": late})
-		w.set("e0", Draining)
+		w.set("e0", EngineDraining)
 		q := w.take(0, 1, -1, 5*sec)
 		if w.pass(1200 * ms); q.answered != (late == "0") {
 			t.Fatalf("worth %s when late: answered %v at %v", late, q.answered, w.now)
--- a/decide/short_test.go
+++ b/internal/scheduler/short_test.go
@@ -1,4 +1,4 @@
-package decide
+package scheduler
 
 import (
 	"strconv"
@@ -27,7 +27,7 @@
 		want time.Duration
 	}{{nil, 150 * ms}, {map[string]string{"group.0.timeout": "5000"}, time.Second}, {map[string]string{"group.0.timeout": "0"}, time.Second}} {
 		w := hasty(t, 1, c.more)
-		w.set("e0", Draining)
+		w.set("e0", EngineDraining)
 		w.take(0, 1, -1, 200*ms)
 		if w.pass(250 * ms); len(w.named) != 1 || w.named[0] != c.want {
 			t.Fatalf("%v: %v", c.want, w.named)
@@ -71,7 +71,7 @@
 func TestAFullEngineIsTriedAgainInTime(t *testing.T) {
 	w := hasty(t, 1, nil)
 	q := w.take(0, 1, -1, 290*ms)
-	w.end(q, 0, Full)
+	w.end(q, 0, Rejected)
 	if w.pass(120 * ms); len(q.subs) != 2 {
 		t.Fatalf("sent %d times in 120 ms of 290", len(q.subs))
 	}
--- a/decide/size_test.go
+++ b/internal/scheduler/size_test.go
@@ -1,4 +1,4 @@
-package decide
+package scheduler
 
 import (
 	"fmt"
@@ -23,12 +23,12 @@
 func (a *quiet) Wake(time.Duration, int)                 {}
 func (a *quiet) Log(string)                              {}
 
-func sized(engines int) (*quiet, *Gateway) {
+func sized(engines int) (*quiet, *Scheduler) {
 	a := &quiet{}
 	g := New(a, 7, plainFacts(map[string]string{"gateways": "350", "report.how": "probed", "group.2.in-order": ""}))
 	g.ListBegins(0, true)
 	for i := range engines {
-		g.ListEngine(fmt.Sprint("e", i), 0, 0, i/6, On, 0, false)
+		g.ListEngine(fmt.Sprint("e", i), 0, 0, i/6, EngineActive, 0, false)
 	}
 	g.ListEnds()
 	return a, g
--- a/decide/state.go
+++ b/internal/scheduler/state.go
@@ -1,4 +1,4 @@
-package decide
+package scheduler
 
 import (
 	"slices"
@@ -6,7 +6,7 @@
 	"strings"
 	"time"
 
-	"railrelay.dev/railrelay/internal/due"
+	"railrelay.dev/railrelay/internal/timerqueue"
 )
 
 // facts holds names and values, as the adapter handed them over at the start,
@@ -177,7 +177,7 @@
 	looks             []*engine // looked at for this query
 	lookedAt          time.Duration
 	chain             *chain
-	dues              []*due.Item
+	dues              []*timerqueue.Item
 	next              func(*engine) bool // what to do once an engine is found for it
 }
 
@@ -215,14 +215,14 @@
 	restBy    *query
 }
 
-// Gateway is one controller's decisions and all it knows.
-type Gateway struct {
+// Scheduler is one controller's decisions and all it knows.
+type Scheduler struct {
 	stale   bool // running and own are to be made anew
 	running []*engine
 	own     [4]float64
 	warm    float64 // engines that run and are warm
 	cores   float64 // of all that run
-	act     Actor
+	act     Actions
 	facts   facts
 	rng     *pcg
 	now     time.Duration
@@ -237,7 +237,7 @@
 	chains  map[int64]*chain
 	keys    map[int64]*keyLine
 
-	due     due.Times
+	due     timerqueue.Times
 	wakeAt  time.Duration // when the earliest wake asked for comes
 	listing map[*engine]bool
 	whole   bool
@@ -324,12 +324,12 @@
 }
 
 // on lists the engines that the list has as running.
-func (g *Gateway) on() []*engine {
+func (g *Scheduler) on() []*engine {
 	if g.stale {
 		g.stale, g.running, g.own = false, g.running[:0], [4]float64{}
 		g.warm, g.cores = 0, 0
 		for _, e := range g.engines {
-			if e.state != On {
+			if e.state != EngineActive {
 				continue
 			}
 			g.running = append(g.running, e)
@@ -348,7 +348,7 @@
 
 // sums are the threads, memory and number of one's own submissions on running
 // engines that are warm, and how many cores those have.
-func (g *Gateway) sums() (threads, memory, count, cores float64) {
+func (g *Scheduler) sums() (threads, memory, count, cores float64) {
 	g.on()
 	return g.own[0], g.own[1], g.own[2], g.own[3]
 }
@@ -361,7 +361,7 @@
 }
 
 // loadRuns: a load of these tables is known to run there, or they hang.
-func (g *Gateway) loadRuns(e *engine, tables int64) bool {
+func (g *Scheduler) loadRuns(e *engine, tables int64) bool {
 	locks := func(s *submission) bool { return s.q.rg.load && s.q.tables == tables }
 	return g.now < e.loadSeen[tables] || slices.ContainsFunc(e.out, locks)
 }
--- a/decide/world_test.go
+++ b/internal/scheduler/world_test.go
@@ -1,4 +1,4 @@
-package decide
+package scheduler
 
 import (
 	"flag"
@@ -13,7 +13,7 @@
 // world is a Gateway's clients, engines and clock, and checks it by the seven rules.
 type world struct {
 	t       interface{ Fatalf(string, ...any) }
-	g       *Gateway
+	g       *Scheduler
 	facts   map[string]string
 	now     time.Duration
 	wakes   []wake
@@ -115,7 +115,7 @@
 
 // restart has an engine come back as a new, cold process.
 func (w *world) restart(id string) {
-	w.engines[id].started, w.engines[id].sent, w.engines[id].state = w.now, nil, On
+	w.engines[id].started, w.engines[id].sent, w.engines[id].state = w.now, nil, EngineActive
 	w.list(false, id)
 }
 
@@ -196,7 +196,7 @@
 	switch {
 	case q.answered:
 		w.t.Fatalf("rule 1: %s sent after its answer", id)
-	case m.state != On && w.now > m.toldAt+w.g.facts.span("drain.grace", 0):
+	case m.state != EngineActive && w.now > m.toldAt+w.g.facts.span("drain.grace", 0):
 		w.t.Fatalf("rule 3: %s sent to %s, told to be leaving at %v", id, engine, m.toldAt)
 	case w.fact("locations", q.group) != "" && w.fact("locations", q.group) != fmt.Sprint(m.location),
 		w.fact("kinds", q.group) != "" && w.fact("kinds", q.group) != fmt.Sprint(m.kind):
--- a/internal/terms/mixed.go
+++ b/internal/settings/mixed.go
@@ -1,4 +1,4 @@
-package terms
+package settings
 
 import (
 	"fmt"
--- a/internal/terms/terms.go
+++ b/internal/settings/terms.go
@@ -1,7 +1,7 @@
-// Package terms holds the names that the wires give to settings and fields, and
+// Package settings holds the names that the wires give to settings and fields, and
 // ours for them. The bench's wire and the sockets share it, so that the
 // decisions are handed the same map whichever door they are behind.
-package terms
+package settings
 
 import (
 	"bytes"
--- a/internal/setup/answers.go
+++ b/internal/setup/answers.go
@@ -7,7 +7,7 @@
 	"fmt"
 	"time"
 
-	"railrelay.dev/railrelay/internal/answers"
+	"railrelay.dev/railrelay/internal/resultcache"
 )
 
 // Answers is a cache of finished answers of read-only queries.
@@ -59,11 +59,11 @@
 }
 
 // limits are the cache's figures, nil without one.
-func (a *Answers) limits() *answers.Limits {
+func (a *Answers) limits() *resultcache.Limits {
 	if a == nil {
 		return nil
 	}
-	l := answers.Usual()
+	l := resultcache.Usual()
 	l.Fresh = time.Duration(a.Fresh)
 	l.Memory = int64(cmp.Or(a.MemoryMB, 16) * (1 << 20))
 	l.Count, l.Team = cmp.Or(a.Count, l.Count), cmp.Or(a.TeamShare, l.Team)
--- a/internal/setup/check.go
+++ b/internal/setup/check.go
@@ -9,8 +9,8 @@
 
 	"github.com/gaissmai/bart"
 
-	"railrelay.dev/railrelay/internal/fair"
-	"railrelay.dev/railrelay/internal/terms"
+	"railrelay.dev/railrelay/internal/fairqueue"
+	"railrelay.dev/railrelay/internal/settings"
 )
 
 func (c *checker) all(s *Setup) {
@@ -218,7 +218,7 @@
 		c.wrong("fairness.trusted", "nothing to trust: fields.team names no field")
 	}
 	if shape := shapeOf(f); len(c.faults) == 0 {
-		shape.Lanes = []fair.Lane{{}}
+		shape.Lanes = []fairqueue.Lane{{}}
 		if err := shape.Check(); err != nil {
 			c.wrong("fairness.teams", "%v", err)
 		}
@@ -263,7 +263,7 @@
 	if len(c.faults) > 0 {
 		return // what is wrong by itself needn't be told as a mix, too
 	}
-	refused, odd := terms.Mixed(s.facts())
+	refused, odd := settings.Mixed(s.facts())
 	for _, m := range append(refused, odd...) { // a file of our own needn't be served by guesses
 		c.wrong(keys[m[0]], "%s", m[1])
 	}
--- a/internal/setup/means.go
+++ b/internal/setup/means.go
@@ -8,36 +8,36 @@
 	"strings"
 	"time"
 
-	"railrelay.dev/railrelay/internal/fair"
-	"railrelay.dev/railrelay/internal/relay"
+	"railrelay.dev/railrelay/internal/controller"
+	"railrelay.dev/railrelay/internal/fairqueue"
 )
 
 // shapeOf is the shape that fairness is given.
-func shapeOf(f *Fairness) *fair.Shape {
-	var walk func(l []Team) []fair.Team
-	walk = func(l []Team) (all []fair.Team) {
+func shapeOf(f *Fairness) *fairqueue.Shape {
+	var walk func(l []Team) []fairqueue.Team
+	walk = func(l []Team) (all []fairqueue.Team) {
 		for _, t := range l {
-			all = append(all, fair.Team{Name: t.Name, Weight: t.Weight, Budget: t.Budget, Burst: t.Burst, Waiting: t.Waiting,
+			all = append(all, fairqueue.Team{Name: t.Name, Weight: t.Weight, Budget: t.Budget, Burst: t.Burst, Waiting: t.Waiting,
 				Addresses: prefixes(t.Addresses), Teams: walk(t.Teams)})
 		}
 		return all
 	}
-	return &fair.Shape{Teams: walk(f.Teams), Default: f.Default, Age: time.Duration(f.Age), Waiting: f.Waiting, Trusted: prefixes(f.Trusted),
+	return &fairqueue.Shape{Teams: walk(f.Teams), Default: f.Default, Age: time.Duration(f.Age), Waiting: f.Waiting, Trusted: prefixes(f.Trusted),
 		Overrun: f.Overrun, Tell: f.Tell}
 }
 
 // Means are what the controller starts with, started at a time.
-func (x *Setup) Means(started time.Time) relay.Means {
+func (x *Setup) Means(started time.Time) controller.Config {
 	seed, _ := strconv.ParseUint(x.Seed, 16, 64)
-	m := relay.Means{Seed: seed, MemoryMB: x.MemoryMB(), Sockets: cmp.Or(x.Limits.Sockets, 4096), Feed: x.Feed,
+	m := controller.Config{Seed: seed, MemoryMB: x.MemoryMB(), Sockets: cmp.Or(x.Limits.Sockets, 4096), Feed: x.Feed,
 		Facts: x.facts(), Started: started, Answers: x.Answers.limits(), Draw: draw}
 	for _, set := range x.Clients {
-		m.Manners = append(m.Manners, relay.Manners{From: prefixes(set.Addresses), Open: set.Open, Messages: set.Messages,
+		m.Manners = append(m.Manners, controller.ClientLimits{From: prefixes(set.Addresses), Open: set.Open, Messages: set.Messages,
 			Idle: time.Duration(set.Idle), Whole: time.Duration(set.Message)})
 	}
 	if f := x.Fairness; f != nil {
 		m.Fair = shapeOf(f)
-		m.Words = relay.Words{Team: f.Fields.Team, Wait: f.Fields.Tell, Again: f.Fields.Again}
+		m.Words = controller.FieldNames{Team: f.Fields.Team, Wait: f.Fields.Tell, Again: f.Fields.Again}
 	}
 	m.Words.Work, m.Words.Need = x.Estimates.Work, x.Estimates.Memory
 	if x.Shares != nil {
@@ -47,7 +47,7 @@
 }
 
 // Shape is the teams alone, nil without any: what a reload takes over.
-func (x *Setup) Shape() *fair.Shape {
+func (x *Setup) Shape() *fairqueue.Shape {
 	if x.Fairness == nil {
 		return nil
 	}
--- a/internal/setup/placement.go
+++ b/internal/setup/placement.go
@@ -13,8 +13,8 @@
 	"github.com/goccy/go-yaml"
 	"github.com/goccy/go-yaml/parser"
 
+	"railrelay.dev/railrelay/internal/controller"
 	"railrelay.dev/railrelay/internal/fleet"
-	"railrelay.dev/railrelay/internal/relay"
 	"railrelay.dev/railrelay/internal/residency"
 )
 
@@ -149,15 +149,15 @@
 }
 
 // Base is the policy that the set-up itself holds: version 0, before any change.
-func (x *Setup) Base() (*relay.Policy, []fleet.Watched) {
+func (x *Setup) Base() (*controller.Policy, []fleet.Watched) {
 	rules := x.rules()
-	return &relay.Policy{Fair: x.Shape(), Facts: x.facts(), Rules: rules}, residency.Watches(rules)
+	return &controller.Policy{Fair: x.Shape(), Facts: x.facts(), Rules: rules}, residency.Watches(rules)
 }
 
 // ParsePolicy reads a policy's text, strictly, and checks it against a controller's own
 // set-up, which is not changed. What is wrong is an *Unfit. Voters are name=address; none:
 // as before.
-func ParsePolicy(file string, text []byte, own *Setup) (*relay.Policy, []fleet.Watched, []string, error) {
+func ParsePolicy(file string, text []byte, own *Setup) (*controller.Policy, []fleet.Watched, []string, error) {
 	x, p, err := own.with(file, text)
 	if err != nil {
 		return nil, nil, nil, err
--- a/internal/setup/setup_test.go
+++ b/internal/setup/setup_test.go
@@ -7,7 +7,7 @@
 	"testing"
 	"time"
 
-	"railrelay.dev/railrelay/internal/fair"
+	"railrelay.dev/railrelay/internal/fairqueue"
 )
 
 const example = "../../deploy/railrelay.yaml"
@@ -22,7 +22,7 @@
 		m.Facts["loads"] != "false,false,true" || m.Facts["threads"] != "1,3,2" || m.Facts["return.most"] != "60000" {
 		t.Fatalf("%+v", m)
 	}
-	m.Fair.Lanes = make([]fair.Lane, 3)
+	m.Fair.Lanes = make([]fairqueue.Lane, 3)
 	if err := m.Fair.Check(); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/setup/spool.go
+++ b/internal/setup/spool.go
@@ -7,9 +7,9 @@
 
 	"github.com/rs/zerolog"
 
-	"railrelay.dev/railrelay/internal/relay"
+	"railrelay.dev/railrelay/internal/controller"
+	"railrelay.dev/railrelay/internal/resultstore"
 	"railrelay.dev/railrelay/internal/spool"
-	"railrelay.dev/railrelay/internal/store"
 )
 
 // Spool is where results are kept that clients read page by page.
@@ -32,7 +32,7 @@
 	Keys        Span    `yaml:"keys"`         // a key makes tokens for: 24h
 }
 
-var syncs = map[string]store.Sync{"": store.AtPromise, "promise": store.AtPromise, "ticks": store.AtTicks, "never": store.Never}
+var syncs = map[string]resultstore.Sync{"": resultstore.AtPromise, "promise": resultstore.AtPromise, "ticks": resultstore.AtTicks, "never": resultstore.Never}
 
 func (c *checker) spool(s *Spool, l Limits) {
 	if s.Field == "" {
@@ -83,7 +83,7 @@
 
 // OpenSpool opens the spool that the set-up names and puts it into means. Nothing
 // is opened where it names none.
-func (x *Setup) OpenSpool(means *relay.Means, log zerolog.Logger) (*store.Keeper, error) {
+func (x *Setup) OpenSpool(means *controller.Config, log zerolog.Logger) (*resultstore.Keeper, error) {
 	s := x.Spool
 	if s == nil {
 		return nil, nil
@@ -93,15 +93,15 @@
 		rand.Read(p)
 		return p
 	}
-	part := &relay.Spool{Limits: s.Limits()}
+	part := &controller.SpoolConfig{Limits: s.Limits()}
 	means.Words.Pages = s.Field
 	means.Spool = part
 	wall := means.Started.UnixMilli()
-	var disk *store.Keeper
+	var disk *resultstore.Keeper
 	var text []byte
 	if s.Directory != "" {
 		var err error
-		if disk, err = store.OpenKeeper(s.Directory, store.Terms{Sync: syncs[s.Sync]}); err != nil {
+		if disk, err = resultstore.OpenKeeper(s.Directory, resultstore.Terms{Sync: syncs[s.Sync]}); err != nil {
 			return nil, err
 		}
 		f := &disk.Found
--- a/internal/simwire/wire.go
+++ b/internal/simadapter/wire.go
@@ -1,7 +1,7 @@
-// Package simwire puts the bench's wire before the decisions: it parses a
+// Package simadapter puts the bench's wire before the decisions: it parses a
 // line, renames what it says to the project's words, hands it over and writes
 // the actions. It decides nothing.
-package simwire
+package simadapter
 
 import (
 	"bufio"
@@ -12,8 +12,8 @@
 	"strings"
 	"time"
 
-	"railrelay.dev/railrelay/decide"
-	"railrelay.dev/railrelay/internal/terms"
+	"railrelay.dev/railrelay/internal/scheduler"
+	"railrelay.dev/railrelay/internal/settings"
 )
 
 // host holds the instances of this process and the lists they share.
@@ -29,7 +29,7 @@
 	*host
 	i     int
 	epoch float64
-	gate  *decide.Gateway
+	gate  *scheduler.Scheduler
 	dead  bool
 }
 
@@ -105,9 +105,9 @@
 		if err != nil {
 			return fmt.Errorf("no seed: %w", err)
 		}
-		names := terms.FromPairs(f[3:])
+		names := settings.FromPairs(f[3:])
 		h.gates[i] = d
-		return d.guard(func() { d.gate = decide.New(d, seed, names) })
+		return d.guard(func() { d.gate = scheduler.New(d, seed, names) })
 	case "kill":
 		delete(h.gates, i)
 		return nil
@@ -161,14 +161,14 @@
 		}
 	case "heartbeat":
 		x, what := c.num(3), c.whole(4)
-		sign := decide.Progress
+		sign := scheduler.Progress
 		switch {
 		case what == 2:
-			sign = decide.Spilling
+			sign = scheduler.Spilling
 		case what == 3 && x == 1:
-			sign = decide.WaitsForMemory
+			sign = scheduler.WaitsForMemory
 		case what == 3:
-			sign = decide.WaitsForLoad
+			sign = scheduler.WaitsForLoad
 		case what != 1:
 			return c.err
 		}
@@ -307,7 +307,7 @@
 			c.fault(fmt.Errorf("part %d is not a load report: %q", k, c.f[k]))
 			return nil
 		}
-		if ours := terms.Figure(name); ours != "" {
+		if ours := settings.Figure(name); ours != "" {
 			report[ours] = x
 		}
 	}
--- a/internal/simwire/wire_test.go
+++ b/internal/simadapter/wire_test.go
@@ -1,4 +1,4 @@
-package simwire
+package simadapter
 
 import (
 	"strings"
--- a/internal/simwire/words.go
+++ b/internal/simadapter/words.go
@@ -1,19 +1,19 @@
-package simwire
+package simadapter
 
 import (
 	"strconv"
 	"time"
 
-	"railrelay.dev/railrelay/decide"
+	"railrelay.dev/railrelay/internal/scheduler"
 )
 
-var outcomes = map[string]decide.Outcome{
-	"done": decide.Finished, "err": decide.Errored, "busy": decide.Full, "etimedout": decide.TimedOut,
-	"econnrefused": decide.Unreachable, "econnreset": decide.Reset, "ecanceled": decide.Cancelled,
-	"skipped": decide.NeverSent,
+var outcomes = map[string]scheduler.Outcome{
+	"done": scheduler.Finished, "err": scheduler.Failed, "busy": scheduler.Rejected, "etimedout": scheduler.TimedOut,
+	"econnrefused": scheduler.Unreachable, "econnreset": scheduler.ConnectionReset, "ecanceled": scheduler.Cancelled,
+	"skipped": scheduler.NeverSent,
 }
 
-var states = map[string]decide.EngineState{"on": decide.On, "fading": decide.Draining, "off": decide.Gone}
+var states = map[string]scheduler.EngineState{"on": scheduler.EngineActive, "fading": scheduler.EngineDraining, "off": scheduler.EngineRemoved}
 
 // act writes one action; parts go out in the order given.
 func (d *door) act(name string, parts ...string) {
--- a/internal/spool/spool.go
+++ b/internal/spool/spool.go
@@ -17,7 +17,7 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"railrelay.dev/railrelay/internal/linked"
+	"railrelay.dev/railrelay/internal/intrusivelist"
 )
 
 // Limits are the spool's figures. All must be set but Disk.
@@ -122,8 +122,8 @@
 	dead    int64 // on disk, as last told
 	flight  int64
 	reads   int
-	byRead  linked.List[Result] // with pages in memory that are on disk too, the longest unread first
-	room    []func()            // wait for room, in turn
+	byRead  intrusivelist.List[Result] // with pages in memory that are on disk too, the longest unread first
+	room    []func()                   // wait for room, in turn
 	sweepAt time.Duration
 
 	// Serves is asked before a page is handed out, and again once it was read from disk:
@@ -177,7 +177,7 @@
 	readAt   time.Duration
 	ends     time.Duration
 	endsWall int64
-	inRead   linked.Element[Result] // of the core's byRead
+	inRead   intrusivelist.Element[Result] // of the core's byRead
 	listed   bool
 	begun    bool // it was asked for pages beyond the first
 }
--- a/internal/due/due.go
+++ b/internal/timerqueue/due.go
@@ -1,5 +1,5 @@
-// Package due keeps due times in one ordered structure.
-package due
+// Package timerqueue keeps due times in one ordered structure.
+package timerqueue
 
 import (
 	"container/heap"
