--- a/internal/controller/actor.go
+++ b/internal/controller/actor.go
@@ -57,7 +57,7 @@
 func (r *Controller) Subscribe() {}
 
 func (r *Controller) Wake(in time.Duration, tag int) {
-	r.after(in, func() { r.gate.Woken(r.now, tag) })
+	r.after(in, func() { r.gate.TimerFired(r.now, tag) })
 }
 
 func (r *Controller) Log(line string) { r.say(false, line) }
--- a/internal/controller/engine.go
+++ b/internal/controller/engine.go
@@ -399,7 +399,7 @@
 			case as == lost || as == unwritten || as == garbled:
 				outcome = scheduler.ConnectionReset
 			}
-			r.soon(func() { r.gate.Probed(r.now, e.id, outcome, report) })
+			r.soon(func() { r.gate.HealthCheckEnded(r.now, e.id, outcome, report) })
 		}}
 	r.call(e.look)
 }
--- a/internal/controller/fairness.go
+++ b/internal/controller/fairness.go
@@ -95,7 +95,7 @@
 // enter takes a query in, or defers it at once if its wait would be too long.
 func (f *fairness) enter(q *query, from From, tables, key int64) {
 	if f.closing { // which turns it away
-		f.gate.Take(f.now, q.id, q.group.index, q.customer, q.deadline-f.now, tables, key, q.work, q.need)
+		f.gate.QueryArrived(f.now, q.id, q.group.index, q.customer, q.deadline-f.now, tables, key, q.work, q.need)
 		return
 	}
 	w := &fairqueue.Waiter{Of: q, Lane: q.group.index, Key: key, Chain: tables, Until: q.deadline,
--- a/internal/controller/feed.go
+++ b/internal/controller/feed.go
@@ -135,7 +135,7 @@
 	}
 	r.feed.last, r.feed.listed, r.feed.whole, r.feed.past = number, true, whole, 0
 	r.tally.events++
-	r.gate.ListBegins(r.now, whole)
+	r.gate.ListStarted(r.now, whole)
 	return true
 }
 
@@ -191,7 +191,7 @@
 		r.atAddress[e.address] = e
 	}
 	started := time.UnixMilli(startedMs).Sub(r.Started)
-	r.gate.ListEngine(id, e.location, e.kind, cell, state, started, startedMs != 0)
+	r.gate.EngineListed(id, e.location, e.kind, cell, state, started, startedMs != 0)
 }
 
 // EventEnds ends an event of the feed: what a whole list leaves out is gone.
@@ -201,7 +201,7 @@
 			r.away(e)
 		}
 	}
-	r.gate.ListEnds()
+	r.gate.ListEnded()
 	if r.fair != nil {
 		r.fair.cores()
 	}
--- a/internal/controller/query.go
+++ b/internal/controller/query.go
@@ -177,7 +177,7 @@
 		r.warrant.placing.begins(q)
 		return
 	}
-	r.gate.Take(r.now, q.id, q.group.index, q.customer, q.deadline-r.now, q.tables, q.number, q.work, q.need)
+	r.gate.QueryArrived(r.now, q.id, q.group.index, q.customer, q.deadline-r.now, q.tables, q.number, q.work, q.need)
 }
 
 // told is a figure that a client tells; one that can't be meant is taken as not told.
--- a/internal/controller/relay.go
+++ b/internal/controller/relay.go
@@ -535,7 +535,7 @@
 	}
 	if !r.closing {
 		r.closing = true
-		r.gate.Closing(r.now)
+		r.gate.DrainStarted(r.now)
 		if r.fair != nil {
 			r.fair.close()
 		}
--- a/internal/controller/submission.go
+++ b/internal/controller/submission.go
@@ -205,7 +205,7 @@
 		s.pause, s.goodAt = 0, s.now
 		if s.inline {
 			if report := enginehttp.Load(field); report != nil {
-				s.soon(func() { s.gate.Reported(s.now, s.e.id, report) })
+				s.soon(func() { s.gate.LoadReported(s.now, s.e.id, report) })
 			}
 		}
 		enginehttp.Hear(page, status, field, body, &hearing{s})
@@ -250,7 +250,7 @@
 	s.tally.notes++
 	s.soon(func() {
 		if !s.ended {
-			s.gate.Note(s.now, s.q.id, s.try, sign, x)
+			s.gate.NoteReceived(s.now, s.q.id, s.try, sign, x)
 		}
 	})
 }
@@ -327,7 +327,7 @@
 	s.soon(func() {
 		s.told = true
 		s.e.untold--
-		s.gate.Ended(s.now, s.q.id, s.try, outcome, took, s.q.answered, s.work, s.memory, nil)
+		s.gate.AttemptEnded(s.now, s.q.id, s.try, outcome, took, s.q.answered, s.work, s.memory, nil)
 		s.drop(s.q)
 	})
 }
--- a/internal/scheduler/decide_test.go
+++ b/internal/scheduler/decide_test.go
@@ -55,7 +55,7 @@
 		}
 	case n < 68:
 		if q, k := out(t, w); q != nil {
-			w.g.Note(w.now, q.id, k, NoteKind(rapid.IntRange(0, 3).Draw(t, "sign")), rapid.Float64Range(0, 1).Draw(t, "x"))
+			w.scheduler.NoteReceived(w.now, q.id, k, NoteKind(rapid.IntRange(0, 3).Draw(t, "sign")), rapid.Float64Range(0, 1).Draw(t, "x"))
 			w.check()
 		}
 	case n < 73 && engine != "":
@@ -65,14 +65,14 @@
 	case n < 78 && engine != "":
 		w.report(engine, map[string]float64{"held": 60})
 	case n < 80:
-		w.g.ListRefused(w.now)
+		w.scheduler.ListRefused(w.now)
 	case n < 82 && len(w.order) > 0:
 		q := rapid.SampledFrom(w.order).Draw(t, "leaver")
 		q.answered = true
-		w.g.ClientLeft(w.now, q.id)
+		w.scheduler.ClientLeft(w.now, q.id)
 		w.check()
 	case n < 84:
-		w.g.Ended(w.now, "nobody", 0, Finished, sec, true, 0, 0, nil)
+		w.scheduler.AttemptEnded(w.now, "nobody", 0, Finished, sec, true, 0, 0, nil)
 	default:
 		w.pass(time.Duration(rapid.IntRange(0, 1500).Draw(t, "pass")) * ms)
 	}
@@ -125,7 +125,7 @@
 			w := newWorld(t, 8, nil)
 			a := w.take(2, int64(i), -1, 25*sec)
 			w.end(a, 0, Finished)
-			w.g.rng = newPCG(uint64(i))
+			w.scheduler.rng = newPCG(uint64(i))
 			w.pass(c.rest)
 			if b := w.take(2, int64(i), -1, 25*sec); sentTo(b) == sentTo(a) {
 				same++
@@ -187,8 +187,8 @@
 	w := newWorld(t, 2, map[string]string{"note.period": "0"})
 	w.take(1, 1, -1, 15*sec)
 	w.pass(12 * sec)
-	for _, e := range w.g.engines {
-		if e.silent || e.coldUntil > 0 {
+	for _, e := range w.scheduler.engines {
+		if e.unresponsive || e.warmingUntil > 0 {
 			t.Fatalf("%s taken as lost", e.id)
 		}
 	}
@@ -197,9 +197,9 @@
 func TestReaderHeldForALoadLetsOthersPass(t *testing.T) {
 	w := newWorld(t, 2, nil)
 	load := w.take(2, 1, -1, 25*sec)
-	for _, e := range w.g.engines {
+	for _, e := range w.scheduler.engines {
 		if e.id != sentTo(load) {
-			e.threads, e.slow, e.out = 20, 9, append(e.out, &submission{q: &query{rg: w.g.groups[0]}})
+			e.threadsInFlight, e.slowdown, e.inFlight = 20, 9, append(e.inFlight, &attempt{query: &query{group: w.scheduler.groups[0]}})
 		}
 	}
 	held, other := w.take(0, 1, -1, 5*sec), w.take(0, 2, -1, 5*sec)
@@ -212,9 +212,9 @@
 	w := newWorld(t, 2, nil)
 	q := w.take(0, 1, -1, 10*sec)
 	w.pass(2 * sec)
-	s := w.g.submission(q.id, 0)
-	if !s.behind || !w.g.loadRuns(s.e, 1) || w.g.loadRuns(s.e, 2) {
-		t.Fatalf("moved %v, shut %v", s.behind, s.e.loadSeen)
+	s := w.scheduler.openAttempt(q.id, 0)
+	if !s.moving || !w.scheduler.loadRunning(s.engine, 1) || w.scheduler.loadRunning(s.engine, 2) {
+		t.Fatalf("moved %v, shut %v", s.moving, s.engine.loadRunningUntil)
 	}
 }
 
@@ -225,7 +225,7 @@
 		w.report("e0", map[string]float64{"held": 4})
 		w.report("e1", map[string]float64{"held": 4})
 	}
-	if x := w.g.ownShare(); x > 0.13 {
+	if x := w.scheduler.estimateOwnShare(); x > 0.13 {
 		t.Fatalf("one query of eight is a share of %.2f (%s)", x, sentTo(q))
 	}
 }
@@ -233,17 +233,17 @@
 func TestLongQueueIsAskedOnceForEachTableGroup(t *testing.T) {
 	w := newWorld(t, 1, nil)
 	w.take(2, 1, -1, 25*sec)
-	e := w.g.engines[0]
+	e := w.scheduler.engines[0]
 	w.engines["e9"] = &machine{id: "e9"}
 	w.list(false, "e9")
-	full := w.g.byID["e9"]
-	full.threads, full.slow, full.out = 20, 9, append(full.out, &submission{q: &query{rg: w.g.groups[0]}})
+	full := w.scheduler.enginesByID["e9"]
+	full.threadsInFlight, full.slowdown, full.inFlight = 20, 9, append(full.inFlight, &attempt{query: &query{group: w.scheduler.groups[0]}})
 	for range 500 {
 		w.take(0, 1, -1, 5*sec)
 	}
-	asked := testing.AllocsPerRun(1, func() { w.g.release() })
-	if len(e.out) != 1 || asked > 100 {
-		t.Fatalf("%v allocations for one round, %d out", asked, len(e.out))
+	asked := testing.AllocsPerRun(1, func() { w.scheduler.dispatchQueued() })
+	if len(e.inFlight) != 1 || asked > 100 {
+		t.Fatalf("%v allocations for one round, %d out", asked, len(e.inFlight))
 	}
 }
 
@@ -255,7 +255,7 @@
 		q := w.take(1, 1, -1, 15*sec)
 		w.pass(500 * ms)
 		q.answered = true
-		w.g.ClientLeft(w.now, q.id)
+		w.scheduler.ClientLeft(w.now, q.id)
 	}
 	a, b := w.take(1, 1, -1, 15*sec), w.take(1, 1, -1, 15*sec)
 	if w.pass(600 * ms); !a.answered || b.answered {
@@ -269,7 +269,7 @@
 	if len(w.did) != 1 || w.did[0] != "subscribe" {
 		t.Fatal(w.did)
 	}
-	w.g.ListRefused(w.now)
+	w.scheduler.ListRefused(w.now)
 	w.pass(2 * sec)
 	if len(w.did) < 2 {
 		t.Fatal("did not ask again after a refusal")
@@ -278,7 +278,7 @@
 
 func TestBoundLeavesAPartToTheGroupsWorthMore(t *testing.T) {
 	w := newWorld(t, 1, map[string]string{"gateways": "1"})
-	w.g.engines[0].slow = 9
+	w.scheduler.engines[0].slowdown = 9
 	for range 9 {
 		w.take(1, 1, -1, 15*sec)
 	}
@@ -294,8 +294,8 @@
 
 func TestAmongManyAQueryGoesToAnEngineLookedAt(t *testing.T) {
 	w := among(t, 30)
-	w.g.meanWork.add(1, 1)
-	w.g.probeLeft = 3
+	w.scheduler.meanWorkSeconds.add(1, 1)
+	w.scheduler.healthCheckTokens = 3
 	q := w.take(1, 1, -1, 15*sec)
 	if len(q.subs) != 0 || len(w.probes) != 2 {
 		t.Fatalf("sent %d times before %d looks", len(q.subs), len(w.probes))
@@ -311,8 +311,8 @@
 // Queries that wait for one look don't all go to the engine seen free: other gateways saw the same.
 func TestABurstIsNotSentToTheOneEngineSeen(t *testing.T) {
 	w := among(t, 30)
-	w.g.meanWork.add(1, 1)
-	w.g.probeLeft = 6
+	w.scheduler.meanWorkSeconds.add(1, 1)
+	w.scheduler.healthCheckTokens = 6
 	to := map[string]int{}
 	var burst []*asked
 	for i := range 6 {
@@ -332,14 +332,14 @@
 // Every gateway with one query on every engine is far too many; none at all is no use.
 func TestBoundUnderOneQueryBindsInTheMeanOnHeavyOnes(t *testing.T) {
 	w := among(t, 4)
-	e, q := w.g.engines[0], &query{rg: w.g.groups[1]}
+	e, q := w.scheduler.engines[0], &query{group: w.scheduler.groups[1]}
 	w.report("e0", map[string]float64{"held": 2})
-	w.g.meanWork.value, w.g.fillSeen.value = 1, 0.8
-	if !w.g.hasRoom(e, q) {
+	w.scheduler.meanWorkSeconds.value, w.scheduler.reportedUtilization.value = 1, 0.8
+	if !w.scheduler.hasCapacity(e, q) {
 		t.Fatal("nothing out, and no room")
 	}
-	w.g.engines[1].threads, w.g.engines[1].out, w.g.stale = 3, []*submission{{q: q}}, true
-	if w.g.hasRoom(e, q) || !w.g.hasRoom(e, &query{rg: w.g.groups[0]}) {
+	w.scheduler.engines[1].threadsInFlight, w.scheduler.engines[1].inFlight, w.scheduler.totalsStale = 3, []*attempt{{query: q}}, true
+	if w.scheduler.hasCapacity(e, q) || !w.scheduler.hasCapacity(e, &query{group: w.scheduler.groups[0]}) {
 		t.Fatal("a second long query let in, or a short one held")
 	}
 }
@@ -348,10 +348,10 @@
 	w := among(t, 30)
 	w.pass(sec)
 	w.restart("e0")
-	w.g.workRate, w.g.groups[0].taken, w.g.meanWork.value = 10, 4, 1 // a fifth is this group's
+	w.scheduler.recentWorkSeconds, w.scheduler.groups[0].recentArrivals, w.scheduler.meanWorkSeconds.value = 10, 4, 1 // a fifth is this group's
 	n := 0
 	for i := range 3000 {
-		if w.g.coldFits(&query{rg: w.g.groups[0], seq: uint64(i)}, w.g.byID["e0"]) {
+		if w.scheduler.slowStartAllows(&query{group: w.scheduler.groups[0], seq: uint64(i)}, w.scheduler.enginesByID["e0"]) {
 			n++
 		}
 	}
@@ -363,7 +363,7 @@
 
 func TestEngineThatDoesNotAnswerALookRests(t *testing.T) {
 	w := among(t, 2)
-	w.g.Probed(w.now, "e0", TimedOut, nil)
+	w.scheduler.HealthCheckEnded(w.now, "e0", TimedOut, nil)
 	for range 5 {
 		w.take(0, 1, -1, 5*sec)
 	}
@@ -376,7 +376,7 @@
 	w := newWorld(t, 1, nil)
 	q := w.take(1, 1, -1, 1900*ms)
 	w.pass(sec)
-	if w.g.Note(w.now, q.id, 0, Progress, 0.1); !q.answered {
+	if w.scheduler.NoteReceived(w.now, q.id, 0, Progress, 0.1); !q.answered {
 		t.Fatal("held to its queue timeout")
 	}
 }
@@ -432,15 +432,15 @@
 		w.report("e1", map[string]float64{"held": 1})
 		w.report("e2", map[string]float64{"held": 1})
 	}
-	if w.g.fillSeen.value < 1 || w.g.allHeld.value < 39 {
-		t.Fatalf("engines seen are taken for %.2f full, holding %.1f", w.g.fillSeen.value, w.g.allHeld.value)
+	if w.scheduler.reportedUtilization.value < 1 || w.scheduler.reportedQueries.value < 39 {
+		t.Fatalf("engines seen are taken for %.2f full, holding %.1f", w.scheduler.reportedUtilization.value, w.scheduler.reportedQueries.value)
 	}
-	if w.g.on(); w.g.warm != 1 {
-		t.Fatalf("%v engines count for the bound, one is warm", w.g.warm)
+	if w.scheduler.activeEngines(); w.scheduler.warmEngines != 1 {
+		t.Fatalf("%v engines count for the bound, one is warm", w.scheduler.warmEngines)
 	}
 	w.pass(16 * sec)
-	if w.g.on(); w.g.warm != 3 {
-		t.Fatalf("%v of 3 count once they are warm", w.g.warm)
+	if w.scheduler.activeEngines(); w.scheduler.warmEngines != 3 {
+		t.Fatalf("%v of 3 count once they are warm", w.scheduler.warmEngines)
 	}
 }
 
@@ -456,9 +456,9 @@
 				w.report(id, map[string]float64{"held": map[bool]float64{false: 2, true: 40}[full]})
 			}
 		}
-		w.g.Note(w.now, q.id, 0, Progress, 0.1) // nine seconds to go, of one and a half that it should take
+		w.scheduler.NoteReceived(w.now, q.id, 0, Progress, 0.1) // nine seconds to go, of one and a half that it should take
 		w.pass(10 * ms)
-		if moved := w.g.queries[q.id].subs[0].behind; moved == full || q.answered {
+		if moved := w.scheduler.queries[q.id].attempts[0].moving; moved == full || q.answered {
 			t.Fatalf("full %v, moved %v, given up %v", full, moved, q.answered)
 		}
 	}
--- a/internal/scheduler/fleet_test.go
+++ b/internal/scheduler/fleet_test.go
@@ -77,7 +77,7 @@
 	tasks   []*task
 	last    time.Duration
 	version int
-	sent    []sent
+	sent    []sentWork
 	held    int // as it reports
 }
 
@@ -160,7 +160,7 @@
 	if o == Finished {
 		work = q.work
 	}
-	m.g.Ended(m.f.now, t.id, t.try, o, m.f.now-t.at, closed, seconds(work), 100, nil)
+	m.g.AttemptEnded(m.f.now, t.id, t.try, o, m.f.now-t.at, closed, seconds(work), 100, nil)
 }
 
 func (f *fleet) earn(q *wanted) {
@@ -201,7 +201,7 @@
 		return
 	}
 	f.coldWork += fleetWork[group]
-	w.sent = append(w.sent, sent{f.now, fleetWork[group]})
+	w.sent = append(w.sent, sentWork{f.now, fleetWork[group]})
 	for w.sent[0].at <= f.now-f.window {
 		w.sent = w.sent[1:]
 	}
@@ -262,14 +262,14 @@
 	w, f := m.f.engines[engine], m.f
 	f.after(time.Millisecond, func() {
 		if w.state == EngineRemoved {
-			m.g.Probed(f.now, engine, Unreachable, nil)
+			m.g.HealthCheckEnded(f.now, engine, Unreachable, nil)
 			return
 		}
-		m.g.Probed(f.now, engine, Finished, map[string]float64{"held": float64(w.held)})
+		m.g.HealthCheckEnded(f.now, engine, Finished, map[string]float64{"held": float64(w.held)})
 	})
 }
 func (m *member) Wake(in time.Duration, tag int) {
-	m.f.after(in, func() { m.g.Woken(m.f.now, tag) })
+	m.f.after(in, func() { m.g.TimerFired(m.f.now, tag) })
 }
 
 // newFleet starts gateways and engines with a share of all they can do as load,
@@ -350,7 +350,7 @@
 	if f.now >= f.from {
 		f.offered += fleetValue[group]
 	}
-	m.g.Take(f.now, id, group, -1, patience, int64(f.rng.IntN(160)), -1, 0, 0)
+	m.g.QueryArrived(f.now, id, group, -1, patience, int64(f.rng.IntN(160)), -1, 0, 0)
 	f.after(patience, func() {
 		if m.open[id] == q && !q.closed {
 			q.closed = true
@@ -365,12 +365,12 @@
 }
 
 func (f *fleet) list(m *member, ids ...string) {
-	m.g.ListBegins(f.now, false)
+	m.g.ListStarted(f.now, false)
 	for _, id := range ids {
 		w := f.engines[id]
-		m.g.ListEngine(id, 0, 0, len(id), w.state, w.started, w.started > 0)
+		m.g.EngineListed(id, 0, 0, len(id), w.state, w.started, w.started > 0)
 	}
-	m.g.ListEnds()
+	m.g.ListEnded()
 }
 
 // release replaces engines: drained, and gone while a cold one comes under a new id.
@@ -489,7 +489,7 @@
 		if i%3 == 0 {
 			continue
 		}
-		facts := m.g.facts.text
+		facts := m.g.settings.text
 		for _, id := range slices.Sorted(maps.Keys(m.open)) {
 			if q := m.open[id]; len(q.runs) == 0 {
 				delete(m.open, id)
--- a/internal/scheduler/inside_test.go
+++ b/internal/scheduler/inside_test.go
@@ -42,13 +42,13 @@
 		g := New(f, 7, plainFacts(map[string]string{"may.copy": strconv.FormatBool(rapid.Bool().Draw(t, "copies")),
 			"submissions.most": "6", "group.1.locations": "0,1", "report.how": rapid.SampledFrom([]string{"off", "probed"}).Draw(t, "reports")}))
 		list := func(now time.Duration, state func(i int) EngineState) {
-			g.ListBegins(now, true)
+			g.ListStarted(now, true)
 			for i := range 6 {
 				id := fmt.Sprint("e", i)
 				f.at[id] = i % 3
-				g.ListEngine(id, i%3, 0, i, state(i), 0, false)
+				g.EngineListed(id, i%3, 0, i, state(i), 0, false)
 			}
-			g.ListEnds()
+			g.ListEnded()
 		}
 		list(0, func(int) EngineState { return EngineActive })
 		bounds := rapid.SampledFrom([][]string{{"0"}, {"1", "2"}, {"2"}, {}})
@@ -72,9 +72,9 @@
 					f.out = slices.Delete(f.out, i, i+1)
 					if how := rapid.SampledFrom([]Outcome{Finished, Rejected, ConnectionReset, Unreachable, NeverSent, Cancelled}).Draw(t, "end"); how == Finished ||
 						rapid.Bool().Draw(t, "ends") {
-						g.Ended(now, id, try, how, 100*ms, how == Finished, 0, 0, nil)
+						g.AttemptEnded(now, id, try, how, 100*ms, how == Finished, 0, 0, nil)
 					} else {
-						g.Note(now, id, try, rapid.SampledFrom([]NoteKind{WaitsForLoad, Progress}).Draw(t, "sign"), 0.001)
+						g.NoteReceived(now, id, try, rapid.SampledFrom([]NoteKind{WaitsForLoad, Progress}).Draw(t, "sign"), 0.001)
 					}
 				}
 			case 4:
@@ -96,9 +96,9 @@
 			for len(f.probes) > 0 {
 				e := f.probes[0]
 				f.probes = f.probes[1:]
-				g.Probed(now, e, Finished, map[string]float64{"held": 1, "cores": 0.1})
+				g.HealthCheckEnded(now, e, Finished, map[string]float64{"held": 1, "cores": 0.1})
 			}
-			g.Woken(now, tickTag)
+			g.TimerFired(now, tickTag)
 		}
 		crossedBoth = crossedBoth || f.sent[0] > 0 && f.sent[1] > 0 && f.sent[2] > 0 && len(f.inside) > 3
 	})
@@ -111,11 +111,11 @@
 func TestBoundQueriesHoldUpOnlyTheirLike(t *testing.T) {
 	f := &fence{t: t, inside: map[string][]string{"bound": {"5"}}, at: map[string]int{"e0": 0}, tries: map[string]int{}, sent: map[int]int{}}
 	g := New(f, 7, plainFacts(nil))
-	g.ListBegins(0, true)
-	g.ListEngine("e0", 0, 0, 0, EngineActive, 0, false)
-	g.ListEnds()
+	g.ListStarted(0, true)
+	g.EngineListed("e0", 0, 0, 0, EngineActive, 0, false)
+	g.ListEnded()
 	g.ConfinedQueryArrived(ms, "bound", 0, -1, 5*sec, 1, -1, 0, 0, []string{"5"})
-	g.Take(ms, "free", 0, -1, 5*sec, 1, -1, 0, 0)
+	g.QueryArrived(ms, "free", 0, -1, 5*sec, 1, -1, 0, 0)
 	if f.tries["free"] != 1 || f.tries["bound"] != 0 {
 		t.Fatal(f.tries)
 	}
--- a/internal/scheduler/interface.go
+++ b/internal/scheduler/interface.go
@@ -34,7 +34,7 @@
 func (o Outcome) neverRan() bool { return o == Rejected || o == Unreachable || o == NeverSent }
 
 // mayLinger holds for the outcomes after which the engine may still be at work.
-func (o Outcome) mayLinger() bool { return o == TimedOut || o == ConnectionReset || o == Cancelled }
+func (o Outcome) mayStillRun() bool { return o == TimedOut || o == ConnectionReset || o == Cancelled }
 
 // EngineState is what the list says of an engine.
 type EngineState int
@@ -61,26 +61,26 @@
 type Events interface {
 	// ListBegins opens what the list has to say; whole says that an engine
 	// left out is gone. ListEngine follows for each entry, then ListEnds.
-	ListBegins(now time.Duration, whole bool)
-	ListEngine(id string, location, kind, cell int, state EngineState, started time.Duration, fresh bool)
-	ListEnds()
+	ListStarted(now time.Duration, whole bool)
+	EngineListed(id string, location, kind, cell int, state EngineState, started time.Duration, fresh bool)
+	ListEnded()
 	ListRefused(now time.Duration)
 
 	// team: whose it is, a place among the settings' teams; out of them, nobody's with a share.
-	Take(now time.Duration, id string, group, team int, budget time.Duration, tables, key int64,
+	QueryArrived(now time.Duration, id string, group, team int, budget time.Duration, tables, key int64,
 		work time.Duration, memoryMB float64)
-	Note(now time.Duration, id string, try int, sign NoteKind, x float64)
-	Ended(now time.Duration, id string, try int, outcome Outcome, took time.Duration, over bool,
+	NoteReceived(now time.Duration, id string, try int, sign NoteKind, x float64)
+	AttemptEnded(now time.Duration, id string, try int, outcome Outcome, took time.Duration, over bool,
 		work time.Duration, memoryMB float64, report map[string]float64)
-	Begun(now time.Duration, id string)
+	AnswerStarted(now time.Duration, id string)
 	ClientLeft(now time.Duration, id string)
 	// Closing: the instance ends once it has answered what it took; it can't
 	// wait for more.
-	Closing(now time.Duration)
-	Probed(now time.Duration, engine string, outcome Outcome, report map[string]float64)
+	DrainStarted(now time.Duration)
+	HealthCheckEnded(now time.Duration, engine string, outcome Outcome, report map[string]float64)
 	// Reported: an engine told its load unasked.
-	Reported(now time.Duration, engine string, report map[string]float64)
-	Woken(now time.Duration, tag int)
+	LoadReported(now time.Duration, engine string, report map[string]float64)
+	TimerFired(now time.Duration, tag int)
 }
 
 var _ Events = (*Scheduler)(nil)
--- a/internal/scheduler/retell.go
+++ b/internal/scheduler/retell.go
@@ -16,9 +16,9 @@
 // Hold has nothing held let go until it is told otherwise: what comes back meanwhile
 // waits in its queue, and whoever waits is given up at the end of its time as ever.
 func (g *Scheduler) SetPaused(now time.Duration, on bool) {
-	if g.now = now; g.holds != on {
-		g.holds = on
-		g.step()
+	if g.now = now; g.paused != on {
+		g.paused = on
+		g.finishEvent()
 	}
 }
 
@@ -27,9 +27,9 @@
 func (g *Scheduler) QueryDropped(now time.Duration, id string) {
 	g.now = now
 	if q := g.queries[id]; q != nil {
-		g.finish(q)
-		g.settle(q)
-		g.step()
+		g.end(q)
+		g.releaseEnded(q)
+		g.finishEvent()
 	}
 }
 
@@ -39,39 +39,39 @@
 // target. Teams are known again by name; nobody's share holds for those that went.
 func (g *Scheduler) UpdateSettings(now time.Duration, given map[string]string) {
 	g.now = now
-	old, f := g.facts, newFacts(given)
-	g.facts = f
+	old, f := g.settings, newFacts(given)
+	g.settings = f
 	for i, rg := range g.groups {
 		x := newGroup(f, i)
-		rg.value, rg.lateShare, rg.target, rg.timeout, rg.stretch, rg.threads = x.value, x.lateShare, x.target, x.timeout, x.stretch, x.threads
-		g.longest = max(g.longest, rg.timeout+f.span("key.rest", 0))
+		rg.priorityWeight, rg.lateValueShare, rg.objective, rg.timeout, rg.objectiveStretch, rg.threads = x.priorityWeight, x.lateValueShare, x.objective, x.timeout, x.objectiveStretch, x.threads
+		g.retention = max(g.retention, rg.timeout+f.span("key.rest", 0))
 	}
 	at := func(i int) string { return "team." + strconv.Itoa(i) + "." }
-	was := map[string]*team{}
-	for i, t := range g.teams {
+	was := map[string]*tenant{}
+	for i, t := range g.tenants {
 		was[old.text[at(i)+"name"]] = t
 		t.quota = math.Inf(1)
 	}
-	g.teams = nil
+	g.tenants = nil
 	for i := range int(f.num("teams", 0)) {
 		t := was[f.text[at(i)+"name"]]
 		if t == nil {
-			t = &team{}
+			t = &tenant{}
 		}
 		if t.quota = f.num(at(i)+"quota", 0) / max(1, f.num("gateways", 1)); t.quota <= 0 {
 			t.quota = math.Inf(1) // no share any more, and some of its queries wait
 		}
-		g.teams = append(g.teams, t)
+		g.tenants = append(g.tenants, t)
 	}
 	var unsent []*query
 	for _, q := range g.queries {
-		if len(q.subs) == 0 && !q.over {
+		if len(q.attempts) == 0 && !q.ended {
 			unsent = append(unsent, q)
 		}
 	}
 	slices.SortFunc(unsent, func(a, b *query) int { return cmp.Compare(a.seq, b.seq) })
 	for _, q := range unsent {
-		q.aim = q.takenAt + q.rg.target + seconds(q.rg.stretch*g.lone(q))
-		g.of(q, q.aim, func() { g.late(q) })
+		q.objectiveAt = q.arrivedAt + q.group.objective + seconds(q.group.objectiveStretch*g.estimatedSoloSeconds(q))
+		g.atTime(q, q.objectiveAt, func() { g.objectivePassed(q) })
 	}
 }
--- a/internal/scheduler/retell_test.go
+++ b/internal/scheduler/retell_test.go
@@ -11,19 +11,19 @@
 func TestHeldLetsNothingGo(t *testing.T) {
 	a := &quiet{}
 	g := New(a, 7, plainFacts(map[string]string{"report.how": "off", "may.probe": ""}))
-	g.ListBegins(0, true)
-	g.ListEngine("e0", 0, 0, 0, EngineActive, 0, false)
-	g.ListEnds()
+	g.ListStarted(0, true)
+	g.EngineListed("e0", 0, 0, 0, EngineActive, 0, false)
+	g.ListEnded()
 	g.SetPaused(ms, true)
 	for i := range 3 {
-		g.Take(ms, fmt.Sprint("q", i), 0, -1, 5*sec, 1, -1, 0, 0)
+		g.QueryArrived(ms, fmt.Sprint("q", i), 0, -1, 5*sec, 1, -1, 0, 0)
 	}
-	g.Woken(50*ms, tickTag)
+	g.TimerFired(50*ms, tickTag)
 	if len(a.sent) > 0 {
 		t.Fatal(a.sent)
 	}
 	g.QueryDropped(60*ms, "q1")
-	if rg := g.groups[0]; rg.leaving.count > 0 {
+	if rg := g.groups[0]; rg.abandonRate.count > 0 {
 		t.Fatal("it passes for one whose client left")
 	}
 	g.SetPaused(70*ms, false)
@@ -37,20 +37,20 @@
 func TestRetoldKeepsWhatWaits(t *testing.T) {
 	facts := plainFacts(map[string]string{"teams": "2", "team.0.name": "a", "team.0.quota": "4", "team.1.name": "b", "team.1.quota": "6"})
 	g := New(&quiet{}, 7, facts)
-	g.Take(ms, "q", 0, 1, 5*sec, 1, -1, 0, 0)
-	q, b := g.queries["q"], g.teams[1]
+	g.QueryArrived(ms, "q", 0, 1, 5*sec, 1, -1, 0, 0)
+	q, b := g.queries["q"], g.tenants[1]
 	next := maps.Clone(facts)
 	maps.Copy(next, map[string]string{"teams": "1", "team.0.name": "b", "team.0.quota": "8", "group.0.target": "250", "group.0.stretch": "0",
 		"group.0.value": "42", "group.0.effect": "mutating", "threads": "2,3,2"})
 	g.UpdateSettings(2*ms, next)
 	rg := g.groups[0]
-	if rg.value != 42 || rg.threads != 2 || rg.target != 250*ms || rg.effect == "mutating" {
+	if rg.priorityWeight != 42 || rg.threads != 2 || rg.objective != 250*ms || rg.effect == "mutating" {
 		t.Fatalf("%+v", rg)
 	}
-	if q.aim != q.takenAt+250*ms || !slices.Contains(rg.queue, q) {
-		t.Fatal(q.aim)
+	if q.objectiveAt != q.arrivedAt+250*ms || !slices.Contains(rg.queue, q) {
+		t.Fatal(q.objectiveAt)
 	}
-	if n := g.facts.num("gateways", 1); len(g.teams) != 1 || q.team != b || g.team(0) != b || b.quota != 8/n || b.took == 0 {
+	if n := g.settings.num("gateways", 1); len(g.tenants) != 1 || q.tenant != b || g.tenant(0) != b || b.quota != 8/n || b.recentArrivals == 0 {
 		t.Fatalf("%+v", b)
 	}
 }
--- a/internal/scheduler/shape_test.go
+++ b/internal/scheduler/shape_test.go
@@ -24,36 +24,36 @@
 // the more of one's own stood still there.
 func TestBusyCoresStandForQueriesHeld(t *testing.T) {
 	w := busyOnly(t, 2, nil)
-	e := w.g.engines[0]
-	if w.report("e0", map[string]float64{"cores": 0.9}); w.g.filled(e) < 0.89 || !w.g.pressed(e, &query{rg: w.g.groups[1]}) {
-		t.Fatalf("nine tenths of the cores busy, and %.2f full", w.g.filled(e))
+	e := w.scheduler.engines[0]
+	if w.report("e0", map[string]float64{"cores": 0.9}); w.scheduler.utilization(e) < 0.89 || !w.scheduler.underPressure(e, &query{group: w.scheduler.groups[1]}) {
+		t.Fatalf("nine tenths of the cores busy, and %.2f full", w.scheduler.utilization(e))
 	}
 	for range 4 {
-		e.out = append(e.out, &submission{q: &query{rg: w.g.groups[1]}, threads: 3})
+		e.inFlight = append(e.inFlight, &attempt{query: &query{group: w.scheduler.groups[1]}, threads: 3})
 	}
-	e.threads = 12
-	if w.report("e0", map[string]float64{"cores": 0.03}); !w.g.pressed(e, &query{rg: w.g.groups[1]}) {
-		t.Fatalf("four of one's own there, of sixteen gateways', and %.2f full", w.g.filled(e))
+	e.threadsInFlight = 12
+	if w.report("e0", map[string]float64{"cores": 0.03}); !w.scheduler.underPressure(e, &query{group: w.scheduler.groups[1]}) {
+		t.Fatalf("four of one's own there, of sixteen gateways', and %.2f full", w.scheduler.utilization(e))
 	}
 }
 
 func TestWhatStandsStillRestsItsEngine(t *testing.T) {
 	w := busyOnly(t, 1, map[string]string{"group.1.late-share": "0.4", "may.probe": "false", "gateways": "2"})
 	q := w.take(1, 1, -1, 60*sec)
-	for w.pass(sec); w.g.engines[0].stood == 0 && w.now < 30*sec; w.pass(100 * ms) {
+	for w.pass(sec); w.scheduler.engines[0].consecutiveEjections == 0 && w.now < 30*sec; w.pass(100 * ms) {
 	}
-	e := w.g.engines[0]
-	if e.stood != 1 || w.g.ready(e) || q.answered {
-		t.Fatalf("stood %d, ready %v, answered %v at %v", e.stood, w.g.ready(e), q.answered, w.now)
+	e := w.scheduler.engines[0]
+	if e.consecutiveEjections != 1 || w.scheduler.available(e) || q.answered {
+		t.Fatalf("stood %d, ready %v, answered %v at %v", e.consecutiveEjections, w.scheduler.available(e), q.answered, w.now)
 	}
 	w.end(q, 0, Cancelled)
 	w.pass(3 * sec)
-	if heavy, light := w.g.hasRoom(e, &query{rg: w.g.groups[1]}), w.g.hasRoom(e, &query{rg: w.g.groups[0]}); heavy || !light {
+	if heavy, light := w.scheduler.hasCapacity(e, &query{group: w.scheduler.groups[1]}), w.scheduler.hasCapacity(e, &query{group: w.scheduler.groups[0]}); heavy || !light {
 		t.Fatalf("tried next: a heavy one %v, a light one %v", heavy, light)
 	}
 	q = w.take(0, 2, -1, 5*sec)
 	w.end(q, len(q.subs)-1, Finished)
-	if !w.g.hasRoom(e, &query{rg: w.g.groups[1]}) {
+	if !w.scheduler.hasCapacity(e, &query{group: w.scheduler.groups[1]}) {
 		t.Fatal("a light one came back, and heavy ones stay away")
 	}
 }
@@ -62,11 +62,11 @@
 func TestWhatWaitsForAnUnseenLoadShutsItsTablesOnly(t *testing.T) {
 	w := busyOnly(t, 1, map[string]string{"group.1.late-share": "0.4", "may.probe": "false"})
 	w.take(1, 1, -1, 60*sec)
-	s := w.g.engines[0].out[0]
+	s := w.scheduler.engines[0].inFlight[0]
 	w.pass(100 * ms)
-	s.e.doneLast = w.now
-	if w.g.stands(s); !w.g.ready(s.e) || !w.g.loadRuns(s.e, 1) || w.g.loadRuns(s.e, 2) {
-		t.Fatalf("ready %v, shut %v", w.g.ready(s.e), s.e.loadSeen)
+	s.engine.lastFinishAt = w.now
+	if w.scheduler.attemptStalled(s); !w.scheduler.available(s.engine) || !w.scheduler.loadRunning(s.engine, 1) || w.scheduler.loadRunning(s.engine, 2) {
+		t.Fatalf("ready %v, shut %v", w.scheduler.available(s.engine), s.engine.loadRunningUntil)
 	}
 }
 
@@ -77,17 +77,17 @@
 		w.report("e0", map[string]float64{"cores": 0.6})
 		w.report("e1", map[string]float64{"cores": 0.6})
 	}
-	w.g.meanWork.value = 1
+	w.scheduler.meanWorkSeconds.value = 1
 	w.take(1, 1, -1, 60*sec)
-	i := slices.IndexFunc(w.g.engines, func(e *engine) bool { return len(e.out) > 0 })
-	e := w.g.engines[i]
-	s := e.out[0]
-	for !s.behind && w.now < 3*sec {
+	i := slices.IndexFunc(w.scheduler.engines, func(e *engine) bool { return len(e.inFlight) > 0 })
+	e := w.scheduler.engines[i]
+	s := e.inFlight[0]
+	for !s.moving && w.now < 3*sec {
 		w.pass(100 * ms)
 		w.report(e.id, map[string]float64{"cores": 0.05})
 	}
-	if !s.behind || w.now > 2*sec {
-		t.Fatalf("moved %v at %v", s.behind, w.now)
+	if !s.moving || w.now > 2*sec {
+		t.Fatalf("moved %v at %v", s.moving, w.now)
 	}
 }
 
@@ -97,16 +97,16 @@
 	w := busyOnly(t, 2, map[string]string{"kind.cores": "8,24", "gateways": "40"})
 	w.report("e0", map[string]float64{"cores": 0.5})
 	w.report("e1", map[string]float64{"cores": 0.5})
-	w.g.meanWork.value = 0.1
-	q := &query{rg: w.g.groups[1]}
-	w.g.groups[1].threads = 0.5
-	w.g.engines[1].threads, w.g.engines[1].out, w.g.stale = 0.4, []*submission{{q: q, threads: 0.4}}, true
+	w.scheduler.meanWorkSeconds.value = 0.1
+	q := &query{group: w.scheduler.groups[1]}
+	w.scheduler.groups[1].threads = 0.5
+	w.scheduler.engines[1].threadsInFlight, w.scheduler.engines[1].inFlight, w.scheduler.totalsStale = 0.4, []*attempt{{query: q, threads: 0.4}}, true
 	// the bound of all is 2 x 32 / 40 x 0.9 = 1.4 threads; by the small engine's cores it would be 0.7
-	if !w.g.hasRoom(w.g.engines[0], q) {
+	if !w.scheduler.hasCapacity(w.scheduler.engines[0], q) {
 		t.Fatal("no room on the small engine with half of the bound in use")
 	}
-	w.g.engines[1].threads, w.g.stale = 1.2, true
-	if w.g.hasRoom(w.g.engines[0], q) {
+	w.scheduler.engines[1].threadsInFlight, w.scheduler.totalsStale = 1.2, true
+	if w.scheduler.hasCapacity(w.scheduler.engines[0], q) {
 		t.Fatal("room beyond the bound of all")
 	}
 }
@@ -114,8 +114,8 @@
 // What others hold lies by cores: an even part of it had small engines full and large ones empty.
 func TestOthersQueriesLieByCores(t *testing.T) {
 	w := newWorld(t, 2, map[string]string{"kind.cores": "8,16", "kind.memory": "8192,16384", "may.probe": "false", "gateways": "8"})
-	w.g.usualThreads.add(4, 1)
-	if a, b := w.g.filled(w.g.engines[0]), w.g.filled(w.g.engines[1]); a == 0 || a != b {
+	w.scheduler.meanThreads.add(4, 1)
+	if a, b := w.scheduler.utilization(w.scheduler.engines[0]), w.scheduler.utilization(w.scheduler.engines[1]); a == 0 || a != b {
 		t.Fatalf("8 cores %.2f full, 16 cores %.2f", a, b)
 	}
 }
@@ -129,7 +129,7 @@
 		n := 0
 		for i := range 8 {
 			w := newWorld(t, 1, map[string]string{"gateways": "8", "own.number": fmt.Sprint(i)})
-			if w.g.dealt(w.g.engines[0], c.part) {
+			if w.scheduler.assignedByNumber(w.scheduler.engines[0], c.part) {
 				n++
 			}
 		}
@@ -141,16 +141,16 @@
 
 func TestLittleTimeCountsMoreThanTheTarget(t *testing.T) {
 	w := newWorld(t, 1, nil)
-	w.g.closing = true
-	q := &query{rg: w.g.groups[1], aim: 4 * sec, deadline: sec}
-	if at := w.g.latest(q); at > sec {
+	w.scheduler.draining = true
+	q := &query{group: w.scheduler.groups[1], objectiveAt: 4 * sec, deadline: sec}
+	if at := w.scheduler.latestStart(q); at > sec {
 		t.Fatalf("to be begun by %v, its client leaves at 1s", at)
 	}
 }
 
 func TestLightQueriesStayInTheirLocation(t *testing.T) {
 	w := newWorld(t, 8, map[string]string{"own.location": "1"})
-	w.g.meanWork, w.g.groups[0].work = mean{1, 100}, mean{0.2, 20}
+	w.scheduler.meanWorkSeconds, w.scheduler.groups[0].workSeconds = movingAverage{1, 100}, movingAverage{0.2, 20}
 	for range 30 {
 		q := w.take(0, 3, -1, 5*sec)
 		if e := w.engines[sentTo(q)]; e == nil || e.location != 1 {
@@ -172,16 +172,16 @@
 func takeAs(w *world, group, team int, work time.Duration) {
 	q := &asked{id: fmt.Sprint("x", len(w.order)), group: group, taken: w.now, deadline: w.now + 60*sec}
 	w.queries[q.id], w.order = q, append(w.order, q)
-	w.g.Take(w.now, q.id, group, team, 60*sec, int64(len(w.order)), -1, work, 100)
+	w.scheduler.QueryArrived(w.now, q.id, group, team, 60*sec, int64(len(w.order)), -1, work, 100)
 }
 
 // A long query in front took the room of several that are worth as much.
 func TestLongQueuesLoseTheDearestFirst(t *testing.T) {
 	w := newWorld(t, 1, nil)
-	w.g.engines[0].slow, w.g.engines[0].threads = 9, 16 // pressed, and no room left of one's own
-	w.g.groups[1].stretch = 9                           // all of them can still be in time
+	w.scheduler.engines[0].slowdown, w.scheduler.engines[0].threadsInFlight = 9, 16 // pressed, and no room left of one's own
+	w.scheduler.groups[1].objectiveStretch = 9                           // all of them can still be in time
 	w.now = 5 * sec
-	w.g.groups[1].begun, w.g.groups[1].work = 15, mean{3, 50}
+	w.scheduler.groups[1].recentThreadSeconds, w.scheduler.groups[1].workSeconds = 15, movingAverage{3, 50}
 	for _, work := range []time.Duration{3, 30, 2, 60, 1, 2, 3} {
 		takeAs(w, 1, -1, work*sec)
 	}
@@ -201,10 +201,10 @@
 	w := newWorld(t, 12, map[string]string{"gateways": "300", "kind.cores": "4,28", "cold.span": "9000"})
 	w.pass(sec)
 	w.restart("e0") // of 4 cores; the others do as much as 12 of 16
-	w.g.workRate, w.g.groups[0].taken, w.g.meanWork.value = 10, 4, 1
+	w.scheduler.recentWorkSeconds, w.scheduler.groups[0].recentArrivals, w.scheduler.meanWorkSeconds.value = 10, 4, 1
 	n := 0
 	for i := range 3000 {
-		if w.g.coldFits(&query{rg: w.g.groups[0], seq: uint64(i)}, w.g.byID["e0"]) {
+		if w.scheduler.slowStartAllows(&query{group: w.scheduler.groups[0], seq: uint64(i)}, w.scheduler.enginesByID["e0"]) {
 			n++
 		}
 	}
@@ -219,9 +219,9 @@
 	for _, least := range []string{"0", "5"} {
 		w := newWorld(t, 2, map[string]string{"budget.span": "10000", "budget.least": least, "budget.share": "0.2"})
 		q := w.take(1, 1, -1, 60*sec)
-		s := w.g.queries[q.id].subs[0]
-		if w.g.move(s, math.Inf(1)); s.behind != (least == "5") {
-			t.Fatalf("%s in the budget: moved %v", least, s.behind)
+		s := w.scheduler.queries[q.id].attempts[0]
+		if w.scheduler.moveOrReject(s, math.Inf(1)); s.moving != (least == "5") {
+			t.Fatalf("%s in the budget: moved %v", least, s.moving)
 		}
 	}
 }
@@ -236,11 +236,11 @@
 		}
 		w.pass(100 * ms)
 	}
-	q := func(i int) *query { return &query{rg: w.g.groups[0], team: w.g.teams[i], work: 0.2} }
-	if a, b := w.g.dear(q(0)), w.g.dear(q(1)); w.g.over(w.g.teams[1]) > 0 || a < 1.3*b {
+	q := func(i int) *query { return &query{group: w.scheduler.groups[0], tenant: w.scheduler.tenants[i], workSeconds: 0.2} }
+	if a, b := w.scheduler.costPerWeight(q(0)), w.scheduler.costPerWeight(q(1)); w.scheduler.overQuotaFraction(w.scheduler.tenants[1]) > 0 || a < 1.3*b {
 		t.Fatalf("%.2f beyond its share, %.2f within", a, b)
 	}
-	if x := w.g.dear(&query{rg: w.g.groups[0], team: w.g.team(2), work: 0.2}); x != 0.2 || w.g.team(-1) != w.g.team(2) {
+	if x := w.scheduler.costPerWeight(&query{group: w.scheduler.groups[0], tenant: w.scheduler.tenant(2), workSeconds: 0.2}); x != 0.2 || w.scheduler.tenant(-1) != w.scheduler.tenant(2) {
 		t.Fatalf("nobody's query counts for less: %.2f", x)
 	}
 }
@@ -251,12 +251,12 @@
 	for range 40 {
 		q := w.take(0, 1, -1, 5*sec)
 		w.queries[q.id].answered = true
-		w.g.Ended(w.now, q.id, 0, Finished, 400*ms, true, 400*ms, 10, nil)
+		w.scheduler.AttemptEnded(w.now, q.id, 0, Finished, 400*ms, true, 400*ms, 10, nil)
 	}
-	if x := w.g.lone(&query{rg: w.g.groups[0], work: 0.2}); x < 0.38 || x > 0.42 {
+	if x := w.scheduler.estimatedSoloSeconds(&query{group: w.scheduler.groups[0], workSeconds: 0.2}); x < 0.38 || x > 0.42 {
 		t.Fatalf("0.2 estimated, 0.4 told: taken as %.2f", x)
 	}
-	if x := w.g.lone(&query{rg: w.g.groups[0], work: 0.2, told: true}); x != 0.2 {
+	if x := w.scheduler.estimatedSoloSeconds(&query{group: w.scheduler.groups[0], workSeconds: 0.2, workMeasured: true}); x != 0.2 {
 		t.Fatalf("0.2 told, taken as %.2f", x)
 	}
 }
@@ -279,10 +279,10 @@
 func TestSilenceWithoutLooksIsJudgedByNotes(t *testing.T) {
 	w := newWorld(t, 1, map[string]string{"may.probe": "false", "note.period": "2000"})
 	w.take(0, 1, -1, 60*sec)
-	if w.pass(3 * sec); w.g.engines[0].silent {
+	if w.pass(3 * sec); w.scheduler.engines[0].unresponsive {
 		t.Fatal("silent before a note was due for certain")
 	}
-	if w.pass(2 * sec); !w.g.engines[0].silent {
+	if w.pass(2 * sec); !w.scheduler.engines[0].unresponsive {
 		t.Fatal("two notes missed, and not silent")
 	}
 }
@@ -295,19 +295,19 @@
 		w.report("e0", map[string]float64{"held": 40})
 	}
 	if w.pass(500 * ms); len(w.take(0, 1, -1, 5*sec).subs) > 0 {
-		t.Fatalf("%.2f full by reports just had, and sent to", w.g.fillSeen.value)
+		t.Fatalf("%.2f full by reports just had, and sent to", w.scheduler.reportedUtilization.value)
 	}
 	w.pass(6 * sec)
 	if len(w.take(0, 2, -1, 5*sec).subs) == 0 {
-		t.Fatalf("nothing told for seven seconds, and still %.2f full", w.g.fillSeen.value)
+		t.Fatalf("nothing told for seven seconds, and still %.2f full", w.scheduler.reportedUtilization.value)
 	}
 	w.report("e1", map[string]float64{"held": 40})
 	for range 30 {
 		w.pass(100 * ms)
 		w.report("e1", map[string]float64{"held": 40})
 	}
-	if w.g.fillSeen.value < 1 {
-		t.Fatalf("full engines told of for three seconds, and %.2f full", w.g.fillSeen.value)
+	if w.scheduler.reportedUtilization.value < 1 {
+		t.Fatalf("full engines told of for three seconds, and %.2f full", w.scheduler.reportedUtilization.value)
 	}
 }
 
@@ -315,31 +315,31 @@
 // guess of how full they are a light query worth most for its work isn't turned away.
 func TestAnEvenPartIsHeldToInTheMean(t *testing.T) {
 	w := newWorld(t, 10, map[string]string{"gateways": "40", "may.probe": "false", "report.how": "off", "note.period": "0"})
-	w.g.groups[0].slots.add(0.2, 100) // worth most for what it takes
+	w.scheduler.groups[0].threadSecondsUsed.add(0.2, 100) // worth most for what it takes
 	w.pass(sec)
 	even := 1.0 / 40
 	few := newWorld(t, 10, map[string]string{"gateways": "2", "may.probe": "false", "report.how": "off", "note.period": "0"})
 	few.pass(sec)
-	if w.g.share < 4*even || few.g.share > 0.65 { // half of all engines' threads are many queries, which hardly vary
-		t.Fatalf("nothing used of late, and a part of %.3f where an even one is %.3f", w.g.share, even)
+	if w.scheduler.ownShare < 4*even || few.scheduler.ownShare > 0.65 { // half of all engines' threads are many queries, which hardly vary
+		t.Fatalf("nothing used of late, and a part of %.3f where an even one is %.3f", w.scheduler.ownShare, even)
 	}
 	// 2 threads on each of 80 cores for 40 gateways: 4 are one's own; they are in use for long
-	for _, e := range w.g.engines[:2] {
-		e.threads, e.out = 3, []*submission{{q: &query{rg: w.g.groups[1]}, e: e, threads: 3, at: time.Hour}}
+	for _, e := range w.scheduler.engines[:2] {
+		e.threadsInFlight, e.inFlight = 3, []*attempt{{query: &query{group: w.scheduler.groups[1]}, engine: e, threads: 3, sentAt: time.Hour}}
 	}
-	w.g.stale = true
+	w.scheduler.totalsStale = true
 	for range 300 {
-		w.g.periodic()
+		w.scheduler.tick()
 	}
-	if w.g.share != even {
-		t.Fatalf("more than the part in use for long, and a part of %.3f where an even one is %.3f", w.g.share, even)
+	if w.scheduler.ownShare != even {
+		t.Fatalf("more than the part in use for long, and a part of %.3f where an even one is %.3f", w.scheduler.ownShare, even)
 	}
-	e := w.g.engines[0]
-	e.threads = 3
-	light, heavy := &query{rg: w.g.groups[0]}, &query{rg: w.g.groups[1]}
-	w.g.meanWork.value = 1 + w.g.usual(light.rg)
-	if full := w.g.filled(e); full < 0.85 || full > 1.7 || w.g.pressed(e, light) || !w.g.pressed(e, heavy) {
-		t.Fatalf("%.2f full by guess; pressed for light ones %v, for heavy ones %v", full, w.g.pressed(e, light), w.g.pressed(e, heavy))
+	e := w.scheduler.engines[0]
+	e.threadsInFlight = 3
+	light, heavy := &query{group: w.scheduler.groups[0]}, &query{group: w.scheduler.groups[1]}
+	w.scheduler.meanWorkSeconds.value = 1 + w.scheduler.usualWorkSeconds(light.group)
+	if full := w.scheduler.utilization(e); full < 0.85 || full > 1.7 || w.scheduler.underPressure(e, light) || !w.scheduler.underPressure(e, heavy) {
+		t.Fatalf("%.2f full by guess; pressed for light ones %v, for heavy ones %v", full, w.scheduler.underPressure(e, light), w.scheduler.underPressure(e, heavy))
 	}
 }
 
@@ -347,32 +347,32 @@
 // hold as much as a warm one, and so for three times as full: it had room for nobody while it stood idle.
 func TestAColdEngineWithoutReportsIsNoFullerThanWarmOnes(t *testing.T) {
 	w := newWorld(t, 10, map[string]string{"gateways": "300", "may.probe": "false", "report.how": "off"})
-	light := &query{rg: w.g.groups[0]}
+	light := &query{group: w.scheduler.groups[0]}
 	w.pass(200 * ms)
 	w.restart("e0")
-	w.g.usualThreads.value, w.g.usualThreads.count, w.g.share = 0.3, 300, 1.0/300
-	if !w.g.hasRoom(w.g.byID["e1"], light) {
-		t.Fatalf("warm ones %.2f full, and no room", w.g.filled(w.g.byID["e1"]))
+	w.scheduler.meanThreads.value, w.scheduler.meanThreads.count, w.scheduler.ownShare = 0.3, 300, 1.0/300
+	if !w.scheduler.hasCapacity(w.scheduler.enginesByID["e1"], light) {
+		t.Fatalf("warm ones %.2f full, and no room", w.scheduler.utilization(w.scheduler.enginesByID["e1"]))
 	}
-	if cold := w.g.byID["e0"]; w.g.able(cold) > 0.4 || !w.g.hasRoom(cold, light) {
-		t.Fatalf("a cold one is taken for %.2f full, warm ones for %.2f", w.g.filled(cold), w.g.filled(w.g.byID["e1"]))
+	if cold := w.scheduler.enginesByID["e0"]; w.scheduler.warmCapacity(cold) > 0.4 || !w.scheduler.hasCapacity(cold, light) {
+		t.Fatalf("a cold one is taken for %.2f full, warm ones for %.2f", w.scheduler.utilization(cold), w.scheduler.utilization(w.scheduler.enginesByID["e1"]))
 	}
 }
 
 // The same where engines tell in answers only: what was seen of some is a guess of the others.
 func TestAGuessDoesNotTurnAwayWhatCostsLeast(t *testing.T) {
 	w := newWorld(t, 4, map[string]string{"gateways": "300", "may.probe": "false", "report.how": "answers", "report.figures": "held"})
-	w.g.groups[0].slots.add(0.2, 100)
+	w.scheduler.groups[0].threadSecondsUsed.add(0.2, 100)
 	w.pass(sec)
 	for range 30 {
 		w.report("e0", map[string]float64{"held": 20})
 	}
-	w.g.meanWork.value = 1 + w.g.usual(w.g.groups[0])
-	if e := w.g.engines[1]; w.g.filled(e) < 1 || w.g.pressed(e, &query{rg: w.g.groups[0]}) || !w.g.pressed(e, &query{rg: w.g.groups[1]}) {
-		t.Fatalf("%.2f full by those seen; pressed for light ones %v, for heavy ones %v", w.g.filled(e),
-			w.g.pressed(e, &query{rg: w.g.groups[0]}), w.g.pressed(e, &query{rg: w.g.groups[1]}))
+	w.scheduler.meanWorkSeconds.value = 1 + w.scheduler.usualWorkSeconds(w.scheduler.groups[0])
+	if e := w.scheduler.engines[1]; w.scheduler.utilization(e) < 1 || w.scheduler.underPressure(e, &query{group: w.scheduler.groups[0]}) || !w.scheduler.underPressure(e, &query{group: w.scheduler.groups[1]}) {
+		t.Fatalf("%.2f full by those seen; pressed for light ones %v, for heavy ones %v", w.scheduler.utilization(e),
+			w.scheduler.underPressure(e, &query{group: w.scheduler.groups[0]}), w.scheduler.underPressure(e, &query{group: w.scheduler.groups[1]}))
 	}
-	if w.g.counts = false; !w.g.pressed(w.g.engines[1], &query{rg: w.g.groups[0]}) {
+	if w.scheduler.reportsCountQueries = false; !w.scheduler.underPressure(w.scheduler.engines[1], &query{group: w.scheduler.groups[0]}) {
 		t.Fatal("busy cores told of, and a light one passes them")
 	}
 }
--- a/internal/scheduler/short_test.go
+++ b/internal/scheduler/short_test.go
@@ -51,18 +51,18 @@
 // known by what is late there, and left alone, though no longer than its queries can wait for it.
 func TestAHungEngineIsFoundBeforeItsFirstNote(t *testing.T) {
 	w := hasty(t, 1, nil)
-	e := w.g.engines[0]
+	e := w.scheduler.engines[0]
 	q := w.take(0, 1, -1, 290*ms)
 	if len(q.subs) != 1 {
 		t.Fatal("not sent, and the test proves nothing")
 	}
-	for w.now < 280*ms && e.stood == 0 {
+	for w.now < 280*ms && e.consecutiveEjections == 0 {
 		w.pass(10 * ms)
 	}
-	if e.stood != 1 || w.g.ready(e) {
-		t.Fatalf("stood %d, ready %v", e.stood, w.g.ready(e))
+	if e.consecutiveEjections != 1 || w.scheduler.available(e) {
+		t.Fatalf("stood %d, ready %v", e.consecutiveEjections, w.scheduler.available(e))
 	}
-	if rest := e.restUntil - w.now; rest > 600*ms {
+	if rest := e.ejectedUntil - w.now; rest > 600*ms {
 		t.Fatalf("left alone for %v, twice the time that any query has and more", rest)
 	}
 }
--- a/internal/scheduler/size_test.go
+++ b/internal/scheduler/size_test.go
@@ -26,11 +26,11 @@
 func sized(engines int) (*quiet, *Scheduler) {
 	a := &quiet{}
 	g := New(a, 7, plainFacts(map[string]string{"gateways": "350", "report.how": "probed", "group.2.in-order": ""}))
-	g.ListBegins(0, true)
+	g.ListStarted(0, true)
 	for i := range engines {
-		g.ListEngine(fmt.Sprint("e", i), 0, 0, i/6, EngineActive, 0, false)
+		g.EngineListed(fmt.Sprint("e", i), 0, 0, i/6, EngineActive, 0, false)
 	}
-	g.ListEnds()
+	g.ListEnded()
 	return a, g
 }
 
@@ -44,17 +44,17 @@
 			for i := range b.N {
 				now += 20 * ms
 				id := strconv.Itoa(i)
-				g.Take(now, id, i%2, -1, 5*sec, int64(i%160), -1, 0, 0)
+				g.QueryArrived(now, id, i%2, -1, 5*sec, int64(i%160), -1, 0, 0)
 				for len(a.probes) > 0 {
 					e := a.probes[0]
 					a.probes = a.probes[1:]
-					g.Probed(now+ms, e, Finished, map[string]float64{"held": 3, "cores": 0.4})
+					g.HealthCheckEnded(now+ms, e, Finished, map[string]float64{"held": 3, "cores": 0.4})
 				}
 				if len(a.sent) == 0 {
 					b.Fatal("not sent")
 				}
 				a.sent = a.sent[:0]
-				g.Ended(now+10*ms, id, 0, Finished, 9*ms, true, 9*ms, 64, nil)
+				g.AttemptEnded(now+10*ms, id, 0, Finished, 9*ms, true, 9*ms, 64, nil)
 			}
 		})
 	}
@@ -67,7 +67,7 @@
 			_, g := sized(n)
 			b.ReportAllocs()
 			for i := range b.N {
-				g.Woken(time.Duration(i)*100*ms, tickTag)
+				g.TimerFired(time.Duration(i)*100*ms, tickTag)
 			}
 		})
 	}
--- a/internal/scheduler/state.go
+++ b/internal/scheduler/state.go
@@ -64,17 +64,17 @@
 }
 
 // mean is a running average that forgets.
-type mean struct {
+type movingAverage struct {
 	value float64
 	count float64
 }
 
-func (m *mean) add(x, most float64) {
+func (m *movingAverage) add(x, most float64) {
 	m.count = min(m.count+1, most)
 	m.value += (x - m.value) / m.count
 }
 
-func (m *mean) or(absent float64) float64 {
+func (m *movingAverage) valueOr(absent float64) float64 {
 	if m.count == 0 {
 		return absent
 	}
@@ -83,205 +83,205 @@
 
 // resourceGroup is a kind of query, with what has been learned of it.
 type resourceGroup struct {
-	taken                float64 // of late, decaying
-	begun                float64 // thread seconds sent, decaying
-	slots                mean    // thread seconds taken by a query that finished
-	leaving, patience    mean    // share of clients that hang up early, and after how long
+	recentArrivals                float64 // of late, decaying
+	recentThreadSeconds                float64 // thread seconds sent, decaying
+	threadSecondsUsed                movingAverage    // thread seconds taken by a query that finished
+	abandonRate, patience    movingAverage    // share of clients that hang up early, and after how long
 	index                int
-	value, lateShare     float64
-	target, timeout      time.Duration
-	stretch              float64
+	priorityWeight, lateValueShare     float64
+	objective, timeout      time.Duration
+	objectiveStretch              float64
 	threads              float64
 	effect               string // read-only, tokened, mutating
-	scope                string // all, location, cell
-	window               time.Duration
-	inOrder, load, waits bool
+	keyScope                string // all, location, cell
+	keyWindow               time.Duration
+	fifoByKey, isLoad, waitsForLoads bool
 	locations, kinds     []string
 
-	off      mean    // work told over work estimated
-	work     mean    // seconds of all threads, as told or estimated
-	stretchy mean    // time taken over time alone
-	floor    float64 // the best of it
-	need     mean    // MB
+	estimateCorrection      movingAverage    // work told over work estimated
+	workSeconds     movingAverage    // seconds of all threads, as told or estimated
+	slowdown movingAverage    // time taken over time alone
+	bestSlowdown    float64 // the best of it
+	memoryMB     movingAverage    // MB
 	queue    []*query
-	full     bool // its next query was held for want of room when last looked at
+	blocked     bool // its next query was held for want of room when last looked at
 }
 
 // team has a share of all engines; quota is what it comes to here, if traffic is even, a second.
-type team struct {
+type tenant struct {
 	quota float64
-	took  float64 // queries taken of late, decaying
+	recentArrivals  float64 // queries taken of late, decaying
 }
 
 // engine is one executor as this gateway sees it.
 type engine struct {
-	stood                int // rests in a row, with nothing back between
-	doneLast             time.Duration
-	doneAt               map[int64]time.Duration // when a query of these tables last finished there
-	coldFrom             time.Duration
+	consecutiveEjections                int // rests in a row, with nothing back between
+	lastFinishAt             time.Duration
+	lastFinishOfTables               map[int64]time.Duration // when a query of these tables last finished there
+	warmingFrom             time.Duration
 	id                   string
-	mark                 uint32
+	hash                 uint32
 	location, kind, cell int
-	home                 bool // in one's own location
+	local                 bool // in one's own location
 	state                EngineState
-	goneAt               time.Duration
+	removedAt               time.Duration
 	cores                float64
-	coldUntil            time.Duration
-
-	out                             []*submission
-	threads                         float64 // own, out
-	slow                            float64 // time taken over the best
-	started                         time.Duration
-	loadSeen                        map[int64]time.Duration // tables a load was noted on, until when
-	memory                          float64                 // own, out, MB
-	ram                             float64
-	threadsAtReport, memoryAtReport float64 // own
-	heardAt                         time.Duration
-	silent                          bool
-	restUntil                       time.Duration // refused or unreachable: left alone until then
-	fullAt                          time.Duration
-	probedAt                        time.Duration
-	probing                         bool
+	warmingUntil            time.Duration
+
+	inFlight                             []*attempt
+	threadsInFlight                         float64 // own, out
+	slowdown                            float64 // time taken over the best
+	startedAt                         time.Duration
+	loadRunningUntil                        map[int64]time.Duration // tables a load was noted on, until when
+	memoryInFlightMB                          float64                 // own, out, MB
+	memoryCapacityMB                             float64
+	threadsInFlightAtReport, memoryInFlightAtReportMB float64 // own
+	lastResponseAt                         time.Duration
+	unresponsive                          bool
+	ejectedUntil                       time.Duration // refused or unreachable: left alone until then
+	rejectedAt                          time.Duration
+	healthCheckSentAt                        time.Duration
+	healthCheckInFlight                         bool
 	report                          map[string]float64
 	reportAt                        time.Duration
-	coldSent                        []sent
+	slowStartSends                        []sentWork
 }
 
 // sent is work that went to a cold engine.
-type sent struct {
+type sentWork struct {
 	at   time.Duration
 	work float64
 }
 
 // query is one thing taken, until its one final answer.
 type query struct {
-	moved             bool // once, for being slow
+	movedForSlowness             bool // once, for being slow
 	id                string
-	rg                *resourceGroup
-	team              *team // whose share it counts to
+	group                *resourceGroup
+	tenant              *tenant // whose share it counts to
 	tables, key       int64
-	inside            []string // locations it may be sent to, nil: all
-	narrow            bool     // those are fewer than its group's
-	shuts             int64    // its tables and where it may go: what bars one bars all of the same
-	work              float64  // estimated seconds of all threads, 0: none
-	told              bool     // work is what its answer told
-	memory            float64
+	allowedLocations            []string // locations it may be sent to, nil: all
+	confined            bool     // those are fewer than its group's
+	blockingKey             int64    // its tables and where it may go: what bars one bars all of the same
+	workSeconds              float64  // estimated seconds of all threads, 0: none
+	workMeasured              bool     // work is what its answer told
+	memoryMB            float64
 	seq               uint64
-	takenAt, deadline time.Duration
-	aim               time.Duration
-	subs              []*submission
-	out               int
-	over, begun       bool
+	arrivedAt, deadline time.Duration
+	objectiveAt               time.Duration
+	attempts              []*attempt
+	inFlight               int
+	ended, answerStarted       bool
 	priority, grant   int
-	avoid             *engine
-	looks             []*engine // looked at for this query
-	lookedAt          time.Duration
+	lastEngine             *engine
+	healthChecked             []*engine // looked at for this query
+	healthCheckedAt          time.Duration
 	chain             *chain
-	dues              []*timerqueue.Item
-	next              func(*engine) bool // what to do once an engine is found for it
+	timers              []*timerqueue.Item
+	dispatch              func(*engine) bool // what to do once an engine is found for it
 }
 
 // submission is one sending of a query to an engine.
-type submission struct {
-	notedAt time.Duration
-	q       *query
-	e       *engine
-	try     int
-	at      time.Duration
+type attempt struct {
+	lastNoteAt time.Duration
+	query       *query
+	engine       *engine
+	number     int
+	sentAt      time.Duration
 	threads float64
-	memory  float64
+	memoryMB  float64
 	ended   bool
-	share   float64 // done, by the last note
-	shareAt time.Duration
-	behind  bool // found far behind, being moved
-	stuck   bool // noted as waiting for a load
+	progress   float64 // done, by the last note
+	progressAt time.Duration
+	moving  bool // found far behind, being moved
+	blocked   bool // noted as waiting for a load
 	outcome Outcome
-	then    func(*submission) // what its end leads to
+	onEnd    func(*attempt) // what its end leads to
 }
 
 // chain is the line of loads of one table group at this gateway.
 type chain struct {
-	link    *query
+	running    *query
 	engine  *engine
-	endedAt time.Duration
-	ended   bool
-	held    []*query
+	lastEndedAt time.Duration
+	lastEnded   bool
+	waiting    []*query
 }
 
 // keyLine holds the queries of one key in the order taken.
-type keyLine struct {
-	line      []*query
-	restUntil time.Duration
-	restBy    *query
+type keyQueue struct {
+	queries      []*query
+	restingUntil time.Duration
+	restingAfter    *query
 }
 
 // Scheduler is one controller's decisions and all it knows.
 type Scheduler struct {
-	stale   bool // running and own are to be made anew
-	running []*engine
-	own     [4]float64
-	warm    float64 // engines that run and are warm
-	cores   float64 // of all that run
-	act     Actions
-	facts   facts
+	totalsStale   bool // running and own are to be made anew
+	active []*engine
+	totals     [4]float64
+	warmEngines    float64 // engines that run and are warm
+	activeCores   float64 // of all that run
+	actions     Actions
+	settings   facts
 	rng     *pcg
 	now     time.Duration
 
 	engines []*engine // in the order first listed
-	byID    map[string]*engine
+	enginesByID    map[string]*engine
 	queries map[string]*query
 	groups  []*resourceGroup
-	teams   []*team
-	nobody  team
+	tenants   []*tenant
+	unlimitedTenant  tenant
 	ranked  []*resourceGroup // in the order in which they are served
 	chains  map[int64]*chain
-	keys    map[int64]*keyLine
+	keyQueues    map[int64]*keyQueue
 
-	due     timerqueue.Times
+	timers     timerqueue.Times
 	wakeAt  time.Duration // when the earliest wake asked for comes
-	listing map[*engine]bool
-	whole   bool
+	listedEngines map[*engine]bool
+	listComplete   bool
 
-	tidyAt  time.Duration
-	longest time.Duration // what is gone may still matter for so long
+	evictAt  time.Duration
+	retention time.Duration // what is gone may still matter for so long
 
 	seq      uint64
-	taken    []time.Duration // for the submission budget
-	extras   []time.Duration
-	workRate float64 // work taken, decaying
-	looks    bool    // probes tell how full engines are
-	share    float64 // own part of all work
-	counts   bool    // reports tell of queries held
-	busy     mean    // queries taken over what the teams' quotas come to here
-	allHeld  mean    // queries an engine holds, from reports
+	arrivals    []time.Duration // for the submission budget
+	retries   []time.Duration
+	recentWorkSeconds float64 // work taken, decaying
+	healthChecksReportLoad    bool    // probes tell how full engines are
+	ownShare    float64 // own part of all work
+	reportsCountQueries   bool    // reports tell of queries held
+	tenantLoad     movingAverage    // queries taken over what the teams' quotas come to here
+	reportedQueries  movingAverage    // queries an engine holds, from reports
 	// one's own out on all engines, as it was of late
-	usualThreads, usualMemory, usualCount mean
-	recent                                mean    // threads, over less
-	lump                                  float64 // the most threads of one query
-	probeLeft                             float64
-	looked                                float64 // engines looked at of late, decaying
-	fillSeen, meanWork                    mean
-	askedAt, seenAt                       time.Duration
+	meanThreads, meanMemoryMB, meanAttempts movingAverage
+	recentThreads                                movingAverage    // threads, over less
+	maxQueryThreads                                  float64 // the most threads of one query
+	healthCheckTokens                             float64
+	recentHealthChecks                                float64 // engines looked at of late, decaying
+	reportedUtilization, meanWorkSeconds                    movingAverage
+	subscribeSentAt, lastReportAt                       time.Duration
 	subscribed                            bool
-	closing                               bool          // nothing more is taken on
-	holds                                 bool          // nothing is let go for now
-	comeBack                              time.Duration // named with a deferral, where that is allowed
+	draining                               bool          // nothing more is taken on
+	paused                                 bool          // nothing is let go for now
+	retryAfter                              time.Duration // named with a deferral, where that is allowed
 }
 
 func newGroup(f facts, i int) *resourceGroup {
 	at := "group." + strconv.Itoa(i) + "."
 	return &resourceGroup{index: i,
-		value: f.num(at+"value", 0), lateShare: f.num(at+"late-share", 1), stretch: f.num(at+"stretch", 0),
-		target: f.span(at+"target", 0), timeout: f.span(at+"timeout", 0),
+		priorityWeight: f.num(at+"value", 0), lateValueShare: f.num(at+"late-share", 1), objectiveStretch: f.num(at+"stretch", 0),
+		objective: f.span(at+"target", 0), timeout: f.span(at+"timeout", 0),
 		threads: max(1, f.itemNum("threads", i)),
-		effect:  f.text[at+"effect"], scope: f.text[at+"scope"], window: f.span(at+"window", 0),
-		inOrder: f.yes(at + "in-order"), load: f.item("loads", i, "") == "true",
-		waits: f.item("waits", i, "") == "true", locations: f.list(at + "locations"), kinds: f.list(at + "kinds")}
+		effect:  f.text[at+"effect"], keyScope: f.text[at+"scope"], keyWindow: f.span(at+"window", 0),
+		fifoByKey: f.yes(at + "in-order"), isLoad: f.item("loads", i, "") == "true",
+		waitsForLoads: f.item("waits", i, "") == "true", locations: f.list(at + "locations"), kinds: f.list(at + "kinds")}
 }
 
 // mayHaveRun lists what was sent of a query and isn't proven never to have run.
-func (q *query) mayHaveRun() (l []*submission) {
-	for _, s := range q.subs {
+func (q *query) attemptsThatMayHaveRun() (l []*attempt) {
+	for _, s := range q.attempts {
 		if !s.ended || !s.outcome.neverRan() {
 			l = append(l, s)
 		}
@@ -300,11 +300,11 @@
 	}
 }
 
-func (rg *resourceGroup) remove(q *query) { take(&rg.queue, q) }
-func (c *chain) drop(q *query) bool       { return take(&c.held, q) }
-func (k *keyLine) drop(q *query) bool     { return take(&k.line, q) }
+func (rg *resourceGroup) remove(q *query) { removeFrom(&rg.queue, q) }
+func (c *chain) remove(q *query) bool       { return removeFrom(&c.waiting, q) }
+func (k *keyQueue) remove(q *query) bool     { return removeFrom(&k.queries, q) }
 
-func take(l *[]*query, q *query) bool {
+func removeFrom(l *[]*query, q *query) bool {
 	i := slices.Index(*l, q)
 	if i >= 0 {
 		*l = slices.Delete(*l, i, i+1)
@@ -313,62 +313,62 @@
 }
 
 // coldSum is the work sent to a cold engine since a time.
-func (e *engine) coldSum(since time.Duration) (sum float64) {
-	for len(e.coldSent) > 0 && e.coldSent[0].at <= since {
-		e.coldSent = e.coldSent[1:]
+func (e *engine) slowStartWorkSince(since time.Duration) (sum float64) {
+	for len(e.slowStartSends) > 0 && e.slowStartSends[0].at <= since {
+		e.slowStartSends = e.slowStartSends[1:]
 	}
-	for _, s := range e.coldSent {
+	for _, s := range e.slowStartSends {
 		sum += s.work
 	}
 	return sum
 }
 
 // on lists the engines that the list has as running.
-func (g *Scheduler) on() []*engine {
-	if g.stale {
-		g.stale, g.running, g.own = false, g.running[:0], [4]float64{}
-		g.warm, g.cores = 0, 0
+func (g *Scheduler) activeEngines() []*engine {
+	if g.totalsStale {
+		g.totalsStale, g.active, g.totals = false, g.active[:0], [4]float64{}
+		g.warmEngines, g.activeCores = 0, 0
 		for _, e := range g.engines {
 			if e.state != EngineActive {
 				continue
 			}
-			g.running = append(g.running, e)
-			g.cores += e.cores
-			if g.now >= e.coldUntil {
-				g.own[0] += e.threads
-				g.own[1] += e.memory
-				g.own[2] += float64(len(e.out))
-				g.own[3] += e.cores
-				g.warm++
+			g.active = append(g.active, e)
+			g.activeCores += e.cores
+			if g.now >= e.warmingUntil {
+				g.totals[0] += e.threadsInFlight
+				g.totals[1] += e.memoryInFlightMB
+				g.totals[2] += float64(len(e.inFlight))
+				g.totals[3] += e.cores
+				g.warmEngines++
 			}
 		}
 	}
-	return g.running
+	return g.active
 }
 
 // sums are the threads, memory and number of one's own submissions on running
 // engines that are warm, and how many cores those have.
-func (g *Scheduler) sums() (threads, memory, count, cores float64) {
-	g.on()
-	return g.own[0], g.own[1], g.own[2], g.own[3]
+func (g *Scheduler) totalsInFlight() (threads, memory, count, cores float64) {
+	g.activeEngines()
+	return g.totals[0], g.totals[1], g.totals[2], g.totals[3]
 }
 
-func (e *engine) locked(tables int64, until time.Duration) {
-	if e.loadSeen == nil {
-		e.loadSeen = map[int64]time.Duration{}
+func (e *engine) markLoadRunning(tables int64, until time.Duration) {
+	if e.loadRunningUntil == nil {
+		e.loadRunningUntil = map[int64]time.Duration{}
 	}
-	e.loadSeen[tables] = until
+	e.loadRunningUntil[tables] = until
 }
 
 // loadRuns: a load of these tables is known to run there, or they hang.
-func (g *Scheduler) loadRuns(e *engine, tables int64) bool {
-	locks := func(s *submission) bool { return s.q.rg.load && s.q.tables == tables }
-	return g.now < e.loadSeen[tables] || slices.ContainsFunc(e.out, locks)
+func (g *Scheduler) loadRunning(e *engine, tables int64) bool {
+	locks := func(s *attempt) bool { return s.query.group.isLoad && s.query.tables == tables }
+	return g.now < e.loadRunningUntil[tables] || slices.ContainsFunc(e.inFlight, locks)
 }
 
 // short is a span, or one that follows from a group's times where that is told and shorter: what
 // suits deadlines of seconds may outlast one of less.
-func short(usual, follows time.Duration) time.Duration {
+func capped(usual, follows time.Duration) time.Duration {
 	if follows <= 0 {
 		return usual
 	}
--- a/internal/scheduler/world_test.go
+++ b/internal/scheduler/world_test.go
@@ -13,7 +13,7 @@
 // world is a Gateway's clients, engines and clock, and checks it by the seven rules.
 type world struct {
 	t       interface{ Fatalf(string, ...any) }
-	g       *Scheduler
+	scheduler       *Scheduler
 	facts   map[string]string
 	now     time.Duration
 	wakes   []wake
@@ -58,7 +58,7 @@
 	state          EngineState
 	toldAt         time.Duration
 	started        time.Duration
-	sent           []sent
+	sent           []sentWork
 }
 
 func TestMain(m *testing.M) {
@@ -93,7 +93,7 @@
 func newWorld(t interface{ Fatalf(string, ...any) }, engines int, more map[string]string) *world {
 	w := &world{t: t, facts: plainFacts(more), queries: map[string]*asked{}, engines: map[string]*machine{},
 		rests: map[int64]time.Duration{}, restBy: map[int64]*asked{}}
-	w.g = New(w, 7, w.facts)
+	w.scheduler = New(w, 7, w.facts)
 	for i := range engines {
 		w.engines[fmt.Sprint("e", i)] = &machine{id: fmt.Sprint("e", i), location: i % 2, kind: i % 2, cell: i % 3}
 	}
@@ -104,12 +104,12 @@
 func (w *world) ids() []string { return slices.Sorted(maps.Keys(w.engines)) }
 
 func (w *world) list(whole bool, ids ...string) {
-	w.g.ListBegins(w.now, whole)
+	w.scheduler.ListStarted(w.now, whole)
 	for _, id := range ids {
 		m := w.engines[id]
-		w.g.ListEngine(id, m.location, m.kind, m.cell, m.state, m.started, m.started > 0)
+		w.scheduler.EngineListed(id, m.location, m.kind, m.cell, m.state, m.started, m.started > 0)
 	}
-	w.g.ListEnds()
+	w.scheduler.ListEnded()
 	w.check()
 }
 
@@ -130,7 +130,7 @@
 	id := fmt.Sprintf("q%03d", len(w.order))
 	q := &asked{id: id, group: group, key: key, taken: w.now, deadline: w.now + budget}
 	w.queries[q.id], w.order = q, append(w.order, q)
-	w.g.Take(w.now, q.id, group, -1, budget, tables, key, time.Duration(w.work(group)*float64(time.Second)), 100)
+	w.scheduler.QueryArrived(w.now, q.id, group, -1, budget, tables, key, time.Duration(w.work(group)*float64(time.Second)), 100)
 	w.check()
 	return q
 }
@@ -147,11 +147,11 @@
 	if o == Finished {
 		q.answered = true
 	}
-	if o.mayLinger() && w.fact("in-order", q.group) == "true" {
-		w.rests[q.key], w.restBy[q.key] = w.now+w.g.facts.span("key.rest", 0), q
+	if o.mayStillRun() && w.fact("in-order", q.group) == "true" {
+		w.rests[q.key], w.restBy[q.key] = w.now+w.scheduler.settings.span("key.rest", 0), q
 	}
 	took := max(w.now-s.at, time.Duration(w.work(q.group)*float64(time.Second)))
-	w.g.Ended(w.now, q.id, k, o, took, q.answered, 0, 0, nil)
+	w.scheduler.AttemptEnded(w.now, q.id, k, o, took, q.answered, 0, 0, nil)
 	w.check()
 }
 
@@ -166,19 +166,19 @@
 		next := w.wakes[0]
 		w.wakes = w.wakes[1:]
 		w.now = max(w.now, next.at)
-		w.g.Woken(w.now, next.tag)
+		w.scheduler.TimerFired(w.now, next.tag)
 		w.check()
 		if len(w.probes) > 0 {
 			id := w.probes[0]
 			w.probes = w.probes[1:]
-			w.g.Probed(w.now, id, Finished, nil)
+			w.scheduler.HealthCheckEnded(w.now, id, Finished, nil)
 			w.check()
 		}
 	}
 }
 
 func (w *world) check() {
-	grace := w.g.facts.span("answer.grace", 0)
+	grace := w.scheduler.settings.span("answer.grace", 0)
 	for _, q := range w.order {
 		if !q.answered && w.now > q.deadline+grace {
 			w.t.Fatalf("rule 1: %s has no answer at %v", q.id, w.now)
@@ -196,7 +196,7 @@
 	switch {
 	case q.answered:
 		w.t.Fatalf("rule 1: %s sent after its answer", id)
-	case m.state != EngineActive && w.now > m.toldAt+w.g.facts.span("drain.grace", 0):
+	case m.state != EngineActive && w.now > m.toldAt+w.scheduler.settings.span("drain.grace", 0):
 		w.t.Fatalf("rule 3: %s sent to %s, told to be leaving at %v", id, engine, m.toldAt)
 	case w.fact("locations", q.group) != "" && w.fact("locations", q.group) != fmt.Sprint(m.location),
 		w.fact("kinds", q.group) != "" && w.fact("kinds", q.group) != fmt.Sprint(m.kind):
@@ -206,7 +206,7 @@
 	if w.fact("in-order", q.group) == "true" && q.key >= 0 {
 		w.inTurn(q)
 	}
-	if span := w.g.facts.span("budget.span", 0); span > 0 && len(q.subs) > 0 {
+	if span := w.scheduler.settings.span("budget.span", 0); span > 0 && len(q.subs) > 0 {
 		w.extras = append(w.extras, w.now)
 		made, taken := 0, 0
 		for _, at := range w.extras {
@@ -219,7 +219,7 @@
 				taken++
 			}
 		}
-		f := w.g.facts
+		f := w.scheduler.settings
 		if most := f.num("budget.least", 0) + f.num("budget.share", 0)*float64(taken); float64(made) > most {
 			w.t.Fatalf("rule 7: %d further submissions, %v allowed", made, most)
 		}
@@ -243,7 +243,7 @@
 		case "mutating":
 			w.t.Fatalf("rule 2: mutating %s sent again", q.id)
 		case "tokened":
-			if !near || w.now-s.at > w.g.facts.span(fmt.Sprintf("group.%d.window", q.group), 0) {
+			if !near || w.now-s.at > w.scheduler.settings.span(fmt.Sprintf("group.%d.window", q.group), 0) {
 				w.t.Fatalf("rule 2: tokened %s sent outside its scope or window", q.id)
 			}
 		}
@@ -269,12 +269,12 @@
 
 // cold holds this gateway to what all together may send, in any window.
 func (w *world) cold(q *asked, m *machine) {
-	age, f := w.now-m.started, w.g.facts
+	age, f := w.now-m.started, w.scheduler.settings
 	span := f.span("cold.span", 0)
 	if m.started == 0 || age >= span {
 		return
 	}
-	m.sent = append(m.sent, sent{w.now, w.work(q.group)})
+	m.sent = append(m.sent, sentWork{w.now, w.work(q.group)})
 	sum := 0.0
 	for _, s := range m.sent {
 		if s.at > w.now-f.span("cold.window", 0) {
@@ -327,6 +327,6 @@
 }
 
 func (w *world) report(id string, figures map[string]float64) {
-	w.g.Probed(w.now, id, Finished, figures)
+	w.scheduler.HealthCheckEnded(w.now, id, Finished, figures)
 	w.check()
 }
--- a/internal/simadapter/wire.go
+++ b/internal/simadapter/wire.go
@@ -157,7 +157,7 @@
 		team := c.whole(6) // a place among the teams, absent or 0 where there are none
 		id, rg, budget, tables, mem := c.text(2), c.whole(8), ms(c.num(9)), int64(c.num(4)), c.num(10)
 		if c.err == nil {
-			d.gate.Take(now, id, rg, team, budget, tables, key, work, mem)
+			d.gate.QueryArrived(now, id, rg, team, budget, tables, key, work, mem)
 		}
 	case "heartbeat":
 		x, what := c.num(3), c.whole(4)
@@ -174,7 +174,7 @@
 		}
 		id, try := c.text(2), c.whole(6)
 		if c.err == nil {
-			d.gate.Note(now, id, try, sign, x)
+			d.gate.NoteReceived(now, id, try, sign, x)
 		}
 	case "attempt_end":
 		outcome, ok := outcomes[c.text(5)]
@@ -188,7 +188,7 @@
 		id, try, took, over := c.text(2), c.whole(3), ms(c.num(6)), c.whole(7) == 1
 		report := c.report(9)
 		if c.err == nil {
-			d.gate.Ended(now, id, try, outcome, took, over,
+			d.gate.AttemptEnded(now, id, try, outcome, took, over,
 				time.Duration(note/4096)*time.Millisecond, float64(note%4096*4), report)
 		}
 	case "timed_out_client":
@@ -197,11 +197,11 @@
 		}
 	case "timeout_fired":
 		if tag := c.whole(2); c.err == nil {
-			d.gate.Woken(now, tag)
+			d.gate.TimerFired(now, tag)
 		}
 	case "head_received":
 		if id := c.text(2); c.err == nil {
-			d.gate.Begun(now, id)
+			d.gate.AnswerStarted(now, id)
 		}
 	case "memo":
 		return nil // nothing is ever told to another instance, and none is to be heard
@@ -212,7 +212,7 @@
 		}
 		engine, report := c.text(2), c.report(5)
 		if c.err == nil {
-			d.gate.Probed(now, engine, outcome, report)
+			d.gate.HealthCheckEnded(now, engine, outcome, report)
 		}
 	default:
 		return errors.New("unknown event")
@@ -236,7 +236,7 @@
 	if slot < 0 || slot >= len(d.lists) {
 		return fmt.Errorf("no such list: %d", slot)
 	}
-	d.gate.ListBegins(now, scope != "changes")
+	d.gate.ListStarted(now, scope != "changes")
 	for _, entry := range d.lists[slot] {
 		e := fields{f: entry}
 		state, ok := states[e.text(5)]
@@ -252,9 +252,9 @@
 		if e.err != nil {
 			return e.err
 		}
-		d.gate.ListEngine(id, location, kind, cell, state, started, fresh)
+		d.gate.EngineListed(id, location, kind, cell, state, started, fresh)
 	}
-	d.gate.ListEnds()
+	d.gate.ListEnded()
 	return nil
 }
 
