--- a/internal/bench/planted_build.go
+++ b/internal/bench/planted_build.go
@@ -17,7 +17,7 @@
 
 // overlay is what the go command reads for -overlay: files that stand for others in a build.
 type overlay struct {
-	Replace map[string]string // by the path of what is replaced, both absolute
+	Replace map[string]string `json:"Replace"` // by the path of what is replaced, both absolute
 }
 
 // BuildPlanted builds, into dir, the tests of each planted fault with it, as NAME.test, and
--- a/internal/cli/platform.go
+++ b/internal/cli/platform.go
@@ -16,15 +16,19 @@
 	"railrelay.dev/railrelay/internal/settings"
 )
 
-// given is what the platform's configuration file says.
+// given is what the platform's configuration file says. Its keys are matched in any case;
+// an error names them as they stand here.
 type given struct {
-	Listen, Seed, Feed string
-	Limits             struct {
-		Cores    float64
+	Listen string `json:"Listen"`
+	Seed   string `json:"Seed"`
+	Feed   string `json:"Feed"`
+	Limits struct {
+		Cores    float64 `json:"Cores"`
 		MemoryMB float64 `json:"memory_mb"`
-		Sockets  int
-	}
-	Known, Settings json.RawMessage
+		Sockets  int     `json:"Sockets"`
+	} `json:"Limits"`
+	Known    json.RawMessage `json:"Known"`
+	Settings json.RawMessage `json:"Settings"`
 }
 
 func read(path string) (g given, err error) {
--- a/internal/discovery/list.go
+++ b/internal/discovery/list.go
@@ -51,9 +51,9 @@
 
 // Known hands over the events known at the start.
 func Known(known []byte, h Hearer) error {
-	var all struct {
-		N      int64
-		Events []json.RawMessage
+	var all struct { // an error names these keys; they are matched in any case
+		N      int64             `json:"N"`
+		Events []json.RawMessage `json:"Events"`
 	}
 	if err := json.Unmarshal(known, &all); err != nil {
 		return err
@@ -74,11 +74,11 @@
 		return nil
 	}
 	var event struct {
-		N       *int64
+		N       *int64 `json:"n"`
 		Members *struct {
-			Complete bool
-			Members  []json.RawMessage
-		}
+			Complete bool              `json:"complete"`
+			Members  []json.RawMessage `json:"members"`
+		} `json:"members"`
 	}
 	if err := json.Unmarshal(line, &event); err != nil || event.N == nil {
 		return errForm
@@ -99,12 +99,12 @@
 
 func entry(line []byte, h Hearer) {
 	var e struct {
-		ID       string
-		HostPort string `json:"host_port"`
-		Locality string
-		Flavor   string
-		Cell     int
-		Phase    string
+		ID       string  `json:"id"`
+		HostPort string  `json:"host_port"`
+		Locality string  `json:"locality"`
+		Flavor   string  `json:"flavor"`
+		Cell     int     `json:"cell"`
+		Phase    string  `json:"phase"`
 		Up       float64 `json:"up_since_ms"`
 	}
 	err := json.Unmarshal(line, &e)
--- a/internal/fleet/node/api.go
+++ b/internal/fleet/node/api.go
@@ -98,54 +98,57 @@
 // Message is what passes between controllers. One that is lost, doubled or late does
 // no harm. What a kind doesn't need is left out.
 type Message struct {
-	From, To string
-	Disk     string     `cbor:",omitempty"` // of who sent it
-	Agree    []byte     `cbor:",omitempty"` // for agreement
-	Renew    *Renew     `cbor:",omitempty"`
-	Grant    *Grant     `cbor:",omitempty"`
-	Follow   *Follow    `cbor:",omitempty"`
-	Ask      *fleet.Ask `cbor:",omitempty"` // passed on to who leads; what comes of it is seen in the record
-	Lacks    *Lacks     `cbor:",omitempty"`
-	Gather   *Gather    `cbor:",omitempty"` // a relay's, to the leader
-	Gathered *Gathered  `cbor:",omitempty"` // the leader's answer
+	From     string     `cbor:"From"`
+	To       string     `cbor:"To"`
+	Disk     string     `cbor:"Disk,omitempty"`  // of who sent it
+	Agree    []byte     `cbor:"Agree,omitempty"` // for agreement
+	Renew    *Renew     `cbor:"Renew,omitempty"`
+	Grant    *Grant     `cbor:"Grant,omitempty"`
+	Follow   *Follow    `cbor:"Follow,omitempty"`
+	Ask      *fleet.Ask `cbor:"Ask,omitempty"` // passed on to who leads; what comes of it is seen in the record
+	Lacks    *Lacks     `cbor:"Lacks,omitempty"`
+	Gather   *Gather    `cbor:"Gather,omitempty"`   // a relay's, to the leader
+	Gathered *Gathered  `cbor:"Gathered,omitempty"` // the leader's answer
 }
 
 // Renew asks for a lease and tells how far its sender has come.
 type Renew struct {
-	Member    fleet.Member
-	Boot      uint64
-	Seq       uint64
-	Sent      int64                   // nanoseconds by the sender's clock: given back as it is
-	Applied   uint64                  // of the record
-	Votes     bool                    `cbor:",omitempty"` // agreement brings it the record; one that is named and doesn't know it yet still follows
-	Version   uint64                  // that its reducer decides by, 0: none
-	Ready     map[string]string       `cbor:",omitempty"` // changes that were checked: why not, "" if they can be taken
-	Closed    string                  `cbor:",omitempty"` // the change that it has stopped deciding for
-	Unreached []string                `cbor:",omitempty"` // purges of which nothing comes out here any more
-	Wiped     map[string]fleet.Counts `cbor:",omitempty"`
-	Sites     []string                `cbor:",omitempty"` // that have engines which serve
-	Outside   int                     `cbor:",omitempty"`
+	Member    fleet.Member            `cbor:"Member"`
+	Boot      uint64                  `cbor:"Boot"`
+	Seq       uint64                  `cbor:"Seq"`
+	Sent      int64                   `cbor:"Sent"`                // nanoseconds by the sender's clock: given back as it is
+	Applied   uint64                  `cbor:"Applied"`             // of the record
+	Votes     bool                    `cbor:"Votes,omitempty"`     // agreement brings it the record; one that is named and doesn't know it yet still follows
+	Version   uint64                  `cbor:"Version"`             // that its reducer decides by, 0: none
+	Ready     map[string]string       `cbor:"Ready,omitempty"`     // changes that were checked: why not, "" if they can be taken
+	Closed    string                  `cbor:"Closed,omitempty"`    // the change that it has stopped deciding for
+	Unreached []string                `cbor:"Unreached,omitempty"` // purges of which nothing comes out here any more
+	Wiped     map[string]fleet.Counts `cbor:"Wiped,omitempty"`
+	Sites     []string                `cbor:"Sites,omitempty"` // that have engines which serve
+	Outside   int                     `cbor:"Outside,omitempty"`
 }
 
 // Grant answers a Renew.
 type Grant struct {
-	Seq    uint64
-	Sent   int64
-	Boot   uint64
-	Given  bool
-	Index  uint64              // the lease counts once the record up to here is applied
-	Leader string              // who to ask instead, "": not known
-	Waits  map[string][]string `cbor:",omitempty"` // by run: controllers that are waited for, some of them
-	Why    string              // refused for good: the name or the disk is forgotten, or another's
+	Seq    uint64              `cbor:"Seq"`
+	Sent   int64               `cbor:"Sent"`
+	Boot   uint64              `cbor:"Boot"`
+	Given  bool                `cbor:"Given"`
+	Index  uint64              `cbor:"Index"`           // the lease counts once the record up to here is applied
+	Leader string              `cbor:"Leader"`          // who to ask instead, "": not known
+	Waits  map[string][]string `cbor:"Waits,omitempty"` // by run: controllers that are waited for, some of them
+	Why    string              `cbor:"Why"`             // refused for good: the name or the disk is forgotten, or another's
 }
 
 // Follow brings the record to those who don't vote.
 type Follow struct {
-	Snapshot *consensus.Snapshot `cbor:",omitempty"`
-	Records  []consensus.Record  `cbor:",omitempty"`
-	Decided  uint64
-	Leader   string
+	Snapshot *consensus.Snapshot `cbor:"Snapshot,omitempty"`
+	Records  []consensus.Record  `cbor:"Records,omitempty"`
+	Decided  uint64              `cbor:"Decided"`
+	Leader   string              `cbor:"Leader"`
 }
 
 // Lacks says from where on a follower lacks records.
-type Lacks struct{ From uint64 }
+type Lacks struct {
+	From uint64 `cbor:"From"`
+}
--- a/internal/fleet/node/gather.go
+++ b/internal/fleet/node/gather.go
@@ -11,49 +11,49 @@
 // controllers that ask through it. It asks for a lease for each controller that the
 // relay covers, also for those that it doesn't name because nothing of them changed.
 type Gather struct {
-	Boot uint64 // of the relay's run
-	Seq  uint64 // from 1, within the relay's run
+	Boot uint64 `cbor:"Boot"` // of the relay's run
+	Seq  uint64 `cbor:"Seq"`  // from 1, within the relay's run
 	// Base is the gather that went before: this one tells all that has changed since. A
 	// leader that lacks it asks for everything. 0: this is everything, and replaces what
 	// was told.
-	Base    uint64         `cbor:",omitempty"`
-	Renews  []GatheredFrom `cbor:",omitempty"`
-	Silents []Silent       `cbor:",omitempty"`
+	Base    uint64         `cbor:"Base,omitempty"`
+	Renews  []GatheredFrom `cbor:"Renews,omitempty"`
+	Silents []Silent       `cbor:"Silents,omitempty"`
 }
 
 // GatheredFrom is a controller's last renewal, which is news to the leader.
 type GatheredFrom struct {
-	Name  string
-	Disk  string
-	Renew *Renew
+	Name  string `cbor:"Name"`
+	Disk  string `cbor:"Disk"`
+	Renew *Renew `cbor:"Renew"`
 }
 
 // Silent is a controller that is covered no more: it hasn't asked for a while.
 type Silent struct {
-	Name string
-	Ago  int64 // nanoseconds by the relay's clock since it last asked
+	Name string `cbor:"Name"`
+	Ago  int64  `cbor:"Ago"` // nanoseconds by the relay's clock since it last asked
 }
 
 // Gathered is the leader's answer to a Gather.
 type Gathered struct {
-	Boot   uint64 // as in the Gather
-	Seq    uint64
-	Given  bool   // each controller covered by that gather may be granted its lease
-	Resync bool   // the leader doesn't have the gather's base: all must be told anew
-	Index  uint64 // the leases count once the record up to here is applied
-	Leader string // who to tell instead, "": not known
+	Boot   uint64 `cbor:"Boot"` // as in the Gather
+	Seq    uint64 `cbor:"Seq"`
+	Given  bool   `cbor:"Given"`  // each controller covered by that gather may be granted its lease
+	Resync bool   `cbor:"Resync"` // the leader doesn't have the gather's base: all must be told anew
+	Index  uint64 `cbor:"Index"`  // the leases count once the record up to here is applied
+	Leader string `cbor:"Leader"` // who to tell instead, "": not known
 	// Withheld are covered controllers that must not be granted a lease.
-	Withheld []Withheld `cbor:",omitempty"`
+	Withheld []Withheld `cbor:"Withheld,omitempty"`
 	// Again are covered controllers whose renewal must be told once more: another relay
 	// has told of them since.
-	Again []string            `cbor:",omitempty"`
-	Waits map[string][]string `cbor:",omitempty"` // as in a Grant
+	Again []string            `cbor:"Again,omitempty"`
+	Waits map[string][]string `cbor:"Waits,omitempty"` // as in a Grant
 }
 
 // Withheld is a controller that is given no lease.
 type Withheld struct {
-	Name string
-	Why  string // refused for good; "": it isn't in the record yet
+	Name string `cbor:"Name"`
+	Why  string `cbor:"Why"` // refused for good; "": it isn't in the record yet
 }
 
 // gatherer is a relay's memory of the controllers that ask through it. It grants
--- a/internal/fleet/statemachine/state.go
+++ b/internal/fleet/statemachine/state.go
@@ -25,17 +25,18 @@
 
 // Change is one change of policy.
 type Change struct {
-	ID, By  string
-	Base    uint64
-	Version uint64 // what it makes
-	Policy  []byte
-	Phase   string
-	Why     string
-	AtMost  int64
-	At      uint64 // its place in the record
-	Scopes  []fleet.Scope
-	Voters  []string // none: as before
-	Settled bool     // what it left outside is gone, too
+	ID      string        `cbor:"ID"`
+	By      string        `cbor:"By"`
+	Base    uint64        `cbor:"Base"`
+	Version uint64        `cbor:"Version"` // what it makes
+	Policy  []byte        `cbor:"Policy"`
+	Phase   string        `cbor:"Phase"`
+	Why     string        `cbor:"Why"`
+	AtMost  int64         `cbor:"AtMost"`
+	At      uint64        `cbor:"At"` // its place in the record
+	Scopes  []fleet.Scope `cbor:"Scopes"`
+	Voters  []string      `cbor:"Voters"`  // none: as before
+	Settled bool          `cbor:"Settled"` // what it left outside is gone, too
 }
 
 // Over reports whether nothing more becomes of a change but being settled.
@@ -43,30 +44,31 @@
 
 // Run is one purge.
 type Run struct {
-	ID, By  string
-	Scope   fleet.Scope
-	At      uint64 // its place in the record: what was asked for before it goes
-	Stage   string // "", unreachable, erased
-	Counts  fleet.Counts
-	Settles string // the change or rule that it is part of
+	ID      string       `cbor:"ID"`
+	By      string       `cbor:"By"`
+	Scope   fleet.Scope  `cbor:"Scope"`
+	At      uint64       `cbor:"At"`    // its place in the record: what was asked for before it goes
+	Stage   string       `cbor:"Stage"` // "", unreachable, erased
+	Counts  fleet.Counts `cbor:"Counts"`
+	Settles string       `cbor:"Settles"` // the change or rule that it is part of
 }
 
 // State is what the record has decided so far. The same entries in the same order give
 // the same state, byte for byte.
 type State struct {
-	Index       uint64 // of the last entry applied
-	Version     uint64 // in force, from 1: the set-up's own
-	Policy      []byte // nil: the set-up's own
-	Members     map[string]*fleet.Member
-	Voters      []string // as name=address; none: those of the first start
-	Changes     map[string]*Change
-	Current     string // the change under way
-	Purges      map[string]*Run
-	Bindings    []fleet.Binding
-	Bound       map[string]bool // IDs of Bind entries
-	Emergencies map[string]uint64
-	Seen        uint64 // the last entry that a Picture shows
-	Ended       []string
+	Index       uint64                   `cbor:"Index"`   // of the last entry applied
+	Version     uint64                   `cbor:"Version"` // in force, from 1: the set-up's own
+	Policy      []byte                   `cbor:"Policy"`  // nil: the set-up's own
+	Members     map[string]*fleet.Member `cbor:"Members"`
+	Voters      []string                 `cbor:"Voters"` // as name=address; none: those of the first start
+	Changes     map[string]*Change       `cbor:"Changes"`
+	Current     string                   `cbor:"Current"` // the change under way
+	Purges      map[string]*Run          `cbor:"Purges"`
+	Bindings    []fleet.Binding          `cbor:"Bindings"`
+	Bound       map[string]bool          `cbor:"Bound"` // IDs of Bind entries
+	Emergencies map[string]uint64        `cbor:"Emergencies"`
+	Seen        uint64                   `cbor:"Seen"` // the last entry that a Picture shows
+	Ended       []string                 `cbor:"Ended"`
 
 	forgot string // by the entry that was applied last
 }
--- a/internal/resultstore/recovery.go
+++ b/internal/resultstore/recovery.go
@@ -16,10 +16,10 @@
 const manifestName = "MANIFEST"
 
 type manifest struct {
-	Version  int
-	Next     uint64
-	Starts   uint64 // how often the store was opened
-	Segments []uint64
+	Version  int      `json:"Version"`
+	Next     uint64   `json:"Next"`
+	Starts   uint64   `json:"Starts"` // how often the store was opened
+	Segments []uint64 `json:"Segments"`
 }
 
 // Recovered is what was found at the start.
--- a/internal/spool/token.go
+++ b/internal/spool/token.go
@@ -27,9 +27,9 @@
 
 // Key is one of the keys that tokens are made with.
 type Key struct {
-	ID     uint32
-	Made   int64  // milliseconds since 1970
-	Secret []byte // 32 bytes
+	ID     uint32 `json:"ID"`
+	Made   int64  `json:"Made"`   // milliseconds since 1970
+	Secret []byte `json:"Secret"` // 32 bytes
 }
 
 // Keyring makes tokens with its newest key and takes those of older ones, for as long
