--- /dev/null
+++ b/internal/emulator/feed/encoding_keys_test.go
@@ -0,0 +1,11 @@
+package feed
+
+import (
+	"testing"
+
+	"railrelay.dev/railrelay/internal/goldentest"
+)
+
+func TestKeysAreExplicit(t *testing.T) {
+	goldentest.ExplicitKeys(t, goldentest.JSON, event{})
+}
--- /dev/null
+++ b/internal/emulator/hollow/encoding_keys_test.go
@@ -0,0 +1,11 @@
+package hollow
+
+import (
+	"testing"
+
+	"railrelay.dev/railrelay/internal/goldentest"
+)
+
+func TestKeysAreExplicit(t *testing.T) {
+	goldentest.ExplicitKeys(t, goldentest.JSON, Config{}, Command{}, Event{})
+}
--- a/internal/fleet/consensus/agree.go
+++ b/internal/fleet/consensus/agree.go
@@ -7,7 +7,10 @@
 import "time"
 
 // Voter is one who votes. Its number in messages follows from its name.
-type Voter struct{ Name, Address string }
+type Voter struct {
+	Name    string `cbor:"Name"`
+	Address string `cbor:"Address"`
+}
 
 // Record is one entry of the log.
 type Record struct {
--- /dev/null
+++ b/internal/fleet/consensus/encoding_keys_test.go
@@ -0,0 +1,11 @@
+package consensus
+
+import (
+	"testing"
+
+	"railrelay.dev/railrelay/internal/goldentest"
+)
+
+func TestKeysAreExplicit(t *testing.T) {
+	goldentest.ExplicitKeys(t, goldentest.CBOR, Record{}, Snapshot{}, Voter{}, votersKept{}, passed{})
+}
--- /dev/null
+++ b/internal/fleet/encoding_keys_test.go
@@ -0,0 +1,12 @@
+package fleet
+
+import (
+	"testing"
+
+	"railrelay.dev/railrelay/internal/goldentest"
+)
+
+func TestKeysAreExplicit(t *testing.T) {
+	goldentest.ExplicitKeys(t, goldentest.CBOR, Entry{}, Binding{}, Ask{})
+	goldentest.ExplicitKeys(t, goldentest.JSON, Ask{}, Reply{})
+}
--- /dev/null
+++ b/internal/fleet/node/encoding_keys_test.go
@@ -0,0 +1,11 @@
+package node
+
+import (
+	"testing"
+
+	"railrelay.dev/railrelay/internal/goldentest"
+)
+
+func TestKeysAreExplicit(t *testing.T) {
+	goldentest.ExplicitKeys(t, goldentest.CBOR, Message{})
+}
--- /dev/null
+++ b/internal/fleet/transport/encoding_keys_test.go
@@ -0,0 +1,14 @@
+package transport
+
+import (
+	"testing"
+
+	"railrelay.dev/railrelay/internal/fleet"
+	"railrelay.dev/railrelay/internal/fleet/node"
+	"railrelay.dev/railrelay/internal/goldentest"
+)
+
+func TestKeysAreExplicit(t *testing.T) {
+	goldentest.ExplicitKeys(t, goldentest.CBOR, frame{}, answer{}, asked{}, node.Message{})
+	goldentest.ExplicitKeys(t, goldentest.JSON, fleet.Ask{}, fleet.Reply{})
+}
