--- a/cmd/railrelay-fleet/join.go
+++ b/cmd/railrelay-fleet/join.go
@@ -45,7 +45,7 @@
 	if err != nil {
 		return cli.Joined{}, remedied(err)
 	}
-	means.Fleet = &controller.FleetConfig{Word: &fleet.Word{}, HoldMost: f.Terms().Hold}
+	means.Fleet = &controller.FleetConfig{Word: &fleet.Word{}, MaxHold: f.Terms().Hold}
 	status := func(ctx context.Context) *fleet.Status { return e.Ask(ctx, &fleet.Ask{Kind: "status"}).Status }
 	return cli.Joined{Peers: eventloop.FleetChannels{Orders: e.Orders(), Reports: e.Reports()}, Serve: e.Serve, Again: e.Again, Status: status}, nil
 }
--- a/internal/controller/answers.go
+++ b/internal/controller/answers.go
@@ -12,43 +12,43 @@
 
 // caching answers read-only queries from what others were answered. Without a part of
 // the set-up for it it is nil, and costs nothing.
-type caching struct {
+type resultCaching struct {
 	*Controller
-	core   *resultcache.Cache
-	groups map[string]bool // whose answers are kept
+	core         *resultcache.Cache
+	cachedGroups map[string]bool // whose answers are kept
 }
 
 // memo is what the cache knows of a query.
-type memo struct {
-	ask     *resultcache.Ask // it asks: read-only
-	follows *timerqueue.Item // until when it may follow another
-	goes    func()           // its way, if it has to lead
-	changes bool             // it changes tables, which nothing of is answered until it is over
-	tables  []int64
+type cacheLookup struct {
+	ask         *resultcache.Ask // it asks: read-only
+	followTimer *timerqueue.Item // until when it may follow another
+	proceed     func()           // its way, if it has to lead
+	mutates     bool             // it changes tables, which nothing of is answered until it is over
+	tables      []int64
 }
 
-func newCaching(r *Controller, l *resultcache.Limits) *caching {
+func newResultCaching(r *Controller, l *resultcache.Limits) *resultCaching {
 	core, err := resultcache.New(*l, r.Started.UnixMilli())
 	if err != nil {
 		r.say(true, err.Error())
 		return nil
 	}
-	a := &caching{Controller: r, core: core, groups: map[string]bool{}}
+	a := &resultCaching{Controller: r, core: core, cachedGroups: map[string]bool{}}
 	for _, g := range r.groups {
-		a.groups[g.name] = !g.load && !g.inOrder && g.readOnly && (len(l.Groups) == 0 || slices.Contains(l.Groups, g.name))
+		a.cachedGroups[g.name] = !g.load && !g.inOrder && g.readOnly && (len(l.Groups) == 0 || slices.Contains(l.Groups, g.name))
 	}
 	a.sweep()
 	return a
 }
 
-func (a *caching) sweep() {
+func (a *resultCaching) sweep() {
 	a.after(time.Second, a.sweep)
 	a.core.Sweep(a.now)
 }
 
 // tablesOf are the groups of tables that a statement reads or writes, nil if any of it
 // can't be told.
-func tablesOf(statement []byte) []int64 {
+func allTables(statement []byte) []int64 {
 	read, written, known := msgpackrpc.AllTables(statement)
 	if !known {
 		return nil
@@ -62,36 +62,36 @@
 }
 
 // changing notes a query that changes tables, as soon as it is taken.
-func (a *caching) changing(q *query) {
+func (a *resultCaching) noteMutation(q *query) {
 	if q.group.load || !q.group.readOnly {
 		_, written, known := msgpackrpc.AllTables(q.statement)
 		if !known {
 			written = nil
 		}
-		q.memo = &memo{changes: true, tables: written}
+		q.memo = &cacheLookup{mutates: true, tables: written}
 		a.core.Loading(a.now, written)
 	}
 }
 
 // enters is asked before a query goes its way, which goes is for. False: it doesn't
 // need to, for now.
-func (a *caching) enters(q *query, from From, goes func(From)) bool {
-	if !a.groups[q.group.name] || q.memo != nil || q.kept != nil || a.closing || a.purges.barred() || !a.keeps(q) {
+func (a *resultCaching) lookup(q *query, from From, goes func(From)) bool {
+	if !a.cachedGroups[q.group.name] || q.memo != nil || q.kept != nil || a.closing || a.purges.servingBarred() || !a.keeps(q) {
 		return true
 	}
-	m := &memo{ask: &resultcache.Ask{Team: a.owner(from), Group: q.group.index, Statement: q.statement, Tables: tablesOf(q.statement),
-		Index: a.purges.index(), Until: q.deadline - answerBefore, Of: q}}
+	m := &cacheLookup{ask: &resultcache.Ask{Team: a.dataOwner(from), Group: q.group.index, Statement: q.statement, Tables: allTables(q.statement),
+		Index: a.purges.currentIndex(), Until: q.deadline - answerMargin, Of: q}}
 	verdict, pages := a.core.Ask(a.now, m.ask)
 	switch verdict {
 	case resultcache.Hit:
-		a.purges.serving(func() { a.finished(q, pages) })
-		a.purges.hands(q)
+		a.purges.markRetained(func() { a.finished(q, pages) })
+		a.purges.noteRetainedAnswer(q)
 		return false
 	case resultcache.Follow:
 		from.Fields = from.Fields.Clone() // the call lies in its connection's buffer
 		q.memo = m
-		m.goes = func() { goes(from) }
-		m.follows = a.due.Add(max(a.now, m.ask.Until), func() { a.deferred(q, 0) })
+		m.proceed = func() { goes(from) }
+		m.followTimer = a.due.Add(max(a.now, m.ask.Until), func() { a.deferred(q, 0) })
 		return false
 	case resultcache.Lead:
 		q.memo = m
@@ -101,11 +101,11 @@
 
 // answerBefore is before the queue timeout of one that follows: that it is deferred
 // has to reach its client in time.
-const answerBefore = 10 * time.Millisecond
+const answerMargin = 10 * time.Millisecond
 
 // done: a query is about to be answered by what its engine told. It names who is
 // answered by it, too.
-func (a *caching) done(q *query, pages [][]byte) (others []*query) {
+func (a *resultCaching) takeFollowers(q *query, pages [][]byte) (others []*query) {
 	if q.memo == nil || q.memo.ask == nil {
 		return nil
 	}
@@ -116,53 +116,53 @@
 }
 
 // answered: no answer is owed any more, whether it led, followed or neither.
-func (a *caching) answered(q *query) {
+func (a *resultCaching) queryAnswered(q *query) {
 	if q.memo == nil || q.memo.ask == nil {
 		return
 	}
-	a.due.Drop(q.memo.follows)
-	a.leads(a.core.Left(a.now, q.memo.ask))
+	a.due.Drop(q.memo.followTimer)
+	a.promote(a.core.Left(a.now, q.memo.ask))
 }
 
 // over: nothing of a query is out any more.
-func (a *caching) over(q *query) {
-	if q.memo != nil && q.memo.changes {
+func (a *resultCaching) queryOver(q *query) {
+	if q.memo != nil && q.memo.mutates {
 		a.core.Loaded(a.now, q.memo.tables)
 	}
 }
 
 // leads has one that followed go its way.
-func (a *caching) leads(next *resultcache.Ask) {
+func (a *resultCaching) promote(next *resultcache.Ask) {
 	if next == nil {
 		return
 	}
 	q := next.Of.(*query)
-	a.due.Drop(q.memo.follows)
+	a.due.Drop(q.memo.followTimer)
 	a.soon(func() {
 		if !q.answered {
-			q.memo.goes()
+			q.memo.proceed()
 		}
 	})
 }
 
 // hand answers those who followed with what another was answered.
-func (a *caching) hand(others []*query, pages [][]byte) {
+func (a *resultCaching) answerFollowers(others []*query, pages [][]byte) {
 	for _, o := range others {
-		if a.purges.barred() {
-			a.deferred(o, a.warrant.pause())
+		if a.purges.servingBarred() {
+			a.deferred(o, a.warrant.retryAfter())
 			continue
 		}
 		if a.close(o, fairqueue.Finished) {
 			a.tally.finished++
-			a.purges.serving(func() { o.asker.finished(pages) })
-			a.purges.hands(o)
+			a.purges.markRetained(func() { o.asker.finished(pages) })
+			a.purges.noteRetainedAnswer(o)
 		}
 	}
 }
 
 // Answers is what the cache holds and counts, nil without one. It is for reports,
 // between two steps.
-func (r *Controller) Answers() *resultcache.Cache {
+func (r *Controller) ResultCache() *resultcache.Cache {
 	if r.caching == nil {
 		return nil
 	}
--- a/internal/controller/client.go
+++ b/internal/controller/client.go
@@ -280,7 +280,7 @@
 
 func (c *client) Alive(msg uint32) {
 	c.tally.alive++
-	c.answer(msgpackrpc.Alive(nil, msg, c.feed.listed && (c.warrant == nil || c.warrant.ready())))
+	c.answer(msgpackrpc.Alive(nil, msg, c.feed.listed && (c.warrant == nil || c.warrant.acceptsQueries())))
 }
 
 func (c *client) Left(msg uint32) {
--- a/internal/controller/feed.go
+++ b/internal/controller/feed.go
@@ -206,7 +206,7 @@
 		r.fair.cores()
 	}
 	if r.warrant != nil {
-		r.warrant.listed()
+		r.warrant.endpointsChanged()
 	}
 }
 
--- a/internal/controller/fleet.go
+++ b/internal/controller/fleet.go
@@ -19,30 +19,30 @@
 	Word *fleet.Word
 	// HoldMost is the longest that a query is held while this controller may not
 	// decide, before it is deferred. 0: holdMost.
-	HoldMost time.Duration
+	MaxHold time.Duration
 	// Back is the time to come back that is named to those, where one may be
 	// named, and within the longest that clients follow. 0: backAfter.
-	Back time.Duration
+	RetryAfter time.Duration
 	// Bound tells whether a query of a team, over a group of tables (-1: not
 	// known), needs the lease of bound teams. nil: none does.
 	Bound func(team string, tables int64) bool
 }
 
 const (
-	holdMost  = 2 * time.Second
-	backAfter = time.Second
+	defaultMaxHold    = 2 * time.Second
+	defaultRetryAfter = time.Second
 	// heldMost bounds the queries held before they were judged at all; more are
 	// deferred at once. Their statements are bounded with all others' in hand, and
 	// their calls' further fields by the same figure.
-	heldMost = 8192
+	maxHeldQueries = 8192
 	// answerBy is before the queue timeout of one that is held: its answer has to
 	// reach its client in time.
-	answerBy = 10 * time.Millisecond
+	heldAnswerMargin = 10 * time.Millisecond
 	// idleEvery is how often it is looked whether what was being written is out.
-	idleEvery = time.Millisecond
+	writesIdlePollInterval = time.Millisecond
 	// untoldEvery is how often what the fleet had no room for is told again.
-	untoldEvery = 10 * time.Millisecond
-	sitesEvery  = time.Second
+	reportRetryInterval = 10 * time.Millisecond
+	sitesReportInterval = time.Second
 )
 
 // Policy is what of the set-up the whole fleet shares, as an Open order brings it.
@@ -58,131 +58,131 @@
 }
 
 // purging has what is kept of a team go. Without one a purge finds nothing.
-type purging interface {
+type invalidator interface {
 	// drop: nothing in scope that was asked for before index comes out any more;
 	// Unreached and then Wiped are reported once that is so.
-	drop(id string, scope *fleet.Scope, index uint64)
+	invalidate(id string, scope *fleet.Scope, index uint64)
 	// answered: what was asked of the fleet by a Wanted came to this. False: it
 	// wasn't asked for here.
-	answered(id string, reply *fleet.Reply) bool
+	fleetAnswered(id string, reply *fleet.Reply) bool
 }
 
 // warrant is this controller's part in the fleet as far as its queries go: by which
 // version they are decided, and what is held while they may not be. Without peers
 // it is nil, and costs nothing.
-type warrant struct {
+type servingLease struct {
 	*Controller
 	FleetConfig
-	purging purging // nil: nothing is kept of teams
-	placing *placement
-	picture *fleet.Picture
-
-	version uint64           // last opened
-	shutFor string           // the change that it is shut for, until that is told
-	since   [2]time.Duration // since when nothing may be decided, and nothing of bound teams; -1: it may
-	ends    *timerqueue.Item // the lease
-	lapses  *timerqueue.Item // what is held too long is given up
-	held    []*unjudged      // in the order in which they came
-	waiting int              // of those, how many are still to be answered
-	fields  int              // bytes of theirs
-	parked  []*submission    // chosen by the decisions and not let go
-	untold  []fleet.Report   // the fleet had no room. As many as orders are under way at the most
-	retells bool             // they are about to be told again
-	sites   []string         // last told
+	invalidator invalidator // nil: nothing is kept of teams
+	residency   *residencyState
+	fleetView   *fleet.Picture
+
+	policyVersion        uint64              // last opened
+	fencingChange        string              // the change that it is shut for, until that is told
+	pausedSince          [2]time.Duration    // since when nothing may be decided, and nothing of bound teams; -1: it may
+	leaseTimer           *timerqueue.Item    // the lease
+	holdTimer            *timerqueue.Item    // what is held too long is given up
+	heldQueries          []*pendingAdmission // in the order in which they came
+	heldCount            int                 // of those, how many are still to be answered
+	heldFieldBytes       int                 // bytes of theirs
+	blockedAttempts      []*submission       // chosen by the decisions and not let go
+	unsentReports        []fleet.Report      // the fleet had no room. As many as orders are under way at the most
+	reportRetryScheduled bool                // they are about to be told again
+	reportedSites        []string            // last told
 
 	// counts
-	holds, deferredFor, refusedWrites, switches int
-	longest                                     time.Duration
+	heldTotal, deferredHeld, rejectedWrites, policySwitches int
+	longestHold                                             time.Duration
 }
 
 // unjudged is a query that came while nothing might be decided.
-type unjudged struct {
+type pendingAdmission struct {
 	q    *query
 	from From
 }
 
-func newWarrant(r *Controller, f *FleetConfig) *warrant {
-	w := &warrant{Controller: r, FleetConfig: *f, picture: &fleet.Picture{}, since: [2]time.Duration{-1, -1}}
-	w.HoldMost, w.Back = cmp.Or(w.HoldMost, holdMost), cmp.Or(w.Back, backAfter)
-	w.placing = newPlacement(w)
-	w.look()
-	w.tellSites()
+func newServingLease(r *Controller, f *FleetConfig) *servingLease {
+	w := &servingLease{Controller: r, FleetConfig: *f, fleetView: &fleet.Picture{}, pausedSince: [2]time.Duration{-1, -1}}
+	w.MaxHold, w.RetryAfter = cmp.Or(w.MaxHold, defaultMaxHold), cmp.Or(w.RetryAfter, defaultRetryAfter)
+	w.residency = newResidencyState(w)
+	w.updateServing()
+	w.reportSitesPeriodically()
 	return w
 }
 
 // may is the version to decide by, 0 if nothing may be decided.
-func (w *warrant) may(bound bool) uint64 { return w.Word.May(w.now, bound) }
+func (w *servingLease) servingVersion(bound bool) uint64 { return w.Word.May(w.now, bound) }
 
 // ordered does what the fleet orders, in the order in which the record has it.
-func (w *warrant) ordered(o *fleet.Order) {
+func (w *servingLease) handleFleetOrder(o *fleet.Order) {
 	switch o.Kind {
 	case fleet.Shut:
 		w.Word.Set(0)
-		w.shutFor = o.Change
-		w.look()
-		w.shutting()
+		w.fencingChange = o.Change
+		w.updateServing()
+		w.reportFencedOnceIdle()
 	case fleet.Open:
-		w.open(o)
+		w.openPolicy(o)
 	case fleet.Renewed:
 		w.Word.Lease(o.Until, o.UntilBound)
-		w.watchLease()
-		w.look()
+		w.scheduleLeaseCheck()
+		w.updateServing()
 	case fleet.Drop:
-		if w.purging != nil {
-			w.purging.drop(o.ID, o.Scope, o.Index)
+		if w.invalidator != nil {
+			w.invalidator.invalidate(o.ID, o.Scope, o.Index)
 			return
 		}
 		w.report(fleet.Report{Kind: fleet.Unreached, ID: o.ID})
 		w.report(fleet.Report{Kind: fleet.Wiped, ID: o.ID})
 	case fleet.Pictured:
-		if w.paging != nil && w.picture.Index == 0 { // the first of this run
+		if w.paging != nil && w.fleetView.Index == 0 { // the first of this run
 			w.paging.core.Recorded(o.Picture.Index)
 		}
-		w.picture = o.Picture
-		w.placing.pictured(o.Picture)
+		w.fleetView = o.Picture
+		w.residency.viewChanged(o.Picture)
 	case fleet.Answered:
 		// both, whatever the first says: a client may ask for any id, a binding's too
-		w.placing.answered(o.ID, o.Reply)
-		if w.purging != nil {
-			w.purging.answered(o.ID, o.Reply)
+		w.residency.fleetAnswered(o.ID, o.Reply)
+		if w.invalidator != nil {
+			w.invalidator.fleetAnswered(o.ID, o.Reply)
 		}
 	}
 }
 
 // shutting tells that it is shut once nothing is being written. What is written later,
 // though it was asked for before, asks the word first and is refused.
-func (w *warrant) shutting() {
+func (w *servingLease) reportFencedOnceIdle() {
 	switch {
-	case w.shutFor == "":
+	case w.fencingChange == "":
 	case !w.Word.Idle():
-		w.after(idleEvery, w.shutting)
+		w.after(writesIdlePollInterval, w.reportFencedOnceIdle)
 	default:
-		w.report(fleet.Report{Kind: fleet.Closed, Change: w.shutFor})
-		w.shutFor = ""
+		w.report(fleet.Report{Kind: fleet.Closed, Change: w.fencingChange})
+		w.fencingChange = ""
 	}
 }
 
 // open takes a version over before anything is decided by it. The one it had is
 // opened again where a change was withdrawn.
-func (w *warrant) open(o *fleet.Order) {
-	w.shutFor = ""
-	if o.Version != w.version {
-		if w.version != 0 {
-			w.switches++
+func (w *servingLease) openPolicy(o *fleet.Order) {
+	w.fencingChange = ""
+	if o.Version != w.policyVersion {
+		if w.policyVersion != 0 {
+			w.policySwitches++
 		}
-		w.version = o.Version
+		w.policyVersion = o.Version
 		if p, ok := o.Policy.(*Policy); ok && p != nil {
-			w.takeOver(p)
+			w.applyPolicy(p)
 		}
 	}
 	w.Word.Set(o.Version)
-	w.report(fleet.Report{Kind: fleet.Opened, Version: o.Version, Outside: w.placing.outside()})
-	w.look()
+	w.report(fleet.Report{Kind: fleet.Opened, Version: o.Version, Outside: w.residency.countOutside()})
+	w.updateServing()
 }
 
-func (w *warrant) takeOver(p *Policy) {
+func (w *servingLease) applyPolicy(p *Policy) {
 	if p.Facts != nil {
-		w.retell(p.Facts)
+		w.applyFleetSettings(p.Facts)
 	}
 	switch {
 	case w.fair == nil:
@@ -191,11 +191,11 @@
 	case p.Facts != nil:
 		w.fair.reload(w.fair.shape) // its lanes are the groups
 	}
-	w.placing.opened(p)
+	w.residency.policyOpened(p)
 }
 
 // shared tells whether a setting is the fleet's to change while it runs.
-func shared(name string) bool {
+func isFleetSetting(name string) bool {
 	group, isGroup := strings.CutPrefix(name, "group.")
 	_, what, _ := strings.Cut(group, ".")
 	return isGroup && slices.Contains([]string{"value", "target", "timeout", "stretch", "late-share"}, what) ||
@@ -203,11 +203,11 @@
 }
 
 // retell takes over other limits of groups and other shares of customers.
-func (r *Controller) retell(facts map[string]string) {
+func (r *Controller) applyFleetSettings(facts map[string]string) {
 	next := maps.Clone(r.Facts)
-	maps.DeleteFunc(next, func(name, _ string) bool { return shared(name) })
+	maps.DeleteFunc(next, func(name, _ string) bool { return isFleetSetting(name) })
 	for name, value := range facts {
-		if shared(name) {
+		if isFleetSetting(name) {
 			next[name] = value
 		}
 	}
@@ -221,131 +221,131 @@
 }
 
 // watchLease looks again when the lease ends, if nothing else has by then.
-func (w *warrant) watchLease() {
-	w.due.Drop(w.ends)
-	w.ends = nil
+func (w *servingLease) scheduleLeaseCheck() {
+	w.due.Drop(w.leaseTimer)
+	w.leaseTimer = nil
 	until, bound := w.Word.Until()
 	if bound > w.now {
 		until = min(until, bound)
 	}
 	if until > w.now && until < fleet.Forever {
-		w.ends = w.due.Add(until, func() {
-			w.look()
-			w.watchLease()
+		w.leaseTimer = w.due.Add(until, func() {
+			w.updateServing()
+			w.scheduleLeaseCheck()
 		})
 	}
 }
 
 // look notes whether anything may be decided now, and by that holds what there is
 // or lets it go. It is asked before every event: a lease ends without one.
-func (w *warrant) look() {
+func (w *servingLease) updateServing() {
 	opened, shut := false, false
-	for i := range w.since {
-		switch may := w.may(i == 1) != 0; {
-		case !may && w.since[i] < 0:
-			w.since[i], shut = w.now, true
+	for i := range w.pausedSince {
+		switch may := w.servingVersion(i == 1) != 0; {
+		case !may && w.pausedSince[i] < 0:
+			w.pausedSince[i], shut = w.now, true
 			if i == 0 {
 				w.gate.SetPaused(w.now, true)
 			}
-		case may && w.since[i] >= 0:
-			w.since[i], opened = -1, true
+		case may && w.pausedSince[i] >= 0:
+			w.pausedSince[i], opened = -1, true
 		}
 	}
 	if opened || shut {
-		w.lapseLater()
+		w.scheduleHoldExpiry()
 	}
 	if opened {
-		w.release()
+		w.releaseHeld()
 	}
 }
 
 // stands: nothing may be decided, whoever asks.
-func (w *warrant) stands() bool { return w.since[0] >= 0 }
+func (w *servingLease) paused() bool { return w.pausedSince[0] >= 0 }
 
 // ready: it takes queries and has them answered. A switch lasts a moment, and is no
 // reason for clients to go elsewhere; a lease that is gone is.
-func (w *warrant) ready() bool {
+func (w *servingLease) acceptsQueries() bool {
 	until, _ := w.Word.Until()
-	return !w.stands() || w.version != 0 && w.now < until && w.now-w.since[0] < w.HoldMost
+	return !w.paused() || w.policyVersion != 0 && w.now < until && w.now-w.pausedSince[0] < w.MaxHold
 }
 
 // enters is where every query passes that has come. One that can't be judged now
 // is kept as it is, and judged by the version that it is let go by.
-func (w *warrant) enters(q *query, from From) bool {
-	q.bound = w.placing.binds(q, from) || w.Bound != nil && w.Bound(q.place.team, q.tables)
-	if w.may(q.bound) == 0 || q.key != nil && w.behind(q.key) {
+func (w *servingLease) admit(q *query, from From) bool {
+	q.bound = w.residency.isBound(q, from) || w.Bound != nil && w.Bound(q.place.tenant, q.tables)
+	if w.servingVersion(q.bound) == 0 || q.key != nil && w.heldBehindKey(q.key) {
 		w.hold(q, from)
 		return false
 	}
-	return w.placing.enters(q, from)
+	return w.residency.checkAdmission(q, from)
 }
 
 // whose is the team of a call, or the customer where there are no teams.
-func (w *warrant) whose(q *query, from From) string {
+func (w *servingLease) residencyTenantOf(q *query, from From) string {
 	if w.fair == nil && q.customer >= 0 && q.customer < len(w.customers) {
 		return w.customers[q.customer]
 	}
-	return w.teamOf(from)
+	return w.tenantOf(from)
 }
 
 // behind: one of its key is held, and mustn't be overtaken by it.
-func (w *warrant) behind(k *key) bool {
-	return w.waiting > 0 && slices.ContainsFunc(w.held, func(h *unjudged) bool { return h.q.waits && h.q.key == k })
+func (w *servingLease) heldBehindKey(k *orderKey) bool {
+	return w.heldCount > 0 && slices.ContainsFunc(w.heldQueries, func(h *pendingAdmission) bool { return h.q.waits && h.q.key == k })
 }
 
-func (w *warrant) hold(q *query, from From) {
-	if len(w.held) > 2*w.waiting+64 || w.fields > w.inHandMost {
-		w.held = slices.DeleteFunc(w.held, func(h *unjudged) bool { return !h.q.waits })
-		w.fields = 0
-		for _, h := range w.held {
-			w.fields += h.from.Fields.Size()
+func (w *servingLease) hold(q *query, from From) {
+	if len(w.heldQueries) > 2*w.heldCount+64 || w.heldFieldBytes > w.inHandMost {
+		w.heldQueries = slices.DeleteFunc(w.heldQueries, func(h *pendingAdmission) bool { return !h.q.waits })
+		w.heldFieldBytes = 0
+		for _, h := range w.heldQueries {
+			w.heldFieldBytes += h.from.Fields.Size()
 		}
 	}
-	if w.waiting >= heldMost || w.fields > w.inHandMost {
-		w.putOff(q)
+	if w.heldCount >= maxHeldQueries || w.heldFieldBytes > w.inHandMost {
+		w.deferUnsent(q)
 		return
 	}
-	w.holds++
+	w.heldTotal++
 	q.waits = true
-	w.waiting++
+	w.heldCount++
 	from.Fields = from.Fields.Clone() // the call lies in its connection's buffer
-	w.fields += from.Fields.Size()
-	w.held = append(w.held, &unjudged{q, from})
-	q.latest = w.due.Add(min(q.takenAt+w.HoldMost, q.deadline-answerBy), func() {
+	w.heldFieldBytes += from.Fields.Size()
+	w.heldQueries = append(w.heldQueries, &pendingAdmission{q, from})
+	q.latest = w.due.Add(min(q.takenAt+w.MaxHold, q.deadline-heldAnswerMargin), func() {
 		if q.waits {
-			w.putOff(q)
+			w.deferUnsent(q)
 		}
 	})
 }
 
 // unheld: it is held no more, whatever becomes of it.
-func (w *warrant) unheld(q *query) {
+func (w *servingLease) endHold(q *query) {
 	q.waits = false
-	w.waiting--
-	w.longest = max(w.longest, w.now-q.takenAt)
+	w.heldCount--
+	w.longestHold = max(w.longestHold, w.now-q.takenAt)
 	w.due.Drop(q.latest)
 	q.latest = nil
 }
 
 // release lets go what may be decided again: first what the decisions had chosen
 // for, then what they hold, then what came since.
-func (w *warrant) release() {
-	parked := w.parked
-	w.parked = nil
+func (w *servingLease) releaseHeld() {
+	parked := w.blockedAttempts
+	w.blockedAttempts = nil
 	for _, s := range parked {
 		s.start() // which is parked again if it is of a bound team, and those still may not
 	}
-	if !w.stands() {
+	if !w.paused() {
 		w.gate.SetPaused(w.now, false)
 	}
-	all := w.held
-	w.held, w.fields = nil, 0
+	all := w.heldQueries
+	w.heldQueries, w.heldFieldBytes = nil, 0
 	for _, h := range all {
 		if !h.q.waits {
 			continue
 		}
 		q := h.q
-		w.unheld(q)
+		w.endHold(q)
 		q.customer = w.customer(h.from)
 		if q.group.timeout > 0 && q.deadline-q.takenAt > q.group.timeout {
 			w.killed(q, "no such patience")
@@ -357,13 +357,13 @@
 
 // lets tells whether a submission may go now. One that may not waits; one whose engine
 // was chosen before what is in force now goes back to the decisions if that bars it.
-func (w *warrant) lets(s *submission) bool {
-	by := w.may(s.q.bound)
+func (w *servingLease) permitSend(s *submission) bool {
+	by := w.servingVersion(s.q.bound)
 	switch {
 	case by == 0:
-		w.parked = append(w.parked, s)
+		w.blockedAttempts = append(w.blockedAttempts, s)
 		return false
-	case !w.placing.allows(s.q, s.e):
+	case !w.residency.allowsSend(s.q, s.e):
 		s.end(scheduler.NeverSent)
 		return false
 	}
@@ -372,62 +372,62 @@
 }
 
 // lapseLater has what is held given up when it has been held for too long.
-func (w *warrant) lapseLater() {
-	w.due.Drop(w.lapses)
-	w.lapses = nil
+func (w *servingLease) scheduleHoldExpiry() {
+	w.due.Drop(w.holdTimer)
+	w.holdTimer = nil
 	at := fleet.Forever
-	for _, since := range w.since {
+	for _, since := range w.pausedSince {
 		if since >= 0 {
-			at = min(at, max(since+w.HoldMost, w.now+w.HoldMost/4))
+			at = min(at, max(since+w.MaxHold, w.now+w.MaxHold/4))
 		}
 	}
 	if at < fleet.Forever {
-		w.lapses = w.due.Add(at, w.lapse)
+		w.holdTimer = w.due.Add(at, w.expireHeld)
 	}
 }
 
 // lapse gives up what waits for its turn, with the decisions, or with its engine
 // chosen. Nothing of it was sent, or what was sent is proven never to have run.
-func (w *warrant) lapse() {
+func (w *servingLease) expireHeld() {
 	long := func(q *query) bool {
-		since := w.since[0]
+		since := w.pausedSince[0]
 		if q.bound {
-			since = w.since[1]
+			since = w.pausedSince[1]
 		}
-		return since >= 0 && w.now-since >= w.HoldMost
+		return since >= 0 && w.now-since >= w.MaxHold
 	}
-	for _, s := range w.parked {
-		if !s.ended && long(s.q) && s.q.mayRun() {
+	for _, s := range w.blockedAttempts {
+		if !s.ended && long(s.q) && s.q.mayHaveRun() {
 			w.withdraw(s, scheduler.NeverSent)
 		}
 	}
-	w.parked = slices.DeleteFunc(w.parked, func(s *submission) bool { return s.ended })
+	w.blockedAttempts = slices.DeleteFunc(w.blockedAttempts, func(s *submission) bool { return s.ended })
 	var late []*query
 	for _, q := range w.queries {
-		if !q.answered && !q.waits && long(q) && !q.mayRun() {
+		if !q.answered && !q.waits && long(q) && !q.mayHaveRun() {
 			late = append(late, q)
 		}
 	}
 	slices.SortFunc(late, func(a, b *query) int { return cmp.Or(cmp.Compare(a.takenAt, b.takenAt), strings.Compare(a.id, b.id)) })
 	for _, q := range late {
-		w.putOff(q)
+		w.deferUnsent(q)
 	}
-	w.lapseLater()
+	w.scheduleHoldExpiry()
 }
 
 // mayRun: something of it was sent and isn't proven never to have run.
-func (q *query) mayRun() bool {
+func (q *query) mayHaveRun() bool {
 	return slices.ContainsFunc(q.subs, func(s *submission) bool {
 		return s.sent && !(s.certain && s.outcome.NeverRan())
 	})
 }
 
 // putOff defers a query of which nothing has run.
-func (w *warrant) putOff(q *query) {
-	w.deferredFor++
+func (w *servingLease) deferUnsent(q *query) {
+	w.deferredHeld++
 	w.sayOf(q.about(), "deferred: this controller may not decide now")
 	subs := q.subs
-	w.deferred(q, w.pause())
+	w.deferred(q, w.retryAfter())
 	w.soon(func() { w.gate.QueryDropped(w.now, q.id) })
 	for _, s := range subs {
 		if !s.sent {
@@ -437,44 +437,44 @@
 }
 
 // pause is the time to come back that may be named.
-func (w *warrant) pause() time.Duration {
+func (w *servingLease) retryAfter() time.Duration {
 	if w.Facts["may.name-return"] != "true" {
 		return 0
 	}
-	return min(w.Back, w.span("return.most"))
+	return min(w.RetryAfter, w.span("return.most"))
 }
 
 // shutDown gives up what is held: the program ends.
-func (w *warrant) shutDown() {
-	for _, h := range w.held {
+func (w *servingLease) deferAllHeld() {
+	for _, h := range w.heldQueries {
 		if h.q.waits {
-			w.putOff(h.q)
+			w.deferUnsent(h.q)
 		}
 	}
-	w.held, w.fields = nil, 0
+	w.heldQueries, w.heldFieldBytes = nil, 0
 }
 
 // report tells the fleet's side something, after all that it wasn't told yet.
-func (w *warrant) report(p fleet.Report) {
+func (w *servingLease) report(p fleet.Report) {
 	switch {
-	case len(w.untold) == 0:
+	case len(w.unsentReports) == 0:
 		w.do(Effect{Kind: ReportToFleet, Report: &p})
 	case p.Kind != fleet.Sites: // those come again
-		w.untold = append(w.untold, p)
+		w.unsentReports = append(w.unsentReports, p)
 	}
 }
 
 // noRoom: a report found none, and is told again.
-func (w *warrant) noRoom(p *fleet.Report) {
+func (w *servingLease) reportRejected(p *fleet.Report) {
 	if p.Kind == fleet.Sites {
 		return
 	}
-	w.untold = append(w.untold, *p)
-	if !w.retells {
-		w.retells = true
-		w.after(untoldEvery, func() {
-			l := w.untold
-			w.untold, w.retells = nil, false
+	w.unsentReports = append(w.unsentReports, *p)
+	if !w.reportRetryScheduled {
+		w.reportRetryScheduled = true
+		w.after(reportRetryInterval, func() {
+			l := w.unsentReports
+			w.unsentReports, w.reportRetryScheduled = nil, false
 			for _, p := range l {
 				w.report(p)
 			}
@@ -483,26 +483,26 @@
 }
 
 // tellSites tells each second where there are engines that serve.
-func (w *warrant) tellSites() {
-	w.after(sitesEvery, w.tellSites)
-	w.sites = w.serving()
-	w.tellOf(w.sites)
+func (w *servingLease) reportSitesPeriodically() {
+	w.after(sitesReportInterval, w.reportSitesPeriodically)
+	w.reportedSites = w.servingSites()
+	w.reportSites(w.reportedSites)
 }
 
 // listed: the list has changed, and perhaps which sites serve.
-func (w *warrant) listed() {
-	if l := w.serving(); !slices.Equal(l, w.sites) {
-		w.sites = l
-		w.tellOf(l)
+func (w *servingLease) endpointsChanged() {
+	if l := w.servingSites(); !slices.Equal(l, w.reportedSites) {
+		w.reportedSites = l
+		w.reportSites(l)
 	}
 }
 
-func (w *warrant) tellOf(sites []string) {
-	w.report(fleet.Report{Kind: fleet.Sites, Sites: sites, Outside: w.placing.outside()})
+func (w *servingLease) reportSites(sites []string) {
+	w.report(fleet.Report{Kind: fleet.Sites, Sites: sites, Outside: w.residency.countOutside()})
 }
 
 // serving are the locations that have engines which take queries, by the list.
-func (w *warrant) serving() (l []string) {
+func (w *servingLease) servingSites() (l []string) {
 	has := map[int]bool{}
 	for _, e := range w.engines {
 		if e.state == scheduler.EngineActive {
@@ -517,7 +517,7 @@
 	return l
 }
 
-func (w *warrant) text() string {
+func (w *servingLease) text() string {
 	return fmt.Sprintf("; fleet version %d switches %d, held %d in all %d longest s %.3f deferred for want of a lease %d, writes refused %d",
-		w.may(false), w.switches, w.waiting, w.holds, w.longest.Seconds(), w.deferredFor, w.refusedWrites) + w.placing.text()
+		w.servingVersion(false), w.policySwitches, w.heldCount, w.heldTotal, w.longestHold.Seconds(), w.deferredHeld, w.rejectedWrites) + w.residency.text()
 }
--- a/internal/controller/fleet_test.go
+++ b/internal/controller/fleet_test.go
@@ -57,15 +57,15 @@
 	gone := s.query(c, "lookup", "", 5*time.Second, 1)
 	s.leave(gone)
 	s.until(time.Second)
-	if len(first.subs) > 0 || s.r.warrant.waiting != 2 || s.r.warrant.may(false) != 0 {
-		t.Fatalf("%d sent, %d held", len(first.subs), s.r.warrant.waiting)
+	if len(first.subs) > 0 || s.r.warrant.heldCount != 2 || s.r.warrant.servingVersion(false) != 0 {
+		t.Fatalf("%d sent, %d held", len(first.subs), s.r.warrant.heldCount)
 	}
 	s.opens(1, time.Minute)
 	s.reply(s.one("POST", first.id), "ok")
 	s.reply(s.one("POST", next.id), "ok") // posted checks their order
 	s.until(s.now + 100*time.Millisecond)
-	if first.answer != "finished" || next.answer != "finished" || s.r.warrant.longest != time.Second {
-		t.Fatal(first.answer, next.answer, s.r.warrant.longest)
+	if first.answer != "finished" || next.answer != "finished" || s.r.warrant.longestHold != time.Second {
+		t.Fatal(first.answer, next.answer, s.r.warrant.longestHold)
 	}
 	if s.told(fleet.Opened) != 1 || s.told(fleet.Sites) < 2 || !slices.Equal(s.reports[0].Sites, []string{"here"}) {
 		t.Fatalf("%+v", s.reports)
@@ -82,13 +82,13 @@
 	if short.answer != "deferred" || long.answer != "" {
 		t.Fatal(short.answer, long.answer)
 	}
-	s.until(holdMost + time.Millisecond)
-	if long.answer != "deferred" || s.r.warrant.deferredFor != 2 || len(s.r.queries) > 0 {
-		t.Fatal(long.answer, s.r.warrant.deferredFor)
+	s.until(defaultMaxHold + time.Millisecond)
+	if long.answer != "deferred" || s.r.warrant.deferredHeld != 2 || len(s.r.queries) > 0 {
+		t.Fatal(long.answer, s.r.warrant.deferredHeld)
 	}
-	s.r.warrant.waiting = heldMost
+	s.r.warrant.heldCount = maxHeldQueries
 	over := s.query(c, "lookup", "", 9*time.Second, 1)
-	s.r.warrant.waiting = 0
+	s.r.warrant.heldCount = 0
 	if over.answer != "deferred" || len(s.written) > 0 {
 		t.Fatal(over.answer)
 	}
@@ -112,7 +112,7 @@
 	if len(behind.subs)+len(chosen.subs) > 0 {
 		t.Fatal("sent without a lease")
 	}
-	s.until(100*time.Millisecond + holdMost + 10*time.Millisecond)
+	s.until(100*time.Millisecond + defaultMaxHold + 10*time.Millisecond)
 	if runs.answer != "" || behind.answer != "deferred" || chosen.answer != "deferred" {
 		t.Fatal(runs.answer, behind.answer, chosen.answer)
 	}
@@ -131,14 +131,14 @@
 	s.stopped = time.Minute
 	a := s.query(s.connect(), "load", "k", 9*time.Second, 1)
 	s.until(50 * time.Millisecond)
-	if len(a.subs) > 0 || s.r.warrant.refusedWrites == 0 || s.r.tally.ends[7] == 0 {
-		t.Fatalf("%d sent, %d refused, %v", len(a.subs), s.r.warrant.refusedWrites, s.r.tally.ends)
+	if len(a.subs) > 0 || s.r.warrant.rejectedWrites == 0 || s.r.tally.ends[7] == 0 {
+		t.Fatalf("%d sent, %d refused, %v", len(a.subs), s.r.warrant.rejectedWrites, s.r.tally.ends)
 	}
 	s = withPeers(t, 1, nil)
 	s.opens(1, 10*time.Second)
 	a = s.query(s.connect(), "load", "k", 9*time.Second, 1)
 	s.stopped = time.Minute
-	for s.r.warrant.refusedWrites == 0 {
+	for s.r.warrant.rejectedWrites == 0 {
 		s.until(s.now + time.Millisecond)
 	}
 	s.stopped = 0
@@ -178,7 +178,7 @@
 	if g := s.r.groups["lookup"]; b.answer != "killed" || g.value != 9 || g.threads != 2 || g.target != 700*time.Millisecond {
 		t.Fatalf("%q %+v", b.answer, g)
 	}
-	if s.r.Facts["group.0.effect"] != "read-only" || s.r.warrant.switches != 1 {
+	if s.r.Facts["group.0.effect"] != "read-only" || s.r.warrant.policySwitches != 1 {
 		t.Fatal("more was taken over than is the fleet's")
 	}
 	s.until(s.now + 50*time.Millisecond)
@@ -197,7 +197,7 @@
 	q := s.r.queries[a.id]
 	s.order(fleet.Order{Kind: fleet.Shut, Change: "c"}) // while it waits for a line
 	s.until(s.now + 300*time.Millisecond)
-	if len(s.r.warrant.parked) != 1 {
+	if len(s.r.warrant.blockedAttempts) != 1 {
 		t.Fatal("it doesn't wait")
 	}
 	chosen, other := q.subs[0].e.id, "a"
@@ -247,7 +247,7 @@
 	s.order(fleet.Order{Kind: fleet.Open, Version: 2, Policy: &Policy{Version: 2, Fair: &fairqueue.Shape{Teams: []fairqueue.Team{{Name: "b", Weight: 1}}}}})
 	s.order(fleet.Order{Kind: fleet.Drop, ID: "p", Scope: &fleet.Scope{Team: "a"}})
 	s.full, s.reports = false, nil
-	s.until(s.now + 2*untoldEvery)
+	s.until(s.now + 2*reportRetryInterval)
 	var kinds []fleet.ReportKind
 	for _, p := range s.reports {
 		kinds = append(kinds, p.Kind)
@@ -305,11 +305,11 @@
 			}
 			s.some(choices[i*part : (i+1)*part])
 		}
-		struck["refused"] += s.r.warrant.refusedWrites
-		struck["held"] += s.r.warrant.holds
-		struck["deferred"] += s.r.warrant.deferredFor
-		struck["parked"] += len(s.r.warrant.parked)
-		struck["switches"] += s.r.warrant.switches
+		struck["refused"] += s.r.warrant.rejectedWrites
+		struck["held"] += s.r.warrant.heldTotal
+		struck["deferred"] += s.r.warrant.deferredHeld
+		struck["parked"] += len(s.r.warrant.blockedAttempts)
+		struck["switches"] += s.r.warrant.policySwitches
 		struck["written"] += len(s.written)
 		s.play(nil)
 	})
--- a/internal/controller/keyring_test.go
+++ b/internal/controller/keyring_test.go
@@ -20,11 +20,11 @@
 		last = s.query(c, "load", "k", 25*time.Second, 1+i)
 	}
 	q := s.r.queries[last.id]
-	if q == nil || q.deadline != from+25*time.Second+keyLate-keyFirstApart {
-		t.Fatalf("%+v, and not until %v", q, from+25*time.Second+keyLate-keyFirstApart)
+	if q == nil || q.deadline != from+25*time.Second+keyDeadlineSlack-firstKeySpacing {
+		t.Fatalf("%+v, and not until %v", q, from+25*time.Second+keyDeadlineSlack-firstKeySpacing)
 	}
 	alone := s.query(c, "load", "other", 25*time.Second, 30)
-	if d := s.r.queries[alone.id].deadline; d != s.now+25*time.Second-keyFirstApart {
+	if d := s.r.queries[alone.id].deadline; d != s.now+25*time.Second-firstKeySpacing {
 		t.Fatalf("one by itself has until %v", d-s.now)
 	}
 	if s.until(q.deadline); last.answer == "" {
@@ -35,19 +35,19 @@
 // A client that took back some of what it held back leaves their turns empty, and writes on at whole
 // numbers of turns; what comes at any other time after a pause is held to have come by itself.
 func TestEmptyTurnsGoOnWithABurst(t *testing.T) {
-	k := &key{}
+	k := &orderKey{}
 	at := 3 * time.Second
 	first := at
-	k.comes(at, 2*time.Second)
+	k.noteArrival(at, 2*time.Second)
 	for _, gap := range []time.Duration{60, 60, 120, 59, 181, 240, 60, 1499} {
 		at += gap * time.Millisecond
-		if since := k.comes(at, 2*time.Second); since != first {
+		if since := k.noteArrival(at, 2*time.Second); since != first {
 			t.Fatalf("after %v held to have waited since %v, not %v", gap, since, first)
 		}
 	}
 	for _, gap := range []time.Duration{330, 9000} {
 		at += gap * time.Millisecond
-		if since := k.comes(at, 2*time.Second); since != at {
+		if since := k.noteArrival(at, 2*time.Second); since != at {
 			t.Fatalf("after %v held to have waited since %v, at %v", gap, since, at)
 		}
 	}
--- a/internal/controller/placing.go
+++ b/internal/controller/placing.go
@@ -18,104 +18,104 @@
 
 // placement holds queries to where their teams' data may be: when they are taken, when
 // they are handed on to the decisions, and at each submission by the rules as they are then.
-type placement struct {
-	*warrant
-	core  *residency.Core
-	names []string // of locations, by their places in the settings
-	stamp uint64   // of the rules that all in hand was last judged by
+type residencyState struct {
+	*servingLease
+	core        *residency.Core
+	siteNames   []string // of locations, by their places in the settings
+	judgedStamp uint64   // of the rules that all in hand was last judged by
 
-	asks map[string]*binding // of the fleet, by id
+	pendingBindings map[string]*bindingRequest // of the fleet, by id
 
 	// counts
-	bound, conflicts, directed, bindings, barred int
+	boundQueries, conflicts, redirectedQueries, requestedBindings, barredSends int
 }
 
 // binding is what a load needs in the record before it may be sent; all loads that need
 // the same wait for one.
-type binding struct {
-	need  *fleet.Binding
-	again time.Duration // before it is asked for once more
+type bindingRequest struct {
+	binding *fleet.Binding
+	backoff time.Duration // before it is asked for once more
 }
 
 // placed is what is known of where one query may be.
-type placed struct {
-	team    string
-	told    bool // its statement was looked at: the team was bound at some time
-	read    []int64
-	written []int64
-	all     []int64
-	known   bool
-
-	verdict residency.Verdict
-	stamp   uint64
-	noted   int // submissions, when the last was noted as sent
+type queryResidency struct {
+	tenant        string
+	inspected     bool // its statement was looked at: the team was bound at some time
+	readTables    []int64
+	writtenTables []int64
+	tables        []int64
+	tablesKnown   bool
+
+	verdict       residency.Verdict
+	stamp         uint64
+	attemptsNoted int // submissions, when the last was noted as sent
 }
 
-func newPlacement(w *warrant) *placement {
-	p := &placement{warrant: w, names: strings.Split(w.Facts["locations"], ","), asks: map[string]*binding{}}
+func newResidencyState(w *servingLease) *residencyState {
+	p := &residencyState{servingLease: w, siteNames: strings.Split(w.Facts["locations"], ","), pendingBindings: map[string]*bindingRequest{}}
 	site := ""
 	if at := w.Facts["own.location"]; at != "" {
 		i, _ := strconv.Atoi(at)
-		site = p.site(i)
+		site = p.siteName(i)
 	}
 	p.core = residency.New(site)
-	p.stamp = p.core.Stamp()
+	p.judgedStamp = p.core.Stamp()
 	return p
 }
 
-func (p *placement) site(place int) string {
-	if place < 0 || place >= len(p.names) {
+func (p *residencyState) siteName(place int) string {
+	if place < 0 || place >= len(p.siteNames) {
 		return ""
 	}
-	return p.names[place]
+	return p.siteNames[place]
 }
 
 // verdict judges a query by the rules as they are now.
-func (p *placement) judged(q *query) *residency.Verdict {
+func (p *residencyState) verdict(q *query) *residency.Verdict {
 	x := q.place
 	if x.stamp == p.core.Stamp() {
 		return &x.verdict
 	}
-	if !x.told && p.core.Bound(x.team) {
-		x.tell(q)
+	if !x.inspected && p.core.Bound(x.tenant) {
+		x.inspect(q)
 	}
-	x.stamp, x.verdict = p.core.Stamp(), p.core.Judge(x.team, x.all, x.known)
+	x.stamp, x.verdict = p.core.Stamp(), p.core.Judge(x.tenant, x.tables, x.tablesKnown)
 	return &x.verdict
 }
 
 // tell looks at its statement, for as long as it is there.
-func (x *placed) tell(q *query) {
-	x.told = true
-	x.read, x.written, x.known = msgpackrpc.AllTables(q.statement)
-	x.all = slices.Concat(x.read, x.written)
-	if len(q.statement) == 0 || q.group.load && len(x.written) == 0 {
-		x.known = false // it is forgotten, or loads into what can't be told: the strictest
+func (x *queryResidency) inspect(q *query) {
+	x.inspected = true
+	x.readTables, x.writtenTables, x.tablesKnown = msgpackrpc.AllTables(q.statement)
+	x.tables = slices.Concat(x.readTables, x.writtenTables)
+	if len(q.statement) == 0 || q.group.load && len(x.writtenTables) == 0 {
+		x.tablesKnown = false // it is forgotten, or loads into what can't be told: the strictest
 	}
 }
 
 // binds: it needs the lease of bound teams. It is asked before enters.
-func (p *placement) binds(q *query, from From) bool {
-	q.place = &placed{team: p.whose(q, from), known: true}
-	return p.judged(q).Bound
+func (p *residencyState) isBound(q *query, from From) bool {
+	q.place = &queryResidency{tenant: p.residencyTenantOf(q, from), tablesKnown: true}
+	return p.verdict(q).Bound
 }
 
-func (p *placement) enters(q *query, from From) bool {
-	v := p.judged(q)
+func (p *residencyState) checkAdmission(q *query, from From) bool {
+	v := p.verdict(q)
 	if !v.Bound {
 		return true
 	}
-	p.bound++
-	if !p.fits(q, v) {
+	p.boundQueries++
+	if !p.ensureServable(q, v) {
 		return false
 	}
-	need, err := p.needs(q)
+	need, err := p.requiredBinding(q)
 	if err != nil {
 		p.conflicts++
 		p.killed(q, err.Error())
 		return false
 	}
 	if need != nil {
-		p.ask(need)
+		p.requestBinding(need)
 	}
 	if unrecorded(need, err) {
 		p.hold(q, from) // release tries it again once the record has it
@@ -125,120 +125,120 @@
 }
 
 // fits answers a query that may not be here or nowhere at all. Nothing of it was sent.
-func (p *placement) fits(q *query, v *residency.Verdict) bool {
+func (p *residencyState) ensureServable(q *query, v *residency.Verdict) bool {
 	switch {
 	case v.Conflict != nil:
 		p.conflicts++
 		p.killed(q, v.Conflict.Error())
 	case !v.Take:
-		p.direct(q, v)
+		p.redirect(q, v)
 	}
 	return !q.answered
 }
 
 // needs is what must be recorded before it may be sent, nil: nothing.
-func (p *placement) needs(q *query) (*fleet.Binding, error) {
+func (p *residencyState) requiredBinding(q *query) (*fleet.Binding, error) {
 	x := q.place
 	readOnly := p.Facts["group."+strconv.Itoa(q.group.index)+".effect"] == "read-only"
-	if !q.group.load && len(x.written) == 0 && (x.known || readOnly) {
+	if !q.group.load && len(x.writtenTables) == 0 && (x.tablesKnown || readOnly) {
 		return nil, nil
 	}
-	return p.core.Needs(x.team, x.read, x.written, x.known)
+	return p.core.Needs(x.tenant, x.readTables, x.writtenTables, x.tablesKnown)
 }
 
 // direct defers a query, and tells its client which controllers may take it.
-func (p *placement) direct(q *query, v *residency.Verdict) {
-	p.directed++
+func (p *residencyState) redirect(q *query, v *residency.Verdict) {
+	p.redirectedQueries++
 	var may []string
-	for _, m := range p.picture.Members {
+	for _, m := range p.fleetView.Members {
 		if !m.Forgotten && m.Clients != "" && slices.Contains(v.Takers, m.Site) {
 			may = append(may, m.Clients)
 		}
 	}
-	p.sayOf(q.about(), (&residency.Outside{Team: q.place.team, Site: p.core.Site(), Rules: v.Rules, Controllers: may}).Error())
+	p.sayOf(q.about(), (&residency.Outside{Team: q.place.tenant, Site: p.core.Site(), Rules: v.Rules, Controllers: may}).Error())
 	if q.answered || !p.close(q, fairqueue.Deferred) {
 		return
 	}
 	p.tally.deferred++
-	if a, ok := q.asker.(directed); ok && len(may) > 0 {
-		a.directed(p.pause(), may)
+	if a, ok := q.asker.(redirectable); ok && len(may) > 0 {
+		a.directed(p.retryAfter(), may)
 		return
 	}
-	q.asker.deferred(p.pause())
+	q.asker.deferred(p.retryAfter())
 }
 
 // directed is an asker that can be told of other controllers.
-type directed interface {
+type redirectable interface {
 	directed(comeBack time.Duration, controllers []string)
 }
 
 // ask has the record take a binding, once.
-func (p *placement) ask(need *fleet.Binding) {
+func (p *residencyState) requestBinding(need *fleet.Binding) {
 	// the same everywhere and after a restart: an id of another binding would be taken as told already
 	sum := sha256.Sum256(fmt.Appendf(nil, "%q %v %v", need.Team, need.Tables, need.From))
 	id := fmt.Sprintf("bind-%x", sum[:16])
-	if p.asks[id] != nil {
+	if p.pendingBindings[id] != nil {
 		return
 	}
-	b := &binding{need: need}
-	p.asks[id] = b
-	p.bindings++
-	p.want(id, b)
+	b := &bindingRequest{binding: need}
+	p.pendingBindings[id] = b
+	p.requestedBindings++
+	p.sendBindingRequest(id, b)
 }
 
 // bindWait is how long the fleet looks for an answer before it says that it isn't known yet.
-const bindWait = 2 * time.Second
+const bindingWait = 2 * time.Second
 
-func (p *placement) want(id string, b *binding) {
-	p.report(fleet.Report{Kind: fleet.Wanted, ID: id, Ask: &fleet.Ask{Kind: "bind", ID: id, By: p.core.Site(), Team: b.need.Team,
-		Tables: b.need.Tables, From: b.need.From, Wait: bindWait.Milliseconds()}})
+func (p *residencyState) sendBindingRequest(id string, b *bindingRequest) {
+	p.report(fleet.Report{Kind: fleet.Wanted, ID: id, Ask: &fleet.Ask{Kind: "bind", ID: id, By: p.core.Site(), Team: b.binding.Team,
+		Tables: b.binding.Tables, From: b.binding.From, Wait: bindingWait.Milliseconds()}})
 }
 
 // answered: the record has a binding, or it isn't known yet, or it never will.
-func (p *placement) answered(id string, reply *fleet.Reply) bool {
-	b := p.asks[id]
+func (p *residencyState) fleetAnswered(id string, reply *fleet.Reply) bool {
+	b := p.pendingBindings[id]
 	if b == nil {
 		return false
 	}
 	switch reply.Word {
 	case "bound":
-		delete(p.asks, id)
-		p.core.Recorded(*b.need)
-		p.rejudge()
-		p.soon(p.warrant.release)
+		delete(p.pendingBindings, id)
+		p.core.Recorded(*b.binding)
+		p.reevaluate()
+		p.soon(p.servingLease.releaseHeld)
 	case "unknown":
 		// asked again by the same id: the loads that wait for it have their own ends
-		b.again = min(max(2*b.again, 50*time.Millisecond), time.Second)
-		p.after(b.again, func() {
-			if p.asks[id] == b {
-				p.want(id, b)
+		b.backoff = min(max(2*b.backoff, 50*time.Millisecond), time.Second)
+		p.after(b.backoff, func() {
+			if p.pendingBindings[id] == b {
+				p.sendBindingRequest(id, b)
 			}
 		})
 	default:
-		delete(p.asks, id)
-		p.say(true, (&residency.Unbound{Team: b.need.Team, Tables: b.need.Tables, Why: cmp.Or(reply.Why, reply.Word)}).Error())
+		delete(p.pendingBindings, id)
+		p.say(true, (&residency.Unbound{Team: b.binding.Team, Tables: b.binding.Tables, Why: cmp.Or(reply.Why, reply.Word)}).Error())
 	}
 	return true
 }
 
-func (p *placement) opened(policy *Policy) {
+func (p *residencyState) policyOpened(policy *Policy) {
 	rules, _ := policy.Rules.([]residency.Rule)
 	p.core.Rules(rules)
-	p.rejudge()
+	p.reevaluate()
 }
 
-func (p *placement) pictured(picture *fleet.Picture) {
+func (p *residencyState) viewChanged(picture *fleet.Picture) {
 	p.core.Pictured(picture)
-	p.rejudge()
+	p.reevaluate()
 }
 
 // rejudge holds all that is in hand to rules that have changed. What runs goes on to its
 // end, and what is kept is purged by the record; nothing new goes outside.
-func (p *placement) rejudge() {
-	if p.stamp == p.core.Stamp() {
+func (p *residencyState) reevaluate() {
+	if p.judgedStamp == p.core.Stamp() {
 		return
 	}
-	p.stamp = p.core.Stamp()
+	p.judgedStamp = p.core.Stamp()
 	var all []*query
 	for _, q := range p.queries {
 		if q.place != nil && !q.answered && !q.waits {
@@ -247,15 +247,15 @@
 	}
 	slices.SortFunc(all, func(a, b *query) int { return cmp.Or(cmp.Compare(a.takenAt, b.takenAt), strings.Compare(a.id, b.id)) })
 	for _, q := range all {
-		v := p.judged(q)
+		v := p.verdict(q)
 		q.bound = v.Bound
-		if !q.mayRun() {
-			need, err := p.needs(q)
+		if !q.mayHaveRun() {
+			need, err := p.requiredBinding(q)
 			if need != nil || err != nil { // its client comes again, and it is recorded then
-				p.putOff(q)
+				p.deferUnsent(q)
 				continue
 			}
-			if !p.fits(q, v) {
+			if !p.ensureServable(q, v) {
 				p.soon(func() { p.gate.QueryDropped(p.now, q.id) })
 				for _, s := range q.subs {
 					if !s.sent {
@@ -265,22 +265,22 @@
 				continue
 			}
 		}
-		if need, _ := p.needs(q); need != nil {
-			p.ask(need) // what it takes along may be there already
+		if need, _ := p.requiredBinding(q); need != nil {
+			p.requestBinding(need) // what it takes along may be there already
 		}
-		inside := p.inside(q)
+		inside := p.allowedLocations(q)
 		p.soon(func() { p.gate.ConfineQuery(p.now, q.id, inside) })
 	}
 }
 
 // inside are the locations that a query may be sent to, by their places; nil: all.
-func (p *placement) inside(q *query) []string {
-	v := p.judged(q)
+func (p *residencyState) allowedLocations(q *query) []string {
+	v := p.verdict(q)
 	if v.Conflict == nil && v.Take && v.Engines == nil {
 		return nil
 	}
 	l := []string{}
-	for i, name := range p.names {
+	for i, name := range p.siteNames {
 		if v.Take && v.May(name) {
 			l = append(l, strconv.Itoa(i))
 		}
@@ -290,33 +290,33 @@
 
 // begins hands a query on to the decisions, or answers it: the rules may have changed
 // while it waited for its turn.
-func (p *placement) begins(q *query) {
-	if q.place != nil && !p.fits(q, p.judged(q)) {
+func (p *residencyState) forwardToScheduler(q *query) {
+	if q.place != nil && !p.ensureServable(q, p.verdict(q)) {
 		return
 	}
 	var inside []string
 	if q.place != nil {
-		inside = p.inside(q)
+		inside = p.allowedLocations(q)
 	}
 	p.gate.ConfinedQueryArrived(p.now, q.id, q.group.index, q.customer, q.deadline-p.now, q.tables, q.number, q.work, q.need, inside)
 }
 
-func (p *placement) allows(q *query, e *engine) bool {
+func (p *residencyState) allowsSend(q *query, e *engine) bool {
 	if q.place == nil {
 		return true
 	}
-	v, site := p.judged(q), p.site(e.location)
+	v, site := p.verdict(q), p.siteName(e.location)
 	if v.Bound && (!v.Take || !v.May(site)) {
-		p.barred++
+		p.barredSends++
 		return false
 	}
-	if need, err := p.needs(q); v.Bound && unrecorded(need, err) {
-		p.barred++ // a repeat, and a rule came since that follows what it takes along
+	if need, err := p.requiredBinding(q); v.Bound && unrecorded(need, err) {
+		p.barredSends++ // a repeat, and a rule came since that follows what it takes along
 		return false
 	}
-	if v.Bound && q.place.noted != len(q.subs) {
-		q.place.noted = len(q.subs)
-		if p.core.Sent(q.id, q.place.team, v, site) {
+	if v.Bound && q.place.attemptsNoted != len(q.subs) {
+		q.place.attemptsNoted = len(q.subs)
+		if p.core.Sent(q.id, q.place.tenant, v, site) {
 			p.sayOf(q.about(), "crosses to site "+site+": an emergency of its rules is on")
 		}
 	}
@@ -324,23 +324,23 @@
 }
 
 // keeps: this controller may keep its result or answer.
-func (p *placement) keeps(q *query) bool { return q.place == nil || p.judged(q).Keep }
+func (p *residencyState) mayRetain(q *query) bool { return q.place == nil || p.verdict(q).Keep }
 
 // serves: a kept result of these tables may be read here.
-func (p *placement) serves(team string, tables []int64) bool {
+func (p *residencyState) mayServe(team string, tables []int64) bool {
 	return p.core.Judge(team, tables, len(tables) > 0).Keep
 }
 
-func (p *placement) outside() (n int) {
+func (p *residencyState) countOutside() (n int) {
 	count := func(s *submission) {
 		x := s.q.place
-		if x == nil || !p.core.Bound(x.team) {
+		if x == nil || !p.core.Bound(x.tenant) {
 			return
 		}
-		if !x.told {
-			x.tell(s.q)
+		if !x.inspected {
+			x.inspect(s.q)
 		}
-		if p.core.Outside(x.team, x.all, x.known, p.site(s.e.location)) {
+		if p.core.Outside(x.tenant, x.tables, x.tablesKnown, p.siteName(s.e.location)) {
 			n++
 		}
 	}
@@ -361,17 +361,17 @@
 	return n
 }
 
-func (p *placement) text() string {
+func (p *residencyState) text() string {
 	_, crossed := p.core.Crossed()
 	return fmt.Sprintf("; placement bound %d, outside here %d, in conflict %d, barred %d, bindings %d, crossed %d",
-		p.bound, p.directed, p.conflicts, p.barred, p.bindings, crossed)
+		p.boundQueries, p.redirectedQueries, p.conflicts, p.barredSends, p.requestedBindings, crossed)
 }
 
 // Crossed lists the latest queries that an emergency let over a boundary, and how many
 // there were. It is for reports, between two steps.
-func (r *Controller) Crossed() ([]residency.Crossing, int) {
-	if r.warrant == nil || r.warrant.placing == nil {
+func (r *Controller) ResidencyViolations() ([]residency.Crossing, int) {
+	if r.warrant == nil || r.warrant.residency == nil {
 		return nil, 0
 	}
-	return r.warrant.placing.core.Crossed()
+	return r.warrant.residency.core.Crossed()
 }
--- a/internal/controller/purge.go
+++ b/internal/controller/purge.go
@@ -20,116 +20,118 @@
 // purges has what is kept of a team go: results and cached answers, here where the
 // controller has no peers, else as the fleet orders it. Where nothing is kept it is
 // nil, and costs nothing.
-type purges struct {
+type invalidation struct {
 	*Controller
-	serial uint64
-	place  uint64            // in the record: what is asked for now is asked for after it
-	here   map[string]*purge // without peers, by id
-	past   []string          // ids of here, the oldest first
-	waits  map[string][]*purgeCall
-	unsaid map[string]*fleet.Ask // that the record is not known to have yet: asked for until it has
-	links  map[handed]bool       // that kept bytes were handed to, some of which may not be out
-	swept  int                   // how many were left of them
+	serial           uint64
+	logIndex         uint64                        // in the record: what is asked for now is asked for after it
+	local            map[string]*localInvalidation // without peers, by id
+	localOrder       []string                      // ids of here, the oldest first
+	callers          map[string][]*invalidationCall
+	unconfirmed      map[string]*fleet.Ask  // that the record is not known to have yet: asked for until it has
+	retainedWrites   map[retainedWrite]bool // that kept bytes were handed to, some of which may not be out
+	writesAfterSweep int                    // how many were left of them
 	// Counts of purges are counted since the start.
-	ordered, done, called int
+	started, completed, clientCalls int
 }
 
 // purge is one of this controller alone.
-type purge struct {
+type localInvalidation struct {
 	team   string
 	done   bool
 	counts fleet.Counts
 }
 
 // purgeCall is a client's that waits for its answer.
-type purgeCall struct {
-	c     *client
-	msg   uint32
-	id    string
-	team  string
-	by    time.Duration
-	until *timerqueue.Item // that time
-	over  bool
+type invalidationCall struct {
+	c        *client
+	msg      uint32
+	id       string
+	team     string
+	answerBy time.Duration
+	timer    *timerqueue.Item // that time
+	answered bool
 }
 
 // handed is a connection that kept bytes of a team were written to.
-type handed struct {
+type retainedWrite struct {
 	link *Connection
 	team string
 }
 
 const (
 	// purgesPast bounds the purges that a controller without peers can still tell of.
-	purgesPast = 1024
+	maxLocalInvalidations = 1024
 	// purgesMost bounds the calls of one team that wait on one controller.
-	purgesMost = 16
+	maxCallsPerTenant = 16
 	// leavesWithin is how long what was handed out before a purge may take to leave
 	// this program; its connection is ended then.
-	leavesWithin = 250 * time.Millisecond
-	leavesEvery  = 2 * time.Millisecond
+	flushTimeout      = 250 * time.Millisecond
+	flushPollInterval = 2 * time.Millisecond
 )
 
-func newPurges(r *Controller) *purges {
-	return &purges{Controller: r, here: map[string]*purge{}, waits: map[string][]*purgeCall{}, unsaid: map[string]*fleet.Ask{}, links: map[handed]bool{}}
+func newInvalidation(r *Controller) *invalidation {
+	return &invalidation{Controller: r, local: map[string]*localInvalidation{}, callers: map[string][]*invalidationCall{}, unconfirmed: map[string]*fleet.Ask{}, retainedWrites: map[retainedWrite]bool{}}
 }
 
 // index is the place in the record after which a query that comes now is taken.
-func (p *purges) index() uint64 {
+func (p *invalidation) currentIndex() uint64 {
 	if p.warrant != nil {
-		return max(p.place, p.warrant.picture.Index)
+		return max(p.logIndex, p.warrant.fleetView.Index)
 	}
-	return p.place
+	return p.logIndex
 }
 
 // barred: nothing that is kept may be served now, for it may be gone elsewhere.
-func (p *purges) barred() bool { return p.warrant != nil && p.warrant.may(true) == 0 }
+func (p *invalidation) servingBarred() bool {
+	return p.warrant != nil && p.warrant.servingVersion(true) == 0
+}
 
 // owner is whose a call is: its team, or its customer where there are no teams.
-func (r *Controller) owner(from From) string {
+func (r *Controller) dataOwner(from From) string {
 	if r.fair == nil && r.Words.Whose != "" {
 		if name := string(from.Fields.Get(r.Words.Whose)); name != "" {
 			return name
 		}
 	}
-	return r.teamOf(from)
+	return r.tenantOf(from)
 }
 
 // serving does what writes of what is kept: it goes out only while the lease holds, by
 // the clock as it is then.
-func (p *purges) serving(do func()) {
+func (p *invalidation) markRetained(do func()) {
 	p.serves = true
 	do()
 	p.serves = false
 }
 
 // hands notes that kept bytes were handed to a query's client.
-func (p *purges) hands(q *query) {
+func (p *invalidation) noteRetainedAnswer(q *query) {
 	if a, ok := q.asker.(*asking); ok {
 		team := ""
 		if q.memo != nil && q.memo.ask != nil {
 			team = q.memo.ask.Team
 		}
-		p.handsOut(a.c.link, team)
+		p.noteRetainedWrite(a.c.link, team)
 	}
 }
 
 // handsOut: kept bytes of a team, "" if it isn't known, are on their way out by a link.
-func (p *purges) handsOut(l *Connection, team string) {
-	if len(p.links) >= 2*p.swept+64 {
-		p.flushed(nil)
-		p.swept = len(p.links)
+func (p *invalidation) noteRetainedWrite(l *Connection, team string) {
+	if len(p.retainedWrites) >= 2*p.writesAfterSweep+64 {
+		p.writesFlushed(nil)
+		p.writesAfterSweep = len(p.retainedWrites)
 	}
 	if l.pending > 0 {
-		p.links[handed{l, team}] = true
+		p.retainedWrites[retainedWrite{l, team}] = true
 	}
 }
 
 // flushed: nothing is on its way out any more of a team, or of any for nil.
-func (p *purges) flushed(team *string) bool {
+func (p *invalidation) writesFlushed(team *string) bool {
 	out := true
-	for h := range p.links {
+	for h := range p.retainedWrites {
 		if h.link.pending == 0 {
-			delete(p.links, h)
+			delete(p.retainedWrites, h)
 		} else if team == nil || h.team == "" || h.team == *team {
 			out = false
 		}
@@ -139,34 +141,34 @@
 
 // leave calls then once all that was handed out of a team is out. A client that doesn't
 // take it in time gets no more of it.
-func (p *purges) leave(team string, until time.Duration, then func()) {
+func (p *invalidation) awaitWritesFlushed(team string, until time.Duration, then func()) {
 	switch {
-	case p.flushed(&team):
+	case p.writesFlushed(&team):
 		then()
 		return
 	case p.now >= until:
-		for h := range p.links {
+		for h := range p.retainedWrites {
 			if h.team == "" || h.team == team {
 				p.tally.turnedOff++
 				p.shut(h.link, false)
-				delete(p.links, h)
+				delete(p.retainedWrites, h)
 			}
 		}
 		then()
 		return
 	}
-	p.after(leavesEvery, func() { p.leave(team, until, then) })
+	p.after(flushPollInterval, func() { p.awaitWritesFlushed(team, until, then) })
 }
 
 // purge has all of a scope go that was asked for before a place in the record.
-func (p *purges) purge(s *fleet.Scope, index uint64, unreached func(), wiped func(fleet.Counts)) {
-	p.place = max(p.place, index)
+func (p *invalidation) apply(s *fleet.Scope, index uint64, unreached func(), wiped func(fleet.Counts)) {
+	p.logIndex = max(p.logIndex, index)
 	var found fleet.Counts
 	if p.caching != nil {
 		var next []*resultcache.Ask
 		found, next = p.caching.core.Drop(p.now, s, index)
 		for _, a := range next {
-			p.caching.leads(a)
+			p.caching.promote(a)
 		}
 	}
 	out, wipes := false, false
@@ -176,7 +178,7 @@
 		}
 	}
 	gone := func() {
-		p.leave(s.Team, p.now+leavesWithin, func() {
+		p.awaitWritesFlushed(s.Team, p.now+flushTimeout, func() {
 			unreached()
 			out = true
 			end()
@@ -193,13 +195,13 @@
 		return
 	}
 	p.paging.core.Purge(p.now, s, index, gone, erased)
-	p.paging.purged()
+	p.paging.answerInvalidated()
 }
 
 // purged answers the queries whose results a purge took before they were whole. One
 // that may be sent again is deferred: nothing that it asked for can be kept any more.
-func (p *paging) purged() {
-	for _, q := range p.those(func(q *query) bool {
+func (p *resultPaging) answerInvalidated() {
+	for _, q := range p.queriesWhere(func(q *query) bool {
 		if q.answered || q.kept == nil {
 			return false
 		}
@@ -215,7 +217,7 @@
 		}
 		if q.group.readOnly || !sent {
 			p.sayOf(q.about(), "deferred: "+spool.ErrPurged.Error())
-			p.deferred(q, spoolPause)
+			p.deferred(q, noSpaceRetryAfter)
 		} else {
 			p.killed(q, spool.ErrPurged.Error())
 		}
@@ -224,7 +226,7 @@
 }
 
 // those are the queries for which something holds, in the order in which they came.
-func (r *Controller) those(holds func(q *query) bool) (l []*query) {
+func (r *Controller) queriesWhere(holds func(q *query) bool) (l []*query) {
 	for _, q := range r.queries {
 		if holds(q) {
 			l = append(l, q)
@@ -235,19 +237,19 @@
 }
 
 // drop is the fleet's order.
-func (p *purges) drop(id string, s *fleet.Scope, index uint64) {
-	p.ordered++
+func (p *invalidation) invalidate(id string, s *fleet.Scope, index uint64) {
+	p.started++
 	p.say(false, "purge "+id+" of team "+s.Team+" begins")
-	p.purge(s, index, func() {
+	p.apply(s, index, func() {
 		p.warrant.report(fleet.Report{Kind: fleet.Unreached, ID: id})
 	}, func(n fleet.Counts) {
-		p.done++
-		p.sayPurged(id, s.Team, n)
+		p.completed++
+		p.logCompleted(id, s.Team, n)
 		p.warrant.report(fleet.Report{Kind: fleet.Wiped, ID: id, Counts: n})
 	})
 }
 
-func (p *purges) sayPurged(id, team string, n fleet.Counts) {
+func (p *invalidation) logCompleted(id, team string, n fleet.Counts) {
 	p.sayOf(LogFields{Team: team}, fmt.Sprintf("purge %s is done here: %d results and %d answers, %d bytes", id, n.Results, n.Answers, n.Bytes))
 }
 
@@ -259,46 +261,46 @@
 		c.Wrong(msg, "no such method")
 		return
 	}
-	team := c.owner(From{c.link.From, all})
+	team := c.dataOwner(From{c.link.From, all})
 	waiting := 0
-	for _, l := range p.waits {
+	for _, l := range p.callers {
 		for _, x := range l {
 			if x.team == team {
 				waiting++
 			}
 		}
 	}
-	if c.pages >= c.wants.Open || waiting >= purgesMost || len(p.unsaid) >= purgesPast {
-		c.answer(msgpackrpc.Deferred(nil, msg, spoolPause))
+	if c.pages >= c.wants.Open || waiting >= maxCallsPerTenant || len(p.unconfirmed) >= maxLocalInvalidations {
+		c.answer(msgpackrpc.Deferred(nil, msg, noSpaceRetryAfter))
 		return
 	}
-	x := &purgeCall{c: c, msg: msg, id: string(call.ID), team: team}
+	x := &invalidationCall{c: c, msg: msg, id: string(call.ID), team: team}
 	fresh := x.id == ""
 	if fresh {
-		x.id = p.name(team)
+		x.id = p.newID(team)
 	}
-	p.called++
+	p.clientCalls++
 	c.pages++
-	p.waits[x.id] = append(p.waits[x.id], x)
-	x.by = c.now + max(0, call.Patience-answerBefore)
-	x.until = c.due.Add(x.by, func() { p.tell(x, notYet, "", nil, nil) })
+	p.callers[x.id] = append(p.callers[x.id], x)
+	x.answerBy = c.now + max(0, call.Patience-answerMargin)
+	x.timer = c.due.Add(x.answerBy, func() { p.answerState(x, statePending, "", nil, nil) })
 	switch {
 	case p.warrant != nil:
-		a := &fleet.Ask{Kind: "status", ID: x.id, By: team, Team: team, Wait: max(1, (call.Patience - 2*answerBefore).Milliseconds())}
+		a := &fleet.Ask{Kind: "status", ID: x.id, By: team, Team: team, Wait: max(1, (call.Patience - 2*answerMargin).Milliseconds())}
 		if fresh {
 			a.Kind, a.Scope = "purge", &fleet.Scope{Team: team, Tables: call.Tables, Before: call.Before}
-			p.unsaid[x.id] = a
+			p.unconfirmed[x.id] = a
 		}
 		p.warrant.report(fleet.Report{Kind: fleet.Wanted, Ask: a})
 	case fresh:
-		p.alone(x.id, &fleet.Scope{Team: team, Tables: call.Tables, Before: call.Before})
+		p.startLocal(x.id, &fleet.Scope{Team: team, Tables: call.Tables, Before: call.Before})
 	default:
-		p.state(x.id)
+		p.answerLocalCallers(x.id)
 	}
 }
 
 // name is one that no other purge has: it is drawn from what can't come twice.
-func (p *purges) name(team string) string {
+func (p *invalidation) newID(team string) string {
 	p.serial++
 	draw := uint64(p.Started.UnixNano())
 	if p.Draw != nil {
@@ -308,78 +310,80 @@
 }
 
 // alone is a purge where there are no peers.
-func (p *purges) alone(id string, s *fleet.Scope) {
-	x := &purge{team: s.Team}
-	p.here[id] = x
-	if p.past = append(p.past, id); len(p.past) > purgesPast {
-		delete(p.here, p.past[0])
-		p.past = p.past[1:]
+func (p *invalidation) startLocal(id string, s *fleet.Scope) {
+	x := &localInvalidation{team: s.Team}
+	p.local[id] = x
+	if p.localOrder = append(p.localOrder, id); len(p.localOrder) > maxLocalInvalidations {
+		delete(p.local, p.localOrder[0])
+		p.localOrder = p.localOrder[1:]
 	}
-	p.ordered++
-	p.purge(s, p.place+1, func() {}, func(n fleet.Counts) {
-		p.done++
+	p.started++
+	p.apply(s, p.logIndex+1, func() {}, func(n fleet.Counts) {
+		p.completed++
 		x.done, x.counts = true, n
-		p.sayPurged(id, s.Team, n)
-		p.state(id)
+		p.logCompleted(id, s.Team, n)
+		p.answerLocalCallers(id)
 	})
 }
 
 // state answers those who ask for a purge of this controller alone, if there is a word.
-func (p *purges) state(id string) {
-	x := p.here[id]
-	for _, w := range p.waiting(id) {
+func (p *invalidation) answerLocalCallers(id string) {
+	x := p.local[id]
+	for _, w := range p.waitingCallers(id) {
 		switch {
 		case x == nil || x.team != w.team:
-			p.over(w, msgpackrpc.Killed(nil, w.msg, unknownPurge))
+			p.finishCall(w, msgpackrpc.Killed(nil, w.msg, unknownInvalidationText))
 		case x.done:
-			p.tell(w, "purged", "", &x.counts, nil)
+			p.answerState(w, "purged", "", &x.counts, nil)
 		}
 	}
 }
 
 // unknownPurge is all that is told of an id that is none of the team's.
-const unknownPurge = "no purge of this team has this id: ask for one without an id"
+const unknownInvalidationText = "no purge of this team has this id: ask for one without an id"
 
-func (p *purges) waiting(id string) []*purgeCall { return slices.Clone(p.waits[id]) }
+func (p *invalidation) waitingCallers(id string) []*invalidationCall {
+	return slices.Clone(p.callers[id])
+}
 
 // answered: the fleet's word on what was asked for here.
-func (p *purges) answered(id string, r *fleet.Reply) bool {
-	l := p.waiting(id)
-	again := p.unsaid[id]
+func (p *invalidation) fleetAnswered(id string, r *fleet.Reply) bool {
+	l := p.waitingCallers(id)
+	again := p.unconfirmed[id]
 	if again != nil && r.Word == "unknown" && r.Stage == "" {
 		a := *again // its word may have been told already: that it is asked for holds
-		a.Wait = unsaidFor.Milliseconds()
+		a.Wait = confirmationWait.Milliseconds()
 		p.warrant.report(fleet.Report{Kind: fleet.Wanted, Ask: &a})
 	} else {
-		delete(p.unsaid, id)
+		delete(p.unconfirmed, id)
 	}
 	for _, x := range l {
 		switch {
 		case r.Word == "purged":
-			p.tell(x, r.Word, "", r.Counts, nil)
+			p.answerState(x, r.Word, "", r.Counts, nil)
 		case r.Word == "unknown" && (r.Stage == "" || r.Stage == fleet.Purge || r.Stage == fleet.Unreachable || r.Stage == fleet.Erased):
-			if p.now >= x.by-4*answerBefore { // each who asks has a word of its own, and it comes right before
-				p.tell(x, notYet, cmp.Or(stages[r.Stage], stages[""]), nil, r.Outstanding)
+			if p.now >= x.answerBy-4*answerMargin { // each who asks has a word of its own, and it comes right before
+				p.answerState(x, statePending, cmp.Or(stageNames[r.Stage], stageNames[""]), nil, r.Outstanding)
 			}
 		case r.Word == "refused" && r.Why != "":
-			p.over(x, msgpackrpc.Killed(nil, x.msg, r.Why))
+			p.finishCall(x, msgpackrpc.Killed(nil, x.msg, r.Why))
 		default:
-			p.over(x, msgpackrpc.Killed(nil, x.msg, unknownPurge))
+			p.finishCall(x, msgpackrpc.Killed(nil, x.msg, unknownInvalidationText))
 		}
 	}
 	return len(l) > 0 || again != nil
 }
 
-const notYet = "not yet"
+const statePending = "not yet"
 
 // stages are what is told of how far a purge has come. One that isn't recorded is asked
 // for on and on by the controller that it was asked of, and by no other.
-var stages = map[string]string{"": "not recorded", fleet.Purge: "recorded", fleet.Unreachable: "unreachable", fleet.Erased: "erased"}
+var stageNames = map[string]string{"": "not recorded", fleet.Purge: "recorded", fleet.Unreachable: "unreachable", fleet.Erased: "erased"}
 
 // unsaidFor is how long the fleet may take for a word on what it is asked for again.
-const unsaidFor = 5 * time.Second
+const confirmationWait = 5 * time.Second
 
-func (p *purges) tell(x *purgeCall, word, stage string, n *fleet.Counts, outstanding []string) {
+func (p *invalidation) answerState(x *invalidationCall, word, stage string, n *fleet.Counts, outstanding []string) {
 	fields := []string{"id", x.id, "state", word}
 	if n != nil {
 		for _, f := range []struct {
@@ -395,19 +399,19 @@
 	if len(outstanding) > 0 {
 		fields = append(fields, "outstanding", strings.Join(outstanding, ","))
 	}
-	p.over(x, msgpackrpc.Purged(nil, x.msg, fields...))
+	p.finishCall(x, msgpackrpc.Purged(nil, x.msg, fields...))
 }
 
 // over answers a call.
-func (p *purges) over(x *purgeCall, answer []byte) {
-	if x.over {
+func (p *invalidation) finishCall(x *invalidationCall, answer []byte) {
+	if x.answered {
 		return
 	}
-	x.over = true
-	p.due.Drop(x.until)
-	l := slices.DeleteFunc(p.waits[x.id], func(y *purgeCall) bool { return x == y })
-	if p.waits[x.id] = l; len(l) == 0 {
-		delete(p.waits, x.id)
+	x.answered = true
+	p.due.Drop(x.timer)
+	l := slices.DeleteFunc(p.callers[x.id], func(y *invalidationCall) bool { return x == y })
+	if p.callers[x.id] = l; len(l) == 0 {
+		delete(p.callers, x.id)
 	}
 	x.c.pages--
 	x.c.idle = p.now
@@ -416,6 +420,6 @@
 	}
 }
 
-func (p *purges) text() string {
-	return fmt.Sprintf("; purges %d done %d asked for by clients %d", p.ordered, p.done, p.called)
+func (p *invalidation) text() string {
+	return fmt.Sprintf("; purges %d done %d asked for by clients %d", p.started, p.completed, p.clientCalls)
 }
--- a/internal/controller/purge_test.go
+++ b/internal/controller/purge_test.go
@@ -123,7 +123,7 @@
 	if a.Answer != client.Deferred || !a.Answered || done.About["state"] != "purged" {
 		t.Fatalf("%v, %+v", a.Answer, done)
 	}
-	if held, _, _ := s.R.Spooled(); held != 0 || s.keeper.Live() != 0 {
+	if held, _, _ := s.R.SpoolUsage(); held != 0 || s.keeper.Live() != 0 {
 		t.Fatal("it is kept")
 	}
 	if b := s.of(c, "linz", 3, "pages", "1"); s.ran(3*time.Second) && pagesOf(b) < 2 {
@@ -272,7 +272,7 @@
 	if l[1].Answer != client.Finished || !bytes.Equal(l[1].Rows, world.Rows(l[1])) || !bytes.Equal(l[2].Rows, l[1].Rows) {
 		t.Fatal("nobody leads once the first has left")
 	}
-	if line := s.R.Answers().Text(); !strings.Contains(line, "hits 5 followed 22") {
+	if line := s.R.ResultCache().Text(); !strings.Contains(line, "hits 5 followed 22") {
 		t.Error(line)
 	}
 }
@@ -291,12 +291,12 @@
 	steps := s.d.Steps()
 	d := s.d.After(steps, disk.Torn)
 	next := keepsOn(t, d, s.x.After(steps, d), nil)
-	if n, _, _ := next.R.Spooled(); n != 1 {
+	if n, _, _ := next.R.SpoolUsage(); n != 1 {
 		t.Fatalf("%d are kept over a start", n)
 	}
 	a := next.purge(next.client(), "patience", "1000", "team", "linz")
 	next.Until(next.Now + time.Second)
-	if n, _, _ := next.R.Spooled(); a.About["state"] != "purged" || a.About["results"] != "1" || n != 0 {
+	if n, _, _ := next.R.SpoolUsage(); a.About["state"] != "purged" || a.About["results"] != "1" || n != 0 {
 		t.Errorf("%+v, %d left", a.About, n)
 	}
 }
@@ -314,13 +314,13 @@
 	steps := s.d.Steps()
 	d := s.d.After(steps, disk.Torn)
 	next := keepsOn(t, d, s.x.After(steps, d), &fleet.Word{})
-	if n, _, _ := next.R.Spooled(); n != 1 {
+	if n, _, _ := next.R.SpoolUsage(); n != 1 {
 		t.Fatalf("%d are kept over a start", n)
 	}
 	next.Order(fleet.Order{Kind: fleet.Pictured, Picture: &fleet.Picture{Index: 3}})
 	next.Order(fleet.Order{Kind: fleet.Drop, ID: "p", Index: 3, Scope: &fleet.Scope{Team: "linz"}})
 	next.Until(next.Now + time.Second)
-	if n, _, _ := next.R.Spooled(); n != 0 {
+	if n, _, _ := next.R.SpoolUsage(); n != 0 {
 		t.Errorf("%d left", n)
 	}
 }
--- a/internal/controller/query.go
+++ b/internal/controller/query.go
@@ -37,7 +37,7 @@
 	id, method        string // as its client has them
 	asker             asker
 	group             *group
-	key               *key
+	key               *orderKey
 	token             string // the mark by which engines know a repeat, "": none was given
 	statement         []byte
 	takenAt           time.Duration
@@ -45,10 +45,10 @@
 	priority, grantMB int
 	subs              []*submission
 	answered          bool
-	bound, waits      bool          // where there are peers: it needs the lease of bound teams; it is held, unjudged
-	place             *placed       // where its team's data may be, where there are peers
-	kept              *spool.Result // its client reads page by page
-	memo              *memo         // where answers are cached
+	bound, waits      bool            // where there are peers: it needs the lease of bound teams; it is held, unjudged
+	place             *queryResidency // where its team's data may be, where there are peers
+	kept              *spool.Result   // its client reads page by page
+	memo              *cacheLookup    // where answers are cached
 
 	// where teams wait for their turn, and only there
 	turn           *fairqueue.Waiter
@@ -72,7 +72,7 @@
 // hand is what is in hand of queries, and its bounds.
 type hand struct {
 	queries    map[string]*query
-	keys       keyring
+	keys       keyTable
 	inHand     int // bytes of statements
 	inHandMost int
 }
@@ -119,11 +119,11 @@
 	q.need = told(from.Fields.Get(r.Words.Need), 1<<30)
 	number := int64(-1)
 	if g.inOrder {
-		q.key = r.keys.take(string(k))
+		q.key = r.keys.acquire(string(k))
 		number = q.key.number
 		// its client's time counts from when it would have sent it, which of a key's queries it may have
 		// held back: answered by when it was written some were lost, half a second after that time
-		q.deadline = min(q.deadline, q.key.comes(r.now, patience)+patience+keyLate) - min(keyFirstApart, patience/8)
+		q.deadline = min(q.deadline, q.key.noteArrival(r.now, patience)+patience+keyDeadlineSlack) - min(firstKeySpacing, patience/8)
 	}
 	r.queries[q.id] = q
 	r.tally.taken++
@@ -132,7 +132,7 @@
 	}
 	r.asked = r.now
 	if r.caching != nil {
-		r.caching.changing(q)
+		r.caching.noteMutation(q)
 	}
 	// once all that has come is read: what is taken back in one breath goes nowhere
 	r.soon(func() { r.enter(q, from, number) })
@@ -150,13 +150,13 @@
 		return
 	}
 	q.tables, q.number = msgpackrpc.Tables(q.statement), number
-	if r.warrant != nil && !r.closing && !r.warrant.enters(q, from) {
+	if r.warrant != nil && !r.closing && !r.warrant.admit(q, from) {
 		return
 	}
 	if r.paging != nil && r.keeps(q) { // where it may not be kept it is answered whole
-		r.paging.wants(q, from)
+		r.paging.reserve(q, from)
 	}
-	if r.caching != nil && !q.answered && r.keeps(q) && !r.caching.enters(q, from, func(from From) { r.enter(q, from, number) }) {
+	if r.caching != nil && !q.answered && r.keeps(q) && !r.caching.lookup(q, from, func(from From) { r.enter(q, from, number) }) {
 		return
 	}
 	switch {
@@ -169,12 +169,14 @@
 }
 
 // keeps: its result or answer may be kept here.
-func (r *Controller) keeps(q *query) bool { return r.warrant == nil || r.warrant.placing.keeps(q) }
+func (r *Controller) keeps(q *query) bool {
+	return r.warrant == nil || r.warrant.residency.mayRetain(q)
+}
 
 // begin hands a query on to the decisions.
 func (r *Controller) begin(q *query) {
 	if r.warrant != nil {
-		r.warrant.placing.begins(q)
+		r.warrant.residency.forwardToScheduler(q)
 		return
 	}
 	r.gate.Take(r.now, q.id, q.group.index, q.customer, q.deadline-r.now, q.tables, q.number, q.work, q.need)
@@ -213,13 +215,13 @@
 	}
 	q.asker.closed()
 	if q.waits {
-		r.warrant.unheld(q)
+		r.warrant.endHold(q)
 	}
 	if r.fair != nil {
 		r.fair.answered(q, end)
 	}
 	if r.caching != nil {
-		r.caching.answered(q)
+		r.caching.queryAnswered(q)
 	}
 	r.drop(q)
 	return true
@@ -228,14 +230,14 @@
 func (r *Controller) finished(q *query, pages [][]byte) {
 	var others []*query
 	if r.caching != nil && !q.answered {
-		others = r.caching.done(q, pages)
+		others = r.caching.takeFollowers(q, pages)
 	}
 	if r.close(q, fairqueue.Finished) {
 		r.tally.finished++
 		q.asker.finished(pages)
 	}
 	if len(others) > 0 {
-		r.caching.hand(others, pages)
+		r.caching.answerFollowers(others, pages)
 	}
 }
 
@@ -269,13 +271,13 @@
 			if r.queries[q.id] == q {
 				delete(r.queries, q.id)
 				if r.paging != nil {
-					r.paging.over(q)
+					r.paging.queryOver(q)
 				}
 				if r.fair != nil {
 					r.fair.over(q)
 				}
 				if r.caching != nil {
-					r.caching.over(q)
+					r.caching.queryOver(q)
 				}
 				r.inHand -= len(q.statement)
 				q.statement, q.subs = nil, nil // what is due for it may outlive it
--- a/internal/controller/relay.go
+++ b/internal/controller/relay.go
@@ -177,10 +177,10 @@
 	groups    map[string]*group
 	customers []string // by their places in the settings
 	fair      *fairness
-	paging    *paging
-	caching   *caching
-	purges    *purges
-	warrant   *warrant
+	paging    *resultPaging
+	caching   *resultCaching
+	purges    *invalidation
+	warrant   *servingLease
 
 	buffered     int // memory of all connections' buffers
 	bufferedMost int
@@ -216,7 +216,7 @@
 	r.inline = f["report.how"] == "answers"
 	r.copies = f["may.copy"] == "true"
 	r.cancels = f["may.cancel"] == "true"
-	r.keys = newKeyring()
+	r.keys = newKeyTable()
 	// their ends and their next connections may cross: a little over a third is let in
 	r.manners = newManners(means.Manners)
 	r.clientsMost = max(1, means.Sockets/3) + means.spare()/4
@@ -244,24 +244,24 @@
 		r.fair = newFairness(r, means.Fair, means.Words)
 	}
 	if means.Spool != nil {
-		r.paging = newPaging(r, means.Spool)
+		r.paging = newResultPaging(r, means.Spool)
 	}
 	if means.Answers != nil {
-		r.caching = newCaching(r, means.Answers)
+		r.caching = newResultCaching(r, means.Answers)
 	}
 	if r.paging != nil || r.caching != nil {
-		r.purges = newPurges(r)
+		r.purges = newInvalidation(r)
 		if r.paging != nil && means.Fleet == nil { // a purge of this controller alone comes after all that it found
-			r.purges.place = r.paging.latest
+			r.purges.logIndex = r.paging.restoredIndex
 		}
 	}
 	if means.Fleet != nil {
-		r.warrant = newWarrant(r, means.Fleet)
+		r.warrant = newServingLease(r, means.Fleet)
 		if r.purges != nil {
-			r.warrant.purging = r.purges
+			r.warrant.invalidator = r.purges
 		}
 		if r.paging != nil {
-			r.paging.core.Serves = r.warrant.placing.serves
+			r.paging.core.Serves = r.warrant.residency.mayServe
 		}
 	}
 	r.feed.spoilt = -1
@@ -319,7 +319,7 @@
 		defer r.caught(l)
 	}
 	if r.warrant != nil {
-		r.warrant.look()
+		r.warrant.updateServing()
 	}
 	switch ev.Kind {
 	case ClientAccepted:
@@ -357,15 +357,15 @@
 	case CountersRequested:
 		r.count()
 	case SpoolWorkDone:
-		r.paging.did(ev.Work)
+		r.paging.workDone(ev.Work)
 	case FleetOrdered:
-		r.warrant.ordered(ev.Order)
+		r.warrant.handleFleetOrder(ev.Order)
 	case FleetReportRejected:
-		r.warrant.noRoom(ev.Report)
+		r.warrant.reportRejected(ev.Report)
 	case WriteBarred:
 		r.tally.barred++
 		if r.warrant != nil {
-			r.warrant.refusedWrites++
+			r.warrant.rejectedWrites++
 		}
 	case ConfigurationReloaded:
 		r.refeed(ev.Feed)
@@ -401,7 +401,7 @@
 			do()
 		} else if do, ok := r.overdue(early); ok {
 			do()
-		} else if r.fair == nil || r.warrant != nil && r.warrant.stands() || !r.fair.next() {
+		} else if r.fair == nil || r.warrant != nil && r.warrant.paused() || !r.fair.next() {
 			break
 		}
 	}
@@ -501,7 +501,7 @@
 	r.sweepLines()
 	r.sweepEngines()
 	r.sweepClients()
-	r.keys.sweep(r.now - max(r.keyRest, min(r.longest, keyHeld)))
+	r.keys.forgetIdle(r.now - max(r.keyRest, min(r.longest, maxKeyGap)))
 }
 
 func (r *Controller) stop() {
@@ -540,7 +540,7 @@
 			r.fair.close()
 		}
 		if r.warrant != nil {
-			r.warrant.shutDown()
+			r.warrant.deferAllHeld()
 		}
 	}
 	busy := past < stopStays || len(r.queries) > 0 || past < stopMost && (r.now-r.asked < stopQuiet || r.gives())
--- a/internal/controller/relay_test.go
+++ b/internal/controller/relay_test.go
@@ -178,16 +178,16 @@
 }
 
 func TestKeysKeepTheirNumbers(t *testing.T) {
-	k := newKeyring()
-	a, b := k.take("a"), k.take("b")
+	k := newKeyTable()
+	a, b := k.acquire("a"), k.acquire("b")
 	k.release(a, 10)
-	k.sweep(10)
-	if k.take("a") != a || a.number == b.number || a.number < 0 {
+	k.forgetIdle(10)
+	if k.acquire("a") != a || a.number == b.number || a.number < 0 {
 		t.Fatal("a key that has not rested lost its number")
 	}
 	k.release(a, 20)
-	k.sweep(21)
-	if c := k.take("c"); c.number != a.number || len(k.byName) != 2 {
+	k.forgetIdle(21)
+	if c := k.acquire("c"); c.number != a.number || len(k.byName) != 2 {
 		t.Fatal("a key at rest keeps its number")
 	}
 }
--- a/internal/controller/spool.go
+++ b/internal/controller/spool.go
@@ -22,20 +22,20 @@
 
 // paging keeps results for clients that read them page by page. Without a spool it
 // is nil, and costs nothing.
-type paging struct {
+type resultPaging struct {
 	*Controller
-	core   *spool.Core
-	latest uint64 // place in the record of what the disk held
+	core          *spool.Core
+	restoredIndex uint64 // place in the record of what the disk held
 }
 
-func newPaging(r *Controller, s *SpoolConfig) *paging {
-	p := &paging{Controller: r}
+func newResultPaging(r *Controller, s *SpoolConfig) *resultPaging {
+	p := &resultPaging{Controller: r}
 	p.core = spool.New(s.Limits, s.Keys, r.Started.UnixMilli(), s.First, func(w *spool.Work) {
 		r.do(Effect{Kind: SubmitSpoolWork, Work: w})
 	})
 	if s.Restore != nil {
 		if err := s.Restore(func(f *spool.Found) {
-			p.latest = max(p.latest, f.Index)
+			p.restoredIndex = max(p.restoredIndex, f.Index)
 			p.core.Restore(f)
 		}); err != nil {
 			r.say(true, "what was spooled can't be read: "+err.Error())
@@ -45,13 +45,13 @@
 	return p
 }
 
-func (p *paging) sweep() {
+func (p *resultPaging) sweep() {
 	p.after(time.Second, p.sweep)
 	p.core.Sweep(p.now)
 }
 
 // teamOf is whose a call is, as the spool's limits and tokens have it.
-func (r *Controller) teamOf(from From) string {
+func (r *Controller) tenantOf(from From) string {
 	if r.fair == nil {
 		return ""
 	}
@@ -60,33 +60,33 @@
 
 // wants notes that a query's client reads page by page; where it can't be kept it is
 // deferred, before anything of it is sent.
-func (p *paging) wants(q *query, from From) {
+func (p *resultPaging) reserve(q *query, from From) {
 	if len(from.Fields.Get(p.Words.Pages)) == 0 {
 		return
 	}
-	kept, err := p.core.Enter(p.now, q.id, p.teamOf(from), p.tag(q, from))
+	kept, err := p.core.Enter(p.now, q.id, p.tenantOf(from), p.resultTag(q, from))
 	if err != nil {
 		p.sayOf(q.about(), "deferred: "+err.Error())
-		p.deferred(q, spoolPause)
+		p.deferred(q, noSpaceRetryAfter)
 		return
 	}
 	q.kept = kept
 }
 
 // tag is what a purge finds a query's result by.
-func (p *paging) tag(q *query, from From) spool.Tag {
-	t := spool.Tag{Index: p.purges.index(), Tables: tablesOf(q.statement)}
-	if owner := p.owner(from); p.fair == nil {
+func (p *resultPaging) resultTag(q *query, from From) spool.Tag {
+	t := spool.Tag{Index: p.purges.currentIndex(), Tables: allTables(q.statement)}
+	if owner := p.dataOwner(from); p.fair == nil {
 		t.Owner = owner
 	}
 	return t
 }
 
 // spoolPause is named to those for whom there was no place: results go as they are read.
-const spoolPause = time.Second
+const noSpaceRetryAfter = time.Second
 
 // over gives back what a query that is over was kept for.
-func (p *paging) over(q *query) {
+func (p *resultPaging) queryOver(q *query) {
 	if q.kept != nil {
 		p.core.Drop(p.now, q.kept)
 		q.kept = nil
@@ -94,15 +94,15 @@
 }
 
 // take takes a page of a submission's result from its engine.
-func (p *paging) take(s *submission, number, of int, rows []byte) {
+func (p *resultPaging) addPage(s *submission, number, of int, rows []byte) {
 	if s.result == nil {
 		s.result, s.of = p.core.Again(p.now, s.q.kept), of
 	}
 	verdict, err := p.core.Add(p.now, s.result, rows, uint32(bytes.Count(rows, []byte("\n"))), s.until)
 	switch verdict {
 	case spool.Never:
-		p.drop(s)
-		p.release(s)
+		p.discard(s)
+		p.releaseAtEngine(s)
 		if !s.q.answered {
 			p.killed(s.q, err.Error())
 		}
@@ -127,21 +127,21 @@
 			s.ask(s.drawn)
 			return
 		}
-		p.release(s)
-		p.whole(s)
+		p.releaseAtEngine(s)
+		p.retain(s)
 	}
 }
 
 // release ends the query at its engine, which has nothing more to give.
-func (p *paging) release(s *submission) {
+func (p *resultPaging) releaseAtEngine(s *submission) {
 	s.released = true
 	p.giveUp(s, func() {})
 }
 
 // whole answers once the result is promised.
-func (p *paging) whole(s *submission) {
+func (p *resultPaging) retain(s *submission) {
 	if !p.keeps(s.q) { // it might have been when it began
-		p.drop(s)
+		p.discard(s)
 		if !s.q.answered {
 			p.killed(s.q, "its result may not be kept here any more")
 		}
@@ -164,13 +164,13 @@
 			s.kept = true
 			token := p.core.Token(r)
 			p.core.First(p.now, r, func(body []byte, err error) {
-				p.answer(s, r, token, body, err)
+				p.answerFirstPage(s, r, token, body, err)
 			})
 		}
 	})
 }
 
-func (p *paging) answer(s *submission, r *spool.Result, token string, body []byte, err error) {
+func (p *resultPaging) answerFirstPage(s *submission, r *spool.Result, token string, body []byte, err error) {
 	switch {
 	case s.q.answered, s.ended:
 		p.soon(func() { p.core.Drop(p.now, r) }) // another was first, its client left, or its time was over
@@ -187,7 +187,7 @@
 }
 
 // drop gives up what a submission took in.
-func (p *paging) drop(s *submission) {
+func (p *resultPaging) discard(s *submission) {
 	if s.result != nil && !s.kept {
 		p.core.Drop(p.now, s.result)
 		s.result = nil
@@ -195,7 +195,7 @@
 }
 
 // did: work on the disk is done.
-func (p *paging) did(w *spool.Work) {
+func (p *resultPaging) workDone(w *spool.Work) {
 	if w.Err != nil && w.Fetch == nil {
 		p.say(true, "the spool's disk: "+w.Err.Error())
 	} else if w.Err != nil {
@@ -204,7 +204,7 @@
 	w.Done(p.now)
 }
 
-func (p *paging) text() string {
+func (p *resultPaging) text() string {
 	n := &p.core.Counts
 	results, memory, disk := p.core.Held()
 	return fmt.Sprintf("; spool holds %d results, bytes %d in memory %d on disk, promised %d refused %d too large %d without room %d not kept %d, pages %d from disk %d bad tokens %d spoilt %d, evicted %d expired %d read out %d, waited %d",
@@ -219,46 +219,46 @@
 		return
 	}
 	if c.pages >= c.wants.Open {
-		c.answer(msgpackrpc.Deferred(nil, msg, spoolBusy))
+		c.answer(msgpackrpc.Deferred(nil, msg, busyRetryAfter))
 		return
 	}
-	if c.purges.barred() {
-		c.answer(msgpackrpc.Deferred(nil, msg, c.warrant.pause()))
+	if c.purges.servingBarred() {
+		c.answer(msgpackrpc.Deferred(nil, msg, c.warrant.retryAfter()))
 		return
 	}
 	c.pages++
 	from := From{c.link.From, all}
-	owner, team := c.owner(from), c.teamOf(from)
+	owner, team := c.dataOwner(from), c.tenantOf(from)
 	var tables []int64
 	if c.warrant != nil {
 		tables = c.paging.core.Tagged(token, team).Tables
 	}
 	outside := func() bool { // the rules may have been others when it was kept
-		return c.warrant != nil && !c.warrant.placing.serves(owner, tables)
+		return c.warrant != nil && !c.warrant.residency.mayServe(owner, tables)
 	}
 	c.paging.core.Read(c.now, token, team, number, func(body []byte, err error) {
 		c.pages--
 		c.idle = c.now
 		switch {
 		case c.link.closed:
-		case c.purges.barred():
-			c.answer(msgpackrpc.Deferred(nil, msg, c.warrant.pause()))
+		case c.purges.servingBarred():
+			c.answer(msgpackrpc.Deferred(nil, msg, c.warrant.retryAfter()))
 		case err == spool.ErrBusy:
-			c.answer(msgpackrpc.Deferred(nil, msg, spoolBusy))
+			c.answer(msgpackrpc.Deferred(nil, msg, busyRetryAfter))
 		case err != nil || outside():
 			c.answer(msgpackrpc.Killed(nil, msg, spool.ErrNone.Error()))
 		default:
-			c.purges.serving(func() { c.answer(msgpackrpc.Answer(nil, msg, [][]byte{body})) })
-			c.purges.handsOut(c.link, owner)
+			c.purges.markRetained(func() { c.answer(msgpackrpc.Answer(nil, msg, [][]byte{body})) })
+			c.purges.noteRetainedWrite(c.link, owner)
 		}
 	})
 }
 
-const spoolBusy = 100 * time.Millisecond
+const busyRetryAfter = 100 * time.Millisecond
 
 // Spooled is what the spool holds: results, and bytes in memory and on disk; nothing
 // without one. It is for reports, between two steps.
-func (r *Controller) Spooled() (results int, memory, disk int64) {
+func (r *Controller) SpoolUsage() (results int, memory, disk int64) {
 	if r.paging == nil {
 		return 0, 0, 0
 	}
--- a/internal/controller/spool_test.go
+++ b/internal/controller/spool_test.go
@@ -270,7 +270,7 @@
 			if a.Answered && a.Answer == client.Finished {
 				t.Error("finished all the same")
 			}
-			if held, _, _ := s.R.Spooled(); held != 0 || s.keeper.Live() != 0 {
+			if held, _, _ := s.R.SpoolUsage(); held != 0 || s.keeper.Live() != 0 {
 				t.Errorf("%d results and %d bytes are left behind", held, s.keeper.Live())
 			}
 			for _, f := range s.History.Done(s.Now) {
@@ -312,7 +312,7 @@
 			}
 		}
 		next.Until(next.Now + time.Second)
-		if held, _, _ := next.R.Spooled(); held > len(asked) {
+		if held, _, _ := next.R.SpoolUsage(); held > len(asked) {
 			t.Fatalf("%d results of %d", held, len(asked))
 		}
 	}
@@ -439,7 +439,7 @@
 		}
 		c.Heard = func(*world.Asked, client.Answer) { s.After(time.Second, read) }
 		s.Until(s.Now + 10*time.Millisecond)
-		_, memory, _ := s.R.Spooled()
+		_, memory, _ := s.R.SpoolUsage()
 		most = max(most, memory)
 	}
 	s.Until(s.Now + 30*time.Second)
@@ -449,7 +449,7 @@
 			answered++
 		}
 	}
-	if _, memory, _ := s.R.Spooled(); memory > l.Memory || most > l.Memory {
+	if _, memory, _ := s.R.SpoolUsage(); memory > l.Memory || most > l.Memory {
 		t.Errorf("%d bytes in memory of %d", max(memory, most), l.Memory)
 	}
 	if answered < 990 {
--- a/internal/controller/submission.go
+++ b/internal/controller/submission.go
@@ -134,7 +134,7 @@
 }
 
 func (s *submission) start() {
-	if s.ended || s.warrant != nil && !s.warrant.lets(s) {
+	if s.ended || s.warrant != nil && !s.warrant.permitSend(s) {
 		return
 	}
 	c := &call{what: "POST", e: s.e, s: s, fits: s.fits(0), starts: true, keeps: true,
@@ -155,7 +155,7 @@
 		by := min(s.until, s.gate.StartDeadline(s.q.id, s.try), s.now+beginMost)
 		fit := !s.ended && !s.q.answered && s.now < by && s.e.state == scheduler.EngineActive
 		s.permit = NewWritePermit(by)
-		if fit && s.warrant != nil && !s.warrant.lets(s) {
+		if fit && s.warrant != nil && !s.warrant.permitSend(s) {
 			c.over, fit = true, false // it came to nothing here: another starts it once it may go
 		}
 		return fit
@@ -263,7 +263,7 @@
 	s := h.submission
 	if s.q.kept != nil {
 		if number == s.drawn && !s.released {
-			s.paging.take(s, number, of, rows)
+			s.paging.addPage(s, number, of, rows)
 		}
 		return
 	}
@@ -311,7 +311,7 @@
 func (s *submission) tell(outcome scheduler.Outcome) {
 	s.pages = nil
 	if s.paging != nil {
-		s.paging.drop(s)
+		s.paging.discard(s)
 	}
 	s.due.Drop(s.limit)
 	s.tally.ends[outcome]++
