--- a/cmd/railrelay-fleet/control_test.go
+++ b/cmd/railrelay-fleet/control_test.go
@@ -201,9 +201,9 @@
 
 // What the set-up says of relays comes to the fleet's core.
 func TestRelaysOfTheSetUpAreBegunWith(t *testing.T) {
-	for name, want := range map[string]node.Begin{
+	for name, want := range map[string]node.Config{
 		"control.yaml": {},
-		"relay.yaml":   {Relay: true},
+		"relay.yaml":   {IsRelay: true},
 		"relayed.yaml": {Relays: []node.Upstream{{Name: "r0", Address: "127.0.0.1:7620"}, {Name: "r1", Address: "127.0.0.1:7621"}}},
 	} {
 		have, err := setup.Load("../../deploy/fleet/" + name)
@@ -211,7 +211,7 @@
 			t.Fatal(err)
 		}
 		b := begin(have)
-		if b.Relay != want.Relay || !slices.Equal(b.Relays, want.Relays) || len(b.Voters) != 3 || b.Self.Name != have.Name {
+		if b.IsRelay != want.IsRelay || !slices.Equal(b.Relays, want.Relays) || len(b.Voters) != 3 || b.Self.Name != have.Name {
 			t.Errorf("%s: %+v", name, b)
 		}
 	}
--- a/cmd/railrelay-fleet/join.go
+++ b/cmd/railrelay-fleet/join.go
@@ -18,10 +18,10 @@
 )
 
 // begin is what the set-up's fleet part says of this process, for the fleet's core.
-func begin(have *setup.Setup) node.Begin {
+func begin(have *setup.Setup) node.Config {
 	part, terms := have.Fleet, have.Fleet.Terms()
-	b := node.Begin{Self: have.Member(), Lease: terms.Lease, LeaseBound: terms.LeaseBound, Drift: terms.Drift,
-		Election: terms.Election, Heartbeat: terms.Heartbeat, KeepAtMost: terms.Keep, Relay: part.Relay}
+	b := node.Config{Self: have.Member(), Lease: terms.Lease, ConfinedLease: terms.LeaseBound, ClockDrift: terms.Drift,
+		ElectionTimeout: terms.Election, HeartbeatInterval: terms.Heartbeat, SnapshotAfterEntries: terms.Keep, IsRelay: part.Relay}
 	for _, voter := range part.Voters {
 		b.Voters = append(b.Voters, consensus.Voter{Name: voter.Name, Address: voter.Address})
 	}
--- a/internal/bench/schedule_actors.go
+++ b/internal/bench/schedule_actors.go
@@ -60,9 +60,9 @@
 		voters = append(voters, consensus.Voter{Name: v.name, Address: v.member.Peer})
 	}
 	p.check.Note(p.now, a.name+" starts", a.name)
-	begin := node.Begin{Self: a.member, Voters: voters, Lease: p.Lease, LeaseBound: p.Lease / 2, Drift: 0.01,
-		Election: 300 * time.Millisecond, Heartbeat: 60 * time.Millisecond, Seed: p.rng.Uint64(), Boot: a.boot, Kept: clone(a.kept), KeepAtMost: 3 + int(p.Seed%30)}
-	begin.Relay, begin.Relays = p.upstreams(a)
+	begin := node.Config{Self: a.member, Voters: voters, Lease: p.Lease, ConfinedLease: p.Lease / 2, ClockDrift: 0.01,
+		ElectionTimeout: 300 * time.Millisecond, HeartbeatInterval: 60 * time.Millisecond, Seed: p.rng.Uint64(), Incarnation: a.boot, Persisted: clone(a.kept), SnapshotAfterEntries: 3 + int(p.Seed%30)}
+	begin.IsRelay, begin.Relays = p.upstreams(a)
 	core, effects, err := node.New(begin)
 	if err != nil {
 		p.broken("%s can't start: %v", a.name, err)
@@ -108,11 +108,11 @@
 		switch e.Kind {
 		case node.Send:
 			p.send(a, e)
-		case node.Store:
+		case node.Persist:
 			if a.storing != nil {
 				p.broken("%s stores while it stores", a.name)
 			}
-			k := *e.Kept
+			k := *e.Writes
 			a.storing = &k
 			took := p.span(100*time.Microsecond, 3*time.Millisecond)
 			if p.now < a.slow {
@@ -121,12 +121,12 @@
 			p.in(took, a, func() {
 				a.keep(k, len(k.Records))
 				a.storing = nil
-				p.step(a, node.Event{Kind: node.Stored})
+				p.step(a, node.Event{Kind: node.WritesPersisted})
 			})
-		case node.Check:
-			change, text := e.Change, string(e.Text)
+		case node.ValidatePolicy:
+			change, text := e.ChangeID, string(e.PolicyText)
 			p.in(p.span(0, 5*time.Millisecond), a, func() {
-				ev := node.Event{Kind: node.Checked, Change: change, Policy: text}
+				ev := node.Event{Kind: node.PolicyValidated, ChangeID: change, Policy: text}
 				if text == "" {
 					ev.Policy = "the set-up's"
 				}
@@ -137,26 +137,26 @@
 					}
 				}
 				if strings.HasSuffix(text, " unfit for "+a.name) {
-					ev.Why = "no team is called so here"
+					ev.Reason = "no team is called so here"
 				}
 				p.step(a, ev)
 			})
-		case node.Order:
+		case node.OrderController:
 			a.queue = append(a.queue, e.Order)
 			p.work(a)
-		case node.Told:
+		case node.Respond:
 			p.told(e.Handle, e.Reply)
-		case node.Wake:
+		case node.SetTimer:
 			a.wake++
 			n := a.wake
-			p.in(time.Duration(float64(max(0, e.Within))/a.rate)+1, a, func() {
+			p.in(time.Duration(float64(max(0, e.Delay))/a.rate)+1, a, func() {
 				if n == a.wake {
-					p.step(a, node.Event{Kind: node.Woken})
+					p.step(a, node.Event{Kind: node.TimerFired})
 				}
 			})
-		case node.Say:
+		case node.LogMessage:
 			if e.Loud {
-				p.check.Note(p.now, a.name+" says: "+e.Line, a.name)
+				p.check.Note(p.now, a.name+" says: "+e.LogText, a.name)
 			}
 		}
 	}
@@ -211,7 +211,7 @@
 }
 
 func (p *play) report(a *actor, r fleet.Report) {
-	p.in(p.span(0, 300*time.Microsecond), a, func() { p.step(a, node.Event{Kind: node.Reported, Report: r}) })
+	p.in(p.span(0, 300*time.Microsecond), a, func() { p.step(a, node.Event{Kind: node.ControllerReported, Report: r}) })
 }
 
 func (p *play) order(a *actor, o fleet.Order) {
--- a/internal/bench/schedule_faults.go
+++ b/internal/bench/schedule_faults.go
@@ -85,7 +85,7 @@
 			if p.now < p.cuts[[2]string{a.name, to.name}] || to.down {
 				return
 			}
-			p.in(0, to, func() { p.step(to, node.Event{Kind: node.Came, Message: m}) })
+			p.in(0, to, func() { p.step(to, node.Event{Kind: node.MessageReceived, Message: m}) })
 		})
 	}
 }
--- a/internal/bench/schedule_operators.go
+++ b/internal/bench/schedule_operators.go
@@ -112,7 +112,7 @@
 			ask.Until = ""
 		}
 		p.in(p.span(0, time.Millisecond), a, func() {
-			p.step(a, node.Event{Kind: node.Asked, Ask: &ask, Handle: h})
+			p.step(a, node.Event{Kind: node.OperatorRequested, Ask: &ask, Handle: h})
 		})
 		return
 	}
--- a/internal/emulator/hollow/controller.go
+++ b/internal/emulator/hollow/controller.go
@@ -130,10 +130,10 @@
 		FailedPosts: at("failed"), Dropped: at("dropped")}
 }
 
-func (c *controller) begin() node.Begin {
-	b := node.Begin{Self: fleet.Member{Name: c.member.Name, Site: c.member.Place.Zone, Peer: c.member.Listen,
+func (c *controller) begin() node.Config {
+	b := node.Config{Self: fleet.Member{Name: c.member.Name, Site: c.member.Place.Zone, Peer: c.member.Listen,
 		Clients: c.member.Clients}, Lease: c.config.Lease,
-		LeaseBound: c.config.Lease, Drift: drift, Election: c.config.Election, Heartbeat: c.config.Heartbeat, KeepAtMost: keepAtMost}
+		ConfinedLease: c.config.Lease, ClockDrift: drift, ElectionTimeout: c.config.Election, HeartbeatInterval: c.config.Heartbeat, SnapshotAfterEntries: keepAtMost}
 	for _, v := range c.config.Voters {
 		b.Voters = append(b.Voters, consensus.Voter{Name: v.Name, Address: v.Address})
 	}
--- a/internal/fleet/driver/edge.go
+++ b/internal/fleet/driver/edge.go
@@ -208,8 +208,8 @@
 			select {
 			case f := <-e.checks:
 				c := e.check(f.change, f.text, f.have)
-				ev := node.Event{Kind: node.Checked, Change: f.change, Why: c.Why, Policy: c.Policy, Watched: c.Watched, Scopes: c.Scopes, Voters: c.Voters,
-					RulesUnknown: c.RulesUnknown}
+				ev := node.Event{Kind: node.PolicyValidated, ChangeID: f.change, Reason: c.Why, Policy: c.Policy, WatchedRules: c.Watched, PurgeScopes: c.Scopes, Voters: c.Voters,
+					ResidencyRulesUnknown: c.RulesUnknown}
 				select {
 				case e.checked <- ev:
 				case <-ctx.Done():
@@ -258,9 +258,9 @@
 		e.toCheck = e.toCheck[1:]
 		return
 	case m := <-messages:
-		ev = node.Event{Kind: node.Came, Message: m}
+		ev = node.Event{Kind: node.MessageReceived, Message: m}
 	case r := <-reports:
-		ev = node.Event{Kind: node.Reported, Report: r}
+		ev = node.Event{Kind: node.ControllerReported, Report: r}
 	case a := <-asks:
 		if e.failed != nil || len(e.open) >= openMost {
 			e.refuse(a)
@@ -273,27 +273,27 @@
 			delete(e.open, e.handle)
 			return
 		}
-		ev = node.Event{Kind: node.Asked, Ask: a.ask, Handle: e.handle}
+		ev = node.Event{Kind: node.OperatorRequested, Ask: a.ask, Handle: e.handle}
 	case h := <-e.gone:
 		if e.open[h] == nil {
 			return
 		}
 		delete(e.open, h)
-		ev = node.Event{Kind: node.Gone, Handle: h}
+		ev = node.Event{Kind: node.RequesterGone, Handle: h}
 	case <-timer:
 		if e.failed != nil {
 			e.complain()
 			return
 		}
-		ev = node.Event{Kind: node.Woken}
+		ev = node.Event{Kind: node.TimerFired}
 	case err := <-stored:
 		if err != nil {
 			e.fail(remedied(err))
 			return
 		}
-		ev = node.Event{Kind: node.Stored}
+		ev = node.Event{Kind: node.WritesPersisted}
 	case ev = <-checked:
-		if strings.HasPrefix(ev.Change, inForce) && ev.Why == "" {
+		if strings.HasPrefix(ev.ChangeID, inForce) && ev.Reason == "" {
 			e.have.Policy = ev.Policy
 		}
 	case <-ctx.Done():
@@ -310,22 +310,22 @@
 		switch f.Kind {
 		case node.Send:
 			e.wire.Send(f.To, f.Address, f.Message)
-		case node.Store:
-			e.stores <- f.Kept // agreement has one under way at a time: there is room
-		case node.Check:
+		case node.Persist:
+			e.stores <- f.Writes // agreement has one under way at a time: there is room
+		case node.ValidatePolicy:
 			have := e.have
-			have.Decided = strings.HasPrefix(f.Change, inForce)
-			e.toCheck = append(e.toCheck, toCheck{f.Change, f.Text, have})
-		case node.Order:
+			have.Decided = strings.HasPrefix(f.ChangeID, inForce)
+			e.toCheck = append(e.toCheck, toCheck{f.ChangeID, f.PolicyText, have})
+		case node.OrderController:
 			e.order(f.Order)
-		case node.Told:
+		case node.Respond:
 			if to := e.open[f.Handle]; to != nil {
 				delete(e.open, f.Handle)
 				to <- e.told(f.Reply)
 			}
-		case node.Wake:
-			e.timer.Reset(f.Within)
-		case node.Say:
+		case node.SetTimer:
+			e.timer.Reset(f.Delay)
+		case node.LogMessage:
 			line := e.log.Info()
 			if f.Loud {
 				line = e.log.Log()
@@ -333,7 +333,7 @@
 			if f.Err != nil {
 				line = line.Str("error", f.Err.Error()).Str("remedy", f.Err.Remedy())
 			}
-			line.Msg("fleet: " + f.Line)
+			line.Msg("fleet: " + f.LogText)
 		}
 	}
 }
--- a/internal/fleet/driver/edge_test.go
+++ b/internal/fleet/driver/edge_test.go
@@ -77,7 +77,7 @@
 
 func play(t *testing.T, do func(ev node.Event) []node.Effect, disk error) (*Edge, *script, *noted) {
 	s, log := &script{make(chan node.Event, 10_000), do}, &noted{}
-	e := newEdge(s, []node.Effect{{Kind: node.Wake, Within: time.Hour}}, &Options{Started: time.Now(), Log: zerolog.New(log),
+	e := newEdge(s, []node.Effect{{Kind: node.SetTimer, Delay: time.Hour}}, &Options{Started: time.Now(), Log: zerolog.New(log),
 		Check: func(change string, text []byte, have Have) Checked {
 			return Checked{Why: change + string(text) + have.Policy.(string)}
 		}})
@@ -97,25 +97,25 @@
 func TestWhatIsAskedForIsDoneAndComesBack(t *testing.T) {
 	e, s, _ := play(t, func(ev node.Event) []node.Effect {
 		switch ev.Kind {
-		case node.Came:
-			return []node.Effect{{Kind: node.Order, Order: fleet.Order{Kind: fleet.Open, Policy: "now"}}, {Kind: node.Store, Kept: &consensus.Kept{}}, {Kind: node.Check, Change: "c1", Text: []byte("x")}, {Kind: node.Wake}}
-		case node.Asked:
+		case node.MessageReceived:
+			return []node.Effect{{Kind: node.OrderController, Order: fleet.Order{Kind: fleet.Open, Policy: "now"}}, {Kind: node.Persist, Writes: &consensus.Kept{}}, {Kind: node.ValidatePolicy, ChangeID: "c1", PolicyText: []byte("x")}, {Kind: node.SetTimer}}
+		case node.OperatorRequested:
 			if ev.Ask.Kind == "status" {
-				return []node.Effect{{Kind: node.Told, Handle: ev.Handle, Reply: &fleet.Reply{Word: "status", Status: &fleet.Status{}}}}
+				return []node.Effect{{Kind: node.Respond, Handle: ev.Handle, Reply: &fleet.Reply{Word: "status", Status: &fleet.Status{}}}}
 			}
 		}
 		return nil
 	}, nil)
 	e.got(&node.Message{From: "b"})
-	s.saw(t, node.Came)
+	s.saw(t, node.MessageReceived)
 	kinds := map[node.EventKind]bool{}
 	for range 3 {
 		ev := <-s.seen
-		if kinds[ev.Kind] = true; ev.Kind == node.Checked && ev.Why != "c1xnow" {
+		if kinds[ev.Kind] = true; ev.Kind == node.PolicyValidated && ev.Reason != "c1xnow" {
 			t.Errorf("%+v", ev)
 		}
 	}
-	if !kinds[node.Stored] || !kinds[node.Checked] || !kinds[node.Woken] {
+	if !kinds[node.WritesPersisted] || !kinds[node.PolicyValidated] || !kinds[node.TimerFired] {
 		t.Fatal(kinds)
 	}
 	r := e.Ask(context.Background(), &fleet.Ask{Kind: "status"})
@@ -125,15 +125,15 @@
 	ctx, stop := context.WithCancel(context.Background())
 	answer := make(chan *fleet.Reply)
 	go func() { answer <- e.Ask(ctx, &fleet.Ask{Kind: "apply", ID: "a1"}) }()
-	asked := s.saw(t, node.Asked)
+	asked := s.saw(t, node.OperatorRequested)
 	for asked.Ask.Kind != "apply" {
-		asked = s.saw(t, node.Asked)
+		asked = s.saw(t, node.OperatorRequested)
 	}
 	stop()
 	if r := <-answer; r.Word != "unknown" || r.Exit() != 4 || r.ID != "a1" || r.Remedy == "" {
 		t.Fatalf("%+v", r)
 	}
-	if gone := s.saw(t, node.Gone); gone.Handle != asked.Handle {
+	if gone := s.saw(t, node.RequesterGone); gone.Handle != asked.Handle {
 		t.Fatal(gone.Handle)
 	}
 }
@@ -144,15 +144,15 @@
 	n := uint64(0)
 	e, s, _ := play(t, func(ev node.Event) []node.Effect {
 		n++
-		return []node.Effect{{Kind: node.Order, Order: fleet.Order{Kind: fleet.Renewed, Until: time.Duration(n)}},
-			{Kind: node.Order, Order: fleet.Order{Kind: fleet.Renewed, Until: time.Duration(n) + 1}},
-			{Kind: node.Order, Order: fleet.Order{Kind: fleet.Open, Version: n}}}
+		return []node.Effect{{Kind: node.OrderController, Order: fleet.Order{Kind: fleet.Renewed, Until: time.Duration(n)}},
+			{Kind: node.OrderController, Order: fleet.Order{Kind: fleet.Renewed, Until: time.Duration(n) + 1}},
+			{Kind: node.OrderController, Order: fleet.Order{Kind: fleet.Open, Version: n}}}
 	}, nil)
 	for range ordersMost {
 		e.got(&node.Message{})
 	}
 	for range ordersMost / 2 { // two orders stay of the three of each
-		s.saw(t, node.Came)
+		s.saw(t, node.MessageReceived)
 	}
 	select {
 	case <-s.seen:
@@ -177,13 +177,13 @@
 // whoever asks is told why and what to do, never that it won't be done.
 func TestADiskThatFails(t *testing.T) {
 	e, s, log := play(t, func(ev node.Event) []node.Effect {
-		if ev.Kind == node.Came {
-			return []node.Effect{{Kind: node.Order, Order: fleet.Order{Kind: fleet.Renewed, Until: fleet.Forever}}, {Kind: node.Store, Kept: &consensus.Kept{}}}
+		if ev.Kind == node.MessageReceived {
+			return []node.Effect{{Kind: node.OrderController, Order: fleet.Order{Kind: fleet.Renewed, Until: fleet.Forever}}, {Kind: node.Persist, Writes: &consensus.Kept{}}}
 		}
 		return nil
 	}, errors.New("no space left on device"))
 	e.got(&node.Message{})
-	s.saw(t, node.Came)
+	s.saw(t, node.MessageReceived)
 	word := &fleet.Word{}
 	word.Set(1)
 	for shut := false; !shut; {
@@ -218,17 +218,17 @@
 func TestManyPoliciesToCheckAtOnce(t *testing.T) {
 	const many = 3 * checksMost
 	e, s, _ := play(t, func(ev node.Event) (l []node.Effect) {
-		if ev.Kind == node.Came {
-			l = append(l, node.Effect{Kind: node.Order, Order: fleet.Order{Kind: fleet.Open, Policy: "now"}})
+		if ev.Kind == node.MessageReceived {
+			l = append(l, node.Effect{Kind: node.OrderController, Order: fleet.Order{Kind: fleet.Open, Policy: "now"}})
 			for range many {
-				l = append(l, node.Effect{Kind: node.Check, Change: "c"})
+				l = append(l, node.Effect{Kind: node.ValidatePolicy, ChangeID: "c"})
 			}
 		}
 		return l
 	}, nil)
 	e.got(&node.Message{})
 	for range many {
-		s.saw(t, node.Checked)
+		s.saw(t, node.PolicyValidated)
 	}
 }
 
@@ -236,10 +236,10 @@
 func TestACheckKnowsWhatIsDecided(t *testing.T) {
 	haves := make(chan Have, 2)
 	e, _, _ := play(t, func(ev node.Event) []node.Effect {
-		if ev.Kind != node.Came {
+		if ev.Kind != node.MessageReceived {
 			return nil
 		}
-		return []node.Effect{{Kind: node.Check, Change: "in force 3 abc"}, {Kind: node.Check, Change: "c4"}}
+		return []node.Effect{{Kind: node.ValidatePolicy, ChangeID: "in force 3 abc"}, {Kind: node.ValidatePolicy, ChangeID: "c4"}}
 	}, nil)
 	e.check = func(_ string, _ []byte, have Have) Checked {
 		haves <- have
--- a/internal/fleet/driver/open.go
+++ b/internal/fleet/driver/open.go
@@ -20,7 +20,7 @@
 
 // Options are what a controller's part in the fleet is opened with.
 type Options struct {
-	Begin     node.Begin // without Self.Disk, Seed, Boot and Kept, which are drawn and read here
+	Begin     node.Config // without Self.Disk, Seed, Boot and Kept, which are drawn and read here
 	Fleet     string
 	Listen    string // where peers come in
 	Control   string // where operators come in; "": they don't
@@ -112,7 +112,7 @@
 		}
 	}
 	b := o.Begin
-	b.Self.Disk, b.Seed, b.Boot, b.Kept = found.Disk, draw(), draw(), found.Kept
+	b.Self.Disk, b.Seed, b.Incarnation, b.Persisted = found.Disk, draw(), draw(), found.Kept
 	core, first, err := node.New(b)
 	if err != nil {
 		return nil, err
@@ -126,7 +126,7 @@
 	if at, ok := inward.Addr().(*net.TCPAddr); ok && !at.IP.IsUnspecified() {
 		local = at.IP
 	}
-	w, err := transport.Open(transport.Options{Local: local, Fleet: o.Fleet, Self: b.Self.Name, Boot: b.Boot, Keys: keys, Listener: inward, Got: e.got,
+	w, err := transport.Open(transport.Options{Local: local, Fleet: o.Fleet, Self: b.Self.Name, Boot: b.Incarnation, Keys: keys, Listener: inward, Got: e.got,
 		OnRefused: refused, Seed: draw(), Dial: o.Dial})
 	if err != nil {
 		return nil, err
--- a/internal/fleet/node/api.go
+++ b/internal/fleet/node/api.go
@@ -11,25 +11,25 @@
 )
 
 // Begin is what it starts with.
-type Begin struct {
-	Self       fleet.Member
-	Voters     []consensus.Voter // by the set-up; the record's go before these
-	Lease      time.Duration     // 0: without an end
-	LeaseBound time.Duration     // for bound teams; 0: as Lease
-	Drift      float64           // clocks differ by at most this part of a span: 0.01
-	Election   time.Duration
-	Heartbeat  time.Duration
-	Seed       uint64
-	Boot       uint64 // drawn anew at each start
-	Kept       consensus.Kept
-	KeepAtMost int // records kept before a snapshot replaces them
+type Config struct {
+	Self                 fleet.Member
+	Voters               []consensus.Voter // by the set-up; the record's go before these
+	Lease                time.Duration     // 0: without an end
+	ConfinedLease        time.Duration     // for bound teams; 0: as Lease
+	ClockDrift           float64           // clocks differ by at most this part of a span: 0.01
+	ElectionTimeout      time.Duration
+	HeartbeatInterval    time.Duration
+	Seed                 uint64
+	Incarnation          uint64 // drawn anew at each start
+	Persisted            consensus.Kept
+	SnapshotAfterEntries int // records kept before a snapshot replaces them
 
 	// Relays are asked for the lease and bring the record, in place of the leader: the
 	// first one, the second where that doesn't answer. None: the leader is asked itself.
 	Relays []Upstream
 	// Relay makes this controller a relay: it gathers the renewals of others for the
 	// leader and passes grants and the record on. It never grants anything itself.
-	Relay bool
+	IsRelay bool
 }
 
 // Upstream is a relay as a controller reaches it.
@@ -39,79 +39,79 @@
 type EventKind int
 
 const (
-	Woken    EventKind = iota // the time asked for has come
-	Came                      // Message from a peer
-	Stored                    // the last Store is on disk, synced
-	Checked                   // Change can be taken, or not: Why; Policy and Watched are what became of its text
-	Reported                  // by the reducer
-	Asked                     // Ask by an operator: answered by a Told with the same Handle
-	Gone                      // who asked by Handle waits no more
+	TimerFired         EventKind = iota // the time asked for has come
+	MessageReceived                     // Message from a peer
+	WritesPersisted                     // the last Store is on disk, synced
+	PolicyValidated                     // Change can be taken, or not: Why; Policy and Watched are what became of its text
+	ControllerReported                  // by the reducer
+	OperatorRequested                   // Ask by an operator: answered by a Told with the same Handle
+	RequesterGone                       // who asked by Handle waits no more
 )
 
 type Event struct {
-	Kind    EventKind
-	Message *Message
-	Change  string
-	Why     string
-	Policy  any
-	Watched []fleet.Watched
+	Kind         EventKind
+	Message      *Message
+	ChangeID     string
+	Reason       string
+	Policy       any
+	WatchedRules []fleet.Watched
 	// RulesUnknown: Checked; the rules in force by this policy are those of controllers'
 	// own set-ups, and this process doesn't know them.
-	RulesUnknown bool
-	Scopes       []fleet.Scope // Checked: what of it is outside now that was inside by the policy before
-	Voters       []string      // Checked: who votes by this policy, as name=address; none: as before
-	Report       fleet.Report
-	Ask          *fleet.Ask
-	Handle       uint64
+	ResidencyRulesUnknown bool
+	PurgeScopes           []fleet.Scope // Checked: what of it is outside now that was inside by the policy before
+	Voters                []string      // Checked: who votes by this policy, as name=address; none: as before
+	Report                fleet.Report
+	Ask                   *fleet.Ask
+	Handle                uint64
 }
 
 // EffectKind is what an Effect asks for.
 type EffectKind int
 
 const (
-	Send  EffectKind = iota // Message to the controller To at Address; it may be lost
-	Store                   // Kept, synced; then a Stored
-	Check                   // Text, the policy of Change against the set-up; then a Checked with the same Change. No text is the set-up's own policy
-	Order                   // for the reducer, in this order
-	Told                    // Reply to who asked by Handle
-	Wake                    // a Woken Within a time; only the last one asked for
-	Say                     // for the log, Loud if it is to be seen without being asked for
+	Send            EffectKind = iota // Message to the controller To at Address; it may be lost
+	Persist                           // Kept, synced; then a Stored
+	ValidatePolicy                    // Text, the policy of Change against the set-up; then a Checked with the same Change. No text is the set-up's own policy
+	OrderController                   // for the reducer, in this order
+	Respond                           // Reply to who asked by Handle
+	SetTimer                          // a Woken Within a time; only the last one asked for
+	LogMessage                        // for the log, Loud if it is to be seen without being asked for
 )
 
 type Effect struct {
-	Kind    EffectKind
-	To      string
-	Address string
-	Message *Message
-	Kept    *consensus.Kept
-	Change  string
-	Text    []byte
-	Order   fleet.Order
-	Handle  uint64
-	Reply   *fleet.Reply
-	Within  time.Duration
-	Loud    bool
-	Line    string
-	Err     fleet.Remedied // with Say, where there is one
+	Kind       EffectKind
+	To         string
+	Address    string
+	Message    *Message
+	Writes     *consensus.Kept
+	ChangeID   string
+	PolicyText []byte
+	Order      fleet.Order
+	Handle     uint64
+	Reply      *fleet.Reply
+	Delay      time.Duration
+	Loud       bool
+	LogText    string
+	Err        fleet.Remedied // with Say, where there is one
 }
 
 // Message is what passes between controllers. One that is lost, doubled or late does
 // no harm. What a kind doesn't need is left out.
 type Message struct {
 	From, To string
-	Disk     string     `cbor:",omitempty"` // of who sent it
-	Agree    []byte     `cbor:",omitempty"` // for agreement
-	Renew    *Renew     `cbor:",omitempty"`
-	Grant    *Grant     `cbor:",omitempty"`
-	Follow   *Follow    `cbor:",omitempty"`
-	Ask      *fleet.Ask `cbor:",omitempty"` // passed on to who leads; what comes of it is seen in the record
-	Lacks    *Lacks     `cbor:",omitempty"`
-	Gather   *Gather    `cbor:",omitempty"` // a relay's, to the leader
-	Gathered *Gathered  `cbor:",omitempty"` // the leader's answer
+	Disk     string           `cbor:",omitempty"` // of who sent it
+	Agree    []byte           `cbor:",omitempty"` // for agreement
+	Renew    *LeaseRenewal    `cbor:",omitempty"`
+	Grant    *LeaseGrant      `cbor:",omitempty"`
+	Follow   *LogUpdate       `cbor:",omitempty"`
+	Ask      *fleet.Ask       `cbor:",omitempty"` // passed on to who leads; what comes of it is seen in the record
+	Lacks    *LogRequest      `cbor:",omitempty"`
+	Gather   *RelayedRenewals `cbor:",omitempty"` // a relay's, to the leader
+	Gathered *RelayedGrants   `cbor:",omitempty"` // the leader's answer
 }
 
 // Renew asks for a lease and tells how far its sender has come.
-type Renew struct {
+type LeaseRenewal struct {
 	Member    fleet.Member
 	Boot      uint64
 	Seq       uint64
@@ -128,7 +128,7 @@
 }
 
 // Grant answers a Renew.
-type Grant struct {
+type LeaseGrant struct {
 	Seq    uint64
 	Sent   int64
 	Boot   uint64
@@ -140,7 +140,7 @@
 }
 
 // Follow brings the record to those who don't vote.
-type Follow struct {
+type LogUpdate struct {
 	Snapshot *consensus.Snapshot `cbor:",omitempty"`
 	Records  []consensus.Record  `cbor:",omitempty"`
 	Decided  uint64
@@ -148,4 +148,4 @@
 }
 
 // Lacks says from where on a follower lacks records.
-type Lacks struct{ From uint64 }
+type LogRequest struct{ From uint64 }
--- a/internal/fleet/node/ask.go
+++ b/internal/fleet/node/ask.go
@@ -1,11 +1,11 @@
 package node
 
-// gatherFrom takes the renewal of a controller that asks through this relay.
-func (c *Core) gatherFrom(name, disk string, r *Renew) {
-	from := c.gatherer.renewed(c.now, name, disk, r)
+// aggregateRenewal takes the renewal of a controller that asks through this relay.
+func (c *Core) aggregateRenewal(name, disk string, r *LeaseRenewal) {
+	from := c.aggregator.addRenewal(c.now, name, disk, r)
 	if from == nil {
 		return
 	}
-	from.follower.told(r, c.now, c.every())
-	c.behind = c.behind || from.next <= c.state.Index
+	from.follower.updateFrom(r, c.now, c.renewalInterval())
+	c.followersBehind = c.followersBehind || from.nextIndex <= c.state.Index
 }
--- a/internal/fleet/node/gather_test.go
+++ b/internal/fleet/node/gather_test.go
@@ -8,45 +8,45 @@
 	"railrelay.dev/railrelay/internal/fleet"
 )
 
-func renewOf(name string, boot, seq uint64) *Renew {
-	return &Renew{Member: fleet.Member{Name: name, Disk: "disk " + name, Site: "here", Peer: name + ":1"}, Boot: boot, Seq: seq, Sent: int64(seq)}
+func renewOf(name string, boot, seq uint64) *LeaseRenewal {
+	return &LeaseRenewal{Member: fleet.Member{Name: name, Disk: "disk " + name, Site: "here", Peer: name + ":1"}, Boot: boot, Seq: seq, Sent: int64(seq)}
 }
 
-func named(g *Gather) (names []string) {
+func named(g *RelayedRenewals) (names []string) {
 	for _, from := range g.Renews {
 		names = append(names, from.Name)
 	}
 	return names
 }
 
-func silentIn(g *Gather) (names []string) {
+func silentIn(g *RelayedRenewals) (names []string) {
 	for _, s := range g.Silents {
 		names = append(names, s.Name)
 	}
 	return names
 }
 
-func (g *gatherer) given(seq uint64, withheld ...Withheld) []grantTo {
-	return g.answered("l", &Gathered{Boot: g.boot, Seq: seq, Given: true, Index: 7, Leader: "l", Withheld: withheld})
+func (g *renewalAggregator) given(seq uint64, withheld ...WithheldLease) []addressedGrant {
+	return g.handleAnswer("l", &RelayedGrants{Boot: g.incarnation, Seq: seq, Given: true, Index: 7, Leader: "l", Withheld: withheld})
 }
 
 // gathering is a relay that a leader has everything of: a and b ask through it.
-func gathering() *gatherer {
-	g := newGatherer(1)
-	g.follows("l")
-	g.renewed(0, "a", "disk a", renewOf("a", 1, 1))
-	g.renewed(0, "b", "disk b", renewOf("b", 1, 1))
-	g.next(0)
+func gathering() *renewalAggregator {
+	g := newRenewalAggregator(1)
+	g.setLeader("l")
+	g.addRenewal(0, "a", "disk a", renewOf("a", 1, 1))
+	g.addRenewal(0, "b", "disk b", renewOf("b", 1, 1))
+	g.nextMessage(0)
 	g.given(1)
 	return g
 }
 
 func TestOnlyWhatWasAskedBeforeAGatherIsGrantedByIt(t *testing.T) {
 	g := gathering()
-	g.renewed(0, "a", "disk a", renewOf("a", 1, 2))
-	g.renewed(0, "a", "disk a", renewOf("a", 1, 3))
-	g.next(0)
-	g.renewed(0, "a", "disk a", renewOf("a", 1, 4))
+	g.addRenewal(0, "a", "disk a", renewOf("a", 1, 2))
+	g.addRenewal(0, "a", "disk a", renewOf("a", 1, 3))
+	g.nextMessage(0)
+	g.addRenewal(0, "a", "disk a", renewOf("a", 1, 4))
 	grants := g.given(2)
 	if len(grants) != 1 || grants[0].name != "a" || grants[0].grant.Seq != 3 || grants[0].grant.Sent != 3 || grants[0].grant.Index != 7 {
 		t.Fatalf("%+v", grants)
@@ -57,64 +57,64 @@
 	if early := g.given(3); len(early) != 0 {
 		t.Errorf("an answer to a gather that wasn't sent grants %+v", early)
 	}
-	if other := g.answered("l", &Gathered{Boot: 2, Seq: 2, Given: true}); len(other) != 0 {
+	if other := g.handleAnswer("l", &RelayedGrants{Boot: 2, Seq: 2, Given: true}); len(other) != 0 {
 		t.Errorf("an answer to another run grants %+v", other)
 	}
 }
 
 func TestAsksOfAnEarlierRunAreNotGranted(t *testing.T) {
 	g := gathering()
-	g.renewed(0, "a", "disk a", renewOf("a", 1, 2))
-	g.renewed(0, "a", "disk a", renewOf("a", 2, 1))
-	g.next(0)
+	g.addRenewal(0, "a", "disk a", renewOf("a", 1, 2))
+	g.addRenewal(0, "a", "disk a", renewOf("a", 2, 1))
+	g.nextMessage(0)
 	for _, to := range g.given(2) {
 		if to.grant.Boot != 2 || to.grant.Seq != 1 {
 			t.Errorf("%+v", to.grant)
 		}
 	}
-	g.renewed(0, "a", "disk a", renewOf("a", 2, 2))
-	g.next(0)
-	g.renewed(0, "a", "disk a", renewOf("a", 3, 1))
+	g.addRenewal(0, "a", "disk a", renewOf("a", 2, 2))
+	g.nextMessage(0)
+	g.addRenewal(0, "a", "disk a", renewOf("a", 3, 1))
 	if grants := g.given(3); len(grants) != 0 {
 		t.Errorf("a run is granted what the one before asked for: %+v", grants[0].grant)
 	}
-	if late := g.renewed(0, "a", "disk a", renewOf("a", 3, 1)); late != nil {
+	if late := g.addRenewal(0, "a", "disk a", renewOf("a", 3, 1)); late != nil {
 		t.Error("a doubled renewal is an ask")
 	}
 }
 
 func TestAGatherTellsWhatTheLeaderLacks(t *testing.T) {
 	g := gathering()
-	if names := named(g.next(0)); len(names) != 0 {
+	if names := named(g.nextMessage(0)); len(names) != 0 {
 		t.Errorf("unchanged, and told again: %v", names)
 	}
 	changed := renewOf("b", 1, 2)
 	changed.Version = 3
-	g.renewed(0, "b", "disk b", changed)
-	if next := g.next(0); !slices.Equal(named(next), []string{"b"}) || next.Base != 2 {
+	g.addRenewal(0, "b", "disk b", changed)
+	if next := g.nextMessage(0); !slices.Equal(named(next), []string{"b"}) || next.Base != 2 {
 		t.Errorf("%v since %d", named(next), next.Base)
 	}
-	if next := g.next(0); len(named(next)) != 0 || next.Base != 3 {
+	if next := g.nextMessage(0); len(named(next)) != 0 || next.Base != 3 {
 		t.Errorf("told again: %v since %d", named(next), next.Base)
 	}
-	g.follows("m")
-	if next := g.next(0); !slices.Equal(named(next), []string{"a", "b"}) || next.Base != 0 {
+	g.setLeader("m")
+	if next := g.nextMessage(0); !slices.Equal(named(next), []string{"a", "b"}) || next.Base != 0 {
 		t.Errorf("another leader is told %v since %d", named(next), next.Base)
 	}
 }
 
 func TestSilenceIsTold(t *testing.T) {
 	g := gathering()
-	g.renewed(time.Second, "b", "disk b", renewOf("b", 1, 2))
+	g.addRenewal(time.Second, "b", "disk b", renewOf("b", 1, 2))
 	g.expire(time.Second, 500*time.Millisecond)
-	next := g.next(1500 * time.Millisecond)
+	next := g.nextMessage(1500 * time.Millisecond)
 	if !slices.Equal(silentIn(next), []string{"a"}) || next.Silents[0].Ago != int64(1500*time.Millisecond) {
 		t.Fatalf("%+v", next.Silents)
 	}
 	if grants := g.given(2); len(grants) != 1 || grants[0].name != "b" {
 		t.Errorf("who is silent is granted a lease: %+v", grants)
 	}
-	if next := g.next(2 * time.Second); len(next.Silents) != 0 {
+	if next := g.nextMessage(2 * time.Second); len(next.Silents) != 0 {
 		t.Errorf("it is told again: %+v", next.Silents)
 	}
 }
@@ -122,130 +122,130 @@
 // Whatever gather is lost, the next one builds on it, so that a leader notices; what it
 // is told then leaves out who fell silent meanwhile.
 func TestALostGatherIsNoticed(t *testing.T) {
-	g := newGatherer(1)
-	g.follows("l")
-	g.renewed(0, "a", "disk a", renewOf("a", 1, 1))
-	if lost := g.next(0); lost.Base != 0 || !slices.Equal(named(lost), []string{"a"}) {
+	g := newRenewalAggregator(1)
+	g.setLeader("l")
+	g.addRenewal(0, "a", "disk a", renewOf("a", 1, 1))
+	if lost := g.nextMessage(0); lost.Base != 0 || !slices.Equal(named(lost), []string{"a"}) {
 		t.Fatalf("%+v", lost)
 	}
-	g.renewed(time.Second, "b", "disk b", renewOf("b", 1, 1))
+	g.addRenewal(time.Second, "b", "disk b", renewOf("b", 1, 1))
 	g.expire(time.Second, 500*time.Millisecond)
-	if next := g.next(time.Second); next.Base != 1 || !slices.Equal(silentIn(next), []string{"a"}) || !slices.Equal(named(next), []string{"b"}) {
+	if next := g.nextMessage(time.Second); next.Base != 1 || !slices.Equal(silentIn(next), []string{"a"}) || !slices.Equal(named(next), []string{"b"}) {
 		t.Errorf("%+v", next)
 	}
-	g.answered("l", &Gathered{Boot: 1, Seq: 2, Resync: true})
-	if all := g.next(time.Second); all.Base != 0 || !slices.Equal(named(all), []string{"b"}) || len(all.Silents) != 0 {
+	g.handleAnswer("l", &RelayedGrants{Boot: 1, Seq: 2, Resync: true})
+	if all := g.nextMessage(time.Second); all.Base != 0 || !slices.Equal(named(all), []string{"b"}) || len(all.Silents) != 0 {
 		t.Errorf("%+v", all)
 	}
-	g.answered("l", &Gathered{Boot: 1, Seq: 2, Resync: true})
-	if next := g.next(time.Second); next.Base != 3 {
+	g.handleAnswer("l", &RelayedGrants{Boot: 1, Seq: 2, Resync: true})
+	if next := g.nextMessage(time.Second); next.Base != 3 {
 		t.Errorf("an answer from before everything was told has it told again: %+v", next)
 	}
-	g.answered("l", &Gathered{Boot: 1, Seq: 4, Resync: true})
-	if all := g.next(time.Second); all.Base != 0 {
+	g.handleAnswer("l", &RelayedGrants{Boot: 1, Seq: 4, Resync: true})
+	if all := g.nextMessage(time.Second); all.Base != 0 {
 		t.Errorf("everything was lost, and isn't told again: %+v", all)
 	}
 }
 
 func TestWhoIsWithheldIsToldAgainOrRefused(t *testing.T) {
 	g := gathering()
-	g.renewed(0, "a", "disk a", renewOf("a", 1, 2))
-	g.renewed(0, "b", "disk b", renewOf("b", 1, 2))
-	g.next(0)
-	grants := g.given(2, Withheld{Name: "a"}, Withheld{Name: "b", Why: "forgotten"})
+	g.addRenewal(0, "a", "disk a", renewOf("a", 1, 2))
+	g.addRenewal(0, "b", "disk b", renewOf("b", 1, 2))
+	g.nextMessage(0)
+	grants := g.given(2, WithheldLease{Name: "a"}, WithheldLease{Name: "b", Why: "forgotten"})
 	if len(grants) != 2 || grants[0].grant.Given || grants[0].grant.Why != "" || grants[1].grant.Given || grants[1].grant.Why != "forgotten" {
 		t.Fatalf("%+v %+v", grants[0].grant, grants[1].grant)
 	}
-	if next := g.next(0); !slices.Equal(named(next), []string{"a"}) {
+	if next := g.nextMessage(0); !slices.Equal(named(next), []string{"a"}) {
 		t.Errorf("told again: %v", named(next))
 	}
 }
 
 func TestAnswersThatAskForMore(t *testing.T) {
 	g := gathering()
-	g.renewed(0, "a", "disk a", renewOf("a", 1, 2))
-	g.next(0)
-	if grants := g.answered("l", &Gathered{Boot: 1, Seq: 2, Resync: true}); len(grants) != 0 {
+	g.addRenewal(0, "a", "disk a", renewOf("a", 1, 2))
+	g.nextMessage(0)
+	if grants := g.handleAnswer("l", &RelayedGrants{Boot: 1, Seq: 2, Resync: true}); len(grants) != 0 {
 		t.Errorf("%+v", grants)
 	}
-	if next := g.next(0); next.Base != 0 || !slices.Equal(named(next), []string{"a", "b"}) {
+	if next := g.nextMessage(0); next.Base != 0 || !slices.Equal(named(next), []string{"a", "b"}) {
 		t.Errorf("%v since %d", named(next), next.Base)
 	}
-	g.answered("l", &Gathered{Boot: 1, Seq: 3, Given: true, Again: []string{"b"}})
-	if next := g.next(0); !slices.Equal(named(next), []string{"b"}) {
+	g.handleAnswer("l", &RelayedGrants{Boot: 1, Seq: 3, Given: true, Again: []string{"b"}})
+	if next := g.nextMessage(0); !slices.Equal(named(next), []string{"b"}) {
 		t.Errorf("%v", named(next))
 	}
 }
 
 // leadOf plays a fleet with a relay that is driven by hand: the leader, and what it
 // answers the relay.
-func leadOf(t *testing.T) (s *stage, l *actor, tell func(*Gather) *Gathered) {
+func leadOf(t *testing.T) (s *stage, l *actor, tell func(*RelayedRenewals) *RelayedGrants) {
 	s = relayStage(t, 21, 3, 1, 2, relayLease)
 	s.until(5*time.Second, "all serve", func() bool { return s.serve(s.names...) })
 	for _, name := range []string{"r0", "f0", "f1"} {
 		s.all[name].run = 0
 	}
 	l = s.leader()
-	var last *Gathered
+	var last *RelayedGrants
 	s.seen = func(_, to string, m *Message) {
 		if to == "r0" && m.Gathered != nil && m.Gathered.Boot == 77 {
 			last = m.Gathered
 		}
 	}
-	return s, l, func(g *Gather) *Gathered {
+	return s, l, func(g *RelayedRenewals) *RelayedGrants {
 		g.Boot, last = 77, nil
-		l.step(Event{Kind: Came, Message: &Message{From: "r0", To: l.name, Disk: "disk r0", Gather: g}})
+		l.step(Event{Kind: MessageReceived, Message: &Message{From: "r0", To: l.name, Disk: "disk r0", Gather: g}})
 		s.play(60*time.Millisecond, nil)
 		return last
 	}
 }
 
-func from(name string, boot, seq uint64) GatheredFrom {
-	return GatheredFrom{Name: name, Disk: "disk " + name, Renew: renewOf(name, boot, seq)}
+func from(name string, boot, seq uint64) RelayedRenewal {
+	return RelayedRenewal{Name: name, Disk: "disk " + name, Renew: renewOf(name, boot, seq)}
 }
 
 func TestALeaderThatLacksTheBaseAsksForEverything(t *testing.T) {
 	_, l, tell := leadOf(t)
-	if a := tell(&Gather{Seq: 3, Base: 2}); a == nil || !a.Resync || a.Given {
+	if a := tell(&RelayedRenewals{Seq: 3, Base: 2}); a == nil || !a.Resync || a.Given {
 		t.Fatalf("it has nothing of this relay and says %+v", a)
 	}
-	if a := tell(&Gather{Seq: 4, Renews: []GatheredFrom{from("f0", 50, 1)}}); a == nil || !a.Given || len(a.Withheld) != 0 {
+	if a := tell(&RelayedRenewals{Seq: 4, Renews: []RelayedRenewal{from("f0", 50, 1)}}); a == nil || !a.Given || len(a.Withheld) != 0 {
 		t.Fatalf("%+v", a)
 	}
-	if a := tell(&Gather{Seq: 6, Base: 5}); a == nil || !a.Resync || a.Given {
+	if a := tell(&RelayedRenewals{Seq: 6, Base: 5}); a == nil || !a.Resync || a.Given {
 		t.Errorf("it lacks gather 5 and says %+v", a)
 	}
-	if a := tell(&Gather{Seq: 7, Base: 4}); a == nil || !a.Given {
+	if a := tell(&RelayedRenewals{Seq: 7, Base: 4}); a == nil || !a.Given {
 		t.Errorf("%+v", a)
 	}
-	if !l.core.covers[coverKey{"r0", 77}].controllers["f0"] {
+	if !l.core.coverage[relayIncarnation{"r0", 77}].controllers["f0"] {
 		t.Error("it isn't covered")
 	}
 }
 
 func TestAGatherThatComesLateIsPassedOver(t *testing.T) {
 	_, l, tell := leadOf(t)
-	tell(&Gather{Seq: 5, Renews: []GatheredFrom{from("f0", 50, 5)}})
-	if a := tell(&Gather{Seq: 4, Renews: []GatheredFrom{from("f1", 51, 4)}}); a != nil {
+	tell(&RelayedRenewals{Seq: 5, Renews: []RelayedRenewal{from("f0", 50, 5)}})
+	if a := tell(&RelayedRenewals{Seq: 4, Renews: []RelayedRenewal{from("f1", 51, 4)}}); a != nil {
 		t.Errorf("a late gather is answered: %+v", a)
 	}
-	if a := tell(&Gather{Seq: 5, Renews: []GatheredFrom{from("f1", 51, 4)}}); a != nil {
+	if a := tell(&RelayedRenewals{Seq: 5, Renews: []RelayedRenewal{from("f1", 51, 4)}}); a != nil {
 		t.Errorf("a doubled gather is answered: %+v", a)
 	}
-	if covers := l.core.covers[coverKey{"r0", 77}]; !covers.controllers["f0"] || covers.controllers["f1"] {
+	if covers := l.core.coverage[relayIncarnation{"r0", 77}]; !covers.controllers["f0"] || covers.controllers["f1"] {
 		t.Errorf("covered: %v", covers.controllers)
 	}
 }
 
 func TestAGatherOfEverythingReplacesWhatWasTold(t *testing.T) {
 	_, l, tell := leadOf(t)
-	tell(&Gather{Seq: 1, Renews: []GatheredFrom{from("f0", 50, 1), from("f1", 51, 1)}})
-	heard := l.core.covers[coverKey{"r0", 77}].heard
-	tell(&Gather{Seq: 2, Renews: []GatheredFrom{from("f1", 51, 2)}})
-	if covers := l.core.covers[coverKey{"r0", 77}]; covers.controllers["f0"] || !covers.controllers["f1"] {
+	tell(&RelayedRenewals{Seq: 1, Renews: []RelayedRenewal{from("f0", 50, 1), from("f1", 51, 1)}})
+	heard := l.core.coverage[relayIncarnation{"r0", 77}].heardAt
+	tell(&RelayedRenewals{Seq: 2, Renews: []RelayedRenewal{from("f1", 51, 2)}})
+	if covers := l.core.coverage[relayIncarnation{"r0", 77}]; covers.controllers["f0"] || !covers.controllers["f1"] {
 		t.Errorf("covered: %v", covers.controllers)
 	}
-	if asked := l.core.peers["f0"].asked; asked < heard {
+	if asked := l.core.peers["f0"].leaseAskedAt; asked < heard {
 		t.Errorf("f0 asked at %v as the leader has it, and was covered at %v", asked, heard)
 	}
 }
@@ -254,35 +254,35 @@
 // of it, also if the record has it before the answer goes out.
 func TestWhoJoinsIsWithheldByTheGatherThatToldOfIt(t *testing.T) {
 	s, l, tell := leadOf(t)
-	if a := tell(&Gather{Seq: 1, Renews: []GatheredFrom{from("new", 60, 1)}}); a == nil || !slices.Equal(a.Withheld, []Withheld{{Name: "new"}}) {
+	if a := tell(&RelayedRenewals{Seq: 1, Renews: []RelayedRenewal{from("new", 60, 1)}}); a == nil || !slices.Equal(a.Withheld, []WithheldLease{{Name: "new"}}) {
 		t.Fatalf("%+v", a)
 	}
 	s.play(time.Second, nil)
 	if l.core.state.Members["new"] == nil {
 		t.Fatal("it hasn't joined")
 	}
-	if a := tell(&Gather{Seq: 2, Renews: []GatheredFrom{from("new", 60, 2)}}); a == nil || !a.Given || len(a.Withheld) != 0 {
+	if a := tell(&RelayedRenewals{Seq: 2, Renews: []RelayedRenewal{from("new", 60, 2)}}); a == nil || !a.Given || len(a.Withheld) != 0 {
 		t.Errorf("%+v", a)
 	}
 	// two gathers in one confirmation: what the first withheld stays withheld for it
-	covers := &cover{controllers: map[string]bool{"new": true}}
-	first := renewal{name: "r0", gather: &Gather{Boot: 77, Seq: 9}, covers: covers, withheld: map[string]string{"new": ""}}
-	l.core.out = nil
-	l.core.grantGather(first, 1)
-	if sent := l.core.out[0].Message.Gathered; len(sent.Withheld) != 1 {
+	covers := &relayCoverage{controllers: map[string]bool{"new": true}}
+	first := unconfirmedRenewal{name: "r0", relayed: &RelayedRenewals{Boot: 77, Seq: 9}, coverage: covers, withheld: map[string]string{"new": ""}}
+	l.core.effects = nil
+	l.core.grantRelayed(first, 1)
+	if sent := l.core.effects[0].Message.Gathered; len(sent.Withheld) != 1 {
 		t.Errorf("%+v", sent)
 	}
 }
 
 func TestAForgottenControllerIsWithheld(t *testing.T) {
 	s, l, tell := leadOf(t)
-	tell(&Gather{Seq: 1, Renews: []GatheredFrom{from("f0", 50, 1)}})
-	l.step(Event{Kind: Asked, Handle: 1, Ask: &fleet.Ask{Kind: "forget", ID: "x", Name: "f0"}})
+	tell(&RelayedRenewals{Seq: 1, Renews: []RelayedRenewal{from("f0", 50, 1)}})
+	l.step(Event{Kind: OperatorRequested, Handle: 1, Ask: &fleet.Ask{Kind: "forget", ID: "x", Name: "f0"}})
 	s.until(2*time.Second, "forgotten", func() bool { return l.core.state.Members["f0"].Forgotten })
-	if a := tell(&Gather{Seq: 2, Base: 1}); a == nil || len(a.Withheld) != 1 || a.Withheld[0].Why != forgottenName {
+	if a := tell(&RelayedRenewals{Seq: 2, Base: 1}); a == nil || len(a.Withheld) != 1 || a.Withheld[0].Why != forgottenName {
 		t.Errorf("%+v", a)
 	}
-	if a := tell(&Gather{Seq: 3, Renews: []GatheredFrom{{Name: "f1", Disk: "another", Renew: renewOf("f1", 51, 1)}}}); a == nil || a.Withheld[0].Why != foreignDisk {
+	if a := tell(&RelayedRenewals{Seq: 3, Renews: []RelayedRenewal{{Name: "f1", Disk: "another", Renew: renewOf("f1", 51, 1)}}}); a == nil || a.Withheld[0].Why != foreignDisk {
 		t.Errorf("%+v", a)
 	}
 }
@@ -290,19 +290,19 @@
 // Who asked for silence to be told, and of whom another relay told since, is told again.
 func TestWhatAnotherRelayToldIsAskedForAgain(t *testing.T) {
 	_, l, tell := leadOf(t)
-	tell(&Gather{Seq: 1, Renews: []GatheredFrom{from("f0", 90, 1)}})
-	old := &Gather{Boot: 5, Seq: 1, Renews: []GatheredFrom{from("f0", 80, 1)}}
-	l.step(Event{Kind: Came, Message: &Message{From: "r9", To: l.name, Disk: "disk r9", Gather: old}})
-	if l.core.peers["f0"].boot != 80 {
+	tell(&RelayedRenewals{Seq: 1, Renews: []RelayedRenewal{from("f0", 90, 1)}})
+	old := &RelayedRenewals{Boot: 5, Seq: 1, Renews: []RelayedRenewal{from("f0", 80, 1)}}
+	l.step(Event{Kind: MessageReceived, Message: &Message{From: "r9", To: l.name, Disk: "disk r9", Gather: old}})
+	if l.core.peers["f0"].incarnation != 80 {
 		t.Fatal("the other relay's word doesn't stand")
 	}
-	l.step(Event{Kind: Came, Message: &Message{From: "r9", To: l.name, Disk: "disk r9",
-		Gather: &Gather{Boot: 5, Seq: 2, Base: 1, Silents: []Silent{{Name: "f0", Ago: 1}}}}})
-	if a := tell(&Gather{Seq: 2, Base: 1}); a == nil || !slices.Equal(a.Again, []string{"f0"}) {
+	l.step(Event{Kind: MessageReceived, Message: &Message{From: "r9", To: l.name, Disk: "disk r9",
+		Gather: &RelayedRenewals{Boot: 5, Seq: 2, Base: 1, Silents: []SilentController{{Name: "f0", Ago: 1}}}}})
+	if a := tell(&RelayedRenewals{Seq: 2, Base: 1}); a == nil || !slices.Equal(a.Again, []string{"f0"}) {
 		t.Fatalf("%+v", a)
 	}
-	a := tell(&Gather{Seq: 3, Base: 1, Renews: []GatheredFrom{from("f0", 90, 1)}})
-	if a == nil || len(a.Again) != 0 || l.core.peers["f0"].boot != 90 {
-		t.Errorf("%+v, and run %d stands", a, l.core.peers["f0"].boot)
+	a := tell(&RelayedRenewals{Seq: 3, Base: 1, Renews: []RelayedRenewal{from("f0", 90, 1)}})
+	if a == nil || len(a.Again) != 0 || l.core.peers["f0"].incarnation != 90 {
+		t.Errorf("%+v, and run %d stands", a, l.core.peers["f0"].incarnation)
 	}
 }
--- a/internal/fleet/node/member.go
+++ b/internal/fleet/node/member.go
@@ -17,68 +17,68 @@
 // member is the part that every controller has: its lease, what its reducer was told,
 // and what it tells the leader of itself.
 type member struct {
-	leader     string // who leads, as far as is known
-	hint       int    // whom to ask while nobody is known to lead
-	routes     routes // through which relay it asks
-	seq        uint64
-	renewAt    time.Duration
-	askedAt    time.Duration
-	news       bool // something of the below has changed since it was last told
-	caught     bool // a lease was given in this run: what came before is known
-	until      time.Duration
-	untilBound time.Duration // the same for bound teams
-	pending    []pending
-	told       map[string][]string // by run: who is waited for, as the leader told last
-	refused    string
+	leader             string // who leads, as far as is known
+	voterHint          int    // whom to ask while nobody is known to lead
+	routes             routes // through which relay it asks
+	renewalSeq         uint64
+	renewAt            time.Duration
+	unansweredSince    time.Duration
+	unreported         bool // something of the below has changed since it was last told
+	caughtUp           bool // a lease was given in this run: what came before is known
+	leaseUntil         time.Duration
+	confinedLeaseUntil time.Duration // the same for bound teams
+	pendingLeases      []pendingLease
+	leaderWaitsFor     map[string][]string // by run: who is waited for, as the leader told last
+	refusedReason      string
 
-	policies map[uint64]*taken    // by version: what the set-up made of it
-	checks   map[string]*checking // by change; that in force has a key of its own
-	shutFor  string               // the reducer was told to stop for this change
-	open     uint64               // the version that it was told to decide by, 0: none
-	opened   uint64               // and said it does
-	closed   string               // the change it said it stopped for
-	seen     uint64               // the state that its picture is of
-	dropped  map[string]bool      // purges that it was told
-	here     map[string]bool      // of those, whose results don't come out any more
-	wiped    map[string]fleet.Counts
-	sites    []string
-	outside  int
+	policies             map[uint64]*validatedPolicy // by version: what the set-up made of it
+	validations          map[string]*validation      // by change; that in force has a key of its own
+	fenceOrderedFor      string                      // the reducer was told to stop for this change
+	orderedVersion       uint64                      // the version that it was told to decide by, 0: none
+	servedVersion        uint64                      // and said it does
+	fenceConfirmedFor    string                      // the change it said it stopped for
+	viewIndex            uint64                      // the state that its picture is of
+	invalidationsOrdered map[string]bool             // purges that it was told
+	tombstoned           map[string]bool             // of those, whose results don't come out any more
+	erased               map[string]fleet.Counts
+	servingSites         []string
+	attemptsOutside      int
 }
 
 // pending is a lease that counts once the record up to index is applied.
-type pending struct {
-	sent  time.Duration
-	index uint64
+type pendingLease struct {
+	askedAt time.Duration
+	index   uint64
 }
 
 // taken is a policy as the set-up has it. The sum is its text's: what was withdrawn had
 // the same version.
-type taken struct {
-	sum     uint64
-	policy  any
-	watched []fleet.Watched
+type validatedPolicy struct {
+	checksum     uint64
+	policy       any
+	watchedRules []fleet.Watched
 	// rulesUnknown: there may be rules that watched doesn't name
-	rulesUnknown bool
+	residencyRulesUnknown bool
 }
 
 // checking is a policy that the set-up is asked about.
-type checking struct {
-	version uint64
-	sum     uint64
-	done    bool
-	why     string
-	scopes  []fleet.Scope
-	voters  []string
+type validation struct {
+	version     uint64
+	checksum    uint64
+	done        bool
+	reason      string
+	purgeScopes []fleet.Scope
+	voters      []string
 }
 
-func (m *member) start() {
-	m.told, m.policies = map[string][]string{}, map[uint64]*taken{}
-	m.checks, m.dropped, m.here, m.wiped = map[string]*checking{}, map[string]bool{}, map[string]bool{}, map[string]fleet.Counts{}
+func (m *member) init() {
+	m.leaderWaitsFor, m.policies = map[string][]string{}, map[uint64]*validatedPolicy{}
+	m.validations, m.invalidationsOrdered, m.tombstoned, m.erased = map[string]*validation{}, map[string]bool{}, map[string]bool{}, map[string]fleet.Counts{}
 }
 
 // every is how often a lease is asked for: the shorter one must go on, too.
-func (c *Core) every() time.Duration {
-	span := c.bound()
+func (c *Core) renewalInterval() time.Duration {
+	span := c.shorterLease()
 	if span == fleet.Forever {
 		return 500 * time.Millisecond
 	}
@@ -86,112 +86,112 @@
 }
 
 // renew asks for the lease when it is time, or tells at once what is new.
-func (c *Core) renew() {
-	if c.refused != "" {
+func (c *Core) renewLease() {
+	if c.refusedReason != "" {
 		c.renewAt = c.now + time.Minute
 		return
 	}
-	if c.now < c.renewAt && !c.news {
+	if c.now < c.renewAt && !c.unreported {
 		return
 	}
-	if c.leads { // a late word of another leader must not have it ask elsewhere
-		c.leader = c.b.Self.Name
+	if c.isLeader { // a late word of another leader must not have it ask elsewhere
+		c.leader = c.config.Self.Name
 	}
-	if c.leader == c.b.Self.Name && !c.leads { // another may not have heard yet that it leads no more
+	if c.leader == c.config.Self.Name && !c.isLeader { // another may not have heard yet that it leads no more
 		c.leader = ""
 	}
 	upstreams := c.upstreams()
 	if len(upstreams) == 0 {
 		return
 	}
-	c.news = false
-	c.renewAt = c.now + c.every()
-	if c.askedAt == 0 {
-		c.askedAt = c.now
+	c.unreported = false
+	c.renewAt = c.now + c.renewalInterval()
+	if c.unansweredSince == 0 {
+		c.unansweredSince = c.now
 	}
-	c.seq++
-	r := &Renew{Member: c.b.Self, Boot: c.b.Boot, Seq: c.seq, Sent: int64(c.now), Applied: c.state.Index, Votes: c.vote != nil, Version: c.opened, Closed: c.closed,
-		Sites: c.sites, Outside: c.outside}
+	c.renewalSeq++
+	r := &LeaseRenewal{Member: c.config.Self, Boot: c.config.Incarnation, Seq: c.renewalSeq, Sent: int64(c.now), Applied: c.state.Index, Votes: c.consensus != nil, Version: c.servedVersion, Closed: c.fenceConfirmedFor,
+		Sites: c.servingSites, Outside: c.attemptsOutside}
 	if u := c.state.Under(); u != nil {
-		if k := c.checks[u.ID]; k != nil && k.done {
-			r.Ready = map[string]string{u.ID: k.why}
+		if k := c.validations[u.ID]; k != nil && k.done {
+			r.Ready = map[string]string{u.ID: k.reason}
 		}
 	}
-	r.Unreached = append(r.Unreached, sorted(c.here)...)
-	r.Wiped = maps.Clone(c.wiped)
+	r.Unreached = append(r.Unreached, sorted(c.tombstoned)...)
+	r.Wiped = maps.Clone(c.erased)
 	for _, to := range upstreams {
 		c.send(to.Name, to.Address, &Message{Renew: r})
 	}
 }
 
 // granted: the leader's word on a Renew.
-func (c *Core) granted(from string, g *Grant) {
-	if g.Boot != c.b.Boot || g.Seq > c.seq {
+func (c *Core) receiveGrant(from string, g *LeaseGrant) {
+	if g.Boot != c.config.Incarnation || g.Seq > c.renewalSeq {
 		return
 	}
 	if g.Why != "" {
-		c.unwanted(g.Why)
+		c.stopForGood(g.Why)
 		return
 	}
-	if route := c.routeOf(from); g.Given || route == len(c.b.Relays) { // one that is no relay only names the leader
-		c.routes.answered(route, c.now, c.askedAt > 0, relayRetryEach*c.every())
-		c.askedAt = 0
+	if route := c.routeOf(from); g.Given || route == len(c.config.Relays) { // one that is no relay only names the leader
+		c.routes.recordAnswer(route, c.now, c.unansweredSince > 0, firstRelayRetryIntervals*c.renewalInterval())
+		c.unansweredSince = 0
 	}
 	if !g.Given {
-		if g.Leader == c.b.Self.Name { // it led, and another may not know better yet
+		if g.Leader == c.config.Self.Name { // it led, and another may not know better yet
 			return
 		}
-		if g.Leader != c.leader && (c.vote == nil || g.Leader != "") || c.leader == "" {
+		if g.Leader != c.leader && (c.consensus == nil || g.Leader != "") || c.leader == "" {
 			if c.leader = g.Leader; c.leader != "" && c.leader != from {
 				c.renewAt = c.now
 			}
 		}
 		return
 	}
-	if c.vote == nil {
+	if c.consensus == nil {
 		c.leader = cmp.Or(g.Leader, from)
 	}
-	c.told = g.Waits
-	c.pending = append(c.pending, pending{time.Duration(g.Sent), g.Index})
-	c.lease()
+	c.leaderWaitsFor = g.Waits
+	c.pendingLeases = append(c.pendingLeases, pendingLease{time.Duration(g.Sent), g.Index})
+	c.activateLeases()
 }
 
 // unwanted: this name or disk never serves again. What it holds ends now, since a lease
 // without an end wouldn't by itself.
-func (c *Core) unwanted(why string) {
-	if c.refused != "" {
+func (c *Core) stopForGood(why string) {
+	if c.refusedReason != "" {
 		return
 	}
-	c.refused = why
-	c.wrong(&fleet.UnwantedError{Name: c.b.Self.Name, Why: why})
-	c.pending, c.until, c.untilBound = nil, 0, 0
-	c.do(Effect{Kind: Order, Order: fleet.Order{Kind: fleet.Renewed}})
+	c.refusedReason = why
+	c.logError(&fleet.UnwantedError{Name: c.config.Self.Name, Why: why})
+	c.pendingLeases, c.leaseUntil, c.confinedLeaseUntil = nil, 0, 0
+	c.emit(Effect{Kind: OrderController, Order: fleet.Order{Kind: fleet.Renewed}})
 }
 
 // lease makes those leases count whose record is applied. It counts from when it was
 // asked for, by this controller's own clock.
-func (c *Core) lease() {
-	until, bound := c.until, c.untilBound // apart: the one may have no end, and the other must go on
-	c.pending = slices.DeleteFunc(c.pending, func(p pending) bool {
+func (c *Core) activateLeases() {
+	until, bound := c.leaseUntil, c.confinedLeaseUntil // apart: the one may have no end, and the other must go on
+	c.pendingLeases = slices.DeleteFunc(c.pendingLeases, func(p pendingLease) bool {
 		if p.index > c.state.Index {
-			return c.b.Lease != fleet.Forever && c.now-p.sent > c.b.Lease
+			return c.config.Lease != fleet.Forever && c.now-p.askedAt > c.config.Lease
 		}
-		until, bound = max(until, c.ends(p.sent, c.b.Lease)), max(bound, c.ends(p.sent, c.b.LeaseBound))
+		until, bound = max(until, c.leaseEnd(p.askedAt, c.config.Lease)), max(bound, c.leaseEnd(p.askedAt, c.config.ConfinedLease))
 		return true
 	})
-	if until <= c.until && bound <= c.untilBound || c.bad != nil || c.refused != "" {
+	if until <= c.leaseUntil && bound <= c.confinedLeaseUntil || c.stateError != nil || c.refusedReason != "" {
 		return
 	}
-	if !c.caught {
-		c.caught = true
-		c.say(false, "the record is caught up with, at %d", c.state.Index)
+	if !c.caughtUp {
+		c.caughtUp = true
+		c.logf(false, "the record is caught up with, at %d", c.state.Index)
 	}
-	c.until, c.untilBound = until, bound
-	c.reconcile() // before the lease: what is forbidden by now must be known first
-	c.do(Effect{Kind: Order, Order: fleet.Order{Kind: fleet.Renewed, Until: until, UntilBound: bound}})
+	c.leaseUntil, c.confinedLeaseUntil = until, bound
+	c.orderOutstanding() // before the lease: what is forbidden by now must be known first
+	c.emit(Effect{Kind: OrderController, Order: fleet.Order{Kind: fleet.Renewed, Until: until, UntilBound: bound}})
 }
 
-func (c *Core) ends(from, span time.Duration) time.Duration {
+func (c *Core) leaseEnd(from, span time.Duration) time.Duration {
 	if span == fleet.Forever {
 		return fleet.Forever
 	}
@@ -200,148 +200,148 @@
 
 // serves: it holds a lease and decides by the version in force.
 func (c *Core) serves() bool {
-	return c.now < c.until && c.opened == c.state.Version && c.shutFor == ""
+	return c.now < c.leaseUntil && c.servedVersion == c.state.Version && c.fenceOrderedFor == ""
 }
 
 // reconcile tells the reducer what the state asks for and it was not told yet. Before
 // this run's first lease it is told nothing: what is known may be old.
-func (c *Core) reconcile() {
+func (c *Core) orderOutstanding() {
 	u := c.state.Under()
-	if !c.caught || c.bad != nil {
+	if !c.caughtUp || c.stateError != nil {
 		return
 	}
 	if u != nil && u.Phase == statemachine.Closing {
-		if c.shutFor != u.ID {
-			c.shutFor, c.open, c.opened = u.ID, 0, 0
-			c.do(Effect{Kind: Order, Order: fleet.Order{Kind: fleet.Shut, Change: u.ID}})
+		if c.fenceOrderedFor != u.ID {
+			c.fenceOrderedFor, c.orderedVersion, c.servedVersion = u.ID, 0, 0
+			c.emit(Effect{Kind: OrderController, Order: fleet.Order{Kind: fleet.Shut, Change: u.ID}})
 		}
 	}
-	if c.open != 0 && c.open != c.state.Version { // a snapshot went past the close: the lease to come is not for the old one
-		c.shutFor, c.open, c.opened = fmt.Sprintf("version %d", c.state.Version), 0, 0
-		c.do(Effect{Kind: Order, Order: fleet.Order{Kind: fleet.Shut, Change: c.shutFor}})
+	if c.orderedVersion != 0 && c.orderedVersion != c.state.Version { // a snapshot went past the close: the lease to come is not for the old one
+		c.fenceOrderedFor, c.orderedVersion, c.servedVersion = fmt.Sprintf("version %d", c.state.Version), 0, 0
+		c.emit(Effect{Kind: OrderController, Order: fleet.Order{Kind: fleet.Shut, Change: c.fenceOrderedFor}})
 	}
-	if c.seen == 0 { // nothing is taken yet, and purges are measured by it
-		c.pictured()
+	if c.viewIndex == 0 { // nothing is taken yet, and purges are measured by it
+		c.orderView()
 	}
 	for _, id := range sorted(c.state.Purges) {
-		c.purge(c.state.Purges[id])
+		c.orderInvalidation(c.state.Purges[id])
 	}
 	// the record knows old ones no more, and neither need this
-	maps.DeleteFunc(c.dropped, func(id string, _ bool) bool { return c.state.Purges[id] == nil })
-	if c.state.Seen > c.seen {
-		c.pictured()
+	maps.DeleteFunc(c.invalidationsOrdered, func(id string, _ bool) bool { return c.state.Purges[id] == nil })
+	if c.state.Seen > c.viewIndex {
+		c.orderView()
 	}
 	have, sum := c.policies[c.state.Version], xxhash.Sum64(c.state.Policy)
-	if c.open != c.state.Version && (have == nil || have.sum != sum) {
+	if c.orderedVersion != c.state.Version && (have == nil || have.checksum != sum) {
 		have = nil
 		key := fmt.Sprintf("in force %d %x", c.state.Version, sum)
-		if c.checks[key] == nil {
-			c.check(key, c.state.Version, c.state.Policy)
+		if c.validations[key] == nil {
+			c.validatePolicy(key, c.state.Version, c.state.Policy)
 		}
-		if !c.checks[key].done {
+		if !c.validations[key].done {
 			return // the next is held against it
 		}
 	}
-	if u != nil && c.checks[u.ID] == nil {
-		c.check(u.ID, u.Version, u.Policy)
+	if u != nil && c.validations[u.ID] == nil {
+		c.validatePolicy(u.ID, u.Version, u.Policy)
 	}
-	if u != nil && u.Phase == statemachine.Closing || c.open == c.state.Version || have == nil {
+	if u != nil && u.Phase == statemachine.Closing || c.orderedVersion == c.state.Version || have == nil {
 		return
 	}
-	c.open, c.opened, c.shutFor, c.closed = c.state.Version, 0, "", ""
-	maps.DeleteFunc(c.policies, func(v uint64, _ *taken) bool { return v < c.open })
-	maps.DeleteFunc(c.checks, func(id string, k *checking) bool { return k.version < c.open })
-	c.do(Effect{Kind: Order, Order: fleet.Order{Kind: fleet.Open, Version: c.open, Policy: have.policy}})
+	c.orderedVersion, c.servedVersion, c.fenceOrderedFor, c.fenceConfirmedFor = c.state.Version, 0, "", ""
+	maps.DeleteFunc(c.policies, func(v uint64, _ *validatedPolicy) bool { return v < c.orderedVersion })
+	maps.DeleteFunc(c.validations, func(id string, k *validation) bool { return k.version < c.orderedVersion })
+	c.emit(Effect{Kind: OrderController, Order: fleet.Order{Kind: fleet.Open, Version: c.orderedVersion, Policy: have.policy}})
 }
 
 // pictured shows the reducer the state.
-func (c *Core) pictured() {
-	c.seen = max(1, c.state.Index)
-	c.do(Effect{Kind: Order, Order: fleet.Order{Kind: fleet.Pictured, Picture: c.state.Picture()}})
+func (c *Core) orderView() {
+	c.viewIndex = max(1, c.state.Index)
+	c.emit(Effect{Kind: OrderController, Order: fleet.Order{Kind: fleet.Pictured, Picture: c.state.Picture()}})
 }
 
 // watched are the rules in force that name further sites.
-func (c *Core) watched() []fleet.Watched {
-	if have := c.policies[c.state.Version]; have != nil && c.open == c.state.Version {
-		return have.watched
+func (c *Core) watchedRules() []fleet.Watched {
+	if have := c.policies[c.state.Version]; have != nil && c.orderedVersion == c.state.Version {
+		return have.watchedRules
 	}
 	return nil
 }
 
 // rulesUnknown: rules may be in force that this process doesn't know.
-func (c *Core) rulesUnknown() bool {
+func (c *Core) residencyRulesUnknown() bool {
 	have := c.policies[c.state.Version]
-	return have != nil && have.rulesUnknown
+	return have != nil && have.residencyRulesUnknown
 }
 
 // check has a policy held against this controller's own set-up.
-func (c *Core) check(change string, version uint64, text []byte) {
-	c.checks[change] = &checking{version: version, sum: xxhash.Sum64(text)}
-	c.do(Effect{Kind: Check, Change: change, Text: text})
+func (c *Core) validatePolicy(change string, version uint64, text []byte) {
+	c.validations[change] = &validation{version: version, checksum: xxhash.Sum64(text)}
+	c.emit(Effect{Kind: ValidatePolicy, ChangeID: change, PolicyText: text})
 }
 
-func (c *Core) checked(ev Event) {
-	k := c.checks[ev.Change]
+func (c *Core) policyValidated(ev Event) {
+	k := c.validations[ev.ChangeID]
 	if k == nil || k.done {
 		return
 	}
-	k.done, k.why, k.scopes, k.voters = true, ev.Why, ev.Scopes, ev.Voters
-	c.news, c.stirred = true, true
-	if ev.Why == "" {
-		c.policies[k.version] = &taken{sum: k.sum, policy: ev.Policy, watched: ev.Watched, rulesUnknown: ev.RulesUnknown}
-	} else if strings.HasPrefix(ev.Change, "in force ") {
-		c.wrong(&fleet.UnfitError{Version: k.version, Why: ev.Why})
+	k.done, k.reason, k.purgeScopes, k.voters = true, ev.Reason, ev.PurgeScopes, ev.Voters
+	c.unreported, c.reevaluate = true, true
+	if ev.Reason == "" {
+		c.policies[k.version] = &validatedPolicy{checksum: k.checksum, policy: ev.Policy, watchedRules: ev.WatchedRules, residencyRulesUnknown: ev.ResidencyRulesUnknown}
+	} else if strings.HasPrefix(ev.ChangeID, "in force ") {
+		c.logError(&fleet.UnfitError{Version: k.version, Why: ev.Reason})
 	}
-	c.reconcile()
+	c.orderOutstanding()
 }
 
 // purge tells the reducer of a purge once, and says for those that don't concern this
 // controller that there is nothing of them here.
-func (c *Core) purge(r *statemachine.Run) {
+func (c *Core) orderInvalidation(r *statemachine.Run) {
 	if r.Stage == fleet.Erased {
-		if c.dropped[r.ID] {
-			delete(c.here, r.ID)
-			delete(c.wiped, r.ID)
+		if c.invalidationsOrdered[r.ID] {
+			delete(c.tombstoned, r.ID)
+			delete(c.erased, r.ID)
 		}
 		return
 	}
-	if c.dropped[r.ID] {
+	if c.invalidationsOrdered[r.ID] {
 		return
 	}
-	c.dropped[r.ID] = true
-	if len(r.Scope.Outside) > 0 && slices.Contains(r.Scope.Outside, c.b.Self.Site) {
-		c.here[r.ID], c.wiped[r.ID], c.news = true, fleet.Counts{}, true
+	c.invalidationsOrdered[r.ID] = true
+	if len(r.Scope.Outside) > 0 && slices.Contains(r.Scope.Outside, c.config.Self.Site) {
+		c.tombstoned[r.ID], c.erased[r.ID], c.unreported = true, fleet.Counts{}, true
 		return
 	}
 	scope := r.Scope
-	c.do(Effect{Kind: Order, Order: fleet.Order{Kind: fleet.Drop, ID: r.ID, Scope: &scope, Index: r.At}})
+	c.emit(Effect{Kind: OrderController, Order: fleet.Order{Kind: fleet.Drop, ID: r.ID, Scope: &scope, Index: r.At}})
 }
 
-func (c *Core) reported(r fleet.Report) {
+func (c *Core) controllerReported(r fleet.Report) {
 	switch r.Kind {
 	case fleet.Closed:
-		if r.Change == c.shutFor {
-			c.closed, c.news = r.Change, true
+		if r.Change == c.fenceOrderedFor {
+			c.fenceConfirmedFor, c.unreported = r.Change, true
 		}
 	case fleet.Opened:
-		if r.Version == c.open { // with what runs outside by this version: that by the one before is of no use
-			c.opened, c.outside, c.news = r.Version, r.Outside, true
+		if r.Version == c.orderedVersion { // with what runs outside by this version: that by the one before is of no use
+			c.servedVersion, c.attemptsOutside, c.unreported = r.Version, r.Outside, true
 		}
 	case fleet.Unreached:
-		c.news = c.news || !c.here[r.ID]
-		c.here[r.ID] = true
+		c.unreported = c.unreported || !c.tombstoned[r.ID]
+		c.tombstoned[r.ID] = true
 	case fleet.Wiped:
-		if _, had := c.wiped[r.ID]; !had {
-			c.wiped[r.ID], c.news = r.Counts, true
+		if _, had := c.erased[r.ID]; !had {
+			c.erased[r.ID], c.unreported = r.Counts, true
 		}
 	case fleet.Sites:
-		if !slices.Equal(c.sites, r.Sites) || (c.outside == 0) != (r.Outside == 0) {
-			c.news = true
+		if !slices.Equal(c.servingSites, r.Sites) || (c.attemptsOutside == 0) != (r.Outside == 0) {
+			c.unreported = true
 		}
-		c.sites, c.outside = r.Sites, r.Outside
+		c.servingSites, c.attemptsOutside = r.Sites, r.Outside
 	case fleet.Wanted:
 		if r.Ask != nil {
-			c.asked(r.Ask, 0)
+			c.operatorRequested(r.Ask, 0)
 		}
 	}
 }
--- a/internal/fleet/node/node_test.go
+++ b/internal/fleet/node/node_test.go
@@ -15,7 +15,7 @@
 	s := newStage(t, 1, 3, 3, 600*time.Millisecond)
 	s.until(5*time.Second, "all serve", func() bool { return s.serve(s.names...) })
 	a := s.all["f0"]
-	a.step(Event{Kind: Asked, Handle: 1, Ask: &fleet.Ask{Kind: "apply", ID: "c1", Base: 1, Policy: []byte("x")}})
+	a.step(Event{Kind: OperatorRequested, Handle: 1, Ask: &fleet.Ask{Kind: "apply", ID: "c1", Base: 1, Policy: []byte("x")}})
 	s.until(5*time.Second, "in force", func() bool { return s.word(a, 1) != nil })
 	if w := s.word(a, 1); w.Word != statemachine.InForce || w.Version != 2 {
 		t.Fatalf("%+v", w)
@@ -27,15 +27,15 @@
 	}
 	// two operators at once: one is refused
 	b := s.all["v1"]
-	a.step(Event{Kind: Asked, Handle: 2, Ask: &fleet.Ask{Kind: "apply", ID: "c2", Base: 2, Policy: []byte("y")}})
-	b.step(Event{Kind: Asked, Handle: 3, Ask: &fleet.Ask{Kind: "apply", ID: "c3", Base: 2, Policy: []byte("z")}})
+	a.step(Event{Kind: OperatorRequested, Handle: 2, Ask: &fleet.Ask{Kind: "apply", ID: "c2", Base: 2, Policy: []byte("y")}})
+	b.step(Event{Kind: OperatorRequested, Handle: 3, Ask: &fleet.Ask{Kind: "apply", ID: "c3", Base: 2, Policy: []byte("z")}})
 	s.until(5*time.Second, "both answered", func() bool { return s.word(a, 2) != nil && s.word(b, 3) != nil })
 	words := []string{s.word(a, 2).Word, s.word(b, 3).Word}
 	if slices.Sort(words); !slices.Equal(words, []string{statemachine.InForce, statemachine.Refused}) {
 		t.Errorf("%v", words)
 	}
 	// one can't take it: it is withdrawn everywhere
-	a.step(Event{Kind: Asked, Handle: 4, Ask: &fleet.Ask{Kind: "apply", ID: "c4", Base: 3, Policy: []byte("bad for f2")}})
+	a.step(Event{Kind: OperatorRequested, Handle: 4, Ask: &fleet.Ask{Kind: "apply", ID: "c4", Base: 3, Policy: []byte("bad for f2")}})
 	s.until(5*time.Second, "withdrawn", func() bool { return s.word(a, 4) != nil })
 	if w := s.word(a, 4); w.Word != statemachine.Withdrawn || w.Exit() != 3 {
 		t.Errorf("%+v", w)
@@ -49,9 +49,9 @@
 	f := s.all["f1"]
 	f.run = 0
 	l := s.leader()
-	l.step(Event{Kind: Asked, Handle: 1, Ask: &fleet.Ask{Kind: "apply", ID: "c1", Base: 1, Policy: []byte("x")}})
-	l.step(Event{Kind: Asked, Handle: 2, Ask: &fleet.Ask{Kind: "purge", ID: "p1", Scope: &fleet.Scope{Team: "a"}, Until: fleet.Unreachable, Wait: 30000}})
-	l.step(Event{Kind: Asked, Handle: 3, Ask: &fleet.Ask{Kind: "purge", ID: "p1", Scope: &fleet.Scope{Team: "a"}, Wait: 30000}})
+	l.step(Event{Kind: OperatorRequested, Handle: 1, Ask: &fleet.Ask{Kind: "apply", ID: "c1", Base: 1, Policy: []byte("x")}})
+	l.step(Event{Kind: OperatorRequested, Handle: 2, Ask: &fleet.Ask{Kind: "purge", ID: "p1", Scope: &fleet.Scope{Team: "a"}, Until: fleet.Unreachable, Wait: 30000}})
+	l.step(Event{Kind: OperatorRequested, Handle: 3, Ask: &fleet.Ask{Kind: "purge", ID: "p1", Scope: &fleet.Scope{Team: "a"}, Wait: 30000}})
 	s.until(5*time.Second, "in force, unreachable", func() bool { return s.word(l, 1) != nil && s.word(l, 2) != nil })
 	if s.word(l, 1).Word != statemachine.InForce || s.word(l, 2).Word != fleet.Unreachable || s.word(l, 3) != nil {
 		t.Fatalf("%+v %+v %+v", s.word(l, 1), s.word(l, 2), s.word(l, 3))
@@ -86,7 +86,7 @@
 		s.until(5*time.Second, "all serve", func() bool { return s.serve(s.names...) })
 		l := s.leader()
 		a := s.all["f0"]
-		a.step(Event{Kind: Asked, Handle: 1, Ask: &fleet.Ask{Kind: "apply", ID: "c1", Base: 1, Policy: []byte("x"), Wait: 20000}})
+		a.step(Event{Kind: OperatorRequested, Handle: 1, Ask: &fleet.Ask{Kind: "apply", ID: "c1", Base: 1, Policy: []byte("x"), Wait: 20000}})
 		for end := s.now + time.Duration(s.rand.IntN(60))*time.Millisecond; s.now < end; {
 			s.next()
 		}
@@ -121,7 +121,7 @@
 	f.run = 0
 	l := s.leader()
 	for i := range 400 {
-		l.step(Event{Kind: Asked, Handle: uint64(i + 1), Ask: &fleet.Ask{Kind: "bind", ID: fmt.Sprintf("b%d", i), Team: "a", Tables: []int64{int64(i)}}})
+		l.step(Event{Kind: OperatorRequested, Handle: uint64(i + 1), Ask: &fleet.Ask{Kind: "bind", ID: fmt.Sprintf("b%d", i), Team: "a", Tables: []int64{int64(i)}}})
 		s.until(5*time.Second, "bound", func() bool { return s.word(l, uint64(i+1)) != nil })
 	}
 	f.start()
@@ -145,11 +145,11 @@
 			want = append(want, n+"="+n+":1")
 		}
 	}
-	l.step(Event{Kind: Asked, Handle: 1, Ask: &fleet.Ask{Kind: "apply", ID: "c1", Base: 1, Policy: []byte("voters " + strings.Join(want, " "))}})
+	l.step(Event{Kind: OperatorRequested, Handle: 1, Ask: &fleet.Ask{Kind: "apply", ID: "c1", Base: 1, Policy: []byte("voters " + strings.Join(want, " "))}})
 	s.until(5*time.Second, "in force", func() bool { return s.word(l, 1) != nil })
 	s.until(5*time.Second, "the new one votes, the old one follows", func() bool {
 		f, o := s.all["f0"].core, s.all[old].core
-		return f.vote != nil && f.voting("f0") && !f.voting(old) && o.vote == nil
+		return f.consensus != nil && f.isVoter("f0") && !f.isVoter(old) && o.consensus == nil
 	})
 	s.until(5*time.Second, "all serve", func() bool { return s.serve(s.names...) })
 	// both sets vote together for a moment; without the old one it can't end
@@ -189,7 +189,7 @@
 	}
 	a := s.all["f77"]
 	at := s.now
-	a.step(Event{Kind: Asked, Handle: 1, Ask: &fleet.Ask{Kind: "apply", ID: "c1", Base: 1, Policy: []byte("x")}})
+	a.step(Event{Kind: OperatorRequested, Handle: 1, Ask: &fleet.Ask{Kind: "apply", ID: "c1", Base: 1, Policy: []byte("x")}})
 	s.until(5*time.Second, "in force", func() bool { return s.word(a, 1) != nil })
 	if s.word(a, 1).Word != statemachine.InForce {
 		t.Fatalf("%+v", s.word(a, 1))
@@ -203,7 +203,7 @@
 	for _, c := range []struct{ all, bound time.Duration }{{0, 200 * time.Millisecond}, {5 * time.Second, 200 * time.Millisecond}} {
 		s := newStage(t, 7, 3, 0, c.all)
 		for _, n := range s.names { // started anew with it
-			s.all[n].begin.LeaseBound = c.bound
+			s.all[n].begin.ConfinedLease = c.bound
 			s.all[n].start()
 		}
 		bound := func(n string) bool { return s.all[n].word.May(s.now, true) != 0 }
@@ -234,7 +234,7 @@
 	s := newStage(t, 8, 3, 1, 0)
 	bound := 600 * time.Millisecond
 	for _, n := range s.names { // started anew with it
-		s.all[n].begin.LeaseBound = bound
+		s.all[n].begin.ConfinedLease = bound
 		s.all[n].start()
 	}
 	served := func(n string) bool { return s.all[n].word.May(s.now, true) != 0 }
@@ -246,7 +246,7 @@
 		s.cut[n+">f0"], s.cut["f0>"+n] = true, true
 	}
 	l := s.leader()
-	l.step(Event{Kind: Asked, Handle: 1, Ask: &fleet.Ask{Kind: "purge", ID: "p1", Scope: &fleet.Scope{Team: "a"}, Until: fleet.Unreachable, Wait: 30000}})
+	l.step(Event{Kind: OperatorRequested, Handle: 1, Ask: &fleet.Ask{Kind: "purge", ID: "p1", Scope: &fleet.Scope{Team: "a"}, Until: fleet.Unreachable, Wait: 30000}})
 	s.until(5*time.Second, "unreachable", func() bool {
 		if l.core.state.Purges["p1"] != nil && l.core.state.Purges["p1"].Stage != "" && served("f0") {
 			t.Fatal("it is told while f0, which is cut off, serves on")
@@ -262,12 +262,12 @@
 	s.until(5*time.Second, "all serve", func() bool { return s.serve(s.names...) })
 	f, l := s.all["f0"], s.leader()
 	f.run = 0
-	s.until(5*time.Second, "its lease is over", func() bool { return !l.core.mayHold("f0", l.core.b.Lease) })
-	s.until(5*time.Second, "no confirmation is under way", func() bool { return len(l.core.asking)+len(l.core.queue) == 0 })
-	l.step(Event{Kind: Came, Message: &Message{From: "f0", Disk: "disk f0",
-		Renew: &Renew{Member: f.begin.Self, Boot: 99, Seq: 1, Applied: l.core.state.Index}}})
-	s.until(5*time.Second, "a confirmation has begun", func() bool { return len(l.core.asking) > 0 })
-	if !l.core.mayHold("f0", l.core.b.Lease) {
+	s.until(5*time.Second, "its lease is over", func() bool { return !l.core.mayHoldLease("f0", l.core.config.Lease) })
+	s.until(5*time.Second, "no confirmation is under way", func() bool { return len(l.core.confirming)+len(l.core.toConfirm) == 0 })
+	l.step(Event{Kind: MessageReceived, Message: &Message{From: "f0", Disk: "disk f0",
+		Renew: &LeaseRenewal{Member: f.begin.Self, Boot: 99, Seq: 1, Applied: l.core.state.Index}}})
+	s.until(5*time.Second, "a confirmation has begun", func() bool { return len(l.core.confirming) > 0 })
+	if !l.core.mayHoldLease("f0", l.core.config.Lease) {
 		t.Error("it isn't waited for, and may be given a lease that knows nothing of what is decided meanwhile")
 	}
 }
@@ -284,10 +284,10 @@
 		}
 	}
 	f := s.all["f0"]
-	f.step(Event{Kind: Asked, Handle: 1, Ask: &fleet.Ask{Kind: "apply", ID: "c1", Base: 1, Policy: []byte("x")}})
+	f.step(Event{Kind: OperatorRequested, Handle: 1, Ask: &fleet.Ask{Kind: "apply", ID: "c1", Base: 1, Policy: []byte("x")}})
 	s.until(5*time.Second, "in force", func() bool { return s.word(f, 1) != nil })
 	f.idle = "c2"
-	f.step(Event{Kind: Asked, Handle: 2, Ask: &fleet.Ask{Kind: "apply", ID: "c2", Base: 2, Policy: []byte("voters f0=f0:1"), Wait: 60000}})
+	f.step(Event{Kind: OperatorRequested, Handle: 2, Ask: &fleet.Ask{Kind: "apply", ID: "c2", Base: 2, Policy: []byte("voters f0=f0:1"), Wait: 60000}})
 	checked := func(a *actor) bool { return slices.Contains(a.checks, "done c2") }
 	s.until(5*time.Second, "it is checked", func() bool { return checked(s.all["v0"]) && checked(s.all["v1"]) && checked(s.all["v2"]) })
 	anew()
@@ -295,7 +295,7 @@
 	if l := s.leader().checks; !strings.HasPrefix(l[0], "asked in force 2") || !strings.HasPrefix(l[1], "done in force 2") || l[2] != "asked c2" {
 		t.Errorf("it is held against what isn't in force: %q", l)
 	}
-	f.step(Event{Kind: Checked, Change: "c2", Voters: []string{"f0=f0:1"}})
+	f.step(Event{Kind: PolicyValidated, ChangeID: "c2", Voters: []string{"f0=f0:1"}})
 	s.until(5*time.Second, "closing", func() bool { return f.core.state.Changes["c2"].Phase == statemachine.Closing })
 	anew()
 	s.until(20*time.Second, "in force", func() bool { return s.word(f, 2) != nil })
@@ -309,10 +309,10 @@
 		s := newStage(t, 20+seed, 3, 3, 500*time.Millisecond)
 		s.until(5*time.Second, "all serve", func() bool { return s.serve(s.names...) })
 		a := s.all["f0"]
-		a.step(Event{Kind: Asked, Handle: 1, Ask: &fleet.Ask{Kind: "apply", ID: "c1", Base: 1, Policy: []byte("voters f0=f0:1 f1=f1:1 f2=f2:1"), Wait: 60000}})
+		a.step(Event{Kind: OperatorRequested, Handle: 1, Ask: &fleet.Ask{Kind: "apply", ID: "c1", Base: 1, Policy: []byte("voters f0=f0:1 f1=f1:1 f2=f2:1"), Wait: 60000}})
 		s.until(20*time.Second, "in force", func() bool { return s.word(a, 1) != nil })
 		s.until(20*time.Second, "the old ones follow, all serve", func() bool {
-			return s.all["v0"].core.vote == nil && s.all["v1"].core.vote == nil && s.all["v2"].core.vote == nil && s.serve(s.names...)
+			return s.all["v0"].core.consensus == nil && s.all["v1"].core.consensus == nil && s.all["v2"].core.consensus == nil && s.serve(s.names...)
 		})
 		for _, n := range []string{"v0", "v1", "v2"} {
 			s.all[n].run = 0
@@ -331,7 +331,7 @@
 		s := newStage(t, 11, 3, 1, lease)
 		s.until(5*time.Second, "all serve", func() bool { return s.serve(s.names...) })
 		l, f := s.leader(), s.all["f0"]
-		l.step(Event{Kind: Asked, Handle: 1, Ask: &fleet.Ask{Kind: "forget", ID: "x", Name: "f0"}})
+		l.step(Event{Kind: OperatorRequested, Handle: 1, Ask: &fleet.Ask{Kind: "forget", ID: "x", Name: "f0"}})
 		s.until(2*time.Second, "it stops", func() bool { return !s.serve("f0") })
 		for end := s.now + 3*time.Second; s.now < end; s.next() {
 			if s.serve("f0") {
@@ -354,10 +354,10 @@
 	s := newStage(t, 12, 1, 0, 500*time.Millisecond)
 	s.until(5*time.Second, "it serves", func() bool { return s.serve("v0") })
 	c := s.all["v0"].core
-	s.all["v0"].step(Event{Kind: Reported, Report: fleet.Report{Kind: fleet.Sites, Sites: []string{"here"}}})
-	s.all["v0"].step(Event{Kind: Reported, Report: fleet.Report{Kind: fleet.Opened, Version: 1, Outside: 2}})
-	if c.outside != 2 {
-		t.Errorf("%d outside", c.outside)
+	s.all["v0"].step(Event{Kind: ControllerReported, Report: fleet.Report{Kind: fleet.Sites, Sites: []string{"here"}}})
+	s.all["v0"].step(Event{Kind: ControllerReported, Report: fleet.Report{Kind: fleet.Opened, Version: 1, Outside: 2}})
+	if c.attemptsOutside != 2 {
+		t.Errorf("%d outside", c.attemptsOutside)
 	}
 }
 
@@ -367,15 +367,15 @@
 	s.until(5*time.Second, "all serve", func() bool { return s.serve(s.names...) })
 	f := s.all["f0"]
 	f.outside = 1
-	f.step(Event{Kind: Asked, Handle: 1, Ask: &fleet.Ask{Kind: "apply", ID: "c1", Base: 1, Policy: []byte("x")}})
-	f.step(Event{Kind: Asked, Handle: 2, Ask: &fleet.Ask{Kind: "apply", ID: "c1", Base: 1, Policy: []byte("x"), Until: "settled", Wait: 60000}})
+	f.step(Event{Kind: OperatorRequested, Handle: 1, Ask: &fleet.Ask{Kind: "apply", ID: "c1", Base: 1, Policy: []byte("x")}})
+	f.step(Event{Kind: OperatorRequested, Handle: 2, Ask: &fleet.Ask{Kind: "apply", ID: "c1", Base: 1, Policy: []byte("x"), Until: "settled", Wait: 60000}})
 	s.until(5*time.Second, "in force", func() bool { return s.word(f, 1) != nil })
 	for end := s.now + 2*time.Second; s.now < end; s.next() {
 		if s.word(f, 2) != nil {
 			t.Fatalf("%+v while a query runs outside", s.word(f, 2))
 		}
 	}
-	f.step(Event{Kind: Reported, Report: fleet.Report{Kind: fleet.Sites, Sites: []string{"here"}}})
+	f.step(Event{Kind: ControllerReported, Report: fleet.Report{Kind: fleet.Sites, Sites: []string{"here"}}})
 	s.until(5*time.Second, "settled", func() bool { return s.word(f, 2) != nil })
 	if w := s.word(f, 2); w.Word != "settled" {
 		t.Errorf("%+v", w)
@@ -387,9 +387,9 @@
 	s := newStage(t, 14, 3, 0, 500*time.Millisecond)
 	s.until(5*time.Second, "all serve", func() bool { return s.serve(s.names...) })
 	l := s.leader()
-	l.core.out = nil
+	l.core.effects = nil
 	l.core.propose(&fleet.Entry{Kind: fleet.Emergency, Name: "r"})
-	l.perform(l.core.out)
+	l.perform(l.core.effects)
 	s.until(5*time.Second, "it is on", func() bool { return len(l.core.state.Emergencies) > 0 })
 	s.until(5*time.Second, "it is over", func() bool { return len(l.core.state.Emergencies) == 0 })
 }
@@ -403,9 +403,9 @@
 	}
 	s.until(5*time.Second, "all serve", func() bool { return s.serve(s.names...) })
 	l := s.leader()
-	l.core.out = nil
+	l.core.effects = nil
 	l.core.propose(&fleet.Entry{Kind: fleet.Emergency, Name: "r"})
-	l.perform(l.core.out)
+	l.perform(l.core.effects)
 	s.until(5*time.Second, "it is on", func() bool { return len(l.core.state.Emergencies) > 0 })
 	for end := s.now + 3*time.Second; s.now < end; s.next() {
 		if len(l.core.state.Emergencies) == 0 {
--- a/internal/fleet/node/operators.go
+++ b/internal/fleet/node/operators.go
@@ -9,24 +9,24 @@
 
 // What operators, customers and the reducer ask for, and what they are told.
 
-func (c *Core) asked(a *fleet.Ask, handle uint64) {
+func (c *Core) operatorRequested(a *fleet.Ask, handle uint64) {
 	wait := time.Duration(a.Wait) * time.Millisecond
 	if wait <= 0 {
 		wait = 10 * time.Second
 	}
 	if a.Kind == "status" && a.ID == "" {
-		c.do(Effect{Kind: Told, Handle: handle, Reply: &fleet.Reply{Word: "status", Status: c.Status()}})
+		c.emit(Effect{Kind: Respond, Handle: handle, Reply: &fleet.Reply{Word: "status", Status: c.Status()}})
 		return
 	}
 	if a.Kind == "policy" {
-		c.do(Effect{Kind: Told, Handle: handle, Reply: &fleet.Reply{Word: "policy", Version: c.state.Version, Policy: c.state.Policy}})
+		c.emit(Effect{Kind: Respond, Handle: handle, Reply: &fleet.Reply{Word: "policy", Version: c.state.Version, Policy: c.state.Policy}})
 		return
 	}
-	c.asks = append(c.asks, &asking{ask: a, handle: handle, until: c.now + wait, next: c.now})
+	c.requests = append(c.requests, &operatorRequest{ask: a, handle: handle, deadline: c.now + wait, forwardAt: c.now})
 }
 
 // known says whether the record has heard of an ask already: then it isn't passed on.
-func (c *Core) known(a *fleet.Ask) bool {
+func (c *Core) isRecorded(a *fleet.Ask) bool {
 	switch a.Kind {
 	case "apply":
 		return c.state.Changes[a.ID] != nil
@@ -35,11 +35,11 @@
 	case "status":
 		return true
 	}
-	return c.word(a).Word != "unknown"
+	return c.outcome(a).Word != "unknown"
 }
 
 // word is what can be told now. A status with an id is of whatever has that id.
-func (c *Core) word(a *fleet.Ask) *fleet.Reply {
+func (c *Core) outcome(a *fleet.Ask) *fleet.Reply {
 	if a.Kind == "status" {
 		b := *a
 		if b.Kind = "apply"; c.state.Changes[a.ID] == nil {
@@ -52,15 +52,15 @@
 
 // answer tells those whose word is there, or whose time is over, and passes on what
 // the record has not heard of.
-func (c *Core) answer() {
-	c.asks = slices.DeleteFunc(c.asks, func(a *asking) bool {
-		r := c.word(a.ask)
+func (c *Core) answerRequests() {
+	c.requests = slices.DeleteFunc(c.requests, func(a *operatorRequest) bool {
+		r := c.outcome(a.ask)
 		r.ID = a.ask.ID
-		if r.Word == "unknown" && c.now < a.until {
-			if c.now >= a.next {
-				a.next = c.now + askAgain
-				if !c.known(a.ask) {
-					c.pass(a.ask)
+		if r.Word == "unknown" && c.now < a.deadline {
+			if c.now >= a.forwardAt {
+				a.forwardAt = c.now + forwardInterval
+				if !c.isRecorded(a.ask) {
+					c.forwardRequest(a.ask)
 				}
 			}
 			return false
@@ -73,24 +73,24 @@
 			}
 		}
 		if a.handle == 0 {
-			c.do(Effect{Kind: Order, Order: fleet.Order{Kind: fleet.Answered, ID: a.ask.ID, Reply: r}})
+			c.emit(Effect{Kind: OrderController, Order: fleet.Order{Kind: fleet.Answered, ID: a.ask.ID, Reply: r}})
 		} else {
-			c.do(Effect{Kind: Told, Handle: a.handle, Reply: r})
+			c.emit(Effect{Kind: Respond, Handle: a.handle, Reply: r})
 		}
 		return true
 	})
 }
 
-const askAgain = 300 * time.Millisecond
+const forwardInterval = 300 * time.Millisecond
 
 // pass brings an ask to who leads. It may be lost, and is passed on again until the
 // record has it; its id makes that harmless.
-func (c *Core) pass(a *fleet.Ask) {
-	if c.leads {
-		c.propose(c.entryOf(a))
+func (c *Core) forwardRequest(a *fleet.Ask) {
+	if c.isLeader {
+		c.propose(c.logEntryFor(a))
 		return
 	}
-	if via := c.relayInUse(); via != nil { // which may reach the leader where this controller doesn't
+	if via := c.currentRelay(); via != nil { // which may reach the leader where this controller doesn't
 		c.send(via.Name, via.Address, &Message{Ask: a})
 		return
 	}
@@ -99,7 +99,7 @@
 	}
 }
 
-func (c *Core) entryOf(a *fleet.Ask) *fleet.Entry {
+func (c *Core) logEntryFor(a *fleet.Ask) *fleet.Entry {
 	e := &fleet.Entry{ID: a.ID, By: a.By, Team: a.Team, Scope: a.Scope, Name: a.Name, Base: a.Base, Policy: a.Policy, AtMost: a.AtMost,
 		Tables: a.Tables, From: a.From}
 	switch a.Kind {
@@ -119,29 +119,29 @@
 
 // outstanding is who a run waits for, as far as is known here.
 func (c *Core) outstanding(id string) []string {
-	if c.leads {
-		return c.waits[id]
+	if c.isLeader {
+		return c.waitingFor[id]
 	}
-	return c.told[id]
+	return c.leaderWaitsFor[id]
 }
 
 // Status is how this controller sees the fleet.
 func (c *Core) Status() *fleet.Status {
-	s := &fleet.Status{Name: c.b.Self.Name, Leader: c.leader, Index: c.state.Index, Version: c.state.Version, Serves: c.serves(),
+	s := &fleet.Status{Name: c.config.Self.Name, Leader: c.leader, Index: c.state.Index, Version: c.state.Version, Serves: c.serves(),
 		LeaseMS: -1, Bindings: c.state.Bindings, Counts: c.Counts}
-	if c.until != fleet.Forever {
-		s.LeaseMS = max(0, (c.until - c.now).Milliseconds())
+	if c.leaseUntil != fleet.Forever {
+		s.LeaseMS = max(0, (c.leaseUntil - c.now).Milliseconds())
 	}
 	if u := c.state.Under(); u != nil {
 		s.Change = c.state.Word(&fleet.Ask{Kind: "apply", ID: u.ID})
 		s.Change.Outstanding = c.outstanding(u.ID)
 	}
 	for _, name := range sorted(c.state.Members) {
-		m := fleet.MemberStatus{Member: *c.state.Members[name], Votes: c.voting(name)}
-		if c.leads {
-			m.Holds = fleet.HoldingOf(c.mayHold(name, c.b.Lease))
+		m := fleet.MemberStatus{Member: *c.state.Members[name], Votes: c.isVoter(name)}
+		if c.isLeader {
+			m.Holds = fleet.HoldingOf(c.mayHoldLease(name, c.config.Lease))
 			if p := c.peers[name]; p != nil {
-				m.Applied = p.applied
+				m.Applied = p.appliedIndex
 			}
 		}
 		s.Members = append(s.Members, m)
--- a/internal/fleet/node/relay.go
+++ b/internal/fleet/node/relay.go
@@ -11,73 +11,73 @@
 // as any leader does.
 
 const (
-	gathersEach     = 4 // gathers in the time in which a controller asks once
-	relayRetryEach  = 16
-	unansweredAfter = 8 // times a renewal's interval: then it is said that the leader doesn't answer
+	messagesPerInterval      = 4 // gathers in the time in which a controller asks once
+	firstRelayRetryIntervals = 16
+	unansweredIntervals      = 8 // times a renewal's interval: then it is said that the leader doesn't answer
 )
 
 // relays tells whether renewals that come are gathered for the leader.
-func (c *Core) relays() bool { return c.gatherer != nil && !c.leads }
+func (c *Core) aggregates() bool { return c.aggregator != nil && !c.isLeader }
 
 // startRelay begins to gather, with nothing told yet.
-func (c *Core) startRelay() {
-	if c.b.Relay {
+func (c *Core) resetAggregator() {
+	if c.config.IsRelay {
 		seq := uint64(0)
-		if c.gatherer != nil { // gathers of one run are never numbered anew
-			seq = c.gatherer.seq
+		if c.aggregator != nil { // gathers of one run are never numbered anew
+			seq = c.aggregator.lastSeq
 		}
-		c.gatherer = newGatherer(c.b.Boot)
-		c.gatherer.seq = seq
+		c.aggregator = newRenewalAggregator(c.config.Incarnation)
+		c.aggregator.lastSeq = seq
 	}
 }
 
 // silentAfter is how long a controller may not ask before it is covered no more.
-func (c *Core) silentAfter() time.Duration { return 2 * c.every() }
+func (c *Core) silentAfter() time.Duration { return 2 * c.renewalInterval() }
 
 // gatherDue is when the relay has something to do.
-func (c *Core) gatherDue() time.Duration {
-	if !c.relays() || c.leader == "" || c.leader == c.b.Self.Name {
+func (c *Core) aggregateDue() time.Duration {
+	if !c.aggregates() || c.leader == "" || c.leader == c.config.Self.Name {
 		return fleet.Forever
 	}
-	return c.gatherer.due(c.together(), c.every()/gathersEach)
+	return c.aggregator.due(c.batchingDelay(), c.renewalInterval()/messagesPerInterval)
 }
 
 // gather sends what has come together to the leader, when it is time.
-func (c *Core) gather() {
-	if !c.relays() {
+func (c *Core) sendAggregate() {
+	if !c.aggregates() {
 		return
 	}
-	c.gatherer.expire(c.now, c.silentAfter())
-	if c.leader == "" || c.leader == c.b.Self.Name {
+	c.aggregator.expire(c.now, c.silentAfter())
+	if c.leader == "" || c.leader == c.config.Self.Name {
 		return
 	}
-	c.gatherer.follows(c.leader)
-	if c.now < c.gatherDue() {
+	c.aggregator.setLeader(c.leader)
+	if c.now < c.aggregateDue() {
 		return
 	}
-	c.send(c.leader, c.addressOf(c.leader), &Message{Gather: c.gatherer.next(c.now)})
-	c.complainOfLeader()
+	c.send(c.leader, c.addressOf(c.leader), &Message{Gather: c.aggregator.nextMessage(c.now)})
+	c.logUnansweredLeader()
 }
 
 // complainOfLeader says once that gathers aren't answered though leases are given.
-func (c *Core) complainOfLeader() {
-	g := c.gatherer
-	if g.complained || c.now-g.unansweredAt < unansweredAfter*c.every() || c.now >= c.until {
+func (c *Core) logUnansweredLeader() {
+	g := c.aggregator
+	if g.unansweredLogged || c.now-g.unansweredSince < unansweredIntervals*c.renewalInterval() || c.now >= c.leaseUntil {
 		return
 	}
-	g.complained = true
-	c.wrong(&fleet.RelayUnansweredError{Leader: c.leader})
+	g.unansweredLogged = true
+	c.logError(&fleet.RelayUnansweredError{Leader: c.leader})
 }
 
 // gatheredAnswer takes the leader's answer to a gather and passes the grants on.
-func (c *Core) gatheredAnswer(from string, a *Gathered) {
-	if !c.relays() {
+func (c *Core) receiveRelayedGrants(from string, a *RelayedGrants) {
+	if !c.aggregates() {
 		return
 	}
-	if !a.Given && !a.Resync && a.Leader != "" && a.Leader != c.b.Self.Name && c.vote == nil {
+	if !a.Given && !a.Resync && a.Leader != "" && a.Leader != c.config.Self.Name && c.consensus == nil {
 		c.leader = a.Leader
 	}
-	for _, to := range c.gatherer.answered(from, a) {
+	for _, to := range c.aggregator.handleAnswer(from, a) {
 		c.send(to.name, to.address, &Message{Grant: to.grant})
 	}
 }
--- a/internal/fleet/node/relay_test.go
+++ b/internal/fleet/node/relay_test.go
@@ -24,7 +24,7 @@
 	for i := range relays {
 		name := fmt.Sprintf("r%d", i)
 		begin := beginOf(name, named, seed, lease)
-		begin.Relay, begin.Self.Control = true, true
+		begin.IsRelay, begin.Self.Control = true, true
 		s.add(begin)
 		upstreams = append(upstreams, Upstream{Name: name, Address: name + ":1"})
 	}
@@ -67,7 +67,7 @@
 
 // change applies a policy at a controller and gives what looks for its word.
 func (s *stage) change(a *actor, id string, handle, base uint64) func() bool {
-	a.step(Event{Kind: Asked, Handle: handle, Ask: &fleet.Ask{Kind: "apply", ID: id, Base: base, Policy: []byte(id), Wait: 60000}})
+	a.step(Event{Kind: OperatorRequested, Handle: handle, Ask: &fleet.Ask{Kind: "apply", ID: id, Base: base, Policy: []byte(id), Wait: 60000}})
 	return func() bool {
 		s.noMix()
 		return s.word(a, handle) != nil
@@ -111,7 +111,7 @@
 		t.Errorf("at rest %d renewals came to the leader, and gathers named %d controllers", direct, renewals)
 	}
 	// a relay gathers four times in the time in which a controller asks once
-	if most := int(2 * gathersEach * 4 * time.Second / s.all["f0"].core.every()); gathers == 0 || gathers > most+4 {
+	if most := int(2 * messagesPerInterval * 4 * time.Second / s.all["f0"].core.renewalInterval()); gathers == 0 || gathers > most+4 {
 		t.Errorf("%d gathers in 4 s, at most %d are wanted", gathers, most)
 	}
 	s.seen = nil
@@ -217,10 +217,10 @@
 	s.play(3*relayLease, s.noMix)
 	r.run = run
 	for _, m := range waiting {
-		r.step(Event{Kind: Came, Message: m})
+		r.step(Event{Kind: MessageReceived, Message: m})
 		s.noMix()
 	}
-	r.step(Event{Kind: Woken})
+	r.step(Event{Kind: TimerFired})
 	s.until(5*time.Second, "in force once more", s.change(s.all["f1"], "c2", 2, 2))
 	s.inForce(s.all["f1"], 2)
 	s.until(5*time.Second, "all serve", func() bool { return s.serve(s.names...) })
@@ -250,10 +250,10 @@
 	s.play(relayLease/2, nil)
 	until, _ := f.word.Until()
 	for _, m := range toRelay {
-		s.all["r0"].step(Event{Kind: Came, Message: m})
+		s.all["r0"].step(Event{Kind: MessageReceived, Message: m})
 	}
 	for _, m := range toFollower {
-		f.step(Event{Kind: Came, Message: m})
+		f.step(Event{Kind: MessageReceived, Message: m})
 	}
 	s.play(10*time.Millisecond, nil)
 	if now, _ := f.word.Until(); now != until || len(toRelay) < 5 || len(toFollower) < 5 {
@@ -280,7 +280,7 @@
 				return true
 			case 1, 2: // once more, later
 				target := s.all[to]
-				target.later(time.Duration(s.rand.IntN(600))*time.Millisecond, func() { target.step(Event{Kind: Came, Message: m}) })
+				target.later(time.Duration(s.rand.IntN(600))*time.Millisecond, func() { target.step(Event{Kind: MessageReceived, Message: m}) })
 			}
 			return false
 		}
@@ -332,15 +332,15 @@
 	old := s.all["r0"].core
 	s.all["r0"].start()
 	s.until(5*time.Second, "all serve again", func() bool { return s.serve(s.names...) })
-	for key, covers := range l.core.covers {
-		if key.relay == "r0" && key.boot == old.b.Boot {
-			old.gatherer.told = covers.seq
+	for key, covers := range l.core.coverage {
+		if key.relay == "r0" && key.incarnation == old.config.Incarnation {
+			old.aggregator.leaderHasUpTo = covers.lastSeq
 		}
 	}
-	seq := old.gatherer.seq
+	seq := old.aggregator.lastSeq
 	for i := range uint64(5) { // it speaks on, and knows nothing of who left it
-		g := &Gather{Boot: old.b.Boot, Seq: seq + 1 + i, Base: old.gatherer.told}
-		l.step(Event{Kind: Came, Message: &Message{From: "r0", To: l.name, Disk: "disk r0", Gather: g}})
+		g := &RelayedRenewals{Boot: old.config.Incarnation, Seq: seq + 1 + i, Base: old.aggregator.leaderHasUpTo}
+		l.step(Event{Kind: MessageReceived, Message: &Message{From: "r0", To: l.name, Disk: "disk r0", Gather: g}})
 		s.play(20*time.Millisecond, s.noMix)
 	}
 	if !s.serve(s.names...) {
@@ -349,8 +349,8 @@
 	s.until(4*time.Second, "in force", s.change(s.all["f0"], "c1", 1, 1))
 	s.inForce(s.all["f0"], 1)
 	s.play(12*time.Second, s.noMix)
-	for key := range l.core.covers {
-		if key.boot == old.b.Boot && key.relay == "r0" {
+	for key := range l.core.coverage {
+		if key.incarnation == old.config.Incarnation && key.relay == "r0" {
 			t.Error("an old run of a relay is remembered for good")
 		}
 	}
@@ -378,7 +378,7 @@
 	l, f := s.leader(), s.all["f0"]
 	s.cut["r0>f0"] = true // it hears of its end by nothing but grants
 	s.lose = func(_, to string, m *Message) bool { return to == "f0" && m.Follow != nil }
-	l.step(Event{Kind: Asked, Handle: 1, Ask: &fleet.Ask{Kind: "forget", ID: "x", Name: "f0"}})
+	l.step(Event{Kind: OperatorRequested, Handle: 1, Ask: &fleet.Ask{Kind: "forget", ID: "x", Name: "f0"}})
 	s.until(4*time.Second, "it stops", func() bool { return !s.serve("f0") })
 	s.heal()
 	s.lose = nil
@@ -387,7 +387,7 @@
 			t.Fatal("it serves again")
 		}
 	})
-	if f.core.refused == "" {
+	if f.core.refusedReason == "" {
 		t.Error("it isn't told why")
 	}
 }
@@ -403,7 +403,7 @@
 			t.Fatal("not all serve by asking the leader itself")
 		}
 	})
-	if g := s.all["r0"].core.gatherer; !g.complained {
+	if g := s.all["r0"].core.aggregator; !g.unansweredLogged {
 		t.Error("the relay doesn't say that it isn't answered")
 	}
 	s.until(4*time.Second, "in force", s.change(s.all["f0"], "c1", 1, 1))
@@ -429,8 +429,8 @@
 	given = 0
 	for i := range uint64(20) {
 		member := s.all["f0"].begin.Self
-		r.step(Event{Kind: Came, Message: &Message{From: "f0", To: "r0", Disk: member.Disk,
-			Renew: &Renew{Member: member, Boot: 1, Seq: 1000 + i, Sent: int64(s.now), Applied: r.core.state.Index}}})
+		r.step(Event{Kind: MessageReceived, Message: &Message{From: "f0", To: "r0", Disk: member.Disk,
+			Renew: &LeaseRenewal{Member: member, Boot: 1, Seq: 1000 + i, Sent: int64(s.now), Applied: r.core.state.Index}}})
 		s.play(20*time.Millisecond, nil)
 	}
 	if given != 0 {
@@ -444,24 +444,24 @@
 	s := relayStage(t, 11, 3, 2, 2, relayLease)
 	s.until(5*time.Second, "all serve", func() bool { return s.serve(s.names...) })
 	l, f := s.leader(), s.all["f0"]
-	oldRun := l.core.peers["f0"].r
+	oldRun := l.core.peers["f0"].renewal
 	s.cutBoth("r0", "f0")
 	f.start()
-	s.until(5*time.Second, "it serves through the other relay", func() bool { return s.serve("f0") && l.core.peers["f0"].boot == f.begin.Boot })
+	s.until(5*time.Second, "it serves through the other relay", func() bool { return s.serve("f0") && l.core.peers["f0"].incarnation == f.begin.Incarnation })
 	r := s.all["r0"].core
 	late := *oldRun
 	late.Seq++
-	l.step(Event{Kind: Came, Message: &Message{From: "r0", To: l.name, Disk: "disk r0",
-		Gather: &Gather{Boot: r.b.Boot, Seq: r.gatherer.seq + 1, Base: r.gatherer.told,
-			Renews: []GatheredFrom{{Name: "f0", Disk: "disk f0", Renew: &late}}}}})
-	r.gatherer.seq++
-	if l.core.peers["f0"].boot == f.begin.Boot {
+	l.step(Event{Kind: MessageReceived, Message: &Message{From: "r0", To: l.name, Disk: "disk r0",
+		Gather: &RelayedRenewals{Boot: r.config.Incarnation, Seq: r.aggregator.lastSeq + 1, Base: r.aggregator.leaderHasUpTo,
+			Renews: []RelayedRenewal{{Name: "f0", Disk: "disk f0", Renew: &late}}}}})
+	r.aggregator.lastSeq++
+	if l.core.peers["f0"].incarnation == f.begin.Incarnation {
 		t.Fatal("the old run isn't told: this test shows nothing")
 	}
-	l.step(Event{Kind: Came, Message: &Message{From: "r0", To: l.name, Disk: "disk r0",
-		Gather: &Gather{Boot: r.b.Boot, Seq: r.gatherer.seq + 1, Base: r.gatherer.told, Silents: []Silent{{Name: "f0", Ago: int64(time.Second)}}}}})
-	r.gatherer.seq++
-	s.until(2*time.Second, "the new run is told again", func() bool { return l.core.peers["f0"].boot == f.begin.Boot })
+	l.step(Event{Kind: MessageReceived, Message: &Message{From: "r0", To: l.name, Disk: "disk r0",
+		Gather: &RelayedRenewals{Boot: r.config.Incarnation, Seq: r.aggregator.lastSeq + 1, Base: r.aggregator.leaderHasUpTo, Silents: []SilentController{{Name: "f0", Ago: int64(time.Second)}}}}})
+	r.aggregator.lastSeq++
+	s.until(2*time.Second, "the new run is told again", func() bool { return l.core.peers["f0"].incarnation == f.begin.Incarnation })
 }
 
 // Nothing is decided about queries by a control process, so no change waits for the lease
@@ -482,7 +482,7 @@
 		t.Errorf("in force %v after the leader was lost, with leases of %v", took, lease)
 	}
 	purge := &fleet.Ask{Kind: "purge", ID: "p1", Scope: &fleet.Scope{Team: "a"}, Wait: 60000}
-	s.all["f1"].step(Event{Kind: Asked, Handle: 2, Ask: purge})
+	s.all["f1"].step(Event{Kind: OperatorRequested, Handle: 2, Ask: purge})
 	s.until(3*time.Second, "purged while control processes are down", func() bool { return s.word(s.all["f1"], 2) != nil })
 }
 
@@ -494,10 +494,10 @@
 	s.until(5*time.Second, "all serve", func() bool { return s.serve(s.names...) })
 	l := s.leader()
 	r, f := s.all["r0"], s.all["f0"]
-	r.begin.Self.Control, r.begin.Relay = false, false
+	r.begin.Self.Control, r.begin.IsRelay = false, false
 	granted := false
 	s.seen = func(_, to string, m *Message) {
-		if to == "r0" && m.Grant != nil && m.Grant.Given && m.Grant.Boot == r.begin.Boot && l.core.state.Members["r0"].Control {
+		if to == "r0" && m.Grant != nil && m.Grant.Given && m.Grant.Boot == r.begin.Incarnation && l.core.state.Members["r0"].Control {
 			granted = true
 		}
 	}
@@ -524,7 +524,7 @@
 	s := relayStage(t, 14, 3, 2, 2, relayLease)
 	s.until(5*time.Second, "all serve", func() bool { return s.serve(s.names...) })
 	l := s.leader()
-	l.step(Event{Kind: Asked, Handle: 1, Ask: &fleet.Ask{Kind: "apply", ID: "c1", Base: 1, Policy: []byte("bad for " + l.name)}})
+	l.step(Event{Kind: OperatorRequested, Handle: 1, Ask: &fleet.Ask{Kind: "apply", ID: "c1", Base: 1, Policy: []byte("bad for " + l.name)}})
 	s.until(5*time.Second, "a word", func() bool { return s.word(l, 1) != nil })
 	if w := s.word(l, 1); w.Word != statemachine.Withdrawn {
 		t.Errorf("%+v", w)
@@ -535,7 +535,7 @@
 // leader: its controllers go to that, or to the other relay.
 func TestARelayThatIsNone(t *testing.T) {
 	s := relayStage(t, 15, 3, 2, 4, relayLease)
-	s.all["r0"].begin.Relay = false
+	s.all["r0"].begin.IsRelay = false
 	s.all["r0"].start()
 	s.until(8*time.Second, "all serve", func() bool { return s.serve(s.names...) })
 	s.play(8*time.Second, func() {
@@ -559,7 +559,7 @@
 	f := s.all["f2"]
 	s.until(3*time.Second, "in force", s.change(f, "c1", 1, 1))
 	s.inForce(f, 1)
-	f.step(Event{Kind: Asked, Handle: 2, Ask: &fleet.Ask{Kind: "bind", ID: "b1", Team: "a", Tables: []int64{1}}})
+	f.step(Event{Kind: OperatorRequested, Handle: 2, Ask: &fleet.Ask{Kind: "bind", ID: "b1", Team: "a", Tables: []int64{1}}})
 	s.until(3*time.Second, "bound", func() bool { return s.word(f, 2) != nil })
 	s.all["r0"].run = 0 // its first
 	s.until(8*time.Second, "in force by the second", s.change(f, "c2", 3, 2))
--- a/internal/fleet/node/roster.go
+++ b/internal/fleet/node/roster.go
@@ -10,75 +10,75 @@
 // roster is who is in the record, as this process needs it. Over the years most names in
 // the record are forgotten ones: they cost nothing but their place there.
 type roster struct {
-	present []string // names that aren't forgotten, in order; nil: to be made anew
+	members []string // names that aren't forgotten, in order; nil: to be made anew
 	// forgotten are names by when this process learned that they are, as long as one of
 	// them may hold a lease that was given before.
-	forgotten map[string]time.Duration
+	forgottenAt map[string]time.Duration
 	// taken is when this process took a whole state, in which names may have been
 	// forgotten a moment before.
-	taken time.Duration
+	stateTakenAt time.Duration
 }
 
 // enrol takes note of an entry that was applied.
-func (c *Core) enrol(before int) {
+func (c *Core) updateRoster(before int) {
 	if name := c.state.Forgot(); name != "" {
-		c.roster.forgotten[name] = c.now
-		c.roster.present = nil
+		c.roster.forgottenAt[name] = c.now
+		c.roster.members = nil
 	}
 	if len(c.state.Members) != before {
-		c.roster.present = nil
+		c.roster.members = nil
 	}
 }
 
 // enrolAll takes note of a whole state.
-func (c *Core) enrolAll() {
-	c.roster = roster{forgotten: map[string]time.Duration{}, taken: c.now}
+func (c *Core) resetRoster() {
+	c.roster = roster{forgottenAt: map[string]time.Duration{}, stateTakenAt: c.now}
 }
 
 // members are the names in the record that aren't forgotten, in order.
-func (c *Core) members() []string {
-	if c.roster.present == nil {
-		c.roster.present = make([]string, 0, len(c.state.Members))
+func (c *Core) memberNames() []string {
+	if c.roster.members == nil {
+		c.roster.members = make([]string, 0, len(c.state.Members))
 		for name, m := range c.state.Members {
 			if !m.Forgotten {
-				c.roster.present = append(c.roster.present, name)
+				c.roster.members = append(c.roster.members, name)
 			}
 		}
-		slices.Sort(c.roster.present)
+		slices.Sort(c.roster.members)
 	}
-	return c.roster.present
+	return c.roster.members
 }
 
 // awaited are all names that may hold a lease.
-func (c *Core) awaited() []string {
-	span := c.longestSpan()
-	if c.now < c.roster.taken+span {
+func (c *Core) possibleHolders() []string {
+	span := c.longestLease()
+	if c.now < c.roster.stateTakenAt+span {
 		return sorted(c.state.Members) // who was forgotten in it may hold one yet
 	}
-	c.forgetForgotten(span)
-	if len(c.roster.forgotten) == 0 {
-		return c.members()
+	c.expireForgotten(span)
+	if len(c.roster.forgottenAt) == 0 {
+		return c.memberNames()
 	}
-	names := slices.Concat(c.members(), sorted(c.roster.forgotten))
+	names := slices.Concat(c.memberNames(), sorted(c.roster.forgottenAt))
 	slices.Sort(names)
 	return names
 }
 
 // longestSpan is for how long a lease that has an end may be held; 0: none has.
-func (c *Core) longestSpan() (span time.Duration) {
-	for _, lease := range []time.Duration{c.b.Lease, c.b.LeaseBound} {
+func (c *Core) longestLease() (span time.Duration) {
+	for _, lease := range []time.Duration{c.config.Lease, c.config.ConfinedLease} {
 		if lease != fleet.Forever {
-			span = max(span, c.longer(lease))
+			span = max(span, c.bySlowestClock(lease))
 		}
 	}
 	return span
 }
 
 // forgetForgotten leaves out those whose leases are over.
-func (c *Core) forgetForgotten(span time.Duration) {
-	for name, learned := range c.roster.forgotten {
+func (c *Core) expireForgotten(span time.Duration) {
+	for name, learned := range c.roster.forgottenAt {
 		if c.now >= learned+span {
-			delete(c.roster.forgotten, name)
+			delete(c.roster.forgottenAt, name)
 		}
 	}
 }
@@ -86,13 +86,13 @@
 // forgottenMayHold: nobody is given a lease once its name is forgotten, so one that it
 // holds was asked for before this process learned of that. One without an end stops as
 // its holder learns of it, and isn't waited for: its disk is destroyed.
-func (c *Core) forgottenMayHold(name string, lease time.Duration) bool {
+func (c *Core) forgottenMayHoldLease(name string, lease time.Duration) bool {
 	if lease == fleet.Forever {
 		return false
 	}
-	learned, recent := c.roster.forgotten[name]
+	learned, recent := c.roster.forgottenAt[name]
 	if !recent {
-		learned = c.roster.taken
+		learned = c.roster.stateTakenAt
 	}
-	return c.now < learned+c.longer(lease)
+	return c.now < learned+c.bySlowestClock(lease)
 }
--- a/internal/fleet/node/roster_test.go
+++ b/internal/fleet/node/roster_test.go
@@ -11,7 +11,7 @@
 func (s *stage) forget(name string) {
 	s.t.Helper()
 	l := s.leader()
-	l.step(Event{Kind: Asked, Handle: 900, Ask: &fleet.Ask{Kind: "forget", ID: "forget " + name, Name: name}})
+	l.step(Event{Kind: OperatorRequested, Handle: 900, Ask: &fleet.Ask{Kind: "forget", ID: "forget " + name, Name: name}})
 	s.until(5*time.Second, name+" is forgotten", func() bool { return l.core.state.Members[name].Forgotten })
 }
 
@@ -24,8 +24,8 @@
 	s.forget("f3")
 	s.play(2*lease, nil)
 	l := s.leader()
-	if names := l.core.awaited(); len(names) != len(s.names)-1 || len(l.core.roster.forgotten) != 0 {
-		t.Errorf("awaited: %v, forgotten of late: %v", names, l.core.roster.forgotten)
+	if names := l.core.possibleHolders(); len(names) != len(s.names)-1 || len(l.core.roster.forgottenAt) != 0 {
+		t.Errorf("awaited: %v, forgotten of late: %v", names, l.core.roster.forgottenAt)
 	}
 	l.run = 0
 	lost := s.now
--- a/internal/fleet/node/stage_test.go
+++ b/internal/fleet/node/stage_test.go
@@ -57,7 +57,7 @@
 type actor struct {
 	*stage
 	name         string
-	begin        Begin
+	begin        Config
 	core         *Core
 	run          int // which start of it, 0: it is down
 	starts       int
@@ -96,13 +96,13 @@
 	return l
 }
 
-func beginOf(name string, voters []consensus.Voter, seed uint64, lease time.Duration) Begin {
-	return Begin{Self: fleet.Member{Name: name, Disk: "disk " + name, Site: "here", Peer: name + ":1"},
-		Voters: voters, Lease: lease, Drift: 0.01, Election: 200 * time.Millisecond, Heartbeat: 40 * time.Millisecond, Seed: seed, KeepAtMost: 50}
+func beginOf(name string, voters []consensus.Voter, seed uint64, lease time.Duration) Config {
+	return Config{Self: fleet.Member{Name: name, Disk: "disk " + name, Site: "here", Peer: name + ":1"},
+		Voters: voters, Lease: lease, ClockDrift: 0.01, ElectionTimeout: 200 * time.Millisecond, HeartbeatInterval: 40 * time.Millisecond, Seed: seed, SnapshotAfterEntries: 50}
 }
 
 // add starts one more.
-func (s *stage) add(b Begin) *actor {
+func (s *stage) add(b Config) *actor {
 	a := &actor{stage: s, name: b.Self.Name, begin: b}
 	s.all[a.name] = a
 	s.names = append(s.names, a.name)
@@ -113,8 +113,8 @@
 func (a *actor) start() {
 	a.starts++
 	a.run = a.starts
-	a.begin.Boot = uint64(a.starts)
-	a.begin.Kept = a.disk
+	a.begin.Incarnation = uint64(a.starts)
+	a.begin.Persisted = a.disk
 	a.word, a.checks = fleet.Word{}, nil
 	core, effects, err := New(a.begin)
 	if err != nil {
@@ -143,40 +143,40 @@
 			if a.seen != nil {
 				a.seen(a.name, e.To, e.Message)
 			}
-			to.later(time.Millisecond+time.Duration(a.rand.IntN(3000))*time.Microsecond, func() { to.step(Event{Kind: Came, Message: e.Message}) })
-		case Store:
+			to.later(time.Millisecond+time.Duration(a.rand.IntN(3000))*time.Microsecond, func() { to.step(Event{Kind: MessageReceived, Message: e.Message}) })
+		case Persist:
 			a.later(2*time.Millisecond, func() {
-				a.disk = after(a.disk, e.Kept)
-				a.step(Event{Kind: Stored})
+				a.disk = after(a.disk, e.Writes)
+				a.step(Event{Kind: WritesPersisted})
 			})
-		case Check:
-			if a.checks = append(a.checks, "asked "+e.Change); e.Change == a.idle {
+		case ValidatePolicy:
+			if a.checks = append(a.checks, "asked "+e.ChangeID); e.ChangeID == a.idle {
 				continue
 			}
 			a.later(time.Millisecond, func() {
 				why := ""
-				if string(e.Text) == "bad for "+a.name {
+				if string(e.PolicyText) == "bad for "+a.name {
 					why = "no such group"
 				}
-				ev := Event{Kind: Checked, Change: e.Change, Why: why, Policy: string(e.Text), RulesUnknown: a.rulesUnknown}
-				if voters, ok := strings.CutPrefix(string(e.Text), "voters "); ok {
+				ev := Event{Kind: PolicyValidated, ChangeID: e.ChangeID, Reason: why, Policy: string(e.PolicyText), ResidencyRulesUnknown: a.rulesUnknown}
+				if voters, ok := strings.CutPrefix(string(e.PolicyText), "voters "); ok {
 					ev.Voters = strings.Fields(voters)
 				}
-				a.checks = append(a.checks, "done "+e.Change)
+				a.checks = append(a.checks, "done "+e.ChangeID)
 				a.step(ev)
 			})
-		case Order:
+		case OrderController:
 			a.orders = append(a.orders, e.Order)
 			a.later(time.Millisecond, func() { a.ordered(e.Order) })
-		case Told:
+		case Respond:
 			key := fmt.Sprintf("%s %d", a.name, e.Handle)
 			a.words[key] = append(a.words[key], e.Reply)
-		case Wake:
-			at := a.now + max(e.Within, 100*time.Microsecond)
+		case SetTimer:
+			at := a.now + max(e.Delay, 100*time.Microsecond)
 			a.wake = at
 			a.later(at-a.now, func() {
 				if a.wake == at {
-					a.step(Event{Kind: Woken})
+					a.step(Event{Kind: TimerFired})
 				}
 			})
 		}
@@ -187,15 +187,15 @@
 	switch o.Kind {
 	case fleet.Shut:
 		a.word.Set(0)
-		a.step(Event{Kind: Reported, Report: fleet.Report{Kind: fleet.Closed, Change: o.Change}})
+		a.step(Event{Kind: ControllerReported, Report: fleet.Report{Kind: fleet.Closed, Change: o.Change}})
 	case fleet.Open:
 		a.word.Set(o.Version)
-		a.step(Event{Kind: Reported, Report: fleet.Report{Kind: fleet.Opened, Version: o.Version, Outside: a.outside}})
+		a.step(Event{Kind: ControllerReported, Report: fleet.Report{Kind: fleet.Opened, Version: o.Version, Outside: a.outside}})
 	case fleet.Renewed:
 		a.word.Lease(o.Until, o.UntilBound)
 	case fleet.Drop:
-		a.step(Event{Kind: Reported, Report: fleet.Report{Kind: fleet.Unreached, ID: o.ID}})
-		a.step(Event{Kind: Reported, Report: fleet.Report{Kind: fleet.Wiped, ID: o.ID, Counts: fleet.Counts{Results: 1}}})
+		a.step(Event{Kind: ControllerReported, Report: fleet.Report{Kind: fleet.Unreached, ID: o.ID}})
+		a.step(Event{Kind: ControllerReported, Report: fleet.Report{Kind: fleet.Wiped, ID: o.ID, Counts: fleet.Counts{Results: 1}}})
 	}
 }
 
@@ -259,7 +259,7 @@
 
 func (s *stage) leader() *actor {
 	for _, n := range s.names {
-		if a := s.all[n]; a.run > 0 && a.core.Leads() && a.core.steady {
+		if a := s.all[n]; a.run > 0 && a.core.Leads() && a.core.ready {
 			return a
 		}
 	}
--- a/internal/fleet/node/testdata/planted/down/erasure.go
+++ b/internal/fleet/node/testdata/planted/down/erasure.go
@@ -2,20 +2,20 @@
 
 import "railrelay.dev/railrelay/internal/fleet"
 
-// erasure sums what the disks of all controllers have erased for a purge, and names those
+// erasureOutstanding sums what the disks of all controllers have erased for a purge, and names those
 // that haven't confirmed it, controllers that are down included. A forgotten one is no
 // member any more, since its disk is destroyed. A control process, which keeps no results,
 // is not waited for.
-func (c *Core) erasure(purge string) (sum fleet.Counts, awaited []string) {
-	for _, name := range c.members() {
+func (c *Core) erasureOutstanding(purge string) (sum fleet.Counts, awaited []string) {
+	for _, name := range c.memberNames() {
 		if c.state.Members[name].Control {
 			continue
 		}
 		p := c.peers[name]
-		if p == nil || p.r == nil { // planted fault: who is down isn't waited for
+		if p == nil || p.renewal == nil { // planted fault: who is down isn't waited for
 			continue
 		}
-		erased, confirmed := p.r.Wiped[purge]
+		erased, confirmed := p.renewal.Wiped[purge]
 		sum.Add(erased)
 		if !confirmed {
 			awaited = append(awaited, name)
