--- a/internal/fleet/node/gather.go
+++ b/internal/fleet/node/gather.go
@@ -7,55 +7,6 @@
 	"railrelay.dev/railrelay/internal/fleet"
 )
 
-// Gather is a relay's message to the leader: what has changed in the renewals of all
-// controllers that ask through it. It asks for a lease for each controller that the
-// relay covers, also for those that it doesn't name because nothing of them changed.
-type RelayedRenewals struct {
-	Boot uint64 // of the relay's run
-	Seq  uint64 // from 1, within the relay's run
-	// Base is the gather that went before: this one tells all that has changed since. A
-	// leader that lacks it asks for everything. 0: this is everything, and replaces what
-	// was told.
-	Base    uint64             `cbor:",omitempty"`
-	Renews  []RelayedRenewal   `cbor:",omitempty"`
-	Silents []SilentController `cbor:",omitempty"`
-}
-
-// GatheredFrom is a controller's last renewal, which is news to the leader.
-type RelayedRenewal struct {
-	Name  string
-	Disk  string
-	Renew *LeaseRenewal
-}
-
-// Silent is a controller that is covered no more: it hasn't asked for a while.
-type SilentController struct {
-	Name string
-	Ago  int64 // nanoseconds by the relay's clock since it last asked
-}
-
-// Gathered is the leader's answer to a Gather.
-type RelayedGrants struct {
-	Boot   uint64 // as in the Gather
-	Seq    uint64
-	Given  bool   // each controller covered by that gather may be granted its lease
-	Resync bool   // the leader doesn't have the gather's base: all must be told anew
-	Index  uint64 // the leases count once the record up to here is applied
-	Leader string // who to tell instead, "": not known
-	// Withheld are covered controllers that must not be granted a lease.
-	Withheld []WithheldLease `cbor:",omitempty"`
-	// Again are covered controllers whose renewal must be told once more: another relay
-	// has told of them since.
-	Again []string            `cbor:",omitempty"`
-	Waits map[string][]string `cbor:",omitempty"` // as in a Grant
-}
-
-// Withheld is a controller that is given no lease.
-type WithheldLease struct {
-	Name string
-	Why  string // refused for good; "": it isn't in the record yet
-}
-
 // gatherer is a relay's memory of the controllers that ask through it. It grants
 // nothing: a lease is passed on only where the leader's answer is to a gather that was
 // sent after the controller had asked.
