--- a/internal/fleet/transport/golden_values_test.go
+++ b/internal/fleet/transport/golden_values_test.go
@@ -11,7 +11,7 @@
 // goldenKeys are what golden frames, answers and asks are signed with.
 var goldenKeys = Keys{[]byte("0123456789abcdef0123456789abcdef"), []byte("fedcba9876543210fedcba9876543210")}
 
-var goldenRenew = node.Renew{
+var goldenRenew = node.LeaseRenewal{
 	Member: fleet.Member{
 		Name: "north-1", Disk: "disk-1", Site: "north", Peer: "10.0.0.1:7000", Clients: "10.0.0.1:6000", Forgotten: true, Control: true,
 	},
@@ -37,9 +37,9 @@
 
 // goldenMessages is one message of each kind, by its kind, and one with all kinds.
 func goldenMessages() map[string]*node.Message {
-	grant := node.Grant{Seq: 31, Sent: 32, Boot: 33, Given: true, Index: 34, Leader: "north-2",
+	grant := node.LeaseGrant{Seq: 31, Sent: 32, Boot: 33, Given: true, Index: 34, Leader: "north-2",
 		Waits: map[string][]string{"change-1": {"south-1", "south-2"}}, Why: "its disk is forgotten"}
-	follow := node.Follow{
+	follow := node.LogUpdate{
 		Snapshot: &consensus.Snapshot{Index: 41, Term: 42, Conf: []byte("conf"), Data: []byte("state")},
 		Records: []consensus.Record{
 			{Index: 43, Term: 44, Conf: true, Data: []byte("voters")},
@@ -47,13 +47,13 @@
 		},
 		Decided: 45, Leader: "north-3",
 	}
-	gather := node.Gather{Boot: 51, Seq: 52, Base: 53,
-		Renews:  []node.GatheredFrom{{Name: "north-1", Disk: "disk-1", Renew: &goldenRenew}},
-		Silents: []node.Silent{{Name: "south-3", Ago: 54}}}
-	gathered := node.Gathered{Boot: 61, Seq: 62, Given: true, Resync: true, Index: 63, Leader: "north-4",
-		Withheld: []node.Withheld{{Name: "south-4", Why: "it is forgotten"}},
+	gather := node.RelayedRenewals{Boot: 51, Seq: 52, Base: 53,
+		Renews:  []node.RelayedRenewal{{Name: "north-1", Disk: "disk-1", Renew: &goldenRenew}},
+		Silents: []node.SilentController{{Name: "south-3", Ago: 54}}}
+	gathered := node.RelayedGrants{Boot: 61, Seq: 62, Given: true, Resync: true, Index: 63, Leader: "north-4",
+		Withheld: []node.WithheldLease{{Name: "south-4", Why: "it is forgotten"}},
 		Again:    []string{"south-5"}, Waits: map[string][]string{"purge-1": {"south-6"}}}
-	lacks := node.Lacks{From: 71}
+	lacks := node.LogRequest{From: 71}
 	from := func(m node.Message) *node.Message {
 		m.From, m.To, m.Disk = "north-1", "south-1", "disk-1"
 		return &m
