--- a/internal/fleet/statemachine/golden_values_test.go
+++ b/internal/fleet/statemachine/golden_values_test.go
@@ -38,7 +38,8 @@
 func goldenEntries() []fleet.Entry {
 	scope := fleet.Scope{Team: "team-a", Tables: []int64{1, -2}, Before: 201, Outside: []string{"north"}}
 	counts := fleet.Counts{Results: 202, Answers: 203, Bytes: 204}
-	member := fleet.Member{Name: "north-1", Disk: "disk-1", Site: "north", Peer: "10.0.0.1:7000", Clients: "10.0.0.1:6000", Control: true}
+	member := fleet.Member{Name: "north-1", Disk: "disk-1", Site: "north", Peer: "10.0.0.1:7000", Clients: "10.0.0.1:6000", Forgotten: true,
+		Control: true}
 	return []fleet.Entry{
 		{Kind: fleet.Join, Name: "north-1", Member: &member, Wall: 205},
 		{Kind: fleet.Forget, Name: "south-1", By: "operator@host"},
