--- /dev/null
+++ b/internal/fleet/storage/golden_test.go
@@ -0,0 +1,59 @@
+package storage
+
+import (
+	"path/filepath"
+	"testing"
+	"time"
+
+	"github.com/google/go-cmp/cmp"
+	"go.etcd.io/bbolt"
+
+	"railrelay.dev/railrelay/internal/goldentest"
+)
+
+// buckets are all keys and values of a file, by bucket.
+func buckets(t *testing.T, dir string) map[string]map[string]string {
+	t.Helper()
+	db, err := bbolt.Open(filepath.Join(dir, file), 0o600, &bbolt.Options{ReadOnly: true, Timeout: time.Second})
+	must(t, err)
+	defer db.Close()
+	all := map[string]map[string]string{}
+	must(t, db.View(func(tx *bbolt.Tx) error {
+		return tx.ForEach(func(name []byte, b *bbolt.Bucket) error {
+			values := map[string]string{}
+			all[string(name)] = values
+			return b.ForEach(func(key, value []byte) error {
+				values[string(key)] = string(value)
+				return nil
+			})
+		})
+	}))
+	return all
+}
+
+func TestGoldenDirectoryIsRead(t *testing.T) {
+	dir := goldentest.Copy(t, "directory")
+	d, found := open(t, Opening{}, dir)
+	want := goldenFound()
+	goldentest.EveryFieldSet(t, goldentest.CBOR, want.Kept.Snapshot, want.Kept.Records)
+	if diff := cmp.Diff(want, found); diff != "" {
+		t.Errorf("what it holds (-want +got):\n%s", diff)
+	}
+	must(t, d.Claim(want.Owner))
+	for key, note := range want.Notes {
+		if string(d.Noted(key)) != string(note) {
+			t.Errorf("note %q: got %q, want %q", key, d.Noted(key), note)
+		}
+	}
+}
+
+// TestGoldenDirectoryIsWritten compares what the files hold: how the library lays pages out
+// isn't this program's to say.
+func TestGoldenDirectoryIsWritten(t *testing.T) {
+	dir := filepath.Join(t.TempDir(), "directory")
+	must(t, writeGolden(dir))
+	want := buckets(t, goldentest.Copy(t, "directory"))
+	if diff := cmp.Diff(want, buckets(t, dir)); diff != "" {
+		t.Errorf("keys and values (-want +got):\n%s", diff)
+	}
+}
--- /dev/null
+++ b/internal/fleet/storage/golden_values_test.go
@@ -0,0 +1,52 @@
+package storage
+
+import "railrelay.dev/railrelay/internal/fleet/consensus"
+
+// goldenFound is what the golden directory holds, with every field set.
+func goldenFound() Found {
+	return Found{
+		Kept: consensus.Kept{
+			Hard:     []byte("hard"),
+			Snapshot: &consensus.Snapshot{Index: 12, Term: 3, Conf: []byte("voters"), Data: []byte("state")},
+			Records: []consensus.Record{
+				{Index: 11, Term: 3, Data: []byte("eleven")},
+				{Index: 12, Term: 3, Conf: true, Data: []byte("twelve")},
+				{Index: 13, Term: 4},
+				{Index: 14, Term: 4, Data: []byte("fourteen")},
+			},
+		},
+		Disk:  "disk-1",
+		Owner: "north-1",
+		Notes: map[string][]byte{"policy": []byte("groups: []\n"), "wiped": {}},
+	}
+}
+
+// writeGolden makes a directory that holds goldenFound.
+func writeGolden(dir string) error {
+	found := goldenFound()
+	d, _, err := Open(dir, func() string { return found.Disk })
+	if err != nil {
+		return err
+	}
+	defer d.Close()
+	if err := d.Claim(found.Owner); err != nil {
+		return err
+	}
+	if err := d.Write(consensus.Kept{Hard: []byte("before"), Records: []consensus.Record{{Index: 1, Term: 1, Data: []byte("one")}}}); err != nil {
+		return err
+	}
+	kept := found.Kept
+	kept.Records = found.Kept.Records[:3]
+	if err := d.Write(kept); err != nil {
+		return err
+	}
+	if err := d.Write(consensus.Kept{Records: found.Kept.Records[3:]}); err != nil {
+		return err
+	}
+	for _, key := range []string{"policy", "wiped"} {
+		if err := d.Note(key, found.Notes[key]); err != nil {
+			return err
+		}
+	}
+	return d.Close()
+}
