--- a/cmd/railrelay-fleet/join.go
+++ b/cmd/railrelay-fleet/join.go
@@ -39,7 +39,7 @@
 		judge = checkControl
 	}
 	e, err := driver.Open(driver.Options{Begin: begin(have), Fleet: f.Name, Listen: f.Listen, Control: f.Control, Directory: f.Directory, Keys: f.Keys,
-		Started: means.Started, Log: log, Check: func(change string, text []byte, now driver.Have) driver.Checked {
+		Started: means.StartedAt, Log: log, Check: func(change string, text []byte, now driver.Have) driver.Checked {
 			return judge(have, change, text, now)
 		}})
 	if err != nil {
--- a/internal/bench/fleet_controllers.go
+++ b/internal/bench/fleet_controllers.go
@@ -59,8 +59,8 @@
 		c.ways = append(c.ways, &fleetWay{delay: time.Duration(100+f.rng.IntN(2000)) * time.Microsecond})
 	}
 	f.all = append(f.all, c)
-	r, effects := controller.New(controller.Config{Seed: f.rng.Uint64(), MemoryMB: 256, Sockets: 512, Feed: "feed", Known: f.log.Known(), Facts: facts,
-		Started: time.UnixMilli(fleetEpoch), Manners: []controller.ClientLimits{{From: Homes, Open: 100_000, Messages: 100_000, Idle: time.Minute}}})
+	r, effects := controller.New(controller.Config{Seed: f.rng.Uint64(), MemoryMB: 256, Sockets: 512, DiscoveryAddress: "feed", KnownEngines: f.log.Known(), Settings: facts,
+		StartedAt: time.UnixMilli(fleetEpoch), ClientLimits: []controller.ClientLimits{{Prefixes: Homes, OpenQueries: 100_000, MessagesPerSweep: 100_000, IdleTimeout: time.Minute}}})
 	c.r = r
 	c.perform(effects)
 }
@@ -68,7 +68,7 @@
 // connects has the clients' connection stand: one that says nothing is ended.
 func (c *fleetController) connects() {
 	if c.client == nil || c.client.gone {
-		c.client = &fleetEnd{link: &controller.Connection{From: Home}, client: true}
+		c.client = &fleetEnd{link: &controller.Connection{RemoteAddress: Home}, client: true}
 		c.ends[c.client.link] = c.client
 		end := c.client
 		c.deliver(func() { c.step(controller.Event{Kind: controller.ClientAccepted, Connection: end.link}) })
@@ -149,9 +149,9 @@
 
 func (c *fleetController) gets(e *fleetEnd, p []byte) {
 	for len(p) > 0 && !e.gone {
-		n := copy(e.link.In.Space(), p)
+		n := copy(e.link.Received.Space(), p)
 		p = p[n:]
-		c.step(controller.Event{Kind: controller.BytesReceived, Connection: e.link, N: n})
+		c.step(controller.Event{Kind: controller.BytesReceived, Connection: e.link, ByteCount: n})
 	}
 }
 
@@ -160,7 +160,7 @@
 		e := c.ends[fx.Connection]
 		switch fx.Kind {
 		case controller.Dial:
-			c.dial(fx.Connection, fx.Address, fx.Within)
+			c.dial(fx.Connection, fx.Address, fx.Timeout)
 		case controller.Write:
 			if e == nil || e.gone {
 				break
@@ -188,7 +188,7 @@
 		case controller.SetTimer:
 			c.woken++
 			mine := c.woken
-			c.after(fx.Within, func() {
+			c.after(fx.Timeout, func() {
 				c.deliver(func() {
 					if mine == c.woken {
 						c.step(controller.Event{Kind: controller.TimerFired})
--- a/internal/bench/fleet_network.go
+++ b/internal/bench/fleet_network.go
@@ -38,7 +38,7 @@
 
 func (c *fleetController) wrote(e *fleetEnd, n int) {
 	if !e.gone {
-		c.event(controller.Event{Kind: controller.BytesWritten, Connection: e.link, N: n})
+		c.event(controller.Event{Kind: controller.BytesWritten, Connection: e.link, ByteCount: n})
 	}
 }
 
--- a/internal/cli/control.go
+++ b/internal/cli/control.go
@@ -24,7 +24,7 @@
 	if have.Placement == nil {
 		log.Info().Msg("placement is left out: as leader this process watches for no emergency of rules that controllers' set-ups have")
 	}
-	means := controller.Config{Started: started}
+	means := controller.Config{StartedAt: started}
 	joined, err := part.Join(have, &means, log)
 	if err != nil {
 		return err
--- a/internal/cli/platform.go
+++ b/internal/cli/platform.go
@@ -46,7 +46,7 @@
 }
 
 // platformWords are the platform's names for what a call may tell besides.
-var platformWords = controller.FieldNames{Whose: "customer", Work: "weight", Need: "ram", Token: "nonce"}
+var platformWords = controller.FieldNames{Customer: "customer", EstimatedWork: "weight", EstimatedMemory: "ram", IdempotencyKey: "nonce"}
 
 // servePlatform serves by ROUTER_CONFIG and what stands beside it.
 func servePlatform(signals <-chan os.Signal) error {
@@ -82,8 +82,8 @@
 	if address == "" {
 		address = g.Listen
 	}
-	means := controller.Config{Words: platformWords, Seed: seed, MemoryMB: g.Limits.MemoryMB, Sockets: g.Limits.Sockets,
-		Feed: g.Feed, Known: g.Known, Facts: facts, Started: started}
+	means := controller.Config{FieldNames: platformWords, Seed: seed, MemoryMB: g.Limits.MemoryMB, Sockets: g.Limits.Sockets,
+		DiscoveryAddress: g.Feed, KnownEngines: g.Known, Settings: facts, StartedAt: started}
 	return listen(address, g.Limits.Cores, means, nil, func(log zerolog.Logger) <-chan controller.Event {
 		return follow(signals, func() (controller.Event, error) {
 			next, err := again(path, g, log)
@@ -91,7 +91,7 @@
 				return controller.Event{}, err
 			}
 			g.Feed = next.Feed
-			return controller.Event{Kind: controller.ConfigurationReloaded, Feed: next.Feed}, nil
+			return controller.Event{Kind: controller.ConfigurationReloaded, DiscoveryAddress: next.Feed}, nil
 		}, log)
 	}, Joined{}, log)
 }
--- a/internal/cli/program.go
+++ b/internal/cli/program.go
@@ -188,7 +188,7 @@
 	if address == "" {
 		return errors.New("no address to listen on")
 	}
-	means.Trace = log.GetLevel() <= zerolog.DebugLevel
+	means.TraceQueries = log.GetLevel() <= zerolog.DebugLevel
 	limit(cores, means.MemoryMB)
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
@@ -221,7 +221,7 @@
 					log.Log().Err(err).Msg("the configuration is kept as it was")
 					continue
 				}
-				log.Log().Str("feed", ev.Feed).Msg("the configuration was read again")
+				log.Log().Str("feed", ev.DiscoveryAddress).Msg("the configuration was read again")
 				events <- ev
 			default:
 				events <- controller.Event{Kind: controller.ShutdownRequested}
@@ -265,7 +265,7 @@
 			if err != nil {
 				return controller.Event{}, err
 			}
-			return controller.Event{Kind: controller.ConfigurationReloaded, Feed: next.Feed, Fair: next.Shape()}, nil
+			return controller.Event{Kind: controller.ConfigurationReloaded, DiscoveryAddress: next.Feed, Tenants: next.Shape()}, nil
 		}, log)
 	}, joined, log)
 }
--- a/internal/controller/actor.go
+++ b/internal/controller/actor.go
@@ -15,57 +15,57 @@
 	if !invariant.Hold(q != nil && e != nil, "submissions name what is known") {
 		return
 	}
-	r.submit(q, e, within)
+	r.startAttempt(q, e, within)
 }
 
 func (r *Controller) Cancel(id string, try int) {
-	if q := r.queries[id]; q != nil && try >= 0 && try < len(q.subs) {
-		r.withdraw(q.subs[try], scheduler.Cancelled)
+	if q := r.queries[id]; q != nil && try >= 0 && try < len(q.attempts) {
+		r.withdrawAttempt(q.attempts[try], scheduler.Cancelled)
 	}
 }
 
 func (r *Controller) Terms(id string, priority, grantMB int) {
 	if q := r.queries[id]; q != nil {
-		q.priority, q.grantMB = priority, grantMB
-		for _, s := range q.subs {
-			r.rank(s)
+		q.priority, q.memoryGrantMB = priority, grantMB
+		for _, s := range q.attempts {
+			r.sendPriority(s)
 		}
 	}
 }
 
 func (r *Controller) Defer(id string, comeBack time.Duration) {
 	if q := r.queries[id]; q != nil {
-		if r.fair != nil && q.turn != nil {
-			comeBack = max(comeBack, r.fair.pause(r.fair.core.Back(r.now, q.turn)))
+		if r.fairQueue != nil && q.waiter != nil {
+			comeBack = max(comeBack, r.fairQueue.retryAfter(r.fairQueue.queue.Back(r.now, q.waiter)))
 		}
-		r.deferred(q, comeBack)
+		r.answerDeferred(q, comeBack)
 	}
 }
 
 func (r *Controller) Kill(id string) {
 	if q := r.queries[id]; q != nil {
-		r.killed(q, "not done")
+		r.answerKilled(q, "not done")
 	}
 }
 
 func (r *Controller) Probe(engine string) {
 	if e := r.engines[engine]; invariant.Hold(e != nil, "probes name what is known") {
-		r.probe(e)
+		r.checkHealth(e)
 	}
 }
 
 func (r *Controller) Subscribe() {}
 
 func (r *Controller) Wake(in time.Duration, tag int) {
-	r.after(in, func() { r.gate.Woken(r.now, tag) })
+	r.runAfter(in, func() { r.scheduler.Woken(r.now, tag) })
 }
 
-func (r *Controller) Log(line string) { r.say(false, line) }
+func (r *Controller) Log(line string) { r.logMessage(false, line) }
 
 var _ scheduler.Actions = (*Controller)(nil)
 
 // place is where a name stands in one of the settings' lists, which is how the
 // decisions know it; -1 if it is in none.
-func (r *Controller) place(facts, name string) int {
-	return slices.Index(strings.Split(r.Facts[facts], ","), settings.Plain(name))
+func (r *Controller) settingIndex(facts, name string) int {
+	return slices.Index(strings.Split(r.Settings[facts], ","), settings.Plain(name))
 }
--- a/internal/controller/answers.go
+++ b/internal/controller/answers.go
@@ -28,21 +28,21 @@
 }
 
 func newResultCaching(r *Controller, l *resultcache.Limits) *resultCaching {
-	core, err := resultcache.New(*l, r.Started.UnixMilli())
+	core, err := resultcache.New(*l, r.StartedAt.UnixMilli())
 	if err != nil {
-		r.say(true, err.Error())
+		r.logMessage(true, err.Error())
 		return nil
 	}
 	a := &resultCaching{Controller: r, core: core, cachedGroups: map[string]bool{}}
 	for _, g := range r.groups {
-		a.cachedGroups[g.name] = !g.load && !g.inOrder && g.readOnly && (len(l.Groups) == 0 || slices.Contains(l.Groups, g.name))
+		a.cachedGroups[g.name] = !g.isLoad && !g.inOrder && g.readOnly && (len(l.Groups) == 0 || slices.Contains(l.Groups, g.name))
 	}
 	a.sweep()
 	return a
 }
 
 func (a *resultCaching) sweep() {
-	a.after(time.Second, a.sweep)
+	a.runAfter(time.Second, a.sweep)
 	a.core.Sweep(a.now)
 }
 
@@ -63,12 +63,12 @@
 
 // changing notes a query that changes tables, as soon as it is taken.
 func (a *resultCaching) noteMutation(q *query) {
-	if q.group.load || !q.group.readOnly {
+	if q.group.isLoad || !q.group.readOnly {
 		_, written, known := msgpackrpc.AllTables(q.statement)
 		if !known {
 			written = nil
 		}
-		q.memo = &cacheLookup{mutates: true, tables: written}
+		q.cacheState = &cacheLookup{mutates: true, tables: written}
 		a.core.Loading(a.now, written)
 	}
 }
@@ -76,7 +76,7 @@
 // enters is asked before a query goes its way, which goes is for. False: it doesn't
 // need to, for now.
 func (a *resultCaching) lookup(q *query, from From, goes func(From)) bool {
-	if !a.cachedGroups[q.group.name] || q.memo != nil || q.kept != nil || a.closing || a.purges.servingBarred() || !a.keeps(q) {
+	if !a.cachedGroups[q.group.name] || q.cacheState != nil || q.spooled != nil || a.closing || a.purges.servingBarred() || !a.mayRetain(q) {
 		return true
 	}
 	m := &cacheLookup{ask: &resultcache.Ask{Team: a.dataOwner(from), Group: q.group.index, Statement: q.statement, Tables: allTables(q.statement),
@@ -84,17 +84,17 @@
 	verdict, pages := a.core.Ask(a.now, m.ask)
 	switch verdict {
 	case resultcache.Hit:
-		a.purges.markRetained(func() { a.finished(q, pages) })
+		a.purges.markRetained(func() { a.answerFinished(q, pages) })
 		a.purges.noteRetainedAnswer(q)
 		return false
 	case resultcache.Follow:
 		from.Fields = from.Fields.Clone() // the call lies in its connection's buffer
-		q.memo = m
+		q.cacheState = m
 		m.proceed = func() { goes(from) }
-		m.followTimer = a.due.Add(max(a.now, m.ask.Until), func() { a.deferred(q, 0) })
+		m.followTimer = a.timers.Add(max(a.now, m.ask.Until), func() { a.answerDeferred(q, 0) })
 		return false
 	case resultcache.Lead:
-		q.memo = m
+		q.cacheState = m
 	}
 	return true
 }
@@ -106,10 +106,10 @@
 // done: a query is about to be answered by what its engine told. It names who is
 // answered by it, too.
 func (a *resultCaching) takeFollowers(q *query, pages [][]byte) (others []*query) {
-	if q.memo == nil || q.memo.ask == nil {
+	if q.cacheState == nil || q.cacheState.ask == nil {
 		return nil
 	}
-	for _, o := range a.core.Finished(a.now, q.memo.ask, pages) {
+	for _, o := range a.core.Finished(a.now, q.cacheState.ask, pages) {
 		others = append(others, o.Of.(*query))
 	}
 	return others
@@ -117,17 +117,17 @@
 
 // answered: no answer is owed any more, whether it led, followed or neither.
 func (a *resultCaching) queryAnswered(q *query) {
-	if q.memo == nil || q.memo.ask == nil {
+	if q.cacheState == nil || q.cacheState.ask == nil {
 		return
 	}
-	a.due.Drop(q.memo.followTimer)
-	a.promote(a.core.Left(a.now, q.memo.ask))
+	a.timers.Drop(q.cacheState.followTimer)
+	a.promote(a.core.Left(a.now, q.cacheState.ask))
 }
 
 // over: nothing of a query is out any more.
 func (a *resultCaching) queryOver(q *query) {
-	if q.memo != nil && q.memo.mutates {
-		a.core.Loaded(a.now, q.memo.tables)
+	if q.cacheState != nil && q.cacheState.mutates {
+		a.core.Loaded(a.now, q.cacheState.tables)
 	}
 }
 
@@ -137,10 +137,10 @@
 		return
 	}
 	q := next.Of.(*query)
-	a.due.Drop(q.memo.followTimer)
-	a.soon(func() {
+	a.timers.Drop(q.cacheState.followTimer)
+	a.runSoon(func() {
 		if !q.answered {
-			q.memo.proceed()
+			q.cacheState.proceed()
 		}
 	})
 }
@@ -149,12 +149,12 @@
 func (a *resultCaching) answerFollowers(others []*query, pages [][]byte) {
 	for _, o := range others {
 		if a.purges.servingBarred() {
-			a.deferred(o, a.warrant.retryAfter())
+			a.answerDeferred(o, a.warrant.retryAfter())
 			continue
 		}
-		if a.close(o, fairqueue.Finished) {
-			a.tally.finished++
-			a.purges.markRetained(func() { o.asker.finished(pages) })
+		if a.closeQuery(o, fairqueue.Finished) {
+			a.counters.finished++
+			a.purges.markRetained(func() { o.owner.finished(pages) })
 			a.purges.noteRetainedAnswer(o)
 		}
 	}
--- a/internal/controller/client.go
+++ b/internal/controller/client.go
@@ -15,289 +15,293 @@
 
 // The platform's figures, for whoever has no others.
 const (
-	openMost   = 32              // queries open on one connection, by the protocol
-	idleMost   = 6 * time.Second // clients close theirs after 4 s; one kept for good is let go
-	wholeMost  = 2 * time.Second // a message takes no longer, from connecting or from its first byte
-	faultsMost = openMost        // calls on one connection that can't be used
-	heardMost  = 4 * openMost    // messages on one connection between two sweeps
+	maxOpenQueries      = 32                 // queries open on one connection, by the protocol
+	clientIdleTimeout   = 6 * time.Second    // clients close theirs after 4 s; one kept for good is let go
+	messageTimeout      = 2 * time.Second    // a message takes no longer, from connecting or from its first byte
+	maxBadCalls         = maxOpenQueries     // calls on one connection that can't be used
+	maxMessagesPerSweep = 4 * maxOpenQueries // messages on one connection between two sweeps
 )
 
 // ClientLimits are what is expected of the connections from some addresses. A figure
 // of 0 is the platform's.
 type ClientLimits struct {
-	From     []netip.Prefix
-	Open     int           // queries open on one connection
-	Messages int           // on one connection in a quarter of a second
-	Idle     time.Duration // one with nothing open is closed after
-	Whole    time.Duration // a message takes no longer, from connecting or from its first byte
+	Prefixes         []netip.Prefix
+	OpenQueries      int           // queries open on one connection
+	MessagesPerSweep int           // on one connection in a quarter of a second
+	IdleTimeout      time.Duration // one with nothing open is closed after
+	MessageTimeout   time.Duration // a message takes no longer, from connecting or from its first byte
 }
 
-func (m ClientLimits) orPlatform() ClientLimits {
-	m.Open, m.Messages = cmp.Or(m.Open, openMost), cmp.Or(m.Messages, heardMost)
-	m.Idle, m.Whole = cmp.Or(m.Idle, idleMost), cmp.Or(m.Whole, wholeMost)
+func (m ClientLimits) withDefaults() ClientLimits {
+	m.OpenQueries, m.MessagesPerSweep = cmp.Or(m.OpenQueries, maxOpenQueries), cmp.Or(m.MessagesPerSweep, maxMessagesPerSweep)
+	m.IdleTimeout, m.MessageTimeout = cmp.Or(m.IdleTimeout, clientIdleTimeout), cmp.Or(m.MessageTimeout, messageTimeout)
 	return m
 }
 
 // manners finds those that hold for an address: the narrowest set it is in.
-type manners struct {
-	all  []ClientLimits
-	sets *bart.Table[int] // nil: there are none
+type clientLimitTable struct {
+	limits   []ClientLimits
+	prefixes *bart.Table[int] // nil: there are none
 }
 
-func newManners(l []ClientLimits) manners {
-	m := manners{all: []ClientLimits{ClientLimits{}.orPlatform()}}
+func newClientLimitTable(l []ClientLimits) clientLimitTable {
+	m := clientLimitTable{limits: []ClientLimits{ClientLimits{}.withDefaults()}}
 	for _, x := range l {
-		if m.sets == nil {
-			m.sets = &bart.Table[int]{}
+		if m.prefixes == nil {
+			m.prefixes = &bart.Table[int]{}
 		}
-		m.all = append(m.all, x.orPlatform())
-		for _, p := range x.From {
-			m.sets.Insert(p.Masked(), len(m.all)-1)
+		m.limits = append(m.limits, x.withDefaults())
+		for _, p := range x.Prefixes {
+			m.prefixes.Insert(p.Masked(), len(m.limits)-1)
 		}
 	}
 	return m
 }
 
-func (m *manners) of(a netip.Addr) *ClientLimits {
-	if m.sets != nil && a.IsValid() {
-		if i, ok := m.sets.Lookup(a.Unmap()); ok {
-			return &m.all[i]
+func (m *clientLimitTable) find(a netip.Addr) *ClientLimits {
+	if m.prefixes != nil && a.IsValid() {
+		if i, ok := m.prefixes.Lookup(a.Unmap()); ok {
+			return &m.limits[i]
 		}
 	}
-	return &m.all[0]
+	return &m.limits[0]
 }
 
 // crowd is the connections of clients, and the bounds on them.
-type crowd struct {
-	clients     []*client
-	clientsMost int
-	manners     manners
-	unread      int // bytes that clients have not taken yet
-	unreadMost  int
-	swept       time.Duration
+type clientTable struct {
+	clients        []*client
+	maxClients     int
+	clientLimits   clientLimitTable
+	unreadBytes    int // bytes that clients have not taken yet
+	maxUnreadBytes int
+	sweptAt        time.Duration
 }
 
 // client is one connection from a client.
 type client struct {
 	*Controller
-	link   *Connection
-	wants  *ClientLimits
-	open   []*asking     // in the order taken
-	stuck  time.Duration // since when it has taken nothing of what is written, -1: it has
-	unread int           // what was unread then
-	begun  time.Duration // since when a whole message is waited for, -1: none is under way
-	spoke  bool          // there was one
-	idle   time.Duration // since when nothing is open
-	faults int
-	heard  int // messages since the last sweep
-	pages  int // being read from the spool
+	connection         *Connection
+	limits             *ClientLimits
+	calls              []*rpcCall    // in the order taken
+	stalledSince       time.Duration // since when it has taken nothing of what is written, -1: it has
+	unreadAtSweep      int           // what was unread then
+	messageSince       time.Duration // since when a whole message is waited for, -1: none is under way
+	hasSpoken          bool          // there was one
+	idleSince          time.Duration // since when nothing is open
+	badCalls           int
+	messagesSinceSweep int // messages since the last sweep
+	pageReads          int // being read from the spool
 }
 
 // asking is what a query of a MessagePack connection belongs to.
-type asking struct {
-	c   *client
-	msg uint32
-	q   *query
+type rpcCall struct {
+	client    *client
+	messageID uint32
+	query     *query
 }
 
-func (r *Controller) accept(l *Connection) {
-	c := &client{Controller: r, link: l, wants: r.manners.of(l.From), stuck: -1, begun: r.now, idle: r.now}
-	l.got, l.last, l.ended = c.got, c.allLeft, c.ended
+func (r *Controller) acceptClient(l *Connection) {
+	c := &client{Controller: r, connection: l, limits: r.clientLimits.find(l.RemoteAddress), stalledSince: -1, messageSince: r.now, idleSince: r.now}
+	l.onBytes, l.onEndOfStream, l.onClosed = c.readCalls, c.abandonAllCalls, c.connectionClosed
 	r.clients = append(r.clients, c)
-	r.tally.connections++
-	r.makeWay(c)
+	r.counters.connections++
+	r.evictClient(c)
 }
 
 // makeWay: where there are too many, those go first that have long said nothing
 // whole, then those idle, the longest first, then those whose call may be on its
 // way, and the newcomer only if all others have something open: connections
 // that cost their owners nothing must not keep out those that mean to ask.
-func (r *Controller) makeWay(newcomer *client) {
+func (r *Controller) evictClient(newcomer *client) {
 	rank := func(c *client) int {
 		switch {
-		case len(c.open) > 0, c.link.pending > 0 && (c.stuck < 0 || r.now-c.stuck < wholeMost):
+		case len(c.calls) > 0, c.connection.unwrittenBytes > 0 && (c.stalledSince < 0 || r.now-c.stalledSince < messageTimeout):
 			return 4
 		case c == newcomer:
 			return 3
-		case c.begun >= 0 && r.now-c.begun < onTheWay:
+		case c.messageSince >= 0 && r.now-c.messageSince < networkDelay:
 			return 2
-		case c.spoke:
+		case c.hasSpoken:
 			return 1
 		}
 		return 0
 	}
 	open, first := 0, newcomer
 	for _, x := range r.clients {
-		if x.link.closed {
+		if x.connection.closed {
 			continue
 		}
 		open++
-		if a, b := rank(x), rank(first); a < b || a == b && x.idle < first.idle {
+		if a, b := rank(x), rank(first); a < b || a == b && x.idleSince < first.idleSince {
 			first = x
 		}
 	}
-	if open > r.clientsMost {
-		r.tally.turnedOff++
+	if open > r.maxClients {
+		r.counters.disconnected++
 		// gently: it may have been answered a moment ago, and ask again just now
-		r.shutWithin(first.link, true, onTheWay)
+		r.closeWithin(first.connection, true, networkDelay)
 	}
 }
 
-func (c *client) got() {
+func (c *client) readCalls() {
 	whole := false
-	for !c.link.closed {
+	for !c.connection.closed {
 		var hearer msgpackrpc.Hearer = c
-		if c.heard >= c.wants.Messages { // one more and all the others would have to wait
-			hearer = &flooding{c}
+		if c.messagesSinceSweep >= c.limits.MessagesPerSweep { // one more and all the others would have to wait
+			hearer = &floodingClient{c}
 		}
-		n, err := msgpackrpc.Read(c.link.In.Bytes(), c.messageMost, hearer)
+		n, err := msgpackrpc.Read(c.connection.Received.Bytes(), c.maxMessageBytes, hearer)
 		switch {
 		case err != nil:
-			c.tally.malformed++
-			c.end(true)
+			c.counters.malformed++
+			c.disconnect(true)
 			return
 		case n > 0:
-			whole, c.spoke, c.idle = true, true, c.now
-			c.link.In.Drop(n)
-			if c.heard++; c.heard > c.wants.Messages {
-				c.tally.turnedOff++
-				c.end(true)
+			whole, c.hasSpoken, c.idleSince = true, true, c.now
+			c.connection.Received.Drop(n)
+			if c.messagesSinceSweep++; c.messagesSinceSweep > c.limits.MessagesPerSweep {
+				c.counters.disconnected++
+				c.disconnect(true)
 			}
 			continue
-		case len(c.link.In.Bytes()) == 0:
-			c.begun = -1
-		case whole || c.begun < 0:
-			c.begun = c.now
+		case len(c.connection.Received.Bytes()) == 0:
+			c.messageSince = -1
+		case whole || c.messageSince < 0:
+			c.messageSince = c.now
 		}
 		return
 	}
 }
 
 // flooding tells a connection that is about to be closed why.
-type flooding struct{ *client }
+type floodingClient struct{ *client }
 
-func (f *flooding) tell(msg uint32) {
-	if f.find(msg) == nil {
-		f.answer(msgpackrpc.Killed(nil, msg, "more than "+strconv.Itoa(f.wants.Messages)+" messages in "+sweepEvery.String()+
+func (f *floodingClient) explain(msg uint32) {
+	if f.findCall(msg) == nil {
+		f.reply(msgpackrpc.Killed(nil, msg, "more than "+strconv.Itoa(f.limits.MessagesPerSweep)+" messages in "+sweepEvery.String()+
 			" on one connection: it is closed"))
 	}
 }
 
-func (f *flooding) Query(msg uint32, _, _ []byte, _ time.Duration, _ []byte, _ bool, _ []byte, _ msgpackrpc.Fields) {
-	f.tell(msg)
+func (f *floodingClient) Query(msg uint32, _, _ []byte, _ time.Duration, _ []byte, _ bool, _ []byte, _ msgpackrpc.Fields) {
+	f.explain(msg)
 }
-func (f *flooding) Page(msg uint32, _ []byte, _ int, _ msgpackrpc.Fields)     { f.tell(msg) }
-func (f *flooding) Purge(msg uint32, _ msgpackrpc.Purge, _ msgpackrpc.Fields) { f.tell(msg) }
-func (f *flooding) Alive(msg uint32)                                          { f.tell(msg) }
-func (f *flooding) Wrong(msg uint32, _ string)                                { f.tell(msg) }
-func (f *flooding) Left(msg uint32)                                           { f.client.Left(msg) }
+func (f *floodingClient) Page(msg uint32, _ []byte, _ int, _ msgpackrpc.Fields)     { f.explain(msg) }
+func (f *floodingClient) Purge(msg uint32, _ msgpackrpc.Purge, _ msgpackrpc.Fields) { f.explain(msg) }
+func (f *floodingClient) Alive(msg uint32)                                          { f.explain(msg) }
+func (f *floodingClient) Wrong(msg uint32, _ string)                                { f.explain(msg) }
+func (f *floodingClient) Left(msg uint32)                                           { f.client.Left(msg) }
 
 // end closes the connection from our side; what was open on it is lost to it.
-func (c *client) end(gently bool) {
-	c.shut(c.link, gently)
-	c.allLeft()
+func (c *client) disconnect(gently bool) {
+	c.closeConnection(c.connection, gently)
+	c.abandonAllCalls()
 }
 
-func (c *client) ended() {
-	c.link.In = bytebuf.Buffer{} // what is due for its queries may outlive it
+func (c *client) connectionClosed() {
+	c.connection.Received = bytebuf.Buffer{} // what is due for its queries may outlive it
 	c.clients = slices.DeleteFunc(c.clients, func(x *client) bool { return x == c })
-	c.allLeft()
+	c.abandonAllCalls()
 }
 
-func (c *client) allLeft() {
-	for len(c.open) > 0 {
-		c.Left(c.open[0].msg)
+func (c *client) abandonAllCalls() {
+	for len(c.calls) > 0 {
+		c.Left(c.calls[0].messageID)
 	}
 }
 
-func (c *client) find(msg uint32) *asking {
-	for _, a := range c.open {
-		if a.msg == msg {
+func (c *client) findCall(msg uint32) *rpcCall {
+	for _, a := range c.calls {
+		if a.messageID == msg {
 			return a
 		}
 	}
 	return nil
 }
 
-func (c *client) answer(p []byte) { c.write(c.link, p) }
+func (c *client) reply(p []byte) { c.write(c.connection, p) }
 
 func (c *client) Query(msg uint32, name, id []byte, patience time.Duration, k []byte, keyed bool, statement []byte, all msgpackrpc.Fields) {
 	switch {
-	case c.find(msg) != nil:
+	case c.findCall(msg) != nil:
 		// answers could no longer be told apart
-		c.tally.malformed++
-		c.end(true)
+		c.counters.malformed++
+		c.disconnect(true)
 		return
-	case len(c.open) >= c.wants.Open:
-		if why := c.unfit(string(name), string(id), patience, keyed, len(statement), From{c.link.From, all}); why != "" {
+	case len(c.calls) >= c.limits.OpenQueries:
+		if why := c.validateCall(string(name), string(id), patience, keyed, len(statement), From{c.connection.RemoteAddress, all}); why != "" {
 			c.Wrong(msg, why)
 			return
 		}
 		c.Wrong(msg, "too many are open")
-		c.end(true)
+		c.disconnect(true)
 		return
 	}
-	a := &asking{c: c, msg: msg}
-	q, why := c.take(a, string(name), string(id), patience, k, keyed, statement, From{c.link.From, all})
+	a := &rpcCall{client: c, messageID: msg}
+	q, why := c.receiveQuery(a, string(name), string(id), patience, k, keyed, statement, From{c.connection.RemoteAddress, all})
 	switch why {
 	case "":
-	case tooMuch: // counted as a fault it would in the end cost what else is open on the connection
-		c.tally.deferred++
-		c.answer(msgpackrpc.Deferred(nil, msg, min(c.span("return.most"), patience/2)))
+	case statementMemoryFull: // counted as a fault it would in the end cost what else is open on the connection
+		c.counters.deferred++
+		c.reply(msgpackrpc.Deferred(nil, msg, min(c.durationSetting("return.most"), patience/2)))
 		return
 	default:
 		c.Wrong(msg, why)
 		return
 	}
-	a.q = q
-	c.open = append(c.open, a)
+	a.query = q
+	c.calls = append(c.calls, a)
 }
 
-func (a *asking) finished(pages [][]byte) { a.c.answer(msgpackrpc.Answer(nil, a.msg, pages)) }
+func (a *rpcCall) finished(pages [][]byte) {
+	a.client.reply(msgpackrpc.Answer(nil, a.messageID, pages))
+}
 
-func (a *asking) paged(first []byte, rest msgpackrpc.Paging) {
-	a.c.answer(msgpackrpc.Paged(nil, a.msg, first, rest))
+func (a *rpcCall) paged(first []byte, rest msgpackrpc.Paging) {
+	a.client.reply(msgpackrpc.Paged(nil, a.messageID, first, rest))
 }
 
-func (a *asking) deferred(comeBack time.Duration) {
-	a.c.answer(msgpackrpc.Deferred(nil, a.msg, comeBack))
+func (a *rpcCall) deferred(comeBack time.Duration) {
+	a.client.reply(msgpackrpc.Deferred(nil, a.messageID, comeBack))
 }
 
-func (a *asking) directed(comeBack time.Duration, controllers []string) {
-	a.c.answer(msgpackrpc.Directed(nil, a.msg, comeBack, controllers))
+func (a *rpcCall) directed(comeBack time.Duration, controllers []string) {
+	a.client.reply(msgpackrpc.Directed(nil, a.messageID, comeBack, controllers))
 }
 
-func (a *asking) killed(why string) { a.c.answer(msgpackrpc.Killed(nil, a.msg, why)) }
+func (a *rpcCall) killed(why string) { a.client.reply(msgpackrpc.Killed(nil, a.messageID, why)) }
 
-func (a *asking) told(wait time.Duration) { a.c.answer(msgpackrpc.Told(nil, a.msg, wait)) }
+func (a *rpcCall) notifyWait(wait time.Duration) {
+	a.client.reply(msgpackrpc.Told(nil, a.messageID, wait))
+}
 
-func (a *asking) from() *Connection { return a.c.link }
+func (a *rpcCall) connection() *Connection { return a.client.connection }
 
-func (a *asking) closed() {
-	a.c.open = slices.DeleteFunc(a.c.open, func(x *asking) bool { return x == a })
-	a.c.idle = a.c.now
+func (a *rpcCall) closed() {
+	a.client.calls = slices.DeleteFunc(a.client.calls, func(x *rpcCall) bool { return x == a })
+	a.client.idleSince = a.client.now
 }
 
 func (c *client) Alive(msg uint32) {
-	c.tally.alive++
-	c.answer(msgpackrpc.Alive(nil, msg, c.feed.listed && (c.warrant == nil || c.warrant.acceptsQueries())))
+	c.counters.aliveCalls++
+	c.reply(msgpackrpc.Alive(nil, msg, c.discovery.listed && (c.warrant == nil || c.warrant.acceptsQueries())))
 }
 
 func (c *client) Left(msg uint32) {
-	if a := c.find(msg); a != nil {
-		c.Controller.left(a.q)
+	if a := c.findCall(msg); a != nil {
+		c.Controller.clientGone(a.query)
 	}
 }
 
 func (c *client) Wrong(msg uint32, why string) {
-	c.tally.malformed++
-	if c.find(msg) != nil {
-		c.end(true)
+	c.counters.malformed++
+	if c.findCall(msg) != nil {
+		c.disconnect(true)
 		return
 	}
-	c.answer(msgpackrpc.Killed(nil, msg, why))
-	if c.faults++; c.faults > faultsMost {
-		c.end(true)
+	c.reply(msgpackrpc.Killed(nil, msg, why))
+	if c.badCalls++; c.badCalls > maxBadCalls {
+		c.disconnect(true)
 	}
 }
 
@@ -305,77 +309,77 @@
 // hold some and all together a part of the memory; those that begin what they
 // don't end, or nothing; and those idle for longer than clients keep theirs.
 func (r *Controller) sweepClients() {
-	r.unread = 0
+	r.unreadBytes = 0
 	// nobody is to blame for what we stood still ourselves: what came meanwhile is not read yet
-	stood := r.now - r.swept - sweepEvery
-	if r.swept = r.now; stood < sweepEvery {
+	stood := r.now - r.sweptAt - sweepEvery
+	if r.sweptAt = r.now; stood < sweepEvery {
 		stood = 0
 	}
 	var worst *client
 	for _, c := range slices.Clone(r.clients) {
-		if c.idle += stood; c.begun >= 0 {
-			c.begun += stood
+		if c.idleSince += stood; c.messageSince >= 0 {
+			c.messageSince += stood
 		}
-		if c.stuck >= 0 {
-			c.stuck += stood
+		if c.stalledSince >= 0 {
+			c.stalledSince += stood
 		}
-		p := c.link.pending
-		r.unread += p
-		c.heard = 0
+		p := c.connection.unwrittenBytes
+		r.unreadBytes += p
+		c.messagesSinceSweep = 0
 		switch {
 		case p == 0:
-			c.stuck = -1
-		case c.stuck < 0 || p < c.unread:
-			c.stuck = r.now
+			c.stalledSince = -1
+		case c.stalledSince < 0 || p < c.unreadAtSweep:
+			c.stalledSince = r.now
 		}
-		c.unread = p
+		c.unreadAtSweep = p
 		switch {
-		case c.link.closed:
+		case c.connection.closed:
 			continue
-		case c.stuck >= 0 && r.now-c.stuck > stuckMost, c.begun >= 0 && r.now-c.begun > c.wants.Whole:
-			r.tally.turnedOff++
-			c.end(c.stuck < 0) // who takes nothing is not waited for
-		case c.begun < 0 && len(c.open) == 0 && c.pages == 0 && p == 0 && r.now-c.idle > c.wants.Idle:
-			r.tally.idled++
-			c.end(true)
-		case worst == nil || p > worst.link.pending:
+		case c.stalledSince >= 0 && r.now-c.stalledSince > stallTimeout, c.messageSince >= 0 && r.now-c.messageSince > c.limits.MessageTimeout:
+			r.counters.disconnected++
+			c.disconnect(c.stalledSince < 0) // who takes nothing is not waited for
+		case c.messageSince < 0 && len(c.calls) == 0 && c.pageReads == 0 && p == 0 && r.now-c.idleSince > c.limits.IdleTimeout:
+			r.counters.idleClosed++
+			c.disconnect(true)
+		case worst == nil || p > worst.connection.unwrittenBytes:
 			worst = c
 		}
 	}
-	if r.unread > r.unreadMost && worst != nil {
-		r.tally.turnedOff++
-		worst.end(false)
+	if r.unreadBytes > r.maxUnreadBytes && worst != nil {
+		r.counters.disconnected++
+		worst.disconnect(false)
 	}
 }
 
 // relieve ends the client with the most of an unread message under way, or else
 // the engine's line, where all buffers together hold more than their part of the
 // memory. What fits a buffer that any connection may keep is not to blame.
-func (r *Controller) relieve() {
+func (r *Controller) relieveBuffers() {
 	var worst *client
 	most := bytebuf.Keeps
 	for _, c := range r.clients {
-		if !c.link.closed && c.begun >= 0 && c.link.held > most {
-			worst, most = c, c.link.held
+		if !c.connection.closed && c.messageSince >= 0 && c.connection.bufferBytes > most {
+			worst, most = c, c.connection.bufferBytes
 		}
 	}
 	if worst != nil {
-		r.tally.turnedOff++
-		worst.end(false)
+		r.counters.disconnected++
+		worst.disconnect(false)
 		return
 	}
-	var line *line
-	for _, l := range r.pool.lines {
-		if !l.link.closed && l.link.held > most {
-			line, most = l, l.link.held
+	var line *engineConnection
+	for _, l := range r.pool.connections {
+		if !l.connection.closed && l.connection.bufferBytes > most {
+			line, most = l, l.connection.bufferBytes
 		}
 	}
 	if line != nil {
-		r.cut(line)
+		r.cutConnection(line)
 	}
 }
 
-const stuckMost = 10 * time.Second
+const stallTimeout = 10 * time.Second
 
 var _ msgpackrpc.Hearer = (*client)(nil)
-var _ asker = (*asking)(nil)
+var _ queryOwner = (*rpcCall)(nil)
--- a/internal/controller/client_test.go
+++ b/internal/controller/client_test.go
@@ -29,8 +29,8 @@
 	s := newStage(t, 1, 256, nil)
 	c := s.connect()
 	s.query(c, "lookup", "", 3*time.Second, 1)
-	s.r.inHandMost = s.r.inHand + 10
-	for range faultsMost + 5 { // more than may be wrong on a connection: none of these is
+	s.r.maxStatementBytes = s.r.statementBytes + 10
+	for range maxBadCalls + 5 { // more than may be wrong on a connection: none of these is
 		if a := s.query(c, "lookup", "", 3*time.Second, 1); a.answer != "deferred" {
 			t.Fatalf("%q", a.answer)
 		}
@@ -39,8 +39,8 @@
 		t.Fatal("the connection was ended, with a query open on it")
 	}
 	s.until(s.now + 4*time.Second)
-	if s.r.inHand != 0 {
-		t.Fatal("it forgets to forget: ", s.r.inHand)
+	if s.r.statementBytes != 0 {
+		t.Fatal("it forgets to forget: ", s.r.statementBytes)
 	}
 }
 
@@ -52,7 +52,7 @@
 	s.leave(s.query(rested, "lookup", "", 5*time.Second, 1))
 	s.until(s.now + time.Millisecond)
 	var mute []*end
-	for range s.r.clientsMost + 5 {
+	for range s.r.maxClients + 5 {
 		mute = append(mute, s.connect())
 		s.until(s.now + time.Millisecond)
 	}
@@ -67,7 +67,7 @@
 	if !last.gone || !mute[10].gone || good.gone || rested.gone {
 		t.Fatal("nothing, or half a message, is waited for")
 	}
-	s.until(s.now + idleMost)
+	s.until(s.now + clientIdleTimeout)
 	if !rested.gone || good.gone || a.left {
 		t.Fatal("idle for good, and kept")
 	}
@@ -76,7 +76,7 @@
 func TestThoseWhoAskedOnceAndStayMakeWay(t *testing.T) {
 	s := newStage(t, 1, 256, nil)
 	var stay []*end
-	for range s.r.clientsMost {
+	for range s.r.maxClients {
 		stay = append(stay, s.connect())
 		s.leave(s.query(stay[len(stay)-1], "lookup", "", 5*time.Second, 1))
 		s.until(s.now + time.Millisecond)
@@ -109,49 +109,49 @@
 		p = append(append(append(p, 0x93, 2), fix("cancelRequest")...), 0x91, 0xcd, byte(i>>8), byte(i))
 	}
 	s.read(c, p)
-	if s.r.tally.submissions > 0 || s.r.tally.taken != 30 || len(s.r.queries) > 0 || c.gone {
-		t.Fatal("what was taken back at once went out: ", s.r.tally.text(s.r))
+	if s.r.counters.attempts > 0 || s.r.counters.received != 30 || len(s.r.queries) > 0 || c.gone {
+		t.Fatal("what was taken back at once went out: ", s.r.counters.text(s.r))
 	}
 	s.until(s.now + time.Second)
 	p = nil
-	for i := range 3 * openMost { // without a trace
+	for i := range 3 * maxOpenQueries { // without a trace
 		call(i, "\x81\xa8patience\xa41000")
 	}
-	if s.read(c, p); !c.gone || s.r.tally.malformed != faultsMost+1 {
-		t.Fatal("calls that can't be used go on for ever: ", s.r.tally.malformed)
+	if s.read(c, p); !c.gone || s.r.counters.malformed != maxBadCalls+1 {
+		t.Fatal("calls that can't be used go on for ever: ", s.r.counters.malformed)
 	}
 	c, p = s.connect(), nil
-	for i := range 2 * openMost {
+	for i := range 2 * maxOpenQueries {
 		call(i, fmt.Sprintf("\x82\xa5trace\xb0%016x\xa8patience\xa41000", i+1))
 	}
-	if s.read(c, p); !c.gone || s.r.tally.taken != 30+openMost || s.r.tally.submissions > 0 {
-		t.Fatal("more open than may be: ", s.r.tally.text(s.r))
+	if s.read(c, p); !c.gone || s.r.counters.received != 30+maxOpenQueries || s.r.counters.attempts > 0 {
+		t.Fatal("more open than may be: ", s.r.counters.text(s.r))
 	}
 	c, p = s.connect(), nil
-	for range heardMost + 10 {
+	for range maxMessagesPerSweep + 10 {
 		p = append(p, "\x94\x00\x01\xa5alive\x91\x80"...)
 	}
-	if s.read(c, p); !c.gone || s.r.tally.alive > heardMost+1 {
-		t.Fatal("it may talk without end: ", s.r.tally.alive)
+	if s.read(c, p); !c.gone || s.r.counters.aliveCalls > maxMessagesPerSweep+1 {
+		t.Fatal("it may talk without end: ", s.r.counters.aliveCalls)
 	}
 }
 
 func TestUnreadMessagesAreBoundedInSum(t *testing.T) {
 	s := newStage(t, 1, 1024, nil)
-	s.r.bufferedMost = 1 << 20
+	s.r.maxBufferedBytes = 1 << 20
 	half := append([]byte("\x94\x00\x01\xa6lookup\x92\x80\xc5\xff\xff"), make([]byte, 60000)...)
 	for range 40 {
 		s.read(s.connect(), half)
-		if s.r.buffered > s.r.bufferedMost+1<<17 {
-			t.Fatal(s.r.buffered)
+		if s.r.bufferedBytes > s.r.maxBufferedBytes+1<<17 {
+			t.Fatal(s.r.bufferedBytes)
 		}
 	}
-	if s.r.tally.turnedOff == 0 {
+	if s.r.counters.disconnected == 0 {
 		t.Fatal("there was no shortage")
 	}
 	s.until(s.now + 3*time.Second)
-	if s.r.buffered > 4<<10 { // the feed's
-		t.Fatal("it forgets to forget: ", s.r.buffered)
+	if s.r.bufferedBytes > 4<<10 { // the feed's
+		t.Fatal("it forgets to forget: ", s.r.bufferedBytes)
 	}
 }
 
--- a/internal/controller/endings_test.go
+++ b/internal/controller/endings_test.go
@@ -65,7 +65,7 @@
 		"hung up":   func(s *stage, a *asked) { s.drop(a.from) },
 		"last bytes": func(s *stage, a *asked) {
 			a.left = true
-			s.step(Event{Kind: BytesReceived, Connection: a.from.link, Last: true})
+			s.step(Event{Kind: BytesReceived, Connection: a.from.link, EndOfStream: true})
 		},
 		"engine drains":    func(s *stage, _ *asked) { m := s.all()[0]; m.state = "DRAINING"; s.tell(m.entry(0)) },
 		"engine is gone":   func(s *stage, _ *asked) { m := s.all()[0]; m.state = "DELETED"; s.tell(m.entry(0)) },
@@ -102,14 +102,14 @@
 	s := newStage(t, 1, 256, map[string]string{"may.probe": "false"})
 	s.until(10 * time.Millisecond)
 	c := s.connect()
-	end := c.link.last
-	got := c.link.got
-	c.link.got = func() { got(); end() } // as with Event.Last
+	end := c.link.onEndOfStream
+	got := c.link.onBytes
+	c.link.onBytes = func() { got(); end() } // as with Event.Last
 	a := s.query(c, "lookup", "", time.Second, 1)
 	a.left = true
 	s.until(s.now + 100*time.Millisecond)
-	if len(a.subs) > 0 || s.r.pool.links > 0 || len(s.r.queries) > 0 {
-		t.Fatalf("sent %d times, %d connections, %d queries", len(a.subs), s.r.pool.links, len(s.r.queries))
+	if len(a.subs) > 0 || s.r.pool.open > 0 || len(s.r.queries) > 0 {
+		t.Fatalf("sent %d times, %d connections, %d queries", len(a.subs), s.r.pool.open, len(s.r.queries))
 	}
 }
 
@@ -119,23 +119,23 @@
 	s := newStage(t, 2, 256, map[string]string{"may.probe": "false"})
 	s.until(10 * time.Millisecond)
 	broken := invariant.Broken()
-	s.stopped = beginMost // the runner stands still between the step and the write
+	s.stopped = submitWriteTimeout // the runner stands still between the step and the write
 	a := s.query(s.connect(), "load", "k", 5*time.Second, 1)
 	for range 20 {
-		if s.r.tally.barred == 0 {
+		if s.r.counters.barredWrites == 0 {
 			s.until(s.now + 500*time.Microsecond)
 		}
 	}
-	if s.r.tally.barred != 1 || len(a.subs) > 0 {
-		t.Fatalf("%d barred, sent %d times", s.r.tally.barred, len(a.subs))
+	if s.r.counters.barredWrites != 1 || len(a.subs) > 0 {
+		t.Fatalf("%d barred, sent %d times", s.r.counters.barredWrites, len(a.subs))
 	}
 	if n := invariant.Broken() - broken; n > 0 {
 		t.Fatalf("%d times something did not hold", n)
 	}
 	s.stopped = 0
 	s.one("POST", a.id) // a mutating one goes again: nothing of it ran
-	if s.r.tally.ends[scheduler.NeverSent] == 0 || a.answer != "" {
-		t.Fatalf("%v, %q", s.r.tally.ends, a.answer)
+	if s.r.counters.attemptEnds[scheduler.NeverSent] == 0 || a.answer != "" {
+		t.Fatalf("%v, %q", s.r.counters.attemptEnds, a.answer)
 	}
 }
 
@@ -151,7 +151,7 @@
 		c := s.connect()
 		a := s.query(c, "load", "k", 600*time.Millisecond, 1)
 		b := s.query(c, "load", "k", 20*time.Second, 2)
-		if s.r.pool.links == 0 {
+		if s.r.pool.open == 0 {
 			t.Fatal("no connection is under way, and the test proves nothing")
 		}
 		if how == "left" {
@@ -159,7 +159,7 @@
 		} else {
 			s.until(a.deadline)
 		}
-		if s.until(s.now + 50*time.Millisecond); len(s.r.queries[b.id].subs) == 0 {
+		if s.until(s.now + 50*time.Millisecond); len(s.r.queries[b.id].attempts) == 0 {
 			t.Fatalf("%s: its key's next waits for a connection that is nobody's", how)
 		}
 	}
@@ -228,8 +228,8 @@
 	for range 60 {
 		s.connect()
 	}
-	if reads.link.pending == 0 || reads.shut {
-		t.Fatalf("%d bytes are on their way, closed: %v", reads.link.pending, reads.shut)
+	if reads.link.unwrittenBytes == 0 || reads.shut {
+		t.Fatalf("%d bytes are on their way, closed: %v", reads.link.unwrittenBytes, reads.shut)
 	}
 }
 
@@ -238,11 +238,11 @@
 func TestLooksDoNotQueueUp(t *testing.T) {
 	s := newStage(t, 3, 28, nil)
 	e := s.r.engines["e0"]
-	s.r.pool.most = 0
+	s.r.pool.limit = 0
 	for range 10 {
-		s.r.probe(e)
+		s.r.checkHealth(e)
 	}
-	if n := len(s.r.pool.urgent); n != 1 {
+	if n := len(s.r.pool.waitingCalls); n != 1 {
 		t.Fatalf("%d looks at one engine wait", n)
 	}
 }
@@ -281,13 +281,13 @@
 		s.early = early
 		for _, e := range lines {
 			if !e.shut {
-				s.step(Event{Kind: BytesReceived, Connection: e.link, N: copy(e.link.In.Space(), answer)})
+				s.step(Event{Kind: BytesReceived, Connection: e.link, ByteCount: copy(e.link.Received.Space(), answer)})
 			}
 		}
 		s.early = false
 		s.step(Event{Kind: TimerFired})
-		if late := lines[0].shut || lines[1].shut || lines[2].shut || s.r.tally.again > 0; late == early {
-			t.Fatalf("early: %v, held to be late: %v, %v %v %v %d", early, late, lines[0].shut, lines[1].shut, lines[2].shut, s.r.tally.again)
+		if late := lines[0].shut || lines[1].shut || lines[2].shut || s.r.counters.repolls > 0; late == early {
+			t.Fatalf("early: %v, held to be late: %v, %v %v %v %d", early, late, lines[0].shut, lines[1].shut, lines[2].shut, s.r.counters.repolls)
 		}
 	}
 }
--- a/internal/controller/fairness_test.go
+++ b/internal/controller/fairness_test.go
@@ -14,13 +14,13 @@
 // Limits on a connection follow the narrowest set that its address is in.
 func TestMannersByAddress(t *testing.T) {
 	p := netip.MustParsePrefix
-	m := newManners([]ClientLimits{{From: []netip.Prefix{p("10.0.0.0/8")}, Open: 100}, {From: []netip.Prefix{p("10.1.0.0/16")}, Open: 7, Idle: time.Minute}})
-	for from, want := range map[string]int{"10.2.0.1": 100, "10.1.0.1": 7, "::ffff:10.1.0.1": 7, "192.0.2.1": openMost} {
-		if got := m.of(netip.MustParseAddr(from)); got.Open != want || got.Messages != heardMost || got.Whole != wholeMost {
+	m := newClientLimitTable([]ClientLimits{{Prefixes: []netip.Prefix{p("10.0.0.0/8")}, OpenQueries: 100}, {Prefixes: []netip.Prefix{p("10.1.0.0/16")}, OpenQueries: 7, IdleTimeout: time.Minute}})
+	for from, want := range map[string]int{"10.2.0.1": 100, "10.1.0.1": 7, "::ffff:10.1.0.1": 7, "192.0.2.1": maxOpenQueries} {
+		if got := m.find(netip.MustParseAddr(from)); got.OpenQueries != want || got.MessagesPerSweep != maxMessagesPerSweep || got.MessageTimeout != messageTimeout {
 			t.Errorf("%s: %+v", from, got)
 		}
 	}
-	if m.of(netip.Addr{}).Open != openMost || m.of(netip.MustParseAddr("10.1.0.1")).Idle != time.Minute {
+	if m.find(netip.Addr{}).OpenQueries != maxOpenQueries || m.find(netip.MustParseAddr("10.1.0.1")).IdleTimeout != time.Minute {
 		t.Error("the platform's figures don't hold for others")
 	}
 }
@@ -32,7 +32,7 @@
 	var out []byte
 	s.log = nil
 	var p []byte
-	for range heardMost {
+	for range maxMessagesPerSweep {
 		p = append(p, "\x94\x00\x01\xa5alive\x91\x80"...)
 	}
 	s.read(c, p)
@@ -51,25 +51,25 @@
 // A gateway's set lets it send what would close anybody else's connection.
 func TestAGatewayMaySendMore(t *testing.T) {
 	s := newStage(t, 1, 256, nil)
-	s.r.manners = newManners([]ClientLimits{{From: []netip.Prefix{netip.MustParsePrefix("10.0.0.0/8")}, Messages: 5000, Open: 500}})
-	c := &end{n: len(s.ends), link: &Connection{From: netip.MustParseAddr("10.9.9.9")}, client: true, up: true}
+	s.r.clientLimits = newClientLimitTable([]ClientLimits{{Prefixes: []netip.Prefix{netip.MustParsePrefix("10.0.0.0/8")}, MessagesPerSweep: 5000, OpenQueries: 500}})
+	c := &end{n: len(s.ends), link: &Connection{RemoteAddress: netip.MustParseAddr("10.9.9.9")}, client: true, up: true}
 	s.ends = append(s.ends, c)
 	s.step(Event{Kind: ClientAccepted, Connection: c.link})
 	var p []byte
-	for range 10 * heardMost {
+	for range 10 * maxMessagesPerSweep {
 		p = append(p, "\x94\x00\x01\xa5alive\x91\x80"...)
 	}
-	if s.read(c, p); c.gone || s.r.tally.alive != 10*heardMost {
-		t.Fatalf("closed after %d", s.r.tally.alive)
+	if s.read(c, p); c.gone || s.r.counters.aliveCalls != 10*maxMessagesPerSweep {
+		t.Fatalf("closed after %d", s.r.counters.aliveCalls)
 	}
 }
 
 // A call's further fields reach fairness, and what it is told reaches the call.
 func TestFieldsAndNotices(t *testing.T) {
 	s := newStage(t, 0, 256, nil)
-	s.r.fair = newFairness(s.r, &fairqueue.Shape{Teams: []fairqueue.Team{{Name: "a", Weight: 1}, {Name: "b", Weight: 1}},
-		Trusted: []netip.Prefix{netip.MustParsePrefix("10.0.0.0/8")}}, FieldNames{Team: "team", Wait: "tell", Again: "first"})
-	c := &end{n: len(s.ends), link: &Connection{From: netip.MustParseAddr("10.0.0.1")}, client: true, up: true}
+	s.r.fairQueue = newFairQueue(s.r, &fairqueue.Shape{Teams: []fairqueue.Team{{Name: "a", Weight: 1}, {Name: "b", Weight: 1}},
+		Trusted: []netip.Prefix{netip.MustParsePrefix("10.0.0.0/8")}}, FieldNames{Tenant: "team", NotifyWait: "tell", RepeatOf: "first"})
+	c := &end{n: len(s.ends), link: &Connection{RemoteAddress: netip.MustParseAddr("10.0.0.1")}, client: true, up: true}
 	s.ends = append(s.ends, c)
 	s.step(Event{Kind: ClientAccepted, Connection: c.link})
 	c.msgs++
@@ -82,15 +82,15 @@
 	}
 	s.read(c, append(call, "\xc4\x08SELECT 1"...))
 	q := s.r.queries[a.id]
-	if q == nil || q.turn == nil || s.r.fair.core.Team(q.turn.Team) != "b" || !q.turn.Ask {
+	if q == nil || q.waiter == nil || s.r.fairQueue.queue.Team(q.waiter.Team) != "b" || !q.waiter.Ask {
 		t.Fatalf("%+v", q)
 	}
 	got := msgpackrpc.Told(nil, 300, 1234*time.Millisecond)
 	if want := "\x93\x02\xa4wait\x92\xcd\x01\x2c\xcd\x04\xd2"; string(got) != want {
 		t.Fatalf("%q", got)
 	}
-	s.r.count()
-	if text := s.r.out[len(s.r.out)-1].Text; !strings.Contains(text, "fairness waiting") {
+	s.r.logCounters()
+	if text := s.r.effects[len(s.r.effects)-1].Text; !strings.Contains(text, "fairness waiting") {
 		t.Fatal(text)
 	}
 }
@@ -99,11 +99,11 @@
 // has a query make way.
 func TestPriorityIsComposedInOnePlace(t *testing.T) {
 	q := &query{priority: 3}
-	if q.rank() != 3 {
+	if q.effectivePriority() != 3 {
 		t.Fatal("without teams it is not the decisions'")
 	}
-	q.turn = &fairqueue.Waiter{}
-	if q.rank() != 3 {
+	q.waiter = &fairqueue.Waiter{}
+	if q.effectivePriority() != 3 {
 		t.Fatal("lowered for nothing")
 	}
 }
--- a/internal/controller/feed_test.go
+++ b/internal/controller/feed_test.go
@@ -18,7 +18,7 @@
 	first := s.feed
 	s.events++ // lost on its way
 	s.tell(m.entry(0))
-	if !first.gone || s.r.feed.last != 1 {
+	if !first.gone || s.r.discovery.lastEvent != 1 {
 		t.Fatal("a gap was passed over")
 	}
 	s.until(s.now + time.Second)
@@ -57,13 +57,13 @@
 		s.feedUp = false
 		s.lose(s.feed)
 		s.flush()
-		dials := s.r.tally.feedDials
-		if s.until(down + 5*time.Second); s.r.tally.feedDials-dials > 10 {
-			t.Fatalf("%d calls for a list that nobody counts on yet", s.r.tally.feedDials-dials)
+		dials := s.r.counters.discoveryDials
+		if s.until(down + 5*time.Second); s.r.counters.discoveryDials-dials > 10 {
+			t.Fatalf("%d calls for a list that nobody counts on yet", s.r.counters.discoveryDials-dials)
 		}
 		s.until(down + 7*time.Second + time.Duration(late)*90*time.Millisecond)
 		s.feedUp = true
-		for back := s.now; s.r.feed.had <= down; s.until(s.now + 10*time.Millisecond) {
+		for back := s.now; s.r.discovery.lastHeardAt <= down; s.until(s.now + 10*time.Millisecond) {
 			if s.now > back+500*time.Millisecond {
 				t.Fatalf("back at %v and not heard by %v", back-down, s.now-down)
 			}
@@ -82,7 +82,7 @@
 	if s.r.engines["e0"].state != 2 || s.r.engines["e1"].state != 0 || len(a.subs) > 0 && a.subs[0].m != m {
 		t.Fatal("one left out of the whole list is still there")
 	}
-	s.until(s.now + s.r.longest + time.Second)
+	s.until(s.now + s.r.longestQueryTimeout + time.Second)
 	if s.r.engines["e0"] != nil || s.r.engines["e1"] == nil {
 		t.Fatal("it stays for good")
 	}
@@ -98,12 +98,12 @@
 		members = append(members, m.entry(0))
 	}
 	s.tell(strings.Join(members, ","))
-	if n := len(s.r.engines); n != 20_001 || s.r.tally.feedFaults > 0 {
-		t.Fatalf("%d engines, %d faults", n, s.r.tally.feedFaults)
+	if n := len(s.r.engines); n != 20_001 || s.r.counters.discoveryFaults > 0 {
+		t.Fatalf("%d engines, %d faults", n, s.r.counters.discoveryFaults)
 	}
 	s.tell(`{"id":"big7","phase":"WHATEVER"},{"phase":"SERVING"},{"id":"big8","host_port":"10.1.0.9:6565","phase":"DELETED"}`)
-	if s.r.tally.odd != 2 || s.r.feed.last != s.events || s.r.engines["big8"].state != scheduler.EngineRemoved {
-		t.Fatalf("%d odd, event %d of %d", s.r.tally.odd, s.r.feed.last, s.events)
+	if s.r.counters.unexpected != 2 || s.r.discovery.lastEvent != s.events || s.r.engines["big8"].state != scheduler.EngineRemoved {
+		t.Fatalf("%d odd, event %d of %d", s.r.counters.unexpected, s.r.discovery.lastEvent, s.events)
 	}
 }
 
@@ -118,24 +118,24 @@
 		s.read(s.feed, []byte("{\"n\":2,\"members\":[[\n"))
 		s.events++
 	}
-	first := s.r.feed.link
+	first := s.r.discovery.connection
 	twice()
-	if s.r.feed.link == first {
+	if s.r.discovery.connection == first {
 		t.Fatal("not asked for once more")
 	}
 	m := s.all()[0]
 	m.state = "DRAINING"
 	s.tell(m.entry(0)) // the one after it
-	if s.r.feed.last != 3 || s.r.engines[m.id].state != scheduler.EngineDraining || s.r.tally.feedFaults != 1 {
-		t.Fatalf("event %d, %d faults", s.r.feed.last, s.r.tally.feedFaults)
+	if s.r.discovery.lastEvent != 3 || s.r.engines[m.id].state != scheduler.EngineDraining || s.r.counters.discoveryFaults != 1 {
+		t.Fatalf("event %d, %d faults", s.r.discovery.lastEvent, s.r.counters.discoveryFaults)
 	}
 	twice()
-	if s.tell(""); s.r.feed.last != 4 || s.r.tally.feedFaults != 2 {
-		t.Fatalf("event %d, %d faults", s.r.feed.last, s.r.tally.feedFaults)
+	if s.tell(""); s.r.discovery.lastEvent != 4 || s.r.counters.discoveryFaults != 2 {
+		t.Fatalf("event %d, %d faults", s.r.discovery.lastEvent, s.r.counters.discoveryFaults)
 	}
 	m.state = "SERVING" // a start that no clock knows
 	s.tell(strings.Replace(m.entry(0), `"up_since_ms":0`, `"up_since_ms":1e300`, 1))
-	if s.r.engines[m.id].state != scheduler.EngineActive || s.r.tally.odd != 1 {
-		t.Fatalf("%v, %d odd", s.r.engines[m.id].state, s.r.tally.odd)
+	if s.r.engines[m.id].state != scheduler.EngineActive || s.r.counters.unexpected != 1 {
+		t.Fatalf("%v, %d odd", s.r.engines[m.id].state, s.r.counters.unexpected)
 	}
 }
--- a/internal/controller/fleet.go
+++ b/internal/controller/fleet.go
@@ -85,7 +85,7 @@
 	heldQueries          []*pendingAdmission // in the order in which they came
 	heldCount            int                 // of those, how many are still to be answered
 	heldFieldBytes       int                 // bytes of theirs
-	blockedAttempts      []*submission       // chosen by the decisions and not let go
+	blockedAttempts      []*attempt          // chosen by the decisions and not let go
 	unsentReports        []fleet.Report      // the fleet had no room. As many as orders are under way at the most
 	reportRetryScheduled bool                // they are about to be told again
 	reportedSites        []string            // last told
@@ -155,7 +155,7 @@
 	switch {
 	case w.fencingChange == "":
 	case !w.Word.Idle():
-		w.after(writesIdlePollInterval, w.reportFencedOnceIdle)
+		w.runAfter(writesIdlePollInterval, w.reportFencedOnceIdle)
 	default:
 		w.report(fleet.Report{Kind: fleet.Closed, Change: w.fencingChange})
 		w.fencingChange = ""
@@ -185,11 +185,11 @@
 		w.applyFleetSettings(p.Facts)
 	}
 	switch {
-	case w.fair == nil:
+	case w.fairQueue == nil:
 	case p.Fair != nil:
-		w.fair.reload(p.Fair)
+		w.fairQueue.reload(p.Fair)
 	case p.Facts != nil:
-		w.fair.reload(w.fair.shape) // its lanes are the groups
+		w.fairQueue.reload(w.fairQueue.tenants) // its lanes are the groups
 	}
 	w.residency.policyOpened(p)
 }
@@ -204,32 +204,32 @@
 
 // retell takes over other limits of groups and other shares of customers.
 func (r *Controller) applyFleetSettings(facts map[string]string) {
-	next := maps.Clone(r.Facts)
+	next := maps.Clone(r.Settings)
 	maps.DeleteFunc(next, func(name, _ string) bool { return isFleetSetting(name) })
 	for name, value := range facts {
 		if isFleetSetting(name) {
 			next[name] = value
 		}
 	}
-	r.Facts = next
+	r.Settings = next
 	for _, g := range r.groups {
-		g.read(r)
-		r.longest = max(r.longest, g.timeout)
+		g.readSettings(r)
+		r.longestQueryTimeout = max(r.longestQueryTimeout, g.timeout)
 	}
-	r.named()
-	r.gate.UpdateSettings(r.now, next)
+	r.readCustomers()
+	r.scheduler.UpdateSettings(r.now, next)
 }
 
 // watchLease looks again when the lease ends, if nothing else has by then.
 func (w *servingLease) scheduleLeaseCheck() {
-	w.due.Drop(w.leaseTimer)
+	w.timers.Drop(w.leaseTimer)
 	w.leaseTimer = nil
 	until, bound := w.Word.Until()
 	if bound > w.now {
 		until = min(until, bound)
 	}
 	if until > w.now && until < fleet.Forever {
-		w.leaseTimer = w.due.Add(until, func() {
+		w.leaseTimer = w.timers.Add(until, func() {
 			w.updateServing()
 			w.scheduleLeaseCheck()
 		})
@@ -245,7 +245,7 @@
 		case !may && w.pausedSince[i] < 0:
 			w.pausedSince[i], shut = w.now, true
 			if i == 0 {
-				w.gate.SetPaused(w.now, true)
+				w.scheduler.SetPaused(w.now, true)
 			}
 		case may && w.pausedSince[i] >= 0:
 			w.pausedSince[i], opened = -1, true
@@ -272,8 +272,8 @@
 // enters is where every query passes that has come. One that can't be judged now
 // is kept as it is, and judged by the version that it is let go by.
 func (w *servingLease) admit(q *query, from From) bool {
-	q.bound = w.residency.isBound(q, from) || w.Bound != nil && w.Bound(q.place.tenant, q.tables)
-	if w.servingVersion(q.bound) == 0 || q.key != nil && w.heldBehindKey(q.key) {
+	q.confined = w.residency.isBound(q, from) || w.Bound != nil && w.Bound(q.residency.tenant, q.tableGroup)
+	if w.servingVersion(q.confined) == 0 || q.key != nil && w.heldBehindKey(q.key) {
 		w.hold(q, from)
 		return false
 	}
@@ -282,7 +282,7 @@
 
 // whose is the team of a call, or the customer where there are no teams.
 func (w *servingLease) residencyTenantOf(q *query, from From) string {
-	if w.fair == nil && q.customer >= 0 && q.customer < len(w.customers) {
+	if w.fairQueue == nil && q.customer >= 0 && q.customer < len(w.customers) {
 		return w.customers[q.customer]
 	}
 	return w.tenantOf(from)
@@ -290,29 +290,29 @@
 
 // behind: one of its key is held, and mustn't be overtaken by it.
 func (w *servingLease) heldBehindKey(k *orderKey) bool {
-	return w.heldCount > 0 && slices.ContainsFunc(w.heldQueries, func(h *pendingAdmission) bool { return h.q.waits && h.q.key == k })
+	return w.heldCount > 0 && slices.ContainsFunc(w.heldQueries, func(h *pendingAdmission) bool { return h.q.blocked && h.q.key == k })
 }
 
 func (w *servingLease) hold(q *query, from From) {
-	if len(w.heldQueries) > 2*w.heldCount+64 || w.heldFieldBytes > w.inHandMost {
-		w.heldQueries = slices.DeleteFunc(w.heldQueries, func(h *pendingAdmission) bool { return !h.q.waits })
+	if len(w.heldQueries) > 2*w.heldCount+64 || w.heldFieldBytes > w.maxStatementBytes {
+		w.heldQueries = slices.DeleteFunc(w.heldQueries, func(h *pendingAdmission) bool { return !h.q.blocked })
 		w.heldFieldBytes = 0
 		for _, h := range w.heldQueries {
 			w.heldFieldBytes += h.from.Fields.Size()
 		}
 	}
-	if w.heldCount >= maxHeldQueries || w.heldFieldBytes > w.inHandMost {
+	if w.heldCount >= maxHeldQueries || w.heldFieldBytes > w.maxStatementBytes {
 		w.deferUnsent(q)
 		return
 	}
 	w.heldTotal++
-	q.waits = true
+	q.blocked = true
 	w.heldCount++
 	from.Fields = from.Fields.Clone() // the call lies in its connection's buffer
 	w.heldFieldBytes += from.Fields.Size()
 	w.heldQueries = append(w.heldQueries, &pendingAdmission{q, from})
-	q.latest = w.due.Add(min(q.takenAt+w.MaxHold, q.deadline-heldAnswerMargin), func() {
-		if q.waits {
+	q.waitTimer = w.timers.Add(min(q.receivedAt+w.MaxHold, q.deadline-heldAnswerMargin), func() {
+		if q.blocked {
 			w.deferUnsent(q)
 		}
 	})
@@ -320,11 +320,11 @@
 
 // unheld: it is held no more, whatever becomes of it.
 func (w *servingLease) endHold(q *query) {
-	q.waits = false
+	q.blocked = false
 	w.heldCount--
-	w.longestHold = max(w.longestHold, w.now-q.takenAt)
-	w.due.Drop(q.latest)
-	q.latest = nil
+	w.longestHold = max(w.longestHold, w.now-q.receivedAt)
+	w.timers.Drop(q.waitTimer)
+	q.waitTimer = nil
 }
 
 // release lets go what may be decided again: first what the decisions had chosen
@@ -333,47 +333,47 @@
 	parked := w.blockedAttempts
 	w.blockedAttempts = nil
 	for _, s := range parked {
-		s.start() // which is parked again if it is of a bound team, and those still may not
+		s.send() // which is parked again if it is of a bound team, and those still may not
 	}
 	if !w.paused() {
-		w.gate.SetPaused(w.now, false)
+		w.scheduler.SetPaused(w.now, false)
 	}
 	all := w.heldQueries
 	w.heldQueries, w.heldFieldBytes = nil, 0
 	for _, h := range all {
-		if !h.q.waits {
+		if !h.q.blocked {
 			continue
 		}
 		q := h.q
 		w.endHold(q)
-		q.customer = w.customer(h.from)
-		if q.group.timeout > 0 && q.deadline-q.takenAt > q.group.timeout {
-			w.killed(q, "no such patience")
+		q.customer = w.customerIndex(h.from)
+		if q.group.timeout > 0 && q.deadline-q.receivedAt > q.group.timeout {
+			w.answerKilled(q, "no such patience")
 			continue
 		}
-		w.enter(q, h.from, q.number)
+		w.dispatch(q, h.from, q.keyNumber)
 	}
 }
 
 // lets tells whether a submission may go now. One that may not waits; one whose engine
 // was chosen before what is in force now goes back to the decisions if that bars it.
-func (w *servingLease) permitSend(s *submission) bool {
-	by := w.servingVersion(s.q.bound)
+func (w *servingLease) permitSend(s *attempt) bool {
+	by := w.servingVersion(s.query.confined)
 	switch {
 	case by == 0:
 		w.blockedAttempts = append(w.blockedAttempts, s)
 		return false
-	case !w.residency.allowsSend(s.q, s.e):
-		s.end(scheduler.NeverSent)
+	case !w.residency.allowsSend(s.query, s.engine):
+		s.finish(scheduler.NeverSent)
 		return false
 	}
-	s.version = by
+	s.policyVersion = by
 	return true
 }
 
 // lapseLater has what is held given up when it has been held for too long.
 func (w *servingLease) scheduleHoldExpiry() {
-	w.due.Drop(w.holdTimer)
+	w.timers.Drop(w.holdTimer)
 	w.holdTimer = nil
 	at := fleet.Forever
 	for _, since := range w.pausedSince {
@@ -382,7 +382,7 @@
 		}
 	}
 	if at < fleet.Forever {
-		w.holdTimer = w.due.Add(at, w.expireHeld)
+		w.holdTimer = w.timers.Add(at, w.expireHeld)
 	}
 }
 
@@ -391,24 +391,26 @@
 func (w *servingLease) expireHeld() {
 	long := func(q *query) bool {
 		since := w.pausedSince[0]
-		if q.bound {
+		if q.confined {
 			since = w.pausedSince[1]
 		}
 		return since >= 0 && w.now-since >= w.MaxHold
 	}
 	for _, s := range w.blockedAttempts {
-		if !s.ended && long(s.q) && s.q.mayHaveRun() {
-			w.withdraw(s, scheduler.NeverSent)
+		if !s.ended && long(s.query) && s.query.mayHaveRun() {
+			w.withdrawAttempt(s, scheduler.NeverSent)
 		}
 	}
-	w.blockedAttempts = slices.DeleteFunc(w.blockedAttempts, func(s *submission) bool { return s.ended })
+	w.blockedAttempts = slices.DeleteFunc(w.blockedAttempts, func(s *attempt) bool { return s.ended })
 	var late []*query
 	for _, q := range w.queries {
-		if !q.answered && !q.waits && long(q) && !q.mayHaveRun() {
+		if !q.answered && !q.blocked && long(q) && !q.mayHaveRun() {
 			late = append(late, q)
 		}
 	}
-	slices.SortFunc(late, func(a, b *query) int { return cmp.Or(cmp.Compare(a.takenAt, b.takenAt), strings.Compare(a.id, b.id)) })
+	slices.SortFunc(late, func(a, b *query) int {
+		return cmp.Or(cmp.Compare(a.receivedAt, b.receivedAt), strings.Compare(a.id, b.id))
+	})
 	for _, q := range late {
 		w.deferUnsent(q)
 	}
@@ -417,37 +419,37 @@
 
 // mayRun: something of it was sent and isn't proven never to have run.
 func (q *query) mayHaveRun() bool {
-	return slices.ContainsFunc(q.subs, func(s *submission) bool {
-		return s.sent && !(s.certain && s.outcome.NeverRan())
+	return slices.ContainsFunc(q.attempts, func(s *attempt) bool {
+		return s.sent && !(s.outcomeKnown && s.outcome.NeverRan())
 	})
 }
 
 // putOff defers a query of which nothing has run.
 func (w *servingLease) deferUnsent(q *query) {
 	w.deferredHeld++
-	w.sayOf(q.about(), "deferred: this controller may not decide now")
-	subs := q.subs
-	w.deferred(q, w.retryAfter())
-	w.soon(func() { w.gate.QueryDropped(w.now, q.id) })
+	w.logAbout(q.logFields(), "deferred: this controller may not decide now")
+	subs := q.attempts
+	w.answerDeferred(q, w.retryAfter())
+	w.runSoon(func() { w.scheduler.QueryDropped(w.now, q.id) })
 	for _, s := range subs {
 		if !s.sent {
-			w.withdraw(s, scheduler.NeverSent)
+			w.withdrawAttempt(s, scheduler.NeverSent)
 		}
 	}
 }
 
 // pause is the time to come back that may be named.
 func (w *servingLease) retryAfter() time.Duration {
-	if w.Facts["may.name-return"] != "true" {
+	if w.Settings["may.name-return"] != "true" {
 		return 0
 	}
-	return min(w.RetryAfter, w.span("return.most"))
+	return min(w.RetryAfter, w.durationSetting("return.most"))
 }
 
 // shutDown gives up what is held: the program ends.
 func (w *servingLease) deferAllHeld() {
 	for _, h := range w.heldQueries {
-		if h.q.waits {
+		if h.q.blocked {
 			w.deferUnsent(h.q)
 		}
 	}
@@ -458,7 +460,7 @@
 func (w *servingLease) report(p fleet.Report) {
 	switch {
 	case len(w.unsentReports) == 0:
-		w.do(Effect{Kind: ReportToFleet, Report: &p})
+		w.emit(Effect{Kind: ReportToFleet, Report: &p})
 	case p.Kind != fleet.Sites: // those come again
 		w.unsentReports = append(w.unsentReports, p)
 	}
@@ -472,7 +474,7 @@
 	w.unsentReports = append(w.unsentReports, *p)
 	if !w.reportRetryScheduled {
 		w.reportRetryScheduled = true
-		w.after(reportRetryInterval, func() {
+		w.runAfter(reportRetryInterval, func() {
 			l := w.unsentReports
 			w.unsentReports, w.reportRetryScheduled = nil, false
 			for _, p := range l {
@@ -484,7 +486,7 @@
 
 // tellSites tells each second where there are engines that serve.
 func (w *servingLease) reportSitesPeriodically() {
-	w.after(sitesReportInterval, w.reportSitesPeriodically)
+	w.runAfter(sitesReportInterval, w.reportSitesPeriodically)
 	w.reportedSites = w.servingSites()
 	w.reportSites(w.reportedSites)
 }
@@ -509,7 +511,7 @@
 			has[e.location] = true
 		}
 	}
-	for i, name := range strings.Split(w.Facts["locations"], ",") {
+	for i, name := range strings.Split(w.Settings["locations"], ",") {
 		if has[i] {
 			l = append(l, name)
 		}
--- a/internal/controller/fleet_test.go
+++ b/internal/controller/fleet_test.go
@@ -29,14 +29,14 @@
 // mayGo is the runner's last look: by the time it writes, it may be later.
 func (s *stage) mayGo(f Effect) bool {
 	w := s.r.Config.Fleet.Word
-	if !w.Enter(s.now+s.stopped, f.Guard, f.Bound) {
+	if !w.Enter(s.now+s.stopped, f.PolicyVersion, f.Confined) {
 		return false
 	}
 	w.Leave()
-	if n := len(s.written); n > 0 && f.Guard < s.written[n-1] {
-		s.t.Fatalf("submitted by version %d after one by %d", f.Guard, s.written[n-1])
+	if n := len(s.written); n > 0 && f.PolicyVersion < s.written[n-1] {
+		s.t.Fatalf("submitted by version %d after one by %d", f.PolicyVersion, s.written[n-1])
 	}
-	s.written = append(s.written, f.Guard)
+	s.written = append(s.written, f.PolicyVersion)
 	return true
 }
 
@@ -104,10 +104,10 @@
 	s.reply(s.one("POST", runs.id), "runs")
 	behind := s.query(c, "load", "k", 9*time.Second, 2) // of its key, with the decisions
 	s.until(99 * time.Millisecond)
-	s.r.pool.most = s.r.pool.links // so that the next waits for a line
+	s.r.pool.limit = s.r.pool.open // so that the next waits for a line
 	chosen := s.query(c, "lookup", "", 9*time.Second, 3)
 	s.until(200 * time.Millisecond)
-	s.r.pool.most = 100
+	s.r.pool.limit = 100
 	s.until(time.Second)
 	if len(behind.subs)+len(chosen.subs) > 0 {
 		t.Fatal("sent without a lease")
@@ -131,8 +131,8 @@
 	s.stopped = time.Minute
 	a := s.query(s.connect(), "load", "k", 9*time.Second, 1)
 	s.until(50 * time.Millisecond)
-	if len(a.subs) > 0 || s.r.warrant.rejectedWrites == 0 || s.r.tally.ends[7] == 0 {
-		t.Fatalf("%d sent, %d refused, %v", len(a.subs), s.r.warrant.rejectedWrites, s.r.tally.ends)
+	if len(a.subs) > 0 || s.r.warrant.rejectedWrites == 0 || s.r.counters.attemptEnds[7] == 0 {
+		t.Fatalf("%d sent, %d refused, %v", len(a.subs), s.r.warrant.rejectedWrites, s.r.counters.attemptEnds)
 	}
 	s = withPeers(t, 1, nil)
 	s.opens(1, 10*time.Second)
@@ -152,7 +152,7 @@
 // A switch is told closed only once nothing is being written, and what waited is
 // judged by the next version: its limits, its teams' places, its placement.
 func TestASwitchIsJudgedByTheNextVersion(t *testing.T) {
-	s := withPeers(t, 1, map[string]string{"teams": "1", "team.0.name": "old", "team.0.quota": "5"}, func(m *Config) { m.Words.Whose = "who" })
+	s := withPeers(t, 1, map[string]string{"teams": "1", "team.0.name": "old", "team.0.quota": "5"}, func(m *Config) { m.FieldNames.Customer = "who" })
 	s.opens(1, time.Minute)
 	c := s.connect()
 	word := s.r.Config.Fleet.Word
@@ -175,10 +175,10 @@
 	if q := s.r.queries[a.id]; q == nil || q.customer != 1 {
 		t.Fatalf("%+v", q)
 	}
-	if g := s.r.groups["lookup"]; b.answer != "killed" || g.value != 9 || g.threads != 2 || g.target != 700*time.Millisecond {
+	if g := s.r.groups["lookup"]; b.answer != "killed" || g.priorityWeight != 9 || g.threads != 2 || g.latencyObjective != 700*time.Millisecond {
 		t.Fatalf("%q %+v", b.answer, g)
 	}
-	if s.r.Facts["group.0.effect"] != "read-only" || s.r.warrant.policySwitches != 1 {
+	if s.r.Settings["group.0.effect"] != "read-only" || s.r.warrant.policySwitches != 1 {
 		t.Fatal("more was taken over than is the fleet's")
 	}
 	s.until(s.now + 50*time.Millisecond)
@@ -200,15 +200,15 @@
 	if len(s.r.warrant.blockedAttempts) != 1 {
 		t.Fatal("it doesn't wait")
 	}
-	chosen, other := q.subs[0].e.id, "a"
-	if s.siteOf(q.subs[0].e) == "a" {
+	chosen, other := q.attempts[0].engine.id, "a"
+	if s.siteOf(q.attempts[0].engine) == "a" {
 		other = "b"
 	}
 	s.order(fleet.Order{Kind: fleet.Open, Version: 2, Policy: &Policy{Version: 2,
 		Rules: []residency.Rule{{Name: "r", Team: "bank", Engines: []string{other}, Controllers: []string{"a"}}}}})
 	h := s.one("POST", a.id)
-	if h.m.id == chosen || h.m.site != other || !slices.Equal(s.written, []uint64{2}) || s.r.tally.ends[7] != 1 {
-		t.Fatalf("to %s, chosen was %s, %v, %v", h.m.id, chosen, s.written, s.r.tally.ends)
+	if h.m.id == chosen || h.m.site != other || !slices.Equal(s.written, []uint64{2}) || s.r.counters.attemptEnds[7] != 1 {
+		t.Fatalf("to %s, chosen was %s, %v, %v", h.m.id, chosen, s.written, s.r.counters.attemptEnds)
 	}
 }
 
@@ -231,7 +231,7 @@
 
 // Teams' turns stand still with all else, and a full ring loses no report.
 func TestFairnessStandsAndReportsAreKept(t *testing.T) {
-	s := withPeers(t, 0, nil, func(m *Config) { m.Fair = &fairqueue.Shape{Teams: []fairqueue.Team{{Name: "a", Weight: 1}}} })
+	s := withPeers(t, 0, nil, func(m *Config) { m.Tenants = &fairqueue.Shape{Teams: []fairqueue.Team{{Name: "a", Weight: 1}}} })
 	s.opens(1, time.Minute)
 	c := s.connect()
 	for range 3 {
@@ -239,9 +239,9 @@
 	}
 	s.full = true
 	s.order(fleet.Order{Kind: fleet.Shut, Change: "c"})
-	waits := s.r.fair.core.Waiting()
+	waits := s.r.fairQueue.queue.Waiting()
 	s.until(time.Second)
-	if s.r.fair.core.Waiting() != waits || s.told(fleet.Closed) != 0 {
+	if s.r.fairQueue.queue.Waiting() != waits || s.told(fleet.Closed) != 0 {
 		t.Fatal("it went on")
 	}
 	s.order(fleet.Order{Kind: fleet.Open, Version: 2, Policy: &Policy{Version: 2, Fair: &fairqueue.Shape{Teams: []fairqueue.Team{{Name: "b", Weight: 1}}}}})
@@ -271,7 +271,7 @@
 		teams := rapid.Bool().Draw(t, "teams")
 		s := withPeers(t, 3, nil, func(m *Config) {
 			if teams {
-				m.Fair = &fairqueue.Shape{Teams: []fairqueue.Team{{Name: "a", Weight: 1}}}
+				m.Tenants = &fairqueue.Shape{Teams: []fairqueue.Team{{Name: "a", Weight: 1}}}
 			}
 		})
 		s.opens(1, time.Minute)
--- a/internal/controller/keep_test.go
+++ b/internal/controller/keep_test.go
@@ -15,9 +15,9 @@
 // before the rule is read no more, though it is not purged yet.
 func TestNothingIsKeptWhereItMayNotBe(t *testing.T) {
 	s := keeps(t, &fleet.Word{}, func(m *controller.Config) {
-		m.Facts["teams"], m.Facts["team.0.name"], m.Facts["team.0.quota"], m.Facts["own.location"] = "1", "linz", "1000", "0"
+		m.Settings["teams"], m.Settings["team.0.name"], m.Settings["team.0.quota"], m.Settings["own.location"] = "1", "linz", "1000", "0"
 	})
-	here, _, _ := strings.Cut(s.R.Facts["locations"], ",")
+	here, _, _ := strings.Cut(s.R.Settings["locations"], ",")
 	open := func(version uint64, rules ...residency.Rule) {
 		s.Order(fleet.Order{Kind: fleet.Open, Version: version, Policy: &controller.Policy{Version: version, Rules: rules}})
 	}
--- a/internal/controller/keyring.go
+++ b/internal/controller/keyring.go
@@ -49,7 +49,7 @@
 	gap := now - k.lastArrival
 	off := gap % keySpacing
 	inTurn := min(off, keySpacing-off) <= keySpacingTolerance && gap < min(2*patience, maxKeyGap)
-	if k.beganBurst = k.lastArrival == 0 || gap > apart+onTheWay && !inTurn; k.beganBurst {
+	if k.beganBurst = k.lastArrival == 0 || gap > apart+networkDelay && !inTurn; k.beganBurst {
 		k.burstStart = now
 	}
 	k.lastArrival = now
--- a/internal/controller/placing.go
+++ b/internal/controller/placing.go
@@ -52,9 +52,9 @@
 }
 
 func newResidencyState(w *servingLease) *residencyState {
-	p := &residencyState{servingLease: w, siteNames: strings.Split(w.Facts["locations"], ","), pendingBindings: map[string]*bindingRequest{}}
+	p := &residencyState{servingLease: w, siteNames: strings.Split(w.Settings["locations"], ","), pendingBindings: map[string]*bindingRequest{}}
 	site := ""
-	if at := w.Facts["own.location"]; at != "" {
+	if at := w.Settings["own.location"]; at != "" {
 		i, _ := strconv.Atoi(at)
 		site = p.siteName(i)
 	}
@@ -72,7 +72,7 @@
 
 // verdict judges a query by the rules as they are now.
 func (p *residencyState) verdict(q *query) *residency.Verdict {
-	x := q.place
+	x := q.residency
 	if x.stamp == p.core.Stamp() {
 		return &x.verdict
 	}
@@ -88,14 +88,14 @@
 	x.inspected = true
 	x.readTables, x.writtenTables, x.tablesKnown = msgpackrpc.AllTables(q.statement)
 	x.tables = slices.Concat(x.readTables, x.writtenTables)
-	if len(q.statement) == 0 || q.group.load && len(x.writtenTables) == 0 {
+	if len(q.statement) == 0 || q.group.isLoad && len(x.writtenTables) == 0 {
 		x.tablesKnown = false // it is forgotten, or loads into what can't be told: the strictest
 	}
 }
 
 // binds: it needs the lease of bound teams. It is asked before enters.
 func (p *residencyState) isBound(q *query, from From) bool {
-	q.place = &queryResidency{tenant: p.residencyTenantOf(q, from), tablesKnown: true}
+	q.residency = &queryResidency{tenant: p.residencyTenantOf(q, from), tablesKnown: true}
 	return p.verdict(q).Bound
 }
 
@@ -111,7 +111,7 @@
 	need, err := p.requiredBinding(q)
 	if err != nil {
 		p.conflicts++
-		p.killed(q, err.Error())
+		p.answerKilled(q, err.Error())
 		return false
 	}
 	if need != nil {
@@ -129,7 +129,7 @@
 	switch {
 	case v.Conflict != nil:
 		p.conflicts++
-		p.killed(q, v.Conflict.Error())
+		p.answerKilled(q, v.Conflict.Error())
 	case !v.Take:
 		p.redirect(q, v)
 	}
@@ -138,9 +138,9 @@
 
 // needs is what must be recorded before it may be sent, nil: nothing.
 func (p *residencyState) requiredBinding(q *query) (*fleet.Binding, error) {
-	x := q.place
-	readOnly := p.Facts["group."+strconv.Itoa(q.group.index)+".effect"] == "read-only"
-	if !q.group.load && len(x.writtenTables) == 0 && (x.tablesKnown || readOnly) {
+	x := q.residency
+	readOnly := p.Settings["group."+strconv.Itoa(q.group.index)+".effect"] == "read-only"
+	if !q.group.isLoad && len(x.writtenTables) == 0 && (x.tablesKnown || readOnly) {
 		return nil, nil
 	}
 	return p.core.Needs(x.tenant, x.readTables, x.writtenTables, x.tablesKnown)
@@ -155,16 +155,16 @@
 			may = append(may, m.Clients)
 		}
 	}
-	p.sayOf(q.about(), (&residency.Outside{Team: q.place.tenant, Site: p.core.Site(), Rules: v.Rules, Controllers: may}).Error())
-	if q.answered || !p.close(q, fairqueue.Deferred) {
+	p.logAbout(q.logFields(), (&residency.Outside{Team: q.residency.tenant, Site: p.core.Site(), Rules: v.Rules, Controllers: may}).Error())
+	if q.answered || !p.closeQuery(q, fairqueue.Deferred) {
 		return
 	}
-	p.tally.deferred++
-	if a, ok := q.asker.(redirectable); ok && len(may) > 0 {
+	p.counters.deferred++
+	if a, ok := q.owner.(redirectable); ok && len(may) > 0 {
 		a.directed(p.retryAfter(), may)
 		return
 	}
-	q.asker.deferred(p.retryAfter())
+	q.owner.deferred(p.retryAfter())
 }
 
 // directed is an asker that can be told of other controllers.
@@ -205,18 +205,18 @@
 		delete(p.pendingBindings, id)
 		p.core.Recorded(*b.binding)
 		p.reevaluate()
-		p.soon(p.servingLease.releaseHeld)
+		p.runSoon(p.servingLease.releaseHeld)
 	case "unknown":
 		// asked again by the same id: the loads that wait for it have their own ends
 		b.backoff = min(max(2*b.backoff, 50*time.Millisecond), time.Second)
-		p.after(b.backoff, func() {
+		p.runAfter(b.backoff, func() {
 			if p.pendingBindings[id] == b {
 				p.sendBindingRequest(id, b)
 			}
 		})
 	default:
 		delete(p.pendingBindings, id)
-		p.say(true, (&residency.Unbound{Team: b.binding.Team, Tables: b.binding.Tables, Why: cmp.Or(reply.Why, reply.Word)}).Error())
+		p.logMessage(true, (&residency.Unbound{Team: b.binding.Team, Tables: b.binding.Tables, Why: cmp.Or(reply.Why, reply.Word)}).Error())
 	}
 	return true
 }
@@ -241,14 +241,16 @@
 	p.judgedStamp = p.core.Stamp()
 	var all []*query
 	for _, q := range p.queries {
-		if q.place != nil && !q.answered && !q.waits {
+		if q.residency != nil && !q.answered && !q.blocked {
 			all = append(all, q)
 		}
 	}
-	slices.SortFunc(all, func(a, b *query) int { return cmp.Or(cmp.Compare(a.takenAt, b.takenAt), strings.Compare(a.id, b.id)) })
+	slices.SortFunc(all, func(a, b *query) int {
+		return cmp.Or(cmp.Compare(a.receivedAt, b.receivedAt), strings.Compare(a.id, b.id))
+	})
 	for _, q := range all {
 		v := p.verdict(q)
-		q.bound = v.Bound
+		q.confined = v.Bound
 		if !q.mayHaveRun() {
 			need, err := p.requiredBinding(q)
 			if need != nil || err != nil { // its client comes again, and it is recorded then
@@ -256,10 +258,10 @@
 				continue
 			}
 			if !p.ensureServable(q, v) {
-				p.soon(func() { p.gate.QueryDropped(p.now, q.id) })
-				for _, s := range q.subs {
+				p.runSoon(func() { p.scheduler.QueryDropped(p.now, q.id) })
+				for _, s := range q.attempts {
 					if !s.sent {
-						p.withdraw(s, scheduler.NeverSent)
+						p.withdrawAttempt(s, scheduler.NeverSent)
 					}
 				}
 				continue
@@ -269,7 +271,7 @@
 			p.requestBinding(need) // what it takes along may be there already
 		}
 		inside := p.allowedLocations(q)
-		p.soon(func() { p.gate.ConfineQuery(p.now, q.id, inside) })
+		p.runSoon(func() { p.scheduler.ConfineQuery(p.now, q.id, inside) })
 	}
 }
 
@@ -291,18 +293,18 @@
 // begins hands a query on to the decisions, or answers it: the rules may have changed
 // while it waited for its turn.
 func (p *residencyState) forwardToScheduler(q *query) {
-	if q.place != nil && !p.ensureServable(q, p.verdict(q)) {
+	if q.residency != nil && !p.ensureServable(q, p.verdict(q)) {
 		return
 	}
 	var inside []string
-	if q.place != nil {
+	if q.residency != nil {
 		inside = p.allowedLocations(q)
 	}
-	p.gate.ConfinedQueryArrived(p.now, q.id, q.group.index, q.customer, q.deadline-p.now, q.tables, q.number, q.work, q.need, inside)
+	p.scheduler.ConfinedQueryArrived(p.now, q.id, q.group.index, q.customer, q.deadline-p.now, q.tableGroup, q.keyNumber, q.estimatedWork, q.estimatedMemoryMB, inside)
 }
 
 func (p *residencyState) allowsSend(q *query, e *engine) bool {
-	if q.place == nil {
+	if q.residency == nil {
 		return true
 	}
 	v, site := p.verdict(q), p.siteName(e.location)
@@ -314,17 +316,17 @@
 		p.barredSends++ // a repeat, and a rule came since that follows what it takes along
 		return false
 	}
-	if v.Bound && q.place.attemptsNoted != len(q.subs) {
-		q.place.attemptsNoted = len(q.subs)
-		if p.core.Sent(q.id, q.place.tenant, v, site) {
-			p.sayOf(q.about(), "crosses to site "+site+": an emergency of its rules is on")
+	if v.Bound && q.residency.attemptsNoted != len(q.attempts) {
+		q.residency.attemptsNoted = len(q.attempts)
+		if p.core.Sent(q.id, q.residency.tenant, v, site) {
+			p.logAbout(q.logFields(), "crosses to site "+site+": an emergency of its rules is on")
 		}
 	}
 	return true
 }
 
 // keeps: this controller may keep its result or answer.
-func (p *residencyState) mayRetain(q *query) bool { return q.place == nil || p.verdict(q).Keep }
+func (p *residencyState) mayRetain(q *query) bool { return q.residency == nil || p.verdict(q).Keep }
 
 // serves: a kept result of these tables may be read here.
 func (p *residencyState) mayServe(team string, tables []int64) bool {
@@ -332,28 +334,28 @@
 }
 
 func (p *residencyState) countOutside() (n int) {
-	count := func(s *submission) {
-		x := s.q.place
+	count := func(s *attempt) {
+		x := s.query.residency
 		if x == nil || !p.core.Bound(x.tenant) {
 			return
 		}
 		if !x.inspected {
-			x.inspect(s.q)
+			x.inspect(s.query)
 		}
-		if p.core.Outside(x.tenant, x.tables, x.tablesKnown, p.siteName(s.e.location)) {
+		if p.core.Outside(x.tenant, x.tables, x.tablesKnown, p.siteName(s.engine.location)) {
 			n++
 		}
 	}
 	for _, q := range p.queries {
-		for _, s := range q.subs {
-			if s.sent && !s.certain {
+		for _, s := range q.attempts {
+			if s.sent && !s.outcomeKnown {
 				count(s)
 			}
 		}
 	}
 	for _, e := range p.engines {
-		for _, s := range e.leaving {
-			if s.certain { // told, and perhaps not over there yet
+		for _, s := range e.cancelling {
+			if s.outcomeKnown { // told, and perhaps not over there yet
 				count(s)
 			}
 		}
--- a/internal/controller/placing_test.go
+++ b/internal/controller/placing_test.go
@@ -21,7 +21,7 @@
 	f := map[string]string{"locations": "a,b,c", "own.location": fmt.Sprint(strings.Index("abc", site)), "teams": "2", "team.0.name": "bank",
 		"team.1.name": "shop", "team.0.quota": "1000", "team.1.quota": "1000"}
 	maps.Copy(f, more)
-	return withPeers(t, engines, f, func(m *Config) { m.Words.Whose = "who" })
+	return withPeers(t, engines, f, func(m *Config) { m.FieldNames.Customer = "who" })
 }
 
 func (s *stage) siteOf(e *engine) string { return s.r.warrant.residency.siteName(e.location) }
--- a/internal/controller/purge.go
+++ b/internal/controller/purge.go
@@ -88,8 +88,8 @@
 
 // owner is whose a call is: its team, or its customer where there are no teams.
 func (r *Controller) dataOwner(from From) string {
-	if r.fair == nil && r.Words.Whose != "" {
-		if name := string(from.Fields.Get(r.Words.Whose)); name != "" {
+	if r.fairQueue == nil && r.FieldNames.Customer != "" {
+		if name := string(from.Fields.Get(r.FieldNames.Customer)); name != "" {
 			return name
 		}
 	}
@@ -99,19 +99,19 @@
 // serving does what writes of what is kept: it goes out only while the lease holds, by
 // the clock as it is then.
 func (p *invalidation) markRetained(do func()) {
-	p.serves = true
+	p.writingRetained = true
 	do()
-	p.serves = false
+	p.writingRetained = false
 }
 
 // hands notes that kept bytes were handed to a query's client.
 func (p *invalidation) noteRetainedAnswer(q *query) {
-	if a, ok := q.asker.(*asking); ok {
+	if a, ok := q.owner.(*rpcCall); ok {
 		team := ""
-		if q.memo != nil && q.memo.ask != nil {
-			team = q.memo.ask.Team
+		if q.cacheState != nil && q.cacheState.ask != nil {
+			team = q.cacheState.ask.Team
 		}
-		p.noteRetainedWrite(a.c.link, team)
+		p.noteRetainedWrite(a.client.connection, team)
 	}
 }
 
@@ -121,7 +121,7 @@
 		p.writesFlushed(nil)
 		p.writesAfterSweep = len(p.retainedWrites)
 	}
-	if l.pending > 0 {
+	if l.unwrittenBytes > 0 {
 		p.retainedWrites[retainedWrite{l, team}] = true
 	}
 }
@@ -130,7 +130,7 @@
 func (p *invalidation) writesFlushed(team *string) bool {
 	out := true
 	for h := range p.retainedWrites {
-		if h.link.pending == 0 {
+		if h.link.unwrittenBytes == 0 {
 			delete(p.retainedWrites, h)
 		} else if team == nil || h.team == "" || h.team == *team {
 			out = false
@@ -149,15 +149,15 @@
 	case p.now >= until:
 		for h := range p.retainedWrites {
 			if h.team == "" || h.team == team {
-				p.tally.turnedOff++
-				p.shut(h.link, false)
+				p.counters.disconnected++
+				p.closeConnection(h.link, false)
 				delete(p.retainedWrites, h)
 			}
 		}
 		then()
 		return
 	}
-	p.after(flushPollInterval, func() { p.awaitWritesFlushed(team, until, then) })
+	p.runAfter(flushPollInterval, func() { p.awaitWritesFlushed(team, until, then) })
 }
 
 // purge has all of a scope go that was asked for before a place in the record.
@@ -202,26 +202,26 @@
 // that may be sent again is deferred: nothing that it asked for can be kept any more.
 func (p *resultPaging) answerInvalidated() {
 	for _, q := range p.queriesWhere(func(q *query) bool {
-		if q.answered || q.kept == nil {
+		if q.answered || q.spooled == nil {
 			return false
 		}
-		taken := q.kept.Purged()
-		for _, s := range q.subs {
+		taken := q.spooled.Purged()
+		for _, s := range q.attempts {
 			taken = taken || s.result != nil && s.result.Purged()
 		}
 		return taken
 	}) {
 		sent := false
-		for _, s := range q.subs {
+		for _, s := range q.attempts {
 			sent = sent || s.sent
 		}
 		if q.group.readOnly || !sent {
-			p.sayOf(q.about(), "deferred: "+spool.ErrPurged.Error())
-			p.deferred(q, noSpaceRetryAfter)
+			p.logAbout(q.logFields(), "deferred: "+spool.ErrPurged.Error())
+			p.answerDeferred(q, noSpaceRetryAfter)
 		} else {
-			p.killed(q, spool.ErrPurged.Error())
+			p.answerKilled(q, spool.ErrPurged.Error())
 		}
-		p.soon(func() { p.gate.ClientLeft(p.now, q.id) })
+		p.runSoon(func() { p.scheduler.ClientLeft(p.now, q.id) })
 	}
 }
 
@@ -232,14 +232,16 @@
 			l = append(l, q)
 		}
 	}
-	slices.SortFunc(l, func(a, b *query) int { return cmp.Or(cmp.Compare(a.takenAt, b.takenAt), strings.Compare(a.id, b.id)) })
+	slices.SortFunc(l, func(a, b *query) int {
+		return cmp.Or(cmp.Compare(a.receivedAt, b.receivedAt), strings.Compare(a.id, b.id))
+	})
 	return l
 }
 
 // drop is the fleet's order.
 func (p *invalidation) invalidate(id string, s *fleet.Scope, index uint64) {
 	p.started++
-	p.say(false, "purge "+id+" of team "+s.Team+" begins")
+	p.logMessage(false, "purge "+id+" of team "+s.Team+" begins")
 	p.apply(s, index, func() {
 		p.warrant.report(fleet.Report{Kind: fleet.Unreached, ID: id})
 	}, func(n fleet.Counts) {
@@ -250,7 +252,7 @@
 }
 
 func (p *invalidation) logCompleted(id, team string, n fleet.Counts) {
-	p.sayOf(LogFields{Team: team}, fmt.Sprintf("purge %s is done here: %d results and %d answers, %d bytes", id, n.Results, n.Answers, n.Bytes))
+	p.logAbout(LogFields{Tenant: team}, fmt.Sprintf("purge %s is done here: %d results and %d answers, %d bytes", id, n.Results, n.Answers, n.Bytes))
 }
 
 // Purge is a client's call to have what is kept of its team go, or, with an id, for how
@@ -261,7 +263,7 @@
 		c.Wrong(msg, "no such method")
 		return
 	}
-	team := c.dataOwner(From{c.link.From, all})
+	team := c.dataOwner(From{c.connection.RemoteAddress, all})
 	waiting := 0
 	for _, l := range p.callers {
 		for _, x := range l {
@@ -270,8 +272,8 @@
 			}
 		}
 	}
-	if c.pages >= c.wants.Open || waiting >= maxCallsPerTenant || len(p.unconfirmed) >= maxLocalInvalidations {
-		c.answer(msgpackrpc.Deferred(nil, msg, noSpaceRetryAfter))
+	if c.pageReads >= c.limits.OpenQueries || waiting >= maxCallsPerTenant || len(p.unconfirmed) >= maxLocalInvalidations {
+		c.reply(msgpackrpc.Deferred(nil, msg, noSpaceRetryAfter))
 		return
 	}
 	x := &invalidationCall{c: c, msg: msg, id: string(call.ID), team: team}
@@ -280,10 +282,10 @@
 		x.id = p.newID(team)
 	}
 	p.clientCalls++
-	c.pages++
+	c.pageReads++
 	p.callers[x.id] = append(p.callers[x.id], x)
 	x.answerBy = c.now + max(0, call.Patience-answerMargin)
-	x.timer = c.due.Add(x.answerBy, func() { p.answerState(x, statePending, "", nil, nil) })
+	x.timer = c.timers.Add(x.answerBy, func() { p.answerState(x, statePending, "", nil, nil) })
 	switch {
 	case p.warrant != nil:
 		a := &fleet.Ask{Kind: "status", ID: x.id, By: team, Team: team, Wait: max(1, (call.Patience - 2*answerMargin).Milliseconds())}
@@ -302,11 +304,11 @@
 // name is one that no other purge has: it is drawn from what can't come twice.
 func (p *invalidation) newID(team string) string {
 	p.serial++
-	draw := uint64(p.Started.UnixNano())
-	if p.Draw != nil {
-		draw = p.Draw()
+	draw := uint64(p.StartedAt.UnixNano())
+	if p.DrawUnique != nil {
+		draw = p.DrawUnique()
 	}
-	return fmt.Sprintf("%016x%016x", draw, xxhash.Sum64String(fmt.Sprint(team, p.serial, p.now, p.Started.UnixNano())))
+	return fmt.Sprintf("%016x%016x", draw, xxhash.Sum64String(fmt.Sprint(team, p.serial, p.now, p.StartedAt.UnixNano())))
 }
 
 // alone is a purge where there are no peers.
@@ -408,15 +410,15 @@
 		return
 	}
 	x.answered = true
-	p.due.Drop(x.timer)
+	p.timers.Drop(x.timer)
 	l := slices.DeleteFunc(p.callers[x.id], func(y *invalidationCall) bool { return x == y })
 	if p.callers[x.id] = l; len(l) == 0 {
 		delete(p.callers, x.id)
 	}
-	x.c.pages--
-	x.c.idle = p.now
-	if !x.c.link.closed {
-		x.c.answer(answer)
+	x.c.pageReads--
+	x.c.idleSince = p.now
+	if !x.c.connection.closed {
+		x.c.reply(answer)
 	}
 }
 
--- a/internal/controller/query.go
+++ b/internal/controller/query.go
@@ -18,71 +18,71 @@
 // asker is whoever a query belongs to: a call on a connection, or what stands
 // between. It is told one of finished, deferred and killed at most, after closed,
 // and nothing but closed if it left by itself.
-type asker interface {
+type queryOwner interface {
 	finished(pages [][]byte)
 	// paged: finished, with the first page of a result that is kept.
 	paged(first []byte, rest msgpackrpc.Paging)
 	deferred(comeBack time.Duration)
 	killed(why string)
 	// told: it should start after so long. Only those that asked are told.
-	told(wait time.Duration)
+	notifyWait(wait time.Duration)
 	// closed: no answer is owed any more, or it follows in the same breath.
 	closed()
 	// from is the connection it came by, whose end ends it; nil: none.
-	from() *Connection
+	connection() *Connection
 }
 
 // query is one thing taken, until it is answered and nothing of it is out.
 type query struct {
-	id, method        string // as its client has them
-	asker             asker
-	group             *group
-	key               *orderKey
-	token             string // the mark by which engines know a repeat, "": none was given
-	statement         []byte
-	takenAt           time.Duration
-	deadline          time.Duration
-	priority, grantMB int
-	subs              []*submission
-	answered          bool
-	bound, waits      bool            // where there are peers: it needs the lease of bound teams; it is held, unjudged
-	place             *queryResidency // where its team's data may be, where there are peers
-	kept              *spool.Result   // its client reads page by page
-	memo              *cacheLookup    // where answers are cached
+	id, groupName           string // as its client has them
+	owner                   queryOwner
+	group                   *group
+	key                     *orderKey
+	idempotencyKey          string // the mark by which engines know a repeat, "": none was given
+	statement               []byte
+	receivedAt              time.Duration
+	deadline                time.Duration
+	priority, memoryGrantMB int
+	attempts                []*attempt
+	answered                bool
+	confined, blocked       bool            // where there are peers: it needs the lease of bound teams; it is held, unjudged
+	residency               *queryResidency // where its team's data may be, where there are peers
+	spooled                 *spool.Result   // its client reads page by page
+	cacheState              *cacheLookup    // where answers are cached
 
 	// where teams wait for their turn, and only there
-	turn           *fairqueue.Waiter
-	latest         *timerqueue.Item // or while it is held
-	came           fairqueue.End
-	tables, number int64
-	customer       int // its place in the settings, -1: none
-	work           time.Duration
-	need           float64 // MB
+	waiter                *fairqueue.Waiter
+	waitTimer             *timerqueue.Item // or while it is held
+	fairEnd               fairqueue.End
+	tableGroup, keyNumber int64
+	customer              int // its place in the settings, -1: none
+	estimatedWork         time.Duration
+	estimatedMemoryMB     float64 // MB
 }
 
 // rank is the priority that it has at engines: what the decisions set, unless
 // fairness has it make way. Here and nowhere else the two meet.
-func (q *query) rank() int {
-	if q.turn != nil && q.turn.Lowered() {
+func (q *query) effectivePriority() int {
+	if q.waiter != nil && q.waiter.Lowered() {
 		return min(q.priority, 0)
 	}
 	return q.priority
 }
 
 // hand is what is in hand of queries, and its bounds.
-type hand struct {
-	queries    map[string]*query
-	keys       keyTable
-	inHand     int // bytes of statements
-	inHandMost int
+type queryTable struct {
+	queries           map[string]*query
+	keys              keyTable
+	statementBytes    int // bytes of statements
+	maxStatementBytes int
 }
 
 // tooMuch is no fault of the call: the memory is all there is, and again later, or
 // elsewhere, it can be taken.
-const tooMuch = "too much is in hand"
+const statementMemoryFull = "too much is in hand"
 
 // unfit says why a call can't be taken, "" if it can.
-func (r *Controller) unfit(name, id string, patience time.Duration, keyed bool, size int, from From) string {
+func (r *Controller) validateCall(name, id string, patience time.Duration, keyed bool, size int, from From) string {
 	g := r.groups[settings.Plain(name)]
 	switch {
 	case g == nil:
@@ -91,32 +91,32 @@
 		return "no such patience"
 	case g.inOrder && !keyed:
 		return "no entity"
-	case g.tokened && !enginehttp.Sendable(from.Fields.Get(r.Words.Token)):
+	case g.needsIdempotencyKey && !enginehttp.Sendable(from.Fields.Get(r.FieldNames.IdempotencyKey)):
 		return "no such token"
 	case r.queries[id] != nil:
 		return "this trace is in hand"
-	case r.inHand+size > r.inHandMost:
-		return tooMuch
+	case r.statementBytes+size > r.maxStatementBytes:
+		return statementMemoryFull
 	}
 	return ""
 }
 
 // take is the one way in, whichever front a query came by. It copies what it
 // keeps; why tells what is wrong with a call that isn't taken.
-func (r *Controller) take(a asker, name, id string, patience time.Duration, k []byte, keyed bool, statement []byte, from From) (q *query, why string) {
-	if why = r.unfit(name, id, patience, keyed, len(statement), from); why != "" {
+func (r *Controller) receiveQuery(a queryOwner, name, id string, patience time.Duration, k []byte, keyed bool, statement []byte, from From) (q *query, why string) {
+	if why = r.validateCall(name, id, patience, keyed, len(statement), from); why != "" {
 		return nil, why
 	}
 	g := r.groups[settings.Plain(name)]
-	r.inHand += len(statement)
-	q = &query{id: id, method: name, asker: a, group: g, statement: append([]byte{}, statement...),
-		takenAt: r.now, deadline: r.now + patience, priority: -1}
-	q.customer = r.customer(from)
-	if g.tokened {
-		q.token = string(from.Fields.Get(r.Words.Token))
+	r.statementBytes += len(statement)
+	q = &query{id: id, groupName: name, owner: a, group: g, statement: append([]byte{}, statement...),
+		receivedAt: r.now, deadline: r.now + patience, priority: -1}
+	q.customer = r.customerIndex(from)
+	if g.needsIdempotencyKey {
+		q.idempotencyKey = string(from.Fields.Get(r.FieldNames.IdempotencyKey))
 	}
-	q.work = time.Duration(told(from.Fields.Get(r.Words.Work), 24*3600*1000) * float64(time.Millisecond))
-	q.need = told(from.Fields.Get(r.Words.Need), 1<<30)
+	q.estimatedWork = time.Duration(parseEstimate(from.Fields.Get(r.FieldNames.EstimatedWork), 24*3600*1000) * float64(time.Millisecond))
+	q.estimatedMemoryMB = parseEstimate(from.Fields.Get(r.FieldNames.EstimatedMemory), 1<<30)
 	number := int64(-1)
 	if g.inOrder {
 		q.key = r.keys.acquire(string(k))
@@ -126,64 +126,64 @@
 		q.deadline = min(q.deadline, q.key.noteArrival(r.now, patience)+patience+keyDeadlineSlack) - min(firstKeySpacing, patience/8)
 	}
 	r.queries[q.id] = q
-	r.tally.taken++
-	if r.Trace {
-		r.trace(q.about(), "taken, key %q (%d), for %v, fields %q", k, number, patience, from.Fields.Names())
+	r.counters.received++
+	if r.TraceQueries {
+		r.trace(q.logFields(), "taken, key %q (%d), for %v, fields %q", k, number, patience, from.Fields.Names())
 	}
-	r.asked = r.now
+	r.lastQueryAt = r.now
 	if r.caching != nil {
 		r.caching.noteMutation(q)
 	}
 	// once all that has come is read: what is taken back in one breath goes nowhere
-	r.soon(func() { r.enter(q, from, number) })
+	r.runSoon(func() { r.dispatch(q, from, number) })
 	return q, ""
 }
 
 // customer is the place of the one that a call names among the settings', -1: none.
-func (r *Controller) customer(from From) int {
-	return slices.Index(r.customers, settings.Plain(string(from.Fields.Get(r.Words.Whose))))
+func (r *Controller) customerIndex(from From) int {
+	return slices.Index(r.customers, settings.Plain(string(from.Fields.Get(r.FieldNames.Customer))))
 }
 
 // enter hands a query on to its turn or to the decisions.
-func (r *Controller) enter(q *query, from From, number int64) {
+func (r *Controller) dispatch(q *query, from From, number int64) {
 	if q.answered {
 		return
 	}
-	q.tables, q.number = msgpackrpc.Tables(q.statement), number
+	q.tableGroup, q.keyNumber = msgpackrpc.Tables(q.statement), number
 	if r.warrant != nil && !r.closing && !r.warrant.admit(q, from) {
 		return
 	}
-	if r.paging != nil && r.keeps(q) { // where it may not be kept it is answered whole
+	if r.paging != nil && r.mayRetain(q) { // where it may not be kept it is answered whole
 		r.paging.reserve(q, from)
 	}
-	if r.caching != nil && !q.answered && r.keeps(q) && !r.caching.lookup(q, from, func(from From) { r.enter(q, from, number) }) {
+	if r.caching != nil && !q.answered && r.mayRetain(q) && !r.caching.lookup(q, from, func(from From) { r.dispatch(q, from, number) }) {
 		return
 	}
 	switch {
 	case q.answered:
-	case r.fair != nil:
-		r.fair.enter(q, from, q.tables, number)
+	case r.fairQueue != nil:
+		r.fairQueue.enqueue(q, from, q.tableGroup, number)
 	default:
-		r.begin(q)
+		r.submitToScheduler(q)
 	}
 }
 
 // keeps: its result or answer may be kept here.
-func (r *Controller) keeps(q *query) bool {
+func (r *Controller) mayRetain(q *query) bool {
 	return r.warrant == nil || r.warrant.residency.mayRetain(q)
 }
 
 // begin hands a query on to the decisions.
-func (r *Controller) begin(q *query) {
+func (r *Controller) submitToScheduler(q *query) {
 	if r.warrant != nil {
 		r.warrant.residency.forwardToScheduler(q)
 		return
 	}
-	r.gate.Take(r.now, q.id, q.group.index, q.customer, q.deadline-r.now, q.tables, q.number, q.work, q.need)
+	r.scheduler.Take(r.now, q.id, q.group.index, q.customer, q.deadline-r.now, q.tableGroup, q.keyNumber, q.estimatedWork, q.estimatedMemoryMB)
 }
 
 // told is a figure that a client tells; one that can't be meant is taken as not told.
-func told(text []byte, most float64) float64 {
+func parseEstimate(text []byte, most float64) float64 {
 	if x, err := strconv.ParseFloat(string(text), 64); err == nil && x >= 0 && x <= most {
 		return x
 	}
@@ -191,96 +191,96 @@
 }
 
 // left: its asker wants no answer any more.
-func (r *Controller) left(q *query) {
-	r.tally.left++
-	r.soon(func() { r.gate.ClientLeft(r.now, q.id) }) // before the end of what was not sent, or it counts as answered
-	r.close(q, fairqueue.Left)
+func (r *Controller) clientGone(q *query) {
+	r.counters.abandoned++
+	r.runSoon(func() { r.scheduler.ClientLeft(r.now, q.id) }) // before the end of what was not sent, or it counts as answered
+	r.closeQuery(q, fairqueue.Left)
 }
 
 var endNames = [...]string{fairqueue.Finished: "finished", fairqueue.Deferred: "deferred", fairqueue.Killed: "killed", fairqueue.Left: "left"}
 
 // close marks the query answered, or no answer owed.
-func (r *Controller) close(q *query, end fairqueue.End) bool {
+func (r *Controller) closeQuery(q *query, end fairqueue.End) bool {
 	if !invariant.Hold(!q.answered, "one final answer a query") {
 		return false
 	}
 	q.answered = true
-	for _, s := range q.subs {
+	for _, s := range q.attempts {
 		if s.permit.Revoke(); !s.sent { // where nothing may be cancelled, too: its key's next would wait for a dial
-			r.withdraw(s, scheduler.NeverSent)
+			r.withdrawAttempt(s, scheduler.NeverSent)
 		}
 	}
-	if r.Trace {
-		r.trace(q.about(), "closed: %s", endNames[end])
+	if r.TraceQueries {
+		r.trace(q.logFields(), "closed: %s", endNames[end])
 	}
-	q.asker.closed()
-	if q.waits {
+	q.owner.closed()
+	if q.blocked {
 		r.warrant.endHold(q)
 	}
-	if r.fair != nil {
-		r.fair.answered(q, end)
+	if r.fairQueue != nil {
+		r.fairQueue.queryClosed(q, end)
 	}
 	if r.caching != nil {
 		r.caching.queryAnswered(q)
 	}
-	r.drop(q)
+	r.forgetQuery(q)
 	return true
 }
 
-func (r *Controller) finished(q *query, pages [][]byte) {
+func (r *Controller) answerFinished(q *query, pages [][]byte) {
 	var others []*query
 	if r.caching != nil && !q.answered {
 		others = r.caching.takeFollowers(q, pages)
 	}
-	if r.close(q, fairqueue.Finished) {
-		r.tally.finished++
-		q.asker.finished(pages)
+	if r.closeQuery(q, fairqueue.Finished) {
+		r.counters.finished++
+		q.owner.finished(pages)
 	}
 	if len(others) > 0 {
 		r.caching.answerFollowers(others, pages)
 	}
 }
 
-func (r *Controller) deferred(q *query, comeBack time.Duration) {
-	if !q.answered && r.close(q, fairqueue.Deferred) {
-		r.tally.deferred++
-		q.asker.deferred(comeBack)
+func (r *Controller) answerDeferred(q *query, comeBack time.Duration) {
+	if !q.answered && r.closeQuery(q, fairqueue.Deferred) {
+		r.counters.deferred++
+		q.owner.deferred(comeBack)
 	}
 }
 
-func (r *Controller) killed(q *query, why string) {
-	if !q.answered && r.close(q, fairqueue.Killed) {
-		r.tally.killed++
-		q.asker.killed(why)
+func (r *Controller) answerKilled(q *query, why string) {
+	if !q.answered && r.closeQuery(q, fairqueue.Killed) {
+		r.counters.killed++
+		q.owner.killed(why)
 	}
 }
 
 // drop forgets a query once it is answered and nothing of it is out.
-func (r *Controller) drop(q *query) {
+func (r *Controller) forgetQuery(q *query) {
 	if !q.answered {
 		return
 	}
-	for _, s := range q.subs {
-		if !s.told {
+	for _, s := range q.attempts {
+		if !s.reported {
 			return
 		}
 	}
 	if r.queries[q.id] == q {
 		// the decisions may still have a word on it in this very step
-		r.soon(func() {
+		r.runSoon(func() {
 			if r.queries[q.id] == q {
 				delete(r.queries, q.id)
 				if r.paging != nil {
 					r.paging.queryOver(q)
 				}
-				if r.fair != nil {
-					r.fair.over(q)
+				if r.fairQueue != nil {
+					r.fairQueue.queryOver(q)
 				}
 				if r.caching != nil {
 					r.caching.queryOver(q)
 				}
-				r.inHand -= len(q.statement)
-				q.statement, q.subs = nil, nil // what is due for it may outlive it
+				r.statementBytes -= len(q.statement)
+				q.statement, q.attempts = nil, nil // what is due for it may outlive it
 				if q.key != nil {
 					r.keys.release(q.key, r.now)
 				}
--- a/internal/controller/relay.go
+++ b/internal/controller/relay.go
@@ -48,16 +48,16 @@
 
 // Event is one thing that happened.
 type Event struct {
-	Kind       EventKind
-	Connection *Connection
-	N          int
-	Last       bool // with Got: its end came right behind, nothing more follows
+	Kind        EventKind
+	Connection  *Connection
+	ByteCount   int
+	EndOfStream bool // with Got: its end came right behind, nothing more follows
 	// We stood still, and this came meanwhile: what is due waits until all of it was heard, as a
 	// Woken then says. An answer that lies here unread is not late.
-	Early bool
-	Feed  string
-	Fair  *fairqueue.Shape // with Reload: the teams, nil to leave them as they are
-	Work  *spool.Work
+	Backlogged       bool
+	DiscoveryAddress string
+	Tenants          *fairqueue.Shape // with Reload: the teams, nil to leave them as they are
+	SpoolWork        *spool.Work
 
 	Order  *fleet.Order
 	Report *fleet.Report // with Untold
@@ -83,171 +83,171 @@
 	Kind       EffectKind
 	Connection *Connection
 	Address    string
-	Within     time.Duration
+	Timeout    time.Duration
 	Bytes      []byte
-	Gently     bool
+	Graceful   bool
 	Abort      bool
-	Loud       bool
-	Fine       bool
+	Warning    bool
+	Trace      bool
 	Text       string
-	About      LogFields // with Say
-	N          int
-	Work       *spool.Work
+	Fields     LogFields // with Say
+	QueryCount int
+	SpoolWork  *spool.Work
 	// with Write: the version these bytes were decided by, 0: none. They go out only
 	// while the fleet's word is that version, by the lease of bound teams if Bound.
-	Guard uint64
-	Bound bool
-	Kept  bool // with Write: what is kept of a team, which goes out only while the lease of bound teams holds
+	PolicyVersion uint64
+	Confined      bool
+	Retained      bool // with Write: what is kept of a team, which goes out only while the lease of bound teams holds
 	// with Write of what starts a query: Permit is asked right before the first byte, and
 	// what came from For, its client's connection, and was not stepped yet goes before it
 	Permit *WritePermit
-	For    *Connection
+	Client *Connection
 	Report *fleet.Report
 }
 
 // LogFields is what a line of the log is about; the log has each under its own name,
 // the same everywhere.
 type LogFields struct {
-	Query, Group, Team, Engine string
-	Try                        int // from 1, 0: none
+	Query, Group, Tenant, Engine string
+	Attempt                      int // from 1, 0: none
 }
 
 // Connection is one connection, up or being dialled. What it is for stands in its
 // closures: each is handed the events that concern it.
 type Connection struct {
-	In   bytebuf.Buffer
-	From netip.Addr // of a client
-
-	up      func()
-	failed  func(refused bool)
-	got     func()
-	last    func() // nothing more comes; nil: that is told by ended alone
-	ended   func()
-	closed  bool
-	pending int // bytes asked to be written and not out yet
-	held    int // memory of its buffer, as last looked at
+	Received      bytebuf.Buffer
+	RemoteAddress netip.Addr // of a client
+
+	onConnected    func()
+	onDialFailed   func(refused bool)
+	onBytes        func()
+	onEndOfStream  func() // nothing more comes; nil: that is told by ended alone
+	onClosed       func()
+	closed         bool
+	unwrittenBytes int // bytes asked to be written and not out yet
+	bufferBytes    int // memory of its buffer, as last looked at
 }
 
 // Config are the limits and facts that the program starts with.
 type Config struct {
-	Seed     uint64
-	MemoryMB float64
-	Sockets  int
-	Feed     string
-	Known    []byte
-	Facts    map[string]string
-	Fair     *fairqueue.Shape // teams, nil: there are none and whoever comes first goes first
-	Words    FieldNames
-	Spool    *SpoolConfig        // nil: results are answered whole
-	Answers  *resultcache.Limits // nil: every query goes to an engine
-	Draw     func() uint64       // a number that no other controller draws, for the names of purges; nil: the start's time
-	Fleet    *FleetConfig        // nil: it has no peers
-	Manners  []ClientLimits      // of clients, by address; whoever is in no set has the platform's
-	Started  time.Time           // what the list's clock times are told against
-	Trace    bool                // say every call of every query: who reads it follows one id through what became of it
+	Seed             uint64
+	MemoryMB         float64
+	Sockets          int
+	DiscoveryAddress string
+	KnownEngines     []byte
+	Settings         map[string]string
+	Tenants          *fairqueue.Shape // teams, nil: there are none and whoever comes first goes first
+	FieldNames       FieldNames
+	Spool            *SpoolConfig        // nil: results are answered whole
+	ResultCache      *resultcache.Limits // nil: every query goes to an engine
+	DrawUnique       func() uint64       // a number that no other controller draws, for the names of purges; nil: the start's time
+	Fleet            *FleetConfig        // nil: it has no peers
+	ClientLimits     []ClientLimits      // of clients, by address; whoever is in no set has the platform's
+	StartedAt        time.Time           // what the list's clock times are told against
+	TraceQueries     bool                // say every call of every query: who reads it follows one id through what became of it
 }
 
 // spare: a third of the descriptors is for clients; of the rest some is kept
 // back for the listener, the feed, the runtime and connections on their way out.
-func (m Config) spare() int { return 16 + m.Sockets/32 }
+func (m Config) reservedSockets() int { return 16 + m.Sockets/32 }
 
 // ClientsMost is how many connections of clients there may be with those that
 // are on their way out.
-func (m Config) ClientsMost() int { return max(1, m.Sockets/3) + m.spare()/2 }
+func (m Config) MaxClientConnections() int { return max(1, m.Sockets/3) + m.reservedSockets()/2 }
 
 // Controller is one controller.
 type Controller struct {
 	Config
-	gate  *scheduler.Scheduler
-	now   time.Duration
-	out   []Effect
-	later []func() // for the decisions, which must not be called while they act
-	due   timerqueue.Times
-	woken time.Duration // when the next Woken is due, -1 if none
-	tally tally
-
-	hand
-	crowd
-	messageMost int
-
-	engines   map[string]*engine
-	atAddress map[string]*engine // the one that has an address now
-	pool      pool
-	feed      feed
-	groups    map[string]*group
-	customers []string // by their places in the settings
-	fair      *fairness
-	paging    *resultPaging
-	caching   *resultCaching
-	purges    *invalidation
-	warrant   *servingLease
-
-	buffered     int // memory of all connections' buffers
-	bufferedMost int
-
-	connectWithin, lineIdle, keyRest time.Duration
-	longest                          time.Duration // what any query may take
-	reports, inline, copies, cancels bool
-	stopping                         bool
-	stopAt, asked                    time.Duration // when told to stop, when a query last came
-	closing                          bool
-	serves                           bool // what is written right now is kept: of the spool, or an answer from the cache
+	scheduler *scheduler.Scheduler
+	now       time.Duration
+	effects   []Effect
+	callbacks []func() // for the decisions, which must not be called while they act
+	timers    timerqueue.Times
+	timerAt   time.Duration // when the next Woken is due, -1 if none
+	counters  counters
+
+	queryTable
+	clientTable
+	maxMessageBytes int
+
+	engines         map[string]*engine
+	engineByAddress map[string]*engine // the one that has an address now
+	pool            connectionPool
+	discovery       discoveryWatch
+	groups          map[string]*group
+	customers       []string // by their places in the settings
+	fairQueue       *fairQueue
+	paging          *resultPaging
+	caching         *resultCaching
+	purges          *invalidation
+	warrant         *servingLease
+
+	bufferedBytes    int // memory of all connections' buffers
+	maxBufferedBytes int
+
+	connectTimeout, engineIdleTimeout, keyReuseDelay               time.Duration
+	longestQueryTimeout                                            time.Duration // what any query may take
+	enginesReportLoad, loadReportsInResponses, mayHedge, mayCancel bool
+	stopping                                                       bool
+	stopRequestedAt, lastQueryAt                                   time.Duration // when told to stop, when a query last came
+	closing                                                        bool
+	writingRetained                                                bool // what is written right now is kept: of the spool, or an answer from the cache
 }
 
 // group is a resource group as far as the sockets need to know it.
 type group struct {
-	index           int
-	name            string
-	inOrder, load   bool
-	readOnly        bool
-	tokened         bool
-	timeout, target time.Duration
-	threads, value  float64
+	index                     int
+	name                      string
+	inOrder, isLoad           bool
+	readOnly                  bool
+	needsIdempotencyKey       bool
+	timeout, latencyObjective time.Duration
+	threads, priorityWeight   float64
 }
 
 // New makes a controller and what it does first.
 func New(means Config) (*Controller, []Effect) {
-	r := &Controller{Config: means, woken: -1, hand: hand{queries: map[string]*query{}},
-		engines: map[string]*engine{}, atAddress: map[string]*engine{}, groups: map[string]*group{}}
-	f := means.Facts
-	r.connectWithin, r.lineIdle = r.span("connect.timeout"), r.span("idle.most")
-	r.keyRest = r.span("key.rest")
-	r.reports = f["report.how"] != "off" && f["report.how"] != ""
-	r.inline = f["report.how"] == "answers"
-	r.copies = f["may.copy"] == "true"
-	r.cancels = f["may.cancel"] == "true"
+	r := &Controller{Config: means, timerAt: -1, queryTable: queryTable{queries: map[string]*query{}},
+		engines: map[string]*engine{}, engineByAddress: map[string]*engine{}, groups: map[string]*group{}}
+	f := means.Settings
+	r.connectTimeout, r.engineIdleTimeout = r.durationSetting("connect.timeout"), r.durationSetting("idle.most")
+	r.keyReuseDelay = r.durationSetting("key.rest")
+	r.enginesReportLoad = f["report.how"] != "off" && f["report.how"] != ""
+	r.loadReportsInResponses = f["report.how"] == "answers"
+	r.mayHedge = f["may.copy"] == "true"
+	r.mayCancel = f["may.cancel"] == "true"
 	r.keys = newKeyTable()
 	// their ends and their next connections may cross: a little over a third is let in
-	r.manners = newManners(means.Manners)
-	r.clientsMost = max(1, means.Sockets/3) + means.spare()/4
-	r.pool.most = max(2, means.Sockets-means.Sockets/3-means.spare())
+	r.clientLimits = newClientLimitTable(means.ClientLimits)
+	r.maxClients = max(1, means.Sockets/3) + means.reservedSockets()/4
+	r.pool.limit = max(2, means.Sockets-means.Sockets/3-means.reservedSockets())
 	memory := int(means.MemoryMB * (1 << 20))
-	r.messageMost, r.unreadMost, r.inHandMost = max(1<<16, memory/64), max(1<<18, memory/8), max(1<<18, memory/8)
-	r.bufferedMost = max(1<<20, memory/8)
+	r.maxMessageBytes, r.maxUnreadBytes, r.maxStatementBytes = max(1<<16, memory/64), max(1<<18, memory/8), max(1<<18, memory/8)
+	r.maxBufferedBytes = max(1<<20, memory/8)
 	groups, _ := strconv.Atoi(f["groups"])
 	for i := range groups {
 		at := "group." + strconv.Itoa(i) + "."
-		g := &group{index: i, name: f[at+"name"], inOrder: f[at+"in-order"] == "true", load: item(f["loads"], i) == "true",
-			readOnly: f[at+"effect"] == "read-only", tokened: f[at+"effect"] == "tokened"}
-		g.read(r)
+		g := &group{index: i, name: f[at+"name"], inOrder: f[at+"in-order"] == "true", isLoad: listItem(f["loads"], i) == "true",
+			readOnly: f[at+"effect"] == "read-only", needsIdempotencyKey: f[at+"effect"] == "tokened"}
+		g.readSettings(r)
 		r.groups[settings.Plain(g.name)] = g
-		r.longest = max(r.longest, g.timeout)
+		r.longestQueryTimeout = max(r.longestQueryTimeout, g.timeout)
 	}
-	r.named()
-	r.gate = scheduler.New(r, means.Seed, f)
-	if len(means.Known) > 0 {
-		if err := discovery.Known(means.Known, r); err != nil {
-			r.say(true, "the known list can't be read: "+err.Error())
+	r.readCustomers()
+	r.scheduler = scheduler.New(r, means.Seed, f)
+	if len(means.KnownEngines) > 0 {
+		if err := discovery.Known(means.KnownEngines, r); err != nil {
+			r.logMessage(true, "the known list can't be read: "+err.Error())
 		}
 	}
-	if means.Fair != nil {
-		r.fair = newFairness(r, means.Fair, means.Words)
+	if means.Tenants != nil {
+		r.fairQueue = newFairQueue(r, means.Tenants, means.FieldNames)
 	}
 	if means.Spool != nil {
 		r.paging = newResultPaging(r, means.Spool)
 	}
-	if means.Answers != nil {
-		r.caching = newResultCaching(r, means.Answers)
+	if means.ResultCache != nil {
+		r.caching = newResultCaching(r, means.ResultCache)
 	}
 	if r.paging != nil || r.caching != nil {
 		r.purges = newInvalidation(r)
@@ -264,232 +264,234 @@
 			r.paging.core.Serves = r.warrant.residency.mayServe
 		}
 	}
-	r.feed.spoilt = -1
-	r.follow()
+	r.discovery.unreadableAfter = -1
+	r.connectDiscovery()
 	r.sweep()
-	r.settle(false)
-	return r, r.out
+	r.runPending(false)
+	return r, r.effects
 }
 
 // read takes from the settings what of a group may change while it runs.
-func (g *group) read(r *Controller) {
+func (g *group) readSettings(r *Controller) {
 	at := "group." + strconv.Itoa(g.index) + "."
-	g.timeout, g.target = r.span(at+"timeout"), r.span(at+"target")
-	g.threads, g.value = max(1, number(item(r.Facts["threads"], g.index))), number(r.Facts[at+"value"])
+	g.timeout, g.latencyObjective = r.durationSetting(at+"timeout"), r.durationSetting(at+"target")
+	g.threads, g.priorityWeight = max(1, parseNumber(listItem(r.Settings["threads"], g.index))), parseNumber(r.Settings[at+"value"])
 }
 
 // named takes the customers from the settings.
-func (r *Controller) named() {
+func (r *Controller) readCustomers() {
 	r.customers = nil
-	n, _ := strconv.Atoi(r.Facts["teams"])
+	n, _ := strconv.Atoi(r.Settings["teams"])
 	for i := range n {
-		r.customers = append(r.customers, settings.Plain(r.Facts["team."+strconv.Itoa(i)+".name"]))
+		r.customers = append(r.customers, settings.Plain(r.Settings["team."+strconv.Itoa(i)+".name"]))
 	}
 }
 
-func item(list string, i int) string {
+func listItem(list string, i int) string {
 	if l := strings.Split(list, ","); i < len(l) {
 		return l[i]
 	}
 	return ""
 }
 
-func number(text string) float64 {
+func parseNumber(text string) float64 {
 	x, _ := strconv.ParseFloat(text, 64)
 	return x
 }
 
-func (r *Controller) span(name string) time.Duration {
-	ms, _ := strconv.ParseFloat(r.Facts[name], 64)
+func (r *Controller) durationSetting(name string) time.Duration {
+	ms, _ := strconv.ParseFloat(r.Settings[name], 64)
 	return time.Duration(ms * float64(time.Millisecond))
 }
 
 // Step takes an event and gives the effects it leads to, valid until the next.
 func (r *Controller) Step(now time.Duration, ev Event) []Effect {
 	r.step(now, ev)
-	return r.out
+	return r.effects
 }
 
 func (r *Controller) step(now time.Duration, ev Event) {
 	r.now = max(now, r.now)
-	clear(r.out)
-	r.out = r.out[:0]
+	clear(r.effects)
+	r.effects = r.effects[:0]
 	l := ev.Connection
 	if !invariant.Debug {
-		defer r.caught(l)
+		defer r.recoverStep(l)
 	}
 	if r.warrant != nil {
 		r.warrant.updateServing()
 	}
 	switch ev.Kind {
 	case ClientAccepted:
-		r.accept(l)
+		r.acceptClient(l)
 	case Connected:
 		if !l.closed {
-			l.up()
+			l.onConnected()
 		}
 	case ConnectRefused, ConnectTimedOut:
 		l.closed = true
-		l.failed(ev.Kind == ConnectRefused)
+		l.onDialFailed(ev.Kind == ConnectRefused)
 	case BytesReceived:
 		if !l.closed {
-			l.In.Took(ev.N)
-			l.got()
-			if ev.Last && l.last != nil {
-				l.last()
+			l.Received.Took(ev.ByteCount)
+			l.onBytes()
+			if ev.EndOfStream && l.onEndOfStream != nil {
+				l.onEndOfStream()
 			}
-			r.holds(l, l.In.Held())
-			if r.buffered > r.bufferedMost {
-				r.relieve()
+			r.accountBuffer(l, l.Received.Held())
+			if r.bufferedBytes > r.maxBufferedBytes {
+				r.relieveBuffers()
 			}
 		}
 	case BytesWritten:
-		r.wrote(l, ev.N)
+		r.noteWritten(l, ev.ByteCount)
 	case ConnectionClosed:
 		l.closed = true
-		l.ended()
-		l.pending = 0
-		r.holds(l, 0)
+		l.onClosed()
+		l.unwrittenBytes = 0
+		r.accountBuffer(l, 0)
 	case TimerFired:
-		r.woken = -1
+		r.timerAt = -1
 	case ShutdownRequested:
-		r.stop()
+		r.beginShutdown()
 	case CountersRequested:
-		r.count()
+		r.logCounters()
 	case SpoolWorkDone:
-		r.paging.workDone(ev.Work)
+		r.paging.workDone(ev.SpoolWork)
 	case FleetOrdered:
 		r.warrant.handleFleetOrder(ev.Order)
 	case FleetReportRejected:
 		r.warrant.reportRejected(ev.Report)
 	case WriteBarred:
-		r.tally.barred++
+		r.counters.barredWrites++
 		if r.warrant != nil {
 			r.warrant.rejectedWrites++
 		}
 	case ConfigurationReloaded:
-		r.refeed(ev.Feed)
-		if r.fair != nil && ev.Fair != nil && r.warrant == nil { // where there are peers teams are the fleet's to change
-			r.fair.reload(ev.Fair)
+		r.changeDiscoveryAddress(ev.DiscoveryAddress)
+		if r.fairQueue != nil && ev.Tenants != nil && r.warrant == nil { // where there are peers teams are the fleet's to change
+			r.fairQueue.reload(ev.Tenants)
 		}
 	}
-	r.settle(ev.Early)
+	r.runPending(ev.Backlogged)
 }
 
 // caught: a fault of ours costs the connection that it came by, not all that is
 // served on the others.
-func (r *Controller) caught(l *Connection) {
+func (r *Controller) recoverStep(l *Connection) {
 	if fault := recover(); fault != nil {
 		invariant.Hold(false, "no step fails")
-		r.say(true, fmt.Sprintf("a fault: %v at %s", fault, debug.Stack()))
+		r.logMessage(true, fmt.Sprintf("a fault: %v at %s", fault, debug.Stack()))
 		if l != nil {
-			r.shut(l, false)
+			r.closeConnection(l, false)
 		}
-		if r.woken < 0 { // the next step settles what this one could not
-			r.woken = r.now + time.Millisecond
-			r.do(Effect{Kind: SetTimer, Within: time.Millisecond})
+		if r.timerAt < 0 { // the next step settles what this one could not
+			r.timerAt = r.now + time.Millisecond
+			r.emit(Effect{Kind: SetTimer, Timeout: time.Millisecond})
 		}
 	}
 }
 
 // settle does what is due and tells the decisions what waits to be told; early, only the latter.
-func (r *Controller) settle(early bool) {
+func (r *Controller) runPending(early bool) {
 	for {
-		if len(r.later) > 0 {
-			do := r.later[0]
-			r.later = r.later[1:]
+		if len(r.callbacks) > 0 {
+			do := r.callbacks[0]
+			r.callbacks = r.callbacks[1:]
 			do()
-		} else if do, ok := r.overdue(early); ok {
+		} else if do, ok := r.nextDue(early); ok {
 			do()
-		} else if r.fair == nil || r.warrant != nil && r.warrant.paused() || !r.fair.next() {
+		} else if r.fairQueue == nil || r.warrant != nil && r.warrant.paused() || !r.fairQueue.dispatchNext() {
 			break
 		}
 	}
-	r.later = nil
+	r.callbacks = nil
 	if !early {
-		r.leave()
+		r.continueShutdown()
 	}
-	if at, ok := r.due.First(); ok && (r.woken < 0 || at < r.woken) {
-		r.woken = at
-		r.do(Effect{Kind: SetTimer, Within: max(0, at-r.now)})
+	if at, ok := r.timers.First(); ok && (r.timerAt < 0 || at < r.timerAt) {
+		r.timerAt = at
+		r.emit(Effect{Kind: SetTimer, Timeout: max(0, at-r.now)})
 	}
 	if invariant.Debug {
 		for id, e := range r.engines {
-			out, known := r.gate.InFlight(id)
-			invariant.Hold(!known || out == e.untold, "decisions know what is out")
+			out, known := r.scheduler.InFlight(id)
+			invariant.Hold(!known || out == e.unreportedAttempts, "decisions know what is out")
 		}
 	}
-	invariant.Hold(r.pool.links >= 0 && r.pool.links <= r.pool.most, "engine links within their part")
+	invariant.Hold(r.pool.open >= 0 && r.pool.open <= r.pool.limit, "engine links within their part")
 }
 
-func (r *Controller) overdue(early bool) (func(), bool) {
+func (r *Controller) nextDue(early bool) (func(), bool) {
 	if early {
 		return nil, false
 	}
-	return r.due.Next(r.now)
+	return r.timers.Next(r.now)
 }
 
-func (r *Controller) do(e Effect)                         { r.out = append(r.out, e) }
-func (r *Controller) at(when time.Duration, what func())  { r.due.Add(when, what) }
-func (r *Controller) after(span time.Duration, do func()) { r.due.Add(r.now+span, do) }
-func (r *Controller) say(loud bool, text string) {
-	r.do(Effect{Kind: LogMessage, Loud: loud, Text: text})
+func (r *Controller) emit(e Effect)                          { r.effects = append(r.effects, e) }
+func (r *Controller) runAt(when time.Duration, what func())  { r.timers.Add(when, what) }
+func (r *Controller) runAfter(span time.Duration, do func()) { r.timers.Add(r.now+span, do) }
+func (r *Controller) logMessage(loud bool, text string) {
+	r.emit(Effect{Kind: LogMessage, Warning: loud, Text: text})
 }
-func (r *Controller) sayOf(about LogFields, text string) {
-	r.do(Effect{Kind: LogMessage, Text: text, About: about})
+func (r *Controller) logAbout(about LogFields, text string) {
+	r.emit(Effect{Kind: LogMessage, Text: text, Fields: about})
 }
 
 // trace says what becomes of a query, step by step. Callers ask for Trace first, so
 // that nothing is made on every call for a log that nobody reads.
 func (r *Controller) trace(about LogFields, what string, more ...any) {
-	r.do(Effect{Kind: LogMessage, Fine: true, About: about, Text: fmt.Sprintf(what, more...)})
+	r.emit(Effect{Kind: LogMessage, Trace: true, Fields: about, Text: fmt.Sprintf(what, more...)})
 }
 
-func (q *query) about() LogFields { return LogFields{Query: q.id, Group: q.group.name} }
+func (q *query) logFields() LogFields { return LogFields{Query: q.id, Group: q.group.name} }
 
-func (s *submission) about() LogFields {
-	a := s.q.about()
-	a.Engine, a.Try = s.e.id, s.try+1
+func (s *attempt) logFields() LogFields {
+	a := s.query.logFields()
+	a.Engine, a.Attempt = s.engine.id, s.number+1
 	return a
 }
 
-func (r *Controller) count() {
-	r.do(Effect{Kind: LogCounters, Text: r.tally.text(r), N: r.tally.taken})
+func (r *Controller) logCounters() {
+	r.emit(Effect{Kind: LogCounters, Text: r.counters.text(r), QueryCount: r.counters.received})
 }
-func (r *Controller) soon(what func()) { r.later = append(r.later, what) }
+func (r *Controller) runSoon(what func()) { r.callbacks = append(r.callbacks, what) }
 
-func (r *Controller) write(l *Connection, p []byte) { r.writeBy(l, p, nil) }
+func (r *Controller) write(l *Connection, p []byte) { r.writeAttempt(l, p, nil) }
 
 // writeBy writes what starts a submission, which goes out only while the fleet's word is the
 // version it was decided by, and by its permit; nil: anything else.
-func (r *Controller) writeBy(l *Connection, p []byte, s *submission) {
+func (r *Controller) writeAttempt(l *Connection, p []byte, s *attempt) {
 	if l.closed || len(p) == 0 {
 		return
 	}
-	l.pending += len(p)
-	e := Effect{Kind: Write, Connection: l, Bytes: p, Kept: r.serves}
+	l.unwrittenBytes += len(p)
+	e := Effect{Kind: Write, Connection: l, Bytes: p, Retained: r.writingRetained}
 	if s != nil {
-		e.Guard, e.Bound, e.Permit, e.For = s.version, s.q.bound, s.permit, s.q.asker.from()
+		e.PolicyVersion, e.Confined, e.Permit, e.Client = s.policyVersion, s.query.confined, s.permit, s.query.owner.connection()
 	}
-	r.do(e)
+	r.emit(e)
 }
 
-func (r *Controller) holds(l *Connection, bytes int) {
-	r.buffered += bytes - l.held
-	l.held = bytes
+func (r *Controller) accountBuffer(l *Connection, bytes int) {
+	r.bufferedBytes += bytes - l.bufferBytes
+	l.bufferBytes = bytes
 }
 
-func (r *Controller) wrote(l *Connection, n int) { l.pending = max(0, l.pending-n) }
+func (r *Controller) noteWritten(l *Connection, n int) { l.unwrittenBytes = max(0, l.unwrittenBytes-n) }
 
 // shut closes a link for good; its Ended comes when its descriptor is free.
-func (r *Controller) shut(l *Connection, gently bool) { r.shutWithin(l, gently, wholeMost) }
+func (r *Controller) closeConnection(l *Connection, gently bool) {
+	r.closeWithin(l, gently, messageTimeout)
+}
 
 // shutWithin closes a link; gently, its peer has so long to take what was written and to
 // close its own side: a close over bytes that nobody read would reset what it has not taken.
-func (r *Controller) shutWithin(l *Connection, gently bool, within time.Duration) {
+func (r *Controller) closeWithin(l *Connection, gently bool, within time.Duration) {
 	if !l.closed {
 		l.closed = true
-		r.do(Effect{Kind: Close, Connection: l, Gently: gently, Within: within})
+		r.emit(Effect{Kind: Close, Connection: l, Graceful: gently, Timeout: within})
 	}
 }
 
@@ -497,19 +499,19 @@
 
 // sweep is the one periodic timer.
 func (r *Controller) sweep() {
-	r.after(sweepEvery, r.sweep)
-	r.sweepLines()
+	r.runAfter(sweepEvery, r.sweep)
+	r.closeIdleConnections()
 	r.sweepEngines()
 	r.sweepClients()
-	r.keys.forgetIdle(r.now - max(r.keyRest, min(r.longest, maxKeyGap)))
+	r.keys.forgetIdle(r.now - max(r.keyReuseDelay, min(r.longestQueryTimeout, maxKeyGap)))
 }
 
-func (r *Controller) stop() {
+func (r *Controller) beginShutdown() {
 	if !r.stopping {
-		r.stopping, r.stopAt = true, r.now
-		r.say(false, "stopping once all is answered")
-		r.after(stopGrace, func() {})
-		r.after(stopStays, func() {})
+		r.stopping, r.stopRequestedAt = true, r.now
+		r.logMessage(false, "stopping once all is answered")
+		r.runAfter(stopGrace, func() {})
+		r.runAfter(stopStays, func() {})
 	}
 }
 
@@ -528,36 +530,36 @@
 // leave ends the program once it was told to and all that was taken is answered.
 // What still comes after the grace is the decisions' to turn away, or the end
 // might never come; nor does it wait for clients that don't read.
-func (r *Controller) leave() {
-	past := r.now - r.stopAt
+func (r *Controller) continueShutdown() {
+	past := r.now - r.stopRequestedAt
 	if !r.stopping || past < stopGrace {
 		return
 	}
 	if !r.closing {
 		r.closing = true
-		r.gate.Closing(r.now)
-		if r.fair != nil {
-			r.fair.close()
+		r.scheduler.Closing(r.now)
+		if r.fairQueue != nil {
+			r.fairQueue.deferAll()
 		}
 		if r.warrant != nil {
 			r.warrant.deferAllHeld()
 		}
 	}
-	busy := past < stopStays || len(r.queries) > 0 || past < stopMost && (r.now-r.asked < stopQuiet || r.gives())
+	busy := past < stopStays || len(r.queries) > 0 || past < stopMost && (r.now-r.lastQueryAt < stopQuiet || r.cancellationsPending())
 	for _, c := range r.clients {
-		busy = busy || c.link.pending > 0 && (c.stuck < 0 || r.now-c.stuck < stopGrace)
+		busy = busy || c.connection.unwrittenBytes > 0 && (c.stalledSince < 0 || r.now-c.stalledSince < stopGrace)
 	}
 	if !busy {
 		r.stopping = false
-		r.count()
-		r.do(Effect{Kind: Exit})
+		r.logCounters()
+		r.emit(Effect{Kind: Exit})
 	}
 }
 
 // gives: something that was given up is not yet over at its engine, which would work on for nobody.
-func (r *Controller) gives() bool {
+func (r *Controller) cancellationsPending() bool {
 	for _, e := range r.engines {
-		if len(e.leaving) > 0 {
+		if len(e.cancelling) > 0 {
 			return true
 		}
 	}
--- a/internal/controller/relay_test.go
+++ b/internal/controller/relay_test.go
@@ -107,9 +107,9 @@
 	a := s.query(s.connect(), "lookup", "", 20*time.Second, 1)
 	s.reply(s.one("POST", a.id), "runs")
 	h := s.one("GET", a.id)
-	s.r.soon(func() { s.r.Cancel(a.id, 0) }) // as the decisions do when they move it
+	s.r.runSoon(func() { s.r.Cancel(a.id, 0) }) // as the decisions do when they move it
 	s.step(Event{Kind: TimerFired})
-	if len(a.subs) != 1 || len(s.r.queries[a.id].subs) != 2 {
+	if len(a.subs) != 1 || len(s.r.queries[a.id].attempts) != 2 {
 		t.Fatal("sent again while the first is being given up there")
 	}
 	s.reply(s.one("DELETE", a.id), "")
@@ -145,10 +145,10 @@
 		}
 		s.flush()
 		s.until(s.now + 2*time.Second)
-		if none != (len(a.subs) == 1 && s.r.tally.ends[7] == 1) && none {
-			t.Fatalf("not sent once more: %d, %v", len(a.subs), s.r.tally.ends)
+		if none != (len(a.subs) == 1 && s.r.counters.attemptEnds[7] == 1) && none {
+			t.Fatalf("not sent once more: %d, %v", len(a.subs), s.r.counters.attemptEnds)
 		}
-		if !none && s.r.tally.ends[7] > 0 {
+		if !none && s.r.counters.attemptEnds[7] > 0 {
 			t.Fatal("what was written passes for never sent")
 		}
 	}
@@ -172,7 +172,7 @@
 			}
 		}
 	}
-	if s.r.tally.waited == 0 {
+	if s.r.counters.queuedCalls == 0 {
 		t.Fatal("there was no shortage")
 	}
 }
@@ -196,7 +196,7 @@
 	s := newStage(t, 1, 256, nil)
 	a := s.query(s.connect(), "load", "k", 20*time.Second, 1)
 	s.one("POST", a.id)
-	if q := s.r.queries[a.id]; q.grantMB != 6553 || q.priority < 1 ||
+	if q := s.r.queries[a.id]; q.memoryGrantMB != 6553 || q.priority < 1 ||
 		!strings.Contains(strings.Join(s.log, "\n"), fmt.Sprintf(`Pool-Mb: 6553\r\nPool-Rank: %d\r\n`, q.priority)) {
 		t.Fatal(s.log)
 	}
@@ -212,11 +212,11 @@
 	s.all()[0].silent, s.all()[1].silent = true, true
 	a := s.query(c, "lookup", "", 3*time.Second, 1)
 	s.until(s.now + 20*time.Millisecond)
-	if s.r.tally.probes == 0 || s.r.tally.submissions > 0 {
-		t.Fatal("not looked at first: ", s.r.tally.text(s.r))
+	if s.r.counters.healthChecks == 0 || s.r.counters.attempts > 0 {
+		t.Fatal("not looked at first: ", s.r.counters.text(s.r))
 	}
 	s.until(s.now + 4*time.Second)
-	if len(a.subs) > 0 || a.answer != "deferred" || s.r.tally.ends[0] > 0 {
+	if len(a.subs) > 0 || a.answer != "deferred" || s.r.counters.attemptEnds[0] > 0 {
 		t.Fatalf("%q after %d", a.answer, len(a.subs))
 	}
 }
@@ -226,11 +226,11 @@
 	a := s.query(s.connect(), "lookup", "", 3*time.Second, 1)
 	s.reply(s.one("POST", a.id), "ok")
 	s.until(s.now + 100*time.Millisecond)
-	if s.r.pool.links == 0 {
+	if s.r.pool.open == 0 {
 		t.Fatal("none is kept for the next call")
 	}
 	s.until(s.now + 14*time.Second)
-	if s.r.pool.links > 0 {
+	if s.r.pool.open > 0 {
 		t.Fatal("kept for as long as the engine keeps it")
 	}
 }
@@ -244,9 +244,9 @@
 		h := s.one("GET", a.id)
 		s.good(h.s)
 		s.reply(h, how)
-		s.until(s.now + answerMost + 100*time.Millisecond)
-		if a.answer != "finished" || len(a.subs) != 1 || s.r.tally.ends[0] != 1 {
-			t.Fatalf("%s: %q, %s", how, a.answer, s.r.tally.text(s.r))
+		s.until(s.now + responseTimeout + 100*time.Millisecond)
+		if a.answer != "finished" || len(a.subs) != 1 || s.r.counters.attemptEnds[0] != 1 {
+			t.Fatalf("%s: %q, %s", how, a.answer, s.r.counters.text(s.r))
 		}
 	}
 }
@@ -297,7 +297,7 @@
 	s := newStage(t, 0, 256, map[string]string{"group.0.timeout": "5000", "group.1.timeout": "5000", "group.2.timeout": "5000"})
 	s.until(s.now + 10*time.Millisecond)
 	sizes := func() [6]int {
-		return [6]int{len(s.r.engines), len(s.r.queries), len(s.r.keys.byName), len(s.r.clients), s.r.inHand, s.r.gate.EntryCount()}
+		return [6]int{len(s.r.engines), len(s.r.queries), len(s.r.keys.byName), len(s.r.clients), s.r.statementBytes, s.r.scheduler.EntryCount()}
 	}
 	var early [6]int
 	for i := range 1500 { // each engine serves a few, then another takes its place and its address
@@ -334,8 +334,8 @@
 			t.Fatalf("grows: %v, then %v", early, late)
 		}
 	}
-	if s.r.tally.finished < 1000 {
-		t.Fatal("finished only ", s.r.tally.finished)
+	if s.r.counters.finished < 1000 {
+		t.Fatal("finished only ", s.r.counters.finished)
 	}
 }
 
@@ -345,7 +345,7 @@
 	}
 	s := newStage(t, 1, 256, nil)
 	c, other := s.connect(), s.connect()
-	c.link.got = func() { panic("of ours") }
+	c.link.onBytes = func() { panic("of ours") }
 	s.read(c, []byte{0x94})
 	if !c.gone || other.gone || !strings.Contains(strings.Join(s.said, ""), "of ours") {
 		t.Fatal(s.said)
@@ -361,7 +361,7 @@
 func TestDueTimesLeaveWithWhatTheyAreFor(t *testing.T) {
 	s := newStage(t, 1, 256, nil)
 	s.until(s.now + 10*time.Millisecond)
-	before := s.r.due.Len() + s.r.gate.EntryCount()
+	before := s.r.timers.Len() + s.r.scheduler.EntryCount()
 	c := s.connect()
 	for range 200 { // asked and taken back, each with a long queue timeout
 		a := s.query(c, "lookup", "", 30*time.Second, 1)
@@ -372,7 +372,7 @@
 		}
 	}
 	s.until(s.now + 3*time.Second)
-	if after := s.r.due.Len() + s.r.gate.EntryCount(); after > before+30 {
+	if after := s.r.timers.Len() + s.r.scheduler.EntryCount(); after > before+30 {
 		t.Fatalf("%d, then %d", before, after)
 	}
 }
@@ -414,8 +414,8 @@
 	s := newStage(t, 1, 256, nil)
 	a := s.query(s.connect(), "lookup", "", 5*time.Second, 1)
 	h := s.one("POST", a.id)
-	if s.r.tally.probes != 1 || s.r.tally.dials != 1 {
-		t.Fatalf("%d looks, %d connections", s.r.tally.probes, s.r.tally.dials)
+	if s.r.counters.healthChecks != 1 || s.r.counters.dials != 1 {
+		t.Fatalf("%d looks, %d connections", s.r.counters.healthChecks, s.r.counters.dials)
 	}
 	s.held = nil // answered behind the copy, on a line that is then gone
 	s.read(h.e, []byte("HTTP/1.1 200 x\r\nX-Load: inflight:3;util:0.5\r\nContent-Length: 0\r\n\r\n"))
@@ -471,7 +471,7 @@
 func TestACallTellsItsCustomerAndEstimates(t *testing.T) {
 	s := newStage(t, 1, 64, map[string]string{"teams": "2", "team.0.name": "upper", "team.0.quota": "9", "team.1.name": "lower",
 		"team.1.quota": "9", "over.worth": "0.1"})
-	s.r.Words = FieldNames{Whose: "customer", Work: "weight", Need: "ram"}
+	s.r.FieldNames = FieldNames{Customer: "customer", EstimatedWork: "weight", EstimatedMemory: "ram"}
 	c := s.connect()
 	for _, x := range []struct {
 		more     []string
@@ -485,7 +485,7 @@
 		{nil, -1, 0, 0},
 	} {
 		q := s.r.queries[s.query(c, "report", "", 5*time.Second, 1, x.more...).id]
-		if q == nil || q.customer != x.customer || q.work != x.work || q.need != x.need {
+		if q == nil || q.customer != x.customer || q.estimatedWork != x.work || q.estimatedMemoryMB != x.need {
 			t.Errorf("%v: %+v", x.more, q)
 		}
 	}
--- a/internal/controller/size_test.go
+++ b/internal/controller/size_test.go
@@ -20,7 +20,7 @@
 		b.Run(strconv.Itoa(n), func(b *testing.B) {
 			b.ReportAllocs()
 			for range b.N {
-				r, _ := New(Config{Seed: 7, MemoryMB: 32, Sockets: 256, Feed: "feed", Known: known, Facts: plainFacts(nil)})
+				r, _ := New(Config{Seed: 7, MemoryMB: 32, Sockets: 256, DiscoveryAddress: "feed", KnownEngines: known, Settings: plainFacts(nil)})
 				if len(r.engines) != n {
 					b.Fatal(len(r.engines))
 				}
--- a/internal/controller/spool.go
+++ b/internal/controller/spool.go
@@ -30,15 +30,15 @@
 
 func newResultPaging(r *Controller, s *SpoolConfig) *resultPaging {
 	p := &resultPaging{Controller: r}
-	p.core = spool.New(s.Limits, s.Keys, r.Started.UnixMilli(), s.First, func(w *spool.Work) {
-		r.do(Effect{Kind: SubmitSpoolWork, Work: w})
+	p.core = spool.New(s.Limits, s.Keys, r.StartedAt.UnixMilli(), s.First, func(w *spool.Work) {
+		r.emit(Effect{Kind: SubmitSpoolWork, SpoolWork: w})
 	})
 	if s.Restore != nil {
 		if err := s.Restore(func(f *spool.Found) {
 			p.restoredIndex = max(p.restoredIndex, f.Index)
 			p.core.Restore(f)
 		}); err != nil {
-			r.say(true, "what was spooled can't be read: "+err.Error())
+			r.logMessage(true, "what was spooled can't be read: "+err.Error())
 		}
 	}
 	p.sweep()
@@ -46,37 +46,37 @@
 }
 
 func (p *resultPaging) sweep() {
-	p.after(time.Second, p.sweep)
+	p.runAfter(time.Second, p.sweep)
 	p.core.Sweep(p.now)
 }
 
 // teamOf is whose a call is, as the spool's limits and tokens have it.
 func (r *Controller) tenantOf(from From) string {
-	if r.fair == nil {
+	if r.fairQueue == nil {
 		return ""
 	}
-	return r.fair.core.Team(r.fair.core.Whose(from.Address, from.Fields.Get(r.fair.words.Team)))
+	return r.fairQueue.queue.Team(r.fairQueue.queue.Whose(from.Address, from.Fields.Get(r.fairQueue.fieldNames.Tenant)))
 }
 
 // wants notes that a query's client reads page by page; where it can't be kept it is
 // deferred, before anything of it is sent.
 func (p *resultPaging) reserve(q *query, from From) {
-	if len(from.Fields.Get(p.Words.Pages)) == 0 {
+	if len(from.Fields.Get(p.FieldNames.Paged)) == 0 {
 		return
 	}
 	kept, err := p.core.Enter(p.now, q.id, p.tenantOf(from), p.resultTag(q, from))
 	if err != nil {
-		p.sayOf(q.about(), "deferred: "+err.Error())
-		p.deferred(q, noSpaceRetryAfter)
+		p.logAbout(q.logFields(), "deferred: "+err.Error())
+		p.answerDeferred(q, noSpaceRetryAfter)
 		return
 	}
-	q.kept = kept
+	q.spooled = kept
 }
 
 // tag is what a purge finds a query's result by.
 func (p *resultPaging) resultTag(q *query, from From) spool.Tag {
 	t := spool.Tag{Index: p.purges.currentIndex(), Tables: allTables(q.statement)}
-	if owner := p.dataOwner(from); p.fair == nil {
+	if owner := p.dataOwner(from); p.fairQueue == nil {
 		t.Owner = owner
 	}
 	return t
@@ -87,44 +87,44 @@
 
 // over gives back what a query that is over was kept for.
 func (p *resultPaging) queryOver(q *query) {
-	if q.kept != nil {
-		p.core.Drop(p.now, q.kept)
-		q.kept = nil
+	if q.spooled != nil {
+		p.core.Drop(p.now, q.spooled)
+		q.spooled = nil
 	}
 }
 
 // take takes a page of a submission's result from its engine.
-func (p *resultPaging) addPage(s *submission, number, of int, rows []byte) {
+func (p *resultPaging) addPage(s *attempt, number, of int, rows []byte) {
 	if s.result == nil {
-		s.result, s.of = p.core.Again(p.now, s.q.kept), of
+		s.result, s.pageCount = p.core.Again(p.now, s.query.spooled), of
 	}
-	verdict, err := p.core.Add(p.now, s.result, rows, uint32(bytes.Count(rows, []byte("\n"))), s.until)
+	verdict, err := p.core.Add(p.now, s.result, rows, uint32(bytes.Count(rows, []byte("\n"))), s.deadline)
 	switch verdict {
 	case spool.Never:
 		p.discard(s)
 		p.releaseAtEngine(s)
-		if !s.q.answered {
-			p.killed(s.q, err.Error())
+		if !s.query.answered {
+			p.answerKilled(s.query, err.Error())
 		}
-		s.end(scheduler.Finished)
+		s.finish(scheduler.Finished)
 	case spool.Wait:
 		// its engine keeps it for as long as it is asked for
 		asked := false
 		again := func() {
 			if !asked && !s.ended {
 				asked = true
-				s.ask(number)
+				s.poll(number)
 			}
 		}
-		at := p.due.Add(p.now+forgets/2, again)
+		at := p.timers.Add(p.now+engineRetention/2, again)
 		p.core.Room(func() {
-			p.due.Drop(at)
-			p.soon(again)
+			p.timers.Drop(at)
+			p.runSoon(again)
 		})
 	default:
-		s.drawn++
-		if s.drawn < s.of {
-			s.ask(s.drawn)
+		s.spooledPages++
+		if s.spooledPages < s.pageCount {
+			s.poll(s.spooledPages)
 			return
 		}
 		p.releaseAtEngine(s)
@@ -133,35 +133,35 @@
 }
 
 // release ends the query at its engine, which has nothing more to give.
-func (p *resultPaging) releaseAtEngine(s *submission) {
+func (p *resultPaging) releaseAtEngine(s *attempt) {
 	s.released = true
-	p.giveUp(s, func() {})
+	p.cancelAtEngine(s, func() {})
 }
 
 // whole answers once the result is promised.
-func (p *resultPaging) retain(s *submission) {
-	if !p.keeps(s.q) { // it might have been when it began
+func (p *resultPaging) retain(s *attempt) {
+	if !p.mayRetain(s.query) { // it might have been when it began
 		p.discard(s)
-		if !s.q.answered {
-			p.killed(s.q, "its result may not be kept here any more")
+		if !s.query.answered {
+			p.answerKilled(s.query, "its result may not be kept here any more")
 		}
-		s.end(scheduler.Finished)
+		s.finish(scheduler.Finished)
 		return
 	}
 	p.core.Whole(p.now, s.result, func(err error) {
 		r := s.result
 		switch {
 		case s.ended: // given up meanwhile
-			p.soon(func() { p.core.Drop(p.now, r) })
+			p.runSoon(func() { p.core.Drop(p.now, r) })
 		case err != nil:
-			p.sayOf(s.about(), "its result can't be kept: "+err.Error())
+			p.logAbout(s.logFields(), "its result can't be kept: "+err.Error())
 			s.result = nil
-			if !s.q.answered {
-				p.killed(s.q, fmt.Sprintf("the result of %d bytes can't be kept: %v", r.Bytes(), err))
+			if !s.query.answered {
+				p.answerKilled(s.query, fmt.Sprintf("the result of %d bytes can't be kept: %v", r.Bytes(), err))
 			}
-			s.end(scheduler.Finished)
+			s.finish(scheduler.Finished)
 		default:
-			s.kept = true
+			s.resultPromised = true
 			token := p.core.Token(r)
 			p.core.First(p.now, r, func(body []byte, err error) {
 				p.answerFirstPage(s, r, token, body, err)
@@ -170,25 +170,25 @@
 	})
 }
 
-func (p *resultPaging) answerFirstPage(s *submission, r *spool.Result, token string, body []byte, err error) {
+func (p *resultPaging) answerFirstPage(s *attempt, r *spool.Result, token string, body []byte, err error) {
 	switch {
-	case s.q.answered, s.ended:
-		p.soon(func() { p.core.Drop(p.now, r) }) // another was first, its client left, or its time was over
+	case s.query.answered, s.ended:
+		p.runSoon(func() { p.core.Drop(p.now, r) }) // another was first, its client left, or its time was over
 	case err != nil:
-		p.killed(s.q, "its result can't be read: "+err.Error())
-		p.soon(func() { p.core.Drop(p.now, r) })
-	case p.close(s.q, fairqueue.Finished):
-		p.tally.finished++
-		s.q.asker.paged(body, msgpackrpc.Paging{Pages: r.Pages(), Bytes: r.Bytes(), Rows: r.Rows(), Token: token, Lasts: p.core.Kept(r)})
+		p.answerKilled(s.query, "its result can't be read: "+err.Error())
+		p.runSoon(func() { p.core.Drop(p.now, r) })
+	case p.closeQuery(s.query, fairqueue.Finished):
+		p.counters.finished++
+		s.query.owner.paged(body, msgpackrpc.Paging{Pages: r.Pages(), Bytes: r.Bytes(), Rows: r.Rows(), Token: token, Lasts: p.core.Kept(r)})
 	}
 	if !s.ended {
-		s.end(scheduler.Finished)
+		s.finish(scheduler.Finished)
 	}
 }
 
 // drop gives up what a submission took in.
-func (p *resultPaging) discard(s *submission) {
-	if s.result != nil && !s.kept {
+func (p *resultPaging) discard(s *attempt) {
+	if s.result != nil && !s.resultPromised {
 		p.core.Drop(p.now, s.result)
 		s.result = nil
 	}
@@ -197,9 +197,9 @@
 // did: work on the disk is done.
 func (p *resultPaging) workDone(w *spool.Work) {
 	if w.Err != nil && w.Fetch == nil {
-		p.say(true, "the spool's disk: "+w.Err.Error())
+		p.logMessage(true, "the spool's disk: "+w.Err.Error())
 	} else if w.Err != nil {
-		p.say(true, fmt.Sprintf("the spool's disk: page %d of result %016x: %v", w.Fetch.Page, w.Fetch.Result, w.Err))
+		p.logMessage(true, fmt.Sprintf("the spool's disk: page %d of result %016x: %v", w.Fetch.Page, w.Fetch.Result, w.Err))
 	}
 	w.Done(p.now)
 }
@@ -218,16 +218,16 @@
 		c.Wrong(msg, "no such method")
 		return
 	}
-	if c.pages >= c.wants.Open {
-		c.answer(msgpackrpc.Deferred(nil, msg, busyRetryAfter))
+	if c.pageReads >= c.limits.OpenQueries {
+		c.reply(msgpackrpc.Deferred(nil, msg, busyRetryAfter))
 		return
 	}
 	if c.purges.servingBarred() {
-		c.answer(msgpackrpc.Deferred(nil, msg, c.warrant.retryAfter()))
+		c.reply(msgpackrpc.Deferred(nil, msg, c.warrant.retryAfter()))
 		return
 	}
-	c.pages++
-	from := From{c.link.From, all}
+	c.pageReads++
+	from := From{c.connection.RemoteAddress, all}
 	owner, team := c.dataOwner(from), c.tenantOf(from)
 	var tables []int64
 	if c.warrant != nil {
@@ -237,19 +237,19 @@
 		return c.warrant != nil && !c.warrant.residency.mayServe(owner, tables)
 	}
 	c.paging.core.Read(c.now, token, team, number, func(body []byte, err error) {
-		c.pages--
-		c.idle = c.now
+		c.pageReads--
+		c.idleSince = c.now
 		switch {
-		case c.link.closed:
+		case c.connection.closed:
 		case c.purges.servingBarred():
-			c.answer(msgpackrpc.Deferred(nil, msg, c.warrant.retryAfter()))
+			c.reply(msgpackrpc.Deferred(nil, msg, c.warrant.retryAfter()))
 		case err == spool.ErrBusy:
-			c.answer(msgpackrpc.Deferred(nil, msg, busyRetryAfter))
+			c.reply(msgpackrpc.Deferred(nil, msg, busyRetryAfter))
 		case err != nil || outside():
-			c.answer(msgpackrpc.Killed(nil, msg, spool.ErrNone.Error()))
+			c.reply(msgpackrpc.Killed(nil, msg, spool.ErrNone.Error()))
 		default:
-			c.purges.markRetained(func() { c.answer(msgpackrpc.Answer(nil, msg, [][]byte{body})) })
-			c.purges.noteRetainedWrite(c.link, owner)
+			c.purges.markRetained(func() { c.reply(msgpackrpc.Answer(nil, msg, [][]byte{body})) })
+			c.purges.noteRetainedWrite(c.connection, owner)
 		}
 	})
 }
--- a/internal/controller/stage_clients_test.go
+++ b/internal/controller/stage_clients_test.go
@@ -63,9 +63,9 @@
 
 func (s *stage) read(e *end, p []byte) {
 	for len(p) > 0 && !e.gone {
-		n := copy(e.link.In.Space(), p)
+		n := copy(e.link.Received.Space(), p)
 		p = p[n:]
-		s.step(Event{Kind: BytesReceived, Connection: e.link, N: n})
+		s.step(Event{Kind: BytesReceived, Connection: e.link, ByteCount: n})
 	}
 }
 
--- a/internal/controller/stage_engines_test.go
+++ b/internal/controller/stage_engines_test.go
@@ -134,12 +134,12 @@
 	case late: // it was right when it was sent; its order is judged below
 	case a.answer != "" || a.left:
 		s.t.Fatalf("rule 1: submitted after its end: %s", h.id)
-	case h.m.state != "SERVING" && s.r.feed.last == s.events:
+	case h.m.state != "SERVING" && s.r.discovery.lastEvent == s.events:
 		s.t.Fatalf("rule 3: submitted to one %s", h.m.state)
 	case h.m.runs[h.id] != nil && !h.m.runs[h.id].over:
 		s.t.Fatalf("two of one id at one engine: %s", h.id)
 	}
-	if q := s.r.queries[a.id]; q != nil && !late && len(a.subs) >= len(q.subs) { // nil: given up in this very step
+	if q := s.r.queries[a.id]; q != nil && !late && len(a.subs) >= len(q.attempts) { // nil: given up in this very step
 		s.t.Fatalf("one submission written twice: %s", h.id)
 	}
 	for _, x := range a.subs {
--- a/internal/controller/stage_test.go
+++ b/internal/controller/stage_test.go
@@ -87,8 +87,8 @@
 	}
 	s.events = 1
 	var effects []Effect
-	means := Config{Seed: 7, MemoryMB: 64, Sockets: sockets, Feed: "feed", Facts: plainFacts(more),
-		Known: []byte(`{"n":1,"events":[{"n":1,"members":{"complete":true,"members":[` + strings.Join(members, ",") + `]}}]}`)}
+	means := Config{Seed: 7, MemoryMB: 64, Sockets: sockets, DiscoveryAddress: "feed", Settings: plainFacts(more),
+		KnownEngines: []byte(`{"n":1,"events":[{"n":1,"members":{"complete":true,"members":[` + strings.Join(members, ",") + `]}}]}`)}
 	for _, change := range with {
 		change(&means)
 	}
@@ -104,7 +104,7 @@
 }
 
 func (s *stage) step(ev Event) {
-	ev.Early = s.early
+	ev.Backlogged = s.early
 	s.perform(s.r.Step(s.now, ev))
 	s.flush()
 }
@@ -113,7 +113,7 @@
 	for len(s.back) > 0 {
 		ev := s.back[0]
 		s.back = s.back[1:]
-		ev.Early = s.early
+		ev.Backlogged = s.early
 		s.perform(s.r.Step(s.now, ev))
 	}
 }
@@ -154,12 +154,12 @@
 			if e.ignores || e.gone { // its end is on the way
 				break
 			}
-			if !f.Permit.Holds(s.now+s.stopped) || f.Guard != 0 && !s.mayGo(f) {
+			if !f.Permit.Holds(s.now+s.stopped) || f.PolicyVersion != 0 && !s.mayGo(f) {
 				s.back = append(s.back, Event{Kind: WriteBarred, Connection: f.Connection})
 				s.lose(e)
 				break
 			}
-			s.back = append(s.back, Event{Kind: BytesWritten, Connection: f.Connection, N: len(f.Bytes)})
+			s.back = append(s.back, Event{Kind: BytesWritten, Connection: f.Connection, ByteCount: len(f.Bytes)})
 			if e.client {
 				s.answered(e, f.Bytes)
 			} else if e.address != "feed" {
@@ -179,7 +179,7 @@
 				s.back = append(s.back, Event{Kind: ConnectTimedOut, Connection: e.link})
 			}
 		case SetTimer:
-			s.wake = s.now + f.Within
+			s.wake = s.now + f.Timeout
 		case LogMessage, LogCounters:
 			s.said = append(s.said, f.Text)
 		case ReportToFleet:
@@ -301,7 +301,7 @@
 		m := all[x%len(all)]
 		switch {
 		case kind < 5:
-			if c.gone || c.msgs > 100 || s.open(c) == openMost {
+			if c.gone || c.msgs > 100 || s.open(c) == maxOpenQueries {
 				clients[x%2] = s.connect()
 				c = clients[x%2]
 			}
--- a/internal/controller/standing_test.go
+++ b/internal/controller/standing_test.go
@@ -34,7 +34,7 @@
 		}
 	}
 	a := s.query(s.connect(), "lookup", "", time.Second, 1)
-	if s.r.pool.links != 1 || len(a.subs) > 0 {
+	if s.r.pool.open != 1 || len(a.subs) > 0 {
 		t.Fatal("no connection is being made for it, and the test proves nothing")
 	}
 	m.state = "DRAINING"
--- a/internal/controller/submission.go
+++ b/internal/controller/submission.go
@@ -12,63 +12,63 @@
 
 // submission is one sending of a query to an engine. It is tied to no
 // connection: what is known of it is asked for, call by call.
-type submission struct {
+type attempt struct {
 	*Controller
-	q       *query
-	e       *engine
-	try     int
-	at      time.Duration
-	endedAt time.Duration // when its end was told
-	until   time.Duration
-	permit  *WritePermit     // of its first byte, from when it was handed over to be written
-	sent    bool             // its first byte was let go
-	posted  bool             // the call that starts it has come out, in one way or another
-	settled bool             // the call that starts it can't arrive any more, or has
-	ended   bool             // no more is done for it
-	certain bool             // and how is known: outcome
-	told    bool             // and the decisions know
-	askedAt time.Duration    // when its news were last asked for
-	open    int              // calls that it is kept for, under way: written, and their lines not gone
-	arrived time.Duration    // when the last of the others may have arrived at the latest
-	onSet   []func()         // waits for settled
-	limit   *timerqueue.Item // when it is given up at the latest
+	query          *query
+	engine         *engine
+	number         int
+	startedAt      time.Duration
+	endedAt        time.Duration // when its end was told
+	deadline       time.Duration
+	permit         *WritePermit     // of its first byte, from when it was handed over to be written
+	sent           bool             // its first byte was let go
+	submitCallOver bool             // the call that starts it has come out, in one way or another
+	settled        bool             // the call that starts it can't arrive any more, or has
+	ended          bool             // no more is done for it
+	outcomeKnown   bool             // and how is known: outcome
+	reported       bool             // and the decisions know
+	polledAt       time.Duration    // when its news were last asked for
+	callsInFlight  int              // calls that it is kept for, under way: written, and their lines not gone
+	lastArrival    time.Duration    // when the last of the others may have arrived at the latest
+	onSettled      []func()         // waits for settled
+	deadlineTimer  *timerqueue.Item // when it is given up at the latest
 
-	astray  bool          // it went unheard of since the last word: it may be forgotten there
-	strays  time.Duration // until when a word that it runs is an old one: it went unasked for so long that it may have been dropped
-	pause   time.Duration // before it is asked for once more
-	ranked  int           // the priority last sent
-	ranking bool          // a change of it is under way
-	pages   [][]byte
-	of      int // how many there are
-	held    int // bytes of them
-	work    time.Duration
-	memory  float64
-	goodAt  time.Duration // when an answer last could be read, or the first call was made
-	why     string        // its last call's result, for the log
+	maybeForgotten  bool          // it went unheard of since the last word: it may be forgotten there
+	staleNotesUntil time.Duration // until when a word that it runs is an old one: it went unasked for so long that it may have been dropped
+	repollPause     time.Duration // before it is asked for once more
+	sentPriority    int           // the priority last sent
+	prioritySending bool          // a change of it is under way
+	pages           [][]byte
+	pageCount       int // how many there are
+	pageBytes       int // bytes of them
+	work            time.Duration
+	memoryMB        float64
+	readableAt      time.Duration // when an answer last could be read, or the first call was made
+	lastCallText    string        // its last call's result, for the log
 
-	outcome scheduler.Outcome
-	version uint64 // of the policy it was decided by, where there are peers
+	outcome       scheduler.Outcome
+	policyVersion uint64 // of the policy it was decided by, where there are peers
 
 	// where its client reads page by page
-	result   *spool.Result
-	drawn    int  // pages
-	released bool // its engine was told that it may forget it
-	kept     bool // the result is promised
+	result         *spool.Result
+	spooledPages   int  // pages
+	released       bool // its engine was told that it may forget it
+	resultPromised bool // the result is promised
 }
 
 // An engine keeps a query for forgets while nobody asks for it, and holds a call
 // for news until newsMost has passed: so long somebody asks. onTheWay is for what
 // is on the network when its line ends.
 const (
-	forgets  = 2 * time.Second
-	newsMost = 250 * time.Millisecond
-	onTheWay = 50 * time.Millisecond
+	engineRetention = 2 * time.Second
+	longPollTimeout = 250 * time.Millisecond
+	networkDelay    = 50 * time.Millisecond
 )
 
 // beginMost bounds what may pass between the step that lets a first byte go and the write: the
 // process may stand still there, and its client leave meanwhile, for whom nothing may begin more
 // than 0.1 s later. What takes longer is held to be not sent, and decided anew.
-const beginMost = 75 * time.Millisecond
+const submitWriteTimeout = 75 * time.Millisecond
 
 // gone: it is over at its engine, whether that was heard to answer or not, since it
 // went unasked for as long as engines keep it. Together with came, giveUp and landed this
@@ -78,212 +78,212 @@
 //
 // Where nothing may be cancelled an engine may work on, asked or not: what keeps order is over then
 // only once it was heard to be, or with the time that its engine was told to have.
-func (s *submission) gone() bool {
-	kept := max(s.arrived, s.askedAt+answerMost+onTheWay) + newsMost + forgets
-	if s.q.group.inOrder && !s.cancels {
-		kept = max(kept, s.until+onTheWay+newsMost+forgets)
+func (s *attempt) certainlyOver() bool {
+	kept := max(s.lastArrival, s.polledAt+responseTimeout+networkDelay) + longPollTimeout + engineRetention
+	if s.query.group.inOrder && !s.mayCancel {
+		kept = max(kept, s.deadline+networkDelay+longPollTimeout+engineRetention)
 	}
-	return s.open == 0 && s.now >= kept
+	return s.callsInFlight == 0 && s.now >= kept
 }
 
 // landed: a call for it, written once, was answered or its line is gone; what is on its
 // way then may still arrive.
-func (c *call) landed() {
-	if s := c.s; s != nil && c.keeps {
-		way := onTheWay
+func (c *call) arrivalKnown() {
+	if s := c.attempt; s != nil && c.keepsQuery {
+		way := networkDelay
 		if c.answered {
 			way = 0
 		}
-		s.open--
-		s.arrived = max(s.arrived, s.now+way)
-		if c.starts {
-			s.after(way, s.settle)
+		s.callsInFlight--
+		s.lastArrival = max(s.lastArrival, s.now+way)
+		if c.startsAttempt {
+			s.runAfter(way, s.markSettled)
 		}
 	}
 }
 
-func (r *Controller) submit(q *query, e *engine, within time.Duration) {
+func (r *Controller) startAttempt(q *query, e *engine, within time.Duration) {
 	until := q.deadline
 	if within != 0 {
 		until = min(until, r.now+within)
 	}
-	s := &submission{Controller: r, q: q, e: e, try: len(q.subs), at: r.now, until: until}
-	q.subs = append(q.subs, s)
-	e.untold++
-	if r.fair != nil {
-		r.fair.started(q)
+	s := &attempt{Controller: r, query: q, engine: e, number: len(q.attempts), startedAt: r.now, deadline: until}
+	q.attempts = append(q.attempts, s)
+	e.unreportedAttempts++
+	if r.fairQueue != nil {
+		r.fairQueue.attemptStarted(q)
 	}
-	r.tally.submissions++
-	s.limit = r.due.Add(until, func() { r.withdraw(s, scheduler.TimedOut) })
+	r.counters.attempts++
+	s.deadlineTimer = r.timers.Add(until, func() { r.withdrawAttempt(s, scheduler.TimedOut) })
 	// two of one id at one engine can't be told apart: what ends the first would
 	// end the second
-	if e.holds(q.id) {
-		e.waiting = append(e.waiting, s)
+	if e.isCancelling(q.id) {
+		e.waitingForID = append(e.waitingForID, s)
 		return
 	}
-	s.start()
+	s.send()
 }
 
-func (e *engine) holds(id string) bool {
-	for _, s := range e.leaving {
-		if s.q.id == id {
+func (e *engine) isCancelling(id string) bool {
+	for _, s := range e.cancelling {
+		if s.query.id == id {
 			return true
 		}
 	}
 	return false
 }
 
-func (s *submission) start() {
+func (s *attempt) send() {
 	if s.ended || s.warrant != nil && !s.warrant.permitSend(s) {
 		return
 	}
-	c := &call{what: "POST", e: s.e, s: s, fits: s.fits(0), starts: true, keeps: true,
-		write: func(dst []byte) []byte {
-			s.sent, s.askedAt, s.goodAt, s.ranked = true, s.now, s.now, s.q.rank()
-			if s.try == 0 {
-				s.tally.firstByte(s.now - s.q.takenAt)
+	c := &call{method: "POST", engine: s.engine, attempt: s, validResponse: s.responseCheck(0), startsAttempt: true, keepsQuery: true,
+		encode: func(dst []byte) []byte {
+			s.sent, s.polledAt, s.readableAt, s.sentPriority = true, s.now, s.now, s.query.effectivePriority()
+			if s.number == 0 {
+				s.counters.recordFirstByte(s.now - s.query.receivedAt)
 			}
-			return enginehttp.Submit(dst, s.e.address, s.q.id, s.q.method, s.q.token, s.until-s.now,
-				s.q.grantMB, s.ranked, s.q.statement)
+			return enginehttp.Submit(dst, s.engine.address, s.query.id, s.query.groupName, s.query.idempotencyKey, s.deadline-s.now,
+				s.query.memoryGrantMB, s.sentPriority, s.query.statement)
 		},
-		then: func(as how, status int, field func(string) string, body []byte) {
-			s.came(0, as, status, field, body)
-			s.posted = true
+		onResult: func(as callResult, status int, field func(string) string, body []byte) {
+			s.callDone(0, as, status, field, body)
+			s.submitCallOver = true
 		}}
-	c.fit = func() bool {
+	c.stillWanted = func() bool {
 		// it may have waited for its turn, a descriptor or its connection: what it was decided on is asked anew
-		by := min(s.until, s.gate.StartDeadline(s.q.id, s.try), s.now+beginMost)
-		fit := !s.ended && !s.q.answered && s.now < by && s.e.state == scheduler.EngineActive
+		by := min(s.deadline, s.scheduler.StartDeadline(s.query.id, s.number), s.now+submitWriteTimeout)
+		fit := !s.ended && !s.query.answered && s.now < by && s.engine.state == scheduler.EngineActive
 		s.permit = NewWritePermit(by)
 		if fit && s.warrant != nil && !s.warrant.permitSend(s) {
-			c.over, fit = true, false // it came to nothing here: another starts it once it may go
+			c.done, fit = true, false // it came to nothing here: another starts it once it may go
 		}
 		return fit
 	}
-	s.call(c)
+	s.startCall(c)
 }
 
 // settle: the call that starts it has arrived, or never will.
-func (s *submission) settle() {
+func (s *attempt) markSettled() {
 	s.settled = true
-	for _, do := range s.onSet {
+	for _, do := range s.onSettled {
 		do()
 	}
-	s.onSet = nil
+	s.onSettled = nil
 }
 
-func (s *submission) fits(page int) func(int, func(string) string, []byte) bool {
+func (s *attempt) responseCheck(page int) func(int, func(string) string, []byte) bool {
 	return func(status int, field func(string) string, body []byte) bool {
 		return enginehttp.Fits(page, status, field, body)
 	}
 }
 
 // ask asks for the query's news, or for a page of its result.
-func (s *submission) ask(page int) {
-	s.call(&call{what: "GET", e: s.e, s: s, poll: page == 0, keeps: true, fits: s.fits(page),
-		fit: func() bool { return !s.ended },
-		write: func(dst []byte) []byte {
-			if s.now > s.askedAt+forgets {
-				s.astray, s.strays = true, s.now+2*newsMost
+func (s *attempt) poll(page int) {
+	s.startCall(&call{method: "GET", engine: s.engine, attempt: s, isPoll: page == 0, keepsQuery: true, validResponse: s.responseCheck(page),
+		stillWanted: func() bool { return !s.ended },
+		encode: func(dst []byte) []byte {
+			if s.now > s.polledAt+engineRetention {
+				s.maybeForgotten, s.staleNotesUntil = true, s.now+2*longPollTimeout
 			}
-			s.askedAt = s.now
-			return enginehttp.Ask(dst, s.e.address, s.q.id, page)
+			s.polledAt = s.now
+			return enginehttp.Ask(dst, s.engine.address, s.query.id, page)
 		},
-		then: func(as how, status int, field func(string) string, body []byte) {
-			s.came(page, as, status, field, body)
+		onResult: func(as callResult, status int, field func(string) string, body []byte) {
+			s.callDone(page, as, status, field, body)
 		}})
 }
 
 // came is what a call for it came to.
-func (s *submission) came(page int, as how, status int, field func(string) string, body []byte) {
+func (s *attempt) callDone(page int, as callResult, status int, field func(string) string, body []byte) {
 	if s.ended {
 		return
 	}
-	s.why = hows[as] + " " + strconv.Itoa(status) + " on page " + strconv.Itoa(page)
+	s.lastCallText = callResultNames[as] + " " + strconv.Itoa(status) + " on page " + strconv.Itoa(page)
 	switch {
-	case as == answered:
-		s.pause, s.goodAt = 0, s.now
-		if s.inline {
+	case as == callAnswered:
+		s.repollPause, s.readableAt = 0, s.now
+		if s.loadReportsInResponses {
 			if report := enginehttp.Load(field); report != nil {
-				s.soon(func() { s.gate.Reported(s.now, s.e.id, report) })
+				s.runSoon(func() { s.scheduler.Reported(s.now, s.engine.id, report) })
 			}
 		}
-		enginehttp.Hear(page, status, field, body, &hearing{s})
-	case !s.sent && as == unfit, !s.posted && as == unwritten:
+		enginehttp.Hear(page, status, field, body, &responseHandler{s})
+	case !s.sent && as == callNotSent, !s.submitCallOver && as == callNotWritten:
 		// a connection that ends says nothing against its engine
-		s.end(scheduler.NeverSent)
+		s.finish(scheduler.NeverSent)
 	case !s.sent:
-		s.end(scheduler.Unreachable)
-	case s.died(as):
-		s.end(scheduler.ConnectionReset)
-	case as == garbled && s.now-s.goodAt >= forgets:
-		s.withdraw(s, scheduler.ConnectionReset) // it is not one answer that was spoilt on its way
-	case s.gone():
-		s.end(scheduler.TimedOut) // if it still ran there, it has been forgotten by now
+		s.finish(scheduler.Unreachable)
+	case s.processDied(as):
+		s.finish(scheduler.ConnectionReset)
+	case as == callMalformedResponse && s.now-s.readableAt >= engineRetention:
+		s.withdrawAttempt(s, scheduler.ConnectionReset) // it is not one answer that was spoilt on its way
+	case s.certainlyOver():
+		s.finish(scheduler.TimedOut) // if it still ran there, it has been forgotten by now
 	default:
 		// the call or its answer may have been lost and the query not: another
 		// connection tells, its end and its pages too, as often as they are asked for.
 		// Not at once: an engine that ends every connection must not make us spin
-		s.tally.again++
-		s.astray = true
-		s.pause = min(max(2*s.pause, 10*time.Millisecond), forgets/4)
-		s.after(s.pause, func() {
+		s.counters.repolls++
+		s.maybeForgotten = true
+		s.repollPause = min(max(2*s.repollPause, 10*time.Millisecond), engineRetention/4)
+		s.runAfter(s.repollPause, func() {
 			if !s.ended {
-				s.ask(page)
+				s.poll(page)
 			}
 		})
 	}
 }
 
 // hearing keeps the words of an engine's answer apart from what s can do.
-type hearing struct{ *submission }
+type responseHandler struct{ *attempt }
 
 // Runs: after it went unasked for longer than engines keep a query, what was noted before it was
 // dropped comes first, as fast as it is asked for, and looks like life.
-func (h *hearing) Runs() {
-	h.astray = h.now < h.strays
-	h.ask(0)
+func (h *responseHandler) Runs() {
+	h.maybeForgotten = h.now < h.staleNotesUntil
+	h.poll(0)
 }
 
-func (h *hearing) Note(sign scheduler.NoteKind, x float64) {
-	s := h.submission
-	s.tally.notes++
-	s.soon(func() {
+func (h *responseHandler) Note(sign scheduler.NoteKind, x float64) {
+	s := h.attempt
+	s.counters.progressNotes++
+	s.runSoon(func() {
 		if !s.ended {
-			s.gate.Note(s.now, s.q.id, s.try, sign, x)
+			s.scheduler.Note(s.now, s.query.id, s.number, sign, x)
 		}
 	})
 }
 
-func (h *hearing) Finished(work time.Duration, memoryMB float64) {
-	h.work, h.memory, h.pages = work, memoryMB, nil
+func (h *responseHandler) Finished(work time.Duration, memoryMB float64) {
+	h.work, h.memoryMB, h.pages = work, memoryMB, nil
 }
 
-func (h *hearing) Page(number, of int, rows []byte) {
-	s := h.submission
-	if s.q.kept != nil {
-		if number == s.drawn && !s.released {
+func (h *responseHandler) Page(number, of int, rows []byte) {
+	s := h.attempt
+	if s.query.spooled != nil {
+		if number == s.spooledPages && !s.released {
 			s.paging.addPage(s, number, of, rows)
 		}
 		return
 	}
 	if number == 0 {
 		s.pages = make([][]byte, 0, min(of, 64))
-		s.of = of
+		s.pageCount = of
 	}
-	if s.held += len(rows); s.held > s.messageMost {
-		s.end(scheduler.Failed)
+	if s.pageBytes += len(rows); s.pageBytes > s.maxMessageBytes {
+		s.finish(scheduler.Failed)
 		return
 	}
 	s.pages = append(s.pages, append([]byte{}, rows...))
-	if len(s.pages) < s.of && !s.q.answered { // it is over there, and nobody wants the others
-		s.ask(len(s.pages))
+	if len(s.pages) < s.pageCount && !s.query.answered { // it is over there, and nobody wants the others
+		s.poll(len(s.pages))
 		return
 	}
-	if !s.q.answered {
-		s.finished(s.q, s.pages)
+	if !s.query.answered {
+		s.answerFinished(s.query, s.pages)
 	}
-	s.end(scheduler.Finished)
+	s.finish(scheduler.Finished)
 }
 
 // Ends: an error after it went unheard of may just mean that it is not known
@@ -291,44 +291,44 @@
 // has not taken it up yet, and still runs it, for all this one says. Where order
 // is asked for it is given up, so that the next of its key never overtakes it.
 // Where there is none the engine, which answers, is not to be held to have died.
-func (h *hearing) Ends(outcome scheduler.Outcome) {
-	if h.astray && outcome == scheduler.Failed && h.late() {
-		h.withdraw(h.submission, scheduler.ConnectionReset)
+func (h *responseHandler) Ends(outcome scheduler.Outcome) {
+	if h.maybeForgotten && outcome == scheduler.Failed && h.mustProveEnd() {
+		h.withdrawAttempt(h.attempt, scheduler.ConnectionReset)
 		return
 	}
-	h.end(outcome)
+	h.finish(outcome)
 }
 
 // end is an end that is certain: nothing of it runs any more, or how it runs on
 // can't be known.
-func (s *submission) end(outcome scheduler.Outcome) {
+func (s *attempt) finish(outcome scheduler.Outcome) {
 	if !s.ended {
 		s.ended = true
-		s.tell(outcome)
+		s.report(outcome)
 	}
 }
 
-func (s *submission) tell(outcome scheduler.Outcome) {
+func (s *attempt) report(outcome scheduler.Outcome) {
 	s.pages = nil
 	if s.paging != nil {
 		s.paging.discard(s)
 	}
-	s.due.Drop(s.limit)
-	s.tally.ends[outcome]++
-	s.certain, s.outcome = true, outcome
-	took := s.now - s.at
+	s.timers.Drop(s.deadlineTimer)
+	s.counters.attemptEnds[outcome]++
+	s.outcomeKnown, s.outcome = true, outcome
+	took := s.now - s.startedAt
 	s.endedAt = s.now
-	if s.Trace {
-		s.trace(s.about(), "told %s after %v, %s", outcomeNames[outcome], took, s.why)
+	if s.TraceQueries {
+		s.trace(s.logFields(), "told %s after %v, %s", outcomeNames[outcome], took, s.lastCallText)
 	}
 	if outcome != scheduler.Finished && outcome != scheduler.Cancelled {
-		s.sayOf(s.about(), outcomeNames[outcome]+" after "+took.String()+", "+s.why)
+		s.logAbout(s.logFields(), outcomeNames[outcome]+" after "+took.String()+", "+s.lastCallText)
 	}
-	s.soon(func() {
-		s.told = true
-		s.e.untold--
-		s.gate.Ended(s.now, s.q.id, s.try, outcome, took, s.q.answered, s.work, s.memory, nil)
-		s.drop(s.q)
+	s.runSoon(func() {
+		s.reported = true
+		s.engine.unreportedAttempts--
+		s.scheduler.Ended(s.now, s.query.id, s.number, outcome, took, s.query.answered, s.work, s.memoryMB, nil)
+		s.forgetQuery(s.query)
 	})
 }
 
@@ -336,90 +336,92 @@
 // may overlap with what comes next; where order is asked for, or no second
 // copy may be out, not before it is over at the engine: it was given up
 // there, its process is gone, or it went unasked for as long as engines keep it.
-func (r *Controller) withdraw(s *submission, outcome scheduler.Outcome) {
+func (r *Controller) withdrawAttempt(s *attempt, outcome scheduler.Outcome) {
 	if s.ended {
 		return
 	}
 	s.ended = true
 	s.permit.Revoke()
-	if r.Trace {
-		r.trace(s.about(), "withdrawn")
+	if r.TraceQueries {
+		r.trace(s.logFields(), "withdrawn")
 	}
 	if !s.sent {
-		s.tell(scheduler.NeverSent)
+		s.report(scheduler.NeverSent)
 		return
 	}
-	late := s.late()
-	s.e.leaving = append(s.e.leaving, s)
+	late := s.mustProveEnd()
+	s.engine.cancelling = append(s.engine.cancelling, s)
 	over := func() {
-		s.e.left(s)
+		s.engine.cancelDone(s)
 		if late {
-			s.tell(outcome)
+			s.report(outcome)
 		}
 	}
 	if !late {
-		s.tell(outcome)
+		s.report(outcome)
 	}
-	r.giveUp(s, func() {
+	r.cancelAtEngine(s, func() {
 		if s.settled {
 			over()
 			return
 		}
 		// what ended it may have overtaken what started it
-		s.onSet = append(s.onSet, func() { r.giveUp(s, over) })
+		s.onSettled = append(s.onSettled, func() { r.cancelAtEngine(s, over) })
 	})
 }
 
 // late: its end must be certain before it is told.
-func (s *submission) late() bool { return s.q.group.inOrder || !s.copies }
+func (s *attempt) mustProveEnd() bool { return s.query.group.inOrder || !s.mayHedge }
 
 // died: its process is no more, by all there is to see. A process that ends takes
 // its connections with it; a refusal while one stands just says that it takes no
 // more of them, and with none of ours left it may say that too.
-func (s *submission) died(as how) bool { return as == refused && !s.e.alive() && !s.late() }
+func (s *attempt) processDied(as callResult) bool {
+	return as == callRefused && !s.engine.hasConnection() && !s.mustProveEnd()
+}
 
 // giveUp ends it at its engine, asking until that came whole or is moot.
-func (r *Controller) giveUp(s *submission, then func()) {
-	r.call(&call{what: "DELETE", e: s.e, s: s, fits: enginehttp.FitsDone,
-		write: func(dst []byte) []byte { return enginehttp.GiveUp(dst, s.e.address, s.q.id) },
-		then: func(as how, _ int, _ func(string) string, _ []byte) {
-			if as == answered || s.died(as) || s.gone() {
+func (r *Controller) cancelAtEngine(s *attempt, then func()) {
+	r.startCall(&call{method: "DELETE", engine: s.engine, attempt: s, validResponse: enginehttp.FitsDone,
+		encode: func(dst []byte) []byte { return enginehttp.GiveUp(dst, s.engine.address, s.query.id) },
+		onResult: func(as callResult, _ int, _ func(string) string, _ []byte) {
+			if as == callAnswered || s.processDied(as) || s.certainlyOver() {
 				then()
 				return
 			}
-			r.after(onTheWay, func() { r.giveUp(s, then) })
+			r.runAfter(networkDelay, func() { r.cancelAtEngine(s, then) })
 		}})
 }
 
 // left lets those that waited for it go.
-func (e *engine) left(s *submission) {
-	for i, x := range e.leaving {
+func (e *engine) cancelDone(s *attempt) {
+	for i, x := range e.cancelling {
 		if x == s {
-			e.leaving = append(e.leaving[:i], e.leaving[i+1:]...)
+			e.cancelling = append(e.cancelling[:i], e.cancelling[i+1:]...)
 			break
 		}
 	}
-	waiting := e.waiting
-	e.waiting = nil
+	waiting := e.waitingForID
+	e.waitingForID = nil
 	for _, w := range waiting {
-		if e.holds(w.q.id) {
-			e.waiting = append(e.waiting, w)
+		if e.isCancelling(w.query.id) {
+			e.waitingForID = append(e.waitingForID, w)
 		} else {
-			w.start()
+			w.send()
 		}
 	}
 }
 
 // rank passes a change of priority on to what is out.
-func (r *Controller) rank(s *submission) {
-	if !s.sent || s.ended || s.released || s.ranking || s.q.rank() == s.ranked {
+func (r *Controller) sendPriority(s *attempt) {
+	if !s.sent || s.ended || s.released || s.prioritySending || s.query.effectivePriority() == s.sentPriority {
 		return
 	}
-	s.ranking, s.ranked = true, s.q.rank()
-	r.call(&call{what: "PUT", e: s.e, s: s, fits: enginehttp.FitsDone, fit: func() bool { return !s.ended },
-		write: func(dst []byte) []byte { return enginehttp.Rank(dst, s.e.address, s.q.id, s.ranked) },
-		then: func(how, int, func(string) string, []byte) {
-			s.ranking = false
-			r.rank(s) // it may have changed again meanwhile
+	s.prioritySending, s.sentPriority = true, s.query.effectivePriority()
+	r.startCall(&call{method: "PUT", engine: s.engine, attempt: s, validResponse: enginehttp.FitsDone, stillWanted: func() bool { return !s.ended },
+		encode: func(dst []byte) []byte { return enginehttp.Rank(dst, s.engine.address, s.query.id, s.sentPriority) },
+		onResult: func(callResult, int, func(string) string, []byte) {
+			s.prioritySending = false
+			r.sendPriority(s) // it may have changed again meanwhile
 		}})
 }
--- a/internal/controller/token_test.go
+++ b/internal/controller/token_test.go
@@ -19,7 +19,7 @@
 // without it an engine takes none, or can't know a repeat. No other group has one.
 func TestATokenGoesWithEverySubmission(t *testing.T) {
 	s := newStage(t, 2, 256, tokened(nil))
-	s.r.Words = FieldNames{Token: "nonce"}
+	s.r.FieldNames = FieldNames{IdempotencyKey: "nonce"}
 	c := s.connect()
 	a := s.query(c, "report", "", 5*time.Second, 1, "nonce", "once-7")
 	h := s.one("POST", a.id)
--- a/internal/controller/watch_test.go
+++ b/internal/controller/watch_test.go
@@ -33,8 +33,8 @@
 					t.Fatalf("%s, spoke: %v: still waited for after %v", what, spoke, s.now-from)
 				}
 			}
-			if s.r.tally.feedFaults != 1 {
-				t.Fatalf("%d faults of the feed", s.r.tally.feedFaults)
+			if s.r.counters.discoveryFaults != 1 {
+				t.Fatalf("%d faults of the feed", s.r.counters.discoveryFaults)
 			}
 			s.tell(m.entry(0))
 			a := s.query(s.connect(), "lookup", "", 500*time.Millisecond, 1)
@@ -53,7 +53,7 @@
 	watch := s.feed
 	s.now += 3 * time.Second
 	s.step(Event{Kind: TimerFired})
-	if s.tell(""); s.feed != watch || s.r.tally.feedFaults > 0 {
+	if s.tell(""); s.feed != watch || s.r.counters.discoveryFaults > 0 {
 		t.Fatal("a feed that spoke all the time was given up")
 	}
 	s.until(s.now + 1400*time.Millisecond)
--- a/internal/emulator/world/world.go
+++ b/internal/emulator/world/world.go
@@ -112,13 +112,13 @@
 		all = append(all, e.Engine)
 	}
 	w.Feed.Tell(true, all...)
-	means.Seed, means.Feed, means.Known = seed, "feed", w.Feed.Known()
-	w.History.KeyRest = time.Duration(number(means.Facts["key.rest"])) * time.Millisecond
-	w.History.Grace = time.Duration(number(means.Facts["drain.grace"])) * time.Millisecond
-	w.History.Most = int(number(means.Facts["submissions.most"]))
-	for i := range int(number(means.Facts["groups"])) {
+	means.Seed, means.DiscoveryAddress, means.KnownEngines = seed, "feed", w.Feed.Known()
+	w.History.KeyRest = time.Duration(number(means.Settings["key.rest"])) * time.Millisecond
+	w.History.Grace = time.Duration(number(means.Settings["drain.grace"])) * time.Millisecond
+	w.History.Most = int(number(means.Settings["submissions.most"]))
+	for i := range int(number(means.Settings["groups"])) {
 		at := fmt.Sprintf("group.%d.", i)
-		w.History.Group(means.Facts[at+"name"], means.Facts[at+"effect"], means.Facts[at+"in-order"] == "true")
+		w.History.Group(means.Settings[at+"name"], means.Settings[at+"effect"], means.Settings[at+"in-order"] == "true")
 	}
 	r, effects := controller.New(means)
 	w.R = r
@@ -188,7 +188,7 @@
 		e := w.ends[f.Connection]
 		switch f.Kind {
 		case controller.Dial:
-			w.dial(f.Connection, f.Address, f.Within)
+			w.dial(f.Connection, f.Address, f.Timeout)
 		case controller.Write:
 			if e == nil || e.gone {
 				break
@@ -196,14 +196,14 @@
 			p := append([]byte{}, f.Bytes...)
 			w.After(0, func() {
 				if !e.gone {
-					w.step(controller.Event{Kind: controller.BytesWritten, Connection: e.link, N: len(p)})
+					w.step(controller.Event{Kind: controller.BytesWritten, Connection: e.link, ByteCount: len(p)})
 				}
 			})
 			w.After(w.delay, func() { w.arrived(e, p) })
 		case controller.Close:
 			if e != nil {
 				at := time.Duration(0)
-				if f.Gently { // what was written before comes first
+				if f.Graceful { // what was written before comes first
 					at = w.delay
 				}
 				w.After(at, func() { w.lose(e) })
@@ -211,17 +211,17 @@
 		case controller.SetTimer:
 			w.woken++
 			mine := w.woken
-			w.After(f.Within, func() {
+			w.After(f.Timeout, func() {
 				if mine == w.woken {
 					w.step(controller.Event{Kind: controller.TimerFired})
 				}
 			})
 		case controller.LogMessage, controller.LogCounters:
-			if f.Loud || f.Kind == controller.LogCounters {
+			if f.Warning || f.Kind == controller.LogCounters {
 				w.Said = append(w.Said, f.Text)
 			}
 		case controller.SubmitSpoolWork:
-			work := f.Work
+			work := f.SpoolWork
 			w.After(w.Disk, func() {
 				if work.Fetch != nil {
 					w.Keeper.Read(work)
@@ -231,7 +231,7 @@
 						return
 					}
 				}
-				w.step(controller.Event{Kind: controller.SpoolWorkDone, Work: work})
+				w.step(controller.Event{Kind: controller.SpoolWorkDone, SpoolWork: work})
 			})
 		case controller.ReportToFleet:
 			w.Reports = append(w.Reports, *f.Report)
@@ -245,7 +245,7 @@
 func (w *World) erase() {
 	w.Keeper.Tick()
 	for _, work := range w.Keeper.Erased() {
-		w.step(controller.Event{Kind: controller.SpoolWorkDone, Work: work})
+		w.step(controller.Event{Kind: controller.SpoolWorkDone, SpoolWork: work})
 	}
 	if w.Keeper.Erases() {
 		w.After(w.Disk, w.erase)
@@ -324,9 +324,9 @@
 // feedBytes brings bytes to the controller.
 func (w *World) feedBytes(e *end, p []byte) {
 	for len(p) > 0 && !e.gone {
-		n := copy(e.link.In.Space(), p)
+		n := copy(e.link.Received.Space(), p)
 		p = p[n:]
-		w.step(controller.Event{Kind: controller.BytesReceived, Connection: e.link, N: n})
+		w.step(controller.Event{Kind: controller.BytesReceived, Connection: e.link, ByteCount: n})
 	}
 }
 
@@ -410,7 +410,7 @@
 // Connect makes a client's connection from an address.
 func (w *World) Connect(name string, from netip.Addr) *Client {
 	c := &Client{w: w, Name: name, open: map[uint32]*Asked{}, pages: map[uint32]func(ans client.Answer){}}
-	c.end = &end{link: &controller.Connection{From: from}, from: c}
+	c.end = &end{link: &controller.Connection{RemoteAddress: from}, from: c}
 	w.ends[c.end.link] = c.end
 	w.Clients = append(w.Clients, c)
 	w.step(controller.Event{Kind: controller.ClientAccepted, Connection: c.end.link})
@@ -523,5 +523,5 @@
 func (w *World) Stop() { w.step(controller.Event{Kind: controller.ShutdownRequested}) }
 
 func (w *World) Reload(shape *fairqueue.Shape) {
-	w.step(controller.Event{Kind: controller.ConfigurationReloaded, Feed: "feed", Fair: shape})
+	w.step(controller.Event{Kind: controller.ConfigurationReloaded, DiscoveryAddress: "feed", Tenants: shape})
 }
--- a/internal/eventloop/disk.go
+++ b/internal/eventloop/disk.go
@@ -48,7 +48,7 @@
 
 func (l *loop) stored(w *spool.Work) {
 	select {
-	case l.events <- event{Event: controller.Event{Kind: controller.SpoolWorkDone, Work: w}}:
+	case l.events <- event{Event: controller.Event{Kind: controller.SpoolWorkDone, SpoolWork: w}}:
 	case <-l.ctx.Done():
 	}
 }
--- a/internal/eventloop/endings_clients_test.go
+++ b/internal/eventloop/endings_clients_test.go
@@ -149,7 +149,7 @@
 		l.wires[engine.link], l.wires[client.link] = engine, client
 		client.unheard.Store(true)
 		permit := controller.NewWritePermit(time.Hour)
-		l.perform([]controller.Effect{{Kind: controller.Write, Connection: engine.link, Bytes: []byte("POST"), Permit: permit, For: client.link}})
+		l.perform([]controller.Effect{{Kind: controller.Write, Connection: engine.link, Bytes: []byte("POST"), Permit: permit, Client: client.link}})
 		if len(engine.queue) > 0 {
 			t.Fatal("queued before its client was heard")
 		}
@@ -187,7 +187,7 @@
 // and the connection still ends well; read before, it is answered whole.
 func TestAQueryCrossesOurClose(t *testing.T) {
 	t.Parallel()
-	y := newYard(t, options{manners: []controller.ClientLimits{{From: loopback, Idle: time.Millisecond}}})
+	y := newYard(t, options{manners: []controller.ClientLimits{{Prefixes: loopback, IdleTimeout: time.Millisecond}}})
 	after := y.client()
 	if _, ok := after.answer(); ok {
 		t.Fatal("an answer to nothing")
--- a/internal/eventloop/fleet_test.go
+++ b/internal/eventloop/fleet_test.go
@@ -98,8 +98,8 @@
 	ctx, stop := context.WithCancel(context.Background())
 	orders, reports, asked := make(chan fleet.Order), make(chan fleet.Report, 1), make(chan controller.Event)
 	done := make(chan error)
-	means := controller.Config{MemoryMB: 32, Sockets: 64, Started: time.Now(), Fleet: &controller.FleetConfig{Word: &fleet.Word{}},
-		Facts: map[string]string{"locations": "here"}}
+	means := controller.Config{MemoryMB: 32, Sockets: 64, StartedAt: time.Now(), Fleet: &controller.FleetConfig{Word: &fleet.Word{}},
+		Settings: map[string]string{"locations": "here"}}
 	go func() { done <- Serve(ctx, listener, means, nil, FleetChannels{orders, reports}, asked, zerolog.Nop()) }()
 	orders <- fleet.Order{Kind: fleet.Renewed, Until: fleet.Forever, UntilBound: fleet.Forever}
 	for i := range 3 {
--- a/internal/eventloop/gate_test.go
+++ b/internal/eventloop/gate_test.go
@@ -395,8 +395,8 @@
 		o.feed = y.feed.Addr().String()
 	}
 	known := listed(1, true, append([]string{entry("e1", l, o.state)}, o.more...)...)
-	means := controller.Config{Seed: 5, MemoryMB: 64, Sockets: o.sockets, Feed: o.feed, Facts: facts(o.facts), Started: time.Now(), Trace: true,
-		Manners: o.manners, Words: controller.FieldNames{Token: "nonce"}, Known: []byte(`{"n":1,"events":[` + known + `]}`)}
+	means := controller.Config{Seed: 5, MemoryMB: 64, Sockets: o.sockets, DiscoveryAddress: o.feed, Settings: facts(o.facts), StartedAt: time.Now(), TraceQueries: true,
+		ClientLimits: o.manners, FieldNames: controller.FieldNames{IdempotencyKey: "nonce"}, KnownEngines: []byte(`{"n":1,"events":[` + known + `]}`)}
 	front := listen(t)
 	y.address = front.Addr().String()
 	ctx, stop := context.WithCancel(context.Background())
@@ -411,7 +411,7 @@
 func (y *yard) tell(k controller.EventKind) {
 	y.t.Helper()
 	select {
-	case y.asked <- controller.Event{Kind: k, Feed: y.feed.Addr().String()}:
+	case y.asked <- controller.Event{Kind: k, DiscoveryAddress: y.feed.Addr().String()}:
 	case <-time.After(patienceMost):
 		y.t.Fatal("nobody takes it")
 	}
--- a/internal/eventloop/run.go
+++ b/internal/eventloop/run.go
@@ -56,7 +56,7 @@
 	group, ctx := errgroup.WithContext(ctx)
 	ctx, cancel := context.WithCancel(ctx)
 	l := &loop{ctx: ctx, group: group, events: make(chan event), wires: map[*controller.Connection]*wire{}, later: map[*wire][]func(){}, log: log,
-		start: means.Started, timer: time.NewTimer(time.Hour), room: make(chan struct{}, means.ClientsMost()), disk: disk, peers: peers}
+		start: means.StartedAt, timer: time.NewTimer(time.Hour), room: make(chan struct{}, means.MaxClientConnections()), disk: disk, peers: peers}
 	if means.Fleet != nil {
 		l.word = means.Fleet.Word
 	}
@@ -120,7 +120,7 @@
 	}
 	w := l.wires[ev.Connection]
 	if ev.Kind == controller.BytesReceived && w != nil && w.client {
-		ev.N, ev.Last = w.more(ev.N)
+		ev.ByteCount, ev.EndOfStream = w.more(ev.ByteCount)
 	}
 	if w != nil && (ev.Kind == controller.BytesReceived || ev.Kind == controller.ConnectionClosed) {
 		w.unheard.Store(false)
@@ -153,7 +153,7 @@
 	time.Sleep(time.Millisecond)
 	for n := 0; ; n++ {
 		if ev.Kind != controller.TimerFired {
-			ev.Early = true
+			ev.Backlogged = true
 			done = l.step(r, ev) || done
 		}
 		if n > len(l.wires) { // more than one of each: what is due has waited long enough
@@ -211,39 +211,39 @@
 		w := l.wires[e.Connection]
 		switch e.Kind {
 		case controller.Dial:
-			l.dial(e.Connection, e.Address, e.Within)
+			l.dial(e.Connection, e.Address, e.Timeout)
 		case controller.Write:
 			if w == nil {
 				break
 			}
-			g, bytes := guard{version: e.Guard, bound: e.Bound, kept: e.Kept && l.word != nil, permit: e.Permit}, e.Bytes
-			if from := l.wires[e.For]; from != nil && from.unheard.Load() {
+			g, bytes := guard{version: e.PolicyVersion, bound: e.Confined, kept: e.Retained && l.word != nil, permit: e.Permit}, e.Bytes
+			if from := l.wires[e.Client]; from != nil && from.unheard.Load() {
 				// its client has said something, perhaps that it leaves: that first
 				l.later[from] = append(l.later[from], func() { w.write(bytes, g) })
 			} else {
 				w.write(bytes, g)
 			}
 		case controller.Close:
-			if w != nil && e.Gently {
-				w.closeGently(e.Within)
+			if w != nil && e.Graceful {
+				w.closeGently(e.Timeout)
 			} else if w != nil {
 				w.end(e.Abort)
 			}
 		case controller.SetTimer:
-			l.timer.Reset(e.Within)
-			l.wakeAt = time.Since(l.start) + e.Within
+			l.timer.Reset(e.Timeout)
+			l.wakeAt = time.Since(l.start) + e.Timeout
 		case controller.LogMessage:
-			if e.Loud {
-				told(l.log.Log(), e.About).Msg(e.Text)
-			} else if e.Fine {
-				told(l.log.Debug(), e.About).Msg(e.Text)
+			if e.Warning {
+				told(l.log.Log(), e.Fields).Msg(e.Text)
+			} else if e.Trace {
+				told(l.log.Debug(), e.Fields).Msg(e.Text)
 			} else {
-				told(l.log.Info(), e.About).Msg(e.Text)
+				told(l.log.Info(), e.Fields).Msg(e.Text)
 			}
 		case controller.LogCounters:
-			l.log.Log().Float64("cpu_ms_a_query", cpuMs()/float64(max(1, e.N))).Msg(e.Text)
+			l.log.Log().Float64("cpu_ms_a_query", cpuMs()/float64(max(1, e.QueryCount))).Msg(e.Text)
 		case controller.SubmitSpoolWork:
-			l.store(e.Work)
+			l.store(e.SpoolWork)
 		case controller.ReportToFleet:
 			l.report(e.Report)
 		case controller.Exit:
@@ -267,20 +267,20 @@
 
 // told puts what a line is about into fields of its own.
 func told(line *zerolog.Event, a controller.LogFields) *zerolog.Event {
-	for _, f := range [...][2]string{{"query", a.Query}, {"group", a.Group}, {"team", a.Team}, {"engine", a.Engine}} {
+	for _, f := range [...][2]string{{"query", a.Query}, {"group", a.Group}, {"team", a.Tenant}, {"engine", a.Engine}} {
 		if f[1] != "" {
 			line = line.Str(f[0], f[1])
 		}
 	}
-	if a.Try > 0 {
-		line = line.Int("try", a.Try)
+	if a.Attempt > 0 {
+		line = line.Int("try", a.Attempt)
 	}
 	return line
 }
 
 // tell hands an event to the reducer; false once it is gone.
 func (l *loop) tell(kind controller.EventKind, w *wire, n int) bool {
-	ev := event{Event: controller.Event{Kind: kind, Connection: w.link, N: n}}
+	ev := event{Event: controller.Event{Kind: kind, Connection: w.link, ByteCount: n}}
 	if kind == controller.ClientAccepted {
 		ev.wire = w
 	}
--- a/internal/setup/means.go
+++ b/internal/setup/means.go
@@ -29,19 +29,19 @@
 // Means are what the controller starts with, started at a time.
 func (x *Setup) Means(started time.Time) controller.Config {
 	seed, _ := strconv.ParseUint(x.Seed, 16, 64)
-	m := controller.Config{Seed: seed, MemoryMB: x.MemoryMB(), Sockets: cmp.Or(x.Limits.Sockets, 4096), Feed: x.Feed,
-		Facts: x.facts(), Started: started, Answers: x.Answers.limits(), Draw: draw}
+	m := controller.Config{Seed: seed, MemoryMB: x.MemoryMB(), Sockets: cmp.Or(x.Limits.Sockets, 4096), DiscoveryAddress: x.Feed,
+		Settings: x.facts(), StartedAt: started, ResultCache: x.Answers.limits(), DrawUnique: draw}
 	for _, set := range x.Clients {
-		m.Manners = append(m.Manners, controller.ClientLimits{From: prefixes(set.Addresses), Open: set.Open, Messages: set.Messages,
-			Idle: time.Duration(set.Idle), Whole: time.Duration(set.Message)})
+		m.ClientLimits = append(m.ClientLimits, controller.ClientLimits{Prefixes: prefixes(set.Addresses), OpenQueries: set.Open, MessagesPerSweep: set.Messages,
+			IdleTimeout: time.Duration(set.Idle), MessageTimeout: time.Duration(set.Message)})
 	}
 	if f := x.Fairness; f != nil {
-		m.Fair = shapeOf(f)
-		m.Words = controller.FieldNames{Team: f.Fields.Team, Wait: f.Fields.Tell, Again: f.Fields.Again}
+		m.Tenants = shapeOf(f)
+		m.FieldNames = controller.FieldNames{Tenant: f.Fields.Team, NotifyWait: f.Fields.Tell, RepeatOf: f.Fields.Again}
 	}
-	m.Words.Work, m.Words.Need = x.Estimates.Work, x.Estimates.Memory
+	m.FieldNames.EstimatedWork, m.FieldNames.EstimatedMemory = x.Estimates.Work, x.Estimates.Memory
 	if x.Shares != nil {
-		m.Words.Whose = x.Shares.Field
+		m.FieldNames.Customer = x.Shares.Field
 	}
 	return m
 }
--- a/internal/setup/setup_test.go
+++ b/internal/setup/setup_test.go
@@ -18,12 +18,12 @@
 		t.Fatal(err)
 	}
 	m := s.Means(time.Now())
-	if m.Seed != 0x8c1f30d27a5be964 || m.Fair == nil || len(m.Manners) != 1 || m.Facts["group.2.in-order"] != "true" ||
-		m.Facts["loads"] != "false,false,true" || m.Facts["threads"] != "1,3,2" || m.Facts["return.most"] != "60000" {
+	if m.Seed != 0x8c1f30d27a5be964 || m.Tenants == nil || len(m.ClientLimits) != 1 || m.Settings["group.2.in-order"] != "true" ||
+		m.Settings["loads"] != "false,false,true" || m.Settings["threads"] != "1,3,2" || m.Settings["return.most"] != "60000" {
 		t.Fatalf("%+v", m)
 	}
-	m.Fair.Lanes = make([]fairqueue.Lane, 3)
-	if err := m.Fair.Check(); err != nil {
+	m.Tenants.Lanes = make([]fairqueue.Lane, 3)
+	if err := m.Tenants.Check(); err != nil {
 		t.Fatal(err)
 	}
 }
@@ -136,9 +136,9 @@
 		t.Fatal(err)
 	}
 	m := s.Means(time.Now())
-	if f := m.Facts; f["report.figures"] != "cores" || f["note.period"] != "0" || f["own.location"] != "0" || f["teams"] != "2" ||
-		f["team.1.quota"] != "110" || f["team.0.name"] != "hogares" || f["over.worth"] != "0.05" || m.Words.Whose != "customer" ||
-		m.Words.Work != "weight" || m.Words.Need != "ram" {
+	if f := m.Settings; f["report.figures"] != "cores" || f["note.period"] != "0" || f["own.location"] != "0" || f["teams"] != "2" ||
+		f["team.1.quota"] != "110" || f["team.0.name"] != "hogares" || f["over.worth"] != "0.05" || m.FieldNames.Customer != "customer" ||
+		m.FieldNames.EstimatedWork != "weight" || m.FieldNames.EstimatedMemory != "ram" {
 		t.Fatalf("%+v", m)
 	}
 	blind := strings.Replace(before, "may: [probe, ", "may: [", 1)
--- a/internal/setup/spool.go
+++ b/internal/setup/spool.go
@@ -94,9 +94,9 @@
 		return p
 	}
 	part := &controller.SpoolConfig{Limits: s.Limits()}
-	means.Words.Pages = s.Field
+	means.FieldNames.Paged = s.Field
 	means.Spool = part
-	wall := means.Started.UnixMilli()
+	wall := means.StartedAt.UnixMilli()
 	var disk *resultstore.Keeper
 	var text []byte
 	if s.Directory != "" {
