--- a/internal/codestyle/glossary_test.go
+++ b/internal/codestyle/glossary_test.go
@@ -76,3 +76,25 @@
 	declaration := `(?m)^(func (\([^)]*\) )?|type |var |const |\t+(\w+, )*)` + name + `(\[|\(|,| |$)`
 	return regexp.MustCompile(declaration).MatchString(text)
 }
+
+// Paths of the tree in backticks on the engineers' pages exist, and what stands behind a
+// path and a colon is declared there.
+func TestPagesNameWhatExists(t *testing.T) {
+	reference := regexp.MustCompile("`((?:internal|cmd)/[\\w./-]+)(?::([\\w.]+))?`")
+	for _, page := range []string{"README.md", "docs/architecture.md", "docs/oncall.md", "docs/design.md", glossaryFile} {
+		text, err := os.ReadFile(filepath.Join(repository, page))
+		if err != nil {
+			t.Fatal(err)
+		}
+		for _, found := range reference.FindAllStringSubmatch(string(text), -1) {
+			path, name := strings.TrimSuffix(strings.TrimSuffix(found[1], "/..."), "/"), found[2]
+			if _, err := os.Stat(filepath.Join(repository, path)); err != nil {
+				t.Errorf("%s: %v", page, err)
+				continue
+			}
+			if name != "" && !declares(readGoFiles(t, path), name) {
+				t.Errorf("%s: %s declares no %s", page, path, name)
+			}
+		}
+	}
+}
