--- /dev/null
+++ b/internal/spool/golden_test.go
@@ -0,0 +1,41 @@
+package spool
+
+import (
+	"encoding/json"
+	"testing"
+
+	"github.com/google/go-cmp/cmp"
+
+	"railrelay.dev/railrelay/internal/goldentest"
+)
+
+func TestGoldenKeysAreReadAndWritten(t *testing.T) {
+	text := goldentest.File(t, "keys.json")
+	var got []Key
+	if err := json.Unmarshal(text, &got); err != nil {
+		t.Fatal(err)
+	}
+	if diff := cmp.Diff(goldenKeys(), got); diff != "" {
+		t.Errorf("the keys (-want +got):\n%s", diff)
+	}
+	goldentest.EveryFieldSet(t, goldentest.JSON, got)
+	ring := &Keyring{keys: goldenKeys()}
+	goldentest.Same(t, "keys.json", ring.Text())
+}
+
+// TestGoldenTokenOpensItsResult: clients hold tokens that an earlier program gave.
+func TestGoldenTokenOpensItsResult(t *testing.T) {
+	keys, err := NewKeyring(goldentest.File(t, "keys.json"), 0, 0, nil)
+	if err != nil {
+		t.Fatal(err)
+	}
+	c := goldenCore(keys)
+	r := c.opened(goldentest.File(t, "token"), goldenFound.Team)
+	if r == nil || r.id != goldenFound.Result {
+		t.Fatalf("the token opens %+v", r)
+	}
+	if c.opened(goldentest.File(t, "token"), "team-b") != nil {
+		t.Error("it opens the result for another team")
+	}
+	goldentest.Same(t, "token", []byte(c.Token(r)))
+}
