--- a/internal/goldentest/keys_test.go
+++ b/internal/goldentest/keys_test.go
@@ -3,6 +3,7 @@
 import (
 	"fmt"
 	"slices"
+	"strings"
 	"testing"
 )
 
@@ -73,3 +74,21 @@
 		t.Errorf("got %q, want %q", r.errors, want)
 	}
 }
+
+func TestKeyPaths(t *testing.T) {
+	type node struct {
+		tree
+		Next *node `cbor:"next"`
+	}
+	got := string(KeyPaths(CBOR, node{}))
+	want := ".1 int\n.1{}[]. int\n.1{}[].Named int\n.1{}[].only int\n. int\n.inner int\n.next again\n"
+	if sortedLines(got) != sortedLines(want) {
+		t.Errorf("got %q, want %q", got, want)
+	}
+}
+
+func sortedLines(text string) string {
+	lines := strings.Split(text, "\n")
+	slices.Sort(lines)
+	return strings.Join(lines, "\n")
+}
--- /dev/null
+++ b/internal/residency/golden_test.go
@@ -0,0 +1,14 @@
+package residency
+
+import (
+	"testing"
+
+	"railrelay.dev/railrelay/internal/goldentest"
+)
+
+// Scripts read what the commands print as JSON.
+func TestGoldenKeysOfPlans(t *testing.T) {
+	goldentest.Same(t, "outlook_keys", goldentest.KeyPaths(goldentest.JSON, Outlook{}))
+	goldentest.Same(t, "tightening_keys", goldentest.KeyPaths(goldentest.JSON, Tightening{}))
+	goldentest.Same(t, "crossing_keys", goldentest.KeyPaths(goldentest.JSON, Crossing{}))
+}
