--- a/internal/controller/answers.go
+++ b/internal/controller/answers.go
@@ -27,14 +27,14 @@
 	tables      []int64
 }
 
-func newResultCaching(r *Controller, l *resultcache.Limits) *resultCaching {
-	core, err := resultcache.New(*l, r.StartedAt.UnixMilli())
+func newResultCaching(c *Controller, l *resultcache.Limits) *resultCaching {
+	core, err := resultcache.New(*l, c.StartedAt.UnixMilli())
 	if err != nil {
-		r.logMessage(true, err.Error())
+		c.logMessage(true, err.Error())
 		return nil
 	}
-	a := &resultCaching{Controller: r, core: core, cachedGroups: map[string]bool{}}
-	for _, g := range r.groups {
+	a := &resultCaching{Controller: c, core: core, cachedGroups: map[string]bool{}}
+	for _, g := range c.groups {
 		a.cachedGroups[g.name] = !g.isLoad && !g.inOrder && g.readOnly && (len(l.Groups) == 0 || slices.Contains(l.Groups, g.name))
 	}
 	a.sweep()
@@ -162,9 +162,9 @@
 
 // Answers is what the cache holds and counts, nil without one. It is for reports,
 // between two steps.
-func (r *Controller) ResultCache() *resultcache.Cache {
-	if r.caching == nil {
+func (c *Controller) ResultCache() *resultcache.Cache {
+	if c.caching == nil {
 		return nil
 	}
-	return r.caching.core
+	return c.caching.core
 }
--- a/internal/controller/client.go
+++ b/internal/controller/client.go
@@ -100,34 +100,34 @@
 	query     *query
 }
 
-func (r *Controller) acceptClient(l *Connection) {
-	c := &client{Controller: r, connection: l, limits: r.clientLimits.find(l.RemoteAddress), stalledSince: -1, messageSince: r.now, idleSince: r.now}
-	l.onBytes, l.onEndOfStream, l.onClosed = c.readCalls, c.abandonAllCalls, c.connectionClosed
-	r.clients = append(r.clients, c)
-	r.counters.connections++
-	r.evictClient(c)
+func (c *Controller) acceptClient(conn *Connection) {
+	cl := &client{Controller: c, connection: conn, limits: c.clientLimits.find(conn.RemoteAddress), stalledSince: -1, messageSince: c.now, idleSince: c.now}
+	conn.onBytes, conn.onEndOfStream, conn.onClosed = cl.readCalls, cl.abandonAllCalls, cl.connectionClosed
+	c.clients = append(c.clients, cl)
+	c.counters.connections++
+	c.evictClient(cl)
 }
 
 // makeWay: where there are too many, those go first that have long said nothing
 // whole, then those idle, the longest first, then those whose call may be on its
 // way, and the newcomer only if all others have something open: connections
 // that cost their owners nothing must not keep out those that mean to ask.
-func (r *Controller) evictClient(newcomer *client) {
-	rank := func(c *client) int {
+func (c *Controller) evictClient(newcomer *client) {
+	rank := func(cl *client) int {
 		switch {
-		case len(c.calls) > 0, c.connection.unwrittenBytes > 0 && (c.stalledSince < 0 || r.now-c.stalledSince < messageTimeout):
+		case len(cl.calls) > 0, cl.connection.unwrittenBytes > 0 && (cl.stalledSince < 0 || c.now-cl.stalledSince < messageTimeout):
 			return 4
-		case c == newcomer:
+		case cl == newcomer:
 			return 3
-		case c.messageSince >= 0 && r.now-c.messageSince < networkDelay:
+		case cl.messageSince >= 0 && c.now-cl.messageSince < networkDelay:
 			return 2
-		case c.hasSpoken:
+		case cl.hasSpoken:
 			return 1
 		}
 		return 0
 	}
 	open, first := 0, newcomer
-	for _, x := range r.clients {
+	for _, x := range c.clients {
 		if x.connection.closed {
 			continue
 		}
@@ -136,38 +136,38 @@
 			first = x
 		}
 	}
-	if open > r.maxClients {
-		r.counters.disconnected++
+	if open > c.maxClients {
+		c.counters.disconnected++
 		// gently: it may have been answered a moment ago, and ask again just now
-		r.closeWithin(first.connection, true, networkDelay)
+		c.closeWithin(first.connection, true, networkDelay)
 	}
 }
 
-func (c *client) readCalls() {
+func (cl *client) readCalls() {
 	whole := false
-	for !c.connection.closed {
-		var hearer msgpackrpc.Hearer = c
-		if c.messagesSinceSweep >= c.limits.MessagesPerSweep { // one more and all the others would have to wait
-			hearer = &floodingClient{c}
+	for !cl.connection.closed {
+		var hearer msgpackrpc.Hearer = cl
+		if cl.messagesSinceSweep >= cl.limits.MessagesPerSweep { // one more and all the others would have to wait
+			hearer = &floodingClient{cl}
 		}
-		n, err := msgpackrpc.Read(c.connection.Received.Bytes(), c.maxMessageBytes, hearer)
+		n, err := msgpackrpc.Read(cl.connection.Received.Bytes(), cl.maxMessageBytes, hearer)
 		switch {
 		case err != nil:
-			c.counters.malformed++
-			c.disconnect(true)
+			cl.counters.malformed++
+			cl.disconnect(true)
 			return
 		case n > 0:
-			whole, c.hasSpoken, c.idleSince = true, true, c.now
-			c.connection.Received.Drop(n)
-			if c.messagesSinceSweep++; c.messagesSinceSweep > c.limits.MessagesPerSweep {
-				c.counters.disconnected++
-				c.disconnect(true)
+			whole, cl.hasSpoken, cl.idleSince = true, true, cl.now
+			cl.connection.Received.Drop(n)
+			if cl.messagesSinceSweep++; cl.messagesSinceSweep > cl.limits.MessagesPerSweep {
+				cl.counters.disconnected++
+				cl.disconnect(true)
 			}
 			continue
-		case len(c.connection.Received.Bytes()) == 0:
-			c.messageSince = -1
-		case whole || c.messageSince < 0:
-			c.messageSince = c.now
+		case len(cl.connection.Received.Bytes()) == 0:
+			cl.messageSince = -1
+		case whole || cl.messageSince < 0:
+			cl.messageSince = cl.now
 		}
 		return
 	}
@@ -193,25 +193,25 @@
 func (f *floodingClient) Left(msg uint32)                                           { f.client.Left(msg) }
 
 // end closes the connection from our side; what was open on it is lost to it.
-func (c *client) disconnect(gently bool) {
-	c.closeConnection(c.connection, gently)
-	c.abandonAllCalls()
+func (cl *client) disconnect(gently bool) {
+	cl.closeConnection(cl.connection, gently)
+	cl.abandonAllCalls()
 }
 
-func (c *client) connectionClosed() {
-	c.connection.Received = bytebuf.Buffer{} // what is due for its queries may outlive it
-	c.clients = slices.DeleteFunc(c.clients, func(x *client) bool { return x == c })
-	c.abandonAllCalls()
+func (cl *client) connectionClosed() {
+	cl.connection.Received = bytebuf.Buffer{} // what is due for its queries may outlive it
+	cl.clients = slices.DeleteFunc(cl.clients, func(x *client) bool { return x == cl })
+	cl.abandonAllCalls()
 }
 
-func (c *client) abandonAllCalls() {
-	for len(c.calls) > 0 {
-		c.Left(c.calls[0].messageID)
+func (cl *client) abandonAllCalls() {
+	for len(cl.calls) > 0 {
+		cl.Left(cl.calls[0].messageID)
 	}
 }
 
-func (c *client) findCall(msg uint32) *rpcCall {
-	for _, a := range c.calls {
+func (cl *client) findCall(msg uint32) *rpcCall {
+	for _, a := range cl.calls {
 		if a.messageID == msg {
 			return a
 		}
@@ -219,38 +219,38 @@
 	return nil
 }
 
-func (c *client) reply(p []byte) { c.write(c.connection, p) }
+func (cl *client) reply(p []byte) { cl.write(cl.connection, p) }
 
-func (c *client) Query(msg uint32, name, id []byte, patience time.Duration, k []byte, keyed bool, statement []byte, all msgpackrpc.Fields) {
+func (cl *client) Query(msg uint32, name, id []byte, patience time.Duration, k []byte, keyed bool, statement []byte, all msgpackrpc.Fields) {
 	switch {
-	case c.findCall(msg) != nil:
+	case cl.findCall(msg) != nil:
 		// answers could no longer be told apart
-		c.counters.malformed++
-		c.disconnect(true)
+		cl.counters.malformed++
+		cl.disconnect(true)
 		return
-	case len(c.calls) >= c.limits.OpenQueries:
-		if why := c.validateCall(string(name), string(id), patience, keyed, len(statement), From{c.connection.RemoteAddress, all}); why != "" {
-			c.Wrong(msg, why)
+	case len(cl.calls) >= cl.limits.OpenQueries:
+		if why := cl.validateCall(string(name), string(id), patience, keyed, len(statement), From{cl.connection.RemoteAddress, all}); why != "" {
+			cl.Wrong(msg, why)
 			return
 		}
-		c.Wrong(msg, "too many are open")
-		c.disconnect(true)
+		cl.Wrong(msg, "too many are open")
+		cl.disconnect(true)
 		return
 	}
-	a := &rpcCall{client: c, messageID: msg}
-	q, why := c.receiveQuery(a, string(name), string(id), patience, k, keyed, statement, From{c.connection.RemoteAddress, all})
+	a := &rpcCall{client: cl, messageID: msg}
+	q, why := cl.receiveQuery(a, string(name), string(id), patience, k, keyed, statement, From{cl.connection.RemoteAddress, all})
 	switch why {
 	case "":
 	case statementMemoryFull: // counted as a fault it would in the end cost what else is open on the connection
-		c.counters.deferred++
-		c.reply(msgpackrpc.Deferred(nil, msg, min(c.durationSetting("return.most"), patience/2)))
+		cl.counters.deferred++
+		cl.reply(msgpackrpc.Deferred(nil, msg, min(cl.durationSetting("return.most"), patience/2)))
 		return
 	default:
-		c.Wrong(msg, why)
+		cl.Wrong(msg, why)
 		return
 	}
 	a.query = q
-	c.calls = append(c.calls, a)
+	cl.calls = append(cl.calls, a)
 }
 
 func (a *rpcCall) finished(pages [][]byte) {
@@ -282,72 +282,72 @@
 	a.client.idleSince = a.client.now
 }
 
-func (c *client) Alive(msg uint32) {
-	c.counters.aliveCalls++
-	c.reply(msgpackrpc.Alive(nil, msg, c.discovery.listed && (c.warrant == nil || c.warrant.acceptsQueries())))
+func (cl *client) Alive(msg uint32) {
+	cl.counters.aliveCalls++
+	cl.reply(msgpackrpc.Alive(nil, msg, cl.discovery.listed && (cl.warrant == nil || cl.warrant.acceptsQueries())))
 }
 
-func (c *client) Left(msg uint32) {
-	if a := c.findCall(msg); a != nil {
-		c.Controller.clientGone(a.query)
+func (cl *client) Left(msg uint32) {
+	if a := cl.findCall(msg); a != nil {
+		cl.Controller.clientGone(a.query)
 	}
 }
 
-func (c *client) Wrong(msg uint32, why string) {
-	c.counters.malformed++
-	if c.findCall(msg) != nil {
-		c.disconnect(true)
+func (cl *client) Wrong(msg uint32, why string) {
+	cl.counters.malformed++
+	if cl.findCall(msg) != nil {
+		cl.disconnect(true)
 		return
 	}
-	c.reply(msgpackrpc.Killed(nil, msg, why))
-	if c.badCalls++; c.badCalls > maxBadCalls {
-		c.disconnect(true)
+	cl.reply(msgpackrpc.Killed(nil, msg, why))
+	if cl.badCalls++; cl.badCalls > maxBadCalls {
+		cl.disconnect(true)
 	}
 }
 
 // sweepClients ends those that don't take what is written to them, each may
 // hold some and all together a part of the memory; those that begin what they
 // don't end, or nothing; and those idle for longer than clients keep theirs.
-func (r *Controller) sweepClients() {
-	r.unreadBytes = 0
+func (c *Controller) sweepClients() {
+	c.unreadBytes = 0
 	// nobody is to blame for what we stood still ourselves: what came meanwhile is not read yet
-	stood := r.now - r.sweptAt - sweepEvery
-	if r.sweptAt = r.now; stood < sweepEvery {
+	stood := c.now - c.sweptAt - sweepEvery
+	if c.sweptAt = c.now; stood < sweepEvery {
 		stood = 0
 	}
 	var worst *client
-	for _, c := range slices.Clone(r.clients) {
-		if c.idleSince += stood; c.messageSince >= 0 {
-			c.messageSince += stood
+	for _, cl := range slices.Clone(c.clients) {
+		if cl.idleSince += stood; cl.messageSince >= 0 {
+			cl.messageSince += stood
 		}
-		if c.stalledSince >= 0 {
-			c.stalledSince += stood
+		if cl.stalledSince >= 0 {
+			cl.stalledSince += stood
 		}
-		p := c.connection.unwrittenBytes
-		r.unreadBytes += p
-		c.messagesSinceSweep = 0
+		p := cl.connection.unwrittenBytes
+		c.unreadBytes += p
+		cl.messagesSinceSweep = 0
 		switch {
 		case p == 0:
-			c.stalledSince = -1
-		case c.stalledSince < 0 || p < c.unreadAtSweep:
-			c.stalledSince = r.now
+			cl.stalledSince = -1
+		case cl.stalledSince < 0 || p < cl.unreadAtSweep:
+			cl.stalledSince = c.now
 		}
-		c.unreadAtSweep = p
+		cl.unreadAtSweep = p
 		switch {
-		case c.connection.closed:
+		case cl.connection.closed:
 			continue
-		case c.stalledSince >= 0 && r.now-c.stalledSince > stallTimeout, c.messageSince >= 0 && r.now-c.messageSince > c.limits.MessageTimeout:
-			r.counters.disconnected++
-			c.disconnect(c.stalledSince < 0) // who takes nothing is not waited for
-		case c.messageSince < 0 && len(c.calls) == 0 && c.pageReads == 0 && p == 0 && r.now-c.idleSince > c.limits.IdleTimeout:
-			r.counters.idleClosed++
-			c.disconnect(true)
+		case cl.stalledSince >= 0 && c.now-cl.stalledSince > stallTimeout, cl.messageSince >= 0 && c.now-cl.messageSince > cl.limits.MessageTimeout:
+			c.counters.disconnected++
+			cl.disconnect(cl.stalledSince < 0) // who takes nothing is not waited for
+		case cl.messageSince < 0 && len(cl.calls) == 0 && cl.pageReads == 0 && p == 0 && c.now-cl.idleSince > cl.limits.IdleTimeout:
+			c.counters.idleClosed++
+			cl.disconnect(true)
 		case worst == nil || p > worst.connection.unwrittenBytes:
-			worst = c
+			worst = cl
 		}
 	}
-	if r.unreadBytes > r.maxUnreadBytes && worst != nil {
-		r.counters.disconnected++
+	if c.unreadBytes > c.maxUnreadBytes && worst != nil {
+		c.counters.disconnected++
 		worst.disconnect(false)
 	}
 }
@@ -355,27 +355,27 @@
 // relieve ends the client with the most of an unread message under way, or else
 // the engine's line, where all buffers together hold more than their part of the
 // memory. What fits a buffer that any connection may keep is not to blame.
-func (r *Controller) relieveBuffers() {
+func (c *Controller) relieveBuffers() {
 	var worst *client
 	most := bytebuf.Keeps
-	for _, c := range r.clients {
-		if !c.connection.closed && c.messageSince >= 0 && c.connection.bufferBytes > most {
-			worst, most = c, c.connection.bufferBytes
+	for _, cl := range c.clients {
+		if !cl.connection.closed && cl.messageSince >= 0 && cl.connection.bufferBytes > most {
+			worst, most = cl, cl.connection.bufferBytes
 		}
 	}
 	if worst != nil {
-		r.counters.disconnected++
+		c.counters.disconnected++
 		worst.disconnect(false)
 		return
 	}
 	var line *engineConnection
-	for _, l := range r.pool.connections {
+	for _, l := range c.pool.connections {
 		if !l.connection.closed && l.connection.bufferBytes > most {
 			line, most = l, l.connection.bufferBytes
 		}
 	}
 	if line != nil {
-		r.cutConnection(line)
+		c.cutConnection(line)
 	}
 }
 
--- a/internal/controller/engine.go
+++ b/internal/controller/engine.go
@@ -28,7 +28,7 @@
 
 // alive: a connection to it stands.
 func (e *engine) hasConnection() bool {
-	return slices.ContainsFunc(e.connections, func(l *engineConnection) bool { return l.connected && !l.connection.closed })
+	return slices.ContainsFunc(e.connections, func(ec *engineConnection) bool { return ec.connected && !ec.connection.closed })
 }
 
 // line is a connection to an engine, for one call at a time.
@@ -100,30 +100,30 @@
 	connectionReuseDelay = 10 * time.Millisecond
 )
 
-func (r *Controller) startCall(c *call) {
-	if c.timeout == 0 {
-		c.timeout = responseTimeout
+func (c *Controller) startCall(request *call) {
+	if request.timeout == 0 {
+		request.timeout = responseTimeout
 	}
-	if c.engine.address == "" {
-		r.runSoon(func() { r.finishCall(c, callRefused, 0, nil, nil) })
+	if request.engine.address == "" {
+		c.runSoon(func() { c.finishCall(request, callRefused, 0, nil, nil) })
 		return
 	}
-	if len(r.pool.waitingCalls) == 0 && (!c.isPoll || len(r.pool.waitingPolls) == 0) { // in turn
-		if l := r.idleConnection(c); l != nil {
-			r.writeCall(l, c)
+	if len(c.pool.waitingCalls) == 0 && (!request.isPoll || len(c.pool.waitingPolls) == 0) { // in turn
+		if l := c.idleConnection(request); l != nil {
+			c.writeCall(l, request)
 			return
 		}
-		if r.pool.open < r.pool.limit {
-			r.dialEngine(c)
+		if c.pool.open < c.pool.limit {
+			c.dialEngine(request)
 			return
 		}
-		r.closeIdlestConnection()
+		c.closeIdlestConnection()
 	}
-	r.counters.queuedCalls++
-	if c.isPoll {
-		r.pool.waitingPolls = append(r.pool.waitingPolls, c)
+	c.counters.queuedCalls++
+	if request.isPoll {
+		c.pool.waitingPolls = append(c.pool.waitingPolls, request)
 	} else {
-		r.pool.waitingCalls = append(r.pool.waitingCalls, c)
+		c.pool.waitingCalls = append(c.pool.waitingCalls, request)
 	}
 }
 
@@ -133,15 +133,15 @@
 // changed priority's, which would say that it was given up before that has come.
 // After a good look it goes on with any: a copy of that fits no call but a look, and
 // what was looked at is sent to at once. Else each look costs two connections.
-func (r *Controller) idleConnection(c *call) (found *engineConnection) {
-	for _, l := range c.engine.connections {
-		if l.connected && l.call == nil && !l.connection.closed && (r.now-l.idleSince >= connectionReuseDelay || c.attempt != nil && (l.lastAttempt == c.attempt && !(l.changedPriority && c.method == "DELETE") || l.healthChecked)) &&
+func (c *Controller) idleConnection(request *call) (found *engineConnection) {
+	for _, l := range request.engine.connections {
+		if l.connected && l.call == nil && !l.connection.closed && (c.now-l.idleSince >= connectionReuseDelay || request.attempt != nil && (l.lastAttempt == request.attempt && !(l.changedPriority && request.method == "DELETE") || l.healthChecked)) &&
 			(found == nil || l.idleSince > found.idleSince) {
 			found = l
 		}
 	}
-	if found != nil && r.now-found.idleSince > r.engineIdleTimeout*3/4 {
-		r.cutConnection(found)
+	if found != nil && c.now-found.idleSince > c.engineIdleTimeout*3/4 {
+		c.cutConnection(found)
 		return nil
 	}
 	return found
@@ -149,161 +149,161 @@
 
 // makeRoom closes the line of any engine that was idle longest. Its
 // descriptor is not free until its end is told: the call waits for that.
-func (r *Controller) closeIdlestConnection() {
+func (c *Controller) closeIdlestConnection() {
 	var oldest *engineConnection
-	for _, l := range r.pool.connections {
+	for _, l := range c.pool.connections {
 		if l.connected && l.call == nil && !l.connection.closed && (oldest == nil || l.idleSince < oldest.idleSince) {
 			oldest = l
 		}
 	}
 	if oldest != nil {
-		r.cutConnection(oldest)
+		c.cutConnection(oldest)
 	}
 }
 
-func (r *Controller) dialEngine(c *call) {
-	r.pool.dialled++
-	l := &engineConnection{connection: &Connection{}, number: r.pool.dialled, engine: c.engine, call: c}
-	if r.TraceQueries && c.attempt != nil {
-		r.trace(c.attempt.logFields(), "line %d dialled for %s", l.number, c.method)
+func (c *Controller) dialEngine(request *call) {
+	c.pool.dialled++
+	ec := &engineConnection{connection: &Connection{}, number: c.pool.dialled, engine: request.engine, call: request}
+	if c.TraceQueries && request.attempt != nil {
+		c.trace(request.attempt.logFields(), "line %d dialled for %s", ec.number, request.method)
 	}
-	c.engine.connections, r.pool.connections = append(c.engine.connections, l), append(r.pool.connections, l)
-	r.pool.open++
-	l.connection.onConnected = func() {
-		l.connected = true
-		if c := l.call; c != nil {
-			l.call = nil
-			r.writeCall(l, c)
+	request.engine.connections, c.pool.connections = append(request.engine.connections, ec), append(c.pool.connections, ec)
+	c.pool.open++
+	ec.connection.onConnected = func() {
+		ec.connected = true
+		if request := ec.call; request != nil {
+			ec.call = nil
+			c.writeCall(ec, request)
 		} else {
-			r.releaseConnection(l)
+			c.releaseConnection(ec)
 		}
 	}
-	l.connection.onDialFailed = func(wasRefused bool) {
-		r.connectionGone(l)
+	ec.connection.onDialFailed = func(wasRefused bool) {
+		c.connectionGone(ec)
 		if wasRefused {
-			r.failCall(l, callRefused)
+			c.failCall(ec, callRefused)
 		} else {
-			r.failCall(l, callDialTimedOut)
+			c.failCall(ec, callDialTimedOut)
 		}
 	}
-	l.connection.onBytes = func() { r.readResponse(l) }
-	l.connection.onClosed = func() {
-		r.connectionGone(l)
-		if c := l.call; c != nil && l.connection.unwrittenBytes >= c.requestBytes {
-			r.failCall(l, callNotWritten)
+	ec.connection.onBytes = func() { c.readResponse(ec) }
+	ec.connection.onClosed = func() {
+		c.connectionGone(ec)
+		if request := ec.call; request != nil && ec.connection.unwrittenBytes >= request.requestBytes {
+			c.failCall(ec, callNotWritten)
 		}
-		r.failCall(l, callConnectionLost)
+		c.failCall(ec, callConnectionLost)
 	}
-	r.counters.dials++
-	r.emit(Effect{Kind: Dial, Connection: l.connection, Address: c.engine.address, Timeout: r.connectTimeout})
+	c.counters.dials++
+	c.emit(Effect{Kind: Dial, Connection: ec.connection, Address: request.engine.address, Timeout: c.connectTimeout})
 }
 
 // cut closes a line. With a call under way its bytes must not arrive later: a
 // kernel that is left to it goes on sending for minutes, and would start a
 // query behind a link that heals long after it was held to be over.
-func (r *Controller) cutConnection(l *engineConnection) {
-	if !l.connection.closed {
-		l.connection.closed = true
-		r.emit(Effect{Kind: Close, Connection: l.connection, Abort: l.call != nil})
+func (c *Controller) cutConnection(ec *engineConnection) {
+	if !ec.connection.closed {
+		ec.connection.closed = true
+		c.emit(Effect{Kind: Close, Connection: ec.connection, Abort: ec.call != nil})
 	}
 }
 
-func (r *Controller) connectionGone(l *engineConnection) {
-	is := func(x *engineConnection) bool { return x == l }
-	l.engine.connections, r.pool.connections = slices.DeleteFunc(l.engine.connections, is), slices.DeleteFunc(r.pool.connections, is)
-	r.pool.open--
-	if c := l.lastWritten; c != nil {
-		l.lastWritten = nil
-		c.arrivalKnown()
+func (c *Controller) connectionGone(ec *engineConnection) {
+	is := func(x *engineConnection) bool { return x == ec }
+	ec.engine.connections, c.pool.connections = slices.DeleteFunc(ec.engine.connections, is), slices.DeleteFunc(c.pool.connections, is)
+	c.pool.open--
+	if request := ec.lastWritten; request != nil {
+		ec.lastWritten = nil
+		request.arrivalKnown()
 	}
-	r.runSoon(r.serveWaitingCalls)
+	c.runSoon(c.serveWaitingCalls)
 }
 
-func (r *Controller) failCall(l *engineConnection, as callResult) {
-	if c := l.call; c != nil {
-		l.call = nil
-		r.finishCall(c, as, 0, nil, nil)
+func (c *Controller) failCall(ec *engineConnection, as callResult) {
+	if request := ec.call; request != nil {
+		ec.call = nil
+		c.finishCall(request, as, 0, nil, nil)
 	}
 }
 
 // put writes a call on a line that is up and has none.
-func (r *Controller) writeCall(l *engineConnection, c *call) {
-	invariant.Hold(l.connected && l.call == nil && l.engine == c.engine, "one call at a time on a connection")
-	if c.done || c.stillWanted != nil && !c.stillWanted() {
-		r.releaseConnection(l)
-		r.finishCall(c, callNotSent, 0, nil, nil)
+func (c *Controller) writeCall(ec *engineConnection, request *call) {
+	invariant.Hold(ec.connected && ec.call == nil && ec.engine == request.engine, "one call at a time on a connection")
+	if request.done || request.stillWanted != nil && !request.stillWanted() {
+		c.releaseConnection(ec)
+		c.finishCall(request, callNotSent, 0, nil, nil)
 		return
 	}
-	text := c.encode(nil)
-	l.call, l.lastWritten, l.lastAttempt, l.healthChecked, l.changedPriority, c.requestBytes = c, c, c.attempt, false, c.method == "PUT", len(text)
-	if c.attempt != nil && c.keepsQuery {
-		c.attempt.callsInFlight++
+	text := request.encode(nil)
+	ec.call, ec.lastWritten, ec.lastAttempt, ec.healthChecked, ec.changedPriority, request.requestBytes = request, request, request.attempt, false, request.method == "PUT", len(text)
+	if request.attempt != nil && request.keepsQuery {
+		request.attempt.callsInFlight++
 	}
-	if r.TraceQueries && c.attempt != nil {
-		r.trace(c.attempt.logFields(), "%s on line %d", c.method, l.number)
+	if c.TraceQueries && request.attempt != nil {
+		c.trace(request.attempt.logFields(), "%s on line %d", request.method, ec.number)
 	}
-	if c.startsAttempt {
-		r.writeAttempt(l.connection, text, c.attempt)
+	if request.startsAttempt {
+		c.writeAttempt(ec.connection, text, request.attempt)
 	} else {
-		r.write(l.connection, text)
+		c.write(ec.connection, text)
 	}
-	c.timer = r.timers.Add(r.now+c.timeout, func() {
-		if !c.done {
-			r.cutConnection(l)
-			l.call = nil
-			r.finishCall(c, callNoResponse, 0, nil, nil)
+	request.timer = c.timers.Add(c.now+request.timeout, func() {
+		if !request.done {
+			c.cutConnection(ec)
+			ec.call = nil
+			c.finishCall(request, callNoResponse, 0, nil, nil)
 		}
 	})
 }
 
 // free has a line wait for its next call, or the next call take it.
-func (r *Controller) releaseConnection(l *engineConnection) {
-	l.call, l.idleSince = nil, r.now
-	if len(r.pool.waitingCalls)+len(r.pool.waitingPolls) > 0 {
-		r.runSoon(r.serveWaitingCalls)
-		r.runAfter(connectionReuseDelay, r.serveWaitingCalls)
+func (c *Controller) releaseConnection(ec *engineConnection) {
+	ec.call, ec.idleSince = nil, c.now
+	if len(c.pool.waitingCalls)+len(c.pool.waitingPolls) > 0 {
+		c.runSoon(c.serveWaitingCalls)
+		c.runAfter(connectionReuseDelay, c.serveWaitingCalls)
 	}
 }
 
 // next serves the calls that wait for a line.
-func (r *Controller) serveWaitingCalls() {
-	for _, queue := range []*[]*call{&r.pool.waitingCalls, &r.pool.waitingPolls} {
+func (c *Controller) serveWaitingCalls() {
+	for _, queue := range []*[]*call{&c.pool.waitingCalls, &c.pool.waitingPolls} {
 		for len(*queue) > 0 {
-			c := (*queue)[0]
-			l := r.idleConnection(c)
-			if l == nil && !c.done && r.pool.open >= r.pool.limit {
-				r.closeIdlestConnection()
+			request := (*queue)[0]
+			l := c.idleConnection(request)
+			if l == nil && !request.done && c.pool.open >= c.pool.limit {
+				c.closeIdlestConnection()
 				return
 			}
 			*queue = (*queue)[1:]
 			switch {
-			case c.done || c.stillWanted != nil && !c.stillWanted():
-				r.finishCall(c, callNotSent, 0, nil, nil)
+			case request.done || request.stillWanted != nil && !request.stillWanted():
+				c.finishCall(request, callNotSent, 0, nil, nil)
 			case l != nil:
-				r.writeCall(l, c)
+				c.writeCall(l, request)
 			default:
-				r.dialEngine(c)
+				c.dialEngine(request)
 			}
 		}
 	}
 }
 
-func (r *Controller) readResponse(l *engineConnection) {
-	in := &l.connection.Received
-	if l.call == nil {
+func (c *Controller) readResponse(ec *engineConnection) {
+	in := &ec.connection.Received
+	if ec.call == nil {
 		if len(in.Bytes()) > 0 {
-			r.counters.unexpected++ // nobody asked
-			r.cutConnection(l)
+			c.counters.unexpected++ // nobody asked
+			c.cutConnection(ec)
 		}
 		return
 	}
-	for !l.connection.closed && l.call != nil {
+	for !ec.connection.closed && ec.call != nil {
 		var say func()
 		sound, rows, status := false, false, 0
-		c := l.call
+		request := ec.call
 		n, keep, err := enginehttp.Read(in.Bytes(), maxResponseBytes, func(as int, field func(string) string, body []byte) {
-			sound, rows, status = c.validResponse(as, field, body), len(body) > 0, as
-			say = func() { r.finishCall(c, callAnswered, status, field, body) }
+			sound, rows, status = request.validResponse(as, field, body), len(body) > 0, as
+			say = func() { c.finishCall(request, callAnswered, status, field, body) }
 		})
 		if n == 0 && err == nil {
 			return
@@ -315,78 +315,78 @@
 		behind := len(in.Bytes()) > 0
 		// with something behind it, a length may be off: then a result is not all there
 		if err != nil || !sound || behind && rows {
-			r.counters.unexpected++
-			r.cutConnection(l)
-			r.failCall(l, callMalformedResponse)
+			c.counters.unexpected++
+			c.cutConnection(ec)
+			c.failCall(ec, callMalformedResponse)
 			return
 		}
-		r.counters.engineResponses++
+		c.counters.engineResponses++
 		if !keep || behind {
-			l.call = nil
-			r.cutConnection(l)
+			ec.call = nil
+			c.cutConnection(ec)
 		} else {
-			l.healthChecked = c.attempt == nil && status == 200
-			r.releaseConnection(l)
+			ec.healthChecked = request.attempt == nil && status == 200
+			c.releaseConnection(ec)
 		}
-		c.answered = true
-		if l.lastWritten == c {
-			l.lastWritten = nil
-			c.arrivalKnown()
+		request.answered = true
+		if ec.lastWritten == request {
+			ec.lastWritten = nil
+			request.arrivalKnown()
 		}
 		say() // now that the line may take the call this leads to
 	}
 }
 
-func (r *Controller) finishCall(c *call, as callResult, status int, field func(string) string, body []byte) {
-	if !c.done {
-		c.done = true
-		r.timers.Drop(c.timer)
-		if r.TraceQueries && c.attempt != nil {
-			r.trace(c.attempt.logFields(), "%s came to %s %d", c.method, callResultNames[as], status)
+func (c *Controller) finishCall(request *call, as callResult, status int, field func(string) string, body []byte) {
+	if !request.done {
+		request.done = true
+		c.timers.Drop(request.timer)
+		if c.TraceQueries && request.attempt != nil {
+			c.trace(request.attempt.logFields(), "%s came to %s %d", request.method, callResultNames[as], status)
 		}
-		c.onResult(as, status, field, body)
+		request.onResult(as, status, field, body)
 	}
 }
 
 // vacate: another has the engine's address, so its process is no more, and its
 // calls must not reach the other one, which may run a query of the same id.
-func (r *Controller) vacateAddress(e *engine) {
-	if r.engineByAddress[e.address] == e {
-		delete(r.engineByAddress, e.address)
+func (c *Controller) vacateAddress(e *engine) {
+	if c.engineByAddress[e.address] == e {
+		delete(c.engineByAddress, e.address)
 	}
 	e.address = ""
 	for _, l := range e.connections {
-		r.cutConnection(l)
+		c.cutConnection(l)
 	}
 }
 
 // sweepEngines forgets those that are gone, once nothing can be on its way to them.
-func (r *Controller) sweepEngines() {
-	for id, e := range r.engines {
-		if e.state == scheduler.EngineRemoved && r.now-e.removedAt > r.longestQueryTimeout && e.unreportedAttempts+len(e.connections)+len(e.cancelling)+len(e.waitingForID) == 0 {
-			r.vacateAddress(e)
-			delete(r.engines, id)
+func (c *Controller) sweepEngines() {
+	for id, e := range c.engines {
+		if e.state == scheduler.EngineRemoved && c.now-e.removedAt > c.longestQueryTimeout && e.unreportedAttempts+len(e.connections)+len(e.cancelling)+len(e.waitingForID) == 0 {
+			c.vacateAddress(e)
+			delete(c.engines, id)
 		}
 	}
 }
 
 // sweepLines closes what has been idle for so long that its engine may close it.
-func (r *Controller) closeIdleConnections() {
-	for _, l := range r.pool.connections {
-		if l.connected && l.call == nil && r.engineIdleTimeout > 0 && r.now-l.idleSince > r.engineIdleTimeout*3/4 {
-			r.cutConnection(l)
+func (c *Controller) closeIdleConnections() {
+	for _, l := range c.pool.connections {
+		if l.connected && l.call == nil && c.engineIdleTimeout > 0 && c.now-l.idleSince > c.engineIdleTimeout*3/4 {
+			c.cutConnection(l)
 		}
 	}
 }
 
 // probe looks at an engine; no answer in the time a connection may take is one too.
-func (r *Controller) checkHealth(e *engine) {
+func (c *Controller) checkHealth(e *engine) {
 	if e.healthCheck != nil && !e.healthCheck.done { // with all descriptors in use one waits, and more of them would starve the news
 		return
 	}
-	r.counters.healthChecks++
-	e.healthCheck = &call{method: "probe", engine: e, timeout: r.connectTimeout, validResponse: enginehttp.FitsProbe,
-		encode: func(dst []byte) []byte { return enginehttp.Probe(dst, e.address, r.enginesReportLoad) },
+	c.counters.healthChecks++
+	e.healthCheck = &call{method: "probe", engine: e, timeout: c.connectTimeout, validResponse: enginehttp.FitsProbe,
+		encode: func(dst []byte) []byte { return enginehttp.Probe(dst, e.address, c.enginesReportLoad) },
 		onResult: func(as callResult, status int, field func(string) string, _ []byte) {
 			outcome, report := scheduler.TimedOut, map[string]float64(nil)
 			switch {
@@ -399,7 +399,7 @@
 			case as == callConnectionLost || as == callNotWritten || as == callMalformedResponse:
 				outcome = scheduler.ConnectionReset
 			}
-			r.runSoon(func() { r.scheduler.Probed(r.now, e.id, outcome, report) })
+			c.runSoon(func() { c.scheduler.Probed(c.now, e.id, outcome, report) })
 		}}
-	r.startCall(e.healthCheck)
+	c.startCall(e.healthCheck)
 }
--- a/internal/controller/fairness.go
+++ b/internal/controller/fairness.go
@@ -43,10 +43,10 @@
 	tenants       *fairqueue.Shape // last followed
 }
 
-func newFairQueue(r *Controller, shape *fairqueue.Shape, words FieldNames) *fairQueue {
-	f := &fairQueue{Controller: r, fieldNames: words, tenants: shape}
-	if r.Settings["may.name-return"] == "true" {
-		f.maxRetryAfter = r.durationSetting("return.most")
+func newFairQueue(c *Controller, shape *fairqueue.Shape, words FieldNames) *fairQueue {
+	f := &fairQueue{Controller: c, fieldNames: words, tenants: shape}
+	if c.Settings["may.name-return"] == "true" {
+		f.maxRetryAfter = c.durationSetting("return.most")
 	}
 	s := *shape
 	s.Lanes = f.lanes()
@@ -212,8 +212,8 @@
 
 // Teams hands over what happened to each team's queries so far; nothing without
 // fairness. It is for reports, between two steps.
-func (r *Controller) Teams(each func(path string, waiting int, n fairqueue.Counts)) {
-	if r.fairQueue != nil {
-		r.fairQueue.queue.Teams(each)
+func (c *Controller) Teams(each func(path string, waiting int, n fairqueue.Counts)) {
+	if c.fairQueue != nil {
+		c.fairQueue.queue.Teams(each)
 	}
 }
--- a/internal/controller/feed.go
+++ b/internal/controller/feed.go
@@ -32,8 +32,8 @@
 // feedHurry bounds a wait for the feed once the first of what was missed is about to count as told:
 // half of the time that a drained engine may still be sent to, so that a try and the wait before it
 // are over within that once the feed is back. Before that nobody counts on it, and calls are priced.
-func (r *Controller) boundDiscoveryDelay(most time.Duration) time.Duration {
-	if grace := r.durationSetting("drain.grace"); grace > 0 && r.now-r.discovery.lastHeardAt > discoveryDeliveredAfter-maxDiscoveryBackoff-discoveryDialTimeout {
+func (c *Controller) boundDiscoveryDelay(most time.Duration) time.Duration {
+	if grace := c.durationSetting("drain.grace"); grace > 0 && c.now-c.discovery.lastHeardAt > discoveryDeliveredAfter-maxDiscoveryBackoff-discoveryDialTimeout {
 		return max(2*minDiscoveryBackoff, min(most, grace/2))
 	}
 	return most
@@ -42,194 +42,194 @@
 // follow connects to the feed and asks for what comes after what we have. A
 // connection that goes silent, breaks a line or skips a number is given up for
 // a new one.
-func (r *Controller) connectDiscovery() {
-	f := &r.discovery
-	if r.DiscoveryAddress == "" || f.connection != nil { // a new address may have come while this try waited
+func (c *Controller) connectDiscovery() {
+	f := &c.discovery
+	if c.DiscoveryAddress == "" || f.connection != nil { // a new address may have come while this try waited
 		return
 	}
-	l := &Connection{}
-	f.connection, f.heardAt, f.skippedLines = l, r.now, 0
+	conn := &Connection{}
+	f.connection, f.heardAt, f.skippedLines = conn, c.now, 0
 	again := func() {
-		if f.connection == l {
+		if f.connection == conn {
 			f.connection = nil
-			f.retryDelay = min(max(2*f.retryDelay, minDiscoveryBackoff), r.boundDiscoveryDelay(maxDiscoveryBackoff))
-			r.runAfter(f.retryDelay, r.connectDiscovery)
+			f.retryDelay = min(max(2*f.retryDelay, minDiscoveryBackoff), c.boundDiscoveryDelay(maxDiscoveryBackoff))
+			c.runAfter(f.retryDelay, c.connectDiscovery)
 		}
 	}
-	l.onConnected = func() {
-		f.heardAt = r.now
-		r.write(l, discovery.Since(nil, f.lastEvent))
+	conn.onConnected = func() {
+		f.heardAt = c.now
+		c.write(conn, discovery.Since(nil, f.lastEvent))
 	}
-	l.onDialFailed = func(bool) { again() }
-	l.onClosed = again
-	l.onBytes = func() {
-		for !l.closed {
+	conn.onDialFailed = func(bool) { again() }
+	conn.onClosed = again
+	conn.onBytes = func() {
+		for !conn.closed {
 			// its own bound, not a client's: one event names all engines there are
-			n, err := discovery.Read(l.Received.Bytes(), r.maxBufferedBytes, r)
+			n, err := discovery.Read(conn.Received.Bytes(), c.maxBufferedBytes, c)
 			if err != nil {
 				if f.unreadableAfter == f.lastEvent && n > 0 { // it is no better: later ones are to be heard
 					f.skippedLines++
-					l.Received.Drop(n)
+					conn.Received.Drop(n)
 					continue
 				}
-				r.counters.discoveryFaults++
-				r.logMessage(true, "the feed can't be read: "+err.Error()+"; asked for once more, then passed over")
+				c.counters.discoveryFaults++
+				c.logMessage(true, "the feed can't be read: "+err.Error()+"; asked for once more, then passed over")
 				f.unreadableAfter = f.lastEvent
-				r.closeConnection(l, false)
+				c.closeConnection(conn, false)
 				again()
 				return
 			}
 			if n == 0 {
 				return
 			}
-			f.heardAt, f.lastHeardAt, f.retryDelay = r.now, r.now, 0
-			l.Received.Drop(n)
+			f.heardAt, f.lastHeardAt, f.retryDelay = c.now, c.now, 0
+			conn.Received.Drop(n)
 		}
 	}
-	r.counters.discoveryDials++
-	r.emit(Effect{Kind: Dial, Connection: l, Address: r.DiscoveryAddress, Timeout: r.boundDiscoveryDelay(discoveryDialTimeout)})
-	r.watchHeartbeat(l, again)
+	c.counters.discoveryDials++
+	c.emit(Effect{Kind: Dial, Connection: conn, Address: c.DiscoveryAddress, Timeout: c.boundDiscoveryDelay(discoveryDialTimeout)})
+	c.watchHeartbeat(conn, again)
 }
 
 // refeed follows the list to another address at once, from the last event held:
 // the old one tells nothing more, and the numbers go on.
-func (r *Controller) changeDiscoveryAddress(address string) {
-	f := &r.discovery
-	if r.counters.reloads++; address == r.DiscoveryAddress {
+func (c *Controller) changeDiscoveryAddress(address string) {
+	f := &c.discovery
+	if c.counters.reloads++; address == c.DiscoveryAddress {
 		return
 	}
-	if r.DiscoveryAddress, f.retryDelay = address, 0; f.connection != nil {
-		r.closeConnection(f.connection, false)
+	if c.DiscoveryAddress, f.retryDelay = address, 0; f.connection != nil {
+		c.closeConnection(f.connection, false)
 		f.connection = nil
 	}
-	r.connectDiscovery()
+	c.connectDiscovery()
 }
 
 // watch gives a feed up once a number that was due has not come, though nothing was closed: what
 // it should have told since counts as told, and a drain among it must pass no grace.
-func (r *Controller) watchHeartbeat(l *Connection, again func()) {
-	due := r.discovery.heardAt + discoverySilentAfter
-	r.runAt(due, func() {
+func (c *Controller) watchHeartbeat(conn *Connection, again func()) {
+	due := c.discovery.heardAt + discoverySilentAfter
+	c.runAt(due, func() {
 		switch {
-		case r.discovery.connection != l:
-		case r.now-r.discovery.heardAt < discoverySilentAfter:
-			r.watchHeartbeat(l, again)
-		case r.now > due+networkDelay: // we stood still ourselves: what came meanwhile is read first
-			r.discovery.heardAt = r.now + networkDelay - discoverySilentAfter
-			r.watchHeartbeat(l, again)
+		case c.discovery.connection != conn:
+		case c.now-c.discovery.heardAt < discoverySilentAfter:
+			c.watchHeartbeat(conn, again)
+		case c.now > due+networkDelay: // we stood still ourselves: what came meanwhile is read first
+			c.discovery.heardAt = c.now + networkDelay - discoverySilentAfter
+			c.watchHeartbeat(conn, again)
 		default:
-			r.counters.discoveryFaults++
-			r.closeConnection(l, false)
+			c.counters.discoveryFaults++
+			c.closeConnection(conn, false)
 			again()
 		}
 	})
 }
 
-func (r *Controller) Event(number int64, whole bool) bool {
+func (c *Controller) Event(number int64, whole bool) bool {
 	switch {
-	case number <= r.discovery.lastEvent:
+	case number <= c.discovery.lastEvent:
 		return false
-	case number > r.discovery.lastEvent+1+r.discovery.skippedLines && !whole:
-		r.reconnectAfterGap()
+	case number > c.discovery.lastEvent+1+c.discovery.skippedLines && !whole:
+		c.reconnectAfterGap()
 		return false
 	}
-	r.discovery.lastEvent, r.discovery.listed, r.discovery.completeEvent, r.discovery.skippedLines = number, true, whole, 0
-	r.counters.listEvents++
-	r.scheduler.ListBegins(r.now, whole)
+	c.discovery.lastEvent, c.discovery.listed, c.discovery.completeEvent, c.discovery.skippedLines = number, true, whole, 0
+	c.counters.listEvents++
+	c.scheduler.ListBegins(c.now, whole)
 	return true
 }
 
 // Last tells of events that should have come before it.
-func (r *Controller) Last(number int64) {
-	f := &r.discovery
+func (c *Controller) Last(number int64) {
+	f := &c.discovery
 	switch {
 	case number <= f.lastEvent:
 	case number <= f.lastEvent+f.skippedLines: // those passed over
 		f.skippedLines -= number - f.lastEvent
 		f.lastEvent = number
 	default:
-		r.reconnectAfterGap()
+		c.reconnectAfterGap()
 	}
 }
 
-func (r *Controller) reconnectAfterGap() {
-	if l := r.discovery.connection; l != nil {
-		r.counters.discoveryFaults++
-		r.closeConnection(l, false)
+func (c *Controller) reconnectAfterGap() {
+	if l := c.discovery.connection; l != nil {
+		c.counters.discoveryFaults++
+		c.closeConnection(l, false)
 	}
 }
 
-func (r *Controller) Engine(id, address, location, kind string, cell int, state scheduler.EngineState, startedMs int64) {
-	e := r.engines[id]
+func (c *Controller) Engine(id, address, location, kind string, cell int, state scheduler.EngineState, startedMs int64) {
+	e := c.engines[id]
 	if e == nil {
 		e = &engine{id: id}
-		r.engines[id] = e
+		c.engines[id] = e
 	}
 	if address != "" && address != e.address {
-		r.vacateAddress(e)
+		c.vacateAddress(e)
 		e.address = address
 	}
 	if e.state != state && state == scheduler.EngineRemoved {
-		r.removeEngine(e)
+		c.removeEngine(e)
 	}
 	if state != scheduler.EngineActive {
 		e.revokePermits()
 	}
-	e.state, e.kind, e.location = state, r.settingIndex("kinds", kind), r.settingIndex("locations", location)
-	e.listedInEvent = r.discovery.lastEvent
-	switch x := r.engineByAddress[e.address]; {
+	e.state, e.kind, e.location = state, c.settingIndex("kinds", kind), c.settingIndex("locations", location)
+	e.listedInEvent = c.discovery.lastEvent
+	switch x := c.engineByAddress[e.address]; {
 	case e.address == "" || x == e:
 	case x != nil && state == scheduler.EngineRemoved && x.state != scheduler.EngineRemoved:
-		r.vacateAddress(e)
+		c.vacateAddress(e)
 	default:
 		if x != nil {
 			if x.state == scheduler.EngineActive && state == scheduler.EngineActive {
-				r.logAbout(LogFields{Engine: x.id}, "has its address no more, "+e.id+" is listed there")
+				c.logAbout(LogFields{Engine: x.id}, "has its address no more, "+e.id+" is listed there")
 			}
-			r.vacateAddress(x)
+			c.vacateAddress(x)
 		}
-		r.engineByAddress[e.address] = e
+		c.engineByAddress[e.address] = e
 	}
-	started := time.UnixMilli(startedMs).Sub(r.StartedAt)
-	r.scheduler.ListEngine(id, e.location, e.kind, cell, state, started, startedMs != 0)
+	started := time.UnixMilli(startedMs).Sub(c.StartedAt)
+	c.scheduler.ListEngine(id, e.location, e.kind, cell, state, started, startedMs != 0)
 }
 
 // EventEnds ends an event of the feed: what a whole list leaves out is gone.
-func (r *Controller) EventEnds() {
-	for _, e := range r.engines {
-		if r.discovery.completeEvent && e.state != scheduler.EngineRemoved && e.listedInEvent != r.discovery.lastEvent {
-			r.removeEngine(e)
+func (c *Controller) EventEnds() {
+	for _, e := range c.engines {
+		if c.discovery.completeEvent && e.state != scheduler.EngineRemoved && e.listedInEvent != c.discovery.lastEvent {
+			c.removeEngine(e)
 		}
 	}
-	r.scheduler.ListEnds()
-	if r.fairQueue != nil {
-		r.fairQueue.updateCores()
+	c.scheduler.ListEnds()
+	if c.fairQueue != nil {
+		c.fairQueue.updateCores()
 	}
-	if r.warrant != nil {
-		r.warrant.endpointsChanged()
+	if c.warrant != nil {
+		c.warrant.endpointsChanged()
 	}
 }
 
 // bar: it is sent nothing more, and what waits to be written doesn't begin there either.
 func (e *engine) revokePermits() {
 	for _, l := range e.connections {
-		if c := l.call; c != nil && c.startsAttempt {
-			c.attempt.permit.Revoke()
+		if request := l.call; request != nil && request.startsAttempt {
+			request.attempt.permit.Revoke()
 		}
 	}
 }
 
-func (r *Controller) removeEngine(e *engine) {
+func (c *Controller) removeEngine(e *engine) {
 	e.revokePermits()
-	e.state, e.removedAt = scheduler.EngineRemoved, r.now
+	e.state, e.removedAt = scheduler.EngineRemoved, c.now
 	for _, l := range e.connections {
 		if l.connected && l.call == nil {
-			r.cutConnection(l)
+			c.cutConnection(l)
 		}
 	}
 }
 
-func (r *Controller) Odd(why string) {
-	r.counters.unexpected++
-	r.logMessage(true, "passed over in the list: "+why)
+func (c *Controller) Odd(why string) {
+	c.counters.unexpected++
+	c.logMessage(true, "passed over in the list: "+why)
 }
--- a/internal/controller/fleet.go
+++ b/internal/controller/fleet.go
@@ -101,8 +101,8 @@
 	from From
 }
 
-func newServingLease(r *Controller, f *FleetConfig) *servingLease {
-	w := &servingLease{Controller: r, FleetConfig: *f, fleetView: &fleet.Picture{}, pausedSince: [2]time.Duration{-1, -1}}
+func newServingLease(c *Controller, f *FleetConfig) *servingLease {
+	w := &servingLease{Controller: c, FleetConfig: *f, fleetView: &fleet.Picture{}, pausedSince: [2]time.Duration{-1, -1}}
 	w.MaxHold, w.RetryAfter = cmp.Or(w.MaxHold, defaultMaxHold), cmp.Or(w.RetryAfter, defaultRetryAfter)
 	w.residency = newResidencyState(w)
 	w.updateServing()
@@ -203,21 +203,21 @@
 }
 
 // retell takes over other limits of groups and other shares of customers.
-func (r *Controller) applyFleetSettings(facts map[string]string) {
-	next := maps.Clone(r.Settings)
+func (c *Controller) applyFleetSettings(facts map[string]string) {
+	next := maps.Clone(c.Settings)
 	maps.DeleteFunc(next, func(name, _ string) bool { return isFleetSetting(name) })
 	for name, value := range facts {
 		if isFleetSetting(name) {
 			next[name] = value
 		}
 	}
-	r.Settings = next
-	for _, g := range r.groups {
-		g.readSettings(r)
-		r.longestQueryTimeout = max(r.longestQueryTimeout, g.timeout)
+	c.Settings = next
+	for _, g := range c.groups {
+		g.readSettings(c)
+		c.longestQueryTimeout = max(c.longestQueryTimeout, g.timeout)
 	}
-	r.readCustomers()
-	r.scheduler.UpdateSettings(r.now, next)
+	c.readCustomers()
+	c.scheduler.UpdateSettings(c.now, next)
 }
 
 // watchLease looks again when the lease ends, if nothing else has by then.
--- a/internal/controller/placing.go
+++ b/internal/controller/placing.go
@@ -371,9 +371,9 @@
 
 // Crossed lists the latest queries that an emergency let over a boundary, and how many
 // there were. It is for reports, between two steps.
-func (r *Controller) ResidencyViolations() ([]residency.Crossing, int) {
-	if r.warrant == nil || r.warrant.residency == nil {
+func (c *Controller) ResidencyViolations() ([]residency.Crossing, int) {
+	if c.warrant == nil || c.warrant.residency == nil {
 		return nil, 0
 	}
-	return r.warrant.residency.core.Crossed()
+	return c.warrant.residency.core.Crossed()
 }
--- a/internal/controller/purge.go
+++ b/internal/controller/purge.go
@@ -69,8 +69,8 @@
 	flushPollInterval = 2 * time.Millisecond
 )
 
-func newInvalidation(r *Controller) *invalidation {
-	return &invalidation{Controller: r, local: map[string]*localInvalidation{}, callers: map[string][]*invalidationCall{}, unconfirmed: map[string]*fleet.Ask{}, retainedWrites: map[retainedWrite]bool{}}
+func newInvalidation(c *Controller) *invalidation {
+	return &invalidation{Controller: c, local: map[string]*localInvalidation{}, callers: map[string][]*invalidationCall{}, unconfirmed: map[string]*fleet.Ask{}, retainedWrites: map[retainedWrite]bool{}}
 }
 
 // index is the place in the record after which a query that comes now is taken.
@@ -87,13 +87,13 @@
 }
 
 // owner is whose a call is: its team, or its customer where there are no teams.
-func (r *Controller) dataOwner(from From) string {
-	if r.fairQueue == nil && r.FieldNames.Customer != "" {
-		if name := string(from.Fields.Get(r.FieldNames.Customer)); name != "" {
+func (c *Controller) dataOwner(from From) string {
+	if c.fairQueue == nil && c.FieldNames.Customer != "" {
+		if name := string(from.Fields.Get(c.FieldNames.Customer)); name != "" {
 			return name
 		}
 	}
-	return r.tenantOf(from)
+	return c.tenantOf(from)
 }
 
 // serving does what writes of what is kept: it goes out only while the lease holds, by
@@ -116,13 +116,13 @@
 }
 
 // handsOut: kept bytes of a team, "" if it isn't known, are on their way out by a link.
-func (p *invalidation) noteRetainedWrite(l *Connection, team string) {
+func (p *invalidation) noteRetainedWrite(conn *Connection, team string) {
 	if len(p.retainedWrites) >= 2*p.writesAfterSweep+64 {
 		p.writesFlushed(nil)
 		p.writesAfterSweep = len(p.retainedWrites)
 	}
-	if l.unwrittenBytes > 0 {
-		p.retainedWrites[retainedWrite{l, team}] = true
+	if conn.unwrittenBytes > 0 {
+		p.retainedWrites[retainedWrite{conn, team}] = true
 	}
 }
 
@@ -226,8 +226,8 @@
 }
 
 // those are the queries for which something holds, in the order in which they came.
-func (r *Controller) queriesWhere(holds func(q *query) bool) (l []*query) {
-	for _, q := range r.queries {
+func (c *Controller) queriesWhere(holds func(q *query) bool) (l []*query) {
+	for _, q := range c.queries {
 		if holds(q) {
 			l = append(l, q)
 		}
@@ -257,13 +257,13 @@
 
 // Purge is a client's call to have what is kept of its team go, or, with an id, for how
 // far a purge has come.
-func (c *client) Purge(msg uint32, call msgpackrpc.Purge, all msgpackrpc.Fields) {
-	p := c.purges
+func (cl *client) Purge(msg uint32, call msgpackrpc.Purge, all msgpackrpc.Fields) {
+	p := cl.purges
 	if p == nil {
-		c.Wrong(msg, "no such method")
+		cl.Wrong(msg, "no such method")
 		return
 	}
-	team := c.dataOwner(From{c.connection.RemoteAddress, all})
+	team := cl.dataOwner(From{cl.connection.RemoteAddress, all})
 	waiting := 0
 	for _, l := range p.callers {
 		for _, x := range l {
@@ -272,20 +272,20 @@
 			}
 		}
 	}
-	if c.pageReads >= c.limits.OpenQueries || waiting >= maxCallsPerTenant || len(p.unconfirmed) >= maxLocalInvalidations {
-		c.reply(msgpackrpc.Deferred(nil, msg, noSpaceRetryAfter))
+	if cl.pageReads >= cl.limits.OpenQueries || waiting >= maxCallsPerTenant || len(p.unconfirmed) >= maxLocalInvalidations {
+		cl.reply(msgpackrpc.Deferred(nil, msg, noSpaceRetryAfter))
 		return
 	}
-	x := &invalidationCall{c: c, msg: msg, id: string(call.ID), team: team}
+	x := &invalidationCall{c: cl, msg: msg, id: string(call.ID), team: team}
 	fresh := x.id == ""
 	if fresh {
 		x.id = p.newID(team)
 	}
 	p.clientCalls++
-	c.pageReads++
+	cl.pageReads++
 	p.callers[x.id] = append(p.callers[x.id], x)
-	x.answerBy = c.now + max(0, call.Patience-answerMargin)
-	x.timer = c.timers.Add(x.answerBy, func() { p.answerState(x, statePending, "", nil, nil) })
+	x.answerBy = cl.now + max(0, call.Patience-answerMargin)
+	x.timer = cl.timers.Add(x.answerBy, func() { p.answerState(x, statePending, "", nil, nil) })
 	switch {
 	case p.warrant != nil:
 		a := &fleet.Ask{Kind: "status", ID: x.id, By: team, Team: team, Wait: max(1, (call.Patience - 2*answerMargin).Milliseconds())}
--- a/internal/controller/query.go
+++ b/internal/controller/query.go
@@ -82,8 +82,8 @@
 const statementMemoryFull = "too much is in hand"
 
 // unfit says why a call can't be taken, "" if it can.
-func (r *Controller) validateCall(name, id string, patience time.Duration, keyed bool, size int, from From) string {
-	g := r.groups[settings.Plain(name)]
+func (c *Controller) validateCall(name, id string, patience time.Duration, keyed bool, size int, from From) string {
+	g := c.groups[settings.Plain(name)]
 	switch {
 	case g == nil:
 		return "no such method"
@@ -91,11 +91,11 @@
 		return "no such patience"
 	case g.inOrder && !keyed:
 		return "no entity"
-	case g.needsIdempotencyKey && !enginehttp.Sendable(from.Fields.Get(r.FieldNames.IdempotencyKey)):
+	case g.needsIdempotencyKey && !enginehttp.Sendable(from.Fields.Get(c.FieldNames.IdempotencyKey)):
 		return "no such token"
-	case r.queries[id] != nil:
+	case c.queries[id] != nil:
 		return "this trace is in hand"
-	case r.statementBytes+size > r.maxStatementBytes:
+	case c.statementBytes+size > c.maxStatementBytes:
 		return statementMemoryFull
 	}
 	return ""
@@ -103,83 +103,83 @@
 
 // take is the one way in, whichever front a query came by. It copies what it
 // keeps; why tells what is wrong with a call that isn't taken.
-func (r *Controller) receiveQuery(a queryOwner, name, id string, patience time.Duration, k []byte, keyed bool, statement []byte, from From) (q *query, why string) {
-	if why = r.validateCall(name, id, patience, keyed, len(statement), from); why != "" {
+func (c *Controller) receiveQuery(a queryOwner, name, id string, patience time.Duration, k []byte, keyed bool, statement []byte, from From) (q *query, why string) {
+	if why = c.validateCall(name, id, patience, keyed, len(statement), from); why != "" {
 		return nil, why
 	}
-	g := r.groups[settings.Plain(name)]
-	r.statementBytes += len(statement)
+	g := c.groups[settings.Plain(name)]
+	c.statementBytes += len(statement)
 	q = &query{id: id, groupName: name, owner: a, group: g, statement: append([]byte{}, statement...),
-		receivedAt: r.now, deadline: r.now + patience, priority: -1}
-	q.customer = r.customerIndex(from)
+		receivedAt: c.now, deadline: c.now + patience, priority: -1}
+	q.customer = c.customerIndex(from)
 	if g.needsIdempotencyKey {
-		q.idempotencyKey = string(from.Fields.Get(r.FieldNames.IdempotencyKey))
+		q.idempotencyKey = string(from.Fields.Get(c.FieldNames.IdempotencyKey))
 	}
-	q.estimatedWork = time.Duration(parseEstimate(from.Fields.Get(r.FieldNames.EstimatedWork), 24*3600*1000) * float64(time.Millisecond))
-	q.estimatedMemoryMB = parseEstimate(from.Fields.Get(r.FieldNames.EstimatedMemory), 1<<30)
+	q.estimatedWork = time.Duration(parseEstimate(from.Fields.Get(c.FieldNames.EstimatedWork), 24*3600*1000) * float64(time.Millisecond))
+	q.estimatedMemoryMB = parseEstimate(from.Fields.Get(c.FieldNames.EstimatedMemory), 1<<30)
 	number := int64(-1)
 	if g.inOrder {
-		q.key = r.keys.acquire(string(k))
+		q.key = c.keys.acquire(string(k))
 		number = q.key.number
 		// its client's time counts from when it would have sent it, which of a key's queries it may have
 		// held back: answered by when it was written some were lost, half a second after that time
-		q.deadline = min(q.deadline, q.key.noteArrival(r.now, patience)+patience+keyDeadlineSlack) - min(firstKeySpacing, patience/8)
+		q.deadline = min(q.deadline, q.key.noteArrival(c.now, patience)+patience+keyDeadlineSlack) - min(firstKeySpacing, patience/8)
 	}
-	r.queries[q.id] = q
-	r.counters.received++
-	if r.TraceQueries {
-		r.trace(q.logFields(), "taken, key %q (%d), for %v, fields %q", k, number, patience, from.Fields.Names())
+	c.queries[q.id] = q
+	c.counters.received++
+	if c.TraceQueries {
+		c.trace(q.logFields(), "taken, key %q (%d), for %v, fields %q", k, number, patience, from.Fields.Names())
 	}
-	r.lastQueryAt = r.now
-	if r.caching != nil {
-		r.caching.noteMutation(q)
+	c.lastQueryAt = c.now
+	if c.caching != nil {
+		c.caching.noteMutation(q)
 	}
 	// once all that has come is read: what is taken back in one breath goes nowhere
-	r.runSoon(func() { r.dispatch(q, from, number) })
+	c.runSoon(func() { c.dispatch(q, from, number) })
 	return q, ""
 }
 
 // customer is the place of the one that a call names among the settings', -1: none.
-func (r *Controller) customerIndex(from From) int {
-	return slices.Index(r.customers, settings.Plain(string(from.Fields.Get(r.FieldNames.Customer))))
+func (c *Controller) customerIndex(from From) int {
+	return slices.Index(c.customers, settings.Plain(string(from.Fields.Get(c.FieldNames.Customer))))
 }
 
 // enter hands a query on to its turn or to the decisions.
-func (r *Controller) dispatch(q *query, from From, number int64) {
+func (c *Controller) dispatch(q *query, from From, number int64) {
 	if q.answered {
 		return
 	}
 	q.tableGroup, q.keyNumber = msgpackrpc.Tables(q.statement), number
-	if r.warrant != nil && !r.closing && !r.warrant.admit(q, from) {
+	if c.warrant != nil && !c.closing && !c.warrant.admit(q, from) {
 		return
 	}
-	if r.paging != nil && r.mayRetain(q) { // where it may not be kept it is answered whole
-		r.paging.reserve(q, from)
+	if c.paging != nil && c.mayRetain(q) { // where it may not be kept it is answered whole
+		c.paging.reserve(q, from)
 	}
-	if r.caching != nil && !q.answered && r.mayRetain(q) && !r.caching.lookup(q, from, func(from From) { r.dispatch(q, from, number) }) {
+	if c.caching != nil && !q.answered && c.mayRetain(q) && !c.caching.lookup(q, from, func(from From) { c.dispatch(q, from, number) }) {
 		return
 	}
 	switch {
 	case q.answered:
-	case r.fairQueue != nil:
-		r.fairQueue.enqueue(q, from, q.tableGroup, number)
+	case c.fairQueue != nil:
+		c.fairQueue.enqueue(q, from, q.tableGroup, number)
 	default:
-		r.submitToScheduler(q)
+		c.submitToScheduler(q)
 	}
 }
 
 // keeps: its result or answer may be kept here.
-func (r *Controller) mayRetain(q *query) bool {
-	return r.warrant == nil || r.warrant.residency.mayRetain(q)
+func (c *Controller) mayRetain(q *query) bool {
+	return c.warrant == nil || c.warrant.residency.mayRetain(q)
 }
 
 // begin hands a query on to the decisions.
-func (r *Controller) submitToScheduler(q *query) {
-	if r.warrant != nil {
-		r.warrant.residency.forwardToScheduler(q)
+func (c *Controller) submitToScheduler(q *query) {
+	if c.warrant != nil {
+		c.warrant.residency.forwardToScheduler(q)
 		return
 	}
-	r.scheduler.Take(r.now, q.id, q.group.index, q.customer, q.deadline-r.now, q.tableGroup, q.keyNumber, q.estimatedWork, q.estimatedMemoryMB)
+	c.scheduler.Take(c.now, q.id, q.group.index, q.customer, q.deadline-c.now, q.tableGroup, q.keyNumber, q.estimatedWork, q.estimatedMemoryMB)
 }
 
 // told is a figure that a client tells; one that can't be meant is taken as not told.
@@ -191,72 +191,72 @@
 }
 
 // left: its asker wants no answer any more.
-func (r *Controller) clientGone(q *query) {
-	r.counters.abandoned++
-	r.runSoon(func() { r.scheduler.ClientLeft(r.now, q.id) }) // before the end of what was not sent, or it counts as answered
-	r.closeQuery(q, fairqueue.Left)
+func (c *Controller) clientGone(q *query) {
+	c.counters.abandoned++
+	c.runSoon(func() { c.scheduler.ClientLeft(c.now, q.id) }) // before the end of what was not sent, or it counts as answered
+	c.closeQuery(q, fairqueue.Left)
 }
 
 var endNames = [...]string{fairqueue.Finished: "finished", fairqueue.Deferred: "deferred", fairqueue.Killed: "killed", fairqueue.Left: "left"}
 
 // close marks the query answered, or no answer owed.
-func (r *Controller) closeQuery(q *query, end fairqueue.End) bool {
+func (c *Controller) closeQuery(q *query, end fairqueue.End) bool {
 	if !invariant.Hold(!q.answered, "one final answer a query") {
 		return false
 	}
 	q.answered = true
 	for _, s := range q.attempts {
 		if s.permit.Revoke(); !s.sent { // where nothing may be cancelled, too: its key's next would wait for a dial
-			r.withdrawAttempt(s, scheduler.NeverSent)
+			c.withdrawAttempt(s, scheduler.NeverSent)
 		}
 	}
-	if r.TraceQueries {
-		r.trace(q.logFields(), "closed: %s", endNames[end])
+	if c.TraceQueries {
+		c.trace(q.logFields(), "closed: %s", endNames[end])
 	}
 	q.owner.closed()
 	if q.blocked {
-		r.warrant.endHold(q)
+		c.warrant.endHold(q)
 	}
-	if r.fairQueue != nil {
-		r.fairQueue.queryClosed(q, end)
+	if c.fairQueue != nil {
+		c.fairQueue.queryClosed(q, end)
 	}
-	if r.caching != nil {
-		r.caching.queryAnswered(q)
+	if c.caching != nil {
+		c.caching.queryAnswered(q)
 	}
-	r.forgetQuery(q)
+	c.forgetQuery(q)
 	return true
 }
 
-func (r *Controller) answerFinished(q *query, pages [][]byte) {
+func (c *Controller) answerFinished(q *query, pages [][]byte) {
 	var others []*query
-	if r.caching != nil && !q.answered {
-		others = r.caching.takeFollowers(q, pages)
+	if c.caching != nil && !q.answered {
+		others = c.caching.takeFollowers(q, pages)
 	}
-	if r.closeQuery(q, fairqueue.Finished) {
-		r.counters.finished++
+	if c.closeQuery(q, fairqueue.Finished) {
+		c.counters.finished++
 		q.owner.finished(pages)
 	}
 	if len(others) > 0 {
-		r.caching.answerFollowers(others, pages)
+		c.caching.answerFollowers(others, pages)
 	}
 }
 
-func (r *Controller) answerDeferred(q *query, comeBack time.Duration) {
-	if !q.answered && r.closeQuery(q, fairqueue.Deferred) {
-		r.counters.deferred++
+func (c *Controller) answerDeferred(q *query, comeBack time.Duration) {
+	if !q.answered && c.closeQuery(q, fairqueue.Deferred) {
+		c.counters.deferred++
 		q.owner.deferred(comeBack)
 	}
 }
 
-func (r *Controller) answerKilled(q *query, why string) {
-	if !q.answered && r.closeQuery(q, fairqueue.Killed) {
-		r.counters.killed++
+func (c *Controller) answerKilled(q *query, why string) {
+	if !q.answered && c.closeQuery(q, fairqueue.Killed) {
+		c.counters.killed++
 		q.owner.killed(why)
 	}
 }
 
 // drop forgets a query once it is answered and nothing of it is out.
-func (r *Controller) forgetQuery(q *query) {
+func (c *Controller) forgetQuery(q *query) {
 	if !q.answered {
 		return
 	}
@@ -265,24 +265,24 @@
 			return
 		}
 	}
-	if r.queries[q.id] == q {
+	if c.queries[q.id] == q {
 		// the decisions may still have a word on it in this very step
-		r.runSoon(func() {
-			if r.queries[q.id] == q {
-				delete(r.queries, q.id)
-				if r.paging != nil {
-					r.paging.queryOver(q)
+		c.runSoon(func() {
+			if c.queries[q.id] == q {
+				delete(c.queries, q.id)
+				if c.paging != nil {
+					c.paging.queryOver(q)
 				}
-				if r.fairQueue != nil {
-					r.fairQueue.queryOver(q)
+				if c.fairQueue != nil {
+					c.fairQueue.queryOver(q)
 				}
-				if r.caching != nil {
-					r.caching.queryOver(q)
+				if c.caching != nil {
+					c.caching.queryOver(q)
 				}
-				r.statementBytes -= len(q.statement)
+				c.statementBytes -= len(q.statement)
 				q.statement, q.attempts = nil, nil // what is due for it may outlive it
 				if q.key != nil {
-					r.keys.release(q.key, r.now)
+					c.keys.release(q.key, c.now)
 				}
 			}
 		})
--- a/internal/controller/relay.go
+++ b/internal/controller/relay.go
@@ -207,83 +207,83 @@
 
 // New makes a controller and what it does first.
 func New(means Config) (*Controller, []Effect) {
-	r := &Controller{Config: means, timerAt: -1, queryTable: queryTable{queries: map[string]*query{}},
+	c := &Controller{Config: means, timerAt: -1, queryTable: queryTable{queries: map[string]*query{}},
 		engines: map[string]*engine{}, engineByAddress: map[string]*engine{}, groups: map[string]*group{}}
 	f := means.Settings
-	r.connectTimeout, r.engineIdleTimeout = r.durationSetting("connect.timeout"), r.durationSetting("idle.most")
-	r.keyReuseDelay = r.durationSetting("key.rest")
-	r.enginesReportLoad = f["report.how"] != "off" && f["report.how"] != ""
-	r.loadReportsInResponses = f["report.how"] == "answers"
-	r.mayHedge = f["may.copy"] == "true"
-	r.mayCancel = f["may.cancel"] == "true"
-	r.keys = newKeyTable()
+	c.connectTimeout, c.engineIdleTimeout = c.durationSetting("connect.timeout"), c.durationSetting("idle.most")
+	c.keyReuseDelay = c.durationSetting("key.rest")
+	c.enginesReportLoad = f["report.how"] != "off" && f["report.how"] != ""
+	c.loadReportsInResponses = f["report.how"] == "answers"
+	c.mayHedge = f["may.copy"] == "true"
+	c.mayCancel = f["may.cancel"] == "true"
+	c.keys = newKeyTable()
 	// their ends and their next connections may cross: a little over a third is let in
-	r.clientLimits = newClientLimitTable(means.ClientLimits)
-	r.maxClients = max(1, means.Sockets/3) + means.reservedSockets()/4
-	r.pool.limit = max(2, means.Sockets-means.Sockets/3-means.reservedSockets())
+	c.clientLimits = newClientLimitTable(means.ClientLimits)
+	c.maxClients = max(1, means.Sockets/3) + means.reservedSockets()/4
+	c.pool.limit = max(2, means.Sockets-means.Sockets/3-means.reservedSockets())
 	memory := int(means.MemoryMB * (1 << 20))
-	r.maxMessageBytes, r.maxUnreadBytes, r.maxStatementBytes = max(1<<16, memory/64), max(1<<18, memory/8), max(1<<18, memory/8)
-	r.maxBufferedBytes = max(1<<20, memory/8)
+	c.maxMessageBytes, c.maxUnreadBytes, c.maxStatementBytes = max(1<<16, memory/64), max(1<<18, memory/8), max(1<<18, memory/8)
+	c.maxBufferedBytes = max(1<<20, memory/8)
 	groups, _ := strconv.Atoi(f["groups"])
 	for i := range groups {
 		at := "group." + strconv.Itoa(i) + "."
 		g := &group{index: i, name: f[at+"name"], inOrder: f[at+"in-order"] == "true", isLoad: listItem(f["loads"], i) == "true",
 			readOnly: f[at+"effect"] == "read-only", needsIdempotencyKey: f[at+"effect"] == "tokened"}
-		g.readSettings(r)
-		r.groups[settings.Plain(g.name)] = g
-		r.longestQueryTimeout = max(r.longestQueryTimeout, g.timeout)
+		g.readSettings(c)
+		c.groups[settings.Plain(g.name)] = g
+		c.longestQueryTimeout = max(c.longestQueryTimeout, g.timeout)
 	}
-	r.readCustomers()
-	r.scheduler = scheduler.New(r, means.Seed, f)
+	c.readCustomers()
+	c.scheduler = scheduler.New(c, means.Seed, f)
 	if len(means.KnownEngines) > 0 {
-		if err := discovery.Known(means.KnownEngines, r); err != nil {
-			r.logMessage(true, "the known list can't be read: "+err.Error())
+		if err := discovery.Known(means.KnownEngines, c); err != nil {
+			c.logMessage(true, "the known list can't be read: "+err.Error())
 		}
 	}
 	if means.Tenants != nil {
-		r.fairQueue = newFairQueue(r, means.Tenants, means.FieldNames)
+		c.fairQueue = newFairQueue(c, means.Tenants, means.FieldNames)
 	}
 	if means.Spool != nil {
-		r.paging = newResultPaging(r, means.Spool)
+		c.paging = newResultPaging(c, means.Spool)
 	}
 	if means.ResultCache != nil {
-		r.caching = newResultCaching(r, means.ResultCache)
+		c.caching = newResultCaching(c, means.ResultCache)
 	}
-	if r.paging != nil || r.caching != nil {
-		r.purges = newInvalidation(r)
-		if r.paging != nil && means.Fleet == nil { // a purge of this controller alone comes after all that it found
-			r.purges.logIndex = r.paging.restoredIndex
+	if c.paging != nil || c.caching != nil {
+		c.purges = newInvalidation(c)
+		if c.paging != nil && means.Fleet == nil { // a purge of this controller alone comes after all that it found
+			c.purges.logIndex = c.paging.restoredIndex
 		}
 	}
 	if means.Fleet != nil {
-		r.warrant = newServingLease(r, means.Fleet)
-		if r.purges != nil {
-			r.warrant.invalidator = r.purges
+		c.warrant = newServingLease(c, means.Fleet)
+		if c.purges != nil {
+			c.warrant.invalidator = c.purges
 		}
-		if r.paging != nil {
-			r.paging.core.Serves = r.warrant.residency.mayServe
+		if c.paging != nil {
+			c.paging.core.Serves = c.warrant.residency.mayServe
 		}
 	}
-	r.discovery.unreadableAfter = -1
-	r.connectDiscovery()
-	r.sweep()
-	r.runPending(false)
-	return r, r.effects
+	c.discovery.unreadableAfter = -1
+	c.connectDiscovery()
+	c.sweep()
+	c.runPending(false)
+	return c, c.effects
 }
 
 // read takes from the settings what of a group may change while it runs.
-func (g *group) readSettings(r *Controller) {
+func (g *group) readSettings(c *Controller) {
 	at := "group." + strconv.Itoa(g.index) + "."
-	g.timeout, g.latencyObjective = r.durationSetting(at+"timeout"), r.durationSetting(at+"target")
-	g.threads, g.priorityWeight = max(1, parseNumber(listItem(r.Settings["threads"], g.index))), parseNumber(r.Settings[at+"value"])
+	g.timeout, g.latencyObjective = c.durationSetting(at+"timeout"), c.durationSetting(at+"target")
+	g.threads, g.priorityWeight = max(1, parseNumber(listItem(c.Settings["threads"], g.index))), parseNumber(c.Settings[at+"value"])
 }
 
 // named takes the customers from the settings.
-func (r *Controller) readCustomers() {
-	r.customers = nil
-	n, _ := strconv.Atoi(r.Settings["teams"])
+func (c *Controller) readCustomers() {
+	c.customers = nil
+	n, _ := strconv.Atoi(c.Settings["teams"])
 	for i := range n {
-		r.customers = append(r.customers, settings.Plain(r.Settings["team."+strconv.Itoa(i)+".name"]))
+		c.customers = append(c.customers, settings.Plain(c.Settings["team."+strconv.Itoa(i)+".name"]))
 	}
 }
 
@@ -299,31 +299,31 @@
 	return x
 }
 
-func (r *Controller) durationSetting(name string) time.Duration {
-	ms, _ := strconv.ParseFloat(r.Settings[name], 64)
+func (c *Controller) durationSetting(name string) time.Duration {
+	ms, _ := strconv.ParseFloat(c.Settings[name], 64)
 	return time.Duration(ms * float64(time.Millisecond))
 }
 
 // Step takes an event and gives the effects it leads to, valid until the next.
-func (r *Controller) Step(now time.Duration, ev Event) []Effect {
-	r.step(now, ev)
-	return r.effects
+func (c *Controller) Step(now time.Duration, ev Event) []Effect {
+	c.step(now, ev)
+	return c.effects
 }
 
-func (r *Controller) step(now time.Duration, ev Event) {
-	r.now = max(now, r.now)
-	clear(r.effects)
-	r.effects = r.effects[:0]
+func (c *Controller) step(now time.Duration, ev Event) {
+	c.now = max(now, c.now)
+	clear(c.effects)
+	c.effects = c.effects[:0]
 	l := ev.Connection
 	if !invariant.Debug {
-		defer r.recoverStep(l)
+		defer c.recoverStep(l)
 	}
-	if r.warrant != nil {
-		r.warrant.updateServing()
+	if c.warrant != nil {
+		c.warrant.updateServing()
 	}
 	switch ev.Kind {
 	case ClientAccepted:
-		r.acceptClient(l)
+		c.acceptClient(l)
 	case Connected:
 		if !l.closed {
 			l.onConnected()
@@ -338,111 +338,111 @@
 			if ev.EndOfStream && l.onEndOfStream != nil {
 				l.onEndOfStream()
 			}
-			r.accountBuffer(l, l.Received.Held())
-			if r.bufferedBytes > r.maxBufferedBytes {
-				r.relieveBuffers()
+			c.accountBuffer(l, l.Received.Held())
+			if c.bufferedBytes > c.maxBufferedBytes {
+				c.relieveBuffers()
 			}
 		}
 	case BytesWritten:
-		r.noteWritten(l, ev.ByteCount)
+		c.noteWritten(l, ev.ByteCount)
 	case ConnectionClosed:
 		l.closed = true
 		l.onClosed()
 		l.unwrittenBytes = 0
-		r.accountBuffer(l, 0)
+		c.accountBuffer(l, 0)
 	case TimerFired:
-		r.timerAt = -1
+		c.timerAt = -1
 	case ShutdownRequested:
-		r.beginShutdown()
+		c.beginShutdown()
 	case CountersRequested:
-		r.logCounters()
+		c.logCounters()
 	case SpoolWorkDone:
-		r.paging.workDone(ev.SpoolWork)
+		c.paging.workDone(ev.SpoolWork)
 	case FleetOrdered:
-		r.warrant.handleFleetOrder(ev.Order)
+		c.warrant.handleFleetOrder(ev.Order)
 	case FleetReportRejected:
-		r.warrant.reportRejected(ev.Report)
+		c.warrant.reportRejected(ev.Report)
 	case WriteBarred:
-		r.counters.barredWrites++
-		if r.warrant != nil {
-			r.warrant.rejectedWrites++
+		c.counters.barredWrites++
+		if c.warrant != nil {
+			c.warrant.rejectedWrites++
 		}
 	case ConfigurationReloaded:
-		r.changeDiscoveryAddress(ev.DiscoveryAddress)
-		if r.fairQueue != nil && ev.Tenants != nil && r.warrant == nil { // where there are peers teams are the fleet's to change
-			r.fairQueue.reload(ev.Tenants)
+		c.changeDiscoveryAddress(ev.DiscoveryAddress)
+		if c.fairQueue != nil && ev.Tenants != nil && c.warrant == nil { // where there are peers teams are the fleet's to change
+			c.fairQueue.reload(ev.Tenants)
 		}
 	}
-	r.runPending(ev.Backlogged)
+	c.runPending(ev.Backlogged)
 }
 
 // caught: a fault of ours costs the connection that it came by, not all that is
 // served on the others.
-func (r *Controller) recoverStep(l *Connection) {
+func (c *Controller) recoverStep(conn *Connection) {
 	if fault := recover(); fault != nil {
 		invariant.Hold(false, "no step fails")
-		r.logMessage(true, fmt.Sprintf("a fault: %v at %s", fault, debug.Stack()))
-		if l != nil {
-			r.closeConnection(l, false)
+		c.logMessage(true, fmt.Sprintf("a fault: %v at %s", fault, debug.Stack()))
+		if conn != nil {
+			c.closeConnection(conn, false)
 		}
-		if r.timerAt < 0 { // the next step settles what this one could not
-			r.timerAt = r.now + time.Millisecond
-			r.emit(Effect{Kind: SetTimer, Timeout: time.Millisecond})
+		if c.timerAt < 0 { // the next step settles what this one could not
+			c.timerAt = c.now + time.Millisecond
+			c.emit(Effect{Kind: SetTimer, Timeout: time.Millisecond})
 		}
 	}
 }
 
 // settle does what is due and tells the decisions what waits to be told; early, only the latter.
-func (r *Controller) runPending(early bool) {
+func (c *Controller) runPending(early bool) {
 	for {
-		if len(r.callbacks) > 0 {
-			do := r.callbacks[0]
-			r.callbacks = r.callbacks[1:]
+		if len(c.callbacks) > 0 {
+			do := c.callbacks[0]
+			c.callbacks = c.callbacks[1:]
 			do()
-		} else if do, ok := r.nextDue(early); ok {
+		} else if do, ok := c.nextDue(early); ok {
 			do()
-		} else if r.fairQueue == nil || r.warrant != nil && r.warrant.paused() || !r.fairQueue.dispatchNext() {
+		} else if c.fairQueue == nil || c.warrant != nil && c.warrant.paused() || !c.fairQueue.dispatchNext() {
 			break
 		}
 	}
-	r.callbacks = nil
+	c.callbacks = nil
 	if !early {
-		r.continueShutdown()
+		c.continueShutdown()
 	}
-	if at, ok := r.timers.First(); ok && (r.timerAt < 0 || at < r.timerAt) {
-		r.timerAt = at
-		r.emit(Effect{Kind: SetTimer, Timeout: max(0, at-r.now)})
+	if at, ok := c.timers.First(); ok && (c.timerAt < 0 || at < c.timerAt) {
+		c.timerAt = at
+		c.emit(Effect{Kind: SetTimer, Timeout: max(0, at-c.now)})
 	}
 	if invariant.Debug {
-		for id, e := range r.engines {
-			out, known := r.scheduler.InFlight(id)
+		for id, e := range c.engines {
+			out, known := c.scheduler.InFlight(id)
 			invariant.Hold(!known || out == e.unreportedAttempts, "decisions know what is out")
 		}
 	}
-	invariant.Hold(r.pool.open >= 0 && r.pool.open <= r.pool.limit, "engine links within their part")
+	invariant.Hold(c.pool.open >= 0 && c.pool.open <= c.pool.limit, "engine links within their part")
 }
 
-func (r *Controller) nextDue(early bool) (func(), bool) {
+func (c *Controller) nextDue(early bool) (func(), bool) {
 	if early {
 		return nil, false
 	}
-	return r.timers.Next(r.now)
+	return c.timers.Next(c.now)
 }
 
-func (r *Controller) emit(e Effect)                          { r.effects = append(r.effects, e) }
-func (r *Controller) runAt(when time.Duration, what func())  { r.timers.Add(when, what) }
-func (r *Controller) runAfter(span time.Duration, do func()) { r.timers.Add(r.now+span, do) }
-func (r *Controller) logMessage(loud bool, text string) {
-	r.emit(Effect{Kind: LogMessage, Warning: loud, Text: text})
+func (c *Controller) emit(e Effect)                          { c.effects = append(c.effects, e) }
+func (c *Controller) runAt(when time.Duration, what func())  { c.timers.Add(when, what) }
+func (c *Controller) runAfter(span time.Duration, do func()) { c.timers.Add(c.now+span, do) }
+func (c *Controller) logMessage(loud bool, text string) {
+	c.emit(Effect{Kind: LogMessage, Warning: loud, Text: text})
 }
-func (r *Controller) logAbout(about LogFields, text string) {
-	r.emit(Effect{Kind: LogMessage, Text: text, Fields: about})
+func (c *Controller) logAbout(about LogFields, text string) {
+	c.emit(Effect{Kind: LogMessage, Text: text, Fields: about})
 }
 
 // trace says what becomes of a query, step by step. Callers ask for Trace first, so
 // that nothing is made on every call for a log that nobody reads.
-func (r *Controller) trace(about LogFields, what string, more ...any) {
-	r.emit(Effect{Kind: LogMessage, Trace: true, Fields: about, Text: fmt.Sprintf(what, more...)})
+func (c *Controller) trace(about LogFields, what string, more ...any) {
+	c.emit(Effect{Kind: LogMessage, Trace: true, Fields: about, Text: fmt.Sprintf(what, more...)})
 }
 
 func (q *query) logFields() LogFields { return LogFields{Query: q.id, Group: q.group.name} }
@@ -453,65 +453,67 @@
 	return a
 }
 
-func (r *Controller) logCounters() {
-	r.emit(Effect{Kind: LogCounters, Text: r.counters.text(r), QueryCount: r.counters.received})
+func (c *Controller) logCounters() {
+	c.emit(Effect{Kind: LogCounters, Text: c.counters.text(c), QueryCount: c.counters.received})
 }
-func (r *Controller) runSoon(what func()) { r.callbacks = append(r.callbacks, what) }
+func (c *Controller) runSoon(what func()) { c.callbacks = append(c.callbacks, what) }
 
-func (r *Controller) write(l *Connection, p []byte) { r.writeAttempt(l, p, nil) }
+func (c *Controller) write(conn *Connection, p []byte) { c.writeAttempt(conn, p, nil) }
 
 // writeBy writes what starts a submission, which goes out only while the fleet's word is the
 // version it was decided by, and by its permit; nil: anything else.
-func (r *Controller) writeAttempt(l *Connection, p []byte, s *attempt) {
-	if l.closed || len(p) == 0 {
+func (c *Controller) writeAttempt(conn *Connection, p []byte, s *attempt) {
+	if conn.closed || len(p) == 0 {
 		return
 	}
-	l.unwrittenBytes += len(p)
-	e := Effect{Kind: Write, Connection: l, Bytes: p, Retained: r.writingRetained}
+	conn.unwrittenBytes += len(p)
+	e := Effect{Kind: Write, Connection: conn, Bytes: p, Retained: c.writingRetained}
 	if s != nil {
 		e.PolicyVersion, e.Confined, e.Permit, e.Client = s.policyVersion, s.query.confined, s.permit, s.query.owner.connection()
 	}
-	r.emit(e)
+	c.emit(e)
 }
 
-func (r *Controller) accountBuffer(l *Connection, bytes int) {
-	r.bufferedBytes += bytes - l.bufferBytes
-	l.bufferBytes = bytes
+func (c *Controller) accountBuffer(conn *Connection, bytes int) {
+	c.bufferedBytes += bytes - conn.bufferBytes
+	conn.bufferBytes = bytes
 }
 
-func (r *Controller) noteWritten(l *Connection, n int) { l.unwrittenBytes = max(0, l.unwrittenBytes-n) }
+func (c *Controller) noteWritten(conn *Connection, n int) {
+	conn.unwrittenBytes = max(0, conn.unwrittenBytes-n)
+}
 
 // shut closes a link for good; its Ended comes when its descriptor is free.
-func (r *Controller) closeConnection(l *Connection, gently bool) {
-	r.closeWithin(l, gently, messageTimeout)
+func (c *Controller) closeConnection(conn *Connection, gently bool) {
+	c.closeWithin(conn, gently, messageTimeout)
 }
 
 // shutWithin closes a link; gently, its peer has so long to take what was written and to
 // close its own side: a close over bytes that nobody read would reset what it has not taken.
-func (r *Controller) closeWithin(l *Connection, gently bool, within time.Duration) {
-	if !l.closed {
-		l.closed = true
-		r.emit(Effect{Kind: Close, Connection: l, Graceful: gently, Timeout: within})
+func (c *Controller) closeWithin(conn *Connection, gently bool, within time.Duration) {
+	if !conn.closed {
+		conn.closed = true
+		c.emit(Effect{Kind: Close, Connection: conn, Graceful: gently, Timeout: within})
 	}
 }
 
 const sweepEvery = 250 * time.Millisecond
 
 // sweep is the one periodic timer.
-func (r *Controller) sweep() {
-	r.runAfter(sweepEvery, r.sweep)
-	r.closeIdleConnections()
-	r.sweepEngines()
-	r.sweepClients()
-	r.keys.forgetIdle(r.now - max(r.keyReuseDelay, min(r.longestQueryTimeout, maxKeyGap)))
-}
-
-func (r *Controller) beginShutdown() {
-	if !r.stopping {
-		r.stopping, r.stopRequestedAt = true, r.now
-		r.logMessage(false, "stopping once all is answered")
-		r.runAfter(stopGrace, func() {})
-		r.runAfter(stopStays, func() {})
+func (c *Controller) sweep() {
+	c.runAfter(sweepEvery, c.sweep)
+	c.closeIdleConnections()
+	c.sweepEngines()
+	c.sweepClients()
+	c.keys.forgetIdle(c.now - max(c.keyReuseDelay, min(c.longestQueryTimeout, maxKeyGap)))
+}
+
+func (c *Controller) beginShutdown() {
+	if !c.stopping {
+		c.stopping, c.stopRequestedAt = true, c.now
+		c.logMessage(false, "stopping once all is answered")
+		c.runAfter(stopGrace, func() {})
+		c.runAfter(stopStays, func() {})
 	}
 }
 
@@ -530,35 +532,35 @@
 // leave ends the program once it was told to and all that was taken is answered.
 // What still comes after the grace is the decisions' to turn away, or the end
 // might never come; nor does it wait for clients that don't read.
-func (r *Controller) continueShutdown() {
-	past := r.now - r.stopRequestedAt
-	if !r.stopping || past < stopGrace {
+func (c *Controller) continueShutdown() {
+	past := c.now - c.stopRequestedAt
+	if !c.stopping || past < stopGrace {
 		return
 	}
-	if !r.closing {
-		r.closing = true
-		r.scheduler.Closing(r.now)
-		if r.fairQueue != nil {
-			r.fairQueue.deferAll()
+	if !c.closing {
+		c.closing = true
+		c.scheduler.Closing(c.now)
+		if c.fairQueue != nil {
+			c.fairQueue.deferAll()
 		}
-		if r.warrant != nil {
-			r.warrant.deferAllHeld()
+		if c.warrant != nil {
+			c.warrant.deferAllHeld()
 		}
 	}
-	busy := past < stopStays || len(r.queries) > 0 || past < stopMost && (r.now-r.lastQueryAt < stopQuiet || r.cancellationsPending())
-	for _, c := range r.clients {
-		busy = busy || c.connection.unwrittenBytes > 0 && (c.stalledSince < 0 || r.now-c.stalledSince < stopGrace)
+	busy := past < stopStays || len(c.queries) > 0 || past < stopMost && (c.now-c.lastQueryAt < stopQuiet || c.cancellationsPending())
+	for _, cl := range c.clients {
+		busy = busy || cl.connection.unwrittenBytes > 0 && (cl.stalledSince < 0 || c.now-cl.stalledSince < stopGrace)
 	}
 	if !busy {
-		r.stopping = false
-		r.logCounters()
-		r.emit(Effect{Kind: Exit})
+		c.stopping = false
+		c.logCounters()
+		c.emit(Effect{Kind: Exit})
 	}
 }
 
 // gives: something that was given up is not yet over at its engine, which would work on for nobody.
-func (r *Controller) cancellationsPending() bool {
-	for _, e := range r.engines {
+func (c *Controller) cancellationsPending() bool {
+	for _, e := range c.engines {
 		if len(e.cancelling) > 0 {
 			return true
 		}
--- a/internal/controller/spool.go
+++ b/internal/controller/spool.go
@@ -28,17 +28,17 @@
 	restoredIndex uint64 // place in the record of what the disk held
 }
 
-func newResultPaging(r *Controller, s *SpoolConfig) *resultPaging {
-	p := &resultPaging{Controller: r}
-	p.core = spool.New(s.Limits, s.Keys, r.StartedAt.UnixMilli(), s.First, func(w *spool.Work) {
-		r.emit(Effect{Kind: SubmitSpoolWork, SpoolWork: w})
+func newResultPaging(c *Controller, s *SpoolConfig) *resultPaging {
+	p := &resultPaging{Controller: c}
+	p.core = spool.New(s.Limits, s.Keys, c.StartedAt.UnixMilli(), s.First, func(w *spool.Work) {
+		c.emit(Effect{Kind: SubmitSpoolWork, SpoolWork: w})
 	})
 	if s.Restore != nil {
 		if err := s.Restore(func(f *spool.Found) {
 			p.restoredIndex = max(p.restoredIndex, f.Index)
 			p.core.Restore(f)
 		}); err != nil {
-			r.logMessage(true, "what was spooled can't be read: "+err.Error())
+			c.logMessage(true, "what was spooled can't be read: "+err.Error())
 		}
 	}
 	p.sweep()
@@ -51,11 +51,11 @@
 }
 
 // teamOf is whose a call is, as the spool's limits and tokens have it.
-func (r *Controller) tenantOf(from From) string {
-	if r.fairQueue == nil {
+func (c *Controller) tenantOf(from From) string {
+	if c.fairQueue == nil {
 		return ""
 	}
-	return r.fairQueue.queue.Team(r.fairQueue.queue.Whose(from.Address, from.Fields.Get(r.fairQueue.fieldNames.Tenant)))
+	return c.fairQueue.queue.Team(c.fairQueue.queue.Whose(from.Address, from.Fields.Get(c.fairQueue.fieldNames.Tenant)))
 }
 
 // wants notes that a query's client reads page by page; where it can't be kept it is
@@ -213,43 +213,43 @@
 }
 
 // Page is a client's call for a page of a result that was promised.
-func (c *client) Page(msg uint32, token []byte, number int, all msgpackrpc.Fields) {
-	if c.paging == nil {
-		c.Wrong(msg, "no such method")
+func (cl *client) Page(msg uint32, token []byte, number int, all msgpackrpc.Fields) {
+	if cl.paging == nil {
+		cl.Wrong(msg, "no such method")
 		return
 	}
-	if c.pageReads >= c.limits.OpenQueries {
-		c.reply(msgpackrpc.Deferred(nil, msg, busyRetryAfter))
+	if cl.pageReads >= cl.limits.OpenQueries {
+		cl.reply(msgpackrpc.Deferred(nil, msg, busyRetryAfter))
 		return
 	}
-	if c.purges.servingBarred() {
-		c.reply(msgpackrpc.Deferred(nil, msg, c.warrant.retryAfter()))
+	if cl.purges.servingBarred() {
+		cl.reply(msgpackrpc.Deferred(nil, msg, cl.warrant.retryAfter()))
 		return
 	}
-	c.pageReads++
-	from := From{c.connection.RemoteAddress, all}
-	owner, team := c.dataOwner(from), c.tenantOf(from)
+	cl.pageReads++
+	from := From{cl.connection.RemoteAddress, all}
+	owner, team := cl.dataOwner(from), cl.tenantOf(from)
 	var tables []int64
-	if c.warrant != nil {
-		tables = c.paging.core.Tagged(token, team).Tables
+	if cl.warrant != nil {
+		tables = cl.paging.core.Tagged(token, team).Tables
 	}
 	outside := func() bool { // the rules may have been others when it was kept
-		return c.warrant != nil && !c.warrant.residency.mayServe(owner, tables)
+		return cl.warrant != nil && !cl.warrant.residency.mayServe(owner, tables)
 	}
-	c.paging.core.Read(c.now, token, team, number, func(body []byte, err error) {
-		c.pageReads--
-		c.idleSince = c.now
+	cl.paging.core.Read(cl.now, token, team, number, func(body []byte, err error) {
+		cl.pageReads--
+		cl.idleSince = cl.now
 		switch {
-		case c.connection.closed:
-		case c.purges.servingBarred():
-			c.reply(msgpackrpc.Deferred(nil, msg, c.warrant.retryAfter()))
+		case cl.connection.closed:
+		case cl.purges.servingBarred():
+			cl.reply(msgpackrpc.Deferred(nil, msg, cl.warrant.retryAfter()))
 		case err == spool.ErrBusy:
-			c.reply(msgpackrpc.Deferred(nil, msg, busyRetryAfter))
+			cl.reply(msgpackrpc.Deferred(nil, msg, busyRetryAfter))
 		case err != nil || outside():
-			c.reply(msgpackrpc.Killed(nil, msg, spool.ErrNone.Error()))
+			cl.reply(msgpackrpc.Killed(nil, msg, spool.ErrNone.Error()))
 		default:
-			c.purges.markRetained(func() { c.reply(msgpackrpc.Answer(nil, msg, [][]byte{body})) })
-			c.purges.noteRetainedWrite(c.connection, owner)
+			cl.purges.markRetained(func() { cl.reply(msgpackrpc.Answer(nil, msg, [][]byte{body})) })
+			cl.purges.noteRetainedWrite(cl.connection, owner)
 		}
 	})
 }
@@ -258,9 +258,9 @@
 
 // Spooled is what the spool holds: results, and bytes in memory and on disk; nothing
 // without one. It is for reports, between two steps.
-func (r *Controller) SpoolUsage() (results int, memory, disk int64) {
-	if r.paging == nil {
+func (c *Controller) SpoolUsage() (results int, memory, disk int64) {
+	if c.paging == nil {
 		return 0, 0, 0
 	}
-	return r.paging.core.Held()
+	return c.paging.core.Held()
 }
--- a/internal/controller/submission.go
+++ b/internal/controller/submission.go
@@ -88,33 +88,33 @@
 
 // landed: a call for it, written once, was answered or its line is gone; what is on its
 // way then may still arrive.
-func (c *call) arrivalKnown() {
-	if s := c.attempt; s != nil && c.keepsQuery {
+func (request *call) arrivalKnown() {
+	if s := request.attempt; s != nil && request.keepsQuery {
 		way := networkDelay
-		if c.answered {
+		if request.answered {
 			way = 0
 		}
 		s.callsInFlight--
 		s.lastArrival = max(s.lastArrival, s.now+way)
-		if c.startsAttempt {
+		if request.startsAttempt {
 			s.runAfter(way, s.markSettled)
 		}
 	}
 }
 
-func (r *Controller) startAttempt(q *query, e *engine, within time.Duration) {
+func (c *Controller) startAttempt(q *query, e *engine, within time.Duration) {
 	until := q.deadline
 	if within != 0 {
-		until = min(until, r.now+within)
+		until = min(until, c.now+within)
 	}
-	s := &attempt{Controller: r, query: q, engine: e, number: len(q.attempts), startedAt: r.now, deadline: until}
+	s := &attempt{Controller: c, query: q, engine: e, number: len(q.attempts), startedAt: c.now, deadline: until}
 	q.attempts = append(q.attempts, s)
 	e.unreportedAttempts++
-	if r.fairQueue != nil {
-		r.fairQueue.attemptStarted(q)
+	if c.fairQueue != nil {
+		c.fairQueue.attemptStarted(q)
 	}
-	r.counters.attempts++
-	s.deadlineTimer = r.timers.Add(until, func() { r.withdrawAttempt(s, scheduler.TimedOut) })
+	c.counters.attempts++
+	s.deadlineTimer = c.timers.Add(until, func() { c.withdrawAttempt(s, scheduler.TimedOut) })
 	// two of one id at one engine can't be told apart: what ends the first would
 	// end the second
 	if e.isCancelling(q.id) {
@@ -137,7 +137,7 @@
 	if s.ended || s.warrant != nil && !s.warrant.permitSend(s) {
 		return
 	}
-	c := &call{method: "POST", engine: s.engine, attempt: s, validResponse: s.responseCheck(0), startsAttempt: true, keepsQuery: true,
+	request := &call{method: "POST", engine: s.engine, attempt: s, validResponse: s.responseCheck(0), startsAttempt: true, keepsQuery: true,
 		encode: func(dst []byte) []byte {
 			s.sent, s.polledAt, s.readableAt, s.sentPriority = true, s.now, s.now, s.query.effectivePriority()
 			if s.number == 0 {
@@ -150,17 +150,17 @@
 			s.callDone(0, as, status, field, body)
 			s.submitCallOver = true
 		}}
-	c.stillWanted = func() bool {
+	request.stillWanted = func() bool {
 		// it may have waited for its turn, a descriptor or its connection: what it was decided on is asked anew
 		by := min(s.deadline, s.scheduler.StartDeadline(s.query.id, s.number), s.now+submitWriteTimeout)
 		fit := !s.ended && !s.query.answered && s.now < by && s.engine.state == scheduler.EngineActive
 		s.permit = NewWritePermit(by)
 		if fit && s.warrant != nil && !s.warrant.permitSend(s) {
-			c.done, fit = true, false // it came to nothing here: another starts it once it may go
+			request.done, fit = true, false // it came to nothing here: another starts it once it may go
 		}
 		return fit
 	}
-	s.startCall(c)
+	s.startCall(request)
 }
 
 // settle: the call that starts it has arrived, or never will.
@@ -336,14 +336,14 @@
 // may overlap with what comes next; where order is asked for, or no second
 // copy may be out, not before it is over at the engine: it was given up
 // there, its process is gone, or it went unasked for as long as engines keep it.
-func (r *Controller) withdrawAttempt(s *attempt, outcome scheduler.Outcome) {
+func (c *Controller) withdrawAttempt(s *attempt, outcome scheduler.Outcome) {
 	if s.ended {
 		return
 	}
 	s.ended = true
 	s.permit.Revoke()
-	if r.TraceQueries {
-		r.trace(s.logFields(), "withdrawn")
+	if c.TraceQueries {
+		c.trace(s.logFields(), "withdrawn")
 	}
 	if !s.sent {
 		s.report(scheduler.NeverSent)
@@ -360,13 +360,13 @@
 	if !late {
 		s.report(outcome)
 	}
-	r.cancelAtEngine(s, func() {
+	c.cancelAtEngine(s, func() {
 		if s.settled {
 			over()
 			return
 		}
 		// what ended it may have overtaken what started it
-		s.onSettled = append(s.onSettled, func() { r.cancelAtEngine(s, over) })
+		s.onSettled = append(s.onSettled, func() { c.cancelAtEngine(s, over) })
 	})
 }
 
@@ -381,15 +381,15 @@
 }
 
 // giveUp ends it at its engine, asking until that came whole or is moot.
-func (r *Controller) cancelAtEngine(s *attempt, then func()) {
-	r.startCall(&call{method: "DELETE", engine: s.engine, attempt: s, validResponse: enginehttp.FitsDone,
+func (c *Controller) cancelAtEngine(s *attempt, then func()) {
+	c.startCall(&call{method: "DELETE", engine: s.engine, attempt: s, validResponse: enginehttp.FitsDone,
 		encode: func(dst []byte) []byte { return enginehttp.GiveUp(dst, s.engine.address, s.query.id) },
 		onResult: func(as callResult, _ int, _ func(string) string, _ []byte) {
 			if as == callAnswered || s.processDied(as) || s.certainlyOver() {
 				then()
 				return
 			}
-			r.runAfter(networkDelay, func() { r.cancelAtEngine(s, then) })
+			c.runAfter(networkDelay, func() { c.cancelAtEngine(s, then) })
 		}})
 }
 
@@ -413,15 +413,15 @@
 }
 
 // rank passes a change of priority on to what is out.
-func (r *Controller) sendPriority(s *attempt) {
+func (c *Controller) sendPriority(s *attempt) {
 	if !s.sent || s.ended || s.released || s.prioritySending || s.query.effectivePriority() == s.sentPriority {
 		return
 	}
 	s.prioritySending, s.sentPriority = true, s.query.effectivePriority()
-	r.startCall(&call{method: "PUT", engine: s.engine, attempt: s, validResponse: enginehttp.FitsDone, stillWanted: func() bool { return !s.ended },
+	c.startCall(&call{method: "PUT", engine: s.engine, attempt: s, validResponse: enginehttp.FitsDone, stillWanted: func() bool { return !s.ended },
 		encode: func(dst []byte) []byte { return enginehttp.Rank(dst, s.engine.address, s.query.id, s.sentPriority) },
 		onResult: func(callResult, int, func(string) string, []byte) {
 			s.prioritySending = false
-			r.sendPriority(s) // it may have changed again meanwhile
+			c.sendPriority(s) // it may have changed again meanwhile
 		}})
 }
--- a/internal/controller/tally.go
+++ b/internal/controller/tally.go
@@ -33,11 +33,11 @@
 	t.firstByteDelays = append(t.firstByteDelays, delay)
 }
 
-func (t *counters) text(r *Controller) string {
+func (t *counters) text(c *Controller) string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "taken %d finished %d deferred %d killed %d left %d open %d", t.received, t.finished, t.deferred,
-		t.killed, t.abandoned, len(r.queries))
-	fmt.Fprintf(&b, "; clients %d of %d turned off %d idle %d malformed %d", len(r.clients), t.connections, t.disconnected,
+		t.killed, t.abandoned, len(c.queries))
+	fmt.Fprintf(&b, "; clients %d of %d turned off %d idle %d malformed %d", len(c.clients), t.connections, t.disconnected,
 		t.idleClosed, t.malformed)
 	fmt.Fprintf(&b, "; submissions %d", t.attempts)
 	for i, n := range t.attemptEnds {
@@ -46,30 +46,30 @@
 		}
 	}
 	fmt.Fprintf(&b, "; engine answers %d notes %d odd %d asked again %d probes %d dials %d links %d of %d waited %d", t.engineResponses, t.progressNotes,
-		t.unexpected, t.repolls, t.healthChecks, t.dials, r.pool.open, r.pool.limit, t.queuedCalls)
+		t.unexpected, t.repolls, t.healthChecks, t.dials, c.pool.open, c.pool.limit, t.queuedCalls)
 	if t.barredWrites > 0 {
 		fmt.Fprintf(&b, " barred %d", t.barredWrites)
 	}
-	fmt.Fprintf(&b, "; list event %d connections %d faults %d reloads %d", r.discovery.lastEvent, t.discoveryDials,
+	fmt.Fprintf(&b, "; list event %d connections %d faults %d reloads %d", c.discovery.lastEvent, t.discoveryDials,
 		t.discoveryFaults, t.reloads)
 	if len(t.firstByteDelays) > 0 {
 		d := slices.Sorted(slices.Values(t.firstByteDelays))
 		fmt.Fprintf(&b, "; to first byte ms median %.1f worst tenth %.1f", ms(d[len(d)/2]), ms(d[len(d)*9/10]))
 	}
-	if r.fairQueue != nil {
-		b.WriteString(r.fairQueue.countersText())
+	if c.fairQueue != nil {
+		b.WriteString(c.fairQueue.countersText())
 	}
-	if r.paging != nil {
-		b.WriteString(r.paging.text())
+	if c.paging != nil {
+		b.WriteString(c.paging.text())
 	}
-	if r.caching != nil {
-		b.WriteString(r.caching.core.Text())
+	if c.caching != nil {
+		b.WriteString(c.caching.core.Text())
 	}
-	if r.purges != nil {
-		b.WriteString(r.purges.text())
+	if c.purges != nil {
+		b.WriteString(c.purges.text())
 	}
-	if r.warrant != nil {
-		b.WriteString(r.warrant.text())
+	if c.warrant != nil {
+		b.WriteString(c.warrant.text())
 	}
 	fmt.Fprintf(&b, "; did not hold %d", invariant.Broken())
 	return b.String()
