--- a/internal/controller/submission.go
+++ b/internal/controller/attempt.go
@@ -134,7 +134,7 @@
 }
 
 func (s *attempt) send() {
-	if s.ended || s.warrant != nil && !s.warrant.permitSend(s) {
+	if s.ended || s.servingLease != nil && !s.servingLease.permitSend(s) {
 		return
 	}
 	request := &call{method: "POST", engine: s.engine, attempt: s, validResponse: s.responseCheck(0), startsAttempt: true, keepsQuery: true,
@@ -155,7 +155,7 @@
 		by := min(s.deadline, s.scheduler.StartDeadline(s.query.id, s.number), s.now+submitWriteTimeout)
 		fit := !s.ended && !s.query.answered && s.now < by && s.engine.state == scheduler.EngineActive
 		s.permit = NewWritePermit(by)
-		if fit && s.warrant != nil && !s.warrant.permitSend(s) {
+		if fit && s.servingLease != nil && !s.servingLease.permitSend(s) {
 			request.done, fit = true, false // it came to nothing here: another starts it once it may go
 		}
 		return fit
--- a/internal/controller/relay.go
+++ b/internal/controller/controller.go
@@ -179,8 +179,8 @@
 	fairQueue       *fairQueue
 	paging          *resultPaging
 	caching         *resultCaching
-	purges          *invalidation
-	warrant         *servingLease
+	invalidation    *invalidation
+	servingLease    *servingLease
 
 	bufferedBytes    int // memory of all connections' buffers
 	maxBufferedBytes int
@@ -250,18 +250,18 @@
 		c.caching = newResultCaching(c, means.ResultCache)
 	}
 	if c.paging != nil || c.caching != nil {
-		c.purges = newInvalidation(c)
+		c.invalidation = newInvalidation(c)
 		if c.paging != nil && means.Fleet == nil { // a purge of this controller alone comes after all that it found
-			c.purges.logIndex = c.paging.restoredIndex
+			c.invalidation.logIndex = c.paging.restoredIndex
 		}
 	}
 	if means.Fleet != nil {
-		c.warrant = newServingLease(c, means.Fleet)
-		if c.purges != nil {
-			c.warrant.invalidator = c.purges
+		c.servingLease = newServingLease(c, means.Fleet)
+		if c.invalidation != nil {
+			c.servingLease.invalidator = c.invalidation
 		}
 		if c.paging != nil {
-			c.paging.core.Serves = c.warrant.residency.mayServe
+			c.paging.core.Serves = c.servingLease.residency.mayServe
 		}
 	}
 	c.discovery.unreadableAfter = -1
@@ -318,8 +318,8 @@
 	if !invariant.Debug {
 		defer c.recoverStep(l)
 	}
-	if c.warrant != nil {
-		c.warrant.updateServing()
+	if c.servingLease != nil {
+		c.servingLease.updateServing()
 	}
 	switch ev.Kind {
 	case ClientAccepted:
@@ -359,17 +359,17 @@
 	case SpoolWorkDone:
 		c.paging.workDone(ev.SpoolWork)
 	case FleetOrdered:
-		c.warrant.handleFleetOrder(ev.Order)
+		c.servingLease.handleFleetOrder(ev.Order)
 	case FleetReportRejected:
-		c.warrant.reportRejected(ev.Report)
+		c.servingLease.reportRejected(ev.Report)
 	case WriteBarred:
 		c.counters.barredWrites++
-		if c.warrant != nil {
-			c.warrant.rejectedWrites++
+		if c.servingLease != nil {
+			c.servingLease.rejectedWrites++
 		}
 	case ConfigurationReloaded:
 		c.changeDiscoveryAddress(ev.DiscoveryAddress)
-		if c.fairQueue != nil && ev.Tenants != nil && c.warrant == nil { // where there are peers teams are the fleet's to change
+		if c.fairQueue != nil && ev.Tenants != nil && c.servingLease == nil { // where there are peers teams are the fleet's to change
 			c.fairQueue.reload(ev.Tenants)
 		}
 	}
@@ -401,7 +401,7 @@
 			do()
 		} else if do, ok := c.nextDue(early); ok {
 			do()
-		} else if c.fairQueue == nil || c.warrant != nil && c.warrant.paused() || !c.fairQueue.dispatchNext() {
+		} else if c.fairQueue == nil || c.servingLease != nil && c.servingLease.paused() || !c.fairQueue.dispatchNext() {
 			break
 		}
 	}
@@ -543,8 +543,8 @@
 		if c.fairQueue != nil {
 			c.fairQueue.deferAll()
 		}
-		if c.warrant != nil {
-			c.warrant.deferAllHeld()
+		if c.servingLease != nil {
+			c.servingLease.deferAllHeld()
 		}
 	}
 	busy := past < stopStays || len(c.queries) > 0 || past < stopMost && (c.now-c.lastQueryAt < stopQuiet || c.cancellationsPending())
--- a/internal/controller/tally.go
+++ b/internal/controller/counters.go
@@ -65,11 +65,11 @@
 	if c.caching != nil {
 		b.WriteString(c.caching.core.Text())
 	}
-	if c.purges != nil {
-		b.WriteString(c.purges.text())
+	if c.invalidation != nil {
+		b.WriteString(c.invalidation.text())
 	}
-	if c.warrant != nil {
-		b.WriteString(c.warrant.text())
+	if c.servingLease != nil {
+		b.WriteString(c.servingLease.text())
 	}
 	fmt.Fprintf(&b, "; did not hold %d", invariant.Broken())
 	return b.String()
--- a/internal/controller/placing.go
+++ b/internal/controller/placing.go
@@ -372,8 +372,8 @@
 // Crossed lists the latest queries that an emergency let over a boundary, and how many
 // there were. It is for reports, between two steps.
 func (c *Controller) ResidencyViolations() ([]residency.Crossing, int) {
-	if c.warrant == nil || c.warrant.residency == nil {
+	if c.servingLease == nil || c.servingLease.residency == nil {
 		return nil, 0
 	}
-	return c.warrant.residency.core.Crossed()
+	return c.servingLease.residency.core.Crossed()
 }
--- a/internal/controller/query.go
+++ b/internal/controller/query.go
@@ -150,7 +150,7 @@
 		return
 	}
 	q.tableGroup, q.keyNumber = msgpackrpc.Tables(q.statement), number
-	if c.warrant != nil && !c.closing && !c.warrant.admit(q, from) {
+	if c.servingLease != nil && !c.closing && !c.servingLease.admit(q, from) {
 		return
 	}
 	if c.paging != nil && c.mayRetain(q) { // where it may not be kept it is answered whole
@@ -170,13 +170,13 @@
 
 // keeps: its result or answer may be kept here.
 func (c *Controller) mayRetain(q *query) bool {
-	return c.warrant == nil || c.warrant.residency.mayRetain(q)
+	return c.servingLease == nil || c.servingLease.residency.mayRetain(q)
 }
 
 // begin hands a query on to the decisions.
 func (c *Controller) submitToScheduler(q *query) {
-	if c.warrant != nil {
-		c.warrant.residency.forwardToScheduler(q)
+	if c.servingLease != nil {
+		c.servingLease.residency.forwardToScheduler(q)
 		return
 	}
 	c.scheduler.Take(c.now, q.id, q.group.index, q.customer, q.deadline-c.now, q.tableGroup, q.keyNumber, q.estimatedWork, q.estimatedMemoryMB)
@@ -215,7 +215,7 @@
 	}
 	q.owner.closed()
 	if q.blocked {
-		c.warrant.endHold(q)
+		c.servingLease.endHold(q)
 	}
 	if c.fairQueue != nil {
 		c.fairQueue.queryClosed(q, end)
--- a/internal/controller/spool.go
+++ b/internal/controller/spool.go
@@ -75,7 +75,7 @@
 
 // tag is what a purge finds a query's result by.
 func (p *resultPaging) resultTag(q *query, from From) spool.Tag {
-	t := spool.Tag{Index: p.purges.currentIndex(), Tables: allTables(q.statement)}
+	t := spool.Tag{Index: p.invalidation.currentIndex(), Tables: allTables(q.statement)}
 	if owner := p.dataOwner(from); p.fairQueue == nil {
 		t.Owner = owner
 	}
@@ -222,34 +222,34 @@
 		cl.reply(msgpackrpc.Deferred(nil, msg, busyRetryAfter))
 		return
 	}
-	if cl.purges.servingBarred() {
-		cl.reply(msgpackrpc.Deferred(nil, msg, cl.warrant.retryAfter()))
+	if cl.invalidation.servingBarred() {
+		cl.reply(msgpackrpc.Deferred(nil, msg, cl.servingLease.retryAfter()))
 		return
 	}
 	cl.pageReads++
 	from := From{cl.connection.RemoteAddress, all}
 	owner, team := cl.dataOwner(from), cl.tenantOf(from)
 	var tables []int64
-	if cl.warrant != nil {
+	if cl.servingLease != nil {
 		tables = cl.paging.core.Tagged(token, team).Tables
 	}
 	outside := func() bool { // the rules may have been others when it was kept
-		return cl.warrant != nil && !cl.warrant.residency.mayServe(owner, tables)
+		return cl.servingLease != nil && !cl.servingLease.residency.mayServe(owner, tables)
 	}
 	cl.paging.core.Read(cl.now, token, team, number, func(body []byte, err error) {
 		cl.pageReads--
 		cl.idleSince = cl.now
 		switch {
 		case cl.connection.closed:
-		case cl.purges.servingBarred():
-			cl.reply(msgpackrpc.Deferred(nil, msg, cl.warrant.retryAfter()))
+		case cl.invalidation.servingBarred():
+			cl.reply(msgpackrpc.Deferred(nil, msg, cl.servingLease.retryAfter()))
 		case err == spool.ErrBusy:
 			cl.reply(msgpackrpc.Deferred(nil, msg, busyRetryAfter))
 		case err != nil || outside():
 			cl.reply(msgpackrpc.Killed(nil, msg, spool.ErrNone.Error()))
 		default:
-			cl.purges.markRetained(func() { cl.reply(msgpackrpc.Answer(nil, msg, [][]byte{body})) })
-			cl.purges.noteRetainedWrite(cl.connection, owner)
+			cl.invalidation.markRetained(func() { cl.reply(msgpackrpc.Answer(nil, msg, [][]byte{body})) })
+			cl.invalidation.noteRetainedWrite(cl.connection, owner)
 		}
 	})
 }
