--- a/internal/bench/schedule_faults.go
+++ b/internal/bench/schedule_faults.go
@@ -20,7 +20,7 @@
 	}
 	p.out.Messages++
 	m := e.Message
-	if m.Grant != nil && m.Grant.Given {
+	if m.Grant != nil && m.Grant.Granted {
 		p.leader = a.name
 	}
 	if p.Wire {
--- a/internal/fleet/node/cover.go
+++ b/internal/fleet/node/cover.go
@@ -29,17 +29,17 @@
 
 // gatheredBy takes a relay's gather.
 func (c *Core) receiveRelayedRenewals(relay string, g *RelayedRenewals) {
-	answer := &RelayedGrants{Boot: g.Boot, Seq: g.Seq}
+	answer := &RelayedGrants{Incarnation: g.Incarnation, Seq: g.Seq}
 	if !c.isLeader {
 		answer.Leader = c.otherLeader()
-		c.send(relay, c.addressOf(relay), &Message{Gathered: answer})
+		c.send(relay, c.addressOf(relay), &Message{RelayedGrants: answer})
 		return
 	}
-	key := relayIncarnation{relay, g.Boot}
+	key := relayIncarnation{relay, g.Incarnation}
 	covers := c.coverage[key]
-	if g.Base > 0 && (covers == nil || covers.lastSeq < g.Base) {
+	if g.BaseSeq > 0 && (covers == nil || covers.lastSeq < g.BaseSeq) {
 		answer.Resync, answer.Leader = true, c.config.Self.Name
-		c.send(relay, c.addressOf(relay), &Message{Gathered: answer})
+		c.send(relay, c.addressOf(relay), &Message{RelayedGrants: answer})
 		return
 	}
 	if covers == nil {
@@ -59,16 +59,16 @@
 // take brings a cover up to a gather. withheld are those that the gather tells of and
 // that aren't covered, by their names: why, "": not in the record yet.
 func (c *Core) updateCoverage(covers *relayCoverage, g *RelayedRenewals) (withheld map[string]string) {
-	if g.Base == 0 {
+	if g.BaseSeq == 0 {
 		c.uncoverUnnamed(covers, g)
 	}
-	for _, s := range g.Silents {
-		ago := time.Duration(float64(s.Ago) * (1 - 2*c.config.ClockDrift))
+	for _, s := range g.Silent {
+		ago := time.Duration(float64(s.SilentFor) * (1 - 2*c.config.ClockDrift))
 		c.uncover(covers, s.Name, c.now-max(0, ago))
 	}
 	withheld = map[string]string{}
-	for _, from := range g.Renews {
-		why, known := c.admitRenewal(from.Name, from.Disk, from.Renew, acceptRepeats)
+	for _, from := range g.Renewals {
+		why, known := c.admitRenewal(from.Name, from.Disk, from.Renewal, acceptRepeats)
 		if !known {
 			c.uncover(covers, from.Name, covers.heardAt)
 			withheld[from.Name] = why
@@ -84,8 +84,8 @@
 
 // replace uncovers those that a gather of everything doesn't name.
 func (c *Core) uncoverUnnamed(covers *relayCoverage, g *RelayedRenewals) {
-	named := make(map[string]bool, len(g.Renews))
-	for _, from := range g.Renews {
+	named := make(map[string]bool, len(g.Renewals))
+	for _, from := range g.Renewals {
 		named[from.Name] = true
 	}
 	for _, name := range sorted(covers.controllers) {
@@ -156,16 +156,16 @@
 
 // grantGather answers a gather once a majority has confirmed that this controller leads.
 func (c *Core) grantRelayed(q unconfirmedRenewal, index uint64) {
-	answer := &RelayedGrants{Boot: q.relayed.Boot, Seq: q.relayed.Seq, Given: true, Index: index, Leader: c.config.Self.Name, Waits: c.waitingForExcerpt()}
+	answer := &RelayedGrants{Incarnation: q.relayed.Incarnation, Seq: q.relayed.Seq, Granted: true, RequiredIndex: index, Leader: c.config.Self.Name, WaitingFor: c.waitingForExcerpt()}
 	for _, name := range sorted(q.withheld) {
-		answer.Withheld = append(answer.Withheld, WithheldLease{Name: name, Why: q.withheld[name]})
+		answer.Withheld = append(answer.Withheld, WithheldLease{Name: name, RefusedReason: q.withheld[name]})
 	}
 	for _, name := range c.forgottenAmong(q.coverage) {
 		c.uncover(q.coverage, name, q.coverage.heardAt)
-		answer.Withheld = append(answer.Withheld, WithheldLease{Name: name, Why: forgottenName})
+		answer.Withheld = append(answer.Withheld, WithheldLease{Name: name, RefusedReason: forgottenName})
 	}
-	answer.Again = sorted(q.coverage.resend)
-	c.send(q.name, c.addressOf(q.name), &Message{Gathered: answer})
+	answer.Resend = sorted(q.coverage.resend)
+	c.send(q.name, c.addressOf(q.name), &Message{RelayedGrants: answer})
 }
 
 // forgotten are covered controllers whose name is forgotten by now, in order.
@@ -214,8 +214,8 @@
 		return why, false
 	}
 	p := c.ensurePeer(name)
-	last := p.lastSeq[r.Boot]
-	if r.Seq > last || may == acceptRepeats && r.Seq == last && p.incarnation != r.Boot {
+	last := p.lastSeq[r.Incarnation]
+	if r.Seq > last || may == acceptRepeats && r.Seq == last && p.incarnation != r.Incarnation {
 		c.updatePeer(p, r)
 	}
 	m := c.state.Members[name]
@@ -233,10 +233,10 @@
 
 // update has a renewal stand for what its controller said before.
 func (c *Core) updatePeer(p *peer, r *LeaseRenewal) {
-	c.reevaluate = c.reevaluate || p.renewal == nil || p.incarnation != r.Boot || p.renewal.differs(r)
-	if p.incarnation != 0 && p.incarnation != r.Boot {
+	c.reevaluate = c.reevaluate || p.renewal == nil || p.incarnation != r.Incarnation || p.renewal.differs(r)
+	if p.incarnation != 0 && p.incarnation != r.Incarnation {
 		p.nextIndex = 0
 	}
-	p.lastSeq[r.Boot] = r.Seq
-	p.incarnation, p.heardAt, p.renewal, p.appliedIndex = r.Boot, c.now, r, r.Applied
+	p.lastSeq[r.Incarnation] = r.Seq
+	p.incarnation, p.heardAt, p.renewal, p.appliedIndex = r.Incarnation, c.now, r, r.AppliedIndex
 }
--- a/internal/fleet/node/erasure.go
+++ b/internal/fleet/node/erasure.go
@@ -16,7 +16,7 @@
 			awaited = append(awaited, name)
 			continue
 		}
-		erased, confirmed := p.renewal.Wiped[purge]
+		erased, confirmed := p.renewal.Erased[purge]
 		sum.Add(erased)
 		if !confirmed {
 			awaited = append(awaited, name)
--- a/internal/fleet/node/follow.go
+++ b/internal/fleet/node/follow.go
@@ -23,10 +23,10 @@
 
 // told takes what a controller's renewal says; every is how often it tells.
 func (f *follower) updateFrom(r *LeaseRenewal, now, every time.Duration) {
-	f.heardAt, f.appliedIndex, f.isVoter = now, r.Applied, r.Votes
-	lost := f.nextIndex > r.Applied+1 && now-f.sentAt > every
+	f.heardAt, f.appliedIndex, f.isVoter = now, r.AppliedIndex, r.Votes
+	lost := f.nextIndex > r.AppliedIndex+1 && now-f.sentAt > every
 	if f.nextIndex == 0 || lost {
-		f.nextIndex = r.Applied + 1
+		f.nextIndex = r.AppliedIndex + 1
 	}
 }
 
@@ -76,7 +76,7 @@
 		return
 	}
 	f.sentAt = c.now
-	message := &LogUpdate{Decided: c.state.Index, Leader: c.leader}
+	message := &LogUpdate{CommittedIndex: c.state.Index, Leader: c.leader}
 	if c.isLeader {
 		message.Leader = c.config.Self.Name
 	}
@@ -85,11 +85,11 @@
 		f.nextIndex = c.state.Index + 1
 	} else {
 		from := int(f.nextIndex - c.recentEntries[0].Index)
-		message.Records = c.recentEntries[from:min(len(c.recentEntries), from+entriesPerMessage)]
-		f.nextIndex = message.Records[len(message.Records)-1].Index + 1
+		message.Entries = c.recentEntries[from:min(len(c.recentEntries), from+entriesPerMessage)]
+		f.nextIndex = message.Entries[len(message.Entries)-1].Index + 1
 		c.followersBehind = c.followersBehind || f.nextIndex <= c.state.Index
 	}
-	c.send(name, c.addressOf(name), &Message{Follow: message})
+	c.send(name, c.addressOf(name), &Message{LogUpdate: message})
 }
 
 // snapshot is the state as it is, encoded once for all that are sent it.
--- a/internal/fleet/node/gather.go
+++ b/internal/fleet/node/gather.go
@@ -60,9 +60,9 @@
 		g.controllers[name] = from
 		delete(g.silentSince, name)
 		from.changedInSeq = next
-	case from.renewal.Boot == r.Boot && r.Seq <= from.renewal.Seq:
+	case from.renewal.Incarnation == r.Incarnation && r.Seq <= from.renewal.Seq:
 		return nil
-	case from.renewal.Boot != r.Boot:
+	case from.renewal.Incarnation != r.Incarnation:
 		from.pendingRequests, from.nextIndex, from.changedInSeq = nil, 0, next
 	case from.disk != disk || from.renewal.Member != r.Member || from.renewal.differs(r):
 		from.changedInSeq = next
@@ -70,7 +70,7 @@
 	g.urgent = g.urgent || from.changedInSeq == next
 	g.renewalsWaiting = true
 	from.disk, from.renewal, from.heardAt = disk, r, now
-	from.addRequest(pendingRequest{firstSeq: next, renewalSeq: r.Seq, sent: r.Sent})
+	from.addRequest(pendingRequest{firstSeq: next, renewalSeq: r.Seq, sent: r.SentAt})
 	return from
 }
 
@@ -127,18 +127,18 @@
 	if !g.awaitingAnswer {
 		g.awaitingAnswer, g.unansweredSince = true, now
 	}
-	message := &RelayedRenewals{Boot: g.incarnation, Seq: g.lastSeq, Base: g.leaderHasUpTo}
+	message := &RelayedRenewals{Incarnation: g.incarnation, Seq: g.lastSeq, BaseSeq: g.leaderHasUpTo}
 	for _, name := range sorted(g.controllers) {
 		from := g.controllers[name]
 		if from.changedInSeq > g.leaderHasUpTo {
-			message.Renews = append(message.Renews, RelayedRenewal{Name: name, Disk: from.disk, Renew: from.renewal})
+			message.Renewals = append(message.Renewals, RelayedRenewal{Name: name, Disk: from.disk, Renewal: from.renewal})
 		}
 	}
 	if g.leaderHasUpTo == 0 { // who isn't named is covered no more
 		g.lastFullSeq = g.lastSeq
 	} else {
 		for _, name := range sorted(g.silentSince) {
-			message.Silents = append(message.Silents, SilentController{Name: name, Ago: int64(now - g.silentSince[name])})
+			message.Silent = append(message.Silent, SilentController{Name: name, SilentFor: int64(now - g.silentSince[name])})
 		}
 	}
 	clear(g.silentSince)
@@ -149,7 +149,7 @@
 // answered takes the leader's answer and gives the grants that follow from it, by the
 // controllers' names in order.
 func (g *renewalAggregator) handleAnswer(from string, a *RelayedGrants) (grants []addressedGrant) {
-	if a.Boot != g.incarnation || a.Seq > g.lastSeq {
+	if a.Incarnation != g.incarnation || a.Seq > g.lastSeq {
 		return nil
 	}
 	g.awaitingAnswer, g.unansweredLogged = false, false
@@ -159,7 +159,7 @@
 		}
 		return nil
 	}
-	if !a.Given {
+	if !a.Granted {
 		return nil
 	}
 	withheld := g.withheldReasons(a)
@@ -170,11 +170,11 @@
 		}
 	}
 	for _, w := range a.Withheld {
-		if w.Why != "" {
+		if w.RefusedReason != "" {
 			delete(g.controllers, w.Name)
 		}
 	}
-	for _, name := range a.Again {
+	for _, name := range a.Resend {
 		g.resend(name)
 	}
 	return grants
@@ -191,7 +191,7 @@
 func (g *renewalAggregator) withheldReasons(a *RelayedGrants) map[string]string {
 	withheld := make(map[string]string, len(a.Withheld))
 	for _, w := range a.Withheld {
-		withheld[w.Name] = w.Why
+		withheld[w.Name] = w.RefusedReason
 		g.resend(w.Name)
 	}
 	return withheld
@@ -211,13 +211,13 @@
 	if !asked {
 		return nil
 	}
-	grant := &LeaseGrant{Seq: ask.renewalSeq, Sent: ask.sent, Boot: g.controllers[name].renewal.Boot, Leader: a.Leader}
+	grant := &LeaseGrant{Seq: ask.renewalSeq, SentAt: ask.sent, Incarnation: g.controllers[name].renewal.Incarnation, Leader: a.Leader}
 	why, withhold := withheld[name]
 	switch {
 	case !withhold:
-		grant.Given, grant.Index, grant.Waits = true, a.Index, a.Waits
+		grant.Granted, grant.RequiredIndex, grant.WaitingFor = true, a.RequiredIndex, a.WaitingFor
 	case why != "":
-		grant.Why = why
+		grant.RefusedReason = why
 	}
 	return grant
 }
--- a/internal/fleet/node/lead.go
+++ b/internal/fleet/node/lead.go
@@ -96,7 +96,7 @@
 // renewed: a controller asks for a lease and tells of itself.
 func (c *Core) receiveRenewal(from, disk string, r *LeaseRenewal) {
 	answer := func(g *LeaseGrant) {
-		g.Seq, g.Sent, g.Boot = r.Seq, r.Sent, r.Boot
+		g.Seq, g.SentAt, g.Incarnation = r.Seq, r.SentAt, r.Incarnation
 		c.send(from, r.Member.Peer, &Message{Grant: g})
 	}
 	if c.aggregates() {
@@ -107,12 +107,12 @@
 		answer(&LeaseGrant{Leader: c.otherLeader()})
 		return
 	}
-	if p := c.peers[from]; p != nil && r.Seq <= p.lastSeq[r.Boot] && c.refusalReason(from, disk) == "" {
+	if p := c.peers[from]; p != nil && r.Seq <= p.lastSeq[r.Incarnation] && c.refusalReason(from, disk) == "" {
 		return // late, or doubled
 	}
 	why, known := c.admitRenewal(from, disk, r, ignoreRepeats)
 	if why != "" {
-		answer(&LeaseGrant{Why: why})
+		answer(&LeaseGrant{RefusedReason: why})
 		return
 	}
 	p := c.peers[from]
@@ -161,8 +161,8 @@
 
 // differs: a Renew tells something else than the one before.
 func (r *LeaseRenewal) differs(o *LeaseRenewal) bool {
-	return r.Version != o.Version || r.Closed != o.Closed || (r.Outside == 0) != (o.Outside == 0) || len(r.Ready) != len(o.Ready) ||
-		!slices.Equal(r.Sites, o.Sites) || !maps.Equal(r.Ready, o.Ready) || !slices.Equal(r.Unreached, o.Unreached) || !maps.Equal(r.Wiped, o.Wiped)
+	return r.PolicyVersion != o.PolicyVersion || r.FencedFor != o.FencedFor || (r.AttemptsOutside == 0) != (o.AttemptsOutside == 0) || len(r.ValidationResults) != len(o.ValidationResults) ||
+		!slices.Equal(r.ServingSites, o.ServingSites) || !maps.Equal(r.ValidationResults, o.ValidationResults) || !slices.Equal(r.Tombstoned, o.Tombstoned) || !maps.Equal(r.Erased, o.Erased)
 }
 
 // grant has what waits for a lease confirmed, when it is time.
@@ -188,11 +188,11 @@
 			continue
 		}
 		p := c.peers[q.name]
-		if m := c.state.Members[q.name]; m == nil || m.Forgotten || p.incarnation != q.renewal.Boot {
+		if m := c.state.Members[q.name]; m == nil || m.Forgotten || p.incarnation != q.renewal.Incarnation {
 			continue
 		}
-		c.send(q.name, q.renewal.Member.Peer, &Message{Grant: &LeaseGrant{Seq: q.renewal.Seq, Sent: q.renewal.Sent, Boot: q.renewal.Boot, Given: true, Index: index,
-			Leader: c.config.Self.Name, Waits: c.waitingForExcerpt()}})
+		c.send(q.name, q.renewal.Member.Peer, &Message{Grant: &LeaseGrant{Seq: q.renewal.Seq, SentAt: q.renewal.SentAt, Incarnation: q.renewal.Incarnation, Granted: true, RequiredIndex: index,
+			Leader: c.config.Self.Name, WaitingFor: c.waitingForExcerpt()}})
 	}
 	if !c.ready {
 		c.confirmLeadership()
@@ -331,12 +331,12 @@
 	switch u.Phase {
 	case statemachine.Proposed:
 		for _, name := range c.memberNames() {
-			if p := c.peers[name]; p != nil && p.renewal != nil && p.renewal.Ready[u.ID] != "" {
-				withdraw(name + " can't take it: " + p.renewal.Ready[u.ID])
+			if p := c.peers[name]; p != nil && p.renewal != nil && p.renewal.ValidationResults[u.ID] != "" {
+				withdraw(name + " can't take it: " + p.renewal.ValidationResults[u.ID])
 				return
 			}
 		}
-		wait := c.unconfirmedHolders(c.config.Lease, func(r *LeaseRenewal) bool { _, ok := r.Ready[u.ID]; return ok })
+		wait := c.unconfirmedHolders(c.config.Lease, func(r *LeaseRenewal) bool { _, ok := r.ValidationResults[u.ID]; return ok })
 		if late && len(wait) > 0 {
 			withdraw(fmt.Sprintf("not checked by %s within %v", nameList(wait), most))
 			return
@@ -351,7 +351,7 @@
 		}
 		c.setWaitingFor(u.ID, wait)
 	case statemachine.Closing:
-		wait := c.unconfirmedHolders(c.config.Lease, func(r *LeaseRenewal) bool { return r.Closed == u.ID })
+		wait := c.unconfirmedHolders(c.config.Lease, func(r *LeaseRenewal) bool { return r.FencedFor == u.ID })
 		if late && len(wait) > 0 {
 			withdraw(fmt.Sprintf("not stopped by %s within %v", nameList(wait), most))
 			return
@@ -362,7 +362,7 @@
 		c.setWaitingFor(u.ID, wait)
 	case statemachine.Decided:
 		// one that was down while it was checked and can't take it serves nothing by it
-		wait := c.unconfirmedHolders(c.config.Lease, func(r *LeaseRenewal) bool { return r.Version >= u.Version || r.Ready[u.ID] != "" })
+		wait := c.unconfirmedHolders(c.config.Lease, func(r *LeaseRenewal) bool { return r.PolicyVersion >= u.Version || r.ValidationResults[u.ID] != "" })
 		if barrierPassed(wait) {
 			c.throttle("settle "+u.ID, func() { c.propose(&fleet.Entry{Kind: fleet.Settle, ID: u.ID}) })
 		}
@@ -380,7 +380,7 @@
 func (c *Core) driveInvalidation(run *statemachine.Run) {
 	switch run.Stage {
 	case "":
-		wait := c.unconfirmedHolders(c.shorterLease(), func(r *LeaseRenewal) bool { return slices.Contains(r.Unreached, run.ID) })
+		wait := c.unconfirmedHolders(c.shorterLease(), func(r *LeaseRenewal) bool { return slices.Contains(r.Tombstoned, run.ID) })
 		if len(wait) == 0 {
 			c.throttle("unreachable "+run.ID, func() { c.propose(&fleet.Entry{Kind: fleet.Unreachable, ID: run.ID}) })
 		}
@@ -399,11 +399,11 @@
 	heard, inside := 0, false
 	for _, name := range c.peerNames {
 		p := c.peers[name]
-		if p.renewal == nil || c.now-c.lastHeardOf(name) > max(2*time.Second, 4*c.renewalInterval()) || p.renewal.Sites == nil {
+		if p.renewal == nil || c.now-c.lastHeardOf(name) > max(2*time.Second, 4*c.renewalInterval()) || p.renewal.ServingSites == nil {
 			continue
 		}
 		heard++
-		for _, s := range p.renewal.Sites {
+		for _, s := range p.renewal.ServingSites {
 			inside = inside || slices.Contains(w.Inside, s)
 		}
 	}
@@ -459,7 +459,7 @@
 		for _, r := range c.state.Purges {
 			done = done && (r.Settles != id || r.Stage == fleet.Erased)
 		}
-		wait := c.unconfirmedHolders(c.config.Lease, func(r *LeaseRenewal) bool { return r.Version >= ch.Version && r.Outside == 0 })
+		wait := c.unconfirmedHolders(c.config.Lease, func(r *LeaseRenewal) bool { return r.PolicyVersion >= ch.Version && r.AttemptsOutside == 0 })
 		c.setWaitingFor(id, wait)
 		if done && len(wait) == 0 {
 			c.throttle("finish "+id, func() { c.propose(&fleet.Entry{Kind: fleet.Finish, ID: id}) })
--- a/internal/fleet/node/member.go
+++ b/internal/fleet/node/member.go
@@ -110,34 +110,34 @@
 		c.unansweredSince = c.now
 	}
 	c.renewalSeq++
-	r := &LeaseRenewal{Member: c.config.Self, Boot: c.config.Incarnation, Seq: c.renewalSeq, Sent: int64(c.now), Applied: c.state.Index, Votes: c.consensus != nil, Version: c.servedVersion, Closed: c.fenceConfirmedFor,
-		Sites: c.servingSites, Outside: c.attemptsOutside}
+	r := &LeaseRenewal{Member: c.config.Self, Incarnation: c.config.Incarnation, Seq: c.renewalSeq, SentAt: int64(c.now), AppliedIndex: c.state.Index, Votes: c.consensus != nil, PolicyVersion: c.servedVersion, FencedFor: c.fenceConfirmedFor,
+		ServingSites: c.servingSites, AttemptsOutside: c.attemptsOutside}
 	if u := c.state.Under(); u != nil {
 		if k := c.validations[u.ID]; k != nil && k.done {
-			r.Ready = map[string]string{u.ID: k.reason}
+			r.ValidationResults = map[string]string{u.ID: k.reason}
 		}
 	}
-	r.Unreached = append(r.Unreached, sorted(c.tombstoned)...)
-	r.Wiped = maps.Clone(c.erased)
+	r.Tombstoned = append(r.Tombstoned, sorted(c.tombstoned)...)
+	r.Erased = maps.Clone(c.erased)
 	for _, to := range upstreams {
-		c.send(to.Name, to.Address, &Message{Renew: r})
+		c.send(to.Name, to.Address, &Message{Renewal: r})
 	}
 }
 
 // granted: the leader's word on a Renew.
 func (c *Core) receiveGrant(from string, g *LeaseGrant) {
-	if g.Boot != c.config.Incarnation || g.Seq > c.renewalSeq {
+	if g.Incarnation != c.config.Incarnation || g.Seq > c.renewalSeq {
 		return
 	}
-	if g.Why != "" {
-		c.stopForGood(g.Why)
+	if g.RefusedReason != "" {
+		c.stopForGood(g.RefusedReason)
 		return
 	}
-	if route := c.routeOf(from); g.Given || route == len(c.config.Relays) { // one that is no relay only names the leader
+	if route := c.routeOf(from); g.Granted || route == len(c.config.Relays) { // one that is no relay only names the leader
 		c.routes.recordAnswer(route, c.now, c.unansweredSince > 0, firstRelayRetryIntervals*c.renewalInterval())
 		c.unansweredSince = 0
 	}
-	if !g.Given {
+	if !g.Granted {
 		if g.Leader == c.config.Self.Name { // it led, and another may not know better yet
 			return
 		}
@@ -151,8 +151,8 @@
 	if c.consensus == nil {
 		c.leader = cmp.Or(g.Leader, from)
 	}
-	c.leaderWaitsFor = g.Waits
-	c.pendingLeases = append(c.pendingLeases, pendingLease{time.Duration(g.Sent), g.Index})
+	c.leaderWaitsFor = g.WaitingFor
+	c.pendingLeases = append(c.pendingLeases, pendingLease{time.Duration(g.SentAt), g.RequiredIndex})
 	c.activateLeases()
 }
 
--- a/internal/fleet/node/messages.go
+++ b/internal/fleet/node/messages.go
@@ -16,72 +16,73 @@
 	To   string `cbor:"To"`
 	Disk string `cbor:"Disk,omitempty"` // the sender's disk: one that lost it is not believed
 
-	Agree  []byte        `cbor:"Agree,omitempty"` // between voters, encoded by package consensus
-	Renew  *LeaseRenewal `cbor:"Renew,omitempty"`
-	Grant  *LeaseGrant   `cbor:"Grant,omitempty"`
-	Follow *LogUpdate    `cbor:"Follow,omitempty"`
-	Lacks  *LogRequest   `cbor:"Lacks,omitempty"`
+	Consensus []byte        `cbor:"Agree,omitempty"` // between voters, encoded by package consensus
+	Renewal   *LeaseRenewal `cbor:"Renew,omitempty"`
+	Grant     *LeaseGrant   `cbor:"Grant,omitempty"`
+	LogUpdate *LogUpdate    `cbor:"Follow,omitempty"`
 
 	// Ask is forwarded to the leader, which logs it. The outcome is read from the log,
 	// so there is no answer; a lost one is forwarded again after forwardInterval.
 	Ask *fleet.Ask `cbor:"Ask,omitempty"`
 
-	Gather   *RelayedRenewals `cbor:"Gather,omitempty"`
-	Gathered *RelayedGrants   `cbor:"Gathered,omitempty"`
+	LogRequest *LogRequest `cbor:"Lacks,omitempty"`
+
+	RelayedRenewals *RelayedRenewals `cbor:"Gather,omitempty"`
+	RelayedGrants   *RelayedGrants   `cbor:"Gathered,omitempty"`
 }
 
 // LeaseRenewal asks for a lease and reports the state of its sender. Every controller
 // sends one each renewalInterval, and at once when something reported has changed, to
 // the leader or to its relay. A lost one costs an interval; the lease lasts several.
 type LeaseRenewal struct {
-	Member  fleet.Member `cbor:"Member"`
-	Boot    uint64       `cbor:"Boot"` // the sender's incarnation
-	Seq     uint64       `cbor:"Seq"`  // from 1, within the incarnation
-	Sent    int64        `cbor:"Sent"` // nanoseconds by the sender's clock, returned as it is
-	Applied uint64       `cbor:"Applied"`
+	Member       fleet.Member `cbor:"Member"`
+	Incarnation  uint64       `cbor:"Boot"` // the sender's incarnation
+	Seq          uint64       `cbor:"Seq"`  // from 1, within the incarnation
+	SentAt       int64        `cbor:"Sent"` // nanoseconds by the sender's clock, returned as it is
+	AppliedIndex uint64       `cbor:"Applied"`
 
 	// Votes: consensus brings it the log. A controller that was named a voter and
 	// doesn't know it yet still follows.
-	Votes   bool   `cbor:"Votes,omitempty"`
-	Version uint64 `cbor:"Version"` // policy that the controller decides by, 0: none
+	Votes         bool   `cbor:"Votes,omitempty"`
+	PolicyVersion uint64 `cbor:"Version"` // policy that the controller decides by, 0: none
 	// Ready has the result of each validated configuration change: why it can't be
 	// served by, "" if it can.
-	Ready     map[string]string       `cbor:"Ready,omitempty"`
-	Closed    string                  `cbor:"Closed,omitempty"`    // configuration change that it is fenced for
-	Unreached []string                `cbor:"Unreached,omitempty"` // invalidations tombstoned here
-	Wiped     map[string]fleet.Counts `cbor:"Wiped,omitempty"`     // invalidations erased here
-	Sites     []string                `cbor:"Sites,omitempty"`     // zones with engines that serve
-	Outside   int                     `cbor:"Outside,omitempty"`   // attempts of confined tenants outside their zones
+	ValidationResults map[string]string       `cbor:"Ready,omitempty"`
+	FencedFor         string                  `cbor:"Closed,omitempty"`    // configuration change that it is fenced for
+	Tombstoned        []string                `cbor:"Unreached,omitempty"` // invalidations tombstoned here
+	Erased            map[string]fleet.Counts `cbor:"Wiped,omitempty"`     // invalidations erased here
+	ServingSites      []string                `cbor:"Sites,omitempty"`     // zones with engines that serve
+	AttemptsOutside   int                     `cbor:"Outside,omitempty"`   // attempts of confined tenants outside their zones
 }
 
 // LeaseGrant answers a LeaseRenewal: from the leader once a majority of voters has
 // confirmed that it leads, from a relay once the leader has, or from a controller that
 // doesn't lead to name the one that does. A lost one costs a renewal interval.
 type LeaseGrant struct {
-	Seq    uint64              `cbor:"Seq"`  // as in the LeaseRenewal
-	Sent   int64               `cbor:"Sent"` // as in the LeaseRenewal: the lease counts from then
-	Boot   uint64              `cbor:"Boot"` // as in the LeaseRenewal
-	Given  bool                `cbor:"Given"`
-	Index  uint64              `cbor:"Index"`           // the lease counts once the log up to here is applied
-	Leader string              `cbor:"Leader"`          // whom to ask instead, "": not known
-	Waits  map[string][]string `cbor:"Waits,omitempty"` // controllers waited for, some of them, by change or invalidation
-	Why    string              `cbor:"Why"`             // refused for good: the name or disk is forgotten, or another's
+	Seq           uint64              `cbor:"Seq"`  // as in the LeaseRenewal
+	SentAt        int64               `cbor:"Sent"` // as in the LeaseRenewal: the lease counts from then
+	Incarnation   uint64              `cbor:"Boot"` // as in the LeaseRenewal
+	Granted       bool                `cbor:"Given"`
+	RequiredIndex uint64              `cbor:"Index"`           // the lease counts once the log up to here is applied
+	Leader        string              `cbor:"Leader"`          // whom to ask instead, "": not known
+	WaitingFor    map[string][]string `cbor:"Waits,omitempty"` // controllers waited for, some of them, by change or invalidation
+	RefusedReason string              `cbor:"Why"`             // refused for good: the name or disk is forgotten, or another's
 }
 
 // LogUpdate brings log entries, or a snapshot in their place, to a controller that does
 // not vote; the leader or the controller's relay sends it. A lost one is noticed by the
 // next renewal's Applied, or by the receiver, which sends a LogRequest.
 type LogUpdate struct {
-	Snapshot *consensus.Snapshot `cbor:"Snapshot,omitempty"`
-	Records  []consensus.Record  `cbor:"Records,omitempty"`
-	Decided  uint64              `cbor:"Decided"` // committed and applied by the sender
-	Leader   string              `cbor:"Leader"`
+	Snapshot       *consensus.Snapshot `cbor:"Snapshot,omitempty"`
+	Entries        []consensus.Record  `cbor:"Records,omitempty"`
+	CommittedIndex uint64              `cbor:"Decided"` // committed and applied by the sender
+	Leader         string              `cbor:"Leader"`
 }
 
 // LogRequest asks the sender of a LogUpdate for the entries that the receiver lacks. A
 // lost one is repeated at the next LogUpdate.
 type LogRequest struct {
-	From uint64 `cbor:"From"` // index of the first entry that is lacked
+	FromIndex uint64 `cbor:"From"` // index of the first entry that is lacked
 }
 
 // RelayedRenewals is a relay's message to the leader: what has changed in the renewals
@@ -90,48 +91,48 @@
 // A lost one shows by the next one's Base, which the leader lacks: it asks for a full
 // message.
 type RelayedRenewals struct {
-	Boot uint64 `cbor:"Boot"` // the relay's incarnation
-	Seq  uint64 `cbor:"Seq"`  // from 1, within the incarnation
+	Incarnation uint64 `cbor:"Boot"` // the relay's incarnation
+	Seq         uint64 `cbor:"Seq"`  // from 1, within the incarnation
 	// Base is the message that went before: this one has all that changed since. A
 	// leader that lacks it asks for a full message. 0: this is a full message, and
 	// replaces what was told before.
-	Base    uint64             `cbor:"Base,omitempty"`
-	Renews  []RelayedRenewal   `cbor:"Renews,omitempty"`
-	Silents []SilentController `cbor:"Silents,omitempty"`
+	BaseSeq  uint64             `cbor:"Base,omitempty"`
+	Renewals []RelayedRenewal   `cbor:"Renews,omitempty"`
+	Silent   []SilentController `cbor:"Silents,omitempty"`
 }
 
 // RelayedRenewal is a controller's last renewal, which the leader lacks.
 type RelayedRenewal struct {
-	Name  string        `cbor:"Name"`
-	Disk  string        `cbor:"Disk"`
-	Renew *LeaseRenewal `cbor:"Renew"`
+	Name    string        `cbor:"Name"`
+	Disk    string        `cbor:"Disk"`
+	Renewal *LeaseRenewal `cbor:"Renew"`
 }
 
 // SilentController is one that the relay covers no longer: it hasn't asked for a while.
 type SilentController struct {
-	Name string `cbor:"Name"`
-	Ago  int64  `cbor:"Ago"` // nanoseconds by the relay's clock since it last asked
+	Name      string `cbor:"Name"`
+	SilentFor int64  `cbor:"Ago"` // nanoseconds by the relay's clock since it last asked
 }
 
 // RelayedGrants is the leader's answer to a RelayedRenewals. A lost one costs the
 // covered controllers a relay's interval: the answer to the next message covers them.
 type RelayedGrants struct {
-	Boot   uint64 `cbor:"Boot"` // as in the RelayedRenewals
-	Seq    uint64 `cbor:"Seq"`
-	Given  bool   `cbor:"Given"`  // each controller covered by that message may be granted its lease
-	Resync bool   `cbor:"Resync"` // the leader lacks the message's base: a full one must come
-	Index  uint64 `cbor:"Index"`  // the leases count once the log up to here is applied
-	Leader string `cbor:"Leader"` // whom to ask instead, "": not known
+	Incarnation   uint64 `cbor:"Boot"` // as in the RelayedRenewals
+	Seq           uint64 `cbor:"Seq"`
+	Granted       bool   `cbor:"Given"`  // each controller covered by that message may be granted its lease
+	Resync        bool   `cbor:"Resync"` // the leader lacks the message's base: a full one must come
+	RequiredIndex uint64 `cbor:"Index"`  // the leases count once the log up to here is applied
+	Leader        string `cbor:"Leader"` // whom to ask instead, "": not known
 	// Withheld are covered controllers that must not be granted a lease.
 	Withheld []WithheldLease `cbor:"Withheld,omitempty"`
 	// Again are covered controllers whose renewal must be told once more: another relay
 	// has told of them since.
-	Again []string            `cbor:"Again,omitempty"`
-	Waits map[string][]string `cbor:"Waits,omitempty"` // as in a LeaseGrant
+	Resend     []string            `cbor:"Again,omitempty"`
+	WaitingFor map[string][]string `cbor:"Waits,omitempty"` // as in a LeaseGrant
 }
 
 // WithheldLease is a controller that is given no lease.
 type WithheldLease struct {
-	Name string `cbor:"Name"`
-	Why  string `cbor:"Why"` // refused for good; "": its name isn't in the log yet
+	Name          string `cbor:"Name"`
+	RefusedReason string `cbor:"Why"` // refused for good; "": its name isn't in the log yet
 }
--- a/internal/fleet/node/node.go
+++ b/internal/fleet/node/node.go
@@ -238,30 +238,30 @@
 }
 
 func (c *Core) receive(m *Message) {
-	if have := c.state.Members[m.From]; have != nil && m.Renew == nil && (have.Forgotten || have.Disk != "" && have.Disk != m.Disk) {
+	if have := c.state.Members[m.From]; have != nil && m.Renewal == nil && (have.Forgotten || have.Disk != "" && have.Disk != m.Disk) {
 		// one that lost its disk may have forgotten what it voted for
 		c.Counts["of another disk"]++
 		return
 	}
 	switch {
-	case len(m.Agree) > 0 && c.consensus == nil:
+	case len(m.Consensus) > 0 && c.consensus == nil:
 		c.votedOut = false // it is counted among those who vote
-	case len(m.Agree) > 0 && c.consensus != nil:
+	case len(m.Consensus) > 0 && c.consensus != nil:
 		c.voterHeardAt = c.now
-		c.performConsensus(c.consensus.Step(c.now, consensus.Event{Kind: consensus.Message, From: m.From, Bytes: m.Agree}))
-	case m.Renew != nil:
-		c.receiveRenewal(m.From, m.Disk, m.Renew)
+		c.performConsensus(c.consensus.Step(c.now, consensus.Event{Kind: consensus.Message, From: m.From, Bytes: m.Consensus}))
+	case m.Renewal != nil:
+		c.receiveRenewal(m.From, m.Disk, m.Renewal)
 	case m.Grant != nil:
 		c.receiveGrant(m.From, m.Grant)
-	case m.Follow != nil:
-		c.receiveLogUpdate(m.From, m.Follow)
-	case m.Gather != nil:
-		c.receiveRelayedRenewals(m.From, m.Gather)
-	case m.Gathered != nil:
-		c.receiveRelayedGrants(m.From, m.Gathered)
-	case m.Lacks != nil:
+	case m.LogUpdate != nil:
+		c.receiveLogUpdate(m.From, m.LogUpdate)
+	case m.RelayedRenewals != nil:
+		c.receiveRelayedRenewals(m.From, m.RelayedRenewals)
+	case m.RelayedGrants != nil:
+		c.receiveRelayedGrants(m.From, m.RelayedGrants)
+	case m.LogRequest != nil:
 		if f := c.followerOf(m.From); f != nil {
-			f.nextIndex, c.followersBehind = m.Lacks.From, true
+			f.nextIndex, c.followersBehind = m.LogRequest.FromIndex, true
 		}
 	case m.Ask != nil && c.isLeader:
 		c.propose(c.logEntryFor(m.Ask))
@@ -304,7 +304,7 @@
 		c.consensusEffects = c.consensusEffects[1:]
 		switch e.Kind {
 		case consensus.Send:
-			c.send(e.To, c.addressOf(e.To), &Message{Agree: e.Bytes})
+			c.send(e.To, c.addressOf(e.To), &Message{Consensus: e.Bytes})
 		case consensus.Store:
 			if e.Kept.Hard != nil {
 				c.hardState = e.Kept.Hard
@@ -434,7 +434,7 @@
 // followed takes what the leader passes on to those who don't vote.
 func (c *Core) receiveLogUpdate(from string, f *LogUpdate) {
 	c.stopVoting() // who leads passes the record on to those only who don't vote with it
-	if c.consensus != nil && !c.isLeader && f.Decided > c.state.Index && c.now-c.voterHeardAt > 2*c.config.ElectionTimeout {
+	if c.consensus != nil && !c.isLeader && f.CommittedIndex > c.state.Index && c.now-c.voterHeardAt > 2*c.config.ElectionTimeout {
 		// It was voted out while it was away, and can't learn that from agreement.
 		c.consensus, c.leader, c.votedOut = nil, f.Leader, true
 		c.persistIndex = c.state.Index
@@ -451,7 +451,7 @@
 		c.persist(&consensus.Kept{Snapshot: s}, func() { c.restoreSnapshot(s) })
 	}
 	var fresh []consensus.Record
-	for _, r := range f.Records {
+	for _, r := range f.Entries {
 		if r.Index == c.persistIndex+1 {
 			fresh = append(fresh, r)
 			c.persistIndex = r.Index
@@ -464,8 +464,8 @@
 			}
 			c.unreported = true
 		})
-	} else if f.Decided > c.persistIndex {
-		c.send(from, c.addressOf(from), &Message{Lacks: &LogRequest{From: c.persistIndex + 1}})
+	} else if f.CommittedIndex > c.persistIndex {
+		c.send(from, c.addressOf(from), &Message{LogRequest: &LogRequest{FromIndex: c.persistIndex + 1}})
 	}
 }
 
--- a/internal/fleet/node/node_test.go
+++ b/internal/fleet/node/node_test.go
@@ -265,7 +265,7 @@
 	s.until(5*time.Second, "its lease is over", func() bool { return !l.core.mayHoldLease("f0", l.core.config.Lease) })
 	s.until(5*time.Second, "no confirmation is under way", func() bool { return len(l.core.confirming)+len(l.core.toConfirm) == 0 })
 	l.step(Event{Kind: MessageReceived, Message: &Message{From: "f0", Disk: "disk f0",
-		Renew: &LeaseRenewal{Member: f.begin.Self, Boot: 99, Seq: 1, Applied: l.core.state.Index}}})
+		Renewal: &LeaseRenewal{Member: f.begin.Self, Incarnation: 99, Seq: 1, AppliedIndex: l.core.state.Index}}})
 	s.until(5*time.Second, "a confirmation has begun", func() bool { return len(l.core.confirming) > 0 })
 	if !l.core.mayHoldLease("f0", l.core.config.Lease) {
 		t.Error("it isn't waited for, and may be given a lease that knows nothing of what is decided meanwhile")
--- a/internal/fleet/node/relay.go
+++ b/internal/fleet/node/relay.go
@@ -55,7 +55,7 @@
 	if c.now < c.aggregateDue() {
 		return
 	}
-	c.send(c.leader, c.addressOf(c.leader), &Message{Gather: c.aggregator.nextMessage(c.now)})
+	c.send(c.leader, c.addressOf(c.leader), &Message{RelayedRenewals: c.aggregator.nextMessage(c.now)})
 	c.logUnansweredLeader()
 }
 
@@ -74,7 +74,7 @@
 	if !c.aggregates() {
 		return
 	}
-	if !a.Given && !a.Resync && a.Leader != "" && a.Leader != c.config.Self.Name && c.consensus == nil {
+	if !a.Granted && !a.Resync && a.Leader != "" && a.Leader != c.config.Self.Name && c.consensus == nil {
 		c.leader = a.Leader
 	}
 	for _, to := range c.aggregator.handleAnswer(from, a) {
--- a/internal/fleet/node/relay_test.go
+++ b/internal/fleet/node/relay_test.go
@@ -95,11 +95,11 @@
 	s.seen = func(from, to string, m *Message) {
 		leader := s.leader()
 		switch {
-		case m.Renew != nil && from[0] == 'f' && to == leader.name:
+		case m.Renewal != nil && from[0] == 'f' && to == leader.name:
 			direct++
-		case m.Gather != nil:
+		case m.RelayedRenewals != nil:
 			gathers++
-			renewals += len(m.Gather.Renews)
+			renewals += len(m.RelayedRenewals.Renewals)
 		}
 	}
 	s.play(4*time.Second, func() {
@@ -232,7 +232,7 @@
 	s.until(5*time.Second, "all serve", func() bool { return s.serve(s.names...) })
 	var toRelay, toFollower []*Message
 	s.seen = func(_, to string, m *Message) {
-		if to == "r0" && m.Gathered != nil {
+		if to == "r0" && m.RelayedGrants != nil {
 			toRelay = append(toRelay, m)
 		}
 		if to == "f0" && m.Grant != nil {
@@ -272,7 +272,7 @@
 		s := relayStage(t, 200+seed, 3, 2, 6, relayLease)
 		s.until(5*time.Second, "all serve", func() bool { return s.serve(s.names...) })
 		s.lose = func(from, to string, m *Message) bool {
-			if m.Gather == nil && m.Gathered == nil && m.Grant == nil && m.Renew == nil && m.Follow == nil {
+			if m.RelayedRenewals == nil && m.RelayedGrants == nil && m.Grant == nil && m.Renewal == nil && m.LogUpdate == nil {
 				return false
 			}
 			switch s.rand.IntN(5) {
@@ -339,8 +339,8 @@
 	}
 	seq := old.aggregator.lastSeq
 	for i := range uint64(5) { // it speaks on, and knows nothing of who left it
-		g := &RelayedRenewals{Boot: old.config.Incarnation, Seq: seq + 1 + i, Base: old.aggregator.leaderHasUpTo}
-		l.step(Event{Kind: MessageReceived, Message: &Message{From: "r0", To: l.name, Disk: "disk r0", Gather: g}})
+		g := &RelayedRenewals{Incarnation: old.config.Incarnation, Seq: seq + 1 + i, BaseSeq: old.aggregator.leaderHasUpTo}
+		l.step(Event{Kind: MessageReceived, Message: &Message{From: "r0", To: l.name, Disk: "disk r0", RelayedRenewals: g}})
 		s.play(20*time.Millisecond, s.noMix)
 	}
 	if !s.serve(s.names...) {
@@ -377,7 +377,7 @@
 	s.until(5*time.Second, "all serve", func() bool { return s.serve(s.names...) })
 	l, f := s.leader(), s.all["f0"]
 	s.cut["r0>f0"] = true // it hears of its end by nothing but grants
-	s.lose = func(_, to string, m *Message) bool { return to == "f0" && m.Follow != nil }
+	s.lose = func(_, to string, m *Message) bool { return to == "f0" && m.LogUpdate != nil }
 	l.step(Event{Kind: OperatorRequested, Handle: 1, Ask: &fleet.Ask{Kind: "forget", ID: "x", Name: "f0"}})
 	s.until(4*time.Second, "it stops", func() bool { return !s.serve("f0") })
 	s.heal()
@@ -396,7 +396,7 @@
 // themselves, and the relay says what is wrong.
 func TestALeaderThatKnowsNoRelays(t *testing.T) {
 	s := relayStage(t, 9, 3, 2, 4, relayLease)
-	s.lose = func(_, _ string, m *Message) bool { return m.Gather != nil } // what it can't read it passes over
+	s.lose = func(_, _ string, m *Message) bool { return m.RelayedRenewals != nil } // what it can't read it passes over
 	s.until(8*time.Second, "all serve", func() bool { return s.serve(s.names...) })
 	s.play(8*time.Second, func() {
 		if !s.serve(s.names...) {
@@ -418,7 +418,7 @@
 	r := s.all["r0"]
 	given := 0
 	s.seen = func(from, _ string, m *Message) {
-		if from == "r0" && m.Grant != nil && m.Grant.Given {
+		if from == "r0" && m.Grant != nil && m.Grant.Granted {
 			given++
 		}
 	}
@@ -430,7 +430,7 @@
 	for i := range uint64(20) {
 		member := s.all["f0"].begin.Self
 		r.step(Event{Kind: MessageReceived, Message: &Message{From: "f0", To: "r0", Disk: member.Disk,
-			Renew: &LeaseRenewal{Member: member, Boot: 1, Seq: 1000 + i, Sent: int64(s.now), Applied: r.core.state.Index}}})
+			Renewal: &LeaseRenewal{Member: member, Incarnation: 1, Seq: 1000 + i, SentAt: int64(s.now), AppliedIndex: r.core.state.Index}}})
 		s.play(20*time.Millisecond, nil)
 	}
 	if given != 0 {
@@ -452,14 +452,14 @@
 	late := *oldRun
 	late.Seq++
 	l.step(Event{Kind: MessageReceived, Message: &Message{From: "r0", To: l.name, Disk: "disk r0",
-		Gather: &RelayedRenewals{Boot: r.config.Incarnation, Seq: r.aggregator.lastSeq + 1, Base: r.aggregator.leaderHasUpTo,
-			Renews: []RelayedRenewal{{Name: "f0", Disk: "disk f0", Renew: &late}}}}})
+		RelayedRenewals: &RelayedRenewals{Incarnation: r.config.Incarnation, Seq: r.aggregator.lastSeq + 1, BaseSeq: r.aggregator.leaderHasUpTo,
+			Renewals: []RelayedRenewal{{Name: "f0", Disk: "disk f0", Renewal: &late}}}}})
 	r.aggregator.lastSeq++
 	if l.core.peers["f0"].incarnation == f.begin.Incarnation {
 		t.Fatal("the old run isn't told: this test shows nothing")
 	}
 	l.step(Event{Kind: MessageReceived, Message: &Message{From: "r0", To: l.name, Disk: "disk r0",
-		Gather: &RelayedRenewals{Boot: r.config.Incarnation, Seq: r.aggregator.lastSeq + 1, Base: r.aggregator.leaderHasUpTo, Silents: []SilentController{{Name: "f0", Ago: int64(time.Second)}}}}})
+		RelayedRenewals: &RelayedRenewals{Incarnation: r.config.Incarnation, Seq: r.aggregator.lastSeq + 1, BaseSeq: r.aggregator.leaderHasUpTo, Silent: []SilentController{{Name: "f0", SilentFor: int64(time.Second)}}}}})
 	r.aggregator.lastSeq++
 	s.until(2*time.Second, "the new run is told again", func() bool { return l.core.peers["f0"].incarnation == f.begin.Incarnation })
 }
@@ -497,7 +497,7 @@
 	r.begin.Self.Control, r.begin.IsRelay = false, false
 	granted := false
 	s.seen = func(_, to string, m *Message) {
-		if to == "r0" && m.Grant != nil && m.Grant.Given && m.Grant.Boot == r.begin.Incarnation && l.core.state.Members["r0"].Control {
+		if to == "r0" && m.Grant != nil && m.Grant.Granted && m.Grant.Incarnation == r.begin.Incarnation && l.core.state.Members["r0"].Control {
 			granted = true
 		}
 	}
--- a/internal/fleet/node/testdata/planted/down/erasure.go
+++ b/internal/fleet/node/testdata/planted/down/erasure.go
@@ -15,7 +15,7 @@
 		if p == nil || p.renewal == nil { // planted fault: who is down isn't waited for
 			continue
 		}
-		erased, confirmed := p.renewal.Wiped[purge]
+		erased, confirmed := p.renewal.Erased[purge]
 		sum.Add(erased)
 		if !confirmed {
 			awaited = append(awaited, name)
--- a/internal/fleet/node/testdata/planted/relay/ask.go
+++ b/internal/fleet/node/testdata/planted/relay/ask.go
@@ -9,6 +9,6 @@
 	from.follower.updateFrom(r, c.now, c.renewalInterval())
 	c.followersBehind = c.followersBehind || from.nextIndex <= c.state.Index
 	// planted fault: the relay answers by itself
-	grant := &LeaseGrant{Seq: r.Seq, Sent: r.Sent, Boot: r.Boot, Given: true, Index: c.state.Index, Leader: c.leader}
+	grant := &LeaseGrant{Seq: r.Seq, SentAt: r.SentAt, Incarnation: r.Incarnation, Granted: true, RequiredIndex: c.state.Index, Leader: c.leader}
 	c.send(name, r.Member.Peer, &Message{Grant: grant})
 }
--- a/internal/fleet/transport/faults_test.go
+++ b/internal/fleet/transport/faults_test.go
@@ -26,7 +26,7 @@
 	a, b, l := between(t, Options{})
 	l.Set(faultproxy.Fault{Kind: faultproxy.Double})
 	for i := range 5 {
-		a.Send("b", l.Address(), &node.Message{Agree: []byte(fmt.Sprint(i))})
+		a.Send("b", l.Address(), &node.Message{Consensus: []byte(fmt.Sprint(i))})
 		b.hears(t, "a", fmt.Sprint(i))
 		a.until(t, "sent", i+1)
 	}
@@ -40,11 +40,11 @@
 func TestAFrameThatStallsIsCutAndTheNextPasses(t *testing.T) {
 	a, b, l := between(t, Options{Timeout: 50 * time.Millisecond})
 	l.Set(faultproxy.Fault{Kind: faultproxy.Stall, Way: faultproxy.There, After: 2000}) // a hello passes
-	a.Send("b", l.Address(), &node.Message{Agree: make([]byte, 5000)})
+	a.Send("b", l.Address(), &node.Message{Consensus: make([]byte, 5000)})
 	a.until(t, "lost", 1)
 	b.until(t, "cut", 1)
 	l.Set(faultproxy.Fault{Kind: faultproxy.Reset})
-	a.Send("b", l.Address(), &node.Message{Agree: []byte("after")})
+	a.Send("b", l.Address(), &node.Message{Consensus: []byte("after")})
 	b.hears(t, "a", "after")
 }
 
@@ -56,7 +56,7 @@
 	sent := map[string]bool{}
 	say := func(text string) {
 		sent[text] = true
-		a.Send("b", l.Address(), &node.Message{Agree: []byte(text)})
+		a.Send("b", l.Address(), &node.Message{Consensus: []byte(text)})
 	}
 	for i := range 30 {
 		l.Set(faultproxy.Draw(r))
@@ -71,7 +71,7 @@
 	for last := ""; last != "healed"; {
 		select {
 		case m := <-b.got:
-			if last = string(m.Agree); !sent[last] {
+			if last = string(m.Consensus); !sent[last] {
 				t.Fatalf("%q was never sent", last)
 			}
 		case <-time.After(soon):
@@ -110,16 +110,16 @@
 		t.Fatal(err)
 	}
 	m.Set("a", "b", faultproxy.Fault{Kind: faultproxy.Cut, Silent: true})
-	a.Send("b", toB, &node.Message{Agree: []byte("held up")})
-	b.Send("a", toA, &node.Message{Agree: []byte("other way")})
+	a.Send("b", toB, &node.Message{Consensus: []byte("held up")})
+	b.Send("a", toA, &node.Message{Consensus: []byte("other way")})
 	a.hears(t, "b", "other way")
 	a.until(t, "failed", 1)
 	m.Heal()
-	a.Send("b", toB, &node.Message{Agree: []byte("now")})
+	a.Send("b", toB, &node.Message{Consensus: []byte("now")})
 	for text := ""; text != "now"; {
 		select {
 		case m := <-b.got:
-			text = string(m.Agree)
+			text = string(m.Consensus)
 		case <-time.After(soon):
 			t.Fatal(a.Counts())
 		}
--- a/internal/fleet/transport/wire_test.go
+++ b/internal/fleet/transport/wire_test.go
@@ -69,15 +69,15 @@
 }
 
 func (e *end) say(to *end, text string) {
-	e.Send(to.o.Self, to.address, &node.Message{Agree: []byte(text)})
+	e.Send(to.o.Self, to.address, &node.Message{Consensus: []byte(text)})
 }
 
 func (e *end) hears(t *testing.T, from, text string) {
 	t.Helper()
 	select {
 	case m := <-e.got:
-		if m.From != from || m.To != e.o.Self || string(m.Agree) != text {
-			t.Fatalf("%q from %s for %s, want %q from %s", m.Agree, m.From, m.To, text, from)
+		if m.From != from || m.To != e.o.Self || string(m.Consensus) != text {
+			t.Fatalf("%q from %s for %s, want %q from %s", m.Consensus, m.From, m.To, text, from)
 		}
 	case <-time.After(soon):
 		t.Fatalf("%q never came: %v", text, e.Counts())
@@ -131,7 +131,7 @@
 }
 
 func message(from, to, text string) []byte {
-	return encode(&node.Message{From: from, To: to, Agree: []byte(text)})
+	return encode(&node.Message{From: from, To: to, Consensus: []byte(text)})
 }
 
 func TestMessagesGoBothWaysInOrder(t *testing.T) {
@@ -248,7 +248,7 @@
 		t.Errorf("%q %v", head, err)
 	}
 	refusal[*TooLargeError](t, b.refused)
-	a.Send("b", b.address, &node.Message{Agree: make([]byte, BodyAtMost)})
+	a.Send("b", b.address, &node.Message{Consensus: make([]byte, BodyAtMost)})
 	refusal[*TooLargeError](t, a.refused)
 }
 
@@ -318,7 +318,7 @@
 	a, b := pair(t, Options{}, Options{})
 	b.Close()
 	for range 12 {
-		a.Send("b", b.address, &node.Message{Agree: make([]byte, 8<<20)})
+		a.Send("b", b.address, &node.Message{Consensus: make([]byte, 8<<20)})
 	}
 	a.until(t, "dropped", 4)
 	a.mu.Lock()
