--- a/internal/fleet/transport/golden_values_test.go
+++ b/internal/fleet/transport/golden_values_test.go
@@ -15,18 +15,18 @@
 	Member: fleet.Member{
 		Name: "north-1", Disk: "disk-1", Site: "north", Peer: "10.0.0.1:7000", Clients: "10.0.0.1:6000", Forgotten: true, Control: true,
 	},
-	Boot:      11,
-	Seq:       12,
-	Sent:      13_000_000_001,
-	Applied:   14,
-	Votes:     true,
-	Version:   15,
-	Ready:     map[string]string{"change-1": "", "change-2": "no engine of kind large"},
-	Closed:    "change-1",
-	Unreached: []string{"purge-1", "purge-2"},
-	Wiped:     map[string]fleet.Counts{"purge-1": {Results: 16, Answers: 17, Bytes: 18}},
-	Sites:     []string{"north", "south"},
-	Outside:   19,
+	Incarnation:       11,
+	Seq:               12,
+	SentAt:            13_000_000_001,
+	AppliedIndex:      14,
+	Votes:             true,
+	PolicyVersion:     15,
+	ValidationResults: map[string]string{"change-1": "", "change-2": "no engine of kind large"},
+	FencedFor:         "change-1",
+	Tombstoned:        []string{"purge-1", "purge-2"},
+	Erased:            map[string]fleet.Counts{"purge-1": {Results: 16, Answers: 17, Bytes: 18}},
+	ServingSites:      []string{"north", "south"},
+	AttemptsOutside:   19,
 }
 
 var goldenAsk = fleet.Ask{
@@ -37,38 +37,38 @@
 
 // goldenMessages is one message of each kind, by its kind, and one with all kinds.
 func goldenMessages() map[string]*node.Message {
-	grant := node.LeaseGrant{Seq: 31, Sent: 32, Boot: 33, Given: true, Index: 34, Leader: "north-2",
-		Waits: map[string][]string{"change-1": {"south-1", "south-2"}}, Why: "its disk is forgotten"}
+	grant := node.LeaseGrant{Seq: 31, SentAt: 32, Incarnation: 33, Granted: true, RequiredIndex: 34, Leader: "north-2",
+		WaitingFor: map[string][]string{"change-1": {"south-1", "south-2"}}, RefusedReason: "its disk is forgotten"}
 	follow := node.LogUpdate{
 		Snapshot: &consensus.Snapshot{Index: 41, Term: 42, Conf: []byte("conf"), Data: []byte("state")},
-		Records: []consensus.Record{
+		Entries: []consensus.Record{
 			{Index: 43, Term: 44, Conf: true, Data: []byte("voters")},
 			{Index: 44, Term: 44, Data: []byte("entry")},
 		},
-		Decided: 45, Leader: "north-3",
+		CommittedIndex: 45, Leader: "north-3",
 	}
-	gather := node.RelayedRenewals{Boot: 51, Seq: 52, Base: 53,
-		Renews:  []node.RelayedRenewal{{Name: "north-1", Disk: "disk-1", Renew: &goldenRenew}},
-		Silents: []node.SilentController{{Name: "south-3", Ago: 54}}}
-	gathered := node.RelayedGrants{Boot: 61, Seq: 62, Given: true, Resync: true, Index: 63, Leader: "north-4",
-		Withheld: []node.WithheldLease{{Name: "south-4", Why: "it is forgotten"}},
-		Again:    []string{"south-5"}, Waits: map[string][]string{"purge-1": {"south-6"}}}
-	lacks := node.LogRequest{From: 71}
+	gather := node.RelayedRenewals{Incarnation: 51, Seq: 52, BaseSeq: 53,
+		Renewals: []node.RelayedRenewal{{Name: "north-1", Disk: "disk-1", Renewal: &goldenRenew}},
+		Silent:   []node.SilentController{{Name: "south-3", SilentFor: 54}}}
+	gathered := node.RelayedGrants{Incarnation: 61, Seq: 62, Granted: true, Resync: true, RequiredIndex: 63, Leader: "north-4",
+		Withheld: []node.WithheldLease{{Name: "south-4", RefusedReason: "it is forgotten"}},
+		Resend:   []string{"south-5"}, WaitingFor: map[string][]string{"purge-1": {"south-6"}}}
+	lacks := node.LogRequest{FromIndex: 71}
 	from := func(m node.Message) *node.Message {
 		m.From, m.To, m.Disk = "north-1", "south-1", "disk-1"
 		return &m
 	}
 	return map[string]*node.Message{
-		"agree":    from(node.Message{Agree: []byte("vote")}),
-		"renew":    from(node.Message{Renew: &goldenRenew}),
+		"agree":    from(node.Message{Consensus: []byte("vote")}),
+		"renew":    from(node.Message{Renewal: &goldenRenew}),
 		"grant":    from(node.Message{Grant: &grant}),
-		"follow":   from(node.Message{Follow: &follow}),
+		"follow":   from(node.Message{LogUpdate: &follow}),
 		"ask":      from(node.Message{Ask: &goldenAsk}),
-		"lacks":    from(node.Message{Lacks: &lacks}),
-		"gather":   from(node.Message{Gather: &gather}),
-		"gathered": from(node.Message{Gathered: &gathered}),
-		"all": from(node.Message{Agree: []byte("vote"), Renew: &goldenRenew, Grant: &grant, Follow: &follow, Ask: &goldenAsk,
-			Lacks: &lacks, Gather: &gather, Gathered: &gathered}),
+		"lacks":    from(node.Message{LogRequest: &lacks}),
+		"gather":   from(node.Message{RelayedRenewals: &gather}),
+		"gathered": from(node.Message{RelayedGrants: &gathered}),
+		"all": from(node.Message{Consensus: []byte("vote"), Renewal: &goldenRenew, Grant: &grant, LogUpdate: &follow, Ask: &goldenAsk,
+			LogRequest: &lacks, RelayedRenewals: &gather, RelayedGrants: &gathered}),
 	}
 }
 
