--- a/internal/bench/many_record.go
+++ b/internal/bench/many_record.go
@@ -83,7 +83,7 @@
 // decide puts entries into the record, one after the other.
 func (b *recordBuilder) decide(entries ...*fleet.Entry) error {
 	for _, e := range entries {
-		if err := b.step(consensus.Event{Kind: consensus.Propose, Data: statemachine.Encode(e)}); err != nil {
+		if err := b.step(consensus.Event{Kind: consensus.Propose, Data: statemachine.EncodeEntry(e)}); err != nil {
 			return err
 		}
 	}
--- a/internal/fleet/node/lead.go
+++ b/internal/fleet/node/lead.go
@@ -270,7 +270,7 @@
 
 // busy: something is under way that time alone may move.
 func (c *Core) hasWork() bool {
-	return !c.ready || len(c.waitingFor) > 0 || len(c.toConfirm) > 0 || c.state.Under() != nil || len(c.watchedRules()) > 0 || len(c.state.Emergencies) > 0
+	return !c.ready || len(c.waitingFor) > 0 || len(c.toConfirm) > 0 || c.state.ChangeUnderWay() != nil || len(c.watchedRules()) > 0 || len(c.state.Emergencies) > 0
 }
 
 // once keeps what is proposed again and again a little apart: it may be under way.
@@ -285,7 +285,7 @@
 	if e == nil || !c.isLeader {
 		return
 	}
-	c.performConsensus(c.consensus.Step(c.now, consensus.Event{Kind: consensus.Propose, Data: statemachine.Encode(e)}))
+	c.performConsensus(c.consensus.Step(c.now, consensus.Event{Kind: consensus.Propose, Data: statemachine.EncodeEntry(e)}))
 }
 
 // drive moves on what is under way, while this controller leads.
@@ -310,13 +310,13 @@
 	}
 	c.endObsoleteEmergencies()
 	c.finishChanges()
-	if c.state.Under() == nil && len(c.state.Voters) > 0 {
+	if c.state.ChangeUnderWay() == nil && len(c.state.Voters) > 0 {
 		c.alignVoters()
 	}
 }
 
 func (c *Core) driveChange() {
-	u := c.state.Under()
+	u := c.state.ChangeUnderWay()
 	if u == nil {
 		return
 	}
@@ -326,8 +326,8 @@
 	withdraw := func(why string) {
 		c.throttle("withdraw "+u.ID, func() { c.propose(&fleet.Entry{Kind: fleet.Withdraw, ID: u.ID, Why: why}) })
 	}
-	most := time.Duration(u.AtMost) * time.Millisecond
-	late := u.AtMost > 0 && c.now-c.changeSeenAt[u.ID] >= most
+	most := time.Duration(u.TimeoutMillis) * time.Millisecond
+	late := u.TimeoutMillis > 0 && c.now-c.changeSeenAt[u.ID] >= most
 	switch u.Phase {
 	case statemachine.Proposed:
 		for _, name := range c.memberNames() {
@@ -377,7 +377,7 @@
 }
 
 // drivePurge moves a purge on: first nobody who may serve has it any more, then no disk.
-func (c *Core) driveInvalidation(run *statemachine.Run) {
+func (c *Core) driveInvalidation(run *statemachine.PurgeRun) {
 	switch run.Stage {
 	case "":
 		wait := c.unconfirmedHolders(c.shorterLease(), func(r *LeaseRenewal) bool { return slices.Contains(r.Tombstoned, run.ID) })
@@ -457,7 +457,7 @@
 		}
 		done := true
 		for _, r := range c.state.Purges {
-			done = done && (r.Settles != id || r.Stage == fleet.Erased)
+			done = done && (r.PartOf != id || r.Stage == fleet.Erased)
 		}
 		wait := c.unconfirmedHolders(c.config.Lease, func(r *LeaseRenewal) bool { return r.PolicyVersion >= ch.Version && r.AttemptsOutside == 0 })
 		c.setWaitingFor(id, wait)
@@ -471,7 +471,7 @@
 func (c *Core) alignVoters() {
 	var want []consensus.Voter
 	for _, v := range c.state.Voters {
-		name, address := statemachine.VoterOf(v)
+		name, address := statemachine.SplitVoter(v)
 		want = append(want, consensus.Voter{Name: name, Address: address})
 	}
 	same := len(want) == len(c.voters)
--- a/internal/fleet/node/member.go
+++ b/internal/fleet/node/member.go
@@ -112,7 +112,7 @@
 	c.renewalSeq++
 	r := &LeaseRenewal{Member: c.config.Self, Incarnation: c.config.Incarnation, Seq: c.renewalSeq, SentAt: int64(c.now), AppliedIndex: c.state.Index, Votes: c.consensus != nil, PolicyVersion: c.servedVersion, FencedFor: c.fenceConfirmedFor,
 		ServingSites: c.servingSites, AttemptsOutside: c.attemptsOutside}
-	if u := c.state.Under(); u != nil {
+	if u := c.state.ChangeUnderWay(); u != nil {
 		if k := c.validations[u.ID]; k != nil && k.done {
 			r.ValidationResults = map[string]string{u.ID: k.reason}
 		}
@@ -206,7 +206,7 @@
 // reconcile tells the reducer what the state asks for and it was not told yet. Before
 // this run's first lease it is told nothing: what is known may be old.
 func (c *Core) orderOutstanding() {
-	u := c.state.Under()
+	u := c.state.ChangeUnderWay()
 	if !c.caughtUp || c.stateError != nil {
 		return
 	}
@@ -228,7 +228,7 @@
 	}
 	// the record knows old ones no more, and neither need this
 	maps.DeleteFunc(c.invalidationsOrdered, func(id string, _ bool) bool { return c.state.Purges[id] == nil })
-	if c.state.Seen > c.viewIndex {
+	if c.state.ViewIndex > c.viewIndex {
 		c.orderView()
 	}
 	have, sum := c.policies[c.state.Version], xxhash.Sum64(c.state.Policy)
@@ -297,7 +297,7 @@
 
 // purge tells the reducer of a purge once, and says for those that don't concern this
 // controller that there is nothing of them here.
-func (c *Core) orderInvalidation(r *statemachine.Run) {
+func (c *Core) orderInvalidation(r *statemachine.PurgeRun) {
 	if r.Stage == fleet.Erased {
 		if c.invalidationsOrdered[r.ID] {
 			delete(c.tombstoned, r.ID)
@@ -314,7 +314,7 @@
 		return
 	}
 	scope := r.Scope
-	c.emit(Effect{Kind: OrderController, Order: fleet.Order{Kind: fleet.Drop, ID: r.ID, Scope: &scope, Index: r.At}})
+	c.emit(Effect{Kind: OrderController, Order: fleet.Order{Kind: fleet.Drop, ID: r.ID, Scope: &scope, Index: r.LogIndex}})
 }
 
 func (c *Core) controllerReported(r fleet.Report) {
--- a/internal/fleet/node/node.go
+++ b/internal/fleet/node/node.go
@@ -126,7 +126,7 @@
 // votes: this controller is named to vote, by the record or, before that tells, by the set-up.
 func (c *Core) namedToVote() bool {
 	if len(c.state.Voters) > 0 {
-		return slices.ContainsFunc(c.state.Voters, func(v string) bool { n, _ := statemachine.VoterOf(v); return n == c.config.Self.Name })
+		return slices.ContainsFunc(c.state.Voters, func(v string) bool { n, _ := statemachine.SplitVoter(v); return n == c.config.Self.Name })
 	}
 	return slices.ContainsFunc(c.config.Voters, func(v consensus.Voter) bool { return v.Name == c.config.Self.Name })
 }
--- a/internal/fleet/node/node_test.go
+++ b/internal/fleet/node/node_test.go
@@ -167,7 +167,7 @@
 	l.run = 0
 	var rest []string
 	for _, v := range want {
-		if n, _ := statemachine.VoterOf(v); n != l.name {
+		if n, _ := statemachine.SplitVoter(v); n != l.name {
 			rest = append(rest, n)
 		}
 	}
--- a/internal/fleet/node/operators.go
+++ b/internal/fleet/node/operators.go
@@ -45,9 +45,9 @@
 		if b.Kind = "apply"; c.state.Changes[a.ID] == nil {
 			b.Kind = "purge"
 		}
-		return c.state.Word(&b)
+		return c.state.Outcome(&b)
 	}
-	return c.state.Word(a)
+	return c.state.Outcome(a)
 }
 
 // answer tells those whose word is there, or whose time is over, and passes on what
@@ -132,8 +132,8 @@
 	if c.leaseUntil != fleet.Forever {
 		s.LeaseMS = max(0, (c.leaseUntil - c.now).Milliseconds())
 	}
-	if u := c.state.Under(); u != nil {
-		s.Change = c.state.Word(&fleet.Ask{Kind: "apply", ID: u.ID})
+	if u := c.state.ChangeUnderWay(); u != nil {
+		s.Change = c.state.Outcome(&fleet.Ask{Kind: "apply", ID: u.ID})
 		s.Change.Outstanding = c.outstanding(u.ID)
 	}
 	for _, name := range sorted(c.state.Members) {
@@ -148,7 +148,7 @@
 	}
 	for _, id := range sorted(c.state.Purges) {
 		if r := c.state.Purges[id]; r.Stage != fleet.Erased {
-			w := c.state.Word(&fleet.Ask{Kind: "purge", ID: id})
+			w := c.state.Outcome(&fleet.Ask{Kind: "purge", ID: id})
 			w.Outstanding = c.outstanding(id)
 			s.Purges = append(s.Purges, *w)
 		}
--- a/internal/fleet/node/roster.go
+++ b/internal/fleet/node/roster.go
@@ -21,7 +21,7 @@
 
 // enrol takes note of an entry that was applied.
 func (c *Core) updateRoster(before int) {
-	if name := c.state.Forgot(); name != "" {
+	if name := c.state.ForgottenName(); name != "" {
 		c.roster.forgottenAt[name] = c.now
 		c.roster.members = nil
 	}
--- a/internal/fleet/statemachine/golden_test.go
+++ b/internal/fleet/statemachine/golden_test.go
@@ -41,7 +41,7 @@
 		if diff := cmp.Diff(want, got); diff != "" {
 			t.Errorf("%s (-want +got):\n%s", name, diff)
 		}
-		goldentest.Same(t, name, Encode(&want))
+		goldentest.Same(t, name, EncodeEntry(&want))
 		if err := state.Apply(uint64(i+1), data); err != nil {
 			t.Fatal(name, err)
 		}
--- a/internal/fleet/statemachine/golden_values_test.go
+++ b/internal/fleet/statemachine/golden_values_test.go
@@ -13,23 +13,23 @@
 			"south-1": {Name: "south-1", Disk: "disk-2", Peer: "10.0.0.2:7000", Forgotten: true, Control: true},
 		},
 		Voters: []string{"north-1=10.0.0.1:7000"},
-		Changes: map[string]*Change{
-			"change-1": {ID: "change-1", By: "operator@host", Base: 103, Version: 104, Policy: []byte("voters: []\n"), Phase: Closing,
-				Why: "a reason", AtMost: 105, At: 106,
-				Scopes: []fleet.Scope{{Team: "team-a", Tables: []int64{1, -2}, Before: 107, Outside: []string{"north"}}},
-				Voters: []string{"south-1=10.0.0.2:7000"}, Settled: true},
+		Changes: map[string]*PolicyChange{
+			"change-1": {ID: "change-1", RequestedBy: "operator@host", BaseVersion: 103, Version: 104, Policy: []byte("voters: []\n"), Phase: Closing,
+				Reason: "a reason", TimeoutMillis: 105, LogIndex: 106,
+				OutsideScopes: []fleet.Scope{{Team: "team-a", Tables: []int64{1, -2}, Before: 107, Outside: []string{"north"}}},
+				Voters:        []string{"south-1=10.0.0.2:7000"}, Settled: true},
 			"change-2": {ID: "change-2"},
 		},
-		Current: "change-1",
-		Purges: map[string]*Run{
-			"purge-1": {ID: "purge-1", By: "team-a", Scope: fleet.Scope{Team: "team-a"}, At: 108, Stage: fleet.Erased,
-				Counts: fleet.Counts{Results: 109, Answers: 110, Bytes: 111}, Settles: "change-1"},
+		CurrentChange: "change-1",
+		Purges: map[string]*PurgeRun{
+			"purge-1": {ID: "purge-1", RequestedBy: "team-a", Scope: fleet.Scope{Team: "team-a"}, LogIndex: 108, Stage: fleet.Erased,
+				Counts: fleet.Counts{Results: 109, Answers: 110, Bytes: 111}, PartOf: "change-1"},
 		},
 		Bindings:    []fleet.Binding{{Team: "team-b", Tables: []int64{3, 4}, From: []int64{5}}},
-		Bound:       map[string]bool{"bind-1": true},
+		BindIDs:     map[string]bool{"bind-1": true},
 		Emergencies: map[string]uint64{"rule-1": 112},
-		Seen:        113,
-		Ended:       []string{"change-0", "purge-0"},
+		ViewIndex:   113,
+		EndedIDs:    []string{"change-0", "purge-0"},
 	}
 }
 
