--- /dev/null
+++ b/internal/fleet/statemachine/apply.go
@@ -0,0 +1,193 @@
+package statemachine
+
+import (
+	"fmt"
+	"slices"
+
+	"railrelay.dev/railrelay/internal/fleet"
+)
+
+// apply applies an entry at Index.
+func (s *State) apply(e *fleet.Entry) {
+	switch e.Kind {
+	case fleet.Join, fleet.Forget:
+		s.applyMembership(e)
+	case fleet.Propose:
+		s.propose(e)
+	case fleet.Close, fleet.Force, fleet.Withdraw, fleet.Settle, fleet.Finish:
+		if c := s.Changes[e.ID]; c != nil {
+			s.applyPhase(c, e)
+		}
+	case fleet.Purge, fleet.Unreachable, fleet.Erased:
+		s.applyPurge(e)
+	case fleet.Bind:
+		if !s.BindIDs[e.ID] {
+			s.BindIDs[e.ID] = true
+			s.Bindings = append(s.Bindings, fleet.Binding{Team: e.Team, Tables: e.Tables, From: e.From})
+			s.mergeBindings()
+			s.ViewIndex = s.Index
+		}
+	case fleet.Emergency, fleet.Calm:
+		s.applyEmergency(e)
+	}
+}
+
+// applyMembership lets a controller join or forgets it. A forgotten name or disk never
+// joins again.
+func (s *State) applyMembership(e *fleet.Entry) {
+	have := s.Members[e.Name]
+	switch {
+	case e.Kind == fleet.Join:
+		mayJoin := e.Member != nil && (have == nil || have.Disk == e.Member.Disk && !have.Forgotten)
+		if !mayJoin {
+			return
+		}
+		m := *e.Member
+		m.Forgotten = false
+		m.Control = m.Control && (have == nil || have.Control) // results of its time as a controller may be on its disk
+		s.Members[e.Name] = &m
+	case have != nil:
+		s.forgottenName = e.Name
+		have.Forgotten = true
+	default: // it never served, and never will
+		s.forgottenName = e.Name
+		s.Members[e.Name] = &fleet.Member{Name: e.Name, Forgotten: true}
+	}
+	s.ViewIndex = s.Index
+}
+
+// applyPhase moves a change on, if the entry fits the phase that it is in.
+func (s *State) applyPhase(c *PolicyChange, e *fleet.Entry) {
+	switch {
+	case e.Kind == fleet.Close && c.Phase == Proposed:
+		c.Phase = Closing
+		c.OutsideScopes = e.Scopes
+		c.Voters = e.Voters
+	case e.Kind == fleet.Force && c.Phase == Closing:
+		c.Phase = Decided
+		s.Version = c.Version
+		s.Policy = c.Policy
+		if len(c.Voters) > 0 {
+			s.Voters = c.Voters
+		}
+	case e.Kind == fleet.Withdraw && (c.Phase == Proposed || c.Phase == Closing):
+		c.Phase = Withdrawn
+		c.Reason = e.Why
+		s.markChangeEnded(c.ID)
+	case e.Kind == fleet.Settle && c.Phase == Decided:
+		c.Phase = InForce // Finish settles it, also where there is nothing to purge
+		for i, scope := range c.OutsideScopes {
+			s.addPurge(fmt.Sprintf("%s.outside.%d", c.ID, i), "the fleet", scope, c.ID)
+		}
+		s.markChangeEnded(c.ID)
+	case e.Kind == fleet.Finish && c.Phase == InForce:
+		c.Settled = true
+	}
+}
+
+// applyPurge begins a purge or moves it on.
+func (s *State) applyPurge(e *fleet.Entry) {
+	run := s.Purges[e.ID]
+	switch {
+	case e.Kind == fleet.Purge:
+		if e.Scope != nil {
+			s.addPurge(e.ID, e.By, *e.Scope, "")
+		}
+	case run == nil:
+	case e.Kind == fleet.Unreachable && run.Stage == "":
+		run.Stage = fleet.Unreachable
+	case e.Kind == fleet.Erased && run.Stage == fleet.Unreachable:
+		run.Stage = fleet.Erased
+		if e.Counts != nil {
+			run.Counts = *e.Counts
+		}
+		s.markEnded(run.ID)
+	}
+}
+
+// applyEmergency begins or ends a rule's emergency. What was kept outside the rule's own
+// sites is purged when it ends.
+func (s *State) applyEmergency(e *fleet.Entry) {
+	from, isOn := s.Emergencies[e.Name]
+	switch {
+	case e.Kind == fleet.Emergency && !isOn:
+		s.Emergencies[e.Name] = s.Index
+		s.ViewIndex = s.Index
+	case e.Kind == fleet.Calm && isOn:
+		delete(s.Emergencies, e.Name)
+		s.ViewIndex = s.Index
+		if e.Scope != nil {
+			s.addPurge(fmt.Sprintf("%s.crossed.%d", e.Name, from), "the fleet", *e.Scope, e.Name)
+		}
+	}
+}
+
+// propose begins a change. One that was made against another version than the one in force,
+// or while another change is under way, is refused at once.
+func (s *State) propose(e *fleet.Entry) {
+	if s.Changes[e.ID] != nil {
+		return
+	}
+	c := &PolicyChange{
+		ID: e.ID, RequestedBy: e.By, BaseVersion: e.Base, Version: s.Version + 1, Policy: e.Policy, Phase: Proposed,
+		TimeoutMillis: e.AtMost, LogIndex: s.Index,
+	}
+	s.Changes[e.ID] = c
+	switch cur := s.Changes[s.CurrentChange]; {
+	case e.Base != s.Version:
+		c.Phase, c.Reason = Refused, fmt.Sprintf("it was made against version %d and %d is in force", e.Base, s.Version)
+	case cur != nil && !cur.IsFinal():
+		c.Phase, c.Reason = Refused, fmt.Sprintf("the change %s is under way", cur.ID)
+	default:
+		s.CurrentChange = e.ID
+		return
+	}
+	c.Policy = nil
+	s.markChangeEnded(c.ID)
+}
+
+// addPurge begins a purge; partOf is the change or rule that it belongs to, "": none.
+func (s *State) addPurge(id, requestedBy string, scope fleet.Scope, partOf string) {
+	if s.Purges[id] == nil {
+		s.Purges[id] = &PurgeRun{ID: id, RequestedBy: requestedBy, Scope: scope, LogIndex: s.Index, PartOf: partOf}
+		s.ViewIndex = s.Index // queries admitted from now on come after it
+	}
+}
+
+// markChangeEnded drops the text of a change that has ended, which nobody needs any more.
+func (s *State) markChangeEnded(id string) {
+	if c := s.Changes[id]; c != nil {
+		c.Policy = nil
+	}
+	s.markEnded(id)
+}
+
+// markEnded forgets the oldest of the changes and purges that have ended, if there are too many.
+func (s *State) markEnded(id string) {
+	if slices.Contains(s.EndedIDs, id) {
+		return
+	}
+	if s.EndedIDs = append(s.EndedIDs, id); len(s.EndedIDs) > maxEndedIDs {
+		old := s.EndedIDs[0]
+		s.EndedIDs = s.EndedIDs[1:]
+		delete(s.Changes, old)
+		delete(s.Purges, old)
+	}
+}
+
+// mergeBindings joins the bindings of a team that follow the same tables, so that many loads
+// don't make the state grow.
+func (s *State) mergeBindings() {
+	var all []fleet.Binding
+	for _, b := range s.Bindings {
+		i := slices.IndexFunc(all, func(x fleet.Binding) bool { return x.Team == b.Team && slices.Equal(x.From, b.From) })
+		if i < 0 {
+			all = append(all, b)
+			continue
+		}
+		l := append(slices.Clone(all[i].Tables), b.Tables...)
+		slices.Sort(l)
+		all[i].Tables = slices.Compact(l)
+	}
+	s.Bindings = all
+}
