--- a/cmd/railrelay-fleet/control_test.go
+++ b/cmd/railrelay-fleet/control_test.go
@@ -244,18 +244,18 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	before := checkControl(own, "first", []byte("placement: [{name: a, team: x, engines: [linz]}]"), driver.Have{})
-	if before.Why != "" || before.RulesUnknown || len(before.Scopes) != 1 || before.Scopes[0].Team != "x" {
+	before := checkControl(own, "first", []byte("placement: [{name: a, team: x, engines: [linz]}]"), driver.PolicyContext{})
+	if before.Reason != "" || before.ResidencyRulesUnknown || len(before.PurgeScopes) != 1 || before.PurgeScopes[0].Team != "x" {
 		t.Fatalf("%+v", before)
 	}
 	unstated := []byte("groups: [{name: lookup, target: 2s}]")
-	if c := checkControl(own, "second", unstated, driver.Have{Policy: before.Policy}); !strings.Contains(c.Why, "placement: is missing") || !strings.Contains(c.Why, "apply it again") {
+	if c := checkControl(own, "second", unstated, driver.PolicyContext{Policy: before.Policy}); !strings.Contains(c.Reason, "placement: is missing") || !strings.Contains(c.Reason, "apply it again") {
 		t.Errorf("%+v", c)
 	}
-	if c := checkControl(own, "in force 3", unstated, driver.Have{Policy: before.Policy, Decided: true}); c.Why != "" || c.Policy == nil || !c.RulesUnknown {
+	if c := checkControl(own, "in force 3", unstated, driver.PolicyContext{Policy: before.Policy, Committed: true}); c.Reason != "" || c.Policy == nil || !c.ResidencyRulesUnknown {
 		t.Errorf("%+v", c)
 	}
-	if c := checkControl(own, "third", []byte("placement: 3"), driver.Have{Decided: true}); c.Why == "" {
+	if c := checkControl(own, "third", []byte("placement: 3"), driver.PolicyContext{Committed: true}); c.Reason == "" {
 		t.Errorf("no policy at all is taken: %+v", c)
 	}
 }
--- a/cmd/railrelay-fleet/join.go
+++ b/cmd/railrelay-fleet/join.go
@@ -38,26 +38,26 @@
 	if have.Control() {
 		judge = checkControl
 	}
-	e, err := driver.Open(driver.Options{Begin: begin(have), Fleet: f.Name, Listen: f.Listen, Control: f.Control, Directory: f.Directory, Keys: f.Keys,
-		Started: means.StartedAt, Log: log, Check: func(change string, text []byte, now driver.Have) driver.Checked {
+	e, err := driver.Open(driver.Options{Node: begin(have), Fleet: f.Name, Listen: f.Listen, Control: f.Control, Directory: f.Directory, Keys: f.Keys,
+		Started: means.StartedAt, Log: log, CheckPolicy: func(change string, text []byte, now driver.PolicyContext) driver.PolicyVerdict {
 			return judge(have, change, text, now)
 		}})
 	if err != nil {
 		return cli.Joined{}, remedied(err)
 	}
 	means.Fleet = &controller.FleetConfig{Word: &fleet.Word{}, MaxHold: f.Terms().Hold}
-	status := func(ctx context.Context) *fleet.Status { return e.Ask(ctx, &fleet.Ask{Kind: "status"}).Status }
-	return cli.Joined{Peers: eventloop.FleetChannels{Orders: e.Orders(), Reports: e.Reports()}, Serve: e.Serve, Again: e.Again, Status: status}, nil
+	status := func(ctx context.Context) *fleet.Status { return e.Request(ctx, &fleet.Ask{Kind: "status"}).Status }
+	return cli.Joined{Peers: eventloop.FleetChannels{Orders: e.Orders(), Reports: e.Reports()}, Serve: e.Serve, Again: e.ReloadKeys, Status: status}, nil
 }
 
 // check makes of a policy's text what the reducer decides by, and tells what of it is
 // narrower than what is in force.
-func check(own *setup.Setup, change string, text []byte, have driver.Have) driver.Checked {
+func check(own *setup.Setup, change string, text []byte, have driver.PolicyContext) driver.PolicyVerdict {
 	policy, watched, voters, err := setup.ParsePolicy("policy "+change, text, own)
 	if err != nil {
 		return refused(err)
 	}
-	c := driver.Checked{Policy: policy, Watched: watched, Voters: voters}
+	c := driver.PolicyVerdict{Policy: policy, WatchedRules: watched, Voters: voters}
 	before, _ := have.Policy.(*controller.Policy)
 	if before == nil {
 		before, _ = own.Base()
@@ -66,7 +66,7 @@
 	next, _ := policy.Rules.([]residency.Rule)
 	for _, t := range residency.Tightened(was, next, have.Bindings) {
 		if t.Purge != nil {
-			c.Scopes = append(c.Scopes, *t.Purge)
+			c.PurgeScopes = append(c.PurgeScopes, *t.Purge)
 		}
 	}
 	return c
@@ -75,32 +75,32 @@
 // checkControl makes of a policy's text what a control process leads by, and tells what
 // has to be purged for it. Such a process knows no teams, groups or engines: it checks the
 // form only, and each controller the rest.
-func checkControl(own *setup.Setup, change string, text []byte, have driver.Have) driver.Checked {
+func checkControl(own *setup.Setup, change string, text []byte, have driver.PolicyContext) driver.PolicyVerdict {
 	file := "policy " + change
 	policy, err := setup.ParseControlPolicy(file, text, own)
 	if err != nil {
 		return refused(err)
 	}
-	c := driver.Checked{Policy: policy, Watched: policy.Watched, Voters: policy.Voters, RulesUnknown: !policy.Known}
-	if have.Decided { // what it purges was worked out before it was decided
+	c := driver.PolicyVerdict{Policy: policy, WatchedRules: policy.Watched, Voters: policy.Voters, ResidencyRulesUnknown: !policy.Known}
+	if have.Committed { // what it purges was worked out before it was decided
 		return c
 	}
 	before, known := have.Policy.(*setup.ControlPolicy)
 	if !known {
 		before = own.BaseControlPolicy()
 	}
-	if c.Scopes, err = policy.Narrowed(file, before, have.Bindings); err != nil {
+	if c.PurgeScopes, err = policy.Narrowed(file, before, have.Bindings); err != nil {
 		return refused(err)
 	}
 	return c
 }
 
 // refused is the word on a policy that can't be taken.
-func refused(err error) driver.Checked {
+func refused(err error) driver.PolicyVerdict {
 	why := err.Error()
 	var r fleet.Remedied
 	if errors.As(err, &r) {
 		why += "; " + r.Remedy()
 	}
-	return driver.Checked{Why: why}
+	return driver.PolicyVerdict{Reason: why}
 }
--- a/internal/bench/relays_strangers_test.go
+++ b/internal/bench/relays_strangers_test.go
@@ -25,7 +25,7 @@
 	relay, controller string // names
 	named             string // what the controller takes the relay to be called
 	fleet, key        string // of the relay
-	refused           transport.Refused
+	refused           transport.RejectionError
 }
 
 const (
@@ -37,8 +37,8 @@
 func foreigners() []foreign {
 	return []foreign{
 		{"x0", "n0", "x0", "another", keyOfFleet, &transport.OtherFleetError{From: "n0", Fleet: "together", Own: "another"}},
-		{"x1", "n1", "x1", "together", keyOfStranger, &transport.StrangerError{What: "a frame"}},
-		{"x2", "n2", "r0", "together", keyOfFleet, &transport.AddresseeError{From: "n2", To: "r0", Own: "x2"}},
+		{"x1", "n1", "x1", "together", keyOfStranger, &transport.UnauthenticatedError{What: "a frame"}},
+		{"x2", "n2", "r0", "together", keyOfFleet, &transport.WrongRecipientError{From: "n2", To: "r0", Own: "x2"}},
 	}
 }
 
--- a/internal/emulator/hollow/controller.go
+++ b/internal/emulator/hollow/controller.go
@@ -34,7 +34,7 @@
 	gate   *gate
 	tell   func(Event)
 
-	running *driver.Edge
+	running *driver.Driver
 	stop    context.CancelFunc
 	done    chan struct{}
 }
@@ -59,7 +59,7 @@
 	started := time.Now().Add(-c.offset())
 	shape := c.shaper(listener.Addr())
 	dialer := &dialer{local: hostOf(listener.Addr()), direct: c.config.Direct, shape: shape, gate: c.gate, abroad: c.abroad}
-	opened, err := driver.Open(driver.Options{Begin: c.begin(), Fleet: c.config.Fleet, Keys: c.config.Keys, Control: c.member.Control, Started: started, Log: zerolog.Nop(), Check: check,
+	opened, err := driver.Open(driver.Options{Node: c.begin(), Fleet: c.config.Fleet, Keys: c.config.Keys, Control: c.member.Control, Started: started, Log: zerolog.Nop(), CheckPolicy: check,
 		OpenStore: func() (driver.Store, storage.Found, error) { return c.store, c.store.Found(), nil },
 		Listener:  &shapedListener{listener, shape}, Dial: dialer.dial})
 	if err != nil {
@@ -93,7 +93,7 @@
 }
 
 // tellSites reports, once, the sites that a real controller would see engines in.
-func (c *controller) tellSites(ctx context.Context, opened *driver.Edge) error {
+func (c *controller) tellSites(ctx context.Context, opened *driver.Driver) error {
 	if len(c.config.Sites) == 0 {
 		return nil
 	}
@@ -190,8 +190,8 @@
 }
 
 // check takes every policy: there is no set-up to hold it against.
-func check(_ string, text []byte, _ driver.Have) driver.Checked {
-	return driver.Checked{Policy: append([]byte{}, text...)}
+func check(_ string, text []byte, _ driver.PolicyContext) driver.PolicyVerdict {
+	return driver.PolicyVerdict{Policy: append([]byte{}, text...)}
 }
 
 // do carries a command out.
--- a/internal/emulator/hollow/reducer.go
+++ b/internal/emulator/hollow/reducer.go
@@ -55,7 +55,7 @@
 			}
 		}
 	}()
-	err := noop.Reducer{}.Serve(ctx, passed, reports)
+	err := noop.Controller{}.Serve(ctx, passed, reports)
 	<-done
 	o.end("stopped")
 	return err
--- a/internal/fleet/driver/edge_test.go
+++ b/internal/fleet/driver/driver_test.go
@@ -75,16 +75,16 @@
 	return n.String()
 }
 
-func play(t *testing.T, do func(ev node.Event) []node.Effect, disk error) (*Edge, *script, *noted) {
+func play(t *testing.T, do func(ev node.Event) []node.Effect, disk error) (*Driver, *script, *noted) {
 	s, log := &script{make(chan node.Event, 10_000), do}, &noted{}
-	e := newEdge(s, []node.Effect{{Kind: node.SetTimer, Delay: time.Hour}}, &Options{Started: time.Now(), Log: zerolog.New(log),
-		Check: func(change string, text []byte, have Have) Checked {
-			return Checked{Why: change + string(text) + have.Policy.(string)}
+	e := newDriver(s, []node.Effect{{Kind: node.SetTimer, Delay: time.Hour}}, &Options{Started: time.Now(), Log: zerolog.New(log),
+		CheckPolicy: func(change string, text []byte, have PolicyContext) PolicyVerdict {
+			return PolicyVerdict{Reason: change + string(text) + have.Policy.(string)}
 		}})
-	e.disk, e.wire = &paper{disk, make(chan consensus.Kept, 100)}, mute{}
+	e.store, e.peers = &paper{disk, make(chan consensus.Kept, 100)}, mute{}
 	ctx, stop := context.WithCancel(context.Background())
 	done := make(chan error, 1)
-	go func() { done <- e.serve(ctx) }()
+	go func() { done <- e.run(ctx) }()
 	t.Cleanup(func() {
 		stop()
 		if err := <-done; err != nil {
@@ -106,7 +106,7 @@
 		}
 		return nil
 	}, nil)
-	e.got(&node.Message{From: "b"})
+	e.receiveMessage(&node.Message{From: "b"})
 	s.saw(t, node.MessageReceived)
 	kinds := map[node.EventKind]bool{}
 	for range 3 {
@@ -118,13 +118,13 @@
 	if !kinds[node.WritesPersisted] || !kinds[node.PolicyValidated] || !kinds[node.TimerFired] {
 		t.Fatal(kinds)
 	}
-	r := e.Ask(context.Background(), &fleet.Ask{Kind: "status"})
+	r := e.Request(context.Background(), &fleet.Ask{Kind: "status"})
 	if r.Status == nil || r.Status.Counts["wire_refused_stranger"] != 3 {
 		t.Fatalf("%+v", r)
 	}
 	ctx, stop := context.WithCancel(context.Background())
 	answer := make(chan *fleet.Reply)
-	go func() { answer <- e.Ask(ctx, &fleet.Ask{Kind: "apply", ID: "a1"}) }()
+	go func() { answer <- e.Request(ctx, &fleet.Ask{Kind: "apply", ID: "a1"}) }()
 	asked := s.saw(t, node.OperatorRequested)
 	for asked.Ask.Kind != "apply" {
 		asked = s.saw(t, node.OperatorRequested)
@@ -148,10 +148,10 @@
 			{Kind: node.OrderController, Order: fleet.Order{Kind: fleet.Renewed, Until: time.Duration(n) + 1}},
 			{Kind: node.OrderController, Order: fleet.Order{Kind: fleet.Open, Version: n}}}
 	}, nil)
-	for range ordersMost {
-		e.got(&node.Message{})
+	for range maxPendingOrders {
+		e.receiveMessage(&node.Message{})
 	}
-	for range ordersMost / 2 { // two orders stay of the three of each
+	for range maxPendingOrders / 2 { // two orders stay of the three of each
 		s.saw(t, node.MessageReceived)
 	}
 	select {
@@ -159,16 +159,16 @@
 		t.Fatal("it takes in more than the reducer takes")
 	case <-time.After(20 * time.Millisecond):
 	}
-	for i := uint64(1); i <= ordersMost; i++ {
+	for i := uint64(1); i <= maxPendingOrders; i++ {
 		lease, open := <-e.Orders(), <-e.Orders()
 		if lease.Kind != fleet.Renewed || lease.Until != time.Duration(i)+1 || open.Kind != fleet.Open || open.Version != i {
 			t.Fatal(i, lease, open)
 		}
 	}
-	for range messagesMost + ordersMost {
-		e.got(&node.Message{})
+	for range maxQueuedMessages + maxPendingOrders {
+		e.receiveMessage(&node.Message{})
 	}
-	if d := e.dropped.Load(); d < 1 || d > ordersMost {
+	if d := e.droppedMessages.Load(); d < 1 || d > maxPendingOrders {
 		t.Errorf("%d messages dropped", d)
 	}
 }
@@ -182,7 +182,7 @@
 		}
 		return nil
 	}, errors.New("no space left on device"))
-	e.got(&node.Message{})
+	e.receiveMessage(&node.Message{})
 	s.saw(t, node.MessageReceived)
 	word := &fleet.Word{}
 	word.Set(1)
@@ -198,12 +198,12 @@
 		t.Error("the lease stands")
 	}
 	for _, kind := range []string{"status", "apply"} {
-		r := e.Ask(context.Background(), &fleet.Ask{Kind: kind, ID: "x"})
+		r := e.Request(context.Background(), &fleet.Ask{Kind: kind, ID: "x"})
 		if r.Word != "unknown" || !strings.Contains(r.Why, "no space left") || r.Remedy == "" || r.Status == nil {
 			t.Errorf("%+v", r)
 		}
 	}
-	e.got(&node.Message{})
+	e.receiveMessage(&node.Message{})
 	e.reports <- fleet.Report{}
 	e.reports <- fleet.Report{}
 	if len(s.seen) > 0 {
@@ -216,7 +216,7 @@
 
 // Who was away for many changes is asked to check them all in one breath.
 func TestManyPoliciesToCheckAtOnce(t *testing.T) {
-	const many = 3 * checksMost
+	const many = 3 * maxQueuedChecks
 	e, s, _ := play(t, func(ev node.Event) (l []node.Effect) {
 		if ev.Kind == node.MessageReceived {
 			l = append(l, node.Effect{Kind: node.OrderController, Order: fleet.Order{Kind: fleet.Open, Policy: "now"}})
@@ -226,7 +226,7 @@
 		}
 		return l
 	}, nil)
-	e.got(&node.Message{})
+	e.receiveMessage(&node.Message{})
 	for range many {
 		s.saw(t, node.PolicyValidated)
 	}
@@ -234,23 +234,23 @@
 
 // A check is told whether its policy is in force already: that one can't be withdrawn.
 func TestACheckKnowsWhatIsDecided(t *testing.T) {
-	haves := make(chan Have, 2)
+	haves := make(chan PolicyContext, 2)
 	e, _, _ := play(t, func(ev node.Event) []node.Effect {
 		if ev.Kind != node.MessageReceived {
 			return nil
 		}
 		return []node.Effect{{Kind: node.ValidatePolicy, ChangeID: "in force 3 abc"}, {Kind: node.ValidatePolicy, ChangeID: "c4"}}
 	}, nil)
-	e.check = func(_ string, _ []byte, have Have) Checked {
+	e.checkPolicy = func(_ string, _ []byte, have PolicyContext) PolicyVerdict {
 		haves <- have
-		return Checked{}
+		return PolicyVerdict{}
 	}
-	e.got(&node.Message{From: "b"})
+	e.receiveMessage(&node.Message{From: "b"})
 	for _, want := range []bool{true, false} {
 		select {
 		case have := <-haves:
-			if have.Decided != want {
-				t.Errorf("decided: %v, want %v", have.Decided, want)
+			if have.Committed != want {
+				t.Errorf("decided: %v, want %v", have.Committed, want)
 			}
 		case <-time.After(patienceMost):
 			t.Fatal("no check is asked for")
--- a/internal/fleet/driver/open.go
+++ b/internal/fleet/driver/open.go
@@ -20,15 +20,15 @@
 
 // Options are what a controller's part in the fleet is opened with.
 type Options struct {
-	Begin     node.Config // without Self.Disk, Seed, Boot and Kept, which are drawn and read here
-	Fleet     string
-	Listen    string // where peers come in
-	Control   string // where operators come in; "": they don't
-	Directory string
-	Keys      string    // the key file
-	Started   time.Time // what all spans count from: the reducer's own
-	Check     func(change string, text []byte, have Have) Checked
-	Log       zerolog.Logger
+	Node        node.Config // without Self.Disk, Seed, Boot and Kept, which are drawn and read here
+	Fleet       string
+	Listen      string // where peers come in
+	Control     string // where operators come in; "": they don't
+	Directory   string
+	Keys        string    // the key file
+	Started     time.Time // what all spans count from: the reducer's own
+	CheckPolicy func(change string, text []byte, have PolicyContext) PolicyVerdict
+	Log         zerolog.Logger
 
 	// OpenStore opens what keeps the record in place of the disk at Directory; nil: that disk.
 	OpenStore func() (Store, storage.Found, error)
@@ -64,86 +64,137 @@
 // Unwrap gives the cause.
 func (e *ListenError) Unwrap() error { return e.Err }
 
-// Open opens the disk and both listeners. Errors are of the key file, the disk, what it
+// Open opens the store and both listeners. Errors are of the key file, the store, what it
 // held, or the listeners; nothing is left open then.
-func Open(o Options) (e *Edge, err error) {
-	var undo []func() error
+func Open(o Options) (d *Driver, err error) {
+	opened := &openedParts{options: &o}
 	if o.Listener != nil {
-		undo = append(undo, o.Listener.Close)
+		opened.closers = append(opened.closers, o.Listener.Close)
 	}
 	defer func() {
 		if err != nil {
-			for _, do := range undo {
-				do()
-			}
+			opened.close()
 		}
 	}()
 	keys, err := transport.ReadKeys(o.Keys)
 	if err != nil {
 		return nil, err
 	}
-	open := o.OpenStore
-	if open == nil {
-		open = o.openDisk
+	found, err := opened.openStore()
+	if err != nil {
+		return nil, err
+	}
+	if err := opened.listen(); err != nil {
+		return nil, err
 	}
-	store, found, err := open()
+	config := o.Node
+	config.Self.Disk, config.Persisted = found.Disk, found.Kept
+	config.Seed = randomID()
+	config.Incarnation = randomID()
+	core, initialEffects, err := node.New(config)
 	if err != nil {
 		return nil, err
 	}
-	undo = append(undo, store.Close)
-	listen := func(what, address string) (net.Listener, error) {
-		l, err := net.Listen("tcp", address)
-		if err != nil {
-			return nil, &ListenError{what, address, err}
-		}
-		undo = append(undo, l.Close)
-		return l, nil
+	d = newDriver(core, initialEffects, &o)
+	d.store = opened.store
+	if err := opened.serve(d, &config, keys); err != nil {
+		return nil, err
 	}
-	inward := o.Listener
-	if inward == nil {
-		if inward, err = listen("peers", o.Listen); err != nil {
-			return nil, err
-		}
+	line := o.Log.Info().Str("peers", opened.peers.Addr().String()).Str("disk", config.Self.Disk)
+	if opened.operators != nil {
+		line = line.Str("operators", opened.operators.Addr().String())
+	}
+	line.Msg("fleet: listening")
+	return d, nil
+}
+
+// openedParts are what Open has opened so far.
+type openedParts struct {
+	options   *Options
+	store     Store
+	peers     net.Listener
+	operators net.Listener // nil: operators don't come in
+	closers   []func() error
+}
+
+// close closes what was opened, where Open fails.
+func (p *openedParts) close() {
+	for _, do := range p.closers {
+		do()
+	}
+}
+
+func (p *openedParts) openStore() (found storage.Found, err error) {
+	open := p.options.OpenStore
+	if open == nil {
+		open = p.options.openDisk
 	}
-	var operators net.Listener
-	if o.Control != "" {
-		if operators, err = listen("operators", o.Control); err != nil {
-			return nil, err
+	if p.store, found, err = open(); err != nil {
+		return storage.Found{}, err
+	}
+	p.closers = append(p.closers, p.store.Close)
+	return found, nil
+}
+
+// listen opens the listeners that the options name.
+func (p *openedParts) listen() (err error) {
+	p.peers = p.options.Listener
+	if p.peers == nil {
+		if p.peers, err = p.listenOn("peers", p.options.Listen); err != nil {
+			return err
 		}
 	}
-	b := o.Begin
-	b.Self.Disk, b.Seed, b.Incarnation, b.Persisted = found.Disk, draw(), draw(), found.Kept
-	core, first, err := node.New(b)
+	if p.options.Control != "" {
+		p.operators, err = p.listenOn("operators", p.options.Control)
+	}
+	return err
+}
+
+func (p *openedParts) listenOn(what, address string) (net.Listener, error) {
+	l, err := net.Listen("tcp", address)
 	if err != nil {
-		return nil, err
+		return nil, &ListenError{what, address, err}
 	}
-	e = newEdge(core, first, &o)
-	e.disk = store
-	refused := func(err fleet.Remedied, from string) {
+	p.closers = append(p.closers, l.Close)
+	return l, nil
+}
+
+// serve begins to take in peers and operators for the driver.
+func (p *openedParts) serve(d *Driver, config *node.Config, keys transport.Keys) error {
+	o := p.options
+	onRefused := func(err fleet.Remedied, from string) {
 		o.Log.Log().Str("from", from).Str("error", err.Error()).Str("remedy", err.Remedy()).Msg("fleet: refused")
 	}
-	var local net.IP // peers hear from the address that they reach this controller at, where it is a certain one
-	if at, ok := inward.Addr().(*net.TCPAddr); ok && !at.IP.IsUnspecified() {
-		local = at.IP
-	}
-	w, err := transport.Open(transport.Options{Local: local, Fleet: o.Fleet, Self: b.Self.Name, Boot: b.Incarnation, Keys: keys, Listener: inward, Got: e.got,
-		OnRefused: refused, Seed: draw(), Dial: o.Dial})
+	peers, err := transport.Open(transport.Options{
+		Local:     localAddress(p.peers),
+		Fleet:     o.Fleet,
+		Self:      config.Self.Name,
+		Boot:      config.Incarnation,
+		Keys:      keys,
+		Listener:  p.peers,
+		OnMessage: d.receiveMessage,
+		OnRefused: onRefused,
+		Seed:      randomID(),
+		Dial:      o.Dial,
+	})
 	if err != nil {
-		return nil, err
+		return err
 	}
-	undo = append(undo, w.Close)
-	closeAll, setKeys := []func() error{w.Close, store.Close}, []func(transport.Keys) error{w.SetKeys}
-	line := o.Log.Info().Str("peers", inward.Addr().String()).Str("disk", b.Self.Disk)
-	if operators != nil {
-		d, err := transport.Control(operators, keys, func(ctx context.Context, a *fleet.Ask) (*fleet.Reply, error) { return e.Ask(ctx, a), nil }, refused)
+	p.closers = append(p.closers, peers.Close)
+	d.peers = peers
+	closers := []func() error{peers.Close, p.store.Close}
+	setKeys := []func(transport.Keys) error{peers.SetKeys}
+	if p.operators != nil {
+		request := func(ctx context.Context, a *fleet.Ask) (*fleet.Reply, error) { return d.Request(ctx, a), nil }
+		control, err := transport.ServeControl(p.operators, keys, request, onRefused)
 		if err != nil {
-			return nil, err
+			return err
 		}
-		closeAll, setKeys = append([]func() error{d.Close}, closeAll...), append(setKeys, d.SetKeys)
-		line = line.Str("operators", operators.Addr().String())
+		closers = append([]func() error{control.Close}, closers...)
+		setKeys = append(setKeys, control.SetKeys)
 	}
-	e.wire, e.close = w, func() error { return eachOf(closeAll) }
-	e.keys = func() error {
+	d.closeAll = func() error { return runAll(closers) }
+	d.reloadKeys = func() error {
 		keys, err := transport.ReadKeys(o.Keys)
 		if err != nil {
 			return err
@@ -153,25 +204,34 @@
 		}
 		return err
 	}
-	line.Msg("fleet: listening")
-	return e, nil
+	return nil
+}
+
+// localAddress is the address that peers reach this controller at, from which it connects
+// to them; nil where the listener takes any.
+func localAddress(l net.Listener) net.IP {
+	at, isTCP := l.Addr().(*net.TCPAddr)
+	if !isTCP || at.IP.IsUnspecified() {
+		return nil
+	}
+	return at.IP
 }
 
 // openDisk opens the disk at Directory and claims it for this controller's name.
 func (o *Options) openDisk() (Store, storage.Found, error) {
-	store, found, err := storage.Open(o.Directory, func() string { return fmt.Sprintf("%016x", draw()) })
+	store, found, err := storage.Open(o.Directory, func() string { return fmt.Sprintf("%016x", randomID()) })
 	if err != nil {
 		return nil, storage.Found{}, err
 	}
-	if err := store.Claim(o.Begin.Self.Name); err != nil {
+	if err := store.Claim(o.Node.Self.Name); err != nil {
 		store.Close()
 		return nil, storage.Found{}, err
 	}
 	return store, found, nil
 }
 
-// eachOf does all, and joins their errors.
-func eachOf(list []func() error) (err error) {
+// runAll runs all functions and joins their errors.
+func runAll(list []func() error) (err error) {
 	for _, do := range list {
 		err = errors.Join(err, do())
 	}
@@ -179,19 +239,19 @@
 }
 
 // Counts are what the peers' wire has counted since the start, by name.
-func (e *Edge) Counts() map[string]int { return e.wire.Counts() }
+func (d *Driver) Counts() map[string]int { return d.peers.Counts() }
 
-// Again reads the key file anew.
-func (e *Edge) Again() error { return e.keys() }
+// ReloadKeys reads the key file anew.
+func (d *Driver) ReloadKeys() error { return d.reloadKeys() }
 
 // Serve takes part in the fleet until ctx ends, and closes all that was opened.
-func (e *Edge) Serve(ctx context.Context) error {
-	err := e.serve(ctx)
-	return errors.Join(err, e.close())
+func (d *Driver) Serve(ctx context.Context) error {
+	err := d.run(ctx)
+	return errors.Join(err, d.closeAll())
 }
 
-// draw makes a number that no other run has, not 0.
-func draw() uint64 {
+// randomID draws a number that no other incarnation has, not 0.
+func randomID() uint64 {
 	p := make([]byte, 8)
 	rand.Read(p)
 	return binary.BigEndian.Uint64(p) | 1
--- a/internal/fleet/noop/idle.go
+++ b/internal/fleet/noop/noop.go
@@ -11,7 +11,7 @@
 )
 
 // Reducer answers orders. Word, if set, is kept as a reducer would keep it.
-type Reducer struct {
+type Controller struct {
 	Word *fleet.Word
 	// Delay is waited before an order other than a lease is answered; 0: not at all.
 	Delay time.Duration
@@ -20,7 +20,7 @@
 // Serve takes orders until ctx ends or orders is closed. Reports that find no room are
 // kept here and the next order is taken all the same: the fleet's side may take in no
 // report before it is rid of its orders.
-func (r Reducer) Serve(ctx context.Context, orders <-chan fleet.Order, reports chan<- fleet.Report) error {
+func (r Controller) Serve(ctx context.Context, orders <-chan fleet.Order, reports chan<- fleet.Report) error {
 	var untold []fleet.Report
 	for orders != nil || len(untold) > 0 {
 		var room chan<- fleet.Report
@@ -48,7 +48,7 @@
 }
 
 // wait is the delay before an order is answered; false if ctx ended meanwhile.
-func (r Reducer) wait(ctx context.Context, order fleet.Order) bool {
+func (r Controller) wait(ctx context.Context, order fleet.Order) bool {
 	if order.Kind == fleet.Renewed || r.Delay <= 0 {
 		return true
 	}
@@ -61,7 +61,7 @@
 }
 
 // answer changes the word as the order says and gives what is reported of it.
-func (r Reducer) answer(order fleet.Order) []fleet.Report {
+func (r Controller) answer(order fleet.Order) []fleet.Report {
 	switch order.Kind {
 	case fleet.Shut:
 		r.set(0)
@@ -79,7 +79,7 @@
 	return nil
 }
 
-func (r Reducer) set(version uint64) {
+func (r Controller) set(version uint64) {
 	if r.Word != nil {
 		r.Word.Set(version)
 	}
--- a/internal/fleet/noop/idle_test.go
+++ b/internal/fleet/noop/noop_test.go
@@ -16,7 +16,7 @@
 	orders <- fleet.Order{Kind: fleet.Drop, ID: "p1"}
 	orders <- fleet.Order{Kind: fleet.Shut, Change: "c1"}
 	close(orders)
-	if err := (Reducer{Word: word, Delay: time.Millisecond}).Serve(t.Context(), orders, reports); err != nil {
+	if err := (Controller{Word: word, Delay: time.Millisecond}).Serve(t.Context(), orders, reports); err != nil {
 		t.Fatal(err)
 	}
 	close(reports)
@@ -37,7 +37,7 @@
 func TestOrdersAreTakenWhileNobodyTakesReports(t *testing.T) {
 	orders, reports := make(chan fleet.Order), make(chan fleet.Report)
 	done := make(chan error, 1)
-	go func() { done <- Reducer{}.Serve(t.Context(), orders, reports) }()
+	go func() { done <- Controller{}.Serve(t.Context(), orders, reports) }()
 	const most = 100
 	for range most {
 		select {
--- a/internal/fleet/transport/meter.go
+++ b/internal/fleet/transport/byte_meter.go
@@ -7,17 +7,17 @@
 
 // meter counts the bytes of connections as they are read and written: frames with
 // HTTP's headers and answers. The headers of TCP and IP come on top.
-type meter struct{ in, out atomic.Int64 }
+type byteMeter struct{ received, sent atomic.Int64 }
 
 // listener counts on every connection that is accepted.
-func (m *meter) listener(l net.Listener) net.Listener { return &meteredListener{l, m} }
+func (m *byteMeter) listener(l net.Listener) net.Listener { return &meteredListener{l, m} }
 
 // conn counts on one connection.
-func (m *meter) conn(c net.Conn) net.Conn { return &meteredConn{c, m} }
+func (m *byteMeter) conn(c net.Conn) net.Conn { return &meteredConn{c, m} }
 
 type meteredListener struct {
 	net.Listener
-	meter *meter
+	meter *byteMeter
 }
 
 func (l *meteredListener) Accept() (net.Conn, error) {
@@ -30,17 +30,17 @@
 
 type meteredConn struct {
 	net.Conn
-	meter *meter
+	meter *byteMeter
 }
 
 func (c *meteredConn) Read(p []byte) (int, error) {
 	n, err := c.Conn.Read(p)
-	c.meter.in.Add(int64(n))
+	c.meter.received.Add(int64(n))
 	return n, err
 }
 
 func (c *meteredConn) Write(p []byte) (int, error) {
 	n, err := c.Conn.Write(p)
-	c.meter.out.Add(int64(n))
+	c.meter.sent.Add(int64(n))
 	return n, err
 }
--- a/internal/fleet/transport/control.go
+++ b/internal/fleet/transport/control_server.go
@@ -26,11 +26,11 @@
 	// AskAtMost bounds an ask and a reply, in bytes.
 	AskAtMost = 16 << 20
 
-	asksReading  = 4 * AskAtMost // of all asks that are being read, each counted as long as it says it is
-	noncesAtMost = 1 << 16       // remembered; after so many asks another challenge is drawn, and they are forgotten
-	nonceBytes   = 16
-	askConnect   = 5 * time.Second // to connect to a control listener and for its hello
-	askRead      = 10 * time.Second
+	asksReading = 4 * AskAtMost // of all asks that are being read, each counted as long as it says it is
+	maxNonces   = 1 << 16       // remembered; after so many asks another challenge is drawn, and they are forgotten
+	nonceBytes  = 16
+	askConnect  = 5 * time.Second // to connect to a control listener and for its hello
+	askRead     = 10 * time.Second
 
 	pathHello   = "/hello"
 	pathAsk     = "/ask"
@@ -41,84 +41,84 @@
 	forReply = "control reply 1"
 )
 
-// asked is what the MACs of the control surface are over. Nonce is the client's, drawn
+// signedRequest is what the MACs of the control surface are over. Nonce is the client's, drawn
 // for one ask; Boot is the listener's challenge. So an ask counts once, and on one
 // controller's one run; a reply fits one ask.
-type asked struct {
+type signedRequest struct {
 	Nonce  string `cbor:"1,keyasint"`
 	Boot   uint64 `cbor:"2,keyasint"`
 	Status int    `cbor:"3,keyasint,omitempty"` // of a reply
 	Body   []byte `cbor:"4,keyasint,omitempty"`
 }
 
-// nonces tells an ask that was here before. It needs no clock and doesn't grow without
+// nonceGuard tells a request that was here before. It needs no clock and doesn't grow without
 // bound: once it is full the challenge changes, and no ask made for the one before fits
 // any more. Only asks with the right MAC come here, so a stranger can't fill it.
-type nonces struct {
-	boot uint64
-	seen map[string]struct{}
-	draw func() uint64
+type nonceGuard struct {
+	challenge    uint64
+	seen         map[string]struct{}
+	newChallenge func() uint64
 }
 
-// take says whether an ask is for the challenge of now (fits) and new.
-func (n *nonces) take(boot uint64, nonce string) (fits, fresh bool) {
-	if boot != n.boot {
+// check reports whether a request is for the present challenge (fits) and new.
+func (n *nonceGuard) check(boot uint64, nonce string) (fits, fresh bool) {
+	if boot != n.challenge {
 		return false, false
 	}
 	if _, ok := n.seen[nonce]; ok {
 		return true, false
 	}
 	n.seen[nonce] = struct{}{}
-	if len(n.seen) >= noncesAtMost {
-		n.boot, n.seen = n.draw(), map[string]struct{}{}
+	if len(n.seen) >= maxNonces {
+		n.challenge, n.seen = n.newChallenge(), map[string]struct{}{}
 	}
 	return true, true
 }
 
-// Desk is the listener that operators' commands ask.
-type Desk struct {
-	keys     atomic.Pointer[Keys]
-	ask      func(context.Context, *fleet.Ask) (*fleet.Reply, error)
-	listener net.Listener
-	server   *http.Server
-	reading  *semaphore.Weighted
-	ctx      context.Context // ends with Close
-	cancel   context.CancelFunc
-	serving  sync.WaitGroup
-	conns    sync.WaitGroup
+// ControlServer is the listener that operators' commands ask.
+type ControlServer struct {
+	keys       atomic.Pointer[Keys]
+	handle     func(context.Context, *fleet.Ask) (*fleet.Reply, error)
+	listener   net.Listener
+	server     *http.Server
+	readBudget *semaphore.Weighted
+	ctx        context.Context // ends with Close
+	cancel     context.CancelFunc
+	serving    sync.WaitGroup
+	inbound    sync.WaitGroup
 
 	mu     sync.Mutex
-	nonces nonces
+	nonces nonceGuard
 
-	tally
+	counters
 }
 
-// Control begins to answer operators on a listener: POST /ask takes a fleet.Ask and
+// ServeControl begins to answer operators on a listener: POST /ask takes a fleet.Ask and
 // gives a fleet.Reply, both JSON of at most AskAtMost bytes, signed by the fleet's keys.
 // ask may take as long as the ask's own patience; its context ends when who asked is
 // gone or at Close. An error of it is told as the word unknown: nothing is said that
 // isn't so. onRefused is as Options.OnRefused, and may be nil.
-func Control(l net.Listener, keys Keys, ask func(context.Context, *fleet.Ask) (*fleet.Reply, error),
-	onRefused func(fleet.Remedied, string)) (*Desk, error) {
-	if err := keys.good(); err != nil {
+func ServeControl(l net.Listener, keys Keys, ask func(context.Context, *fleet.Ask) (*fleet.Reply, error),
+	onRefused func(fleet.Remedied, string)) (*ControlServer, error) {
+	if err := keys.validate(); err != nil {
 		return nil, err
 	}
-	d := &Desk{ask: ask, listener: l, reading: semaphore.NewWeighted(asksReading), nonces: nonces{draw(), map[string]struct{}{}, draw}}
-	d.begin(onRefused)
+	d := &ControlServer{handle: ask, listener: l, readBudget: semaphore.NewWeighted(asksReading), nonces: nonceGuard{randomID(), map[string]struct{}{}, randomID}}
+	d.init(onRefused)
 	d.keys.Store(&keys)
 	d.ctx, d.cancel = context.WithCancel(context.Background())
 	mux := http.NewServeMux()
-	mux.HandleFunc("GET "+pathHello, d.hello)
-	mux.HandleFunc("POST "+pathAsk, d.take)
+	mux.HandleFunc("GET "+pathHello, d.serveHello)
+	mux.HandleFunc("POST "+pathAsk, d.serveRequest)
 	d.server = &http.Server{Handler: mux, ReadHeaderTimeout: askRead, IdleTimeout: time.Minute, MaxHeaderBytes: 8 << 10,
-		ErrorLog: quiet, ConnState: follow(&d.conns), BaseContext: func(net.Listener) context.Context { return d.ctx }}
+		ErrorLog: discardLog, ConnState: countConnections(&d.inbound), BaseContext: func(net.Listener) context.Context { return d.ctx }}
 	d.serving.Go(func() { d.server.Serve(l) })
 	return d, nil
 }
 
 // SetKeys takes other keys from now on.
-func (d *Desk) SetKeys(keys Keys) error {
-	if err := keys.good(); err != nil {
+func (d *ControlServer) SetKeys(keys Keys) error {
+	if err := keys.validate(); err != nil {
 		return err
 	}
 	d.keys.Store(&keys)
@@ -126,37 +126,37 @@
 }
 
 // Close ends all asks and waits for their goroutines.
-func (d *Desk) Close() error {
+func (d *ControlServer) Close() error {
 	d.cancel()
 	err := d.listener.Close()
 	d.serving.Wait()
 	d.server.Close()
-	d.conns.Wait()
+	d.inbound.Wait()
 	return err
 }
 
 // Counts are asks answered (asks), and refused_REASON.
-func (d *Desk) Counts() map[string]int { return d.tally.all() }
+func (d *ControlServer) Counts() map[string]int { return d.counters.snapshot() }
 
-func (d *Desk) refuse(rw http.ResponseWriter, err Refused, from string) {
-	d.tally.refuse(err, from)
+func (d *ControlServer) rejectRequest(rw http.ResponseWriter, err RejectionError, from string) {
+	d.counters.refuse(err, from)
 	rw.WriteHeader(statusOf(err))
 }
 
 // hello gives the challenge, signed together with the client's nonce.
-func (d *Desk) hello(rw http.ResponseWriter, r *http.Request) {
+func (d *ControlServer) serveHello(rw http.ResponseWriter, r *http.Request) {
 	d.mu.Lock()
-	boot := d.nonces.boot
+	boot := d.nonces.challenge
 	d.mu.Unlock()
 	nonce := r.Header.Get(headerNonce)
 	if len(nonce) != 2*nonceBytes {
 		rw.WriteHeader(http.StatusBadRequest)
 		return
 	}
-	d.answer(rw, forHello, &asked{Nonce: nonce, Boot: boot, Status: http.StatusOK})
+	d.writeSigned(rw, forHello, &signedRequest{Nonce: nonce, Boot: boot, Status: http.StatusOK})
 }
 
-func (d *Desk) answer(rw http.ResponseWriter, what string, a *asked) {
+func (d *ControlServer) writeSigned(rw http.ResponseWriter, what string, a *signedRequest) {
 	rw.Header().Set(headerBoot, strconv.FormatUint(a.Boot, 16))
 	rw.Header().Set(headerMAC, hex.EncodeToString((*d.keys.Load()).sign(what, encode(a))))
 	rw.Header().Set("Content-Type", "application/json")
@@ -164,17 +164,17 @@
 	rw.Write(a.Body)
 }
 
-func (d *Desk) take(rw http.ResponseWriter, r *http.Request) {
+func (d *ControlServer) serveRequest(rw http.ResponseWriter, r *http.Request) {
 	remote, _, _ := net.SplitHostPort(r.RemoteAddr)
 	if r.ContentLength < 0 {
 		rw.WriteHeader(http.StatusLengthRequired)
 		return
 	}
 	if r.ContentLength > AskAtMost {
-		d.refuse(rw, &TooLargeError{remote, r.ContentLength, AskAtMost}, remote)
+		d.rejectRequest(rw, &TooLargeError{remote, r.ContentLength, AskAtMost}, remote)
 		return
 	}
-	body, err := d.read(rw, r)
+	body, err := d.readBody(rw, r)
 	if err != nil {
 		rw.WriteHeader(http.StatusBadRequest)
 		return
@@ -183,28 +183,28 @@
 	boot, err := strconv.ParseUint(r.Header.Get(headerBoot), 16, 64)
 	sum, _ := hex.DecodeString(r.Header.Get(headerMAC)) // what is no hex fits no key
 	if err != nil || len(nonce) != 2*nonceBytes ||
-		!(*d.keys.Load()).check(forAsk, encode(&asked{Nonce: nonce, Boot: boot, Body: body}), sum) {
-		d.refuse(rw, &StrangerError{remote, "an ask"}, remote)
+		!(*d.keys.Load()).verify(forAsk, encode(&signedRequest{Nonce: nonce, Boot: boot, Body: body}), sum) {
+		d.rejectRequest(rw, &UnauthenticatedError{remote, "an ask"}, remote)
 		return
 	}
 	d.mu.Lock()
-	fits, fresh := d.nonces.take(boot, nonce)
-	now := d.nonces.boot
+	fits, fresh := d.nonces.check(boot, nonce)
+	now := d.nonces.challenge
 	d.mu.Unlock()
 	if !fits {
-		d.answer(rw, forReply, &asked{Nonce: nonce, Boot: now, Status: http.StatusConflict})
+		d.writeSigned(rw, forReply, &signedRequest{Nonce: nonce, Boot: now, Status: http.StatusConflict})
 		return
 	}
 	if !fresh {
-		d.refuse(rw, &ReplayError{From: remote}, remote)
+		d.rejectRequest(rw, &ReplayError{From: remote}, remote)
 		return
 	}
 	a := &fleet.Ask{}
 	if err := json.Unmarshal(body, a); err != nil {
-		d.refuse(rw, &FormError{remote, err}, remote)
+		d.rejectRequest(rw, &MalformedError{remote, err}, remote)
 		return
 	}
-	reply, err := d.ask(r.Context(), a)
+	reply, err := d.handle(r.Context(), a)
 	if err != nil {
 		reply = &fleet.Reply{ID: a.ID, Word: "unknown", Why: err.Error()}
 		var remedied fleet.Remedied
@@ -220,19 +220,19 @@
 		text, _ = json.Marshal(&fleet.Reply{ID: a.ID, Word: "unknown", Why: err.Error()})
 	}
 	d.count("asks", 1)
-	d.answer(rw, forReply, &asked{Nonce: nonce, Boot: boot, Status: http.StatusOK, Body: text})
+	d.writeSigned(rw, forReply, &signedRequest{Nonce: nonce, Boot: boot, Status: http.StatusOK, Body: text})
 }
 
-func (d *Desk) read(rw http.ResponseWriter, r *http.Request) ([]byte, error) {
+func (d *ControlServer) readBody(rw http.ResponseWriter, r *http.Request) ([]byte, error) {
 	control := http.NewResponseController(rw)
 	control.SetReadDeadline(time.Now().Add(askRead))
 	defer control.SetReadDeadline(time.Time{}) // the ask may wait longer than it took to read
 	ctx, cancel := context.WithTimeout(r.Context(), askRead)
 	defer cancel()
-	if err := d.reading.Acquire(ctx, r.ContentLength); err != nil {
+	if err := d.readBudget.Acquire(ctx, r.ContentLength); err != nil {
 		return nil, err
 	}
-	defer d.reading.Release(r.ContentLength)
+	defer d.readBudget.Release(r.ContentLength)
 	return io.ReadAll(r.Body)
 }
 
@@ -240,28 +240,28 @@
 // with a patience of its own needs a context that lasts longer. An UnreachableError with
 // Sent means that the ask may have been taken all the same: ask again by its id.
 func AskControl(ctx context.Context, address string, keys Keys, a *fleet.Ask) (*fleet.Reply, error) {
-	if err := keys.good(); err != nil {
+	if err := keys.validate(); err != nil {
 		return nil, err
 	}
 	text, err := json.Marshal(a)
 	if err != nil {
-		return nil, &FormError{"this ask", err}
+		return nil, &MalformedError{"this ask", err}
 	}
 	if len(text) > AskAtMost {
 		return nil, &TooLargeError{address, int64(len(text)), AskAtMost}
 	}
 	transport := &http.Transport{DialContext: (&net.Dialer{Timeout: askConnect}).DialContext, DisableCompression: true}
 	defer transport.CloseIdleConnections()
-	c := &caller{transport, address, keys}
+	c := &controlClient{transport, address, keys}
 
 	within, cancel := context.WithTimeout(ctx, askConnect)
-	hello, err := c.call(within, http.MethodGet, pathHello, forHello, &asked{Nonce: nonce()})
+	hello, err := c.call(within, http.MethodGet, pathHello, forHello, &signedRequest{Nonce: nonce()})
 	cancel()
 	if err != nil {
 		return nil, err
 	}
 	for range 2 { // once more if the challenge changed in between
-		q := &asked{Nonce: nonce(), Boot: hello.Boot, Body: text}
+		q := &signedRequest{Nonce: nonce(), Boot: hello.Boot, Body: text}
 		reply, err := c.call(ctx, http.MethodPost, pathAsk, forReply, q)
 		switch {
 		case err != nil:
@@ -272,7 +272,7 @@
 		}
 		r := &fleet.Reply{}
 		if err := json.Unmarshal(reply.Body, r); err != nil {
-			return nil, &FormError{address, err}
+			return nil, &MalformedError{address, err}
 		}
 		return r, nil
 	}
@@ -285,7 +285,7 @@
 	return hex.EncodeToString(b[:])
 }
 
-type caller struct {
+type controlClient struct {
 	transport *http.Transport
 	address   string
 	keys      Keys
@@ -293,7 +293,7 @@
 
 // call sends one request and gives its answer, signed as what; its status is 200, or
 // 409 for an ask.
-func (c *caller) call(ctx context.Context, method, path, what string, q *asked) (*asked, error) {
+func (c *controlClient) call(ctx context.Context, method, path, what string, q *signedRequest) (*signedRequest, error) {
 	u := url.URL{Scheme: "http", Host: c.address, Path: path}
 	r, err := http.NewRequestWithContext(ctx, method, u.String(), bytes.NewReader(q.Body))
 	if err != nil {
@@ -310,7 +310,7 @@
 	}
 	defer a.Body.Close()
 	if a.StatusCode != http.StatusOK && (a.StatusCode != http.StatusConflict || what != forReply) {
-		return nil, &TurnedAwayError{"the controller", c.address, a.StatusCode}
+		return nil, &PeerRejectedError{"the controller", c.address, a.StatusCode}
 	}
 	body, err := io.ReadAll(io.LimitReader(a.Body, AskAtMost+1))
 	if err != nil {
@@ -321,9 +321,9 @@
 	}
 	boot, err := strconv.ParseUint(a.Header.Get(headerBoot), 16, 64)
 	sum, err2 := hex.DecodeString(a.Header.Get(headerMAC))
-	said := &asked{Nonce: q.Nonce, Boot: boot, Status: a.StatusCode, Body: body}
-	if err != nil || err2 != nil || !c.keys.check(what, encode(said), sum) {
-		return nil, &StrangerError{c.address, "an answer"}
+	said := &signedRequest{Nonce: q.Nonce, Boot: boot, Status: a.StatusCode, Body: body}
+	if err != nil || err2 != nil || !c.keys.verify(what, encode(said), sum) {
+		return nil, &UnauthenticatedError{c.address, "an answer"}
 	}
 	return said, nil
 }
--- a/internal/fleet/transport/control_test.go
+++ b/internal/fleet/transport/control_server_test.go
@@ -19,13 +19,13 @@
 	"railrelay.dev/railrelay/internal/fleet"
 )
 
-func desk(t *testing.T, keys Keys, ask func(context.Context, *fleet.Ask) (*fleet.Reply, error)) (*Desk, string, chan fleet.Remedied) {
+func desk(t *testing.T, keys Keys, ask func(context.Context, *fleet.Ask) (*fleet.Reply, error)) (*ControlServer, string, chan fleet.Remedied) {
 	t.Helper()
 	now := goleak.IgnoreCurrent()
 	t.Cleanup(func() { goleak.VerifyNone(t, now) })
 	refused := make(chan fleet.Remedied, 16)
 	l := listen(t, "127.0.0.1:0")
-	d, err := Control(l, keys, ask, func(err fleet.Remedied, _ string) { refused <- err })
+	d, err := ServeControl(l, keys, ask, func(err fleet.Remedied, _ string) { refused <- err })
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -49,7 +49,7 @@
 func TestAnAskIsAnswered(t *testing.T) {
 	d, address, _ := desk(t, Keys{keyA, keyB}, echo)
 	_, err := AskControl(within(t), address, Keys{keyB}, &fleet.Ask{Kind: "apply", ID: "x", Base: 3, Policy: []byte("teams: {}")})
-	var refused *StrangerError
+	var refused *UnauthenticatedError
 	if !errors.As(err, &refused) {
 		t.Errorf("an answer by a key that isn't there was taken: %v", err)
 	}
@@ -72,7 +72,7 @@
 		return &fleet.Reply{}, nil
 	})
 	_, err := AskControl(within(t), address, Keys{keyB}, &fleet.Ask{Kind: "purge"})
-	var stranger *StrangerError
+	var stranger *UnauthenticatedError
 	if !errors.As(err, &stranger) {
 		t.Fatalf("the client didn't see that it isn't its fleet: %v", err)
 	}
@@ -82,7 +82,7 @@
 	if a := roundTrip(t, r); a.StatusCode != http.StatusForbidden {
 		t.Error(a.Status)
 	}
-	refusal[*StrangerError](t, refused)
+	refusal[*UnauthenticatedError](t, refused)
 }
 
 func roundTrip(t *testing.T, r *http.Request) *http.Response {
@@ -99,7 +99,7 @@
 
 func TestARecordedAskCountsOnce(t *testing.T) {
 	d, address, refused := desk(t, Keys{keyA}, echo)
-	q := &asked{Nonce: nonce(), Boot: d.nonces.boot, Body: []byte(`{"kind":"purge"}`)}
+	q := &signedRequest{Nonce: nonce(), Boot: d.nonces.challenge, Body: []byte(`{"kind":"purge"}`)}
 	send := func() int {
 		r, _ := http.NewRequest(http.MethodPost, "http://"+address+pathAsk, bytes.NewReader(q.Body))
 		r.Header.Set(headerNonce, q.Nonce)
@@ -115,7 +115,7 @@
 	if status := send(); status != http.StatusConflict {
 		t.Error(status)
 	}
-	q.Boot, q.Nonce, q.Body = d.nonces.boot, nonce(), []byte("{")
+	q.Boot, q.Nonce, q.Body = d.nonces.challenge, nonce(), []byte("{")
 	if status := send(); status != http.StatusBadRequest {
 		t.Error(status)
 	}
@@ -126,17 +126,17 @@
 
 func TestNoncesAreBoundedAndNeverComeBack(t *testing.T) {
 	boots := uint64(1)
-	n := nonces{1, map[string]struct{}{}, func() uint64 { boots++; return boots }}
-	for i := range 2 * noncesAtMost {
-		boot := n.boot
-		if fits, fresh := n.take(boot, strconv.Itoa(i)); !fits || !fresh {
+	n := nonceGuard{1, map[string]struct{}{}, func() uint64 { boots++; return boots }}
+	for i := range 2 * maxNonces {
+		boot := n.challenge
+		if fits, fresh := n.check(boot, strconv.Itoa(i)); !fits || !fresh {
 			t.Fatal(i)
 		}
-		if fits, fresh := n.take(boot, strconv.Itoa(i)); fits && fresh {
+		if fits, fresh := n.check(boot, strconv.Itoa(i)); fits && fresh {
 			t.Fatalf("ask %d was taken twice", i)
 		}
 	}
-	if boots != 3 || len(n.seen) >= noncesAtMost {
+	if boots != 3 || len(n.seen) >= maxNonces {
 		t.Error(boots, len(n.seen))
 	}
 }
@@ -152,7 +152,7 @@
 	other := httptest.NewServer(http.NotFoundHandler())
 	defer other.Close()
 	_, err = AskControl(within(t), other.Listener.Addr().(*net.TCPAddr).String(), Keys{keyA}, &fleet.Ask{})
-	var away *TurnedAwayError
+	var away *PeerRejectedError
 	if !errors.As(err, &away) || away.Status != http.StatusNotFound {
 		t.Errorf("%T %v", err, err)
 	}
--- a/internal/fleet/transport/encoding_keys_test.go
+++ b/internal/fleet/transport/encoding_keys_test.go
@@ -9,6 +9,6 @@
 )
 
 func TestKeysAreExplicit(t *testing.T) {
-	goldentest.ExplicitKeys(t, goldentest.CBOR, frame{}, answer{}, asked{}, node.Message{})
+	goldentest.ExplicitKeys(t, goldentest.CBOR, frame{}, answer{}, signedRequest{}, node.Message{})
 	goldentest.ExplicitKeys(t, goldentest.JSON, fleet.Ask{}, fleet.Reply{})
 }
--- a/internal/fleet/transport/errors.go
+++ b/internal/fleet/transport/errors.go
@@ -8,24 +8,24 @@
 )
 
 // Refused is what came from a peer and wasn't taken. Reason is its name in the counts.
-type Refused interface {
+type RejectionError interface {
 	fleet.Remedied
 	Reason() string
 }
 
 // StrangerError is a frame, ask or answer whose MAC is by none of the keys here.
-type StrangerError struct{ From, What string }
+type UnauthenticatedError struct{ From, What string }
 
-func (e *StrangerError) Error() string {
+func (e *UnauthenticatedError) Error() string {
 	return fmt.Sprintf("%s from %s isn't signed by a key of this fleet", e.What, e.From)
 }
 
-func (e *StrangerError) Remedy() string {
+func (e *UnauthenticatedError) Remedy() string {
 	return "compare the key files of both sides: while a key is replaced the new one must be the second " +
 		"line everywhere before it is the first line anywhere; if it is no controller of yours, close the port to it"
 }
 
-func (e *StrangerError) Reason() string { return "stranger" }
+func (e *UnauthenticatedError) Reason() string { return "stranger" }
 
 // ReplayError is a frame or ask that was here before, or one too old to tell.
 type ReplayError struct {
@@ -58,45 +58,47 @@
 func (e *OtherFleetError) Reason() string { return "other_fleet" }
 
 // AddresseeError is a frame for another controller.
-type AddresseeError struct{ From, To, Own string }
+type WrongRecipientError struct{ From, To, Own string }
 
-func (e *AddresseeError) Error() string {
+func (e *WrongRecipientError) Error() string {
 	return fmt.Sprintf("%s sent here what is for %q, this is %q", e.From, e.To, e.Own)
 }
 
-func (e *AddresseeError) Remedy() string {
+func (e *WrongRecipientError) Remedy() string {
 	return "an address of a peer leads to the wrong controller: compare the peers' addresses in the set-up with the names"
 }
 
-func (e *AddresseeError) Reason() string { return "addressee" }
+func (e *WrongRecipientError) Reason() string { return "addressee" }
 
 // StaleBootError is a frame for this controller as it ran before it was started anew.
-type StaleBootError struct{ From string }
+type StaleIncarnationError struct{ From string }
 
-func (e *StaleBootError) Error() string {
+func (e *StaleIncarnationError) Error() string {
 	return fmt.Sprintf("%s sent a frame for an earlier run of this controller", e.From)
 }
 
-func (e *StaleBootError) Remedy() string {
+func (e *StaleIncarnationError) Remedy() string {
 	return "none is needed right after a restart, its sender is told and sends anew; if it goes on, " +
 		"someone sends recorded bytes, or two processes share this address"
 }
 
-func (e *StaleBootError) Reason() string { return "stale_boot" }
+func (e *StaleIncarnationError) Reason() string { return "stale_boot" }
 
 // FormError is something signed that can't be read.
-type FormError struct {
+type MalformedError struct {
 	From string
 	Err  error
 }
 
-func (e *FormError) Error() string { return fmt.Sprintf("from %s: can't be read: %v", e.From, e.Err) }
+func (e *MalformedError) Error() string {
+	return fmt.Sprintf("from %s: can't be read: %v", e.From, e.Err)
+}
 
-func (e *FormError) Remedy() string { return "run the same version of the program on both sides" }
+func (e *MalformedError) Remedy() string { return "run the same version of the program on both sides" }
 
-func (e *FormError) Reason() string { return "form" }
+func (e *MalformedError) Reason() string { return "form" }
 
-func (e *FormError) Unwrap() error { return e.Err }
+func (e *MalformedError) Unwrap() error { return e.Err }
 
 // TooLargeError is a frame or ask over its bound, which wasn't read or sent.
 type TooLargeError struct {
@@ -115,21 +117,21 @@
 func (e *TooLargeError) Reason() string { return "too_large" }
 
 // TurnedAwayError says that a peer refused what was sent to it.
-type TurnedAwayError struct {
+type PeerRejectedError struct {
 	Peer, Address string
 	Status        int
 }
 
-func (e *TurnedAwayError) Error() string {
+func (e *PeerRejectedError) Error() string {
 	return fmt.Sprintf("%s at %s refused what was sent: %d %s", e.Peer, e.Address, e.Status, http.StatusText(e.Status))
 }
 
-func (e *TurnedAwayError) Remedy() string {
+func (e *PeerRejectedError) Remedy() string {
 	return "see the other side's log: 403 is its key or fleet name, 404 no controller listens there, " +
 		"421 a wrong address, 400 another version of the program"
 }
 
-func (e *TurnedAwayError) Reason() string { return "turned_away" }
+func (e *PeerRejectedError) Reason() string { return "turned_away" }
 
 // UnreachableError says that no answer came from a controller's control listener.
 type UnreachableError struct {
@@ -176,14 +178,14 @@
 // Errors is one of each kind, for the test and the docs that walk all of them.
 func Errors() []fleet.Remedied {
 	return []fleet.Remedied{
-		&StrangerError{"10.0.0.9", "a frame"},
+		&UnauthenticatedError{"10.0.0.9", "a frame"},
 		&ReplayError{"b", 7},
 		&OtherFleetError{"b", "south", "north"},
-		&AddresseeError{"b", "c", "a"},
-		&StaleBootError{"b"},
-		&FormError{"b", fmt.Errorf("no CBOR")},
+		&WrongRecipientError{"b", "c", "a"},
+		&StaleIncarnationError{"b"},
+		&MalformedError{"b", fmt.Errorf("no CBOR")},
 		&TooLargeError{"b", BodyAtMost + 1, BodyAtMost},
-		&TurnedAwayError{"b", "10.0.0.2:7700", http.StatusForbidden},
+		&PeerRejectedError{"b", "10.0.0.2:7700", http.StatusForbidden},
 		&UnreachableError{"10.0.0.2:7701", false, fmt.Errorf("connection refused")},
 		&KeyFileError{"fleet.key", 1, "24 bytes, 32 at least are needed"},
 	}
--- a/internal/fleet/transport/frame_test.go
+++ b/internal/fleet/transport/frame_test.go
@@ -18,7 +18,7 @@
 
 func TestWindowTakesEachNumberOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		var w window
+		var w sequenceWindow
 		taken, top := map[uint64]bool{}, uint64(0)
 		for range rapid.IntRange(1, 300).Draw(t, "n") {
 			from := uint64(1)
@@ -27,7 +27,7 @@
 			}
 			seq := rapid.Uint64Range(from, top+1300).Draw(t, "seq")
 			want := !taken[seq] && seq+windowSize > top
-			if got := w.take(seq); got != want {
+			if got := w.accept(seq); got != want {
 				t.Fatalf("take(%d) with newest %d: %v, want %v", seq, top, got, want)
 			}
 			taken[seq] = taken[seq] || want
@@ -37,34 +37,34 @@
 }
 
 func TestWindowAtItsEnds(t *testing.T) {
-	w := window{}
+	w := sequenceWindow{}
 	const most = ^uint64(0)
-	if w.take(0) || !w.take(most) || w.take(most) || !w.take(most-1) || w.take(3) {
+	if w.accept(0) || !w.accept(most) || w.accept(most) || !w.accept(most-1) || w.accept(3) {
 		t.Error("the ends of the numbers aren't told apart")
 	}
 }
 
 func TestAnEarlierRunStaysShutOutOnceForgotten(t *testing.T) {
-	g := newGate("north", "a", 5)
+	g := newReplayGuard("north", "a", 5)
 	f := frame{Fleet: "north", From: "b", To: "a", There: 5, Seq: 1}
 	for boot := uint64(1); boot <= runsAtMost+1; boot++ {
 		f.Boot = boot
-		if err := g.admit(&f); err != nil {
+		if err := g.accept(&f); err != nil {
 			t.Fatal(boot, err)
 		}
 	}
 	for boot := uint64(1); boot <= runsAtMost+1; boot++ {
 		f.Boot = boot
-		if err := g.admit(&f); err == nil || err.Reason() != "replay" {
+		if err := g.accept(&f); err == nil || err.Reason() != "replay" {
 			t.Errorf("the frame of run %d was taken twice: %v", boot, err)
 		}
 	}
 	f.Boot, f.Seq = 1, 2
-	if g.admit(&f) == nil {
+	if g.accept(&f) == nil {
 		t.Error("a run that has no window any more was taken")
 	}
 	f.Boot, f.Seq = 2, 2
-	if err := g.admit(&f); err != nil {
+	if err := g.accept(&f); err != nil {
 		t.Error("an earlier run with a window:", err)
 	}
 }
@@ -73,30 +73,30 @@
 	keys := Keys{keyA, keyB}
 	body := []byte("hello")
 	sum := keys.sign(forFrame, body)
-	if !(Keys{keyB, keyA}).check(forFrame, body, sum) {
+	if !(Keys{keyB, keyA}).verify(forFrame, body, sum) {
 		t.Error("the second key isn't accepted")
 	}
-	if keys.check(forAnswer, body, sum) || keys.check(forFrame, []byte("hellp"), sum) ||
-		keys.check(forFrame, body, nil) || (Keys{keyB}).check(forFrame, body, sum) {
+	if keys.verify(forAnswer, body, sum) || keys.verify(forFrame, []byte("hellp"), sum) ||
+		keys.verify(forFrame, body, nil) || (Keys{keyB}).verify(forFrame, body, sum) {
 		t.Error("a wrong MAC was accepted")
 	}
 }
 
 func TestSayingsOnceAMinute(t *testing.T) {
-	s := sayings{}
+	s := logLimiter{}
 	for i, want := range []struct {
 		peer string
 		at   time.Duration
 		say  bool
 	}{{"b", 0, true}, {"b", time.Second, false}, {"c", time.Second, true}, {"b", 60 * time.Second, true}, {"b", 61 * time.Second, false}} {
-		if got := s.say(want.peer, "replay", want.at); got != want.say {
+		if got := s.allow(want.peer, "replay", want.at); got != want.say {
 			t.Errorf("step %d: %v", i, got)
 		}
 	}
-	for i := range saidAtMost {
-		s.say(strings.Repeat("x", i+1), "stranger", time.Hour)
+	for i := range maxLogKeys {
+		s.allow(strings.Repeat("x", i+1), "stranger", time.Hour)
 	}
-	if len(s) != saidAtMost || s.say("new", "stranger", time.Hour) || !s.say("new", "stranger", 2*time.Hour) {
+	if len(s) != maxLogKeys || s.allow("new", "stranger", time.Hour) || !s.allow("new", "stranger", 2*time.Hour) {
 		t.Errorf("%d sayings are kept", len(s))
 	}
 }
--- a/internal/fleet/transport/golden_test.go
+++ b/internal/fleet/transport/golden_test.go
@@ -26,7 +26,7 @@
 		t.Run(kind, func(t *testing.T) {
 			name := "frame_" + kind
 			body, sum := cut(t, goldentest.File(t, name))
-			got, refused := open(goldenKeys, body, sum, "test")
+			got, refused := authenticate(goldenKeys, body, sum, "test")
 			if refused != nil {
 				t.Fatal(refused)
 			}
@@ -54,11 +54,11 @@
 		want, got     any
 	}{
 		{"answer", forAnswer, &goldenAnswer, &answer{}},
-		{"asked", forAsk, &goldenAsked, &asked{}},
-		{"replied", forReply, &goldenAsked, &asked{}},
+		{"asked", forAsk, &goldenAsked, &signedRequest{}},
+		{"replied", forReply, &goldenAsked, &signedRequest{}},
 	} {
 		body, sum := cut(t, goldentest.File(t, c.name))
-		if !goldenKeys.check(c.purpose, body, sum) {
+		if !goldenKeys.verify(c.purpose, body, sum) {
 			t.Errorf("%s: its MAC doesn't fit", c.name)
 		}
 		if err := decoding.Unmarshal(body, c.got); err != nil {
--- a/internal/fleet/transport/golden_values_test.go
+++ b/internal/fleet/transport/golden_values_test.go
@@ -79,4 +79,4 @@
 
 var goldenAnswer = answer{Fleet: "fleet-1", From: "south-1", Status: 200, Boot: 91, Seq: 92, Frame: []byte("its mac")}
 
-var goldenAsked = asked{Nonce: "00112233445566778899aabbccddeeff", Boot: 93, Status: 200, Body: []byte(`{"kind":"status"}`)}
+var goldenAsked = signedRequest{Nonce: "00112233445566778899aabbccddeeff", Boot: 93, Status: 200, Body: []byte(`{"kind":"status"}`)}
--- a/internal/fleet/transport/keys.go
+++ b/internal/fleet/transport/keys.go
@@ -73,7 +73,7 @@
 }
 
 // good says whether keys that didn't come from a file can be used.
-func (k Keys) good() error {
+func (k Keys) validate() error {
 	for _, key := range k {
 		if len(key) < keyAtLeast {
 			return &KeyFileError{Why: "a key that is too short"}
@@ -95,3 +95,13 @@
 	h.Write(body)
 	return h.Sum(nil)
 }
+
+// verify reports whether sum is the MAC of body for this purpose by any of the keys. It
+// takes the same time whichever key fits: all of them are compared, each in constant time.
+func (k Keys) verify(what string, body, sum []byte) bool {
+	ok := false
+	for _, key := range k {
+		ok = hmac.Equal(mac(key, what, body), sum) || ok
+	}
+	return ok
+}
--- a/internal/fleet/transport/wire.go
+++ b/internal/fleet/transport/peer_transport.go
@@ -27,20 +27,20 @@
 )
 
 const (
-	ringAtMost   = 256     // messages that wait for a peer
-	batchBytes   = 4 << 20 // in one POST, unless one message alone is more
-	backFirst    = 10 * time.Millisecond
-	backAtMost   = 500 * time.Millisecond
-	slowest      = 1 << 20   // bytes a second: a frame's time-out grows by its length over this
-	readingBytes = 256 << 20 // of all frames that are being read, each counted as long as it says it is
-	triesAtMost  = 2         // of a message that may have reached its peer
+	maxQueuedMessages = 256     // messages that wait for a peer
+	maxBatchBytes     = 4 << 20 // in one POST, unless one message alone is more
+	minBackoff        = 10 * time.Millisecond
+	maxBackoff        = 500 * time.Millisecond
+	minBytesPerSecond = 1 << 20   // bytes a second: a frame's time-out grows by its length over this
+	maxBytesBeingRead = 256 << 20 // of all frames that are being read, each counted as long as it says it is
+	maxAttempts       = 2         // of a message that may have reached its peer
 
 	pathFleet  = "/fleet"
 	headerMAC  = "Fleet-Mac"
 	headerBoot = "Fleet-Boot"
 )
 
-// Options are what a Wire is made with.
+// Options are what a PeerTransport is made with.
 type Options struct {
 	Fleet    string       // its name: another fleet's frames are refused
 	Self     string       // this controller's name
@@ -50,7 +50,7 @@
 
 	// Got is handed what came in, on the goroutine of the connection it came by, which
 	// answers its sender afterwards: it must not block for long.
-	Got func(*node.Message)
+	OnMessage func(*node.Message)
 	// OnRefused is told what wasn't taken, once a minute for each peer and reason; from
 	// is the peer's name, or its address where the name isn't proven. May be nil.
 	OnRefused func(err fleet.Remedied, from string)
@@ -64,35 +64,35 @@
 	Dial func(ctx context.Context, network, address string) (net.Conn, error)
 }
 
-// Wire sends messages to peers and takes theirs. A message may be lost, doubled or
-// late: who needs an answer asks again.
-type Wire struct {
-	o         Options
-	keys      atomic.Pointer[Keys]
-	transport *http.Transport
-	server    *http.Server
-	reading   *semaphore.Weighted
-	ctx       context.Context // ends with Close
-	cancel    context.CancelFunc
-	serving   sync.WaitGroup // the listener's goroutine
-	conns     sync.WaitGroup // connections that came in
-	sending   sync.WaitGroup // peers' goroutines
+// PeerTransport sends messages to peers and receives theirs. A message may be lost, doubled
+// or late: whoever needs an answer asks again.
+type PeerTransport struct {
+	options    Options
+	keys       atomic.Pointer[Keys]
+	transport  *http.Transport
+	server     *http.Server
+	readBudget *semaphore.Weighted
+	ctx        context.Context // ends with Close
+	cancel     context.CancelFunc
+	serving    sync.WaitGroup // the listener's goroutine
+	inbound    sync.WaitGroup // connections that came in
+	outbound   sync.WaitGroup // peers' goroutines
 
 	mu     sync.Mutex // over peers and closed
 	peers  map[string]*peer
 	closed bool
 
-	gateMu sync.Mutex
-	gate   *gate
+	replayGuardMu sync.Mutex
+	replayGuard   *replayGuard
 
-	tally
-	meter meter
+	counters
+	meter byteMeter
 }
 
-// item is an encoded message that waits.
-type item struct {
-	body  cbor.RawMessage
-	tries int
+// queuedMessage is an encoded message that waits to be sent.
+type queuedMessage struct {
+	body     cbor.RawMessage
+	attempts int
 }
 
 // peer is one that was sent to. It has a goroutine only while there is something to send.
@@ -100,26 +100,26 @@
 	name string
 	wake chan struct{} // of one place: a full one wakes as well
 
-	mu      sync.Mutex
-	address string
-	ring    []item // at most ringAtMost and BodyAtMost bytes: over it the oldest go
-	bytes   int
-	running bool
+	mu          sync.Mutex
+	address     string
+	queue       []queuedMessage // at most ringAtMost and BodyAtMost bytes: over it the oldest go
+	queuedBytes int
+	running     bool
 
 	// Of the goroutine that runs.
-	boot uint64 // the peer's, 0: not known
-	seq  uint64
-	back time.Duration
-	rand *rand.Rand
+	incarnation uint64 // the peer's, 0: not known
+	seq         uint64
+	backoff     time.Duration
+	rand        *rand.Rand
 }
 
 // Open begins to listen. It fails only by its options.
-func Open(o Options) (*Wire, error) {
-	if err := o.Keys.good(); err != nil {
+func Open(o Options) (*PeerTransport, error) {
+	if err := o.Keys.validate(); err != nil {
 		return nil, err
 	}
 	if o.Boot == 0 {
-		o.Boot = draw()
+		o.Boot = randomID()
 	}
 	if o.Timeout <= 0 {
 		o.Timeout = time.Second
@@ -127,9 +127,9 @@
 	if o.Idle <= 0 {
 		o.Idle = 30 * time.Second
 	}
-	w := &Wire{o: o, peers: map[string]*peer{}, gate: newGate(o.Fleet, o.Self, o.Boot),
-		reading: semaphore.NewWeighted(readingBytes)}
-	w.begin(o.OnRefused)
+	w := &PeerTransport{options: o, peers: map[string]*peer{}, replayGuard: newReplayGuard(o.Fleet, o.Self, o.Boot),
+		readBudget: semaphore.NewWeighted(maxBytesBeingRead)}
+	w.init(o.OnRefused)
 	w.keys.Store(&o.Keys)
 	w.ctx, w.cancel = context.WithCancel(context.Background())
 	dialer := &net.Dialer{Timeout: o.Timeout}
@@ -156,19 +156,19 @@
 		DisableCompression:  true,
 	}
 	mux := http.NewServeMux()
-	mux.HandleFunc("POST "+pathFleet, w.take)
+	mux.HandleFunc("POST "+pathFleet, w.serveFrame)
 	w.server = &http.Server{Handler: mux, ReadHeaderTimeout: 5 * o.Timeout, IdleTimeout: 2 * o.Idle,
-		MaxHeaderBytes: 8 << 10, ErrorLog: quiet, ConnState: follow(&w.conns)}
+		MaxHeaderBytes: 8 << 10, ErrorLog: discardLog, ConnState: countConnections(&w.inbound)}
 	w.serving.Go(func() { w.server.Serve(w.meter.listener(o.Listener)) })
 	return w, nil
 }
 
 // Boot is this run's number.
-func (w *Wire) Boot() uint64 { return w.o.Boot }
+func (w *PeerTransport) Boot() uint64 { return w.options.Boot }
 
 // SetKeys takes other keys from now on, for all that is sent and comes in.
-func (w *Wire) SetKeys(keys Keys) error {
-	if err := keys.good(); err != nil {
+func (w *PeerTransport) SetKeys(keys Keys) error {
+	if err := keys.validate(); err != nil {
 		return err
 	}
 	w.keys.Store(&keys)
@@ -176,16 +176,16 @@
 }
 
 // Close ends all of it and waits for its goroutines. What waits is not sent any more.
-func (w *Wire) Close() error {
+func (w *PeerTransport) Close() error {
 	w.mu.Lock()
 	w.closed = true
 	w.mu.Unlock()
 	w.cancel()
-	err := w.o.Listener.Close()
+	err := w.options.Listener.Close()
 	w.serving.Wait() // first, so that no connection begins that the server's Close doesn't see
 	w.server.Close()
-	w.conns.Wait()
-	w.sending.Wait()
+	w.inbound.Wait()
+	w.outbound.Wait()
 	w.transport.CloseIdleConnections()
 	return err
 }
@@ -195,21 +195,21 @@
 // bytes_out and bytes_in of frames, conn_bytes_out and conn_bytes_in of connections with
 // all that HTTP adds, cut (frames that ended too early), failed (POSTs without an
 // answer), and refused_REASON.
-func (w *Wire) Counts() map[string]int {
-	counts := w.tally.all()
-	counts["conn_bytes_out"], counts["conn_bytes_in"] = int(w.meter.out.Load()), int(w.meter.in.Load())
+func (w *PeerTransport) Counts() map[string]int {
+	counts := w.counters.snapshot()
+	counts["conn_bytes_out"], counts["conn_bytes_in"] = int(w.meter.sent.Load()), int(w.meter.received.Load())
 	return counts
 }
 
 // Send puts a message into the ring of a peer and returns at once. If the ring is full
 // its oldest message goes. The message must not be changed until Send returns; it is
 // sent as from this controller and for that one, whatever it says.
-func (w *Wire) Send(to, address string, m *node.Message) {
+func (w *PeerTransport) Send(to, address string, m *node.Message) {
 	c := *m
-	c.From, c.To = w.o.Self, to
+	c.From, c.To = w.options.Self, to
 	body, err := encoding.Marshal(&c)
 	if err != nil {
-		w.refuse(&FormError{w.o.Self, err}, to)
+		w.refuse(&MalformedError{w.options.Self, err}, to)
 		return
 	}
 	if len(body) > BodyAtMost-1<<10 { // what a frame has beside its messages is under that
@@ -224,18 +224,18 @@
 	}
 	p := w.peers[to]
 	if p == nil {
-		p = &peer{name: to, wake: make(chan struct{}, 1), rand: rand.New(rand.NewPCG(w.o.Seed, xxhash.Sum64String(to)))}
+		p = &peer{name: to, wake: make(chan struct{}, 1), rand: rand.New(rand.NewPCG(w.options.Seed, xxhash.Sum64String(to)))}
 		w.peers[to] = p
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.address = address
-	p.ring = append(p.ring, item{body: body})
-	p.bytes += len(body)
-	w.count("dropped", p.shorten())
+	p.queue = append(p.queue, queuedMessage{body: body})
+	p.queuedBytes += len(body)
+	w.count("dropped", p.dropOldest())
 	if !p.running {
 		p.running = true
-		w.sending.Go(func() { w.run(p) })
+		w.outbound.Go(func() { w.sendLoop(p) })
 		return
 	}
 	select {
@@ -244,139 +244,140 @@
 	}
 }
 
-// shorten keeps the ring within its bounds and tells how many messages went.
-func (p *peer) shorten() (gone int) {
-	for len(p.ring) > ringAtMost || p.bytes > BodyAtMost {
-		p.bytes -= len(p.ring[0].body)
-		p.ring[0] = item{}
-		p.ring = p.ring[1:]
+// dropOldest keeps the queue within its bounds and tells how many messages were dropped.
+func (p *peer) dropOldest() (gone int) {
+	for len(p.queue) > maxQueuedMessages || p.queuedBytes > BodyAtMost {
+		p.queuedBytes -= len(p.queue[0].body)
+		p.queue[0] = queuedMessage{}
+		p.queue = p.queue[1:]
 		gone++
 	}
 	return gone
 }
 
-// batch takes what goes into the next POST.
-func (p *peer) batch() (batch []item, address string) {
+// nextBatch takes what goes into the next POST.
+func (p *peer) nextBatch() (batch []queuedMessage, address string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	n, bytes := 0, 0
-	for n < len(p.ring) && (n == 0 || bytes+len(p.ring[n].body) <= batchBytes) {
-		bytes += len(p.ring[n].body)
+	for n < len(p.queue) && (n == 0 || bytes+len(p.queue[n].body) <= maxBatchBytes) {
+		bytes += len(p.queue[n].body)
 		n++
 	}
-	batch, p.bytes = p.ring[:n:n], p.bytes-bytes
-	p.ring = append([]item(nil), p.ring[n:]...)
+	batch, p.queuedBytes = p.queue[:n:n], p.queuedBytes-bytes
+	p.queue = append([]queuedMessage(nil), p.queue[n:]...)
 	return batch, p.address
 }
 
-// again puts a batch back before all that came since, and tells what was given up:
-// lost are those tried often enough, dropped those without room.
-func (p *peer) again(batch []item, tried bool) (lost, dropped int) {
+// requeue puts a batch back before all that came since, and tells what was given up: lost
+// are messages that have had their attempts, dropped are those without room.
+func (p *peer) requeue(batch []queuedMessage, tried bool) (lost, dropped int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	var back []item
+	var back []queuedMessage
 	for _, i := range batch {
 		if tried {
-			i.tries++
+			i.attempts++
 		}
-		if i.tries < triesAtMost {
+		if i.attempts < maxAttempts {
 			back = append(back, i)
-			p.bytes += len(i.body)
+			p.queuedBytes += len(i.body)
 		}
 	}
-	p.ring = append(back, p.ring...)
-	return len(batch) - len(back), p.shorten()
+	p.queue = append(back, p.queue...)
+	return len(batch) - len(back), p.dropOldest()
 }
 
-// run is a peer's goroutine: it ends when there was nothing to send, or no answer, for
+// sendLoop is a peer's goroutine: it ends when there was nothing to send, or no answer, for
 // as long as Options.Idle.
-func (w *Wire) run(p *peer) {
-	timer := time.NewTimer(w.o.Idle)
+func (w *PeerTransport) sendLoop(p *peer) {
+	timer := time.NewTimer(w.options.Idle)
 	defer timer.Stop()
 	good := time.Now() // the last time all was well
 	for {
-		batch, address := p.batch()
+		batch, address := p.nextBatch()
 		if len(batch) == 0 {
-			timer.Reset(w.o.Idle)
+			timer.Reset(w.options.Idle)
 			select {
 			case <-p.wake:
 				continue
 			case <-timer.C:
 			case <-w.ctx.Done():
 			}
-			if p.end(w.ctx.Err() != nil) {
+			if p.stopUnlessQueued(w.ctx.Err() != nil) {
 				return
 			}
 			continue
 		}
 		tried, err := w.deliver(p, address, batch)
-		var refused Refused
+		var refused RejectionError
 		switch {
 		case err == nil:
-			p.back, good = 0, time.Now()
+			p.backoff, good = 0, time.Now()
 			continue
 		case errors.As(err, &refused):
 			w.refuse(refused, p.name)
 		default:
 			w.count("failed", 1)
 		}
-		if _, away := err.(*TurnedAwayError); away {
+		if _, away := err.(*PeerRejectedError); away {
 			w.count("lost", len(batch)) // the same would be refused again
 		} else {
-			lost, dropped := p.again(batch, tried)
+			lost, dropped := p.requeue(batch, tried)
 			w.count("lost", lost)
 			w.count("dropped", dropped)
 		}
-		if time.Since(good) > w.o.Idle {
-			w.count("dropped", p.clear())
-			if p.end(false) {
+		if time.Since(good) > w.options.Idle {
+			w.count("dropped", p.dropAll())
+			if p.stopUnlessQueued(false) {
 				return
 			}
 			good = time.Now()
 		}
-		p.back = min(max(2*p.back, backFirst), backAtMost)
-		timer.Reset(p.back/2 + time.Duration(p.rand.Int64N(int64(p.back/2)+1)))
+		p.backoff = min(max(2*p.backoff, minBackoff), maxBackoff)
+		timer.Reset(p.backoff/2 + time.Duration(p.rand.Int64N(int64(p.backoff/2)+1)))
 		select {
 		case <-timer.C:
 		case <-w.ctx.Done():
-			p.end(true)
+			p.stopUnlessQueued(true)
 			return
 		}
 	}
 }
 
-// end lets the goroutine go unless something came to be sent meanwhile.
-func (p *peer) end(anyway bool) bool {
+// stopUnlessQueued lets the goroutine end unless something came to be sent meanwhile;
+// anyway ends it in any case.
+func (p *peer) stopUnlessQueued(anyway bool) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if len(p.ring) > 0 && !anyway {
+	if len(p.queue) > 0 && !anyway {
 		return false
 	}
 	p.running = false
 	return true
 }
 
-func (p *peer) clear() int {
+func (p *peer) dropAll() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	n := len(p.ring)
-	p.ring, p.bytes = nil, 0
+	n := len(p.queue)
+	p.queue, p.queuedBytes = nil, 0
 	return n
 }
 
 // deliver brings a batch to a peer. It first asks for the peer's boot number if it
 // doesn't know it, and sends anew if that was an earlier run's. tried: it may have
 // reached the peer though no answer came.
-func (w *Wire) deliver(p *peer, address string, batch []item) (tried bool, err error) {
+func (w *PeerTransport) deliver(p *peer, address string, batch []queuedMessage) (tried bool, err error) {
 	messages := make([]cbor.RawMessage, len(batch))
 	for i, it := range batch {
 		messages[i] = it.body
 	}
 	for range 3 { // hello, the batch, and once more if the peer starts in between
-		f := &frame{Fleet: w.o.Fleet, From: w.o.Self, To: p.name, Boot: w.o.Boot, There: p.boot}
+		f := &frame{Fleet: w.options.Fleet, From: w.options.Self, To: p.name, Boot: w.options.Boot, There: p.incarnation}
 		p.seq++
 		f.Seq = p.seq
-		if p.boot != 0 {
+		if p.incarnation != 0 {
 			f.Messages = messages
 		}
 		status, boot, err := w.post(f, address)
@@ -388,16 +389,16 @@
 			w.count("sent", len(batch))
 			return true, nil
 		}
-		p.boot = boot
+		p.incarnation = boot
 	}
 	return false, errors.New("its boot number is another one each time")
 }
 
 // post sends one frame. The status is 204, or 409 with the peer's boot number.
-func (w *Wire) post(f *frame, address string) (status int, boot uint64, err error) {
+func (w *PeerTransport) post(f *frame, address string) (status int, boot uint64, err error) {
 	body, keys := encode(f), *w.keys.Load()
 	sum := keys.sign(forFrame, body)
-	ctx, cancel := context.WithTimeout(w.ctx, w.o.Timeout+w.within(int64(len(body))))
+	ctx, cancel := context.WithTimeout(w.ctx, w.options.Timeout+w.timeoutFor(int64(len(body))))
 	defer cancel()
 	u := url.URL{Scheme: "http", Host: address, Path: pathFleet}
 	r, err := http.NewRequestWithContext(ctx, http.MethodPost, u.String(), bytes.NewReader(body))
@@ -413,44 +414,44 @@
 	defer a.Body.Close()
 	io.CopyN(io.Discard, a.Body, 1<<10) // what is longer costs the connection
 	if a.StatusCode != http.StatusNoContent && a.StatusCode != http.StatusConflict {
-		return 0, 0, &TurnedAwayError{f.To, address, a.StatusCode}
+		return 0, 0, &PeerRejectedError{f.To, address, a.StatusCode}
 	}
 	boot, err = strconv.ParseUint(a.Header.Get(headerBoot), 16, 64)
 	theirs, err2 := hex.DecodeString(a.Header.Get(headerMAC))
 	said := encode(&answer{f.Fleet, f.To, a.StatusCode, boot, f.Seq, sum})
-	if err != nil || err2 != nil || !keys.check(forAnswer, said, theirs) {
-		return 0, 0, &StrangerError{address, "an answer"}
+	if err != nil || err2 != nil || !keys.verify(forAnswer, said, theirs) {
+		return 0, 0, &UnauthenticatedError{address, "an answer"}
 	}
 	if a.StatusCode == http.StatusConflict && (boot == 0 || boot == f.There) {
-		return 0, 0, &FormError{f.To, errors.New("it refuses its own boot number")}
+		return 0, 0, &MalformedError{f.To, errors.New("it refuses its own boot number")}
 	}
 	return a.StatusCode, boot, nil
 }
 
-// within is the time that so many bytes and an answer may take.
-func (w *Wire) within(n int64) time.Duration {
-	return w.o.Timeout + time.Duration(n)*time.Second/slowest
+// timeoutFor is the time that so many bytes and an answer may take.
+func (w *PeerTransport) timeoutFor(n int64) time.Duration {
+	return w.options.Timeout + time.Duration(n)*time.Second/minBytesPerSecond
 }
 
-// take answers a POST. Nothing is handed on before all of a frame was checked.
-func (w *Wire) take(rw http.ResponseWriter, r *http.Request) {
+// serveFrame answers a POST. Nothing is handed on before all of a frame was checked.
+func (w *PeerTransport) serveFrame(rw http.ResponseWriter, r *http.Request) {
 	remote, _, _ := net.SplitHostPort(r.RemoteAddr)
-	body, status := w.read(rw, r, remote)
+	body, status := w.readFrame(rw, r, remote)
 	if status != 0 {
 		rw.WriteHeader(status)
 		return
 	}
 	keys := *w.keys.Load()
 	sum, _ := hex.DecodeString(r.Header.Get(headerMAC)) // what is no hex fits no key
-	f, refused := open(keys, body, sum, remote)
+	f, refused := authenticate(keys, body, sum, remote)
 	if refused != nil {
 		w.refuse(refused, remote)
 		rw.WriteHeader(statusOf(refused))
 		return
 	}
-	w.gateMu.Lock()
-	refused = w.gate.admit(f)
-	w.gateMu.Unlock()
+	w.replayGuardMu.Lock()
+	refused = w.replayGuard.accept(f)
+	w.replayGuardMu.Unlock()
 	var ms []*node.Message
 	if refused == nil {
 		ms, refused = f.messages()
@@ -465,20 +466,20 @@
 		status = http.StatusNoContent
 		w.count("got", len(ms))
 		for _, m := range ms {
-			w.o.Got(m)
+			w.options.OnMessage(m)
 		}
 	}
 	if status == http.StatusConflict || status == http.StatusNoContent {
-		said := encode(&answer{w.o.Fleet, w.o.Self, status, w.o.Boot, f.Seq, sum})
-		rw.Header().Set(headerBoot, strconv.FormatUint(w.o.Boot, 16))
+		said := encode(&answer{w.options.Fleet, w.options.Self, status, w.options.Boot, f.Seq, sum})
+		rw.Header().Set(headerBoot, strconv.FormatUint(w.options.Boot, 16))
 		rw.Header().Set(headerMAC, hex.EncodeToString(keys.sign(forAnswer, said)))
 	}
 	rw.WriteHeader(status)
 }
 
-// read takes a frame's bytes; a status other than 0 is the answer instead. They are
+// readFrame reads a frame's bytes; a status other than 0 is the answer instead. They are
 // read before it is known who sends them, so that all that are being read have a bound.
-func (w *Wire) read(rw http.ResponseWriter, r *http.Request, remote string) ([]byte, int) {
+func (w *PeerTransport) readFrame(rw http.ResponseWriter, r *http.Request, remote string) ([]byte, int) {
 	if r.ContentLength < 0 {
 		return nil, http.StatusLengthRequired
 	}
@@ -486,14 +487,14 @@
 		w.refuse(&TooLargeError{remote, r.ContentLength, BodyAtMost}, remote)
 		return nil, http.StatusRequestEntityTooLarge
 	}
-	within := w.within(r.ContentLength)
+	within := w.timeoutFor(r.ContentLength)
 	http.NewResponseController(rw).SetReadDeadline(time.Now().Add(within))
 	ctx, cancel := context.WithTimeout(w.ctx, within)
 	defer cancel()
-	if w.reading.Acquire(ctx, r.ContentLength) != nil {
+	if w.readBudget.Acquire(ctx, r.ContentLength) != nil {
 		return nil, http.StatusServiceUnavailable
 	}
-	defer w.reading.Release(r.ContentLength)
+	defer w.readBudget.Release(r.ContentLength)
 	body, err := io.ReadAll(r.Body)
 	w.count("bytes_in", len(body))
 	if err != nil {
@@ -503,16 +504,16 @@
 	return body, 0
 }
 
-// quiet: what net/http would print of strangers' broken requests is counted here instead.
-var quiet = log.New(io.Discard, "", 0)
+// discardLog drops what net/http would log of strangers' broken requests: it is counted here.
+var discardLog = log.New(io.Discard, "", 0)
 
-func statusOf(err Refused) int {
+func statusOf(err RejectionError) int {
 	switch err.(type) {
-	case *StaleBootError:
+	case *StaleIncarnationError:
 		return http.StatusConflict
-	case *AddresseeError:
+	case *WrongRecipientError:
 		return http.StatusMisdirectedRequest
-	case *FormError:
+	case *MalformedError:
 		return http.StatusBadRequest
 	case *TooLargeError:
 		return http.StatusRequestEntityTooLarge
@@ -520,15 +521,15 @@
 	return http.StatusForbidden
 }
 
-// draw makes a number that no other run has, not 0.
-func draw() uint64 {
+// randomID draws a number that no other incarnation has, not 0.
+func randomID() uint64 {
 	var b [8]byte
 	crand.Read(b[:])
 	return binary.BigEndian.Uint64(b[:]) | 1
 }
 
-// follow counts a server's connections, so that its Close can wait for their goroutines.
-func follow(conns *sync.WaitGroup) func(net.Conn, http.ConnState) {
+// countConnections counts a server's connections, so that its Close can wait for their goroutines.
+func countConnections(conns *sync.WaitGroup) func(net.Conn, http.ConnState) {
 	return func(_ net.Conn, s http.ConnState) {
 		switch s {
 		case http.StateNew:
--- a/internal/fleet/transport/wire_test.go
+++ b/internal/fleet/transport/peer_transport_test.go
@@ -21,7 +21,7 @@
 
 // end is one controller of a test.
 type end struct {
-	*Wire
+	*PeerTransport
 	address string
 	got     chan *node.Message
 	refused chan fleet.Remedied
@@ -48,11 +48,11 @@
 	if o.Keys == nil {
 		o.Keys = Keys{keyA}
 	}
-	o.Got = func(m *node.Message) { e.got <- m }
+	o.OnMessage = func(m *node.Message) { e.got <- m }
 	o.OnRefused = func(err fleet.Remedied, _ string) { e.refused <- err }
 	e.address = o.Listener.Addr().String()
 	var err error
-	if e.Wire, err = Open(o); err != nil {
+	if e.PeerTransport, err = Open(o); err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { e.Close() })
@@ -69,14 +69,14 @@
 }
 
 func (e *end) say(to *end, text string) {
-	e.Send(to.o.Self, to.address, &node.Message{Consensus: []byte(text)})
+	e.Send(to.options.Self, to.address, &node.Message{Consensus: []byte(text)})
 }
 
 func (e *end) hears(t *testing.T, from, text string) {
 	t.Helper()
 	select {
 	case m := <-e.got:
-		if m.From != from || m.To != e.o.Self || string(m.Consensus) != text {
+		if m.From != from || m.To != e.options.Self || string(m.Consensus) != text {
 			t.Fatalf("%q from %s for %s, want %q from %s", m.Consensus, m.From, m.To, text, from)
 		}
 	case <-time.After(soon):
@@ -153,8 +153,8 @@
 func TestAStrangerIsRefused(t *testing.T) {
 	a, b := pair(t, Options{Keys: Keys{keyB}}, Options{})
 	a.say(b, "let me in")
-	refusal[*StrangerError](t, b.refused)
-	if err := refusal[*TurnedAwayError](t, a.refused); err.Status != http.StatusForbidden {
+	refusal[*UnauthenticatedError](t, b.refused)
+	if err := refusal[*PeerRejectedError](t, a.refused); err.Status != http.StatusForbidden {
 		t.Error(err)
 	}
 	a.say(b, "and again")
@@ -175,7 +175,7 @@
 	a, _ := pair(t, Options{}, Options{})
 	t.Cleanup(func() { forger.Close() })
 	a.Send("c", l.Addr().String(), &node.Message{})
-	refusal[*StrangerError](t, a.refused)
+	refusal[*UnauthenticatedError](t, a.refused)
 	a.until(t, "lost", 1)
 	if c := a.Counts(); c["sent"] != 0 {
 		t.Error(c)
@@ -219,16 +219,16 @@
 	if a := post(t, b, Keys{keyA}, &f); a.StatusCode != http.StatusMisdirectedRequest {
 		t.Error(a.Status)
 	}
-	refusal[*AddresseeError](t, b.refused)
+	refusal[*WrongRecipientError](t, b.refused)
 	f = good
 	f.Messages = append(f.Messages, message("c", "b", "fine"), message("d", "b", "not its own"))
 	if a := post(t, b, Keys{keyA}, &f); a.StatusCode != http.StatusBadRequest {
 		t.Error(a.Status)
 	}
-	refusal[*FormError](t, b.refused)
+	refusal[*MalformedError](t, b.refused)
 	junk := []byte{0xff, 0, 1}
 	raw(t, b, junk, Keys{keyA}.sign(forFrame, junk))
-	refusal[*FormError](t, b.refused)
+	refusal[*MalformedError](t, b.refused)
 	if len(b.got) > 0 {
 		t.Error("some of it was handed on")
 	}
@@ -265,7 +265,7 @@
 	if answer.StatusCode != http.StatusConflict || answer.Header.Get(headerBoot) != strconv.FormatUint(b2.Boot(), 16) {
 		t.Error(answer.Status, answer.Header)
 	}
-	refusal[*StaleBootError](t, b2.refused)
+	refusal[*StaleIncarnationError](t, b2.refused)
 	a.say(b2, "after")
 	b2.hears(t, "a", "after")
 	if len(b2.got) > 0 {
@@ -293,22 +293,22 @@
 	}
 	b.SetKeys(Keys{keyA})
 	a.say(b, "by the new key")
-	refusal[*StrangerError](t, b.refused)
+	refusal[*UnauthenticatedError](t, b.refused)
 }
 
 func TestAPeerThatIsDownGetsTheNewestWhenItIsUp(t *testing.T) {
 	a, b := pair(t, Options{}, Options{})
 	b.Close()
-	for i := range ringAtMost + 50 {
+	for i := range maxQueuedMessages + 50 {
 		a.say(b, fmt.Sprint(i))
 	}
 	a.until(t, "failed", 3)
 	a.until(t, "dropped", 50)
 	b2 := open1(t, Options{Self: "b", Listener: listen(t, b.address)})
-	for i := range ringAtMost {
+	for i := range maxQueuedMessages {
 		b2.hears(t, "a", fmt.Sprint(i+50))
 	}
-	a.until(t, "sent", ringAtMost)
+	a.until(t, "sent", maxQueuedMessages)
 	if c := a.Counts(); c["dropped"] != 50 || c["lost"] != 0 {
 		t.Error(c)
 	}
@@ -326,8 +326,8 @@
 	a.mu.Unlock()
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.bytes > BodyAtMost {
-		t.Error(p.bytes, "bytes wait")
+	if p.queuedBytes > BodyAtMost {
+		t.Error(p.queuedBytes, "bytes wait")
 	}
 }
 
