--- a/internal/controller/answers.go
+++ b/internal/controller/answers.go
@@ -76,7 +76,7 @@
 // enters is asked before a query goes its way, which goes is for. False: it doesn't
 // need to, for now.
 func (a *resultCaching) lookup(q *query, from From, goes func(From)) bool {
-	if !a.cachedGroups[q.group.name] || q.cacheState != nil || q.spooled != nil || a.closing || a.invalidation.servingBarred() || !a.mayRetain(q) {
+	if !a.cachedGroups[q.group.name] || q.cacheState != nil || q.spooled != nil || a.isDraining() || a.invalidation.servingBarred() || !a.mayRetain(q) {
 		return true
 	}
 	m := &cacheLookup{ask: &resultcache.Ask{Team: a.dataOwner(from), Group: q.group.index, Statement: q.statement, Tables: allTables(q.statement),
--- a/internal/controller/client.go
+++ b/internal/controller/client.go
@@ -178,7 +178,7 @@
 
 func (f *floodingClient) explain(msg uint32) {
 	if f.findCall(msg) == nil {
-		f.reply(msgpackrpc.Killed(nil, msg, "more than "+strconv.Itoa(f.limits.MessagesPerSweep)+" messages in "+sweepEvery.String()+
+		f.reply(msgpackrpc.Killed(nil, msg, "more than "+strconv.Itoa(f.limits.MessagesPerSweep)+" messages in "+sweepInterval.String()+
 			" on one connection: it is closed"))
 	}
 }
@@ -311,8 +311,8 @@
 func (c *Controller) sweepClients() {
 	c.unreadBytes = 0
 	// nobody is to blame for what we stood still ourselves: what came meanwhile is not read yet
-	stood := c.now - c.sweptAt - sweepEvery
-	if c.sweptAt = c.now; stood < sweepEvery {
+	stood := c.now - c.sweptAt - sweepInterval
+	if c.sweptAt = c.now; stood < sweepInterval {
 		stood = 0
 	}
 	var worst *client
--- a/internal/controller/client_test.go
+++ b/internal/controller/client_test.go
@@ -161,7 +161,7 @@
 	c := s.connect()
 	s.step(Event{Kind: ShutdownRequested})
 	early := s.query(c, "load", "k", 3*time.Second, 1)
-	s.until(s.now + stopGrace + 10*time.Millisecond)
+	s.until(s.now + shutdownGrace + 10*time.Millisecond)
 	late := s.query(c, "load", "k", 3*time.Second, 1)
 	if late.answer != "deferred" || early.answer != "" {
 		t.Fatalf("%q, %q", late.answer, early.answer)
--- a/internal/controller/fair_queue.go
+++ b/internal/controller/fair_queue.go
@@ -2,36 +2,15 @@
 
 import (
 	"fmt"
-	"net/netip"
 	"strings"
 	"time"
 
 	"github.com/cespare/xxhash/v2"
 
 	"railrelay.dev/railrelay/internal/fairqueue"
-	"railrelay.dev/railrelay/internal/msgpackrpc"
 	"railrelay.dev/railrelay/internal/scheduler"
 )
 
-// FieldNames are the names of call fields that a set-up may give; an empty one is
-// not looked for.
-type FieldNames struct {
-	Tenant          string // whose the call is, believed from where the set-up says
-	NotifyWait      string // its client wants to be told how long it waits
-	RepeatOf        string // the trace of the call that this one repeats
-	Paged           string // its client reads the result page by page
-	Customer        string // names the customer whose share it counts to
-	EstimatedWork   string // estimates its work, in milliseconds of one thread
-	EstimatedMemory string // estimates the memory it needs, in MB
-	IdempotencyKey  string // the mark by which engines know a repeat, of groups that the settings call tokened
-}
-
-// From is where a call comes from and what it says beside the query itself.
-type From struct {
-	Address netip.Addr
-	Fields  msgpackrpc.Fields
-}
-
 // fairness stands between the fronts and the decisions where the set-up has
 // teams: a query goes to the decisions when its turn comes. Without teams it is
 // nil, and costs nothing.
@@ -94,7 +73,7 @@
 
 // enter takes a query in, or defers it at once if its wait would be too long.
 func (f *fairQueue) enqueue(q *query, from From, tables, key int64) {
-	if f.closing { // which turns it away
+	if f.isDraining() { // which turns it away
 		f.scheduler.Take(f.now, q.id, q.group.index, q.customer, q.deadline-f.now, tables, key, q.estimatedWork, q.estimatedMemoryMB)
 		return
 	}
--- /dev/null
+++ b/internal/controller/logging.go
@@ -0,0 +1,32 @@
+package controller
+
+import "fmt"
+
+// logMessage logs a line about the controller as a whole, as a warning or at info level.
+func (c *Controller) logMessage(warning bool, text string) {
+	c.emit(Effect{Kind: LogMessage, Warning: warning, Text: text})
+}
+
+// logAbout logs a line about what fields name, at info level.
+func (c *Controller) logAbout(fields LogFields, text string) {
+	c.emit(Effect{Kind: LogMessage, Text: text, Fields: fields})
+}
+
+// trace logs what becomes of a query, step by step, at debug level. Callers check TraceQueries first,
+// so that nothing is formatted for a log that nobody reads.
+func (c *Controller) trace(fields LogFields, format string, values ...any) {
+	c.emit(Effect{Kind: LogMessage, Trace: true, Fields: fields, Text: fmt.Sprintf(format, values...)})
+}
+
+func (c *Controller) logCounters() {
+	c.emit(Effect{Kind: LogCounters, Text: c.counters.text(c), QueryCount: c.counters.received})
+}
+
+func (q *query) logFields() LogFields { return LogFields{Query: q.id, Group: q.group.name} }
+
+func (s *attempt) logFields() LogFields {
+	fields := s.query.logFields()
+	fields.Engine = s.engine.id
+	fields.Attempt = s.number + 1
+	return fields
+}
--- a/internal/controller/query.go
+++ b/internal/controller/query.go
@@ -150,7 +150,7 @@
 		return
 	}
 	q.tableGroup, q.keyNumber = msgpackrpc.Tables(q.statement), number
-	if c.servingLease != nil && !c.closing && !c.servingLease.admit(q, from) {
+	if c.servingLease != nil && !c.isDraining() && !c.servingLease.admit(q, from) {
 		return
 	}
 	if c.paging != nil && c.mayRetain(q) { // where it may not be kept it is answered whole
--- a/internal/setup/means.go
+++ b/internal/setup/means.go
@@ -30,7 +30,7 @@
 func (x *Setup) Means(started time.Time) controller.Config {
 	seed, _ := strconv.ParseUint(x.Seed, 16, 64)
 	m := controller.Config{Seed: seed, MemoryMB: x.MemoryMB(), Sockets: cmp.Or(x.Limits.Sockets, 4096), DiscoveryAddress: x.Feed,
-		Settings: x.facts(), StartedAt: started, ResultCache: x.Answers.limits(), DrawUnique: draw}
+		Settings: x.facts(), StartedAt: started, CacheLimits: x.Answers.limits(), DrawUnique: draw}
 	for _, set := range x.Clients {
 		m.ClientLimits = append(m.ClientLimits, controller.ClientLimits{Prefixes: prefixes(set.Addresses), OpenQueries: set.Open, MessagesPerSweep: set.Messages,
 			IdleTimeout: time.Duration(set.Idle), MessageTimeout: time.Duration(set.Message)})
