--- a/internal/bench/relays_faults_test.go
+++ b/internal/bench/relays_faults_test.go
@@ -375,7 +375,7 @@
 	}
 	said, err := os.ReadFile(f.path(second.name + ".log"))
 	f.must(err)
-	held := &storage.HeldError{Dir: directory}
+	held := &storage.LockedError{Dir: directory}
 	if !strings.Contains(string(said), held.Error()) || !strings.Contains(string(said), held.Remedy()) {
 		f.t.Errorf("a second run says why it ended: %s", said)
 	}
--- a/internal/emulator/hollow/controller.go
+++ b/internal/emulator/hollow/controller.go
@@ -60,7 +60,7 @@
 	shape := c.shaper(listener.Addr())
 	dialer := &dialer{local: hostOf(listener.Addr()), direct: c.config.Direct, shape: shape, gate: c.gate, abroad: c.abroad}
 	opened, err := driver.Open(driver.Options{Node: c.begin(), Fleet: c.config.Fleet, Keys: c.config.Keys, Control: c.member.Control, Started: started, Log: zerolog.Nop(), CheckPolicy: check,
-		OpenStore: func() (driver.Store, storage.Found, error) { return c.store, c.store.Found(), nil },
+		OpenStore: func() (driver.Store, storage.Contents, error) { return c.store, c.store.Found(), nil },
 		Listener:  &shapedListener{listener, shape}, Dial: dialer.dial})
 	if err != nil {
 		return err
--- a/internal/emulator/hollow/store.go
+++ b/internal/emulator/hollow/store.go
@@ -30,12 +30,12 @@
 }
 
 // Found is what a disk would hold at a start.
-func (s *Store) Found() storage.Found {
+func (s *Store) Found() storage.Contents {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	kept := s.kept
 	kept.Records = append([]consensus.Record(nil), kept.Records...)
-	return storage.Found{Disk: s.name, Kept: kept}
+	return storage.Contents{DiskID: s.name, Kept: kept}
 }
 
 // Write keeps what a disk would, after the delay.
--- a/internal/fleet/driver/open.go
+++ b/internal/fleet/driver/open.go
@@ -31,7 +31,7 @@
 	Log         zerolog.Logger
 
 	// OpenStore opens what keeps the record in place of the disk at Directory; nil: that disk.
-	OpenStore func() (Store, storage.Found, error)
+	OpenStore func() (Store, storage.Contents, error)
 	// Listener is where peers come in, in place of Listen, which is not used then; nil: none.
 	// It is closed with the edge, and where Open fails.
 	Listener net.Listener
@@ -88,7 +88,7 @@
 		return nil, err
 	}
 	config := o.Node
-	config.Self.Disk, config.Persisted = found.Disk, found.Kept
+	config.Self.Disk, config.Persisted = found.DiskID, found.Kept
 	config.Seed = randomID()
 	config.Incarnation = randomID()
 	core, initialEffects, err := node.New(config)
@@ -124,13 +124,13 @@
 	}
 }
 
-func (p *openedParts) openStore() (found storage.Found, err error) {
+func (p *openedParts) openStore() (found storage.Contents, err error) {
 	open := p.options.OpenStore
 	if open == nil {
 		open = p.options.openDisk
 	}
 	if p.store, found, err = open(); err != nil {
-		return storage.Found{}, err
+		return storage.Contents{}, err
 	}
 	p.closers = append(p.closers, p.store.Close)
 	return found, nil
@@ -218,14 +218,14 @@
 }
 
 // openDisk opens the disk at Directory and claims it for this controller's name.
-func (o *Options) openDisk() (Store, storage.Found, error) {
+func (o *Options) openDisk() (Store, storage.Contents, error) {
 	store, found, err := storage.Open(o.Directory, func() string { return fmt.Sprintf("%016x", randomID()) })
 	if err != nil {
-		return nil, storage.Found{}, err
+		return nil, storage.Contents{}, err
 	}
 	if err := store.Claim(o.Node.Self.Name); err != nil {
 		store.Close()
-		return nil, storage.Found{}, err
+		return nil, storage.Contents{}, err
 	}
 	return store, found, nil
 }
--- a/internal/fleet/storage/disk.go
+++ b/internal/fleet/storage/disk.go
@@ -1,11 +1,11 @@
-// Package storage keeps what a controller must know of the fleet after a restart: its
-// part of the record, and a few notes. It is one bbolt file in a directory of its own.
-// What Write has returned from is on the disk, synced. Each value bears a sum, the
-// records' count is kept beside them, and both of the file's heads must be whole, so
-// that something lost or changed while the program was down is told and not believed.
+// Package storage persists what a controller must know of the fleet after a restart: its
+// part of the replicated log, and a few notes. It is one bbolt file in a directory of its
+// own. When Write has returned, its data is on the disk, synced. Each value has a checksum,
+// the range of the log is stored beside it, and both of the file's meta pages must be
+// intact, so that data lost or changed while the program was down is reported, not used.
 //
-// One thing can't be seen: a whole older copy of the directory put in its place. A
-// voter that forgets what it promised may break the record; see Remedy of TornError.
+// One thing can't be detected: an older copy of the whole directory put in its place. A
+// voter that forgets its vote may break the log; see Remedy of TornWriteError.
 package storage
 
 import (
@@ -31,93 +31,96 @@
 	"railrelay.dev/railrelay/internal/fleet/consensus"
 )
 
-// patience is how long a program that is just ending may still hold the directory.
-const patience = 300 * time.Millisecond
+// lockTimeout is how long Open waits for another process to release the directory.
+const lockTimeout = 300 * time.Millisecond
 
-const file = "record"
+const fileName = "record"
 
 var (
-	stateBucket, recordBucket, noteBucket = []byte("state"), []byte("records"), []byte("notes")
+	stateBucket, logBucket, noteBucket = []byte("state"), []byte("records"), []byte("notes")
 
 	nameKey, ownerKey, hardKey, snapshotKey, spanKey = []byte("disk"), []byte("owner"), []byte("hard"),
 		[]byte("snapshot"), []byte("span")
 )
 
-// Found is what a directory held.
-type Found struct {
-	Kept  consensus.Kept
-	Disk  string // the directory's own name, drawn when it was made
-	Owner string // who it belongs to, "" until a Claim
-	Fresh bool   // it was made just now
-	Notes map[string][]byte
+// Contents is what a directory held when it was opened.
+type Contents struct {
+	Kept   consensus.Kept
+	DiskID string // identifies the directory, drawn when it was made
+	Owner  string // the controller that it belongs to, "" until Claim
+	Fresh  bool   // nothing was written to it yet
+	Notes  map[string][]byte
 }
 
-// Disk is a directory held by this program. It may be used by several goroutines.
+// Disk is an open directory, locked against other processes. It is safe for use by several
+// goroutines.
 type Disk struct {
-	mu     sync.Mutex
-	db     *bbolt.DB
-	err    error // a write failed: what is on the disk isn't known any more
-	found  Found
-	span   span
-	fault  func() error // tests: what a write comes to
-	closed bool
+	mu         sync.Mutex
+	db         *bbolt.DB
+	err        error // of the first write that failed: what is on the disk isn't known after it
+	contents   Contents
+	logRange   logRange
+	writeFault func() error // Options.WriteFault
+	closed     bool
 }
 
-// span is which records there are: one that is missing is seen by it.
-type span struct {
+// logRange is the range of log entries that the file must have: a missing one is detected by it.
+type logRange struct {
 	First uint64 `cbor:"1,keyasint"`
 	Last  uint64 `cbor:"2,keyasint"` // First-1: none
 }
 
-// Opening has what Open can be given beyond the directory; the zero value is what it does.
-type Opening struct {
+// Options are what Open can be given beyond the directory; the zero value is its default.
+type Options struct {
 	// OpenFile opens the files in place of os.OpenFile.
 	OpenFile func(string, int, os.FileMode) (*os.File, error)
-	// AtMost bounds the file, bytes; beyond it the disk counts as full. 0: no bound.
-	AtMost int
-	// Fault is asked before each write: an error is what the write comes to.
-	Fault func() error
+	// MaxBytes bounds the file; beyond it the disk counts as full. 0: no bound.
+	MaxBytes int
+	// WriteFault is called before each write commits: its error fails the write. To inject faults.
+	WriteFault func() error
 }
 
-// Open takes a directory, makes it if it isn't there, and reads all of it. A new one
-// gets its name from fresh. Errors are *TornError, *SpoiltError, *FullError,
-// *RefusedError or *HeldError.
-func Open(dir string, fresh func() string) (*Disk, Found, error) { return Opening{}.Open(dir, fresh) }
+// Open locks a directory, makes it if it isn't there, and reads all of it. A new one
+// gets its ID from fresh. Errors are *TornWriteError, *CorruptionError, *DiskFullError,
+// *AccessError or *LockedError.
+func Open(dir string, fresh func() string) (*Disk, Contents, error) {
+	return Options{}.Open(dir, fresh)
+}
 
-// Open is as the package's.
-func (o Opening) Open(dir string, fresh func() string) (*Disk, Found, error) {
+// Open is the package's Open with these options.
+func (o Options) Open(dir string, fresh func() string) (*Disk, Contents, error) {
 	if o.OpenFile == nil {
 		o.OpenFile = os.OpenFile
 	}
 	if err := os.MkdirAll(dir, 0o700); err != nil {
-		return nil, Found{}, typed(dir, err)
+		return nil, Contents{}, classify(dir, err)
 	}
-	path := filepath.Join(dir, file)
+	path := filepath.Join(dir, fileName)
 	if _, err := os.Stat(path); errors.Is(err, fs.ErrNotExist) {
-		if err := o.make(path, fresh); err != nil {
-			return nil, Found{}, err
+		if err := o.create(path, fresh); err != nil {
+			return nil, Contents{}, err
 		}
 	}
-	d := &Disk{fault: o.Fault}
+	d := &Disk{writeFault: o.WriteFault}
 	db, err := o.open(path)
 	if err != nil {
-		return nil, Found{}, err
+		return nil, Contents{}, err
 	}
 	d.db = db
-	if err := guard(path, func() error { return d.read(path) }); err != nil {
-		_ = guard(path, db.Close)
-		return nil, Found{}, err
+	if err := catchPanics(path, func() error { return d.read(path) }); err != nil {
+		_ = catchPanics(path, db.Close)
+		return nil, Contents{}, err
 	}
-	f := d.found
-	f.Notes, d.found.Kept = maps.Clone(f.Notes), consensus.Kept{} // the caller's alone: it may be long
+	f := d.contents
+	f.Notes, d.contents.Kept = maps.Clone(f.Notes), consensus.Kept{} // the caller's alone: it may be long
 	return d, f, nil
 }
 
-// make lays a new file down whole under its name, or not at all: one that was cut off
-// while it was first written must not look like one that was torn.
-func (o Opening) make(path string, fresh func() string) error {
+// create makes a new file whole under its name, or not at all: one that was cut off while it
+// was first written must not look like a torn one.
+func (o Options) create(path string, fresh func() string) error {
 	db, err := o.open(path + ".new")
-	if torn := (*TornError)(nil); errors.As(err, &torn) { // left from then, and nobody holds it
+	if torn := (*TornWriteError)(nil); errors.As(err, &torn) { // left from then, and nobody holds it
 		_ = os.Remove(path + ".new")
 		db, err = o.open(path + ".new")
 	}
@@ -125,13 +128,13 @@
 		return err
 	}
 	err = db.Update(func(tx *bbolt.Tx) error {
-		for _, b := range [][]byte{stateBucket, recordBucket, noteBucket} {
+		for _, b := range [][]byte{stateBucket, logBucket, noteBucket} {
 			if _, err := tx.CreateBucketIfNotExists(b); err != nil {
 				return err
 			}
 		}
 		state := tx.Bucket(stateBucket)
-		return errors.Join(put(state, nameKey, []byte(fresh())), put(state, spanKey, pack(span{1, 0})))
+		return errors.Join(putChecked(state, nameKey, []byte(fresh())), putChecked(state, spanKey, encode(logRange{1, 0})))
 	})
 	if err == nil {
 		// Another program may have been quicker: its file is locked by it, and stays.
@@ -144,7 +147,7 @@
 		err = syncDir(filepath.Dir(path))
 	}
 	if err != nil {
-		return typed(path, err)
+		return classify(path, err)
 	}
 	return nil
 }
@@ -157,13 +160,13 @@
 	return errors.Join(f.Sync(), f.Close())
 }
 
-func (o Opening) open(path string) (db *bbolt.DB, err error) {
+func (o Options) open(path string) (db *bbolt.DB, err error) {
 	var opened *os.File
-	err = guard(path, func() (err error) {
-		db, err = bbolt.Open(path, 0o600, &bbolt.Options{Timeout: patience, FreelistType: bbolt.FreelistMapType,
+	err = catchPanics(path, func() (err error) {
+		db, err = bbolt.Open(path, 0o600, &bbolt.Options{Timeout: lockTimeout, FreelistType: bbolt.FreelistMapType,
 			// The list of free pages is kept: to find them the library would read the
 			// whole file in a goroutine of its own, where a spoilt page ends the program.
-			NoFreelistSync: false, NoStatistics: true, MaxSize: o.AtMost,
+			NoFreelistSync: false, NoStatistics: true, MaxSize: o.MaxBytes,
 			OpenFile: func(name string, flag int, mode os.FileMode) (*os.File, error) {
 				f, err := o.OpenFile(name, flag, mode)
 				opened = f
@@ -172,8 +175,8 @@
 		return err
 	})
 	// What the library finds wrong of itself, not of the system, is the file's fault.
-	if r := (*RefusedError)(nil); errors.As(err, &r) && !errors.As(err, new(syscall.Errno)) {
-		err = &TornError{path, r.Err.Error()}
+	if r := (*AccessError)(nil); errors.As(err, &r) && !errors.As(err, new(syscall.Errno)) {
+		err = &TornWriteError{path, r.Err.Error()}
 	}
 	if err != nil && opened != nil {
 		// The library does neither when it panics, and the lock would stay with the mapping.
@@ -183,25 +186,25 @@
 	return db, err
 }
 
-// guard makes errors of their own types of what a file that isn't what it should be
-// does: the library panics about some of it, and reads past the end of a file fault.
-func guard(path string, do func() error) (err error) {
+// catchPanics turns what a damaged file does into errors of this package: the library panics
+// about some damage, and reads past the end of a mapped file fault.
+func catchPanics(path string, do func() error) (err error) {
 	defer debug.SetPanicOnFault(debug.SetPanicOnFault(true))
 	defer func() {
 		if p := recover(); p != nil {
-			err = &TornError{path, fmt.Sprint(p)}
+			err = &TornWriteError{path, fmt.Sprint(p)}
 		}
 	}()
 	if err := do(); err != nil {
-		return typed(path, err)
+		return classify(path, err)
 	}
 	return nil
 }
 
-// heads looks at both of the file's heads. The library goes by the newest whole one: a
-// newer one that was spoilt would quietly take the last write back, a vote perhaps. The
-// layout is bbolt's, version 2: a page's header of 16 bytes, 56 bytes, their FNV-1a sum.
-func heads(path string, page int) error {
+// checkMetaPages checks both of the file's meta pages. The library uses the newest intact
+// one: if the newer one was damaged, the last write, perhaps a vote, would silently be undone.
+// The layout is bbolt's, version 2: a page header of 16 bytes, 56 bytes, their FNV-1a sum.
+func checkMetaPages(path string, page int) error {
 	f, err := os.Open(path)
 	if err != nil {
 		return err
@@ -210,49 +213,49 @@
 	for i := range int64(2) {
 		var b [80]byte
 		if _, err := f.ReadAt(b[:], i*int64(page)); err != nil {
-			return &TornError{path, "a head is missing"}
+			return &TornWriteError{path, "a head is missing"}
 		}
 		h := fnv.New64a()
 		h.Write(b[16:72])
 		if h.Sum64() != binary.NativeEndian.Uint64(b[72:]) {
-			return &SpoiltError{path, "head " + strconv.FormatInt(i, 10)}
+			return &CorruptionError{path, "head " + strconv.FormatInt(i, 10)}
 		}
 	}
 	return nil
 }
 
 func (d *Disk) read(path string) error {
-	if err := heads(path, d.db.Info().PageSize); err != nil {
+	if err := checkMetaPages(path, d.db.Info().PageSize); err != nil {
 		return err
 	}
 	return d.db.View(func(tx *bbolt.Tx) error {
 		if info, err := os.Stat(path); err != nil {
 			return err
 		} else if info.Size() < tx.Size() {
-			return &TornError{path, fmt.Sprintf("%d bytes of %d are there", info.Size(), tx.Size())}
+			return &TornWriteError{path, fmt.Sprintf("%d bytes of %d are there", info.Size(), tx.Size())}
 		}
-		state, recs, notes := tx.Bucket(stateBucket), tx.Bucket(recordBucket), tx.Bucket(noteBucket)
+		state, recs, notes := tx.Bucket(stateBucket), tx.Bucket(logBucket), tx.Bucket(noteBucket)
 		if state == nil || recs == nil || notes == nil {
-			return &SpoiltError{path, "table of contents"}
+			return &CorruptionError{path, "table of contents"}
 		}
-		f := &d.found
+		f := &d.contents
 		for _, at := range []struct {
 			key  []byte
 			must bool
 			take func([]byte) error
 		}{
-			{nameKey, true, func(b []byte) error { f.Disk = string(b); return nil }},
+			{nameKey, true, func(b []byte) error { f.DiskID = string(b); return nil }},
 			{ownerKey, false, func(b []byte) error { f.Owner = string(b); return nil }},
 			{hardKey, false, func(b []byte) error { f.Kept.Hard = append([]byte{}, b...); return nil }},
 			{snapshotKey, false, func(b []byte) error {
 				f.Kept.Snapshot = &consensus.Snapshot{}
 				return cbor.Unmarshal(b, f.Kept.Snapshot)
 			}},
-			{spanKey, true, func(b []byte) error { return cbor.Unmarshal(b, &d.span) }},
+			{spanKey, true, func(b []byte) error { return cbor.Unmarshal(b, &d.logRange) }},
 		} {
-			b, ok := get(state, at.key)
+			b, ok := getChecked(state, at.key)
 			if there := state.Get(at.key) != nil; there && !ok || !there && at.must || ok && at.take(b) != nil {
-				return &SpoiltError{path, string(at.key)}
+				return &CorruptionError{path, string(at.key)}
 			}
 		}
 		known := 0 // one whose key was changed would seem never written
@@ -264,14 +267,14 @@
 		if err := state.ForEach(func([]byte, []byte) error { known--; return nil }); err != nil {
 			return err
 		}
-		if known != 0 || d.span.First == 0 || d.span.Last+1 < d.span.First {
-			return &SpoiltError{path, "state"}
+		if known != 0 || d.logRange.First == 0 || d.logRange.Last+1 < d.logRange.First {
+			return &CorruptionError{path, "state"}
 		}
-		f.Kept.Records = make([]consensus.Record, 0, min(d.span.Last+1-d.span.First, 1<<20))
-		next := d.span.First
+		f.Kept.Records = make([]consensus.Record, 0, min(d.logRange.Last+1-d.logRange.First, 1<<20))
+		next := d.logRange.First
 		for c, k := recs.Cursor(), []byte(nil); ; next++ {
 			var v []byte
-			if next == d.span.First {
+			if next == d.logRange.First {
 				k, v = c.First()
 			} else {
 				k, v = c.Next()
@@ -280,73 +283,74 @@
 				break
 			}
 			var r consensus.Record
-			if b, ok := unsummed(k, v); !ok || len(k) != 8 || binary.BigEndian.Uint64(k) != next || next > d.span.Last ||
+			if b, ok := withoutChecksum(k, v); !ok || len(k) != 8 || binary.BigEndian.Uint64(k) != next || next > d.logRange.Last ||
 				cbor.Unmarshal(b, &r) != nil || r.Index != next {
-				return &SpoiltError{path, "record " + strconv.FormatUint(next, 10)}
+				return &CorruptionError{path, "record " + strconv.FormatUint(next, 10)}
 			}
 			f.Kept.Records = append(f.Kept.Records, r)
 		}
-		if next != d.span.Last+1 {
-			return &SpoiltError{path, "record " + strconv.FormatUint(next, 10)}
+		if next != d.logRange.Last+1 {
+			return &CorruptionError{path, "record " + strconv.FormatUint(next, 10)}
 		}
 		f.Notes = map[string][]byte{}
-		listed, ok := get(notes, spanKey)
+		listed, ok := getChecked(notes, spanKey)
 		if !ok && notes.Get(spanKey) != nil {
-			return &SpoiltError{path, "notes"}
+			return &CorruptionError{path, "notes"}
 		}
 		seen := uint64(0)
 		err := notes.ForEach(func(k, v []byte) error {
 			if string(k) == string(spanKey) {
 				return nil
 			}
-			b, ok := unsummed(k, v)
+			b, ok := withoutChecksum(k, v)
 			if !ok || k[0] != '/' {
-				return &SpoiltError{path, fmt.Sprintf("note %q", k)}
+				return &CorruptionError{path, fmt.Sprintf("note %q", k)}
 			}
 			f.Notes[string(k[1:])] = append([]byte{}, b...)
 			seen ^= xxhash.Sum64(k)
 			return nil
 		})
 		if err == nil && (ok || seen != 0) && (len(listed) != 8 || binary.LittleEndian.Uint64(listed) != seen) {
-			err = &SpoiltError{path, "notes"}
+			err = &CorruptionError{path, "notes"}
 		}
 		f.Fresh = f.Owner == "" && f.Kept.Hard == nil && f.Kept.Snapshot == nil && len(f.Kept.Records) == 0 && len(f.Notes) == 0
 		return err
 	})
 }
 
-// Claim says whose directory it is: a new one is noted as such. Another's is a *StrangerError.
+// Claim notes the owner of a new directory. If another controller owns it, the error is a
+// *ForeignDataError.
 func (d *Disk) Claim(name string) error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	switch d.found.Owner {
+	switch d.contents.Owner {
 	case name:
 		return nil
 	case "":
-		err := d.update(func(tx *bbolt.Tx) error { return put(tx.Bucket(stateBucket), ownerKey, []byte(name)) })
+		err := d.update(func(tx *bbolt.Tx) error { return putChecked(tx.Bucket(stateBucket), ownerKey, []byte(name)) })
 		if err == nil {
-			d.found.Owner = name
+			d.contents.Owner = name
 		}
 		return err
 	}
-	return &StrangerError{filepath.Dir(d.db.Path()), d.found.Owner, name}
+	return &ForeignDataError{filepath.Dir(d.db.Path()), d.contents.Owner, name}
 }
 
-// Write puts what is to be kept on the disk: all of it or nothing, and synced when it
-// returns. Records take the place of those from the first one's index on; a snapshot
-// that of all records that don't come along with it. Once it failed it always does,
-// with the same error, until the directory is opened anew.
+// Write persists log entries, a snapshot and the hard state: all of them or none, synced when
+// it returns. Entries replace those from the first one's index on; a snapshot replaces all
+// entries but those that come along with it. After an error every later write fails with the
+// same error, until the directory is opened again.
 func (d *Disk) Write(k consensus.Kept) error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	next := d.span
+	next := d.logRange
 	if k.Snapshot != nil {
-		next = span{k.Snapshot.Index + 1, k.Snapshot.Index}
+		next = logRange{k.Snapshot.Index + 1, k.Snapshot.Index}
 	}
 	if n := len(k.Records); n > 0 {
 		first := k.Records[0].Index
 		if k.Snapshot != nil {
-			next = span{first, first - 1}
+			next = logRange{first, first - 1}
 		}
 		if first < next.First {
 			next.First = first
@@ -361,25 +365,25 @@
 		}
 		next.Last = k.Records[n-1].Index
 	}
-	old := d.span
+	old := d.logRange
 	err := d.update(func(tx *bbolt.Tx) error {
 		state := tx.Bucket(stateBucket)
 		if k.Hard != nil {
-			if err := put(state, hardKey, k.Hard); err != nil {
+			if err := putChecked(state, hardKey, k.Hard); err != nil {
 				return err
 			}
 		}
-		recs := tx.Bucket(recordBucket)
+		recs := tx.Bucket(logBucket)
 		switch {
 		case k.Snapshot != nil:
-			if err := put(state, snapshotKey, pack(k.Snapshot)); err != nil {
+			if err := putChecked(state, snapshotKey, encode(k.Snapshot)); err != nil {
 				return err
 			}
-			if err := tx.DeleteBucket(recordBucket); err != nil {
+			if err := tx.DeleteBucket(logBucket); err != nil {
 				return err
 			}
 			var err error
-			if recs, err = tx.CreateBucket(recordBucket); err != nil {
+			if recs, err = tx.CreateBucket(logBucket); err != nil {
 				return err
 			}
 		case len(k.Records) > 0:
@@ -387,34 +391,34 @@
 				if i < old.First {
 					continue
 				}
-				if err := recs.Delete(key(i)); err != nil {
+				if err := recs.Delete(indexKey(i)); err != nil {
 					return err
 				}
 			}
 		}
 		recs.FillPercent = 0.95 // they come in order
 		for _, r := range k.Records {
-			if err := put(recs, key(r.Index), pack(r)); err != nil {
+			if err := putChecked(recs, indexKey(r.Index), encode(r)); err != nil {
 				return err
 			}
 		}
 		if next != old {
-			return put(state, spanKey, pack(next))
+			return putChecked(state, spanKey, encode(next))
 		}
 		return nil
 	})
 	if err == nil {
-		d.span = next
+		d.logRange = next
 	}
 	return err
 }
 
-// Note keeps a small thing by its key, synced when it returns; nil forgets it. It fails
-// as Write does.
-func (d *Disk) Note(key string, value []byte) error {
+// WriteNote persists a small value under a key, synced when it returns; nil deletes it. It
+// fails as Write does.
+func (d *Disk) WriteNote(key string, value []byte) error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	notes := maps.Clone(d.found.Notes)
+	notes := maps.Clone(d.contents.Notes)
 	if value == nil {
 		delete(notes, key)
 	} else {
@@ -426,7 +430,7 @@
 		if value == nil {
 			err = b.Delete(k)
 		} else {
-			err = put(b, k, value)
+			err = putChecked(b, k, value)
 		}
 		if err != nil {
 			return err
@@ -435,25 +439,25 @@
 		for k := range notes {
 			all ^= xxhash.Sum64String("/" + k)
 		}
-		return put(b, spanKey, binary.LittleEndian.AppendUint64(nil, all))
+		return putChecked(b, spanKey, binary.LittleEndian.AppendUint64(nil, all))
 	})
 	if err == nil {
-		d.found.Notes = notes
+		d.contents.Notes = notes
 	}
 	return err
 }
 
-// Noted is what was kept by a key, nil if nothing was. It must not be changed.
-func (d *Disk) Noted(key string) []byte {
+// ReadNote is the value under a key, nil if there is none. It must not be changed.
+func (d *Disk) ReadNote(key string) []byte {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.found.Notes[key]
+	return d.contents.Notes[key]
 }
 
-// Name is the directory's own name.
-func (d *Disk) Name() string { return d.found.Disk }
+// ID identifies the directory; it was drawn when the directory was made.
+func (d *Disk) ID() string { return d.contents.DiskID }
 
-// Close lets another program have the directory.
+// Close releases the directory for other processes.
 func (d *Disk) Close() error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -462,22 +466,22 @@
 	}
 	d.closed = true
 	if d.err == nil {
-		d.err = &RefusedError{d.db.Path(), os.ErrClosed}
+		d.err = &AccessError{d.db.Path(), os.ErrClosed}
 	}
-	return guard(d.db.Path(), d.db.Close)
+	return catchPanics(d.db.Path(), d.db.Close)
 }
 
 func (d *Disk) update(do func(*bbolt.Tx) error) error {
 	if d.err != nil {
 		return d.err
 	}
-	d.err = guard(d.db.Path(), func() error {
+	d.err = catchPanics(d.db.Path(), func() error {
 		return d.db.Update(func(tx *bbolt.Tx) error {
 			if err := do(tx); err != nil {
 				return err
 			}
-			if d.fault != nil {
-				return d.fault()
+			if d.writeFault != nil {
+				return d.writeFault()
 			}
 			return nil
 		})
@@ -485,39 +489,39 @@
 	return d.err
 }
 
-func key(index uint64) []byte { return binary.BigEndian.AppendUint64(nil, index) }
+func indexKey(index uint64) []byte { return binary.BigEndian.AppendUint64(nil, index) }
 
-// put writes a value after the sum of its key and it.
-func put(b *bbolt.Bucket, key, value []byte) error {
-	return b.Put(key, append(binary.LittleEndian.AppendUint64(nil, sum(key, value)), value...))
+// putChecked writes a value after the checksum of key and value.
+func putChecked(b *bbolt.Bucket, key, value []byte) error {
+	return b.Put(key, append(binary.LittleEndian.AppendUint64(nil, checksum(key, value)), value...))
 }
 
-func get(b *bbolt.Bucket, key []byte) ([]byte, bool) { return unsummed(key, b.Get(key)) }
+func getChecked(b *bbolt.Bucket, key []byte) ([]byte, bool) { return withoutChecksum(key, b.Get(key)) }
 
-func unsummed(key, v []byte) ([]byte, bool) {
-	if len(v) < 8 || binary.LittleEndian.Uint64(v) != sum(key, v[8:]) {
+func withoutChecksum(key, v []byte) ([]byte, bool) {
+	if len(v) < 8 || binary.LittleEndian.Uint64(v) != checksum(key, v[8:]) {
 		return nil, false
 	}
 	return v[8:], true
 }
 
-func sum(key, value []byte) uint64 {
+func checksum(key, value []byte) uint64 {
 	h := xxhash.NewWithSeed(uint64(len(key)))
 	_, _ = h.Write(key)
 	_, _ = h.Write(value)
 	return h.Sum64()
 }
 
-func pack(v any) []byte {
+func encode(v any) []byte {
 	b, err := cbor.Marshal(v)
 	if err != nil {
-		panic(err) // what is kept can always be encoded
+		panic(err) // plain structs can always be encoded
 	}
 	return b
 }
 
-// typed gives what went wrong the type that says what to do.
-func typed(path string, err error) error {
+// classify gives an error the type of this package that tells the operator what to do.
+func classify(path string, err error) error {
 	var known interface {
 		error
 		Remedy() string
@@ -526,12 +530,12 @@
 	case errors.As(err, &known):
 		return known
 	case errors.Is(err, berrors.ErrTimeout):
-		return &HeldError{filepath.Dir(path)}
+		return &LockedError{filepath.Dir(path)}
 	case errors.Is(err, berrors.ErrInvalid), errors.Is(err, berrors.ErrChecksum), errors.Is(err, berrors.ErrVersionMismatch),
 		errors.Is(err, berrors.ErrInvalidMapping):
-		return &TornError{path, err.Error()}
-	case full(err):
-		return &FullError{path, err}
+		return &TornWriteError{path, err.Error()}
+	case isDiskFull(err):
+		return &DiskFullError{path, err}
 	}
-	return &RefusedError{path, err}
+	return &AccessError{path, err}
 }
--- a/internal/fleet/storage/disk_test.go
+++ b/internal/fleet/storage/disk_test.go
@@ -28,7 +28,7 @@
 	}
 }
 
-func open(t testing.TB, o Opening, dir string) (*Disk, Found) {
+func open(t testing.TB, o Options, dir string) (*Disk, Contents) {
 	t.Helper()
 	d, f, err := o.Open(dir, named)
 	must(t, err)
@@ -56,12 +56,12 @@
 
 func TestKept(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "a", "b")
-	d, f := open(t, Opening{}, dir)
-	if !f.Fresh || f.Disk != "disk-1" || d.Name() != "disk-1" || f.Owner != "" {
+	d, f := open(t, Options{}, dir)
+	if !f.Fresh || f.DiskID != "disk-1" || d.ID() != "disk-1" || f.Owner != "" {
 		t.Fatalf("%+v", f)
 	}
 	must(t, d.Claim("north"))
-	want := Found{Disk: "disk-1", Owner: "north", Notes: map[string][]byte{}}
+	want := Contents{DiskID: "disk-1", Owner: "north", Notes: map[string][]byte{}}
 	write := func(k consensus.Kept) {
 		t.Helper()
 		must(t, d.Write(k))
@@ -82,7 +82,7 @@
 	again := func() {
 		t.Helper()
 		must(t, d.Close())
-		d, f = open(t, Opening{}, dir)
+		d, f = open(t, Options{}, dir)
 		if x := diff(want, f); x != "" {
 			t.Fatal(x)
 		}
@@ -99,16 +99,16 @@
 	again()
 	write(consensus.Kept{Snapshot: &consensus.Snapshot{Index: 900, Term: 4}}) // from a leader: nothing before it counts
 	write(consensus.Kept{Records: records(901, 903, 4)})
-	must(t, d.Note("p1", []byte("wiped")))
-	must(t, d.Note("p2", []byte{}))
-	must(t, d.Note("p3", []byte("x")))
-	must(t, d.Note("p3", nil))
+	must(t, d.WriteNote("p1", []byte("wiped")))
+	must(t, d.WriteNote("p2", []byte{}))
+	must(t, d.WriteNote("p3", []byte("x")))
+	must(t, d.WriteNote("p3", nil))
 	want.Notes["p1"], want.Notes["p2"] = []byte("wiped"), []byte{}
 	again()
-	if string(d.Noted("p1")) != "wiped" || d.Noted("p2") == nil || d.Noted("p3") != nil {
+	if string(d.ReadNote("p1")) != "wiped" || d.ReadNote("p2") == nil || d.ReadNote("p3") != nil {
 		t.Fatal("notes")
 	}
-	if got := typeOf(t, d.Claim("south")); got != "StrangerError" {
+	if got := typeOf(t, d.Claim("south")); got != "ForeignDataError" {
 		t.Fatal(got)
 	}
 	var gap *consensus.GapError
@@ -119,17 +119,17 @@
 }
 
 // full lays down a directory with a bit of everything, and tells what it holds.
-func filled(t testing.TB) (dir string, held Found) {
+func filled(t testing.TB) (dir string, held Contents) {
 	dir = t.TempDir()
-	d, _ := open(t, Opening{}, dir)
+	d, _ := open(t, Options{}, dir)
 	must(t, d.Claim("north"))
 	must(t, d.Write(consensus.Kept{Hard: []byte("hard"), Records: records(1, 300, 1)}))
 	must(t, d.Write(consensus.Kept{Snapshot: &consensus.Snapshot{Index: 200, Term: 1, Conf: []byte("conf"), Data: bytes.Repeat([]byte("s"), 9000)},
 		Records: records(100, 300, 1)}))
-	must(t, d.Note("p1", []byte("wiped")))
+	must(t, d.WriteNote("p1", []byte("wiped")))
 	must(t, d.Write(consensus.Kept{Records: records(301, 600, 2)}))
 	must(t, d.Close())
-	d, held = open(t, Opening{}, dir)
+	d, held = open(t, Options{}, dir)
 	must(t, d.Close())
 	return dir, held
 }
@@ -151,7 +151,7 @@
 			must(t, d.Close())
 			continue
 		}
-		if got := typeOf(t, err); got != "TornError" && got != "SpoiltError" {
+		if got := typeOf(t, err); got != "TornWriteError" && got != "CorruptionError" {
 			t.Fatalf("cut at %d: %v", cut, err)
 		}
 		torn++
@@ -185,7 +185,7 @@
 	}
 	// One byte of a record's data, in the copy that counts: at the last place.
 	at := bytes.LastIndex(whole, []byte("what was decided as 457 in 2"))
-	var spoilt *SpoiltError
+	var spoilt *CorruptionError
 	if err := flip(at + 3); !errors.As(err, &spoilt) || spoilt.Where != "record 457" {
 		t.Fatal(err)
 	}
@@ -198,7 +198,7 @@
 	r, told := rand.New(rand.NewPCG(7, 7)), 0
 	for range 400 {
 		if err := flip(r.IntN(len(whole))); err != nil {
-			if got := typeOf(t, err); got != "TornError" && got != "SpoiltError" && got != "RefusedError" {
+			if got := typeOf(t, err); got != "TornWriteError" && got != "CorruptionError" && got != "AccessError" {
 				t.Fatal(err)
 			}
 			told++
@@ -212,7 +212,7 @@
 
 // A write that fails fails for good until the directory is opened anew, and leaves
 // what was written before.
-func stuck(t *testing.T, o Opening, want string, off func()) {
+func stuck(t *testing.T, o Options, want string, off func()) {
 	t.Helper()
 	dir, held := filled(t)
 	d, _, err := o.Open(dir, named)
@@ -229,11 +229,11 @@
 	if again := d.Write(consensus.Kept{Hard: []byte("x")}); again != err {
 		t.Fatal(again)
 	}
-	if again := d.Note("a", []byte("b")); again != err {
+	if again := d.WriteNote("a", []byte("b")); again != err {
 		t.Fatal(again)
 	}
 	must(t, d.Close())
-	d, f := open(t, Opening{}, dir)
+	d, f := open(t, Options{}, dir)
 	if x := diff(held, f); x != "" {
 		t.Fatal(x)
 	}
@@ -241,25 +241,25 @@
 }
 
 func TestFull(t *testing.T) {
-	stuck(t, Opening{AtMost: 1 << 20}, "FullError", func() {})
+	stuck(t, Options{MaxBytes: 1 << 20}, "DiskFullError", func() {})
 	fault := syscall.ENOSPC
-	stuck(t, Opening{Fault: func() error {
+	stuck(t, Options{WriteFault: func() error {
 		if fault != 0 {
 			return &os.PathError{Op: "write", Path: "record", Err: fault}
 		}
 		return nil
-	}}, "FullError", func() { fault = 0 })
+	}}, "DiskFullError", func() { fault = 0 })
 }
 
 func TestRefused(t *testing.T) {
 	// The file itself takes nothing: it was opened for reading only.
-	stuck(t, Opening{OpenFile: func(name string, _ int, mode os.FileMode) (*os.File, error) {
+	stuck(t, Options{OpenFile: func(name string, _ int, mode os.FileMode) (*os.File, error) {
 		return os.OpenFile(name, os.O_RDONLY, mode)
-	}}, "RefusedError", func() {})
-	stuck(t, Opening{Fault: func() error { return syscall.EIO }}, "RefusedError", func() {})
+	}}, "AccessError", func() {})
+	stuck(t, Options{WriteFault: func() error { return syscall.EIO }}, "AccessError", func() {})
 	in := filepath.Join(t.TempDir(), "file")
 	must(t, os.WriteFile(in, nil, 0o600))
-	if _, _, err := Open(filepath.Join(in, "dir"), named); typeOf(t, err) != "RefusedError" {
+	if _, _, err := Open(filepath.Join(in, "dir"), named); typeOf(t, err) != "AccessError" {
 		t.Fatal(err)
 	}
 }
@@ -268,7 +268,7 @@
 func TestMadeAgain(t *testing.T) {
 	dir := t.TempDir()
 	must(t, os.WriteFile(filepath.Join(dir, "record.new"), bytes.Repeat([]byte{1}, 5000), 0o600))
-	if _, f := open(t, Opening{}, dir); !f.Fresh {
+	if _, f := open(t, Options{}, dir); !f.Fresh {
 		t.Fatalf("%+v", f)
 	}
 }
@@ -280,23 +280,23 @@
 		os.Exit(0)
 	}
 	dir := t.TempDir()
-	d, _ := open(t, Opening{}, dir)
+	d, _ := open(t, Options{}, dir)
 	c := exec.Command(os.Args[0], "-test.run=^TestTwoPrograms$")
 	c.Env = append(os.Environ(), "DISK_TEST_DIR="+dir)
 	out, err := c.CombinedOutput()
-	if err != nil || string(out) != "HeldError" {
+	if err != nil || string(out) != "LockedError" {
 		t.Fatalf("%s %v", out, err)
 	}
-	if _, _, err := Open(dir, named); typeOf(t, err) != "HeldError" {
+	if _, _, err := Open(dir, named); typeOf(t, err) != "LockedError" {
 		t.Fatal(err)
 	}
 	must(t, d.Close())
-	open(t, Opening{}, dir)
+	open(t, Options{}, dir)
 }
 
 func TestLongRecord(t *testing.T) {
 	dir := t.TempDir()
-	d, _ := open(t, Opening{}, dir)
+	d, _ := open(t, Options{}, dir)
 	begin := time.Now()
 	const n = 100_000
 	for from := uint64(1); from <= n; from += 10_000 {
@@ -305,7 +305,7 @@
 	t.Logf("%d records were written in %v", n, time.Since(begin))
 	must(t, d.Close())
 	begin = time.Now()
-	d, f := open(t, Opening{}, dir)
+	d, f := open(t, Options{}, dir)
 	took := time.Since(begin)
 	t.Logf("%d records were read in %v", n, took)
 	if len(f.Kept.Records) != n || took > 2*time.Second {
@@ -316,7 +316,7 @@
 	t.Logf("a snapshot in place of all but 200 took %v", time.Since(begin))
 	must(t, d.Close())
 	begin = time.Now()
-	_, f = open(t, Opening{}, dir)
+	_, f = open(t, Options{}, dir)
 	took = time.Since(begin)
 	t.Logf("the snapshot with 200 records was read in %v", took)
 	if f.Kept.Snapshot.Index != n || len(f.Kept.Records) != 200 || took > 2*time.Second {
@@ -333,7 +333,7 @@
 }
 
 func BenchmarkWrite(b *testing.B) {
-	d, _ := open(b, Opening{}, b.TempDir())
+	d, _ := open(b, Options{}, b.TempDir())
 	i := uint64(0)
 	for b.Loop() {
 		i++
@@ -342,7 +342,7 @@
 }
 
 // diff is cmp's, which is slow for what is long and the same.
-func diff(want, got Found) string {
+func diff(want, got Contents) string {
 	if reflect.DeepEqual(want, got) {
 		return ""
 	}
--- a/internal/fleet/storage/errors.go
+++ b/internal/fleet/storage/errors.go
@@ -10,83 +10,83 @@
 	"railrelay.dev/railrelay/internal/fleet"
 )
 
-// again is what helps when what a controller has promised may be lost: it must not come
-// back as the voter that it was.
-const again = "; else, and never from an older copy: end this controller by `fleet forget NAME`, empty the directory and " +
+// rejoinRemedy ends the remedies of errors after which a vote may be lost: the controller must
+// not come back as the voter that it was.
+const rejoinRemedy = "; else, and never from an older copy: end this controller by `fleet forget NAME`, empty the directory and " +
 	"start it under a new name: it gets all from the others"
 
-// TornError is a file that isn't all there.
-type TornError struct{ Path, What string }
+// TornWriteError is a file that is cut short or incomplete.
+type TornWriteError struct{ Path, What string }
 
-func (e *TornError) Error() string { return fmt.Sprintf("%s is torn: %s", e.Path, e.What) }
+func (e *TornWriteError) Error() string { return fmt.Sprintf("%s is torn: %s", e.Path, e.What) }
 
 // Remedy says what to do.
-func (e *TornError) Remedy() string {
-	return "look for what cut it (a full disk, a copy that broke off) and put the newest whole file back if nothing was written since" + again
+func (e *TornWriteError) Remedy() string {
+	return "look for what cut it (a full disk, a copy that broke off) and put the newest whole file back if nothing was written since" + rejoinRemedy
 }
 
-// SpoiltError is a file whose sums don't hold.
-type SpoiltError struct{ Path, Where string }
+// CorruptionError is a file with content that doesn't match its checksums.
+type CorruptionError struct{ Path, Where string }
 
-func (e *SpoiltError) Error() string { return fmt.Sprintf("%s is spoilt: %s", e.Path, e.Where) }
+func (e *CorruptionError) Error() string { return fmt.Sprintf("%s is spoilt: %s", e.Path, e.Where) }
 
 // Remedy says what to do.
-func (e *SpoiltError) Remedy() string {
-	return "don't trust this disk before it was tested" + again
+func (e *CorruptionError) Remedy() string {
+	return "don't trust this disk before it was tested" + rejoinRemedy
 }
 
-// FullError is a disk without room.
-type FullError struct {
+// DiskFullError is a disk, quota or file size limit without room for a write.
+type DiskFullError struct {
 	Path string
 	Err  error
 }
 
-func (e *FullError) Error() string { return fmt.Sprintf("no room for %s: %v", e.Path, e.Err) }
-func (e *FullError) Unwrap() error { return e.Err }
+func (e *DiskFullError) Error() string { return fmt.Sprintf("no room for %s: %v", e.Path, e.Err) }
+func (e *DiskFullError) Unwrap() error { return e.Err }
 
 // Remedy says what to do.
-func (e *FullError) Remedy() string {
+func (e *DiskFullError) Remedy() string {
 	return "make room on this disk and start the controller again; nothing that was told is lost"
 }
 
-// RefusedError is a disk that doesn't take or give what it should.
-type RefusedError struct {
+// AccessError is a read or write that the system refused or failed.
+type AccessError struct {
 	Path string
 	Err  error
 }
 
-func (e *RefusedError) Error() string { return fmt.Sprintf("%s is refused: %v", e.Path, e.Err) }
-func (e *RefusedError) Unwrap() error { return e.Err }
+func (e *AccessError) Error() string { return fmt.Sprintf("%s is refused: %v", e.Path, e.Err) }
+func (e *AccessError) Unwrap() error { return e.Err }
 
 // Remedy says what to do.
-func (e *RefusedError) Remedy() string {
+func (e *AccessError) Remedy() string {
 	return "look at the directory's rights and the system's log for errors of the disk, and start the controller again; if the disk is gone, " +
 		"end this controller by `fleet forget NAME` and start it with an empty directory under a new name"
 }
 
-// HeldError is a directory that another program has open.
-type HeldError struct{ Dir string }
+// LockedError is a directory that another process has open.
+type LockedError struct{ Dir string }
 
-func (e *HeldError) Error() string { return e.Dir + " is in use by another program" }
+func (e *LockedError) Error() string { return e.Dir + " is in use by another program" }
 
 // Remedy says what to do.
-func (e *HeldError) Remedy() string {
+func (e *LockedError) Remedy() string {
 	return "end the other controller first, or give this one a directory of its own"
 }
 
-// StrangerError is another controller's directory.
-type StrangerError struct{ Dir, Owner, Name string }
+// ForeignDataError is a directory that belongs to another controller.
+type ForeignDataError struct{ Dir, Owner, Name string }
 
-func (e *StrangerError) Error() string {
+func (e *ForeignDataError) Error() string {
 	return fmt.Sprintf("%s belongs to %q, not to %q", e.Dir, e.Owner, e.Name)
 }
 
 // Remedy says what to do.
-func (e *StrangerError) Remedy() string {
+func (e *ForeignDataError) Remedy() string {
 	return "put the name or the directory in the set-up right; a controller that gets a new name gets an empty directory"
 }
 
-func full(err error) bool {
+func isDiskFull(err error) bool {
 	for _, e := range []error{syscall.ENOSPC, syscall.EDQUOT, syscall.EFBIG, berrors.ErrMaxSizeReached} {
 		if errors.Is(err, e) {
 			return true
@@ -98,7 +98,7 @@
 // Errors has a sample of each of this package's errors.
 func Errors() []fleet.Remedied {
 	return []fleet.Remedied{
-		&TornError{"record", "a head is missing"}, &SpoiltError{"record", "record 7"}, &FullError{"record", syscall.ENOSPC},
-		&RefusedError{"record", syscall.EIO}, &HeldError{"fleet"}, &StrangerError{"fleet", "north", "south"},
+		&TornWriteError{"record", "a head is missing"}, &CorruptionError{"record", "record 7"}, &DiskFullError{"record", syscall.ENOSPC},
+		&AccessError{"record", syscall.EIO}, &LockedError{"fleet"}, &ForeignDataError{"fleet", "north", "south"},
 	}
 }
--- a/internal/fleet/storage/golden_test.go
+++ b/internal/fleet/storage/golden_test.go
@@ -14,7 +14,7 @@
 // buckets are all keys and values of a file, by bucket.
 func buckets(t *testing.T, dir string) map[string]map[string]string {
 	t.Helper()
-	db, err := bbolt.Open(filepath.Join(dir, file), 0o600, &bbolt.Options{ReadOnly: true, Timeout: time.Second})
+	db, err := bbolt.Open(filepath.Join(dir, fileName), 0o600, &bbolt.Options{ReadOnly: true, Timeout: time.Second})
 	must(t, err)
 	defer db.Close()
 	all := map[string]map[string]string{}
@@ -33,7 +33,7 @@
 
 func TestGoldenDirectoryIsRead(t *testing.T) {
 	dir := goldentest.Copy(t, "directory")
-	d, found := open(t, Opening{}, dir)
+	d, found := open(t, Options{}, dir)
 	want := goldenFound()
 	goldentest.EveryFieldSet(t, goldentest.CBOR, want.Kept.Snapshot, want.Kept.Records)
 	if diff := cmp.Diff(want, found); diff != "" {
@@ -41,8 +41,8 @@
 	}
 	must(t, d.Claim(want.Owner))
 	for key, note := range want.Notes {
-		if string(d.Noted(key)) != string(note) {
-			t.Errorf("note %q: got %q, want %q", key, d.Noted(key), note)
+		if string(d.ReadNote(key)) != string(note) {
+			t.Errorf("note %q: got %q, want %q", key, d.ReadNote(key), note)
 		}
 	}
 }
--- a/internal/fleet/storage/golden_values_test.go
+++ b/internal/fleet/storage/golden_values_test.go
@@ -3,8 +3,8 @@
 import "railrelay.dev/railrelay/internal/fleet/consensus"
 
 // goldenFound is what the golden directory holds, with every field set.
-func goldenFound() Found {
-	return Found{
+func goldenFound() Contents {
+	return Contents{
 		Kept: consensus.Kept{
 			Hard:     []byte("hard"),
 			Snapshot: &consensus.Snapshot{Index: 12, Term: 3, Conf: []byte("voters"), Data: []byte("state")},
@@ -15,16 +15,16 @@
 				{Index: 14, Term: 4, Data: []byte("fourteen")},
 			},
 		},
-		Disk:  "disk-1",
-		Owner: "north-1",
-		Notes: map[string][]byte{"policy": []byte("groups: []\n"), "wiped": {}},
+		DiskID: "disk-1",
+		Owner:  "north-1",
+		Notes:  map[string][]byte{"policy": []byte("groups: []\n"), "wiped": {}},
 	}
 }
 
 // writeGolden makes a directory that holds goldenFound.
 func writeGolden(dir string) error {
 	found := goldenFound()
-	d, _, err := Open(dir, func() string { return found.Disk })
+	d, _, err := Open(dir, func() string { return found.DiskID })
 	if err != nil {
 		return err
 	}
@@ -44,7 +44,7 @@
 		return err
 	}
 	for _, key := range []string{"policy", "wiped"} {
-		if err := d.Note(key, found.Notes[key]); err != nil {
+		if err := d.WriteNote(key, found.Notes[key]); err != nil {
 			return err
 		}
 	}
