--- a/internal/fleet/noop/noop.go
+++ b/internal/fleet/noop/noop.go
@@ -10,7 +10,7 @@
 	"railrelay.dev/railrelay/internal/fleet"
 )
 
-// Reducer answers orders. Word, if set, is kept as a reducer would keep it.
+// Controller answers orders. Word, if set, is kept as a reducer would keep it.
 type Controller struct {
 	Word *fleet.Word
 	// Delay is waited before an order other than a lease is answered; 0: not at all.
--- a/internal/fleet/transport/errors.go
+++ b/internal/fleet/transport/errors.go
@@ -7,13 +7,13 @@
 	"railrelay.dev/railrelay/internal/fleet"
 )
 
-// Refused is what came from a peer and wasn't taken. Reason is its name in the counts.
+// RejectionError is what came from a peer and wasn't taken. Reason is its name in the counts.
 type RejectionError interface {
 	fleet.Remedied
 	Reason() string
 }
 
-// StrangerError is a frame, ask or answer whose MAC is by none of the keys here.
+// UnauthenticatedError is a frame, ask or answer whose MAC is by none of the keys here.
 type UnauthenticatedError struct{ From, What string }
 
 func (e *UnauthenticatedError) Error() string {
@@ -57,7 +57,7 @@
 
 func (e *OtherFleetError) Reason() string { return "other_fleet" }
 
-// AddresseeError is a frame for another controller.
+// WrongRecipientError is a frame for another controller.
 type WrongRecipientError struct{ From, To, Own string }
 
 func (e *WrongRecipientError) Error() string {
@@ -70,7 +70,7 @@
 
 func (e *WrongRecipientError) Reason() string { return "addressee" }
 
-// StaleBootError is a frame for this controller as it ran before it was started anew.
+// StaleIncarnationError is a frame for this controller as it ran before it was started anew.
 type StaleIncarnationError struct{ From string }
 
 func (e *StaleIncarnationError) Error() string {
@@ -84,7 +84,7 @@
 
 func (e *StaleIncarnationError) Reason() string { return "stale_boot" }
 
-// FormError is something signed that can't be read.
+// MalformedError is something signed that can't be read.
 type MalformedError struct {
 	From string
 	Err  error
@@ -116,7 +116,7 @@
 
 func (e *TooLargeError) Reason() string { return "too_large" }
 
-// TurnedAwayError says that a peer refused what was sent to it.
+// PeerRejectedError says that a peer refused what was sent to it.
 type PeerRejectedError struct {
 	Peer, Address string
 	Status        int
