--- a/internal/bench/many.go
+++ b/internal/bench/many.go
@@ -268,7 +268,7 @@
 
 // startFrom starts a voter from a record. It is the only one of its fleet, so that it can
 // vote alone: with others' votes missing it would wait for them.
-func (m Many) startFrom(ctx context.Context, feedAddress string, kept consensus.Kept) (f *processFleet, took time.Duration, err error) {
+func (m Many) startFrom(ctx context.Context, feedAddress string, kept consensus.PersistentState) (f *processFleet, took time.Duration, err error) {
 	f, err = m.prepare(ctx, feedAddress, 1)
 	if err != nil {
 		return nil, 0, err
--- a/internal/bench/many_record.go
+++ b/internal/bench/many_record.go
@@ -18,15 +18,15 @@
 	core   *consensus.Core
 	state  *statemachine.State
 	now    time.Duration
-	kept   consensus.Kept
+	kept   consensus.PersistentState
 	leads  bool
 	stores int // under way
 }
 
 // newRecordBuilder gives one whose voter leads.
 func newRecordBuilder(name string) (*recordBuilder, error) {
-	core, effects, err := consensus.New(consensus.Begin{Self: name, Voters: []consensus.Voter{{Name: name, Address: "127.0.0.1:1"}}, Seed: 1,
-		Election: time.Second, Heartbeat: 100 * time.Millisecond})
+	core, effects, err := consensus.New(consensus.Config{Self: name, Voters: []consensus.Voter{{Name: name, Address: "127.0.0.1:1"}}, Seed: 1,
+		ElectionTimeout: time.Second, HeartbeatInterval: 100 * time.Millisecond})
 	if err != nil {
 		return nil, err
 	}
@@ -35,7 +35,7 @@
 		return nil, err
 	}
 	for !b.leads {
-		if b.now = max(b.now+time.Millisecond, core.Due()); b.now > time.Minute {
+		if b.now = max(b.now+time.Millisecond, core.NextTick()); b.now > time.Minute {
 			return nil, errors.New("a voter that is alone doesn't lead")
 		}
 		if err := b.step(consensus.Event{Kind: consensus.Tick}); err != nil {
@@ -54,7 +54,7 @@
 	err := b.take(effects)
 	for err == nil && b.stores > 0 {
 		b.stores--
-		err = b.take(b.core.Step(b.now, consensus.Event{Kind: consensus.Stored}))
+		err = b.take(b.core.Step(b.now, consensus.Event{Kind: consensus.Persisted}))
 	}
 	return err
 }
@@ -62,18 +62,18 @@
 func (b *recordBuilder) take(effects []consensus.Effect) error {
 	for _, e := range effects {
 		switch e.Kind {
-		case consensus.Store:
-			b.kept = hollow.Merge(b.kept, *e.Kept)
+		case consensus.Persist:
+			b.kept = hollow.Merge(b.kept, *e.Persistent)
 			b.stores++
-		case consensus.Decided:
-			data := e.Record.Data
-			if e.Record.Conf {
+		case consensus.Committed:
+			data := e.Entry.Data
+			if e.Entry.IsVoterChange {
 				data = nil
 			}
-			if err := b.state.Apply(e.Record.Index, data); err != nil {
+			if err := b.state.Apply(e.Entry.Index, data); err != nil {
 				return err
 			}
-		case consensus.Led:
+		case consensus.LeaderChanged:
 			b.leads = e.Leader == b.name
 		}
 	}
@@ -111,12 +111,12 @@
 
 // compact has a snapshot replace the log so far.
 func (b *recordBuilder) compact() error {
-	return b.step(consensus.Event{Kind: consensus.Compacted, Snapshot: &consensus.Snapshot{Index: b.state.Index, Data: b.state.Encode()}})
+	return b.step(consensus.Event{Kind: consensus.SnapshotTaken, Snapshot: &consensus.Snapshot{Index: b.state.Index, Data: b.state.Encode()}})
 }
 
 // compactEvery compacts once the log has so many entries.
 func (b *recordBuilder) compactEvery(entries int) error {
-	if len(b.kept.Records) < entries {
+	if len(b.kept.Entries) < entries {
 		return nil
 	}
 	return b.compact()
@@ -126,18 +126,18 @@
 
 // longRecord is what the disk of a fleet's only voter holds after so many entries of
 // changes of policy, all but the last in a snapshot.
-func longRecord(name string, entries int) (consensus.Kept, error) {
+func longRecord(name string, entries int) (consensus.PersistentState, error) {
 	b, err := newRecordBuilder(name)
 	if err != nil {
-		return consensus.Kept{}, err
+		return consensus.PersistentState{}, err
 	}
 	for b.state.Index < uint64(entries) {
 		if err := b.change(); err != nil {
-			return consensus.Kept{}, err
+			return consensus.PersistentState{}, err
 		}
 		if b.state.Index >= uint64(entries-entriesAfterSnapshot) && b.kept.Snapshot == nil {
 			if err := b.compact(); err != nil {
-				return consensus.Kept{}, err
+				return consensus.PersistentState{}, err
 			}
 		}
 	}
--- a/internal/bench/schedule_actors.go
+++ b/internal/bench/schedule_actors.go
@@ -21,8 +21,8 @@
 	boot    uint64
 	began   time.Duration
 	rate    float64 // its clock's
-	kept    consensus.Kept
-	storing *consensus.Kept
+	kept    consensus.PersistentState
+	storing *consensus.PersistentState
 	slow    time.Duration // its disk is, until
 	wake    int
 	stopped time.Duration // it does nothing until then
@@ -90,8 +90,8 @@
 	return false, upstreams
 }
 
-func clone(k consensus.Kept) consensus.Kept {
-	k.Hard, k.Records = slices.Clone(k.Hard), slices.Clone(k.Records)
+func clone(k consensus.PersistentState) consensus.PersistentState {
+	k.HardState, k.Entries = slices.Clone(k.HardState), slices.Clone(k.Entries)
 	return k
 }
 
@@ -119,7 +119,7 @@
 				took += p.span(20*time.Millisecond, 300*time.Millisecond)
 			}
 			p.in(took, a, func() {
-				a.keep(k, len(k.Records))
+				a.keep(k, len(k.Entries))
 				a.storing = nil
 				p.step(a, node.Event{Kind: node.WritesPersisted})
 			})
@@ -163,19 +163,19 @@
 }
 
 // keep takes so many of a store's records to disk, and with all of them the rest.
-func (a *actor) keep(k consensus.Kept, records int) {
+func (a *actor) keep(k consensus.PersistentState, records int) {
 	if s := k.Snapshot; s != nil {
 		a.kept.Snapshot = s
-		a.kept.Records = slices.DeleteFunc(slices.Clone(a.kept.Records), func(r consensus.Record) bool { return r.Index <= s.Index })
+		a.kept.Entries = slices.DeleteFunc(slices.Clone(a.kept.Entries), func(r consensus.LogEntry) bool { return r.Index <= s.Index })
 	}
-	for _, r := range k.Records[:records] {
-		if i := slices.IndexFunc(a.kept.Records, func(x consensus.Record) bool { return x.Index >= r.Index }); i >= 0 {
-			a.kept.Records = slices.Clone(a.kept.Records[:i])
+	for _, r := range k.Entries[:records] {
+		if i := slices.IndexFunc(a.kept.Entries, func(x consensus.LogEntry) bool { return x.Index >= r.Index }); i >= 0 {
+			a.kept.Entries = slices.Clone(a.kept.Entries[:i])
 		}
-		a.kept.Records = append(a.kept.Records, r)
+		a.kept.Entries = append(a.kept.Entries, r)
 	}
-	if k.Hard != nil && records == len(k.Records) {
-		a.kept.Hard = k.Hard
+	if k.HardState != nil && records == len(k.Entries) {
+		a.kept.HardState = k.HardState
 	}
 }
 
@@ -185,7 +185,7 @@
 		return
 	}
 	if k := a.storing; k != nil && p.rng.IntN(2) == 0 {
-		a.keep(*k, len(k.Records))
+		a.keep(*k, len(k.Entries))
 	}
 	a.down, a.storing = true, nil
 	p.check.Note(p.now, a.name+" is killed", a.name)
--- a/internal/emulator/hollow/hollow_test.go
+++ b/internal/emulator/hollow/hollow_test.go
@@ -213,17 +213,17 @@
 }
 
 func TestWhatIsKeptIsWhatADiskWouldKeep(t *testing.T) {
-	record := func(index, term uint64) consensus.Record { return consensus.Record{Index: index, Term: term} }
-	kept := Merge(consensus.Kept{}, consensus.Kept{Hard: []byte("a"), Records: []consensus.Record{record(1, 1), record(2, 1), record(3, 1)}})
-	next := Merge(kept, consensus.Kept{Records: []consensus.Record{record(2, 2)}})
-	if len(next.Records) != 2 || next.Records[1].Term != 2 || string(next.Hard) != "a" || kept.Records[1].Term != 1 {
+	record := func(index, term uint64) consensus.LogEntry { return consensus.LogEntry{Index: index, Term: term} }
+	kept := Merge(consensus.PersistentState{}, consensus.PersistentState{HardState: []byte("a"), Entries: []consensus.LogEntry{record(1, 1), record(2, 1), record(3, 1)}})
+	next := Merge(kept, consensus.PersistentState{Entries: []consensus.LogEntry{record(2, 2)}})
+	if len(next.Entries) != 2 || next.Entries[1].Term != 2 || string(next.HardState) != "a" || kept.Entries[1].Term != 1 {
 		t.Errorf("%+v, and before it %+v", next, kept)
 	}
-	next = Merge(next, consensus.Kept{Hard: []byte("b"), Snapshot: &consensus.Snapshot{Index: 2}, Records: []consensus.Record{record(2, 2), record(3, 2)}})
-	if len(next.Records) != 2 || next.Snapshot.Index != 2 || string(next.Hard) != "b" {
+	next = Merge(next, consensus.PersistentState{HardState: []byte("b"), Snapshot: &consensus.Snapshot{Index: 2}, Entries: []consensus.LogEntry{record(2, 2), record(3, 2)}})
+	if len(next.Entries) != 2 || next.Snapshot.Index != 2 || string(next.HardState) != "b" {
 		t.Errorf("%+v", next)
 	}
-	if next = Merge(next, consensus.Kept{Snapshot: &consensus.Snapshot{Index: 9}}); len(next.Records) != 0 {
+	if next = Merge(next, consensus.PersistentState{Snapshot: &consensus.Snapshot{Index: 9}}); len(next.Entries) != 0 {
 		t.Errorf("%+v", next)
 	}
 }
--- a/internal/emulator/hollow/store.go
+++ b/internal/emulator/hollow/store.go
@@ -15,7 +15,7 @@
 	name string // of the disk that it stands for
 
 	mu    sync.Mutex
-	kept  consensus.Kept
+	kept  consensus.PersistentState
 	delay time.Duration
 }
 
@@ -34,12 +34,12 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	kept := s.kept
-	kept.Records = append([]consensus.Record(nil), kept.Records...)
-	return storage.Contents{DiskID: s.name, Kept: kept}
+	kept.Entries = append([]consensus.LogEntry(nil), kept.Entries...)
+	return storage.Contents{DiskID: s.name, Persistent: kept}
 }
 
 // Write keeps what a disk would, after the delay.
-func (s *Store) Write(k consensus.Kept) error {
+func (s *Store) Write(k consensus.PersistentState) error {
 	s.mu.Lock()
 	delay := s.delay
 	s.mu.Unlock()
@@ -54,24 +54,24 @@
 func (s *Store) Close() error { return nil }
 
 // Merge gives what is kept once next has been written over before, as consensus.Kept says.
-func Merge(before, next consensus.Kept) consensus.Kept {
+func Merge(before, next consensus.PersistentState) consensus.PersistentState {
 	merged := before
-	if next.Hard != nil {
-		merged.Hard = next.Hard
+	if next.HardState != nil {
+		merged.HardState = next.HardState
 	}
 	if next.Snapshot != nil {
-		merged.Snapshot, merged.Records = next.Snapshot, nil
+		merged.Snapshot, merged.Entries = next.Snapshot, nil
 	}
-	if len(next.Records) == 0 {
+	if len(next.Entries) == 0 {
 		return merged
 	}
-	stay := len(merged.Records)
-	for stay > 0 && merged.Records[stay-1].Index >= next.Records[0].Index {
+	stay := len(merged.Entries)
+	for stay > 0 && merged.Entries[stay-1].Index >= next.Entries[0].Index {
 		stay--
 	}
-	if stay < len(merged.Records) { // before keeps what is replaced here
-		merged.Records = merged.Records[:stay:stay]
+	if stay < len(merged.Entries) { // before keeps what is replaced here
+		merged.Entries = merged.Entries[:stay:stay]
 	}
-	merged.Records = append(merged.Records, next.Records...)
+	merged.Entries = append(merged.Entries, next.Entries...)
 	return merged
 }
--- a/internal/fleet/consensus/core.go
+++ b/internal/fleet/consensus/core.go
@@ -14,182 +14,200 @@
 )
 
 const (
-	// trailing is how many records before a snapshot stay, so that a voter that lags a
-	// little gets records and not the whole state.
-	trailing = 200
-	// most bytes of records in one message, and of those proposed but not yet decided;
-	// what is proposed beyond that is lost, and asked for again.
-	mostMessage, mostOpen = 1 << 20, 64 << 20
-	never                 = time.Duration(1<<63 - 1)
+	// trailingEntries stay in the log before a snapshot, so that a voter that lags a little
+	// gets entries and not the whole state.
+	trailingEntries = 200
+	// maxMessageBytes bounds the entries in one message.
+	maxMessageBytes = 1 << 20
+	// maxUncommittedBytes bounds what is proposed but not yet committed. Proposals beyond
+	// that are lost, and proposed again by who made them.
+	maxUncommittedBytes = 64 << 20
+	// never is a time that doesn't come.
+	never = time.Duration(1<<63 - 1)
 )
 
-// Core is one voter. Not for use by several goroutines. The bytes that it hands out
-// must not be changed, and it keeps those that it is given.
+// Core is one voter. It isn't safe for use by several goroutines. The bytes that it hands
+// out must not be changed, and it keeps those that it is given.
 type Core struct {
-	// Odd counts messages that were ignored: damaged, for another, or such as no voter sends.
-	Odd int
+	// IgnoredMessages counts messages that were damaged, for another, or such as no voter sends.
+	IgnoredMessages int
 
-	id        uint64
-	self      string
-	raft      *raft.RawNode
-	log       *raft.MemoryStorage
-	rand      *rand.Rand
-	election  time.Duration
-	heartbeat time.Duration
-	names     map[uint64]string // of all who were heard or vote: who to answer
+	id                uint64
+	self              string
+	raft              *raft.RawNode
+	storage           *raft.MemoryStorage
+	rand              *rand.Rand
+	electionTimeout   time.Duration
+	heartbeatInterval time.Duration
+	names             map[uint64]string // by number, of all who were heard or vote: who to answer
 
-	conf    *pb.ConfState
-	voters  map[uint64]Voter
-	confs   []confAt // what held from which index on, for snapshots of an earlier index
-	applied uint64
-	inTerm  uint64 // the term of the record at applied
-	last    uint64 // records up to here were handed out to be stored
-	hard    *pb.HardState
+	// Who votes. configHistory has who voted from which index on, for a snapshot of an
+	// earlier index than applied.
+	voterConfig         *pb.ConfState
+	voters              map[uint64]Voter
+	configHistory       []configAt
+	proposedVoterChange uint64 // 1: one was proposed in this term and isn't committed
+	votersChanged       bool   // to be told by a VotersChanged
 
-	begun   bool
-	now     time.Duration
-	heard   time.Duration // the last word of the leader
-	base    time.Duration // what the time to stand for election counts from
-	span    time.Duration
-	beat    time.Duration // the leader's next heartbeat
-	leading bool          // as of the last look
-	asked   uint64        // by Confirm since it leads
-	asks    []ask
-	snaps   map[uint64]time.Duration // snapshots on their way to voters, and since when
+	// The log. An entry at lastIndex or before was handed out to be persisted.
+	applied     uint64
+	appliedTerm uint64 // of the entry at applied
+	lastIndex   uint64
+	hardState   *pb.HardState
 
-	storing bool
-	ready   *raft.Ready // what the Store under way is part of; nil: of a snapshot of ours, or the very first
-	compact *Snapshot   // to replace the log before it, once no Store is under way
-	confAsk uint64      // a change of voters was asked for in this term and isn't decided
-	voting  bool        // who votes has changed
-	leader  string      // as last told, with its term
-	term    uint64
-	out     []Effect
+	// Times, as the Steps had them. The voter stands for election electionDelay after
+	// electionTimerStart.
+	started            bool
+	now                time.Duration
+	leaderHeardAt      time.Duration
+	electionTimerStart time.Duration
+	electionDelay      time.Duration
+	nextHeartbeat      time.Duration
+
+	// What it does while it leads. leading is as of the last updateLeader.
+	leading           bool
+	confirmsAsked     uint64 // since it leads
+	pendingConfirms   []pendingConfirm
+	snapshotsInFlight map[uint64]time.Duration // when a snapshot was sent, by the voter's number
+
+	// persisting is set from a Persist to its Persisted. pendingReady is what is finished
+	// then; nil: the Persist was for a snapshot of this voter, or the very first one.
+	persisting      bool
+	pendingReady    *raft.Ready
+	pendingSnapshot *Snapshot // to replace the log up to there, once nothing is being persisted
+
+	leader     string // as last told, with its term
+	leaderTerm uint64
+	effects    []Effect // of the Step under way
 }
 
-type confAt struct {
+// configAt is who votes from an index on.
+type configAt struct {
 	index  uint64
-	conf   *pb.ConfState
+	config *pb.ConfState
 	voters []Voter
 }
 
-type ask struct {
-	seq, handle, index uint64 // index: it led, and this was decided then; 0: not known yet
-	until              time.Duration
+// pendingConfirm is a ConfirmLeadership without an answer yet.
+type pendingConfirm struct {
+	seq    uint64
+	handle uint64
+	index  uint64        // it led, and this was committed then; 0: not known yet
+	until  time.Duration // it is denied then
 }
 
-// votersKept is what Snapshot.Conf holds, CBOR.
-type votersKept struct {
-	State  []byte  `cbor:"1,keyasint"` // the library's
+// voterConfig is what Snapshot.VoterConfig holds, as CBOR.
+type voterConfig struct {
+	State  []byte  `cbor:"1,keyasint"` // the library's ConfState
 	Voters []Voter `cbor:"2,keyasint"`
 }
 
-// passed is what a snapshot's data is among voters: who they are goes along.
-type passed struct {
+// snapshotPayload is a snapshot's data as voters send it to each other: with the voters.
+type snapshotPayload struct {
 	Voters []Voter `cbor:"1,keyasint"`
 	Data   []byte  `cbor:"2,keyasint"`
 }
 
 // New begins a voter. The effects are those of a Step: what the disk held comes as
-// Restored and Decided, as far as it is known to be decided.
-func New(b Begin) (*Core, []Effect, error) {
-	if b.Heartbeat <= 0 || b.Election < 2*b.Heartbeat {
-		return nil, nil, &SpanError{b.Election, b.Heartbeat}
+// SnapshotRestored and Committed, as far as it is known to be committed.
+func New(b Config) (*Core, []Effect, error) {
+	if b.HeartbeatInterval <= 0 || b.ElectionTimeout < 2*b.HeartbeatInterval {
+		return nil, nil, &TimeoutError{b.ElectionTimeout, b.HeartbeatInterval}
 	}
-	if err := numbered(b.Self, b.Voters); err != nil {
+	if err := checkVoterNames(b.Self, b.Voters); err != nil {
 		return nil, nil, err
 	}
 	c := &Core{
-		id: Number(b.Self), self: b.Self,
-		rand:     rand.New(rand.NewPCG(b.Seed, Number(b.Self))),
-		election: b.Election, heartbeat: b.Heartbeat,
-		names: map[uint64]string{Number(b.Self): b.Self}, voters: map[uint64]Voter{},
-		conf: &pb.ConfState{}, snaps: map[uint64]time.Duration{},
+		id: VoterNumber(b.Self), self: b.Self,
+		rand:            rand.New(rand.NewPCG(b.Seed, VoterNumber(b.Self))),
+		electionTimeout: b.ElectionTimeout, heartbeatInterval: b.HeartbeatInterval,
+		names: map[uint64]string{VoterNumber(b.Self): b.Self}, voters: map[uint64]Voter{},
+		voterConfig: &pb.ConfState{}, snapshotsInFlight: map[uint64]time.Duration{},
 	}
-	kept := b.Kept
-	fresh := kept.Hard == nil && kept.Snapshot == nil && len(kept.Records) == 0
+	kept := b.Persistent
+	fresh := kept.HardState == nil && kept.Snapshot == nil && len(kept.Entries) == 0
 	if fresh && len(b.Voters) > 0 {
-		kept = genesis(b.Voters)
-		c.emit(Effect{Kind: Store, Kept: &kept})
-		c.storing = true
+		kept = initialState(b.Voters)
+		c.emit(Effect{Kind: Persist, Persistent: &kept})
+		c.persisting = true
 	}
 	if err := c.load(kept); err != nil {
 		return nil, nil, err
 	}
 	node, err := raft.NewRawNode(&raft.Config{
-		ID: c.id, Storage: c.log, Applied: c.applied,
+		ID: c.id, Storage: c.storage, Applied: c.applied,
 		// Only a leader is ever ticked, once a heartbeat: after so many ticks without
 		// a majority it gives up. Elections are called here, by our own times.
-		ElectionTick: max(2, int(b.Election/b.Heartbeat)), HeartbeatTick: 1,
+		ElectionTick: max(2, int(b.ElectionTimeout/b.HeartbeatInterval)), HeartbeatTick: 1,
 		CheckQuorum: true, PreVote: true, ReadOnlyOption: raft.ReadOnlySafe,
-		MaxSizePerMsg: mostMessage, MaxInflightMsgs: 64, MaxUncommittedEntriesSize: mostOpen,
+		MaxSizePerMsg: maxMessageBytes, MaxInflightMsgs: 64, MaxUncommittedEntriesSize: maxUncommittedBytes,
 		DisableProposalForwarding: true, StepDownOnRemoval: true, Logger: quiet{},
 	})
 	if err != nil {
-		return nil, nil, &KeptError{err.Error()}
+		return nil, nil, &PersistentStateError{err.Error()}
 	}
 	c.raft = node
-	c.pump()
-	return c, c.take(), nil
+	c.handleReady()
+	return c, c.takeEffects(), nil
 }
 
-// load puts what was kept where the library reads it.
-func (c *Core) load(k Kept) error {
-	c.log, c.hard = raft.NewMemoryStorage(), &pb.HardState{}
-	if err := proto.Unmarshal(k.Hard, c.hard); err != nil {
-		return &KeptError{"term and vote can't be read"}
+// load puts what the disk held where the library reads it.
+func (c *Core) load(k PersistentState) error {
+	c.storage, c.hardState = raft.NewMemoryStorage(), &pb.HardState{}
+	if err := proto.Unmarshal(k.HardState, c.hardState); err != nil {
+		return &PersistentStateError{"term and vote can't be read"}
 	}
-	for i, r := range k.Records {
-		if r.Index != k.Records[0].Index+uint64(i) || r.Index == 0 {
-			return &GapError{r.Index}
+	for i, r := range k.Entries {
+		if r.Index != k.Entries[0].Index+uint64(i) || r.Index == 0 {
+			return &LogGapError{r.Index}
 		}
 	}
-	records, snap := k.Records, k.Snapshot
+	records, snap := k.Entries, k.Snapshot
 	if snap != nil {
-		var who votersKept
+		var who voterConfig
 		conf := &pb.ConfState{}
-		if cbor.Unmarshal(snap.Conf, &who) != nil || proto.Unmarshal(who.State, conf) != nil {
-			return &KeptError{"the snapshot doesn't tell who votes"}
+		if cbor.Unmarshal(snap.VoterConfig, &who) != nil || proto.Unmarshal(who.State, conf) != nil {
+			return &PersistentStateError{"the snapshot doesn't tell who votes"}
 		}
-		c.applied, c.inTerm = snap.Index, snap.Term
-		c.setConf(snap.Index, conf, who.Voters)
-		whole := &pb.Snapshot{Data: pack(passed{who.Voters, snap.Data}), Metadata: &pb.SnapshotMetadata{
+		c.applied, c.appliedTerm = snap.Index, snap.Term
+		c.setVoterConfig(snap.Index, conf, who.Voters)
+		whole := &pb.Snapshot{Data: encodeCBOR(snapshotPayload{who.Voters, snap.Data}), Metadata: &pb.SnapshotMetadata{
 			Index: new(snap.Index), Term: new(snap.Term), ConfState: conf}}
 		// Records before the snapshot are kept for voters that lag. The library wants
 		// them after something: the first of them is given up for that.
 		if len(records) > 0 && records[0].Index < snap.Index && records[len(records)-1].Index >= snap.Index {
 			base := records[0]
 			records = records[1:]
-			_ = c.log.ApplySnapshot(&pb.Snapshot{Metadata: &pb.SnapshotMetadata{
+			_ = c.storage.ApplySnapshot(&pb.Snapshot{Metadata: &pb.SnapshotMetadata{
 				Index: new(base.Index), Term: new(base.Term), ConfState: conf}})
-			_ = c.log.Append(entries(records))
-			_, _ = c.log.CreateSnapshot(snap.Index, conf, whole.Data)
+			_ = c.storage.Append(toRaftEntries(records))
+			_, _ = c.storage.CreateSnapshot(snap.Index, conf, whole.Data)
 		} else {
 			for len(records) > 0 && records[0].Index <= snap.Index {
 				records = records[1:]
 			}
 			if len(records) > 0 && records[0].Index != snap.Index+1 {
-				return &GapError{records[0].Index}
+				return &LogGapError{records[0].Index}
 			}
-			_ = c.log.ApplySnapshot(whole)
-			_ = c.log.Append(entries(records))
+			_ = c.storage.ApplySnapshot(whole)
+			_ = c.storage.Append(toRaftEntries(records))
 		}
-		c.emit(Effect{Kind: Restored, Snapshot: snap})
+		c.emit(Effect{Kind: SnapshotRestored, Snapshot: snap})
 	} else {
 		if len(records) > 0 && records[0].Index != 1 {
-			return &GapError{records[0].Index}
+			return &LogGapError{records[0].Index}
 		}
-		_ = c.log.Append(entries(records))
+		_ = c.storage.Append(toRaftEntries(records))
 	}
-	c.last, _ = c.log.LastIndex()
-	if c.hard.GetCommit() > c.last {
-		return &GapError{c.last + 1}
+	c.lastIndex, _ = c.storage.LastIndex()
+	if c.hardState.GetCommit() > c.lastIndex {
+		return &LogGapError{c.lastIndex + 1}
 	}
-	if c.hard.GetCommit() < c.applied {
-		c.hard.Commit = new(c.applied)
+	if c.hardState.GetCommit() < c.applied {
+		c.hardState.Commit = new(c.applied)
 	}
-	if k.Hard != nil || snap != nil {
-		_ = c.log.SetHardState(proto.Clone(c.hard).(*pb.HardState))
+	if k.HardState != nil || snap != nil {
+		_ = c.storage.SetHardState(proto.Clone(c.hardState).(*pb.HardState))
 	}
 	return nil
 }
@@ -197,53 +215,53 @@
 // Step takes an event in and tells what follows. Time never goes back.
 func (c *Core) Step(now time.Duration, ev Event) []Effect {
 	c.now = max(c.now, now)
-	if !c.begun {
-		c.begun, c.base = true, c.now
-		c.draw()
-		if c.alone() {
-			c.span = 0 // nobody else could lead
+	if !c.started {
+		c.started, c.electionTimerStart = true, c.now
+		c.drawElectionDelay()
+		if c.isOnlyVoter() {
+			c.electionDelay = 0 // nobody else could lead
 		}
 	}
-	c.forget()
+	c.forgetSilentLeader()
 	switch ev.Kind {
-	case Message:
-		c.message(ev)
-	case Stored:
-		c.stored()
+	case MessageReceived:
+		c.receive(ev)
+	case Persisted:
+		c.persisted()
 	case Propose:
 		if c.leading && len(ev.Data) > 0 {
 			_ = c.raft.Propose(ev.Data)
 		}
-	case Confirm:
+	case ConfirmLeadership:
 		c.confirm(ev.Handle)
-	case Voters:
-		c.want(ev.Voters)
-	case Compacted:
-		if s := ev.Snapshot; s != nil && s.Index <= c.applied && (c.compact == nil || c.compact.Index < s.Index) {
-			c.compact = s
+	case ChangeVoters:
+		c.changeVoters(ev.Voters)
+	case SnapshotTaken:
+		if s := ev.Snapshot; s != nil && s.Index <= c.applied && (c.pendingSnapshot == nil || c.pendingSnapshot.Index < s.Index) {
+			c.pendingSnapshot = s
 		}
 	}
-	c.look()
-	c.duties()
-	c.pump()
-	return c.take()
+	c.updateLeader()
+	c.runTimers()
+	c.handleReady()
+	return c.takeEffects()
 }
 
-// Due is when the next Tick is wanted. It is never later than the voter needs, and may
+// NextTick is when the next Tick is due. It is never later than the voter needs, and may
 // change with each Step.
-func (c *Core) Due() time.Duration {
-	if !c.begun {
+func (c *Core) NextTick() time.Duration {
+	if !c.started {
 		return 0
 	}
 	if c.leading {
-		return c.beat
+		return c.nextHeartbeat
 	}
 	due := never
-	if c.votes() {
-		due = c.base + c.span
+	if c.isVoter() {
+		due = c.electionTimerStart + c.electionDelay
 	}
 	if c.raft.BasicStatus().Lead != raft.None {
-		due = min(due, c.heard+c.election)
+		due = min(due, c.leaderHeardAt+c.electionTimeout)
 	}
 	return due
 }
@@ -254,8 +272,9 @@
 	return c.names[s.Lead], s.GetTerm()
 }
 
-// Leads reports whether this is the leader, as far as it knows. Another may lead already: see Confirm.
-func (c *Core) Leads() bool { return c.leading }
+// IsLeader reports whether this is the leader, as far as it knows. Another may lead already:
+// see ConfirmLeadership.
+func (c *Core) IsLeader() bool { return c.leading }
 
 // Voters are those that vote, by name. While some are being replaced both the old and
 // the new ones do.
@@ -264,68 +283,68 @@
 	for _, v := range c.voters {
 		all = append(all, v)
 	}
-	return sorted(all)
+	return sortedByName(all)
 }
 
-func (c *Core) votes() bool { _, ok := c.voters[c.id]; return ok }
-func (c *Core) alone() bool { return len(c.voters) == 1 && c.votes() }
-func (c *Core) draw() {
-	c.span = c.election + time.Duration(c.rand.Int64N(int64(c.election)))
+func (c *Core) isVoter() bool     { _, ok := c.voters[c.id]; return ok }
+func (c *Core) isOnlyVoter() bool { return len(c.voters) == 1 && c.isVoter() }
+func (c *Core) drawElectionDelay() {
+	c.electionDelay = c.electionTimeout + time.Duration(c.rand.Int64N(int64(c.electionTimeout)))
 }
-func (c *Core) emit(e Effect) { c.out = append(c.out, e) }
-func (c *Core) take() []Effect {
-	c.look()
-	out := c.out
-	c.out = nil
+func (c *Core) emit(e Effect) { c.effects = append(c.effects, e) }
+func (c *Core) takeEffects() []Effect {
+	c.updateLeader()
+	out := c.effects
+	c.effects = nil
 	return out
 }
 
-// forget lets a leader go that wasn't heard for so long that another may be voted for.
-// As long as it is remembered, the library answers no request for votes: one who was
-// cut off and comes back then doesn't unseat a leader that all others hear.
-func (c *Core) forget() {
-	if s := c.raft.BasicStatus(); s.RaftState == raft.StateFollower && s.Lead != raft.None && c.now-c.heard >= c.election {
+// forgetSilentLeader forgets a leader that wasn't heard for an election timeout, so that
+// another may be voted for. Until then the library answers no request for votes: a voter that
+// was cut off and comes back doesn't unseat a leader that all others hear.
+func (c *Core) forgetSilentLeader() {
+	if s := c.raft.BasicStatus(); s.RaftState == raft.StateFollower && s.Lead != raft.None && c.now-c.leaderHeardAt >= c.electionTimeout {
 		_ = c.raft.ForgetLeader()
 	}
 }
 
-// look sees whether who leads has changed.
-func (c *Core) look() {
+// updateLeader notes and tells a change of leader or term.
+func (c *Core) updateLeader() {
 	s := c.raft.BasicStatus()
-	if leads := s.RaftState == raft.StateLeader; leads != c.leading || leads && s.GetTerm() != c.term {
-		c.leading, c.asked, c.confAsk = leads, 0, 0
-		clear(c.snaps)
-		c.base, c.beat = c.now, c.now
-		c.draw()
-		c.deny(true)
+	if leads := s.RaftState == raft.StateLeader; leads != c.leading || leads && s.GetTerm() != c.leaderTerm {
+		c.leading, c.confirmsAsked, c.proposedVoterChange = leads, 0, 0
+		clear(c.snapshotsInFlight)
+		c.electionTimerStart, c.nextHeartbeat = c.now, c.now
+		c.drawElectionDelay()
+		c.denyConfirms(true)
 	}
 	name := c.names[s.Lead]
-	if name != c.leader || name != "" && s.GetTerm() != c.term {
-		c.leader, c.term = name, s.GetTerm()
-		c.emit(Effect{Kind: Led, Leader: name, Term: c.term})
+	if name != c.leader || name != "" && s.GetTerm() != c.leaderTerm {
+		c.leader, c.leaderTerm = name, s.GetTerm()
+		c.emit(Effect{Kind: LeaderChanged, Leader: name, Term: c.leaderTerm})
 	}
 }
 
-// duties are those that come by the time alone.
-func (c *Core) duties() {
+// runTimers does what is due by the time alone.
+func (c *Core) runTimers() {
 	switch {
 	case c.leading:
-		if c.now >= c.beat {
-			c.beat = c.now + c.heartbeat
+		if c.now >= c.nextHeartbeat {
+			c.nextHeartbeat = c.now + c.heartbeatInterval
 			c.raft.Tick()
-			// A snapshot that got lost would be waited for without an end.
-			for _, id := range slices.Sorted(maps.Keys(c.snaps)) {
-				if c.now-c.snaps[id] >= 4*c.election {
-					delete(c.snaps, id)
+			// The library would wait for a lost snapshot for ever.
+			for _, id := range slices.Sorted(maps.Keys(c.snapshotsInFlight)) {
+				if c.now-c.snapshotsInFlight[id] >= 4*c.electionTimeout {
+					delete(c.snapshotsInFlight, id)
 					c.raft.ReportSnapshot(id, raft.SnapshotFailure)
 				}
 			}
 		}
-		c.deny(false)
-	case c.votes() && c.now >= c.base+c.span:
-		c.base = c.now
-		c.draw()
-		if !c.storing { // whose disk is slow had better not lead
+		c.denyConfirms(false)
+	case c.isVoter() && c.now >= c.electionTimerStart+c.electionDelay:
+		c.electionTimerStart = c.now
+		c.drawElectionDelay()
+		if !c.persisting { // a voter with a slow disk had better not lead
 			_ = c.raft.Campaign()
 		}
 	}
@@ -333,43 +352,43 @@
 
 func (c *Core) confirm(handle uint64) {
 	if !c.leading {
-		c.emit(Effect{Kind: Denied, Handle: handle})
+		c.emit(Effect{Kind: LeadershipDenied, Handle: handle})
 		return
 	}
-	c.asked++
-	c.asks = append(c.asks, ask{seq: c.asked, handle: handle, until: c.now + 2*c.election})
-	c.raft.ReadIndex(binary.LittleEndian.AppendUint64(binary.LittleEndian.AppendUint64(nil, c.asked), c.raft.BasicStatus().GetTerm()))
+	c.confirmsAsked++
+	c.pendingConfirms = append(c.pendingConfirms, pendingConfirm{seq: c.confirmsAsked, handle: handle, until: c.now + 2*c.electionTimeout})
+	c.raft.ReadIndex(binary.LittleEndian.AppendUint64(binary.LittleEndian.AppendUint64(nil, c.confirmsAsked), c.raft.BasicStatus().GetTerm()))
 }
 
-// deny answers those for whom it is too late, or all.
-func (c *Core) deny(all bool) {
-	c.asks = slices.DeleteFunc(c.asks, func(a ask) bool {
+// denyConfirms denies the confirmations that have waited too long, or all.
+func (c *Core) denyConfirms(all bool) {
+	c.pendingConfirms = slices.DeleteFunc(c.pendingConfirms, func(a pendingConfirm) bool {
 		gone := all || c.now >= a.until
 		if gone {
-			c.emit(Effect{Kind: Denied, Handle: a.handle})
+			c.emit(Effect{Kind: LeadershipDenied, Handle: a.handle})
 		}
 		return gone
 	})
 }
 
-// want changes who votes, in one step during which both the old and the new majority
-// are needed. Asked again for the same it does nothing.
-func (c *Core) want(voters []Voter) {
-	if !c.leading || len(voters) == 0 || numbered(c.self, voters) != nil ||
-		len(c.conf.GetVotersOutgoing()) > 0 || c.confAsk != 0 || c.inTerm != c.raft.BasicStatus().GetTerm() {
+// changeVoters proposes a change of voters, in one step during which both the old and the
+// new majority are needed. Asked again for the same it does nothing.
+func (c *Core) changeVoters(voters []Voter) {
+	if !c.leading || len(voters) == 0 || checkVoterNames(c.self, voters) != nil ||
+		len(c.voterConfig.GetVotersOutgoing()) > 0 || c.proposedVoterChange != 0 || c.appliedTerm != c.raft.BasicStatus().GetTerm() {
 		return
 	}
-	voters = sorted(voters)
+	voters = sortedByName(voters)
 	if slices.Equal(voters, c.Voters()) {
 		return
 	}
-	cc := &pb.ConfChangeV2{Transition: pb.ConfChangeTransitionJointImplicit.Enum(), Context: pack(voters)}
+	cc := &pb.ConfChangeV2{Transition: pb.ConfChangeTransitionJointImplicit.Enum(), Context: encodeCBOR(voters)}
 	wanted := map[uint64]bool{}
 	change := func(kind pb.ConfChangeType, id uint64) {
 		cc.Changes = append(cc.Changes, &pb.ConfChangeSingle{Type: kind.Enum(), NodeId: new(id)})
 	}
 	for _, v := range voters {
-		id := Number(v.Name)
+		id := VoterNumber(v.Name)
 		wanted[id] = true
 		if old, ok := c.voters[id]; !ok {
 			change(pb.ConfChangeAddNode, id)
@@ -378,11 +397,11 @@
 		}
 	}
 	for _, v := range c.Voters() {
-		if !wanted[Number(v.Name)] {
-			change(pb.ConfChangeRemoveNode, Number(v.Name))
+		if !wanted[VoterNumber(v.Name)] {
+			change(pb.ConfChangeRemoveNode, VoterNumber(v.Name))
 		}
 	}
 	if c.raft.ProposeConfChange(cc) == nil {
-		c.confAsk = 1
+		c.proposedVoterChange = 1
 	}
 }
--- a/internal/fleet/consensus/core_test.go
+++ b/internal/fleet/consensus/core_test.go
@@ -66,7 +66,7 @@
 
 // A vote is told once it is stored, and remembered through a restart.
 func TestOneVoteATerm(t *testing.T) {
-	b := Begin{Self: "a", Voters: []Voter{{"a", "1"}, {"b", "2"}, {"c", "3"}}, Election: time.Second, Heartbeat: 100 * ms}
+	b := Config{Self: "a", Voters: []Voter{{"a", "1"}, {"b", "2"}, {"c", "3"}}, ElectionTimeout: time.Second, HeartbeatInterval: 100 * ms}
 	begin := func() *Core {
 		c, effs, err := New(b)
 		if err != nil {
@@ -76,9 +76,9 @@
 		for len(effs) > 0 {
 			e := effs[0]
 			effs = effs[1:]
-			if e.Kind == Store {
-				keep(&b.Kept, *e.Kept)
-				effs = append(effs, c.Step(0, Event{Kind: Stored})...)
+			if e.Kind == Persist {
+				keep(&b.Persistent, *e.Persistent)
+				effs = append(effs, c.Step(0, Event{Kind: Persisted})...)
 			}
 		}
 		return c
@@ -86,19 +86,19 @@
 	granted := func(effs []Effect) (n int) {
 		for _, e := range effs {
 			m := &pb.Message{}
-			if e.Kind == Send && proto.Unmarshal(e.Bytes, m) == nil && m.GetType() == pb.MsgVoteResp && !m.GetReject() {
+			if e.Kind == SendMessage && proto.Unmarshal(e.Bytes, m) == nil && m.GetType() == pb.MsgVoteResp && !m.GetReject() {
 				n++
 			}
 		}
 		return n
 	}
 	ask := func(c *Core, from string) (early, late int) {
-		effs := c.Step(ms, Event{Kind: Message, From: from, Bytes: wire(&pb.Message{Type: pb.MsgVote.Enum(), From: new(Number(from)),
-			To: new(Number("a")), Term: new(uint64(5)), LogTerm: new(uint64(1)), Index: new(uint64(3))})})
+		effs := c.Step(ms, Event{Kind: MessageReceived, From: from, Bytes: encodeProto(&pb.Message{Type: pb.MsgVote.Enum(), From: new(VoterNumber(from)),
+			To: new(VoterNumber("a")), Term: new(uint64(5)), LogTerm: new(uint64(1)), Index: new(uint64(3))})})
 		for _, e := range effs {
-			if e.Kind == Store {
-				keep(&b.Kept, *e.Kept)
-				return granted(effs), granted(c.Step(2*ms, Event{Kind: Stored}))
+			if e.Kind == Persist {
+				keep(&b.Persistent, *e.Persistent)
+				return granted(effs), granted(c.Step(2*ms, Event{Kind: Persisted}))
 			}
 		}
 		return 0, granted(effs)
@@ -131,8 +131,8 @@
 	p.run(5 * time.Second)
 	clear(p.cut)
 	p.run(2 * time.Second)
-	if _, now := l.core.Leader(); !l.core.Leads() || now != term {
-		t.Fatalf("%s led in term %d, now %v in %d", l.name, term, l.core.Leads(), now)
+	if _, now := l.core.Leader(); !l.core.IsLeader() || now != term {
+		t.Fatalf("%s led in term %d, now %v in %d", l.name, term, l.core.IsLeader(), now)
 	}
 }
 
@@ -147,7 +147,7 @@
 	p.run(50 * ms) // what was on its way has come
 	p.handles[7] = 0
 	held := p.held
-	p.step(l, Event{Kind: Confirm, Handle: 7})
+	p.step(l, Event{Kind: ConfirmLeadership, Handle: 7})
 	p.until(time.Second, "denied", func() bool { _, ok := p.handles[7]; return !ok })
 	if p.held != held {
 		t.Fatal("confirmed without a majority")
@@ -156,12 +156,12 @@
 }
 
 func TestConfirmElsewhereIsDenied(t *testing.T) {
-	c, _, err := New(Begin{Self: "a", Voters: []Voter{{"a", "x"}, {"b", "y"}}, Election: time.Second, Heartbeat: 100 * ms})
+	c, _, err := New(Config{Self: "a", Voters: []Voter{{"a", "x"}, {"b", "y"}}, ElectionTimeout: time.Second, HeartbeatInterval: 100 * ms})
 	if err != nil {
 		t.Fatal(err)
 	}
-	effs := c.Step(0, Event{Kind: Confirm, Handle: 9})
-	if i := slices.IndexFunc(effs, func(e Effect) bool { return e.Kind == Denied && e.Handle == 9 }); i < 0 {
+	effs := c.Step(0, Event{Kind: ConfirmLeadership, Handle: 9})
+	if i := slices.IndexFunc(effs, func(e Effect) bool { return e.Kind == LeadershipDenied && e.Handle == 9 }); i < 0 {
 		t.Fatalf("%v", effs)
 	}
 }
@@ -177,7 +177,7 @@
 		p.start("v9", nil)
 		again := func() bool {
 			if l := p.leader(); l != nil {
-				p.step(l, Event{Kind: Voters, Voters: want})
+				p.step(l, Event{Kind: ChangeVoters, Voters: want})
 			}
 			return slices.Equal(p.at["v0"].voting, want) && slices.Equal(p.at["v8"].voting, want) && slices.Equal(p.at["v9"].voting, want)
 		}
@@ -190,7 +190,7 @@
 		p.until(10*time.Second, "all goes on with the new ones", p.same)
 		most := p.most
 		for range 5 { // asked again for the same: nothing
-			p.step(p.leader(), Event{Kind: Voters, Voters: want})
+			p.step(p.leader(), Event{Kind: ChangeVoters, Voters: want})
 		}
 		p.run(time.Second)
 		if p.most != most {
@@ -242,7 +242,7 @@
 		if got := p.fetched - fetched - had; got != missed/1000 {
 			t.Fatalf("missed %d: got %d snapshots", missed, got)
 		}
-		if n := len(p.at[late].kept.Records); n > 2*trailing+100 {
+		if n := len(p.at[late].kept.Entries); n > 2*trailingEntries+100 {
 			t.Fatalf("%d records are kept", n)
 		}
 	}
@@ -254,7 +254,7 @@
 	p.until(time.Second, "decided", func() bool { return p.known["a"] })
 	p.lose("v0")
 	p.start("v0", nil)
-	p.until(time.Second, "there again", func() bool { return p.at["v0"].applied >= p.most && p.at["v0"].core.Leads() })
+	p.until(time.Second, "there again", func() bool { return p.at["v0"].applied >= p.most && p.at["v0"].core.IsLeader() })
 }
 
 // Whatever comes instead of messages, a voter goes on.
@@ -266,7 +266,7 @@
 	for line := range strings.SplitSeq(p.trace.String(), "\n") {
 		var at, kind int
 		var by, to, b string
-		if n, _ := fmt.Sscanf(line, "%d %s > %d %s %x", &at, &by, &kind, &to, &b); n == 5 && Kind(kind) == Send {
+		if n, _ := fmt.Sscanf(line, "%d %s > %d %s %x", &at, &by, &kind, &to, &b); n == 5 && Kind(kind) == SendMessage {
 			seen = append(seen, []byte(b))
 		}
 	}
@@ -275,11 +275,11 @@
 	}
 	odd := 0
 	rapid.Check(t, func(rt *rapid.T) {
-		c, _, err := New(Begin{Self: "v0", Voters: p.voters, Election: time.Second, Heartbeat: 100 * ms})
+		c, _, err := New(Config{Self: "v0", Voters: p.voters, ElectionTimeout: time.Second, HeartbeatInterval: 100 * ms})
 		if err != nil {
 			rt.Fatal(err)
 		}
-		c.Step(0, Event{Kind: Stored})
+		c.Step(0, Event{Kind: Persisted})
 		for range 10 {
 			b := slices.Clone(rapid.SampledFrom(seen).Draw(rt, "message"))
 			switch rapid.IntRange(0, 2).Draw(rt, "how") {
@@ -289,14 +289,14 @@
 				b = rapid.SliceOfN(rapid.Byte(), 0, 40).Draw(rt, "noise")
 			}
 			from := rapid.SampledFrom([]string{"v0", "v1", "v2", "stranger", ""}).Draw(rt, "from")
-			for _, e := range c.Step(ms, Event{Kind: Message, From: from, Bytes: b}) {
-				if e.Kind == Store {
-					c.Step(2*ms, Event{Kind: Stored})
+			for _, e := range c.Step(ms, Event{Kind: MessageReceived, From: from, Bytes: b}) {
+				if e.Kind == Persist {
+					c.Step(2*ms, Event{Kind: Persisted})
 				}
 			}
 		}
 		c.Step(time.Hour, Event{Kind: Tick})
-		odd += c.Odd
+		odd += c.IgnoredMessages
 	})
 	if odd == 0 {
 		t.Fatal("nothing was odd")
@@ -311,21 +311,21 @@
 			t.Errorf("%T says nothing", e)
 		}
 	}
-	span := Begin{Self: "a", Election: time.Second, Heartbeat: 100 * ms}
-	bad := func(change func(*Begin)) error {
+	span := Config{Self: "a", ElectionTimeout: time.Second, HeartbeatInterval: 100 * ms}
+	bad := func(change func(*Config)) error {
 		b := span
 		change(&b)
 		_, _, err := New(b)
 		return err
 	}
 	for i, err := range []error{
-		bad(func(b *Begin) { b.Self = "" }),
-		bad(func(b *Begin) { b.Heartbeat = time.Second }),
-		bad(func(b *Begin) { b.Voters = []Voter{{"b", ""}, {"b", ""}} }),
-		bad(func(b *Begin) { b.Kept.Hard = []byte("\xff") }),
-		bad(func(b *Begin) { b.Kept.Records = []Record{{Index: 1, Term: 1}, {Index: 3, Term: 1}} }),
-		bad(func(b *Begin) { b.Kept.Records = []Record{{Index: 2, Term: 1}} }),
-		bad(func(b *Begin) { b.Kept.Snapshot = &Snapshot{Index: 3, Term: 1, Conf: []byte("x")} }),
+		bad(func(b *Config) { b.Self = "" }),
+		bad(func(b *Config) { b.HeartbeatInterval = time.Second }),
+		bad(func(b *Config) { b.Voters = []Voter{{"b", ""}, {"b", ""}} }),
+		bad(func(b *Config) { b.Persistent.HardState = []byte("\xff") }),
+		bad(func(b *Config) { b.Persistent.Entries = []LogEntry{{Index: 1, Term: 1}, {Index: 3, Term: 1}} }),
+		bad(func(b *Config) { b.Persistent.Entries = []LogEntry{{Index: 2, Term: 1}} }),
+		bad(func(b *Config) { b.Persistent.Snapshot = &Snapshot{Index: 3, Term: 1, VoterConfig: []byte("x")} }),
 	} {
 		if _, ok := err.(fleet.Remedied); !ok {
 			t.Errorf("%d: %v", i, err)
--- a/internal/fleet/consensus/encoding_keys_test.go
+++ b/internal/fleet/consensus/encoding_keys_test.go
@@ -7,5 +7,5 @@
 )
 
 func TestKeysAreExplicit(t *testing.T) {
-	goldentest.ExplicitKeys(t, goldentest.CBOR, Record{}, Snapshot{}, Voter{}, votersKept{}, passed{})
+	goldentest.ExplicitKeys(t, goldentest.CBOR, LogEntry{}, Snapshot{}, Voter{}, voterConfig{}, snapshotPayload{})
 }
--- a/internal/fleet/consensus/errors.go
+++ b/internal/fleet/consensus/errors.go
@@ -7,21 +7,21 @@
 	"railrelay.dev/railrelay/internal/fleet"
 )
 
-// SpanError is an election time that leaves no room for lost heartbeats.
-type SpanError struct{ Election, Heartbeat time.Duration }
+// TimeoutError is an election timeout that leaves no room for lost heartbeats.
+type TimeoutError struct{ Election, Heartbeat time.Duration }
 
-func (e *SpanError) Error() string {
+func (e *TimeoutError) Error() string {
 	return fmt.Sprintf("election after %v with a heartbeat each %v: at least two must fit in", e.Election, e.Heartbeat)
 }
 
-func (e *SpanError) Remedy() string {
+func (e *TimeoutError) Remedy() string {
 	return "set the heartbeat to a tenth of the election time, and the election time to at least ten message round trips"
 }
 
-// NameError is a voter without a name, named twice, or one whose number another has.
-type NameError struct{ Name, Other string }
+// VoterNameError is a voter without a name, named twice, or one whose number another has.
+type VoterNameError struct{ Name, Other string }
 
-func (e *NameError) Error() string {
+func (e *VoterNameError) Error() string {
 	switch e.Other {
 	case "":
 		return "a voter has no name, or this one hasn't"
@@ -31,28 +31,28 @@
 	return fmt.Sprintf("voters %q and %q come to the same number", e.Name, e.Other)
 }
 
-func (e *NameError) Remedy() string {
+func (e *VoterNameError) Remedy() string {
 	return "give each voter one name of its own; if two come to the same number, rename the one that votes newest"
 }
 
-// GapError is a record missing from what the disk held.
-type GapError struct{ Index uint64 }
+// LogGapError is a log entry missing from what the disk held.
+type LogGapError struct{ Index uint64 }
 
-func (e *GapError) Error() string {
+func (e *LogGapError) Error() string {
 	return fmt.Sprintf("what was kept has a gap before record %d", e.Index)
 }
 
-func (e *GapError) Remedy() string {
+func (e *LogGapError) Remedy() string {
 	return "restore the directory from where it was copied wholly, or forget this controller and start it " +
 		"with an empty directory under a new name; the others have the record"
 }
 
-// KeptError is something kept that can't be read, though its sum holds.
-type KeptError struct{ What string }
+// PersistentStateError is persisted data that can't be decoded although its checksum is right.
+type PersistentStateError struct{ What string }
 
-func (e *KeptError) Error() string { return "what was kept can't be used: " + e.What }
+func (e *PersistentStateError) Error() string { return "what was kept can't be used: " + e.What }
 
-func (e *KeptError) Remedy() string {
+func (e *PersistentStateError) Remedy() string {
 	return "it may be from a newer version of the program: start that one; else forget this controller and " +
 		"start it with an empty directory under a new name"
 }
@@ -60,7 +60,7 @@
 // Errors has a sample of each of this package's errors.
 func Errors() []fleet.Remedied {
 	return []fleet.Remedied{
-		&SpanError{time.Second, time.Second}, &NameError{"a", "b"}, &GapError{7}, &KeptError{"term and vote can't be read"},
+		&TimeoutError{time.Second, time.Second}, &VoterNameError{"a", "b"}, &LogGapError{7}, &PersistentStateError{"term and vote can't be read"},
 	}
 }
 
--- a/internal/fleet/consensus/golden_test.go
+++ b/internal/fleet/consensus/golden_test.go
@@ -22,25 +22,25 @@
 		if diff := cmp.Diff(want, got.Interface()); diff != "" {
 			t.Errorf("%s (-want +got):\n%s", name, diff)
 		}
-		goldentest.Same(t, name, pack(want))
+		goldentest.Same(t, name, encodeCBOR(want))
 	}
 	goldentest.EveryFieldSet(t, goldentest.CBOR, values...)
-	kept, begun := goldenKept(), genesis(goldenVoters)
-	goldentest.Same(t, "hard", kept.Hard)
-	goldentest.Same(t, "genesis_hard", begun.Hard)
-	goldentest.Same(t, "conf", kept.Snapshot.Conf)
+	kept, begun := goldenKept(), initialState(goldenVoters)
+	goldentest.Same(t, "hard", kept.HardState)
+	goldentest.Same(t, "genesis_hard", begun.HardState)
+	goldentest.Same(t, "conf", kept.Snapshot.VoterConfig)
 }
 
 // TestGoldenDiskBeginsAVoter begins a voter with what an earlier program kept.
 func TestGoldenDiskBeginsAVoter(t *testing.T) {
-	kept := Kept{Hard: goldentest.File(t, "hard"), Snapshot: &Snapshot{}}
+	kept := PersistentState{HardState: goldentest.File(t, "hard"), Snapshot: &Snapshot{}}
 	if err := cbor.Unmarshal(goldentest.File(t, "snapshot"), kept.Snapshot); err != nil {
 		t.Fatal(err)
 	}
-	if err := cbor.Unmarshal(goldentest.File(t, "records"), &kept.Records); err != nil {
+	if err := cbor.Unmarshal(goldentest.File(t, "records"), &kept.Entries); err != nil {
 		t.Fatal(err)
 	}
-	core, effects, err := New(Begin{Self: "north-1", Kept: kept, Seed: 1, Election: time.Second, Heartbeat: 100 * time.Millisecond})
+	core, effects, err := New(Config{Self: "north-1", Persistent: kept, Seed: 1, ElectionTimeout: time.Second, HeartbeatInterval: 100 * time.Millisecond})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -49,19 +49,19 @@
 	}
 	want := goldenKept()
 	var restored *Snapshot
-	var decided []Record
+	var decided []LogEntry
 	for _, effect := range effects {
 		switch effect.Kind {
-		case Restored:
+		case SnapshotRestored:
 			restored = effect.Snapshot
-		case Decided:
-			decided = append(decided, effect.Record)
+		case Committed:
+			decided = append(decided, effect.Entry)
 		}
 	}
 	if diff := cmp.Diff(want.Snapshot, restored); diff != "" {
 		t.Errorf("the state (-want +got):\n%s", diff)
 	}
-	if diff := cmp.Diff(want.Records[1:2], decided); diff != "" {
+	if diff := cmp.Diff(want.Entries[1:2], decided); diff != "" {
 		t.Errorf("what is decided (-want +got):\n%s", diff)
 	}
 }
--- a/internal/fleet/consensus/golden_values_test.go
+++ b/internal/fleet/consensus/golden_values_test.go
@@ -7,33 +7,33 @@
 var goldenVoters = []Voter{{"north-1", "10.0.0.1:7000"}, {"north-2", "10.0.0.2:7000"}, {"south-1", "10.0.0.3:7000"}}
 
 // goldenKept is what a voter's disk holds after a snapshot, with every field set.
-func goldenKept() Kept {
+func goldenKept() PersistentState {
 	conf := &pb.ConfState{}
 	for _, voter := range goldenVoters {
-		conf.Voters = append(conf.Voters, Number(voter.Name))
+		conf.Voters = append(conf.Voters, VoterNumber(voter.Name))
 	}
-	return Kept{
-		Hard: wire(&pb.HardState{Term: new(uint64(4)), Vote: new(Number("north-2")), Commit: new(uint64(13))}),
+	return PersistentState{
+		HardState: encodeProto(&pb.HardState{Term: new(uint64(4)), Vote: new(VoterNumber("north-2")), Commit: new(uint64(13))}),
 		Snapshot: &Snapshot{Index: 12, Term: 3, Data: []byte("state"),
-			Conf: pack(votersKept{State: wire(conf), Voters: goldenVoters})},
-		Records: []Record{
+			VoterConfig: encodeCBOR(voterConfig{State: encodeProto(conf), Voters: goldenVoters})},
+		Entries: []LogEntry{
 			{Index: 12, Term: 3, Data: []byte("twelve")},
 			{Index: 13, Term: 4},
-			{Index: 14, Term: 4, Conf: true, Data: wire(&pb.ConfChangeV2{Context: pack(goldenVoters[:2])})},
+			{Index: 14, Term: 4, IsVoterChange: true, Data: encodeProto(&pb.ConfChangeV2{Context: encodeCBOR(goldenVoters[:2])})},
 		},
 	}
 }
 
-var goldenPassed = passed{Voters: goldenVoters, Data: []byte("state")}
+var goldenPassed = snapshotPayload{Voters: goldenVoters, Data: []byte("state")}
 
 // goldenValues are the values of each encoded type, by file.
 func goldenValues() map[string]any {
-	kept, begun := goldenKept(), genesis(goldenVoters)
+	kept, begun := goldenKept(), initialState(goldenVoters)
 	return map[string]any{
 		"voters":   &goldenVoters,
 		"passed":   &goldenPassed,
 		"snapshot": kept.Snapshot,
-		"records":  &kept.Records,
-		"genesis":  &begun.Records,
+		"records":  &kept.Entries,
+		"genesis":  &begun.Entries,
 	}
 }
--- a/internal/fleet/consensus/play_test.go
+++ b/internal/fleet/consensus/play_test.go
@@ -32,7 +32,7 @@
 	compact uint64
 	trace   bytes.Buffer
 
-	decided map[uint64]Record
+	decided map[uint64]LogEntry
 	chain   map[uint64]uint64 // index: sum of all decided up to it
 	most    uint64
 	known   map[string]bool // what was proposed, and whether it is decided
@@ -46,7 +46,7 @@
 	name     string
 	core     *Core
 	boot     int
-	kept     Kept
+	kept     PersistentState
 	applied  uint64
 	sum      uint64
 	snapped  uint64
@@ -76,7 +76,7 @@
 
 func newPlay(t testing.TB, n int, seed uint64) *play {
 	p := &play{t: t, seed: seed, rand: rand.New(rand.NewPCG(seed, 1)), at: map[string]*spot{}, cut: map[[2]string]bool{},
-		decided: map[uint64]Record{}, chain: map[uint64]uint64{0: 0}, known: map[string]bool{}, handles: map[uint64]uint64{}}
+		decided: map[uint64]LogEntry{}, chain: map[uint64]uint64{0: 0}, known: map[string]bool{}, handles: map[uint64]uint64{}}
 	for i := range n {
 		p.voters = append(p.voters, Voter{fmt.Sprintf("v%d", i), fmt.Sprintf("10.0.0.%d:7", i)})
 	}
@@ -99,8 +99,8 @@
 	}
 	s.boot++
 	s.applied, s.sum, s.snapped, s.tickAt = 0, 0, 0, 0
-	core, effs, err := New(Begin{Self: name, Voters: voters, Kept: s.kept, Seed: p.seed,
-		Election: 300 * ms, Heartbeat: 30 * ms})
+	core, effs, err := New(Config{Self: name, Voters: voters, Persistent: s.kept, Seed: p.seed,
+		ElectionTimeout: 300 * ms, HeartbeatInterval: 30 * ms})
 	if err != nil {
 		p.t.Fatalf("seed %d: %s starts: %v", p.seed, name, err)
 	}
@@ -122,7 +122,7 @@
 	}
 	fmt.Fprintf(&p.trace, "%d %s %d %s %x %q\n", p.now, s.name, ev.Kind, ev.From, ev.Bytes, ev.Data)
 	p.follow(s, s.core.Step(p.now, ev))
-	if due := s.core.Due(); due < never && s.core != nil {
+	if due := s.core.NextTick(); due < never && s.core != nil {
 		if due <= p.now && ev.Kind == Tick {
 			p.t.Fatalf("seed %d: %s wants to be woken at %v, it is %v", p.seed, s.name, due, p.now)
 		}
@@ -140,25 +140,25 @@
 
 func (p *play) follow(s *spot, effs []Effect) {
 	for _, e := range effs {
-		fmt.Fprintf(&p.trace, "%d %s > %d %s %x %v %d %d %s %d %v\n", p.now, s.name, e.Kind, e.To, e.Bytes, e.Record,
+		fmt.Fprintf(&p.trace, "%d %s > %d %s %x %v %d %d %s %d %v\n", p.now, s.name, e.Kind, e.To, e.Bytes, e.Entry,
 			e.Handle, e.Index, e.Leader, e.Term, e.Voters)
 		boot := s.boot
 		switch e.Kind {
-		case Send:
+		case SendMessage:
 			p.send(s.name, e.To, e.Bytes)
-		case Store:
-			k := e.Kept
+		case Persist:
+			k := e.Persistent
 			p.after(s.slowDisk+ms+time.Duration(p.rand.Int64N(int64(4*ms))), func() {
 				// A voter lost meanwhile may have got it on its disk or not.
 				if s.boot == boot || s.core == nil && p.rand.IntN(2) == 0 {
 					keep(&s.kept, *k)
 				}
 				if s.boot == boot {
-					p.step(s, Event{Kind: Stored})
+					p.step(s, Event{Kind: Persisted})
 				}
 			})
-		case Decided:
-			r := e.Record
+		case Committed:
+			r := e.Entry
 			if r.Index != s.applied+1 {
 				p.t.Fatalf("seed %d: %s decided %d after %d", p.seed, s.name, r.Index, s.applied)
 			}
@@ -169,7 +169,7 @@
 			} else if was.Term != r.Term || !bytes.Equal(was.Data, r.Data) || p.chain[r.Index] != s.sum {
 				p.t.Fatalf("seed %d: %d is %v and at %s %v", p.seed, r.Index, was, s.name, r)
 			}
-			if !r.Conf && len(r.Data) > 0 {
+			if !r.IsVoterChange && len(r.Data) > 0 {
 				p.known[string(r.Data)] = true
 			}
 			if p.compact > 0 && s.applied >= s.snapped+p.compact {
@@ -177,44 +177,44 @@
 				snap := &Snapshot{Index: s.applied, Data: binary.BigEndian.AppendUint64(nil, s.sum)}
 				p.after(0, func() {
 					if s.boot == boot {
-						p.step(s, Event{Kind: Compacted, Snapshot: snap})
+						p.step(s, Event{Kind: SnapshotTaken, Snapshot: snap})
 					}
 				})
 			}
-		case Restored:
+		case SnapshotRestored:
 			s.applied, s.snapped, s.sum = e.Snapshot.Index, e.Snapshot.Index, binary.BigEndian.Uint64(e.Snapshot.Data)
 			if s.sum != p.chain[s.applied] {
 				p.t.Fatalf("seed %d: %s restored another state at %d", p.seed, s.name, s.applied)
 			}
 			p.fetched++
-		case Confirmed:
+		case LeadershipConfirmed:
 			if e.Index < p.handles[e.Handle] {
 				p.t.Fatalf("seed %d: %s confirmed %d, %d was decided before it was asked", p.seed, s.name, e.Index, p.handles[e.Handle])
 			}
 			p.held++
 			delete(p.handles, e.Handle)
-		case Denied:
+		case LeadershipDenied:
 			delete(p.handles, e.Handle)
-		case Voting:
+		case VotersChanged:
 			s.voting = e.Voters
 		}
 	}
 }
 
 // keep is what a disk does.
-func keep(k *Kept, n Kept) {
-	if n.Hard != nil {
-		k.Hard = n.Hard
+func keep(k *PersistentState, n PersistentState) {
+	if n.HardState != nil {
+		k.HardState = n.HardState
 	}
 	if n.Snapshot != nil {
-		k.Snapshot, k.Records = n.Snapshot, nil
+		k.Snapshot, k.Entries = n.Snapshot, nil
 	}
-	if len(n.Records) > 0 {
-		i := len(k.Records)
-		for i > 0 && k.Records[i-1].Index >= n.Records[0].Index {
+	if len(n.Entries) > 0 {
+		i := len(k.Entries)
+		for i > 0 && k.Entries[i-1].Index >= n.Entries[0].Index {
 			i--
 		}
-		k.Records = append(slices.Clone(k.Records[:i]), n.Records...)
+		k.Entries = append(slices.Clone(k.Entries[:i]), n.Entries...)
 	}
 }
 
@@ -232,7 +232,7 @@
 			if p.cut[[2]string{from, to}] {
 				p.struck++
 			} else if s := p.at[to]; s != nil {
-				p.step(s, Event{Kind: Message, From: from, Bytes: b})
+				p.step(s, Event{Kind: MessageReceived, From: from, Bytes: b})
 			}
 		})
 	}
@@ -241,7 +241,7 @@
 func (p *play) leader() *spot {
 	var l *spot
 	for _, name := range p.names() {
-		if s := p.at[name]; s.core != nil && s.core.Leads() && (l == nil || s.core.term > l.core.term) {
+		if s := p.at[name]; s.core != nil && s.core.IsLeader() && (l == nil || s.core.leaderTerm > l.core.leaderTerm) {
 			l = s
 		}
 	}
@@ -288,11 +288,11 @@
 		p.step(l, Event{Kind: Propose, Data: []byte(data)})
 	}
 	for _, name := range p.names() { // also those that think so wrongly
-		if s := p.at[name]; s.core != nil && s.core.Leads() {
+		if s := p.at[name]; s.core != nil && s.core.IsLeader() {
 			p.seq++
 			h := uint64(p.seq)
 			p.handles[h] = p.most
-			p.step(s, Event{Kind: Confirm, Handle: h})
+			p.step(s, Event{Kind: ConfirmLeadership, Handle: h})
 		}
 	}
 	p.after(400*ms, func() { p.ask(data) })
--- a/internal/fleet/driver/driver.go
+++ b/internal/fleet/driver/driver.go
@@ -53,7 +53,7 @@
 // persister keeps what must survive a restart. Write returns once it is synced; after an error
 // nothing more is written.
 type persister interface {
-	Write(consensus.Kept) error
+	Write(consensus.PersistentState) error
 }
 
 // peerSender sends messages to peers.
@@ -106,7 +106,7 @@
 	orders    chan fleet.Order
 	requests  chan request
 	abandoned chan uint64 // handles of requests whose callers have given up
-	writes    chan *consensus.Kept
+	writes    chan *consensus.PersistentState
 	written   chan error
 	checks    chan policyCheck
 	checked   chan node.Event
@@ -150,7 +150,7 @@
 		orders:         make(chan fleet.Order),
 		requests:       make(chan request, maxQueuedRequests),
 		abandoned:      make(chan uint64, maxQueuedRequests),
-		writes:         make(chan *consensus.Kept, 1),
+		writes:         make(chan *consensus.PersistentState, 1),
 		written:        make(chan error, 1),
 		checks:         make(chan policyCheck, maxQueuedChecks),
 		checked:        make(chan node.Event),
--- a/internal/fleet/driver/driver_test.go
+++ b/internal/fleet/driver/driver_test.go
@@ -48,10 +48,10 @@
 
 type paper struct {
 	err    error
-	writes chan consensus.Kept
+	writes chan consensus.PersistentState
 }
 
-func (p *paper) Write(k consensus.Kept) error { p.writes <- k; return p.err }
+func (p *paper) Write(k consensus.PersistentState) error { p.writes <- k; return p.err }
 
 type mute struct{}
 
@@ -81,7 +81,7 @@
 		CheckPolicy: func(change string, text []byte, have PolicyContext) PolicyVerdict {
 			return PolicyVerdict{Reason: change + string(text) + have.Policy.(string)}
 		}})
-	e.store, e.peers = &paper{disk, make(chan consensus.Kept, 100)}, mute{}
+	e.store, e.peers = &paper{disk, make(chan consensus.PersistentState, 100)}, mute{}
 	ctx, stop := context.WithCancel(context.Background())
 	done := make(chan error, 1)
 	go func() { done <- e.run(ctx) }()
@@ -98,7 +98,7 @@
 	e, s, _ := play(t, func(ev node.Event) []node.Effect {
 		switch ev.Kind {
 		case node.MessageReceived:
-			return []node.Effect{{Kind: node.OrderController, Order: fleet.Order{Kind: fleet.Open, Policy: "now"}}, {Kind: node.Persist, Writes: &consensus.Kept{}}, {Kind: node.ValidatePolicy, ChangeID: "c1", PolicyText: []byte("x")}, {Kind: node.SetTimer}}
+			return []node.Effect{{Kind: node.OrderController, Order: fleet.Order{Kind: fleet.Open, Policy: "now"}}, {Kind: node.Persist, Writes: &consensus.PersistentState{}}, {Kind: node.ValidatePolicy, ChangeID: "c1", PolicyText: []byte("x")}, {Kind: node.SetTimer}}
 		case node.OperatorRequested:
 			if ev.Ask.Kind == "status" {
 				return []node.Effect{{Kind: node.Respond, Handle: ev.Handle, Reply: &fleet.Reply{Word: "status", Status: &fleet.Status{}}}}
@@ -178,7 +178,7 @@
 func TestADiskThatFails(t *testing.T) {
 	e, s, log := play(t, func(ev node.Event) []node.Effect {
 		if ev.Kind == node.MessageReceived {
-			return []node.Effect{{Kind: node.OrderController, Order: fleet.Order{Kind: fleet.Renewed, Until: fleet.Forever}}, {Kind: node.Persist, Writes: &consensus.Kept{}}}
+			return []node.Effect{{Kind: node.OrderController, Order: fleet.Order{Kind: fleet.Renewed, Until: fleet.Forever}}, {Kind: node.Persist, Writes: &consensus.PersistentState{}}}
 		}
 		return nil
 	}, errors.New("no space left on device"))
--- a/internal/fleet/driver/open.go
+++ b/internal/fleet/driver/open.go
@@ -42,7 +42,7 @@
 // Store keeps a controller's part of the record. Write returns once it is synced; after
 // an error nothing more is written.
 type Store interface {
-	Write(consensus.Kept) error
+	Write(consensus.PersistentState) error
 	Close() error
 }
 
@@ -88,7 +88,7 @@
 		return nil, err
 	}
 	config := o.Node
-	config.Self.Disk, config.Persisted = found.DiskID, found.Kept
+	config.Self.Disk, config.Persisted = found.DiskID, found.Persistent
 	config.Seed = randomID()
 	config.Incarnation = randomID()
 	core, initialEffects, err := node.New(config)
--- a/internal/fleet/node/api.go
+++ b/internal/fleet/node/api.go
@@ -21,7 +21,7 @@
 	HeartbeatInterval    time.Duration
 	Seed                 uint64
 	Incarnation          uint64 // drawn anew at each start
-	Persisted            consensus.Kept
+	Persisted            consensus.PersistentState
 	SnapshotAfterEntries int // records kept before a snapshot replaces them
 
 	// Relays are asked for the lease and bring the record, in place of the leader: the
@@ -83,7 +83,7 @@
 	To         string
 	Address    string
 	Message    *Message
-	Writes     *consensus.Kept
+	Writes     *consensus.PersistentState
 	ChangeID   string
 	PolicyText []byte
 	Order      fleet.Order
--- a/internal/fleet/node/lead.go
+++ b/internal/fleet/node/lead.go
@@ -90,7 +90,7 @@
 		}
 	}
 	c.leading.confirmAskedAt = c.now
-	c.performConsensus(c.consensus.Step(c.now, consensus.Event{Kind: consensus.Confirm, Handle: c.confirmHandle}))
+	c.performConsensus(c.consensus.Step(c.now, consensus.Event{Kind: consensus.ConfirmLeadership, Handle: c.confirmHandle}))
 }
 
 // renewed: a controller asks for a lease and tells of itself.
@@ -480,7 +480,7 @@
 	}
 	if !same {
 		c.throttle("voters", func() {
-			c.performConsensus(c.consensus.Step(c.now, consensus.Event{Kind: consensus.Voters, Voters: want}))
+			c.performConsensus(c.consensus.Step(c.now, consensus.Event{Kind: consensus.ChangeVoters, Voters: want}))
 		})
 	}
 }
--- a/internal/fleet/node/messages.go
+++ b/internal/fleet/node/messages.go
@@ -73,10 +73,10 @@
 // not vote; the leader or the controller's relay sends it. A lost one is noticed by the
 // next renewal's Applied, or by the receiver, which sends a LogRequest.
 type LogUpdate struct {
-	Snapshot       *consensus.Snapshot `cbor:"Snapshot,omitempty"`
-	Entries        []consensus.Record  `cbor:"Records,omitempty"`
-	CommittedIndex uint64              `cbor:"Decided"` // committed and applied by the sender
-	Leader         string              `cbor:"Leader"`
+	Snapshot       *consensus.Snapshot  `cbor:"Snapshot,omitempty"`
+	Entries        []consensus.LogEntry `cbor:"Records,omitempty"`
+	CommittedIndex uint64               `cbor:"Decided"` // committed and applied by the sender
+	Leader         string               `cbor:"Leader"`
 }
 
 // LogRequest asks the sender of a LogUpdate for the entries that the receiver lacks. A
--- a/internal/fleet/node/node.go
+++ b/internal/fleet/node/node.go
@@ -21,9 +21,9 @@
 
 	consensus            *consensus.Core // nil: it only follows
 	voters               []consensus.Voter
-	recentEntries        []consensus.Record // since a little before the last snapshot, for those who follow
-	appliedTerm          uint64             // of the last record applied
-	entriesSinceSnapshot int                // records since the last snapshot
+	recentEntries        []consensus.LogEntry // since a little before the last snapshot, for those who follow
+	appliedTerm          uint64               // of the last record applied
+	entriesSinceSnapshot int                  // records since the last snapshot
 	pendingWrites        []*pendingWrite
 	voterHeardAt         time.Duration      // when agreement last heard of another voter
 	votedOut             bool               // others vote by now, and the record up to here doesn't tell yet
@@ -45,7 +45,7 @@
 
 // storing is one write that the disk has not told of yet.
 type pendingWrite struct {
-	writes      *consensus.Kept
+	writes      *consensus.PersistentState
 	onPersisted func()
 }
 
@@ -78,22 +78,22 @@
 		}
 		c.state, c.appliedTerm = state, s.Term
 	}
-	c.persistIndex, c.hardState = c.state.Index, b.Persisted.Hard
+	c.persistIndex, c.hardState = c.state.Index, b.Persisted.HardState
 	// A snapshot that doesn't tell who votes was taken while it followed. What the disk
 	// holds after it may be agreement's and not decided yet, if it ever voted.
-	followed := b.Persisted.Snapshot != nil && len(b.Persisted.Snapshot.Conf) == 0
-	if named := c.namedToVote(); followed && b.Persisted.Hard != nil {
+	followed := b.Persisted.Snapshot != nil && len(b.Persisted.Snapshot.VoterConfig) == 0
+	if named := c.namedToVote(); followed && b.Persisted.HardState != nil {
 		c.logf(false, "what was kept after %d is asked for anew", c.state.Index)
-	} else if (named || b.Persisted.Hard != nil) && !followed {
+	} else if (named || b.Persisted.HardState != nil) && !followed {
 		voters := b.Voters
-		if !named || b.Persisted.Hard != nil { // the log tells
+		if !named || b.Persisted.HardState != nil { // the log tells
 			voters = nil
 		}
 		if err := c.startConsensus(b.Persisted, voters); err != nil {
 			return nil, nil, err
 		}
 	} else {
-		for _, r := range b.Persisted.Records {
+		for _, r := range b.Persisted.Entries {
 			c.persistIndex = max(c.persistIndex, r.Index)
 			c.applyEntry(r)
 		}
@@ -112,9 +112,9 @@
 }
 
 // voteWith begins to vote.
-func (c *Core) startConsensus(kept consensus.Kept, voters []consensus.Voter) error {
-	vote, effects, err := consensus.New(consensus.Begin{Self: c.config.Self.Name, Voters: voters, Kept: kept, Seed: c.config.Seed, Election: c.config.ElectionTimeout,
-		Heartbeat: c.config.HeartbeatInterval})
+func (c *Core) startConsensus(kept consensus.PersistentState, voters []consensus.Voter) error {
+	vote, effects, err := consensus.New(consensus.Config{Self: c.config.Self.Name, Voters: voters, Persistent: kept, Seed: c.config.Seed, ElectionTimeout: c.config.ElectionTimeout,
+		HeartbeatInterval: c.config.HeartbeatInterval})
 	if err != nil {
 		return err
 	}
@@ -159,7 +159,7 @@
 
 // settle does what is due and what has become possible.
 func (c *Core) advance() {
-	if c.consensus != nil && c.now >= c.consensus.Due() {
+	if c.consensus != nil && c.now >= c.consensus.NextTick() {
 		c.performConsensus(c.consensus.Step(c.now, consensus.Event{Kind: consensus.Tick}))
 	}
 	if c.consensus != nil && !c.isVoter(c.config.Self.Name) {
@@ -190,7 +190,7 @@
 func (c *Core) setTimer() {
 	at := c.renewAt
 	if c.consensus != nil {
-		at = min(at, c.consensus.Due())
+		at = min(at, c.consensus.NextTick())
 	}
 	if c.isLeader && c.hasWork() {
 		if drive := c.evaluatedAt + c.config.HeartbeatInterval/2; drive > c.now {
@@ -248,7 +248,7 @@
 		c.votedOut = false // it is counted among those who vote
 	case len(m.Consensus) > 0 && c.consensus != nil:
 		c.voterHeardAt = c.now
-		c.performConsensus(c.consensus.Step(c.now, consensus.Event{Kind: consensus.Message, From: m.From, Bytes: m.Consensus}))
+		c.performConsensus(c.consensus.Step(c.now, consensus.Event{Kind: consensus.MessageReceived, From: m.From, Bytes: m.Consensus}))
 	case m.Renewal != nil:
 		c.receiveRenewal(m.From, m.Disk, m.Renewal)
 	case m.Grant != nil:
@@ -271,7 +271,7 @@
 }
 
 // store has something written before what follows from it.
-func (c *Core) persist(kept *consensus.Kept, then func()) {
+func (c *Core) persist(kept *consensus.PersistentState, then func()) {
 	c.pendingWrites = append(c.pendingWrites, &pendingWrite{kept, then})
 	if len(c.pendingWrites) == 1 {
 		c.emit(Effect{Kind: Persist, Writes: kept})
@@ -303,30 +303,30 @@
 		e := c.consensusEffects[0]
 		c.consensusEffects = c.consensusEffects[1:]
 		switch e.Kind {
-		case consensus.Send:
+		case consensus.SendMessage:
 			c.send(e.To, c.addressOf(e.To), &Message{Consensus: e.Bytes})
-		case consensus.Store:
-			if e.Kept.Hard != nil {
-				c.hardState = e.Kept.Hard
+		case consensus.Persist:
+			if e.Persistent.HardState != nil {
+				c.hardState = e.Persistent.HardState
 			}
 			vote := c.consensus
-			c.persist(e.Kept, func() {
+			c.persist(e.Persistent, func() {
 				if vote == nil || c.consensus != vote { // it votes no more
 					return
 				}
-				c.performConsensus(c.consensus.Step(c.now, consensus.Event{Kind: consensus.Stored}))
+				c.performConsensus(c.consensus.Step(c.now, consensus.Event{Kind: consensus.Persisted}))
 			})
-		case consensus.Decided:
-			c.applyEntry(e.Record)
-		case consensus.Restored:
+		case consensus.Committed:
+			c.applyEntry(e.Entry)
+		case consensus.SnapshotRestored:
 			c.restoreSnapshot(e.Snapshot)
-		case consensus.Confirmed:
+		case consensus.LeadershipConfirmed:
 			c.leadershipConfirmed(e.Handle, e.Index)
-		case consensus.Denied:
+		case consensus.LeadershipDenied:
 			c.leadershipDenied(e.Handle)
-		case consensus.Led:
+		case consensus.LeaderChanged:
 			c.leaderChanged(e.Leader)
-		case consensus.Voting:
+		case consensus.VotersChanged:
 			c.entriesSinceSnapshot = max(c.entriesSinceSnapshot, c.config.SnapshotAfterEntries) // who votes anew is given a snapshot that names it
 			c.voters = e.Voters
 		}
@@ -335,12 +335,12 @@
 
 // apply takes the next record. What it asks of the reducer is worked out afterwards,
 // from the state alone, so that a snapshot leads to the same.
-func (c *Core) applyEntry(r consensus.Record) {
+func (c *Core) applyEntry(r consensus.LogEntry) {
 	if r.Index <= c.state.Index || c.stateError != nil {
 		return
 	}
 	data := r.Data
-	if r.Conf {
+	if r.IsVoterChange {
 		data = nil
 	}
 	before, members := c.state.Version, len(c.state.Members)
@@ -407,7 +407,7 @@
 		return
 	}
 	c.logf(true, "this controller votes from now on")
-	if err := c.startConsensus(consensus.Kept{Hard: consensus.Voted(c.hardState)}, nil); err != nil {
+	if err := c.startConsensus(consensus.PersistentState{HardState: consensus.VoteOnly(c.hardState)}, nil); err != nil {
 		c.logf(true, "it can't vote: %v", err)
 	}
 }
@@ -420,9 +420,9 @@
 	c.entriesSinceSnapshot = 0
 	s := c.encodeSnapshot()
 	if c.consensus != nil {
-		c.performConsensus(c.consensus.Step(c.now, consensus.Event{Kind: consensus.Compacted, Snapshot: s}))
+		c.performConsensus(c.consensus.Step(c.now, consensus.Event{Kind: consensus.SnapshotTaken, Snapshot: s}))
 	} else {
-		c.persist(&consensus.Kept{Snapshot: s}, func() {})
+		c.persist(&consensus.PersistentState{Snapshot: s}, func() {})
 	}
 	if over := len(c.recentEntries) - c.config.SnapshotAfterEntries; over > 0 {
 		c.recentEntries = slices.Clone(c.recentEntries[over:])
@@ -448,9 +448,9 @@
 	}
 	if s := f.Snapshot; s != nil && s.Index > c.persistIndex {
 		c.persistIndex = s.Index
-		c.persist(&consensus.Kept{Snapshot: s}, func() { c.restoreSnapshot(s) })
+		c.persist(&consensus.PersistentState{Snapshot: s}, func() { c.restoreSnapshot(s) })
 	}
-	var fresh []consensus.Record
+	var fresh []consensus.LogEntry
 	for _, r := range f.Entries {
 		if r.Index == c.persistIndex+1 {
 			fresh = append(fresh, r)
@@ -458,7 +458,7 @@
 		}
 	}
 	if len(fresh) > 0 {
-		c.persist(&consensus.Kept{Records: fresh}, func() {
+		c.persist(&consensus.PersistentState{Entries: fresh}, func() {
 			for _, r := range fresh {
 				c.applyEntry(r)
 			}
--- a/internal/fleet/node/stage_test.go
+++ b/internal/fleet/node/stage_test.go
@@ -61,7 +61,7 @@
 	core         *Core
 	run          int // which start of it, 0: it is down
 	starts       int
-	disk         consensus.Kept
+	disk         consensus.PersistentState
 	wake         time.Duration
 	word         fleet.Word
 	orders       []fleet.Order
@@ -200,26 +200,26 @@
 }
 
 // after is what a disk holds once it was written to.
-func after(d consensus.Kept, k *consensus.Kept) consensus.Kept {
-	if k.Hard != nil {
-		d.Hard = k.Hard
+func after(d consensus.PersistentState, k *consensus.PersistentState) consensus.PersistentState {
+	if k.HardState != nil {
+		d.HardState = k.HardState
 	}
 	if s := k.Snapshot; s != nil {
 		d.Snapshot = s
-		var l []consensus.Record
-		for _, r := range d.Records {
+		var l []consensus.LogEntry
+		for _, r := range d.Entries {
 			if r.Index > s.Index {
 				l = append(l, r)
 			}
 		}
-		d.Records = l
+		d.Entries = l
 	}
-	if len(k.Records) > 0 {
+	if len(k.Entries) > 0 {
 		i := 0
-		for i < len(d.Records) && d.Records[i].Index < k.Records[0].Index {
+		for i < len(d.Entries) && d.Entries[i].Index < k.Entries[0].Index {
 			i++
 		}
-		d.Records = append(slices.Clone(d.Records[:i]), k.Records...)
+		d.Entries = append(slices.Clone(d.Entries[:i]), k.Entries...)
 	}
 	return d
 }
--- a/internal/fleet/storage/disk.go
+++ b/internal/fleet/storage/disk.go
@@ -45,11 +45,11 @@
 
 // Contents is what a directory held when it was opened.
 type Contents struct {
-	Kept   consensus.Kept
-	DiskID string // identifies the directory, drawn when it was made
-	Owner  string // the controller that it belongs to, "" until Claim
-	Fresh  bool   // nothing was written to it yet
-	Notes  map[string][]byte
+	Persistent consensus.PersistentState
+	DiskID     string // identifies the directory, drawn when it was made
+	Owner      string // the controller that it belongs to, "" until Claim
+	Fresh      bool   // nothing was written to it yet
+	Notes      map[string][]byte
 }
 
 // Disk is an open directory, locked against other processes. It is safe for use by several
@@ -112,7 +112,7 @@
 		return nil, Contents{}, err
 	}
 	f := d.contents
-	f.Notes, d.contents.Kept = maps.Clone(f.Notes), consensus.Kept{} // the caller's alone: it may be long
+	f.Notes, d.contents.Persistent = maps.Clone(f.Notes), consensus.PersistentState{} // the caller's alone: it may be long
 	return d, f, nil
 }
 
@@ -246,10 +246,10 @@
 		}{
 			{nameKey, true, func(b []byte) error { f.DiskID = string(b); return nil }},
 			{ownerKey, false, func(b []byte) error { f.Owner = string(b); return nil }},
-			{hardKey, false, func(b []byte) error { f.Kept.Hard = append([]byte{}, b...); return nil }},
+			{hardKey, false, func(b []byte) error { f.Persistent.HardState = append([]byte{}, b...); return nil }},
 			{snapshotKey, false, func(b []byte) error {
-				f.Kept.Snapshot = &consensus.Snapshot{}
-				return cbor.Unmarshal(b, f.Kept.Snapshot)
+				f.Persistent.Snapshot = &consensus.Snapshot{}
+				return cbor.Unmarshal(b, f.Persistent.Snapshot)
 			}},
 			{spanKey, true, func(b []byte) error { return cbor.Unmarshal(b, &d.logRange) }},
 		} {
@@ -270,7 +270,7 @@
 		if known != 0 || d.logRange.First == 0 || d.logRange.Last+1 < d.logRange.First {
 			return &CorruptionError{path, "state"}
 		}
-		f.Kept.Records = make([]consensus.Record, 0, min(d.logRange.Last+1-d.logRange.First, 1<<20))
+		f.Persistent.Entries = make([]consensus.LogEntry, 0, min(d.logRange.Last+1-d.logRange.First, 1<<20))
 		next := d.logRange.First
 		for c, k := recs.Cursor(), []byte(nil); ; next++ {
 			var v []byte
@@ -282,12 +282,12 @@
 			if k == nil {
 				break
 			}
-			var r consensus.Record
+			var r consensus.LogEntry
 			if b, ok := withoutChecksum(k, v); !ok || len(k) != 8 || binary.BigEndian.Uint64(k) != next || next > d.logRange.Last ||
 				cbor.Unmarshal(b, &r) != nil || r.Index != next {
 				return &CorruptionError{path, "record " + strconv.FormatUint(next, 10)}
 			}
-			f.Kept.Records = append(f.Kept.Records, r)
+			f.Persistent.Entries = append(f.Persistent.Entries, r)
 		}
 		if next != d.logRange.Last+1 {
 			return &CorruptionError{path, "record " + strconv.FormatUint(next, 10)}
@@ -313,7 +313,7 @@
 		if err == nil && (ok || seen != 0) && (len(listed) != 8 || binary.LittleEndian.Uint64(listed) != seen) {
 			err = &CorruptionError{path, "notes"}
 		}
-		f.Fresh = f.Owner == "" && f.Kept.Hard == nil && f.Kept.Snapshot == nil && len(f.Kept.Records) == 0 && len(f.Notes) == 0
+		f.Fresh = f.Owner == "" && f.Persistent.HardState == nil && f.Persistent.Snapshot == nil && len(f.Persistent.Entries) == 0 && len(f.Notes) == 0
 		return err
 	})
 }
@@ -340,15 +340,15 @@
 // it returns. Entries replace those from the first one's index on; a snapshot replaces all
 // entries but those that come along with it. After an error every later write fails with the
 // same error, until the directory is opened again.
-func (d *Disk) Write(k consensus.Kept) error {
+func (d *Disk) Write(k consensus.PersistentState) error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	next := d.logRange
 	if k.Snapshot != nil {
 		next = logRange{k.Snapshot.Index + 1, k.Snapshot.Index}
 	}
-	if n := len(k.Records); n > 0 {
-		first := k.Records[0].Index
+	if n := len(k.Entries); n > 0 {
+		first := k.Entries[0].Index
 		if k.Snapshot != nil {
 			next = logRange{first, first - 1}
 		}
@@ -356,20 +356,20 @@
 			next.First = first
 		}
 		if first > next.Last+1 {
-			return &consensus.GapError{Index: first}
+			return &consensus.LogGapError{Index: first}
 		}
-		for i, r := range k.Records {
+		for i, r := range k.Entries {
 			if r.Index != first+uint64(i) {
-				return &consensus.GapError{Index: r.Index}
+				return &consensus.LogGapError{Index: r.Index}
 			}
 		}
-		next.Last = k.Records[n-1].Index
+		next.Last = k.Entries[n-1].Index
 	}
 	old := d.logRange
 	err := d.update(func(tx *bbolt.Tx) error {
 		state := tx.Bucket(stateBucket)
-		if k.Hard != nil {
-			if err := putChecked(state, hardKey, k.Hard); err != nil {
+		if k.HardState != nil {
+			if err := putChecked(state, hardKey, k.HardState); err != nil {
 				return err
 			}
 		}
@@ -386,8 +386,8 @@
 			if recs, err = tx.CreateBucket(logBucket); err != nil {
 				return err
 			}
-		case len(k.Records) > 0:
-			for i := k.Records[0].Index; i <= old.Last; i++ {
+		case len(k.Entries) > 0:
+			for i := k.Entries[0].Index; i <= old.Last; i++ {
 				if i < old.First {
 					continue
 				}
@@ -397,7 +397,7 @@
 			}
 		}
 		recs.FillPercent = 0.95 // they come in order
-		for _, r := range k.Records {
+		for _, r := range k.Entries {
 			if err := putChecked(recs, indexKey(r.Index), encode(r)); err != nil {
 				return err
 			}
--- a/internal/fleet/storage/disk_test.go
+++ b/internal/fleet/storage/disk_test.go
@@ -36,10 +36,10 @@
 	return d, f
 }
 
-func records(from, to uint64, term uint64) []consensus.Record {
-	var rs []consensus.Record
+func records(from, to uint64, term uint64) []consensus.LogEntry {
+	var rs []consensus.LogEntry
 	for i := from; i <= to; i++ {
-		rs = append(rs, consensus.Record{Index: i, Term: term, Conf: i%7 == 0, Data: fmt.Appendf(nil, "what was decided as %d in %d", i, term)})
+		rs = append(rs, consensus.LogEntry{Index: i, Term: term, IsVoterChange: i%7 == 0, Data: fmt.Appendf(nil, "what was decided as %d in %d", i, term)})
 	}
 	return rs
 }
@@ -62,22 +62,22 @@
 	}
 	must(t, d.Claim("north"))
 	want := Contents{DiskID: "disk-1", Owner: "north", Notes: map[string][]byte{}}
-	write := func(k consensus.Kept) {
+	write := func(k consensus.PersistentState) {
 		t.Helper()
 		must(t, d.Write(k))
-		if k.Hard != nil {
-			want.Kept.Hard = k.Hard
+		if k.HardState != nil {
+			want.Persistent.HardState = k.HardState
 		}
 		if k.Snapshot != nil {
-			want.Kept.Snapshot, want.Kept.Records = k.Snapshot, nil
+			want.Persistent.Snapshot, want.Persistent.Entries = k.Snapshot, nil
 		}
-		for i, r := range want.Kept.Records {
-			if len(k.Records) > 0 && r.Index == k.Records[0].Index {
-				want.Kept.Records = want.Kept.Records[:i:i]
+		for i, r := range want.Persistent.Entries {
+			if len(k.Entries) > 0 && r.Index == k.Entries[0].Index {
+				want.Persistent.Entries = want.Persistent.Entries[:i:i]
 				break
 			}
 		}
-		want.Kept.Records = append(want.Kept.Records, k.Records...)
+		want.Persistent.Entries = append(want.Persistent.Entries, k.Entries...)
 	}
 	again := func() {
 		t.Helper()
@@ -88,17 +88,17 @@
 		}
 		must(t, d.Claim("north"))
 	}
-	write(consensus.Kept{Hard: []byte("1"), Records: records(1, 50, 1)})
+	write(consensus.PersistentState{HardState: []byte("1"), Entries: records(1, 50, 1)})
 	again()
-	write(consensus.Kept{Records: records(31, 40, 2)}) // ten of the old ones are void
+	write(consensus.PersistentState{Entries: records(31, 40, 2)}) // ten of the old ones are void
 	again()
-	write(consensus.Kept{Hard: []byte("2"), Snapshot: &consensus.Snapshot{Index: 35, Term: 2, Conf: []byte("c"), Data: []byte("state")},
-		Records: want.Kept.Records[19:]})
+	write(consensus.PersistentState{HardState: []byte("2"), Snapshot: &consensus.Snapshot{Index: 35, Term: 2, VoterConfig: []byte("c"), Data: []byte("state")},
+		Entries: want.Persistent.Entries[19:]})
 	again()
-	write(consensus.Kept{Records: records(41, 60, 3)})
+	write(consensus.PersistentState{Entries: records(41, 60, 3)})
 	again()
-	write(consensus.Kept{Snapshot: &consensus.Snapshot{Index: 900, Term: 4}}) // from a leader: nothing before it counts
-	write(consensus.Kept{Records: records(901, 903, 4)})
+	write(consensus.PersistentState{Snapshot: &consensus.Snapshot{Index: 900, Term: 4}}) // from a leader: nothing before it counts
+	write(consensus.PersistentState{Entries: records(901, 903, 4)})
 	must(t, d.WriteNote("p1", []byte("wiped")))
 	must(t, d.WriteNote("p2", []byte{}))
 	must(t, d.WriteNote("p3", []byte("x")))
@@ -111,8 +111,8 @@
 	if got := typeOf(t, d.Claim("south")); got != "ForeignDataError" {
 		t.Fatal(got)
 	}
-	var gap *consensus.GapError
-	if err := d.Write(consensus.Kept{Records: records(905, 906, 4)}); !errors.As(err, &gap) || gap.Index != 905 {
+	var gap *consensus.LogGapError
+	if err := d.Write(consensus.PersistentState{Entries: records(905, 906, 4)}); !errors.As(err, &gap) || gap.Index != 905 {
 		t.Fatal(err)
 	}
 	again()
@@ -123,11 +123,11 @@
 	dir = t.TempDir()
 	d, _ := open(t, Options{}, dir)
 	must(t, d.Claim("north"))
-	must(t, d.Write(consensus.Kept{Hard: []byte("hard"), Records: records(1, 300, 1)}))
-	must(t, d.Write(consensus.Kept{Snapshot: &consensus.Snapshot{Index: 200, Term: 1, Conf: []byte("conf"), Data: bytes.Repeat([]byte("s"), 9000)},
-		Records: records(100, 300, 1)}))
+	must(t, d.Write(consensus.PersistentState{HardState: []byte("hard"), Entries: records(1, 300, 1)}))
+	must(t, d.Write(consensus.PersistentState{Snapshot: &consensus.Snapshot{Index: 200, Term: 1, VoterConfig: []byte("conf"), Data: bytes.Repeat([]byte("s"), 9000)},
+		Entries: records(100, 300, 1)}))
 	must(t, d.WriteNote("p1", []byte("wiped")))
-	must(t, d.Write(consensus.Kept{Records: records(301, 600, 2)}))
+	must(t, d.Write(consensus.PersistentState{Entries: records(301, 600, 2)}))
 	must(t, d.Close())
 	d, held = open(t, Options{}, dir)
 	must(t, d.Close())
@@ -218,15 +218,15 @@
 	d, _, err := o.Open(dir, named)
 	must(t, err)
 	for from := uint64(601); err == nil && from < 100_000; from += 500 {
-		if err = d.Write(consensus.Kept{Records: records(from, from+499, 3)}); err == nil {
-			held.Kept.Records = append(held.Kept.Records, records(from, from+499, 3)...)
+		if err = d.Write(consensus.PersistentState{Entries: records(from, from+499, 3)}); err == nil {
+			held.Persistent.Entries = append(held.Persistent.Entries, records(from, from+499, 3)...)
 		}
 	}
 	if err == nil || typeOf(t, err) != want {
 		t.Fatalf("want %s, got %v", want, err)
 	}
 	off()
-	if again := d.Write(consensus.Kept{Hard: []byte("x")}); again != err {
+	if again := d.Write(consensus.PersistentState{HardState: []byte("x")}); again != err {
 		t.Fatal(again)
 	}
 	if again := d.WriteNote("a", []byte("b")); again != err {
@@ -237,7 +237,7 @@
 	if x := diff(held, f); x != "" {
 		t.Fatal(x)
 	}
-	must(t, d.Write(consensus.Kept{Hard: []byte("x")}))
+	must(t, d.Write(consensus.PersistentState{HardState: []byte("x")}))
 }
 
 func TestFull(t *testing.T) {
@@ -300,7 +300,7 @@
 	begin := time.Now()
 	const n = 100_000
 	for from := uint64(1); from <= n; from += 10_000 {
-		must(t, d.Write(consensus.Kept{Records: records(from, from+9999, 1)}))
+		must(t, d.Write(consensus.PersistentState{Entries: records(from, from+9999, 1)}))
 	}
 	t.Logf("%d records were written in %v", n, time.Since(begin))
 	must(t, d.Close())
@@ -308,19 +308,19 @@
 	d, f := open(t, Options{}, dir)
 	took := time.Since(begin)
 	t.Logf("%d records were read in %v", n, took)
-	if len(f.Kept.Records) != n || took > 2*time.Second {
-		t.Fatalf("%d records in %v", len(f.Kept.Records), took)
+	if len(f.Persistent.Entries) != n || took > 2*time.Second {
+		t.Fatalf("%d records in %v", len(f.Persistent.Entries), took)
 	}
 	begin = time.Now()
-	must(t, d.Write(consensus.Kept{Hard: []byte("h"), Snapshot: &consensus.Snapshot{Index: n, Term: 1, Data: make([]byte, 1<<20)}, Records: records(n-199, n, 1)}))
+	must(t, d.Write(consensus.PersistentState{HardState: []byte("h"), Snapshot: &consensus.Snapshot{Index: n, Term: 1, Data: make([]byte, 1<<20)}, Entries: records(n-199, n, 1)}))
 	t.Logf("a snapshot in place of all but 200 took %v", time.Since(begin))
 	must(t, d.Close())
 	begin = time.Now()
 	_, f = open(t, Options{}, dir)
 	took = time.Since(begin)
 	t.Logf("the snapshot with 200 records was read in %v", took)
-	if f.Kept.Snapshot.Index != n || len(f.Kept.Records) != 200 || took > 2*time.Second {
-		t.Fatalf("%d records in %v", len(f.Kept.Records), took)
+	if f.Persistent.Snapshot.Index != n || len(f.Persistent.Entries) != 200 || took > 2*time.Second {
+		t.Fatalf("%d records in %v", len(f.Persistent.Entries), took)
 	}
 }
 
@@ -337,7 +337,7 @@
 	i := uint64(0)
 	for b.Loop() {
 		i++
-		must(b, d.Write(consensus.Kept{Hard: []byte("h"), Records: records(i, i, 1)}))
+		must(b, d.Write(consensus.PersistentState{HardState: []byte("h"), Entries: records(i, i, 1)}))
 	}
 }
 
--- a/internal/fleet/storage/encoding_keys_test.go
+++ b/internal/fleet/storage/encoding_keys_test.go
@@ -8,5 +8,5 @@
 )
 
 func TestKeysAreExplicit(t *testing.T) {
-	goldentest.ExplicitKeys(t, goldentest.CBOR, logRange{}, consensus.Record{}, consensus.Snapshot{})
+	goldentest.ExplicitKeys(t, goldentest.CBOR, logRange{}, consensus.LogEntry{}, consensus.Snapshot{})
 }
--- a/internal/fleet/storage/golden_test.go
+++ b/internal/fleet/storage/golden_test.go
@@ -35,7 +35,7 @@
 	dir := goldentest.Copy(t, "directory")
 	d, found := open(t, Options{}, dir)
 	want := goldenFound()
-	goldentest.EveryFieldSet(t, goldentest.CBOR, want.Kept.Snapshot, want.Kept.Records)
+	goldentest.EveryFieldSet(t, goldentest.CBOR, want.Persistent.Snapshot, want.Persistent.Entries)
 	if diff := cmp.Diff(want, found); diff != "" {
 		t.Errorf("what it holds (-want +got):\n%s", diff)
 	}
--- a/internal/fleet/storage/golden_values_test.go
+++ b/internal/fleet/storage/golden_values_test.go
@@ -5,12 +5,12 @@
 // goldenFound is what the golden directory holds, with every field set.
 func goldenFound() Contents {
 	return Contents{
-		Kept: consensus.Kept{
-			Hard:     []byte("hard"),
-			Snapshot: &consensus.Snapshot{Index: 12, Term: 3, Conf: []byte("voters"), Data: []byte("state")},
-			Records: []consensus.Record{
+		Persistent: consensus.PersistentState{
+			HardState: []byte("hard"),
+			Snapshot:  &consensus.Snapshot{Index: 12, Term: 3, VoterConfig: []byte("voters"), Data: []byte("state")},
+			Entries: []consensus.LogEntry{
 				{Index: 11, Term: 3, Data: []byte("eleven")},
-				{Index: 12, Term: 3, Conf: true, Data: []byte("twelve")},
+				{Index: 12, Term: 3, IsVoterChange: true, Data: []byte("twelve")},
 				{Index: 13, Term: 4},
 				{Index: 14, Term: 4, Data: []byte("fourteen")},
 			},
@@ -32,15 +32,15 @@
 	if err := d.Claim(found.Owner); err != nil {
 		return err
 	}
-	if err := d.Write(consensus.Kept{Hard: []byte("before"), Records: []consensus.Record{{Index: 1, Term: 1, Data: []byte("one")}}}); err != nil {
+	if err := d.Write(consensus.PersistentState{HardState: []byte("before"), Entries: []consensus.LogEntry{{Index: 1, Term: 1, Data: []byte("one")}}}); err != nil {
 		return err
 	}
-	kept := found.Kept
-	kept.Records = found.Kept.Records[:3]
+	kept := found.Persistent
+	kept.Entries = found.Persistent.Entries[:3]
 	if err := d.Write(kept); err != nil {
 		return err
 	}
-	if err := d.Write(consensus.Kept{Records: found.Kept.Records[3:]}); err != nil {
+	if err := d.Write(consensus.PersistentState{Entries: found.Persistent.Entries[3:]}); err != nil {
 		return err
 	}
 	for _, key := range []string{"policy", "wiped"} {
--- a/internal/fleet/transport/golden_values_test.go
+++ b/internal/fleet/transport/golden_values_test.go
@@ -40,9 +40,9 @@
 	grant := node.LeaseGrant{Seq: 31, SentAt: 32, Incarnation: 33, Granted: true, RequiredIndex: 34, Leader: "north-2",
 		WaitingFor: map[string][]string{"change-1": {"south-1", "south-2"}}, RefusedReason: "its disk is forgotten"}
 	follow := node.LogUpdate{
-		Snapshot: &consensus.Snapshot{Index: 41, Term: 42, Conf: []byte("conf"), Data: []byte("state")},
-		Entries: []consensus.Record{
-			{Index: 43, Term: 44, Conf: true, Data: []byte("voters")},
+		Snapshot: &consensus.Snapshot{Index: 41, Term: 42, VoterConfig: []byte("conf"), Data: []byte("state")},
+		Entries: []consensus.LogEntry{
+			{Index: 43, Term: 44, IsVoterChange: true, Data: []byte("voters")},
 			{Index: 44, Term: 44, Data: []byte("entry")},
 		},
 		CommittedIndex: 45, Leader: "north-3",
