--- a/internal/emulator/hollow/store.go
+++ b/internal/emulator/hollow/store.go
@@ -53,7 +53,7 @@
 // Close does nothing: what is kept stays for the next start.
 func (s *Store) Close() error { return nil }
 
-// Merge gives what is kept once next has been written over before, as consensus.Kept says.
+// Merge gives what is kept once next has been written over before, as consensus.PersistentState says.
 func Merge(before, next consensus.PersistentState) consensus.PersistentState {
 	merged := before
 	if next.HardState != nil {
--- a/internal/fleet/storage/errors.go
+++ b/internal/fleet/storage/errors.go
@@ -3,6 +3,7 @@
 import (
 	"errors"
 	"fmt"
+	"path/filepath"
 	"syscall"
 
 	berrors "go.etcd.io/bbolt/errors"
@@ -86,6 +87,26 @@
 	return "put the name or the directory in the set-up right; a controller that gets a new name gets an empty directory"
 }
 
+// classify gives an error the type of this package that tells the operator what to do.
+func classify(path string, err error) error {
+	var known interface {
+		error
+		Remedy() string
+	}
+	switch {
+	case errors.As(err, &known):
+		return known
+	case errors.Is(err, berrors.ErrTimeout):
+		return &LockedError{filepath.Dir(path)}
+	case errors.Is(err, berrors.ErrInvalid), errors.Is(err, berrors.ErrChecksum), errors.Is(err, berrors.ErrVersionMismatch),
+		errors.Is(err, berrors.ErrInvalidMapping):
+		return &TornWriteError{path, err.Error()}
+	case isDiskFull(err):
+		return &DiskFullError{path, err}
+	}
+	return &AccessError{path, err}
+}
+
 func isDiskFull(err error) bool {
 	for _, e := range []error{syscall.ENOSPC, syscall.EDQUOT, syscall.EFBIG, berrors.ErrMaxSizeReached} {
 		if errors.Is(err, e) {
--- /dev/null
+++ b/internal/fleet/storage/read.go
@@ -0,0 +1,139 @@
+package storage
+
+import (
+	"encoding/binary"
+	"fmt"
+	"os"
+	"strconv"
+
+	"github.com/cespare/xxhash/v2"
+	"github.com/fxamacker/cbor/v2"
+	"go.etcd.io/bbolt"
+
+	"railrelay.dev/railrelay/internal/fleet/consensus"
+)
+
+// read checks all of the file and reads it into contents.
+func (d *Disk) read(path string) error {
+	if err := checkMetaPages(path, d.db.Info().PageSize); err != nil {
+		return err
+	}
+	return d.db.View(func(tx *bbolt.Tx) error {
+		info, err := os.Stat(path)
+		if err != nil {
+			return err
+		}
+		if info.Size() < tx.Size() {
+			return &TornWriteError{path, fmt.Sprintf("%d bytes of %d are there", info.Size(), tx.Size())}
+		}
+		state, log, notes := tx.Bucket(stateBucket), tx.Bucket(logBucket), tx.Bucket(noteBucket)
+		if state == nil || log == nil || notes == nil {
+			return &CorruptionError{path, "table of contents"}
+		}
+		if err := d.readState(path, state); err != nil {
+			return err
+		}
+		if err := d.readLog(path, log); err != nil {
+			return err
+		}
+		err = d.readNotes(path, notes)
+		c := &d.contents
+		c.Fresh = c.Owner == "" && c.Persistent.HardState == nil && c.Persistent.Snapshot == nil &&
+			len(c.Persistent.Entries) == 0 && len(c.Notes) == 0
+		return err
+	})
+}
+
+// readState reads the values that there is one of each.
+func (d *Disk) readState(path string, state *bbolt.Bucket) error {
+	c := &d.contents
+	values := []struct {
+		key      []byte
+		required bool
+		read     func([]byte) error
+	}{
+		{nameKey, true, func(b []byte) error { c.DiskID = string(b); return nil }},
+		{ownerKey, false, func(b []byte) error { c.Owner = string(b); return nil }},
+		{hardKey, false, func(b []byte) error { c.Persistent.HardState = append([]byte{}, b...); return nil }},
+		{snapshotKey, false, func(b []byte) error {
+			c.Persistent.Snapshot = &consensus.Snapshot{}
+			return cbor.Unmarshal(b, c.Persistent.Snapshot)
+		}},
+		{spanKey, true, func(b []byte) error { return cbor.Unmarshal(b, &d.logRange) }},
+	}
+	known := 0
+	for _, value := range values {
+		isThere := state.Get(value.key) != nil
+		if isThere {
+			known++
+		}
+		b, isIntact := getChecked(state, value.key)
+		if isThere && !isIntact || !isThere && value.required || isIntact && value.read(b) != nil {
+			return &CorruptionError{path, string(value.key)}
+		}
+	}
+	// A value with a damaged key would seem never written: there must be no unknown ones.
+	all := 0
+	if err := state.ForEach(func([]byte, []byte) error { all++; return nil }); err != nil {
+		return err
+	}
+	if known != all || d.logRange.First == 0 || d.logRange.Last+1 < d.logRange.First {
+		return &CorruptionError{path, "state"}
+	}
+	return nil
+}
+
+// preallocatedEntries bounds what a damaged range can make readLog allocate at once.
+const preallocatedEntries = 1 << 20
+
+// readLog reads the log entries, which must be those of logRange without a gap.
+func (d *Disk) readLog(path string, log *bbolt.Bucket) error {
+	entries := make([]consensus.LogEntry, 0, min(d.logRange.Last+1-d.logRange.First, preallocatedEntries))
+	next := d.logRange.First
+	cursor := log.Cursor()
+	for k, v := cursor.First(); k != nil; k, v = cursor.Next() {
+		var entry consensus.LogEntry
+		b, isIntact := withoutChecksum(k, v)
+		if !isIntact || len(k) != 8 || binary.BigEndian.Uint64(k) != next || next > d.logRange.Last ||
+			cbor.Unmarshal(b, &entry) != nil || entry.Index != next {
+			return &CorruptionError{path, "record " + strconv.FormatUint(next, 10)}
+		}
+		entries = append(entries, entry)
+		next++
+	}
+	d.contents.Persistent.Entries = entries
+	if next != d.logRange.Last+1 {
+		return &CorruptionError{path, "record " + strconv.FormatUint(next, 10)}
+	}
+	return nil
+}
+
+// readNotes reads the notes. What their bucket has under spanKey is the sum of their keys:
+// a missing note is detected by it.
+func (d *Disk) readNotes(path string, notes *bbolt.Bucket) error {
+	d.contents.Notes = map[string][]byte{}
+	listed, isListed := getChecked(notes, spanKey)
+	if !isListed && notes.Get(spanKey) != nil {
+		return &CorruptionError{path, "notes"}
+	}
+	seen := uint64(0)
+	err := notes.ForEach(func(k, v []byte) error {
+		if string(k) == string(spanKey) {
+			return nil
+		}
+		b, isIntact := withoutChecksum(k, v)
+		if !isIntact || k[0] != '/' {
+			return &CorruptionError{path, fmt.Sprintf("note %q", k)}
+		}
+		d.contents.Notes[string(k[1:])] = append([]byte{}, b...)
+		seen ^= xxhash.Sum64(k)
+		return nil
+	})
+	if err != nil {
+		return err
+	}
+	if (isListed || seen != 0) && (len(listed) != 8 || binary.LittleEndian.Uint64(listed) != seen) {
+		return &CorruptionError{path, "notes"}
+	}
+	return nil
+}
