--- a/internal/fleet/storage/disk.go
+++ b/internal/fleet/storage/disk.go
@@ -83,69 +83,29 @@
 // it returns. Entries replace those from the first one's index on; a snapshot replaces all
 // entries but those that come along with it. After an error every later write fails with the
 // same error, until the directory is opened again.
-func (d *Disk) Write(k consensus.PersistentState) error {
+func (d *Disk) Write(p consensus.PersistentState) error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	next := d.logRange
-	if k.Snapshot != nil {
-		next = logRange{k.Snapshot.Index + 1, k.Snapshot.Index}
-	}
-	if n := len(k.Entries); n > 0 {
-		first := k.Entries[0].Index
-		if k.Snapshot != nil {
-			next = logRange{first, first - 1}
-		}
-		if first < next.First {
-			next.First = first
-		}
-		if first > next.Last+1 {
-			return &consensus.LogGapError{Index: first}
-		}
-		for i, r := range k.Entries {
-			if r.Index != first+uint64(i) {
-				return &consensus.LogGapError{Index: r.Index}
-			}
-		}
-		next.Last = k.Entries[n-1].Index
+	next, err := d.logRange.after(p)
+	if err != nil {
+		return err
 	}
-	old := d.logRange
-	err := d.update(func(tx *bbolt.Tx) error {
+	err = d.update(func(tx *bbolt.Tx) error {
 		state := tx.Bucket(stateBucket)
-		if k.HardState != nil {
-			if err := putChecked(state, hardKey, k.HardState); err != nil {
+		if p.HardState != nil {
+			if err := putChecked(state, hardKey, p.HardState); err != nil {
 				return err
 			}
 		}
-		recs := tx.Bucket(logBucket)
-		switch {
-		case k.Snapshot != nil:
-			if err := putChecked(state, snapshotKey, encode(k.Snapshot)); err != nil {
-				return err
-			}
-			if err := tx.DeleteBucket(logBucket); err != nil {
+		if p.Snapshot != nil {
+			if err := putChecked(state, snapshotKey, encode(p.Snapshot)); err != nil {
 				return err
 			}
-			var err error
-			if recs, err = tx.CreateBucket(logBucket); err != nil {
-				return err
-			}
-		case len(k.Entries) > 0:
-			for i := k.Entries[0].Index; i <= old.Last; i++ {
-				if i < old.First {
-					continue
-				}
-				if err := recs.Delete(indexKey(i)); err != nil {
-					return err
-				}
-			}
 		}
-		recs.FillPercent = 0.95 // they come in order
-		for _, r := range k.Entries {
-			if err := putChecked(recs, indexKey(r.Index), encode(r)); err != nil {
-				return err
-			}
+		if err := d.writeLog(tx, p); err != nil {
+			return err
 		}
-		if next != old {
+		if next != d.logRange {
 			return putChecked(state, spanKey, encode(next))
 		}
 		return nil
@@ -156,6 +116,60 @@
 	return err
 }
 
+// after is the range once p is written. Entries that leave a gap are a *consensus.LogGapError.
+func (r logRange) after(p consensus.PersistentState) (logRange, error) {
+	if p.Snapshot != nil {
+		r = logRange{p.Snapshot.Index + 1, p.Snapshot.Index}
+	}
+	if len(p.Entries) == 0 {
+		return r, nil
+	}
+	first := p.Entries[0].Index
+	if p.Snapshot != nil {
+		r = logRange{first, first - 1}
+	}
+	r.First = min(r.First, first)
+	if first > r.Last+1 {
+		return r, &consensus.LogGapError{Index: first}
+	}
+	for i, entry := range p.Entries {
+		if entry.Index != first+uint64(i) {
+			return r, &consensus.LogGapError{Index: entry.Index}
+		}
+	}
+	r.Last = p.Entries[len(p.Entries)-1].Index
+	return r, nil
+}
+
+// writeLog deletes the entries that p replaces and writes those that it has.
+func (d *Disk) writeLog(tx *bbolt.Tx, p consensus.PersistentState) error {
+	log := tx.Bucket(logBucket)
+	switch {
+	case p.Snapshot != nil:
+		if err := tx.DeleteBucket(logBucket); err != nil {
+			return err
+		}
+		var err error
+		log, err = tx.CreateBucket(logBucket)
+		if err != nil {
+			return err
+		}
+	case len(p.Entries) > 0:
+		for i := max(p.Entries[0].Index, d.logRange.First); i <= d.logRange.Last; i++ {
+			if err := log.Delete(indexKey(i)); err != nil {
+				return err
+			}
+		}
+	}
+	log.FillPercent = 0.95 // they come in order
+	for _, entry := range p.Entries {
+		if err := putChecked(log, indexKey(entry.Index), encode(entry)); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
 // WriteNote persists a small value under a key, synced when it returns; nil deletes it. It
 // fails as Write does.
 func (d *Disk) WriteNote(key string, value []byte) error {
