--- a/internal/controller/discovery.go
+++ b/internal/controller/discovery.go
@@ -210,15 +210,6 @@
 	}
 }
 
-// bar: it is sent nothing more, and what waits to be written doesn't begin there either.
-func (e *engine) revokePermits() {
-	for _, l := range e.connections {
-		if request := l.call; request != nil && request.startsAttempt {
-			request.attempt.permit.Revoke()
-		}
-	}
-}
-
 func (c *Controller) removeEngine(e *engine) {
 	e.revokePermits()
 	e.state, e.removedAt = scheduler.EngineRemoved, c.now
