--- a/internal/controller/placing.go
+++ b/internal/controller/residency.go
@@ -117,13 +117,19 @@
 	if need != nil {
 		p.requestBinding(need)
 	}
-	if unrecorded(need, err) {
+	if isUnrecorded(need, err) {
 		p.hold(q, from) // release tries it again once the record has it
 		return false
 	}
 	return true
 }
 
+// isUnrecorded reports whether a load must not be sent yet, by what requiredBinding gave:
+// the log doesn't have all that the load binds, or that can't be told.
+func isUnrecorded(required *fleet.Binding, err error) bool {
+	return required != nil || err != nil
+}
+
 // fits answers a query that may not be here or nowhere at all. Nothing of it was sent.
 func (p *residencyState) ensureServable(q *query, v *residency.Verdict) bool {
 	switch {
@@ -310,7 +316,7 @@
 		p.barredSends++
 		return false
 	}
-	if need, err := p.requiredBinding(q); v.Bound && unrecorded(need, err) {
+	if need, err := p.requiredBinding(q); v.Bound && isUnrecorded(need, err) {
 		p.barredSends++ // a repeat, and a rule came since that follows what it takes along
 		return false
 	}
--- a/internal/eventloop/wire.go
+++ b/internal/eventloop/wire.go
@@ -199,6 +199,15 @@
 	}
 }
 
+// mayWrite asks the fleet's word, by the clock as it is now: the process may have been
+// stopped since the controller asked. If it says yes, wrote must follow.
+func (l *loop) mayWrite(g guard) bool {
+	return l.word.Enter(time.Since(l.start), g.version, g.bound)
+}
+
+// wrote ends what mayWrite began.
+func (l *loop) wrote() { l.word.Leave() }
+
 func (w *wire) have(c net.Conn) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/internal/resultcache/answers.go
+++ b/internal/resultcache/result_cache.go
@@ -457,7 +457,10 @@
 		found.Bytes += k.size
 		c.drop(k)
 	}
-	for _, r := range c.strike(func(r *run) bool { return r.isPurged(s, index) }) {
+	askedBefore := func(r *run) bool { // nobody is served from such a run any more
+		return r.index < index && s.Means(r.lead.Team, r.lead.Tables, r.wall)
+	}
+	for _, r := range c.strike(askedBefore) {
 		if n := c.next(r); n != nil {
 			next = append(next, n)
 		}
