--- a/internal/controller/invalidation.go
+++ b/internal/controller/invalidation.go
@@ -75,15 +75,15 @@
 
 // index is the place in the record after which a query that comes now is taken.
 func (p *invalidation) currentIndex() uint64 {
-	if p.warrant != nil {
-		return max(p.logIndex, p.warrant.fleetView.Index)
+	if p.lease != nil {
+		return max(p.logIndex, p.lease.fleetView.Index)
 	}
 	return p.logIndex
 }
 
 // barred: nothing that is kept may be served now, for it may be gone elsewhere.
 func (p *invalidation) servingBarred() bool {
-	return p.warrant != nil && p.warrant.servingVersion(true) == 0
+	return p.lease != nil && p.lease.servingVersion(true) == 0
 }
 
 // owner is whose a call is: its team, or its customer where there are no teams.
@@ -164,11 +164,11 @@
 func (p *invalidation) apply(s *fleet.Scope, index uint64, unreached func(), wiped func(fleet.Counts)) {
 	p.logIndex = max(p.logIndex, index)
 	var found fleet.Counts
-	if p.caching != nil {
+	if p.resultCaching != nil {
 		var next []*resultcache.Ask
-		found, next = p.caching.core.Drop(p.now, s, index)
+		found, next = p.resultCaching.core.Drop(p.now, s, index)
 		for _, a := range next {
-			p.caching.promote(a)
+			p.resultCaching.promote(a)
 		}
 	}
 	out, wipes := false, false
@@ -189,13 +189,13 @@
 		wipes = true
 		end()
 	}
-	if p.paging == nil {
+	if p.resultPaging == nil {
 		gone()
 		erased(fleet.Counts{})
 		return
 	}
-	p.paging.core.Purge(p.now, s, index, gone, erased)
-	p.paging.answerInvalidated()
+	p.resultPaging.core.Purge(p.now, s, index, gone, erased)
+	p.resultPaging.answerInvalidated()
 }
 
 // purged answers the queries whose results a purge took before they were whole. One
@@ -243,11 +243,11 @@
 	p.started++
 	p.logMessage(false, "purge "+id+" of team "+s.Team+" begins")
 	p.apply(s, index, func() {
-		p.warrant.report(fleet.Report{Kind: fleet.Unreached, ID: id})
+		p.lease.report(fleet.Report{Kind: fleet.Unreached, ID: id})
 	}, func(n fleet.Counts) {
 		p.completed++
 		p.logCompleted(id, s.Team, n)
-		p.warrant.report(fleet.Report{Kind: fleet.Wiped, ID: id, Counts: n})
+		p.lease.report(fleet.Report{Kind: fleet.Wiped, ID: id, Counts: n})
 	})
 }
 
@@ -258,7 +258,7 @@
 // Purge is a client's call to have what is kept of its team go, or, with an id, for how
 // far a purge has come.
 func (cl *client) Purge(msg uint32, call msgpackrpc.Purge, all msgpackrpc.Fields) {
-	p := cl.purges
+	p := cl.invalidation
 	if p == nil {
 		cl.Wrong(msg, "no such method")
 		return
@@ -287,13 +287,13 @@
 	x.answerBy = cl.now + max(0, call.Patience-answerMargin)
 	x.timer = cl.timers.Add(x.answerBy, func() { p.answerState(x, statePending, "", nil, nil) })
 	switch {
-	case p.warrant != nil:
+	case p.lease != nil:
 		a := &fleet.Ask{Kind: "status", ID: x.id, By: team, Team: team, Wait: max(1, (call.Patience - 2*answerMargin).Milliseconds())}
 		if fresh {
 			a.Kind, a.Scope = "purge", &fleet.Scope{Team: team, Tables: call.Tables, Before: call.Before}
 			p.unconfirmed[x.id] = a
 		}
-		p.warrant.report(fleet.Report{Kind: fleet.Wanted, Ask: a})
+		p.lease.report(fleet.Report{Kind: fleet.Wanted, Ask: a})
 	case fresh:
 		p.startLocal(x.id, &fleet.Scope{Team: team, Tables: call.Tables, Before: call.Before})
 	default:
@@ -355,7 +355,7 @@
 	if again != nil && r.Word == "unknown" && r.Stage == "" {
 		a := *again // its word may have been told already: that it is asked for holds
 		a.Wait = confirmationWait.Milliseconds()
-		p.warrant.report(fleet.Report{Kind: fleet.Wanted, Ask: &a})
+		p.lease.report(fleet.Report{Kind: fleet.Wanted, Ask: &a})
 	} else {
 		delete(p.unconfirmed, id)
 	}
@@ -422,6 +422,6 @@
 	}
 }
 
-func (p *invalidation) text() string {
+func (p *invalidation) countersText() string {
 	return fmt.Sprintf("; purges %d done %d asked for by clients %d", p.started, p.completed, p.clientCalls)
 }
--- a/internal/controller/relay.go
+++ b/internal/controller/relay.go
@@ -177,10 +177,10 @@
 	groups          map[string]*group
 	customers       []string // by their places in the settings
 	fairQueue       *fairQueue
-	paging          *resultPaging
-	caching         *resultCaching
-	purges          *invalidation
-	warrant         *servingLease
+	resultPaging    *resultPaging
+	resultCaching   *resultCaching
+	invalidation    *invalidation
+	lease           *servingLease
 
 	bufferedBytes    int // memory of all connections' buffers
 	maxBufferedBytes int
@@ -244,24 +244,24 @@
 		c.fairQueue = newFairQueue(c, means.Tenants, means.FieldNames)
 	}
 	if means.Spool != nil {
-		c.paging = newResultPaging(c, means.Spool)
+		c.resultPaging = newResultPaging(c, means.Spool)
 	}
 	if means.ResultCache != nil {
-		c.caching = newResultCaching(c, means.ResultCache)
+		c.resultCaching = newResultCaching(c, means.ResultCache)
 	}
-	if c.paging != nil || c.caching != nil {
-		c.purges = newInvalidation(c)
-		if c.paging != nil && means.Fleet == nil { // a purge of this controller alone comes after all that it found
-			c.purges.logIndex = c.paging.restoredIndex
+	if c.resultPaging != nil || c.resultCaching != nil {
+		c.invalidation = newInvalidation(c)
+		if c.resultPaging != nil && means.Fleet == nil { // a purge of this controller alone comes after all that it found
+			c.invalidation.logIndex = c.resultPaging.restoredIndex
 		}
 	}
 	if means.Fleet != nil {
-		c.warrant = newServingLease(c, means.Fleet)
-		if c.purges != nil {
-			c.warrant.invalidator = c.purges
+		c.lease = newServingLease(c, means.Fleet)
+		if c.invalidation != nil {
+			c.lease.invalidator = c.invalidation
 		}
-		if c.paging != nil {
-			c.paging.core.Serves = c.warrant.residency.mayServe
+		if c.resultPaging != nil {
+			c.resultPaging.core.Serves = c.lease.residency.mayServe
 		}
 	}
 	c.discovery.unreadableAfter = -1
@@ -318,8 +318,8 @@
 	if !invariant.Debug {
 		defer c.recoverStep(l)
 	}
-	if c.warrant != nil {
-		c.warrant.updateServing()
+	if c.lease != nil {
+		c.lease.updateServing()
 	}
 	switch ev.Kind {
 	case ClientAccepted:
@@ -357,19 +357,19 @@
 	case CountersRequested:
 		c.logCounters()
 	case SpoolWorkDone:
-		c.paging.workDone(ev.SpoolWork)
+		c.resultPaging.workDone(ev.SpoolWork)
 	case FleetOrdered:
-		c.warrant.handleFleetOrder(ev.Order)
+		c.lease.handleFleetOrder(ev.Order)
 	case FleetReportRejected:
-		c.warrant.reportRejected(ev.Report)
+		c.lease.reportRejected(ev.Report)
 	case WriteBarred:
 		c.counters.barredWrites++
-		if c.warrant != nil {
-			c.warrant.rejectedWrites++
+		if c.lease != nil {
+			c.lease.rejectedWrites++
 		}
 	case ConfigurationReloaded:
 		c.changeDiscoveryAddress(ev.DiscoveryAddress)
-		if c.fairQueue != nil && ev.Tenants != nil && c.warrant == nil { // where there are peers teams are the fleet's to change
+		if c.fairQueue != nil && ev.Tenants != nil && c.lease == nil { // where there are peers teams are the fleet's to change
 			c.fairQueue.reload(ev.Tenants)
 		}
 	}
@@ -401,7 +401,7 @@
 			do()
 		} else if do, ok := c.nextDue(early); ok {
 			do()
-		} else if c.fairQueue == nil || c.warrant != nil && c.warrant.paused() || !c.fairQueue.dispatchNext() {
+		} else if c.fairQueue == nil || c.lease != nil && c.lease.paused() || !c.fairQueue.dispatchNext() {
 			break
 		}
 	}
@@ -543,8 +543,8 @@
 		if c.fairQueue != nil {
 			c.fairQueue.deferAll()
 		}
-		if c.warrant != nil {
-			c.warrant.deferAllHeld()
+		if c.lease != nil {
+			c.lease.deferAllHeld()
 		}
 	}
 	busy := past < stopStays || len(c.queries) > 0 || past < stopMost && (c.now-c.lastQueryAt < stopQuiet || c.cancellationsPending())
--- a/internal/controller/residency.go
+++ b/internal/controller/residency.go
@@ -369,7 +369,7 @@
 	return n
 }
 
-func (p *residencyState) text() string {
+func (p *residencyState) countersText() string {
 	_, crossed := p.core.Crossed()
 	return fmt.Sprintf("; placement bound %d, outside here %d, in conflict %d, barred %d, bindings %d, crossed %d",
 		p.boundQueries, p.redirectedQueries, p.conflicts, p.barredSends, p.requestedBindings, crossed)
@@ -378,8 +378,8 @@
 // Crossed lists the latest queries that an emergency let over a boundary, and how many
 // there were. It is for reports, between two steps.
 func (c *Controller) ResidencyViolations() ([]residency.Crossing, int) {
-	if c.warrant == nil || c.warrant.residency == nil {
+	if c.lease == nil || c.lease.residency == nil {
 		return nil, 0
 	}
-	return c.warrant.residency.core.Crossed()
+	return c.lease.residency.core.Crossed()
 }
--- a/internal/controller/result_cache.go
+++ b/internal/controller/result_cache.go
@@ -76,16 +76,16 @@
 // enters is asked before a query goes its way, which goes is for. False: it doesn't
 // need to, for now.
 func (a *resultCaching) lookup(q *query, from From, goes func(From)) bool {
-	if !a.cachedGroups[q.group.name] || q.cacheState != nil || q.spooled != nil || a.closing || a.purges.servingBarred() || !a.mayRetain(q) {
+	if !a.cachedGroups[q.group.name] || q.cacheState != nil || q.spooled != nil || a.closing || a.invalidation.servingBarred() || !a.mayRetain(q) {
 		return true
 	}
 	m := &cacheLookup{ask: &resultcache.Ask{Team: a.dataOwner(from), Group: q.group.index, Statement: q.statement, Tables: allTables(q.statement),
-		Index: a.purges.currentIndex(), Until: q.deadline - answerMargin, Of: q}}
+		Index: a.invalidation.currentIndex(), Until: q.deadline - answerMargin, Of: q}}
 	verdict, pages := a.core.Ask(a.now, m.ask)
 	switch verdict {
 	case resultcache.Hit:
-		a.purges.markRetained(func() { a.answerFinished(q, pages) })
-		a.purges.noteRetainedAnswer(q)
+		a.invalidation.markRetained(func() { a.answerFinished(q, pages) })
+		a.invalidation.noteRetainedAnswer(q)
 		return false
 	case resultcache.Follow:
 		from.Fields = from.Fields.Clone() // the call lies in its connection's buffer
@@ -148,23 +148,23 @@
 // hand answers those who followed with what another was answered.
 func (a *resultCaching) answerFollowers(others []*query, pages [][]byte) {
 	for _, o := range others {
-		if a.purges.servingBarred() {
-			a.answerDeferred(o, a.warrant.retryAfter())
+		if a.invalidation.servingBarred() {
+			a.answerDeferred(o, a.lease.retryAfter())
 			continue
 		}
 		if a.closeQuery(o, fairqueue.Finished) {
 			a.counters.finished++
-			a.purges.markRetained(func() { o.owner.finished(pages) })
-			a.purges.noteRetainedAnswer(o)
+			a.invalidation.markRetained(func() { o.owner.finished(pages) })
+			a.invalidation.noteRetainedAnswer(o)
 		}
 	}
 }
 
 // Answers is what the cache holds and counts, nil without one. It is for reports,
 // between two steps.
-func (c *Controller) ResultCache() *resultcache.Cache {
-	if c.caching == nil {
+func (c *Controller) AnswerCache() *resultcache.Cache {
+	if c.resultCaching == nil {
 		return nil
 	}
-	return c.caching.core
+	return c.resultCaching.core
 }
--- a/internal/controller/result_paging.go
+++ b/internal/controller/result_paging.go
@@ -75,7 +75,7 @@
 
 // tag is what a purge finds a query's result by.
 func (p *resultPaging) resultTag(q *query, from From) spool.Tag {
-	t := spool.Tag{Index: p.purges.currentIndex(), Tables: allTables(q.statement)}
+	t := spool.Tag{Index: p.invalidation.currentIndex(), Tables: allTables(q.statement)}
 	if owner := p.dataOwner(from); p.fairQueue == nil {
 		t.Owner = owner
 	}
@@ -204,7 +204,7 @@
 	w.Done(p.now)
 }
 
-func (p *resultPaging) text() string {
+func (p *resultPaging) countersText() string {
 	n := &p.core.Counts
 	results, memory, disk := p.core.Held()
 	return fmt.Sprintf("; spool holds %d results, bytes %d in memory %d on disk, promised %d refused %d too large %d without room %d not kept %d, pages %d from disk %d bad tokens %d spoilt %d, evicted %d expired %d read out %d, waited %d",
@@ -214,7 +214,7 @@
 
 // Page is a client's call for a page of a result that was promised.
 func (cl *client) Page(msg uint32, token []byte, number int, all msgpackrpc.Fields) {
-	if cl.paging == nil {
+	if cl.resultPaging == nil {
 		cl.Wrong(msg, "no such method")
 		return
 	}
@@ -222,34 +222,34 @@
 		cl.reply(msgpackrpc.Deferred(nil, msg, busyRetryAfter))
 		return
 	}
-	if cl.purges.servingBarred() {
-		cl.reply(msgpackrpc.Deferred(nil, msg, cl.warrant.retryAfter()))
+	if cl.invalidation.servingBarred() {
+		cl.reply(msgpackrpc.Deferred(nil, msg, cl.lease.retryAfter()))
 		return
 	}
 	cl.pageReads++
 	from := From{cl.connection.RemoteAddress, all}
 	owner, team := cl.dataOwner(from), cl.tenantOf(from)
 	var tables []int64
-	if cl.warrant != nil {
-		tables = cl.paging.core.Tagged(token, team).Tables
+	if cl.lease != nil {
+		tables = cl.resultPaging.core.Tagged(token, team).Tables
 	}
 	outside := func() bool { // the rules may have been others when it was kept
-		return cl.warrant != nil && !cl.warrant.residency.mayServe(owner, tables)
+		return cl.lease != nil && !cl.lease.residency.mayServe(owner, tables)
 	}
-	cl.paging.core.Read(cl.now, token, team, number, func(body []byte, err error) {
+	cl.resultPaging.core.Read(cl.now, token, team, number, func(body []byte, err error) {
 		cl.pageReads--
 		cl.idleSince = cl.now
 		switch {
 		case cl.connection.closed:
-		case cl.purges.servingBarred():
-			cl.reply(msgpackrpc.Deferred(nil, msg, cl.warrant.retryAfter()))
+		case cl.invalidation.servingBarred():
+			cl.reply(msgpackrpc.Deferred(nil, msg, cl.lease.retryAfter()))
 		case err == spool.ErrBusy:
 			cl.reply(msgpackrpc.Deferred(nil, msg, busyRetryAfter))
 		case err != nil || outside():
 			cl.reply(msgpackrpc.Killed(nil, msg, spool.ErrNone.Error()))
 		default:
-			cl.purges.markRetained(func() { cl.reply(msgpackrpc.Answer(nil, msg, [][]byte{body})) })
-			cl.purges.noteRetainedWrite(cl.connection, owner)
+			cl.invalidation.markRetained(func() { cl.reply(msgpackrpc.Answer(nil, msg, [][]byte{body})) })
+			cl.invalidation.noteRetainedWrite(cl.connection, owner)
 		}
 	})
 }
@@ -259,8 +259,8 @@
 // Spooled is what the spool holds: results, and bytes in memory and on disk; nothing
 // without one. It is for reports, between two steps.
 func (c *Controller) SpoolUsage() (results int, memory, disk int64) {
-	if c.paging == nil {
+	if c.resultPaging == nil {
 		return 0, 0, 0
 	}
-	return c.paging.core.Held()
+	return c.resultPaging.core.Held()
 }
--- a/internal/controller/serving_lease.go
+++ b/internal/controller/serving_lease.go
@@ -135,8 +135,8 @@
 		w.report(fleet.Report{Kind: fleet.Unreached, ID: o.ID})
 		w.report(fleet.Report{Kind: fleet.Wiped, ID: o.ID})
 	case fleet.Pictured:
-		if w.paging != nil && w.fleetView.Index == 0 { // the first of this run
-			w.paging.core.Recorded(o.Picture.Index)
+		if w.resultPaging != nil && w.fleetView.Index == 0 { // the first of this run
+			w.resultPaging.core.Recorded(o.Picture.Index)
 		}
 		w.fleetView = o.Picture
 		w.residency.viewChanged(o.Picture)
@@ -519,7 +519,7 @@
 	return l
 }
 
-func (w *servingLease) text() string {
+func (w *servingLease) countersText() string {
 	return fmt.Sprintf("; fleet version %d switches %d, held %d in all %d longest s %.3f deferred for want of a lease %d, writes refused %d",
-		w.servingVersion(false), w.policySwitches, w.heldCount, w.heldTotal, w.longestHold.Seconds(), w.deferredHeld, w.rejectedWrites) + w.residency.text()
+		w.servingVersion(false), w.policySwitches, w.heldCount, w.heldTotal, w.longestHold.Seconds(), w.deferredHeld, w.rejectedWrites) + w.residency.countersText()
 }
