--- /dev/null
+++ b/internal/controller/fleet_reports.go
@@ -0,0 +1,84 @@
+package controller
+
+import (
+	"slices"
+	"strings"
+	"time"
+
+	"railrelay.dev/railrelay/internal/fleet"
+	"railrelay.dev/railrelay/internal/scheduler"
+)
+
+const (
+	// reportRetryInterval passes before reports for which there was no room are sent again.
+	reportRetryInterval = 10 * time.Millisecond
+	// sitesReportInterval is how often the fleet is told which sites have serving engines.
+	sitesReportInterval = time.Second
+)
+
+// report sends a report to the fleet, after all that could not be sent yet.
+func (l *servingLease) report(r fleet.Report) {
+	switch {
+	case len(l.unsentReports) == 0:
+		l.emit(Effect{Kind: ReportToFleet, Report: &r})
+	case r.Kind != fleet.Sites: // those are repeated anyway
+		l.unsentReports = append(l.unsentReports, r)
+	}
+}
+
+// reportRejected keeps a report for which there was no room, to be sent again soon.
+func (l *servingLease) reportRejected(r *fleet.Report) {
+	if r.Kind == fleet.Sites {
+		return
+	}
+	l.unsentReports = append(l.unsentReports, *r)
+	if !l.reportRetryScheduled {
+		l.reportRetryScheduled = true
+		l.runAfter(reportRetryInterval, l.resendReports)
+	}
+}
+
+func (l *servingLease) resendReports() {
+	unsent := l.unsentReports
+	l.unsentReports = nil
+	l.reportRetryScheduled = false
+	for _, r := range unsent {
+		l.report(r)
+	}
+}
+
+// reportSitesPeriodically tells the fleet each sitesReportInterval which sites have engines that serve.
+func (l *servingLease) reportSitesPeriodically() {
+	l.runAfter(sitesReportInterval, l.reportSitesPeriodically)
+	l.reportedSites = l.servingSites()
+	l.reportSites(l.reportedSites)
+}
+
+// endpointsChanged reports the serving sites at once if a change of the endpoint list changed them.
+func (l *servingLease) endpointsChanged() {
+	sites := l.servingSites()
+	if !slices.Equal(sites, l.reportedSites) {
+		l.reportedSites = sites
+		l.reportSites(sites)
+	}
+}
+
+func (l *servingLease) reportSites(sites []string) {
+	l.report(fleet.Report{Kind: fleet.Sites, Sites: sites, Outside: l.residency.countOutside()})
+}
+
+// servingSites are the locations that have active engines, in the order of the settings.
+func (l *servingLease) servingSites() (sites []string) {
+	hasActive := map[int]bool{}
+	for _, e := range l.engines {
+		if e.state == scheduler.EngineActive {
+			hasActive[e.location] = true
+		}
+	}
+	for i, name := range strings.Split(l.Settings["locations"], ",") {
+		if hasActive[i] {
+			sites = append(sites, name)
+		}
+	}
+	return sites
+}
--- a/internal/controller/invalidation.go
+++ b/internal/controller/invalidation.go
@@ -1,92 +1,78 @@
 package controller
 
 import (
-	"cmp"
 	"fmt"
-	"slices"
-	"strconv"
-	"strings"
-	"time"
 
 	"github.com/cespare/xxhash/v2"
 
 	"railrelay.dev/railrelay/internal/fleet"
-	"railrelay.dev/railrelay/internal/msgpackrpc"
-	"railrelay.dev/railrelay/internal/resultcache"
 	"railrelay.dev/railrelay/internal/spool"
-	"railrelay.dev/railrelay/internal/timerqueue"
 )
 
-// purges has what is kept of a team go: results and cached answers, here where the
-// controller has no peers, else as the fleet orders it. Where nothing is kept it is
-// nil, and costs nothing.
+// invalidator removes what is retained of a tenant. Without one an invalidation finds nothing.
+type invalidator interface {
+	// invalidate sees to it that nothing in scope that was asked for before index comes out any
+	// more, and reports Unreached and then Wiped once that is so.
+	invalidate(id string, scope *fleet.Scope, index uint64)
+	// fleetAnswered takes what a Wanted came to. It reports whether that was asked for here.
+	fleetAnswered(id string, reply *fleet.Reply) bool
+}
+
+var _ invalidator = (*invalidation)(nil)
+
+// invalidation removes what is retained of a tenant, spooled results and cached answers: by
+// itself where the controller has no peers, else as the fleet orders it. Where nothing is
+// retained it is nil. All fields are the controller goroutine's.
 type invalidation struct {
 	*Controller
-	serial           uint64
-	logIndex         uint64                        // in the record: what is asked for now is asked for after it
-	local            map[string]*localInvalidation // without peers, by id
-	localOrder       []string                      // ids of here, the oldest first
-	callers          map[string][]*invalidationCall
-	unconfirmed      map[string]*fleet.Ask  // that the record is not known to have yet: asked for until it has
-	retainedWrites   map[retainedWrite]bool // that kept bytes were handed to, some of which may not be out
-	writesAfterSweep int                    // how many were left of them
-	// Counts of purges are counted since the start.
-	started, completed, clientCalls int
-}
+	// logIndex is the latest invalidation's index in the log: a query that comes now is asked
+	// for after it.
+	logIndex uint64
 
-// purge is one of this controller alone.
-type localInvalidation struct {
-	team   string
-	done   bool
-	counts fleet.Counts
-}
+	// Without peers.
+	local      map[string]*localInvalidation // by id
+	localOrder []string                      // ids of local, the oldest first
 
-// purgeCall is a client's that waits for its answer.
-type invalidationCall struct {
-	c        *client
-	msg      uint32
-	id       string
-	team     string
-	answerBy time.Duration
-	timer    *timerqueue.Item // that time
-	answered bool
-}
+	// Clients' calls.
+	serial      uint64 // of the last id made here
+	callers     map[string][]*invalidationCall
+	unconfirmed map[string]*fleet.Ask // not known to be in the log yet: asked for until they are
 
-// handed is a connection that kept bytes of a team were written to.
-type retainedWrite struct {
-	link *Connection
-	team string
-}
+	// Retained bytes handed to connections, some of which may not be out.
+	retainedWrites   map[retainedWrite]bool
+	writesAfterSweep int // how many the last sweep left
 
-const (
-	// purgesPast bounds the purges that a controller without peers can still tell of.
-	maxLocalInvalidations = 1024
-	// purgesMost bounds the calls of one team that wait on one controller.
-	maxCallsPerTenant = 16
-	// leavesWithin is how long what was handed out before a purge may take to leave
-	// this program; its connection is ended then.
-	flushTimeout      = 250 * time.Millisecond
-	flushPollInterval = 2 * time.Millisecond
-)
+	// Counts since the start.
+	started     int
+	completed   int
+	clientCalls int
+}
 
 func newInvalidation(c *Controller) *invalidation {
-	return &invalidation{Controller: c, local: map[string]*localInvalidation{}, callers: map[string][]*invalidationCall{}, unconfirmed: map[string]*fleet.Ask{}, retainedWrites: map[retainedWrite]bool{}}
+	return &invalidation{
+		Controller:     c,
+		local:          map[string]*localInvalidation{},
+		callers:        map[string][]*invalidationCall{},
+		unconfirmed:    map[string]*fleet.Ask{},
+		retainedWrites: map[retainedWrite]bool{},
+	}
 }
 
-// index is the place in the record after which a query that comes now is taken.
-func (p *invalidation) currentIndex() uint64 {
-	if p.lease != nil {
-		return max(p.logIndex, p.lease.fleetView.Index)
+// currentIndex is the index in the log after which a query that comes now is asked for.
+func (v *invalidation) currentIndex() uint64 {
+	if v.lease != nil {
+		return max(v.logIndex, v.lease.fleetView.Index)
 	}
-	return p.logIndex
+	return v.logIndex
 }
 
-// barred: nothing that is kept may be served now, for it may be gone elsewhere.
-func (p *invalidation) servingBarred() bool {
-	return p.lease != nil && p.lease.servingVersion(true) == 0
+// servingBarred reports whether nothing retained may be served now: it may be invalidated
+// elsewhere, and without a lease this controller isn't waited for.
+func (v *invalidation) servingBarred() bool {
+	return v.lease != nil && v.lease.servingVersion(true) == 0
 }
 
-// owner is whose a call is: its team, or its customer where there are no teams.
+// dataOwner is whose data a call reads: its tenant's, or its customer's where there are no tenants.
 func (c *Controller) dataOwner(from From) string {
 	if c.fairQueue == nil && c.FieldNames.Customer != "" {
 		if name := string(from.Fields.Get(c.FieldNames.Customer)); name != "" {
@@ -96,124 +82,120 @@
 	return c.tenantOf(from)
 }
 
-// serving does what writes of what is kept: it goes out only while the lease holds, by
-// the clock as it is then.
-func (p *invalidation) markRetained(do func()) {
-	p.writingRetained = true
-	do()
-	p.writingRetained = false
+// invalidate does what the fleet orders.
+func (v *invalidation) invalidate(id string, scope *fleet.Scope, index uint64) {
+	v.started++
+	v.logMessage(false, "purge "+id+" of team "+scope.Team+" begins")
+	unreachable := func() {
+		v.lease.report(fleet.Report{Kind: fleet.Unreached, ID: id})
+	}
+	erased := func(n fleet.Counts) {
+		v.completed++
+		v.logCompleted(id, scope.Team, n)
+		v.lease.report(fleet.Report{Kind: fleet.Wiped, ID: id, Counts: n})
+	}
+	v.apply(scope, index, unreachable, erased)
 }
 
-// hands notes that kept bytes were handed to a query's client.
-func (p *invalidation) noteRetainedAnswer(q *query) {
-	if a, ok := q.owner.(*rpcCall); ok {
-		team := ""
-		if q.cacheState != nil && q.cacheState.ask != nil {
-			team = q.cacheState.ask.Team
-		}
-		p.noteRetainedWrite(a.client.connection, team)
-	}
+func (v *invalidation) logCompleted(id, tenant string, n fleet.Counts) {
+	text := fmt.Sprintf("purge %s is done here: %d results and %d answers, %d bytes",
+		id, n.Results, n.Answers, n.Bytes)
+	v.logAbout(LogFields{Tenant: tenant}, text)
 }
 
-// handsOut: kept bytes of a team, "" if it isn't known, are on their way out by a link.
-func (p *invalidation) noteRetainedWrite(conn *Connection, team string) {
-	if len(p.retainedWrites) >= 2*p.writesAfterSweep+64 {
-		p.writesFlushed(nil)
-		p.writesAfterSweep = len(p.retainedWrites)
-	}
-	if conn.unwrittenBytes > 0 {
-		p.retainedWrites[retainedWrite{conn, team}] = true
-	}
+// localInvalidation is one of a controller without peers.
+type localInvalidation struct {
+	tenant string
+	done   bool
+	counts fleet.Counts
 }
 
-// flushed: nothing is on its way out any more of a team, or of any for nil.
-func (p *invalidation) writesFlushed(team *string) bool {
-	out := true
-	for h := range p.retainedWrites {
-		if h.link.unwrittenBytes == 0 {
-			delete(p.retainedWrites, h)
-		} else if team == nil || h.team == "" || h.team == *team {
-			out = false
-		}
-	}
-	return out
+// maxLocalInvalidations bounds the invalidations that a controller without peers can still tell of.
+const maxLocalInvalidations = 1024
+
+// startLocal is an invalidation where there are no peers.
+func (v *invalidation) startLocal(id string, scope *fleet.Scope) {
+	entry := &localInvalidation{tenant: scope.Team}
+	v.local[id] = entry
+	v.localOrder = append(v.localOrder, id)
+	if len(v.localOrder) > maxLocalInvalidations {
+		delete(v.local, v.localOrder[0])
+		v.localOrder = v.localOrder[1:]
+	}
+	v.started++
+	v.apply(scope, v.logIndex+1, func() {}, func(n fleet.Counts) {
+		v.completed++
+		entry.done = true
+		entry.counts = n
+		v.logCompleted(id, scope.Team, n)
+		v.answerLocalCallers(id)
+	})
 }
 
-// leave calls then once all that was handed out of a team is out. A client that doesn't
-// take it in time gets no more of it.
-func (p *invalidation) awaitWritesFlushed(team string, until time.Duration, then func()) {
-	switch {
-	case p.writesFlushed(&team):
-		then()
-		return
-	case p.now >= until:
-		for h := range p.retainedWrites {
-			if h.team == "" || h.team == team {
-				p.counters.disconnected++
-				p.closeConnection(h.link, false)
-				delete(p.retainedWrites, h)
-			}
-		}
-		then()
-		return
+// newID is an id that no other invalidation has: it is drawn from what can't come twice.
+func (v *invalidation) newID(tenant string) string {
+	v.serial++
+	draw := uint64(v.StartedAt.UnixNano())
+	if v.DrawUnique != nil {
+		draw = v.DrawUnique()
 	}
-	p.runAfter(flushPollInterval, func() { p.awaitWritesFlushed(team, until, then) })
+	here := xxhash.Sum64String(fmt.Sprint(tenant, v.serial, v.now, v.StartedAt.UnixNano()))
+	return fmt.Sprintf("%016x%016x", draw, here)
 }
 
-// purge has all of a scope go that was asked for before a place in the record.
-func (p *invalidation) apply(s *fleet.Scope, index uint64, unreached func(), wiped func(fleet.Counts)) {
-	p.logIndex = max(p.logIndex, index)
+// apply removes all of a scope that was asked for before an index of the log. It calls
+// unreachable once nothing of it comes out any more, and erased once none of it is left.
+func (v *invalidation) apply(
+	scope *fleet.Scope, index uint64, unreachable func(), erased func(fleet.Counts),
+) {
+	v.logIndex = max(v.logIndex, index)
 	var found fleet.Counts
-	if p.resultCaching != nil {
-		var next []*resultcache.Ask
-		found, next = p.resultCaching.core.Drop(p.now, s, index)
-		for _, a := range next {
-			p.resultCaching.promote(a)
-		}
+	if v.resultCaching != nil {
+		found = v.resultCaching.invalidate(scope, index)
 	}
-	out, wipes := false, false
-	end := func() {
-		if out && wipes {
-			wiped(found)
+	isUnreachable, isErased := false, false
+	finish := func() {
+		if isUnreachable && isErased {
+			erased(found)
 		}
 	}
-	gone := func() {
-		p.awaitWritesFlushed(s.Team, p.now+flushTimeout, func() {
-			unreached()
-			out = true
-			end()
+	nothingComesOut := func() {
+		v.awaitWritesFlushed(scope.Team, v.now+flushTimeout, func() {
+			unreachable()
+			isUnreachable = true
+			finish()
 		})
 	}
-	erased := func(n fleet.Counts) {
+	spoolErased := func(n fleet.Counts) {
 		found.Add(n)
-		wipes = true
-		end()
+		isErased = true
+		finish()
 	}
-	if p.resultPaging == nil {
-		gone()
-		erased(fleet.Counts{})
+	if v.resultPaging == nil {
+		nothingComesOut()
+		spoolErased(fleet.Counts{})
 		return
 	}
-	p.resultPaging.core.Purge(p.now, s, index, gone, erased)
-	p.resultPaging.answerInvalidated()
+	v.resultPaging.core.Purge(v.now, scope, index, nothingComesOut, spoolErased)
+	v.resultPaging.answerInvalidated()
 }
 
-// purged answers the queries whose results a purge took before they were whole. One
-// that may be sent again is deferred: nothing that it asked for can be kept any more.
+// invalidate removes cached answers. Queries that followed a run which it struck go their own way.
+func (a *resultCaching) invalidate(scope *fleet.Scope, index uint64) fleet.Counts {
+	found, next := a.core.Drop(a.now, scope, index)
+	for _, ask := range next {
+		a.promote(ask)
+	}
+	return found
+}
+
+// answerInvalidated answers the queries whose results were invalidated before they were complete.
+// One that may be sent again is deferred: nothing that it asked for can be retained any more.
 func (p *resultPaging) answerInvalidated() {
-	for _, q := range p.queriesWhere(func(q *query) bool {
-		if q.answered || q.spooled == nil {
-			return false
-		}
-		taken := q.spooled.Purged()
-		for _, s := range q.attempts {
-			taken = taken || s.result != nil && s.result.Purged()
-		}
-		return taken
-	}) {
+	for _, q := range p.queriesWhere(isInvalidated) {
 		sent := false
-		for _, s := range q.attempts {
-			sent = sent || s.sent
+		for _, a := range q.attempts {
+			sent = sent || a.sent
 		}
 		if q.group.readOnly || !sent {
 			p.logAbout(q.logFields(), "deferred: "+spool.ErrPurged.Error())
@@ -225,203 +207,18 @@
 	}
 }
 
-// those are the queries for which something holds, in the order in which they came.
-func (c *Controller) queriesWhere(holds func(q *query) bool) (l []*query) {
-	for _, q := range c.queries {
-		if holds(q) {
-			l = append(l, q)
-		}
-	}
-	slices.SortFunc(l, func(a, b *query) int {
-		return cmp.Or(cmp.Compare(a.receivedAt, b.receivedAt), strings.Compare(a.id, b.id))
-	})
-	return l
-}
-
-// drop is the fleet's order.
-func (p *invalidation) invalidate(id string, s *fleet.Scope, index uint64) {
-	p.started++
-	p.logMessage(false, "purge "+id+" of team "+s.Team+" begins")
-	p.apply(s, index, func() {
-		p.lease.report(fleet.Report{Kind: fleet.Unreached, ID: id})
-	}, func(n fleet.Counts) {
-		p.completed++
-		p.logCompleted(id, s.Team, n)
-		p.lease.report(fleet.Report{Kind: fleet.Wiped, ID: id, Counts: n})
-	})
-}
-
-func (p *invalidation) logCompleted(id, team string, n fleet.Counts) {
-	p.logAbout(LogFields{Tenant: team}, fmt.Sprintf("purge %s is done here: %d results and %d answers, %d bytes", id, n.Results, n.Answers, n.Bytes))
-}
-
-// Purge is a client's call to have what is kept of its team go, or, with an id, for how
-// far a purge has come.
-func (cl *client) Purge(msg uint32, call msgpackrpc.Purge, all msgpackrpc.Fields) {
-	p := cl.invalidation
-	if p == nil {
-		cl.Wrong(msg, "no such method")
-		return
-	}
-	team := cl.dataOwner(From{cl.connection.RemoteAddress, all})
-	waiting := 0
-	for _, l := range p.callers {
-		for _, x := range l {
-			if x.team == team {
-				waiting++
-			}
-		}
-	}
-	if cl.pageReads >= cl.limits.OpenQueries || waiting >= maxCallsPerTenant || len(p.unconfirmed) >= maxLocalInvalidations {
-		cl.reply(msgpackrpc.Deferred(nil, msg, noSpaceRetryAfter))
-		return
-	}
-	x := &invalidationCall{c: cl, msg: msg, id: string(call.ID), team: team}
-	fresh := x.id == ""
-	if fresh {
-		x.id = p.newID(team)
-	}
-	p.clientCalls++
-	cl.pageReads++
-	p.callers[x.id] = append(p.callers[x.id], x)
-	x.answerBy = cl.now + max(0, call.Patience-answerMargin)
-	x.timer = cl.timers.Add(x.answerBy, func() { p.answerState(x, statePending, "", nil, nil) })
-	switch {
-	case p.lease != nil:
-		a := &fleet.Ask{Kind: "status", ID: x.id, By: team, Team: team, Wait: max(1, (call.Patience - 2*answerMargin).Milliseconds())}
-		if fresh {
-			a.Kind, a.Scope = "purge", &fleet.Scope{Team: team, Tables: call.Tables, Before: call.Before}
-			p.unconfirmed[x.id] = a
-		}
-		p.lease.report(fleet.Report{Kind: fleet.Wanted, Ask: a})
-	case fresh:
-		p.startLocal(x.id, &fleet.Scope{Team: team, Tables: call.Tables, Before: call.Before})
-	default:
-		p.answerLocalCallers(x.id)
-	}
-}
-
-// name is one that no other purge has: it is drawn from what can't come twice.
-func (p *invalidation) newID(team string) string {
-	p.serial++
-	draw := uint64(p.StartedAt.UnixNano())
-	if p.DrawUnique != nil {
-		draw = p.DrawUnique()
-	}
-	return fmt.Sprintf("%016x%016x", draw, xxhash.Sum64String(fmt.Sprint(team, p.serial, p.now, p.StartedAt.UnixNano())))
-}
-
-// alone is a purge where there are no peers.
-func (p *invalidation) startLocal(id string, s *fleet.Scope) {
-	x := &localInvalidation{team: s.Team}
-	p.local[id] = x
-	if p.localOrder = append(p.localOrder, id); len(p.localOrder) > maxLocalInvalidations {
-		delete(p.local, p.localOrder[0])
-		p.localOrder = p.localOrder[1:]
+func isInvalidated(q *query) bool {
+	if q.answered || q.spooled == nil {
+		return false
 	}
-	p.started++
-	p.apply(s, p.logIndex+1, func() {}, func(n fleet.Counts) {
-		p.completed++
-		x.done, x.counts = true, n
-		p.logCompleted(id, s.Team, n)
-		p.answerLocalCallers(id)
-	})
-}
-
-// state answers those who ask for a purge of this controller alone, if there is a word.
-func (p *invalidation) answerLocalCallers(id string) {
-	x := p.local[id]
-	for _, w := range p.waitingCallers(id) {
-		switch {
-		case x == nil || x.team != w.team:
-			p.finishCall(w, msgpackrpc.Killed(nil, w.msg, unknownInvalidationText))
-		case x.done:
-			p.answerState(w, "purged", "", &x.counts, nil)
+	for _, a := range q.attempts {
+		if a.result != nil && a.result.Purged() {
+			return true
 		}
 	}
+	return q.spooled.Purged()
 }
 
-// unknownPurge is all that is told of an id that is none of the team's.
-const unknownInvalidationText = "no purge of this team has this id: ask for one without an id"
-
-func (p *invalidation) waitingCallers(id string) []*invalidationCall {
-	return slices.Clone(p.callers[id])
-}
-
-// answered: the fleet's word on what was asked for here.
-func (p *invalidation) fleetAnswered(id string, r *fleet.Reply) bool {
-	l := p.waitingCallers(id)
-	again := p.unconfirmed[id]
-	if again != nil && r.Word == "unknown" && r.Stage == "" {
-		a := *again // its word may have been told already: that it is asked for holds
-		a.Wait = confirmationWait.Milliseconds()
-		p.lease.report(fleet.Report{Kind: fleet.Wanted, Ask: &a})
-	} else {
-		delete(p.unconfirmed, id)
-	}
-	for _, x := range l {
-		switch {
-		case r.Word == "purged":
-			p.answerState(x, r.Word, "", r.Counts, nil)
-		case r.Word == "unknown" && (r.Stage == "" || r.Stage == fleet.Purge || r.Stage == fleet.Unreachable || r.Stage == fleet.Erased):
-			if p.now >= x.answerBy-4*answerMargin { // each who asks has a word of its own, and it comes right before
-				p.answerState(x, statePending, cmp.Or(stageNames[r.Stage], stageNames[""]), nil, r.Outstanding)
-			}
-		case r.Word == "refused" && r.Why != "":
-			p.finishCall(x, msgpackrpc.Killed(nil, x.msg, r.Why))
-		default:
-			p.finishCall(x, msgpackrpc.Killed(nil, x.msg, unknownInvalidationText))
-		}
-	}
-	return len(l) > 0 || again != nil
-}
-
-const statePending = "not yet"
-
-// stages are what is told of how far a purge has come. One that isn't recorded is asked
-// for on and on by the controller that it was asked of, and by no other.
-var stageNames = map[string]string{"": "not recorded", fleet.Purge: "recorded", fleet.Unreachable: "unreachable", fleet.Erased: "erased"}
-
-// unsaidFor is how long the fleet may take for a word on what it is asked for again.
-const confirmationWait = 5 * time.Second
-
-func (p *invalidation) answerState(x *invalidationCall, word, stage string, n *fleet.Counts, outstanding []string) {
-	fields := []string{"id", x.id, "state", word}
-	if n != nil {
-		for _, f := range []struct {
-			name string
-			n    int64
-		}{{"results", n.Results}, {"answers", n.Answers}, {"bytes", n.Bytes}} {
-			fields = append(fields, f.name, strconv.FormatInt(f.n, 10))
-		}
-	}
-	if stage != "" {
-		fields = append(fields, "stage", stage)
-	}
-	if len(outstanding) > 0 {
-		fields = append(fields, "outstanding", strings.Join(outstanding, ","))
-	}
-	p.finishCall(x, msgpackrpc.Purged(nil, x.msg, fields...))
-}
-
-// over answers a call.
-func (p *invalidation) finishCall(x *invalidationCall, answer []byte) {
-	if x.answered {
-		return
-	}
-	x.answered = true
-	p.timers.Drop(x.timer)
-	l := slices.DeleteFunc(p.callers[x.id], func(y *invalidationCall) bool { return x == y })
-	if p.callers[x.id] = l; len(l) == 0 {
-		delete(p.callers, x.id)
-	}
-	x.c.pageReads--
-	x.c.idleSince = p.now
-	if !x.c.connection.closed {
-		x.c.reply(answer)
-	}
-}
-
-func (p *invalidation) countersText() string {
-	return fmt.Sprintf("; purges %d done %d asked for by clients %d", p.started, p.completed, p.clientCalls)
+func (v *invalidation) countersText() string {
+	return fmt.Sprintf("; purges %d done %d asked for by clients %d", v.started, v.completed, v.clientCalls)
 }
--- a/internal/controller/residency.go
+++ b/internal/controller/residency.go
@@ -13,112 +13,144 @@
 	"railrelay.dev/railrelay/internal/fleet"
 	"railrelay.dev/railrelay/internal/msgpackrpc"
 	"railrelay.dev/railrelay/internal/residency"
-	"railrelay.dev/railrelay/internal/scheduler"
 )
 
-// placement holds queries to where their teams' data may be: when they are taken, when
-// they are handed on to the decisions, and at each submission by the rules as they are then.
+// residencyState confines queries to where their tenants' data may be: when they are admitted,
+// when they are handed to the scheduler, and at each attempt, by the rules as they are then.
 type residencyState struct {
 	*servingLease
-	core        *residency.Core
-	siteNames   []string // of locations, by their places in the settings
-	judgedStamp uint64   // of the rules that all in hand was last judged by
-
-	pendingBindings map[string]*bindingRequest // of the fleet, by id
-
-	// counts
-	boundQueries, conflicts, redirectedQueries, requestedBindings, barredSends int
+	core        *residency.Core // the rules and what the log has of bindings
+	siteNames   []string        // of locations, by their index in the settings
+	judgedStamp uint64          // of the rules by which all queries were last judged
+
+	pendingBindings map[string]*bindingRequest // asked of the fleet, by id
+
+	// Counts since the start.
+	boundQueries      int
+	conflicts         int
+	redirectedQueries int
+	requestedBindings int
+	barredSends       int
 }
 
-// binding is what a load needs in the record before it may be sent; all loads that need
+// bindingRequest is what a load needs in the log before it may be sent; all loads that need
 // the same wait for one.
 type bindingRequest struct {
 	binding *fleet.Binding
 	backoff time.Duration // before it is asked for once more
 }
 
-// placed is what is known of where one query may be.
+const (
+	// bindingWait is how long the fleet looks for an answer before it says that it isn't known yet.
+	bindingWait       = 2 * time.Second
+	minBindingBackoff = 50 * time.Millisecond
+	maxBindingBackoff = time.Second
+)
+
+// queryResidency is what is known of where one query may be.
 type queryResidency struct {
-	tenant        string
-	inspected     bool // its statement was looked at: the team was bound at some time
+	tenant string
+
+	// What its statement tells, once it was inspected.
+	inspected     bool // only where its tenant was bound by a rule at some time
 	readTables    []int64
 	writtenTables []int64
-	tables        []int64
+	tables        []int64 // both
 	tablesKnown   bool
 
-	verdict       residency.Verdict
-	stamp         uint64
-	attemptsNoted int // submissions, when the last was noted as sent
+	// The last verdict, and the stamp of the rules that it is by.
+	verdict residency.Verdict
+	stamp   uint64
+
+	attemptsNoted int // how many attempts there were when one was last noted as sent
 }
 
-func newResidencyState(w *servingLease) *residencyState {
-	p := &residencyState{servingLease: w, siteNames: strings.Split(w.Settings["locations"], ","), pendingBindings: map[string]*bindingRequest{}}
-	site := ""
-	if at := w.Settings["own.location"]; at != "" {
-		i, _ := strconv.Atoi(at)
-		site = p.siteName(i)
+func newResidencyState(lease *servingLease) *residencyState {
+	r := &residencyState{
+		servingLease:    lease,
+		siteNames:       strings.Split(lease.Settings["locations"], ","),
+		pendingBindings: map[string]*bindingRequest{},
+	}
+	ownSite := ""
+	if at := lease.Settings["own.location"]; at != "" {
+		location, _ := strconv.Atoi(at)
+		ownSite = r.siteName(location)
 	}
-	p.core = residency.New(site)
-	p.judgedStamp = p.core.Stamp()
-	return p
+	r.core = residency.New(ownSite)
+	r.judgedStamp = r.core.Stamp()
+	return r
 }
 
-func (p *residencyState) siteName(place int) string {
-	if place < 0 || place >= len(p.siteNames) {
+// residencyTenantOf is the tenant of a call, or its customer where there are no tenants.
+func (l *servingLease) residencyTenantOf(q *query, from From) string {
+	if l.fairQueue == nil && q.customer >= 0 && q.customer < len(l.customers) {
+		return l.customers[q.customer]
+	}
+	return l.tenantOf(from)
+}
+
+// siteName is the name of a location; "" if the settings don't have it.
+func (r *residencyState) siteName(location int) string {
+	if location < 0 || location >= len(r.siteNames) {
 		return ""
 	}
-	return p.siteNames[place]
+	return r.siteNames[location]
 }
 
 // verdict judges a query by the rules as they are now.
-func (p *residencyState) verdict(q *query) *residency.Verdict {
+func (r *residencyState) verdict(q *query) *residency.Verdict {
 	x := q.residency
-	if x.stamp == p.core.Stamp() {
+	if x.stamp == r.core.Stamp() {
 		return &x.verdict
 	}
-	if !x.inspected && p.core.Bound(x.tenant) {
+	if !x.inspected && r.core.Bound(x.tenant) {
 		x.inspect(q)
 	}
-	x.stamp, x.verdict = p.core.Stamp(), p.core.Judge(x.tenant, x.tables, x.tablesKnown)
+	x.stamp = r.core.Stamp()
+	x.verdict = r.core.Judge(x.tenant, x.tables, x.tablesKnown)
 	return &x.verdict
 }
 
-// tell looks at its statement, for as long as it is there.
+// inspect reads the tables from the query's statement, which is forgotten once it is over.
 func (x *queryResidency) inspect(q *query) {
 	x.inspected = true
 	x.readTables, x.writtenTables, x.tablesKnown = msgpackrpc.AllTables(q.statement)
 	x.tables = slices.Concat(x.readTables, x.writtenTables)
 	if len(q.statement) == 0 || q.group.isLoad && len(x.writtenTables) == 0 {
-		x.tablesKnown = false // it is forgotten, or loads into what can't be told: the strictest
+		// the statement is forgotten, or loads into what can't be told: the strictest rules hold
+		x.tablesKnown = false
 	}
 }
 
-// binds: it needs the lease of bound teams. It is asked before enters.
-func (p *residencyState) isBound(q *query, from From) bool {
-	q.residency = &queryResidency{tenant: p.residencyTenantOf(q, from), tablesKnown: true}
-	return p.verdict(q).Bound
+// isBound reports whether a query needs the lease of confined tenants. It must run before
+// checkAdmission.
+func (r *residencyState) isBound(q *query, from From) bool {
+	q.residency = &queryResidency{tenant: r.residencyTenantOf(q, from), tablesKnown: true}
+	return r.verdict(q).Bound
 }
 
-func (p *residencyState) checkAdmission(q *query, from From) bool {
-	v := p.verdict(q)
+// checkAdmission reports whether a query may go on: it is served here and the log has what it
+// binds. If not it was answered, or is held until the log has that.
+func (r *residencyState) checkAdmission(q *query, from From) bool {
+	v := r.verdict(q)
 	if !v.Bound {
 		return true
 	}
-	p.boundQueries++
-	if !p.ensureServable(q, v) {
+	r.boundQueries++
+	if !r.ensureServable(q, v) {
 		return false
 	}
-	need, err := p.requiredBinding(q)
+	required, err := r.requiredBinding(q)
 	if err != nil {
-		p.conflicts++
-		p.answerKilled(q, err.Error())
+		r.conflicts++
+		r.answerKilled(q, err.Error())
 		return false
 	}
-	if need != nil {
-		p.requestBinding(need)
+	if required != nil {
+		r.requestBinding(required)
 	}
-	if isUnrecorded(need, err) {
-		p.hold(q, from) // release tries it again once the record has it
+	if isUnrecorded(required, err) {
+		r.hold(q, from) // releaseHeld tries it again once the log has it
 		return false
 	}
 	return true
@@ -130,253 +162,270 @@
 	return required != nil || err != nil
 }
 
-// fits answers a query that may not be here or nowhere at all. Nothing of it was sent.
-func (p *residencyState) ensureServable(q *query, v *residency.Verdict) bool {
+// ensureServable reports whether this controller may serve a query. If not it answers the query,
+// of which nothing was sent.
+func (r *residencyState) ensureServable(q *query, v *residency.Verdict) bool {
 	switch {
 	case v.Conflict != nil:
-		p.conflicts++
-		p.answerKilled(q, v.Conflict.Error())
+		r.conflicts++
+		r.answerKilled(q, v.Conflict.Error())
 	case !v.Take:
-		p.redirect(q, v)
+		r.redirect(q, v)
 	}
 	return !q.answered
 }
 
-// needs is what must be recorded before it may be sent, nil: nothing.
-func (p *residencyState) requiredBinding(q *query) (*fleet.Binding, error) {
+// requiredBinding is what the log must have before a query may be sent; nil: nothing.
+func (r *residencyState) requiredBinding(q *query) (*fleet.Binding, error) {
 	x := q.residency
-	readOnly := p.Settings["group."+strconv.Itoa(q.group.index)+".effect"] == "read-only"
+	readOnly := r.Settings["group."+strconv.Itoa(q.group.index)+".effect"] == "read-only"
 	if !q.group.isLoad && len(x.writtenTables) == 0 && (x.tablesKnown || readOnly) {
 		return nil, nil
 	}
-	return p.core.Needs(x.tenant, x.readTables, x.writtenTables, x.tablesKnown)
+	return r.core.Needs(x.tenant, x.readTables, x.writtenTables, x.tablesKnown)
 }
 
-// direct defers a query, and tells its client which controllers may take it.
-func (p *residencyState) redirect(q *query, v *residency.Verdict) {
-	p.redirectedQueries++
-	var may []string
-	for _, m := range p.fleetView.Members {
+// redirect defers a query, and tells its client which controllers may serve it.
+func (r *residencyState) redirect(q *query, v *residency.Verdict) {
+	r.redirectedQueries++
+	var controllers []string
+	for _, m := range r.fleetView.Members {
 		if !m.Forgotten && m.Clients != "" && slices.Contains(v.Takers, m.Site) {
-			may = append(may, m.Clients)
+			controllers = append(controllers, m.Clients)
 		}
 	}
-	p.logAbout(q.logFields(), (&residency.Outside{Team: q.residency.tenant, Site: p.core.Site(), Rules: v.Rules, Controllers: may}).Error())
-	if q.answered || !p.closeQuery(q, fairqueue.Deferred) {
+	outside := &residency.Outside{
+		Team:        q.residency.tenant,
+		Site:        r.core.Site(),
+		Rules:       v.Rules,
+		Controllers: controllers,
+	}
+	r.logAbout(q.logFields(), outside.Error())
+	if q.answered || !r.closeQuery(q, fairqueue.Deferred) {
 		return
 	}
-	p.counters.deferred++
-	if a, ok := q.owner.(redirectable); ok && len(may) > 0 {
-		a.directed(p.retryAfter(), may)
+	r.counters.deferred++
+	if owner, ok := q.owner.(redirectable); ok && len(controllers) > 0 {
+		owner.directed(r.retryAfter(), controllers)
 		return
 	}
-	q.owner.deferred(p.retryAfter())
+	q.owner.deferred(r.retryAfter())
 }
 
-// directed is an asker that can be told of other controllers.
+// redirectable is a query's owner that can be told of other controllers.
 type redirectable interface {
 	directed(comeBack time.Duration, controllers []string)
 }
 
-// ask has the record take a binding, once.
-func (p *residencyState) requestBinding(need *fleet.Binding) {
-	// the same everywhere and after a restart: an id of another binding would be taken as told already
-	sum := sha256.Sum256(fmt.Appendf(nil, "%q %v %v", need.Team, need.Tables, need.From))
+// requestBinding asks the fleet to log a binding, once for all queries that need it.
+func (r *residencyState) requestBinding(required *fleet.Binding) {
+	// The id is the same everywhere and after a restart, and differs for each binding: the
+	// fleet takes one that it has seen as asked for again.
+	sum := sha256.Sum256(fmt.Appendf(nil, "%q %v %v", required.Team, required.Tables, required.From))
 	id := fmt.Sprintf("bind-%x", sum[:16])
-	if p.pendingBindings[id] != nil {
+	if r.pendingBindings[id] != nil {
 		return
 	}
-	b := &bindingRequest{binding: need}
-	p.pendingBindings[id] = b
-	p.requestedBindings++
-	p.sendBindingRequest(id, b)
+	b := &bindingRequest{binding: required}
+	r.pendingBindings[id] = b
+	r.requestedBindings++
+	r.sendBindingRequest(id, b)
 }
 
-// bindWait is how long the fleet looks for an answer before it says that it isn't known yet.
-const bindingWait = 2 * time.Second
-
-func (p *residencyState) sendBindingRequest(id string, b *bindingRequest) {
-	p.report(fleet.Report{Kind: fleet.Wanted, ID: id, Ask: &fleet.Ask{Kind: "bind", ID: id, By: p.core.Site(), Team: b.binding.Team,
-		Tables: b.binding.Tables, From: b.binding.From, Wait: bindingWait.Milliseconds()}})
+func (r *residencyState) sendBindingRequest(id string, b *bindingRequest) {
+	ask := &fleet.Ask{
+		Kind:   "bind",
+		ID:     id,
+		By:     r.core.Site(),
+		Team:   b.binding.Team,
+		Tables: b.binding.Tables,
+		From:   b.binding.From,
+		Wait:   bindingWait.Milliseconds(),
+	}
+	r.report(fleet.Report{Kind: fleet.Wanted, ID: id, Ask: ask})
 }
 
-// answered: the record has a binding, or it isn't known yet, or it never will.
-func (p *residencyState) fleetAnswered(id string, reply *fleet.Reply) bool {
-	b := p.pendingBindings[id]
+// fleetAnswered takes the fleet's reply to a binding request: the log has it, it isn't known
+// yet, or the log never will. It reports whether the id is of a request from here.
+func (r *residencyState) fleetAnswered(id string, reply *fleet.Reply) bool {
+	b := r.pendingBindings[id]
 	if b == nil {
 		return false
 	}
 	switch reply.Word {
 	case "bound":
-		delete(p.pendingBindings, id)
-		p.core.Recorded(*b.binding)
-		p.reevaluate()
-		p.runSoon(p.servingLease.releaseHeld)
+		delete(r.pendingBindings, id)
+		r.core.Recorded(*b.binding)
+		r.reevaluate()
+		r.runSoon(r.servingLease.releaseHeld)
 	case "unknown":
-		// asked again by the same id: the loads that wait for it have their own ends
-		b.backoff = min(max(2*b.backoff, 50*time.Millisecond), time.Second)
-		p.runAfter(b.backoff, func() {
-			if p.pendingBindings[id] == b {
-				p.sendBindingRequest(id, b)
+		// asked again by the same id; the loads that wait for it have deadlines of their own
+		b.backoff = min(max(2*b.backoff, minBindingBackoff), maxBindingBackoff)
+		r.runAfter(b.backoff, func() {
+			if r.pendingBindings[id] == b {
+				r.sendBindingRequest(id, b)
 			}
 		})
 	default:
-		delete(p.pendingBindings, id)
-		p.logMessage(true, (&residency.Unbound{Team: b.binding.Team, Tables: b.binding.Tables, Why: cmp.Or(reply.Why, reply.Word)}).Error())
+		delete(r.pendingBindings, id)
+		why := cmp.Or(reply.Why, reply.Word)
+		r.logMessage(true, (&residency.Unbound{Team: b.binding.Team, Tables: b.binding.Tables, Why: why}).Error())
 	}
 	return true
 }
 
-func (p *residencyState) policyOpened(policy *Policy) {
+func (r *residencyState) policyOpened(policy *Policy) {
 	rules, _ := policy.Rules.([]residency.Rule)
-	p.core.Rules(rules)
-	p.reevaluate()
+	r.core.Rules(rules)
+	r.reevaluate()
 }
 
-func (p *residencyState) viewChanged(picture *fleet.Picture) {
-	p.core.Pictured(picture)
-	p.reevaluate()
+func (r *residencyState) viewChanged(picture *fleet.Picture) {
+	r.core.Pictured(picture)
+	r.reevaluate()
 }
 
-// rejudge holds all that is in hand to rules that have changed. What runs goes on to its
-// end, and what is kept is purged by the record; nothing new goes outside.
-func (p *residencyState) reevaluate() {
-	if p.judgedStamp == p.core.Stamp() {
+// reevaluate applies rules that have changed to all queries. What runs goes on to its end, and
+// what is retained is invalidated through the log; nothing new is sent outside.
+func (r *residencyState) reevaluate() {
+	if r.judgedStamp == r.core.Stamp() {
 		return
 	}
-	p.judgedStamp = p.core.Stamp()
-	var all []*query
-	for _, q := range p.queries {
-		if q.residency != nil && !q.answered && !q.blocked {
-			all = append(all, q)
-		}
+	r.judgedStamp = r.core.Stamp()
+	confined := r.queriesWhere(func(q *query) bool { return q.residency != nil && !q.answered && !q.blocked })
+	for _, q := range confined {
+		r.reevaluateQuery(q)
 	}
-	slices.SortFunc(all, func(a, b *query) int {
-		return cmp.Or(cmp.Compare(a.receivedAt, b.receivedAt), strings.Compare(a.id, b.id))
-	})
-	for _, q := range all {
-		v := p.verdict(q)
-		q.confined = v.Bound
-		if !q.mayHaveRun() {
-			need, err := p.requiredBinding(q)
-			if need != nil || err != nil { // its client comes again, and it is recorded then
-				p.deferUnsent(q)
-				continue
-			}
-			if !p.ensureServable(q, v) {
-				p.runSoon(func() { p.scheduler.QueryDropped(p.now, q.id) })
-				for _, s := range q.attempts {
-					if !s.sent {
-						p.withdrawAttempt(s, scheduler.NeverSent)
-					}
-				}
-				continue
-			}
+}
+
+func (r *residencyState) reevaluateQuery(q *query) {
+	v := r.verdict(q)
+	q.confined = v.Bound
+	if !q.mayHaveRun() {
+		required, err := r.requiredBinding(q)
+		if required != nil || err != nil { // its client comes again, and the binding is logged then
+			r.deferUnsent(q)
+			return
 		}
-		if need, _ := p.requiredBinding(q); need != nil {
-			p.requestBinding(need) // what it takes along may be there already
+		if !r.ensureServable(q, v) {
+			r.runSoon(func() { r.scheduler.QueryDropped(r.now, q.id) })
+			r.withdrawUnsent(q.attempts)
+			return
 		}
-		inside := p.allowedLocations(q)
-		p.runSoon(func() { p.scheduler.ConfineQuery(p.now, q.id, inside) })
 	}
+	if required, _ := r.requiredBinding(q); required != nil {
+		r.requestBinding(required) // the tables that it binds may be changed already
+	}
+	allowed := r.allowedLocations(q)
+	r.runSoon(func() { r.scheduler.ConfineQuery(r.now, q.id, allowed) })
 }
 
-// inside are the locations that a query may be sent to, by their places; nil: all.
-func (p *residencyState) allowedLocations(q *query) []string {
-	v := p.verdict(q)
+// allowedLocations are the locations that a query may be sent to, by their index in the
+// settings; nil: all.
+func (r *residencyState) allowedLocations(q *query) []string {
+	v := r.verdict(q)
 	if v.Conflict == nil && v.Take && v.Engines == nil {
 		return nil
 	}
-	l := []string{}
-	for i, name := range p.siteNames {
+	allowed := []string{}
+	for i, name := range r.siteNames {
 		if v.Take && v.May(name) {
-			l = append(l, strconv.Itoa(i))
+			allowed = append(allowed, strconv.Itoa(i))
 		}
 	}
-	return l
+	return allowed
 }
 
-// begins hands a query on to the decisions, or answers it: the rules may have changed
-// while it waited for its turn.
-func (p *residencyState) forwardToScheduler(q *query) {
-	if q.residency != nil && !p.ensureServable(q, p.verdict(q)) {
+// forwardToScheduler hands a query to the scheduler, or answers it: the rules may have changed
+// while it waited in the fair queue.
+func (r *residencyState) forwardToScheduler(q *query) {
+	if q.residency != nil && !r.ensureServable(q, r.verdict(q)) {
 		return
 	}
-	var inside []string
+	var allowed []string
 	if q.residency != nil {
-		inside = p.allowedLocations(q)
+		allowed = r.allowedLocations(q)
 	}
-	p.scheduler.ConfinedQueryArrived(p.now, q.id, q.group.index, q.customer, q.deadline-p.now, q.tableGroup, q.keyNumber, q.estimatedWork, q.estimatedMemoryMB, inside)
+	r.scheduler.ConfinedQueryArrived(r.now, q.id, q.group.index, q.customer, q.deadline-r.now,
+		q.tableGroup, q.keyNumber, q.estimatedWork, q.estimatedMemoryMB, allowed)
 }
 
-func (p *residencyState) allowsSend(q *query, e *engine) bool {
+// allowsSend reports whether the rules as they are now let an attempt go to an engine.
+func (r *residencyState) allowsSend(q *query, e *engine) bool {
 	if q.residency == nil {
 		return true
 	}
-	v, site := p.verdict(q), p.siteName(e.location)
-	if v.Bound && (!v.Take || !v.May(site)) {
-		p.barredSends++
+	v := r.verdict(q)
+	if !v.Bound {
+		return true
+	}
+	site := r.siteName(e.location)
+	if !v.Take || !v.May(site) {
+		r.barredSends++
 		return false
 	}
-	if need, err := p.requiredBinding(q); v.Bound && isUnrecorded(need, err) {
-		p.barredSends++ // a repeat, and a rule came since that follows what it takes along
+	if required, err := r.requiredBinding(q); isUnrecorded(required, err) {
+		r.barredSends++ // a retry, and a rule came since that binds the tables it writes
 		return false
 	}
-	if v.Bound && q.residency.attemptsNoted != len(q.attempts) {
+	if q.residency.attemptsNoted != len(q.attempts) {
 		q.residency.attemptsNoted = len(q.attempts)
-		if p.core.Sent(q.id, q.residency.tenant, v, site) {
-			p.logAbout(q.logFields(), "crosses to site "+site+": an emergency of its rules is on")
+		if r.core.Sent(q.id, q.residency.tenant, v, site) {
+			r.logAbout(q.logFields(), "crosses to site "+site+": an emergency of its rules is on")
 		}
 	}
 	return true
 }
 
-// keeps: this controller may keep its result or answer.
-func (p *residencyState) mayRetain(q *query) bool { return q.residency == nil || p.verdict(q).Keep }
+// mayRetain reports whether this controller may retain a query's result or cache its answer.
+func (r *residencyState) mayRetain(q *query) bool { return q.residency == nil || r.verdict(q).Keep }
 
-// serves: a kept result of these tables may be read here.
-func (p *residencyState) mayServe(team string, tables []int64) bool {
-	return p.core.Judge(team, tables, len(tables) > 0).Keep
+// mayServe reports whether a retained result of these tables may be read here.
+func (r *residencyState) mayServe(tenant string, tables []int64) bool {
+	return r.core.Judge(tenant, tables, len(tables) > 0).Keep
 }
 
-func (p *residencyState) countOutside() (n int) {
-	count := func(s *attempt) {
-		x := s.query.residency
-		if x == nil || !p.core.Bound(x.tenant) {
-			return
-		}
-		if !x.inspected {
-			x.inspect(s.query)
-		}
-		if p.core.Outside(x.tenant, x.tables, x.tablesKnown, p.siteName(s.engine.location)) {
-			n++
-		}
-	}
-	for _, q := range p.queries {
-		for _, s := range q.attempts {
-			if s.sent && !s.outcomeKnown {
-				count(s)
+// countOutside counts the attempts that run, or may still run, where the rules in force
+// forbid their query.
+func (r *residencyState) countOutside() (n int) {
+	for _, q := range r.queries {
+		for _, a := range q.attempts {
+			if a.sent && !a.outcomeKnown && r.isOutside(a) {
+				n++
 			}
 		}
 	}
-	for _, e := range p.engines {
-		for _, s := range e.cancelling {
-			if s.outcomeKnown { // told, and perhaps not over there yet
-				count(s)
+	for _, e := range r.engines {
+		for _, a := range e.cancelling {
+			if a.outcomeKnown && r.isOutside(a) { // its outcome was told, and its engine may still run it
+				n++
 			}
 		}
 	}
 	return n
 }
 
-func (p *residencyState) countersText() string {
-	_, crossed := p.core.Crossed()
-	return fmt.Sprintf("; placement bound %d, outside here %d, in conflict %d, barred %d, bindings %d, crossed %d",
-		p.boundQueries, p.redirectedQueries, p.conflicts, p.barredSends, p.requestedBindings, crossed)
+func (r *residencyState) isOutside(a *attempt) bool {
+	x := a.query.residency
+	if x == nil || !r.core.Bound(x.tenant) {
+		return false
+	}
+	if !x.inspected {
+		x.inspect(a.query)
+	}
+	return r.core.Outside(x.tenant, x.tables, x.tablesKnown, r.siteName(a.engine.location))
+}
+
+func (r *residencyState) countersText() string {
+	_, crossed := r.core.Crossed()
+	return fmt.Sprintf("; placement bound %d, outside here %d, in conflict %d, barred %d,"+
+		" bindings %d, crossed %d",
+		r.boundQueries, r.redirectedQueries, r.conflicts, r.barredSends,
+		r.requestedBindings, crossed)
 }
 
-// Crossed lists the latest queries that an emergency let over a boundary, and how many
-// there were. It is for reports, between two steps.
+// ResidencyViolations lists the latest queries that an emergency let leave their sites, and how
+// many there were. It is for reports, between two steps.
 func (c *Controller) ResidencyViolations() ([]residency.Crossing, int) {
 	if c.lease == nil || c.lease.residency == nil {
 		return nil, 0
--- a/internal/controller/residency_test.go
+++ b/internal/controller/residency_test.go
@@ -278,7 +278,7 @@
 	a := s.query(c, "load", "k", 9*time.Second, 0, "who", "bank")
 	s.until(s.now + 10*time.Millisecond)
 	id := s.wanted()[0].ID
-	x := &invalidationCall{c: s.r.clients[0], id: id, answerBy: s.now + time.Minute}
+	x := &invalidationCall{client: s.r.clients[0], id: id, answerBy: s.now + time.Minute}
 	s.r.invalidation.callers[id] = []*invalidationCall{x}
 	s.order(fleet.Order{Kind: fleet.Answered, ID: id, Reply: &fleet.Reply{ID: id, Word: "bound"}})
 	s.one("POST", a.id)
--- a/internal/controller/result_cache.go
+++ b/internal/controller/result_cache.go
@@ -160,7 +160,7 @@
 	}
 }
 
-// Answers is what the cache holds and counts, nil without one. It is for reports,
+// AnswerCache is what the cache holds and counts, nil without one. It is for reports,
 // between two steps.
 func (c *Controller) AnswerCache() *resultcache.Cache {
 	if c.resultCaching == nil {
--- a/internal/controller/result_paging.go
+++ b/internal/controller/result_paging.go
@@ -256,7 +256,7 @@
 
 const busyRetryAfter = 100 * time.Millisecond
 
-// Spooled is what the spool holds: results, and bytes in memory and on disk; nothing
+// SpoolUsage is what the spool holds: results, and bytes in memory and on disk; nothing
 // without one. It is for reports, between two steps.
 func (c *Controller) SpoolUsage() (results int, memory, disk int64) {
 	if c.resultPaging == nil {
