--- a/internal/controller/client.go
+++ b/internal/controller/client.go
@@ -284,7 +284,7 @@
 
 func (cl *client) Alive(msg uint32) {
 	cl.counters.aliveCalls++
-	cl.reply(msgpackrpc.Alive(nil, msg, cl.discovery.listed && (cl.lease == nil || cl.lease.acceptsQueries())))
+	cl.reply(msgpackrpc.Alive(nil, msg, cl.discovery.listed && (cl.servingLease == nil || cl.servingLease.acceptsQueries())))
 }
 
 func (cl *client) Left(msg uint32) {
--- a/internal/controller/feed.go
+++ b/internal/controller/feed.go
@@ -205,8 +205,8 @@
 	if c.fairQueue != nil {
 		c.fairQueue.updateCores()
 	}
-	if c.lease != nil {
-		c.lease.endpointsChanged()
+	if c.servingLease != nil {
+		c.servingLease.endpointsChanged()
 	}
 }
 
--- a/internal/controller/invalidation.go
+++ b/internal/controller/invalidation.go
@@ -60,8 +60,8 @@
 
 // currentIndex is the index in the log after which a query that comes now is asked for.
 func (v *invalidation) currentIndex() uint64 {
-	if v.lease != nil {
-		return max(v.logIndex, v.lease.fleetView.Index)
+	if v.servingLease != nil {
+		return max(v.logIndex, v.servingLease.fleetView.Index)
 	}
 	return v.logIndex
 }
@@ -69,7 +69,7 @@
 // servingBarred reports whether nothing retained may be served now: it may be invalidated
 // elsewhere, and without a lease this controller isn't waited for.
 func (v *invalidation) servingBarred() bool {
-	return v.lease != nil && v.lease.servingVersion(true) == 0
+	return v.servingLease != nil && v.servingLease.servingVersion(true) == 0
 }
 
 // dataOwner is whose data a call reads: its tenant's, or its customer's where there are no tenants.
@@ -87,12 +87,12 @@
 	v.started++
 	v.logMessage(false, "purge "+id+" of team "+scope.Team+" begins")
 	unreachable := func() {
-		v.lease.report(fleet.Report{Kind: fleet.Unreached, ID: id})
+		v.servingLease.report(fleet.Report{Kind: fleet.Unreached, ID: id})
 	}
 	erased := func(n fleet.Counts) {
 		v.completed++
 		v.logCompleted(id, scope.Team, n)
-		v.lease.report(fleet.Report{Kind: fleet.Wiped, ID: id, Counts: n})
+		v.servingLease.report(fleet.Report{Kind: fleet.Wiped, ID: id, Counts: n})
 	}
 	v.apply(scope, index, unreachable, erased)
 }
@@ -150,8 +150,8 @@
 ) {
 	v.logIndex = max(v.logIndex, index)
 	var found fleet.Counts
-	if v.resultCaching != nil {
-		found = v.resultCaching.invalidate(scope, index)
+	if v.caching != nil {
+		found = v.caching.invalidate(scope, index)
 	}
 	isUnreachable, isErased := false, false
 	finish := func() {
@@ -171,13 +171,13 @@
 		isErased = true
 		finish()
 	}
-	if v.resultPaging == nil {
+	if v.paging == nil {
 		nothingComesOut()
 		spoolErased(fleet.Counts{})
 		return
 	}
-	v.resultPaging.core.Purge(v.now, scope, index, nothingComesOut, spoolErased)
-	v.resultPaging.answerInvalidated()
+	v.paging.core.Purge(v.now, scope, index, nothingComesOut, spoolErased)
+	v.paging.answerInvalidated()
 }
 
 // invalidate removes cached answers. Queries that followed a run which it struck go their own way.
--- a/internal/controller/invalidation_calls.go
+++ b/internal/controller/invalidation_calls.go
@@ -69,13 +69,13 @@
 	x.timer = cl.timers.Add(x.answerBy, func() { v.answerState(x, statePending, "", nil, nil) })
 	scope := &fleet.Scope{Team: tenant, Tables: call.Tables, Before: call.Before}
 	switch {
-	case v.lease != nil && isNew:
+	case v.servingLease != nil && isNew:
 		ask := v.fleetAsk("purge", x, call.Patience)
 		ask.Scope = scope
 		v.unconfirmed[x.id] = ask
-		v.lease.report(fleet.Report{Kind: fleet.Wanted, Ask: ask})
-	case v.lease != nil:
-		v.lease.report(fleet.Report{Kind: fleet.Wanted, Ask: v.fleetAsk("status", x, call.Patience)})
+		v.servingLease.report(fleet.Report{Kind: fleet.Wanted, Ask: ask})
+	case v.servingLease != nil:
+		v.servingLease.report(fleet.Report{Kind: fleet.Wanted, Ask: v.fleetAsk("status", x, call.Patience)})
 	case isNew:
 		v.startLocal(x.id, scope)
 	default:
@@ -128,7 +128,7 @@
 	if unconfirmed != nil && r.Word == "unknown" && r.Stage == "" {
 		ask := *unconfirmed // its callers may have been answered: it is asked for all the same
 		ask.Wait = confirmationWait.Milliseconds()
-		v.lease.report(fleet.Report{Kind: fleet.Wanted, Ask: &ask})
+		v.servingLease.report(fleet.Report{Kind: fleet.Wanted, Ask: &ask})
 	} else {
 		delete(v.unconfirmed, id)
 	}
--- a/internal/controller/query.go
+++ b/internal/controller/query.go
@@ -131,8 +131,8 @@
 		c.trace(q.logFields(), "taken, key %q (%d), for %v, fields %q", k, number, patience, from.Fields.Names())
 	}
 	c.lastQueryAt = c.now
-	if c.resultCaching != nil {
-		c.resultCaching.noteMutation(q)
+	if c.caching != nil {
+		c.caching.noteMutation(q)
 	}
 	// once all that has come is read: what is taken back in one breath goes nowhere
 	c.runSoon(func() { c.dispatch(q, from, number) })
@@ -150,13 +150,13 @@
 		return
 	}
 	q.tableGroup, q.keyNumber = msgpackrpc.Tables(q.statement), number
-	if c.lease != nil && !c.closing && !c.lease.admit(q, from) {
+	if c.servingLease != nil && !c.closing && !c.servingLease.admit(q, from) {
 		return
 	}
-	if c.resultPaging != nil && c.mayRetain(q) { // where it may not be kept it is answered whole
-		c.resultPaging.reserve(q, from)
+	if c.paging != nil && c.mayRetain(q) { // where it may not be kept it is answered whole
+		c.paging.reserve(q, from)
 	}
-	if c.resultCaching != nil && !q.answered && c.mayRetain(q) && !c.resultCaching.lookup(q, from, func(from From) { c.dispatch(q, from, number) }) {
+	if c.caching != nil && !q.answered && c.mayRetain(q) && !c.caching.lookup(q, from, func(from From) { c.dispatch(q, from, number) }) {
 		return
 	}
 	switch {
@@ -170,13 +170,13 @@
 
 // keeps: its result or answer may be kept here.
 func (c *Controller) mayRetain(q *query) bool {
-	return c.lease == nil || c.lease.residency.mayRetain(q)
+	return c.servingLease == nil || c.servingLease.residency.mayRetain(q)
 }
 
 // begin hands a query on to the decisions.
 func (c *Controller) submitToScheduler(q *query) {
-	if c.lease != nil {
-		c.lease.residency.forwardToScheduler(q)
+	if c.servingLease != nil {
+		c.servingLease.residency.forwardToScheduler(q)
 		return
 	}
 	c.scheduler.Take(c.now, q.id, q.group.index, q.customer, q.deadline-c.now, q.tableGroup, q.keyNumber, q.estimatedWork, q.estimatedMemoryMB)
@@ -215,13 +215,13 @@
 	}
 	q.owner.closed()
 	if q.blocked {
-		c.lease.endHold(q)
+		c.servingLease.endHold(q)
 	}
 	if c.fairQueue != nil {
 		c.fairQueue.queryClosed(q, end)
 	}
-	if c.resultCaching != nil {
-		c.resultCaching.queryAnswered(q)
+	if c.caching != nil {
+		c.caching.queryAnswered(q)
 	}
 	c.forgetQuery(q)
 	return true
@@ -229,15 +229,15 @@
 
 func (c *Controller) answerFinished(q *query, pages [][]byte) {
 	var others []*query
-	if c.resultCaching != nil && !q.answered {
-		others = c.resultCaching.takeFollowers(q, pages)
+	if c.caching != nil && !q.answered {
+		others = c.caching.takeFollowers(q, pages)
 	}
 	if c.closeQuery(q, fairqueue.Finished) {
 		c.counters.finished++
 		q.owner.finished(pages)
 	}
 	if len(others) > 0 {
-		c.resultCaching.answerFollowers(others, pages)
+		c.caching.answerFollowers(others, pages)
 	}
 }
 
@@ -270,14 +270,14 @@
 		c.runSoon(func() {
 			if c.queries[q.id] == q {
 				delete(c.queries, q.id)
-				if c.resultPaging != nil {
-					c.resultPaging.queryOver(q)
+				if c.paging != nil {
+					c.paging.queryOver(q)
 				}
 				if c.fairQueue != nil {
 					c.fairQueue.queryOver(q)
 				}
-				if c.resultCaching != nil {
-					c.resultCaching.queryOver(q)
+				if c.caching != nil {
+					c.caching.queryOver(q)
 				}
 				c.statementBytes -= len(q.statement)
 				q.statement, q.attempts = nil, nil // what is due for it may outlive it
--- a/internal/controller/relay.go
+++ b/internal/controller/relay.go
@@ -177,10 +177,10 @@
 	groups          map[string]*group
 	customers       []string // by their places in the settings
 	fairQueue       *fairQueue
-	resultPaging    *resultPaging
-	resultCaching   *resultCaching
+	paging          *resultPaging
+	caching         *resultCaching
 	invalidation    *invalidation
-	lease           *servingLease
+	servingLease    *servingLease
 
 	bufferedBytes    int // memory of all connections' buffers
 	maxBufferedBytes int
@@ -244,24 +244,24 @@
 		c.fairQueue = newFairQueue(c, means.Tenants, means.FieldNames)
 	}
 	if means.Spool != nil {
-		c.resultPaging = newResultPaging(c, means.Spool)
+		c.paging = newResultPaging(c, means.Spool)
 	}
 	if means.ResultCache != nil {
-		c.resultCaching = newResultCaching(c, means.ResultCache)
+		c.caching = newResultCaching(c, means.ResultCache)
 	}
-	if c.resultPaging != nil || c.resultCaching != nil {
+	if c.paging != nil || c.caching != nil {
 		c.invalidation = newInvalidation(c)
-		if c.resultPaging != nil && means.Fleet == nil { // a purge of this controller alone comes after all that it found
-			c.invalidation.logIndex = c.resultPaging.restoredIndex
+		if c.paging != nil && means.Fleet == nil { // a purge of this controller alone comes after all that it found
+			c.invalidation.logIndex = c.paging.restoredIndex
 		}
 	}
 	if means.Fleet != nil {
-		c.lease = newServingLease(c, means.Fleet)
+		c.servingLease = newServingLease(c, means.Fleet)
 		if c.invalidation != nil {
-			c.lease.invalidator = c.invalidation
+			c.servingLease.invalidator = c.invalidation
 		}
-		if c.resultPaging != nil {
-			c.resultPaging.core.Serves = c.lease.residency.mayServe
+		if c.paging != nil {
+			c.paging.core.Serves = c.servingLease.residency.mayServe
 		}
 	}
 	c.discovery.unreadableAfter = -1
@@ -318,8 +318,8 @@
 	if !invariant.Debug {
 		defer c.recoverStep(l)
 	}
-	if c.lease != nil {
-		c.lease.updateServing()
+	if c.servingLease != nil {
+		c.servingLease.updateServing()
 	}
 	switch ev.Kind {
 	case ClientAccepted:
@@ -357,19 +357,19 @@
 	case CountersRequested:
 		c.logCounters()
 	case SpoolWorkDone:
-		c.resultPaging.workDone(ev.SpoolWork)
+		c.paging.workDone(ev.SpoolWork)
 	case FleetOrdered:
-		c.lease.handleFleetOrder(ev.Order)
+		c.servingLease.handleFleetOrder(ev.Order)
 	case FleetReportRejected:
-		c.lease.reportRejected(ev.Report)
+		c.servingLease.reportRejected(ev.Report)
 	case WriteBarred:
 		c.counters.barredWrites++
-		if c.lease != nil {
-			c.lease.rejectedWrites++
+		if c.servingLease != nil {
+			c.servingLease.rejectedWrites++
 		}
 	case ConfigurationReloaded:
 		c.changeDiscoveryAddress(ev.DiscoveryAddress)
-		if c.fairQueue != nil && ev.Tenants != nil && c.lease == nil { // where there are peers teams are the fleet's to change
+		if c.fairQueue != nil && ev.Tenants != nil && c.servingLease == nil { // where there are peers teams are the fleet's to change
 			c.fairQueue.reload(ev.Tenants)
 		}
 	}
@@ -401,7 +401,7 @@
 			do()
 		} else if do, ok := c.nextDue(early); ok {
 			do()
-		} else if c.fairQueue == nil || c.lease != nil && c.lease.paused() || !c.fairQueue.dispatchNext() {
+		} else if c.fairQueue == nil || c.servingLease != nil && c.servingLease.paused() || !c.fairQueue.dispatchNext() {
 			break
 		}
 	}
@@ -543,8 +543,8 @@
 		if c.fairQueue != nil {
 			c.fairQueue.deferAll()
 		}
-		if c.lease != nil {
-			c.lease.deferAllHeld()
+		if c.servingLease != nil {
+			c.servingLease.deferAllHeld()
 		}
 	}
 	busy := past < stopStays || len(c.queries) > 0 || past < stopMost && (c.now-c.lastQueryAt < stopQuiet || c.cancellationsPending())
--- a/internal/controller/residency.go
+++ b/internal/controller/residency.go
@@ -427,8 +427,8 @@
 // ResidencyViolations lists the latest queries that an emergency let leave their sites, and how
 // many there were. It is for reports, between two steps.
 func (c *Controller) ResidencyViolations() ([]residency.Crossing, int) {
-	if c.lease == nil || c.lease.residency == nil {
+	if c.servingLease == nil || c.servingLease.residency == nil {
 		return nil, 0
 	}
-	return c.lease.residency.core.Crossed()
+	return c.servingLease.residency.core.Crossed()
 }
--- a/internal/controller/residency_test.go
+++ b/internal/controller/residency_test.go
@@ -24,7 +24,7 @@
 	return withPeers(t, engines, f, func(m *Config) { m.FieldNames.Customer = "who" })
 }
 
-func (s *stage) siteOf(e *engine) string { return s.r.lease.residency.siteName(e.location) }
+func (s *stage) siteOf(e *engine) string { return s.r.servingLease.residency.siteName(e.location) }
 
 // rules opens a version with rules.
 func (s *stage) rules(version uint64, rules ...residency.Rule) {
@@ -272,7 +272,7 @@
 	s := placedStage(t, 3, "a", nil)
 	s.rules(1, residency.Rule{Name: "r", Team: "bank", Tables: []int64{1}, Engines: []string{"a"}, Follows: true})
 	s.r.invalidation = newInvalidation(s.r)
-	s.r.lease.invalidator = s.r.invalidation
+	s.r.servingLease.invalidator = s.r.invalidation
 	c := s.connect()
 	s.body = "insert into d_5.x select * from d_1.y"
 	a := s.query(c, "load", "k", 9*time.Second, 0, "who", "bank")
--- a/internal/controller/result_cache.go
+++ b/internal/controller/result_cache.go
@@ -149,7 +149,7 @@
 func (a *resultCaching) answerFollowers(others []*query, pages [][]byte) {
 	for _, o := range others {
 		if a.invalidation.servingBarred() {
-			a.answerDeferred(o, a.lease.retryAfter())
+			a.answerDeferred(o, a.servingLease.retryAfter())
 			continue
 		}
 		if a.closeQuery(o, fairqueue.Finished) {
@@ -163,8 +163,8 @@
 // AnswerCache is what the cache holds and counts, nil without one. It is for reports,
 // between two steps.
 func (c *Controller) AnswerCache() *resultcache.Cache {
-	if c.resultCaching == nil {
+	if c.caching == nil {
 		return nil
 	}
-	return c.resultCaching.core
+	return c.caching.core
 }
--- a/internal/controller/result_paging.go
+++ b/internal/controller/result_paging.go
@@ -214,7 +214,7 @@
 
 // Page is a client's call for a page of a result that was promised.
 func (cl *client) Page(msg uint32, token []byte, number int, all msgpackrpc.Fields) {
-	if cl.resultPaging == nil {
+	if cl.paging == nil {
 		cl.Wrong(msg, "no such method")
 		return
 	}
@@ -223,26 +223,26 @@
 		return
 	}
 	if cl.invalidation.servingBarred() {
-		cl.reply(msgpackrpc.Deferred(nil, msg, cl.lease.retryAfter()))
+		cl.reply(msgpackrpc.Deferred(nil, msg, cl.servingLease.retryAfter()))
 		return
 	}
 	cl.pageReads++
 	from := From{cl.connection.RemoteAddress, all}
 	owner, team := cl.dataOwner(from), cl.tenantOf(from)
 	var tables []int64
-	if cl.lease != nil {
-		tables = cl.resultPaging.core.Tagged(token, team).Tables
+	if cl.servingLease != nil {
+		tables = cl.paging.core.Tagged(token, team).Tables
 	}
 	outside := func() bool { // the rules may have been others when it was kept
-		return cl.lease != nil && !cl.lease.residency.mayServe(owner, tables)
+		return cl.servingLease != nil && !cl.servingLease.residency.mayServe(owner, tables)
 	}
-	cl.resultPaging.core.Read(cl.now, token, team, number, func(body []byte, err error) {
+	cl.paging.core.Read(cl.now, token, team, number, func(body []byte, err error) {
 		cl.pageReads--
 		cl.idleSince = cl.now
 		switch {
 		case cl.connection.closed:
 		case cl.invalidation.servingBarred():
-			cl.reply(msgpackrpc.Deferred(nil, msg, cl.lease.retryAfter()))
+			cl.reply(msgpackrpc.Deferred(nil, msg, cl.servingLease.retryAfter()))
 		case err == spool.ErrBusy:
 			cl.reply(msgpackrpc.Deferred(nil, msg, busyRetryAfter))
 		case err != nil || outside():
@@ -259,8 +259,8 @@
 // SpoolUsage is what the spool holds: results, and bytes in memory and on disk; nothing
 // without one. It is for reports, between two steps.
 func (c *Controller) SpoolUsage() (results int, memory, disk int64) {
-	if c.resultPaging == nil {
+	if c.paging == nil {
 		return 0, 0, 0
 	}
-	return c.resultPaging.core.Held()
+	return c.paging.core.Held()
 }
--- a/internal/controller/serving_lease.go
+++ b/internal/controller/serving_lease.go
@@ -117,8 +117,8 @@
 	case fleet.Drop:
 		l.orderInvalidation(o)
 	case fleet.Pictured:
-		if l.resultPaging != nil && l.fleetView.Index == 0 { // the first of this run
-			l.resultPaging.core.Recorded(o.Picture.Index)
+		if l.paging != nil && l.fleetView.Index == 0 { // the first of this run
+			l.paging.core.Recorded(o.Picture.Index)
 		}
 		l.fleetView = o.Picture
 		l.residency.viewChanged(o.Picture)
--- a/internal/controller/serving_lease_test.go
+++ b/internal/controller/serving_lease_test.go
@@ -57,15 +57,15 @@
 	gone := s.query(c, "lookup", "", 5*time.Second, 1)
 	s.leave(gone)
 	s.until(time.Second)
-	if len(first.subs) > 0 || s.r.lease.heldCount != 2 || s.r.lease.servingVersion(false) != 0 {
-		t.Fatalf("%d sent, %d held", len(first.subs), s.r.lease.heldCount)
+	if len(first.subs) > 0 || s.r.servingLease.heldCount != 2 || s.r.servingLease.servingVersion(false) != 0 {
+		t.Fatalf("%d sent, %d held", len(first.subs), s.r.servingLease.heldCount)
 	}
 	s.opens(1, time.Minute)
 	s.reply(s.one("POST", first.id), "ok")
 	s.reply(s.one("POST", next.id), "ok") // posted checks their order
 	s.until(s.now + 100*time.Millisecond)
-	if first.answer != "finished" || next.answer != "finished" || s.r.lease.longestHold != time.Second {
-		t.Fatal(first.answer, next.answer, s.r.lease.longestHold)
+	if first.answer != "finished" || next.answer != "finished" || s.r.servingLease.longestHold != time.Second {
+		t.Fatal(first.answer, next.answer, s.r.servingLease.longestHold)
 	}
 	if s.told(fleet.Opened) != 1 || s.told(fleet.Sites) < 2 || !slices.Equal(s.reports[0].Sites, []string{"here"}) {
 		t.Fatalf("%+v", s.reports)
@@ -83,12 +83,12 @@
 		t.Fatal(short.answer, long.answer)
 	}
 	s.until(defaultMaxHold + time.Millisecond)
-	if long.answer != "deferred" || s.r.lease.deferredHeld != 2 || len(s.r.queries) > 0 {
-		t.Fatal(long.answer, s.r.lease.deferredHeld)
+	if long.answer != "deferred" || s.r.servingLease.deferredHeld != 2 || len(s.r.queries) > 0 {
+		t.Fatal(long.answer, s.r.servingLease.deferredHeld)
 	}
-	s.r.lease.heldCount = maxHeldQueries
+	s.r.servingLease.heldCount = maxHeldQueries
 	over := s.query(c, "lookup", "", 9*time.Second, 1)
-	s.r.lease.heldCount = 0
+	s.r.servingLease.heldCount = 0
 	if over.answer != "deferred" || len(s.written) > 0 {
 		t.Fatal(over.answer)
 	}
@@ -131,14 +131,14 @@
 	s.stopped = time.Minute
 	a := s.query(s.connect(), "load", "k", 9*time.Second, 1)
 	s.until(50 * time.Millisecond)
-	if len(a.subs) > 0 || s.r.lease.rejectedWrites == 0 || s.r.counters.attemptEnds[7] == 0 {
-		t.Fatalf("%d sent, %d refused, %v", len(a.subs), s.r.lease.rejectedWrites, s.r.counters.attemptEnds)
+	if len(a.subs) > 0 || s.r.servingLease.rejectedWrites == 0 || s.r.counters.attemptEnds[7] == 0 {
+		t.Fatalf("%d sent, %d refused, %v", len(a.subs), s.r.servingLease.rejectedWrites, s.r.counters.attemptEnds)
 	}
 	s = withPeers(t, 1, nil)
 	s.opens(1, 10*time.Second)
 	a = s.query(s.connect(), "load", "k", 9*time.Second, 1)
 	s.stopped = time.Minute
-	for s.r.lease.rejectedWrites == 0 {
+	for s.r.servingLease.rejectedWrites == 0 {
 		s.until(s.now + time.Millisecond)
 	}
 	s.stopped = 0
@@ -178,7 +178,7 @@
 	if g := s.r.groups["lookup"]; b.answer != "killed" || g.priorityWeight != 9 || g.threads != 2 || g.latencyObjective != 700*time.Millisecond {
 		t.Fatalf("%q %+v", b.answer, g)
 	}
-	if s.r.Settings["group.0.effect"] != "read-only" || s.r.lease.policySwitches != 1 {
+	if s.r.Settings["group.0.effect"] != "read-only" || s.r.servingLease.policySwitches != 1 {
 		t.Fatal("more was taken over than is the fleet's")
 	}
 	s.until(s.now + 50*time.Millisecond)
@@ -197,7 +197,7 @@
 	q := s.r.queries[a.id]
 	s.order(fleet.Order{Kind: fleet.Shut, Change: "c"}) // while it waits for a line
 	s.until(s.now + 300*time.Millisecond)
-	if len(s.r.lease.blockedAttempts) != 1 {
+	if len(s.r.servingLease.blockedAttempts) != 1 {
 		t.Fatal("it doesn't wait")
 	}
 	chosen, other := q.attempts[0].engine.id, "a"
@@ -305,11 +305,11 @@
 			}
 			s.some(choices[i*part : (i+1)*part])
 		}
-		struck["refused"] += s.r.lease.rejectedWrites
-		struck["held"] += s.r.lease.heldTotal
-		struck["deferred"] += s.r.lease.deferredHeld
-		struck["parked"] += len(s.r.lease.blockedAttempts)
-		struck["switches"] += s.r.lease.policySwitches
+		struck["refused"] += s.r.servingLease.rejectedWrites
+		struck["held"] += s.r.servingLease.heldTotal
+		struck["deferred"] += s.r.servingLease.deferredHeld
+		struck["parked"] += len(s.r.servingLease.blockedAttempts)
+		struck["switches"] += s.r.servingLease.policySwitches
 		struck["written"] += len(s.written)
 		s.play(nil)
 	})
@@ -324,7 +324,7 @@
 func TestPeersCostAQueryNothing(t *testing.T) {
 	cost := func(with ...func(*Config)) float64 {
 		s := newStage(t, 1, 256, nil, with...)
-		if s.r.lease != nil {
+		if s.r.servingLease != nil {
 			s.opens(1, time.Hour)
 		}
 		c := s.connect()
--- a/internal/controller/submission.go
+++ b/internal/controller/submission.go
@@ -134,7 +134,7 @@
 }
 
 func (s *attempt) send() {
-	if s.ended || s.lease != nil && !s.lease.permitSend(s) {
+	if s.ended || s.servingLease != nil && !s.servingLease.permitSend(s) {
 		return
 	}
 	request := &call{method: "POST", engine: s.engine, attempt: s, validResponse: s.responseCheck(0), startsAttempt: true, keepsQuery: true,
@@ -155,7 +155,7 @@
 		by := min(s.deadline, s.scheduler.StartDeadline(s.query.id, s.number), s.now+submitWriteTimeout)
 		fit := !s.ended && !s.query.answered && s.now < by && s.engine.state == scheduler.EngineActive
 		s.permit = NewWritePermit(by)
-		if fit && s.lease != nil && !s.lease.permitSend(s) {
+		if fit && s.servingLease != nil && !s.servingLease.permitSend(s) {
 			request.done, fit = true, false // it came to nothing here: another starts it once it may go
 		}
 		return fit
@@ -263,7 +263,7 @@
 	s := h.attempt
 	if s.query.spooled != nil {
 		if number == s.spooledPages && !s.released {
-			s.resultPaging.addPage(s, number, of, rows)
+			s.paging.addPage(s, number, of, rows)
 		}
 		return
 	}
@@ -310,8 +310,8 @@
 
 func (s *attempt) report(outcome scheduler.Outcome) {
 	s.pages = nil
-	if s.resultPaging != nil {
-		s.resultPaging.discard(s)
+	if s.paging != nil {
+		s.paging.discard(s)
 	}
 	s.timers.Drop(s.deadlineTimer)
 	s.counters.attemptEnds[outcome]++
--- a/internal/controller/tally.go
+++ b/internal/controller/tally.go
@@ -59,17 +59,17 @@
 	if c.fairQueue != nil {
 		b.WriteString(c.fairQueue.countersText())
 	}
-	if c.resultPaging != nil {
-		b.WriteString(c.resultPaging.countersText())
+	if c.paging != nil {
+		b.WriteString(c.paging.countersText())
 	}
-	if c.resultCaching != nil {
-		b.WriteString(c.resultCaching.core.Text())
+	if c.caching != nil {
+		b.WriteString(c.caching.core.Text())
 	}
 	if c.invalidation != nil {
 		b.WriteString(c.invalidation.countersText())
 	}
-	if c.lease != nil {
-		b.WriteString(c.lease.countersText())
+	if c.servingLease != nil {
+		b.WriteString(c.servingLease.countersText())
 	}
 	fmt.Fprintf(&b, "; did not hold %d", invariant.Broken())
 	return b.String()
