--- a/internal/fleet/node/member.go
+++ b/internal/fleet/node/member.go
@@ -110,34 +110,34 @@
 		c.unansweredSince = c.now
 	}
 	c.renewalSeq++
-	r := &LeaseRenewal{Member: c.config.Self, Boot: c.config.Incarnation, Seq: c.renewalSeq, Sent: int64(c.now), Applied: c.state.Index, Votes: c.consensus != nil, Version: c.servedVersion, Closed: c.fenceConfirmedFor,
-		Sites: c.servingSites, Outside: c.attemptsOutside}
-	if u := c.state.Under(); u != nil {
+	r := &LeaseRenewal{Member: c.config.Self, Incarnation: c.config.Incarnation, Seq: c.renewalSeq, SentAt: int64(c.now), AppliedIndex: c.state.Index, Votes: c.consensus != nil, PolicyVersion: c.servedVersion, FencedFor: c.fenceConfirmedFor,
+		ServingSites: c.servingSites, AttemptsOutside: c.attemptsOutside}
+	if u := c.state.ChangeUnderWay(); u != nil {
 		if k := c.validations[u.ID]; k != nil && k.done {
-			r.Ready = map[string]string{u.ID: k.reason}
+			r.ValidationResults = map[string]string{u.ID: k.reason}
 		}
 	}
-	r.Unreached = append(r.Unreached, sorted(c.tombstoned)...)
-	r.Wiped = maps.Clone(c.erased)
+	r.Tombstoned = append(r.Tombstoned, sorted(c.tombstoned)...)
+	r.Erased = maps.Clone(c.erased)
 	for _, to := range upstreams {
-		c.send(to.Name, to.Address, &Message{Renew: r})
+		c.send(to.Name, to.Address, &Message{Renewal: r})
 	}
 }
 
 // granted: the leader's word on a Renew.
 func (c *Core) receiveGrant(from string, g *LeaseGrant) {
-	if g.Boot != c.config.Incarnation || g.Seq > c.renewalSeq {
+	if g.Incarnation != c.config.Incarnation || g.Seq > c.renewalSeq {
 		return
 	}
-	if g.Why != "" {
-		c.stopForGood(g.Why)
+	if g.RefusedReason != "" {
+		c.stopForGood(g.RefusedReason)
 		return
 	}
-	if route := c.routeOf(from); g.Given || route == len(c.config.Relays) { // one that is no relay only names the leader
+	if route := c.routeOf(from); g.Granted || route == len(c.config.Relays) { // one that is no relay only names the leader
 		c.routes.recordAnswer(route, c.now, c.unansweredSince > 0, firstRelayRetryIntervals*c.renewalInterval())
 		c.unansweredSince = 0
 	}
-	if !g.Given {
+	if !g.Granted {
 		if g.Leader == c.config.Self.Name { // it led, and another may not know better yet
 			return
 		}
@@ -151,8 +151,8 @@
 	if c.consensus == nil {
 		c.leader = cmp.Or(g.Leader, from)
 	}
-	c.leaderWaitsFor = g.Waits
-	c.pendingLeases = append(c.pendingLeases, pendingLease{time.Duration(g.Sent), g.Index})
+	c.leaderWaitsFor = g.WaitingFor
+	c.pendingLeases = append(c.pendingLeases, pendingLease{time.Duration(g.SentAt), g.RequiredIndex})
 	c.activateLeases()
 }
 
@@ -206,7 +206,7 @@
 // reconcile tells the reducer what the state asks for and it was not told yet. Before
 // this run's first lease it is told nothing: what is known may be old.
 func (c *Core) orderOutstanding() {
-	u := c.state.Under()
+	u := c.state.ChangeUnderWay()
 	if !c.caughtUp || c.stateError != nil {
 		return
 	}
@@ -228,7 +228,7 @@
 	}
 	// the record knows old ones no more, and neither need this
 	maps.DeleteFunc(c.invalidationsOrdered, func(id string, _ bool) bool { return c.state.Purges[id] == nil })
-	if c.state.Seen > c.viewIndex {
+	if c.state.ViewIndex > c.viewIndex {
 		c.orderView()
 	}
 	have, sum := c.policies[c.state.Version], xxhash.Sum64(c.state.Policy)
@@ -297,7 +297,7 @@
 
 // purge tells the reducer of a purge once, and says for those that don't concern this
 // controller that there is nothing of them here.
-func (c *Core) orderInvalidation(r *statemachine.Run) {
+func (c *Core) orderInvalidation(r *statemachine.PurgeRun) {
 	if r.Stage == fleet.Erased {
 		if c.invalidationsOrdered[r.ID] {
 			delete(c.tombstoned, r.ID)
@@ -314,7 +314,7 @@
 		return
 	}
 	scope := r.Scope
-	c.emit(Effect{Kind: OrderController, Order: fleet.Order{Kind: fleet.Drop, ID: r.ID, Scope: &scope, Index: r.At}})
+	c.emit(Effect{Kind: OrderController, Order: fleet.Order{Kind: fleet.Drop, ID: r.ID, Scope: &scope, Index: r.LogIndex}})
 }
 
 func (c *Core) controllerReported(r fleet.Report) {
