--- a/internal/controller/counters.go
+++ b/internal/controller/counters.go
@@ -60,16 +60,16 @@
 		b.WriteString(c.fairQueue.countersText())
 	}
 	if c.paging != nil {
-		b.WriteString(c.paging.text())
+		b.WriteString(c.paging.countersText())
 	}
 	if c.caching != nil {
 		b.WriteString(c.caching.core.Text())
 	}
 	if c.invalidation != nil {
-		b.WriteString(c.invalidation.text())
+		b.WriteString(c.invalidation.countersText())
 	}
 	if c.servingLease != nil {
-		b.WriteString(c.servingLease.text())
+		b.WriteString(c.servingLease.countersText())
 	}
 	fmt.Fprintf(&b, "; did not hold %d", invariant.Broken())
 	return b.String()
