--- a/cmd/railrelay-fleet/control_test.go
+++ b/cmd/railrelay-fleet/control_test.go
@@ -201,9 +201,9 @@
 
 // What the set-up says of relays comes to the fleet's core.
 func TestRelaysOfTheSetUpAreBegunWith(t *testing.T) {
-	for name, want := range map[string]node.Begin{
+	for name, want := range map[string]node.Config{
 		"control.yaml": {},
-		"relay.yaml":   {Relay: true},
+		"relay.yaml":   {IsRelay: true},
 		"relayed.yaml": {Relays: []node.Upstream{{Name: "r0", Address: "127.0.0.1:7620"}, {Name: "r1", Address: "127.0.0.1:7621"}}},
 	} {
 		have, err := setup.Load("../../deploy/fleet/" + name)
@@ -211,7 +211,7 @@
 			t.Fatal(err)
 		}
 		b := begin(have)
-		if b.Relay != want.Relay || !slices.Equal(b.Relays, want.Relays) || len(b.Voters) != 3 || b.Self.Name != have.Name {
+		if b.IsRelay != want.IsRelay || !slices.Equal(b.Relays, want.Relays) || len(b.Voters) != 3 || b.Self.Name != have.Name {
 			t.Errorf("%s: %+v", name, b)
 		}
 	}
@@ -244,18 +244,18 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	before := checkControl(own, "first", []byte("placement: [{name: a, team: x, engines: [linz]}]"), driver.Have{})
-	if before.Why != "" || before.RulesUnknown || len(before.Scopes) != 1 || before.Scopes[0].Team != "x" {
+	before := checkControl(own, "first", []byte("placement: [{name: a, team: x, engines: [linz]}]"), driver.PolicyContext{})
+	if before.Reason != "" || before.ResidencyRulesUnknown || len(before.PurgeScopes) != 1 || before.PurgeScopes[0].Team != "x" {
 		t.Fatalf("%+v", before)
 	}
 	unstated := []byte("groups: [{name: lookup, target: 2s}]")
-	if c := checkControl(own, "second", unstated, driver.Have{Policy: before.Policy}); !strings.Contains(c.Why, "placement: is missing") || !strings.Contains(c.Why, "apply it again") {
+	if c := checkControl(own, "second", unstated, driver.PolicyContext{Policy: before.Policy}); !strings.Contains(c.Reason, "placement: is missing") || !strings.Contains(c.Reason, "apply it again") {
 		t.Errorf("%+v", c)
 	}
-	if c := checkControl(own, "in force 3", unstated, driver.Have{Policy: before.Policy, Decided: true}); c.Why != "" || c.Policy == nil || !c.RulesUnknown {
+	if c := checkControl(own, "in force 3", unstated, driver.PolicyContext{Policy: before.Policy, Committed: true}); c.Reason != "" || c.Policy == nil || !c.ResidencyRulesUnknown {
 		t.Errorf("%+v", c)
 	}
-	if c := checkControl(own, "third", []byte("placement: 3"), driver.Have{Decided: true}); c.Why == "" {
+	if c := checkControl(own, "third", []byte("placement: 3"), driver.PolicyContext{Committed: true}); c.Reason == "" {
 		t.Errorf("no policy at all is taken: %+v", c)
 	}
 }
--- a/internal/bench/schedule_actors.go
+++ b/internal/bench/schedule_actors.go
@@ -21,8 +21,8 @@
 	boot    uint64
 	began   time.Duration
 	rate    float64 // its clock's
-	kept    consensus.Kept
-	storing *consensus.Kept
+	kept    consensus.PersistentState
+	storing *consensus.PersistentState
 	slow    time.Duration // its disk is, until
 	wake    int
 	stopped time.Duration // it does nothing until then
@@ -60,9 +60,9 @@
 		voters = append(voters, consensus.Voter{Name: v.name, Address: v.member.Peer})
 	}
 	p.check.Note(p.now, a.name+" starts", a.name)
-	begin := node.Begin{Self: a.member, Voters: voters, Lease: p.Lease, LeaseBound: p.Lease / 2, Drift: 0.01,
-		Election: 300 * time.Millisecond, Heartbeat: 60 * time.Millisecond, Seed: p.rng.Uint64(), Boot: a.boot, Kept: clone(a.kept), KeepAtMost: 3 + int(p.Seed%30)}
-	begin.Relay, begin.Relays = p.upstreams(a)
+	begin := node.Config{Self: a.member, Voters: voters, Lease: p.Lease, ConfinedLease: p.Lease / 2, ClockDrift: 0.01,
+		ElectionTimeout: 300 * time.Millisecond, HeartbeatInterval: 60 * time.Millisecond, Seed: p.rng.Uint64(), Incarnation: a.boot, Persisted: clone(a.kept), SnapshotAfterEntries: 3 + int(p.Seed%30)}
+	begin.IsRelay, begin.Relays = p.upstreams(a)
 	core, effects, err := node.New(begin)
 	if err != nil {
 		p.broken("%s can't start: %v", a.name, err)
@@ -90,8 +90,8 @@
 	return false, upstreams
 }
 
-func clone(k consensus.Kept) consensus.Kept {
-	k.Hard, k.Records = slices.Clone(k.Hard), slices.Clone(k.Records)
+func clone(k consensus.PersistentState) consensus.PersistentState {
+	k.HardState, k.Entries = slices.Clone(k.HardState), slices.Clone(k.Entries)
 	return k
 }
 
@@ -108,25 +108,25 @@
 		switch e.Kind {
 		case node.Send:
 			p.send(a, e)
-		case node.Store:
+		case node.Persist:
 			if a.storing != nil {
 				p.broken("%s stores while it stores", a.name)
 			}
-			k := *e.Kept
+			k := *e.Writes
 			a.storing = &k
 			took := p.span(100*time.Microsecond, 3*time.Millisecond)
 			if p.now < a.slow {
 				took += p.span(20*time.Millisecond, 300*time.Millisecond)
 			}
 			p.in(took, a, func() {
-				a.keep(k, len(k.Records))
+				a.keep(k, len(k.Entries))
 				a.storing = nil
-				p.step(a, node.Event{Kind: node.Stored})
+				p.step(a, node.Event{Kind: node.WritesPersisted})
 			})
-		case node.Check:
-			change, text := e.Change, string(e.Text)
+		case node.ValidatePolicy:
+			change, text := e.ChangeID, string(e.PolicyText)
 			p.in(p.span(0, 5*time.Millisecond), a, func() {
-				ev := node.Event{Kind: node.Checked, Change: change, Policy: text}
+				ev := node.Event{Kind: node.PolicyValidated, ChangeID: change, Policy: text}
 				if text == "" {
 					ev.Policy = "the set-up's"
 				}
@@ -137,45 +137,45 @@
 					}
 				}
 				if strings.HasSuffix(text, " unfit for "+a.name) {
-					ev.Why = "no team is called so here"
+					ev.Reason = "no team is called so here"
 				}
 				p.step(a, ev)
 			})
-		case node.Order:
+		case node.OrderController:
 			a.queue = append(a.queue, e.Order)
 			p.work(a)
-		case node.Told:
+		case node.Respond:
 			p.told(e.Handle, e.Reply)
-		case node.Wake:
+		case node.SetTimer:
 			a.wake++
 			n := a.wake
-			p.in(time.Duration(float64(max(0, e.Within))/a.rate)+1, a, func() {
+			p.in(time.Duration(float64(max(0, e.Delay))/a.rate)+1, a, func() {
 				if n == a.wake {
-					p.step(a, node.Event{Kind: node.Woken})
+					p.step(a, node.Event{Kind: node.TimerFired})
 				}
 			})
-		case node.Say:
+		case node.LogMessage:
 			if e.Loud {
-				p.check.Note(p.now, a.name+" says: "+e.Line, a.name)
+				p.check.Note(p.now, a.name+" says: "+e.LogText, a.name)
 			}
 		}
 	}
 }
 
 // keep takes so many of a store's records to disk, and with all of them the rest.
-func (a *actor) keep(k consensus.Kept, records int) {
+func (a *actor) keep(k consensus.PersistentState, records int) {
 	if s := k.Snapshot; s != nil {
 		a.kept.Snapshot = s
-		a.kept.Records = slices.DeleteFunc(slices.Clone(a.kept.Records), func(r consensus.Record) bool { return r.Index <= s.Index })
+		a.kept.Entries = slices.DeleteFunc(slices.Clone(a.kept.Entries), func(r consensus.LogEntry) bool { return r.Index <= s.Index })
 	}
-	for _, r := range k.Records[:records] {
-		if i := slices.IndexFunc(a.kept.Records, func(x consensus.Record) bool { return x.Index >= r.Index }); i >= 0 {
-			a.kept.Records = slices.Clone(a.kept.Records[:i])
+	for _, r := range k.Entries[:records] {
+		if i := slices.IndexFunc(a.kept.Entries, func(x consensus.LogEntry) bool { return x.Index >= r.Index }); i >= 0 {
+			a.kept.Entries = slices.Clone(a.kept.Entries[:i])
 		}
-		a.kept.Records = append(a.kept.Records, r)
+		a.kept.Entries = append(a.kept.Entries, r)
 	}
-	if k.Hard != nil && records == len(k.Records) {
-		a.kept.Hard = k.Hard
+	if k.HardState != nil && records == len(k.Entries) {
+		a.kept.HardState = k.HardState
 	}
 }
 
@@ -185,7 +185,7 @@
 		return
 	}
 	if k := a.storing; k != nil && p.rng.IntN(2) == 0 {
-		a.keep(*k, len(k.Records))
+		a.keep(*k, len(k.Entries))
 	}
 	a.down, a.storing = true, nil
 	p.check.Note(p.now, a.name+" is killed", a.name)
@@ -211,7 +211,7 @@
 }
 
 func (p *play) report(a *actor, r fleet.Report) {
-	p.in(p.span(0, 300*time.Microsecond), a, func() { p.step(a, node.Event{Kind: node.Reported, Report: r}) })
+	p.in(p.span(0, 300*time.Microsecond), a, func() { p.step(a, node.Event{Kind: node.ControllerReported, Report: r}) })
 }
 
 func (p *play) order(a *actor, o fleet.Order) {
--- a/internal/bench/schedule_faults.go
+++ b/internal/bench/schedule_faults.go
@@ -20,7 +20,7 @@
 	}
 	p.out.Messages++
 	m := e.Message
-	if m.Grant != nil && m.Grant.Given {
+	if m.Grant != nil && m.Grant.Granted {
 		p.leader = a.name
 	}
 	if p.Wire {
@@ -85,7 +85,7 @@
 			if p.now < p.cuts[[2]string{a.name, to.name}] || to.down {
 				return
 			}
-			p.in(0, to, func() { p.step(to, node.Event{Kind: node.Came, Message: m}) })
+			p.in(0, to, func() { p.step(to, node.Event{Kind: node.MessageReceived, Message: m}) })
 		})
 	}
 }
--- a/internal/cli/control.go
+++ b/internal/cli/control.go
@@ -24,7 +24,7 @@
 	if have.Placement == nil {
 		log.Info().Msg("placement is left out: as leader this process watches for no emergency of rules that controllers' set-ups have")
 	}
-	means := controller.Config{Started: started}
+	means := controller.Config{StartedAt: started}
 	joined, err := part.Join(have, &means, log)
 	if err != nil {
 		return err
@@ -34,7 +34,7 @@
 	defer stop()
 	group.Go(func() error { return joined.Serve(ctx) })
 	group.Go(func() error {
-		return noop.Reducer{Word: means.Fleet.Word}.Serve(ctx, joined.Peers.Orders, joined.Peers.Reports)
+		return noop.Controller{Word: means.Fleet.Word}.Serve(ctx, joined.Peers.Orders, joined.Peers.Reports)
 	})
 	group.Go(func() error {
 		defer stop()
--- /dev/null
+++ b/internal/controller/engine_connection.go
@@ -0,0 +1,212 @@
+package controller
+
+import (
+	"slices"
+	"time"
+
+	"railrelay.dev/railrelay/internal/enginehttp"
+	"railrelay.dev/railrelay/internal/invariant"
+)
+
+// engineConnection is a connection to an engine. It carries one call at a time.
+type engineConnection struct {
+	connection *Connection
+	engine     *engine
+	number     int  // in the log
+	connected  bool // the dial has succeeded; the connection may have ended since
+
+	call *call // under way, or to be written once it is connected; nil: none
+	// lastWritten is the call written last, nil once that was answered: it may still arrive.
+	lastWritten *call
+
+	// what decides which call it may carry next, see mayCarry
+	idleSince       time.Duration
+	lastAttempt     *attempt // of the last call
+	changedPriority bool     // the last call changed a priority
+	healthChecked   bool     // the last call was a health check, and the engine was well
+}
+
+func (ec *engineConnection) isIdle() bool {
+	return ec.connected && ec.call == nil && !ec.connection.closed
+}
+
+// dialEngine opens a connection for a call.
+func (c *Controller) dialEngine(request *call) {
+	e := request.engine
+	c.pool.dialled++
+	ec := &engineConnection{connection: &Connection{}, number: c.pool.dialled, engine: e, call: request}
+	if c.TraceQueries && request.attempt != nil {
+		c.trace(request.attempt.logFields(), "line %d dialled for %s", ec.number, request.method)
+	}
+	e.connections = append(e.connections, ec)
+	c.pool.connections = append(c.pool.connections, ec)
+	c.pool.open++
+	ec.connection.onConnected = func() { c.engineConnected(ec) }
+	ec.connection.onDialFailed = func(refused bool) { c.engineDialFailed(ec, refused) }
+	ec.connection.onBytes = func() { c.readResponses(ec) }
+	ec.connection.onClosed = func() { c.engineConnectionClosed(ec) }
+	c.counters.dials++
+	c.emit(Effect{Kind: Dial, Connection: ec.connection, Address: e.address, Timeout: c.connectTimeout})
+}
+
+func (c *Controller) engineConnected(ec *engineConnection) {
+	ec.connected = true
+	request := ec.call
+	if request == nil {
+		c.releaseConnection(ec)
+		return
+	}
+	ec.call = nil
+	c.writeCall(ec, request)
+}
+
+func (c *Controller) engineDialFailed(ec *engineConnection, refused bool) {
+	c.connectionGone(ec)
+	if refused {
+		c.failCall(ec, callRefused)
+	} else {
+		c.failCall(ec, callDialTimedOut)
+	}
+}
+
+func (c *Controller) engineConnectionClosed(ec *engineConnection) {
+	c.connectionGone(ec)
+	if ec.call != nil && ec.connection.unwrittenBytes >= ec.call.requestBytes {
+		c.failCall(ec, callNotWritten)
+	}
+	c.failCall(ec, callConnectionLost)
+}
+
+// cutConnection closes a connection. With a call under way the bytes of that must not arrive later: a
+// kernel left to itself goes on sending for minutes, and would start a query behind a network that heals
+// long after the query was held to be over.
+func (c *Controller) cutConnection(ec *engineConnection) {
+	if !ec.connection.closed {
+		ec.connection.closed = true
+		c.emit(Effect{Kind: Close, Connection: ec.connection, Abort: ec.call != nil})
+	}
+}
+
+// connectionGone notes that a connection holds no descriptor any more.
+func (c *Controller) connectionGone(ec *engineConnection) {
+	isThis := func(x *engineConnection) bool { return x == ec }
+	ec.engine.connections = slices.DeleteFunc(ec.engine.connections, isThis)
+	c.pool.connections = slices.DeleteFunc(c.pool.connections, isThis)
+	c.pool.open--
+	request := ec.lastWritten
+	if request != nil {
+		ec.lastWritten = nil
+		request.arrivalKnown()
+	}
+	c.runSoon(c.serveWaitingCalls)
+}
+
+// writeCall writes a call on a connection that is established and carries none.
+func (c *Controller) writeCall(ec *engineConnection, request *call) {
+	invariant.Hold(ec.connected && ec.call == nil && ec.engine == request.engine, "one call at a time on a connection")
+	if !request.isWanted() {
+		c.releaseConnection(ec)
+		c.finishCall(request, callNotSent, 0, nil, nil)
+		return
+	}
+	text := request.encode(nil)
+	request.requestBytes = len(text)
+	ec.call = request
+	ec.lastWritten = request
+	ec.lastAttempt = request.attempt
+	ec.healthChecked = false
+	ec.changedPriority = request.method == "PUT"
+	if request.attempt != nil && request.keepsQuery {
+		request.attempt.callsInFlight++
+	}
+	if c.TraceQueries && request.attempt != nil {
+		c.trace(request.attempt.logFields(), "%s on line %d", request.method, ec.number)
+	}
+	if request.startsAttempt {
+		c.writeAttempt(ec.connection, text, request.attempt)
+	} else {
+		c.write(ec.connection, text)
+	}
+	request.timer = c.timers.Add(c.now+request.timeout, func() { c.responseTimedOut(ec, request) })
+}
+
+func (c *Controller) responseTimedOut(ec *engineConnection, request *call) {
+	if !request.done {
+		c.cutConnection(ec)
+		ec.call = nil
+		c.finishCall(request, callNoResponse, 0, nil, nil)
+	}
+}
+
+// releaseConnection makes a connection idle. Calls that wait may take it, at once or, if it has just
+// answered another query's call, after connectionReuseDelay.
+func (c *Controller) releaseConnection(ec *engineConnection) {
+	ec.call = nil
+	ec.idleSince = c.now
+	if len(c.pool.waitingCalls)+len(c.pool.waitingPolls) > 0 {
+		c.runSoon(c.serveWaitingCalls)
+		c.runAfter(connectionReuseDelay, c.serveWaitingCalls)
+	}
+}
+
+// readResponses reads what a connection received.
+func (c *Controller) readResponses(ec *engineConnection) {
+	if ec.call == nil {
+		if len(ec.connection.Received.Bytes()) > 0 { // a response to nothing
+			c.counters.unexpected++
+			c.cutConnection(ec)
+		}
+		return
+	}
+	for !ec.connection.closed && ec.call != nil {
+		if !c.readResponse(ec) {
+			return
+		}
+	}
+}
+
+// readResponse reads one message and, if it is a final response, ends the call with it. False: nothing
+// more can be read.
+func (c *Controller) readResponse(ec *engineConnection) bool {
+	received := &ec.connection.Received
+	request := ec.call
+	var finish func() // with the response; nil: the message was an interim one
+	valid, hasBody, isOK := false, false, false
+	n, keepAlive, err := enginehttp.Read(received.Bytes(), maxResponseBytes,
+		func(status int, field func(string) string, body []byte) {
+			valid = request.validResponse(status, field, body)
+			hasBody = len(body) > 0
+			isOK = status == statusOK
+			finish = func() { c.finishCall(request, callAnswered, status, field, body) }
+		})
+	if n == 0 && err == nil {
+		return false
+	}
+	received.Drop(n)
+	if finish == nil && err == nil {
+		return true
+	}
+	moreBehind := len(received.Bytes()) > 0
+	// with more behind a body its length may be wrong, and then the result is not all there
+	if err != nil || !valid || moreBehind && hasBody {
+		c.counters.unexpected++
+		c.cutConnection(ec)
+		c.failCall(ec, callMalformedResponse)
+		return false
+	}
+	c.counters.engineResponses++
+	if !keepAlive || moreBehind {
+		ec.call = nil
+		c.cutConnection(ec)
+	} else {
+		ec.healthChecked = request.attempt == nil && isOK
+		c.releaseConnection(ec)
+	}
+	request.answered = true
+	if ec.lastWritten == request {
+		ec.lastWritten = nil
+		request.arrivalKnown()
+	}
+	finish() // last, as it may start a call that the connection can carry
+	return true
+}
--- a/internal/controller/keep_test.go
+++ b/internal/controller/residency_retention_test.go
@@ -15,9 +15,9 @@
 // before the rule is read no more, though it is not purged yet.
 func TestNothingIsKeptWhereItMayNotBe(t *testing.T) {
 	s := keeps(t, &fleet.Word{}, func(m *controller.Config) {
-		m.Facts["teams"], m.Facts["team.0.name"], m.Facts["team.0.quota"], m.Facts["own.location"] = "1", "linz", "1000", "0"
+		m.Settings["teams"], m.Settings["team.0.name"], m.Settings["team.0.quota"], m.Settings["own.location"] = "1", "linz", "1000", "0"
 	})
-	here, _, _ := strings.Cut(s.R.Facts["locations"], ",")
+	here, _, _ := strings.Cut(s.R.Settings["locations"], ",")
 	open := func(version uint64, rules ...residency.Rule) {
 		s.Order(fleet.Order{Kind: fleet.Open, Version: version, Policy: &controller.Policy{Version: version, Rules: rules}})
 	}
@@ -36,8 +36,8 @@
 	}
 	s.of(c, "linz", 4)
 	s.ran(2 * time.Second)
-	if s.of(c, "linz", 4); s.ran(time.Second) && s.R.Answers().Counts.Hits != 1 {
-		t.Fatalf("%+v", s.R.Answers().Counts)
+	if s.of(c, "linz", 4); s.ran(time.Second) && s.R.AnswerCache().Counts.Hits != 1 {
+		t.Fatalf("%+v", s.R.AnswerCache().Counts)
 	}
 	open(2, residency.Rule{Name: "r", Team: "linz", Tables: []int64{3, 4}, Engines: []string{here}, Keep: []string{}})
 	if ans := page(kept.Paging["token"]); ans.Kind != client.Killed {
@@ -48,7 +48,7 @@
 	if whole.Answer != client.Finished || pagesOf(whole) > 0 || len(whole.Rows) == 0 || again.Answer != client.Finished {
 		t.Fatalf("%v %v of %v bytes, %v", whole.Answer, whole.Paging, len(whole.Rows), again.Answer)
 	}
-	if n := s.R.Answers().Counts.Hits; n != 1 {
+	if n := s.R.AnswerCache().Counts.Hits; n != 1 {
 		t.Fatalf("%d answered from the cache", n)
 	}
 	if free := s.of(c, "linz", 5, "pages", "1"); s.ran(2*time.Second) && pagesOf(free) < 2 {
--- a/internal/controller/fleet_test.go
+++ b/internal/controller/serving_lease_test.go
@@ -29,14 +29,14 @@
 // mayGo is the runner's last look: by the time it writes, it may be later.
 func (s *stage) mayGo(f Effect) bool {
 	w := s.r.Config.Fleet.Word
-	if !w.Enter(s.now+s.stopped, f.Guard, f.Bound) {
+	if !w.Enter(s.now+s.stopped, f.PolicyVersion, f.Confined) {
 		return false
 	}
 	w.Leave()
-	if n := len(s.written); n > 0 && f.Guard < s.written[n-1] {
-		s.t.Fatalf("submitted by version %d after one by %d", f.Guard, s.written[n-1])
+	if n := len(s.written); n > 0 && f.PolicyVersion < s.written[n-1] {
+		s.t.Fatalf("submitted by version %d after one by %d", f.PolicyVersion, s.written[n-1])
 	}
-	s.written = append(s.written, f.Guard)
+	s.written = append(s.written, f.PolicyVersion)
 	return true
 }
 
@@ -57,15 +57,15 @@
 	gone := s.query(c, "lookup", "", 5*time.Second, 1)
 	s.leave(gone)
 	s.until(time.Second)
-	if len(first.subs) > 0 || s.r.warrant.waiting != 2 || s.r.warrant.may(false) != 0 {
-		t.Fatalf("%d sent, %d held", len(first.subs), s.r.warrant.waiting)
+	if len(first.subs) > 0 || s.r.servingLease.heldCount != 2 || s.r.servingLease.servingVersion(false) != 0 {
+		t.Fatalf("%d sent, %d held", len(first.subs), s.r.servingLease.heldCount)
 	}
 	s.opens(1, time.Minute)
 	s.reply(s.one("POST", first.id), "ok")
 	s.reply(s.one("POST", next.id), "ok") // posted checks their order
 	s.until(s.now + 100*time.Millisecond)
-	if first.answer != "finished" || next.answer != "finished" || s.r.warrant.longest != time.Second {
-		t.Fatal(first.answer, next.answer, s.r.warrant.longest)
+	if first.answer != "finished" || next.answer != "finished" || s.r.servingLease.longestHold != time.Second {
+		t.Fatal(first.answer, next.answer, s.r.servingLease.longestHold)
 	}
 	if s.told(fleet.Opened) != 1 || s.told(fleet.Sites) < 2 || !slices.Equal(s.reports[0].Sites, []string{"here"}) {
 		t.Fatalf("%+v", s.reports)
@@ -82,13 +82,13 @@
 	if short.answer != "deferred" || long.answer != "" {
 		t.Fatal(short.answer, long.answer)
 	}
-	s.until(holdMost + time.Millisecond)
-	if long.answer != "deferred" || s.r.warrant.deferredFor != 2 || len(s.r.queries) > 0 {
-		t.Fatal(long.answer, s.r.warrant.deferredFor)
+	s.until(defaultMaxHold + time.Millisecond)
+	if long.answer != "deferred" || s.r.servingLease.deferredHeld != 2 || len(s.r.queries) > 0 {
+		t.Fatal(long.answer, s.r.servingLease.deferredHeld)
 	}
-	s.r.warrant.waiting = heldMost
+	s.r.servingLease.heldCount = maxHeldQueries
 	over := s.query(c, "lookup", "", 9*time.Second, 1)
-	s.r.warrant.waiting = 0
+	s.r.servingLease.heldCount = 0
 	if over.answer != "deferred" || len(s.written) > 0 {
 		t.Fatal(over.answer)
 	}
@@ -104,15 +104,15 @@
 	s.reply(s.one("POST", runs.id), "runs")
 	behind := s.query(c, "load", "k", 9*time.Second, 2) // of its key, with the decisions
 	s.until(99 * time.Millisecond)
-	s.r.pool.most = s.r.pool.links // so that the next waits for a line
+	s.r.pool.limit = s.r.pool.open // so that the next waits for a line
 	chosen := s.query(c, "lookup", "", 9*time.Second, 3)
 	s.until(200 * time.Millisecond)
-	s.r.pool.most = 100
+	s.r.pool.limit = 100
 	s.until(time.Second)
 	if len(behind.subs)+len(chosen.subs) > 0 {
 		t.Fatal("sent without a lease")
 	}
-	s.until(100*time.Millisecond + holdMost + 10*time.Millisecond)
+	s.until(100*time.Millisecond + defaultMaxHold + 10*time.Millisecond)
 	if runs.answer != "" || behind.answer != "deferred" || chosen.answer != "deferred" {
 		t.Fatal(runs.answer, behind.answer, chosen.answer)
 	}
@@ -131,14 +131,14 @@
 	s.stopped = time.Minute
 	a := s.query(s.connect(), "load", "k", 9*time.Second, 1)
 	s.until(50 * time.Millisecond)
-	if len(a.subs) > 0 || s.r.warrant.refusedWrites == 0 || s.r.tally.ends[7] == 0 {
-		t.Fatalf("%d sent, %d refused, %v", len(a.subs), s.r.warrant.refusedWrites, s.r.tally.ends)
+	if len(a.subs) > 0 || s.r.servingLease.rejectedWrites == 0 || s.r.counters.attemptEnds[7] == 0 {
+		t.Fatalf("%d sent, %d refused, %v", len(a.subs), s.r.servingLease.rejectedWrites, s.r.counters.attemptEnds)
 	}
 	s = withPeers(t, 1, nil)
 	s.opens(1, 10*time.Second)
 	a = s.query(s.connect(), "load", "k", 9*time.Second, 1)
 	s.stopped = time.Minute
-	for s.r.warrant.refusedWrites == 0 {
+	for s.r.servingLease.rejectedWrites == 0 {
 		s.until(s.now + time.Millisecond)
 	}
 	s.stopped = 0
@@ -152,7 +152,7 @@
 // A switch is told closed only once nothing is being written, and what waited is
 // judged by the next version: its limits, its teams' places, its placement.
 func TestASwitchIsJudgedByTheNextVersion(t *testing.T) {
-	s := withPeers(t, 1, map[string]string{"teams": "1", "team.0.name": "old", "team.0.quota": "5"}, func(m *Config) { m.Words.Whose = "who" })
+	s := withPeers(t, 1, map[string]string{"teams": "1", "team.0.name": "old", "team.0.quota": "5"}, func(m *Config) { m.FieldNames.Customer = "who" })
 	s.opens(1, time.Minute)
 	c := s.connect()
 	word := s.r.Config.Fleet.Word
@@ -175,10 +175,10 @@
 	if q := s.r.queries[a.id]; q == nil || q.customer != 1 {
 		t.Fatalf("%+v", q)
 	}
-	if g := s.r.groups["lookup"]; b.answer != "killed" || g.value != 9 || g.threads != 2 || g.target != 700*time.Millisecond {
+	if g := s.r.groups["lookup"]; b.answer != "killed" || g.priorityWeight != 9 || g.threads != 2 || g.latencyObjective != 700*time.Millisecond {
 		t.Fatalf("%q %+v", b.answer, g)
 	}
-	if s.r.Facts["group.0.effect"] != "read-only" || s.r.warrant.switches != 1 {
+	if s.r.Settings["group.0.effect"] != "read-only" || s.r.servingLease.policySwitches != 1 {
 		t.Fatal("more was taken over than is the fleet's")
 	}
 	s.until(s.now + 50*time.Millisecond)
@@ -197,18 +197,18 @@
 	q := s.r.queries[a.id]
 	s.order(fleet.Order{Kind: fleet.Shut, Change: "c"}) // while it waits for a line
 	s.until(s.now + 300*time.Millisecond)
-	if len(s.r.warrant.parked) != 1 {
+	if len(s.r.servingLease.blockedAttempts) != 1 {
 		t.Fatal("it doesn't wait")
 	}
-	chosen, other := q.subs[0].e.id, "a"
-	if s.siteOf(q.subs[0].e) == "a" {
+	chosen, other := q.attempts[0].engine.id, "a"
+	if s.siteOf(q.attempts[0].engine) == "a" {
 		other = "b"
 	}
 	s.order(fleet.Order{Kind: fleet.Open, Version: 2, Policy: &Policy{Version: 2,
 		Rules: []residency.Rule{{Name: "r", Team: "bank", Engines: []string{other}, Controllers: []string{"a"}}}}})
 	h := s.one("POST", a.id)
-	if h.m.id == chosen || h.m.site != other || !slices.Equal(s.written, []uint64{2}) || s.r.tally.ends[7] != 1 {
-		t.Fatalf("to %s, chosen was %s, %v, %v", h.m.id, chosen, s.written, s.r.tally.ends)
+	if h.m.id == chosen || h.m.site != other || !slices.Equal(s.written, []uint64{2}) || s.r.counters.attemptEnds[7] != 1 {
+		t.Fatalf("to %s, chosen was %s, %v, %v", h.m.id, chosen, s.written, s.r.counters.attemptEnds)
 	}
 }
 
@@ -231,7 +231,7 @@
 
 // Teams' turns stand still with all else, and a full ring loses no report.
 func TestFairnessStandsAndReportsAreKept(t *testing.T) {
-	s := withPeers(t, 0, nil, func(m *Config) { m.Fair = &fairqueue.Shape{Teams: []fairqueue.Team{{Name: "a", Weight: 1}}} })
+	s := withPeers(t, 0, nil, func(m *Config) { m.Tenants = &fairqueue.Shape{Teams: []fairqueue.Team{{Name: "a", Weight: 1}}} })
 	s.opens(1, time.Minute)
 	c := s.connect()
 	for range 3 {
@@ -239,15 +239,15 @@
 	}
 	s.full = true
 	s.order(fleet.Order{Kind: fleet.Shut, Change: "c"})
-	waits := s.r.fair.core.Waiting()
+	waits := s.r.fairQueue.queue.Waiting()
 	s.until(time.Second)
-	if s.r.fair.core.Waiting() != waits || s.told(fleet.Closed) != 0 {
+	if s.r.fairQueue.queue.Waiting() != waits || s.told(fleet.Closed) != 0 {
 		t.Fatal("it went on")
 	}
 	s.order(fleet.Order{Kind: fleet.Open, Version: 2, Policy: &Policy{Version: 2, Fair: &fairqueue.Shape{Teams: []fairqueue.Team{{Name: "b", Weight: 1}}}}})
 	s.order(fleet.Order{Kind: fleet.Drop, ID: "p", Scope: &fleet.Scope{Team: "a"}})
 	s.full, s.reports = false, nil
-	s.until(s.now + 2*untoldEvery)
+	s.until(s.now + 2*reportRetryInterval)
 	var kinds []fleet.ReportKind
 	for _, p := range s.reports {
 		kinds = append(kinds, p.Kind)
@@ -271,7 +271,7 @@
 		teams := rapid.Bool().Draw(t, "teams")
 		s := withPeers(t, 3, nil, func(m *Config) {
 			if teams {
-				m.Fair = &fairqueue.Shape{Teams: []fairqueue.Team{{Name: "a", Weight: 1}}}
+				m.Tenants = &fairqueue.Shape{Teams: []fairqueue.Team{{Name: "a", Weight: 1}}}
 			}
 		})
 		s.opens(1, time.Minute)
@@ -305,11 +305,11 @@
 			}
 			s.some(choices[i*part : (i+1)*part])
 		}
-		struck["refused"] += s.r.warrant.refusedWrites
-		struck["held"] += s.r.warrant.holds
-		struck["deferred"] += s.r.warrant.deferredFor
-		struck["parked"] += len(s.r.warrant.parked)
-		struck["switches"] += s.r.warrant.switches
+		struck["refused"] += s.r.servingLease.rejectedWrites
+		struck["held"] += s.r.servingLease.heldTotal
+		struck["deferred"] += s.r.servingLease.deferredHeld
+		struck["parked"] += len(s.r.servingLease.blockedAttempts)
+		struck["switches"] += s.r.servingLease.policySwitches
 		struck["written"] += len(s.written)
 		s.play(nil)
 	})
@@ -324,7 +324,7 @@
 func TestPeersCostAQueryNothing(t *testing.T) {
 	cost := func(with ...func(*Config)) float64 {
 		s := newStage(t, 1, 256, nil, with...)
-		if s.r.warrant != nil {
+		if s.r.servingLease != nil {
 			s.opens(1, time.Hour)
 		}
 		c := s.connect()
--- /dev/null
+++ b/internal/fleet/transport/golden_values_test.go
@@ -0,0 +1,82 @@
+package transport
+
+import (
+	"github.com/fxamacker/cbor/v2"
+
+	"railrelay.dev/railrelay/internal/fleet"
+	"railrelay.dev/railrelay/internal/fleet/consensus"
+	"railrelay.dev/railrelay/internal/fleet/node"
+)
+
+// goldenKeys are what golden frames, answers and asks are signed with.
+var goldenKeys = Keys{[]byte("0123456789abcdef0123456789abcdef"), []byte("fedcba9876543210fedcba9876543210")}
+
+var goldenRenew = node.LeaseRenewal{
+	Member: fleet.Member{
+		Name: "north-1", Disk: "disk-1", Site: "north", Peer: "10.0.0.1:7000", Clients: "10.0.0.1:6000", Forgotten: true, Control: true,
+	},
+	Incarnation:       11,
+	Seq:               12,
+	SentAt:            13_000_000_001,
+	AppliedIndex:      14,
+	Votes:             true,
+	PolicyVersion:     15,
+	ValidationResults: map[string]string{"change-1": "", "change-2": "no engine of kind large"},
+	FencedFor:         "change-1",
+	Tombstoned:        []string{"purge-1", "purge-2"},
+	Erased:            map[string]fleet.Counts{"purge-1": {Results: 16, Answers: 17, Bytes: 18}},
+	ServingSites:      []string{"north", "south"},
+	AttemptsOutside:   19,
+}
+
+var goldenAsk = fleet.Ask{
+	Kind: "apply", ID: "ask-1", By: "operator@host", Base: 21, Policy: []byte("groups: []\n"), Name: "south-1",
+	Scope: &fleet.Scope{Team: "team-a", Tables: []int64{1, -2}, Before: 22, Outside: []string{"north"}},
+	Team:  "team-b", Tables: []int64{3, 4}, From: []int64{5}, AtMost: 23, Wait: 24, Until: "settled",
+}
+
+// goldenMessages is one message of each kind, by its kind, and one with all kinds.
+func goldenMessages() map[string]*node.Message {
+	grant := node.LeaseGrant{Seq: 31, SentAt: 32, Incarnation: 33, Granted: true, RequiredIndex: 34, Leader: "north-2",
+		WaitingFor: map[string][]string{"change-1": {"south-1", "south-2"}}, RefusedReason: "its disk is forgotten"}
+	follow := node.LogUpdate{
+		Snapshot: &consensus.Snapshot{Index: 41, Term: 42, VoterConfig: []byte("conf"), Data: []byte("state")},
+		Entries: []consensus.LogEntry{
+			{Index: 43, Term: 44, IsVoterChange: true, Data: []byte("voters")},
+			{Index: 44, Term: 44, Data: []byte("entry")},
+		},
+		CommittedIndex: 45, Leader: "north-3",
+	}
+	gather := node.RelayedRenewals{Incarnation: 51, Seq: 52, BaseSeq: 53,
+		Renewals: []node.RelayedRenewal{{Name: "north-1", Disk: "disk-1", Renewal: &goldenRenew}},
+		Silent:   []node.SilentController{{Name: "south-3", SilentFor: 54}}}
+	gathered := node.RelayedGrants{Incarnation: 61, Seq: 62, Granted: true, Resync: true, RequiredIndex: 63, Leader: "north-4",
+		Withheld: []node.WithheldLease{{Name: "south-4", RefusedReason: "it is forgotten"}},
+		Resend:   []string{"south-5"}, WaitingFor: map[string][]string{"purge-1": {"south-6"}}}
+	lacks := node.LogRequest{FromIndex: 71}
+	from := func(m node.Message) *node.Message {
+		m.From, m.To, m.Disk = "north-1", "south-1", "disk-1"
+		return &m
+	}
+	return map[string]*node.Message{
+		"agree":    from(node.Message{Consensus: []byte("vote")}),
+		"renew":    from(node.Message{Renewal: &goldenRenew}),
+		"grant":    from(node.Message{Grant: &grant}),
+		"follow":   from(node.Message{LogUpdate: &follow}),
+		"ask":      from(node.Message{Ask: &goldenAsk}),
+		"lacks":    from(node.Message{LogRequest: &lacks}),
+		"gather":   from(node.Message{RelayedRenewals: &gather}),
+		"gathered": from(node.Message{RelayedGrants: &gathered}),
+		"all": from(node.Message{Consensus: []byte("vote"), Renewal: &goldenRenew, Grant: &grant, LogUpdate: &follow, Ask: &goldenAsk,
+			LogRequest: &lacks, RelayedRenewals: &gather, RelayedGrants: &gathered}),
+	}
+}
+
+// goldenFrame is a frame with one message.
+func goldenFrame(m *node.Message) *frame {
+	return &frame{Fleet: "fleet-1", From: m.From, To: m.To, Boot: 81, There: 82, Seq: 83, Messages: []cbor.RawMessage{encode(m)}}
+}
+
+var goldenAnswer = answer{Fleet: "fleet-1", From: "south-1", Status: 200, Boot: 91, Seq: 92, Frame: []byte("its mac")}
+
+var goldenAsked = signedRequest{Nonce: "00112233445566778899aabbccddeeff", Boot: 93, Status: 200, Body: []byte(`{"kind":"status"}`)}
