--- a/internal/scheduler/fleet_test.go
+++ b/internal/scheduler/fleet_test.go
@@ -54,9 +54,10 @@
 
 // member is one gateway with what stands round it.
 type member struct {
-	f    *fleet
-	g    *Scheduler
-	open map[string]*wanted
+	f     *fleet
+	g     *Scheduler
+	facts map[string]string
+	open  map[string]*wanted
 }
 
 type wanted struct {
@@ -290,7 +291,7 @@
 	var shares []float64
 	for i := range gateways {
 		facts["own.number"] = strconv.Itoa(i)
-		m := &member{f: f, open: map[string]*wanted{}}
+		m := &member{f: f, facts: facts, open: map[string]*wanted{}}
 		m.g = New(m, f.rng.Uint64(), facts)
 		f.gates = append(f.gates, m)
 		f.list(m, f.names...)
@@ -489,7 +490,7 @@
 		if i%3 == 0 {
 			continue
 		}
-		facts := m.g.settings.text
+		facts := m.facts
 		for _, id := range slices.Sorted(maps.Keys(m.open)) {
 			if q := m.open[id]; len(q.runs) == 0 {
 				delete(m.open, id)
--- a/internal/scheduler/interface.go
+++ b/internal/scheduler/interface.go
@@ -30,10 +30,10 @@
 	NeverSent               // stopped at the door
 )
 
-// neverRan holds for the outcomes that prove it.
-func (o Outcome) neverRan() bool { return o == Rejected || o == Unreachable || o == NeverSent }
+// NeverRan holds for the outcomes that prove that nothing of it ran.
+func (o Outcome) NeverRan() bool { return o == Rejected || o == Unreachable || o == NeverSent }
 
-// mayLinger holds for the outcomes after which the engine may still be at work.
+// mayStillRun holds for the outcomes after which the engine may still be at work.
 func (o Outcome) mayStillRun() bool { return o == TimedOut || o == ConnectionReset || o == Cancelled }
 
 // EngineState is what the list says of an engine.
--- /dev/null
+++ b/internal/scheduler/invariants.go
@@ -0,0 +1,68 @@
+package scheduler
+
+import (
+	"slices"
+	"strconv"
+
+	"railrelay.dev/railrelay/internal/settings"
+)
+
+// submit sends a query to an engine, if the rules allow it. It is the only way to an engine.
+func (s *Scheduler) submit(q *query, e *engine) bool {
+	if !s.maySend(q) || !s.allowed(q, e) {
+		return false
+	}
+	s.updateLimits(q)
+	q.group.recentThreadSeconds += s.estimatedSoloSeconds(q) * q.group.threads
+	s.recordAttempt(q, e)
+	s.actions.Submit(q.id, e.id, q.deadline-s.now)
+	return true
+}
+
+// maySend asks the rules that are the same for all engines.
+func (s *Scheduler) maySend(q *query) bool {
+	keyed := s.keyQueueOf(q)
+	switch {
+	case q.ended || s.now >= q.deadline: // rule 1: nothing is sent after the answer or the deadline
+		return false
+	case q.inFlight > 0 && !s.settings.HedgingAllowed || !s.retryAllowed(q): // rule 2: no second effect
+		return false
+	case keyed != nil && keyed.queries[0] != q: // rule 5: a key's queries in order
+		return false
+	case keyed != nil && s.now < keyed.restingUntil && keyed.restingAfter != q:
+		return false
+	}
+	return len(q.attempts) == 0 || s.retryBudgetLeft() // rule 7: the retry budget
+}
+
+// allowed asks the rules on sending a query to one engine.
+func (s *Scheduler) allowed(q *query, e *engine) bool {
+	rg := q.group
+	switch {
+	case e.state != EngineActive: // rule 3: nothing to a draining engine, not even in its grace
+		return false
+	case // rule 6: only where the query and its group may be
+		q.allowedLocations != nil && !slices.Contains(q.allowedLocations, strconv.Itoa(e.location)),
+		len(rg.kinds) > 0 && !slices.Contains(rg.kinds, strconv.Itoa(e.kind)):
+		return false
+	}
+	for _, ran := range q.attemptsThatMayHaveRun() { // rule 2: a key is known in its scope only
+		if rg.effect != settings.ReadOnly && !rg.sharesKeys(ran.engine, e) {
+			return false
+		}
+	}
+	return s.now >= e.warmingUntil || s.slowStartAllows(q, e) // rule 4: slow start
+}
+
+// sharesKeys tells whether an engine knows the idempotency keys of another.
+func (rg *resourceGroup) sharesKeys(a, b *engine) bool {
+	switch {
+	case a == b:
+		return true
+	case rg.keyScope == settings.ScopeLocation:
+		return a.location == b.location
+	case rg.keyScope == settings.ScopeCell:
+		return a.cell == b.cell
+	}
+	return rg.keyScope == settings.ScopeAll
+}
--- a/internal/scheduler/retell_test.go
+++ b/internal/scheduler/retell_test.go
@@ -50,7 +50,7 @@
 	if q.objectiveAt != q.arrivedAt+250*ms || !slices.Contains(rg.queue, q) {
 		t.Fatal(q.objectiveAt)
 	}
-	if n := g.settings.num("gateways", 1); len(g.tenants) != 1 || q.tenant != b || g.tenant(0) != b || b.quota != 8/n || b.recentArrivals == 0 {
+	if n := g.settings.ControllerCount; len(g.tenants) != 1 || q.tenant != b || g.tenant(0) != b || b.quota != 8/n || b.recentArrivals == 0 {
 		t.Fatalf("%+v", b)
 	}
 }
--- a/internal/scheduler/shape_test.go
+++ b/internal/scheduler/shape_test.go
@@ -179,7 +179,7 @@
 func TestLongQueuesLoseTheDearestFirst(t *testing.T) {
 	w := newWorld(t, 1, nil)
 	w.scheduler.engines[0].slowdown, w.scheduler.engines[0].threadsInFlight = 9, 16 // pressed, and no room left of one's own
-	w.scheduler.groups[1].objectiveStretch = 9                           // all of them can still be in time
+	w.scheduler.groups[1].objectiveStretch = 9                                      // all of them can still be in time
 	w.now = 5 * sec
 	w.scheduler.groups[1].recentThreadSeconds, w.scheduler.groups[1].workSeconds = 15, movingAverage{3, 50}
 	for _, work := range []time.Duration{3, 30, 2, 60, 1, 2, 3} {
@@ -236,7 +236,9 @@
 		}
 		w.pass(100 * ms)
 	}
-	q := func(i int) *query { return &query{group: w.scheduler.groups[0], tenant: w.scheduler.tenants[i], workSeconds: 0.2} }
+	q := func(i int) *query {
+		return &query{group: w.scheduler.groups[0], tenant: w.scheduler.tenants[i], workSeconds: 0.2}
+	}
 	if a, b := w.scheduler.costPerWeight(q(0)), w.scheduler.costPerWeight(q(1)); w.scheduler.overQuotaFraction(w.scheduler.tenants[1]) > 0 || a < 1.3*b {
 		t.Fatalf("%.2f beyond its share, %.2f within", a, b)
 	}
@@ -372,7 +374,7 @@
 		t.Fatalf("%.2f full by those seen; pressed for light ones %v, for heavy ones %v", w.scheduler.utilization(e),
 			w.scheduler.underPressure(e, &query{group: w.scheduler.groups[0]}), w.scheduler.underPressure(e, &query{group: w.scheduler.groups[1]}))
 	}
-	if w.scheduler.reportsCountQueries = false; !w.scheduler.underPressure(w.scheduler.engines[1], &query{group: w.scheduler.groups[0]}) {
+	if w.scheduler.settings.ReportsCountQueries = false; !w.scheduler.underPressure(w.scheduler.engines[1], &query{group: w.scheduler.groups[0]}) {
 		t.Fatal("busy cores told of, and a light one passes them")
 	}
 }
--- a/internal/scheduler/world_test.go
+++ b/internal/scheduler/world_test.go
@@ -6,26 +6,27 @@
 	"maps"
 	"os"
 	"slices"
+	"strconv"
 	"testing"
 	"time"
 )
 
 // world is a Gateway's clients, engines and clock, and checks it by the seven rules.
 type world struct {
-	t       interface{ Fatalf(string, ...any) }
-	scheduler       *Scheduler
-	facts   map[string]string
-	now     time.Duration
-	wakes   []wake
-	queries map[string]*asked
-	order   []*asked
-	engines map[string]*machine
-	did     []string
-	extras  []time.Duration
-	rests   map[int64]time.Duration // until when a key rests
-	restBy  map[int64]*asked
-	probes  []string
-	named   []time.Duration // with each deferral, to come back
+	t         interface{ Fatalf(string, ...any) }
+	scheduler *Scheduler
+	facts     facts
+	now       time.Duration
+	wakes     []wake
+	queries   map[string]*asked
+	order     []*asked
+	engines   map[string]*machine
+	did       []string
+	extras    []time.Duration
+	rests     map[int64]time.Duration // until when a key rests
+	restBy    map[int64]*asked
+	probes    []string
+	named     []time.Duration // with each deferral, to come back
 }
 
 type wake struct {
@@ -148,7 +149,7 @@
 		q.answered = true
 	}
 	if o.mayStillRun() && w.fact("in-order", q.group) == "true" {
-		w.rests[q.key], w.restBy[q.key] = w.now+w.scheduler.settings.span("key.rest", 0), q
+		w.rests[q.key], w.restBy[q.key] = w.now+w.facts.span("key.rest"), q
 	}
 	took := max(w.now-s.at, time.Duration(w.work(q.group)*float64(time.Second)))
 	w.scheduler.AttemptEnded(w.now, q.id, k, o, took, q.answered, 0, 0, nil)
@@ -178,7 +179,7 @@
 }
 
 func (w *world) check() {
-	grace := w.scheduler.settings.span("answer.grace", 0)
+	grace := w.facts.span("answer.grace")
 	for _, q := range w.order {
 		if !q.answered && w.now > q.deadline+grace {
 			w.t.Fatalf("rule 1: %s has no answer at %v", q.id, w.now)
@@ -196,7 +197,7 @@
 	switch {
 	case q.answered:
 		w.t.Fatalf("rule 1: %s sent after its answer", id)
-	case m.state != EngineActive && w.now > m.toldAt+w.scheduler.settings.span("drain.grace", 0):
+	case m.state != EngineActive && w.now > m.toldAt+w.facts.span("drain.grace"):
 		w.t.Fatalf("rule 3: %s sent to %s, told to be leaving at %v", id, engine, m.toldAt)
 	case w.fact("locations", q.group) != "" && w.fact("locations", q.group) != fmt.Sprint(m.location),
 		w.fact("kinds", q.group) != "" && w.fact("kinds", q.group) != fmt.Sprint(m.kind):
@@ -206,7 +207,7 @@
 	if w.fact("in-order", q.group) == "true" && q.key >= 0 {
 		w.inTurn(q)
 	}
-	if span := w.scheduler.settings.span("budget.span", 0); span > 0 && len(q.subs) > 0 {
+	if span := w.facts.span("budget.span"); span > 0 && len(q.subs) > 0 {
 		w.extras = append(w.extras, w.now)
 		made, taken := 0, 0
 		for _, at := range w.extras {
@@ -219,8 +220,8 @@
 				taken++
 			}
 		}
-		f := w.scheduler.settings
-		if most := f.num("budget.least", 0) + f.num("budget.share", 0)*float64(taken); float64(made) > most {
+		f := w.facts
+		if most := f.num("budget.least") + f.num("budget.share")*float64(taken); float64(made) > most {
 			w.t.Fatalf("rule 7: %d further submissions, %v allowed", made, most)
 		}
 	}
@@ -233,7 +234,7 @@
 		if !s.ended && w.facts["may.copy"] != "true" {
 			w.t.Fatalf("rule 2: %s is out twice", q.id)
 		}
-		if s.ended && s.outcome.neverRan() {
+		if s.ended && s.outcome.NeverRan() {
 			continue
 		}
 		other, scope := w.engines[s.engine], w.fact("scope", q.group)
@@ -243,7 +244,7 @@
 		case "mutating":
 			w.t.Fatalf("rule 2: mutating %s sent again", q.id)
 		case "tokened":
-			if !near || w.now-s.at > w.scheduler.settings.span(fmt.Sprintf("group.%d.window", q.group), 0) {
+			if !near || w.now-s.at > w.facts.span(fmt.Sprintf("group.%d.window", q.group)) {
 				w.t.Fatalf("rule 2: tokened %s sent outside its scope or window", q.id)
 			}
 		}
@@ -269,20 +270,20 @@
 
 // cold holds this gateway to what all together may send, in any window.
 func (w *world) cold(q *asked, m *machine) {
-	age, f := w.now-m.started, w.scheduler.settings
-	span := f.span("cold.span", 0)
+	age, f := w.now-m.started, w.facts
+	span := f.span("cold.span")
 	if m.started == 0 || age >= span {
 		return
 	}
 	m.sent = append(m.sent, sentWork{w.now, w.work(q.group)})
 	sum := 0.0
 	for _, s := range m.sent {
-		if s.at > w.now-f.span("cold.window", 0) {
+		if s.at > w.now-f.span("cold.window") {
 			sum += s.work
 		}
 	}
-	able := f.num("cold.from", 0) + (1-f.num("cold.from", 0))*age.Seconds()/span.Seconds()
-	most := f.num("cold.multiple", 0) * able * 0.85 * 8 * f.span("cold.window", 0).Seconds()
+	able := f.num("cold.from") + (1-f.num("cold.from"))*age.Seconds()/span.Seconds()
+	most := f.num("cold.multiple") * able * 0.85 * 8 * f.span("cold.window").Seconds()
 	if sum > most*0.75 {
 		w.t.Fatalf("rule 4: %.1f s of work sent to cold %s, %.1f in all", sum, m.id, most)
 	}
@@ -303,7 +304,7 @@
 	for _, s := range q.subs {
 		e := w.fact("effect", q.group)
 		scoped := e == "tokened" && w.fact("scope", q.group) != "all"
-		if !(s.ended && s.outcome.neverRan()) && (e == "mutating" || scoped) {
+		if !(s.ended && s.outcome.NeverRan()) && (e == "mutating" || scoped) {
 			w.t.Fatalf("rule 2: %s deferred though it may have run", id)
 		}
 	}
@@ -330,3 +331,17 @@
 	w.scheduler.HealthCheckEnded(w.now, id, Finished, figures)
 	w.check()
 }
+
+// facts are the settings that a world was made with, read apart from what is tested.
+type facts map[string]string
+
+// num is a number, 0 if there is none.
+func (f facts) num(name string) float64 {
+	x, _ := strconv.ParseFloat(f[name], 64)
+	return x
+}
+
+// span is of milliseconds, 0 if there is none.
+func (f facts) span(name string) time.Duration {
+	return time.Duration(f.num(name) * float64(time.Millisecond))
+}
