--- a/internal/fleet/consensus/core.go
+++ b/internal/fleet/consensus/core.go
@@ -7,10 +7,8 @@
 	"slices"
 	"time"
 
-	"github.com/fxamacker/cbor/v2"
 	"go.etcd.io/raft/v3"
 	pb "go.etcd.io/raft/v3/raftpb"
-	"google.golang.org/protobuf/proto"
 )
 
 const (
@@ -22,6 +20,8 @@
 	// maxUncommittedBytes bounds what is proposed but not yet committed. Proposals beyond
 	// that are lost, and proposed again by who made them.
 	maxUncommittedBytes = 64 << 20
+	// maxMessagesInFlight to one voter are not answered yet.
+	maxMessagesInFlight = 64
 	// never is a time that doesn't come.
 	never = time.Duration(1<<63 - 1)
 )
@@ -108,110 +108,6 @@
 	Data   []byte  `cbor:"2,keyasint"`
 }
 
-// New begins a voter. The effects are those of a Step: what the disk held comes as
-// SnapshotRestored and Committed, as far as it is known to be committed.
-func New(b Config) (*Core, []Effect, error) {
-	if b.HeartbeatInterval <= 0 || b.ElectionTimeout < 2*b.HeartbeatInterval {
-		return nil, nil, &TimeoutError{b.ElectionTimeout, b.HeartbeatInterval}
-	}
-	if err := checkVoterNames(b.Self, b.Voters); err != nil {
-		return nil, nil, err
-	}
-	c := &Core{
-		id: VoterNumber(b.Self), self: b.Self,
-		rand:            rand.New(rand.NewPCG(b.Seed, VoterNumber(b.Self))),
-		electionTimeout: b.ElectionTimeout, heartbeatInterval: b.HeartbeatInterval,
-		names: map[uint64]string{VoterNumber(b.Self): b.Self}, voters: map[uint64]Voter{},
-		voterConfig: &pb.ConfState{}, snapshotsInFlight: map[uint64]time.Duration{},
-	}
-	kept := b.Persistent
-	fresh := kept.HardState == nil && kept.Snapshot == nil && len(kept.Entries) == 0
-	if fresh && len(b.Voters) > 0 {
-		kept = initialState(b.Voters)
-		c.emit(Effect{Kind: Persist, Persistent: &kept})
-		c.persisting = true
-	}
-	if err := c.load(kept); err != nil {
-		return nil, nil, err
-	}
-	node, err := raft.NewRawNode(&raft.Config{
-		ID: c.id, Storage: c.storage, Applied: c.applied,
-		// Only a leader is ever ticked, once a heartbeat: after so many ticks without
-		// a majority it gives up. Elections are called here, by our own times.
-		ElectionTick: max(2, int(b.ElectionTimeout/b.HeartbeatInterval)), HeartbeatTick: 1,
-		CheckQuorum: true, PreVote: true, ReadOnlyOption: raft.ReadOnlySafe,
-		MaxSizePerMsg: maxMessageBytes, MaxInflightMsgs: 64, MaxUncommittedEntriesSize: maxUncommittedBytes,
-		DisableProposalForwarding: true, StepDownOnRemoval: true, Logger: quiet{},
-	})
-	if err != nil {
-		return nil, nil, &PersistentStateError{err.Error()}
-	}
-	c.raft = node
-	c.handleReady()
-	return c, c.takeEffects(), nil
-}
-
-// load puts what the disk held where the library reads it.
-func (c *Core) load(k PersistentState) error {
-	c.storage, c.hardState = raft.NewMemoryStorage(), &pb.HardState{}
-	if err := proto.Unmarshal(k.HardState, c.hardState); err != nil {
-		return &PersistentStateError{"term and vote can't be read"}
-	}
-	for i, r := range k.Entries {
-		if r.Index != k.Entries[0].Index+uint64(i) || r.Index == 0 {
-			return &LogGapError{r.Index}
-		}
-	}
-	records, snap := k.Entries, k.Snapshot
-	if snap != nil {
-		var who voterConfig
-		conf := &pb.ConfState{}
-		if cbor.Unmarshal(snap.VoterConfig, &who) != nil || proto.Unmarshal(who.State, conf) != nil {
-			return &PersistentStateError{"the snapshot doesn't tell who votes"}
-		}
-		c.applied, c.appliedTerm = snap.Index, snap.Term
-		c.setVoterConfig(snap.Index, conf, who.Voters)
-		whole := &pb.Snapshot{Data: encodeCBOR(snapshotPayload{who.Voters, snap.Data}), Metadata: &pb.SnapshotMetadata{
-			Index: new(snap.Index), Term: new(snap.Term), ConfState: conf}}
-		// Records before the snapshot are kept for voters that lag. The library wants
-		// them after something: the first of them is given up for that.
-		if len(records) > 0 && records[0].Index < snap.Index && records[len(records)-1].Index >= snap.Index {
-			base := records[0]
-			records = records[1:]
-			_ = c.storage.ApplySnapshot(&pb.Snapshot{Metadata: &pb.SnapshotMetadata{
-				Index: new(base.Index), Term: new(base.Term), ConfState: conf}})
-			_ = c.storage.Append(toRaftEntries(records))
-			_, _ = c.storage.CreateSnapshot(snap.Index, conf, whole.Data)
-		} else {
-			for len(records) > 0 && records[0].Index <= snap.Index {
-				records = records[1:]
-			}
-			if len(records) > 0 && records[0].Index != snap.Index+1 {
-				return &LogGapError{records[0].Index}
-			}
-			_ = c.storage.ApplySnapshot(whole)
-			_ = c.storage.Append(toRaftEntries(records))
-		}
-		c.emit(Effect{Kind: SnapshotRestored, Snapshot: snap})
-	} else {
-		if len(records) > 0 && records[0].Index != 1 {
-			return &LogGapError{records[0].Index}
-		}
-		_ = c.storage.Append(toRaftEntries(records))
-	}
-	c.lastIndex, _ = c.storage.LastIndex()
-	if c.hardState.GetCommit() > c.lastIndex {
-		return &LogGapError{c.lastIndex + 1}
-	}
-	if c.hardState.GetCommit() < c.applied {
-		c.hardState.Commit = new(c.applied)
-	}
-	if k.HardState != nil || snap != nil {
-		_ = c.storage.SetHardState(proto.Clone(c.hardState).(*pb.HardState))
-	}
-	return nil
-}
-
 // Step takes an event in and tells what follows. Time never goes back.
 func (c *Core) Step(now time.Duration, ev Event) []Effect {
 	c.now = max(c.now, now)
