--- a/internal/fleet/consensus/core.go
+++ b/internal/fleet/consensus/core.go
@@ -46,8 +46,8 @@
 	voterConfig         *pb.ConfState
 	voters              map[uint64]Voter
 	configHistory       []configAt
-	proposedVoterChange uint64 // 1: one was proposed in this term and isn't committed
-	votersChanged       bool   // to be told by a VotersChanged
+	proposedVoterChange bool // one was proposed in this term and isn't committed
+	votersChanged       bool // to be told by a VotersChanged
 
 	// The log. An entry at lastIndex or before was handed out to be persisted.
 	applied     uint64
@@ -133,9 +133,7 @@
 	case ChangeVoters:
 		c.changeVoters(ev.Voters)
 	case SnapshotTaken:
-		if s := ev.Snapshot; s != nil && s.Index <= c.applied && (c.pendingSnapshot == nil || c.pendingSnapshot.Index < s.Index) {
-			c.pendingSnapshot = s
-		}
+		c.snapshotTaken(ev.Snapshot)
 	}
 	c.updateLeader()
 	c.runTimers()
@@ -143,6 +141,17 @@
 	return c.takeEffects()
 }
 
+// snapshotTaken notes a snapshot of the state to replace the log up to there. An older one
+// than is pending already, or one of entries that aren't applied, is passed over.
+func (c *Core) snapshotTaken(s *Snapshot) {
+	if s == nil || s.Index > c.applied {
+		return
+	}
+	if c.pendingSnapshot == nil || c.pendingSnapshot.Index < s.Index {
+		c.pendingSnapshot = s
+	}
+}
+
 // NextTick is when the next Tick is due. It is never later than the voter needs, and may
 // change with each Step.
 func (c *Core) NextTick() time.Duration {
@@ -199,7 +208,8 @@
 // another may be voted for. Until then the library answers no request for votes: a voter that
 // was cut off and comes back doesn't unseat a leader that all others hear.
 func (c *Core) forgetSilentLeader() {
-	if s := c.raft.BasicStatus(); s.RaftState == raft.StateFollower && s.Lead != raft.None && c.now-c.leaderHeardAt >= c.electionTimeout {
+	s := c.raft.BasicStatus()
+	if s.RaftState == raft.StateFollower && s.Lead != raft.None && c.now-c.leaderHeardAt >= c.electionTimeout {
 		_ = c.raft.ForgetLeader()
 	}
 }
@@ -207,8 +217,11 @@
 // updateLeader notes and tells a change of leader or term.
 func (c *Core) updateLeader() {
 	s := c.raft.BasicStatus()
-	if leads := s.RaftState == raft.StateLeader; leads != c.leading || leads && s.GetTerm() != c.leaderTerm {
-		c.leading, c.confirmsAsked, c.proposedVoterChange = leads, 0, 0
+	leads := s.RaftState == raft.StateLeader
+	if leads != c.leading || leads && s.GetTerm() != c.leaderTerm {
+		c.leading = leads
+		c.confirmsAsked = 0
+		c.proposedVoterChange = false
 		clear(c.snapshotsInFlight)
 		c.electionTimerStart, c.nextHeartbeat = c.now, c.now
 		c.drawElectionDelay()
@@ -252,8 +265,13 @@
 		return
 	}
 	c.confirmsAsked++
-	c.pendingConfirms = append(c.pendingConfirms, pendingConfirm{seq: c.confirmsAsked, handle: handle, until: c.now + 2*c.electionTimeout})
-	c.raft.ReadIndex(binary.LittleEndian.AppendUint64(binary.LittleEndian.AppendUint64(nil, c.confirmsAsked), c.raft.BasicStatus().GetTerm()))
+	c.pendingConfirms = append(c.pendingConfirms, pendingConfirm{
+		seq: c.confirmsAsked, handle: handle, until: c.now + 2*c.electionTimeout,
+	})
+	// The context comes back as it is: which confirmation, and in which term it was asked for.
+	request := binary.LittleEndian.AppendUint64(nil, c.confirmsAsked)
+	request = binary.LittleEndian.AppendUint64(request, c.raft.BasicStatus().GetTerm())
+	c.raft.ReadIndex(request)
 }
 
 // denyConfirms denies the confirmations that have waited too long, or all.
@@ -271,14 +289,18 @@
 // new majority are needed. Asked again for the same it does nothing.
 func (c *Core) changeVoters(voters []Voter) {
 	if !c.leading || len(voters) == 0 || checkVoterNames(c.self, voters) != nil ||
-		len(c.voterConfig.GetVotersOutgoing()) > 0 || c.proposedVoterChange != 0 || c.appliedTerm != c.raft.BasicStatus().GetTerm() {
+		len(c.voterConfig.GetVotersOutgoing()) > 0 || c.proposedVoterChange ||
+		c.appliedTerm != c.raft.BasicStatus().GetTerm() {
 		return
 	}
 	voters = sortedByName(voters)
 	if slices.Equal(voters, c.Voters()) {
 		return
 	}
-	cc := &pb.ConfChangeV2{Transition: pb.ConfChangeTransitionJointImplicit.Enum(), Context: encodeCBOR(voters)}
+	cc := &pb.ConfChangeV2{
+		Transition: pb.ConfChangeTransitionJointImplicit.Enum(),
+		Context:    encodeCBOR(voters),
+	}
 	wanted := map[uint64]bool{}
 	change := func(kind pb.ConfChangeType, id uint64) {
 		cc.Changes = append(cc.Changes, &pb.ConfChangeSingle{Type: kind.Enum(), NodeId: new(id)})
@@ -298,6 +320,6 @@
 		}
 	}
 	if c.raft.ProposeConfChange(cc) == nil {
-		c.proposedVoterChange = 1
+		c.proposedVoterChange = true
 	}
 }
--- a/internal/fleet/consensus/ready.go
+++ b/internal/fleet/consensus/ready.go
@@ -14,7 +14,8 @@
 // about what can't be.
 func (c *Core) receive(ev Event) {
 	m := &pb.Message{}
-	if proto.Unmarshal(ev.Bytes, m) != nil || m.GetTo() != c.id || m.GetFrom() != VoterNumber(ev.From) || ev.From == c.self || !c.isValid(m) {
+	isMeant := proto.Unmarshal(ev.Bytes, m) == nil && m.GetTo() == c.id && m.GetFrom() == VoterNumber(ev.From) && ev.From != c.self
+	if !isMeant || !c.isValid(m) {
 		c.IgnoredMessages++
 		return
 	}
@@ -213,7 +214,7 @@
 	if len(cc.GetContext()) > 0 {
 		_ = cbor.Unmarshal(cc.GetContext(), &named)
 	}
-	c.proposedVoterChange = 0
+	c.proposedVoterChange = false
 	c.setVoterConfig(e.GetIndex(), c.raft.ApplyConfChange(cc), append(c.Voters(), named...))
 }
 
