--- a/internal/controller/discovery.go
+++ b/internal/controller/discovery.go
@@ -135,7 +135,7 @@
 	}
 	c.discovery.lastEvent, c.discovery.listed, c.discovery.completeEvent, c.discovery.skippedLines = number, true, whole, 0
 	c.counters.listEvents++
-	c.scheduler.ListBegins(c.now, whole)
+	c.scheduler.ListStarted(c.now, whole)
 	return true
 }
 
@@ -191,7 +191,7 @@
 		c.engineByAddress[e.address] = e
 	}
 	started := time.UnixMilli(startedMs).Sub(c.StartedAt)
-	c.scheduler.ListEngine(id, e.location, e.kind, cell, state, started, startedMs != 0)
+	c.scheduler.EngineListed(id, e.location, e.kind, cell, state, started, startedMs != 0)
 }
 
 // EventEnds ends an event of the feed: what a whole list leaves out is gone.
@@ -201,7 +201,7 @@
 			c.removeEngine(e)
 		}
 	}
-	c.scheduler.ListEnds()
+	c.scheduler.ListEnded()
 	if c.fairQueue != nil {
 		c.fairQueue.updateCores()
 	}
--- a/internal/controller/fair_queue.go
+++ b/internal/controller/fair_queue.go
@@ -74,7 +74,7 @@
 // enter takes a query in, or defers it at once if its wait would be too long.
 func (f *fairQueue) enqueue(q *query, from From, tables, key int64) {
 	if f.isDraining() { // which turns it away
-		f.scheduler.Take(f.now, q.id, q.group.index, q.customer, q.deadline-f.now, tables, key, q.estimatedWork, q.estimatedMemoryMB)
+		f.scheduler.QueryArrived(f.now, q.id, q.group.index, q.customer, q.deadline-f.now, tables, key, q.estimatedWork, q.estimatedMemoryMB)
 		return
 	}
 	w := &fairqueue.Waiter{Of: q, Lane: q.group.index, Key: key, Chain: tables, Until: q.deadline,
--- a/internal/controller/query.go
+++ b/internal/controller/query.go
@@ -179,7 +179,7 @@
 		c.servingLease.residency.forwardToScheduler(q)
 		return
 	}
-	c.scheduler.Take(c.now, q.id, q.group.index, q.customer, q.deadline-c.now, q.tableGroup, q.keyNumber, q.estimatedWork, q.estimatedMemoryMB)
+	c.scheduler.QueryArrived(c.now, q.id, q.group.index, q.customer, q.deadline-c.now, q.tableGroup, q.keyNumber, q.estimatedWork, q.estimatedMemoryMB)
 }
 
 // told is a figure that a client tells; one that can't be meant is taken as not told.
