--- a/internal/controller/attempt.go
+++ b/internal/controller/attempt.go
@@ -151,7 +151,7 @@
 	s.runSoon(func() {
 		s.reported = true
 		s.engine.unreportedAttempts--
-		s.scheduler.Ended(s.now, s.query.id, s.number, outcome, took, s.query.answered, s.work, s.memoryMB, nil)
+		s.scheduler.AttemptEnded(s.now, s.query.id, s.number, outcome, took, s.query.answered, s.work, s.memoryMB, nil)
 		s.forgetQuery(s.query)
 	})
 }
--- a/internal/controller/shutdown.go
+++ b/internal/controller/shutdown.go
@@ -62,7 +62,7 @@
 }
 
 func (c *Controller) rejectNewQueries() {
-	c.scheduler.Closing(c.now)
+	c.scheduler.DrainStarted(c.now)
 	if c.fairQueue != nil {
 		c.fairQueue.deferAll()
 	}
