--- /dev/null
+++ b/internal/controller/client_limits.go
@@ -0,0 +1,71 @@
+package controller
+
+import (
+	"cmp"
+	"net/netip"
+	"time"
+
+	"github.com/gaissmai/bart"
+)
+
+// The default limits of a client's connection.
+const (
+	maxOpenQueries      = 32 // at a time, by the protocol
+	maxMessagesPerSweep = 4 * maxOpenQueries
+	clientIdleTimeout   = 6 * time.Second // clients close a connection after 4 s idle
+	messageTimeout      = 2 * time.Second // for a message to come whole
+)
+
+// ClientLimits are what is expected of the connections from some addresses. A limit of 0 is the
+// default one.
+type ClientLimits struct {
+	Prefixes []netip.Prefix
+	// OpenQueries is how many queries may be open on one connection. Default: 32.
+	OpenQueries int
+	// MessagesPerSweep is how many messages one connection may send in a quarter of a second.
+	// Default: 128.
+	MessagesPerSweep int
+	// IdleTimeout is how long a connection stays open with no query open on it. Default: 6 s.
+	IdleTimeout time.Duration
+	// MessageTimeout is how long a message may take to come whole, from its first byte, or from the
+	// connecting for the first message. Default: 2 s.
+	MessageTimeout time.Duration
+}
+
+func (l ClientLimits) withDefaults() ClientLimits {
+	l.OpenQueries = cmp.Or(l.OpenQueries, maxOpenQueries)
+	l.MessagesPerSweep = cmp.Or(l.MessagesPerSweep, maxMessagesPerSweep)
+	l.IdleTimeout = cmp.Or(l.IdleTimeout, clientIdleTimeout)
+	l.MessageTimeout = cmp.Or(l.MessageTimeout, messageTimeout)
+	return l
+}
+
+// clientLimitTable finds the limits for an address: those of the longest prefix that it is in.
+type clientLimitTable struct {
+	limits   []ClientLimits   // the first are the default ones
+	prefixes *bart.Table[int] // indices in limits; nil: there are only the default ones
+}
+
+func newClientLimitTable(sets []ClientLimits) clientLimitTable {
+	t := clientLimitTable{limits: []ClientLimits{ClientLimits{}.withDefaults()}}
+	for _, set := range sets {
+		if t.prefixes == nil {
+			t.prefixes = &bart.Table[int]{}
+		}
+		t.limits = append(t.limits, set.withDefaults())
+		for _, prefix := range set.Prefixes {
+			t.prefixes.Insert(prefix.Masked(), len(t.limits)-1)
+		}
+	}
+	return t
+}
+
+func (t *clientLimitTable) find(address netip.Addr) *ClientLimits {
+	if t.prefixes != nil && address.IsValid() {
+		i, ok := t.prefixes.Lookup(address.Unmap())
+		if ok {
+			return &t.limits[i]
+		}
+	}
+	return &t.limits[0]
+}
--- a/internal/controller/discovery.go
+++ b/internal/controller/discovery.go
@@ -7,159 +7,201 @@
 	"railrelay.dev/railrelay/internal/scheduler"
 )
 
-// feed follows the list of engines.
+// discoveryWatch follows the endpoint list: the discovery sends numbered events on a connection that
+// stays open. A connection that goes silent, skips a number or sends what can't be read is replaced by a
+// new one, which asks for all events after lastEvent.
 type discoveryWatch struct {
-	connection      *Connection
-	lastEvent       int64 // the event had last
-	listed          bool  // a list was had at all
-	heardAt         time.Duration
-	lastHeardAt     time.Duration // when it last said anything, on whatever connection
-	retryDelay      time.Duration // before the next try
-	completeEvent   bool          // the event at hand lists all there are
-	unreadableAfter int64         // the event after this one could not be read once, -1: none
-	skippedLines    int64         // lines passed over since the last event, on this connection
+	connection *Connection // nil: none is open or being dialled
+	retryDelay time.Duration
+
+	lastEvent int64 // the number of the last event applied
+	listed    bool  // an event was applied at all
+	// completeEvent: the event being read lists all engines, and any other is removed.
+	completeEvent bool
+
+	heardAt     time.Duration // on this connection; at first when it was dialled
+	lastHeardAt time.Duration // on whichever connection
+
+	unreadableAfter int64 // the event after this one could not be read once, -1: none was
+	skippedLines    int64 // unreadable lines passed over since the last event, on this connection
 }
 
 const (
-	discoveryHeartbeat      = 1 * time.Second                     // a number comes every so often, by the protocol
-	discoverySilentAfter    = discoveryHeartbeat + 5*networkDelay // one that was due has not come: what was told since is missing
-	discoveryDialTimeout    = 800 * time.Millisecond
-	minDiscoveryBackoff     = 50 * time.Millisecond
-	maxDiscoveryBackoff     = 800 * time.Millisecond
-	discoveryDeliveredAfter = 7 * time.Second // what the feed has to tell counts as told after this, whether it came or not
+	// discoveryHeartbeat is how often the discovery sends at least a number, by the protocol.
+	discoveryHeartbeat = time.Second
+	// discoverySilentAfter is when a heartbeat counts as missing: events since may be missing, too.
+	discoverySilentAfter = discoveryHeartbeat + 5*networkDelay
+	discoveryDialTimeout = 800 * time.Millisecond
+	minDiscoveryBackoff  = 50 * time.Millisecond
+	maxDiscoveryBackoff  = 800 * time.Millisecond
+	// discoveryDeliveredAfter is when an event counts as told to us, whether it came or not, by the
+	// protocol.
+	discoveryDeliveredAfter = 7 * time.Second
 )
 
-// feedHurry bounds a wait for the feed once the first of what was missed is about to count as told:
-// half of the time that a drained engine may still be sent to, so that a try and the wait before it
-// are over within that once the feed is back. Before that nobody counts on it, and calls are priced.
+// boundDiscoveryDelay bounds the wait for the discovery by most or, once the first event that may be
+// missing is about to count as told, by half of the time for which a drained engine may still be sent
+// queries: a dial and the backoff before it are then over within that time once the discovery is back.
 func (c *Controller) boundDiscoveryDelay(most time.Duration) time.Duration {
-	if grace := c.durationSetting("drain.grace"); grace > 0 && c.now-c.discovery.lastHeardAt > discoveryDeliveredAfter-maxDiscoveryBackoff-discoveryDialTimeout {
+	grace := c.durationSetting("drain.grace")
+	silence := c.now - c.discovery.lastHeardAt
+	if grace > 0 && silence > discoveryDeliveredAfter-maxDiscoveryBackoff-discoveryDialTimeout {
 		return max(2*minDiscoveryBackoff, min(most, grace/2))
 	}
 	return most
 }
 
-// follow connects to the feed and asks for what comes after what we have. A
-// connection that goes silent, breaks a line or skips a number is given up for
-// a new one.
+// connectDiscovery dials the discovery and asks for the events after the last one applied.
 func (c *Controller) connectDiscovery() {
-	f := &c.discovery
-	if c.DiscoveryAddress == "" || f.connection != nil { // a new address may have come while this try waited
+	d := &c.discovery
+	if c.DiscoveryAddress == "" || d.connection != nil { // another address may have come during the backoff
 		return
 	}
 	conn := &Connection{}
-	f.connection, f.heardAt, f.skippedLines = conn, c.now, 0
-	again := func() {
-		if f.connection == conn {
-			f.connection = nil
-			f.retryDelay = min(max(2*f.retryDelay, minDiscoveryBackoff), c.boundDiscoveryDelay(maxDiscoveryBackoff))
-			c.runAfter(f.retryDelay, c.connectDiscovery)
-		}
-	}
+	d.connection = conn
+	d.heardAt = c.now
+	d.skippedLines = 0
 	conn.onConnected = func() {
-		f.heardAt = c.now
-		c.write(conn, discovery.Since(nil, f.lastEvent))
-	}
-	conn.onDialFailed = func(bool) { again() }
-	conn.onClosed = again
-	conn.onBytes = func() {
-		for !conn.closed {
-			// its own bound, not a client's: one event names all engines there are
-			n, err := discovery.Read(conn.Received.Bytes(), c.maxBufferedBytes, c)
-			if err != nil {
-				if f.unreadableAfter == f.lastEvent && n > 0 { // it is no better: later ones are to be heard
-					f.skippedLines++
-					conn.Received.Drop(n)
-					continue
-				}
-				c.counters.discoveryFaults++
-				c.logMessage(true, "the feed can't be read: "+err.Error()+"; asked for once more, then passed over")
-				f.unreadableAfter = f.lastEvent
-				c.closeConnection(conn, false)
-				again()
-				return
-			}
-			if n == 0 {
-				return
-			}
-			f.heardAt, f.lastHeardAt, f.retryDelay = c.now, c.now, 0
+		d.heardAt = c.now
+		c.write(conn, discovery.Since(nil, d.lastEvent))
+	}
+	conn.onDialFailed = func(bool) { c.reconnectDiscovery(conn) }
+	conn.onClosed = func() { c.reconnectDiscovery(conn) }
+	conn.onBytes = func() { c.readDiscovery(conn) }
+	c.counters.discoveryDials++
+	c.emit(Effect{
+		Kind:       Dial,
+		Connection: conn,
+		Address:    c.DiscoveryAddress,
+		Timeout:    c.boundDiscoveryDelay(discoveryDialTimeout),
+	})
+	c.watchHeartbeat(conn)
+}
+
+// reconnectDiscovery replaces a connection after a backoff, unless that has been done.
+func (c *Controller) reconnectDiscovery(conn *Connection) {
+	d := &c.discovery
+	if d.connection != conn {
+		return
+	}
+	d.connection = nil
+	d.retryDelay = min(max(2*d.retryDelay, minDiscoveryBackoff), c.boundDiscoveryDelay(maxDiscoveryBackoff))
+	c.runAfter(d.retryDelay, c.connectDiscovery)
+}
+
+// readDiscovery reads the events that were received whole. An event that can't be read is asked for once
+// more on a new connection, and passed over if it is no better then.
+func (c *Controller) readDiscovery(conn *Connection) {
+	d := &c.discovery
+	for !conn.closed {
+		// one event may name all engines there are: it has a limit of its own, not a client's
+		n, err := discovery.Read(conn.Received.Bytes(), c.maxBufferedBytes, c)
+		if err != nil && d.unreadableAfter == d.lastEvent && n > 0 {
+			d.skippedLines++
 			conn.Received.Drop(n)
+			continue
+		}
+		if err != nil {
+			c.counters.discoveryFaults++
+			c.logMessage(true, "the feed can't be read: "+err.Error()+"; asked for once more, then passed over")
+			d.unreadableAfter = d.lastEvent
+			c.closeConnection(conn, false)
+			c.reconnectDiscovery(conn)
+			return
+		}
+		if n == 0 {
+			return
 		}
+		d.heardAt = c.now
+		d.lastHeardAt = c.now
+		d.retryDelay = 0
+		conn.Received.Drop(n)
 	}
-	c.counters.discoveryDials++
-	c.emit(Effect{Kind: Dial, Connection: conn, Address: c.DiscoveryAddress, Timeout: c.boundDiscoveryDelay(discoveryDialTimeout)})
-	c.watchHeartbeat(conn, again)
 }
 
-// refeed follows the list to another address at once, from the last event held:
-// the old one tells nothing more, and the numbers go on.
+// changeDiscoveryAddress follows the list at another address at once, from the last event applied.
 func (c *Controller) changeDiscoveryAddress(address string) {
-	f := &c.discovery
-	if c.counters.reloads++; address == c.DiscoveryAddress {
+	d := &c.discovery
+	c.counters.reloads++
+	if address == c.DiscoveryAddress {
 		return
 	}
-	if c.DiscoveryAddress, f.retryDelay = address, 0; f.connection != nil {
-		c.closeConnection(f.connection, false)
-		f.connection = nil
+	c.DiscoveryAddress = address
+	d.retryDelay = 0
+	if d.connection != nil {
+		c.closeConnection(d.connection, false)
+		d.connection = nil
 	}
 	c.connectDiscovery()
 }
 
-// watch gives a feed up once a number that was due has not come, though nothing was closed: what
-// it should have told since counts as told, and a drain among it must pass no grace.
-func (c *Controller) watchHeartbeat(conn *Connection, again func()) {
-	due := c.discovery.heardAt + discoverySilentAfter
+// watchHeartbeat replaces a connection once a heartbeat is missing, though nothing was closed: events
+// since may count as told, and a drain among them must be obeyed within its grace.
+func (c *Controller) watchHeartbeat(conn *Connection) {
+	d := &c.discovery
+	due := d.heardAt + discoverySilentAfter
 	c.runAt(due, func() {
 		switch {
-		case c.discovery.connection != conn:
-		case c.now-c.discovery.heardAt < discoverySilentAfter:
-			c.watchHeartbeat(conn, again)
-		case c.now > due+networkDelay: // we stood still ourselves: what came meanwhile is read first
-			c.discovery.heardAt = c.now + networkDelay - discoverySilentAfter
-			c.watchHeartbeat(conn, again)
+		case d.connection != conn:
+		case c.now-d.heardAt < discoverySilentAfter:
+			c.watchHeartbeat(conn)
+		case c.now > due+networkDelay:
+			// this process stood still: what came meanwhile is read first
+			d.heardAt = c.now + networkDelay - discoverySilentAfter
+			c.watchHeartbeat(conn)
 		default:
 			c.counters.discoveryFaults++
 			c.closeConnection(conn, false)
-			again()
+			c.reconnectDiscovery(conn)
 		}
 	})
 }
 
-func (c *Controller) Event(number int64, whole bool) bool {
+// Event begins an event. False: it is not applied, as it is known already or one before it is missing.
+func (c *Controller) Event(number int64, complete bool) bool {
+	d := &c.discovery
 	switch {
-	case number <= c.discovery.lastEvent:
+	case number <= d.lastEvent:
 		return false
-	case number > c.discovery.lastEvent+1+c.discovery.skippedLines && !whole:
+	case number > d.lastEvent+1+d.skippedLines && !complete:
 		c.reconnectAfterGap()
 		return false
 	}
-	c.discovery.lastEvent, c.discovery.listed, c.discovery.completeEvent, c.discovery.skippedLines = number, true, whole, 0
+	d.lastEvent = number
+	d.listed = true
+	d.completeEvent = complete
+	d.skippedLines = 0
 	c.counters.listEvents++
-	c.scheduler.ListBegins(c.now, whole)
+	c.scheduler.ListBegins(c.now, complete)
 	return true
 }
 
-// Last tells of events that should have come before it.
+// Last takes a heartbeat: the number of the last event that there is.
 func (c *Controller) Last(number int64) {
-	f := &c.discovery
+	d := &c.discovery
 	switch {
-	case number <= f.lastEvent:
-	case number <= f.lastEvent+f.skippedLines: // those passed over
-		f.skippedLines -= number - f.lastEvent
-		f.lastEvent = number
+	case number <= d.lastEvent:
+	case number <= d.lastEvent+d.skippedLines: // events that were passed over
+		d.skippedLines -= number - d.lastEvent
+		d.lastEvent = number
 	default:
 		c.reconnectAfterGap()
 	}
 }
 
+// reconnectAfterGap closes the connection, since an event is missing; the next asks for it.
 func (c *Controller) reconnectAfterGap() {
-	if l := c.discovery.connection; l != nil {
+	conn := c.discovery.connection
+	if conn != nil {
 		c.counters.discoveryFaults++
-		c.closeConnection(l, false)
+		c.closeConnection(conn, false)
 	}
 }
 
-func (c *Controller) Engine(id, address, location, kind string, cell int, state scheduler.EngineState, startedMs int64) {
+// Engine takes an engine as an event lists it. startedMs is the wall-clock time, in milliseconds of Unix
+// time, at which its process started, 0: not known.
+func (c *Controller) Engine(id, address, location, kind string, cell int, state scheduler.EngineState,
+	startedMs int64) {
 	e := c.engines[id]
 	if e == nil {
 		e = &engine{id: id}
@@ -175,29 +217,43 @@
 	if state != scheduler.EngineActive {
 		e.revokePermits()
 	}
-	e.state, e.kind, e.location = state, c.settingIndex("kinds", kind), c.settingIndex("locations", location)
+	e.state = state
+	e.kind = c.settingIndex("kinds", kind)
+	e.location = c.settingIndex("locations", location)
 	e.listedInEvent = c.discovery.lastEvent
-	switch x := c.engineByAddress[e.address]; {
-	case e.address == "" || x == e:
-	case x != nil && state == scheduler.EngineRemoved && x.state != scheduler.EngineRemoved:
-		c.vacateAddress(e)
-	default:
-		if x != nil {
-			if x.state == scheduler.EngineActive && state == scheduler.EngineActive {
-				c.logAbout(LogFields{Engine: x.id}, "has its address no more, "+e.id+" is listed there")
-			}
-			c.vacateAddress(x)
-		}
-		c.engineByAddress[e.address] = e
-	}
+	c.claimAddress(e)
 	started := time.UnixMilli(startedMs).Sub(c.StartedAt)
 	c.scheduler.ListEngine(id, e.location, e.kind, cell, state, started, startedMs != 0)
 }
 
-// EventEnds ends an event of the feed: what a whole list leaves out is gone.
+// claimAddress gives an engine the address that it is listed at. It is taken from another engine that had
+// it, unless this one is removed and the other is not.
+func (c *Controller) claimAddress(e *engine) {
+	if e.address == "" {
+		return
+	}
+	holder := c.engineByAddress[e.address]
+	if holder == e {
+		return
+	}
+	if holder != nil {
+		if e.state == scheduler.EngineRemoved && holder.state != scheduler.EngineRemoved {
+			c.vacateAddress(e)
+			return
+		}
+		if holder.state == scheduler.EngineActive && e.state == scheduler.EngineActive {
+			c.logAbout(LogFields{Engine: holder.id}, "has its address no more, "+e.id+" is listed there")
+		}
+		c.vacateAddress(holder)
+	}
+	c.engineByAddress[e.address] = e
+}
+
+// EventEnds ends an event. Engines that a complete one leaves out are removed.
 func (c *Controller) EventEnds() {
 	for _, e := range c.engines {
-		if c.discovery.completeEvent && e.state != scheduler.EngineRemoved && e.listedInEvent != c.discovery.lastEvent {
+		isListed := e.listedInEvent == c.discovery.lastEvent
+		if c.discovery.completeEvent && e.state != scheduler.EngineRemoved && !isListed {
 			c.removeEngine(e)
 		}
 	}
@@ -210,16 +266,19 @@
 	}
 }
 
+// removeEngine closes its idle connections; attempts that run there are polled on.
 func (c *Controller) removeEngine(e *engine) {
 	e.revokePermits()
-	e.state, e.removedAt = scheduler.EngineRemoved, c.now
-	for _, l := range e.connections {
-		if l.connected && l.call == nil {
-			c.cutConnection(l)
+	e.state = scheduler.EngineRemoved
+	e.removedAt = c.now
+	for _, ec := range e.connections {
+		if ec.connected && ec.call == nil {
+			c.cutConnection(ec)
 		}
 	}
 }
 
+// Odd takes what of an event is not understood.
 func (c *Controller) Odd(why string) {
 	c.counters.unexpected++
 	c.logMessage(true, "passed over in the list: "+why)
--- a/internal/controller/fair_queue.go
+++ b/internal/controller/fair_queue.go
@@ -72,7 +72,8 @@
 }
 
 // enter takes a query in, or defers it at once if its wait would be too long.
-func (f *fairQueue) enqueue(q *query, from From, tables, key int64) {
+func (f *fairQueue) enqueue(q *query, from From) {
+	tables, key := q.tableGroup, q.keyNumber
 	if f.isDraining() { // which turns it away
 		f.scheduler.Take(f.now, q.id, q.group.index, q.customer, q.deadline-f.now, tables, key, q.estimatedWork, q.estimatedMemoryMB)
 		return
@@ -86,7 +87,6 @@
 			w.Self = w.Again // what repeats the repeat names the first
 		}
 	}
-	q.tableGroup, q.keyNumber = tables, key
 	v := f.queue.Enter(f.now, w)
 	if !v.Taken {
 		f.logAbout(LogFields{Query: q.id, Group: q.group.name, Tenant: f.queue.Team(w.Team)},
--- a/internal/controller/fleet.go
+++ b/internal/controller/fleet.go
@@ -351,7 +351,7 @@
 			w.answerKilled(q, "no such patience")
 			continue
 		}
-		w.dispatch(q, h.from, q.keyNumber)
+		w.dispatch(q, h.from)
 	}
 }
 
