--- a/internal/controller/attempt_calls.go
+++ b/internal/controller/attempt_calls.go
@@ -120,7 +120,7 @@
 	if s.loadReportsInResponses {
 		loadReport := enginehttp.Load(field)
 		if loadReport != nil {
-			s.runSoon(func() { s.scheduler.Reported(s.now, s.engine.id, loadReport) })
+			s.runSoon(func() { s.scheduler.LoadReported(s.now, s.engine.id, loadReport) })
 		}
 	}
 	enginehttp.Hear(page, status, field, body, &responseHandler{s})
@@ -179,7 +179,7 @@
 	s.counters.progressNotes++
 	s.runSoon(func() {
 		if !s.ended {
-			s.scheduler.Note(s.now, s.query.id, s.number, kind, value)
+			s.scheduler.NoteReceived(s.now, s.query.id, s.number, kind, value)
 		}
 	})
 }
--- a/internal/controller/discovery.go
+++ b/internal/controller/discovery.go
@@ -172,7 +172,7 @@
 	d.completeEvent = complete
 	d.skippedLines = 0
 	c.counters.listEvents++
-	c.scheduler.ListBegins(c.now, complete)
+	c.scheduler.ListStarted(c.now, complete)
 	return true
 }
 
@@ -223,7 +223,7 @@
 	e.listedInEvent = c.discovery.lastEvent
 	c.claimAddress(e)
 	started := time.UnixMilli(startedMs).Sub(c.StartedAt)
-	c.scheduler.ListEngine(id, e.location, e.kind, cell, state, started, startedMs != 0)
+	c.scheduler.EngineListed(id, e.location, e.kind, cell, state, started, startedMs != 0)
 }
 
 // claimAddress gives an engine the address that it is listed at. It is taken from another engine that had
@@ -257,7 +257,7 @@
 			c.removeEngine(e)
 		}
 	}
-	c.scheduler.ListEnds()
+	c.scheduler.ListEnded()
 	if c.fairQueue != nil {
 		c.fairQueue.updateCores()
 	}
--- a/internal/controller/fair_queue.go
+++ b/internal/controller/fair_queue.go
@@ -75,7 +75,7 @@
 func (f *fairQueue) enqueue(q *query, from From) {
 	tables, key := q.tableGroup, q.keyNumber
 	if f.isDraining() { // which turns it away
-		f.scheduler.Take(f.now, q.id, q.group.index, q.customer, q.deadline-f.now, tables, key, q.estimatedWork, q.estimatedMemoryMB)
+		f.scheduler.QueryArrived(f.now, q.id, q.group.index, q.customer, q.deadline-f.now, tables, key, q.estimatedWork, q.estimatedMemoryMB)
 		return
 	}
 	w := &fairqueue.Waiter{Of: q, Lane: q.group.index, Key: key, Chain: tables, Until: q.deadline,
--- a/internal/controller/query.go
+++ b/internal/controller/query.go
@@ -126,7 +126,7 @@
 		c.servingLease.residency.forwardToScheduler(q)
 		return
 	}
-	c.scheduler.Take(c.now, q.id, q.group.index, q.customer, q.deadline-c.now,
+	c.scheduler.QueryArrived(c.now, q.id, q.group.index, q.customer, q.deadline-c.now,
 		q.tableGroup, q.keyNumber, q.estimatedWork, q.estimatedMemoryMB)
 }
 
--- a/internal/controller/scheduler_actions.go
+++ b/internal/controller/scheduler_actions.go
@@ -57,7 +57,7 @@
 func (c *Controller) Subscribe() {}
 
 func (c *Controller) Wake(in time.Duration, tag int) {
-	c.runAfter(in, func() { c.scheduler.Woken(c.now, tag) })
+	c.runAfter(in, func() { c.scheduler.TimerFired(c.now, tag) })
 }
 
 func (c *Controller) Log(line string) { c.logMessage(false, line) }
