--- a/internal/controller/counters.go
+++ b/internal/controller/counters.go
@@ -9,53 +9,72 @@
 	"railrelay.dev/railrelay/internal/invariant"
 )
 
-// tally counts what comes in, goes out and is answered.
+// counters count what happened since the start. The texts under which they are logged are listed in
+// docs/oncall.md.
 type counters struct {
-	connections, disconnected, malformed, aliveCalls     int
-	idleClosed                                           int
-	received, finished, deferred, killed, abandoned      int
-	attempts, healthChecks, dials, queuedCalls           int
-	barredWrites                                         int // first bytes that were let go and not written
-	engineResponses, progressNotes, unexpected, repolls  int
-	listEvents, discoveryDials, discoveryFaults, reloads int
-	attemptEnds                                          [8]int // by outcome
-	firstByteDelays                                      []time.Duration
+	// clients
+	connections  int // accepted
+	disconnected int // closed by us for a limit that was passed
+	idleClosed   int
+	malformed    int // messages and calls that can't be used
+	aliveCalls   int
+
+	// queries
+	received  int
+	finished  int
+	deferred  int
+	killed    int
+	abandoned int // cancelled by their clients, or their clients went
+
+	// engines
+	attempts        int
+	attemptEnds     [outcomeCount]int // by outcome
+	healthChecks    int
+	dials           int
+	queuedCalls     int // that had to wait for a connection
+	barredWrites    int // whose guards failed right before the first byte
+	engineResponses int
+	progressNotes   int
+	unexpected      int // responses that can't be used, and what of the list is not understood
+	repolls         int // calls that came to nothing and were repeated
+	firstByteDelays []time.Duration
+
+	// discovery
+	listEvents      int
+	discoveryDials  int
+	discoveryFaults int
+	reloads         int
 }
 
-var outcomeNames = [8]string{"finished", "errored", "full", "timed-out", "unreachable", "reset", "cancelled", "never-sent"}
+const outcomeCount = 8
+
+// outcomeNames are the scheduler's outcomes as the log names them.
+var outcomeNames = [outcomeCount]string{
+	"finished", "errored", "full", "timed-out", "unreachable", "reset", "cancelled", "never-sent",
+}
 
-// firstByte notes the time from a query's arrival to the first byte of its
-// first submission, of the last thousand.
-func (t *counters) recordFirstByte(delay time.Duration) {
-	if len(t.firstByteDelays) >= 1000 {
-		t.firstByteDelays = t.firstByteDelays[500:]
+// maxFirstByteDelays bounds the delays that the median is taken of: at least half as many, the latest.
+const maxFirstByteDelays = 1000
+
+// recordFirstByte notes the time from a query's arrival to the first byte of its first attempt.
+func (n *counters) recordFirstByte(delay time.Duration) {
+	if len(n.firstByteDelays) >= maxFirstByteDelays {
+		n.firstByteDelays = n.firstByteDelays[maxFirstByteDelays/2:]
 	}
-	t.firstByteDelays = append(t.firstByteDelays, delay)
+	n.firstByteDelays = append(n.firstByteDelays, delay)
 }
 
-func (t *counters) text(c *Controller) string {
+// text is the line of the log.
+func (n *counters) text(c *Controller) string {
 	var b strings.Builder
-	fmt.Fprintf(&b, "taken %d finished %d deferred %d killed %d left %d open %d", t.received, t.finished, t.deferred,
-		t.killed, t.abandoned, len(c.queries))
-	fmt.Fprintf(&b, "; clients %d of %d turned off %d idle %d malformed %d", len(c.clients), t.connections, t.disconnected,
-		t.idleClosed, t.malformed)
-	fmt.Fprintf(&b, "; submissions %d", t.attempts)
-	for i, n := range t.attemptEnds {
-		if n > 0 {
-			fmt.Fprintf(&b, " %s %d", outcomeNames[i], n)
-		}
-	}
-	fmt.Fprintf(&b, "; engine answers %d notes %d odd %d asked again %d probes %d dials %d links %d of %d waited %d", t.engineResponses, t.progressNotes,
-		t.unexpected, t.repolls, t.healthChecks, t.dials, c.pool.open, c.pool.limit, t.queuedCalls)
-	if t.barredWrites > 0 {
-		fmt.Fprintf(&b, " barred %d", t.barredWrites)
-	}
-	fmt.Fprintf(&b, "; list event %d connections %d faults %d reloads %d", c.discovery.lastEvent, t.discoveryDials,
-		t.discoveryFaults, t.reloads)
-	if len(t.firstByteDelays) > 0 {
-		d := slices.Sorted(slices.Values(t.firstByteDelays))
-		fmt.Fprintf(&b, "; to first byte ms median %.1f worst tenth %.1f", ms(d[len(d)/2]), ms(d[len(d)*9/10]))
-	}
+	fmt.Fprintf(&b, "taken %d finished %d deferred %d killed %d left %d open %d",
+		n.received, n.finished, n.deferred, n.killed, n.abandoned, len(c.queries))
+	fmt.Fprintf(&b, "; clients %d of %d turned off %d idle %d malformed %d",
+		len(c.clients), n.connections, n.disconnected, n.idleClosed, n.malformed)
+	n.addEngines(&b, c)
+	fmt.Fprintf(&b, "; list event %d connections %d faults %d reloads %d",
+		c.discovery.lastEvent, n.discoveryDials, n.discoveryFaults, n.reloads)
+	n.addFirstByteDelays(&b)
 	if c.fairQueue != nil {
 		b.WriteString(c.fairQueue.countersText())
 	}
@@ -75,4 +94,28 @@
 	return b.String()
 }
 
-func ms(t time.Duration) float64 { return float64(t) / float64(time.Millisecond) }
+func (n *counters) addEngines(b *strings.Builder, c *Controller) {
+	fmt.Fprintf(b, "; submissions %d", n.attempts)
+	for outcome, count := range n.attemptEnds {
+		if count > 0 {
+			fmt.Fprintf(b, " %s %d", outcomeNames[outcome], count)
+		}
+	}
+	fmt.Fprintf(b, "; engine answers %d notes %d odd %d asked again %d probes %d dials %d links %d of %d waited %d",
+		n.engineResponses, n.progressNotes, n.unexpected, n.repolls, n.healthChecks, n.dials,
+		c.pool.open, c.pool.limit, n.queuedCalls)
+	if n.barredWrites > 0 {
+		fmt.Fprintf(b, " barred %d", n.barredWrites)
+	}
+}
+
+func (n *counters) addFirstByteDelays(b *strings.Builder) {
+	if len(n.firstByteDelays) == 0 {
+		return
+	}
+	delays := slices.Sorted(slices.Values(n.firstByteDelays))
+	fmt.Fprintf(b, "; to first byte ms median %.1f worst tenth %.1f",
+		milliseconds(delays[len(delays)/2]), milliseconds(delays[len(delays)*9/10]))
+}
+
+func milliseconds(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
--- a/internal/controller/fair_queue.go
+++ b/internal/controller/fair_queue.go
@@ -11,87 +11,99 @@
 	"railrelay.dev/railrelay/internal/scheduler"
 )
 
-// fairness stands between the fronts and the decisions where the set-up has
-// teams: a query goes to the decisions when its turn comes. Without teams it is
-// nil, and costs nothing.
+// fairQueue holds queries until it is their tenant's turn, and then submits them to the scheduler. It
+// exists where the set-up has tenants; else it is nil and costs nothing.
 type fairQueue struct {
 	*Controller
 	queue         *fairqueue.Core
 	fieldNames    FieldNames
-	maxRetryAfter time.Duration    // the longest that clients follow, 0: none is named
-	tenants       *fairqueue.Shape // last followed
+	maxRetryAfter time.Duration    // the longest that clients follow, 0: none is named to them
+	tenants       *fairqueue.Shape // as last configured
 }
 
-func newFairQueue(c *Controller, shape *fairqueue.Shape, words FieldNames) *fairQueue {
-	f := &fairQueue{Controller: c, fieldNames: words, tenants: shape}
-	if c.Settings["may.name-return"] == "true" {
+func newFairQueue(c *Controller, tenants *fairqueue.Shape, names FieldNames) *fairQueue {
+	f := &fairQueue{Controller: c, fieldNames: names, tenants: tenants}
+	if c.Settings["may.name-return"] == settingTrue {
 		f.maxRetryAfter = c.durationSetting("return.most")
 	}
-	s := *shape
-	s.Lanes = f.lanes()
-	f.queue = fairqueue.New(s)
+	shape := *tenants
+	shape.Lanes = f.lanes()
+	f.queue = fairqueue.New(shape)
 	f.updateCores()
 	f.sweep()
 	return f
 }
 
-// lanes are the resource groups as fairness needs to know them.
+// reload takes over other tenants, and the groups' present limits.
+func (f *fairQueue) reload(tenants *fairqueue.Shape) {
+	f.tenants = tenants
+	shape := *tenants
+	shape.Lanes = f.lanes()
+	f.queue.Reload(f.now, shape)
+	f.logMessage(true, fmt.Sprintf("teams were read again, %d queries wait", f.queue.Waiting()))
+}
+
+// lanes are the resource groups as the fair queue needs to know them.
 func (f *fairQueue) lanes() []fairqueue.Lane {
-	l := make([]fairqueue.Lane, len(f.groups))
+	lanes := make([]fairqueue.Lane, len(f.groups))
 	for _, g := range f.groups {
-		l[g.index] = fairqueue.Lane{Name: g.name, Threads: g.threads, Value: g.priorityWeight, Ordered: g.inOrder, Chained: g.isLoad,
-			Usual: time.Duration(float64(g.latencyObjective) / 2 * g.threads)}
+		lanes[g.index] = fairqueue.Lane{
+			Name:    g.name,
+			Threads: g.threads,
+			Value:   g.priorityWeight,
+			Ordered: g.inOrder,
+			Chained: g.isLoad,
+			Usual:   time.Duration(float64(g.latencyObjective) / 2 * g.threads),
+		}
 	}
-	return l
+	return lanes
 }
 
-// cores tells what the engines of the list can do.
+// updateCores tells the queue how many cores the engines that take queries have.
 func (f *fairQueue) updateCores() {
-	n := 0.0
+	cores := 0.0
 	for _, e := range f.engines {
 		if e.state == scheduler.EngineActive {
-			n += max(1, parseNumber(listItem(f.Settings["kind.cores"], e.kind)))
+			cores += max(1, parseNumber(listItem(f.Settings["kind.cores"], e.kind)))
 		}
 	}
-	f.queue.Cores(n)
+	f.queue.Cores(cores)
 }
 
+// sweep lowers and raises priorities by the tenants' use, and notifies of waits.
 func (f *fairQueue) sweep() {
 	f.runAfter(fairqueue.SweepEvery, f.sweep)
-	f.queue.Sweep(f.now, func(w *fairqueue.Waiter, on bool) {
-		q := w.Of.(*query)
-		if on {
-			f.logAbout(LogFields{Query: q.id, Group: q.group.name, Tenant: f.queue.Team(w.Team)}, "makes way: its priority is the least for now")
-		}
-		for _, s := range q.attempts {
-			f.sendPriority(s)
-		}
-	}, func(w *fairqueue.Waiter, wait time.Duration) {
+	f.queue.Sweep(f.now, f.priorityChanged, func(w *fairqueue.Waiter, wait time.Duration) {
 		w.Of.(*query).owner.notifyWait(wait)
 	})
 }
 
-// enter takes a query in, or defers it at once if its wait would be too long.
+func (f *fairQueue) priorityChanged(w *fairqueue.Waiter, lowered bool) {
+	q := w.Of.(*query)
+	if lowered {
+		f.logAbout(f.waiterFields(q, w), "makes way: its priority is the least for now")
+	}
+	for _, s := range q.attempts {
+		f.sendPriority(s)
+	}
+}
+
+func (f *fairQueue) waiterFields(q *query, w *fairqueue.Waiter) LogFields {
+	return LogFields{Query: q.id, Group: q.group.name, Tenant: f.queue.Team(w.Team)}
+}
+
+// enqueue takes a query in, or defers it at once if its wait would be too long.
 func (f *fairQueue) enqueue(q *query, from From) {
-	tables, key := q.tableGroup, q.keyNumber
-	if f.isDraining() { // which turns it away
-		f.scheduler.QueryArrived(f.now, q.id, q.group.index, q.customer, q.deadline-f.now, tables, key, q.estimatedWork, q.estimatedMemoryMB)
+	if f.isDraining() { // the scheduler rejects it
+		f.scheduler.QueryArrived(f.now, q.id, q.group.index, q.customer, q.deadline-f.now,
+			q.tableGroup, q.keyNumber, q.estimatedWork, q.estimatedMemoryMB)
 		return
 	}
-	w := &fairqueue.Waiter{Of: q, Lane: q.group.index, Key: key, Chain: tables, Until: q.deadline,
-		Team: f.queue.Whose(from.Address, from.Fields.Get(f.fieldNames.Tenant)), Ask: len(from.Fields.Get(f.fieldNames.NotifyWait)) > 0}
-	if f.fieldNames.RepeatOf != "" {
-		w.Self = traceHash(q.id)
-		if first := from.Fields.Get(f.fieldNames.RepeatOf); len(first) > 0 {
-			w.Again = traceHash(string(first))
-			w.Self = w.Again // what repeats the repeat names the first
-		}
-	}
-	v := f.queue.Enter(f.now, w)
-	if !v.Taken {
-		f.logAbout(LogFields{Query: q.id, Group: q.group.name, Tenant: f.queue.Team(w.Team)},
-			"deferred: "+v.Why.String()+", "+v.Estimate.String())
-		f.answerDeferred(q, f.retryAfter(v.Estimate))
+	w := f.newWaiter(q, from)
+	verdict := f.queue.Enter(f.now, w)
+	if !verdict.Taken {
+		f.logAbout(f.waiterFields(q, w), "deferred: "+verdict.Why.String()+", "+verdict.Estimate.String())
+		f.answerDeferred(q, f.retryAfter(verdict.Estimate))
 		return
 	}
 	q.waiter = w
@@ -102,25 +114,50 @@
 	})
 	for f.dispatchNext() {
 	}
-	if wait := f.queue.First(f.now, w); w.Ask && wait > 0 && !q.answered {
+	wait := f.queue.First(f.now, w)
+	if w.Ask && wait > 0 && !q.answered {
 		q.owner.notifyWait(wait)
 	}
 }
 
-// name is a trace as the core knows it, never 0.
-func traceHash(trace string) uint64 { return xxhash.Sum64String(strings.ToLower(trace)) | 1 }
+func (f *fairQueue) newWaiter(q *query, from From) *fairqueue.Waiter {
+	w := &fairqueue.Waiter{
+		Of:    q,
+		Lane:  q.group.index,
+		Key:   q.keyNumber,
+		Chain: q.tableGroup,
+		Until: q.deadline,
+		Team:  f.queue.Whose(from.Address, from.Fields.Get(f.fieldNames.Tenant)),
+		Ask:   len(from.Fields.Get(f.fieldNames.NotifyWait)) > 0,
+	}
+	if f.fieldNames.RepeatOf != "" {
+		w.Self = idHash(q.id)
+		first := from.Fields.Get(f.fieldNames.RepeatOf)
+		if len(first) > 0 {
+			w.Again = idHash(string(first))
+			w.Self = w.Again // a repeat of this repeat names the first query, too
+		}
+	}
+	return w
+}
+
+// idHash is a query's id as the fair queue knows it, never 0.
+func idHash(id string) uint64 { return xxhash.Sum64String(strings.ToLower(id)) | 1 }
 
-// pause is what may be named of an estimate.
+// retryAfter is what may be named to a client of an estimated wait.
 func (f *fairQueue) retryAfter(wait time.Duration) time.Duration { return min(wait, f.maxRetryAfter) }
 
-// next hands one query on to the decisions if they would take it.
+// dispatchNext submits one query to the scheduler, of the first group whose queue there takes more. False:
+// there is none.
 func (f *fairQueue) dispatchNext() bool {
 	for lane := range len(f.groups) {
 		full := f.scheduler.QueueBlocked(lane)
-		if f.queue.Full(f.now, lane, full); full {
+		f.queue.Full(f.now, lane, full)
+		if full {
 			continue
 		}
-		if w := f.queue.Next(f.now, lane); w != nil {
+		w := f.queue.Next(f.now, lane)
+		if w != nil {
 			q := w.Of.(*query)
 			f.timers.Drop(q.waitTimer)
 			f.submitToScheduler(q)
@@ -136,8 +173,7 @@
 	}
 }
 
-// answered: a query that waits leaves at once, one that was handed on only once
-// nothing of it runs.
+// queryClosed takes a query that waits out at once. One that was submitted leaves with queryOver.
 func (f *fairQueue) queryClosed(q *query, end fairqueue.End) {
 	if q.waiter == nil {
 		return
@@ -149,12 +185,12 @@
 	}
 }
 
-// over: nothing of it runs any more.
+// queryOver charges a query's work to its tenant, once none of its attempts runs.
 func (f *fairQueue) queryOver(q *query) {
 	if q.waiter == nil {
 		return
 	}
-	work, lost := time.Duration(0), time.Duration(0)
+	var work, lost time.Duration // lost: the time of attempts that told no work
 	for _, s := range q.attempts {
 		if s.work > 0 {
 			work += s.work
@@ -165,32 +201,26 @@
 	f.queue.Ended(f.now, q.waiter, q.fairEnd, work, lost)
 }
 
-// close defers all that wait: the program ends.
+// deferAll defers all queries that wait, as the controller shuts down.
 func (f *fairQueue) deferAll() {
-	f.queue.Each(func(w *fairqueue.Waiter) { f.answerDeferred(w.Of.(*query), f.retryAfter(f.queue.Back(f.now, w))) })
-}
-
-// reload follows another set of teams.
-func (f *fairQueue) reload(shape *fairqueue.Shape) {
-	f.tenants = shape
-	s := *shape
-	s.Lanes = f.lanes()
-	f.queue.Reload(f.now, s)
-	f.logMessage(true, fmt.Sprintf("teams were read again, %d queries wait", f.queue.Waiting()))
+	f.queue.Each(func(w *fairqueue.Waiter) {
+		f.answerDeferred(w.Of.(*query), f.retryAfter(f.queue.Back(f.now, w)))
+	})
 }
 
-// text tells the counters of all teams together, and of the teams that asked most.
+// countersText is the counters of all tenants together.
 func (f *fairQueue) countersText() string {
 	n := f.queue.Total
-	return fmt.Sprintf("; fairness waiting %d started %d deferred %d repeated %d lowered %d, wait s told %.3f had %.3f worst %.3f",
-		f.queue.Waiting(), n.Started, n.Deferred, n.Repeated, n.Lowered, meanSeconds(n.Told, n.Started), meanSeconds(n.Had, n.Started),
-		n.Worst.Seconds())
+	return fmt.Sprintf("; fairness waiting %d started %d deferred %d repeated %d lowered %d,"+
+		" wait s told %.3f had %.3f worst %.3f",
+		f.queue.Waiting(), n.Started, n.Deferred, n.Repeated, n.Lowered,
+		meanSeconds(n.Told, n.Started), meanSeconds(n.Had, n.Started), n.Worst.Seconds())
 }
 
 func meanSeconds(sum time.Duration, n int) float64 { return sum.Seconds() / float64(max(1, n)) }
 
-// Teams hands over what happened to each team's queries so far; nothing without
-// fairness. It is for reports, between two steps.
+// Teams calls each with what happened to the queries of every tenant so far; never without fair queueing.
+// It is for reports, and must not be called during a Step.
 func (c *Controller) Teams(each func(path string, waiting int, n fairqueue.Counts)) {
 	if c.fairQueue != nil {
 		c.fairQueue.queue.Teams(each)
--- a/internal/controller/scheduler_actions.go
+++ b/internal/controller/scheduler_actions.go
@@ -10,6 +10,14 @@
 	"railrelay.dev/railrelay/internal/settings"
 )
 
+// The methods of scheduler.Actions carry out what the scheduler decides. None of them calls the scheduler
+// back at once: what comes of them is reported by callbacks before the step ends, or by later events.
+var _ scheduler.Actions = (*Controller)(nil)
+
+// notDone is the answer to a query that may have run, or that no engine was found for in time.
+const notDone = "not done"
+
+// Submit starts an attempt of a query.
 func (c *Controller) Submit(id, engine string, within time.Duration) {
 	q, e := c.queries[id], c.engines[engine]
 	if !invariant.Hold(q != nil && e != nil, "submissions name what is known") {
@@ -18,54 +26,70 @@
 	c.startAttempt(q, e, within)
 }
 
-func (c *Controller) Cancel(id string, try int) {
-	if q := c.queries[id]; q != nil && try >= 0 && try < len(q.attempts) {
-		c.withdrawAttempt(q.attempts[try], scheduler.Cancelled)
+// Cancel withdraws an attempt of a query, by its number.
+func (c *Controller) Cancel(id string, number int) {
+	q := c.queries[id]
+	if q != nil && number >= 0 && number < len(q.attempts) {
+		c.withdrawAttempt(q.attempts[number], scheduler.Cancelled)
 	}
 }
 
+// Terms sets a query's priority and memory grant. Attempts that run are told the priority; the grant is
+// that of attempts to come.
 func (c *Controller) Terms(id string, priority, grantMB int) {
-	if q := c.queries[id]; q != nil {
-		q.priority, q.memoryGrantMB = priority, grantMB
-		for _, s := range q.attempts {
-			c.sendPriority(s)
-		}
+	q := c.queries[id]
+	if q == nil {
+		return
+	}
+	q.priority = priority
+	q.memoryGrantMB = grantMB
+	for _, s := range q.attempts {
+		c.sendPriority(s)
 	}
 }
 
-func (c *Controller) Defer(id string, comeBack time.Duration) {
-	if q := c.queries[id]; q != nil {
-		if c.fairQueue != nil && q.waiter != nil {
-			comeBack = max(comeBack, c.fairQueue.retryAfter(c.fairQueue.queue.Back(c.now, q.waiter)))
-		}
-		c.answerDeferred(q, comeBack)
+// Defer answers a query that has not run, and names the time after which it may come again, or the fair
+// queue's estimate if that is longer.
+func (c *Controller) Defer(id string, retryAfter time.Duration) {
+	q := c.queries[id]
+	if q == nil {
+		return
+	}
+	if c.fairQueue != nil && q.waiter != nil {
+		retryAfter = max(retryAfter, c.fairQueue.retryAfter(c.fairQueue.queue.Back(c.now, q.waiter)))
 	}
+	c.answerDeferred(q, retryAfter)
 }
 
+// Kill answers a query that can't be finished.
 func (c *Controller) Kill(id string) {
-	if q := c.queries[id]; q != nil {
-		c.answerKilled(q, "not done")
+	q := c.queries[id]
+	if q != nil {
+		c.answerKilled(q, notDone)
 	}
 }
 
+// Probe sends a health check to an engine.
 func (c *Controller) Probe(engine string) {
-	if e := c.engines[engine]; invariant.Hold(e != nil, "probes name what is known") {
+	e := c.engines[engine]
+	if invariant.Hold(e != nil, "probes name what is known") {
 		c.checkHealth(e)
 	}
 }
 
+// Subscribe does nothing: the controller follows the endpoint list by itself.
 func (c *Controller) Subscribe() {}
 
+// Wake calls the scheduler back after a time.
 func (c *Controller) Wake(in time.Duration, tag int) {
 	c.runAfter(in, func() { c.scheduler.TimerFired(c.now, tag) })
 }
 
+// Log logs a line at info level.
 func (c *Controller) Log(line string) { c.logMessage(false, line) }
 
-var _ scheduler.Actions = (*Controller)(nil)
-
-// place is where a name stands in one of the settings' lists, which is how the
-// decisions know it; -1 if it is in none.
-func (c *Controller) settingIndex(facts, name string) int {
-	return slices.Index(strings.Split(c.Settings[facts], ","), settings.Plain(name))
+// settingIndex is the index of a name in a setting that is a list, by which the scheduler knows it; -1 if
+// it is not in the list.
+func (c *Controller) settingIndex(setting, name string) int {
+	return slices.Index(strings.Split(c.Settings[setting], ","), settings.Plain(name))
 }
