--- a/internal/controller/key_order.go
+++ b/internal/controller/key_order.go
@@ -6,41 +6,49 @@
 	"time"
 )
 
-// keyring gives keys numbers: the decisions know keys by number, and unequal
-// ones must stay unequal. A number is used again once its key has rested.
+// keyTable gives keys numbers: the scheduler knows keys by number, and unequal keys must have
+// unequal numbers. A number is used again once its key has been idle for long enough.
 type keyTable struct {
 	byName map[string]*orderKey
-	free   []int64
+	free   []int64 // numbers to use again, the last first
 	next   int64
 }
 
+// orderKey is a key whose queries run in the order in which their client wrote them.
 type orderKey struct {
 	name        string
 	number      int64
-	openQueries int
-	idleSince   time.Duration
-	burstStart  time.Duration // since when its queries come as close together as clients write them
-	lastArrival time.Duration // when the last one came
-	beganBurst  bool          // that began the run
+	openQueries int           // not over yet
+	idleSince   time.Duration // when the last query was over
+
+	// A burst is queries that come as close together as clients write them.
+	burstStart  time.Duration // when the current one began
+	lastArrival time.Duration // when the last query came, 0: none has
+	beganBurst  bool          // the last query began a burst
 }
 
-// Clients write the queries of a key so far apart, by the protocol, and the first two further. So long
-// any of them may have waited, though none is known here: the one before may have gone to another controller.
+// Clients write the queries of a key keySpacing apart, by the protocol, and the second
+// firstKeySpacing after the first. For so long any of them may have waited at its client, though
+// no other is known here: the one before may have gone to another controller.
 const (
-	keySpacing          = 60 * time.Millisecond
-	firstKeySpacing     = 250 * time.Millisecond
-	keySpacingTolerance = 4 * time.Millisecond // from its turn, on the network and as we read
-	maxKeyGap           = 5 * time.Second      // what a client held back is seen over empty turns for so long at the most
-	// keyLate is what may pass after a client's time and harms no more than an answer that earns nothing.
+	keySpacing      = 60 * time.Millisecond
+	firstKeySpacing = 250 * time.Millisecond
+	// keySpacingTolerance is how far a query may come from its turn, delayed by the network and
+	// by when it is read.
+	keySpacingTolerance = 4 * time.Millisecond
+	// maxKeyGap is how long a burst is held to go on over turns that stay empty.
+	maxKeyGap = 5 * time.Second
+	// keyDeadlineSlack may pass after a client's deadline: it harms no more than an answer
+	// that comes too late.
 	keyDeadlineSlack = 300 * time.Millisecond
 )
 
-// comes notes a query of the key, and says since when it may have been waiting for its turn to be
-// written: what comes as close behind another as clients write may have waited as long as that goes on.
+// noteArrival notes a query of the key, and gives the time since when it may have been waiting at
+// its client for its turn: the start of the burst that it belongs to.
 //
-// What a client took back before it wrote it leaves its turn empty, so that a client with more to write
-// writes at whole numbers of turns; what comes just as it is asked has no reason to. Turns stay empty for
-// hardly longer than a client waits, its patience.
+// A query that its client took back before it was written leaves its turn empty, so that the next
+// comes at a whole number of turns; one that is written just as it is asked has no reason to.
+// Turns stay empty for hardly longer than a client waits, its patience.
 func (k *orderKey) noteArrival(now, patience time.Duration) (since time.Duration) {
 	apart := keySpacing
 	if k.beganBurst {
@@ -49,7 +57,8 @@
 	gap := now - k.lastArrival
 	off := gap % keySpacing
 	inTurn := min(off, keySpacing-off) <= keySpacingTolerance && gap < min(2*patience, maxKeyGap)
-	if k.beganBurst = k.lastArrival == 0 || gap > apart+networkDelay && !inTurn; k.beganBurst {
+	k.beganBurst = k.lastArrival == 0 || gap > apart+networkDelay && !inTurn
+	if k.beganBurst {
 		k.burstStart = now
 	}
 	k.lastArrival = now
@@ -58,36 +67,44 @@
 
 func newKeyTable() keyTable { return keyTable{byName: map[string]*orderKey{}} }
 
-func (k *keyTable) acquire(name string) *orderKey {
-	have := k.byName[name]
-	if have == nil {
-		have = &orderKey{name: name, number: k.next}
-		if last := len(k.free) - 1; last >= 0 {
-			have.number, k.free = k.free[last], k.free[:last]
-		} else {
-			k.next++
-		}
-		k.byName[name] = have
+// acquire gives the key of a name for one more query, to be released when that is over.
+func (t *keyTable) acquire(name string) *orderKey {
+	k := t.byName[name]
+	if k == nil {
+		k = &orderKey{name: name, number: t.newNumber()}
+		t.byName[name] = k
+	}
+	k.openQueries++
+	return k
+}
+
+func (t *keyTable) newNumber() int64 {
+	last := len(t.free) - 1
+	if last < 0 {
+		t.next++
+		return t.next - 1
 	}
-	have.openQueries++
-	return have
+	number := t.free[last]
+	t.free = t.free[:last]
+	return number
 }
 
-func (k *keyTable) release(have *orderKey, now time.Duration) {
-	have.openQueries--
-	have.idleSince = now
+func (t *keyTable) release(k *orderKey, now time.Duration) {
+	k.openQueries--
+	k.idleSince = now
 }
 
-func (k *keyTable) forgetIdle(before time.Duration) {
-	var gone []*orderKey
-	for _, have := range k.byName {
-		if have.openQueries == 0 && have.idleSince < before {
-			gone = append(gone, have)
+// forgetIdle forgets the keys that have been idle since before a time.
+func (t *keyTable) forgetIdle(before time.Duration) {
+	var idle []*orderKey
+	for _, k := range t.byName {
+		if k.openQueries == 0 && k.idleSince < before {
+			idle = append(idle, k)
 		}
 	}
-	slices.SortFunc(gone, func(a, b *orderKey) int { return cmp.Compare(a.number, b.number) })
-	for _, have := range gone {
-		delete(k.byName, have.name)
-		k.free = append(k.free, have.number)
+	slices.SortFunc(idle, func(a, b *orderKey) int { return cmp.Compare(a.number, b.number) })
+	for _, k := range idle {
+		delete(t.byName, k.name)
+		t.free = append(t.free, k.number)
 	}
 }
--- a/internal/controller/result_cache.go
+++ b/internal/controller/result_cache.go
@@ -10,43 +10,53 @@
 	"railrelay.dev/railrelay/internal/timerqueue"
 )
 
-// caching answers read-only queries from what others were answered. Without a part of
-// the set-up for it it is nil, and costs nothing.
+// resultCaching answers read-only queries from what others were answered. Where the set-up has no
+// result cache it is nil. All fields are the controller goroutine's.
 type resultCaching struct {
 	*Controller
 	core         *resultcache.Cache
-	cachedGroups map[string]bool // whose answers are kept
+	cachedGroups map[string]bool // whose answers are cached, by the group's name
 }
 
-// memo is what the cache knows of a query.
+// cacheLookup is what the cache knows of a query: one that reads has an ask, one that changes
+// tables has mutates set.
 type cacheLookup struct {
-	ask         *resultcache.Ask // it asks: read-only
+	ask         *resultcache.Ask
 	followTimer *timerqueue.Item // until when it may follow another
-	proceed     func()           // its way, if it has to lead
-	mutates     bool             // it changes tables, which nothing of is answered until it is over
-	tables      []int64
+	proceed     func()           // sends it on its way, if it has to lead
+
+	mutates bool    // nothing of its tables is answered from the cache until it is over
+	tables  []int64 // that it changes; none: they can't be told
 }
 
-func newResultCaching(c *Controller, l *resultcache.Limits) *resultCaching {
-	core, err := resultcache.New(*l, c.StartedAt.UnixMilli())
+const (
+	cacheSweepInterval = time.Second
+	// answerMargin is how long before its deadline a query that follows is deferred: the
+	// answer has to reach its client in time.
+	answerMargin = 10 * time.Millisecond
+)
+
+func newResultCaching(c *Controller, limits *resultcache.Limits) *resultCaching {
+	core, err := resultcache.New(*limits, c.StartedAt.UnixMilli())
 	if err != nil {
 		c.logMessage(true, err.Error())
 		return nil
 	}
 	a := &resultCaching{Controller: c, core: core, cachedGroups: map[string]bool{}}
 	for _, g := range c.groups {
-		a.cachedGroups[g.name] = !g.isLoad && !g.inOrder && g.readOnly && (len(l.Groups) == 0 || slices.Contains(l.Groups, g.name))
+		chosen := len(limits.Groups) == 0 || slices.Contains(limits.Groups, g.name)
+		a.cachedGroups[g.name] = chosen && !g.isLoad && !g.inOrder && g.readOnly
 	}
 	a.sweep()
 	return a
 }
 
 func (a *resultCaching) sweep() {
-	a.runAfter(time.Second, a.sweep)
+	a.runAfter(cacheSweepInterval, a.sweep)
 	a.core.Sweep(a.now)
 }
 
-// tablesOf are the groups of tables that a statement reads or writes, nil if any of it
+// allTables are the table groups that a statement reads or writes, nil if any of them
 // can't be told.
 func allTables(statement []byte) []int64 {
 	read, written, known := msgpackrpc.AllTables(statement)
@@ -61,7 +71,7 @@
 	return read
 }
 
-// changing notes a query that changes tables, as soon as it is taken.
+// noteMutation notes a query that changes tables, as soon as it is received.
 func (a *resultCaching) noteMutation(q *query) {
 	if q.group.isLoad || !q.group.readOnly {
 		_, written, known := msgpackrpc.AllTables(q.statement)
@@ -73,15 +83,22 @@
 	}
 }
 
-// enters is asked before a query goes its way, which goes is for. False: it doesn't
-// need to, for now.
-func (a *resultCaching) lookup(q *query, from From, goes func(From)) bool {
-	if !a.cachedGroups[q.group.name] || q.cacheState != nil || q.spooled != nil || a.isDraining() || a.invalidation.servingBarred() || !a.mayRetain(q) {
+// lookup answers a query from the cache, or has it follow another that asks the same. It reports
+// whether the query has to go its way, which proceed would send it on later.
+func (a *resultCaching) lookup(q *query, from From, proceed func(From)) bool {
+	if !a.mayLookUp(q) {
 		return true
 	}
-	m := &cacheLookup{ask: &resultcache.Ask{Team: a.dataOwner(from), Group: q.group.index, Statement: q.statement, Tables: allTables(q.statement),
-		Index: a.invalidation.currentIndex(), Until: q.deadline - answerMargin, Of: q}}
-	verdict, pages := a.core.Ask(a.now, m.ask)
+	l := &cacheLookup{ask: &resultcache.Ask{
+		Team:      a.dataOwner(from),
+		Group:     q.group.index,
+		Statement: q.statement,
+		Tables:    allTables(q.statement),
+		Index:     a.invalidation.currentIndex(),
+		Until:     q.deadline - answerMargin,
+		Of:        q,
+	}}
+	verdict, pages := a.core.Ask(a.now, l.ask)
 	switch verdict {
 	case resultcache.Hit:
 		a.invalidation.markRetained(func() { a.answerFinished(q, pages) })
@@ -89,33 +106,35 @@
 		return false
 	case resultcache.Follow:
 		from.Fields = from.Fields.Clone() // the call lies in its connection's buffer
-		q.cacheState = m
-		m.proceed = func() { goes(from) }
-		m.followTimer = a.timers.Add(max(a.now, m.ask.Until), func() { a.answerDeferred(q, 0) })
+		q.cacheState = l
+		l.proceed = func() { proceed(from) }
+		l.followTimer = a.timers.Add(max(a.now, l.ask.Until), func() { a.answerDeferred(q, 0) })
 		return false
 	case resultcache.Lead:
-		q.cacheState = m
+		q.cacheState = l
 	}
 	return true
 }
 
-// answerBefore is before the queue timeout of one that follows: that it is deferred
-// has to reach its client in time.
-const answerMargin = 10 * time.Millisecond
+// mayLookUp reports whether a query may be answered from the cache, or its answer cached.
+func (a *resultCaching) mayLookUp(q *query) bool {
+	return a.cachedGroups[q.group.name] && q.cacheState == nil && q.spooled == nil &&
+		!a.isDraining() && !a.invalidation.servingBarred() && a.mayRetain(q)
+}
 
-// done: a query is about to be answered by what its engine told. It names who is
-// answered by it, too.
-func (a *resultCaching) takeFollowers(q *query, pages [][]byte) (others []*query) {
+// takeFollowers is called when a query is about to be answered by its engine's result. It gives
+// the queries that followed it and are answered by the same.
+func (a *resultCaching) takeFollowers(q *query, pages [][]byte) (followers []*query) {
 	if q.cacheState == nil || q.cacheState.ask == nil {
 		return nil
 	}
 	for _, o := range a.core.Finished(a.now, q.cacheState.ask, pages) {
-		others = append(others, o.Of.(*query))
+		followers = append(followers, o.Of.(*query))
 	}
-	return others
+	return followers
 }
 
-// answered: no answer is owed any more, whether it led, followed or neither.
+// queryAnswered notes that a query is owed no answer any more, whether it led, followed or neither.
 func (a *resultCaching) queryAnswered(q *query) {
 	if q.cacheState == nil || q.cacheState.ask == nil {
 		return
@@ -124,14 +143,14 @@
 	a.promote(a.core.Left(a.now, q.cacheState.ask))
 }
 
-// over: nothing of a query is out any more.
+// queryOver notes that nothing of a query is in flight any more.
 func (a *resultCaching) queryOver(q *query) {
 	if q.cacheState != nil && q.cacheState.mutates {
 		a.core.Loaded(a.now, q.cacheState.tables)
 	}
 }
 
-// leads has one that followed go its way.
+// promote sends a query that followed another on its own way; nil: none.
 func (a *resultCaching) promote(next *resultcache.Ask) {
 	if next == nil {
 		return
@@ -145,9 +164,9 @@
 	})
 }
 
-// hand answers those who followed with what another was answered.
-func (a *resultCaching) answerFollowers(others []*query, pages [][]byte) {
-	for _, o := range others {
+// answerFollowers answers those who followed with what the leader was answered.
+func (a *resultCaching) answerFollowers(followers []*query, pages [][]byte) {
+	for _, o := range followers {
 		if a.invalidation.servingBarred() {
 			a.answerDeferred(o, a.servingLease.retryAfter())
 			continue
@@ -160,8 +179,7 @@
 	}
 }
 
-// AnswerCache is what the cache holds and counts, nil without one. It is for reports,
-// between two steps.
+// AnswerCache is the result cache, nil without one. It is for reports, between two steps.
 func (c *Controller) AnswerCache() *resultcache.Cache {
 	if c.caching == nil {
 		return nil
--- a/internal/controller/write_permit.go
+++ b/internal/controller/write_permit.go
@@ -5,13 +5,14 @@
 	"time"
 )
 
-// WritePermit is what lets the first byte of a submission out. What was decided may have lost its
-// reason by the time it is written: its client left, its engine drains, its time or the window
-// for its repeats is over, or this process stood still meanwhile. The reducer revokes it, and
-// whoever writes asks it last: here and nowhere else, so that no queue on the way needs its own look.
+// WritePermit lets the first byte of an attempt out. What was decided may have lost its reason by
+// the time it is written: its client left, its engine drains, its deadline or the window for its
+// retries is over, or this process stood still meanwhile. The controller revokes the permit, and
+// whoever writes asks it last: here and nowhere else, so that no queue on the way needs a check of
+// its own.
 type WritePermit struct {
 	revoked atomic.Bool
-	until   time.Duration // since the start; nothing begins from then on
+	until   time.Duration // since the program's start; nothing begins from then on
 }
 
 // NewWritePermit makes one that holds until a time since the start.
@@ -24,7 +25,8 @@
 	}
 }
 
-// Holds says whether the first byte may go out at a time since the start. A nil one always holds.
+// Holds reports whether the first byte may go out at a time since the program's start. A nil permit
+// always holds.
 func (p *WritePermit) Holds(now time.Duration) bool {
 	return p == nil || !p.revoked.Load() && now < p.until
 }
