--- a/internal/fleet/node/follow.go
+++ b/internal/fleet/node/log_follower.go
@@ -6,6 +6,46 @@
 	"railrelay.dev/railrelay/internal/fleet/consensus"
 )
 
+// Following.
+
+// followed takes what the leader passes on to those who don't vote.
+func (c *Core) receiveLogUpdate(from string, f *LogUpdate) {
+	c.stopVoting() // who leads passes the record on to those only who don't vote with it
+	if c.consensus != nil && !c.isLeader && f.CommittedIndex > c.state.Index && c.now-c.voterHeardAt > 2*c.config.ElectionTimeout {
+		// It was voted out while it was away, and can't learn that from agreement.
+		c.consensus, c.leader, c.votedOut = nil, f.Leader, true
+		c.persistIndex = c.state.Index
+		c.logf(true, "this controller votes no more: others do by now")
+	}
+	if c.consensus != nil {
+		return
+	}
+	if f.Leader != "" {
+		c.leader = f.Leader
+	}
+	if s := f.Snapshot; s != nil && s.Index > c.persistIndex {
+		c.persistIndex = s.Index
+		c.persist(&consensus.Kept{Snapshot: s}, func() { c.restoreSnapshot(s) })
+	}
+	var fresh []consensus.Record
+	for _, r := range f.Entries {
+		if r.Index == c.persistIndex+1 {
+			fresh = append(fresh, r)
+			c.persistIndex = r.Index
+		}
+	}
+	if len(fresh) > 0 {
+		c.persist(&consensus.Kept{Records: fresh}, func() {
+			for _, r := range fresh {
+				c.applyEntry(r)
+			}
+			c.unreported = true
+		})
+	} else if f.CommittedIndex > c.persistIndex {
+		c.send(from, c.addressOf(from), &Message{LogRequest: &LogRequest{FromIndex: c.persistIndex + 1}})
+	}
+}
+
 const (
 	entriesPerMessage   = 512             // records in a message
 	followerSilentAfter = 5 * time.Second // who wasn't heard of for so long is sent nothing
@@ -91,16 +131,3 @@
 	}
 	c.send(name, c.addressOf(name), &Message{LogUpdate: message})
 }
-
-// snapshot is the state as it is, encoded once for all that are sent it.
-func (c *Core) currentSnapshot() *consensus.Snapshot {
-	if c.latestSnapshot == nil || c.latestSnapshot.Index != c.state.Index {
-		c.latestSnapshot = c.encodeSnapshot()
-	}
-	return c.latestSnapshot
-}
-
-// newSnapshot encodes the state as it is.
-func (c *Core) encodeSnapshot() *consensus.Snapshot {
-	return &consensus.Snapshot{Index: c.state.Index, Term: c.appliedTerm, Data: c.state.Encode()}
-}
--- a/internal/fleet/node/node.go
+++ b/internal/fleet/node/node.go
@@ -43,20 +43,6 @@
 	Counts   map[string]int // of what was refused or odd, for the status
 }
 
-// storing is one write that the disk has not told of yet.
-type pendingWrite struct {
-	writes      *consensus.Kept
-	onPersisted func()
-}
-
-// asking is an ask that waits for its word.
-type operatorRequest struct {
-	ask       *fleet.Ask
-	handle    uint64 // 0: the reducer's
-	deadline  time.Duration
-	forwardAt time.Duration // when it is passed on again
-}
-
 // New makes a controller's part and what it does first.
 func New(b Config) (*Core, []Effect, error) {
 	b.Lease, b.ConfinedLease = foreverIfZero(b.Lease), foreverIfZero(b.ConfinedLease)
@@ -64,7 +50,7 @@
 		b.ConfinedLease = b.Lease
 	}
 	if b.SnapshotAfterEntries == 0 {
-		b.SnapshotAfterEntries = 2000
+		b.SnapshotAfterEntries = defaultSnapshotAfterEntries
 	}
 	c := &Core{config: b, state: statemachine.NewState(), Counts: map[string]int{}}
 	c.member.init()
@@ -104,33 +90,6 @@
 	return c, c.effects, nil
 }
 
-func foreverIfZero(lease time.Duration) time.Duration {
-	if lease == 0 {
-		return fleet.Forever
-	}
-	return lease
-}
-
-// voteWith begins to vote.
-func (c *Core) startConsensus(kept consensus.Kept, voters []consensus.Voter) error {
-	vote, effects, err := consensus.New(consensus.Begin{Self: c.config.Self.Name, Voters: voters, Kept: kept, Seed: c.config.Seed, Election: c.config.ElectionTimeout,
-		Heartbeat: c.config.HeartbeatInterval})
-	if err != nil {
-		return err
-	}
-	c.consensus = vote
-	c.performConsensus(effects)
-	return nil
-}
-
-// votes: this controller is named to vote, by the record or, before that tells, by the set-up.
-func (c *Core) namedToVote() bool {
-	if len(c.state.Voters) > 0 {
-		return slices.ContainsFunc(c.state.Voters, func(v string) bool { n, _ := statemachine.VoterOf(v); return n == c.config.Self.Name })
-	}
-	return slices.ContainsFunc(c.config.Voters, func(v consensus.Voter) bool { return v.Name == c.config.Self.Name })
-}
-
 // Step takes an event and gives the effects it leads to, valid until the next.
 func (c *Core) Step(now time.Duration, ev Event) []Effect {
 	c.now = max(now, c.now)
@@ -176,67 +135,6 @@
 	c.setTimer()
 }
 
-func (c *Core) emit(e Effect) { c.effects = append(c.effects, e) }
-
-func (c *Core) logf(loud bool, form string, args ...any) {
-	c.emit(Effect{Kind: LogMessage, Loud: loud, LogText: fmt.Sprintf(form, args...)})
-}
-
-func (c *Core) logError(err fleet.Remedied) {
-	c.emit(Effect{Kind: LogMessage, Loud: true, Err: err, LogText: err.Error()})
-}
-
-// wake asks to be woken when the next thing is due.
-func (c *Core) setTimer() {
-	at := c.renewAt
-	if c.consensus != nil {
-		at = min(at, c.consensus.Due())
-	}
-	if c.isLeader && c.hasWork() {
-		if drive := c.evaluatedAt + c.config.HeartbeatInterval/2; drive > c.now {
-			at = min(at, drive)
-		} else { // it waits for a confirmation
-			at = min(at, c.now+c.config.HeartbeatInterval/4)
-		}
-	}
-	if c.isLeader && len(c.toConfirm) > 0 && len(c.confirming) == 0 {
-		at = min(at, c.leading.confirmAskedAt+c.batchingDelay())
-	}
-	at = min(at, c.aggregateDue())
-	if c.sendsLog() && c.followersBehind { // one that lacks more than a message holds
-		at = c.now
-	}
-	for _, a := range c.requests {
-		at = min(at, a.deadline, a.forwardAt)
-	}
-	c.emit(Effect{Kind: SetTimer, Delay: max(0, at-c.now)})
-}
-
-// send passes a message on; one to itself comes at once.
-func (c *Core) send(to, address string, m *Message) {
-	m.From, m.To, m.Disk = c.config.Self.Name, to, c.config.Self.Disk
-	if to == c.config.Self.Name {
-		c.receive(m)
-		return
-	}
-	if address != "" {
-		c.emit(Effect{Kind: Send, To: to, Address: address, Message: m})
-	}
-}
-
-// addressOf is where a controller is reached.
-func (c *Core) addressOf(name string) string {
-	if m := c.state.Members[name]; m != nil && m.Peer != "" {
-		return m.Peer
-	}
-	for _, v := range c.voters {
-		if v.Name == name {
-			return v.Address
-		}
-	}
-	return ""
-}
-
 func (c *Core) receive(m *Message) {
 	if have := c.state.Members[m.From]; have != nil && m.Renewal == nil && (have.Forgotten || have.Disk != "" && have.Disk != m.Disk) {
 		// one that lost its disk may have forgotten what it voted for
@@ -270,207 +168,65 @@
 	}
 }
 
-// store has something written before what follows from it.
-func (c *Core) persist(kept *consensus.Kept, then func()) {
-	c.pendingWrites = append(c.pendingWrites, &pendingWrite{kept, then})
-	if len(c.pendingWrites) == 1 {
-		c.emit(Effect{Kind: Persist, Writes: kept})
-	}
-}
-
-func (c *Core) writesPersisted() {
-	if len(c.pendingWrites) == 0 {
+// send passes a message on; one to itself comes at once.
+func (c *Core) send(to, address string, m *Message) {
+	m.From, m.To, m.Disk = c.config.Self.Name, to, c.config.Self.Disk
+	if to == c.config.Self.Name {
+		c.receive(m)
 		return
 	}
-	s := c.pendingWrites[0]
-	c.pendingWrites = c.pendingWrites[1:]
-	if len(c.pendingWrites) > 0 {
-		c.emit(Effect{Kind: Persist, Writes: c.pendingWrites[0].writes})
+	if address != "" {
+		c.emit(Effect{Kind: Send, To: to, Address: address, Message: m})
 	}
-	s.onPersisted()
 }
 
-// agreed performs what agreement asks for, in its order: what comes of an effect waits
-// until those before it are done.
-func (c *Core) performConsensus(effects []consensus.Effect) {
-	c.consensusEffects = append(c.consensusEffects, effects...)
-	if c.performing {
-		return
+// addressOf is where a controller is reached.
+func (c *Core) addressOf(name string) string {
+	if m := c.state.Members[name]; m != nil && m.Peer != "" {
+		return m.Peer
 	}
-	c.performing = true
-	defer func() { c.performing = false }()
-	for len(c.consensusEffects) > 0 {
-		e := c.consensusEffects[0]
-		c.consensusEffects = c.consensusEffects[1:]
-		switch e.Kind {
-		case consensus.Send:
-			c.send(e.To, c.addressOf(e.To), &Message{Consensus: e.Bytes})
-		case consensus.Store:
-			if e.Kept.Hard != nil {
-				c.hardState = e.Kept.Hard
-			}
-			vote := c.consensus
-			c.persist(e.Kept, func() {
-				if vote == nil || c.consensus != vote { // it votes no more
-					return
-				}
-				c.performConsensus(c.consensus.Step(c.now, consensus.Event{Kind: consensus.Stored}))
-			})
-		case consensus.Decided:
-			c.applyEntry(e.Record)
-		case consensus.Restored:
-			c.restoreSnapshot(e.Snapshot)
-		case consensus.Confirmed:
-			c.leadershipConfirmed(e.Handle, e.Index)
-		case consensus.Denied:
-			c.leadershipDenied(e.Handle)
-		case consensus.Led:
-			c.leaderChanged(e.Leader)
-		case consensus.Voting:
-			c.entriesSinceSnapshot = max(c.entriesSinceSnapshot, c.config.SnapshotAfterEntries) // who votes anew is given a snapshot that names it
-			c.voters = e.Voters
+	for _, v := range c.voters {
+		if v.Name == name {
+			return v.Address
 		}
 	}
+	return ""
 }
 
-// apply takes the next record. What it asks of the reducer is worked out afterwards,
-// from the state alone, so that a snapshot leads to the same.
-func (c *Core) applyEntry(r consensus.Record) {
-	if r.Index <= c.state.Index || c.stateError != nil {
-		return
-	}
-	data := r.Data
-	if r.Conf {
-		data = nil
-	}
-	before, members := c.state.Version, len(c.state.Members)
-	if err := c.state.Apply(r.Index, data); err != nil {
-		c.stateError = err.(fleet.Remedied)
-		c.logError(c.stateError)
-		return
-	}
-	c.updateRoster(members)
-	c.appliedTerm = r.Term
-	c.recentEntries = append(c.recentEntries, r)
-	c.entriesSinceSnapshot++
-	if c.state.Version != before {
-		c.logf(true, "policy: version %d is in force", c.state.Version)
-	}
-	c.stateChanged()
-}
-
-func (c *Core) restoreSnapshot(s *consensus.Snapshot) {
-	if s == nil || s.Index <= c.state.Index || c.stateError != nil {
-		return
-	}
-	state, err := statemachine.DecodeState(s.Data)
-	if err != nil {
-		c.stateError = err.(fleet.Remedied)
-		c.logError(c.stateError)
-		return
-	}
-	c.state, c.appliedTerm, c.recentEntries, c.entriesSinceSnapshot = state, s.Term, nil, 0
-	c.resetRoster()
-	c.persistIndex = max(c.persistIndex, s.Index)
-	c.stateChanged()
-}
-
-// moved: the state has changed.
-func (c *Core) stateChanged() {
-	c.reevaluate, c.followersBehind = true, true
-	c.stopIfForgotten()
-	c.activateLeases()
-	c.orderOutstanding()
-}
-
-// bury ends this controller's part where the record says that its disk is destroyed.
-func (c *Core) stopIfForgotten() {
-	if m := c.state.Members[c.config.Self.Name]; m != nil && m.Forgotten {
-		c.stopForGood("its name was forgotten: the disk that had it is taken for destroyed")
-	}
-}
-
-// retire ends voting where the record names others. Not before agreement itself counts
-// without this controller: until then it takes a majority of those who voted to change them.
-func (c *Core) stopVoting() {
-	if len(c.state.Voters) > 0 && !c.namedToVote() && !c.isLeader {
-		c.consensus, c.leader = nil, ""
-		c.persistIndex = c.state.Index
-		c.logf(true, "this controller votes no more")
-	}
-}
-
-// takeUp begins to vote where the record names this controller, once nothing of what it
-// followed is on its way to the disk.
-func (c *Core) startVoting() {
-	if c.consensus != nil || c.votedOut || !c.namedToVote() || len(c.pendingWrites) > 0 || c.stateError != nil {
-		return
+// wake asks to be woken when the next thing is due.
+func (c *Core) setTimer() {
+	at := c.renewAt
+	if c.consensus != nil {
+		at = min(at, c.consensus.Due())
 	}
-	c.logf(true, "this controller votes from now on")
-	if err := c.startConsensus(consensus.Kept{Hard: consensus.Voted(c.hardState)}, nil); err != nil {
-		c.logf(true, "it can't vote: %v", err)
+	if c.isLeader && c.hasWork() {
+		if drive := c.evaluatedAt + c.config.HeartbeatInterval/2; drive > c.now {
+			at = min(at, drive)
+		} else { // it waits for a confirmation
+			at = min(at, c.now+c.config.HeartbeatInterval/4)
+		}
 	}
-}
-
-// compact has a snapshot replace a log that has grown.
-func (c *Core) compact() {
-	if c.entriesSinceSnapshot < c.config.SnapshotAfterEntries || len(c.pendingWrites) > 0 || c.stateError != nil {
-		return
+	if c.isLeader && len(c.toConfirm) > 0 && len(c.confirming) == 0 {
+		at = min(at, c.leading.confirmAskedAt+c.batchingDelay())
 	}
-	c.entriesSinceSnapshot = 0
-	s := c.encodeSnapshot()
-	if c.consensus != nil {
-		c.performConsensus(c.consensus.Step(c.now, consensus.Event{Kind: consensus.Compacted, Snapshot: s}))
-	} else {
-		c.persist(&consensus.Kept{Snapshot: s}, func() {})
+	at = min(at, c.aggregateDue())
+	if c.sendsLog() && c.followersBehind { // one that lacks more than a message holds
+		at = c.now
 	}
-	if over := len(c.recentEntries) - c.config.SnapshotAfterEntries; over > 0 {
-		c.recentEntries = slices.Clone(c.recentEntries[over:])
+	for _, a := range c.requests {
+		at = min(at, a.deadline, a.forwardAt)
 	}
+	c.emit(Effect{Kind: SetTimer, Delay: max(0, at-c.now)})
 }
 
-// Following.
+func (c *Core) emit(e Effect) { c.effects = append(c.effects, e) }
 
-// followed takes what the leader passes on to those who don't vote.
-func (c *Core) receiveLogUpdate(from string, f *LogUpdate) {
-	c.stopVoting() // who leads passes the record on to those only who don't vote with it
-	if c.consensus != nil && !c.isLeader && f.CommittedIndex > c.state.Index && c.now-c.voterHeardAt > 2*c.config.ElectionTimeout {
-		// It was voted out while it was away, and can't learn that from agreement.
-		c.consensus, c.leader, c.votedOut = nil, f.Leader, true
-		c.persistIndex = c.state.Index
-		c.logf(true, "this controller votes no more: others do by now")
-	}
-	if c.consensus != nil {
-		return
-	}
-	if f.Leader != "" {
-		c.leader = f.Leader
-	}
-	if s := f.Snapshot; s != nil && s.Index > c.persistIndex {
-		c.persistIndex = s.Index
-		c.persist(&consensus.Kept{Snapshot: s}, func() { c.restoreSnapshot(s) })
-	}
-	var fresh []consensus.Record
-	for _, r := range f.Entries {
-		if r.Index == c.persistIndex+1 {
-			fresh = append(fresh, r)
-			c.persistIndex = r.Index
-		}
-	}
-	if len(fresh) > 0 {
-		c.persist(&consensus.Kept{Records: fresh}, func() {
-			for _, r := range fresh {
-				c.applyEntry(r)
-			}
-			c.unreported = true
-		})
-	} else if f.CommittedIndex > c.persistIndex {
-		c.send(from, c.addressOf(from), &Message{LogRequest: &LogRequest{FromIndex: c.persistIndex + 1}})
-	}
+func (c *Core) logf(loud bool, form string, args ...any) {
+	c.emit(Effect{Kind: LogMessage, Loud: loud, LogText: fmt.Sprintf(form, args...)})
 }
 
-func (c *Core) isVoter(name string) bool {
-	return slices.ContainsFunc(c.voters, func(v consensus.Voter) bool { return v.Name == name })
+func (c *Core) logError(err fleet.Remedied) {
+	c.emit(Effect{Kind: LogMessage, Loud: true, Err: err, LogText: err.Error()})
 }
 
 // State is what the record says here, for tests; it must not be changed.
--- a/internal/fleet/node/operators.go
+++ b/internal/fleet/node/operator_requests.go
@@ -9,6 +9,14 @@
 
 // What operators, customers and the reducer ask for, and what they are told.
 
+// asking is an ask that waits for its word.
+type operatorRequest struct {
+	ask       *fleet.Ask
+	handle    uint64 // 0: the reducer's
+	deadline  time.Duration
+	forwardAt time.Duration // when it is passed on again
+}
+
 func (c *Core) operatorRequested(a *fleet.Ask, handle uint64) {
 	wait := time.Duration(a.Wait) * time.Millisecond
 	if wait <= 0 {
@@ -25,31 +33,6 @@
 	c.requests = append(c.requests, &operatorRequest{ask: a, handle: handle, deadline: c.now + wait, forwardAt: c.now})
 }
 
-// known says whether the record has heard of an ask already: then it isn't passed on.
-func (c *Core) isRecorded(a *fleet.Ask) bool {
-	switch a.Kind {
-	case "apply":
-		return c.state.Changes[a.ID] != nil
-	case "purge":
-		return c.state.Purges[a.ID] != nil
-	case "status":
-		return true
-	}
-	return c.outcome(a).Word != "unknown"
-}
-
-// word is what can be told now. A status with an id is of whatever has that id.
-func (c *Core) outcome(a *fleet.Ask) *fleet.Reply {
-	if a.Kind == "status" {
-		b := *a
-		if b.Kind = "apply"; c.state.Changes[a.ID] == nil {
-			b.Kind = "purge"
-		}
-		return c.state.Word(&b)
-	}
-	return c.state.Word(a)
-}
-
 // answer tells those whose word is there, or whose time is over, and passes on what
 // the record has not heard of.
 func (c *Core) answerRequests() {
@@ -81,6 +64,31 @@
 	})
 }
 
+// known says whether the record has heard of an ask already: then it isn't passed on.
+func (c *Core) isRecorded(a *fleet.Ask) bool {
+	switch a.Kind {
+	case "apply":
+		return c.state.Changes[a.ID] != nil
+	case "purge":
+		return c.state.Purges[a.ID] != nil
+	case "status":
+		return true
+	}
+	return c.outcome(a).Word != "unknown"
+}
+
+// word is what can be told now. A status with an id is of whatever has that id.
+func (c *Core) outcome(a *fleet.Ask) *fleet.Reply {
+	if a.Kind == "status" {
+		b := *a
+		if b.Kind = "apply"; c.state.Changes[a.ID] == nil {
+			b.Kind = "purge"
+		}
+		return c.state.Word(&b)
+	}
+	return c.state.Word(a)
+}
+
 const forwardInterval = 300 * time.Millisecond
 
 // pass brings an ask to who leads. It may be lost, and is passed on again until the
--- a/internal/fleet/node/relay.go
+++ b/internal/fleet/node/relay.go
@@ -31,6 +31,16 @@
 	}
 }
 
+// aggregateRenewal takes the renewal of a controller that asks through this relay.
+func (c *Core) aggregateRenewal(name, disk string, r *LeaseRenewal) {
+	from := c.aggregator.addRenewal(c.now, name, disk, r)
+	if from == nil {
+		return
+	}
+	from.follower.updateFrom(r, c.now, c.renewalInterval())
+	c.followersBehind = c.followersBehind || from.nextIndex <= c.state.Index
+}
+
 // silentAfter is how long a controller may not ask before it is covered no more.
 func (c *Core) silentAfter() time.Duration { return 2 * c.renewalInterval() }
 
--- a/internal/fleet/node/gather.go
+++ b/internal/fleet/node/relay_aggregation.go
@@ -26,6 +26,10 @@
 	unansweredLogged bool // it was said that the leader doesn't answer
 }
 
+func newRenewalAggregator(boot uint64) *renewalAggregator {
+	return &renewalAggregator{incarnation: boot, controllers: map[string]*relayedController{}, silentSince: map[string]time.Duration{}}
+}
+
 // gathered is one controller that asks through a relay.
 type relayedController struct {
 	follower
@@ -36,6 +40,33 @@
 	pendingRequests []pendingRequest
 }
 
+// ask remembers an ask for a lease: the newest one for each gather.
+func (f *relayedController) addRequest(u pendingRequest) {
+	last := len(f.pendingRequests) - 1
+	if last >= 0 && f.pendingRequests[last].firstSeq == u.firstSeq {
+		f.pendingRequests[last] = u
+		return
+	}
+	if len(f.pendingRequests) == maxPendingRequests {
+		f.pendingRequests = slices.Delete(f.pendingRequests, 0, 1)
+	}
+	f.pendingRequests = append(f.pendingRequests, u)
+}
+
+// granted takes the newest ask that a gather covered, and forgets those before it.
+func (f *relayedController) takeGranted(gather uint64) (ask pendingRequest, asked bool) {
+	n := 0
+	for n < len(f.pendingRequests) && f.pendingRequests[n].firstSeq <= gather {
+		n++
+	}
+	if n == 0 {
+		return pendingRequest{}, false
+	}
+	ask = f.pendingRequests[n-1]
+	f.pendingRequests = slices.Delete(f.pendingRequests, 0, n)
+	return ask, true
+}
+
 // unanswered is an ask for a lease, with the first gather that it is part of.
 type pendingRequest struct {
 	firstSeq   uint64
@@ -46,10 +77,6 @@
 // unansweredMost bounds the asks that are remembered of a controller.
 const maxPendingRequests = 16
 
-func newRenewalAggregator(boot uint64) *renewalAggregator {
-	return &renewalAggregator{incarnation: boot, controllers: map[string]*relayedController{}, silentSince: map[string]time.Duration{}}
-}
-
 // renewed takes a controller's renewal. It returns nil where that is late or doubled.
 func (g *renewalAggregator) addRenewal(now time.Duration, name, disk string, r *LeaseRenewal) *relayedController {
 	from := g.controllers[name]
@@ -74,33 +101,6 @@
 	return from
 }
 
-// ask remembers an ask for a lease: the newest one for each gather.
-func (f *relayedController) addRequest(u pendingRequest) {
-	last := len(f.pendingRequests) - 1
-	if last >= 0 && f.pendingRequests[last].firstSeq == u.firstSeq {
-		f.pendingRequests[last] = u
-		return
-	}
-	if len(f.pendingRequests) == maxPendingRequests {
-		f.pendingRequests = slices.Delete(f.pendingRequests, 0, 1)
-	}
-	f.pendingRequests = append(f.pendingRequests, u)
-}
-
-// granted takes the newest ask that a gather covered, and forgets those before it.
-func (f *relayedController) takeGranted(gather uint64) (ask pendingRequest, asked bool) {
-	n := 0
-	for n < len(f.pendingRequests) && f.pendingRequests[n].firstSeq <= gather {
-		n++
-	}
-	if n == 0 {
-		return pendingRequest{}, false
-	}
-	ask = f.pendingRequests[n-1]
-	f.pendingRequests = slices.Delete(f.pendingRequests, 0, n)
-	return ask, true
-}
-
 // expire covers those no more that haven't asked for longer than a span. Their asks are
 // forgotten: no gather after this one has them.
 func (g *renewalAggregator) expire(now, span time.Duration) {
@@ -146,6 +146,17 @@
 	return message
 }
 
+// due is when the next gather is to be sent: soon after news, else once in a period.
+func (g *renewalAggregator) due(soon, period time.Duration) time.Duration {
+	switch {
+	case g.urgent:
+		return g.sentAt + soon
+	case g.renewalsWaiting:
+		return g.sentAt + period
+	}
+	return fleet.Forever
+}
+
 // answered takes the leader's answer and gives the grants that follow from it, by the
 // controllers' names in order.
 func (g *renewalAggregator) handleAnswer(from string, a *RelayedGrants) (grants []addressedGrant) {
@@ -221,14 +232,3 @@
 	}
 	return grant
 }
-
-// due is when the next gather is to be sent: soon after news, else once in a period.
-func (g *renewalAggregator) due(soon, period time.Duration) time.Duration {
-	switch {
-	case g.urgent:
-		return g.sentAt + soon
-	case g.renewalsWaiting:
-		return g.sentAt + period
-	}
-	return fleet.Forever
-}
--- a/internal/fleet/node/cover.go
+++ b/internal/fleet/node/relay_coverage.go
@@ -3,8 +3,6 @@
 import (
 	"slices"
 	"time"
-
-	"railrelay.dev/railrelay/internal/fleet"
 )
 
 // The leader's side of relays. A relay covers controllers; a gather asks for a lease for
@@ -27,6 +25,9 @@
 	leaseAskedAt time.Duration   // when the last gather came that was granted or may be
 }
 
+// neverAsked is the time of an ask that never was.
+const neverAsked time.Duration = -1
+
 // gatheredBy takes a relay's gather.
 func (c *Core) receiveRelayedRenewals(relay string, g *RelayedRenewals) {
 	answer := &RelayedGrants{Incarnation: g.Incarnation, Seq: g.Seq}
@@ -53,9 +54,6 @@
 	c.awaitConfirmation(unconfirmedRenewal{name: relay, receivedAt: c.now, relayed: g, coverage: covers, withheld: withheld})
 }
 
-// neverAsked is the time of an ask that never was.
-const neverAsked time.Duration = -1
-
 // take brings a cover up to a gather. withheld are those that the gather tells of and
 // that aren't covered, by their names: why, "": not in the record yet.
 func (c *Core) updateCoverage(covers *relayCoverage, g *RelayedRenewals) (withheld map[string]string) {
@@ -178,65 +176,3 @@
 	slices.Sort(names)
 	return names
 }
-
-const (
-	forgottenName = "its name was forgotten: the disk that had it is taken for destroyed"
-	foreignDisk   = "another disk has this name"
-)
-
-// identity says why a controller is refused for good, "": it isn't.
-func (c *Core) refusalReason(name, disk string) string {
-	m := c.state.Members[name]
-	switch {
-	case m == nil:
-		return ""
-	case m.Forgotten:
-		return forgottenName
-	case m.Disk != disk:
-		return foreignDisk
-	}
-	return ""
-}
-
-// retelling tells whether a renewal that was told before may be told again.
-type repeatRule bool
-
-const (
-	ignoreRepeats repeatRule = false // a controller's own: what comes again is late, or doubled
-	acceptRepeats repeatRule = true  // a relay's, whose gathers come in order
-)
-
-// admit takes what a controller told of itself. It is known once the record has it; why
-// is set where it is refused for good. What is older than what was told before is
-// passed over.
-func (c *Core) admitRenewal(name, disk string, r *LeaseRenewal, may repeatRule) (why string, known bool) {
-	if why = c.refusalReason(name, disk); why != "" {
-		return why, false
-	}
-	p := c.ensurePeer(name)
-	last := p.lastSeq[r.Incarnation]
-	if r.Seq > last || may == acceptRepeats && r.Seq == last && p.incarnation != r.Incarnation {
-		c.updatePeer(p, r)
-	}
-	m := c.state.Members[name]
-	member := r.Member
-	if m != nil && !m.Control {
-		member.Control = false // as the record has it, for good
-	}
-	if m == nil || *m != member {
-		c.throttle("join "+name, func() { c.propose(&fleet.Entry{Kind: fleet.Join, ID: name, Name: name, Member: &member}) })
-	}
-	// changes don't wait for a control process: one that takes queries by now must be
-	// in the record as what it is before it holds a lease
-	return "", m != nil && m.Control == member.Control
-}
-
-// update has a renewal stand for what its controller said before.
-func (c *Core) updatePeer(p *peer, r *LeaseRenewal) {
-	c.reevaluate = c.reevaluate || p.renewal == nil || p.incarnation != r.Incarnation || p.renewal.differs(r)
-	if p.incarnation != 0 && p.incarnation != r.Incarnation {
-		p.nextIndex = 0
-	}
-	p.lastSeq[r.Incarnation] = r.Seq
-	p.incarnation, p.heardAt, p.renewal, p.appliedIndex = r.Incarnation, c.now, r, r.AppliedIndex
-}
