--- a/internal/fleet/node/configuration_change.go
+++ b/internal/fleet/node/configuration_change.go
@@ -104,7 +104,7 @@
 	}
 	if !same {
 		c.throttle("voters", func() {
-			c.performConsensus(c.consensus.Step(c.now, consensus.Event{Kind: consensus.Voters, Voters: want}))
+			c.stepConsensus(consensus.Event{Kind: consensus.Voters, Voters: want})
 		})
 	}
 }
--- a/internal/fleet/node/controller_orders.go
+++ b/internal/fleet/node/controller_orders.go
@@ -4,151 +4,183 @@
 	"fmt"
 	"maps"
 	"slices"
-	"time"
-
-	"github.com/cespare/xxhash/v2"
 
 	"railrelay.dev/railrelay/internal/fleet"
 	"railrelay.dev/railrelay/internal/fleet/statemachine"
 )
 
-// member is the part that every controller has: its lease, what its reducer was told,
-// and what it tells the leader of itself.
-type member struct {
-	leader             string // who leads, as far as is known
-	voterHint          int    // whom to ask while nobody is known to lead
-	routes             routes // through which relay it asks
-	renewalSeq         uint64
-	renewAt            time.Duration
-	unansweredSince    time.Duration
-	unreported         bool // something of the below has changed since it was last told
-	caughtUp           bool // a lease was given in this run: what came before is known
-	leaseUntil         time.Duration
-	confinedLeaseUntil time.Duration // the same for bound teams
-	pendingLeases      []pendingLease
-	leaderWaitsFor     map[string][]string // by run: who is waited for, as the leader told last
-	refusedReason      string
-
-	policies             map[uint64]*validatedPolicy // by version: what the set-up made of it
-	validations          map[string]*validation      // by change; that in force has a key of its own
-	fenceOrderedFor      string                      // the reducer was told to stop for this change
-	orderedVersion       uint64                      // the version that it was told to decide by, 0: none
-	servedVersion        uint64                      // and said it does
-	fenceConfirmedFor    string                      // the change it said it stopped for
-	viewIndex            uint64                      // the state that its picture is of
-	invalidationsOrdered map[string]bool             // purges that it was told
-	tombstoned           map[string]bool             // of those, whose results don't come out any more
-	erased               map[string]fleet.Counts
-	servingSites         []string
-	attemptsOutside      int
+// controllerState is what this process's request side (package controller) was told by
+// orders, and what it has confirmed by reports, which the next renewal tells the leader.
+//
+// Of a configuration change it goes through these states, by fenceOrderedFor,
+// orderedVersion and servedVersion:
+//
+//	serving    orderedVersion = servedVersion = the committed version
+//	fencing    fenceOrderedFor = the change, until it is reported closed
+//	fenced     fenceConfirmedFor = the change: nothing is decided by the old version
+//	opening    orderedVersion = the committed version, until it is reported opened
+//	serving    as above, by the new version, or by the old one if the change was aborted
+type controllerState struct {
+	// Policies.
+	policies    map[uint64]*validatedPolicy // that can be served by, by version
+	validations map[string]*validation      // by change; that of the committed policy has a key of its own
+
+	// Fences and versions.
+	fenceOrderedFor   string // the change that it was ordered to stop for, "": none
+	fenceConfirmedFor string // the change that it has stopped for
+	orderedVersion    uint64 // that it was ordered to decide by, 0: none
+	servedVersion     uint64 // that it has confirmed
+
+	// Invalidations, each by its ID.
+	viewIndex            uint64 // of the state that it was shown last, 0: none was
+	invalidationsOrdered map[string]bool
+	tombstoned           map[string]bool         // their results no longer come out here
+	erased               map[string]fleet.Counts // gone from memory and disk here
+
+	// The engines that it sees.
+	servingSites    []string // zones with engines that serve
+	attemptsOutside int      // attempts of confined tenants outside their zones
 }
 
-func (m *member) init() {
-	m.leaderWaitsFor, m.policies = map[string][]string{}, map[uint64]*validatedPolicy{}
-	m.validations, m.invalidationsOrdered, m.tombstoned, m.erased = map[string]*validation{}, map[string]bool{}, map[string]bool{}, map[string]fleet.Counts{}
+func newControllerState() controllerState {
+	return controllerState{
+		policies:             map[uint64]*validatedPolicy{},
+		validations:          map[string]*validation{},
+		invalidationsOrdered: map[string]bool{},
+		tombstoned:           map[string]bool{},
+		erased:               map[string]fleet.Counts{},
+	}
+}
+
+func (c *Core) orderController(order fleet.Order) {
+	c.emit(Effect{Kind: OrderController, Order: order})
 }
 
-// reconcile tells the reducer what the state asks for and it was not told yet. Before
-// this run's first lease it is told nothing: what is known may be old.
+// orderOutstanding orders what the state asks for and the request side was not told yet.
+// Before the first lease of this incarnation it is told nothing: the state may be old.
 func (c *Core) orderOutstanding() {
-	u := c.state.Under()
 	if !c.caughtUp || c.stateError != nil {
 		return
 	}
-	if u != nil && u.Phase == statemachine.Closing {
-		if c.fenceOrderedFor != u.ID {
-			c.fenceOrderedFor, c.orderedVersion, c.servedVersion = u.ID, 0, 0
-			c.emit(Effect{Kind: OrderController, Order: fleet.Order{Kind: fleet.Shut, Change: u.ID}})
-		}
+	change := c.state.Under()
+	fencing := change != nil && change.Phase == statemachine.Closing
+	if fencing && c.fenceOrderedFor != change.ID {
+		c.orderFence(change.ID)
 	}
-	if c.orderedVersion != 0 && c.orderedVersion != c.state.Version { // a snapshot went past the close: the lease to come is not for the old one
-		c.fenceOrderedFor, c.orderedVersion, c.servedVersion = fmt.Sprintf("version %d", c.state.Version), 0, 0
-		c.emit(Effect{Kind: OrderController, Order: fleet.Order{Kind: fleet.Shut, Change: c.fenceOrderedFor}})
+	if c.orderedVersion != 0 && c.orderedVersion != c.state.Version {
+		// a snapshot went past the fence: the lease to come is not for the old version
+		c.orderFence(fmt.Sprintf("version %d", c.state.Version))
 	}
-	if c.viewIndex == 0 { // nothing is taken yet, and purges are measured by it
+	c.orderInvalidations()
+
+	committed, pending := c.committedPolicy()
+	if pending { // the next policy is validated against it
+		return
+	}
+	if change != nil && c.validations[change.ID] == nil {
+		c.validatePolicy(change.ID, change.Version, change.Policy)
+	}
+	if fencing || c.orderedVersion == c.state.Version || committed == nil {
+		return
+	}
+	c.orderOpen(committed)
+}
+
+// orderFence has the request side stop deciding by the version before a change.
+func (c *Core) orderFence(change string) {
+	c.fenceOrderedFor = change
+	c.orderedVersion = 0
+	c.servedVersion = 0
+	c.orderController(fleet.Order{Kind: fleet.Shut, Change: change})
+}
+
+// orderOpen has the request side decide by the committed policy.
+func (c *Core) orderOpen(committed *validatedPolicy) {
+	c.orderedVersion = c.state.Version
+	c.servedVersion = 0
+	c.fenceOrderedFor = ""
+	c.fenceConfirmedFor = ""
+	maps.DeleteFunc(c.policies, func(v uint64, _ *validatedPolicy) bool { return v < c.orderedVersion })
+	maps.DeleteFunc(c.validations, func(_ string, v *validation) bool { return v.version < c.orderedVersion })
+	c.orderController(fleet.Order{Kind: fleet.Open, Version: c.orderedVersion, Policy: committed.policy})
+}
+
+// orderInvalidations orders each invalidation once, and shows the state that it is part of.
+func (c *Core) orderInvalidations() {
+	if c.viewIndex == 0 { // invalidations are measured by the first view
 		c.orderView()
 	}
 	for _, id := range sorted(c.state.Purges) {
 		c.orderInvalidation(c.state.Purges[id])
 	}
-	// the record knows old ones no more, and neither need this
+	// the state forgets old ones in time
 	maps.DeleteFunc(c.invalidationsOrdered, func(id string, _ bool) bool { return c.state.Purges[id] == nil })
 	if c.state.Seen > c.viewIndex {
 		c.orderView()
 	}
-	have, sum := c.policies[c.state.Version], xxhash.Sum64(c.state.Policy)
-	if c.orderedVersion != c.state.Version && (have == nil || have.checksum != sum) {
-		have = nil
-		key := fmt.Sprintf("in force %d %x", c.state.Version, sum)
-		if c.validations[key] == nil {
-			c.validatePolicy(key, c.state.Version, c.state.Policy)
-		}
-		if !c.validations[key].done {
-			return // the next is held against it
-		}
-	}
-	if u != nil && c.validations[u.ID] == nil {
-		c.validatePolicy(u.ID, u.Version, u.Policy)
-	}
-	if u != nil && u.Phase == statemachine.Closing || c.orderedVersion == c.state.Version || have == nil {
-		return
-	}
-	c.orderedVersion, c.servedVersion, c.fenceOrderedFor, c.fenceConfirmedFor = c.state.Version, 0, "", ""
-	maps.DeleteFunc(c.policies, func(v uint64, _ *validatedPolicy) bool { return v < c.orderedVersion })
-	maps.DeleteFunc(c.validations, func(id string, k *validation) bool { return k.version < c.orderedVersion })
-	c.emit(Effect{Kind: OrderController, Order: fleet.Order{Kind: fleet.Open, Version: c.orderedVersion, Policy: have.policy}})
 }
 
-// pictured shows the reducer the state.
+// orderView shows the request side the state.
 func (c *Core) orderView() {
 	c.viewIndex = max(1, c.state.Index)
-	c.emit(Effect{Kind: OrderController, Order: fleet.Order{Kind: fleet.Pictured, Picture: c.state.Picture()}})
+	c.orderController(fleet.Order{Kind: fleet.Pictured, Picture: c.state.Picture()})
 }
 
-// purge tells the reducer of a purge once, and says for those that don't concern this
-// controller that there is nothing of them here.
-func (c *Core) orderInvalidation(r *statemachine.Run) {
-	if r.Stage == fleet.Erased {
-		if c.invalidationsOrdered[r.ID] {
-			delete(c.tombstoned, r.ID)
-			delete(c.erased, r.ID)
+// orderInvalidation orders an invalidation once. One that doesn't concern this
+// controller's zone is reported as done: nothing of it is here.
+func (c *Core) orderInvalidation(run *statemachine.Run) {
+	ordered := c.invalidationsOrdered[run.ID]
+	if run.Stage == fleet.Erased {
+		if ordered {
+			delete(c.tombstoned, run.ID)
+			delete(c.erased, run.ID)
 		}
 		return
 	}
-	if c.invalidationsOrdered[r.ID] {
+	if ordered {
 		return
 	}
-	c.invalidationsOrdered[r.ID] = true
-	if len(r.Scope.Outside) > 0 && slices.Contains(r.Scope.Outside, c.config.Self.Site) {
-		c.tombstoned[r.ID], c.erased[r.ID], c.unreported = true, fleet.Counts{}, true
+	c.invalidationsOrdered[run.ID] = true
+	if slices.Contains(run.Scope.Outside, c.config.Self.Site) {
+		c.tombstoned[run.ID] = true
+		c.erased[run.ID] = fleet.Counts{}
+		c.unreported = true
 		return
 	}
-	scope := r.Scope
-	c.emit(Effect{Kind: OrderController, Order: fleet.Order{Kind: fleet.Drop, ID: r.ID, Scope: &scope, Index: r.At}})
+	scope := run.Scope
+	c.orderController(fleet.Order{Kind: fleet.Drop, ID: run.ID, Scope: &scope, Index: run.At})
 }
 
+// controllerReported takes a report of the request side. What is new to the leader is
+// reported by a renewal at once.
 func (c *Core) controllerReported(r fleet.Report) {
 	switch r.Kind {
 	case fleet.Closed:
 		if r.Change == c.fenceOrderedFor {
-			c.fenceConfirmedFor, c.unreported = r.Change, true
+			c.fenceConfirmedFor = r.Change
+			c.unreported = true
 		}
 	case fleet.Opened:
-		if r.Version == c.orderedVersion { // with what runs outside by this version: that by the one before is of no use
-			c.servedVersion, c.attemptsOutside, c.unreported = r.Version, r.Outside, true
+		if r.Version == c.orderedVersion {
+			c.servedVersion = r.Version
+			c.attemptsOutside = r.Outside // by this version: the figure of the one before is of no use
+			c.unreported = true
 		}
 	case fleet.Unreached:
 		c.unreported = c.unreported || !c.tombstoned[r.ID]
 		c.tombstoned[r.ID] = true
 	case fleet.Wiped:
 		if _, had := c.erased[r.ID]; !had {
-			c.erased[r.ID], c.unreported = r.Counts, true
+			c.erased[r.ID] = r.Counts
+			c.unreported = true
 		}
 	case fleet.Sites:
-		if !slices.Equal(c.servingSites, r.Sites) || (c.attemptsOutside == 0) != (r.Outside == 0) {
+		anyOutsideChanged := (c.attemptsOutside == 0) != (r.Outside == 0)
+		if anyOutsideChanged || !slices.Equal(c.servingSites, r.Sites) {
 			c.unreported = true
 		}
-		c.servingSites, c.attemptsOutside = r.Sites, r.Outside
+		c.servingSites = r.Sites
+		c.attemptsOutside = r.Outside
 	case fleet.Wanted:
 		if r.Ask != nil {
 			c.operatorRequested(r.Ask, 0)
--- a/internal/fleet/node/leader.go
+++ b/internal/fleet/node/leader.go
@@ -3,6 +3,7 @@
 import (
 	"fmt"
 	"slices"
+	"strings"
 	"time"
 
 	"railrelay.dev/railrelay/internal/fleet"
@@ -10,42 +11,67 @@
 	"railrelay.dev/railrelay/internal/fleet/statemachine"
 )
 
-// leading is what only counts while this controller leads.
-type leading struct {
-	isLeader      bool
-	leaderSince   time.Duration // it leads
-	ready         bool          // it has applied all that was decided before it led
-	peers         map[string]*peer
-	peerNames     []string // of peers, in order
-	confirmHandle uint64
-	confirming    []unconfirmedRenewal // in the confirmation that is under way
-	toConfirm     []unconfirmedRenewal // for the next
-	lastTried     map[string]time.Duration
-	waitingFor    map[string][]string // by run: who is waited for
-	lostSince     map[string]time.Duration
-	foundSince    map[string]time.Duration
-	changeSeenAt  map[string]time.Duration // changes, since when this controller has known of them
-
-	coverage map[relayIncarnation]*relayCoverage // what relays have told
-
-	confirmAskedAt  time.Duration // when a confirmation was last asked for
-	reevaluate      bool          // something came that may move what is under way
-	evaluatedAt     time.Duration
-	followersBehind bool // some follower may lack something
+const (
+	// throttleElections, times the election timeout, is how long the same proposal is not
+	// repeated: it may be under way.
+	throttleElections = 2
+	// A leader with work re-evaluates it after a half of the heartbeat interval, and looks
+	// for a confirmation that it waits for after a quarter.
+	evaluationsPerHeartbeat   = 2
+	confirmChecksPerHeartbeat = 4
+
+	maxReportedWaits      = 32 // changes and invalidations in a grant's WaitingFor
+	maxReportedNames      = 16 // controllers of each
+	maxNamesInWithdrawals = 5
+)
+
+// leaderState is what counts only while this controller leads. It starts anew whenever
+// leadership is won or lost.
+type leaderState struct {
+	isLeader    bool
+	leaderSince time.Duration
+	ready       bool // all that was committed before it led is applied; it drives nothing before
+
+	// What the controllers reported, each by its name.
+	peers     map[string]*peer
+	peerNames []string // in order
+	coverage  map[relayIncarnation]*relayCoverage
+
+	// Renewals wait in toConfirm until a majority has confirmed the leadership after they
+	// came; at most one confirmation is under way.
+	confirmHandle  uint64 // of the last confirmation; never reused
+	confirmAskedAt time.Duration
+	confirming     []unconfirmedRenewal // in the confirmation that is under way
+	toConfirm      []unconfirmedRenewal // in the next one
+
+	// Configuration changes, invalidations and emergencies under way.
+	reevaluate   bool // something came that may move one of them
+	evaluatedAt  time.Duration
+	lastTried    map[string]time.Duration // proposals, by what they propose
+	waitingFor   map[string][]string      // controllers that are waited for, by change or invalidation
+	changeSeenAt map[string]time.Duration // changes, since when this leader has known of them
+	lostSince    map[string]time.Duration // rules, since when all engines inside are lost
+	foundSince   map[string]time.Duration // rules, since when some engine inside serves
+
+	// followersBehind: some follower may lack entries. A relay that doesn't lead has
+	// followers, too.
+	followersBehind bool
 }
 
-// peer is a controller as its last Renew told.
+// peer is a controller as its last renewal reported it.
 type peer struct {
 	follower
 	incarnation uint64
-	// runs has the last Seq of each of its runs. What an earlier one said may come
-	// late, even first; it is still true, and must not shut out the present one.
-	lastSeq      map[uint64]uint64
-	leaseAskedAt time.Duration // when it asked for the last lease that it was given here or may still be; neverAsked: it wasn't
+	// lastSeq has the last Seq of each incarnation. A renewal of an earlier one may come
+	// late, even first; it was true, and must not shut out the present one's.
+	lastSeq map[uint64]uint64
+	// leaseAskedAt is when it asked for the last lease that it was given by this leader
+	// or may yet be; neverAsked: it was given none.
+	leaseAskedAt time.Duration
 	renewal      *LeaseRenewal
 }
 
-// led: who leads has changed.
+// leaderChanged takes from consensus who leads, "": nobody that is known.
 func (c *Core) leaderChanged(leader string) {
 	if leader != "" || c.consensus != nil {
 		c.leader = leader
@@ -54,19 +80,30 @@
 	if leads == c.isLeader {
 		return
 	}
-	c.leading = leading{isLeader: leads, leaderSince: c.now, confirmHandle: c.confirmHandle, peers: map[string]*peer{}, lastTried: map[string]time.Duration{},
-		waitingFor: map[string][]string{}, lostSince: map[string]time.Duration{}, foundSince: map[string]time.Duration{}, changeSeenAt: map[string]time.Duration{},
-		coverage: map[relayIncarnation]*relayCoverage{}}
+	c.leaderState = leaderState{
+		isLeader:      leads,
+		leaderSince:   c.now,
+		peers:         map[string]*peer{},
+		coverage:      map[relayIncarnation]*relayCoverage{},
+		confirmHandle: c.confirmHandle,
+		lastTried:     map[string]time.Duration{},
+		waitingFor:    map[string][]string{},
+		changeSeenAt:  map[string]time.Duration{},
+		lostSince:     map[string]time.Duration{},
+		foundSince:    map[string]time.Duration{},
+	}
 	c.resetAggregator()
 	c.logf(true, "leads: %v", leads)
-	c.renewAt, c.reevaluate, c.followersBehind = c.now, true, true
-	if leads { // what was decided before must be applied before anything is driven
+	c.renewAt = c.now
+	c.reevaluate = true
+	c.followersBehind = true
+	if leads { // what was committed before must be applied before anything is driven
 		c.confirmLeadership()
 	}
 }
 
-// otherLeader is who leads in place of this controller, "": that isn't known, as where it
-// led itself until a moment ago.
+// otherLeader is the leader that isn't this controller, "": not known, as right after this
+// one lost its leadership.
 func (c *Core) otherLeader() string {
 	if c.leader == c.config.Self.Name {
 		return ""
@@ -74,7 +111,7 @@
 	return c.leader
 }
 
-// peerOf is what is known of a controller, made where there is nothing yet.
+// ensurePeer is the peer of a name, made where there is none yet.
 func (c *Core) ensurePeer(name string) *peer {
 	p := c.peers[name]
 	if p == nil {
@@ -86,12 +123,33 @@
 	return p
 }
 
-// busy: something is under way that time alone may move.
+// hasWork reports whether something is under way that time alone may move.
 func (c *Core) hasWork() bool {
-	return !c.ready || len(c.waitingFor) > 0 || len(c.toConfirm) > 0 || c.state.Under() != nil || len(c.watchedRules()) > 0 || len(c.state.Emergencies) > 0
+	return !c.ready || len(c.waitingFor) > 0 || len(c.toConfirm) > 0 || c.state.Under() != nil ||
+		len(c.watchedRules()) > 0 || len(c.state.Emergencies) > 0
+}
+
+// leaderDue is when the leader has something to do, Forever where this controller doesn't
+// lead or has nothing.
+func (c *Core) leaderDue() time.Duration {
+	if !c.isLeader {
+		return fleet.Forever
+	}
+	at := fleet.Forever
+	if c.hasWork() {
+		at = c.evaluatedAt + c.config.HeartbeatInterval/evaluationsPerHeartbeat
+		if at <= c.now { // it waits for a confirmation
+			at = c.now + c.config.HeartbeatInterval/confirmChecksPerHeartbeat
+		}
+	}
+	if len(c.toConfirm) > 0 && len(c.confirming) == 0 {
+		at = min(at, c.confirmAskedAt+c.batchingDelay())
+	}
+	return at
 }
 
-// drive moves on what is under way, while this controller leads.
+// driveWork moves on what is under way, while this controller leads: at once after news,
+// else at each half heartbeat.
 func (c *Core) driveWork() {
 	if !c.isLeader || c.consensus == nil {
 		return
@@ -99,10 +157,14 @@
 	if !c.ready && len(c.confirming) == 0 {
 		c.throttle("confirm", c.confirmLeadership)
 	}
-	if !c.ready || c.stateError != nil || !c.reevaluate && c.now < c.evaluatedAt+c.config.HeartbeatInterval/2 {
+	if !c.ready || c.stateError != nil {
 		return
 	}
-	c.reevaluate, c.evaluatedAt = false, c.now
+	if !c.reevaluate && c.now < c.evaluatedAt+c.config.HeartbeatInterval/evaluationsPerHeartbeat {
+		return
+	}
+	c.reevaluate = false
+	c.evaluatedAt = c.now
 	clear(c.waitingFor)
 	c.driveChange()
 	for _, id := range sorted(c.state.Purges) {
@@ -118,51 +180,56 @@
 	}
 }
 
+// propose asks the voters to log an entry. It may be lost: who proposes looks at the state
+// and proposes again.
 func (c *Core) propose(e *fleet.Entry) {
 	if e == nil || !c.isLeader {
 		return
 	}
-	c.performConsensus(c.consensus.Step(c.now, consensus.Event{Kind: consensus.Propose, Data: statemachine.Encode(e)}))
+	c.stepConsensus(consensus.Event{Kind: consensus.Propose, Data: statemachine.Encode(e)})
 }
 
-// once keeps what is proposed again and again a little apart: it may be under way.
+// throttle does something unless the same was done a moment ago and may be under way.
 func (c *Core) throttle(what string, do func()) {
-	if at, had := c.lastTried[what]; !had || c.now-at >= 2*c.config.ElectionTimeout {
-		c.lastTried[what] = c.now
-		do()
+	at, tried := c.lastTried[what]
+	if tried && c.now-at < throttleElections*c.config.ElectionTimeout {
+		return
 	}
+	c.lastTried[what] = c.now
+	do()
 }
 
-func (c *Core) setWaitingFor(id string, l []string) {
-	if len(l) > 0 {
-		c.waitingFor[id] = l
+// proposeOnce proposes an entry, throttled by what it does.
+func (c *Core) proposeOnce(what string, e *fleet.Entry) {
+	c.throttle(what, func() { c.propose(e) })
+}
+
+// setWaitingFor notes which controllers a change or invalidation waits for.
+func (c *Core) setWaitingFor(id string, names []string) {
+	if len(names) > 0 {
+		c.waitingFor[id] = names
 	}
 }
 
-// few are those who are waited for, some of each run.
+// waitingForExcerpt is a bounded part of waitingFor, to be reported to controllers.
 func (c *Core) waitingForExcerpt() map[string][]string {
 	if len(c.waitingFor) == 0 {
 		return nil
 	}
-	m := map[string][]string{}
-	for id, l := range c.waitingFor {
-		if len(m) < 32 {
-			m[id] = l[:min(len(l), 16)]
+	excerpt := map[string][]string{}
+	for id, names := range c.waitingFor {
+		if len(excerpt) < maxReportedWaits {
+			excerpt[id] = names[:min(len(names), maxReportedNames)]
 		}
 	}
-	return m
+	return excerpt
 }
 
-func nameList(l []string) string {
-	text := ""
-	for i, name := range l[:min(len(l), 5)] {
-		if i > 0 {
-			text += ", "
-		}
-		text += name
-	}
-	if len(l) > 5 {
-		text += fmt.Sprintf(" and %d more", len(l)-5)
+// nameList writes out the first of some names, for the reason of a withdrawal.
+func nameList(names []string) string {
+	text := strings.Join(names[:min(len(names), maxNamesInWithdrawals)], ", ")
+	if len(names) > maxNamesInWithdrawals {
+		text += fmt.Sprintf(" and %d more", len(names)-maxNamesInWithdrawals)
 	}
 	return text
 }
--- a/internal/fleet/node/lease.go
+++ b/internal/fleet/node/lease.go
@@ -9,34 +9,72 @@
 	"railrelay.dev/railrelay/internal/fleet"
 )
 
-// pending is a lease that counts once the record up to index is applied.
+const (
+	maxRenewalInterval = 500 * time.Millisecond
+	minRenewalInterval = 10 * time.Millisecond
+	renewalsPerLease   = 4 // so that a lost one doesn't end the lease
+	// refusedTimerInterval is how far apart timers are once the controller was refused for
+	// good: it asks no more.
+	refusedTimerInterval = time.Minute
+)
+
+// leaseState is a controller's own lease and how it asks for it. A lease counts from when
+// it was asked for, by this controller's clock, and only once the log is applied up to the
+// index that the grant names: what is forbidden by then is known here.
+//
+// A lease goes from requested (a renewal is sent) to granted (pendingLeases) to active
+// (now < leaseUntil) to ended; each renewal starts another one beside it.
+type leaseState struct {
+	// The leader, as far as is known, and the way to it.
+	leader    string // "": not known
+	voterHint int    // which voter is asked next while no leader is known
+	routes    routes
+
+	// Renewals.
+	renewalSeq      uint64 // of the last one
+	renewAt         time.Duration
+	unansweredSince time.Duration // when the first one that wasn't answered was sent, 0: none
+	unreported      bool          // something that a renewal reports has changed since the last one
+
+	// The lease.
+	pendingLeases      []pendingLease
+	leaseUntil         time.Duration
+	confinedLeaseUntil time.Duration // the same for confined tenants and kept results
+	caughtUp           bool          // a lease was active in this incarnation: what came before is known
+	refusedReason      string        // why no lease will ever be granted, "": it may
+
+	// leaderWaitsFor are controllers that the leader waits for, some of them, by change or
+	// invalidation, as the last grant reported.
+	leaderWaitsFor map[string][]string
+}
+
+// pendingLease is a granted lease that counts once the log up to index is applied.
 type pendingLease struct {
 	askedAt time.Duration
 	index   uint64
 }
 
-// every is how often a lease is asked for: the shorter one must go on, too.
+// renewalInterval is how often a lease is asked for: often enough for the shorter one.
 func (c *Core) renewalInterval() time.Duration {
 	span := c.shorterLease()
 	if span == fleet.Forever {
-		return 500 * time.Millisecond
+		return maxRenewalInterval
 	}
-	return max(10*time.Millisecond, min(span/4, 500*time.Millisecond))
+	return max(minRenewalInterval, min(span/renewalsPerLease, maxRenewalInterval))
 }
 
-// renew asks for the lease when it is time, or tells at once what is new.
+// renewLease asks for the lease when it is time, or at once when it has something to report.
 func (c *Core) renewLease() {
 	if c.refusedReason != "" {
-		c.renewAt = c.now + time.Minute
+		c.renewAt = c.now + refusedTimerInterval
 		return
 	}
 	if c.now < c.renewAt && !c.unreported {
 		return
 	}
-	if c.isLeader { // a late word of another leader must not have it ask elsewhere
+	if c.isLeader { // a late message that names another leader must not have it ask elsewhere
 		c.leader = c.config.Self.Name
-	}
-	if c.leader == c.config.Self.Name && !c.isLeader { // another may not have heard yet that it leads no more
+	} else if c.leader == c.config.Self.Name { // another may not know yet that it no longer leads
 		c.leader = ""
 	}
 	upstreams := c.upstreams()
@@ -48,22 +86,38 @@
 	if c.unansweredSince == 0 {
 		c.unansweredSince = c.now
 	}
+	renewal := c.nextRenewal()
+	for _, to := range upstreams {
+		c.send(to.Name, to.Address, &Message{Renewal: renewal})
+	}
+}
+
+// nextRenewal reports what the leader needs to know of this controller.
+func (c *Core) nextRenewal() *LeaseRenewal {
 	c.renewalSeq++
-	r := &LeaseRenewal{Member: c.config.Self, Incarnation: c.config.Incarnation, Seq: c.renewalSeq, SentAt: int64(c.now), AppliedIndex: c.state.Index, Votes: c.consensus != nil, PolicyVersion: c.servedVersion, FencedFor: c.fenceConfirmedFor,
-		ServingSites: c.servingSites, AttemptsOutside: c.attemptsOutside}
-	if u := c.state.Under(); u != nil {
-		if k := c.validations[u.ID]; k != nil && k.done {
-			r.ValidationResults = map[string]string{u.ID: k.reason}
+	renewal := &LeaseRenewal{
+		Member:          c.config.Self,
+		Incarnation:     c.config.Incarnation,
+		Seq:             c.renewalSeq,
+		SentAt:          int64(c.now),
+		AppliedIndex:    c.state.Index,
+		Votes:           c.consensus != nil,
+		PolicyVersion:   c.servedVersion,
+		FencedFor:       c.fenceConfirmedFor,
+		ServingSites:    c.servingSites,
+		AttemptsOutside: c.attemptsOutside,
+	}
+	if change := c.state.Under(); change != nil {
+		if v := c.validations[change.ID]; v != nil && v.done {
+			renewal.ValidationResults = map[string]string{change.ID: v.reason}
 		}
 	}
-	r.Tombstoned = append(r.Tombstoned, sorted(c.tombstoned)...)
-	r.Erased = maps.Clone(c.erased)
-	for _, to := range upstreams {
-		c.send(to.Name, to.Address, &Message{Renewal: r})
-	}
+	renewal.Tombstoned = append(renewal.Tombstoned, sorted(c.tombstoned)...)
+	renewal.Erased = maps.Clone(c.erased)
+	return renewal
 }
 
-// granted: the leader's word on a Renew.
+// receiveGrant takes the answer to a renewal, from the leader, a relay or another controller.
 func (c *Core) receiveGrant(from string, g *LeaseGrant) {
 	if g.Incarnation != c.config.Incarnation || g.Seq > c.renewalSeq {
 		return
@@ -72,80 +126,99 @@
 		c.stopForGood(g.RefusedReason)
 		return
 	}
-	if route := c.routeOf(from); g.Granted || route == len(c.config.Relays) { // one that is no relay only names the leader
-		c.routes.recordAnswer(route, c.now, c.unansweredSince > 0, firstRelayRetryIntervals*c.renewalInterval())
+	route := c.routeOf(from)
+	if g.Granted || route == len(c.config.Relays) { // a relay that leads nowhere hasn't answered
+		retryFirstAfter := firstRelayRetryIntervals * c.renewalInterval()
+		c.routes.recordAnswer(route, c.now, c.unansweredSince > 0, retryFirstAfter)
 		c.unansweredSince = 0
 	}
 	if !g.Granted {
-		if g.Leader == c.config.Self.Name { // it led, and another may not know better yet
-			return
-		}
-		if g.Leader != c.leader && (c.consensus == nil || g.Leader != "") || c.leader == "" {
-			if c.leader = g.Leader; c.leader != "" && c.leader != from {
-				c.renewAt = c.now
-			}
-		}
+		c.learnLeader(from, g.Leader)
 		return
 	}
 	if c.consensus == nil {
 		c.leader = cmp.Or(g.Leader, from)
 	}
 	c.leaderWaitsFor = g.WaitingFor
-	c.pendingLeases = append(c.pendingLeases, pendingLease{time.Duration(g.SentAt), g.RequiredIndex})
+	c.pendingLeases = append(c.pendingLeases, pendingLease{askedAt: time.Duration(g.SentAt), index: g.RequiredIndex})
 	c.activateLeases()
 }
 
-// withholdLease sets what a controller may do by the record that it kept, before a leader has
-// answered it: nothing. Changes and purges may have been decided while it was down, so
-// it holds no lease and serves nobody until it has caught up.
+// learnLeader takes the leader that another controller names, "": it knows none, and asks
+// that one at once. A voter learns from consensus that there is none.
+func (c *Core) learnLeader(from, leader string) {
+	if leader == c.config.Self.Name { // it led, and the other may not know better yet
+		return
+	}
+	changed := leader != c.leader && (c.consensus == nil || leader != "")
+	if !changed && c.leader != "" {
+		return
+	}
+	c.leader = leader
+	if c.leader != "" && c.leader != from {
+		c.renewAt = c.now
+	}
+}
+
+// withholdLease sets what a controller may do by the log that it persisted, before a
+// leader has answered it: nothing. Changes and invalidations may have been committed while
+// it was down, so it holds no lease and serves nobody until it has caught up.
 func (c *Core) withholdLease() {
 	c.caughtUp = false
-	c.leaseUntil, c.confinedLeaseUntil = 0, 0
+	c.leaseUntil = 0
+	c.confinedLeaseUntil = 0
 }
 
-// lease makes those leases count whose record is applied. It counts from when it was
-// asked for, by this controller's own clock.
+// activateLeases makes those granted leases count whose log index is applied.
 func (c *Core) activateLeases() {
-	until, bound := c.leaseUntil, c.confinedLeaseUntil // apart: the one may have no end, and the other must go on
+	// The two end apart: the one may have no end, and the other must go on.
+	until := c.leaseUntil
+	confinedUntil := c.confinedLeaseUntil
 	c.pendingLeases = slices.DeleteFunc(c.pendingLeases, func(p pendingLease) bool {
 		if p.index > c.state.Index {
 			return c.config.Lease != fleet.Forever && c.now-p.askedAt > c.config.Lease
 		}
-		until, bound = max(until, c.leaseEnd(p.askedAt, c.config.Lease)), max(bound, c.leaseEnd(p.askedAt, c.config.ConfinedLease))
+		until = max(until, leaseEnd(p.askedAt, c.config.Lease))
+		confinedUntil = max(confinedUntil, leaseEnd(p.askedAt, c.config.ConfinedLease))
 		return true
 	})
-	if until <= c.leaseUntil && bound <= c.confinedLeaseUntil || c.stateError != nil || c.refusedReason != "" {
+	isLonger := until > c.leaseUntil || confinedUntil > c.confinedLeaseUntil
+	if !isLonger || c.stateError != nil || c.refusedReason != "" {
 		return
 	}
 	if !c.caughtUp {
 		c.caughtUp = true
-		c.logf(false, "the record is caught up with, at %d", c.state.Index)
+		c.logf(false, "caught up with the replicated log, at index %d", c.state.Index)
 	}
-	c.leaseUntil, c.confinedLeaseUntil = until, bound
+	c.leaseUntil = until
+	c.confinedLeaseUntil = confinedUntil
 	c.orderOutstanding() // before the lease: what is forbidden by now must be known first
-	c.emit(Effect{Kind: OrderController, Order: fleet.Order{Kind: fleet.Renewed, Until: until, UntilBound: bound}})
+	c.orderController(fleet.Order{Kind: fleet.Renewed, Until: until, UntilBound: confinedUntil})
 }
 
-func (c *Core) leaseEnd(from, span time.Duration) time.Duration {
-	if span == fleet.Forever {
+// leaseEnd is when a lease ends that was asked for at a time.
+func leaseEnd(askedAt, lease time.Duration) time.Duration {
+	if lease == fleet.Forever {
 		return fleet.Forever
 	}
-	return from + span
+	return askedAt + lease
 }
 
-// serves: it holds a lease and decides by the version in force.
+// serves reports whether this controller holds a lease and decides by the committed policy.
 func (c *Core) serves() bool {
 	return c.now < c.leaseUntil && c.servedVersion == c.state.Version && c.fenceOrderedFor == ""
 }
 
-// unwanted: this name or disk never serves again. What it holds ends now, since a lease
+// stopForGood ends this name's and disk's part in the fleet. Its lease ends now, since one
 // without an end wouldn't by itself.
-func (c *Core) stopForGood(why string) {
+func (c *Core) stopForGood(reason string) {
 	if c.refusedReason != "" {
 		return
 	}
-	c.refusedReason = why
-	c.logError(&fleet.UnwantedError{Name: c.config.Self.Name, Why: why})
-	c.pendingLeases, c.leaseUntil, c.confinedLeaseUntil = nil, 0, 0
-	c.emit(Effect{Kind: OrderController, Order: fleet.Order{Kind: fleet.Renewed}})
+	c.refusedReason = reason
+	c.logError(&fleet.UnwantedError{Name: c.config.Self.Name, Why: reason})
+	c.pendingLeases = nil
+	c.leaseUntil = 0
+	c.confinedLeaseUntil = 0
+	c.orderController(fleet.Order{Kind: fleet.Renewed})
 }
--- a/internal/fleet/node/lease_granting.go
+++ b/internal/fleet/node/lease_granting.go
@@ -137,7 +137,7 @@
 	if c.isLeader {
 		c.expireCoverage()
 	}
-	if c.isLeader && len(c.toConfirm) > 0 && len(c.confirming) == 0 && c.now >= c.leading.confirmAskedAt+c.batchingDelay() {
+	if c.isLeader && len(c.toConfirm) > 0 && len(c.confirming) == 0 && c.now >= c.confirmAskedAt+c.batchingDelay() {
 		c.confirmLeadership()
 	}
 }
@@ -155,8 +155,8 @@
 			c.peers[q.name].leaseAskedAt = q.receivedAt
 		}
 	}
-	c.leading.confirmAskedAt = c.now
-	c.performConsensus(c.consensus.Step(c.now, consensus.Event{Kind: consensus.Confirm, Handle: c.confirmHandle}))
+	c.confirmAskedAt = c.now
+	c.stepConsensus(consensus.Event{Kind: consensus.Confirm, Handle: c.confirmHandle})
 }
 
 func (c *Core) leadershipConfirmed(handle, index uint64) {
--- a/internal/fleet/node/log_follower.go
+++ b/internal/fleet/node/log_follower.go
@@ -6,29 +6,31 @@
 	"railrelay.dev/railrelay/internal/fleet/consensus"
 )
 
-// Following.
+const (
+	entriesPerMessage   = 512             // log entries in a LogUpdate
+	followerSilentAfter = 5 * time.Second // a follower not heard of for so long is sent nothing
+	// votedOutElections, times the election timeout without a word of another voter: then
+	// a LogUpdate that is ahead says that the others vote without this controller.
+	votedOutElections = 2
+)
 
-// followed takes what the leader passes on to those who don't vote.
-func (c *Core) receiveLogUpdate(from string, f *LogUpdate) {
-	c.stopVoting() // who leads passes the record on to those only who don't vote with it
-	if c.consensus != nil && !c.isLeader && f.CommittedIndex > c.state.Index && c.now-c.voterHeardAt > 2*c.config.ElectionTimeout {
-		// It was voted out while it was away, and can't learn that from agreement.
-		c.consensus, c.leader, c.votedOut = nil, f.Leader, true
-		c.persistIndex = c.state.Index
-		c.logf(true, "this controller votes no more: others do by now")
-	}
+// receiveLogUpdate takes log entries or a snapshot that the leader or a relay sends to
+// controllers that don't vote.
+func (c *Core) receiveLogUpdate(from string, update *LogUpdate) {
+	c.stopVoting() // a leader sends these only to controllers that don't vote with it
+	c.stopVotingIfVotedOut(update)
 	if c.consensus != nil {
 		return
 	}
-	if f.Leader != "" {
-		c.leader = f.Leader
+	if update.Leader != "" {
+		c.leader = update.Leader
 	}
-	if s := f.Snapshot; s != nil && s.Index > c.persistIndex {
+	if s := update.Snapshot; s != nil && s.Index > c.persistIndex {
 		c.persistIndex = s.Index
 		c.persist(&consensus.Kept{Snapshot: s}, func() { c.restoreSnapshot(s) })
 	}
 	var fresh []consensus.Record
-	for _, r := range f.Entries {
+	for _, r := range update.Entries {
 		if r.Index == c.persistIndex+1 {
 			fresh = append(fresh, r)
 			c.persistIndex = r.Index
@@ -41,39 +43,61 @@
 			}
 			c.unreported = true
 		})
-	} else if f.CommittedIndex > c.persistIndex {
+	} else if update.CommittedIndex > c.persistIndex {
 		c.send(from, c.addressOf(from), &Message{LogRequest: &LogRequest{FromIndex: c.persistIndex + 1}})
 	}
 }
 
-const (
-	entriesPerMessage   = 512             // records in a message
-	followerSilentAfter = 5 * time.Second // who wasn't heard of for so long is sent nothing
-)
+// stopVotingIfVotedOut ends voting where this controller was voted out while it was away:
+// it can't learn that from consensus, whose messages no longer come.
+func (c *Core) stopVotingIfVotedOut(update *LogUpdate) {
+	switch {
+	case c.consensus == nil, c.isLeader, update.CommittedIndex <= c.state.Index:
+		return
+	case c.now-c.voterHeardAt <= votedOutElections*c.config.ElectionTimeout:
+		return
+	}
+	c.consensus = nil
+	c.leader = update.Leader
+	c.votedOut = true
+	c.persistIndex = c.state.Index
+	c.logf(true, "this controller votes no more: others do by now")
+}
+
+// receiveLogRequest sends a follower its entries from the one on that it lacks.
+func (c *Core) receiveLogRequest(from string, request *LogRequest) {
+	if f := c.followerOf(from); f != nil {
+		f.nextIndex = request.FromIndex
+		c.followersBehind = true
+	}
+}
 
-// follower is how far a controller has come that the record is passed on to, by the
-// leader or by the relay that it asks.
+// follower is how far a controller has come that the log is sent to, by the leader or by
+// the relay that it asks.
 type follower struct {
 	heardAt      time.Duration
-	appliedIndex uint64        // as it told
-	nextIndex    uint64        // the record that it is sent next, 0: it is sent none
-	sentAt       time.Duration // when it was sent some
-	isVoter      bool          // agreement brings it the record
+	appliedIndex uint64        // as it reported
+	nextIndex    uint64        // of the entry that it is sent next, 0: it is sent none
+	sentAt       time.Duration // when it was last sent entries
+	isVoter      bool          // consensus brings it the log
 }
 
-// told takes what a controller's renewal says; every is how often it tells.
-func (f *follower) updateFrom(r *LeaseRenewal, now, every time.Duration) {
-	f.heardAt, f.appliedIndex, f.isVoter = now, r.AppliedIndex, r.Votes
-	lost := f.nextIndex > r.AppliedIndex+1 && now-f.sentAt > every
+// updateFrom takes what a controller's renewal reports. What it was sent more than an
+// interval ago and hasn't applied is taken for lost, and sent again.
+func (f *follower) updateFrom(r *LeaseRenewal, now, interval time.Duration) {
+	f.heardAt = now
+	f.appliedIndex = r.AppliedIndex
+	f.isVoter = r.Votes
+	lost := f.nextIndex > r.AppliedIndex+1 && now-f.sentAt > interval
 	if f.nextIndex == 0 || lost {
 		f.nextIndex = r.AppliedIndex + 1
 	}
 }
 
-// passesOn tells whether this controller brings the record to others.
+// sendsLog reports whether this controller sends the log to others.
 func (c *Core) sendsLog() bool { return c.isLeader || c.aggregator != nil }
 
-// followerOf is a controller that this one brings the record to, nil: it doesn't.
+// followerOf is a controller that this one sends the log to, nil: it doesn't.
 func (c *Core) followerOf(name string) *follower {
 	if c.isLeader {
 		if p := c.peers[name]; p != nil {
@@ -89,7 +113,7 @@
 	return nil
 }
 
-// follow passes the record on to those who follow.
+// sendLog sends its followers what they lack.
 func (c *Core) sendLog() {
 	if !c.followersBehind || !c.sendsLog() {
 		return
@@ -106,13 +130,13 @@
 	}
 }
 
-// passTo sends a follower what it lacks of the record, or a snapshot where that is kept
-// no more.
+// sendLogTo sends a follower the entries that it lacks, or a snapshot where those are no
+// longer kept.
 func (c *Core) sendLogTo(name string, f *follower) {
 	switch {
-	case name == c.config.Self.Name, f.nextIndex == 0, f.nextIndex > c.state.Index, c.now-f.heardAt > followerSilentAfter:
+	case name == c.config.Self.Name, f.isVoter && c.isVoter(name):
 		return
-	case f.isVoter && c.isVoter(name):
+	case f.nextIndex == 0, f.nextIndex > c.state.Index, c.now-f.heardAt > followerSilentAfter:
 		return
 	}
 	f.sentAt = c.now
--- a/internal/fleet/node/node.go
+++ b/internal/fleet/node/node.go
@@ -13,76 +13,74 @@
 
 // Core is one controller's part in the fleet.
 type Core struct {
-	config     Config
-	now        time.Duration
-	effects    []Effect
-	state      *statemachine.State
-	stateError fleet.Remedied // what keeps this controller from ever serving
-
-	consensus            *consensus.Core // nil: it only follows
-	voters               []consensus.Voter
-	recentEntries        []consensus.Record // since a little before the last snapshot, for those who follow
-	appliedTerm          uint64             // of the last record applied
-	entriesSinceSnapshot int                // records since the last snapshot
-	pendingWrites        []*pendingWrite
-	voterHeardAt         time.Duration      // when agreement last heard of another voter
-	votedOut             bool               // others vote by now, and the record up to here doesn't tell yet
-	hardState            []byte             // what it voted for last, as agreement has it
-	consensusEffects     []consensus.Effect // not performed yet
-	performing           bool
-	persistIndex         uint64 // the last record that is stored or being stored, where it only follows
-
-	aggregator     *renewalAggregator // nil: this controller is no relay
+	config  Config
+	now     time.Duration // of the present Step
+	started bool          // the first event has come: before it there is no clock
+	effects []Effect      // of the present Step
+
+	// The replicated log as applied here.
+	state          *statemachine.State
+	stateError     fleet.Remedied // an entry or snapshot can't be applied: this controller never serves
+	appliedTerm    uint64         // of the last entry applied
+	recentEntries  []consensus.Record
+	latestSnapshot *consensus.Snapshot // for followers that lag far behind; nil: none was needed yet
 	roster         roster
-	started        bool                // the first event has come: before it there is no clock
-	latestSnapshot *consensus.Snapshot // of the state, for those far behind; nil: none was asked for yet
 
-	member
-	leading
-	requests []*operatorRequest
-	Counts   map[string]int // of what was refused or odd, for the status
+	// Consensus among the voters.
+	consensus        *consensus.Core // nil: this controller only follows the log
+	voters           []consensus.Voter
+	voterHeardAt     time.Duration      // when a message of another voter last came
+	votedOut         bool               // others vote by now, though the log as applied here doesn't say so yet
+	hardState        []byte             // its last vote and term, as consensus encodes them
+	consensusEffects []consensus.Effect // not performed yet
+	performing       bool               // performConsensus is under way further up the stack
+
+	// The disk.
+	pendingWrites        []*pendingWrite // the first one is under way
+	entriesSinceSnapshot int
+	persistIndex         uint64 // where it only follows: the last entry that is persisted or being persisted
+
+	leaseState
+	controllerState
+	leaderState
+	aggregator *renewalAggregator // nil: this controller is no relay
+	requests   []*operatorRequest // not answered yet
+
+	// Counts has how often something was refused or odd, for the status.
+	Counts map[string]int
 }
 
-// New makes a controller's part and what it does first.
-func New(b Config) (*Core, []Effect, error) {
-	b.Lease, b.ConfinedLease = foreverIfZero(b.Lease), foreverIfZero(b.ConfinedLease)
-	if b.ConfinedLease == fleet.Forever {
-		b.ConfinedLease = b.Lease
+// New starts a controller's part from what was persisted and returns its first effects.
+func New(config Config) (*Core, []Effect, error) {
+	config.Lease = foreverIfZero(config.Lease)
+	config.ConfinedLease = foreverIfZero(config.ConfinedLease)
+	if config.ConfinedLease == fleet.Forever {
+		config.ConfinedLease = config.Lease
+	}
+	if config.SnapshotAfterEntries == 0 {
+		config.SnapshotAfterEntries = defaultSnapshotAfterEntries
 	}
-	if b.SnapshotAfterEntries == 0 {
-		b.SnapshotAfterEntries = defaultSnapshotAfterEntries
+	c := &Core{
+		config:          config,
+		state:           statemachine.NewState(),
+		voters:          config.Voters,
+		controllerState: newControllerState(),
+		Counts:          map[string]int{},
 	}
-	c := &Core{config: b, state: statemachine.NewState(), Counts: map[string]int{}}
-	c.member.init()
+	c.leaderWaitsFor = map[string][]string{}
 	c.resetRoster()
 	c.resetAggregator()
-	c.voters = b.Voters
-	if s := b.Persisted.Snapshot; s != nil {
+	if s := config.Persisted.Snapshot; s != nil {
 		state, err := statemachine.DecodeState(s.Data)
 		if err != nil {
 			return nil, nil, err
 		}
 		c.state, c.appliedTerm = state, s.Term
 	}
-	c.persistIndex, c.hardState = c.state.Index, b.Persisted.Hard
-	// A snapshot that doesn't tell who votes was taken while it followed. What the disk
-	// holds after it may be agreement's and not decided yet, if it ever voted.
-	followed := b.Persisted.Snapshot != nil && len(b.Persisted.Snapshot.Conf) == 0
-	if named := c.namedToVote(); followed && b.Persisted.Hard != nil {
-		c.logf(false, "what was kept after %d is asked for anew", c.state.Index)
-	} else if (named || b.Persisted.Hard != nil) && !followed {
-		voters := b.Voters
-		if !named || b.Persisted.Hard != nil { // the log tells
-			voters = nil
-		}
-		if err := c.startConsensus(b.Persisted, voters); err != nil {
-			return nil, nil, err
-		}
-	} else {
-		for _, r := range b.Persisted.Records {
-			c.persistIndex = max(c.persistIndex, r.Index)
-			c.applyEntry(r)
-		}
+	c.persistIndex = c.state.Index
+	c.hardState = config.Persisted.Hard
+	if err := c.restorePersisted(); err != nil {
+		return nil, nil, err
 	}
 	c.stopIfForgotten()
 	c.withholdLease()
@@ -90,7 +88,35 @@
 	return c, c.effects, nil
 }
 
-// Step takes an event and gives the effects it leads to, valid until the next.
+// restorePersisted continues from the persisted entries, as a voter or a follower.
+func (c *Core) restorePersisted() error {
+	persisted := c.config.Persisted
+	named := c.namedToVote()
+	hasVoted := persisted.Hard != nil
+	// A snapshot that doesn't tell who votes was taken while this controller followed.
+	// Entries persisted after it may be consensus's and not committed, if it ever voted.
+	snapshotAsFollower := persisted.Snapshot != nil && len(persisted.Snapshot.Conf) == 0
+	switch {
+	case snapshotAsFollower && hasVoted:
+		c.logf(false, "log entries after %d are requested again: they may not be committed", c.state.Index)
+		return nil
+	case (named || hasVoted) && !snapshotAsFollower:
+		voters := c.config.Voters
+		if !named || hasVoted { // the log tells
+			voters = nil
+		}
+		return c.startConsensus(persisted, voters)
+	}
+	for _, r := range persisted.Records {
+		c.persistIndex = max(c.persistIndex, r.Index)
+		c.applyEntry(r)
+	}
+	return nil
+}
+
+// Step takes an event and returns the effects it leads to, in the order in which they are
+// to be performed. The slice is valid until the next Step. A now before that of the
+// last Step counts as the last one's.
 func (c *Core) Step(now time.Duration, ev Event) []Effect {
 	c.now = max(now, c.now)
 	if !c.started {
@@ -116,10 +142,10 @@
 	return c.effects
 }
 
-// settle does what is due and what has become possible.
+// advance does what is due and what has become possible. The order is that of the effects.
 func (c *Core) advance() {
 	if c.consensus != nil && c.now >= c.consensus.Due() {
-		c.performConsensus(c.consensus.Step(c.now, consensus.Event{Kind: consensus.Tick}))
+		c.stepConsensus(consensus.Event{Kind: consensus.Tick})
 	}
 	if c.consensus != nil && !c.isVoter(c.config.Self.Name) {
 		c.stopVoting()
@@ -135,18 +161,15 @@
 	c.setTimer()
 }
 
+// receive takes a message from another controller, or from this one.
 func (c *Core) receive(m *Message) {
-	if have := c.state.Members[m.From]; have != nil && m.Renewal == nil && (have.Forgotten || have.Disk != "" && have.Disk != m.Disk) {
-		// one that lost its disk may have forgotten what it voted for
+	if m.Renewal == nil && c.isForeignDisk(m.From, m.Disk) {
 		c.Counts["of another disk"]++
 		return
 	}
 	switch {
-	case len(m.Consensus) > 0 && c.consensus == nil:
-		c.votedOut = false // it is counted among those who vote
-	case len(m.Consensus) > 0 && c.consensus != nil:
-		c.voterHeardAt = c.now
-		c.performConsensus(c.consensus.Step(c.now, consensus.Event{Kind: consensus.Message, From: m.From, Bytes: m.Consensus}))
+	case len(m.Consensus) > 0:
+		c.receiveConsensus(m.From, m.Consensus)
 	case m.Renewal != nil:
 		c.receiveRenewal(m.From, m.Disk, m.Renewal)
 	case m.Grant != nil:
@@ -158,9 +181,7 @@
 	case m.RelayedGrants != nil:
 		c.receiveRelayedGrants(m.From, m.RelayedGrants)
 	case m.LogRequest != nil:
-		if f := c.followerOf(m.From); f != nil {
-			f.nextIndex, c.followersBehind = m.LogRequest.FromIndex, true
-		}
+		c.receiveLogRequest(m.From, m.LogRequest)
 	case m.Ask != nil && c.isLeader:
 		c.propose(c.logEntryFor(m.Ask))
 	case m.Ask != nil && c.aggregates():
@@ -168,7 +189,15 @@
 	}
 }
 
-// send passes a message on; one to itself comes at once.
+// isForeignDisk reports whether the log has the sender's name with another disk, or as
+// forgotten. A controller that lost its disk may have lost its vote with it. Renewals
+// are taken anyway: their answer says that the name is refused.
+func (c *Core) isForeignDisk(from, disk string) bool {
+	m := c.state.Members[from]
+	return m != nil && (m.Forgotten || m.Disk != "" && m.Disk != disk)
+}
+
+// send sends a message; one to this controller itself is received at once.
 func (c *Core) send(to, address string, m *Message) {
 	m.From, m.To, m.Disk = c.config.Self.Name, to, c.config.Self.Disk
 	if to == c.config.Self.Name {
@@ -180,7 +209,7 @@
 	}
 }
 
-// addressOf is where a controller is reached.
+// addressOf is where a controller is reached, "": not known.
 func (c *Core) addressOf(name string) string {
 	if m := c.state.Members[name]; m != nil && m.Peer != "" {
 		return m.Peer
@@ -193,23 +222,12 @@
 	return ""
 }
 
-// wake asks to be woken when the next thing is due.
+// setTimer asks for a TimerFired when the next thing is due.
 func (c *Core) setTimer() {
-	at := c.renewAt
+	at := min(c.renewAt, c.leaderDue(), c.aggregateDue())
 	if c.consensus != nil {
 		at = min(at, c.consensus.Due())
 	}
-	if c.isLeader && c.hasWork() {
-		if drive := c.evaluatedAt + c.config.HeartbeatInterval/2; drive > c.now {
-			at = min(at, drive)
-		} else { // it waits for a confirmation
-			at = min(at, c.now+c.config.HeartbeatInterval/4)
-		}
-	}
-	if c.isLeader && len(c.toConfirm) > 0 && len(c.confirming) == 0 {
-		at = min(at, c.leading.confirmAskedAt+c.batchingDelay())
-	}
-	at = min(at, c.aggregateDue())
 	if c.sendsLog() && c.followersBehind { // one that lacks more than a message holds
 		at = c.now
 	}
@@ -221,6 +239,7 @@
 
 func (c *Core) emit(e Effect) { c.effects = append(c.effects, e) }
 
+// logf logs a line; a loud one is written at every log level.
 func (c *Core) logf(loud bool, form string, args ...any) {
 	c.emit(Effect{Kind: LogMessage, Loud: loud, LogText: fmt.Sprintf(form, args...)})
 }
@@ -229,12 +248,13 @@
 	c.emit(Effect{Kind: LogMessage, Loud: true, Err: err, LogText: err.Error()})
 }
 
-// State is what the record says here, for tests; it must not be changed.
+// State is the replicated log as applied here, for tests; it must not be changed.
 func (c *Core) State() *statemachine.State { return c.state }
 
-// Leads tells whether this controller leads, as far as it knows.
+// Leads reports whether this controller leads, as far as it knows.
 func (c *Core) Leads() bool { return c.isLeader }
 
+// sorted returns the keys of m in order.
 func sorted[T any](m map[string]T) (l []string) {
 	for k := range m {
 		l = append(l, k)
--- a/internal/fleet/node/replicated_log.go
+++ b/internal/fleet/node/replicated_log.go
@@ -6,8 +6,8 @@
 	"railrelay.dev/railrelay/internal/fleet/statemachine"
 )
 
-// apply takes the next record. What it asks of the reducer is worked out afterwards,
-// from the state alone, so that a snapshot leads to the same.
+// applyEntry applies the next committed entry. What it asks of the request side is worked
+// out afterwards, from the state alone, so that a snapshot leads to the same.
 func (c *Core) applyEntry(r consensus.Record) {
 	if r.Index <= c.state.Index || c.stateError != nil {
 		return
@@ -16,22 +16,24 @@
 	if r.Conf {
 		data = nil
 	}
-	before, members := c.state.Version, len(c.state.Members)
+	versionBefore := c.state.Version
+	membersBefore := len(c.state.Members)
 	if err := c.state.Apply(r.Index, data); err != nil {
 		c.stateError = err.(fleet.Remedied)
 		c.logError(c.stateError)
 		return
 	}
-	c.updateRoster(members)
+	c.updateRoster(membersBefore)
 	c.appliedTerm = r.Term
 	c.recentEntries = append(c.recentEntries, r)
 	c.entriesSinceSnapshot++
-	if c.state.Version != before {
+	if c.state.Version != versionBefore {
 		c.logf(true, "policy: version %d is in force", c.state.Version)
 	}
 	c.stateChanged()
 }
 
+// restoreSnapshot replaces the state by a later one.
 func (c *Core) restoreSnapshot(s *consensus.Snapshot) {
 	if s == nil || s.Index <= c.state.Index || c.stateError != nil {
 		return
@@ -42,23 +44,27 @@
 		c.logError(c.stateError)
 		return
 	}
-	c.state, c.appliedTerm, c.recentEntries, c.entriesSinceSnapshot = state, s.Term, nil, 0
+	c.state = state
+	c.appliedTerm = s.Term
+	c.recentEntries = nil
+	c.entriesSinceSnapshot = 0
 	c.resetRoster()
 	c.persistIndex = max(c.persistIndex, s.Index)
 	c.stateChanged()
 }
 
-// moved: the state has changed.
+// stateChanged draws the consequences of entries or a snapshot just applied.
 func (c *Core) stateChanged() {
-	c.reevaluate, c.followersBehind = true, true
+	c.reevaluate = true
+	c.followersBehind = true
 	c.stopIfForgotten()
 	c.activateLeases()
 	c.orderOutstanding()
 }
 
-// bury ends this controller's part where the record says that its disk is destroyed.
+// stopIfForgotten ends this controller's part where the log says that its disk is destroyed.
 func (c *Core) stopIfForgotten() {
 	if m := c.state.Members[c.config.Self.Name]; m != nil && m.Forgotten {
-		c.stopForGood("its name was forgotten: the disk that had it is taken for destroyed")
+		c.stopForGood(forgottenName)
 	}
 }
--- a/internal/fleet/node/voting.go
+++ b/internal/fleet/node/voting.go
@@ -7,32 +7,63 @@
 	"railrelay.dev/railrelay/internal/fleet/statemachine"
 )
 
-// voteWith begins to vote.
+// startConsensus makes this controller a voter, from what it persisted. voters are those
+// of the set-up, nil where the log tells.
 func (c *Core) startConsensus(kept consensus.Kept, voters []consensus.Voter) error {
-	vote, effects, err := consensus.New(consensus.Begin{Self: c.config.Self.Name, Voters: voters, Kept: kept, Seed: c.config.Seed, Election: c.config.ElectionTimeout,
-		Heartbeat: c.config.HeartbeatInterval})
+	core, effects, err := consensus.New(consensus.Begin{
+		Self:      c.config.Self.Name,
+		Voters:    voters,
+		Kept:      kept,
+		Seed:      c.config.Seed,
+		Election:  c.config.ElectionTimeout,
+		Heartbeat: c.config.HeartbeatInterval,
+	})
 	if err != nil {
 		return err
 	}
-	c.consensus = vote
+	c.consensus = core
 	c.performConsensus(effects)
 	return nil
 }
 
-// votes: this controller is named to vote, by the record or, before that tells, by the set-up.
+// namedToVote reports whether this controller is named to vote, by the log or, before
+// the log names voters, by the set-up.
 func (c *Core) namedToVote() bool {
 	if len(c.state.Voters) > 0 {
-		return slices.ContainsFunc(c.state.Voters, func(v string) bool { n, _ := statemachine.VoterOf(v); return n == c.config.Self.Name })
+		return slices.ContainsFunc(c.state.Voters, func(v string) bool {
+			name, _ := statemachine.VoterOf(v)
+			return name == c.config.Self.Name
+		})
 	}
-	return slices.ContainsFunc(c.config.Voters, func(v consensus.Voter) bool { return v.Name == c.config.Self.Name })
+	return containsVoter(c.config.Voters, c.config.Self.Name)
 }
 
-func (c *Core) isVoter(name string) bool {
-	return slices.ContainsFunc(c.voters, func(v consensus.Voter) bool { return v.Name == name })
+// isVoter reports whether a controller votes, as consensus has it.
+func (c *Core) isVoter(name string) bool { return containsVoter(c.voters, name) }
+
+func containsVoter(voters []consensus.Voter, name string) bool {
+	return slices.ContainsFunc(voters, func(v consensus.Voter) bool { return v.Name == name })
+}
+
+// receiveConsensus takes a message of another voter.
+func (c *Core) receiveConsensus(from string, message []byte) {
+	if c.consensus == nil { // the others count it among the voters
+		c.votedOut = false
+		return
+	}
+	c.voterHeardAt = c.now
+	c.stepConsensus(consensus.Event{Kind: consensus.Message, From: from, Bytes: message})
+}
+
+// stepConsensus passes an event to consensus and performs what follows. This controller
+// must vote.
+func (c *Core) stepConsensus(event consensus.Event) {
+	c.performConsensus(c.consensus.Step(c.now, event))
 }
 
-// agreed performs what agreement asks for, in its order: what comes of an effect waits
-// until those before it are done.
+// performConsensus performs the effects of consensus in their order. Performing one may
+// lead to more, by a call from further down the stack: they wait until those before them
+// are done.
 func (c *Core) performConsensus(effects []consensus.Effect) {
 	c.consensusEffects = append(c.consensusEffects, effects...)
 	if c.performing {
@@ -43,54 +74,66 @@
 	for len(c.consensusEffects) > 0 {
 		e := c.consensusEffects[0]
 		c.consensusEffects = c.consensusEffects[1:]
-		switch e.Kind {
-		case consensus.Send:
-			c.send(e.To, c.addressOf(e.To), &Message{Consensus: e.Bytes})
-		case consensus.Store:
-			if e.Kept.Hard != nil {
-				c.hardState = e.Kept.Hard
-			}
-			vote := c.consensus
-			c.persist(e.Kept, func() {
-				if vote == nil || c.consensus != vote { // it votes no more
-					return
-				}
-				c.performConsensus(c.consensus.Step(c.now, consensus.Event{Kind: consensus.Stored}))
-			})
-		case consensus.Decided:
-			c.applyEntry(e.Record)
-		case consensus.Restored:
-			c.restoreSnapshot(e.Snapshot)
-		case consensus.Confirmed:
-			c.leadershipConfirmed(e.Handle, e.Index)
-		case consensus.Denied:
-			c.leadershipDenied(e.Handle)
-		case consensus.Led:
-			c.leaderChanged(e.Leader)
-		case consensus.Voting:
-			c.entriesSinceSnapshot = max(c.entriesSinceSnapshot, c.config.SnapshotAfterEntries) // who votes anew is given a snapshot that names it
-			c.voters = e.Voters
-		}
+		c.performConsensusEffect(e)
 	}
 }
 
-// takeUp begins to vote where the record names this controller, once nothing of what it
-// followed is on its way to the disk.
+func (c *Core) performConsensusEffect(e consensus.Effect) {
+	switch e.Kind {
+	case consensus.Send:
+		c.send(e.To, c.addressOf(e.To), &Message{Consensus: e.Bytes})
+	case consensus.Store:
+		c.persistConsensus(e.Kept)
+	case consensus.Decided:
+		c.applyEntry(e.Record)
+	case consensus.Restored:
+		c.restoreSnapshot(e.Snapshot)
+	case consensus.Confirmed:
+		c.leadershipConfirmed(e.Handle, e.Index)
+	case consensus.Denied:
+		c.leadershipDenied(e.Handle)
+	case consensus.Led:
+		c.leaderChanged(e.Leader)
+	case consensus.Voting:
+		// a new voter is sent a snapshot that names it
+		c.entriesSinceSnapshot = max(c.entriesSinceSnapshot, c.config.SnapshotAfterEntries)
+		c.voters = e.Voters
+	}
+}
+
+// persistConsensus persists entries and votes before consensus tells others of them.
+func (c *Core) persistConsensus(writes *consensus.Kept) {
+	if writes.Hard != nil {
+		c.hardState = writes.Hard
+	}
+	core := c.consensus
+	c.persist(writes, func() {
+		if core == nil || c.consensus != core { // it no longer votes
+			return
+		}
+		c.stepConsensus(consensus.Event{Kind: consensus.Stored})
+	})
+}
+
+// startVoting makes this controller a voter where the log names it, once nothing of what
+// it followed is on its way to the disk.
 func (c *Core) startVoting() {
 	if c.consensus != nil || c.votedOut || !c.namedToVote() || len(c.pendingWrites) > 0 || c.stateError != nil {
 		return
 	}
 	c.logf(true, "this controller votes from now on")
 	if err := c.startConsensus(consensus.Kept{Hard: consensus.Voted(c.hardState)}, nil); err != nil {
-		c.logf(true, "it can't vote: %v", err)
+		c.logf(true, "can't start voting: %v", err)
 	}
 }
 
-// retire ends voting where the record names others. Not before agreement itself counts
-// without this controller: until then it takes a majority of those who voted to change them.
+// stopVoting ends voting where the log names others. It must not be called before
+// consensus itself counts without this controller: until then, changing the voters takes
+// a majority that includes it.
 func (c *Core) stopVoting() {
 	if len(c.state.Voters) > 0 && !c.namedToVote() && !c.isLeader {
-		c.consensus, c.leader = nil, ""
+		c.consensus = nil
+		c.leader = ""
 		c.persistIndex = c.state.Index
 		c.logf(true, "this controller votes no more")
 	}
