--- a/internal/fleet/node/configuration_change.go
+++ b/internal/fleet/node/configuration_change.go
@@ -10,92 +10,136 @@
 	"railrelay.dev/railrelay/internal/fleet/statemachine"
 )
 
+// The leader's side of a configuration change. Its phases are those of the state machine,
+// so that the next leader goes on where this one ends:
+//
+//	phase       the leader waits for every controller that may hold a lease     it logs
+//	proposed    to have validated the policy                                    close (fence)
+//	closing     to be fenced: to decide nothing by the old version              force (commit)
+//	decided     to decide by the new version                                    settle
+//	in force    to have nothing left outside the zones of the new version       finish
+//
+// A change that is proposed or closing is aborted (withdraw) where a controller can't
+// serve by its policy, or where it isn't fenced within its timeout. A committed one isn't.
+
+// driveChange moves on the configuration change that is under way.
 func (c *Core) driveChange() {
-	u := c.state.Under()
-	if u == nil {
+	change := c.state.ChangeUnderWay()
+	if change == nil {
 		return
 	}
-	if _, had := c.changeSeenAt[u.ID]; !had {
-		c.changeSeenAt[u.ID] = c.now
-	}
-	withdraw := func(why string) {
-		c.throttle("withdraw "+u.ID, func() { c.propose(&fleet.Entry{Kind: fleet.Withdraw, ID: u.ID, Why: why}) })
+	if _, seen := c.changeSeenAt[change.ID]; !seen {
+		c.changeSeenAt[change.ID] = c.now
 	}
-	most := time.Duration(u.AtMost) * time.Millisecond
-	late := u.AtMost > 0 && c.now-c.changeSeenAt[u.ID] >= most
-	switch u.Phase {
+	switch change.Phase {
 	case statemachine.Proposed:
-		for _, name := range c.memberNames() {
-			if p := c.peers[name]; p != nil && p.renewal != nil && p.renewal.ValidationResults[u.ID] != "" {
-				withdraw(name + " can't take it: " + p.renewal.ValidationResults[u.ID])
-				return
-			}
-		}
-		wait := c.unconfirmedHolders(c.config.Lease, func(r *LeaseRenewal) bool { _, ok := r.ValidationResults[u.ID]; return ok })
-		if late && len(wait) > 0 {
-			withdraw(fmt.Sprintf("not checked by %s within %v", nameList(wait), most))
-			return
-		}
-		k := c.validations[u.ID]
-		if k != nil && k.done && k.reason != "" { // a control process, which isn't waited for
-			withdraw(c.config.Self.Name + " can't take it: " + k.reason)
-			return
-		}
-		if len(wait) == 0 && k != nil && k.done {
-			c.throttle("close "+u.ID, func() { c.propose(&fleet.Entry{Kind: fleet.Close, ID: u.ID, Scopes: k.purgeScopes, Voters: k.voters}) })
-		}
-		c.setWaitingFor(u.ID, wait)
+		c.driveProposed(change)
 	case statemachine.Closing:
-		wait := c.unconfirmedHolders(c.config.Lease, func(r *LeaseRenewal) bool { return r.FencedFor == u.ID })
-		if late && len(wait) > 0 {
-			withdraw(fmt.Sprintf("not stopped by %s within %v", nameList(wait), most))
-			return
-		}
-		if barrierPassed(wait) {
-			c.throttle("force "+u.ID, func() { c.propose(&fleet.Entry{Kind: fleet.Force, ID: u.ID}) })
-		}
-		c.setWaitingFor(u.ID, wait)
+		c.driveFencing(change)
 	case statemachine.Decided:
-		// one that was down while it was checked and can't take it serves nothing by it
-		wait := c.unconfirmedHolders(c.config.Lease, func(r *LeaseRenewal) bool { return r.PolicyVersion >= u.Version || r.ValidationResults[u.ID] != "" })
-		if barrierPassed(wait) {
-			c.throttle("settle "+u.ID, func() { c.propose(&fleet.Entry{Kind: fleet.Settle, ID: u.ID}) })
+		c.driveCommitted(change)
+	}
+}
+
+// driveProposed fences a change once all have validated its policy.
+func (c *Core) driveProposed(change *statemachine.PolicyChange) {
+	id := change.ID
+	for _, name := range c.memberNames() {
+		p := c.peers[name]
+		if p == nil || p.renewal == nil {
+			continue
+		}
+		if reason := p.renewal.ValidationResults[id]; reason != "" {
+			c.abort(change, name+" can't take it: "+reason)
+			return
 		}
-		c.setWaitingFor(u.ID, wait)
 	}
+	waiting := c.unconfirmedHolders(c.config.Lease, func(r *LeaseRenewal) bool {
+		_, validated := r.ValidationResults[id]
+		return validated
+	})
+	if c.isLate(change) && len(waiting) > 0 {
+		c.abort(change, fmt.Sprintf("not checked by %s within %v", nameList(waiting), changeTimeout(change)))
+		return
+	}
+	own := c.validations[id]
+	validated := own != nil && own.done
+	if validated && own.reason != "" { // of a control process, which isn't waited for
+		c.abort(change, c.config.Self.Name+" can't take it: "+own.reason)
+		return
+	}
+	if len(waiting) == 0 && validated {
+		c.proposeOnce("close "+id, &fleet.Entry{Kind: fleet.Close, ID: id, Scopes: own.purgeScopes, Voters: own.voters})
+	}
+	c.setWaitingFor(id, waiting)
 }
 
-// barrierPassed reports whether a change may take its next step: every controller that
-// may still serve by the policy before has stopped, or told that it decides by the new
-// one. awaited are those that have not.
-func barrierPassed(awaited []string) bool {
-	return len(awaited) == 0
+// driveFencing commits a change once no controller decides by the version before it.
+func (c *Core) driveFencing(change *statemachine.PolicyChange) {
+	waiting := c.unconfirmedHolders(c.config.Lease, func(r *LeaseRenewal) bool { return r.FencedFor == change.ID })
+	if c.isLate(change) && len(waiting) > 0 {
+		c.abort(change, fmt.Sprintf("not stopped by %s within %v", nameList(waiting), changeTimeout(change)))
+		return
+	}
+	if len(waiting) == 0 { // fenced everywhere
+		c.proposeOnce("force "+change.ID, &fleet.Entry{Kind: fleet.Force, ID: change.ID})
+	}
+	c.setWaitingFor(change.ID, waiting)
 }
 
-// finish tells when what a tighter policy left outside is over.
+// driveCommitted settles a change once all decide by it. A controller that was down while
+// it was validated and can't serve by it serves nothing, and isn't waited for.
+func (c *Core) driveCommitted(change *statemachine.PolicyChange) {
+	waiting := c.unconfirmedHolders(c.config.Lease, func(r *LeaseRenewal) bool {
+		return r.PolicyVersion >= change.Version || r.ValidationResults[change.ID] != ""
+	})
+	if len(waiting) == 0 {
+		c.proposeOnce("settle "+change.ID, &fleet.Entry{Kind: fleet.Settle, ID: change.ID})
+	}
+	c.setWaitingFor(change.ID, waiting)
+}
+
+// abort ends a change that isn't committed: it is never decided by anywhere.
+func (c *Core) abort(change *statemachine.PolicyChange, reason string) {
+	c.proposeOnce("withdraw "+change.ID, &fleet.Entry{Kind: fleet.Withdraw, ID: change.ID, Why: reason})
+}
+
+// isLate reports whether a change's timeout has passed since this leader has known of it.
+func (c *Core) isLate(change *statemachine.PolicyChange) bool {
+	return change.TimeoutMillis > 0 && c.now-c.changeSeenAt[change.ID] >= changeTimeout(change)
+}
+
+func changeTimeout(change *statemachine.PolicyChange) time.Duration {
+	return time.Duration(change.TimeoutMillis) * time.Millisecond
+}
+
+// finishChanges logs when nothing is left that a stricter policy put outside its zones:
+// its invalidations are erased, and no attempt of a confined tenant runs there.
 func (c *Core) finishChanges() {
 	for _, id := range sorted(c.state.Changes) {
-		ch := c.state.Changes[id]
-		if ch.Phase != statemachine.InForce || ch.Settled {
+		change := c.state.Changes[id]
+		if change.Phase != statemachine.InForce || change.Settled {
 			continue
 		}
-		done := true
-		for _, r := range c.state.Purges {
-			done = done && (r.Settles != id || r.Stage == fleet.Erased)
+		erased := true
+		for _, run := range c.state.Purges {
+			erased = erased && (run.PartOf != id || run.Stage == fleet.Erased)
 		}
-		wait := c.unconfirmedHolders(c.config.Lease, func(r *LeaseRenewal) bool { return r.PolicyVersion >= ch.Version && r.AttemptsOutside == 0 })
-		c.setWaitingFor(id, wait)
-		if done && len(wait) == 0 {
-			c.throttle("finish "+id, func() { c.propose(&fleet.Entry{Kind: fleet.Finish, ID: id}) })
+		waiting := c.unconfirmedHolders(c.config.Lease, func(r *LeaseRenewal) bool {
+			return r.PolicyVersion >= change.Version && r.AttemptsOutside == 0
+		})
+		c.setWaitingFor(id, waiting)
+		if erased && len(waiting) == 0 {
+			c.proposeOnce("finish "+id, &fleet.Entry{Kind: fleet.Finish, ID: id})
 		}
 	}
 }
 
-// reelect brings those who vote in line with the record.
+// alignVoters has consensus make those the voters that the log names.
 func (c *Core) alignVoters() {
 	var want []consensus.Voter
 	for _, v := range c.state.Voters {
-		name, address := statemachine.VoterOf(v)
+		name, address := statemachine.SplitVoter(v)
 		want = append(want, consensus.Voter{Name: name, Address: address})
 	}
 	same := len(want) == len(c.voters)
--- a/internal/fleet/node/controller_orders.go
+++ b/internal/fleet/node/controller_orders.go
@@ -62,7 +62,7 @@
 	if !c.caughtUp || c.stateError != nil {
 		return
 	}
-	change := c.state.Under()
+	change := c.state.ChangeUnderWay()
 	fencing := change != nil && change.Phase == statemachine.Closing
 	if fencing && c.fenceOrderedFor != change.ID {
 		c.orderFence(change.ID)
@@ -115,7 +115,7 @@
 	}
 	// the state forgets old ones in time
 	maps.DeleteFunc(c.invalidationsOrdered, func(id string, _ bool) bool { return c.state.Purges[id] == nil })
-	if c.state.Seen > c.viewIndex {
+	if c.state.ViewIndex > c.viewIndex {
 		c.orderView()
 	}
 }
@@ -128,7 +128,7 @@
 
 // orderInvalidation orders an invalidation once. One that doesn't concern this
 // controller's zone is reported as done: nothing of it is here.
-func (c *Core) orderInvalidation(run *statemachine.Run) {
+func (c *Core) orderInvalidation(run *statemachine.PurgeRun) {
 	ordered := c.invalidationsOrdered[run.ID]
 	if run.Stage == fleet.Erased {
 		if ordered {
@@ -148,7 +148,7 @@
 		return
 	}
 	scope := run.Scope
-	c.orderController(fleet.Order{Kind: fleet.Drop, ID: run.ID, Scope: &scope, Index: run.At})
+	c.orderController(fleet.Order{Kind: fleet.Drop, ID: run.ID, Scope: &scope, Index: run.LogIndex})
 }
 
 // controllerReported takes a report of the request side. What is new to the leader is
--- a/internal/fleet/node/emergency.go
+++ b/internal/fleet/node/emergency.go
@@ -7,25 +7,22 @@
 	"railrelay.dev/railrelay/internal/fleet"
 )
 
-// watch sees whether a rule's sites have engines at all, by what all controllers see.
+const (
+	// A controller not heard of for so long, and for so many renewal intervals, has no say
+	// on which zones have engines.
+	zoneReportMaxAge       = 2 * time.Second
+	zoneReportMaxIntervals = 4
+)
+
+// watchRule begins an emergency once no controller sees an engine in any of a residency
+// rule's zones for as long as the rule says, and ends it once one is seen for as long.
 func (c *Core) watchRule(w fleet.Watched) {
-	heard, inside := 0, false
-	for _, name := range c.peerNames {
-		p := c.peers[name]
-		if p.renewal == nil || c.now-c.lastHeardOf(name) > max(2*time.Second, 4*c.renewalInterval()) || p.renewal.ServingSites == nil {
-			continue
-		}
-		heard++
-		for _, s := range p.renewal.ServingSites {
-			inside = inside || slices.Contains(w.Inside, s)
-		}
-	}
-	if heard == 0 {
+	reports, inside := c.zoneReports(w.Inside)
+	if reports == 0 {
 		delete(c.lostSince, w.Rule)
 		delete(c.foundSince, w.Rule)
 		return
 	}
-	_, on := c.state.Emergencies[w.Rule]
 	since, other := c.lostSince, c.foundSince
 	if inside {
 		since, other = c.foundSince, c.lostSince
@@ -34,20 +31,38 @@
 	if _, had := since[w.Rule]; !had {
 		since[w.Rule] = c.now
 	}
-	if on != inside || c.now-since[w.Rule] < w.After {
+	_, isEmergency := c.state.Emergencies[w.Rule]
+	if isEmergency != inside || c.now-since[w.Rule] < w.After {
 		return
 	}
 	if inside {
 		scope := &fleet.Scope{Team: w.Team, Outside: w.Inside}
-		c.throttle("calm "+w.Rule, func() { c.propose(&fleet.Entry{Kind: fleet.Calm, Name: w.Rule, Scope: scope}) })
+		c.proposeOnce("calm "+w.Rule, &fleet.Entry{Kind: fleet.Calm, Name: w.Rule, Scope: scope})
 	} else {
-		c.throttle("emergency "+w.Rule, func() { c.propose(&fleet.Entry{Kind: fleet.Emergency, Name: w.Rule}) })
+		c.proposeOnce("emergency "+w.Rule, &fleet.Entry{Kind: fleet.Emergency, Name: w.Rule})
+	}
+}
+
+// zoneReports counts the controllers that have reported lately which zones have engines,
+// and tells whether any of them sees one in some zones.
+func (c *Core) zoneReports(zones []string) (reports int, inside bool) {
+	maxAge := max(zoneReportMaxAge, zoneReportMaxIntervals*c.renewalInterval())
+	for _, name := range c.peerNames {
+		p := c.peers[name]
+		if p.renewal == nil || p.renewal.ServingSites == nil || c.now-c.lastHeardOf(name) > maxAge {
+			continue
+		}
+		reports++
+		for _, zone := range p.renewal.ServingSites {
+			inside = inside || slices.Contains(zones, zone)
+		}
 	}
+	return reports, inside
 }
 
-// outlived ends emergencies whose rule is in force no more: nobody watches for their end,
-// and a rule of that name to come would begin with its boundary open. A control process
-// that doesn't know the controllers' own rules can't tell, and leaves that to a leader
+// endObsoleteEmergencies ends emergencies whose rule is no longer committed: nobody
+// watches for their end, and a later rule of that name would begin with its zones open. A
+// control process that doesn't know the controllers' own rules leaves that to a leader
 // that does.
 func (c *Core) endObsoleteEmergencies() {
 	if c.orderedVersion != c.state.Version || c.residencyRulesUnknown() {
@@ -56,7 +71,7 @@
 	watched := c.watchedRules()
 	for _, name := range sorted(c.state.Emergencies) {
 		if !slices.ContainsFunc(watched, func(w fleet.Watched) bool { return w.Rule == name }) {
-			c.throttle("calm "+name, func() { c.propose(&fleet.Entry{Kind: fleet.Calm, Name: name}) })
+			c.proposeOnce("calm "+name, &fleet.Entry{Kind: fleet.Calm, Name: name})
 		}
 	}
 }
--- a/internal/fleet/node/leader.go
+++ b/internal/fleet/node/leader.go
@@ -125,7 +125,7 @@
 
 // hasWork reports whether something is under way that time alone may move.
 func (c *Core) hasWork() bool {
-	return !c.ready || len(c.waitingFor) > 0 || len(c.toConfirm) > 0 || c.state.Under() != nil ||
+	return !c.ready || len(c.waitingFor) > 0 || len(c.toConfirm) > 0 || c.state.ChangeUnderWay() != nil ||
 		len(c.watchedRules()) > 0 || len(c.state.Emergencies) > 0
 }
 
@@ -175,7 +175,7 @@
 	}
 	c.endObsoleteEmergencies()
 	c.finishChanges()
-	if c.state.Under() == nil && len(c.state.Voters) > 0 {
+	if c.state.ChangeUnderWay() == nil && len(c.state.Voters) > 0 {
 		c.alignVoters()
 	}
 }
@@ -186,7 +186,7 @@
 	if e == nil || !c.isLeader {
 		return
 	}
-	c.stepConsensus(consensus.Event{Kind: consensus.Propose, Data: statemachine.Encode(e)})
+	c.stepConsensus(consensus.Event{Kind: consensus.Propose, Data: statemachine.EncodeEntry(e)})
 }
 
 // throttle does something unless the same was done a moment ago and may be under way.
--- a/internal/fleet/node/lease.go
+++ b/internal/fleet/node/lease.go
@@ -107,7 +107,7 @@
 		ServingSites:    c.servingSites,
 		AttemptsOutside: c.attemptsOutside,
 	}
-	if change := c.state.Under(); change != nil {
+	if change := c.state.ChangeUnderWay(); change != nil {
 		if v := c.validations[change.ID]; v != nil && v.done {
 			renewal.ValidationResults = map[string]string{change.ID: v.reason}
 		}
--- a/internal/fleet/node/lease_holders.go
+++ b/internal/fleet/node/lease_holders.go
@@ -6,8 +6,9 @@
 	"railrelay.dev/railrelay/internal/fleet"
 )
 
-// mayHold: a controller may hold a lease of this length by what is known here. Leases
-// that an earlier leader gave are over once their length has passed since this one leads.
+// mayHoldLease reports whether a controller may hold a lease of a length, by what this
+// leader knows. Leases that an earlier leader granted have ended once their length has
+// passed since this one leads.
 func (c *Core) mayHoldLease(name string, lease time.Duration) bool {
 	m := c.state.Members[name]
 	switch {
@@ -16,17 +17,15 @@
 	case lease == fleet.Forever:
 		return m != nil
 	}
-	ends := c.leaderSince + c.bySlowestClock(lease)
-	if p := c.peers[name]; p != nil && p.leaseAskedAt >= 0 {
-		ends = max(ends, p.leaseAskedAt+c.bySlowestClock(lease))
+	askedAt := max(c.leaderSince, c.coveredLeaseAskedAt(name))
+	if p := c.peers[name]; p != nil {
+		askedAt = max(askedAt, p.leaseAskedAt)
 	}
-	if at := c.coveredLeaseAskedAt(name); at >= 0 {
-		ends = max(ends, at+c.bySlowestClock(lease))
-	}
-	return c.now < ends
+	return c.now < askedAt+c.bySlowestClock(lease)
 }
 
-// longer is a span by the slowest clock that is allowed for.
+// bySlowestClock is how long a span may last by the slowest clock allowed for. The drift
+// counts twice: its holder's clock may be slow, and this one's fast.
 func (c *Core) bySlowestClock(span time.Duration) time.Duration {
 	if span == fleet.Forever {
 		return span
@@ -34,19 +33,20 @@
 	return time.Duration(float64(span) * (1 + 2*c.config.ClockDrift))
 }
 
-// bound is the lease by which bound teams and kept results are served.
+// shorterLease is the lease by which confined tenants and kept results are served.
 func (c *Core) shorterLease() time.Duration { return min(c.config.Lease, c.config.ConfinedLease) }
 
-// missing are controllers that may serve and of which something isn't known yet. A
-// control process decides nothing by a policy, whatever lease it holds.
-func (c *Core) unconfirmedHolders(lease time.Duration, done func(*LeaseRenewal) bool) (l []string) {
+// unconfirmedHolders are the controllers that may hold a lease and haven't confirmed
+// something, in order. A control process decides nothing by a policy, whatever lease it
+// holds.
+func (c *Core) unconfirmedHolders(lease time.Duration, hasConfirmed func(*LeaseRenewal) bool) (names []string) {
 	for _, name := range c.possibleHolders() {
 		if c.state.Members[name].Control || !c.mayHoldLease(name, lease) {
 			continue
 		}
-		if p := c.peers[name]; p == nil || p.renewal == nil || !done(p.renewal) {
-			l = append(l, name)
+		if p := c.peers[name]; p == nil || p.renewal == nil || !hasConfirmed(p.renewal) {
+			names = append(names, name)
 		}
 	}
-	return l
+	return names
 }
--- a/internal/fleet/node/voting.go
+++ b/internal/fleet/node/voting.go
@@ -31,7 +31,7 @@
 func (c *Core) namedToVote() bool {
 	if len(c.state.Voters) > 0 {
 		return slices.ContainsFunc(c.state.Voters, func(v string) bool {
-			name, _ := statemachine.VoterOf(v)
+			name, _ := statemachine.SplitVoter(v)
 			return name == c.config.Self.Name
 		})
 	}
