--- a/internal/fleet/node/operator_requests.go
+++ b/internal/fleet/node/operator_requests.go
@@ -7,64 +7,90 @@
 	"railrelay.dev/railrelay/internal/fleet"
 )
 
-// What operators, customers and the reducer ask for, and what they are told.
+// What operators, customers and this process's request side ask of the fleet. A request
+// that changes the log goes to the leader, again and again until the log has it; its
+// answer is read from the log as applied here.
 
-// asking is an ask that waits for its word.
+const (
+	defaultRequestTimeout = 10 * time.Second       // until the answer is "not known yet"
+	forwardInterval       = 300 * time.Millisecond // between attempts to bring a request to the leader
+
+	outcomeUnknown = "unknown" // fleet.Reply.Word: not known yet
+)
+
+// operatorRequest is a request that waits for its outcome.
 type operatorRequest struct {
 	ask       *fleet.Ask
-	handle    uint64 // 0: the reducer's
+	handle    uint64 // 0: of this process's request side
 	deadline  time.Duration
-	forwardAt time.Duration // when it is passed on again
+	forwardAt time.Duration // when it is forwarded again
 }
 
-func (c *Core) operatorRequested(a *fleet.Ask, handle uint64) {
-	wait := time.Duration(a.Wait) * time.Millisecond
-	if wait <= 0 {
-		wait = 10 * time.Second
-	}
-	if a.Kind == "status" && a.ID == "" {
-		c.emit(Effect{Kind: Respond, Handle: handle, Reply: &fleet.Reply{Word: "status", Status: c.Status()}})
+// operatorRequested takes a request. Questions for the status or the policy are answered
+// at once, from what is known here.
+func (c *Core) operatorRequested(ask *fleet.Ask, handle uint64) {
+	switch {
+	case ask.Kind == "status" && ask.ID == "":
+		c.respond(handle, &fleet.Reply{Word: "status", Status: c.Status()})
 		return
-	}
-	if a.Kind == "policy" {
-		c.emit(Effect{Kind: Respond, Handle: handle, Reply: &fleet.Reply{Word: "policy", Version: c.state.Version, Policy: c.state.Policy}})
+	case ask.Kind == "policy":
+		c.respond(handle, &fleet.Reply{Word: "policy", Version: c.state.Version, Policy: c.state.Policy})
 		return
 	}
-	c.requests = append(c.requests, &operatorRequest{ask: a, handle: handle, deadline: c.now + wait, forwardAt: c.now})
+	timeout := time.Duration(ask.Wait) * time.Millisecond
+	if timeout <= 0 {
+		timeout = defaultRequestTimeout
+	}
+	c.requests = append(c.requests, &operatorRequest{
+		ask:       ask,
+		handle:    handle,
+		deadline:  c.now + timeout,
+		forwardAt: c.now,
+	})
 }
 
-// answer tells those whose word is there, or whose time is over, and passes on what
-// the record has not heard of.
+func (c *Core) respond(handle uint64, reply *fleet.Reply) {
+	c.emit(Effect{Kind: Respond, Handle: handle, Reply: reply})
+}
+
+// answerRequests answers requests whose outcome is known or whose deadline has passed, and
+// forwards those that the log hasn't got.
 func (c *Core) answerRequests() {
-	c.requests = slices.DeleteFunc(c.requests, func(a *operatorRequest) bool {
-		r := c.outcome(a.ask)
-		r.ID = a.ask.ID
-		if r.Word == "unknown" && c.now < a.deadline {
-			if c.now >= a.forwardAt {
-				a.forwardAt = c.now + forwardInterval
-				if !c.isRecorded(a.ask) {
-					c.forwardRequest(a.ask)
-				}
-			}
+	c.requests = slices.DeleteFunc(c.requests, func(request *operatorRequest) bool {
+		reply := c.outcome(request.ask)
+		reply.ID = request.ask.ID
+		if reply.Word == outcomeUnknown && c.now < request.deadline {
+			c.forwardIfDue(request)
 			return false
 		}
-		if r.Word == "unknown" {
-			r.Outstanding = c.outstanding(a.ask.ID)
-			r.Remedy = "ask again by id " + a.ask.ID
-			if r.Why == "" {
-				r.Why = "not known yet"
+		if reply.Word == outcomeUnknown {
+			reply.Outstanding = c.outstanding(request.ask.ID)
+			reply.Remedy = "ask again by id " + request.ask.ID
+			if reply.Why == "" {
+				reply.Why = "not known yet"
 			}
 		}
-		if a.handle == 0 {
-			c.emit(Effect{Kind: OrderController, Order: fleet.Order{Kind: fleet.Answered, ID: a.ask.ID, Reply: r}})
+		if request.handle == 0 {
+			c.orderController(fleet.Order{Kind: fleet.Answered, ID: request.ask.ID, Reply: reply})
 		} else {
-			c.emit(Effect{Kind: Respond, Handle: a.handle, Reply: r})
+			c.respond(request.handle, reply)
 		}
 		return true
 	})
 }
 
-// known says whether the record has heard of an ask already: then it isn't passed on.
+// forwardIfDue forwards a request at intervals until the log has it.
+func (c *Core) forwardIfDue(request *operatorRequest) {
+	if c.now < request.forwardAt {
+		return
+	}
+	request.forwardAt = c.now + forwardInterval
+	if !c.isRecorded(request.ask) {
+		c.forwardRequest(request.ask)
+	}
+}
+
+// isRecorded reports whether the log has a request already: then it isn't forwarded.
 func (c *Core) isRecorded(a *fleet.Ask) bool {
 	switch a.Kind {
 	case "apply":
@@ -74,25 +100,25 @@
 	case "status":
 		return true
 	}
-	return c.outcome(a).Word != "unknown"
+	return c.outcome(a).Word != outcomeUnknown
 }
 
-// word is what can be told now. A status with an id is of whatever has that id.
-func (c *Core) outcome(a *fleet.Ask) *fleet.Reply {
-	if a.Kind == "status" {
-		b := *a
-		if b.Kind = "apply"; c.state.Changes[a.ID] == nil {
-			b.Kind = "purge"
-		}
-		return c.state.Outcome(&b)
+// outcome is what is known of a request by now. A status with an ID is of the change or
+// invalidation that has it.
+func (c *Core) outcome(ask *fleet.Ask) *fleet.Reply {
+	if ask.Kind != "status" {
+		return c.state.Outcome(ask)
+	}
+	of := *ask
+	of.Kind = "apply"
+	if c.state.Changes[ask.ID] == nil {
+		of.Kind = "purge"
 	}
-	return c.state.Outcome(a)
+	return c.state.Outcome(&of)
 }
 
-const forwardInterval = 300 * time.Millisecond
-
-// pass brings an ask to who leads. It may be lost, and is passed on again until the
-// record has it; its id makes that harmless.
+// forwardRequest brings a request to the leader. It may be lost; forwarding it again is
+// harmless because of its ID.
 func (c *Core) forwardRequest(a *fleet.Ask) {
 	if c.isLeader {
 		c.propose(c.logEntryFor(a))
@@ -107,9 +133,20 @@
 	}
 }
 
+// logEntryFor is the entry that a request asks for, nil: none.
 func (c *Core) logEntryFor(a *fleet.Ask) *fleet.Entry {
-	e := &fleet.Entry{ID: a.ID, By: a.By, Team: a.Team, Scope: a.Scope, Name: a.Name, Base: a.Base, Policy: a.Policy, AtMost: a.AtMost,
-		Tables: a.Tables, From: a.From}
+	e := &fleet.Entry{
+		ID:     a.ID,
+		By:     a.By,
+		Team:   a.Team,
+		Scope:  a.Scope,
+		Name:   a.Name,
+		Base:   a.Base,
+		Policy: a.Policy,
+		AtMost: a.AtMost,
+		Tables: a.Tables,
+		From:   a.From,
+	}
 	switch a.Kind {
 	case "apply":
 		e.Kind = fleet.Propose
@@ -125,7 +162,8 @@
 	return e
 }
 
-// outstanding is who a run waits for, as far as is known here.
+// outstanding are the controllers that a change or invalidation waits for, as far as is
+// known here.
 func (c *Core) outstanding(id string) []string {
 	if c.isLeader {
 		return c.waitingFor[id]
@@ -135,8 +173,17 @@
 
 // Status is how this controller sees the fleet.
 func (c *Core) Status() *fleet.Status {
-	s := &fleet.Status{Name: c.config.Self.Name, Leader: c.leader, Index: c.state.Index, Version: c.state.Version, Serves: c.serves(),
-		LeaseMS: -1, Bindings: c.state.Bindings, Counts: c.Counts}
+	s := &fleet.Status{
+		Name:        c.config.Self.Name,
+		Leader:      c.leader,
+		Index:       c.state.Index,
+		Version:     c.state.Version,
+		Serves:      c.serves(),
+		LeaseMS:     -1,
+		Emergencies: sorted(c.state.Emergencies),
+		Bindings:    c.state.Bindings,
+		Counts:      c.Counts,
+	}
 	if c.leaseUntil != fleet.Forever {
 		s.LeaseMS = max(0, (c.leaseUntil - c.now).Milliseconds())
 	}
@@ -161,6 +208,5 @@
 			s.Purges = append(s.Purges, *w)
 		}
 	}
-	s.Emergencies = sorted(c.state.Emergencies)
 	return s
 }
--- a/internal/fleet/node/relay.go
+++ b/internal/fleet/node/relay.go
@@ -7,28 +7,31 @@
 )
 
 // A relay's part in the core: renewals of others go to the leader in one message, and
-// leases and the record come back through it. While a relay leads it answers renewals
-// as any leader does.
+// leases and the log come back through it. While a relay leads it answers renewals as any
+// leader does.
 
 const (
-	messagesPerInterval      = 4 // gathers in the time in which a controller asks once
-	firstRelayRetryIntervals = 16
-	unansweredIntervals      = 8 // times a renewal's interval: then it is said that the leader doesn't answer
+	messagesPerInterval = 4 // to the leader, in a renewal interval
+	silentIntervals     = 2 // renewal intervals without a renewal: the controller is covered no longer
+	// unansweredIntervals, renewal intervals without an answer: then it is logged that the
+	// leader doesn't answer.
+	unansweredIntervals = 8
 )
 
-// relays tells whether renewals that come are gathered for the leader.
+// aggregates reports whether renewals that come are aggregated for the leader.
 func (c *Core) aggregates() bool { return c.aggregator != nil && !c.isLeader }
 
-// startRelay begins to gather, with nothing told yet.
+// resetAggregator begins to aggregate, with nothing reported yet. Messages of one
+// incarnation are never numbered anew.
 func (c *Core) resetAggregator() {
-	if c.config.IsRelay {
-		seq := uint64(0)
-		if c.aggregator != nil { // gathers of one run are never numbered anew
-			seq = c.aggregator.lastSeq
-		}
-		c.aggregator = newRenewalAggregator(c.config.Incarnation)
-		c.aggregator.lastSeq = seq
+	if !c.config.IsRelay {
+		return
+	}
+	next := newRenewalAggregator(c.config.Incarnation)
+	if c.aggregator != nil {
+		next.lastSeq = c.aggregator.lastSeq
 	}
+	c.aggregator = next
 }
 
 // aggregateRenewal takes the renewal of a controller that asks through this relay.
@@ -41,24 +44,24 @@
 	c.followersBehind = c.followersBehind || from.nextIndex <= c.state.Index
 }
 
-// silentAfter is how long a controller may not ask before it is covered no more.
-func (c *Core) silentAfter() time.Duration { return 2 * c.renewalInterval() }
+// otherLeaderKnown reports whether there is a leader to send to.
+func (c *Core) otherLeaderKnown() bool { return c.leader != "" && c.leader != c.config.Self.Name }
 
-// gatherDue is when the relay has something to do.
+// aggregateDue is when the next message to the leader is to be sent, Forever: none is.
 func (c *Core) aggregateDue() time.Duration {
-	if !c.aggregates() || c.leader == "" || c.leader == c.config.Self.Name {
+	if !c.aggregates() || !c.otherLeaderKnown() {
 		return fleet.Forever
 	}
 	return c.aggregator.due(c.batchingDelay(), c.renewalInterval()/messagesPerInterval)
 }
 
-// gather sends what has come together to the leader, when it is time.
+// sendAggregate sends what has come together to the leader, when it is time.
 func (c *Core) sendAggregate() {
 	if !c.aggregates() {
 		return
 	}
-	c.aggregator.expire(c.now, c.silentAfter())
-	if c.leader == "" || c.leader == c.config.Self.Name {
+	c.aggregator.expire(c.now, silentIntervals*c.renewalInterval())
+	if !c.otherLeaderKnown() {
 		return
 	}
 	c.aggregator.setLeader(c.leader)
@@ -69,17 +72,19 @@
 	c.logUnansweredLeader()
 }
 
-// complainOfLeader says once that gathers aren't answered though leases are given.
+// logUnansweredLeader logs once that messages to the leader aren't answered though this
+// relay itself holds a lease.
 func (c *Core) logUnansweredLeader() {
 	g := c.aggregator
-	if g.unansweredLogged || c.now-g.unansweredSince < unansweredIntervals*c.renewalInterval() || c.now >= c.leaseUntil {
+	late := c.now-g.unansweredSince >= unansweredIntervals*c.renewalInterval()
+	if g.unansweredLogged || !late || c.now >= c.leaseUntil {
 		return
 	}
 	g.unansweredLogged = true
 	c.logError(&fleet.RelayUnansweredError{Leader: c.leader})
 }
 
-// gatheredAnswer takes the leader's answer to a gather and passes the grants on.
+// receiveRelayedGrants takes the leader's answer and passes the grants on.
 func (c *Core) receiveRelayedGrants(from string, a *RelayedGrants) {
 	if !c.aggregates() {
 		return
--- a/internal/fleet/node/route.go
+++ b/internal/fleet/node/route.go
@@ -5,27 +5,39 @@
 	"time"
 )
 
+const (
+	// firstRelayRetryIntervals, renewal intervals, is how often the first relay is asked
+	// once more while another route is current.
+	firstRelayRetryIntervals = 16
+	// leaderUnansweredIntervals, renewal intervals without an answer: then the leader that
+	// is known is taken to lead no longer.
+	leaderUnansweredIntervals = 3
+	// overduePerInterval: an answer is overdue after such a part of a renewal interval.
+	overduePerInterval = 2
+)
+
 // routes is how a controller asks for its lease: through one of its relays, by their
-// places in Begin.Relays, or, past the last one, of the leader itself.
+// places in Config.Relays, or, past the last one, of the leader itself.
 type routes struct {
 	current           int
-	alternativesTried int           // others that were asked since the current one last answered
+	alternativesTried int           // since the current one last answered
 	firstRetryAt      time.Duration // when the first relay is asked once more, while another is current
 }
 
-// answered: an answer came by a route. Unless something was unanswered, one by a later
-// route is that of an ask which the current route has answered, too.
-func (r *routes) recordAnswer(route int, now time.Duration, unanswered bool, retry time.Duration) {
+// recordAnswer takes note of an answer by a route, which becomes the current one.
+// Unless a renewal was unanswered, an answer by a later route is to a renewal that the
+// current one has answered, too, and changes nothing.
+func (r *routes) recordAnswer(route int, now time.Duration, unanswered bool, retryFirstAfter time.Duration) {
 	r.alternativesTried = 0
 	if route < r.current || unanswered {
 		if r.current == 0 && route != 0 {
-			r.firstRetryAt = now + retry
+			r.firstRetryAt = now + retryFirstAfter
 		}
 		r.current = route
 	}
 }
 
-// routeOf is the route by which a controller's answer comes.
+// routeOf is the route by which an answer of a controller comes.
 func (c *Core) routeOf(from string) int {
 	for i, relay := range c.config.Relays {
 		if relay.Name == from {
@@ -35,13 +47,14 @@
 	return len(c.config.Relays)
 }
 
-// upstreams are whom the next renewal goes to: by the current route; while that doesn't
+// upstreams are whom the next renewal is sent to: by the current route; while that doesn't
 // answer, by another one besides; and from time to time by the first, if it isn't current.
 func (c *Core) upstreams() (to []Upstream) {
 	switch {
 	case c.consensus != nil || c.isLeader:
 		return c.directUpstreams()
-	case c.config.IsRelay && c.renewalOverdue() && len(c.voters) > 0: // many wait for it to find who leads now
+	case c.config.IsRelay && c.renewalOverdue() && len(c.voters) > 0:
+		// many controllers wait for this one to find the leader
 		return append(c.directUpstreams(), c.nextVoter())
 	case len(c.config.Relays) == 0:
 		return c.directUpstreams()
@@ -62,12 +75,12 @@
 	return to
 }
 
-// unanswered: the last renewal should have been answered by now.
+// renewalOverdue reports whether a renewal should have been answered by now.
 func (c *Core) renewalOverdue() bool {
-	return c.unansweredSince > 0 && c.now-c.unansweredSince >= c.renewalInterval()/2
+	return c.unansweredSince > 0 && c.now-c.unansweredSince >= c.renewalInterval()/overduePerInterval
 }
 
-// relayInUse is the relay that answers renewals, nil: the leader is asked itself.
+// currentRelay is the relay that answers renewals, nil: the leader is asked directly.
 func (c *Core) currentRelay() *Upstream {
 	if c.consensus != nil || c.routes.current >= len(c.config.Relays) {
 		return nil
@@ -75,7 +88,7 @@
 	return &c.config.Relays[c.routes.current]
 }
 
-// by is whom a route leads to.
+// upstreamsBy is whom a route leads to.
 func (c *Core) upstreamsBy(route int) []Upstream {
 	if route < len(c.config.Relays) {
 		return []Upstream{c.config.Relays[route]}
@@ -83,11 +96,13 @@
 	return c.directUpstreams()
 }
 
-// direct is the leader or, where that isn't known or doesn't answer, a voter that may know.
+// directUpstreams is the leader or, where that isn't known or doesn't answer, a voter that
+// may know it.
 func (c *Core) directUpstreams() []Upstream {
-	known := c.leader != "" && (c.unansweredSince == 0 || c.now-c.unansweredSince <= 3*c.renewalInterval())
+	answers := c.unansweredSince == 0 ||
+		c.now-c.unansweredSince <= leaderUnansweredIntervals*c.renewalInterval()
 	switch {
-	case known:
+	case c.leader != "" && answers:
 		return []Upstream{{Name: c.leader, Address: c.addressOf(c.leader)}}
 	case len(c.voters) == 0:
 		return nil
@@ -95,7 +110,7 @@
 	return []Upstream{c.nextVoter()}
 }
 
-// nextVoter is another voter each time. There must be some.
+// nextVoter is another voter each time, in turn. There must be some.
 func (c *Core) nextVoter() Upstream {
 	c.voterHint++
 	name := c.voters[c.voterHint%len(c.voters)].Name
