--- a/internal/controller/spool.go
+++ b/internal/controller/result_paging.go
@@ -204,7 +204,7 @@
 	w.Done(p.now)
 }
 
-func (p *resultPaging) text() string {
+func (p *resultPaging) countersText() string {
 	n := &p.core.Counts
 	results, memory, disk := p.core.Held()
 	return fmt.Sprintf("; spool holds %d results, bytes %d in memory %d on disk, promised %d refused %d too large %d without room %d not kept %d, pages %d from disk %d bad tokens %d spoilt %d, evicted %d expired %d read out %d, waited %d",
@@ -256,7 +256,7 @@
 
 const busyRetryAfter = 100 * time.Millisecond
 
-// Spooled is what the spool holds: results, and bytes in memory and on disk; nothing
+// SpoolUsage is what the spool holds: results, and bytes in memory and on disk; nothing
 // without one. It is for reports, between two steps.
 func (c *Controller) SpoolUsage() (results int, memory, disk int64) {
 	if c.paging == nil {
--- a/internal/fleet/node/config.go
+++ b/internal/fleet/node/config.go
@@ -26,8 +26,8 @@
 	ElectionTimeout   time.Duration
 	HeartbeatInterval time.Duration
 
-	Persisted            consensus.Kept // read back from the disk
-	SnapshotAfterEntries int            // log entries kept before a snapshot replaces them
+	Persisted            consensus.PersistentState // read back from the disk
+	SnapshotAfterEntries int                       // log entries kept before a snapshot replaces them
 
 	// Relays are asked for the lease and bring the log, in place of the leader: the
 	// first one, or the second where that doesn't answer. None: the leader is asked
--- a/internal/fleet/node/configuration_change.go
+++ b/internal/fleet/node/configuration_change.go
@@ -148,7 +148,7 @@
 	}
 	if !same {
 		c.throttle("voters", func() {
-			c.stepConsensus(consensus.Event{Kind: consensus.Voters, Voters: want})
+			c.stepConsensus(consensus.Event{Kind: consensus.ChangeVoters, Voters: want})
 		})
 	}
 }
--- a/internal/fleet/node/effects.go
+++ b/internal/fleet/node/effects.go
@@ -40,7 +40,7 @@
 	Address string
 	Message *Message
 
-	Writes *consensus.Kept
+	Writes *consensus.PersistentState
 
 	ChangeID   string
 	PolicyText []byte
--- a/internal/fleet/node/lease_granting.go
+++ b/internal/fleet/node/lease_granting.go
@@ -196,7 +196,7 @@
 		}
 	}
 	c.confirmAskedAt = c.now
-	c.stepConsensus(consensus.Event{Kind: consensus.Confirm, Handle: c.confirmHandle})
+	c.stepConsensus(consensus.Event{Kind: consensus.ConfirmLeadership, Handle: c.confirmHandle})
 }
 
 // leadershipConfirmed grants the leases that waited for the confirmation. index is what
--- a/internal/fleet/node/log_follower.go
+++ b/internal/fleet/node/log_follower.go
@@ -27,9 +27,9 @@
 	}
 	if s := update.Snapshot; s != nil && s.Index > c.persistIndex {
 		c.persistIndex = s.Index
-		c.persist(&consensus.Kept{Snapshot: s}, func() { c.restoreSnapshot(s) })
+		c.persist(&consensus.PersistentState{Snapshot: s}, func() { c.restoreSnapshot(s) })
 	}
-	var fresh []consensus.Record
+	var fresh []consensus.LogEntry
 	for _, r := range update.Entries {
 		if r.Index == c.persistIndex+1 {
 			fresh = append(fresh, r)
@@ -37,7 +37,7 @@
 		}
 	}
 	if len(fresh) > 0 {
-		c.persist(&consensus.Kept{Records: fresh}, func() {
+		c.persist(&consensus.PersistentState{Entries: fresh}, func() {
 			for _, r := range fresh {
 				c.applyEntry(r)
 			}
--- a/internal/fleet/node/node.go
+++ b/internal/fleet/node/node.go
@@ -22,7 +22,7 @@
 	state          *statemachine.State
 	stateError     fleet.Remedied // an entry or snapshot can't be applied: this controller never serves
 	appliedTerm    uint64         // of the last entry applied
-	recentEntries  []consensus.Record
+	recentEntries  []consensus.LogEntry
 	latestSnapshot *consensus.Snapshot // for followers that lag far behind; nil: none was needed yet
 	roster         roster
 
@@ -78,7 +78,7 @@
 		c.state, c.appliedTerm = state, s.Term
 	}
 	c.persistIndex = c.state.Index
-	c.hardState = config.Persisted.Hard
+	c.hardState = config.Persisted.HardState
 	if err := c.restorePersisted(); err != nil {
 		return nil, nil, err
 	}
@@ -92,10 +92,10 @@
 func (c *Core) restorePersisted() error {
 	persisted := c.config.Persisted
 	named := c.namedToVote()
-	hasVoted := persisted.Hard != nil
+	hasVoted := persisted.HardState != nil
 	// A snapshot that doesn't tell who votes was taken while this controller followed.
 	// Entries persisted after it may be consensus's and not committed, if it ever voted.
-	snapshotAsFollower := persisted.Snapshot != nil && len(persisted.Snapshot.Conf) == 0
+	snapshotAsFollower := persisted.Snapshot != nil && len(persisted.Snapshot.VoterConfig) == 0
 	switch {
 	case snapshotAsFollower && hasVoted:
 		c.logf(false, "log entries after %d are requested again: they may not be committed", c.state.Index)
@@ -107,7 +107,7 @@
 		}
 		return c.startConsensus(persisted, voters)
 	}
-	for _, r := range persisted.Records {
+	for _, r := range persisted.Entries {
 		c.persistIndex = max(c.persistIndex, r.Index)
 		c.applyEntry(r)
 	}
@@ -144,7 +144,7 @@
 
 // advance does what is due and what has become possible. The order is that of the effects.
 func (c *Core) advance() {
-	if c.consensus != nil && c.now >= c.consensus.Due() {
+	if c.consensus != nil && c.now >= c.consensus.NextTick() {
 		c.stepConsensus(consensus.Event{Kind: consensus.Tick})
 	}
 	if c.consensus != nil && !c.isVoter(c.config.Self.Name) {
@@ -226,7 +226,7 @@
 func (c *Core) setTimer() {
 	at := min(c.renewAt, c.leaderDue(), c.aggregateDue())
 	if c.consensus != nil {
-		at = min(at, c.consensus.Due())
+		at = min(at, c.consensus.NextTick())
 	}
 	if c.sendsLog() && c.followersBehind { // one that lacks more than a message holds
 		at = c.now
--- a/internal/fleet/node/persistence.go
+++ b/internal/fleet/node/persistence.go
@@ -8,13 +8,13 @@
 
 // pendingWrite is one write that isn't persisted yet, and what follows once it is.
 type pendingWrite struct {
-	writes      *consensus.Kept
+	writes      *consensus.PersistentState
 	onPersisted func()
 }
 
 // persist has something written and synced before what follows from it. Writes go to the
 // disk one at a time, in their order.
-func (c *Core) persist(writes *consensus.Kept, onPersisted func()) {
+func (c *Core) persist(writes *consensus.PersistentState, onPersisted func()) {
 	c.pendingWrites = append(c.pendingWrites, &pendingWrite{writes, onPersisted})
 	if len(c.pendingWrites) == 1 {
 		c.emit(Effect{Kind: Persist, Writes: writes})
@@ -42,9 +42,9 @@
 	c.entriesSinceSnapshot = 0
 	snapshot := c.encodeSnapshot()
 	if c.consensus != nil {
-		c.stepConsensus(consensus.Event{Kind: consensus.Compacted, Snapshot: snapshot})
+		c.stepConsensus(consensus.Event{Kind: consensus.SnapshotTaken, Snapshot: snapshot})
 	} else {
-		c.persist(&consensus.Kept{Snapshot: snapshot}, func() {})
+		c.persist(&consensus.PersistentState{Snapshot: snapshot}, func() {})
 	}
 	if over := len(c.recentEntries) - c.config.SnapshotAfterEntries; over > 0 {
 		c.recentEntries = slices.Clone(c.recentEntries[over:])
--- a/internal/fleet/node/replicated_log.go
+++ b/internal/fleet/node/replicated_log.go
@@ -8,12 +8,12 @@
 
 // applyEntry applies the next committed entry. What it asks of the request side is worked
 // out afterwards, from the state alone, so that a snapshot leads to the same.
-func (c *Core) applyEntry(r consensus.Record) {
+func (c *Core) applyEntry(r consensus.LogEntry) {
 	if r.Index <= c.state.Index || c.stateError != nil {
 		return
 	}
 	data := r.Data
-	if r.Conf {
+	if r.IsVoterChange {
 		data = nil
 	}
 	versionBefore := c.state.Version
--- a/internal/fleet/node/voting.go
+++ b/internal/fleet/node/voting.go
@@ -9,14 +9,14 @@
 
 // startConsensus makes this controller a voter, from what it persisted. voters are those
 // of the set-up, nil where the log tells.
-func (c *Core) startConsensus(kept consensus.Kept, voters []consensus.Voter) error {
-	core, effects, err := consensus.New(consensus.Begin{
-		Self:      c.config.Self.Name,
-		Voters:    voters,
-		Kept:      kept,
-		Seed:      c.config.Seed,
-		Election:  c.config.ElectionTimeout,
-		Heartbeat: c.config.HeartbeatInterval,
+func (c *Core) startConsensus(kept consensus.PersistentState, voters []consensus.Voter) error {
+	core, effects, err := consensus.New(consensus.Config{
+		Self:              c.config.Self.Name,
+		Voters:            voters,
+		Persistent:        kept,
+		Seed:              c.config.Seed,
+		ElectionTimeout:   c.config.ElectionTimeout,
+		HeartbeatInterval: c.config.HeartbeatInterval,
 	})
 	if err != nil {
 		return err
@@ -52,7 +52,7 @@
 		return
 	}
 	c.voterHeardAt = c.now
-	c.stepConsensus(consensus.Event{Kind: consensus.Message, From: from, Bytes: message})
+	c.stepConsensus(consensus.Event{Kind: consensus.MessageReceived, From: from, Bytes: message})
 }
 
 // stepConsensus passes an event to consensus and performs what follows. This controller
@@ -80,21 +80,21 @@
 
 func (c *Core) performConsensusEffect(e consensus.Effect) {
 	switch e.Kind {
-	case consensus.Send:
+	case consensus.SendMessage:
 		c.send(e.To, c.addressOf(e.To), &Message{Consensus: e.Bytes})
-	case consensus.Store:
-		c.persistConsensus(e.Kept)
-	case consensus.Decided:
-		c.applyEntry(e.Record)
-	case consensus.Restored:
+	case consensus.Persist:
+		c.persistConsensus(e.Persistent)
+	case consensus.Committed:
+		c.applyEntry(e.Entry)
+	case consensus.SnapshotRestored:
 		c.restoreSnapshot(e.Snapshot)
-	case consensus.Confirmed:
+	case consensus.LeadershipConfirmed:
 		c.leadershipConfirmed(e.Handle, e.Index)
-	case consensus.Denied:
+	case consensus.LeadershipDenied:
 		c.leadershipDenied(e.Handle)
-	case consensus.Led:
+	case consensus.LeaderChanged:
 		c.leaderChanged(e.Leader)
-	case consensus.Voting:
+	case consensus.VotersChanged:
 		// a new voter is sent a snapshot that names it
 		c.entriesSinceSnapshot = max(c.entriesSinceSnapshot, c.config.SnapshotAfterEntries)
 		c.voters = e.Voters
@@ -102,16 +102,16 @@
 }
 
 // persistConsensus persists entries and votes before consensus tells others of them.
-func (c *Core) persistConsensus(writes *consensus.Kept) {
-	if writes.Hard != nil {
-		c.hardState = writes.Hard
+func (c *Core) persistConsensus(writes *consensus.PersistentState) {
+	if writes.HardState != nil {
+		c.hardState = writes.HardState
 	}
 	core := c.consensus
 	c.persist(writes, func() {
 		if core == nil || c.consensus != core { // it no longer votes
 			return
 		}
-		c.stepConsensus(consensus.Event{Kind: consensus.Stored})
+		c.stepConsensus(consensus.Event{Kind: consensus.Persisted})
 	})
 }
 
@@ -122,7 +122,7 @@
 		return
 	}
 	c.logf(true, "this controller votes from now on")
-	if err := c.startConsensus(consensus.Kept{Hard: consensus.Voted(c.hardState)}, nil); err != nil {
+	if err := c.startConsensus(consensus.PersistentState{HardState: consensus.VoteOnly(c.hardState)}, nil); err != nil {
 		c.logf(true, "can't start voting: %v", err)
 	}
 }
