--- /dev/null
+++ b/internal/fleet/node/cluster_test.go
@@ -0,0 +1,274 @@
+package node
+
+import (
+	"container/heap"
+	"fmt"
+	"math/rand/v2"
+	"slices"
+	"strings"
+	"testing"
+	"time"
+
+	"railrelay.dev/railrelay/internal/fleet"
+	"railrelay.dev/railrelay/internal/fleet/consensus"
+)
+
+// testCluster is some controllers in virtual time, with request sides that do at once what
+// they are ordered. Its events are played in the order of their times.
+type testCluster struct {
+	t               *testing.T
+	now             time.Duration
+	rand            *rand.Rand
+	controllers     map[string]*testController
+	names           []string
+	timeline        timeline
+	messagesSent    int // messages
+	eventsScheduled int
+	cutLinks        map[string]bool // "a>b"
+	replies         map[string][]*fleet.Reply
+	lose            func(from, to string, m *Message) bool // nil: none but those that are cut
+	seen            func(from, to string, m *Message)
+}
+
+type scheduledEvent struct {
+	at       time.Duration
+	do       func()
+	owner    *testController
+	ownerRun int
+	order    int
+}
+
+// timeline is events by their times, and among equal ones in the order they were scheduled.
+type timeline []*scheduledEvent
+
+func (l timeline) Len() int { return len(l) }
+func (l timeline) Less(i, j int) bool {
+	return l[i].at < l[j].at || l[i].at == l[j].at && l[i].order < l[j].order
+}
+func (l timeline) Swap(i, j int) { l[i], l[j] = l[j], l[i] }
+func (l *timeline) Push(x any)   { *l = append(*l, x.(*scheduledEvent)) }
+func (l *timeline) Pop() any {
+	last := len(*l) - 1
+	x := (*l)[last]
+	*l = (*l)[:last]
+	return x
+}
+
+type testController struct {
+	*testCluster
+	name           string
+	config         Config
+	core           *Core
+	run            int // which start of it, 0: it is down
+	starts         int
+	disk           consensus.PersistentState
+	timerAt        time.Duration
+	permit         fleet.Word
+	orders         []fleet.Order
+	validations    []string // asked for, and done
+	neverValidates string   // a change that it never comes to check
+	rulesUnknown   bool     // of the controllers' own set-ups: it is a control process
+	// outside is how much it tells to run outside as it opens.
+	outsideAtOpen int
+}
+
+func newTestCluster(t *testing.T, seed uint64, voters, followers int, lease time.Duration) *testCluster {
+	s := newEmptyTestCluster(t, seed)
+	l := votersNamed(voters)
+	for i := range voters + followers {
+		name := fmt.Sprintf("v%d", i)
+		if i >= voters {
+			name = fmt.Sprintf("f%d", i-voters)
+		}
+		s.add(configOf(name, l, seed, lease))
+	}
+	return s
+}
+
+func newEmptyTestCluster(t *testing.T, seed uint64) *testCluster {
+	return &testCluster{t: t, rand: rand.New(rand.NewPCG(seed, 1)), controllers: map[string]*testController{}, cutLinks: map[string]bool{}, replies: map[string][]*fleet.Reply{}}
+}
+
+func votersNamed(n int) (l []consensus.Voter) {
+	for i := range n {
+		l = append(l, consensus.Voter{Name: fmt.Sprintf("v%d", i), Address: fmt.Sprintf("v%d:1", i)})
+	}
+	return l
+}
+
+func configOf(name string, voters []consensus.Voter, seed uint64, lease time.Duration) Config {
+	return Config{Self: fleet.Member{Name: name, Disk: "disk " + name, Site: "here", Peer: name + ":1"},
+		Voters: voters, Lease: lease, ClockDrift: 0.01, ElectionTimeout: 200 * time.Millisecond, HeartbeatInterval: 40 * time.Millisecond, Seed: seed, SnapshotAfterEntries: 50}
+}
+
+// add starts one more controller.
+func (s *testCluster) add(b Config) *testController {
+	a := &testController{testCluster: s, name: b.Self.Name, config: b}
+	s.controllers[a.name] = a
+	s.names = append(s.names, a.name)
+	a.start()
+	return a
+}
+
+func (a *testController) start() {
+	a.starts++
+	a.run = a.starts
+	a.config.Incarnation = uint64(a.starts)
+	a.config.Persisted = a.disk
+	a.permit, a.validations = fleet.Word{}, nil
+	core, effects, err := New(a.config)
+	if err != nil {
+		a.t.Fatal(err)
+	}
+	a.core = core
+	a.perform(effects)
+}
+
+func (a *testController) schedule(in time.Duration, do func()) {
+	a.eventsScheduled++
+	heap.Push(&a.timeline, &scheduledEvent{at: a.now + in, do: do, owner: a, ownerRun: a.run, order: a.eventsScheduled})
+}
+
+func (a *testController) step(ev Event) { a.perform(a.core.Step(a.now, ev)) }
+
+func (a *testController) perform(effects []Effect) {
+	for _, e := range effects {
+		switch e.Kind {
+		case Send:
+			to := a.controllers[e.To]
+			a.messagesSent++
+			if to == nil || a.cutLinks[a.name+">"+e.To] || a.lose != nil && a.lose(a.name, e.To, e.Message) {
+				continue
+			}
+			if a.seen != nil {
+				a.seen(a.name, e.To, e.Message)
+			}
+			to.schedule(time.Millisecond+time.Duration(a.rand.IntN(3000))*time.Microsecond, func() { to.step(Event{Kind: MessageReceived, Message: e.Message}) })
+		case Persist:
+			a.schedule(2*time.Millisecond, func() {
+				a.disk = afterWrite(a.disk, e.Writes)
+				a.step(Event{Kind: WritesPersisted})
+			})
+		case ValidatePolicy:
+			if a.validations = append(a.validations, "asked "+e.ChangeID); e.ChangeID == a.neverValidates {
+				continue
+			}
+			a.schedule(time.Millisecond, func() {
+				why := ""
+				if string(e.PolicyText) == "bad for "+a.name {
+					why = "no such group"
+				}
+				ev := Event{Kind: PolicyValidated, ChangeID: e.ChangeID, Reason: why, Policy: string(e.PolicyText), ResidencyRulesUnknown: a.rulesUnknown}
+				if voters, ok := strings.CutPrefix(string(e.PolicyText), "voters "); ok {
+					ev.Voters = strings.Fields(voters)
+				}
+				a.validations = append(a.validations, "done "+e.ChangeID)
+				a.step(ev)
+			})
+		case OrderController:
+			a.orders = append(a.orders, e.Order)
+			a.schedule(time.Millisecond, func() { a.performOrder(e.Order) })
+		case Respond:
+			key := fmt.Sprintf("%s %d", a.name, e.Handle)
+			a.replies[key] = append(a.replies[key], e.Reply)
+		case SetTimer:
+			at := a.now + max(e.Delay, 100*time.Microsecond)
+			a.timerAt = at
+			a.schedule(at-a.now, func() {
+				if a.timerAt == at {
+					a.step(Event{Kind: TimerFired})
+				}
+			})
+		}
+	}
+}
+
+func (a *testController) performOrder(o fleet.Order) {
+	switch o.Kind {
+	case fleet.Shut:
+		a.permit.Set(0)
+		a.step(Event{Kind: ControllerReported, Report: fleet.Report{Kind: fleet.Closed, Change: o.Change}})
+	case fleet.Open:
+		a.permit.Set(o.Version)
+		a.step(Event{Kind: ControllerReported, Report: fleet.Report{Kind: fleet.Opened, Version: o.Version, Outside: a.outsideAtOpen}})
+	case fleet.Renewed:
+		a.permit.Lease(o.Until, o.UntilBound)
+	case fleet.Drop:
+		a.step(Event{Kind: ControllerReported, Report: fleet.Report{Kind: fleet.Unreached, ID: o.ID}})
+		a.step(Event{Kind: ControllerReported, Report: fleet.Report{Kind: fleet.Wiped, ID: o.ID, Counts: fleet.Counts{Results: 1}}})
+	}
+}
+
+// afterWrite is what a disk holds once it was written to.
+func afterWrite(d consensus.PersistentState, k *consensus.PersistentState) consensus.PersistentState {
+	if k.HardState != nil {
+		d.HardState = k.HardState
+	}
+	if s := k.Snapshot; s != nil {
+		d.Snapshot = s
+		var l []consensus.LogEntry
+		for _, r := range d.Entries {
+			if r.Index > s.Index {
+				l = append(l, r)
+			}
+		}
+		d.Entries = l
+	}
+	if len(k.Entries) > 0 {
+		i := 0
+		for i < len(d.Entries) && d.Entries[i].Index < k.Entries[0].Index {
+			i++
+		}
+		d.Entries = append(slices.Clone(d.Entries[:i]), k.Entries...)
+	}
+	return d
+}
+
+// waitFor plays until something holds, and fails after a span of virtual time.
+func (s *testCluster) waitFor(within time.Duration, what string, holds func() bool) {
+	s.t.Helper()
+	for end := s.now + within; !holds(); {
+		if s.now >= end {
+			for _, n := range s.names {
+				a := s.controllers[n]
+				st := a.core.Status()
+				s.t.Logf("%s run %d leader %s index %d version %d serves %v word %d change %+v", n, a.run, st.Leader, st.Index, st.Version, st.Serves, a.permit.May(s.now, false), st.Change)
+			}
+			s.t.Fatalf("not within %v: %s", within, what)
+		}
+		s.playNextEvent()
+	}
+}
+
+func (s *testCluster) playNextEvent() {
+	e := heap.Pop(&s.timeline).(*scheduledEvent)
+	s.now = max(s.now, e.at)
+	if e.owner.run == e.ownerRun && e.ownerRun > 0 {
+		e.do()
+	}
+}
+
+func (s *testCluster) allServe(names ...string) bool {
+	for _, n := range names {
+		if a := s.controllers[n]; a.run == 0 || a.permit.May(s.now, false) == 0 {
+			return false
+		}
+	}
+	return true
+}
+
+func (s *testCluster) leader() *testController {
+	for _, n := range s.names {
+		if a := s.controllers[n]; a.run > 0 && a.core.Leads() && a.core.ready {
+			return a
+		}
+	}
+	return nil
+}
+
+func (s *testCluster) replyTo(a *testController, handle uint64) *fleet.Reply {
+	if l := s.replies[fmt.Sprintf("%s %d", a.name, handle)]; len(l) > 0 {
+		return l[0]
+	}
+	return nil
+}
--- a/internal/fleet/node/relay_test.go
+++ b/internal/fleet/node/relay_test.go
@@ -10,51 +10,51 @@
 	"railrelay.dev/railrelay/internal/fleet/statemachine"
 )
 
-// relayStage is voters v0.., relays r0.. that don't vote, and followers f0.. of which
+// newRelayCluster is voters v0.., relays r0.. that don't vote, and followers f0.. of which
 // each asks through two of the relays.
-func relayStage(t *testing.T, seed uint64, voters, relays, followers int, lease time.Duration) *stage {
-	s := emptyStage(t, seed)
+func newRelayCluster(t *testing.T, seed uint64, voters, relays, followers int, lease time.Duration) *testCluster {
+	s := newEmptyTestCluster(t, seed)
 	named := votersNamed(voters)
 	for _, v := range named {
-		begin := beginOf(v.Name, named, seed, lease)
+		begin := configOf(v.Name, named, seed, lease)
 		begin.Self.Control = true
 		s.add(begin)
 	}
 	var upstreams []Upstream
 	for i := range relays {
 		name := fmt.Sprintf("r%d", i)
-		begin := beginOf(name, named, seed, lease)
+		begin := configOf(name, named, seed, lease)
 		begin.IsRelay, begin.Self.Control = true, true
 		s.add(begin)
 		upstreams = append(upstreams, Upstream{Name: name, Address: name + ":1"})
 	}
 	for i := range followers {
-		begin := beginOf(fmt.Sprintf("f%d", i), named, seed, lease)
+		begin := configOf(fmt.Sprintf("f%d", i), named, seed, lease)
 		begin.Relays = []Upstream{upstreams[i%relays], upstreams[(i+1)%relays]}
 		s.add(begin)
 	}
 	return s
 }
 
-// play goes on for a while and checks something after each event.
-func (s *stage) play(long time.Duration, check func()) {
+// playFor plays for a span of virtual time and checks something after each event.
+func (s *testCluster) playFor(long time.Duration, check func()) {
 	for end := s.now + long; s.now < end; {
-		s.next()
+		s.playNextEvent()
 		if check != nil {
 			check()
 		}
 	}
 }
 
-// noMix fails where two controllers may decide by different versions at one moment.
-func (s *stage) noMix() {
+// checkOneVersion fails where two controllers may decide by different versions at one moment.
+func (s *testCluster) checkOneVersion() {
 	version, by := uint64(0), ""
 	for _, name := range s.names {
-		a := s.all[name]
-		if a.run == 0 || a.begin.Self.Control {
+		a := s.controllers[name]
+		if a.run == 0 || a.config.Self.Control {
 			continue
 		}
-		v := a.word.May(s.now, false)
+		v := a.permit.May(s.now, false)
 		if v == 0 {
 			continue
 		}
@@ -65,32 +65,32 @@
 	}
 }
 
-// change applies a policy at a controller and gives what looks for its word.
-func (s *stage) change(a *actor, id string, handle, base uint64) func() bool {
+// applyPolicy requests a change at a controller and returns what tells whether it is answered.
+func (s *testCluster) applyPolicy(a *testController, id string, handle, base uint64) func() bool {
 	a.step(Event{Kind: OperatorRequested, Handle: handle, Ask: &fleet.Ask{Kind: "apply", ID: id, Base: base, Policy: []byte(id), Wait: 60000}})
 	return func() bool {
-		s.noMix()
-		return s.word(a, handle) != nil
+		s.checkOneVersion()
+		return s.replyTo(a, handle) != nil
 	}
 }
 
-func (s *stage) inForce(a *actor, handle uint64) {
+func (s *testCluster) checkInForce(a *testController, handle uint64) {
 	s.t.Helper()
-	if w := s.word(a, handle); w.Word != statemachine.InForce {
+	if w := s.replyTo(a, handle); w.Word != statemachine.InForce {
 		s.t.Fatalf("%+v", w)
 	}
 }
 
-func (s *stage) cutBoth(a, b string) { s.cut[a+">"+b], s.cut[b+">"+a] = true, true }
+func (s *testCluster) cutBothWays(a, b string) { s.cutLinks[a+">"+b], s.cutLinks[b+">"+a] = true, true }
 
-func (s *stage) heal() { clear(s.cut) }
+func (s *testCluster) healLinks() { clear(s.cutLinks) }
 
 const relayLease = 800 * time.Millisecond
 
-func TestAFleetServesThroughRelays(t *testing.T) {
-	s := relayStage(t, 1, 3, 2, 12, relayLease)
-	s.until(5*time.Second, "all serve", func() bool { return s.serve(s.names...) })
-	s.play(2*relayLease, nil) // what joining led to is over
+func TestFleetServesThroughRelays(t *testing.T) {
+	s := newRelayCluster(t, 1, 3, 2, 12, relayLease)
+	s.waitFor(5*time.Second, "all serve", func() bool { return s.allServe(s.names...) })
+	s.playFor(2*relayLease, nil) // what joining led to is over
 	direct, gathers, renewals := 0, 0, 0
 	s.seen = func(from, to string, m *Message) {
 		leader := s.leader()
@@ -102,8 +102,8 @@
 			renewals += len(m.RelayedRenewals.Renewals)
 		}
 	}
-	s.play(4*time.Second, func() {
-		if !s.serve(s.names...) {
+	s.playFor(4*time.Second, func() {
+		if !s.allServe(s.names...) {
 			t.Fatalf("at %v not all serve", s.now)
 		}
 	})
@@ -111,71 +111,71 @@
 		t.Errorf("at rest %d renewals came to the leader, and gathers named %d controllers", direct, renewals)
 	}
 	// a relay gathers four times in the time in which a controller asks once
-	if most := int(2 * messagesPerInterval * 4 * time.Second / s.all["f0"].core.renewalInterval()); gathers == 0 || gathers > most+4 {
+	if most := int(2 * messagesPerInterval * 4 * time.Second / s.controllers["f0"].core.renewalInterval()); gathers == 0 || gathers > most+4 {
 		t.Errorf("%d gathers in 4 s, at most %d are wanted", gathers, most)
 	}
 	s.seen = nil
-	f := s.all["f3"]
-	s.until(3*time.Second, "in force", s.change(f, "c1", 1, 1))
-	s.inForce(f, 1)
+	f := s.controllers["f3"]
+	s.waitFor(3*time.Second, "in force", s.applyPolicy(f, "c1", 1, 1))
+	s.checkInForce(f, 1)
 	for _, name := range s.names {
-		if v := s.all[name].word.May(s.now, false); v != 2 {
+		if v := s.controllers[name].permit.May(s.now, false); v != 2 {
 			t.Errorf("%s decides by %d", name, v)
 		}
 	}
-	s.until(2*time.Second, "all serve", func() bool { return s.serve(s.names...) })
+	s.waitFor(2*time.Second, "all serve", func() bool { return s.allServe(s.names...) })
 }
 
 // A lease that a relay passes on was given by the leader after its holder asked, and
 // the leader waits for the holder at least as long.
-func TestALeaseThroughARelayIsWaitedFor(t *testing.T) {
+func TestLeaseThroughRelayIsWaitedFor(t *testing.T) {
 	for _, reach := range []string{"relay killed", "follower killed", "relay cut from the leader", "follower cut"} {
-		s := relayStage(t, 2, 3, 2, 4, relayLease)
-		s.until(5*time.Second, "all serve", func() bool { return s.serve(s.names...) })
-		l, f := s.leader(), s.all["f0"]
+		s := newRelayCluster(t, 2, 3, 2, 4, relayLease)
+		s.waitFor(5*time.Second, "all serve", func() bool { return s.allServe(s.names...) })
+		l, f := s.leader(), s.controllers["f0"]
 		switch reach {
 		case "relay killed":
-			s.all["r0"].run = 0
+			s.controllers["r0"].run = 0
 		case "follower killed":
 			f.run = 0
 		case "relay cut from the leader":
-			s.cutBoth("r0", l.name)
+			s.cutBothWays("r0", l.name)
 		case "follower cut":
 			for _, name := range s.names {
 				if name != f.name {
-					s.cutBoth(f.name, name)
+					s.cutBothWays(f.name, name)
 				}
 			}
 		}
-		s.play(time.Duration(s.rand.IntN(200))*time.Millisecond, nil)
-		s.until(4*time.Second, "in force after "+reach, s.change(l, "c1", 1, 1))
-		s.inForce(l, 1)
-		s.play(time.Second, s.noMix)
+		s.playFor(time.Duration(s.rand.IntN(200))*time.Millisecond, nil)
+		s.waitFor(4*time.Second, "in force after "+reach, s.applyPolicy(l, "c1", 1, 1))
+		s.checkInForce(l, 1)
+		s.playFor(time.Second, s.checkOneVersion)
 	}
 }
 
-func TestControllersLeaveARelayThatDoesntAnswer(t *testing.T) {
+func TestControllersLeaveUnansweringRelay(t *testing.T) {
 	for _, reach := range []string{"killed", "cut from the leader", "cut from its controllers", "both gone"} {
-		s := relayStage(t, 3, 3, 2, 8, relayLease)
-		s.until(5*time.Second, "all serve", func() bool { return s.serve(s.names...) })
+		s := newRelayCluster(t, 3, 3, 2, 8, relayLease)
+		s.waitFor(5*time.Second, "all serve", func() bool { return s.allServe(s.names...) })
 		l := s.leader()
 		followers := s.names[5:]
 		switch reach {
 		case "killed":
-			s.all["r0"].run = 0
+			s.controllers["r0"].run = 0
 		case "cut from the leader":
-			s.cutBoth("r0", l.name)
+			s.cutBothWays("r0", l.name)
 		case "cut from its controllers":
 			for _, name := range followers {
-				s.cutBoth("r0", name)
+				s.cutBothWays("r0", name)
 			}
 		case "both gone":
-			s.all["r0"].run, s.all["r1"].run = 0, 0
+			s.controllers["r0"].run, s.controllers["r1"].run = 0, 0
 		}
 		gap := time.Duration(0)
 		last := s.now
-		s.play(6*time.Second, func() {
-			if !s.serve(followers...) {
+		s.playFor(6*time.Second, func() {
+			if !s.allServe(followers...) {
 				gap += s.now - last
 			}
 			last = s.now
@@ -183,26 +183,26 @@
 		if gap > 0 {
 			t.Errorf("%s: a controller served nothing for %v", reach, gap)
 		}
-		s.until(4*time.Second, "in force while a relay is "+reach, s.change(s.all["f1"], "c1", 1, 1))
-		s.inForce(s.all["f1"], 1)
-		s.heal()
+		s.waitFor(4*time.Second, "in force while a relay is "+reach, s.applyPolicy(s.controllers["f1"], "c1", 1, 1))
+		s.checkInForce(s.controllers["f1"], 1)
+		s.healLinks()
 		for _, name := range []string{"r0", "r1"} {
-			if s.all[name].run == 0 {
-				s.all[name].start()
+			if s.controllers[name].run == 0 {
+				s.controllers[name].start()
 			}
 		}
-		s.until(20*time.Second, "all ask through their first relay again", func() bool {
-			return !slices.ContainsFunc(followers, func(name string) bool { return s.all[name].core.routes.current != 0 })
+		s.waitFor(20*time.Second, "all ask through their first relay again", func() bool {
+			return !slices.ContainsFunc(followers, func(name string) bool { return s.controllers[name].core.routes.current != 0 })
 		})
 	}
 }
 
 // A relay that stands still past a lease and goes on holds nobody's lease up, and what
 // it says late is no new ask.
-func TestARelayStoppedPastALeaseAndWoken(t *testing.T) {
-	s := relayStage(t, 4, 3, 2, 6, relayLease)
-	s.until(5*time.Second, "all serve", func() bool { return s.serve(s.names...) })
-	r := s.all["r0"]
+func TestRelayStoppedPastLeaseAndContinued(t *testing.T) {
+	s := newRelayCluster(t, 4, 3, 2, 6, relayLease)
+	s.waitFor(5*time.Second, "all serve", func() bool { return s.allServe(s.names...) })
+	r := s.controllers["r0"]
 	// what reaches it meanwhile waits in its connections
 	var waiting []*Message
 	run := r.run
@@ -213,23 +213,23 @@
 		return to == "r0" && r.run == 0
 	}
 	r.run = 0
-	s.until(4*time.Second, "in force", s.change(s.all["f0"], "c1", 1, 1))
-	s.play(3*relayLease, s.noMix)
+	s.waitFor(4*time.Second, "in force", s.applyPolicy(s.controllers["f0"], "c1", 1, 1))
+	s.playFor(3*relayLease, s.checkOneVersion)
 	r.run = run
 	for _, m := range waiting {
 		r.step(Event{Kind: MessageReceived, Message: m})
-		s.noMix()
+		s.checkOneVersion()
 	}
 	r.step(Event{Kind: TimerFired})
-	s.until(5*time.Second, "in force once more", s.change(s.all["f1"], "c2", 2, 2))
-	s.inForce(s.all["f1"], 2)
-	s.until(5*time.Second, "all serve", func() bool { return s.serve(s.names...) })
+	s.waitFor(5*time.Second, "in force once more", s.applyPolicy(s.controllers["f1"], "c2", 2, 2))
+	s.checkInForce(s.controllers["f1"], 2)
+	s.waitFor(5*time.Second, "all serve", func() bool { return s.allServe(s.names...) })
 }
 
 // Grants that come late or twice lengthen no lease.
-func TestGrantsReplayedOrLate(t *testing.T) {
-	s := relayStage(t, 5, 3, 2, 4, relayLease)
-	s.until(5*time.Second, "all serve", func() bool { return s.serve(s.names...) })
+func TestGrantsReplayedOrLateLengthenNoLease(t *testing.T) {
+	s := newRelayCluster(t, 5, 3, 2, 4, relayLease)
+	s.waitFor(5*time.Second, "all serve", func() bool { return s.allServe(s.names...) })
 	var toRelay, toFollower []*Message
 	s.seen = func(_, to string, m *Message) {
 		if to == "r0" && m.RelayedGrants != nil {
@@ -239,38 +239,38 @@
 			toFollower = append(toFollower, m)
 		}
 	}
-	s.play(2*time.Second, nil)
-	f := s.all["f0"]
+	s.playFor(2*time.Second, nil)
+	f := s.controllers["f0"]
 	for _, name := range s.names {
 		if name != "f0" {
-			s.cutBoth(name, "f0")
+			s.cutBothWays(name, "f0")
 		}
 	}
 	s.seen = nil
-	s.play(relayLease/2, nil)
-	until, _ := f.word.Until()
+	s.playFor(relayLease/2, nil)
+	until, _ := f.permit.Until()
 	for _, m := range toRelay {
-		s.all["r0"].step(Event{Kind: MessageReceived, Message: m})
+		s.controllers["r0"].step(Event{Kind: MessageReceived, Message: m})
 	}
 	for _, m := range toFollower {
 		f.step(Event{Kind: MessageReceived, Message: m})
 	}
-	s.play(10*time.Millisecond, nil)
-	if now, _ := f.word.Until(); now != until || len(toRelay) < 5 || len(toFollower) < 5 {
+	s.playFor(10*time.Millisecond, nil)
+	if now, _ := f.permit.Until(); now != until || len(toRelay) < 5 || len(toFollower) < 5 {
 		t.Errorf("the lease until %v is until %v after %d and %d replayed grants", until, now, len(toRelay), len(toFollower))
 	}
-	s.play(relayLease, nil)
-	if s.serve("f0") {
+	s.playFor(relayLease, nil)
+	if s.allServe("f0") {
 		t.Error("a controller that is cut off serves past its lease")
 	}
 }
 
 // Whatever is lost, doubled or late between relays and leader, changes come through and
 // no two versions are in force at once.
-func TestGathersLostDoubledAndLate(t *testing.T) {
+func TestRelayMessagesLostDoubledAndLate(t *testing.T) {
 	for seed := range uint64(12) {
-		s := relayStage(t, 200+seed, 3, 2, 6, relayLease)
-		s.until(5*time.Second, "all serve", func() bool { return s.serve(s.names...) })
+		s := newRelayCluster(t, 200+seed, 3, 2, 6, relayLease)
+		s.waitFor(5*time.Second, "all serve", func() bool { return s.allServe(s.names...) })
 		s.lose = func(from, to string, m *Message) bool {
 			if m.RelayedRenewals == nil && m.RelayedGrants == nil && m.Grant == nil && m.Renewal == nil && m.LogUpdate == nil {
 				return false
@@ -279,32 +279,32 @@
 			case 0:
 				return true
 			case 1, 2: // once more, later
-				target := s.all[to]
-				target.later(time.Duration(s.rand.IntN(600))*time.Millisecond, func() { target.step(Event{Kind: MessageReceived, Message: m}) })
+				target := s.controllers[to]
+				target.schedule(time.Duration(s.rand.IntN(600))*time.Millisecond, func() { target.step(Event{Kind: MessageReceived, Message: m}) })
 			}
 			return false
 		}
 		for i := range uint64(4) {
-			a := s.all[s.names[s.rand.IntN(len(s.names))]]
-			s.until(15*time.Second, "in force", s.change(a, fmt.Sprintf("c%d", i), 10+i, 1+i))
-			s.inForce(a, 10+i)
+			a := s.controllers[s.names[s.rand.IntN(len(s.names))]]
+			s.waitFor(15*time.Second, "in force", s.applyPolicy(a, fmt.Sprintf("c%d", i), 10+i, 1+i))
+			s.checkInForce(a, 10+i)
 		}
 		s.lose = nil
-		s.until(5*time.Second, "all serve", func() bool { return s.serve(s.names...) })
-		s.play(time.Second, s.noMix)
+		s.waitFor(5*time.Second, "all serve", func() bool { return s.allServe(s.names...) })
+		s.playFor(time.Second, s.checkOneVersion)
 	}
 }
 
 // Leaders, relays and followers come and go in the middle of changes.
-func TestRelaysAndLeadersLostInTheMiddleOfAChange(t *testing.T) {
+func TestRelayOrLeaderLostDuringChange(t *testing.T) {
 	phases := map[string]int{}
 	for seed := range uint64(40) {
-		s := relayStage(t, 300+seed, 3, 2, 4, relayLease)
-		s.until(5*time.Second, "all serve", func() bool { return s.serve(s.names...) })
-		f := s.all["f2"]
-		done := s.change(f, "c1", 1, 1)
-		s.play(time.Duration(s.rand.IntN(90))*time.Millisecond, s.noMix)
-		lost := s.all["r0"]
+		s := newRelayCluster(t, 300+seed, 3, 2, 4, relayLease)
+		s.waitFor(5*time.Second, "all serve", func() bool { return s.allServe(s.names...) })
+		f := s.controllers["f2"]
+		done := s.applyPolicy(f, "c1", 1, 1)
+		s.playFor(time.Duration(s.rand.IntN(90))*time.Millisecond, s.checkOneVersion)
+		lost := s.controllers["r0"]
 		if seed%2 == 1 {
 			lost = s.leader()
 		}
@@ -312,10 +312,10 @@
 			phases[c.Phase]++
 		}
 		lost.run = 0
-		s.until(20*time.Second, "in force", done)
-		s.inForce(f, 1)
+		s.waitFor(20*time.Second, "in force", done)
+		s.checkInForce(f, 1)
 		lost.start()
-		s.until(10*time.Second, "all serve", func() bool { s.noMix(); return s.serve(s.names...) })
+		s.waitFor(10*time.Second, "all serve", func() bool { s.checkOneVersion(); return s.allServe(s.names...) })
 	}
 	for _, p := range []string{statemachine.Proposed, statemachine.Closing, statemachine.Decided} {
 		if phases[p] == 0 {
@@ -325,13 +325,13 @@
 }
 
 // A run of a relay that is still about beside the next one covers for itself alone.
-func TestAnOldRelayBesideANewOne(t *testing.T) {
-	s := relayStage(t, 6, 3, 2, 4, relayLease)
-	s.until(5*time.Second, "all serve", func() bool { return s.serve(s.names...) })
+func TestOldRelayIncarnationBesideNewOne(t *testing.T) {
+	s := newRelayCluster(t, 6, 3, 2, 4, relayLease)
+	s.waitFor(5*time.Second, "all serve", func() bool { return s.allServe(s.names...) })
 	l := s.leader()
-	old := s.all["r0"].core
-	s.all["r0"].start()
-	s.until(5*time.Second, "all serve again", func() bool { return s.serve(s.names...) })
+	old := s.controllers["r0"].core
+	s.controllers["r0"].start()
+	s.waitFor(5*time.Second, "all serve again", func() bool { return s.allServe(s.names...) })
 	for key, covers := range l.core.coverage {
 		if key.relay == "r0" && key.incarnation == old.config.Incarnation {
 			old.aggregator.leaderHasUpTo = covers.lastSeq
@@ -341,14 +341,14 @@
 	for i := range uint64(5) { // it speaks on, and knows nothing of who left it
 		g := &RelayedRenewals{Incarnation: old.config.Incarnation, Seq: seq + 1 + i, BaseSeq: old.aggregator.leaderHasUpTo}
 		l.step(Event{Kind: MessageReceived, Message: &Message{From: "r0", To: l.name, Disk: "disk r0", RelayedRenewals: g}})
-		s.play(20*time.Millisecond, s.noMix)
+		s.playFor(20*time.Millisecond, s.checkOneVersion)
 	}
-	if !s.serve(s.names...) {
+	if !s.allServe(s.names...) {
 		t.Fatal("not all serve beside an old run of a relay")
 	}
-	s.until(4*time.Second, "in force", s.change(s.all["f0"], "c1", 1, 1))
-	s.inForce(s.all["f0"], 1)
-	s.play(12*time.Second, s.noMix)
+	s.waitFor(4*time.Second, "in force", s.applyPolicy(s.controllers["f0"], "c1", 1, 1))
+	s.checkInForce(s.controllers["f0"], 1)
+	s.playFor(12*time.Second, s.checkOneVersion)
 	for key := range l.core.coverage {
 		if key.incarnation == old.config.Incarnation && key.relay == "r0" {
 			t.Error("an old run of a relay is remembered for good")
@@ -356,34 +356,34 @@
 	}
 }
 
-func TestMostJoinWithinASecond(t *testing.T) {
-	s := relayStage(t, 7, 3, 2, 2, relayLease)
-	s.until(5*time.Second, "all serve", func() bool { return s.serve(s.names...) })
+func TestManyControllersJoinWithinASecond(t *testing.T) {
+	s := newRelayCluster(t, 7, 3, 2, 2, relayLease)
+	s.waitFor(5*time.Second, "all serve", func() bool { return s.allServe(s.names...) })
 	named := votersNamed(3)
 	for i := range 97 {
-		begin := beginOf(fmt.Sprintf("n%02d", i), named, 7, relayLease)
+		begin := configOf(fmt.Sprintf("n%02d", i), named, 7, relayLease)
 		begin.Relays = []Upstream{{Name: "r0", Address: "r0:1"}, {Name: "r1", Address: "r1:1"}}
 		s.add(begin)
-		s.play(8*time.Millisecond, nil)
+		s.playFor(8*time.Millisecond, nil)
 	}
-	s.until(3*time.Second, "all serve", func() bool { return s.serve(s.names...) })
-	s.until(3*time.Second, "in force", s.change(s.all["n50"], "c1", 1, 1))
-	s.inForce(s.all["n50"], 1)
+	s.waitFor(3*time.Second, "all serve", func() bool { return s.allServe(s.names...) })
+	s.waitFor(3*time.Second, "in force", s.applyPolicy(s.controllers["n50"], "c1", 1, 1))
+	s.checkInForce(s.controllers["n50"], 1)
 }
 
 // Who is forgotten is granted nothing more, through a relay neither.
-func TestAForgottenControllerIsRefusedThroughARelay(t *testing.T) {
-	s := relayStage(t, 8, 3, 2, 2, relayLease)
-	s.until(5*time.Second, "all serve", func() bool { return s.serve(s.names...) })
-	l, f := s.leader(), s.all["f0"]
-	s.cut["r0>f0"] = true // it hears of its end by nothing but grants
+func TestForgottenControllerIsRefusedThroughRelay(t *testing.T) {
+	s := newRelayCluster(t, 8, 3, 2, 2, relayLease)
+	s.waitFor(5*time.Second, "all serve", func() bool { return s.allServe(s.names...) })
+	l, f := s.leader(), s.controllers["f0"]
+	s.cutLinks["r0>f0"] = true // it hears of its end by nothing but grants
 	s.lose = func(_, to string, m *Message) bool { return to == "f0" && m.LogUpdate != nil }
 	l.step(Event{Kind: OperatorRequested, Handle: 1, Ask: &fleet.Ask{Kind: "forget", ID: "x", Name: "f0"}})
-	s.until(4*time.Second, "it stops", func() bool { return !s.serve("f0") })
-	s.heal()
+	s.waitFor(4*time.Second, "it stops", func() bool { return !s.allServe("f0") })
+	s.healLinks()
 	s.lose = nil
-	s.play(3*time.Second, func() {
-		if s.serve("f0") {
+	s.playFor(3*time.Second, func() {
+		if s.allServe("f0") {
 			t.Fatal("it serves again")
 		}
 	})
@@ -394,28 +394,28 @@
 
 // A leader whose program knows no relays answers no gathers: controllers go to it
 // themselves, and the relay says what is wrong.
-func TestALeaderThatKnowsNoRelays(t *testing.T) {
-	s := relayStage(t, 9, 3, 2, 4, relayLease)
+func TestLeaderThatKnowsNoRelays(t *testing.T) {
+	s := newRelayCluster(t, 9, 3, 2, 4, relayLease)
 	s.lose = func(_, _ string, m *Message) bool { return m.RelayedRenewals != nil } // what it can't read it passes over
-	s.until(8*time.Second, "all serve", func() bool { return s.serve(s.names...) })
-	s.play(8*time.Second, func() {
-		if !s.serve(s.names...) {
+	s.waitFor(8*time.Second, "all serve", func() bool { return s.allServe(s.names...) })
+	s.playFor(8*time.Second, func() {
+		if !s.allServe(s.names...) {
 			t.Fatal("not all serve by asking the leader itself")
 		}
 	})
-	if g := s.all["r0"].core.aggregator; !g.unansweredLogged {
+	if g := s.controllers["r0"].core.aggregator; !g.unansweredLogged {
 		t.Error("the relay doesn't say that it isn't answered")
 	}
-	s.until(4*time.Second, "in force", s.change(s.all["f0"], "c1", 1, 1))
-	s.inForce(s.all["f0"], 1)
+	s.waitFor(4*time.Second, "in force", s.applyPolicy(s.controllers["f0"], "c1", 1, 1))
+	s.checkInForce(s.controllers["f0"], 1)
 }
 
 // A relay that has nothing of the leader's after its ask passes on no lease, whatever
 // it was answered before.
-func TestARelayGrantsNothingByItself(t *testing.T) {
-	s := relayStage(t, 10, 3, 1, 3, relayLease)
-	s.until(5*time.Second, "all serve", func() bool { return s.serve(s.names...) })
-	r := s.all["r0"]
+func TestRelayGrantsNothingByItself(t *testing.T) {
+	s := newRelayCluster(t, 10, 3, 1, 3, relayLease)
+	s.waitFor(5*time.Second, "all serve", func() bool { return s.allServe(s.names...) })
+	r := s.controllers["r0"]
 	given := 0
 	s.seen = func(from, _ string, m *Message) {
 		if from == "r0" && m.Grant != nil && m.Grant.Granted {
@@ -423,15 +423,15 @@
 		}
 	}
 	for _, name := range s.names[:3] {
-		s.cutBoth("r0", name)
+		s.cutBothWays("r0", name)
 	}
-	s.play(10*time.Millisecond, nil) // what was under way has come
+	s.playFor(10*time.Millisecond, nil) // what was under way has come
 	given = 0
 	for i := range uint64(20) {
-		member := s.all["f0"].begin.Self
+		member := s.controllers["f0"].config.Self
 		r.step(Event{Kind: MessageReceived, Message: &Message{From: "f0", To: "r0", Disk: member.Disk,
 			Renewal: &LeaseRenewal{Member: member, Incarnation: 1, Seq: 1000 + i, SentAt: int64(s.now), AppliedIndex: r.core.state.Index}}})
-		s.play(20*time.Millisecond, nil)
+		s.playFor(20*time.Millisecond, nil)
 	}
 	if given != 0 {
 		t.Errorf("a relay answered %d renewals by itself", given)
@@ -440,79 +440,79 @@
 
 // A controller that was started anew while its old relay is slow: what the old run said,
 // told once more by that relay, doesn't stand for the new one for good.
-func TestAnOldRunToldByAnotherRelayIsCorrected(t *testing.T) {
-	s := relayStage(t, 11, 3, 2, 2, relayLease)
-	s.until(5*time.Second, "all serve", func() bool { return s.serve(s.names...) })
-	l, f := s.leader(), s.all["f0"]
+func TestOldIncarnationReportedByAnotherRelayIsCorrected(t *testing.T) {
+	s := newRelayCluster(t, 11, 3, 2, 2, relayLease)
+	s.waitFor(5*time.Second, "all serve", func() bool { return s.allServe(s.names...) })
+	l, f := s.leader(), s.controllers["f0"]
 	oldRun := l.core.peers["f0"].renewal
-	s.cutBoth("r0", "f0")
+	s.cutBothWays("r0", "f0")
 	f.start()
-	s.until(5*time.Second, "it serves through the other relay", func() bool { return s.serve("f0") && l.core.peers["f0"].incarnation == f.begin.Incarnation })
-	r := s.all["r0"].core
+	s.waitFor(5*time.Second, "it serves through the other relay", func() bool { return s.allServe("f0") && l.core.peers["f0"].incarnation == f.config.Incarnation })
+	r := s.controllers["r0"].core
 	late := *oldRun
 	late.Seq++
 	l.step(Event{Kind: MessageReceived, Message: &Message{From: "r0", To: l.name, Disk: "disk r0",
 		RelayedRenewals: &RelayedRenewals{Incarnation: r.config.Incarnation, Seq: r.aggregator.lastSeq + 1, BaseSeq: r.aggregator.leaderHasUpTo,
 			Renewals: []RelayedRenewal{{Name: "f0", Disk: "disk f0", Renewal: &late}}}}})
 	r.aggregator.lastSeq++
-	if l.core.peers["f0"].incarnation == f.begin.Incarnation {
+	if l.core.peers["f0"].incarnation == f.config.Incarnation {
 		t.Fatal("the old run isn't told: this test shows nothing")
 	}
 	l.step(Event{Kind: MessageReceived, Message: &Message{From: "r0", To: l.name, Disk: "disk r0",
 		RelayedRenewals: &RelayedRenewals{Incarnation: r.config.Incarnation, Seq: r.aggregator.lastSeq + 1, BaseSeq: r.aggregator.leaderHasUpTo, Silent: []SilentController{{Name: "f0", SilentFor: int64(time.Second)}}}}})
 	r.aggregator.lastSeq++
-	s.until(2*time.Second, "the new run is told again", func() bool { return l.core.peers["f0"].incarnation == f.begin.Incarnation })
+	s.waitFor(2*time.Second, "the new run is told again", func() bool { return l.core.peers["f0"].incarnation == f.config.Incarnation })
 }
 
 // Nothing is decided about queries by a control process, so no change waits for the lease
 // of one that is lost, be it the leader's.
-func TestAChangeDoesntWaitForControlProcesses(t *testing.T) {
+func TestChangeDoesNotWaitForControlProcesses(t *testing.T) {
 	lease := 5 * time.Second
-	s := relayStage(t, 12, 3, 2, 4, lease)
-	s.until(10*time.Second, "all serve", func() bool { return s.serve(s.names...) })
-	s.all["r1"].run = 0
+	s := newRelayCluster(t, 12, 3, 2, 4, lease)
+	s.waitFor(10*time.Second, "all serve", func() bool { return s.allServe(s.names...) })
+	s.controllers["r1"].run = 0
 	l := s.leader()
 	l.run = 0
 	lost := s.now
-	s.until(3*time.Second, "in force", s.change(s.all["f0"], "c1", 1, 1))
-	s.inForce(s.all["f0"], 1)
+	s.waitFor(3*time.Second, "in force", s.applyPolicy(s.controllers["f0"], "c1", 1, 1))
+	s.checkInForce(s.controllers["f0"], 1)
 	took := s.now - lost
 	t.Logf("in force after %v", took)
 	if took > 1500*time.Millisecond { // two elections, a renewal and a half, and what a change takes
 		t.Errorf("in force %v after the leader was lost, with leases of %v", took, lease)
 	}
 	purge := &fleet.Ask{Kind: "purge", ID: "p1", Scope: &fleet.Scope{Team: "a"}, Wait: 60000}
-	s.all["f1"].step(Event{Kind: OperatorRequested, Handle: 2, Ask: purge})
-	s.until(3*time.Second, "purged while control processes are down", func() bool { return s.word(s.all["f1"], 2) != nil })
+	s.controllers["f1"].step(Event{Kind: OperatorRequested, Handle: 2, Ask: purge})
+	s.waitFor(3*time.Second, "purged while control processes are down", func() bool { return s.replyTo(s.controllers["f1"], 2) != nil })
 }
 
 // A control process that is started as a controller holds no lease before the record says
 // so; a controller that becomes a control process is waited for on, since what it kept may
 // be on its disk yet.
-func TestRolesInTheRecord(t *testing.T) {
-	s := relayStage(t, 13, 3, 2, 2, relayLease)
-	s.until(5*time.Second, "all serve", func() bool { return s.serve(s.names...) })
+func TestRoleInTheLogDecides(t *testing.T) {
+	s := newRelayCluster(t, 13, 3, 2, 2, relayLease)
+	s.waitFor(5*time.Second, "all serve", func() bool { return s.allServe(s.names...) })
 	l := s.leader()
-	r, f := s.all["r0"], s.all["f0"]
-	r.begin.Self.Control, r.begin.IsRelay = false, false
+	r, f := s.controllers["r0"], s.controllers["f0"]
+	r.config.Self.Control, r.config.IsRelay = false, false
 	granted := false
 	s.seen = func(_, to string, m *Message) {
-		if to == "r0" && m.Grant != nil && m.Grant.Granted && m.Grant.Incarnation == r.begin.Incarnation && l.core.state.Members["r0"].Control {
+		if to == "r0" && m.Grant != nil && m.Grant.Granted && m.Grant.Incarnation == r.config.Incarnation && l.core.state.Members["r0"].Control {
 			granted = true
 		}
 	}
 	r.run = 0
-	s.play(relayLease, nil)
+	s.playFor(relayLease, nil)
 	r.start()
-	s.until(5*time.Second, "it serves", func() bool { return s.serve("r0") })
+	s.waitFor(5*time.Second, "it serves", func() bool { return s.allServe("r0") })
 	if granted || l.core.state.Members["r0"].Control {
 		t.Errorf("granted while the record has it as a control process: %v", granted)
 	}
 	f.run = 0
-	f.begin.Self.Control = true
+	f.config.Self.Control = true
 	f.start()
-	s.until(5*time.Second, "it holds a lease", func() bool { return s.serve("f0") })
-	s.play(2*time.Second, nil)
+	s.waitFor(5*time.Second, "it holds a lease", func() bool { return s.allServe("f0") })
+	s.playFor(2*time.Second, nil)
 	if l.core.state.Members["f0"].Control {
 		t.Error("the record has a controller as a control process")
 	}
@@ -520,48 +520,48 @@
 
 // A control process that leads and can't take a policy withdraws it, though nobody waits
 // for control processes.
-func TestAControlLeadersRefusalCounts(t *testing.T) {
-	s := relayStage(t, 14, 3, 2, 2, relayLease)
-	s.until(5*time.Second, "all serve", func() bool { return s.serve(s.names...) })
+func TestControlLeaderAbortsPolicyItRefuses(t *testing.T) {
+	s := newRelayCluster(t, 14, 3, 2, 2, relayLease)
+	s.waitFor(5*time.Second, "all serve", func() bool { return s.allServe(s.names...) })
 	l := s.leader()
 	l.step(Event{Kind: OperatorRequested, Handle: 1, Ask: &fleet.Ask{Kind: "apply", ID: "c1", Base: 1, Policy: []byte("bad for " + l.name)}})
-	s.until(5*time.Second, "a word", func() bool { return s.word(l, 1) != nil })
-	if w := s.word(l, 1); w.Word != statemachine.Withdrawn {
+	s.waitFor(5*time.Second, "a word", func() bool { return s.replyTo(l, 1) != nil })
+	if w := s.replyTo(l, 1); w.Word != statemachine.Withdrawn {
 		t.Errorf("%+v", w)
 	}
 }
 
 // What is named as a relay and is none, or has a program without relays, only names the
 // leader: its controllers go to that, or to the other relay.
-func TestARelayThatIsNone(t *testing.T) {
-	s := relayStage(t, 15, 3, 2, 4, relayLease)
-	s.all["r0"].begin.IsRelay = false
-	s.all["r0"].start()
-	s.until(8*time.Second, "all serve", func() bool { return s.serve(s.names...) })
-	s.play(8*time.Second, func() {
-		if !s.serve(s.names...) {
+func TestUpstreamThatIsNoRelay(t *testing.T) {
+	s := newRelayCluster(t, 15, 3, 2, 4, relayLease)
+	s.controllers["r0"].config.IsRelay = false
+	s.controllers["r0"].start()
+	s.waitFor(8*time.Second, "all serve", func() bool { return s.allServe(s.names...) })
+	s.playFor(8*time.Second, func() {
+		if !s.allServe(s.names...) {
 			t.Fatalf("at %v not all serve", s.now)
 		}
 	})
-	s.until(3*time.Second, "in force", s.change(s.all["f0"], "c1", 1, 1))
-	s.inForce(s.all["f0"], 1)
+	s.waitFor(3*time.Second, "in force", s.applyPolicy(s.controllers["f0"], "c1", 1, 1))
+	s.checkInForce(s.controllers["f0"], 1)
 }
 
 // What is asked of a controller that reaches its relays alone comes to the leader by them.
-func TestAsksGoByRelays(t *testing.T) {
-	s := relayStage(t, 16, 3, 2, 4, relayLease)
-	s.until(5*time.Second, "all serve", func() bool { return s.serve(s.names...) })
+func TestRequestsAreForwardedThroughRelays(t *testing.T) {
+	s := newRelayCluster(t, 16, 3, 2, 4, relayLease)
+	s.waitFor(5*time.Second, "all serve", func() bool { return s.allServe(s.names...) })
 	for _, voter := range s.names[:3] {
 		for _, follower := range s.names[5:] {
-			s.cutBoth(voter, follower)
+			s.cutBothWays(voter, follower)
 		}
 	}
-	f := s.all["f2"]
-	s.until(3*time.Second, "in force", s.change(f, "c1", 1, 1))
-	s.inForce(f, 1)
+	f := s.controllers["f2"]
+	s.waitFor(3*time.Second, "in force", s.applyPolicy(f, "c1", 1, 1))
+	s.checkInForce(f, 1)
 	f.step(Event{Kind: OperatorRequested, Handle: 2, Ask: &fleet.Ask{Kind: "bind", ID: "b1", Team: "a", Tables: []int64{1}}})
-	s.until(3*time.Second, "bound", func() bool { return s.word(f, 2) != nil })
-	s.all["r0"].run = 0 // its first
-	s.until(8*time.Second, "in force by the second", s.change(f, "c2", 3, 2))
-	s.inForce(f, 3)
+	s.waitFor(3*time.Second, "bound", func() bool { return s.replyTo(f, 2) != nil })
+	s.controllers["r0"].run = 0 // its first
+	s.waitFor(8*time.Second, "in force by the second", s.applyPolicy(f, "c2", 3, 2))
+	s.checkInForce(f, 3)
 }
--- a/internal/fleet/node/roster_test.go
+++ b/internal/fleet/node/roster_test.go
@@ -7,29 +7,29 @@
 	"railrelay.dev/railrelay/internal/fleet"
 )
 
-// forget has a name forgotten, and waits until the record has it.
-func (s *stage) forget(name string) {
+// forgetController has a name forgotten, and waits until the log has it.
+func (s *testCluster) forgetController(name string) {
 	s.t.Helper()
 	l := s.leader()
 	l.step(Event{Kind: OperatorRequested, Handle: 900, Ask: &fleet.Ask{Kind: "forget", ID: "forget " + name, Name: name}})
-	s.until(5*time.Second, name+" is forgotten", func() bool { return l.core.state.Members[name].Forgotten })
+	s.waitFor(5*time.Second, name+" is forgotten", func() bool { return l.core.state.Members[name].Forgotten })
 }
 
 // Who was forgotten long ago holds no lease, whoever leads by now: a change doesn't wait.
-func TestAChangeDoesntWaitForThoseForgottenLongAgo(t *testing.T) {
+func TestChangeDoesNotWaitForControllerForgottenLongAgo(t *testing.T) {
 	lease := 5 * time.Second
-	s := relayStage(t, 31, 3, 2, 4, lease)
-	s.until(10*time.Second, "all serve", func() bool { return s.serve(s.names...) })
-	s.all["f3"].run = 0
-	s.forget("f3")
-	s.play(2*lease, nil)
+	s := newRelayCluster(t, 31, 3, 2, 4, lease)
+	s.waitFor(10*time.Second, "all serve", func() bool { return s.allServe(s.names...) })
+	s.controllers["f3"].run = 0
+	s.forgetController("f3")
+	s.playFor(2*lease, nil)
 	l := s.leader()
 	if names := l.core.possibleHolders(); len(names) != len(s.names)-1 || len(l.core.roster.forgottenAt) != 0 {
 		t.Errorf("awaited: %v, forgotten of late: %v", names, l.core.roster.forgottenAt)
 	}
 	l.run = 0
 	lost := s.now
-	s.until(4*time.Second, "in force", s.change(s.all["f0"], "c1", 1, 1))
+	s.waitFor(4*time.Second, "in force", s.applyPolicy(s.controllers["f0"], "c1", 1, 1))
 	if took := s.now - lost; took > 1500*time.Millisecond {
 		t.Errorf("in force %v after the leader was lost", took)
 	}
@@ -37,27 +37,27 @@
 
 // Who was forgotten a moment ago, and isn't lost, may serve until its lease is over: a
 // change waits for that, also where the leader is lost or started anew meanwhile.
-func TestAChangeWaitsForTheLeaseOfOneForgottenJustNow(t *testing.T) {
+func TestChangeWaitsForLeaseOfControllerJustForgotten(t *testing.T) {
 	for _, reach := range []string{"", "leader lost", "voters started anew"} {
-		s := relayStage(t, 32, 3, 2, 3, relayLease)
-		s.until(5*time.Second, "all serve", func() bool { return s.serve(s.names...) })
+		s := newRelayCluster(t, 32, 3, 2, 3, relayLease)
+		s.waitFor(5*time.Second, "all serve", func() bool { return s.allServe(s.names...) })
 		for _, name := range s.names {
 			if name != "f0" {
-				s.cutBoth(name, "f0") // it doesn't hear of its end
+				s.cutBothWays(name, "f0") // it doesn't hear of its end
 			}
 		}
-		s.forget("f0")
+		s.forgetController("f0")
 		switch reach {
 		case "leader lost":
 			s.leader().run = 0
 		case "voters started anew":
 			for _, v := range []string{"v0", "v1", "v2"} {
-				s.all[v].run = 0
-				s.all[v].start()
+				s.controllers[v].run = 0
+				s.controllers[v].start()
 			}
 		}
-		s.until(8*time.Second, "in force", s.change(s.all["f1"], "c1", 1, 1))
-		s.inForce(s.all["f1"], 1)
-		s.play(2*relayLease, s.noMix)
+		s.waitFor(8*time.Second, "in force", s.applyPolicy(s.controllers["f1"], "c1", 1, 1))
+		s.checkInForce(s.controllers["f1"], 1)
+		s.playFor(2*relayLease, s.checkOneVersion)
 	}
 }
