--- a/internal/fleet/node/cluster_test.go
+++ b/internal/fleet/node/cluster_test.go
@@ -86,7 +86,8 @@
 }
 
 func newEmptyTestCluster(t *testing.T, seed uint64) *testCluster {
-	return &testCluster{t: t, rand: rand.New(rand.NewPCG(seed, 1)), controllers: map[string]*testController{}, cutLinks: map[string]bool{}, replies: map[string][]*fleet.Reply{}}
+	return &testCluster{t: t, rand: rand.New(rand.NewPCG(seed, 1)), controllers: map[string]*testController{},
+		cutLinks: map[string]bool{}, replies: map[string][]*fleet.Reply{}}
 }
 
 func votersNamed(n int) (l []consensus.Voter) {
@@ -98,7 +99,8 @@
 
 func configOf(name string, voters []consensus.Voter, seed uint64, lease time.Duration) Config {
 	return Config{Self: fleet.Member{Name: name, Disk: "disk " + name, Site: "here", Peer: name + ":1"},
-		Voters: voters, Lease: lease, ClockDrift: 0.01, ElectionTimeout: 200 * time.Millisecond, HeartbeatInterval: 40 * time.Millisecond, Seed: seed, SnapshotAfterEntries: 50}
+		Voters: voters, Lease: lease, ClockDrift: 0.01, ElectionTimeout: 200 * time.Millisecond,
+		HeartbeatInterval: 40 * time.Millisecond, Seed: seed, SnapshotAfterEntries: 50}
 }
 
 // add starts one more controller.
@@ -126,9 +128,18 @@
 
 func (a *testController) schedule(in time.Duration, do func()) {
 	a.eventsScheduled++
-	heap.Push(&a.timeline, &scheduledEvent{at: a.now + in, do: do, owner: a, ownerRun: a.run, order: a.eventsScheduled})
+	heap.Push(&a.timeline, &scheduledEvent{at: a.now + in, do: do, owner: a, ownerRun: a.run,
+		order: a.eventsScheduled})
 }
 
+// request has an operator request something of a controller.
+func (a *testController) request(handle uint64, ask *fleet.Ask) {
+	a.step(Event{Kind: OperatorRequested, Handle: handle, Ask: ask})
+}
+
+// receive brings a message to a controller.
+func (a *testController) receive(m *Message) { a.step(Event{Kind: MessageReceived, Message: m}) }
+
 func (a *testController) step(ev Event) { a.perform(a.core.Step(a.now, ev)) }
 
 func (a *testController) perform(effects []Effect) {
@@ -143,7 +154,8 @@
 			if a.seen != nil {
 				a.seen(a.name, e.To, e.Message)
 			}
-			to.schedule(time.Millisecond+time.Duration(a.rand.IntN(3000))*time.Microsecond, func() { to.step(Event{Kind: MessageReceived, Message: e.Message}) })
+			to.schedule(time.Millisecond+time.Duration(a.rand.IntN(3000))*time.Microsecond,
+				func() { to.step(Event{Kind: MessageReceived, Message: e.Message}) })
 		case Persist:
 			a.schedule(2*time.Millisecond, func() {
 				a.disk = afterWrite(a.disk, e.Writes)
@@ -158,7 +170,8 @@
 				if string(e.PolicyText) == "bad for "+a.name {
 					why = "no such group"
 				}
-				ev := Event{Kind: PolicyValidated, ChangeID: e.ChangeID, Reason: why, Policy: string(e.PolicyText), ResidencyRulesUnknown: a.rulesUnknown}
+				ev := Event{Kind: PolicyValidated, ChangeID: e.ChangeID, Reason: why, Policy: string(e.PolicyText),
+					ResidencyRulesUnknown: a.rulesUnknown}
 				if voters, ok := strings.CutPrefix(string(e.PolicyText), "voters "); ok {
 					ev.Voters = strings.Fields(voters)
 				}
@@ -190,12 +203,14 @@
 		a.step(Event{Kind: ControllerReported, Report: fleet.Report{Kind: fleet.Closed, Change: o.Change}})
 	case fleet.Open:
 		a.permit.Set(o.Version)
-		a.step(Event{Kind: ControllerReported, Report: fleet.Report{Kind: fleet.Opened, Version: o.Version, Outside: a.outsideAtOpen}})
+		a.step(Event{Kind: ControllerReported, Report: fleet.Report{Kind: fleet.Opened, Version: o.Version,
+			Outside: a.outsideAtOpen}})
 	case fleet.Renewed:
 		a.permit.Lease(o.Until, o.UntilBound)
 	case fleet.Drop:
 		a.step(Event{Kind: ControllerReported, Report: fleet.Report{Kind: fleet.Unreached, ID: o.ID}})
-		a.step(Event{Kind: ControllerReported, Report: fleet.Report{Kind: fleet.Wiped, ID: o.ID, Counts: fleet.Counts{Results: 1}}})
+		a.step(Event{Kind: ControllerReported, Report: fleet.Report{Kind: fleet.Wiped, ID: o.ID,
+			Counts: fleet.Counts{Results: 1}}})
 	}
 }
 
@@ -232,7 +247,8 @@
 			for _, n := range s.names {
 				a := s.controllers[n]
 				st := a.core.Status()
-				s.t.Logf("%s run %d leader %s index %d version %d serves %v word %d change %+v", n, a.run, st.Leader, st.Index, st.Version, st.Serves, a.permit.May(s.now, false), st.Change)
+				s.t.Logf("%s run %d leader %s index %d version %d serves %v word %d change %+v", n, a.run, st.Leader,
+					st.Index, st.Version, st.Serves, a.permit.May(s.now, false), st.Change)
 			}
 			s.t.Fatalf("not within %v: %s", within, what)
 		}
@@ -240,6 +256,11 @@
 	}
 }
 
+func (s *testCluster) waitUntilAllServe(within time.Duration) {
+	s.t.Helper()
+	s.waitFor(within, "all serve", func() bool { return s.allServe(s.names...) })
+}
+
 func (s *testCluster) playNextEvent() {
 	e := heap.Pop(&s.timeline).(*scheduledEvent)
 	s.now = max(s.now, e.at)
--- a/internal/fleet/node/configuration_change.go
+++ b/internal/fleet/node/configuration_change.go
@@ -69,14 +69,21 @@
 		return
 	}
 	if len(waiting) == 0 && validated {
-		c.proposeOnce("close "+id, &fleet.Entry{Kind: fleet.Close, ID: id, Scopes: own.purgeScopes, Voters: own.voters})
+		c.proposeOnce("close "+id, &fleet.Entry{
+			Kind:   fleet.Close,
+			ID:     id,
+			Scopes: own.purgeScopes,
+			Voters: own.voters,
+		})
 	}
 	c.setWaitingFor(id, waiting)
 }
 
 // driveFencing commits a change once no controller decides by the version before it.
 func (c *Core) driveFencing(change *statemachine.PolicyChange) {
-	waiting := c.unconfirmedHolders(c.config.Lease, func(r *LeaseRenewal) bool { return r.FencedFor == change.ID })
+	waiting := c.unconfirmedHolders(c.config.Lease, func(r *LeaseRenewal) bool {
+		return r.FencedFor == change.ID
+	})
 	if c.isLate(change) && len(waiting) > 0 {
 		c.abort(change, fmt.Sprintf("not stopped by %s within %v", nameList(waiting), changeTimeout(change)))
 		return
--- a/internal/fleet/node/lease.go
+++ b/internal/fleet/node/lease.go
@@ -140,7 +140,10 @@
 		c.leader = cmp.Or(g.Leader, from)
 	}
 	c.leaderWaitsFor = g.WaitingFor
-	c.pendingLeases = append(c.pendingLeases, pendingLease{askedAt: time.Duration(g.SentAt), index: g.RequiredIndex})
+	c.pendingLeases = append(c.pendingLeases, pendingLease{
+		askedAt: time.Duration(g.SentAt),
+		index:   g.RequiredIndex,
+	})
 	c.activateLeases()
 }
 
--- a/internal/fleet/node/lease_granting.go
+++ b/internal/fleet/node/lease_granting.go
@@ -101,7 +101,9 @@
 // admitRenewal takes what a controller reports of itself, unless it is older than what it
 // reported before. known is whether the log has the controller, which gets no lease
 // before; refusal is set where it is refused for good.
-func (c *Core) admitRenewal(name, disk string, r *LeaseRenewal, repeats repeatRule) (refusal string, known bool) {
+func (c *Core) admitRenewal(
+	name, disk string, r *LeaseRenewal, repeats repeatRule,
+) (refusal string, known bool) {
 	refusal = c.refusalReason(name, disk)
 	if refusal != "" {
 		return refusal, false
--- a/internal/fleet/node/lease_holders.go
+++ b/internal/fleet/node/lease_holders.go
@@ -39,7 +39,9 @@
 // unconfirmedHolders are the controllers that may hold a lease and haven't confirmed
 // something, in order. A control process decides nothing by a policy, whatever lease it
 // holds.
-func (c *Core) unconfirmedHolders(lease time.Duration, hasConfirmed func(*LeaseRenewal) bool) (names []string) {
+func (c *Core) unconfirmedHolders(
+	lease time.Duration, hasConfirmed func(*LeaseRenewal) bool,
+) (names []string) {
 	for _, name := range c.possibleHolders() {
 		if c.state.Members[name].Control || !c.mayHoldLease(name, lease) {
 			continue
--- a/internal/fleet/node/messages.go
+++ b/internal/fleet/node/messages.go
@@ -45,33 +45,38 @@
 	// doesn't know it yet still follows.
 	Votes         bool   `cbor:"Votes,omitempty"`
 	PolicyVersion uint64 `cbor:"Version"` // policy that the controller decides by, 0: none
-	// Ready has the result of each validated configuration change: why it can't be
+	// ValidationResults has the result of each validated configuration change: why it can't be
 	// served by, "" if it can.
-	ValidationResults map[string]string       `cbor:"Ready,omitempty"`
-	FencedFor         string                  `cbor:"Closed,omitempty"`    // configuration change that it is fenced for
-	Tombstoned        []string                `cbor:"Unreached,omitempty"` // invalidations tombstoned here
-	Erased            map[string]fleet.Counts `cbor:"Wiped,omitempty"`     // invalidations erased here
-	ServingSites      []string                `cbor:"Sites,omitempty"`     // zones with engines that serve
-	AttemptsOutside   int                     `cbor:"Outside,omitempty"`   // attempts of confined tenants outside their zones
+	ValidationResults map[string]string `cbor:"Ready,omitempty"`
+	// FencedFor is the configuration change that it decides nothing for any more.
+	FencedFor    string                  `cbor:"Closed,omitempty"`
+	Tombstoned   []string                `cbor:"Unreached,omitempty"` // invalidations tombstoned here
+	Erased       map[string]fleet.Counts `cbor:"Wiped,omitempty"`     // invalidations erased here
+	ServingSites []string                `cbor:"Sites,omitempty"`     // zones with engines that serve
+	// AttemptsOutside counts attempts of confined tenants outside their zones.
+	AttemptsOutside int `cbor:"Outside,omitempty"`
 }
 
 // LeaseGrant answers a LeaseRenewal: from the leader once a majority of voters has
 // confirmed that it leads, from a relay once the leader has, or from a controller that
 // doesn't lead to name the one that does. A lost one costs a renewal interval.
 type LeaseGrant struct {
-	Seq           uint64              `cbor:"Seq"`  // as in the LeaseRenewal
-	SentAt        int64               `cbor:"Sent"` // as in the LeaseRenewal: the lease counts from then
-	Incarnation   uint64              `cbor:"Boot"` // as in the LeaseRenewal
-	Granted       bool                `cbor:"Given"`
-	RequiredIndex uint64              `cbor:"Index"`           // the lease counts once the log up to here is applied
-	Leader        string              `cbor:"Leader"`          // whom to ask instead, "": not known
-	WaitingFor    map[string][]string `cbor:"Waits,omitempty"` // controllers waited for, some of them, by change or invalidation
-	RefusedReason string              `cbor:"Why"`             // refused for good: the name or disk is forgotten, or another's
+	Seq         uint64 `cbor:"Seq"`  // as in the LeaseRenewal
+	SentAt      int64  `cbor:"Sent"` // as in the LeaseRenewal: the lease counts from then
+	Incarnation uint64 `cbor:"Boot"` // as in the LeaseRenewal
+	Granted     bool   `cbor:"Given"`
+	// RequiredIndex: the lease counts once its holder has applied the log up to here.
+	RequiredIndex uint64 `cbor:"Index"`
+	Leader        string `cbor:"Leader"` // whom to ask instead, "": not known
+	// WaitingFor has controllers that are waited for, some of them, by change or invalidation.
+	WaitingFor map[string][]string `cbor:"Waits,omitempty"`
+	// RefusedReason: refused for good, since the name or disk is forgotten, or another's.
+	RefusedReason string `cbor:"Why"`
 }
 
 // LogUpdate brings log entries, or a snapshot in their place, to a controller that does
 // not vote; the leader or the controller's relay sends it. A lost one is noticed by the
-// next renewal's Applied, or by the receiver, which sends a LogRequest.
+// next renewal's AppliedIndex, or by the receiver, which sends a LogRequest.
 type LogUpdate struct {
 	Snapshot       *consensus.Snapshot  `cbor:"Snapshot,omitempty"`
 	Entries        []consensus.LogEntry `cbor:"Records,omitempty"`
@@ -88,12 +93,12 @@
 // RelayedRenewals is a relay's message to the leader: what has changed in the renewals
 // of all controllers that ask through it. It asks for a lease for each controller that
 // the relay covers, also for those that it doesn't name because nothing of them changed.
-// A lost one shows by the next one's Base, which the leader lacks: it asks for a full
+// A lost one shows by the next one's BaseSeq, which the leader lacks: it asks for a full
 // message.
 type RelayedRenewals struct {
 	Incarnation uint64 `cbor:"Boot"` // the relay's incarnation
 	Seq         uint64 `cbor:"Seq"`  // from 1, within the incarnation
-	// Base is the message that went before: this one has all that changed since. A
+	// BaseSeq is the message that went before: this one has all that changed since. A
 	// leader that lacks it asks for a full message. 0: this is a full message, and
 	// replaces what was told before.
 	BaseSeq  uint64             `cbor:"Base,omitempty"`
@@ -125,8 +130,8 @@
 	Leader        string `cbor:"Leader"` // whom to ask instead, "": not known
 	// Withheld are covered controllers that must not be granted a lease.
 	Withheld []WithheldLease `cbor:"Withheld,omitempty"`
-	// Again are covered controllers whose renewal must be told once more: another relay
-	// has told of them since.
+	// Resend are covered controllers whose renewal must be sent once more: another relay
+	// has reported them since.
 	Resend     []string            `cbor:"Again,omitempty"`
 	WaitingFor map[string][]string `cbor:"Waits,omitempty"` // as in a LeaseGrant
 }
--- a/internal/fleet/node/node_test.go
+++ b/internal/fleet/node/node_test.go
@@ -13,9 +13,9 @@
 
 func TestConfigurationChangeCommitsEverywhere(t *testing.T) {
 	s := newTestCluster(t, 1, 3, 3, 600*time.Millisecond)
-	s.waitFor(5*time.Second, "all serve", func() bool { return s.allServe(s.names...) })
+	s.waitUntilAllServe(5 * time.Second)
 	a := s.controllers["f0"]
-	a.step(Event{Kind: OperatorRequested, Handle: 1, Ask: &fleet.Ask{Kind: "apply", ID: "c1", Base: 1, Policy: []byte("x")}})
+	a.request(1, &fleet.Ask{Kind: "apply", ID: "c1", Base: 1, Policy: []byte("x")})
 	s.waitFor(5*time.Second, "in force", func() bool { return s.replyTo(a, 1) != nil })
 	if w := s.replyTo(a, 1); w.Word != statemachine.InForce || w.Version != 2 {
 		t.Fatalf("%+v", w)
@@ -27,15 +27,17 @@
 	}
 	// two operators at once: one is refused
 	b := s.controllers["v1"]
-	a.step(Event{Kind: OperatorRequested, Handle: 2, Ask: &fleet.Ask{Kind: "apply", ID: "c2", Base: 2, Policy: []byte("y")}})
-	b.step(Event{Kind: OperatorRequested, Handle: 3, Ask: &fleet.Ask{Kind: "apply", ID: "c3", Base: 2, Policy: []byte("z")}})
-	s.waitFor(5*time.Second, "both answered", func() bool { return s.replyTo(a, 2) != nil && s.replyTo(b, 3) != nil })
+	a.request(2, &fleet.Ask{Kind: "apply", ID: "c2", Base: 2, Policy: []byte("y")})
+	b.request(3, &fleet.Ask{Kind: "apply", ID: "c3", Base: 2, Policy: []byte("z")})
+	s.waitFor(5*time.Second, "both answered", func() bool {
+		return s.replyTo(a, 2) != nil && s.replyTo(b, 3) != nil
+	})
 	words := []string{s.replyTo(a, 2).Word, s.replyTo(b, 3).Word}
 	if slices.Sort(words); !slices.Equal(words, []string{statemachine.InForce, statemachine.Refused}) {
 		t.Errorf("%v", words)
 	}
 	// one can't take it: it is withdrawn everywhere
-	a.step(Event{Kind: OperatorRequested, Handle: 4, Ask: &fleet.Ask{Kind: "apply", ID: "c4", Base: 3, Policy: []byte("bad for f2")}})
+	a.request(4, &fleet.Ask{Kind: "apply", ID: "c4", Base: 3, Policy: []byte("bad for f2")})
 	s.waitFor(5*time.Second, "withdrawn", func() bool { return s.replyTo(a, 4) != nil })
 	if w := s.replyTo(a, 4); w.Word != statemachine.Withdrawn || w.Exit() != 3 {
 		t.Errorf("%+v", w)
@@ -45,15 +47,19 @@
 
 func TestDownControllerDelaysNothingAndCatchesUpBeforeServing(t *testing.T) {
 	s := newTestCluster(t, 2, 3, 2, 600*time.Millisecond)
-	s.waitFor(5*time.Second, "all serve", func() bool { return s.allServe(s.names...) })
+	s.waitUntilAllServe(5 * time.Second)
 	f := s.controllers["f1"]
 	f.run = 0
 	l := s.leader()
-	l.step(Event{Kind: OperatorRequested, Handle: 1, Ask: &fleet.Ask{Kind: "apply", ID: "c1", Base: 1, Policy: []byte("x")}})
-	l.step(Event{Kind: OperatorRequested, Handle: 2, Ask: &fleet.Ask{Kind: "purge", ID: "p1", Scope: &fleet.Scope{Team: "a"}, Until: fleet.Unreachable, Wait: 30000}})
-	l.step(Event{Kind: OperatorRequested, Handle: 3, Ask: &fleet.Ask{Kind: "purge", ID: "p1", Scope: &fleet.Scope{Team: "a"}, Wait: 30000}})
-	s.waitFor(5*time.Second, "in force, unreachable", func() bool { return s.replyTo(l, 1) != nil && s.replyTo(l, 2) != nil })
-	if s.replyTo(l, 1).Word != statemachine.InForce || s.replyTo(l, 2).Word != fleet.Unreachable || s.replyTo(l, 3) != nil {
+	l.request(1, &fleet.Ask{Kind: "apply", ID: "c1", Base: 1, Policy: []byte("x")})
+	l.request(2, &fleet.Ask{Kind: "purge", ID: "p1", Scope: &fleet.Scope{Team: "a"}, Until: fleet.Unreachable,
+		Wait: 30000})
+	l.request(3, &fleet.Ask{Kind: "purge", ID: "p1", Scope: &fleet.Scope{Team: "a"}, Wait: 30000})
+	s.waitFor(5*time.Second, "in force, unreachable", func() bool {
+		return s.replyTo(l, 1) != nil && s.replyTo(l, 2) != nil
+	})
+	if s.replyTo(l, 1).Word != statemachine.InForce || s.replyTo(l, 2).Word != fleet.Unreachable ||
+		s.replyTo(l, 3) != nil {
 		t.Fatalf("%+v %+v %+v", s.replyTo(l, 1), s.replyTo(l, 2), s.replyTo(l, 3))
 	}
 	if o := l.core.outstanding("p1"); !slices.Equal(o, []string{"f1"}) {
@@ -83,10 +89,10 @@
 	phases := map[string]int{}
 	for seed := range uint64(40) {
 		s := newTestCluster(t, 100+seed, 3, 2, 400*time.Millisecond)
-		s.waitFor(5*time.Second, "all serve", func() bool { return s.allServe(s.names...) })
+		s.waitUntilAllServe(5 * time.Second)
 		l := s.leader()
 		a := s.controllers["f0"]
-		a.step(Event{Kind: OperatorRequested, Handle: 1, Ask: &fleet.Ask{Kind: "apply", ID: "c1", Base: 1, Policy: []byte("x"), Wait: 20000}})
+		a.request(1, &fleet.Ask{Kind: "apply", ID: "c1", Base: 1, Policy: []byte("x"), Wait: 20000})
 		for end := s.now + time.Duration(s.rand.IntN(60))*time.Millisecond; s.now < end; {
 			s.playNextEvent()
 		}
@@ -104,10 +110,11 @@
 			}
 		}
 		l.start()
-		s.waitFor(10*time.Second, "all serve", func() bool { return s.allServe(s.names...) })
+		s.waitUntilAllServe(10 * time.Second)
 	}
 	t.Log(phases)
-	for _, p := range []string{statemachine.Proposed, statemachine.Closing, statemachine.Decided, statemachine.InForce} {
+	for _, p := range []string{statemachine.Proposed, statemachine.Closing, statemachine.Decided,
+		statemachine.InForce} {
 		if phases[p] == 0 {
 			t.Errorf("no leader was lost while %s", p)
 		}
@@ -116,12 +123,13 @@
 
 func TestFollowerCatchesUpAfterManyEntries(t *testing.T) {
 	s := newTestCluster(t, 3, 3, 1, 500*time.Millisecond)
-	s.waitFor(5*time.Second, "all serve", func() bool { return s.allServe(s.names...) })
+	s.waitUntilAllServe(5 * time.Second)
 	f := s.controllers["f0"]
 	f.run = 0
 	l := s.leader()
 	for i := range 400 {
-		l.step(Event{Kind: OperatorRequested, Handle: uint64(i + 1), Ask: &fleet.Ask{Kind: "bind", ID: fmt.Sprintf("b%d", i), Team: "a", Tables: []int64{int64(i)}}})
+		l.request(uint64(i+1), &fleet.Ask{Kind: "bind", ID: fmt.Sprintf("b%d", i), Team: "a",
+			Tables: []int64{int64(i)}})
 		s.waitFor(5*time.Second, "bound", func() bool { return s.replyTo(l, uint64(i+1)) != nil })
 	}
 	f.start()
@@ -133,7 +141,7 @@
 
 func TestVoterIsReplaced(t *testing.T) {
 	s := newTestCluster(t, 4, 3, 1, 500*time.Millisecond)
-	s.waitFor(5*time.Second, "all serve", func() bool { return s.allServe(s.names...) })
+	s.waitUntilAllServe(5 * time.Second)
 	l := s.leader()
 	old := "v0"
 	if l.name == "v0" {
@@ -145,13 +153,14 @@
 			want = append(want, n+"="+n+":1")
 		}
 	}
-	l.step(Event{Kind: OperatorRequested, Handle: 1, Ask: &fleet.Ask{Kind: "apply", ID: "c1", Base: 1, Policy: []byte("voters " + strings.Join(want, " "))}})
+	l.request(1, &fleet.Ask{Kind: "apply", ID: "c1", Base: 1, Policy: []byte("voters " + strings.Join(want,
+		" "))})
 	s.waitFor(5*time.Second, "in force", func() bool { return s.replyTo(l, 1) != nil })
 	s.waitFor(5*time.Second, "the new one votes, the old one follows", func() bool {
 		f, o := s.controllers["f0"].core, s.controllers[old].core
 		return f.consensus != nil && f.isVoter("f0") && !f.isVoter(old) && o.consensus == nil
 	})
-	s.waitFor(5*time.Second, "all serve", func() bool { return s.allServe(s.names...) })
+	s.waitUntilAllServe(5 * time.Second)
 	// both sets vote together for a moment; without the old one it can't end
 	for end := s.now + 300*time.Millisecond; s.now < end; {
 		s.playNextEvent()
@@ -177,19 +186,22 @@
 func TestThousandFollowers(t *testing.T) {
 	s := newTestCluster(t, 5, 5, 1024, 2*time.Second)
 	began := time.Now()
-	s.waitFor(30*time.Second, "all serve", func() bool { return len(s.timeline) > 0 && s.eventsScheduled%500 == 0 && s.allServe(s.names...) })
+	s.waitFor(30*time.Second, "all serve", func() bool {
+		return len(s.timeline) > 0 && s.eventsScheduled%500 == 0 && s.allServe(s.names...)
+	})
 	t.Logf("%v of virtual time until all serve, %v real", s.now, time.Since(began))
 	rest, sent, began := s.now, s.messagesSent, time.Now()
 	for s.now < rest+2*time.Second {
 		s.playNextEvent()
 	}
-	t.Logf("at rest: %d messages a controller in 2s, %v of processor time for all in 2s", (s.messagesSent-sent)/len(s.names), time.Since(began))
+	t.Logf("at rest: %d messages a controller in 2s, %v of processor time for all in 2s",
+		(s.messagesSent-sent)/len(s.names), time.Since(began))
 	if n := (s.messagesSent - sent) / len(s.names); n > 20 {
 		t.Errorf("%d messages a controller at rest in 2s", n)
 	}
 	a := s.controllers["f77"]
 	at := s.now
-	a.step(Event{Kind: OperatorRequested, Handle: 1, Ask: &fleet.Ask{Kind: "apply", ID: "c1", Base: 1, Policy: []byte("x")}})
+	a.request(1, &fleet.Ask{Kind: "apply", ID: "c1", Base: 1, Policy: []byte("x")})
 	s.waitFor(5*time.Second, "in force", func() bool { return s.replyTo(a, 1) != nil })
 	if s.replyTo(a, 1).Word != statemachine.InForce {
 		t.Fatalf("%+v", s.replyTo(a, 1))
@@ -200,7 +212,8 @@
 // A lease without an end and a short one beside it for bound teams: the short one goes on
 // while the majority is there, and only it ends for who is cut off.
 func TestConfinedLeaseEndsWhileLeaseHasNoEnd(t *testing.T) {
-	for _, c := range []struct{ all, bound time.Duration }{{0, 200 * time.Millisecond}, {5 * time.Second, 200 * time.Millisecond}} {
+	for _, c := range []struct{ all, bound time.Duration }{{0, 200 * time.Millisecond}, {5 * time.Second,
+		200 * time.Millisecond}} {
 		s := newTestCluster(t, 7, 3, 0, c.all)
 		for _, n := range s.names { // started anew with it
 			s.controllers[n].config.ConfinedLease = c.bound
@@ -238,7 +251,9 @@
 		s.controllers[n].start()
 	}
 	served := func(n string) bool { return s.controllers[n].permit.May(s.now, true) != 0 }
-	s.waitFor(12*time.Second, "all serve", func() bool { return !slices.ContainsFunc(s.names, func(n string) bool { return !served(n) }) })
+	s.waitFor(12*time.Second, "all serve", func() bool {
+		return !slices.ContainsFunc(s.names, func(n string) bool { return !served(n) })
+	})
 	for end := s.now + 3*time.Second; s.now < end; { // what an earlier leader may have given is over
 		s.playNextEvent()
 	}
@@ -246,7 +261,8 @@
 		s.cutLinks[n+">f0"], s.cutLinks["f0>"+n] = true, true
 	}
 	l := s.leader()
-	l.step(Event{Kind: OperatorRequested, Handle: 1, Ask: &fleet.Ask{Kind: "purge", ID: "p1", Scope: &fleet.Scope{Team: "a"}, Until: fleet.Unreachable, Wait: 30000}})
+	l.request(1, &fleet.Ask{Kind: "purge", ID: "p1", Scope: &fleet.Scope{Team: "a"}, Until: fleet.Unreachable,
+		Wait: 30000})
 	s.waitFor(5*time.Second, "unreachable", func() bool {
 		if l.core.state.Purges["p1"] != nil && l.core.state.Purges["p1"].Stage != "" && served("f0") {
 			t.Fatal("it is told while f0, which is cut off, serves on")
@@ -259,11 +275,15 @@
 // who asked for it is waited for from then on.
 func TestLeaseBeingConfirmedIsWaitedFor(t *testing.T) {
 	s := newTestCluster(t, 9, 3, 1, 500*time.Millisecond)
-	s.waitFor(5*time.Second, "all serve", func() bool { return s.allServe(s.names...) })
+	s.waitUntilAllServe(5 * time.Second)
 	f, l := s.controllers["f0"], s.leader()
 	f.run = 0
-	s.waitFor(5*time.Second, "its lease is over", func() bool { return !l.core.mayHoldLease("f0", l.core.config.Lease) })
-	s.waitFor(5*time.Second, "no confirmation is under way", func() bool { return len(l.core.confirming)+len(l.core.toConfirm) == 0 })
+	s.waitFor(5*time.Second, "its lease is over", func() bool {
+		return !l.core.mayHoldLease("f0", l.core.config.Lease)
+	})
+	s.waitFor(5*time.Second, "no confirmation is under way", func() bool {
+		return len(l.core.confirming)+len(l.core.toConfirm) == 0
+	})
 	l.step(Event{Kind: MessageReceived, Message: &Message{From: "f0", Disk: "disk f0",
 		Renewal: &LeaseRenewal{Member: f.config.Self, Incarnation: 99, Seq: 1, AppliedIndex: l.core.state.Index}}})
 	s.waitFor(5*time.Second, "a confirmation has begun", func() bool { return len(l.core.confirming) > 0 })
@@ -276,7 +296,7 @@
 // Whoever comes to lead in the middle, started anew, must know both alike.
 func TestLeaderRestartedDuringChange(t *testing.T) {
 	s := newTestCluster(t, 10, 3, 1, 500*time.Millisecond)
-	s.waitFor(5*time.Second, "all serve", func() bool { return s.allServe(s.names...) })
+	s.waitUntilAllServe(5 * time.Second)
 	anew := func() {
 		for _, n := range s.names[:3] {
 			s.controllers[n].run = 0
@@ -284,24 +304,30 @@
 		}
 	}
 	f := s.controllers["f0"]
-	f.step(Event{Kind: OperatorRequested, Handle: 1, Ask: &fleet.Ask{Kind: "apply", ID: "c1", Base: 1, Policy: []byte("x")}})
+	f.request(1, &fleet.Ask{Kind: "apply", ID: "c1", Base: 1, Policy: []byte("x")})
 	s.waitFor(5*time.Second, "in force", func() bool { return s.replyTo(f, 1) != nil })
 	f.neverValidates = "c2"
-	f.step(Event{Kind: OperatorRequested, Handle: 2, Ask: &fleet.Ask{Kind: "apply", ID: "c2", Base: 2, Policy: []byte("voters f0=f0:1"), Wait: 60000}})
+	f.request(2, &fleet.Ask{Kind: "apply", ID: "c2", Base: 2, Policy: []byte("voters f0=f0:1"), Wait: 60000})
 	checked := func(a *testController) bool { return slices.Contains(a.validations, "done c2") }
 	s.waitFor(5*time.Second, "it is checked", func() bool {
 		return checked(s.controllers["v0"]) && checked(s.controllers["v1"]) && checked(s.controllers["v2"])
 	})
 	anew()
-	s.waitFor(9*time.Second, "it is checked again", func() bool { return s.leader() != nil && checked(s.leader()) })
-	if l := s.leader().validations; !strings.HasPrefix(l[0], "asked in force 2") || !strings.HasPrefix(l[1], "done in force 2") || l[2] != "asked c2" {
+	s.waitFor(9*time.Second, "it is checked again", func() bool {
+		return s.leader() != nil && checked(s.leader())
+	})
+	if l := s.leader().validations; !strings.HasPrefix(l[0], "asked in force 2") ||
+		!strings.HasPrefix(l[1], "done in force 2") || l[2] != "asked c2" {
 		t.Errorf("it is held against what isn't in force: %q", l)
 	}
 	f.step(Event{Kind: PolicyValidated, ChangeID: "c2", Voters: []string{"f0=f0:1"}})
-	s.waitFor(5*time.Second, "closing", func() bool { return f.core.state.Changes["c2"].Phase == statemachine.Closing })
+	s.waitFor(5*time.Second, "closing", func() bool {
+		return f.core.state.Changes["c2"].Phase == statemachine.Closing
+	})
 	anew()
 	s.waitFor(20*time.Second, "in force", func() bool { return s.replyTo(f, 2) != nil })
-	if w := s.replyTo(f, 2); w.Word != statemachine.InForce || !slices.Equal(f.core.state.Voters, []string{"f0=f0:1"}) {
+	if w := s.replyTo(f, 2); w.Word != statemachine.InForce ||
+		!slices.Equal(f.core.state.Voters, []string{"f0=f0:1"}) {
 		t.Errorf("%+v, voters %v", w, f.core.state.Voters)
 	}
 }
@@ -309,12 +335,14 @@
 func TestAllVotersReplacedAtOnce(t *testing.T) {
 	for seed := range uint64(5) {
 		s := newTestCluster(t, 20+seed, 3, 3, 500*time.Millisecond)
-		s.waitFor(5*time.Second, "all serve", func() bool { return s.allServe(s.names...) })
+		s.waitUntilAllServe(5 * time.Second)
 		a := s.controllers["f0"]
-		a.step(Event{Kind: OperatorRequested, Handle: 1, Ask: &fleet.Ask{Kind: "apply", ID: "c1", Base: 1, Policy: []byte("voters f0=f0:1 f1=f1:1 f2=f2:1"), Wait: 60000}})
+		a.request(1, &fleet.Ask{Kind: "apply", ID: "c1", Base: 1,
+			Policy: []byte("voters f0=f0:1 f1=f1:1 f2=f2:1"), Wait: 60000})
 		s.waitFor(20*time.Second, "in force", func() bool { return s.replyTo(a, 1) != nil })
 		s.waitFor(20*time.Second, "the old ones follow, all serve", func() bool {
-			return s.controllers["v0"].core.consensus == nil && s.controllers["v1"].core.consensus == nil && s.controllers["v2"].core.consensus == nil && s.allServe(s.names...)
+			return s.controllers["v0"].core.consensus == nil && s.controllers["v1"].core.consensus == nil &&
+				s.controllers["v2"].core.consensus == nil && s.allServe(s.names...)
 		})
 		for _, n := range []string{"v0", "v1", "v2"} {
 			s.controllers[n].run = 0
@@ -331,9 +359,9 @@
 func TestForgottenControllerStopsServing(t *testing.T) {
 	for _, lease := range []time.Duration{0, 500 * time.Millisecond} {
 		s := newTestCluster(t, 11, 3, 1, lease)
-		s.waitFor(5*time.Second, "all serve", func() bool { return s.allServe(s.names...) })
+		s.waitUntilAllServe(5 * time.Second)
 		l, f := s.leader(), s.controllers["f0"]
-		l.step(Event{Kind: OperatorRequested, Handle: 1, Ask: &fleet.Ask{Kind: "forget", ID: "x", Name: "f0"}})
+		l.request(1, &fleet.Ask{Kind: "forget", ID: "x", Name: "f0"})
 		s.waitFor(2*time.Second, "it stops", func() bool { return !s.allServe("f0") })
 		for end := s.now + 3*time.Second; s.now < end; s.playNextEvent() {
 			if s.allServe("f0") {
@@ -356,8 +384,10 @@
 	s := newTestCluster(t, 12, 1, 0, 500*time.Millisecond)
 	s.waitFor(5*time.Second, "it serves", func() bool { return s.allServe("v0") })
 	c := s.controllers["v0"].core
-	s.controllers["v0"].step(Event{Kind: ControllerReported, Report: fleet.Report{Kind: fleet.Sites, Sites: []string{"here"}}})
-	s.controllers["v0"].step(Event{Kind: ControllerReported, Report: fleet.Report{Kind: fleet.Opened, Version: 1, Outside: 2}})
+	s.controllers["v0"].step(Event{Kind: ControllerReported, Report: fleet.Report{Kind: fleet.Sites,
+		Sites: []string{"here"}}})
+	s.controllers["v0"].step(Event{Kind: ControllerReported, Report: fleet.Report{Kind: fleet.Opened,
+		Version: 1, Outside: 2}})
 	if c.attemptsOutside != 2 {
 		t.Errorf("%d outside", c.attemptsOutside)
 	}
@@ -366,11 +396,12 @@
 // A tighter rule with nothing to purge is settled only once what runs outside has ended.
 func TestChangeSettlesAfterAttemptsOutsideEnd(t *testing.T) {
 	s := newTestCluster(t, 13, 3, 1, 500*time.Millisecond)
-	s.waitFor(5*time.Second, "all serve", func() bool { return s.allServe(s.names...) })
+	s.waitUntilAllServe(5 * time.Second)
 	f := s.controllers["f0"]
 	f.outsideAtOpen = 1
-	f.step(Event{Kind: OperatorRequested, Handle: 1, Ask: &fleet.Ask{Kind: "apply", ID: "c1", Base: 1, Policy: []byte("x")}})
-	f.step(Event{Kind: OperatorRequested, Handle: 2, Ask: &fleet.Ask{Kind: "apply", ID: "c1", Base: 1, Policy: []byte("x"), Until: "settled", Wait: 60000}})
+	f.request(1, &fleet.Ask{Kind: "apply", ID: "c1", Base: 1, Policy: []byte("x")})
+	f.request(2, &fleet.Ask{Kind: "apply", ID: "c1", Base: 1, Policy: []byte("x"), Until: "settled",
+		Wait: 60000})
 	s.waitFor(5*time.Second, "in force", func() bool { return s.replyTo(f, 1) != nil })
 	for end := s.now + 2*time.Second; s.now < end; s.playNextEvent() {
 		if s.replyTo(f, 2) != nil {
@@ -387,7 +418,7 @@
 // An emergency doesn't outlive its rule.
 func TestEmergencyEndsWithItsRule(t *testing.T) {
 	s := newTestCluster(t, 14, 3, 0, 500*time.Millisecond)
-	s.waitFor(5*time.Second, "all serve", func() bool { return s.allServe(s.names...) })
+	s.waitUntilAllServe(5 * time.Second)
 	l := s.leader()
 	l.core.effects = nil
 	l.core.propose(&fleet.Entry{Kind: fleet.Emergency, Name: "r"})
@@ -403,7 +434,7 @@
 		s.controllers[name].rulesUnknown = true
 		s.controllers[name].start()
 	}
-	s.waitFor(5*time.Second, "all serve", func() bool { return s.allServe(s.names...) })
+	s.waitUntilAllServe(5 * time.Second)
 	l := s.leader()
 	l.core.effects = nil
 	l.core.propose(&fleet.Entry{Kind: fleet.Emergency, Name: "r"})
@@ -419,7 +450,7 @@
 // Who holds a lease is known to the leader; others say that they don't know.
 func TestStatusTellsWhereLeasesAreNotKnown(t *testing.T) {
 	s := newTestCluster(t, 16, 3, 1, 500*time.Millisecond)
-	s.waitFor(5*time.Second, "all serve", func() bool { return s.allServe(s.names...) })
+	s.waitUntilAllServe(5 * time.Second)
 	for _, name := range s.names {
 		want := fleet.HoldingUnknown
 		if s.controllers[name] == s.leader() {
--- a/internal/fleet/node/persistence.go
+++ b/internal/fleet/node/persistence.go
@@ -36,7 +36,10 @@
 
 // compact replaces a log that has grown by a snapshot.
 func (c *Core) compact() {
-	if c.entriesSinceSnapshot < c.config.SnapshotAfterEntries || len(c.pendingWrites) > 0 || c.stateError != nil {
+	if c.entriesSinceSnapshot < c.config.SnapshotAfterEntries {
+		return
+	}
+	if len(c.pendingWrites) > 0 || c.stateError != nil {
 		return
 	}
 	c.entriesSinceSnapshot = 0
--- a/internal/fleet/node/relay_aggregation.go
+++ b/internal/fleet/node/relay_aggregation.go
@@ -94,7 +94,9 @@
 }
 
 // addRenewal takes a controller's renewal. It returns nil where that is late or doubled.
-func (g *renewalAggregator) addRenewal(now time.Duration, name, disk string, r *LeaseRenewal) *relayedController {
+func (g *renewalAggregator) addRenewal(
+	now time.Duration, name, disk string, r *LeaseRenewal,
+) *relayedController {
 	from := g.controllers[name]
 	next := g.lastSeq + 1
 	switch {
@@ -161,7 +163,8 @@
 	for _, name := range sorted(g.controllers) {
 		from := g.controllers[name]
 		if from.changedInSeq > g.leaderHasUpTo {
-			message.Renewals = append(message.Renewals, RelayedRenewal{Name: name, Disk: from.disk, Renewal: from.renewal})
+			renewal := RelayedRenewal{Name: name, Disk: from.disk, Renewal: from.renewal}
+			message.Renewals = append(message.Renewals, renewal)
 		}
 	}
 	if g.leaderHasUpTo == 0 { // one that isn't named is no longer covered
--- a/internal/fleet/node/relay_aggregation_test.go
+++ b/internal/fleet/node/relay_aggregation_test.go
@@ -9,7 +9,8 @@
 )
 
 func testRenewal(name string, boot, seq uint64) *LeaseRenewal {
-	return &LeaseRenewal{Member: fleet.Member{Name: name, Disk: "disk " + name, Site: "here", Peer: name + ":1"}, Incarnation: boot, Seq: seq, SentAt: int64(seq)}
+	return &LeaseRenewal{Member: fleet.Member{Name: name, Disk: "disk " + name, Site: "here",
+		Peer: name + ":1"}, Incarnation: boot, Seq: seq, SentAt: int64(seq)}
 }
 
 func namesIn(g *RelayedRenewals) (names []string) {
@@ -27,7 +28,8 @@
 }
 
 func (g *renewalAggregator) given(seq uint64, withheld ...WithheldLease) []addressedGrant {
-	return g.handleAnswer("l", &RelayedGrants{Incarnation: g.incarnation, Seq: seq, Granted: true, RequiredIndex: 7, Leader: "l", Withheld: withheld})
+	return g.handleAnswer("l", &RelayedGrants{Incarnation: g.incarnation, Seq: seq, Granted: true,
+		RequiredIndex: 7, Leader: "l", Withheld: withheld})
 }
 
 // aggregatorWithTwo is a relay's, which a leader has everything of: a and b ask through it.
@@ -48,7 +50,8 @@
 	g.nextMessage(0)
 	g.addRenewal(0, "a", "disk a", testRenewal("a", 1, 4))
 	grants := g.given(2)
-	if len(grants) != 1 || grants[0].name != "a" || grants[0].grant.Seq != 3 || grants[0].grant.SentAt != 3 || grants[0].grant.RequiredIndex != 7 {
+	if len(grants) != 1 || grants[0].name != "a" || grants[0].grant.Seq != 3 || grants[0].grant.SentAt != 3 ||
+		grants[0].grant.RequiredIndex != 7 {
 		t.Fatalf("%+v", grants)
 	}
 	if again := g.given(2); len(again) != 0 {
@@ -108,7 +111,8 @@
 	g.addRenewal(time.Second, "b", "disk b", testRenewal("b", 1, 2))
 	g.expire(time.Second, 500*time.Millisecond)
 	next := g.nextMessage(1500 * time.Millisecond)
-	if !slices.Equal(silentNamesIn(next), []string{"a"}) || next.Silent[0].SilentFor != int64(1500*time.Millisecond) {
+	if !slices.Equal(silentNamesIn(next), []string{"a"}) ||
+		next.Silent[0].SilentFor != int64(1500*time.Millisecond) {
 		t.Fatalf("%+v", next.Silent)
 	}
 	if grants := g.given(2); len(grants) != 1 || grants[0].name != "b" {
@@ -130,11 +134,13 @@
 	}
 	g.addRenewal(time.Second, "b", "disk b", testRenewal("b", 1, 1))
 	g.expire(time.Second, 500*time.Millisecond)
-	if next := g.nextMessage(time.Second); next.BaseSeq != 1 || !slices.Equal(silentNamesIn(next), []string{"a"}) || !slices.Equal(namesIn(next), []string{"b"}) {
+	if next := g.nextMessage(time.Second); next.BaseSeq != 1 ||
+		!slices.Equal(silentNamesIn(next), []string{"a"}) || !slices.Equal(namesIn(next), []string{"b"}) {
 		t.Errorf("%+v", next)
 	}
 	g.handleAnswer("l", &RelayedGrants{Incarnation: 1, Seq: 2, Resync: true})
-	if all := g.nextMessage(time.Second); all.BaseSeq != 0 || !slices.Equal(namesIn(all), []string{"b"}) || len(all.Silent) != 0 {
+	if all := g.nextMessage(time.Second); all.BaseSeq != 0 || !slices.Equal(namesIn(all), []string{"b"}) ||
+		len(all.Silent) != 0 {
 		t.Errorf("%+v", all)
 	}
 	g.handleAnswer("l", &RelayedGrants{Incarnation: 1, Seq: 2, Resync: true})
@@ -153,7 +159,8 @@
 	g.addRenewal(0, "b", "disk b", testRenewal("b", 1, 2))
 	g.nextMessage(0)
 	grants := g.given(2, WithheldLease{Name: "a"}, WithheldLease{Name: "b", RefusedReason: "forgotten"})
-	if len(grants) != 2 || grants[0].grant.Granted || grants[0].grant.RefusedReason != "" || grants[1].grant.Granted || grants[1].grant.RefusedReason != "forgotten" {
+	if len(grants) != 2 || grants[0].grant.Granted || grants[0].grant.RefusedReason != "" ||
+		grants[1].grant.Granted || grants[1].grant.RefusedReason != "forgotten" {
 		t.Fatalf("%+v %+v", grants[0].grant, grants[1].grant)
 	}
 	if next := g.nextMessage(0); !slices.Equal(namesIn(next), []string{"a"}) {
--- a/internal/fleet/node/relay_coverage_test.go
+++ b/internal/fleet/node/relay_coverage_test.go
@@ -10,9 +10,10 @@
 
 // leaderWithManualRelay plays a fleet with a relay that is driven by hand. It returns the
 // leader, and what sends the leader a relay's message and returns the answer, nil: none.
-func leaderWithManualRelay(t *testing.T) (s *testCluster, l *testController, tell func(*RelayedRenewals) *RelayedGrants) {
+func leaderWithManualRelay(t *testing.T) (s *testCluster, l *testController,
+	tell func(*RelayedRenewals) *RelayedGrants) {
 	s = newRelayCluster(t, 21, 3, 1, 2, relayLease)
-	s.waitFor(5*time.Second, "all serve", func() bool { return s.allServe(s.names...) })
+	s.waitUntilAllServe(5 * time.Second)
 	for _, name := range []string{"r0", "f0", "f1"} {
 		s.controllers[name].run = 0
 	}
@@ -25,7 +26,8 @@
 	}
 	return s, l, func(g *RelayedRenewals) *RelayedGrants {
 		g.Incarnation, last = 77, nil
-		l.step(Event{Kind: MessageReceived, Message: &Message{From: "r0", To: l.name, Disk: "disk r0", RelayedRenewals: g}})
+		l.step(Event{Kind: MessageReceived, Message: &Message{From: "r0", To: l.name, Disk: "disk r0",
+			RelayedRenewals: g}})
 		s.playFor(60*time.Millisecond, nil)
 		return last
 	}
@@ -40,7 +42,8 @@
 	if a := tell(&RelayedRenewals{Seq: 3, BaseSeq: 2}); a == nil || !a.Resync || a.Granted {
 		t.Fatalf("it has nothing of this relay and says %+v", a)
 	}
-	if a := tell(&RelayedRenewals{Seq: 4, Renewals: []RelayedRenewal{relayedFrom("f0", 50, 1)}}); a == nil || !a.Granted || len(a.Withheld) != 0 {
+	if a := tell(&RelayedRenewals{Seq: 4, Renewals: []RelayedRenewal{relayedFrom("f0", 50, 1)}}); a == nil ||
+		!a.Granted || len(a.Withheld) != 0 {
 		t.Fatalf("%+v", a)
 	}
 	if a := tell(&RelayedRenewals{Seq: 6, BaseSeq: 5}); a == nil || !a.Resync || a.Granted {
@@ -63,17 +66,20 @@
 	if a := tell(&RelayedRenewals{Seq: 5, Renewals: []RelayedRenewal{relayedFrom("f1", 51, 4)}}); a != nil {
 		t.Errorf("a doubled gather is answered: %+v", a)
 	}
-	if covers := l.core.coverage[relayIncarnation{"r0", 77}]; !covers.controllers["f0"] || covers.controllers["f1"] {
+	if covers := l.core.coverage[relayIncarnation{"r0", 77}]; !covers.controllers["f0"] ||
+		covers.controllers["f1"] {
 		t.Errorf("covered: %v", covers.controllers)
 	}
 }
 
 func TestCoverageReplacedByFullMessage(t *testing.T) {
 	_, l, tell := leaderWithManualRelay(t)
-	tell(&RelayedRenewals{Seq: 1, Renewals: []RelayedRenewal{relayedFrom("f0", 50, 1), relayedFrom("f1", 51, 1)}})
+	tell(&RelayedRenewals{Seq: 1, Renewals: []RelayedRenewal{relayedFrom("f0", 50, 1), relayedFrom("f1", 51,
+		1)}})
 	heard := l.core.coverage[relayIncarnation{"r0", 77}].heardAt
 	tell(&RelayedRenewals{Seq: 2, Renewals: []RelayedRenewal{relayedFrom("f1", 51, 2)}})
-	if covers := l.core.coverage[relayIncarnation{"r0", 77}]; covers.controllers["f0"] || !covers.controllers["f1"] {
+	if covers := l.core.coverage[relayIncarnation{"r0", 77}]; covers.controllers["f0"] ||
+		!covers.controllers["f1"] {
 		t.Errorf("covered: %v", covers.controllers)
 	}
 	if asked := l.core.peers["f0"].leaseAskedAt; asked < heard {
@@ -85,19 +91,22 @@
 // of it, also if the record has it before the answer goes out.
 func TestCoverageWithholdsLeaseOfJoiningController(t *testing.T) {
 	s, l, tell := leaderWithManualRelay(t)
-	if a := tell(&RelayedRenewals{Seq: 1, Renewals: []RelayedRenewal{relayedFrom("new", 60, 1)}}); a == nil || !slices.Equal(a.Withheld, []WithheldLease{{Name: "new"}}) {
+	if a := tell(&RelayedRenewals{Seq: 1, Renewals: []RelayedRenewal{relayedFrom("new", 60, 1)}}); a == nil ||
+		!slices.Equal(a.Withheld, []WithheldLease{{Name: "new"}}) {
 		t.Fatalf("%+v", a)
 	}
 	s.playFor(time.Second, nil)
 	if l.core.state.Members["new"] == nil {
 		t.Fatal("it hasn't joined")
 	}
-	if a := tell(&RelayedRenewals{Seq: 2, Renewals: []RelayedRenewal{relayedFrom("new", 60, 2)}}); a == nil || !a.Granted || len(a.Withheld) != 0 {
+	if a := tell(&RelayedRenewals{Seq: 2, Renewals: []RelayedRenewal{relayedFrom("new", 60, 2)}}); a == nil ||
+		!a.Granted || len(a.Withheld) != 0 {
 		t.Errorf("%+v", a)
 	}
 	// two gathers in one confirmation: what the first withheld stays withheld for it
 	covers := &relayCoverage{controllers: map[string]bool{"new": true}}
-	first := unconfirmedRenewal{name: "r0", relayed: &RelayedRenewals{Incarnation: 77, Seq: 9}, coverage: covers, withheld: map[string]string{"new": ""}}
+	first := unconfirmedRenewal{name: "r0", relayed: &RelayedRenewals{Incarnation: 77, Seq: 9},
+		coverage: covers, withheld: map[string]string{"new": ""}}
 	l.core.effects = nil
 	l.core.grantRelayed(first, 1)
 	if sent := l.core.effects[0].Message.RelayedGrants; len(sent.Withheld) != 1 {
@@ -108,12 +117,14 @@
 func TestCoverageWithholdsLeaseOfForgottenController(t *testing.T) {
 	s, l, tell := leaderWithManualRelay(t)
 	tell(&RelayedRenewals{Seq: 1, Renewals: []RelayedRenewal{relayedFrom("f0", 50, 1)}})
-	l.step(Event{Kind: OperatorRequested, Handle: 1, Ask: &fleet.Ask{Kind: "forget", ID: "x", Name: "f0"}})
+	l.request(1, &fleet.Ask{Kind: "forget", ID: "x", Name: "f0"})
 	s.waitFor(2*time.Second, "forgotten", func() bool { return l.core.state.Members["f0"].Forgotten })
-	if a := tell(&RelayedRenewals{Seq: 2, BaseSeq: 1}); a == nil || len(a.Withheld) != 1 || a.Withheld[0].RefusedReason != forgottenName {
+	if a := tell(&RelayedRenewals{Seq: 2, BaseSeq: 1}); a == nil || len(a.Withheld) != 1 ||
+		a.Withheld[0].RefusedReason != forgottenName {
 		t.Errorf("%+v", a)
 	}
-	if a := tell(&RelayedRenewals{Seq: 3, Renewals: []RelayedRenewal{{Name: "f1", Disk: "another", Renewal: testRenewal("f1", 51, 1)}}}); a == nil || a.Withheld[0].RefusedReason != foreignDisk {
+	if a := tell(&RelayedRenewals{Seq: 3, Renewals: []RelayedRenewal{{Name: "f1", Disk: "another",
+		Renewal: testRenewal("f1", 51, 1)}}}); a == nil || a.Withheld[0].RefusedReason != foreignDisk {
 		t.Errorf("%+v", a)
 	}
 }
@@ -123,12 +134,14 @@
 	_, l, tell := leaderWithManualRelay(t)
 	tell(&RelayedRenewals{Seq: 1, Renewals: []RelayedRenewal{relayedFrom("f0", 90, 1)}})
 	old := &RelayedRenewals{Incarnation: 5, Seq: 1, Renewals: []RelayedRenewal{relayedFrom("f0", 80, 1)}}
-	l.step(Event{Kind: MessageReceived, Message: &Message{From: "r9", To: l.name, Disk: "disk r9", RelayedRenewals: old}})
+	l.step(Event{Kind: MessageReceived, Message: &Message{From: "r9", To: l.name, Disk: "disk r9",
+		RelayedRenewals: old}})
 	if l.core.peers["f0"].incarnation != 80 {
 		t.Fatal("the other relay's word doesn't stand")
 	}
 	l.step(Event{Kind: MessageReceived, Message: &Message{From: "r9", To: l.name, Disk: "disk r9",
-		RelayedRenewals: &RelayedRenewals{Incarnation: 5, Seq: 2, BaseSeq: 1, Silent: []SilentController{{Name: "f0", SilentFor: 1}}}}})
+		RelayedRenewals: &RelayedRenewals{Incarnation: 5, Seq: 2, BaseSeq: 1,
+			Silent: []SilentController{{Name: "f0", SilentFor: 1}}}}})
 	if a := tell(&RelayedRenewals{Seq: 2, BaseSeq: 1}); a == nil || !slices.Equal(a.Resend, []string{"f0"}) {
 		t.Fatalf("%+v", a)
 	}
--- a/internal/fleet/node/relay_test.go
+++ b/internal/fleet/node/relay_test.go
@@ -12,7 +12,8 @@
 
 // newRelayCluster is voters v0.., relays r0.. that don't vote, and followers f0.. of which
 // each asks through two of the relays.
-func newRelayCluster(t *testing.T, seed uint64, voters, relays, followers int, lease time.Duration) *testCluster {
+func newRelayCluster(t *testing.T, seed uint64, voters, relays, followers int,
+	lease time.Duration) *testCluster {
 	s := newEmptyTestCluster(t, seed)
 	named := votersNamed(voters)
 	for _, v := range named {
@@ -67,7 +68,7 @@
 
 // applyPolicy requests a change at a controller and returns what tells whether it is answered.
 func (s *testCluster) applyPolicy(a *testController, id string, handle, base uint64) func() bool {
-	a.step(Event{Kind: OperatorRequested, Handle: handle, Ask: &fleet.Ask{Kind: "apply", ID: id, Base: base, Policy: []byte(id), Wait: 60000}})
+	a.request(handle, &fleet.Ask{Kind: "apply", ID: id, Base: base, Policy: []byte(id), Wait: 60000})
 	return func() bool {
 		s.checkOneVersion()
 		return s.replyTo(a, handle) != nil
@@ -89,7 +90,7 @@
 
 func TestFleetServesThroughRelays(t *testing.T) {
 	s := newRelayCluster(t, 1, 3, 2, 12, relayLease)
-	s.waitFor(5*time.Second, "all serve", func() bool { return s.allServe(s.names...) })
+	s.waitUntilAllServe(5 * time.Second)
 	s.playFor(2*relayLease, nil) // what joining led to is over
 	direct, gathers, renewals := 0, 0, 0
 	s.seen = func(from, to string, m *Message) {
@@ -111,7 +112,8 @@
 		t.Errorf("at rest %d renewals came to the leader, and gathers named %d controllers", direct, renewals)
 	}
 	// a relay gathers four times in the time in which a controller asks once
-	if most := int(2 * messagesPerInterval * 4 * time.Second / s.controllers["f0"].core.renewalInterval()); gathers == 0 || gathers > most+4 {
+	most := int(2 * messagesPerInterval * 4 * time.Second / s.controllers["f0"].core.renewalInterval())
+	if gathers == 0 || gathers > most+4 {
 		t.Errorf("%d gathers in 4 s, at most %d are wanted", gathers, most)
 	}
 	s.seen = nil
@@ -123,15 +125,16 @@
 			t.Errorf("%s decides by %d", name, v)
 		}
 	}
-	s.waitFor(2*time.Second, "all serve", func() bool { return s.allServe(s.names...) })
+	s.waitUntilAllServe(2 * time.Second)
 }
 
 // A lease that a relay passes on was given by the leader after its holder asked, and
 // the leader waits for the holder at least as long.
 func TestLeaseThroughRelayIsWaitedFor(t *testing.T) {
-	for _, reach := range []string{"relay killed", "follower killed", "relay cut from the leader", "follower cut"} {
+	for _, reach := range []string{"relay killed", "follower killed", "relay cut from the leader",
+		"follower cut"} {
 		s := newRelayCluster(t, 2, 3, 2, 4, relayLease)
-		s.waitFor(5*time.Second, "all serve", func() bool { return s.allServe(s.names...) })
+		s.waitUntilAllServe(5 * time.Second)
 		l, f := s.leader(), s.controllers["f0"]
 		switch reach {
 		case "relay killed":
@@ -157,7 +160,7 @@
 func TestControllersLeaveUnansweringRelay(t *testing.T) {
 	for _, reach := range []string{"killed", "cut from the leader", "cut from its controllers", "both gone"} {
 		s := newRelayCluster(t, 3, 3, 2, 8, relayLease)
-		s.waitFor(5*time.Second, "all serve", func() bool { return s.allServe(s.names...) })
+		s.waitUntilAllServe(5 * time.Second)
 		l := s.leader()
 		followers := s.names[5:]
 		switch reach {
@@ -192,7 +195,8 @@
 			}
 		}
 		s.waitFor(20*time.Second, "all ask through their first relay again", func() bool {
-			return !slices.ContainsFunc(followers, func(name string) bool { return s.controllers[name].core.routes.current != 0 })
+			return !slices.ContainsFunc(followers,
+				func(name string) bool { return s.controllers[name].core.routes.current != 0 })
 		})
 	}
 }
@@ -201,7 +205,7 @@
 // it says late is no new ask.
 func TestRelayStoppedPastLeaseAndContinued(t *testing.T) {
 	s := newRelayCluster(t, 4, 3, 2, 6, relayLease)
-	s.waitFor(5*time.Second, "all serve", func() bool { return s.allServe(s.names...) })
+	s.waitUntilAllServe(5 * time.Second)
 	r := s.controllers["r0"]
 	// what reaches it meanwhile waits in its connections
 	var waiting []*Message
@@ -217,19 +221,19 @@
 	s.playFor(3*relayLease, s.checkOneVersion)
 	r.run = run
 	for _, m := range waiting {
-		r.step(Event{Kind: MessageReceived, Message: m})
+		r.receive(m)
 		s.checkOneVersion()
 	}
 	r.step(Event{Kind: TimerFired})
 	s.waitFor(5*time.Second, "in force once more", s.applyPolicy(s.controllers["f1"], "c2", 2, 2))
 	s.checkInForce(s.controllers["f1"], 2)
-	s.waitFor(5*time.Second, "all serve", func() bool { return s.allServe(s.names...) })
+	s.waitUntilAllServe(5 * time.Second)
 }
 
 // Grants that come late or twice lengthen no lease.
 func TestGrantsReplayedOrLateLengthenNoLease(t *testing.T) {
 	s := newRelayCluster(t, 5, 3, 2, 4, relayLease)
-	s.waitFor(5*time.Second, "all serve", func() bool { return s.allServe(s.names...) })
+	s.waitUntilAllServe(5 * time.Second)
 	var toRelay, toFollower []*Message
 	s.seen = func(_, to string, m *Message) {
 		if to == "r0" && m.RelayedGrants != nil {
@@ -250,14 +254,15 @@
 	s.playFor(relayLease/2, nil)
 	until, _ := f.permit.Until()
 	for _, m := range toRelay {
-		s.controllers["r0"].step(Event{Kind: MessageReceived, Message: m})
+		s.controllers["r0"].receive(m)
 	}
 	for _, m := range toFollower {
-		f.step(Event{Kind: MessageReceived, Message: m})
+		f.receive(m)
 	}
 	s.playFor(10*time.Millisecond, nil)
 	if now, _ := f.permit.Until(); now != until || len(toRelay) < 5 || len(toFollower) < 5 {
-		t.Errorf("the lease until %v is until %v after %d and %d replayed grants", until, now, len(toRelay), len(toFollower))
+		t.Errorf("the lease until %v is until %v after %d and %d replayed grants", until, now, len(toRelay),
+			len(toFollower))
 	}
 	s.playFor(relayLease, nil)
 	if s.allServe("f0") {
@@ -270,9 +275,10 @@
 func TestRelayMessagesLostDoubledAndLate(t *testing.T) {
 	for seed := range uint64(12) {
 		s := newRelayCluster(t, 200+seed, 3, 2, 6, relayLease)
-		s.waitFor(5*time.Second, "all serve", func() bool { return s.allServe(s.names...) })
+		s.waitUntilAllServe(5 * time.Second)
 		s.lose = func(from, to string, m *Message) bool {
-			if m.RelayedRenewals == nil && m.RelayedGrants == nil && m.Grant == nil && m.Renewal == nil && m.LogUpdate == nil {
+			if m.RelayedRenewals == nil && m.RelayedGrants == nil && m.Grant == nil && m.Renewal == nil &&
+				m.LogUpdate == nil {
 				return false
 			}
 			switch s.rand.IntN(5) {
@@ -280,7 +286,7 @@
 				return true
 			case 1, 2: // once more, later
 				target := s.controllers[to]
-				target.schedule(time.Duration(s.rand.IntN(600))*time.Millisecond, func() { target.step(Event{Kind: MessageReceived, Message: m}) })
+				target.schedule(time.Duration(s.rand.IntN(600))*time.Millisecond, func() { target.receive(m) })
 			}
 			return false
 		}
@@ -290,7 +296,7 @@
 			s.checkInForce(a, 10+i)
 		}
 		s.lose = nil
-		s.waitFor(5*time.Second, "all serve", func() bool { return s.allServe(s.names...) })
+		s.waitUntilAllServe(5 * time.Second)
 		s.playFor(time.Second, s.checkOneVersion)
 	}
 }
@@ -300,7 +306,7 @@
 	phases := map[string]int{}
 	for seed := range uint64(40) {
 		s := newRelayCluster(t, 300+seed, 3, 2, 4, relayLease)
-		s.waitFor(5*time.Second, "all serve", func() bool { return s.allServe(s.names...) })
+		s.waitUntilAllServe(5 * time.Second)
 		f := s.controllers["f2"]
 		done := s.applyPolicy(f, "c1", 1, 1)
 		s.playFor(time.Duration(s.rand.IntN(90))*time.Millisecond, s.checkOneVersion)
@@ -327,7 +333,7 @@
 // A run of a relay that is still about beside the next one covers for itself alone.
 func TestOldRelayIncarnationBesideNewOne(t *testing.T) {
 	s := newRelayCluster(t, 6, 3, 2, 4, relayLease)
-	s.waitFor(5*time.Second, "all serve", func() bool { return s.allServe(s.names...) })
+	s.waitUntilAllServe(5 * time.Second)
 	l := s.leader()
 	old := s.controllers["r0"].core
 	s.controllers["r0"].start()
@@ -339,8 +345,10 @@
 	}
 	seq := old.aggregator.lastSeq
 	for i := range uint64(5) { // it speaks on, and knows nothing of who left it
-		g := &RelayedRenewals{Incarnation: old.config.Incarnation, Seq: seq + 1 + i, BaseSeq: old.aggregator.leaderHasUpTo}
-		l.step(Event{Kind: MessageReceived, Message: &Message{From: "r0", To: l.name, Disk: "disk r0", RelayedRenewals: g}})
+		g := &RelayedRenewals{Incarnation: old.config.Incarnation, Seq: seq + 1 + i,
+			BaseSeq: old.aggregator.leaderHasUpTo}
+		l.step(Event{Kind: MessageReceived, Message: &Message{From: "r0", To: l.name, Disk: "disk r0",
+			RelayedRenewals: g}})
 		s.playFor(20*time.Millisecond, s.checkOneVersion)
 	}
 	if !s.allServe(s.names...) {
@@ -358,7 +366,7 @@
 
 func TestManyControllersJoinWithinASecond(t *testing.T) {
 	s := newRelayCluster(t, 7, 3, 2, 2, relayLease)
-	s.waitFor(5*time.Second, "all serve", func() bool { return s.allServe(s.names...) })
+	s.waitUntilAllServe(5 * time.Second)
 	named := votersNamed(3)
 	for i := range 97 {
 		begin := configOf(fmt.Sprintf("n%02d", i), named, 7, relayLease)
@@ -366,7 +374,7 @@
 		s.add(begin)
 		s.playFor(8*time.Millisecond, nil)
 	}
-	s.waitFor(3*time.Second, "all serve", func() bool { return s.allServe(s.names...) })
+	s.waitUntilAllServe(3 * time.Second)
 	s.waitFor(3*time.Second, "in force", s.applyPolicy(s.controllers["n50"], "c1", 1, 1))
 	s.checkInForce(s.controllers["n50"], 1)
 }
@@ -374,11 +382,11 @@
 // Who is forgotten is granted nothing more, through a relay neither.
 func TestForgottenControllerIsRefusedThroughRelay(t *testing.T) {
 	s := newRelayCluster(t, 8, 3, 2, 2, relayLease)
-	s.waitFor(5*time.Second, "all serve", func() bool { return s.allServe(s.names...) })
+	s.waitUntilAllServe(5 * time.Second)
 	l, f := s.leader(), s.controllers["f0"]
 	s.cutLinks["r0>f0"] = true // it hears of its end by nothing but grants
 	s.lose = func(_, to string, m *Message) bool { return to == "f0" && m.LogUpdate != nil }
-	l.step(Event{Kind: OperatorRequested, Handle: 1, Ask: &fleet.Ask{Kind: "forget", ID: "x", Name: "f0"}})
+	l.request(1, &fleet.Ask{Kind: "forget", ID: "x", Name: "f0"})
 	s.waitFor(4*time.Second, "it stops", func() bool { return !s.allServe("f0") })
 	s.healLinks()
 	s.lose = nil
@@ -396,8 +404,9 @@
 // themselves, and the relay says what is wrong.
 func TestLeaderThatKnowsNoRelays(t *testing.T) {
 	s := newRelayCluster(t, 9, 3, 2, 4, relayLease)
-	s.lose = func(_, _ string, m *Message) bool { return m.RelayedRenewals != nil } // what it can't read it passes over
-	s.waitFor(8*time.Second, "all serve", func() bool { return s.allServe(s.names...) })
+	// what it can't read it passes over
+	s.lose = func(_, _ string, m *Message) bool { return m.RelayedRenewals != nil }
+	s.waitUntilAllServe(8 * time.Second)
 	s.playFor(8*time.Second, func() {
 		if !s.allServe(s.names...) {
 			t.Fatal("not all serve by asking the leader itself")
@@ -414,7 +423,7 @@
 // it was answered before.
 func TestRelayGrantsNothingByItself(t *testing.T) {
 	s := newRelayCluster(t, 10, 3, 1, 3, relayLease)
-	s.waitFor(5*time.Second, "all serve", func() bool { return s.allServe(s.names...) })
+	s.waitUntilAllServe(5 * time.Second)
 	r := s.controllers["r0"]
 	given := 0
 	s.seen = func(from, _ string, m *Message) {
@@ -430,7 +439,8 @@
 	for i := range uint64(20) {
 		member := s.controllers["f0"].config.Self
 		r.step(Event{Kind: MessageReceived, Message: &Message{From: "f0", To: "r0", Disk: member.Disk,
-			Renewal: &LeaseRenewal{Member: member, Incarnation: 1, Seq: 1000 + i, SentAt: int64(s.now), AppliedIndex: r.core.state.Index}}})
+			Renewal: &LeaseRenewal{Member: member, Incarnation: 1, Seq: 1000 + i, SentAt: int64(s.now),
+				AppliedIndex: r.core.state.Index}}})
 		s.playFor(20*time.Millisecond, nil)
 	}
 	if given != 0 {
@@ -442,26 +452,33 @@
 // told once more by that relay, doesn't stand for the new one for good.
 func TestOldIncarnationReportedByAnotherRelayIsCorrected(t *testing.T) {
 	s := newRelayCluster(t, 11, 3, 2, 2, relayLease)
-	s.waitFor(5*time.Second, "all serve", func() bool { return s.allServe(s.names...) })
+	s.waitUntilAllServe(5 * time.Second)
 	l, f := s.leader(), s.controllers["f0"]
 	oldRun := l.core.peers["f0"].renewal
 	s.cutBothWays("r0", "f0")
 	f.start()
-	s.waitFor(5*time.Second, "it serves through the other relay", func() bool { return s.allServe("f0") && l.core.peers["f0"].incarnation == f.config.Incarnation })
+	s.waitFor(5*time.Second, "it serves through the other relay", func() bool {
+		return s.allServe("f0") && l.core.peers["f0"].incarnation == f.config.Incarnation
+	})
 	r := s.controllers["r0"].core
 	late := *oldRun
 	late.Seq++
 	l.step(Event{Kind: MessageReceived, Message: &Message{From: "r0", To: l.name, Disk: "disk r0",
-		RelayedRenewals: &RelayedRenewals{Incarnation: r.config.Incarnation, Seq: r.aggregator.lastSeq + 1, BaseSeq: r.aggregator.leaderHasUpTo,
+		RelayedRenewals: &RelayedRenewals{Incarnation: r.config.Incarnation, Seq: r.aggregator.lastSeq + 1,
+			BaseSeq:  r.aggregator.leaderHasUpTo,
 			Renewals: []RelayedRenewal{{Name: "f0", Disk: "disk f0", Renewal: &late}}}}})
 	r.aggregator.lastSeq++
 	if l.core.peers["f0"].incarnation == f.config.Incarnation {
 		t.Fatal("the old run isn't told: this test shows nothing")
 	}
 	l.step(Event{Kind: MessageReceived, Message: &Message{From: "r0", To: l.name, Disk: "disk r0",
-		RelayedRenewals: &RelayedRenewals{Incarnation: r.config.Incarnation, Seq: r.aggregator.lastSeq + 1, BaseSeq: r.aggregator.leaderHasUpTo, Silent: []SilentController{{Name: "f0", SilentFor: int64(time.Second)}}}}})
+		RelayedRenewals: &RelayedRenewals{Incarnation: r.config.Incarnation, Seq: r.aggregator.lastSeq + 1,
+			BaseSeq: r.aggregator.leaderHasUpTo, Silent: []SilentController{{Name: "f0",
+				SilentFor: int64(time.Second)}}}}})
 	r.aggregator.lastSeq++
-	s.waitFor(2*time.Second, "the new run is told again", func() bool { return l.core.peers["f0"].incarnation == f.config.Incarnation })
+	s.waitFor(2*time.Second, "the new run is told again", func() bool {
+		return l.core.peers["f0"].incarnation == f.config.Incarnation
+	})
 }
 
 // Nothing is decided about queries by a control process, so no change waits for the lease
@@ -469,7 +486,7 @@
 func TestChangeDoesNotWaitForControlProcesses(t *testing.T) {
 	lease := 5 * time.Second
 	s := newRelayCluster(t, 12, 3, 2, 4, lease)
-	s.waitFor(10*time.Second, "all serve", func() bool { return s.allServe(s.names...) })
+	s.waitUntilAllServe(10 * time.Second)
 	s.controllers["r1"].run = 0
 	l := s.leader()
 	l.run = 0
@@ -482,8 +499,10 @@
 		t.Errorf("in force %v after the leader was lost, with leases of %v", took, lease)
 	}
 	purge := &fleet.Ask{Kind: "purge", ID: "p1", Scope: &fleet.Scope{Team: "a"}, Wait: 60000}
-	s.controllers["f1"].step(Event{Kind: OperatorRequested, Handle: 2, Ask: purge})
-	s.waitFor(3*time.Second, "purged while control processes are down", func() bool { return s.replyTo(s.controllers["f1"], 2) != nil })
+	s.controllers["f1"].request(2, purge)
+	s.waitFor(3*time.Second, "purged while control processes are down", func() bool {
+		return s.replyTo(s.controllers["f1"], 2) != nil
+	})
 }
 
 // A control process that is started as a controller holds no lease before the record says
@@ -491,13 +510,14 @@
 // be on its disk yet.
 func TestRoleInTheLogDecides(t *testing.T) {
 	s := newRelayCluster(t, 13, 3, 2, 2, relayLease)
-	s.waitFor(5*time.Second, "all serve", func() bool { return s.allServe(s.names...) })
+	s.waitUntilAllServe(5 * time.Second)
 	l := s.leader()
 	r, f := s.controllers["r0"], s.controllers["f0"]
 	r.config.Self.Control, r.config.IsRelay = false, false
 	granted := false
 	s.seen = func(_, to string, m *Message) {
-		if to == "r0" && m.Grant != nil && m.Grant.Granted && m.Grant.Incarnation == r.config.Incarnation && l.core.state.Members["r0"].Control {
+		if to == "r0" && m.Grant != nil && m.Grant.Granted && m.Grant.Incarnation == r.config.Incarnation &&
+			l.core.state.Members["r0"].Control {
 			granted = true
 		}
 	}
@@ -522,9 +542,9 @@
 // for control processes.
 func TestControlLeaderAbortsPolicyItRefuses(t *testing.T) {
 	s := newRelayCluster(t, 14, 3, 2, 2, relayLease)
-	s.waitFor(5*time.Second, "all serve", func() bool { return s.allServe(s.names...) })
+	s.waitUntilAllServe(5 * time.Second)
 	l := s.leader()
-	l.step(Event{Kind: OperatorRequested, Handle: 1, Ask: &fleet.Ask{Kind: "apply", ID: "c1", Base: 1, Policy: []byte("bad for " + l.name)}})
+	l.request(1, &fleet.Ask{Kind: "apply", ID: "c1", Base: 1, Policy: []byte("bad for " + l.name)})
 	s.waitFor(5*time.Second, "a word", func() bool { return s.replyTo(l, 1) != nil })
 	if w := s.replyTo(l, 1); w.Word != statemachine.Withdrawn {
 		t.Errorf("%+v", w)
@@ -537,7 +557,7 @@
 	s := newRelayCluster(t, 15, 3, 2, 4, relayLease)
 	s.controllers["r0"].config.IsRelay = false
 	s.controllers["r0"].start()
-	s.waitFor(8*time.Second, "all serve", func() bool { return s.allServe(s.names...) })
+	s.waitUntilAllServe(8 * time.Second)
 	s.playFor(8*time.Second, func() {
 		if !s.allServe(s.names...) {
 			t.Fatalf("at %v not all serve", s.now)
@@ -550,7 +570,7 @@
 // What is asked of a controller that reaches its relays alone comes to the leader by them.
 func TestRequestsAreForwardedThroughRelays(t *testing.T) {
 	s := newRelayCluster(t, 16, 3, 2, 4, relayLease)
-	s.waitFor(5*time.Second, "all serve", func() bool { return s.allServe(s.names...) })
+	s.waitUntilAllServe(5 * time.Second)
 	for _, voter := range s.names[:3] {
 		for _, follower := range s.names[5:] {
 			s.cutBothWays(voter, follower)
@@ -559,7 +579,7 @@
 	f := s.controllers["f2"]
 	s.waitFor(3*time.Second, "in force", s.applyPolicy(f, "c1", 1, 1))
 	s.checkInForce(f, 1)
-	f.step(Event{Kind: OperatorRequested, Handle: 2, Ask: &fleet.Ask{Kind: "bind", ID: "b1", Team: "a", Tables: []int64{1}}})
+	f.request(2, &fleet.Ask{Kind: "bind", ID: "b1", Team: "a", Tables: []int64{1}})
 	s.waitFor(3*time.Second, "bound", func() bool { return s.replyTo(f, 2) != nil })
 	s.controllers["r0"].run = 0 // its first
 	s.waitFor(8*time.Second, "in force by the second", s.applyPolicy(f, "c2", 3, 2))
--- a/internal/fleet/node/roster_test.go
+++ b/internal/fleet/node/roster_test.go
@@ -11,7 +11,7 @@
 func (s *testCluster) forgetController(name string) {
 	s.t.Helper()
 	l := s.leader()
-	l.step(Event{Kind: OperatorRequested, Handle: 900, Ask: &fleet.Ask{Kind: "forget", ID: "forget " + name, Name: name}})
+	l.request(900, &fleet.Ask{Kind: "forget", ID: "forget " + name, Name: name})
 	s.waitFor(5*time.Second, name+" is forgotten", func() bool { return l.core.state.Members[name].Forgotten })
 }
 
@@ -19,7 +19,7 @@
 func TestChangeDoesNotWaitForControllerForgottenLongAgo(t *testing.T) {
 	lease := 5 * time.Second
 	s := newRelayCluster(t, 31, 3, 2, 4, lease)
-	s.waitFor(10*time.Second, "all serve", func() bool { return s.allServe(s.names...) })
+	s.waitUntilAllServe(10 * time.Second)
 	s.controllers["f3"].run = 0
 	s.forgetController("f3")
 	s.playFor(2*lease, nil)
@@ -40,7 +40,7 @@
 func TestChangeWaitsForLeaseOfControllerJustForgotten(t *testing.T) {
 	for _, reach := range []string{"", "leader lost", "voters started anew"} {
 		s := newRelayCluster(t, 32, 3, 2, 3, relayLease)
-		s.waitFor(5*time.Second, "all serve", func() bool { return s.allServe(s.names...) })
+		s.waitUntilAllServe(5 * time.Second)
 		for _, name := range s.names {
 			if name != "f0" {
 				s.cutBothWays(name, "f0") // it doesn't hear of its end
--- a/internal/fleet/node/voting.go
+++ b/internal/fleet/node/voting.go
@@ -122,7 +122,8 @@
 		return
 	}
 	c.logf(true, "this controller votes from now on")
-	if err := c.startConsensus(consensus.PersistentState{HardState: consensus.VoteOnly(c.hardState)}, nil); err != nil {
+	persisted := consensus.PersistentState{HardState: consensus.VoteOnly(c.hardState)}
+	if err := c.startConsensus(persisted, nil); err != nil {
 		c.logf(true, "can't start voting: %v", err)
 	}
 }
