--- a/internal/fleet/consensus/core.go
+++ b/internal/fleet/consensus/core.go
@@ -7,10 +7,8 @@
 	"slices"
 	"time"
 
-	"github.com/fxamacker/cbor/v2"
 	"go.etcd.io/raft/v3"
 	pb "go.etcd.io/raft/v3/raftpb"
-	"google.golang.org/protobuf/proto"
 )
 
 const (
@@ -22,6 +20,8 @@
 	// maxUncommittedBytes bounds what is proposed but not yet committed. Proposals beyond
 	// that are lost, and proposed again by who made them.
 	maxUncommittedBytes = 64 << 20
+	// maxMessagesInFlight to one voter are not answered yet.
+	maxMessagesInFlight = 64
 	// never is a time that doesn't come.
 	never = time.Duration(1<<63 - 1)
 )
@@ -46,8 +46,8 @@
 	voterConfig         *pb.ConfState
 	voters              map[uint64]Voter
 	configHistory       []configAt
-	proposedVoterChange uint64 // 1: one was proposed in this term and isn't committed
-	votersChanged       bool   // to be told by a VotersChanged
+	proposedVoterChange bool // one was proposed in this term and isn't committed
+	votersChanged       bool // to be told by a VotersChanged
 
 	// The log. An entry at lastIndex or before was handed out to be persisted.
 	applied     uint64
@@ -108,110 +108,6 @@
 	Data   []byte  `cbor:"2,keyasint"`
 }
 
-// New begins a voter. The effects are those of a Step: what the disk held comes as
-// SnapshotRestored and Committed, as far as it is known to be committed.
-func New(b Config) (*Core, []Effect, error) {
-	if b.HeartbeatInterval <= 0 || b.ElectionTimeout < 2*b.HeartbeatInterval {
-		return nil, nil, &TimeoutError{b.ElectionTimeout, b.HeartbeatInterval}
-	}
-	if err := checkVoterNames(b.Self, b.Voters); err != nil {
-		return nil, nil, err
-	}
-	c := &Core{
-		id: VoterNumber(b.Self), self: b.Self,
-		rand:            rand.New(rand.NewPCG(b.Seed, VoterNumber(b.Self))),
-		electionTimeout: b.ElectionTimeout, heartbeatInterval: b.HeartbeatInterval,
-		names: map[uint64]string{VoterNumber(b.Self): b.Self}, voters: map[uint64]Voter{},
-		voterConfig: &pb.ConfState{}, snapshotsInFlight: map[uint64]time.Duration{},
-	}
-	kept := b.Persistent
-	fresh := kept.HardState == nil && kept.Snapshot == nil && len(kept.Entries) == 0
-	if fresh && len(b.Voters) > 0 {
-		kept = initialState(b.Voters)
-		c.emit(Effect{Kind: Persist, Persistent: &kept})
-		c.persisting = true
-	}
-	if err := c.load(kept); err != nil {
-		return nil, nil, err
-	}
-	node, err := raft.NewRawNode(&raft.Config{
-		ID: c.id, Storage: c.storage, Applied: c.applied,
-		// Only a leader is ever ticked, once a heartbeat: after so many ticks without
-		// a majority it gives up. Elections are called here, by our own times.
-		ElectionTick: max(2, int(b.ElectionTimeout/b.HeartbeatInterval)), HeartbeatTick: 1,
-		CheckQuorum: true, PreVote: true, ReadOnlyOption: raft.ReadOnlySafe,
-		MaxSizePerMsg: maxMessageBytes, MaxInflightMsgs: 64, MaxUncommittedEntriesSize: maxUncommittedBytes,
-		DisableProposalForwarding: true, StepDownOnRemoval: true, Logger: quiet{},
-	})
-	if err != nil {
-		return nil, nil, &PersistentStateError{err.Error()}
-	}
-	c.raft = node
-	c.handleReady()
-	return c, c.takeEffects(), nil
-}
-
-// load puts what the disk held where the library reads it.
-func (c *Core) load(k PersistentState) error {
-	c.storage, c.hardState = raft.NewMemoryStorage(), &pb.HardState{}
-	if err := proto.Unmarshal(k.HardState, c.hardState); err != nil {
-		return &PersistentStateError{"term and vote can't be read"}
-	}
-	for i, r := range k.Entries {
-		if r.Index != k.Entries[0].Index+uint64(i) || r.Index == 0 {
-			return &LogGapError{r.Index}
-		}
-	}
-	records, snap := k.Entries, k.Snapshot
-	if snap != nil {
-		var who voterConfig
-		conf := &pb.ConfState{}
-		if cbor.Unmarshal(snap.VoterConfig, &who) != nil || proto.Unmarshal(who.State, conf) != nil {
-			return &PersistentStateError{"the snapshot doesn't tell who votes"}
-		}
-		c.applied, c.appliedTerm = snap.Index, snap.Term
-		c.setVoterConfig(snap.Index, conf, who.Voters)
-		whole := &pb.Snapshot{Data: encodeCBOR(snapshotPayload{who.Voters, snap.Data}), Metadata: &pb.SnapshotMetadata{
-			Index: new(snap.Index), Term: new(snap.Term), ConfState: conf}}
-		// Records before the snapshot are kept for voters that lag. The library wants
-		// them after something: the first of them is given up for that.
-		if len(records) > 0 && records[0].Index < snap.Index && records[len(records)-1].Index >= snap.Index {
-			base := records[0]
-			records = records[1:]
-			_ = c.storage.ApplySnapshot(&pb.Snapshot{Metadata: &pb.SnapshotMetadata{
-				Index: new(base.Index), Term: new(base.Term), ConfState: conf}})
-			_ = c.storage.Append(toRaftEntries(records))
-			_, _ = c.storage.CreateSnapshot(snap.Index, conf, whole.Data)
-		} else {
-			for len(records) > 0 && records[0].Index <= snap.Index {
-				records = records[1:]
-			}
-			if len(records) > 0 && records[0].Index != snap.Index+1 {
-				return &LogGapError{records[0].Index}
-			}
-			_ = c.storage.ApplySnapshot(whole)
-			_ = c.storage.Append(toRaftEntries(records))
-		}
-		c.emit(Effect{Kind: SnapshotRestored, Snapshot: snap})
-	} else {
-		if len(records) > 0 && records[0].Index != 1 {
-			return &LogGapError{records[0].Index}
-		}
-		_ = c.storage.Append(toRaftEntries(records))
-	}
-	c.lastIndex, _ = c.storage.LastIndex()
-	if c.hardState.GetCommit() > c.lastIndex {
-		return &LogGapError{c.lastIndex + 1}
-	}
-	if c.hardState.GetCommit() < c.applied {
-		c.hardState.Commit = new(c.applied)
-	}
-	if k.HardState != nil || snap != nil {
-		_ = c.storage.SetHardState(proto.Clone(c.hardState).(*pb.HardState))
-	}
-	return nil
-}
-
 // Step takes an event in and tells what follows. Time never goes back.
 func (c *Core) Step(now time.Duration, ev Event) []Effect {
 	c.now = max(c.now, now)
@@ -237,9 +133,7 @@
 	case ChangeVoters:
 		c.changeVoters(ev.Voters)
 	case SnapshotTaken:
-		if s := ev.Snapshot; s != nil && s.Index <= c.applied && (c.pendingSnapshot == nil || c.pendingSnapshot.Index < s.Index) {
-			c.pendingSnapshot = s
-		}
+		c.snapshotTaken(ev.Snapshot)
 	}
 	c.updateLeader()
 	c.runTimers()
@@ -247,6 +141,17 @@
 	return c.takeEffects()
 }
 
+// snapshotTaken notes a snapshot of the state to replace the log up to there. An older one
+// than is pending already, or one of entries that aren't applied, is passed over.
+func (c *Core) snapshotTaken(s *Snapshot) {
+	if s == nil || s.Index > c.applied {
+		return
+	}
+	if c.pendingSnapshot == nil || c.pendingSnapshot.Index < s.Index {
+		c.pendingSnapshot = s
+	}
+}
+
 // NextTick is when the next Tick is due. It is never later than the voter needs, and may
 // change with each Step.
 func (c *Core) NextTick() time.Duration {
@@ -303,7 +208,8 @@
 // another may be voted for. Until then the library answers no request for votes: a voter that
 // was cut off and comes back doesn't unseat a leader that all others hear.
 func (c *Core) forgetSilentLeader() {
-	if s := c.raft.BasicStatus(); s.RaftState == raft.StateFollower && s.Lead != raft.None && c.now-c.leaderHeardAt >= c.electionTimeout {
+	s := c.raft.BasicStatus()
+	if s.RaftState == raft.StateFollower && s.Lead != raft.None && c.now-c.leaderHeardAt >= c.electionTimeout {
 		_ = c.raft.ForgetLeader()
 	}
 }
@@ -311,8 +217,11 @@
 // updateLeader notes and tells a change of leader or term.
 func (c *Core) updateLeader() {
 	s := c.raft.BasicStatus()
-	if leads := s.RaftState == raft.StateLeader; leads != c.leading || leads && s.GetTerm() != c.leaderTerm {
-		c.leading, c.confirmsAsked, c.proposedVoterChange = leads, 0, 0
+	leads := s.RaftState == raft.StateLeader
+	if leads != c.leading || leads && s.GetTerm() != c.leaderTerm {
+		c.leading = leads
+		c.confirmsAsked = 0
+		c.proposedVoterChange = false
 		clear(c.snapshotsInFlight)
 		c.electionTimerStart, c.nextHeartbeat = c.now, c.now
 		c.drawElectionDelay()
@@ -356,8 +265,13 @@
 		return
 	}
 	c.confirmsAsked++
-	c.pendingConfirms = append(c.pendingConfirms, pendingConfirm{seq: c.confirmsAsked, handle: handle, until: c.now + 2*c.electionTimeout})
-	c.raft.ReadIndex(binary.LittleEndian.AppendUint64(binary.LittleEndian.AppendUint64(nil, c.confirmsAsked), c.raft.BasicStatus().GetTerm()))
+	c.pendingConfirms = append(c.pendingConfirms, pendingConfirm{
+		seq: c.confirmsAsked, handle: handle, until: c.now + 2*c.electionTimeout,
+	})
+	// The context comes back as it is: which confirmation, and in which term it was asked for.
+	request := binary.LittleEndian.AppendUint64(nil, c.confirmsAsked)
+	request = binary.LittleEndian.AppendUint64(request, c.raft.BasicStatus().GetTerm())
+	c.raft.ReadIndex(request)
 }
 
 // denyConfirms denies the confirmations that have waited too long, or all.
@@ -375,14 +289,18 @@
 // new majority are needed. Asked again for the same it does nothing.
 func (c *Core) changeVoters(voters []Voter) {
 	if !c.leading || len(voters) == 0 || checkVoterNames(c.self, voters) != nil ||
-		len(c.voterConfig.GetVotersOutgoing()) > 0 || c.proposedVoterChange != 0 || c.appliedTerm != c.raft.BasicStatus().GetTerm() {
+		len(c.voterConfig.GetVotersOutgoing()) > 0 || c.proposedVoterChange ||
+		c.appliedTerm != c.raft.BasicStatus().GetTerm() {
 		return
 	}
 	voters = sortedByName(voters)
 	if slices.Equal(voters, c.Voters()) {
 		return
 	}
-	cc := &pb.ConfChangeV2{Transition: pb.ConfChangeTransitionJointImplicit.Enum(), Context: encodeCBOR(voters)}
+	cc := &pb.ConfChangeV2{
+		Transition: pb.ConfChangeTransitionJointImplicit.Enum(),
+		Context:    encodeCBOR(voters),
+	}
 	wanted := map[uint64]bool{}
 	change := func(kind pb.ConfChangeType, id uint64) {
 		cc.Changes = append(cc.Changes, &pb.ConfChangeSingle{Type: kind.Enum(), NodeId: new(id)})
@@ -402,6 +320,6 @@
 		}
 	}
 	if c.raft.ProposeConfChange(cc) == nil {
-		c.proposedVoterChange = 1
+		c.proposedVoterChange = true
 	}
 }
--- /dev/null
+++ b/internal/fleet/node/replicated_log.go
@@ -0,0 +1,70 @@
+package node
+
+import (
+	"railrelay.dev/railrelay/internal/fleet"
+	"railrelay.dev/railrelay/internal/fleet/consensus"
+	"railrelay.dev/railrelay/internal/fleet/statemachine"
+)
+
+// applyEntry applies the next committed entry. What it asks of the request side is worked
+// out afterwards, from the state alone, so that a snapshot leads to the same.
+func (c *Core) applyEntry(r consensus.LogEntry) {
+	if r.Index <= c.state.Index || c.stateError != nil {
+		return
+	}
+	data := r.Data
+	if r.IsVoterChange {
+		data = nil
+	}
+	versionBefore := c.state.Version
+	membersBefore := len(c.state.Members)
+	if err := c.state.Apply(r.Index, data); err != nil {
+		c.stateError = err.(fleet.Remedied)
+		c.logError(c.stateError)
+		return
+	}
+	c.updateRoster(membersBefore)
+	c.appliedTerm = r.Term
+	c.recentEntries = append(c.recentEntries, r)
+	c.entriesSinceSnapshot++
+	if c.state.Version != versionBefore {
+		c.logf(true, "policy: version %d is in force", c.state.Version)
+	}
+	c.stateChanged()
+}
+
+// restoreSnapshot replaces the state by a later one.
+func (c *Core) restoreSnapshot(s *consensus.Snapshot) {
+	if s == nil || s.Index <= c.state.Index || c.stateError != nil {
+		return
+	}
+	state, err := statemachine.DecodeState(s.Data)
+	if err != nil {
+		c.stateError = err.(fleet.Remedied)
+		c.logError(c.stateError)
+		return
+	}
+	c.state = state
+	c.appliedTerm = s.Term
+	c.recentEntries = nil
+	c.entriesSinceSnapshot = 0
+	c.resetRoster()
+	c.persistIndex = max(c.persistIndex, s.Index)
+	c.stateChanged()
+}
+
+// stateChanged draws the consequences of entries or a snapshot just applied.
+func (c *Core) stateChanged() {
+	c.reevaluate = true
+	c.followersBehind = true
+	c.stopIfForgotten()
+	c.activateLeases()
+	c.orderOutstanding()
+}
+
+// stopIfForgotten ends this controller's part where the log says that its disk is destroyed.
+func (c *Core) stopIfForgotten() {
+	if m := c.state.Members[c.config.Self.Name]; m != nil && m.Forgotten {
+		c.stopForGood(forgottenName)
+	}
+}
