--- a/internal/controller/invalidation.go
+++ b/internal/controller/invalidation.go
@@ -182,7 +182,7 @@
 
 // invalidate removes cached answers. Queries that followed a run which it struck go their own way.
 func (a *resultCaching) invalidate(scope *fleet.Scope, index uint64) fleet.Counts {
-	found, next := a.core.Drop(a.now, scope, index)
+	found, next := a.core.Invalidate(a.now, scope, index)
 	for _, ask := range next {
 		a.promote(ask)
 	}
--- a/internal/controller/invalidation_test.go
+++ b/internal/controller/invalidation_test.go
@@ -28,7 +28,7 @@
 	small := limits()
 	small.Memory = 200 << 10
 	return newSpooled(t, d, x, small, nil, func(m *controller.Config) {
-		l := resultcache.Usual()
+		l := resultcache.DefaultLimits()
 		m.CacheLimits = &l
 		m.FieldNames.Customer = "team" // whose a call is, believed from anybody
 		if word != nil {
--- a/internal/controller/result_cache.go
+++ b/internal/controller/result_cache.go
@@ -21,7 +21,7 @@
 // cacheLookup is what the cache knows of a query: one that reads has an ask, one that changes
 // tables has mutates set.
 type cacheLookup struct {
-	ask         *resultcache.Ask
+	ask         *resultcache.Request
 	followTimer *timerqueue.Item // until when it may follow another
 	proceed     func()           // sends it on its way, if it has to lead
 
@@ -79,7 +79,7 @@
 			written = nil
 		}
 		q.cacheState = &cacheLookup{mutates: true, tables: written}
-		a.core.Loading(a.now, written)
+		a.core.MutationStarted(a.now, written)
 	}
 }
 
@@ -89,7 +89,7 @@
 	if !a.mayLookUp(q) {
 		return true
 	}
-	l := &cacheLookup{ask: &resultcache.Ask{
+	l := &cacheLookup{ask: &resultcache.Request{
 		Team:      a.dataOwner(from),
 		Group:     q.group.index,
 		Statement: q.statement,
@@ -98,7 +98,7 @@
 		Until:     q.deadline - answerMargin,
 		Of:        q,
 	}}
-	verdict, pages := a.core.Ask(a.now, l.ask)
+	verdict, pages := a.core.Lookup(a.now, l.ask)
 	switch verdict {
 	case resultcache.Hit:
 		a.invalidation.markRetained(func() { a.answerFinished(q, pages) })
@@ -128,7 +128,7 @@
 	if q.cacheState == nil || q.cacheState.ask == nil {
 		return nil
 	}
-	for _, o := range a.core.Finished(a.now, q.cacheState.ask, pages) {
+	for _, o := range a.core.Complete(a.now, q.cacheState.ask, pages) {
 		followers = append(followers, o.Of.(*query))
 	}
 	return followers
@@ -140,18 +140,18 @@
 		return
 	}
 	a.timers.Drop(q.cacheState.followTimer)
-	a.promote(a.core.Left(a.now, q.cacheState.ask))
+	a.promote(a.core.Leave(a.now, q.cacheState.ask))
 }
 
 // queryOver notes that nothing of a query is in flight any more.
 func (a *resultCaching) queryOver(q *query) {
 	if q.cacheState != nil && q.cacheState.mutates {
-		a.core.Loaded(a.now, q.cacheState.tables)
+		a.core.MutationEnded(a.now, q.cacheState.tables)
 	}
 }
 
 // promote sends a query that followed another on its own way; nil: none.
-func (a *resultCaching) promote(next *resultcache.Ask) {
+func (a *resultCaching) promote(next *resultcache.Request) {
 	if next == nil {
 		return
 	}
--- /dev/null
+++ b/internal/resultcache/entries.go
@@ -0,0 +1,116 @@
+package resultcache
+
+import (
+	"cmp"
+	"slices"
+)
+
+const (
+	// entryOverheadBytes is what an entry takes beside its pages and statement.
+	entryOverheadBytes = 256
+	pageOverheadBytes  = 24 // a slice's header
+)
+
+// insert caches the answer of a flight, and evicts others for it; one that is too large or
+// too old already is not cached.
+func (c *Cache) insert(f *flight, r *Request, pages [][]byte) {
+	size := int64(entryOverheadBytes + len(r.Statement) + pageOverheadBytes*len(pages))
+	for _, p := range pages {
+		size += int64(cap(p))
+	}
+	if size > c.Answer || size > c.Memory {
+		c.Counts.Large++
+		return
+	}
+	expiresAt := f.startedAt + c.Fresh
+	if c.now >= expiresAt {
+		c.Counts.Expired++
+		return
+	}
+	for c.bytes+size > c.Memory || c.count >= c.Count {
+		c.Counts.Evicted++
+		c.remove(c.evictionCandidate())
+	}
+	t := c.tenants[r.Team]
+	if t == nil {
+		t = &tenant{name: r.Team}
+		c.tenants[r.Team] = t
+	}
+	e := &entry{
+		hash:        f.hash,
+		tenant:      t,
+		group:       r.Group,
+		statement:   r.Statement,
+		tables:      r.Tables,
+		pages:       pages,
+		size:        size,
+		expiresAt:   expiresAt,
+		startedWall: f.startedWall,
+		logIndex:    f.logIndex,
+	}
+	c.Counts.Kept++
+	c.entries[f.hash] = append(c.entries[f.hash], e)
+	c.bytes += size
+	c.count++
+	t.bytes += size
+	c.appendToLRU(e)
+}
+
+// evictionCandidate is the longest unused entry of tenants over their share, or else of all.
+func (c *Cache) evictionCandidate() (candidate *entry) {
+	candidateIsOver := false
+	for _, t := range c.tenants {
+		oldest := t.lru.First().Value
+		isOver := float64(t.bytes) > c.Team*float64(c.Memory)
+		switch {
+		case candidate == nil,
+			isOver && !candidateIsOver,
+			isOver == candidateIsOver && oldest.lastUse < candidate.lastUse:
+			candidate = oldest
+			candidateIsOver = isOver
+		}
+	}
+	return candidate
+}
+
+func (c *Cache) appendToLRU(e *entry) {
+	c.serial++
+	e.lastUse = c.serial
+	e.tenant.lru.Append(&e.lruElement, e)
+}
+
+// touch notes that an entry was used.
+func (c *Cache) touch(e *entry) {
+	e.tenant.lru.Remove(&e.lruElement)
+	c.appendToLRU(e)
+}
+
+func (c *Cache) remove(e *entry) {
+	t := e.tenant
+	t.lru.Remove(&e.lruElement)
+	t.bytes -= e.size
+	if t.lru.First() == nil {
+		delete(c.tenants, t.name)
+	}
+	c.bytes -= e.size
+	c.count--
+	rest := slices.DeleteFunc(c.entries[e.hash], func(x *entry) bool { return x == e })
+	if len(rest) == 0 {
+		delete(c.entries, e.hash)
+	} else {
+		c.entries[e.hash] = rest
+	}
+}
+
+// entriesWhere are the entries for which a condition holds, in the order of their last use.
+func (c *Cache) entriesWhere(holds func(e *entry) bool) (entries []*entry) {
+	for _, t := range c.tenants {
+		for element := t.lru.First(); element != nil; element = element.Next() {
+			if holds(element.Value) {
+				entries = append(entries, element.Value)
+			}
+		}
+	}
+	slices.SortFunc(entries, func(a, b *entry) int { return cmp.Compare(a.lastUse, b.lastUse) })
+	return entries
+}
--- a/internal/resultcache/result_cache_test.go
+++ b/internal/resultcache/result_cache_test.go
@@ -25,7 +25,7 @@
 // asker is one query as the model knows it: which changes of its tables and which purges
 // were over when it was asked.
 type asker struct {
-	*Ask
+	*Request
 	asked time.Duration
 	leads bool
 	// what the engine that runs it read
@@ -106,9 +106,9 @@
 	return append(l, s)
 }
 
-func (w *world) of(a *Ask) *asker {
-	i := slices.IndexFunc(w.out, func(x *asker) bool { return x.Ask == a })
-	if i < 0 || w.out[i].leads && a.run == nil {
+func (w *world) of(a *Request) *asker {
+	i := slices.IndexFunc(w.out, func(x *asker) bool { return x.Request == a })
+	if i < 0 || w.out[i].leads && a.flight == nil {
 		w.t.Fatal("one is named that doesn't follow")
 	}
 	return w.out[i]
@@ -129,23 +129,23 @@
 
 func (w *world) check() {
 	count, size := 0, int64(0)
-	for _, l := range w.c.kept {
+	for _, l := range w.c.entries {
 		for _, k := range l {
 			count, size = count+1, size+k.size
 		}
 	}
 	byTeam, n := int64(0), 0
-	for _, t := range w.c.teams {
+	for _, t := range w.c.tenants {
 		byTeam += t.bytes
-		for e := t.byUse.First(); e != nil; e = e.Next() {
+		for e := t.lru.First(); e != nil; e = e.Next() {
 			n++
 		}
 	}
-	if c, b, _ := w.c.Held(); c != count || b != size || byTeam != size || n != count || c > w.c.Count || b > w.c.Memory {
+	if c, b, _ := w.c.Usage(); c != count || b != size || byTeam != size || n != count || c > w.c.Count || b > w.c.Memory {
 		w.t.Fatalf("%d answers of %d bytes, told %d of %d, by team %d of %d", count, size, c, b, n, byTeam)
 	}
 	for _, x := range w.out {
-		if !x.leads && x.run == nil && w.now < x.Until {
+		if !x.leads && x.flight == nil && w.now < x.Until {
 			w.t.Fatal("one follows nobody and was not told")
 		}
 	}
@@ -159,7 +159,7 @@
 			t.Fatal(err)
 		}
 		w := &world{t: t, c: c}
-		lead := func(l ...*Ask) {
+		lead := func(l ...*Request) {
 			for _, a := range l {
 				if a != nil {
 					w.begin(w.of(a))
@@ -171,12 +171,12 @@
 			switch what := rapid.IntRange(0, 19).Draw(t, "what"); {
 			case what < 9:
 				n := rapid.IntRange(0, 5).Draw(t, "statement")
-				x := &asker{asked: w.now, Ask: &Ask{Team: rapid.SampledFrom([]string{"linz", "steyr"}).Draw(t, "team"), Group: n % 2, Index: w.index,
+				x := &asker{asked: w.now, Request: &Request{Team: rapid.SampledFrom([]string{"linz", "steyr"}).Draw(t, "team"), Group: n % 2, Index: w.index,
 					Statement: fmt.Appendf(nil, "select %d", n), Until: w.now + 2*time.Second, Of: w.loads}}
 				if n < 4 {
 					x.Tables = []int64{int64(n), int64((n + 1) % 4)}
 				}
-				v, pages := c.Ask(w.now, x.Ask)
+				v, pages := c.Lookup(w.now, x.Request)
 				switch v {
 				case Hit:
 					hits++
@@ -186,7 +186,7 @@
 					fallthrough
 				case Follow:
 					w.out = append(w.out, x)
-				case Pass:
+				case Bypass:
 					if len(w.inHand) == 0 {
 						t.Fatal("passed, and nothing is being loaded")
 					}
@@ -195,11 +195,11 @@
 				x := w.out[rapid.IntRange(0, len(w.out)-1).Draw(t, "one")]
 				w.goes(x)
 				if !x.leads || what == 14 || w.now >= x.Until {
-					lead(c.Left(w.now, x.Ask))
+					lead(c.Leave(w.now, x.Request))
 					break
 				}
 				pages := w.told(x)
-				for _, o := range c.Finished(w.now, x.Ask, pages) {
+				for _, o := range c.Complete(w.now, x.Request, pages) {
 					f := w.of(o)
 					w.goes(f)
 					w.sees(f, pages)
@@ -208,9 +208,9 @@
 				n := int64(rapid.IntRange(-1, 3).Draw(t, "table"))
 				w.inHand = append(w.inHand, n)
 				w.changed(n)
-				c.Loading(w.now, tables(n))
+				c.MutationStarted(w.now, tables(n))
 			case what < 18 && len(w.inHand) > 0:
-				c.Loaded(w.now, tables(w.inHand[0]))
+				c.MutationEnded(w.now, tables(w.inHand[0]))
 				w.changed(w.inHand[0])
 				w.inHand = w.inHand[1:]
 			case what < 19:
@@ -220,7 +220,7 @@
 				}
 				w.index++
 				w.drops = append(w.drops, drop{index: w.index, scope: s})
-				_, next := c.Drop(w.now, &s, w.index)
+				_, next := c.Invalidate(w.now, &s, w.index)
 				lead(next...)
 			default:
 				c.Sweep(w.now)
@@ -246,39 +246,39 @@
 // An answer drawn before a purge and ready after it is kept by nobody, and who followed
 // it is answered anew.
 func TestDrawnOverAPurge(t *testing.T) {
-	c, _ := New(Usual(), 0)
-	ask := func() *Ask {
-		return &Ask{Team: "linz", Statement: []byte("select 1"), Tables: []int64{3}, Until: time.Minute}
+	c, _ := New(DefaultLimits(), 0)
+	ask := func() *Request {
+		return &Request{Team: "linz", Statement: []byte("select 1"), Tables: []int64{3}, Until: time.Minute}
 	}
 	first, second := ask(), ask()
-	v1, _ := c.Ask(0, first)
-	v2, _ := c.Ask(0, second)
+	v1, _ := c.Lookup(0, first)
+	v2, _ := c.Lookup(0, second)
 	if v1 != Lead || v2 != Follow {
 		t.Fatal(v1, v2)
 	}
-	_, next := c.Drop(1, &fleet.Scope{Team: "linz", Tables: []int64{3}}, 1)
-	if others := c.Finished(2, first, [][]byte{[]byte("old")}); len(others) > 0 {
+	_, next := c.Invalidate(1, &fleet.Scope{Team: "linz", Tables: []int64{3}}, 1)
+	if others := c.Complete(2, first, [][]byte{[]byte("old")}); len(others) > 0 {
 		t.Error("a drawn answer is served over a purge")
 	}
-	if n, _, _ := c.Held(); n > 0 {
+	if n, _, _ := c.Usage(); n > 0 {
 		t.Error("a drawn answer is kept over a purge")
 	}
 	if len(next) != 1 || next[0] != second {
 		t.Error("who followed doesn't go its way")
 	}
-	if v, _ := c.Ask(3, ask()); v == Hit {
+	if v, _ := c.Lookup(3, ask()); v == Hit {
 		t.Error("what was drawn before a purge is served after it")
 	}
 }
 
 // A team beyond its share loses its own least used answers first.
 func TestShare(t *testing.T) {
-	l := Limits{Fresh: time.Minute, Memory: 4 * (overhead + 24 + 10 + 100), Count: 100, Answer: 1000, Team: 0.5}
+	l := Limits{Fresh: time.Minute, Memory: 4 * (entryOverheadBytes + 24 + 10 + 100), Count: 100, Answer: 1000, Team: 0.5}
 	c, _ := New(l, 0)
 	put := func(team string, n int) Verdict {
-		a := &Ask{Team: team, Statement: fmt.Appendf(nil, "select %03d", n), Tables: []int64{1}, Until: time.Hour}
-		v, _ := c.Ask(0, a)
-		c.Finished(0, a, [][]byte{make([]byte, 100)})
+		a := &Request{Team: team, Statement: fmt.Appendf(nil, "select %03d", n), Tables: []int64{1}, Until: time.Hour}
+		v, _ := c.Lookup(0, a)
+		c.Complete(0, a, [][]byte{make([]byte, 100)})
 		return v
 	}
 	put("steyr", 0)
--- a/internal/setup/answers.go
+++ b/internal/setup/answers.go
@@ -63,7 +63,7 @@
 	if a == nil {
 		return nil
 	}
-	l := resultcache.Usual()
+	l := resultcache.DefaultLimits()
 	l.Fresh = time.Duration(a.Fresh)
 	l.Memory = int64(cmp.Or(a.MemoryMB, 16) * (1 << 20))
 	l.Count, l.Team = cmp.Or(a.Count, l.Count), cmp.Or(a.TeamShare, l.Team)
