--- a/internal/controller/idempotency_key_test.go
+++ b/internal/controller/idempotency_key_test.go
@@ -17,7 +17,7 @@
 
 // The token that a client gives goes with every submission of a tokened query, as it is:
 // without it an engine takes none, or can't know a repeat. No other group has one.
-func TestATokenGoesWithEverySubmission(t *testing.T) {
+func TestIdempotencyKeyGoesWithEveryAttempt(t *testing.T) {
 	s := newStage(t, 2, 256, tokened(nil))
 	s.r.FieldNames = FieldNames{IdempotencyKey: "nonce"}
 	c := s.connect()
--- a/internal/controller/invalidation_test.go
+++ b/internal/controller/invalidation_test.go
@@ -58,7 +58,7 @@
 
 // A team has its kept results gone: its tokens open nothing at once, a page being read
 // then comes out no more, and "purged" is told once no byte is on disk. The others' stay.
-func TestPurgeAlone(t *testing.T) {
+func TestInvalidationWithoutPeers(t *testing.T) {
 	s := keeps(t, nil)
 	c := s.client()
 	theirs, other, elsewhere := s.of(c, "linz", 3, "pages", "1"), s.of(c, "steyr", 3, "pages", "1"), s.of(c, "linz", 4, "pages", "1")
@@ -113,7 +113,7 @@
 }
 
 // What is being taken in when a purge comes is not kept; its query may come again.
-func TestPurgeWhileTakenIn(t *testing.T) {
+func TestInvalidationWhileResultIsSpooled(t *testing.T) {
 	s := keeps(t, nil)
 	c := s.client()
 	a := s.of(c, "linz", 3, "pages", "1")
@@ -133,7 +133,7 @@
 
 // In a fleet a purge is what the record orders: unreached and wiped are reported in
 // turn, what a client asked for is handed on and answered by the fleet's word.
-func TestPurgeInAFleet(t *testing.T) {
+func TestInvalidationInAFleet(t *testing.T) {
 	word := &fleet.Word{}
 	s := keeps(t, word)
 	c := s.client()
@@ -201,7 +201,7 @@
 }
 
 // A rule that a result lies outside of bars its pages at once, and not for ever.
-func TestPagesObeyTheRules(t *testing.T) {
+func TestPagesObeyResidencyRules(t *testing.T) {
 	s := keeps(t, &fleet.Word{})
 	c := s.client()
 	s.Order(fleet.Order{Kind: fleet.Open, Version: 1})
@@ -225,7 +225,7 @@
 
 // Many who ask the same at once cost one run; so does whoever asks while it is fresh.
 // A load of its tables, or a purge, makes the next go to an engine again.
-func TestAnswersAreShared(t *testing.T) {
+func TestConcurrentEqualQueriesShareOneRun(t *testing.T) {
 	s := keeps(t, nil)
 	c := s.client()
 	runs := func() int { return len(s.finished) }
@@ -278,7 +278,7 @@
 }
 
 // What was kept after a purge goes by the next, also where the program was started anew between.
-func TestPurgeAloneAfterAStart(t *testing.T) {
+func TestInvalidationWithoutPeersAfterARestart(t *testing.T) {
 	s := keeps(t, nil)
 	c := s.client()
 	first := s.purge(c, "patience", "1000", "team", "linz")
@@ -302,7 +302,7 @@
 }
 
 // What a controller kept alone, or by another record, goes by the first purge of its fleet.
-func TestWhatWasKeptByOtherPlacesIsPurged(t *testing.T) {
+func TestInvalidationOfResultsByAnotherLog(t *testing.T) {
 	s := keeps(t, nil)
 	c := s.client()
 	for range 5 {
--- a/internal/controller/key_order_test.go
+++ b/internal/controller/key_order_test.go
@@ -9,7 +9,7 @@
 // burst may have waited for half a second as we read it, and its time is over that much sooner. It is
 // answered by then; one that comes by itself has all of its time, but for what clients hold back the
 // second of a key whose first went elsewhere.
-func TestAKeysQueriesMayHaveWaitedAtTheirClient(t *testing.T) {
+func TestDeadlineCountsTheWaitOfAKeysQueriesAtTheirClient(t *testing.T) {
 	s := newStage(t, 1, 256, map[string]string{"may.probe": "false", "group.2.stretch": "100"})
 	c := s.connect()
 	s.until(time.Second)
@@ -34,7 +34,7 @@
 
 // A client that took back some of what it held back leaves their turns empty, and writes on at whole
 // numbers of turns; what comes at any other time after a pause is held to have come by itself.
-func TestEmptyTurnsGoOnWithABurst(t *testing.T) {
+func TestBurstGoesOnOverEmptyTurns(t *testing.T) {
 	k := &orderKey{}
 	at := 3 * time.Second
 	first := at
--- a/internal/controller/residency_retention_test.go
+++ b/internal/controller/residency_retention_test.go
@@ -13,7 +13,7 @@
 
 // What a rule forbids to keep here is answered whole and not cached, and what was kept
 // before the rule is read no more, though it is not purged yet.
-func TestNothingIsKeptWhereItMayNotBe(t *testing.T) {
+func TestNothingIsRetainedWhereARuleForbidsIt(t *testing.T) {
 	s := keeps(t, &fleet.Word{}, func(m *controller.Config) {
 		m.Settings["teams"], m.Settings["team.0.name"], m.Settings["team.0.quota"], m.Settings["own.location"] = "1", "linz", "1000", "0"
 	})
--- a/internal/controller/residency_test.go
+++ b/internal/controller/residency_test.go
@@ -41,7 +41,7 @@
 	return l
 }
 
-func TestABoundQueryStaysInside(t *testing.T) {
+func TestConfinedQueryStaysInItsSites(t *testing.T) {
 	s := placedStage(t, 6, "a", nil)
 	s.rules(1, residency.Rule{Name: "only-b", Team: "bank", Tables: []int64{1}, Engines: []string{"b"}, Controllers: []string{"a"}})
 	c := s.connect()
@@ -69,7 +69,7 @@
 	}
 }
 
-func TestConflictsAreKilledAndStrangersDirected(t *testing.T) {
+func TestConflictingQueryIsKilledAndForeignQueryRedirected(t *testing.T) {
 	s := placedStage(t, 3, "a", nil)
 	s.rules(1, residency.Rule{Name: "in-a", Team: "bank", Tables: []int64{1}, Engines: []string{"a"}},
 		residency.Rule{Name: "in-b", Team: "bank", Tables: []int64{2}, Engines: []string{"b"}})
@@ -95,7 +95,7 @@
 
 // A load that takes bound tables into others is sent once the record has it, others of
 // its key stay behind it, and then the tables are bound.
-func TestALoadIsSentOnceWhatItBindsIsRecorded(t *testing.T) {
+func TestLoadIsSentOnceItsBindingIsLogged(t *testing.T) {
 	s := placedStage(t, 3, "a", nil)
 	s.rules(1, residency.Rule{Name: "r", Team: "bank", Tables: []int64{1}, Engines: []string{"a"}, Follows: true})
 	c := s.connect()
@@ -135,7 +135,7 @@
 }
 
 // A load that runs when a rule comes to follow what it takes along is recorded too.
-func TestALoadThatRunsIsRecordedByANewRule(t *testing.T) {
+func TestNewRuleBindsTablesOfARunningLoad(t *testing.T) {
 	s := placedStage(t, 3, "a", nil)
 	s.rules(1)
 	s.body = "insert into d_5.x select * from d_1.y"
@@ -147,7 +147,7 @@
 	}
 }
 
-func TestAnEmergencyWidensAndIsListed(t *testing.T) {
+func TestEmergencyAllowsMoreSitesAndIsListed(t *testing.T) {
 	s := placedStage(t, 1, "a", map[string]string{"locations": "b,a", "own.location": "1"})
 	s.rules(1, residency.Rule{Name: "r", Team: "bank", Engines: []string{"a"}, Emergency: residency.Emergency{Sites: []string{"b"}, After: time.Second}})
 	a := s.query(s.connect(), "lookup", "", 5*time.Second, 1, "who", "bank")
@@ -178,7 +178,7 @@
 
 // Whatever engines and rules do, no bound query is at an engine where the rules, as they
 // were when it was let go, forbid it.
-func TestNothingBoundGoesOutside(t *testing.T) {
+func TestConfinedQueriesAreNeverSentOutside(t *testing.T) {
 	sent := 0
 	rapid.Check(t, func(t *rapid.T) {
 		s := placedStage(t, 6, "a", nil)
@@ -252,7 +252,7 @@
 }
 
 // With the word that it decides by a tighter rule goes how much runs outside of that.
-func TestWhatRunsOutsideIsToldWithTheVersion(t *testing.T) {
+func TestAttemptsOutsideAreReportedWithTheVersion(t *testing.T) {
 	s := placedStage(t, 3, "a", nil)
 	s.rules(1)
 	a := s.query(s.connect(), "lookup", "", 9*time.Second, 1, "who", "bank")
@@ -268,7 +268,7 @@
 
 // The answer to a binding reaches the loads that wait for it, also where a client asks for
 // a purge by the same id.
-func TestAClientCantTakeABindingsAnswer(t *testing.T) {
+func TestClientCannotConsumeABindingsReply(t *testing.T) {
 	s := placedStage(t, 3, "a", nil)
 	s.rules(1, residency.Rule{Name: "r", Team: "bank", Tables: []int64{1}, Engines: []string{"a"}, Follows: true})
 	s.r.invalidation = newInvalidation(s.r)
--- a/internal/controller/result_paging_test.go
+++ b/internal/controller/result_paging_test.go
@@ -163,7 +163,7 @@
 	return l
 }
 
-func TestPages(t *testing.T) {
+func TestResultIsReadPageByPage(t *testing.T) {
 	s := fresh(t)
 	c := s.client()
 	a, one := s.ask(c, 4000), s.ask(c, 3)
@@ -203,7 +203,7 @@
 	s.done()
 }
 
-func TestResultLargerThanItsSpace(t *testing.T) {
+func TestResultLargerThanTheSpool(t *testing.T) {
 	s := fresh(t)
 	c := s.client()
 	a := s.ask(c, 400_000) // 10 MB
@@ -220,7 +220,7 @@
 }
 
 // What is given up while it is drawn leaves nothing behind, whoever gave it up.
-func TestGivenUpWhileDrawn(t *testing.T) {
+func TestAbandonedResultLeavesNothingBehind(t *testing.T) {
 	for name, trouble := range map[string]func(s *spooled, c *world.Client, a *world.Asked){
 		"the client cancels":  func(s *spooled, c *world.Client, a *world.Asked) { c.Leave(a) },
 		"the client vanishes": func(s *spooled, c *world.Client, a *world.Asked) { c.Drop() },
@@ -288,7 +288,7 @@
 
 // The program ends between any two writes; the next one serves what was promised, by
 // the tokens of the one before, and nothing that was not.
-func TestRestart(t *testing.T) {
+func TestPromisedResultsSurviveARestart(t *testing.T) {
 	s := fresh(t)
 	c := s.client()
 	var asked []*world.Asked
@@ -323,7 +323,7 @@
 }
 
 // An engine that drains hands out what it has; one whose answers are spoilt is asked again.
-func TestEngineDrainsOrGarblesWhileDrawn(t *testing.T) {
+func TestPagesOfADrainingOrGarblingEngine(t *testing.T) {
 	for name, trouble := range map[string]func(s *spooled){
 		"drains": func(s *spooled) {
 			for _, e := range s.Engines {
@@ -358,7 +358,7 @@
 }
 
 // A mutating query whose result can't be kept is killed, and never run again.
-func TestMutatingIsNotRunAgain(t *testing.T) {
+func TestMutatingQueryIsNotRetriedAfterSpoolFailure(t *testing.T) {
 	s := fresh(t)
 	c := s.client()
 	s.serial++
@@ -378,7 +378,7 @@
 	s.done()
 }
 
-func TestFlippedBitIsNeverServed(t *testing.T) {
+func TestCorruptPageIsNeverServed(t *testing.T) {
 	s := fresh(t)
 	c := s.client()
 	a := s.ask(c, 120_000) // most of it is on disk only
@@ -418,7 +418,7 @@
 }
 
 // A thousand clients read slowly; memory stays within its bound and engines are free.
-func TestThousandSlowReaders(t *testing.T) {
+func TestThousandSlowPageReaders(t *testing.T) {
 	d := disk.New()
 	l := limits()
 	l.Disk, l.Team = 256<<20, 1
@@ -459,7 +459,7 @@
 }
 
 // Teams' tokens open for their own team alone, and spooled work is charged as any other.
-func TestPagesOfTeams(t *testing.T) {
+func TestPageTokensAndChargesAreByTenant(t *testing.T) {
 	d := disk.New()
 	shape := &fairqueue.Shape{Teams: bench.Teams(), Trusted: bench.Homes}
 	s := newSpooled(t, d, disk.NewIndex(d), limits(), shape)
--- a/internal/controller/serving_lease_test.go
+++ b/internal/controller/serving_lease_test.go
@@ -50,7 +50,7 @@
 }
 
 // What comes while nothing may be decided waits, and goes on in the order it came.
-func TestHeldUntilItIsOpenedAndThenInOrder(t *testing.T) {
+func TestHeldQueriesGoInOrderOnceAVersionOpens(t *testing.T) {
 	s := withPeers(t, 1, nil)
 	c := s.connect()
 	first, next := s.query(c, "load", "k", 5*time.Second, 1), s.query(c, "load", "k", 5*time.Second, 2)
@@ -74,7 +74,7 @@
 
 // Held too long, or at the end of its client's patience, one is deferred in time; more
 // than may be held are at once. None of it was ever sent.
-func TestHeldTooLongIsDeferred(t *testing.T) {
+func TestQueryHeldForTooLongIsDeferred(t *testing.T) {
 	s := withPeers(t, 1, nil)
 	c := s.connect()
 	long, short := s.query(c, "load", "k", 9*time.Second, 1), s.query(c, "load", "k", 500*time.Millisecond, 1)
@@ -96,7 +96,7 @@
 
 // The lease ends with queries in hand: with the decisions, chosen for an engine and
 // not sent, and running. Those that run go on, the others wait and are deferred.
-func TestALeaseThatEndsLetsNothingOut(t *testing.T) {
+func TestNothingIsSentAfterTheLeaseEnds(t *testing.T) {
 	s := withPeers(t, 1, map[string]string{"may.copy": "false"})
 	s.opens(1, 100*time.Millisecond)
 	c := s.connect()
@@ -125,7 +125,7 @@
 
 // The process stands still past its lease right before a submission is written: none
 // of it goes out, it is known never to have run, and is sent once there is a lease.
-func TestStoppedPastTheLeaseBeforeItWrites(t *testing.T) {
+func TestWriteIsBarredAfterAStallPastTheLease(t *testing.T) {
 	s := withPeers(t, 1, nil)
 	s.opens(1, 10*time.Second)
 	s.stopped = time.Minute
@@ -151,7 +151,7 @@
 
 // A switch is told closed only once nothing is being written, and what waited is
 // judged by the next version: its limits, its teams' places, its placement.
-func TestASwitchIsJudgedByTheNextVersion(t *testing.T) {
+func TestHeldQueryIsAdmittedByTheNextVersion(t *testing.T) {
 	s := withPeers(t, 1, map[string]string{"teams": "1", "team.0.name": "old", "team.0.quota": "5"}, func(m *Config) { m.FieldNames.Customer = "who" })
 	s.opens(1, time.Minute)
 	c := s.connect()
@@ -189,7 +189,7 @@
 
 // A submission held over a switch goes back to the decisions where the next version
 // doesn't let it go to the engine that it was chosen for.
-func TestAHeldSubmissionObeysTheNextVersion(t *testing.T) {
+func TestBlockedAttemptObeysTheNextVersion(t *testing.T) {
 	s := placedStage(t, 2, "a", map[string]string{"may.probe": "false", "report.how": "off"})
 	s.opens(1, time.Minute)
 	s.body = "insert into d_1.x select 1"
@@ -214,7 +214,7 @@
 
 // Bound teams' queries can need a shorter lease: only they wait, and none of their
 // key overtakes them.
-func TestOnlyBoundTeamsWaitForTheirLease(t *testing.T) {
+func TestOnlyConfinedTenantsWaitForTheirLease(t *testing.T) {
 	s := withPeers(t, 1, nil, func(m *Config) { m.Fleet.Bound = func(_ string, tables int64) bool { return tables == 7 } })
 	s.order(fleet.Order{Kind: fleet.Open, Version: 1})
 	s.order(fleet.Order{Kind: fleet.Renewed, Until: fleet.Forever})
@@ -230,7 +230,7 @@
 }
 
 // Teams' turns stand still with all else, and a full ring loses no report.
-func TestFairnessStandsAndReportsAreKept(t *testing.T) {
+func TestFairQueuePausesAndRejectedReportsAreResent(t *testing.T) {
 	s := withPeers(t, 0, nil, func(m *Config) { m.Tenants = &fairqueue.Shape{Teams: []fairqueue.Team{{Name: "a", Weight: 1}}} })
 	s.opens(1, time.Minute)
 	c := s.connect()
@@ -263,7 +263,7 @@
 
 // Whatever happens between, the rules hold with versions that come and go, leases that
 // end and a process that stands still: and nothing by an older version after a newer.
-func TestRulesHoldInAFleet(t *testing.T) {
+func TestInvariantsHoldInAFleet(t *testing.T) {
 	struck := map[string]int{}
 	rapid.Check(t, func(t *rapid.T) {
 		choices := rapid.SliceOfN(rapid.Uint16(), 60, 150).Draw(t, "choices")
@@ -321,7 +321,7 @@
 }
 
 // A query costs no more allocations with peers than without.
-func TestPeersCostAQueryNothing(t *testing.T) {
+func TestPeersCostNoAllocationsPerQuery(t *testing.T) {
 	cost := func(with ...func(*Config)) float64 {
 		s := newStage(t, 1, 256, nil, with...)
 		if s.r.servingLease != nil {
