--- a/internal/fleet/node/cluster_test.go
+++ b/internal/fleet/node/cluster_test.go
@@ -22,7 +22,7 @@
 	controllers     map[string]*testController
 	names           []string
 	timeline        timeline
-	messagesSent    int // messages
+	messagesSent    int
 	eventsScheduled int
 	cutLinks        map[string]bool // "a>b"
 	replies         map[string][]*fleet.Reply
@@ -59,16 +59,16 @@
 	name           string
 	config         Config
 	core           *Core
-	run            int // which start of it, 0: it is down
+	run            int // its incarnation, 0: it is down
 	starts         int
 	disk           consensus.PersistentState
 	timerAt        time.Duration
 	permit         fleet.Word
 	orders         []fleet.Order
-	validations    []string // asked for, and done
-	neverValidates string   // a change that it never comes to check
+	validations    []string // "asked ID" and "done ID", in order
+	neverValidates string   // a change whose validation never ends
 	rulesUnknown   bool     // of the controllers' own set-ups: it is a control process
-	// outside is how much it tells to run outside as it opens.
+	// outsideAtOpen is how many attempts it reports outside as it opens a version.
 	outsideAtOpen int
 }
 
--- a/internal/fleet/node/node_test.go
+++ b/internal/fleet/node/node_test.go
@@ -36,7 +36,7 @@
 	if slices.Sort(words); !slices.Equal(words, []string{statemachine.InForce, statemachine.Refused}) {
 		t.Errorf("%v", words)
 	}
-	// one can't take it: it is withdrawn everywhere
+	// one can't serve by it: it is aborted everywhere
 	a.request(4, &fleet.Ask{Kind: "apply", ID: "c4", Base: 3, Policy: []byte("bad for f2")})
 	s.waitFor(5*time.Second, "withdrawn", func() bool { return s.replyTo(a, 4) != nil })
 	if w := s.replyTo(a, 4); w.Word != statemachine.Withdrawn || w.Exit() != 3 {
@@ -209,8 +209,8 @@
 	t.Logf("a change is in force on all after %v", s.now-at)
 }
 
-// A lease without an end and a short one beside it for bound teams: the short one goes on
-// while the majority is there, and only it ends for who is cut off.
+// A lease without an end and a short one beside it for confined tenants: the short one is
+// renewed while the majority is there, and only it ends for a controller that is cut off.
 func TestConfinedLeaseEndsWhileLeaseHasNoEnd(t *testing.T) {
 	for _, c := range []struct{ all, bound time.Duration }{{0, 200 * time.Millisecond}, {5 * time.Second,
 		200 * time.Millisecond}} {
@@ -241,8 +241,8 @@
 	}
 }
 
-// A purge waits for all that may serve what is kept, also where only the lease of bound
-// teams has an end: who was given one a moment ago may serve for as long as that lasts.
+// An invalidation waits for all that may serve kept results, also where only the confined
+// lease has an end: who was granted one a moment ago may serve for as long as that lasts.
 func TestInvalidationWaitsForConfinedLease(t *testing.T) {
 	s := newTestCluster(t, 8, 3, 1, 0)
 	bound := 600 * time.Millisecond
@@ -254,7 +254,7 @@
 	s.waitFor(12*time.Second, "all serve", func() bool {
 		return !slices.ContainsFunc(s.names, func(n string) bool { return !served(n) })
 	})
-	for end := s.now + 3*time.Second; s.now < end; { // what an earlier leader may have given is over
+	for end := s.now + 3*time.Second; s.now < end; { // leases of an earlier leader have ended
 		s.playNextEvent()
 	}
 	for _, n := range s.names {
@@ -271,8 +271,8 @@
 	})
 }
 
-// A lease that is being confirmed may be given for the record as it was when that began:
-// who asked for it is waited for from then on.
+// A lease that is being confirmed may be granted for the log as it was when the
+// confirmation began: its controller is waited for from then on.
 func TestLeaseBeingConfirmedIsWaitedFor(t *testing.T) {
 	s := newTestCluster(t, 9, 3, 1, 500*time.Millisecond)
 	s.waitUntilAllServe(5 * time.Second)
@@ -292,8 +292,8 @@
 	}
 }
 
-// What a change leaves outside, and who votes by it, follow from it and the policy in force.
-// Whoever comes to lead in the middle, started anew, must know both alike.
+// What a change leaves outside, and who votes by it, follow from it and the committed
+// policy. A leader restarted during a change must find both alike.
 func TestLeaderRestartedDuringChange(t *testing.T) {
 	s := newTestCluster(t, 10, 3, 1, 500*time.Millisecond)
 	s.waitUntilAllServe(5 * time.Second)
@@ -354,8 +354,8 @@
 	}
 }
 
-// A controller whose disk is said to be destroyed, and which isn't, stops at once, also
-// where its lease has no end. What purges it was told is kept no longer than they are.
+// A controller that was forgotten, and whose disk isn't destroyed, stops at once, also
+// where its lease has no end.
 func TestForgottenControllerStopsServing(t *testing.T) {
 	for _, lease := range []time.Duration{0, 500 * time.Millisecond} {
 		s := newTestCluster(t, 11, 3, 1, lease)
@@ -378,8 +378,8 @@
 	}
 }
 
-// What runs outside is told with the version that makes it so: what was told of by the
-// one before is no reason to call a change settled.
+// Attempts outside are reported with the version that makes them so: the figure of the one
+// before is no reason to call a change settled.
 func TestAttemptsOutsideAreReportedWithTheirVersion(t *testing.T) {
 	s := newTestCluster(t, 12, 1, 0, 500*time.Millisecond)
 	s.waitFor(5*time.Second, "it serves", func() bool { return s.allServe("v0") })
@@ -393,7 +393,7 @@
 	}
 }
 
-// A tighter rule with nothing to purge is settled only once what runs outside has ended.
+// A stricter rule with nothing to invalidate is settled only once no attempt runs outside.
 func TestChangeSettlesAfterAttemptsOutsideEnd(t *testing.T) {
 	s := newTestCluster(t, 13, 3, 1, 500*time.Millisecond)
 	s.waitUntilAllServe(5 * time.Second)
--- a/internal/fleet/node/relay_coverage_test.go
+++ b/internal/fleet/node/relay_coverage_test.go
@@ -87,8 +87,8 @@
 	}
 }
 
-// A controller that isn't in the record yet is given no lease by the gather that told
-// of it, also if the record has it before the answer goes out.
+// A controller that isn't in the log yet is granted no lease by the message that reported
+// it, also if the log has it before the answer is sent.
 func TestCoverageWithholdsLeaseOfJoiningController(t *testing.T) {
 	s, l, tell := leaderWithManualRelay(t)
 	if a := tell(&RelayedRenewals{Seq: 1, Renewals: []RelayedRenewal{relayedFrom("new", 60, 1)}}); a == nil ||
@@ -103,7 +103,7 @@
 		!a.Granted || len(a.Withheld) != 0 {
 		t.Errorf("%+v", a)
 	}
-	// two gathers in one confirmation: what the first withheld stays withheld for it
+	// two messages in one confirmation: what the first withheld stays withheld for it
 	covers := &relayCoverage{controllers: map[string]bool{"new": true}}
 	first := unconfirmedRenewal{name: "r0", relayed: &RelayedRenewals{Incarnation: 77, Seq: 9},
 		coverage: covers, withheld: map[string]string{"new": ""}}
@@ -129,7 +129,7 @@
 	}
 }
 
-// Who asked for silence to be told, and of whom another relay told since, is told again.
+// A controller that another relay reported as silent is asked for again of this one.
 func TestCoverageAsksAgainForWhatAnotherRelayReported(t *testing.T) {
 	_, l, tell := leaderWithManualRelay(t)
 	tell(&RelayedRenewals{Seq: 1, Renewals: []RelayedRenewal{relayedFrom("f0", 90, 1)}})
--- a/internal/fleet/node/relay_test.go
+++ b/internal/fleet/node/relay_test.go
@@ -91,7 +91,7 @@
 func TestFleetServesThroughRelays(t *testing.T) {
 	s := newRelayCluster(t, 1, 3, 2, 12, relayLease)
 	s.waitUntilAllServe(5 * time.Second)
-	s.playFor(2*relayLease, nil) // what joining led to is over
+	s.playFor(2*relayLease, nil) // joining has settled
 	direct, gathers, renewals := 0, 0, 0
 	s.seen = func(from, to string, m *Message) {
 		leader := s.leader()
@@ -111,7 +111,7 @@
 	if direct != 0 || renewals != 0 {
 		t.Errorf("at rest %d renewals came to the leader, and gathers named %d controllers", direct, renewals)
 	}
-	// a relay gathers four times in the time in which a controller asks once
+	// a relay sends messagesPerInterval messages in the time in which a controller asks once
 	most := int(2 * messagesPerInterval * 4 * time.Second / s.controllers["f0"].core.renewalInterval())
 	if gathers == 0 || gathers > most+4 {
 		t.Errorf("%d gathers in 4 s, at most %d are wanted", gathers, most)
@@ -201,8 +201,8 @@
 	}
 }
 
-// A relay that stands still past a lease and goes on holds nobody's lease up, and what
-// it says late is no new ask.
+// A relay that is stopped past a lease and continued lengthens no lease, and what it sends
+// late is no new request.
 func TestRelayStoppedPastLeaseAndContinued(t *testing.T) {
 	s := newRelayCluster(t, 4, 3, 2, 6, relayLease)
 	s.waitUntilAllServe(5 * time.Second)
@@ -330,7 +330,7 @@
 	}
 }
 
-// A run of a relay that is still about beside the next one covers for itself alone.
+// An incarnation of a relay that still runs beside the next one covers on its own.
 func TestOldRelayIncarnationBesideNewOne(t *testing.T) {
 	s := newRelayCluster(t, 6, 3, 2, 4, relayLease)
 	s.waitUntilAllServe(5 * time.Second)
@@ -344,7 +344,7 @@
 		}
 	}
 	seq := old.aggregator.lastSeq
-	for i := range uint64(5) { // it speaks on, and knows nothing of who left it
+	for i := range uint64(5) { // it goes on, and knows nothing of the controllers that left it
 		g := &RelayedRenewals{Incarnation: old.config.Incarnation, Seq: seq + 1 + i,
 			BaseSeq: old.aggregator.leaderHasUpTo}
 		l.step(Event{Kind: MessageReceived, Message: &Message{From: "r0", To: l.name, Disk: "disk r0",
@@ -379,7 +379,7 @@
 	s.checkInForce(s.controllers["n50"], 1)
 }
 
-// Who is forgotten is granted nothing more, through a relay neither.
+// A forgotten controller is granted no lease, through a relay neither.
 func TestForgottenControllerIsRefusedThroughRelay(t *testing.T) {
 	s := newRelayCluster(t, 8, 3, 2, 2, relayLease)
 	s.waitUntilAllServe(5 * time.Second)
@@ -400,8 +400,8 @@
 	}
 }
 
-// A leader whose program knows no relays answers no gathers: controllers go to it
-// themselves, and the relay says what is wrong.
+// A leader whose program knows no relays doesn't answer them: controllers ask it directly,
+// and the relay logs what is wrong.
 func TestLeaderThatKnowsNoRelays(t *testing.T) {
 	s := newRelayCluster(t, 9, 3, 2, 4, relayLease)
 	// what it can't read it passes over
@@ -419,7 +419,7 @@
 	s.checkInForce(s.controllers["f0"], 1)
 }
 
-// A relay that has nothing of the leader's after its ask passes on no lease, whatever
+// A relay passes on no lease without an answer of the leader to a later message, whatever
 // it was answered before.
 func TestRelayGrantsNothingByItself(t *testing.T) {
 	s := newRelayCluster(t, 10, 3, 1, 3, relayLease)
@@ -448,8 +448,8 @@
 	}
 }
 
-// A controller that was started anew while its old relay is slow: what the old run said,
-// told once more by that relay, doesn't stand for the new one for good.
+// A controller is restarted while its old relay is slow: what the old incarnation reported,
+// sent once more by that relay, doesn't replace the new one's report for good.
 func TestOldIncarnationReportedByAnotherRelayIsCorrected(t *testing.T) {
 	s := newRelayCluster(t, 11, 3, 2, 2, relayLease)
 	s.waitUntilAllServe(5 * time.Second)
@@ -505,9 +505,9 @@
 	})
 }
 
-// A control process that is started as a controller holds no lease before the record says
-// so; a controller that becomes a control process is waited for on, since what it kept may
-// be on its disk yet.
+// A control process that is restarted as a controller holds no lease before the log says
+// so; a controller that becomes a control process is still waited for, since kept results
+// may still be on its disk.
 func TestRoleInTheLogDecides(t *testing.T) {
 	s := newRelayCluster(t, 13, 3, 2, 2, relayLease)
 	s.waitUntilAllServe(5 * time.Second)
@@ -538,7 +538,7 @@
 	}
 }
 
-// A control process that leads and can't take a policy withdraws it, though nobody waits
+// A control process that leads and can't serve by a policy aborts it, though nobody waits
 // for control processes.
 func TestControlLeaderAbortsPolicyItRefuses(t *testing.T) {
 	s := newRelayCluster(t, 14, 3, 2, 2, relayLease)
@@ -551,7 +551,7 @@
 	}
 }
 
-// What is named as a relay and is none, or has a program without relays, only names the
+// What is configured as a relay and is none, or has a program without relays, only names the
 // leader: its controllers go to that, or to the other relay.
 func TestUpstreamThatIsNoRelay(t *testing.T) {
 	s := newRelayCluster(t, 15, 3, 2, 4, relayLease)
@@ -567,7 +567,7 @@
 	s.checkInForce(s.controllers["f0"], 1)
 }
 
-// What is asked of a controller that reaches its relays alone comes to the leader by them.
+// Requests to a controller that reaches its relays alone come to the leader through them.
 func TestRequestsAreForwardedThroughRelays(t *testing.T) {
 	s := newRelayCluster(t, 16, 3, 2, 4, relayLease)
 	s.waitUntilAllServe(5 * time.Second)
--- a/internal/fleet/node/roster_test.go
+++ b/internal/fleet/node/roster_test.go
@@ -15,7 +15,7 @@
 	s.waitFor(5*time.Second, name+" is forgotten", func() bool { return l.core.state.Members[name].Forgotten })
 }
 
-// Who was forgotten long ago holds no lease, whoever leads by now: a change doesn't wait.
+// A controller forgotten long ago holds no lease, whoever leads by now: no change waits for it.
 func TestChangeDoesNotWaitForControllerForgottenLongAgo(t *testing.T) {
 	lease := 5 * time.Second
 	s := newRelayCluster(t, 31, 3, 2, 4, lease)
@@ -35,7 +35,7 @@
 	}
 }
 
-// Who was forgotten a moment ago, and isn't lost, may serve until its lease is over: a
+// A controller forgotten a moment ago, and not lost, may serve until its lease ends: a
 // change waits for that, also where the leader is lost or started anew meanwhile.
 func TestChangeWaitsForLeaseOfControllerJustForgotten(t *testing.T) {
 	for _, reach := range []string{"", "leader lost", "voters started anew"} {
