--- a/internal/controller/held_queries.go
+++ b/internal/controller/held_queries.go
@@ -120,7 +120,7 @@
 		l.answerKilled(q, "no such patience")
 		return
 	}
-	l.dispatch(q, h.from, q.keyNumber)
+	l.dispatch(q, h.from)
 }
 
 // permitSend reports whether an attempt may be sent now. Where nothing may be decided it waits.
