--- a/internal/bench/fairness.go
+++ b/internal/bench/fairness.go
@@ -84,28 +84,28 @@
 }
 
 // Teams is a tree of three kinds with four teams each, of unequal weights.
-func Teams() []fairqueue.Team {
-	var l []fairqueue.Team
+func Teams() []fairqueue.Tenant {
+	var l []fairqueue.Tenant
 	for i, kind := range []string{"municipalities", "brigades", "gauges"} {
-		k := fairqueue.Team{Name: kind, Weight: float64(3 - i)}
+		k := fairqueue.Tenant{Name: kind, Weight: float64(3 - i)}
 		for j := range 4 {
-			k.Teams = append(k.Teams, fairqueue.Team{Name: fmt.Sprintf("%s-%d", kind, j+1), Weight: float64(1 + j%2)})
+			k.Children = append(k.Children, fairqueue.Tenant{Name: fmt.Sprintf("%s-%d", kind, j+1), Weight: float64(1 + j%2)})
 		}
 		l = append(l, k)
 	}
 	return l
 }
 
-func leaves(l []fairqueue.Team, share float64, each func(name string, share float64)) {
+func leaves(l []fairqueue.Tenant, share float64, each func(name string, share float64)) {
 	sum := 0.0
 	for _, t := range l {
 		sum += t.Weight
 	}
 	for _, t := range l {
-		if len(t.Teams) == 0 {
+		if len(t.Children) == 0 {
 			each(t.Name, share*t.Weight/sum)
 		} else {
-			leaves(t.Teams, share*t.Weight/sum, each)
+			leaves(t.Children, share*t.Weight/sum, each)
 		}
 	}
 }
@@ -134,7 +134,7 @@
 }
 
 // NewNight makes one. shape nil: the program without teams.
-func NewNight(seed uint64, engines int, kinds []Kind, teams []fairqueue.Team, shape *fairqueue.Shape, facts map[string]string) *Night {
+func NewNight(seed uint64, engines int, kinds []Kind, teams []fairqueue.Tenant, shape *fairqueue.Config, facts map[string]string) *Night {
 	f := engine.Usual()
 	f.Disks = 16
 	figures := make([]engine.Figures, engines)
@@ -144,7 +144,7 @@
 	all := Facts(kinds, f)
 	maps.Copy(all, facts)
 	if shape != nil {
-		shape.Teams, shape.Trusted = teams, Homes
+		shape.Tenants, shape.TrustedAddresses = teams, Homes
 	}
 	n := &Night{Kinds: kinds, rng: rand.New(rand.NewPCG(seed, 2)), conns: map[string]*world.Client{}, capac: float64(engines) * f.Cores,
 		fair: shape != nil, gapSince: map[string]time.Duration{}, waiting: map[string]int{}, lastStart: map[string]time.Duration{}}
@@ -362,7 +362,7 @@
 		}
 	}
 	return []pattern{
-		{name: "steady", play: func(n *Night) { each(n, 1.3, 0, nightLong+fairqueue.DefaultAge, nil) }},
+		{name: "steady", play: func(n *Night) { each(n, 1.3, 0, nightLong+fairqueue.DefaultAgeingLimit, nil) }},
 		{name: "alert", play: func(n *Night) {
 			each(n, 0.5, 0, nightLong, nil)
 			for at := 5 * time.Second; at < nightLong; at += 12 * time.Second {
@@ -374,7 +374,7 @@
 			}
 		}},
 		{name: "badplans", play: func(n *Night) {
-			each(n, 1.1, 0, nightLong+fairqueue.DefaultAge, func() float64 {
+			each(n, 1.1, 0, nightLong+fairqueue.DefaultAgeingLimit, func() float64 {
 				if n.rng.Float64() < 0.005 {
 					return 20
 				}
@@ -382,13 +382,13 @@
 			})
 		}},
 		{name: "enginelost", beat: true, play: func(n *Night) {
-			each(n, 1.1, 0, nightLong+fairqueue.DefaultAge, nil)
+			each(n, 1.1, 0, nightLong+fairqueue.DefaultAgeingLimit, nil)
 			n.At(15*time.Second, func() { n.Engines[0].Crash(30 * time.Second) })
 		}},
 	}
 }
 
-func shape() *fairqueue.Shape { return &fairqueue.Shape{} }
+func shape() *fairqueue.Config { return &fairqueue.Config{} }
 
 // MeasureFair is the measurement of fair queues: patterns of load in virtual time
 // against stand-in engines, printed one by one, and a last line of all.
@@ -421,7 +421,7 @@
 		idle, wait = idle+n.IdleTime, wait+n.WaitTime
 	}
 	jain := [2]float64{}
-	for i, s := range []*fairqueue.Shape{shape(), nil} {
+	for i, s := range []*fairqueue.Config{shape(), nil} {
 		n := NewNight(seed, engines, Usual(), Teams(), s, nil)
 		for _, name := range n.Names { // all alike, whatever their weights: far more than any share
 			n.Stream(name, 4.0/float64(len(n.Names)), 0, 45*time.Second, nil)
@@ -460,7 +460,7 @@
 		fmt.Fprintln(out, "broken:", f)
 	}
 	fmt.Fprintf(out, "measured within20=%.4f worst_wait_ratio=%.3f idle_while_waiting=%.5f max_start_gap_s=%.3f bound_s=%.3f jain=%.4f jain_before=%.4f bad_plan_ratio=%.3f us_per_query=%.3f broken=%d\n",
-		counted.Share(), worst, ratio(idle, wait), gap.Seconds(), fairqueue.DefaultAge.Seconds()*1.25, jain[0], jain[1], bad, us, len(faults))
+		counted.Share(), worst, ratio(idle, wait), gap.Seconds(), fairqueue.DefaultAgeingLimit.Seconds()*1.25, jain[0], jain[1], bad, us, len(faults))
 	if len(faults) > 0 {
 		return fmt.Errorf("%d rules broken", len(faults))
 	}
@@ -504,35 +504,35 @@
 // SpeedFair is the time of one in and one out, in microseconds, with so many
 // teams and queries waiting.
 func SpeedFair(teams, waiting, rounds int) float64 {
-	s := fairqueue.Shape{Lanes: []fairqueue.Lane{{Name: "a", Threads: 1, Value: 1, Usual: 50 * time.Millisecond},
-		{Name: "b", Threads: 3, Value: 5, Usual: 500 * time.Millisecond}}, Age: time.Hour, Waiting: 2 * waiting}
+	s := fairqueue.Config{Lanes: []fairqueue.Lane{{Name: "a", Threads: 1, PriorityWeight: 1, UsualWork: 50 * time.Millisecond},
+		{Name: "b", Threads: 3, PriorityWeight: 5, UsualWork: 500 * time.Millisecond}}, AgeingLimit: time.Hour, MaxWaiting: 2 * waiting}
 	for i := range 100 {
-		k := fairqueue.Team{Name: "k" + strconv.Itoa(i), Weight: 1 + float64(i%7)}
+		k := fairqueue.Tenant{Name: "k" + strconv.Itoa(i), Weight: 1 + float64(i%7)}
 		for j := range teams / 100 {
-			k.Teams = append(k.Teams, fairqueue.Team{Name: fmt.Sprintf("t%d-%d", i, j), Weight: 1 + float64(j%5)})
+			k.Children = append(k.Children, fairqueue.Tenant{Name: fmt.Sprintf("t%d-%d", i, j), Weight: 1 + float64(j%5)})
 		}
-		s.Teams = append(s.Teams, k)
+		s.Tenants = append(s.Tenants, k)
 	}
 	c := fairqueue.New(s)
-	all := make([]fairqueue.Waiter, waiting+1)
+	all := make([]fairqueue.Query, waiting+1)
 	rng := rand.New(rand.NewPCG(1, 1))
 	now := time.Duration(1)
-	enter := func(w *fairqueue.Waiter) {
-		*w = fairqueue.Waiter{Lane: rng.IntN(2), Team: teamAt(rng.IntN(teams)), Key: -1, Chain: -1, Until: time.Hour}
-		c.Enter(now, w)
+	enter := func(w *fairqueue.Query) {
+		*w = fairqueue.Query{Lane: rng.IntN(2), Tenant: teamAt(rng.IntN(teams)), Key: -1, Chain: -1, Deadline: time.Hour}
+		c.Enqueue(now, w)
 	}
-	c.Full(now, 0, true)
-	c.Full(now, 1, true)
+	c.SetLaneFull(now, 0, true)
+	c.SetLaneFull(now, 1, true)
 	for i := range waiting {
 		enter(&all[i])
 	}
-	free := []*fairqueue.Waiter{&all[waiting]} // one goes out for each that comes in, or nearly
+	free := []*fairqueue.Query{&all[waiting]} // one goes out for each that comes in, or nearly
 	runtime.GC()
 	start := time.Now()
 	for i := range rounds {
 		now += 10 * time.Microsecond
 		if len(free) == 0 {
-			free = append(free, &fairqueue.Waiter{})
+			free = append(free, &fairqueue.Query{})
 		}
 		last := len(free) - 1
 		enter(free[last])
--- a/internal/bench/fairness_test.go
+++ b/internal/bench/fairness_test.go
@@ -27,9 +27,9 @@
 	os.Exit(m.Run())
 }
 
-func flat(names ...string) (l []fairqueue.Team) {
+func flat(names ...string) (l []fairqueue.Tenant) {
 	for _, n := range names {
-		l = append(l, fairqueue.Team{Name: n, Weight: 1})
+		l = append(l, fairqueue.Tenant{Name: n, Weight: 1})
 	}
 	return l
 }
@@ -88,9 +88,9 @@
 				})
 			case 6:
 				n.At(at, func() {
-					n.Reload(&fairqueue.Shape{Teams: Teams()[1:], Trusted: []netip.Prefix{netip.MustParsePrefix("10.0.0.0/8")}})
+					n.Reload(&fairqueue.Config{Tenants: Teams()[1:], TrustedAddresses: []netip.Prefix{netip.MustParsePrefix("10.0.0.0/8")}})
 					n.After(time.Second, func() {
-						n.Reload(&fairqueue.Shape{Teams: Teams(), Trusted: []netip.Prefix{netip.MustParsePrefix("10.0.0.0/8")}})
+						n.Reload(&fairqueue.Config{Tenants: Teams(), TrustedAddresses: []netip.Prefix{netip.MustParsePrefix("10.0.0.0/8")}})
 					})
 				})
 			}
@@ -178,7 +178,7 @@
 	if late.Finished < 100 || late.Deferred == 0 {
 		t.Fatalf("after the loss %d were finished, %d deferred", late.Finished, late.Deferred)
 	}
-	if n.MaxGap > fairqueue.DefaultAge*5/4 {
+	if n.MaxGap > fairqueue.DefaultAgeingLimit*5/4 {
 		t.Fatalf("a team went %v without a start", n.MaxGap)
 	}
 }
--- a/internal/controller/config.go
+++ b/internal/controller/config.go
@@ -39,7 +39,7 @@
 	ClientLimits []ClientLimits
 
 	// Tenants are the tenants of fair queueing; nil: queries are scheduled as they come.
-	Tenants *fairqueue.Shape
+	Tenants *fairqueue.Config
 	// Spool configures results that are read page by page; nil: each is answered in one piece.
 	Spool *SpoolConfig
 	// CacheLimits configures cached answers; nil: every query goes to an engine.
--- a/internal/controller/events.go
+++ b/internal/controller/events.go
@@ -59,7 +59,7 @@
 	Backlogged bool
 
 	DiscoveryAddress string
-	Tenants          *fairqueue.Shape // nil: unchanged
+	Tenants          *fairqueue.Config // nil: unchanged
 	SpoolWork        *spool.Work
 	Order            *fleet.Order
 	Report           *fleet.Report
--- a/internal/controller/fair_queue.go
+++ b/internal/controller/fair_queue.go
@@ -15,13 +15,13 @@
 // exists where the set-up has tenants; else it is nil and costs nothing.
 type fairQueue struct {
 	*Controller
-	queue         *fairqueue.Core
+	queue         *fairqueue.Queue
 	fieldNames    FieldNames
-	maxRetryAfter time.Duration    // the longest that clients follow, 0: none is named to them
-	tenants       *fairqueue.Shape // as last configured
+	maxRetryAfter time.Duration     // the longest that clients follow, 0: none is named to them
+	tenants       *fairqueue.Config // as last configured
 }
 
-func newFairQueue(c *Controller, tenants *fairqueue.Shape, names FieldNames) *fairQueue {
+func newFairQueue(c *Controller, tenants *fairqueue.Config, names FieldNames) *fairQueue {
 	f := &fairQueue{Controller: c, fieldNames: names, tenants: tenants}
 	if c.Settings["may.name-return"] == settingTrue {
 		f.maxRetryAfter = c.durationSetting("return.most")
@@ -35,7 +35,7 @@
 }
 
 // reload takes over other tenants, and the groups' present limits.
-func (f *fairQueue) reload(tenants *fairqueue.Shape) {
+func (f *fairQueue) reload(tenants *fairqueue.Config) {
 	f.tenants = tenants
 	shape := *tenants
 	shape.Lanes = f.lanes()
@@ -48,12 +48,12 @@
 	lanes := make([]fairqueue.Lane, len(f.groups))
 	for _, g := range f.groups {
 		lanes[g.index] = fairqueue.Lane{
-			Name:    g.name,
-			Threads: g.threads,
-			Value:   g.priorityWeight,
-			Ordered: g.inOrder,
-			Chained: g.isLoad,
-			Usual:   time.Duration(float64(g.latencyObjective) / 2 * g.threads),
+			Name:           g.name,
+			Threads:        g.threads,
+			PriorityWeight: g.priorityWeight,
+			Ordered:        g.inOrder,
+			Chained:        g.isLoad,
+			UsualWork:      time.Duration(float64(g.latencyObjective) / 2 * g.threads),
 		}
 	}
 	return lanes
@@ -67,19 +67,19 @@
 			cores += max(1, parseNumber(listItem(f.Settings["kind.cores"], e.kind)))
 		}
 	}
-	f.queue.Cores(cores)
+	f.queue.SetCores(cores)
 }
 
 // sweep lowers and raises priorities by the tenants' use, and notifies of waits.
 func (f *fairQueue) sweep() {
-	f.runAfter(fairqueue.SweepEvery, f.sweep)
-	f.queue.Sweep(f.now, f.priorityChanged, func(w *fairqueue.Waiter, wait time.Duration) {
-		w.Of.(*query).owner.notifyWait(wait)
+	f.runAfter(fairqueue.SweepInterval, f.sweep)
+	f.queue.Sweep(f.now, f.priorityChanged, func(w *fairqueue.Query, wait time.Duration) {
+		w.Owner.(*query).owner.notifyWait(wait)
 	})
 }
 
-func (f *fairQueue) priorityChanged(w *fairqueue.Waiter, lowered bool) {
-	q := w.Of.(*query)
+func (f *fairQueue) priorityChanged(w *fairqueue.Query, lowered bool) {
+	q := w.Owner.(*query)
 	if lowered {
 		f.logAbout(f.waiterFields(q, w), "makes way: its priority is the least for now")
 	}
@@ -88,8 +88,8 @@
 	}
 }
 
-func (f *fairQueue) waiterFields(q *query, w *fairqueue.Waiter) LogFields {
-	return LogFields{Query: q.id, Group: q.group.name, Tenant: f.queue.Team(w.Team)}
+func (f *fairQueue) waiterFields(q *query, w *fairqueue.Query) LogFields {
+	return LogFields{Query: q.id, Group: q.group.name, Tenant: f.queue.TenantName(w.Tenant)}
 }
 
 // enqueue takes a query in, or defers it at once if its wait would be too long.
@@ -100,42 +100,42 @@
 		return
 	}
 	w := f.newWaiter(q, from)
-	verdict := f.queue.Enter(f.now, w)
-	if !verdict.Taken {
-		f.logAbout(f.waiterFields(q, w), "deferred: "+verdict.Why.String()+", "+verdict.Estimate.String())
+	verdict := f.queue.Enqueue(f.now, w)
+	if !verdict.Admitted {
+		f.logAbout(f.waiterFields(q, w), "deferred: "+verdict.Reason.String()+", "+verdict.Estimate.String())
 		f.answerDeferred(q, f.retryAfter(verdict.Estimate))
 		return
 	}
 	q.waiter = w
-	q.waitTimer = f.timers.Add(f.queue.Latest(w), func() {
-		if w.Waits() && !q.answered {
-			f.answerDeferred(q, f.retryAfter(f.queue.Back(f.now, w)))
+	q.waitTimer = f.timers.Add(f.queue.LatestStart(w), func() {
+		if w.Waiting() && !q.answered {
+			f.answerDeferred(q, f.retryAfter(f.queue.RetryAfter(f.now, w)))
 		}
 	})
 	for f.dispatchNext() {
 	}
-	wait := f.queue.First(f.now, w)
-	if w.Ask && wait > 0 && !q.answered {
+	wait := f.queue.FirstEstimate(f.now, w)
+	if w.NotifyChanges && wait > 0 && !q.answered {
 		q.owner.notifyWait(wait)
 	}
 }
 
-func (f *fairQueue) newWaiter(q *query, from From) *fairqueue.Waiter {
-	w := &fairqueue.Waiter{
-		Of:    q,
-		Lane:  q.group.index,
-		Key:   q.keyNumber,
-		Chain: q.tableGroup,
-		Until: q.deadline,
-		Team:  f.queue.Whose(from.Address, from.Fields.Get(f.fieldNames.Tenant)),
-		Ask:   len(from.Fields.Get(f.fieldNames.NotifyWait)) > 0,
+func (f *fairQueue) newWaiter(q *query, from From) *fairqueue.Query {
+	w := &fairqueue.Query{
+		Owner:         q,
+		Lane:          q.group.index,
+		Key:           q.keyNumber,
+		Chain:         q.tableGroup,
+		Deadline:      q.deadline,
+		Tenant:        f.queue.TenantOf(from.Address, from.Fields.Get(f.fieldNames.Tenant)),
+		NotifyChanges: len(from.Fields.Get(f.fieldNames.NotifyWait)) > 0,
 	}
 	if f.fieldNames.RepeatOf != "" {
-		w.Self = idHash(q.id)
+		w.RepeatID = idHash(q.id)
 		first := from.Fields.Get(f.fieldNames.RepeatOf)
 		if len(first) > 0 {
-			w.Again = idHash(string(first))
-			w.Self = w.Again // a repeat of this repeat names the first query, too
+			w.RepeatOf = idHash(string(first))
+			w.RepeatID = w.RepeatOf // a repeat of this repeat names the first query, too
 		}
 	}
 	return w
@@ -152,13 +152,13 @@
 func (f *fairQueue) dispatchNext() bool {
 	for lane := range len(f.groups) {
 		full := f.scheduler.QueueBlocked(lane)
-		f.queue.Full(f.now, lane, full)
+		f.queue.SetLaneFull(f.now, lane, full)
 		if full {
 			continue
 		}
 		w := f.queue.Next(f.now, lane)
 		if w != nil {
-			q := w.Of.(*query)
+			q := w.Owner.(*query)
 			f.timers.Drop(q.waitTimer)
 			f.submitToScheduler(q)
 			return true
@@ -174,12 +174,12 @@
 }
 
 // queryClosed takes a query that waits out at once. One that was submitted leaves with queryOver.
-func (f *fairQueue) queryClosed(q *query, end fairqueue.End) {
+func (f *fairQueue) queryClosed(q *query, end fairqueue.Outcome) {
 	if q.waiter == nil {
 		return
 	}
 	q.fairEnd = end
-	if q.waiter.Waits() {
+	if q.waiter.Waiting() {
 		f.timers.Drop(q.waitTimer)
 		f.queue.Ended(f.now, q.waiter, end, 0, 0)
 	}
@@ -203,8 +203,8 @@
 
 // deferAll defers all queries that wait, as the controller shuts down.
 func (f *fairQueue) deferAll() {
-	f.queue.Each(func(w *fairqueue.Waiter) {
-		f.answerDeferred(w.Of.(*query), f.retryAfter(f.queue.Back(f.now, w)))
+	f.queue.EachWaiting(func(w *fairqueue.Query) {
+		f.answerDeferred(w.Owner.(*query), f.retryAfter(f.queue.RetryAfter(f.now, w)))
 	})
 }
 
@@ -214,7 +214,7 @@
 	return fmt.Sprintf("; fairness waiting %d started %d deferred %d repeated %d lowered %d,"+
 		" wait s told %.3f had %.3f worst %.3f",
 		f.queue.Waiting(), n.Started, n.Deferred, n.Repeated, n.Lowered,
-		meanSeconds(n.Told, n.Started), meanSeconds(n.Had, n.Started), n.Worst.Seconds())
+		meanSeconds(n.SumEstimates, n.Started), meanSeconds(n.SumWaits, n.Started), n.MaxWait.Seconds())
 }
 
 func meanSeconds(sum time.Duration, n int) float64 { return sum.Seconds() / float64(max(1, n)) }
@@ -223,6 +223,6 @@
 // It is for reports, and must not be called during a Step.
 func (c *Controller) Teams(each func(path string, waiting int, n fairqueue.Counts)) {
 	if c.fairQueue != nil {
-		c.fairQueue.queue.Teams(each)
+		c.fairQueue.queue.EachTenant(each)
 	}
 }
--- a/internal/controller/fair_queue_test.go
+++ b/internal/controller/fair_queue_test.go
@@ -67,8 +67,8 @@
 // A call's further fields reach fairness, and what it is told reaches the call.
 func TestFieldsAndNotices(t *testing.T) {
 	s := newStage(t, 0, 256, nil)
-	s.r.fairQueue = newFairQueue(s.r, &fairqueue.Shape{Teams: []fairqueue.Team{{Name: "a", Weight: 1}, {Name: "b", Weight: 1}},
-		Trusted: []netip.Prefix{netip.MustParsePrefix("10.0.0.0/8")}}, FieldNames{Tenant: "team", NotifyWait: "tell", RepeatOf: "first"})
+	s.r.fairQueue = newFairQueue(s.r, &fairqueue.Config{Tenants: []fairqueue.Tenant{{Name: "a", Weight: 1}, {Name: "b", Weight: 1}},
+		TrustedAddresses: []netip.Prefix{netip.MustParsePrefix("10.0.0.0/8")}}, FieldNames{Tenant: "team", NotifyWait: "tell", RepeatOf: "first"})
 	c := &end{n: len(s.ends), link: &Connection{RemoteAddress: netip.MustParseAddr("10.0.0.1")}, client: true, up: true}
 	s.ends = append(s.ends, c)
 	s.step(Event{Kind: ClientAccepted, Connection: c.link})
@@ -82,7 +82,7 @@
 	}
 	s.read(c, append(call, "\xc4\x08SELECT 1"...))
 	q := s.r.queries[a.id]
-	if q == nil || q.waiter == nil || s.r.fairQueue.queue.Team(q.waiter.Team) != "b" || !q.waiter.Ask {
+	if q == nil || q.waiter == nil || s.r.fairQueue.queue.TenantName(q.waiter.Tenant) != "b" || !q.waiter.NotifyChanges {
 		t.Fatalf("%+v", q)
 	}
 	got := msgpackrpc.Told(nil, 300, 1234*time.Millisecond)
@@ -102,7 +102,7 @@
 	if q.effectivePriority() != 3 {
 		t.Fatal("without teams it is not the decisions'")
 	}
-	q.waiter = &fairqueue.Waiter{}
+	q.waiter = &fairqueue.Query{}
 	if q.effectivePriority() != 3 {
 		t.Fatal("lowered for nothing")
 	}
--- a/internal/controller/policy_update.go
+++ b/internal/controller/policy_update.go
@@ -13,7 +13,7 @@
 type Policy struct {
 	Version uint64
 	// Fair are the tenants; nil leaves them as they are.
-	Fair *fairqueue.Shape
+	Fair *fairqueue.Config
 	// Facts are the groups' limits and the customers' shares, as the scheduler's settings
 	// name them. Other settings in it are ignored; nil leaves all as they are.
 	Facts map[string]string
--- a/internal/controller/query.go
+++ b/internal/controller/query.go
@@ -67,8 +67,8 @@
 
 	waitTimer *timerqueue.Item // while it waits in the fair queue or is blocked
 	// with fair queueing
-	waiter  *fairqueue.Waiter
-	fairEnd fairqueue.End // how it was closed
+	waiter  *fairqueue.Query
+	fairEnd fairqueue.Outcome // how it was closed
 }
 
 // effectivePriority is the query's priority at engines: the scheduler's, unless fair queueing has lowered
@@ -135,19 +135,19 @@
 	c.counters.abandoned++
 	// it must reach the scheduler before the ends of attempts that were not sent, which count as answered
 	c.runSoon(func() { c.scheduler.ClientLeft(c.now, q.id) })
-	c.closeQuery(q, fairqueue.Left)
+	c.closeQuery(q, fairqueue.ClientGone)
 }
 
 var endNames = [...]string{
-	fairqueue.Finished: "finished",
-	fairqueue.Deferred: "deferred",
-	fairqueue.Killed:   "killed",
-	fairqueue.Left:     "left",
+	fairqueue.Finished:   "finished",
+	fairqueue.Deferred:   "deferred",
+	fairqueue.Killed:     "killed",
+	fairqueue.ClientGone: "left",
 }
 
 // closeQuery notes that a query is answered, or that no answer is owed; the caller answers right behind
 // it. It withdraws attempts that were not sent, and reports false if the query was closed before.
-func (c *Controller) closeQuery(q *query, end fairqueue.End) bool {
+func (c *Controller) closeQuery(q *query, end fairqueue.Outcome) bool {
 	if !invariant.Hold(!q.answered, "one final answer a query") {
 		return false
 	}
--- a/internal/controller/result_paging.go
+++ b/internal/controller/result_paging.go
@@ -70,7 +70,7 @@
 		return ""
 	}
 	named := from.Fields.Get(c.fairQueue.fieldNames.Tenant)
-	return c.fairQueue.queue.Team(c.fairQueue.queue.Whose(from.Address, named))
+	return c.fairQueue.queue.TenantName(c.fairQueue.queue.TenantOf(from.Address, named))
 }
 
 // reserve takes space for a query whose client reads page by page. Where there is none the query
--- a/internal/controller/result_paging_test.go
+++ b/internal/controller/result_paging_test.go
@@ -39,7 +39,7 @@
 	return l
 }
 
-func newSpooled(t *testing.T, d *disk.Disk, x *disk.Index, l spool.Limits, shape *fairqueue.Shape, change ...func(*controller.Config)) *spooled {
+func newSpooled(t *testing.T, d *disk.Disk, x *disk.Index, l spool.Limits, shape *fairqueue.Config, change ...func(*controller.Config)) *spooled {
 	keeper, err := resultstore.NewKeeper(d, x, resultstore.Terms{SegmentBytes: 256 << 10})
 	if err != nil {
 		t.Fatal(err)
@@ -461,7 +461,7 @@
 // Teams' tokens open for their own team alone, and spooled work is charged as any other.
 func TestPageTokensAndChargesAreByTenant(t *testing.T) {
 	d := disk.New()
-	shape := &fairqueue.Shape{Teams: bench.Teams(), Trusted: bench.Homes}
+	shape := &fairqueue.Config{Tenants: bench.Teams(), TrustedAddresses: bench.Homes}
 	s := newSpooled(t, d, disk.NewIndex(d), limits(), shape)
 	c := s.client()
 	a := s.ask(c, 3000, "team", "gauges-1")
--- a/internal/controller/scheduler_actions.go
+++ b/internal/controller/scheduler_actions.go
@@ -56,7 +56,7 @@
 		return
 	}
 	if c.fairQueue != nil && q.waiter != nil {
-		retryAfter = max(retryAfter, c.fairQueue.retryAfter(c.fairQueue.queue.Back(c.now, q.waiter)))
+		retryAfter = max(retryAfter, c.fairQueue.retryAfter(c.fairQueue.queue.RetryAfter(c.now, q.waiter)))
 	}
 	c.answerDeferred(q, retryAfter)
 }
--- a/internal/controller/serving_lease_test.go
+++ b/internal/controller/serving_lease_test.go
@@ -231,7 +231,7 @@
 
 // Teams' turns stand still with all else, and a full ring loses no report.
 func TestFairQueuePausesAndRejectedReportsAreResent(t *testing.T) {
-	s := withPeers(t, 0, nil, func(m *Config) { m.Tenants = &fairqueue.Shape{Teams: []fairqueue.Team{{Name: "a", Weight: 1}}} })
+	s := withPeers(t, 0, nil, func(m *Config) { m.Tenants = &fairqueue.Config{Tenants: []fairqueue.Tenant{{Name: "a", Weight: 1}}} })
 	s.opens(1, time.Minute)
 	c := s.connect()
 	for range 3 {
@@ -244,7 +244,7 @@
 	if s.r.fairQueue.queue.Waiting() != waits || s.told(fleet.Closed) != 0 {
 		t.Fatal("it went on")
 	}
-	s.order(fleet.Order{Kind: fleet.Open, Version: 2, Policy: &Policy{Version: 2, Fair: &fairqueue.Shape{Teams: []fairqueue.Team{{Name: "b", Weight: 1}}}}})
+	s.order(fleet.Order{Kind: fleet.Open, Version: 2, Policy: &Policy{Version: 2, Fair: &fairqueue.Config{Tenants: []fairqueue.Tenant{{Name: "b", Weight: 1}}}}})
 	s.order(fleet.Order{Kind: fleet.Drop, ID: "p", Scope: &fleet.Scope{Team: "a"}})
 	s.full, s.reports = false, nil
 	s.until(s.now + 2*reportRetryInterval)
@@ -271,7 +271,7 @@
 		teams := rapid.Bool().Draw(t, "teams")
 		s := withPeers(t, 3, nil, func(m *Config) {
 			if teams {
-				m.Tenants = &fairqueue.Shape{Teams: []fairqueue.Team{{Name: "a", Weight: 1}}}
+				m.Tenants = &fairqueue.Config{Tenants: []fairqueue.Tenant{{Name: "a", Weight: 1}}}
 			}
 		})
 		s.opens(1, time.Minute)
--- a/internal/emulator/world/world.go
+++ b/internal/emulator/world/world.go
@@ -522,6 +522,6 @@
 // Stop tells the controller to end, Reload to follow other teams.
 func (w *World) Stop() { w.step(controller.Event{Kind: controller.ShutdownRequested}) }
 
-func (w *World) Reload(shape *fairqueue.Shape) {
+func (w *World) Reload(shape *fairqueue.Config) {
 	w.step(controller.Event{Kind: controller.ConfigurationReloaded, DiscoveryAddress: "feed", Tenants: shape})
 }
--- a/internal/fairqueue/fair.go
+++ b/internal/fairqueue/fair.go
@@ -14,68 +14,69 @@
 	"railrelay.dev/railrelay/internal/intrusivelist"
 )
 
-// Counts are what happened to a team's queries.
+// Counts sums what happened to the queries of a tenant, or of all tenants together.
 type Counts struct {
-	Asked, Started, Finished, Deferred, Killed, Left, Repeated, Lowered int
-	Charged                                                             float64       // thread seconds
-	Told, Had                                                           time.Duration // sums of first estimates and waits, of those started
-	Worst                                                               time.Duration // wait had
-	LastStart                                                           time.Duration
+	Arrived, Started, Finished, Deferred, Killed, ClientGone, Repeated, Lowered int
+	Charged                                                                     float64       // thread seconds
+	SumEstimates, SumWaits                                                      time.Duration // sums of first estimates and waits, of those started
+	MaxWait                                                                     time.Duration // wait had
+	LastStart                                                                   time.Duration
 }
 
-// Verdict is what becomes of a query that came.
-type Verdict struct {
-	Taken    bool
+// Admission is the answer to a query that arrived.
+type Admission struct {
+	Admitted bool
 	Estimate time.Duration // until it starts, or for a query not taken until it might
-	Why      Refusal
+	Reason   RejectReason
 }
 
-// Refusal is why a query isn't let in.
-type Refusal int
+// RejectReason says why a query was not admitted.
+type RejectReason int
 
 const (
-	None    Refusal = iota
-	TooLate         // it would start too late for its client
-	TooLong         // it would wait longer than the bound of ageing
-	TooMany         // of its team wait
-	AllFull         // too many wait in all
+	NotRejected       RejectReason = iota
+	WouldStartTooLate              // it would start too late for its client
+	WaitTooLong                    // it would wait longer than the bound of ageing
+	TenantQueueFull                // of its team wait
+	QueueFull                      // too many wait in all
 )
 
-var refusals = [...]string{"", "it would start too late", "it would wait longer than any may", "too many of its team wait", "too many wait"}
-
-func (r Refusal) String() string { return refusals[r] }
-
-// Core is all fairness of one controller.
-type Core struct {
-	shape    Shape
-	plans    []plan
-	children [][]int
-	who      *Who
-	lanes    []lane
-	root     *node
-	now      time.Duration
-	seq      uint64
-	made     uint64
-	nodes    int
-	waiting  int
-	refills  refillHeap
-	lines    map[lineID]*line
-	links    map[int64]chainLink
-	spare    *line // to use again
-	again    memory
-	waitedAt time.Duration // when somebody last waited
-	cores    float64
-	done     flow    // part of the cores' time that was used while queries waited
-	overrun  float64 // thread time a second of queries far beyond their usual work
-	overruns mean    // of it, while queries wait
-	pairs    [][2]float64
-	crowd    crowd
-	level    mean    // work in flight when one that waited was let go
-	inFlight float64 // work left of what runs, at the last sweep
-	threads  float64 // that run
-	service  float64 // seconds that each thread that runs was served so far
-	running  list    // in the order they were handed on
-	asking   []*Waiter
+var rejectReasonTexts = [...]string{"", "it would start too late", "it would wait longer than any may", "too many of its team wait", "too many wait"}
+
+func (r RejectReason) String() string { return rejectReasonTexts[r] }
+
+// Queue is the fair queue of one controller. It is not safe for concurrent use: its owner's
+// goroutine makes all calls.
+type Queue struct {
+	config           Config
+	tenants          []tenantRecord
+	children         [][]int
+	resolver         *TenantResolver
+	lanes            []lane
+	root             *node
+	now              time.Duration
+	lastSequence     uint64
+	nodesMade        uint64
+	nodeCount        int
+	waiting          int
+	refills          refillHeap
+	orders           map[orderID]*orderQueue
+	chains           map[int64]chainInFlight
+	spareOrder       *orderQueue // to use again
+	repeats          repeatMemory
+	lastWaitingAt    time.Duration // when somebody last waited
+	cores            float64
+	workDone         saturatedRate // part of the cores' time that was used while queries waited
+	overrunRate      float64       // thread time a second of queries far beyond their usual work
+	overrunMean      runningMean   // of it, while queries wait
+	laneRatios       [][2]float64
+	surge            surge
+	typicalInFlight  runningMean // work in flight when one that waited was let go
+	inFlightWork     float64     // work left of what runs, at the last sweep
+	runningThreads   float64     // that run
+	servicePerThread float64     // seconds that each thread that runs was served so far
+	running          list        // in the order they were handed on
+	subscribers      []*Query
 
 	debtors []*node
 	idle    intrusivelist.List[node] // in the order in which they became so
@@ -84,314 +85,321 @@
 	Total Counts
 }
 
-// New makes a core. The shape must have passed Check.
-func New(shape Shape) *Core {
-	c := &Core{lines: map[lineID]*line{}, links: map[int64]chainLink{}, cores: 1, waitedAt: -time.Hour}
-	c.root = &node{weight: 1}
-	c.reshape(shape)
-	return c
+// New makes an empty queue. The configuration must have passed Check.
+func New(shape Config) *Queue {
+	f := &Queue{orders: map[orderID]*orderQueue{}, chains: map[int64]chainInFlight{}, cores: 1, lastWaitingAt: -time.Hour}
+	f.root = &node{weight: 1}
+	f.applyConfig(shape)
+	return f
 }
 
-// Whose is the team's number by what a call names, where its address may name a
-// team, or by its address.
-func (c *Core) Whose(from netip.Addr, named []byte) int { return c.who.Whose(from, named) }
+// TenantOf returns the tenant's index: by the name in the call, where the call's address is
+// trusted to name one, and else by the address.
+func (f *Queue) TenantOf(from netip.Addr, named []byte) int { return f.resolver.Resolve(from, named) }
 
-// Team is the name of a number that Whose gave.
-func (c *Core) Team(i int) string { return c.plans[i].Name }
+// TenantName returns the name of a tenant's index as TenantOf gave it.
+func (f *Queue) TenantName(i int) string { return f.tenants[i].Name }
 
-// Bound is how long a team with a query waiting goes without a start at the most:
-// Age, after which its query goes before all that came later, and a quarter of it
-// for those that came earlier: of a team only the first that waits may grow as old.
-func (c *Core) Bound() time.Duration { return c.shape.Age * 5 / 4 }
+// StarvationBound is the longest time that a tenant with a waiting query goes without a start:
+// the ageing limit, after which its query goes before all that arrived later, and a quarter of
+// it for those that arrived earlier. Only the first waiting query of a tenant may grow as old.
+func (f *Queue) StarvationBound() time.Duration { return f.config.AgeingLimit * 5 / 4 }
 
-// Waiting is how many wait, Running how many were handed on and are not over.
-func (c *Core) Waiting() int { return c.waiting }
+// Waiting returns the number of queries that wait, over all tenants.
+func (f *Queue) Waiting() int { return f.waiting }
 
-// Known is how many teams have state, for the bounds on memory.
-func (c *Core) Known() int { return c.nodes + len(c.lines) + len(c.links) + c.again.len() }
+// StateCount returns how many tenants, orders, chains and remembered calls have state. Tests
+// use it to check the bounds on memory.
+func (f *Queue) StateCount() int {
+	return f.nodeCount + len(f.orders) + len(f.chains) + f.repeats.size()
+}
 
-func (c *Core) at(now time.Duration) {
-	c.now = max(c.now, now)
-	for len(c.refills) > 0 && c.refills[0].refilled() <= c.now {
-		n := c.refills[0]
-		c.refill(n)
+func (f *Queue) advance(now time.Duration) {
+	f.now = max(f.now, now)
+	for len(f.refills) > 0 && f.refills[0].refilledAt() <= f.now {
+		n := f.refills[0]
+		f.refill(n)
 		if n.tokens < 0 { // rounding
 			n.tokens = 0
 		}
-		c.judge(n)
+		f.updateQuotaBand(n)
 	}
 }
 
-// Cores tells how many cores the engines that take queries have.
-func (c *Core) Cores(cores float64) { c.cores = max(cores, 0.1) }
-
-// Enter takes a query in, or says that it had better come back. Next hands it on.
-func (c *Core) Enter(now time.Duration, w *Waiter) Verdict {
-	c.at(now)
-	l := &c.lanes[w.Lane]
-	n := c.node(w.Team)
-	w.leaf, w.entered, w.Arrived = n, c.now, c.now
-	n.counts.Asked++
-	c.Total.Asked++
-	if w.Again != 0 {
-		if was, ok := c.again.take(w.Again); ok && was.team == w.Team {
-			w.Arrived, w.credit = was.arrived, was.charged
+// SetCores sets the number of cores of all engines that take queries.
+func (f *Queue) SetCores(cores float64) { f.cores = max(cores, 0.1) }
+
+// Enqueue admits a query or rejects it with the wait after which it may be retried. Next
+// dispatches admitted queries.
+func (f *Queue) Enqueue(now time.Duration, q *Query) Admission {
+	f.advance(now)
+	l := &f.lanes[q.Lane]
+	n := f.node(q.Tenant)
+	q.leaf, q.enqueuedAt, q.Arrived = n, f.now, f.now
+	n.counts.Arrived++
+	f.Total.Arrived++
+	if q.RepeatOf != 0 {
+		if was, ok := f.repeats.take(q.RepeatOf); ok && was.tenant == q.Tenant {
+			q.Arrived, q.credit = was.arrived, was.charged
 			n.counts.Repeated++
-			c.Total.Repeated++
+			f.Total.Repeated++
 		}
 	}
-	w.est = c.usual(n, w.Lane)
-	est := c.estimate(w)
-	v := Verdict{Taken: true, Estimate: est}
+	q.estimatedWork = f.usualWork(n, q.Lane)
+	est := f.estimateWait(q)
+	v := Admission{Admitted: true, Estimate: est}
 	// behind others of its team it isn't let in to grow old; a team's first is, since
 	// ageing brings its turn whatever its weight
-	limit := c.shape.Age*3/5 - (w.entered - w.Arrived)
-	if n.lists[w.Lane].First() == nil {
-		est = min(est, c.shape.Age)
+	limit := f.config.AgeingLimit*3/5 - (q.enqueuedAt - q.Arrived)
+	if n.queues[q.Lane].First() == nil {
+		est = min(est, f.config.AgeingLimit)
 		limit = est
 	}
 	switch {
-	case n.waiting >= n.waitMost:
-		v = Verdict{Why: TooMany, Estimate: est}
-	case c.waiting >= c.shape.Waiting:
-		v = Verdict{Why: AllFull, Estimate: est}
-	case c.now+est+seconds(c.runs(l)) > w.Until:
-		v = Verdict{Why: TooLate, Estimate: est}
-	case est > max(limit, c.shape.Age/5):
-		v = Verdict{Why: TooLong, Estimate: est}
-	}
-	if !v.Taken {
-		c.refuse(w, n)
+	case n.waiting >= n.maxWaiting:
+		v = Admission{Reason: TenantQueueFull, Estimate: est}
+	case f.waiting >= f.config.MaxWaiting:
+		v = Admission{Reason: QueueFull, Estimate: est}
+	case f.now+est+seconds(f.usualRunSeconds(l)) > q.Deadline:
+		v = Admission{Reason: WouldStartTooLate, Estimate: est}
+	case est > max(limit, f.config.AgeingLimit/5):
+		v = Admission{Reason: WaitTooLong, Estimate: est}
+	}
+	if !v.Admitted {
+		f.reject(q, n)
 		return v
 	}
-	usual := w.est / c.crowd.add(c.now, w.est, c.comes(), crowdLeast*c.meanEst())
-	n.rate[w.Lane].add(c.now, usual)
-	l.comes.add(c.now, usual)
-	w.ahead = n.backlog[w.Lane] + n.gone[w.Lane]
-	if w.Ask && !w.listed && len(c.asking) < askingMost {
-		w.listed = true
-		c.asking = append(c.asking, w)
-	}
-	c.seq++
-	w.seq, w.state, w.Estimate, w.told = c.seq, waits, est, c.now+est
-	c.occupy(n)
+	usual := q.estimatedWork / f.surge.add(f.now, q.estimatedWork, f.totalArrivalRate(), minSurgeQueries*f.largestUsualWork())
+	n.arrivalRates[q.Lane].add(f.now, usual)
+	l.arrivals.add(f.now, usual)
+	q.workAhead = n.backlog[q.Lane] + n.dequeuedWork[q.Lane]
+	if q.NotifyChanges && !q.subscribed && len(f.subscribers) < maxSubscribers {
+		q.subscribed = true
+		f.subscribers = append(f.subscribers, q)
+	}
+	f.lastSequence++
+	q.sequence, q.state, q.Estimate, q.expectedStart = f.lastSequence, stateWaiting, est, f.now+est
+	f.addActive(n)
 	n.waiting++
-	c.waiting++
+	f.waiting++
 	l.waiting++
-	c.queue(w)
-	l.add(w)
-	if l.Ordered && w.Key >= 0 {
-		c.join(w, 0, w.Key)
+	f.addBacklog(q)
+	l.insert(q)
+	if l.Ordered && q.Key >= 0 {
+		f.joinOrder(q, 0, q.Key)
 	}
 	if l.Chained {
-		c.join(w, 1, w.Chain)
+		f.joinOrder(q, 1, q.Chain)
 	}
-	if w.mayGo() {
-		c.offer(w)
+	if q.firstOfItsKey() {
+		f.makeEligible(q)
 	}
 	return v
 }
 
 // queue counts a query among those that wait, up to the root.
-func (c *Core) queue(w *Waiter) {
-	for x := w.leaf; x.parent != nil; x = x.parent {
-		if x.queued++; x.queued == 1 {
-			x.catchUp(len(c.lanes))
+func (f *Queue) addBacklog(q *Query) {
+	for x := q.leaf; x.parent != nil; x = x.parent {
+		if x.waitingBelow++; x.waitingBelow == 1 {
+			x.catchUp(len(f.lanes))
 		}
-		x.backlog[w.Lane] += w.est
+		x.backlog[q.Lane] += q.estimatedWork
 	}
-	c.root.backlog[w.Lane] += w.est
+	f.root.backlog[q.Lane] += q.estimatedWork
 }
 
 // runs is how long a query of a lane usually takes once it started, in seconds.
-func (c *Core) runs(l *lane) float64 { return l.run.or(l.Usual.Seconds() / max(1, l.Threads)) }
+func (f *Queue) usualRunSeconds(l *lane) float64 {
+	return l.runSeconds.valueOr(l.UsualWork.Seconds() / max(1, l.Threads))
+}
 
-func (c *Core) refuse(w *Waiter, n *node) {
+func (f *Queue) reject(q *Query, n *node) {
 	n.counts.Deferred++
-	c.Total.Deferred++
-	c.remember(w)
-	w.state = away
+	f.Total.Deferred++
+	f.rememberForRepeat(q)
+	q.state = stateAbsent
 	if n.busy == 0 {
-		c.idle.Remove(&n.inIdle)
-		n.idleAt = c.now
-		c.idle.Append(&n.inIdle, n)
+		f.idle.Remove(&n.idleElement)
+		n.idleSince = f.now
+		f.idle.Append(&n.idleElement, n)
 	}
 }
 
 // remember keeps a call's age and charge for its repeat.
-func (c *Core) remember(w *Waiter) {
-	if w.Self != 0 {
-		c.again.put(w.Self, past{arrived: w.Arrived, charged: w.charged + w.credit, team: w.Team, at: c.now})
+func (f *Queue) rememberForRepeat(q *Query) {
+	if q.RepeatID != 0 {
+		f.repeats.put(q.RepeatID, repeatedCall{arrived: q.Arrived, charged: q.charged + q.credit, tenant: q.Tenant, endedAt: f.now})
 	}
 }
 
 // usual is the thread time that a query of a team is thought to take.
-func (c *Core) usual(n *node, i int) float64 {
-	l := &c.lanes[i]
-	all := l.cost.or(max(1e-4, l.Usual.Seconds()))
-	m := n.cost[i]
+func (f *Queue) usualWork(n *node, i int) float64 {
+	l := &f.lanes[i]
+	all := l.usualCost.valueOr(max(1e-4, l.UsualWork.Seconds()))
+	m := n.usualCosts[i]
 	const trust = 8 // queries of one's own that count as much as everybody's
 	return (m.value*m.count + all*trust) / (m.count + trust)
 }
 
 // join puts a query at the end of a line: no age and no weight passes there.
-func (c *Core) join(w *Waiter, kind int, id int64) {
-	at := lineID{kind, id}
-	x := c.lines[at]
+func (f *Queue) joinOrder(q *Query, kind int, id int64) {
+	at := orderID{kind, id}
+	x := f.orders[at]
 	if x == nil {
-		if x = c.spare; x != nil {
-			c.spare = nil
+		if x = f.spareOrder; x != nil {
+			f.spareOrder = nil
 		} else {
-			x = &line{}
+			x = &orderQueue{}
 		}
 		x.id, x.first, x.last = at, nil, nil
-		c.lines[at] = x
+		f.orders[at] = x
 	}
-	k := &w.links[kind]
-	k.line, k.prev, k.next = x, x.last, nil
+	k := &q.orders[kind]
+	k.order, k.prev, k.next = x, x.last, nil
 	if x.last != nil {
-		x.last.links[kind].next = w
+		x.last.orders[kind].next = q
 	} else {
-		x.first = w
+		x.first = q
 	}
-	x.last = w
+	x.last = q
 }
 
 // part takes a query out of a line and offers the one that was behind it.
-func (c *Core) part(w *Waiter, kind int) {
-	k := &w.links[kind]
-	x := k.line
+func (f *Queue) leaveOrder(q *Query, kind int) {
+	k := &q.orders[kind]
+	x := k.order
 	if x == nil {
 		return
 	}
 	if k.prev != nil {
-		k.prev.links[kind].next = k.next
+		k.prev.orders[kind].next = k.next
 	} else {
 		x.first = k.next
 	}
 	if k.next != nil {
-		k.next.links[kind].prev = k.prev
+		k.next.orders[kind].prev = k.prev
 	} else {
 		x.last = k.prev
 	}
-	*k = link{}
-	if w.parked && kind == 1 {
-		w.parked = false
+	*k = orderLink{}
+	if q.parked && kind == 1 {
+		q.parked = false
 		x.parked--
 	}
 	if x.first == nil {
-		delete(c.lines, x.id)
-		c.spare = x
+		delete(f.orders, x.id)
+		f.spareOrder = x
 		return
 	}
 	if kind == 1 {
-		c.unpark(x)
-	} else if next := x.first; next.state == waits && !next.inLeaf && !next.parked { // it may be one behind that left
-		c.offer(next)
+		f.unpark(x)
+	} else if next := x.first; next.state == stateWaiting && !next.eligible && !next.parked { // it may be one behind that left
+		f.makeEligible(next)
 	}
 }
 
 // offer puts a query into its team's list, in the order of age.
-func (c *Core) offer(w *Waiter) {
-	n := w.leaf
-	l := &n.lists[w.Lane]
+func (f *Queue) makeEligible(q *Query) {
+	n := q.leaf
+	l := &n.queues[q.Lane]
 	at := l.Last()
-	if first := l.First(); first != nil && older(w, first.Value) { // set free by one before it: it is old
+	if first := l.First(); first != nil && older(q, first.Value) { // set free by one before it: it is old
 		at = nil
 	}
-	for at != nil && older(w, at.Value) {
+	for at != nil && older(q, at.Value) {
 		at = at.Previous()
 	}
-	l.InsertAfter(&w.inTurn, w, at)
-	w.inLeaf = true
-	c.more(n, w.Lane)
-	if x := w.links[1].line; x != nil && x.first == w && x.parked > 0 {
-		c.unpark(x)
+	l.InsertAfter(&q.turnElement, q, at)
+	q.eligible = true
+	f.addEligible(n, q.Lane)
+	if x := q.orders[1].order; x != nil && x.first == q && x.parked > 0 {
+		f.unpark(x)
 	}
 }
 
-func (c *Core) withdraw(w *Waiter) {
-	if !w.inLeaf {
+func (f *Queue) makeIneligible(q *Query) {
+	if !q.eligible {
 		return
 	}
-	w.leaf.lists[w.Lane].Remove(&w.inTurn)
-	w.inLeaf = false
-	c.less(w.leaf, w.Lane)
+	q.leaf.queues[q.Lane].Remove(&q.turnElement)
+	q.eligible = false
+	f.removeEligible(q.leaf, q.Lane)
 }
 
-// Started tells that the first submission of a query went out.
-func (c *Core) Started(now time.Duration, w *Waiter) {
-	c.at(now)
-	if w.state != passed {
+// Started records that the first attempt of a dispatched query was sent.
+func (f *Queue) Started(now time.Duration, q *Query) {
+	f.advance(now)
+	if q.state != stateDispatched {
 		return
 	}
-	w.state, w.began, w.seenAt = running, c.now, c.now
-	had := c.now - w.entered
-	l := &c.lanes[w.Lane]
-	l.unpass(w)
-	if w.raw > 0 && !l.Chained && w.links[0].line == nil {
-		l.trim.add(c.now, w.raw, had.Seconds())
+	q.state, q.startedAt, q.sweptAt = stateRunning, f.now, f.now
+	had := f.now - q.enqueuedAt
+	l := &f.lanes[q.Lane]
+	l.removeDispatched(q)
+	if q.uncorrectedWait > 0 && !l.Chained && q.orders[0].order == nil {
+		l.correction.add(f.now, q.uncorrectedWait, had.Seconds())
 	}
-	n := &w.leaf.counts
+	n := &q.leaf.counts
 	n.Started++
-	n.Told += w.Estimate
-	n.Had += had
-	n.Worst = max(n.Worst, had)
-	n.LastStart = c.now
-	c.Total.Started++
-	c.Total.Told += w.Estimate
-	c.Total.Had += had
-	c.Total.Worst = max(c.Total.Worst, had)
+	n.SumEstimates += q.Estimate
+	n.SumWaits += had
+	n.MaxWait = max(n.MaxWait, had)
+	n.LastStart = f.now
+	f.Total.Started++
+	f.Total.SumEstimates += q.Estimate
+	f.Total.SumWaits += had
+	f.Total.MaxWait = max(f.Total.MaxWait, had)
 }
 
-// End is how a query came out.
-type End int
+// Outcome is how a query ended.
+type Outcome int
 
 const (
-	Finished End = iota
+	Finished Outcome = iota
 	Deferred
 	Killed
-	Left
+	ClientGone
 )
 
-// Ended tells that a query was answered or its client left, and nothing of it runs any
-// more. work is the thread time that was told, 0 for none; then what it was charged
-// while it ran stands. lost is for how long submissions of it ran that told none.
-func (c *Core) Ended(now time.Duration, w *Waiter, end End, work, lost time.Duration) {
-	c.at(now)
-	l := &c.lanes[w.Lane]
-	n := w.leaf
-	switch w.state {
-	case away:
+// Ended records that a query was answered or its client has gone, and that none of its attempts
+// runs any more. work is the thread time that the engine reported, 0 if it reported none: then
+// what the query was charged while it ran stands. lost is how long attempts ran that reported
+// nothing.
+func (f *Queue) Ended(now time.Duration, q *Query, end Outcome, work, lost time.Duration) {
+	f.advance(now)
+	l := &f.lanes[q.Lane]
+	n := q.leaf
+	switch q.state {
+	case stateAbsent:
 		return
-	case waits:
-		c.unqueue(w, l)
-	case passed: // never sent: it took nothing
-		c.running.Remove(&w.inTurn)
-		c.inFlight -= w.remains
-		c.threads -= l.Threads
-		l.unpass(w)
-		c.charge(n, w.Lane, -w.charged)
-		w.charged = 0
-	case running:
-		c.running.Remove(&w.inTurn)
-		c.inFlight -= w.remains
-		c.threads -= l.Threads
-		if took := (c.now - w.began).Seconds(); end == Finished {
-			l.run.add(took, 200)
+	case stateWaiting:
+		f.dequeue(q, l)
+	case stateDispatched: // never sent: it took nothing
+		f.running.Remove(&q.turnElement)
+		f.inFlightWork -= q.remainingWork
+		f.runningThreads -= l.Threads
+		l.removeDispatched(q)
+		f.charge(n, q.Lane, -q.charged)
+		q.charged = 0
+	case stateRunning:
+		f.running.Remove(&q.turnElement)
+		f.inFlightWork -= q.remainingWork
+		f.runningThreads -= l.Threads
+		if took := (f.now - q.startedAt).Seconds(); end == Finished {
+			l.runSeconds.add(took, 200)
 			if work > 0 {
-				l.stretch.add(max(1, took*l.Threads/work.Seconds()), 200)
+				l.slowdown.add(max(1, took*l.Threads/work.Seconds()), 200)
 			}
 		}
 		if work > 0 {
 			// a bad plan is no usual work
-			usual := min(work.Seconds(), c.shape.Overrun*w.est)
-			l.cost.add(usual, 400)
-			n.cost[w.Lane].add(usual, 100)
-			c.done.add(c.now, max(0, work.Seconds()-w.seen)/c.cores)
-			real := max(0, work.Seconds()+lost.Seconds()*l.Threads/max(1, l.stretch.or(1))-w.credit)
-			c.correct(n, real-w.charged)
-			w.charged = real
+			usual := min(work.Seconds(), f.config.OverrunFactor*q.estimatedWork)
+			l.usualCost.add(usual, 400)
+			n.usualCosts[q.Lane].add(usual, 100)
+			f.workDone.add(f.now, max(0, work.Seconds()-q.measuredWork)/f.cores)
+			real := max(0, work.Seconds()+lost.Seconds()*l.Threads/max(1, l.slowdown.valueOr(1))-q.credit)
+			f.correctCharge(n, real-q.charged)
+			q.charged = real
 		}
 	}
 	count := func(x *Counts) {
@@ -402,116 +410,117 @@
 			x.Deferred++
 		case Killed:
 			x.Killed++
-		case Left:
-			x.Left++
+		case ClientGone:
+			x.ClientGone++
 		}
 	}
 	count(&n.counts)
-	count(&c.Total)
+	count(&f.Total)
 	if end != Finished {
-		c.remember(w)
+		f.rememberForRepeat(q)
 	}
-	if l.Chained && (w.state == passed || w.state == running) {
-		c.unlinked(w)
+	if l.Chained && (q.state == stateDispatched || q.state == stateRunning) {
+		f.chainEnded(q)
 	}
-	w.state = away
-	c.part(w, 0)
-	c.vacate(n)
+	q.state = stateAbsent
+	f.leaveOrder(q, 0)
+	f.removeActive(n)
 }
 
-// Sweep is due every SweepEvery: what runs is charged as it runs, what should
-// make way is told to lower, and what waits and asked to hear of it is told anew.
-// A clock that jumped charges no more than sweepMost.
-func (c *Core) Sweep(now time.Duration, lower func(w *Waiter, on bool), retell func(w *Waiter, wait time.Duration)) {
-	c.at(now)
-	span := min(c.now-c.sweptAt, sweepMost)
-	c.service += span.Seconds() * min(1, c.cores/max(1, c.threads))
-	c.sweptAt = c.now
-	c.payAll(span)
-	if c.waiting > 0 {
-		c.waitedAt = c.now
+// Sweep is called every SweepInterval. It charges running queries for what they have used so
+// far, calls lower for each query whose priority is to be lowered (on) or raised again, and
+// calls retell for each waiting query that asked for changes of its estimate and whose estimate
+// changed by much. After a jump of the clock it charges no more than maxSweepSpan.
+func (f *Queue) Sweep(now time.Duration, lower func(q *Query, on bool), retell func(q *Query, wait time.Duration)) {
+	f.advance(now)
+	span := min(f.now-f.sweptAt, maxSweepSpan)
+	f.servicePerThread += span.Seconds() * min(1, f.cores/max(1, f.runningThreads))
+	f.sweptAt = f.now
+	f.settleDebts(span)
+	if f.waiting > 0 {
+		f.lastWaitingAt = f.now
 	}
 	waited := 0.0 // the most that what waits is worth for its work
-	for i := range c.lanes {
-		if l := &c.lanes[i]; l.waiting > 0 {
-			waited = max(waited, l.worth())
+	for i := range f.lanes {
+		if l := &f.lanes[i]; l.waiting > 0 {
+			waited = max(waited, l.valuePerWork())
 		}
 	}
 	inFlight, overrun := 0.0, 0.0
-	for e := c.running.First(); e != nil; e = e.Next() {
-		e.Value.leaf.overrun = 0
-	}
-	for e := c.running.First(); e != nil; e = e.Next() {
-		w := e.Value
-		if w.state != running {
-			w.served = c.service
-			inFlight += w.remains
+	for e := f.running.First(); e != nil; e = e.Next() {
+		e.Value.leaf.overrunRate = 0
+	}
+	for e := f.running.First(); e != nil; e = e.Next() {
+		q := e.Value
+		if q.state != stateRunning {
+			q.serviceAtDispatch = f.servicePerThread
+			inFlight += q.remainingWork
 			continue
 		}
-		l := &c.lanes[w.Lane]
-		w.ran += min(span, c.now-w.seenAt).Seconds()
-		w.seenAt = c.now
-		w.remains = max(0.05*w.est, w.est-l.Threads*(c.service-w.served))
-		inFlight += w.remains
+		l := &f.lanes[q.Lane]
+		q.ranSeconds += min(span, f.now-q.sweptAt).Seconds()
+		q.sweptAt = f.now
+		q.remainingWork = max(0.05*q.estimatedWork, q.estimatedWork-l.Threads*(f.servicePerThread-q.serviceAtDispatch))
+		inFlight += q.remainingWork
 		// by the pace its lane usually has, of the threads it holds
-		work := w.ran*l.Threads/max(1, l.stretch.or(1)) - w.credit
-		if work > w.charged {
-			c.correct(w.leaf, work-w.charged)
-			w.charged = work
+		work := q.ranSeconds*l.Threads/max(1, l.slowdown.valueOr(1)) - q.credit
+		if work > q.charged {
+			f.correctCharge(q.leaf, work-q.charged)
+			q.charged = work
 		}
-		if over := work > 2*w.est; over {
-			pace := l.Threads / max(1, l.stretch.or(1))
+		if over := work > 2*q.estimatedWork; over {
+			pace := l.Threads / max(1, l.slowdown.valueOr(1))
 			overrun += pace
-			w.leaf.overrun += pace
-			c.done.add(c.now, max(0, work-w.seen)/c.cores)
-			w.seen = max(w.seen, work)
+			q.leaf.overrunRate += pace
+			f.workDone.add(f.now, max(0, work-q.measuredWork)/f.cores)
+			q.measuredWork = max(q.measuredWork, work)
 		}
-		on := c.now-c.waitedAt < raiseAfter && !l.Ordered && !l.Chained &&
-			(work > c.shape.Overrun*w.est || c.beyondBudget(w.leaf) || l.worth() < waited/2)
-		if on != w.lowered {
-			if w.lowered = on; on {
-				w.leaf.counts.Lowered++
-				c.Total.Lowered++
+		on := f.now-f.lastWaitingAt < raisePriorityAfter && !l.Ordered && !l.Chained &&
+			(work > f.config.OverrunFactor*q.estimatedWork || f.anyOverQuota(q.leaf) || l.valuePerWork() < waited/2)
+		if on != q.lowered {
+			if q.lowered = on; on {
+				q.leaf.counts.Lowered++
+				f.Total.Lowered++
 			}
 			if lower != nil {
-				lower(w, on)
+				lower(q, on)
 			}
 		}
 	}
-	if c.overrun = overrun; c.waiting > 0 {
-		c.overruns.add(overrun, 200)
+	if f.overrunRate = overrun; f.waiting > 0 {
+		f.overrunMean.add(overrun, 200)
 	}
-	c.inFlight = inFlight // sums of what came and went don't quite meet
+	f.inFlightWork = inFlight // sums of what came and went don't quite meet
 	if retell != nil {
-		c.retell(retell)
+		f.notifyChangedWaits(retell)
 	}
-	c.dropIdle()
-	c.again.drop(c.now)
+	f.dropIdle()
+	f.repeats.dropExpired(f.now)
 }
 
 // raiseAfter is how long nobody has waited when what makes way is raised again:
 // where engines are nearly full somebody waits every other moment.
-const raiseAfter = 2 * time.Second
+const raisePriorityAfter = 2 * time.Second
 
 const (
-	SweepEvery = 100 * time.Millisecond
-	sweepMost  = time.Second
+	SweepInterval = 100 * time.Millisecond
+	maxSweepSpan  = time.Second
 )
 
-func (c *Core) beyondBudget(n *node) bool {
+func (f *Queue) anyOverQuota(n *node) bool {
 	for ; n.parent != nil; n = n.parent {
-		if n.over {
+		if n.overQuota {
 			return true
 		}
 	}
 	return false
 }
 
-// Teams hands over each team's counts, in the order set up.
-func (c *Core) Teams(each func(path string, waiting int, n Counts)) {
-	for i := range c.plans {
-		if p := &c.plans[i]; p.leaf && p.at != nil {
-			each(p.path, p.at.waiting, p.at.counts)
+// EachTenant calls each with the counts of every tenant that has state, in configured order.
+func (f *Queue) EachTenant(each func(path string, waiting int, n Counts)) {
+	for i := range f.tenants {
+		if p := &f.tenants[i]; p.isLeaf && p.state != nil {
+			each(p.path, p.state.waiting, p.state.counts)
 		}
 	}
 }
--- a/internal/fairqueue/fair_test.go
+++ b/internal/fairqueue/fair_test.go
@@ -23,22 +23,22 @@
 
 func TestRandomRuns(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		s := Shape{Age: time.Duration(rapid.IntRange(1, 20).Draw(t, "age")) * time.Second, Waiting: rapid.IntRange(5, 100).Draw(t, "most")}
+		s := Config{AgeingLimit: time.Duration(rapid.IntRange(1, 20).Draw(t, "age")) * time.Second, MaxWaiting: rapid.IntRange(5, 100).Draw(t, "most")}
 		var names []string
 		for k := range rapid.IntRange(1, 3).Draw(t, "kinds") {
-			kind := Team{Name: fmt.Sprint("k", k), Weight: float64(rapid.IntRange(1, 1000).Draw(t, "weight"))}
+			kind := Tenant{Name: fmt.Sprint("k", k), Weight: float64(rapid.IntRange(1, 1000).Draw(t, "weight"))}
 			for i := range rapid.IntRange(0, 3).Draw(t, "teams") {
-				x := Team{Name: fmt.Sprint("t", k, i), Weight: float64(rapid.IntRange(1, 1000).Draw(t, "weight"))}
+				x := Tenant{Name: fmt.Sprint("t", k, i), Weight: float64(rapid.IntRange(1, 1000).Draw(t, "weight"))}
 				if rapid.Bool().Draw(t, "budget") {
-					x.Budget, x.Burst = rapid.Float64Range(0.05, 3).Draw(t, "rate"), rapid.Float64Range(0, 2).Draw(t, "burst")
+					x.Quota, x.Burst = rapid.Float64Range(0.05, 3).Draw(t, "rate"), rapid.Float64Range(0, 2).Draw(t, "burst")
 				}
-				kind.Teams = append(kind.Teams, x)
+				kind.Children = append(kind.Children, x)
 				names = append(names, x.Name)
 			}
-			if len(kind.Teams) == 0 {
+			if len(kind.Children) == 0 {
 				names = append(names, kind.Name)
 			}
-			s.Teams = append(s.Teams, kind)
+			s.Tenants = append(s.Tenants, kind)
 		}
 		m := newMill(t, s, 2, 2, 2)
 		var asking []*job
@@ -48,23 +48,23 @@
 				lane := rapid.IntRange(0, 2).Draw(t, "lane")
 				work := rapid.Float64Range(0.01, 3).Draw(t, "work")
 				j := m.ask(rapid.SampledFrom(names).Draw(t, "team"), lane, work, func(j *job) {
-					j.Ask = rapid.Bool().Draw(t, "ask")
-					j.Until = m.now + time.Duration(rapid.IntRange(1, 30).Draw(t, "until"))*time.Second
+					j.NotifyChanges = rapid.Bool().Draw(t, "ask")
+					j.Deadline = m.now + time.Duration(rapid.IntRange(1, 30).Draw(t, "until"))*time.Second
 					if lane == 2 {
 						j.Key, j.Chain = int64(rapid.IntRange(0, 2).Draw(t, "key")), int64(rapid.IntRange(0, 2).Draw(t, "chain"))
 					}
 					if rapid.IntRange(0, 4).Draw(t, "again") == 0 {
-						j.Again = uint64(rapid.IntRange(1, 4).Draw(t, "first"))
+						j.RepeatOf = uint64(rapid.IntRange(1, 4).Draw(t, "first"))
 					}
-					j.Self = uint64(rapid.IntRange(0, 4).Draw(t, "self"))
+					j.RepeatID = uint64(rapid.IntRange(0, 4).Draw(t, "self"))
 				})
-				if j.verdict.Taken {
+				if j.verdict.Admitted {
 					asking = append(asking, j)
 				}
 			case 6: // left, waiting or not
 				if len(asking) > 0 {
 					if j := rapid.SampledFrom(asking).Draw(t, "leaves"); !j.done {
-						m.end(j, Left)
+						m.end(j, ClientGone)
 						m.pump()
 					}
 				}
@@ -72,13 +72,13 @@
 				m.until(m.now + time.Duration(rapid.IntRange(1, 3000).Draw(t, "ms"))*time.Millisecond)
 			case 8: // a clock that jumps ahead, and an event that brings an older time
 				m.now += time.Duration(rapid.IntRange(0, 100).Draw(t, "s")) * time.Second
-				m.c.Full(m.now-time.Minute, 0, false)
+				m.c.SetLaneFull(m.now-time.Minute, 0, false)
 				m.until(m.now + time.Second)
 			case 9:
 				next := s
-				next.Teams = slices.Clone(s.Teams)
-				if len(next.Teams) > 1 && rapid.Bool().Draw(t, "drop") {
-					next.Teams = next.Teams[1:]
+				next.Tenants = slices.Clone(s.Tenants)
+				if len(next.Tenants) > 1 && rapid.Bool().Draw(t, "drop") {
+					next.Tenants = next.Tenants[1:]
 				}
 				m.c.Reload(m.now, withLanes(next))
 				m.c.Reload(m.now, withLanes(s))
@@ -90,21 +90,21 @@
 		m.until(m.now + 10*time.Minute)
 		for _, j := range asking {
 			if !j.started && !j.done {
-				t.Fatalf("%s %d waits for ever in lane %d", j.team, j.seq, j.Lane)
+				t.Fatalf("%s %d waits for ever in lane %d", j.team, j.sequence, j.Lane)
 			}
 		}
-		if m.c.Waiting() != 0 || len(m.c.lines)+len(m.c.links) != 0 || m.c.running.First() != nil || math.Abs(m.c.root.heavy) > 1e-9 {
-			t.Fatalf("%d wait, %d lines, busy %v after all is over", m.c.Waiting(), len(m.c.lines), m.c.root.heavy)
+		if m.c.Waiting() != 0 || len(m.c.orders)+len(m.c.chains) != 0 || m.c.running.First() != nil || math.Abs(m.c.root.busyWeight) > 1e-9 {
+			t.Fatalf("%d wait, %d lines, busy %v after all is over", m.c.Waiting(), len(m.c.orders), m.c.root.busyWeight)
 		}
-		if m.c.nodes != 0 {
-			t.Fatalf("%d teams have state after ten minutes of nothing", m.c.nodes)
+		if m.c.nodeCount != 0 {
+			t.Fatalf("%d teams have state after ten minutes of nothing", m.c.nodeCount)
 		}
 	})
 }
 
 func TestSharesFollowWeights(t *testing.T) {
-	l := []Team{{Name: "a", Weight: 1, Teams: []Team{{Name: "a1", Weight: 1}, {Name: "a2", Weight: 3}}}, {Name: "b", Weight: 2}}
-	m := newMill(t, Shape{Teams: l, Age: time.Hour}, 4, 4, 4)
+	l := []Tenant{{Name: "a", Weight: 1, Children: []Tenant{{Name: "a1", Weight: 1}, {Name: "a2", Weight: 3}}}, {Name: "b", Weight: 2}}
+	m := newMill(t, Config{Tenants: l, AgeingLimit: time.Hour}, 4, 4, 4)
 	// their queries differ in size: shares are of work, not of queries
 	used := m.share(120*time.Second, 1, map[string]float64{"a1": 0.2, "a2": 0.6, "b": 0.3})
 	all := used["a1"] + used["a2"] + used["b"]
@@ -116,23 +116,23 @@
 }
 
 func TestWeightsFarApart(t *testing.T) {
-	m := newMill(t, Shape{Teams: []Team{{Name: "small", Weight: 1}, {Name: "large", Weight: 1000}}, Age: 5 * time.Second}, 4, 4, 4)
-	m.c.Cores(4)
+	m := newMill(t, Config{Tenants: []Tenant{{Name: "small", Weight: 1}, {Name: "large", Weight: 1000}}, AgeingLimit: 5 * time.Second}, 4, 4, 4)
+	m.c.SetCores(4)
 	for m.now < 40*time.Second {
 		m.flood("large", 0, 40, 0.05)
-		if n := m.c.plans[m.team("small")].at; n == nil || n.waiting == 0 {
+		if n := m.c.tenants[m.team("small")].state; n == nil || n.waiting == 0 {
 			m.ask("small", 0, 0.05)
 		}
 		m.until(m.now + 100*time.Millisecond)
 	}
 	// no share of a thousandth keeps a query longer than the bound
 	var worst time.Duration
-	m.c.Teams(func(path string, _ int, n Counts) {
+	m.c.EachTenant(func(path string, _ int, n Counts) {
 		if path == "small" {
-			worst = n.Worst
+			worst = n.MaxWait
 		}
 	})
-	if worst == 0 || worst > m.c.Bound() {
+	if worst == 0 || worst > m.c.StarvationBound() {
 		t.Fatalf("the small team waited %v", worst)
 	}
 	if m.used["large"] < 20*m.used["small"] {
@@ -145,11 +145,11 @@
 	for i := range 500 {
 		names = append(names, fmt.Sprint("t", i))
 	}
-	m := newMill(t, Shape{Teams: teams(names...)}, 4, 4, 4)
+	m := newMill(t, Config{Tenants: teams(names...)}, 4, 4, 4)
 	m.flood("flood", 0, 2000, 0.05)
 	deferred := 0
 	for _, j := range m.jobs {
-		if !j.verdict.Taken {
+		if !j.verdict.Admitted {
 			deferred++
 		}
 	}
@@ -159,9 +159,9 @@
 	}
 	m.until(start + 20*time.Second)
 	worst := time.Duration(0)
-	m.c.Teams(func(path string, waiting int, n Counts) {
+	m.c.EachTenant(func(path string, waiting int, n Counts) {
 		if path != "flood" {
-			worst = max(worst, n.Worst)
+			worst = max(worst, n.MaxWait)
 			if waiting > 0 {
 				t.Fatalf("%s still waits", path)
 			}
@@ -178,10 +178,10 @@
 }
 
 func TestABudgetUsedUpAndRefilled(t *testing.T) {
-	m := newMill(t, Shape{Teams: []Team{{Name: "rich", Weight: 1}, {Name: "poor", Weight: 1, Budget: 0.2, Burst: 1}}, Age: time.Hour}, 2, 2, 2)
+	m := newMill(t, Config{Tenants: []Tenant{{Name: "rich", Weight: 1}, {Name: "poor", Weight: 1, Quota: 0.2, Burst: 1}}, AgeingLimit: time.Hour}, 2, 2, 2)
 	for m.now < 60*time.Second {
 		for _, team := range []string{"rich", "poor"} {
-			if n := m.c.plans[m.team(team)].at; n == nil || n.waiting < 8 {
+			if n := m.c.tenants[m.team(team)].state; n == nil || n.waiting < 8 {
 				m.flood(team, 0, 8, 0.1)
 			}
 		}
@@ -193,7 +193,7 @@
 	}
 	before := m.used["poor"]
 	for m.now < 70*time.Second { // nobody else: nothing stands idle for a budget's sake
-		if n := m.c.plans[m.team("poor")].at; n.waiting < 8 {
+		if n := m.c.tenants[m.team("poor")].state; n.waiting < 8 {
 			m.flood("poor", 0, 8, 0.1)
 		}
 		m.until(m.now + 100*time.Millisecond)
@@ -204,14 +204,14 @@
 }
 
 func TestABadPlanIsChargedAsItRuns(t *testing.T) {
-	m := newMill(t, Shape{Teams: []Team{{Name: "a", Weight: 1, Budget: 1, Burst: 1}, {Name: "b", Weight: 1}}}, 1, 1, 1)
+	m := newMill(t, Config{Tenants: []Tenant{{Name: "a", Weight: 1, Quota: 1, Burst: 1}, {Name: "b", Weight: 1}}}, 1, 1, 1)
 	m.ask("a", 1, 0.6)
 	m.until(2 * time.Second)
 	bad := m.ask("a", 1, 12) // twenty times the usual, 4 s on three threads
 	other := m.ask("b", 1, 0.6)
 	m.until(m.now + 2*time.Second)
-	n := m.c.plans[m.team("a")].at
-	if bad.done || n.tokens > -2 || !n.over {
+	n := m.c.tenants[m.team("a")].state
+	if bad.done || n.tokens > -2 || !n.overQuota {
 		t.Fatalf("it is charged at its end only: %v tokens", n.tokens)
 	}
 	if !bad.Lowered() {
@@ -227,7 +227,7 @@
 }
 
 func TestOrderedWorkIsNeverLowered(t *testing.T) {
-	m := newMill(t, Shape{Teams: []Team{{Name: "a", Weight: 1, Budget: 0.01, Burst: 0.01}, {Name: "b", Weight: 1}}}, 1, 1, 1)
+	m := newMill(t, Config{Tenants: []Tenant{{Name: "a", Weight: 1, Quota: 0.01, Burst: 0.01}, {Name: "b", Weight: 1}}}, 1, 1, 1)
 	load := m.ask("a", 2, 10, key(1), chain(1))
 	m.ask("b", 1, 3)
 	m.ask("b", 1, 3)
@@ -238,7 +238,7 @@
 }
 
 func TestLoadsOfOneKeyFromTwoTeams(t *testing.T) {
-	m := newMill(t, Shape{Teams: []Team{{Name: "a", Weight: 1}, {Name: "b", Weight: 1000}}}, 4, 4, 4)
+	m := newMill(t, Config{Tenants: []Tenant{{Name: "a", Weight: 1}, {Name: "b", Weight: 1000}}}, 4, 4, 4)
 	var all []*job
 	for i := range 20 {
 		all = append(all, m.ask([]string{"a", "b"}[i%2], 2, 0.2, key(7), chain(int64(i%3))))
@@ -254,7 +254,7 @@
 	if second.started || third.started {
 		t.Fatal("two of one key at once")
 	}
-	m.end(second, Left)
+	m.end(second, ClientGone)
 	m.until(m.now + 5*time.Second)
 	if !left.done || !third.done {
 		t.Fatal("one that left holds up its key")
@@ -264,8 +264,8 @@
 // A flood's loads stand before others of their tables. The order stays, and yet a
 // team's turn comes when its share says so: what stands before it goes on its turn.
 func TestOrderDoesNotLendAFloodItsPlace(t *testing.T) {
-	m := newMill(t, Shape{Teams: teams("flood", "small")}, 1, 1, 1)
-	m.c.Cores(2)
+	m := newMill(t, Config{Tenants: teams("flood", "small")}, 1, 1, 1)
+	m.c.SetCores(2)
 	for i := range 60 {
 		m.ask("flood", 2, 0.2, key(int64(i)), chain(int64(i%20)))
 	}
@@ -273,7 +273,7 @@
 	j := m.ask("small", 2, 0.2, key(1000), chain(19))
 	before := 0
 	for _, x := range m.jobs {
-		if x != j && x.Waits() && x.Chain == 19 {
+		if x != j && x.Waiting() && x.Chain == 19 {
 			before++
 		}
 	}
@@ -285,29 +285,29 @@
 }
 
 func TestARepeatKeepsItsAgeAndIsNotChargedTwice(t *testing.T) {
-	m := newMill(t, Shape{Teams: teams("a", "b"), Age: 3 * time.Second}, 1, 1, 1)
+	m := newMill(t, Config{Tenants: teams("a", "b"), AgeingLimit: 3 * time.Second}, 1, 1, 1)
 	for range 30 {
 		m.ask("b", 1, 0.6)
 	}
-	first := m.ask("a", 1, 0.6, func(j *job) { j.Self = 5; j.Until = m.now + time.Millisecond })
-	if first.verdict.Taken || first.verdict.Why != TooLate || first.verdict.Estimate <= 0 {
+	first := m.ask("a", 1, 0.6, func(j *job) { j.RepeatID = 5; j.Deadline = m.now + time.Millisecond })
+	if first.verdict.Admitted || first.verdict.Reason != WouldStartTooLate || first.verdict.Estimate <= 0 {
 		t.Fatalf("%+v", first.verdict)
 	}
 	m.until(1500 * time.Millisecond)
-	again := m.ask("a", 1, 0.6, func(j *job) { j.Again, j.Self = 5, 5 })
-	if !again.verdict.Taken || again.Arrived != 0 {
+	again := m.ask("a", 1, 0.6, func(j *job) { j.RepeatOf, j.RepeatID = 5, 5 })
+	if !again.verdict.Admitted || again.Arrived != 0 {
 		t.Fatalf("it came at %v: %+v", again.Arrived, again.verdict)
 	}
 	m.until(m.now + 4*time.Second)
 	// charged once although the first of it was killed halfway
-	m.ask("a", 1, 0.6, func(j *job) { j.Self = 6 })
+	m.ask("a", 1, 0.6, func(j *job) { j.RepeatID = 6 })
 	m.until(m.now + 10*time.Second)
-	n := m.c.plans[m.team("a")].at
+	n := m.c.tenants[m.team("a")].state
 	before := n.counts.Charged
-	one := m.ask("a", 1, 0.6, func(j *job) { j.Self = 7 })
+	one := m.ask("a", 1, 0.6, func(j *job) { j.RepeatID = 7 })
 	m.end(one, Killed)
 	charged := n.counts.Charged - before
-	two := m.ask("a", 1, 0.6, func(j *job) { j.Again, j.Self = 7, 7 })
+	two := m.ask("a", 1, 0.6, func(j *job) { j.RepeatOf, j.RepeatID = 7, 7 })
 	m.until(m.now + 5*time.Second)
 	if got := n.counts.Charged - before; !two.done || charged <= 0 || got > 1.3*charged {
 		t.Fatalf("charged %v, and with its repeat %v", charged, got)
@@ -315,17 +315,17 @@
 }
 
 func TestAReloadThatRemovesATeam(t *testing.T) {
-	s := Shape{Teams: teams("a", "b", "rest"), Default: "rest"}
+	s := Config{Tenants: teams("a", "b", "rest"), DefaultTenant: "rest"}
 	m := newMill(t, s, 1, 1, 1)
 	running := m.ask("a", 1, 3)
 	var waiting []*job
 	for range 5 {
 		waiting = append(waiting, m.ask("a", 1, 0.3), m.ask("b", 1, 0.3))
 	}
-	s.Teams = teams("b", "rest")
+	s.Tenants = teams("b", "rest")
 	m.c.Reload(m.now, withLanes(s))
 	m.check()
-	if m.c.Team(waiting[0].Team) != "rest" || m.c.Team(waiting[1].Team) != "b" || m.c.Waiting() != 10 {
+	if m.c.TenantName(waiting[0].Tenant) != "rest" || m.c.TenantName(waiting[1].Tenant) != "b" || m.c.Waiting() != 10 {
 		t.Fatal("its queries went astray")
 	}
 	m.until(m.now + 30*time.Second)
@@ -337,16 +337,16 @@
 }
 
 func TestAClockThatJumps(t *testing.T) {
-	m := newMill(t, Shape{Teams: teams("a", "b")}, 1, 1, 1)
+	m := newMill(t, Config{Tenants: teams("a", "b")}, 1, 1, 1)
 	j := m.ask("a", 1, 30)
 	waits := m.ask("b", 1, 0.6)
 	m.until(time.Second)
 	m.now += time.Hour // with j running: its span is not charged for the jump
 	m.c.Sweep(m.now, nil, nil)
-	if n := m.c.plans[m.team("a")].at; n.counts.Charged > 10 {
+	if n := m.c.tenants[m.team("a")].state; n.counts.Charged > 10 {
 		t.Fatalf("the jump was charged: %v", n.counts.Charged)
 	}
-	m.c.Full(m.now-2*time.Hour, 1, true) // and back again
+	m.c.SetLaneFull(m.now-2*time.Hour, 1, true) // and back again
 	if m.c.now < m.now {
 		t.Fatal("time ran backwards")
 	}
@@ -357,13 +357,13 @@
 }
 
 func TestEstimatesOfAQueue(t *testing.T) {
-	m := newMill(t, Shape{Teams: teams("a", "b", "c")}, 4, 4, 4)
-	m.c.Cores(12)
+	m := newMill(t, Config{Tenants: teams("a", "b", "c")}, 4, 4, 4)
+	m.c.SetCores(12)
 	good, all := 0, 0
 	for m.now < 40*time.Second {
 		for i, team := range []string{"a", "b", "c"} {
 			if (int(m.now/(100*time.Millisecond))+i)%3 < 2 {
-				m.ask(team, 1, 0.5+0.1*float64(int(m.now/time.Millisecond)%7), func(j *job) { j.Until = m.now + 8*time.Second })
+				m.ask(team, 1, 0.5+0.1*float64(int(m.now/time.Millisecond)%7), func(j *job) { j.Deadline = m.now + 8*time.Second })
 			}
 		}
 		m.until(m.now + 33*time.Millisecond)
@@ -373,7 +373,7 @@
 		if !j.started || j.at < 5*time.Second {
 			continue
 		}
-		had := j.began - j.at
+		had := j.startedAt - j.at
 		if all++; (had - j.Estimate).Abs() <= max(25*time.Millisecond, had/5) {
 			good++
 		}
@@ -386,47 +386,47 @@
 func TestWhose(t *testing.T) {
 	p := func(s string) netip.Prefix { return netip.MustParsePrefix(s) }
 	a := func(s string) netip.Addr { return netip.MustParseAddr(s) }
-	c := New(Shape{Lanes: lanes, Trusted: []netip.Prefix{p("10.0.0.0/16")}, Default: "rest", Teams: []Team{
-		{Name: "k", Weight: 1, Teams: []Team{{Name: "a", Weight: 1, Addresses: []netip.Prefix{p("10.1.0.0/16")}},
+	c := New(Config{Lanes: lanes, TrustedAddresses: []netip.Prefix{p("10.0.0.0/16")}, DefaultTenant: "rest", Tenants: []Tenant{
+		{Name: "k", Weight: 1, Children: []Tenant{{Name: "a", Weight: 1, Addresses: []netip.Prefix{p("10.1.0.0/16")}},
 			{Name: "b", Weight: 1, Addresses: []netip.Prefix{p("10.2.0.0/16"), p("fd00::/8")}}}}, {Name: "rest", Weight: 1}}})
 	for _, x := range []struct{ from, named, want string }{
 		{"10.1.2.3", "", "a"}, {"10.1.2.3", "b", "a"}, {"10.0.2.3", "b", "b"}, {"10.0.2.3", "nobody", "rest"},
 		{"::ffff:10.2.0.1", "", "b"}, {"fd00::1", "a", "b"}, {"192.0.2.1", "a", "rest"}, {"10.0.0.1", "k", "rest"},
 	} {
-		if got := c.Team(c.Whose(a(x.from), []byte(x.named))); got != x.want {
+		if got := c.TenantName(c.TenantOf(a(x.from), []byte(x.named))); got != x.want {
 			t.Errorf("%s naming %q is %s, not %s", x.from, x.named, got, x.want)
 		}
 	}
-	if c.Team(c.Whose(netip.Addr{}, nil)) != "rest" {
+	if c.TenantName(c.TenantOf(netip.Addr{}, nil)) != "rest" {
 		t.Error("a call from nowhere has no team")
 	}
 }
 
 func TestWhatDoesNotFitIsRefused(t *testing.T) {
-	m := newMill(t, Shape{Teams: []Team{{Name: "a", Weight: 1, Waiting: 3}, {Name: "b", Weight: 1}}, Waiting: 6}, 1, 1, 1)
-	why := map[Refusal]int{}
+	m := newMill(t, Config{Tenants: []Tenant{{Name: "a", Weight: 1, MaxWaiting: 3}, {Name: "b", Weight: 1}}, MaxWaiting: 6}, 1, 1, 1)
+	why := map[RejectReason]int{}
 	for range 6 {
-		why[m.ask("a", 0, 0.01).verdict.Why]++
+		why[m.ask("a", 0, 0.01).verdict.Reason]++
 	}
 	for range 6 {
-		why[m.ask("b", 0, 0.01).verdict.Why]++
+		why[m.ask("b", 0, 0.01).verdict.Reason]++
 	}
-	if why[TooMany] != 2 || why[AllFull] != 3 {
+	if why[TenantQueueFull] != 2 || why[QueueFull] != 3 {
 		t.Fatal(why)
 	}
 }
 
 func TestOneInAndOneOutAllocatesNothing(t *testing.T) {
-	m := newMill(t, Shape{Teams: teams("a", "b"), Age: time.Hour}, 1, 1, 1)
-	var l [4096]Waiter
+	m := newMill(t, Config{Tenants: teams("a", "b"), AgeingLimit: time.Hour}, 1, 1, 1)
+	var l [4096]Query
 	i := 0
 	step := func() {
 		w := &l[i%len(l)]
-		*w = Waiter{Lane: 0, Team: i % 2, Key: -1, Chain: -1, Until: time.Hour}
+		*w = Query{Lane: 0, Tenant: i % 2, Key: -1, Chain: -1, Deadline: time.Hour}
 		i++
 		m.now += time.Millisecond
-		m.c.Full(m.now, 0, true)
-		m.c.Enter(m.now, w)
+		m.c.SetLaneFull(m.now, 0, true)
+		m.c.Enqueue(m.now, w)
 		if x := m.c.Next(m.now, 0); x != nil {
 			m.c.Started(m.now, x)
 			m.c.Ended(m.now, x, Finished, 10*time.Millisecond, 0)
@@ -441,10 +441,10 @@
 }
 
 func TestShapesThatCantBe(t *testing.T) {
-	for _, s := range []Shape{
-		{}, {Lanes: lanes, Teams: []Team{{Name: "a"}}}, {Lanes: lanes, Teams: teams("a", "a")},
-		{Lanes: lanes, Teams: teams("a"), Default: "b"}, {Lanes: lanes, Teams: []Team{{Name: "a", Weight: math.Inf(1)}}},
-		{Lanes: lanes, Teams: []Team{{Name: "a", Weight: 1, Budget: math.NaN()}}}, {Lanes: lanes, Teams: []Team{{Weight: 1}}},
+	for _, s := range []Config{
+		{}, {Lanes: lanes, Tenants: []Tenant{{Name: "a"}}}, {Lanes: lanes, Tenants: teams("a", "a")},
+		{Lanes: lanes, Tenants: teams("a"), DefaultTenant: "b"}, {Lanes: lanes, Tenants: []Tenant{{Name: "a", Weight: math.Inf(1)}}},
+		{Lanes: lanes, Tenants: []Tenant{{Name: "a", Weight: 1, Quota: math.NaN()}}}, {Lanes: lanes, Tenants: []Tenant{{Weight: 1}}},
 	} {
 		if s.Check() == nil {
 			t.Errorf("%+v passes", s)
@@ -455,18 +455,18 @@
 // One that stands aside for the first of its chain is offered again once, though one
 // behind it in its key's line leaves meanwhile.
 func TestOneParkedIsOfferedOnce(t *testing.T) {
-	m := newMill(t, Shape{Teams: teams("a")}, 1, 1, 4)
+	m := newMill(t, Config{Tenants: teams("a")}, 1, 1, 4)
 	runs := m.ask("a", 2, 3, key(0), chain(1))
 	first := m.ask("a", 2, 0.3, key(0), chain(2)) // its key's turn isn't its own
 	aside := m.ask("a", 2, 0.3, key(1), chain(2))
 	behind := m.ask("a", 2, 0.3, key(1), chain(3))
-	if !aside.parked || first.inLeaf {
+	if !aside.parked || first.eligible {
 		t.Fatal("nobody stands aside")
 	}
-	m.end(behind, Left)
+	m.end(behind, ClientGone)
 	m.end(runs, Finished)
-	if n := m.c.plans[m.team("a")].at; n.ready[2] != 2 {
-		t.Fatalf("%d may go, and there are two", n.ready[2])
+	if n := m.c.tenants[m.team("a")].state; n.eligible[2] != 2 {
+		t.Fatalf("%d may go, and there are two", n.eligible[2])
 	}
 	m.until(m.now + 30*time.Second)
 	if !slices.Equal(m.order, []*job{runs, first, aside}) {
@@ -478,7 +478,7 @@
 func TestAReloadWithOneParked(t *testing.T) {
 	l := slices.Clone(lanes)
 	l[1].Chained = true
-	s := Shape{Teams: teams("a"), Lanes: l}
+	s := Config{Tenants: teams("a"), Lanes: l}
 	m := newMill(t, s, 1, 0, 1)
 	m.ask("a", 1, 0.3, chain(2)) // no room for it
 	aside := m.ask("a", 2, 0.3, chain(2))
@@ -486,7 +486,7 @@
 		t.Fatal("it doesn't stand aside")
 	}
 	m.c.Reload(m.now, s)
-	if m.c.lanes[2].teams != 1 || m.c.lanes[1].teams != 1 {
-		t.Fatalf("%d and %d teams are counted", m.c.lanes[1].teams, m.c.lanes[2].teams)
+	if m.c.lanes[2].eligibleTenants != 1 || m.c.lanes[1].eligibleTenants != 1 {
+		t.Fatalf("%d and %d teams are counted", m.c.lanes[1].eligibleTenants, m.c.lanes[2].eligibleTenants)
 	}
 }
--- a/internal/fairqueue/means.go
+++ b/internal/fairqueue/means.go
@@ -10,14 +10,14 @@
 }
 
 // mean is a running average that forgets.
-type mean struct{ value, count float64 }
+type runningMean struct{ value, count float64 }
 
-func (m *mean) add(x, most float64) {
+func (m *runningMean) add(x, most float64) {
 	m.count = min(m.count+1, most)
 	m.value += (x - m.value) / m.count
 }
 
-func (m *mean) or(absent float64) float64 {
+func (m *runningMean) valueOr(absent float64) float64 {
 	if m.count == 0 {
 		return absent
 	}
@@ -27,95 +27,95 @@
 // rate is an amount a second, from what came in whole seconds. A crowd counts for
 // no more than a few times the usual: it is not the start of an endless one, and
 // what it leaves behind waits already.
-type rate struct {
-	value   float64
-	bucket  float64 // of the second under way
-	largest float64 // single amount in it
-	from    time.Duration
-	seconds int // that were seen
-	any     bool
+type arrivalRate struct {
+	value          float64
+	current        float64 // of the second under way
+	largestArrival float64 // single amount in it
+	secondStart    time.Duration
+	secondsSeen    int // that were seen
+	started        bool
 }
 
 const (
 	rateSpan  = 8.0 // seconds that it remembers, about
-	timesMost = 2.0
+	maxGrowth = 2.0
 )
 
-func (r *rate) add(now time.Duration, x float64) {
-	if !r.any {
-		r.any, r.from = true, now
+func (r *arrivalRate) add(now time.Duration, x float64) {
+	if !r.started {
+		r.started, r.secondStart = true, now
 	}
-	r.pass(now)
-	r.bucket += x
-	r.largest = max(r.largest, x)
+	r.advance(now)
+	r.current += x
+	r.largestArrival = max(r.largestArrival, x)
 }
 
-func (r *rate) pass(now time.Duration) {
-	for now-r.from >= time.Second {
-		if now-r.from > time.Minute { // long nothing
-			r.value, r.bucket, r.seconds, r.from = 0, 0, 0, now
+func (r *arrivalRate) advance(now time.Duration) {
+	for now-r.secondStart >= time.Second {
+		if now-r.secondStart > time.Minute { // long nothing
+			r.value, r.current, r.secondsSeen, r.secondStart = 0, 0, 0, now
 			return
 		}
-		x := r.bucket
-		if r.seconds >= 2 {
-			x = min(x, timesMost*r.value+r.largest)
+		x := r.current
+		if r.secondsSeen >= 2 {
+			x = min(x, maxGrowth*r.value+r.largestArrival)
 		}
-		r.seconds++
-		r.value += (x - r.value) / min(float64(r.seconds), rateSpan)
-		r.bucket, r.largest = 0, 0
-		r.from += time.Second
+		r.secondsSeen++
+		r.value += (x - r.value) / min(float64(r.secondsSeen), rateSpan)
+		r.current, r.largestArrival = 0, 0
+		r.secondStart += time.Second
 	}
 }
 
-func (r *rate) per(now time.Duration) float64 {
-	if !r.any {
+func (r *arrivalRate) perSecond(now time.Duration) float64 {
+	if !r.started {
 		return 0
 	}
-	r.pass(now)
-	if r.seconds == 0 { // of the first second, what came so far
-		return r.bucket / max(0.5, (now-r.from).Seconds())
+	r.advance(now)
+	if r.secondsSeen == 0 { // of the first second, what came so far
+		return r.current / max(0.5, (now-r.secondStart).Seconds())
 	}
 	return r.value
 }
 
 // flow measures an amount a second while queries wait, and at no other time: that
 // is what the engines can do.
-type flow struct {
+type saturatedRate struct {
 	amount, span float64
-	at           time.Duration
-	isFull       bool
+	updatedAt    time.Duration
+	saturated    bool
 }
 
-const flowSpan = 20.0 // seconds of waiting that it remembers, about
+const saturatedSpan = 20.0 // seconds of waiting that it remembers, about
 
-func (f *flow) pass(now time.Duration) {
-	dt := (now - f.at).Seconds()
+func (f *saturatedRate) advance(now time.Duration) {
+	dt := (now - f.updatedAt).Seconds()
 	if dt <= 0 {
 		return
 	}
-	f.at = now
-	if !f.isFull {
+	f.updatedAt = now
+	if !f.saturated {
 		return // what was learned keeps, and what goes now says nothing
 	}
-	k := math.Exp(-min(dt, 1) / flowSpan)
+	k := math.Exp(-min(dt, 1) / saturatedSpan)
 	f.amount *= k
-	f.span = f.span*k + flowSpan*(1-k)
+	f.span = f.span*k + saturatedSpan*(1-k)
 }
 
-func (f *flow) full(now time.Duration, full bool) {
-	f.pass(now)
-	f.isFull = full
+func (f *saturatedRate) setSaturated(now time.Duration, full bool) {
+	f.advance(now)
+	f.saturated = full
 }
 
-func (f *flow) add(now time.Duration, x float64) {
-	f.pass(now)
-	if f.isFull {
+func (f *saturatedRate) add(now time.Duration, x float64) {
+	f.advance(now)
+	if f.saturated {
 		f.amount += x
 	}
 }
 
 // per is the rate; known says for how many seconds it was seen of late.
-func (f *flow) per() (r, known float64) {
+func (f *saturatedRate) perSecond() (r, known float64) {
 	if f.span < 1e-9 {
 		return 0, 0
 	}
@@ -123,61 +123,61 @@
 }
 
 // memory keeps what repeats of calls need, bounded in number and age.
-type memory struct {
-	by    map[uint64]past
+type repeatMemory struct {
+	calls map[uint64]repeatedCall
 	order []uint64
 }
 
-type past struct {
-	arrived, at time.Duration
-	charged     float64
-	team        int
+type repeatedCall struct {
+	arrived, endedAt time.Duration
+	charged          float64
+	tenant           int
 }
 
 const (
-	pastMost  = 1 << 16
-	pastKeeps = time.Minute
+	maxRepeats      = 1 << 16
+	repeatRetention = time.Minute
 )
 
-func (m *memory) len() int { return len(m.by) }
+func (m *repeatMemory) size() int { return len(m.calls) }
 
-func (m *memory) put(id uint64, p past) {
-	if m.by == nil {
-		m.by = map[uint64]past{}
+func (m *repeatMemory) put(id uint64, p repeatedCall) {
+	if m.calls == nil {
+		m.calls = map[uint64]repeatedCall{}
 	}
-	if _, had := m.by[id]; !had {
-		if len(m.by) >= pastMost {
-			m.dropFirst()
+	if _, had := m.calls[id]; !had {
+		if len(m.calls) >= maxRepeats {
+			m.dropOldest()
 		}
 		m.order = append(m.order, id)
 	}
-	m.by[id] = p
+	m.calls[id] = p
 }
 
-func (m *memory) take(id uint64) (past, bool) {
-	p, ok := m.by[id]
-	delete(m.by, id)
+func (m *repeatMemory) take(id uint64) (repeatedCall, bool) {
+	p, ok := m.calls[id]
+	delete(m.calls, id)
 	return p, ok
 }
 
-func (m *memory) dropFirst() {
+func (m *repeatMemory) dropOldest() {
 	for len(m.order) > 0 {
 		id := m.order[0]
 		m.order = m.order[1:]
-		if _, had := m.by[id]; had {
-			delete(m.by, id)
+		if _, had := m.calls[id]; had {
+			delete(m.calls, id)
 			return
 		}
 	}
 }
 
-func (m *memory) drop(now time.Duration) {
+func (m *repeatMemory) dropExpired(now time.Duration) {
 	for len(m.order) > 0 {
-		p, had := m.by[m.order[0]]
-		if had && now-p.at < pastKeeps {
+		p, had := m.calls[m.order[0]]
+		if had && now-p.endedAt < repeatRetention {
 			return
 		}
-		delete(m.by, m.order[0])
+		delete(m.calls, m.order[0])
 		m.order = m.order[1:]
 	}
 }
--- a/internal/fairqueue/mill_test.go
+++ b/internal/fairqueue/mill_test.go
@@ -10,7 +10,7 @@
 // long as its work takes on its threads.
 type mill struct {
 	t       interface{ Fatalf(string, ...any) }
-	c       *Core
+	c       *Queue
 	now     time.Duration
 	slots   []int
 	running []*job
@@ -20,22 +20,22 @@
 }
 
 type job struct {
-	Waiter
+	Query
 	team     string
 	work     float64 // thread seconds it really takes
 	at, over time.Duration
 	started  bool
 	done     bool
-	verdict  Verdict
+	verdict  Admission
 }
 
 var lanes = []Lane{
-	{Name: "lookup", Threads: 1, Value: 2, Usual: 50 * time.Millisecond},
-	{Name: "report", Threads: 3, Value: 5, Usual: 600 * time.Millisecond},
-	{Name: "load", Threads: 2, Value: 5, Usual: 300 * time.Millisecond, Ordered: true, Chained: true},
+	{Name: "lookup", Threads: 1, PriorityWeight: 2, UsualWork: 50 * time.Millisecond},
+	{Name: "report", Threads: 3, PriorityWeight: 5, UsualWork: 600 * time.Millisecond},
+	{Name: "load", Threads: 2, PriorityWeight: 5, UsualWork: 300 * time.Millisecond, Ordered: true, Chained: true},
 }
 
-func newMill(t interface{ Fatalf(string, ...any) }, s Shape, slots ...int) *mill {
+func newMill(t interface{ Fatalf(string, ...any) }, s Config, slots ...int) *mill {
 	if s.Lanes == nil {
 		s.Lanes = lanes
 	}
@@ -43,19 +43,19 @@
 		t.Fatalf("%v", err)
 	}
 	m := &mill{t: t, c: New(s), slots: slots, used: map[string]float64{}}
-	m.c.Cores(8)
+	m.c.SetCores(8)
 	return m
 }
 
-func teams(names ...string) (l []Team) {
+func teams(names ...string) (l []Tenant) {
 	for _, n := range names {
-		l = append(l, Team{Name: n, Weight: 1})
+		l = append(l, Tenant{Name: n, Weight: 1})
 	}
 	return l
 }
 
 func (m *mill) team(name string) int {
-	i, ok := m.c.who.names[name]
+	i, ok := m.c.resolver.byName[name]
 	if !ok {
 		m.t.Fatalf("no team %s", name)
 	}
@@ -64,14 +64,14 @@
 
 func (m *mill) ask(team string, lane int, work float64, more ...func(*job)) *job {
 	j := &job{team: team, work: work, at: m.now}
-	j.Waiter = Waiter{Of: j, Lane: lane, Team: m.team(team), Key: -1, Chain: -1, Until: m.now + time.Hour}
+	j.Query = Query{Owner: j, Lane: lane, Tenant: m.team(team), Key: -1, Chain: -1, Deadline: m.now + time.Hour}
 	for _, f := range more {
 		f(j)
 	}
 	m.jobs = append(m.jobs, j)
-	if j.verdict = m.c.Enter(m.now, &j.Waiter); j.verdict.Taken {
+	if j.verdict = m.c.Enqueue(m.now, &j.Query); j.verdict.Admitted {
 		m.pump()
-		m.c.First(m.now, &j.Waiter)
+		m.c.FirstEstimate(m.now, &j.Query)
 	}
 	return j
 }
@@ -91,12 +91,12 @@
 				}
 			}
 			full := busy >= m.slots[lane]
-			m.c.Full(m.now, lane, full)
+			m.c.SetLaneFull(m.now, lane, full)
 			if full {
 				continue
 			}
 			if w := m.c.Next(m.now, lane); w != nil {
-				j := w.Of.(*job)
+				j := w.Owner.(*job)
 				j.started, j.over = true, m.now+time.Duration(j.work/lanes[lane].Threads*1e9)
 				m.c.Started(m.now, w)
 				m.running = append(m.running, j)
@@ -110,7 +110,7 @@
 // until plays on to a time, sweeping as the owner does.
 func (m *mill) until(end time.Duration) {
 	for {
-		next := m.c.sweptAt + SweepEvery
+		next := m.c.sweptAt + SweepInterval
 		for _, j := range m.running {
 			next = min(next, j.over)
 		}
@@ -124,7 +124,7 @@
 				m.end(j, Finished)
 			}
 		}
-		if m.now >= m.c.sweptAt+SweepEvery {
+		if m.now >= m.c.sweptAt+SweepInterval {
 			m.c.Sweep(m.now, nil, nil)
 		}
 		m.pump()
@@ -132,13 +132,13 @@
 	}
 }
 
-func (m *mill) end(j *job, as End) {
+func (m *mill) end(j *job, as Outcome) {
 	m.running = slices.DeleteFunc(m.running, func(x *job) bool { return x == j })
 	if j.done = true; as == Finished {
 		m.used[j.team] += j.work
-		m.c.Ended(m.now, &j.Waiter, as, time.Duration(j.work*1e9), 0)
+		m.c.Ended(m.now, &j.Query, as, time.Duration(j.work*1e9), 0)
 	} else {
-		m.c.Ended(m.now, &j.Waiter, as, 0, 0)
+		m.c.Ended(m.now, &j.Query, as, 0, 0)
 	}
 }
 
@@ -147,9 +147,9 @@
 	waits := make([]int, len(m.slots))
 	backlog := make([]float64, len(m.slots))
 	for _, j := range m.jobs {
-		if j.Waits() {
+		if j.Waiting() {
 			waits[j.Lane]++
-			backlog[j.Lane] += j.est
+			backlog[j.Lane] += j.estimatedWork
 		}
 	}
 	sum := 0
@@ -164,35 +164,35 @@
 		m.t.Fatalf("%d wait, %d are counted", sum, m.c.Waiting())
 	}
 	heavy := 0.0
-	for i := range m.c.plans {
-		n := m.c.plans[i].at
+	for i := range m.c.tenants {
+		n := m.c.tenants[i].state
 		if n == nil {
 			continue
 		}
 		if n.parent == m.c.root && n.busy > 0 {
 			heavy += n.weight
 		}
-		if n.budget > 0 && n.over != (n.tokens < 0) {
-			m.t.Fatalf("%s: over %v with %v tokens", n.name, n.over, n.tokens)
+		if n.quota > 0 && n.overQuota != (n.tokens < 0) {
+			m.t.Fatalf("%s: over %v with %v tokens", n.name, n.overQuota, n.tokens)
 		}
-		for lane := range n.pos {
-			if (n.pos[lane] >= 0) != (n.ready[lane] > 0) {
-				m.t.Fatalf("%s: place %d with %d ready", n.name, n.pos[lane], n.ready[lane])
+		for lane := range n.heapPosition {
+			if (n.heapPosition[lane] >= 0) != (n.eligible[lane] > 0) {
+				m.t.Fatalf("%s: place %d with %d ready", n.name, n.heapPosition[lane], n.eligible[lane])
 			}
-			if n.pos[lane] < 0 {
+			if n.heapPosition[lane] < 0 {
 				continue
 			}
-			h := n.parent.heaps[n.in[lane]][lane]
-			if h[n.pos[lane]] != n || int(n.in[lane]) != n.band(lane) {
+			h := n.parent.heaps[n.heapBand[lane]][lane]
+			if h[n.heapPosition[lane]] != n || int(n.heapBand[lane]) != n.band(lane) {
 				m.t.Fatalf("%s: not where it is thought to be in lane %d", n.name, lane)
 			}
-			if p := (n.pos[lane] - 1) / 2; n.pos[lane] > 0 && before(n, h[p], lane) {
+			if p := (n.heapPosition[lane] - 1) / 2; n.heapPosition[lane] > 0 && startsBefore(n, h[p], lane) {
 				m.t.Fatalf("%s: before its parent in the heap", n.name)
 			}
 		}
 	}
-	if math.Abs(heavy-m.c.root.heavy) > 1e-6*(1+heavy) {
-		m.t.Fatalf("busy weights are %v, not %v", m.c.root.heavy, heavy)
+	if math.Abs(heavy-m.c.root.busyWeight) > 1e-6*(1+heavy) {
+		m.t.Fatalf("busy weights are %v, not %v", m.c.root.busyWeight, heavy)
 	}
 	// what goes next in a lane goes before younger ones of its key and chain
 	last := map[[2]int64]uint64{}
@@ -202,15 +202,15 @@
 				continue
 			}
 			at := [2]int64{int64(kind), id}
-			if j.seq < last[at] {
-				m.t.Fatalf("%d went after a younger one of its %v", j.seq, at)
+			if j.sequence < last[at] {
+				m.t.Fatalf("%d went after a younger one of its %v", j.sequence, at)
 			}
-			last[at] = j.seq
+			last[at] = j.sequence
 		}
 	}
 }
 
-func withLanes(s Shape) Shape { s.Lanes = lanes; return s }
+func withLanes(s Config) Config { s.Lanes = lanes; return s }
 
 // flood keeps so many of a team's queries waiting.
 func (m *mill) flood(team string, lane, depth int, work float64) {
@@ -223,7 +223,7 @@
 func (m *mill) share(span time.Duration, lane int, work map[string]float64) map[string]float64 {
 	for end := m.now + span; m.now < end; {
 		for team, w := range work {
-			if n := m.c.plans[m.team(team)].at; n == nil || n.waiting < 8 {
+			if n := m.c.tenants[m.team(team)].state; n == nil || n.waiting < 8 {
 				m.flood(team, lane, 8, w)
 			}
 		}
--- a/internal/fairqueue/next.go
+++ b/internal/fairqueue/next.go
@@ -4,81 +4,81 @@
 	"time"
 )
 
-// Next is the query that goes next in a lane, nil if none waits that may. The
-// decisions must be ready for one more: it is theirs from here on.
+// Next dispatches the query that goes next in a lane and returns it, or nil if no waiting query
+// may go. The scheduler must be ready for one more query of the lane.
 //
-// Where the one whose turn it is stands behind another of its chain, that one goes
-// on its turn: it has to go first, and its own team's turn may be far.
-func (c *Core) Next(now time.Duration, i int) *Waiter {
-	c.at(now)
-	l := &c.lanes[i]
-	if l.waiting == 0 || l.handed >= handedMost {
+// If the query whose turn it is stands behind another one of its chain, that one goes in its
+// place: it has to go first, and the turn of its own tenant may be far off.
+func (f *Queue) Next(now time.Duration, i int) *Query {
+	f.advance(now)
+	l := &f.lanes[i]
+	if l.waiting == 0 || l.dispatched >= maxDispatched {
 		return nil
 	}
 	for {
-		w := l.byAge.First().Value
-		if c.now-w.Arrived < c.shape.Age || !w.inLeaf {
-			if w = c.turn(i); w == nil || c.makesWay(w) {
+		q := l.byAge.First().Value
+		if f.now-q.Arrived < f.config.AgeingLimit || !q.eligible {
+			if q = f.nextInTurn(i); q == nil || f.yields(q) {
 				return nil
 			}
 		}
-		b := w.behind()
+		b := q.chainPredecessor()
 		switch {
 		case b == nil:
-			c.release(w, l)
-			return w
-		case b.inLeaf && b.Lane == i:
-			c.release(b, l)
+			f.dispatch(q, l)
+			return q
+		case b.eligible && b.Lane == i:
+			f.dispatch(b, l)
 			return b
 		}
-		c.withdraw(w) // until the one before it may go, or is gone
-		w.parked = true
-		w.links[1].line.parked++
+		f.makeIneligible(q) // until the one before it may go, or is gone
+		q.parked = true
+		q.orders[1].order.parked++
 	}
 }
 
 // unpark offers those again that stood behind a line's first.
-func (c *Core) unpark(x *line) {
-	for w := x.first; w != nil && x.parked > 0; w = w.links[1].next {
-		if w.parked {
-			w.parked = false
+func (f *Queue) unpark(x *orderQueue) {
+	for q := x.first; q != nil && x.parked > 0; q = q.orders[1].next {
+		if q.parked {
+			q.parked = false
 			x.parked--
-			c.offer(w)
+			f.makeEligible(q)
 		}
 	}
 }
 
 // turn walks down to the team whose turn it is: of those within their budgets,
 // if any of them has a query that may go, the one with the least tag.
-func (c *Core) turn(i int) *Waiter {
-	n := c.root
-	for n.lists == nil {
-		h := n.heaps[within][i]
+func (f *Queue) nextInTurn(i int) *Query {
+	n := f.root
+	for n.queues == nil {
+		h := n.heaps[withinQuota][i]
 		if len(h) == 0 {
-			h = n.heaps[beyond][i]
+			h = n.heaps[beyondQuota][i]
 		}
 		if len(h) == 0 {
 			return nil
 		}
 		n = h[0]
 	}
-	return n.lists[i].First().Value
+	return n.queues[i].First().Value
 }
 
 // makesWay: there is room for it in its lane, but it would be taken from others'
 // queries that find none in theirs. The engines are full then, and a team that is
 // ahead of its share, or beyond its budget, leaves the next of it to them.
-func (c *Core) makesWay(w *Waiter) bool {
-	if !c.contended(w.Lane) {
+func (f *Queue) yields(q *Query) bool {
+	if !f.contended(q.Lane) {
 		return false
 	}
-	return w.leaf.lead(len(c.lanes)) > c.lead(w.leaf)
+	return q.leaf.lead(len(f.lanes)) > f.allowedLead(q.leaf)
 }
 
 // contended: a query waits in another lane because engines have no room for it.
-func (c *Core) contended(but int) bool {
-	for i := range c.lanes {
-		if l := &c.lanes[i]; i != but && l.full && l.waiting > 0 {
+func (f *Queue) contended(but int) bool {
+	for i := range f.lanes {
+		if l := &f.lanes[i]; i != but && l.full && l.waiting > 0 {
 			return true
 		}
 	}
@@ -87,73 +87,73 @@
 
 // lead is how far a team may be ahead of its share before it makes way: for a
 // query of its usual work at the least, or it could never have one.
-func (c *Core) lead(n *node) float64 {
-	return max(leadMost*n.share()*c.capacity(), 1e-3)
+func (f *Queue) allowedLead(n *node) float64 {
+	return max(maxLeadSeconds*n.share()*f.capacity(), 1e-3)
 }
 
 // leadMost is in seconds of a team's share of the engines.
-const leadMost = 3.0
+const maxLeadSeconds = 3.0
 
-func (c *Core) release(w *Waiter, l *lane) {
-	c.unqueue(w, l)
-	w.state = passed
-	c.went(w.Lane, w.est)
+func (f *Queue) dispatch(q *Query, l *lane) {
+	f.dequeue(q, l)
+	q.state = stateDispatched
+	f.recordLaneRatio(q.Lane, q.estimatedWork)
 	if l.Chained {
-		c.linked(w, l)
+		f.chainDispatched(q, l)
 	}
-	if l.busy {
-		c.level.add(c.remains(), 100)
+	if l.atCapacity {
+		f.typicalInFlight.add(f.inFlightWorkLeft(), 100)
 	}
-	c.inFlight += w.est
-	c.threads += l.Threads
-	w.remains, w.served = w.est, c.service
-	w.charged = max(0, w.est-w.credit)
-	c.charge(w.leaf, w.Lane, w.charged)
-	l.handed++
-	l.passed += w.est
-	c.running.Append(&w.inTurn, w)
+	f.inFlightWork += q.estimatedWork
+	f.runningThreads += l.Threads
+	q.remainingWork, q.serviceAtDispatch = q.estimatedWork, f.servicePerThread
+	q.charged = max(0, q.estimatedWork-q.credit)
+	f.charge(q.leaf, q.Lane, q.charged)
+	l.dispatched++
+	l.dispatchedWork += q.estimatedWork
+	f.running.Append(&q.turnElement, q)
 }
 
 // unqueue takes a query out of all that it waits in.
-func (c *Core) unqueue(w *Waiter, l *lane) {
-	c.withdraw(w)
-	l.byAge.Remove(&w.inAge)
-	c.part(w, 1) // the decisions keep a chain's order from here on; a key's turn comes with its end
+func (f *Queue) dequeue(q *Query, l *lane) {
+	f.makeIneligible(q)
+	l.byAge.Remove(&q.ageElement)
+	f.leaveOrder(q, 1) // the decisions keep a chain's order from here on; a key's turn comes with its end
 	l.waiting--
-	c.waiting--
-	w.leaf.waiting--
-	w.leaf.gone[w.Lane] += w.est
-	for x := w.leaf; x.parent != nil; x = x.parent {
-		x.queued--
-		if x.backlog[w.Lane] -= w.est; x.lists != nil && x.waiting == 0 {
-			x.backlog[w.Lane] = 0 // sums of what came and went don't quite meet
+	f.waiting--
+	q.leaf.waiting--
+	q.leaf.dequeuedWork[q.Lane] += q.estimatedWork
+	for x := q.leaf; x.parent != nil; x = x.parent {
+		x.waitingBelow--
+		if x.backlog[q.Lane] -= q.estimatedWork; x.queues != nil && x.waiting == 0 {
+			x.backlog[q.Lane] = 0 // sums of what came and went don't quite meet
 		}
 	}
-	if c.root.backlog[w.Lane] -= w.est; l.waiting == 0 {
-		c.root.backlog[w.Lane] = 0
+	if f.root.backlog[q.Lane] -= q.estimatedWork; l.waiting == 0 {
+		f.root.backlog[q.Lane] = 0
 	}
 }
 
 // handedMost bounds those that the decisions hold for other reasons than room:
 // locked tables, chains.
-const handedMost = 256
+const maxDispatched = 256
 
-// Full tells whether the decisions would take no more of a lane.
-func (c *Core) Full(now time.Duration, i int, full bool) {
-	c.at(now)
-	l := &c.lanes[i]
+// SetLaneFull records whether the scheduler would take no more queries of a lane.
+func (f *Queue) SetLaneFull(now time.Duration, i int, full bool) {
+	f.advance(now)
+	l := &f.lanes[i]
 	// one goes whenever there is room for it: the lane is at its capacity until
 	// there is room and nobody left for it
-	if l.busy = full || l.busy && l.waiting > 0; l.busy == l.wasBusy {
+	if l.atCapacity = full || l.atCapacity && l.waiting > 0; l.atCapacity == l.wasAtCapacity {
 		l.full = full
 		return
 	}
-	l.full, l.wasBusy = full, l.busy
+	l.full, l.wasAtCapacity = full, l.atCapacity
 	busy := 0
-	for k := range c.lanes {
-		if c.lanes[k].busy {
+	for k := range f.lanes {
+		if f.lanes[k].atCapacity {
 			busy++
 		}
 	}
-	c.done.full(c.now, busy > 0)
+	f.workDone.setSaturated(f.now, busy > 0)
 }
--- a/internal/fairqueue/reload.go
+++ b/internal/fairqueue/reload.go
@@ -6,67 +6,67 @@
 	"railrelay.dev/railrelay/internal/intrusivelist"
 )
 
-func (c *Core) reshape(shape Shape) {
-	if shape.Age <= 0 {
-		shape.Age = DefaultAge
+func (f *Queue) applyConfig(shape Config) {
+	if shape.AgeingLimit <= 0 {
+		shape.AgeingLimit = DefaultAgeingLimit
 	}
-	if shape.Waiting <= 0 {
-		shape.Waiting = DefaultWaiting
+	if shape.MaxWaiting <= 0 {
+		shape.MaxWaiting = DefaultMaxWaiting
 	}
-	if shape.Overrun <= 1 {
-		shape.Overrun = DefaultOverrun
+	if shape.OverrunFactor <= 1 {
+		shape.OverrunFactor = DefaultOverrunFactor
 	}
-	if shape.Tell <= 0 {
-		shape.Tell = DefaultTell
+	if shape.NotifyChange <= 0 {
+		shape.NotifyChange = DefaultNotifyChange
 	}
-	c.shape, c.plans, c.children = shape, nil, nil
-	c.plan(shape.Teams, "", -1)
+	f.config, f.tenants, f.children = shape, nil, nil
+	f.addTenants(shape.Tenants, "", -1)
 	named := false
-	for _, p := range c.plans {
-		named = named || p.leaf && p.Name == shape.Default
+	for _, p := range f.tenants {
+		named = named || p.isLeaf && p.Name == shape.DefaultTenant
 	}
 	if !named { // whoever belongs to no team
-		c.plan([]Team{{Name: "others", Weight: 1}}, "", -1)
+		f.addTenants([]Tenant{{Name: "others", Weight: 1}}, "", -1)
 	}
-	c.who = newWho(&c.shape, c.plans)
-	if c.lanes == nil {
-		c.lanes = make([]lane, len(shape.Lanes))
-		c.pairs = make([][2]float64, len(shape.Lanes)*len(shape.Lanes))
+	f.resolver = newTenantResolver(&f.config, f.tenants)
+	if f.lanes == nil {
+		f.lanes = make([]lane, len(shape.Lanes))
+		f.laneRatios = make([][2]float64, len(shape.Lanes)*len(shape.Lanes))
 	}
 	for i, l := range shape.Lanes {
-		c.lanes[i].Lane = l
+		f.lanes[i].Lane = l
 	}
-	c.root.heaps[within], c.root.heaps[beyond] = make([]heap, len(c.lanes)), make([]heap, len(c.lanes))
-	c.root.ready = make([]int, len(c.lanes))
-	c.root.backlog = make([]float64, len(c.lanes))
-	c.root.clocks = make([]clock, len(c.lanes)+1)
+	f.root.heaps[withinQuota], f.root.heaps[beyondQuota] = make([]heap, len(f.lanes)), make([]heap, len(f.lanes))
+	f.root.eligible = make([]int, len(f.lanes))
+	f.root.backlog = make([]float64, len(f.lanes))
+	f.root.virtualClocks = make([]virtualClock, len(f.lanes)+1)
 }
 
-func (c *Core) plan(l []Team, path string, parent int) {
+func (f *Queue) addTenants(l []Tenant, path string, parent int) {
 	for _, t := range l {
-		at := len(c.plans)
-		c.plans = append(c.plans, plan{Team: t, path: path + t.Name, parent: parent, leaf: len(t.Teams) == 0})
-		c.children = append(c.children, nil)
+		at := len(f.tenants)
+		f.tenants = append(f.tenants, tenantRecord{Tenant: t, path: path + t.Name, parent: parent, isLeaf: len(t.Children) == 0})
+		f.children = append(f.children, nil)
 		if parent >= 0 {
-			c.children[parent] = append(c.children[parent], at)
+			f.children[parent] = append(f.children[parent], at)
 		}
-		c.plan(t.Teams, path+t.Name+"/", at)
+		f.addTenants(t.Children, path+t.Name+"/", at)
 	}
 }
 
-// Reload follows another shape with the same lanes. What waits or runs goes on
-// with its age, in its team if that is still there and else as the default team's;
-// teams keep what they were charged and their budgets' state.
-func (c *Core) Reload(now time.Duration, shape Shape) {
-	c.at(now)
-	var all []*Waiter
-	for i := range c.lanes {
-		for e := c.lanes[i].byAge.First(); e != nil; e = e.Next() {
+// Reload follows another configuration with the same lanes. Waiting and running queries keep
+// their age and their tenant, or become the default tenant's if theirs is gone. Tenants keep
+// their charges and the state of their token buckets.
+func (f *Queue) Reload(now time.Duration, shape Config) {
+	f.advance(now)
+	var all []*Query
+	for i := range f.lanes {
+		for e := f.lanes[i].byAge.First(); e != nil; e = e.Next() {
 			all = append(all, e.Value)
 		}
 	}
 	queued := len(all)
-	for e := c.running.First(); e != nil; e = e.Next() {
+	for e := f.running.First(); e != nil; e = e.Next() {
 		all = append(all, e.Value)
 	}
 	type kept struct {
@@ -74,77 +74,77 @@
 		tokens   float64
 		tokensAt time.Duration
 		counts   Counts
-		cost     []mean
-		rate     []rate
+		cost     []runningMean
+		rate     []arrivalRate
 	}
 	had := map[string]kept{}
-	names := make([]string, len(c.plans))
-	for i := range c.plans {
-		p := &c.plans[i]
+	names := make([]string, len(f.tenants))
+	for i := range f.tenants {
+		p := &f.tenants[i]
 		names[i] = p.Name
-		if n := p.at; n != nil {
-			lead := make([]float64, len(n.tags))
+		if n := p.state; n != nil {
+			lead := make([]float64, len(n.virtualStart))
 			for k := range lead {
-				lead[k] = n.tags[k] - n.parent.mean(k)
+				lead[k] = n.virtualStart[k] - n.parent.virtualTime(k)
 			}
-			had[p.path] = kept{lead, n.tokens, n.tokensAt, n.counts, n.cost, n.rate}
+			had[p.path] = kept{lead, n.tokens, n.tokensAt, n.counts, n.usualCosts, n.arrivalRates}
 		}
 	}
-	for len(c.debtors) > 0 {
-		c.payAll(time.Hour)
+	for len(f.debtors) > 0 {
+		f.settleDebts(time.Hour)
 	}
-	c.idle, c.refills, c.nodes = intrusivelist.List[node]{}, nil, 0
-	c.root = &node{weight: 1}
-	c.reshape(shape)
-	for i := range c.lanes {
-		c.lanes[i].teams, c.lanes[i].profile = 0, profile{}
+	f.idle, f.refills, f.nodeCount = intrusivelist.List[node]{}, nil, 0
+	f.root = &node{weight: 1}
+	f.applyConfig(shape)
+	for i := range f.lanes {
+		f.lanes[i].eligibleTenants, f.lanes[i].profile = 0, rivalProfile{}
 	}
-	for i := range c.plans {
-		p := &c.plans[i]
+	for i := range f.tenants {
+		p := &f.tenants[i]
 		was, ok := had[p.path]
 		if !ok {
 			continue
 		}
-		n := c.node(i)
-		n.tags, n.counts, n.tokensAt = was.lead, was.counts, was.tokensAt
-		if n.budget > 0 {
+		n := f.node(i)
+		n.virtualStart, n.counts, n.tokensAt = was.lead, was.counts, was.tokensAt
+		if n.quota > 0 {
 			n.tokens = min(n.burst, was.tokens)
 		}
-		if p.leaf && was.cost != nil {
-			n.cost, n.rate = was.cost, was.rate
+		if p.isLeaf && was.cost != nil {
+			n.usualCosts, n.arrivalRates = was.cost, was.rate
 		}
 	}
-	var offered []*Waiter
-	for i, w := range all {
-		team, ok := c.who.names[names[w.Team]]
+	var offered []*Query
+	for i, q := range all {
+		team, ok := f.resolver.byName[names[q.Tenant]]
 		if !ok {
-			team = c.who.usual
+			team = f.resolver.defaultTenant
 		}
-		w.Team, w.leaf = team, c.node(team)
-		n := w.leaf
-		c.occupy(n)
+		q.Tenant, q.leaf = team, f.node(team)
+		n := q.leaf
+		f.addActive(n)
 		if i >= queued {
 			continue
 		}
 		n.waiting++
-		w.ahead = n.backlog[w.Lane]
-		c.queue(w)
-		if w.inLeaf {
-			offered = append(offered, w)
+		q.workAhead = n.backlog[q.Lane]
+		f.addBacklog(q)
+		if q.eligible {
+			offered = append(offered, q)
 		}
-		w.inTurn, w.inLeaf = intrusivelist.Element[Waiter]{}, false
+		q.turnElement, q.eligible = intrusivelist.Element[Query]{}, false
 	}
 	// only now: one that is offered may bring back those parked behind it, which must
 	// be in their new teams by then
-	for _, w := range offered {
-		if !w.inLeaf {
-			c.offer(w)
+	for _, q := range offered {
+		if !q.eligible {
+			f.makeEligible(q)
 		}
 	}
-	for i := range c.plans { // a budget used up before is so still
-		if n := c.plans[i].at; n != nil && n.budget > 0 {
-			c.refill(n)
-			c.judge(n)
+	for i := range f.tenants { // a budget used up before is so still
+		if n := f.tenants[i].state; n != nil && n.quota > 0 {
+			f.refill(n)
+			f.updateQuotaBand(n)
 		}
 	}
 }
--- a/internal/fairqueue/shape.go
+++ b/internal/fairqueue/shape.go
@@ -10,145 +10,146 @@
 	"github.com/gaissmai/bart"
 )
 
-// Shape is what the set-up says: the tree of teams, the lanes and the bounds.
-type Shape struct {
-	Lanes []Lane
-	Teams []Team
+// Config is the configuration of the fair queue: the tree of tenants, the lanes and the bounds.
+type Config struct {
+	Lanes   []Lane
+	Tenants []Tenant
 	// Default is the name of the team of calls that name none and come from no
 	// team's address.
-	Default string
+	DefaultTenant string
 	// Age is how long a query waits at the most before it goes ahead of all
 	// younger ones of its lane, whatever its team. Behind others of its team nobody
 	// is let in whose estimate is over three fifths of it. 0: DefaultAge.
-	Age time.Duration
+	AgeingLimit time.Duration
 	// Waiting bounds the queries that wait, all teams together. 0: DefaultWaiting.
-	Waiting int
+	MaxWaiting int
 	// Trusted are the addresses whose calls may name a team.
-	Trusted []netip.Prefix
+	TrustedAddresses []netip.Prefix
 	// Overrun is how many times its usual work a query takes before it is lowered.
 	// 0: DefaultOverrun.
-	Overrun float64
+	OverrunFactor float64
 	// Tell is the change of an estimate, as a share of it, that is told again.
 	// 0: DefaultTell.
-	Tell float64
+	NotifyChange float64
 }
 
 // What is used where the set-up says nothing.
 const (
-	DefaultAge     = 10 * time.Second
-	DefaultWaiting = 100_000
-	DefaultTeam    = 10_000 // waiting, one team
-	DefaultOverrun = 4.0
-	DefaultTell    = 0.25
+	DefaultAgeingLimit      = 10 * time.Second
+	DefaultMaxWaiting       = 100_000
+	DefaultTenantMaxWaiting = 10_000 // waiting, one team
+	DefaultOverrunFactor    = 4.0
+	DefaultNotifyChange     = 0.25
 )
 
-// Lane is a resource group as fairness sees it.
+// Lane describes the queue of one resource group.
 type Lane struct {
-	Name    string
-	Threads float64       // a query runs on
-	Value   float64       // of a query that finishes
-	Ordered bool          // by key: never lowered, nor passed by a younger one of its key or chain
-	Chained bool          // loads: ordered by table group too
-	Usual   time.Duration // thread time of a query until any finished
-	Return  time.Duration // the longest pause its clients follow, 0: any
+	Name           string
+	Threads        float64       // a query runs on
+	PriorityWeight float64       // of a query that finishes
+	Ordered        bool          // by key: never lowered, nor passed by a younger one of its key or chain
+	Chained        bool          // loads: ordered by table group too
+	UsualWork      time.Duration // thread time of a query until any finished
+	MaxRetryAfter  time.Duration // the longest pause its clients follow, 0: any
 }
 
-// Team is a node of the tree: one with Teams of its own is a kind of customer.
-type Team struct {
+// Tenant is a node of the tenant tree. One with Children is a group of tenants, and has no
+// queries of its own.
+type Tenant struct {
 	Name   string
 	Weight float64 // against its siblings
-	Budget float64 // thread seconds a second, 0: no budget
+	Quota  float64 // thread seconds a second, 0: no budget
 	Burst  float64 // thread seconds that an unused budget gathers
 	// Waiting bounds the team's queries that wait. 0: DefaultTeam.
-	Waiting   int
-	Addresses []netip.Prefix // whose calls are this team's
-	Teams     []Team
+	MaxWaiting int
+	Addresses  []netip.Prefix // whose calls are this team's
+	Children   []Tenant
 }
 
-const weightMost = 1e6
+const maxWeight = 1e6
 
-// Check says what is wrong with a shape, with the path of the part that is.
-func (s *Shape) Check() error {
+// Check reports what is wrong with a configuration, with the path of the tenant at fault.
+func (s *Config) Check() error {
 	if len(s.Lanes) == 0 {
 		return errors.New("no resource groups")
 	}
 	seen := map[string]bool{}
-	if err := checkTeams(s.Teams, "", seen); err != nil {
+	if err := checkTenants(s.Tenants, "", seen); err != nil {
 		return err
 	}
-	if s.Default != "" && !seen[s.Default] {
-		return fmt.Errorf("default: no team is called %q", s.Default)
+	if s.DefaultTenant != "" && !seen[s.DefaultTenant] {
+		return fmt.Errorf("default: no team is called %q", s.DefaultTenant)
 	}
 	return nil
 }
 
-func checkTeams(l []Team, path string, seen map[string]bool) error {
+func checkTenants(l []Tenant, path string, seen map[string]bool) error {
 	for _, t := range l {
 		at := path + t.Name
 		switch {
 		case t.Name == "":
 			return fmt.Errorf("%s: a team without a name", path)
-		case !(t.Weight > 0) || t.Weight > weightMost || math.IsInf(t.Weight, 0):
+		case !(t.Weight > 0) || t.Weight > maxWeight || math.IsInf(t.Weight, 0):
 			return fmt.Errorf("%s: a weight of %v", at, t.Weight)
-		case t.Budget < 0 || t.Burst < 0 || math.IsNaN(t.Budget+t.Burst):
-			return fmt.Errorf("%s: a budget of %v with a burst of %v", at, t.Budget, t.Burst)
-		case len(t.Teams) == 0 && seen[t.Name]:
+		case t.Quota < 0 || t.Burst < 0 || math.IsNaN(t.Quota+t.Burst):
+			return fmt.Errorf("%s: a budget of %v with a burst of %v", at, t.Quota, t.Burst)
+		case len(t.Children) == 0 && seen[t.Name]:
 			return fmt.Errorf("%s: a second team of this name", at)
-		case len(t.Teams) > 0 && len(t.Addresses) > 0:
+		case len(t.Children) > 0 && len(t.Addresses) > 0:
 			return fmt.Errorf("%s: addresses belong to a team, not to a kind", at)
 		}
-		if len(t.Teams) == 0 {
+		if len(t.Children) == 0 {
 			seen[t.Name] = true
-		} else if err := checkTeams(t.Teams, at+"/", seen); err != nil {
+		} else if err := checkTenants(t.Children, at+"/", seen); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// Who tells whose a call is: by the team it names, if its address may name
-// one, else by its address, else the default team.
-type Who struct {
-	names   map[string]int
-	trusted bart.Lite
-	owners  bart.Table[int]
-	usual   int
+// TenantResolver finds the tenant of a call: the one that the call names if its address is
+// trusted to name one, else the one that owns the address, else the default tenant.
+type TenantResolver struct {
+	byName        map[string]int
+	trusted       bart.Lite
+	byAddress     bart.Table[int]
+	defaultTenant int
 }
 
-func newWho(s *Shape, plans []plan) *Who {
-	w := &Who{names: make(map[string]int, len(plans)), usual: 0}
+func newTenantResolver(s *Config, plans []tenantRecord) *TenantResolver {
+	r := &TenantResolver{byName: make(map[string]int, len(plans)), defaultTenant: 0}
 	for i, p := range plans {
-		if p.leaf {
-			w.names[p.Name] = i
+		if p.isLeaf {
+			r.byName[p.Name] = i
 			for _, a := range p.Addresses {
-				w.owners.Insert(a.Masked(), i)
+				r.byAddress.Insert(a.Masked(), i)
 			}
 		}
 	}
-	for _, a := range s.Trusted {
-		w.trusted.Insert(a.Masked())
+	for _, a := range s.TrustedAddresses {
+		r.trusted.Insert(a.Masked())
 	}
-	if i, ok := w.names[s.Default]; ok {
-		w.usual = i
+	if i, ok := r.byName[s.DefaultTenant]; ok {
+		r.defaultTenant = i
 	} else {
-		w.usual = len(plans) - 1 // planned as the last
+		r.defaultTenant = len(plans) - 1 // planned as the last
 	}
-	return w
+	return r
 }
 
-// Whose is the team's number. named is what the call says, empty for nothing;
-// where it isn't believed or isn't known, the address decides.
-func (w *Who) Whose(from netip.Addr, named []byte) int {
+// Resolve returns the tenant's index. named is the tenant's name in the call, empty if there is
+// none; where it is not trusted or not known, the address decides.
+func (r *TenantResolver) Resolve(from netip.Addr, named []byte) int {
 	from = from.Unmap()
-	if len(named) > 0 && from.IsValid() && w.trusted.Contains(from) {
-		if i, ok := w.names[string(named)]; ok {
+	if len(named) > 0 && from.IsValid() && r.trusted.Contains(from) {
+		if i, ok := r.byName[string(named)]; ok {
 			return i
 		}
 	}
 	if from.IsValid() {
-		if i, ok := w.owners.Lookup(from); ok {
+		if i, ok := r.byAddress.Lookup(from); ok {
 			return i
 		}
 	}
-	return w.usual
+	return r.defaultTenant
 }
--- a/internal/setup/means.go
+++ b/internal/setup/means.go
@@ -13,17 +13,17 @@
 )
 
 // shapeOf is the shape that fairness is given.
-func shapeOf(f *Fairness) *fairqueue.Shape {
-	var walk func(l []Team) []fairqueue.Team
-	walk = func(l []Team) (all []fairqueue.Team) {
+func shapeOf(f *Fairness) *fairqueue.Config {
+	var walk func(l []Team) []fairqueue.Tenant
+	walk = func(l []Team) (all []fairqueue.Tenant) {
 		for _, t := range l {
-			all = append(all, fairqueue.Team{Name: t.Name, Weight: t.Weight, Budget: t.Budget, Burst: t.Burst, Waiting: t.Waiting,
-				Addresses: prefixes(t.Addresses), Teams: walk(t.Teams)})
+			all = append(all, fairqueue.Tenant{Name: t.Name, Weight: t.Weight, Quota: t.Budget, Burst: t.Burst, MaxWaiting: t.Waiting,
+				Addresses: prefixes(t.Addresses), Children: walk(t.Teams)})
 		}
 		return all
 	}
-	return &fairqueue.Shape{Teams: walk(f.Teams), Default: f.Default, Age: time.Duration(f.Age), Waiting: f.Waiting, Trusted: prefixes(f.Trusted),
-		Overrun: f.Overrun, Tell: f.Tell}
+	return &fairqueue.Config{Tenants: walk(f.Teams), DefaultTenant: f.Default, AgeingLimit: time.Duration(f.Age), MaxWaiting: f.Waiting, TrustedAddresses: prefixes(f.Trusted),
+		OverrunFactor: f.Overrun, NotifyChange: f.Tell}
 }
 
 // Means are what the controller starts with, started at a time.
@@ -47,7 +47,7 @@
 }
 
 // Shape is the teams alone, nil without any: what a reload takes over.
-func (x *Setup) Shape() *fairqueue.Shape {
+func (x *Setup) Shape() *fairqueue.Config {
 	if x.Fairness == nil {
 		return nil
 	}
