--- a/internal/fairqueue/estimate.go
+++ b/internal/fairqueue/estimate.go
@@ -260,80 +260,139 @@
 }
 
 func (f *Queue) solveWait(q *Query, l *lane, ahead float64) float64 {
-	p := f.rivalProfile(q.Lane)
+	m := f.newWaitModel(q, l, ahead)
+	// Solved twice: by the tenant's weight, and as for a tenant beyond its quota, which goes
+	// behind all that are within theirs.
+	tokens, refillRate := f.tightestQuota(q.leaf)
+	t := f.solveModel(&m, false)
+	if need := ahead + q.estimatedWork - tokens; need > 0 {
+		t = max(t, min(need/max(refillRate-m.otherRate, refillRate/10), f.solveModel(&m, true)))
+	}
+	return t
+}
+
+// waitModel is the fluid model of one query's wait. Work is in thread seconds, rates in thread
+// seconds a second.
+type waitModel struct {
+	query  *Query
+	lane   *lane
+	rivals *rivalProfile
+
+	// The query's tenant.
+	share          float64 // of all weights
+	lead           float64
+	deferredCharge float64
+	otherRate      float64
+	ahead          float64 // waiting work of the tenant before the query
+
+	// The engines.
+	flow   float64 // work done a second
+	excess float64 // work in flight beyond the usual
+	fixed  float64 // work that goes first in any case
+	bound  float64 // seconds until nothing waits at all, infinite if more comes than is done
+
+	// A surge of arrivals: how many times the usual comes, and for how many seconds more.
+	surgeFactor, surgeLeft float64
+}
+
+func (f *Queue) newWaitModel(q *Query, l *lane, ahead float64) waitModel {
 	n := q.leaf
-	flow := f.capacity()
-	share, lead, elsewhere := n.share(), 0.0, n.otherRate(f.now, q.Lane)
+	m := waitModel{query: q, lane: l, ahead: ahead}
+	m.rivals = f.rivalProfile(q.Lane)
+	m.flow = f.capacity()
+	m.share = n.share()
+	m.otherRate = n.otherRate(f.now, q.Lane)
 	if n.busy > 0 {
-		lead = n.lead(q.Lane)
-	}
-	owed := n.deferredCharge(q.Lane)
-	for k := range p.rivals {
-		if p.scale > 1 && p.fresh { // a sample is as good a few ms later
-			break
-		}
-		r := &p.rivals[k]
-		r.deferredCharge = r.node.deferredCharge(q.Lane)
-		r.lead, r.backlog = r.node.lead(q.Lane), r.node.backlog[q.Lane]
+		m.lead = n.lead(q.Lane)
 	}
-	excess := f.excessInFlight()
-	p.fresh = true
-	fixed := excess + l.dispatchedWork + ahead
-	bound := math.Inf(1) // until nothing waits at all
-	all, come := fixed, 0.0
+	m.deferredCharge = n.deferredCharge(q.Lane)
+	m.rivals.refresh(q.Lane)
+	m.excess = f.excessInFlight()
+	m.fixed = m.excess + l.dispatchedWork + ahead
+	m.bound = math.Inf(1)
+	all, arrivals := m.fixed, 0.0
 	for i := range f.lanes {
 		x := &f.lanes[i]
-		if come += x.arrivals.perSecond(f.now); x != l {
+		arrivals += x.arrivals.perSecond(f.now)
+		if x != l {
 			all += f.root.backlog[i] + x.dispatchedWork
 		} else {
 			all += f.root.backlog[i] - ahead
 		}
 	}
-	times, left := f.surge.factor(f.now, come), f.surge.remainingSeconds(f.now)
-	if come < 0.95*flow {
-		bound = (all + (times-1)*come*left) / (flow - come)
-	}
-	// twice: as its weight has it, and as one beyond its budget has it, behind all
-	// who are within theirs
-	tokens, refilled := f.tightestQuota(n)
-	fluid := func(last bool) float64 {
-		t := fixed / flow
-		for range solveRounds {
-			paid := t / (t + deferredChargeSpan.Seconds()) // of what is owed, about
-			level := max(0, ahead+lead+(owed+elsewhere*t/2)*paid) / share
-			ct := t + (times-1)*min(t, left) // as much comes by then as usually in ct
-			sum := fixed + p.absentRate*t
-			for k := range p.rivals {
-				r := &p.rivals[k]
-				if r.node == n {
-					continue
-				}
-				x := r.share*level - r.lead - (r.deferredCharge+r.otherRate*t/2)*paid + q.estimatedWork/2
-				if last && r.tokens > 0 {
-					x = math.Inf(1)
-				}
-				x = min(x, r.backlog+r.arrivalRate*ct, max(0, r.tokens)+r.refillRate*t)
-				sum += max(0, x) * p.scale
-			}
-			own := sum - excess
-			for i := range f.lanes {
-				if x := &f.lanes[i]; x != l && f.root.backlog[i] <= shortWaitPart*flow*t {
-					sum += f.root.backlog[i] + x.dispatchedWork + x.arrivals.perSecond(f.now)*ct
-				} else if x != l {
-					sum += min(f.laneRatio(i, q.Lane)*own, f.root.backlog[i]+x.dispatchedWork+x.arrivals.perSecond(f.now)*ct)
-				}
-			}
-			t = min(bound, (t+2*sum/flow)/3)
+	m.surgeFactor = f.surge.factor(f.now, arrivals)
+	m.surgeLeft = f.surge.remainingSeconds(f.now)
+	if arrivals < 0.95*m.flow {
+		m.bound = (all + (m.surgeFactor-1)*arrivals*m.surgeLeft) / (m.flow - arrivals)
+	}
+	return m
+}
+
+// refresh brings the rivals' standing up to date. A sample is as good a few milliseconds later.
+func (p *rivalProfile) refresh(lane int) {
+	for k := range p.rivals {
+		if p.scale > 1 && p.fresh {
+			break
 		}
-		return t
+		r := &p.rivals[k]
+		r.deferredCharge = r.node.deferredCharge(lane)
+		r.lead = r.node.lead(lane)
+		r.backlog = r.node.backlog[lane]
 	}
-	t := fluid(false)
-	if need := ahead + q.estimatedWork - tokens; need > 0 {
-		t = max(t, min(need/max(refilled-elsewhere, refilled/10), fluid(true)))
+	p.fresh = true
+}
+
+// solveModel finds the wait in seconds by fixed-point iteration. last puts the query behind all
+// rivals that have tokens left.
+func (f *Queue) solveModel(m *waitModel, last bool) float64 {
+	t := m.fixed / m.flow
+	for range solveRounds {
+		paid := t / (t + deferredChargeSpan.Seconds()) // about this part of the deferred charges
+		level := max(0, m.ahead+m.lead+(m.deferredCharge+m.otherRate*t/2)*paid) / m.share
+		arrivalSpan := t + (m.surgeFactor-1)*min(t, m.surgeLeft) // in which as much usually comes
+		sum := m.fixed + m.rivals.absentRate*t
+		sum = m.addRivals(sum, t, paid, level, arrivalSpan, last)
+		sum = f.addOtherLanes(m, sum, t, arrivalSpan)
+		t = min(m.bound, (t+2*sum/m.flow)/3)
 	}
 	return t
 }
 
+// addRivals adds to sum what each rival of the lane is served before the query.
+func (m *waitModel) addRivals(sum, t, paid, level, arrivalSpan float64, last bool) float64 {
+	for k := range m.rivals.rivals {
+		r := &m.rivals.rivals[k]
+		if r.node == m.query.leaf {
+			continue
+		}
+		x := r.share*level - r.lead - (r.deferredCharge+r.otherRate*t/2)*paid + m.query.estimatedWork/2
+		if last && r.tokens > 0 {
+			x = math.Inf(1)
+		}
+		x = min(x, r.backlog+r.arrivalRate*arrivalSpan, max(0, r.tokens)+r.refillRate*t)
+		sum += max(0, x) * m.rivals.scale
+	}
+	return sum
+}
+
+// addOtherLanes adds to sum what goes of the other lanes meanwhile.
+func (f *Queue) addOtherLanes(m *waitModel, sum, t, arrivalSpan float64) float64 {
+	own := sum - m.excess
+	for i := range f.lanes {
+		x := &f.lanes[i]
+		if x == m.lane {
+			continue
+		}
+		most := f.root.backlog[i] + x.dispatchedWork + x.arrivals.perSecond(f.now)*arrivalSpan
+		if f.root.backlog[i] <= shortWaitPart*m.flow*t {
+			sum += most
+		} else {
+			sum += min(f.laneRatio(i, m.query.Lane)*own, most)
+		}
+	}
+	return sum
+}
+
 // tokensOf is the tightest budget over a team: what is left, and what comes back
 // a second.
 func (f *Queue) tightestQuota(n *node) (tokens, refilled float64) {
--- a/internal/fairqueue/fair.go
+++ b/internal/fairqueue/fair.go
@@ -133,54 +133,91 @@
 // dispatches admitted queries.
 func (f *Queue) Enqueue(now time.Duration, q *Query) Admission {
 	f.advance(now)
-	l := &f.lanes[q.Lane]
 	n := f.node(q.Tenant)
-	q.leaf, q.enqueuedAt, q.Arrived = n, f.now, f.now
+	q.leaf = n
+	q.enqueuedAt = f.now
+	q.Arrived = f.now
 	n.counts.Arrived++
 	f.Total.Arrived++
-	if q.RepeatOf != 0 {
-		if was, ok := f.repeats.take(q.RepeatOf); ok && was.tenant == q.Tenant {
-			q.Arrived, q.credit = was.arrived, was.charged
-			n.counts.Repeated++
-			f.Total.Repeated++
-		}
-	}
+	f.takeOverRepeat(q)
 	q.estimatedWork = f.usualWork(n, q.Lane)
-	est := f.estimateWait(q)
-	v := Admission{Admitted: true, Estimate: est}
-	// behind others of its team it isn't let in to grow old; a team's first is, since
-	// ageing brings its turn whatever its weight
+	admission, wait := f.decideAdmission(q)
+	if !admission.Admitted {
+		f.reject(q, n)
+		return admission
+	}
+	f.recordArrival(q)
+	f.lastSequence++
+	q.sequence = f.lastSequence
+	q.state = stateWaiting
+	q.Estimate = wait
+	q.expectedStart = f.now + wait
+	f.insertWaiting(q)
+	return admission
+}
+
+// takeOverRepeat gives a repeated call the age and the charge of the call that it repeats.
+func (f *Queue) takeOverRepeat(q *Query) {
+	if q.RepeatOf == 0 {
+		return
+	}
+	was, ok := f.repeats.take(q.RepeatOf)
+	if !ok || was.tenant != q.Tenant {
+		return
+	}
+	q.Arrived = was.arrived
+	q.credit = was.charged
+	q.leaf.counts.Repeated++
+	f.Total.Repeated++
+}
+
+// decideAdmission checks a query's wait estimate against the bounds. wait is the estimate that
+// an admitted query is queued with.
+func (f *Queue) decideAdmission(q *Query) (admission Admission, wait time.Duration) {
+	n := q.leaf
+	estimate := f.estimateWait(q)
+	wait = estimate
+	// A query behind others of its tenant is not admitted to grow old. The first of a tenant is:
+	// ageing brings its turn whatever its weight.
 	limit := f.config.AgeingLimit*3/5 - (q.enqueuedAt - q.Arrived)
 	if n.queues[q.Lane].First() == nil {
-		est = min(est, f.config.AgeingLimit)
-		limit = est
+		wait = min(estimate, f.config.AgeingLimit)
+		limit = wait
 	}
+	run := seconds(f.usualRunSeconds(&f.lanes[q.Lane]))
 	switch {
 	case n.waiting >= n.maxWaiting:
-		v = Admission{Reason: TenantQueueFull, Estimate: est}
+		return Admission{Reason: TenantQueueFull, Estimate: wait}, wait
 	case f.waiting >= f.config.MaxWaiting:
-		v = Admission{Reason: QueueFull, Estimate: est}
-	case f.now+est+seconds(f.usualRunSeconds(l)) > q.Deadline:
-		v = Admission{Reason: WouldStartTooLate, Estimate: est}
-	case est > max(limit, f.config.AgeingLimit/5):
-		v = Admission{Reason: WaitTooLong, Estimate: est}
-	}
-	if !v.Admitted {
-		f.reject(q, n)
-		return v
+		return Admission{Reason: QueueFull, Estimate: wait}, wait
+	case f.now+wait+run > q.Deadline:
+		return Admission{Reason: WouldStartTooLate, Estimate: wait}, wait
+	case wait > max(limit, f.config.AgeingLimit/5):
+		return Admission{Reason: WaitTooLong, Estimate: wait}, wait
 	}
-	usual := q.estimatedWork / f.surge.add(f.now, q.estimatedWork, f.totalArrivalRate(), minSurgeQueries*f.largestUsualWork())
+	return Admission{Admitted: true, Estimate: estimate}, wait
+}
+
+// recordArrival adds an admitted query to the arrival rates; in a surge it counts for less.
+func (f *Queue) recordArrival(q *Query) {
+	n := q.leaf
+	leastSurge := minSurgeQueries * f.largestUsualWork()
+	usual := q.estimatedWork / f.surge.add(f.now, q.estimatedWork, f.totalArrivalRate(), leastSurge)
 	n.arrivalRates[q.Lane].add(f.now, usual)
-	l.arrivals.add(f.now, usual)
+	f.lanes[q.Lane].arrivals.add(f.now, usual)
 	q.workAhead = n.backlog[q.Lane] + n.dequeuedWork[q.Lane]
 	if q.NotifyChanges && !q.subscribed && len(f.subscribers) < maxSubscribers {
 		q.subscribed = true
 		f.subscribers = append(f.subscribers, q)
 	}
-	f.lastSequence++
-	q.sequence, q.state, q.Estimate, q.expectedStart = f.lastSequence, stateWaiting, est, f.now+est
-	f.addActive(n)
-	n.waiting++
+}
+
+// insertWaiting puts an admitted query into its lane, its orders and, if it may go, its
+// tenant's queue.
+func (f *Queue) insertWaiting(q *Query) {
+	l := &f.lanes[q.Lane]
+	f.addActive(q.leaf)
+	q.leaf.waiting++
 	f.waiting++
 	l.waiting++
 	f.addBacklog(q)
@@ -194,7 +231,6 @@
 	if q.firstOfItsKey() {
 		f.makeEligible(q)
 	}
-	return v
 }
 
 // queue counts a query among those that wait, up to the root.
@@ -374,48 +410,22 @@
 		return
 	case stateWaiting:
 		f.dequeue(q, l)
-	case stateDispatched: // never sent: it took nothing
-		f.running.Remove(&q.turnElement)
-		f.inFlightWork -= q.remainingWork
-		f.runningThreads -= l.Threads
+	case stateDispatched: // never sent: it used nothing
+		f.removeRunning(q, l)
 		l.removeDispatched(q)
 		f.charge(n, q.Lane, -q.charged)
 		q.charged = 0
 	case stateRunning:
-		f.running.Remove(&q.turnElement)
-		f.inFlightWork -= q.remainingWork
-		f.runningThreads -= l.Threads
-		if took := (f.now - q.startedAt).Seconds(); end == Finished {
-			l.runSeconds.add(took, 200)
-			if work > 0 {
-				l.slowdown.add(max(1, took*l.Threads/work.Seconds()), 200)
-			}
+		f.removeRunning(q, l)
+		if end == Finished {
+			f.learnRunTime(q, l, work)
 		}
 		if work > 0 {
-			// a bad plan is no usual work
-			usual := min(work.Seconds(), f.config.OverrunFactor*q.estimatedWork)
-			l.usualCost.add(usual, 400)
-			n.usualCosts[q.Lane].add(usual, 100)
-			f.workDone.add(f.now, max(0, work.Seconds()-q.measuredWork)/f.cores)
-			real := max(0, work.Seconds()+lost.Seconds()*l.Threads/max(1, l.slowdown.valueOr(1))-q.credit)
-			f.correctCharge(n, real-q.charged)
-			q.charged = real
+			f.settleWork(q, l, work, lost)
 		}
 	}
-	count := func(x *Counts) {
-		switch end {
-		case Finished:
-			x.Finished++
-		case Deferred:
-			x.Deferred++
-		case Killed:
-			x.Killed++
-		case ClientGone:
-			x.ClientGone++
-		}
-	}
-	count(&n.counts)
-	count(&f.Total)
+	n.counts.add(end)
+	f.Total.add(end)
 	if end != Finished {
 		f.rememberForRepeat(q)
 	}
@@ -427,11 +437,54 @@
 	f.removeActive(n)
 }
 
+// removeRunning takes a dispatched or running query out of the work in flight.
+func (f *Queue) removeRunning(q *Query, l *lane) {
+	f.running.Remove(&q.turnElement)
+	f.inFlightWork -= q.remainingWork
+	f.runningThreads -= l.Threads
+}
+
+// learnRunTime adds a finished query to its lane's usual run time and slowdown.
+func (f *Queue) learnRunTime(q *Query, l *lane, work time.Duration) {
+	took := (f.now - q.startedAt).Seconds()
+	l.runSeconds.add(took, 200)
+	if work > 0 {
+		l.slowdown.add(max(1, took*l.Threads/work.Seconds()), 200)
+	}
+}
+
+// settleWork replaces what a query was charged while it ran by what it really used.
+func (f *Queue) settleWork(q *Query, l *lane, work, lost time.Duration) {
+	// The work of a bad plan is not taken for usual.
+	usual := min(work.Seconds(), f.config.OverrunFactor*q.estimatedWork)
+	l.usualCost.add(usual, 400)
+	q.leaf.usualCosts[q.Lane].add(usual, 100)
+	f.workDone.add(f.now, max(0, work.Seconds()-q.measuredWork)/f.cores)
+	real := max(0, work.Seconds()+lost.Seconds()*l.Threads/max(1, l.slowdown.valueOr(1))-q.credit)
+	f.correctCharge(q.leaf, real-q.charged)
+	q.charged = real
+}
+
+// add counts a query's outcome.
+func (x *Counts) add(end Outcome) {
+	switch end {
+	case Finished:
+		x.Finished++
+	case Deferred:
+		x.Deferred++
+	case Killed:
+		x.Killed++
+	case ClientGone:
+		x.ClientGone++
+	}
+}
+
 // Sweep is called every SweepInterval. It charges running queries for what they have used so
 // far, calls lower for each query whose priority is to be lowered (on) or raised again, and
 // calls retell for each waiting query that asked for changes of its estimate and whose estimate
 // changed by much. After a jump of the clock it charges no more than maxSweepSpan.
-func (f *Queue) Sweep(now time.Duration, lower func(q *Query, on bool), retell func(q *Query, wait time.Duration)) {
+func (f *Queue) Sweep(now time.Duration, lower func(q *Query, on bool),
+	retell func(q *Query, wait time.Duration)) {
 	f.advance(now)
 	span := min(f.now-f.sweptAt, maxSweepSpan)
 	f.servicePerThread += span.Seconds() * min(1, f.cores/max(1, f.runningThreads))
@@ -440,16 +493,11 @@
 	if f.waiting > 0 {
 		f.lastWaitingAt = f.now
 	}
-	waited := 0.0 // the most that what waits is worth for its work
-	for i := range f.lanes {
-		if l := &f.lanes[i]; l.waiting > 0 {
-			waited = max(waited, l.valuePerWork())
-		}
-	}
-	inFlight, overrun := 0.0, 0.0
+	waitingValue := f.waitingValue()
 	for e := f.running.First(); e != nil; e = e.Next() {
 		e.Value.leaf.overrunRate = 0
 	}
+	inFlight, overrun := 0.0, 0.0
 	for e := f.running.First(); e != nil; e = e.Next() {
 		q := e.Value
 		if q.state != stateRunning {
@@ -457,40 +505,18 @@
 			inFlight += q.remainingWork
 			continue
 		}
-		l := &f.lanes[q.Lane]
-		q.ranSeconds += min(span, f.now-q.sweptAt).Seconds()
-		q.sweptAt = f.now
-		q.remainingWork = max(0.05*q.estimatedWork, q.estimatedWork-l.Threads*(f.servicePerThread-q.serviceAtDispatch))
+		work := f.chargeRunning(q, span)
 		inFlight += q.remainingWork
-		// by the pace its lane usually has, of the threads it holds
-		work := q.ranSeconds*l.Threads/max(1, l.slowdown.valueOr(1)) - q.credit
-		if work > q.charged {
-			f.correctCharge(q.leaf, work-q.charged)
-			q.charged = work
-		}
-		if over := work > 2*q.estimatedWork; over {
-			pace := l.Threads / max(1, l.slowdown.valueOr(1))
-			overrun += pace
-			q.leaf.overrunRate += pace
-			f.workDone.add(f.now, max(0, work-q.measuredWork)/f.cores)
-			q.measuredWork = max(q.measuredWork, work)
-		}
-		on := f.now-f.lastWaitingAt < raisePriorityAfter && !l.Ordered && !l.Chained &&
-			(work > f.config.OverrunFactor*q.estimatedWork || f.anyOverQuota(q.leaf) || l.valuePerWork() < waited/2)
-		if on != q.lowered {
-			if q.lowered = on; on {
-				q.leaf.counts.Lowered++
-				f.Total.Lowered++
-			}
-			if lower != nil {
-				lower(q, on)
-			}
+		if work > 2*q.estimatedWork {
+			overrun += f.recordOverrun(q, work)
 		}
+		f.updatePriority(q, work, waitingValue, lower)
 	}
-	if f.overrunRate = overrun; f.waiting > 0 {
+	f.overrunRate = overrun
+	if f.waiting > 0 {
 		f.overrunMean.add(overrun, 200)
 	}
-	f.inFlightWork = inFlight // sums of what came and went don't quite meet
+	f.inFlightWork = inFlight // anew: the rounding of what was added and taken off adds up
 	if retell != nil {
 		f.notifyChangedWaits(retell)
 	}
@@ -498,6 +524,65 @@
 	f.repeats.dropExpired(f.now)
 }
 
+// waitingValue is the greatest value for its work of the lanes in which queries wait.
+func (f *Queue) waitingValue() float64 {
+	most := 0.0
+	for i := range f.lanes {
+		if l := &f.lanes[i]; l.waiting > 0 {
+			most = max(most, l.valuePerWork())
+		}
+	}
+	return most
+}
+
+// chargeRunning charges a running query for a span and returns the thread seconds that it is
+// thought to have used: by the usual slowdown of its lane, of the threads that it holds.
+func (f *Queue) chargeRunning(q *Query, span time.Duration) (work float64) {
+	l := &f.lanes[q.Lane]
+	q.ranSeconds += min(span, f.now-q.sweptAt).Seconds()
+	q.sweptAt = f.now
+	served := f.servicePerThread - q.serviceAtDispatch
+	q.remainingWork = max(0.05*q.estimatedWork, q.estimatedWork-l.Threads*served)
+	work = q.ranSeconds*l.Threads/max(1, l.slowdown.valueOr(1)) - q.credit
+	if work > q.charged {
+		f.correctCharge(q.leaf, work-q.charged)
+		q.charged = work
+	}
+	return work
+}
+
+// recordOverrun counts a query that runs far beyond its usual work, and returns the thread time
+// a second that it takes.
+func (f *Queue) recordOverrun(q *Query, work float64) (pace float64) {
+	l := &f.lanes[q.Lane]
+	pace = l.Threads / max(1, l.slowdown.valueOr(1))
+	q.leaf.overrunRate += pace
+	f.workDone.add(f.now, max(0, work-q.measuredWork)/f.cores)
+	q.measuredWork = max(q.measuredWork, work)
+	return pace
+}
+
+// updatePriority lowers a running query's priority, or raises it again. While queries wait, those
+// are lowered that overrun, whose tenant is over its quota, or that are worth much less for
+// their work than what waits. Ordered and chained queries never are.
+func (f *Queue) updatePriority(q *Query, work, waitingValue float64, lower func(q *Query, on bool)) {
+	l := &f.lanes[q.Lane]
+	on := f.now-f.lastWaitingAt < raisePriorityAfter && !l.Ordered && !l.Chained &&
+		(work > f.config.OverrunFactor*q.estimatedWork || f.anyOverQuota(q.leaf) ||
+			l.valuePerWork() < waitingValue/2)
+	if on == q.lowered {
+		return
+	}
+	q.lowered = on
+	if on {
+		q.leaf.counts.Lowered++
+		f.Total.Lowered++
+	}
+	if lower != nil {
+		lower(q, on)
+	}
+}
+
 // raiseAfter is how long nobody has waited when what makes way is raised again:
 // where engines are nearly full somebody waits every other moment.
 const raisePriorityAfter = 2 * time.Second
--- a/internal/fairqueue/reload.go
+++ b/internal/fairqueue/reload.go
@@ -57,94 +57,122 @@
 // Reload follows another configuration with the same lanes. Waiting and running queries keep
 // their age and their tenant, or become the default tenant's if theirs is gone. Tenants keep
 // their charges and the state of their token buckets.
-func (f *Queue) Reload(now time.Duration, shape Config) {
+func (f *Queue) Reload(now time.Duration, config Config) {
 	f.advance(now)
-	var all []*Query
+	var queries []*Query
 	for i := range f.lanes {
 		for e := f.lanes[i].byAge.First(); e != nil; e = e.Next() {
-			all = append(all, e.Value)
+			queries = append(queries, e.Value)
 		}
 	}
-	queued := len(all)
+	waiting := len(queries)
 	for e := f.running.First(); e != nil; e = e.Next() {
-		all = append(all, e.Value)
+		queries = append(queries, e.Value)
 	}
-	type kept struct {
-		lead     []float64
-		tokens   float64
-		tokensAt time.Duration
-		counts   Counts
-		cost     []runningMean
-		rate     []arrivalRate
-	}
-	had := map[string]kept{}
 	names := make([]string, len(f.tenants))
 	for i := range f.tenants {
-		p := &f.tenants[i]
-		names[i] = p.Name
-		if n := p.state; n != nil {
-			lead := make([]float64, len(n.virtualStart))
-			for k := range lead {
-				lead[k] = n.virtualStart[k] - n.parent.virtualTime(k)
-			}
-			had[p.path] = kept{lead, n.tokens, n.tokensAt, n.counts, n.usualCosts, n.arrivalRates}
-		}
+		names[i] = f.tenants[i].Name
 	}
+	kept := f.keptStates()
 	for len(f.debtors) > 0 {
 		f.settleDebts(time.Hour)
 	}
-	f.idle, f.refills, f.nodeCount = intrusivelist.List[node]{}, nil, 0
+	f.idle = intrusivelist.List[node]{}
+	f.refills = nil
+	f.nodeCount = 0
 	f.root = &node{weight: 1}
-	f.applyConfig(shape)
+	f.applyConfig(config)
 	for i := range f.lanes {
-		f.lanes[i].eligibleTenants, f.lanes[i].profile = 0, rivalProfile{}
+		f.lanes[i].eligibleTenants = 0
+		f.lanes[i].profile = rivalProfile{}
+	}
+	f.restoreStates(kept)
+	f.reassign(queries, waiting, names)
+	for i := range f.tenants { // a quota used up before is so still
+		if n := f.tenants[i].state; n != nil && n.quota > 0 {
+			f.refill(n)
+			f.updateQuotaBand(n)
+		}
+	}
+}
+
+// keptState is what a tenant keeps over a reload.
+type keptState struct {
+	lead     []float64 // of virtual start over the parent's virtual time, by lane
+	tokens   float64
+	tokensAt time.Duration
+	counts   Counts
+	cost     []runningMean
+	rate     []arrivalRate
+}
+
+// keptStates collects the state of all tenants by path.
+func (f *Queue) keptStates() map[string]keptState {
+	kept := map[string]keptState{}
+	for i := range f.tenants {
+		n := f.tenants[i].state
+		if n == nil {
+			continue
+		}
+		lead := make([]float64, len(n.virtualStart))
+		for k := range lead {
+			lead[k] = n.virtualStart[k] - n.parent.virtualTime(k)
+		}
+		kept[f.tenants[i].path] = keptState{lead, n.tokens, n.tokensAt, n.counts, n.usualCosts, n.arrivalRates}
 	}
+	return kept
+}
+
+// restoreStates gives the tenants that are still configured their state again.
+func (f *Queue) restoreStates(kept map[string]keptState) {
 	for i := range f.tenants {
 		p := &f.tenants[i]
-		was, ok := had[p.path]
+		was, ok := kept[p.path]
 		if !ok {
 			continue
 		}
 		n := f.node(i)
-		n.virtualStart, n.counts, n.tokensAt = was.lead, was.counts, was.tokensAt
+		n.virtualStart = was.lead
+		n.counts = was.counts
+		n.tokensAt = was.tokensAt
 		if n.quota > 0 {
 			n.tokens = min(n.burst, was.tokens)
 		}
 		if p.isLeaf && was.cost != nil {
-			n.usualCosts, n.arrivalRates = was.cost, was.rate
+			n.usualCosts = was.cost
+			n.arrivalRates = was.rate
 		}
 	}
-	var offered []*Query
-	for i, q := range all {
-		team, ok := f.resolver.byName[names[q.Tenant]]
+}
+
+// reassign puts queries, of which the first so many wait, into their tenants by name.
+func (f *Queue) reassign(queries []*Query, waiting int, names []string) {
+	var eligible []*Query
+	for i, q := range queries {
+		tenant, ok := f.resolver.byName[names[q.Tenant]]
 		if !ok {
-			team = f.resolver.defaultTenant
+			tenant = f.resolver.defaultTenant
 		}
-		q.Tenant, q.leaf = team, f.node(team)
+		q.Tenant = tenant
+		q.leaf = f.node(tenant)
 		n := q.leaf
 		f.addActive(n)
-		if i >= queued {
+		if i >= waiting {
 			continue
 		}
 		n.waiting++
 		q.workAhead = n.backlog[q.Lane]
 		f.addBacklog(q)
 		if q.eligible {
-			offered = append(offered, q)
+			eligible = append(eligible, q)
 		}
-		q.turnElement, q.eligible = intrusivelist.Element[Query]{}, false
+		q.turnElement = intrusivelist.Element[Query]{}
+		q.eligible = false
 	}
-	// only now: one that is offered may bring back those parked behind it, which must
-	// be in their new teams by then
-	for _, q := range offered {
+	// Only after all have their tenant: one made eligible may bring back those parked behind it.
+	for _, q := range eligible {
 		if !q.eligible {
 			f.makeEligible(q)
 		}
 	}
-	for i := range f.tenants { // a budget used up before is so still
-		if n := f.tenants[i].state; n != nil && n.quota > 0 {
-			f.refill(n)
-			f.updateQuotaBand(n)
-		}
-	}
 }
