--- a/internal/bench/planted.go
+++ b/internal/bench/planted.go
@@ -36,7 +36,7 @@
 	{"down", "purge confirmed without those down", "internal/fleet/node", "./internal/bench", "^TestBriefSchedules$", "confirmed_wrongly:"},
 	{"write", "lease not looked at before writing", "internal/eventloop", "./internal/eventloop", "^TestTheWordIsAskedRightBeforeAWrite$", `: "free by 7 free too", [`},
 	{"draw", "drawn answer kept over a purge", "internal/resultcache", "./internal/resultcache", "^TestDrawnOverAPurge$", "what was drawn before a purge is served after it"},
-	{"copy", "a copy past the boundary", "internal/scheduler", "./internal/scheduler", "^TestNoEngineOutsideGetsABoundQuery$", "and it may be at ["},
+	{"copy", "a copy past the boundary", "internal/scheduler", "./internal/scheduler", "^TestConfinedQueryStaysInAllowedLocations$", "and it may be at ["},
 	{"follow", "followed binding not recorded first", "internal/controller", "./internal/controller", "^TestALoadIsSentOnceWhatItBindsIsRecorded$", "sent before the record has it"},
 	{"relay", "a relay that answers a renewal by itself", "internal/fleet/node", "./internal/bench", "^TestBriefSchedulesWithRelays$", "mixed:"},
 	{"mac", "MAC not checked", "internal/fleet/transport", "./internal/fleet/transport", "^(TestAStrangersAskIsRefused|TestAMACIsForItsPurposeAndItsBytes)$", "a wrong MAC was accepted"},
--- a/internal/scheduler/size_test.go
+++ b/internal/scheduler/benchmark_test.go
@@ -25,7 +25,8 @@
 
 func sized(engines int) (*quiet, *Scheduler) {
 	a := &quiet{}
-	g := New(a, 7, plainFacts(map[string]string{"gateways": "350", "report.how": "probed", "group.2.in-order": ""}))
+	g := New(a, 7, plainFacts(map[string]string{"gateways": "350", "report.how": "probed",
+		"group.2.in-order": ""}))
 	g.ListStarted(0, true)
 	for i := range engines {
 		g.EngineListed(fmt.Sprint("e", i), 0, 0, i/6, EngineActive, 0, false)
--- a/internal/scheduler/inside_test.go
+++ b/internal/scheduler/confinement_test.go
@@ -35,12 +35,14 @@
 
 // Every way to an engine obeys a query's boundary: first submissions, chains, repeats after
 // each kind of end, moves, copies; and a boundary that changes while the query is held.
-func TestNoEngineOutsideGetsABoundQuery(t *testing.T) {
+func TestConfinedQueryStaysInAllowedLocations(t *testing.T) {
 	crossedBoth := false
 	rapid.Check(t, func(t *rapid.T) {
-		f := &fence{t: t, inside: map[string][]string{}, at: map[string]int{}, tries: map[string]int{}, sent: map[int]int{}}
+		f := &fence{t: t, inside: map[string][]string{}, at: map[string]int{}, tries: map[string]int{},
+			sent: map[int]int{}}
 		g := New(f, 7, plainFacts(map[string]string{"may.copy": strconv.FormatBool(rapid.Bool().Draw(t, "copies")),
-			"submissions.most": "6", "group.1.locations": "0,1", "report.how": rapid.SampledFrom([]string{"off", "probed"}).Draw(t, "reports")}))
+			"submissions.most": "6", "group.1.locations": "0,1", "report.how": rapid.SampledFrom([]string{"off",
+				"probed"}).Draw(t, "reports")}))
 		list := func(now time.Duration, state func(i int) EngineState) {
 			g.ListStarted(now, true)
 			for i := range 6 {
@@ -52,11 +54,13 @@
 		}
 		list(0, func(int) EngineState { return EngineActive })
 		bounds := rapid.SampledFrom([][]string{{"0"}, {"1", "2"}, {"2"}, {}})
-		for now, n := 20*ms, 0; n < 60; now, n = now+rapid.SampledFrom([]time.Duration{ms, 40 * ms, 400 * ms}).Draw(t, "later"), n+1 {
+		for now, n := 20*ms, 0; n < 60; now, n = now+rapid.SampledFrom([]time.Duration{ms, 40 * ms,
+			400 * ms}).Draw(t, "later"), n+1 {
 			switch rapid.IntRange(0, 5).Draw(t, "what") {
 			case 0, 1, 2:
 				id := fmt.Sprint("q", n)
-				group, budget := rapid.IntRange(0, 2).Draw(t, "group"), rapid.SampledFrom([]time.Duration{2 * sec, 20 * sec}).Draw(t, "budget")
+				group, budget := rapid.IntRange(0, 2).Draw(t, "group"), rapid.SampledFrom([]time.Duration{2 * sec,
+					20 * sec}).Draw(t, "budget")
 				var inside []string
 				if rapid.IntRange(0, 2).Draw(t, "bound") > 0 {
 					inside = bounds.Draw(t, "inside")
@@ -70,11 +74,13 @@
 					var try int
 					fmt.Sscan(f.out[i], &id, &try)
 					f.out = slices.Delete(f.out, i, i+1)
-					if how := rapid.SampledFrom([]Outcome{Finished, Rejected, ConnectionReset, Unreachable, NeverSent, Cancelled}).Draw(t, "end"); how == Finished ||
+					if how := rapid.SampledFrom([]Outcome{Finished, Rejected, ConnectionReset, Unreachable, NeverSent,
+						Cancelled}).Draw(t, "end"); how == Finished ||
 						rapid.Bool().Draw(t, "ends") {
 						g.AttemptEnded(now, id, try, how, 100*ms, how == Finished, 0, 0, nil)
 					} else {
-						g.NoteReceived(now, id, try, rapid.SampledFrom([]NoteKind{WaitsForLoad, Progress}).Draw(t, "sign"), 0.001)
+						g.NoteReceived(now, id, try, rapid.SampledFrom([]NoteKind{WaitsForLoad, Progress}).Draw(t, "sign"),
+							0.001)
 					}
 				}
 			case 4:
@@ -86,7 +92,8 @@
 					return EngineActive
 				})
 			case 5:
-				for _, id := range rapid.Permutation([]string{"q0", "q3", "q5", "q9", "q20"}).Draw(t, "other bounds")[:2] {
+				for _, id := range rapid.Permutation([]string{"q0", "q3", "q5", "q9", "q20"}).Draw(t,
+					"other bounds")[:2] {
 					if g.queries[id] != nil {
 						f.inside[id] = bounds.Draw(t, "then")
 						g.ConfineQuery(now, id, f.inside[id])
@@ -108,8 +115,9 @@
 }
 
 // What is held for want of an engine inside holds up nobody who may go elsewhere.
-func TestBoundQueriesHoldUpOnlyTheirLike(t *testing.T) {
-	f := &fence{t: t, inside: map[string][]string{"bound": {"5"}}, at: map[string]int{"e0": 0}, tries: map[string]int{}, sent: map[int]int{}}
+func TestConfinedQueryBlocksOnlyItsLike(t *testing.T) {
+	f := &fence{t: t, inside: map[string][]string{"bound": {"5"}}, at: map[string]int{"e0": 0},
+		tries: map[string]int{}, sent: map[int]int{}}
 	g := New(f, 7, plainFacts(nil))
 	g.ListStarted(0, true)
 	g.EngineListed("e0", 0, 0, 0, EngineActive, 0, false)
--- a/internal/scheduler/events.go
+++ b/internal/scheduler/events.go
@@ -84,7 +84,8 @@
 
 // ConfinedQueryArrived takes a query that may only be sent to engines at some of its group's
 // locations, by their places in the settings; nil: at all of them, empty: at none.
-func (s *Scheduler) ConfinedQueryArrived(now time.Duration, id string, group, tenant int, budget time.Duration,
+func (s *Scheduler) ConfinedQueryArrived(now time.Duration, id string, group, tenant int,
+	budget time.Duration,
 	tables, key int64, work time.Duration, memoryMB float64, locations []string) {
 	s.now = now
 	if group < 0 || group >= len(s.groups) {
@@ -123,7 +124,8 @@
 }
 
 // AttemptEnded takes the end of an attempt; answered says that its query was answered with it.
-func (s *Scheduler) AttemptEnded(now time.Duration, id string, number int, outcome Outcome, took time.Duration,
+func (s *Scheduler) AttemptEnded(now time.Duration, id string, number int, outcome Outcome,
+	took time.Duration,
 	answered bool, work time.Duration, memoryMB float64, report map[string]float64) {
 	s.now = now
 	a := s.openAttempt(id, number)
@@ -213,7 +215,8 @@
 }
 
 // HealthCheckEnded takes the end of a health check, with a load report if it brought one.
-func (s *Scheduler) HealthCheckEnded(now time.Duration, id string, outcome Outcome, report map[string]float64) {
+func (s *Scheduler) HealthCheckEnded(now time.Duration, id string, outcome Outcome,
+	report map[string]float64) {
 	s.now = now
 	e := s.enginesByID[id]
 	if e == nil {
--- a/internal/scheduler/fleet_test.go
+++ b/internal/scheduler/fleet_test.go
@@ -275,10 +275,13 @@
 
 // newFleet starts gateways and engines with a share of all they can do as load,
 // spread unevenly over the gateways.
-func newFleet(seed uint64, gateways, engines int, load float64, length time.Duration, more map[string]string) *fleet {
-	f := &fleet{rng: rand.New(rand.NewPCG(seed, 1)), engines: map[string]*worker{}, multiple: 3, window: time.Second}
-	facts := plainFacts(map[string]string{"gateways": strconv.Itoa(gateways), "may.copy": "true", "note.period": "2000",
-		"report.how": "probed", "memory.short": "swap", "answers.cost": "true", "submissions.most": "3",
+func newFleet(seed uint64, gateways, engines int, load float64, length time.Duration,
+	more map[string]string) *fleet {
+	f := &fleet{rng: rand.New(rand.NewPCG(seed, 1)), engines: map[string]*worker{}, multiple: 3,
+		window: time.Second}
+	facts := plainFacts(map[string]string{"gateways": strconv.Itoa(gateways), "may.copy": "true",
+		"note.period": "2000",
+		"report.how":  "probed", "memory.short": "swap", "answers.cost": "true", "submissions.most": "3",
 		"group.0.target": "1000", "group.0.stretch": "1.5", "group.0.timeout": "5000",
 		"group.1.target": "2000", "group.1.stretch": "2.5", "group.1.timeout": "15000",
 		"group.2.target": "3000", "group.2.stretch": "2.5", "group.2.timeout": "25000", "group.2.in-order": "",
@@ -401,12 +404,13 @@
 // What all gateways together send to each cold one stays, in any window, under rule 4's
 // limit; and they are used: a twentieth of what they could do was sent to them once, while
 // queries were refused for want of room. FLEET_SEEDS asks for more than the usual one.
-func TestColdEnginesUnderTheSumOfAll(t *testing.T) {
+func TestSlowStartLimitHoldsOverAllControllers(t *testing.T) {
 	seeds := 1
 	if more, err := strconv.Atoi(os.Getenv("FLEET_SEEDS")); err == nil {
 		seeds = more
 	}
-	for _, shape := range []struct{ gateways, engines, replaced int }{{300, 80, 48}, {350, 40, 20}, {60, 80, 40}} {
+	for _, shape := range []struct{ gateways, engines, replaced int }{{300, 80, 48}, {350, 40, 20}, {60, 80,
+		40}} {
 		for seed := range seeds {
 			f := newFleet(uint64(seed+1), shape.gateways, shape.engines, 0.75, 22*sec, nil)
 			f.from = 8 * sec
@@ -422,12 +426,15 @@
 				}
 			}
 			use := f.coldWork / f.coldAble
-			t.Logf("%v seed %d: cold_worst=%.2f over=%d cold_use=%.2f service=%.3f", shape, seed+1, f.worst, f.over, use, f.served/f.offered)
+			t.Logf("%v seed %d: cold_worst=%.2f over=%d cold_use=%.2f service=%.3f", shape, seed+1, f.worst, f.over,
+				use, f.served/f.offered)
 			if f.over > 0 {
-				t.Fatalf("%v seed %d: a cold engine was sent %.2f times what it stands, %d submissions over it", shape, seed+1, f.worst, f.over)
+				t.Fatalf("%v seed %d: a cold engine was sent %.2f times what it stands, %d submissions over it", shape,
+					seed+1, f.worst, f.over)
 			}
 			if use < 0.08 {
-				t.Fatalf("%v seed %d: cold engines were sent %.2f of what they can do: safe by starving them", shape, seed+1, use)
+				t.Fatalf("%v seed %d: cold engines were sent %.2f of what they can do: safe by starving them", shape,
+					seed+1, use)
 			}
 		}
 	}
@@ -439,7 +446,7 @@
 // late, by up to a second, so that what was sent in turn arrives together; engines that are full send
 // queries on; and controllers that were away come back all at once, having learned nothing, counted
 // by the settings or not.
-func TestColdEnginesUnderTheSumAtAnySize(t *testing.T) {
+func TestSlowStartLimitHoldsAtAnyFleetSize(t *testing.T) {
 	for _, shape := range []struct {
 		gateways, told, engines, replaced int
 		multiple                          float64
@@ -456,8 +463,9 @@
 		{350, 300, 40, 20, 2, 500 * ms, 0},
 	} {
 		for seed := range 2 {
-			f := newFleet(uint64(seed+11), shape.gateways, shape.engines, 0.75, 20*sec, map[string]string{"gateways": strconv.Itoa(shape.told),
-				"cold.multiple": fmt.Sprint(shape.multiple), "cold.window": fmt.Sprint(shape.window.Milliseconds())})
+			f := newFleet(uint64(seed+11), shape.gateways, shape.engines, 0.75, 20*sec,
+				map[string]string{"gateways": strconv.Itoa(shape.told),
+					"cold.multiple": fmt.Sprint(shape.multiple), "cold.window": fmt.Sprint(shape.window.Milliseconds())})
 			f.multiple, f.window, f.lateShare, f.from = shape.multiple, shape.window, 1.0/3, 8*sec
 			for i := range shape.replaced {
 				f.release(5*sec+time.Duration(i*5/shape.replaced)*sec, fmt.Sprint("e", i))
@@ -473,12 +481,14 @@
 				}
 			}
 			use := f.coldWork / able
-			t.Logf("%v seed %d: worst window %.2f of N + 2 x root of N + 2, cold_use=%.2f service=%.3f", shape, seed, f.worstCalls, use, f.served/f.offered)
+			t.Logf("%v seed %d: worst window %.2f of N + 2 x root of N + 2, cold_use=%.2f service=%.3f", shape, seed,
+				f.worstCalls, use, f.served/f.offered)
 			if f.worstCalls > 1 {
 				t.Errorf("%v seed %d: a cold engine was sent %.2f of what is chance", shape, seed, f.worstCalls)
 			}
 			if use < shape.use {
-				t.Errorf("%v seed %d: cold engines were sent %.2f of what they can do: safe by starving them", shape, seed, use)
+				t.Errorf("%v seed %d: cold engines were sent %.2f of what they can do: safe by starving them", shape,
+					seed, use)
 			}
 		}
 	}
@@ -503,9 +513,9 @@
 	}
 }
 
-// What a report shows as free is read by several gateways while it keeps. Each that filled it alone put several
-// times what an engine can do on one of them at a time.
-func TestNoEngineIsFilledByAllWhoSawItFree(t *testing.T) {
+// What a report shows as free is read by several gateways while it keeps. Each that filled it alone put
+// several times what an engine can do on one of them at a time.
+func TestEngineIsNotFilledByAllThatSawItFree(t *testing.T) {
 	const most = 3 * fleetCores // threads
 	defer func(usual []float64) { fleetWork = usual }(fleetWork)
 	fleetWork = []float64{0.05, 0.4, 0.1} // short queries, so that many come while a report keeps
--- /dev/null
+++ b/internal/scheduler/invariants_test.go
@@ -0,0 +1,103 @@
+package scheduler
+
+import (
+	"testing"
+	"time"
+
+	"pgregory.net/rapid"
+)
+
+const ms, sec = time.Millisecond, time.Second
+
+// TestSchedulerKeepsRulesOnRandomDays plays random days; world checks the seven rules at every step.
+func TestSchedulerKeepsRulesOnRandomDays(t *testing.T) {
+	rapid.Check(t, func(t *rapid.T) {
+		pick := func(name string, from ...string) string { return rapid.SampledFrom(from).Draw(t, name) }
+		more := map[string]string{
+			"gateways": pick("gateways", "0", "1", "2", "300"), "may.cancel": pick("cancel", "true", "false"),
+			"may.copy": pick("copy", "true", "false"), "may.probe": pick("probe", "true", "false"),
+			"note.period": pick("notes", "0", "1000"), "submissions.most": pick("most", "1", "3", "6"),
+			"memory.short": pick("short", "queue", "trim", "swap"), "list.how": pick("list", "pushed", "asked"),
+			"group.0.effect": pick("effect", "read-only", "tokened", "mutating"), "group.0.window": "2000",
+			"group.0.scope": pick("scope", "all", "location", "cell"), "group.0.locations": pick("at", "", "0", "1"),
+			"group.1.kinds": pick("on", "", "0", "1"), "budget.span": pick("span", "0", "3000"),
+			"budget.least": "1", "budget.share": pick("share", "0", "0.2"), "key.rest": pick("rest", "0", "300"),
+			"report.how":     pick("reports", "off", "probed"),
+			"group.2.effect": pick("loads", "mutating", "tokened"), "group.2.window": "5000", "group.2.scope": "all",
+			"loads": pick("chains", "false,false,true", ""), "kind.cores": pick("cores", "8,8", "", "0"),
+		}
+		w := newWorld(t, rapid.IntRange(0, 6).Draw(t, "engines"), more)
+		for range rapid.IntRange(20, 150).Draw(t, "steps") {
+			step(t, w)
+		}
+		w.pass(40 * sec)
+	})
+}
+
+func step(t *rapid.T, w *world) {
+	n := rapid.IntRange(0, 99).Draw(t, "what")
+	engine := ""
+	if ids := w.ids(); len(ids) > 0 {
+		engine = rapid.SampledFrom(ids).Draw(t, "engine")
+	}
+	switch {
+	case n < 35:
+		group := rapid.IntRange(0, 2).Draw(t, "group")
+		w.take(group, rapid.Int64Range(0, 2).Draw(t, "tables"), rapid.Int64Range(-1, 2).Draw(t, "key"),
+			time.Duration(rapid.IntRange(0, 9000).Draw(t, "budget"))*ms)
+	case n < 60:
+		q, k := out(t, w)
+		if q != nil {
+			w.end(q, k, rapid.SampledFrom([]Outcome{Finished, Failed, Rejected, TimedOut, Unreachable,
+				ConnectionReset, Cancelled,
+				NeverSent}).Draw(t, "outcome"))
+		}
+	case n < 68:
+		if q, k := out(t, w); q != nil {
+			w.s.NoteReceived(w.now, q.id, k, NoteKind(rapid.IntRange(0, 3).Draw(t, "sign")), rapid.Float64Range(0,
+				1).Draw(t, "x"))
+			w.check()
+		}
+	case n < 73 && engine != "":
+		w.set(engine, EngineState(rapid.IntRange(0, 2).Draw(t, "state")))
+	case n < 76 && engine != "":
+		w.restart(engine)
+	case n < 78 && engine != "":
+		w.report(engine, map[string]float64{"held": 60})
+	case n < 80:
+		w.s.ListRefused(w.now)
+	case n < 82 && len(w.order) > 0:
+		q := rapid.SampledFrom(w.order).Draw(t, "leaver")
+		q.answered = true
+		w.s.ClientLeft(w.now, q.id)
+		w.check()
+	case n < 84:
+		w.s.AttemptEnded(w.now, "nobody", 0, Finished, sec, true, 0, 0, nil)
+	default:
+		w.pass(time.Duration(rapid.IntRange(0, 1500).Draw(t, "pass")) * ms)
+	}
+}
+
+func out(t *rapid.T, w *world) (*asked, int) {
+	var all []*asked
+	var tries []int
+	for _, q := range w.order {
+		for k, s := range q.subs {
+			if !s.ended {
+				all, tries = append(all, q), append(tries, k)
+			}
+		}
+	}
+	if len(all) == 0 {
+		return nil, 0
+	}
+	i := rapid.IntRange(0, len(all)-1).Draw(t, "out")
+	return all[i], tries[i]
+}
+
+func sentTo(q *asked) string {
+	if len(q.subs) == 0 {
+		return ""
+	}
+	return q.subs[len(q.subs)-1].engine
+}
--- /dev/null
+++ b/internal/scheduler/key_order_test.go
@@ -0,0 +1,44 @@
+package scheduler
+
+import (
+	"testing"
+	"time"
+)
+
+// A slow load held up its key's line; when it ended all twenty that stood behind it
+// were given up in one moment, came back in one moment, and the last of them reached
+// the gateway with most of their time gone: queries lost.
+func TestKeyQueueHoldsNoMoreThanCanBeDone(t *testing.T) {
+	w := newWorld(t, 2, nil)
+	head := w.take(2, 1, 5, 25*sec)
+	var line []*asked
+	for range 20 {
+		w.pass(60 * ms)
+		q := w.take(2, 2, 5, 20*sec)
+		if line = append(line, q); q.answered && q.overAt != w.now {
+			t.Fatal("given up, and not at once")
+		}
+	}
+	if line[1].answered {
+		t.Fatal("there is time enough for the first ones")
+	}
+	if w.pass(11 * sec); !line[19].answered {
+		t.Fatal("nineteen loads of a second and a half before it, and twenty seconds of time")
+	}
+	w.set("e0", EngineDraining) // no room: the queue is not empty when the next's turn comes
+	w.set("e1", EngineDraining)
+	w.take(2, 3, -1, 20*sec)
+	w.end(head, 0, Finished)
+	w.pass(ms)
+	at := map[time.Duration]int{}
+	for _, q := range line {
+		if q.answered {
+			at[q.overAt]++
+		}
+	}
+	for when, n := range at {
+		if n > 13 { // as many as can be done in their time, at 1.5 s each
+			t.Fatalf("%d of one line were given up at %v", n, when)
+		}
+	}
+}
--- a/internal/scheduler/world_test.go
+++ b/internal/scheduler/world_test.go
@@ -13,20 +13,20 @@
 
 // world is a Gateway's clients, engines and clock, and checks it by the seven rules.
 type world struct {
-	t         interface{ Fatalf(string, ...any) }
-	scheduler *Scheduler
-	facts     facts
-	now       time.Duration
-	wakes     []wake
-	queries   map[string]*asked
-	order     []*asked
-	engines   map[string]*machine
-	did       []string
-	extras    []time.Duration
-	rests     map[int64]time.Duration // until when a key rests
-	restBy    map[int64]*asked
-	probes    []string
-	named     []time.Duration // with each deferral, to come back
+	t       interface{ Fatalf(string, ...any) }
+	s       *Scheduler
+	facts   facts
+	now     time.Duration
+	wakes   []wake
+	queries map[string]*asked
+	order   []*asked
+	engines map[string]*machine
+	did     []string
+	extras  []time.Duration
+	rests   map[int64]time.Duration // until when a key rests
+	restBy  map[int64]*asked
+	probes  []string
+	named   []time.Duration // with each deferral, to come back
 }
 
 type wake struct {
@@ -82,8 +82,10 @@
 		"memory.short": "queue", "drain.grace": "1000", "report.how": "off", "cold.from": "0.33",
 		"cold.span":     "15000",
 		"cold.multiple": "3", "cold.window": "1000", "key.rest": "300", "answer.grace": "20", "tick": "5",
-		"group.0.value": "1", "group.0.target": "1000", "group.0.timeout": "5000", "group.0.effect": "read-only", "group.0.late-share": "0.1",
-		"group.1.value": "10", "group.1.target": "3000", "group.1.timeout": "15000", "group.1.effect": "read-only", "group.1.late-share": "0.4",
+		"group.0.value": "1", "group.0.target": "1000", "group.0.timeout": "5000", "group.0.effect": "read-only",
+		"group.0.late-share": "0.1",
+		"group.1.value":      "10", "group.1.target": "3000", "group.1.timeout": "15000",
+		"group.1.effect": "read-only", "group.1.late-share": "0.4",
 		"group.2.value": "6", "group.2.target": "4000", "group.2.timeout": "25000", "group.2.effect": "mutating",
 		"group.2.in-order": "true", "group.2.late-share": "0.5", "group.2.stretch": "3",
 	}
@@ -94,7 +96,7 @@
 func newWorld(t interface{ Fatalf(string, ...any) }, engines int, more map[string]string) *world {
 	w := &world{t: t, facts: plainFacts(more), queries: map[string]*asked{}, engines: map[string]*machine{},
 		rests: map[int64]time.Duration{}, restBy: map[int64]*asked{}}
-	w.scheduler = New(w, 7, w.facts)
+	w.s = New(w, 7, w.facts)
 	for i := range engines {
 		w.engines[fmt.Sprint("e", i)] = &machine{id: fmt.Sprint("e", i), location: i % 2, kind: i % 2, cell: i % 3}
 	}
@@ -105,12 +107,12 @@
 func (w *world) ids() []string { return slices.Sorted(maps.Keys(w.engines)) }
 
 func (w *world) list(whole bool, ids ...string) {
-	w.scheduler.ListStarted(w.now, whole)
+	w.s.ListStarted(w.now, whole)
 	for _, id := range ids {
 		m := w.engines[id]
-		w.scheduler.EngineListed(id, m.location, m.kind, m.cell, m.state, m.started, m.started > 0)
+		w.s.EngineListed(id, m.location, m.kind, m.cell, m.state, m.started, m.started > 0)
 	}
-	w.scheduler.ListEnded()
+	w.s.ListEnded()
 	w.check()
 }
 
@@ -131,7 +133,8 @@
 	id := fmt.Sprintf("q%03d", len(w.order))
 	q := &asked{id: id, group: group, key: key, taken: w.now, deadline: w.now + budget}
 	w.queries[q.id], w.order = q, append(w.order, q)
-	w.scheduler.QueryArrived(w.now, q.id, group, -1, budget, tables, key, time.Duration(w.work(group)*float64(time.Second)), 100)
+	w.s.QueryArrived(w.now, q.id, group, -1, budget, tables, key,
+		time.Duration(w.work(group)*float64(time.Second)), 100)
 	w.check()
 	return q
 }
@@ -152,7 +155,7 @@
 		w.rests[q.key], w.restBy[q.key] = w.now+w.facts.span("key.rest"), q
 	}
 	took := max(w.now-s.at, time.Duration(w.work(q.group)*float64(time.Second)))
-	w.scheduler.AttemptEnded(w.now, q.id, k, o, took, q.answered, 0, 0, nil)
+	w.s.AttemptEnded(w.now, q.id, k, o, took, q.answered, 0, 0, nil)
 	w.check()
 }
 
@@ -167,12 +170,12 @@
 		next := w.wakes[0]
 		w.wakes = w.wakes[1:]
 		w.now = max(w.now, next.at)
-		w.scheduler.TimerFired(w.now, next.tag)
+		w.s.TimerFired(w.now, next.tag)
 		w.check()
 		if len(w.probes) > 0 {
 			id := w.probes[0]
 			w.probes = w.probes[1:]
-			w.scheduler.HealthCheckEnded(w.now, id, Finished, nil)
+			w.s.HealthCheckEnded(w.now, id, Finished, nil)
 			w.check()
 		}
 	}
@@ -328,7 +331,7 @@
 }
 
 func (w *world) report(id string, figures map[string]float64) {
-	w.scheduler.HealthCheckEnded(w.now, id, Finished, figures)
+	w.s.HealthCheckEnded(w.now, id, Finished, figures)
 	w.check()
 }
 
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -11,18 +11,18 @@
 type Effect string
 
 const (
-	ReadOnly      Effect = "read-only" // may run any number of times
-	Keyed         Effect = "tokened"   // has an idempotency key, which engines keep for a time
-	NonIdempotent Effect = "mutating"  // may run once
+	ReadOnly      Effect = "read-only" // ReadOnly queries may run any number of times
+	Keyed         Effect = "tokened"   // Keyed: has an idempotency key, which engines keep for a time
+	NonIdempotent Effect = "mutating"  // NonIdempotent queries may run once
 )
 
 // KeyScope says which engines share the idempotency keys that they keep; any other value: none do.
 type KeyScope string
 
 const (
-	ScopeAll      KeyScope = "all"
-	ScopeLocation KeyScope = "location"
-	ScopeCell     KeyScope = "cell"
+	ScopeAll      KeyScope = "all"      // ScopeAll: all engines do.
+	ScopeLocation KeyScope = "location" // ScopeLocation: those of one location.
+	ScopeCell     KeyScope = "cell"     // ScopeCell: those of one cell.
 )
 
 // Group has the settings of a resource group.
--- a/internal/settings/terms_test.go
+++ b/internal/settings/terms_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-func TestBothDoorsGiveTheSame(t *testing.T) {
+func TestFromPairsAndFromJSONAgree(t *testing.T) {
 	pairs := []string{"balancers=3", "allowed.may_cancel=true", "allowed.connect_timeout_ms=250.0", "classes.count=2",
 		"classes.0.aim_stretch=1.5", "classes.0.effect=read_like", "classes.0.name=gauge_look_up", "classes.1.effect=non_idempotent",
 		"classes.1.fifo_by_key=true", "classes.1.importance=6.0", "classes.1.allowed_on=1", "classes.1.zones_open=0,1",
