--- a/internal/settings/mixed.go
+++ b/internal/settings/mixed.go
@@ -21,13 +21,17 @@
 		return x
 	}
 	if share := number("budget.share"); share > 0 && number("budget.span") <= 0 {
-		say(&refused, "budget.span", "none, and %s gives further submissions a share of %v", Key("budget.share"), share)
+		say(&refused, "budget.span", "none, and %s gives further submissions a share of %v", Key("budget.share"),
+			share)
 	}
 	teams := int(number("teams"))
-	if over, err := strconv.ParseFloat(facts["over.worth"], 64); teams > 0 && (err != nil || over < 0 || over > 1) {
-		say(&refused, "over.worth", "%q, and %s lists %d: what goes beyond a share is worth 0 to 1", facts["over.worth"], Key("teams"), teams)
+	over, err := strconv.ParseFloat(facts["over.worth"], 64)
+	if teams > 0 && (err != nil || over < 0 || over > 1) {
+		say(&refused, "over.worth", "%q, and %s lists %d: what goes beyond a share is worth 0 to 1",
+			facts["over.worth"], Key("teams"), teams)
 	}
-	for _, l := range [][2]string{{"loads", "groups"}, {"threads", "groups"}, {"waits", "groups"}, {"kind.cores", "kinds"}, {"kind.memory", "kinds"}} {
+	for _, l := range [][2]string{{"loads", "groups"}, {"threads", "groups"}, {"waits", "groups"},
+		{"kind.cores", "kinds"}, {"kind.memory", "kinds"}} {
 		want := int(number(l[1]))
 		if l[1] == "kinds" && facts["kinds"] != "" {
 			want = strings.Count(facts["kinds"], ",") + 1
@@ -44,12 +48,16 @@
 	if how == "probed" && facts["may.probe"] == "false" {
 		say(&odd, "report.how", "reports come by probe alone, and %s forbids probes", Key("may.probe"))
 	}
-	if most, given := facts["return.most"]; given && facts["may.name-return"] == "true" && number("return.most") <= 0 {
-		say(&odd, "return.most", "%s, and %s says that clients may be told when to come back", most, Key("may.name-return"))
+	most, given := facts["return.most"]
+	if given && facts["may.name-return"] == "true" && number("return.most") <= 0 {
+		say(&odd, "return.most", "%s, and %s says that clients may be told when to come back", most,
+			Key("may.name-return"))
 	}
-	if places := strings.Split(facts["locations"], ","); facts["own.location"] != "" && facts["locations"] != "" {
+	places := strings.Split(facts["locations"], ",")
+	if facts["own.location"] != "" && facts["locations"] != "" {
 		if i, err := strconv.Atoi(facts["own.location"]); err != nil || i < 0 || i >= len(places) {
-			say(&odd, "own.location", "%q is none of the %d in %s", facts["own.location"], len(places), Key("locations"))
+			say(&odd, "own.location", "%q is none of the %d in %s", facts["own.location"], len(places),
+				Key("locations"))
 		}
 	}
 	for i := range teams {
--- a/internal/simadapter/wire.go
+++ b/internal/simadapter/wire.go
@@ -18,24 +18,24 @@
 
 // host holds the instances of this process and the lists they share.
 type host struct {
-	out   *bufio.Writer
-	gates map[int]*door
-	lists [16][][]string
-	clock float64
+	out       *bufio.Writer
+	instances map[int]*instance
+	lists     [16][][]string
+	clock     float64
 }
 
-// door is one instance: its decisions and its start on the wire's clock.
-type door struct {
+// instance is one scheduler with its number and its start on the wire's clock.
+type instance struct {
 	*host
-	i     int
-	epoch float64
-	gate  *scheduler.Scheduler
-	dead  bool
+	i         int
+	epoch     float64
+	scheduler *scheduler.Scheduler
+	dead      bool
 }
 
 // Run serves the wire until input ends.
 func Run(in io.Reader, out io.Writer) error {
-	h := &host{out: bufio.NewWriterSize(out, 1<<18), gates: map[int]*door{}}
+	h := &host{out: bufio.NewWriterSize(out, 1<<18), instances: map[int]*instance{}}
 	r := bufio.NewReaderSize(in, 1<<20)
 	for n := 1; ; n++ {
 		line, err := r.ReadString('\n')
@@ -100,19 +100,19 @@
 	}
 	switch f[0] {
 	case "start":
-		d := &door{host: h, i: i, epoch: h.clock}
+		d := &instance{host: h, i: i, epoch: h.clock}
 		seed, err := strconv.ParseUint(c.text(2), 10, 64)
 		if err != nil {
 			return fmt.Errorf("no seed: %w", err)
 		}
 		names := settings.FromPairs(f[3:])
-		h.gates[i] = d
-		return d.guard(func() { d.gate = scheduler.New(d, seed, names) })
+		h.instances[i] = d
+		return d.guard(func() { d.scheduler = scheduler.New(d, seed, names) })
 	case "kill":
-		delete(h.gates, i)
+		delete(h.instances, i)
 		return nil
 	}
-	d := h.gates[i]
+	d := h.instances[i]
 	if d == nil {
 		return fmt.Errorf("instance %d has not started", i)
 	}
@@ -127,7 +127,7 @@
 }
 
 // guard turns a panic of the decisions into the wire's word for it.
-func (d *door) guard(f func()) error {
+func (d *instance) guard(f func()) error {
 	defer func() {
 		if p := recover(); p != nil {
 			d.dead = true
@@ -139,91 +139,110 @@
 	return nil
 }
 
-func (d *door) hand(name string, c *fields) error {
+func (d *instance) hand(name string, c *fields) error {
 	now := ms(d.clock - d.epoch)
 	switch name {
 	case "membership":
 		return d.list(now, c)
 	case "new_request":
-		options := c.whole(3)
-		key := int64(-1)
-		if c.given(5) {
-			key = int64(c.num(5))
-		}
-		var work time.Duration
-		if options&1 != 0 && c.given(7) {
-			work = ms(c.num(7))
-		}
-		team := c.whole(6) // a place among the teams, absent or 0 where there are none
-		id, rg, budget, tables, mem := c.text(2), c.whole(8), ms(c.num(9)), int64(c.num(4)), c.num(10)
-		if c.err == nil {
-			d.gate.QueryArrived(now, id, rg, team, budget, tables, key, work, mem)
-		}
+		d.arrival(now, c)
 	case "heartbeat":
-		x, what := c.num(3), c.whole(4)
-		sign := scheduler.Progress
-		switch {
-		case what == 2:
-			sign = scheduler.Spilling
-		case what == 3 && x == 1:
-			sign = scheduler.WaitsForMemory
-		case what == 3:
-			sign = scheduler.WaitsForLoad
-		case what != 1:
-			return c.err
-		}
-		id, try := c.text(2), c.whole(6)
-		if c.err == nil {
-			d.gate.NoteReceived(now, id, try, sign, x)
-		}
+		d.note(now, c)
 	case "attempt_end":
-		outcome, ok := outcomes[c.text(5)]
-		if !ok && c.err == nil {
-			return fmt.Errorf("unknown outcome %q", c.text(5))
-		}
-		var note int64
-		if c.given(8) {
-			note = int64(c.num(8))
-		}
-		id, try, took, over := c.text(2), c.whole(3), ms(c.num(6)), c.whole(7) == 1
-		report := c.report(9)
-		if c.err == nil {
-			d.gate.AttemptEnded(now, id, try, outcome, took, over,
-				time.Duration(note/4096)*time.Millisecond, float64(note%4096*4), report)
-		}
+		return d.attemptEnd(now, c)
 	case "timed_out_client":
 		if id := c.text(2); c.err == nil {
-			d.gate.ClientLeft(now, id)
+			d.scheduler.ClientLeft(now, id)
 		}
 	case "timeout_fired":
 		if tag := c.whole(2); c.err == nil {
-			d.gate.TimerFired(now, tag)
+			d.scheduler.TimerFired(now, tag)
 		}
 	case "head_received":
 		if id := c.text(2); c.err == nil {
-			d.gate.AnswerStarted(now, id)
+			d.scheduler.AnswerStarted(now, id)
 		}
 	case "memo":
 		return nil // nothing is ever told to another instance, and none is to be heard
 	case "probed":
-		outcome, ok := outcomes[c.text(3)]
-		if !ok && c.err == nil {
-			return fmt.Errorf("unknown outcome %q", c.text(3))
-		}
-		engine, report := c.text(2), c.report(5)
-		if c.err == nil {
-			d.gate.HealthCheckEnded(now, engine, outcome, report)
-		}
+		return d.healthCheckEnd(now, c)
 	default:
 		return errors.New("unknown event")
 	}
 	return c.err
 }
 
-func (d *door) list(now time.Duration, c *fields) error {
+func (d *instance) arrival(now time.Duration, c *fields) {
+	options := c.whole(3)
+	key := int64(-1)
+	if c.given(5) {
+		key = int64(c.num(5))
+	}
+	var work time.Duration
+	if options&1 != 0 && c.given(7) {
+		work = ms(c.num(7))
+	}
+	tenant := c.whole(6) // a place among the tenants, absent or 0 where there are none
+	id, group, budget := c.text(2), c.whole(8), ms(c.num(9))
+	tables, memoryMB := int64(c.num(4)), c.num(10)
+	if c.err == nil {
+		d.scheduler.QueryArrived(now, id, group, tenant, budget, tables, key, work, memoryMB)
+	}
+}
+
+func (d *instance) note(now time.Duration, c *fields) {
+	x, what := c.num(3), c.whole(4)
+	kind := scheduler.Progress
+	switch {
+	case what == 2:
+		kind = scheduler.Spilling
+	case what == 3 && x == 1:
+		kind = scheduler.WaitsForMemory
+	case what == 3:
+		kind = scheduler.WaitsForLoad
+	case what != 1:
+		return
+	}
+	id, number := c.text(2), c.whole(6)
+	if c.err == nil {
+		d.scheduler.NoteReceived(now, id, number, kind, x)
+	}
+}
+
+func (d *instance) attemptEnd(now time.Duration, c *fields) error {
+	outcome, ok := outcomes[c.text(5)]
+	if !ok && c.err == nil {
+		return fmt.Errorf("unknown outcome %q", c.text(5))
+	}
+	var cost int64 // milliseconds of work and, in steps of 4, MB of memory
+	if c.given(8) {
+		cost = int64(c.num(8))
+	}
+	id, number, took, answered := c.text(2), c.whole(3), ms(c.num(6)), c.whole(7) == 1
+	report := c.report(9)
+	if c.err == nil {
+		work, memoryMB := time.Duration(cost/4096)*time.Millisecond, float64(cost%4096*4)
+		d.scheduler.AttemptEnded(now, id, number, outcome, took, answered, work, memoryMB, report)
+	}
+	return c.err
+}
+
+func (d *instance) healthCheckEnd(now time.Duration, c *fields) error {
+	outcome, ok := outcomes[c.text(3)]
+	if !ok && c.err == nil {
+		return fmt.Errorf("unknown outcome %q", c.text(3))
+	}
+	engine, report := c.text(2), c.report(5)
+	if c.err == nil {
+		d.scheduler.HealthCheckEnded(now, engine, outcome, report)
+	}
+	return c.err
+}
+
+func (d *instance) list(now time.Duration, c *fields) error {
 	scope := c.text(2)
 	if scope == "refused" {
-		d.gate.ListRefused(now)
+		d.scheduler.ListRefused(now)
 		return c.err
 	}
 	if scope != "changes" && scope != "all" && scope != "remembered" {
@@ -236,7 +255,7 @@
 	if slot < 0 || slot >= len(d.lists) {
 		return fmt.Errorf("no such list: %d", slot)
 	}
-	d.gate.ListStarted(now, scope != "changes")
+	d.scheduler.ListStarted(now, scope != "changes")
 	for _, entry := range d.lists[slot] {
 		e := fields{f: entry}
 		state, ok := states[e.text(5)]
@@ -252,9 +271,9 @@
 		if e.err != nil {
 			return e.err
 		}
-		d.gate.EngineListed(id, location, kind, cell, state, started, fresh)
+		d.scheduler.EngineListed(id, location, kind, cell, state, started, fresh)
 	}
-	d.gate.ListEnded()
+	d.scheduler.ListEnded()
 	return nil
 }
 
--- a/internal/simadapter/words.go
+++ b/internal/simadapter/words.go
@@ -8,15 +8,18 @@
 )
 
 var outcomes = map[string]scheduler.Outcome{
-	"done": scheduler.Finished, "err": scheduler.Failed, "busy": scheduler.Rejected, "etimedout": scheduler.TimedOut,
-	"econnrefused": scheduler.Unreachable, "econnreset": scheduler.ConnectionReset, "ecanceled": scheduler.Cancelled,
-	"skipped": scheduler.NeverSent,
+	"done": scheduler.Finished, "err": scheduler.Failed, "busy": scheduler.Rejected,
+	"etimedout":    scheduler.TimedOut,
+	"econnrefused": scheduler.Unreachable, "econnreset": scheduler.ConnectionReset,
+	"ecanceled": scheduler.Cancelled,
+	"skipped":   scheduler.NeverSent,
 }
 
-var states = map[string]scheduler.EngineState{"on": scheduler.EngineActive, "fading": scheduler.EngineDraining, "off": scheduler.EngineRemoved}
+var states = map[string]scheduler.EngineState{"on": scheduler.EngineActive,
+	"fading": scheduler.EngineDraining, "off": scheduler.EngineRemoved}
 
 // act writes one action; parts go out in the order given.
-func (d *door) act(name string, parts ...string) {
+func (d *instance) act(name string, parts ...string) {
 	d.out.WriteString(name)
 	d.out.WriteByte('\t')
 	d.out.WriteString(strconv.Itoa(d.i))
@@ -31,16 +34,18 @@
 	return strconv.FormatFloat(float64(t)/float64(time.Millisecond), 'f', 3, 64)
 }
 
-func (d *door) Submit(query, engine string, within time.Duration) {
+func (d *instance) Submit(query, engine string, within time.Duration) {
 	d.act("place", query, engine, span(within))
 }
-func (d *door) Cancel(query string, try int) { d.act("retract", query, strconv.Itoa(try)) }
-func (d *door) Terms(query string, priority, grantMB int) {
+func (d *instance) Cancel(query string, try int) { d.act("retract", query, strconv.Itoa(try)) }
+func (d *instance) Terms(query string, priority, grantMB int) {
 	d.act("limits_for", query, strconv.Itoa(priority), strconv.Itoa(grantMB))
 }
-func (d *door) Defer(query string, comeBack time.Duration) { d.act("turn_away", query, span(comeBack)) }
-func (d *door) Kill(query string)                          { d.act("finish_error", query) }
-func (d *door) Probe(engine string)                        { d.act("inspect", engine) }
-func (d *door) Subscribe()                                 { d.act("subscribe", "1") }
-func (d *door) Wake(in time.Duration, tag int)             { d.act("after", span(in), strconv.Itoa(tag)) }
-func (d *door) Log(line string)                            { d.act("write_log", line) }
+func (d *instance) Defer(query string, comeBack time.Duration) {
+	d.act("turn_away", query, span(comeBack))
+}
+func (d *instance) Kill(query string)              { d.act("finish_error", query) }
+func (d *instance) Probe(engine string)            { d.act("inspect", engine) }
+func (d *instance) Subscribe()                     { d.act("subscribe", "1") }
+func (d *instance) Wake(in time.Duration, tag int) { d.act("after", span(in), strconv.Itoa(tag)) }
+func (d *instance) Log(line string)                { d.act("write_log", line) }
