--- a/internal/residency/change.go
+++ b/internal/residency/change.go
@@ -66,9 +66,9 @@
 	if len(flaws) > 0 {
 		return flaws // what is wrong by itself needn't be told as a clash, too
 	}
-	for team, l := range bind(rules, nil) {
+	for team, l := range bindTables(rules, nil) {
 		for _, tables := range classes(l) {
-			v := judge(l, tables, true, nil)
+			v := evaluate(l, tables, true, nil)
 			if v.Conflict == nil {
 				continue
 			}
@@ -86,11 +86,11 @@
 
 // classes are the tables that rules may treat unlike each other: each that is named
 // alone, and all others together, as none.
-func classes(rules ...[]*bound) [][]int64 {
+func classes(rules ...[]*boundRule) [][]int64 {
 	var named []int64
 	for _, l := range rules {
 		for _, b := range l {
-			for t := range b.set {
+			for t := range b.tables {
 				named = append(named, t)
 			}
 		}
@@ -127,10 +127,10 @@
 // they are left out. Results of which the tables can't be told belong to each of a
 // team's purges.
 func Tightened(old, next []Rule, bindings []fleet.Binding) (l []Tightening) {
-	before, after := bind(old, bindings), bind(next, bindings)
+	before, after := bindTables(old, bindings), bindTables(next, bindings)
 	for _, team := range teams(next) { // a team without rules from now on is narrower nowhere
 		for _, tables := range classes(before[team], after[team]) {
-			a, b := judge(before[team], tables, true, nil), judge(after[team], tables, true, nil)
+			a, b := evaluate(before[team], tables, true, nil), evaluate(after[team], tables, true, nil)
 			t := Tightening{Team: team, Rules: b.Rules, Tables: tables, Engines: b.Engines, Ends: narrower(a.Engines, b.Engines)}
 			if narrower(a.Keepers, b.Keepers) {
 				t.Purge = &fleet.Scope{Team: team, Tables: tables, Outside: b.Keepers}
@@ -220,7 +220,7 @@
 
 // Plan tells what other rules would do, before they are applied.
 func Plan(old, next []Rule, w World) *Outlook {
-	before, after := bind(old, w.Bindings), bind(next, w.Bindings)
+	before, after := bindTables(old, w.Bindings), bindTables(next, w.Bindings)
 	o := &Outlook{Rows: []Row{}, None: []string{}}
 	total := 0.0
 	for _, e := range w.Engines {
@@ -229,7 +229,7 @@
 	total = max(total, 1e-9)
 	for _, team := range teams(slices.Concat(old, next)) {
 		for _, tables := range classes(before[team], after[team]) {
-			a, b := judge(before[team], tables, true, nil), judge(after[team], tables, true, nil)
+			a, b := evaluate(before[team], tables, true, nil), evaluate(after[team], tables, true, nil)
 			if !a.Bound && !b.Bound {
 				continue
 			}
@@ -252,12 +252,12 @@
 				if m.Forgotten {
 					continue
 				}
-				if within(b.Takers, m.Site) {
+				if includes(b.Takers, m.Site) {
 					takers++
-				} else if within(a.Takers, m.Site) {
+				} else if includes(a.Takers, m.Site) {
 					row.Controllers = append(row.Controllers, m.Name)
 				}
-				if within(a.Keepers, m.Site) && !within(b.Keepers, m.Site) {
+				if includes(a.Keepers, m.Site) && !includes(b.Keepers, m.Site) {
 					row.Purge = append(row.Purge, m.Name)
 					for _, k := range w.Kept {
 						if k.Controller == m.Name && k.Team == team {
--- a/internal/residency/residency.go
+++ b/internal/residency/residency.go
@@ -1,10 +1,10 @@
-// Package residency decides where a team's data may be: on which engines its queries
-// work, which controllers take them, and where results and cached answers are kept. A
-// rule binds all tables of a team or some, to sites that the set-up names. It is pure:
-// no I/O, clock or goroutine. It never widens what the decisions may choose from.
+// Package residency decides where a tenant's data may be: on which engines its queries run,
+// which controllers serve them, and where results and cached answers are retained. A rule binds
+// all tables of a tenant or some, to sites that the set-up names. The package is pure: no I/O,
+// clock or goroutine. It never widens what the scheduler may choose from.
 //
-// A query that touches several rules stays inside all of them. What can't be told of
-// one, under a team that is bound, is taken as touching all the team's rules.
+// A query that touches several rules stays inside all of them. One whose tables can't be
+// told, of a tenant that has rules, is taken as touching all of these.
 package residency
 
 import (
@@ -15,16 +15,16 @@
 	"railrelay.dev/railrelay/internal/fleet"
 )
 
-// Rule binds tables of a team to sites. Names of rules are unique.
+// Rule binds tables of a tenant to sites. Names of rules are unique.
 type Rule struct {
 	Name   string
 	Team   string
-	Tables []int64 // none: all that the team has
-	// Engines are the sites whose engines may work on it; none: all.
+	Tables []int64 // none: all that the tenant has
+	// Engines are the sites whose engines may run its queries; none: all.
 	Engines []string
-	// Controllers are the sites whose controllers may take and hold it; nil: as Engines.
+	// Controllers are the sites whose controllers may serve them; nil: as Engines.
 	Controllers []string
-	// Keep are the sites where results and cached answers of it may be kept; nil: as
+	// Keep are the sites where results and cached answers may be retained; nil: as
 	// Controllers, empty but not nil: nowhere.
 	Keep []string
 	// Follows: a load that reads these tables into others binds those, too.
@@ -38,52 +38,53 @@
 	After time.Duration
 }
 
-func (r *Rule) takers() []string {
+// controllerSites is empty for everywhere.
+func (r *Rule) controllerSites() []string {
 	if r.Controllers != nil {
 		return r.Controllers
 	}
 	return r.Engines
 }
 
-// keepers is nil for everywhere.
-func (r *Rule) keepers() []string {
+// retentionSites is nil for everywhere.
+func (r *Rule) retentionSites() []string {
 	if r.Keep != nil {
 		return r.Keep
 	}
-	return r.takers()
+	return r.controllerSites()
 }
 
-// bound is a rule with all tables that it came to bind.
-type bound struct {
+// boundRule is a rule with all tables that it came to bind.
+type boundRule struct {
 	Rule
-	all bool
-	set map[int64]bool
+	allTables bool
+	tables    map[int64]bool
 }
 
-// touched: it has a say about these.
-func (b *bound) touched(tables []int64, known bool) bool {
-	return !known || b.all || slices.ContainsFunc(tables, func(t int64) bool { return b.set[t] })
+// appliesTo reports whether the rule binds one of these tables; where they aren't known it may.
+func (b *boundRule) appliesTo(tables []int64, known bool) bool {
+	return !known || b.allTables || slices.ContainsFunc(tables, func(t int64) bool { return b.tables[t] })
 }
 
-// bind works out what each rule binds. What was bound by a load binds on: a table that
-// a load filled from it is bound, too, in whichever order the loads were recorded. That
-// may bind more than the data did, and never less.
-func bind(rules []Rule, bindings []fleet.Binding) map[string][]*bound {
-	teams := map[string][]*bound{}
+// bindTables works out what each rule binds, by tenant. A table that a load filled from a bound one
+// is bound, too, in whichever order the loads were logged. That may bind more than the data
+// did, and never less.
+func bindTables(rules []Rule, bindings []fleet.Binding) map[string][]*boundRule {
+	teams := map[string][]*boundRule{}
 	for _, r := range rules {
-		b := &bound{Rule: r, all: len(r.Tables) == 0, set: map[int64]bool{}}
+		b := &boundRule{Rule: r, allTables: len(r.Tables) == 0, tables: map[int64]bool{}}
 		for _, t := range r.Tables {
-			b.set[t] = true
+			b.tables[t] = true
 		}
-		for more := r.Follows && !b.all; more; {
+		for more := r.Follows && !b.allTables; more; {
 			more = false
 			for _, x := range bindings {
-				if x.Team != r.Team || !slices.ContainsFunc(x.From, func(t int64) bool { return b.set[t] }) {
+				if x.Team != r.Team || !slices.ContainsFunc(x.From, func(t int64) bool { return b.tables[t] }) {
 					continue
 				}
 				for _, t := range x.Tables {
-					if !b.set[t] {
-						b.set[t], more = true, true
+					if !b.tables[t] {
+						b.tables[t], more = true, true
 					}
 				}
 			}
@@ -95,26 +96,26 @@
 
 // Verdict is what the rules say of one query. Its lists are shared: they must not be changed.
 type Verdict struct {
-	Bound    bool     // a rule has a say
-	Rules    []string // which have
-	Engines  []string // sites whose engines may have it; nil: all
-	Takers   []string // sites whose controllers may; nil: all
-	Keepers  []string // sites where its result may be kept; nil: all, empty: nowhere
-	Take     bool     // this controller may take it
-	Keep     bool     // and may keep its result or answer
-	Conflict *Conflict
+	Bound    bool      // a rule applies
+	Rules    []string  // the names of those that do
+	Engines  []string  // sites whose engines may run it; nil: all
+	Takers   []string  // sites whose controllers may serve it; nil: all
+	Keepers  []string  // sites where its result may be retained; nil: all, empty: nowhere
+	Take     bool      // this controller may serve it
+	Keep     bool      // this controller may retain its result or answer
+	Conflict *Conflict // the rules leave no site; nil: they leave some
 }
 
-// May reports whether an engine of this site may have the query.
+// May reports whether an engine of this site may run the query.
 func (v *Verdict) May(site string) bool {
-	return v.Conflict == nil && within(v.Engines, site)
+	return v.Conflict == nil && includes(v.Engines, site)
 }
 
-// within: nil is everywhere.
-func within(sites []string, site string) bool { return sites == nil || slices.Contains(sites, site) }
+// includes reports whether a list has a site; nil is everywhere.
+func includes(sites []string, site string) bool { return sites == nil || slices.Contains(sites, site) }
 
-// meet is what two lists have in common; nil is everywhere.
-func meet(a, b []string) []string {
+// intersect is what two lists have in common; nil is everywhere.
+func intersect(a, b []string) []string {
 	if a == nil || b == nil {
 		if a == nil {
 			return b
@@ -130,58 +131,61 @@
 	return both
 }
 
-// everywhere makes an empty list what it means in a rule.
-func everywhere(sites []string) []string {
+// emptyAsAll makes an empty list nil, as a rule means it: everywhere.
+func emptyAsAll(sites []string) []string {
 	if len(sites) == 0 {
 		return nil
 	}
 	return sites
 }
 
-// judge asks all rules of a team. wide tells the rules whose emergency is on; nil: none.
-func judge(rules []*bound, tables []int64, known bool, wide map[string]uint64) (v Verdict) {
-	var said []*bound
-	reach := func(b *bound) []string {
-		if _, on := wide[b.Name]; on && len(b.Engines) > 0 {
+// evaluate applies all rules of a tenant. emergencies has the rules whose emergency is on; nil: none.
+func evaluate(
+	rules []*boundRule, tables []int64, known bool, emergencies map[string]uint64,
+) (v Verdict) {
+	var applying []*boundRule
+	allowed := func(b *boundRule) []string {
+		if _, on := emergencies[b.Name]; on && len(b.Engines) > 0 {
 			return append(slices.Clone(b.Engines), b.Emergency.Sites...)
 		}
-		return everywhere(b.Engines)
+		return emptyAsAll(b.Engines)
 	}
 	for _, b := range rules {
-		if !b.touched(tables, known) {
+		if !b.appliesTo(tables, known) {
 			continue
 		}
-		said = append(said, b)
-		v.Bound, v.Rules = true, append(v.Rules, b.Name)
-		v.Engines = meet(v.Engines, reach(b))
-		v.Takers = meet(v.Takers, everywhere(b.takers()))
+		applying = append(applying, b)
+		v.Bound = true
+		v.Rules = append(v.Rules, b.Name)
+		v.Engines = intersect(v.Engines, allowed(b))
+		v.Takers = intersect(v.Takers, emptyAsAll(b.controllerSites()))
 		if b.Keep != nil {
-			v.Keepers = meet(v.Keepers, b.Keep) // an empty one is nowhere
+			v.Keepers = intersect(v.Keepers, b.Keep) // an empty one is nowhere
 		} else {
-			v.Keepers = meet(v.Keepers, everywhere(b.keepers()))
+			v.Keepers = intersect(v.Keepers, emptyAsAll(b.retentionSites()))
 		}
 	}
 	switch {
 	case v.Engines != nil && len(v.Engines) == 0:
-		v.Conflict = clash(said, "engine", reach)
+		v.Conflict = findConflict(applying, "engine", allowed)
 	case v.Takers != nil && len(v.Takers) == 0:
-		v.Conflict = clash(said, "controller", func(b *bound) []string { return everywhere(b.takers()) })
+		v.Conflict = findConflict(applying, "controller", func(b *boundRule) []string { return emptyAsAll(b.controllerSites()) })
 	}
 	return v
 }
 
-// clash names the two rules that have no site in common, or all if only all together have none.
-func clash(said []*bound, what string, of func(*bound) []string) *Conflict {
-	c := &Conflict{What: what, Team: said[0].Team}
-	for i, a := range said {
-		for _, b := range said[i+1:] {
-			if l := meet(of(a), of(b)); l != nil && len(l) == 0 {
+// findConflict names two rules that have no site in common, or all if only all together have none.
+func findConflict(applying []*boundRule, what string, of func(*boundRule) []string) *Conflict {
+	c := &Conflict{What: what, Team: applying[0].Team}
+	for i, a := range applying {
+		for _, b := range applying[i+1:] {
+			if l := intersect(of(a), of(b)); l != nil && len(l) == 0 {
 				c.Rules = []string{a.Name, b.Name}
 				return c
 			}
 		}
 	}
-	for _, b := range said {
+	for _, b := range applying {
 		if of(b) != nil {
 			c.Rules = append(c.Rules, b.Name)
 		}
@@ -189,130 +193,134 @@
 	return c
 }
 
-// Core is what one controller knows of the rules in force.
+// Core is what one controller knows of the rules in force. It is used by one goroutine.
 type Core struct {
-	site    string
-	given   []Rule
-	teams   map[string][]*bound
-	picture fleet.Picture
-	ahead   []fleet.Binding // recorded, and not in the picture yet
-	stamp   uint64
-	known   map[key]Verdict // of queries on one table, until anything changes
-
-	crossed  []Crossing
-	crossing int
+	site           string // where the controller is
+	rules          []Rule
+	rulesByTeam    map[string][]*boundRule // worked out of rules, fleetView and unseenBindings
+	fleetView      fleet.Picture
+	unseenBindings []fleet.Binding // in the log, and not in fleetView yet
+
+	stamp    uint64                 // changes with all of the above
+	verdicts map[verdictKey]Verdict // of queries on one table, until anything changes
+
+	crossings     []Crossing // the latest
+	crossingCount int
 }
 
-type key struct {
-	team  string
-	table int64
-	none  bool
+// verdictKey is what a remembered verdict is of.
+type verdictKey struct {
+	team    string
+	table   int64
+	noTable bool
 }
 
-// knownMost bounds what is remembered: clients choose the numbers in their statements.
-const knownMost = 4096
+// maxVerdicts bounds what is remembered: clients choose the numbers in their statements.
+const maxVerdicts = 4096
 
-// New is a controller's at a site; "" is at none, and inside no boundary.
-func New(site string) *Core { return &Core{site: site, stamp: 1, known: map[key]Verdict{}} }
+// New makes the Core of a controller at a site; "" is at none, and inside no boundary.
+func New(site string) *Core { return &Core{site: site, stamp: 1, verdicts: map[verdictKey]Verdict{}} }
 
-// Rules takes over other rules: from now on all is judged by them.
+// Rules replaces the rules: from now on all is judged by them.
 func (c *Core) Rules(rules []Rule) {
-	c.given = slices.Clone(rules)
-	c.again()
+	c.rules = slices.Clone(rules)
+	c.rebind()
 }
 
-// Pictured takes over what the record says: what loads bound, and which emergencies are on.
+// Pictured takes what the log says: what loads bound, and which emergencies are on.
 func (c *Core) Pictured(p *fleet.Picture) {
-	same := slices.EqualFunc(p.Bindings, c.picture.Bindings, alike) && maps.Equal(p.Emergencies, c.picture.Emergencies)
-	c.picture = *p
-	c.ahead = slices.DeleteFunc(c.ahead, func(b fleet.Binding) bool {
-		return has(p.Bindings, b)
+	same := slices.EqualFunc(p.Bindings, c.fleetView.Bindings, equalBindings) &&
+		maps.Equal(p.Emergencies, c.fleetView.Emergencies)
+	c.fleetView = *p
+	c.unseenBindings = slices.DeleteFunc(c.unseenBindings, func(b fleet.Binding) bool {
+		return covers(p.Bindings, b)
 	})
 	if !same { // most pictures only tell of other controllers
-		c.again()
+		c.rebind()
 	}
 }
 
-func alike(a, b fleet.Binding) bool {
+func equalBindings(a, b fleet.Binding) bool {
 	return a.Team == b.Team && slices.Equal(a.Tables, b.Tables) && slices.Equal(a.From, b.From)
 }
 
-// has: one of them binds as much. The record joins those that follow the same.
-func has(l []fleet.Binding, b fleet.Binding) bool {
+// covers reports whether one of the bindings binds as much. The log joins those that follow the same.
+func covers(l []fleet.Binding, b fleet.Binding) bool {
 	return slices.ContainsFunc(l, func(x fleet.Binding) bool {
 		return x.Team == b.Team && slices.Equal(x.From, b.From) &&
 			!slices.ContainsFunc(b.Tables, func(t int64) bool { return !slices.Contains(x.Tables, t) })
 	})
 }
 
-// Recorded tells that the record has a binding, though no picture has shown it yet.
+// Recorded tells that the log has a binding, though no view of the fleet has shown it yet.
 func (c *Core) Recorded(b fleet.Binding) {
-	if !has(c.picture.Bindings, b) && !has(c.ahead, b) {
-		c.ahead = append(c.ahead, b)
-		c.again()
+	if !covers(c.fleetView.Bindings, b) && !covers(c.unseenBindings, b) {
+		c.unseenBindings = append(c.unseenBindings, b)
+		c.rebind()
 	}
 }
 
 // Site is where this controller is.
 func (c *Core) Site() string { return c.site }
 
-func (c *Core) again() {
-	c.teams = bind(c.given, slices.Concat(c.picture.Bindings, c.ahead))
+// rebind works out anew what the rules bind, and forgets all verdicts.
+func (c *Core) rebind() {
+	c.rulesByTeam = bindTables(c.rules, slices.Concat(c.fleetView.Bindings, c.unseenBindings))
 	c.stamp++
-	clear(c.known)
+	clear(c.verdicts)
 }
 
 // Stamp changes with all that verdicts depend on: an older verdict must be asked for anew.
 func (c *Core) Stamp() uint64 { return c.stamp }
 
-// Bound reports whether the team has a rule at all. Of others nothing need be found out.
-func (c *Core) Bound(team string) bool { return len(c.teams[team]) > 0 }
+// Bound reports whether a tenant has a rule at all. Of others nothing need be found out.
+func (c *Core) Bound(team string) bool { return len(c.rulesByTeam[team]) > 0 }
 
-// Judge says where a team's query on some tables may be. known: these are all the
+// Judge says where a tenant's query on some tables may be. known: these are all the
 // tables that it touches.
 func (c *Core) Judge(team string, tables []int64, known bool) Verdict {
-	rules := c.teams[team]
+	rules := c.rulesByTeam[team]
 	if len(rules) == 0 {
 		return Verdict{Take: true, Keep: true}
 	}
-	k := key{team: team, none: len(tables) == 0}
-	if !k.none {
+	k := verdictKey{team: team, noTable: len(tables) == 0}
+	if !k.noTable {
 		k.table = tables[0]
 	}
 	remember := known && len(tables) <= 1
-	if v, ok := c.known[k]; ok && remember {
+	if v, ok := c.verdicts[k]; ok && remember {
 		return v
 	}
-	v := judge(rules, tables, known, c.picture.Emergencies)
-	v.Take = v.Conflict == nil && within(v.Takers, c.site)
-	v.Keep = v.Conflict == nil && within(v.Keepers, c.site)
-	if remember && len(c.known) < knownMost {
-		c.known[k] = v
+	v := evaluate(rules, tables, known, c.fleetView.Emergencies)
+	v.Take = v.Conflict == nil && includes(v.Takers, c.site)
+	v.Keep = v.Conflict == nil && includes(v.Keepers, c.site)
+	if remember && len(c.verdicts) < maxVerdicts {
+		c.verdicts[k] = v
 	}
 	return v
 }
 
-// Needs is what must be in the record before a load may be sent: nil if nothing is
-// missing there. read and written are the tables of its statement. A load of which that
-// can't be told can't be followed: it is an *Untold where a rule follows data.
+// Needs is what must be in the log before a load may be sent: nil if nothing is missing
+// there. read and written are the tables of its statement. A load of which these aren't known
+// can't be followed: the error is an *Untold where a rule follows data.
 func (c *Core) Needs(team string, read, written []int64, known bool) (*fleet.Binding, error) {
 	need := &fleet.Binding{Team: team}
-	for _, b := range c.teams[team] {
+	for _, b := range c.rulesByTeam[team] {
 		switch {
-		case !b.Follows || b.all:
+		case !b.Follows || b.allTables:
 			continue // what has all tables bound already follows none
 		case !known:
 			return nil, &Untold{Team: team, Rule: b.Name}
-		case !b.touched(read, true):
+		case !b.appliesTo(read, true):
 			continue
 		}
-		missing := slices.DeleteFunc(slices.Clone(written), func(t int64) bool { return b.set[t] })
+		missing := slices.DeleteFunc(slices.Clone(written), func(t int64) bool { return b.tables[t] })
 		if len(missing) == 0 {
 			continue
 		}
 		need.Tables = append(need.Tables, missing...)
 		for _, t := range read {
-			if b.set[t] {
+			if b.tables[t] {
 				need.From = append(need.From, t)
 			}
 		}
@@ -337,35 +345,37 @@
 	Site  string `json:"site"`
 }
 
-// crossedMost bounds the list: the latest are kept, all are counted.
-const crossedMost = 1000
+// maxCrossings bounds the list: the latest are listed, all are counted.
+const maxCrossings = 1000
 
-// Sent notes a submission to an engine of a site. outside: it crossed a boundary in an emergency.
+// Sent notes an attempt at an engine of a site, and reports whether it left a rule's own sites in an
+// emergency.
 func (c *Core) Sent(query, team string, v *Verdict, site string) (outside bool) {
-	for _, b := range c.teams[team] {
-		if !slices.Contains(v.Rules, b.Name) || within(everywhere(b.Engines), site) {
+	for _, b := range c.rulesByTeam[team] {
+		if !slices.Contains(v.Rules, b.Name) || includes(emptyAsAll(b.Engines), site) {
 			continue
 		}
 		outside = true
-		c.crossing++
-		if len(c.crossed) >= crossedMost {
-			c.crossed = slices.Delete(c.crossed, 0, 1)
+		c.crossingCount++
+		if len(c.crossings) >= maxCrossings {
+			c.crossings = slices.Delete(c.crossings, 0, 1)
 		}
-		c.crossed = append(c.crossed, Crossing{Query: query, Team: team, Rule: b.Name, Site: site})
+		c.crossings = append(c.crossings, Crossing{Query: query, Team: team, Rule: b.Name, Site: site})
 	}
 	return outside
 }
 
 // Crossed lists the latest crossings, and how many there were in all.
-func (c *Core) Crossed() ([]Crossing, int) { return slices.Clone(c.crossed), c.crossing }
+func (c *Core) Crossed() ([]Crossing, int) { return slices.Clone(c.crossings), c.crossingCount }
 
-// Outside reports whether by the rules themselves, without any emergency, this runs where it may not.
+// Outside reports whether a query runs at a site that its rules themselves, without any emergency,
+// forbid.
 func (c *Core) Outside(team string, tables []int64, known bool, site string) bool {
-	rules := c.teams[team]
+	rules := c.rulesByTeam[team]
 	if len(rules) == 0 {
 		return false
 	}
-	v := judge(rules, tables, known, nil)
+	v := evaluate(rules, tables, known, nil)
 	return !v.May(site)
 }
 
@@ -380,14 +390,14 @@
 }
 
 // Watches are those of the rules in force.
-func (c *Core) Watches() []fleet.Watched { return Watches(c.given) }
+func (c *Core) Watches() []fleet.Watched { return Watches(c.rules) }
 
-// Calmed is what has to be purged once a rule's emergency has ended: what was kept of it
-// where its results may not be kept. nil: nothing can be, its results may be anywhere.
+// Calmed is what has to be invalidated once a rule's emergency has ended: what was retained
+// where the rule forbids it. nil: nothing can be, its results may be anywhere.
 func Calmed(rules []Rule, name string) *fleet.Scope {
 	for _, r := range rules {
 		if r.Name == name {
-			return scope(r.Team, r.Tables, r.keepers(), r.Keep == nil && len(r.keepers()) == 0)
+			return scope(r.Team, r.Tables, r.retentionSites(), r.Keep == nil && len(r.retentionSites()) == 0)
 		}
 	}
 	return nil
--- a/internal/residency/residency_test.go
+++ b/internal/residency/residency_test.go
@@ -91,19 +91,19 @@
 	if !v.May("wien") || v.May("graz") || slices.Contains(v.Takers, "wien") || slices.Contains(v.Keepers, "wien") {
 		t.Fatalf("%+v", v)
 	}
-	for i := range crossedMost + 5 {
+	for i := range maxCrossings + 5 {
 		if !c.Sent(fmt.Sprint(i), "bank", &v, "wien") || c.Sent(fmt.Sprint(i), "bank", &v, "linz") {
 			t.Fatal("what crosses is told apart")
 		}
 	}
-	if l, n := c.Crossed(); len(l) != crossedMost || n != crossedMost+5 || l[0].Query != "5" {
+	if l, n := c.Crossed(); len(l) != maxCrossings || n != maxCrossings+5 || l[0].Query != "5" {
 		t.Fatal(len(l), n, l[0])
 	}
 	c.Pictured(&fleet.Picture{})
 	if v := c.Judge("bank", nil, true); v.May("wien") || !c.Outside("bank", nil, true, "wien") {
 		t.Fatalf("%+v", v)
 	}
-	if s := Calmed(c.given, "a"); s == nil || s.Team != "bank" || !slices.Equal(s.Outside, []string{"linz"}) {
+	if s := Calmed(c.rules, "a"); s == nil || s.Team != "bank" || !slices.Equal(s.Outside, []string{"linz"}) {
 		t.Fatalf("%+v", s)
 	}
 }
