--- a/internal/residency/residency.go
+++ b/internal/residency/residency.go
@@ -169,7 +169,8 @@
 	case v.Engines != nil && len(v.Engines) == 0:
 		v.Conflict = findConflict(applying, "engine", allowed)
 	case v.Takers != nil && len(v.Takers) == 0:
-		v.Conflict = findConflict(applying, "controller", func(b *boundRule) []string { return emptyAsAll(b.controllerSites()) })
+		controllers := func(b *boundRule) []string { return emptyAsAll(b.controllerSites()) }
+		v.Conflict = findConflict(applying, "controller", controllers)
 	}
 	return v
 }
