--- a/internal/scheduler/benchmark_test.go
+++ b/internal/scheduler/benchmark_test.go
@@ -7,25 +7,25 @@
 	"time"
 )
 
-// quiet is an Actor that only notes what it has to answer.
-type quiet struct {
+// quiet is Actions that only notes what it has to answer.
+type recordingActions struct {
 	sent   []string
 	probes []string
 }
 
-func (a *quiet) Submit(query, _ string, _ time.Duration) { a.sent = append(a.sent, query) }
-func (a *quiet) Probe(engine string)                     { a.probes = append(a.probes, engine) }
-func (a *quiet) Cancel(string, int)                      {}
-func (a *quiet) Terms(string, int, int)                  {}
-func (a *quiet) Defer(string, time.Duration)             {}
-func (a *quiet) Kill(string)                             {}
-func (a *quiet) Subscribe()                              {}
-func (a *quiet) Wake(time.Duration, int)                 {}
-func (a *quiet) Log(string)                              {}
+func (a *recordingActions) Submit(query, _ string, _ time.Duration) { a.sent = append(a.sent, query) }
+func (a *recordingActions) Probe(engine string)                     { a.probes = append(a.probes, engine) }
+func (a *recordingActions) Cancel(string, int)                      {}
+func (a *recordingActions) Terms(string, int, int)                  {}
+func (a *recordingActions) Defer(string, time.Duration)             {}
+func (a *recordingActions) Kill(string)                             {}
+func (a *recordingActions) Subscribe()                              {}
+func (a *recordingActions) Wake(time.Duration, int)                 {}
+func (a *recordingActions) Log(string)                              {}
 
-func sized(engines int) (*quiet, *Scheduler) {
-	a := &quiet{}
-	g := New(a, 7, plainFacts(map[string]string{"gateways": "350", "report.how": "probed",
+func newSized(engines int) (*recordingActions, *Scheduler) {
+	a := &recordingActions{}
+	g := New(a, 7, testSettings(map[string]string{"gateways": "350", "report.how": "probed",
 		"group.2.in-order": ""}))
 	g.ListStarted(0, true)
 	for i := range engines {
@@ -39,7 +39,7 @@
 func BenchmarkQuery(b *testing.B) {
 	for _, n := range []int{8, 80, 400, 1024} {
 		b.Run(strconv.Itoa(n), func(b *testing.B) {
-			a, g := sized(n)
+			a, g := newSized(n)
 			b.ReportAllocs()
 			now := time.Duration(0)
 			for i := range b.N {
@@ -65,7 +65,7 @@
 func BenchmarkTick(b *testing.B) {
 	for _, n := range []int{8, 80, 400, 1024} {
 		b.Run(strconv.Itoa(n), func(b *testing.B) {
-			_, g := sized(n)
+			_, g := newSized(n)
 			b.ReportAllocs()
 			for i := range b.N {
 				g.TimerFired(time.Duration(i)*100*ms, tickTag)
--- a/internal/scheduler/capacity_test.go
+++ b/internal/scheduler/capacity_test.go
@@ -11,17 +11,17 @@
 	w.report("e0", map[string]float64{"held": 0})
 	w.pass(100 * ms) // now that engines tell, one's part is by that
 	for range 11 {
-		w.take(0, 5, -1, 5*sec)
+		w.arrive(0, 5, -1, 5*sec)
 	}
-	if n := len(w.did); n != 11 {
+	if n := len(w.log); n != 11 {
 		t.Fatalf("unpressed engine got %d of 11", n)
 	}
 	w.report("e0", map[string]float64{"held": 60})
-	held := w.take(0, 5, -1, 5*sec)
-	if len(held.subs) != 0 {
+	held := w.arrive(0, 5, -1, 5*sec)
+	if len(held.attempts) != 0 {
 		t.Fatal("pressed engine got more than the bound of cores x 2 x share")
 	}
-	w.engines["e9"] = &machine{id: "e9"}
+	w.engines["e9"] = &listedEngine{id: "e9"}
 	w.list(false, "e9")
 	if sentTo(held) != "e9" {
 		t.Fatalf("another ready engine not used: %q", sentTo(held))
@@ -30,7 +30,7 @@
 
 func TestOwnShareCountsEnginesWithoutOwnQueries(t *testing.T) {
 	w := newWorld(t, 2, nil)
-	q := w.take(1, 1, -1, 15*sec)
+	q := w.arrive(1, 1, -1, 15*sec)
 	for range 40 {
 		w.report("e0", map[string]float64{"held": 4})
 		w.report("e1", map[string]float64{"held": 4})
@@ -44,16 +44,16 @@
 	w := newWorld(t, 1, map[string]string{"gateways": "1"})
 	w.s.engines[0].slowdown = 9
 	for range 9 {
-		w.take(1, 1, -1, 15*sec)
+		w.arrive(1, 1, -1, 15*sec)
 	}
-	if n := len(w.did); n != 4 || len(w.take(0, 1, -1, 5*sec).subs) != 1 {
+	if n := len(w.log); n != 4 || len(w.arrive(0, 1, -1, 5*sec).attempts) != 1 {
 		t.Fatalf("%d long queries sent, the short one held", n)
 	}
 }
 
 // Every gateway with one query on every engine is far too many; none at all is no use.
 func TestCapacityLimitUnderOneQueryBindsInMeanOnHeavyQueries(t *testing.T) {
-	w := among(t, 4)
+	w := newLargeFleet(t, 4)
 	e, q := w.s.engines[0], &query{group: w.s.groups[1]}
 	w.report("e0", map[string]float64{"held": 2})
 	w.s.meanWorkSeconds.value, w.s.reportedUtilization.value = 1, 0.8
@@ -69,7 +69,7 @@
 // hasRoom took one engine's cores times their number for the bound of all: small ones
 // never had room for a heavy query.
 func TestMeanCapacityLimitCountsCoresOfAllKinds(t *testing.T) {
-	w := busyOnly(t, 2, map[string]string{"kind.cores": "8,24", "gateways": "40"})
+	w := newCoresOnlyWorld(t, 2, map[string]string{"kind.cores": "8,24", "gateways": "40"})
 	w.report("e0", map[string]float64{"cores": 0.5})
 	w.report("e1", map[string]float64{"cores": 0.5})
 	w.s.meanWorkSeconds.value = 0.1
--- a/internal/scheduler/chain_test.go
+++ b/internal/scheduler/chain_test.go
@@ -7,9 +7,9 @@
 
 func TestChainHoldsWriteAndSendsItToSameEngine(t *testing.T) {
 	w := newWorld(t, 4, nil)
-	a, b := w.take(2, 1, -1, 25*sec), w.take(2, 1, -1, 25*sec)
-	if len(a.subs) != 1 || len(b.subs) != 0 {
-		t.Fatalf("first sent %d times, second %d", len(a.subs), len(b.subs))
+	a, b := w.arrive(2, 1, -1, 25*sec), w.arrive(2, 1, -1, 25*sec)
+	if len(a.attempts) != 1 || len(b.attempts) != 0 {
+		t.Fatalf("first sent %d times, second %d", len(a.attempts), len(b.attempts))
 	}
 	w.pass(500 * ms)
 	w.end(a, 0, Finished)
@@ -26,11 +26,11 @@
 		same := 0
 		for i := range 20 {
 			w := newWorld(t, 8, nil)
-			a := w.take(2, int64(i), -1, 25*sec)
+			a := w.arrive(2, int64(i), -1, 25*sec)
 			w.end(a, 0, Finished)
 			w.s.rng = newPCG(uint64(i))
 			w.pass(c.rest)
-			if b := w.take(2, int64(i), -1, 25*sec); sentTo(b) == sentTo(a) {
+			if b := w.arrive(2, int64(i), -1, 25*sec); sentTo(b) == sentTo(a) {
 				same++
 			}
 		}
@@ -42,21 +42,21 @@
 
 func TestChainSendsWaitingWriteAfterItsTimeout(t *testing.T) {
 	w := newWorld(t, 4, nil)
-	a, b := w.take(2, 1, -1, 25*sec), w.take(2, 1, -1, 25*sec)
+	a, b := w.arrive(2, 1, -1, 25*sec), w.arrive(2, 1, -1, 25*sec)
 	w.pass(20 * sec)
-	if len(b.subs) != 1 || sentTo(b) == sentTo(a) {
-		t.Fatalf("held load sent %d times, to %q beside %q", len(b.subs), sentTo(b), sentTo(a))
+	if len(b.attempts) != 1 || sentTo(b) == sentTo(a) {
+		t.Fatalf("held load sent %d times, to %q beside %q", len(b.attempts), sentTo(b), sentTo(a))
 	}
 }
 
 // A load held behind another goes on alone while there is time; after 1 s its client had long gone.
 func TestWaitingWriteGoesOnWhileItHasTime(t *testing.T) {
-	w := hasty(t, 2, map[string]string{"loads": "true,false,false"})
-	first, held := w.take(0, 1, -1, 290*ms), w.take(0, 1, -1, 290*ms)
-	if len(first.subs) != 1 || len(held.subs) != 0 {
+	w := newImpatientWorld(t, 2, map[string]string{"loads": "true,false,false"})
+	first, held := w.arrive(0, 1, -1, 290*ms), w.arrive(0, 1, -1, 290*ms)
+	if len(first.attempts) != 1 || len(held.attempts) != 0 {
 		t.Fatal("not held, and the test proves nothing")
 	}
-	if w.pass(150 * ms); len(held.subs) != 1 {
-		t.Fatalf("held for 150 ms of 290, sent %d times", len(held.subs))
+	if w.pass(150 * ms); len(held.attempts) != 1 {
+		t.Fatalf("held for 150 ms of 290, sent %d times", len(held.attempts))
 	}
 }
--- a/internal/scheduler/confinement_test.go
+++ b/internal/scheduler/confinement_test.go
@@ -10,9 +10,9 @@
 	"pgregory.net/rapid"
 )
 
-// fence is an Actor that holds every submission against where its query may be.
-type fence struct {
-	quiet
+// fence is Actions that holds every submission against where its query may be.
+type confinementActions struct {
+	recordingActions
 	t      interface{ Fatalf(string, ...any) }
 	inside map[string][]string
 	at     map[string]int // an engine's location
@@ -21,7 +21,7 @@
 	sent   map[int]int
 }
 
-func (f *fence) Submit(query, engine string, _ time.Duration) {
+func (f *confinementActions) Submit(query, engine string, _ time.Duration) {
 	where := f.at[engine]
 	if l, bound := f.inside[query]; bound && !slices.Contains(l, strconv.Itoa(where)) {
 		f.t.Fatalf("%s, submission %d, at location %d, and it may be at %v", query, f.tries[query], where, l)
@@ -31,16 +31,17 @@
 	f.tries[query]++
 }
 
-func (f *fence) Probe(engine string) { f.probes = append(f.probes, engine) }
+func (f *confinementActions) Probe(engine string) { f.probes = append(f.probes, engine) }
 
 // Every way to an engine obeys a query's boundary: first submissions, chains, repeats after
 // each kind of end, moves, copies; and a boundary that changes while the query is held.
 func TestConfinedQueryStaysInAllowedLocations(t *testing.T) {
 	crossedBoth := false
 	rapid.Check(t, func(t *rapid.T) {
-		f := &fence{t: t, inside: map[string][]string{}, at: map[string]int{}, tries: map[string]int{},
+		f := &confinementActions{t: t, inside: map[string][]string{}, at: map[string]int{}, tries: map[string]int{},
 			sent: map[int]int{}}
-		g := New(f, 7, plainFacts(map[string]string{"may.copy": strconv.FormatBool(rapid.Bool().Draw(t, "copies")),
+		g := New(f, 7, testSettings(map[string]string{"may.copy": strconv.FormatBool(rapid.Bool().Draw(t,
+			"copies")),
 			"submissions.most": "6", "group.1.locations": "0,1", "report.how": rapid.SampledFrom([]string{"off",
 				"probed"}).Draw(t, "reports")}))
 		list := func(now time.Duration, state func(i int) EngineState) {
@@ -116,9 +117,9 @@
 
 // What is held for want of an engine inside holds up nobody who may go elsewhere.
 func TestConfinedQueryBlocksOnlyItsLike(t *testing.T) {
-	f := &fence{t: t, inside: map[string][]string{"bound": {"5"}}, at: map[string]int{"e0": 0},
+	f := &confinementActions{t: t, inside: map[string][]string{"bound": {"5"}}, at: map[string]int{"e0": 0},
 		tries: map[string]int{}, sent: map[int]int{}}
-	g := New(f, 7, plainFacts(nil))
+	g := New(f, 7, testSettings(nil))
 	g.ListStarted(0, true)
 	g.EngineListed("e0", 0, 0, 0, EngineActive, 0, false)
 	g.ListEnded()
--- a/internal/scheduler/estimate_test.go
+++ b/internal/scheduler/estimate_test.go
@@ -8,7 +8,7 @@
 func TestEstimatesAreCorrectedByAnswers(t *testing.T) {
 	w := newWorld(t, 1, map[string]string{"answers.cost": "true"})
 	for range 40 {
-		q := w.take(0, 1, -1, 5*sec)
+		q := w.arrive(0, 1, -1, 5*sec)
 		w.queries[q.id].answered = true
 		w.s.AttemptEnded(w.now, q.id, 0, Finished, 400*ms, true, 400*ms, 10, nil)
 	}
--- a/internal/scheduler/fleet_test.go
+++ b/internal/scheduler/fleet_test.go
@@ -16,21 +16,21 @@
 
 // fleet is many gateways that share engines, all in virtual time: what one does
 // alone is summed at the engines, which is where rule 4 is judged.
-type fleet struct {
-	now      time.Duration
-	events   timerqueue.Times
-	rng      *rand.Rand
-	gates    []*member
-	engines  map[string]*worker
-	names    []string
-	seq      int
-	offered  float64 // value, once the first of the new engines has started
-	served   float64
-	from     time.Duration
-	coldWork float64 // sent to engines while cold
-	coldAble float64 // what those could do meanwhile
-	worst    float64 // of rule 4's limit, in any window
-	over     int     // submissions that passed it
+type simFleet struct {
+	now         time.Duration
+	events      timerqueue.Times
+	rng         *rand.Rand
+	controllers []*simController
+	engines     map[string]*simEngine
+	names       []string
+	seq         int
+	offered     float64 // value, once the first of the new engines has started
+	served      float64
+	from        time.Duration
+	coldWork    float64 // sent to engines while cold
+	coldAble    float64 // what those could do meanwhile
+	worst       float64 // of rule 4's limit, in any window
+	over        int     // submissions that passed it
 
 	multiple   float64       // of what a cold engine is able to, in a window
 	window     time.Duration // over which it is counted
@@ -41,9 +41,9 @@
 // fleetMean is the work of a query in the mean.
 var fleetMean = (14*fleetWork[0] + 2.5*fleetWork[1] + fleetWork[2]) / 17.5
 
-func (f *fleet) after(span time.Duration, do func()) { f.events.Add(f.now+span, do) }
+func (f *simFleet) after(span time.Duration, do func()) { f.events.Add(f.now+span, do) }
 
-func (f *fleet) run(until time.Duration) {
+func (f *simFleet) run(until time.Duration) {
 	for at, ok := f.events.First(); ok && at <= until; at, ok = f.events.First() {
 		f.now = at
 		do, _ := f.events.Next(at)
@@ -53,37 +53,37 @@
 }
 
 // member is one gateway with what stands round it.
-type member struct {
-	f     *fleet
-	g     *Scheduler
-	facts map[string]string
-	open  map[string]*wanted
+type simController struct {
+	f         *simFleet
+	scheduler *Scheduler
+	facts     map[string]string
+	open      map[string]*simQuery
 }
 
-type wanted struct {
+type simQuery struct {
 	group  int
 	work   float64
 	at     time.Duration
 	aim    time.Duration
 	tries  int
-	runs   map[int]*task
+	runs   map[int]*simTask
 	closed bool
 }
 
 // worker is an engine: its threads share its cores, which warm up by its age.
-type worker struct {
+type simEngine struct {
 	id      string
 	started time.Duration // 0: long ago
 	state   EngineState
-	tasks   []*task
+	tasks   []*simTask
 	last    time.Duration
 	version int
 	sent    []sentWork
 	held    int // as it reports
 }
 
-type task struct {
-	m       *member
+type simTask struct {
+	m       *simController
 	id      string
 	try     int
 	threads float64
@@ -100,7 +100,7 @@
 var fleetWork, fleetThreads, fleetValue = []float64{0.22, 4.4, 4.5}, []float64{1, 3, 2}, []float64{1, 10, 6}
 var fleetLate, fleetTarget = []float64{0.1, 0.4, 0.5}, []float64{1, 2, 3}
 
-func (w *worker) able(now time.Duration) float64 {
+func (w *simEngine) warmCapacity(now time.Duration) float64 {
 	if w.started == 0 || now >= w.started+fleetSpan {
 		return 1
 	}
@@ -108,13 +108,13 @@
 }
 
 // on has a worker do what it does until now, and looks when its next task ends.
-func (f *fleet) on(w *worker) {
+func (f *simFleet) advance(w *simEngine) {
 	threads := 0.0
 	for _, t := range w.tasks {
 		threads += t.threads
 	}
 	if threads > 0 {
-		rate := w.able(f.now) * min(1, fleetCores/threads) * (f.now - w.last).Seconds()
+		rate := w.warmCapacity(f.now) * min(1, fleetCores/threads) * (f.now - w.last).Seconds()
 		for _, t := range w.tasks {
 			t.left -= rate * t.threads
 		}
@@ -131,19 +131,19 @@
 	}
 	next := math.Inf(1)
 	for _, t := range w.tasks {
-		next = min(next, t.left/(w.able(f.now)*min(1, fleetCores/threads)*t.threads))
+		next = min(next, t.left/(w.warmCapacity(f.now)*min(1, fleetCores/threads)*t.threads))
 	}
 	w.version++
 	if version := w.version; !math.IsInf(next, 1) {
 		f.after(seconds(next)+time.Microsecond, func() {
 			if w.version == version {
-				f.on(w)
+				f.advance(w)
 			}
 		})
 	}
 }
 
-func (m *member) done(t *task, o Outcome) {
+func (m *simController) done(t *simTask, o Outcome) {
 	q := m.open[t.id]
 	if q == nil || q.runs[t.try] != t {
 		return
@@ -161,10 +161,10 @@
 	if o == Finished {
 		work = q.work
 	}
-	m.g.AttemptEnded(m.f.now, t.id, t.try, o, m.f.now-t.at, closed, seconds(work), 100, nil)
+	m.scheduler.AttemptEnded(m.f.now, t.id, t.try, o, m.f.now-t.at, closed, seconds(work), 100, nil)
 }
 
-func (f *fleet) earn(q *wanted) {
+func (f *simFleet) earn(q *simQuery) {
 	switch {
 	case q.at < f.from:
 	case f.now <= q.aim:
@@ -174,9 +174,9 @@
 	}
 }
 
-func (m *member) Submit(id, engine string, _ time.Duration) {
+func (m *simController) Submit(id, engine string, _ time.Duration) {
 	q, w, f := m.open[id], m.f.engines[engine], m.f
-	t := &task{m: m, id: id, try: q.tries, threads: fleetThreads[q.group], left: q.work, at: f.now}
+	t := &simTask{m: m, id: id, try: q.tries, threads: fleetThreads[q.group], left: q.work, at: f.now}
 	q.tries++
 	q.runs[t.try] = t
 	way := 500 * time.Microsecond
@@ -184,20 +184,20 @@
 		way += seconds(f.rng.Float64())
 	}
 	f.after(way, func() {
-		f.weigh(w, q.group)
+		f.checkSlowStart(w, q.group)
 		if len(w.tasks) >= 32 || w.state == EngineRemoved {
 			f.after(500*time.Microsecond, func() { m.done(t, Rejected) })
 			return
 		}
-		f.on(w)
+		f.advance(w)
 		w.tasks = append(w.tasks, t)
-		f.on(w)
+		f.advance(w)
 	})
 }
 
 // weigh judges rule 4: the work of all gateways in any window, by its group's usual.
-func (f *fleet) weigh(w *worker, group int) {
-	able := w.able(f.now)
+func (f *simFleet) checkSlowStart(w *simEngine, group int) {
+	able := w.warmCapacity(f.now)
 	if able == 1 {
 		return
 	}
@@ -220,7 +220,7 @@
 	}
 }
 
-func (m *member) Cancel(id string, try int) {
+func (m *simController) Cancel(id string, try int) {
 	q := m.open[id]
 	if q == nil || q.runs[try] == nil {
 		return
@@ -230,14 +230,14 @@
 		for _, w := range m.f.engines {
 			for i, x := range w.tasks {
 				if x == t {
-					m.f.on(w)
+					m.f.advance(w)
 					for i = range w.tasks {
 						if w.tasks[i] == t {
 							w.tasks = append(w.tasks[:i], w.tasks[i+1:]...)
 							break
 						}
 					}
-					m.f.on(w)
+					m.f.advance(w)
 					m.done(t, Cancelled)
 					return
 				}
@@ -247,39 +247,39 @@
 	})
 }
 
-func (m *member) close(id string) {
+func (m *simController) close(id string) {
 	if q := m.open[id]; q != nil {
 		if q.closed = true; len(q.runs) == 0 {
 			delete(m.open, id)
 		}
 	}
 }
-func (m *member) Defer(id string, _ time.Duration) { m.close(id) }
-func (m *member) Kill(id string)                   { m.close(id) }
-func (m *member) Terms(string, int, int)           {}
-func (m *member) Subscribe()                       {}
-func (m *member) Log(string)                       {}
-func (m *member) Probe(engine string) {
+func (m *simController) Defer(id string, _ time.Duration) { m.close(id) }
+func (m *simController) Kill(id string)                   { m.close(id) }
+func (m *simController) Terms(string, int, int)           {}
+func (m *simController) Subscribe()                       {}
+func (m *simController) Log(string)                       {}
+func (m *simController) Probe(engine string) {
 	w, f := m.f.engines[engine], m.f
 	f.after(time.Millisecond, func() {
 		if w.state == EngineRemoved {
-			m.g.HealthCheckEnded(f.now, engine, Unreachable, nil)
+			m.scheduler.HealthCheckEnded(f.now, engine, Unreachable, nil)
 			return
 		}
-		m.g.HealthCheckEnded(f.now, engine, Finished, map[string]float64{"held": float64(w.held)})
+		m.scheduler.HealthCheckEnded(f.now, engine, Finished, map[string]float64{"held": float64(w.held)})
 	})
 }
-func (m *member) Wake(in time.Duration, tag int) {
-	m.f.after(in, func() { m.g.TimerFired(m.f.now, tag) })
+func (m *simController) Wake(in time.Duration, tag int) {
+	m.f.after(in, func() { m.scheduler.TimerFired(m.f.now, tag) })
 }
 
 // newFleet starts gateways and engines with a share of all they can do as load,
 // spread unevenly over the gateways.
 func newFleet(seed uint64, gateways, engines int, load float64, length time.Duration,
-	more map[string]string) *fleet {
-	f := &fleet{rng: rand.New(rand.NewPCG(seed, 1)), engines: map[string]*worker{}, multiple: 3,
+	more map[string]string) *simFleet {
+	f := &simFleet{rng: rand.New(rand.NewPCG(seed, 1)), engines: map[string]*simEngine{}, multiple: 3,
 		window: time.Second}
-	facts := plainFacts(map[string]string{"gateways": strconv.Itoa(gateways), "may.copy": "true",
+	facts := testSettings(map[string]string{"gateways": strconv.Itoa(gateways), "may.copy": "true",
 		"note.period": "2000",
 		"report.how":  "probed", "memory.short": "swap", "answers.cost": "true", "submissions.most": "3",
 		"group.0.target": "1000", "group.0.stretch": "1.5", "group.0.timeout": "5000",
@@ -294,9 +294,9 @@
 	var shares []float64
 	for i := range gateways {
 		facts["own.number"] = strconv.Itoa(i)
-		m := &member{f: f, facts: facts, open: map[string]*wanted{}}
-		m.g = New(m, f.rng.Uint64(), facts)
-		f.gates = append(f.gates, m)
+		m := &simController{f: f, facts: facts, open: map[string]*simQuery{}}
+		m.scheduler = New(m, f.rng.Uint64(), facts)
+		f.controllers = append(f.controllers, m)
 		f.list(m, f.names...)
 		x := math.Exp(0.6 * f.rng.NormFloat64())
 		if i%60 == 7 {
@@ -310,7 +310,7 @@
 		perQuery += mix[i] / 17.5 * fleetWork[i]
 	}
 	rate := load * float64(engines) * fleetCores * 0.85 / perQuery
-	for i, m := range f.gates {
+	for i, m := range f.controllers {
 		var next func()
 		gap := func() time.Duration { return seconds(f.rng.ExpFloat64() / (rate * shares[i] / total)) }
 		next = func() {
@@ -336,7 +336,7 @@
 	return f
 }
 
-func (m *member) ask(mix []float64) {
+func (m *simController) ask(mix []float64) {
 	f, group, x := m.f, 0, m.f.rng.Float64()*17.5
 	for x >= mix[group] {
 		x -= mix[group]
@@ -348,40 +348,40 @@
 	id := strconv.Itoa(f.seq)
 	patience := []time.Duration{5 * sec, 15 * sec, 25 * sec}[group]
 	stretch := []float64{1.5, 2.5, 2.5}[group]
-	q := &wanted{group: group, at: f.now, work: work, runs: map[int]*task{},
+	q := &simQuery{group: group, at: f.now, work: work, runs: map[int]*simTask{},
 		aim: f.now + seconds(fleetTarget[group]+stretch*work/fleetThreads[group])}
 	m.open[id] = q
 	if f.now >= f.from {
 		f.offered += fleetValue[group]
 	}
-	m.g.QueryArrived(f.now, id, group, -1, patience, int64(f.rng.IntN(160)), -1, 0, 0)
+	m.scheduler.QueryArrived(f.now, id, group, -1, patience, int64(f.rng.IntN(160)), -1, 0, 0)
 	f.after(patience, func() {
 		if m.open[id] == q && !q.closed {
 			q.closed = true
-			m.g.ClientLeft(f.now, id)
+			m.scheduler.ClientLeft(f.now, id)
 		}
 	})
 }
 
-func (f *fleet) add(id string, started time.Duration) {
-	f.engines[id] = &worker{id: id, started: started, last: f.now}
+func (f *simFleet) add(id string, started time.Duration) {
+	f.engines[id] = &simEngine{id: id, started: started, last: f.now}
 	f.names = append(f.names, id)
 }
 
-func (f *fleet) list(m *member, ids ...string) {
-	m.g.ListStarted(f.now, false)
+func (f *simFleet) list(m *simController, ids ...string) {
+	m.scheduler.ListStarted(f.now, false)
 	for _, id := range ids {
 		w := f.engines[id]
-		m.g.EngineListed(id, 0, 0, len(id), w.state, w.started, w.started > 0)
+		m.scheduler.EngineListed(id, 0, 0, len(id), w.state, w.started, w.started > 0)
 	}
-	m.g.ListEnded()
+	m.scheduler.ListEnded()
 }
 
 // release replaces engines: drained, and gone while a cold one comes under a new id.
 // Each gateway hears of it in its own time.
-func (f *fleet) release(at time.Duration, ids ...string) {
+func (f *simFleet) release(at time.Duration, ids ...string) {
 	tell := func(id string) {
-		for _, m := range f.gates {
+		for _, m := range f.controllers {
 			f.after(seconds(0.5+f.rng.Float64()), func() { f.list(m, id) })
 		}
 	}
@@ -421,7 +421,7 @@
 			for _, id := range f.names {
 				if w := f.engines[id]; w.started > 0 {
 					for at := w.started; at < min(22*sec, w.started+fleetSpan); at += 100 * ms {
-						f.coldAble += w.able(at) * fleetCores * 0.85 * 0.1
+						f.coldAble += w.warmCapacity(at) * fleetCores * 0.85 * 0.1
 					}
 				}
 			}
@@ -470,13 +470,13 @@
 			for i := range shape.replaced {
 				f.release(5*sec+time.Duration(i*5/shape.replaced)*sec, fmt.Sprint("e", i))
 			}
-			f.after(11*sec, f.anew) // in the midst of it, knowing the list and nothing else
+			f.after(11*sec, f.restartMost) // in the midst of it, knowing the list and nothing else
 			f.run(26 * sec)
 			able := 0.0
 			for _, id := range f.names {
 				if w := f.engines[id]; w.started > 0 {
 					for at := w.started; at < min(20*sec, w.started+fleetSpan); at += 100 * ms {
-						able += w.able(at) * fleetCores * 0.85 * 0.1
+						able += w.warmCapacity(at) * fleetCores * 0.85 * 0.1
 					}
 				}
 			}
@@ -495,8 +495,8 @@
 }
 
 // anew has two thirds of the controllers start again at once: what they held is their clients' to ask again.
-func (f *fleet) anew() {
-	for i, m := range f.gates {
+func (f *simFleet) restartMost() {
+	for i, m := range f.controllers {
 		if i%3 == 0 {
 			continue
 		}
@@ -508,7 +508,7 @@
 				q.closed = true
 			}
 		}
-		m.g = New(m, f.rng.Uint64(), facts)
+		m.scheduler = New(m, f.rng.Uint64(), facts)
 		f.list(m, f.names...)
 	}
 }
--- a/internal/scheduler/invariants_test.go
+++ b/internal/scheduler/invariants_test.go
@@ -43,17 +43,17 @@
 	switch {
 	case n < 35:
 		group := rapid.IntRange(0, 2).Draw(t, "group")
-		w.take(group, rapid.Int64Range(0, 2).Draw(t, "tables"), rapid.Int64Range(-1, 2).Draw(t, "key"),
+		w.arrive(group, rapid.Int64Range(0, 2).Draw(t, "tables"), rapid.Int64Range(-1, 2).Draw(t, "key"),
 			time.Duration(rapid.IntRange(0, 9000).Draw(t, "budget"))*ms)
 	case n < 60:
-		q, k := out(t, w)
+		q, k := drawInFlight(t, w)
 		if q != nil {
 			w.end(q, k, rapid.SampledFrom([]Outcome{Finished, Failed, Rejected, TimedOut, Unreachable,
 				ConnectionReset, Cancelled,
 				NeverSent}).Draw(t, "outcome"))
 		}
 	case n < 68:
-		if q, k := out(t, w); q != nil {
+		if q, k := drawInFlight(t, w); q != nil {
 			w.s.NoteReceived(w.now, q.id, k, NoteKind(rapid.IntRange(0, 3).Draw(t, "sign")), rapid.Float64Range(0,
 				1).Draw(t, "x"))
 			w.check()
@@ -78,11 +78,11 @@
 	}
 }
 
-func out(t *rapid.T, w *world) (*asked, int) {
-	var all []*asked
+func drawInFlight(t *rapid.T, w *world) (*clientQuery, int) {
+	var all []*clientQuery
 	var tries []int
 	for _, q := range w.order {
-		for k, s := range q.subs {
+		for k, s := range q.attempts {
 			if !s.ended {
 				all, tries = append(all, q), append(tries, k)
 			}
@@ -95,9 +95,9 @@
 	return all[i], tries[i]
 }
 
-func sentTo(q *asked) string {
-	if len(q.subs) == 0 {
+func sentTo(q *clientQuery) string {
+	if len(q.attempts) == 0 {
 		return ""
 	}
-	return q.subs[len(q.subs)-1].engine
+	return q.attempts[len(q.attempts)-1].engine
 }
--- a/internal/scheduler/key_order_test.go
+++ b/internal/scheduler/key_order_test.go
@@ -10,11 +10,11 @@
 // the gateway with most of their time gone: queries lost.
 func TestKeyQueueHoldsNoMoreThanCanBeDone(t *testing.T) {
 	w := newWorld(t, 2, nil)
-	head := w.take(2, 1, 5, 25*sec)
-	var line []*asked
+	head := w.arrive(2, 1, 5, 25*sec)
+	var line []*clientQuery
 	for range 20 {
 		w.pass(60 * ms)
-		q := w.take(2, 2, 5, 20*sec)
+		q := w.arrive(2, 2, 5, 20*sec)
 		if line = append(line, q); q.answered && q.overAt != w.now {
 			t.Fatal("given up, and not at once")
 		}
@@ -27,7 +27,7 @@
 	}
 	w.set("e0", EngineDraining) // no room: the queue is not empty when the next's turn comes
 	w.set("e1", EngineDraining)
-	w.take(2, 3, -1, 20*sec)
+	w.arrive(2, 3, -1, 20*sec)
 	w.end(head, 0, Finished)
 	w.pass(ms)
 	at := map[time.Duration]int{}
--- a/internal/scheduler/outlier_test.go
+++ b/internal/scheduler/outlier_test.go
@@ -5,8 +5,9 @@
 )
 
 func TestStalledAttemptEjectsEngine(t *testing.T) {
-	w := busyOnly(t, 1, map[string]string{"group.1.late-share": "0.4", "may.probe": "false", "gateways": "2"})
-	q := w.take(1, 1, -1, 60*sec)
+	w := newCoresOnlyWorld(t, 1, map[string]string{"group.1.late-share": "0.4", "may.probe": "false",
+		"gateways": "2"})
+	q := w.arrive(1, 1, -1, 60*sec)
 	for w.pass(sec); w.s.engines[0].consecutiveEjections == 0 && w.now < 30*sec; w.pass(100 * ms) {
 	}
 	e := w.s.engines[0]
@@ -20,8 +21,8 @@
 		&query{group: w.s.groups[0]}); heavy || !light {
 		t.Fatalf("tried next: a heavy one %v, a light one %v", heavy, light)
 	}
-	q = w.take(0, 2, -1, 5*sec)
-	w.end(q, len(q.subs)-1, Finished)
+	q = w.arrive(0, 2, -1, 5*sec)
+	w.end(q, len(q.attempts)-1, Finished)
 	if !w.s.hasCapacity(e, &query{group: w.s.groups[1]}) {
 		t.Fatal("a light one came back, and heavy ones stay away")
 	}
@@ -29,8 +30,8 @@
 
 // Where others of one's own come back it is a load that is waited for, not the engine.
 func TestStalledAttemptBesideAnswersMarksLoad(t *testing.T) {
-	w := busyOnly(t, 1, map[string]string{"group.1.late-share": "0.4", "may.probe": "false"})
-	w.take(1, 1, -1, 60*sec)
+	w := newCoresOnlyWorld(t, 1, map[string]string{"group.1.late-share": "0.4", "may.probe": "false"})
+	w.arrive(1, 1, -1, 60*sec)
 	s := w.s.engines[0].inFlight[0]
 	w.pass(100 * ms)
 	s.engine.lastFinishAt = w.now
@@ -43,10 +44,10 @@
 // Notes come every 2 s, and no query waits for one: an engine that takes all and says nothing is
 // known by what is late there, and left alone, though no longer than its queries can wait for it.
 func TestHungEngineIsEjectedBeforeFirstNote(t *testing.T) {
-	w := hasty(t, 1, nil)
+	w := newImpatientWorld(t, 1, nil)
 	e := w.s.engines[0]
-	q := w.take(0, 1, -1, 290*ms)
-	if len(q.subs) != 1 {
+	q := w.arrive(0, 1, -1, 290*ms)
+	if len(q.attempts) != 1 {
 		t.Fatal("not sent, and the test proves nothing")
 	}
 	for w.now < 280*ms && e.consecutiveEjections == 0 {
--- a/internal/scheduler/queue_test.go
+++ b/internal/scheduler/queue_test.go
@@ -12,42 +12,42 @@
 	w := newWorld(t, 1, nil)
 	w.set("e0", EngineDraining)
 	for range 6 {
-		w.take(0, 1, -1, 5*sec)
+		w.arrive(0, 1, -1, 5*sec)
 	}
 	w.set("e0", EngineActive)
-	for i, did := range w.did {
-		if len(w.did) != 6 || !strings.HasPrefix(did, w.order[i].id) {
-			t.Fatal(w.did)
+	for i, did := range w.log {
+		if len(w.log) != 6 || !strings.HasPrefix(did, w.order[i].id) {
+			t.Fatal(w.log)
 		}
 	}
 }
 
 func TestQueueLetsOthersPassReaderWaitingForLoad(t *testing.T) {
 	w := newWorld(t, 2, nil)
-	load := w.take(2, 1, -1, 25*sec)
+	load := w.arrive(2, 1, -1, 25*sec)
 	for _, e := range w.s.engines {
 		if e.id != sentTo(load) {
 			e.threadsInFlight, e.slowdown, e.inFlight = 20, 9, append(e.inFlight,
 				&attempt{query: &query{group: w.s.groups[0]}})
 		}
 	}
-	held, other := w.take(0, 1, -1, 5*sec), w.take(0, 2, -1, 5*sec)
-	if len(held.subs) != 0 || sentTo(other) != sentTo(load) {
+	held, other := w.arrive(0, 1, -1, 5*sec), w.arrive(0, 2, -1, 5*sec)
+	if len(held.attempts) != 0 || sentTo(other) != sentTo(load) {
 		t.Fatalf("reader of the load's tables sent to %q, one of others to %q", sentTo(held), sentTo(other))
 	}
 }
 
 func TestQueueAsksOncePerTableGroup(t *testing.T) {
 	w := newWorld(t, 1, nil)
-	w.take(2, 1, -1, 25*sec)
+	w.arrive(2, 1, -1, 25*sec)
 	e := w.s.engines[0]
-	w.engines["e9"] = &machine{id: "e9"}
+	w.engines["e9"] = &listedEngine{id: "e9"}
 	w.list(false, "e9")
 	full := w.s.enginesByID["e9"]
 	full.threadsInFlight, full.slowdown, full.inFlight = 20, 9, append(full.inFlight,
 		&attempt{query: &query{group: w.s.groups[0]}})
 	for range 500 {
-		w.take(0, 1, -1, 5*sec)
+		w.arrive(0, 1, -1, 5*sec)
 	}
 	asked := testing.AllocsPerRun(1, func() { w.s.dispatchQueued() })
 	if len(e.inFlight) != 1 || asked > 100 {
@@ -60,12 +60,12 @@
 	w := newWorld(t, 1, nil)
 	w.set("e0", EngineDraining)
 	for range 20 {
-		q := w.take(1, 1, -1, 15*sec)
+		q := w.arrive(1, 1, -1, 15*sec)
 		w.pass(500 * ms)
 		q.answered = true
 		w.s.ClientLeft(w.now, q.id)
 	}
-	a, b := w.take(1, 1, -1, 15*sec), w.take(1, 1, -1, 15*sec)
+	a, b := w.arrive(1, 1, -1, 15*sec), w.arrive(1, 1, -1, 15*sec)
 	if w.pass(600 * ms); !a.answered || b.answered {
 		t.Fatalf("first given up %v, last %v", a.answered, b.answered)
 	}
@@ -79,7 +79,7 @@
 	w.now = 5 * sec
 	w.s.groups[1].recentThreadSeconds, w.s.groups[1].workSeconds = 15, movingAverage{3, 50}
 	for _, work := range []time.Duration{3, 30, 2, 60, 1, 2, 3} {
-		takeAs(w, 1, -1, work*sec)
+		takeForTenant(w, 1, -1, work*sec)
 	}
 	var kept []string
 	for _, q := range w.order {
@@ -97,9 +97,9 @@
 	w := newWorld(t, 1, map[string]string{"gateways": "1", "teams": "2", "team.0.quota": "4",
 		"team.1.quota": "4", "over.worth": "0.05"})
 	for range 400 {
-		takeAs(w, 0, 0, 0)
+		takeForTenant(w, 0, 0, 0)
 		if w.now%(300*ms) == 0 {
-			takeAs(w, 0, 1, 0)
+			takeForTenant(w, 0, 1, 0)
 		}
 		w.pass(100 * ms)
 	}
@@ -122,7 +122,7 @@
 	for _, late := range []string{"0", "0.1", ""} {
 		w := newWorld(t, 1, map[string]string{"group.0.late-share": late})
 		w.set("e0", EngineDraining)
-		q := w.take(0, 1, -1, 5*sec)
+		q := w.arrive(0, 1, -1, 5*sec)
 		if w.pass(1200 * ms); q.answered != (late == "0") {
 			t.Fatalf("worth %s when late: answered %v at %v", late, q.answered, w.now)
 		}
@@ -131,8 +131,8 @@
 
 // While it is held nothing goes, and all goes in its order afterwards.
 func TestPausedSchedulerDispatchesNothing(t *testing.T) {
-	a := &quiet{}
-	g := New(a, 7, plainFacts(map[string]string{"report.how": "off", "may.probe": ""}))
+	a := &recordingActions{}
+	g := New(a, 7, testSettings(map[string]string{"report.how": "off", "may.probe": ""}))
 	g.ListStarted(0, true)
 	g.EngineListed("e0", 0, 0, 0, EngineActive, 0, false)
 	g.ListEnded()
@@ -155,8 +155,8 @@
 }
 
 // takeAs takes a query of a customer, with an estimate.
-func takeAs(w *world, group, team int, work time.Duration) {
-	q := &asked{id: fmt.Sprint("x", len(w.order)), group: group, taken: w.now, deadline: w.now + 60*sec}
+func takeForTenant(w *world, group, team int, work time.Duration) {
+	q := &clientQuery{id: fmt.Sprint("x", len(w.order)), group: group, taken: w.now, deadline: w.now + 60*sec}
 	w.queries[q.id], w.order = q, append(w.order, q)
 	w.s.QueryArrived(w.now, q.id, group, team, 60*sec, int64(len(w.order)), -1, work, 100)
 }
--- a/internal/scheduler/retry_test.go
+++ b/internal/scheduler/retry_test.go
@@ -8,7 +8,7 @@
 
 func TestQueryRejectedWhenNotesShowItCannotFinish(t *testing.T) {
 	w := newWorld(t, 1, nil)
-	q := w.take(1, 1, -1, 1900*ms)
+	q := w.arrive(1, 1, -1, 1900*ms)
 	w.pass(sec)
 	if w.s.NoteReceived(w.now, q.id, 0, Progress, 0.1); !q.answered {
 		t.Fatal("held to its queue timeout")
@@ -20,7 +20,7 @@
 func TestSlowQueryIsNotMovedWhenAllEnginesAreFull(t *testing.T) {
 	for _, full := range []bool{false, true} {
 		w := newWorld(t, 4, map[string]string{"report.how": "probed", "may.probe": "false", "may.copy": "true"})
-		q := w.take(1, 1, -1, 15*sec)
+		q := w.arrive(1, 1, -1, 15*sec)
 		for range 10 {
 			w.pass(100 * ms)
 			for _, id := range w.ids() {
@@ -37,11 +37,11 @@
 
 // An engine that was full is tried again while those that it turned away have time left.
 func TestRejectingEngineIsRetriedInTime(t *testing.T) {
-	w := hasty(t, 1, nil)
-	q := w.take(0, 1, -1, 290*ms)
+	w := newImpatientWorld(t, 1, nil)
+	q := w.arrive(0, 1, -1, 290*ms)
 	w.end(q, 0, Rejected)
-	if w.pass(120 * ms); len(q.subs) != 2 {
-		t.Fatalf("sent %d times in 120 ms of 290", len(q.subs))
+	if w.pass(120 * ms); len(q.attempts) != 2 {
+		t.Fatalf("sent %d times in 120 ms of 290", len(q.attempts))
 	}
 }
 
@@ -52,18 +52,18 @@
 		want time.Duration
 	}{{nil, 150 * ms}, {map[string]string{"group.0.timeout": "5000"}, time.Second},
 		{map[string]string{"group.0.timeout": "0"}, time.Second}} {
-		w := hasty(t, 1, c.more)
+		w := newImpatientWorld(t, 1, c.more)
 		w.set("e0", EngineDraining)
-		w.take(0, 1, -1, 200*ms)
-		if w.pass(250 * ms); len(w.named) != 1 || w.named[0] != c.want {
-			t.Fatalf("%v: %v", c.want, w.named)
+		w.arrive(0, 1, -1, 200*ms)
+		if w.pass(250 * ms); len(w.retryAfters) != 1 || w.retryAfters[0] != c.want {
+			t.Fatalf("%v: %v", c.want, w.retryAfters)
 		}
 	}
 }
 
 // hasty: all groups are wanted within 120 ms and given up after 300; what suits deadlines of
 // seconds outlasts them.
-func hasty(t *testing.T, engines int, more map[string]string) *world {
+func newImpatientWorld(t *testing.T, engines int, more map[string]string) *world {
 	f := map[string]string{"may.probe": "false", "note.period": "2000", "return.most": "1000"}
 	for i := range 3 {
 		at := "group." + strconv.Itoa(i) + "."
--- a/internal/scheduler/scheduler_test.go
+++ b/internal/scheduler/scheduler_test.go
@@ -9,12 +9,12 @@
 func TestSchedulerSubscribesToPolledList(t *testing.T) {
 	w := newWorld(t, 1, map[string]string{"list.how": "asked"})
 	w.pass(300 * ms)
-	if len(w.did) != 1 || w.did[0] != "subscribe" {
-		t.Fatal(w.did)
+	if len(w.log) != 1 || w.log[0] != "subscribe" {
+		t.Fatal(w.log)
 	}
 	w.s.ListRefused(w.now)
 	w.pass(2 * sec)
-	if len(w.did) < 2 {
+	if len(w.log) < 2 {
 		t.Fatal("did not ask again after a refusal")
 	}
 }
@@ -22,9 +22,9 @@
 // Groups' limits and teams' shares are read anew; what waits stays, aims at the new
 // target and counts to its team by name.
 func TestUpdateSettingsKeepsQueuedQueries(t *testing.T) {
-	facts := plainFacts(map[string]string{"teams": "2", "team.0.name": "a", "team.0.quota": "4",
+	facts := testSettings(map[string]string{"teams": "2", "team.0.name": "a", "team.0.quota": "4",
 		"team.1.name": "b", "team.1.quota": "6"})
-	g := New(&quiet{}, 7, facts)
+	g := New(&recordingActions{}, 7, facts)
 	g.QueryArrived(ms, "q", 0, 1, 5*sec, 1, -1, 0, 0)
 	q, b := g.queries["q"], g.tenants[1]
 	next := maps.Clone(facts)
--- a/internal/scheduler/slow_start_test.go
+++ b/internal/scheduler/slow_start_test.go
@@ -5,7 +5,7 @@
 )
 
 func TestSlowStartChanceSumsToPartOfLimit(t *testing.T) {
-	w := among(t, 30)
+	w := newLargeFleet(t, 30)
 	w.pass(sec)
 	w.restart("e0")
 	// a fifth is this group's
@@ -26,15 +26,15 @@
 // leaves room there: a probe a query, priced over the whole fleet.
 func TestWarmingEngineGetsLightQueriesWithoutHealthCheck(t *testing.T) {
 	w := newWorld(t, 40, map[string]string{"gateways": "300", "report.how": "probed"})
-	ask := func() *asked {
+	ask := func() *clientQuery {
 		w.pass(20 * ms)
 		for _, id := range []string{"e8", "e9"} { // two warm ones with room are known
 			w.report(id, map[string]float64{"held": 2})
 		}
 		w.probes = nil
-		return w.take(0, 1, -1, 5*sec)
+		return w.arrive(0, 1, -1, 5*sec)
 	}
-	w.take(1, 1, -1, 15*sec) // beside which lookups are light
+	w.arrive(1, 1, -1, 15*sec) // beside which lookups are light
 	for range 40 {
 		w.end(ask(), 0, Finished)
 	}
@@ -44,10 +44,10 @@
 	went := 0
 	for range 400 {
 		q := ask()
-		if len(q.subs) != 1 || len(w.probes) > 0 {
-			t.Fatalf("sent %d times, %d looks", len(q.subs), len(w.probes))
+		if len(q.attempts) != 1 || len(w.probes) > 0 {
+			t.Fatalf("sent %d times, %d looks", len(q.attempts), len(w.probes))
 		}
-		if w.engines[q.subs[0].engine].started > 0 {
+		if w.engines[q.attempts[0].engine].started > 0 {
 			went++
 		}
 		w.end(q, 0, Finished)
--- a/internal/scheduler/utilization_test.go
+++ b/internal/scheduler/utilization_test.go
@@ -33,7 +33,7 @@
 // Reports without queries held were read as none held: an engine looked the emptier
 // the more of one's own stood still there.
 func TestUtilizationByBusyCoresWithoutQueryCount(t *testing.T) {
-	w := busyOnly(t, 2, nil)
+	w := newCoresOnlyWorld(t, 2, nil)
 	e := w.s.engines[0]
 	if w.report("e0", map[string]float64{"cores": 0.9}); w.s.utilization(e) < 0.89 || !w.s.underPressure(e,
 		&query{group: w.s.groups[1]}) {
@@ -67,11 +67,11 @@
 	for range 30 {
 		w.report("e0", map[string]float64{"held": 40})
 	}
-	if w.pass(500 * ms); len(w.take(0, 1, -1, 5*sec).subs) > 0 {
+	if w.pass(500 * ms); len(w.arrive(0, 1, -1, 5*sec).attempts) > 0 {
 		t.Fatalf("%.2f full by reports just had, and sent to", w.s.reportedUtilization.value)
 	}
 	w.pass(6 * sec)
-	if len(w.take(0, 2, -1, 5*sec).subs) == 0 {
+	if len(w.arrive(0, 2, -1, 5*sec).attempts) == 0 {
 		t.Fatalf("nothing told for seven seconds, and still %.2f full", w.s.reportedUtilization.value)
 	}
 	w.report("e1", map[string]float64{"held": 40})
@@ -102,7 +102,7 @@
 }
 
 // busyOnly: sixteen gateways, engines that tell of busy cores and nothing else, no notes.
-func busyOnly(t *testing.T, engines int, more map[string]string) *world {
+func newCoresOnlyWorld(t *testing.T, engines int, more map[string]string) *world {
 	f := map[string]string{"gateways": "16", "report.how": "probed", "report.figures": "cores",
 		"note.period": "0", "answers.cost": "true"}
 	for k, v := range more {
--- a/internal/scheduler/world_test.go
+++ b/internal/scheduler/world_test.go
@@ -13,20 +13,20 @@
 
 // world is a Gateway's clients, engines and clock, and checks it by the seven rules.
 type world struct {
-	t       interface{ Fatalf(string, ...any) }
-	s       *Scheduler
-	facts   facts
-	now     time.Duration
-	wakes   []wake
-	queries map[string]*asked
-	order   []*asked
-	engines map[string]*machine
-	did     []string
-	extras  []time.Duration
-	rests   map[int64]time.Duration // until when a key rests
-	restBy  map[int64]*asked
-	probes  []string
-	named   []time.Duration // with each deferral, to come back
+	t           interface{ Fatalf(string, ...any) }
+	s           *Scheduler
+	settings    facts
+	now         time.Duration
+	wakes       []wake
+	queries     map[string]*clientQuery
+	order       []*clientQuery
+	engines     map[string]*listedEngine
+	log         []string
+	extras      []time.Duration
+	rests       map[int64]time.Duration // until when a key rests
+	restBy      map[int64]*clientQuery
+	probes      []string
+	retryAfters []time.Duration // with each deferral, to come back
 }
 
 type wake struct {
@@ -34,7 +34,7 @@
 	tag int
 }
 
-type asked struct {
+type clientQuery struct {
 	id       string
 	group    int
 	key      int64
@@ -42,7 +42,7 @@
 	deadline time.Duration
 	answered bool
 	overAt   time.Duration
-	subs     []*try
+	attempts []*try
 }
 
 type try struct {
@@ -52,7 +52,7 @@
 	outcome Outcome
 }
 
-type machine struct {
+type listedEngine struct {
 	id             string
 	location, kind int
 	cell           int
@@ -72,7 +72,7 @@
 }
 
 // plainFacts: a read-only group that waits for loads, a heavy one, loads in order by key.
-func plainFacts(more map[string]string) map[string]string {
+func testSettings(more map[string]string) map[string]string {
 	f := map[string]string{
 		"gateways": "2", "own.number": "0", "groups": "3", "loads": "false,false,true", "waits": "true,true,false",
 		"threads": "1,3,2", "kind.cores": "8,8", "kind.memory": "16384,16384", "grant.most": "0.4",
@@ -94,11 +94,13 @@
 }
 
 func newWorld(t interface{ Fatalf(string, ...any) }, engines int, more map[string]string) *world {
-	w := &world{t: t, facts: plainFacts(more), queries: map[string]*asked{}, engines: map[string]*machine{},
-		rests: map[int64]time.Duration{}, restBy: map[int64]*asked{}}
-	w.s = New(w, 7, w.facts)
+	w := &world{t: t, settings: testSettings(more), queries: map[string]*clientQuery{},
+		engines: map[string]*listedEngine{},
+		rests:   map[int64]time.Duration{}, restBy: map[int64]*clientQuery{}}
+	w.s = New(w, 7, w.settings)
 	for i := range engines {
-		w.engines[fmt.Sprint("e", i)] = &machine{id: fmt.Sprint("e", i), location: i % 2, kind: i % 2, cell: i % 3}
+		w.engines[fmt.Sprint("e", i)] = &listedEngine{id: fmt.Sprint("e", i), location: i % 2, kind: i % 2,
+			cell: i % 3}
 	}
 	w.list(true, w.ids()...)
 	return w
@@ -129,9 +131,9 @@
 	w.list(false, id)
 }
 
-func (w *world) take(group int, tables, key int64, budget time.Duration) *asked {
+func (w *world) arrive(group int, tables, key int64, budget time.Duration) *clientQuery {
 	id := fmt.Sprintf("q%03d", len(w.order))
-	q := &asked{id: id, group: group, key: key, taken: w.now, deadline: w.now + budget}
+	q := &clientQuery{id: id, group: group, key: key, taken: w.now, deadline: w.now + budget}
 	w.queries[q.id], w.order = q, append(w.order, q)
 	w.s.QueryArrived(w.now, q.id, group, -1, budget, tables, key,
 		time.Duration(w.work(group)*float64(time.Second)), 100)
@@ -142,8 +144,8 @@
 func (w *world) work(group int) float64 { return []float64{0.2, 3, 3}[group] }
 
 // end has a submission end; a finish ends its query with it.
-func (w *world) end(q *asked, k int, o Outcome) {
-	s := q.subs[k]
+func (w *world) end(q *clientQuery, k int, o Outcome) {
+	s := q.attempts[k]
 	if s.ended {
 		return
 	}
@@ -151,8 +153,8 @@
 	if o == Finished {
 		q.answered = true
 	}
-	if o.mayStillRun() && w.fact("in-order", q.group) == "true" {
-		w.rests[q.key], w.restBy[q.key] = w.now+w.facts.span("key.rest"), q
+	if o.mayStillRun() && w.groupSetting("in-order", q.group) == "true" {
+		w.rests[q.key], w.restBy[q.key] = w.now+w.settings.span("key.rest"), q
 	}
 	took := max(w.now-s.at, time.Duration(w.work(q.group)*float64(time.Second)))
 	w.s.AttemptEnded(w.now, q.id, k, o, took, q.answered, 0, 0, nil)
@@ -182,7 +184,7 @@
 }
 
 func (w *world) check() {
-	grace := w.facts.span("answer.grace")
+	grace := w.settings.span("answer.grace")
 	for _, q := range w.order {
 		if !q.answered && w.now > q.deadline+grace {
 			w.t.Fatalf("rule 1: %s has no answer at %v", q.id, w.now)
@@ -190,27 +192,28 @@
 	}
 }
 
-func (w *world) fact(name string, group int) string {
-	return w.facts[fmt.Sprintf("group.%d.%s", group, name)]
+func (w *world) groupSetting(name string, group int) string {
+	return w.settings[fmt.Sprintf("group.%d.%s", group, name)]
 }
 
 func (w *world) Submit(id, engine string, within time.Duration) {
 	q, m := w.queries[id], w.engines[engine]
-	w.did = append(w.did, id+" to "+engine)
+	w.log = append(w.log, id+" to "+engine)
 	switch {
 	case q.answered:
 		w.t.Fatalf("rule 1: %s sent after its answer", id)
-	case m.state != EngineActive && w.now > m.toldAt+w.facts.span("drain.grace"):
+	case m.state != EngineActive && w.now > m.toldAt+w.settings.span("drain.grace"):
 		w.t.Fatalf("rule 3: %s sent to %s, told to be leaving at %v", id, engine, m.toldAt)
-	case w.fact("locations", q.group) != "" && w.fact("locations", q.group) != fmt.Sprint(m.location),
-		w.fact("kinds", q.group) != "" && w.fact("kinds", q.group) != fmt.Sprint(m.kind):
+	case w.groupSetting("locations", q.group) != "" && w.groupSetting("locations",
+		q.group) != fmt.Sprint(m.location),
+		w.groupSetting("kinds", q.group) != "" && w.groupSetting("kinds", q.group) != fmt.Sprint(m.kind):
 		w.t.Fatalf("rule 6: %s sent to %s", id, engine)
 	}
-	w.repeats(q, m)
-	if w.fact("in-order", q.group) == "true" && q.key >= 0 {
-		w.inTurn(q)
+	w.checkRetry(q, m)
+	if w.groupSetting("in-order", q.group) == "true" && q.key >= 0 {
+		w.checkKeyOrder(q)
 	}
-	if span := w.facts.span("budget.span"); span > 0 && len(q.subs) > 0 {
+	if span := w.settings.span("budget.span"); span > 0 && len(q.attempts) > 0 {
 		w.extras = append(w.extras, w.now)
 		made, taken := 0, 0
 		for _, at := range w.extras {
@@ -223,38 +226,38 @@
 				taken++
 			}
 		}
-		f := w.facts
+		f := w.settings
 		if most := f.num("budget.least") + f.num("budget.share")*float64(taken); float64(made) > most {
 			w.t.Fatalf("rule 7: %d further submissions, %v allowed", made, most)
 		}
 	}
-	w.cold(q, m)
-	q.subs = append(q.subs, &try{engine: engine, at: w.now})
+	w.checkSlowStart(q, m)
+	q.attempts = append(q.attempts, &try{engine: engine, at: w.now})
 }
 
-func (w *world) repeats(q *asked, m *machine) {
-	for _, s := range q.subs {
-		if !s.ended && w.facts["may.copy"] != "true" {
+func (w *world) checkRetry(q *clientQuery, m *listedEngine) {
+	for _, s := range q.attempts {
+		if !s.ended && w.settings["may.copy"] != "true" {
 			w.t.Fatalf("rule 2: %s is out twice", q.id)
 		}
 		if s.ended && s.outcome.NeverRan() {
 			continue
 		}
-		other, scope := w.engines[s.engine], w.fact("scope", q.group)
+		other, scope := w.engines[s.engine], w.groupSetting("scope", q.group)
 		near := scope == "all" || scope == "location" && other.location == m.location ||
 			scope == "cell" && other.cell == m.cell
-		switch w.fact("effect", q.group) {
+		switch w.groupSetting("effect", q.group) {
 		case "mutating":
 			w.t.Fatalf("rule 2: mutating %s sent again", q.id)
 		case "tokened":
-			if !near || w.now-s.at > w.facts.span(fmt.Sprintf("group.%d.window", q.group)) {
+			if !near || w.now-s.at > w.settings.span(fmt.Sprintf("group.%d.window", q.group)) {
 				w.t.Fatalf("rule 2: tokened %s sent outside its scope or window", q.id)
 			}
 		}
 	}
 }
 
-func (w *world) inTurn(q *asked) {
+func (w *world) checkKeyOrder(q *clientQuery) {
 	for _, x := range w.order {
 		if x == q {
 			break
@@ -262,7 +265,7 @@
 		if x.group != q.group || x.key != q.key {
 			continue
 		}
-		if out := slices.ContainsFunc(x.subs, func(s *try) bool { return !s.ended }); !x.answered || out {
+		if out := slices.ContainsFunc(x.attempts, func(s *try) bool { return !s.ended }); !x.answered || out {
 			w.t.Fatalf("rule 5: %s sent before %s is over", q.id, x.id)
 		}
 	}
@@ -272,8 +275,8 @@
 }
 
 // cold holds this gateway to what all together may send, in any window.
-func (w *world) cold(q *asked, m *machine) {
-	age, f := w.now-m.started, w.facts
+func (w *world) checkSlowStart(q *clientQuery, m *listedEngine) {
+	age, f := w.now-m.started, w.settings
 	span := f.span("cold.span")
 	if m.started == 0 || age >= span {
 		return
@@ -298,15 +301,15 @@
 		w.t.Fatalf("rule 1: %s answered twice", id)
 	}
 	q.answered, q.overAt = true, w.now
-	w.did = append(w.did, id+" "+how)
+	w.log = append(w.log, id+" "+how)
 }
 
 func (w *world) Defer(id string, comeBack time.Duration) {
 	q := w.queries[id]
-	w.named = append(w.named, comeBack)
-	for _, s := range q.subs {
-		e := w.fact("effect", q.group)
-		scoped := e == "tokened" && w.fact("scope", q.group) != "all"
+	w.retryAfters = append(w.retryAfters, comeBack)
+	for _, s := range q.attempts {
+		e := w.groupSetting("effect", q.group)
+		scoped := e == "tokened" && w.groupSetting("scope", q.group) != "all"
 		if !(s.ended && s.outcome.NeverRan()) && (e == "mutating" || scoped) {
 			w.t.Fatalf("rule 2: %s deferred though it may have run", id)
 		}
@@ -318,13 +321,13 @@
 
 // Cancel: the end comes with the next end drawn, as on a slow network.
 func (w *world) Cancel(id string, try int) {
-	if w.facts["may.cancel"] != "true" || try >= len(w.queries[id].subs) {
+	if w.settings["may.cancel"] != "true" || try >= len(w.queries[id].attempts) {
 		w.t.Fatalf("cancel of %s %d", id, try)
 	}
 }
 func (w *world) Terms(string, int, int) {}
 func (w *world) Probe(id string)        { w.probes = append(w.probes, id) }
-func (w *world) Subscribe()             { w.did = append(w.did, "subscribe") }
+func (w *world) Subscribe()             { w.log = append(w.log, "subscribe") }
 func (w *world) Log(string)             {}
 func (w *world) Wake(in time.Duration, tag int) {
 	w.wakes = append(w.wakes, wake{w.now + in, tag})
