--- a/internal/scheduler/key_order_test.go
+++ b/internal/scheduler/key_order_test.go
@@ -42,3 +42,22 @@
 		}
 	}
 }
+
+// A key rests after an end that may leave the engine at work, so that the next query doesn't
+// overtake it. The query itself is retried meanwhile.
+func TestQueryIsRetriedWhileItsOwnKeyRests(t *testing.T) {
+	w := newWorld(t, 2, map[string]string{"group.1.in-order": "true"})
+	first := w.arrive(1, 1, 5, 15*sec)
+	second := w.arrive(1, 1, 5, 15*sec)
+	w.end(first, 0, ConnectionReset)
+	if w.pass(50 * ms); len(first.attempts) != 2 {
+		t.Fatalf("%d attempts of the query whose attempt was reset", len(first.attempts))
+	}
+	w.end(first, 1, Finished)
+	if w.pass(100 * ms); len(second.attempts) != 0 {
+		t.Fatal("the next query of the key is sent while it rests")
+	}
+	if w.pass(400 * ms); len(second.attempts) != 1 {
+		t.Fatal("the next query of the key waits past its rest")
+	}
+}
