--- a/internal/controller/attempt.go
+++ b/internal/controller/attempt.go
@@ -50,7 +50,7 @@
 	polledAt      time.Duration // when such a call was last written
 
 	// polling
-	maybeForgotten  bool          // it was out of reach since the last response: an error may mean that it is unknown there
+	maybeForgotten  bool          // out of reach since the last response: an error may mean that it is unknown there
 	staleNotesUntil time.Duration // notes before this may be older than its being forgotten
 	repollPause     time.Duration // before the next poll after a failed one
 	readableAt      time.Duration // when the last readable response came, or the first call was made
@@ -151,7 +151,8 @@
 	s.runSoon(func() {
 		s.reported = true
 		s.engine.unreportedAttempts--
-		s.scheduler.AttemptEnded(s.now, s.query.id, s.number, outcome, took, s.query.answered, s.work, s.memoryMB, nil)
-		s.forgetQuery(s.query)
+		q := s.query
+		s.scheduler.AttemptEnded(s.now, q.id, s.number, outcome, took, q.answered, s.work, s.memoryMB, nil)
+		s.forgetQuery(q)
 	})
 }
--- a/internal/controller/unheard_test.go
+++ b/internal/controller/attempt_cancel_test.go
@@ -6,44 +6,44 @@
 )
 
 // cutOff has a query of a key run at an engine that is cut off from us, with another of its key behind.
-func cutOff(t *testing.T, more map[string]string, patience time.Duration) (s *stage, m *mill, first, next *asked) {
-	s = newStage(t, 2, 256, more)
+func cutOff(t *testing.T, more map[string]string, patience time.Duration) (s *harness, m *fakeEngine, first, next *sentQuery) {
+	s = newHarness(t, 2, 256, more)
 	c := s.connect()
-	first = s.query(c, "load", "k", patience, 1)
-	h := s.one("POST", first.id)
-	s.reply(h, "runs")
-	next = s.query(c, "load", "k", 30*time.Second, 2)
-	s.one("GET", first.id)
-	m = h.m
-	m.cut = true
+	first = s.sendQuery(c, "load", "k", patience, 1)
+	h := s.waitForCall("POST", first.id)
+	s.respond(h, "runs")
+	next = s.sendQuery(c, "load", "k", 30*time.Second, 2)
+	s.waitForCall("GET", first.id)
+	m = h.engine
+	m.networkCut = true
 	return s, m, first, next
 }
 
 // Where nothing may be cancelled an engine works on though nobody asks for the query: seen on a variant's
 // split days, where the next of a key was sent 2.7 s into a cut while the first still ran behind it. The
 // key waits until the engine was heard, or until the time that it was told to have is over.
-func TestOrderHoldsWhereNothingMayBeCancelled(t *testing.T) {
+func TestOrderHoldsWithoutCancellation(t *testing.T) {
 	for _, cancel := range []string{"true", "false"} {
 		s, m, first, next := cutOff(t, map[string]string{"may.probe": "false", "may.cancel": cancel}, 20*time.Second)
-		s.until(s.now + 6*time.Second)
-		if sent := len(next.subs) > 0; sent != (cancel == "true") {
+		s.runUntil(s.now + 6*time.Second)
+		if sent := len(next.runs) > 0; sent != (cancel == "true") {
 			t.Fatalf("may.cancel %s: after 6 s of silence the next of its key was sent: %v", cancel, sent)
 		}
 		if cancel == "true" {
 			continue
 		}
-		m.runs[first.id].over, m.runs[first.id].askedAt = false, s.now // it ran on, and does now
+		m.runs[first.id].ended, m.runs[first.id].askedAt = false, s.now // it ran on, and does now
 		s.heal(m)
-		s.reply(s.one("GET", first.id), "ok")
-		if s.until(s.now + 100*time.Millisecond); first.answer != "finished" || len(next.subs) != 1 {
-			t.Fatalf("heard again: the first %q, the next sent %d times", first.answer, len(next.subs))
+		s.respond(s.waitForCall("GET", first.id), "ok")
+		if s.runUntil(s.now + 100*time.Millisecond); first.answer != "finished" || len(next.runs) != 1 {
+			t.Fatalf("heard again: the first %q, the next sent %d times", first.answer, len(next.runs))
 		}
 	}
 	s, _, _, next := cutOff(t, map[string]string{"may.probe": "false", "may.cancel": "false"}, 4*time.Second)
-	if s.until(s.now + 5*time.Second); len(next.subs) > 0 {
+	if s.runUntil(s.now + 5*time.Second); len(next.runs) > 0 {
 		t.Fatal("sent before its time was over at its engine")
 	}
-	if s.until(s.now + 4*time.Second); len(next.subs) != 1 {
+	if s.runUntil(s.now + 4*time.Second); len(next.runs) != 1 {
 		t.Fatal("its key waits for good for an engine that is never heard")
 	}
 }
@@ -51,24 +51,24 @@
 // An engine that dropped a query, as nobody asked, still has its notes: they come first, and fast, once it
 // is heard again. They are no sign that the query lives, and the error behind them is no certain end:
 // it is given up there, and its key rests.
-func TestAnOldNoteIsNoSignOfLife(t *testing.T) {
+func TestStaleNoteIsNoSignOfLife(t *testing.T) {
 	s, m, first, next := cutOff(t, map[string]string{"may.probe": "false", "may.cancel": "false"}, 20*time.Second)
-	s.until(s.now + 4*time.Second)
+	s.runUntil(s.now + 4*time.Second)
 	x := m.runs[first.id]
-	x.over, x.askedAt = false, s.now // what was noted before is told first
+	x.ended, x.askedAt = false, s.now // what was noted before is told first
 	s.heal(m)
 	for range 2 {
-		s.reply(s.one("GET", first.id), "stuck")
+		s.respond(s.waitForCall("GET", first.id), "stuck")
 	}
-	s.one("GET", first.id)
-	x.over, x.rests, x.overAt, x.pages = true, true, s.now, 0
-	s.reply(s.one("GET", first.id), "runs")
+	s.waitForCall("GET", first.id)
+	x.ended, x.keyRests, x.overAt, x.pages = true, true, s.now, 0
+	s.respond(s.waitForCall("GET", first.id), "runs")
 	from := s.now
-	s.reply(s.one("DELETE", first.id), "ok")
-	if s.until(from + 250*time.Millisecond); len(next.subs) > 0 {
+	s.respond(s.waitForCall("DELETE", first.id), "ok")
+	if s.runUntil(from + 250*time.Millisecond); len(next.runs) > 0 {
 		t.Fatal("its key didn't rest")
 	}
-	if s.until(from + 400*time.Millisecond); len(next.subs) != 1 || first.answer != "killed" {
-		t.Fatalf("the first %q, the next sent %d times", first.answer, len(next.subs))
+	if s.runUntil(from + 400*time.Millisecond); len(next.runs) != 1 || first.answer != "killed" {
+		t.Fatalf("the first %q, the next sent %d times", first.answer, len(next.runs))
 	}
 }
--- a/internal/controller/client_bounds.go
+++ b/internal/controller/client_bounds.go
@@ -33,7 +33,8 @@
 )
 
 func (c *Controller) evictionOrder(cl, newcomer *client) evictionOrder {
-	isReading := cl.connection.unwrittenBytes > 0 && (cl.stalledSince < 0 || c.now-cl.stalledSince < messageTimeout)
+	isTaking := cl.stalledSince < 0 || c.now-cl.stalledSince < messageTimeout
+	isReading := cl.connection.unwrittenBytes > 0 && isTaking
 	switch {
 	case len(cl.calls) > 0 || isReading:
 		return keepBusy
--- a/internal/controller/client_test.go
+++ b/internal/controller/client_test.go
@@ -6,98 +6,98 @@
 	"time"
 )
 
-func TestAClientThatDoesNotRead(t *testing.T) {
-	s := newStage(t, 1, 256, nil)
+func TestClientThatDoesNotReadIsDisconnected(t *testing.T) {
+	s := newHarness(t, 1, 256, nil)
 	c, other := s.connect(), s.connect()
-	a := s.query(c, "lookup", "", 5*time.Second, 1)
-	h := s.one("POST", a.id)
-	c.ignores, a.left = true, true
-	s.reply(h, "ok")
+	a := s.sendQuery(c, "lookup", "", 5*time.Second, 1)
+	h := s.waitForCall("POST", a.id)
+	c.ignores, a.cancelled = true, true
+	s.respond(h, "ok")
 	for range 3 {
-		if h := s.held; len(h) > 0 {
-			s.reply(h[0], "")
+		if h := s.heldCalls; len(h) > 0 {
+			s.respond(h[0], "")
 		}
 	}
-	s.query(other, "load", "k", 25*time.Second, 2)
-	s.until(s.now + 12*time.Second)
+	s.sendQuery(other, "load", "k", 25*time.Second, 2)
+	s.runUntil(s.now + 12*time.Second)
 	if !c.gone || other.gone {
 		t.Fatal("it is waited for")
 	}
 }
 
-func TestStatementsInHandAreBounded(t *testing.T) {
-	s := newStage(t, 1, 256, nil)
+func TestStatementBytesAreBounded(t *testing.T) {
+	s := newHarness(t, 1, 256, nil)
 	c := s.connect()
-	s.query(c, "lookup", "", 3*time.Second, 1)
-	s.r.maxStatementBytes = s.r.statementBytes + 10
+	s.sendQuery(c, "lookup", "", 3*time.Second, 1)
+	s.controller.maxStatementBytes = s.controller.statementBytes + 10
 	for range maxBadCalls + 5 { // more than may be wrong on a connection: none of these is
-		if a := s.query(c, "lookup", "", 3*time.Second, 1); a.answer != "deferred" {
+		if a := s.sendQuery(c, "lookup", "", 3*time.Second, 1); a.answer != "deferred" {
 			t.Fatalf("%q", a.answer)
 		}
 	}
 	if c.gone {
 		t.Fatal("the connection was ended, with a query open on it")
 	}
-	s.until(s.now + 4*time.Second)
-	if s.r.statementBytes != 0 {
-		t.Fatal("it forgets to forget: ", s.r.statementBytes)
+	s.runUntil(s.now + 4*time.Second)
+	if s.controller.statementBytes != 0 {
+		t.Fatal("it forgets to forget: ", s.controller.statementBytes)
 	}
 }
 
-func TestClientsThatSayNothingMakeWay(t *testing.T) {
-	s := newStage(t, 1, 256, nil)
+func TestSilentClientsAreEvictedFirst(t *testing.T) {
+	s := newHarness(t, 1, 256, nil)
 	good, rested := s.connect(), s.connect()
-	a := s.query(good, "load", "k", 20*time.Second, 1)
-	s.until(s.now + time.Millisecond)
-	s.leave(s.query(rested, "lookup", "", 5*time.Second, 1))
-	s.until(s.now + time.Millisecond)
-	var mute []*end
-	for range s.r.maxClients + 5 {
+	a := s.sendQuery(good, "load", "k", 20*time.Second, 1)
+	s.runUntil(s.now + time.Millisecond)
+	s.cancel(s.sendQuery(rested, "lookup", "", 5*time.Second, 1))
+	s.runUntil(s.now + time.Millisecond)
+	var mute []*fakeConnection
+	for range s.controller.maxClients + 5 {
 		mute = append(mute, s.connect())
-		s.until(s.now + time.Millisecond)
+		s.runUntil(s.now + time.Millisecond)
 	}
 	last := mute[len(mute)-1]
 	if good.gone || rested.gone || last.gone || !mute[0].gone {
 		t.Fatal("the wrong ones made way")
 	}
-	s.read(last, []byte{0x94, 0, 1}) // begun, and never ended
-	s.until(s.now + time.Second)
-	s.read(last, []byte{0xa1})
-	s.until(s.now + 1500*time.Millisecond)
+	s.receive(last, []byte{0x94, 0, 1}) // begun, and never ended
+	s.runUntil(s.now + time.Second)
+	s.receive(last, []byte{0xa1})
+	s.runUntil(s.now + 1500*time.Millisecond)
 	if !last.gone || !mute[10].gone || good.gone || rested.gone {
 		t.Fatal("nothing, or half a message, is waited for")
 	}
-	s.until(s.now + clientIdleTimeout)
-	if !rested.gone || good.gone || a.left {
+	s.runUntil(s.now + clientIdleTimeout)
+	if !rested.gone || good.gone || a.cancelled {
 		t.Fatal("idle for good, and kept")
 	}
 }
 
-func TestThoseWhoAskedOnceAndStayMakeWay(t *testing.T) {
-	s := newStage(t, 1, 256, nil)
-	var stay []*end
-	for range s.r.maxClients {
+func TestIdleClientsAreEvicted(t *testing.T) {
+	s := newHarness(t, 1, 256, nil)
+	var stay []*fakeConnection
+	for range s.controller.maxClients {
 		stay = append(stay, s.connect())
-		s.leave(s.query(stay[len(stay)-1], "lookup", "", 5*time.Second, 1))
-		s.until(s.now + time.Millisecond)
+		s.cancel(s.sendQuery(stay[len(stay)-1], "lookup", "", 5*time.Second, 1))
+		s.runUntil(s.now + time.Millisecond)
 	}
-	s.until(s.now + time.Second) // all are idle, none for long enough to be closed for it
-	held := s.query(stay[0], "load", "k", 20*time.Second, 1)
+	s.runUntil(s.now + time.Second) // all are idle, none for long enough to be closed for it
+	held := s.sendQuery(stay[0], "load", "k", 20*time.Second, 1)
 	for i := range 20 {
 		c := s.connect()
-		s.until(s.now + time.Millisecond) // its call is on the way
+		s.runUntil(s.now + time.Millisecond) // its call is on the way
 		if c.gone || !stay[i+1].gone || stay[i+2].gone {
 			t.Fatal("a newcomer is turned off for one that just stays")
 		}
-		s.leave(s.query(c, "lookup", "", 5*time.Second, 1))
+		s.cancel(s.sendQuery(c, "lookup", "", 5*time.Second, 1))
 	}
 	if held.from.gone || held.answer != "" {
 		t.Fatal("one with a query open made way")
 	}
 }
 
-func TestFloodsCostLittle(t *testing.T) {
-	s := newStage(t, 1, 256, nil)
+func TestMessageFloodIsCutOff(t *testing.T) {
+	s := newHarness(t, 1, 256, nil)
 	c := s.connect()
 	var p []byte
 	call := func(i int, fields string) {
@@ -108,102 +108,102 @@
 		call(i, fmt.Sprintf("\x82\xa5trace\xb0%016x\xa8patience\xa41000", i+1))
 		p = append(append(append(p, 0x93, 2), fix("cancelRequest")...), 0x91, 0xcd, byte(i>>8), byte(i))
 	}
-	s.read(c, p)
-	if s.r.counters.attempts > 0 || s.r.counters.received != 30 || len(s.r.queries) > 0 || c.gone {
-		t.Fatal("what was taken back at once went out: ", s.r.counters.text(s.r))
+	s.receive(c, p)
+	if s.controller.counters.attempts > 0 || s.controller.counters.received != 30 || len(s.controller.queries) > 0 || c.gone {
+		t.Fatal("what was taken back at once went out: ", s.controller.counters.text(s.controller))
 	}
-	s.until(s.now + time.Second)
+	s.runUntil(s.now + time.Second)
 	p = nil
 	for i := range 3 * maxOpenQueries { // without a trace
 		call(i, "\x81\xa8patience\xa41000")
 	}
-	if s.read(c, p); !c.gone || s.r.counters.malformed != maxBadCalls+1 {
-		t.Fatal("calls that can't be used go on for ever: ", s.r.counters.malformed)
+	if s.receive(c, p); !c.gone || s.controller.counters.malformed != maxBadCalls+1 {
+		t.Fatal("calls that can't be used go on for ever: ", s.controller.counters.malformed)
 	}
 	c, p = s.connect(), nil
 	for i := range 2 * maxOpenQueries {
 		call(i, fmt.Sprintf("\x82\xa5trace\xb0%016x\xa8patience\xa41000", i+1))
 	}
-	if s.read(c, p); !c.gone || s.r.counters.received != 30+maxOpenQueries || s.r.counters.attempts > 0 {
-		t.Fatal("more open than may be: ", s.r.counters.text(s.r))
+	if s.receive(c, p); !c.gone || s.controller.counters.received != 30+maxOpenQueries || s.controller.counters.attempts > 0 {
+		t.Fatal("more open than may be: ", s.controller.counters.text(s.controller))
 	}
 	c, p = s.connect(), nil
 	for range maxMessagesPerSweep + 10 {
 		p = append(p, "\x94\x00\x01\xa5alive\x91\x80"...)
 	}
-	if s.read(c, p); !c.gone || s.r.counters.aliveCalls > maxMessagesPerSweep+1 {
-		t.Fatal("it may talk without end: ", s.r.counters.aliveCalls)
+	if s.receive(c, p); !c.gone || s.controller.counters.aliveCalls > maxMessagesPerSweep+1 {
+		t.Fatal("it may talk without end: ", s.controller.counters.aliveCalls)
 	}
 }
 
-func TestUnreadMessagesAreBoundedInSum(t *testing.T) {
-	s := newStage(t, 1, 1024, nil)
-	s.r.maxBufferedBytes = 1 << 20
+func TestBufferedBytesOfClientsAreBounded(t *testing.T) {
+	s := newHarness(t, 1, 1024, nil)
+	s.controller.maxBufferedBytes = 1 << 20
 	half := append([]byte("\x94\x00\x01\xa6lookup\x92\x80\xc5\xff\xff"), make([]byte, 60000)...)
 	for range 40 {
-		s.read(s.connect(), half)
-		if s.r.bufferedBytes > s.r.maxBufferedBytes+1<<17 {
-			t.Fatal(s.r.bufferedBytes)
+		s.receive(s.connect(), half)
+		if s.controller.bufferedBytes > s.controller.maxBufferedBytes+1<<17 {
+			t.Fatal(s.controller.bufferedBytes)
 		}
 	}
-	if s.r.counters.disconnected == 0 {
+	if s.controller.counters.disconnected == 0 {
 		t.Fatal("there was no shortage")
 	}
-	s.until(s.now + 3*time.Second)
-	if s.r.bufferedBytes > 4<<10 { // the feed's
-		t.Fatal("it forgets to forget: ", s.r.bufferedBytes)
+	s.runUntil(s.now + 3*time.Second)
+	if s.controller.bufferedBytes > 4<<10 { // the feed's
+		t.Fatal("it forgets to forget: ", s.controller.bufferedBytes)
 	}
 }
 
-func TestTheEndComesWhateverClientsDo(t *testing.T) {
-	s := newStage(t, 1, 256, nil)
+func TestShutdownEndsWhateverClientsDo(t *testing.T) {
+	s := newHarness(t, 1, 256, nil)
 	s.connect()
 	c := s.connect()
 	s.step(Event{Kind: ShutdownRequested})
-	early := s.query(c, "load", "k", 3*time.Second, 1)
-	s.until(s.now + shutdownGrace + 10*time.Millisecond)
-	late := s.query(c, "load", "k", 3*time.Second, 1)
+	early := s.sendQuery(c, "load", "k", 3*time.Second, 1)
+	s.runUntil(s.now + shutdownGrace + 10*time.Millisecond)
+	late := s.sendQuery(c, "load", "k", 3*time.Second, 1)
 	if late.answer != "deferred" || early.answer != "" {
 		t.Fatalf("%q, %q", late.answer, early.answer)
 	}
-	s.reply(s.one("GET", early.id), "ok")
+	s.respond(s.waitForCall("GET", early.id), "ok")
 	for range 40 { // at once again, whatever it is told
-		if s.quit {
+		if s.exited {
 			break
 		}
-		s.query(c, "lookup", "", time.Second, 1)
-		s.until(s.now + 50*time.Millisecond)
+		s.sendQuery(c, "lookup", "", time.Second, 1)
+		s.runUntil(s.now + 50*time.Millisecond)
 	}
-	if early.answer != "finished" || !s.quit {
+	if early.answer != "finished" || !s.exited {
 		t.Fatalf("%q, and no end at %v", early.answer, s.now)
 	}
 }
 
 // On a connection that stays open queries come for 0.6 s after the word to stop. SIGKILL may come 3.7 s
 // after it, whatever longer queries there are, and what came later than 0.7 s is lost if it is open then.
-func TestWhatComesLateOnOpenConnectionsIsTurnedAwayAtOnce(t *testing.T) {
-	s := newStage(t, 1, 256, nil)
+func TestShutdownRejectsLateQueriesAtOnce(t *testing.T) {
+	s := newHarness(t, 1, 256, nil)
 	c := s.connect()
 	s.step(Event{Kind: ShutdownRequested})
-	s.until(s.now + 600*time.Millisecond)
-	if in := s.query(c, "report", "", 20*time.Second, 1); in.answer != "" || s.one("POST", in.id) == nil {
+	s.runUntil(s.now + 600*time.Millisecond)
+	if in := s.sendQuery(c, "report", "", 20*time.Second, 1); in.answer != "" || s.waitForCall("POST", in.id) == nil {
 		t.Fatalf("%q while queries may still come", in.answer)
 	}
-	s.until(s.now + 101*time.Millisecond)
-	if late := s.query(c, "report", "", 20*time.Second, 2); late.answer != "deferred" {
+	s.runUntil(s.now + 101*time.Millisecond)
+	if late := s.sendQuery(c, "report", "", 20*time.Second, 2); late.answer != "deferred" {
 		t.Fatalf("%q at 0.7 s, and it may be open when the end comes", late.answer)
 	}
 }
 
 // A client that asked in time is not to blame where we stood still and didn't read: its
 // connection was ended as one that begins nothing.
-func TestAStallOfOursIsNoClientsFault(t *testing.T) {
-	s := newStage(t, 1, 96, nil)
+func TestProcessStallDisconnectsNoClient(t *testing.T) {
+	s := newHarness(t, 1, 96, nil)
 	c := s.connect()
-	s.until(s.now + 100*time.Millisecond)
+	s.runUntil(s.now + 100*time.Millisecond)
 	s.now += 2500 * time.Millisecond
 	s.step(Event{Kind: TimerFired})
-	if a := s.query(c, "lookup", "", 5*time.Second, 1); c.gone || s.one("POST", a.id) == nil {
+	if a := s.sendQuery(c, "lookup", "", 5*time.Second, 1); c.gone || s.waitForCall("POST", a.id) == nil {
 		t.Fatal("ended though it asked in time")
 	}
 }
--- a/internal/controller/engine_call.go
+++ b/internal/controller/engine_call.go
@@ -67,7 +67,8 @@
 }
 
 // finishCall ends a call, unless it has ended.
-func (c *Controller) finishCall(request *call, as callResult, status int, field func(string) string, body []byte) {
+func (c *Controller) finishCall(request *call, as callResult, status int, field func(string) string,
+	body []byte) {
 	if request.done {
 		return
 	}
--- a/internal/controller/engine_connection.go
+++ b/internal/controller/engine_connection.go
@@ -103,7 +103,8 @@
 
 // writeCall writes a call on a connection that is established and carries none.
 func (c *Controller) writeCall(ec *engineConnection, request *call) {
-	invariant.Hold(ec.connected && ec.call == nil && ec.engine == request.engine, "one call at a time on a connection")
+	isFree := ec.connected && ec.call == nil && ec.engine == request.engine
+	invariant.Hold(isFree, "one call at a time on a connection")
 	if !request.isWanted() {
 		c.releaseConnection(ec)
 		c.finishCall(request, callNotSent, 0, nil, nil)
--- a/internal/controller/stage_clients_test.go
+++ b/internal/controller/harness_clients_test.go
@@ -8,33 +8,33 @@
 	"time"
 )
 
-type asked struct {
+type sentQuery struct {
 	id, group, key  string
 	msg             int
-	from            *end
+	from            *fakeConnection
 	deadline        time.Duration
 	answer          string
-	left            bool
-	subs            []*sub
+	cancelled       bool
+	runs            []*fakeRun
 	finishedPayload string
-	said            []byte
+	answerBytes     []byte
 }
 
-func (s *stage) answered(e *end, p []byte) {
+func (s *harness) checkAnswer(e *fakeConnection, p []byte) {
 	if p[0] == 0x93 { // a notice, no answer
 		return
 	}
 	if p[2] >= 0x80 {
 		s.t.Fatalf("more messages than this test reads: %q", p)
 	}
-	for _, a := range s.asked {
+	for _, a := range s.queries {
 		if a.from != e || a.msg != int(p[2]) {
 			continue
 		}
-		if a.answer != "" || a.left {
+		if a.answer != "" || a.cancelled {
 			s.t.Fatalf("rule 1: a second answer to %s, or one nobody waits for", a.id)
 		}
-		a.said = p
+		a.answerBytes = p
 		switch {
 		case p[3] == 0xc0:
 			a.answer = "finished"
@@ -43,7 +43,7 @@
 			}
 		case bytes.Contains(p, []byte("Throttled")):
 			a.answer = "deferred"
-			for _, x := range a.subs {
+			for _, x := range a.runs {
 				if a.group == "load" && !x.neverRan {
 					s.t.Fatalf("rule 2: deferred, and may have run: %s", a.id)
 				}
@@ -54,14 +54,14 @@
 	}
 }
 
-func (s *stage) connect() *end {
-	e := &end{n: len(s.ends), link: &Connection{}, client: true, up: true}
-	s.ends = append(s.ends, e)
+func (s *harness) connect() *fakeConnection {
+	e := &fakeConnection{number: len(s.connections), link: &Connection{}, client: true, up: true}
+	s.connections = append(s.connections, e)
 	s.step(Event{Kind: ClientAccepted, Connection: e.link})
 	return e
 }
 
-func (s *stage) read(e *end, p []byte) {
+func (s *harness) receive(e *fakeConnection, p []byte) {
 	for len(p) > 0 && !e.gone {
 		n := copy(e.link.Received.Space(), p)
 		p = p[n:]
@@ -72,10 +72,10 @@
 func fix(v string) []byte { return append([]byte{byte(0xa0 + len(v))}, v...) }
 
 // query has a client ask for something.
-func (s *stage) query(e *end, group, key string, patience time.Duration, tables int, more ...string) *asked {
-	e.msgs++
-	a := &asked{id: fmt.Sprintf("%016x", len(s.asked)+1), group: group, key: key, msg: e.msgs, from: e, deadline: s.now + patience}
-	s.asked = append(s.asked, a)
+func (s *harness) sendQuery(e *fakeConnection, group, key string, patience time.Duration, tables int, more ...string) *sentQuery {
+	e.messages++
+	a := &sentQuery{id: fmt.Sprintf("%016x", len(s.queries)+1), group: group, key: key, msg: e.messages, from: e, deadline: s.now + patience}
+	s.queries = append(s.queries, a)
 	p := append([]byte{0x94, 0, byte(a.msg)}, fix(group)...)
 	fields := []string{"trace", a.id, "patience", strconv.Itoa(int(patience.Milliseconds()))}
 	if key != "" {
@@ -87,23 +87,23 @@
 		p = append(p, fix(f)...)
 	}
 	body := cmp.Or(s.body, "SELECT * FROM sales_"+strconv.Itoa(tables)+".orders")
-	s.read(e, append(append(p, 0xc4, byte(len(body))), body...))
+	s.receive(e, append(append(p, 0xc4, byte(len(body))), body...))
 	return a
 }
 
-func (s *stage) leave(a *asked) {
-	if a.answer == "" && !a.left && !a.from.gone {
-		a.left = true
-		s.read(a.from, append(append([]byte{0x93, 2}, fix("cancelRequest")...), 0x91, byte(a.msg)))
+func (s *harness) cancel(a *sentQuery) {
+	if a.answer == "" && !a.cancelled && !a.from.gone {
+		a.cancelled = true
+		s.receive(a.from, append(append([]byte{0x93, 2}, fix("cancelRequest")...), 0x91, byte(a.msg)))
 	}
 }
 
-func (s *stage) drop(e *end) {
-	for _, a := range s.asked {
+func (s *harness) disconnect(e *fakeConnection) {
+	for _, a := range s.queries {
 		if a.from == e && a.answer == "" {
-			a.left = true
+			a.cancelled = true
 		}
 	}
-	s.lose(e)
+	s.closeConnection(e)
 	s.flush()
 }
--- /dev/null
+++ b/internal/controller/harness_test.go
@@ -0,0 +1,362 @@
+package controller
+
+import (
+	"fmt"
+	"maps"
+	"slices"
+	"strconv"
+	"strings"
+	"time"
+
+	"railrelay.dev/railrelay/internal/fleet"
+)
+
+const waits = 250 * time.Millisecond
+
+// stage is what stands round a Relay: its runner, clients, engines and clock.
+// It checks the rules at what is written, and lets choices say what happens.
+type harness struct {
+	t             interface{ Fatalf(string, ...any) }
+	controller    *Controller
+	now           time.Duration
+	timerAt       time.Duration
+	connections   []*fakeConnection
+	engines       map[string]*fakeEngine // by address
+	heldCalls     []*heldCall
+	queries       []*sentQuery
+	feed          *fakeConnection
+	events        int64
+	feedUp        bool
+	exited        bool
+	logged        []string
+	written       []string
+	sockets       int
+	body          string  // of what clients ask next, in place of a select
+	pendingEvents []Event // what the runner will bring back
+
+	// where it has peers
+	reports     []fleet.Report
+	reportsFull bool          // the ring of reports
+	backlogged  bool          // it stood still, and this came meanwhile
+	writeDelay  time.Duration // the process stands still between a step and what it writes
+	versions    []uint64      // versions of submissions, in the order they went out
+}
+
+type fakeConnection struct {
+	number                                int
+	link                                  *Connection
+	address                               string
+	client                                bool
+	dialAt                                time.Duration
+	up, closedByController, gone, ignores bool
+	aborted                               bool
+	received                              []byte
+	messages                              int
+}
+
+func plainFacts(more map[string]string) map[string]string {
+	f := map[string]string{
+		"gateways": "2", "own.number": "0", "groups": "3", "loads": "false,false,true", "waits": "true,true,false",
+		"threads": "1,3,2", "kinds": "std", "locations": "here", "kind.cores": "8", "kind.memory": "16384", "grant.most": "0.4",
+		"may.grant": "true", "may.prioritise": "true", "may.cancel": "true", "may.probe": "true", "may.copy": "true",
+		"may.name-return": "true", "return.most": "500", "submissions.most": "3", "note.period": "2000", "tick": "5",
+		"memory.short": "swap", "drain.grace": "1000", "report.how": "probed", "cold.from": "0.33", "answers.cost": "true",
+		"cold.span": "15000", "cold.multiple": "3", "cold.window": "1000", "key.rest": "300", "list.how": "pushed",
+		"connect.timeout": "250", "idle.most": "15000",
+	}
+	for i, name := range []string{"lookup", "report", "load"} {
+		at := "group." + strconv.Itoa(i) + "."
+		f[at+"name"], f[at+"value"] = name, strconv.Itoa(1+5*i)
+		f[at+"target"], f[at+"timeout"], f[at+"stretch"] = "1000", "30000", "1.5"
+		f[at+"effect"], f[at+"scope"], f[at+"window"] = "read-only", "all", "5000"
+	}
+	f["group.2.effect"], f["group.2.in-order"] = "mutating", "true"
+	maps.Copy(f, more)
+	return f
+}
+
+func newHarness(t interface{ Fatalf(string, ...any) }, engines, sockets int, more map[string]string, with ...func(*Config)) *harness {
+	s := &harness{t: t, timerAt: -1, engines: map[string]*fakeEngine{}, feedUp: true, sockets: sockets}
+	var members []string
+	for i := range engines {
+		sites := strings.Split(plainFacts(more)["locations"], ",")
+		m := &fakeEngine{id: "e" + strconv.Itoa(i), address: "10.0.0." + strconv.Itoa(i) + ":1", state: "SERVING", runs: map[string]*fakeRun{},
+			site: sites[i%len(sites)]}
+		s.engines[m.address] = m
+		members = append(members, m.entry(0))
+	}
+	s.events = 1
+	var effects []Effect
+	means := Config{Seed: 7, MemoryMB: 64, Sockets: sockets, DiscoveryAddress: "feed", Settings: plainFacts(more),
+		KnownEngines: []byte(`{"n":1,"events":[{"n":1,"members":{"complete":true,"members":[` + strings.Join(members, ",") + `]}}]}`)}
+	for _, change := range with {
+		change(&means)
+	}
+	s.controller, effects = New(means)
+	s.perform(effects)
+	s.flush()
+	return s
+}
+
+// all lists the mills in an order of their own.
+func (s *harness) allEngines() []*fakeEngine {
+	return slices.SortedFunc(maps.Values(s.engines), func(a, b *fakeEngine) int { return strings.Compare(a.address, b.address) })
+}
+
+func (s *harness) step(ev Event) {
+	ev.Backlogged = s.backlogged
+	s.perform(s.controller.Step(s.now, ev))
+	s.flush()
+}
+
+func (s *harness) flush() {
+	for len(s.pendingEvents) > 0 {
+		ev := s.pendingEvents[0]
+		s.pendingEvents = s.pendingEvents[1:]
+		ev.Backlogged = s.backlogged
+		s.perform(s.controller.Step(s.now, ev))
+	}
+}
+
+func (s *harness) connectionOf(l *Connection) *fakeConnection {
+	for _, e := range s.connections {
+		if e.link == l {
+			return e
+		}
+	}
+	return nil
+}
+
+func (s *harness) perform(effects []Effect) {
+	for _, f := range effects {
+		e := s.connectionOf(f.Connection)
+		switch f.Kind {
+		case Dial:
+			e = &fakeConnection{number: len(s.connections), link: f.Connection, address: f.Address, dialAt: s.now}
+			s.connections = append(s.connections, e)
+			if f.Address == "feed" {
+				s.feed = e
+			}
+			open := 3
+			for _, x := range s.connections {
+				if !x.gone {
+					open++
+				}
+			}
+			if open > s.sockets {
+				s.t.Fatalf("%d descriptors of %d", open, s.sockets)
+			}
+		case Write:
+			s.written = append(s.written, fmt.Sprintf("%v %d %q", s.now, e.number, f.Bytes))
+			if e.closedByController {
+				s.t.Fatalf("written to a closed link")
+			}
+			if e.ignores || e.gone { // its end is on the way
+				break
+			}
+			if !f.Permit.Holds(s.now+s.writeDelay) || f.PolicyVersion != 0 && !s.mayGo(f) {
+				s.pendingEvents = append(s.pendingEvents, Event{Kind: WriteBarred, Connection: f.Connection})
+				s.closeConnection(e)
+				break
+			}
+			s.pendingEvents = append(s.pendingEvents, Event{Kind: BytesWritten, Connection: f.Connection, ByteCount: len(f.Bytes)})
+			if e.client {
+				s.checkAnswer(e, f.Bytes)
+			} else if e.address != "feed" {
+				e.received = append(e.received, f.Bytes...)
+				s.readCalls(e)
+			}
+		case Close:
+			s.written = append(s.written, fmt.Sprintf("%v %d close", s.now, e.number))
+			e.closedByController, e.aborted = true, f.Abort
+			if m := s.engines[e.address]; m != nil && f.Abort { // else the kernel goes on sending it
+				m.delayed = slices.DeleteFunc(m.delayed, func(h *heldCall) bool { return h.connection == e })
+			}
+			if e.up {
+				s.closeConnection(e)
+			} else {
+				e.gone = true
+				s.pendingEvents = append(s.pendingEvents, Event{Kind: ConnectTimedOut, Connection: e.link})
+			}
+		case SetTimer:
+			s.timerAt = s.now + f.Timeout
+		case LogMessage, LogCounters:
+			s.logged = append(s.logged, f.Text)
+		case ReportToFleet:
+			if s.reportsFull {
+				s.pendingEvents = append(s.pendingEvents, Event{Kind: FleetReportRejected, Report: f.Report})
+			} else {
+				s.reports = append(s.reports, *f.Report)
+			}
+		case Exit:
+			s.exited = true
+		}
+	}
+}
+
+// lose ends a link, whoever ended it.
+func (s *harness) closeConnection(e *fakeConnection) {
+	if !e.gone {
+		e.gone = true
+		s.heldCalls = slices.DeleteFunc(s.heldCalls, func(h *heldCall) bool { return h.connection == e })
+		s.pendingEvents = append(s.pendingEvents, Event{Kind: ConnectionClosed, Connection: e.link})
+	}
+}
+
+// until lets time pass: what is due at the runner, healthy engines' news and dials.
+func (s *harness) runUntil(t time.Duration) {
+	for !s.exited {
+		next, what := t, func() {}
+		soonest := func(at time.Duration, do func()) {
+			if at < next {
+				next, what = max(at, s.now), do
+			}
+		}
+		if s.timerAt >= 0 {
+			soonest(s.timerAt, func() { s.timerAt = -1; s.step(Event{Kind: TimerFired}) })
+		}
+		for _, h := range s.heldCalls {
+			if !h.engine.silent && !h.engine.networkCut {
+				take := time.Millisecond
+				if h.news() {
+					take = waits
+				}
+				soonest(h.at+take, func() { s.respond(h, "runs") })
+			}
+		}
+		for _, e := range s.connections {
+			if !e.up && !e.gone {
+				s.finishDial(e, soonest)
+			}
+		}
+		for _, m := range s.allEngines() {
+			for _, id := range slices.Sorted(maps.Keys(m.runs)) {
+				if x := m.runs[id]; !x.ended {
+					soonest(x.askedAt+waits+2*time.Second, func() { s.endRun(x, true) })
+				}
+			}
+		}
+		if what != nil && next >= t {
+			s.now = t
+			break
+		}
+		s.now = next
+		what()
+		s.checkDeadlines()
+	}
+	s.checkDeadlines()
+}
+
+func (s *harness) finishDial(e *fakeConnection, soonest func(time.Duration, func())) {
+	m := s.engines[e.address]
+	up := func() { e.up = true; s.step(Event{Kind: Connected, Connection: e.link}) }
+	fail := func(kind EventKind) func() {
+		return func() { e.gone = true; s.step(Event{Kind: kind, Connection: e.link}) }
+	}
+	switch {
+	case m == nil && s.feedUp:
+		soonest(e.dialAt+time.Millisecond, func() { up(); s.listEngines("") })
+	case m == nil || m.silent || m.networkCut:
+		soonest(e.dialAt+waits, fail(ConnectTimedOut))
+	case m.dead:
+		soonest(e.dialAt+time.Millisecond, fail(ConnectRefused))
+	default:
+		soonest(e.dialAt+time.Millisecond, up)
+	}
+}
+
+func (s *harness) checkDeadlines() {
+	for _, a := range s.queries {
+		if a.answer == "" && !a.cancelled && s.now > a.deadline+20*time.Millisecond {
+			s.t.Fatalf("rule 1: no answer to %s in time", a.id)
+		}
+	}
+}
+
+func (s *harness) openQueries(e *fakeConnection) (n int) {
+	for _, a := range s.queries {
+		if a.from == e && a.answer == "" && !a.cancelled {
+			n++
+		}
+	}
+	return n
+}
+
+// play has choices say what happens, until the end.
+func (s *harness) runRandom(choices []uint16) {
+	s.randomEvents(choices)
+	s.runUntil(s.now + 12*time.Second)
+	s.step(Event{Kind: ShutdownRequested})
+	s.runUntil(s.now + 6*time.Second)
+	if !s.exited {
+		s.t.Fatalf("it does not end: %d queries open", len(s.controller.queries))
+	}
+}
+
+func (s *harness) randomEvents(choices []uint16) {
+	clients := []*fakeConnection{s.connect(), s.connect()}
+	for _, c := range choices {
+		kind, x := int(c%16), int(c/16)
+		c, all := clients[x%2], s.allEngines()
+		m := all[x%len(all)]
+		switch {
+		case kind < 5:
+			if c.gone || c.messages > 100 || s.openQueries(c) == maxOpenQueries {
+				clients[x%2] = s.connect()
+				c = clients[x%2]
+			}
+			group := []string{"lookup", "report", "load", "load"}[x/2%4]
+			s.sendQuery(c, group, "k"+strconv.Itoa(x/8%2), time.Duration(400+x%5000)*time.Millisecond, x/16%3)
+		case kind < 9:
+			if len(s.heldCalls) > 0 && !s.heldCalls[x%len(s.heldCalls)].engine.networkCut {
+				s.respond(s.heldCalls[x%len(s.heldCalls)], []string{"ok", "ok", "runs", "stuck", "full", "busy", "error", "cut", "lost", "garbled", "short", "twice", "untaken"}[x/64%13])
+			}
+		case kind < 13:
+			s.runUntil(s.now + time.Duration(x%500)*time.Millisecond)
+		case kind == 13:
+			if len(s.queries) > 0 {
+				s.cancel(s.queries[x%len(s.queries)])
+			}
+		case x%7 == 0:
+			s.disconnect(c)
+		case x%7 == 1:
+			m.state = []string{"SERVING", "DRAINING"}[x/7%2]
+			s.listEngines(m.entry(0))
+		case x%7 == 2:
+			s.restartEngine(m, x/7%2 == 0)
+		case x%7 == 3:
+			m.silent = !m.silent
+			if !m.silent { // a machine comes back with nothing
+				s.restartEngine(m, false)
+			}
+		case x%7 == 4:
+			s.feedUp = !s.feedUp
+			if !s.feedUp && s.feed != nil && s.feed.up {
+				s.closeConnection(s.feed)
+				s.flush()
+			}
+		case x%7 == 5: // its table of connections is full, or has room again
+			m.dead = !m.dead
+		case m.networkCut:
+			s.heal(m)
+		case x/7%2 == 0:
+			m.networkCut = true
+		default:
+			s.runUntil(s.now + time.Duration(x)*time.Millisecond)
+		}
+	}
+}
+
+// one finds a held call, letting news go on until it is there.
+func (s *harness) waitForCall(method, id string) *heldCall {
+	for range 1000 {
+		for _, h := range s.heldCalls {
+			if h.method == method && h.id == id {
+				return h
+			}
+		}
+		s.runUntil(s.now + time.Millisecond)
+	}
+	s.t.Fatalf("no %s of %s", method, id)
+	return nil
+}
--- a/internal/controller/idempotency_key_test.go
+++ b/internal/controller/idempotency_key_test.go
@@ -17,26 +17,26 @@
 
 // The token that a client gives goes with every submission of a tokened query, as it is:
 // without it an engine takes none, or can't know a repeat. No other group has one.
-func TestATokenGoesWithEverySubmission(t *testing.T) {
-	s := newStage(t, 2, 256, tokened(nil))
-	s.r.FieldNames = FieldNames{IdempotencyKey: "nonce"}
+func TestIdempotencyKeyGoesWithEveryAttempt(t *testing.T) {
+	s := newHarness(t, 2, 256, tokened(nil))
+	s.controller.FieldNames = FieldNames{IdempotencyKey: "nonce"}
 	c := s.connect()
-	a := s.query(c, "report", "", 5*time.Second, 1, "nonce", "once-7")
-	h := s.one("POST", a.id)
+	a := s.sendQuery(c, "report", "", 5*time.Second, 1, "nonce", "once-7")
+	h := s.waitForCall("POST", a.id)
 	if !strings.Contains(h.head, "\r\nIdempotency-Key: once-7\r\n") {
 		t.Fatalf("%q", h.head)
 	}
-	s.reply(h, "full")
-	if h = s.one("POST", a.id); !strings.Contains(h.head, "\r\nIdempotency-Key: once-7\r\n") {
+	s.respond(h, "full")
+	if h = s.waitForCall("POST", a.id); !strings.Contains(h.head, "\r\nIdempotency-Key: once-7\r\n") {
 		t.Fatalf("a repeat without it: %q", h.head)
 	}
 	for _, group := range []string{"lookup", "load"} {
-		b := s.query(c, group, "k", 5*time.Second, 2, "nonce", "other")
-		if h := s.one("POST", b.id); strings.Contains(h.head, "Idempotency-Key") {
+		b := s.sendQuery(c, group, "k", 5*time.Second, 2, "nonce", "other")
+		if h := s.waitForCall("POST", b.id); strings.Contains(h.head, "Idempotency-Key") {
 			t.Fatalf("%s: %q", group, h.head)
 		}
 	}
-	if b := s.query(c, "report", "", 5*time.Second, 1, "nonce", "a\r\nPool-Rank: 3"); b.answer != "killed" {
+	if b := s.sendQuery(c, "report", "", 5*time.Second, 1, "nonce", "a\r\nPool-Rank: 3"); b.answer != "killed" {
 		t.Fatalf("one that can't be passed on: %q", b.answer)
 	}
 }
--- a/internal/controller/key_order_test.go
+++ b/internal/controller/key_order_test.go
@@ -10,24 +10,24 @@
 // answered by then; one that comes by itself has all of its time, but for what clients hold back the
 // second of a key whose first went elsewhere.
 func TestAKeysQueriesMayHaveWaitedAtTheirClient(t *testing.T) {
-	s := newStage(t, 1, 256, map[string]string{"may.probe": "false", "group.2.stretch": "100"})
+	s := newHarness(t, 1, 256, map[string]string{"may.probe": "false", "group.2.stretch": "100"})
 	c := s.connect()
-	s.until(time.Second)
+	s.runUntil(time.Second)
 	from := s.now
-	var last *asked
+	var last *sentQuery
 	for i := range 10 {
-		s.until(from + time.Duration(i)*70*time.Millisecond)
-		last = s.query(c, "load", "k", 25*time.Second, 1+i)
+		s.runUntil(from + time.Duration(i)*70*time.Millisecond)
+		last = s.sendQuery(c, "load", "k", 25*time.Second, 1+i)
 	}
-	q := s.r.queries[last.id]
+	q := s.controller.queries[last.id]
 	if q == nil || q.deadline != from+25*time.Second+keyDeadlineSlack-firstKeySpacing {
 		t.Fatalf("%+v, and not until %v", q, from+25*time.Second+keyDeadlineSlack-firstKeySpacing)
 	}
-	alone := s.query(c, "load", "other", 25*time.Second, 30)
-	if d := s.r.queries[alone.id].deadline; d != s.now+25*time.Second-firstKeySpacing {
+	alone := s.sendQuery(c, "load", "other", 25*time.Second, 30)
+	if d := s.controller.queries[alone.id].deadline; d != s.now+25*time.Second-firstKeySpacing {
 		t.Fatalf("one by itself has until %v", d-s.now)
 	}
-	if s.until(q.deadline); last.answer == "" {
+	if s.runUntil(q.deadline); last.answer == "" {
 		t.Fatal("unanswered by then")
 	}
 }
--- a/internal/controller/residency_test.go
+++ b/internal/controller/residency_test.go
@@ -17,22 +17,24 @@
 
 // placedStage has engines at sites a, b and c in turn and itself stands at one; a call's
 // field who names its team.
-func placedStage(t interface{ Fatalf(string, ...any) }, engines int, site string, more map[string]string) *stage {
+func placedStage(t interface{ Fatalf(string, ...any) }, engines int, site string, more map[string]string) *harness {
 	f := map[string]string{"locations": "a,b,c", "own.location": fmt.Sprint(strings.Index("abc", site)), "teams": "2", "team.0.name": "bank",
 		"team.1.name": "shop", "team.0.quota": "1000", "team.1.quota": "1000"}
 	maps.Copy(f, more)
 	return withPeers(t, engines, f, func(m *Config) { m.FieldNames.Customer = "who" })
 }
 
-func (s *stage) siteOf(e *engine) string { return s.r.servingLease.residency.siteName(e.location) }
+func (s *harness) siteOf(e *engine) string {
+	return s.controller.servingLease.residency.siteName(e.location)
+}
 
 // rules opens a version with rules.
-func (s *stage) rules(version uint64, rules ...residency.Rule) {
+func (s *harness) rules(version uint64, rules ...residency.Rule) {
 	s.order(fleet.Order{Kind: fleet.Renewed, Until: fleet.Forever, UntilBound: fleet.Forever})
 	s.order(fleet.Order{Kind: fleet.Open, Version: version, Policy: &Policy{Version: version, Rules: rules}})
 }
 
-func (s *stage) wanted() (l []*fleet.Ask) {
+func (s *harness) wanted() (l []*fleet.Ask) {
 	for _, p := range s.reports {
 		if p.Kind == fleet.Wanted {
 			l = append(l, p.Ask)
@@ -46,26 +48,26 @@
 	s.rules(1, residency.Rule{Name: "only-b", Team: "bank", Tables: []int64{1}, Engines: []string{"b"}, Controllers: []string{"a"}})
 	c := s.connect()
 	for i := range 6 {
-		a := s.query(c, "lookup", "", 5*time.Second, 1, "who", "bank")
-		if h := s.one("POST", a.id); h.m.site != "b" {
-			t.Fatalf("%d went to %s", i, h.m.site)
+		a := s.sendQuery(c, "lookup", "", 5*time.Second, 1, "who", "bank")
+		if h := s.waitForCall("POST", a.id); h.engine.site != "b" {
+			t.Fatalf("%d went to %s", i, h.engine.site)
 		}
 	}
-	if a := s.query(c, "lookup", "", 5*time.Second, 1, "who", "shop"); s.one("POST", a.id) == nil {
+	if a := s.sendQuery(c, "lookup", "", 5*time.Second, 1, "who", "shop"); s.waitForCall("POST", a.id) == nil {
 		t.Fatal("another team's is held")
 	}
 	// none inside: held while there is time, and never across
-	for _, m := range s.all() {
+	for _, m := range s.allEngines() {
 		if m.site == "b" {
 			s.order(fleet.Order{Kind: fleet.Pictured, Picture: &fleet.Picture{}})
 			m.state = "DRAINING"
-			s.tell(m.entry(0))
+			s.listEngines(m.entry(0))
 		}
 	}
-	a := s.query(c, "lookup", "", time.Second, 1, "who", "bank")
-	s.until(a.deadline)
-	if a.answer != "deferred" || len(a.subs) > 0 {
-		t.Fatal(a.answer, len(a.subs))
+	a := s.sendQuery(c, "lookup", "", time.Second, 1, "who", "bank")
+	s.runUntil(a.deadline)
+	if a.answer != "deferred" || len(a.runs) > 0 {
+		t.Fatal(a.answer, len(a.runs))
 	}
 }
 
@@ -77,18 +79,18 @@
 		{Name: "y", Site: "b", Clients: "10.9.9.8:6565", Forgotten: true}, {Name: "z", Site: "c", Clients: "10.9.9.7:6565"}}}})
 	c := s.connect()
 	s.body = "select * from d_1.x join d_2.y using (id)"
-	both := s.query(c, "lookup", "", 5*time.Second, 0, "who", "bank")
+	both := s.sendQuery(c, "lookup", "", 5*time.Second, 0, "who", "bank")
 	s.body = ""
-	other := s.query(c, "lookup", "", 5*time.Second, 2, "who", "bank")
-	if both.answer != "killed" || !bytes.Contains(both.said, []byte("in-a and in-b")) {
-		t.Fatalf("%q", both.said)
+	other := s.sendQuery(c, "lookup", "", 5*time.Second, 2, "who", "bank")
+	if both.answer != "killed" || !bytes.Contains(both.answerBytes, []byte("in-a and in-b")) {
+		t.Fatalf("%q", both.answerBytes)
 	}
-	if other.answer != "deferred" || !bytes.Contains(other.said, []byte("10.9.9.9:6565")) || bytes.Contains(other.said, []byte("10.9.9.8")) ||
-		bytes.Contains(other.said, []byte("10.9.9.7")) {
-		t.Fatalf("%q", other.said)
+	if other.answer != "deferred" || !bytes.Contains(other.answerBytes, []byte("10.9.9.9:6565")) || bytes.Contains(other.answerBytes, []byte("10.9.9.8")) ||
+		bytes.Contains(other.answerBytes, []byte("10.9.9.7")) {
+		t.Fatalf("%q", other.answerBytes)
 	}
 	s.body = "select * from orders"
-	if a := s.query(c, "lookup", "", 5*time.Second, 0, "who", "bank"); a.answer != "killed" {
+	if a := s.sendQuery(c, "lookup", "", 5*time.Second, 0, "who", "bank"); a.answer != "killed" {
 		t.Fatal("what can't be told touches both", a.answer)
 	}
 }
@@ -100,36 +102,36 @@
 	s.rules(1, residency.Rule{Name: "r", Team: "bank", Tables: []int64{1}, Engines: []string{"a"}, Follows: true})
 	c := s.connect()
 	s.body = "insert into d_5.x select * from d_1.y"
-	first := s.query(c, "load", "k", 9*time.Second, 0, "who", "bank")
-	alike := s.query(c, "load", "j", 9*time.Second, 0, "who", "bank")
+	first := s.sendQuery(c, "load", "k", 9*time.Second, 0, "who", "bank")
+	alike := s.sendQuery(c, "load", "j", 9*time.Second, 0, "who", "bank")
 	s.body = "insert into d_9.x values (1)"
-	behind := s.query(c, "load", "k", 9*time.Second, 0, "who", "bank")
-	s.until(s.now + 300*time.Millisecond)
+	behind := s.sendQuery(c, "load", "k", 9*time.Second, 0, "who", "bank")
+	s.runUntil(s.now + 300*time.Millisecond)
 	asks := s.wanted()
 	if len(asks) != 1 || !slices.Equal(asks[0].Tables, []int64{5}) || !slices.Equal(asks[0].From, []int64{1}) || asks[0].Kind != "bind" {
 		t.Fatalf("%+v", asks)
 	}
-	if len(first.subs)+len(alike.subs)+len(behind.subs) > 0 {
+	if len(first.runs)+len(alike.runs)+len(behind.runs) > 0 {
 		t.Fatal("sent before the record has it")
 	}
 	s.order(fleet.Order{Kind: fleet.Answered, ID: asks[0].ID, Reply: &fleet.Reply{ID: asks[0].ID, Word: "unknown"}})
-	s.until(s.now + 200*time.Millisecond)
-	if again := s.wanted(); len(again) != 2 || again[1].ID != asks[0].ID || len(first.subs) > 0 {
+	s.runUntil(s.now + 200*time.Millisecond)
+	if again := s.wanted(); len(again) != 2 || again[1].ID != asks[0].ID || len(first.runs) > 0 {
 		t.Fatalf("asked again by its id: %+v", again)
 	}
 	s.order(fleet.Order{Kind: fleet.Answered, ID: asks[0].ID, Reply: &fleet.Reply{ID: asks[0].ID, Word: "bound"}})
-	s.reply(s.one("POST", first.id), "ok")
-	s.one("POST", alike.id)
-	s.one("POST", behind.id) // posted checks the key's order
+	s.respond(s.waitForCall("POST", first.id), "ok")
+	s.waitForCall("POST", alike.id)
+	s.waitForCall("POST", behind.id) // posted checks the key's order
 	s.body = ""
-	if h := s.one("POST", s.query(c, "lookup", "", 9*time.Second, 5, "who", "bank").id); h.m.site != "a" {
-		t.Fatal("bound, and at", h.m.site)
+	if h := s.waitForCall("POST", s.sendQuery(c, "lookup", "", 9*time.Second, 5, "who", "bank").id); h.engine.site != "a" {
+		t.Fatal("bound, and at", h.engine.site)
 	}
 	// who never hears of it is deferred in time, and may come again
 	s.body = "insert into d_6.x select * from d_5.y"
-	late := s.query(c, "load", "l", time.Second, 0, "who", "bank")
-	s.until(late.deadline)
-	if late.answer != "deferred" || len(late.subs) > 0 {
+	late := s.sendQuery(c, "load", "l", time.Second, 0, "who", "bank")
+	s.runUntil(late.deadline)
+	if late.answer != "deferred" || len(late.runs) > 0 {
 		t.Fatal(late.answer)
 	}
 }
@@ -139,10 +141,10 @@
 	s := placedStage(t, 3, "a", nil)
 	s.rules(1)
 	s.body = "insert into d_5.x select * from d_1.y"
-	a := s.query(s.connect(), "load", "k", 9*time.Second, 0, "who", "bank")
-	s.reply(s.one("POST", a.id), "runs")
+	a := s.sendQuery(s.connect(), "load", "k", 9*time.Second, 0, "who", "bank")
+	s.respond(s.waitForCall("POST", a.id), "runs")
 	s.rules(2, residency.Rule{Name: "r", Team: "bank", Tables: []int64{1}, Engines: []string{"a", "b"}, Controllers: []string{"a"}, Follows: true})
-	if asks := s.wanted(); len(asks) != 1 || !slices.Equal(asks[0].Tables, []int64{5}) || len(a.subs) != 1 || a.answer != "" {
+	if asks := s.wanted(); len(asks) != 1 || !slices.Equal(asks[0].Tables, []int64{5}) || len(a.runs) != 1 || a.answer != "" {
 		t.Fatalf("%+v %q", asks, a.answer)
 	}
 }
@@ -150,24 +152,24 @@
 func TestAnEmergencyWidensAndIsListed(t *testing.T) {
 	s := placedStage(t, 1, "a", map[string]string{"locations": "b,a", "own.location": "1"})
 	s.rules(1, residency.Rule{Name: "r", Team: "bank", Engines: []string{"a"}, Emergency: residency.Emergency{Sites: []string{"b"}, After: time.Second}})
-	a := s.query(s.connect(), "lookup", "", 5*time.Second, 1, "who", "bank")
-	s.until(s.now + 100*time.Millisecond)
-	if len(a.subs) > 0 {
+	a := s.sendQuery(s.connect(), "lookup", "", 5*time.Second, 1, "who", "bank")
+	s.runUntil(s.now + 100*time.Millisecond)
+	if len(a.runs) > 0 {
 		t.Fatal("across")
 	}
 	s.order(fleet.Order{Kind: fleet.Pictured, Picture: &fleet.Picture{Emergencies: map[string]uint64{"r": 9}}})
-	h := s.one("POST", a.id)
-	if l, n := s.r.ResidencyViolations(); n != 1 || l[0] != (residency.Crossing{Query: a.id, Team: "bank", Rule: "r", Site: "b"}) {
+	h := s.waitForCall("POST", a.id)
+	if l, n := s.controller.ResidencyViolations(); n != 1 || l[0] != (residency.Crossing{Query: a.id, Team: "bank", Rule: "r", Site: "b"}) {
 		t.Fatal(l, n)
 	}
-	s.reply(h, "runs")
-	s.until(1050 * time.Millisecond) // sites are told each second
+	s.respond(h, "runs")
+	s.runUntil(1050 * time.Millisecond) // sites are told each second
 	if p := s.lastSites(); p.Outside != 1 {
 		t.Fatalf("%+v", p)
 	}
 }
 
-func (s *stage) lastSites() (last fleet.Report) {
+func (s *harness) lastSites() (last fleet.Report) {
 	for _, p := range s.reports {
 		if p.Kind == fleet.Sites {
 			last = p
@@ -193,10 +195,10 @@
 		}
 		now := draws()
 		s.rules(1, now...)
-		seen := map[*sub]bool{}
+		seen := map[*fakeRun]bool{}
 		look := func() {
-			for _, a := range s.asked {
-				for _, x := range a.subs {
+			for _, a := range s.queries {
+				for _, x := range a.runs {
 					if seen[x] {
 						continue
 					}
@@ -206,8 +208,8 @@
 					sent++
 					c := residency.New("a")
 					c.Rules(now)
-					if v := c.Judge("bank", []int64{int64(x.a.msg % 3)}, true); !v.May(x.m.site) {
-						t.Fatalf("%s at %s by %+v", a.id, x.m.site, now)
+					if v := c.Judge("bank", []int64{int64(x.query.msg % 3)}, true); !v.May(x.engine.site) {
+						t.Fatalf("%s at %s by %+v", a.id, x.engine.site, now)
 					}
 				}
 			}
@@ -217,32 +219,32 @@
 			switch rapid.IntRange(0, 6).Draw(t, "what") {
 			case 0, 1, 2, 3:
 				who := rapid.SampledFrom([]string{"bank", "shop"}).Draw(t, "who")
-				if c.msgs < 100 {
-					a := s.query(c, rapid.SampledFrom([]string{"lookup", "report"}).Draw(t, "group"), "", 3*time.Second, (c.msgs+1)%3, "who", who)
+				if c.messages < 100 {
+					a := s.sendQuery(c, rapid.SampledFrom([]string{"lookup", "report"}).Draw(t, "group"), "", 3*time.Second, (c.messages+1)%3, "who", who)
 					a.key = who
 				}
 			case 4:
-				for _, h := range s.held {
-					if h.s != nil && h.method == "GET" {
-						s.reply(h, rapid.SampledFrom([]string{"ok", "lost"}).Draw(t, "how"))
+				for _, h := range s.heldCalls {
+					if h.run != nil && h.method == "GET" {
+						s.respond(h, rapid.SampledFrom([]string{"ok", "lost"}).Draw(t, "how"))
 						break
 					}
 				}
 			case 5:
 				version++
 				s.order(fleet.Order{Kind: fleet.Shut, Change: "c"})
-				s.until(s.now + rapid.SampledFrom([]time.Duration{0, 30 * time.Millisecond}).Draw(t, "switch"))
+				s.runUntil(s.now + rapid.SampledFrom([]time.Duration{0, 30 * time.Millisecond}).Draw(t, "switch"))
 				look()
 				now = draws()
 				s.rules(version, now...)
 			case 6:
-				m := s.all()[rapid.IntRange(0, 5).Draw(t, "engine")]
+				m := s.allEngines()[rapid.IntRange(0, 5).Draw(t, "engine")]
 				if m.state = "DRAINING"; rapid.Bool().Draw(t, "back") {
 					m.state = "SERVING"
 				}
-				s.tell(m.entry(0))
+				s.listEngines(m.entry(0))
 			}
-			s.until(s.now + rapid.SampledFrom([]time.Duration{0, 5 * time.Millisecond, 400 * time.Millisecond}).Draw(t, "later"))
+			s.runUntil(s.now + rapid.SampledFrom([]time.Duration{0, 5 * time.Millisecond, 400 * time.Millisecond}).Draw(t, "later"))
 			look()
 		}
 	})
@@ -255,8 +257,8 @@
 func TestWhatRunsOutsideIsToldWithTheVersion(t *testing.T) {
 	s := placedStage(t, 3, "a", nil)
 	s.rules(1)
-	a := s.query(s.connect(), "lookup", "", 9*time.Second, 1, "who", "bank")
-	at := s.one("POST", a.id).m.site
+	a := s.sendQuery(s.connect(), "lookup", "", 9*time.Second, 1, "who", "bank")
+	at := s.waitForCall("POST", a.id).engine.site
 	within := slices.DeleteFunc([]string{"a", "b", "c"}, func(x string) bool { return x == at })
 	s.rules(2, residency.Rule{Name: "r", Team: "bank", Engines: within, Controllers: []string{"a"}})
 	for _, p := range s.reports {
@@ -271,15 +273,15 @@
 func TestAClientCantTakeABindingsAnswer(t *testing.T) {
 	s := placedStage(t, 3, "a", nil)
 	s.rules(1, residency.Rule{Name: "r", Team: "bank", Tables: []int64{1}, Engines: []string{"a"}, Follows: true})
-	s.r.invalidation = newInvalidation(s.r)
-	s.r.servingLease.invalidator = s.r.invalidation
+	s.controller.invalidation = newInvalidation(s.controller)
+	s.controller.servingLease.invalidator = s.controller.invalidation
 	c := s.connect()
 	s.body = "insert into d_5.x select * from d_1.y"
-	a := s.query(c, "load", "k", 9*time.Second, 0, "who", "bank")
-	s.until(s.now + 10*time.Millisecond)
+	a := s.sendQuery(c, "load", "k", 9*time.Second, 0, "who", "bank")
+	s.runUntil(s.now + 10*time.Millisecond)
 	id := s.wanted()[0].ID
-	x := &invalidationCall{client: s.r.clients[0], id: id, answerBy: s.now + time.Minute}
-	s.r.invalidation.callers[id] = []*invalidationCall{x}
+	x := &invalidationCall{client: s.controller.clients[0], id: id, answerBy: s.now + time.Minute}
+	s.controller.invalidation.callers[id] = []*invalidationCall{x}
 	s.order(fleet.Order{Kind: fleet.Answered, ID: id, Reply: &fleet.Reply{ID: id, Word: "bound"}})
-	s.one("POST", a.id)
+	s.waitForCall("POST", a.id)
 }
--- a/internal/controller/serving_lease_test.go
+++ b/internal/controller/serving_lease_test.go
@@ -14,33 +14,33 @@
 )
 
 // withPeers is a stage whose controller has peers, with nothing opened yet.
-func withPeers(t interface{ Fatalf(string, ...any) }, engines int, more map[string]string, change ...func(*Config)) *stage {
-	return newStage(t, engines, 256, more, append([]func(*Config){func(m *Config) { m.Fleet = &FleetConfig{Word: &fleet.Word{}} }}, change...)...)
+func withPeers(t interface{ Fatalf(string, ...any) }, engines int, more map[string]string, change ...func(*Config)) *harness {
+	return newHarness(t, engines, 256, more, append([]func(*Config){func(m *Config) { m.Fleet = &FleetConfig{Word: &fleet.Word{}} }}, change...)...)
 }
 
-func (s *stage) order(o fleet.Order) { s.step(Event{Kind: FleetOrdered, Order: &o}) }
+func (s *harness) order(o fleet.Order) { s.step(Event{Kind: FleetOrdered, Order: &o}) }
 
 // opens has it decide by a version, with a lease for so long.
-func (s *stage) opens(version uint64, lease time.Duration) {
+func (s *harness) opens(version uint64, lease time.Duration) {
 	s.order(fleet.Order{Kind: fleet.Renewed, Until: s.now + lease, UntilBound: s.now + lease})
 	s.order(fleet.Order{Kind: fleet.Open, Version: version, Policy: &Policy{Version: version}})
 }
 
 // mayGo is the runner's last look: by the time it writes, it may be later.
-func (s *stage) mayGo(f Effect) bool {
-	w := s.r.Config.Fleet.Word
-	if !w.Enter(s.now+s.stopped, f.PolicyVersion, f.Confined) {
+func (s *harness) mayGo(f Effect) bool {
+	w := s.controller.Config.Fleet.Word
+	if !w.Enter(s.now+s.writeDelay, f.PolicyVersion, f.Confined) {
 		return false
 	}
 	w.Leave()
-	if n := len(s.written); n > 0 && f.PolicyVersion < s.written[n-1] {
-		s.t.Fatalf("submitted by version %d after one by %d", f.PolicyVersion, s.written[n-1])
+	if n := len(s.versions); n > 0 && f.PolicyVersion < s.versions[n-1] {
+		s.t.Fatalf("submitted by version %d after one by %d", f.PolicyVersion, s.versions[n-1])
 	}
-	s.written = append(s.written, f.PolicyVersion)
+	s.versions = append(s.versions, f.PolicyVersion)
 	return true
 }
 
-func (s *stage) told(kind fleet.ReportKind) (n int) {
+func (s *harness) told(kind fleet.ReportKind) (n int) {
 	for _, p := range s.reports {
 		if p.Kind == kind {
 			n++
@@ -53,19 +53,19 @@
 func TestHeldUntilItIsOpenedAndThenInOrder(t *testing.T) {
 	s := withPeers(t, 1, nil)
 	c := s.connect()
-	first, next := s.query(c, "load", "k", 5*time.Second, 1), s.query(c, "load", "k", 5*time.Second, 2)
-	gone := s.query(c, "lookup", "", 5*time.Second, 1)
-	s.leave(gone)
-	s.until(time.Second)
-	if len(first.subs) > 0 || s.r.servingLease.heldCount != 2 || s.r.servingLease.servingVersion(false) != 0 {
-		t.Fatalf("%d sent, %d held", len(first.subs), s.r.servingLease.heldCount)
+	first, next := s.sendQuery(c, "load", "k", 5*time.Second, 1), s.sendQuery(c, "load", "k", 5*time.Second, 2)
+	gone := s.sendQuery(c, "lookup", "", 5*time.Second, 1)
+	s.cancel(gone)
+	s.runUntil(time.Second)
+	if len(first.runs) > 0 || s.controller.servingLease.heldCount != 2 || s.controller.servingLease.servingVersion(false) != 0 {
+		t.Fatalf("%d sent, %d held", len(first.runs), s.controller.servingLease.heldCount)
 	}
 	s.opens(1, time.Minute)
-	s.reply(s.one("POST", first.id), "ok")
-	s.reply(s.one("POST", next.id), "ok") // posted checks their order
-	s.until(s.now + 100*time.Millisecond)
-	if first.answer != "finished" || next.answer != "finished" || s.r.servingLease.longestHold != time.Second {
-		t.Fatal(first.answer, next.answer, s.r.servingLease.longestHold)
+	s.respond(s.waitForCall("POST", first.id), "ok")
+	s.respond(s.waitForCall("POST", next.id), "ok") // posted checks their order
+	s.runUntil(s.now + 100*time.Millisecond)
+	if first.answer != "finished" || next.answer != "finished" || s.controller.servingLease.longestHold != time.Second {
+		t.Fatal(first.answer, next.answer, s.controller.servingLease.longestHold)
 	}
 	if s.told(fleet.Opened) != 1 || s.told(fleet.Sites) < 2 || !slices.Equal(s.reports[0].Sites, []string{"here"}) {
 		t.Fatalf("%+v", s.reports)
@@ -77,19 +77,19 @@
 func TestHeldTooLongIsDeferred(t *testing.T) {
 	s := withPeers(t, 1, nil)
 	c := s.connect()
-	long, short := s.query(c, "load", "k", 9*time.Second, 1), s.query(c, "load", "k", 500*time.Millisecond, 1)
-	s.until(495 * time.Millisecond)
+	long, short := s.sendQuery(c, "load", "k", 9*time.Second, 1), s.sendQuery(c, "load", "k", 500*time.Millisecond, 1)
+	s.runUntil(495 * time.Millisecond)
 	if short.answer != "deferred" || long.answer != "" {
 		t.Fatal(short.answer, long.answer)
 	}
-	s.until(defaultMaxHold + time.Millisecond)
-	if long.answer != "deferred" || s.r.servingLease.deferredHeld != 2 || len(s.r.queries) > 0 {
-		t.Fatal(long.answer, s.r.servingLease.deferredHeld)
+	s.runUntil(defaultMaxHold + time.Millisecond)
+	if long.answer != "deferred" || s.controller.servingLease.deferredHeld != 2 || len(s.controller.queries) > 0 {
+		t.Fatal(long.answer, s.controller.servingLease.deferredHeld)
 	}
-	s.r.servingLease.heldCount = maxHeldQueries
-	over := s.query(c, "lookup", "", 9*time.Second, 1)
-	s.r.servingLease.heldCount = 0
-	if over.answer != "deferred" || len(s.written) > 0 {
+	s.controller.servingLease.heldCount = maxHeldQueries
+	over := s.sendQuery(c, "lookup", "", 9*time.Second, 1)
+	s.controller.servingLease.heldCount = 0
+	if over.answer != "deferred" || len(s.versions) > 0 {
 		t.Fatal(over.answer)
 	}
 }
@@ -100,26 +100,26 @@
 	s := withPeers(t, 1, map[string]string{"may.copy": "false"})
 	s.opens(1, 100*time.Millisecond)
 	c := s.connect()
-	runs := s.query(c, "load", "k", 9*time.Second, 1)
-	s.reply(s.one("POST", runs.id), "runs")
-	behind := s.query(c, "load", "k", 9*time.Second, 2) // of its key, with the decisions
-	s.until(99 * time.Millisecond)
-	s.r.pool.limit = s.r.pool.open // so that the next waits for a line
-	chosen := s.query(c, "lookup", "", 9*time.Second, 3)
-	s.until(200 * time.Millisecond)
-	s.r.pool.limit = 100
-	s.until(time.Second)
-	if len(behind.subs)+len(chosen.subs) > 0 {
+	runs := s.sendQuery(c, "load", "k", 9*time.Second, 1)
+	s.respond(s.waitForCall("POST", runs.id), "runs")
+	behind := s.sendQuery(c, "load", "k", 9*time.Second, 2) // of its key, with the decisions
+	s.runUntil(99 * time.Millisecond)
+	s.controller.pool.limit = s.controller.pool.open // so that the next waits for a line
+	chosen := s.sendQuery(c, "lookup", "", 9*time.Second, 3)
+	s.runUntil(200 * time.Millisecond)
+	s.controller.pool.limit = 100
+	s.runUntil(time.Second)
+	if len(behind.runs)+len(chosen.runs) > 0 {
 		t.Fatal("sent without a lease")
 	}
-	s.until(100*time.Millisecond + defaultMaxHold + 10*time.Millisecond)
+	s.runUntil(100*time.Millisecond + defaultMaxHold + 10*time.Millisecond)
 	if runs.answer != "" || behind.answer != "deferred" || chosen.answer != "deferred" {
 		t.Fatal(runs.answer, behind.answer, chosen.answer)
 	}
-	s.reply(s.one("GET", runs.id), "ok")
-	s.until(s.now + 100*time.Millisecond)
-	if runs.answer != "finished" || len(s.r.queries) > 0 {
-		t.Fatal(runs.answer, len(s.r.queries))
+	s.respond(s.waitForCall("GET", runs.id), "ok")
+	s.runUntil(s.now + 100*time.Millisecond)
+	if runs.answer != "finished" || len(s.controller.queries) > 0 {
+		t.Fatal(runs.answer, len(s.controller.queries))
 	}
 }
 
@@ -128,24 +128,24 @@
 func TestStoppedPastTheLeaseBeforeItWrites(t *testing.T) {
 	s := withPeers(t, 1, nil)
 	s.opens(1, 10*time.Second)
-	s.stopped = time.Minute
-	a := s.query(s.connect(), "load", "k", 9*time.Second, 1)
-	s.until(50 * time.Millisecond)
-	if len(a.subs) > 0 || s.r.servingLease.rejectedWrites == 0 || s.r.counters.attemptEnds[7] == 0 {
-		t.Fatalf("%d sent, %d refused, %v", len(a.subs), s.r.servingLease.rejectedWrites, s.r.counters.attemptEnds)
+	s.writeDelay = time.Minute
+	a := s.sendQuery(s.connect(), "load", "k", 9*time.Second, 1)
+	s.runUntil(50 * time.Millisecond)
+	if len(a.runs) > 0 || s.controller.servingLease.rejectedWrites == 0 || s.controller.counters.attemptEnds[7] == 0 {
+		t.Fatalf("%d sent, %d refused, %v", len(a.runs), s.controller.servingLease.rejectedWrites, s.controller.counters.attemptEnds)
 	}
 	s = withPeers(t, 1, nil)
 	s.opens(1, 10*time.Second)
-	a = s.query(s.connect(), "load", "k", 9*time.Second, 1)
-	s.stopped = time.Minute
-	for s.r.servingLease.rejectedWrites == 0 {
-		s.until(s.now + time.Millisecond)
+	a = s.sendQuery(s.connect(), "load", "k", 9*time.Second, 1)
+	s.writeDelay = time.Minute
+	for s.controller.servingLease.rejectedWrites == 0 {
+		s.runUntil(s.now + time.Millisecond)
 	}
-	s.stopped = 0
-	s.reply(s.one("POST", a.id), "ok")
-	s.until(s.now + 100*time.Millisecond)
-	if a.answer != "finished" || len(a.subs) != 1 {
-		t.Fatal(a.answer, len(a.subs))
+	s.writeDelay = 0
+	s.respond(s.waitForCall("POST", a.id), "ok")
+	s.runUntil(s.now + 100*time.Millisecond)
+	if a.answer != "finished" || len(a.runs) != 1 {
+		t.Fatal(a.answer, len(a.runs))
 	}
 }
 
@@ -155,35 +155,35 @@
 	s := withPeers(t, 1, map[string]string{"teams": "1", "team.0.name": "old", "team.0.quota": "5"}, func(m *Config) { m.FieldNames.Customer = "who" })
 	s.opens(1, time.Minute)
 	c := s.connect()
-	word := s.r.Config.Fleet.Word
+	word := s.controller.Config.Fleet.Word
 	word.Enter(s.now, 1, false) // one is being written
 	s.order(fleet.Order{Kind: fleet.Shut, Change: "c"})
-	s.until(10 * time.Millisecond)
-	a := s.query(c, "lookup", "", 5*time.Second, 1, "who", "new")
-	b := s.query(c, "lookup", "", 25*time.Second, 1)
-	if s.told(fleet.Closed) != 0 || len(a.subs) > 0 {
+	s.runUntil(10 * time.Millisecond)
+	a := s.sendQuery(c, "lookup", "", 5*time.Second, 1, "who", "new")
+	b := s.sendQuery(c, "lookup", "", 25*time.Second, 1)
+	if s.told(fleet.Closed) != 0 || len(a.runs) > 0 {
 		t.Fatal("closed while something is being written")
 	}
 	word.Leave()
-	s.until(12 * time.Millisecond)
+	s.runUntil(12 * time.Millisecond)
 	if s.told(fleet.Closed) != 1 {
 		t.Fatal("not told")
 	}
 	s.order(fleet.Order{Kind: fleet.Open, Version: 2, Policy: &Policy{Version: 2, Facts: map[string]string{"group.0.timeout": "20000",
 		"group.0.value": "9", "group.0.target": "700", "threads": "2,3,2", "teams": "2", "team.0.name": "old", "team.1.name": "new", "team.1.quota": "7",
 		"group.0.effect": "mutating"}}})
-	if q := s.r.queries[a.id]; q == nil || q.customer != 1 {
+	if q := s.controller.queries[a.id]; q == nil || q.customer != 1 {
 		t.Fatalf("%+v", q)
 	}
-	if g := s.r.groups["lookup"]; b.answer != "killed" || g.priorityWeight != 9 || g.threads != 2 || g.latencyObjective != 700*time.Millisecond {
+	if g := s.controller.groups["lookup"]; b.answer != "killed" || g.priorityWeight != 9 || g.threads != 2 || g.latencyObjective != 700*time.Millisecond {
 		t.Fatalf("%q %+v", b.answer, g)
 	}
-	if s.r.Settings["group.0.effect"] != "read-only" || s.r.servingLease.policySwitches != 1 {
+	if s.controller.Settings["group.0.effect"] != "read-only" || s.controller.servingLease.policySwitches != 1 {
 		t.Fatal("more was taken over than is the fleet's")
 	}
-	s.until(s.now + 50*time.Millisecond)
-	if !slices.Equal(s.written, []uint64{2}) {
-		t.Fatal(s.written)
+	s.runUntil(s.now + 50*time.Millisecond)
+	if !slices.Equal(s.versions, []uint64{2}) {
+		t.Fatal(s.versions)
 	}
 }
 
@@ -193,11 +193,11 @@
 	s := placedStage(t, 2, "a", map[string]string{"may.probe": "false", "report.how": "off"})
 	s.opens(1, time.Minute)
 	s.body = "insert into d_1.x select 1"
-	a := s.query(s.connect(), "load", "k", 9*time.Second, 1, "who", "bank")
-	q := s.r.queries[a.id]
+	a := s.sendQuery(s.connect(), "load", "k", 9*time.Second, 1, "who", "bank")
+	q := s.controller.queries[a.id]
 	s.order(fleet.Order{Kind: fleet.Shut, Change: "c"}) // while it waits for a line
-	s.until(s.now + 300*time.Millisecond)
-	if len(s.r.servingLease.blockedAttempts) != 1 {
+	s.runUntil(s.now + 300*time.Millisecond)
+	if len(s.controller.servingLease.blockedAttempts) != 1 {
 		t.Fatal("it doesn't wait")
 	}
 	chosen, other := q.attempts[0].engine.id, "a"
@@ -206,9 +206,9 @@
 	}
 	s.order(fleet.Order{Kind: fleet.Open, Version: 2, Policy: &Policy{Version: 2,
 		Rules: []residency.Rule{{Name: "r", Team: "bank", Engines: []string{other}, Controllers: []string{"a"}}}}})
-	h := s.one("POST", a.id)
-	if h.m.id == chosen || h.m.site != other || !slices.Equal(s.written, []uint64{2}) || s.r.counters.attemptEnds[7] != 1 {
-		t.Fatalf("to %s, chosen was %s, %v, %v", h.m.id, chosen, s.written, s.r.counters.attemptEnds)
+	h := s.waitForCall("POST", a.id)
+	if h.engine.id == chosen || h.engine.site != other || !slices.Equal(s.versions, []uint64{2}) || s.controller.counters.attemptEnds[7] != 1 {
+		t.Fatalf("to %s, chosen was %s, %v, %v", h.engine.id, chosen, s.versions, s.controller.counters.attemptEnds)
 	}
 }
 
@@ -219,14 +219,14 @@
 	s.order(fleet.Order{Kind: fleet.Open, Version: 1})
 	s.order(fleet.Order{Kind: fleet.Renewed, Until: fleet.Forever})
 	c := s.connect()
-	bound, free, behind := s.query(c, "load", "k", 9*time.Second, 7), s.query(c, "load", "x", 9*time.Second, 1), s.query(c, "load", "k", 9*time.Second, 2)
-	s.until(time.Second)
-	if len(bound.subs)+len(behind.subs) > 0 || len(free.subs) != 1 {
-		t.Fatal(len(bound.subs), len(behind.subs), len(free.subs))
+	bound, free, behind := s.sendQuery(c, "load", "k", 9*time.Second, 7), s.sendQuery(c, "load", "x", 9*time.Second, 1), s.sendQuery(c, "load", "k", 9*time.Second, 2)
+	s.runUntil(time.Second)
+	if len(bound.runs)+len(behind.runs) > 0 || len(free.runs) != 1 {
+		t.Fatal(len(bound.runs), len(behind.runs), len(free.runs))
 	}
 	s.order(fleet.Order{Kind: fleet.Renewed, Until: fleet.Forever, UntilBound: s.now + time.Minute})
-	s.reply(s.one("POST", bound.id), "ok")
-	s.one("POST", behind.id)
+	s.respond(s.waitForCall("POST", bound.id), "ok")
+	s.waitForCall("POST", behind.id)
 }
 
 // Teams' turns stand still with all else, and a full ring loses no report.
@@ -235,19 +235,19 @@
 	s.opens(1, time.Minute)
 	c := s.connect()
 	for range 3 {
-		s.query(c, "lookup", "", 9*time.Second, 1)
+		s.sendQuery(c, "lookup", "", 9*time.Second, 1)
 	}
-	s.full = true
+	s.reportsFull = true
 	s.order(fleet.Order{Kind: fleet.Shut, Change: "c"})
-	waits := s.r.fairQueue.queue.Waiting()
-	s.until(time.Second)
-	if s.r.fairQueue.queue.Waiting() != waits || s.told(fleet.Closed) != 0 {
+	waits := s.controller.fairQueue.queue.Waiting()
+	s.runUntil(time.Second)
+	if s.controller.fairQueue.queue.Waiting() != waits || s.told(fleet.Closed) != 0 {
 		t.Fatal("it went on")
 	}
 	s.order(fleet.Order{Kind: fleet.Open, Version: 2, Policy: &Policy{Version: 2, Fair: &fairqueue.Shape{Teams: []fairqueue.Team{{Name: "b", Weight: 1}}}}})
 	s.order(fleet.Order{Kind: fleet.Drop, ID: "p", Scope: &fleet.Scope{Team: "a"}})
-	s.full, s.reports = false, nil
-	s.until(s.now + 2*reportRetryInterval)
+	s.reportsFull, s.reports = false, nil
+	s.runUntil(s.now + 2*reportRetryInterval)
 	var kinds []fleet.ReportKind
 	for _, p := range s.reports {
 		kinds = append(kinds, p.Kind)
@@ -256,7 +256,7 @@
 		t.Fatal(kinds)
 	}
 	s.step(Event{Kind: CountersRequested})
-	if text := s.said[len(s.said)-1]; !strings.Contains(text, "fleet version 2 switches 1") {
+	if text := s.logged[len(s.logged)-1]; !strings.Contains(text, "fleet version 2 switches 1") {
 		t.Fatal(text)
 	}
 }
@@ -281,15 +281,15 @@
 			lease := func(d time.Duration) {
 				s.order(fleet.Order{Kind: fleet.Renewed, Until: s.now + d, UntilBound: s.now + d/2})
 			}
-			switch s.stopped = 0; o {
+			switch s.writeDelay = 0; o {
 			case 0, 1:
 				s.order(fleet.Order{Kind: fleet.Shut, Change: "c"})
 			case 2, 3:
 				version++
 				s.order(fleet.Order{Kind: fleet.Shut, Change: "c"})
-				before := len(s.written)
-				s.until(s.now + 20*time.Millisecond)
-				if len(s.written) > before {
+				before := len(s.versions)
+				s.runUntil(s.now + 20*time.Millisecond)
+				if len(s.versions) > before {
 					t.Fatalf("submitted while shut")
 				}
 				s.order(fleet.Order{Kind: fleet.Open, Version: version, Policy: &Policy{Facts: map[string]string{"threads": "2,2,2"}}})
@@ -301,17 +301,17 @@
 			case 6:
 				lease(0)
 			case 7:
-				s.stopped = 2 * time.Minute
+				s.writeDelay = 2 * time.Minute
 			}
-			s.some(choices[i*part : (i+1)*part])
+			s.randomEvents(choices[i*part : (i+1)*part])
 		}
-		struck["refused"] += s.r.servingLease.rejectedWrites
-		struck["held"] += s.r.servingLease.heldTotal
-		struck["deferred"] += s.r.servingLease.deferredHeld
-		struck["parked"] += len(s.r.servingLease.blockedAttempts)
-		struck["switches"] += s.r.servingLease.policySwitches
-		struck["written"] += len(s.written)
-		s.play(nil)
+		struck["refused"] += s.controller.servingLease.rejectedWrites
+		struck["held"] += s.controller.servingLease.heldTotal
+		struck["deferred"] += s.controller.servingLease.deferredHeld
+		struck["parked"] += len(s.controller.servingLease.blockedAttempts)
+		struck["switches"] += s.controller.servingLease.policySwitches
+		struck["written"] += len(s.versions)
+		s.runRandom(nil)
 	})
 	for _, what := range []string{"refused", "held", "deferred", "parked", "switches", "written"} {
 		if struck[what] == 0 {
@@ -323,19 +323,19 @@
 // A query costs no more allocations with peers than without.
 func TestPeersCostAQueryNothing(t *testing.T) {
 	cost := func(with ...func(*Config)) float64 {
-		s := newStage(t, 1, 256, nil, with...)
-		if s.r.servingLease != nil {
+		s := newHarness(t, 1, 256, nil, with...)
+		if s.controller.servingLease != nil {
 			s.opens(1, time.Hour)
 		}
 		c := s.connect()
 		one := func() {
-			c.msgs, s.asked, s.log = 0, s.asked[:0], s.log[:0]
-			for _, m := range s.mills {
+			c.messages, s.queries, s.written = 0, s.queries[:0], s.written[:0]
+			for _, m := range s.engines {
 				clear(m.runs)
 			}
-			a := s.query(c, "lookup", "", 5*time.Second, 1)
-			s.reply(s.one("POST", a.id), "ok")
-			s.until(s.now + 20*time.Millisecond)
+			a := s.sendQuery(c, "lookup", "", 5*time.Second, 1)
+			s.respond(s.waitForCall("POST", a.id), "ok")
+			s.runUntil(s.now + 20*time.Millisecond)
 			if a.answer != "finished" {
 				t.Fatal(a.answer)
 			}
--- a/internal/controller/size_test.go
+++ b/internal/controller/size_test.go
@@ -13,7 +13,7 @@
 	for _, n := range []int{8, 80, 400, 1024} {
 		var members []string
 		for i := range n {
-			m := &mill{id: "e" + strconv.Itoa(i), address: fmt.Sprintf("10.0.%d.%d:6565", i/250, i%250), state: "SERVING"}
+			m := &fakeEngine{id: "e" + strconv.Itoa(i), address: fmt.Sprintf("10.0.%d.%d:6565", i/250, i%250), state: "SERVING"}
 			members = append(members, m.entry(0))
 		}
 		known := []byte(`{"n":1,"events":[{"n":1,"members":{"complete":true,"members":[` + strings.Join(members, ",") + `]}}]}`)
