--- /dev/null
+++ b/internal/fleet/node/log_follower.go
@@ -0,0 +1,157 @@
+package node
+
+import (
+	"time"
+
+	"railrelay.dev/railrelay/internal/fleet/consensus"
+)
+
+const (
+	entriesPerMessage   = 512             // log entries in a LogUpdate
+	followerSilentAfter = 5 * time.Second // a follower not heard of for so long is sent nothing
+	// votedOutElections, times the election timeout without a word of another voter: then
+	// a LogUpdate that is ahead says that the others vote without this controller.
+	votedOutElections = 2
+)
+
+// receiveLogUpdate takes log entries or a snapshot that the leader or a relay sends to
+// controllers that don't vote.
+func (c *Core) receiveLogUpdate(from string, update *LogUpdate) {
+	c.stopVoting() // a leader sends these only to controllers that don't vote with it
+	c.stopVotingIfVotedOut(update)
+	if c.consensus != nil {
+		return
+	}
+	if update.Leader != "" {
+		c.leader = update.Leader
+	}
+	if s := update.Snapshot; s != nil && s.Index > c.persistIndex {
+		c.persistIndex = s.Index
+		c.persist(&consensus.PersistentState{Snapshot: s}, func() { c.restoreSnapshot(s) })
+	}
+	var fresh []consensus.LogEntry
+	for _, r := range update.Entries {
+		if r.Index == c.persistIndex+1 {
+			fresh = append(fresh, r)
+			c.persistIndex = r.Index
+		}
+	}
+	if len(fresh) > 0 {
+		c.persist(&consensus.PersistentState{Entries: fresh}, func() {
+			for _, r := range fresh {
+				c.applyEntry(r)
+			}
+			c.unreported = true
+		})
+	} else if update.CommittedIndex > c.persistIndex {
+		c.send(from, c.addressOf(from), &Message{LogRequest: &LogRequest{FromIndex: c.persistIndex + 1}})
+	}
+}
+
+// stopVotingIfVotedOut ends voting where this controller was voted out while it was away:
+// it can't learn that from consensus, whose messages no longer come.
+func (c *Core) stopVotingIfVotedOut(update *LogUpdate) {
+	switch {
+	case c.consensus == nil, c.isLeader, update.CommittedIndex <= c.state.Index:
+		return
+	case c.now-c.voterHeardAt <= votedOutElections*c.config.ElectionTimeout:
+		return
+	}
+	c.consensus = nil
+	c.leader = update.Leader
+	c.votedOut = true
+	c.persistIndex = c.state.Index
+	c.logf(true, "this controller votes no more: others do by now")
+}
+
+// receiveLogRequest sends a follower its entries from the one on that it lacks.
+func (c *Core) receiveLogRequest(from string, request *LogRequest) {
+	if f := c.followerOf(from); f != nil {
+		f.nextIndex = request.FromIndex
+		c.followersBehind = true
+	}
+}
+
+// follower is how far a controller has come that the log is sent to, by the leader or by
+// the relay that it asks.
+type follower struct {
+	heardAt      time.Duration
+	appliedIndex uint64        // as it reported
+	nextIndex    uint64        // of the entry that it is sent next, 0: it is sent none
+	sentAt       time.Duration // when it was last sent entries
+	isVoter      bool          // consensus brings it the log
+}
+
+// updateFrom takes what a controller's renewal reports. What it was sent more than an
+// interval ago and hasn't applied is taken for lost, and sent again.
+func (f *follower) updateFrom(r *LeaseRenewal, now, interval time.Duration) {
+	f.heardAt = now
+	f.appliedIndex = r.AppliedIndex
+	f.isVoter = r.Votes
+	lost := f.nextIndex > r.AppliedIndex+1 && now-f.sentAt > interval
+	if f.nextIndex == 0 || lost {
+		f.nextIndex = r.AppliedIndex + 1
+	}
+}
+
+// sendsLog reports whether this controller sends the log to others.
+func (c *Core) sendsLog() bool { return c.isLeader || c.aggregator != nil }
+
+// followerOf is a controller that this one sends the log to, nil: it doesn't.
+func (c *Core) followerOf(name string) *follower {
+	if c.isLeader {
+		if p := c.peers[name]; p != nil {
+			return &p.follower
+		}
+		return nil
+	}
+	if c.aggregator != nil {
+		if from := c.aggregator.controllers[name]; from != nil {
+			return &from.follower
+		}
+	}
+	return nil
+}
+
+// sendLog sends its followers what they lack.
+func (c *Core) sendLog() {
+	if !c.followersBehind || !c.sendsLog() {
+		return
+	}
+	c.followersBehind = false
+	if c.isLeader {
+		for _, name := range c.peerNames {
+			c.sendLogTo(name, &c.peers[name].follower)
+		}
+		return
+	}
+	for _, name := range sorted(c.aggregator.controllers) {
+		c.sendLogTo(name, &c.aggregator.controllers[name].follower)
+	}
+}
+
+// sendLogTo sends a follower the entries that it lacks, or a snapshot where those are no
+// longer kept.
+func (c *Core) sendLogTo(name string, f *follower) {
+	switch {
+	case name == c.config.Self.Name, f.isVoter && c.isVoter(name):
+		return
+	case f.nextIndex == 0, f.nextIndex > c.state.Index, c.now-f.heardAt > followerSilentAfter:
+		return
+	}
+	f.sentAt = c.now
+	message := &LogUpdate{CommittedIndex: c.state.Index, Leader: c.leader}
+	if c.isLeader {
+		message.Leader = c.config.Self.Name
+	}
+	if len(c.recentEntries) == 0 || f.nextIndex < c.recentEntries[0].Index {
+		message.Snapshot = c.currentSnapshot()
+		f.nextIndex = c.state.Index + 1
+	} else {
+		from := int(f.nextIndex - c.recentEntries[0].Index)
+		message.Entries = c.recentEntries[from:min(len(c.recentEntries), from+entriesPerMessage)]
+		f.nextIndex = message.Entries[len(message.Entries)-1].Index + 1
+		c.followersBehind = c.followersBehind || f.nextIndex <= c.state.Index
+	}
+	c.send(name, c.addressOf(name), &Message{LogUpdate: message})
+}
