--- a/internal/controller/attempt.go
+++ b/internal/controller/attempt.go
@@ -50,7 +50,7 @@
 	polledAt      time.Duration // when such a call was last written
 
 	// polling
-	maybeForgotten  bool          // out of reach since the last response: an error may mean that it is unknown there
+	maybeForgotten  bool          // out of reach since the last response: an error may mean unknown there
 	staleNotesUntil time.Duration // notes before this may be older than its being forgotten
 	repollPause     time.Duration // before the next poll after a failed one
 	readableAt      time.Duration // when the last readable response came, or the first call was made
--- a/internal/controller/attempt_test.go
+++ b/internal/controller/attempt_test.go
@@ -117,7 +117,7 @@
 	}
 }
 
-// A first byte that lost its permit on the way isn't written, fleet or none: its line ends, and the
+// A first byte that lost its permit on the way isn't written, fleet or none: its connection ends, and the
 // submission is known never to have run.
 func TestBarredWriteCountsAsNeverSent(t *testing.T) {
 	s := newHarness(t, 2, 256, map[string]string{"may.probe": "false"})
@@ -270,7 +270,7 @@
 }
 
 // After we stood still all that came is heard before what is due acts: an answer that lies here unread
-// is not late, and its line no dead one.
+// is not late, and its connection not dead.
 func TestUnreadResponseIsNotLate(t *testing.T) {
 	for _, early := range []bool{true, false} {
 		s := newHarness(t, 1, 96, map[string]string{"may.probe": "false"})
--- a/internal/controller/controller_test.go
+++ b/internal/controller/controller_test.go
@@ -417,7 +417,7 @@
 	if s.controller.counters.healthChecks != 1 || s.controller.counters.dials != 1 {
 		t.Fatalf("%d looks, %d connections", s.controller.counters.healthChecks, s.controller.counters.dials)
 	}
-	s.heldCalls = nil // answered behind the copy, on a line that is then gone
+	s.heldCalls = nil // answered behind the copy, on a connection that is then gone
 	s.receive(h.connection, []byte("HTTP/1.1 200 x\r\nX-Load: inflight:3;util:0.5\r\nContent-Length: 0\r\n\r\n"))
 	if !h.connection.gone || a.answer != "" {
 		t.Fatalf("%v %q", h.connection.gone, a.answer)
@@ -496,7 +496,7 @@
 func TestProcessStallEndsNoAttempt(t *testing.T) {
 	s := newHarness(t, 1, 96, map[string]string{"may.probe": "false"})
 	c := s.connect()
-	s.sendQuery(c, "lookup", "", 2*time.Second, 3) // so that there is a line
+	s.sendQuery(c, "lookup", "", 2*time.Second, 3) // so that there is a connection
 	s.runUntil(s.now + 3*time.Second)
 	m := s.allEngines()[0]
 	m.networkCut = true
--- a/internal/controller/counters.go
+++ b/internal/controller/counters.go
@@ -101,7 +101,8 @@
 			fmt.Fprintf(b, " %s %d", outcomeNames[outcome], count)
 		}
 	}
-	fmt.Fprintf(b, "; engine answers %d notes %d odd %d asked again %d probes %d dials %d links %d of %d waited %d",
+	fmt.Fprintf(b, "; engine answers %d notes %d odd %d asked again %d probes %d dials %d"+
+		" links %d of %d waited %d",
 		n.engineResponses, n.progressNotes, n.unexpected, n.repolls, n.healthChecks, n.dials,
 		c.pool.open, c.pool.limit, n.queuedCalls)
 	if n.barredWrites > 0 {
--- a/internal/controller/harness_clients_test.go
+++ b/internal/controller/harness_clients_test.go
@@ -71,7 +71,7 @@
 
 func fix(v string) []byte { return append([]byte{byte(0xa0 + len(v))}, v...) }
 
-// query has a client ask for something.
+// sendQuery has a client send a query.
 func (s *harness) sendQuery(e *fakeConnection, group, key string, patience time.Duration, tables int, more ...string) *sentQuery {
 	e.messages++
 	a := &sentQuery{id: fmt.Sprintf("%016x", len(s.queries)+1), group: group, key: key, msg: e.messages, from: e, deadline: s.now + patience}
--- a/internal/controller/harness_engines_test.go
+++ b/internal/controller/harness_engines_test.go
@@ -9,26 +9,26 @@
 	"time"
 )
 
-// mill is an engine.
+// fakeEngine is an engine.
 type fakeEngine struct {
 	id, address, state string
 	site               string
 	silent, dead       bool
-	networkCut         bool // nothing comes through; what was written lies on the way until the link heals
+	networkCut         bool // nothing comes through; what was written is delayed until the network heals
 	delayed            []*heldCall
 	runs               map[string]*fakeRun
 }
 
-// sub is one submission as its engine sees it.
+// fakeRun is an attempt as its engine sees it.
 type fakeRun struct {
 	query           *sentQuery
 	engine          *fakeEngine
 	askedAt         time.Duration
 	ended, neverRan bool
-	keyRests        bool // ended so that its key has to rest
+	keyRests        bool // it ended in a way after which its key has to rest
 	overAt          time.Duration
 	pages           int
-	untaken         bool // it came whole, and is not known there yet
+	untaken         bool // it arrived whole, and its engine does not know it yet
 }
 
 type heldCall struct {
@@ -40,7 +40,7 @@
 	page               int
 	run                *fakeRun
 	head               string
-	delayed            bool // on the way, behind a cut
+	delayed            bool // it was held up by a cut
 }
 
 func (m *fakeEngine) entry(up int64) string {
@@ -48,7 +48,7 @@
 		m.id, m.address, m.site, m.state, up)
 }
 
-// calls takes what was written to an engine, call by call.
+// readCalls takes what was written to an engine, call by call.
 func (s *harness) readCalls(e *fakeConnection) {
 	m := s.engines[e.address]
 	head, rest, ok := strings.Cut(string(e.received), "\r\n\r\n")
@@ -83,7 +83,7 @@
 	}
 }
 
-// arrives: a call is there whole, perhaps long after it was written.
+// arrive takes a call that has arrived whole, perhaps long after it was written.
 func (s *harness) arrive(h *heldCall) {
 	m, head := h.engine, h.head
 	switch h.method {
@@ -107,7 +107,7 @@
 	}
 }
 
-// heal lets through what lies on the way.
+// heal ends a cut of the network, and delivers the calls that it held up.
 func (s *harness) heal(m *fakeEngine) {
 	m.networkCut = false
 	lying := m.delayed
@@ -119,7 +119,7 @@
 
 func (s *harness) endRun(x *fakeRun, rests bool) { x.ended, x.overAt, x.keyRests = true, s.now, rests }
 
-// posted checks what goes to an engine by the rules.
+// checkSubmission checks by the rules what an engine is sent.
 func (s *harness) checkSubmission(h *heldCall) {
 	var a *sentQuery
 	for _, x := range s.queries {
@@ -172,12 +172,12 @@
 	a.runs, h.engine.runs[h.id], h.run = append(a.runs, x), x, x
 }
 
-// news: an engine holds this call until there are any.
+// news reports whether the engine holds this call until there is news.
 func (h *heldCall) news() bool {
 	return h.method == "POST" || h.method == "GET" && h.id != "" && h.page == 0
 }
 
-// reply answers a held call with so many pages still to come, or with a word.
+// respond answers a held call in the way that how names.
 func (s *harness) respond(h *heldCall, how string) {
 	s.heldCalls = slices.DeleteFunc(s.heldCalls, func(x *heldCall) bool { return x == h })
 	out := func(status int, fields, body string) {
@@ -235,7 +235,7 @@
 	}
 }
 
-// good: it has run to a good end, whatever becomes of the answer.
+// finishRun ends a run with a result, whatever becomes of the response.
 func (s *harness) finishRun(x *fakeRun) {
 	if !x.ended {
 		s.endRun(x, false)
@@ -243,7 +243,7 @@
 	}
 }
 
-// tell has the feed say something of engines, or just its last number.
+// listEngines has the discovery send an event about engines or, for "", a heartbeat.
 func (s *harness) listEngines(members string) {
 	if members != "" {
 		s.events++
@@ -256,7 +256,7 @@
 	}
 }
 
-// restart ends a mill's process; a new one answers, or none.
+// restartEngine ends an engine's process; a new one takes its place, unless dead.
 func (s *harness) restartEngine(m *fakeEngine, dead bool) {
 	for _, id := range slices.Sorted(maps.Keys(m.runs)) {
 		if !m.runs[id].ended {
--- a/internal/controller/harness_test.go
+++ b/internal/controller/harness_test.go
@@ -13,8 +13,8 @@
 
 const waits = 250 * time.Millisecond
 
-// stage is what stands round a Relay: its runner, clients, engines and clock.
-// It checks the rules at what is written, and lets choices say what happens.
+// harness is what surrounds a controller: its runner, clients, engines and clock. It checks the rules by
+// what is written; tests, or random choices, say what happens.
 type harness struct {
 	t             interface{ Fatalf(string, ...any) }
 	controller    *Controller
@@ -31,15 +31,15 @@
 	logged        []string
 	written       []string
 	sockets       int
-	body          string  // of what clients ask next, in place of a select
-	pendingEvents []Event // what the runner will bring back
+	body          string  // statement of the next queries, in place of a select
+	pendingEvents []Event // that the runner reports next
 
 	// where it has peers
 	reports     []fleet.Report
-	reportsFull bool          // the ring of reports
-	backlogged  bool          // it stood still, and this came meanwhile
-	writeDelay  time.Duration // the process stands still between a step and what it writes
-	versions    []uint64      // versions of submissions, in the order they went out
+	reportsFull bool          // there is no room for reports to the fleet
+	backlogged  bool          // events are marked as such
+	writeDelay  time.Duration // the process stands still for so long between a step and its writes
+	versions    []uint64      // policy versions of submissions, in the order they were written
 }
 
 type fakeConnection struct {
@@ -98,7 +98,7 @@
 	return s
 }
 
-// all lists the mills in an order of their own.
+// allEngines are the engines by address.
 func (s *harness) allEngines() []*fakeEngine {
 	return slices.SortedFunc(maps.Values(s.engines), func(a, b *fakeEngine) int { return strings.Compare(a.address, b.address) })
 }
@@ -194,7 +194,7 @@
 	}
 }
 
-// lose ends a link, whoever ended it.
+// closeConnection ends a connection, whichever side closed it.
 func (s *harness) closeConnection(e *fakeConnection) {
 	if !e.gone {
 		e.gone = true
@@ -203,7 +203,7 @@
 	}
 }
 
-// until lets time pass: what is due at the runner, healthy engines' news and dials.
+// runUntil lets time pass, with the timers that come due, healthy engines' responses to polls, and dials.
 func (s *harness) runUntil(t time.Duration) {
 	for !s.exited {
 		next, what := t, func() {}
@@ -282,7 +282,7 @@
 	return n
 }
 
-// play has choices say what happens, until the end.
+// runRandom has choices say what happens, and then shuts down.
 func (s *harness) runRandom(choices []uint16) {
 	s.randomEvents(choices)
 	s.runUntil(s.now + 12*time.Second)
@@ -347,7 +347,7 @@
 	}
 }
 
-// one finds a held call, letting news go on until it is there.
+// waitForCall returns the held call of a query, letting time pass until there is one.
 func (s *harness) waitForCall(method, id string) *heldCall {
 	for range 1000 {
 		for _, h := range s.heldCalls {
