--- a/internal/controller/fair_queue_test.go
+++ b/internal/controller/fair_queue_test.go
@@ -67,8 +67,8 @@
 // A call's further fields reach fairness, and what it is told reaches the call.
 func TestFairQueueFieldsAndWaitNotices(t *testing.T) {
 	s := newHarness(t, 0, 256, nil)
-	s.controller.fairQueue = newFairQueue(s.controller, &fairqueue.Shape{Teams: []fairqueue.Team{{Name: "a", Weight: 1}, {Name: "b", Weight: 1}},
-		Trusted: []netip.Prefix{netip.MustParsePrefix("10.0.0.0/8")}}, FieldNames{Tenant: "team", NotifyWait: "tell", RepeatOf: "first"})
+	s.controller.fairQueue = newFairQueue(s.controller, &fairqueue.Config{Tenants: []fairqueue.Tenant{{Name: "a", Weight: 1}, {Name: "b", Weight: 1}},
+		TrustedAddresses: []netip.Prefix{netip.MustParsePrefix("10.0.0.0/8")}}, FieldNames{Tenant: "team", NotifyWait: "tell", RepeatOf: "first"})
 	c := &fakeConnection{number: len(s.connections), link: &Connection{RemoteAddress: netip.MustParseAddr("10.0.0.1")}, client: true, up: true}
 	s.connections = append(s.connections, c)
 	s.step(Event{Kind: ClientAccepted, Connection: c.link})
@@ -82,7 +82,7 @@
 	}
 	s.receive(c, append(call, "\xc4\x08SELECT 1"...))
 	q := s.controller.queries[a.id]
-	if q == nil || q.waiter == nil || s.controller.fairQueue.queue.Team(q.waiter.Team) != "b" || !q.waiter.Ask {
+	if q == nil || q.waiter == nil || s.controller.fairQueue.queue.TenantName(q.waiter.Tenant) != "b" || !q.waiter.NotifyChanges {
 		t.Fatalf("%+v", q)
 	}
 	got := msgpackrpc.Told(nil, 300, 1234*time.Millisecond)
@@ -102,7 +102,7 @@
 	if q.effectivePriority() != 3 {
 		t.Fatal("without teams it is not the decisions'")
 	}
-	q.waiter = &fairqueue.Waiter{}
+	q.waiter = &fairqueue.Query{}
 	if q.effectivePriority() != 3 {
 		t.Fatal("lowered for nothing")
 	}
