--- a/cmd/railrelay-fleet/command.go
+++ b/cmd/railrelay-fleet/command.go
@@ -53,7 +53,7 @@
 			if err := oneOf(until, "", "unreachable", "settled"); err != nil {
 				return err
 			}
-			return d.ask(c, &fleet.Ask{Kind: "status", ID: id, Until: until, Wait: d.atMost.Milliseconds()})
+			return d.ask(c, &fleet.Request{Kind: "status", ID: id, AwaitedStage: until, WaitMs: d.atMost.Milliseconds()})
 		}}
 	c.Flags().StringVar(&until, "until", "", "with --id: unreachable of a purge, settled of a change (erased, in force)")
 	c.Flags().StringVar(&id, "id", "", "of a change or purge: waits for the last word on it")
@@ -79,9 +79,9 @@
 			if err := oneOf(until, "", "settled"); err != nil {
 				return err
 			}
-			a := &fleet.Ask{Kind: "apply", ID: id, Base: base, Policy: text, Until: until, AtMost: d.atMost.Milliseconds(), Wait: wait.Milliseconds()}
+			a := &fleet.Request{Kind: "apply", ID: id, Base: base, Policy: text, AwaitedStage: until, AbortAfterMs: d.atMost.Milliseconds(), WaitMs: wait.Milliseconds()}
 			if wait == 0 {
-				a.Wait = (d.atMost + 5*time.Second).Milliseconds()
+				a.WaitMs = (d.atMost + 5*time.Second).Milliseconds()
 			}
 			return d.ask(c, a)
 		}}
@@ -106,16 +106,16 @@
 			if err := oneOf(until, "", "unreachable", "erased"); err != nil {
 				return err
 			}
-			a := &fleet.Ask{Kind: "purge", ID: id, Scope: &fleet.Scope{Team: team, Tables: tables}, Until: until, Wait: d.atMost.Milliseconds()}
+			a := &fleet.Request{Kind: "purge", ID: id, Scope: &fleet.Scope{Team: team, Tables: tables}, AwaitedStage: until, WaitMs: d.atMost.Milliseconds()}
 			if until == "erased" {
-				a.Until = ""
+				a.AwaitedStage = ""
 			}
 			if before != "" {
 				at, err := moment(before, time.Now())
 				if err != nil {
 					return err
 				}
-				a.Scope.Before = at.UnixMilli()
+				a.Scope.RetainedBeforeMs = at.UnixMilli()
 			}
 			return d.ask(c, a)
 		}}
@@ -134,7 +134,7 @@
 		Long: "Say that a controller's disk is destroyed. Nothing waits for it any more, purges least of all, and that name and that disk\n" +
 			"never serve again. It can't be taken back: a controller that only stands still is not to be forgotten.",
 		RunE: func(c *cobra.Command, args []string) error {
-			r, err := d.reply(c, &fleet.Ask{Kind: "status"})
+			r, err := d.reply(c, &fleet.Request{Kind: "status"})
 			if err != nil {
 				return err
 			}
@@ -142,7 +142,7 @@
 			if !known && !anyway { // a slip of the pen would bar a name for good
 				return fmt.Errorf("no controller is called %q, as far as is known there; --anyway bars that name all the same", args[0])
 			}
-			return d.ask(c, &fleet.Ask{Kind: "forget", ID: id, Name: args[0], Wait: d.atMost.Milliseconds()})
+			return d.ask(c, &fleet.Request{Kind: "forget", ID: id, Name: args[0], WaitMs: d.atMost.Milliseconds()})
 		}}
 	c.Flags().StringVar(&id, "id", "", "to ask again by (one is drawn)")
 	c.Flags().BoolVar(&anyway, "anyway", false, "also a name that isn't known")
@@ -155,7 +155,7 @@
 		Long: "Print the text of the policy in force, and to standard error its version, which is apply's --base. There is none while the\n" +
 			"fleet decides by each controller's own set-up.",
 		RunE: func(c *cobra.Command, _ []string) error {
-			r, err := d.reply(c, &fleet.Ask{Kind: "policy"})
+			r, err := d.reply(c, &fleet.Request{Kind: "policy"})
 			if err != nil {
 				return err
 			}
@@ -212,7 +212,7 @@
 const asksAfter = 5 * time.Second
 
 // ask asks and prints the answer; the error is the exit status.
-func (d *desk) ask(c *cobra.Command, a *fleet.Ask) error {
+func (d *desk) ask(c *cobra.Command, a *fleet.Request) error {
 	if a.ID == "" && a.Kind != "status" {
 		a.ID = draw()
 		if !d.json {
@@ -235,20 +235,20 @@
 }
 
 // reply asks. What may have been taken without an answer isn't known yet.
-func (d *desk) reply(c *cobra.Command, a *fleet.Ask) (*fleet.Reply, error) {
+func (d *desk) reply(c *cobra.Command, a *fleet.Request) (*fleet.Response, error) {
 	address, keys, err := d.where()
 	if err != nil {
 		return nil, remedied(err)
 	}
 	if host, err := os.Hostname(); err == nil {
-		a.By = cmp.Or(os.Getenv("USER"), "operator") + "@" + host
+		a.RequestedBy = cmp.Or(os.Getenv("USER"), "operator") + "@" + host
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), time.Duration(a.Wait)*time.Millisecond+asksAfter)
+	ctx, cancel := context.WithTimeout(context.Background(), time.Duration(a.WaitMs)*time.Millisecond+asksAfter)
 	defer cancel()
 	r, err := transport.AskControl(ctx, address, keys, a)
 	var away *transport.UnreachableError
 	if errors.As(err, &away) && away.Sent && a.ID != "" {
-		return &fleet.Reply{ID: a.ID, Word: "unknown", Why: away.Error(), Remedy: away.Remedy()}, nil
+		return &fleet.Response{ID: a.ID, Outcome: "unknown", Reason: away.Error(), Remedy: away.Remedy()}, nil
 	}
 	return r, remedied(err)
 }
@@ -261,7 +261,7 @@
 
 // remedied is an error with what can be done about it.
 func remedied(err error) error {
-	var r fleet.Remedied
+	var r fleet.ErrorWithRemedy
 	if errors.As(err, &r) {
 		return cli.Failed(1, fmt.Errorf("%w\n%s", err, r.Remedy()))
 	}
@@ -275,9 +275,9 @@
 }
 
 // show prints a reply for people.
-func show(out io.Writer, r *fleet.Reply) error {
+func show(out io.Writer, r *fleet.Response) error {
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
-	if r.Word != "status" {
+	if r.Outcome != "status" {
 		line(w, r)
 	}
 	if s := r.Status; s != nil {
@@ -324,15 +324,15 @@
 }
 
 // line prints the word on one run.
-func line(w io.Writer, r *fleet.Reply) {
-	text := r.Word
+func line(w io.Writer, r *fleet.Response) {
+	text := r.Outcome
 	if r.ID != "" {
 		text = r.ID + ": " + text
 	}
-	if r.Word == "unknown" {
+	if r.Outcome == "unknown" {
 		text += " yet"
 	}
-	if r.Stage != "" && r.Stage != r.Word {
+	if r.Stage != "" && r.Stage != r.Outcome {
 		text += ", " + r.Stage
 	}
 	if r.Version > 0 {
@@ -344,8 +344,8 @@
 	if len(r.Outstanding) > 0 {
 		text += ", waits for " + strings.Join(r.Outstanding, ", ")
 	}
-	if r.Why != "" {
-		text += ": " + r.Why
+	if r.Reason != "" {
+		text += ": " + r.Reason
 	}
 	fmt.Fprintln(w, text)
 	if r.Remedy != "" {
--- a/cmd/railrelay-fleet/control_test.go
+++ b/cmd/railrelay-fleet/control_test.go
@@ -111,7 +111,7 @@
 	}
 
 	policy := filepath.Join(t.TempDir(), "policy.yaml")
-	apply := func(by *member, id, base, text string) (*fleet.Reply, int) {
+	apply := func(by *member, id, base, text string) (*fleet.Response, int) {
 		t.Helper()
 		if err := os.WriteFile(policy, []byte(text), 0o600); err != nil {
 			t.Fatal(err)
@@ -120,16 +120,16 @@
 	}
 	const first = "placement: [{name: a-linz, team: a, engines: [linz]}]\n"
 	planLeavesOutControl(t, serving[0], first)
-	if r, status := apply(serving[0], "first", "1", first); status != 0 || r.Word != "settled" || r.Version != 2 {
+	if r, status := apply(serving[0], "first", "1", first); status != 0 || r.Outcome != "settled" || r.Version != 2 {
 		t.Fatalf("%d %+v", status, r)
 	}
-	if r, status := serving[1].fleet("status", "--id", "first.outside.0"); status != 0 || r.Word != "purged" {
+	if r, status := serving[1].fleet("status", "--id", "first.outside.0"); status != 0 || r.Outcome != "purged" {
 		t.Fatalf("what the first rules leave outside isn't purged: %d %+v", status, r)
 	}
-	if r, status := apply(serving[0], "second", "2", "groups: [{name: nothing, target: 2s}]\nplacement: []\n"); status != 3 || r.Word != "withdrawn" || !strings.Contains(r.Why, "no group is called") {
+	if r, status := apply(serving[0], "second", "2", "groups: [{name: nothing, target: 2s}]\nplacement: []\n"); status != 3 || r.Outcome != "withdrawn" || !strings.Contains(r.Reason, "no group is called") {
 		t.Fatalf("that no controller can take: %d %+v", status, r)
 	}
-	if r, status := apply(serving[0], "third", "2", "groups: [{name: lookup, target: 2s}]\n"); status != 3 || r.Word != "withdrawn" || !strings.Contains(r.Why, "placement: is missing") {
+	if r, status := apply(serving[0], "third", "2", "groups: [{name: lookup, target: 2s}]\n"); status != 3 || r.Outcome != "withdrawn" || !strings.Contains(r.Reason, "placement: is missing") {
 		t.Fatalf("whose rules no voter knows: %d %+v", status, r)
 	}
 
@@ -140,7 +140,7 @@
 	for _, m := range slices.Concat(rest, serving) {
 		m.until("another leader", func(now *fleet.Status) bool { return serves(now) && now.Leader != s.Leader })
 	}
-	if r, status := apply(rest[0], "fourth", "2", "placement: []\n"); status != 0 || r.Word != "settled" || r.Version != 3 {
+	if r, status := apply(rest[0], "fourth", "2", "placement: []\n"); status != 0 || r.Outcome != "settled" || r.Version != 3 {
 		t.Fatalf("after the leader was killed: %d %+v", status, r)
 	}
 	for _, m := range slices.Concat(rest, serving) {
@@ -174,7 +174,7 @@
 	if err := os.WriteFile(file, []byte(policy), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if r, status := voting[0].fleet("apply", file, "--base", "1", "--id", "votes"); status != 0 || r.Word != "in force" {
+	if r, status := voting[0].fleet("apply", file, "--base", "1", "--id", "votes"); status != 0 || r.Outcome != "in force" {
 		t.Fatalf("%d %+v", status, r)
 	}
 	for _, m := range all {
--- a/cmd/railrelay-fleet/fleet_test.go
+++ b/cmd/railrelay-fleet/fleet_test.go
@@ -177,10 +177,10 @@
 }
 
 // fleet runs a command and gives its answer and exit status.
-func (m *member) fleet(args ...string) (*fleet.Reply, int) {
+func (m *member) fleet(args ...string) (*fleet.Response, int) {
 	m.t.Helper()
 	out, errs, status := railrelay(m.t, append([]string{"fleet", "--json", "--setup", m.setup}, args...)...)
-	r := &fleet.Reply{}
+	r := &fleet.Response{}
 	if err := json.Unmarshal([]byte(out), r); err != nil && status != 1 {
 		m.t.Fatalf("%v: status %d: %v: %s%s", args, status, err, out, errs)
 	}
@@ -247,38 +247,38 @@
 	}
 	write("fairness: {teams: [{name: a, weight: 3}, {name: b, weight: 1}]}\nplacement: [{name: a-linz, team: a, engines: [linz]}]\n")
 	r, status := rest[0].fleet("apply", policy, "--base", "1", "--id", "first")
-	if status != 0 || r.Word != "in force" || r.Version != 2 {
+	if status != 0 || r.Outcome != "in force" || r.Version != 2 {
 		t.Fatalf("%d %+v", status, r)
 	}
-	if r, status := rest[1].fleet("status", "--id", "first"); status != 0 || r.Word != "in force" {
+	if r, status := rest[1].fleet("status", "--id", "first"); status != 0 || r.Outcome != "in force" {
 		t.Fatalf("asked again: %d %+v", status, r)
 	}
-	if r, status := rest[1].fleet("apply", policy, "--base", "1", "--id", "second"); status != 3 || r.Word != "refused" || r.Remedy == "" {
+	if r, status := rest[1].fleet("apply", policy, "--base", "1", "--id", "second"); status != 3 || r.Outcome != "refused" || r.Remedy == "" {
 		t.Fatalf("against an old version: %d %+v", status, r)
 	}
 	write("fairness: {teams: [{name: a, weight: 3}, {name: b, weight: 1}]}\ngroups: [{name: nothing, target: 2s}]\n")
-	if r, status := rest[1].fleet("apply", policy, "--base", "2", "--id", "third"); status != 3 || r.Word != "withdrawn" || !strings.Contains(r.Why, "nothing") {
+	if r, status := rest[1].fleet("apply", policy, "--base", "2", "--id", "third"); status != 3 || r.Outcome != "withdrawn" || !strings.Contains(r.Reason, "nothing") {
 		t.Fatalf("that can't be taken: %d %+v", status, r)
 	}
 	if r, _ := rest[0].fleet("policy"); r.Version != 2 || !strings.Contains(string(r.Policy), "a-linz") {
 		t.Fatalf("%+v", r)
 	}
 
-	if r, status := rest[0].fleet("purge", "--team", "a", "--id", "p1", "--at-most", "20s", "--until", "unreachable"); status != 0 || r.Word != "unreachable" {
+	if r, status := rest[0].fleet("purge", "--team", "a", "--id", "p1", "--at-most", "20s", "--until", "unreachable"); status != 0 || r.Outcome != "unreachable" {
 		t.Fatalf("purge while one is down: %d %+v", status, r)
 	}
-	if r, status := rest[1].fleet("status", "--id", "p1", "--at-most", "200ms"); status != 4 || r.Word != "unknown" || !slices.Contains(r.Outstanding, lost.name) {
+	if r, status := rest[1].fleet("status", "--id", "p1", "--at-most", "200ms"); status != 4 || r.Outcome != "unknown" || !slices.Contains(r.Outstanding, lost.name) {
 		t.Fatalf("it waits for nobody: %d %+v", status, r)
 	}
 	lost.begin()
-	if r, status := rest[1].fleet("purge", "--team", "a", "--id", "p1", "--at-most", "20s"); status != 0 || r.Word != "purged" || r.Counts == nil {
+	if r, status := rest[1].fleet("purge", "--team", "a", "--id", "p1", "--at-most", "20s"); status != 0 || r.Outcome != "purged" || r.Counts == nil {
 		t.Fatalf("purge with all there: %d %+v", status, r)
 	}
 	lost.until("the policy it has missed", func(s *fleet.Status) bool { return serves(s) && s.Version == 2 })
-	if r, status := lost.fleet("status", "--id", "first", "--until", "settled", "--at-most", "20s"); status != 0 || r.Word != "settled" {
+	if r, status := lost.fleet("status", "--id", "first", "--until", "settled", "--at-most", "20s"); status != 0 || r.Outcome != "settled" {
 		t.Fatalf("nothing is left outside: %d %+v", status, r)
 	}
-	if r, status := lost.fleet("status", "--id", "first"); status != 0 || r.Word != "in force" {
+	if r, status := lost.fleet("status", "--id", "first"); status != 0 || r.Outcome != "in force" {
 		t.Fatalf("asked of who was down: %d %+v", status, r)
 	}
 
@@ -358,7 +358,7 @@
 	for _, m := range all { // each asks for its lease anew within the time it has: by the new key
 		m.until("its lease", serves)
 	}
-	if r, status := all[1].fleet("purge", "--team", "a"); status != 0 || r.Word != "purged" {
+	if r, status := all[1].fleet("purge", "--team", "a"); status != 0 || r.Outcome != "purged" {
 		t.Errorf("by the new key: %d %+v", status, r)
 	}
 }
--- a/cmd/railrelay-fleet/join.go
+++ b/cmd/railrelay-fleet/join.go
@@ -45,8 +45,8 @@
 	if err != nil {
 		return cli.Joined{}, remedied(err)
 	}
-	means.Fleet = &controller.FleetConfig{Word: &fleet.Word{}, MaxHold: f.Terms().Hold}
-	status := func(ctx context.Context) *fleet.Status { return e.Request(ctx, &fleet.Ask{Kind: "status"}).Status }
+	means.Fleet = &controller.FleetConfig{Word: &fleet.ServingState{}, MaxHold: f.Terms().Hold}
+	status := func(ctx context.Context) *fleet.Status { return e.Request(ctx, &fleet.Request{Kind: "status"}).Status }
 	return cli.Joined{Peers: eventloop.FleetChannels{Orders: e.Orders(), Reports: e.Reports()}, Serve: e.Serve, Again: e.ReloadKeys, Status: status}, nil
 }
 
@@ -98,7 +98,7 @@
 // refused is the word on a policy that can't be taken.
 func refused(err error) driver.PolicyVerdict {
 	why := err.Error()
-	var r fleet.Remedied
+	var r fleet.ErrorWithRemedy
 	if errors.As(err, &r) {
 		why += "; " + r.Remedy()
 	}
--- a/cmd/railrelay-fleet/plan.go
+++ b/cmd/railrelay-fleet/plan.go
@@ -78,19 +78,19 @@
 
 // world asks for what there is: the policy in force, controllers, bindings, engines.
 func (d *desk) world(c *cobra.Command, own *setup.Setup) (now *controller.Policy, w residency.World, err error) {
-	policy, err := d.reply(c, &fleet.Ask{Kind: "policy"})
+	policy, err := d.reply(c, &fleet.Request{Kind: "policy"})
 	if err != nil {
 		return nil, w, err
 	}
 	if now, _, _, err = setup.ParsePolicy("the policy in force", policy.Policy, own); err != nil {
 		return nil, w, remedied(err)
 	}
-	status, err := d.reply(c, &fleet.Ask{Kind: "status"})
+	status, err := d.reply(c, &fleet.Request{Kind: "status"})
 	if err != nil {
 		return nil, w, err
 	}
 	if status.Status == nil {
-		return nil, w, fmt.Errorf("the controller tells no status: %s", status.Why)
+		return nil, w, fmt.Errorf("the controller tells no status: %s", status.Reason)
 	}
 	for _, m := range status.Status.Members {
 		if m.Clients != "" { // one of the control role takes no queries
--- a/cmd/railrelay-fleet/purge_test.go
+++ b/cmd/railrelay-fleet/purge_test.go
@@ -173,7 +173,7 @@
 	if a := all[2].customer().asks("00000000000000b2"); a.Kind != client.Finished || bytes.Equal(a.Rows, whole.Rows) {
 		t.Fatalf("a cached answer outlives its purge: %v", a.Kind)
 	}
-	if r, status := all[1].fleet("status", "--id", id); status != 0 || r.Word != "purged" || r.Counts == nil || *r.Counts == (fleet.Counts{}) {
+	if r, status := all[1].fleet("status", "--id", id); status != 0 || r.Outcome != "purged" || r.Counts == nil || *r.Counts == (fleet.InvalidationCounts{}) {
 		t.Fatalf("the operator hears otherwise: %d %+v", status, r)
 	}
 }
--- a/internal/bench/many.go
+++ b/internal/bench/many.go
@@ -228,14 +228,14 @@
 		<-f.applied
 	}
 	base, asked := uint64(i+1), time.Now()
-	a := &fleet.Ask{Kind: "apply", ID: fmt.Sprint("change-", i), Base: base, Wait: inForceWithin.Milliseconds(),
+	a := &fleet.Request{Kind: "apply", ID: fmt.Sprint("change-", i), Base: base, WaitMs: inForceWithin.Milliseconds(),
 		Policy: fmt.Appendf(nil, "fairness: {teams: [{name: a, weight: %d}, {name: b, weight: 1}]}\n", i+2)}
 	r, err := f.controllers[i%len(f.controllers)].ask(f.ctx, a)
 	if err != nil {
 		return err
 	}
-	if r.Word != "in force" {
-		return fmt.Errorf("change %d: %s %s", i, r.Word, r.Why)
+	if r.Outcome != "in force" {
+		return fmt.Errorf("change %d: %s %s", i, r.Outcome, r.Reason)
 	}
 	first, last, err := f.awaitApplied(base + 1)
 	if err != nil {
--- a/internal/bench/many_process.go
+++ b/internal/bench/many_process.go
@@ -206,15 +206,15 @@
 }
 
 // ask puts something to the controller.
-func (o operator) ask(ctx context.Context, a *fleet.Ask) (*fleet.Reply, error) {
-	ctx, stop := context.WithTimeout(ctx, time.Duration(a.Wait)*time.Millisecond+2*time.Second)
+func (o operator) ask(ctx context.Context, a *fleet.Request) (*fleet.Response, error) {
+	ctx, stop := context.WithTimeout(ctx, time.Duration(a.WaitMs)*time.Millisecond+2*time.Second)
 	defer stop()
 	return transport.AskControl(ctx, o.control, o.keys, a)
 }
 
 // status is how it sees the fleet; an empty one if it can't be asked.
 func (o operator) status(ctx context.Context) *fleet.Status {
-	if r, err := o.ask(ctx, &fleet.Ask{Kind: "status", Wait: 500}); err == nil && r.Status != nil {
+	if r, err := o.ask(ctx, &fleet.Request{Kind: "status", WaitMs: 500}); err == nil && r.Status != nil {
 		return r.Status
 	}
 	return &fleet.Status{}
--- a/internal/bench/relays_fleet_test.go
+++ b/internal/bench/relays_fleet_test.go
@@ -298,7 +298,7 @@
 }
 
 // comesInForce asks until there is a word on a change, which must be that it is in force.
-func (f *relayed) comesInForce(by *process, a *fleet.Ask) {
+func (f *relayed) comesInForce(by *process, a *fleet.Request) {
 	f.t.Helper()
 	word := ""
 	f.awaits("a word on "+a.ID, func() bool {
@@ -364,7 +364,7 @@
 		return false
 	}
 	c := f.status(p).Change
-	return c != nil && c.ID == change && c.Word == "unknown"
+	return c != nil && c.ID == change && c.Outcome == "unknown"
 }
 
 // hasWord tells whether there is a last word on a change.
--- a/internal/bench/relays_hollow_test.go
+++ b/internal/bench/relays_hollow_test.go
@@ -153,7 +153,7 @@
 }
 
 // wordOn asks for a change and hands the word to both judges.
-func (g *hollowGuests) wordOn(a *fleet.Ask, by *process) bool {
+func (g *hollowGuests) wordOn(a *fleet.Request, by *process) bool {
 	word := g.f.apply(by, a)
 	if word == "in force" {
 		g.judge.told(toldWord{id: a.ID, by: by.name, word: word, version: a.Base + 1, at: time.Now()})
--- a/internal/bench/scale_changes.go
+++ b/internal/bench/scale_changes.go
@@ -54,12 +54,12 @@
 )
 
 // apply makes an ask of a policy's text.
-func (f *scaleFleet) apply(text []byte) *fleet.Ask {
+func (f *scaleFleet) apply(text []byte) *fleet.Request {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.serial++
-	a := &fleet.Ask{Kind: "apply", ID: fmt.Sprintf("change-%d-%d", f.Seed, f.serial), By: "the laboratory", Base: f.version, Policy: text,
-		Wait: askPatience.Milliseconds()}
+	a := &fleet.Request{Kind: "apply", ID: fmt.Sprintf("change-%d-%d", f.Seed, f.serial), RequestedBy: "the laboratory", Base: f.version, Policy: text,
+		WaitMs: askPatience.Milliseconds()}
 	f.asked = append(f.asked, a)
 	f.judge.asked(a.ID, xxhash.Sum64(text))
 	return a
@@ -85,7 +85,7 @@
 }
 
 // settle asks until there is a word.
-func (f *scaleFleet) settle(a *fleet.Ask) (c scaleChange, version uint64, err error) {
+func (f *scaleFleet) settle(a *fleet.Request) (c scaleChange, version uint64, err error) {
 	c = scaleChange{ID: a.ID, Bytes: len(a.Policy)}
 	begin := time.Now()
 	for time.Since(begin) < scaleWordWithin && f.ctx.Err() == nil {
@@ -96,13 +96,13 @@
 			sleep(f.ctx, askPause)
 			continue
 		}
-		if r.Word == "unknown" {
+		if r.Outcome == "unknown" {
 			continue
 		}
 		now := time.Now()
-		f.judge.told(toldWord{a.ID, m.name, r.Word, r.Version, now})
-		c.Word, c.Told = r.Word, now.Sub(begin)
-		if r.Word != "in force" && r.Word != "settled" {
+		f.judge.told(toldWord{a.ID, m.name, r.Outcome, r.Version, now})
+		c.Word, c.Told = r.Outcome, now.Sub(begin)
+		if r.Outcome != "in force" && r.Outcome != "settled" {
 			return c, 0, nil
 		}
 		c.Word = "in force"
@@ -139,7 +139,7 @@
 // sample sees how one serves, if it can be asked.
 func (f *scaleFleet) sample(ctx context.Context, name string, asks operator) {
 	asked := time.Now()
-	r, err := asks.ask(ctx, &fleet.Ask{Kind: "status", Wait: 500})
+	r, err := asks.ask(ctx, &fleet.Request{Kind: "status", WaitMs: 500})
 	if err != nil || r.Status == nil {
 		return
 	}
@@ -221,15 +221,15 @@
 	for _, a := range f.asked {
 		for range askedAgainAt {
 			m := f.nextAsker()
-			r, err := m.process.ask(f.ctx, &fleet.Ask{Kind: "status", ID: a.ID, Wait: 1000})
+			r, err := m.process.ask(f.ctx, &fleet.Request{Kind: "status", ID: a.ID, WaitMs: 1000})
 			if err != nil {
 				return fmt.Errorf("%s can't be asked again for %s: %w", m.name, a.ID, err)
 			}
-			f.judge.told(toldWord{a.ID, m.name, r.Word, r.Version, time.Now()})
+			f.judge.told(toldWord{a.ID, m.name, r.Outcome, r.Version, time.Now()})
 		}
 	}
 	for _, m := range f.real {
-		r, err := m.process.ask(f.ctx, &fleet.Ask{Kind: "policy", Wait: 1000})
+		r, err := m.process.ask(f.ctx, &fleet.Request{Kind: "policy", WaitMs: 1000})
 		if err != nil {
 			return fmt.Errorf("%s can't be asked for the policy: %w", m.name, err)
 		}
--- a/internal/bench/scale_fleet.go
+++ b/internal/bench/scale_fleet.go
@@ -74,7 +74,7 @@
 	serial  int    // of changes
 	round   int    // of counting
 	asker   int
-	asked   []*fleet.Ask
+	asked   []*fleet.Request
 }
 
 // begin starts a fleet and waits until every controller serves.
--- a/internal/bench/scale_growth.go
+++ b/internal/bench/scale_growth.go
@@ -103,12 +103,12 @@
 	}
 	grown.MB = used.Resident
 	asked := time.Now()
-	r, err := p.ask(ctx, &fleet.Ask{Kind: "apply", ID: "grown", Base: b.state.Version, Policy: policyText(1, 1000), Wait: inForceWithin.Milliseconds()})
+	r, err := p.ask(ctx, &fleet.Request{Kind: "apply", ID: "grown", Base: b.state.Version, Policy: policyText(1, 1000), WaitMs: inForceWithin.Milliseconds()})
 	if err != nil {
 		return grown, err
 	}
-	if r.Word != "in force" {
-		return grown, fmt.Errorf("a change is %s: %s", r.Word, r.Why)
+	if r.Outcome != "in force" {
+		return grown, fmt.Errorf("a change is %s: %s", r.Outcome, r.Reason)
 	}
 	grown.InForce = time.Since(asked)
 	grown.FileBytes, err = sizeOf(p.directory)
--- a/internal/bench/scale_limits.go
+++ b/internal/bench/scale_limits.go
@@ -163,8 +163,8 @@
 }
 
 // Errors is one of each kind that a run at a size ends with, for the test that walks all.
-func Errors() []fleet.Remedied {
-	return []fleet.Remedied{
+func Errors() []fleet.ErrorWithRemedy {
+	return []fleet.ErrorWithRemedy{
 		&ScaleSizeError{What: "controllers", Size: 1, Why: "is under 2"},
 		&ScaleRoomError{What: "descriptors", Needed: 5000, Have: 1024, Unit: "of them"},
 		&ScaleFaultError{Name: "flood"},
--- a/internal/bench/scale_test.go
+++ b/internal/bench/scale_test.go
@@ -73,7 +73,7 @@
 		s := good
 		spoil(&s)
 		err := s.check()
-		var remedied fleet.Remedied
+		var remedied fleet.ErrorWithRemedy
 		if !errors.As(err, &remedied) || remedied.Remedy() == "" || !strings.Contains(err.Error(), name) {
 			t.Errorf("%s: %v", name, err)
 		}
--- a/internal/bench/schedule_actors.go
+++ b/internal/bench/schedule_actors.go
@@ -30,7 +30,7 @@
 	gone    bool // its name was forgotten
 	seen    bool // and that it acted all the same was told
 
-	word    *fleet.Word
+	word    *fleet.ServingState
 	version uint64
 	policy  string
 	queue   []fleet.Order
@@ -52,7 +52,7 @@
 func (p *play) start(a *actor) {
 	a.boot = p.rng.Uint64() | 1
 	a.began, a.down, a.stopped, a.storing = p.now, false, 0, nil
-	a.word = new(fleet.Word)
+	a.word = new(fleet.ServingState)
 	a.version, a.policy, a.queue, a.busy, a.index, a.shut = 0, "", nil, false, 0, ""
 	a.drops = map[string]fleet.Order{}
 	var voters []consensus.Voter
@@ -216,33 +216,33 @@
 
 func (p *play) order(a *actor, o fleet.Order) {
 	switch o.Kind {
-	case fleet.Shut:
-		a.word.Set(0)
+	case fleet.FencePolicy:
+		a.word.SetVersion(0)
 		a.version, a.shut = 0, o.Change
 		p.check.Note(p.now, a.name+" is shut for "+o.Change, a.name, o.Change)
 		p.shut(a)
-	case fleet.Open:
+	case fleet.OpenPolicy:
 		a.version, a.shut = o.Version, ""
 		a.policy, _ = o.Policy.(string)
-		a.word.Set(o.Version)
+		a.word.SetVersion(o.Version)
 		p.check.Note(p.now, fmt.Sprintf("%s opens by version %d", a.name, o.Version), a.name, fmt.Sprint("version ", o.Version))
-		p.report(a, fleet.Report{Kind: fleet.Opened, Version: o.Version})
-	case fleet.Renewed:
-		a.word.Lease(o.Until, o.UntilBound)
-	case fleet.Pictured:
-		a.index = o.Picture.Index
-	case fleet.Drop:
+		p.report(a, fleet.Report{Kind: fleet.PolicyOpened, Version: o.Version})
+	case fleet.LeaseRenewed:
+		a.word.SetLease(o.Until, o.UntilBound)
+	case fleet.ViewChanged:
+		a.index = o.View.Index
+	case fleet.InvalidateData:
 		a.drops[o.ID] = o
-		p.report(a, fleet.Report{Kind: fleet.Unreached, ID: o.ID})
+		p.report(a, fleet.Report{Kind: fleet.DataTombstoned, ID: o.ID})
 		p.in(p.span(0, 100*time.Millisecond), a, func() {
-			var c fleet.Counts
+			var c fleet.InvalidationCounts
 			for id, x := range a.items {
 				if dropped(o, x) {
 					delete(a.items, id)
 					c.Results++
 				}
 			}
-			p.report(a, fleet.Report{Kind: fleet.Wiped, ID: o.ID, Counts: c})
+			p.report(a, fleet.Report{Kind: fleet.DataErased, ID: o.ID, Counts: c})
 		})
 	}
 }
@@ -256,8 +256,8 @@
 	if a.shut == "" {
 		return
 	}
-	if a.word.Idle() {
-		p.report(a, fleet.Report{Kind: fleet.Closed, Change: a.shut})
+	if a.word.WritesFinished() {
+		p.report(a, fleet.Report{Kind: fleet.PolicyFenced, Change: a.shut})
 		return
 	}
 	change := a.shut
@@ -273,7 +273,7 @@
 func (p *play) take(a *actor) {
 	p.in(p.span(5*time.Millisecond, 60*time.Millisecond), a, func() { p.take(a) })
 	bound := p.rng.IntN(2) == 0
-	version := a.word.May(a.clock(p), bound)
+	version := a.word.ServingVersion(a.clock(p), bound)
 	p.queries++
 	id := fmt.Sprintf("q%d", p.queries)
 	policy := a.policy
@@ -281,12 +281,12 @@
 		p.acted(a, id, version, policy)
 		x := item{team: teamsPlayed[p.rng.IntN(2)], table: int64(p.rng.IntN(3)), index: a.index, at: p.now}
 		p.in(p.span(0, 30*time.Millisecond), a, func() {
-			if !a.word.Enter(a.clock(p), version, bound) {
+			if !a.word.BeginWrite(a.clock(p), version, bound) {
 				return
 			}
 			p.acted(a, id, version, policy)
 			p.check.Drawn(p.now, id, x.team, x.table)
-			p.in(p.span(0, 200*time.Microsecond), a, a.word.Leave)
+			p.in(p.span(0, 200*time.Microsecond), a, a.word.EndWrite)
 			p.in(p.span(0, 500*time.Millisecond), a, func() { // the answer is there
 				for _, o := range a.drops {
 					if dropped(o, x) {
@@ -299,7 +299,7 @@
 			})
 		})
 	}
-	if a.word.May(a.clock(p), true) != 0 && len(a.items) > 0 {
+	if a.word.ServingVersion(a.clock(p), true) != 0 && len(a.items) > 0 {
 		ids := slices.Sorted(maps.Keys(a.items))
 		id := ids[p.rng.IntN(len(ids))]
 		for _, o := range a.drops {
--- a/internal/bench/schedule_operators.go
+++ b/internal/bench/schedule_operators.go
@@ -14,7 +14,7 @@
 
 // operation is one change or purge, asked for at one place and again at others.
 type operation struct {
-	ask   fleet.Ask
+	ask   fleet.Request
 	done  bool
 	unfit string
 }
@@ -39,7 +39,7 @@
 	}
 	n := len(p.ops)
 	change := func(i int) *operation {
-		o := &operation{ask: fleet.Ask{Kind: "apply", ID: fmt.Sprintf("change-%d", i), By: "op", Base: base, Wait: 2000}}
+		o := &operation{ask: fleet.Request{Kind: "apply", ID: fmt.Sprintf("change-%d", i), RequestedBy: "op", Base: base, WaitMs: 2000}}
 		text := "policy of " + o.ask.ID
 		if p.Revote && p.Controllers > p.Voters && p.rng.IntN(6) == 0 && !slices.ContainsFunc(p.all, func(a *actor) bool { return a.gone }) {
 			p.revoted = true // others vote from now on, if it comes into force
@@ -55,7 +55,7 @@
 		}
 		o.ask.Policy = []byte(text)
 		if p.rng.IntN(2) == 0 {
-			o.ask.AtMost = p.span(100*time.Millisecond, 4*p.Lease).Milliseconds()
+			o.ask.AbortAfterMs = p.span(100*time.Millisecond, 4*p.Lease).Milliseconds()
 		}
 		return o
 	}
@@ -68,13 +68,13 @@
 		p.ask(p.ops[n], false)
 		p.ask(p.ops[n+1], false)
 	case x < 7:
-		o := &operation{ask: fleet.Ask{Kind: "purge", ID: fmt.Sprintf("purge-%d", n), By: "op", Wait: 2000,
+		o := &operation{ask: fleet.Request{Kind: "purge", ID: fmt.Sprintf("purge-%d", n), RequestedBy: "op", WaitMs: 2000,
 			Scope: &fleet.Scope{Team: teamsPlayed[p.rng.IntN(2)]}}}
 		if p.rng.IntN(2) == 0 {
 			o.ask.Scope.Tables = []int64{int64(p.rng.IntN(3))}
 		}
 		if p.rng.IntN(2) == 0 {
-			o.ask.Until = "unreachable"
+			o.ask.AwaitedStage = "unreachable"
 		}
 		p.ops = append(p.ops, o)
 		p.check.PurgeAsked(p.now, o.ask.ID, *o.ask.Scope)
@@ -86,7 +86,7 @@
 		}
 		a.gone = true
 		p.kill(a)
-		o := &operation{ask: fleet.Ask{Kind: "forget", ID: "forget-" + a.name, By: "op", Name: a.name, Wait: 2000}}
+		o := &operation{ask: fleet.Request{Kind: "forget", ID: "forget-" + a.name, RequestedBy: "op", Name: a.name, WaitMs: 2000}}
 		p.ops = append(p.ops, o)
 		p.ask(o, false)
 	default:
@@ -109,7 +109,7 @@
 		p.asks[h] = &asking{op: o, at: a, boot: a.boot, from: p.now, last: last}
 		ask := o.ask
 		if o.ask.Kind == "purge" && last {
-			ask.Until = ""
+			ask.AwaitedStage = ""
 		}
 		p.in(p.span(0, time.Millisecond), a, func() {
 			p.step(a, node.Event{Kind: node.OperatorRequested, Ask: &ask, Handle: h})
@@ -118,7 +118,7 @@
 	}
 }
 
-func (p *play) told(handle uint64, r *fleet.Reply) {
+func (p *play) told(handle uint64, r *fleet.Response) {
 	x := p.asks[handle]
 	if x == nil {
 		p.broken("an answer to what nobody asks: %+v", *r)
@@ -126,17 +126,17 @@
 	}
 	delete(p.asks, handle)
 	o := x.op
-	if r.Word != "unknown" {
+	if r.Outcome != "unknown" {
 		o.done = true
 	}
 	switch o.ask.Kind {
 	case "apply":
-		p.check.Changed(p.now, x.at.name, o.ask.ID, r.Word, r.Version)
+		p.check.Changed(p.now, x.at.name, o.ask.ID, r.Outcome, r.Version)
 		p.words = append(p.words, historycheck.Word{Client: len(p.words) % 7, From: x.from, To: p.now + 1, ID: o.ask.ID, Base: o.ask.Base, Proposes: true,
-			Word: r.Word, Version: r.Version})
+			Word: r.Outcome, Version: r.Version})
 	case "purge":
-		p.check.PurgeTold(p.now, x.at.name, o.ask.ID, r.Word, r.Counts)
-		if r.Word == "purged" {
+		p.check.PurgeTold(p.now, x.at.name, o.ask.ID, r.Outcome, r.Counts)
+		if r.Outcome == "purged" {
 			for _, a := range p.all {
 				for _, id := range slices.Sorted(maps.Keys(a.items)) {
 					if !a.gone {
@@ -146,7 +146,7 @@
 			}
 		}
 	case "forget":
-		if r.Word == "forgotten" {
+		if r.Outcome == "forgotten" {
 			p.out.Forgotten++
 			if a := p.byName[o.ask.Name]; a.down { // somebody finds it and starts it once more
 				p.in(p.span(0, p.Lease), nil, func() {
@@ -157,7 +157,7 @@
 			}
 		}
 	}
-	if x.last && r.Word == "unknown" {
+	if x.last && r.Outcome == "unknown" {
 		p.broken("%s asked for %s after all was healed: unknown, %s, outstanding %v", x.at.name, o.ask.ID, r.Stage, r.Outstanding)
 	}
 }
--- a/internal/bench/schedules.go
+++ b/internal/bench/schedules.go
@@ -209,8 +209,8 @@
 		if strings.HasSuffix(policy, " unfit for "+a.name) { // it was down when that was decided, and can't serve by it
 			continue
 		}
-		if !a.gone && a.word.May(a.clock(p), false) != version {
-			p.broken("half: %s acts by version %d after all was healed, not %d", a.name, a.word.May(a.clock(p), false), version)
+		if !a.gone && a.word.ServingVersion(a.clock(p), false) != version {
+			p.broken("half: %s acts by version %d after all was healed, not %d", a.name, a.word.ServingVersion(a.clock(p), false), version)
 		}
 	}
 	for _, h := range slices.Sorted(maps.Keys(p.asks)) {
--- a/internal/bench/storm.go
+++ b/internal/bench/storm.go
@@ -138,7 +138,7 @@
 	}
 	for _, x := range []struct {
 		p *process
-		a *fleet.Ask
+		a *fleet.Request
 	}{{at, mine}, {too, other}} {
 		wg.Go(func() {
 			if x.p.running != nil && !x.p.stopped {
@@ -160,7 +160,7 @@
 	if purged != nil {
 		return fmt.Errorf("%s: %w", r.name, purged)
 	}
-	for _, a := range []*fleet.Ask{mine, other} {
+	for _, a := range []*fleet.Request{mine, other} {
 		if _, err := g.settled(a, 15*time.Second); err != nil {
 			return fmt.Errorf("%s: %w", r.name, err)
 		}
@@ -306,7 +306,7 @@
 		return nil, fmt.Errorf("the last change: %s %w", word, err)
 	}
 	for _, b := range g.changes { // asking again by id gives the same word
-		g.apply(g.members[g.rng.IntN(len(g.members))], &fleet.Ask{Kind: "status", ID: b.ID, Base: b.Base, Wait: 300})
+		g.apply(g.members[g.rng.IntN(len(g.members))], &fleet.Request{Kind: "status", ID: b.ID, Base: b.Base, WaitMs: 300})
 	}
 	if err := g.eventually(10*time.Second, "acts by the last version everywhere", func() bool {
 		g.mu.Lock()
--- a/internal/bench/together.go
+++ b/internal/bench/together.go
@@ -63,7 +63,7 @@
 	faults      map[string]int
 	further     int // bound queries that ran at an emergency's sites
 	emergencies int
-	changes     []*fleet.Ask
+	changes     []*fleet.Request
 	known       map[string]string // the last word told on each
 }
 
--- a/internal/bench/together_operators.go
+++ b/internal/bench/together_operators.go
@@ -9,7 +9,7 @@
 )
 
 // change makes a policy of its own mark; spoilt ones name what no controller has.
-func (g *gathering) change(base uint64, atMost time.Duration, spoilt bool) *fleet.Ask {
+func (g *gathering) change(base uint64, atMost time.Duration, spoilt bool) *fleet.Request {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	for {
@@ -20,8 +20,8 @@
 		}
 	}
 	k := g.next % marks
-	a := &fleet.Ask{Kind: "apply", ID: fmt.Sprintf("change-%d", len(g.changes)), By: "the laboratory", Base: base, Policy: []byte(placementText(k)),
-		AtMost: atMost.Milliseconds(), Wait: 3000}
+	a := &fleet.Request{Kind: "apply", ID: fmt.Sprintf("change-%d", len(g.changes)), RequestedBy: "the laboratory", Base: base, Policy: []byte(placementText(k)),
+		AbortAfterMs: atMost.Milliseconds(), WaitMs: 3000}
 	if spoilt {
 		a.Policy = []byte(placementText(k) + "groups: [{name: nobody, value: 2}]\n")
 	}
@@ -31,20 +31,20 @@
 }
 
 // apply asks for a change at a controller and keeps the word.
-func (g *gathering) apply(p *process, a *fleet.Ask) string {
+func (g *gathering) apply(p *process, a *fleet.Request) string {
 	from := g.since()
 	r, err := g.ask(p, a)
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	w := historycheck.Word{Client: len(g.words) % 11, From: from, To: g.since(), ID: a.ID, Base: a.Base, Proposes: true, Word: "unknown"}
 	if err == nil {
-		w.Word, w.Version = r.Word, r.Version
-		g.fleet.Changed(g.since(), p.name, a.ID, r.Word, r.Version)
-		if r.Word == "in force" {
+		w.Word, w.Version = r.Outcome, r.Version
+		g.fleet.Changed(g.since(), p.name, a.ID, r.Outcome, r.Version)
+		if r.Outcome == "in force" {
 			g.version = max(g.version, r.Version)
 		}
-		if r.Word != "unknown" {
-			g.known[a.ID] = r.Word
+		if r.Outcome != "unknown" {
+			g.known[a.ID] = r.Outcome
 		}
 	}
 	g.words = append(g.words, w)
@@ -52,7 +52,7 @@
 }
 
 // settled asks again and again, here and there, until there is a word.
-func (g *gathering) settled(a *fleet.Ask, within time.Duration) (string, error) {
+func (g *gathering) settled(a *fleet.Request, within time.Duration) (string, error) {
 	word := "unknown"
 	err := g.eventually(within, "a word on "+a.ID, func() bool {
 		p := g.members[g.rng.IntN(len(g.members))]
@@ -60,7 +60,7 @@
 			return false
 		}
 		b := *a
-		b.Wait = 700
+		b.WaitMs = 700
 		word = g.apply(p, &b)
 		return word != "unknown"
 	})
@@ -72,7 +72,7 @@
 func (g *gathering) purge(p *process, team string, within time.Duration) (took time.Duration, err error) {
 	g.mu.Lock()
 	g.serial++
-	a := &fleet.Ask{Kind: "purge", ID: fmt.Sprintf("purge-%d", g.serial), By: "the laboratory", Scope: &fleet.Scope{Team: team}, Wait: 1500, Until: "unreachable"}
+	a := &fleet.Request{Kind: "purge", ID: fmt.Sprintf("purge-%d", g.serial), RequestedBy: "the laboratory", Scope: &fleet.Scope{Team: team}, WaitMs: 1500, AwaitedStage: "unreachable"}
 	g.fleet.PurgeAsked(g.since(), a.ID, *a.Scope)
 	g.mu.Unlock()
 	stage, begin, looked := "", time.Now(), time.Duration(0)
@@ -87,15 +87,15 @@
 			return false
 		}
 		g.mu.Lock()
-		g.fleet.PurgeTold(g.since(), p.name, a.ID, r.Word, r.Counts)
+		g.fleet.PurgeTold(g.since(), p.name, a.ID, r.Outcome, r.Counts)
 		g.mu.Unlock()
-		if r.Word == "unreachable" && stage == "" {
-			stage, a.Until = r.Word, ""
+		if r.Outcome == "unreachable" && stage == "" {
+			stage, a.AwaitedStage = r.Outcome, ""
 			look := time.Now()
 			g.readAll()
 			looked += time.Since(look)
 		}
-		return r.Word == "purged"
+		return r.Outcome == "purged"
 	})
 	if took = time.Since(begin) - looked; err == nil {
 		g.readAll()
--- a/internal/bench/together_processes.go
+++ b/internal/bench/together_processes.go
@@ -107,14 +107,14 @@
 }
 
 // ask puts something to a controller's operators' listener.
-func (g *gathering) ask(p *process, a *fleet.Ask) (*fleet.Reply, error) {
-	ctx, stop := context.WithTimeout(g.ctx, time.Duration(a.Wait)*time.Millisecond+2*time.Second)
+func (g *gathering) ask(p *process, a *fleet.Request) (*fleet.Response, error) {
+	ctx, stop := context.WithTimeout(g.ctx, time.Duration(a.WaitMs)*time.Millisecond+2*time.Second)
 	defer stop()
 	return transport.AskControl(ctx, p.control, g.keys, a)
 }
 
 func (g *gathering) status(p *process) *fleet.Status {
-	r, err := g.ask(p, &fleet.Ask{Kind: "status", Wait: 500})
+	r, err := g.ask(p, &fleet.Request{Kind: "status", WaitMs: 500})
 	if err != nil || r.Status == nil {
 		return &fleet.Status{}
 	}
@@ -140,7 +140,7 @@
 	for _, p := range g.members {
 		s := g.status(p)
 		if s.Name == "" {
-			_, err := g.ask(p, &fleet.Ask{Kind: "status", Wait: 500})
+			_, err := g.ask(p, &fleet.Request{Kind: "status", WaitMs: 500})
 			fmt.Fprintf(&b, "\n%s can't be asked: %v", p.name, err)
 		}
 		fmt.Fprintf(&b, "\n%s: leader %s, index %d, version %d, serves %v, lease %d ms, change %+v", p.name, s.Leader, s.Index, s.Version, s.Serves, s.LeaseMS, s.Change)
--- a/internal/capacity/errors.go
+++ b/internal/capacity/errors.go
@@ -68,8 +68,8 @@
 func (e *SizeError) Remedy() string { return "ask for one within its bounds; nothing was started" }
 
 // Errors is one of each, for the test that walks all of them.
-func Errors() []fleet.Remedied {
-	return []fleet.Remedied{&FileError{"capacity.csv", 2, "size", "some reason"}, &RowError{"unit", "it is empty"},
+func Errors() []fleet.ErrorWithRemedy {
+	return []fleet.ErrorWithRemedy{&FileError{"capacity.csv", 2, "size", "some reason"}, &RowError{"unit", "it is empty"},
 		&RoomError{What: "descriptors", Need: 30000, Has: 20000, Raise: "raise it"}, &SizeError{"engines", "0 is under 1"},
 		&FormulaError{"slope(1)", "a figure is missing"}, &PageError{4, fmt.Errorf("two cells in a table of three columns")}}
 }
--- a/internal/controller/controller_test.go
+++ b/internal/controller/controller_test.go
@@ -107,7 +107,7 @@
 	a := s.sendQuery(s.connect(), "lookup", "", 20*time.Second, 1)
 	s.respond(s.waitForCall("POST", a.id), "runs")
 	h := s.waitForCall("GET", a.id)
-	s.controller.runSoon(func() { s.controller.Cancel(a.id, 0) }) // as the decisions do when they move it
+	s.controller.runSoon(func() { s.controller.CancelAttempt(a.id, 0) }) // as the decisions do when they move it
 	s.step(Event{Kind: TimerFired})
 	if len(a.runs) != 1 || len(s.controller.queries[a.id].attempts) != 2 {
 		t.Fatal("sent again while the first is being given up there")
--- a/internal/controller/fleet_reports.go
+++ b/internal/controller/fleet_reports.go
@@ -21,14 +21,14 @@
 	switch {
 	case len(l.unsentReports) == 0:
 		l.emit(Effect{Kind: ReportToFleet, Report: &r})
-	case r.Kind != fleet.Sites: // those are repeated anyway
+	case r.Kind != fleet.SitesServing: // those are repeated anyway
 		l.unsentReports = append(l.unsentReports, r)
 	}
 }
 
 // reportRejected keeps a report for which there was no room, to be sent again soon.
 func (l *servingLease) reportRejected(r *fleet.Report) {
-	if r.Kind == fleet.Sites {
+	if r.Kind == fleet.SitesServing {
 		return
 	}
 	l.unsentReports = append(l.unsentReports, *r)
@@ -64,7 +64,7 @@
 }
 
 func (l *servingLease) reportSites(sites []string) {
-	l.report(fleet.Report{Kind: fleet.Sites, Sites: sites, Outside: l.residency.countOutside()})
+	l.report(fleet.Report{Kind: fleet.SitesServing, Sites: sites, Outside: l.residency.countOutside()})
 }
 
 // servingSites are the locations that have active engines, in the order of the settings.
--- a/internal/controller/invalidation.go
+++ b/internal/controller/invalidation.go
@@ -15,7 +15,7 @@
 	// more, and reports Unreached and then Wiped once that is so.
 	invalidate(id string, scope *fleet.Scope, index uint64)
 	// fleetAnswered takes what a Wanted came to. It reports whether that was asked for here.
-	fleetAnswered(id string, reply *fleet.Reply) bool
+	fleetAnswered(id string, reply *fleet.Response) bool
 }
 
 var _ invalidator = (*invalidation)(nil)
@@ -36,7 +36,7 @@
 	// Clients' calls.
 	serial      uint64 // of the last id made here
 	callers     map[string][]*invalidationCall
-	unconfirmed map[string]*fleet.Ask // not known to be in the log yet: asked for until they are
+	unconfirmed map[string]*fleet.Request // not known to be in the log yet: asked for until they are
 
 	// Retained bytes handed to connections, some of which may not be out.
 	retainedWrites   map[retainedWrite]bool
@@ -53,7 +53,7 @@
 		Controller:     c,
 		local:          map[string]*localInvalidation{},
 		callers:        map[string][]*invalidationCall{},
-		unconfirmed:    map[string]*fleet.Ask{},
+		unconfirmed:    map[string]*fleet.Request{},
 		retainedWrites: map[retainedWrite]bool{},
 	}
 }
@@ -87,17 +87,17 @@
 	v.started++
 	v.logMessage(false, "purge "+id+" of team "+scope.Team+" begins")
 	unreachable := func() {
-		v.servingLease.report(fleet.Report{Kind: fleet.Unreached, ID: id})
+		v.servingLease.report(fleet.Report{Kind: fleet.DataTombstoned, ID: id})
 	}
-	erased := func(n fleet.Counts) {
+	erased := func(n fleet.InvalidationCounts) {
 		v.completed++
 		v.logCompleted(id, scope.Team, n)
-		v.servingLease.report(fleet.Report{Kind: fleet.Wiped, ID: id, Counts: n})
+		v.servingLease.report(fleet.Report{Kind: fleet.DataErased, ID: id, Counts: n})
 	}
 	v.apply(scope, index, unreachable, erased)
 }
 
-func (v *invalidation) logCompleted(id, tenant string, n fleet.Counts) {
+func (v *invalidation) logCompleted(id, tenant string, n fleet.InvalidationCounts) {
 	text := fmt.Sprintf("purge %s is done here: %d results and %d answers, %d bytes",
 		id, n.Results, n.Answers, n.Bytes)
 	v.logAbout(LogFields{Tenant: tenant}, text)
@@ -107,7 +107,7 @@
 type localInvalidation struct {
 	tenant string
 	done   bool
-	counts fleet.Counts
+	counts fleet.InvalidationCounts
 }
 
 // maxLocalInvalidations bounds the invalidations that a controller without peers can still tell of.
@@ -123,7 +123,7 @@
 		v.localOrder = v.localOrder[1:]
 	}
 	v.started++
-	v.apply(scope, v.logIndex+1, func() {}, func(n fleet.Counts) {
+	v.apply(scope, v.logIndex+1, func() {}, func(n fleet.InvalidationCounts) {
 		v.completed++
 		entry.done = true
 		entry.counts = n
@@ -146,10 +146,10 @@
 // apply removes all of a scope that was asked for before an index of the log. It calls
 // unreachable once nothing of it comes out any more, and erased once none of it is left.
 func (v *invalidation) apply(
-	scope *fleet.Scope, index uint64, unreachable func(), erased func(fleet.Counts),
+	scope *fleet.Scope, index uint64, unreachable func(), erased func(fleet.InvalidationCounts),
 ) {
 	v.logIndex = max(v.logIndex, index)
-	var found fleet.Counts
+	var found fleet.InvalidationCounts
 	if v.caching != nil {
 		found = v.caching.invalidate(scope, index)
 	}
@@ -166,14 +166,14 @@
 			finish()
 		})
 	}
-	spoolErased := func(n fleet.Counts) {
+	spoolErased := func(n fleet.InvalidationCounts) {
 		found.Add(n)
 		isErased = true
 		finish()
 	}
 	if v.paging == nil {
 		nothingComesOut()
-		spoolErased(fleet.Counts{})
+		spoolErased(fleet.InvalidationCounts{})
 		return
 	}
 	v.paging.core.Purge(v.now, scope, index, nothingComesOut, spoolErased)
@@ -181,7 +181,7 @@
 }
 
 // invalidate removes cached answers. Queries that followed a run which it struck go their own way.
-func (a *resultCaching) invalidate(scope *fleet.Scope, index uint64) fleet.Counts {
+func (a *resultCaching) invalidate(scope *fleet.Scope, index uint64) fleet.InvalidationCounts {
 	found, next := a.core.Invalidate(a.now, scope, index)
 	for _, ask := range next {
 		a.promote(ask)
--- a/internal/controller/invalidation_calls.go
+++ b/internal/controller/invalidation_calls.go
@@ -27,10 +27,10 @@
 // log. One that isn't logged is asked for again and again by the controller that it was
 // asked of, and by no other.
 var stageNames = map[string]string{
-	"":                "not recorded",
-	fleet.Purge:       "recorded",
-	fleet.Unreachable: "unreachable",
-	fleet.Erased:      "erased",
+	"":                    "not recorded",
+	fleet.EntryInvalidate: "recorded",
+	fleet.EntryTombstone:  "unreachable",
+	fleet.EntryErased:     "erased",
 }
 
 // invalidationCall is a client's call that waits for its answer.
@@ -67,15 +67,15 @@
 	v.callers[x.id] = append(v.callers[x.id], x)
 	x.answerBy = cl.now + max(0, call.Patience-answerMargin)
 	x.timer = cl.timers.Add(x.answerBy, func() { v.answerState(x, statePending, "", nil, nil) })
-	scope := &fleet.Scope{Team: tenant, Tables: call.Tables, Before: call.Before}
+	scope := &fleet.Scope{Team: tenant, Tables: call.Tables, RetainedBeforeMs: call.Before}
 	switch {
 	case v.servingLease != nil && isNew:
 		ask := v.fleetAsk("purge", x, call.Patience)
 		ask.Scope = scope
 		v.unconfirmed[x.id] = ask
-		v.servingLease.report(fleet.Report{Kind: fleet.Wanted, Ask: ask})
+		v.servingLease.report(fleet.Report{Kind: fleet.RequestMade, Request: ask})
 	case v.servingLease != nil:
-		v.servingLease.report(fleet.Report{Kind: fleet.Wanted, Ask: v.fleetAsk("status", x, call.Patience)})
+		v.servingLease.report(fleet.Report{Kind: fleet.RequestMade, Request: v.fleetAsk("status", x, call.Patience)})
 	case isNew:
 		v.startLocal(x.id, scope)
 	default:
@@ -83,9 +83,9 @@
 	}
 }
 
-func (v *invalidation) fleetAsk(kind string, x *invalidationCall, patience time.Duration) *fleet.Ask {
+func (v *invalidation) fleetAsk(kind string, x *invalidationCall, patience time.Duration) *fleet.Request {
 	wait := max(1, (patience - 2*answerMargin).Milliseconds())
-	return &fleet.Ask{Kind: kind, ID: x.id, By: x.tenant, Team: x.tenant, Wait: wait}
+	return &fleet.Request{Kind: kind, ID: x.id, RequestedBy: x.tenant, Team: x.tenant, WaitMs: wait}
 }
 
 // tooManyCalls reports whether no further call of a tenant can be taken now.
@@ -122,13 +122,13 @@
 
 // fleetAnswered takes the fleet's reply to what was asked for here. It reports whether
 // anything was.
-func (v *invalidation) fleetAnswered(id string, r *fleet.Reply) bool {
+func (v *invalidation) fleetAnswered(id string, r *fleet.Response) bool {
 	calls := v.waitingCallers(id)
 	unconfirmed := v.unconfirmed[id]
-	if unconfirmed != nil && r.Word == "unknown" && r.Stage == "" {
+	if unconfirmed != nil && r.Outcome == "unknown" && r.Stage == "" {
 		ask := *unconfirmed // its callers may have been answered: it is asked for all the same
-		ask.Wait = confirmationWait.Milliseconds()
-		v.servingLease.report(fleet.Report{Kind: fleet.Wanted, Ask: &ask})
+		ask.WaitMs = confirmationWait.Milliseconds()
+		v.servingLease.report(fleet.Report{Kind: fleet.RequestMade, Request: &ask})
 	} else {
 		delete(v.unconfirmed, id)
 	}
@@ -140,24 +140,24 @@
 
 // answerCall answers a call by the fleet's reply. One that isn't complete is answered only
 // shortly before its caller's time is over: each caller has a reply of its own then.
-func (v *invalidation) answerCall(x *invalidationCall, r *fleet.Reply) {
+func (v *invalidation) answerCall(x *invalidationCall, r *fleet.Response) {
 	_, isStage := stageNames[r.Stage]
 	switch {
-	case r.Word == "purged":
-		v.answerState(x, r.Word, "", r.Counts, nil)
-	case r.Word == "unknown" && isStage:
+	case r.Outcome == "purged":
+		v.answerState(x, r.Outcome, "", r.Counts, nil)
+	case r.Outcome == "unknown" && isStage:
 		if v.now >= x.answerBy-4*answerMargin {
 			v.answerState(x, statePending, stageNames[r.Stage], nil, r.Outstanding)
 		}
-	case r.Word == "refused" && r.Why != "":
-		v.finishCall(x, msgpackrpc.Killed(nil, x.msg, r.Why))
+	case r.Outcome == "refused" && r.Reason != "":
+		v.finishCall(x, msgpackrpc.Killed(nil, x.msg, r.Reason))
 	default:
 		v.finishCall(x, msgpackrpc.Killed(nil, x.msg, unknownInvalidationText))
 	}
 }
 
 func (v *invalidation) answerState(
-	x *invalidationCall, state, stage string, n *fleet.Counts, outstanding []string,
+	x *invalidationCall, state, stage string, n *fleet.InvalidationCounts, outstanding []string,
 ) {
 	fields := []string{"id", x.id, "state", state}
 	if n != nil {
--- a/internal/controller/invalidation_test.go
+++ b/internal/controller/invalidation_test.go
@@ -19,12 +19,12 @@
 )
 
 // keeps is a world whose controller keeps results and answers, alone or in a fleet.
-func keeps(t *testing.T, word *fleet.Word, change ...func(*controller.Config)) *spooled {
+func keeps(t *testing.T, word *fleet.ServingState, change ...func(*controller.Config)) *spooled {
 	d := disk.New()
 	return keepsOn(t, d, disk.NewIndex(d), word, change...)
 }
 
-func keepsOn(t *testing.T, d *disk.Disk, x *disk.Index, word *fleet.Word, change ...func(*controller.Config)) *spooled {
+func keepsOn(t *testing.T, d *disk.Disk, x *disk.Index, word *fleet.ServingState, change ...func(*controller.Config)) *spooled {
 	small := limits()
 	small.Memory = 200 << 10
 	return newSpooled(t, d, x, small, nil, func(m *controller.Config) {
@@ -134,18 +134,18 @@
 // In a fleet a purge is what the record orders: unreached and wiped are reported in
 // turn, what a client asked for is handed on and answered by the fleet's word.
 func TestInvalidationInAFleet(t *testing.T) {
-	word := &fleet.Word{}
+	word := &fleet.ServingState{}
 	s := keeps(t, word)
 	c := s.client()
-	s.Order(fleet.Order{Kind: fleet.Open, Version: 1})
-	s.Order(fleet.Order{Kind: fleet.Renewed, Until: fleet.Forever, UntilBound: 4 * time.Second})
+	s.Order(fleet.Order{Kind: fleet.OpenPolicy, Version: 1})
+	s.Order(fleet.Order{Kind: fleet.LeaseRenewed, Until: fleet.Forever, UntilBound: 4 * time.Second})
 	a := s.of(c, "linz", 3, "pages", "1")
 	whole := s.of(c, "linz", 3)
 	s.Until(3 * time.Second)
 	if pagesOf(a) < 2 || len(whole.Rows) == 0 {
 		t.Fatal("nothing is kept")
 	}
-	s.Order(fleet.Order{Kind: fleet.Pictured, Picture: &fleet.Picture{Index: 7}})
+	s.Order(fleet.Order{Kind: fleet.ViewChanged, View: &fleet.View{Index: 7}})
 	later := s.of(c, "linz", 3, "pages", "1")
 	s.Until(3900 * time.Millisecond)
 	asks := []*client.Answer{s.purge(c, "patience", "1000", "team", "linz"), s.purge(c, "patience", "9000", "id", "p1", "team", "linz")}
@@ -156,21 +156,21 @@
 	if barred.Kind != client.Deferred || cached.Answered && cached.Answer == client.Finished && bytes.Equal(cached.Rows, whole.Rows) {
 		t.Fatalf("served without a lease: %+v", barred)
 	}
-	s.Reports = slices.DeleteFunc(s.Reports, func(p fleet.Report) bool { return p.Kind == fleet.Sites || p.Kind == fleet.Opened })
-	if len(s.Reports) != 2 || s.Reports[0].Ask.Kind != "purge" || s.Reports[0].Ask.Scope.Team != "linz" || s.Reports[1].Ask.Kind != "status" ||
-		s.Reports[1].Ask.ID != "p1" || s.Reports[1].Ask.Team != "linz" {
+	s.Reports = slices.DeleteFunc(s.Reports, func(p fleet.Report) bool { return p.Kind == fleet.SitesServing || p.Kind == fleet.PolicyOpened })
+	if len(s.Reports) != 2 || s.Reports[0].Request.Kind != "purge" || s.Reports[0].Request.Scope.Team != "linz" || s.Reports[1].Request.Kind != "status" ||
+		s.Reports[1].Request.ID != "p1" || s.Reports[1].Request.Team != "linz" {
 		t.Fatalf("the fleet isn't asked: %+v", s.Reports)
 	}
-	first := s.Reports[0].Ask.ID
-	s.Order(fleet.Order{Kind: fleet.Drop, ID: first, Scope: &fleet.Scope{Team: "linz"}, Index: 7})
+	first := s.Reports[0].Request.ID
+	s.Order(fleet.Order{Kind: fleet.InvalidateData, ID: first, Scope: &fleet.Scope{Team: "linz"}, Index: 7})
 	s.Until(4800 * time.Millisecond)
-	l := slices.DeleteFunc(s.Reports[2:], func(p fleet.Report) bool { return p.Kind == fleet.Sites })
-	if len(l) != 2 || l[0].Kind != fleet.Unreached || l[1].Kind != fleet.Wiped || l[0].ID != first || l[1].Counts.Results != 1 || l[1].Counts.Answers != 1 {
+	l := slices.DeleteFunc(s.Reports[2:], func(p fleet.Report) bool { return p.Kind == fleet.SitesServing })
+	if len(l) != 2 || l[0].Kind != fleet.DataTombstoned || l[1].Kind != fleet.DataErased || l[0].ID != first || l[1].Counts.Results != 1 || l[1].Counts.Answers != 1 {
 		t.Fatalf("reported %+v", l)
 	}
 	s.Until(4880 * time.Millisecond)
-	s.Order(fleet.Order{Kind: fleet.Answered, ID: first, Reply: &fleet.Reply{ID: first, Word: "unknown", Stage: fleet.Unreachable, Outstanding: []string{"b", "c"}}})
-	s.Order(fleet.Order{Kind: fleet.Answered, ID: "p1", Reply: &fleet.Reply{ID: "p1", Word: "purged", Counts: &fleet.Counts{Results: 4}}})
+	s.Order(fleet.Order{Kind: fleet.RequestAnswered, ID: first, Response: &fleet.Response{ID: first, Outcome: "unknown", Stage: fleet.EntryTombstone, Outstanding: []string{"b", "c"}}})
+	s.Order(fleet.Order{Kind: fleet.RequestAnswered, ID: "p1", Response: &fleet.Response{ID: "p1", Outcome: "purged", Counts: &fleet.InvalidationCounts{Results: 4}}})
 	s.Until(5 * time.Second)
 	if n := asks[0].About; n["state"] != "not yet" || n["outstanding"] != "b,c" || n["id"] != first {
 		t.Errorf("at the end of its patience: %+v", asks[0])
@@ -181,13 +181,13 @@
 	n := len(s.Reports)
 	lost := s.purge(c, "patience", "100", "team", "linz") // no majority takes it: it is asked for again
 	s.Until(s.Now + 80*time.Millisecond)
-	s.Order(fleet.Order{Kind: fleet.Answered, ID: s.Reports[n].Ask.ID, Reply: &fleet.Reply{Word: "unknown"}})
+	s.Order(fleet.Order{Kind: fleet.RequestAnswered, ID: s.Reports[n].Request.ID, Response: &fleet.Response{Outcome: "unknown"}})
 	s.Until(s.Now + 10*time.Millisecond)
-	if len(s.Reports) < n+2 || s.Reports[n+1].Ask == nil || s.Reports[n+1].Ask.ID != s.Reports[n].Ask.ID || lost.About["stage"] != "not recorded" {
+	if len(s.Reports) < n+2 || s.Reports[n+1].Request == nil || s.Reports[n+1].Request.ID != s.Reports[n].Request.ID || lost.About["stage"] != "not recorded" {
 		t.Errorf("not recorded: %+v, %+v", lost, s.Reports[n:])
 	}
 	silent := s.purge(c, "patience", "300", "team", "linz") // the fleet says nothing
-	s.Order(fleet.Order{Kind: fleet.Renewed, Until: fleet.Forever, UntilBound: fleet.Forever})
+	s.Order(fleet.Order{Kind: fleet.LeaseRenewed, Until: fleet.Forever, UntilBound: fleet.Forever})
 	gone, stays := &client.Answer{}, &client.Answer{}
 	c.Page(a.Paging["token"], 1, func(ans client.Answer) { *gone = ans }, "team", "linz")
 	c.Page(later.Paging["token"], 1, func(ans client.Answer) { *stays = ans }, "team", "linz")
@@ -202,10 +202,10 @@
 
 // A rule that a result lies outside of bars its pages at once, and not for ever.
 func TestPagesObeyResidencyRules(t *testing.T) {
-	s := keeps(t, &fleet.Word{})
+	s := keeps(t, &fleet.ServingState{})
 	c := s.client()
-	s.Order(fleet.Order{Kind: fleet.Open, Version: 1})
-	s.Order(fleet.Order{Kind: fleet.Renewed, Until: fleet.Forever, UntilBound: fleet.Forever})
+	s.Order(fleet.Order{Kind: fleet.OpenPolicy, Version: 1})
+	s.Order(fleet.Order{Kind: fleet.LeaseRenewed, Until: fleet.Forever, UntilBound: fleet.Forever})
 	a := s.of(c, "linz", 3, "pages", "1")
 	s.Until(3 * time.Second)
 	for i, want := range []client.Kind{client.Finished, client.Killed, client.Finished} {
@@ -213,7 +213,7 @@
 		if i == 1 { // this controller stands nowhere
 			rules = []residency.Rule{{Name: "inside", Team: "linz", Tables: []int64{3}, Engines: []string{"here"}, Controllers: []string{"here"}, Keep: []string{"here"}}}
 		}
-		s.Order(fleet.Order{Kind: fleet.Open, Version: uint64(i + 2), Policy: &controller.Policy{Version: uint64(i + 2), Rules: rules}})
+		s.Order(fleet.Order{Kind: fleet.OpenPolicy, Version: uint64(i + 2), Policy: &controller.Policy{Version: uint64(i + 2), Rules: rules}})
 		got := client.Kind(-1)
 		c.Page(a.Paging["token"], 1, func(ans client.Answer) { got = ans.Kind }, "team", "linz")
 		s.Until(s.Now + time.Second)
@@ -313,12 +313,12 @@
 	s.Until(s.Now + 4*time.Second)
 	steps := s.d.Steps()
 	d := s.d.After(steps, disk.Torn)
-	next := keepsOn(t, d, s.x.After(steps, d), &fleet.Word{})
+	next := keepsOn(t, d, s.x.After(steps, d), &fleet.ServingState{})
 	if n, _, _ := next.R.SpoolUsage(); n != 1 {
 		t.Fatalf("%d are kept over a start", n)
 	}
-	next.Order(fleet.Order{Kind: fleet.Pictured, Picture: &fleet.Picture{Index: 3}})
-	next.Order(fleet.Order{Kind: fleet.Drop, ID: "p", Index: 3, Scope: &fleet.Scope{Team: "linz"}})
+	next.Order(fleet.Order{Kind: fleet.ViewChanged, View: &fleet.View{Index: 3}})
+	next.Order(fleet.Order{Kind: fleet.InvalidateData, ID: "p", Index: 3, Scope: &fleet.Scope{Team: "linz"}})
 	next.Until(next.Now + time.Second)
 	if n, _, _ := next.R.SpoolUsage(); n != 0 {
 		t.Errorf("%d left", n)
--- a/internal/controller/policy_update.go
+++ b/internal/controller/policy_update.go
@@ -34,8 +34,8 @@
 			l.applyPolicy(p)
 		}
 	}
-	l.Word.Set(order.Version)
-	l.report(fleet.Report{Kind: fleet.Opened, Version: order.Version, Outside: l.residency.countOutside()})
+	l.Word.SetVersion(order.Version)
+	l.report(fleet.Report{Kind: fleet.PolicyOpened, Version: order.Version, Outside: l.residency.countOutside()})
 	l.updateServing()
 }
 
--- a/internal/controller/residency.go
+++ b/internal/controller/residency.go
@@ -233,26 +233,26 @@
 }
 
 func (r *residencyState) sendBindingRequest(id string, b *bindingRequest) {
-	ask := &fleet.Ask{
-		Kind:   "bind",
-		ID:     id,
-		By:     r.core.Site(),
-		Team:   b.binding.Team,
-		Tables: b.binding.Tables,
-		From:   b.binding.From,
-		Wait:   bindingWait.Milliseconds(),
-	}
-	r.report(fleet.Report{Kind: fleet.Wanted, ID: id, Ask: ask})
+	ask := &fleet.Request{
+		Kind:        "bind",
+		ID:          id,
+		RequestedBy: r.core.Site(),
+		Team:        b.binding.Team,
+		Tables:      b.binding.Tables,
+		From:        b.binding.From,
+		WaitMs:      bindingWait.Milliseconds(),
+	}
+	r.report(fleet.Report{Kind: fleet.RequestMade, ID: id, Request: ask})
 }
 
 // fleetAnswered takes the fleet's reply to a binding request: the log has it, it isn't known
 // yet, or the log never will. It reports whether the id is of a request from here.
-func (r *residencyState) fleetAnswered(id string, reply *fleet.Reply) bool {
+func (r *residencyState) fleetAnswered(id string, reply *fleet.Response) bool {
 	b := r.pendingBindings[id]
 	if b == nil {
 		return false
 	}
-	switch reply.Word {
+	switch reply.Outcome {
 	case "bound":
 		delete(r.pendingBindings, id)
 		r.core.Recorded(*b.binding)
@@ -268,7 +268,7 @@
 		})
 	default:
 		delete(r.pendingBindings, id)
-		why := cmp.Or(reply.Why, reply.Word)
+		why := cmp.Or(reply.Reason, reply.Outcome)
 		r.logMessage(true, (&residency.Unbound{Team: b.binding.Team, Tables: b.binding.Tables, Why: why}).Error())
 	}
 	return true
@@ -280,7 +280,7 @@
 	r.reevaluate()
 }
 
-func (r *residencyState) viewChanged(picture *fleet.Picture) {
+func (r *residencyState) viewChanged(picture *fleet.View) {
 	r.core.Pictured(picture)
 	r.reevaluate()
 }
--- a/internal/controller/residency_retention_test.go
+++ b/internal/controller/residency_retention_test.go
@@ -14,14 +14,14 @@
 // What a rule forbids to keep here is answered whole and not cached, and what was kept
 // before the rule is read no more, though it is not purged yet.
 func TestNothingIsRetainedWhereARuleForbidsIt(t *testing.T) {
-	s := keeps(t, &fleet.Word{}, func(m *controller.Config) {
+	s := keeps(t, &fleet.ServingState{}, func(m *controller.Config) {
 		m.Settings["teams"], m.Settings["team.0.name"], m.Settings["team.0.quota"], m.Settings["own.location"] = "1", "linz", "1000", "0"
 	})
 	here, _, _ := strings.Cut(s.R.Settings["locations"], ",")
 	open := func(version uint64, rules ...residency.Rule) {
-		s.Order(fleet.Order{Kind: fleet.Open, Version: version, Policy: &controller.Policy{Version: version, Rules: rules}})
+		s.Order(fleet.Order{Kind: fleet.OpenPolicy, Version: version, Policy: &controller.Policy{Version: version, Rules: rules}})
 	}
-	s.Order(fleet.Order{Kind: fleet.Renewed, Until: fleet.Forever, UntilBound: fleet.Forever})
+	s.Order(fleet.Order{Kind: fleet.LeaseRenewed, Until: fleet.Forever, UntilBound: fleet.Forever})
 	open(1, residency.Rule{Name: "r", Team: "linz", Engines: []string{here}})
 	c := s.client()
 	page := func(token string) *client.Answer {
--- a/internal/controller/residency_test.go
+++ b/internal/controller/residency_test.go
@@ -30,14 +30,14 @@
 
 // rules opens a version with rules.
 func (s *harness) rules(version uint64, rules ...residency.Rule) {
-	s.order(fleet.Order{Kind: fleet.Renewed, Until: fleet.Forever, UntilBound: fleet.Forever})
-	s.order(fleet.Order{Kind: fleet.Open, Version: version, Policy: &Policy{Version: version, Rules: rules}})
+	s.order(fleet.Order{Kind: fleet.LeaseRenewed, Until: fleet.Forever, UntilBound: fleet.Forever})
+	s.order(fleet.Order{Kind: fleet.OpenPolicy, Version: version, Policy: &Policy{Version: version, Rules: rules}})
 }
 
-func (s *harness) wanted() (l []*fleet.Ask) {
+func (s *harness) wanted() (l []*fleet.Request) {
 	for _, p := range s.reports {
-		if p.Kind == fleet.Wanted {
-			l = append(l, p.Ask)
+		if p.Kind == fleet.RequestMade {
+			l = append(l, p.Request)
 		}
 	}
 	return l
@@ -59,7 +59,7 @@
 	// none inside: held while there is time, and never across
 	for _, m := range s.allEngines() {
 		if m.site == "b" {
-			s.order(fleet.Order{Kind: fleet.Pictured, Picture: &fleet.Picture{}})
+			s.order(fleet.Order{Kind: fleet.ViewChanged, View: &fleet.View{}})
 			m.state = "DRAINING"
 			s.listEngines(m.entry(0))
 		}
@@ -75,7 +75,7 @@
 	s := placedStage(t, 3, "a", nil)
 	s.rules(1, residency.Rule{Name: "in-a", Team: "bank", Tables: []int64{1}, Engines: []string{"a"}},
 		residency.Rule{Name: "in-b", Team: "bank", Tables: []int64{2}, Engines: []string{"b"}})
-	s.order(fleet.Order{Kind: fleet.Pictured, Picture: &fleet.Picture{Members: []fleet.Member{{Name: "x", Site: "b", Clients: "10.9.9.9:6565"},
+	s.order(fleet.Order{Kind: fleet.ViewChanged, View: &fleet.View{Members: []fleet.Member{{Name: "x", Site: "b", Clients: "10.9.9.9:6565"},
 		{Name: "y", Site: "b", Clients: "10.9.9.8:6565", Forgotten: true}, {Name: "z", Site: "c", Clients: "10.9.9.7:6565"}}}})
 	c := s.connect()
 	s.body = "select * from d_1.x join d_2.y using (id)"
@@ -114,12 +114,12 @@
 	if len(first.runs)+len(alike.runs)+len(behind.runs) > 0 {
 		t.Fatal("sent before the record has it")
 	}
-	s.order(fleet.Order{Kind: fleet.Answered, ID: asks[0].ID, Reply: &fleet.Reply{ID: asks[0].ID, Word: "unknown"}})
+	s.order(fleet.Order{Kind: fleet.RequestAnswered, ID: asks[0].ID, Response: &fleet.Response{ID: asks[0].ID, Outcome: "unknown"}})
 	s.runUntil(s.now + 200*time.Millisecond)
 	if again := s.wanted(); len(again) != 2 || again[1].ID != asks[0].ID || len(first.runs) > 0 {
 		t.Fatalf("asked again by its id: %+v", again)
 	}
-	s.order(fleet.Order{Kind: fleet.Answered, ID: asks[0].ID, Reply: &fleet.Reply{ID: asks[0].ID, Word: "bound"}})
+	s.order(fleet.Order{Kind: fleet.RequestAnswered, ID: asks[0].ID, Response: &fleet.Response{ID: asks[0].ID, Outcome: "bound"}})
 	s.respond(s.waitForCall("POST", first.id), "ok")
 	s.waitForCall("POST", alike.id)
 	s.waitForCall("POST", behind.id) // posted checks the key's order
@@ -157,7 +157,7 @@
 	if len(a.runs) > 0 {
 		t.Fatal("across")
 	}
-	s.order(fleet.Order{Kind: fleet.Pictured, Picture: &fleet.Picture{Emergencies: map[string]uint64{"r": 9}}})
+	s.order(fleet.Order{Kind: fleet.ViewChanged, View: &fleet.View{Emergencies: map[string]uint64{"r": 9}}})
 	h := s.waitForCall("POST", a.id)
 	if l, n := s.controller.ResidencyViolations(); n != 1 || l[0] != (residency.Crossing{Query: a.id, Team: "bank", Rule: "r", Site: "b"}) {
 		t.Fatal(l, n)
@@ -171,7 +171,7 @@
 
 func (s *harness) lastSites() (last fleet.Report) {
 	for _, p := range s.reports {
-		if p.Kind == fleet.Sites {
+		if p.Kind == fleet.SitesServing {
 			last = p
 		}
 	}
@@ -232,7 +232,7 @@
 				}
 			case 5:
 				version++
-				s.order(fleet.Order{Kind: fleet.Shut, Change: "c"})
+				s.order(fleet.Order{Kind: fleet.FencePolicy, Change: "c"})
 				s.runUntil(s.now + rapid.SampledFrom([]time.Duration{0, 30 * time.Millisecond}).Draw(t, "switch"))
 				look()
 				now = draws()
@@ -262,7 +262,7 @@
 	within := slices.DeleteFunc([]string{"a", "b", "c"}, func(x string) bool { return x == at })
 	s.rules(2, residency.Rule{Name: "r", Team: "bank", Engines: within, Controllers: []string{"a"}})
 	for _, p := range s.reports {
-		if p.Kind == fleet.Opened && p.Version == 2 && p.Outside != 1 {
+		if p.Kind == fleet.PolicyOpened && p.Version == 2 && p.Outside != 1 {
 			t.Errorf("%+v", p)
 		}
 	}
@@ -282,6 +282,6 @@
 	id := s.wanted()[0].ID
 	x := &invalidationCall{client: s.controller.clients[0], id: id, answerBy: s.now + time.Minute}
 	s.controller.invalidation.callers[id] = []*invalidationCall{x}
-	s.order(fleet.Order{Kind: fleet.Answered, ID: id, Reply: &fleet.Reply{ID: id, Word: "bound"}})
+	s.order(fleet.Order{Kind: fleet.RequestAnswered, ID: id, Response: &fleet.Response{ID: id, Outcome: "bound"}})
 	s.waitForCall("POST", a.id)
 }
--- a/internal/controller/scheduler_actions.go
+++ b/internal/controller/scheduler_actions.go
@@ -17,8 +17,8 @@
 // notDone is the answer to a query that may have run, or that no engine was found for in time.
 const notDone = "not done"
 
-// Submit starts an attempt of a query.
-func (c *Controller) Submit(id, engine string, within time.Duration) {
+// SendAttempt starts an attempt of a query.
+func (c *Controller) SendAttempt(id, engine string, within time.Duration) {
 	q, e := c.queries[id], c.engines[engine]
 	if !invariant.Hold(q != nil && e != nil, "submissions name what is known") {
 		return
@@ -26,17 +26,17 @@
 	c.startAttempt(q, e, within)
 }
 
-// Cancel withdraws an attempt of a query, by its number.
-func (c *Controller) Cancel(id string, number int) {
+// CancelAttempt withdraws an attempt of a query, by its number.
+func (c *Controller) CancelAttempt(id string, number int) {
 	q := c.queries[id]
 	if q != nil && number >= 0 && number < len(q.attempts) {
 		c.withdrawAttempt(q.attempts[number], scheduler.Cancelled)
 	}
 }
 
-// Terms sets a query's priority and memory grant. Attempts that run are told the priority; the grant is
+// SetLimits sets a query's priority and memory grant. Attempts that run are told the priority; the grant is
 // that of attempts to come.
-func (c *Controller) Terms(id string, priority, grantMB int) {
+func (c *Controller) SetLimits(id string, priority, grantMB int) {
 	q := c.queries[id]
 	if q == nil {
 		return
@@ -48,9 +48,9 @@
 	}
 }
 
-// Defer answers a query that has not run, and names the time after which it may come again, or the fair
+// DeferQuery answers a query that has not run, and names the time after which it may come again, or the fair
 // queue's estimate if that is longer.
-func (c *Controller) Defer(id string, retryAfter time.Duration) {
+func (c *Controller) DeferQuery(id string, retryAfter time.Duration) {
 	q := c.queries[id]
 	if q == nil {
 		return
@@ -61,27 +61,27 @@
 	c.answerDeferred(q, retryAfter)
 }
 
-// Kill answers a query that can't be finished.
-func (c *Controller) Kill(id string) {
+// FailQuery answers a query that can't be finished.
+func (c *Controller) FailQuery(id string) {
 	q := c.queries[id]
 	if q != nil {
 		c.answerKilled(q, notDone)
 	}
 }
 
-// Probe sends a health check to an engine.
-func (c *Controller) Probe(engine string) {
+// CheckHealth sends a health check to an engine.
+func (c *Controller) CheckHealth(engine string) {
 	e := c.engines[engine]
 	if invariant.Hold(e != nil, "probes name what is known") {
 		c.checkHealth(e)
 	}
 }
 
-// Subscribe does nothing: the controller follows the endpoint list by itself.
-func (c *Controller) Subscribe() {}
+// RequestEndpoints does nothing: the controller follows the endpoint list by itself.
+func (c *Controller) RequestEndpoints() {}
 
-// Wake calls the scheduler back after a time.
-func (c *Controller) Wake(in time.Duration, tag int) {
+// SetTimer calls the scheduler back after a time.
+func (c *Controller) SetTimer(in time.Duration, tag int) {
 	c.runAfter(in, func() { c.scheduler.TimerFired(c.now, tag) })
 }
 
--- a/internal/controller/serving_lease.go
+++ b/internal/controller/serving_lease.go
@@ -12,7 +12,7 @@
 // FleetConfig is what a controller with peers starts with.
 type FleetConfig struct {
 	// Word is what may be decided now. The node's goroutine and the controller's share it.
-	Word *fleet.Word
+	Word *fleet.ServingState
 	// MaxHold is the longest that a query waits while this controller may not decide, before
 	// it is deferred. 0: 2 s.
 	MaxHold time.Duration
@@ -52,7 +52,7 @@
 	// The parts that act on the fleet's orders.
 	invalidator invalidator // nil: nothing is retained of tenants
 	residency   *residencyState
-	fleetView   *fleet.Picture // the latest; never nil
+	fleetView   *fleet.View // the latest; never nil
 
 	// The version and the lease.
 	policyVersion       uint64           // last opened, 0: none
@@ -85,7 +85,7 @@
 	l := &servingLease{
 		Controller:          c,
 		FleetConfig:         *f,
-		fleetView:           &fleet.Picture{},
+		fleetView:           &fleet.View{},
 		pausedSince:         notPaused,
 		confinedPausedSince: notPaused,
 	}
@@ -98,35 +98,37 @@
 }
 
 // servingVersion is the version to decide by, 0 if nothing may be decided.
-func (l *servingLease) servingVersion(confined bool) uint64 { return l.Word.May(l.now, confined) }
+func (l *servingLease) servingVersion(confined bool) uint64 {
+	return l.Word.ServingVersion(l.now, confined)
+}
 
 // handleFleetOrder does what the fleet orders. Orders come in the order of the log.
 func (l *servingLease) handleFleetOrder(o *fleet.Order) {
 	switch o.Kind {
-	case fleet.Shut:
-		l.Word.Set(0)
+	case fleet.FencePolicy:
+		l.Word.SetVersion(0)
 		l.fencingChange = o.Change
 		l.updateServing()
 		l.reportFencedOnceIdle()
-	case fleet.Open:
+	case fleet.OpenPolicy:
 		l.openPolicy(o)
-	case fleet.Renewed:
-		l.Word.Lease(o.Until, o.UntilBound)
+	case fleet.LeaseRenewed:
+		l.Word.SetLease(o.Until, o.UntilBound)
 		l.scheduleLeaseCheck()
 		l.updateServing()
-	case fleet.Drop:
+	case fleet.InvalidateData:
 		l.orderInvalidation(o)
-	case fleet.Pictured:
+	case fleet.ViewChanged:
 		if l.paging != nil && l.fleetView.Index == 0 { // the first of this run
-			l.paging.core.Recorded(o.Picture.Index)
+			l.paging.core.Recorded(o.View.Index)
 		}
-		l.fleetView = o.Picture
-		l.residency.viewChanged(o.Picture)
-	case fleet.Answered:
+		l.fleetView = o.View
+		l.residency.viewChanged(o.View)
+	case fleet.RequestAnswered:
 		// both, whatever the first says: a client may ask for any id, a binding's too
-		l.residency.fleetAnswered(o.ID, o.Reply)
+		l.residency.fleetAnswered(o.ID, o.Response)
 		if l.invalidator != nil {
-			l.invalidator.fleetAnswered(o.ID, o.Reply)
+			l.invalidator.fleetAnswered(o.ID, o.Response)
 		}
 	}
 }
@@ -136,8 +138,8 @@
 		l.invalidator.invalidate(o.ID, o.Scope, o.Index)
 		return
 	}
-	l.report(fleet.Report{Kind: fleet.Unreached, ID: o.ID})
-	l.report(fleet.Report{Kind: fleet.Wiped, ID: o.ID})
+	l.report(fleet.Report{Kind: fleet.DataTombstoned, ID: o.ID})
+	l.report(fleet.Report{Kind: fleet.DataErased, ID: o.ID})
 }
 
 // reportFencedOnceIdle reports that the old version is fenced once nothing is being written.
@@ -145,10 +147,10 @@
 func (l *servingLease) reportFencedOnceIdle() {
 	switch {
 	case l.fencingChange == "":
-	case !l.Word.Idle():
+	case !l.Word.WritesFinished():
 		l.runAfter(writesIdlePollInterval, l.reportFencedOnceIdle)
 	default:
-		l.report(fleet.Report{Kind: fleet.Closed, Change: l.fencingChange})
+		l.report(fleet.Report{Kind: fleet.PolicyFenced, Change: l.fencingChange})
 		l.fencingChange = ""
 	}
 }
@@ -157,7 +159,7 @@
 func (l *servingLease) scheduleLeaseCheck() {
 	l.timers.Drop(l.leaseTimer)
 	l.leaseTimer = nil
-	until, untilConfined := l.Word.Until()
+	until, untilConfined := l.Word.LeaseEnds()
 	if untilConfined > l.now {
 		until = min(until, untilConfined)
 	}
@@ -212,7 +214,7 @@
 // acceptsQueries reports whether clients may expect answers here, as health checks are told. A
 // change of policy lasts a moment and is no reason to go elsewhere; a lost lease is.
 func (l *servingLease) acceptsQueries() bool {
-	until, _ := l.Word.Until()
+	until, _ := l.Word.LeaseEnds()
 	return !l.paused() || l.policyVersion != 0 && l.now < until && l.now-l.pausedSince < l.MaxHold
 }
 
--- a/internal/controller/serving_lease_test.go
+++ b/internal/controller/serving_lease_test.go
@@ -15,24 +15,24 @@
 
 // withPeers is a stage whose controller has peers, with nothing opened yet.
 func withPeers(t interface{ Fatalf(string, ...any) }, engines int, more map[string]string, change ...func(*Config)) *harness {
-	return newHarness(t, engines, 256, more, append([]func(*Config){func(m *Config) { m.Fleet = &FleetConfig{Word: &fleet.Word{}} }}, change...)...)
+	return newHarness(t, engines, 256, more, append([]func(*Config){func(m *Config) { m.Fleet = &FleetConfig{Word: &fleet.ServingState{}} }}, change...)...)
 }
 
 func (s *harness) order(o fleet.Order) { s.step(Event{Kind: FleetOrdered, Order: &o}) }
 
 // opens has it decide by a version, with a lease for so long.
 func (s *harness) opens(version uint64, lease time.Duration) {
-	s.order(fleet.Order{Kind: fleet.Renewed, Until: s.now + lease, UntilBound: s.now + lease})
-	s.order(fleet.Order{Kind: fleet.Open, Version: version, Policy: &Policy{Version: version}})
+	s.order(fleet.Order{Kind: fleet.LeaseRenewed, Until: s.now + lease, UntilBound: s.now + lease})
+	s.order(fleet.Order{Kind: fleet.OpenPolicy, Version: version, Policy: &Policy{Version: version}})
 }
 
 // mayGo is the runner's last look: by the time it writes, it may be later.
 func (s *harness) mayGo(f Effect) bool {
 	w := s.controller.Config.Fleet.Word
-	if !w.Enter(s.now+s.writeDelay, f.PolicyVersion, f.Confined) {
+	if !w.BeginWrite(s.now+s.writeDelay, f.PolicyVersion, f.Confined) {
 		return false
 	}
-	w.Leave()
+	w.EndWrite()
 	if n := len(s.versions); n > 0 && f.PolicyVersion < s.versions[n-1] {
 		s.t.Fatalf("submitted by version %d after one by %d", f.PolicyVersion, s.versions[n-1])
 	}
@@ -67,7 +67,7 @@
 	if first.answer != "finished" || next.answer != "finished" || s.controller.servingLease.longestHold != time.Second {
 		t.Fatal(first.answer, next.answer, s.controller.servingLease.longestHold)
 	}
-	if s.told(fleet.Opened) != 1 || s.told(fleet.Sites) < 2 || !slices.Equal(s.reports[0].Sites, []string{"here"}) {
+	if s.told(fleet.PolicyOpened) != 1 || s.told(fleet.SitesServing) < 2 || !slices.Equal(s.reports[0].Sites, []string{"here"}) {
 		t.Fatalf("%+v", s.reports)
 	}
 }
@@ -156,20 +156,20 @@
 	s.opens(1, time.Minute)
 	c := s.connect()
 	word := s.controller.Config.Fleet.Word
-	word.Enter(s.now, 1, false) // one is being written
-	s.order(fleet.Order{Kind: fleet.Shut, Change: "c"})
+	word.BeginWrite(s.now, 1, false) // one is being written
+	s.order(fleet.Order{Kind: fleet.FencePolicy, Change: "c"})
 	s.runUntil(10 * time.Millisecond)
 	a := s.sendQuery(c, "lookup", "", 5*time.Second, 1, "who", "new")
 	b := s.sendQuery(c, "lookup", "", 25*time.Second, 1)
-	if s.told(fleet.Closed) != 0 || len(a.runs) > 0 {
+	if s.told(fleet.PolicyFenced) != 0 || len(a.runs) > 0 {
 		t.Fatal("closed while something is being written")
 	}
-	word.Leave()
+	word.EndWrite()
 	s.runUntil(12 * time.Millisecond)
-	if s.told(fleet.Closed) != 1 {
+	if s.told(fleet.PolicyFenced) != 1 {
 		t.Fatal("not told")
 	}
-	s.order(fleet.Order{Kind: fleet.Open, Version: 2, Policy: &Policy{Version: 2, Facts: map[string]string{"group.0.timeout": "20000",
+	s.order(fleet.Order{Kind: fleet.OpenPolicy, Version: 2, Policy: &Policy{Version: 2, Facts: map[string]string{"group.0.timeout": "20000",
 		"group.0.value": "9", "group.0.target": "700", "threads": "2,3,2", "teams": "2", "team.0.name": "old", "team.1.name": "new", "team.1.quota": "7",
 		"group.0.effect": "mutating"}}})
 	if q := s.controller.queries[a.id]; q == nil || q.customer != 1 {
@@ -195,7 +195,7 @@
 	s.body = "insert into d_1.x select 1"
 	a := s.sendQuery(s.connect(), "load", "k", 9*time.Second, 1, "who", "bank")
 	q := s.controller.queries[a.id]
-	s.order(fleet.Order{Kind: fleet.Shut, Change: "c"}) // while it waits for a line
+	s.order(fleet.Order{Kind: fleet.FencePolicy, Change: "c"}) // while it waits for a line
 	s.runUntil(s.now + 300*time.Millisecond)
 	if len(s.controller.servingLease.blockedAttempts) != 1 {
 		t.Fatal("it doesn't wait")
@@ -204,7 +204,7 @@
 	if s.siteOf(q.attempts[0].engine) == "a" {
 		other = "b"
 	}
-	s.order(fleet.Order{Kind: fleet.Open, Version: 2, Policy: &Policy{Version: 2,
+	s.order(fleet.Order{Kind: fleet.OpenPolicy, Version: 2, Policy: &Policy{Version: 2,
 		Rules: []residency.Rule{{Name: "r", Team: "bank", Engines: []string{other}, Controllers: []string{"a"}}}}})
 	h := s.waitForCall("POST", a.id)
 	if h.engine.id == chosen || h.engine.site != other || !slices.Equal(s.versions, []uint64{2}) || s.controller.counters.attemptEnds[7] != 1 {
@@ -216,15 +216,15 @@
 // key overtakes them.
 func TestOnlyConfinedTenantsWaitForTheirLease(t *testing.T) {
 	s := withPeers(t, 1, nil, func(m *Config) { m.Fleet.Bound = func(_ string, tables int64) bool { return tables == 7 } })
-	s.order(fleet.Order{Kind: fleet.Open, Version: 1})
-	s.order(fleet.Order{Kind: fleet.Renewed, Until: fleet.Forever})
+	s.order(fleet.Order{Kind: fleet.OpenPolicy, Version: 1})
+	s.order(fleet.Order{Kind: fleet.LeaseRenewed, Until: fleet.Forever})
 	c := s.connect()
 	bound, free, behind := s.sendQuery(c, "load", "k", 9*time.Second, 7), s.sendQuery(c, "load", "x", 9*time.Second, 1), s.sendQuery(c, "load", "k", 9*time.Second, 2)
 	s.runUntil(time.Second)
 	if len(bound.runs)+len(behind.runs) > 0 || len(free.runs) != 1 {
 		t.Fatal(len(bound.runs), len(behind.runs), len(free.runs))
 	}
-	s.order(fleet.Order{Kind: fleet.Renewed, Until: fleet.Forever, UntilBound: s.now + time.Minute})
+	s.order(fleet.Order{Kind: fleet.LeaseRenewed, Until: fleet.Forever, UntilBound: s.now + time.Minute})
 	s.respond(s.waitForCall("POST", bound.id), "ok")
 	s.waitForCall("POST", behind.id)
 }
@@ -238,21 +238,21 @@
 		s.sendQuery(c, "lookup", "", 9*time.Second, 1)
 	}
 	s.reportsFull = true
-	s.order(fleet.Order{Kind: fleet.Shut, Change: "c"})
+	s.order(fleet.Order{Kind: fleet.FencePolicy, Change: "c"})
 	waits := s.controller.fairQueue.queue.Waiting()
 	s.runUntil(time.Second)
-	if s.controller.fairQueue.queue.Waiting() != waits || s.told(fleet.Closed) != 0 {
+	if s.controller.fairQueue.queue.Waiting() != waits || s.told(fleet.PolicyFenced) != 0 {
 		t.Fatal("it went on")
 	}
-	s.order(fleet.Order{Kind: fleet.Open, Version: 2, Policy: &Policy{Version: 2, Fair: &fairqueue.Config{Tenants: []fairqueue.Tenant{{Name: "b", Weight: 1}}}}})
-	s.order(fleet.Order{Kind: fleet.Drop, ID: "p", Scope: &fleet.Scope{Team: "a"}})
+	s.order(fleet.Order{Kind: fleet.OpenPolicy, Version: 2, Policy: &Policy{Version: 2, Fair: &fairqueue.Config{Tenants: []fairqueue.Tenant{{Name: "b", Weight: 1}}}}})
+	s.order(fleet.Order{Kind: fleet.InvalidateData, ID: "p", Scope: &fleet.Scope{Team: "a"}})
 	s.reportsFull, s.reports = false, nil
 	s.runUntil(s.now + 2*reportRetryInterval)
 	var kinds []fleet.ReportKind
 	for _, p := range s.reports {
 		kinds = append(kinds, p.Kind)
 	}
-	if !slices.Equal(kinds, []fleet.ReportKind{fleet.Closed, fleet.Opened, fleet.Unreached, fleet.Wiped}) {
+	if !slices.Equal(kinds, []fleet.ReportKind{fleet.PolicyFenced, fleet.PolicyOpened, fleet.DataTombstoned, fleet.DataErased}) {
 		t.Fatal(kinds)
 	}
 	s.step(Event{Kind: CountersRequested})
@@ -279,22 +279,22 @@
 		part := len(choices) / len(orders)
 		for i, o := range orders {
 			lease := func(d time.Duration) {
-				s.order(fleet.Order{Kind: fleet.Renewed, Until: s.now + d, UntilBound: s.now + d/2})
+				s.order(fleet.Order{Kind: fleet.LeaseRenewed, Until: s.now + d, UntilBound: s.now + d/2})
 			}
 			switch s.writeDelay = 0; o {
 			case 0, 1:
-				s.order(fleet.Order{Kind: fleet.Shut, Change: "c"})
+				s.order(fleet.Order{Kind: fleet.FencePolicy, Change: "c"})
 			case 2, 3:
 				version++
-				s.order(fleet.Order{Kind: fleet.Shut, Change: "c"})
+				s.order(fleet.Order{Kind: fleet.FencePolicy, Change: "c"})
 				before := len(s.versions)
 				s.runUntil(s.now + 20*time.Millisecond)
 				if len(s.versions) > before {
 					t.Fatalf("submitted while shut")
 				}
-				s.order(fleet.Order{Kind: fleet.Open, Version: version, Policy: &Policy{Facts: map[string]string{"threads": "2,2,2"}}})
+				s.order(fleet.Order{Kind: fleet.OpenPolicy, Version: version, Policy: &Policy{Facts: map[string]string{"threads": "2,2,2"}}})
 			case 4:
-				s.order(fleet.Order{Kind: fleet.Open, Version: version})
+				s.order(fleet.Order{Kind: fleet.OpenPolicy, Version: version})
 				lease(time.Minute)
 			case 5:
 				lease(100 * time.Millisecond)
@@ -343,7 +343,7 @@
 		one()
 		return testing.AllocsPerRun(100, one)
 	}
-	off, on := cost(), cost(func(m *Config) { m.Fleet = &FleetConfig{Word: &fleet.Word{}} })
+	off, on := cost(), cost(func(m *Config) { m.Fleet = &FleetConfig{Word: &fleet.ServingState{}} })
 	if on > off+1 { // the sites told each second
 		t.Fatalf("%v off, %v on", off, on)
 	}
--- a/internal/emulator/hollow/controller.go
+++ b/internal/emulator/hollow/controller.go
@@ -98,7 +98,7 @@
 		return nil
 	}
 	select {
-	case opened.Reports() <- fleet.Report{Kind: fleet.Sites, Sites: c.config.Sites}:
+	case opened.Reports() <- fleet.Report{Kind: fleet.SitesServing, Sites: c.config.Sites}:
 	case <-ctx.Done():
 	}
 	return nil
--- a/internal/emulator/hollow/hollow_test.go
+++ b/internal/emulator/hollow/hollow_test.go
@@ -129,11 +129,11 @@
 }
 
 // apply changes the policy and gives the version.
-func (p *play) apply(id string, base uint64) *fleet.Reply {
+func (p *play) apply(id string, base uint64) *fleet.Response {
 	p.t.Helper()
 	ctx, stop := context.WithTimeout(p.t.Context(), patience)
 	defer stop()
-	r, err := transport.AskControl(ctx, p.control, p.keys, &fleet.Ask{Kind: "apply", ID: id, Base: base, Policy: []byte("# " + id), Wait: 15000})
+	r, err := transport.AskControl(ctx, p.control, p.keys, &fleet.Request{Kind: "apply", ID: id, Base: base, Policy: []byte("# " + id), WaitMs: 15000})
 	if err != nil {
 		p.t.Fatal(err)
 	}
@@ -155,7 +155,7 @@
 func TestAChangeIsInForceOnAll(t *testing.T) {
 	t.Parallel()
 	p := begin(t, 1)
-	if r := p.apply("first", 1); r.Word != "in force" || r.Version != 2 {
+	if r := p.apply("first", 1); r.Outcome != "in force" || r.Version != 2 {
 		t.Fatalf("%+v", r)
 	}
 	e := p.until(p.allBy(2, 5))
@@ -178,7 +178,7 @@
 	if over := time.Unix(0, e.At).Sub(at); e.Why != "lease" || over > 1100*time.Millisecond {
 		t.Errorf("it served for %v more: %+v", over, e)
 	}
-	if r := p.apply("without it", 1); r.Word != "in force" {
+	if r := p.apply("without it", 1); r.Outcome != "in force" {
 		t.Fatalf("%+v", r)
 	}
 	p.do(Command{Do: Resume, Names: []string{"h4"}})
@@ -193,7 +193,7 @@
 	p := begin(t, 3)
 	p.do(Command{Do: Stop, Names: []string{"h1", "h3"}})
 	p.until(func(Event) bool { return len(p.serving) == 3 })
-	if r := p.apply("while two are down", 1); r.Word != "in force" {
+	if r := p.apply("while two are down", 1); r.Outcome != "in force" {
 		t.Fatalf("%+v", r)
 	}
 	p.do(Command{Do: Start})
--- a/internal/emulator/hollow/reducer.go
+++ b/internal/emulator/hollow/reducer.go
@@ -68,14 +68,14 @@
 	defer o.mu.Unlock()
 	now := time.Since(o.started)
 	switch order.Kind {
-	case fleet.Shut:
+	case fleet.FencePolicy:
 		o.stop(now, "shut")
 		o.version = 0
-	case fleet.Open:
+	case fleet.OpenPolicy:
 		o.stop(now, "shut")
 		o.version, o.policy = order.Version, digest(order.Policy)
 		o.begin(now)
-	case fleet.Renewed:
+	case fleet.LeaseRenewed:
 		o.stopLapsed(now)
 		o.until = order.Until
 		if o.until <= now {
--- a/internal/eventloop/fleet_test.go
+++ b/internal/eventloop/fleet_test.go
@@ -16,13 +16,13 @@
 
 // sends writes on a connection what a word guards, and tells what came out and which
 // events it led to.
-func sends(t *testing.T, started time.Time, by string, g guard, set func(*fleet.Word)) (string, []controller.EventKind) {
+func sends(t *testing.T, started time.Time, by string, g guard, set func(*fleet.ServingState)) (string, []controller.EventKind) {
 	t.Helper()
 	ours, theirs := pair(t)
 	defer theirs.Close()
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
-	word := &fleet.Word{}
+	word := &fleet.ServingState{}
 	if set != nil {
 		set(word)
 	}
@@ -52,7 +52,7 @@
 		}
 		break
 	}
-	if !word.Idle() {
+	if !word.WritesFinished() {
 		t.Fatal("the word is still held")
 	}
 	return <-read, kinds
@@ -62,13 +62,13 @@
 // knew: the process may have been stopped since.
 func TestTheWordIsAskedRightBeforeAWrite(t *testing.T) {
 	now := time.Now()
-	open := func(version uint64, until time.Duration) func(*fleet.Word) {
-		return func(w *fleet.Word) { w.Set(version); w.Lease(until, until) }
+	open := func(version uint64, until time.Duration) func(*fleet.ServingState) {
+		return func(w *fleet.ServingState) { w.SetVersion(version); w.SetLease(until, until) }
 	}
 	if out, kinds := sends(t, now, "by 7 ", guard{version: 7}, open(7, time.Hour)); out != "free by 7 free too" {
 		t.Fatal(out, kinds)
 	}
-	for what, set := range map[string]func(*fleet.Word){"another version": open(8, time.Hour), "shut": open(0, time.Hour), "no lease": open(7, 30*time.Second)} {
+	for what, set := range map[string]func(*fleet.ServingState){"another version": open(8, time.Hour), "shut": open(0, time.Hour), "no lease": open(7, 30*time.Second)} {
 		out, kinds := sends(t, now.Add(-time.Minute), "by 7 ", guard{version: 7}, set)
 		if want := "free "; out != want || len(kinds) != 3 || kinds[0] != controller.BytesWritten || kinds[1] != controller.WriteBarred {
 			t.Fatalf("%s: %q, %v", what, out, kinds)
@@ -79,10 +79,10 @@
 // What is kept goes out within the lease of bound teams, shut or not.
 func TestWhatIsKeptIsWrittenWithinTheLease(t *testing.T) {
 	now := time.Now()
-	if out, kinds := sends(t, now, "kept ", guard{kept: true}, func(w *fleet.Word) { w.Lease(time.Hour, time.Hour) }); out != "free kept free too" {
+	if out, kinds := sends(t, now, "kept ", guard{kept: true}, func(w *fleet.ServingState) { w.SetLease(time.Hour, time.Hour) }); out != "free kept free too" {
 		t.Fatal(out, kinds)
 	}
-	out, kinds := sends(t, now.Add(-time.Minute), "kept ", guard{kept: true}, func(w *fleet.Word) { w.Set(7); w.Lease(time.Hour, 30*time.Second) })
+	out, kinds := sends(t, now.Add(-time.Minute), "kept ", guard{kept: true}, func(w *fleet.ServingState) { w.SetVersion(7); w.SetLease(time.Hour, 30*time.Second) })
 	if out != "free " || len(kinds) != 3 || kinds[1] != controller.WriteBarred {
 		t.Fatalf("%q, %v", out, kinds)
 	}
@@ -98,24 +98,24 @@
 	ctx, stop := context.WithCancel(context.Background())
 	orders, reports, asked := make(chan fleet.Order), make(chan fleet.Report, 1), make(chan controller.Event)
 	done := make(chan error)
-	means := controller.Config{MemoryMB: 32, Sockets: 64, StartedAt: time.Now(), Fleet: &controller.FleetConfig{Word: &fleet.Word{}},
+	means := controller.Config{MemoryMB: 32, Sockets: 64, StartedAt: time.Now(), Fleet: &controller.FleetConfig{Word: &fleet.ServingState{}},
 		Settings: map[string]string{"locations": "here"}}
 	go func() { done <- Serve(ctx, listener, means, nil, FleetChannels{orders, reports}, asked, zerolog.Nop()) }()
-	orders <- fleet.Order{Kind: fleet.Renewed, Until: fleet.Forever, UntilBound: fleet.Forever}
+	orders <- fleet.Order{Kind: fleet.LeaseRenewed, Until: fleet.Forever, UntilBound: fleet.Forever}
 	for i := range 3 {
-		orders <- fleet.Order{Kind: fleet.Open, Version: uint64(i + 1)}
+		orders <- fleet.Order{Kind: fleet.OpenPolicy, Version: uint64(i + 1)}
 	}
 	for i := uint64(1); i <= 3; {
 		p := <-reports
-		if p.Kind == fleet.Sites {
+		if p.Kind == fleet.SitesServing {
 			continue
 		}
-		if p.Kind != fleet.Opened || p.Version != i {
+		if p.Kind != fleet.PolicyOpened || p.Version != i {
 			t.Fatalf("%+v, wanted version %d", p, i)
 		}
 		i++
 	}
-	if means.Fleet.Word.May(time.Minute, true) != 3 {
+	if means.Fleet.Word.ServingVersion(time.Minute, true) != 3 {
 		t.Fatal("the word doesn't hold")
 	}
 	stop()
--- a/internal/eventloop/run.go
+++ b/internal/eventloop/run.go
@@ -33,7 +33,7 @@
 	room   chan struct{}       // one a client's connection: there are never more than it holds
 	disk   *resultstore.Keeper // nil: there is no spool on disk
 	work   backlog
-	word   *fleet.Word // nil: there are no peers
+	word   *fleet.ServingState // nil: there are no peers
 	peers  FleetChannels
 	untold []*fleet.Report // found no room, for the reducer to keep
 }
--- a/internal/eventloop/wire.go
+++ b/internal/eventloop/wire.go
@@ -171,7 +171,7 @@
 			return
 		case len(p) > 0:
 			// an engine that has said something since was not asked for it, and it would pass for the answer
-			if !w.client && w.unheard.Load() || !g.permit.Holds(time.Since(l.start)) || g.kept && !l.word.Holds(time.Since(l.start)) || g.version != 0 && !l.mayWrite(g) {
+			if !w.client && w.unheard.Load() || !g.permit.Holds(time.Since(l.start)) || g.kept && !l.word.ConfinedLeaseHolds(time.Since(l.start)) || g.version != 0 && !l.mayWrite(g) {
 				l.tell(controller.WriteBarred, w, 0)
 				w.close() // nothing of it went out, and its end says so
 				return
@@ -202,11 +202,11 @@
 // mayWrite asks the fleet's word, by the clock as it is now: the process may have been
 // stopped since the controller asked. If it says yes, wrote must follow.
 func (l *loop) mayWrite(g guard) bool {
-	return l.word.Enter(time.Since(l.start), g.version, g.bound)
+	return l.word.BeginWrite(time.Since(l.start), g.version, g.bound)
 }
 
 // wrote ends what mayWrite began.
-func (l *loop) wrote() { l.word.Leave() }
+func (l *loop) wrote() { l.word.EndWrite() }
 
 func (w *wire) have(c net.Conn) {
 	w.mu.Lock()
--- a/internal/fleet/consensus/core_test.go
+++ b/internal/fleet/consensus/core_test.go
@@ -327,7 +327,7 @@
 		bad(func(b *Config) { b.Persistent.Entries = []LogEntry{{Index: 2, Term: 1}} }),
 		bad(func(b *Config) { b.Persistent.Snapshot = &Snapshot{Index: 3, Term: 1, VoterConfig: []byte("x")} }),
 	} {
-		if _, ok := err.(fleet.Remedied); !ok {
+		if _, ok := err.(fleet.ErrorWithRemedy); !ok {
 			t.Errorf("%d: %v", i, err)
 		}
 	}
--- a/internal/fleet/consensus/errors.go
+++ b/internal/fleet/consensus/errors.go
@@ -58,8 +58,8 @@
 }
 
 // Errors has a sample of each of this package's errors.
-func Errors() []fleet.Remedied {
-	return []fleet.Remedied{
+func Errors() []fleet.ErrorWithRemedy {
+	return []fleet.ErrorWithRemedy{
 		&TimeoutError{time.Second, time.Second}, &VoterNameError{"a", "b"}, &LogGapError{7}, &PersistentStateError{"term and vote can't be read"},
 	}
 }
--- a/internal/fleet/driver/driver.go
+++ b/internal/fleet/driver/driver.go
@@ -80,7 +80,7 @@
 type PolicyVerdict struct {
 	Reason       string // it can't be taken here
 	Policy       any
-	WatchedRules []fleet.Watched
+	WatchedRules []fleet.WatchedRule
 	// RulesUnknown: it leaves the placement rules to the controllers' own set-ups, which
 	// this process doesn't know.
 	ResidencyRulesUnknown bool
@@ -123,16 +123,16 @@
 	// than the changes since the last snapshot.
 	pendingChecks []policyCheck
 	policyContext PolicyContext
-	openRequests  map[uint64]chan *fleet.Reply // by handle
+	openRequests  map[uint64]chan *fleet.Response // by handle
 	lastHandle    uint64
 	timer         *time.Timer
-	storeFailure  fleet.Remedied // not nil: the store failed, and nothing is taken part in any more
+	storeFailure  fleet.ErrorWithRemedy // not nil: the store failed, and nothing is taken part in any more
 }
 
 // request is an operator's request that waits for its response.
 type request struct {
-	ask       *fleet.Ask
-	response  chan *fleet.Reply
+	ask       *fleet.Request
+	response  chan *fleet.Response
 	handle    chan uint64
 	abandoned *atomic.Bool // its caller has given up
 }
@@ -154,7 +154,7 @@
 		written:        make(chan error, 1),
 		checks:         make(chan policyCheck, maxQueuedChecks),
 		checked:        make(chan node.Event),
-		openRequests:   map[uint64]chan *fleet.Reply{},
+		openRequests:   map[uint64]chan *fleet.Response{},
 		coreEnded:      make(chan struct{}),
 	}
 }
@@ -176,8 +176,8 @@
 
 // Request has the fleet do what is asked, and waits for the outcome. If ctx ends first, or
 // too many wait, the outcome is that it isn't known yet.
-func (d *Driver) Request(ctx context.Context, ask *fleet.Ask) *fleet.Reply {
-	a := request{ask, make(chan *fleet.Reply, 1), make(chan uint64, 1), &atomic.Bool{}}
+func (d *Driver) Request(ctx context.Context, ask *fleet.Request) *fleet.Response {
+	a := request{ask, make(chan *fleet.Response, 1), make(chan uint64, 1), &atomic.Bool{}}
 	select {
 	case d.requests <- a:
 	default:
@@ -202,8 +202,8 @@
 }
 
 // unknownOutcome is the response to a request whose outcome isn't known yet.
-func unknownOutcome(id string, err fleet.Remedied) *fleet.Reply {
-	return &fleet.Reply{ID: id, Word: "unknown", Why: err.Error(), Remedy: err.Remedy()}
+func unknownOutcome(id string, err fleet.ErrorWithRemedy) *fleet.Response {
+	return &fleet.Response{ID: id, Outcome: "unknown", Reason: err.Error(), Remedy: err.Remedy()}
 }
 
 // run starts the goroutines of the core, the store and the policy checks, and waits for them.
@@ -402,21 +402,21 @@
 // queueOrder puts an order behind those that wait. A lease that nobody has looked at yet is
 // replaced by the next: it is never longer by that, and none waits behind a thousand.
 func (d *Driver) queueOrder(o fleet.Order) {
-	if n := len(d.pendingOrders); n > 0 && o.Kind == fleet.Renewed && d.pendingOrders[n-1].Kind == fleet.Renewed {
+	if n := len(d.pendingOrders); n > 0 && o.Kind == fleet.LeaseRenewed && d.pendingOrders[n-1].Kind == fleet.LeaseRenewed {
 		d.pendingOrders[n-1] = o
 		return
 	}
 	switch o.Kind {
-	case fleet.Open:
+	case fleet.OpenPolicy:
 		d.policyContext.Policy = o.Policy
-	case fleet.Pictured:
-		d.policyContext.Bindings = o.Picture.Bindings
+	case fleet.ViewChanged:
+		d.policyContext.Bindings = o.View.Bindings
 	}
 	d.pendingOrders = append(d.pendingOrders, o)
 }
 
 // copyForCaller copies of a response what the core goes on changing, for another goroutine.
-func (d *Driver) copyForCaller(r *fleet.Reply) *fleet.Reply {
+func (d *Driver) copyForCaller(r *fleet.Response) *fleet.Response {
 	if r.Status == nil {
 		return r
 	}
@@ -444,11 +444,11 @@
 
 // stopParticipating ends this controller's part: what isn't on disk must not be told to anybody, so
 // it votes, grants and serves no more until it is started again. It says so for good.
-func (d *Driver) stopParticipating(err fleet.Remedied) {
+func (d *Driver) stopParticipating(err fleet.ErrorWithRemedy) {
 	d.storeFailure = err
 	// a lease without an end wouldn't run out by itself
-	d.queueOrder(fleet.Order{Kind: fleet.Renewed})
-	d.queueOrder(fleet.Order{Kind: fleet.Shut, Change: "the disk"})
+	d.queueOrder(fleet.Order{Kind: fleet.LeaseRenewed})
+	d.queueOrder(fleet.Order{Kind: fleet.FencePolicy, Change: "the disk"})
 	for h, to := range d.openRequests {
 		delete(d.openRequests, h)
 		to <- d.failedOutcome("")
@@ -473,15 +473,15 @@
 
 // failedOutcome is the response of a controller whose disk has failed. Others may know more of
 // what was asked, so it is never that it won't be.
-func (d *Driver) failedOutcome(id string) *fleet.Reply {
+func (d *Driver) failedOutcome(id string) *fleet.Response {
 	r := unknownOutcome(id, d.storeFailure)
 	r.Status = d.addCounters(&fleet.Status{Name: d.name})
 	return r
 }
 
 // withRemedy makes sure that an operator is told what to do.
-func withRemedy(err error) fleet.Remedied {
-	if r, ok := err.(fleet.Remedied); ok {
+func withRemedy(err error) fleet.ErrorWithRemedy {
+	if r, ok := err.(fleet.ErrorWithRemedy); ok {
 		return r
 	}
 	return &WriteError{err}
--- a/internal/fleet/driver/driver_test.go
+++ b/internal/fleet/driver/driver_test.go
@@ -98,10 +98,10 @@
 	e, s, _ := play(t, func(ev node.Event) []node.Effect {
 		switch ev.Kind {
 		case node.MessageReceived:
-			return []node.Effect{{Kind: node.OrderController, Order: fleet.Order{Kind: fleet.Open, Policy: "now"}}, {Kind: node.Persist, Writes: &consensus.PersistentState{}}, {Kind: node.ValidatePolicy, ChangeID: "c1", PolicyText: []byte("x")}, {Kind: node.SetTimer}}
+			return []node.Effect{{Kind: node.OrderController, Order: fleet.Order{Kind: fleet.OpenPolicy, Policy: "now"}}, {Kind: node.Persist, Writes: &consensus.PersistentState{}}, {Kind: node.ValidatePolicy, ChangeID: "c1", PolicyText: []byte("x")}, {Kind: node.SetTimer}}
 		case node.OperatorRequested:
 			if ev.Ask.Kind == "status" {
-				return []node.Effect{{Kind: node.Respond, Handle: ev.Handle, Reply: &fleet.Reply{Word: "status", Status: &fleet.Status{}}}}
+				return []node.Effect{{Kind: node.Respond, Handle: ev.Handle, Reply: &fleet.Response{Outcome: "status", Status: &fleet.Status{}}}}
 			}
 		}
 		return nil
@@ -118,19 +118,19 @@
 	if !kinds[node.WritesPersisted] || !kinds[node.PolicyValidated] || !kinds[node.TimerFired] {
 		t.Fatal(kinds)
 	}
-	r := e.Request(context.Background(), &fleet.Ask{Kind: "status"})
+	r := e.Request(context.Background(), &fleet.Request{Kind: "status"})
 	if r.Status == nil || r.Status.Counts["wire_refused_stranger"] != 3 {
 		t.Fatalf("%+v", r)
 	}
 	ctx, stop := context.WithCancel(context.Background())
-	answer := make(chan *fleet.Reply)
-	go func() { answer <- e.Request(ctx, &fleet.Ask{Kind: "apply", ID: "a1"}) }()
+	answer := make(chan *fleet.Response)
+	go func() { answer <- e.Request(ctx, &fleet.Request{Kind: "apply", ID: "a1"}) }()
 	asked := s.saw(t, node.OperatorRequested)
 	for asked.Ask.Kind != "apply" {
 		asked = s.saw(t, node.OperatorRequested)
 	}
 	stop()
-	if r := <-answer; r.Word != "unknown" || r.Exit() != 4 || r.ID != "a1" || r.Remedy == "" {
+	if r := <-answer; r.Outcome != "unknown" || r.Exit() != 4 || r.ID != "a1" || r.Remedy == "" {
 		t.Fatalf("%+v", r)
 	}
 	if gone := s.saw(t, node.RequesterGone); gone.Handle != asked.Handle {
@@ -144,9 +144,9 @@
 	n := uint64(0)
 	e, s, _ := play(t, func(ev node.Event) []node.Effect {
 		n++
-		return []node.Effect{{Kind: node.OrderController, Order: fleet.Order{Kind: fleet.Renewed, Until: time.Duration(n)}},
-			{Kind: node.OrderController, Order: fleet.Order{Kind: fleet.Renewed, Until: time.Duration(n) + 1}},
-			{Kind: node.OrderController, Order: fleet.Order{Kind: fleet.Open, Version: n}}}
+		return []node.Effect{{Kind: node.OrderController, Order: fleet.Order{Kind: fleet.LeaseRenewed, Until: time.Duration(n)}},
+			{Kind: node.OrderController, Order: fleet.Order{Kind: fleet.LeaseRenewed, Until: time.Duration(n) + 1}},
+			{Kind: node.OrderController, Order: fleet.Order{Kind: fleet.OpenPolicy, Version: n}}}
 	}, nil)
 	for range maxPendingOrders {
 		e.receiveMessage(&node.Message{})
@@ -161,7 +161,7 @@
 	}
 	for i := uint64(1); i <= maxPendingOrders; i++ {
 		lease, open := <-e.Orders(), <-e.Orders()
-		if lease.Kind != fleet.Renewed || lease.Until != time.Duration(i)+1 || open.Kind != fleet.Open || open.Version != i {
+		if lease.Kind != fleet.LeaseRenewed || lease.Until != time.Duration(i)+1 || open.Kind != fleet.OpenPolicy || open.Version != i {
 			t.Fatal(i, lease, open)
 		}
 	}
@@ -178,28 +178,28 @@
 func TestADiskThatFails(t *testing.T) {
 	e, s, log := play(t, func(ev node.Event) []node.Effect {
 		if ev.Kind == node.MessageReceived {
-			return []node.Effect{{Kind: node.OrderController, Order: fleet.Order{Kind: fleet.Renewed, Until: fleet.Forever}}, {Kind: node.Persist, Writes: &consensus.PersistentState{}}}
+			return []node.Effect{{Kind: node.OrderController, Order: fleet.Order{Kind: fleet.LeaseRenewed, Until: fleet.Forever}}, {Kind: node.Persist, Writes: &consensus.PersistentState{}}}
 		}
 		return nil
 	}, errors.New("no space left on device"))
 	e.receiveMessage(&node.Message{})
 	s.saw(t, node.MessageReceived)
-	word := &fleet.Word{}
-	word.Set(1)
+	word := &fleet.ServingState{}
+	word.SetVersion(1)
 	for shut := false; !shut; {
 		switch o := <-e.Orders(); o.Kind {
-		case fleet.Renewed:
-			word.Lease(o.Until, o.UntilBound)
-		case fleet.Shut:
+		case fleet.LeaseRenewed:
+			word.SetLease(o.Until, o.UntilBound)
+		case fleet.FencePolicy:
 			shut = true
 		}
 	}
-	if word.May(time.Second, false) != 0 {
+	if word.ServingVersion(time.Second, false) != 0 {
 		t.Error("the lease stands")
 	}
 	for _, kind := range []string{"status", "apply"} {
-		r := e.Request(context.Background(), &fleet.Ask{Kind: kind, ID: "x"})
-		if r.Word != "unknown" || !strings.Contains(r.Why, "no space left") || r.Remedy == "" || r.Status == nil {
+		r := e.Request(context.Background(), &fleet.Request{Kind: kind, ID: "x"})
+		if r.Outcome != "unknown" || !strings.Contains(r.Reason, "no space left") || r.Remedy == "" || r.Status == nil {
 			t.Errorf("%+v", r)
 		}
 	}
@@ -219,7 +219,7 @@
 	const many = 3 * maxQueuedChecks
 	e, s, _ := play(t, func(ev node.Event) (l []node.Effect) {
 		if ev.Kind == node.MessageReceived {
-			l = append(l, node.Effect{Kind: node.OrderController, Order: fleet.Order{Kind: fleet.Open, Policy: "now"}})
+			l = append(l, node.Effect{Kind: node.OrderController, Order: fleet.Order{Kind: fleet.OpenPolicy, Policy: "now"}})
 			for range many {
 				l = append(l, node.Effect{Kind: node.ValidatePolicy, ChangeID: "c"})
 			}
--- a/internal/fleet/driver/errors.go
+++ b/internal/fleet/driver/errors.go
@@ -43,7 +43,7 @@
 }
 
 // Errors is one of each, for the test and the docs that walk all of them.
-func Errors() []fleet.Remedied {
-	return []fleet.Remedied{&WriteError{fmt.Errorf("no space left on device")}, &BusyError{}, &RequestTimeoutError{"apply", "a1"},
+func Errors() []fleet.ErrorWithRemedy {
+	return []fleet.ErrorWithRemedy{&WriteError{fmt.Errorf("no space left on device")}, &BusyError{}, &RequestTimeoutError{"apply", "a1"},
 		&ListenError{"peers", "10.0.0.1:7600", fmt.Errorf("address already in use")}}
 }
--- a/internal/fleet/driver/open.go
+++ b/internal/fleet/driver/open.go
@@ -162,7 +162,7 @@
 // serve begins to take in peers and operators for the driver.
 func (p *openedParts) serve(d *Driver, config *node.Config, keys transport.Keys) error {
 	o := p.options
-	onRefused := func(err fleet.Remedied, from string) {
+	onRefused := func(err fleet.ErrorWithRemedy, from string) {
 		o.Log.Log().Str("from", from).Str("error", err.Error()).Str("remedy", err.Remedy()).Msg("fleet: refused")
 	}
 	peers, err := transport.Open(transport.Options{
@@ -185,7 +185,7 @@
 	closers := []func() error{peers.Close, p.store.Close}
 	setKeys := []func(transport.Keys) error{peers.SetKeys}
 	if p.operators != nil {
-		request := func(ctx context.Context, a *fleet.Ask) (*fleet.Reply, error) { return d.Request(ctx, a), nil }
+		request := func(ctx context.Context, a *fleet.Request) (*fleet.Response, error) { return d.Request(ctx, a), nil }
 		control, err := transport.ServeControl(p.operators, keys, request, onRefused)
 		if err != nil {
 			return err
--- a/internal/fleet/encoding_keys_test.go
+++ b/internal/fleet/encoding_keys_test.go
@@ -7,6 +7,6 @@
 )
 
 func TestKeysAreExplicit(t *testing.T) {
-	goldentest.ExplicitKeys(t, goldentest.CBOR, Entry{}, Binding{}, Ask{})
-	goldentest.ExplicitKeys(t, goldentest.JSON, Ask{}, Reply{})
+	goldentest.ExplicitKeys(t, goldentest.CBOR, Entry{}, Binding{}, Request{})
+	goldentest.ExplicitKeys(t, goldentest.JSON, Request{}, Response{})
 }
--- a/internal/fleet/errors.go
+++ b/internal/fleet/errors.go
@@ -55,9 +55,9 @@
 }
 
 // Errors is one of each, for the test that walks all of them.
-func Errors() []Remedied {
+func Errors() []ErrorWithRemedy {
 	some := fmt.Errorf("some reason")
-	return []Remedied{&EntryError{1, some}, &SnapshotError{some}, &UnfitError{1, "why"}, &UnwantedError{"n1", "why"}, &RelayUnansweredError{"n1"}}
+	return []ErrorWithRemedy{&EntryError{1, some}, &SnapshotError{some}, &UnfitError{1, "why"}, &UnwantedError{"n1", "why"}, &RelayUnansweredError{"n1"}}
 }
 
 // RelayUnansweredError is a leader that doesn't answer a relay's gathers though it
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -9,69 +9,69 @@
 	"time"
 )
 
-// Remedied is an error of the fleet's parts: it says what an operator can do.
-type Remedied interface {
+// ErrorWithRemedy is an error of the fleet's parts: it says what an operator can do.
+type ErrorWithRemedy interface {
 	error
 	Remedy() string
 }
 
 // What an Entry decides.
 const (
-	Join        = "join"        // Member may hold leases from now on
-	Forget      = "forget"      // the disk of Name is destroyed: that name and disk never serve again
-	Propose     = "propose"     // a change of policy is under way: every controller checks it and keeps it
-	Close       = "close"       // all stop deciding by the version before it
-	Force       = "force"       // decided: all begin with the version after
-	Withdraw    = "withdraw"    // it never acts anywhere
-	Settle      = "settle"      // all that may serve serve by it: the operator is told
-	Purge       = "purge"       // what is kept of a team goes, on every controller
-	Unreachable = "unreachable" // no controller serves it any more
-	Erased      = "erased"      // gone from every memory and disk
-	Bind        = "bind"        // a load took bound tables into others: these are bound, too
-	Emergency   = "emergency"   // all inside a rule's sites is lost: its further sites are allowed
-	Calm        = "calm"        // the emergency ends; Scope: what crossed is purged outside
-	Finish      = "finish"      // what a tighter rule left outside has ended and is purged
+	EntryJoin             = "join"        // Member may hold leases from now on
+	EntryForget           = "forget"      // the disk of Name is destroyed: that name and disk never serve again
+	EntryPropose          = "propose"     // a change of policy is under way: every controller checks it and keeps it
+	EntryFence            = "close"       // all stop deciding by the version before it
+	EntryCommit           = "force"       // decided: all begin with the version after
+	EntryAbort            = "withdraw"    // it never acts anywhere
+	EntrySettle           = "settle"      // all that may serve serve by it: the operator is told
+	EntryInvalidate       = "purge"       // what is kept of a team goes, on every controller
+	EntryTombstone        = "unreachable" // no controller serves it any more
+	EntryErased           = "erased"      // gone from every memory and disk
+	EntryBind             = "bind"        // a load took bound tables into others: these are bound, too
+	EntryBeginEmergency   = "emergency"   // all inside a rule's sites is lost: its further sites are allowed
+	EntryEndEmergency     = "calm"        // the emergency ends; Scope: what crossed is purged outside
+	EntryFinishTightening = "finish"      // what a tighter rule left outside has ended and is purged
 )
 
 // Entry is one decision of the record. What a kind doesn't need is left out. ID is
 // what it is asked for again by: a second entry of a kind with the same ID changes nothing.
 type Entry struct {
-	Kind   string   `cbor:"1,keyasint"`
-	ID     string   `cbor:"2,keyasint,omitempty"`
-	By     string   `cbor:"3,keyasint,omitempty"` // an operator, a team, or the fleet itself
-	Name   string   `cbor:"4,keyasint,omitempty"` // of a controller (Join, Forget) or of a rule (Emergency, Calm)
-	Member *Member  `cbor:"5,keyasint,omitempty"`
-	Base   uint64   `cbor:"6,keyasint,omitempty"`  // Propose: the version it is made against
-	Policy []byte   `cbor:"7,keyasint,omitempty"`  // Propose: the file's text
-	AtMost int64    `cbor:"8,keyasint,omitempty"`  // Propose: milliseconds until it is withdrawn, 0: never
-	Why    string   `cbor:"9,keyasint,omitempty"`  // Withdraw
-	Scope  *Scope   `cbor:"10,keyasint,omitempty"` // Purge
-	Team   string   `cbor:"11,keyasint,omitempty"` // Bind
-	Tables []int64  `cbor:"12,keyasint,omitempty"` // Bind: bound from now on
-	From   []int64  `cbor:"13,keyasint,omitempty"` // Bind: whose boundary they follow
-	Counts *Counts  `cbor:"14,keyasint,omitempty"` // Erased
-	Wall   int64    `cbor:"15,keyasint,omitempty"` // when it was asked for, by the clock of who asked
-	Voters []string `cbor:"16,keyasint,omitempty"` // Close: who votes once it is in force, as name=address; empty: as before
-	Scopes []Scope  `cbor:"17,keyasint,omitempty"` // Close: what the policy leaves outside, to be purged once it is in force
+	Kind          string              `cbor:"1,keyasint"`
+	ID            string              `cbor:"2,keyasint,omitempty"`
+	RequestedBy   string              `cbor:"3,keyasint,omitempty"` // an operator, a team, or the fleet itself
+	Name          string              `cbor:"4,keyasint,omitempty"` // of a controller (Join, Forget) or of a rule (Emergency, Calm)
+	Member        *Member             `cbor:"5,keyasint,omitempty"`
+	Base          uint64              `cbor:"6,keyasint,omitempty"`  // Propose: the version it is made against
+	Policy        []byte              `cbor:"7,keyasint,omitempty"`  // Propose: the file's text
+	AbortAfterMs  int64               `cbor:"8,keyasint,omitempty"`  // Propose: milliseconds until it is withdrawn, 0: never
+	Reason        string              `cbor:"9,keyasint,omitempty"`  // Withdraw
+	Scope         *Scope              `cbor:"10,keyasint,omitempty"` // Purge
+	Team          string              `cbor:"11,keyasint,omitempty"` // Bind
+	Tables        []int64             `cbor:"12,keyasint,omitempty"` // Bind: bound from now on
+	From          []int64             `cbor:"13,keyasint,omitempty"` // Bind: whose boundary they follow
+	Counts        *InvalidationCounts `cbor:"14,keyasint,omitempty"` // Erased
+	RequestedAtMs int64               `cbor:"15,keyasint,omitempty"` // when it was asked for, by the clock of who asked
+	Voters        []string            `cbor:"16,keyasint,omitempty"` // Close: who votes once it is in force, as name=address; empty: as before
+	Scopes        []Scope             `cbor:"17,keyasint,omitempty"` // Close: what the policy leaves outside, to be purged once it is in force
 }
 
 // Scope is what of a team a purge means.
 type Scope struct {
-	Team    string   `cbor:"1,keyasint" json:"team"`
-	Tables  []int64  `cbor:"2,keyasint,omitempty" json:"tables,omitempty"`  // table groups, none: all
-	Before  int64    `cbor:"3,keyasint,omitempty" json:"before,omitempty"`  // wall time it was kept before, 0: whenever
-	Outside []string `cbor:"4,keyasint,omitempty" json:"outside,omitempty"` // only on controllers that are in none of these sites; none: on all
+	Team             string   `cbor:"1,keyasint" json:"team"`
+	Tables           []int64  `cbor:"2,keyasint,omitempty" json:"tables,omitempty"`  // table groups, none: all
+	RetainedBeforeMs int64    `cbor:"3,keyasint,omitempty" json:"before,omitempty"`  // wall time it was kept before, 0: whenever
+	OutsideSites     []string `cbor:"4,keyasint,omitempty" json:"outside,omitempty"` // only on controllers that are in none of these sites; none: on all
 }
 
-// Counts are what a purge found.
-type Counts struct {
+// InvalidationCounts are what a purge found.
+type InvalidationCounts struct {
 	Results int64 `cbor:"1,keyasint" json:"results"` // kept results
 	Answers int64 `cbor:"2,keyasint" json:"answers"` // cached answers
 	Bytes   int64 `cbor:"3,keyasint" json:"bytes"`
 }
 
 // Add adds what another controller found.
-func (c *Counts) Add(o Counts) {
+func (c *InvalidationCounts) Add(o InvalidationCounts) {
 	c.Results, c.Answers, c.Bytes = c.Results+o.Results, c.Answers+o.Answers, c.Bytes+o.Bytes
 }
 
@@ -88,74 +88,74 @@
 	Control bool `cbor:"7,keyasint,omitempty" json:"control,omitempty"`
 }
 
-// Word is what a query looks at: may this controller decide now, and by which version.
+// ServingState is what a query looks at: may this controller decide now, and by which version.
 // The reducer sets it; whoever writes a submission asks again right before. A controller
 // without peers has none.
-type Word struct {
-	version atomic.Uint64 // 0: closed
-	until   atomic.Int64  // when the lease ends
-	bound   atomic.Int64  // and that for bound teams
-	inside  atomic.Int64  // submissions being written
+type ServingState struct {
+	version          atomic.Uint64 // 0: closed
+	leaseEnd         atomic.Int64  // when the lease ends
+	confinedLeaseEnd atomic.Int64  // and that for bound teams
+	writesInProgress atomic.Int64  // submissions being written
 }
 
 // Forever is a lease without an end.
 const Forever = time.Duration(1<<63 - 1)
 
-// Set opens it by a version; 0 closes it.
-func (w *Word) Set(version uint64) { w.version.Store(version) }
+// SetVersion opens it by a version; 0 closes it.
+func (w *ServingState) SetVersion(version uint64) { w.version.Store(version) }
 
-// Lease says until when it holds, and until when for the queries of bound teams.
-func (w *Word) Lease(until, bound time.Duration) {
-	w.until.Store(int64(until))
-	w.bound.Store(int64(bound))
+// SetLease says until when it holds, and until when for the queries of bound teams.
+func (w *ServingState) SetLease(until, bound time.Duration) {
+	w.leaseEnd.Store(int64(until))
+	w.confinedLeaseEnd.Store(int64(bound))
 }
 
-// Until tells when the lease ends, and that for bound teams.
-func (w *Word) Until() (until, bound time.Duration) {
-	return time.Duration(w.until.Load()), time.Duration(w.bound.Load())
+// LeaseEnds tells when the lease ends, and that for bound teams.
+func (w *ServingState) LeaseEnds() (until, bound time.Duration) {
+	return time.Duration(w.leaseEnd.Load()), time.Duration(w.confinedLeaseEnd.Load())
 }
 
-// Holds tells whether the lease of bound teams does, whatever is decided by now: what
+// ConfinedLeaseHolds tells whether the lease of bound teams does, whatever is decided by now: what
 // is kept is served within it only.
-func (w *Word) Holds(now time.Duration) bool {
-	return now < time.Duration(w.until.Load()) && now < time.Duration(w.bound.Load())
+func (w *ServingState) ConfinedLeaseHolds(now time.Duration) bool {
+	return now < time.Duration(w.leaseEnd.Load()) && now < time.Duration(w.confinedLeaseEnd.Load())
 }
 
-// May tells the version to decide by, 0 if this controller may not decide.
-func (w *Word) May(now time.Duration, bound bool) uint64 {
-	if now >= time.Duration(w.until.Load()) || bound && now >= time.Duration(w.bound.Load()) {
+// ServingVersion tells the version to decide by, 0 if this controller may not decide.
+func (w *ServingState) ServingVersion(now time.Duration, bound bool) uint64 {
+	if now >= time.Duration(w.leaseEnd.Load()) || bound && now >= time.Duration(w.confinedLeaseEnd.Load()) {
 		return 0
 	}
 	return w.version.Load()
 }
 
-// Enter is asked right before a submission decided by a version is written. If it
+// BeginWrite is asked right before a submission decided by a version is written. If it
 // says yes, Leave must follow once it is written.
-func (w *Word) Enter(now time.Duration, version uint64, bound bool) bool {
-	w.inside.Add(1) // before the look: who closes it waits for those inside
-	if version == 0 || w.May(now, bound) != version {
-		w.inside.Add(-1)
+func (w *ServingState) BeginWrite(now time.Duration, version uint64, bound bool) bool {
+	w.writesInProgress.Add(1) // before the look: who closes it waits for those inside
+	if version == 0 || w.ServingVersion(now, bound) != version {
+		w.writesInProgress.Add(-1)
 		return false
 	}
 	return true
 }
 
-// Leave ends what Enter began.
-func (w *Word) Leave() { w.inside.Add(-1) }
+// EndWrite ends what Enter began.
+func (w *ServingState) EndWrite() { w.writesInProgress.Add(-1) }
 
-// Idle reports whether nothing is being written that was decided before it was closed.
-func (w *Word) Idle() bool { return w.inside.Load() == 0 }
+// WritesFinished reports whether nothing is being written that was decided before it was closed.
+func (w *ServingState) WritesFinished() bool { return w.writesInProgress.Load() == 0 }
 
 // OrderKind is what an Order asks the reducer for. Orders come in the order that the record has them.
 type OrderKind int
 
 const (
-	Shut     OrderKind = iota // stop deciding; report Closed with Change once nothing is being written
-	Open                      // decide by Version and Policy; report Opened
-	Renewed                   // the lease holds Until, for bound teams UntilBound
-	Drop                      // purge Scope: nothing of it that was asked for before Index comes out any more; report Unreached, then Wiped
-	Pictured                  // Picture holds from now on
-	Answered                  // what the reducer asked for by a Report came to Reply
+	FencePolicy     OrderKind = iota // stop deciding; report Closed with Change once nothing is being written
+	OpenPolicy                       // decide by Version and Policy; report Opened
+	LeaseRenewed                     // the lease holds Until, for bound teams UntilBound
+	InvalidateData                   // purge Scope: nothing of it that was asked for before Index comes out any more; report Unreached, then Wiped
+	ViewChanged                      // Picture holds from now on
+	RequestAnswered                  // what the reducer asked for by a Report came to Reply
 )
 
 // Order is one thing for the reducer. It goes through a bounded ring; a full ring makes
@@ -169,13 +169,13 @@
 	ID                string // Drop: of the purge; Answered: as in the Report
 	Scope             *Scope
 	Index             uint64 // Drop: its place in the record
-	Picture           *Picture
-	Reply             *Reply
+	View              *View
+	Response          *Response
 }
 
-// Picture is what of the record the reducer's own decisions need. It is never changed
+// View is what of the record the reducer's own decisions need. It is never changed
 // once it was handed out.
-type Picture struct {
+type View struct {
 	Index       uint64            // of the record: what is taken now is taken after it
 	Bindings    []Binding         // tables bound because a load took bound ones into them
 	Emergencies map[string]uint64 // rules whose further sites are allowed, with the place where that began
@@ -193,12 +193,12 @@
 type ReportKind int
 
 const (
-	Closed    ReportKind = iota // Change: nothing by the old version is being decided or written
-	Opened                      // Version, Outside as with Sites
-	Unreached                   // ID: a purge; nothing from before comes out any more
-	Wiped                       // ID: gone from memory and disk here, with Counts
-	Sites                       // Sites that have engines which serve, Outside: submissions of bound teams that run outside their sites
-	Wanted                      // Ask: answered by an Answered order with the same ID
+	PolicyFenced   ReportKind = iota // Change: nothing by the old version is being decided or written
+	PolicyOpened                     // Version, Outside as with Sites
+	DataTombstoned                   // ID: a purge; nothing from before comes out any more
+	DataErased                       // ID: gone from memory and disk here, with Counts
+	SitesServing                     // Sites that have engines which serve, Outside: submissions of bound teams that run outside their sites
+	RequestMade                      // Ask: answered by an Answered order with the same ID
 )
 
 // Report is one thing that the reducer tells. It goes through a bounded ring that the
@@ -209,48 +209,48 @@
 	ID      string
 	Change  string
 	Version uint64
-	Counts  Counts
+	Counts  InvalidationCounts
 	Sites   []string
 	Outside int
-	Ask     *Ask
+	Request *Request
 }
 
-// Ask is what an operator, a customer or the reducer wants of the fleet.
-type Ask struct {
-	Kind   string `json:"kind"` // "apply", "purge", "forget", "bind", "status", "policy"
-	ID     string `json:"id"`   // of the change or purge; drawn by who asks
-	By     string `json:"by,omitempty"`
-	Base   uint64 `json:"base,omitempty"`
-	Policy []byte `json:"policy,omitempty"`
-	Name   string `json:"name,omitempty"` // forget
-	Scope  *Scope `json:"scope,omitempty"`
-	Team   string `json:"team,omitempty"` // bind; purge and status by a customer: only its own runs are told of
+// Request is what an operator, a customer or the reducer wants of the fleet.
+type Request struct {
+	Kind        string `json:"kind"` // "apply", "purge", "forget", "bind", "status", "policy"
+	ID          string `json:"id"`   // of the change or purge; drawn by who asks
+	RequestedBy string `json:"by,omitempty"`
+	Base        uint64 `json:"base,omitempty"`
+	Policy      []byte `json:"policy,omitempty"`
+	Name        string `json:"name,omitempty"` // forget
+	Scope       *Scope `json:"scope,omitempty"`
+	Team        string `json:"team,omitempty"` // bind; purge and status by a customer: only its own runs are told of
 	// Tables are bound by a bind, From is what they follow.
-	Tables []int64 `json:"tables,omitempty"`
-	From   []int64 `json:"from,omitempty"`
-	AtMost int64   `json:"at_most_ms,omitempty"` // milliseconds: a change not in force by then is withdrawn
-	Wait   int64   `json:"wait_ms,omitempty"`    // milliseconds until the answer is "not known yet"
-	Until  string  `json:"until,omitempty"`      // the word waited for: "" the last one; purge: "unreachable"
+	Tables       []int64 `json:"tables,omitempty"`
+	From         []int64 `json:"from,omitempty"`
+	AbortAfterMs int64   `json:"at_most_ms,omitempty"` // milliseconds: a change not in force by then is withdrawn
+	WaitMs       int64   `json:"wait_ms,omitempty"`    // milliseconds until the answer is "not known yet"
+	AwaitedStage string  `json:"until,omitempty"`      // the word waited for: "" the last one; purge: "unreachable"
 }
 
-// Reply is the word on an Ask. Word is one of: in force, withdrawn, refused, settled,
+// Response is the word on an Ask. Word is one of: in force, withdrawn, refused, settled,
 // unreachable, purged, forgotten, bound, unknown (not known yet: ask again by id).
-type Reply struct {
-	ID          string   `json:"id"`
-	Word        string   `json:"word"`
-	Why         string   `json:"why,omitempty"`
-	Remedy      string   `json:"remedy,omitempty"`
-	Version     uint64   `json:"version,omitempty"`
-	Stage       string   `json:"stage,omitempty"` // how far a run has come: proposed, closing, decided, unreachable ...
-	Counts      *Counts  `json:"counts,omitempty"`
-	Outstanding []string `json:"outstanding,omitempty"` // controllers that are waited for, as far as is known here
-	Status      *Status  `json:"status,omitempty"`
-	Policy      []byte   `json:"policy,omitempty"` // to a "policy": the text in force, none while it is each set-up's own
+type Response struct {
+	ID          string              `json:"id"`
+	Outcome     string              `json:"word"`
+	Reason      string              `json:"why,omitempty"`
+	Remedy      string              `json:"remedy,omitempty"`
+	Version     uint64              `json:"version,omitempty"`
+	Stage       string              `json:"stage,omitempty"` // how far a run has come: proposed, closing, decided, unreachable ...
+	Counts      *InvalidationCounts `json:"counts,omitempty"`
+	Outstanding []string            `json:"outstanding,omitempty"` // controllers that are waited for, as far as is known here
+	Status      *Status             `json:"status,omitempty"`
+	Policy      []byte              `json:"policy,omitempty"` // to a "policy": the text in force, none while it is each set-up's own
 }
 
 // Exit is the status that scripts see: 0 done, 3 not done and never will be, 4 not known yet.
-func (r *Reply) Exit() int {
-	switch r.Word {
+func (r *Response) Exit() int {
+	switch r.Outcome {
 	case "unknown":
 		return 4
 	case "withdrawn", "refused":
@@ -267,9 +267,9 @@
 	Version     uint64         `json:"version"`
 	Serves      bool           `json:"serves"`
 	LeaseMS     int64          `json:"lease_ms"` // what is left of it; -1: without an end
-	Change      *Reply         `json:"change,omitempty"`
+	Change      *Response      `json:"change,omitempty"`
 	Members     []MemberStatus `json:"members"`
-	Purges      []Reply        `json:"purges,omitempty"`
+	Purges      []Response     `json:"purges,omitempty"`
 	Emergencies []string       `json:"emergencies,omitempty"`
 	Bindings    []Binding      `json:"bindings,omitempty"`
 	Counts      map[string]int `json:"counts,omitempty"` // what was refused on the peers' wire, and such
@@ -283,8 +283,8 @@
 	Applied uint64  `json:"applied,omitempty"`
 }
 
-// Watched is a placement rule that names further sites for the loss of all inside.
-type Watched struct {
+// WatchedRule is a placement rule that names further sites for the loss of all inside.
+type WatchedRule struct {
 	Rule   string
 	Team   string
 	Inside []string
--- a/internal/fleet/golden_test.go
+++ b/internal/fleet/golden_test.go
@@ -28,9 +28,9 @@
 		name      string
 		want, got any
 	}{
-		{"ask.json", &goldenAsk, &Ask{}},
-		{"reply.json", &goldenReply, &Reply{}},
-		{"reply_empty.json", &goldenEmptyReply, &Reply{}},
+		{"ask.json", &goldenAsk, &Request{}},
+		{"reply.json", &goldenReply, &Response{}},
+		{"reply_empty.json", &goldenEmptyReply, &Response{}},
 	} {
 		if err := json.Unmarshal(goldentest.File(t, c.name), c.got); err != nil {
 			t.Fatal(c.name, err)
--- a/internal/fleet/golden_values_test.go
+++ b/internal/fleet/golden_values_test.go
@@ -1,27 +1,27 @@
 package fleet
 
 // goldenAsk has every field set.
-var goldenAsk = Ask{
-	Kind: "apply", ID: "ask-1", By: "operator@host", Base: 1, Policy: []byte("groups: []\n"), Name: "south-1",
-	Scope: &Scope{Team: "team-a", Tables: []int64{1, -2}, Before: 2, Outside: []string{"north"}},
-	Team:  "team-b", Tables: []int64{3, 4}, From: []int64{5}, AtMost: 6, Wait: 7, Until: "settled",
+var goldenAsk = Request{
+	Kind: "apply", ID: "ask-1", RequestedBy: "operator@host", Base: 1, Policy: []byte("groups: []\n"), Name: "south-1",
+	Scope: &Scope{Team: "team-a", Tables: []int64{1, -2}, RetainedBeforeMs: 2, OutsideSites: []string{"north"}},
+	Team:  "team-b", Tables: []int64{3, 4}, From: []int64{5}, AbortAfterMs: 6, WaitMs: 7, AwaitedStage: "settled",
 }
 
 // goldenReply has every field set, also those of what it holds.
-var goldenReply = Reply{
-	ID: "ask-1", Word: "in force", Why: "a <reason> & more", Remedy: "a remedy", Version: 11, Stage: "decided",
-	Counts:      &Counts{Results: 12, Answers: 13, Bytes: 14},
+var goldenReply = Response{
+	ID: "ask-1", Outcome: "in force", Reason: "a <reason> & more", Remedy: "a remedy", Version: 11, Stage: "decided",
+	Counts:      &InvalidationCounts{Results: 12, Answers: 13, Bytes: 14},
 	Outstanding: []string{"south-1", "south-2"},
 	Status: &Status{
 		Name: "north-1", Leader: "north-2", Index: 15, Version: 16, Serves: true, LeaseMS: -1,
-		Change: &Reply{ID: "change-1", Word: "unknown", Stage: "closing", Outstanding: []string{"south-1"}},
+		Change: &Response{ID: "change-1", Outcome: "unknown", Stage: "closing", Outstanding: []string{"south-1"}},
 		Members: []MemberStatus{
 			{Member: Member{Name: "north-1", Disk: "disk-1", Site: "north", Peer: "10.0.0.1:7000", Clients: "10.0.0.1:6000",
 				Forgotten: true, Control: true}, Votes: true, Holds: HoldingLease, Applied: 17},
 			{Member: Member{Name: "south-1", Disk: "disk-2", Peer: "10.0.0.2:7000"}, Holds: HoldingNone},
 			{Member: Member{Name: "south-2", Disk: "disk-3", Peer: "10.0.0.3:7000"}, Holds: HoldingUnknown},
 		},
-		Purges:      []Reply{{ID: "purge-1", Word: "purged", Counts: &Counts{Results: 18}}},
+		Purges:      []Response{{ID: "purge-1", Outcome: "purged", Counts: &InvalidationCounts{Results: 18}}},
 		Emergencies: []string{"rule-1"},
 		Bindings:    []Binding{{Team: "team-b", Tables: []int64{3, 4}, From: []int64{5}}},
 		Counts:      map[string]int{"asks": 19, "refused_replay": 20},
@@ -30,4 +30,4 @@
 }
 
 // goldenEmptyReply shows which fields stand there without a value.
-var goldenEmptyReply = Reply{Status: &Status{Change: &Reply{Counts: &Counts{}}, Members: []MemberStatus{{}}, Bindings: []Binding{{}}}}
+var goldenEmptyReply = Response{Status: &Status{Change: &Response{Counts: &InvalidationCounts{}}, Members: []MemberStatus{{}}, Bindings: []Binding{{}}}}
--- a/internal/fleet/node/cluster_test.go
+++ b/internal/fleet/node/cluster_test.go
@@ -25,7 +25,7 @@
 	messagesSent    int
 	eventsScheduled int
 	cutLinks        map[string]bool // "a>b"
-	replies         map[string][]*fleet.Reply
+	replies         map[string][]*fleet.Response
 	lose            func(from, to string, m *Message) bool // nil: none but those that are cut
 	seen            func(from, to string, m *Message)
 }
@@ -63,7 +63,7 @@
 	starts         int
 	disk           consensus.PersistentState
 	timerAt        time.Duration
-	permit         fleet.Word
+	permit         fleet.ServingState
 	orders         []fleet.Order
 	validations    []string // "asked ID" and "done ID", in order
 	neverValidates string   // a change whose validation never ends
@@ -87,7 +87,7 @@
 
 func newEmptyTestCluster(t *testing.T, seed uint64) *testCluster {
 	return &testCluster{t: t, rand: rand.New(rand.NewPCG(seed, 1)), controllers: map[string]*testController{},
-		cutLinks: map[string]bool{}, replies: map[string][]*fleet.Reply{}}
+		cutLinks: map[string]bool{}, replies: map[string][]*fleet.Response{}}
 }
 
 func votersNamed(n int) (l []consensus.Voter) {
@@ -117,7 +117,7 @@
 	a.run = a.starts
 	a.config.Incarnation = uint64(a.starts)
 	a.config.Persisted = a.disk
-	a.permit, a.validations = fleet.Word{}, nil
+	a.permit, a.validations = fleet.ServingState{}, nil
 	core, effects, err := New(a.config)
 	if err != nil {
 		a.t.Fatal(err)
@@ -133,7 +133,7 @@
 }
 
 // request has an operator request something of a controller.
-func (a *testController) request(handle uint64, ask *fleet.Ask) {
+func (a *testController) request(handle uint64, ask *fleet.Request) {
 	a.step(Event{Kind: OperatorRequested, Handle: handle, Ask: ask})
 }
 
@@ -198,19 +198,19 @@
 
 func (a *testController) performOrder(o fleet.Order) {
 	switch o.Kind {
-	case fleet.Shut:
-		a.permit.Set(0)
-		a.step(Event{Kind: ControllerReported, Report: fleet.Report{Kind: fleet.Closed, Change: o.Change}})
-	case fleet.Open:
-		a.permit.Set(o.Version)
-		a.step(Event{Kind: ControllerReported, Report: fleet.Report{Kind: fleet.Opened, Version: o.Version,
+	case fleet.FencePolicy:
+		a.permit.SetVersion(0)
+		a.step(Event{Kind: ControllerReported, Report: fleet.Report{Kind: fleet.PolicyFenced, Change: o.Change}})
+	case fleet.OpenPolicy:
+		a.permit.SetVersion(o.Version)
+		a.step(Event{Kind: ControllerReported, Report: fleet.Report{Kind: fleet.PolicyOpened, Version: o.Version,
 			Outside: a.outsideAtOpen}})
-	case fleet.Renewed:
-		a.permit.Lease(o.Until, o.UntilBound)
-	case fleet.Drop:
-		a.step(Event{Kind: ControllerReported, Report: fleet.Report{Kind: fleet.Unreached, ID: o.ID}})
-		a.step(Event{Kind: ControllerReported, Report: fleet.Report{Kind: fleet.Wiped, ID: o.ID,
-			Counts: fleet.Counts{Results: 1}}})
+	case fleet.LeaseRenewed:
+		a.permit.SetLease(o.Until, o.UntilBound)
+	case fleet.InvalidateData:
+		a.step(Event{Kind: ControllerReported, Report: fleet.Report{Kind: fleet.DataTombstoned, ID: o.ID}})
+		a.step(Event{Kind: ControllerReported, Report: fleet.Report{Kind: fleet.DataErased, ID: o.ID,
+			Counts: fleet.InvalidationCounts{Results: 1}}})
 	}
 }
 
@@ -248,7 +248,7 @@
 				a := s.controllers[n]
 				st := a.core.Status()
 				s.t.Logf("%s run %d leader %s index %d version %d serves %v word %d change %+v", n, a.run, st.Leader,
-					st.Index, st.Version, st.Serves, a.permit.May(s.now, false), st.Change)
+					st.Index, st.Version, st.Serves, a.permit.ServingVersion(s.now, false), st.Change)
 			}
 			s.t.Fatalf("not within %v: %s", within, what)
 		}
@@ -271,7 +271,7 @@
 
 func (s *testCluster) allServe(names ...string) bool {
 	for _, n := range names {
-		if a := s.controllers[n]; a.run == 0 || a.permit.May(s.now, false) == 0 {
+		if a := s.controllers[n]; a.run == 0 || a.permit.ServingVersion(s.now, false) == 0 {
 			return false
 		}
 	}
@@ -287,7 +287,7 @@
 	return nil
 }
 
-func (s *testCluster) replyTo(a *testController, handle uint64) *fleet.Reply {
+func (s *testCluster) replyTo(a *testController, handle uint64) *fleet.Response {
 	if l := s.replies[fmt.Sprintf("%s %d", a.name, handle)]; len(l) > 0 {
 		return l[0]
 	}
--- a/internal/fleet/node/configuration_change.go
+++ b/internal/fleet/node/configuration_change.go
@@ -70,7 +70,7 @@
 	}
 	if len(waiting) == 0 && validated {
 		c.proposeOnce("close "+id, &fleet.Entry{
-			Kind:   fleet.Close,
+			Kind:   fleet.EntryFence,
 			ID:     id,
 			Scopes: own.purgeScopes,
 			Voters: own.voters,
@@ -89,7 +89,7 @@
 		return
 	}
 	if len(waiting) == 0 { // fenced everywhere
-		c.proposeOnce("force "+change.ID, &fleet.Entry{Kind: fleet.Force, ID: change.ID})
+		c.proposeOnce("force "+change.ID, &fleet.Entry{Kind: fleet.EntryCommit, ID: change.ID})
 	}
 	c.setWaitingFor(change.ID, waiting)
 }
@@ -101,14 +101,14 @@
 		return r.PolicyVersion >= change.Version || r.ValidationResults[change.ID] != ""
 	})
 	if len(waiting) == 0 {
-		c.proposeOnce("settle "+change.ID, &fleet.Entry{Kind: fleet.Settle, ID: change.ID})
+		c.proposeOnce("settle "+change.ID, &fleet.Entry{Kind: fleet.EntrySettle, ID: change.ID})
 	}
 	c.setWaitingFor(change.ID, waiting)
 }
 
 // abort ends a change that isn't committed: it is never decided by anywhere.
 func (c *Core) abort(change *statemachine.PolicyChange, reason string) {
-	c.proposeOnce("withdraw "+change.ID, &fleet.Entry{Kind: fleet.Withdraw, ID: change.ID, Why: reason})
+	c.proposeOnce("withdraw "+change.ID, &fleet.Entry{Kind: fleet.EntryAbort, ID: change.ID, Reason: reason})
 }
 
 // isLate reports whether a change's timeout has passed since this leader has known of it.
@@ -130,14 +130,14 @@
 		}
 		erased := true
 		for _, run := range c.state.Purges {
-			erased = erased && (run.PartOf != id || run.Stage == fleet.Erased)
+			erased = erased && (run.PartOf != id || run.Stage == fleet.EntryErased)
 		}
 		waiting := c.unconfirmedHolders(c.config.Lease, func(r *LeaseRenewal) bool {
 			return r.PolicyVersion >= change.Version && r.AttemptsOutside == 0
 		})
 		c.setWaitingFor(id, waiting)
 		if erased && len(waiting) == 0 {
-			c.proposeOnce("finish "+id, &fleet.Entry{Kind: fleet.Finish, ID: id})
+			c.proposeOnce("finish "+id, &fleet.Entry{Kind: fleet.EntryFinishTightening, ID: id})
 		}
 	}
 }
--- a/internal/fleet/node/controller_orders.go
+++ b/internal/fleet/node/controller_orders.go
@@ -34,8 +34,8 @@
 	// Invalidations, each by its ID.
 	viewIndex            uint64 // of the state that it was shown last, 0: none was
 	invalidationsOrdered map[string]bool
-	tombstoned           map[string]bool         // their results no longer come out here
-	erased               map[string]fleet.Counts // gone from memory and disk here
+	tombstoned           map[string]bool                     // their results no longer come out here
+	erased               map[string]fleet.InvalidationCounts // gone from memory and disk here
 
 	// The engines that it sees.
 	servingSites    []string // zones with engines that serve
@@ -48,7 +48,7 @@
 		validations:          map[string]*validation{},
 		invalidationsOrdered: map[string]bool{},
 		tombstoned:           map[string]bool{},
-		erased:               map[string]fleet.Counts{},
+		erased:               map[string]fleet.InvalidationCounts{},
 	}
 }
 
@@ -91,7 +91,7 @@
 	c.fenceOrderedFor = change
 	c.orderedVersion = 0
 	c.servedVersion = 0
-	c.orderController(fleet.Order{Kind: fleet.Shut, Change: change})
+	c.orderController(fleet.Order{Kind: fleet.FencePolicy, Change: change})
 }
 
 // orderOpen has the request side decide by the committed policy.
@@ -102,7 +102,7 @@
 	c.fenceConfirmedFor = ""
 	maps.DeleteFunc(c.policies, func(v uint64, _ *validatedPolicy) bool { return v < c.orderedVersion })
 	maps.DeleteFunc(c.validations, func(_ string, v *validation) bool { return v.version < c.orderedVersion })
-	c.orderController(fleet.Order{Kind: fleet.Open, Version: c.orderedVersion, Policy: committed.policy})
+	c.orderController(fleet.Order{Kind: fleet.OpenPolicy, Version: c.orderedVersion, Policy: committed.policy})
 }
 
 // orderInvalidations orders each invalidation once, and shows the state that it is part of.
@@ -123,14 +123,14 @@
 // orderView shows the request side the state.
 func (c *Core) orderView() {
 	c.viewIndex = max(1, c.state.Index)
-	c.orderController(fleet.Order{Kind: fleet.Pictured, Picture: c.state.Picture()})
+	c.orderController(fleet.Order{Kind: fleet.ViewChanged, View: c.state.Picture()})
 }
 
 // orderInvalidation orders an invalidation once. One that doesn't concern this
 // controller's zone is reported as done: nothing of it is here.
 func (c *Core) orderInvalidation(run *statemachine.PurgeRun) {
 	ordered := c.invalidationsOrdered[run.ID]
-	if run.Stage == fleet.Erased {
+	if run.Stage == fleet.EntryErased {
 		if ordered {
 			delete(c.tombstoned, run.ID)
 			delete(c.erased, run.ID)
@@ -141,49 +141,49 @@
 		return
 	}
 	c.invalidationsOrdered[run.ID] = true
-	if slices.Contains(run.Scope.Outside, c.config.Self.Site) {
+	if slices.Contains(run.Scope.OutsideSites, c.config.Self.Site) {
 		c.tombstoned[run.ID] = true
-		c.erased[run.ID] = fleet.Counts{}
+		c.erased[run.ID] = fleet.InvalidationCounts{}
 		c.unreported = true
 		return
 	}
 	scope := run.Scope
-	c.orderController(fleet.Order{Kind: fleet.Drop, ID: run.ID, Scope: &scope, Index: run.LogIndex})
+	c.orderController(fleet.Order{Kind: fleet.InvalidateData, ID: run.ID, Scope: &scope, Index: run.LogIndex})
 }
 
 // controllerReported takes a report of the request side. What is new to the leader is
 // reported by a renewal at once.
 func (c *Core) controllerReported(r fleet.Report) {
 	switch r.Kind {
-	case fleet.Closed:
+	case fleet.PolicyFenced:
 		if r.Change == c.fenceOrderedFor {
 			c.fenceConfirmedFor = r.Change
 			c.unreported = true
 		}
-	case fleet.Opened:
+	case fleet.PolicyOpened:
 		if r.Version == c.orderedVersion {
 			c.servedVersion = r.Version
 			c.attemptsOutside = r.Outside // by this version: the figure of the one before is of no use
 			c.unreported = true
 		}
-	case fleet.Unreached:
+	case fleet.DataTombstoned:
 		c.unreported = c.unreported || !c.tombstoned[r.ID]
 		c.tombstoned[r.ID] = true
-	case fleet.Wiped:
+	case fleet.DataErased:
 		if _, had := c.erased[r.ID]; !had {
 			c.erased[r.ID] = r.Counts
 			c.unreported = true
 		}
-	case fleet.Sites:
+	case fleet.SitesServing:
 		anyOutsideChanged := (c.attemptsOutside == 0) != (r.Outside == 0)
 		if anyOutsideChanged || !slices.Equal(c.servingSites, r.Sites) {
 			c.unreported = true
 		}
 		c.servingSites = r.Sites
 		c.attemptsOutside = r.Outside
-	case fleet.Wanted:
-		if r.Ask != nil {
-			c.operatorRequested(r.Ask, 0)
+	case fleet.RequestMade:
+		if r.Request != nil {
+			c.operatorRequested(r.Request, 0)
 		}
 	}
 }
--- a/internal/fleet/node/effects.go
+++ b/internal/fleet/node/effects.go
@@ -48,11 +48,11 @@
 	Order fleet.Order
 
 	Handle uint64
-	Reply  *fleet.Reply
+	Reply  *fleet.Response
 
 	Delay time.Duration
 
 	Loud    bool
 	LogText string
-	Err     fleet.Remedied
+	Err     fleet.ErrorWithRemedy
 }
--- a/internal/fleet/node/emergency.go
+++ b/internal/fleet/node/emergency.go
@@ -16,7 +16,7 @@
 
 // watchRule begins an emergency once no controller sees an engine in any of a residency
 // rule's zones for as long as the rule says, and ends it once one is seen for as long.
-func (c *Core) watchRule(w fleet.Watched) {
+func (c *Core) watchRule(w fleet.WatchedRule) {
 	reports, inside := c.zoneReports(w.Inside)
 	if reports == 0 {
 		delete(c.lostSince, w.Rule)
@@ -36,10 +36,10 @@
 		return
 	}
 	if inside {
-		scope := &fleet.Scope{Team: w.Team, Outside: w.Inside}
-		c.proposeOnce("calm "+w.Rule, &fleet.Entry{Kind: fleet.Calm, Name: w.Rule, Scope: scope})
+		scope := &fleet.Scope{Team: w.Team, OutsideSites: w.Inside}
+		c.proposeOnce("calm "+w.Rule, &fleet.Entry{Kind: fleet.EntryEndEmergency, Name: w.Rule, Scope: scope})
 	} else {
-		c.proposeOnce("emergency "+w.Rule, &fleet.Entry{Kind: fleet.Emergency, Name: w.Rule})
+		c.proposeOnce("emergency "+w.Rule, &fleet.Entry{Kind: fleet.EntryBeginEmergency, Name: w.Rule})
 	}
 }
 
@@ -70,8 +70,8 @@
 	}
 	watched := c.watchedRules()
 	for _, name := range sorted(c.state.Emergencies) {
-		if !slices.ContainsFunc(watched, func(w fleet.Watched) bool { return w.Rule == name }) {
-			c.proposeOnce("calm "+name, &fleet.Entry{Kind: fleet.Calm, Name: name})
+		if !slices.ContainsFunc(watched, func(w fleet.WatchedRule) bool { return w.Rule == name }) {
+			c.proposeOnce("calm "+name, &fleet.Entry{Kind: fleet.EntryEndEmergency, Name: name})
 		}
 	}
 }
--- a/internal/fleet/node/events.go
+++ b/internal/fleet/node/events.go
@@ -35,7 +35,7 @@
 	ChangeID     string
 	Reason       string
 	Policy       any
-	WatchedRules []fleet.Watched
+	WatchedRules []fleet.WatchedRule
 	// ResidencyRulesUnknown: the rules in force by this policy are those of the
 	// controllers' own set-ups, and this process doesn't know them.
 	ResidencyRulesUnknown bool
@@ -46,6 +46,6 @@
 
 	Report fleet.Report
 
-	Ask    *fleet.Ask
+	Ask    *fleet.Request
 	Handle uint64
 }
--- a/internal/fleet/node/invalidation.go
+++ b/internal/fleet/node/invalidation.go
@@ -22,13 +22,13 @@
 			return slices.Contains(r.Tombstoned, run.ID)
 		})
 		if len(waiting) == 0 {
-			c.proposeOnce("unreachable "+run.ID, &fleet.Entry{Kind: fleet.Unreachable, ID: run.ID})
+			c.proposeOnce("unreachable "+run.ID, &fleet.Entry{Kind: fleet.EntryTombstone, ID: run.ID})
 		}
 		c.setWaitingFor(run.ID, waiting)
-	case fleet.Unreachable:
+	case fleet.EntryTombstone:
 		erased, waiting := c.erasureOutstanding(run.ID)
 		if len(waiting) == 0 {
-			c.proposeOnce("erased "+run.ID, &fleet.Entry{Kind: fleet.Erased, ID: run.ID, Counts: &erased})
+			c.proposeOnce("erased "+run.ID, &fleet.Entry{Kind: fleet.EntryErased, ID: run.ID, Counts: &erased})
 		}
 		c.setWaitingFor(run.ID, waiting)
 	}
@@ -38,7 +38,7 @@
 // invalidation, and names those that haven't confirmed it, controllers that are down
 // included. A forgotten one is no longer a member, since its disk is destroyed. A control
 // process, which keeps no results, is not waited for.
-func (c *Core) erasureOutstanding(id string) (sum fleet.Counts, awaited []string) {
+func (c *Core) erasureOutstanding(id string) (sum fleet.InvalidationCounts, awaited []string) {
 	for _, name := range c.memberNames() {
 		if c.state.Members[name].Control {
 			continue
--- a/internal/fleet/node/lease.go
+++ b/internal/fleet/node/lease.go
@@ -196,7 +196,7 @@
 	c.leaseUntil = until
 	c.confinedLeaseUntil = confinedUntil
 	c.orderOutstanding() // before the lease: what is forbidden by now must be known first
-	c.orderController(fleet.Order{Kind: fleet.Renewed, Until: until, UntilBound: confinedUntil})
+	c.orderController(fleet.Order{Kind: fleet.LeaseRenewed, Until: until, UntilBound: confinedUntil})
 }
 
 // leaseEnd is when a lease ends that was asked for at a time.
@@ -223,5 +223,5 @@
 	c.pendingLeases = nil
 	c.leaseUntil = 0
 	c.confinedLeaseUntil = 0
-	c.orderController(fleet.Order{Kind: fleet.Renewed})
+	c.orderController(fleet.Order{Kind: fleet.LeaseRenewed})
 }
--- a/internal/fleet/node/lease_granting.go
+++ b/internal/fleet/node/lease_granting.go
@@ -120,7 +120,7 @@
 		member.Control = false // as the log has it, for good
 	}
 	if logged == nil || *logged != member {
-		c.proposeOnce("join "+name, &fleet.Entry{Kind: fleet.Join, ID: name, Name: name, Member: &member})
+		c.proposeOnce("join "+name, &fleet.Entry{Kind: fleet.EntryJoin, ID: name, Name: name, Member: &member})
 	}
 	// Changes don't wait for a control process: one that takes queries by now must be in
 	// the log as what it is before it holds a lease.
--- a/internal/fleet/node/messages.go
+++ b/internal/fleet/node/messages.go
@@ -23,7 +23,7 @@
 
 	// Ask is forwarded to the leader, which logs it. The outcome is read from the log,
 	// so there is no answer; a lost one is forwarded again after forwardInterval.
-	Ask *fleet.Ask `cbor:"Ask,omitempty"`
+	Ask *fleet.Request `cbor:"Ask,omitempty"`
 
 	LogRequest *LogRequest `cbor:"Lacks,omitempty"`
 
@@ -49,10 +49,10 @@
 	// served by, "" if it can.
 	ValidationResults map[string]string `cbor:"Ready,omitempty"`
 	// FencedFor is the configuration change that it decides nothing for any more.
-	FencedFor    string                  `cbor:"Closed,omitempty"`
-	Tombstoned   []string                `cbor:"Unreached,omitempty"` // invalidations tombstoned here
-	Erased       map[string]fleet.Counts `cbor:"Wiped,omitempty"`     // invalidations erased here
-	ServingSites []string                `cbor:"Sites,omitempty"`     // zones with engines that serve
+	FencedFor    string                              `cbor:"Closed,omitempty"`
+	Tombstoned   []string                            `cbor:"Unreached,omitempty"` // invalidations tombstoned here
+	Erased       map[string]fleet.InvalidationCounts `cbor:"Wiped,omitempty"`     // invalidations erased here
+	ServingSites []string                            `cbor:"Sites,omitempty"`     // zones with engines that serve
 	// AttemptsOutside counts attempts of confined tenants outside their zones.
 	AttemptsOutside int `cbor:"Outside,omitempty"`
 }
--- a/internal/fleet/node/node.go
+++ b/internal/fleet/node/node.go
@@ -20,8 +20,8 @@
 
 	// The replicated log as applied here.
 	state          *statemachine.State
-	stateError     fleet.Remedied // an entry or snapshot can't be applied: this controller never serves
-	appliedTerm    uint64         // of the last entry applied
+	stateError     fleet.ErrorWithRemedy // an entry or snapshot can't be applied: this controller never serves
+	appliedTerm    uint64                // of the last entry applied
 	recentEntries  []consensus.LogEntry
 	latestSnapshot *consensus.Snapshot // for followers that lag far behind; nil: none was needed yet
 	roster         roster
@@ -244,7 +244,7 @@
 	c.emit(Effect{Kind: LogMessage, Loud: loud, LogText: fmt.Sprintf(form, args...)})
 }
 
-func (c *Core) logError(err fleet.Remedied) {
+func (c *Core) logError(err fleet.ErrorWithRemedy) {
 	c.emit(Effect{Kind: LogMessage, Loud: true, Err: err, LogText: err.Error()})
 }
 
--- a/internal/fleet/node/node_test.go
+++ b/internal/fleet/node/node_test.go
@@ -15,31 +15,31 @@
 	s := newTestCluster(t, 1, 3, 3, 600*time.Millisecond)
 	s.waitUntilAllServe(5 * time.Second)
 	a := s.controllers["f0"]
-	a.request(1, &fleet.Ask{Kind: "apply", ID: "c1", Base: 1, Policy: []byte("x")})
+	a.request(1, &fleet.Request{Kind: "apply", ID: "c1", Base: 1, Policy: []byte("x")})
 	s.waitFor(5*time.Second, "in force", func() bool { return s.replyTo(a, 1) != nil })
-	if w := s.replyTo(a, 1); w.Word != statemachine.InForce || w.Version != 2 {
+	if w := s.replyTo(a, 1); w.Outcome != statemachine.InForce || w.Version != 2 {
 		t.Fatalf("%+v", w)
 	}
 	for _, n := range s.names {
-		if v := s.controllers[n].permit.May(s.now, false); v != 2 {
+		if v := s.controllers[n].permit.ServingVersion(s.now, false); v != 2 {
 			t.Errorf("%s decides by %d", n, v)
 		}
 	}
 	// two operators at once: one is refused
 	b := s.controllers["v1"]
-	a.request(2, &fleet.Ask{Kind: "apply", ID: "c2", Base: 2, Policy: []byte("y")})
-	b.request(3, &fleet.Ask{Kind: "apply", ID: "c3", Base: 2, Policy: []byte("z")})
+	a.request(2, &fleet.Request{Kind: "apply", ID: "c2", Base: 2, Policy: []byte("y")})
+	b.request(3, &fleet.Request{Kind: "apply", ID: "c3", Base: 2, Policy: []byte("z")})
 	s.waitFor(5*time.Second, "both answered", func() bool {
 		return s.replyTo(a, 2) != nil && s.replyTo(b, 3) != nil
 	})
-	words := []string{s.replyTo(a, 2).Word, s.replyTo(b, 3).Word}
+	words := []string{s.replyTo(a, 2).Outcome, s.replyTo(b, 3).Outcome}
 	if slices.Sort(words); !slices.Equal(words, []string{statemachine.InForce, statemachine.Refused}) {
 		t.Errorf("%v", words)
 	}
 	// one can't serve by it: it is aborted everywhere
-	a.request(4, &fleet.Ask{Kind: "apply", ID: "c4", Base: 3, Policy: []byte("bad for f2")})
+	a.request(4, &fleet.Request{Kind: "apply", ID: "c4", Base: 3, Policy: []byte("bad for f2")})
 	s.waitFor(5*time.Second, "withdrawn", func() bool { return s.replyTo(a, 4) != nil })
-	if w := s.replyTo(a, 4); w.Word != statemachine.Withdrawn || w.Exit() != 3 {
+	if w := s.replyTo(a, 4); w.Outcome != statemachine.Withdrawn || w.Exit() != 3 {
 		t.Errorf("%+v", w)
 	}
 	s.waitFor(2*time.Second, "all serve again", func() bool { return s.allServe(s.names...) })
@@ -51,14 +51,14 @@
 	f := s.controllers["f1"]
 	f.run = 0
 	l := s.leader()
-	l.request(1, &fleet.Ask{Kind: "apply", ID: "c1", Base: 1, Policy: []byte("x")})
-	l.request(2, &fleet.Ask{Kind: "purge", ID: "p1", Scope: &fleet.Scope{Team: "a"}, Until: fleet.Unreachable,
-		Wait: 30000})
-	l.request(3, &fleet.Ask{Kind: "purge", ID: "p1", Scope: &fleet.Scope{Team: "a"}, Wait: 30000})
+	l.request(1, &fleet.Request{Kind: "apply", ID: "c1", Base: 1, Policy: []byte("x")})
+	l.request(2, &fleet.Request{Kind: "purge", ID: "p1", Scope: &fleet.Scope{Team: "a"}, AwaitedStage: fleet.EntryTombstone,
+		WaitMs: 30000})
+	l.request(3, &fleet.Request{Kind: "purge", ID: "p1", Scope: &fleet.Scope{Team: "a"}, WaitMs: 30000})
 	s.waitFor(5*time.Second, "in force, unreachable", func() bool {
 		return s.replyTo(l, 1) != nil && s.replyTo(l, 2) != nil
 	})
-	if s.replyTo(l, 1).Word != statemachine.InForce || s.replyTo(l, 2).Word != fleet.Unreachable ||
+	if s.replyTo(l, 1).Outcome != statemachine.InForce || s.replyTo(l, 2).Outcome != fleet.EntryTombstone ||
 		s.replyTo(l, 3) != nil {
 		t.Fatalf("%+v %+v %+v", s.replyTo(l, 1), s.replyTo(l, 2), s.replyTo(l, 3))
 	}
@@ -68,19 +68,19 @@
 	f.start()
 	f.orders = nil
 	s.waitFor(5*time.Second, "it serves", func() bool { return s.allServe("f1") })
-	if v := f.permit.May(s.now, false); v != 2 {
+	if v := f.permit.ServingVersion(s.now, false); v != 2 {
 		t.Errorf("it came back with %d", v)
 	}
 	for _, o := range f.orders {
-		if o.Kind == fleet.Renewed {
+		if o.Kind == fleet.LeaseRenewed {
 			t.Fatal("a lease before the purge")
 		}
-		if o.Kind == fleet.Drop {
+		if o.Kind == fleet.InvalidateData {
 			break
 		}
 	}
 	s.waitFor(5*time.Second, "purged", func() bool { return s.replyTo(l, 3) != nil })
-	if w := s.replyTo(l, 3); w.Word != "purged" || w.Counts.Results != 5 {
+	if w := s.replyTo(l, 3); w.Outcome != "purged" || w.Counts.Results != 5 {
 		t.Errorf("%+v %+v", w, w.Counts)
 	}
 }
@@ -92,7 +92,7 @@
 		s.waitUntilAllServe(5 * time.Second)
 		l := s.leader()
 		a := s.controllers["f0"]
-		a.request(1, &fleet.Ask{Kind: "apply", ID: "c1", Base: 1, Policy: []byte("x"), Wait: 20000})
+		a.request(1, &fleet.Request{Kind: "apply", ID: "c1", Base: 1, Policy: []byte("x"), WaitMs: 20000})
 		for end := s.now + time.Duration(s.rand.IntN(60))*time.Millisecond; s.now < end; {
 			s.playNextEvent()
 		}
@@ -101,11 +101,11 @@
 		}
 		l.run = 0
 		s.waitFor(20*time.Second, "in force", func() bool { return s.replyTo(a, 1) != nil })
-		if s.replyTo(a, 1).Word != statemachine.InForce {
+		if s.replyTo(a, 1).Outcome != statemachine.InForce {
 			t.Fatalf("seed %d: %+v", seed, s.replyTo(a, 1))
 		}
 		for _, n := range s.names {
-			if v := s.controllers[n].permit.May(s.now, false); s.controllers[n] != l && v == 1 {
+			if v := s.controllers[n].permit.ServingVersion(s.now, false); s.controllers[n] != l && v == 1 {
 				t.Fatalf("seed %d: %s still decides by 1", seed, n)
 			}
 		}
@@ -128,7 +128,7 @@
 	f.run = 0
 	l := s.leader()
 	for i := range 400 {
-		l.request(uint64(i+1), &fleet.Ask{Kind: "bind", ID: fmt.Sprintf("b%d", i), Team: "a",
+		l.request(uint64(i+1), &fleet.Request{Kind: "bind", ID: fmt.Sprintf("b%d", i), Team: "a",
 			Tables: []int64{int64(i)}})
 		s.waitFor(5*time.Second, "bound", func() bool { return s.replyTo(l, uint64(i+1)) != nil })
 	}
@@ -153,7 +153,7 @@
 			want = append(want, n+"="+n+":1")
 		}
 	}
-	l.request(1, &fleet.Ask{Kind: "apply", ID: "c1", Base: 1, Policy: []byte("voters " + strings.Join(want,
+	l.request(1, &fleet.Request{Kind: "apply", ID: "c1", Base: 1, Policy: []byte("voters " + strings.Join(want,
 		" "))})
 	s.waitFor(5*time.Second, "in force", func() bool { return s.replyTo(l, 1) != nil })
 	s.waitFor(5*time.Second, "the new one votes, the old one follows", func() bool {
@@ -201,9 +201,9 @@
 	}
 	a := s.controllers["f77"]
 	at := s.now
-	a.request(1, &fleet.Ask{Kind: "apply", ID: "c1", Base: 1, Policy: []byte("x")})
+	a.request(1, &fleet.Request{Kind: "apply", ID: "c1", Base: 1, Policy: []byte("x")})
 	s.waitFor(5*time.Second, "in force", func() bool { return s.replyTo(a, 1) != nil })
-	if s.replyTo(a, 1).Word != statemachine.InForce {
+	if s.replyTo(a, 1).Outcome != statemachine.InForce {
 		t.Fatalf("%+v", s.replyTo(a, 1))
 	}
 	t.Logf("a change is in force on all after %v", s.now-at)
@@ -219,7 +219,7 @@
 			s.controllers[n].config.ConfinedLease = c.bound
 			s.controllers[n].start()
 		}
-		bound := func(n string) bool { return s.controllers[n].permit.May(s.now, true) != 0 }
+		bound := func(n string) bool { return s.controllers[n].permit.ServingVersion(s.now, true) != 0 }
 		s.waitFor(12*time.Second, "all serve", func() bool {
 			return s.allServe(s.names...) && !slices.ContainsFunc(s.names, func(n string) bool { return !bound(n) })
 		})
@@ -250,7 +250,7 @@
 		s.controllers[n].config.ConfinedLease = bound
 		s.controllers[n].start()
 	}
-	served := func(n string) bool { return s.controllers[n].permit.May(s.now, true) != 0 }
+	served := func(n string) bool { return s.controllers[n].permit.ServingVersion(s.now, true) != 0 }
 	s.waitFor(12*time.Second, "all serve", func() bool {
 		return !slices.ContainsFunc(s.names, func(n string) bool { return !served(n) })
 	})
@@ -261,8 +261,8 @@
 		s.cutLinks[n+">f0"], s.cutLinks["f0>"+n] = true, true
 	}
 	l := s.leader()
-	l.request(1, &fleet.Ask{Kind: "purge", ID: "p1", Scope: &fleet.Scope{Team: "a"}, Until: fleet.Unreachable,
-		Wait: 30000})
+	l.request(1, &fleet.Request{Kind: "purge", ID: "p1", Scope: &fleet.Scope{Team: "a"}, AwaitedStage: fleet.EntryTombstone,
+		WaitMs: 30000})
 	s.waitFor(5*time.Second, "unreachable", func() bool {
 		if l.core.state.Purges["p1"] != nil && l.core.state.Purges["p1"].Stage != "" && served("f0") {
 			t.Fatal("it is told while f0, which is cut off, serves on")
@@ -304,10 +304,10 @@
 		}
 	}
 	f := s.controllers["f0"]
-	f.request(1, &fleet.Ask{Kind: "apply", ID: "c1", Base: 1, Policy: []byte("x")})
+	f.request(1, &fleet.Request{Kind: "apply", ID: "c1", Base: 1, Policy: []byte("x")})
 	s.waitFor(5*time.Second, "in force", func() bool { return s.replyTo(f, 1) != nil })
 	f.neverValidates = "c2"
-	f.request(2, &fleet.Ask{Kind: "apply", ID: "c2", Base: 2, Policy: []byte("voters f0=f0:1"), Wait: 60000})
+	f.request(2, &fleet.Request{Kind: "apply", ID: "c2", Base: 2, Policy: []byte("voters f0=f0:1"), WaitMs: 60000})
 	checked := func(a *testController) bool { return slices.Contains(a.validations, "done c2") }
 	s.waitFor(5*time.Second, "it is checked", func() bool {
 		return checked(s.controllers["v0"]) && checked(s.controllers["v1"]) && checked(s.controllers["v2"])
@@ -326,7 +326,7 @@
 	})
 	anew()
 	s.waitFor(20*time.Second, "in force", func() bool { return s.replyTo(f, 2) != nil })
-	if w := s.replyTo(f, 2); w.Word != statemachine.InForce ||
+	if w := s.replyTo(f, 2); w.Outcome != statemachine.InForce ||
 		!slices.Equal(f.core.state.Voters, []string{"f0=f0:1"}) {
 		t.Errorf("%+v, voters %v", w, f.core.state.Voters)
 	}
@@ -337,8 +337,8 @@
 		s := newTestCluster(t, 20+seed, 3, 3, 500*time.Millisecond)
 		s.waitUntilAllServe(5 * time.Second)
 		a := s.controllers["f0"]
-		a.request(1, &fleet.Ask{Kind: "apply", ID: "c1", Base: 1,
-			Policy: []byte("voters f0=f0:1 f1=f1:1 f2=f2:1"), Wait: 60000})
+		a.request(1, &fleet.Request{Kind: "apply", ID: "c1", Base: 1,
+			Policy: []byte("voters f0=f0:1 f1=f1:1 f2=f2:1"), WaitMs: 60000})
 		s.waitFor(20*time.Second, "in force", func() bool { return s.replyTo(a, 1) != nil })
 		s.waitFor(20*time.Second, "the old ones follow, all serve", func() bool {
 			return s.controllers["v0"].core.consensus == nil && s.controllers["v1"].core.consensus == nil &&
@@ -361,7 +361,7 @@
 		s := newTestCluster(t, 11, 3, 1, lease)
 		s.waitUntilAllServe(5 * time.Second)
 		l, f := s.leader(), s.controllers["f0"]
-		l.request(1, &fleet.Ask{Kind: "forget", ID: "x", Name: "f0"})
+		l.request(1, &fleet.Request{Kind: "forget", ID: "x", Name: "f0"})
 		s.waitFor(2*time.Second, "it stops", func() bool { return !s.allServe("f0") })
 		for end := s.now + 3*time.Second; s.now < end; s.playNextEvent() {
 			if s.allServe("f0") {
@@ -384,9 +384,9 @@
 	s := newTestCluster(t, 12, 1, 0, 500*time.Millisecond)
 	s.waitFor(5*time.Second, "it serves", func() bool { return s.allServe("v0") })
 	c := s.controllers["v0"].core
-	s.controllers["v0"].step(Event{Kind: ControllerReported, Report: fleet.Report{Kind: fleet.Sites,
+	s.controllers["v0"].step(Event{Kind: ControllerReported, Report: fleet.Report{Kind: fleet.SitesServing,
 		Sites: []string{"here"}}})
-	s.controllers["v0"].step(Event{Kind: ControllerReported, Report: fleet.Report{Kind: fleet.Opened,
+	s.controllers["v0"].step(Event{Kind: ControllerReported, Report: fleet.Report{Kind: fleet.PolicyOpened,
 		Version: 1, Outside: 2}})
 	if c.attemptsOutside != 2 {
 		t.Errorf("%d outside", c.attemptsOutside)
@@ -399,18 +399,18 @@
 	s.waitUntilAllServe(5 * time.Second)
 	f := s.controllers["f0"]
 	f.outsideAtOpen = 1
-	f.request(1, &fleet.Ask{Kind: "apply", ID: "c1", Base: 1, Policy: []byte("x")})
-	f.request(2, &fleet.Ask{Kind: "apply", ID: "c1", Base: 1, Policy: []byte("x"), Until: "settled",
-		Wait: 60000})
+	f.request(1, &fleet.Request{Kind: "apply", ID: "c1", Base: 1, Policy: []byte("x")})
+	f.request(2, &fleet.Request{Kind: "apply", ID: "c1", Base: 1, Policy: []byte("x"), AwaitedStage: "settled",
+		WaitMs: 60000})
 	s.waitFor(5*time.Second, "in force", func() bool { return s.replyTo(f, 1) != nil })
 	for end := s.now + 2*time.Second; s.now < end; s.playNextEvent() {
 		if s.replyTo(f, 2) != nil {
 			t.Fatalf("%+v while a query runs outside", s.replyTo(f, 2))
 		}
 	}
-	f.step(Event{Kind: ControllerReported, Report: fleet.Report{Kind: fleet.Sites, Sites: []string{"here"}}})
+	f.step(Event{Kind: ControllerReported, Report: fleet.Report{Kind: fleet.SitesServing, Sites: []string{"here"}}})
 	s.waitFor(5*time.Second, "settled", func() bool { return s.replyTo(f, 2) != nil })
-	if w := s.replyTo(f, 2); w.Word != "settled" {
+	if w := s.replyTo(f, 2); w.Outcome != "settled" {
 		t.Errorf("%+v", w)
 	}
 }
@@ -421,7 +421,7 @@
 	s.waitUntilAllServe(5 * time.Second)
 	l := s.leader()
 	l.core.effects = nil
-	l.core.propose(&fleet.Entry{Kind: fleet.Emergency, Name: "r"})
+	l.core.propose(&fleet.Entry{Kind: fleet.EntryBeginEmergency, Name: "r"})
 	l.perform(l.core.effects)
 	s.waitFor(5*time.Second, "it is on", func() bool { return len(l.core.state.Emergencies) > 0 })
 	s.waitFor(5*time.Second, "it is over", func() bool { return len(l.core.state.Emergencies) == 0 })
@@ -437,7 +437,7 @@
 	s.waitUntilAllServe(5 * time.Second)
 	l := s.leader()
 	l.core.effects = nil
-	l.core.propose(&fleet.Entry{Kind: fleet.Emergency, Name: "r"})
+	l.core.propose(&fleet.Entry{Kind: fleet.EntryBeginEmergency, Name: "r"})
 	l.perform(l.core.effects)
 	s.waitFor(5*time.Second, "it is on", func() bool { return len(l.core.state.Emergencies) > 0 })
 	for end := s.now + 3*time.Second; s.now < end; s.playNextEvent() {
--- a/internal/fleet/node/operator_requests.go
+++ b/internal/fleet/node/operator_requests.go
@@ -20,7 +20,7 @@
 
 // operatorRequest is a request that waits for its outcome.
 type operatorRequest struct {
-	ask       *fleet.Ask
+	ask       *fleet.Request
 	handle    uint64 // 0: of this process's request side
 	deadline  time.Duration
 	forwardAt time.Duration // when it is forwarded again
@@ -28,16 +28,16 @@
 
 // operatorRequested takes a request. Questions for the status or the policy are answered
 // at once, from what is known here.
-func (c *Core) operatorRequested(ask *fleet.Ask, handle uint64) {
+func (c *Core) operatorRequested(ask *fleet.Request, handle uint64) {
 	switch {
 	case ask.Kind == "status" && ask.ID == "":
-		c.respond(handle, &fleet.Reply{Word: "status", Status: c.Status()})
+		c.respond(handle, &fleet.Response{Outcome: "status", Status: c.Status()})
 		return
 	case ask.Kind == "policy":
-		c.respond(handle, &fleet.Reply{Word: "policy", Version: c.state.Version, Policy: c.state.Policy})
+		c.respond(handle, &fleet.Response{Outcome: "policy", Version: c.state.Version, Policy: c.state.Policy})
 		return
 	}
-	timeout := time.Duration(ask.Wait) * time.Millisecond
+	timeout := time.Duration(ask.WaitMs) * time.Millisecond
 	if timeout <= 0 {
 		timeout = defaultRequestTimeout
 	}
@@ -49,7 +49,7 @@
 	})
 }
 
-func (c *Core) respond(handle uint64, reply *fleet.Reply) {
+func (c *Core) respond(handle uint64, reply *fleet.Response) {
 	c.emit(Effect{Kind: Respond, Handle: handle, Reply: reply})
 }
 
@@ -59,19 +59,19 @@
 	c.requests = slices.DeleteFunc(c.requests, func(request *operatorRequest) bool {
 		reply := c.outcome(request.ask)
 		reply.ID = request.ask.ID
-		if reply.Word == outcomeUnknown && c.now < request.deadline {
+		if reply.Outcome == outcomeUnknown && c.now < request.deadline {
 			c.forwardIfDue(request)
 			return false
 		}
-		if reply.Word == outcomeUnknown {
+		if reply.Outcome == outcomeUnknown {
 			reply.Outstanding = c.outstanding(request.ask.ID)
 			reply.Remedy = "ask again by id " + request.ask.ID
-			if reply.Why == "" {
-				reply.Why = "not known yet"
+			if reply.Reason == "" {
+				reply.Reason = "not known yet"
 			}
 		}
 		if request.handle == 0 {
-			c.orderController(fleet.Order{Kind: fleet.Answered, ID: request.ask.ID, Reply: reply})
+			c.orderController(fleet.Order{Kind: fleet.RequestAnswered, ID: request.ask.ID, Response: reply})
 		} else {
 			c.respond(request.handle, reply)
 		}
@@ -91,7 +91,7 @@
 }
 
 // isRecorded reports whether the log has a request already: then it isn't forwarded.
-func (c *Core) isRecorded(a *fleet.Ask) bool {
+func (c *Core) isRecorded(a *fleet.Request) bool {
 	switch a.Kind {
 	case "apply":
 		return c.state.Changes[a.ID] != nil
@@ -100,12 +100,12 @@
 	case "status":
 		return true
 	}
-	return c.outcome(a).Word != outcomeUnknown
+	return c.outcome(a).Outcome != outcomeUnknown
 }
 
 // outcome is what is known of a request by now. A status with an ID is of the change or
 // invalidation that has it.
-func (c *Core) outcome(ask *fleet.Ask) *fleet.Reply {
+func (c *Core) outcome(ask *fleet.Request) *fleet.Response {
 	if ask.Kind != "status" {
 		return c.state.Outcome(ask)
 	}
@@ -119,7 +119,7 @@
 
 // forwardRequest brings a request to the leader. It may be lost; forwarding it again is
 // harmless because of its ID.
-func (c *Core) forwardRequest(a *fleet.Ask) {
+func (c *Core) forwardRequest(a *fleet.Request) {
 	if c.isLeader {
 		c.propose(c.logEntryFor(a))
 		return
@@ -134,28 +134,28 @@
 }
 
 // logEntryFor is the entry that a request asks for, nil: none.
-func (c *Core) logEntryFor(a *fleet.Ask) *fleet.Entry {
+func (c *Core) logEntryFor(a *fleet.Request) *fleet.Entry {
 	e := &fleet.Entry{
-		ID:     a.ID,
-		By:     a.By,
-		Team:   a.Team,
-		Scope:  a.Scope,
-		Name:   a.Name,
-		Base:   a.Base,
-		Policy: a.Policy,
-		AtMost: a.AtMost,
-		Tables: a.Tables,
-		From:   a.From,
+		ID:           a.ID,
+		RequestedBy:  a.RequestedBy,
+		Team:         a.Team,
+		Scope:        a.Scope,
+		Name:         a.Name,
+		Base:         a.Base,
+		Policy:       a.Policy,
+		AbortAfterMs: a.AbortAfterMs,
+		Tables:       a.Tables,
+		From:         a.From,
 	}
 	switch a.Kind {
 	case "apply":
-		e.Kind = fleet.Propose
+		e.Kind = fleet.EntryPropose
 	case "purge":
-		e.Kind = fleet.Purge
+		e.Kind = fleet.EntryInvalidate
 	case "forget":
-		e.Kind = fleet.Forget
+		e.Kind = fleet.EntryForget
 	case "bind":
-		e.Kind = fleet.Bind
+		e.Kind = fleet.EntryBind
 	default:
 		return nil
 	}
@@ -188,7 +188,7 @@
 		s.LeaseMS = max(0, (c.leaseUntil - c.now).Milliseconds())
 	}
 	if u := c.state.ChangeUnderWay(); u != nil {
-		s.Change = c.state.Outcome(&fleet.Ask{Kind: "apply", ID: u.ID})
+		s.Change = c.state.Outcome(&fleet.Request{Kind: "apply", ID: u.ID})
 		s.Change.Outstanding = c.outstanding(u.ID)
 	}
 	for _, name := range sorted(c.state.Members) {
@@ -202,8 +202,8 @@
 		s.Members = append(s.Members, m)
 	}
 	for _, id := range sorted(c.state.Purges) {
-		if r := c.state.Purges[id]; r.Stage != fleet.Erased {
-			w := c.state.Outcome(&fleet.Ask{Kind: "purge", ID: id})
+		if r := c.state.Purges[id]; r.Stage != fleet.EntryErased {
+			w := c.state.Outcome(&fleet.Request{Kind: "purge", ID: id})
 			w.Outstanding = c.outstanding(id)
 			s.Purges = append(s.Purges, *w)
 		}
--- a/internal/fleet/node/policy_validation.go
+++ b/internal/fleet/node/policy_validation.go
@@ -17,7 +17,7 @@
 type validatedPolicy struct {
 	checksum     uint64 // of its text: a change that was aborted had the same version
 	policy       any    // what the set-up made of the text
-	watchedRules []fleet.Watched
+	watchedRules []fleet.WatchedRule
 	// residencyRulesUnknown: there may be rules that watchedRules doesn't name.
 	residencyRulesUnknown bool
 }
@@ -82,7 +82,7 @@
 }
 
 // watchedRules are the committed residency rules that name further zones.
-func (c *Core) watchedRules() []fleet.Watched {
+func (c *Core) watchedRules() []fleet.WatchedRule {
 	policy := c.policies[c.state.Version]
 	if policy == nil || c.orderedVersion != c.state.Version {
 		return nil
--- a/internal/fleet/node/relay_coverage_test.go
+++ b/internal/fleet/node/relay_coverage_test.go
@@ -117,7 +117,7 @@
 func TestCoverageWithholdsLeaseOfForgottenController(t *testing.T) {
 	s, l, tell := leaderWithManualRelay(t)
 	tell(&RelayedRenewals{Seq: 1, Renewals: []RelayedRenewal{relayedFrom("f0", 50, 1)}})
-	l.request(1, &fleet.Ask{Kind: "forget", ID: "x", Name: "f0"})
+	l.request(1, &fleet.Request{Kind: "forget", ID: "x", Name: "f0"})
 	s.waitFor(2*time.Second, "forgotten", func() bool { return l.core.state.Members["f0"].Forgotten })
 	if a := tell(&RelayedRenewals{Seq: 2, BaseSeq: 1}); a == nil || len(a.Withheld) != 1 ||
 		a.Withheld[0].RefusedReason != forgottenName {
--- a/internal/fleet/node/relay_test.go
+++ b/internal/fleet/node/relay_test.go
@@ -55,7 +55,7 @@
 		if a.run == 0 || a.config.Self.Control {
 			continue
 		}
-		v := a.permit.May(s.now, false)
+		v := a.permit.ServingVersion(s.now, false)
 		if v == 0 {
 			continue
 		}
@@ -68,7 +68,7 @@
 
 // applyPolicy requests a change at a controller and returns what tells whether it is answered.
 func (s *testCluster) applyPolicy(a *testController, id string, handle, base uint64) func() bool {
-	a.request(handle, &fleet.Ask{Kind: "apply", ID: id, Base: base, Policy: []byte(id), Wait: 60000})
+	a.request(handle, &fleet.Request{Kind: "apply", ID: id, Base: base, Policy: []byte(id), WaitMs: 60000})
 	return func() bool {
 		s.checkOneVersion()
 		return s.replyTo(a, handle) != nil
@@ -77,7 +77,7 @@
 
 func (s *testCluster) checkInForce(a *testController, handle uint64) {
 	s.t.Helper()
-	if w := s.replyTo(a, handle); w.Word != statemachine.InForce {
+	if w := s.replyTo(a, handle); w.Outcome != statemachine.InForce {
 		s.t.Fatalf("%+v", w)
 	}
 }
@@ -121,7 +121,7 @@
 	s.waitFor(3*time.Second, "in force", s.applyPolicy(f, "c1", 1, 1))
 	s.checkInForce(f, 1)
 	for _, name := range s.names {
-		if v := s.controllers[name].permit.May(s.now, false); v != 2 {
+		if v := s.controllers[name].permit.ServingVersion(s.now, false); v != 2 {
 			t.Errorf("%s decides by %d", name, v)
 		}
 	}
@@ -252,7 +252,7 @@
 	}
 	s.seen = nil
 	s.playFor(relayLease/2, nil)
-	until, _ := f.permit.Until()
+	until, _ := f.permit.LeaseEnds()
 	for _, m := range toRelay {
 		s.controllers["r0"].receive(m)
 	}
@@ -260,7 +260,7 @@
 		f.receive(m)
 	}
 	s.playFor(10*time.Millisecond, nil)
-	if now, _ := f.permit.Until(); now != until || len(toRelay) < 5 || len(toFollower) < 5 {
+	if now, _ := f.permit.LeaseEnds(); now != until || len(toRelay) < 5 || len(toFollower) < 5 {
 		t.Errorf("the lease until %v is until %v after %d and %d replayed grants", until, now, len(toRelay),
 			len(toFollower))
 	}
@@ -386,7 +386,7 @@
 	l, f := s.leader(), s.controllers["f0"]
 	s.cutLinks["r0>f0"] = true // it hears of its end by nothing but grants
 	s.lose = func(_, to string, m *Message) bool { return to == "f0" && m.LogUpdate != nil }
-	l.request(1, &fleet.Ask{Kind: "forget", ID: "x", Name: "f0"})
+	l.request(1, &fleet.Request{Kind: "forget", ID: "x", Name: "f0"})
 	s.waitFor(4*time.Second, "it stops", func() bool { return !s.allServe("f0") })
 	s.healLinks()
 	s.lose = nil
@@ -498,7 +498,7 @@
 	if took > 1500*time.Millisecond { // two elections, a renewal and a half, and what a change takes
 		t.Errorf("in force %v after the leader was lost, with leases of %v", took, lease)
 	}
-	purge := &fleet.Ask{Kind: "purge", ID: "p1", Scope: &fleet.Scope{Team: "a"}, Wait: 60000}
+	purge := &fleet.Request{Kind: "purge", ID: "p1", Scope: &fleet.Scope{Team: "a"}, WaitMs: 60000}
 	s.controllers["f1"].request(2, purge)
 	s.waitFor(3*time.Second, "purged while control processes are down", func() bool {
 		return s.replyTo(s.controllers["f1"], 2) != nil
@@ -544,9 +544,9 @@
 	s := newRelayCluster(t, 14, 3, 2, 2, relayLease)
 	s.waitUntilAllServe(5 * time.Second)
 	l := s.leader()
-	l.request(1, &fleet.Ask{Kind: "apply", ID: "c1", Base: 1, Policy: []byte("bad for " + l.name)})
+	l.request(1, &fleet.Request{Kind: "apply", ID: "c1", Base: 1, Policy: []byte("bad for " + l.name)})
 	s.waitFor(5*time.Second, "a word", func() bool { return s.replyTo(l, 1) != nil })
-	if w := s.replyTo(l, 1); w.Word != statemachine.Withdrawn {
+	if w := s.replyTo(l, 1); w.Outcome != statemachine.Withdrawn {
 		t.Errorf("%+v", w)
 	}
 }
@@ -579,7 +579,7 @@
 	f := s.controllers["f2"]
 	s.waitFor(3*time.Second, "in force", s.applyPolicy(f, "c1", 1, 1))
 	s.checkInForce(f, 1)
-	f.request(2, &fleet.Ask{Kind: "bind", ID: "b1", Team: "a", Tables: []int64{1}})
+	f.request(2, &fleet.Request{Kind: "bind", ID: "b1", Team: "a", Tables: []int64{1}})
 	s.waitFor(3*time.Second, "bound", func() bool { return s.replyTo(f, 2) != nil })
 	s.controllers["r0"].run = 0 // its first
 	s.waitFor(8*time.Second, "in force by the second", s.applyPolicy(f, "c2", 3, 2))
--- a/internal/fleet/node/replicated_log.go
+++ b/internal/fleet/node/replicated_log.go
@@ -19,7 +19,7 @@
 	versionBefore := c.state.Version
 	membersBefore := len(c.state.Members)
 	if err := c.state.Apply(r.Index, data); err != nil {
-		c.stateError = err.(fleet.Remedied)
+		c.stateError = err.(fleet.ErrorWithRemedy)
 		c.logError(c.stateError)
 		return
 	}
@@ -40,7 +40,7 @@
 	}
 	state, err := statemachine.DecodeState(s.Data)
 	if err != nil {
-		c.stateError = err.(fleet.Remedied)
+		c.stateError = err.(fleet.ErrorWithRemedy)
 		c.logError(c.stateError)
 		return
 	}
--- a/internal/fleet/node/roster_test.go
+++ b/internal/fleet/node/roster_test.go
@@ -11,7 +11,7 @@
 func (s *testCluster) forgetController(name string) {
 	s.t.Helper()
 	l := s.leader()
-	l.request(900, &fleet.Ask{Kind: "forget", ID: "forget " + name, Name: name})
+	l.request(900, &fleet.Request{Kind: "forget", ID: "forget " + name, Name: name})
 	s.waitFor(5*time.Second, name+" is forgotten", func() bool { return l.core.state.Members[name].Forgotten })
 }
 
--- a/internal/fleet/noop/noop.go
+++ b/internal/fleet/noop/noop.go
@@ -12,7 +12,7 @@
 
 // Controller answers orders. Word, if set, is kept as a reducer would keep it.
 type Controller struct {
-	Word *fleet.Word
+	Word *fleet.ServingState
 	// Delay is waited before an order other than a lease is answered; 0: not at all.
 	Delay time.Duration
 }
@@ -49,7 +49,7 @@
 
 // wait is the delay before an order is answered; false if ctx ended meanwhile.
 func (r Controller) wait(ctx context.Context, order fleet.Order) bool {
-	if order.Kind == fleet.Renewed || r.Delay <= 0 {
+	if order.Kind == fleet.LeaseRenewed || r.Delay <= 0 {
 		return true
 	}
 	select {
@@ -63,24 +63,24 @@
 // answer changes the word as the order says and gives what is reported of it.
 func (r Controller) answer(order fleet.Order) []fleet.Report {
 	switch order.Kind {
-	case fleet.Shut:
+	case fleet.FencePolicy:
 		r.set(0)
-		return []fleet.Report{{Kind: fleet.Closed, Change: order.Change}}
-	case fleet.Open:
+		return []fleet.Report{{Kind: fleet.PolicyFenced, Change: order.Change}}
+	case fleet.OpenPolicy:
 		r.set(order.Version)
-		return []fleet.Report{{Kind: fleet.Opened, Version: order.Version}}
-	case fleet.Renewed:
+		return []fleet.Report{{Kind: fleet.PolicyOpened, Version: order.Version}}
+	case fleet.LeaseRenewed:
 		if r.Word != nil {
-			r.Word.Lease(order.Until, order.UntilBound)
+			r.Word.SetLease(order.Until, order.UntilBound)
 		}
-	case fleet.Drop:
-		return []fleet.Report{{Kind: fleet.Unreached, ID: order.ID}, {Kind: fleet.Wiped, ID: order.ID}}
+	case fleet.InvalidateData:
+		return []fleet.Report{{Kind: fleet.DataTombstoned, ID: order.ID}, {Kind: fleet.DataErased, ID: order.ID}}
 	}
 	return nil
 }
 
 func (r Controller) set(version uint64) {
 	if r.Word != nil {
-		r.Word.Set(version)
+		r.Word.SetVersion(version)
 	}
 }
--- a/internal/fleet/noop/noop_test.go
+++ b/internal/fleet/noop/noop_test.go
@@ -10,11 +10,11 @@
 
 func TestEveryOrderIsCarriedOutAndReported(t *testing.T) {
 	orders, reports := make(chan fleet.Order, 8), make(chan fleet.Report, 8)
-	word := &fleet.Word{}
-	orders <- fleet.Order{Kind: fleet.Renewed, Until: time.Minute, UntilBound: time.Second}
-	orders <- fleet.Order{Kind: fleet.Open, Version: 3}
-	orders <- fleet.Order{Kind: fleet.Drop, ID: "p1"}
-	orders <- fleet.Order{Kind: fleet.Shut, Change: "c1"}
+	word := &fleet.ServingState{}
+	orders <- fleet.Order{Kind: fleet.LeaseRenewed, Until: time.Minute, UntilBound: time.Second}
+	orders <- fleet.Order{Kind: fleet.OpenPolicy, Version: 3}
+	orders <- fleet.Order{Kind: fleet.InvalidateData, ID: "p1"}
+	orders <- fleet.Order{Kind: fleet.FencePolicy, Change: "c1"}
 	close(orders)
 	if err := (Controller{Word: word, Delay: time.Millisecond}).Serve(t.Context(), orders, reports); err != nil {
 		t.Fatal(err)
@@ -24,11 +24,11 @@
 	for r := range reports {
 		kinds = append(kinds, r.Kind)
 	}
-	if want := []fleet.ReportKind{fleet.Opened, fleet.Unreached, fleet.Wiped, fleet.Closed}; !slices.Equal(kinds, want) {
+	if want := []fleet.ReportKind{fleet.PolicyOpened, fleet.DataTombstoned, fleet.DataErased, fleet.PolicyFenced}; !slices.Equal(kinds, want) {
 		t.Errorf("reported %v, want %v", kinds, want)
 	}
-	if until, bound := word.Until(); until != time.Minute || bound != time.Second || word.May(0, false) != 0 {
-		t.Errorf("lease until %v and %v, version %d after a shut", until, bound, word.May(0, false))
+	if until, bound := word.LeaseEnds(); until != time.Minute || bound != time.Second || word.ServingVersion(0, false) != 0 {
+		t.Errorf("lease until %v and %v, version %d after a shut", until, bound, word.ServingVersion(0, false))
 	}
 }
 
@@ -41,7 +41,7 @@
 	const most = 100
 	for range most {
 		select {
-		case orders <- fleet.Order{Kind: fleet.Drop, ID: "p"}:
+		case orders <- fleet.Order{Kind: fleet.InvalidateData, ID: "p"}:
 		case <-time.After(10 * time.Second):
 			t.Fatal("an order is not taken")
 		}
--- a/internal/fleet/statemachine/apply.go
+++ b/internal/fleet/statemachine/apply.go
@@ -10,24 +10,24 @@
 // apply applies an entry at Index.
 func (s *State) apply(e *fleet.Entry) {
 	switch e.Kind {
-	case fleet.Join, fleet.Forget:
+	case fleet.EntryJoin, fleet.EntryForget:
 		s.applyMembership(e)
-	case fleet.Propose:
+	case fleet.EntryPropose:
 		s.propose(e)
-	case fleet.Close, fleet.Force, fleet.Withdraw, fleet.Settle, fleet.Finish:
+	case fleet.EntryFence, fleet.EntryCommit, fleet.EntryAbort, fleet.EntrySettle, fleet.EntryFinishTightening:
 		if c := s.Changes[e.ID]; c != nil {
 			s.applyPhase(c, e)
 		}
-	case fleet.Purge, fleet.Unreachable, fleet.Erased:
+	case fleet.EntryInvalidate, fleet.EntryTombstone, fleet.EntryErased:
 		s.applyPurge(e)
-	case fleet.Bind:
+	case fleet.EntryBind:
 		if !s.BindIDs[e.ID] {
 			s.BindIDs[e.ID] = true
 			s.Bindings = append(s.Bindings, fleet.Binding{Team: e.Team, Tables: e.Tables, From: e.From})
 			s.mergeBindings()
 			s.ViewIndex = s.Index
 		}
-	case fleet.Emergency, fleet.Calm:
+	case fleet.EntryBeginEmergency, fleet.EntryEndEmergency:
 		s.applyEmergency(e)
 	}
 }
@@ -37,7 +37,7 @@
 func (s *State) applyMembership(e *fleet.Entry) {
 	have := s.Members[e.Name]
 	switch {
-	case e.Kind == fleet.Join:
+	case e.Kind == fleet.EntryJoin:
 		mayJoin := e.Member != nil && (have == nil || have.Disk == e.Member.Disk && !have.Forgotten)
 		if !mayJoin {
 			return
@@ -59,28 +59,28 @@
 // applyPhase moves a change on, if the entry fits the phase that it is in.
 func (s *State) applyPhase(c *PolicyChange, e *fleet.Entry) {
 	switch {
-	case e.Kind == fleet.Close && c.Phase == Proposed:
+	case e.Kind == fleet.EntryFence && c.Phase == Proposed:
 		c.Phase = Closing
 		c.OutsideScopes = e.Scopes
 		c.Voters = e.Voters
-	case e.Kind == fleet.Force && c.Phase == Closing:
+	case e.Kind == fleet.EntryCommit && c.Phase == Closing:
 		c.Phase = Decided
 		s.Version = c.Version
 		s.Policy = c.Policy
 		if len(c.Voters) > 0 {
 			s.Voters = c.Voters
 		}
-	case e.Kind == fleet.Withdraw && (c.Phase == Proposed || c.Phase == Closing):
+	case e.Kind == fleet.EntryAbort && (c.Phase == Proposed || c.Phase == Closing):
 		c.Phase = Withdrawn
-		c.Reason = e.Why
+		c.Reason = e.Reason
 		s.markChangeEnded(c.ID)
-	case e.Kind == fleet.Settle && c.Phase == Decided:
+	case e.Kind == fleet.EntrySettle && c.Phase == Decided:
 		c.Phase = InForce // Finish settles it, also where there is nothing to purge
 		for i, scope := range c.OutsideScopes {
 			s.addPurge(fmt.Sprintf("%s.outside.%d", c.ID, i), "the fleet", scope, c.ID)
 		}
 		s.markChangeEnded(c.ID)
-	case e.Kind == fleet.Finish && c.Phase == InForce:
+	case e.Kind == fleet.EntryFinishTightening && c.Phase == InForce:
 		c.Settled = true
 	}
 }
@@ -89,15 +89,15 @@
 func (s *State) applyPurge(e *fleet.Entry) {
 	run := s.Purges[e.ID]
 	switch {
-	case e.Kind == fleet.Purge:
+	case e.Kind == fleet.EntryInvalidate:
 		if e.Scope != nil {
-			s.addPurge(e.ID, e.By, *e.Scope, "")
+			s.addPurge(e.ID, e.RequestedBy, *e.Scope, "")
 		}
 	case run == nil:
-	case e.Kind == fleet.Unreachable && run.Stage == "":
-		run.Stage = fleet.Unreachable
-	case e.Kind == fleet.Erased && run.Stage == fleet.Unreachable:
-		run.Stage = fleet.Erased
+	case e.Kind == fleet.EntryTombstone && run.Stage == "":
+		run.Stage = fleet.EntryTombstone
+	case e.Kind == fleet.EntryErased && run.Stage == fleet.EntryTombstone:
+		run.Stage = fleet.EntryErased
 		if e.Counts != nil {
 			run.Counts = *e.Counts
 		}
@@ -110,10 +110,10 @@
 func (s *State) applyEmergency(e *fleet.Entry) {
 	from, isOn := s.Emergencies[e.Name]
 	switch {
-	case e.Kind == fleet.Emergency && !isOn:
+	case e.Kind == fleet.EntryBeginEmergency && !isOn:
 		s.Emergencies[e.Name] = s.Index
 		s.ViewIndex = s.Index
-	case e.Kind == fleet.Calm && isOn:
+	case e.Kind == fleet.EntryEndEmergency && isOn:
 		delete(s.Emergencies, e.Name)
 		s.ViewIndex = s.Index
 		if e.Scope != nil {
@@ -129,8 +129,8 @@
 		return
 	}
 	c := &PolicyChange{
-		ID: e.ID, RequestedBy: e.By, BaseVersion: e.Base, Version: s.Version + 1, Policy: e.Policy, Phase: Proposed,
-		TimeoutMillis: e.AtMost, LogIndex: s.Index,
+		ID: e.ID, RequestedBy: e.RequestedBy, BaseVersion: e.Base, Version: s.Version + 1, Policy: e.Policy, Phase: Proposed,
+		TimeoutMillis: e.AbortAfterMs, LogIndex: s.Index,
 	}
 	s.Changes[e.ID] = c
 	switch cur := s.Changes[s.CurrentChange]; {
--- a/internal/fleet/statemachine/state.go
+++ b/internal/fleet/statemachine/state.go
@@ -50,13 +50,13 @@
 
 // PurgeRun is one purge.
 type PurgeRun struct {
-	ID          string       `cbor:"ID"`
-	RequestedBy string       `cbor:"By"`
-	Scope       fleet.Scope  `cbor:"Scope"`
-	LogIndex    uint64       `cbor:"At"`    // of its entry: results of queries admitted before that go
-	Stage       string       `cbor:"Stage"` // "" at first, then fleet.Unreachable, then fleet.Erased
-	Counts      fleet.Counts `cbor:"Counts"`
-	PartOf      string       `cbor:"Settles"` // ID of the change or name of the rule that began it, "": an operator or a team did
+	ID          string                   `cbor:"ID"`
+	RequestedBy string                   `cbor:"By"`
+	Scope       fleet.Scope              `cbor:"Scope"`
+	LogIndex    uint64                   `cbor:"At"`    // of its entry: results of queries admitted before that go
+	Stage       string                   `cbor:"Stage"` // "" at first, then fleet.Unreachable, then fleet.Erased
+	Counts      fleet.InvalidationCounts `cbor:"Counts"`
+	PartOf      string                   `cbor:"Settles"` // ID of the change or name of the rule that began it, "": an operator or a team did
 }
 
 // State is what the log entries applied so far have decided. The same entries in the same
@@ -149,8 +149,8 @@
 }
 
 // Picture is the immutable view of the state that the controller's decisions use.
-func (s *State) Picture() *fleet.Picture {
-	p := &fleet.Picture{Index: s.Index, Bindings: slices.Clone(s.Bindings), Emergencies: maps.Clone(s.Emergencies)}
+func (s *State) Picture() *fleet.View {
+	p := &fleet.View{Index: s.Index, Bindings: slices.Clone(s.Bindings), Emergencies: maps.Clone(s.Emergencies)}
 	for _, name := range slices.Sorted(maps.Keys(s.Members)) {
 		if m := s.Members[name]; !m.Forgotten {
 			p.Members = append(p.Members, *m)
--- a/internal/fleet/storage/disk_test.go
+++ b/internal/fleet/storage/disk_test.go
@@ -47,7 +47,7 @@
 // typeOf is the error's type if it is one of this package's.
 func typeOf(t testing.TB, err error) string {
 	t.Helper()
-	var r fleet.Remedied
+	var r fleet.ErrorWithRemedy
 	if !errors.As(err, &r) || r.Remedy() == "" {
 		t.Fatalf("%T isn't of a type of its own: %v", err, err)
 	}
--- a/internal/fleet/storage/errors.go
+++ b/internal/fleet/storage/errors.go
@@ -117,8 +117,8 @@
 }
 
 // Errors has a sample of each of this package's errors.
-func Errors() []fleet.Remedied {
-	return []fleet.Remedied{
+func Errors() []fleet.ErrorWithRemedy {
+	return []fleet.ErrorWithRemedy{
 		&TornWriteError{"record", "a head is missing"}, &CorruptionError{"record", "record 7"}, &DiskFullError{"record", syscall.ENOSPC},
 		&AccessError{"record", syscall.EIO}, &LockedError{"fleet"}, &ForeignDataError{"fleet", "north", "south"},
 	}
--- a/internal/fleet/transport/control_server.go
+++ b/internal/fleet/transport/control_server.go
@@ -78,7 +78,7 @@
 // ControlServer is the listener that operators' commands ask.
 type ControlServer struct {
 	keys       atomic.Pointer[Keys]
-	handle     func(context.Context, *fleet.Ask) (*fleet.Reply, error)
+	handle     func(context.Context, *fleet.Request) (*fleet.Response, error)
 	listener   net.Listener
 	server     *http.Server
 	readBudget *semaphore.Weighted
@@ -98,8 +98,8 @@
 // ask may take as long as the ask's own patience; its context ends when who asked is
 // gone or at Close. An error of it is told as the word unknown: nothing is said that
 // isn't so. onRefused is as Options.OnRefused, and may be nil.
-func ServeControl(l net.Listener, keys Keys, ask func(context.Context, *fleet.Ask) (*fleet.Reply, error),
-	onRefused func(fleet.Remedied, string)) (*ControlServer, error) {
+func ServeControl(l net.Listener, keys Keys, ask func(context.Context, *fleet.Request) (*fleet.Response, error),
+	onRefused func(fleet.ErrorWithRemedy, string)) (*ControlServer, error) {
 	if err := keys.validate(); err != nil {
 		return nil, err
 	}
@@ -199,15 +199,15 @@
 		d.rejectRequest(rw, &ReplayError{From: remote}, remote)
 		return
 	}
-	a := &fleet.Ask{}
+	a := &fleet.Request{}
 	if err := json.Unmarshal(body, a); err != nil {
 		d.rejectRequest(rw, &MalformedError{remote, err}, remote)
 		return
 	}
 	reply, err := d.handle(r.Context(), a)
 	if err != nil {
-		reply = &fleet.Reply{ID: a.ID, Word: "unknown", Why: err.Error()}
-		var remedied fleet.Remedied
+		reply = &fleet.Response{ID: a.ID, Outcome: "unknown", Reason: err.Error()}
+		var remedied fleet.ErrorWithRemedy
 		if errors.As(err, &remedied) {
 			reply.Remedy = remedied.Remedy()
 		}
@@ -217,7 +217,7 @@
 		err = fmt.Errorf("the reply has %d bytes", len(text))
 	}
 	if err != nil {
-		text, _ = json.Marshal(&fleet.Reply{ID: a.ID, Word: "unknown", Why: err.Error()})
+		text, _ = json.Marshal(&fleet.Response{ID: a.ID, Outcome: "unknown", Reason: err.Error()})
 	}
 	d.count("asks", 1)
 	d.writeSigned(rw, forReply, &signedRequest{Nonce: nonce, Boot: boot, Status: http.StatusOK, Body: text})
@@ -239,7 +239,7 @@
 // AskControl asks a controller's control listener. The context bounds how long: an ask
 // with a patience of its own needs a context that lasts longer. An UnreachableError with
 // Sent means that the ask may have been taken all the same: ask again by its id.
-func AskControl(ctx context.Context, address string, keys Keys, a *fleet.Ask) (*fleet.Reply, error) {
+func AskControl(ctx context.Context, address string, keys Keys, a *fleet.Request) (*fleet.Response, error) {
 	if err := keys.validate(); err != nil {
 		return nil, err
 	}
@@ -270,7 +270,7 @@
 			hello = reply
 			continue
 		}
-		r := &fleet.Reply{}
+		r := &fleet.Response{}
 		if err := json.Unmarshal(reply.Body, r); err != nil {
 			return nil, &MalformedError{address, err}
 		}
--- a/internal/fleet/transport/control_server_test.go
+++ b/internal/fleet/transport/control_server_test.go
@@ -19,13 +19,13 @@
 	"railrelay.dev/railrelay/internal/fleet"
 )
 
-func desk(t *testing.T, keys Keys, ask func(context.Context, *fleet.Ask) (*fleet.Reply, error)) (*ControlServer, string, chan fleet.Remedied) {
+func desk(t *testing.T, keys Keys, ask func(context.Context, *fleet.Request) (*fleet.Response, error)) (*ControlServer, string, chan fleet.ErrorWithRemedy) {
 	t.Helper()
 	now := goleak.IgnoreCurrent()
 	t.Cleanup(func() { goleak.VerifyNone(t, now) })
-	refused := make(chan fleet.Remedied, 16)
+	refused := make(chan fleet.ErrorWithRemedy, 16)
 	l := listen(t, "127.0.0.1:0")
-	d, err := ServeControl(l, keys, ask, func(err fleet.Remedied, _ string) { refused <- err })
+	d, err := ServeControl(l, keys, ask, func(err fleet.ErrorWithRemedy, _ string) { refused <- err })
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -33,11 +33,11 @@
 	return d, l.Addr().String(), refused
 }
 
-func echo(_ context.Context, a *fleet.Ask) (*fleet.Reply, error) {
+func echo(_ context.Context, a *fleet.Request) (*fleet.Response, error) {
 	if a.Kind == "fail" {
 		return nil, &UnreachableError{"its leader", false, errors.New("none is known")}
 	}
-	return &fleet.Reply{ID: a.ID, Word: "in force", Version: a.Base + 1, Why: string(a.Policy)}, nil
+	return &fleet.Response{ID: a.ID, Outcome: "in force", Version: a.Base + 1, Reason: string(a.Policy)}, nil
 }
 
 func within(t *testing.T) context.Context {
@@ -48,17 +48,17 @@
 
 func TestAnAskIsAnswered(t *testing.T) {
 	d, address, _ := desk(t, Keys{keyA, keyB}, echo)
-	_, err := AskControl(within(t), address, Keys{keyB}, &fleet.Ask{Kind: "apply", ID: "x", Base: 3, Policy: []byte("teams: {}")})
+	_, err := AskControl(within(t), address, Keys{keyB}, &fleet.Request{Kind: "apply", ID: "x", Base: 3, Policy: []byte("teams: {}")})
 	var refused *UnauthenticatedError
 	if !errors.As(err, &refused) {
 		t.Errorf("an answer by a key that isn't there was taken: %v", err)
 	}
-	r, err := AskControl(within(t), address, Keys{keyB, keyA}, &fleet.Ask{Kind: "apply", ID: "x", Base: 3, Policy: []byte("teams: {}")})
-	if err != nil || r.ID != "x" || r.Version != 4 || r.Why != "teams: {}" {
+	r, err := AskControl(within(t), address, Keys{keyB, keyA}, &fleet.Request{Kind: "apply", ID: "x", Base: 3, Policy: []byte("teams: {}")})
+	if err != nil || r.ID != "x" || r.Version != 4 || r.Reason != "teams: {}" {
 		t.Fatal(r, err)
 	}
-	r, err = AskControl(within(t), address, Keys{keyA}, &fleet.Ask{Kind: "fail", ID: "y"})
-	if err != nil || r.Word != "unknown" || r.ID != "y" || r.Remedy == "" {
+	r, err = AskControl(within(t), address, Keys{keyA}, &fleet.Request{Kind: "fail", ID: "y"})
+	if err != nil || r.Outcome != "unknown" || r.ID != "y" || r.Remedy == "" {
 		t.Error(r, err)
 	}
 	if c := d.Counts(); c["asks"] != 2 {
@@ -67,11 +67,11 @@
 }
 
 func TestAStrangersAskIsRefused(t *testing.T) {
-	_, address, refused := desk(t, Keys{keyA}, func(context.Context, *fleet.Ask) (*fleet.Reply, error) {
+	_, address, refused := desk(t, Keys{keyA}, func(context.Context, *fleet.Request) (*fleet.Response, error) {
 		t.Error("it was asked")
-		return &fleet.Reply{}, nil
+		return &fleet.Response{}, nil
 	})
-	_, err := AskControl(within(t), address, Keys{keyB}, &fleet.Ask{Kind: "purge"})
+	_, err := AskControl(within(t), address, Keys{keyB}, &fleet.Request{Kind: "purge"})
 	var stranger *UnauthenticatedError
 	if !errors.As(err, &stranger) {
 		t.Fatalf("the client didn't see that it isn't its fleet: %v", err)
@@ -144,14 +144,14 @@
 func TestAControllerThatCantBeReached(t *testing.T) {
 	l := listen(t, "127.0.0.1:0")
 	l.Close()
-	_, err := AskControl(within(t), l.Addr().String(), Keys{keyA}, &fleet.Ask{})
+	_, err := AskControl(within(t), l.Addr().String(), Keys{keyA}, &fleet.Request{})
 	var gone *UnreachableError
 	if !errors.As(err, &gone) || gone.Sent || gone.Remedy() == "" {
 		t.Errorf("%T %v", err, err)
 	}
 	other := httptest.NewServer(http.NotFoundHandler())
 	defer other.Close()
-	_, err = AskControl(within(t), other.Listener.Addr().(*net.TCPAddr).String(), Keys{keyA}, &fleet.Ask{})
+	_, err = AskControl(within(t), other.Listener.Addr().(*net.TCPAddr).String(), Keys{keyA}, &fleet.Request{})
 	var away *PeerRejectedError
 	if !errors.As(err, &away) || away.Status != http.StatusNotFound {
 		t.Errorf("%T %v", err, err)
@@ -160,7 +160,7 @@
 
 func TestWhoAskedAndIsGoneIsNotWaitedFor(t *testing.T) {
 	began, ended := make(chan struct{}), make(chan struct{})
-	_, address, _ := desk(t, Keys{keyA}, func(ctx context.Context, _ *fleet.Ask) (*fleet.Reply, error) {
+	_, address, _ := desk(t, Keys{keyA}, func(ctx context.Context, _ *fleet.Request) (*fleet.Response, error) {
 		close(began)
 		<-ctx.Done()
 		close(ended)
@@ -168,7 +168,7 @@
 	})
 	ctx, cancel := context.WithCancel(context.Background())
 	go func() { <-began; cancel() }()
-	_, err := AskControl(ctx, address, Keys{keyA}, &fleet.Ask{})
+	_, err := AskControl(ctx, address, Keys{keyA}, &fleet.Request{})
 	var gone *UnreachableError
 	if !errors.As(err, &gone) || !gone.Sent {
 		t.Errorf("%T %v", err, err)
--- a/internal/fleet/transport/counters.go
+++ b/internal/fleet/transport/counters.go
@@ -12,13 +12,13 @@
 // for each peer. PeerTransport and ControlServer have one each.
 type counters struct {
 	started   time.Time
-	onRefused func(fleet.Remedied, string) // nil: nothing is said
+	onRefused func(fleet.ErrorWithRemedy, string) // nil: nothing is said
 	countMu   sync.Mutex
 	counts    map[string]int
 	logged    logLimiter
 }
 
-func (t *counters) init(onRefused func(fleet.Remedied, string)) {
+func (t *counters) init(onRefused func(fleet.ErrorWithRemedy, string)) {
 	t.started, t.onRefused, t.counts, t.logged = time.Now(), onRefused, map[string]int{}, logLimiter{}
 }
 
--- a/internal/fleet/transport/encoding_keys_test.go
+++ b/internal/fleet/transport/encoding_keys_test.go
@@ -10,5 +10,5 @@
 
 func TestKeysAreExplicit(t *testing.T) {
 	goldentest.ExplicitKeys(t, goldentest.CBOR, frame{}, answer{}, signedRequest{}, node.Message{})
-	goldentest.ExplicitKeys(t, goldentest.JSON, fleet.Ask{}, fleet.Reply{})
+	goldentest.ExplicitKeys(t, goldentest.JSON, fleet.Request{}, fleet.Response{})
 }
--- a/internal/fleet/transport/errors.go
+++ b/internal/fleet/transport/errors.go
@@ -9,7 +9,7 @@
 
 // RejectionError is what came from a peer and wasn't taken. Reason is its name in the counts.
 type RejectionError interface {
-	fleet.Remedied
+	fleet.ErrorWithRemedy
 	Reason() string
 }
 
@@ -176,8 +176,8 @@
 }
 
 // Errors is one of each kind, for the test and the docs that walk all of them.
-func Errors() []fleet.Remedied {
-	return []fleet.Remedied{
+func Errors() []fleet.ErrorWithRemedy {
+	return []fleet.ErrorWithRemedy{
 		&UnauthenticatedError{"10.0.0.9", "a frame"},
 		&ReplayError{"b", 7},
 		&OtherFleetError{"b", "south", "north"},
--- a/internal/fleet/transport/golden_values_test.go
+++ b/internal/fleet/transport/golden_values_test.go
@@ -24,15 +24,15 @@
 	ValidationResults: map[string]string{"change-1": "", "change-2": "no engine of kind large"},
 	FencedFor:         "change-1",
 	Tombstoned:        []string{"purge-1", "purge-2"},
-	Erased:            map[string]fleet.Counts{"purge-1": {Results: 16, Answers: 17, Bytes: 18}},
+	Erased:            map[string]fleet.InvalidationCounts{"purge-1": {Results: 16, Answers: 17, Bytes: 18}},
 	ServingSites:      []string{"north", "south"},
 	AttemptsOutside:   19,
 }
 
-var goldenAsk = fleet.Ask{
-	Kind: "apply", ID: "ask-1", By: "operator@host", Base: 21, Policy: []byte("groups: []\n"), Name: "south-1",
-	Scope: &fleet.Scope{Team: "team-a", Tables: []int64{1, -2}, Before: 22, Outside: []string{"north"}},
-	Team:  "team-b", Tables: []int64{3, 4}, From: []int64{5}, AtMost: 23, Wait: 24, Until: "settled",
+var goldenAsk = fleet.Request{
+	Kind: "apply", ID: "ask-1", RequestedBy: "operator@host", Base: 21, Policy: []byte("groups: []\n"), Name: "south-1",
+	Scope: &fleet.Scope{Team: "team-a", Tables: []int64{1, -2}, RetainedBeforeMs: 22, OutsideSites: []string{"north"}},
+	Team:  "team-b", Tables: []int64{3, 4}, From: []int64{5}, AbortAfterMs: 23, WaitMs: 24, AwaitedStage: "settled",
 }
 
 // goldenMessages is one message of each kind, by its kind, and one with all kinds.
--- a/internal/fleet/transport/peer_transport.go
+++ b/internal/fleet/transport/peer_transport.go
@@ -53,7 +53,7 @@
 	OnMessage func(*node.Message)
 	// OnRefused is told what wasn't taken, once a minute for each peer and reason; from
 	// is the peer's name, or its address where the name isn't proven. May be nil.
-	OnRefused func(err fleet.Remedied, from string)
+	OnRefused func(err fleet.ErrorWithRemedy, from string)
 
 	Timeout time.Duration // to connect, and for an answer; 0: 1 s. A frame has a second more for each MiB
 	Idle    time.Duration // a peer's goroutine and connection end after it; 0: 30 s
--- a/internal/fleet/transport/peer_transport_test.go
+++ b/internal/fleet/transport/peer_transport_test.go
@@ -24,7 +24,7 @@
 	*PeerTransport
 	address string
 	got     chan *node.Message
-	refused chan fleet.Remedied
+	refused chan fleet.ErrorWithRemedy
 }
 
 func listen(t *testing.T, address string) net.Listener {
@@ -38,7 +38,7 @@
 
 func open1(t *testing.T, o Options) *end {
 	t.Helper()
-	e := &end{got: make(chan *node.Message, 4096), refused: make(chan fleet.Remedied, 64)}
+	e := &end{got: make(chan *node.Message, 4096), refused: make(chan fleet.ErrorWithRemedy, 64)}
 	if o.Listener == nil {
 		o.Listener = listen(t, "127.0.0.1:0")
 	}
@@ -49,7 +49,7 @@
 		o.Keys = Keys{keyA}
 	}
 	o.OnMessage = func(m *node.Message) { e.got <- m }
-	o.OnRefused = func(err fleet.Remedied, _ string) { e.refused <- err }
+	o.OnRefused = func(err fleet.ErrorWithRemedy, _ string) { e.refused <- err }
 	e.address = o.Listener.Addr().String()
 	var err error
 	if e.PeerTransport, err = Open(o); err != nil {
@@ -84,7 +84,7 @@
 	}
 }
 
-func refusal[E fleet.Remedied](t *testing.T, refused chan fleet.Remedied) E {
+func refusal[E fleet.ErrorWithRemedy](t *testing.T, refused chan fleet.ErrorWithRemedy) E {
 	t.Helper()
 	select {
 	case err := <-refused:
--- a/internal/historycheck/fleet.go
+++ b/internal/historycheck/fleet.go
@@ -88,7 +88,7 @@
 	asked       time.Duration
 	unreachable sight
 	purged      sight
-	counts      fleet.Counts
+	counts      fleet.InvalidationCounts
 	said        bool
 }
 
@@ -263,7 +263,7 @@
 }
 
 // PurgeTold notes that who asked was told unreachable or purged; other words are none.
-func (f *Fleet) PurgeTold(now time.Duration, by, id, word string, counts *fleet.Counts) {
+func (f *Fleet) PurgeTold(now time.Duration, by, id, word string, counts *fleet.InvalidationCounts) {
 	f.made()
 	step := f.Note(now, fmt.Sprintf("%s tells of purge %s: %s", by, id, word), id, by)
 	p := f.purges[id]
@@ -304,7 +304,7 @@
 }
 
 func (p *purge) means(d draw) bool {
-	if p.scope.Team != d.team || d.at >= p.asked || p.scope.Before > 0 || len(p.scope.Outside) > 0 {
+	if p.scope.Team != d.team || d.at >= p.asked || p.scope.RetainedBeforeMs > 0 || len(p.scope.OutsideSites) > 0 {
 		return false // by the wall or by places: judged where these are known
 	}
 	return len(p.scope.Tables) == 0 || slices.ContainsFunc(p.scope.Tables, func(t int64) bool { return slices.Contains(d.tables, t) })
--- a/internal/historycheck/fleet_test.go
+++ b/internal/historycheck/fleet_test.go
@@ -20,7 +20,7 @@
 	}
 	purged := func(f *Fleet, word string) {
 		f.PurgeAsked(4, "p", fleet.Scope{Team: "linz", Tables: []int64{7}})
-		f.PurgeTold(5, "a", "p", word, &fleet.Counts{Results: 1})
+		f.PurgeTold(5, "a", "p", word, &fleet.InvalidationCounts{Results: 1})
 	}
 	for what, x := range map[string]struct {
 		kind string
@@ -36,7 +36,7 @@
 		"a page after unreachable":          {ServedAfter, func(f *Fleet) { purged(f, "unreachable"); f.Served(8, 7, "b", "q2") }},
 		"a page after purged":               {ServedAfter, func(f *Fleet) { purged(f, "purged"); f.Served(8, 7, "b", "q2") }},
 		"a disk that holds it":              {ConfirmedWrongly, func(f *Fleet) { purged(f, "purged"); f.Held(8, "b", "q2") }},
-		"another count":                     {FalseWord, func(f *Fleet) { purged(f, "purged"); f.PurgeTold(8, "b", "p", "purged", &fleet.Counts{}) }},
+		"another count":                     {FalseWord, func(f *Fleet) { purged(f, "purged"); f.PurgeTold(8, "b", "p", "purged", &fleet.InvalidationCounts{}) }},
 		"refused once it was done":          {FalseWord, func(f *Fleet) { purged(f, "purged"); f.PurgeTold(8, "b", "p", "refused", nil) }},
 		"a bound query in the west":         {Crossed, func(f *Fleet) { f.Ran(4, 4, "a", "q2", "linz", "west", 7) }},
 		"once it may not be there any more": {Crossed, func(f *Fleet) {
