--- a/internal/residency/change.go
+++ b/internal/residency/change.go
@@ -133,7 +133,7 @@
 			a, b := evaluate(before[team], tables, true, nil), evaluate(after[team], tables, true, nil)
 			t := Tightening{Team: team, Rules: b.Rules, Tables: tables, Engines: b.Engines, Ends: narrower(a.Engines, b.Engines)}
 			if narrower(a.Keepers, b.Keepers) {
-				t.Purge = &fleet.Scope{Team: team, Tables: tables, Outside: b.Keepers}
+				t.Purge = &fleet.Scope{Team: team, Tables: tables, OutsideSites: b.Keepers}
 			}
 			if !t.Ends && t.Purge == nil && !narrower(a.Takers, b.Takers) {
 				continue
@@ -166,7 +166,7 @@
 	if !same || t.Purge == nil || x.Purge == nil {
 		return same && t.Purge == nil && x.Purge == nil
 	}
-	return slices.Equal(t.Purge.Outside, x.Purge.Outside)
+	return slices.Equal(t.Purge.OutsideSites, x.Purge.OutsideSites)
 }
 
 func teams(rules []Rule) (l []string) {
@@ -195,7 +195,7 @@
 // Kept is what a controller keeps of a team.
 type Kept struct {
 	Controller, Team string
-	Counts           fleet.Counts
+	Counts           fleet.InvalidationCounts
 }
 
 // Outlook is what a change of rules would do. Shares are of all engines' threads, 0 to 1.
@@ -206,16 +206,16 @@
 
 // Row is one team's tables that are treated alike.
 type Row struct {
-	Team        string       `json:"team"`
-	Tables      []int64      `json:"tables,omitempty"` // none: all that no rule names
-	Rules       []string     `json:"rules"`
-	Before      float64      `json:"share_before"`
-	After       float64      `json:"share_after"`
-	Engines     []string     `json:"engines_outside"`     // that it has now and would lose
-	Controllers []string     `json:"controllers_outside"` // that may take it now and could no longer
-	Purge       []string     `json:"purge_on"`            // controllers on which what is kept would go
-	Kept        fleet.Counts `json:"kept_outside"`        // of the whole team, on those
-	Conflict    string       `json:"conflict,omitempty"`
+	Team        string                   `json:"team"`
+	Tables      []int64                  `json:"tables,omitempty"` // none: all that no rule names
+	Rules       []string                 `json:"rules"`
+	Before      float64                  `json:"share_before"`
+	After       float64                  `json:"share_after"`
+	Engines     []string                 `json:"engines_outside"`     // that it has now and would lose
+	Controllers []string                 `json:"controllers_outside"` // that may take it now and could no longer
+	Purge       []string                 `json:"purge_on"`            // controllers on which what is kept would go
+	Kept        fleet.InvalidationCounts `json:"kept_outside"`        // of the whole team, on those
+	Conflict    string                   `json:"conflict,omitempty"`
 }
 
 // Plan tells what other rules would do, before they are applied.
--- a/internal/residency/errors.go
+++ b/internal/residency/errors.go
@@ -85,8 +85,8 @@
 func (f *Flaw) Remedy() string { return "mend the rule in the file: nothing of it was taken over" }
 
 // Errors is one sample of each error of this package.
-func Errors() []fleet.Remedied {
-	return []fleet.Remedied{
+func Errors() []fleet.ErrorWithRemedy {
+	return []fleet.ErrorWithRemedy{
 		&Conflict{"engine", "bank", []string{"swiss", "austrian"}},
 		&Outside{"bank", "linz", []string{"swiss"}, []string{"10.0.0.1:6565"}},
 		&Untold{"bank", "swiss"},
--- a/internal/residency/residency.go
+++ b/internal/residency/residency.go
@@ -199,7 +199,7 @@
 	site           string // where the controller is
 	rules          []Rule
 	rulesByTeam    map[string][]*boundRule // worked out of rules, fleetView and unseenBindings
-	fleetView      fleet.Picture
+	fleetView      fleet.View
 	unseenBindings []fleet.Binding // in the log, and not in fleetView yet
 
 	stamp    uint64                 // changes with all of the above
@@ -229,7 +229,7 @@
 }
 
 // Pictured takes what the log says: what loads bound, and which emergencies are on.
-func (c *Core) Pictured(p *fleet.Picture) {
+func (c *Core) Pictured(p *fleet.View) {
 	same := slices.EqualFunc(p.Bindings, c.fleetView.Bindings, equalBindings) &&
 		maps.Equal(p.Emergencies, c.fleetView.Emergencies)
 	c.fleetView = *p
@@ -381,17 +381,17 @@
 }
 
 // Watches are the rules that name further sites: the fleet watches whether all inside is lost.
-func Watches(rules []Rule) (l []fleet.Watched) {
+func Watches(rules []Rule) (l []fleet.WatchedRule) {
 	for _, r := range rules {
 		if len(r.Emergency.Sites) > 0 && len(r.Engines) > 0 {
-			l = append(l, fleet.Watched{Rule: r.Name, Team: r.Team, Inside: r.Engines, After: r.Emergency.After})
+			l = append(l, fleet.WatchedRule{Rule: r.Name, Team: r.Team, Inside: r.Engines, After: r.Emergency.After})
 		}
 	}
 	return l
 }
 
 // Watches are those of the rules in force.
-func (c *Core) Watches() []fleet.Watched { return Watches(c.rules) }
+func (c *Core) Watches() []fleet.WatchedRule { return Watches(c.rules) }
 
 // Calmed is what has to be invalidated once a rule's emergency has ended: what was retained
 // where the rule forbids it. nil: nothing can be, its results may be anywhere.
@@ -408,5 +408,5 @@
 	if anywhere {
 		return nil
 	}
-	return &fleet.Scope{Team: team, Tables: tables, Outside: keepers}
+	return &fleet.Scope{Team: team, Tables: tables, OutsideSites: keepers}
 }
--- a/internal/residency/residency_test.go
+++ b/internal/residency/residency_test.go
@@ -60,7 +60,7 @@
 	}
 	old := c.Stamp()
 	// recorded in an order in which the second follows what only the third binds
-	c.Pictured(&fleet.Picture{Bindings: []fleet.Binding{{Team: "bank", Tables: []int64{2}, From: []int64{1}},
+	c.Pictured(&fleet.View{Bindings: []fleet.Binding{{Team: "bank", Tables: []int64{2}, From: []int64{1}},
 		{Team: "bank", Tables: []int64{4}, From: []int64{3}}, {Team: "bank", Tables: []int64{3}, From: []int64{2}},
 		{Team: "other", Tables: []int64{8}, From: []int64{1}}}})
 	if c.Stamp() == old {
@@ -82,11 +82,11 @@
 func TestEmergency(t *testing.T) {
 	c := core("linz", Rule{Name: "a", Team: "bank", Engines: []string{"linz"},
 		Emergency: Emergency{Sites: []string{"wien"}, After: time.Minute}})
-	want := []fleet.Watched{{Rule: "a", Team: "bank", Inside: []string{"linz"}, After: time.Minute}}
+	want := []fleet.WatchedRule{{Rule: "a", Team: "bank", Inside: []string{"linz"}, After: time.Minute}}
 	if got := c.Watches(); !cmp.Equal(got, want) {
 		t.Fatal(got)
 	}
-	c.Pictured(&fleet.Picture{Emergencies: map[string]uint64{"a": 7}})
+	c.Pictured(&fleet.View{Emergencies: map[string]uint64{"a": 7}})
 	v := c.Judge("bank", nil, true)
 	if !v.May("wien") || v.May("graz") || slices.Contains(v.Takers, "wien") || slices.Contains(v.Keepers, "wien") {
 		t.Fatalf("%+v", v)
@@ -99,11 +99,11 @@
 	if l, n := c.Crossed(); len(l) != maxCrossings || n != maxCrossings+5 || l[0].Query != "5" {
 		t.Fatal(len(l), n, l[0])
 	}
-	c.Pictured(&fleet.Picture{})
+	c.Pictured(&fleet.View{})
 	if v := c.Judge("bank", nil, true); v.May("wien") || !c.Outside("bank", nil, true, "wien") {
 		t.Fatalf("%+v", v)
 	}
-	if s := Calmed(c.rules, "a"); s == nil || s.Team != "bank" || !slices.Equal(s.Outside, []string{"linz"}) {
+	if s := Calmed(c.rules, "a"); s == nil || s.Team != "bank" || !slices.Equal(s.OutsideSites, []string{"linz"}) {
 		t.Fatalf("%+v", s)
 	}
 }
@@ -114,7 +114,7 @@
 	bindings := []fleet.Binding{{Team: "bank", Tables: []int64{4}, From: []int64{1}}}
 	got := Tightened(old, next, bindings)
 	if len(got) != 1 || !slices.Equal(got[0].Tables, []int64{1, 4}) || !got[0].Ends || got[0].Purge == nil ||
-		len(got[0].Purge.Outside) > 0 || !slices.Equal(got[0].Purge.Tables, []int64{1, 4}) {
+		len(got[0].Purge.OutsideSites) > 0 || !slices.Equal(got[0].Purge.Tables, []int64{1, 4}) {
 		t.Fatalf("%+v", got)
 	}
 	if got := Tightened(next, old, bindings); len(got) > 0 {
@@ -123,7 +123,7 @@
 	o := Plan(old, []Rule{{Name: "a", Team: "bank", Tables: []int64{1}, Engines: []string{"graz"}}}, World{Bindings: bindings,
 		Engines:     []Engine{{"e1", "linz", 30}, {"e2", "ulm", 10}},
 		Controllers: []fleet.Member{{Name: "c1", Site: "linz"}, {Name: "c2", Site: "graz"}},
-		Kept:        []Kept{{"c1", "bank", fleet.Counts{Results: 3}}, {"c2", "bank", fleet.Counts{Results: 4}}}})
+		Kept:        []Kept{{"c1", "bank", fleet.InvalidationCounts{Results: 3}}, {"c2", "bank", fleet.InvalidationCounts{Results: 4}}}})
 	row := o.Rows[0]
 	if !slices.Equal(o.None, []string{"bank"}) || row.Before != 0.75 || row.After != 0 || !slices.Equal(row.Engines, []string{"e1"}) ||
 		!slices.Equal(row.Purge, []string{"c1"}) || row.Kept.Results != 3 || !strings.Contains(o.Table(), "75.0 %") {
--- a/internal/resultcache/invalidation.go
+++ b/internal/resultcache/invalidation.go
@@ -13,7 +13,7 @@
 // such a flight, and have to go their way now.
 func (c *Cache) Invalidate(
 	now time.Duration, scope *fleet.Scope, index uint64,
-) (found fleet.Counts, next []*Request) {
+) (found fleet.InvalidationCounts, next []*Request) {
 	c.advance(now)
 	c.logIndex = max(c.logIndex, index)
 	inScope := func(e *entry) bool {
--- a/internal/resultcache/limits.go
+++ b/internal/resultcache/limits.go
@@ -33,8 +33,8 @@
 }
 
 // Errors is one of each type that this package gives.
-func Errors() []fleet.Remedied {
-	return []fleet.Remedied{&Unusable{"fresh", "is 0s: nothing could ever be served"}}
+func Errors() []fleet.ErrorWithRemedy {
+	return []fleet.ErrorWithRemedy{&Unusable{"fresh", "is 0s: nothing could ever be served"}}
 }
 
 // Check reports what is wrong with the figures, nil if nothing is. Its error is an *Unusable.
--- a/internal/resultcache/result_cache_test.go
+++ b/internal/resultcache/result_cache_test.go
@@ -216,7 +216,7 @@
 			case what < 19:
 				s := fleet.Scope{Team: "linz", Tables: tables(int64(rapid.IntRange(-1, 3).Draw(t, "table")))}
 				if rapid.Bool().Draw(t, "before") {
-					s.Before = max(1, (w.now - time.Second).Milliseconds())
+					s.RetainedBeforeMs = max(1, (w.now - time.Second).Milliseconds())
 				}
 				w.index++
 				w.drops = append(w.drops, drop{index: w.index, scope: s})
--- a/internal/scheduler/admission.go
+++ b/internal/scheduler/admission.go
@@ -47,9 +47,9 @@
 		return
 	}
 	if s.clientMayRetry(q) {
-		s.actions.Defer(q.id, s.retryAfterFor(q))
+		s.actions.DeferQuery(q.id, s.retryAfterFor(q))
 	} else {
-		s.actions.Kill(q.id)
+		s.actions.FailQuery(q.id)
 	}
 	s.end(q)
 	s.releaseEnded(q)
--- a/internal/scheduler/benchmark_test.go
+++ b/internal/scheduler/benchmark_test.go
@@ -13,15 +13,17 @@
 	probes []string
 }
 
-func (a *recordingActions) Submit(query, _ string, _ time.Duration) { a.sent = append(a.sent, query) }
-func (a *recordingActions) Probe(engine string)                     { a.probes = append(a.probes, engine) }
-func (a *recordingActions) Cancel(string, int)                      {}
-func (a *recordingActions) Terms(string, int, int)                  {}
-func (a *recordingActions) Defer(string, time.Duration)             {}
-func (a *recordingActions) Kill(string)                             {}
-func (a *recordingActions) Subscribe()                              {}
-func (a *recordingActions) Wake(time.Duration, int)                 {}
-func (a *recordingActions) Log(string)                              {}
+func (a *recordingActions) SendAttempt(query, _ string, _ time.Duration) {
+	a.sent = append(a.sent, query)
+}
+func (a *recordingActions) CheckHealth(engine string)        { a.probes = append(a.probes, engine) }
+func (a *recordingActions) CancelAttempt(string, int)        {}
+func (a *recordingActions) SetLimits(string, int, int)       {}
+func (a *recordingActions) DeferQuery(string, time.Duration) {}
+func (a *recordingActions) FailQuery(string)                 {}
+func (a *recordingActions) RequestEndpoints()                {}
+func (a *recordingActions) SetTimer(time.Duration, int)      {}
+func (a *recordingActions) Log(string)                       {}
 
 func newSized(engines int) (*recordingActions, *Scheduler) {
 	a := &recordingActions{}
--- a/internal/scheduler/confinement_test.go
+++ b/internal/scheduler/confinement_test.go
@@ -21,7 +21,7 @@
 	sent   map[int]int
 }
 
-func (f *confinementActions) Submit(query, engine string, _ time.Duration) {
+func (f *confinementActions) SendAttempt(query, engine string, _ time.Duration) {
 	where := f.at[engine]
 	if l, bound := f.inside[query]; bound && !slices.Contains(l, strconv.Itoa(where)) {
 		f.t.Fatalf("%s, submission %d, at location %d, and it may be at %v", query, f.tries[query], where, l)
@@ -31,7 +31,7 @@
 	f.tries[query]++
 }
 
-func (f *confinementActions) Probe(engine string) { f.probes = append(f.probes, engine) }
+func (f *confinementActions) CheckHealth(engine string) { f.probes = append(f.probes, engine) }
 
 // Every way to an engine obeys a query's boundary: first submissions, chains, repeats after
 // each kind of end, moves, copies; and a boundary that changes while the query is held.
--- a/internal/scheduler/deadline.go
+++ b/internal/scheduler/deadline.go
@@ -93,7 +93,7 @@
 	q.ended = true
 	for _, a := range q.attempts {
 		if !a.ended && s.settings.CancelAllowed {
-			s.actions.Cancel(q.id, a.number)
+			s.actions.CancelAttempt(q.id, a.number)
 		}
 	}
 }
--- a/internal/scheduler/events.go
+++ b/internal/scheduler/events.go
@@ -89,7 +89,7 @@
 	tables, key int64, work time.Duration, memoryMB float64, locations []string) {
 	s.now = now
 	if group < 0 || group >= len(s.groups) {
-		s.actions.Kill(id)
+		s.actions.FailQuery(id)
 		return
 	}
 	s.lastSequence++
--- a/internal/scheduler/fleet_test.go
+++ b/internal/scheduler/fleet_test.go
@@ -174,7 +174,7 @@
 	}
 }
 
-func (m *simController) Submit(id, engine string, _ time.Duration) {
+func (m *simController) SendAttempt(id, engine string, _ time.Duration) {
 	q, w, f := m.open[id], m.f.engines[engine], m.f
 	t := &simTask{m: m, id: id, try: q.tries, threads: fleetThreads[q.group], left: q.work, at: f.now}
 	q.tries++
@@ -220,7 +220,7 @@
 	}
 }
 
-func (m *simController) Cancel(id string, try int) {
+func (m *simController) CancelAttempt(id string, try int) {
 	q := m.open[id]
 	if q == nil || q.runs[try] == nil {
 		return
@@ -254,12 +254,12 @@
 		}
 	}
 }
-func (m *simController) Defer(id string, _ time.Duration) { m.close(id) }
-func (m *simController) Kill(id string)                   { m.close(id) }
-func (m *simController) Terms(string, int, int)           {}
-func (m *simController) Subscribe()                       {}
-func (m *simController) Log(string)                       {}
-func (m *simController) Probe(engine string) {
+func (m *simController) DeferQuery(id string, _ time.Duration) { m.close(id) }
+func (m *simController) FailQuery(id string)                   { m.close(id) }
+func (m *simController) SetLimits(string, int, int)            {}
+func (m *simController) RequestEndpoints()                     {}
+func (m *simController) Log(string)                            {}
+func (m *simController) CheckHealth(engine string) {
 	w, f := m.f.engines[engine], m.f
 	f.after(time.Millisecond, func() {
 		if w.state == EngineRemoved {
@@ -269,7 +269,7 @@
 		m.scheduler.HealthCheckEnded(f.now, engine, Finished, map[string]float64{"held": float64(w.held)})
 	})
 }
-func (m *simController) Wake(in time.Duration, tag int) {
+func (m *simController) SetTimer(in time.Duration, tag int) {
 	m.f.after(in, func() { m.scheduler.TimerFired(m.f.now, tag) })
 }
 
--- a/internal/scheduler/health_check.go
+++ b/internal/scheduler/health_check.go
@@ -94,7 +94,7 @@
 	e.healthCheckInFlight = true
 	e.healthCheckSentAt = s.now
 	s.recentHealthChecks++
-	s.actions.Probe(e.id)
+	s.actions.CheckHealth(e.id)
 }
 
 // healthCheckFailed leaves an engine alone that crashed, stalls or is cut off: the endpoint list
--- a/internal/scheduler/interface.go
+++ b/internal/scheduler/interface.go
@@ -6,22 +6,22 @@
 // ones that came in with events.
 type Actions interface {
 	// Submit sends an attempt; its answer is wanted within a time, 0: until the client gives up.
-	Submit(query, engine string, within time.Duration)
+	SendAttempt(query, engine string, within time.Duration)
 	// Cancel calls an attempt off, by its number; its end is still told with AttemptEnded.
-	Cancel(query string, number int)
+	CancelAttempt(query string, number int)
 	// Terms sets a query's priority and memory grant for attempts from now on; a grant of 0 leaves
 	// it to the engine.
-	Terms(query string, priority, grantMB int)
+	SetLimits(query string, priority, grantMB int)
 	// Defer rejects a query, which its client may ask again after a time.
-	Defer(query string, retryAfter time.Duration)
+	DeferQuery(query string, retryAfter time.Duration)
 	// Kill answers a query with an error.
-	Kill(query string)
+	FailQuery(query string)
 	// Probe sends a health check, whose end is told with HealthCheckEnded.
-	Probe(engine string)
+	CheckHealth(engine string)
 	// Subscribe asks for the endpoint list.
-	Subscribe()
+	RequestEndpoints()
 	// Wake asks for TimerFired with the tag.
-	Wake(in time.Duration, tag int)
+	SetTimer(in time.Duration, tag int)
 	// Log writes a line for operators.
 	Log(line string)
 }
--- a/internal/scheduler/invariants.go
+++ b/internal/scheduler/invariants.go
@@ -15,7 +15,7 @@
 	s.updateLimits(q)
 	q.group.recentThreadSeconds += s.estimatedSoloSeconds(q) * q.group.threads
 	s.recordAttempt(q, e)
-	s.actions.Submit(q.id, e.id, q.deadline-s.now)
+	s.actions.SendAttempt(q.id, e.id, q.deadline-s.now)
 	return true
 }
 
--- a/internal/scheduler/limits.go
+++ b/internal/scheduler/limits.go
@@ -20,7 +20,7 @@
 	if priority != q.priority || grant != q.grant {
 		q.priority = priority
 		q.grant = grant
-		s.actions.Terms(q.id, priority, grant)
+		s.actions.SetLimits(q.id, priority, grant)
 	}
 }
 
--- a/internal/scheduler/retry.go
+++ b/internal/scheduler/retry.go
@@ -111,7 +111,7 @@
 	if s.moveAllowed(q, slow, fresh) && remaining >= above*fresh {
 		a.moving = true
 		q.movedForSlowness = q.movedForSlowness || slow
-		s.actions.Cancel(q.id, a.number)
+		s.actions.CancelAttempt(q.id, a.number)
 	} else if slow && remaining > hopelessAbove*s.secondsLeft(q) {
 		s.reject(q)
 	}
--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -119,7 +119,7 @@
 	if s.settings.RetryAfterAllowed {
 		s.retryAfter = s.settings.MaxRetryAfter
 	}
-	s.actions.Wake(tickInterval, tickTag)
+	s.actions.SetTimer(tickInterval, tickTag)
 	return s
 }
 
--- a/internal/scheduler/timers.go
+++ b/internal/scheduler/timers.go
@@ -26,7 +26,7 @@
 
 // tick does the periodic work.
 func (s *Scheduler) tick() {
-	s.actions.Wake(tickInterval, tickTag)
+	s.actions.SetTimer(tickInterval, tickTag)
 	s.rankGroups()
 	s.averageInFlight()
 	s.ownShare = s.estimateOwnShare()
@@ -83,7 +83,7 @@
 	again := min(subscribeAgainAfter, s.settings.ListPollWithin/subscribeParts)
 	if s.settings.ListPolled && !s.subscribed && s.now-s.subscribeSentAt > again {
 		s.subscribeSentAt = s.now
-		s.actions.Subscribe()
+		s.actions.RequestEndpoints()
 	}
 }
 
@@ -98,7 +98,7 @@
 	}
 	if first, ok := s.timers.First(); ok && (s.wakeAt < 0 || first < s.wakeAt) {
 		s.wakeAt = first
-		s.actions.Wake(max(0, first-s.now), timersTag)
+		s.actions.SetTimer(max(0, first-s.now), timersTag)
 	}
 }
 
--- a/internal/scheduler/world_test.go
+++ b/internal/scheduler/world_test.go
@@ -196,7 +196,7 @@
 	return w.settings[fmt.Sprintf("group.%d.%s", group, name)]
 }
 
-func (w *world) Submit(id, engine string, within time.Duration) {
+func (w *world) SendAttempt(id, engine string, within time.Duration) {
 	q, m := w.queries[id], w.engines[engine]
 	w.log = append(w.log, id+" to "+engine)
 	switch {
@@ -304,7 +304,7 @@
 	w.log = append(w.log, id+" "+how)
 }
 
-func (w *world) Defer(id string, comeBack time.Duration) {
+func (w *world) DeferQuery(id string, comeBack time.Duration) {
 	q := w.queries[id]
 	w.retryAfters = append(w.retryAfters, comeBack)
 	for _, s := range q.attempts {
@@ -317,19 +317,19 @@
 	w.answer(id, "deferred")
 }
 
-func (w *world) Kill(id string) { w.answer(id, "killed") }
+func (w *world) FailQuery(id string) { w.answer(id, "killed") }
 
 // Cancel: the end comes with the next end drawn, as on a slow network.
-func (w *world) Cancel(id string, try int) {
+func (w *world) CancelAttempt(id string, try int) {
 	if w.settings["may.cancel"] != "true" || try >= len(w.queries[id].attempts) {
 		w.t.Fatalf("cancel of %s %d", id, try)
 	}
 }
-func (w *world) Terms(string, int, int) {}
-func (w *world) Probe(id string)        { w.probes = append(w.probes, id) }
-func (w *world) Subscribe()             { w.log = append(w.log, "subscribe") }
-func (w *world) Log(string)             {}
-func (w *world) Wake(in time.Duration, tag int) {
+func (w *world) SetLimits(string, int, int) {}
+func (w *world) CheckHealth(id string)      { w.probes = append(w.probes, id) }
+func (w *world) RequestEndpoints()          { w.log = append(w.log, "subscribe") }
+func (w *world) Log(string)                 {}
+func (w *world) SetTimer(in time.Duration, tag int) {
 	w.wakes = append(w.wakes, wake{w.now + in, tag})
 }
 
--- a/internal/setup/control_test.go
+++ b/internal/setup/control_test.go
@@ -189,8 +189,8 @@
 		return parsed(t, strings.Replace(exampleOf(t, "control.yaml"), "# placement:", "placement: "+rules+" #", 1))
 	}
 	inLinz, inBoth := "[{name: a, team: x, engines: [linz]}]", "[{name: a, team: x, engines: [linz, steyr]}]"
-	all := []fleet.Scope{{Team: "x", Outside: []string{"linz"}}}
-	both := []fleet.Scope{{Team: "x", Outside: []string{"linz", "steyr"}}}
+	all := []fleet.Scope{{Team: "x", OutsideSites: []string{"linz"}}}
+	both := []fleet.Scope{{Team: "x", OutsideSites: []string{"linz", "steyr"}}}
 	for _, c := range []struct {
 		name         string
 		own          *Setup
@@ -223,7 +223,7 @@
 		if errors.As(err, &unfit) != c.refused || c.refused && !strings.Contains(err.Error(), "placement: is missing") {
 			t.Errorf("%s: %v", c.name, err)
 		}
-		if !slices.EqualFunc(scopes, c.want, func(a, b fleet.Scope) bool { return a.Team == b.Team && slices.Equal(a.Outside, b.Outside) }) {
+		if !slices.EqualFunc(scopes, c.want, func(a, b fleet.Scope) bool { return a.Team == b.Team && slices.Equal(a.OutsideSites, b.OutsideSites) }) {
 			t.Errorf("%s: %+v, want %+v", c.name, scopes, c.want)
 		}
 	}
--- a/internal/setup/placement.go
+++ b/internal/setup/placement.go
@@ -144,12 +144,12 @@
 func (u *Unfit) Unwrap() []error { return u.Faults }
 
 // Errors is one sample of each error that a fleet's operator is told by this package.
-func Errors() []fleet.Remedied {
-	return []fleet.Remedied{&Unfit{"policy.yaml", []error{&Fault{File: "policy.yaml", Line: 3, Field: "groups[0].name", Why: `no group is called "lookup"`}}}}
+func Errors() []fleet.ErrorWithRemedy {
+	return []fleet.ErrorWithRemedy{&Unfit{"policy.yaml", []error{&Fault{File: "policy.yaml", Line: 3, Field: "groups[0].name", Why: `no group is called "lookup"`}}}}
 }
 
 // Base is the policy that the set-up itself holds: version 0, before any change.
-func (x *Setup) Base() (*controller.Policy, []fleet.Watched) {
+func (x *Setup) Base() (*controller.Policy, []fleet.WatchedRule) {
 	rules := x.rules()
 	return &controller.Policy{Fair: x.Shape(), Facts: x.facts(), Rules: rules}, residency.Watches(rules)
 }
@@ -157,7 +157,7 @@
 // ParsePolicy reads a policy's text, strictly, and checks it against a controller's own
 // set-up, which is not changed. What is wrong is an *Unfit. Voters are name=address; none:
 // as before.
-func ParsePolicy(file string, text []byte, own *Setup) (*controller.Policy, []fleet.Watched, []string, error) {
+func ParsePolicy(file string, text []byte, own *Setup) (*controller.Policy, []fleet.WatchedRule, []string, error) {
 	x, p, err := own.with(file, text)
 	if err != nil {
 		return nil, nil, nil, err
--- a/internal/simadapter/words.go
+++ b/internal/simadapter/words.go
@@ -34,18 +34,18 @@
 	return strconv.FormatFloat(float64(t)/float64(time.Millisecond), 'f', 3, 64)
 }
 
-func (d *instance) Submit(query, engine string, within time.Duration) {
+func (d *instance) SendAttempt(query, engine string, within time.Duration) {
 	d.act("place", query, engine, span(within))
 }
-func (d *instance) Cancel(query string, try int) { d.act("retract", query, strconv.Itoa(try)) }
-func (d *instance) Terms(query string, priority, grantMB int) {
+func (d *instance) CancelAttempt(query string, try int) { d.act("retract", query, strconv.Itoa(try)) }
+func (d *instance) SetLimits(query string, priority, grantMB int) {
 	d.act("limits_for", query, strconv.Itoa(priority), strconv.Itoa(grantMB))
 }
-func (d *instance) Defer(query string, comeBack time.Duration) {
+func (d *instance) DeferQuery(query string, comeBack time.Duration) {
 	d.act("turn_away", query, span(comeBack))
 }
-func (d *instance) Kill(query string)              { d.act("finish_error", query) }
-func (d *instance) Probe(engine string)            { d.act("inspect", engine) }
-func (d *instance) Subscribe()                     { d.act("subscribe", "1") }
-func (d *instance) Wake(in time.Duration, tag int) { d.act("after", span(in), strconv.Itoa(tag)) }
-func (d *instance) Log(line string)                { d.act("write_log", line) }
+func (d *instance) FailQuery(query string)             { d.act("finish_error", query) }
+func (d *instance) CheckHealth(engine string)          { d.act("inspect", engine) }
+func (d *instance) RequestEndpoints()                  { d.act("subscribe", "1") }
+func (d *instance) SetTimer(in time.Duration, tag int) { d.act("after", span(in), strconv.Itoa(tag)) }
+func (d *instance) Log(line string)                    { d.act("write_log", line) }
--- a/internal/spool/purge.go
+++ b/internal/spool/purge.go
@@ -19,7 +19,7 @@
 // to nobody, and what is being taken in is refused with ErrPurged. unreached is called
 // at once, wiped when no byte of it is on disk any more, with what was found. A program
 // that ends before is to be given the same purge again, before it serves.
-func (c *Core) Purge(now time.Duration, s *fleet.Scope, index uint64, unreached func(), wiped func(fleet.Counts)) {
+func (c *Core) Purge(now time.Duration, s *fleet.Scope, index uint64, unreached func(), wiped func(fleet.InvalidationCounts)) {
 	c.at(now)
 	var l []*Result
 	means := func(r *Result) {
@@ -35,7 +35,7 @@
 	}
 	// the order of a map must not show
 	slices.SortFunc(l, func(a, b *Result) int { return cmp.Or(cmp.Compare(a.id, b.id), cmp.Compare(a.serial, b.serial)) })
-	var found fleet.Counts
+	var found fleet.InvalidationCounts
 	for _, r := range l {
 		if r.purged = true; r.failed == nil {
 			r.failed = ErrPurged
--- a/internal/spool/spool_test.go
+++ b/internal/spool/spool_test.go
@@ -113,7 +113,7 @@
 	b.index++
 	var gone []uint64
 	told := false
-	b.c.Purge(b.now, s, b.index, func() { told = true }, func(n fleet.Counts) {
+	b.c.Purge(b.now, s, b.index, func() { told = true }, func(n fleet.InvalidationCounts) {
 		b.purged += int(n.Results)
 		for _, id := range gone {
 			if b.disk[id] != nil {
