--- a/internal/fairqueue/crowd.go
+++ b/internal/fairqueue/crowd.go
@@ -5,11 +5,10 @@
 	"time"
 )
 
-// crowd tells when far more comes at once than usually does, as when an alert goes
-// out, how much more, and for how long it will go on: as long as crowds lately did,
-// or if there was none yet, as long again as it has. Without it those who come
-// first in a crowd are told of nobody behind them, and a crowd that is over is
-// thought to be the usual from then on.
+// surge detects that far more arrives at once than usually does, as when an alert goes out: how
+// much more, and for how long it will go on. That is as long as surges lately lasted or, if there
+// was none yet, as long again as this one has. Without it the first queries of a surge would be
+// told of nobody behind them, and a surge that is over would be taken for usual from then on.
 type surge struct {
 	slots       [surgeSlots]float64 // work that came, by crowdSlot
 	lastSlot    int64
@@ -29,7 +28,7 @@
 	maxSurge      = time.Second
 )
 
-// pass brings the slots to a time.
+// advance moves the slots to a time.
 func (x *surge) advance(now time.Duration) {
 	at := int64(now / surgeSlotSpan)
 	if at-x.lastSlot >= surgeSlots {
@@ -44,15 +43,16 @@
 	x.lastSlot = at
 }
 
-// add counts what came where so much a second usually does; least is an amount
-// that says nothing. It tells how many times the usual it counts for.
+// add counts arrived work, where usual is the usual rate and least an amount that is no surge. It
+// returns how many times the usual arrives.
 func (x *surge) add(now time.Duration, work, usual, least float64) float64 {
 	x.update(now, usual, least)
 	x.slots[x.lastSlot%surgeSlots] += work
 	x.sum += work
 	if x.active {
 		x.work += work
-		if late := x.slots[x.lastSlot%surgeSlots] + x.slots[(x.lastSlot+surgeSlots-1)%surgeSlots]; late > surgeFactor*usual*2*surgeSlotSpan.Seconds() {
+		late := x.slots[x.lastSlot%surgeSlots] + x.slots[(x.lastSlot+surgeSlots-1)%surgeSlots]
+		if late > surgeFactor*usual*2*surgeSlotSpan.Seconds() {
 			x.lastBusyAt = now
 		}
 		return x.factor(now, usual)
@@ -60,7 +60,7 @@
 	return 1
 }
 
-// look judges what came of late.
+// update decides whether a surge starts, goes on or is over.
 func (x *surge) update(now time.Duration, usual, least float64) {
 	x.advance(now)
 	span := (surgeSlots * surgeSlotSpan).Seconds()
@@ -78,7 +78,7 @@
 	}
 }
 
-// times is how many times the usual comes while it goes on.
+// factor is how many times the usual arrives while a surge goes on, else 1.
 func (x *surge) factor(now time.Duration, usual float64) float64 {
 	if !x.active || usual <= 0 {
 		return 1
@@ -86,7 +86,7 @@
 	return max(1, x.work/max(now-x.startedAt, surgeSlotSpan).Seconds()/usual)
 }
 
-// left is for how many seconds more it will go on.
+// remainingSeconds is for how much longer a surge will go on.
 func (x *surge) remainingSeconds(now time.Duration) float64 {
 	if !x.active {
 		return 0
@@ -95,10 +95,10 @@
 	return max(0, x.durations.valueOr(2*been)-been)
 }
 
-// trim is what a lane's last estimates were off by, as a factor. Of short waits it is
-// taken over soon: those who just started came a moment ago. Who starts after a long
-// wait was told of another state of things; of that only a part is taken over,
-// slowly, and never much.
+// estimateCorrection is the factor by which a lane's last estimates were wrong. The error of short
+// waits is taken over soon: queries that just started arrived a moment ago. A query that starts
+// after a long wait got its estimate in another state of things; of its error only a part is taken
+// over, slowly, and never much.
 type estimateCorrection struct {
 	shortWaits, longWaits float64 // logarithms of the wait had over the one told
 	updatedAt             time.Duration
@@ -120,10 +120,11 @@
 	x.updatedAt = now
 }
 
-// add learns of a start.
+// add learns from a start: the wait as estimated and as it was, in seconds.
 func (x *estimateCorrection) add(now time.Duration, told, had float64) {
 	x.advance(now)
-	off := max(-maxCorrectionLog, min(math.Log((had+minMeaningfulWait)/(told+minMeaningfulWait)), maxCorrectionLog))
+	ratio := (had + minMeaningfulWait) / (told + minMeaningfulWait)
+	off := max(-maxCorrectionLog, min(math.Log(ratio), maxCorrectionLog))
 	short := shortness(max(told, had))
 	x.shortWaits += short * correctionShortGain * (off - x.shortWaits)
 	x.longWaits += (1 - short) * correctionLongGain * (off - x.longWaits)
@@ -134,7 +135,7 @@
 	return 1 / (1 + r*r*r)
 }
 
-// by is the factor for an estimate.
+// factor is the correction of an estimate in seconds.
 func (x *estimateCorrection) factor(now time.Duration, wait float64) float64 {
 	if x.shortWaits == 0 && x.longWaits == 0 {
 		return 1
--- a/internal/fairqueue/estimate.go
+++ b/internal/fairqueue/estimate.go
@@ -5,31 +5,30 @@
 	"time"
 )
 
-// An estimate is a fluid model of all that is to be done before a query starts,
-// solved anew for each that comes. Engines that are full do a certain amount of
-// work a second, whichever lanes it is for; that rate is seen best from what ends
-// while queries wait. What comes before the query is
+// A wait estimate is the solution of a fluid model of all work that is done before a query starts,
+// found anew for each query. Full engines do a certain amount of work a second, whichever lanes it
+// is for; that rate is best measured by what ends while queries wait. Before the query goes
 //
-//	what runs beyond what usually does when one is let go,
-//	what was handed on and not sent, and what its team has waiting before it,
-//	of each rival of its lane what it is served until the level is reached at
-//	which the query's turn comes, but no more than it has waiting and will send
-//	meanwhile, and no more than its budget,
-//	of each other lane what goes of it beside, as it was seen while both waited,
-//	but no more than it has waiting and what comes there meanwhile:
+//   - the work in flight beyond what usually is when a query is dispatched,
+//   - what was dispatched and not sent, and what its tenant has waiting before it,
+//   - of each rival of its lane what it is served until the level is reached at which the query's
+//     turn comes, but no more than it has waiting and will send meanwhile, and than its quota,
+//   - of each other lane what goes of it meanwhile, by the ratio seen while both waited, but no
+//     more than it has waiting and what arrives there meanwhile:
+//
+// In formulas:
 //
 //	level = (ahead + lead + paid) / share
-//	T = (excess + passed + ahead + sum over rivals of min(share*level - lead - paid,
-//	     backlog + rate*T, tokens + budget*T) + sum over lanes of min(beside,
+//	T = (excess + dispatched + ahead + sum over rivals of min(share*level - lead - paid,
+//	     backlog + rate*T, tokens + quota*T) + sum over lanes of min(ratio*own,
 //	     backlog + rate*T)) / flow
 //
-// lead is what a team was charged beyond the mean of its siblings, paid what it
-// will have been charged for work in other lanes and for what queries took beyond
-// their usual work. T stands on both sides; it is found
-// by going round a few times. Where less comes than is done, no wait is longer than
-// it takes until nothing waits at all.
+// lead is what a tenant was charged beyond the mean of its siblings; paid is what it will have been
+// charged for work in other lanes and for what queries used beyond their usual work. T stands on
+// both sides and is found by a few iterations. Where less arrives than is done, no wait is longer
+// than it takes until nothing waits at all.
 
-// rival is a team with queries waiting in a lane.
+// rival is a tenant with queries waiting in a lane.
 type rival struct {
 	node                   *node
 	share                  float64 // of all weights, down from the root
@@ -39,8 +38,8 @@
 	tokens, refillRate     float64
 }
 
-// profile is a lane's rivals. Beyond profileMost teams it is a sample of them,
-// each standing for scale.
+// rivalProfile holds a lane's rivals. Beyond maxRivals tenants it is a sample of them, each standing
+// for scale.
 type rivalProfile struct {
 	rivals     []rival
 	builtAt    time.Duration
@@ -51,11 +50,12 @@
 	scanned    int
 }
 
-// amendsPart is how much of amends is paid while owedSpan's part of debts is.
+// correctionPart is how much of a correction is settled while deferredChargeSpan's part of the
+// deferred charges is.
 const correctionPart = float64(deferredChargeSpan) / float64(correctionSpan)
 
-// hardly is the part of a query's wait that a lane's queue may take which has all
-// it asks for meanwhile: it waits for moments only.
+// shortWaitPart is the part of a query's wait that a lane's queue may take and still be one that
+// gets all it asks for: it waits for moments only.
 const shortWaitPart = 0.05
 
 const (
@@ -68,7 +68,8 @@
 	l := &f.lanes[i]
 	p := &l.profile
 	few := max(p.tenants, l.eligibleTenants) <= maxRivals
-	if p.builtAt != 0 && f.now-p.builtAt < rivalProfileAge && (p.tenants == l.eligibleTenants || !few && 8*abs(p.tenants-l.eligibleTenants) < p.tenants) {
+	similar := p.tenants == l.eligibleTenants || !few && 8*abs(p.tenants-l.eligibleTenants) < p.tenants
+	if p.builtAt != 0 && f.now-p.builtAt < rivalProfileAge && similar {
 		return p
 	}
 	p.builtAt, p.tenants, p.rivals, p.scanned = max(1, f.now), l.eligibleTenants, p.rivals[:0], 0
@@ -83,7 +84,7 @@
 	return p
 }
 
-// gather walks the teams that wait in a lane and keeps each step-th.
+// gatherRivals walks the tenants that wait in a lane and keeps each step-th.
 func (f *Queue) gatherRivals(p *rivalProfile, n *node, i int, share float64, step int) {
 	for _, band := range n.heaps {
 		for _, x := range band[i] {
@@ -98,7 +99,13 @@
 			if p.scanned++; p.scanned%step != 0 && step > 1 {
 				continue
 			}
-			r := rival{node: x, share: e, arrivalRate: x.arrivalRates[i].perSecond(f.now), otherRate: x.otherRate(f.now, i), tokens: math.Inf(1)}
+			r := rival{
+				node:        x,
+				share:       e,
+				arrivalRate: x.arrivalRates[i].perSecond(f.now),
+				otherRate:   x.otherRate(f.now, i),
+				tokens:      math.Inf(1),
+			}
 			for up := x; up.parent != nil; up = up.parent {
 				if up.quota > 0 {
 					t := up.tokens + up.quota*(f.now-up.tokensAt).Seconds()
@@ -112,7 +119,7 @@
 	}
 }
 
-// weightOf is the part of n's share that is a team's below it.
+// partOf is the part of n's share that belongs to tenant x below it.
 func (n *node) partOf(x *node) float64 {
 	part := 1.0
 	for ; x != n; x = x.parent {
@@ -121,8 +128,8 @@
 	return part
 }
 
-// lead is what a team is ahead of its siblings in a lane, in thread seconds, with
-// its part of what its kind is ahead.
+// lead is how far a tenant is ahead of its siblings in a lane, in thread seconds, with its part of
+// what its group is ahead.
 func (n *node) lead(k int) float64 {
 	sum, part := 0.0, 1.0
 	for x := n; x.parent != nil; x = x.parent {
@@ -134,7 +141,7 @@
 	return sum
 }
 
-// elsewhere is the rate at which a team is charged beside what it asks for in a lane.
+// otherRate is the rate at which a tenant is charged beside what it asks for in a lane.
 func (n *node) otherRate(now time.Duration, lane int) float64 {
 	sum := n.overrunRate
 	for k := range n.arrivalRates {
@@ -145,11 +152,12 @@
 	return sum
 }
 
-// owes is what it is charged in a lane by and by, as fast as debts are.
+// deferredCharge is what a tenant will be charged in a lane bit by bit.
 func (n *node) deferredCharge(lane int) float64 {
 	return n.deferredCharges[lane] + n.corrections*correctionPart
 }
 
+// share is a tenant's part of all weights of busy tenants, down from the root.
 func (n *node) share() float64 {
 	part := 1.0
 	for x := n; x.parent != nil; x = x.parent {
@@ -162,9 +170,8 @@
 	return part
 }
 
-// capacity is the work done a second while queries wait: the part of the cores'
-// that was seen to be, less what queries take that run far beyond their usual work
-// and so is in nobody's estimate.
+// capacity is the work done a second while queries wait: the measured part of the cores, less what
+// overrunning queries take, which is in nobody's estimate.
 func (f *Queue) capacity() float64 {
 	used, known := f.workDone.perSecond()
 	trust := known / (known + 1)
@@ -172,7 +179,7 @@
 	return max(r-(f.overrunRate+f.overrunMean.value)/2, r/10, 1e-3)
 }
 
-// comes is the work that usually comes a second.
+// totalArrivalRate is the work that usually arrives a second.
 func (f *Queue) totalArrivalRate() (sum float64) {
 	for i := range f.lanes {
 		sum += f.lanes[i].arrivals.perSecond(f.now)
@@ -180,10 +187,10 @@
 	return sum
 }
 
-// crowdLeast is how many queries of the largest lane at once are no crowd.
+// minSurgeQueries is how many queries of the largest lane at once are no surge.
 const minSurgeQueries = 6
 
-// meanEst is what a query of the lane with the largest takes.
+// largestUsualWork is the usual work of a query of the lane with the largest.
 func (f *Queue) largestUsualWork() (most float64) {
 	for i := range f.lanes {
 		most = max(most, f.lanes[i].usualCost.valueOr(0))
@@ -191,17 +198,17 @@
 	return most
 }
 
-// against is how much of lane h goes while so much of lane g does, and both wait.
+// laneRatio is how much work of lane h is dispatched for each of lane g while both wait.
 func (f *Queue) laneRatio(h, g int) float64 {
 	p := &f.laneRatios[g*len(f.lanes)+h]
 	const prior = 0.5 // thread seconds of each
 	return (p[1] + prior) / (p[0] + prior)
 }
 
-// pairsKeep bounds the memory of pairs, in thread seconds.
+// laneRatioMemory bounds the memory of lane ratios, in thread seconds.
 const laneRatioMemory = 25
 
-// went counts what goes of a lane against all others that wait too.
+// recordLaneRatio counts dispatched work of a lane against all other lanes that wait too.
 func (f *Queue) recordLaneRatio(i int, work float64) {
 	n := len(f.lanes)
 	for k := range f.lanes {
@@ -218,14 +225,14 @@
 	}
 }
 
-// remains is the work left of all that runs, as far as it goes by estimates:
-// engines share their cores among the threads that run.
+// inFlightWorkLeft is the estimated work left of all that runs: engines share their cores among
+// the threads that run.
 func (f *Queue) inFlightWorkLeft() float64 {
 	return max(0, f.inFlightWork-min(f.runningThreads, f.cores)*(f.now-f.sweptAt).Seconds())
 }
 
-// excess is the work that runs beyond what usually does when a query that waited
-// is let go: crowds get in before engines show that they are full.
+// excessInFlight is the work in flight beyond the usual at a dispatch of a query that waited:
+// surges get in before engines show that they are full.
 func (f *Queue) excessInFlight() float64 {
 	if f.typicalInFlight.count < 5 {
 		return 0
@@ -233,8 +240,7 @@
 	return max(0, f.inFlightWorkLeft()-1.1*f.typicalInFlight.value)
 }
 
-// estimate is how long a query that comes now, or waits with so much of its team
-// before it, waits until it starts.
+// estimateWait is how long a query that arrives now waits until it starts.
 func (f *Queue) estimateWait(q *Query) time.Duration {
 	l := &f.lanes[q.Lane]
 	t := 0.0
@@ -248,7 +254,7 @@
 	return max(seconds(t), f.orderWait(q, l, seconds(t)))
 }
 
-// way is how long a team makes way before its next goes, with so much of it ahead.
+// yieldSeconds is how long a tenant yields before its next query goes, with so much work ahead.
 func (f *Queue) yieldSeconds(q *Query, ahead float64) float64 {
 	n := q.leaf
 	over := ahead - f.allowedLead(n)
@@ -259,6 +265,7 @@
 	return max(0, over) / gain
 }
 
+// solveWait returns the wait in seconds of a query with so much work of its tenant ahead.
 func (f *Queue) solveWait(q *Query, l *lane, ahead float64) float64 {
 	m := f.newWaitModel(q, l, ahead)
 	// Solved twice: by the tenant's weight, and as for a tenant beyond its quota, which goes
@@ -393,8 +400,8 @@
 	return sum
 }
 
-// tokensOf is the tightest budget over a team: what is left, and what comes back
-// a second.
+// tightestQuota is the token bucket with the fewest tokens above a tenant: its tokens, and how many
+// come back a second.
 func (f *Queue) tightestQuota(n *node) (tokens, refilled float64) {
 	tokens = math.Inf(1)
 	for x := n; x.parent != nil; x = x.parent {
@@ -407,8 +414,8 @@
 	return tokens, refilled
 }
 
-// inLine is what an order adds: those of its key before it have to be over, and
-// of its chain one runs at a time, or for chainHeld until it goes alone.
+// orderWait is the wait for the query's orders: queries before it of its key have to be over, and
+// of its chain one runs at a time, or for maxChainHold until it goes alone.
 func (f *Queue) orderWait(q *Query, l *lane, t time.Duration) time.Duration {
 	if !l.Ordered && !l.Chained {
 		return 0
@@ -441,16 +448,16 @@
 	return by
 }
 
-// chainHeld is how long the decisions hold a load behind another of its tables.
+// maxChainHold is how long the scheduler holds a load behind another of its tables.
 const maxChainHold = time.Second
 
-// chainLink is what of a chain was handed on and isn't over.
+// chainInFlight counts what of a chain was dispatched and is not over.
 type chainInFlight struct {
 	inFlight    int
 	expectedEnd time.Duration // when it should be
 }
 
-// linked counts a load that was handed on, unlinked one that is over.
+// chainDispatched counts a load that was dispatched.
 func (f *Queue) chainDispatched(q *Query, l *lane) {
 	x := f.chains[q.Chain]
 	x.inFlight++
@@ -458,6 +465,7 @@
 	f.chains[q.Chain] = x
 }
 
+// chainEnded counts a dispatched load that is over.
 func (f *Queue) chainEnded(q *Query) {
 	if x := f.chains[q.Chain]; x.inFlight > 1 {
 		x.inFlight--
@@ -467,7 +475,7 @@
 	}
 }
 
-// lastBefore is the one before w, or the last if w isn't in the line yet.
+// predecessor is the query before q, or the last if q is not in the order yet.
 func (x *orderQueue) predecessor(q *Query, kind int) *Query {
 	if q.orders[kind].order == x {
 		return q.orders[kind].prev
@@ -491,7 +499,7 @@
 	return q.Estimate
 }
 
-// retell tells anew those who asked for it and whose wait has changed by much.
+// notifyChangedWaits calls tell for subscribed queries whose wait estimate changed by much.
 func (f *Queue) notifyChangedWaits(tell func(q *Query, wait time.Duration)) {
 	kept := f.subscribers[:0]
 	for _, q := range f.subscribers {
--- a/internal/fairqueue/fair.go
+++ b/internal/fairqueue/fair.go
@@ -16,17 +16,21 @@
 
 // Counts sums what happened to the queries of a tenant, or of all tenants together.
 type Counts struct {
+	// Numbers of queries.
 	Arrived, Started, Finished, Deferred, Killed, ClientGone, Repeated, Lowered int
-	Charged                                                                     float64       // thread seconds
-	SumEstimates, SumWaits                                                      time.Duration // sums of first estimates and waits, of those started
-	MaxWait                                                                     time.Duration // wait had
-	LastStart                                                                   time.Duration
+
+	// Charged is in thread seconds.
+	Charged float64
+
+	// Of the queries that started: sums of their first estimates and of their waits, the
+	// longest wait, and when the last one started.
+	SumEstimates, SumWaits, MaxWait, LastStart time.Duration
 }
 
 // Admission is the answer to a query that arrived.
 type Admission struct {
 	Admitted bool
-	Estimate time.Duration // until it starts, or for a query not taken until it might
+	Estimate time.Duration // until the query starts, or if rejected until it might
 	Reason   RejectReason
 }
 
@@ -41,53 +45,75 @@
 	QueueFull                      // too many wait in all
 )
 
-var rejectReasonTexts = [...]string{"", "it would start too late", "it would wait longer than any may", "too many of its team wait", "too many wait"}
+var rejectReasonTexts = [...]string{
+	NotRejected:       "",
+	WouldStartTooLate: "it would start too late",
+	WaitTooLong:       "it would wait longer than any may",
+	TenantQueueFull:   "too many of its team wait",
+	QueueFull:         "too many wait",
+}
 
+// String returns the reason as log messages have it.
 func (r RejectReason) String() string { return rejectReasonTexts[r] }
 
 // Queue is the fair queue of one controller. It is not safe for concurrent use: its owner's
 // goroutine makes all calls.
 type Queue struct {
-	config           Config
-	tenants          []tenantRecord
-	children         [][]int
-	resolver         *TenantResolver
-	lanes            []lane
-	root             *node
-	now              time.Duration
-	lastSequence     uint64
-	nodesMade        uint64
-	nodeCount        int
-	waiting          int
-	refills          refillHeap
-	orders           map[orderID]*orderQueue
-	chains           map[int64]chainInFlight
-	spareOrder       *orderQueue // to use again
-	repeats          repeatMemory
-	lastWaitingAt    time.Duration // when somebody last waited
-	cores            float64
-	workDone         saturatedRate // part of the cores' time that was used while queries waited
-	overrunRate      float64       // thread time a second of queries far beyond their usual work
-	overrunMean      runningMean   // of it, while queries wait
-	laneRatios       [][2]float64
-	surge            surge
-	typicalInFlight  runningMean // work in flight when one that waited was let go
-	inFlightWork     float64     // work left of what runs, at the last sweep
-	runningThreads   float64     // that run
-	servicePerThread float64     // seconds that each thread that runs was served so far
-	running          list        // in the order they were handed on
-	subscribers      []*Query
-
-	debtors []*node
-	idle    intrusivelist.List[node] // in the order in which they became so
-	sweptAt time.Duration
-	// Total counts all teams together.
+	config   Config
+	resolver *TenantResolver
+	lanes    []lane
+	cores    float64
+
+	// The tenant tree. Indexes are those of tenants.
+	tenants   []tenantRecord
+	children  [][]int
+	root      *node
+	nodeCount int    // nodes with state
+	nodesMade uint64 // ever, numbers the nodes
+	debtors   []*node
+	idle      intrusivelist.List[node] // in the order in which they became idle
+	refills   refillHeap
+
+	// Time never runs backwards; sweptAt is the last sweep's.
+	now           time.Duration
+	sweptAt       time.Duration
+	lastWaitingAt time.Duration // when a query last waited, as sweeps saw it
+
+	// Waiting queries.
+	lastSequence uint64
+	waiting      int
+	orders       map[orderID]*orderQueue
+	spareOrder   *orderQueue // to be used again
+	chains       map[int64]chainInFlight
+	repeats      repeatMemory
+	subscribers  []*Query // asked for changes of their estimate
+
+	// Dispatched and running queries.
+	running          list    // in the order of dispatch
+	inFlightWork     float64 // thread seconds left, at the last sweep
+	runningThreads   float64
+	servicePerThread float64 // seconds that each running thread was served so far
+
+	// What was learned of the engines.
+	workDone        saturatedRate // part of the cores' time that was used while queries waited
+	overrunRate     float64       // thread seconds a second of queries far beyond their usual work
+	overrunMean     runningMean   // the same, while queries wait
+	typicalInFlight runningMean   // work in flight when a query that waited was dispatched
+	laneRatios      [][2]float64  // by pair of lanes: work dispatched of each while both waited
+	surge           surge
+
+	// Total counts all tenants together.
 	Total Counts
 }
 
 // New makes an empty queue. The configuration must have passed Check.
 func New(shape Config) *Queue {
-	f := &Queue{orders: map[orderID]*orderQueue{}, chains: map[int64]chainInFlight{}, cores: 1, lastWaitingAt: -time.Hour}
+	f := &Queue{
+		orders:        map[orderID]*orderQueue{},
+		chains:        map[int64]chainInFlight{},
+		cores:         1,
+		lastWaitingAt: -time.Hour,
+	}
 	f.root = &node{weight: 1}
 	f.applyConfig(shape)
 	return f
@@ -233,7 +259,7 @@
 	}
 }
 
-// queue counts a query among those that wait, up to the root.
+// addBacklog counts a query among those that wait, up to the root.
 func (f *Queue) addBacklog(q *Query) {
 	for x := q.leaf; x.parent != nil; x = x.parent {
 		if x.waitingBelow++; x.waitingBelow == 1 {
@@ -244,11 +270,12 @@
 	f.root.backlog[q.Lane] += q.estimatedWork
 }
 
-// runs is how long a query of a lane usually takes once it started, in seconds.
+// usualRunSeconds is the usual time of a lane's query from start to end, in seconds.
 func (f *Queue) usualRunSeconds(l *lane) float64 {
 	return l.runSeconds.valueOr(l.UsualWork.Seconds() / max(1, l.Threads))
 }
 
+// reject counts a rejected query and remembers it for its repeat.
 func (f *Queue) reject(q *Query, n *node) {
 	n.counts.Deferred++
 	f.Total.Deferred++
@@ -261,14 +288,19 @@
 	}
 }
 
-// remember keeps a call's age and charge for its repeat.
+// rememberForRepeat keeps a call's age and charge for the call that repeats it.
 func (f *Queue) rememberForRepeat(q *Query) {
 	if q.RepeatID != 0 {
-		f.repeats.put(q.RepeatID, repeatedCall{arrived: q.Arrived, charged: q.charged + q.credit, tenant: q.Tenant, endedAt: f.now})
+		f.repeats.put(q.RepeatID, repeatedCall{
+			arrived: q.Arrived,
+			charged: q.charged + q.credit,
+			tenant:  q.Tenant,
+			endedAt: f.now,
+		})
 	}
 }
 
-// usual is the thread time that a query of a team is thought to take.
+// usualWork is the expected thread time of a tenant's query, in seconds.
 func (f *Queue) usualWork(n *node, i int) float64 {
 	l := &f.lanes[i]
 	all := l.usualCost.valueOr(max(1e-4, l.UsualWork.Seconds()))
@@ -277,7 +309,8 @@
 	return (m.value*m.count + all*trust) / (m.count + trust)
 }
 
-// join puts a query at the end of a line: no age and no weight passes there.
+// joinOrder puts a query at the end of a key's or chain's order, which neither age nor weight
+// changes.
 func (f *Queue) joinOrder(q *Query, kind int, id int64) {
 	at := orderID{kind, id}
 	x := f.orders[at]
@@ -300,7 +333,7 @@
 	x.last = q
 }
 
-// part takes a query out of a line and offers the one that was behind it.
+// leaveOrder takes a query out of an order and makes the one behind it eligible.
 func (f *Queue) leaveOrder(q *Query, kind int) {
 	k := &q.orders[kind]
 	x := k.order
@@ -329,12 +362,16 @@
 	}
 	if kind == 1 {
 		f.unpark(x)
-	} else if next := x.first; next.state == stateWaiting && !next.eligible && !next.parked { // it may be one behind that left
+		return
+	}
+	// q may have been one further behind: then the first is eligible already.
+	next := x.first
+	if next.state == stateWaiting && !next.eligible && !next.parked {
 		f.makeEligible(next)
 	}
 }
 
-// offer puts a query into its team's list, in the order of age.
+// makeEligible puts a query into its tenant's queue, by age.
 func (f *Queue) makeEligible(q *Query) {
 	n := q.leaf
 	l := &n.queues[q.Lane]
@@ -353,6 +390,7 @@
 	}
 }
 
+// makeIneligible takes a query out of its tenant's queue; it goes on waiting.
 func (f *Queue) makeIneligible(q *Query) {
 	if !q.eligible {
 		return
@@ -583,8 +621,8 @@
 	}
 }
 
-// raiseAfter is how long nobody has waited when what makes way is raised again:
-// where engines are nearly full somebody waits every other moment.
+// raisePriorityAfter is how long nobody must have waited before lowered priorities are raised
+// again: where engines are nearly full somebody waits every other moment.
 const raisePriorityAfter = 2 * time.Second
 
 const (
--- a/internal/fairqueue/lane.go
+++ b/internal/fairqueue/lane.go
@@ -2,25 +2,33 @@
 
 import "railrelay.dev/railrelay/internal/intrusivelist"
 
-// lane is the state of one resource group.
+// lane is the state of one resource group's queue.
 type lane struct {
 	Lane
-	byAge                     intrusivelist.List[Query] // all that wait
-	waiting                   int
-	atCapacity, wasAtCapacity bool        // it is at its capacity
-	full                      bool        // the decisions would take no more when last asked
-	usualCost                 runningMean // thread seconds of a query
-	slowdown                  runningMean // time taken over time alone
-	runSeconds                runningMean // seconds from start to end
-	profile                   rivalProfile
-	dispatched                int         // handed on and not sent
-	dispatchedWork            float64     // thread seconds of those
-	eligibleTenants           int         // with a query that may go
-	arrivals                  arrivalRate // of those let in
-	correction                estimateCorrection
+
+	// Waiting queries.
+	byAge           intrusivelist.List[Query] // all that wait
+	waiting         int
+	eligibleTenants int // with a query that may go
+
+	// Capacity.
+	atCapacity, wasAtCapacity bool // now, and at the last change
+	full                      bool // the scheduler would take no more when last asked
+
+	// Dispatched queries that are not sent yet, and their thread seconds.
+	dispatched     int
+	dispatchedWork float64
+
+	// What was learned.
+	usualCost  runningMean // thread seconds of a query
+	slowdown   runningMean // run time over the run time alone
+	runSeconds runningMean // from start to end
+	arrivals   arrivalRate // of admitted queries
+	profile    rivalProfile
+	correction estimateCorrection
 }
 
-// add puts a query at the lane's end, by age: a repeat stands further ahead.
+// insert puts a query into the lane by age: a repeated call stands further ahead.
 func (l *lane) insert(q *Query) {
 	at := l.byAge.Last()
 	for at != nil && at.Value.Arrived > q.Arrived {
@@ -37,7 +45,7 @@
 	}
 }
 
-// worth is what a query of the lane is worth for its work.
+// valuePerWork is the priority weight of the lane's queries over their usual work.
 func (l *lane) valuePerWork() float64 {
 	return l.PriorityWeight / l.usualCost.valueOr(max(1e-4, l.UsualWork.Seconds()))
 }
--- a/internal/fairqueue/means.go
+++ b/internal/fairqueue/means.go
@@ -9,7 +9,7 @@
 	return time.Duration(min(x, 1e9) * float64(time.Second))
 }
 
-// mean is a running average that forgets.
+// runningMean is an average in which old values fade.
 type runningMean struct{ value, count float64 }
 
 func (m *runningMean) add(x, most float64) {
@@ -24,9 +24,8 @@
 	return m.value
 }
 
-// rate is an amount a second, from what came in whole seconds. A crowd counts for
-// no more than a few times the usual: it is not the start of an endless one, and
-// what it leaves behind waits already.
+// arrivalRate is an amount a second, from what arrived in whole seconds. A surge counts for no more
+// than a few times the usual: it is not the start of an endless one, and its queries already wait.
 type arrivalRate struct {
 	value          float64
 	current        float64 // of the second under way
@@ -78,8 +77,8 @@
 	return r.value
 }
 
-// flow measures an amount a second while queries wait, and at no other time: that
-// is what the engines can do.
+// saturatedRate measures an amount a second while queries wait, and at no other time: that is what
+// the engines can do.
 type saturatedRate struct {
 	amount, span float64
 	updatedAt    time.Duration
@@ -114,7 +113,7 @@
 	}
 }
 
-// per is the rate; known says for how many seconds it was seen of late.
+// perSecond returns the rate, and in known for how many seconds it was seen of late.
 func (f *saturatedRate) perSecond() (r, known float64) {
 	if f.span < 1e-9 {
 		return 0, 0
@@ -122,7 +121,7 @@
 	return f.amount / f.span, f.span
 }
 
-// memory keeps what repeats of calls need, bounded in number and age.
+// repeatMemory keeps what repeats of calls need, bounded in number and age.
 type repeatMemory struct {
 	calls map[uint64]repeatedCall
 	order []uint64
--- a/internal/fairqueue/next.go
+++ b/internal/fairqueue/next.go
@@ -37,7 +37,7 @@
 	}
 }
 
-// unpark offers those again that stood behind a line's first.
+// unpark makes the queries eligible again that were parked behind the first of a chain.
 func (f *Queue) unpark(x *orderQueue) {
 	for q := x.first; q != nil && x.parked > 0; q = q.orders[1].next {
 		if q.parked {
@@ -48,8 +48,8 @@
 	}
 }
 
-// turn walks down to the team whose turn it is: of those within their budgets,
-// if any of them has a query that may go, the one with the least tag.
+// nextInTurn walks down the tree to the tenant with the least virtual start time among those
+// within their quotas, or, if none of them has a query that may go, among those beyond.
 func (f *Queue) nextInTurn(i int) *Query {
 	n := f.root
 	for n.queues == nil {
@@ -65,9 +65,9 @@
 	return n.queues[i].First().Value
 }
 
-// makesWay: there is room for it in its lane, but it would be taken from others'
-// queries that find none in theirs. The engines are full then, and a team that is
-// ahead of its share, or beyond its budget, leaves the next of it to them.
+// yields reports whether a query leaves the engines to other lanes: there is capacity for it in
+// its own lane, but queries of other lanes find none in theirs. The engines are full then, and a
+// tenant that is ahead of its share, or beyond its quota, yields to those.
 func (f *Queue) yields(q *Query) bool {
 	if !f.contended(q.Lane) {
 		return false
@@ -75,7 +75,7 @@
 	return q.leaf.lead(len(f.lanes)) > f.allowedLead(q.leaf)
 }
 
-// contended: a query waits in another lane because engines have no room for it.
+// contended reports whether a query waits in another lane because the engines have no capacity.
 func (f *Queue) contended(but int) bool {
 	for i := range f.lanes {
 		if l := &f.lanes[i]; i != but && l.full && l.waiting > 0 {
@@ -85,15 +85,15 @@
 	return false
 }
 
-// lead is how far a team may be ahead of its share before it makes way: for a
-// query of its usual work at the least, or it could never have one.
+// allowedLead is how far a tenant may be ahead of its share before it yields, in thread seconds.
 func (f *Queue) allowedLead(n *node) float64 {
 	return max(maxLeadSeconds*n.share()*f.capacity(), 1e-3)
 }
 
-// leadMost is in seconds of a team's share of the engines.
+// maxLeadSeconds is in seconds of a tenant's share of the engines.
 const maxLeadSeconds = 3.0
 
+// dispatch hands a query to the scheduler and charges its estimated work.
 func (f *Queue) dispatch(q *Query, l *lane) {
 	f.dequeue(q, l)
 	q.state = stateDispatched
@@ -114,7 +114,7 @@
 	f.running.Append(&q.turnElement, q)
 }
 
-// unqueue takes a query out of all that it waits in.
+// dequeue takes a query out of all that it waits in.
 func (f *Queue) dequeue(q *Query, l *lane) {
 	f.makeIneligible(q)
 	l.byAge.Remove(&q.ageElement)
@@ -134,8 +134,8 @@
 	}
 }
 
-// handedMost bounds those that the decisions hold for other reasons than room:
-// locked tables, chains.
+// maxDispatched bounds the queries of a lane that the scheduler holds for other reasons than
+// capacity: locked tables, chains.
 const maxDispatched = 256
 
 // SetLaneFull records whether the scheduler would take no more queries of a lane.
--- a/internal/fairqueue/reload.go
+++ b/internal/fairqueue/reload.go
@@ -36,7 +36,8 @@
 	for i, l := range shape.Lanes {
 		f.lanes[i].Lane = l
 	}
-	f.root.heaps[withinQuota], f.root.heaps[beyondQuota] = make([]heap, len(f.lanes)), make([]heap, len(f.lanes))
+	f.root.heaps[withinQuota] = make([]heap, len(f.lanes))
+	f.root.heaps[beyondQuota] = make([]heap, len(f.lanes))
 	f.root.eligible = make([]int, len(f.lanes))
 	f.root.backlog = make([]float64, len(f.lanes))
 	f.root.virtualClocks = make([]virtualClock, len(f.lanes)+1)
@@ -45,7 +46,12 @@
 func (f *Queue) addTenants(l []Tenant, path string, parent int) {
 	for _, t := range l {
 		at := len(f.tenants)
-		f.tenants = append(f.tenants, tenantRecord{Tenant: t, path: path + t.Name, parent: parent, isLeaf: len(t.Children) == 0})
+		f.tenants = append(f.tenants, tenantRecord{
+			Tenant: t,
+			path:   path + t.Name,
+			parent: parent,
+			isLeaf: len(t.Children) == 0,
+		})
 		f.children = append(f.children, nil)
 		if parent >= 0 {
 			f.children[parent] = append(f.children[parent], at)
--- a/internal/fairqueue/shape.go
+++ b/internal/fairqueue/shape.go
@@ -14,30 +14,31 @@
 type Config struct {
 	Lanes   []Lane
 	Tenants []Tenant
-	// Default is the name of the team of calls that name none and come from no
-	// team's address.
+	// DefaultTenant is the name of the tenant of calls that name none and come from no
+	// tenant's address.
 	DefaultTenant string
-	// Age is how long a query waits at the most before it goes ahead of all
-	// younger ones of its lane, whatever its team. Behind others of its team nobody
-	// is let in whose estimate is over three fifths of it. 0: DefaultAge.
+	// TrustedAddresses are those whose calls may name a tenant.
+	TrustedAddresses []netip.Prefix
+
+	// AgeingLimit is how long a query waits at the most before it goes ahead of all younger
+	// ones of its lane, whatever its tenant. Behind others of its tenant no query is admitted
+	// whose estimate is over three fifths of it. 0: DefaultAgeingLimit.
 	AgeingLimit time.Duration
-	// Waiting bounds the queries that wait, all teams together. 0: DefaultWaiting.
+	// MaxWaiting bounds the waiting queries of all tenants together. 0: DefaultMaxWaiting.
 	MaxWaiting int
-	// Trusted are the addresses whose calls may name a team.
-	TrustedAddresses []netip.Prefix
-	// Overrun is how many times its usual work a query takes before it is lowered.
-	// 0: DefaultOverrun.
+	// OverrunFactor is how many times its usual work a query takes before its priority is
+	// lowered. 0: DefaultOverrunFactor.
 	OverrunFactor float64
-	// Tell is the change of an estimate, as a share of it, that is told again.
-	// 0: DefaultTell.
+	// NotifyChange is the change of an estimate, as a part of it, of which clients are
+	// notified. 0: DefaultNotifyChange.
 	NotifyChange float64
 }
 
-// What is used where the set-up says nothing.
+// Defaults of the configuration.
 const (
 	DefaultAgeingLimit      = 10 * time.Second
 	DefaultMaxWaiting       = 100_000
-	DefaultTenantMaxWaiting = 10_000 // waiting, one team
+	DefaultTenantMaxWaiting = 10_000 // of one tenant
 	DefaultOverrunFactor    = 4.0
 	DefaultNotifyChange     = 0.25
 )
@@ -47,23 +48,28 @@
 	Name           string
 	Threads        float64       // a query runs on
 	PriorityWeight float64       // of a query that finishes
-	Ordered        bool          // by key: never lowered, nor passed by a younger one of its key or chain
-	Chained        bool          // loads: ordered by table group too
 	UsualWork      time.Duration // thread time of a query until any finished
-	MaxRetryAfter  time.Duration // the longest pause its clients follow, 0: any
+	MaxRetryAfter  time.Duration // the longest Retry-After its clients follow, 0: any
+
+	// Ordered queries are never lowered, nor passed by a younger one of their key or chain.
+	Ordered bool
+	// Chained queries are loads: they are ordered by table group too.
+	Chained bool
 }
 
 // Tenant is a node of the tenant tree. One with Children is a group of tenants, and has no
 // queries of its own.
 type Tenant struct {
-	Name   string
-	Weight float64 // against its siblings
-	Quota  float64 // thread seconds a second, 0: no budget
-	Burst  float64 // thread seconds that an unused budget gathers
-	// Waiting bounds the team's queries that wait. 0: DefaultTeam.
-	MaxWaiting int
-	Addresses  []netip.Prefix // whose calls are this team's
-	Children   []Tenant
+	Name     string
+	Weight   float64 // against its siblings
+	Children []Tenant
+
+	// The token bucket: Quota in thread seconds a second, 0 for none; Burst in thread seconds.
+	Quota float64
+	Burst float64
+
+	MaxWaiting int            // queries, 0: DefaultTenantMaxWaiting
+	Addresses  []netip.Prefix // whose calls are this tenant's
 }
 
 const maxWeight = 1e6
--- a/internal/fairqueue/tree.go
+++ b/internal/fairqueue/tree.go
@@ -7,8 +7,7 @@
 	"railrelay.dev/railrelay/internal/intrusivelist"
 )
 
-// plan is a team as set up, without any state: a team that has nothing to do
-// costs no more than this.
+// tenantRecord is a tenant as configured. A tenant without queries has no other state.
 type tenantRecord struct {
 	Tenant
 	path   string
@@ -17,71 +16,94 @@
 	state  *node // its state while it has any
 }
 
-// node is a team's or kind's state while it is busy, and for a minute after.
+// node is the state of a tenant, or a group of tenants, while it is busy and for a minute after.
 //
-// A tag is the thread time it was charged over its weight: at once in the lane
-// where it was charged, and bit by bit in the others, so that a lane's order is as
-// smooth as its queries are small and what a team has all in all still comes out
-// by weight. A node that becomes
-// busy starts at the mean of its busy siblings (as the lag-keeping of EEVDF,
-// Stoica and Abdel-Wahab 1995, does), so that neither idling nor work done while
-// nobody else wanted the engines is held against it beyond debtMost.
+// A virtual start time is the thread time charged over the weight. A charge counts at once in the
+// lane of the query and bit by bit in the other lanes: so a lane's order is as smooth as its
+// queries are small, and over all lanes tenants still get work by weight. A node that becomes busy
+// starts at the virtual time of its parent (as the lag-keeping of EEVDF does, Stoica and
+// Abdel-Wahab 1995): neither idle time nor work done while nobody else wanted the engines is held
+// against it beyond maxDebtSeconds.
 type node struct {
-	tenant   int
+	tenant   int // index
 	name     string
 	weight   float64
 	parent   *node
-	sequence uint64 // of its making: breaks ties, so that the same events give the same order
-
-	virtualStart    []float64 // by lane, and one over all lanes
-	deferredCharges []float64 // of a leaf by lane: thread time to be charged to the tag, or given back, bit by bit
-	corrections     float64   // the same in all lanes, for what queries took beyond their usual work
-	isDebtor        bool
-	busy            int            // queries waiting or running below
-	busyWeight      float64        // weights of busy children
-	virtualClocks   []virtualClock // of their tags
-	heapPosition    []int          // place in the parent's heap by lane, -1: not there
-	heapBand        []uint8        // in which band's
-	heaps           [2][]heap
-	eligible        []int // by lane what may go: leaves count queries, others children
-
-	queues       []list // of a leaf: by lane, what may go, in the order of age
+	sequence uint64 // in the order of making: breaks ties, so that equal events give equal order
+
+	// Virtual start times by lane, and the last one over all lanes. A leaf's charges that are
+	// still to be settled, in thread seconds: by lane, and corrections in all lanes alike.
+	virtualStart    []float64
+	deferredCharges []float64
+	corrections     float64
+	isDebtor        bool // it is listed among the debtors
+
+	// Activity below.
+	busy          int            // waiting and running queries
+	busyWeight    float64        // of busy children
+	virtualClocks []virtualClock // of the children, by lane as virtualStart
+	eligible      []int          // by lane: queries that may go of a leaf, else children with such
+
+	// Heaps of a node with children by band and lane, and this node's place in its parent's.
+	heaps        [2][]heap
+	heapPosition []int   // by lane, -1: in none
+	heapBand     []uint8 // by lane
+
+	// Waiting queries. queues are a leaf's eligible queries by lane, in the order of age.
+	queues       []list
 	waiting      int
-	waitingBelow int           // queries waiting below
-	backlog      []float64     // thread time waiting by lane, as estimated; of all below
-	dequeuedWork []float64     // thread time by lane that waited and does no more
-	arrivalRates []arrivalRate // of what comes in, by lane
-	usualCosts   []runningMean // thread time of a query by lane
-	overrunRate  float64       // thread time a second of its queries far beyond their usual work
-
+	maxWaiting   int
+	waitingBelow int
+	backlog      []float64 // estimated thread seconds that wait below, by lane
+	dequeuedWork []float64 // thread seconds that waited and do no more, by lane
+
+	// What was learned, by lane.
+	arrivalRates []arrivalRate
+	usualCosts   []runningMean // thread seconds of a query
+	overrunRate  float64       // thread seconds a second of queries far beyond their usual work
+
+	// The token bucket: quota in thread seconds a second, 0 for none; burst and tokens in
+	// thread seconds, as of tokensAt.
 	quota, burst       float64
 	tokens             float64
 	tokensAt           time.Duration
-	overQuota          bool // tokens are used up
-	refillHeapPosition int
-	maxWaiting         int
+	overQuota          bool // the tokens are used up
+	refillHeapPosition int  // -1: not in it
 
 	idleSince   time.Duration
 	idleElement intrusivelist.Element[node]
 	counts      Counts
 }
 
+// Bands: children within their quota go before those beyond.
 const (
-	withinQuota = 0 // the band of those within their budget
+	withinQuota = 0
 	beyondQuota = 1
-
-	// debtMost bounds, in seconds of its share of the engines, what a node that
-	// becomes busy is ahead by: work beyond its share while others wanted nothing
-	// is soon forgiven.
-	maxDebtSeconds = 4.0
 )
 
+// maxDebtSeconds bounds by how much a node that becomes busy is ahead, in seconds of its share of
+// the engines: work beyond its share while others wanted nothing is soon forgiven.
+const maxDebtSeconds = 4.0
+
 func (f *Queue) newNode(p int) *node {
 	pl := &f.tenants[p]
 	lanes := len(f.lanes)
-	n := &node{tenant: p, name: pl.Name, weight: pl.Weight, sequence: f.nodesMade, heapPosition: make([]int, lanes), heapBand: make([]uint8, lanes),
-		eligible: make([]int, lanes), backlog: make([]float64, lanes), arrivalRates: make([]arrivalRate, lanes),
-		quota: pl.Quota, burst: max(pl.Burst, pl.Quota), tokensAt: f.now, refillHeapPosition: -1, idleSince: f.now}
+	n := &node{
+		tenant:             p,
+		name:               pl.Name,
+		weight:             pl.Weight,
+		sequence:           f.nodesMade,
+		heapPosition:       make([]int, lanes),
+		heapBand:           make([]uint8, lanes),
+		eligible:           make([]int, lanes),
+		backlog:            make([]float64, lanes),
+		arrivalRates:       make([]arrivalRate, lanes),
+		quota:              pl.Quota,
+		burst:              max(pl.Burst, pl.Quota),
+		tokensAt:           f.now,
+		refillHeapPosition: -1,
+		idleSince:          f.now,
+	}
 	f.nodesMade++
 	n.tokens = n.burst
 	n.virtualStart = make([]float64, lanes+1)
@@ -107,7 +129,7 @@
 	return n
 }
 
-// node gives a team's state, made anew if it had none.
+// node returns a tenant's state and makes it if there is none.
 func (f *Queue) node(p int) *node {
 	if n := f.tenants[p].state; n != nil {
 		return n
@@ -115,13 +137,13 @@
 	return f.newNode(p)
 }
 
-// clock sums the tags of busy children, relative to base.
+// virtualClock sums the virtual start times of a node's busy children, relative to base.
 type virtualClock struct {
 	base, sum float64 // weight times tag less base
 	lastMean  float64 // the mean when last one was busy
 }
 
-// mean is the children's tag in a lane, over those busy and by weight.
+// virtualTime is the mean of the busy children's virtual start times in a lane, by weight.
 func (n *node) virtualTime(k int) float64 {
 	x := &n.virtualClocks[k]
 	if n.busyWeight <= 1e-12 {
@@ -130,14 +152,14 @@
 	return x.base + x.sum/n.busyWeight
 }
 
-// rebase sums the children's tags relative to another one.
+// rebase makes the sum of a virtual clock relative to another base.
 func (n *node) rebase(k int, base float64) {
 	x := &n.virtualClocks[k]
 	x.sum += n.busyWeight * (x.base - base)
 	x.base = base
 }
 
-// occupy counts a query into the busy ones of a leaf and all above.
+// addActive counts one more waiting or running query in a tenant and all nodes above.
 func (f *Queue) addActive(n *node) {
 	for ; n.parent != nil; n = n.parent {
 		if n.busy++; n.busy > 1 {
@@ -149,7 +171,8 @@
 		for k := range n.virtualStart {
 			v := p.virtualTime(k)
 			n.virtualStart[k] = min(max(n.virtualStart[k], v), v+most)
-			if p.busyWeight <= 1e-12 || math.Abs(n.virtualStart[k]-p.virtualClocks[k].base) > 1e6 { // sums stay exact enough
+			far := math.Abs(n.virtualStart[k]-p.virtualClocks[k].base) > 1e6
+			if p.busyWeight <= 1e-12 || far { // so that sums stay exact enough
 				p.rebase(k, n.virtualStart[k])
 			}
 			p.virtualClocks[k].sum += n.weight * (n.virtualStart[k] - p.virtualClocks[k].base)
@@ -158,6 +181,7 @@
 	}
 }
 
+// removeActive counts one query less in a tenant and all nodes above.
 func (f *Queue) removeActive(n *node) {
 	for ; n.parent != nil; n = n.parent {
 		if n.busy--; n.busy > 0 {
@@ -180,9 +204,10 @@
 	}
 }
 
-// catchUp: what a team didn't ask for it can't ask for later, though some of its
-// queries ran all the time. Else one that asks for less than its share would
-// gather a claim without end, and who takes what is left over a debt.
+// catchUp advances a node's virtual start time to its parent's virtual time: a share that a tenant
+// did not ask for is forfeited, though some of its queries ran all the time. Otherwise a tenant
+// that asks for less than its share would gather a claim without end, and one that takes the rest
+// a debt.
 func (n *node) catchUp(k int) {
 	if d := n.parent.virtualTime(k) - n.virtualStart[k]; d > 0 {
 		n.virtualStart[k] += d
@@ -192,8 +217,8 @@
 	}
 }
 
-// charge adds thread time to a leaf and all above: at once in its lane, and bit
-// by bit in the others.
+// charge adds thread time to a tenant and all nodes above: at once in its lane, and bit by bit in
+// the others.
 func (f *Queue) charge(n *node, lane int, work float64) {
 	f.advanceVirtualStart(n, lane, work)
 	f.advanceVirtualStart(n, len(f.lanes), work)
@@ -201,12 +226,11 @@
 	f.spendTokens(n, work)
 }
 
-// correct adds, or takes back, what a query took beyond what it was charged. Its
-// budget has it at once. Its team's turns have it bit by bit over amendsSpan: what
-// queries take is only known as they run, and whoever waits behind them was told
-// before; this way the turns of the next seconds can be told when it comes, and a
-// bad plan costs its team a part of its share for long rather than all of it for
-// seconds.
+// correctCharge adds what a query used beyond what it was charged, or takes back what it did not
+// use. The token buckets have it at once, the virtual start times bit by bit over correctionSpan.
+// What a query uses is only known while it runs, after the wait estimates of the queries behind
+// it were given: this way the order of the next seconds stays predictable, and a bad plan costs
+// its tenant a part of its share for long rather than all of it for seconds.
 func (f *Queue) correctCharge(n *node, work float64) {
 	if work == 0 {
 		return
@@ -221,7 +245,7 @@
 	correctionSpan     = 20 * time.Second
 )
 
-// owe has a leaf pay in all lanes but one.
+// deferCharge charges a tenant bit by bit in all lanes but one.
 func (f *Queue) deferCharge(n *node, but int, work float64) {
 	for k := range n.deferredCharges {
 		if k != but {
@@ -231,6 +255,7 @@
 	f.addDebtor(n)
 }
 
+// addDebtor lists a tenant that has deferred charges or corrections.
 func (f *Queue) addDebtor(n *node) {
 	if !n.isDebtor {
 		n.isDebtor = true
@@ -238,7 +263,7 @@
 	}
 }
 
-// payAll has the debtors pay what a span asks for.
+// settleDebts charges all debtors the part of their deferred charges that is due for a span.
 func (f *Queue) settleDebts(span time.Duration) {
 	part := func(owed float64, over time.Duration) float64 {
 		if math.Abs(owed) < 1e-4 {
@@ -266,8 +291,8 @@
 	f.debtors = kept
 }
 
-// pay moves the tags of a leaf and all above in a lane; their places in its heaps
-// follow.
+// advanceVirtualStart moves the virtual start times of a tenant and all nodes above in a lane, and
+// their places in the heaps.
 func (f *Queue) advanceVirtualStart(n *node, k int, work float64) {
 	if work == 0 {
 		return
@@ -284,7 +309,7 @@
 	}
 }
 
-// spend takes thread time from the budgets of a leaf and all above.
+// spendTokens takes thread time from the token buckets of a tenant and all nodes above.
 func (f *Queue) spendTokens(n *node, work float64) {
 	n.counts.Charged += work
 	for ; n.parent != nil; n = n.parent {
@@ -296,12 +321,13 @@
 	}
 }
 
+// refill adds the tokens that came back since the last call.
 func (f *Queue) refill(n *node) {
 	n.tokens = min(n.burst, n.tokens+n.quota*(f.now-n.tokensAt).Seconds())
 	n.tokensAt = f.now
 }
 
-// judge moves a node between the bands as its tokens say.
+// updateQuotaBand moves a node between the bands by its tokens, and keeps its refill time.
 func (f *Queue) updateQuotaBand(n *node) {
 	if over := n.tokens < 0; over != n.overQuota {
 		f.leaveHeaps(n)
@@ -319,12 +345,12 @@
 	}
 }
 
-// refilled is when the tokens are back at none.
+// refilledAt is when the tokens are back at zero.
 func (n *node) refilledAt() time.Duration {
 	return n.tokensAt + time.Duration(math.Ceil(-n.tokens/n.quota*1e9))
 }
 
-// band: a kind is within as long as any of its teams that wait is.
+// band: a group is within its quota as long as any of its waiting tenants is.
 func (n *node) band(lane int) int {
 	if n.overQuota || n.queues == nil && len(n.heaps[withinQuota][lane]) == 0 {
 		return beyondQuota
@@ -357,7 +383,7 @@
 	n.parent.heaps[n.heapBand[lane]][lane].remove(n.heapPosition[lane], lane)
 }
 
-// rise brings the bands in line after one below changed, from n to the root.
+// updateBands brings the bands of n and all nodes above in line with a change below.
 func (f *Queue) updateBands(n *node) {
 	for ; n.parent != nil; n = n.parent {
 		for lane := range n.heapPosition {
@@ -369,7 +395,7 @@
 	}
 }
 
-// more and less count what may go in a lane, up to the root.
+// addEligible counts one more query that may go in a lane, up to the root.
 func (f *Queue) addEligible(n *node, lane int) {
 	for ; n.parent != nil; n = n.parent {
 		if n.eligible[lane]++; n.eligible[lane] > 1 {
@@ -384,6 +410,7 @@
 	f.updateBands(n)
 }
 
+// removeEligible counts one query less that may go in a lane, up to the root.
 func (f *Queue) removeEligible(n *node, lane int) {
 	for ; n.parent != nil; n = n.parent {
 		if n.eligible[lane]--; n.eligible[lane] > 0 {
@@ -397,8 +424,8 @@
 	f.updateBands(n)
 }
 
-// idleKeeps is how long a team without anything to do keeps its state: its
-// budget's state would be lost, so one that is over it keeps it until refilled.
+// idleRetention is how long an idle tenant keeps its state. One whose token bucket is not full
+// keeps it until refilled.
 const idleRetention = time.Minute
 
 func (f *Queue) dropIdle() {
@@ -421,7 +448,7 @@
 	}
 }
 
-// childrenOf: some of a kind's teams still have state that points to it.
+// hasChildState reports whether a tenant of a group still has state, which points to the group's.
 func (f *Queue) hasChildState(n *node) bool {
 	for _, i := range f.children[n.tenant] {
 		if f.tenants[i].state != nil {
@@ -431,11 +458,15 @@
 	return false
 }
 
-// heap orders siblings that wait in one lane by tag; each knows its place.
+// heap orders siblings that wait in one lane by virtual start time. Each node knows its position.
 type heap []*node
 
+// startsBefore orders siblings by virtual start time, and by age of their state in a tie.
 func startsBefore(a, b *node, lane int) bool {
-	return a.virtualStart[lane] < b.virtualStart[lane] || a.virtualStart[lane] == b.virtualStart[lane] && a.sequence < b.sequence
+	if a.virtualStart[lane] < b.virtualStart[lane] {
+		return true
+	}
+	return a.virtualStart[lane] == b.virtualStart[lane] && a.sequence < b.sequence
 }
 
 func (h *heap) push(n *node, lane int) {
@@ -498,7 +529,7 @@
 	}
 }
 
-// refillHeap orders nodes beyond their budget by when they are within it again.
+// refillHeap orders nodes beyond their quota by the time when they are within it again.
 type refillHeap []*node
 
 func (h *refillHeap) less(i, j int) bool { return (*h)[i].refilledAt() < (*h)[j].refilledAt() }
--- a/internal/fairqueue/waiter.go
+++ b/internal/fairqueue/waiter.go
@@ -9,47 +9,51 @@
 // Query is a query's state in the fair queue. Its owner embeds it in its own record, so that
 // enqueueing and ending a query allocate nothing.
 type Query struct {
-	Owner    any // its owner's record
-	Lane     int
-	Tenant   int           // as Whose tells
-	Key      int64         // its order's key, -1: none
-	Chain    int64         // its table group, used in chained lanes
-	Deadline time.Duration // its client waits no longer
-	// Again names the call that this one repeats, 0 for none: it keeps that one's
-	// age and what was charged for it.
-	RepeatOf uint64
-	// Ask: its client wants to be told anew when its wait changes by much.
-	NotifyChanges bool
-	// Self is what a repeat of this one will name, 0: nothing.
-	RepeatID uint64
-
-	Arrived           time.Duration // an earlier one if it repeats a call
-	enqueuedAt        time.Duration
-	sequence          uint64
-	leaf              *node
-	state             state
-	estimatedWork     float64 // thread seconds it is thought to take
-	uncorrectedWait   float64 // seconds until its start, before what the lane's last ones taught
-	charged           float64
-	credit            float64 // charged for what it repeats
+	// Set by the owner before Enqueue.
+	Owner         any           // the owner's record
+	Lane          int           // index in Config.Lanes
+	Tenant        int           // index as TenantOf gives it
+	Key           int64         // of its order, -1: none
+	Chain         int64         // its table group, used in chained lanes
+	Deadline      time.Duration // its client waits no longer
+	NotifyChanges bool          // its client wants to be notified when its estimate changes by much
+	RepeatOf      uint64        // the call that this one repeats: it keeps its age and charge. 0: none
+	RepeatID      uint64        // what a repeat of this one will name. 0: nothing
+
+	// Set by the queue. Arrived is an earlier call's time if the query repeats one.
+	Arrived  time.Duration
+	Estimate time.Duration // the first one
+
+	// Waiting.
+	state           state
+	leaf            *node // its tenant's
+	enqueuedAt      time.Duration
+	sequence        uint64
+	uncorrectedWait float64       // estimate in seconds before the lane's correction
+	expectedStart   time.Duration // by the last estimate given
+	workAhead       float64       // of its tenant before it, with all that had been dequeued
+	subscribed      bool
+
+	// Charges, in thread seconds.
+	estimatedWork float64
+	charged       float64
+	credit        float64 // charged for the call that it repeats
+
+	// Running.
 	startedAt         time.Duration
 	sweptAt           time.Duration
-	remainingWork     float64 // of est
-	serviceAtDispatch float64 // what service was when it was handed on
-	measuredWork      float64 // of its work as it runs, for the capacity
-	ranSeconds        float64 // seconds since it began, as far as they were counted
+	ranSeconds        float64 // since the start, as far as sweeps counted them
+	remainingWork     float64 // of the estimated work
+	serviceAtDispatch float64 // servicePerThread then
+	measuredWork      float64 // counted for the capacity while it runs
 	lowered           bool
 
-	Estimate      time.Duration // first told
-	expectedStart time.Duration // when it was last told to start
-	workAhead     float64       // of its team before it, with all that had gone
-	subscribed    bool
-
-	turnElement intrusivelist.Element[Query] // in its leaf's list, or among the running
-	ageElement  intrusivelist.Element[Query] // in its lane, all that wait
-	eligible    bool
-	orders      [2]orderLink // its places in the lines of its key and its chain
-	parked      bool         // its turn came, and one of its chain that can't go has to go first
+	// Places in lists.
+	turnElement intrusivelist.Element[Query] // in its tenant's queue, or among the running
+	ageElement  intrusivelist.Element[Query] // in its lane, among all that wait
+	eligible    bool                         // it is in its tenant's queue
+	orders      [2]orderLink                 // its places in the orders of its key and its chain
+	parked      bool                         // its turn came, and one of its chain that can't go is before it
 }
 
 type state uint8
@@ -57,8 +61,8 @@
 const (
 	stateAbsent state = iota
 	stateWaiting
-	stateDispatched // handed to the decisions, not sent yet
-	stateRunning    // sent
+	stateDispatched // handed to the scheduler, not sent yet
+	stateRunning    // the first attempt was sent
 )
 
 type orderLink struct {
@@ -66,7 +70,7 @@
 	prev, next *Query
 }
 
-// line keeps the order in which queries of a key, or loads of a table group, came.
+// orderQueue keeps the order in which queries of a key, or loads of a table group, arrived.
 type orderQueue struct {
 	first, last *Query
 	id          orderID
@@ -78,11 +82,11 @@
 	id   int64
 }
 
-// list is what may go of a leaf in a lane, oldest first, or what runs.
+// list holds the eligible queries of a tenant in a lane, oldest first, or the running queries.
 type list = intrusivelist.List[Query]
 
-// mayGo: its key's turn is its own. Who stands behind another of its chain may
-// have a turn: the other goes on it.
+// firstOfItsKey reports whether no query of its key goes before it. One that stands behind another
+// of its chain may still have a turn: the other goes in its place.
 func (q *Query) firstOfItsKey() bool {
 	x := q.orders[0].order
 	return x == nil || x.first == q
@@ -92,7 +96,7 @@
 	return a.Arrived < b.Arrived || a.Arrived == b.Arrived && a.sequence < b.sequence
 }
 
-// behind is the one of its chain that has to go before it, nil if none has.
+// chainPredecessor is the query of its chain that has to go before it, nil if there is none.
 func (q *Query) chainPredecessor() *Query {
 	if x := q.orders[1].order; x != nil && x.first != q {
 		return x.first
