--- a/internal/fairqueue/shape.go
+++ b/internal/fairqueue/config.go
@@ -6,8 +6,6 @@
 	"math"
 	"net/netip"
 	"time"
-
-	"github.com/gaissmai/bart"
 )
 
 // Config is the configuration of the fair queue: the tree of tenants, the lanes and the bounds.
@@ -112,50 +110,3 @@
 	}
 	return nil
 }
-
-// TenantResolver finds the tenant of a call: the one that the call names if its address is
-// trusted to name one, else the one that owns the address, else the default tenant.
-type TenantResolver struct {
-	byName        map[string]int
-	trusted       bart.Lite
-	byAddress     bart.Table[int]
-	defaultTenant int
-}
-
-func newTenantResolver(s *Config, plans []tenantRecord) *TenantResolver {
-	r := &TenantResolver{byName: make(map[string]int, len(plans)), defaultTenant: 0}
-	for i, p := range plans {
-		if p.isLeaf {
-			r.byName[p.Name] = i
-			for _, a := range p.Addresses {
-				r.byAddress.Insert(a.Masked(), i)
-			}
-		}
-	}
-	for _, a := range s.TrustedAddresses {
-		r.trusted.Insert(a.Masked())
-	}
-	if i, ok := r.byName[s.DefaultTenant]; ok {
-		r.defaultTenant = i
-	} else {
-		r.defaultTenant = len(plans) - 1 // planned as the last
-	}
-	return r
-}
-
-// Resolve returns the tenant's index. named is the tenant's name in the call, empty if there is
-// none; where it is not trusted or not known, the address decides.
-func (r *TenantResolver) Resolve(from netip.Addr, named []byte) int {
-	from = from.Unmap()
-	if len(named) > 0 && from.IsValid() && r.trusted.Contains(from) {
-		if i, ok := r.byName[string(named)]; ok {
-			return i
-		}
-	}
-	if from.IsValid() {
-		if i, ok := r.byAddress.Lookup(from); ok {
-			return i
-		}
-	}
-	return r.defaultTenant
-}
--- a/internal/fairqueue/next.go
+++ b/internal/fairqueue/dispatch.go
@@ -33,18 +33,7 @@
 		}
 		f.makeIneligible(q) // until the one before it may go, or is gone
 		q.parked = true
-		q.orders[1].order.parked++
-	}
-}
-
-// unpark makes the queries eligible again that were parked behind the first of a chain.
-func (f *Queue) unpark(x *orderQueue) {
-	for q := x.first; q != nil && x.parked > 0; q = q.orders[1].next {
-		if q.parked {
-			q.parked = false
-			x.parked--
-			f.makeEligible(q)
-		}
+		q.orders[chainOrder].order.parked++
 	}
 }
 
@@ -118,7 +107,8 @@
 func (f *Queue) dequeue(q *Query, l *lane) {
 	f.makeIneligible(q)
 	l.byAge.Remove(&q.ageElement)
-	f.leaveOrder(q, 1) // the decisions keep a chain's order from here on; a key's turn comes with its end
+	// The scheduler keeps a chain's order from here on. A key's next turn comes with the query's end.
+	f.leaveOrder(q, chainOrder)
 	l.waiting--
 	f.waiting--
 	q.leaf.waiting--
@@ -126,7 +116,7 @@
 	for x := q.leaf; x.parent != nil; x = x.parent {
 		x.waitingBelow--
 		if x.backlog[q.Lane] -= q.estimatedWork; x.queues != nil && x.waiting == 0 {
-			x.backlog[q.Lane] = 0 // sums of what came and went don't quite meet
+			x.backlog[q.Lane] = 0 // without the rounding of what was added and taken off
 		}
 	}
 	if f.root.backlog[q.Lane] -= q.estimatedWork; l.waiting == 0 {
@@ -142,8 +132,8 @@
 func (f *Queue) SetLaneFull(now time.Duration, i int, full bool) {
 	f.advance(now)
 	l := &f.lanes[i]
-	// one goes whenever there is room for it: the lane is at its capacity until
-	// there is room and nobody left for it
+	// A query goes whenever there is capacity for it: the lane is at its capacity until there is
+	// some and no query left to use it.
 	if l.atCapacity = full || l.atCapacity && l.waiting > 0; l.atCapacity == l.wasAtCapacity {
 		l.full = full
 		return
--- a/internal/fairqueue/mill_test.go
+++ b/internal/fairqueue/engine_model_test.go
@@ -6,9 +6,9 @@
 	"time"
 )
 
-// mill serves what a core lets go: so many queries of a lane at once, each for as
+// engineModel serves what a core lets go: so many queries of a lane at once, each for as
 // long as its work takes on its threads.
-type mill struct {
+type engineModel struct {
 	t       interface{ Fatalf(string, ...any) }
 	c       *Queue
 	now     time.Duration
@@ -35,14 +35,14 @@
 	{Name: "load", Threads: 2, PriorityWeight: 5, UsualWork: 300 * time.Millisecond, Ordered: true, Chained: true},
 }
 
-func newMill(t interface{ Fatalf(string, ...any) }, s Config, slots ...int) *mill {
+func newEngineModel(t interface{ Fatalf(string, ...any) }, s Config, slots ...int) *engineModel {
 	if s.Lanes == nil {
 		s.Lanes = lanes
 	}
 	if err := s.Check(); err != nil {
 		t.Fatalf("%v", err)
 	}
-	m := &mill{t: t, c: New(s), slots: slots, used: map[string]float64{}}
+	m := &engineModel{t: t, c: New(s), slots: slots, used: map[string]float64{}}
 	m.c.SetCores(8)
 	return m
 }
@@ -54,7 +54,7 @@
 	return l
 }
 
-func (m *mill) team(name string) int {
+func (m *engineModel) team(name string) int {
 	i, ok := m.c.resolver.byName[name]
 	if !ok {
 		m.t.Fatalf("no team %s", name)
@@ -62,7 +62,7 @@
 	return i
 }
 
-func (m *mill) ask(team string, lane int, work float64, more ...func(*job)) *job {
+func (m *engineModel) ask(team string, lane int, work float64, more ...func(*job)) *job {
 	j := &job{team: team, work: work, at: m.now}
 	j.Query = Query{Owner: j, Lane: lane, Tenant: m.team(team), Key: -1, Chain: -1, Deadline: m.now + time.Hour}
 	for _, f := range more {
@@ -80,7 +80,7 @@
 func chain(k int64) func(*job) { return func(j *job) { j.Chain = k } }
 
 // pump lets go whatever has a slot.
-func (m *mill) pump() {
+func (m *engineModel) pump() {
 	for again := true; again; {
 		again = false
 		for lane := range m.slots {
@@ -108,7 +108,7 @@
 }
 
 // until plays on to a time, sweeping as the owner does.
-func (m *mill) until(end time.Duration) {
+func (m *engineModel) until(end time.Duration) {
 	for {
 		next := m.c.sweptAt + SweepInterval
 		for _, j := range m.running {
@@ -132,7 +132,7 @@
 	}
 }
 
-func (m *mill) end(j *job, as Outcome) {
+func (m *engineModel) end(j *job, as Outcome) {
 	m.running = slices.DeleteFunc(m.running, func(x *job) bool { return x == j })
 	if j.done = true; as == Finished {
 		m.used[j.team] += j.work
@@ -143,7 +143,7 @@
 }
 
 // check holds after every step.
-func (m *mill) check() {
+func (m *engineModel) check() {
 	waits := make([]int, len(m.slots))
 	backlog := make([]float64, len(m.slots))
 	for _, j := range m.jobs {
@@ -213,14 +213,14 @@
 func withLanes(s Config) Config { s.Lanes = lanes; return s }
 
 // flood keeps so many of a team's queries waiting.
-func (m *mill) flood(team string, lane, depth int, work float64) {
+func (m *engineModel) flood(team string, lane, depth int, work float64) {
 	for waits := 0; waits < depth; waits++ {
 		m.ask(team, lane, work)
 	}
 }
 
 // share plays with all teams flooding and tells what each used.
-func (m *mill) share(span time.Duration, lane int, work map[string]float64) map[string]float64 {
+func (m *engineModel) share(span time.Duration, lane int, work map[string]float64) map[string]float64 {
 	for end := m.now + span; m.now < end; {
 		for team, w := range work {
 			if n := m.c.tenants[m.team(team)].state; n == nil || n.waiting < 8 {
--- a/internal/fairqueue/waiter.go
+++ b/internal/fairqueue/query.go
@@ -65,45 +65,13 @@
 	stateRunning    // the first attempt was sent
 )
 
-type orderLink struct {
-	order      *orderQueue
-	prev, next *Query
-}
-
-// orderQueue keeps the order in which queries of a key, or loads of a table group, arrived.
-type orderQueue struct {
-	first, last *Query
-	id          orderID
-	parked      int // of a chain
-}
-
-type orderID struct {
-	kind int // 0: key, 1: chain
-	id   int64
-}
-
 // list holds the eligible queries of a tenant in a lane, oldest first, or the running queries.
 type list = intrusivelist.List[Query]
 
-// firstOfItsKey reports whether no query of its key goes before it. One that stands behind another
-// of its chain may still have a turn: the other goes in its place.
-func (q *Query) firstOfItsKey() bool {
-	x := q.orders[0].order
-	return x == nil || x.first == q
-}
-
 func older(a, b *Query) bool {
 	return a.Arrived < b.Arrived || a.Arrived == b.Arrived && a.sequence < b.sequence
 }
 
-// chainPredecessor is the query of its chain that has to go before it, nil if there is none.
-func (q *Query) chainPredecessor() *Query {
-	if x := q.orders[1].order; x != nil && x.first != q {
-		return x.first
-	}
-	return nil
-}
-
 // Lowered reports whether the query's priority is lowered to the least for now.
 func (q *Query) Lowered() bool { return q.lowered }
 
--- a/internal/fairqueue/fair_test.go
+++ b/internal/fairqueue/queue_test.go
@@ -40,7 +40,7 @@
 			}
 			s.Tenants = append(s.Tenants, kind)
 		}
-		m := newMill(t, s, 2, 2, 2)
+		m := newEngineModel(t, s, 2, 2, 2)
 		var asking []*job
 		for range rapid.IntRange(5, 60).Draw(t, "steps") {
 			switch rapid.IntRange(0, 9).Draw(t, "what") {
@@ -104,7 +104,7 @@
 
 func TestSharesFollowWeights(t *testing.T) {
 	l := []Tenant{{Name: "a", Weight: 1, Children: []Tenant{{Name: "a1", Weight: 1}, {Name: "a2", Weight: 3}}}, {Name: "b", Weight: 2}}
-	m := newMill(t, Config{Tenants: l, AgeingLimit: time.Hour}, 4, 4, 4)
+	m := newEngineModel(t, Config{Tenants: l, AgeingLimit: time.Hour}, 4, 4, 4)
 	// their queries differ in size: shares are of work, not of queries
 	used := m.share(120*time.Second, 1, map[string]float64{"a1": 0.2, "a2": 0.6, "b": 0.3})
 	all := used["a1"] + used["a2"] + used["b"]
@@ -116,7 +116,7 @@
 }
 
 func TestWeightsFarApart(t *testing.T) {
-	m := newMill(t, Config{Tenants: []Tenant{{Name: "small", Weight: 1}, {Name: "large", Weight: 1000}}, AgeingLimit: 5 * time.Second}, 4, 4, 4)
+	m := newEngineModel(t, Config{Tenants: []Tenant{{Name: "small", Weight: 1}, {Name: "large", Weight: 1000}}, AgeingLimit: 5 * time.Second}, 4, 4, 4)
 	m.c.SetCores(4)
 	for m.now < 40*time.Second {
 		m.flood("large", 0, 40, 0.05)
@@ -145,7 +145,7 @@
 	for i := range 500 {
 		names = append(names, fmt.Sprint("t", i))
 	}
-	m := newMill(t, Config{Tenants: teams(names...)}, 4, 4, 4)
+	m := newEngineModel(t, Config{Tenants: teams(names...)}, 4, 4, 4)
 	m.flood("flood", 0, 2000, 0.05)
 	deferred := 0
 	for _, j := range m.jobs {
@@ -178,7 +178,7 @@
 }
 
 func TestABudgetUsedUpAndRefilled(t *testing.T) {
-	m := newMill(t, Config{Tenants: []Tenant{{Name: "rich", Weight: 1}, {Name: "poor", Weight: 1, Quota: 0.2, Burst: 1}}, AgeingLimit: time.Hour}, 2, 2, 2)
+	m := newEngineModel(t, Config{Tenants: []Tenant{{Name: "rich", Weight: 1}, {Name: "poor", Weight: 1, Quota: 0.2, Burst: 1}}, AgeingLimit: time.Hour}, 2, 2, 2)
 	for m.now < 60*time.Second {
 		for _, team := range []string{"rich", "poor"} {
 			if n := m.c.tenants[m.team(team)].state; n == nil || n.waiting < 8 {
@@ -204,7 +204,7 @@
 }
 
 func TestABadPlanIsChargedAsItRuns(t *testing.T) {
-	m := newMill(t, Config{Tenants: []Tenant{{Name: "a", Weight: 1, Quota: 1, Burst: 1}, {Name: "b", Weight: 1}}}, 1, 1, 1)
+	m := newEngineModel(t, Config{Tenants: []Tenant{{Name: "a", Weight: 1, Quota: 1, Burst: 1}, {Name: "b", Weight: 1}}}, 1, 1, 1)
 	m.ask("a", 1, 0.6)
 	m.until(2 * time.Second)
 	bad := m.ask("a", 1, 12) // twenty times the usual, 4 s on three threads
@@ -227,7 +227,7 @@
 }
 
 func TestOrderedWorkIsNeverLowered(t *testing.T) {
-	m := newMill(t, Config{Tenants: []Tenant{{Name: "a", Weight: 1, Quota: 0.01, Burst: 0.01}, {Name: "b", Weight: 1}}}, 1, 1, 1)
+	m := newEngineModel(t, Config{Tenants: []Tenant{{Name: "a", Weight: 1, Quota: 0.01, Burst: 0.01}, {Name: "b", Weight: 1}}}, 1, 1, 1)
 	load := m.ask("a", 2, 10, key(1), chain(1))
 	m.ask("b", 1, 3)
 	m.ask("b", 1, 3)
@@ -238,7 +238,7 @@
 }
 
 func TestLoadsOfOneKeyFromTwoTeams(t *testing.T) {
-	m := newMill(t, Config{Tenants: []Tenant{{Name: "a", Weight: 1}, {Name: "b", Weight: 1000}}}, 4, 4, 4)
+	m := newEngineModel(t, Config{Tenants: []Tenant{{Name: "a", Weight: 1}, {Name: "b", Weight: 1000}}}, 4, 4, 4)
 	var all []*job
 	for i := range 20 {
 		all = append(all, m.ask([]string{"a", "b"}[i%2], 2, 0.2, key(7), chain(int64(i%3))))
@@ -264,7 +264,7 @@
 // A flood's loads stand before others of their tables. The order stays, and yet a
 // team's turn comes when its share says so: what stands before it goes on its turn.
 func TestOrderDoesNotLendAFloodItsPlace(t *testing.T) {
-	m := newMill(t, Config{Tenants: teams("flood", "small")}, 1, 1, 1)
+	m := newEngineModel(t, Config{Tenants: teams("flood", "small")}, 1, 1, 1)
 	m.c.SetCores(2)
 	for i := range 60 {
 		m.ask("flood", 2, 0.2, key(int64(i)), chain(int64(i%20)))
@@ -285,7 +285,7 @@
 }
 
 func TestARepeatKeepsItsAgeAndIsNotChargedTwice(t *testing.T) {
-	m := newMill(t, Config{Tenants: teams("a", "b"), AgeingLimit: 3 * time.Second}, 1, 1, 1)
+	m := newEngineModel(t, Config{Tenants: teams("a", "b"), AgeingLimit: 3 * time.Second}, 1, 1, 1)
 	for range 30 {
 		m.ask("b", 1, 0.6)
 	}
@@ -316,7 +316,7 @@
 
 func TestAReloadThatRemovesATeam(t *testing.T) {
 	s := Config{Tenants: teams("a", "b", "rest"), DefaultTenant: "rest"}
-	m := newMill(t, s, 1, 1, 1)
+	m := newEngineModel(t, s, 1, 1, 1)
 	running := m.ask("a", 1, 3)
 	var waiting []*job
 	for range 5 {
@@ -337,7 +337,7 @@
 }
 
 func TestAClockThatJumps(t *testing.T) {
-	m := newMill(t, Config{Tenants: teams("a", "b")}, 1, 1, 1)
+	m := newEngineModel(t, Config{Tenants: teams("a", "b")}, 1, 1, 1)
 	j := m.ask("a", 1, 30)
 	waits := m.ask("b", 1, 0.6)
 	m.until(time.Second)
@@ -357,7 +357,7 @@
 }
 
 func TestEstimatesOfAQueue(t *testing.T) {
-	m := newMill(t, Config{Tenants: teams("a", "b", "c")}, 4, 4, 4)
+	m := newEngineModel(t, Config{Tenants: teams("a", "b", "c")}, 4, 4, 4)
 	m.c.SetCores(12)
 	good, all := 0, 0
 	for m.now < 40*time.Second {
@@ -403,7 +403,7 @@
 }
 
 func TestWhatDoesNotFitIsRefused(t *testing.T) {
-	m := newMill(t, Config{Tenants: []Tenant{{Name: "a", Weight: 1, MaxWaiting: 3}, {Name: "b", Weight: 1}}, MaxWaiting: 6}, 1, 1, 1)
+	m := newEngineModel(t, Config{Tenants: []Tenant{{Name: "a", Weight: 1, MaxWaiting: 3}, {Name: "b", Weight: 1}}, MaxWaiting: 6}, 1, 1, 1)
 	why := map[RejectReason]int{}
 	for range 6 {
 		why[m.ask("a", 0, 0.01).verdict.Reason]++
@@ -417,7 +417,7 @@
 }
 
 func TestOneInAndOneOutAllocatesNothing(t *testing.T) {
-	m := newMill(t, Config{Tenants: teams("a", "b"), AgeingLimit: time.Hour}, 1, 1, 1)
+	m := newEngineModel(t, Config{Tenants: teams("a", "b"), AgeingLimit: time.Hour}, 1, 1, 1)
 	var l [4096]Query
 	i := 0
 	step := func() {
@@ -455,7 +455,7 @@
 // One that stands aside for the first of its chain is offered again once, though one
 // behind it in its key's line leaves meanwhile.
 func TestOneParkedIsOfferedOnce(t *testing.T) {
-	m := newMill(t, Config{Tenants: teams("a")}, 1, 1, 4)
+	m := newEngineModel(t, Config{Tenants: teams("a")}, 1, 1, 4)
 	runs := m.ask("a", 2, 3, key(0), chain(1))
 	first := m.ask("a", 2, 0.3, key(0), chain(2)) // its key's turn isn't its own
 	aside := m.ask("a", 2, 0.3, key(1), chain(2))
@@ -479,7 +479,7 @@
 	l := slices.Clone(lanes)
 	l[1].Chained = true
 	s := Config{Tenants: teams("a"), Lanes: l}
-	m := newMill(t, s, 1, 0, 1)
+	m := newEngineModel(t, s, 1, 0, 1)
 	m.ask("a", 1, 0.3, chain(2)) // no room for it
 	aside := m.ask("a", 2, 0.3, chain(2))
 	if !aside.parked {
--- a/internal/fairqueue/reload.go
+++ b/internal/fairqueue/reload.go
@@ -25,7 +25,7 @@
 	for _, p := range f.tenants {
 		named = named || p.isLeaf && p.Name == shape.DefaultTenant
 	}
-	if !named { // whoever belongs to no team
+	if !named { // a tenant for the calls that belong to no other
 		f.addTenants([]Tenant{{Name: "others", Weight: 1}}, "", -1)
 	}
 	f.resolver = newTenantResolver(&f.config, f.tenants)
--- a/internal/fairqueue/estimate.go
+++ b/internal/fairqueue/wait_estimate.go
@@ -429,15 +429,15 @@
 	}
 	by := time.Duration(0)
 	if l.Ordered && q.Key >= 0 {
-		if x := f.orders[orderID{0, q.Key}]; x != nil {
-			if last := x.predecessor(q, 0); last != nil {
+		if x := f.orders[orderID{keyOrder, q.Key}]; x != nil {
+			if last := x.predecessor(q, keyOrder); last != nil {
 				by = max(by, over(last))
 			}
 		}
 	}
 	if l.Chained {
-		if x := f.orders[orderID{1, q.Chain}]; x != nil {
-			if last := x.predecessor(q, 1); last != nil {
+		if x := f.orders[orderID{chainOrder, q.Chain}]; x != nil {
+			if last := x.predecessor(q, chainOrder); last != nil {
 				by = max(by, min(over(last), t+min(run, maxChainHold)))
 			}
 		}
@@ -451,38 +451,6 @@
 // maxChainHold is how long the scheduler holds a load behind another of its tables.
 const maxChainHold = time.Second
 
-// chainInFlight counts what of a chain was dispatched and is not over.
-type chainInFlight struct {
-	inFlight    int
-	expectedEnd time.Duration // when it should be
-}
-
-// chainDispatched counts a load that was dispatched.
-func (f *Queue) chainDispatched(q *Query, l *lane) {
-	x := f.chains[q.Chain]
-	x.inFlight++
-	x.expectedEnd = max(x.expectedEnd, f.now) + seconds(f.usualRunSeconds(l))
-	f.chains[q.Chain] = x
-}
-
-// chainEnded counts a dispatched load that is over.
-func (f *Queue) chainEnded(q *Query) {
-	if x := f.chains[q.Chain]; x.inFlight > 1 {
-		x.inFlight--
-		f.chains[q.Chain] = x
-	} else {
-		delete(f.chains, q.Chain)
-	}
-}
-
-// predecessor is the query before q, or the last if q is not in the order yet.
-func (x *orderQueue) predecessor(q *Query, kind int) *Query {
-	if q.orders[kind].order == x {
-		return q.orders[kind].prev
-	}
-	return x.last
-}
-
 // FirstEstimate returns the first wait estimate of an admitted query, after all queries that may
 // go at once were dispatched: 0 if it has started, the estimate of Enqueue if it waits, and for
 // one that was dispatched and not sent yet the time to the lane's next start.
@@ -528,7 +496,7 @@
 
 const (
 	minNotifyChange = 100 * time.Millisecond
-	maxSubscribers  = 4096 // told again, all together; the others hear the first estimate
+	maxSubscribers  = 4096 // further queries only get their first estimate
 )
 
 func abs(x int) int { return max(x, -x) }
