--- a/internal/fleet/node/messages.go
+++ b/internal/fleet/node/messages.go
@@ -50,9 +50,9 @@
 	ValidationResults map[string]string `cbor:"Ready,omitempty"`
 	// FencedFor is the configuration change that it decides nothing for any more.
 	FencedFor    string                              `cbor:"Closed,omitempty"`
-	Tombstoned   []string                            `cbor:"Unreached,omitempty"` // invalidations tombstoned here
+	Tombstoned   []string                            `cbor:"Unreached,omitempty"` // invalidations
 	Erased       map[string]fleet.InvalidationCounts `cbor:"Wiped,omitempty"`     // invalidations erased here
-	ServingSites []string                            `cbor:"Sites,omitempty"`     // zones with engines that serve
+	ServingSites []string                            `cbor:"Sites,omitempty"`     // with engines
 	// AttemptsOutside counts attempts of confined tenants outside their zones.
 	AttemptsOutside int `cbor:"Outside,omitempty"`
 }
--- a/internal/fleet/node/node_test.go
+++ b/internal/fleet/node/node_test.go
@@ -52,8 +52,9 @@
 	f.run = 0
 	l := s.leader()
 	l.request(1, &fleet.Request{Kind: "apply", ID: "c1", Base: 1, Policy: []byte("x")})
-	l.request(2, &fleet.Request{Kind: "purge", ID: "p1", Scope: &fleet.Scope{Team: "a"}, AwaitedStage: fleet.EntryTombstone,
-		WaitMs: 30000})
+	l.request(2, &fleet.Request{Kind: "purge", ID: "p1", Scope: &fleet.Scope{Team: "a"},
+		AwaitedStage: fleet.EntryTombstone,
+		WaitMs:       30000})
 	l.request(3, &fleet.Request{Kind: "purge", ID: "p1", Scope: &fleet.Scope{Team: "a"}, WaitMs: 30000})
 	s.waitFor(5*time.Second, "in force, unreachable", func() bool {
 		return s.replyTo(l, 1) != nil && s.replyTo(l, 2) != nil
@@ -261,8 +262,9 @@
 		s.cutLinks[n+">f0"], s.cutLinks["f0>"+n] = true, true
 	}
 	l := s.leader()
-	l.request(1, &fleet.Request{Kind: "purge", ID: "p1", Scope: &fleet.Scope{Team: "a"}, AwaitedStage: fleet.EntryTombstone,
-		WaitMs: 30000})
+	l.request(1, &fleet.Request{Kind: "purge", ID: "p1", Scope: &fleet.Scope{Team: "a"},
+		AwaitedStage: fleet.EntryTombstone,
+		WaitMs:       30000})
 	s.waitFor(5*time.Second, "unreachable", func() bool {
 		if l.core.state.Purges["p1"] != nil && l.core.state.Purges["p1"].Stage != "" && served("f0") {
 			t.Fatal("it is told while f0, which is cut off, serves on")
@@ -307,7 +309,8 @@
 	f.request(1, &fleet.Request{Kind: "apply", ID: "c1", Base: 1, Policy: []byte("x")})
 	s.waitFor(5*time.Second, "in force", func() bool { return s.replyTo(f, 1) != nil })
 	f.neverValidates = "c2"
-	f.request(2, &fleet.Request{Kind: "apply", ID: "c2", Base: 2, Policy: []byte("voters f0=f0:1"), WaitMs: 60000})
+	f.request(2, &fleet.Request{Kind: "apply", ID: "c2", Base: 2, Policy: []byte("voters f0=f0:1"),
+		WaitMs: 60000})
 	checked := func(a *testController) bool { return slices.Contains(a.validations, "done c2") }
 	s.waitFor(5*time.Second, "it is checked", func() bool {
 		return checked(s.controllers["v0"]) && checked(s.controllers["v1"]) && checked(s.controllers["v2"])
@@ -408,7 +411,8 @@
 			t.Fatalf("%+v while a query runs outside", s.replyTo(f, 2))
 		}
 	}
-	f.step(Event{Kind: ControllerReported, Report: fleet.Report{Kind: fleet.SitesServing, Sites: []string{"here"}}})
+	report := fleet.Report{Kind: fleet.SitesServing, Sites: []string{"here"}}
+	f.step(Event{Kind: ControllerReported, Report: report})
 	s.waitFor(5*time.Second, "settled", func() bool { return s.replyTo(f, 2) != nil })
 	if w := s.replyTo(f, 2); w.Outcome != "settled" {
 		t.Errorf("%+v", w)
--- a/internal/fleet/noop/noop_test.go
+++ b/internal/fleet/noop/noop_test.go
@@ -24,10 +24,12 @@
 	for r := range reports {
 		kinds = append(kinds, r.Kind)
 	}
-	if want := []fleet.ReportKind{fleet.PolicyOpened, fleet.DataTombstoned, fleet.DataErased, fleet.PolicyFenced}; !slices.Equal(kinds, want) {
+	want := []fleet.ReportKind{fleet.PolicyOpened, fleet.DataTombstoned, fleet.DataErased, fleet.PolicyFenced}
+	if !slices.Equal(kinds, want) {
 		t.Errorf("reported %v, want %v", kinds, want)
 	}
-	if until, bound := word.LeaseEnds(); until != time.Minute || bound != time.Second || word.ServingVersion(0, false) != 0 {
+	until, bound := word.LeaseEnds()
+	if until != time.Minute || bound != time.Second || word.ServingVersion(0, false) != 0 {
 		t.Errorf("lease until %v and %v, version %d after a shut", until, bound, word.ServingVersion(0, false))
 	}
 }
