--- a/internal/fleet/consensus/errors.go
+++ b/internal/fleet/consensus/errors.go
@@ -14,6 +14,7 @@
 	return fmt.Sprintf("election after %v with a heartbeat each %v: at least two must fit in", e.Election, e.Heartbeat)
 }
 
+// Remedy says what an operator can do.
 func (e *TimeoutError) Remedy() string {
 	return "set the heartbeat to a tenth of the election time, and the election time to at least ten message round trips"
 }
@@ -31,6 +32,7 @@
 	return fmt.Sprintf("voters %q and %q come to the same number", e.Name, e.Other)
 }
 
+// Remedy says what an operator can do.
 func (e *VoterNameError) Remedy() string {
 	return "give each voter one name of its own; if two come to the same number, rename the one that votes newest"
 }
@@ -42,6 +44,7 @@
 	return fmt.Sprintf("what was kept has a gap before record %d", e.Index)
 }
 
+// Remedy says what an operator can do.
 func (e *LogGapError) Remedy() string {
 	return "restore the directory from where it was copied wholly, or forget this controller and start it " +
 		"with an empty directory under a new name; the others have the record"
@@ -52,6 +55,7 @@
 
 func (e *PersistentStateError) Error() string { return "what was kept can't be used: " + e.What }
 
+// Remedy says what an operator can do.
 func (e *PersistentStateError) Remedy() string {
 	return "it may be from a newer version of the program: start that one; else forget this controller and " +
 		"start it with an empty directory under a new name"
--- a/internal/fleet/transport/errors.go
+++ b/internal/fleet/transport/errors.go
@@ -20,11 +20,13 @@
 	return fmt.Sprintf("%s from %s isn't signed by a key of this fleet", e.What, e.From)
 }
 
+// Remedy says what an operator can do.
 func (e *UnauthenticatedError) Remedy() string {
 	return "compare the key files of both sides: while a key is replaced the new one must be the second " +
 		"line everywhere before it is the first line anywhere; if it is no controller of yours, close the port to it"
 }
 
+// Reason is the key that this rejection is counted by.
 func (e *UnauthenticatedError) Reason() string { return "stranger" }
 
 // ReplayError is a frame or ask that was here before, or one too old to tell.
@@ -37,11 +39,13 @@
 	return fmt.Sprintf("number %d from %s was here before or is too old to tell", e.Seq, e.From)
 }
 
+// Remedy says what an operator can do.
 func (e *ReplayError) Remedy() string {
 	return "nothing was done by it; if it goes on, someone on the network between the two sends recorded bytes, " +
 		"or two processes run under one name"
 }
 
+// Reason is the key that this rejection is counted by.
 func (e *ReplayError) Reason() string { return "replay" }
 
 // OtherFleetError is a frame with the right key and another fleet's name.
@@ -51,10 +55,12 @@
 	return fmt.Sprintf("%s is of the fleet %q, this one is %q", e.From, e.Fleet, e.Own)
 }
 
+// Remedy says what an operator can do.
 func (e *OtherFleetError) Remedy() string {
 	return "put the same fleet name into both set-ups, or give each fleet a key and addresses of its own"
 }
 
+// Reason is the key that this rejection is counted by.
 func (e *OtherFleetError) Reason() string { return "other_fleet" }
 
 // WrongRecipientError is a frame for another controller.
@@ -64,10 +70,12 @@
 	return fmt.Sprintf("%s sent here what is for %q, this is %q", e.From, e.To, e.Own)
 }
 
+// Remedy says what an operator can do.
 func (e *WrongRecipientError) Remedy() string {
 	return "an address of a peer leads to the wrong controller: compare the peers' addresses in the set-up with the names"
 }
 
+// Reason is the key that this rejection is counted by.
 func (e *WrongRecipientError) Reason() string { return "addressee" }
 
 // StaleIncarnationError is a frame for this controller as it ran before it was started anew.
@@ -77,11 +85,13 @@
 	return fmt.Sprintf("%s sent a frame for an earlier run of this controller", e.From)
 }
 
+// Remedy says what an operator can do.
 func (e *StaleIncarnationError) Remedy() string {
 	return "none is needed right after a restart, its sender is told and sends anew; if it goes on, " +
 		"someone sends recorded bytes, or two processes share this address"
 }
 
+// Reason is the key that this rejection is counted by.
 func (e *StaleIncarnationError) Reason() string { return "stale_boot" }
 
 // MalformedError is something signed that can't be read.
@@ -94,8 +104,10 @@
 	return fmt.Sprintf("from %s: can't be read: %v", e.From, e.Err)
 }
 
+// Remedy says what an operator can do.
 func (e *MalformedError) Remedy() string { return "run the same version of the program on both sides" }
 
+// Reason is the key that this rejection is counted by.
 func (e *MalformedError) Reason() string { return "form" }
 
 func (e *MalformedError) Unwrap() error { return e.Err }
@@ -110,10 +122,12 @@
 	return fmt.Sprintf("%d bytes from or for %s, at most %d are taken", e.Bytes, e.Peer, e.AtMost)
 }
 
+// Remedy says what an operator can do.
 func (e *TooLargeError) Remedy() string {
 	return "make the policy file smaller; if it comes from no controller or operator of yours, close the port to it"
 }
 
+// Reason is the key that this rejection is counted by.
 func (e *TooLargeError) Reason() string { return "too_large" }
 
 // PeerRejectedError says that a peer refused what was sent to it.
@@ -126,11 +140,13 @@
 	return fmt.Sprintf("%s at %s refused what was sent: %d %s", e.Peer, e.Address, e.Status, http.StatusText(e.Status))
 }
 
+// Remedy says what an operator can do.
 func (e *PeerRejectedError) Remedy() string {
 	return "see the other side's log: 403 is its key or fleet name, 404 no controller listens there, " +
 		"421 a wrong address, 400 another version of the program"
 }
 
+// Reason is the key that this rejection is counted by.
 func (e *PeerRejectedError) Reason() string { return "turned_away" }
 
 // UnreachableError says that no answer came from a controller's control listener.
@@ -147,6 +163,7 @@
 	return fmt.Sprintf("%s can't be reached: %v", e.Address, e.Err)
 }
 
+// Remedy says what an operator can do.
 func (e *UnreachableError) Remedy() string {
 	if e.Sent {
 		return "it may have been taken: ask again by the same id, of this controller or another one"
@@ -170,6 +187,7 @@
 	return fmt.Sprintf("key file %s: %s", e.Path, e.Why)
 }
 
+// Remedy says what an operator can do.
 func (e *KeyFileError) Remedy() string {
 	return "give it one key a line, two at the most, the first one signs; make one with: " +
 		"(umask 077; head -c 32 /dev/urandom | base64 > FILE); only its owner may have rights on it (chmod 600)"
