--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -19,7 +19,7 @@
 const (
 	EntryJoin             = "join"        // Member may hold leases from now on
 	EntryForget           = "forget"      // the disk of Name is destroyed: that name and disk never serve again
-	EntryPropose          = "propose"     // a change of policy is under way: every controller checks it and keeps it
+	EntryPropose          = "propose"     // a change of policy begins: each controller checks and keeps it
 	EntryFence            = "close"       // all stop deciding by the version before it
 	EntryCommit           = "force"       // decided: all begin with the version after
 	EntryAbort            = "withdraw"    // it never acts anywhere
@@ -36,37 +36,56 @@
 // Entry is one decision of the record. What a kind doesn't need is left out. ID is
 // what it is asked for again by: a second entry of a kind with the same ID changes nothing.
 type Entry struct {
-	Kind          string              `cbor:"1,keyasint"`
-	ID            string              `cbor:"2,keyasint,omitempty"`
-	RequestedBy   string              `cbor:"3,keyasint,omitempty"` // an operator, a team, or the fleet itself
-	Name          string              `cbor:"4,keyasint,omitempty"` // of a controller (Join, Forget) or of a rule (Emergency, Calm)
-	Member        *Member             `cbor:"5,keyasint,omitempty"`
-	Base          uint64              `cbor:"6,keyasint,omitempty"`  // Propose: the version it is made against
-	Policy        []byte              `cbor:"7,keyasint,omitempty"`  // Propose: the file's text
-	AbortAfterMs  int64               `cbor:"8,keyasint,omitempty"`  // Propose: milliseconds until it is withdrawn, 0: never
-	Reason        string              `cbor:"9,keyasint,omitempty"`  // Withdraw
-	Scope         *Scope              `cbor:"10,keyasint,omitempty"` // Purge
-	Team          string              `cbor:"11,keyasint,omitempty"` // Bind
-	Tables        []int64             `cbor:"12,keyasint,omitempty"` // Bind: bound from now on
-	From          []int64             `cbor:"13,keyasint,omitempty"` // Bind: whose boundary they follow
-	Counts        *InvalidationCounts `cbor:"14,keyasint,omitempty"` // Erased
-	RequestedAtMs int64               `cbor:"15,keyasint,omitempty"` // when it was asked for, by the clock of who asked
-	Voters        []string            `cbor:"16,keyasint,omitempty"` // Close: who votes once it is in force, as name=address; empty: as before
-	Scopes        []Scope             `cbor:"17,keyasint,omitempty"` // Close: what the policy leaves outside, to be purged once it is in force
+	Kind string `cbor:"1,keyasint"`
+	ID   string `cbor:"2,keyasint,omitempty"`
+	// RequestedBy: an operator, a team, or the fleet itself
+	RequestedBy string `cbor:"3,keyasint,omitempty"`
+	// Name: of a controller (EntryJoin, EntryForget) or of a rule (EntryBeginEmergency, EntryEndEmergency)
+	Name   string  `cbor:"4,keyasint,omitempty"`
+	Member *Member `cbor:"5,keyasint,omitempty"`
+	// Base (EntryPropose): the version it is made against
+	Base uint64 `cbor:"6,keyasint,omitempty"`
+	// Policy (EntryPropose): the file's text
+	Policy []byte `cbor:"7,keyasint,omitempty"`
+	// AbortAfterMs (EntryPropose): milliseconds until it is withdrawn, 0: never
+	AbortAfterMs int64 `cbor:"8,keyasint,omitempty"`
+	// Reason (EntryAbort).
+	Reason string `cbor:"9,keyasint,omitempty"`
+	// Scope (EntryInvalidate).
+	Scope *Scope `cbor:"10,keyasint,omitempty"`
+	// Team (EntryBind).
+	Team string `cbor:"11,keyasint,omitempty"`
+	// Tables (EntryBind): bound from now on
+	Tables []int64 `cbor:"12,keyasint,omitempty"`
+	// From (EntryBind): whose boundary they follow
+	From []int64 `cbor:"13,keyasint,omitempty"`
+	// Counts (EntryErased).
+	Counts *InvalidationCounts `cbor:"14,keyasint,omitempty"`
+	// RequestedAtMs: when it was asked for, by the clock of who asked
+	RequestedAtMs int64 `cbor:"15,keyasint,omitempty"`
+	// Voters (EntryFence): who votes once it is in force, as name=address; empty: as before
+	Voters []string `cbor:"16,keyasint,omitempty"`
+	// Scopes (EntryFence): what the policy leaves outside, to be purged once it is in force
+	Scopes []Scope `cbor:"17,keyasint,omitempty"`
 }
 
 // Scope is what of a team a purge means.
 type Scope struct {
-	Team             string   `cbor:"1,keyasint" json:"team"`
-	Tables           []int64  `cbor:"2,keyasint,omitempty" json:"tables,omitempty"`  // table groups, none: all
-	RetainedBeforeMs int64    `cbor:"3,keyasint,omitempty" json:"before,omitempty"`  // wall time it was kept before, 0: whenever
-	OutsideSites     []string `cbor:"4,keyasint,omitempty" json:"outside,omitempty"` // only on controllers that are in none of these sites; none: on all
+	Team string `cbor:"1,keyasint" json:"team"`
+	// Tables: table groups, none: all
+	Tables []int64 `cbor:"2,keyasint,omitempty" json:"tables,omitempty"`
+	// RetainedBeforeMs: wall time it was kept before, 0: whenever
+	RetainedBeforeMs int64 `cbor:"3,keyasint,omitempty" json:"before,omitempty"`
+	// OutsideSites: only on controllers that are in none of these sites; none: on all
+	OutsideSites []string `cbor:"4,keyasint,omitempty" json:"outside,omitempty"`
 }
 
 // InvalidationCounts are what a purge found.
 type InvalidationCounts struct {
-	Results int64 `cbor:"1,keyasint" json:"results"` // kept results
-	Answers int64 `cbor:"2,keyasint" json:"answers"` // cached answers
+	// Results: kept results
+	Results int64 `cbor:"1,keyasint" json:"results"`
+	// Answers: cached answers
+	Answers int64 `cbor:"2,keyasint" json:"answers"`
 	Bytes   int64 `cbor:"3,keyasint" json:"bytes"`
 }
 
@@ -77,11 +96,14 @@
 
 // Member is a controller that may hold leases.
 type Member struct {
-	Name      string `cbor:"1,keyasint" json:"name"`
-	Disk      string `cbor:"2,keyasint" json:"disk"` // its directory's own name, drawn when it was made
-	Site      string `cbor:"3,keyasint,omitempty" json:"site,omitempty"`
-	Peer      string `cbor:"4,keyasint" json:"peer"`                        // where its peers reach it
-	Clients   string `cbor:"5,keyasint,omitempty" json:"clients,omitempty"` // where clients reach it
+	Name string `cbor:"1,keyasint" json:"name"`
+	// Disk: its directory's own name, drawn when it was made
+	Disk string `cbor:"2,keyasint" json:"disk"`
+	Site string `cbor:"3,keyasint,omitempty" json:"site,omitempty"`
+	// Peer: where its peers reach it
+	Peer string `cbor:"4,keyasint" json:"peer"`
+	// Clients: where clients reach it
+	Clients   string `cbor:"5,keyasint,omitempty" json:"clients,omitempty"`
 	Forgotten bool   `cbor:"6,keyasint,omitempty" json:"forgotten,omitempty"`
 	// Control: it takes no queries and keeps no results, so that neither changes nor
 	// purges wait for it. Of a name that was a controller once it is never true.
@@ -230,35 +252,45 @@
 
 // Request is what an operator, a customer or the reducer wants of the fleet.
 type Request struct {
-	Kind        string `json:"kind"` // "apply", "purge", "forget", "bind", "status", "policy"
-	ID          string `json:"id"`   // of the change or purge; drawn by who asks
+	// Kind: "apply", "purge", "forget", "bind", "status", "policy"
+	Kind string `json:"kind"`
+	// ID: of the change or purge; drawn by who asks
+	ID          string `json:"id"`
 	RequestedBy string `json:"by,omitempty"`
 	Base        uint64 `json:"base,omitempty"`
 	Policy      []byte `json:"policy,omitempty"`
-	Name        string `json:"name,omitempty"` // forget
-	Scope       *Scope `json:"scope,omitempty"`
-	Team        string `json:"team,omitempty"` // bind; purge and status by a customer: only its own runs are told of
+	// Name: forget
+	Name  string `json:"name,omitempty"`
+	Scope *Scope `json:"scope,omitempty"`
+	// Team: bind; purge and status by a customer: only its own runs are told of
+	Team string `json:"team,omitempty"`
 	// Tables are bound by a bind, From is what they follow.
-	Tables       []int64 `json:"tables,omitempty"`
-	From         []int64 `json:"from,omitempty"`
-	AbortAfterMs int64   `json:"at_most_ms,omitempty"` // milliseconds: a change not in force by then is withdrawn
-	WaitMs       int64   `json:"wait_ms,omitempty"`    // milliseconds until the answer is "not known yet"
-	AwaitedStage string  `json:"until,omitempty"`      // the word waited for: "" the last one; purge: "unreachable"
+	Tables []int64 `json:"tables,omitempty"`
+	From   []int64 `json:"from,omitempty"`
+	// AbortAfterMs: milliseconds: a change not in force by then is withdrawn
+	AbortAfterMs int64 `json:"at_most_ms,omitempty"`
+	// WaitMs: milliseconds until the answer is "not known yet"
+	WaitMs int64 `json:"wait_ms,omitempty"`
+	// AwaitedStage: the word waited for: "" the last one; purge: "unreachable"
+	AwaitedStage string `json:"until,omitempty"`
 }
 
 // Response is what became of a Request. Outcome is one of: in force, withdrawn, refused, settled,
 // unreachable, purged, forgotten, bound, unknown (not known yet: ask again by id).
 type Response struct {
-	ID          string              `json:"id"`
-	Outcome     string              `json:"word"`
-	Reason      string              `json:"why,omitempty"`
-	Remedy      string              `json:"remedy,omitempty"`
-	Version     uint64              `json:"version,omitempty"`
-	Stage       string              `json:"stage,omitempty"` // how far a run has come: proposed, closing, decided, unreachable ...
-	Counts      *InvalidationCounts `json:"counts,omitempty"`
-	Outstanding []string            `json:"outstanding,omitempty"` // controllers that are waited for, as far as is known here
-	Status      *Status             `json:"status,omitempty"`
-	Policy      []byte              `json:"policy,omitempty"` // to a "policy": the text in force, none while it is each set-up's own
+	ID      string `json:"id"`
+	Outcome string `json:"word"`
+	Reason  string `json:"why,omitempty"`
+	Remedy  string `json:"remedy,omitempty"`
+	Version uint64 `json:"version,omitempty"`
+	// Stage: how far a run has come: proposed, closing, decided, unreachable ...
+	Stage  string              `json:"stage,omitempty"`
+	Counts *InvalidationCounts `json:"counts,omitempty"`
+	// Outstanding: controllers that are waited for, as far as is known here
+	Outstanding []string `json:"outstanding,omitempty"`
+	Status      *Status  `json:"status,omitempty"`
+	// Policy: to a "policy": the text in force, none while it is each set-up's own
+	Policy []byte `json:"policy,omitempty"`
 }
 
 // Exit is the status that scripts see: 0 done, 3 not done and never will be, 4 not known yet.
@@ -274,25 +306,28 @@
 
 // Status is how a controller sees the fleet.
 type Status struct {
-	Name        string         `json:"name"`
-	Leader      string         `json:"leader,omitempty"`
-	Index       uint64         `json:"index"`
-	Version     uint64         `json:"version"`
-	Serves      bool           `json:"serves"`
-	LeaseMS     int64          `json:"lease_ms"` // what is left of it; -1: without an end
+	Name    string `json:"name"`
+	Leader  string `json:"leader,omitempty"`
+	Index   uint64 `json:"index"`
+	Version uint64 `json:"version"`
+	Serves  bool   `json:"serves"`
+	// LeaseMS: what is left of it; -1: without an end
+	LeaseMS     int64          `json:"lease_ms"`
 	Change      *Response      `json:"change,omitempty"`
 	Members     []MemberStatus `json:"members"`
 	Purges      []Response     `json:"purges,omitempty"`
 	Emergencies []string       `json:"emergencies,omitempty"`
 	Bindings    []Binding      `json:"bindings,omitempty"`
-	Counts      map[string]int `json:"counts,omitempty"` // what was refused on the peers' wire, and such
+	// Counts: what was refused on the peers' wire, and such
+	Counts map[string]int `json:"counts,omitempty"`
 }
 
 // MemberStatus is one controller as the leader sees it; elsewhere only what the record says.
 type MemberStatus struct {
 	Member
-	Votes   bool    `json:"votes"`
-	Holds   Holding `json:"holds"` // it may hold a lease
+	Votes bool `json:"votes"`
+	// Holds: it may hold a lease
+	Holds   Holding `json:"holds"`
 	Applied uint64  `json:"applied,omitempty"`
 }
 
