--- a/internal/bench/planted.go
+++ b/internal/bench/planted.go
@@ -34,7 +34,7 @@
 	{"fence", "no fence on restart", "internal/fleet/node", "./internal/bench", "^TestStartedCutOff$", "mixed:"},
 	{"force", "in force before all closed", "internal/fleet/node", "./internal/bench", "^TestBriefSchedules$", "mixed:"},
 	{"down", "purge confirmed without those down", "internal/fleet/node", "./internal/bench", "^TestBriefSchedules$", "confirmed_wrongly:"},
-	{"write", "lease not looked at before writing", "internal/eventloop", "./internal/eventloop", "^TestTheWordIsAskedRightBeforeAWrite$", `: "free by 7 free too", [`},
+	{"write", "lease not looked at before writing", "internal/eventloop", "./internal/eventloop", "^TestServingStateIsAskedRightBeforeAWrite$", `: "free by 7 free too", [`},
 	{"draw", "drawn answer kept over a purge", "internal/resultcache", "./internal/resultcache", "^TestDrawnOverAPurge$", "what was drawn before a purge is served after it"},
 	{"copy", "a copy past the boundary", "internal/scheduler", "./internal/scheduler", "^TestConfinedQueryStaysInAllowedLocations$", "and it may be at ["},
 	{"follow", "followed binding not recorded first", "internal/controller", "./internal/controller", "^TestLoadIsSentOnceItsBindingIsLogged$", "sent before the record has it"},
--- a/internal/controller/invalidation_calls.go
+++ b/internal/controller/invalidation_calls.go
@@ -75,7 +75,8 @@
 		v.unconfirmed[x.id] = ask
 		v.servingLease.report(fleet.Report{Kind: fleet.RequestMade, Request: ask})
 	case v.servingLease != nil:
-		v.servingLease.report(fleet.Report{Kind: fleet.RequestMade, Request: v.fleetAsk("status", x, call.Patience)})
+		request := v.fleetAsk("status", x, call.Patience)
+		v.servingLease.report(fleet.Report{Kind: fleet.RequestMade, Request: request})
 	case isNew:
 		v.startLocal(x.id, scope)
 	default:
--- a/internal/eventloop/fleet_test.go
+++ b/internal/eventloop/fleet_test.go
@@ -60,7 +60,7 @@
 
 // What is guarded goes out by its version and within the lease, whatever the reducer
 // knew: the process may have been stopped since.
-func TestTheWordIsAskedRightBeforeAWrite(t *testing.T) {
+func TestServingStateIsAskedRightBeforeAWrite(t *testing.T) {
 	now := time.Now()
 	open := func(version uint64, until time.Duration) func(*fleet.ServingState) {
 		return func(w *fleet.ServingState) { w.SetVersion(version); w.SetLease(until, until) }
--- a/internal/fleet/driver/driver.go
+++ b/internal/fleet/driver/driver.go
@@ -402,7 +402,9 @@
 // queueOrder puts an order behind those that wait. A lease that nobody has looked at yet is
 // replaced by the next: it is never longer by that, and none waits behind a thousand.
 func (d *Driver) queueOrder(o fleet.Order) {
-	if n := len(d.pendingOrders); n > 0 && o.Kind == fleet.LeaseRenewed && d.pendingOrders[n-1].Kind == fleet.LeaseRenewed {
+	n := len(d.pendingOrders)
+	lastIsLease := n > 0 && d.pendingOrders[n-1].Kind == fleet.LeaseRenewed
+	if lastIsLease && o.Kind == fleet.LeaseRenewed {
 		d.pendingOrders[n-1] = o
 		return
 	}
@@ -458,7 +460,8 @@
 
 // logFailure logs why nothing goes on, and again in a while.
 func (d *Driver) logFailure() {
-	d.log.Log().Str("error", d.storeFailure.Error()).Str("remedy", d.storeFailure.Remedy()).Msg("fleet: this controller serves nothing and votes no more")
+	d.log.Log().Str("error", d.storeFailure.Error()).Str("remedy", d.storeFailure.Remedy()).
+		Msg("fleet: this controller serves nothing and votes no more")
 	d.timer.Reset(failureLogInterval)
 }
 
--- a/internal/fleet/driver/errors.go
+++ b/internal/fleet/driver/errors.go
@@ -14,7 +14,8 @@
 
 // Remedy says what to do.
 func (e *WriteError) Remedy() string {
-	return "see to the disk of the fleet's directory (room, rights, its own log), then start this controller again"
+	return "see to the disk of the fleet's directory (room, rights, its own log), " +
+		"then start this controller again"
 }
 
 // Unwrap gives the cause.
@@ -44,6 +45,7 @@
 
 // Errors is one of each, for the test and the docs that walk all of them.
 func Errors() []fleet.ErrorWithRemedy {
-	return []fleet.ErrorWithRemedy{&WriteError{fmt.Errorf("no space left on device")}, &BusyError{}, &RequestTimeoutError{"apply", "a1"},
+	return []fleet.ErrorWithRemedy{&WriteError{fmt.Errorf("no space left on device")}, &BusyError{},
+		&RequestTimeoutError{"apply", "a1"},
 		&ListenError{"peers", "10.0.0.1:7600", fmt.Errorf("address already in use")}}
 }
--- a/internal/fleet/driver/open.go
+++ b/internal/fleet/driver/open.go
@@ -58,7 +58,8 @@
 
 // Remedy says what to do.
 func (e *ListenError) Remedy() string {
-	return "see that no other process has the address and that this machine has it; fleet.listen and fleet.control of the set-up name them"
+	return "see that no other process has the address and that this machine has it; " +
+		"fleet.listen and fleet.control of the set-up name them"
 }
 
 // Unwrap gives the cause.
@@ -185,7 +186,9 @@
 	closers := []func() error{peers.Close, p.store.Close}
 	setKeys := []func(transport.Keys) error{peers.SetKeys}
 	if p.operators != nil {
-		request := func(ctx context.Context, a *fleet.Request) (*fleet.Response, error) { return d.Request(ctx, a), nil }
+		request := func(ctx context.Context, r *fleet.Request) (*fleet.Response, error) {
+			return d.Request(ctx, r), nil
+		}
 		control, err := transport.ServeControl(p.operators, keys, request, onRefused)
 		if err != nil {
 			return err
