--- a/internal/bench/fairness_test.go
+++ b/internal/bench/fairness_test.go
@@ -3,10 +3,8 @@
 import (
 	"bytes"
 	"context"
-	"flag"
 	"fmt"
 	"net/netip"
-	"os"
 	"os/exec"
 	"path/filepath"
 	"testing"
@@ -17,14 +15,11 @@
 	"railrelay.dev/railrelay/internal/emulator/client"
 	"railrelay.dev/railrelay/internal/emulator/world"
 	"railrelay.dev/railrelay/internal/fairqueue"
+	"railrelay.dev/railrelay/internal/rapidtest"
 )
 
 func TestMain(m *testing.M) {
-	flag.Parse()
-	flag.Set("rapid.seed", "20261201") // the same verdict every time
-	flag.Set("rapid.checks", "25")
-	flag.Set("rapid.nofailfile", "true")
-	os.Exit(m.Run())
+	rapidtest.Main(m, rapidtest.Config{Seed: 20261201, Checks: 25})
 }
 
 func flat(names ...string) (l []fairqueue.Tenant) {
--- a/internal/controller/controller_test.go
+++ b/internal/controller/controller_test.go
@@ -1,9 +1,7 @@
 package controller
 
 import (
-	"flag"
 	"fmt"
-	"os"
 	"slices"
 	"strconv"
 	"strings"
@@ -13,15 +11,11 @@
 	"pgregory.net/rapid"
 
 	"railrelay.dev/railrelay/internal/invariant"
+	"railrelay.dev/railrelay/internal/rapidtest"
 )
 
 func TestMain(m *testing.M) {
-	flag.Parse()
-	flag.Set("rapid.seed", "20261201") // the same verdict every time
-	flag.Set("rapid.checks", "1000")
-	flag.Set("rapid.shrinktime", "5s")
-	flag.Set("rapid.nofailfile", "true")
-	os.Exit(m.Run())
+	rapidtest.Main(m, rapidtest.Config{Seed: 20261201, Checks: 1000, Shrink: 5 * time.Second})
 }
 
 func TestRulesHoldUnderRandomEvents(t *testing.T) {
--- a/internal/fairqueue/queue_test.go
+++ b/internal/fairqueue/queue_test.go
@@ -1,24 +1,20 @@
 package fairqueue
 
 import (
-	"flag"
 	"fmt"
 	"math"
 	"net/netip"
-	"os"
 	"slices"
 	"testing"
 	"time"
 
 	"pgregory.net/rapid"
+
+	"railrelay.dev/railrelay/internal/rapidtest"
 )
 
 func TestMain(m *testing.M) {
-	flag.Parse()
-	flag.Set("rapid.seed", "20261201") // the same verdict every time
-	flag.Set("rapid.checks", "400")
-	flag.Set("rapid.nofailfile", "true")
-	os.Exit(m.Run())
+	rapidtest.Main(m, rapidtest.Config{Seed: 20261201, Checks: 400})
 }
 
 func TestRandomRuns(t *testing.T) {
--- a/internal/resultcache/result_cache_test.go
+++ b/internal/resultcache/result_cache_test.go
@@ -2,9 +2,7 @@
 
 import (
 	"errors"
-	"flag"
 	"fmt"
-	"os"
 	"slices"
 	"testing"
 	"time"
@@ -12,14 +10,11 @@
 	"pgregory.net/rapid"
 
 	"railrelay.dev/railrelay/internal/fleet"
+	"railrelay.dev/railrelay/internal/rapidtest"
 )
 
 func TestMain(m *testing.M) {
-	flag.Parse()
-	flag.Set("rapid.seed", "20261202") // the same verdict every time
-	flag.Set("rapid.checks", "400")
-	flag.Set("rapid.nofailfile", "true")
-	os.Exit(m.Run())
+	rapidtest.Main(m, rapidtest.Config{Seed: 20261202, Checks: 400})
 }
 
 // asker is one query as the model knows it: which changes of its tables and which purges
--- a/internal/scheduler/world_test.go
+++ b/internal/scheduler/world_test.go
@@ -1,14 +1,14 @@
 package scheduler
 
 import (
-	"flag"
 	"fmt"
 	"maps"
-	"os"
 	"slices"
 	"strconv"
 	"testing"
 	"time"
+
+	"railrelay.dev/railrelay/internal/rapidtest"
 )
 
 // world is a Gateway's clients, engines and clock, and checks it by the seven rules.
@@ -63,12 +63,7 @@
 }
 
 func TestMain(m *testing.M) {
-	flag.Parse()
-	flag.Set("rapid.seed", "20261201") // the same verdict every time
-	flag.Set("rapid.checks", "1500")
-	flag.Set("rapid.shrinktime", "5s")
-	flag.Set("rapid.nofailfile", "true")
-	os.Exit(m.Run())
+	rapidtest.Main(m, rapidtest.Config{Seed: 20261201, Checks: 1500, Shrink: 5 * time.Second})
 }
 
 // plainFacts: a read-only group that waits for loads, a heavy one, loads in order by key.
--- a/internal/spool/spool_test.go
+++ b/internal/spool/spool_test.go
@@ -4,24 +4,19 @@
 	"bytes"
 	"encoding/base64"
 	"errors"
-	"flag"
 	"fmt"
 	"math/rand/v2"
-	"os"
 	"testing"
 	"time"
 
 	"pgregory.net/rapid"
 
 	"railrelay.dev/railrelay/internal/fleet"
+	"railrelay.dev/railrelay/internal/rapidtest"
 )
 
 func TestMain(m *testing.M) {
-	flag.Parse()
-	flag.Set("rapid.seed", "20261201") // the same verdict every time
-	flag.Set("rapid.checks", "300")
-	flag.Set("rapid.nofailfile", "true")
-	os.Exit(m.Run())
+	rapidtest.Main(m, rapidtest.Config{Seed: 20261201, Checks: 300})
 }
 
 func secrets(seed uint64) func() []byte {
