--- a/Makefile
+++ b/Makefile
@@ -12,8 +12,8 @@
 	go tool staticcheck -tags debug ./...
 
 # Tests that KNOWN-RED.txt lists are passed over, exactly these, and printed.
-RED = $(shell sed -n 's/^- \(Test[A-Za-z0-9]*\):.*/\1/p' KNOWN-RED.txt 2>/dev/null | paste -sd'|')
-SKIP = $(if $(RED),-skip '^($(RED))$$')
+RED := $(shell sed -n 's/^- \(Test[A-Za-z0-9]*\):.*/\1/p' KNOWN-RED.txt 2>/dev/null | paste -sd'|')
+SKIP := $(if $(RED),-skip '^($(RED))$$')
 
 test: lint build
 	@test ! -s KNOWN-RED.txt || { echo "passed over:"; cat KNOWN-RED.txt; }
--- a/internal/fleet/driver/open.go
+++ b/internal/fleet/driver/open.go
@@ -2,8 +2,6 @@
 
 import (
 	"context"
-	"crypto/rand"
-	"encoding/binary"
 	"errors"
 	"fmt"
 	"net"
@@ -90,8 +88,8 @@
 	}
 	config := o.Node
 	config.Self.Disk, config.Persisted = found.DiskID, found.Persistent
-	config.Seed = randomID()
-	config.Incarnation = randomID()
+	config.Seed = transport.RandomID()
+	config.Incarnation = transport.RandomID()
 	core, initialEffects, err := node.New(config)
 	if err != nil {
 		return nil, err
@@ -175,7 +173,7 @@
 		Listener:  p.peers,
 		OnMessage: d.receiveMessage,
 		OnRefused: onRefused,
-		Seed:      randomID(),
+		Seed:      transport.RandomID(),
 		Dial:      o.Dial,
 	})
 	if err != nil {
@@ -222,7 +220,8 @@
 
 // openDisk opens the disk at Directory and claims it for this controller's name.
 func (o *Options) openDisk() (Store, storage.Contents, error) {
-	store, found, err := storage.Open(o.Directory, func() string { return fmt.Sprintf("%016x", randomID()) })
+	newDiskID := func() string { return fmt.Sprintf("%016x", transport.RandomID()) }
+	store, found, err := storage.Open(o.Directory, newDiskID)
 	if err != nil {
 		return nil, storage.Contents{}, err
 	}
@@ -252,10 +251,3 @@
 	err := d.run(ctx)
 	return errors.Join(err, d.closeAll())
 }
-
-// randomID draws a number that no other incarnation has, not 0.
-func randomID() uint64 {
-	p := make([]byte, 8)
-	rand.Read(p)
-	return binary.BigEndian.Uint64(p) | 1
-}
--- a/internal/fleet/transport/control_server.go
+++ b/internal/fleet/transport/control_server.go
@@ -103,7 +103,7 @@
 	if err := keys.validate(); err != nil {
 		return nil, err
 	}
-	d := &ControlServer{handle: ask, listener: l, readBudget: semaphore.NewWeighted(asksReading), nonces: nonceGuard{randomID(), map[string]struct{}{}, randomID}}
+	d := &ControlServer{handle: ask, listener: l, readBudget: semaphore.NewWeighted(asksReading), nonces: nonceGuard{RandomID(), map[string]struct{}{}, RandomID}}
 	d.init(onRefused)
 	d.keys.Store(&keys)
 	d.ctx, d.cancel = context.WithCancel(context.Background())
--- a/internal/fleet/transport/peer_transport.go
+++ b/internal/fleet/transport/peer_transport.go
@@ -119,7 +119,7 @@
 		return nil, err
 	}
 	if o.Boot == 0 {
-		o.Boot = randomID()
+		o.Boot = RandomID()
 	}
 	if o.Timeout <= 0 {
 		o.Timeout = time.Second
@@ -521,8 +521,8 @@
 	return http.StatusForbidden
 }
 
-// randomID draws a number that no other incarnation has, not 0.
-func randomID() uint64 {
+// RandomID draws a number that no other incarnation has, not 0.
+func RandomID() uint64 {
 	var b [8]byte
 	crand.Read(b[:])
 	return binary.BigEndian.Uint64(b[:]) | 1
