--- a/cmd/railrelay/shape_test.go
+++ b/cmd/railrelay/shape_test.go
@@ -64,7 +64,7 @@
 	}
 	for name, shape := range shapes {
 		facts, err := settings.FromJSON([]byte(shape.Replace(testSettings)))
-		if refused, odd := settings.Mixed(facts); err != nil || len(refused)+len(odd) > 0 {
+		if refused, odd := settings.Conflicts(facts); err != nil || len(refused)+len(odd) > 0 {
 			t.Errorf("%s is no mix: %v %v %v", name, err, refused, odd)
 		}
 	}
@@ -89,8 +89,8 @@
 			t.Fatalf("%s is not in the settings", c.old)
 		}
 		facts, err := settings.FromJSON([]byte(text))
-		refused, odd := settings.Mixed(facts)
-		if err != nil || len(refused) > 0 || len(odd) != min(1, len(c.key)) || len(odd) == 1 && "settings."+settings.Key(odd[0][0])+":" != c.key {
+		refused, odd := settings.Conflicts(facts)
+		if err != nil || len(refused) > 0 || len(odd) != min(1, len(c.key)) || len(odd) == 1 && "settings."+settings.ExternalName(odd[0][0])+":" != c.key {
 			t.Errorf("%s: %v, refused %v, odd %v", c.new, err, refused, odd)
 		}
 	}
--- a/internal/bench/fleet.go
+++ b/internal/bench/fleet.go
@@ -85,7 +85,7 @@
 	FleetDay
 	now     time.Duration
 	rng     *rand.Rand
-	events  timerqueue.Times
+	events  timerqueue.Queue
 	all     []*fleetController
 	engines []*fleetEngine
 	byAddr  map[string]*fleetEngine
@@ -172,9 +172,9 @@
 func (f *fleetRun) after(span time.Duration, do func()) { f.at(f.now+span, do) }
 
 func (f *fleetRun) until(end time.Duration) {
-	for at, ok := f.events.First(); ok && at <= end; at, ok = f.events.First() {
+	for at, ok := f.events.NextDue(); ok && at <= end; at, ok = f.events.NextDue() {
 		f.now = at
-		do, _ := f.events.Next(at)
+		do, _ := f.events.PopDue(at)
 		do()
 	}
 	f.now = end
--- a/internal/cli/platform.go
+++ b/internal/cli/platform.go
@@ -61,15 +61,15 @@
 		return err
 	}
 	log := logger("", "")
-	refused, strange := settings.Mixed(facts)
+	refused, strange := settings.Conflicts(facts)
 	for _, m := range refused {
-		err = errors.Join(err, fmt.Errorf("config: settings.%s: %s", settings.Key(m[0]), m[1]))
+		err = errors.Join(err, fmt.Errorf("config: settings.%s: %s", settings.ExternalName(m[0]), m[1]))
 	}
 	if err != nil {
 		return err
 	}
 	for _, m := range strange {
-		log.Log().Msg("config: settings." + settings.Key(m[0]) + ": " + m[1])
+		log.Log().Msg("config: settings." + settings.ExternalName(m[0]) + ": " + m[1])
 	}
 	for _, line := range odd(facts) {
 		log.Log().Msg(line)
--- a/internal/controller/attempt.go
+++ b/internal/controller/attempt.go
@@ -26,10 +26,10 @@
 	*Controller
 	query         *query
 	engine        *engine
-	number        int              // from 0
-	policyVersion uint64           // that it was decided by, 0 without peers
-	permit        *WritePermit     // of the write of its request, from when that is handed over
-	deadlineTimer *timerqueue.Item // withdraws it
+	number        int               // from 0
+	policyVersion uint64            // that it was decided by, 0 without peers
+	permit        *WritePermit      // of the write of its request, from when that is handed over
+	deadlineTimer *timerqueue.Timer // withdraws it
 	startedAt     time.Duration
 	deadline      time.Duration
 	endedAt       time.Duration // when the outcome was known
@@ -136,7 +136,7 @@
 	if s.paging != nil {
 		s.paging.discard(s)
 	}
-	s.timers.Drop(s.deadlineTimer)
+	s.timers.Cancel(s.deadlineTimer)
 	s.counters.attemptEnds[outcome]++
 	s.outcomeKnown = true
 	s.outcome = outcome
--- a/internal/controller/attempt_calls.go
+++ b/internal/controller/attempt_calls.go
@@ -33,7 +33,7 @@
 // maySubmitNow asks again, right before the request is written, what the attempt was decided on: it may
 // have waited for a connection since.
 func (s *attempt) maySubmitNow(request *call) bool {
-	startBy := min(s.deadline, s.scheduler.StartDeadline(s.query.id, s.number), s.now+submitWriteTimeout)
+	startBy := min(s.deadline, s.scheduler.SendDeadline(s.query.id, s.number), s.now+submitWriteTimeout)
 	wanted := !s.ended && !s.query.answered && s.now < startBy && s.engine.state == scheduler.EngineActive
 	s.permit = NewWritePermit(startBy)
 	if wanted && s.servingLease != nil && !s.servingLease.permitSend(s) {
--- a/internal/controller/config.go
+++ b/internal/controller/config.go
@@ -138,7 +138,7 @@
 			needsIdempotencyKey: effect == "tokened",
 		}
 		g.readSettings(c)
-		c.groups[settings.Plain(g.name)] = g
+		c.groups[settings.SanitizeName(g.name)] = g
 		c.longestQueryTimeout = max(c.longestQueryTimeout, g.timeout)
 	}
 }
@@ -159,7 +159,7 @@
 	c.customers = nil
 	n, _ := strconv.Atoi(c.Settings["teams"])
 	for i := range n {
-		c.customers = append(c.customers, settings.Plain(c.Settings["team."+strconv.Itoa(i)+".name"]))
+		c.customers = append(c.customers, settings.SanitizeName(c.Settings["team."+strconv.Itoa(i)+".name"]))
 	}
 }
 
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -27,7 +27,7 @@
 	now       time.Duration // since StartedAt; it never goes back
 	effects   []Effect
 	callbacks []func() // to run before the step ends, since the scheduler must not be called while it acts
-	timers    timerqueue.Times
+	timers    timerqueue.Queue
 	timerAt   time.Duration // when the TimerFired asked for is due, -1: none was
 	counters  counters
 	// writingRetained is set while data kept for tenants is being written, for Effect.Retained.
@@ -262,7 +262,7 @@
 	if !backlogged {
 		c.continueShutdown()
 	}
-	at, ok := c.timers.First()
+	at, ok := c.timers.NextDue()
 	if ok && (c.timerAt < 0 || at < c.timerAt) {
 		c.timerAt = at
 		c.emit(Effect{Kind: SetTimer, Timeout: max(0, at-c.now)})
@@ -285,7 +285,7 @@
 		return true
 	}
 	if !backlogged {
-		run, due := c.timers.Next(c.now)
+		run, due := c.timers.PopDue(c.now)
 		if due {
 			run()
 			return true
--- a/internal/controller/engine_call.go
+++ b/internal/controller/engine_call.go
@@ -59,7 +59,7 @@
 	isPoll        bool // it gives way to all other calls when connections are short
 
 	timeout      time.Duration // for the response, 0: responseTimeout
-	timer        *timerqueue.Item
+	timer        *timerqueue.Timer
 	requestBytes int
 
 	answered bool
@@ -73,7 +73,7 @@
 		return
 	}
 	request.done = true
-	c.timers.Drop(request.timer)
+	c.timers.Cancel(request.timer)
 	if c.TraceQueries && request.attempt != nil {
 		c.trace(request.attempt.logFields(), "%s came to %s %d", request.method, callResultNames[as], status)
 	}
--- a/internal/controller/fair_queue.go
+++ b/internal/controller/fair_queue.go
@@ -159,7 +159,7 @@
 		w := f.queue.Next(f.now, lane)
 		if w != nil {
 			q := w.Owner.(*query)
-			f.timers.Drop(q.waitTimer)
+			f.timers.Cancel(q.waitTimer)
 			f.submitToScheduler(q)
 			return true
 		}
@@ -180,7 +180,7 @@
 	}
 	q.fairEnd = end
 	if q.waiter.Waiting() {
-		f.timers.Drop(q.waitTimer)
+		f.timers.Cancel(q.waitTimer)
 		f.queue.Ended(f.now, q.waiter, end, 0, 0)
 	}
 }
--- a/internal/controller/held_queries.go
+++ b/internal/controller/held_queries.go
@@ -86,7 +86,7 @@
 	q.blocked = false
 	l.heldCount--
 	l.longestHold = max(l.longestHold, l.now-q.receivedAt)
-	l.timers.Drop(q.waitTimer)
+	l.timers.Cancel(q.waitTimer)
 	q.waitTimer = nil
 }
 
@@ -141,7 +141,7 @@
 
 // scheduleHoldExpiry sets the timer by which what waits is deferred for having waited too long.
 func (l *servingLease) scheduleHoldExpiry() {
-	l.timers.Drop(l.holdTimer)
+	l.timers.Cancel(l.holdTimer)
 	l.holdTimer = nil
 	at := fleet.Forever
 	for _, since := range []time.Duration{l.pausedSince, l.confinedPausedSince} {
--- a/internal/controller/invalidation_calls.go
+++ b/internal/controller/invalidation_calls.go
@@ -40,7 +40,7 @@
 	id       string // of the invalidation
 	tenant   string
 	answerBy time.Duration
-	timer    *timerqueue.Item // of answerBy
+	timer    *timerqueue.Timer // of answerBy
 	answered bool
 }
 
@@ -182,7 +182,7 @@
 		return
 	}
 	x.answered = true
-	v.timers.Drop(x.timer)
+	v.timers.Cancel(x.timer)
 	rest := slices.DeleteFunc(v.callers[x.id], func(y *invalidationCall) bool { return x == y })
 	if len(rest) == 0 {
 		delete(v.callers, x.id)
--- a/internal/controller/query.go
+++ b/internal/controller/query.go
@@ -65,7 +65,7 @@
 	spooled    *spool.Result // its client reads page by page; nil: not so
 	cacheState *cacheLookup  // nil: nothing of it concerns the cache
 
-	waitTimer *timerqueue.Item // while it waits in the fair queue or is blocked
+	waitTimer *timerqueue.Timer // while it waits in the fair queue or is blocked
 	// with fair queueing
 	waiter  *fairqueue.Query
 	fairEnd fairqueue.Outcome // how it was closed
--- a/internal/controller/receive.go
+++ b/internal/controller/receive.go
@@ -40,7 +40,7 @@
 
 // validateCall says why a call can't be accepted, "" if it can.
 func (c *Controller) validateCall(call *queryCall) string {
-	g := c.groups[settings.Plain(call.groupName)]
+	g := c.groups[settings.SanitizeName(call.groupName)]
 	switch {
 	case g == nil:
 		return unknownGroup
@@ -85,7 +85,7 @@
 
 func (c *Controller) newQuery(owner queryOwner, call *queryCall) *query {
 	fields := call.from.Fields
-	g := c.groups[settings.Plain(call.groupName)]
+	g := c.groups[settings.SanitizeName(call.groupName)]
 	q := &query{
 		id:         call.id,
 		groupName:  call.groupName,
@@ -117,7 +117,7 @@
 
 // customerIndex is the index of the customer that a call names in customers, -1: none.
 func (c *Controller) customerIndex(from From) int {
-	return slices.Index(c.customers, settings.Plain(string(from.Fields.Get(c.FieldNames.Customer))))
+	return slices.Index(c.customers, settings.SanitizeName(string(from.Fields.Get(c.FieldNames.Customer))))
 }
 
 // parseEstimate reads a figure that a client tells; one out of range counts as not told.
--- a/internal/controller/result_cache.go
+++ b/internal/controller/result_cache.go
@@ -22,8 +22,8 @@
 // tables has mutates set.
 type cacheLookup struct {
 	ask         *resultcache.Request
-	followTimer *timerqueue.Item // until when it may follow another
-	proceed     func()           // sends it on its way, if it has to lead
+	followTimer *timerqueue.Timer // until when it may follow another
+	proceed     func()            // sends it on its way, if it has to lead
 
 	mutates bool    // nothing of its tables is answered from the cache until it is over
 	tables  []int64 // that it changes; none: they can't be told
@@ -139,7 +139,7 @@
 	if q.cacheState == nil || q.cacheState.ask == nil {
 		return
 	}
-	a.timers.Drop(q.cacheState.followTimer)
+	a.timers.Cancel(q.cacheState.followTimer)
 	a.promote(a.core.Leave(a.now, q.cacheState.ask))
 }
 
@@ -156,7 +156,7 @@
 		return
 	}
 	q := next.Of.(*query)
-	a.timers.Drop(q.cacheState.followTimer)
+	a.timers.Cancel(q.cacheState.followTimer)
 	a.runSoon(func() {
 		if !q.answered {
 			q.cacheState.proceed()
--- a/internal/controller/result_paging.go
+++ b/internal/controller/result_paging.go
@@ -146,7 +146,7 @@
 	}
 	timer := p.timers.Add(p.now+engineRetention/2, poll)
 	p.core.Room(func() {
-		p.timers.Drop(timer)
+		p.timers.Cancel(timer)
 		p.runSoon(poll)
 	})
 }
--- a/internal/controller/scheduler_actions.go
+++ b/internal/controller/scheduler_actions.go
@@ -91,5 +91,5 @@
 // settingIndex is the index of a name in a setting that is a list, by which the scheduler knows it; -1 if
 // it is not in the list.
 func (c *Controller) settingIndex(setting, name string) int {
-	return slices.Index(strings.Split(c.Settings[setting], ","), settings.Plain(name))
+	return slices.Index(strings.Split(c.Settings[setting], ","), settings.SanitizeName(name))
 }
--- a/internal/controller/serving_lease.go
+++ b/internal/controller/serving_lease.go
@@ -55,18 +55,18 @@
 	fleetView   *fleet.View // the latest; never nil
 
 	// The version and the lease.
-	policyVersion       uint64           // last opened, 0: none
-	fencingChange       string           // the change that it is fenced for, until that is reported; "": none
-	pausedSince         time.Duration    // nothing may be decided; or notPaused
-	confinedPausedSince time.Duration    // nothing of confined tenants may be decided; or notPaused
-	leaseTimer          *timerqueue.Item // the end of the lease
+	policyVersion       uint64            // last opened, 0: none
+	fencingChange       string            // the change that it is fenced for, until that is reported; "": none
+	pausedSince         time.Duration     // nothing may be decided; or notPaused
+	confinedPausedSince time.Duration     // nothing of confined tenants may be decided; or notPaused
+	leaseTimer          *timerqueue.Timer // the end of the lease
 
 	// What waits while paused.
 	heldQueries     []*pendingAdmission // in the order in which they came; some may be answered
 	heldCount       int                 // of heldQueries that are still to be answered
 	heldFieldBytes  int                 // of the fields of the calls in heldQueries
 	blockedAttempts []*attempt          // whose engine was chosen, in the order of the choice
-	holdTimer       *timerqueue.Item    // what waits for too long is deferred then
+	holdTimer       *timerqueue.Timer   // what waits for too long is deferred then
 
 	// Reports to the fleet.
 	unsentReports        []fleet.Report // there was no room; at the most as many as orders are under way
@@ -157,7 +157,7 @@
 
 // scheduleLeaseCheck updates the serving state when the lease ends, if nothing else has by then.
 func (l *servingLease) scheduleLeaseCheck() {
-	l.timers.Drop(l.leaseTimer)
+	l.timers.Cancel(l.leaseTimer)
 	l.leaseTimer = nil
 	until, untilConfined := l.Word.LeaseEnds()
 	if untilConfined > l.now {
--- a/internal/emulator/world/world.go
+++ b/internal/emulator/world/world.go
@@ -39,7 +39,7 @@
 	Said    []string // what the controller logged aloud, and its counters
 
 	delay  time.Duration
-	events timerqueue.Times
+	events timerqueue.Queue
 	ends   map[*controller.Connection]*end
 	byAddr map[string]*Engine
 	feeds  []*end
@@ -164,14 +164,14 @@
 
 // Until plays up to a time.
 func (w *World) Until(end time.Duration) {
-	for at, ok := w.events.First(); ok && at <= end; at, ok = w.events.First() {
+	for at, ok := w.events.NextDue(); ok && at <= end; at, ok = w.events.NextDue() {
 		if at > w.Now {
 			w.still = 0
 		} else if w.still++; w.still > stillMost {
 			panic("the world stands still at " + w.Now.String())
 		}
 		w.Now = at
-		do, _ := w.events.Next(at)
+		do, _ := w.events.PopDue(at)
 		do()
 	}
 	w.Now = max(w.Now, end)
--- a/internal/enginehttp/engines.go
+++ b/internal/enginehttp/engines.go
@@ -123,8 +123,8 @@
 		h.Runs()
 		x, is := figure(field("Reading"))
 		if sign, ok := signs[field("X-Cache")]; ok && is {
-			if sign == scheduler.WaitsForMemory && x == 2 {
-				sign = scheduler.WaitsForLoad
+			if sign == scheduler.WaitingForMemory && x == 2 {
+				sign = scheduler.WaitingForLoad
 			}
 			h.Note(sign, x)
 		}
@@ -147,7 +147,7 @@
 }
 
 var signs = map[string]scheduler.NoteKind{
-	"advance": scheduler.Progress, "disk": scheduler.Spilling, "stall": scheduler.WaitsForMemory,
+	"advance": scheduler.Progress, "disk": scheduler.Spilling, "stall": scheduler.WaitingForMemory,
 }
 
 // wholeRows: every row ends, and has its three columns.
@@ -172,7 +172,7 @@
 	for pair := range strings.SplitSeq(text, ";") {
 		name, value, _ := strings.Cut(pair, ":")
 		x, is := figure(value)
-		if ours := settings.Figure(strings.TrimSpace(name)); is && ours != "" {
+		if ours := settings.ReportField(strings.TrimSpace(name)); is && ours != "" {
 			report[ours] = x
 		}
 	}
--- a/internal/scheduler/capacity.go
+++ b/internal/scheduler/capacity.go
@@ -71,7 +71,7 @@
 // one each there would be several times its limit, so as many as fit are dealt by number.
 func (s *Scheduler) assignedByNumber(e *engine, part float64) bool {
 	n := max(1, s.settings.ControllerCount)
-	return math.Mod(float64(e.hash)+s.settings.OwnNumber, n) < math.Round(n*part)
+	return math.Mod(float64(e.hash)+s.settings.ControllerIndex, n) < math.Round(n*part)
 }
 
 // isLight holds for groups that take less than the mean of the work: they fill no engine.
--- a/internal/scheduler/confinement_test.go
+++ b/internal/scheduler/confinement_test.go
@@ -80,7 +80,7 @@
 						rapid.Bool().Draw(t, "ends") {
 						g.AttemptEnded(now, id, try, how, 100*ms, how == Finished, 0, 0, nil)
 					} else {
-						g.NoteReceived(now, id, try, rapid.SampledFrom([]NoteKind{WaitsForLoad, Progress}).Draw(t, "sign"),
+						g.NoteReceived(now, id, try, rapid.SampledFrom([]NoteKind{WaitingForLoad, Progress}).Draw(t, "sign"),
 							0.001)
 					}
 				}
--- a/internal/scheduler/estimate.go
+++ b/internal/scheduler/estimate.go
@@ -30,7 +30,7 @@
 // usualWorkSeconds is a group's ordinary work, corrected by its best slowdown where estimates are off.
 func (s *Scheduler) usualWorkSeconds(rg *resourceGroup) float64 {
 	work := rg.workSeconds.valueOr(rg.defaultWorkSeconds())
-	if rg.bestSlowdown > 0 && !s.settings.CostInAnswers {
+	if rg.bestSlowdown > 0 && !s.settings.AnswersReportWork {
 		work *= rg.bestSlowdown
 	}
 	return work
--- a/internal/scheduler/events.go
+++ b/internal/scheduler/events.go
@@ -31,9 +31,9 @@
 	}
 	e.location, e.kind, e.cell = location, kind, cell
 	e.state = state
-	e.local = strconv.Itoa(location) == s.settings.OwnLocation
-	e.cores = max(1, settings.At(s.settings.KindCores, kind))
-	e.memoryCapacityMB = settings.At(s.settings.KindMemoryMB, kind)
+	e.local = strconv.Itoa(location) == s.settings.ControllerLocation
+	e.cores = max(1, settings.ValueAt(s.settings.KindCores, kind))
+	e.memoryCapacityMB = settings.ValueAt(s.settings.KindMemoryMB, kind)
 	if e.memoryCapacityMB <= 0 {
 		e.memoryCapacityMB = math.Inf(1) // not told: no limit
 	}
--- a/internal/scheduler/fleet_test.go
+++ b/internal/scheduler/fleet_test.go
@@ -18,7 +18,7 @@
 // alone is summed at the engines, which is where rule 4 is judged.
 type simFleet struct {
 	now         time.Duration
-	events      timerqueue.Times
+	events      timerqueue.Queue
 	rng         *rand.Rand
 	controllers []*simController
 	engines     map[string]*simEngine
@@ -44,9 +44,9 @@
 func (f *simFleet) after(span time.Duration, do func()) { f.events.Add(f.now+span, do) }
 
 func (f *simFleet) run(until time.Duration) {
-	for at, ok := f.events.First(); ok && at <= until; at, ok = f.events.First() {
+	for at, ok := f.events.NextDue(); ok && at <= until; at, ok = f.events.NextDue() {
 		f.now = at
-		do, _ := f.events.Next(at)
+		do, _ := f.events.PopDue(at)
 		do()
 	}
 	f.now = until
--- a/internal/scheduler/health_check.go
+++ b/internal/scheduler/health_check.go
@@ -109,7 +109,7 @@
 func (s *Scheduler) engineResponded(e *engine) {
 	if e.unresponsive && s.now-e.lastResponseAt > newProcessAfter {
 		e.warmingFrom = s.now
-		e.warmingUntil = max(e.warmingUntil, s.now+s.settings.SlowStartSpan)
+		e.warmingUntil = max(e.warmingUntil, s.now+s.settings.SlowStartDuration)
 		s.actions.Log("engine " + e.id + " heard again, taken as cold")
 	}
 	e.unresponsive = false
--- a/internal/scheduler/interface.go
+++ b/internal/scheduler/interface.go
@@ -61,10 +61,10 @@
 type NoteKind int
 
 const (
-	Progress       NoteKind = iota // Progress: with the share done, 0 to 1.
-	Spilling                       // Spilling to disk: with the MB missing.
-	WaitsForMemory                 // WaitsForMemory of the engine.
-	WaitsForLoad                   // WaitsForLoad of the tables that it reads.
+	Progress         NoteKind = iota // Progress: with the share done, 0 to 1.
+	Spilling                         // Spilling to disk: with the MB missing.
+	WaitingForMemory                 // WaitingForMemory of the engine.
+	WaitingForLoad                   // WaitingForLoad of the tables that it reads.
 )
 
 // Events is what comes in. Times are spans since the instance started; a report maps an engine's
--- a/internal/scheduler/key_order.go
+++ b/internal/scheduler/key_order.go
@@ -45,7 +45,7 @@
 // restKey keeps a key's next query back after an end that may leave the engine at work.
 func (s *Scheduler) restKey(a *attempt) {
 	if keyed := s.keyQueueOf(a.query); keyed != nil && a.outcome.mayStillRun() {
-		keyed.restingUntil = s.now + s.settings.KeyRest
+		keyed.restingUntil = s.now + s.settings.KeyCooldown
 		keyed.restingAfter = a.query
 	}
 }
--- a/internal/scheduler/learning.go
+++ b/internal/scheduler/learning.go
@@ -24,7 +24,7 @@
 // learnFromArrival counts a query that was admitted towards its group, its tenant and all work.
 func (s *Scheduler) learnFromArrival(q *query) {
 	rg := q.group
-	if q.workSeconds > 0 && !s.settings.CostInAnswers {
+	if q.workSeconds > 0 && !s.settings.AnswersReportWork {
 		rg.workSeconds.add(q.workSeconds, workSamples)
 	}
 	s.recentWorkSeconds += s.usualWorkSeconds(rg)
@@ -47,7 +47,7 @@
 		q.group.workSeconds.add(work, workSamples)
 		q.group.memoryMB.add(memoryMB, workSamples)
 	}
-	if !a.blocked && (q.workSeconds > 0 || !s.settings.CostInAnswers) {
+	if !a.blocked && (q.workSeconds > 0 || !s.settings.AnswersReportWork) {
 		s.learnSlowdown(a, took.Seconds()/s.estimatedSoloSeconds(q))
 	}
 }
--- a/internal/scheduler/limits.go
+++ b/internal/scheduler/limits.go
@@ -29,7 +29,7 @@
 	switch {
 	case s.now >= q.objectiveAt:
 		return priorityLate
-	case !s.settings.PrioritiesHeeded:
+	case !s.settings.PrioritiesSupported:
 		return priorityNone
 	case q.group == s.ranked[0]:
 		return priorityHighest
@@ -41,10 +41,10 @@
 // nothing, else by the estimate; 0 leaves it to the engine.
 func (s *Scheduler) memoryGrantMB(q *query) int {
 	switch {
-	case !s.settings.MemoryGrantsHeeded:
+	case !s.settings.MemoryGrantsSupported:
 		return 0
-	case s.settings.SwapsWhenFull:
-		return int(s.settings.MaxGrantShare * settings.At(s.settings.KindMemoryMB, 0))
+	case s.settings.EnginesSwap:
+		return int(s.settings.MaxGrantFraction * settings.ValueAt(s.settings.KindMemoryMB, 0))
 	}
 	return int(q.memoryMB * memoryGrantFactor)
 }
--- a/internal/scheduler/query.go
+++ b/internal/scheduler/query.go
@@ -42,7 +42,7 @@
 	movedForSlowness bool
 	ended            bool // answered, rejected or without its client
 	answerStarted    bool
-	timers           []*timerqueue.Item
+	timers           []*timerqueue.Timer
 
 	// As last told.
 	priority int
--- a/internal/scheduler/retry.go
+++ b/internal/scheduler/retry.go
@@ -70,7 +70,7 @@
 func (s *Scheduler) handleNote(a *attempt, kind NoteKind, x float64) {
 	s.engineResponded(a.engine)
 	a.lastNoteAt = s.now
-	if kind == WaitsForLoad {
+	if kind == WaitingForLoad {
 		s.blockedByLoad(a, s.settings.AssumedNotePeriod*2)
 	} else if kind == Progress && x > 0 {
 		a.progress = x
--- a/internal/scheduler/retry_budget.go
+++ b/internal/scheduler/retry_budget.go
@@ -8,9 +8,9 @@
 // retryBudgetLeft tells whether the controller may send one more retry: in a span it may send a
 // fixed number and a share of the queries that arrived in it.
 func (s *Scheduler) retryBudgetLeft() bool {
-	span := s.settings.RetryBudgetSpan
+	span := s.settings.RetryBudgetWindow
 	since := s.now - span
-	most := s.settings.RetryBudgetLeast + s.settings.RetryBudgetShare*float64(countSince(&s.arrivals, since))
+	most := s.settings.MinRetryBudget + s.settings.RetryBudgetRatio*float64(countSince(&s.arrivals, since))
 	return span <= 0 || float64(countSince(&s.retries, since)+1) <= most
 }
 
--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -41,7 +41,7 @@
 	lastSequence uint64 // of queries
 
 	// Timers, and when what is gone is forgotten.
-	timers    timerqueue.Times
+	timers    timerqueue.Queue
 	wakeAt    time.Duration // of the earliest wake asked for, negative: none
 	evictAt   time.Duration
 	retention time.Duration // for which what is gone may still matter
@@ -110,7 +110,7 @@
 	for _, given := range s.settings.Tenants {
 		s.tenants = append(s.tenants, &tenant{quota: s.ownQuota(given)})
 	}
-	s.retention = max(s.retention, s.settings.SlowStartSpan, chainAffinitySpan) + s.settings.KeyRest
+	s.retention = max(s.retention, s.settings.SlowStartDuration, chainAffinitySpan) + s.settings.KeyCooldown
 	s.noTenant.quota = math.Inf(1)
 	s.lastSequence = uint64(s.rng.next()) // controllers must not draw alike
 	s.healthChecksReportLoad = s.settings.HealthChecksAllowed && s.settings.LoadReports
@@ -138,7 +138,7 @@
 	s.settings = settings.Parse(given)
 	for i, rg := range s.groups {
 		rg.setLimits(settings.ParseGroup(given, i))
-		s.retention = max(s.retention, rg.timeout+s.settings.KeyRest)
+		s.retention = max(s.retention, rg.timeout+s.settings.KeyCooldown)
 	}
 	s.updateTenants(before)
 	for _, q := range s.unsent() {
@@ -203,10 +203,10 @@
 	return group >= 0 && group < len(s.groups) && s.groups[group].blocked
 }
 
-// StartDeadline is until when the first byte of an attempt may be sent, 0 where it may not any more:
+// SendDeadline is until when the first byte of an attempt may be sent, 0 where it may not any more:
 // an adapter that let it wait for a connection asks once more. It changes nothing, so that it may be
 // asked while the scheduler acts.
-func (s *Scheduler) StartDeadline(id string, number int) time.Duration {
+func (s *Scheduler) SendDeadline(id string, number int) time.Duration {
 	if a := s.openAttempt(id, number); a != nil {
 		return s.startDeadline(a)
 	}
--- a/internal/scheduler/slow_start.go
+++ b/internal/scheduler/slow_start.go
@@ -29,7 +29,7 @@
 	e.forgetLearned(s.now)
 	e.startedAt = started
 	e.warmingFrom = started
-	e.warmingUntil = max(e.warmingUntil, started+s.settings.SlowStartSpan)
+	e.warmingUntil = max(e.warmingUntil, started+s.settings.SlowStartDuration)
 }
 
 // warmCapacity is the part of its capacity that an engine has at least: it rises evenly.
@@ -37,8 +37,8 @@
 	if s.now >= e.warmingUntil {
 		return 1
 	}
-	from := s.settings.SlowStartFrom
-	age, span := max(0, s.now-e.warmingFrom), max(leastSlowStart, s.settings.SlowStartSpan)
+	from := s.settings.SlowStartInitialCapacity
+	age, span := max(0, s.now-e.warmingFrom), max(leastSlowStart, s.settings.SlowStartDuration)
 	return from + (1-from)*min(1, age.Seconds()/span.Seconds())
 }
 
@@ -57,7 +57,7 @@
 // the controller's own sum in a window holds the busiest.
 func (s *Scheduler) slowStartAllows(q *query, e *engine) bool {
 	window := s.settings.SlowStartWindow
-	limit := s.settings.SlowStartMultiple * s.warmCapacity(e) * nominalUtilization * e.cores * window.Seconds()
+	limit := s.settings.SlowStartWorkFactor * s.warmCapacity(e) * nominalUtilization * e.cores * window.Seconds()
 	ownPart, chancePart := s.slowStartParts(q.group)
 	work := s.usualWorkSeconds(q.group)
 	// the fleet does at most its cores' work; of that, so much is of this group
--- a/internal/scheduler/timers.go
+++ b/internal/scheduler/timers.go
@@ -80,8 +80,8 @@
 
 // subscribe asks for the endpoint list where it is sent on request only.
 func (s *Scheduler) subscribe() {
-	again := min(subscribeAgainAfter, s.settings.ListPollWithin/subscribeParts)
-	if s.settings.ListPolled && !s.subscribed && s.now-s.subscribeSentAt > again {
+	again := min(subscribeAgainAfter, s.settings.ListRequestWithin/subscribeParts)
+	if s.settings.ListOnRequest && !s.subscribed && s.now-s.subscribeSentAt > again {
 		s.subscribeSentAt = s.now
 		s.actions.RequestEndpoints()
 	}
@@ -90,13 +90,13 @@
 // finishEvent ends every event: what is due is done, what can be sent is sent, and a wake is asked
 // for the next timer.
 func (s *Scheduler) finishEvent() {
-	for do, ok := s.timers.Next(s.now); ok; do, ok = s.timers.Next(s.now) {
+	for do, ok := s.timers.PopDue(s.now); ok; do, ok = s.timers.PopDue(s.now) {
 		do()
 	}
 	if !s.paused {
 		s.dispatchQueued()
 	}
-	if first, ok := s.timers.First(); ok && (s.wakeAt < 0 || first < s.wakeAt) {
+	if first, ok := s.timers.NextDue(); ok && (s.wakeAt < 0 || first < s.wakeAt) {
 		s.wakeAt = first
 		s.actions.SetTimer(max(0, first-s.now), timersTag)
 	}
@@ -115,7 +115,7 @@
 	}
 	delete(s.queries, q.id)
 	for _, t := range q.timers {
-		s.timers.Drop(t)
+		s.timers.Cancel(t)
 	}
 	q.timers = nil
 	s.writeEnded(q)
@@ -153,7 +153,7 @@
 	maps.DeleteFunc(s.keyQueues, func(_ int64, k *keyQueue) bool {
 		return len(k.queries) == 0 && s.now >= k.restingUntil
 	})
-	since := s.now - s.settings.RetryBudgetSpan
+	since := s.now - s.settings.RetryBudgetWindow
 	countSince(&s.arrivals, since)
 	countSince(&s.retries, since)
 }
--- a/internal/settings/mixed.go
+++ b/internal/settings/mixed.go
@@ -6,13 +6,13 @@
 	"strings"
 )
 
-// Mixed says which settings contradict each other, each by our name for it and with what it
+// Conflicts says which settings contradict each other, each by our name for it and with what it
 // clashes with. The shapes of deployment that the program serves differ in what engines tell,
 // what is allowed and whose shares there are; half of one and half of another, as a file
 // copied together has it, would be served by guesses. What no reading serves is in refused: a
 // start on it would keep a rule by chance. Odd is what has a reading, though hardly the one
 // meant; a key that is left out or unknown is in neither.
-func Mixed(facts map[string]string) (refused, odd [][2]string) {
+func Conflicts(facts map[string]string) (refused, odd [][2]string) {
 	say := func(to *[][2]string, key, why string, args ...any) {
 		*to = append(*to, [2]string{key, fmt.Sprintf(why, args...)})
 	}
@@ -21,14 +21,14 @@
 		return x
 	}
 	if share := number("budget.share"); share > 0 && number("budget.span") <= 0 {
-		say(&refused, "budget.span", "none, and %s gives further submissions a share of %v", Key("budget.share"),
+		say(&refused, "budget.span", "none, and %s gives further submissions a share of %v", ExternalName("budget.share"),
 			share)
 	}
 	teams := int(number("teams"))
 	over, err := strconv.ParseFloat(facts["over.worth"], 64)
 	if teams > 0 && (err != nil || over < 0 || over > 1) {
 		say(&refused, "over.worth", "%q, and %s lists %d: what goes beyond a share is worth 0 to 1",
-			facts["over.worth"], Key("teams"), teams)
+			facts["over.worth"], ExternalName("teams"), teams)
 	}
 	for _, l := range [][2]string{{"loads", "groups"}, {"threads", "groups"}, {"waits", "groups"},
 		{"kind.cores", "kinds"}, {"kind.memory", "kinds"}} {
@@ -37,27 +37,27 @@
 			want = strings.Count(facts["kinds"], ",") + 1
 		}
 		if have := strings.Count(facts[l[0]], ",") + 1; facts[l[0]] != "" && want > 0 && have != want {
-			say(&refused, l[0], "%d values, and there are %d in %s", have, want, Key(l[1]))
+			say(&refused, l[0], "%d values, and there are %d in %s", have, want, ExternalName(l[1]))
 		}
 	}
 	how := facts["report.how"]
 	reports := how != "" && how != "off"
 	if figures, given := facts["report.figures"]; given && reports == (strings.Trim(figures, ",") == "") {
-		say(&odd, "report.figures", "%q, and %s is %q", figures, Key("report.how"), how)
+		say(&odd, "report.figures", "%q, and %s is %q", figures, ExternalName("report.how"), how)
 	}
 	if how == "probed" && facts["may.probe"] == "false" {
-		say(&odd, "report.how", "reports come by probe alone, and %s forbids probes", Key("may.probe"))
+		say(&odd, "report.how", "reports come by probe alone, and %s forbids probes", ExternalName("may.probe"))
 	}
 	most, given := facts["return.most"]
 	if given && facts["may.name-return"] == "true" && number("return.most") <= 0 {
 		say(&odd, "return.most", "%s, and %s says that clients may be told when to come back", most,
-			Key("may.name-return"))
+			ExternalName("may.name-return"))
 	}
 	places := strings.Split(facts["locations"], ",")
 	if facts["own.location"] != "" && facts["locations"] != "" {
 		if i, err := strconv.Atoi(facts["own.location"]); err != nil || i < 0 || i >= len(places) {
 			say(&odd, "own.location", "%q is none of the %d in %s", facts["own.location"], len(places),
-				Key("locations"))
+				ExternalName("locations"))
 		}
 	}
 	for i := range teams {
@@ -69,8 +69,8 @@
 	return refused, odd
 }
 
-// Key is the wire's name for one of ours, as paths of its settings are written.
-func Key(ours string) string {
+// ExternalName is the wire's name for one of ours, as paths of its settings are written.
+func ExternalName(ours string) string {
 	parts, place := strings.Split(ours, "."), ""
 	for i, p := range parts {
 		if _, err := strconv.Atoi(p); err == nil {
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -53,90 +53,90 @@
 
 // Settings are what the scheduler decides by. A number that is absent or malformed has its default.
 type Settings struct {
-	ControllerCount float64 // default 1
-	OwnNumber       float64 // of this controller among them, from 0
-	OwnLocation     string
-	Groups          []Group
-	Tenants         []Tenant
-	OverQuotaWeight float64 // what a query beyond its tenant's quota is worth, of 1; default 1
-	Quantum         time.Duration
+	ControllerCount    float64 // default 1
+	ControllerIndex    float64 // of this controller among them, from 0
+	ControllerLocation string
+	Groups             []Group
+	Tenants            []Tenant
+	OverQuotaWeight    float64 // what a query beyond its tenant's quota is worth, of 1; default 1
+	Quantum            time.Duration
 
 	KindCores    []float64 // by kind of engine
 	KindMemoryMB []float64
 
-	CancelAllowed       bool
-	HealthChecksAllowed bool
-	HedgingAllowed      bool
-	MemoryGrantsHeeded  bool
-	PrioritiesHeeded    bool
-	RetryAfterAllowed   bool
-	MaxRetryAfter       time.Duration
-	MaxAttempts         int           // of one query; default 1
-	NotePeriod          time.Duration // between an engine's notes on a query, 0: there are none
-	AssumedNotePeriod   time.Duration // the same, 1 s where it is not told
-	CostInAnswers       bool          // answers tell the work done
-	SwapsWhenFull       bool          // an engine out of memory swaps
-	MaxGrantShare       float64       // of an engine's memory; default 0
+	CancelAllowed         bool
+	HealthChecksAllowed   bool
+	HedgingAllowed        bool
+	MemoryGrantsSupported bool
+	PrioritiesSupported   bool
+	RetryAfterAllowed     bool
+	MaxRetryAfter         time.Duration
+	MaxAttempts           int           // of one query; default 1
+	NotePeriod            time.Duration // between an engine's notes on a query, 0: there are none
+	AssumedNotePeriod     time.Duration // the same, 1 s where it is not told
+	AnswersReportWork     bool          // answers tell the work done
+	EnginesSwap           bool          // an engine out of memory swaps
+	MaxGrantFraction      float64       // of an engine's memory; default 0
 
 	LoadReports         bool // engines report their load in some way
 	ReportsCountQueries bool // and the number of their queries in it
 
-	ListPolled     bool // the endpoint list is sent on request only
-	ListPollWithin time.Duration
+	ListOnRequest     bool // the endpoint list is sent on request only
+	ListRequestWithin time.Duration
 
-	SlowStartFrom     float64       // part of its capacity that a new engine starts with; default 0.2
-	SlowStartSpan     time.Duration // until it has all of it; default 0
-	SlowStartMultiple float64       // of what it does in a window that it may be sent; default 1
-	SlowStartWindow   time.Duration // default 1 s
+	SlowStartInitialCapacity float64       // part of its capacity that a new engine starts with; default 0.2
+	SlowStartDuration        time.Duration // until it has all of it; default 0
+	SlowStartWorkFactor      float64       // of what it does in a window that it may be sent; default 1
+	SlowStartWindow          time.Duration // default 1 s
 
-	KeyRest          time.Duration // between queries of a key after an end that leaves the engine at work
-	RetryBudgetSpan  time.Duration // 0: no budget
-	RetryBudgetLeast float64       // retries in a span
-	RetryBudgetShare float64       // retries in a span, of its queries
+	KeyCooldown       time.Duration // between queries of a key after an end that leaves the engine at work
+	RetryBudgetWindow time.Duration // 0: no budget
+	MinRetryBudget    float64       // retries in a span
+	RetryBudgetRatio  float64       // retries in a span, of its queries
 }
 
 // Parse reads the scheduler's settings from what FromPairs or FromJSON gives.
 func Parse(given map[string]string) Settings {
 	v := reader(given)
 	s := Settings{
-		ControllerCount: v.number("gateways", 1),
-		OwnNumber:       v.number("own.number", 0),
-		OwnLocation:     v["own.location"],
-		OverQuotaWeight: v.number("over.worth", 1),
-		Quantum:         v.duration("tick", 5*time.Millisecond),
+		ControllerCount:    v.number("gateways", 1),
+		ControllerIndex:    v.number("own.number", 0),
+		ControllerLocation: v["own.location"],
+		OverQuotaWeight:    v.number("over.worth", 1),
+		Quantum:            v.duration("tick", 5*time.Millisecond),
 
 		KindCores:    v.numbers("kind.cores"),
 		KindMemoryMB: v.numbers("kind.memory"),
 
-		CancelAllowed:       v.is("may.cancel"),
-		HealthChecksAllowed: v.is("may.probe"),
-		HedgingAllowed:      v.is("may.copy"),
-		MemoryGrantsHeeded:  v.is("may.grant"),
-		PrioritiesHeeded:    v.is("may.prioritise"),
-		RetryAfterAllowed:   v.is("may.name-return"),
-		MaxRetryAfter:       v.duration("return.most", 0),
-		MaxAttempts:         int(v.number("submissions.most", 1)),
-		NotePeriod:          v.duration("note.period", 0),
-		AssumedNotePeriod:   v.duration("note.period", time.Second),
-		CostInAnswers:       v.is("answers.cost"),
-		SwapsWhenFull:       v["memory.short"] == "swap",
-		MaxGrantShare:       v.number("grant.most", 0),
+		CancelAllowed:         v.is("may.cancel"),
+		HealthChecksAllowed:   v.is("may.probe"),
+		HedgingAllowed:        v.is("may.copy"),
+		MemoryGrantsSupported: v.is("may.grant"),
+		PrioritiesSupported:   v.is("may.prioritise"),
+		RetryAfterAllowed:     v.is("may.name-return"),
+		MaxRetryAfter:         v.duration("return.most", 0),
+		MaxAttempts:           int(v.number("submissions.most", 1)),
+		NotePeriod:            v.duration("note.period", 0),
+		AssumedNotePeriod:     v.duration("note.period", time.Second),
+		AnswersReportWork:     v.is("answers.cost"),
+		EnginesSwap:           v["memory.short"] == "swap",
+		MaxGrantFraction:      v.number("grant.most", 0),
 
 		LoadReports:         v["report.how"] != "off",
 		ReportsCountQueries: v["report.figures"] == "" || slices.Contains(v.list("report.figures"), "held"),
 
-		ListPolled:     v["list.how"] == "asked",
-		ListPollWithin: v.duration("list.ask-within", time.Second),
+		ListOnRequest:     v["list.how"] == "asked",
+		ListRequestWithin: v.duration("list.ask-within", time.Second),
 
-		SlowStartFrom:     v.number("cold.from", 0.2),
-		SlowStartSpan:     v.duration("cold.span", 0),
-		SlowStartMultiple: v.number("cold.multiple", 1),
-		SlowStartWindow:   v.duration("cold.window", time.Second),
+		SlowStartInitialCapacity: v.number("cold.from", 0.2),
+		SlowStartDuration:        v.duration("cold.span", 0),
+		SlowStartWorkFactor:      v.number("cold.multiple", 1),
+		SlowStartWindow:          v.duration("cold.window", time.Second),
 
-		KeyRest:          v.duration("key.rest", 0),
-		RetryBudgetSpan:  v.duration("budget.span", 0),
-		RetryBudgetLeast: v.number("budget.least", 0),
-		RetryBudgetShare: v.number("budget.share", 0),
+		KeyCooldown:       v.duration("key.rest", 0),
+		RetryBudgetWindow: v.duration("budget.span", 0),
+		MinRetryBudget:    v.number("budget.least", 0),
+		RetryBudgetRatio:  v.number("budget.share", 0),
 	}
 	for i := range int(v.number("groups", 0)) {
 		s.Groups = append(s.Groups, ParseGroup(given, i))
@@ -157,7 +157,7 @@
 		Objective:        v.duration(at+"target", 0),
 		ObjectiveStretch: v.number(at+"stretch", 0),
 		Timeout:          v.duration(at+"timeout", 0),
-		Threads:          max(1, At(v.numbers("threads"), i)),
+		Threads:          max(1, ValueAt(v.numbers("threads"), i)),
 
 		Effect:    Effect(v[at+"effect"]),
 		KeyScope:  KeyScope(v[at+"scope"]),
@@ -171,8 +171,8 @@
 	}
 }
 
-// At is a value of a list by its place, 0 if the list has none there.
-func At(list []float64, i int) float64 {
+// ValueAt is a value of a list by its place, 0 if the list has none there.
+func ValueAt(list []float64, i int) float64 {
 	if i < 0 || i >= len(list) {
 		return 0
 	}
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -10,7 +10,7 @@
 	for _, given := range []map[string]string{nil, {"cold.from": "x", "cold.window": "1s", "over.worth": "",
 		"gateways": "-"}} {
 		s := Parse(given)
-		if s.SlowStartFrom != 0.2 || s.SlowStartWindow != time.Second || s.OverQuotaWeight != 1 ||
+		if s.SlowStartInitialCapacity != 0.2 || s.SlowStartWindow != time.Second || s.OverQuotaWeight != 1 ||
 			s.ControllerCount != 1 || s.Quantum != 5*time.Millisecond || s.MaxAttempts != 1 {
 			t.Errorf("%v: %+v", given, s)
 		}
@@ -24,9 +24,9 @@
 	if s.NotePeriod != 1500*time.Microsecond || s.AssumedNotePeriod != s.NotePeriod {
 		t.Error(s.NotePeriod, s.AssumedNotePeriod)
 	}
-	if At(s.KindCores, 0) != 8 || At(s.KindCores, 1) != 0 || At(s.KindCores, 2) != 24 || At(s.KindCores,
+	if ValueAt(s.KindCores, 0) != 8 || ValueAt(s.KindCores, 1) != 0 || ValueAt(s.KindCores, 2) != 24 || ValueAt(s.KindCores,
 		3) != 0 ||
-		At(s.KindCores, -1) != 0 {
+		ValueAt(s.KindCores, -1) != 0 {
 		t.Error(s.KindCores)
 	}
 	if !s.HedgingAllowed || s.HealthChecksAllowed || s.ReportsCountQueries {
--- a/internal/settings/terms.go
+++ b/internal/settings/terms.go
@@ -17,8 +17,8 @@
 	"outstanding": "held", "utilization": "cores", "inflight": "held", "util": "cores",
 }
 
-// Figure is our word for a figure of a load report, "" if we have none.
-func Figure(wire string) string { return figures[wire] }
+// ReportField is our word for a figure of a load report, "" if we have none.
+func ReportField(wire string) string { return figures[wire] }
 
 // names maps the wire's settings to ours; "N" stands for a place in a list.
 var names = map[string]string{
@@ -162,15 +162,15 @@
 
 var spaces = strings.NewReplacer(" ", "_", ",", "_")
 
-// Plain is how the settings have a name here: as one word, which may stand in a list of them.
-func Plain(name string) string { return spaces.Replace(name) }
+// SanitizeName is how the settings have a name here: as one word, which may stand in a list of them.
+func SanitizeName(name string) string { return spaces.Replace(name) }
 
 func plain(x any) string {
 	switch x := x.(type) {
 	case nil:
 		return "-"
 	case string:
-		return Plain(x)
+		return SanitizeName(x)
 	default:
 		return fmt.Sprint(x)
 	}
--- a/internal/setup/check.go
+++ b/internal/setup/check.go
@@ -263,7 +263,7 @@
 	if len(c.faults) > 0 {
 		return // what is wrong by itself needn't be told as a mix, too
 	}
-	refused, odd := settings.Mixed(s.facts())
+	refused, odd := settings.Conflicts(s.facts())
 	for _, m := range append(refused, odd...) { // a file of our own needn't be served by guesses
 		c.wrong(keys[m[0]], "%s", m[1])
 	}
--- a/internal/simadapter/wire.go
+++ b/internal/simadapter/wire.go
@@ -197,9 +197,9 @@
 	case what == 2:
 		kind = scheduler.Spilling
 	case what == 3 && x == 1:
-		kind = scheduler.WaitsForMemory
+		kind = scheduler.WaitingForMemory
 	case what == 3:
-		kind = scheduler.WaitsForLoad
+		kind = scheduler.WaitingForLoad
 	case what != 1:
 		return
 	}
@@ -326,7 +326,7 @@
 			c.fault(fmt.Errorf("part %d is not a load report: %q", k, c.f[k]))
 			return nil
 		}
-		if ours := settings.Figure(name); ours != "" {
+		if ours := settings.ReportField(name); ours != "" {
 			report[ours] = x
 		}
 	}
--- a/internal/timerqueue/due.go
+++ b/internal/timerqueue/due.go
@@ -6,22 +6,22 @@
 	"time"
 )
 
-// Item is one thing to do at a time.
-type Item struct {
+// Timer is one thing to do at a time.
+type Timer struct {
 	at  time.Duration
 	seq uint64
 	do  func()
 	i   int // its place, -1 once it has left
 }
 
-// Times holds all due times of an instance; equal times leave in the order in
+// Queue holds all due times of an instance; equal times leave in the order in
 // which they came, so that the same events give the same actions.
-type Times struct {
+type Queue struct {
 	items items
 	seq   uint64
 }
 
-type items []*Item
+type items []*Timer
 
 func (l items) Len() int { return len(l) }
 func (l items) Less(i, j int) bool {
@@ -32,8 +32,8 @@
 	l[i].i, l[j].i = i, j
 }
 func (l *items) Push(x any) {
-	x.(*Item).i = len(*l)
-	*l = append(*l, x.(*Item))
+	x.(*Timer).i = len(*l)
+	*l = append(*l, x.(*Timer))
 }
 func (l *items) Pop() any {
 	last := (*l)[len(*l)-1]
@@ -45,16 +45,16 @@
 
 // Add has do done at a time. What it was meant for may be over by then: do has
 // to look again, unless it was dropped.
-func (t *Times) Add(at time.Duration, do func()) *Item {
+func (t *Queue) Add(at time.Duration, do func()) *Timer {
 	t.seq++
-	x := &Item{at: at, seq: t.seq, do: do}
+	x := &Timer{at: at, seq: t.seq, do: do}
 	heap.Push(&t.items, x)
 	return x
 }
 
-// Drop takes one out that is not to be done any more, whether it was done or
+// Cancel takes one out that is not to be done any more, whether it was done or
 // not: far due times would keep what they are for in memory.
-func (t *Times) Drop(x *Item) {
+func (t *Queue) Cancel(x *Timer) {
 	if x != nil && x.i >= 0 {
 		heap.Remove(&t.items, x.i)
 		x.do = nil
@@ -62,18 +62,18 @@
 }
 
 // Len is how many there are.
-func (t *Times) Len() int { return len(t.items) }
+func (t *Queue) Len() int { return len(t.items) }
 
-// Next gives what is due by now, if anything is.
-func (t *Times) Next(now time.Duration) (func(), bool) {
-	if at, ok := t.First(); !ok || at > now {
+// PopDue gives what is due by now, if anything is.
+func (t *Queue) PopDue(now time.Duration) (func(), bool) {
+	if at, ok := t.NextDue(); !ok || at > now {
 		return nil, false
 	}
-	return heap.Pop(&t.items).(*Item).do, true
+	return heap.Pop(&t.items).(*Timer).do, true
 }
 
-// First is the earliest due time.
-func (t *Times) First() (time.Duration, bool) {
+// NextDue is the earliest due time.
+func (t *Queue) NextDue() (time.Duration, bool) {
 	if len(t.items) == 0 {
 		return 0, false
 	}
