--- a/internal/bench/fairness.go
+++ b/internal/bench/fairness.go
@@ -151,9 +151,9 @@
 	leaves(teams, 1, func(name string, share float64) {
 		n.Names, n.Shares = append(n.Names, name), append(n.Shares, share)
 	})
-	n.World = world.New(seed, figures, controller.Config{MemoryMB: 512, Sockets: 8192, Settings: all, Tenants: shape,
+	n.World = world.New(seed, figures, controller.Config{MemoryMB: 512, MaxDescriptors: 8192, Settings: all, Tenants: shape,
 		FieldNames:   controller.FieldNames{Tenant: "team", NotifyWait: "tell", RepeatOf: "first"},
-		ClientLimits: []controller.ClientLimits{{Prefixes: Homes, OpenQueries: 100_000, MessagesPerSweep: 100_000}}})
+		ClientLimits: []controller.ClientLimits{{Prefixes: Homes, MaxOpenQueries: 100_000, MaxMessagesPerSweep: 100_000}}})
 	n.sample()
 	return n
 }
--- a/internal/bench/fleet_controllers.go
+++ b/internal/bench/fleet_controllers.go
@@ -59,8 +59,8 @@
 		c.ways = append(c.ways, &fleetWay{delay: time.Duration(100+f.rng.IntN(2000)) * time.Microsecond})
 	}
 	f.all = append(f.all, c)
-	r, effects := controller.New(controller.Config{Seed: f.rng.Uint64(), MemoryMB: 256, Sockets: 512, DiscoveryAddress: "feed", KnownEngines: f.log.Known(), Settings: facts,
-		StartedAt: time.UnixMilli(fleetEpoch), ClientLimits: []controller.ClientLimits{{Prefixes: Homes, OpenQueries: 100_000, MessagesPerSweep: 100_000, IdleTimeout: time.Minute}}})
+	r, effects := controller.New(controller.Config{Seed: f.rng.Uint64(), MemoryMB: 256, MaxDescriptors: 512, DiscoveryAddress: "feed", InitialEndpoints: f.log.Known(), Settings: facts,
+		StartedAt: time.UnixMilli(fleetEpoch), ClientLimits: []controller.ClientLimits{{Prefixes: Homes, MaxOpenQueries: 100_000, MaxMessagesPerSweep: 100_000, IdleTimeout: time.Minute}}})
 	c.r = r
 	c.perform(effects)
 }
--- a/internal/cli/platform.go
+++ b/internal/cli/platform.go
@@ -82,8 +82,8 @@
 	if address == "" {
 		address = g.Listen
 	}
-	means := controller.Config{FieldNames: platformWords, Seed: seed, MemoryMB: g.Limits.MemoryMB, Sockets: g.Limits.Sockets,
-		DiscoveryAddress: g.Feed, KnownEngines: g.Known, Settings: facts, StartedAt: started}
+	means := controller.Config{FieldNames: platformWords, Seed: seed, MemoryMB: g.Limits.MemoryMB, MaxDescriptors: g.Limits.Sockets,
+		DiscoveryAddress: g.Feed, InitialEndpoints: g.Known, Settings: facts, StartedAt: started}
 	return listen(address, g.Limits.Cores, means, nil, func(log zerolog.Logger) <-chan controller.Event {
 		return follow(signals, func() (controller.Event, error) {
 			next, err := again(path, g, log)
--- a/internal/controller/attempt.go
+++ b/internal/controller/attempt.go
@@ -36,7 +36,7 @@
 
 	// progress, see above
 	sent           bool
-	submitCallOver bool // the call with the request has ended, whatever it came to
+	submitCallDone bool // the call with the request has ended, whatever it came to
 	settled        bool
 	onSettled      []func()
 	ended          bool
@@ -44,7 +44,7 @@
 	outcome        scheduler.Outcome
 	reported       bool
 
-	// how long its engine may retain it, see certainlyOver
+	// how long its engine may retain it, see provenOver
 	callsInFlight int           // written calls that make the engine retain it, while they may arrive
 	lastArrival   time.Duration // the latest that one which is no longer in flight may have arrived
 	polledAt      time.Duration // when such a call was last written
@@ -52,8 +52,8 @@
 	// polling
 	maybeForgotten  bool          // out of reach since the last response: an error may mean unknown there
 	staleNotesUntil time.Duration // notes before this may be older than its being forgotten
-	repollPause     time.Duration // before the next poll after a failed one
-	readableAt      time.Duration // when the last readable response came, or the first call was made
+	pollRetryDelay  time.Duration // before the next poll after a failed one
+	lastResponseAt  time.Duration // when the last readable response came, or the first call was made
 	lastCallText    string        // what its last call came to, for the log
 
 	sentPriority    int  // that its engine was last told
@@ -79,16 +79,16 @@
 	// longPollTimeout is how long an engine holds a poll without news; meanwhile the query counts as
 	// polled.
 	longPollTimeout = 250 * time.Millisecond
-	// networkDelay is for what is in the network when its connection ends.
-	networkDelay = 50 * time.Millisecond
+	// maxNetworkDelay is for what is in the network when its connection ends.
+	maxNetworkDelay = 50 * time.Millisecond
 	// submitWriteTimeout bounds the time from the step that lets a request go to its first byte. The
 	// process may stand still there and the client leave meanwhile, for whom nothing may start more than
 	// 0.1 s later. What takes longer counts as not sent, and the scheduler decides again.
 	submitWriteTimeout = 75 * time.Millisecond
-	// minRepollPause and maxRepollPause bound the pause before a call is repeated that came to nothing.
+	// minPollRetryDelay and maxPollRetryDelay bound the pause before a call is repeated that came to nothing.
 	// An engine that ends every connection must not be dialled in a loop.
-	minRepollPause = 10 * time.Millisecond
-	maxRepollPause = engineRetention / 4
+	minPollRetryDelay = 10 * time.Millisecond
+	maxPollRetryDelay = engineRetention / 4
 )
 
 // startAttempt submits a query to an engine, as the scheduler decided. The attempt is withdrawn after
@@ -146,9 +146,9 @@
 		s.trace(s.logFields(), "told %s after %v, %s", outcomeNames[outcome], took, s.lastCallText)
 	}
 	if outcome != scheduler.Finished && outcome != scheduler.Cancelled {
-		s.logAbout(s.logFields(), outcomeNames[outcome]+" after "+took.String()+", "+s.lastCallText)
+		s.logWithFields(s.logFields(), outcomeNames[outcome]+" after "+took.String()+", "+s.lastCallText)
 	}
-	s.runSoon(func() {
+	s.enqueueCallback(func() {
 		s.reported = true
 		s.engine.unreportedAttempts--
 		q := s.query
--- a/internal/controller/attempt_calls.go
+++ b/internal/controller/attempt_calls.go
@@ -14,16 +14,16 @@
 		return
 	}
 	request := &call{
-		method:        "POST",
-		engine:        s.engine,
-		attempt:       s,
-		startsAttempt: true,
-		keepsQuery:    true,
-		validResponse: s.responseCheck(0),
-		encode:        s.encodeSubmission,
+		method:           "POST",
+		engine:           s.engine,
+		attempt:          s,
+		startsAttempt:    true,
+		extendsRetention: true,
+		validResponse:    s.responseValidator(0),
+		encode:           s.encodeSubmission,
 		onResult: func(as callResult, status int, field func(string) string, body []byte) {
-			s.callDone(0, as, status, field, body)
-			s.submitCallOver = true
+			s.handleCallResult(0, as, status, field, body)
+			s.submitCallDone = true
 		},
 	}
 	request.stillWanted = func() bool { return s.maySubmitNow(request) }
@@ -47,7 +47,7 @@
 func (s *attempt) encodeSubmission(dst []byte) []byte {
 	s.sent = true
 	s.polledAt = s.now
-	s.readableAt = s.now
+	s.lastResponseAt = s.now
 	s.sentPriority = s.query.effectivePriority()
 	if s.number == 0 {
 		s.counters.recordFirstByte(s.now - s.query.receivedAt)
@@ -60,13 +60,13 @@
 // poll asks the engine for news of the query (page 0), or for a further page of its result.
 func (s *attempt) poll(page int) {
 	s.startCall(&call{
-		method:        "GET",
-		engine:        s.engine,
-		attempt:       s,
-		isPoll:        page == 0,
-		keepsQuery:    true,
-		validResponse: s.responseCheck(page),
-		stillWanted:   func() bool { return !s.ended },
+		method:           "GET",
+		engine:           s.engine,
+		attempt:          s,
+		isPoll:           page == 0,
+		extendsRetention: true,
+		validResponse:    s.responseValidator(page),
+		stillWanted:      func() bool { return !s.ended },
 		encode: func(dst []byte) []byte {
 			if s.now > s.polledAt+engineRetention {
 				s.maybeForgotten = true
@@ -76,19 +76,19 @@
 			return enginehttp.Ask(dst, s.engine.address, s.query.id, page)
 		},
 		onResult: func(as callResult, status int, field func(string) string, body []byte) {
-			s.callDone(page, as, status, field, body)
+			s.handleCallResult(page, as, status, field, body)
 		},
 	})
 }
 
-func (s *attempt) responseCheck(page int) func(int, func(string) string, []byte) bool {
+func (s *attempt) responseValidator(page int) func(int, func(string) string, []byte) bool {
 	return func(status int, field func(string) string, body []byte) bool {
 		return enginehttp.Fits(page, status, field, body)
 	}
 }
 
-// callDone judges what a submission or a poll came to.
-func (s *attempt) callDone(page int, as callResult, status int, field func(string) string, body []byte) {
+// handleCallResult judges what a submission or a poll came to.
+func (s *attempt) handleCallResult(page int, as callResult, status int, field func(string) string, body []byte) {
 	if s.ended {
 		return
 	}
@@ -96,43 +96,43 @@
 	switch {
 	case as == callAnswered:
 		s.handleResponse(page, status, field, body)
-	case !s.sent && as == callNotSent, !s.submitCallOver && as == callNotWritten:
+	case !s.sent && as == callNotSent, !s.submitCallDone && as == callNotWritten:
 		// the end of a connection says nothing against its engine
 		s.finish(scheduler.NeverSent)
 	case !s.sent:
 		s.finish(scheduler.Unreachable)
-	case s.processDied(as):
+	case s.engineProcessDied(as):
 		s.finish(scheduler.ConnectionReset)
-	case as == callMalformedResponse && s.now-s.readableAt >= engineRetention:
+	case as == callMalformedResponse && s.now-s.lastResponseAt >= engineRetention:
 		// too many for one response damaged on its way
 		s.withdrawAttempt(s, scheduler.ConnectionReset)
-	case s.certainlyOver():
+	case s.provenOver():
 		// if it still ran there it has been forgotten by now
 		s.finish(scheduler.TimedOut)
 	default:
-		s.repoll(page)
+		s.retryPoll(page)
 	}
 }
 
 func (s *attempt) handleResponse(page, status int, field func(string) string, body []byte) {
-	s.repollPause = 0
-	s.readableAt = s.now
+	s.pollRetryDelay = 0
+	s.lastResponseAt = s.now
 	if s.loadReportsInResponses {
 		loadReport := enginehttp.Load(field)
 		if loadReport != nil {
-			s.runSoon(func() { s.scheduler.LoadReported(s.now, s.engine.id, loadReport) })
+			s.enqueueCallback(func() { s.scheduler.LoadReported(s.now, s.engine.id, loadReport) })
 		}
 	}
 	enginehttp.Hear(page, status, field, body, &responseHandler{s})
 }
 
-// repoll asks again after a pause. The call or its response may be lost and the query not: a poll on
+// retryPoll asks again after a pause. The call or its response may be lost and the query not: a poll on
 // another connection tells, as often as it is asked, what became of it and all pages of its result.
-func (s *attempt) repoll(page int) {
-	s.counters.repolls++
+func (s *attempt) retryPoll(page int) {
+	s.counters.pollRetries++
 	s.maybeForgotten = true
-	s.repollPause = min(max(2*s.repollPause, minRepollPause), maxRepollPause)
-	s.runAfter(s.repollPause, func() {
+	s.pollRetryDelay = min(max(2*s.pollRetryDelay, minPollRetryDelay), maxPollRetryDelay)
+	s.runAfter(s.pollRetryDelay, func() {
 		if !s.ended {
 			s.poll(page)
 		}
@@ -177,7 +177,7 @@
 func (h *responseHandler) Note(kind scheduler.NoteKind, value float64) {
 	s := h.attempt
 	s.counters.progressNotes++
-	s.runSoon(func() {
+	s.enqueueCallback(func() {
 		if !s.ended {
 			s.scheduler.NoteReceived(s.now, s.query.id, s.number, kind, value)
 		}
--- a/internal/controller/attempt_cancel.go
+++ b/internal/controller/attempt_cancel.go
@@ -5,43 +5,43 @@
 	"railrelay.dev/railrelay/internal/scheduler"
 )
 
-// When an attempt is over is decided here and by callDone; docs/design.md has the table.
+// When an attempt is over is decided here and by handleCallResult; docs/design.md has the table.
 
 // mustProveEnd reports whether the scheduler may be told of the attempt's end only once nothing of it can
 // run any more: a query of the same key or a second copy must not overlap with it.
 func (s *attempt) mustProveEnd() bool { return s.query.group.inOrder || !s.mayHedge }
 
-// certainlyOver reports whether it is over at its engine, heard from or not, since it went unpolled for
+// provenOver reports whether it is over at its engine, heard from or not, since it went unpolled for
 // as long as engines retain a query. A call may arrive as long as its connection stands, and counts as
 // having arrived no earlier than its response timed out: by our clock alone it would be over too soon
 // where this process stood still meanwhile.
 //
 // Where engines take no cancellations they may run a query whether it is polled or not. What keeps order
 // is over then only with the time that its engine was given.
-func (s *attempt) certainlyOver() bool {
-	arrived := max(s.lastArrival, s.polledAt+responseTimeout+networkDelay)
+func (s *attempt) provenOver() bool {
+	arrived := max(s.lastArrival, s.polledAt+responseTimeout+maxNetworkDelay)
 	retainedUntil := arrived + longPollTimeout + engineRetention
 	if s.query.group.inOrder && !s.mayCancel {
-		retainedUntil = max(retainedUntil, s.deadline+networkDelay+longPollTimeout+engineRetention)
+		retainedUntil = max(retainedUntil, s.deadline+maxNetworkDelay+longPollTimeout+engineRetention)
 	}
 	return s.callsInFlight == 0 && s.now >= retainedUntil
 }
 
-// processDied reports whether the engine's process is gone by all there is to see. A process that ends
+// engineProcessDied reports whether the engine's process is gone by all there is to see. A process that ends
 // takes its connections with it. A refusal while one stands only says that it takes no more of them, and
 // with none left it may mean that, too; so it proves nothing where the end must be proven.
-func (s *attempt) processDied(as callResult) bool {
+func (s *attempt) engineProcessDied(as callResult) bool {
 	return as == callRefused && !s.engine.hasConnection() && !s.mustProveEnd()
 }
 
-// arrivalKnown notes that a written call was answered or its connection is gone. What is still in the
-// network then may arrive within networkDelay.
-func (r *call) arrivalKnown() {
+// recordArrival notes that a written call was answered or its connection is gone. What is still in the
+// network then may arrive within maxNetworkDelay.
+func (r *call) recordArrival() {
 	s := r.attempt
-	if s == nil || !r.keepsQuery {
+	if s == nil || !r.extendsRetention {
 		return
 	}
-	delay := networkDelay
+	delay := maxNetworkDelay
 	if r.answered {
 		delay = 0
 	}
@@ -81,7 +81,7 @@
 	reportLate := s.mustProveEnd()
 	s.engine.cancelling = append(s.engine.cancelling, s)
 	over := func() {
-		s.engine.cancelDone(s)
+		s.engine.cancellationDone(s)
 		if reportLate {
 			s.report(outcome)
 		}
@@ -111,11 +111,11 @@
 			return enginehttp.GiveUp(dst, s.engine.address, s.query.id)
 		},
 		onResult: func(as callResult, _ int, _ func(string) string, _ []byte) {
-			if as == callAnswered || s.processDied(as) || s.certainlyOver() {
+			if as == callAnswered || s.engineProcessDied(as) || s.provenOver() {
 				done()
 				return
 			}
-			c.runAfter(networkDelay, func() { c.cancelAtEngine(s, done) })
+			c.runAfter(maxNetworkDelay, func() { c.cancelAtEngine(s, done) })
 		},
 	})
 }
--- a/internal/controller/attempt_cancel_test.go
+++ b/internal/controller/attempt_cancel_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// cutOff has a query of a key run at an engine that is cut off from us, with another of its key behind.
-func cutOff(t *testing.T, more map[string]string, patience time.Duration) (s *harness, m *fakeEngine, first, next *sentQuery) {
+// disconnectDuringQuery has a query of a key run at an engine that is cut off from us, with another of its key behind.
+func disconnectDuringQuery(t *testing.T, more map[string]string, patience time.Duration) (s *harness, m *fakeEngine, first, next *sentQuery) {
 	s = newHarness(t, 2, 256, more)
 	c := s.connect()
 	first = s.sendQuery(c, "load", "k", patience, 1)
@@ -24,7 +24,7 @@
 // key waits until the engine was heard, or until the time that it was told to have is over.
 func TestOrderHoldsWithoutCancellation(t *testing.T) {
 	for _, cancel := range []string{"true", "false"} {
-		s, m, first, next := cutOff(t, map[string]string{"may.probe": "false", "may.cancel": cancel}, 20*time.Second)
+		s, m, first, next := disconnectDuringQuery(t, map[string]string{"may.probe": "false", "may.cancel": cancel}, 20*time.Second)
 		s.runUntil(s.now + 6*time.Second)
 		if sent := len(next.runs) > 0; sent != (cancel == "true") {
 			t.Fatalf("may.cancel %s: after 6 s of silence the next of its key was sent: %v", cancel, sent)
@@ -32,14 +32,14 @@
 		if cancel == "true" {
 			continue
 		}
-		m.runs[first.id].ended, m.runs[first.id].askedAt = false, s.now // it ran on, and does now
-		s.heal(m)
+		m.runs[first.id].ended, m.runs[first.id].polledAt = false, s.now // it ran on, and does now
+		s.healNetwork(m)
 		s.respond(s.waitForCall("GET", first.id), "ok")
 		if s.runUntil(s.now + 100*time.Millisecond); first.answer != "finished" || len(next.runs) != 1 {
 			t.Fatalf("heard again: the first %q, the next sent %d times", first.answer, len(next.runs))
 		}
 	}
-	s, _, _, next := cutOff(t, map[string]string{"may.probe": "false", "may.cancel": "false"}, 4*time.Second)
+	s, _, _, next := disconnectDuringQuery(t, map[string]string{"may.probe": "false", "may.cancel": "false"}, 4*time.Second)
 	if s.runUntil(s.now + 5*time.Second); len(next.runs) > 0 {
 		t.Fatal("sent before its time was over at its engine")
 	}
@@ -52,16 +52,16 @@
 // is heard again. They are no sign that the query lives, and the error behind them is no certain end:
 // it is given up there, and its key rests.
 func TestStaleNoteIsNoSignOfLife(t *testing.T) {
-	s, m, first, next := cutOff(t, map[string]string{"may.probe": "false", "may.cancel": "false"}, 20*time.Second)
+	s, m, first, next := disconnectDuringQuery(t, map[string]string{"may.probe": "false", "may.cancel": "false"}, 20*time.Second)
 	s.runUntil(s.now + 4*time.Second)
 	x := m.runs[first.id]
-	x.ended, x.askedAt = false, s.now // what was noted before is told first
-	s.heal(m)
+	x.ended, x.polledAt = false, s.now // what was noted before is told first
+	s.healNetwork(m)
 	for range 2 {
 		s.respond(s.waitForCall("GET", first.id), "stuck")
 	}
 	s.waitForCall("GET", first.id)
-	x.ended, x.keyRests, x.overAt, x.pages = true, true, s.now, 0
+	x.ended, x.keyCoolsDown, x.endedAt, x.pages = true, true, s.now, 0
 	s.respond(s.waitForCall("GET", first.id), "runs")
 	from := s.now
 	s.respond(s.waitForCall("DELETE", first.id), "ok")
--- a/internal/controller/attempt_test.go
+++ b/internal/controller/attempt_test.go
@@ -13,33 +13,33 @@
 // time that is up its engine may have forgotten the token: it begins within the window or not at all.
 func TestRetryStartsWithinItsWindowOnly(t *testing.T) {
 	for _, late := range []bool{false, true} {
-		s := newHarness(t, 2, 256, tokened(map[string]string{"group.1.window": "600", "connect.timeout": "2000"}))
+		s := newHarness(t, 2, 256, withIdempotencyKeys(map[string]string{"group.1.window": "600", "connect.timeout": "2000"}))
 		a := s.sendQuery(s.connect(), "report", "", 5*time.Second, 1)
 		first := s.waitForCall("POST", a.id)
 		from := s.now
 		s.runUntil(from + 200*time.Millisecond)
 		var slow *fakeConnection // the other engine's connection doesn't come up by itself
-		for _, m := range s.allEngines() {
-			m.silent = m != first.engine
+		for _, m := range s.sortedEngines() {
+			m.unresponsive = m != first.engine
 		}
 		s.respond(first, "error")
 		for _, e := range s.connections {
-			if !e.up && !e.gone && e.address != first.engine.address && e.address != "feed" {
+			if !e.established && !e.closed && e.address != first.engine.address && e.address != "feed" {
 				slow = e
 			}
 		}
 		if slow == nil {
 			t.Fatal("no repeat is under way, and the test proves nothing")
 		}
-		for _, m := range s.allEngines() {
-			m.silent = false
+		for _, m := range s.sortedEngines() {
+			m.unresponsive = false
 		}
-		slow.dialAt = s.now + time.Hour
+		slow.dialledAt = s.now + time.Hour
 		if s.runUntil(from + 300*time.Millisecond); late {
 			s.runUntil(from + 700*time.Millisecond)
 		}
-		slow.up = true
-		s.step(Event{Kind: Connected, Connection: slow.link})
+		slow.established = true
+		s.step(Event{Kind: Connected, Connection: slow.connection})
 		if sent := len(a.runs) > 1; sent == late {
 			t.Fatalf("late: %v, and sent: %v", late, sent)
 		}
@@ -47,7 +47,7 @@
 }
 
 // started finds what a step asks to have written that starts a submission.
-func started(effects []Effect) *WritePermit {
+func startPermit(effects []Effect) *WritePermit {
 	for _, f := range effects {
 		if f.Permit != nil {
 			return f.Permit
@@ -62,17 +62,21 @@
 func TestQueuedWriteLosesItsPermit(t *testing.T) {
 	for what, ends := range map[string]func(s *harness, a *sentQuery){
 		"cancelled": func(s *harness, a *sentQuery) { s.cancel(a) },
-		"hung up":   func(s *harness, a *sentQuery) { s.disconnect(a.from) },
+		"hung up":   func(s *harness, a *sentQuery) { s.disconnect(a.connection) },
 		"last bytes": func(s *harness, a *sentQuery) {
 			a.cancelled = true
-			s.step(Event{Kind: BytesReceived, Connection: a.from.link, EndOfStream: true})
+			s.step(Event{Kind: BytesReceived, Connection: a.connection.connection, EndOfStream: true})
 		},
 		"engine drains": func(s *harness, _ *sentQuery) {
-			m := s.allEngines()[0]
+			m := s.sortedEngines()[0]
 			m.state = "DRAINING"
-			s.listEngines(m.entry(0))
+			s.listEngines(m.endpointJSON(0))
+		},
+		"engine is gone": func(s *harness, _ *sentQuery) {
+			m := s.sortedEngines()[0]
+			m.state = "DELETED"
+			s.listEngines(m.endpointJSON(0))
 		},
-		"engine is gone":   func(s *harness, _ *sentQuery) { m := s.allEngines()[0]; m.state = "DELETED"; s.listEngines(m.entry(0)) },
 		"nothing happened": nil,
 	} {
 		s := newHarness(t, 1, 256, map[string]string{"may.probe": "false", "may.cancel": "false"})
@@ -80,22 +84,22 @@
 		a := s.sendQuery(s.connect(), "lookup", "", 900*time.Millisecond, 1)
 		var dialled *fakeConnection
 		for _, e := range s.connections {
-			if e.address == s.allEngines()[0].address {
+			if e.address == s.sortedEngines()[0].address {
 				dialled = e
 			}
 		}
-		dialled.up = true
-		permit := started(s.controller.Step(s.now, Event{Kind: Connected, Connection: dialled.link})) // its bytes wait with the runner
-		if permit == nil || !permit.Holds(s.now) {
+		dialled.established = true
+		permit := startPermit(s.controller.Step(s.now, Event{Kind: Connected, Connection: dialled.connection})) // its bytes wait with the runner
+		if permit == nil || !permit.ValidAt(s.now) {
 			t.Fatal("no submission begins, and the test proves nothing")
 		}
 		if ends != nil {
 			ends(s, a)
 		}
-		if permit.Holds(s.now) != (ends == nil) {
-			t.Errorf("%s: the permit holds: %v", what, permit.Holds(s.now))
+		if permit.ValidAt(s.now) != (ends == nil) {
+			t.Errorf("%s: the permit holds: %v", what, permit.ValidAt(s.now))
 		}
-		if permit.Holds(a.deadline) {
+		if permit.ValidAt(a.deadline) {
 			t.Errorf("%s: it holds when its client has given up", what)
 		}
 	}
@@ -106,9 +110,9 @@
 	s := newHarness(t, 1, 256, map[string]string{"may.probe": "false"})
 	s.runUntil(10 * time.Millisecond)
 	c := s.connect()
-	end := c.link.onEndOfStream
-	got := c.link.onBytes
-	c.link.onBytes = func() { got(); end() } // as with Event.Last
+	end := c.connection.onEndOfStream
+	got := c.connection.onBytes
+	c.connection.onBytes = func() { got(); end() } // as with Event.Last
 	a := s.sendQuery(c, "lookup", "", time.Second, 1)
 	a.cancelled = true
 	s.runUntil(s.now + 100*time.Millisecond)
@@ -126,12 +130,12 @@
 	s.writeDelay = submitWriteTimeout // the runner stands still between the step and the write
 	a := s.sendQuery(s.connect(), "load", "k", 5*time.Second, 1)
 	for range 20 {
-		if s.controller.counters.barredWrites == 0 {
+		if s.controller.counters.rejectedWrites == 0 {
 			s.runUntil(s.now + 500*time.Microsecond)
 		}
 	}
-	if s.controller.counters.barredWrites != 1 || len(a.runs) > 0 {
-		t.Fatalf("%d barred, sent %d times", s.controller.counters.barredWrites, len(a.runs))
+	if s.controller.counters.rejectedWrites != 1 || len(a.runs) > 0 {
+		t.Fatalf("%d barred, sent %d times", s.controller.counters.rejectedWrites, len(a.runs))
 	}
 	if n := invariant.Broken() - broken; n > 0 {
 		t.Fatalf("%d times something did not hold", n)
@@ -149,8 +153,8 @@
 	for _, how := range []string{"left", "out of time"} {
 		s := newHarness(t, 2, 256, map[string]string{"may.probe": "false", "may.cancel": "false", "connect.timeout": "4000"})
 		s.runUntil(10 * time.Millisecond)
-		for _, m := range s.allEngines() {
-			m.silent = true
+		for _, m := range s.sortedEngines() {
+			m.unresponsive = true
 		}
 		c := s.connect()
 		a := s.sendQuery(c, "load", "k", 600*time.Millisecond, 1)
@@ -180,7 +184,7 @@
 	s.respond(h, "ok")
 	for range 20 {
 		s.runUntil(s.now + time.Millisecond)
-		for _, h := range s.heldCalls {
+		for _, h := range s.pendingCalls {
 			if h.id == a.id && h.page > 0 {
 				t.Fatalf("page %d for nobody", h.page)
 			}
@@ -221,19 +225,19 @@
 		s.receive(c, []byte("\x94\x00\x01\xa5alive\x91\x80"))
 		s.runUntil(s.now + 500*time.Millisecond)
 	}
-	if c.gone {
+	if c.closed {
 		t.Fatal("closed as idle")
 	}
 	reads := s.connect()
-	reads.ignores = true // takes its time
+	reads.dropsWrites = true // takes its time
 	a := s.sendQuery(reads, "lookup", "", 5*time.Second, 1)
 	s.respond(s.waitForCall("POST", a.id), "ok")
 	s.runUntil(s.now + 300*time.Millisecond)
 	for range 60 {
 		s.connect()
 	}
-	if reads.link.unwrittenBytes == 0 || reads.closedByController {
-		t.Fatalf("%d bytes are on their way, closed: %v", reads.link.unwrittenBytes, reads.closedByController)
+	if reads.connection.unwrittenBytes == 0 || reads.closedByController {
+		t.Fatalf("%d bytes are on their way, closed: %v", reads.connection.unwrittenBytes, reads.closedByController)
 	}
 }
 
@@ -256,9 +260,9 @@
 func TestNamesLikeSettingsAreNotTranslated(t *testing.T) {
 	s := newHarness(t, 1, 96, map[string]string{"may.probe": "false", "group.0.name": "all_of it", "locations": "left_bank"})
 	s.runUntil(10 * time.Millisecond)
-	for _, m := range s.allEngines() {
+	for _, m := range s.sortedEngines() {
 		m.site = "left bank"
-		s.listEngines(m.entry(0))
+		s.listEngines(m.endpointJSON(0))
 	}
 	if got := s.controller.engines["e0"].location; got != 0 {
 		t.Fatalf("its location is %d", got)
@@ -279,19 +283,19 @@
 		for range 3 {
 			lines = append(lines, s.waitForCall("POST", s.sendQuery(c, "lookup", "", 5*time.Second, 1).id).connection)
 		}
-		s.heldCalls = nil
+		s.pendingCalls = nil
 		s.now += time.Second // all have been answered meanwhile
 		answer := []byte("HTTP/1.1 202 x\r\nContent-Length: 0\r\n\r\n")
 		s.backlogged = early
 		for _, e := range lines {
 			if !e.closedByController {
-				s.step(Event{Kind: BytesReceived, Connection: e.link, ByteCount: copy(e.link.Received.Space(), answer)})
+				s.step(Event{Kind: BytesReceived, Connection: e.connection, ByteCount: copy(e.connection.Received.Space(), answer)})
 			}
 		}
 		s.backlogged = false
 		s.step(Event{Kind: TimerFired})
-		if late := lines[0].closedByController || lines[1].closedByController || lines[2].closedByController || s.controller.counters.repolls > 0; late == early {
-			t.Fatalf("early: %v, held to be late: %v, %v %v %v %d", early, late, lines[0].closedByController, lines[1].closedByController, lines[2].closedByController, s.controller.counters.repolls)
+		if late := lines[0].closedByController || lines[1].closedByController || lines[2].closedByController || s.controller.counters.pollRetries > 0; late == early {
+			t.Fatalf("early: %v, held to be late: %v, %v %v %v %d", early, late, lines[0].closedByController, lines[1].closedByController, lines[2].closedByController, s.controller.counters.pollRetries)
 		}
 	}
 }
--- a/internal/controller/client.go
+++ b/internal/controller/client.go
@@ -21,8 +21,8 @@
 	pageReads  int        // calls for pages of spooled results, and for invalidations, that wait
 
 	// messages
-	messageSince       time.Duration // when the message under way began, -1: none is; at first the connecting
-	hasSpoken          bool          // a whole message came at some time
+	messageStartedAt   time.Duration // when the message under way began, -1: none is; at first the connecting
+	hasSentMessage     bool          // a whole message came at some time
 	idleSince          time.Duration // when the last query open on it was closed
 	badCalls           int
 	messagesSinceSweep int
@@ -34,12 +34,12 @@
 
 func (c *Controller) acceptClient(conn *Connection) {
 	cl := &client{
-		Controller:   c,
-		connection:   conn,
-		limits:       c.clientLimits.find(conn.RemoteAddress),
-		stalledSince: -1,
-		messageSince: c.now,
-		idleSince:    c.now,
+		Controller:       c,
+		connection:       conn,
+		limits:           c.clientLimits.find(conn.RemoteAddress),
+		stalledSince:     -1,
+		messageStartedAt: c.now,
+		idleSince:        c.now,
 	}
 	conn.onBytes = cl.readMessages
 	conn.onEndOfStream = cl.abandonAllCalls
@@ -60,35 +60,35 @@
 			return
 		}
 		if n == 0 {
-			cl.noteMessageUnderWay(readAny)
+			cl.trackPartialMessage(readAny)
 			return
 		}
 		readAny = true
-		cl.hasSpoken = true
+		cl.hasSentMessage = true
 		cl.idleSince = cl.now
 		cl.connection.Received.Drop(n)
 		cl.messagesSinceSweep++
-		if cl.messagesSinceSweep > cl.limits.MessagesPerSweep {
+		if cl.messagesSinceSweep > cl.limits.MaxMessagesPerSweep {
 			cl.counters.disconnected++
 			cl.disconnect(true)
 		}
 	}
 }
 
-// noteMessageUnderWay notes since when the next message is under way.
-func (cl *client) noteMessageUnderWay(readAny bool) {
+// trackPartialMessage notes since when the next message is under way.
+func (cl *client) trackPartialMessage(readAny bool) {
 	switch {
 	case len(cl.connection.Received.Bytes()) == 0:
-		cl.messageSince = -1
-	case readAny || cl.messageSince < 0:
-		cl.messageSince = cl.now
+		cl.messageStartedAt = -1
+	case readAny || cl.messageStartedAt < 0:
+		cl.messageStartedAt = cl.now
 	}
 }
 
 // messageHandler takes the next message: the client, or, for one message too many, which all other
 // clients would have to wait for, floodingClient.
 func (cl *client) messageHandler() msgpackrpc.Hearer {
-	if cl.messagesSinceSweep >= cl.limits.MessagesPerSweep {
+	if cl.messagesSinceSweep >= cl.limits.MaxMessagesPerSweep {
 		return &floodingClient{cl}
 	}
 	return cl
@@ -128,7 +128,7 @@
 
 func (f *floodingClient) explain(messageID uint32) {
 	if f.findCall(messageID) == nil {
-		f.reply(msgpackrpc.Killed(nil, messageID, "more than "+strconv.Itoa(f.limits.MessagesPerSweep)+
+		f.reply(msgpackrpc.Killed(nil, messageID, "more than "+strconv.Itoa(f.limits.MaxMessagesPerSweep)+
 			" messages in "+sweepInterval.String()+" on one connection: it is closed"))
 	}
 }
--- a/internal/controller/client_bounds.go
+++ b/internal/controller/client_bounds.go
@@ -27,9 +27,9 @@
 const (
 	evictSilent    evictionOrder = iota // no whole message ever came
 	evictIdle                           // nothing is open on it
-	evictExpecting                      // its next call may be on its way
+	evictReceiving                      // its next call may be on its way
 	evictNewcomer                       // the one just accepted
-	keepBusy                            // a query is open, or it is reading an answer
+	neverEvict                          // a query is open, or it is reading an answer
 )
 
 func (c *Controller) evictionOrder(cl, newcomer *client) evictionOrder {
@@ -37,12 +37,12 @@
 	isReading := cl.connection.unwrittenBytes > 0 && isTaking
 	switch {
 	case len(cl.calls) > 0 || isReading:
-		return keepBusy
+		return neverEvict
 	case cl == newcomer:
 		return evictNewcomer
-	case cl.messageSince >= 0 && c.now-cl.messageSince < networkDelay:
-		return evictExpecting
-	case cl.hasSpoken:
+	case cl.messageStartedAt >= 0 && c.now-cl.messageStartedAt < maxNetworkDelay:
+		return evictReceiving
+	case cl.hasSentMessage:
 		return evictIdle
 	}
 	return evictSilent
@@ -67,7 +67,7 @@
 	if open > c.maxClients {
 		c.counters.disconnected++
 		// gracefully: it may have been answered a moment ago, and its next query be on its way
-		c.closeWithin(victim.connection, true, networkDelay)
+		c.closeConnectionWithin(victim.connection, true, maxNetworkDelay)
 	}
 }
 
@@ -76,12 +76,12 @@
 // the one with the most goes.
 func (c *Controller) sweepClients() {
 	c.unreadBytes = 0
-	stood := c.stoodStill()
+	stood := c.stallDuration()
 	c.sweptAt = c.now
 	var worst *client // with the most unread bytes
 	for _, cl := range slices.Clone(c.clients) {
-		cl.excuse(stood)
-		cl.noteUnread()
+		cl.excludeStall(stood)
+		cl.recordUnread()
 		unread := cl.unreadAtSweep
 		c.unreadBytes += unread
 		cl.messagesSinceSweep = 0
@@ -104,9 +104,9 @@
 	}
 }
 
-// stoodStill is for how long this process stood still since the last sweep, 0 if hardly. No client is to
+// stallDuration is for how long this process stood still since the last sweep, 0 if hardly. No client is to
 // blame for that time: what came meanwhile is not read yet.
-func (c *Controller) stoodStill() time.Duration {
+func (c *Controller) stallDuration() time.Duration {
 	late := c.now - c.sweptAt - sweepInterval
 	if late < sweepInterval {
 		return 0
@@ -115,18 +115,18 @@
 }
 
 // excuse moves the times that a client is judged by.
-func (cl *client) excuse(stood time.Duration) {
+func (cl *client) excludeStall(stood time.Duration) {
 	cl.idleSince += stood
-	if cl.messageSince >= 0 {
-		cl.messageSince += stood
+	if cl.messageStartedAt >= 0 {
+		cl.messageStartedAt += stood
 	}
 	if cl.stalledSince >= 0 {
 		cl.stalledSince += stood
 	}
 }
 
-// noteUnread notes what the client has not taken, and since when it has taken nothing.
-func (cl *client) noteUnread() {
+// recordUnread notes what the client has not taken, and since when it has taken nothing.
+func (cl *client) recordUnread() {
 	unread := cl.connection.unwrittenBytes
 	switch {
 	case unread == 0:
@@ -142,22 +142,22 @@
 }
 
 func (cl *client) isMessageOverdue() bool {
-	return cl.messageSince >= 0 && cl.now-cl.messageSince > cl.limits.MessageTimeout
+	return cl.messageStartedAt >= 0 && cl.now-cl.messageStartedAt > cl.limits.MessageTimeout
 }
 
 func (cl *client) isIdle() bool {
-	nothingOpen := cl.messageSince < 0 && len(cl.calls) == 0 && cl.pageReads == 0 && cl.unreadAtSweep == 0
+	nothingOpen := cl.messageStartedAt < 0 && len(cl.calls) == 0 && cl.pageReads == 0 && cl.unreadAtSweep == 0
 	return nothingOpen && cl.now-cl.idleSince > cl.limits.IdleTimeout
 }
 
-// relieveBuffers is called when the buffers of all connections hold more than their part of the memory. It
+// reclaimBufferMemory is called when the buffers of all connections hold more than their part of the memory. It
 // closes the client's connection with the largest incomplete message, or else the engine's connection with
 // the largest buffer. A buffer that any connection may keep is not to blame.
-func (c *Controller) relieveBuffers() {
+func (c *Controller) reclaimBufferMemory() {
 	most := bytebuf.Keeps
 	var worst *client
 	for _, cl := range c.clients {
-		if !cl.connection.closed && cl.messageSince >= 0 && cl.connection.bufferBytes > most {
+		if !cl.connection.closed && cl.messageStartedAt >= 0 && cl.connection.bufferBytes > most {
 			worst = cl
 			most = cl.connection.bufferBytes
 		}
@@ -175,6 +175,6 @@
 		}
 	}
 	if largest != nil {
-		c.cutConnection(largest)
+		c.closeEngineConnection(largest)
 	}
 }
--- a/internal/controller/client_calls.go
+++ b/internal/controller/client_calls.go
@@ -24,13 +24,13 @@
 	call := &queryCall{
 		groupName: string(name),
 		id:        string(id),
-		patience:  patience,
+		timeout:   patience,
 		key:       key,
 		hasKey:    hasKey,
 		statement: statement,
-		from:      From{cl.connection.RemoteAddress, fields},
+		from:      CallOrigin{cl.connection.RemoteAddress, fields},
 	}
-	if len(cl.calls) >= cl.limits.OpenQueries {
+	if len(cl.calls) >= cl.limits.MaxOpenQueries {
 		why := cl.validateCall(call)
 		if why != "" {
 			cl.Wrong(messageID, why)
@@ -57,7 +57,7 @@
 
 // Alive answers whether the controller has an endpoint list and, with peers, may serve.
 func (cl *client) Alive(messageID uint32) {
-	cl.counters.aliveCalls++
+	cl.counters.aliveRequests++
 	ready := cl.discovery.listed && (cl.servingLease == nil || cl.servingLease.acceptsQueries())
 	cl.reply(msgpackrpc.Alive(nil, messageID, ready))
 }
@@ -66,7 +66,7 @@
 func (cl *client) Left(messageID uint32) {
 	a := cl.findCall(messageID)
 	if a != nil {
-		cl.clientGone(a.query)
+		cl.abandonQuery(a.query)
 	}
 }
 
--- a/internal/controller/client_limits.go
+++ b/internal/controller/client_limits.go
@@ -20,11 +20,11 @@
 // default one.
 type ClientLimits struct {
 	Prefixes []netip.Prefix
-	// OpenQueries is how many queries may be open on one connection. Default: 32.
-	OpenQueries int
-	// MessagesPerSweep is how many messages one connection may send in a quarter of a second.
+	// MaxOpenQueries is how many queries may be open on one connection. Default: 32.
+	MaxOpenQueries int
+	// MaxMessagesPerSweep is how many messages one connection may send in a quarter of a second.
 	// Default: 128.
-	MessagesPerSweep int
+	MaxMessagesPerSweep int
 	// IdleTimeout is how long a connection stays open with no query open on it. Default: 6 s.
 	IdleTimeout time.Duration
 	// MessageTimeout is how long a message may take to come whole, from its first byte, or from the
@@ -33,8 +33,8 @@
 }
 
 func (l ClientLimits) withDefaults() ClientLimits {
-	l.OpenQueries = cmp.Or(l.OpenQueries, maxOpenQueries)
-	l.MessagesPerSweep = cmp.Or(l.MessagesPerSweep, maxMessagesPerSweep)
+	l.MaxOpenQueries = cmp.Or(l.MaxOpenQueries, maxOpenQueries)
+	l.MaxMessagesPerSweep = cmp.Or(l.MaxMessagesPerSweep, maxMessagesPerSweep)
 	l.IdleTimeout = cmp.Or(l.IdleTimeout, clientIdleTimeout)
 	l.MessageTimeout = cmp.Or(l.MessageTimeout, messageTimeout)
 	return l
--- a/internal/controller/client_test.go
+++ b/internal/controller/client_test.go
@@ -11,16 +11,16 @@
 	c, other := s.connect(), s.connect()
 	a := s.sendQuery(c, "lookup", "", 5*time.Second, 1)
 	h := s.waitForCall("POST", a.id)
-	c.ignores, a.cancelled = true, true
+	c.dropsWrites, a.cancelled = true, true
 	s.respond(h, "ok")
 	for range 3 {
-		if h := s.heldCalls; len(h) > 0 {
+		if h := s.pendingCalls; len(h) > 0 {
 			s.respond(h[0], "")
 		}
 	}
 	s.sendQuery(other, "load", "k", 25*time.Second, 2)
 	s.runUntil(s.now + 12*time.Second)
-	if !c.gone || other.gone {
+	if !c.closed || other.closed {
 		t.Fatal("it is waited for")
 	}
 }
@@ -35,7 +35,7 @@
 			t.Fatalf("%q", a.answer)
 		}
 	}
-	if c.gone {
+	if c.closed {
 		t.Fatal("the connection was ended, with a query open on it")
 	}
 	s.runUntil(s.now + 4*time.Second)
@@ -57,18 +57,18 @@
 		s.runUntil(s.now + time.Millisecond)
 	}
 	last := mute[len(mute)-1]
-	if good.gone || rested.gone || last.gone || !mute[0].gone {
+	if good.closed || rested.closed || last.closed || !mute[0].closed {
 		t.Fatal("the wrong ones made way")
 	}
 	s.receive(last, []byte{0x94, 0, 1}) // begun, and never ended
 	s.runUntil(s.now + time.Second)
 	s.receive(last, []byte{0xa1})
 	s.runUntil(s.now + 1500*time.Millisecond)
-	if !last.gone || !mute[10].gone || good.gone || rested.gone {
+	if !last.closed || !mute[10].closed || good.closed || rested.closed {
 		t.Fatal("nothing, or half a message, is waited for")
 	}
 	s.runUntil(s.now + clientIdleTimeout)
-	if !rested.gone || good.gone || a.cancelled {
+	if !rested.closed || good.closed || a.cancelled {
 		t.Fatal("idle for good, and kept")
 	}
 }
@@ -86,12 +86,12 @@
 	for i := range 20 {
 		c := s.connect()
 		s.runUntil(s.now + time.Millisecond) // its call is on the way
-		if c.gone || !stay[i+1].gone || stay[i+2].gone {
+		if c.closed || !stay[i+1].closed || stay[i+2].closed {
 			t.Fatal("a newcomer is turned off for one that just stays")
 		}
 		s.cancel(s.sendQuery(c, "lookup", "", 5*time.Second, 1))
 	}
-	if held.from.gone || held.answer != "" {
+	if held.connection.closed || held.answer != "" {
 		t.Fatal("one with a query open made way")
 	}
 }
@@ -106,33 +106,33 @@
 	}
 	for i := range 30 { // taken back in the same breath
 		call(i, fmt.Sprintf("\x82\xa5trace\xb0%016x\xa8patience\xa41000", i+1))
-		p = append(append(append(p, 0x93, 2), fix("cancelRequest")...), 0x91, 0xcd, byte(i>>8), byte(i))
+		p = append(append(append(p, 0x93, 2), fixstr("cancelRequest")...), 0x91, 0xcd, byte(i>>8), byte(i))
 	}
 	s.receive(c, p)
-	if s.controller.counters.attempts > 0 || s.controller.counters.received != 30 || len(s.controller.queries) > 0 || c.gone {
-		t.Fatal("what was taken back at once went out: ", s.controller.counters.text(s.controller))
+	if s.controller.counters.attempts > 0 || s.controller.counters.received != 30 || len(s.controller.queries) > 0 || c.closed {
+		t.Fatal("what was taken back at once went out: ", s.controller.counters.format(s.controller))
 	}
 	s.runUntil(s.now + time.Second)
 	p = nil
 	for i := range 3 * maxOpenQueries { // without a trace
 		call(i, "\x81\xa8patience\xa41000")
 	}
-	if s.receive(c, p); !c.gone || s.controller.counters.malformed != maxBadCalls+1 {
+	if s.receive(c, p); !c.closed || s.controller.counters.malformed != maxBadCalls+1 {
 		t.Fatal("calls that can't be used go on for ever: ", s.controller.counters.malformed)
 	}
 	c, p = s.connect(), nil
 	for i := range 2 * maxOpenQueries {
 		call(i, fmt.Sprintf("\x82\xa5trace\xb0%016x\xa8patience\xa41000", i+1))
 	}
-	if s.receive(c, p); !c.gone || s.controller.counters.received != 30+maxOpenQueries || s.controller.counters.attempts > 0 {
-		t.Fatal("more open than may be: ", s.controller.counters.text(s.controller))
+	if s.receive(c, p); !c.closed || s.controller.counters.received != 30+maxOpenQueries || s.controller.counters.attempts > 0 {
+		t.Fatal("more open than may be: ", s.controller.counters.format(s.controller))
 	}
 	c, p = s.connect(), nil
 	for range maxMessagesPerSweep + 10 {
 		p = append(p, "\x94\x00\x01\xa5alive\x91\x80"...)
 	}
-	if s.receive(c, p); !c.gone || s.controller.counters.aliveCalls > maxMessagesPerSweep+1 {
-		t.Fatal("it may talk without end: ", s.controller.counters.aliveCalls)
+	if s.receive(c, p); !c.closed || s.controller.counters.aliveRequests > maxMessagesPerSweep+1 {
+		t.Fatal("it may talk without end: ", s.controller.counters.aliveRequests)
 	}
 }
 
@@ -203,7 +203,7 @@
 	s.runUntil(s.now + 100*time.Millisecond)
 	s.now += 2500 * time.Millisecond
 	s.step(Event{Kind: TimerFired})
-	if a := s.sendQuery(c, "lookup", "", 5*time.Second, 1); c.gone || s.waitForCall("POST", a.id) == nil {
+	if a := s.sendQuery(c, "lookup", "", 5*time.Second, 1); c.closed || s.waitForCall("POST", a.id) == nil {
 		t.Fatal("ended though it asked in time")
 	}
 }
--- a/internal/controller/config.go
+++ b/internal/controller/config.go
@@ -21,15 +21,15 @@
 	// MemoryMB is the memory of the process in MB (2^20 bytes). All byte limits are parts of it.
 	MemoryMB float64
 	// Sockets is how many descriptors the process may use.
-	Sockets int
+	MaxDescriptors int
 	// StartedAt is the wall-clock time at which the monotonic clock of Step was 0.
 	StartedAt time.Time
 
 	// DiscoveryAddress is where the endpoint list is watched; "": there is no watch.
 	DiscoveryAddress string
-	// KnownEngines is an endpoint list, in the form of the discovery's events, to start with; it may
+	// InitialEndpoints is an endpoint list, in the form of the discovery's events, to start with; it may
 	// be empty.
-	KnownEngines []byte
+	InitialEndpoints []byte
 	// Settings are the platform's, by the names that package settings has for them.
 	Settings map[string]string
 
@@ -46,9 +46,9 @@
 	CacheLimits *resultcache.Limits
 	// Fleet is set if the controller has peers; nil: it stands alone.
 	Fleet *FleetConfig
-	// DrawUnique draws a number that no other controller draws, for the ids of invalidations;
+	// NewUniqueID draws a number that no other controller draws, for the ids of invalidations;
 	// nil: the start time is used.
-	DrawUnique func() uint64
+	NewUniqueID func() uint64
 
 	// TraceQueries logs, at debug level, every step of every query.
 	TraceQueries bool
@@ -67,8 +67,8 @@
 	IdempotencyKey  string // by which engines recognise a repeat, for groups that need one
 }
 
-// From is where a call comes from and its fields beside those of the query itself.
-type From struct {
+// CallOrigin is where a call comes from and its fields beside those of the query itself.
+type CallOrigin struct {
 	Address netip.Addr
 	Fields  msgpackrpc.Fields
 }
@@ -76,10 +76,10 @@
 // A third of the descriptors is for clients, the rest for engines, but for some kept back for the
 // listener, the discovery, the runtime and connections that are being closed.
 const (
-	clientSocketsDivisor   = 3
-	reservedSocketsMin     = 16
-	reservedSocketsDivisor = 32
-	minEngineConnections   = 2
+	clientDescriptorsDivisor   = 3
+	minReservedDescriptors     = 16
+	reservedDescriptorsDivisor = 32
+	minEngineConnections       = 2
 )
 
 // A message may take a 64th of the memory; all bytes that clients have not read, all statements, and
@@ -98,13 +98,15 @@
 // settingTrue is how the settings write a switch that is on.
 const settingTrue = "true"
 
-func (m Config) clientSockets() int { return max(1, m.Sockets/clientSocketsDivisor) }
+func (m Config) clientDescriptors() int { return max(1, m.MaxDescriptors/clientDescriptorsDivisor) }
 
-func (m Config) reservedSockets() int { return reservedSocketsMin + m.Sockets/reservedSocketsDivisor }
+func (m Config) reservedDescriptors() int {
+	return minReservedDescriptors + m.MaxDescriptors/reservedDescriptorsDivisor
+}
 
 // MaxClientConnections is how many connections of clients there may be at a time, with those that are
 // being closed.
-func (m Config) MaxClientConnections() int { return m.clientSockets() + m.reservedSockets()/2 }
+func (m Config) MaxClientConnections() int { return m.clientDescriptors() + m.reservedDescriptors()/2 }
 
 // group is what the controller knows of a resource group. It is made once; readSettings replaces
 // what a change of policy may change.
--- a/internal/controller/connection.go
+++ b/internal/controller/connection.go
@@ -35,7 +35,7 @@
 		return
 	}
 	conn.unwrittenBytes += len(p)
-	e := Effect{Kind: Write, Connection: conn, Bytes: p, Retained: c.writingRetained}
+	e := Effect{Kind: Write, Connection: conn, Bytes: p, RetainedData: c.writingRetainedData}
 	if s != nil {
 		e.PolicyVersion = s.policyVersion
 		e.Confined = s.query.confined
@@ -45,25 +45,25 @@
 	c.emit(e)
 }
 
-func (c *Controller) noteWritten(conn *Connection, n int) {
+func (c *Controller) recordWritten(conn *Connection, n int) {
 	conn.unwrittenBytes = max(0, conn.unwrittenBytes-n)
 }
 
-// accountBuffer notes how much memory a connection's buffer holds now.
-func (c *Controller) accountBuffer(conn *Connection, bytes int) {
+// recordBufferSize notes how much memory a connection's buffer holds now.
+func (c *Controller) recordBufferSize(conn *Connection, bytes int) {
 	c.bufferedBytes += bytes - conn.bufferBytes
 	conn.bufferBytes = bytes
 }
 
 // closeConnection closes a connection; ConnectionClosed follows when its descriptor is free.
 func (c *Controller) closeConnection(conn *Connection, graceful bool) {
-	c.closeWithin(conn, graceful, messageTimeout)
+	c.closeConnectionWithin(conn, graceful, messageTimeout)
 }
 
-// closeWithin closes a connection. If graceful, its peer has so long to take what was written and to
+// closeConnectionWithin closes a connection. If graceful, its peer has so long to take what was written and to
 // close its own side: closing while bytes from the peer are unread would reset the connection, and with
 // it lose what the peer has not taken yet.
-func (c *Controller) closeWithin(conn *Connection, graceful bool, within time.Duration) {
+func (c *Controller) closeConnectionWithin(conn *Connection, graceful bool, within time.Duration) {
 	if !conn.closed {
 		conn.closed = true
 		c.emit(Effect{Kind: Close, Connection: conn, Graceful: graceful, Timeout: within})
--- a/internal/controller/connection_pool.go
+++ b/internal/controller/connection_pool.go
@@ -8,7 +8,7 @@
 	open  int // connections that may hold a descriptor, also those dialled or being closed
 
 	connections []*engineConnection
-	dialled     int // since the start; numbers connections in the log
+	dialCount   int // since the start; numbers connections in the log
 
 	// calls that wait for a connection, in the order they came; polls only go when no other call waits
 	waitingCalls []*call
@@ -25,7 +25,7 @@
 		request.timeout = responseTimeout
 	}
 	if request.engine.address == "" {
-		c.runSoon(func() { c.finishCall(request, callRefused, 0, nil, nil) })
+		c.enqueueCallback(func() { c.finishCall(request, callRefused, 0, nil, nil) })
 		return
 	}
 	isNext := len(c.pool.waitingCalls) == 0 && (!request.isPoll || len(c.pool.waitingPolls) == 0)
@@ -39,7 +39,7 @@
 			c.dialEngine(request)
 			return
 		}
-		c.closeIdlestConnection()
+		c.closeLongestIdleConnection()
 	}
 	c.counters.queuedCalls++
 	if request.isPoll {
@@ -56,7 +56,7 @@
 			request := (*queue)[0]
 			ec := c.idleConnection(request)
 			if ec == nil && !request.done && c.pool.open >= c.pool.limit {
-				c.closeIdlestConnection()
+				c.closeLongestIdleConnection()
 				return
 			}
 			*queue = (*queue)[1:]
@@ -82,7 +82,7 @@
 		}
 	}
 	if found != nil && c.isIdleTooLong(found) {
-		c.cutConnection(found)
+		c.closeEngineConnection(found)
 		return nil
 	}
 	return found
@@ -110,9 +110,9 @@
 	return c.now-ec.idleSince > c.engineIdleTimeout*3/4
 }
 
-// closeIdlestConnection closes the connection, to whatever engine, that was idle longest. Its descriptor
+// closeLongestIdleConnection closes the connection, to whatever engine, that was idle longest. Its descriptor
 // is free when ConnectionClosed comes, which serves the waiting calls.
-func (c *Controller) closeIdlestConnection() {
+func (c *Controller) closeLongestIdleConnection() {
 	var idlest *engineConnection
 	for _, ec := range c.pool.connections {
 		if ec.isIdle() && (idlest == nil || ec.idleSince < idlest.idleSince) {
@@ -120,7 +120,7 @@
 		}
 	}
 	if idlest != nil {
-		c.cutConnection(idlest)
+		c.closeEngineConnection(idlest)
 	}
 }
 
@@ -131,7 +131,7 @@
 	}
 	for _, ec := range c.pool.connections {
 		if ec.connected && ec.call == nil && c.isIdleTooLong(ec) {
-			c.cutConnection(ec)
+			c.closeEngineConnection(ec)
 		}
 	}
 }
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -30,8 +30,8 @@
 	timers    timerqueue.Times
 	timerAt   time.Duration // when the TimerFired asked for is due, -1: none was
 	counters  counters
-	// writingRetained is set while data kept for tenants is being written, for Effect.Retained.
-	writingRetained bool
+	// writingRetainedData is set while data kept for tenants is being written, for Effect.RetainedData.
+	writingRetainedData bool
 
 	// queries and the clients that sent them
 	queryTable
@@ -87,13 +87,13 @@
 	c.readGroups()
 	c.readCustomers()
 	c.scheduler = scheduler.New(c, config.Seed, config.Settings)
-	if len(config.KnownEngines) > 0 {
-		err := discovery.Known(config.KnownEngines, c)
+	if len(config.InitialEndpoints) > 0 {
+		err := discovery.Known(config.InitialEndpoints, c)
 		if err != nil {
 			c.logMessage(true, "the known list can't be read: "+err.Error())
 		}
 	}
-	c.makeOptionalParts()
+	c.initOptionalComponents()
 	c.discovery.unreadableAfter = -1
 	c.connectDiscovery()
 	c.sweep()
@@ -114,8 +114,8 @@
 
 	c.clientLimits = newClientLimitTable(c.ClientLimits)
 	// a little over the clients' third: a closing connection may overlap with the client's next
-	c.maxClients = c.clientSockets() + c.reservedSockets()/4
-	c.pool.limit = max(minEngineConnections, c.Sockets-c.Sockets/clientSocketsDivisor-c.reservedSockets())
+	c.maxClients = c.clientDescriptors() + c.reservedDescriptors()/4
+	c.pool.limit = max(minEngineConnections, c.MaxDescriptors-c.MaxDescriptors/clientDescriptorsDivisor-c.reservedDescriptors())
 
 	memory := int(c.MemoryMB * megabyte)
 	c.maxMessageBytes = max(minMessageBytes, memory/messageMemoryDivisor)
@@ -124,7 +124,7 @@
 	c.maxBufferedBytes = max(minBufferedBytes, memory/sharedMemoryDivisor)
 }
 
-func (c *Controller) makeOptionalParts() {
+func (c *Controller) initOptionalComponents() {
 	if c.Tenants != nil {
 		c.fairQueue = newFairQueue(c, c.Tenants, c.FieldNames)
 	}
@@ -188,12 +188,12 @@
 	case BytesReceived:
 		c.handleBytes(conn, ev.ByteCount, ev.EndOfStream)
 	case BytesWritten:
-		c.noteWritten(conn, ev.ByteCount)
+		c.recordWritten(conn, ev.ByteCount)
 	case ConnectionClosed:
 		conn.closed = true
 		conn.onClosed()
 		conn.unwrittenBytes = 0
-		c.accountBuffer(conn, 0)
+		c.recordBufferSize(conn, 0)
 	case TimerFired:
 		c.timerAt = -1
 	case ShutdownRequested:
@@ -202,12 +202,12 @@
 		c.logCounters()
 	case SpoolWorkDone:
 		c.paging.workDone(ev.SpoolWork)
-	case FleetOrdered:
+	case FleetOrderReceived:
 		c.servingLease.handleFleetOrder(ev.Order)
 	case FleetReportRejected:
 		c.servingLease.reportRejected(ev.Report)
-	case WriteBarred:
-		c.counters.barredWrites++
+	case WriteRejected:
+		c.counters.rejectedWrites++
 		if c.servingLease != nil {
 			c.servingLease.rejectedWrites++
 		}
@@ -229,9 +229,9 @@
 	if endOfStream && conn.onEndOfStream != nil {
 		conn.onEndOfStream()
 	}
-	c.accountBuffer(conn, conn.Received.Held())
+	c.recordBufferSize(conn, conn.Received.Held())
 	if c.bufferedBytes > c.maxBufferedBytes {
-		c.relieveBuffers()
+		c.reclaimBufferMemory()
 	}
 }
 
@@ -299,8 +299,8 @@
 
 func (c *Controller) emit(e Effect) { c.effects = append(c.effects, e) }
 
-// runSoon runs a callback before the step ends.
-func (c *Controller) runSoon(callback func()) { c.callbacks = append(c.callbacks, callback) }
+// enqueueCallback runs a callback before the step ends.
+func (c *Controller) enqueueCallback(callback func()) { c.callbacks = append(c.callbacks, callback) }
 
 func (c *Controller) runAt(at time.Duration, callback func()) { c.timers.Add(at, callback) }
 
--- a/internal/controller/controller_test.go
+++ b/internal/controller/controller_test.go
@@ -26,7 +26,7 @@
 		for i := range logs {
 			s := newHarness(t, 3, sockets, nil)
 			s.runRandom(choices)
-			logs[i] = s.written
+			logs[i] = s.writeLog
 		}
 		if !slices.Equal(logs[0], logs[1]) {
 			t.Fatalf("the same events, other effects")
@@ -40,12 +40,12 @@
 	first, next := s.sendQuery(c, "load", "k", 1500*time.Millisecond, 1), s.sendQuery(c, "load", "k", 20*time.Second, 2)
 	s.respond(s.waitForCall("POST", first.id), "runs")
 	h := s.waitForCall("GET", first.id)
-	h.engine.silent = true // cut off: what it has is still at work there
+	h.engine.unresponsive = true // cut off: what it has is still at work there
 	s.runUntil(first.deadline)
 	if first.answer != "killed" {
 		t.Fatalf("%q at its client's end", first.answer)
 	}
-	s.runUntil(h.at + waits + 1990*time.Millisecond)
+	s.runUntil(h.writtenAt + engineResponseDelay + 1990*time.Millisecond)
 	if len(next.runs) > 0 {
 		t.Fatal("sent while the first may still run")
 	}
@@ -82,14 +82,14 @@
 	}
 	s.runUntil(s.now + 100*time.Millisecond)
 	next := s.sendQuery(c, "load", "k", 20*time.Second, 2)
-	h.engine.dead = true // full
+	h.engine.refusesConnections = true // full
 	s.closeConnection(h.connection)
 	s.flush()
 	s.runUntil(s.now + 2*time.Second)
 	if first.answer != "" || len(next.runs) > 0 {
 		t.Fatal("taken for dead: ", first.answer)
 	}
-	h.engine.silent = true
+	h.engine.unresponsive = true
 	s.runUntil(s.now + 4*time.Second) // posted checks the rest
 	if first.answer != "killed" || len(next.runs) != 1 {
 		t.Fatalf("%q, %d", first.answer, len(next.runs))
@@ -101,7 +101,7 @@
 	a := s.sendQuery(s.connect(), "lookup", "", 20*time.Second, 1)
 	s.respond(s.waitForCall("POST", a.id), "runs")
 	h := s.waitForCall("GET", a.id)
-	s.controller.runSoon(func() { s.controller.CancelAttempt(a.id, 0) }) // as the decisions do when they move it
+	s.controller.enqueueCallback(func() { s.controller.CancelAttempt(a.id, 0) }) // as the decisions do when they move it
 	s.step(Event{Kind: TimerFired})
 	if len(a.runs) != 1 || len(s.controller.queries[a.id].attempts) != 2 {
 		t.Fatal("sent again while the first is being given up there")
@@ -111,7 +111,7 @@
 	if len(a.runs) != 2 {
 		t.Fatal("not sent again")
 	}
-	if slices.Contains(s.heldCalls, h) {
+	if slices.Contains(s.pendingCalls, h) {
 		s.respond(h, "error") // the first one's late answer
 	}
 	s.respond(s.waitForCall("GET", a.id), "ok")
@@ -129,11 +129,11 @@
 		s.respond(s.waitForCall("POST", warm.id), "ok")
 		s.runUntil(s.now + 50*time.Millisecond)
 		for _, e := range s.connections { // what is idle now dies as the next call comes
-			e.ignores = none && e.address == "10.0.0.0:1"
+			e.dropsWrites = none && e.address == "10.0.0.0:1"
 		}
 		a := s.sendQuery(c, "load", "k", 5*time.Second, 2)
 		for _, e := range s.connections {
-			if e.address == "10.0.0.0:1" && !e.gone {
+			if e.address == "10.0.0.0:1" && !e.closed {
 				s.closeConnection(e)
 			}
 		}
@@ -161,7 +161,7 @@
 			t.Fatal("not sent: ", a.id)
 		}
 		for _, x := range a.runs {
-			if x.ended && x.keyRests {
+			if x.ended && x.keyCoolsDown {
 				t.Fatal("it went unasked for: ", a.id)
 			}
 		}
@@ -191,8 +191,8 @@
 	a := s.sendQuery(s.connect(), "load", "k", 20*time.Second, 1)
 	s.waitForCall("POST", a.id)
 	if q := s.controller.queries[a.id]; q.memoryGrantMB != 6553 || q.priority < 1 ||
-		!strings.Contains(strings.Join(s.written, "\n"), fmt.Sprintf(`Pool-Mb: 6553\r\nPool-Rank: %d\r\n`, q.priority)) {
-		t.Fatal(s.written)
+		!strings.Contains(strings.Join(s.writeLog, "\n"), fmt.Sprintf(`Pool-Mb: 6553\r\nPool-Rank: %d\r\n`, q.priority)) {
+		t.Fatal(s.writeLog)
 	}
 	s.runUntil(s.now + 1500*time.Millisecond)
 	if h := s.waitForCall("PUT", a.id); h.body != "0" { // its target runtime has passed
@@ -203,11 +203,11 @@
 func TestUnansweredHealthChecksHoldQueriesBack(t *testing.T) {
 	s := newHarness(t, 2, 256, nil)
 	c := s.connect()
-	s.allEngines()[0].silent, s.allEngines()[1].silent = true, true
+	s.sortedEngines()[0].unresponsive, s.sortedEngines()[1].unresponsive = true, true
 	a := s.sendQuery(c, "lookup", "", 3*time.Second, 1)
 	s.runUntil(s.now + 20*time.Millisecond)
 	if s.controller.counters.healthChecks == 0 || s.controller.counters.attempts > 0 {
-		t.Fatal("not looked at first: ", s.controller.counters.text(s.controller))
+		t.Fatal("not looked at first: ", s.controller.counters.format(s.controller))
 	}
 	s.runUntil(s.now + 4*time.Second)
 	if len(a.runs) > 0 || a.answer != "deferred" || s.controller.counters.attemptEnds[0] > 0 {
@@ -240,7 +240,7 @@
 		s.respond(h, how)
 		s.runUntil(s.now + responseTimeout + 100*time.Millisecond)
 		if a.answer != "finished" || len(a.runs) != 1 || s.controller.counters.attemptEnds[0] != 1 {
-			t.Fatalf("%s: %q, %s", how, a.answer, s.controller.counters.text(s.controller))
+			t.Fatalf("%s: %q, %s", how, a.answer, s.controller.counters.format(s.controller))
 		}
 	}
 }
@@ -258,26 +258,26 @@
 		t.Fatal("on the line whose answer may have a second copy behind it")
 	}
 	s.receive(h.connection, []byte("HTTP/1.1 200 x\r\nChunks: 1\r\nContent-Length: 0\r\n\r\n"))
-	if !h.connection.gone || a.answer != "finished" || b.answer != "" {
-		t.Fatalf("%v %q %q", h.connection.gone, a.answer, b.answer)
+	if !h.connection.closed || a.answer != "finished" || b.answer != "" {
+		t.Fatalf("%v %q %q", h.connection.closed, a.answer, b.answer)
 	}
 }
 
 func TestNewEngineAtKnownAddress(t *testing.T) {
 	s := newHarness(t, 1, 256, nil)
-	old := s.allEngines()[0]
+	old := s.sortedEngines()[0]
 	a := s.sendQuery(s.connect(), "lookup", "", 5*time.Second, 1)
 	s.respond(s.waitForCall("POST", a.id), "runs")
 	s.waitForCall("GET", a.id)
 	s.restartEngine(old, false)
 	next := &fakeEngine{id: "next", address: old.address, state: "SERVING", runs: map[string]*fakeRun{}}
 	s.engines[old.address] = next
-	s.listEngines(next.entry(0))
+	s.listEngines(next.endpointJSON(0))
 	s.runUntil(s.now + 300*time.Millisecond)
 	if len(a.runs) != 2 || a.runs[1].engine != next {
 		t.Fatal("not sent to the new one: ", len(a.runs))
 	}
-	for _, l := range s.written {
+	for _, l := range s.writeLog {
 		if strings.Contains(l, "DELETE") {
 			t.Fatal("the new one was told to end what the old one had: ", l)
 		}
@@ -299,15 +299,15 @@
 		if old := s.engines[m.address]; old != nil {
 			s.restartEngine(old, false)
 			old.state = "DELETED"
-			s.listEngines(old.entry(0))
+			s.listEngines(old.endpointJSON(0))
 		}
 		s.engines[m.address] = m
-		s.listEngines(m.entry(0))
+		s.listEngines(m.endpointJSON(0))
 		c := s.connect()
 		a := s.sendQuery(c, "load", "k"+strconv.Itoa(i), 5*time.Second, i)
 		b := s.sendQuery(c, "lookup", "", 5*time.Second, i)
 		s.runUntil(s.now + 20*time.Millisecond)
-		for _, h := range slices.Clone(s.heldCalls) {
+		for _, h := range slices.Clone(s.pendingCalls) {
 			if h.id == a.id || h.id == b.id {
 				s.respond(h, "ok")
 			}
@@ -318,7 +318,7 @@
 		if s.queries = s.queries[len(s.queries)-2:]; i%10 == 0 {
 			s.disconnect(c)
 		}
-		if s.connections = slices.DeleteFunc(s.connections, func(e *fakeConnection) bool { return e.gone }); i == 500 {
+		if s.connections = slices.DeleteFunc(s.connections, func(e *fakeConnection) bool { return e.closed }); i == 500 {
 			early = sizes()
 		}
 	}
@@ -339,10 +339,10 @@
 	}
 	s := newHarness(t, 1, 256, nil)
 	c, other := s.connect(), s.connect()
-	c.link.onBytes = func() { panic("of ours") }
+	c.connection.onBytes = func() { panic("of ours") }
 	s.receive(c, []byte{0x94})
-	if !c.gone || other.gone || !strings.Contains(strings.Join(s.logged, ""), "of ours") {
-		t.Fatal(s.logged)
+	if !c.closed || other.closed || !strings.Contains(strings.Join(s.logLines, ""), "of ours") {
+		t.Fatal(s.logLines)
 	}
 	a := s.sendQuery(other, "lookup", "", 5*time.Second, 1)
 	s.respond(s.waitForCall("POST", a.id), "ok")
@@ -361,7 +361,7 @@
 		a := s.sendQuery(c, "lookup", "", 30*time.Second, 1)
 		s.runUntil(s.now + 10*time.Millisecond)
 		s.cancel(a)
-		if c.messages > 100 {
+		if c.messageCount > 100 {
 			c = s.connect()
 		}
 	}
@@ -383,11 +383,11 @@
 		s.sendQuery(c, "load", "k", 9*time.Second, 1)
 		s.runUntil(s.now + 5*time.Millisecond)
 		h := s.waitForCall("POST", a.id)
-		h.run.untaken = true
+		h.run.unregistered = true
 		if lose == "reset" {
 			s.respond(h, "lost")
 		} else {
-			s.heldCalls = nil // nothing is ever heard of it
+			s.pendingCalls = nil // nothing is ever heard of it
 		}
 		if s.runUntil(s.now + 500*time.Millisecond); lose == "mute" && !h.connection.aborted {
 			t.Fatal("what starts it may still arrive once the link heals")
@@ -411,10 +411,10 @@
 	if s.controller.counters.healthChecks != 1 || s.controller.counters.dials != 1 {
 		t.Fatalf("%d looks, %d connections", s.controller.counters.healthChecks, s.controller.counters.dials)
 	}
-	s.heldCalls = nil // answered behind the copy, on a connection that is then gone
+	s.pendingCalls = nil // answered behind the copy, on a connection that is then gone
 	s.receive(h.connection, []byte("HTTP/1.1 200 x\r\nX-Load: inflight:3;util:0.5\r\nContent-Length: 0\r\n\r\n"))
-	if !h.connection.gone || a.answer != "" {
-		t.Fatalf("%v %q", h.connection.gone, a.answer)
+	if !h.connection.closed || a.answer != "" {
+		t.Fatalf("%v %q", h.connection.closed, a.answer)
 	}
 	s.finishRun(h.run)
 	if s.runUntil(s.now + 500*time.Millisecond); a.answer != "finished" || len(a.runs) != 1 {
@@ -431,14 +431,14 @@
 		s.sendQuery(c, "lookup", "", 2*time.Second, 3)
 	}
 	s.runUntil(s.now + 3*time.Second)
-	for _, m := range s.allEngines() {
+	for _, m := range s.sortedEngines() {
 		m.networkCut = true
 	}
 	first := s.sendQuery(c, "load", "k", 20*time.Second, 1)
 	s.runUntil(s.now + 60*time.Millisecond)
 	var at *fakeEngine
-	for _, m := range s.allEngines() {
-		if slices.ContainsFunc(m.delayed, func(h *heldCall) bool { return strings.Contains(h.head, first.id) }) {
+	for _, m := range s.sortedEngines() {
+		if slices.ContainsFunc(m.delayedCalls, func(h *pendingCall) bool { return strings.Contains(h.head, first.id) }) {
 			at = m
 		}
 	}
@@ -447,16 +447,16 @@
 		t.Fatal("the call is not on its way")
 	}
 	next := s.sendQuery(c, "load", "k", 20*time.Second, 2)
-	for _, m := range s.allEngines() {
+	for _, m := range s.sortedEngines() {
 		if m != at {
-			s.heal(m)
+			s.healNetwork(m)
 		}
 	}
 	s.runUntil(s.now + 8*time.Second)
 	if first.answer != "killed" || len(next.runs) != 1 {
 		t.Fatalf("%q, the next was sent %d times", first.answer, len(next.runs))
 	}
-	s.heal(at) // posted judges what arrives
+	s.healNetwork(at) // posted judges what arrives
 	s.runUntil(s.now + time.Second)
 }
 
@@ -492,15 +492,15 @@
 	c := s.connect()
 	s.sendQuery(c, "lookup", "", 2*time.Second, 3) // so that there is a connection
 	s.runUntil(s.now + 3*time.Second)
-	m := s.allEngines()[0]
+	m := s.sortedEngines()[0]
 	m.networkCut = true
 	first := s.sendQuery(c, "load", "k", 20*time.Second, 1)
 	next := s.sendQuery(c, "load", "k", 20*time.Second, 2)
-	if s.runUntil(s.now + 60*time.Millisecond); len(m.delayed) == 0 {
+	if s.runUntil(s.now + 60*time.Millisecond); len(m.delayedCalls) == 0 {
 		t.Fatal("the call is not on its way")
 	}
 	s.now += 3 * time.Second
-	s.heal(m)
+	s.healNetwork(m)
 	s.step(Event{Kind: TimerFired})
 	s.runUntil(s.now + time.Second) // posted checks the order
 	if len(first.runs) != 1 || len(next.runs) > 0 {
--- a/internal/controller/counters.go
+++ b/internal/controller/counters.go
@@ -13,11 +13,11 @@
 // docs/oncall.md.
 type counters struct {
 	// clients
-	connections  int // accepted
-	disconnected int // closed by us for a limit that was passed
-	idleClosed   int
-	malformed    int // messages and calls that can't be used
-	aliveCalls   int
+	connections   int // accepted
+	disconnected  int // closed by us for a limit that was passed
+	idleClosed    int
+	malformed     int // messages and calls that can't be used
+	aliveRequests int
 
 	// queries
 	received  int
@@ -27,17 +27,17 @@
 	abandoned int // cancelled by their clients, or their clients went
 
 	// engines
-	attempts        int
-	attemptEnds     [outcomeCount]int // by outcome
-	healthChecks    int
-	dials           int
-	queuedCalls     int // that had to wait for a connection
-	barredWrites    int // whose guards failed right before the first byte
-	engineResponses int
-	progressNotes   int
-	unexpected      int // responses that can't be used, and what of the list is not understood
-	repolls         int // calls that came to nothing and were repeated
-	firstByteDelays []time.Duration
+	attempts           int
+	attemptEnds        [outcomeCount]int // by outcome
+	healthChecks       int
+	dials              int
+	queuedCalls        int // that had to wait for a connection
+	rejectedWrites     int // whose guards failed right before the first byte
+	engineResponses    int
+	progressNotes      int
+	unexpectedMessages int // responses that can't be used, and what of the list is not understood
+	pollRetries        int // calls that came to nothing and were repeated
+	firstByteDelays    []time.Duration
 
 	// discovery
 	listEvents      int
@@ -65,7 +65,7 @@
 }
 
 // text is the line of the log.
-func (n *counters) text(c *Controller) string {
+func (n *counters) format(c *Controller) string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "taken %d finished %d deferred %d killed %d left %d open %d",
 		n.received, n.finished, n.deferred, n.killed, n.abandoned, len(c.queries))
@@ -103,10 +103,10 @@
 	}
 	fmt.Fprintf(b, "; engine answers %d notes %d odd %d asked again %d probes %d dials %d"+
 		" links %d of %d waited %d",
-		n.engineResponses, n.progressNotes, n.unexpected, n.repolls, n.healthChecks, n.dials,
+		n.engineResponses, n.progressNotes, n.unexpectedMessages, n.pollRetries, n.healthChecks, n.dials,
 		c.pool.open, c.pool.limit, n.queuedCalls)
-	if n.barredWrites > 0 {
-		fmt.Fprintf(b, " barred %d", n.barredWrites)
+	if n.rejectedWrites > 0 {
+		fmt.Fprintf(b, " barred %d", n.rejectedWrites)
 	}
 }
 
--- a/internal/controller/discovery.go
+++ b/internal/controller/discovery.go
@@ -30,7 +30,7 @@
 	// discoveryHeartbeat is how often the discovery sends at least a number, by the protocol.
 	discoveryHeartbeat = time.Second
 	// discoverySilentAfter is when a heartbeat counts as missing: events since may be missing, too.
-	discoverySilentAfter = discoveryHeartbeat + 5*networkDelay
+	discoverySilentAfter = discoveryHeartbeat + 5*maxNetworkDelay
 	discoveryDialTimeout = 800 * time.Millisecond
 	minDiscoveryBackoff  = 50 * time.Millisecond
 	maxDiscoveryBackoff  = 800 * time.Millisecond
@@ -145,9 +145,9 @@
 		case d.connection != conn:
 		case c.now-d.heardAt < discoverySilentAfter:
 			c.watchHeartbeat(conn)
-		case c.now > due+networkDelay:
+		case c.now > due+maxNetworkDelay:
 			// this process stood still: what came meanwhile is read first
-			d.heardAt = c.now + networkDelay - discoverySilentAfter
+			d.heardAt = c.now + maxNetworkDelay - discoverySilentAfter
 			c.watchHeartbeat(conn)
 		default:
 			c.counters.discoveryFaults++
@@ -208,7 +208,7 @@
 		c.engines[id] = e
 	}
 	if address != "" && address != e.address {
-		c.vacateAddress(e)
+		c.releaseAddress(e)
 		e.address = address
 	}
 	if e.state != state && state == scheduler.EngineRemoved {
@@ -238,13 +238,13 @@
 	}
 	if holder != nil {
 		if e.state == scheduler.EngineRemoved && holder.state != scheduler.EngineRemoved {
-			c.vacateAddress(e)
+			c.releaseAddress(e)
 			return
 		}
 		if holder.state == scheduler.EngineActive && e.state == scheduler.EngineActive {
-			c.logAbout(LogFields{Engine: holder.id}, "has its address no more, "+e.id+" is listed there")
+			c.logWithFields(LogFields{Engine: holder.id}, "has its address no more, "+e.id+" is listed there")
 		}
-		c.vacateAddress(holder)
+		c.releaseAddress(holder)
 	}
 	c.engineByAddress[e.address] = e
 }
@@ -273,13 +273,13 @@
 	e.removedAt = c.now
 	for _, ec := range e.connections {
 		if ec.connected && ec.call == nil {
-			c.cutConnection(ec)
+			c.closeEngineConnection(ec)
 		}
 	}
 }
 
 // Odd takes what of an event is not understood.
 func (c *Controller) Odd(why string) {
-	c.counters.unexpected++
+	c.counters.unexpectedMessages++
 	c.logMessage(true, "passed over in the list: "+why)
 }
--- a/internal/controller/discovery_heartbeat_test.go
+++ b/internal/controller/discovery_heartbeat_test.go
@@ -19,14 +19,14 @@
 				s.runUntil(10 * time.Millisecond)
 				s.listEngines("")
 			}
-			watch, from, m := s.feed, s.now, s.allEngines()[0]
-			watch.up = true
+			watch, from, m := s.discovery, s.now, s.sortedEngines()[0]
+			watch.established = true
 			if !spoke {
-				s.step(Event{Kind: Connected, Connection: watch.link})
+				s.step(Event{Kind: Connected, Connection: watch.connection})
 			}
 			m.state = "DRAINING" // told in that very moment, and never heard on this one
-			for s.feed == watch || !s.feed.up {
-				if s.runUntil(s.now + 100*time.Millisecond); s.feed == watch {
+			for s.discovery == watch || !s.discovery.established {
+				if s.runUntil(s.now + 100*time.Millisecond); s.discovery == watch {
 					says(s, watch)
 				}
 				if s.now-from > 1500*time.Millisecond {
@@ -36,7 +36,7 @@
 			if s.controller.counters.discoveryFaults != 1 {
 				t.Fatalf("%d faults of the feed", s.controller.counters.discoveryFaults)
 			}
-			s.listEngines(m.entry(0))
+			s.listEngines(m.endpointJSON(0))
 			a := s.sendQuery(s.connect(), "lookup", "", 500*time.Millisecond, 1)
 			if s.runUntil(s.now + time.Second); len(a.runs) > 0 {
 				t.Fatalf("%s: sent to an engine that drains", what)
@@ -50,14 +50,14 @@
 	s := newHarness(t, 1, 256, nil)
 	s.runUntil(10 * time.Millisecond)
 	s.listEngines("")
-	watch := s.feed
+	watch := s.discovery
 	s.now += 3 * time.Second
 	s.step(Event{Kind: TimerFired})
-	if s.listEngines(""); s.feed != watch || s.controller.counters.discoveryFaults > 0 {
+	if s.listEngines(""); s.discovery != watch || s.controller.counters.discoveryFaults > 0 {
 		t.Fatal("a feed that spoke all the time was given up")
 	}
 	s.runUntil(s.now + 1400*time.Millisecond)
-	if s.feed == watch {
+	if s.discovery == watch {
 		t.Fatal("it has fallen silent since, and is still waited for")
 	}
 }
--- a/internal/controller/discovery_test.go
+++ b/internal/controller/discovery_test.go
@@ -12,22 +12,22 @@
 
 func TestDiscoveryGapIsAskedForAgain(t *testing.T) {
 	s := newHarness(t, 1, 256, nil)
-	m := s.allEngines()[0]
+	m := s.sortedEngines()[0]
 	s.runUntil(s.now + 10*time.Millisecond)
 	m.state = "DRAINING"
-	first := s.feed
-	s.events++ // lost on its way
-	s.listEngines(m.entry(0))
-	if !first.gone || s.controller.discovery.lastEvent != 1 {
+	first := s.discovery
+	s.lastEventNumber++ // lost on its way
+	s.listEngines(m.endpointJSON(0))
+	if !first.closed || s.controller.discovery.lastEvent != 1 {
 		t.Fatal("a gap was passed over")
 	}
 	s.runUntil(s.now + time.Second)
-	if s.feed == first || !strings.Contains(strings.Join(s.written, "\n"), `"SUB 1\n"`) {
+	if s.discovery == first || !strings.Contains(strings.Join(s.writeLog, "\n"), `"SUB 1\n"`) {
 		t.Fatal("it did not ask again")
 	}
-	quiet := s.feed
+	quiet := s.discovery
 	s.runUntil(s.now + 4*time.Second)
-	if s.feed == quiet {
+	if s.discovery == quiet {
 		t.Fatal("a feed that says nothing is waited for")
 	}
 }
@@ -54,15 +54,15 @@
 		s.runUntil(s.now + 2*time.Second)
 		s.listEngines("")
 		down := s.now
-		s.feedUp = false
-		s.closeConnection(s.feed)
+		s.discoveryReachable = false
+		s.closeConnection(s.discovery)
 		s.flush()
 		dials := s.controller.counters.discoveryDials
 		if s.runUntil(down + 5*time.Second); s.controller.counters.discoveryDials-dials > 10 {
 			t.Fatalf("%d calls for a list that nobody counts on yet", s.controller.counters.discoveryDials-dials)
 		}
 		s.runUntil(down + 7*time.Second + time.Duration(late)*90*time.Millisecond)
-		s.feedUp = true
+		s.discoveryReachable = true
 		for back := s.now; s.controller.discovery.lastHeardAt <= down; s.runUntil(s.now + 10*time.Millisecond) {
 			if s.now > back+500*time.Millisecond {
 				t.Fatalf("back at %v and not heard by %v", back-down, s.now-down)
@@ -74,10 +74,10 @@
 func TestCompleteListRemovesAllOtherEngines(t *testing.T) {
 	s := newHarness(t, 2, 256, nil)
 	s.runUntil(s.now + 10*time.Millisecond)
-	m := s.allEngines()[1]
+	m := s.sortedEngines()[1]
 	a := s.sendQuery(s.connect(), "lookup", "", 5*time.Second, 1)
-	s.events++
-	s.receive(s.feed, []byte(fmt.Sprintf(`{"n":%d,"members":{"complete":true,"members":[%s]}}`+"\n", s.events, m.entry(0))))
+	s.lastEventNumber++
+	s.receive(s.discovery, []byte(fmt.Sprintf(`{"n":%d,"members":{"complete":true,"members":[%s]}}`+"\n", s.lastEventNumber, m.endpointJSON(0))))
 	s.runUntil(s.now + time.Second)
 	if s.controller.engines["e0"].state != 2 || s.controller.engines["e1"].state != 0 || len(a.runs) > 0 && a.runs[0].engine != m {
 		t.Fatal("one left out of the whole list is still there")
@@ -95,15 +95,15 @@
 	var members []string
 	for i := range 20_000 {
 		m := &fakeEngine{id: "big" + strconv.Itoa(i), address: fmt.Sprintf("10.%d.%d.%d:6565", 1+i/62500, i/250%250, 1+i%250), state: "SERVING"}
-		members = append(members, m.entry(0))
+		members = append(members, m.endpointJSON(0))
 	}
 	s.listEngines(strings.Join(members, ","))
 	if n := len(s.controller.engines); n != 20_001 || s.controller.counters.discoveryFaults > 0 {
 		t.Fatalf("%d engines, %d faults", n, s.controller.counters.discoveryFaults)
 	}
 	s.listEngines(`{"id":"big7","phase":"WHATEVER"},{"phase":"SERVING"},{"id":"big8","host_port":"10.1.0.9:6565","phase":"DELETED"}`)
-	if s.controller.counters.unexpected != 2 || s.controller.discovery.lastEvent != s.events || s.controller.engines["big8"].state != scheduler.EngineRemoved {
-		t.Fatalf("%d odd, event %d of %d", s.controller.counters.unexpected, s.controller.discovery.lastEvent, s.events)
+	if s.controller.counters.unexpectedMessages != 2 || s.controller.discovery.lastEvent != s.lastEventNumber || s.controller.engines["big8"].state != scheduler.EngineRemoved {
+		t.Fatalf("%d odd, event %d of %d", s.controller.counters.unexpectedMessages, s.controller.discovery.lastEvent, s.lastEventNumber)
 	}
 }
 
@@ -113,19 +113,19 @@
 	s := newHarness(t, 2, 96, nil)
 	s.runUntil(10 * time.Millisecond)
 	twice := func() {
-		s.receive(s.feed, []byte("{\"n\":2,\"members\":[[\n"))
+		s.receive(s.discovery, []byte("{\"n\":2,\"members\":[[\n"))
 		s.runUntil(s.now + 200*time.Millisecond) // it is dialled anew
-		s.receive(s.feed, []byte("{\"n\":2,\"members\":[[\n"))
-		s.events++
+		s.receive(s.discovery, []byte("{\"n\":2,\"members\":[[\n"))
+		s.lastEventNumber++
 	}
 	first := s.controller.discovery.connection
 	twice()
 	if s.controller.discovery.connection == first {
 		t.Fatal("not asked for once more")
 	}
-	m := s.allEngines()[0]
+	m := s.sortedEngines()[0]
 	m.state = "DRAINING"
-	s.listEngines(m.entry(0)) // the one after it
+	s.listEngines(m.endpointJSON(0)) // the one after it
 	if s.controller.discovery.lastEvent != 3 || s.controller.engines[m.id].state != scheduler.EngineDraining || s.controller.counters.discoveryFaults != 1 {
 		t.Fatalf("event %d, %d faults", s.controller.discovery.lastEvent, s.controller.counters.discoveryFaults)
 	}
@@ -134,8 +134,8 @@
 		t.Fatalf("event %d, %d faults", s.controller.discovery.lastEvent, s.controller.counters.discoveryFaults)
 	}
 	m.state = "SERVING" // a start that no clock knows
-	s.listEngines(strings.Replace(m.entry(0), `"up_since_ms":0`, `"up_since_ms":1e300`, 1))
-	if s.controller.engines[m.id].state != scheduler.EngineActive || s.controller.counters.unexpected != 1 {
-		t.Fatalf("%v, %d odd", s.controller.engines[m.id].state, s.controller.counters.unexpected)
+	s.listEngines(strings.Replace(m.endpointJSON(0), `"up_since_ms":0`, `"up_since_ms":1e300`, 1))
+	if s.controller.engines[m.id].state != scheduler.EngineActive || s.controller.counters.unexpectedMessages != 1 {
+		t.Fatalf("%v, %d odd", s.controller.engines[m.id].state, s.controller.counters.unexpectedMessages)
 	}
 }
--- a/internal/controller/effects.go
+++ b/internal/controller/effects.go
@@ -54,15 +54,15 @@
 	Report    *fleet.Report
 
 	// Guards of a Write. The runner checks them right before the first byte, by the clock as it is
-	// then; if one fails nothing is written and WriteBarred is reported.
+	// then; if one fails nothing is written and WriteRejected is reported.
 
 	// PolicyVersion is the version of the policy that the bytes were decided by, 0: any. They go
 	// out only while that version is committed, and under the lease of confined tenants if Confined.
 	PolicyVersion uint64
 	Confined      bool
-	// Retained marks data kept for a tenant (spooled results, cached answers). It goes out only
+	// RetainedData marks data kept for a tenant (spooled results, cached answers). It goes out only
 	// while the lease of confined tenants holds.
-	Retained bool
+	RetainedData bool
 	// Permit is that of the write that starts a query at an engine; nil: none is needed.
 	Permit *WritePermit
 	// Client is the connection of the client that a query came by. What the runner has received from
--- a/internal/controller/engine.go
+++ b/internal/controller/engine.go
@@ -41,8 +41,8 @@
 	return slices.ContainsFunc(e.cancelling, func(s *attempt) bool { return s.query.id == queryID })
 }
 
-// cancelDone notes that a cancelled attempt is over, and sends those that waited for it.
-func (e *engine) cancelDone(s *attempt) {
+// cancellationDone notes that a cancelled attempt is over, and sends those that waited for it.
+func (e *engine) cancellationDone(s *attempt) {
 	i := slices.Index(e.cancelling, s)
 	if i >= 0 {
 		e.cancelling = slices.Delete(e.cancelling, i, i+1)
@@ -68,15 +68,15 @@
 	}
 }
 
-// vacateAddress takes an engine's address from it, as another engine has that now: its process is gone,
+// releaseAddress takes an engine's address from it, as another engine has that now: its process is gone,
 // and its calls must not reach the other one, which may run a query of the same id.
-func (c *Controller) vacateAddress(e *engine) {
+func (c *Controller) releaseAddress(e *engine) {
 	if c.engineByAddress[e.address] == e {
 		delete(c.engineByAddress, e.address)
 	}
 	e.address = ""
 	for _, ec := range e.connections {
-		c.cutConnection(ec)
+		c.closeEngineConnection(ec)
 	}
 }
 
@@ -85,7 +85,7 @@
 	for id, e := range c.engines {
 		inUse := e.unreportedAttempts + len(e.connections) + len(e.cancelling) + len(e.waitingForID)
 		if e.state == scheduler.EngineRemoved && c.now-e.removedAt > c.longestQueryTimeout && inUse == 0 {
-			c.vacateAddress(e)
+			c.releaseAddress(e)
 			delete(c.engines, id)
 		}
 	}
--- a/internal/controller/engine_call.go
+++ b/internal/controller/engine_call.go
@@ -35,7 +35,7 @@
 const (
 	// responseTimeout bounds the wait for a response: an engine holds a poll for longPollTimeout at
 	// most, and what is waited for a lost response is missing from short query timeouts.
-	responseTimeout = longPollTimeout + 3*networkDelay
+	responseTimeout = longPollTimeout + 3*maxNetworkDelay
 	// maxResponseBytes bounds a response. No page of a result is larger, whatever length it claims.
 	maxResponseBytes = 64 << 10
 )
@@ -54,9 +54,9 @@
 	validResponse func(status int, field func(string) string, body []byte) bool
 	onResult      func(as callResult, status int, field func(string) string, body []byte)
 
-	startsAttempt bool // it submits the query: written only by the attempt's permit and policy version
-	keepsQuery    bool // the engine retains the query for some time from its arrival on
-	isPoll        bool // it gives way to all other calls when connections are short
+	startsAttempt    bool // it submits the query: written only by the attempt's permit and policy version
+	extendsRetention bool // the engine retains the query for some time from its arrival on
+	isPoll           bool // it gives way to all other calls when connections are short
 
 	timeout      time.Duration // for the response, 0: responseTimeout
 	timer        *timerqueue.Item
--- a/internal/controller/engine_connection.go
+++ b/internal/controller/engine_connection.go
@@ -33,8 +33,8 @@
 // dialEngine opens a connection for a call.
 func (c *Controller) dialEngine(request *call) {
 	e := request.engine
-	c.pool.dialled++
-	ec := &engineConnection{connection: &Connection{}, number: c.pool.dialled, engine: e, call: request}
+	c.pool.dialCount++
+	ec := &engineConnection{connection: &Connection{}, number: c.pool.dialCount, engine: e, call: request}
 	if c.TraceQueries && request.attempt != nil {
 		c.trace(request.attempt.logFields(), "line %d dialled for %s", ec.number, request.method)
 	}
@@ -61,7 +61,7 @@
 }
 
 func (c *Controller) engineDialFailed(ec *engineConnection, refused bool) {
-	c.connectionGone(ec)
+	c.removeEngineConnection(ec)
 	if refused {
 		c.failCall(ec, callRefused)
 	} else {
@@ -70,25 +70,25 @@
 }
 
 func (c *Controller) engineConnectionClosed(ec *engineConnection) {
-	c.connectionGone(ec)
+	c.removeEngineConnection(ec)
 	if ec.call != nil && ec.connection.unwrittenBytes >= ec.call.requestBytes {
 		c.failCall(ec, callNotWritten)
 	}
 	c.failCall(ec, callConnectionLost)
 }
 
-// cutConnection closes a connection. With a call under way the bytes of that must not arrive later: a
+// closeEngineConnection closes a connection. With a call under way the bytes of that must not arrive later: a
 // kernel left to itself goes on sending for minutes, and would start a query behind a network that heals
 // long after the query was held to be over.
-func (c *Controller) cutConnection(ec *engineConnection) {
+func (c *Controller) closeEngineConnection(ec *engineConnection) {
 	if !ec.connection.closed {
 		ec.connection.closed = true
 		c.emit(Effect{Kind: Close, Connection: ec.connection, Abort: ec.call != nil})
 	}
 }
 
-// connectionGone notes that a connection holds no descriptor any more.
-func (c *Controller) connectionGone(ec *engineConnection) {
+// removeEngineConnection notes that a connection holds no descriptor any more.
+func (c *Controller) removeEngineConnection(ec *engineConnection) {
 	isThis := func(x *engineConnection) bool { return x == ec }
 	ec.engine.connections = slices.DeleteFunc(ec.engine.connections, isThis)
 	c.pool.connections = slices.DeleteFunc(c.pool.connections, isThis)
@@ -96,9 +96,9 @@
 	request := ec.lastWritten
 	if request != nil {
 		ec.lastWritten = nil
-		request.arrivalKnown()
+		request.recordArrival()
 	}
-	c.runSoon(c.serveWaitingCalls)
+	c.enqueueCallback(c.serveWaitingCalls)
 }
 
 // writeCall writes a call on a connection that is established and carries none.
@@ -117,7 +117,7 @@
 	ec.lastAttempt = request.attempt
 	ec.healthChecked = false
 	ec.changedPriority = request.method == "PUT"
-	if request.attempt != nil && request.keepsQuery {
+	if request.attempt != nil && request.extendsRetention {
 		request.attempt.callsInFlight++
 	}
 	if c.TraceQueries && request.attempt != nil {
@@ -133,7 +133,7 @@
 
 func (c *Controller) responseTimedOut(ec *engineConnection, request *call) {
 	if !request.done {
-		c.cutConnection(ec)
+		c.closeEngineConnection(ec)
 		ec.call = nil
 		c.finishCall(request, callNoResponse, 0, nil, nil)
 	}
@@ -145,7 +145,7 @@
 	ec.call = nil
 	ec.idleSince = c.now
 	if len(c.pool.waitingCalls)+len(c.pool.waitingPolls) > 0 {
-		c.runSoon(c.serveWaitingCalls)
+		c.enqueueCallback(c.serveWaitingCalls)
 		c.runAfter(connectionReuseDelay, c.serveWaitingCalls)
 	}
 }
@@ -154,8 +154,8 @@
 func (c *Controller) readResponses(ec *engineConnection) {
 	if ec.call == nil {
 		if len(ec.connection.Received.Bytes()) > 0 { // a response to nothing
-			c.counters.unexpected++
-			c.cutConnection(ec)
+			c.counters.unexpectedMessages++
+			c.closeEngineConnection(ec)
 		}
 		return
 	}
@@ -190,15 +190,15 @@
 	moreBehind := len(received.Bytes()) > 0
 	// with more behind a body its length may be wrong, and then the result is not all there
 	if err != nil || !valid || moreBehind && hasBody {
-		c.counters.unexpected++
-		c.cutConnection(ec)
+		c.counters.unexpectedMessages++
+		c.closeEngineConnection(ec)
 		c.failCall(ec, callMalformedResponse)
 		return false
 	}
 	c.counters.engineResponses++
 	if !keepAlive || moreBehind {
 		ec.call = nil
-		c.cutConnection(ec)
+		c.closeEngineConnection(ec)
 	} else {
 		ec.healthChecked = request.attempt == nil && isOK
 		c.releaseConnection(ec)
@@ -206,7 +206,7 @@
 	request.answered = true
 	if ec.lastWritten == request {
 		ec.lastWritten = nil
-		request.arrivalKnown()
+		request.recordArrival()
 	}
 	finish() // last, as it may start a call that the connection can carry
 	return true
--- a/internal/controller/events.go
+++ b/internal/controller/events.go
@@ -35,13 +35,13 @@
 	ConfigurationReloaded
 	// SpoolWorkDone: SpoolWork was done on the disk, or failed.
 	SpoolWorkDone
-	// FleetOrdered: the fleet's side gives Order.
-	FleetOrdered
+	// FleetOrderReceived: the fleet's side gives Order.
+	FleetOrderReceived
 	// FleetReportRejected: there was no room for Report; it is to be sent again.
 	FleetReportRejected
-	// WriteBarred: a guarded Write on Connection was not performed since its policy version, lease or
+	// WriteRejected: a guarded Write on Connection was not performed since its policy version, lease or
 	// permit no longer held. The end of the connection follows as an event of its own.
-	WriteBarred
+	WriteRejected
 )
 
 // Event is one thing that happened, as the runner reports it to Controller.Step. Which fields
--- a/internal/controller/fair_queue.go
+++ b/internal/controller/fair_queue.go
@@ -81,7 +81,7 @@
 func (f *fairQueue) priorityChanged(w *fairqueue.Query, lowered bool) {
 	q := w.Owner.(*query)
 	if lowered {
-		f.logAbout(f.waiterFields(q, w), "makes way: its priority is the least for now")
+		f.logWithFields(f.waiterFields(q, w), "makes way: its priority is the least for now")
 	}
 	for _, s := range q.attempts {
 		f.sendPriority(s)
@@ -93,7 +93,7 @@
 }
 
 // enqueue takes a query in, or defers it at once if its wait would be too long.
-func (f *fairQueue) enqueue(q *query, from From) {
+func (f *fairQueue) enqueue(q *query, from CallOrigin) {
 	if f.isDraining() { // the scheduler rejects it
 		f.scheduler.QueryArrived(f.now, q.id, q.group.index, q.customer, q.deadline-f.now,
 			q.tableGroup, q.keyNumber, q.estimatedWork, q.estimatedMemoryMB)
@@ -102,11 +102,11 @@
 	w := f.newWaiter(q, from)
 	verdict := f.queue.Enqueue(f.now, w)
 	if !verdict.Admitted {
-		f.logAbout(f.waiterFields(q, w), "deferred: "+verdict.Reason.String()+", "+verdict.Estimate.String())
+		f.logWithFields(f.waiterFields(q, w), "deferred: "+verdict.Reason.String()+", "+verdict.Estimate.String())
 		f.answerDeferred(q, f.retryAfter(verdict.Estimate))
 		return
 	}
-	q.waiter = w
+	q.fairEntry = w
 	q.waitTimer = f.timers.Add(f.queue.LatestStart(w), func() {
 		if w.Waiting() && !q.answered {
 			f.answerDeferred(q, f.retryAfter(f.queue.RetryAfter(f.now, w)))
@@ -120,7 +120,7 @@
 	}
 }
 
-func (f *fairQueue) newWaiter(q *query, from From) *fairqueue.Query {
+func (f *fairQueue) newWaiter(q *query, from CallOrigin) *fairqueue.Query {
 	w := &fairqueue.Query{
 		Owner:         q,
 		Lane:          q.group.index,
@@ -168,26 +168,26 @@
 }
 
 func (f *fairQueue) attemptStarted(q *query) {
-	if q.waiter != nil {
-		f.queue.Started(f.now, q.waiter)
+	if q.fairEntry != nil {
+		f.queue.Started(f.now, q.fairEntry)
 	}
 }
 
 // queryClosed takes a query that waits out at once. One that was submitted leaves with queryOver.
 func (f *fairQueue) queryClosed(q *query, end fairqueue.Outcome) {
-	if q.waiter == nil {
+	if q.fairEntry == nil {
 		return
 	}
-	q.fairEnd = end
-	if q.waiter.Waiting() {
+	q.fairOutcome = end
+	if q.fairEntry.Waiting() {
 		f.timers.Drop(q.waitTimer)
-		f.queue.Ended(f.now, q.waiter, end, 0, 0)
+		f.queue.Ended(f.now, q.fairEntry, end, 0, 0)
 	}
 }
 
 // queryOver charges a query's work to its tenant, once none of its attempts runs.
 func (f *fairQueue) queryOver(q *query) {
-	if q.waiter == nil {
+	if q.fairEntry == nil {
 		return
 	}
 	var work, lost time.Duration // lost: the time of attempts that told no work
@@ -198,7 +198,7 @@
 			lost += max(0, s.endedAt-s.startedAt)
 		}
 	}
-	f.queue.Ended(f.now, q.waiter, q.fairEnd, work, lost)
+	f.queue.Ended(f.now, q.fairEntry, q.fairOutcome, work, lost)
 }
 
 // deferAll defers all queries that wait, as the controller shuts down.
--- a/internal/controller/fair_queue_test.go
+++ b/internal/controller/fair_queue_test.go
@@ -14,13 +14,13 @@
 // Limits on a connection follow the narrowest set that its address is in.
 func TestClientLimitsByAddress(t *testing.T) {
 	p := netip.MustParsePrefix
-	m := newClientLimitTable([]ClientLimits{{Prefixes: []netip.Prefix{p("10.0.0.0/8")}, OpenQueries: 100}, {Prefixes: []netip.Prefix{p("10.1.0.0/16")}, OpenQueries: 7, IdleTimeout: time.Minute}})
+	m := newClientLimitTable([]ClientLimits{{Prefixes: []netip.Prefix{p("10.0.0.0/8")}, MaxOpenQueries: 100}, {Prefixes: []netip.Prefix{p("10.1.0.0/16")}, MaxOpenQueries: 7, IdleTimeout: time.Minute}})
 	for from, want := range map[string]int{"10.2.0.1": 100, "10.1.0.1": 7, "::ffff:10.1.0.1": 7, "192.0.2.1": maxOpenQueries} {
-		if got := m.find(netip.MustParseAddr(from)); got.OpenQueries != want || got.MessagesPerSweep != maxMessagesPerSweep || got.MessageTimeout != messageTimeout {
+		if got := m.find(netip.MustParseAddr(from)); got.MaxOpenQueries != want || got.MaxMessagesPerSweep != maxMessagesPerSweep || got.MessageTimeout != messageTimeout {
 			t.Errorf("%s: %+v", from, got)
 		}
 	}
-	if m.find(netip.Addr{}).OpenQueries != maxOpenQueries || m.find(netip.MustParseAddr("10.1.0.1")).IdleTimeout != time.Minute {
+	if m.find(netip.Addr{}).MaxOpenQueries != maxOpenQueries || m.find(netip.MustParseAddr("10.1.0.1")).IdleTimeout != time.Minute {
 		t.Error("the platform's figures don't hold for others")
 	}
 }
@@ -30,37 +30,37 @@
 	s := newHarness(t, 1, 256, nil)
 	c := s.connect()
 	var out []byte
-	s.written = nil
+	s.writeLog = nil
 	var p []byte
 	for range maxMessagesPerSweep {
 		p = append(p, "\x94\x00\x01\xa5alive\x91\x80"...)
 	}
 	s.receive(c, p)
-	if c.gone {
+	if c.closed {
 		t.Fatal("closed for what is allowed")
 	}
 	s.receive(c, []byte("\x94\x00\x02\xa5alive\x91\x80"))
-	for _, l := range s.written {
+	for _, l := range s.writeLog {
 		out = append(out, l...)
 	}
-	if !c.gone || !bytes.Contains(out, []byte("more than 128 messages in 250ms")) {
-		t.Fatalf("gone %v, told nothing of it", c.gone)
+	if !c.closed || !bytes.Contains(out, []byte("more than 128 messages in 250ms")) {
+		t.Fatalf("gone %v, told nothing of it", c.closed)
 	}
 }
 
 // A gateway's set lets it send what would close anybody else's connection.
 func TestClientLimitsMayAllowMore(t *testing.T) {
 	s := newHarness(t, 1, 256, nil)
-	s.controller.clientLimits = newClientLimitTable([]ClientLimits{{Prefixes: []netip.Prefix{netip.MustParsePrefix("10.0.0.0/8")}, MessagesPerSweep: 5000, OpenQueries: 500}})
-	c := &fakeConnection{number: len(s.connections), link: &Connection{RemoteAddress: netip.MustParseAddr("10.9.9.9")}, client: true, up: true}
+	s.controller.clientLimits = newClientLimitTable([]ClientLimits{{Prefixes: []netip.Prefix{netip.MustParsePrefix("10.0.0.0/8")}, MaxMessagesPerSweep: 5000, MaxOpenQueries: 500}})
+	c := &fakeConnection{number: len(s.connections), connection: &Connection{RemoteAddress: netip.MustParseAddr("10.9.9.9")}, isClient: true, established: true}
 	s.connections = append(s.connections, c)
-	s.step(Event{Kind: ClientAccepted, Connection: c.link})
+	s.step(Event{Kind: ClientAccepted, Connection: c.connection})
 	var p []byte
 	for range 10 * maxMessagesPerSweep {
 		p = append(p, "\x94\x00\x01\xa5alive\x91\x80"...)
 	}
-	if s.receive(c, p); c.gone || s.controller.counters.aliveCalls != 10*maxMessagesPerSweep {
-		t.Fatalf("closed after %d", s.controller.counters.aliveCalls)
+	if s.receive(c, p); c.closed || s.controller.counters.aliveRequests != 10*maxMessagesPerSweep {
+		t.Fatalf("closed after %d", s.controller.counters.aliveRequests)
 	}
 }
 
@@ -69,20 +69,20 @@
 	s := newHarness(t, 0, 256, nil)
 	s.controller.fairQueue = newFairQueue(s.controller, &fairqueue.Config{Tenants: []fairqueue.Tenant{{Name: "a", Weight: 1}, {Name: "b", Weight: 1}},
 		TrustedAddresses: []netip.Prefix{netip.MustParsePrefix("10.0.0.0/8")}}, FieldNames{Tenant: "team", NotifyWait: "tell", RepeatOf: "first"})
-	c := &fakeConnection{number: len(s.connections), link: &Connection{RemoteAddress: netip.MustParseAddr("10.0.0.1")}, client: true, up: true}
+	c := &fakeConnection{number: len(s.connections), connection: &Connection{RemoteAddress: netip.MustParseAddr("10.0.0.1")}, isClient: true, established: true}
 	s.connections = append(s.connections, c)
-	s.step(Event{Kind: ClientAccepted, Connection: c.link})
-	c.messages++
-	a := &sentQuery{id: "00000000000000aa", group: "lookup", msg: 1, from: c, deadline: time.Minute}
+	s.step(Event{Kind: ClientAccepted, Connection: c.connection})
+	c.messageCount++
+	a := &sentQuery{id: "00000000000000aa", group: "lookup", messageID: 1, connection: c, deadline: time.Minute}
 	s.queries = append(s.queries, a)
-	call := append([]byte{0x94, 0, 1}, fix("lookup")...)
+	call := append([]byte{0x94, 0, 1}, fixstr("lookup")...)
 	call = append(call, 0x92, 0x84)
 	for _, f := range []string{"trace", a.id, "patience", "9000", "team", "b", "tell", "1"} {
-		call = append(call, fix(f)...)
+		call = append(call, fixstr(f)...)
 	}
 	s.receive(c, append(call, "\xc4\x08SELECT 1"...))
 	q := s.controller.queries[a.id]
-	if q == nil || q.waiter == nil || s.controller.fairQueue.queue.TenantName(q.waiter.Tenant) != "b" || !q.waiter.NotifyChanges {
+	if q == nil || q.fairEntry == nil || s.controller.fairQueue.queue.TenantName(q.fairEntry.Tenant) != "b" || !q.fairEntry.NotifyChanges {
 		t.Fatalf("%+v", q)
 	}
 	got := msgpackrpc.Told(nil, 300, 1234*time.Millisecond)
@@ -102,7 +102,7 @@
 	if q.effectivePriority() != 3 {
 		t.Fatal("without teams it is not the decisions'")
 	}
-	q.waiter = &fairqueue.Query{}
+	q.fairEntry = &fairqueue.Query{}
 	if q.effectivePriority() != 3 {
 		t.Fatal("lowered for nothing")
 	}
--- a/internal/controller/harness_engines_test.go
+++ b/internal/controller/harness_engines_test.go
@@ -11,30 +11,30 @@
 
 // fakeEngine is an engine.
 type fakeEngine struct {
-	id, address, state string
-	site               string
-	silent, dead       bool
-	networkCut         bool // nothing comes through; what was written is delayed until the network heals
-	delayed            []*heldCall
-	runs               map[string]*fakeRun
+	id, address, state               string
+	site                             string
+	unresponsive, refusesConnections bool
+	networkCut                       bool // nothing comes through; what was written is delayed until the network heals
+	delayedCalls                     []*pendingCall
+	runs                             map[string]*fakeRun
 }
 
 // fakeRun is an attempt as its engine sees it.
 type fakeRun struct {
 	query           *sentQuery
 	engine          *fakeEngine
-	askedAt         time.Duration
+	polledAt        time.Duration
 	ended, neverRan bool
-	keyRests        bool // it ended in a way after which its key has to rest
-	overAt          time.Duration
+	keyCoolsDown    bool // it ended in a way after which its key has to rest
+	endedAt         time.Duration
 	pages           int
-	untaken         bool // it arrived whole, and its engine does not know it yet
+	unregistered    bool // it arrived whole, and its engine does not know it yet
 }
 
-type heldCall struct {
+type pendingCall struct {
 	connection         *fakeConnection
 	engine             *fakeEngine
-	at                 time.Duration
+	writtenAt          time.Duration
 	method, path, body string
 	id                 string
 	page               int
@@ -43,7 +43,7 @@
 	delayed            bool // it was held up by a cut
 }
 
-func (m *fakeEngine) entry(up int64) string {
+func (m *fakeEngine) endpointJSON(up int64) string {
 	return fmt.Sprintf(`{"id":%q,"host_port":%q,"locality":%q,"flavor":"std","cell":1,"phase":%q,"size":1,"up_since_ms":%d}`,
 		m.id, m.address, m.site, m.state, up)
 }
@@ -65,7 +65,7 @@
 	}
 	e.received = nil
 	w := strings.Fields(head)
-	h := &heldCall{connection: e, engine: m, at: s.now, method: w[0], path: w[1], body: rest}
+	h := &pendingCall{connection: e, engine: m, writtenAt: s.now, method: w[0], path: w[1], body: rest}
 	if parts := strings.Split(h.path, "/"); len(parts) > 2 {
 		h.id = parts[2]
 		if len(parts) > 3 {
@@ -74,17 +74,17 @@
 	}
 	h.head = head
 	switch {
-	case m.silent: // it lies in a buffer for ever
+	case m.unresponsive: // it lies in a buffer for ever
 	case m.networkCut:
 		h.delayed = true
-		m.delayed = append(m.delayed, h)
+		m.delayedCalls = append(m.delayedCalls, h)
 	default:
-		s.arrive(h)
+		s.deliverCall(h)
 	}
 }
 
 // arrive takes a call that has arrived whole, perhaps long after it was written.
-func (s *harness) arrive(h *heldCall) {
+func (s *harness) deliverCall(h *pendingCall) {
 	m, head := h.engine, h.head
 	switch h.method {
 	case "POST":
@@ -92,49 +92,51 @@
 		h.id, _, _ = strings.Cut(id, "\r\n")
 		s.checkSubmission(h)
 	case "GET":
-		if h.run = m.runs[h.id]; h.run != nil && h.run.untaken {
+		if h.run = m.runs[h.id]; h.run != nil && h.run.unregistered {
 			h.run = nil
 		} else if h.run != nil && !h.run.ended && h.page == 0 {
-			h.run.askedAt = s.now
+			h.run.polledAt = s.now
 		}
 	case "DELETE":
 		if x := m.runs[h.id]; x != nil && !x.ended {
 			s.endRun(x, true)
 		}
 	}
-	if !h.connection.gone {
-		s.heldCalls = append(s.heldCalls, h)
+	if !h.connection.closed {
+		s.pendingCalls = append(s.pendingCalls, h)
 	}
 }
 
 // heal ends a cut of the network, and delivers the calls that it held up.
-func (s *harness) heal(m *fakeEngine) {
+func (s *harness) healNetwork(m *fakeEngine) {
 	m.networkCut = false
-	lying := m.delayed
-	m.delayed = nil
+	lying := m.delayedCalls
+	m.delayedCalls = nil
 	for _, h := range lying {
-		s.arrive(h)
+		s.deliverCall(h)
 	}
 }
 
-func (s *harness) endRun(x *fakeRun, rests bool) { x.ended, x.overAt, x.keyRests = true, s.now, rests }
+func (s *harness) endRun(x *fakeRun, rests bool) {
+	x.ended, x.endedAt, x.keyCoolsDown = true, s.now, rests
+}
 
 // checkSubmission checks by the rules what an engine is sent.
-func (s *harness) checkSubmission(h *heldCall) {
+func (s *harness) checkSubmission(h *pendingCall) {
 	var a *sentQuery
 	for _, x := range s.queries {
 		if x.id == h.id {
 			a = x
 		}
 	}
-	late := h.delayed || s.now > h.at // a link may be cut and heal in one instant, with its client gone between
+	late := h.delayed || s.now > h.writtenAt // a link may be cut and heal in one instant, with its client gone between
 	switch {
 	case a == nil:
 		s.t.Fatalf("submitted what nobody asked for: %s", h.id)
 	case late: // it was right when it was sent; its order is judged below
 	case a.answer != "" || a.cancelled:
 		s.t.Fatalf("rule 1: submitted after its end: %s", h.id)
-	case h.engine.state != "SERVING" && s.controller.discovery.lastEvent == s.events:
+	case h.engine.state != "SERVING" && s.controller.discovery.lastEvent == s.lastEventNumber:
 		s.t.Fatalf("rule 3: submitted to one %s", h.engine.state)
 	case h.engine.runs[h.id] != nil && !h.engine.runs[h.id].ended:
 		s.t.Fatalf("two of one id at one engine: %s", h.id)
@@ -158,8 +160,8 @@
 			s.t.Fatalf("rule 5: %s sent before %s is over", a.id, x.id)
 		}
 		for _, y := range x.runs {
-			if !y.ended || y.keyRests && s.now < y.overAt+300*time.Millisecond {
-				s.t.Fatalf("rule 5: %s sent at %v while %s runs or its key rests (%v)", a.id, s.now, x.id, y.overAt)
+			if !y.ended || y.keyCoolsDown && s.now < y.endedAt+300*time.Millisecond {
+				s.t.Fatalf("rule 5: %s sent at %v while %s runs or its key rests (%v)", a.id, s.now, x.id, y.endedAt)
 			}
 		}
 	}
@@ -168,18 +170,18 @@
 			s.t.Fatalf("rule 5: %s arrives after %s, which came later", a.id, x.id)
 		}
 	}
-	x := &fakeRun{query: a, engine: h.engine, askedAt: s.now}
+	x := &fakeRun{query: a, engine: h.engine, polledAt: s.now}
 	a.runs, h.engine.runs[h.id], h.run = append(a.runs, x), x, x
 }
 
 // news reports whether the engine holds this call until there is news.
-func (h *heldCall) news() bool {
+func (h *pendingCall) isLongPoll() bool {
 	return h.method == "POST" || h.method == "GET" && h.id != "" && h.page == 0
 }
 
 // respond answers a held call in the way that how names.
-func (s *harness) respond(h *heldCall, how string) {
-	s.heldCalls = slices.DeleteFunc(s.heldCalls, func(x *heldCall) bool { return x == h })
+func (s *harness) respond(h *pendingCall, how string) {
+	s.pendingCalls = slices.DeleteFunc(s.pendingCalls, func(x *pendingCall) bool { return x == h })
 	out := func(status int, fields, body string) {
 		s.receive(h.connection, []byte(fmt.Sprintf("HTTP/1.1 %d x\r\n%sContent-Length: %d\r\n\r\n%s", status, fields, len(body), body)))
 	}
@@ -187,7 +189,7 @@
 	x := h.run
 	switch {
 	case how == "untaken" && h.method == "POST" && x.query.group == "load":
-		x.untaken = true // it lies there whole, and nothing is heard of it
+		x.unregistered = true // it lies there whole, and nothing is heard of it
 	case how == "lost":
 		s.closeConnection(h.connection)
 		s.flush()
@@ -197,19 +199,19 @@
 		out(200, "X-Load: inflight:3;util:0.5\r\n", "")
 	case h.method == "DELETE" || h.method == "PUT":
 		out(204, "", "")
-	case x == nil, h.news() && x.ended && x.pages == 0:
+	case x == nil, h.isLongPoll() && x.ended && x.pages == 0:
 		out(500, "", "")
 	case h.page > 0:
 		out(200, "Chunk: "+strconv.Itoa(h.page)+"\r\n", row(h.page))
 	case x.ended && x.pages > 0 || how == "ok" || how == "twice":
 		s.finishRun(x)
-		x.query.finishedPayload = ""
+		x.query.expectedPayload = ""
 		for p := range x.pages {
-			x.query.finishedPayload += row(p)
+			x.query.expectedPayload += row(p)
 		}
 		fields := fmt.Sprintf("Chunks: %d\r\nElapsed-Work: 300\r\nHigh-Water: 64\r\n", x.pages)
 		out(200, fields, row(0))
-		if how == "twice" && !h.connection.gone { // a second copy comes a moment later
+		if how == "twice" && !h.connection.closed { // a second copy comes a moment later
 			s.receive(h.connection, []byte(fmt.Sprintf("HTTP/1.1 200 x\r\n%sContent-Length: %d\r\n\r\n%s", fields, len(row(0)), row(0))))
 		}
 	case how == "full":
@@ -246,13 +248,13 @@
 // listEngines has the discovery send an event about engines or, for "", a heartbeat.
 func (s *harness) listEngines(members string) {
 	if members != "" {
-		s.events++
-		members = fmt.Sprintf(`{"n":%d,"members":{"complete":false,"members":[%s]}}`, s.events, members)
+		s.lastEventNumber++
+		members = fmt.Sprintf(`{"n":%d,"members":{"complete":false,"members":[%s]}}`, s.lastEventNumber, members)
 	} else {
-		members = strconv.FormatInt(s.events, 10)
+		members = strconv.FormatInt(s.lastEventNumber, 10)
 	}
-	if s.feed != nil && s.feed.up && !s.feed.gone {
-		s.receive(s.feed, []byte(members+"\n"))
+	if s.discovery != nil && s.discovery.established && !s.discovery.closed {
+		s.receive(s.discovery, []byte(members+"\n"))
 	}
 }
 
@@ -263,9 +265,9 @@
 			s.endRun(m.runs[id], true)
 		}
 	}
-	m.runs, m.dead, m.silent, m.networkCut, m.delayed = map[string]*fakeRun{}, dead, false, false, nil
+	m.runs, m.refusesConnections, m.unresponsive, m.networkCut, m.delayedCalls = map[string]*fakeRun{}, dead, false, false, nil
 	for _, e := range s.connections {
-		if e.address == m.address && e.up && !e.gone {
+		if e.address == m.address && e.established && !e.closed {
 			s.closeConnection(e)
 		}
 	}
--- a/internal/controller/harness_test.go
+++ b/internal/controller/harness_test.go
@@ -11,50 +11,50 @@
 	"railrelay.dev/railrelay/internal/fleet"
 )
 
-const waits = 250 * time.Millisecond
+const engineResponseDelay = 250 * time.Millisecond
 
 // harness is what surrounds a controller: its runner, clients, engines and clock. It checks the rules by
 // what is written; tests, or random choices, say what happens.
 type harness struct {
-	t             interface{ Fatalf(string, ...any) }
-	controller    *Controller
-	now           time.Duration
-	timerAt       time.Duration
-	connections   []*fakeConnection
-	engines       map[string]*fakeEngine // by address
-	heldCalls     []*heldCall
-	queries       []*sentQuery
-	feed          *fakeConnection
-	events        int64
-	feedUp        bool
-	exited        bool
-	logged        []string
-	written       []string
-	sockets       int
-	body          string  // statement of the next queries, in place of a select
-	pendingEvents []Event // that the runner reports next
+	t                  interface{ Fatalf(string, ...any) }
+	controller         *Controller
+	now                time.Duration
+	timerAt            time.Duration
+	connections        []*fakeConnection
+	engines            map[string]*fakeEngine // by address
+	pendingCalls       []*pendingCall
+	queries            []*sentQuery
+	discovery          *fakeConnection
+	lastEventNumber    int64
+	discoveryReachable bool
+	exited             bool
+	logLines           []string
+	writeLog           []string
+	maxDescriptors     int
+	statement          string  // statement of the next queries, in place of a select
+	pendingEvents      []Event // that the runner reports next
 
 	// where it has peers
-	reports     []fleet.Report
-	reportsFull bool          // there is no room for reports to the fleet
-	backlogged  bool          // events are marked as such
-	writeDelay  time.Duration // the process stands still for so long between a step and its writes
-	versions    []uint64      // policy versions of submissions, in the order they were written
+	reports           []fleet.Report
+	rejectReports     bool          // there is no room for reports to the fleet
+	backlogged        bool          // events are marked as such
+	writeDelay        time.Duration // the process stands still for so long between a step and its writes
+	submittedVersions []uint64      // policy versions of submissions, in the order they were written
 }
 
 type fakeConnection struct {
-	number                                int
-	link                                  *Connection
-	address                               string
-	client                                bool
-	dialAt                                time.Duration
-	up, closedByController, gone, ignores bool
-	aborted                               bool
-	received                              []byte
-	messages                              int
+	number                                               int
+	connection                                           *Connection
+	address                                              string
+	isClient                                             bool
+	dialledAt                                            time.Duration
+	established, closedByController, closed, dropsWrites bool
+	aborted                                              bool
+	received                                             []byte
+	messageCount                                         int
 }
 
-func plainFacts(more map[string]string) map[string]string {
+func defaultSettings(more map[string]string) map[string]string {
 	f := map[string]string{
 		"gateways": "2", "own.number": "0", "groups": "3", "loads": "false,false,true", "waits": "true,true,false",
 		"threads": "1,3,2", "kinds": "std", "locations": "here", "kind.cores": "8", "kind.memory": "16384", "grant.most": "0.4",
@@ -76,19 +76,19 @@
 }
 
 func newHarness(t interface{ Fatalf(string, ...any) }, engines, sockets int, more map[string]string, with ...func(*Config)) *harness {
-	s := &harness{t: t, timerAt: -1, engines: map[string]*fakeEngine{}, feedUp: true, sockets: sockets}
+	s := &harness{t: t, timerAt: -1, engines: map[string]*fakeEngine{}, discoveryReachable: true, maxDescriptors: sockets}
 	var members []string
 	for i := range engines {
-		sites := strings.Split(plainFacts(more)["locations"], ",")
+		sites := strings.Split(defaultSettings(more)["locations"], ",")
 		m := &fakeEngine{id: "e" + strconv.Itoa(i), address: "10.0.0." + strconv.Itoa(i) + ":1", state: "SERVING", runs: map[string]*fakeRun{},
 			site: sites[i%len(sites)]}
 		s.engines[m.address] = m
-		members = append(members, m.entry(0))
+		members = append(members, m.endpointJSON(0))
 	}
-	s.events = 1
+	s.lastEventNumber = 1
 	var effects []Effect
-	means := Config{Seed: 7, MemoryMB: 64, Sockets: sockets, DiscoveryAddress: "feed", Settings: plainFacts(more),
-		KnownEngines: []byte(`{"n":1,"events":[{"n":1,"members":{"complete":true,"members":[` + strings.Join(members, ",") + `]}}]}`)}
+	means := Config{Seed: 7, MemoryMB: 64, MaxDescriptors: sockets, DiscoveryAddress: "feed", Settings: defaultSettings(more),
+		InitialEndpoints: []byte(`{"n":1,"events":[{"n":1,"members":{"complete":true,"members":[` + strings.Join(members, ",") + `]}}]}`)}
 	for _, change := range with {
 		change(&means)
 	}
@@ -98,8 +98,8 @@
 	return s
 }
 
-// allEngines are the engines by address.
-func (s *harness) allEngines() []*fakeEngine {
+// sortedEngines are the engines by address.
+func (s *harness) sortedEngines() []*fakeEngine {
 	return slices.SortedFunc(maps.Values(s.engines), func(a, b *fakeEngine) int { return strings.Compare(a.address, b.address) })
 }
 
@@ -118,9 +118,9 @@
 	}
 }
 
-func (s *harness) connectionOf(l *Connection) *fakeConnection {
+func (s *harness) findConnection(l *Connection) *fakeConnection {
 	for _, e := range s.connections {
-		if e.link == l {
+		if e.connection == l {
 			return e
 		}
 	}
@@ -129,61 +129,61 @@
 
 func (s *harness) perform(effects []Effect) {
 	for _, f := range effects {
-		e := s.connectionOf(f.Connection)
+		e := s.findConnection(f.Connection)
 		switch f.Kind {
 		case Dial:
-			e = &fakeConnection{number: len(s.connections), link: f.Connection, address: f.Address, dialAt: s.now}
+			e = &fakeConnection{number: len(s.connections), connection: f.Connection, address: f.Address, dialledAt: s.now}
 			s.connections = append(s.connections, e)
 			if f.Address == "feed" {
-				s.feed = e
+				s.discovery = e
 			}
 			open := 3
 			for _, x := range s.connections {
-				if !x.gone {
+				if !x.closed {
 					open++
 				}
 			}
-			if open > s.sockets {
-				s.t.Fatalf("%d descriptors of %d", open, s.sockets)
+			if open > s.maxDescriptors {
+				s.t.Fatalf("%d descriptors of %d", open, s.maxDescriptors)
 			}
 		case Write:
-			s.written = append(s.written, fmt.Sprintf("%v %d %q", s.now, e.number, f.Bytes))
+			s.writeLog = append(s.writeLog, fmt.Sprintf("%v %d %q", s.now, e.number, f.Bytes))
 			if e.closedByController {
 				s.t.Fatalf("written to a closed link")
 			}
-			if e.ignores || e.gone { // its end is on the way
+			if e.dropsWrites || e.closed { // its end is on the way
 				break
 			}
-			if !f.Permit.Holds(s.now+s.writeDelay) || f.PolicyVersion != 0 && !s.mayGo(f) {
-				s.pendingEvents = append(s.pendingEvents, Event{Kind: WriteBarred, Connection: f.Connection})
+			if !f.Permit.ValidAt(s.now+s.writeDelay) || f.PolicyVersion != 0 && !s.mayGo(f) {
+				s.pendingEvents = append(s.pendingEvents, Event{Kind: WriteRejected, Connection: f.Connection})
 				s.closeConnection(e)
 				break
 			}
 			s.pendingEvents = append(s.pendingEvents, Event{Kind: BytesWritten, Connection: f.Connection, ByteCount: len(f.Bytes)})
-			if e.client {
+			if e.isClient {
 				s.checkAnswer(e, f.Bytes)
 			} else if e.address != "feed" {
 				e.received = append(e.received, f.Bytes...)
 				s.readCalls(e)
 			}
 		case Close:
-			s.written = append(s.written, fmt.Sprintf("%v %d close", s.now, e.number))
+			s.writeLog = append(s.writeLog, fmt.Sprintf("%v %d close", s.now, e.number))
 			e.closedByController, e.aborted = true, f.Abort
 			if m := s.engines[e.address]; m != nil && f.Abort { // else the kernel goes on sending it
-				m.delayed = slices.DeleteFunc(m.delayed, func(h *heldCall) bool { return h.connection == e })
+				m.delayedCalls = slices.DeleteFunc(m.delayedCalls, func(h *pendingCall) bool { return h.connection == e })
 			}
-			if e.up {
+			if e.established {
 				s.closeConnection(e)
 			} else {
-				e.gone = true
-				s.pendingEvents = append(s.pendingEvents, Event{Kind: ConnectTimedOut, Connection: e.link})
+				e.closed = true
+				s.pendingEvents = append(s.pendingEvents, Event{Kind: ConnectTimedOut, Connection: e.connection})
 			}
 		case SetTimer:
 			s.timerAt = s.now + f.Timeout
 		case LogMessage, LogCounters:
-			s.logged = append(s.logged, f.Text)
+			s.logLines = append(s.logLines, f.Text)
 		case ReportToFleet:
-			if s.reportsFull {
+			if s.rejectReports {
 				s.pendingEvents = append(s.pendingEvents, Event{Kind: FleetReportRejected, Report: f.Report})
 			} else {
 				s.reports = append(s.reports, *f.Report)
@@ -196,10 +196,10 @@
 
 // closeConnection ends a connection, whichever side closed it.
 func (s *harness) closeConnection(e *fakeConnection) {
-	if !e.gone {
-		e.gone = true
-		s.heldCalls = slices.DeleteFunc(s.heldCalls, func(h *heldCall) bool { return h.connection == e })
-		s.pendingEvents = append(s.pendingEvents, Event{Kind: ConnectionClosed, Connection: e.link})
+	if !e.closed {
+		e.closed = true
+		s.pendingCalls = slices.DeleteFunc(s.pendingCalls, func(h *pendingCall) bool { return h.connection == e })
+		s.pendingEvents = append(s.pendingEvents, Event{Kind: ConnectionClosed, Connection: e.connection})
 	}
 }
 
@@ -215,24 +215,24 @@
 		if s.timerAt >= 0 {
 			soonest(s.timerAt, func() { s.timerAt = -1; s.step(Event{Kind: TimerFired}) })
 		}
-		for _, h := range s.heldCalls {
-			if !h.engine.silent && !h.engine.networkCut {
+		for _, h := range s.pendingCalls {
+			if !h.engine.unresponsive && !h.engine.networkCut {
 				take := time.Millisecond
-				if h.news() {
-					take = waits
+				if h.isLongPoll() {
+					take = engineResponseDelay
 				}
-				soonest(h.at+take, func() { s.respond(h, "runs") })
+				soonest(h.writtenAt+take, func() { s.respond(h, "runs") })
 			}
 		}
 		for _, e := range s.connections {
-			if !e.up && !e.gone {
-				s.finishDial(e, soonest)
+			if !e.established && !e.closed {
+				s.scheduleDialOutcome(e, soonest)
 			}
 		}
-		for _, m := range s.allEngines() {
+		for _, m := range s.sortedEngines() {
 			for _, id := range slices.Sorted(maps.Keys(m.runs)) {
 				if x := m.runs[id]; !x.ended {
-					soonest(x.askedAt+waits+2*time.Second, func() { s.endRun(x, true) })
+					soonest(x.polledAt+engineResponseDelay+2*time.Second, func() { s.endRun(x, true) })
 				}
 			}
 		}
@@ -247,21 +247,21 @@
 	s.checkDeadlines()
 }
 
-func (s *harness) finishDial(e *fakeConnection, soonest func(time.Duration, func())) {
+func (s *harness) scheduleDialOutcome(e *fakeConnection, soonest func(time.Duration, func())) {
 	m := s.engines[e.address]
-	up := func() { e.up = true; s.step(Event{Kind: Connected, Connection: e.link}) }
+	up := func() { e.established = true; s.step(Event{Kind: Connected, Connection: e.connection}) }
 	fail := func(kind EventKind) func() {
-		return func() { e.gone = true; s.step(Event{Kind: kind, Connection: e.link}) }
+		return func() { e.closed = true; s.step(Event{Kind: kind, Connection: e.connection}) }
 	}
 	switch {
-	case m == nil && s.feedUp:
-		soonest(e.dialAt+time.Millisecond, func() { up(); s.listEngines("") })
-	case m == nil || m.silent || m.networkCut:
-		soonest(e.dialAt+waits, fail(ConnectTimedOut))
-	case m.dead:
-		soonest(e.dialAt+time.Millisecond, fail(ConnectRefused))
+	case m == nil && s.discoveryReachable:
+		soonest(e.dialledAt+time.Millisecond, func() { up(); s.listEngines("") })
+	case m == nil || m.unresponsive || m.networkCut:
+		soonest(e.dialledAt+engineResponseDelay, fail(ConnectTimedOut))
+	case m.refusesConnections:
+		soonest(e.dialledAt+time.Millisecond, fail(ConnectRefused))
 	default:
-		soonest(e.dialAt+time.Millisecond, up)
+		soonest(e.dialledAt+time.Millisecond, up)
 	}
 }
 
@@ -275,7 +275,7 @@
 
 func (s *harness) openQueries(e *fakeConnection) (n int) {
 	for _, a := range s.queries {
-		if a.from == e && a.answer == "" && !a.cancelled {
+		if a.connection == e && a.answer == "" && !a.cancelled {
 			n++
 		}
 	}
@@ -297,19 +297,19 @@
 	clients := []*fakeConnection{s.connect(), s.connect()}
 	for _, c := range choices {
 		kind, x := int(c%16), int(c/16)
-		c, all := clients[x%2], s.allEngines()
+		c, all := clients[x%2], s.sortedEngines()
 		m := all[x%len(all)]
 		switch {
 		case kind < 5:
-			if c.gone || c.messages > 100 || s.openQueries(c) == maxOpenQueries {
+			if c.closed || c.messageCount > 100 || s.openQueries(c) == maxOpenQueries {
 				clients[x%2] = s.connect()
 				c = clients[x%2]
 			}
 			group := []string{"lookup", "report", "load", "load"}[x/2%4]
 			s.sendQuery(c, group, "k"+strconv.Itoa(x/8%2), time.Duration(400+x%5000)*time.Millisecond, x/16%3)
 		case kind < 9:
-			if len(s.heldCalls) > 0 && !s.heldCalls[x%len(s.heldCalls)].engine.networkCut {
-				s.respond(s.heldCalls[x%len(s.heldCalls)], []string{"ok", "ok", "runs", "stuck", "full", "busy", "error", "cut", "lost", "garbled", "short", "twice", "untaken"}[x/64%13])
+			if len(s.pendingCalls) > 0 && !s.pendingCalls[x%len(s.pendingCalls)].engine.networkCut {
+				s.respond(s.pendingCalls[x%len(s.pendingCalls)], []string{"ok", "ok", "runs", "stuck", "full", "busy", "error", "cut", "lost", "garbled", "short", "twice", "untaken"}[x/64%13])
 			}
 		case kind < 13:
 			s.runUntil(s.now + time.Duration(x%500)*time.Millisecond)
@@ -321,24 +321,24 @@
 			s.disconnect(c)
 		case x%7 == 1:
 			m.state = []string{"SERVING", "DRAINING"}[x/7%2]
-			s.listEngines(m.entry(0))
+			s.listEngines(m.endpointJSON(0))
 		case x%7 == 2:
 			s.restartEngine(m, x/7%2 == 0)
 		case x%7 == 3:
-			m.silent = !m.silent
-			if !m.silent { // a machine comes back with nothing
+			m.unresponsive = !m.unresponsive
+			if !m.unresponsive { // a machine comes back with nothing
 				s.restartEngine(m, false)
 			}
 		case x%7 == 4:
-			s.feedUp = !s.feedUp
-			if !s.feedUp && s.feed != nil && s.feed.up {
-				s.closeConnection(s.feed)
+			s.discoveryReachable = !s.discoveryReachable
+			if !s.discoveryReachable && s.discovery != nil && s.discovery.established {
+				s.closeConnection(s.discovery)
 				s.flush()
 			}
 		case x%7 == 5: // its table of connections is full, or has room again
-			m.dead = !m.dead
+			m.refusesConnections = !m.refusesConnections
 		case m.networkCut:
-			s.heal(m)
+			s.healNetwork(m)
 		case x/7%2 == 0:
 			m.networkCut = true
 		default:
@@ -348,9 +348,9 @@
 }
 
 // waitForCall returns the held call of a query, letting time pass until there is one.
-func (s *harness) waitForCall(method, id string) *heldCall {
+func (s *harness) waitForCall(method, id string) *pendingCall {
 	for range 1000 {
-		for _, h := range s.heldCalls {
+		for _, h := range s.pendingCalls {
 			if h.method == method && h.id == id {
 				return h
 			}
--- a/internal/controller/health_check.go
+++ b/internal/controller/health_check.go
@@ -29,7 +29,7 @@
 			if outcome == scheduler.Finished {
 				loadReport = enginehttp.Load(field)
 			}
-			c.runSoon(func() { c.scheduler.HealthCheckEnded(c.now, e.id, outcome, loadReport) })
+			c.enqueueCallback(func() { c.scheduler.HealthCheckEnded(c.now, e.id, outcome, loadReport) })
 		},
 	}
 	c.startCall(e.healthCheck)
--- a/internal/controller/held_queries.go
+++ b/internal/controller/held_queries.go
@@ -30,29 +30,29 @@
 // pendingAdmission is a query that came while nothing could be decided.
 type pendingAdmission struct {
 	query *query
-	from  From
+	from  CallOrigin
 }
 
 // admit takes every query that comes. One that can't be decided now is held as it is, and
 // admitted by the version in force when it is released. It reports whether the query goes on.
-func (l *servingLease) admit(q *query, from From) bool {
+func (l *servingLease) admit(q *query, from CallOrigin) bool {
 	q.confined = l.residency.isBound(q, from) || l.Bound != nil && l.Bound(q.residency.tenant, q.tableGroup)
-	if l.servingVersion(q.confined) == 0 || q.key != nil && l.heldBehindKey(q.key) {
+	if l.servingVersion(q.confined) == 0 || q.key != nil && l.isKeyHeld(q.key) {
 		l.hold(q, from)
 		return false
 	}
 	return l.residency.checkAdmission(q, from)
 }
 
-// heldBehindKey reports whether a query of this key is held, which later ones must not overtake.
-func (l *servingLease) heldBehindKey(k *orderKey) bool {
+// isKeyHeld reports whether a query of this key is held, which later ones must not overtake.
+func (l *servingLease) isKeyHeld(k *orderKey) bool {
 	return l.heldCount > 0 && slices.ContainsFunc(l.heldQueries, func(h *pendingAdmission) bool {
-		return h.query.blocked && h.query.key == k
+		return h.query.held && h.query.key == k
 	})
 }
 
 // hold has a query wait for admission, or defers it at once where too many wait.
-func (l *servingLease) hold(q *query, from From) {
+func (l *servingLease) hold(q *query, from CallOrigin) {
 	if len(l.heldQueries) > 2*l.heldCount+maxAnsweredHeld || l.heldFieldBytes > l.maxStatementBytes {
 		l.removeAnsweredHeld()
 	}
@@ -61,20 +61,20 @@
 		return
 	}
 	l.heldTotal++
-	q.blocked = true
+	q.held = true
 	l.heldCount++
 	from.Fields = from.Fields.Clone() // the call lies in its connection's buffer
 	l.heldFieldBytes += from.Fields.Size()
 	l.heldQueries = append(l.heldQueries, &pendingAdmission{q, from})
 	q.waitTimer = l.timers.Add(min(q.receivedAt+l.MaxHold, q.deadline-heldAnswerMargin), func() {
-		if q.blocked {
+		if q.held {
 			l.deferUnsent(q)
 		}
 	})
 }
 
 func (l *servingLease) removeAnsweredHeld() {
-	l.heldQueries = slices.DeleteFunc(l.heldQueries, func(h *pendingAdmission) bool { return !h.query.blocked })
+	l.heldQueries = slices.DeleteFunc(l.heldQueries, func(h *pendingAdmission) bool { return !h.query.held })
 	l.heldFieldBytes = 0
 	for _, h := range l.heldQueries {
 		l.heldFieldBytes += h.from.Fields.Size()
@@ -83,7 +83,7 @@
 
 // endHold notes that a query is held no longer, whatever becomes of it.
 func (l *servingLease) endHold(q *query) {
-	q.blocked = false
+	q.held = false
 	l.heldCount--
 	l.longestHold = max(l.longestHold, l.now-q.receivedAt)
 	l.timers.Drop(q.waitTimer)
@@ -105,7 +105,7 @@
 	l.heldQueries = nil
 	l.heldFieldBytes = 0
 	for _, h := range held {
-		if h.query.blocked {
+		if h.query.held {
 			l.readmit(h)
 		}
 	}
@@ -160,13 +160,13 @@
 // held before admission have timers of their own.)
 func (l *servingLease) expireHeld() {
 	for _, a := range l.blockedAttempts {
-		if !a.ended && l.pausedTooLong(a.query) && a.query.mayHaveRun() {
+		if !a.ended && l.holdExpired(a.query) && a.query.mayHaveRun() {
 			l.withdrawAttempt(a, scheduler.NeverSent)
 		}
 	}
 	l.blockedAttempts = slices.DeleteFunc(l.blockedAttempts, func(a *attempt) bool { return a.ended })
-	expired := l.queriesWhere(func(q *query) bool {
-		return !q.answered && !q.blocked && l.pausedTooLong(q) && !q.mayHaveRun()
+	expired := l.findQueries(func(q *query) bool {
+		return !q.answered && !q.held && l.holdExpired(q) && !q.mayHaveRun()
 	})
 	for _, q := range expired {
 		l.deferUnsent(q)
@@ -174,8 +174,8 @@
 	l.scheduleHoldExpiry()
 }
 
-// pausedTooLong reports whether queries like this one have been paused for MaxHold.
-func (l *servingLease) pausedTooLong(q *query) bool {
+// holdExpired reports whether queries like this one have been paused for MaxHold.
+func (l *servingLease) holdExpired(q *query) bool {
 	since := l.pausedSince
 	if q.confined {
 		since = l.confinedPausedSince
@@ -190,8 +190,8 @@
 	})
 }
 
-// queriesWhere are the queries for which a condition holds, in the order in which they came.
-func (c *Controller) queriesWhere(holds func(q *query) bool) (queries []*query) {
+// findQueries are the queries for which a condition holds, in the order in which they came.
+func (c *Controller) findQueries(holds func(q *query) bool) (queries []*query) {
 	for _, q := range c.queries {
 		if holds(q) {
 			queries = append(queries, q)
@@ -206,10 +206,10 @@
 // deferUnsent defers a query of which nothing has run.
 func (l *servingLease) deferUnsent(q *query) {
 	l.deferredHeld++
-	l.logAbout(q.logFields(), "deferred: this controller may not decide now")
+	l.logWithFields(q.logFields(), "deferred: this controller may not decide now")
 	attempts := q.attempts
 	l.answerDeferred(q, l.retryAfter())
-	l.runSoon(func() { l.scheduler.QueryDropped(l.now, q.id) })
+	l.enqueueCallback(func() { l.scheduler.QueryDropped(l.now, q.id) })
 	l.withdrawUnsent(attempts)
 }
 
@@ -232,7 +232,7 @@
 // deferAllHeld defers the queries held before admission: the program ends.
 func (l *servingLease) deferAllHeld() {
 	for _, h := range l.heldQueries {
-		if h.query.blocked {
+		if h.query.held {
 			l.deferUnsent(h.query)
 		}
 	}
--- a/internal/controller/idempotency_key_test.go
+++ b/internal/controller/idempotency_key_test.go
@@ -7,7 +7,7 @@
 )
 
 // tokened makes the second group one whose repeats engines know by a token.
-func tokened(more map[string]string) map[string]string {
+func withIdempotencyKeys(more map[string]string) map[string]string {
 	f := map[string]string{"group.1.effect": "tokened", "may.probe": "false"}
 	for k, v := range more {
 		f[k] = v
@@ -18,7 +18,7 @@
 // The token that a client gives goes with every submission of a tokened query, as it is:
 // without it an engine takes none, or can't know a repeat. No other group has one.
 func TestIdempotencyKeyGoesWithEveryAttempt(t *testing.T) {
-	s := newHarness(t, 2, 256, tokened(nil))
+	s := newHarness(t, 2, 256, withIdempotencyKeys(nil))
 	s.controller.FieldNames = FieldNames{IdempotencyKey: "nonce"}
 	c := s.connect()
 	a := s.sendQuery(c, "report", "", 5*time.Second, 1, "nonce", "once-7")
--- a/internal/controller/invalidation.go
+++ b/internal/controller/invalidation.go
@@ -73,7 +73,7 @@
 }
 
 // dataOwner is whose data a call reads: its tenant's, or its customer's where there are no tenants.
-func (c *Controller) dataOwner(from From) string {
+func (c *Controller) dataOwner(from CallOrigin) string {
 	if c.fairQueue == nil && c.FieldNames.Customer != "" {
 		if name := string(from.Fields.Get(c.FieldNames.Customer)); name != "" {
 			return name
@@ -100,7 +100,7 @@
 func (v *invalidation) logCompleted(id, tenant string, n fleet.InvalidationCounts) {
 	text := fmt.Sprintf("purge %s is done here: %d results and %d answers, %d bytes",
 		id, n.Results, n.Answers, n.Bytes)
-	v.logAbout(LogFields{Tenant: tenant}, text)
+	v.logWithFields(LogFields{Tenant: tenant}, text)
 }
 
 // localInvalidation is one of a controller without peers.
@@ -136,8 +136,8 @@
 func (v *invalidation) newID(tenant string) string {
 	v.serial++
 	draw := uint64(v.StartedAt.UnixNano())
-	if v.DrawUnique != nil {
-		draw = v.DrawUnique()
+	if v.NewUniqueID != nil {
+		draw = v.NewUniqueID()
 	}
 	here := xxhash.Sum64String(fmt.Sprint(tenant, v.serial, v.now, v.StartedAt.UnixNano()))
 	return fmt.Sprintf("%016x%016x", draw, here)
@@ -192,18 +192,18 @@
 // answerInvalidated answers the queries whose results were invalidated before they were complete.
 // One that may be sent again is deferred: nothing that it asked for can be retained any more.
 func (p *resultPaging) answerInvalidated() {
-	for _, q := range p.queriesWhere(isInvalidated) {
+	for _, q := range p.findQueries(isInvalidated) {
 		sent := false
 		for _, a := range q.attempts {
 			sent = sent || a.sent
 		}
 		if q.group.readOnly || !sent {
-			p.logAbout(q.logFields(), "deferred: "+spool.ErrPurged.Error())
+			p.logWithFields(q.logFields(), "deferred: "+spool.ErrPurged.Error())
 			p.answerDeferred(q, noSpaceRetryAfter)
 		} else {
 			p.answerKilled(q, spool.ErrPurged.Error())
 		}
-		p.runSoon(func() { p.scheduler.ClientLeft(p.now, q.id) })
+		p.enqueueCallback(func() { p.scheduler.ClientLeft(p.now, q.id) })
 	}
 }
 
--- a/internal/controller/invalidation_calls.go
+++ b/internal/controller/invalidation_calls.go
@@ -52,8 +52,8 @@
 		cl.Wrong(msg, "no such method")
 		return
 	}
-	tenant := cl.dataOwner(From{cl.connection.RemoteAddress, all})
-	if cl.pageReads >= cl.limits.OpenQueries || v.tooManyCalls(tenant) {
+	tenant := cl.dataOwner(CallOrigin{cl.connection.RemoteAddress, all})
+	if cl.pageReads >= cl.limits.MaxOpenQueries || v.tooManyCalls(tenant) {
 		cl.reply(msgpackrpc.Deferred(nil, msg, noSpaceRetryAfter))
 		return
 	}
--- a/internal/controller/key_order.go
+++ b/internal/controller/key_order.go
@@ -22,9 +22,9 @@
 	idleSince   time.Duration // when the last query was over
 
 	// A burst is queries that come as close together as clients write them.
-	burstStart  time.Duration // when the current one began
-	lastArrival time.Duration // when the last query came, 0: none has
-	beganBurst  bool          // the last query began a burst
+	burstStart     time.Duration // when the current one began
+	lastArrival    time.Duration // when the last query came, 0: none has
+	lastBeganBurst bool          // the last query began a burst
 }
 
 // Clients write the queries of a key keySpacing apart, by the protocol, and the second
@@ -43,22 +43,22 @@
 	keyDeadlineSlack = 300 * time.Millisecond
 )
 
-// noteArrival notes a query of the key, and gives the time since when it may have been waiting at
+// recordArrival notes a query of the key, and gives the time since when it may have been waiting at
 // its client for its turn: the start of the burst that it belongs to.
 //
 // A query that its client took back before it was written leaves its turn empty, so that the next
 // comes at a whole number of turns; one that is written just as it is asked has no reason to.
 // Turns stay empty for hardly longer than a client waits, its patience.
-func (k *orderKey) noteArrival(now, patience time.Duration) (since time.Duration) {
+func (k *orderKey) recordArrival(now, patience time.Duration) (since time.Duration) {
 	apart := keySpacing
-	if k.beganBurst {
+	if k.lastBeganBurst {
 		apart = firstKeySpacing
 	}
 	gap := now - k.lastArrival
 	off := gap % keySpacing
 	inTurn := min(off, keySpacing-off) <= keySpacingTolerance && gap < min(2*patience, maxKeyGap)
-	k.beganBurst = k.lastArrival == 0 || gap > apart+networkDelay && !inTurn
-	if k.beganBurst {
+	k.lastBeganBurst = k.lastArrival == 0 || gap > apart+maxNetworkDelay && !inTurn
+	if k.lastBeganBurst {
 		k.burstStart = now
 	}
 	k.lastArrival = now
--- a/internal/controller/key_order_test.go
+++ b/internal/controller/key_order_test.go
@@ -38,16 +38,16 @@
 	k := &orderKey{}
 	at := 3 * time.Second
 	first := at
-	k.noteArrival(at, 2*time.Second)
+	k.recordArrival(at, 2*time.Second)
 	for _, gap := range []time.Duration{60, 60, 120, 59, 181, 240, 60, 1499} {
 		at += gap * time.Millisecond
-		if since := k.noteArrival(at, 2*time.Second); since != first {
+		if since := k.recordArrival(at, 2*time.Second); since != first {
 			t.Fatalf("after %v held to have waited since %v, not %v", gap, since, first)
 		}
 	}
 	for _, gap := range []time.Duration{330, 9000} {
 		at += gap * time.Millisecond
-		if since := k.noteArrival(at, 2*time.Second); since != at {
+		if since := k.recordArrival(at, 2*time.Second); since != at {
 			t.Fatalf("after %v held to have waited since %v, at %v", gap, since, at)
 		}
 	}
--- a/internal/controller/logging.go
+++ b/internal/controller/logging.go
@@ -7,8 +7,8 @@
 	c.emit(Effect{Kind: LogMessage, Warning: warning, Text: text})
 }
 
-// logAbout logs a line about what fields name, at info level.
-func (c *Controller) logAbout(fields LogFields, text string) {
+// logWithFields logs a line about what fields name, at info level.
+func (c *Controller) logWithFields(fields LogFields, text string) {
 	c.emit(Effect{Kind: LogMessage, Text: text, Fields: fields})
 }
 
@@ -19,7 +19,7 @@
 }
 
 func (c *Controller) logCounters() {
-	c.emit(Effect{Kind: LogCounters, Text: c.counters.text(c), QueryCount: c.counters.received})
+	c.emit(Effect{Kind: LogCounters, Text: c.counters.format(c), QueryCount: c.counters.received})
 }
 
 func (q *query) logFields() LogFields { return LogFields{Query: q.id, Group: q.group.name} }
--- a/internal/controller/query.go
+++ b/internal/controller/query.go
@@ -59,7 +59,7 @@
 
 	// with peers
 	confined  bool // it needs the lease of confined tenants
-	blocked   bool // it came while nothing may be decided, and waits to be judged
+	held      bool // it came while nothing may be decided, and waits to be judged
 	residency *queryResidency
 
 	spooled    *spool.Result // its client reads page by page; nil: not so
@@ -67,14 +67,14 @@
 
 	waitTimer *timerqueue.Item // while it waits in the fair queue or is blocked
 	// with fair queueing
-	waiter  *fairqueue.Query
-	fairEnd fairqueue.Outcome // how it was closed
+	fairEntry   *fairqueue.Query
+	fairOutcome fairqueue.Outcome // how it was closed
 }
 
 // effectivePriority is the query's priority at engines: the scheduler's, unless fair queueing has lowered
 // it. The two meet nowhere else.
 func (q *query) effectivePriority() int {
-	if q.waiter != nil && q.waiter.Lowered() {
+	if q.fairEntry != nil && q.fairEntry.Lowered() {
 		return min(q.priority, 0)
 	}
 	return q.priority
@@ -90,7 +90,7 @@
 
 // dispatch takes a query that was received through the lease, the spool and the cache to the fair queue,
 // or to the scheduler where there is none. Each may hold it back or answer it.
-func (c *Controller) dispatch(q *query, from From) {
+func (c *Controller) dispatch(q *query, from CallOrigin) {
 	if q.answered {
 		return
 	}
@@ -102,7 +102,7 @@
 		c.paging.reserve(q, from)
 	}
 	if c.caching != nil && !q.answered && c.mayRetain(q) {
-		goOn := func(from From) { c.dispatch(q, from) }
+		goOn := func(from CallOrigin) { c.dispatch(q, from) }
 		if !c.caching.lookup(q, from, goOn) {
 			return
 		}
@@ -130,15 +130,15 @@
 		q.tableGroup, q.keyNumber, q.estimatedWork, q.estimatedMemoryMB)
 }
 
-// clientGone closes a query without an answer, since its client cancelled it or disconnected.
-func (c *Controller) clientGone(q *query) {
+// abandonQuery closes a query without an answer, since its client cancelled it or disconnected.
+func (c *Controller) abandonQuery(q *query) {
 	c.counters.abandoned++
 	// it must reach the scheduler before the ends of attempts that were not sent, which count as answered
-	c.runSoon(func() { c.scheduler.ClientLeft(c.now, q.id) })
+	c.enqueueCallback(func() { c.scheduler.ClientLeft(c.now, q.id) })
 	c.closeQuery(q, fairqueue.ClientGone)
 }
 
-var endNames = [...]string{
+var queryOutcomeNames = [...]string{
 	fairqueue.Finished:   "finished",
 	fairqueue.Deferred:   "deferred",
 	fairqueue.Killed:     "killed",
@@ -160,10 +160,10 @@
 		}
 	}
 	if c.TraceQueries {
-		c.trace(q.logFields(), "closed: %s", endNames[end])
+		c.trace(q.logFields(), "closed: %s", queryOutcomeNames[end])
 	}
 	q.owner.closed()
-	if q.blocked {
+	if q.held {
 		c.servingLease.endHold(q)
 	}
 	if c.fairQueue != nil {
@@ -216,7 +216,7 @@
 		}
 	}
 	// the scheduler may still decide on it in this very step
-	c.runSoon(func() {
+	c.enqueueCallback(func() {
 		if c.queries[q.id] == q {
 			c.releaseQuery(q)
 		}
--- a/internal/controller/receive.go
+++ b/internal/controller/receive.go
@@ -13,17 +13,17 @@
 type queryCall struct {
 	groupName string
 	id        string
-	patience  time.Duration // the client waits no longer for the answer
+	timeout   time.Duration // the client waits no longer for the answer
 	key       []byte
 	hasKey    bool
 	statement []byte
-	from      From
+	from      CallOrigin
 }
 
 // Why a call is not accepted, as its client is told. The texts are part of the protocol's answers.
 const (
 	unknownGroup          = "no such method"
-	patienceTooLong       = "no such patience"
+	timeoutTooLong        = "no such patience"
 	keyMissing            = "no entity"
 	idempotencyKeyInvalid = "no such token"
 	duplicateID           = "this trace is in hand"
@@ -44,8 +44,8 @@
 	switch {
 	case g == nil:
 		return unknownGroup
-	case g.timeout > 0 && call.patience > g.timeout:
-		return patienceTooLong
+	case g.timeout > 0 && call.timeout > g.timeout:
+		return timeoutTooLong
 	case g.inOrder && !call.hasKey:
 		return keyMissing
 	case g.needsIdempotencyKey && !enginehttp.Sendable(call.from.Fields.Get(c.FieldNames.IdempotencyKey)):
@@ -71,7 +71,7 @@
 	c.counters.received++
 	if c.TraceQueries {
 		c.trace(q.logFields(), "taken, key %q (%d), for %v, fields %q",
-			call.key, q.keyNumber, call.patience, call.from.Fields.Names())
+			call.key, q.keyNumber, call.timeout, call.from.Fields.Names())
 	}
 	c.lastQueryAt = c.now
 	if c.caching != nil {
@@ -79,7 +79,7 @@
 	}
 	// once all that has come is read: a query whose cancellation comes with it goes nowhere
 	from := call.from
-	c.runSoon(func() { c.dispatch(q, from) })
+	c.enqueueCallback(func() { c.dispatch(q, from) })
 	return q, ""
 }
 
@@ -94,7 +94,7 @@
 		keyNumber:  noKeyNumber,
 		statement:  append([]byte{}, call.statement...),
 		receivedAt: c.now,
-		deadline:   c.now + call.patience,
+		deadline:   c.now + call.timeout,
 		priority:   unsetPriority,
 		customer:   c.customerIndex(call.from),
 	}
@@ -109,14 +109,14 @@
 		q.keyNumber = q.key.number
 		// The client's time counts from when it would have sent the query, which it holds back behind
 		// others of its key. Answers timed by when it was written came up to half a second too late.
-		latest := q.key.noteArrival(c.now, call.patience) + call.patience + keyDeadlineSlack
-		q.deadline = min(q.deadline, latest) - min(firstKeySpacing, call.patience/8)
+		latest := q.key.recordArrival(c.now, call.timeout) + call.timeout + keyDeadlineSlack
+		q.deadline = min(q.deadline, latest) - min(firstKeySpacing, call.timeout/8)
 	}
 	return q
 }
 
 // customerIndex is the index of the customer that a call names in customers, -1: none.
-func (c *Controller) customerIndex(from From) int {
+func (c *Controller) customerIndex(from CallOrigin) int {
 	return slices.Index(c.customers, settings.Plain(string(from.Fields.Get(c.FieldNames.Customer))))
 }
 
--- a/internal/controller/residency.go
+++ b/internal/controller/residency.go
@@ -82,7 +82,7 @@
 }
 
 // residencyTenantOf is the tenant of a call, or its customer where there are no tenants.
-func (l *servingLease) residencyTenantOf(q *query, from From) string {
+func (l *servingLease) residencyTenantOf(q *query, from CallOrigin) string {
 	if l.fairQueue == nil && q.customer >= 0 && q.customer < len(l.customers) {
 		return l.customers[q.customer]
 	}
@@ -124,14 +124,14 @@
 
 // isBound reports whether a query needs the lease of confined tenants. It must run before
 // checkAdmission.
-func (r *residencyState) isBound(q *query, from From) bool {
+func (r *residencyState) isBound(q *query, from CallOrigin) bool {
 	q.residency = &queryResidency{tenant: r.residencyTenantOf(q, from), tablesKnown: true}
 	return r.verdict(q).Bound
 }
 
 // checkAdmission reports whether a query may go on: it is served here and the log has what it
 // binds. If not it was answered, or is held until the log has that.
-func (r *residencyState) checkAdmission(q *query, from From) bool {
+func (r *residencyState) checkAdmission(q *query, from CallOrigin) bool {
 	v := r.verdict(q)
 	if !v.Bound {
 		return true
@@ -200,7 +200,7 @@
 		Rules:       v.Rules,
 		Controllers: controllers,
 	}
-	r.logAbout(q.logFields(), outside.Error())
+	r.logWithFields(q.logFields(), outside.Error())
 	if q.answered || !r.closeQuery(q, fairqueue.Deferred) {
 		return
 	}
@@ -257,7 +257,7 @@
 		delete(r.pendingBindings, id)
 		r.core.Recorded(*b.binding)
 		r.reevaluate()
-		r.runSoon(r.servingLease.releaseHeld)
+		r.enqueueCallback(r.servingLease.releaseHeld)
 	case "unknown":
 		// asked again by the same id; the loads that wait for it have deadlines of their own
 		b.backoff = min(max(2*b.backoff, minBindingBackoff), maxBindingBackoff)
@@ -292,7 +292,7 @@
 		return
 	}
 	r.judgedStamp = r.core.Stamp()
-	confined := r.queriesWhere(func(q *query) bool { return q.residency != nil && !q.answered && !q.blocked })
+	confined := r.findQueries(func(q *query) bool { return q.residency != nil && !q.answered && !q.held })
 	for _, q := range confined {
 		r.reevaluateQuery(q)
 	}
@@ -308,7 +308,7 @@
 			return
 		}
 		if !r.ensureServable(q, v) {
-			r.runSoon(func() { r.scheduler.QueryDropped(r.now, q.id) })
+			r.enqueueCallback(func() { r.scheduler.QueryDropped(r.now, q.id) })
 			r.withdrawUnsent(q.attempts)
 			return
 		}
@@ -317,7 +317,7 @@
 		r.requestBinding(required) // the tables that it binds may be changed already
 	}
 	allowed := r.allowedLocations(q)
-	r.runSoon(func() { r.scheduler.ConfineQuery(r.now, q.id, allowed) })
+	r.enqueueCallback(func() { r.scheduler.ConfineQuery(r.now, q.id, allowed) })
 }
 
 // allowedLocations are the locations that a query may be sent to, by their index in the
@@ -371,7 +371,7 @@
 	if q.residency.attemptsNoted != len(q.attempts) {
 		q.residency.attemptsNoted = len(q.attempts)
 		if r.core.Sent(q.id, q.residency.tenant, v, site) {
-			r.logAbout(q.logFields(), "crosses to site "+site+": an emergency of its rules is on")
+			r.logWithFields(q.logFields(), "crosses to site "+site+": an emergency of its rules is on")
 		}
 	}
 	return true
--- a/internal/controller/residency_test.go
+++ b/internal/controller/residency_test.go
@@ -57,11 +57,11 @@
 		t.Fatal("another team's is held")
 	}
 	// none inside: held while there is time, and never across
-	for _, m := range s.allEngines() {
+	for _, m := range s.sortedEngines() {
 		if m.site == "b" {
 			s.order(fleet.Order{Kind: fleet.ViewChanged, View: &fleet.View{}})
 			m.state = "DRAINING"
-			s.listEngines(m.entry(0))
+			s.listEngines(m.endpointJSON(0))
 		}
 	}
 	a := s.sendQuery(c, "lookup", "", time.Second, 1, "who", "bank")
@@ -78,9 +78,9 @@
 	s.order(fleet.Order{Kind: fleet.ViewChanged, View: &fleet.View{Members: []fleet.Member{{Name: "x", Site: "b", Clients: "10.9.9.9:6565"},
 		{Name: "y", Site: "b", Clients: "10.9.9.8:6565", Forgotten: true}, {Name: "z", Site: "c", Clients: "10.9.9.7:6565"}}}})
 	c := s.connect()
-	s.body = "select * from d_1.x join d_2.y using (id)"
+	s.statement = "select * from d_1.x join d_2.y using (id)"
 	both := s.sendQuery(c, "lookup", "", 5*time.Second, 0, "who", "bank")
-	s.body = ""
+	s.statement = ""
 	other := s.sendQuery(c, "lookup", "", 5*time.Second, 2, "who", "bank")
 	if both.answer != "killed" || !bytes.Contains(both.answerBytes, []byte("in-a and in-b")) {
 		t.Fatalf("%q", both.answerBytes)
@@ -89,7 +89,7 @@
 		bytes.Contains(other.answerBytes, []byte("10.9.9.7")) {
 		t.Fatalf("%q", other.answerBytes)
 	}
-	s.body = "select * from orders"
+	s.statement = "select * from orders"
 	if a := s.sendQuery(c, "lookup", "", 5*time.Second, 0, "who", "bank"); a.answer != "killed" {
 		t.Fatal("what can't be told touches both", a.answer)
 	}
@@ -101,10 +101,10 @@
 	s := placedStage(t, 3, "a", nil)
 	s.rules(1, residency.Rule{Name: "r", Team: "bank", Tables: []int64{1}, Engines: []string{"a"}, Follows: true})
 	c := s.connect()
-	s.body = "insert into d_5.x select * from d_1.y"
+	s.statement = "insert into d_5.x select * from d_1.y"
 	first := s.sendQuery(c, "load", "k", 9*time.Second, 0, "who", "bank")
 	alike := s.sendQuery(c, "load", "j", 9*time.Second, 0, "who", "bank")
-	s.body = "insert into d_9.x values (1)"
+	s.statement = "insert into d_9.x values (1)"
 	behind := s.sendQuery(c, "load", "k", 9*time.Second, 0, "who", "bank")
 	s.runUntil(s.now + 300*time.Millisecond)
 	asks := s.wanted()
@@ -123,12 +123,12 @@
 	s.respond(s.waitForCall("POST", first.id), "ok")
 	s.waitForCall("POST", alike.id)
 	s.waitForCall("POST", behind.id) // posted checks the key's order
-	s.body = ""
+	s.statement = ""
 	if h := s.waitForCall("POST", s.sendQuery(c, "lookup", "", 9*time.Second, 5, "who", "bank").id); h.engine.site != "a" {
 		t.Fatal("bound, and at", h.engine.site)
 	}
 	// who never hears of it is deferred in time, and may come again
-	s.body = "insert into d_6.x select * from d_5.y"
+	s.statement = "insert into d_6.x select * from d_5.y"
 	late := s.sendQuery(c, "load", "l", time.Second, 0, "who", "bank")
 	s.runUntil(late.deadline)
 	if late.answer != "deferred" || len(late.runs) > 0 {
@@ -140,7 +140,7 @@
 func TestNewRuleBindsTablesOfARunningLoad(t *testing.T) {
 	s := placedStage(t, 3, "a", nil)
 	s.rules(1)
-	s.body = "insert into d_5.x select * from d_1.y"
+	s.statement = "insert into d_5.x select * from d_1.y"
 	a := s.sendQuery(s.connect(), "load", "k", 9*time.Second, 0, "who", "bank")
 	s.respond(s.waitForCall("POST", a.id), "runs")
 	s.rules(2, residency.Rule{Name: "r", Team: "bank", Tables: []int64{1}, Engines: []string{"a", "b"}, Controllers: []string{"a"}, Follows: true})
@@ -208,7 +208,7 @@
 					sent++
 					c := residency.New("a")
 					c.Rules(now)
-					if v := c.Judge("bank", []int64{int64(x.query.msg % 3)}, true); !v.May(x.engine.site) {
+					if v := c.Judge("bank", []int64{int64(x.query.messageID % 3)}, true); !v.May(x.engine.site) {
 						t.Fatalf("%s at %s by %+v", a.id, x.engine.site, now)
 					}
 				}
@@ -219,12 +219,12 @@
 			switch rapid.IntRange(0, 6).Draw(t, "what") {
 			case 0, 1, 2, 3:
 				who := rapid.SampledFrom([]string{"bank", "shop"}).Draw(t, "who")
-				if c.messages < 100 {
-					a := s.sendQuery(c, rapid.SampledFrom([]string{"lookup", "report"}).Draw(t, "group"), "", 3*time.Second, (c.messages+1)%3, "who", who)
+				if c.messageCount < 100 {
+					a := s.sendQuery(c, rapid.SampledFrom([]string{"lookup", "report"}).Draw(t, "group"), "", 3*time.Second, (c.messageCount+1)%3, "who", who)
 					a.key = who
 				}
 			case 4:
-				for _, h := range s.heldCalls {
+				for _, h := range s.pendingCalls {
 					if h.run != nil && h.method == "GET" {
 						s.respond(h, rapid.SampledFrom([]string{"ok", "lost"}).Draw(t, "how"))
 						break
@@ -238,11 +238,11 @@
 				now = draws()
 				s.rules(version, now...)
 			case 6:
-				m := s.allEngines()[rapid.IntRange(0, 5).Draw(t, "engine")]
+				m := s.sortedEngines()[rapid.IntRange(0, 5).Draw(t, "engine")]
 				if m.state = "DRAINING"; rapid.Bool().Draw(t, "back") {
 					m.state = "SERVING"
 				}
-				s.listEngines(m.entry(0))
+				s.listEngines(m.endpointJSON(0))
 			}
 			s.runUntil(s.now + rapid.SampledFrom([]time.Duration{0, 5 * time.Millisecond, 400 * time.Millisecond}).Draw(t, "later"))
 			look()
@@ -276,7 +276,7 @@
 	s.controller.invalidation = newInvalidation(s.controller)
 	s.controller.servingLease.invalidator = s.controller.invalidation
 	c := s.connect()
-	s.body = "insert into d_5.x select * from d_1.y"
+	s.statement = "insert into d_5.x select * from d_1.y"
 	a := s.sendQuery(c, "load", "k", 9*time.Second, 0, "who", "bank")
 	s.runUntil(s.now + 10*time.Millisecond)
 	id := s.wanted()[0].ID
--- a/internal/controller/result_cache.go
+++ b/internal/controller/result_cache.go
@@ -85,7 +85,7 @@
 
 // lookup answers a query from the cache, or has it follow another that asks the same. It reports
 // whether the query has to go its way, which proceed would send it on later.
-func (a *resultCaching) lookup(q *query, from From, proceed func(From)) bool {
+func (a *resultCaching) lookup(q *query, from CallOrigin, proceed func(CallOrigin)) bool {
 	if !a.mayLookUp(q) {
 		return true
 	}
@@ -157,7 +157,7 @@
 	}
 	q := next.Of.(*query)
 	a.timers.Drop(q.cacheState.followTimer)
-	a.runSoon(func() {
+	a.enqueueCallback(func() {
 		if !q.answered {
 			q.cacheState.proceed()
 		}
--- a/internal/controller/result_paging.go
+++ b/internal/controller/result_paging.go
@@ -65,7 +65,7 @@
 
 // tenantOf is the tenant of a call, as the spool's limits and tokens have it; "" where there are
 // no tenants.
-func (c *Controller) tenantOf(from From) string {
+func (c *Controller) tenantOf(from CallOrigin) string {
 	if c.fairQueue == nil {
 		return ""
 	}
@@ -75,13 +75,13 @@
 
 // reserve takes space for a query whose client reads page by page. Where there is none the query
 // is deferred, before anything of it is sent.
-func (p *resultPaging) reserve(q *query, from From) {
+func (p *resultPaging) reserve(q *query, from CallOrigin) {
 	if len(from.Fields.Get(p.FieldNames.Paged)) == 0 {
 		return
 	}
 	spooled, err := p.core.Enter(p.now, q.id, p.tenantOf(from), p.resultTag(q, from))
 	if err != nil {
-		p.logAbout(q.logFields(), "deferred: "+err.Error())
+		p.logWithFields(q.logFields(), "deferred: "+err.Error())
 		p.answerDeferred(q, noSpaceRetryAfter)
 		return
 	}
@@ -89,7 +89,7 @@
 }
 
 // resultTag is what an invalidation finds a query's result by.
-func (p *resultPaging) resultTag(q *query, from From) spool.Tag {
+func (p *resultPaging) resultTag(q *query, from CallOrigin) spool.Tag {
 	t := spool.Tag{Index: p.invalidation.currentIndex(), Tables: allTables(q.statement)}
 	if p.fairQueue == nil {
 		t.Owner = p.dataOwner(from)
@@ -147,7 +147,7 @@
 	timer := p.timers.Add(p.now+engineRetention/2, poll)
 	p.core.Room(func() {
 		p.timers.Drop(timer)
-		p.runSoon(poll)
+		p.enqueueCallback(poll)
 	})
 }
 
@@ -175,9 +175,9 @@
 	r := a.result
 	switch {
 	case a.ended: // given up meanwhile
-		p.runSoon(func() { p.core.Drop(p.now, r) })
+		p.enqueueCallback(func() { p.core.Drop(p.now, r) })
 	case err != nil:
-		p.logAbout(a.logFields(), "its result can't be kept: "+err.Error())
+		p.logWithFields(a.logFields(), "its result can't be kept: "+err.Error())
 		a.result = nil
 		if !a.query.answered {
 			p.answerKilled(a.query, fmt.Sprintf("the result of %d bytes can't be kept: %v", r.Bytes(), err))
@@ -196,10 +196,10 @@
 	drop := func() { p.core.Drop(p.now, r) }
 	switch {
 	case a.query.answered, a.ended: // another was first, its client left, or its time was over
-		p.runSoon(drop)
+		p.enqueueCallback(drop)
 	case err != nil:
 		p.answerKilled(a.query, "its result can't be read: "+err.Error())
-		p.runSoon(drop)
+		p.enqueueCallback(drop)
 	case p.closeQuery(a.query, fairqueue.Finished):
 		p.counters.finished++
 		a.query.owner.paged(body, msgpackrpc.Paging{
@@ -252,7 +252,7 @@
 	case cl.paging == nil:
 		cl.Wrong(msg, "no such method")
 		return
-	case cl.pageReads >= cl.limits.OpenQueries:
+	case cl.pageReads >= cl.limits.MaxOpenQueries:
 		cl.reply(msgpackrpc.Deferred(nil, msg, busyRetryAfter))
 		return
 	case cl.invalidation.servingBarred():
@@ -260,7 +260,7 @@
 		return
 	}
 	cl.pageReads++
-	from := From{cl.connection.RemoteAddress, all}
+	from := CallOrigin{cl.connection.RemoteAddress, all}
 	owner, tenant := cl.dataOwner(from), cl.tenantOf(from)
 	var tables []int64
 	if cl.servingLease != nil {
--- a/internal/controller/result_paging_test.go
+++ b/internal/controller/result_paging_test.go
@@ -63,7 +63,7 @@
 		t.Fatal(err)
 	}
 	figures := engine.Usual()
-	means := controller.Config{MemoryMB: 64, Sockets: 4096, Settings: bench.Facts(bench.Usual(), figures), Tenants: shape, StartedAt: time.UnixMilli(0),
+	means := controller.Config{MemoryMB: 64, MaxDescriptors: 4096, Settings: bench.Facts(bench.Usual(), figures), Tenants: shape, StartedAt: time.UnixMilli(0),
 		FieldNames: controller.FieldNames{Tenant: "team", Paged: "pages"},
 		Spool:      &controller.SpoolConfig{Limits: l, Keys: keys, First: keeper.First(), Restore: keeper.Restore}}
 	for _, do := range change {
--- a/internal/controller/retained_writes.go
+++ b/internal/controller/retained_writes.go
@@ -27,9 +27,9 @@
 // markRetained marks what do writes as retained bytes: they go out only while the lease
 // holds, by the clock as it is then.
 func (v *invalidation) markRetained(do func()) {
-	v.writingRetained = true
+	v.writingRetainedData = true
 	do()
-	v.writingRetained = false
+	v.writingRetainedData = false
 }
 
 // noteRetainedAnswer notes that a query was answered with retained bytes.
--- a/internal/controller/scheduler_actions.go
+++ b/internal/controller/scheduler_actions.go
@@ -55,8 +55,8 @@
 	if q == nil {
 		return
 	}
-	if c.fairQueue != nil && q.waiter != nil {
-		retryAfter = max(retryAfter, c.fairQueue.retryAfter(c.fairQueue.queue.RetryAfter(c.now, q.waiter)))
+	if c.fairQueue != nil && q.fairEntry != nil {
+		retryAfter = max(retryAfter, c.fairQueue.retryAfter(c.fairQueue.queue.RetryAfter(c.now, q.fairEntry)))
 	}
 	c.answerDeferred(q, retryAfter)
 }
--- a/internal/controller/serving_lease_test.go
+++ b/internal/controller/serving_lease_test.go
@@ -18,7 +18,7 @@
 	return newHarness(t, engines, 256, more, append([]func(*Config){func(m *Config) { m.Fleet = &FleetConfig{Word: &fleet.ServingState{}} }}, change...)...)
 }
 
-func (s *harness) order(o fleet.Order) { s.step(Event{Kind: FleetOrdered, Order: &o}) }
+func (s *harness) order(o fleet.Order) { s.step(Event{Kind: FleetOrderReceived, Order: &o}) }
 
 // opens has it decide by a version, with a lease for so long.
 func (s *harness) opens(version uint64, lease time.Duration) {
@@ -33,10 +33,10 @@
 		return false
 	}
 	w.EndWrite()
-	if n := len(s.versions); n > 0 && f.PolicyVersion < s.versions[n-1] {
-		s.t.Fatalf("submitted by version %d after one by %d", f.PolicyVersion, s.versions[n-1])
+	if n := len(s.submittedVersions); n > 0 && f.PolicyVersion < s.submittedVersions[n-1] {
+		s.t.Fatalf("submitted by version %d after one by %d", f.PolicyVersion, s.submittedVersions[n-1])
 	}
-	s.versions = append(s.versions, f.PolicyVersion)
+	s.submittedVersions = append(s.submittedVersions, f.PolicyVersion)
 	return true
 }
 
@@ -89,7 +89,7 @@
 	s.controller.servingLease.heldCount = maxHeldQueries
 	over := s.sendQuery(c, "lookup", "", 9*time.Second, 1)
 	s.controller.servingLease.heldCount = 0
-	if over.answer != "deferred" || len(s.versions) > 0 {
+	if over.answer != "deferred" || len(s.submittedVersions) > 0 {
 		t.Fatal(over.answer)
 	}
 }
@@ -182,8 +182,8 @@
 		t.Fatal("more was taken over than is the fleet's")
 	}
 	s.runUntil(s.now + 50*time.Millisecond)
-	if !slices.Equal(s.versions, []uint64{2}) {
-		t.Fatal(s.versions)
+	if !slices.Equal(s.submittedVersions, []uint64{2}) {
+		t.Fatal(s.submittedVersions)
 	}
 }
 
@@ -192,7 +192,7 @@
 func TestBlockedAttemptObeysTheNextVersion(t *testing.T) {
 	s := placedStage(t, 2, "a", map[string]string{"may.probe": "false", "report.how": "off"})
 	s.opens(1, time.Minute)
-	s.body = "insert into d_1.x select 1"
+	s.statement = "insert into d_1.x select 1"
 	a := s.sendQuery(s.connect(), "load", "k", 9*time.Second, 1, "who", "bank")
 	q := s.controller.queries[a.id]
 	s.order(fleet.Order{Kind: fleet.FencePolicy, Change: "c"}) // while it waits for a line
@@ -207,8 +207,8 @@
 	s.order(fleet.Order{Kind: fleet.OpenPolicy, Version: 2, Policy: &Policy{Version: 2,
 		Rules: []residency.Rule{{Name: "r", Team: "bank", Engines: []string{other}, Controllers: []string{"a"}}}}})
 	h := s.waitForCall("POST", a.id)
-	if h.engine.id == chosen || h.engine.site != other || !slices.Equal(s.versions, []uint64{2}) || s.controller.counters.attemptEnds[7] != 1 {
-		t.Fatalf("to %s, chosen was %s, %v, %v", h.engine.id, chosen, s.versions, s.controller.counters.attemptEnds)
+	if h.engine.id == chosen || h.engine.site != other || !slices.Equal(s.submittedVersions, []uint64{2}) || s.controller.counters.attemptEnds[7] != 1 {
+		t.Fatalf("to %s, chosen was %s, %v, %v", h.engine.id, chosen, s.submittedVersions, s.controller.counters.attemptEnds)
 	}
 }
 
@@ -237,7 +237,7 @@
 	for range 3 {
 		s.sendQuery(c, "lookup", "", 9*time.Second, 1)
 	}
-	s.reportsFull = true
+	s.rejectReports = true
 	s.order(fleet.Order{Kind: fleet.FencePolicy, Change: "c"})
 	waits := s.controller.fairQueue.queue.Waiting()
 	s.runUntil(time.Second)
@@ -246,7 +246,7 @@
 	}
 	s.order(fleet.Order{Kind: fleet.OpenPolicy, Version: 2, Policy: &Policy{Version: 2, Fair: &fairqueue.Config{Tenants: []fairqueue.Tenant{{Name: "b", Weight: 1}}}}})
 	s.order(fleet.Order{Kind: fleet.InvalidateData, ID: "p", Scope: &fleet.Scope{Team: "a"}})
-	s.reportsFull, s.reports = false, nil
+	s.rejectReports, s.reports = false, nil
 	s.runUntil(s.now + 2*reportRetryInterval)
 	var kinds []fleet.ReportKind
 	for _, p := range s.reports {
@@ -256,7 +256,7 @@
 		t.Fatal(kinds)
 	}
 	s.step(Event{Kind: CountersRequested})
-	if text := s.logged[len(s.logged)-1]; !strings.Contains(text, "fleet version 2 switches 1") {
+	if text := s.logLines[len(s.logLines)-1]; !strings.Contains(text, "fleet version 2 switches 1") {
 		t.Fatal(text)
 	}
 }
@@ -287,9 +287,9 @@
 			case 2, 3:
 				version++
 				s.order(fleet.Order{Kind: fleet.FencePolicy, Change: "c"})
-				before := len(s.versions)
+				before := len(s.submittedVersions)
 				s.runUntil(s.now + 20*time.Millisecond)
-				if len(s.versions) > before {
+				if len(s.submittedVersions) > before {
 					t.Fatalf("submitted while shut")
 				}
 				s.order(fleet.Order{Kind: fleet.OpenPolicy, Version: version, Policy: &Policy{Facts: map[string]string{"threads": "2,2,2"}}})
@@ -310,7 +310,7 @@
 		struck["deferred"] += s.controller.servingLease.deferredHeld
 		struck["parked"] += len(s.controller.servingLease.blockedAttempts)
 		struck["switches"] += s.controller.servingLease.policySwitches
-		struck["written"] += len(s.versions)
+		struck["written"] += len(s.submittedVersions)
 		s.runRandom(nil)
 	})
 	for _, what := range []string{"refused", "held", "deferred", "parked", "switches", "written"} {
@@ -329,7 +329,7 @@
 		}
 		c := s.connect()
 		one := func() {
-			c.messages, s.queries, s.written = 0, s.queries[:0], s.written[:0]
+			c.messageCount, s.queries, s.writeLog = 0, s.queries[:0], s.writeLog[:0]
 			for _, m := range s.engines {
 				clear(m.runs)
 			}
--- a/internal/controller/standing_test.go
+++ b/internal/controller/standing_test.go
@@ -27,8 +27,8 @@
 	s := newHarness(t, 1, 256, map[string]string{"may.probe": "false"})
 	s.runUntil(10 * time.Millisecond)
 	s.listEngines("") // the last that it says
-	silent, from, m := s.feed, s.now, s.allEngines()[0]
-	for s.feed == silent || !s.feed.up {
+	silent, from, m := s.discovery, s.now, s.sortedEngines()[0]
+	for s.discovery == silent || !s.discovery.established {
 		if s.runUntil(s.now + time.Millisecond); s.now-from > 1400*time.Millisecond {
 			t.Fatal("still waited for after ", s.now-from)
 		}
@@ -38,7 +38,7 @@
 		t.Fatal("no connection is being made for it, and the test proves nothing")
 	}
 	m.state = "DRAINING"
-	s.listEngines(m.entry(0))
+	s.listEngines(m.endpointJSON(0))
 	s.runUntil(s.now + 2*time.Second)
 	if len(a.runs) > 0 || a.answer != "deferred" {
 		t.Fatalf("sent %d times to an engine that had been told to drain, %q", len(a.runs), a.answer)
--- a/internal/controller/write_permit.go
+++ b/internal/controller/write_permit.go
@@ -11,12 +11,12 @@
 // whoever writes asks it last: here and nowhere else, so that no queue on the way needs a check of
 // its own.
 type WritePermit struct {
-	revoked atomic.Bool
-	until   time.Duration // since the program's start; nothing begins from then on
+	revoked   atomic.Bool
+	expiresAt time.Duration // since the program's start; nothing begins from then on
 }
 
 // NewWritePermit makes one that holds until a time since the start.
-func NewWritePermit(until time.Duration) *WritePermit { return &WritePermit{until: until} }
+func NewWritePermit(until time.Duration) *WritePermit { return &WritePermit{expiresAt: until} }
 
 // Revoke takes it back; what is not out by then doesn't go. It may be called again.
 func (p *WritePermit) Revoke() {
@@ -25,8 +25,8 @@
 	}
 }
 
-// Holds reports whether the first byte may go out at a time since the program's start. A nil permit
+// ValidAt reports whether the first byte may go out at a time since the program's start. A nil permit
 // always holds.
-func (p *WritePermit) Holds(now time.Duration) bool {
-	return p == nil || !p.revoked.Load() && now < p.until
+func (p *WritePermit) ValidAt(now time.Duration) bool {
+	return p == nil || !p.revoked.Load() && now < p.expiresAt
 }
--- a/internal/emulator/world/world.go
+++ b/internal/emulator/world/world.go
@@ -112,7 +112,7 @@
 		all = append(all, e.Engine)
 	}
 	w.Feed.Tell(true, all...)
-	means.Seed, means.DiscoveryAddress, means.KnownEngines = seed, "feed", w.Feed.Known()
+	means.Seed, means.DiscoveryAddress, means.InitialEndpoints = seed, "feed", w.Feed.Known()
 	w.History.KeyRest = time.Duration(number(means.Settings["key.rest"])) * time.Millisecond
 	w.History.Grace = time.Duration(number(means.Settings["drain.grace"])) * time.Millisecond
 	w.History.Most = int(number(means.Settings["submissions.most"]))
@@ -448,7 +448,7 @@
 
 // Order has the controller do what a fleet orders; Reports has what it told in turn.
 func (w *World) Order(o fleet.Order) {
-	w.step(controller.Event{Kind: controller.FleetOrdered, Order: &o})
+	w.step(controller.Event{Kind: controller.FleetOrderReceived, Order: &o})
 }
 
 // Leave takes a query back.
--- a/internal/eventloop/endings_clients_test.go
+++ b/internal/eventloop/endings_clients_test.go
@@ -160,7 +160,7 @@
 		if string(engine.queue) != "POST" || len(engine.guards) != 1 || engine.guards[0].permit != permit {
 			t.Fatalf("%q, %d guards", engine.queue, len(engine.guards))
 		}
-		if engine.guards[0].permit.Holds(0) == leaves {
+		if engine.guards[0].permit.ValidAt(0) == leaves {
 			t.Fatal("the permit doesn't tell whether its client left")
 		}
 	}
@@ -177,7 +177,7 @@
 			if out != "free starts free too" {
 				t.Fatalf("%q, %v", out, kinds)
 			}
-		} else if out != "free " || len(kinds) != 3 || kinds[1] != controller.WriteBarred || kinds[2] != controller.ConnectionClosed {
+		} else if out != "free " || len(kinds) != 3 || kinds[1] != controller.WriteRejected || kinds[2] != controller.ConnectionClosed {
 			t.Fatalf("%s: %q, %v", what, out, kinds)
 		}
 	}
--- a/internal/eventloop/endings_test.go
+++ b/internal/eventloop/endings_test.go
@@ -310,11 +310,11 @@
 	for kinds = append(kinds, first.Kind); kinds[len(kinds)-1] != controller.ConnectionClosed; {
 		ev := <-l.events
 		kinds = append(kinds, ev.Kind)
-		if ev.Kind == controller.WriteBarred {
+		if ev.Kind == controller.WriteRejected {
 			w.turn <- struct{}{}
 		}
 	}
-	if len(kinds) != 3 || kinds[0] != controller.BytesReceived || kinds[1] != controller.WriteBarred {
+	if len(kinds) != 3 || kinds[0] != controller.BytesReceived || kinds[1] != controller.WriteRejected {
 		t.Fatal(kinds)
 	}
 	theirs.SetReadDeadline(time.Now().Add(patienceMost))
--- a/internal/eventloop/fleet_test.go
+++ b/internal/eventloop/fleet_test.go
@@ -70,7 +70,7 @@
 	}
 	for what, set := range map[string]func(*fleet.ServingState){"another version": open(8, time.Hour), "shut": open(0, time.Hour), "no lease": open(7, 30*time.Second)} {
 		out, kinds := sends(t, now.Add(-time.Minute), "by 7 ", guard{version: 7}, set)
-		if want := "free "; out != want || len(kinds) != 3 || kinds[0] != controller.BytesWritten || kinds[1] != controller.WriteBarred {
+		if want := "free "; out != want || len(kinds) != 3 || kinds[0] != controller.BytesWritten || kinds[1] != controller.WriteRejected {
 			t.Fatalf("%s: %q, %v", what, out, kinds)
 		}
 	}
@@ -83,7 +83,7 @@
 		t.Fatal(out, kinds)
 	}
 	out, kinds := sends(t, now.Add(-time.Minute), "kept ", guard{kept: true}, func(w *fleet.ServingState) { w.SetVersion(7); w.SetLease(time.Hour, 30*time.Second) })
-	if out != "free " || len(kinds) != 3 || kinds[1] != controller.WriteBarred {
+	if out != "free " || len(kinds) != 3 || kinds[1] != controller.WriteRejected {
 		t.Fatalf("%q, %v", out, kinds)
 	}
 }
@@ -98,7 +98,7 @@
 	ctx, stop := context.WithCancel(context.Background())
 	orders, reports, asked := make(chan fleet.Order), make(chan fleet.Report, 1), make(chan controller.Event)
 	done := make(chan error)
-	means := controller.Config{MemoryMB: 32, Sockets: 64, StartedAt: time.Now(), Fleet: &controller.FleetConfig{Word: &fleet.ServingState{}},
+	means := controller.Config{MemoryMB: 32, MaxDescriptors: 64, StartedAt: time.Now(), Fleet: &controller.FleetConfig{Word: &fleet.ServingState{}},
 		Settings: map[string]string{"locations": "here"}}
 	go func() { done <- Serve(ctx, listener, means, nil, FleetChannels{orders, reports}, asked, zerolog.Nop()) }()
 	orders <- fleet.Order{Kind: fleet.LeaseRenewed, Until: fleet.Forever, UntilBound: fleet.Forever}
--- a/internal/eventloop/gate_test.go
+++ b/internal/eventloop/gate_test.go
@@ -395,8 +395,8 @@
 		o.feed = y.feed.Addr().String()
 	}
 	known := listed(1, true, append([]string{entry("e1", l, o.state)}, o.more...)...)
-	means := controller.Config{Seed: 5, MemoryMB: 64, Sockets: o.sockets, DiscoveryAddress: o.feed, Settings: facts(o.facts), StartedAt: time.Now(), TraceQueries: true,
-		ClientLimits: o.manners, FieldNames: controller.FieldNames{IdempotencyKey: "nonce"}, KnownEngines: []byte(`{"n":1,"events":[` + known + `]}`)}
+	means := controller.Config{Seed: 5, MemoryMB: 64, MaxDescriptors: o.sockets, DiscoveryAddress: o.feed, Settings: facts(o.facts), StartedAt: time.Now(), TraceQueries: true,
+		ClientLimits: o.manners, FieldNames: controller.FieldNames{IdempotencyKey: "nonce"}, InitialEndpoints: []byte(`{"n":1,"events":[` + known + `]}`)}
 	front := listen(t)
 	y.address = front.Addr().String()
 	ctx, stop := context.WithCancel(context.Background())
--- a/internal/eventloop/run.go
+++ b/internal/eventloop/run.go
@@ -99,7 +99,7 @@
 			ev.Kind = controller.TimerFired
 		case ev.Event = <-asked:
 		case o := <-l.peers.Orders:
-			ev.Kind, ev.Order = controller.FleetOrdered, &o
+			ev.Kind, ev.Order = controller.FleetOrderReceived, &o
 		case <-l.ctx.Done():
 			return l.ctx.Err()
 		}
@@ -216,7 +216,7 @@
 			if w == nil {
 				break
 			}
-			g, bytes := guard{version: e.PolicyVersion, bound: e.Confined, kept: e.Retained && l.word != nil, permit: e.Permit}, e.Bytes
+			g, bytes := guard{version: e.PolicyVersion, bound: e.Confined, kept: e.RetainedData && l.word != nil, permit: e.Permit}, e.Bytes
 			if from := l.wires[e.Client]; from != nil && from.unheard.Load() {
 				// its client has said something, perhaps that it leaves: that first
 				l.later[from] = append(l.later[from], func() { w.write(bytes, g) })
--- a/internal/setup/means.go
+++ b/internal/setup/means.go
@@ -29,10 +29,10 @@
 // Means are what the controller starts with, started at a time.
 func (x *Setup) Means(started time.Time) controller.Config {
 	seed, _ := strconv.ParseUint(x.Seed, 16, 64)
-	m := controller.Config{Seed: seed, MemoryMB: x.MemoryMB(), Sockets: cmp.Or(x.Limits.Sockets, 4096), DiscoveryAddress: x.Feed,
-		Settings: x.facts(), StartedAt: started, CacheLimits: x.Answers.limits(), DrawUnique: draw}
+	m := controller.Config{Seed: seed, MemoryMB: x.MemoryMB(), MaxDescriptors: cmp.Or(x.Limits.Sockets, 4096), DiscoveryAddress: x.Feed,
+		Settings: x.facts(), StartedAt: started, CacheLimits: x.Answers.limits(), NewUniqueID: draw}
 	for _, set := range x.Clients {
-		m.ClientLimits = append(m.ClientLimits, controller.ClientLimits{Prefixes: prefixes(set.Addresses), OpenQueries: set.Open, MessagesPerSweep: set.Messages,
+		m.ClientLimits = append(m.ClientLimits, controller.ClientLimits{Prefixes: prefixes(set.Addresses), MaxOpenQueries: set.Open, MaxMessagesPerSweep: set.Messages,
 			IdleTimeout: time.Duration(set.Idle), MessageTimeout: time.Duration(set.Message)})
 	}
 	if f := x.Fairness; f != nil {
