--- a/internal/settings/mixed.go
+++ b/internal/settings/mixed.go
@@ -21,8 +21,8 @@
 		return x
 	}
 	if share := number("budget.share"); share > 0 && number("budget.span") <= 0 {
-		say(&refused, "budget.span", "none, and %s gives further submissions a share of %v", ExternalName("budget.share"),
-			share)
+		say(&refused, "budget.span", "none, and %s gives further submissions a share of %v",
+			ExternalName("budget.share"), share)
 	}
 	teams := int(number("teams"))
 	over, err := strconv.ParseFloat(facts["over.worth"], 64)
