--- a/internal/settings/terms_test.go
+++ b/internal/settings/names_test.go
@@ -31,6 +31,6 @@
 		t.Errorf("%v\n%v\n%v", err, a, b)
 	}
 	if _, err := FromJSON([]byte("{")); err == nil {
-		t.Error("half an object was taken")
+		t.Error("incomplete JSON was accepted")
 	}
 }
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -7,61 +7,63 @@
 	"time"
 )
 
-// Effect says what a second run of a query does.
+// Effect tells what running a query twice does.
 type Effect string
 
 const (
-	ReadOnly      Effect = "read-only" // ReadOnly queries may run any number of times
-	Keyed         Effect = "tokened"   // Keyed: has an idempotency key, which engines keep for a time
-	NonIdempotent Effect = "mutating"  // NonIdempotent queries may run once
+	ReadOnly      Effect = "read-only" // may run any number of times
+	Keyed         Effect = "tokened"   // has an idempotency key, which engines keep for a limited time
+	NonIdempotent Effect = "mutating"  // may run at most once
 )
 
-// KeyScope says which engines share the idempotency keys that they keep; any other value: none do.
+// KeyScope tells which engines share the idempotency keys that they keep. With any other value each
+// engine knows only its own keys.
 type KeyScope string
 
 const (
-	ScopeAll      KeyScope = "all"      // ScopeAll: all engines do.
-	ScopeLocation KeyScope = "location" // ScopeLocation: those of one location.
-	ScopeCell     KeyScope = "cell"     // ScopeCell: those of one cell.
+	ScopeAll      KeyScope = "all"      // all engines
+	ScopeLocation KeyScope = "location" // the engines of one location
+	ScopeCell     KeyScope = "cell"     // the engines of one cell
 )
 
-// Group has the settings of a resource group.
+// Group holds the settings of a resource group.
 type Group struct {
-	PriorityWeight   float64 // value of an answer in time; default 0
-	LateValueShare   float64 // the part of it that a late answer has; default 1
+	PriorityWeight   float64 // value of an answer within the objective; default 0
+	LateValueShare   float64 // fraction of PriorityWeight that a late answer is worth; default 1
 	Objective        time.Duration
-	ObjectiveStretch float64       // added to the objective, in estimated run times; default 0
-	Timeout          time.Duration // of its clients, 0: not told
-	Threads          float64       // that a query takes on an engine, 1 at least
+	ObjectiveStretch float64       // added to the objective, as a multiple of the estimated run time; default 0
+	Timeout          time.Duration // of the group's clients, 0: unknown
+	Threads          float64       // used by a query on an engine, at least 1
 
 	Effect    Effect
 	KeyScope  KeyScope
-	KeyWindow time.Duration // for which engines keep an idempotency key
+	KeyWindow time.Duration // time for which engines keep an idempotency key
 
-	FIFOByKey     bool // queries of one key run one after the other
+	FIFOByKey     bool // queries with the same key run one after the other
 	IsLoad        bool // writes tables
-	WaitsForLoads bool // reads tables, and waits on the engine for a load of them
+	WaitsForLoads bool // reads tables, and waits on the engine while one of them is loaded
 	Locations     []string
-	Kinds         []string // nil: all
+	Kinds         []string // of engines, nil: all
 }
 
-// Tenant has the settings of a tenant.
+// Tenant holds the settings of a tenant.
 type Tenant struct {
 	Name           string
-	QuotaPerSecond float64 // of queries, over all controllers
+	QuotaPerSecond float64 // queries over all controllers
 }
 
-// Settings are what the scheduler decides by. A number that is absent or malformed has its default.
+// Settings holds what the scheduler's decisions depend on. A number that is missing or malformed
+// has its default.
 type Settings struct {
 	ControllerCount    float64 // default 1
-	ControllerIndex    float64 // of this controller among them, from 0
+	ControllerIndex    float64 // of this controller, from 0
 	ControllerLocation string
 	Groups             []Group
 	Tenants            []Tenant
-	OverQuotaWeight    float64 // what a query beyond its tenant's quota is worth, of 1; default 1
-	Quantum            time.Duration
+	OverQuotaWeight    float64       // value of a query beyond its tenant's quota, 0 to 1; default 1
+	Quantum            time.Duration // resolution of the clock; default 5 ms
 
-	KindCores    []float64 // by kind of engine
+	KindCores    []float64 // by the index of an engine's kind
 	KindMemoryMB []float64
 
 	CancelAllowed         bool
@@ -72,32 +74,32 @@
 	RetryAfterAllowed     bool
 	MaxRetryAfter         time.Duration
 	MaxAttempts           int           // of one query; default 1
-	NotePeriod            time.Duration // between an engine's notes on a query, 0: there are none
-	AssumedNotePeriod     time.Duration // the same, 1 s where it is not told
-	AnswersReportWork     bool          // answers tell the work done
-	EnginesSwap           bool          // an engine out of memory swaps
-	MaxGrantFraction      float64       // of an engine's memory; default 0
+	NotePeriod            time.Duration // between an engine's progress notes on a query, 0: engines send none
+	AssumedNotePeriod     time.Duration // NotePeriod, or 1 s if it is missing
+	AnswersReportWork     bool          // answers carry the work that was done
+	EnginesSwap           bool          // an engine that is out of memory swaps
+	MaxGrantFraction      float64       // of an engine's memory, granted to one query; default 0
 
-	LoadReports         bool // engines report their load in some way
-	ReportsCountQueries bool // and the number of their queries in it
+	LoadReports         bool // engines report their load
+	ReportsCountQueries bool // load reports contain the number of queries on the engine
 
-	ListOnRequest     bool // the endpoint list is sent on request only
-	ListRequestWithin time.Duration
+	ListOnRequest     bool          // the endpoint list is sent only after a request
+	ListRequestWithin time.Duration // time within which the list must be requested; default 1 s
 
-	SlowStartInitialCapacity float64       // part of its capacity that a new engine starts with; default 0.2
-	SlowStartDuration        time.Duration // until it has all of it; default 0
-	SlowStartWorkFactor      float64       // of what it does in a window that it may be sent; default 1
+	SlowStartInitialCapacity float64       // fraction of its capacity that a new engine starts with; default 0.2
+	SlowStartDuration        time.Duration // time until a new engine has its full capacity; default 0
+	SlowStartWorkFactor      float64       // of a warming engine's capacity, sent to it in a window; default 1
 	SlowStartWindow          time.Duration // default 1 s
 
-	KeyCooldown       time.Duration // between queries of a key after an end that leaves the engine at work
-	RetryBudgetWindow time.Duration // 0: no budget
-	MinRetryBudget    float64       // retries in a span
-	RetryBudgetRatio  float64       // retries in a span, of its queries
+	KeyCooldown       time.Duration // between queries of a key, after an attempt that may still run
+	RetryBudgetWindow time.Duration // 0: retries are unlimited
+	MinRetryBudget    float64       // retries allowed in a window, whatever the number of queries
+	RetryBudgetRatio  float64       // further retries allowed per query that arrived in the window
 }
 
-// Parse reads the scheduler's settings from what FromPairs or FromJSON gives.
+// Parse reads the settings from a map that FromPairs or FromJSON returned.
 func Parse(given map[string]string) Settings {
-	v := reader(given)
+	v := rawSettings(given)
 	s := Settings{
 		ControllerCount:    v.number("gateways", 1),
 		ControllerIndex:    v.number("own.number", 0),
@@ -108,17 +110,17 @@
 		KindCores:    v.numbers("kind.cores"),
 		KindMemoryMB: v.numbers("kind.memory"),
 
-		CancelAllowed:         v.is("may.cancel"),
-		HealthChecksAllowed:   v.is("may.probe"),
-		HedgingAllowed:        v.is("may.copy"),
-		MemoryGrantsSupported: v.is("may.grant"),
-		PrioritiesSupported:   v.is("may.prioritise"),
-		RetryAfterAllowed:     v.is("may.name-return"),
+		CancelAllowed:         v.boolean("may.cancel"),
+		HealthChecksAllowed:   v.boolean("may.probe"),
+		HedgingAllowed:        v.boolean("may.copy"),
+		MemoryGrantsSupported: v.boolean("may.grant"),
+		PrioritiesSupported:   v.boolean("may.prioritise"),
+		RetryAfterAllowed:     v.boolean("may.name-return"),
 		MaxRetryAfter:         v.duration("return.most", 0),
 		MaxAttempts:           int(v.number("submissions.most", 1)),
 		NotePeriod:            v.duration("note.period", 0),
 		AssumedNotePeriod:     v.duration("note.period", time.Second),
-		AnswersReportWork:     v.is("answers.cost"),
+		AnswersReportWork:     v.boolean("answers.cost"),
 		EnginesSwap:           v["memory.short"] == "swap",
 		MaxGrantFraction:      v.number("grant.most", 0),
 
@@ -148,9 +150,10 @@
 	return s
 }
 
-// ParseGroup reads the settings of one resource group by its place, be it among those counted or not.
+// ParseGroup reads the settings of the resource group with index i, even if the setting "groups"
+// counts fewer.
 func ParseGroup(given map[string]string, i int) Group {
-	v, at := reader(given), "group."+strconv.Itoa(i)+"."
+	v, at := rawSettings(given), "group."+strconv.Itoa(i)+"."
 	return Group{
 		PriorityWeight:   v.number(at+"value", 0),
 		LateValueShare:   v.number(at+"late-share", 1),
@@ -163,15 +166,15 @@
 		KeyScope:  KeyScope(v[at+"scope"]),
 		KeyWindow: v.duration(at+"window", 0),
 
-		FIFOByKey:     v.is(at + "in-order"),
-		IsLoad:        v.item("loads", i) == "true",
-		WaitsForLoads: v.item("waits", i) == "true",
+		FIFOByKey:     v.boolean(at + "in-order"),
+		IsLoad:        v.listItem("loads", i) == "true",
+		WaitsForLoads: v.listItem("waits", i) == "true",
 		Locations:     v.list(at + "locations"),
 		Kinds:         v.list(at + "kinds"),
 	}
 }
 
-// ValueAt is a value of a list by its place, 0 if the list has none there.
+// ValueAt returns the value at an index of a list, 0 if the list has no such index.
 func ValueAt(list []float64, i int) float64 {
 	if i < 0 || i >= len(list) {
 		return 0
@@ -179,10 +182,10 @@
 	return list[i]
 }
 
-// reader reads typed values out of a map of settings.
-type reader map[string]string
+// rawSettings reads typed values from a map of settings by internal name.
+type rawSettings map[string]string
 
-func (v reader) number(name string, absent float64) float64 {
+func (v rawSettings) number(name string, absent float64) float64 {
 	x, err := strconv.ParseFloat(v[name], 64)
 	if err != nil {
 		return absent
@@ -190,8 +193,8 @@
 	return x
 }
 
-// duration reads milliseconds.
-func (v reader) duration(name string, absent time.Duration) time.Duration {
+// duration reads a number of milliseconds.
+func (v rawSettings) duration(name string, absent time.Duration) time.Duration {
 	x, err := strconv.ParseFloat(v[name], 64)
 	if err != nil {
 		return absent
@@ -199,16 +202,16 @@
 	return time.Duration(x * float64(time.Millisecond))
 }
 
-func (v reader) is(name string) bool { return v[name] == "true" || v[name] == "1" }
+func (v rawSettings) boolean(name string) bool { return v[name] == "true" || v[name] == "1" }
 
-func (v reader) list(name string) []string {
+func (v rawSettings) list(name string) []string {
 	if v[name] == "" {
 		return nil
 	}
 	return strings.Split(v[name], ",")
 }
 
-func (v reader) item(name string, i int) string {
+func (v rawSettings) listItem(name string, i int) string {
 	list := v.list(name)
 	if i >= len(list) {
 		return ""
@@ -216,8 +219,8 @@
 	return list[i]
 }
 
-// numbers reads a list of numbers; what is no number is 0.
-func (v reader) numbers(name string) []float64 {
+// numbers reads a list of numbers. An item that isn't a number is read as 0.
+func (v rawSettings) numbers(name string) []float64 {
 	var numbers []float64
 	for _, item := range v.list(name) {
 		x, _ := strconv.ParseFloat(item, 64)
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-func TestParseTakesDefaultsForAbsentAndMalformedNumbers(t *testing.T) {
+func TestParseUsesDefaultsForMissingAndMalformedNumbers(t *testing.T) {
 	for _, given := range []map[string]string{nil, {"cold.from": "x", "cold.window": "1s", "over.worth": "",
 		"gateways": "-"}} {
 		s := Parse(given)
