--- a/internal/bench/fairness.go
+++ b/internal/bench/fairness.go
@@ -504,8 +504,8 @@
 // SpeedFair is the time of one in and one out, in microseconds, with so many
 // teams and queries waiting.
 func SpeedFair(teams, waiting, rounds int) float64 {
-	s := fairqueue.Config{Lanes: []fairqueue.Lane{{Name: "a", Threads: 1, PriorityWeight: 1, UsualWork: 50 * time.Millisecond},
-		{Name: "b", Threads: 3, PriorityWeight: 5, UsualWork: 500 * time.Millisecond}}, AgeingLimit: time.Hour, MaxWaiting: 2 * waiting}
+	s := fairqueue.Config{Lanes: []fairqueue.Lane{{Name: "a", Threads: 1, PriorityWeight: 1, InitialWorkEstimate: 50 * time.Millisecond},
+		{Name: "b", Threads: 3, PriorityWeight: 5, InitialWorkEstimate: 500 * time.Millisecond}}, AgeingLimit: time.Hour, MaxWaiting: 2 * waiting}
 	for i := range 100 {
 		k := fairqueue.Tenant{Name: "k" + strconv.Itoa(i), Weight: 1 + float64(i%7)}
 		for j := range teams / 100 {
--- a/internal/controller/fair_queue.go
+++ b/internal/controller/fair_queue.go
@@ -40,7 +40,7 @@
 	shape := *tenants
 	shape.Lanes = f.lanes()
 	f.queue.Reload(f.now, shape)
-	f.logMessage(true, fmt.Sprintf("teams were read again, %d queries wait", f.queue.Waiting()))
+	f.logMessage(true, fmt.Sprintf("teams were read again, %d queries wait", f.queue.WaitingCount()))
 }
 
 // lanes are the resource groups as the fair queue needs to know them.
@@ -48,12 +48,12 @@
 	lanes := make([]fairqueue.Lane, len(f.groups))
 	for _, g := range f.groups {
 		lanes[g.index] = fairqueue.Lane{
-			Name:           g.name,
-			Threads:        g.threads,
-			PriorityWeight: g.priorityWeight,
-			Ordered:        g.inOrder,
-			Chained:        g.isLoad,
-			UsualWork:      time.Duration(float64(g.latencyObjective) / 2 * g.threads),
+			Name:                g.name,
+			Threads:             g.threads,
+			PriorityWeight:      g.priorityWeight,
+			Ordered:             g.inOrder,
+			Chained:             g.isLoad,
+			InitialWorkEstimate: time.Duration(float64(g.latencyObjective) / 2 * g.threads),
 		}
 	}
 	return lanes
@@ -102,8 +102,8 @@
 	w := f.newWaiter(q, from)
 	verdict := f.queue.Enqueue(f.now, w)
 	if !verdict.Admitted {
-		f.logAbout(f.waiterFields(q, w), "deferred: "+verdict.Reason.String()+", "+verdict.Estimate.String())
-		f.answerDeferred(q, f.retryAfter(verdict.Estimate))
+		f.logAbout(f.waiterFields(q, w), "deferred: "+verdict.Reason.String()+", "+verdict.WaitEstimate.String())
+		f.answerDeferred(q, f.retryAfter(verdict.WaitEstimate))
 		return
 	}
 	q.waiter = w
@@ -213,8 +213,8 @@
 	n := f.queue.Total
 	return fmt.Sprintf("; fairness waiting %d started %d deferred %d repeated %d lowered %d,"+
 		" wait s told %.3f had %.3f worst %.3f",
-		f.queue.Waiting(), n.Started, n.Deferred, n.Repeated, n.Lowered,
-		meanSeconds(n.SumEstimates, n.Started), meanSeconds(n.SumWaits, n.Started), n.MaxWait.Seconds())
+		f.queue.WaitingCount(), n.Started, n.Deferred, n.Repeated, n.PriorityLowered,
+		meanSeconds(n.TotalEstimatedWait, n.Started), meanSeconds(n.TotalWait, n.Started), n.MaxWait.Seconds())
 }
 
 func meanSeconds(sum time.Duration, n int) float64 { return sum.Seconds() / float64(max(1, n)) }
--- a/internal/controller/query.go
+++ b/internal/controller/query.go
@@ -74,7 +74,7 @@
 // effectivePriority is the query's priority at engines: the scheduler's, unless fair queueing has lowered
 // it. The two meet nowhere else.
 func (q *query) effectivePriority() int {
-	if q.waiter != nil && q.waiter.Lowered() {
+	if q.waiter != nil && q.waiter.PriorityLowered() {
 		return min(q.priority, 0)
 	}
 	return q.priority
--- a/internal/controller/result_paging_test.go
+++ b/internal/controller/result_paging_test.go
@@ -477,7 +477,7 @@
 	charged := 0.0
 	s.R.Teams(func(path string, _ int, n fairqueue.Counts) {
 		if strings.HasSuffix(path, "gauges-1") {
-			charged = n.Charged
+			charged = n.ChargedThreadSeconds
 		}
 	})
 	if charged < 0.015 || charged > 0.03 {
--- a/internal/controller/serving_lease_test.go
+++ b/internal/controller/serving_lease_test.go
@@ -239,9 +239,9 @@
 	}
 	s.reportsFull = true
 	s.order(fleet.Order{Kind: fleet.FencePolicy, Change: "c"})
-	waits := s.controller.fairQueue.queue.Waiting()
+	waits := s.controller.fairQueue.queue.WaitingCount()
 	s.runUntil(time.Second)
-	if s.controller.fairQueue.queue.Waiting() != waits || s.told(fleet.PolicyFenced) != 0 {
+	if s.controller.fairQueue.queue.WaitingCount() != waits || s.told(fleet.PolicyFenced) != 0 {
 		t.Fatal("it went on")
 	}
 	s.order(fleet.Order{Kind: fleet.OpenPolicy, Version: 2, Policy: &Policy{Version: 2, Fair: &fairqueue.Config{Tenants: []fairqueue.Tenant{{Name: "b", Weight: 1}}}}})
--- a/internal/fairqueue/admission.go
+++ b/internal/fairqueue/admission.go
@@ -6,9 +6,9 @@
 
 // Admission is the answer to a query that arrived.
 type Admission struct {
-	Admitted bool
-	Estimate time.Duration // until the query starts, or if rejected until it might
-	Reason   RejectReason
+	Admitted     bool
+	WaitEstimate time.Duration // until the query starts, or if rejected until it might
+	Reason       RejectReason
 }
 
 // RejectReason says why a query was not admitted.
@@ -41,7 +41,7 @@
 	n := f.node(q.Tenant)
 	q.leaf = n
 	q.enqueuedAt = f.now
-	q.Arrived = f.now
+	q.ArrivedAt = f.now
 	n.counts.Arrived++
 	f.Total.Arrived++
 	f.takeOverRepeat(q)
@@ -55,7 +55,7 @@
 	f.lastSequence++
 	q.sequence = f.lastSequence
 	q.state = stateWaiting
-	q.Estimate = wait
+	q.WaitEstimate = wait
 	q.expectedStart = f.now + wait
 	f.insertWaiting(q)
 	return admission
@@ -70,7 +70,7 @@
 	if !ok || was.tenant != q.Tenant {
 		return
 	}
-	q.Arrived = was.arrived
+	q.ArrivedAt = was.arrived
 	q.credit = was.charged
 	q.leaf.counts.Repeated++
 	f.Total.Repeated++
@@ -84,7 +84,7 @@
 	wait = estimate
 	// A query behind others of its tenant is not admitted to grow old. The first of a tenant is:
 	// ageing brings its turn whatever its weight.
-	limit := f.config.AgeingLimit*3/5 - (q.enqueuedAt - q.Arrived)
+	limit := f.config.AgeingLimit*3/5 - (q.enqueuedAt - q.ArrivedAt)
 	if n.queues[q.Lane].First() == nil {
 		wait = min(estimate, f.config.AgeingLimit)
 		limit = wait
@@ -92,15 +92,15 @@
 	run := seconds(f.usualRunSeconds(&f.lanes[q.Lane]))
 	switch {
 	case n.waiting >= n.maxWaiting:
-		return Admission{Reason: TenantQueueFull, Estimate: wait}, wait
+		return Admission{Reason: TenantQueueFull, WaitEstimate: wait}, wait
 	case f.waiting >= f.config.MaxWaiting:
-		return Admission{Reason: QueueFull, Estimate: wait}, wait
+		return Admission{Reason: QueueFull, WaitEstimate: wait}, wait
 	case f.now+wait+run > q.Deadline:
-		return Admission{Reason: WouldStartTooLate, Estimate: wait}, wait
+		return Admission{Reason: WouldStartTooLate, WaitEstimate: wait}, wait
 	case wait > max(limit, f.config.AgeingLimit/5):
-		return Admission{Reason: WaitTooLong, Estimate: wait}, wait
+		return Admission{Reason: WaitTooLong, WaitEstimate: wait}, wait
 	}
-	return Admission{Admitted: true, Estimate: estimate}, wait
+	return Admission{Admitted: true, WaitEstimate: estimate}, wait
 }
 
 // recordArrival adds an admitted query to the arrival rates; in a surge it counts for less.
--- a/internal/fairqueue/config.go
+++ b/internal/fairqueue/config.go
@@ -27,9 +27,9 @@
 	// OverrunFactor is how many times its usual work a query takes before its priority is
 	// lowered. 0: DefaultOverrunFactor.
 	OverrunFactor float64
-	// NotifyChange is the change of an estimate, as a part of it, of which clients are
+	// NotifyThreshold is the change of an estimate, as a part of it, of which clients are
 	// notified. 0: DefaultNotifyChange.
-	NotifyChange float64
+	NotifyThreshold float64
 }
 
 // Defaults of the configuration.
@@ -38,16 +38,16 @@
 	DefaultMaxWaiting       = 100_000
 	DefaultTenantMaxWaiting = 10_000 // of one tenant
 	DefaultOverrunFactor    = 4.0
-	DefaultNotifyChange     = 0.25
+	DefaultNotifyThreshold  = 0.25
 )
 
 // Lane describes the queue of one resource group.
 type Lane struct {
-	Name           string
-	Threads        float64       // a query runs on
-	PriorityWeight float64       // of a query that finishes
-	UsualWork      time.Duration // thread time of a query until any finished
-	MaxRetryAfter  time.Duration // the longest Retry-After its clients follow, 0: any
+	Name                string
+	Threads             float64       // a query runs on
+	PriorityWeight      float64       // of a query that finishes
+	InitialWorkEstimate time.Duration // thread time of a query until any finished
+	MaxRetryAfter       time.Duration // the longest Retry-After its clients follow, 0: any
 
 	// Ordered queries are never lowered, nor passed by a younger one of their key or chain.
 	Ordered bool
@@ -72,8 +72,8 @@
 
 const maxWeight = 1e6
 
-// Check reports what is wrong with a configuration, with the path of the tenant at fault.
-func (s *Config) Check() error {
+// Validate reports what is wrong with a configuration, with the path of the tenant at fault.
+func (s *Config) Validate() error {
 	if len(s.Lanes) == 0 {
 		return errors.New("no resource groups")
 	}
--- a/internal/fairqueue/dispatch.go
+++ b/internal/fairqueue/dispatch.go
@@ -17,7 +17,7 @@
 	}
 	for {
 		q := l.byAge.First().Value
-		if f.now-q.Arrived < f.config.AgeingLimit || !q.eligible {
+		if f.now-q.ArrivedAt < f.config.AgeingLimit || !q.eligible {
 			if q = f.nextInTurn(i); q == nil || f.yields(q) {
 				return nil
 			}
--- a/internal/fairqueue/engine_model_test.go
+++ b/internal/fairqueue/engine_model_test.go
@@ -30,16 +30,16 @@
 }
 
 var lanes = []Lane{
-	{Name: "lookup", Threads: 1, PriorityWeight: 2, UsualWork: 50 * time.Millisecond},
-	{Name: "report", Threads: 3, PriorityWeight: 5, UsualWork: 600 * time.Millisecond},
-	{Name: "load", Threads: 2, PriorityWeight: 5, UsualWork: 300 * time.Millisecond, Ordered: true, Chained: true},
+	{Name: "lookup", Threads: 1, PriorityWeight: 2, InitialWorkEstimate: 50 * time.Millisecond},
+	{Name: "report", Threads: 3, PriorityWeight: 5, InitialWorkEstimate: 600 * time.Millisecond},
+	{Name: "load", Threads: 2, PriorityWeight: 5, InitialWorkEstimate: 300 * time.Millisecond, Ordered: true, Chained: true},
 }
 
 func newEngineModel(t interface{ Fatalf(string, ...any) }, s Config, slots ...int) *engineModel {
 	if s.Lanes == nil {
 		s.Lanes = lanes
 	}
-	if err := s.Check(); err != nil {
+	if err := s.Validate(); err != nil {
 		t.Fatalf("%v", err)
 	}
 	m := &engineModel{t: t, c: New(s), slots: slots, used: map[string]float64{}}
@@ -160,8 +160,8 @@
 		}
 		sum += waits[i]
 	}
-	if sum != m.c.Waiting() {
-		m.t.Fatalf("%d wait, %d are counted", sum, m.c.Waiting())
+	if sum != m.c.WaitingCount() {
+		m.t.Fatalf("%d wait, %d are counted", sum, m.c.WaitingCount())
 	}
 	heavy := 0.0
 	for i := range m.c.tenants {
--- a/internal/fairqueue/lane.go
+++ b/internal/fairqueue/lane.go
@@ -31,7 +31,7 @@
 // insert puts a query into the lane by age: a repeated call stands further ahead.
 func (l *lane) insert(q *Query) {
 	at := l.byAge.Last()
-	for at != nil && at.Value.Arrived > q.Arrived {
+	for at != nil && at.Value.ArrivedAt > q.ArrivedAt {
 		at = at.Previous()
 	}
 	l.byAge.InsertAfter(&q.ageElement, q, at)
@@ -47,5 +47,5 @@
 
 // valuePerWork is the priority weight of the lane's queries over their usual work.
 func (l *lane) valuePerWork() float64 {
-	return l.PriorityWeight / l.usualCost.valueOr(max(1e-4, l.UsualWork.Seconds()))
+	return l.PriorityWeight / l.usualCost.valueOr(max(1e-4, l.InitialWorkEstimate.Seconds()))
 }
--- a/internal/fairqueue/query.go
+++ b/internal/fairqueue/query.go
@@ -20,9 +20,9 @@
 	RepeatOf      uint64        // the call that this one repeats: it keeps its age and charge. 0: none
 	RepeatID      uint64        // what a repeat of this one will name. 0: nothing
 
-	// Set by the queue. Arrived is an earlier call's time if the query repeats one.
-	Arrived  time.Duration
-	Estimate time.Duration // the first one
+	// Set by the queue. ArrivedAt is an earlier call's time if the query repeats one.
+	ArrivedAt    time.Duration
+	WaitEstimate time.Duration // the first one
 
 	// Waiting.
 	state           state
@@ -69,11 +69,11 @@
 type list = intrusivelist.List[Query]
 
 func older(a, b *Query) bool {
-	return a.Arrived < b.Arrived || a.Arrived == b.Arrived && a.sequence < b.sequence
+	return a.ArrivedAt < b.ArrivedAt || a.ArrivedAt == b.ArrivedAt && a.sequence < b.sequence
 }
 
-// Lowered reports whether the query's priority is lowered to the least for now.
-func (q *Query) Lowered() bool { return q.lowered }
+// PriorityLowered reports whether the query's priority is lowered to the least for now.
+func (q *Query) PriorityLowered() bool { return q.lowered }
 
 // Waiting reports whether the query was admitted and is not dispatched yet.
 func (q *Query) Waiting() bool { return q.state == stateWaiting }
--- a/internal/fairqueue/queue.go
+++ b/internal/fairqueue/queue.go
@@ -18,21 +18,21 @@
 // Counts sums what happened to the queries of a tenant, or of all tenants together.
 type Counts struct {
 	// Numbers of queries.
-	Arrived, Started, Finished, Deferred, Killed, ClientGone, Repeated, Lowered int
+	Arrived, Started, Finished, Deferred, Killed, ClientGone, Repeated, PriorityLowered int
 
-	// Charged is in thread seconds.
-	Charged float64
+	// ChargedThreadSeconds is in thread seconds.
+	ChargedThreadSeconds float64
 
 	// Of the queries that started: sums of their first estimates and of their waits, the
 	// longest wait, and when the last one started.
-	SumEstimates, SumWaits, MaxWait, LastStart time.Duration
+	TotalEstimatedWait, TotalWait, MaxWait, LastStartAt time.Duration
 }
 
 // Queue is the fair queue of one controller. It is not safe for concurrent use: its owner's
 // goroutine makes all calls.
 type Queue struct {
 	config   Config
-	resolver *TenantResolver
+	resolver *tenantResolver
 	lanes    []lane
 	cores    float64
 
@@ -93,7 +93,7 @@
 
 // TenantOf returns the tenant's index: by the name in the call, where the call's address is
 // trusted to name one, and else by the address.
-func (f *Queue) TenantOf(from netip.Addr, named []byte) int { return f.resolver.Resolve(from, named) }
+func (f *Queue) TenantOf(from netip.Addr, named []byte) int { return f.resolver.resolve(from, named) }
 
 // TenantName returns the name of a tenant's index as TenantOf gave it.
 func (f *Queue) TenantName(i int) string { return f.tenants[i].Name }
@@ -103,8 +103,8 @@
 // it for those that arrived earlier. Only the first waiting query of a tenant may grow as old.
 func (f *Queue) StarvationBound() time.Duration { return f.config.AgeingLimit * 5 / 4 }
 
-// Waiting returns the number of queries that wait, over all tenants.
-func (f *Queue) Waiting() int { return f.waiting }
+// WaitingCount returns the number of queries that wait, over all tenants.
+func (f *Queue) WaitingCount() int { return f.waiting }
 
 // StateCount returns how many tenants, orders, chains and remembered calls have state. Tests
 // use it to check the bounds on memory.
@@ -129,14 +129,14 @@
 
 // usualRunSeconds is the usual time of a lane's query from start to end, in seconds.
 func (f *Queue) usualRunSeconds(l *lane) float64 {
-	return l.runSeconds.valueOr(l.UsualWork.Seconds() / max(1, l.Threads))
+	return l.runSeconds.valueOr(l.InitialWorkEstimate.Seconds() / max(1, l.Threads))
 }
 
 // rememberForRepeat keeps a call's age and charge for the call that repeats it.
 func (f *Queue) rememberForRepeat(q *Query) {
 	if q.RepeatID != 0 {
 		f.repeats.put(q.RepeatID, repeatedCall{
-			arrived: q.Arrived,
+			arrived: q.ArrivedAt,
 			charged: q.charged + q.credit,
 			tenant:  q.Tenant,
 			endedAt: f.now,
@@ -147,7 +147,7 @@
 // usualWork is the expected thread time of a tenant's query, in seconds.
 func (f *Queue) usualWork(n *node, i int) float64 {
 	l := &f.lanes[i]
-	all := l.usualCost.valueOr(max(1e-4, l.UsualWork.Seconds()))
+	all := l.usualCost.valueOr(max(1e-4, l.InitialWorkEstimate.Seconds()))
 	m := n.usualCosts[i]
 	const trust = 8 // queries of one's own that count as much as everybody's
 	return (m.value*m.count + all*trust) / (m.count + trust)
@@ -197,13 +197,13 @@
 	}
 	n := &q.leaf.counts
 	n.Started++
-	n.SumEstimates += q.Estimate
-	n.SumWaits += had
+	n.TotalEstimatedWait += q.WaitEstimate
+	n.TotalWait += had
 	n.MaxWait = max(n.MaxWait, had)
-	n.LastStart = f.now
+	n.LastStartAt = f.now
 	f.Total.Started++
-	f.Total.SumEstimates += q.Estimate
-	f.Total.SumWaits += had
+	f.Total.TotalEstimatedWait += q.WaitEstimate
+	f.Total.TotalWait += had
 	f.Total.MaxWait = max(f.Total.MaxWait, had)
 }
 
--- a/internal/fairqueue/queue_test.go
+++ b/internal/fairqueue/queue_test.go
@@ -89,8 +89,8 @@
 				t.Fatalf("%s %d waits for ever in lane %d", j.team, j.sequence, j.Lane)
 			}
 		}
-		if m.c.Waiting() != 0 || len(m.c.orders)+len(m.c.chains) != 0 || m.c.running.First() != nil || math.Abs(m.c.root.busyWeight) > 1e-9 {
-			t.Fatalf("%d wait, %d lines, busy %v after all is over", m.c.Waiting(), len(m.c.orders), m.c.root.busyWeight)
+		if m.c.WaitingCount() != 0 || len(m.c.orders)+len(m.c.chains) != 0 || m.c.running.First() != nil || math.Abs(m.c.root.busyWeight) > 1e-9 {
+			t.Fatalf("%d wait, %d lines, busy %v after all is over", m.c.WaitingCount(), len(m.c.orders), m.c.root.busyWeight)
 		}
 		if m.c.nodeCount != 0 {
 			t.Fatalf("%d teams have state after ten minutes of nothing", m.c.nodeCount)
@@ -210,14 +210,14 @@
 	if bad.done || n.tokens > -2 || !n.overQuota {
 		t.Fatalf("it is charged at its end only: %v tokens", n.tokens)
 	}
-	if !bad.Lowered() {
+	if !bad.PriorityLowered() {
 		t.Fatal("it makes no way, and another waits")
 	}
 	m.until(m.now + 10*time.Second)
-	if !bad.done || !other.done || other.Lowered() {
+	if !bad.done || !other.done || other.PriorityLowered() {
 		t.Fatal("not all is over")
 	}
-	if sum := n.counts.Charged; math.Abs(sum-12.6) > 0.01 {
+	if sum := n.counts.ChargedThreadSeconds; math.Abs(sum-12.6) > 0.01 {
 		t.Fatalf("charged %v in the end", sum)
 	}
 }
@@ -228,7 +228,7 @@
 	m.ask("b", 1, 3)
 	m.ask("b", 1, 3)
 	m.until(2 * time.Second)
-	if load.Lowered() || load.done {
+	if load.PriorityLowered() || load.done {
 		t.Fatal("a load was lowered below younger ones")
 	}
 }
@@ -286,26 +286,26 @@
 		m.ask("b", 1, 0.6)
 	}
 	first := m.ask("a", 1, 0.6, func(j *job) { j.RepeatID = 5; j.Deadline = m.now + time.Millisecond })
-	if first.verdict.Admitted || first.verdict.Reason != WouldStartTooLate || first.verdict.Estimate <= 0 {
+	if first.verdict.Admitted || first.verdict.Reason != WouldStartTooLate || first.verdict.WaitEstimate <= 0 {
 		t.Fatalf("%+v", first.verdict)
 	}
 	m.until(1500 * time.Millisecond)
 	again := m.ask("a", 1, 0.6, func(j *job) { j.RepeatOf, j.RepeatID = 5, 5 })
-	if !again.verdict.Admitted || again.Arrived != 0 {
-		t.Fatalf("it came at %v: %+v", again.Arrived, again.verdict)
+	if !again.verdict.Admitted || again.ArrivedAt != 0 {
+		t.Fatalf("it came at %v: %+v", again.ArrivedAt, again.verdict)
 	}
 	m.until(m.now + 4*time.Second)
 	// charged once although the first of it was killed halfway
 	m.ask("a", 1, 0.6, func(j *job) { j.RepeatID = 6 })
 	m.until(m.now + 10*time.Second)
 	n := m.c.tenants[m.team("a")].state
-	before := n.counts.Charged
+	before := n.counts.ChargedThreadSeconds
 	one := m.ask("a", 1, 0.6, func(j *job) { j.RepeatID = 7 })
 	m.end(one, Killed)
-	charged := n.counts.Charged - before
+	charged := n.counts.ChargedThreadSeconds - before
 	two := m.ask("a", 1, 0.6, func(j *job) { j.RepeatOf, j.RepeatID = 7, 7 })
 	m.until(m.now + 5*time.Second)
-	if got := n.counts.Charged - before; !two.done || charged <= 0 || got > 1.3*charged {
+	if got := n.counts.ChargedThreadSeconds - before; !two.done || charged <= 0 || got > 1.3*charged {
 		t.Fatalf("charged %v, and with its repeat %v", charged, got)
 	}
 }
@@ -321,7 +321,7 @@
 	s.Tenants = teams("b", "rest")
 	m.c.Reload(m.now, withLanes(s))
 	m.check()
-	if m.c.TenantName(waiting[0].Tenant) != "rest" || m.c.TenantName(waiting[1].Tenant) != "b" || m.c.Waiting() != 10 {
+	if m.c.TenantName(waiting[0].Tenant) != "rest" || m.c.TenantName(waiting[1].Tenant) != "b" || m.c.WaitingCount() != 10 {
 		t.Fatal("its queries went astray")
 	}
 	m.until(m.now + 30*time.Second)
@@ -339,8 +339,8 @@
 	m.until(time.Second)
 	m.now += time.Hour // with j running: its span is not charged for the jump
 	m.c.Sweep(m.now, nil, nil)
-	if n := m.c.tenants[m.team("a")].state; n.counts.Charged > 10 {
-		t.Fatalf("the jump was charged: %v", n.counts.Charged)
+	if n := m.c.tenants[m.team("a")].state; n.counts.ChargedThreadSeconds > 10 {
+		t.Fatalf("the jump was charged: %v", n.counts.ChargedThreadSeconds)
 	}
 	m.c.SetLaneFull(m.now-2*time.Hour, 1, true) // and back again
 	if m.c.now < m.now {
@@ -370,7 +370,7 @@
 			continue
 		}
 		had := j.startedAt - j.at
-		if all++; (had - j.Estimate).Abs() <= max(25*time.Millisecond, had/5) {
+		if all++; (had - j.WaitEstimate).Abs() <= max(25*time.Millisecond, had/5) {
 			good++
 		}
 	}
@@ -442,7 +442,7 @@
 		{Lanes: lanes, Tenants: teams("a"), DefaultTenant: "b"}, {Lanes: lanes, Tenants: []Tenant{{Name: "a", Weight: math.Inf(1)}}},
 		{Lanes: lanes, Tenants: []Tenant{{Name: "a", Weight: 1, Quota: math.NaN()}}}, {Lanes: lanes, Tenants: []Tenant{{Weight: 1}}},
 	} {
-		if s.Check() == nil {
+		if s.Validate() == nil {
 			t.Errorf("%+v passes", s)
 		}
 	}
--- a/internal/fairqueue/quota.go
+++ b/internal/fairqueue/quota.go
@@ -7,7 +7,7 @@
 
 // spendTokens takes thread time from the token buckets of a tenant and all nodes above.
 func (f *Queue) spendTokens(n *node, work float64) {
-	n.counts.Charged += work
+	n.counts.ChargedThreadSeconds += work
 	for ; n.parent != nil; n = n.parent {
 		if n.quota > 0 {
 			f.refill(n)
--- a/internal/fairqueue/reload.go
+++ b/internal/fairqueue/reload.go
@@ -16,8 +16,8 @@
 	if shape.OverrunFactor <= 1 {
 		shape.OverrunFactor = DefaultOverrunFactor
 	}
-	if shape.NotifyChange <= 0 {
-		shape.NotifyChange = DefaultNotifyChange
+	if shape.NotifyThreshold <= 0 {
+		shape.NotifyThreshold = DefaultNotifyThreshold
 	}
 	f.config, f.tenants, f.children = shape, nil, nil
 	f.addTenants(shape.Tenants, "", -1)
--- a/internal/fairqueue/sweep.go
+++ b/internal/fairqueue/sweep.go
@@ -100,8 +100,8 @@
 	}
 	q.lowered = on
 	if on {
-		q.leaf.counts.Lowered++
-		f.Total.Lowered++
+		q.leaf.counts.PriorityLowered++
+		f.Total.PriorityLowered++
 	}
 	if lower != nil {
 		lower(q, on)
--- a/internal/fairqueue/tenant_resolver.go
+++ b/internal/fairqueue/tenant_resolver.go
@@ -6,17 +6,17 @@
 	"github.com/gaissmai/bart"
 )
 
-// TenantResolver finds the tenant of a call: the one that the call names if its address is
+// tenantResolver finds the tenant of a call: the one that the call names if its address is
 // trusted to name one, else the one that owns the address, else the default tenant.
-type TenantResolver struct {
+type tenantResolver struct {
 	byName        map[string]int
 	trusted       bart.Lite
 	byAddress     bart.Table[int]
 	defaultTenant int
 }
 
-func newTenantResolver(s *Config, plans []tenantRecord) *TenantResolver {
-	r := &TenantResolver{byName: make(map[string]int, len(plans)), defaultTenant: 0}
+func newTenantResolver(s *Config, plans []tenantRecord) *tenantResolver {
+	r := &tenantResolver{byName: make(map[string]int, len(plans)), defaultTenant: 0}
 	for i, p := range plans {
 		if p.isLeaf {
 			r.byName[p.Name] = i
@@ -36,9 +36,9 @@
 	return r
 }
 
-// Resolve returns the tenant's index. named is the tenant's name in the call, empty if there is
+// resolve returns the tenant's index. named is the tenant's name in the call, empty if there is
 // none; where it is not trusted or not known, the address decides.
-func (r *TenantResolver) Resolve(from netip.Addr, named []byte) int {
+func (r *tenantResolver) resolve(from netip.Addr, named []byte) int {
 	from = from.Unmap()
 	if len(named) > 0 && from.IsValid() && r.trusted.Contains(from) {
 		if i, ok := r.byName[string(named)]; ok {
--- a/internal/fairqueue/wait_estimate.go
+++ b/internal/fairqueue/wait_estimate.go
@@ -458,13 +458,13 @@
 	f.advance(now)
 	switch {
 	case q.state == stateRunning:
-		q.Estimate = 0
+		q.WaitEstimate = 0
 	case q.state == stateDispatched:
 		l := &f.lanes[q.Lane]
-		q.Estimate = max(q.Estimate, seconds(min((f.excessInFlight()+l.dispatchedWork)/f.capacity(), 1)))
+		q.WaitEstimate = max(q.WaitEstimate, seconds(min((f.excessInFlight()+l.dispatchedWork)/f.capacity(), 1)))
 	}
-	q.expectedStart = f.now + q.Estimate
-	return q.Estimate
+	q.expectedStart = f.now + q.WaitEstimate
+	return q.WaitEstimate
 }
 
 // notifyChangedWaits calls tell for subscribed queries whose wait estimate changed by much.
@@ -485,7 +485,7 @@
 		wait := max(seconds(t), f.orderWait(q, l, seconds(t)))
 		left := max(0, q.expectedStart-f.now)
 		if change := max(wait-left, left-wait); change > minNotifyChange &&
-			change.Seconds() > f.config.NotifyChange*left.Seconds() {
+			change.Seconds() > f.config.NotifyThreshold*left.Seconds() {
 			q.expectedStart = f.now + wait
 			tell(q, wait)
 		}
--- a/internal/setup/check.go
+++ b/internal/setup/check.go
@@ -219,7 +219,7 @@
 	}
 	if shape := shapeOf(f); len(c.faults) == 0 {
 		shape.Lanes = []fairqueue.Lane{{}}
-		if err := shape.Check(); err != nil {
+		if err := shape.Validate(); err != nil {
 			c.wrong("fairness.teams", "%v", err)
 		}
 	}
--- a/internal/setup/means.go
+++ b/internal/setup/means.go
@@ -23,7 +23,7 @@
 		return all
 	}
 	return &fairqueue.Config{Tenants: walk(f.Teams), DefaultTenant: f.Default, AgeingLimit: time.Duration(f.Age), MaxWaiting: f.Waiting, TrustedAddresses: prefixes(f.Trusted),
-		OverrunFactor: f.Overrun, NotifyChange: f.Tell}
+		OverrunFactor: f.Overrun, NotifyThreshold: f.Tell}
 }
 
 // Means are what the controller starts with, started at a time.
--- a/internal/setup/setup_test.go
+++ b/internal/setup/setup_test.go
@@ -23,7 +23,7 @@
 		t.Fatalf("%+v", m)
 	}
 	m.Tenants.Lanes = make([]fairqueue.Lane, 3)
-	if err := m.Tenants.Check(); err != nil {
+	if err := m.Tenants.Validate(); err != nil {
 		t.Fatal(err)
 	}
 }
