--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -24,9 +24,8 @@
 	if s.NotePeriod != 1500*time.Microsecond || s.AssumedNotePeriod != s.NotePeriod {
 		t.Error(s.NotePeriod, s.AssumedNotePeriod)
 	}
-	if ValueAt(s.KindCores, 0) != 8 || ValueAt(s.KindCores, 1) != 0 || ValueAt(s.KindCores, 2) != 24 || ValueAt(s.KindCores,
-		3) != 0 ||
-		ValueAt(s.KindCores, -1) != 0 {
+	if ValueAt(s.KindCores, 0) != 8 || ValueAt(s.KindCores, 1) != 0 || ValueAt(s.KindCores, 2) != 24 ||
+		ValueAt(s.KindCores, 3) != 0 || ValueAt(s.KindCores, -1) != 0 {
 		t.Error(s.KindCores)
 	}
 	if !s.HedgingAllowed || s.HealthChecksAllowed || s.ReportsCountQueries {
