--- a/internal/scheduler/admission.go
+++ b/internal/scheduler/admission.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-const quantaBeforeDeadline = 2 // at which a query without an answer is rejected
+const deadlineMarginQuanta = 2 // at which a query without an answer is rejected
 
 // admit starts a query on its way, or rejects it where it can't be done in time. A draining
 // controller rejects at once: the client can go elsewhere.
@@ -12,27 +12,27 @@
 		return
 	}
 	s.learnFromArrival(q)
-	s.earnHealthChecks()
-	q.objectiveAt = s.objective(q)
+	s.addHealthCheckTokens()
+	q.objectiveAt = s.objectiveTime(q)
 	// Whatever else goes wrong, the answer is out before the deadline.
-	s.atTime(q, q.deadline-quantaBeforeDeadline*s.settings.Quantum, func() { s.reject(q) })
-	s.atTime(q, q.objectiveAt, func() { s.objectivePassed(q) })
-	if keyed := s.keyQueueOf(q); keyed != nil {
-		keyed.queries = append(keyed.queries, q)
-		if keyed.queries[0] != q {
-			s.rejectIfKeyQueueTooLong(q, keyed)
+	s.runAt(q, q.deadline-deadlineMarginQuanta*s.settings.Quantum, func() { s.reject(q) })
+	s.runAt(q, q.objectiveAt, func() { s.handleObjectivePassed(q) })
+	if queue := s.keyQueueOf(q); queue != nil {
+		queue.queries = append(queue.queries, q)
+		if queue.queries[0] != q {
+			s.rejectIfKeyQueueTooLong(q, queue)
 			return
 		}
 	}
-	s.startInTurn(q)
+	s.startQuery(q)
 }
 
 // rejectIfKeyQueueTooLong rejects a query if those before it in its key's queue, each run alone,
 // leave it no time. Rejected at once it comes back in its own time; a long queue that is kept is
 // rejected in one moment when its head ends late, and its clients come back in one moment too.
-func (s *Scheduler) rejectIfKeyQueueTooLong(q *query, keyed *keyQueue) {
+func (s *Scheduler) rejectIfKeyQueueTooLong(q *query, queue *keyQueue) {
 	before := 0.0
-	for _, earlier := range keyed.queries[:len(keyed.queries)-1] {
+	for _, earlier := range queue.queries[:len(queue.queries)-1] {
 		before += s.expectedSeconds(earlier)
 	}
 	if s.now+seconds(before) > s.latestStart(q) {
@@ -51,11 +51,11 @@
 	} else {
 		s.actions.FailQuery(q.id)
 	}
-	s.end(q)
+	s.endQuery(q)
 	s.releaseEnded(q)
 }
 
 // retryAfterFor is when a rejected client is told to come back: at most half its own timeout.
 func (s *Scheduler) retryAfterFor(q *query) time.Duration {
-	return capped(s.retryAfter, q.group.timeout/2)
+	return capAt(s.retryAfter, q.group.timeout/2)
 }
--- a/internal/scheduler/benchmark_test.go
+++ b/internal/scheduler/benchmark_test.go
@@ -9,14 +9,16 @@
 
 // quiet is Actions that only notes what it has to answer.
 type recordingActions struct {
-	sent   []string
-	probes []string
+	sent         []string
+	healthChecks []string
 }
 
 func (a *recordingActions) SendAttempt(query, _ string, _ time.Duration) {
 	a.sent = append(a.sent, query)
 }
-func (a *recordingActions) CheckHealth(engine string)        { a.probes = append(a.probes, engine) }
+func (a *recordingActions) CheckHealth(engine string) {
+	a.healthChecks = append(a.healthChecks, engine)
+}
 func (a *recordingActions) CancelAttempt(string, int)        {}
 func (a *recordingActions) SetLimits(string, int, int)       {}
 func (a *recordingActions) DeferQuery(string, time.Duration) {}
@@ -25,39 +27,39 @@
 func (a *recordingActions) SetTimer(time.Duration, int)      {}
 func (a *recordingActions) Log(string)                       {}
 
-func newSized(engines int) (*recordingActions, *Scheduler) {
+func newSchedulerWithEngines(engines int) (*recordingActions, *Scheduler) {
 	a := &recordingActions{}
-	g := New(a, 7, testSettings(map[string]string{"gateways": "350", "report.how": "probed",
+	s := New(a, 7, testSettings(map[string]string{"gateways": "350", "report.how": "probed",
 		"group.2.in-order": ""}))
-	g.ListStarted(0, true)
+	s.ListStarted(0, true)
 	for i := range engines {
-		g.EngineListed(fmt.Sprint("e", i), 0, 0, i/6, EngineActive, 0, false)
+		s.EngineListed(fmt.Sprint("e", i), 0, 0, i/6, EngineActive, 0, false)
 	}
-	g.ListEnded()
-	return a, g
+	s.ListEnded()
+	return a, s
 }
 
 // BenchmarkQuery is an arrival, its looks, its submission and its end.
 func BenchmarkQuery(b *testing.B) {
 	for _, n := range []int{8, 80, 400, 1024} {
 		b.Run(strconv.Itoa(n), func(b *testing.B) {
-			a, g := newSized(n)
+			a, s := newSchedulerWithEngines(n)
 			b.ReportAllocs()
 			now := time.Duration(0)
 			for i := range b.N {
 				now += 20 * ms
 				id := strconv.Itoa(i)
-				g.QueryArrived(now, id, i%2, -1, 5*sec, int64(i%160), -1, 0, 0)
-				for len(a.probes) > 0 {
-					e := a.probes[0]
-					a.probes = a.probes[1:]
-					g.HealthCheckEnded(now+ms, e, Finished, map[string]float64{"held": 3, "cores": 0.4})
+				s.QueryArrived(now, id, i%2, -1, 5*sec, int64(i%160), -1, 0, 0)
+				for len(a.healthChecks) > 0 {
+					e := a.healthChecks[0]
+					a.healthChecks = a.healthChecks[1:]
+					s.HealthCheckEnded(now+ms, e, Finished, map[string]float64{"held": 3, "cores": 0.4})
 				}
 				if len(a.sent) == 0 {
 					b.Fatal("not sent")
 				}
 				a.sent = a.sent[:0]
-				g.AttemptEnded(now+10*ms, id, 0, Finished, 9*ms, true, 9*ms, 64, nil)
+				s.AttemptEnded(now+10*ms, id, 0, Finished, 9*ms, true, 9*ms, 64, nil)
 			}
 		})
 	}
@@ -67,10 +69,10 @@
 func BenchmarkTick(b *testing.B) {
 	for _, n := range []int{8, 80, 400, 1024} {
 		b.Run(strconv.Itoa(n), func(b *testing.B) {
-			_, g := newSized(n)
+			_, s := newSchedulerWithEngines(n)
 			b.ReportAllocs()
 			for i := range b.N {
-				g.TimerFired(time.Duration(i)*100*ms, tickTag)
+				s.TimerFired(time.Duration(i)*100*ms, tickTag)
 			}
 		})
 	}
--- a/internal/scheduler/capacity_test.go
+++ b/internal/scheduler/capacity_test.go
@@ -7,61 +7,61 @@
 )
 
 func TestCapacityLimitBindsUnderPressureOnly(t *testing.T) {
-	w := newWorld(t, 1, nil)
-	w.report("e0", map[string]float64{"held": 0})
-	w.pass(100 * ms) // now that engines tell, one's part is by that
+	h := newHarness(t, 1, nil)
+	h.reportLoad("e0", map[string]float64{"held": 0})
+	h.advance(100 * ms) // now that engines tell, one's part is by that
 	for range 11 {
-		w.arrive(0, 5, -1, 5*sec)
+		h.arrive(0, 5, -1, 5*sec)
 	}
-	if n := len(w.log); n != 11 {
+	if n := len(h.actions); n != 11 {
 		t.Fatalf("unpressed engine got %d of 11", n)
 	}
-	w.report("e0", map[string]float64{"held": 60})
-	held := w.arrive(0, 5, -1, 5*sec)
+	h.reportLoad("e0", map[string]float64{"held": 60})
+	held := h.arrive(0, 5, -1, 5*sec)
 	if len(held.attempts) != 0 {
 		t.Fatal("pressed engine got more than the bound of cores x 2 x share")
 	}
-	w.engines["e9"] = &listedEngine{id: "e9"}
-	w.list(false, "e9")
+	h.engines["e9"] = &listedEngine{id: "e9"}
+	h.listEngines(false, "e9")
 	if sentTo(held) != "e9" {
 		t.Fatalf("another ready engine not used: %q", sentTo(held))
 	}
 }
 
 func TestOwnShareCountsEnginesWithoutOwnQueries(t *testing.T) {
-	w := newWorld(t, 2, nil)
-	q := w.arrive(1, 1, -1, 15*sec)
+	h := newHarness(t, 2, nil)
+	q := h.arrive(1, 1, -1, 15*sec)
 	for range 40 {
-		w.report("e0", map[string]float64{"held": 4})
-		w.report("e1", map[string]float64{"held": 4})
+		h.reportLoad("e0", map[string]float64{"held": 4})
+		h.reportLoad("e1", map[string]float64{"held": 4})
 	}
-	if x := w.s.estimateOwnShare(); x > 0.13 {
+	if x := h.s.estimateOwnShare(); x > 0.13 {
 		t.Fatalf("one query of eight is a share of %.2f (%s)", x, sentTo(q))
 	}
 }
 
 func TestCapacityLimitLeavesPartToHigherRankedGroups(t *testing.T) {
-	w := newWorld(t, 1, map[string]string{"gateways": "1"})
-	w.s.engines[0].slowdown = 9
+	h := newHarness(t, 1, map[string]string{"gateways": "1"})
+	h.s.engines[0].slowdown = 9
 	for range 9 {
-		w.arrive(1, 1, -1, 15*sec)
+		h.arrive(1, 1, -1, 15*sec)
 	}
-	if n := len(w.log); n != 4 || len(w.arrive(0, 1, -1, 5*sec).attempts) != 1 {
+	if n := len(h.actions); n != 4 || len(h.arrive(0, 1, -1, 5*sec).attempts) != 1 {
 		t.Fatalf("%d long queries sent, the short one held", n)
 	}
 }
 
 // Every gateway with one query on every engine is far too many; none at all is no use.
 func TestCapacityLimitUnderOneQueryBindsInMeanOnHeavyQueries(t *testing.T) {
-	w := newLargeFleet(t, 4)
-	e, q := w.s.engines[0], &query{group: w.s.groups[1]}
-	w.report("e0", map[string]float64{"held": 2})
-	w.s.meanWorkSeconds.value, w.s.reportedUtilization.value = 1, 0.8
-	if !w.s.hasCapacity(e, q) {
+	h := newLargeFleet(t, 4)
+	e, q := h.s.engines[0], &query{group: h.s.groups[1]}
+	h.reportLoad("e0", map[string]float64{"held": 2})
+	h.s.meanWorkSeconds.value, h.s.reportedUtilization.value = 1, 0.8
+	if !h.s.hasCapacity(e, q) {
 		t.Fatal("nothing out, and no room")
 	}
-	w.s.engines[1].threadsInFlight, w.s.engines[1].inFlight, w.s.totalsStale = 3, []*attempt{{query: q}}, true
-	if w.s.hasCapacity(e, q) || !w.s.hasCapacity(e, &query{group: w.s.groups[0]}) {
+	h.s.engines[1].threadsInFlight, h.s.engines[1].inFlight, h.s.totalsOutdated = 3, []*attempt{{query: q}}, true
+	if h.s.hasCapacity(e, q) || !h.s.hasCapacity(e, &query{group: h.s.groups[0]}) {
 		t.Fatal("a second long query let in, or a short one held")
 	}
 }
@@ -69,20 +69,20 @@
 // hasRoom took one engine's cores times their number for the bound of all: small ones
 // never had room for a heavy query.
 func TestMeanCapacityLimitCountsCoresOfAllKinds(t *testing.T) {
-	w := newCoresOnlyWorld(t, 2, map[string]string{"kind.cores": "8,24", "gateways": "40"})
-	w.report("e0", map[string]float64{"cores": 0.5})
-	w.report("e1", map[string]float64{"cores": 0.5})
-	w.s.meanWorkSeconds.value = 0.1
-	q := &query{group: w.s.groups[1]}
-	w.s.groups[1].threads = 0.5
-	w.s.engines[1].threadsInFlight, w.s.engines[1].inFlight, w.s.totalsStale = 0.4, []*attempt{{query: q,
+	h := newCoresOnlyHarness(t, 2, map[string]string{"kind.cores": "8,24", "gateways": "40"})
+	h.reportLoad("e0", map[string]float64{"cores": 0.5})
+	h.reportLoad("e1", map[string]float64{"cores": 0.5})
+	h.s.meanWorkSeconds.value = 0.1
+	q := &query{group: h.s.groups[1]}
+	h.s.groups[1].threads = 0.5
+	h.s.engines[1].threadsInFlight, h.s.engines[1].inFlight, h.s.totalsOutdated = 0.4, []*attempt{{query: q,
 		threads: 0.4}}, true
 	// the bound of all is 2 x 32 / 40 x 0.9 = 1.4 threads; by the small engine's cores it would be 0.7
-	if !w.s.hasCapacity(w.s.engines[0], q) {
+	if !h.s.hasCapacity(h.s.engines[0], q) {
 		t.Fatal("no room on the small engine with half of the bound in use")
 	}
-	w.s.engines[1].threadsInFlight, w.s.totalsStale = 1.2, true
-	if w.s.hasCapacity(w.s.engines[0], q) {
+	h.s.engines[1].threadsInFlight, h.s.totalsOutdated = 1.2, true
+	if h.s.hasCapacity(h.s.engines[0], q) {
 		t.Fatal("room beyond the bound of all")
 	}
 }
@@ -95,8 +95,8 @@
 	}{{0.5, 4}, {1, 8}, {2, 8}, {0.13, 1}} {
 		n := 0
 		for i := range 8 {
-			w := newWorld(t, 1, map[string]string{"gateways": "8", "own.number": fmt.Sprint(i)})
-			if w.s.assignedByNumber(w.s.engines[0], c.part) {
+			h := newHarness(t, 1, map[string]string{"gateways": "8", "own.number": fmt.Sprint(i)})
+			if h.s.assignedByIndex(h.s.engines[0], c.part) {
 				n++
 			}
 		}
@@ -109,59 +109,59 @@
 // Where nothing tells what engines hold, an even part is held to in the mean and not at each moment, and
 // by a mere guess of how full they are a light query worth most for its work isn't turned away.
 func TestEvenShareIsKeptInTheMean(t *testing.T) {
-	w := newWorld(t, 10, map[string]string{"gateways": "40", "may.probe": "false", "report.how": "off",
+	h := newHarness(t, 10, map[string]string{"gateways": "40", "may.probe": "false", "report.how": "off",
 		"note.period": "0"})
-	w.s.groups[0].threadSecondsUsed.add(0.2, 100) // worth most for what it takes
-	w.pass(sec)
+	h.s.groups[0].threadSecondsUsed.add(0.2, 100) // worth most for what it takes
+	h.advance(sec)
 	even := 1.0 / 40
-	few := newWorld(t, 10, map[string]string{"gateways": "2", "may.probe": "false", "report.how": "off",
+	few := newHarness(t, 10, map[string]string{"gateways": "2", "may.probe": "false", "report.how": "off",
 		"note.period": "0"})
-	few.pass(sec)
+	few.advance(sec)
 	// half of all engines' threads are many queries, which hardly vary
-	if w.s.ownShare < 4*even || few.s.ownShare > 0.65 {
-		t.Fatalf("nothing used of late, and a part of %.3f where an even one is %.3f", w.s.ownShare, even)
+	if h.s.ownShare < 4*even || few.s.ownShare > 0.65 {
+		t.Fatalf("nothing used of late, and a part of %.3f where an even one is %.3f", h.s.ownShare, even)
 	}
 	// 2 threads on each of 80 cores for 40 gateways: 4 are one's own; they are in use for long
-	for _, e := range w.s.engines[:2] {
-		e.threadsInFlight, e.inFlight = 3, []*attempt{{query: &query{group: w.s.groups[1]}, engine: e, threads: 3,
+	for _, e := range h.s.engines[:2] {
+		e.threadsInFlight, e.inFlight = 3, []*attempt{{query: &query{group: h.s.groups[1]}, engine: e, threads: 3,
 			sentAt: time.Hour}}
 	}
-	w.s.totalsStale = true
+	h.s.totalsOutdated = true
 	for range 300 {
-		w.s.tick()
+		h.s.tick()
 	}
-	if w.s.ownShare != even {
-		t.Fatalf("more than the part in use for long, and a part of %.3f where an even one is %.3f", w.s.ownShare,
+	if h.s.ownShare != even {
+		t.Fatalf("more than the part in use for long, and a part of %.3f where an even one is %.3f", h.s.ownShare,
 			even)
 	}
-	e := w.s.engines[0]
+	e := h.s.engines[0]
 	e.threadsInFlight = 3
-	light, heavy := &query{group: w.s.groups[0]}, &query{group: w.s.groups[1]}
-	w.s.meanWorkSeconds.value = 1 + w.s.usualWorkSeconds(light.group)
-	if full := w.s.utilization(e); full < 0.85 || full > 1.7 || w.s.underPressure(e, light) ||
-		!w.s.underPressure(e, heavy) {
-		t.Fatalf("%.2f full by guess; pressed for light ones %v, for heavy ones %v", full, w.s.underPressure(e,
-			light), w.s.underPressure(e, heavy))
+	light, heavy := &query{group: h.s.groups[0]}, &query{group: h.s.groups[1]}
+	h.s.meanWorkSeconds.value = 1 + h.s.typicalWorkSeconds(light.group)
+	if full := h.s.utilization(e); full < 0.85 || full > 1.7 || h.s.underPressure(e, light) ||
+		!h.s.underPressure(e, heavy) {
+		t.Fatalf("%.2f full by guess; pressed for light ones %v, for heavy ones %v", full, h.s.underPressure(e,
+			light), h.s.underPressure(e, heavy))
 	}
 }
 
 // The same where engines tell in answers only: what was seen of some is a guess of the others.
 func TestGuessedUtilizationLetsCheapestGroupIn(t *testing.T) {
-	w := newWorld(t, 4, map[string]string{"gateways": "300", "may.probe": "false", "report.how": "answers",
+	h := newHarness(t, 4, map[string]string{"gateways": "300", "may.probe": "false", "report.how": "answers",
 		"report.figures": "held"})
-	w.s.groups[0].threadSecondsUsed.add(0.2, 100)
-	w.pass(sec)
+	h.s.groups[0].threadSecondsUsed.add(0.2, 100)
+	h.advance(sec)
 	for range 30 {
-		w.report("e0", map[string]float64{"held": 20})
+		h.reportLoad("e0", map[string]float64{"held": 20})
 	}
-	w.s.meanWorkSeconds.value = 1 + w.s.usualWorkSeconds(w.s.groups[0])
-	if e := w.s.engines[1]; w.s.utilization(e) < 1 || w.s.underPressure(e, &query{group: w.s.groups[0]}) ||
-		!w.s.underPressure(e, &query{group: w.s.groups[1]}) {
-		t.Fatalf("%.2f full by those seen; pressed for light ones %v, for heavy ones %v", w.s.utilization(e),
-			w.s.underPressure(e, &query{group: w.s.groups[0]}), w.s.underPressure(e, &query{group: w.s.groups[1]}))
+	h.s.meanWorkSeconds.value = 1 + h.s.typicalWorkSeconds(h.s.groups[0])
+	if e := h.s.engines[1]; h.s.utilization(e) < 1 || h.s.underPressure(e, &query{group: h.s.groups[0]}) ||
+		!h.s.underPressure(e, &query{group: h.s.groups[1]}) {
+		t.Fatalf("%.2f full by those seen; pressed for light ones %v, for heavy ones %v", h.s.utilization(e),
+			h.s.underPressure(e, &query{group: h.s.groups[0]}), h.s.underPressure(e, &query{group: h.s.groups[1]}))
 	}
-	if w.s.settings.ReportsCountQueries = false; !w.s.underPressure(w.s.engines[1],
-		&query{group: w.s.groups[0]}) {
+	if h.s.settings.ReportsCountQueries = false; !h.s.underPressure(h.s.engines[1],
+		&query{group: h.s.groups[0]}) {
 		t.Fatal("busy cores told of, and a light one passes them")
 	}
 }
--- a/internal/scheduler/chain.go
+++ b/internal/scheduler/chain.go
@@ -3,19 +3,19 @@
 import "time"
 
 const (
-	chainAffinitySpan = 10 * time.Second // in which a chain goes on at the engine of its last write
-	maxChainWait      = time.Second      // behind a running write
-	chainWaitParts    = 3                // of its group's objective that a write waits, one
+	chainAffinityDuration     = 10 * time.Second // in which a chain goes on at the engine of its last write
+	maxChainWait              = time.Second      // behind a running write
+	chainWaitObjectiveDivisor = 3                // of its group's objective that a write waits, one
 )
 
 // chain serialises the writes of one table group at this controller: one runs, others wait for it,
 // and the next goes to the same engine, which has the tables in memory.
 type chain struct {
-	running     *query  // the write that is queued or in flight
-	engine      *engine // where the last write was sent
-	lastEnded   bool    // that write has ended,
-	lastEndedAt time.Duration
-	waiting     []*query
+	running          *query  // the write that is queued or in flight
+	engine           *engine // where the last write was sent
+	lastWriteEnded   bool    // that write has ended,
+	lastWriteEndedAt time.Duration
+	waiting          []*query
 }
 
 func (c *chain) remove(q *query) bool { return removeFrom(&c.waiting, q) }
@@ -34,7 +34,7 @@
 		return
 	}
 	c.waiting = append(c.waiting, q)
-	s.atTime(q, s.now+capped(maxChainWait, q.group.objective/chainWaitParts), func() {
+	s.runAt(q, s.now+capAt(maxChainWait, q.group.objective/chainWaitObjectiveDivisor), func() {
 		if c.remove(q) {
 			c.running = q
 			s.enqueue(q)
@@ -46,7 +46,7 @@
 // else it is queued for any engine.
 func (s *Scheduler) startWrite(c *chain, q *query) {
 	c.running = q
-	recent := c.engine != nil && c.lastEnded && s.now-c.lastEndedAt < chainAffinitySpan
+	recent := c.engine != nil && c.lastWriteEnded && s.now-c.lastWriteEndedAt < chainAffinityDuration
 	if !recent || !s.hasCapacity(c.engine, q) || !s.submit(q, c.engine) {
 		s.enqueue(q)
 	}
@@ -59,8 +59,8 @@
 		return
 	}
 	c.running = nil
-	c.lastEnded = true
-	c.lastEndedAt = s.now
+	c.lastWriteEnded = true
+	c.lastWriteEndedAt = s.now
 	if len(c.waiting) > 0 {
 		next := c.waiting[0]
 		c.remove(next)
--- a/internal/scheduler/chain_test.go
+++ b/internal/scheduler/chain_test.go
@@ -6,13 +6,13 @@
 )
 
 func TestChainHoldsWriteAndSendsItToSameEngine(t *testing.T) {
-	w := newWorld(t, 4, nil)
-	a, b := w.arrive(2, 1, -1, 25*sec), w.arrive(2, 1, -1, 25*sec)
+	h := newHarness(t, 4, nil)
+	a, b := h.arrive(2, 1, -1, 25*sec), h.arrive(2, 1, -1, 25*sec)
 	if len(a.attempts) != 1 || len(b.attempts) != 0 {
 		t.Fatalf("first sent %d times, second %d", len(a.attempts), len(b.attempts))
 	}
-	w.pass(500 * ms)
-	w.end(a, 0, Finished)
+	h.advance(500 * ms)
+	h.endAttempt(a, 0, Finished)
 	if sentTo(b) != sentTo(a) {
 		t.Fatalf("held load went to %q, chain runs on %q", sentTo(b), sentTo(a))
 	}
@@ -25,12 +25,12 @@
 	}{{9 * sec, true}, {11 * sec, false}} {
 		same := 0
 		for i := range 20 {
-			w := newWorld(t, 8, nil)
-			a := w.arrive(2, int64(i), -1, 25*sec)
-			w.end(a, 0, Finished)
-			w.s.rng = newPCG(uint64(i))
-			w.pass(c.rest)
-			if b := w.arrive(2, int64(i), -1, 25*sec); sentTo(b) == sentTo(a) {
+			h := newHarness(t, 8, nil)
+			a := h.arrive(2, int64(i), -1, 25*sec)
+			h.endAttempt(a, 0, Finished)
+			h.s.rng = newPCG(uint64(i))
+			h.advance(c.rest)
+			if b := h.arrive(2, int64(i), -1, 25*sec); sentTo(b) == sentTo(a) {
 				same++
 			}
 		}
@@ -41,9 +41,9 @@
 }
 
 func TestChainSendsWaitingWriteAfterItsTimeout(t *testing.T) {
-	w := newWorld(t, 4, nil)
-	a, b := w.arrive(2, 1, -1, 25*sec), w.arrive(2, 1, -1, 25*sec)
-	w.pass(20 * sec)
+	h := newHarness(t, 4, nil)
+	a, b := h.arrive(2, 1, -1, 25*sec), h.arrive(2, 1, -1, 25*sec)
+	h.advance(20 * sec)
 	if len(b.attempts) != 1 || sentTo(b) == sentTo(a) {
 		t.Fatalf("held load sent %d times, to %q beside %q", len(b.attempts), sentTo(b), sentTo(a))
 	}
@@ -51,12 +51,12 @@
 
 // A load held behind another goes on alone while there is time; after 1 s its client had long gone.
 func TestWaitingWriteGoesOnWhileItHasTime(t *testing.T) {
-	w := newImpatientWorld(t, 2, map[string]string{"loads": "true,false,false"})
-	first, held := w.arrive(0, 1, -1, 290*ms), w.arrive(0, 1, -1, 290*ms)
+	h := newShortTimeoutHarness(t, 2, map[string]string{"loads": "true,false,false"})
+	first, held := h.arrive(0, 1, -1, 290*ms), h.arrive(0, 1, -1, 290*ms)
 	if len(first.attempts) != 1 || len(held.attempts) != 0 {
 		t.Fatal("not held, and the test proves nothing")
 	}
-	if w.pass(150 * ms); len(held.attempts) != 1 {
+	if h.advance(150 * ms); len(held.attempts) != 1 {
 		t.Fatalf("held for 150 ms of 290, sent %d times", len(held.attempts))
 	}
 }
--- a/internal/scheduler/confinement_test.go
+++ b/internal/scheduler/confinement_test.go
@@ -13,45 +13,48 @@
 // fence is Actions that holds every submission against where its query may be.
 type confinementActions struct {
 	recordingActions
-	t      interface{ Fatalf(string, ...any) }
-	inside map[string][]string
-	at     map[string]int // an engine's location
-	out    []string       // query, try
-	tries  map[string]int
-	sent   map[int]int
+	t                interface{ Fatalf(string, ...any) }
+	allowedLocations map[string][]string
+	locationOf       map[string]int // an engine's location
+	inFlight         []string       // query, try
+	attempts         map[string]int
+	sentByLocation   map[int]int
 }
 
-func (f *confinementActions) SendAttempt(query, engine string, _ time.Duration) {
-	where := f.at[engine]
-	if l, bound := f.inside[query]; bound && !slices.Contains(l, strconv.Itoa(where)) {
-		f.t.Fatalf("%s, submission %d, at location %d, and it may be at %v", query, f.tries[query], where, l)
+func (actions *confinementActions) SendAttempt(query, engine string, _ time.Duration) {
+	where := actions.locationOf[engine]
+	if l, bound := actions.allowedLocations[query]; bound && !slices.Contains(l, strconv.Itoa(where)) {
+		actions.t.Fatalf("%s, submission %d, at location %d, and it may be at %v", query,
+			actions.attempts[query], where, l)
 	}
-	f.sent[where]++
-	f.out = append(f.out, fmt.Sprintf("%s %d", query, f.tries[query]))
-	f.tries[query]++
+	actions.sentByLocation[where]++
+	actions.inFlight = append(actions.inFlight, fmt.Sprintf("%s %d", query, actions.attempts[query]))
+	actions.attempts[query]++
 }
 
-func (f *confinementActions) CheckHealth(engine string) { f.probes = append(f.probes, engine) }
+func (actions *confinementActions) CheckHealth(engine string) {
+	actions.healthChecks = append(actions.healthChecks, engine)
+}
 
 // Every way to an engine obeys a query's boundary: first submissions, chains, repeats after
 // each kind of end, moves, copies; and a boundary that changes while the query is held.
 func TestConfinedQueryStaysInAllowedLocations(t *testing.T) {
 	crossedBoth := false
 	rapid.Check(t, func(t *rapid.T) {
-		f := &confinementActions{t: t, inside: map[string][]string{}, at: map[string]int{}, tries: map[string]int{},
-			sent: map[int]int{}}
-		g := New(f, 7, testSettings(map[string]string{"may.copy": strconv.FormatBool(rapid.Bool().Draw(t,
+		actions := &confinementActions{t: t, allowedLocations: map[string][]string{}, locationOf: map[string]int{},
+			attempts: map[string]int{}, sentByLocation: map[int]int{}}
+		s := New(actions, 7, testSettings(map[string]string{"may.copy": strconv.FormatBool(rapid.Bool().Draw(t,
 			"copies")),
 			"submissions.most": "6", "group.1.locations": "0,1", "report.how": rapid.SampledFrom([]string{"off",
 				"probed"}).Draw(t, "reports")}))
 		list := func(now time.Duration, state func(i int) EngineState) {
-			g.ListStarted(now, true)
+			s.ListStarted(now, true)
 			for i := range 6 {
 				id := fmt.Sprint("e", i)
-				f.at[id] = i % 3
-				g.EngineListed(id, i%3, 0, i, state(i), 0, false)
+				actions.locationOf[id] = i % 3
+				s.EngineListed(id, i%3, 0, i, state(i), 0, false)
 			}
-			g.ListEnded()
+			s.ListEnded()
 		}
 		list(0, func(int) EngineState { return EngineActive })
 		bounds := rapid.SampledFrom([][]string{{"0"}, {"1", "2"}, {"2"}, {}})
@@ -65,22 +68,22 @@
 				var inside []string
 				if rapid.IntRange(0, 2).Draw(t, "bound") > 0 {
 					inside = bounds.Draw(t, "inside")
-					f.inside[id] = inside
+					actions.allowedLocations[id] = inside
 				}
-				g.ConfinedQueryArrived(now, id, group, -1, budget, int64(n%3), int64(n%4), 300*ms, 64, inside)
+				s.ConfinedQueryArrived(now, id, group, -1, budget, int64(n%3), int64(n%4), 300*ms, 64, inside)
 			case 3:
-				if len(f.out) > 0 {
-					i := rapid.IntRange(0, len(f.out)-1).Draw(t, "which")
+				if len(actions.inFlight) > 0 {
+					i := rapid.IntRange(0, len(actions.inFlight)-1).Draw(t, "which")
 					var id string
 					var try int
-					fmt.Sscan(f.out[i], &id, &try)
-					f.out = slices.Delete(f.out, i, i+1)
+					fmt.Sscan(actions.inFlight[i], &id, &try)
+					actions.inFlight = slices.Delete(actions.inFlight, i, i+1)
 					if how := rapid.SampledFrom([]Outcome{Finished, Rejected, ConnectionReset, Unreachable, NeverSent,
 						Cancelled}).Draw(t, "end"); how == Finished ||
 						rapid.Bool().Draw(t, "ends") {
-						g.AttemptEnded(now, id, try, how, 100*ms, how == Finished, 0, 0, nil)
+						s.AttemptEnded(now, id, try, how, 100*ms, how == Finished, 0, 0, nil)
 					} else {
-						g.NoteReceived(now, id, try, rapid.SampledFrom([]NoteKind{WaitingForLoad, Progress}).Draw(t, "sign"),
+						s.NoteReceived(now, id, try, rapid.SampledFrom([]NoteKind{WaitingForLoad, Progress}).Draw(t, "sign"),
 							0.001)
 					}
 				}
@@ -95,20 +98,21 @@
 			case 5:
 				for _, id := range rapid.Permutation([]string{"q0", "q3", "q5", "q9", "q20"}).Draw(t,
 					"other bounds")[:2] {
-					if g.queries[id] != nil {
-						f.inside[id] = bounds.Draw(t, "then")
-						g.ConfineQuery(now, id, f.inside[id])
+					if s.queries[id] != nil {
+						actions.allowedLocations[id] = bounds.Draw(t, "then")
+						s.ConfineQuery(now, id, actions.allowedLocations[id])
 					}
 				}
 			}
-			for len(f.probes) > 0 {
-				e := f.probes[0]
-				f.probes = f.probes[1:]
-				g.HealthCheckEnded(now, e, Finished, map[string]float64{"held": 1, "cores": 0.1})
+			for len(actions.healthChecks) > 0 {
+				e := actions.healthChecks[0]
+				actions.healthChecks = actions.healthChecks[1:]
+				s.HealthCheckEnded(now, e, Finished, map[string]float64{"held": 1, "cores": 0.1})
 			}
-			g.TimerFired(now, tickTag)
+			s.TimerFired(now, tickTag)
 		}
-		crossedBoth = crossedBoth || f.sent[0] > 0 && f.sent[1] > 0 && f.sent[2] > 0 && len(f.inside) > 3
+		crossedBoth = crossedBoth || actions.sentByLocation[0] > 0 && actions.sentByLocation[1] > 0 &&
+			actions.sentByLocation[2] > 0 && len(actions.allowedLocations) > 3
 	})
 	if !crossedBoth {
 		t.Fatal("no run sent bound queries to all locations: nothing was tried")
@@ -117,19 +121,20 @@
 
 // What is held for want of an engine inside holds up nobody who may go elsewhere.
 func TestConfinedQueryBlocksOnlyItsLike(t *testing.T) {
-	f := &confinementActions{t: t, inside: map[string][]string{"bound": {"5"}}, at: map[string]int{"e0": 0},
-		tries: map[string]int{}, sent: map[int]int{}}
-	g := New(f, 7, testSettings(nil))
-	g.ListStarted(0, true)
-	g.EngineListed("e0", 0, 0, 0, EngineActive, 0, false)
-	g.ListEnded()
-	g.ConfinedQueryArrived(ms, "bound", 0, -1, 5*sec, 1, -1, 0, 0, []string{"5"})
-	g.QueryArrived(ms, "free", 0, -1, 5*sec, 1, -1, 0, 0)
-	if f.tries["free"] != 1 || f.tries["bound"] != 0 {
-		t.Fatal(f.tries)
+	actions := &confinementActions{t: t, allowedLocations: map[string][]string{"bound": {"5"}},
+		locationOf: map[string]int{"e0": 0},
+		attempts:   map[string]int{}, sentByLocation: map[int]int{}}
+	s := New(actions, 7, testSettings(nil))
+	s.ListStarted(0, true)
+	s.EngineListed("e0", 0, 0, 0, EngineActive, 0, false)
+	s.ListEnded()
+	s.ConfinedQueryArrived(ms, "bound", 0, -1, 5*sec, 1, -1, 0, 0, []string{"5"})
+	s.QueryArrived(ms, "free", 0, -1, 5*sec, 1, -1, 0, 0)
+	if actions.attempts["free"] != 1 || actions.attempts["bound"] != 0 {
+		t.Fatal(actions.attempts)
 	}
-	f.inside["bound"] = []string{"0"}
-	if g.ConfineQuery(2*ms, "bound", []string{"0"}); f.tries["bound"] != 1 {
-		t.Fatal("a boundary that opened lets it go", f.tries)
+	actions.allowedLocations["bound"] = []string{"0"}
+	if s.ConfineQuery(2*ms, "bound", []string{"0"}); actions.attempts["bound"] != 1 {
+		t.Fatal("a boundary that opened lets it go", actions.attempts)
 	}
 }
--- a/internal/scheduler/engine.go
+++ b/internal/scheduler/engine.go
@@ -9,7 +9,7 @@
 
 	// As listed.
 	location, kind, cell int
-	local                bool // in the controller's own location
+	isLocal              bool // in the controller's own location
 	state                EngineState
 	removedAt            time.Duration
 	startedAt            time.Duration
@@ -37,13 +37,13 @@
 	consecutiveEjections int           // with no answer between them
 	slowdown             float64       // of its answers over the best of their groups
 	lastFinishAt         time.Duration
-	lastFinishOfTables   map[int64]time.Duration // of a query of these tables
+	lastFinishByTables   map[int64]time.Duration // of a query of these tables
 	loadRunningUntil     map[int64]time.Duration // tables on which a load was noted
 
 	// Slow start.
-	warmingFrom    time.Duration
-	warmingUntil   time.Duration
-	slowStartSends []sentWork
+	warmupStartedAt time.Duration
+	warmupEndsAt    time.Duration
+	slowStartSends  []sentWork
 }
 
 // sentWork is work, in thread seconds, that was sent to an engine while it warms up.
@@ -72,7 +72,7 @@
 }
 
 // forgetLearned drops what was learned of a process that is gone.
-func (e *engine) forgetLearned(now time.Duration) {
+func (e *engine) resetLearnedState(now time.Duration) {
 	e.slowdown = 1
 	e.unresponsive = false
 	e.report = nil
@@ -102,11 +102,11 @@
 
 // activeEngines lists the engines that the list has as active.
 func (s *Scheduler) activeEngines() []*engine {
-	if !s.totalsStale {
-		return s.active
+	if !s.totalsOutdated {
+		return s.activeList
 	}
-	s.totalsStale = false
-	s.active = s.active[:0]
+	s.totalsOutdated = false
+	s.activeList = s.activeList[:0]
 	s.totals = totals{}
 	s.warmEngines = 0
 	s.activeCores = 0
@@ -114,9 +114,9 @@
 		if e.state != EngineActive {
 			continue
 		}
-		s.active = append(s.active, e)
+		s.activeList = append(s.activeList, e)
 		s.activeCores += e.cores
-		if s.now >= e.warmingUntil {
+		if s.now >= e.warmupEndsAt {
 			s.totals.threads += e.threadsInFlight
 			s.totals.memoryMB += e.memoryInFlightMB
 			s.totals.attempts += float64(len(e.inFlight))
@@ -124,12 +124,12 @@
 			s.warmEngines++
 		}
 	}
-	return s.active
+	return s.activeList
 }
 
 // totalsInFlight are the threads, memory (MB) and number of the controller's attempts on active
 // engines that don't warm up, and those engines' cores.
-func (s *Scheduler) totalsInFlight() (threads, memory, count, cores float64) {
+func (s *Scheduler) totalsInFlight() (threads, memoryMB, attempts, cores float64) {
 	s.activeEngines()
 	return s.totals.threads, s.totals.memoryMB, s.totals.attempts, s.totals.cores
 }
--- a/internal/scheduler/estimate.go
+++ b/internal/scheduler/estimate.go
@@ -3,7 +3,7 @@
 import "cmp"
 
 // objectiveParts: one of them is what a query of an unknown group is guessed to run.
-const objectiveParts = 2
+const defaultWorkObjectiveDivisor = 2
 
 // estimatedSoloSeconds is the time that a query should take alone on an engine. Estimates lie too
 // high or too low by group, and are corrected by what answers told.
@@ -28,7 +28,7 @@
 }
 
 // usualWorkSeconds is a group's ordinary work, corrected by its best slowdown where estimates are off.
-func (s *Scheduler) usualWorkSeconds(rg *resourceGroup) float64 {
+func (s *Scheduler) typicalWorkSeconds(rg *resourceGroup) float64 {
 	work := rg.workSeconds.valueOr(rg.defaultWorkSeconds())
 	if rg.bestSlowdown > 0 && !s.settings.AnswersReportWork {
 		work *= rg.bestSlowdown
@@ -38,5 +38,5 @@
 
 // defaultWorkSeconds is the work guessed for a group that nothing is known of.
 func (rg *resourceGroup) defaultWorkSeconds() float64 {
-	return rg.objective.Seconds() / objectiveParts * rg.threads
+	return rg.objective.Seconds() / defaultWorkObjectiveDivisor * rg.threads
 }
--- a/internal/scheduler/estimate_test.go
+++ b/internal/scheduler/estimate_test.go
@@ -6,16 +6,16 @@
 
 // Estimates lie too high or too low by group: what answers tell sets them right.
 func TestEstimatesAreCorrectedByAnswers(t *testing.T) {
-	w := newWorld(t, 1, map[string]string{"answers.cost": "true"})
+	h := newHarness(t, 1, map[string]string{"answers.cost": "true"})
 	for range 40 {
-		q := w.arrive(0, 1, -1, 5*sec)
-		w.queries[q.id].answered = true
-		w.s.AttemptEnded(w.now, q.id, 0, Finished, 400*ms, true, 400*ms, 10, nil)
+		q := h.arrive(0, 1, -1, 5*sec)
+		h.queries[q.id].answered = true
+		h.s.AttemptEnded(h.now, q.id, 0, Finished, 400*ms, true, 400*ms, 10, nil)
 	}
-	if x := w.s.estimatedSoloSeconds(&query{group: w.s.groups[0], workSeconds: 0.2}); x < 0.38 || x > 0.42 {
+	if x := h.s.estimatedSoloSeconds(&query{group: h.s.groups[0], workSeconds: 0.2}); x < 0.38 || x > 0.42 {
 		t.Fatalf("0.2 estimated, 0.4 told: taken as %.2f", x)
 	}
-	if x := w.s.estimatedSoloSeconds(&query{group: w.s.groups[0], workSeconds: 0.2,
+	if x := h.s.estimatedSoloSeconds(&query{group: h.s.groups[0], workSeconds: 0.2,
 		workMeasured: true}); x != 0.2 {
 		t.Fatalf("0.2 told, taken as %.2f", x)
 	}
--- a/internal/scheduler/events.go
+++ b/internal/scheduler/events.go
@@ -20,7 +20,7 @@
 
 // EngineListed takes an entry of the endpoint list.
 func (s *Scheduler) EngineListed(id string, location, kind, cell int, state EngineState,
-	started time.Duration, fresh bool) {
+	started time.Duration, startKnown bool) {
 	e := s.enginesByID[id]
 	if e == nil {
 		e = s.addEngine(id)
@@ -31,26 +31,26 @@
 	}
 	e.location, e.kind, e.cell = location, kind, cell
 	e.state = state
-	e.local = strconv.Itoa(location) == s.settings.ControllerLocation
+	e.isLocal = strconv.Itoa(location) == s.settings.ControllerLocation
 	e.cores = max(1, settings.ValueAt(s.settings.KindCores, kind))
 	e.memoryCapacityMB = settings.ValueAt(s.settings.KindMemoryMB, kind)
 	if e.memoryCapacityMB <= 0 {
 		e.memoryCapacityMB = math.Inf(1) // not told: no limit
 	}
-	if fresh && started != e.startedAt {
+	if startKnown && started != e.startedAt {
 		s.engineRestarted(e, started)
 	}
 }
 
 func (s *Scheduler) addEngine(id string) *engine {
-	h := fnv.New32a()
-	h.Write([]byte(id))
+	hash := fnv.New32a()
+	hash.Write([]byte(id))
 	e := &engine{
 		id:                 id,
-		hash:               h.Sum32(),
+		hash:               hash.Sum32(),
 		lastResponseAt:     s.now,
 		slowdown:           1,
-		lastFinishOfTables: map[int64]time.Duration{},
+		lastFinishByTables: map[int64]time.Duration{},
 	}
 	s.enginesByID[id] = e
 	s.engines = append(s.engines, e)
@@ -65,7 +65,7 @@
 			e.removedAt = s.now
 		}
 	}
-	s.totalsStale = true
+	s.totalsOutdated = true
 	s.finishEvent()
 }
 
@@ -96,10 +96,10 @@
 	q := &query{
 		id:        id,
 		group:     s.groups[group],
-		tenant:    s.tenant(tenant),
+		tenant:    s.tenantByIndex(tenant),
 		tables:    tables,
 		key:       key,
-		seq:       s.lastSequence,
+		sequence:  s.lastSequence,
 		arrivedAt: now,
 		deadline:  now + budget,
 
@@ -136,7 +136,7 @@
 	a.outcome = outcome
 	a.query.inFlight--
 	a.engine.inFlight = slices.DeleteFunc(a.engine.inFlight, func(x *attempt) bool { return x == a })
-	s.countAttempt(a, -1)
+	s.adjustInFlight(a, -1)
 	s.storeReport(a.engine, report)
 	s.handleAttemptEnd(a, took, answered, work.Seconds(), memoryMB)
 	s.finishEvent()
@@ -151,10 +151,10 @@
 	if a.outcome == Finished {
 		s.learnFromAnswer(a, took, work, memoryMB)
 	}
-	s.restKey(a)
+	s.startKeyCooldown(a)
 	if answered || a.outcome == Finished {
-		q.group.abandonRate.add(0, abandonSamples)
-		s.end(q)
+		q.group.abandonRate.add(0, abandonRateSamples)
+		s.endQuery(q)
 	} else if !q.ended {
 		s.retryOrReject(a)
 	}
@@ -162,10 +162,10 @@
 }
 
 // NoteReceived takes an engine's note on a running attempt.
-func (s *Scheduler) NoteReceived(now time.Duration, id string, number int, kind NoteKind, x float64) {
+func (s *Scheduler) NoteReceived(now time.Duration, id string, number int, kind NoteKind, value float64) {
 	s.now = now
 	if a := s.openAttempt(id, number); a != nil {
-		s.handleNote(a, kind, x)
+		s.handleNote(a, kind, value)
 		s.finishEvent()
 	}
 }
@@ -182,7 +182,7 @@
 func (s *Scheduler) ClientLeft(now time.Duration, id string) {
 	s.now = now
 	if q := s.queries[id]; q != nil {
-		s.clientGone(q)
+		s.handleClientLeft(q)
 		s.finishEvent()
 	}
 }
@@ -192,7 +192,7 @@
 func (s *Scheduler) QueryDropped(now time.Duration, id string) {
 	s.now = now
 	if q := s.queries[id]; q != nil {
-		s.end(q)
+		s.endQuery(q)
 		s.releaseEnded(q)
 		s.finishEvent()
 	}
@@ -206,10 +206,10 @@
 
 // SetPaused has nothing dispatched while it is on: queries wait in their queues, and are rejected at
 // the end of their time as ever.
-func (s *Scheduler) SetPaused(now time.Duration, on bool) {
+func (s *Scheduler) SetPaused(now time.Duration, paused bool) {
 	s.now = now
-	if s.paused != on {
-		s.paused = on
+	if s.paused != paused {
+		s.paused = paused
 		s.finishEvent()
 	}
 }
@@ -227,7 +227,7 @@
 		s.engineResponded(e)
 		s.storeReport(e, report)
 	} else {
-		s.healthCheckFailed(e)
+		s.handleFailedHealthCheck(e)
 	}
 	s.finishEvent()
 }
@@ -244,8 +244,8 @@
 // TimerFired takes a wake that was asked for, with its tag.
 func (s *Scheduler) TimerFired(now time.Duration, tag int) {
 	s.now = now
-	if tag == timersTag {
-		s.wakeAt = -1
+	if tag == timerQueueTag {
+		s.timerAt = -1
 	} else {
 		s.tick()
 		s.evictStale()
--- a/internal/scheduler/group.go
+++ b/internal/scheduler/group.go
@@ -47,36 +47,36 @@
 	patience           movingAverage // seconds after which they do
 }
 
-func newGroup(index int, given settings.Group) *resourceGroup {
+func newGroup(index int, config settings.Group) *resourceGroup {
 	rg := &resourceGroup{
 		index:         index,
-		effect:        given.Effect,
-		keyScope:      given.KeyScope,
-		keyWindow:     given.KeyWindow,
-		fifoByKey:     given.FIFOByKey,
-		isLoad:        given.IsLoad,
-		waitsForLoads: given.WaitsForLoads,
-		locations:     given.Locations,
-		kinds:         given.Kinds,
+		effect:        config.Effect,
+		keyScope:      config.KeyScope,
+		keyWindow:     config.KeyWindow,
+		fifoByKey:     config.FIFOByKey,
+		isLoad:        config.IsLoad,
+		waitsForLoads: config.WaitsForLoads,
+		locations:     config.Locations,
+		kinds:         config.Kinds,
 	}
-	rg.setLimits(given)
+	rg.updateSettings(config)
 	return rg
 }
 
 // setLimits takes the settings that may change at run time.
-func (rg *resourceGroup) setLimits(given settings.Group) {
-	rg.priorityWeight = given.PriorityWeight
-	rg.lateValueShare = given.LateValueShare
-	rg.objective = given.Objective
-	rg.objectiveStretch = given.ObjectiveStretch
-	rg.timeout = given.Timeout
-	rg.threads = given.Threads
+func (rg *resourceGroup) updateSettings(config settings.Group) {
+	rg.priorityWeight = config.PriorityWeight
+	rg.lateValueShare = config.LateValueShare
+	rg.objective = config.Objective
+	rg.objectiveStretch = config.ObjectiveStretch
+	rg.timeout = config.Timeout
+	rg.threads = config.Threads
 }
 
 // insert keeps a queue in the order of arrival.
 func (rg *resourceGroup) insert(q *query) {
 	i := len(rg.queue)
-	for i > 0 && rg.queue[i-1].seq > q.seq {
+	for i > 0 && rg.queue[i-1].sequence > q.sequence {
 		i--
 	}
 	if i == 0 || rg.queue[i-1] != q {
@@ -108,14 +108,14 @@
 }
 
 // add takes a sample; window is over how many of them the average is.
-func (m *movingAverage) add(x, window float64) {
+func (m *movingAverage) add(sample, window float64) {
 	m.count = min(m.count+1, window)
-	m.value += (x - m.value) / m.count
+	m.value += (sample - m.value) / m.count
 }
 
-func (m *movingAverage) valueOr(absent float64) float64 {
+func (m *movingAverage) valueOr(defaultValue float64) float64 {
 	if m.count == 0 {
-		return absent
+		return defaultValue
 	}
 	return m.value
 }
--- a/internal/scheduler/health_check_test.go
+++ b/internal/scheduler/health_check_test.go
@@ -7,27 +7,27 @@
 
 // A crowded engine, quiet for one's own few queries, was taken as lost, then as cold.
 func TestHealthCheckKeepsQuietEngineResponsive(t *testing.T) {
-	w := newWorld(t, 2, map[string]string{"note.period": "0"})
-	w.arrive(1, 1, -1, 15*sec)
-	w.pass(12 * sec)
-	for _, e := range w.s.engines {
-		if e.unresponsive || e.warmingUntil > 0 {
+	h := newHarness(t, 2, map[string]string{"note.period": "0"})
+	h.arrive(1, 1, -1, 15*sec)
+	h.advance(12 * sec)
+	for _, e := range h.s.engines {
+		if e.unresponsive || e.warmupEndsAt > 0 {
 			t.Fatalf("%s taken as lost", e.id)
 		}
 	}
 }
 
 func TestQueryGoesToHealthCheckedEngineInLargeFleet(t *testing.T) {
-	w := newLargeFleet(t, 30)
-	w.s.meanWorkSeconds.add(1, 1)
-	w.s.healthCheckTokens = 3
-	q := w.arrive(1, 1, -1, 15*sec)
-	if len(q.attempts) != 0 || len(w.probes) != 2 {
-		t.Fatalf("sent %d times before %d looks", len(q.attempts), len(w.probes))
+	h := newLargeFleet(t, 30)
+	h.s.meanWorkSeconds.add(1, 1)
+	h.s.healthCheckTokens = 3
+	q := h.arrive(1, 1, -1, 15*sec)
+	if len(q.attempts) != 0 || len(h.healthChecks) != 2 {
+		t.Fatalf("sent %d times before %d looks", len(q.attempts), len(h.healthChecks))
 	}
-	full, free := w.probes[0], w.probes[1]
-	w.report(full, map[string]float64{"held": 60})
-	w.report(free, map[string]float64{"held": 1})
+	full, free := h.healthChecks[0], h.healthChecks[1]
+	h.reportLoad(full, map[string]float64{"held": 60})
+	h.reportLoad(free, map[string]float64{"held": 1})
 	if sentTo(q) != free {
 		t.Fatalf("sent to %q, not %q", sentTo(q), free)
 	}
@@ -35,32 +35,32 @@
 
 // Queries that wait for one look don't all go to the engine seen free: other gateways saw the same.
 func TestBurstIsSpreadOverHealthCheckedEngines(t *testing.T) {
-	w := newLargeFleet(t, 30)
-	w.s.meanWorkSeconds.add(1, 1)
-	w.s.healthCheckTokens = 6
+	h := newLargeFleet(t, 30)
+	h.s.meanWorkSeconds.add(1, 1)
+	h.s.healthCheckTokens = 6
 	to := map[string]int{}
 	var burst []*clientQuery
 	for i := range 6 {
-		burst = append(burst, w.arrive(0, int64(i), -1, 5*sec))
+		burst = append(burst, h.arrive(0, int64(i), -1, 5*sec))
 	}
-	for i := 0; i < len(w.probes); i++ {
-		w.pass(ms)
-		w.report(w.probes[i], map[string]float64{"held": 1})
+	for i := 0; i < len(h.healthChecks); i++ {
+		h.advance(ms)
+		h.reportLoad(h.healthChecks[i], map[string]float64{"held": 1})
 	}
 	for _, q := range burst {
 		if to[sentTo(q)]++; sentTo(q) == "" || to[sentTo(q)] > 2 {
-			t.Fatalf("sent to %q, %v of six there, %d looks", sentTo(q), to[sentTo(q)], len(w.probes))
+			t.Fatalf("sent to %q, %v of six there, %d looks", sentTo(q), to[sentTo(q)], len(h.healthChecks))
 		}
 	}
 }
 
 func TestEngineRestsAfterFailedHealthCheck(t *testing.T) {
-	w := newLargeFleet(t, 2)
-	w.s.HealthCheckEnded(w.now, "e0", TimedOut, nil)
+	h := newLargeFleet(t, 2)
+	h.s.HealthCheckEnded(h.now, "e0", TimedOut, nil)
 	for range 5 {
-		w.arrive(0, 1, -1, 5*sec)
+		h.arrive(0, 1, -1, 5*sec)
 	}
-	if slices.Contains(w.probes, "e0") {
+	if slices.Contains(h.healthChecks, "e0") {
 		t.Fatal("looked at again at once")
 	}
 }
@@ -68,39 +68,39 @@
 // Where no look may tell, an engine with one light query out was held for silent long before its first
 // note was due, and the query called off.
 func TestUnresponsiveIsJudgedByNotesWithoutHealthChecks(t *testing.T) {
-	w := newWorld(t, 1, map[string]string{"may.probe": "false", "note.period": "2000"})
-	w.arrive(0, 1, -1, 60*sec)
-	if w.pass(3 * sec); w.s.engines[0].unresponsive {
+	h := newHarness(t, 1, map[string]string{"may.probe": "false", "note.period": "2000"})
+	h.arrive(0, 1, -1, 60*sec)
+	if h.advance(3 * sec); h.s.engines[0].unresponsive {
 		t.Fatal("silent before a note was due for certain")
 	}
-	if w.pass(2 * sec); !w.s.engines[0].unresponsive {
+	if h.advance(2 * sec); !h.s.engines[0].unresponsive {
 		t.Fatal("two notes missed, and not silent")
 	}
 }
 
 // Late on an engine with idle cores beside busy ones: moved long before four times its time.
 func TestLateAttemptOnIdleEngineIsMoved(t *testing.T) {
-	w := newCoresOnlyWorld(t, 2, nil)
+	h := newCoresOnlyHarness(t, 2, nil)
 	for range 30 {
-		w.report("e0", map[string]float64{"cores": 0.6})
-		w.report("e1", map[string]float64{"cores": 0.6})
+		h.reportLoad("e0", map[string]float64{"cores": 0.6})
+		h.reportLoad("e1", map[string]float64{"cores": 0.6})
 	}
-	w.s.meanWorkSeconds.value = 1
-	w.arrive(1, 1, -1, 60*sec)
-	i := slices.IndexFunc(w.s.engines, func(e *engine) bool { return len(e.inFlight) > 0 })
-	e := w.s.engines[i]
-	s := e.inFlight[0]
-	for !s.moving && w.now < 3*sec {
-		w.pass(100 * ms)
-		w.report(e.id, map[string]float64{"cores": 0.05})
+	h.s.meanWorkSeconds.value = 1
+	h.arrive(1, 1, -1, 60*sec)
+	i := slices.IndexFunc(h.s.engines, func(e *engine) bool { return len(e.inFlight) > 0 })
+	e := h.s.engines[i]
+	attempt := e.inFlight[0]
+	for !attempt.moving && h.now < 3*sec {
+		h.advance(100 * ms)
+		h.reportLoad(e.id, map[string]float64{"cores": 0.05})
 	}
-	if !s.moving || w.now > 2*sec {
-		t.Fatalf("moved %v at %v", s.moving, w.now)
+	if !attempt.moving || h.now > 2*sec {
+		t.Fatalf("moved %v at %v", attempt.moving, h.now)
 	}
 }
 
 // Among hundreds of gateways one's own queries tell nothing of an engine.
-func newLargeFleet(t *testing.T, engines int) *world {
-	return newWorld(t, engines, map[string]string{"gateways": "300", "report.how": "probed",
+func newLargeFleet(t *testing.T, engines int) *harness {
+	return newHarness(t, engines, map[string]string{"gateways": "300", "report.how": "probed",
 		"cold.span": "9000"})
 }
--- a/internal/scheduler/invariants.go
+++ b/internal/scheduler/invariants.go
@@ -9,7 +9,7 @@
 
 // submit sends a query to an engine, if the rules allow it. It is the only way to an engine.
 func (s *Scheduler) submit(q *query, e *engine) bool {
-	if !s.maySend(q) || !s.allowed(q, e) {
+	if !s.maySend(q) || !s.maySendTo(q, e) {
 		return false
 	}
 	s.updateLimits(q)
@@ -21,22 +21,22 @@
 
 // maySend asks the rules that are the same for all engines.
 func (s *Scheduler) maySend(q *query) bool {
-	keyed := s.keyQueueOf(q)
+	queue := s.keyQueueOf(q)
 	switch {
 	case q.ended || s.now >= q.deadline: // rule 1: nothing is sent after the answer or the deadline
 		return false
 	case q.inFlight > 0 && !s.settings.HedgingAllowed || !s.retryAllowed(q): // rule 2: no second effect
 		return false
-	case keyed != nil && keyed.queries[0] != q: // rule 5: a key's queries in order
+	case queue != nil && queue.queries[0] != q: // rule 5: a key's queries in order
 		return false
-	case keyed != nil && s.now < keyed.restingUntil && keyed.restingAfter != q:
+	case queue != nil && s.now < queue.cooldownUntil && queue.cooldownQuery != q:
 		return false
 	}
 	return len(q.attempts) == 0 || s.retryBudgetLeft() // rule 7: the retry budget
 }
 
 // allowed asks the rules on sending a query to one engine.
-func (s *Scheduler) allowed(q *query, e *engine) bool {
+func (s *Scheduler) maySendTo(q *query, e *engine) bool {
 	rg := q.group
 	switch {
 	case e.state != EngineActive: // rule 3: nothing to a draining engine, not even in its grace
@@ -46,12 +46,12 @@
 		len(rg.kinds) > 0 && !slices.Contains(rg.kinds, strconv.Itoa(e.kind)):
 		return false
 	}
-	for _, ran := range q.attemptsThatMayHaveRun() { // rule 2: a key is known in its scope only
-		if rg.effect != settings.ReadOnly && !rg.sharesKeys(ran.engine, e) {
+	for _, attempt := range q.attemptsThatMayHaveRun() { // rule 2: a key is known in its scope only
+		if rg.effect != settings.ReadOnly && !rg.sharesKeys(attempt.engine, e) {
 			return false
 		}
 	}
-	return s.now >= e.warmingUntil || s.slowStartAllows(q, e) // rule 4: slow start
+	return s.now >= e.warmupEndsAt || s.slowStartAllows(q, e) // rule 4: slow start
 }
 
 // sharesKeys tells whether an engine knows the idempotency keys of another.
--- a/internal/scheduler/invariants_test.go
+++ b/internal/scheduler/invariants_test.go
@@ -10,7 +10,7 @@
 const ms, sec = time.Millisecond, time.Second
 
 // TestSchedulerKeepsRulesOnRandomDays plays random days; world checks the seven rules at every step.
-func TestSchedulerKeepsRulesOnRandomDays(t *testing.T) {
+func TestSchedulerKeepsRulesOnRandomEvents(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		pick := func(name string, from ...string) string { return rapid.SampledFrom(from).Draw(t, name) }
 		more := map[string]string{
@@ -26,64 +26,64 @@
 			"group.2.effect": pick("loads", "mutating", "tokened"), "group.2.window": "5000", "group.2.scope": "all",
 			"loads": pick("chains", "false,false,true", ""), "kind.cores": pick("cores", "8,8", "", "0"),
 		}
-		w := newWorld(t, rapid.IntRange(0, 6).Draw(t, "engines"), more)
+		h := newHarness(t, rapid.IntRange(0, 6).Draw(t, "engines"), more)
 		for range rapid.IntRange(20, 150).Draw(t, "steps") {
-			step(t, w)
+			runRandomStep(t, h)
 		}
-		w.pass(40 * sec)
+		h.advance(40 * sec)
 	})
 }
 
-func step(t *rapid.T, w *world) {
+func runRandomStep(t *rapid.T, h *harness) {
 	n := rapid.IntRange(0, 99).Draw(t, "what")
 	engine := ""
-	if ids := w.ids(); len(ids) > 0 {
+	if ids := h.engineIDs(); len(ids) > 0 {
 		engine = rapid.SampledFrom(ids).Draw(t, "engine")
 	}
 	switch {
 	case n < 35:
 		group := rapid.IntRange(0, 2).Draw(t, "group")
-		w.arrive(group, rapid.Int64Range(0, 2).Draw(t, "tables"), rapid.Int64Range(-1, 2).Draw(t, "key"),
+		h.arrive(group, rapid.Int64Range(0, 2).Draw(t, "tables"), rapid.Int64Range(-1, 2).Draw(t, "key"),
 			time.Duration(rapid.IntRange(0, 9000).Draw(t, "budget"))*ms)
 	case n < 60:
-		q, k := drawInFlight(t, w)
+		q, k := drawInFlight(t, h)
 		if q != nil {
-			w.end(q, k, rapid.SampledFrom([]Outcome{Finished, Failed, Rejected, TimedOut, Unreachable,
+			h.endAttempt(q, k, rapid.SampledFrom([]Outcome{Finished, Failed, Rejected, TimedOut, Unreachable,
 				ConnectionReset, Cancelled,
 				NeverSent}).Draw(t, "outcome"))
 		}
 	case n < 68:
-		if q, k := drawInFlight(t, w); q != nil {
-			w.s.NoteReceived(w.now, q.id, k, NoteKind(rapid.IntRange(0, 3).Draw(t, "sign")), rapid.Float64Range(0,
+		if q, k := drawInFlight(t, h); q != nil {
+			h.s.NoteReceived(h.now, q.id, k, NoteKind(rapid.IntRange(0, 3).Draw(t, "sign")), rapid.Float64Range(0,
 				1).Draw(t, "x"))
-			w.check()
+			h.checkAnswered()
 		}
 	case n < 73 && engine != "":
-		w.set(engine, EngineState(rapid.IntRange(0, 2).Draw(t, "state")))
+		h.setState(engine, EngineState(rapid.IntRange(0, 2).Draw(t, "state")))
 	case n < 76 && engine != "":
-		w.restart(engine)
+		h.restartEngine(engine)
 	case n < 78 && engine != "":
-		w.report(engine, map[string]float64{"held": 60})
+		h.reportLoad(engine, map[string]float64{"held": 60})
 	case n < 80:
-		w.s.ListRefused(w.now)
-	case n < 82 && len(w.order) > 0:
-		q := rapid.SampledFrom(w.order).Draw(t, "leaver")
+		h.s.ListRefused(h.now)
+	case n < 82 && len(h.arrivals) > 0:
+		q := rapid.SampledFrom(h.arrivals).Draw(t, "leaver")
 		q.answered = true
-		w.s.ClientLeft(w.now, q.id)
-		w.check()
+		h.s.ClientLeft(h.now, q.id)
+		h.checkAnswered()
 	case n < 84:
-		w.s.AttemptEnded(w.now, "nobody", 0, Finished, sec, true, 0, 0, nil)
+		h.s.AttemptEnded(h.now, "nobody", 0, Finished, sec, true, 0, 0, nil)
 	default:
-		w.pass(time.Duration(rapid.IntRange(0, 1500).Draw(t, "pass")) * ms)
+		h.advance(time.Duration(rapid.IntRange(0, 1500).Draw(t, "pass")) * ms)
 	}
 }
 
-func drawInFlight(t *rapid.T, w *world) (*clientQuery, int) {
+func drawInFlight(t *rapid.T, h *harness) (*clientQuery, int) {
 	var all []*clientQuery
 	var tries []int
-	for _, q := range w.order {
-		for k, s := range q.attempts {
-			if !s.ended {
+	for _, q := range h.arrivals {
+		for k, attempt := range q.attempts {
+			if !attempt.ended {
 				all, tries = append(all, q), append(tries, k)
 			}
 		}
--- a/internal/scheduler/key_order_test.go
+++ b/internal/scheduler/key_order_test.go
@@ -9,31 +9,31 @@
 // were given up in one moment, came back in one moment, and the last of them reached
 // the gateway with most of their time gone: queries lost.
 func TestKeyQueueHoldsNoMoreThanCanBeDone(t *testing.T) {
-	w := newWorld(t, 2, nil)
-	head := w.arrive(2, 1, 5, 25*sec)
+	h := newHarness(t, 2, nil)
+	head := h.arrive(2, 1, 5, 25*sec)
 	var line []*clientQuery
 	for range 20 {
-		w.pass(60 * ms)
-		q := w.arrive(2, 2, 5, 20*sec)
-		if line = append(line, q); q.answered && q.overAt != w.now {
+		h.advance(60 * ms)
+		q := h.arrive(2, 2, 5, 20*sec)
+		if line = append(line, q); q.answered && q.endedAt != h.now {
 			t.Fatal("given up, and not at once")
 		}
 	}
 	if line[1].answered {
 		t.Fatal("there is time enough for the first ones")
 	}
-	if w.pass(11 * sec); !line[19].answered {
+	if h.advance(11 * sec); !line[19].answered {
 		t.Fatal("nineteen loads of a second and a half before it, and twenty seconds of time")
 	}
-	w.set("e0", EngineDraining) // no room: the queue is not empty when the next's turn comes
-	w.set("e1", EngineDraining)
-	w.arrive(2, 3, -1, 20*sec)
-	w.end(head, 0, Finished)
-	w.pass(ms)
+	h.setState("e0", EngineDraining) // no room: the queue is not empty when the next's turn comes
+	h.setState("e1", EngineDraining)
+	h.arrive(2, 3, -1, 20*sec)
+	h.endAttempt(head, 0, Finished)
+	h.advance(ms)
 	at := map[time.Duration]int{}
 	for _, q := range line {
 		if q.answered {
-			at[q.overAt]++
+			at[q.endedAt]++
 		}
 	}
 	for when, n := range at {
@@ -46,18 +46,18 @@
 // A key rests after an end that may leave the engine at work, so that the next query doesn't
 // overtake it. The query itself is retried meanwhile.
 func TestQueryIsRetriedWhileItsOwnKeyRests(t *testing.T) {
-	w := newWorld(t, 2, map[string]string{"group.1.in-order": "true"})
-	first := w.arrive(1, 1, 5, 15*sec)
-	second := w.arrive(1, 1, 5, 15*sec)
-	w.end(first, 0, ConnectionReset)
-	if w.pass(50 * ms); len(first.attempts) != 2 {
+	h := newHarness(t, 2, map[string]string{"group.1.in-order": "true"})
+	first := h.arrive(1, 1, 5, 15*sec)
+	second := h.arrive(1, 1, 5, 15*sec)
+	h.endAttempt(first, 0, ConnectionReset)
+	if h.advance(50 * ms); len(first.attempts) != 2 {
 		t.Fatalf("%d attempts of the query whose attempt was reset", len(first.attempts))
 	}
-	w.end(first, 1, Finished)
-	if w.pass(100 * ms); len(second.attempts) != 0 {
+	h.endAttempt(first, 1, Finished)
+	if h.advance(100 * ms); len(second.attempts) != 0 {
 		t.Fatal("the next query of the key is sent while it rests")
 	}
-	if w.pass(400 * ms); len(second.attempts) != 1 {
+	if h.advance(400 * ms); len(second.attempts) != 1 {
 		t.Fatal("the next query of the key waits past its rest")
 	}
 }
--- a/internal/scheduler/learning.go
+++ b/internal/scheduler/learning.go
@@ -4,21 +4,21 @@
 
 // Windows and rates of what is learned; nothing here decides.
 const (
-	workSamples         = 200 // over which a group's work, memory and estimates are averaged
-	meanWorkSamples     = 100 // over which the work of all queries is
-	usedSamples         = 100 // answers over which the thread time of a group's query is averaged
-	slowdownSamples     = 60  // answers over which its slowdown is
-	maxSlowdownSample   = 20
-	leastBestSlowdown   = 0.01
-	bestSlowdownKeeps   = 0.8 // of the best when a better one is seen,
-	bestSlowdownTakes   = 0.2 // of that one;
-	bestSlowdownRises   = 0.01
-	leastEngineSlowdown = 0.3 // of an answer's over the best of its group
-	slowdownOfSample    = 0.1 // the part that an answer counts of it
-	slowdownRecovery    = 0.01
-	utilizationSamples  = 20 // reports over which the mean utilization is taken
-	reportedSamples     = 60 // the same of queries reported
-	unreportedDecay     = 0.93
+	workSamples                = 200 // over which a group's work, memory and estimates are averaged
+	meanWorkSamples            = 100 // over which the work of all queries is
+	threadTimeSamples          = 100 // answers over which the thread time of a group's query is averaged
+	slowdownSamples            = 60  // answers over which its slowdown is
+	maxSlowdownSample          = 20
+	minBestSlowdown            = 0.01
+	bestSlowdownOldWeight      = 0.8 // of the best when a better one is seen,
+	bestSlowdownNewWeight      = 0.2 // of that one;
+	bestSlowdownRiseRate       = 0.01
+	minEngineSlowdown          = 0.3 // of an answer's over the best of its group
+	slowdownSampleWeight       = 0.1 // the part that an answer counts of it
+	slowdownRecoveryRate       = 0.01
+	utilizationSamples         = 20 // reports over which the mean utilization is taken
+	reportedQueriesSamples     = 60 // the same of queries reported
+	unreportedUtilizationDecay = 0.93
 )
 
 // learnFromArrival counts a query that was admitted towards its group, its tenant and all work.
@@ -27,17 +27,17 @@
 	if q.workSeconds > 0 && !s.settings.AnswersReportWork {
 		rg.workSeconds.add(q.workSeconds, workSamples)
 	}
-	s.recentWorkSeconds += s.usualWorkSeconds(rg)
+	s.recentWorkSeconds += s.typicalWorkSeconds(rg)
 	rg.recentArrivals++
 	q.tenant.recentArrivals++
-	s.meanWorkSeconds.add(s.usualWorkSeconds(rg), meanWorkSamples)
+	s.meanWorkSeconds.add(s.typicalWorkSeconds(rg), meanWorkSamples)
 }
 
 // learnFromAnswer takes an answer's time, and the work and memory it told, if any, into the means.
 func (s *Scheduler) learnFromAnswer(a *attempt, took time.Duration, work, memoryMB float64) {
 	q := a.query
-	a.engine.answered(q.tables, s.now)
-	q.group.threadSecondsUsed.add(took.Seconds()*q.group.threads, usedSamples)
+	a.engine.recordAnswer(q.tables, s.now)
+	q.group.threadSecondsUsed.add(took.Seconds()*q.group.threads, threadTimeSamples)
 	if work > 0 {
 		if q.workSeconds > 0 {
 			q.group.estimateCorrection.add(work/q.workSeconds, workSamples)
@@ -58,38 +58,39 @@
 	rg := a.query.group
 	rg.slowdown.add(min(ratio, maxSlowdownSample), slowdownSamples)
 	if rg.bestSlowdown == 0 || ratio < rg.bestSlowdown {
-		rg.bestSlowdown = max(leastBestSlowdown, ratio, bestSlowdownKeeps*rg.bestSlowdown+bestSlowdownTakes*ratio)
+		rg.bestSlowdown = max(minBestSlowdown, ratio,
+			bestSlowdownOldWeight*rg.bestSlowdown+bestSlowdownNewWeight*ratio)
 	} else {
-		rg.bestSlowdown += (ratio - rg.bestSlowdown) * bestSlowdownRises
+		rg.bestSlowdown += (ratio - rg.bestSlowdown) * bestSlowdownRiseRate
 	}
 	a.engine.learnSlowdown(ratio / rg.bestSlowdown)
 }
 
 // learnSlowdown takes one answer's slowdown, against the best of its group.
-func (e *engine) learnSlowdown(overBest float64) {
-	e.slowdown += (min(maxEngineSlowdown, max(leastEngineSlowdown, overBest)) - e.slowdown) * slowdownOfSample
+func (e *engine) learnSlowdown(ratio float64) {
+	e.slowdown += (min(maxEngineSlowdown, max(minEngineSlowdown, ratio)) - e.slowdown) * slowdownSampleWeight
 }
 
 // recoverSlowdown lets an engine be forgiven as time passes.
-func (e *engine) recoverSlowdown() { e.slowdown += (1 - e.slowdown) * slowdownRecovery }
+func (e *engine) recoverSlowdown() { e.slowdown += (1 - e.slowdown) * slowdownRecoveryRate }
 
 // learnFromReport takes a report into the means. Engines that warm up are nearly empty and checked
 // most while there are some: they say nothing of how full the others are.
 func (s *Scheduler) learnFromReport(e *engine, report map[string]float64) {
-	if s.now < e.warmingUntil {
+	if s.now < e.warmupEndsAt {
 		return
 	}
 	s.reportedUtilization.add(s.utilization(e), utilizationSamples)
 	s.lastReportAt = s.now
-	if held := report[reportHeld]; held > 0 {
-		s.reportedQueries.add(held, reportedSamples)
+	if queries := report[reportQueries]; queries > 0 {
+		s.reportedQueries.add(queries, reportedQueriesSamples)
 	}
 }
 
 // decayReported lowers the mean utilization while nothing is reported: where reports come in
 // answers alone, who sends nothing is told nothing, and full once would be full for good.
-func (s *Scheduler) decayReported() {
-	if !s.healthChecksReportLoad && s.now-s.lastReportAt > reportValidFor {
-		s.reportedUtilization.value *= unreportedDecay
+func (s *Scheduler) decayReportedUtilization() {
+	if !s.healthChecksReportLoad && s.now-s.lastReportAt > reportValidity {
+		s.reportedUtilization.value *= unreportedUtilizationDecay
 	}
 }
--- a/internal/scheduler/limits.go
+++ b/internal/scheduler/limits.go
@@ -4,8 +4,8 @@
 
 const (
 	priorityLate    = 0 // its objective has passed
-	priorityNone    = 1 // engines heed none
-	priorityUsual   = 2
+	priorityDefault = 1 // engines heed none
+	priorityNormal  = 2
 	priorityHighest = 3 // the group ranked first
 
 	memoryGrantFactor = 1.25 // memory granted over the estimate
@@ -16,11 +16,11 @@
 	if q.ended {
 		return
 	}
-	priority, grant := s.priority(q), s.memoryGrantMB(q)
-	if priority != q.priority || grant != q.grant {
+	priority, grantMB := s.priority(q), s.memoryGrantMB(q)
+	if priority != q.priority || grantMB != q.grantMB {
 		q.priority = priority
-		q.grant = grant
-		s.actions.SetLimits(q.id, priority, grant)
+		q.grantMB = grantMB
+		s.actions.SetLimits(q.id, priority, grantMB)
 	}
 }
 
@@ -30,11 +30,11 @@
 	case s.now >= q.objectiveAt:
 		return priorityLate
 	case !s.settings.PrioritiesSupported:
-		return priorityNone
+		return priorityDefault
 	case q.group == s.ranked[0]:
 		return priorityHighest
 	}
-	return priorityUsual
+	return priorityNormal
 }
 
 // memoryGrantMB is all that may be granted where an engine out of memory swaps and asking costs
--- a/internal/scheduler/query.go
+++ b/internal/scheduler/query.go
@@ -10,13 +10,13 @@
 
 // query is one query from its arrival until it has ended and no attempt of it is in flight.
 type query struct {
-	id     string
-	seq    uint64 // in the order of arrival
-	group  *resourceGroup
-	tenant *tenant // whose quota it counts to
-	tables int64   // its table group
-	key    int64   // negative: none
-	chain  *chain  // of writes, nil for others
+	id       string
+	sequence uint64 // in the order of arrival
+	group    *resourceGroup
+	tenant   *tenant // whose quota it counts to
+	tables   int64   // its table group
+	key      int64   // negative: none
+	chain    *chain  // of writes, nil for others
 
 	// When it is wanted, since the start.
 	arrivedAt   time.Duration
@@ -31,10 +31,10 @@
 	// Where it may go.
 	allowedLocations []string // nil: all
 	confined         bool     // to fewer than its group's
-	blockingKey      int64    // of its tables and locations: what bars one query bars all of the same
+	eligibilityKey   int64    // of its tables and locations: what bars one query bars all of the same
 	lastEngine       *engine  // of its last ended attempt, which others are preferred to
-	healthChecked    []*engine
-	healthCheckedAt  time.Duration
+	checkedEngines   []*engine
+	checkedAt        time.Duration
 
 	// How it is getting on.
 	attempts         []*attempt
@@ -46,7 +46,7 @@
 
 	// As last told.
 	priority int
-	grant    int // MB
+	grantMB  int // MB
 }
 
 // attempt is one sending of a query to an engine.
@@ -70,35 +70,35 @@
 }
 
 // attemptsThatMayHaveRun lists the attempts not proven never to have run.
-func (q *query) attemptsThatMayHaveRun() (ran []*attempt) {
+func (q *query) attemptsThatMayHaveRun() (attempts []*attempt) {
 	for _, a := range q.attempts {
 		if !a.ended || !a.outcome.NeverRan() {
-			ran = append(ran, a)
+			attempts = append(attempts, a)
 		}
 	}
-	return ran
+	return attempts
 }
 
 // confine narrows where a query may go, never past its group's own locations; nil: to no less.
 func (q *query) confine(locations []string) {
 	q.allowedLocations = q.group.locations
 	q.confined = locations != nil
-	q.blockingKey = q.tables
+	q.eligibilityKey = q.tables
 	if !q.confined {
 		return
 	}
 	if q.allowedLocations == nil {
 		q.allowedLocations = locations
 	} else {
-		q.allowedLocations = slices.DeleteFunc(slices.Clone(locations), func(l string) bool {
-			return !slices.Contains(q.group.locations, l)
+		q.allowedLocations = slices.DeleteFunc(slices.Clone(locations), func(location string) bool {
+			return !slices.Contains(q.group.locations, location)
 		})
 	}
-	h := fnv.New64a()
-	for _, l := range q.allowedLocations {
-		h.Write([]byte(l + ","))
+	hash := fnv.New64a()
+	for _, location := range q.allowedLocations {
+		hash.Write([]byte(location + ","))
 	}
-	q.blockingKey ^= int64(h.Sum64() | 1<<62) // far from any table group's number
+	q.eligibilityKey ^= int64(hash.Sum64() | 1<<62) // far from any table group's number
 }
 
 // openAttempt is an attempt that has not ended, nil if there is none of that number.
@@ -123,22 +123,22 @@
 	if a.number > 0 {
 		s.retries = append(s.retries, s.now)
 	}
-	if s.now < e.warmingUntil {
-		e.slowStartSends = append(e.slowStartSends, sentWork{s.now, s.usualWorkSeconds(q.group)})
+	if s.now < e.warmupEndsAt {
+		e.slowStartSends = append(e.slowStartSends, sentWork{s.now, s.typicalWorkSeconds(q.group)})
 	}
 	q.attempts = append(q.attempts, a)
 	q.inFlight++
 	e.inFlight = append(e.inFlight, a)
-	s.countAttempt(a, 1)
+	s.adjustInFlight(a, 1)
 	if q.chain != nil && q.chain.running == q {
 		q.chain.engine = e
-		q.chain.lastEnded = false
+		q.chain.lastWriteEnded = false
 	}
 }
 
 // countAttempt adds what an attempt takes to its engine's sums, or with a sign of -1 takes it off.
-func (s *Scheduler) countAttempt(a *attempt, sign float64) {
-	s.totalsStale = true
+func (s *Scheduler) adjustInFlight(a *attempt, sign float64) {
+	s.totalsOutdated = true
 	a.engine.threadsInFlight += sign * a.threads
 	a.engine.memoryInFlightMB += sign * a.memoryMB
 }
--- a/internal/scheduler/queue.go
+++ b/internal/scheduler/queue.go
@@ -7,10 +7,10 @@
 )
 
 const (
-	rateSpan      = 5 * time.Second // over which recent rates are taken
-	leastRateSpan = time.Second     // the same just after the start
-	queueParts    = 4               // of the work started in an objective, one may be queued
-	leastRate     = 0.01            // queries a second, against a division by 0
+	rateWindow        = 5 * time.Second // over which recent rates are taken
+	minRateWindow     = time.Second     // the same just after the start
+	queuedWorkDivisor = 4               // of the work started in an objective, one may be queued
+	minRate           = 0.01            // queries a second, against a division by 0
 )
 
 func (s *Scheduler) enqueue(q *query) { q.group.insert(q) }
@@ -20,31 +20,31 @@
 // so are those that the same tables and locations bar: queues get long, and each is asked once.
 func (s *Scheduler) dispatchQueued() {
 	for _, rg := range s.ranked {
-		var barredKeys []int64
+		var ineligibleKeys []int64
 		rg.blocked = false
 		for i := 0; i < len(rg.queue); {
 			q := rg.queue[i]
-			if !q.ended && s.notWorthStarting(q, len(rg.queue) > i+1) {
+			if !q.ended && s.tooLateToStart(q, len(rg.queue) > i+1) {
 				s.reject(q)
 			}
 			if q.ended {
 				rg.remove(q)
 				continue
 			}
-			if len(q.attempts) == 0 && slices.Contains(barredKeys, q.blockingKey) {
+			if len(q.attempts) == 0 && slices.Contains(ineligibleKeys, q.eligibilityKey) {
 				i++
 				continue
 			}
-			e, barred := s.route(q)
+			e, ineligible := s.route(q)
 			switch {
 			case e != nil && s.submit(q, e):
 				rg.remove(q)
-			case e == nil && !barred && !q.confined: // a confined one holds up only its like
+			case e == nil && !ineligible && !q.confined: // a confined one holds up only its like
 				s.shedCostliest(rg)
 				rg.blocked = true
 				i = len(rg.queue)
 			default:
-				barredKeys = append(barredKeys, q.blockingKey)
+				ineligibleKeys = append(ineligibleKeys, q.eligibilityKey)
 				i++
 			}
 		}
@@ -54,7 +54,7 @@
 // rankGroups orders the groups by weight for the thread time of a query, which is what is rationed.
 func (s *Scheduler) rankGroups() {
 	weight := func(rg *resourceGroup) float64 {
-		return rg.priorityWeight / rg.threadSecondsUsed.valueOr(s.usualWorkSeconds(rg))
+		return rg.priorityWeight / rg.threadSecondsUsed.valueOr(s.typicalWorkSeconds(rg))
 	}
 	slices.SortStableFunc(s.ranked, func(a, b *resourceGroup) int {
 		return cmp.Or(cmp.Compare(weight(b), weight(a)), a.index-b.index)
@@ -70,9 +70,10 @@
 		work += s.estimatedSoloSeconds(q) * rg.threads
 	}
 	byCost := func(a, b *query) int { return cmp.Compare(s.costPerWeight(a), s.costPerWeight(b)) }
-	for len(rg.queue) > 1 && work > s.perSecond(rg.recentThreadSeconds)*rg.objective.Seconds()/queueParts {
+	for len(rg.queue) > 1 &&
+		work > s.perSecond(rg.recentThreadSeconds)*rg.objective.Seconds()/queuedWorkDivisor {
 		costliest := slices.MaxFunc(rg.queue, byCost)
-		if s.costPerWeight(costliest) <= s.usualWorkSeconds(rg)/rg.threads {
+		if s.costPerWeight(costliest) <= s.typicalWorkSeconds(rg)/rg.threads {
 			return
 		}
 		work -= s.estimatedSoloSeconds(costliest) * rg.threads
@@ -93,10 +94,10 @@
 // overQuotaFraction is the part of a tenant's queries here beyond its quota: this controller's even
 // part of it, and more the busier this one is in the long run, as traffic isn't even.
 func (s *Scheduler) overQuotaFraction(t *tenant) float64 {
-	return max(0, 1-t.quota*max(1, s.tenantLoad.valueOr(1))/max(leastRate, s.perSecond(t.recentArrivals)))
+	return max(0, 1-t.quota*max(1, s.tenantLoad.valueOr(1))/max(minRate, s.perSecond(t.recentArrivals)))
 }
 
 // perSecond turns a sum that decays over rateSpan into a rate.
 func (s *Scheduler) perSecond(sum float64) float64 {
-	return sum / min(rateSpan, max(leastRateSpan, s.now)).Seconds()
+	return sum / min(rateWindow, max(minRateWindow, s.now)).Seconds()
 }
--- a/internal/scheduler/random.go
+++ b/internal/scheduler/random.go
@@ -14,30 +14,30 @@
 func (p *pcg) next() uint32 {
 	old := p.state
 	p.state = old*6364136223846793005 + 1442695040888963407
-	x := uint32(((old >> 18) ^ old) >> 27)
-	rot := uint32(old >> 59)
-	return x>>rot | x<<(-rot&31)
+	output := uint32(((old >> 18) ^ old) >> 27)
+	rotation := uint32(old >> 59)
+	return output>>rotation | output<<(-rotation&31)
 }
 
 // float is in [0, 1).
-func (p *pcg) float() float64 { return float64(p.next()) / (1 << 32) }
+func (p *pcg) float64() float64 { return float64(p.next()) / (1 << 32) }
 
 // shuffle puts the first few in an order drawn at random.
-func (p *pcg) shuffle(l []*engine) {
-	for i := range min(8, len(l)) {
-		k := i + int(p.float()*float64(len(l)-i))
-		l[i], l[k] = l[k], l[i]
+func (p *pcg) shuffleHead(engines []*engine) {
+	for i := range min(8, len(engines)) {
+		k := i + int(p.float64()*float64(len(engines)-i))
+		engines[i], engines[k] = engines[k], engines[i]
 	}
 }
 
 // draw takes one with odds in step with its weight.
-func (p *pcg) draw(l []*engine, weight func(*engine) float64) (found *engine) {
+func (p *pcg) pickWeighted(engines []*engine, weight func(*engine) float64) (picked *engine) {
 	var total float64
-	for _, e := range l {
-		w := weight(e)
-		if total += w; p.float()*total < w {
-			found = e
+	for _, e := range engines {
+		engineWeight := weight(e)
+		if total += engineWeight; p.float64()*total < engineWeight {
+			picked = e
 		}
 	}
-	return found
+	return picked
 }
--- a/internal/scheduler/retry_budget.go
+++ b/internal/scheduler/retry_budget.go
@@ -8,10 +8,10 @@
 // retryBudgetLeft tells whether the controller may send one more retry: in a span it may send a
 // fixed number and a share of the queries that arrived in it.
 func (s *Scheduler) retryBudgetLeft() bool {
-	span := s.settings.RetryBudgetWindow
-	since := s.now - span
-	most := s.settings.MinRetryBudget + s.settings.RetryBudgetRatio*float64(countSince(&s.arrivals, since))
-	return span <= 0 || float64(countSince(&s.retries, since)+1) <= most
+	window := s.settings.RetryBudgetWindow
+	since := s.now - window
+	limit := s.settings.MinRetryBudget + s.settings.RetryBudgetRatio*float64(countSince(&s.arrivals, since))
+	return window <= 0 || float64(countSince(&s.retries, since)+1) <= limit
 }
 
 // countSince drops what came before a time and counts the rest.
--- a/internal/scheduler/retry_budget_test.go
+++ b/internal/scheduler/retry_budget_test.go
@@ -8,11 +8,12 @@
 // Called off for a fresh submission that the budget doesn't have, a query would have lost what was done.
 func TestMoveKeepsToRetryBudget(t *testing.T) {
 	for _, least := range []string{"0", "5"} {
-		w := newWorld(t, 2, map[string]string{"budget.span": "10000", "budget.least": least, "budget.share": "0.2"})
-		q := w.arrive(1, 1, -1, 60*sec)
-		s := w.s.queries[q.id].attempts[0]
-		if w.s.moveOrReject(s, math.Inf(1)); s.moving != (least == "5") {
-			t.Fatalf("%s in the budget: moved %v", least, s.moving)
+		h := newHarness(t, 2, map[string]string{"budget.span": "10000", "budget.least": least,
+			"budget.share": "0.2"})
+		q := h.arrive(1, 1, -1, 60*sec)
+		attempt := h.s.queries[q.id].attempts[0]
+		if h.s.moveOrReject(attempt, math.Inf(1)); attempt.moving != (least == "5") {
+			t.Fatalf("%s in the budget: moved %v", least, attempt.moving)
 		}
 	}
 }
--- a/internal/scheduler/routing_test.go
+++ b/internal/scheduler/routing_test.go
@@ -5,31 +5,31 @@
 )
 
 func TestRoutingAvoidsEngineWhereTablesHang(t *testing.T) {
-	w := newWorld(t, 2, nil)
-	q := w.arrive(0, 1, -1, 10*sec)
-	w.pass(2 * sec)
-	s := w.s.openAttempt(q.id, 0)
-	if !s.moving || !w.s.loadRunning(s.engine, 1) || w.s.loadRunning(s.engine, 2) {
-		t.Fatalf("moved %v, shut %v", s.moving, s.engine.loadRunningUntil)
+	h := newHarness(t, 2, nil)
+	q := h.arrive(0, 1, -1, 10*sec)
+	h.advance(2 * sec)
+	attempt := h.s.openAttempt(q.id, 0)
+	if !attempt.moving || !h.s.loadRunning(attempt.engine, 1) || h.s.loadRunning(attempt.engine, 2) {
+		t.Fatalf("moved %v, shut %v", attempt.moving, attempt.engine.loadRunningUntil)
 	}
 }
 
 func TestLightQueriesPreferOwnLocation(t *testing.T) {
-	w := newWorld(t, 8, map[string]string{"own.location": "1"})
-	w.s.meanWorkSeconds, w.s.groups[0].workSeconds = movingAverage{1, 100}, movingAverage{0.2, 20}
+	h := newHarness(t, 8, map[string]string{"own.location": "1"})
+	h.s.meanWorkSeconds, h.s.groups[0].workSeconds = movingAverage{1, 100}, movingAverage{0.2, 20}
 	for range 30 {
-		q := w.arrive(0, 3, -1, 5*sec)
-		if e := w.engines[sentTo(q)]; e == nil || e.location != 1 {
+		q := h.arrive(0, 3, -1, 5*sec)
+		if e := h.engines[sentTo(q)]; e == nil || e.location != 1 {
 			t.Fatalf("sent to %q", sentTo(q))
 		}
-		w.end(q, 0, Finished)
+		h.endAttempt(q, 0, Finished)
 	}
-	for _, id := range w.ids() {
-		if w.engines[id].location == 1 {
-			w.set(id, EngineDraining)
+	for _, id := range h.engineIDs() {
+		if h.engines[id].location == 1 {
+			h.setState(id, EngineDraining)
 		}
 	}
-	if q := w.arrive(0, 3, -1, 5*sec); sentTo(q) == "" {
+	if q := h.arrive(0, 3, -1, 5*sec); sentTo(q) == "" {
 		t.Fatal("held for a location that has gone")
 	}
 }
--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -41,10 +41,10 @@
 	lastSequence uint64 // of queries
 
 	// Timers, and when what is gone is forgotten.
-	timers    timerqueue.Queue
-	wakeAt    time.Duration // of the earliest wake asked for, negative: none
-	evictAt   time.Duration
-	retention time.Duration // for which what is gone may still matter
+	timers         timerqueue.Queue
+	timerAt        time.Duration // of the earliest wake asked for, negative: none
+	nextEvictionAt time.Duration
+	retention      time.Duration // for which what is gone may still matter
 
 	// The endpoint list.
 	listedEngines   map[*engine]bool // while a list comes in
@@ -58,11 +58,11 @@
 	retryAfter time.Duration // told with a deferral, 0: none
 
 	// Sums over active engines, made anew when stale.
-	totalsStale bool
-	active      []*engine
-	totals      totals
-	warmEngines float64 // active engines that don't warm up
-	activeCores float64 // of all active engines
+	totalsOutdated bool
+	activeList     []*engine
+	totals         totals
+	warmEngines    float64 // active engines that don't warm up
+	activeCores    float64 // of all active engines
 
 	// The controller's own attempts in flight, all together.
 	ownShare        float64       // of all work, 0 to 1
@@ -98,7 +98,7 @@
 		queries:         map[string]*query{},
 		chains:          map[int64]*chain{},
 		keyQueues:       map[int64]*keyQueue{},
-		wakeAt:          -1,
+		timerAt:         -1,
 		subscribeSentAt: -time.Hour,
 	}
 	for i, given := range s.settings.Groups {
@@ -108,9 +108,9 @@
 		s.maxQueryThreads = max(s.maxQueryThreads, rg.threads)
 	}
 	for _, given := range s.settings.Tenants {
-		s.tenants = append(s.tenants, &tenant{quota: s.ownQuota(given)})
+		s.tenants = append(s.tenants, &tenant{quota: s.quotaPerController(given)})
 	}
-	s.retention = max(s.retention, s.settings.SlowStartDuration, chainAffinitySpan) + s.settings.KeyCooldown
+	s.retention = max(s.retention, s.settings.SlowStartDuration, chainAffinityDuration) + s.settings.KeyCooldown
 	s.noTenant.quota = math.Inf(1)
 	s.lastSequence = uint64(s.rng.next()) // controllers must not draw alike
 	s.healthChecksReportLoad = s.settings.HealthChecksAllowed && s.settings.LoadReports
@@ -124,7 +124,7 @@
 }
 
 // ownQuota is a controller's even part of a tenant's quota, in queries a second.
-func (s *Scheduler) ownQuota(given settings.Tenant) float64 {
+func (s *Scheduler) quotaPerController(given settings.Tenant) float64 {
 	return given.QuotaPerSecond / max(1, s.settings.ControllerCount)
 }
 
@@ -137,13 +137,13 @@
 	before := s.settings.Tenants
 	s.settings = settings.Parse(given)
 	for i, rg := range s.groups {
-		rg.setLimits(settings.ParseGroup(given, i))
+		rg.updateSettings(settings.ParseGroup(given, i))
 		s.retention = max(s.retention, rg.timeout+s.settings.KeyCooldown)
 	}
 	s.updateTenants(before)
-	for _, q := range s.unsent() {
-		q.objectiveAt = s.objective(q)
-		s.atTime(q, q.objectiveAt, func() { s.objectivePassed(q) })
+	for _, q := range s.unsentQueries() {
+		q.objectiveAt = s.objectiveTime(q)
+		s.runAt(q, q.objectiveAt, func() { s.handleObjectivePassed(q) })
 	}
 }
 
@@ -160,7 +160,7 @@
 		if t == nil {
 			t = &tenant{}
 		}
-		t.quota = s.ownQuota(given)
+		t.quota = s.quotaPerController(given)
 		if t.quota <= 0 {
 			t.quota = math.Inf(1) // no quota any more, and some of its queries wait
 		}
@@ -169,23 +169,23 @@
 }
 
 // unsent lists the queries without an attempt in the order of arrival.
-func (s *Scheduler) unsent() []*query {
-	var unsent []*query
+func (s *Scheduler) unsentQueries() []*query {
+	var queries []*query
 	for _, q := range s.queries {
 		if len(q.attempts) == 0 && !q.ended {
-			unsent = append(unsent, q)
+			queries = append(queries, q)
 		}
 	}
-	slices.SortFunc(unsent, func(a, b *query) int { return cmp.Compare(a.seq, b.seq) })
-	return unsent
+	slices.SortFunc(queries, func(a, b *query) int { return cmp.Compare(a.sequence, b.sequence) })
+	return queries
 }
 
 // tenant is the one that a query counts to; a query without a tenant is never over a quota.
-func (s *Scheduler) tenant(i int) *tenant {
-	if i < 0 || i >= len(s.tenants) || s.tenants[i].quota <= 0 {
+func (s *Scheduler) tenantByIndex(index int) *tenant {
+	if index < 0 || index >= len(s.tenants) || s.tenants[index].quota <= 0 {
 		return &s.noTenant
 	}
-	return s.tenants[i]
+	return s.tenants[index]
 }
 
 // InFlight is how many attempts an engine is thought to have.
@@ -208,7 +208,7 @@
 // asked while the scheduler acts.
 func (s *Scheduler) SendDeadline(id string, number int) time.Duration {
 	if a := s.openAttempt(id, number); a != nil {
-		return s.startDeadline(a)
+		return s.sendDeadline(a)
 	}
 	return 0
 }
--- a/internal/scheduler/slow_start_test.go
+++ b/internal/scheduler/slow_start_test.go
@@ -5,14 +5,14 @@
 )
 
 func TestSlowStartChanceSumsToPartOfLimit(t *testing.T) {
-	w := newLargeFleet(t, 30)
-	w.pass(sec)
-	w.restart("e0")
+	h := newLargeFleet(t, 30)
+	h.advance(sec)
+	h.restartEngine("e0")
 	// a fifth is this group's
-	w.s.recentWorkSeconds, w.s.groups[0].recentArrivals, w.s.meanWorkSeconds.value = 10, 4, 1
+	h.s.recentWorkSeconds, h.s.groups[0].recentArrivals, h.s.meanWorkSeconds.value = 10, 4, 1
 	n := 0
 	for i := range 3000 {
-		if w.s.slowStartAllows(&query{group: w.s.groups[0], seq: uint64(i)}, w.s.enginesByID["e0"]) {
+		if h.s.slowStartAllows(&query{group: h.s.groups[0], sequence: uint64(i)}, h.s.enginesByID["e0"]) {
 			n++
 		}
 	}
@@ -25,32 +25,32 @@
 // Each light query that went to a cold engine was looked ahead for, though its chance alone
 // leaves room there: a probe a query, priced over the whole fleet.
 func TestWarmingEngineGetsLightQueriesWithoutHealthCheck(t *testing.T) {
-	w := newWorld(t, 40, map[string]string{"gateways": "300", "report.how": "probed"})
+	h := newHarness(t, 40, map[string]string{"gateways": "300", "report.how": "probed"})
 	ask := func() *clientQuery {
-		w.pass(20 * ms)
+		h.advance(20 * ms)
 		for _, id := range []string{"e8", "e9"} { // two warm ones with room are known
-			w.report(id, map[string]float64{"held": 2})
+			h.reportLoad(id, map[string]float64{"held": 2})
 		}
-		w.probes = nil
-		return w.arrive(0, 1, -1, 5*sec)
+		h.healthChecks = nil
+		return h.arrive(0, 1, -1, 5*sec)
 	}
-	w.arrive(1, 1, -1, 15*sec) // beside which lookups are light
+	h.arrive(1, 1, -1, 15*sec) // beside which lookups are light
 	for range 40 {
-		w.end(ask(), 0, Finished)
+		h.endAttempt(ask(), 0, Finished)
 	}
-	for _, id := range w.ids()[:20] {
-		w.restart(id)
+	for _, id := range h.engineIDs()[:20] {
+		h.restartEngine(id)
 	}
 	went := 0
 	for range 400 {
 		q := ask()
-		if len(q.attempts) != 1 || len(w.probes) > 0 {
-			t.Fatalf("sent %d times, %d looks", len(q.attempts), len(w.probes))
+		if len(q.attempts) != 1 || len(h.healthChecks) > 0 {
+			t.Fatalf("sent %d times, %d looks", len(q.attempts), len(h.healthChecks))
 		}
-		if w.engines[q.attempts[0].engine].started > 0 {
+		if h.engines[q.attempts[0].engine].startedAt > 0 {
 			went++
 		}
-		w.end(q, 0, Finished)
+		h.endAttempt(q, 0, Finished)
 	}
 	if went < 50 {
 		t.Fatalf("%d of 400 went to cold engines, half of all", went)
@@ -59,13 +59,13 @@
 
 // Small engines among large ones: chances by one engine's cores times their number were off by their ratio.
 func TestSlowStartChanceIsByAllCores(t *testing.T) {
-	w := newWorld(t, 12, map[string]string{"gateways": "300", "kind.cores": "4,28", "cold.span": "9000"})
-	w.pass(sec)
-	w.restart("e0") // of 4 cores; the others do as much as 12 of 16
-	w.s.recentWorkSeconds, w.s.groups[0].recentArrivals, w.s.meanWorkSeconds.value = 10, 4, 1
+	h := newHarness(t, 12, map[string]string{"gateways": "300", "kind.cores": "4,28", "cold.span": "9000"})
+	h.advance(sec)
+	h.restartEngine("e0") // of 4 cores; the others do as much as 12 of 16
+	h.s.recentWorkSeconds, h.s.groups[0].recentArrivals, h.s.meanWorkSeconds.value = 10, 4, 1
 	n := 0
 	for i := range 3000 {
-		if w.s.slowStartAllows(&query{group: w.s.groups[0], seq: uint64(i)}, w.s.enginesByID["e0"]) {
+		if h.s.slowStartAllows(&query{group: h.s.groups[0], sequence: uint64(i)}, h.s.enginesByID["e0"]) {
 			n++
 		}
 	}
--- a/internal/scheduler/timers.go
+++ b/internal/scheduler/timers.go
@@ -10,17 +10,17 @@
 	tickInterval  = 100 * time.Millisecond
 	evictInterval = time.Second
 
-	longSamples       = 300   // ticks over which one's own attempts in flight are averaged
+	inFlightSamples   = 300   // ticks over which one's own attempts in flight are averaged
 	tenantLoadSamples = 600   // ticks over which the tenants' load is
-	slowDecay         = 0.995 // a tick, of arrivals and their work
+	arrivalDecay      = 0.995 // a tick, of arrivals and their work
 
-	subscribeAgainAfter = time.Second // or a part of the time in which the list must be asked for:
-	subscribeParts      = 2
+	maxSubscribeInterval = time.Second // or a part of the time in which the list must be asked for:
+	subscribeDivisor     = 2
 )
 
 // Tags of the wakes that are asked for.
 const (
-	timersTag = iota
+	timerQueueTag = iota
 	tickTag
 )
 
@@ -30,7 +30,7 @@
 	s.rankGroups()
 	s.averageInFlight()
 	s.ownShare = s.estimateOwnShare()
-	s.decayReported()
+	s.decayReportedUtilization()
 	s.decayRates()
 	s.averageTenantLoad()
 	for _, e := range s.activeEngines() {
@@ -44,25 +44,25 @@
 
 // averageInFlight takes the controller's attempts in flight into their means.
 func (s *Scheduler) averageInFlight() {
-	s.totalsStale = true // some engines have warmed up by now
-	threads, memory, count, _ := s.totalsInFlight()
-	s.meanThreads.add(threads, longSamples)
-	s.recentThreads.add(threads, rateSpan.Seconds()/tickInterval.Seconds())
-	s.meanMemoryMB.add(memory, longSamples)
-	s.meanAttempts.add(count, longSamples)
+	s.totalsOutdated = true // some engines have warmed up by now
+	threads, memoryMB, attempts, _ := s.totalsInFlight()
+	s.meanThreads.add(threads, inFlightSamples)
+	s.recentThreads.add(threads, rateWindow.Seconds()/tickInterval.Seconds())
+	s.meanMemoryMB.add(memoryMB, inFlightSamples)
+	s.meanAttempts.add(attempts, inFlightSamples)
 }
 
 // decayRates has what was counted of late fade.
 func (s *Scheduler) decayRates() {
-	keep := 1 - tickInterval.Seconds()/rateSpan.Seconds()
+	factor := 1 - tickInterval.Seconds()/rateWindow.Seconds()
 	for _, rg := range s.groups {
-		rg.recentArrivals *= slowDecay
-		rg.recentThreadSeconds *= keep
+		rg.recentArrivals *= arrivalDecay
+		rg.recentThreadSeconds *= factor
 	}
-	s.recentWorkSeconds *= slowDecay
-	s.recentHealthChecks *= keep
+	s.recentWorkSeconds *= arrivalDecay
+	s.recentHealthChecks *= factor
 	for _, t := range s.tenants {
-		t.recentArrivals *= keep
+		t.recentArrivals *= factor
 	}
 }
 
@@ -73,15 +73,15 @@
 		arriving += s.perSecond(t.recentArrivals)
 		quota += t.quota
 	}
-	if quota > 0 && s.now > rateSpan {
+	if quota > 0 && s.now > rateWindow {
 		s.tenantLoad.add(arriving/quota, tenantLoadSamples)
 	}
 }
 
 // subscribe asks for the endpoint list where it is sent on request only.
 func (s *Scheduler) subscribe() {
-	again := min(subscribeAgainAfter, s.settings.ListRequestWithin/subscribeParts)
-	if s.settings.ListOnRequest && !s.subscribed && s.now-s.subscribeSentAt > again {
+	interval := min(maxSubscribeInterval, s.settings.ListRequestWithin/subscribeDivisor)
+	if s.settings.ListOnRequest && !s.subscribed && s.now-s.subscribeSentAt > interval {
 		s.subscribeSentAt = s.now
 		s.actions.RequestEndpoints()
 	}
@@ -90,21 +90,21 @@
 // finishEvent ends every event: what is due is done, what can be sent is sent, and a wake is asked
 // for the next timer.
 func (s *Scheduler) finishEvent() {
-	for do, ok := s.timers.PopDue(s.now); ok; do, ok = s.timers.PopDue(s.now) {
-		do()
+	for callback, ok := s.timers.PopDue(s.now); ok; callback, ok = s.timers.PopDue(s.now) {
+		callback()
 	}
 	if !s.paused {
 		s.dispatchQueued()
 	}
-	if first, ok := s.timers.NextDue(); ok && (s.wakeAt < 0 || first < s.wakeAt) {
-		s.wakeAt = first
-		s.actions.SetTimer(max(0, first-s.now), timersTag)
+	if first, ok := s.timers.NextDue(); ok && (s.timerAt < 0 || first < s.timerAt) {
+		s.timerAt = first
+		s.actions.SetTimer(max(0, first-s.now), timerQueueTag)
 	}
 }
 
 // atTime has something done for a query at a time, unless the query was forgotten by then.
-func (s *Scheduler) atTime(q *query, t time.Duration, do func()) {
-	q.timers = append(q.timers, s.timers.Add(t, do))
+func (s *Scheduler) runAt(q *query, at time.Duration, callback func()) {
+	q.timers = append(q.timers, s.timers.Add(at, callback))
 }
 
 // releaseEnded forgets a query that has ended and has no attempt in flight, and starts what waited
@@ -119,16 +119,16 @@
 	}
 	q.timers = nil
 	s.writeEnded(q)
-	s.startNextOfKey(q)
+	s.startNextInKeyQueue(q)
 }
 
 // evictStale forgets engines that are gone, and chains, keys and tables at rest, once they can't
 // matter any more; they would stay as long as the instance runs.
 func (s *Scheduler) evictStale() {
-	if s.now < s.evictAt {
+	if s.now < s.nextEvictionAt {
 		return
 	}
-	s.evictAt = s.now + evictInterval
+	s.nextEvictionAt = s.now + evictInterval
 	s.engines = slices.DeleteFunc(s.engines, func(e *engine) bool {
 		stale := e.state == EngineRemoved && s.now-e.removedAt > s.retention && len(e.inFlight) == 0
 		if stale {
@@ -137,21 +137,21 @@
 		return stale
 	})
 	for _, e := range s.engines {
-		maps.DeleteFunc(e.lastFinishOfTables, func(_ int64, at time.Duration) bool {
+		maps.DeleteFunc(e.lastFinishByTables, func(_ int64, at time.Duration) bool {
 			return s.now-at > s.retention
 		})
 		maps.DeleteFunc(e.loadRunningUntil, func(_ int64, until time.Duration) bool {
 			return s.now >= until
 		})
-		if s.now >= e.warmingUntil {
+		if s.now >= e.warmupEndsAt {
 			e.slowStartSends = nil
 		}
 	}
 	maps.DeleteFunc(s.chains, func(_ int64, c *chain) bool {
-		return c.running == nil && len(c.waiting) == 0 && s.now-c.lastEndedAt > chainAffinitySpan
+		return c.running == nil && len(c.waiting) == 0 && s.now-c.lastWriteEndedAt > chainAffinityDuration
 	})
 	maps.DeleteFunc(s.keyQueues, func(_ int64, k *keyQueue) bool {
-		return len(k.queries) == 0 && s.now >= k.restingUntil
+		return len(k.queries) == 0 && s.now >= k.cooldownUntil
 	})
 	since := s.now - s.settings.RetryBudgetWindow
 	countSince(&s.arrivals, since)
@@ -162,18 +162,18 @@
 func (s *Scheduler) EntryCount() int {
 	n := s.timers.Len() + len(s.engines) + len(s.enginesByID) + len(s.chains) + len(s.keyQueues) + len(s.queries)
 	for _, e := range s.engines {
-		n += len(e.lastFinishOfTables) + len(e.loadRunningUntil) + len(e.slowStartSends)
+		n += len(e.lastFinishByTables) + len(e.loadRunningUntil) + len(e.slowStartSends)
 	}
 	return n
 }
 
 // capped is a span, or one that follows from a group's times where those are told and it is shorter:
 // what suits deadlines of seconds may outlast one of less.
-func capped(usual, follows time.Duration) time.Duration {
-	if follows <= 0 {
-		return usual
+func capAt(duration, limit time.Duration) time.Duration {
+	if limit <= 0 {
+		return duration
 	}
-	return min(usual, follows)
+	return min(duration, limit)
 }
 
 func seconds(x float64) time.Duration { return time.Duration(x * float64(time.Second)) }
