--- a/internal/scheduler/admission.go
+++ b/internal/scheduler/admission.go
@@ -2,10 +2,10 @@
 
 import "time"
 
-const deadlineMarginQuanta = 2 // at which a query without an answer is rejected
+const deadlineMarginQuanta = 2 // quanta before its deadline at which a query without an answer is rejected
 
-// admit starts a query on its way, or rejects it where it can't be done in time. A draining
-// controller rejects at once: the client can go elsewhere.
+// admit queues a query that has arrived, or rejects it if it can't be answered in time. A draining
+// controller rejects every query at once, so that its client can go to another controller.
 func (s *Scheduler) admit(q *query) {
 	if s.draining {
 		s.reject(q)
@@ -14,7 +14,7 @@
 	s.learnFromArrival(q)
 	s.addHealthCheckTokens()
 	q.objectiveAt = s.objectiveTime(q)
-	// Whatever else goes wrong, the answer is out before the deadline.
+	// However the query fares, its client is answered before the deadline.
 	s.runAt(q, q.deadline-deadlineMarginQuanta*s.settings.Quantum, func() { s.reject(q) })
 	s.runAt(q, q.objectiveAt, func() { s.handleObjectivePassed(q) })
 	if queue := s.keyQueueOf(q); queue != nil {
@@ -27,9 +27,10 @@
 	s.startQuery(q)
 }
 
-// rejectIfKeyQueueTooLong rejects a query if those before it in its key's queue, each run alone,
-// leave it no time. Rejected at once it comes back in its own time; a long queue that is kept is
-// rejected in one moment when its head ends late, and its clients come back in one moment too.
+// rejectIfKeyQueueTooLong rejects a query if the expected run times of the queries before it in its
+// key's queue leave it too little time. A query that is rejected on arrival is retried at its own
+// time. Queries that were kept in a long queue would be rejected together once its head ends late,
+// and their clients would return together.
 func (s *Scheduler) rejectIfKeyQueueTooLong(q *query, queue *keyQueue) {
 	before := 0.0
 	for _, earlier := range queue.queries[:len(queue.queries)-1] {
@@ -40,8 +41,8 @@
 	}
 }
 
-// reject answers a query at once: with a deferral, by which its client may ask again, where that
-// can't run it twice, else with an error.
+// reject answers a query at once: with a deferral if its client can't run it twice by retrying,
+// otherwise with an error.
 func (s *Scheduler) reject(q *query) {
 	if q.ended || q.answerStarted {
 		return
@@ -55,7 +56,8 @@
 	s.releaseEnded(q)
 }
 
-// retryAfterFor is when a rejected client is told to come back: at most half its own timeout.
+// retryAfterFor returns the delay after which a rejected client may retry: at most half its
+// timeout.
 func (s *Scheduler) retryAfterFor(q *query) time.Duration {
 	return capAt(s.retryAfter, q.group.timeout/2)
 }
--- a/internal/scheduler/capacity.go
+++ b/internal/scheduler/capacity.go
@@ -8,22 +8,24 @@
 
 const (
 	maxThreadsPerCore       = 2.0 // of all controllers together
-	reservedFractionPerRank = 0.1 // of the limit that a group leaves to each one ranked before it
+	reservedFractionPerRank = 0.1 // of the thread limit, left free for each group ranked higher
 
-	pressureSlowdown            = 5.0 // an engine's slowdown that counts as pressure
-	minPressureUtilization      = 0.7 // that counts as pressure at the least
+	// An engine is under pressure above this slowdown, or above a threshold of utilization that falls
+	// from its maximum to its minimum as the controller's own share grows.
+	pressureSlowdown            = 5.0
+	minPressureUtilization      = 0.7
 	maxPressureUtilization      = 0.85
-	pressureUtilizationPerShare = 0.5 // by which that falls with the controller's own share
-	estimateTolerance           = 2   // more is let in by a guess, for what costs least for its weight
-	highUtilization             = 0.75
+	pressureUtilizationPerShare = 0.5
+	estimateTolerance           = 2    // on the threshold, for the cheapest group and an estimated utilization
+	highUtilization             = 0.75 // from which on engines count as mostly full
 	recentRejectionWindow       = 2 * time.Second
 
-	minShareDivisor = 4 // of an even share that is a controller's at least, one
+	minShareDivisor = 4 // a controller's share is at least an even share divided by this
 )
 
-// hasCapacity tells whether an engine has capacity for a query: within the controller's share of
-// its threads and memory, or beyond it while the engine isn't under pressure. An ejected engine is
-// tried with one light query first.
+// hasCapacity returns whether an engine has capacity for a query: within the controller's share of
+// its threads and memory, or beyond that share while the engine isn't under pressure. An engine
+// that was ejected gets one light query at a time until it answers.
 func (s *Scheduler) hasCapacity(e *engine, q *query) bool {
 	if !s.available(e) {
 		return false
@@ -46,15 +48,18 @@
 	return s.withinTotalLimit(q, fraction)
 }
 
-// groupPart is the part of the limit that a group may fill: it leaves some to each group ranked
-// before it, or long queries would hold all of it whenever a short one comes.
+// groupCapacityFraction returns the fraction of the thread limit that a group may fill. A group
+// leaves some capacity to each group ranked higher. Otherwise long queries would hold all capacity
+// whenever a short one arrives.
 func (s *Scheduler) groupCapacityFraction(rg *resourceGroup) float64 {
 	return 1 - reservedFractionPerRank*float64(slices.Index(s.ranked, rg))
 }
 
-// withinMeanLimit holds a heavy query to the controller's share of all engines. Among many
-// controllers the share of one engine is less than a query, and binds in the mean only, once most
-// engines are full; else all would go to few.
+// withinTotalLimit returns whether a heavy query keeps the controller within its share of all
+// engines together. Among many controllers the share of one engine is less than one query, so that
+// only the total can be limited. Without a limit the queries of all controllers would go to the few
+// engines with capacity. Light queries and a controller's only attempt aren't limited; if reports
+// count queries, nothing is until most engines are full.
 func (s *Scheduler) withinTotalLimit(q *query, fraction float64) bool {
 	threads, _, attempts, cores := s.totalsInFlight()
 	switch {
@@ -66,16 +71,18 @@
 	return threads+q.group.threads <= maxThreadsPerCore*cores*s.ownShare*fraction
 }
 
-// assignedByNumber tells whether this controller is one of those that may have a query on an idle
-// engine, where a query is larger than a controller's part (in queries) of it: all controllers with
-// one each there would be several times its limit, so as many as fit are dealt by number.
+// assignedByIndex returns whether this controller may send a query to an idle engine of which each
+// controller's share is queriesPerController. If that is less than 1 and every controller sent a
+// query, the engine would get several times its limit. So the engine's hash and the controller's
+// index select as many controllers as there may be queries.
 func (s *Scheduler) assignedByIndex(e *engine, queriesPerController float64) bool {
 	controllers := max(1, s.settings.ControllerCount)
 	return math.Mod(float64(e.hash)+s.settings.ControllerIndex, controllers) <
 		math.Round(controllers*queriesPerController)
 }
 
-// isLight holds for groups that take less than the mean of the work: they fill no engine.
+// isLight returns whether a group's typical query takes less work than the mean query. Such a query
+// doesn't fill an engine.
 func (s *Scheduler) isLight(rg *resourceGroup) bool {
 	return s.typicalWorkSeconds(rg) < s.meanWorkSeconds.value
 }
@@ -84,10 +91,11 @@
 	return e.rejectedAt > 0 && s.now-e.rejectedAt < recentRejectionWindow
 }
 
-// underPressure tells whether an engine takes no more than the controller's share: it rejected a
-// query, is slow, or is full. With a small share of one's own the limit rations next to nothing,
-// and an engine is used while it has capacity. A guess or an old count of how full it is doesn't
-// turn away what costs least for its weight; busy cores do.
+// underPressure returns whether an engine gets no more than the controller's share: it rejected a
+// query, is slow, or is full. The threshold of utilization is higher for a controller with a small
+// share, whose limit allows next to nothing. An estimated utilization, or a reported number of
+// queries, which may be old, doesn't hold back the cheapest group for its weight; reported busy
+// cores do.
 func (s *Scheduler) underPressure(e *engine, q *query) bool {
 	limit := max(minPressureUtilization, maxPressureUtilization-pressureUtilizationPerShare*s.ownShare)
 	estimated := !s.healthChecksReportLoad &&
@@ -98,10 +106,11 @@
 	return s.rejectedRecently(e) || e.slowdown > pressureSlowdown || s.utilization(e) > limit
 }
 
-// estimateOwnShare is the controller's share of all work, 0 to 1: what it had in flight of late
-// against what engines report. Where nothing is reported it is an even share in the mean: what was
-// left of it of late is added, the more so the more of it one query takes, as few queries go up and
-// down far more than many.
+// estimateOwnShare returns the controller's share of all work, 0 to 1, from its recent attempts in
+// flight and the load that engines report. If engines report nothing, each controller has an even
+// share on average. A controller that recently used less than that gets the unused part added. The
+// addition is larger if a single query takes much of the share, because a few queries vary far more
+// than many.
 func (s *Scheduler) estimateOwnShare() float64 {
 	controllers := max(1, s.settings.ControllerCount)
 	threads, _, _, cores := s.totalsInFlight()
--- a/internal/scheduler/chain.go
+++ b/internal/scheduler/chain.go
@@ -3,25 +3,25 @@
 import "time"
 
 const (
-	chainAffinityDuration     = 10 * time.Second // in which a chain goes on at the engine of its last write
-	maxChainWait              = time.Second      // behind a running write
-	chainWaitObjectiveDivisor = 3                // of its group's objective that a write waits, one
+	chainAffinityDuration     = 10 * time.Second // after a write, for the next one to prefer its engine
+	maxChainWait              = time.Second      // for the running write
+	chainWaitObjectiveDivisor = 3                // a write waits at most its group's objective divided by this
 )
 
-// chain serialises the writes of one table group at this controller: one runs, others wait for it,
-// and the next goes to the same engine, which has the tables in memory.
+// chain serializes the writes of one table group at this controller. One write runs while others
+// wait, and the next one goes to the same engine, which has the tables in memory.
 type chain struct {
-	running          *query  // the write that is queued or in flight
-	engine           *engine // where the last write was sent
-	lastWriteEnded   bool    // that write has ended,
+	running          *query  // queued or in flight
+	engine           *engine // of the last write
+	lastWriteEnded   bool    // whether the last write has ended
 	lastWriteEndedAt time.Duration
 	waiting          []*query
 }
 
 func (c *chain) remove(q *query) bool { return removeFrom(&c.waiting, q) }
 
-// joinChain has a write wait behind the running one, or starts it. A write that waited for too
-// long goes on by itself.
+// joinChain starts a write, or has it wait for the running one. A write that has waited too long is
+// started beside the running one.
 func (s *Scheduler) joinChain(q *query) {
 	c := s.chains[q.tables]
 	if c == nil {
@@ -42,8 +42,8 @@
 	})
 }
 
-// startWrite sends a write to the engine of the last one, if that ended of late and has capacity;
-// else it is queued for any engine.
+// startWrite sends a write to the engine of the last one, if that write ended recently and the
+// engine has capacity. Otherwise any engine may take the write from the queue.
 func (s *Scheduler) startWrite(c *chain, q *query) {
 	c.running = q
 	recent := c.engine != nil && c.lastWriteEnded && s.now-c.lastWriteEndedAt < chainAffinityDuration
@@ -52,7 +52,7 @@
 	}
 }
 
-// writeEnded starts the next write of an ended query's chain.
+// writeEnded starts the next write of the chain when the running one has ended.
 func (s *Scheduler) writeEnded(q *query) {
 	c := q.chain
 	if c == nil || c.remove(q) || c.running != q {
--- a/internal/scheduler/deadline.go
+++ b/internal/scheduler/deadline.go
@@ -7,23 +7,24 @@
 )
 
 const (
-	startMarginFactor      = 1.25 // of its expected time that a query is started before its end, at the latest
-	patienceAbandonRate    = 0.05 // share of clients that leave early from which their patience counts
-	minSoloTimeFraction    = 0.5  // of its time alone that must be left for a query to be kept
-	abandonRateSamples     = 100  // queries over which the share of clients that leave is averaged
-	patienceSamples        = 30   // clients that left over whose patience is averaged
-	noteTimeoutHalfPeriods = 3    // halves of a note's period within which one is sure to come
+	startMarginFactor      = 1.25 // of the expected run time, left at the latest start
+	patienceAbandonRate    = 0.05 // of clients that leave early: above it, their patience limits the wait
+	minSoloTimeFraction    = 0.5  // of the estimated run time alone that must be left for a query to be kept
+	abandonRateSamples     = 100  // queries over which the fraction of clients that leave is averaged
+	patienceSamples        = 30   // early leavers over which the patience is averaged
+	noteTimeoutHalfPeriods = 3    // half periods without a note, after which one is missing
 	noteDeliveryDelay      = 300 * time.Millisecond
 )
 
-// objective is when the answer should be there: its group's objective after arrival, and longer for
-// a long query.
+// objectiveTime returns when a query should be answered: its group's objective after its arrival,
+// and later for a long query.
 func (s *Scheduler) objectiveTime(q *query) time.Duration {
 	return q.arrivedAt + q.group.objective + seconds(q.group.objectiveStretch*s.estimatedSoloSeconds(q))
 }
 
-// latestStart is when a query has to start to be done by its objective, its deadline (some come
-// with less time than the objective), and before its client leaves, where clients leave early.
+// latestStart returns when a query has to start to end by its objective and by its deadline, which
+// may come first. If many clients of its group leave early, the query also has to end within their
+// average patience.
 func (s *Scheduler) latestStart(q *query) time.Duration {
 	deadline := min(q.objectiveAt, q.deadline)
 	if q.group.abandonRate.value > patienceAbandonRate {
@@ -32,8 +33,9 @@
 	return deadline - seconds(startMarginFactor*s.expectedSeconds(q))
 }
 
-// notWorthStarting tells of a queued query that can't be done in time, or would be late where
-// others wait behind it or a late answer is worth nothing: it is rejected before it takes capacity.
+// tooLateToStart returns whether a queued query should be rejected before it takes capacity: it
+// can't be done by its deadline, or it would be late and either other queries wait behind it or
+// late answers of its group have no value.
 func (s *Scheduler) tooLateToStart(q *query, backlog bool) bool {
 	solo := s.estimatedSoloSeconds(q)
 	switch {
@@ -45,8 +47,8 @@
 	return q.group.lateValueShare <= 0 && s.now+seconds(solo) > q.objectiveAt
 }
 
-// objectivePassed lowers a late query's priority; where no note can tell why it is late, its
-// attempts count as stalled.
+// handleObjectivePassed lowers a late query's priority. If no note can arrive in time to explain
+// the delay, its attempts count as stalled.
 func (s *Scheduler) handleObjectivePassed(q *query) {
 	period := s.settings.NotePeriod
 	for _, a := range q.attempts {
@@ -57,27 +59,27 @@
 	s.updateLimits(q)
 }
 
-// noteExpectedWithin is the time in which a running attempt's next note is sure to come.
+// noteTimeout returns the time within which the next note on a running attempt should arrive.
 func noteTimeout(period time.Duration) time.Duration {
 	return period*noteTimeoutHalfPeriods/2 + noteDeliveryDelay
 }
 
-// startDeadline is until when the first byte of an attempt may be sent, since it may have waited
-// for a connection past what it was decided on: until the query's deadline, and of a keyed query
-// sent before only while engines keep its key.
+// sendDeadline returns the time until which the first byte of an attempt may be sent, as an attempt
+// may wait for a connection. The limit is the query's deadline, and for a keyed query with an
+// earlier attempt also the end of the time for which engines keep its key.
 func (s *Scheduler) sendDeadline(a *attempt) time.Duration {
 	attempts, rg := a.query.attemptsThatMayHaveRun(), a.query.group
 	switch {
 	case a.query.ended || a.engine.state != EngineActive:
-		return 0 // no byte may be sent any more
+		return 0 // nothing may be sent any more
 	case rg.effect == settings.Keyed && attempts[0] != a:
 		return min(a.query.deadline, attempts[0].sentAt+rg.keyWindow)
 	}
 	return a.query.deadline
 }
 
-// clientGone ends a query without an answer because its client disconnected; how long clients
-// wait is learned from it.
+// handleClientLeft ends a query without an answer because its client disconnected, and updates the
+// group's patience.
 func (s *Scheduler) handleClientLeft(q *query) {
 	q.group.abandonRate.add(1, abandonRateSamples)
 	q.group.patience.add((s.now - q.arrivedAt).Seconds(), patienceSamples)
@@ -85,7 +87,7 @@
 	s.releaseEnded(q)
 }
 
-// end marks the end of a query; attempts in flight are cancelled where engines can.
+// endQuery marks a query as ended, and cancels its attempts in flight if engines support that.
 func (s *Scheduler) endQuery(q *query) {
 	if q.ended {
 		return
--- a/internal/scheduler/engine.go
+++ b/internal/scheduler/engine.go
@@ -2,26 +2,28 @@
 
 import "time"
 
-// engine is one engine as this controller sees it. Amounts in flight are the controller's own.
+// engine is this controller's view of an engine. Amounts in flight are those of this controller
+// alone.
 type engine struct {
 	id   string
-	hash uint32 // of the id, for draws that are the same at each start
+	hash uint32 // of the id, so that random choices are the same after a restart
 
-	// As listed.
+	// From the endpoint list.
 	location, kind, cell int
-	isLocal              bool // in the controller's own location
+	isLocal              bool // at the controller's location
 	state                EngineState
 	removedAt            time.Duration
 	startedAt            time.Duration
 	cores                float64
-	memoryCapacityMB     float64 // infinite if not told
+	memoryCapacityMB     float64 // infinite if unknown
 
 	// Attempts in flight.
 	inFlight         []*attempt
 	threadsInFlight  float64
 	memoryInFlightMB float64
 
-	// The last load report, nil if it holds no more, and what was in flight with it.
+	// The last load report, nil if it is no longer valid, and the amounts in flight when it
+	// arrived.
 	report                   map[string]float64
 	reportAt                 time.Duration
 	threadsInFlightAtReport  float64
@@ -32,13 +34,13 @@
 	unresponsive         bool
 	healthCheckInFlight  bool
 	healthCheckSentAt    time.Duration
-	rejectedAt           time.Duration // when it last rejected a query
-	ejectedUntil         time.Duration // gets no query until then
-	consecutiveEjections int           // with no answer between them
-	slowdown             float64       // of its answers over the best of their groups
+	rejectedAt           time.Duration // when the engine last rejected a query
+	ejectedUntil         time.Duration // the engine gets no query until then
+	consecutiveEjections int           // since the last answer
+	slowdown             float64       // of its answers, relative to the best of their groups
 	lastFinishAt         time.Duration
-	lastFinishByTables   map[int64]time.Duration // of a query of these tables
-	loadRunningUntil     map[int64]time.Duration // tables on which a load was noted
+	lastFinishByTables   map[int64]time.Duration // end of the last query on a table group
+	loadRunningUntil     map[int64]time.Duration // by table group, which is avoided until then
 
 	// Slow start.
 	warmupStartedAt time.Duration
@@ -46,13 +48,13 @@
 	slowStartSends  []sentWork
 }
 
-// sentWork is work, in thread seconds, that was sent to an engine while it warms up.
+// sentWork is work, in thread seconds, that was sent to a warming engine.
 type sentWork struct {
 	at   time.Duration
 	work float64
 }
 
-// slowStartWorkSince is the work sent to a warming engine since a time.
+// slowStartWorkSince returns the work that was sent to a warming engine since a time.
 func (e *engine) slowStartWorkSince(since time.Duration) (sum float64) {
 	for len(e.slowStartSends) > 0 && e.slowStartSends[0].at <= since {
 		e.slowStartSends = e.slowStartSends[1:]
@@ -63,7 +65,7 @@
 	return sum
 }
 
-// markLoadRunning has queries of these tables avoid the engine until a time.
+// markLoadRunning makes queries on a table group avoid the engine until a time.
 func (e *engine) markLoadRunning(tables int64, until time.Duration) {
 	if e.loadRunningUntil == nil {
 		e.loadRunningUntil = map[int64]time.Duration{}
@@ -71,7 +73,7 @@
 	e.loadRunningUntil[tables] = until
 }
 
-// forgetLearned drops what was learned of a process that is gone.
+// resetLearnedState forgets what was learned from an engine's previous process.
 func (e *engine) resetLearnedState(now time.Duration) {
 	e.slowdown = 1
 	e.unresponsive = false
@@ -80,7 +82,7 @@
 	e.lastResponseAt = now
 }
 
-// storeReport keeps what an engine reports, and what was in flight with it.
+// storeReport stores an engine's load report with the current amounts in flight.
 func (s *Scheduler) storeReport(e *engine, report map[string]float64) {
 	if len(report) == 0 {
 		return
@@ -92,7 +94,7 @@
 	s.learnFromReport(e, report)
 }
 
-// totals are sums over the controller's attempts on active engines that don't warm up.
+// totals are sums over the controller's attempts on active engines that aren't warming up.
 type totals struct {
 	threads  float64
 	memoryMB float64
@@ -100,7 +102,7 @@
 	cores    float64 // of those engines
 }
 
-// activeEngines lists the engines that the list has as active.
+// activeEngines returns the engines that are active in the endpoint list.
 func (s *Scheduler) activeEngines() []*engine {
 	if !s.totalsOutdated {
 		return s.activeList
@@ -127,8 +129,8 @@
 	return s.activeList
 }
 
-// totalsInFlight are the threads, memory (MB) and number of the controller's attempts on active
-// engines that don't warm up, and those engines' cores.
+// totalsInFlight returns the threads, memory and number of the controller's attempts on active
+// engines that aren't warming up, and the cores of those engines.
 func (s *Scheduler) totalsInFlight() (threads, memoryMB, attempts, cores float64) {
 	s.activeEngines()
 	return s.totals.threads, s.totals.memoryMB, s.totals.attempts, s.totals.cores
--- a/internal/scheduler/events.go
+++ b/internal/scheduler/events.go
@@ -10,7 +10,7 @@
 	"railrelay.dev/railrelay/internal/settings"
 )
 
-// ListStarted opens an endpoint list.
+// ListStarted begins an endpoint list.
 func (s *Scheduler) ListStarted(now time.Duration, complete bool) {
 	s.now = now
 	s.listComplete = complete
@@ -18,7 +18,8 @@
 	s.subscribed = s.subscribeSentAt >= 0
 }
 
-// EngineListed takes an entry of the endpoint list.
+// EngineListed adds or updates an engine of the endpoint list. The start of its process is used
+// only if startKnown is set.
 func (s *Scheduler) EngineListed(id string, location, kind, cell int, state EngineState,
 	started time.Duration, startKnown bool) {
 	e := s.enginesByID[id]
@@ -35,7 +36,7 @@
 	e.cores = max(1, settings.ValueAt(s.settings.KindCores, kind))
 	e.memoryCapacityMB = settings.ValueAt(s.settings.KindMemoryMB, kind)
 	if e.memoryCapacityMB <= 0 {
-		e.memoryCapacityMB = math.Inf(1) // not told: no limit
+		e.memoryCapacityMB = math.Inf(1) // unknown: no limit
 	}
 	if startKnown && started != e.startedAt {
 		s.engineRestarted(e, started)
@@ -57,7 +58,7 @@
 	return e
 }
 
-// ListEnded closes an endpoint list; engines that a complete one leaves out are gone.
+// ListEnded completes an endpoint list. Engines that a complete list doesn't contain are removed.
 func (s *Scheduler) ListEnded() {
 	for _, e := range s.engines {
 		if s.listComplete && !s.listedEngines[e] && e.state != EngineRemoved {
@@ -69,21 +70,22 @@
 	s.finishEvent()
 }
 
-// ListRefused tells that no list comes for what was asked; it is asked for again later.
+// ListRefused records that the requested endpoint list won't be sent. It is requested again later.
 func (s *Scheduler) ListRefused(now time.Duration) {
 	s.now = now
 	s.subscribed = false
 	s.finishEvent()
 }
 
-// QueryArrived takes a query that may be sent to all locations of its group.
+// QueryArrived admits a query that may be sent to all locations of its group.
 func (s *Scheduler) QueryArrived(now time.Duration, id string, group, tenant int, budget time.Duration,
 	tables, key int64, work time.Duration, memoryMB float64) {
 	s.ConfinedQueryArrived(now, id, group, tenant, budget, tables, key, work, memoryMB, nil)
 }
 
-// ConfinedQueryArrived takes a query that may only be sent to engines at some of its group's
-// locations, by their places in the settings; nil: at all of them, empty: at none.
+// ConfinedQueryArrived admits a query that may be sent only to engines at some of its group's
+// locations, given by their indexes in the settings. With nil it may be sent to all of them, with
+// an empty list to none.
 func (s *Scheduler) ConfinedQueryArrived(now time.Duration, id string, group, tenant int,
 	budget time.Duration,
 	tables, key int64, work time.Duration, memoryMB float64, locations []string) {
@@ -114,7 +116,8 @@
 	s.finishEvent()
 }
 
-// ConfineQuery changes where a query may be sent; an attempt in flight stays where it is.
+// ConfineQuery changes the locations to which a query may be sent. An attempt in flight isn't
+// affected.
 func (s *Scheduler) ConfineQuery(now time.Duration, id string, locations []string) {
 	s.now = now
 	if q := s.queries[id]; q != nil {
@@ -123,7 +126,7 @@
 	}
 }
 
-// AttemptEnded takes the end of an attempt; answered says that its query was answered with it.
+// AttemptEnded records the end of an attempt. answered is whether the query's client has an answer.
 func (s *Scheduler) AttemptEnded(now time.Duration, id string, number int, outcome Outcome,
 	took time.Duration,
 	answered bool, work time.Duration, memoryMB float64, report map[string]float64) {
@@ -161,7 +164,7 @@
 	s.releaseEnded(q)
 }
 
-// NoteReceived takes an engine's note on a running attempt.
+// NoteReceived handles an engine's progress note on a running attempt.
 func (s *Scheduler) NoteReceived(now time.Duration, id string, number int, kind NoteKind, value float64) {
 	s.now = now
 	if a := s.openAttempt(id, number); a != nil {
@@ -170,7 +173,8 @@
 	}
 }
 
-// AnswerStarted tells that an answer has begun to reach the client: it can't be rejected any more.
+// AnswerStarted records that the client has received the start of an answer, so that the query
+// can't be rejected any more.
 func (s *Scheduler) AnswerStarted(now time.Duration, id string) {
 	s.now = now
 	if q := s.queries[id]; q != nil {
@@ -178,7 +182,7 @@
 	}
 }
 
-// ClientLeft tells that a query's client disconnected.
+// ClientLeft ends a query whose client disconnected.
 func (s *Scheduler) ClientLeft(now time.Duration, id string) {
 	s.now = now
 	if q := s.queries[id]; q != nil {
@@ -187,8 +191,8 @@
 	}
 }
 
-// QueryDropped tells that a query was answered by its adapter, and nothing of it has run. Its
-// client has not left, so nothing is learned of how long clients wait.
+// QueryDropped ends a query that the adapter has answered and of which nothing has run. Its client
+// hasn't left, so that the patience of clients isn't updated.
 func (s *Scheduler) QueryDropped(now time.Duration, id string) {
 	s.now = now
 	if q := s.queries[id]; q != nil {
@@ -198,14 +202,14 @@
 	}
 }
 
-// DrainStarted has all queries rejected that arrive from now on.
+// DrainStarted rejects all queries that arrive from now on.
 func (s *Scheduler) DrainStarted(now time.Duration) {
 	s.now = now
 	s.draining = true
 }
 
-// SetPaused has nothing dispatched while it is on: queries wait in their queues, and are rejected at
-// the end of their time as ever.
+// SetPaused stops or resumes the dispatch of queries. While it is paused, queries stay in their
+// queues and are rejected at their deadlines as usual.
 func (s *Scheduler) SetPaused(now time.Duration, paused bool) {
 	s.now = now
 	if s.paused != paused {
@@ -214,7 +218,7 @@
 	}
 }
 
-// HealthCheckEnded takes the end of a health check, with a load report if it brought one.
+// HealthCheckEnded records the end of a health check, with a load report if the check returned one.
 func (s *Scheduler) HealthCheckEnded(now time.Duration, id string, outcome Outcome,
 	report map[string]float64) {
 	s.now = now
@@ -232,7 +236,7 @@
 	s.finishEvent()
 }
 
-// LoadReported takes a load report that was not asked for.
+// LoadReported stores a load report that the engine sent on its own.
 func (s *Scheduler) LoadReported(now time.Duration, id string, report map[string]float64) {
 	s.now = now
 	if e := s.enginesByID[id]; e != nil {
@@ -241,7 +245,7 @@
 	}
 }
 
-// TimerFired takes a wake that was asked for, with its tag.
+// TimerFired handles a timer that was set with a tag.
 func (s *Scheduler) TimerFired(now time.Duration, tag int) {
 	s.now = now
 	if tag == timerQueueTag {
--- a/internal/scheduler/group.go
+++ b/internal/scheduler/group.go
@@ -7,19 +7,19 @@
 	"railrelay.dev/railrelay/internal/settings"
 )
 
-// resourceGroup is a kind of query: its settings, its queue, and what was learned of it.
+// resourceGroup is a kind of query with its settings, its queue and what was learned about it.
 type resourceGroup struct {
-	index int // its place in the settings
+	index int // in the settings
 
 	// Settings that may change at run time.
-	priorityWeight   float64 // value of an answer by its objective
-	lateValueShare   float64 // of that, of a late one
+	priorityWeight   float64 // value of an answer within the objective
+	lateValueShare   float64 // fraction of priorityWeight that a late answer is worth
 	objective        time.Duration
-	objectiveStretch float64       // added to the objective, in estimated run times
-	timeout          time.Duration // of its clients, 0: not told
-	threads          float64       // that a query takes
+	objectiveStretch float64       // added to the objective, as a multiple of the estimated run time
+	timeout          time.Duration // of the group's clients, 0: unknown
+	threads          float64       // used by a query
 
-	// Settings that don't.
+	// Settings that don't change.
 	effect        settings.Effect
 	keyScope      settings.KeyScope
 	keyWindow     time.Duration
@@ -27,24 +27,24 @@
 	isLoad        bool
 	waitsForLoads bool
 	locations     []string // nil: all
-	kinds         []string // of engines, none: all
+	kinds         []string // of engines, empty: all
 
-	queue   []*query // in the order of arrival
-	blocked bool     // a query was queued for want of capacity when last dispatched
+	queue   []*query // in order of arrival
+	blocked bool     // a query was queued for lack of capacity at the last dispatch
 
-	// Of late.
+	// Recent activity.
 	recentArrivals      float64 // queries, decays over 20 s
-	recentThreadSeconds float64 // sent, decays over rateSpan
+	recentThreadSeconds float64 // sent, decays over rateWindow
 
 	// Learned.
-	workSeconds        movingAverage // of all threads, as answers told or as estimated
+	workSeconds        movingAverage // of all threads, as reported by answers or as estimated
 	memoryMB           movingAverage
-	estimateCorrection movingAverage // work told over work estimated
+	estimateCorrection movingAverage // reported over estimated work
 	threadSecondsUsed  movingAverage // by a query that finished
-	slowdown           movingAverage // time taken over time alone
+	slowdown           movingAverage // run time over run time alone
 	bestSlowdown       float64
-	abandonRate        movingAverage // share of clients that leave before their answer
-	patience           movingAverage // seconds after which they do
+	abandonRate        movingAverage // fraction of clients that leave before their answer
+	patience           movingAverage // seconds after which those clients leave
 }
 
 func newGroup(index int, config settings.Group) *resourceGroup {
@@ -63,7 +63,7 @@
 	return rg
 }
 
-// setLimits takes the settings that may change at run time.
+// updateSettings sets the values that may change at run time.
 func (rg *resourceGroup) updateSettings(config settings.Group) {
 	rg.priorityWeight = config.PriorityWeight
 	rg.lateValueShare = config.LateValueShare
@@ -73,7 +73,7 @@
 	rg.threads = config.Threads
 }
 
-// insert keeps a queue in the order of arrival.
+// insert adds a query to the queue, which stays in order of arrival.
 func (rg *resourceGroup) insert(q *query) {
 	i := len(rg.queue)
 	for i > 0 && rg.queue[i-1].sequence > q.sequence {
@@ -86,7 +86,7 @@
 
 func (rg *resourceGroup) remove(q *query) { removeFrom(&rg.queue, q) }
 
-// removeFrom takes a query out of a list, and tells whether it was there.
+// removeFrom removes a query from a list, and returns whether the list contained it.
 func removeFrom(list *[]*query, q *query) bool {
 	i := slices.Index(*list, q)
 	if i >= 0 {
@@ -97,17 +97,17 @@
 
 // tenant has a quota of all queries.
 type tenant struct {
-	quota          float64 // this controller's even part, in queries a second; infinite: none
-	recentArrivals float64 // queries, decays over rateSpan
+	quota          float64 // this controller's even part in queries per second, infinite: no quota
+	recentArrivals float64 // queries, decays over rateWindow
 }
 
-// movingAverage is an exponential average; the first samples count evenly.
+// movingAverage is an exponential moving average in which the first samples have equal weights.
 type movingAverage struct {
 	value float64
-	count float64 // of samples, up to the window
+	count float64 // of samples, at most the window
 }
 
-// add takes a sample; window is over how many of them the average is.
+// add adds a sample to an average over a window of that many samples.
 func (m *movingAverage) add(sample, window float64) {
 	m.count = min(m.count+1, window)
 	m.value += (sample - m.value) / m.count
--- a/internal/scheduler/health_check.go
+++ b/internal/scheduler/health_check.go
@@ -8,35 +8,37 @@
 )
 
 const (
-	healthCheckTokensPerArrival = 1.5 // tokens that an arrival brings
+	healthCheckTokensPerArrival = 1.5 // added by an arrival
 	maxHealthCheckTokens        = 6
-	maxHealthCheckWait          = 50 * time.Millisecond  // that a query waits for the load reports it asked for
-	healthCheckRetryDelay       = 250 * time.Millisecond // for one query, or a part of its group's timeout:
+	maxHealthCheckWait          = 50 * time.Millisecond  // of a query, for the load reports that it requested
+	healthCheckRetryDelay       = 250 * time.Millisecond // for one query, at most its timeout / timeoutDivisor
 	timeoutDivisor              = 6
-	healthCheckLostTimeout      = 300 * time.Millisecond // from which on another may be sent
-	failedHealthCheckCooldown   = 2 * time.Second        // for which an engine that did not answer is left alone
-	wantedCandidates            = 2                      // with capacity, among which a query is drawn
+	healthCheckLostTimeout      = 300 * time.Millisecond // after which another health check may be sent
+	failedHealthCheckCooldown   = 2 * time.Second        // of an engine that didn't answer
+	wantedCandidates            = 2                      // engines with capacity from which one is drawn
 	wantedCandidatesForLight    = 1
-	maxUnreportedTried          = 4 // engines at most that are taken as seen once there are no tokens
+	maxUnreportedTried          = 4 // engines without a report that may be tried if no tokens are left
 
-	// What should have been heard of an attempt by now, in seconds: a fixed part, and so many of
-	// the times that it should take.
+	// Time in seconds within which something should be heard of an attempt: a fixed part and a
+	// multiple of the attempt's expected run time.
 	silenceBaseSeconds    = 0.6
 	silenceExpectedFactor = 3
-	unresponsiveGrace     = 500 * time.Millisecond // of that
+	unresponsiveGrace     = 500 * time.Millisecond // after the silence limit, until the engine is unresponsive
 	unresponsiveCooldown  = 2 * time.Second
 
-	lateGraceSeconds         = 0.3 // without notes: late after this and its expected time,
-	stalledExpectedFactor    = 4   // stalled after this and so many of it
-	idleUtilizationFraction  = 0.5 // of the mean utilization: below it an engine with a late attempt stalls
-	missedNoteSlowdownWeight = 0.1 // that a missed note moves an engine's slowdown towards its most
+	// Without notes, an attempt is late after its expected run time and a grace period, and stalled
+	// after a multiple of that time and the same grace period.
+	lateGraceSeconds         = 0.3
+	stalledExpectedFactor    = 4
+	idleUtilizationFraction  = 0.5 // of the mean utilization: below it, an engine with a late attempt is stalled
+	missedNoteSlowdownWeight = 0.1 // of maxEngineSlowdown in an engine's new slowdown
 	missedNoteAvoidance      = 10 * time.Second
 	assumedRestartAfter      = 4 * time.Second // unresponsive for longer, an engine may be a new process
 )
 
-// awaitHealthChecks has some unseen engines report their load before a query is sent, where too
-// few are known to have capacity; it tells whether the query waits for that. Among many controllers
-// one's own attempts tell nothing of an engine. Without tokens a few are taken as seen.
+// awaitHealthChecks returns whether a query waits for load reports, and requests them if too few
+// engines are known to have capacity. Among many controllers, a controller's own attempts don't
+// show how full an engine is. Without tokens a few engines are tried without a report.
 func (s *Scheduler) awaitHealthChecks(q *query, c *candidates) bool {
 	wanted := wantedCandidates
 	if s.isLight(q.group) {
@@ -67,7 +69,8 @@
 	return false
 }
 
-// checkUnseen sends health checks to as many unseen engines as are wanted and paid for.
+// checkUnreported sends health checks to engines without a report, as many as are wanted and as
+// there are tokens for.
 func (s *Scheduler) checkUnreported(q *query, c *candidates, wanted int) {
 	q.checkedEngines = nil
 	q.checkedAt = s.now
@@ -80,7 +83,7 @@
 	}
 }
 
-// earnHealthChecks: each arrival pays for some health checks, and few are saved up.
+// addHealthCheckTokens adds the tokens of one arrival. The number of saved tokens is limited.
 func (s *Scheduler) addHealthCheckTokens() {
 	s.healthCheckTokens = min(s.healthCheckTokens+healthCheckTokensPerArrival, maxHealthCheckTokens)
 }
@@ -98,15 +101,15 @@
 	s.actions.CheckHealth(e.id)
 }
 
-// healthCheckFailed leaves an engine alone that crashed, stalls or is cut off: the endpoint list
-// tells of it late, if at all.
+// handleFailedHealthCheck ejects an engine that crashed, hangs or is disconnected. The endpoint
+// list may show that late or never.
 func (s *Scheduler) handleFailedHealthCheck(e *engine) {
 	e.report = nil
 	e.ejectedUntil = max(e.ejectedUntil, s.now+failedHealthCheckCooldown)
 }
 
-// engineResponded notes a sign of life. After a long silence it may be a new process that the list
-// doesn't name yet, and gets a slow start as one.
+// engineResponded records that an engine is alive. After a long silence the engine may be a new
+// process that the endpoint list doesn't show yet, so that it gets a slow start.
 func (s *Scheduler) engineResponded(e *engine) {
 	if e.unresponsive && s.now-e.lastResponseAt > assumedRestartAfter {
 		e.warmupStartedAt = s.now
@@ -117,9 +120,9 @@
 	e.lastResponseAt = s.now
 }
 
-// checkAttempt looks for signs that an attempt in flight is lost: an unresponsive engine, a
-// stalled attempt, a missed note, an engine that nothing was heard of. This covers machines that
-// are gone, cut links and long stalls.
+// checkAttempt detects that an attempt in flight is lost: by an unresponsive engine, a stalled
+// attempt, a missed note or a silent engine. The causes are lost machines, broken connections and
+// long stalls.
 func (s *Scheduler) checkAttempt(e *engine, a *attempt) {
 	period := s.settings.NotePeriod
 	running := (s.now - a.sentAt).Seconds()
@@ -140,12 +143,13 @@
 		e.ejectedUntil = s.now + unresponsiveCooldown
 		s.actions.Log("engine " + e.id + " silent, queries out: " + strconv.Itoa(len(e.inFlight)))
 	case silence > silenceLimit:
-		s.sendHealthCheck(e) // a busy engine still answers this; only a stalled or lost one doesn't
+		s.sendHealthCheck(e) // a busy engine still answers a health check; a stalled or lost one doesn't
 	}
 }
 
-// quietLimit is how long an attempt's engine may be quiet: in that time its quickest attempt should
-// have ended, or a note is sure to come, if that is sooner or no health check may tell before.
+// silenceLimit returns how long the engine of an attempt may be silent. Within that time the
+// attempt should have ended, or a note should arrive if that is sooner or health checks aren't
+// allowed.
 func (s *Scheduler) silenceLimit(a *attempt) time.Duration {
 	limit := seconds(silenceBaseSeconds + silenceExpectedFactor*s.expectedSeconds(a.query))
 	period := s.settings.NotePeriod
@@ -158,7 +162,8 @@
 	return limit
 }
 
-// checkIdleEngine asks the engine of a late attempt for its load: idle beside others it stalls.
+// checkIdleEngine requests the load of the engine of a late attempt. An engine that is idle while
+// others are busy has stalled.
 func (s *Scheduler) checkIdleEngine(e *engine, a *attempt) {
 	if !s.utilizationKnown(e) || e.reportAt < a.sentAt {
 		s.sendHealthCheck(e)
@@ -167,8 +172,9 @@
 	}
 }
 
-// noteMissed: others there are answered and this one isn't. It was lost; or what it reads hangs,
-// if nothing that reads the same came back.
+// handleMissedNote moves an attempt whose note is missing although the engine answers. The attempt
+// was lost, or, if no other query on the same tables has finished since it was sent, its tables are
+// blocked.
 func (s *Scheduler) handleMissedNote(e *engine, a *attempt) {
 	a.blocked = true
 	e.slowdown += (maxEngineSlowdown - e.slowdown) * missedNoteSlowdownWeight
--- a/internal/scheduler/interface.go
+++ b/internal/scheduler/interface.go
@@ -2,101 +2,108 @@
 
 import "time"
 
-// Actions is what the scheduler acts through. An adapter provides it for one instance; ids are the
-// ones that came in with events.
+// Actions are the operations that the scheduler calls. An adapter implements them for one instance.
+// The ids are those that the adapter passed with events.
 type Actions interface {
-	// Submit sends an attempt; its answer is wanted within a time, 0: until the client gives up.
+	// SendAttempt sends an attempt, whose answer has to arrive within a time, 0: until the client
+	// leaves.
 	SendAttempt(query, engine string, within time.Duration)
-	// Cancel calls an attempt off, by its number; its end is still told with AttemptEnded.
+	// CancelAttempt cancels an attempt by its number. AttemptEnded still reports its end.
 	CancelAttempt(query string, number int)
-	// Terms sets a query's priority and memory grant for attempts from now on; a grant of 0 leaves
-	// it to the engine.
+	// SetLimits sets a query's priority and memory grant for later attempts. With a grant of 0 the
+	// engine chooses the memory.
 	SetLimits(query string, priority, grantMB int)
-	// Defer rejects a query, which its client may ask again after a time.
+	// DeferQuery rejects a query that its client may retry after a delay.
 	DeferQuery(query string, retryAfter time.Duration)
-	// Kill answers a query with an error.
+	// FailQuery answers a query with an error.
 	FailQuery(query string)
-	// Probe sends a health check, whose end is told with HealthCheckEnded.
+	// CheckHealth sends a health check, whose end HealthCheckEnded reports.
 	CheckHealth(engine string)
-	// Subscribe asks for the endpoint list.
+	// RequestEndpoints requests the endpoint list.
 	RequestEndpoints()
-	// Wake asks for TimerFired with the tag.
-	SetTimer(in time.Duration, tag int)
-	// Log writes a line for operators.
+	// SetTimer has TimerFired called with the tag after a delay.
+	SetTimer(delay time.Duration, tag int)
+	// Log writes a line to the operators' log.
 	Log(line string)
 }
 
-// Outcome says how an attempt ended.
+// Outcome is how an attempt ended.
 type Outcome int
 
 const (
-	Finished        Outcome = iota // Finished: with its answer.
-	Failed                         // Failed: answered with an error; may have run.
-	Rejected                       // Rejected by the engine without being run.
-	TimedOut                       // TimedOut: may have run, may still run.
-	Unreachable                    // Unreachable: no connection; never ran.
-	ConnectionReset                // ConnectionReset: connection lost; may have run.
-	Cancelled                      // Cancelled by the scheduler; may have run.
-	NeverSent                      // NeverSent: stopped by the adapter.
+	Finished        Outcome = iota // answered
+	Failed                         // answered with an error; may have run
+	Rejected                       // by the engine, without being run
+	TimedOut                       // may have run and may still run
+	Unreachable                    // no connection; never ran
+	ConnectionReset                // connection lost; may have run
+	Cancelled                      // by the scheduler; may have run
+	NeverSent                      // stopped by the adapter
 )
 
-// NeverRan holds for the outcomes that prove that nothing of the attempt ran.
+// NeverRan returns whether the outcome proves that nothing of the attempt ran.
 func (o Outcome) NeverRan() bool { return o == Rejected || o == Unreachable || o == NeverSent }
 
-// mayStillRun holds for the outcomes after which the engine may still be at work.
+// mayStillRun returns whether the engine may still run the attempt.
 func (o Outcome) mayStillRun() bool {
 	return o == TimedOut || o == ConnectionReset || o == Cancelled
 }
 
-// EngineState is what the endpoint list says of an engine.
+// EngineState is the state of an engine in the endpoint list.
 type EngineState int
 
 const (
-	EngineActive   EngineState = iota // EngineActive takes queries.
-	EngineDraining                    // EngineDraining ends what it has, and takes no more.
-	EngineRemoved                     // EngineRemoved is gone.
+	EngineActive   EngineState = iota // takes queries
+	EngineDraining                    // finishes its queries and takes no new ones
+	EngineRemoved                     // no longer exists
 )
 
-// NoteKind is what an engine's note on a running attempt tells.
+// NoteKind is what a progress note, an engine's message on a running attempt, reports.
 type NoteKind int
 
 const (
-	Progress         NoteKind = iota // Progress: with the share done, 0 to 1.
-	Spilling                         // Spilling to disk: with the MB missing.
-	WaitingForMemory                 // WaitingForMemory of the engine.
-	WaitingForLoad                   // WaitingForLoad of the tables that it reads.
+	Progress         NoteKind = iota // fraction done, 0 to 1
+	Spilling                         // to disk, with the missing memory in MB
+	WaitingForMemory                 // memory of the engine
+	WaitingForLoad                   // load of the tables that the query reads
 )
 
-// Events is what comes in. Times are spans since the instance started; a report maps an engine's
-// load figures to their values: "held" queries on it, "cores" share busy. Figures that the engine
-// doesn't tell are not in it.
+// Events are the methods that an adapter calls. Times are durations since the start of the
+// instance. A load report maps fields to values: "held" is the number of queries on the engine,
+// "cores" the fraction of its cores that is busy. Fields that the engine doesn't report are
+// missing.
 type Events interface {
-	// ListStarted opens an endpoint list; complete says that an engine left out is gone.
-	// EngineListed follows for each entry, then ListEnded. ListRefused comes instead of a list.
+	// ListStarted begins an endpoint list. EngineListed follows for each entry, then ListEnded. An
+	// engine that isn't in a complete list is removed. ListRefused is called if no list will be
+	// sent.
 	ListStarted(now time.Duration, complete bool)
-	EngineListed(id string, location, kind, cell int, state EngineState, started time.Duration, fresh bool)
+	EngineListed(id string, location, kind, cell int, state EngineState, started time.Duration,
+		startKnown bool)
 	ListEnded()
 	ListRefused(now time.Duration)
 
-	// QueryArrived takes a query. The tenant is a place among the settings' tenants; outside of
-	// them, none. A key below 0 is none; work and memory of 0 are not told.
+	// QueryArrived admits a query. The tenant is an index in the settings; any other number means
+	// no tenant. A negative key means no key; work and memory of 0 are unknown.
 	QueryArrived(now time.Duration, id string, group, tenant int, budget time.Duration, tables, key int64,
 		work time.Duration, memoryMB float64)
-	// AnswerStarted: an answer has begun to reach the client.
+	// AnswerStarted reports that the client has received the start of an answer.
 	AnswerStarted(now time.Duration, id string)
+	// ClientLeft reports that the query's client disconnected.
 	ClientLeft(now time.Duration, id string)
-	// DrainStarted: the instance ends once it has answered what it took.
+	// DrainStarted reports that the instance stops once it has answered its queries.
 	DrainStarted(now time.Duration)
 
-	// NoteReceived takes an engine's note on an attempt, by its number from 0.
-	NoteReceived(now time.Duration, id string, number int, kind NoteKind, x float64)
-	// AttemptEnded takes an attempt's end; answered says that the client has its answer.
+	// NoteReceived reports a progress note on an attempt, whose numbers start at 0.
+	NoteReceived(now time.Duration, id string, number int, kind NoteKind, value float64)
+	// AttemptEnded reports the end of an attempt. answered is whether the client has its answer.
 	AttemptEnded(now time.Duration, id string, number int, outcome Outcome, took time.Duration,
 		answered bool, work time.Duration, memoryMB float64, report map[string]float64)
 
+	// HealthCheckEnded reports the end of a health check, with a load report if the check returned one.
 	HealthCheckEnded(now time.Duration, engine string, outcome Outcome, report map[string]float64)
-	// LoadReported: an engine reported its load unasked.
+	// LoadReported reports a load report that the engine sent on its own.
 	LoadReported(now time.Duration, engine string, report map[string]float64)
+	// TimerFired reports that a timer with this tag is due.
 	TimerFired(now time.Duration, tag int)
 }
 
--- a/internal/scheduler/key_order.go
+++ b/internal/scheduler/key_order.go
@@ -2,17 +2,17 @@
 
 import "time"
 
-// keyQueue holds the queries of one key in the order in which they arrived. The first may be sent;
-// the others follow once it has ended.
+// keyQueue holds the queries of one key in order of arrival. The first one may be sent; the next
+// one may follow once the first has ended.
 type keyQueue struct {
 	queries       []*query
-	cooldownUntil time.Duration // an engine may still be at work on an ended attempt
-	cooldownQuery *query        // whose attempt it was; this query may go on
+	cooldownUntil time.Duration // the engine may still run an ended attempt until then
+	cooldownQuery *query        // query of that attempt, which may be retried meanwhile
 }
 
 func (k *keyQueue) remove(q *query) bool { return removeFrom(&k.queries, q) }
 
-// keyQueueOf is the queue that a query stands in by its key, nil if its group asks for no order.
+// keyQueueOf returns the queue of a query's key, nil if its group doesn't order queries by key.
 func (s *Scheduler) keyQueueOf(q *query) *keyQueue {
 	if !q.group.fifoByKey || q.key < 0 {
 		return nil
@@ -25,8 +25,8 @@
 	return queue
 }
 
-// startInTurn puts the first query of a key, or one without order, into its chain or its group's
-// queue, once its key no longer rests.
+// startQuery adds a query that is first in its key's queue, or isn't ordered by key, to its chain
+// or its group's queue. While the key cools down, that is delayed.
 func (s *Scheduler) startQuery(q *query) {
 	if q.ended {
 		return
@@ -42,7 +42,7 @@
 	}
 }
 
-// restKey keeps a key's next query back after an end that may leave the engine at work.
+// startKeyCooldown delays the next query of a key after an attempt that the engine may still run.
 func (s *Scheduler) startKeyCooldown(a *attempt) {
 	if queue := s.keyQueueOf(a.query); queue != nil && a.outcome.mayStillRun() {
 		queue.cooldownUntil = s.now + s.settings.KeyCooldown
@@ -50,7 +50,8 @@
 	}
 }
 
-// startNextOfKey takes an ended query out of its key's queue, and starts the next if it was first.
+// startNextInKeyQueue removes an ended query from its key's queue, and starts the next one if the
+// ended query was first.
 func (s *Scheduler) startNextInKeyQueue(q *query) {
 	queue := s.keyQueueOf(q)
 	if queue == nil {
--- a/internal/scheduler/learning.go
+++ b/internal/scheduler/learning.go
@@ -2,26 +2,26 @@
 
 import "time"
 
-// Windows and rates of what is learned; nothing here decides.
+// Windows, in samples, and weights of the averages.
 const (
-	workSamples                = 200 // over which a group's work, memory and estimates are averaged
-	meanWorkSamples            = 100 // over which the work of all queries is
-	threadTimeSamples          = 100 // answers over which the thread time of a group's query is averaged
-	slowdownSamples            = 60  // answers over which its slowdown is
+	workSamples                = 200 // for a group's work, memory and estimate correction
+	meanWorkSamples            = 100 // for the work of all queries
+	threadTimeSamples          = 100 // answers, for a group's thread seconds
+	slowdownSamples            = 60  // answers, for a group's slowdown
 	maxSlowdownSample          = 20
 	minBestSlowdown            = 0.01
-	bestSlowdownOldWeight      = 0.8 // of the best when a better one is seen,
-	bestSlowdownNewWeight      = 0.2 // of that one;
+	bestSlowdownOldWeight      = 0.8 // of the old best in a new best slowdown
+	bestSlowdownNewWeight      = 0.2 // of the sample
 	bestSlowdownRiseRate       = 0.01
-	minEngineSlowdown          = 0.3 // of an answer's over the best of its group
-	slowdownSampleWeight       = 0.1 // the part that an answer counts of it
+	minEngineSlowdown          = 0.3 // of an answer over the best of its group
+	slowdownSampleWeight       = 0.1 // of an answer in its engine's slowdown
 	slowdownRecoveryRate       = 0.01
-	utilizationSamples         = 20 // reports over which the mean utilization is taken
-	reportedQueriesSamples     = 60 // the same of queries reported
+	utilizationSamples         = 20 // reports, for the mean utilization
+	reportedQueriesSamples     = 60 // reports, for the mean number of queries
 	unreportedUtilizationDecay = 0.93
 )
 
-// learnFromArrival counts a query that was admitted towards its group, its tenant and all work.
+// learnFromArrival counts an admitted query for its group, its tenant and the total.
 func (s *Scheduler) learnFromArrival(q *query) {
 	rg := q.group
 	if q.workSeconds > 0 && !s.settings.AnswersReportWork {
@@ -33,7 +33,8 @@
 	s.meanWorkSeconds.add(s.typicalWorkSeconds(rg), meanWorkSamples)
 }
 
-// learnFromAnswer takes an answer's time, and the work and memory it told, if any, into the means.
+// learnFromAnswer updates the averages with an answer's run time, and with its work and memory if
+// the answer reports them.
 func (s *Scheduler) learnFromAnswer(a *attempt, took time.Duration, work, memoryMB float64) {
 	q := a.query
 	a.engine.recordAnswer(q.tables, s.now)
@@ -52,8 +53,8 @@
 	}
 }
 
-// learnSlowdown takes one ratio of time taken to time alone. The best falls quickly and rises
-// slowly, to stay near the best.
+// learnSlowdown adds the ratio of an answer's run time to its run time alone. The best slowdown
+// falls quickly and rises slowly, so that it stays near the smallest ratio.
 func (s *Scheduler) learnSlowdown(a *attempt, ratio float64) {
 	rg := a.query.group
 	rg.slowdown.add(min(ratio, maxSlowdownSample), slowdownSamples)
@@ -66,16 +67,16 @@
 	a.engine.learnSlowdown(ratio / rg.bestSlowdown)
 }
 
-// learnSlowdown takes one answer's slowdown, against the best of its group.
+// learnSlowdown adds an answer's slowdown relative to the best of its group.
 func (e *engine) learnSlowdown(ratio float64) {
 	e.slowdown += (min(maxEngineSlowdown, max(minEngineSlowdown, ratio)) - e.slowdown) * slowdownSampleWeight
 }
 
-// recoverSlowdown lets an engine be forgiven as time passes.
+// recoverSlowdown moves an engine's slowdown towards 1 as time passes.
 func (e *engine) recoverSlowdown() { e.slowdown += (1 - e.slowdown) * slowdownRecoveryRate }
 
-// learnFromReport takes a report into the means. Engines that warm up are nearly empty and checked
-// most while there are some: they say nothing of how full the others are.
+// learnFromReport updates the averages with a load report. Warming engines are left out: they are
+// almost empty and get most health checks, so that they would hide how full the other engines are.
 func (s *Scheduler) learnFromReport(e *engine, report map[string]float64) {
 	if s.now < e.warmupEndsAt {
 		return
@@ -87,8 +88,9 @@
 	}
 }
 
-// decayReported lowers the mean utilization while nothing is reported: where reports come in
-// answers alone, who sends nothing is told nothing, and full once would be full for good.
+// decayReportedUtilization lowers the mean utilization while no reports arrive. If reports come
+// with answers only, a controller that sends nothing gets no reports, and would otherwise consider
+// the engines full forever.
 func (s *Scheduler) decayReportedUtilization() {
 	if !s.healthChecksReportLoad && s.now-s.lastReportAt > reportValidity {
 		s.reportedUtilization.value *= unreportedUtilizationDecay
--- a/internal/scheduler/limits.go
+++ b/internal/scheduler/limits.go
@@ -3,15 +3,15 @@
 import "railrelay.dev/railrelay/internal/settings"
 
 const (
-	priorityLate    = 0 // its objective has passed
-	priorityDefault = 1 // engines heed none
+	priorityLate    = 0 // after its objective
+	priorityDefault = 1 // if engines don't support priorities
 	priorityNormal  = 2
-	priorityHighest = 3 // the group ranked first
+	priorityHighest = 3 // for the group ranked first
 
-	memoryGrantFactor = 1.25 // memory granted over the estimate
+	memoryGrantFactor = 1.25 // granted over estimated memory
 )
 
-// updateLimits tells the adapter a query's priority and memory grant (MB), if they have changed.
+// updateLimits passes a query's priority and memory grant to the adapter if they have changed.
 func (s *Scheduler) updateLimits(q *query) {
 	if q.ended {
 		return
@@ -24,7 +24,8 @@
 	}
 }
 
-// priority goes by the order of the groups; it is the least once the objective has passed.
+// priority returns a query's priority by the rank of its group. It is the lowest after the
+// objective.
 func (s *Scheduler) priority(q *query) int {
 	switch {
 	case s.now >= q.objectiveAt:
@@ -37,8 +38,9 @@
 	return priorityNormal
 }
 
-// memoryGrantMB is all that may be granted where an engine out of memory swaps and asking costs
-// nothing, else by the estimate; 0 leaves it to the engine.
+// memoryGrantMB returns the memory granted to a query, 0 if the engine decides. Where engines swap
+// when they are out of memory, it is the largest grant, because a large grant costs nothing there.
+// Otherwise it follows the estimate.
 func (s *Scheduler) memoryGrantMB(q *query) int {
 	switch {
 	case !s.settings.MemoryGrantsSupported:
--- a/internal/scheduler/outlier.go
+++ b/internal/scheduler/outlier.go
@@ -3,18 +3,19 @@
 import "time"
 
 const (
-	baseEjectionTime     = 2 * time.Second // doubled with each ejection in a row,
-	maxEjectionDoublings = 3               // so many times
-	maxEjectionTimeouts  = 2               // of its group's clients, that it lasts at most
+	baseEjectionTime     = 2 * time.Second // doubles with each consecutive ejection
+	maxEjectionDoublings = 3               // of the ejection time
+	maxEjectionTimeouts  = 2               // limits the time before doubling, in timeouts of the group
 
-	maxEngineSlowdown     = 10  // over its best
-	stalledSlowdownWeight = 0.3 // that a stall moves an engine's slowdown towards its most
+	maxEngineSlowdown     = 10  // relative to the best
+	stalledSlowdownWeight = 0.3 // of maxEngineSlowdown in an engine's new slowdown
 	stalledAvoidance      = 2 * time.Second
 )
 
-// attemptStalled: an attempt is late and no note tells why. If others came back from its engine
-// since, it waits for a load. If none did, the engine is an outlier and ejected: past its memory it
-// does next to nothing, and has idle cores to show, by which all would prefer it.
+// attemptStalled handles an attempt that is late without a note that explains the delay. If another
+// query finished on its engine since it was sent, the attempt is assumed to wait for a load.
+// Otherwise the engine is an outlier and is ejected. An engine that has run out of memory makes
+// almost no progress and shows idle cores, so that every controller would prefer it.
 func (s *Scheduler) attemptStalled(a *attempt) {
 	e := a.engine
 	if e.lastFinishAt > a.sentAt {
@@ -29,13 +30,13 @@
 	s.moveOrReject(a, neverFinishes)
 }
 
-// ejectionTime grows with ejections in a row; an answer from the engine ends the row.
+// ejectionTime returns how long an engine is ejected, which grows with consecutive ejections.
 func (s *Scheduler) ejectionTime(e *engine, rg *resourceGroup) time.Duration {
 	return capAt(baseEjectionTime, maxEjectionTimeouts*rg.timeout) <<
 		min(e.consecutiveEjections, maxEjectionDoublings)
 }
 
-// answered ends a row of ejections.
+// recordAnswer records that a query has finished, which resets the count of consecutive ejections.
 func (e *engine) recordAnswer(tables int64, now time.Duration) {
 	e.lastFinishByTables[tables] = now
 	e.lastFinishAt = now
--- a/internal/scheduler/query.go
+++ b/internal/scheduler/query.go
@@ -8,68 +8,68 @@
 	"railrelay.dev/railrelay/internal/timerqueue"
 )
 
-// query is one query from its arrival until it has ended and no attempt of it is in flight.
+// query is a query from its arrival until it has ended and has no attempt in flight.
 type query struct {
 	id       string
-	sequence uint64 // in the order of arrival
+	sequence uint64 // in order of arrival
 	group    *resourceGroup
-	tenant   *tenant // whose quota it counts to
-	tables   int64   // its table group
+	tenant   *tenant // to whose quota the query counts
+	tables   int64   // table group
 	key      int64   // negative: none
-	chain    *chain  // of writes, nil for others
+	chain    *chain  // of writes, nil for other queries
 
-	// When it is wanted, since the start.
+	// Times since the start.
 	arrivedAt   time.Duration
 	objectiveAt time.Duration
 	deadline    time.Duration
 
-	// What it should take.
-	workSeconds  float64 // of all its threads, 0: no estimate
-	workMeasured bool    // an answer told it
+	// Expected cost.
+	workSeconds  float64 // of all threads, 0: no estimate
+	workMeasured bool    // as reported by an answer
 	memoryMB     float64 // 0: no estimate
 
-	// Where it may go.
+	// Routing.
 	allowedLocations []string // nil: all
-	confined         bool     // to fewer than its group's
-	eligibilityKey   int64    // of its tables and locations: what bars one query bars all of the same
-	lastEngine       *engine  // of its last ended attempt, which others are preferred to
+	confined         bool     // to fewer locations than its group
+	eligibilityKey   int64    // of tables and locations; equal keys are eligible for the same engines
+	lastEngine       *engine  // of the last ended attempt; other engines are preferred
 	checkedEngines   []*engine
 	checkedAt        time.Duration
 
-	// How it is getting on.
+	// Progress.
 	attempts         []*attempt
-	inFlight         int // of them
+	inFlight         int // attempts
 	movedForSlowness bool
-	ended            bool // answered, rejected or without its client
+	ended            bool // answered, rejected or abandoned by its client
 	answerStarted    bool
 	timers           []*timerqueue.Timer
 
-	// As last told.
+	// As last passed to the adapter.
 	priority int
-	grantMB  int // MB
+	grantMB  int
 }
 
-// attempt is one sending of a query to an engine.
+// attempt is one submission of a query to an engine.
 type attempt struct {
 	query   *query
 	engine  *engine
-	number  int // of the query's, from 0
+	number  int // of the query's attempts, from 0
 	sentAt  time.Duration
 	ended   bool
 	outcome Outcome
 
-	threads  float64 // that it takes on the engine
+	threads  float64 // used on the engine
 	memoryMB float64
 
-	// By notes.
+	// From progress notes.
 	lastNoteAt time.Duration
 	progress   float64 // 0 to 1
 	progressAt time.Duration
-	blocked    bool // waits for a load
-	moving     bool // cancelled for a fresh attempt
+	blocked    bool // by a load
+	moving     bool // cancelled so that another engine can run the query
 }
 
-// attemptsThatMayHaveRun lists the attempts not proven never to have run.
+// attemptsThatMayHaveRun returns the attempts that aren't proven never to have run.
 func (q *query) attemptsThatMayHaveRun() (attempts []*attempt) {
 	for _, a := range q.attempts {
 		if !a.ended || !a.outcome.NeverRan() {
@@ -79,7 +79,7 @@
 	return attempts
 }
 
-// confine narrows where a query may go, never past its group's own locations; nil: to no less.
+// confine limits a query to some of its group's locations; nil allows all of them.
 func (q *query) confine(locations []string) {
 	q.allowedLocations = q.group.locations
 	q.confined = locations != nil
@@ -101,7 +101,7 @@
 	q.eligibilityKey ^= int64(hash.Sum64() | 1<<62) // far from any table group's number
 }
 
-// openAttempt is an attempt that has not ended, nil if there is none of that number.
+// openAttempt returns an attempt that hasn't ended, nil if there is none with the number.
 func (s *Scheduler) openAttempt(id string, number int) *attempt {
 	q := s.queries[id]
 	if q == nil || number < 0 || number >= len(q.attempts) || q.attempts[number].ended {
@@ -110,7 +110,7 @@
 	return q.attempts[number]
 }
 
-// recordAttempt counts a query that is sent to an engine.
+// recordAttempt adds an attempt that is sent to an engine.
 func (s *Scheduler) recordAttempt(q *query, e *engine) {
 	a := &attempt{
 		query:    q,
@@ -136,7 +136,8 @@
 	}
 }
 
-// countAttempt adds what an attempt takes to its engine's sums, or with a sign of -1 takes it off.
+// adjustInFlight adds an attempt's threads and memory to its engine's sums, or subtracts them with
+// a sign of -1.
 func (s *Scheduler) adjustInFlight(a *attempt, sign float64) {
 	s.totalsOutdated = true
 	a.engine.threadsInFlight += sign * a.threads
--- a/internal/scheduler/queue.go
+++ b/internal/scheduler/queue.go
@@ -7,17 +7,17 @@
 )
 
 const (
-	rateWindow        = 5 * time.Second // over which recent rates are taken
-	minRateWindow     = time.Second     // the same just after the start
-	queuedWorkDivisor = 4               // of the work started in an objective, one may be queued
-	minRate           = 0.01            // queries a second, against a division by 0
+	rateWindow        = 5 * time.Second // for recent rates
+	minRateWindow     = time.Second     // used shortly after the start
+	queuedWorkDivisor = 4               // of the work started in an objective, for the limit of queued work
+	minRate           = 0.01            // queries per second, avoids a division by 0
 )
 
 func (s *Scheduler) enqueue(q *query) { q.group.insert(q) }
 
-// dispatchQueued sends what can be sent: the group with the most weight for its work first, each in
-// the order of arrival. A query that no engine may take whatever its capacity is passed over, and
-// so are those that the same tables and locations bar: queues get long, and each is asked once.
+// dispatchQueued sends the queued queries that can be sent, in order of the groups' ranks and then
+// of arrival. A query that no engine is eligible for is skipped, and so are the queries with the
+// same eligibility key, so that a long queue needs few routing decisions.
 func (s *Scheduler) dispatchQueued() {
 	for _, rg := range s.ranked {
 		var ineligibleKeys []int64
@@ -39,7 +39,7 @@
 			switch {
 			case e != nil && s.submit(q, e):
 				rg.remove(q)
-			case e == nil && !ineligible && !q.confined: // a confined one holds up only its like
+			case e == nil && !ineligible && !q.confined: // a confined query blocks only queries like itself
 				s.shedCostliest(rg)
 				rg.blocked = true
 				i = len(rg.queue)
@@ -51,7 +51,8 @@
 	}
 }
 
-// rankGroups orders the groups by weight for the thread time of a query, which is what is rationed.
+// rankGroups orders the groups by weight per thread second of a query, as thread seconds are the
+// scarce resource.
 func (s *Scheduler) rankGroups() {
 	weight := func(rg *resourceGroup) float64 {
 		return rg.priorityWeight / rg.threadSecondsUsed.valueOr(s.typicalWorkSeconds(rg))
@@ -61,9 +62,10 @@
 	})
 }
 
-// shedCostliest rejects, from a queue with more work than can be started in time, what costs most
-// for its weight. In order of arrival alone a long query takes the capacity of several that are
-// worth as much; where all are alike that order is as good.
+// shedCostliest rejects queries of a queue with more work than can be started in time, those with
+// the highest cost for their weight first. In order of arrival alone, a long query would take the
+// capacity of several shorter ones of equal value. A queue of queries that cost the same keeps its
+// order.
 func (s *Scheduler) shedCostliest(rg *resourceGroup) {
 	work := 0.0
 	for _, q := range rg.queue {
@@ -82,8 +84,9 @@
 	}
 }
 
-// costPerWeight is a query's time alone, in seconds, for its weight: less is had of a tenant over
-// its quota. What was sent once costs nothing, or the work done would be lost.
+// costPerWeight returns a query's run time alone, in seconds, over its weight, which is lower for a
+// tenant over its quota. A query that was sent before costs nothing, because its work would be
+// lost.
 func (s *Scheduler) costPerWeight(q *query) float64 {
 	if len(q.attempts) > 0 {
 		return 0
@@ -91,13 +94,14 @@
 	return s.estimatedSoloSeconds(q) / (1 - s.overQuotaFraction(q.tenant)*(1-s.settings.OverQuotaWeight))
 }
 
-// overQuotaFraction is the part of a tenant's queries here beyond its quota: this controller's even
-// part of it, and more the busier this one is in the long run, as traffic isn't even.
+// overQuotaFraction returns the fraction of a tenant's queries at this controller beyond its quota.
+// The quota is the controller's even part, and grows with the controller's long-term load, as
+// traffic isn't even.
 func (s *Scheduler) overQuotaFraction(t *tenant) float64 {
 	return max(0, 1-t.quota*max(1, s.tenantLoad.valueOr(1))/max(minRate, s.perSecond(t.recentArrivals)))
 }
 
-// perSecond turns a sum that decays over rateSpan into a rate.
+// perSecond converts a sum that decays over rateWindow into a rate.
 func (s *Scheduler) perSecond(sum float64) float64 {
 	return sum / min(rateWindow, max(minRateWindow, s.now)).Seconds()
 }
--- a/internal/scheduler/random.go
+++ b/internal/scheduler/random.go
@@ -1,8 +1,7 @@
 package scheduler
 
-// pcg is a permuted congruential generator (PCG-XSH-RR, 64 bits of state). The
-// standard library's sources are not used so that a run can be repeated from
-// the seed alone, whatever the tool chain.
+// pcg is a permuted congruential generator (PCG-XSH-RR, 64 bits of state). It is used instead of
+// the standard library's generators so that a seed gives the same run with every toolchain.
 type pcg struct{ state uint64 }
 
 func newPCG(seed uint64) *pcg {
@@ -19,10 +18,10 @@
 	return output>>rotation | output<<(-rotation&31)
 }
 
-// float is in [0, 1).
+// float64 returns a number in [0, 1).
 func (p *pcg) float64() float64 { return float64(p.next()) / (1 << 32) }
 
-// shuffle puts the first few in an order drawn at random.
+// shuffleHead puts the first 8 engines in random order, drawn from all of them.
 func (p *pcg) shuffleHead(engines []*engine) {
 	for i := range min(8, len(engines)) {
 		k := i + int(p.float64()*float64(len(engines)-i))
@@ -30,7 +29,8 @@
 	}
 }
 
-// draw takes one with odds in step with its weight.
+// pickWeighted returns an engine with a probability proportional to its weight, nil if there are no
+// engines.
 func (p *pcg) pickWeighted(engines []*engine, weight func(*engine) float64) (picked *engine) {
 	var total float64
 	for _, e := range engines {
--- a/internal/scheduler/retry.go
+++ b/internal/scheduler/retry.go
@@ -8,23 +8,25 @@
 )
 
 const (
-	rejectedCooldown    = 250 * time.Millisecond // for which an engine that rejected a query gets none,
-	unreachableCooldown = time.Second            // one that could not be connected to,
-	resetCooldown       = 500 * time.Millisecond // one whose connection was lost
+	rejectedCooldown    = 250 * time.Millisecond // of an engine that rejected a query
+	unreachableCooldown = time.Second            // of an engine that couldn't be connected to
+	resetCooldown       = 500 * time.Millisecond // of an engine whose connection was lost
 
-	// An attempt is moved when what remains is so many times what a fresh one should take. Without
-	// an estimate a large query looks like one that is slow.
+	// An attempt is moved to another engine if its remaining time is at least this multiple of the
+	// time for a new one. Without an estimate, a large query can't be told from a slow one, so that
+	// the factor is higher.
 	moveFactor            = 3.0
 	moveFactorUnestimated = 6.0
-	hopelessFactor        = 1.5 // of the time left that remains: it can't be done in time
-	minRemainingSeconds   = 1   // seconds
+	hopelessFactor        = 1.5 // of the time left: with more time remaining, an attempt can't end in time
+	minRemainingSeconds   = 1
 )
 
-// noEndInSight is the time that remains of an attempt that doesn't progress, in seconds.
+// neverFinishes is the remaining time of an attempt that makes no progress.
 var neverFinishes = math.Inf(1)
 
-// retryOrReject handles an attempt that ended without an answer: its engine rests, and the query is
-// queued again if the time left exceeds what it should take, unless a copy of it is in flight.
+// retryOrReject handles an attempt that ended without an answer. Its engine is ejected for a while
+// if it rejected the query or the connection failed. Unless another attempt is in flight, the query
+// is queued again if enough time is left, and otherwise rejected.
 func (s *Scheduler) retryOrReject(a *attempt) {
 	q, e := a.query, a.engine
 	switch a.outcome {
@@ -46,27 +48,28 @@
 	}
 }
 
-// retryAllowed tells whether a query may have one more attempt.
+// retryAllowed returns whether a query may have another attempt.
 func (s *Scheduler) retryAllowed(q *query) bool {
 	return len(q.attempts) < s.settings.MaxAttempts && s.safeToRetry(q)
 }
 
-// safeToRetry tells whether another attempt can't have a second effect: nothing has run, the query
-// is read-only, or engines still keep its key.
+// safeToRetry returns whether another attempt can't have a second effect: nothing has run, the
+// query is read-only, or engines still keep its key.
 func (s *Scheduler) safeToRetry(q *query) bool {
 	attempts := q.attemptsThatMayHaveRun()
 	return len(attempts) == 0 || q.group.effect == settings.ReadOnly ||
 		q.group.effect == settings.Keyed && s.now-attempts[0].sentAt < q.group.keyWindow
 }
 
-// clientMayRetry tells the same of a retry by the client, which may reach any engine.
+// clientMayRetry returns whether a retry by the client, which may reach any engine, can't have a
+// second effect.
 func (s *Scheduler) clientMayRetry(q *query) bool {
 	return s.safeToRetry(q) && (q.group.effect != settings.Keyed || q.group.keyScope == settings.ScopeAll ||
 		len(q.attemptsThatMayHaveRun()) == 0)
 }
 
-// handleNote takes an engine's note on a running attempt. Progress far behind what a fresh attempt
-// would need is a bad plan, or a slow or crowded engine: all are met by moving the query.
+// handleNote handles a progress note on a running attempt. Progress far behind a new attempt's is
+// due to a bad plan, or to a slow or crowded engine. In each case the query is moved.
 func (s *Scheduler) handleNote(a *attempt, kind NoteKind, value float64) {
 	s.engineResponded(a.engine)
 	a.lastNoteAt = s.now
@@ -79,15 +82,16 @@
 	}
 }
 
-// blockedByLoad: an attempt waits for a load of its tables, which other queries then avoid there.
+// handleBlockedByLoad marks an attempt as blocked by a load of its tables, which other queries then
+// avoid on this engine.
 func (s *Scheduler) handleBlockedByLoad(a *attempt, duration time.Duration) {
 	a.blocked = true
 	a.engine.markLoadRunning(a.query.tables, s.now+duration)
 	s.moveOrReject(a, neverFinishes)
 }
 
-// remainingSeconds is the time that an attempt should still take, by its last note or what was
-// expected.
+// remainingSeconds returns the time that an attempt should still take, by its last note or by its
+// expected run time.
 func (s *Scheduler) remainingSeconds(a *attempt) float64 {
 	if a.progress <= 0 {
 		return max(minRemainingSeconds, s.expectedSeconds(a.query)-(s.now-a.sentAt).Seconds())
@@ -95,9 +99,9 @@
 	return (a.progressAt-a.sentAt).Seconds()/a.progress - (s.now - a.sentAt).Seconds()
 }
 
-// moveOrReject cancels an attempt for a fresh one elsewhere, if what remains of it, in seconds, is
-// long against that. One that can't be done in its client's time is rejected: it holds what others
-// could use.
+// moveOrReject cancels an attempt in favour of one on another engine, if its remaining time is long
+// compared with the time for a new one. An attempt that can't end in its client's time is rejected,
+// so that it doesn't hold capacity.
 func (s *Scheduler) moveOrReject(a *attempt, remainingSeconds float64) {
 	q := a.query
 	if a.moving || q.ended || q.group.effect != settings.ReadOnly || !s.settings.CancelAllowed {
@@ -117,9 +121,9 @@
 	}
 }
 
-// moveAllowed tells whether a fresh attempt may and can be done in the time left. Slow twice without
-// an estimate, a query is large and its plan not bad; and where engines are mostly full it is slow
-// everywhere, and begun anew would only lose what was done.
+// moveAllowed returns whether a new attempt is allowed and would end in time. A query without an
+// estimate that was slow twice is large rather than badly planned. While engines are mostly full,
+// an attempt is slow everywhere, and a restart would only lose its work.
 func (s *Scheduler) moveAllowed(q *query, slow bool, freshSeconds float64) bool {
 	if slow && (q.workSeconds <= 0 && q.movedForSlowness ||
 		s.reportedUtilization.valueOr(0) >= highUtilization) {
--- a/internal/scheduler/retry_budget.go
+++ b/internal/scheduler/retry_budget.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// retryBudgetLeft tells whether the controller may send one more retry: in a span it may send a
-// fixed number and a share of the queries that arrived in it.
+// retryBudgetLeft returns whether the controller may send another retry. In a window it may send a
+// fixed number and a ratio of the queries that arrived.
 func (s *Scheduler) retryBudgetLeft() bool {
 	window := s.settings.RetryBudgetWindow
 	since := s.now - window
@@ -14,7 +14,7 @@
 	return window <= 0 || float64(countSince(&s.retries, since)+1) <= limit
 }
 
-// countSince drops what came before a time and counts the rest.
+// countSince removes the times before since and returns how many remain.
 func countSince(times *[]time.Duration, since time.Duration) int {
 	i := sort.Search(len(*times), func(i int) bool { return (*times)[i] >= since })
 	*times = (*times)[i:]
--- a/internal/scheduler/routing.go
+++ b/internal/scheduler/routing.go
@@ -2,21 +2,22 @@
 
 import "slices"
 
-const minFreeFraction = 0.02 // of its capacity that a full engine is drawn by
+const minFreeFraction = 0.02 // lower bound in a routing weight, so that a full engine can still be drawn
 
 // candidates are the engines that a query may be sent to.
 type candidates struct {
-	withCapacity []*engine // with capacity
-	preferred    []*engine // warming up, and allowed this query by its chance
-	avoided      []*engine // with capacity, but a load of its tables runs there, or its last attempt was there
-	unreported   []*engine // without a load report that holds
+	withCapacity []*engine // known to have capacity
+	preferred    []*engine // warming up and selected for this query by slow start
+	avoided      []*engine // with capacity, but a load of its tables is running or the last attempt ended there
+	unreported   []*engine // without a valid load report
 
-	noneAllowed bool // no engine seen may take it, whatever its capacity
-	fullCount   int  // engines seen that are full, and where no load of its tables runs
+	noneAllowed bool // no engine with a known utilization is eligible, whatever its capacity
+	fullCount   int  // engines without capacity on which no load of the tables runs
 }
 
-// route draws an engine for a query, with odds in step with free capacity. If there is none, barred
-// says that it isn't for capacity, so that others may pass.
+// route draws an engine for a query, with a probability proportional to its free capacity. If it
+// returns none, ineligible is true if the reason isn't a lack of capacity, so that other queries
+// may go first.
 func (s *Scheduler) route(q *query) (picked *engine, ineligible bool) {
 	if !s.maySend(q) {
 		return nil, true
@@ -32,7 +33,7 @@
 		pool = c.preferred
 	case len(c.withCapacity) > 0:
 	case len(c.avoided) > 0 && c.fullCount >= len(c.avoided):
-		return nil, true // it waits for an engine without the load
+		return nil, true // waits for an engine without the load
 	default:
 		pool = c.avoided
 	}
@@ -48,15 +49,16 @@
 		if e.state != EngineActive || s.now < e.ejectedUntil {
 			continue
 		}
-		c.unreported = append(c.unreported, e) // an unresponsive one too: a health check finds it again
+		// An unresponsive engine is included: a health check finds out when it is back.
+		c.unreported = append(c.unreported, e)
 		if s.prefersWarmingEngine(q, e) && s.available(e) && !s.rejectedRecently(e) &&
 			!s.loadRunning(e, q.tables) && s.maySendTo(q, e) {
-			c.preferred = append(c.preferred, e) // the chance alone leaves capacity: no health check is paid for
+			c.preferred = append(c.preferred, e) // limited by slow start, so that no health check is needed
 		}
 	}
 }
 
-// classify puts an engine that is taken as seen into its list.
+// classify adds an engine, whose utilization is known or estimated, to the candidates.
 func (s *Scheduler) classify(q *query, e *engine, c *candidates) {
 	if !s.maySendTo(q, e) {
 		return
@@ -75,7 +77,8 @@
 	}
 }
 
-// preferLocal leaves engines of other locations out while there is one in the controller's own.
+// preferLocal removes engines at other locations if one at the controller's location is among the
+// candidates.
 func (s *Scheduler) preferLocal(q *query, pool []*engine) []*engine {
 	if !slices.ContainsFunc(pool, func(e *engine) bool { return s.distance(q, e) == 0 }) {
 		return pool
@@ -83,8 +86,8 @@
 	return slices.DeleteFunc(pool, func(e *engine) bool { return s.distance(q, e) > 0 })
 }
 
-// distance is 1 to an engine of another location. Heavy queries are few and even the load out, so
-// that to them all engines are as near.
+// distance returns 1 for an engine at another location, otherwise 0. For heavy queries it is 0
+// everywhere, as they are few and even out the load.
 func (s *Scheduler) distance(q *query, e *engine) int {
 	if e.isLocal || !s.isLight(q.group) {
 		return 0
@@ -92,17 +95,17 @@
 	return 1
 }
 
-// available tells whether an engine may be sent to by what is known of its health.
+// available returns whether the engine's health allows sending to it.
 func (s *Scheduler) available(e *engine) bool {
 	return e.state == EngineActive && !(e.unresponsive && s.healthChecksReportLoad) && s.now >= e.ejectedUntil
 }
 
-// routingWeight is an engine's free capacity, in cores at its best speed.
+// routingWeight returns an engine's free capacity, in cores, adjusted by its slowdown.
 func (s *Scheduler) routingWeight(e *engine) float64 {
 	return e.cores * s.warmupCapacity(e) * max(minFreeFraction, 1-s.utilization(e)) / e.slowdown
 }
 
-// loadRunning tells whether a load of these tables is known to run on an engine, or they hang there.
+// loadRunning returns whether a load of a table group is known or suspected to run on an engine.
 func (s *Scheduler) loadRunning(e *engine, tables int64) bool {
 	if s.now < e.loadRunningUntil[tables] {
 		return true
--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -1,14 +1,14 @@
-// Package scheduler holds the decisions of a controller: which queries it admits, queues, rejects and
-// retries, and to which engine each is sent. New makes a Scheduler from its Actions, a seed and a map
-// of settings; an adapter calls the methods of Events, each with the time since the start, and the
-// Scheduler acts through its Actions before it returns. Nothing blocks, reads a clock or is safe for
-// concurrent use: one goroutine calls it.
+// Package scheduler decides which queries a controller admits, queues, rejects and retries, and
+// which engine gets each of them. New returns a Scheduler for its Actions, a seed and a map of
+// settings. An adapter calls the methods of Events with the time since the start, and the Scheduler
+// calls its Actions before it returns. The package doesn't block or read a clock, and isn't safe
+// for concurrent use: one goroutine calls it.
 //
-// The ordinary path follows Gargamel (docs/design.md): writes go into a chain per table group
-// (chain.go), the rest into a queue per resource group (queue.go); dispatchQueued lets them out in the
-// order of arrival, and route (routing.go) draws an engine. submit (invariants.go) is the only way to
-// an engine and asks maySend and allowed, which hold the rules; reject (admission.go) is the only way
-// to an answer.
+// The structure follows Gargamel (docs/design.md). Writes go into a chain per table group
+// (chain.go), other queries into a queue per resource group (queue.go). dispatchQueued sends them
+// in order of arrival, and route (routing.go) draws an engine. Only submit (invariants.go) sends an
+// attempt, after maySend and maySendTo have checked the rules. Only reject (admission.go) answers a
+// query.
 package scheduler
 
 import (
@@ -21,74 +21,75 @@
 	"railrelay.dev/railrelay/internal/timerqueue"
 )
 
-// Scheduler is one controller's decisions and all that it knows.
+// Scheduler holds the state of one controller's decisions.
 type Scheduler struct {
 	actions  Actions
 	settings settings.Settings
 	rng      *pcg
 	now      time.Duration // since the start, as of the last event
 
-	// What is known, by the ids of the adapter.
+	// State by the adapter's ids.
 	engines      []*engine // in the order first listed
 	enginesByID  map[string]*engine
 	queries      map[string]*query
 	groups       []*resourceGroup
-	ranked       []*resourceGroup // the groups in the order in which they are served
+	ranked       []*resourceGroup // in order of service
 	tenants      []*tenant
-	noTenant     tenant // counts queries of tenants without a quota
+	noTenant     tenant // counts queries without a tenant, and of tenants without a quota
 	chains       map[int64]*chain
 	keyQueues    map[int64]*keyQueue
 	lastSequence uint64 // of queries
 
-	// Timers, and when what is gone is forgotten.
+	// Timers and eviction.
 	timers         timerqueue.Queue
-	timerAt        time.Duration // of the earliest wake asked for, negative: none
+	timerAt        time.Duration // of the earliest timer that is set, negative: none
 	nextEvictionAt time.Duration
-	retention      time.Duration // for which what is gone may still matter
+	retention      time.Duration // time for which removed entries may still matter
 
 	// The endpoint list.
-	listedEngines   map[*engine]bool // while a list comes in
-	listComplete    bool             // an engine that isn't in it is gone
+	listedEngines   map[*engine]bool // of the list that is being received
+	listComplete    bool             // an engine that isn't in the list is removed
 	subscribed      bool
 	subscribeSentAt time.Duration
 
-	// States that an adapter asks for.
+	// State set by the adapter.
 	draining   bool          // nothing is admitted
 	paused     bool          // nothing is dispatched
-	retryAfter time.Duration // told with a deferral, 0: none
+	retryAfter time.Duration // passed with a deferral, 0: none
 
-	// Sums over active engines, made anew when stale.
+	// Sums over active engines, recomputed when outdated.
 	totalsOutdated bool
 	activeList     []*engine
 	totals         totals
-	warmEngines    float64 // active engines that don't warm up
+	warmEngines    float64 // active engines that aren't warming up
 	activeCores    float64 // of all active engines
 
-	// The controller's own attempts in flight, all together.
+	// The controller's own attempts in flight.
 	ownShare        float64       // of all work, 0 to 1
 	meanThreads     movingAverage // over 30 s
 	meanMemoryMB    movingAverage
 	meanAttempts    movingAverage
-	recentThreads   movingAverage // over rateSpan
+	recentThreads   movingAverage // over rateWindow
 	maxQueryThreads float64       // of any group
 
-	// What load reports tell.
-	healthChecksReportLoad bool          // health checks are allowed and bring reports
-	reportedUtilization    movingAverage // of engines, 1 is full
+	// Load reports.
+	healthChecksReportLoad bool          // health checks are allowed and return reports
+	reportedUtilization    movingAverage // of engines, 1: full
 	reportedQueries        movingAverage // on an engine
 	lastReportAt           time.Duration
 	healthCheckTokens      float64
-	recentHealthChecks     float64 // decays over rateSpan
+	recentHealthChecks     float64 // decays over rateWindow
 
-	// What arrives.
+	// Arrivals.
 	meanWorkSeconds   movingAverage // of a query
 	recentWorkSeconds float64       // admitted, decays over 20 s
-	tenantLoad        movingAverage // queries that arrived over the tenants' quotas here
+	tenantLoad        movingAverage // arrivals over this controller's part of the quotas
 	arrivals          []time.Duration
-	retries           []time.Duration // both for the retry budget
+	retries           []time.Duration // with arrivals, for the retry budget
 }
 
-// New starts an instance. The settings are as settings.FromPairs and settings.FromJSON give them.
+// New returns a Scheduler with the settings of a map that settings.FromPairs or settings.FromJSON
+// returned.
 func New(actions Actions, seed uint64, given map[string]string) *Scheduler {
 	s := &Scheduler{
 		actions:         actions,
@@ -112,7 +113,7 @@
 	}
 	s.retention = max(s.retention, s.settings.SlowStartDuration, chainAffinityDuration) + s.settings.KeyCooldown
 	s.noTenant.quota = math.Inf(1)
-	s.lastSequence = uint64(s.rng.next()) // controllers must not draw alike
+	s.lastSequence = uint64(s.rng.next()) // controllers must not draw the same numbers
 	s.healthChecksReportLoad = s.settings.HealthChecksAllowed && s.settings.LoadReports
 	s.ranked = slices.Clone(s.groups)
 	s.ownShare = s.estimateOwnShare()
@@ -123,15 +124,15 @@
 	return s
 }
 
-// ownQuota is a controller's even part of a tenant's quota, in queries a second.
+// quotaPerController returns the even part of a tenant's quota, in queries per second.
 func (s *Scheduler) quotaPerController(given settings.Tenant) float64 {
 	return given.QuotaPerSecond / max(1, s.settings.ControllerCount)
 }
 
-// UpdateSettings reads anew what of the settings may change at run time: groups' weight, objective,
-// timeout, late share and threads, and the tenants with their quotas. Queued queries keep their
-// place; those not sent yet get the new objective. Tenants are known again by name; the queries of
-// one that went count to no quota.
+// UpdateSettings applies the settings that may change at run time: weights, objectives, timeouts,
+// late values and threads of groups, and tenants with their quotas. Queued queries keep their
+// place, and those not sent yet get the new objective. Tenants keep their state by name. The
+// queries of a tenant that was removed count to no quota.
 func (s *Scheduler) UpdateSettings(now time.Duration, given map[string]string) {
 	s.now = now
 	before := s.settings.Tenants
@@ -147,7 +148,8 @@
 	}
 }
 
-// updateTenants makes the tenants anew by the settings; before has the settings of the present ones.
+// updateTenants replaces the tenants by those of the settings. before has the settings of the old
+// ones.
 func (s *Scheduler) updateTenants(before []settings.Tenant) {
 	byName := map[string]*tenant{}
 	for i, t := range s.tenants {
@@ -162,13 +164,13 @@
 		}
 		t.quota = s.quotaPerController(given)
 		if t.quota <= 0 {
-			t.quota = math.Inf(1) // no quota any more, and some of its queries wait
+			t.quota = math.Inf(1) // the tenant has no quota any more; queries of it may still wait
 		}
 		s.tenants = append(s.tenants, t)
 	}
 }
 
-// unsent lists the queries without an attempt in the order of arrival.
+// unsentQueries returns the queries without an attempt in order of arrival.
 func (s *Scheduler) unsentQueries() []*query {
 	var queries []*query
 	for _, q := range s.queries {
@@ -180,7 +182,8 @@
 	return queries
 }
 
-// tenant is the one that a query counts to; a query without a tenant is never over a quota.
+// tenantByIndex returns the tenant with an index in the settings, or noTenant, which is never over
+// its quota.
 func (s *Scheduler) tenantByIndex(index int) *tenant {
 	if index < 0 || index >= len(s.tenants) || s.tenants[index].quota <= 0 {
 		return &s.noTenant
@@ -188,7 +191,8 @@
 	return s.tenants[index]
 }
 
-// InFlight is how many attempts an engine is thought to have.
+// InFlight returns the number of this controller's attempts on an engine, false if the engine is
+// unknown.
 func (s *Scheduler) InFlight(id string) (count int, known bool) {
 	e := s.enginesByID[id]
 	if e == nil {
@@ -197,15 +201,15 @@
 	return len(e.inFlight), true
 }
 
-// QueueBlocked reports whether a query of the group is queued for want of capacity: one more would
-// be queued behind it. What waits for a load or its key's turn blocks nothing.
+// QueueBlocked returns whether a query of the group waits for capacity, so that another one would
+// wait behind it. Queries that wait for a load or for their key don't count.
 func (s *Scheduler) QueueBlocked(group int) bool {
 	return group >= 0 && group < len(s.groups) && s.groups[group].blocked
 }
 
-// SendDeadline is until when the first byte of an attempt may be sent, 0 where it may not any more:
-// an adapter that let it wait for a connection asks once more. It changes nothing, so that it may be
-// asked while the scheduler acts.
+// SendDeadline returns the time until which the first byte of an attempt may be sent, 0 if it may
+// not be sent any more. An adapter whose attempt waited for a connection asks again. SendDeadline
+// changes nothing, so that it may be called while the scheduler runs.
 func (s *Scheduler) SendDeadline(id string, number int) time.Duration {
 	if a := s.openAttempt(id, number); a != nil {
 		return s.sendDeadline(a)
--- a/internal/scheduler/slow_start.go
+++ b/internal/scheduler/slow_start.go
@@ -6,25 +6,25 @@
 )
 
 const (
-	nominalUtilization   = 0.85            // of its cores that an engine's work is taken at
-	minSlowStartDuration = 1 * time.Second // over which an engine warms up
+	nominalUtilization   = 0.85            // fraction of its cores that an engine is assumed to use
+	minSlowStartDuration = 1 * time.Second // lower bound for the warm-up of an engine
 
-	// Parts of what a warming engine may be sent in a window: what one controller sends at most,
-	// and what all send in sum by the chances of their queries.
+	// Fractions of the work that a warming engine may be sent in a window: the limit of one
+	// controller, and the sum of all queries' chances.
 	soleControllerFraction   = 0.7 // the only controller
 	sharedControllerFraction = 0.33
 	lightChanceFraction      = 0.3
 	heavyChanceFraction      = 0.1
 
-	minSamplesOfKnownGroup = 10  // queries from which on a group's work is known
-	minRecentWorkSeconds   = 0.1 // seconds, against a division by 0
+	minSamplesOfKnownGroup = 10  // queries from which on a group's work counts as known
+	minRecentWorkSeconds   = 0.1 // against a division by 0
 
 	queryHashMultiplier = 2654435761 // spread the draws of successive queries evenly
 	drawHashMultiplier  = 2246822519
 )
 
-// engineRestarted: a new process under a known id. What was learned is void; it warms up from its
-// start on.
+// engineRestarted handles a new process of a known engine: learned state is reset, and the engine
+// warms up from its start.
 func (s *Scheduler) engineRestarted(e *engine, started time.Duration) {
 	e.resetLearnedState(s.now)
 	e.startedAt = started
@@ -32,7 +32,8 @@
 	e.warmupEndsAt = max(e.warmupEndsAt, started+s.settings.SlowStartDuration)
 }
 
-// warmCapacity is the part of its capacity that an engine has at least: it rises evenly.
+// warmupCapacity returns the fraction of its capacity that a warming engine has at least. It rises
+// linearly to 1.
 func (s *Scheduler) warmupCapacity(e *engine) float64 {
 	if s.now >= e.warmupEndsAt {
 		return 1
@@ -42,35 +43,38 @@
 	return initial + (1-initial)*min(1, age.Seconds()/duration.Seconds())
 }
 
-// prefersWarmingEngine: among many controllers, a warming engine that a light query's chance allows
-// gets the query; drawn for among all others besides, next to nothing would go there while warm
-// engines are full. Heavy queries are drawn for, as it stands one or two in a window and several
-// controllers may send at once; so are groups that little is known of.
+// prefersWarmingEngine returns whether a warming engine that slow start allows is chosen over
+// others. Among many controllers, drawing it from all engines would leave it almost without queries
+// while warm engines are full. Heavy queries are drawn, because a warming engine can take only one
+// or two in a window and several controllers may send at once. So are groups whose work isn't
+// known.
 func (s *Scheduler) prefersWarmingEngine(q *query, e *engine) bool {
 	return s.now < e.warmupEndsAt && s.settings.ControllerCount > 1 && s.isLight(q.group) &&
 		q.group.workSeconds.count >= minSamplesOfKnownGroup
 }
 
-// slowStartAllows keeps all controllers together under what a warming engine stands, however many
-// they are and however unevenly traffic lies. Each query may go there by a chance, drawn from its
-// number and the engine's id, that in sum, were all that may to go, makes a part of the limit; and
-// the controller's own sum in a window holds the busiest.
+// slowStartAllows returns whether a query may be sent to a warming engine. It keeps all controllers
+// together within what the engine can take, for any number of controllers and any distribution of
+// traffic. Each query has a chance, drawn from its number and the engine's id. If every allowed
+// query went there, the sum would be a fraction of the limit. A limit on the controller's own work
+// in a window restrains the busiest controller.
 func (s *Scheduler) slowStartAllows(q *query, e *engine) bool {
 	window := s.settings.SlowStartWindow
 	limit := s.settings.SlowStartWorkFactor * s.warmupCapacity(e) * nominalUtilization * e.cores *
 		window.Seconds()
 	controllerFraction, chanceFraction := s.slowStartFractions(q.group)
 	work := s.typicalWorkSeconds(q.group)
-	// the fleet does at most its cores' work; of that, so much is of this group
+	// All controllers send at most the work of the active cores, of which this fraction is the group's.
 	groupFraction := work * q.group.recentArrivals / max(minRecentWorkSeconds, s.recentWorkSeconds)
 	chance := chanceFraction * limit / window.Seconds() / (max(1, s.activeCores) * groupFraction)
 	draw := float64((uint32(q.sequence)*queryHashMultiplier^e.hash)*drawHashMultiplier>>8) / (1 << 24)
-	// a few that were small say little: no less than would be guessed of a group not known yet
+	// A few small samples say little, so that the work counts as at least that of an unknown group.
 	work = max(work, q.group.defaultWorkSeconds()) * (1 + 1/math.Sqrt(max(1, q.group.workSeconds.count)))
 	return draw < chance && e.slowStartWorkSince(s.now-window)+work <= controllerFraction*limit
 }
 
-// slowStartParts are the parts of the limit for one controller's sum and for all queries' chances.
+// slowStartFractions returns the fractions of the limit for one controller and for all queries'
+// chances.
 func (s *Scheduler) slowStartFractions(rg *resourceGroup) (own, chance float64) {
 	switch {
 	case s.settings.ControllerCount <= 1:
--- a/internal/scheduler/timers.go
+++ b/internal/scheduler/timers.go
@@ -10,15 +10,17 @@
 	tickInterval  = 100 * time.Millisecond
 	evictInterval = time.Second
 
-	inFlightSamples   = 300   // ticks over which one's own attempts in flight are averaged
-	tenantLoadSamples = 600   // ticks over which the tenants' load is
-	arrivalDecay      = 0.995 // a tick, of arrivals and their work
+	inFlightSamples   = 300   // ticks over which the controller's attempts in flight are averaged
+	tenantLoadSamples = 600   // ticks over which the tenants' load is averaged
+	arrivalDecay      = 0.995 // per tick, for arrivals and their work
 
-	maxSubscribeInterval = time.Second // or a part of the time in which the list must be asked for:
+	// A request for the list is repeated after this time, or, if that is shorter, after the time in
+	// which the list must be requested divided by subscribeDivisor.
+	maxSubscribeInterval = time.Second
 	subscribeDivisor     = 2
 )
 
-// Tags of the wakes that are asked for.
+// Tags of timers.
 const (
 	timerQueueTag = iota
 	tickTag
@@ -42,9 +44,9 @@
 	s.subscribe()
 }
 
-// averageInFlight takes the controller's attempts in flight into their means.
+// averageInFlight adds the controller's attempts in flight to their averages.
 func (s *Scheduler) averageInFlight() {
-	s.totalsOutdated = true // some engines have warmed up by now
+	s.totalsOutdated = true // some engines may have finished warming up
 	threads, memoryMB, attempts, _ := s.totalsInFlight()
 	s.meanThreads.add(threads, inFlightSamples)
 	s.recentThreads.add(threads, rateWindow.Seconds()/tickInterval.Seconds())
@@ -52,7 +54,7 @@
 	s.meanAttempts.add(attempts, inFlightSamples)
 }
 
-// decayRates has what was counted of late fade.
+// decayRates decays the counts of recent events.
 func (s *Scheduler) decayRates() {
 	factor := 1 - tickInterval.Seconds()/rateWindow.Seconds()
 	for _, rg := range s.groups {
@@ -66,7 +68,7 @@
 	}
 }
 
-// averageTenantLoad takes what arrives over the tenants' quotas into its mean.
+// averageTenantLoad adds the arrivals over the tenants' quotas to their average.
 func (s *Scheduler) averageTenantLoad() {
 	arriving, quota := 0.0, 0.0
 	for _, t := range s.tenants {
@@ -78,7 +80,7 @@
 	}
 }
 
-// subscribe asks for the endpoint list where it is sent on request only.
+// subscribe requests the endpoint list if it is sent only on request.
 func (s *Scheduler) subscribe() {
 	interval := min(maxSubscribeInterval, s.settings.ListRequestWithin/subscribeDivisor)
 	if s.settings.ListOnRequest && !s.subscribed && s.now-s.subscribeSentAt > interval {
@@ -87,8 +89,8 @@
 	}
 }
 
-// finishEvent ends every event: what is due is done, what can be sent is sent, and a wake is asked
-// for the next timer.
+// finishEvent ends every event: due callbacks run, queries are dispatched, and a timer is set for
+// the next callback.
 func (s *Scheduler) finishEvent() {
 	for callback, ok := s.timers.PopDue(s.now); ok; callback, ok = s.timers.PopDue(s.now) {
 		callback()
@@ -102,13 +104,13 @@
 	}
 }
 
-// atTime has something done for a query at a time, unless the query was forgotten by then.
+// runAt runs a callback for a query at a time, unless the query has been released by then.
 func (s *Scheduler) runAt(q *query, at time.Duration, callback func()) {
 	q.timers = append(q.timers, s.timers.Add(at, callback))
 }
 
-// releaseEnded forgets a query that has ended and has no attempt in flight, and starts what waited
-// for it.
+// releaseEnded removes a query that has ended and has no attempt in flight, and starts the queries
+// that waited for it.
 func (s *Scheduler) releaseEnded(q *query) {
 	if !q.ended || q.inFlight > 0 || s.queries[q.id] == nil {
 		return
@@ -122,8 +124,8 @@
 	s.startNextInKeyQueue(q)
 }
 
-// evictStale forgets engines that are gone, and chains, keys and tables at rest, once they can't
-// matter any more; they would stay as long as the instance runs.
+// evictStale removes state that no longer matters: removed engines, and unused chains, key queues
+// and table groups. Otherwise it would stay until the instance stops.
 func (s *Scheduler) evictStale() {
 	if s.now < s.nextEvictionAt {
 		return
@@ -158,7 +160,8 @@
 	countSince(&s.retries, since)
 }
 
-// EntryCount is how many engines, chains, keys, tables, queries and timers are in memory.
+// EntryCount returns the number of engines, chains, key queues, table groups, queries and timers in
+// memory.
 func (s *Scheduler) EntryCount() int {
 	n := s.timers.Len() + len(s.engines) + len(s.enginesByID) + len(s.chains) + len(s.keyQueues) + len(s.queries)
 	for _, e := range s.engines {
@@ -167,8 +170,8 @@
 	return n
 }
 
-// capped is a span, or one that follows from a group's times where those are told and it is shorter:
-// what suits deadlines of seconds may outlast one of less.
+// capAt returns the duration, or a positive limit if that is shorter. Limits follow from a group's
+// times, because durations that suit deadlines of seconds are too long for shorter ones.
 func capAt(duration, limit time.Duration) time.Duration {
 	if limit <= 0 {
 		return duration
--- a/internal/scheduler/utilization.go
+++ b/internal/scheduler/utilization.go
@@ -7,20 +7,22 @@
 	minThreadsDivisor = 0.1 // against a division by 0
 )
 
-// Figures of a load report.
+// Fields of a load report.
 const (
 	reportQueries   = "held"  // queries on the engine
-	reportBusyCores = "cores" // share of its cores that is busy
+	reportBusyCores = "cores" // fraction of its cores that is busy
 )
 
-// utilizationKnown tells whether a load report holds, or health checks give none.
+// utilizationKnown returns whether an engine has a valid load report. If health checks return none,
+// it is always true.
 func (s *Scheduler) utilizationKnown(e *engine) bool {
 	return !s.healthChecksReportLoad || e.report != nil && s.now-e.reportAt < reportValidity
 }
 
-// utilization guesses how full an engine is with the work of all controllers, 1 being full: by its
-// report and what was sent since, threads or memory, whichever is nearer its end; else by those
-// that reported of late; else as if all controllers did as this one.
+// utilization estimates how full an engine is with the work of all controllers, 1 being full. With
+// a report it is the larger of threads and memory, including what was sent since. Otherwise it is
+// the mean of recently reporting engines, or, if there are none, the load that results if all
+// controllers send as this one does.
 func (s *Scheduler) utilization(e *engine) float64 {
 	limit := maxThreadsPerCore * e.cores * s.warmupCapacity(e)
 	if e.report != nil && s.now-e.reportAt < reportValidity {
@@ -37,9 +39,10 @@
 	return max(threads/limit, memory/e.memoryCapacityMB)
 }
 
-// threadsOn is the threads on an engine that reported: of its queries, or, if it doesn't count
-// them, by its busy cores and by one's own attempts there. A query is more than one's part of an
-// engine, so that one's largest says nothing of what others have.
+// threadsOnEngine returns the threads on an engine that has reported. Without a number of queries
+// they follow from its busy cores and from this controller's own attempts. The largest of those is
+// left out: it can exceed this controller's share of an engine, so that it says nothing about the
+// other controllers.
 func (s *Scheduler) threadsOnEngine(e *engine) float64 {
 	if queries, counted := e.report[reportQueries]; counted {
 		return queries * max(1, s.meanThreads.value/max(minThreadsDivisor, s.meanAttempts.value))
@@ -51,14 +54,15 @@
 	return max(e.report[reportBusyCores]*maxThreadsPerCore*e.cores, (e.threadsInFlight-largest)/s.ownShare)
 }
 
-// memoryUtilization is the part of an engine's memory in use, by its report.
+// memoryUtilization returns the fraction of an engine's memory in use, by its report.
 func (s *Scheduler) memoryUtilization(e *engine) float64 {
 	memoryMB := s.threadsOnEngine(e) * s.meanMemoryMB.value / max(minThreadsDivisor, s.meanThreads.value)
 	return (memoryMB + s.sentSinceReport(e.memoryInFlightMB-e.memoryInFlightAtReportMB)) / e.memoryCapacityMB
 }
 
-// sentSinceReport guesses what all controllers sent to an engine since its report, by one's own:
-// they check as often, and each that did while the report holds saw the same capacity.
+// sentSinceReport estimates what all controllers have sent to an engine since its report, from what
+// this one has sent. Other controllers check as often, and each that did so while the report is
+// valid saw the same capacity.
 func (s *Scheduler) sentSinceReport(own float64) float64 {
 	checks := s.perSecond(s.recentHealthChecks) * reportValidity.Seconds()
 	sharedFraction := min(1, checks/max(1, float64(len(s.activeEngines()))))
