--- a/cmd/railrelay-fleet/join.go
+++ b/cmd/railrelay-fleet/join.go
@@ -45,7 +45,7 @@
 	if err != nil {
 		return cli.Joined{}, remedied(err)
 	}
-	means.Fleet = &controller.FleetConfig{Word: &fleet.ServingState{}, MaxHold: f.Terms().Hold}
+	means.Fleet = &controller.FleetConfig{ServingState: &fleet.ServingState{}, MaxHold: f.Terms().Hold}
 	status := func(ctx context.Context) *fleet.Status { return e.Request(ctx, &fleet.Request{Kind: "status"}).Status }
 	return cli.Joined{Peers: eventloop.FleetChannels{Orders: e.Orders(), Reports: e.Reports()}, Serve: e.Serve, Again: e.ReloadKeys, Status: status}, nil
 }
--- a/internal/bench/fairness_test.go
+++ b/internal/bench/fairness_test.go
@@ -227,7 +227,7 @@
 		}
 	}
 	teams := 0
-	n.R.Teams(func(_ string, waiting int, _ fairqueue.Counts) { teams += waiting })
+	n.R.EachTenant(func(_ string, waiting int, _ fairqueue.Counts) { teams += waiting })
 	if teams != 0 {
 		t.Fatalf("%d still wait", teams)
 	}
@@ -281,7 +281,7 @@
 	c := n.conns[first.Team]
 	c.Ask("00000000000000ff", first.Group, "", 12*time.Second, first.Work, "team", first.Team, "first", first.ID)
 	repeats := 0
-	n.R.Teams(func(_ string, _ int, x fairqueue.Counts) { repeats += x.Repeated })
+	n.R.EachTenant(func(_ string, _ int, x fairqueue.Counts) { repeats += x.Repeated })
 	if repeats != 1 {
 		t.Fatalf("%d repeats were known", repeats)
 	}
--- a/internal/controller/client_calls.go
+++ b/internal/controller/client_calls.go
@@ -103,7 +103,7 @@
 	a.client.reply(msgpackrpc.Deferred(nil, a.messageID, retryAfter))
 }
 
-func (a *rpcCall) directed(comeBack time.Duration, controllers []string) {
+func (a *rpcCall) redirected(comeBack time.Duration, controllers []string) {
 	a.client.reply(msgpackrpc.Directed(nil, a.messageID, comeBack, controllers))
 }
 
--- a/internal/controller/fair_queue.go
+++ b/internal/controller/fair_queue.go
@@ -219,9 +219,9 @@
 
 func meanSeconds(sum time.Duration, n int) float64 { return sum.Seconds() / float64(max(1, n)) }
 
-// Teams calls each with what happened to the queries of every tenant so far; never without fair queueing.
+// EachTenant calls each with what happened to the queries of every tenant so far; never without fair queueing.
 // It is for reports, and must not be called during a Step.
-func (c *Controller) Teams(each func(path string, waiting int, n fairqueue.Counts)) {
+func (c *Controller) EachTenant(each func(path string, waiting int, n fairqueue.Counts)) {
 	if c.fairQueue != nil {
 		c.fairQueue.queue.EachTenant(each)
 	}
--- a/internal/controller/harness_test.go
+++ b/internal/controller/harness_test.go
@@ -154,7 +154,7 @@
 			if e.ignores || e.gone { // its end is on the way
 				break
 			}
-			if !f.Permit.Holds(s.now+s.writeDelay) || f.PolicyVersion != 0 && !s.mayGo(f) {
+			if !f.Permit.Holds(s.now+s.writeDelay) || f.PolicyVersion != 0 && !s.mayWrite(f) {
 				s.pendingEvents = append(s.pendingEvents, Event{Kind: WriteBarred, Connection: f.Connection})
 				s.closeConnection(e)
 				break
--- a/internal/controller/held_queries.go
+++ b/internal/controller/held_queries.go
@@ -36,7 +36,7 @@
 // admit takes every query that comes. One that can't be decided now is held as it is, and
 // admitted by the version in force when it is released. It reports whether the query goes on.
 func (l *servingLease) admit(q *query, from From) bool {
-	q.confined = l.residency.isBound(q, from) || l.Bound != nil && l.Bound(q.residency.tenant, q.tableGroup)
+	q.confined = l.residency.attachResidency(q, from) || l.IsConfined != nil && l.IsConfined(q.residency.tenant, q.tableGroup)
 	if l.servingVersion(q.confined) == 0 || q.key != nil && l.heldBehindKey(q.key) {
 		l.hold(q, from)
 		return false
--- a/internal/controller/invalidation_test.go
+++ b/internal/controller/invalidation_test.go
@@ -32,7 +32,7 @@
 		m.CacheLimits = &l
 		m.FieldNames.Customer = "team" // whose a call is, believed from anybody
 		if word != nil {
-			m.Fleet = &controller.FleetConfig{Word: word}
+			m.Fleet = &controller.FleetConfig{ServingState: word}
 		}
 		for _, do := range change {
 			do(m)
@@ -272,7 +272,7 @@
 	if l[1].Answer != client.Finished || !bytes.Equal(l[1].Rows, world.Rows(l[1])) || !bytes.Equal(l[2].Rows, l[1].Rows) {
 		t.Fatal("nobody leads once the first has left")
 	}
-	if line := s.R.AnswerCache().Text(); !strings.Contains(line, "hits 5 followed 22") {
+	if line := s.R.ResultCache().Text(); !strings.Contains(line, "hits 5 followed 22") {
 		t.Error(line)
 	}
 }
--- a/internal/controller/policy_update.go
+++ b/internal/controller/policy_update.go
@@ -12,11 +12,11 @@
 // Policy is the part of the set-up that the whole fleet shares, as an Open order brings it.
 type Policy struct {
 	Version uint64
-	// Fair are the tenants; nil leaves them as they are.
-	Fair *fairqueue.Config
-	// Facts are the groups' limits and the customers' shares, as the scheduler's settings
+	// Tenants are the tenants; nil leaves them as they are.
+	Tenants *fairqueue.Config
+	// Settings are the groups' limits and the customers' shares, as the scheduler's settings
 	// name them. Other settings in it are ignored; nil leaves all as they are.
-	Facts map[string]string
+	Settings map[string]string
 	// Rules are the data residency rules: a []residency.Rule.
 	Rules any
 }
@@ -34,20 +34,20 @@
 			l.applyPolicy(p)
 		}
 	}
-	l.Word.SetVersion(order.Version)
+	l.ServingState.SetVersion(order.Version)
 	l.report(fleet.Report{Kind: fleet.PolicyOpened, Version: order.Version, Outside: l.residency.countOutside()})
 	l.updateServing()
 }
 
 func (l *servingLease) applyPolicy(p *Policy) {
-	if p.Facts != nil {
-		l.applyFleetSettings(p.Facts)
+	if p.Settings != nil {
+		l.applyFleetSettings(p.Settings)
 	}
 	switch {
 	case l.fairQueue == nil:
-	case p.Fair != nil:
-		l.fairQueue.reload(p.Fair)
-	case p.Facts != nil:
+	case p.Tenants != nil:
+		l.fairQueue.reload(p.Tenants)
+	case p.Settings != nil:
 		l.fairQueue.reload(l.fairQueue.tenants) // its lanes are the groups, whose limits may have changed
 	}
 	l.residency.policyOpened(p)
--- a/internal/controller/query.go
+++ b/internal/controller/query.go
@@ -62,8 +62,8 @@
 	blocked   bool // it came while nothing may be decided, and waits to be judged
 	residency *queryResidency
 
-	spooled    *spool.Result // its client reads page by page; nil: not so
-	cacheState *cacheLookup  // nil: nothing of it concerns the cache
+	spooled    *spool.Result    // its client reads page by page; nil: not so
+	cacheState *queryCacheState // nil: nothing of it concerns the cache
 
 	waitTimer *timerqueue.Item // while it waits in the fair queue or is blocked
 	// with fair queueing
--- a/internal/controller/residency.go
+++ b/internal/controller/residency.go
@@ -122,9 +122,9 @@
 	}
 }
 
-// isBound reports whether a query needs the lease of confined tenants. It must run before
+// attachResidency reports whether a query needs the lease of confined tenants. It must run before
 // checkAdmission.
-func (r *residencyState) isBound(q *query, from From) bool {
+func (r *residencyState) attachResidency(q *query, from From) bool {
 	q.residency = &queryResidency{tenant: r.residencyTenantOf(q, from), tablesKnown: true}
 	return r.verdict(q).Bound
 }
@@ -206,7 +206,7 @@
 	}
 	r.counters.deferred++
 	if owner, ok := q.owner.(redirectable); ok && len(controllers) > 0 {
-		owner.directed(r.retryAfter(), controllers)
+		owner.redirected(r.retryAfter(), controllers)
 		return
 	}
 	q.owner.deferred(r.retryAfter())
@@ -214,7 +214,7 @@
 
 // redirectable is a query's owner that can be told of other controllers.
 type redirectable interface {
-	directed(comeBack time.Duration, controllers []string)
+	redirected(comeBack time.Duration, controllers []string)
 }
 
 // requestBinding asks the fleet to log a binding, once for all queries that need it.
@@ -424,9 +424,9 @@
 		r.requestedBindings, crossed)
 }
 
-// ResidencyViolations lists the latest queries that an emergency let leave their sites, and how
+// EmergencyCrossings lists the latest queries that an emergency let leave their sites, and how
 // many there were. It is for reports, between two steps.
-func (c *Controller) ResidencyViolations() ([]residency.Crossing, int) {
+func (c *Controller) EmergencyCrossings() ([]residency.Crossing, int) {
 	if c.servingLease == nil || c.servingLease.residency == nil {
 		return nil, 0
 	}
--- a/internal/controller/residency_retention_test.go
+++ b/internal/controller/residency_retention_test.go
@@ -36,8 +36,8 @@
 	}
 	s.of(c, "linz", 4)
 	s.ran(2 * time.Second)
-	if s.of(c, "linz", 4); s.ran(time.Second) && s.R.AnswerCache().Counts.Hits != 1 {
-		t.Fatalf("%+v", s.R.AnswerCache().Counts)
+	if s.of(c, "linz", 4); s.ran(time.Second) && s.R.ResultCache().Counts.Hits != 1 {
+		t.Fatalf("%+v", s.R.ResultCache().Counts)
 	}
 	open(2, residency.Rule{Name: "r", Team: "linz", Tables: []int64{3, 4}, Engines: []string{here}, Keep: []string{}})
 	if ans := page(kept.Paging["token"]); ans.Kind != client.Killed {
@@ -48,7 +48,7 @@
 	if whole.Answer != client.Finished || pagesOf(whole) > 0 || len(whole.Rows) == 0 || again.Answer != client.Finished {
 		t.Fatalf("%v %v of %v bytes, %v", whole.Answer, whole.Paging, len(whole.Rows), again.Answer)
 	}
-	if n := s.R.AnswerCache().Counts.Hits; n != 1 {
+	if n := s.R.ResultCache().Counts.Hits; n != 1 {
 		t.Fatalf("%d answered from the cache", n)
 	}
 	if free := s.of(c, "linz", 5, "pages", "1"); s.ran(2*time.Second) && pagesOf(free) < 2 {
--- a/internal/controller/residency_test.go
+++ b/internal/controller/residency_test.go
@@ -159,7 +159,7 @@
 	}
 	s.order(fleet.Order{Kind: fleet.ViewChanged, View: &fleet.View{Emergencies: map[string]uint64{"r": 9}}})
 	h := s.waitForCall("POST", a.id)
-	if l, n := s.controller.ResidencyViolations(); n != 1 || l[0] != (residency.Crossing{Query: a.id, Team: "bank", Rule: "r", Site: "b"}) {
+	if l, n := s.controller.EmergencyCrossings(); n != 1 || l[0] != (residency.Crossing{Query: a.id, Team: "bank", Rule: "r", Site: "b"}) {
 		t.Fatal(l, n)
 	}
 	s.respond(h, "runs")
--- a/internal/controller/result_cache.go
+++ b/internal/controller/result_cache.go
@@ -18,9 +18,9 @@
 	cachedGroups map[string]bool // whose answers are cached, by the group's name
 }
 
-// cacheLookup is what the cache knows of a query: one that reads has an ask, one that changes
+// queryCacheState is what the cache knows of a query: one that reads has an ask, one that changes
 // tables has mutates set.
-type cacheLookup struct {
+type queryCacheState struct {
 	ask         *resultcache.Request
 	followTimer *timerqueue.Item // until when it may follow another
 	proceed     func()           // sends it on its way, if it has to lead
@@ -78,7 +78,7 @@
 		if !known {
 			written = nil
 		}
-		q.cacheState = &cacheLookup{mutates: true, tables: written}
+		q.cacheState = &queryCacheState{mutates: true, tables: written}
 		a.core.MutationStarted(a.now, written)
 	}
 }
@@ -89,7 +89,7 @@
 	if !a.mayLookUp(q) {
 		return true
 	}
-	l := &cacheLookup{ask: &resultcache.Request{
+	l := &queryCacheState{ask: &resultcache.Request{
 		Team:      a.dataOwner(from),
 		Group:     q.group.index,
 		Statement: q.statement,
@@ -179,8 +179,8 @@
 	}
 }
 
-// AnswerCache is the result cache, nil without one. It is for reports, between two steps.
-func (c *Controller) AnswerCache() *resultcache.Cache {
+// ResultCache is the result cache, nil without one. It is for reports, between two steps.
+func (c *Controller) ResultCache() *resultcache.Cache {
 	if c.caching == nil {
 		return nil
 	}
--- a/internal/controller/result_paging.go
+++ b/internal/controller/result_paging.go
@@ -13,9 +13,9 @@
 
 // SpoolConfig is what the program starts the spool with.
 type SpoolConfig struct {
-	Limits spool.Limits
-	Keys   *spool.Keyring
-	First  uint64 // number of its first result
+	Limits        spool.Limits
+	Keys          *spool.Keyring
+	FirstResultID uint64 // number of its first result
 	// Restore hands over what the disk held; nil if there is none.
 	Restore func(each func(f *spool.Found)) error
 }
@@ -38,7 +38,7 @@
 
 func newResultPaging(c *Controller, s *SpoolConfig) *resultPaging {
 	p := &resultPaging{Controller: c}
-	p.core = spool.New(s.Limits, s.Keys, c.StartedAt.UnixMilli(), s.First, func(w *spool.Work) {
+	p.core = spool.New(s.Limits, s.Keys, c.StartedAt.UnixMilli(), s.FirstResultID, func(w *spool.Work) {
 		c.emit(Effect{Kind: SubmitSpoolWork, SpoolWork: w})
 	})
 	if s.Restore != nil {
--- a/internal/controller/result_paging_test.go
+++ b/internal/controller/result_paging_test.go
@@ -65,7 +65,7 @@
 	figures := engine.Usual()
 	means := controller.Config{MemoryMB: 64, Sockets: 4096, Settings: bench.Facts(bench.Usual(), figures), Tenants: shape, StartedAt: time.UnixMilli(0),
 		FieldNames: controller.FieldNames{Tenant: "team", Paged: "pages"},
-		Spool:      &controller.SpoolConfig{Limits: l, Keys: keys, First: keeper.First(), Restore: keeper.Restore}}
+		Spool:      &controller.SpoolConfig{Limits: l, Keys: keys, FirstResultID: keeper.First(), Restore: keeper.Restore}}
 	for _, do := range change {
 		do(&means)
 	}
@@ -475,7 +475,7 @@
 		t.Error(got)
 	}
 	charged := 0.0
-	s.R.Teams(func(path string, _ int, n fairqueue.Counts) {
+	s.R.EachTenant(func(path string, _ int, n fairqueue.Counts) {
 		if strings.HasSuffix(path, "gauges-1") {
 			charged = n.Charged
 		}
--- a/internal/controller/serving_lease.go
+++ b/internal/controller/serving_lease.go
@@ -11,17 +11,17 @@
 
 // FleetConfig is what a controller with peers starts with.
 type FleetConfig struct {
-	// Word is what may be decided now. The node's goroutine and the controller's share it.
-	Word *fleet.ServingState
+	// ServingState is what may be decided now. The node's goroutine and the controller's share it.
+	ServingState *fleet.ServingState
 	// MaxHold is the longest that a query waits while this controller may not decide, before
 	// it is deferred. 0: 2 s.
 	MaxHold time.Duration
 	// RetryAfter is the time to come back that the deferred are told, where one may be told and
 	// within the longest that clients follow. 0: 1 s.
 	RetryAfter time.Duration
-	// Bound tells whether a query of a tenant, over a group of tables (-1: not
+	// IsConfined tells whether a query of a tenant, over a group of tables (-1: not
 	// known), needs the lease of confined tenants. nil: none does.
-	Bound func(tenant string, tables int64) bool
+	IsConfined func(tenant string, tables int64) bool
 }
 
 const (
@@ -99,21 +99,21 @@
 
 // servingVersion is the version to decide by, 0 if nothing may be decided.
 func (l *servingLease) servingVersion(confined bool) uint64 {
-	return l.Word.ServingVersion(l.now, confined)
+	return l.ServingState.ServingVersion(l.now, confined)
 }
 
 // handleFleetOrder does what the fleet orders. Orders come in the order of the log.
 func (l *servingLease) handleFleetOrder(o *fleet.Order) {
 	switch o.Kind {
 	case fleet.FencePolicy:
-		l.Word.SetVersion(0)
+		l.ServingState.SetVersion(0)
 		l.fencingChange = o.Change
 		l.updateServing()
 		l.reportFencedOnceIdle()
 	case fleet.OpenPolicy:
 		l.openPolicy(o)
 	case fleet.LeaseRenewed:
-		l.Word.SetLease(o.Until, o.UntilBound)
+		l.ServingState.SetLease(o.Until, o.UntilBound)
 		l.scheduleLeaseCheck()
 		l.updateServing()
 	case fleet.InvalidateData:
@@ -147,7 +147,7 @@
 func (l *servingLease) reportFencedOnceIdle() {
 	switch {
 	case l.fencingChange == "":
-	case !l.Word.WritesFinished():
+	case !l.ServingState.WritesFinished():
 		l.runAfter(writesIdlePollInterval, l.reportFencedOnceIdle)
 	default:
 		l.report(fleet.Report{Kind: fleet.PolicyFenced, Change: l.fencingChange})
@@ -159,7 +159,7 @@
 func (l *servingLease) scheduleLeaseCheck() {
 	l.timers.Drop(l.leaseTimer)
 	l.leaseTimer = nil
-	until, untilConfined := l.Word.LeaseEnds()
+	until, untilConfined := l.ServingState.LeaseEnds()
 	if untilConfined > l.now {
 		until = min(until, untilConfined)
 	}
@@ -214,7 +214,7 @@
 // acceptsQueries reports whether clients may expect answers here, as health checks are told. A
 // change of policy lasts a moment and is no reason to go elsewhere; a lost lease is.
 func (l *servingLease) acceptsQueries() bool {
-	until, _ := l.Word.LeaseEnds()
+	until, _ := l.ServingState.LeaseEnds()
 	return !l.paused() || l.policyVersion != 0 && l.now < until && l.now-l.pausedSince < l.MaxHold
 }
 
--- a/internal/controller/serving_lease_test.go
+++ b/internal/controller/serving_lease_test.go
@@ -15,7 +15,7 @@
 
 // withPeers is a stage whose controller has peers, with nothing opened yet.
 func withPeers(t interface{ Fatalf(string, ...any) }, engines int, more map[string]string, change ...func(*Config)) *harness {
-	return newHarness(t, engines, 256, more, append([]func(*Config){func(m *Config) { m.Fleet = &FleetConfig{Word: &fleet.ServingState{}} }}, change...)...)
+	return newHarness(t, engines, 256, more, append([]func(*Config){func(m *Config) { m.Fleet = &FleetConfig{ServingState: &fleet.ServingState{}} }}, change...)...)
 }
 
 func (s *harness) order(o fleet.Order) { s.step(Event{Kind: FleetOrdered, Order: &o}) }
@@ -26,9 +26,9 @@
 	s.order(fleet.Order{Kind: fleet.OpenPolicy, Version: version, Policy: &Policy{Version: version}})
 }
 
-// mayGo is the runner's last look: by the time it writes, it may be later.
-func (s *harness) mayGo(f Effect) bool {
-	w := s.controller.Config.Fleet.Word
+// mayWrite is the runner's last look: by the time it writes, it may be later.
+func (s *harness) mayWrite(f Effect) bool {
+	w := s.controller.Config.Fleet.ServingState
 	if !w.BeginWrite(s.now+s.writeDelay, f.PolicyVersion, f.Confined) {
 		return false
 	}
@@ -40,7 +40,7 @@
 	return true
 }
 
-func (s *harness) told(kind fleet.ReportKind) (n int) {
+func (s *harness) reportCount(kind fleet.ReportKind) (n int) {
 	for _, p := range s.reports {
 		if p.Kind == kind {
 			n++
@@ -67,7 +67,7 @@
 	if first.answer != "finished" || next.answer != "finished" || s.controller.servingLease.longestHold != time.Second {
 		t.Fatal(first.answer, next.answer, s.controller.servingLease.longestHold)
 	}
-	if s.told(fleet.PolicyOpened) != 1 || s.told(fleet.SitesServing) < 2 || !slices.Equal(s.reports[0].Sites, []string{"here"}) {
+	if s.reportCount(fleet.PolicyOpened) != 1 || s.reportCount(fleet.SitesServing) < 2 || !slices.Equal(s.reports[0].Sites, []string{"here"}) {
 		t.Fatalf("%+v", s.reports)
 	}
 }
@@ -155,21 +155,21 @@
 	s := withPeers(t, 1, map[string]string{"teams": "1", "team.0.name": "old", "team.0.quota": "5"}, func(m *Config) { m.FieldNames.Customer = "who" })
 	s.opens(1, time.Minute)
 	c := s.connect()
-	word := s.controller.Config.Fleet.Word
+	word := s.controller.Config.Fleet.ServingState
 	word.BeginWrite(s.now, 1, false) // one is being written
 	s.order(fleet.Order{Kind: fleet.FencePolicy, Change: "c"})
 	s.runUntil(10 * time.Millisecond)
 	a := s.sendQuery(c, "lookup", "", 5*time.Second, 1, "who", "new")
 	b := s.sendQuery(c, "lookup", "", 25*time.Second, 1)
-	if s.told(fleet.PolicyFenced) != 0 || len(a.runs) > 0 {
+	if s.reportCount(fleet.PolicyFenced) != 0 || len(a.runs) > 0 {
 		t.Fatal("closed while something is being written")
 	}
 	word.EndWrite()
 	s.runUntil(12 * time.Millisecond)
-	if s.told(fleet.PolicyFenced) != 1 {
+	if s.reportCount(fleet.PolicyFenced) != 1 {
 		t.Fatal("not told")
 	}
-	s.order(fleet.Order{Kind: fleet.OpenPolicy, Version: 2, Policy: &Policy{Version: 2, Facts: map[string]string{"group.0.timeout": "20000",
+	s.order(fleet.Order{Kind: fleet.OpenPolicy, Version: 2, Policy: &Policy{Version: 2, Settings: map[string]string{"group.0.timeout": "20000",
 		"group.0.value": "9", "group.0.target": "700", "threads": "2,3,2", "teams": "2", "team.0.name": "old", "team.1.name": "new", "team.1.quota": "7",
 		"group.0.effect": "mutating"}}})
 	if q := s.controller.queries[a.id]; q == nil || q.customer != 1 {
@@ -215,7 +215,7 @@
 // Bound teams' queries can need a shorter lease: only they wait, and none of their
 // key overtakes them.
 func TestOnlyConfinedTenantsWaitForTheirLease(t *testing.T) {
-	s := withPeers(t, 1, nil, func(m *Config) { m.Fleet.Bound = func(_ string, tables int64) bool { return tables == 7 } })
+	s := withPeers(t, 1, nil, func(m *Config) { m.Fleet.IsConfined = func(_ string, tables int64) bool { return tables == 7 } })
 	s.order(fleet.Order{Kind: fleet.OpenPolicy, Version: 1})
 	s.order(fleet.Order{Kind: fleet.LeaseRenewed, Until: fleet.Forever})
 	c := s.connect()
@@ -241,10 +241,10 @@
 	s.order(fleet.Order{Kind: fleet.FencePolicy, Change: "c"})
 	waits := s.controller.fairQueue.queue.Waiting()
 	s.runUntil(time.Second)
-	if s.controller.fairQueue.queue.Waiting() != waits || s.told(fleet.PolicyFenced) != 0 {
+	if s.controller.fairQueue.queue.Waiting() != waits || s.reportCount(fleet.PolicyFenced) != 0 {
 		t.Fatal("it went on")
 	}
-	s.order(fleet.Order{Kind: fleet.OpenPolicy, Version: 2, Policy: &Policy{Version: 2, Fair: &fairqueue.Config{Tenants: []fairqueue.Tenant{{Name: "b", Weight: 1}}}}})
+	s.order(fleet.Order{Kind: fleet.OpenPolicy, Version: 2, Policy: &Policy{Version: 2, Tenants: &fairqueue.Config{Tenants: []fairqueue.Tenant{{Name: "b", Weight: 1}}}}})
 	s.order(fleet.Order{Kind: fleet.InvalidateData, ID: "p", Scope: &fleet.Scope{Team: "a"}})
 	s.reportsFull, s.reports = false, nil
 	s.runUntil(s.now + 2*reportRetryInterval)
@@ -292,7 +292,7 @@
 				if len(s.versions) > before {
 					t.Fatalf("submitted while shut")
 				}
-				s.order(fleet.Order{Kind: fleet.OpenPolicy, Version: version, Policy: &Policy{Facts: map[string]string{"threads": "2,2,2"}}})
+				s.order(fleet.Order{Kind: fleet.OpenPolicy, Version: version, Policy: &Policy{Settings: map[string]string{"threads": "2,2,2"}}})
 			case 4:
 				s.order(fleet.Order{Kind: fleet.OpenPolicy, Version: version})
 				lease(time.Minute)
@@ -343,7 +343,7 @@
 		one()
 		return testing.AllocsPerRun(100, one)
 	}
-	off, on := cost(), cost(func(m *Config) { m.Fleet = &FleetConfig{Word: &fleet.ServingState{}} })
+	off, on := cost(), cost(func(m *Config) { m.Fleet = &FleetConfig{ServingState: &fleet.ServingState{}} })
 	if on > off+1 { // the sites told each second
 		t.Fatalf("%v off, %v on", off, on)
 	}
--- a/internal/eventloop/fleet_test.go
+++ b/internal/eventloop/fleet_test.go
@@ -98,7 +98,7 @@
 	ctx, stop := context.WithCancel(context.Background())
 	orders, reports, asked := make(chan fleet.Order), make(chan fleet.Report, 1), make(chan controller.Event)
 	done := make(chan error)
-	means := controller.Config{MemoryMB: 32, Sockets: 64, StartedAt: time.Now(), Fleet: &controller.FleetConfig{Word: &fleet.ServingState{}},
+	means := controller.Config{MemoryMB: 32, Sockets: 64, StartedAt: time.Now(), Fleet: &controller.FleetConfig{ServingState: &fleet.ServingState{}},
 		Settings: map[string]string{"locations": "here"}}
 	go func() { done <- Serve(ctx, listener, means, nil, FleetChannels{orders, reports}, asked, zerolog.Nop()) }()
 	orders <- fleet.Order{Kind: fleet.LeaseRenewed, Until: fleet.Forever, UntilBound: fleet.Forever}
@@ -115,7 +115,7 @@
 		}
 		i++
 	}
-	if means.Fleet.Word.ServingVersion(time.Minute, true) != 3 {
+	if means.Fleet.ServingState.ServingVersion(time.Minute, true) != 3 {
 		t.Fatal("the word doesn't hold")
 	}
 	stop()
--- a/internal/eventloop/run.go
+++ b/internal/eventloop/run.go
@@ -58,7 +58,7 @@
 	l := &loop{ctx: ctx, group: group, events: make(chan event), wires: map[*controller.Connection]*wire{}, later: map[*wire][]func(){}, log: log,
 		start: means.StartedAt, timer: time.NewTimer(time.Hour), room: make(chan struct{}, means.MaxClientConnections()), disk: disk, peers: peers}
 	if means.Fleet != nil {
-		l.word = means.Fleet.Word
+		l.word = means.Fleet.ServingState
 	}
 	if disk != nil {
 		l.work.ready = make(chan struct{}, 1)
--- a/internal/setup/placement_test.go
+++ b/internal/setup/placement_test.go
@@ -72,7 +72,7 @@
 		t.Fatal(err)
 	}
 	if rules := p.Rules.([]residency.Rule); len(rules) != 1 || rules[0].Name != "valley-only" || len(watched) > 0 ||
-		p.Facts["group.0.target"] != "2000" || len(p.Fair.Tenants) != 2 || p.Fair.Tenants[0].Weight != 5 || voters[0] != "c0=h:1" {
+		p.Settings["group.0.target"] != "2000" || len(p.Tenants.Tenants) != 2 || p.Tenants.Tenants[0].Weight != 5 || voters[0] != "c0=h:1" {
 		t.Fatalf("%+v %v", p, voters)
 	}
 	if own.Groups[0].Target != Span(time.Second) || len(own.Placement) != 2 || len(own.Fairness.Teams) != 3 {
--- a/internal/setup/spool.go
+++ b/internal/setup/spool.go
@@ -115,7 +115,7 @@
 			disk.Close()
 			return nil, err
 		}
-		part.First, part.Restore = disk.First(), disk.Restore
+		part.FirstResultID, part.Restore = disk.First(), disk.Restore
 	}
 	keys, err := spool.NewKeyring(text, s.Keys.or(24*time.Hour), wall, fresh)
 	if err == nil && disk != nil {
