--- a/cmd/railrelay-fleet/command.go
+++ b/cmd/railrelay-fleet/command.go
@@ -79,7 +79,7 @@
 			if err := oneOf(until, "", "settled"); err != nil {
 				return err
 			}
-			a := &fleet.Request{Kind: "apply", ID: id, Base: base, Policy: text, AwaitedStage: until, AbortAfterMs: d.atMost.Milliseconds(), WaitMs: wait.Milliseconds()}
+			a := &fleet.Request{Kind: "apply", ID: id, BaseVersion: base, Policy: text, AwaitedStage: until, AbortAfterMs: d.atMost.Milliseconds(), WaitMs: wait.Milliseconds()}
 			if wait == 0 {
 				a.WaitMs = (d.atMost + 5*time.Second).Milliseconds()
 			}
@@ -228,7 +228,7 @@
 	} else {
 		err = show(c.OutOrStdout(), r)
 	}
-	if status := r.Exit(); status != 0 && err == nil {
+	if status := r.ExitStatus(); status != 0 && err == nil {
 		return cli.Status{Code: status}
 	}
 	return err
@@ -287,10 +287,10 @@
 		}
 		serves := "doesn't serve"
 		switch {
-		case s.Serves && s.LeaseMS < 0:
+		case s.Serves && s.LeaseRemainingMs < 0:
 			serves = "serves, its lease has no end"
 		case s.Serves:
-			serves = fmt.Sprintf("serves, %v left of its lease", time.Duration(s.LeaseMS)*time.Millisecond)
+			serves = fmt.Sprintf("serves, %v left of its lease", time.Duration(s.LeaseRemainingMs)*time.Millisecond)
 		}
 		fmt.Fprintf(w, "%s: %s, record %d, version %d, %s\n", s.Name, leader, s.Index, s.Version, serves)
 		if s.Change != nil {
@@ -303,21 +303,21 @@
 			fmt.Fprintf(w, "emergency by rule %s\n", rule)
 		}
 		for _, b := range s.Bindings {
-			fmt.Fprintf(w, "tables %s of %s follow %s\n", numbers(b.Tables), b.Team, numbers(b.From))
+			fmt.Fprintf(w, "tables %s of %s follow %s\n", numbers(b.Tables), b.Team, numbers(b.SourceTables))
 		}
 		if len(s.Members) > 0 {
 			fmt.Fprintln(w, "\ncontroller\tsite\tvotes\tholds\trecord\tpeers\tclients")
 		}
 		for _, m := range s.Members {
-			holds := m.Holds.String()
+			holds := m.Lease.String()
 			if m.Forgotten {
 				holds = "forgotten"
 			}
 			applied := ""
-			if m.Applied > 0 {
-				applied = strconv.FormatUint(m.Applied, 10)
+			if m.AppliedIndex > 0 {
+				applied = strconv.FormatUint(m.AppliedIndex, 10)
 			}
-			fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%s\t%s\n", m.Name, cmp.Or(m.Site, "-"), yes(m.Votes), holds, cmp.Or(applied, "-"), m.Peer, cmp.Or(m.Clients, "-"))
+			fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%s\t%s\n", m.Name, cmp.Or(m.Site, "-"), yes(m.IsVoter), holds, cmp.Or(applied, "-"), m.PeerAddress, cmp.Or(m.ClientAddress, "-"))
 		}
 	}
 	return w.Flush()
--- a/cmd/railrelay-fleet/control_test.go
+++ b/cmd/railrelay-fleet/control_test.go
@@ -105,7 +105,7 @@
 		t.Fatalf("%s leads", s.Leader)
 	}
 	for _, m := range s.Members {
-		if m.Votes != isVoter(m.Name) || (m.Clients == "") != (isVoter(m.Name) || m.Name == relay.name) {
+		if m.IsVoter != isVoter(m.Name) || (m.ClientAddress == "") != (isVoter(m.Name) || m.Name == relay.name) {
 			t.Errorf("%+v", m)
 		}
 	}
@@ -181,7 +181,7 @@
 		m.until("a control process as leader", func(s *fleet.Status) bool { return serves(s) && s.Version == 2 && strings.HasPrefix(s.Leader, "v") })
 	}
 	voting[0].until("the votes with control processes only", func(s *fleet.Status) bool {
-		return !slices.ContainsFunc(s.Members, func(m fleet.MemberStatus) bool { return m.Votes != strings.HasPrefix(m.Name, "v") })
+		return !slices.ContainsFunc(s.Members, func(m fleet.MemberStatus) bool { return m.IsVoter != strings.HasPrefix(m.Name, "v") })
 	})
 }
 
--- a/cmd/railrelay-fleet/plan.go
+++ b/cmd/railrelay-fleet/plan.go
@@ -93,7 +93,7 @@
 		return nil, w, fmt.Errorf("the controller tells no status: %s", status.Reason)
 	}
 	for _, m := range status.Status.Members {
-		if m.Clients != "" { // one of the control role takes no queries
+		if m.ClientAddress != "" { // one of the control role takes no queries
 			w.Controllers = append(w.Controllers, m.Member)
 		}
 	}
--- a/internal/bench/many.go
+++ b/internal/bench/many.go
@@ -228,7 +228,7 @@
 		<-f.applied
 	}
 	base, asked := uint64(i+1), time.Now()
-	a := &fleet.Request{Kind: "apply", ID: fmt.Sprint("change-", i), Base: base, WaitMs: inForceWithin.Milliseconds(),
+	a := &fleet.Request{Kind: "apply", ID: fmt.Sprint("change-", i), BaseVersion: base, WaitMs: inForceWithin.Milliseconds(),
 		Policy: fmt.Appendf(nil, "fairness: {teams: [{name: a, weight: %d}, {name: b, weight: 1}]}\n", i+2)}
 	r, err := f.controllers[i%len(f.controllers)].ask(f.ctx, a)
 	if err != nil {
--- a/internal/bench/many_record.go
+++ b/internal/bench/many_record.go
@@ -97,15 +97,15 @@
 func (b *recordBuilder) change() error {
 	id := fmt.Sprint("change-", b.state.Index)
 	policy := fmt.Appendf(nil, "fairness: {teams: [{name: a, weight: %d}, {name: b, weight: 1}]}\n", b.state.Version%9+1)
-	return b.decide(&fleet.Entry{Kind: fleet.EntryPropose, ID: id, RequestedBy: "operator", Base: b.state.Version, Policy: policy},
-		&fleet.Entry{Kind: fleet.EntryFence, ID: id}, &fleet.Entry{Kind: fleet.EntryCommit, ID: id}, &fleet.Entry{Kind: fleet.EntrySettle, ID: id},
-		&fleet.Entry{Kind: fleet.EntryFinishTightening, ID: id})
+	return b.decide(&fleet.Entry{Kind: fleet.EntryPropose, ID: id, RequestedBy: "operator", BaseVersion: b.state.Version, Policy: policy},
+		&fleet.Entry{Kind: fleet.EntryFence, ID: id}, &fleet.Entry{Kind: fleet.EntryCommit, ID: id}, &fleet.Entry{Kind: fleet.EntryEnterForce, ID: id},
+		&fleet.Entry{Kind: fleet.EntryFinishCleanup, ID: id})
 }
 
 // comeAndGo puts a controller into the record that joins and whose disk is forgotten.
 func (b *recordBuilder) comeAndGo() error {
 	name := fmt.Sprint("gone-", b.state.Index)
-	member := &fleet.Member{Name: name, Disk: fmt.Sprintf("%016x", b.state.Index), Site: "here", Peer: "10.0.0.1:7600", Clients: "10.0.0.1:7602"}
+	member := &fleet.Member{Name: name, DiskID: fmt.Sprintf("%016x", b.state.Index), Site: "here", PeerAddress: "10.0.0.1:7600", ClientAddress: "10.0.0.1:7602"}
 	return b.decide(&fleet.Entry{Kind: fleet.EntryJoin, ID: name, Name: name, Member: member}, &fleet.Entry{Kind: fleet.EntryForget, ID: name, Name: name})
 }
 
--- a/internal/bench/relays_hollow_test.go
+++ b/internal/bench/relays_hollow_test.go
@@ -156,7 +156,7 @@
 func (g *hollowGuests) wordOn(a *fleet.Request, by *process) bool {
 	word := g.f.apply(by, a)
 	if word == "in force" {
-		g.judge.told(toldWord{id: a.ID, by: by.name, word: word, version: a.Base + 1, at: time.Now()})
+		g.judge.told(toldWord{id: a.ID, by: by.name, word: word, version: a.BaseVersion + 1, at: time.Now()})
 	}
 	return word == "in force"
 }
--- a/internal/bench/relays_watch_test.go
+++ b/internal/bench/relays_watch_test.go
@@ -135,7 +135,8 @@
 	s = sighting{process: p.name, asked: time.Now()}
 	status := f.status(p)
 	s.told = time.Now()
-	s.serves, s.version, s.lease = status.Serves, status.Version, time.Duration(status.LeaseMS)*time.Millisecond
+	s.serves, s.version, s.lease = status.Serves, status.Version,
+		time.Duration(status.LeaseRemainingMs)*time.Millisecond
 	return s, status.Name != ""
 }
 
--- a/internal/bench/scale_changes.go
+++ b/internal/bench/scale_changes.go
@@ -58,7 +58,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.serial++
-	a := &fleet.Request{Kind: "apply", ID: fmt.Sprintf("change-%d-%d", f.Seed, f.serial), RequestedBy: "the laboratory", Base: f.version, Policy: text,
+	a := &fleet.Request{Kind: "apply", ID: fmt.Sprintf("change-%d-%d", f.Seed, f.serial), RequestedBy: "the laboratory", BaseVersion: f.version, Policy: text,
 		WaitMs: askPatience.Milliseconds()}
 	f.asked = append(f.asked, a)
 	f.judge.asked(a.ID, xxhash.Sum64(text))
@@ -144,7 +144,7 @@
 		return
 	}
 	s := r.Status
-	f.judge.sampled(servingSample{name, asked, time.Now(), s.Serves, s.Version, s.LeaseMS})
+	f.judge.sampled(servingSample{name, asked, time.Now(), s.Serves, s.Version, s.LeaseRemainingMs})
 }
 
 // changesAtRest asks for changes one after the other, some of them large, and for one
--- a/internal/bench/scale_growth.go
+++ b/internal/bench/scale_growth.go
@@ -103,7 +103,7 @@
 	}
 	grown.MB = used.Resident
 	asked := time.Now()
-	r, err := p.ask(ctx, &fleet.Request{Kind: "apply", ID: "grown", Base: b.state.Version, Policy: policyText(1, 1000), WaitMs: inForceWithin.Milliseconds()})
+	r, err := p.ask(ctx, &fleet.Request{Kind: "apply", ID: "grown", BaseVersion: b.state.Version, Policy: policyText(1, 1000), WaitMs: inForceWithin.Milliseconds()})
 	if err != nil {
 		return grown, err
 	}
--- a/internal/bench/schedule_actors.go
+++ b/internal/bench/schedule_actors.go
@@ -57,7 +57,7 @@
 	a.drops = map[string]fleet.Order{}
 	var voters []consensus.Voter
 	for _, v := range p.all[:p.Voters] {
-		voters = append(voters, consensus.Voter{Name: v.name, Address: v.member.Peer})
+		voters = append(voters, consensus.Voter{Name: v.name, Address: v.member.PeerAddress})
 	}
 	p.check.Note(p.now, a.name+" starts", a.name)
 	begin := node.Config{Self: a.member, Voters: voters, Lease: p.Lease, ConfinedLease: p.Lease / 2, ClockDrift: 0.01,
@@ -71,7 +71,7 @@
 	}
 	a.core = core
 	p.effects(a, effects)
-	if !a.member.Control {
+	if !a.member.ControlOnly {
 		p.in(p.span(0, 20*time.Millisecond), a, func() { p.take(a) })
 	}
 }
@@ -85,7 +85,7 @@
 	}
 	for i := range min(2, p.Relays) {
 		via := p.all[p.Voters+(place+i)%p.Relays]
-		upstreams = append(upstreams, node.Upstream{Name: via.name, Address: via.member.Peer})
+		upstreams = append(upstreams, node.Upstream{Name: via.name, Address: via.member.PeerAddress})
 	}
 	return false, upstreams
 }
@@ -133,7 +133,7 @@
 				if _, rest, had := strings.Cut(text, " voters "); had {
 					names, _, _ := strings.Cut(rest, " unfit")
 					for name := range strings.SplitSeq(names, ",") {
-						ev.Voters = append(ev.Voters, name+"="+p.byName[name].member.Peer)
+						ev.Voters = append(ev.Voters, name+"="+p.byName[name].member.PeerAddress)
 					}
 				}
 				if strings.HasSuffix(text, " unfit for "+a.name) {
@@ -145,7 +145,7 @@
 			a.queue = append(a.queue, e.Order)
 			p.work(a)
 		case node.Respond:
-			p.told(e.Handle, e.Reply)
+			p.told(e.Handle, e.Response)
 		case node.SetTimer:
 			a.wake++
 			n := a.wake
@@ -155,7 +155,7 @@
 				}
 			})
 		case node.LogMessage:
-			if e.Loud {
+			if e.LogAlways {
 				p.check.Note(p.now, a.name+" says: "+e.LogText, a.name)
 			}
 		}
@@ -218,17 +218,17 @@
 	switch o.Kind {
 	case fleet.FencePolicy:
 		a.word.SetVersion(0)
-		a.version, a.shut = 0, o.Change
-		p.check.Note(p.now, a.name+" is shut for "+o.Change, a.name, o.Change)
+		a.version, a.shut = 0, o.ChangeID
+		p.check.Note(p.now, a.name+" is shut for "+o.ChangeID, a.name, o.ChangeID)
 		p.shut(a)
-	case fleet.OpenPolicy:
+	case fleet.ActivatePolicy:
 		a.version, a.shut = o.Version, ""
 		a.policy, _ = o.Policy.(string)
 		a.word.SetVersion(o.Version)
 		p.check.Note(p.now, fmt.Sprintf("%s opens by version %d", a.name, o.Version), a.name, fmt.Sprint("version ", o.Version))
-		p.report(a, fleet.Report{Kind: fleet.PolicyOpened, Version: o.Version})
+		p.report(a, fleet.Report{Kind: fleet.PolicyActivated, Version: o.Version})
 	case fleet.LeaseRenewed:
-		a.word.SetLease(o.Until, o.UntilBound)
+		a.word.SetLease(o.LeaseEnd, o.ConfinedLeaseEnd)
 	case fleet.ViewChanged:
 		a.index = o.View.Index
 	case fleet.InvalidateData:
@@ -257,7 +257,7 @@
 		return
 	}
 	if a.word.WritesFinished() {
-		p.report(a, fleet.Report{Kind: fleet.PolicyFenced, Change: a.shut})
+		p.report(a, fleet.Report{Kind: fleet.PolicyFenced, ChangeID: a.shut})
 		return
 	}
 	change := a.shut
--- a/internal/bench/schedule_operators.go
+++ b/internal/bench/schedule_operators.go
@@ -39,7 +39,7 @@
 	}
 	n := len(p.ops)
 	change := func(i int) *operation {
-		o := &operation{ask: fleet.Request{Kind: "apply", ID: fmt.Sprintf("change-%d", i), RequestedBy: "op", Base: base, WaitMs: 2000}}
+		o := &operation{ask: fleet.Request{Kind: "apply", ID: fmt.Sprintf("change-%d", i), RequestedBy: "op", BaseVersion: base, WaitMs: 2000}}
 		text := "policy of " + o.ask.ID
 		if p.Revote && p.Controllers > p.Voters && p.rng.IntN(6) == 0 && !slices.ContainsFunc(p.all, func(a *actor) bool { return a.gone }) {
 			p.revoted = true // others vote from now on, if it comes into force
@@ -112,7 +112,7 @@
 			ask.AwaitedStage = ""
 		}
 		p.in(p.span(0, time.Millisecond), a, func() {
-			p.step(a, node.Event{Kind: node.OperatorRequested, Ask: &ask, Handle: h})
+			p.step(a, node.Event{Kind: node.OperatorRequested, Request: &ask, Handle: h})
 		})
 		return
 	}
@@ -132,7 +132,7 @@
 	switch o.ask.Kind {
 	case "apply":
 		p.check.Changed(p.now, x.at.name, o.ask.ID, r.Outcome, r.Version)
-		p.words = append(p.words, historycheck.Word{Client: len(p.words) % 7, From: x.from, To: p.now + 1, ID: o.ask.ID, Base: o.ask.Base, Proposes: true,
+		p.words = append(p.words, historycheck.Word{Client: len(p.words) % 7, From: x.from, To: p.now + 1, ID: o.ask.ID, Base: o.ask.BaseVersion, Proposes: true,
 			Word: r.Outcome, Version: r.Version})
 	case "purge":
 		p.check.PurgeTold(p.now, x.at.name, o.ask.ID, r.Outcome, r.Counts)
--- a/internal/bench/schedules.go
+++ b/internal/bench/schedules.go
@@ -141,8 +141,8 @@
 	for i := range s.Controllers {
 		name := fmt.Sprintf("c%d", i)
 		a := &actor{name: name, disk: "disk-" + name, rate: 1 + (p.rng.Float64()-0.5)*0.009, drops: map[string]fleet.Order{}, items: map[string]item{}}
-		a.member = fleet.Member{Name: name, Disk: a.disk, Site: []string{"east", "west"}[i%2], Peer: name + ":1", Clients: name + ":2",
-			Control: s.Control && i < s.Voters+s.Relays}
+		a.member = fleet.Member{Name: name, DiskID: a.disk, Site: []string{"east", "west"}[i%2], PeerAddress: name + ":1", ClientAddress: name + ":2",
+			ControlOnly: s.Control && i < s.Voters+s.Relays}
 		p.all = append(p.all, a)
 		p.byName[name] = a
 	}
@@ -216,7 +216,7 @@
 	for _, h := range slices.Sorted(maps.Keys(p.asks)) {
 		x := p.asks[h]
 		if x.op.ask.Kind == "apply" { // who was asked is gone; it may have passed it on before
-			p.words = append(p.words, historycheck.Word{Client: len(p.words) % 7, From: x.from, ID: x.op.ask.ID, Base: x.op.ask.Base, Proposes: true, Word: "unknown"})
+			p.words = append(p.words, historycheck.Word{Client: len(p.words) % 7, From: x.from, ID: x.op.ask.ID, Base: x.op.ask.BaseVersion, Proposes: true, Word: "unknown"})
 		}
 		if x.last {
 			p.broken("false_word: %s was asked for %s after all was healed and says nothing", x.at.name, x.op.ask.ID)
--- a/internal/bench/storm.go
+++ b/internal/bench/storm.go
@@ -291,7 +291,7 @@
 	return g.eventually(10*time.Second, voter.name+" votes", func() bool {
 		for _, m := range g.status(g.leader()).Members {
 			if m.Name == voter.name {
-				return m.Votes
+				return m.IsVoter
 			}
 		}
 		return false
@@ -306,7 +306,7 @@
 		return nil, fmt.Errorf("the last change: %s %w", word, err)
 	}
 	for _, b := range g.changes { // asking again by id gives the same word
-		g.apply(g.members[g.rng.IntN(len(g.members))], &fleet.Request{Kind: "status", ID: b.ID, Base: b.Base, WaitMs: 300})
+		g.apply(g.members[g.rng.IntN(len(g.members))], &fleet.Request{Kind: "status", ID: b.ID, BaseVersion: b.BaseVersion, WaitMs: 300})
 	}
 	if err := g.eventually(10*time.Second, "acts by the last version everywhere", func() bool {
 		g.mu.Lock()
--- a/internal/bench/together_operators.go
+++ b/internal/bench/together_operators.go
@@ -20,7 +20,7 @@
 		}
 	}
 	k := g.next % marks
-	a := &fleet.Request{Kind: "apply", ID: fmt.Sprintf("change-%d", len(g.changes)), RequestedBy: "the laboratory", Base: base, Policy: []byte(placementText(k)),
+	a := &fleet.Request{Kind: "apply", ID: fmt.Sprintf("change-%d", len(g.changes)), RequestedBy: "the laboratory", BaseVersion: base, Policy: []byte(placementText(k)),
 		AbortAfterMs: atMost.Milliseconds(), WaitMs: 3000}
 	if spoilt {
 		a.Policy = []byte(placementText(k) + "groups: [{name: nobody, value: 2}]\n")
@@ -36,7 +36,7 @@
 	r, err := g.ask(p, a)
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	w := historycheck.Word{Client: len(g.words) % 11, From: from, To: g.since(), ID: a.ID, Base: a.Base, Proposes: true, Word: "unknown"}
+	w := historycheck.Word{Client: len(g.words) % 11, From: from, To: g.since(), ID: a.ID, Base: a.BaseVersion, Proposes: true, Word: "unknown"}
 	if err == nil {
 		w.Word, w.Version = r.Outcome, r.Version
 		g.fleet.Changed(g.since(), p.name, a.ID, r.Outcome, r.Version)
--- a/internal/bench/together_processes.go
+++ b/internal/bench/together_processes.go
@@ -143,7 +143,7 @@
 			_, err := g.ask(p, &fleet.Request{Kind: "status", WaitMs: 500})
 			fmt.Fprintf(&b, "\n%s can't be asked: %v", p.name, err)
 		}
-		fmt.Fprintf(&b, "\n%s: leader %s, index %d, version %d, serves %v, lease %d ms, change %+v", p.name, s.Leader, s.Index, s.Version, s.Serves, s.LeaseMS, s.Change)
+		fmt.Fprintf(&b, "\n%s: leader %s, index %d, version %d, serves %v, lease %d ms, change %+v", p.name, s.Leader, s.Index, s.Version, s.Serves, s.LeaseRemainingMs, s.Change)
 		if text, err := os.ReadFile(g.path(p.name + ".log")); err == nil {
 			lines := slices.DeleteFunc(strings.Split(strings.TrimSpace(string(text)), "\n"), func(l string) bool {
 				return strings.Contains(l, `"query"`)
--- a/internal/controller/fleet_reports.go
+++ b/internal/controller/fleet_reports.go
@@ -64,7 +64,8 @@
 }
 
 func (l *servingLease) reportSites(sites []string) {
-	l.report(fleet.Report{Kind: fleet.SitesServing, Sites: sites, Outside: l.residency.countOutside()})
+	l.report(fleet.Report{Kind: fleet.SitesServing, ServingSites: sites,
+		AttemptsOutside: l.residency.countOutside()})
 }
 
 // servingSites are the locations that have active engines, in the order of the settings.
--- a/internal/controller/invalidation_test.go
+++ b/internal/controller/invalidation_test.go
@@ -137,8 +137,8 @@
 	word := &fleet.ServingState{}
 	s := keeps(t, word)
 	c := s.client()
-	s.Order(fleet.Order{Kind: fleet.OpenPolicy, Version: 1})
-	s.Order(fleet.Order{Kind: fleet.LeaseRenewed, Until: fleet.Forever, UntilBound: 4 * time.Second})
+	s.Order(fleet.Order{Kind: fleet.ActivatePolicy, Version: 1})
+	s.Order(fleet.Order{Kind: fleet.LeaseRenewed, LeaseEnd: fleet.Forever, ConfinedLeaseEnd: 4 * time.Second})
 	a := s.of(c, "linz", 3, "pages", "1")
 	whole := s.of(c, "linz", 3)
 	s.Until(3 * time.Second)
@@ -156,7 +156,7 @@
 	if barred.Kind != client.Deferred || cached.Answered && cached.Answer == client.Finished && bytes.Equal(cached.Rows, whole.Rows) {
 		t.Fatalf("served without a lease: %+v", barred)
 	}
-	s.Reports = slices.DeleteFunc(s.Reports, func(p fleet.Report) bool { return p.Kind == fleet.SitesServing || p.Kind == fleet.PolicyOpened })
+	s.Reports = slices.DeleteFunc(s.Reports, func(p fleet.Report) bool { return p.Kind == fleet.SitesServing || p.Kind == fleet.PolicyActivated })
 	if len(s.Reports) != 2 || s.Reports[0].Request.Kind != "purge" || s.Reports[0].Request.Scope.Team != "linz" || s.Reports[1].Request.Kind != "status" ||
 		s.Reports[1].Request.ID != "p1" || s.Reports[1].Request.Team != "linz" {
 		t.Fatalf("the fleet isn't asked: %+v", s.Reports)
@@ -187,7 +187,7 @@
 		t.Errorf("not recorded: %+v, %+v", lost, s.Reports[n:])
 	}
 	silent := s.purge(c, "patience", "300", "team", "linz") // the fleet says nothing
-	s.Order(fleet.Order{Kind: fleet.LeaseRenewed, Until: fleet.Forever, UntilBound: fleet.Forever})
+	s.Order(fleet.Order{Kind: fleet.LeaseRenewed, LeaseEnd: fleet.Forever, ConfinedLeaseEnd: fleet.Forever})
 	gone, stays := &client.Answer{}, &client.Answer{}
 	c.Page(a.Paging["token"], 1, func(ans client.Answer) { *gone = ans }, "team", "linz")
 	c.Page(later.Paging["token"], 1, func(ans client.Answer) { *stays = ans }, "team", "linz")
@@ -204,8 +204,8 @@
 func TestPagesObeyResidencyRules(t *testing.T) {
 	s := keeps(t, &fleet.ServingState{})
 	c := s.client()
-	s.Order(fleet.Order{Kind: fleet.OpenPolicy, Version: 1})
-	s.Order(fleet.Order{Kind: fleet.LeaseRenewed, Until: fleet.Forever, UntilBound: fleet.Forever})
+	s.Order(fleet.Order{Kind: fleet.ActivatePolicy, Version: 1})
+	s.Order(fleet.Order{Kind: fleet.LeaseRenewed, LeaseEnd: fleet.Forever, ConfinedLeaseEnd: fleet.Forever})
 	a := s.of(c, "linz", 3, "pages", "1")
 	s.Until(3 * time.Second)
 	for i, want := range []client.Kind{client.Finished, client.Killed, client.Finished} {
@@ -213,7 +213,7 @@
 		if i == 1 { // this controller stands nowhere
 			rules = []residency.Rule{{Name: "inside", Team: "linz", Tables: []int64{3}, Engines: []string{"here"}, Controllers: []string{"here"}, Keep: []string{"here"}}}
 		}
-		s.Order(fleet.Order{Kind: fleet.OpenPolicy, Version: uint64(i + 2), Policy: &controller.Policy{Version: uint64(i + 2), Rules: rules}})
+		s.Order(fleet.Order{Kind: fleet.ActivatePolicy, Version: uint64(i + 2), Policy: &controller.Policy{Version: uint64(i + 2), Rules: rules}})
 		got := client.Kind(-1)
 		c.Page(a.Paging["token"], 1, func(ans client.Answer) { got = ans.Kind }, "team", "linz")
 		s.Until(s.Now + time.Second)
--- a/internal/controller/policy_update.go
+++ b/internal/controller/policy_update.go
@@ -35,7 +35,8 @@
 		}
 	}
 	l.Word.SetVersion(order.Version)
-	l.report(fleet.Report{Kind: fleet.PolicyOpened, Version: order.Version, Outside: l.residency.countOutside()})
+	l.report(fleet.Report{Kind: fleet.PolicyActivated, Version: order.Version,
+		AttemptsOutside: l.residency.countOutside()})
 	l.updateServing()
 }
 
--- a/internal/controller/residency.go
+++ b/internal/controller/residency.go
@@ -190,8 +190,8 @@
 	r.redirectedQueries++
 	var controllers []string
 	for _, m := range r.fleetView.Members {
-		if !m.Forgotten && m.Clients != "" && slices.Contains(v.Takers, m.Site) {
-			controllers = append(controllers, m.Clients)
+		if !m.Forgotten && m.ClientAddress != "" && slices.Contains(v.Takers, m.Site) {
+			controllers = append(controllers, m.ClientAddress)
 		}
 	}
 	outside := &residency.Outside{
@@ -221,7 +221,7 @@
 func (r *residencyState) requestBinding(required *fleet.Binding) {
 	// The id is the same everywhere and after a restart, and differs for each binding: the
 	// fleet takes one that it has seen as asked for again.
-	sum := sha256.Sum256(fmt.Appendf(nil, "%q %v %v", required.Team, required.Tables, required.From))
+	sum := sha256.Sum256(fmt.Appendf(nil, "%q %v %v", required.Team, required.Tables, required.SourceTables))
 	id := fmt.Sprintf("bind-%x", sum[:16])
 	if r.pendingBindings[id] != nil {
 		return
@@ -234,13 +234,13 @@
 
 func (r *residencyState) sendBindingRequest(id string, b *bindingRequest) {
 	ask := &fleet.Request{
-		Kind:        "bind",
-		ID:          id,
-		RequestedBy: r.core.Site(),
-		Team:        b.binding.Team,
-		Tables:      b.binding.Tables,
-		From:        b.binding.From,
-		WaitMs:      bindingWait.Milliseconds(),
+		Kind:         "bind",
+		ID:           id,
+		RequestedBy:  r.core.Site(),
+		Team:         b.binding.Team,
+		Tables:       b.binding.Tables,
+		SourceTables: b.binding.SourceTables,
+		WaitMs:       bindingWait.Milliseconds(),
 	}
 	r.report(fleet.Report{Kind: fleet.RequestMade, ID: id, Request: ask})
 }
--- a/internal/controller/residency_retention_test.go
+++ b/internal/controller/residency_retention_test.go
@@ -19,9 +19,9 @@
 	})
 	here, _, _ := strings.Cut(s.R.Settings["locations"], ",")
 	open := func(version uint64, rules ...residency.Rule) {
-		s.Order(fleet.Order{Kind: fleet.OpenPolicy, Version: version, Policy: &controller.Policy{Version: version, Rules: rules}})
+		s.Order(fleet.Order{Kind: fleet.ActivatePolicy, Version: version, Policy: &controller.Policy{Version: version, Rules: rules}})
 	}
-	s.Order(fleet.Order{Kind: fleet.LeaseRenewed, Until: fleet.Forever, UntilBound: fleet.Forever})
+	s.Order(fleet.Order{Kind: fleet.LeaseRenewed, LeaseEnd: fleet.Forever, ConfinedLeaseEnd: fleet.Forever})
 	open(1, residency.Rule{Name: "r", Team: "linz", Engines: []string{here}})
 	c := s.client()
 	page := func(token string) *client.Answer {
--- a/internal/controller/residency_test.go
+++ b/internal/controller/residency_test.go
@@ -30,8 +30,8 @@
 
 // rules opens a version with rules.
 func (s *harness) rules(version uint64, rules ...residency.Rule) {
-	s.order(fleet.Order{Kind: fleet.LeaseRenewed, Until: fleet.Forever, UntilBound: fleet.Forever})
-	s.order(fleet.Order{Kind: fleet.OpenPolicy, Version: version, Policy: &Policy{Version: version, Rules: rules}})
+	s.order(fleet.Order{Kind: fleet.LeaseRenewed, LeaseEnd: fleet.Forever, ConfinedLeaseEnd: fleet.Forever})
+	s.order(fleet.Order{Kind: fleet.ActivatePolicy, Version: version, Policy: &Policy{Version: version, Rules: rules}})
 }
 
 func (s *harness) wanted() (l []*fleet.Request) {
@@ -75,8 +75,8 @@
 	s := placedStage(t, 3, "a", nil)
 	s.rules(1, residency.Rule{Name: "in-a", Team: "bank", Tables: []int64{1}, Engines: []string{"a"}},
 		residency.Rule{Name: "in-b", Team: "bank", Tables: []int64{2}, Engines: []string{"b"}})
-	s.order(fleet.Order{Kind: fleet.ViewChanged, View: &fleet.View{Members: []fleet.Member{{Name: "x", Site: "b", Clients: "10.9.9.9:6565"},
-		{Name: "y", Site: "b", Clients: "10.9.9.8:6565", Forgotten: true}, {Name: "z", Site: "c", Clients: "10.9.9.7:6565"}}}})
+	s.order(fleet.Order{Kind: fleet.ViewChanged, View: &fleet.View{Members: []fleet.Member{{Name: "x", Site: "b", ClientAddress: "10.9.9.9:6565"},
+		{Name: "y", Site: "b", ClientAddress: "10.9.9.8:6565", Forgotten: true}, {Name: "z", Site: "c", ClientAddress: "10.9.9.7:6565"}}}})
 	c := s.connect()
 	s.body = "select * from d_1.x join d_2.y using (id)"
 	both := s.sendQuery(c, "lookup", "", 5*time.Second, 0, "who", "bank")
@@ -108,7 +108,7 @@
 	behind := s.sendQuery(c, "load", "k", 9*time.Second, 0, "who", "bank")
 	s.runUntil(s.now + 300*time.Millisecond)
 	asks := s.wanted()
-	if len(asks) != 1 || !slices.Equal(asks[0].Tables, []int64{5}) || !slices.Equal(asks[0].From, []int64{1}) || asks[0].Kind != "bind" {
+	if len(asks) != 1 || !slices.Equal(asks[0].Tables, []int64{5}) || !slices.Equal(asks[0].SourceTables, []int64{1}) || asks[0].Kind != "bind" {
 		t.Fatalf("%+v", asks)
 	}
 	if len(first.runs)+len(alike.runs)+len(behind.runs) > 0 {
@@ -164,7 +164,7 @@
 	}
 	s.respond(h, "runs")
 	s.runUntil(1050 * time.Millisecond) // sites are told each second
-	if p := s.lastSites(); p.Outside != 1 {
+	if p := s.lastSites(); p.AttemptsOutside != 1 {
 		t.Fatalf("%+v", p)
 	}
 }
@@ -232,7 +232,7 @@
 				}
 			case 5:
 				version++
-				s.order(fleet.Order{Kind: fleet.FencePolicy, Change: "c"})
+				s.order(fleet.Order{Kind: fleet.FencePolicy, ChangeID: "c"})
 				s.runUntil(s.now + rapid.SampledFrom([]time.Duration{0, 30 * time.Millisecond}).Draw(t, "switch"))
 				look()
 				now = draws()
@@ -262,7 +262,7 @@
 	within := slices.DeleteFunc([]string{"a", "b", "c"}, func(x string) bool { return x == at })
 	s.rules(2, residency.Rule{Name: "r", Team: "bank", Engines: within, Controllers: []string{"a"}})
 	for _, p := range s.reports {
-		if p.Kind == fleet.PolicyOpened && p.Version == 2 && p.Outside != 1 {
+		if p.Kind == fleet.PolicyActivated && p.Version == 2 && p.AttemptsOutside != 1 {
 			t.Errorf("%+v", p)
 		}
 	}
--- a/internal/controller/serving_lease.go
+++ b/internal/controller/serving_lease.go
@@ -107,13 +107,13 @@
 	switch o.Kind {
 	case fleet.FencePolicy:
 		l.Word.SetVersion(0)
-		l.fencingChange = o.Change
+		l.fencingChange = o.ChangeID
 		l.updateServing()
 		l.reportFencedOnceIdle()
-	case fleet.OpenPolicy:
+	case fleet.ActivatePolicy:
 		l.openPolicy(o)
 	case fleet.LeaseRenewed:
-		l.Word.SetLease(o.Until, o.UntilBound)
+		l.Word.SetLease(o.LeaseEnd, o.ConfinedLeaseEnd)
 		l.scheduleLeaseCheck()
 		l.updateServing()
 	case fleet.InvalidateData:
@@ -150,7 +150,7 @@
 	case !l.Word.WritesFinished():
 		l.runAfter(writesIdlePollInterval, l.reportFencedOnceIdle)
 	default:
-		l.report(fleet.Report{Kind: fleet.PolicyFenced, Change: l.fencingChange})
+		l.report(fleet.Report{Kind: fleet.PolicyFenced, ChangeID: l.fencingChange})
 		l.fencingChange = ""
 	}
 }
--- a/internal/controller/serving_lease_test.go
+++ b/internal/controller/serving_lease_test.go
@@ -22,8 +22,8 @@
 
 // opens has it decide by a version, with a lease for so long.
 func (s *harness) opens(version uint64, lease time.Duration) {
-	s.order(fleet.Order{Kind: fleet.LeaseRenewed, Until: s.now + lease, UntilBound: s.now + lease})
-	s.order(fleet.Order{Kind: fleet.OpenPolicy, Version: version, Policy: &Policy{Version: version}})
+	s.order(fleet.Order{Kind: fleet.LeaseRenewed, LeaseEnd: s.now + lease, ConfinedLeaseEnd: s.now + lease})
+	s.order(fleet.Order{Kind: fleet.ActivatePolicy, Version: version, Policy: &Policy{Version: version}})
 }
 
 // mayGo is the runner's last look: by the time it writes, it may be later.
@@ -67,7 +67,7 @@
 	if first.answer != "finished" || next.answer != "finished" || s.controller.servingLease.longestHold != time.Second {
 		t.Fatal(first.answer, next.answer, s.controller.servingLease.longestHold)
 	}
-	if s.told(fleet.PolicyOpened) != 1 || s.told(fleet.SitesServing) < 2 || !slices.Equal(s.reports[0].Sites, []string{"here"}) {
+	if s.told(fleet.PolicyActivated) != 1 || s.told(fleet.SitesServing) < 2 || !slices.Equal(s.reports[0].ServingSites, []string{"here"}) {
 		t.Fatalf("%+v", s.reports)
 	}
 }
@@ -157,7 +157,7 @@
 	c := s.connect()
 	word := s.controller.Config.Fleet.Word
 	word.BeginWrite(s.now, 1, false) // one is being written
-	s.order(fleet.Order{Kind: fleet.FencePolicy, Change: "c"})
+	s.order(fleet.Order{Kind: fleet.FencePolicy, ChangeID: "c"})
 	s.runUntil(10 * time.Millisecond)
 	a := s.sendQuery(c, "lookup", "", 5*time.Second, 1, "who", "new")
 	b := s.sendQuery(c, "lookup", "", 25*time.Second, 1)
@@ -169,7 +169,7 @@
 	if s.told(fleet.PolicyFenced) != 1 {
 		t.Fatal("not told")
 	}
-	s.order(fleet.Order{Kind: fleet.OpenPolicy, Version: 2, Policy: &Policy{Version: 2, Facts: map[string]string{"group.0.timeout": "20000",
+	s.order(fleet.Order{Kind: fleet.ActivatePolicy, Version: 2, Policy: &Policy{Version: 2, Facts: map[string]string{"group.0.timeout": "20000",
 		"group.0.value": "9", "group.0.target": "700", "threads": "2,3,2", "teams": "2", "team.0.name": "old", "team.1.name": "new", "team.1.quota": "7",
 		"group.0.effect": "mutating"}}})
 	if q := s.controller.queries[a.id]; q == nil || q.customer != 1 {
@@ -195,7 +195,7 @@
 	s.body = "insert into d_1.x select 1"
 	a := s.sendQuery(s.connect(), "load", "k", 9*time.Second, 1, "who", "bank")
 	q := s.controller.queries[a.id]
-	s.order(fleet.Order{Kind: fleet.FencePolicy, Change: "c"}) // while it waits for a line
+	s.order(fleet.Order{Kind: fleet.FencePolicy, ChangeID: "c"}) // while it waits for a line
 	s.runUntil(s.now + 300*time.Millisecond)
 	if len(s.controller.servingLease.blockedAttempts) != 1 {
 		t.Fatal("it doesn't wait")
@@ -204,7 +204,7 @@
 	if s.siteOf(q.attempts[0].engine) == "a" {
 		other = "b"
 	}
-	s.order(fleet.Order{Kind: fleet.OpenPolicy, Version: 2, Policy: &Policy{Version: 2,
+	s.order(fleet.Order{Kind: fleet.ActivatePolicy, Version: 2, Policy: &Policy{Version: 2,
 		Rules: []residency.Rule{{Name: "r", Team: "bank", Engines: []string{other}, Controllers: []string{"a"}}}}})
 	h := s.waitForCall("POST", a.id)
 	if h.engine.id == chosen || h.engine.site != other || !slices.Equal(s.versions, []uint64{2}) || s.controller.counters.attemptEnds[7] != 1 {
@@ -216,15 +216,16 @@
 // key overtakes them.
 func TestOnlyConfinedTenantsWaitForTheirLease(t *testing.T) {
 	s := withPeers(t, 1, nil, func(m *Config) { m.Fleet.Bound = func(_ string, tables int64) bool { return tables == 7 } })
-	s.order(fleet.Order{Kind: fleet.OpenPolicy, Version: 1})
-	s.order(fleet.Order{Kind: fleet.LeaseRenewed, Until: fleet.Forever})
+	s.order(fleet.Order{Kind: fleet.ActivatePolicy, Version: 1})
+	s.order(fleet.Order{Kind: fleet.LeaseRenewed, LeaseEnd: fleet.Forever})
 	c := s.connect()
 	bound, free, behind := s.sendQuery(c, "load", "k", 9*time.Second, 7), s.sendQuery(c, "load", "x", 9*time.Second, 1), s.sendQuery(c, "load", "k", 9*time.Second, 2)
 	s.runUntil(time.Second)
 	if len(bound.runs)+len(behind.runs) > 0 || len(free.runs) != 1 {
 		t.Fatal(len(bound.runs), len(behind.runs), len(free.runs))
 	}
-	s.order(fleet.Order{Kind: fleet.LeaseRenewed, Until: fleet.Forever, UntilBound: s.now + time.Minute})
+	s.order(fleet.Order{Kind: fleet.LeaseRenewed, LeaseEnd: fleet.Forever,
+		ConfinedLeaseEnd: s.now + time.Minute})
 	s.respond(s.waitForCall("POST", bound.id), "ok")
 	s.waitForCall("POST", behind.id)
 }
@@ -238,13 +239,13 @@
 		s.sendQuery(c, "lookup", "", 9*time.Second, 1)
 	}
 	s.reportsFull = true
-	s.order(fleet.Order{Kind: fleet.FencePolicy, Change: "c"})
+	s.order(fleet.Order{Kind: fleet.FencePolicy, ChangeID: "c"})
 	waits := s.controller.fairQueue.queue.Waiting()
 	s.runUntil(time.Second)
 	if s.controller.fairQueue.queue.Waiting() != waits || s.told(fleet.PolicyFenced) != 0 {
 		t.Fatal("it went on")
 	}
-	s.order(fleet.Order{Kind: fleet.OpenPolicy, Version: 2, Policy: &Policy{Version: 2, Fair: &fairqueue.Config{Tenants: []fairqueue.Tenant{{Name: "b", Weight: 1}}}}})
+	s.order(fleet.Order{Kind: fleet.ActivatePolicy, Version: 2, Policy: &Policy{Version: 2, Fair: &fairqueue.Config{Tenants: []fairqueue.Tenant{{Name: "b", Weight: 1}}}}})
 	s.order(fleet.Order{Kind: fleet.InvalidateData, ID: "p", Scope: &fleet.Scope{Team: "a"}})
 	s.reportsFull, s.reports = false, nil
 	s.runUntil(s.now + 2*reportRetryInterval)
@@ -252,7 +253,7 @@
 	for _, p := range s.reports {
 		kinds = append(kinds, p.Kind)
 	}
-	if !slices.Equal(kinds, []fleet.ReportKind{fleet.PolicyFenced, fleet.PolicyOpened, fleet.DataTombstoned, fleet.DataErased}) {
+	if !slices.Equal(kinds, []fleet.ReportKind{fleet.PolicyFenced, fleet.PolicyActivated, fleet.DataTombstoned, fleet.DataErased}) {
 		t.Fatal(kinds)
 	}
 	s.step(Event{Kind: CountersRequested})
@@ -279,22 +280,22 @@
 		part := len(choices) / len(orders)
 		for i, o := range orders {
 			lease := func(d time.Duration) {
-				s.order(fleet.Order{Kind: fleet.LeaseRenewed, Until: s.now + d, UntilBound: s.now + d/2})
+				s.order(fleet.Order{Kind: fleet.LeaseRenewed, LeaseEnd: s.now + d, ConfinedLeaseEnd: s.now + d/2})
 			}
 			switch s.writeDelay = 0; o {
 			case 0, 1:
-				s.order(fleet.Order{Kind: fleet.FencePolicy, Change: "c"})
+				s.order(fleet.Order{Kind: fleet.FencePolicy, ChangeID: "c"})
 			case 2, 3:
 				version++
-				s.order(fleet.Order{Kind: fleet.FencePolicy, Change: "c"})
+				s.order(fleet.Order{Kind: fleet.FencePolicy, ChangeID: "c"})
 				before := len(s.versions)
 				s.runUntil(s.now + 20*time.Millisecond)
 				if len(s.versions) > before {
 					t.Fatalf("submitted while shut")
 				}
-				s.order(fleet.Order{Kind: fleet.OpenPolicy, Version: version, Policy: &Policy{Facts: map[string]string{"threads": "2,2,2"}}})
+				s.order(fleet.Order{Kind: fleet.ActivatePolicy, Version: version, Policy: &Policy{Facts: map[string]string{"threads": "2,2,2"}}})
 			case 4:
-				s.order(fleet.Order{Kind: fleet.OpenPolicy, Version: version})
+				s.order(fleet.Order{Kind: fleet.ActivatePolicy, Version: version})
 				lease(time.Minute)
 			case 5:
 				lease(100 * time.Millisecond)
--- a/internal/emulator/hollow/controller.go
+++ b/internal/emulator/hollow/controller.go
@@ -98,7 +98,7 @@
 		return nil
 	}
 	select {
-	case opened.Reports() <- fleet.Report{Kind: fleet.SitesServing, Sites: c.config.Sites}:
+	case opened.Reports() <- fleet.Report{Kind: fleet.SitesServing, ServingSites: c.config.Sites}:
 	case <-ctx.Done():
 	}
 	return nil
@@ -131,8 +131,9 @@
 }
 
 func (c *controller) begin() node.Config {
-	b := node.Config{Self: fleet.Member{Name: c.member.Name, Site: c.member.Place.Zone, Peer: c.member.Listen,
-		Clients: c.member.Clients}, Lease: c.config.Lease,
+	b := node.Config{Self: fleet.Member{Name: c.member.Name, Site: c.member.Place.Zone,
+		PeerAddress:   c.member.Listen,
+		ClientAddress: c.member.Clients}, Lease: c.config.Lease,
 		ConfinedLease: c.config.Lease, ClockDrift: drift, ElectionTimeout: c.config.Election, HeartbeatInterval: c.config.Heartbeat, SnapshotAfterEntries: keepAtMost}
 	for _, v := range c.config.Voters {
 		b.Voters = append(b.Voters, consensus.Voter{Name: v.Name, Address: v.Address})
--- a/internal/emulator/hollow/reducer.go
+++ b/internal/emulator/hollow/reducer.go
@@ -71,13 +71,13 @@
 	case fleet.FencePolicy:
 		o.stop(now, "shut")
 		o.version = 0
-	case fleet.OpenPolicy:
+	case fleet.ActivatePolicy:
 		o.stop(now, "shut")
 		o.version, o.policy = order.Version, digest(order.Policy)
 		o.begin(now)
 	case fleet.LeaseRenewed:
 		o.stopLapsed(now)
-		o.until = order.Until
+		o.until = order.LeaseEnd
 		if o.until <= now {
 			o.stop(now, "lease")
 		}
--- a/internal/eventloop/fleet_test.go
+++ b/internal/eventloop/fleet_test.go
@@ -101,16 +101,16 @@
 	means := controller.Config{MemoryMB: 32, Sockets: 64, StartedAt: time.Now(), Fleet: &controller.FleetConfig{Word: &fleet.ServingState{}},
 		Settings: map[string]string{"locations": "here"}}
 	go func() { done <- Serve(ctx, listener, means, nil, FleetChannels{orders, reports}, asked, zerolog.Nop()) }()
-	orders <- fleet.Order{Kind: fleet.LeaseRenewed, Until: fleet.Forever, UntilBound: fleet.Forever}
+	orders <- fleet.Order{Kind: fleet.LeaseRenewed, LeaseEnd: fleet.Forever, ConfinedLeaseEnd: fleet.Forever}
 	for i := range 3 {
-		orders <- fleet.Order{Kind: fleet.OpenPolicy, Version: uint64(i + 1)}
+		orders <- fleet.Order{Kind: fleet.ActivatePolicy, Version: uint64(i + 1)}
 	}
 	for i := uint64(1); i <= 3; {
 		p := <-reports
 		if p.Kind == fleet.SitesServing {
 			continue
 		}
-		if p.Kind != fleet.PolicyOpened || p.Version != i {
+		if p.Kind != fleet.PolicyActivated || p.Version != i {
 			t.Fatalf("%+v, wanted version %d", p, i)
 		}
 		i++
--- a/internal/eventloop/wire.go
+++ b/internal/eventloop/wire.go
@@ -171,7 +171,7 @@
 			return
 		case len(p) > 0:
 			// an engine that has said something since was not asked for it, and it would pass for the answer
-			if !w.client && w.unheard.Load() || !g.permit.Holds(time.Since(l.start)) || g.kept && !l.word.ConfinedLeaseHolds(time.Since(l.start)) || g.version != 0 && !l.mayWrite(g) {
+			if !w.client && w.unheard.Load() || !g.permit.Holds(time.Since(l.start)) || g.kept && !l.word.ConfinedLeaseValid(time.Since(l.start)) || g.version != 0 && !l.mayWrite(g) {
 				l.tell(controller.WriteBarred, w, 0)
 				w.close() // nothing of it went out, and its end says so
 				return
--- a/internal/fleet/driver/driver.go
+++ b/internal/fleet/driver/driver.go
@@ -80,7 +80,7 @@
 type PolicyVerdict struct {
 	Reason       string // it can't be taken here
 	Policy       any
-	WatchedRules []fleet.WatchedRule
+	WatchedRules []fleet.EmergencyRule
 	// RulesUnknown: it leaves the placement rules to the controllers' own set-ups, which
 	// this process doesn't know.
 	ResidencyRulesUnknown bool
@@ -251,7 +251,7 @@
 		ChangeID:              check.changeID,
 		Reason:                verdict.Reason,
 		Policy:                verdict.Policy,
-		WatchedRules:          verdict.WatchedRules,
+		EmergencyRules:        verdict.WatchedRules,
 		PurgeScopes:           verdict.PurgeScopes,
 		Voters:                verdict.Voters,
 		ResidencyRulesUnknown: verdict.ResidencyRulesUnknown,
@@ -337,7 +337,7 @@
 		delete(d.openRequests, d.lastHandle)
 		return node.Event{}, false
 	}
-	return node.Event{Kind: node.OperatorRequested, Ask: r.ask, Handle: d.lastHandle}, true
+	return node.Event{Kind: node.OperatorRequested, Request: r.ask, Handle: d.lastHandle}, true
 }
 
 // closeRequest forgets a request whose caller has given up.
@@ -382,13 +382,13 @@
 		case node.Respond:
 			if to := d.openRequests[f.Handle]; to != nil {
 				delete(d.openRequests, f.Handle)
-				to <- d.copyForCaller(f.Reply)
+				to <- d.copyForCaller(f.Response)
 			}
 		case node.SetTimer:
 			d.timer.Reset(f.Delay)
 		case node.LogMessage:
 			line := d.log.Info()
-			if f.Loud {
+			if f.LogAlways {
 				line = d.log.Log()
 			}
 			if f.Err != nil {
@@ -409,7 +409,7 @@
 		return
 	}
 	switch o.Kind {
-	case fleet.OpenPolicy:
+	case fleet.ActivatePolicy:
 		d.policyContext.Policy = o.Policy
 	case fleet.ViewChanged:
 		d.policyContext.Bindings = o.View.Bindings
@@ -450,7 +450,7 @@
 	d.storeFailure = err
 	// a lease without an end wouldn't run out by itself
 	d.queueOrder(fleet.Order{Kind: fleet.LeaseRenewed})
-	d.queueOrder(fleet.Order{Kind: fleet.FencePolicy, Change: "the disk"})
+	d.queueOrder(fleet.Order{Kind: fleet.FencePolicy, ChangeID: "the disk"})
 	for h, to := range d.openRequests {
 		delete(d.openRequests, h)
 		to <- d.failedOutcome("")
--- a/internal/fleet/driver/driver_test.go
+++ b/internal/fleet/driver/driver_test.go
@@ -98,10 +98,10 @@
 	e, s, _ := play(t, func(ev node.Event) []node.Effect {
 		switch ev.Kind {
 		case node.MessageReceived:
-			return []node.Effect{{Kind: node.OrderController, Order: fleet.Order{Kind: fleet.OpenPolicy, Policy: "now"}}, {Kind: node.Persist, Writes: &consensus.PersistentState{}}, {Kind: node.ValidatePolicy, ChangeID: "c1", PolicyText: []byte("x")}, {Kind: node.SetTimer}}
+			return []node.Effect{{Kind: node.OrderController, Order: fleet.Order{Kind: fleet.ActivatePolicy, Policy: "now"}}, {Kind: node.Persist, Writes: &consensus.PersistentState{}}, {Kind: node.ValidatePolicy, ChangeID: "c1", PolicyText: []byte("x")}, {Kind: node.SetTimer}}
 		case node.OperatorRequested:
-			if ev.Ask.Kind == "status" {
-				return []node.Effect{{Kind: node.Respond, Handle: ev.Handle, Reply: &fleet.Response{Outcome: "status", Status: &fleet.Status{}}}}
+			if ev.Request.Kind == "status" {
+				return []node.Effect{{Kind: node.Respond, Handle: ev.Handle, Response: &fleet.Response{Outcome: "status", Status: &fleet.Status{}}}}
 			}
 		}
 		return nil
@@ -126,11 +126,11 @@
 	answer := make(chan *fleet.Response)
 	go func() { answer <- e.Request(ctx, &fleet.Request{Kind: "apply", ID: "a1"}) }()
 	asked := s.saw(t, node.OperatorRequested)
-	for asked.Ask.Kind != "apply" {
+	for asked.Request.Kind != "apply" {
 		asked = s.saw(t, node.OperatorRequested)
 	}
 	stop()
-	if r := <-answer; r.Outcome != "unknown" || r.Exit() != 4 || r.ID != "a1" || r.Remedy == "" {
+	if r := <-answer; r.Outcome != "unknown" || r.ExitStatus() != 4 || r.ID != "a1" || r.Remedy == "" {
 		t.Fatalf("%+v", r)
 	}
 	if gone := s.saw(t, node.RequesterGone); gone.Handle != asked.Handle {
@@ -144,9 +144,9 @@
 	n := uint64(0)
 	e, s, _ := play(t, func(ev node.Event) []node.Effect {
 		n++
-		return []node.Effect{{Kind: node.OrderController, Order: fleet.Order{Kind: fleet.LeaseRenewed, Until: time.Duration(n)}},
-			{Kind: node.OrderController, Order: fleet.Order{Kind: fleet.LeaseRenewed, Until: time.Duration(n) + 1}},
-			{Kind: node.OrderController, Order: fleet.Order{Kind: fleet.OpenPolicy, Version: n}}}
+		return []node.Effect{{Kind: node.OrderController, Order: fleet.Order{Kind: fleet.LeaseRenewed, LeaseEnd: time.Duration(n)}},
+			{Kind: node.OrderController, Order: fleet.Order{Kind: fleet.LeaseRenewed, LeaseEnd: time.Duration(n) + 1}},
+			{Kind: node.OrderController, Order: fleet.Order{Kind: fleet.ActivatePolicy, Version: n}}}
 	}, nil)
 	for range maxPendingOrders {
 		e.receiveMessage(&node.Message{})
@@ -161,7 +161,7 @@
 	}
 	for i := uint64(1); i <= maxPendingOrders; i++ {
 		lease, open := <-e.Orders(), <-e.Orders()
-		if lease.Kind != fleet.LeaseRenewed || lease.Until != time.Duration(i)+1 || open.Kind != fleet.OpenPolicy || open.Version != i {
+		if lease.Kind != fleet.LeaseRenewed || lease.LeaseEnd != time.Duration(i)+1 || open.Kind != fleet.ActivatePolicy || open.Version != i {
 			t.Fatal(i, lease, open)
 		}
 	}
@@ -178,7 +178,7 @@
 func TestADiskThatFails(t *testing.T) {
 	e, s, log := play(t, func(ev node.Event) []node.Effect {
 		if ev.Kind == node.MessageReceived {
-			return []node.Effect{{Kind: node.OrderController, Order: fleet.Order{Kind: fleet.LeaseRenewed, Until: fleet.Forever}}, {Kind: node.Persist, Writes: &consensus.PersistentState{}}}
+			return []node.Effect{{Kind: node.OrderController, Order: fleet.Order{Kind: fleet.LeaseRenewed, LeaseEnd: fleet.Forever}}, {Kind: node.Persist, Writes: &consensus.PersistentState{}}}
 		}
 		return nil
 	}, errors.New("no space left on device"))
@@ -189,7 +189,7 @@
 	for shut := false; !shut; {
 		switch o := <-e.Orders(); o.Kind {
 		case fleet.LeaseRenewed:
-			word.SetLease(o.Until, o.UntilBound)
+			word.SetLease(o.LeaseEnd, o.ConfinedLeaseEnd)
 		case fleet.FencePolicy:
 			shut = true
 		}
@@ -219,7 +219,7 @@
 	const many = 3 * maxQueuedChecks
 	e, s, _ := play(t, func(ev node.Event) (l []node.Effect) {
 		if ev.Kind == node.MessageReceived {
-			l = append(l, node.Effect{Kind: node.OrderController, Order: fleet.Order{Kind: fleet.OpenPolicy, Policy: "now"}})
+			l = append(l, node.Effect{Kind: node.OrderController, Order: fleet.Order{Kind: fleet.ActivatePolicy, Policy: "now"}})
 			for range many {
 				l = append(l, node.Effect{Kind: node.ValidatePolicy, ChangeID: "c"})
 			}
--- a/internal/fleet/driver/open.go
+++ b/internal/fleet/driver/open.go
@@ -87,7 +87,7 @@
 		return nil, err
 	}
 	config := o.Node
-	config.Self.Disk, config.Persisted = found.DiskID, found.Persistent
+	config.Self.DiskID, config.Persisted = found.DiskID, found.Persistent
 	config.Seed = transport.RandomID()
 	config.Incarnation = transport.RandomID()
 	core, initialEffects, err := node.New(config)
@@ -99,7 +99,7 @@
 	if err := opened.serve(d, &config, keys); err != nil {
 		return nil, err
 	}
-	line := o.Log.Info().Str("peers", opened.peers.Addr().String()).Str("disk", config.Self.Disk)
+	line := o.Log.Info().Str("peers", opened.peers.Addr().String()).Str("disk", config.Self.DiskID)
 	if opened.operators != nil {
 		line = line.Str("operators", opened.operators.Addr().String())
 	}
--- a/internal/fleet/errors.go
+++ b/internal/fleet/errors.go
@@ -32,11 +32,11 @@
 // UnfitError is a policy in force that this controller's own set-up can't take.
 type UnfitError struct {
 	Version uint64
-	Why     string
+	Reason  string
 }
 
 func (e *UnfitError) Error() string {
-	return fmt.Sprintf("the policy in force, version %d, can't be taken here: %s", e.Version, e.Why)
+	return fmt.Sprintf("the policy in force, version %d, can't be taken here: %s", e.Version, e.Reason)
 }
 
 // Remedy says what to do.
@@ -45,9 +45,9 @@
 }
 
 // UnwantedError is a name or disk that may not serve.
-type UnwantedError struct{ Name, Why string }
+type UnwantedError struct{ Name, Reason string }
 
-func (e *UnwantedError) Error() string { return fmt.Sprintf("%s may not serve: %s", e.Name, e.Why) }
+func (e *UnwantedError) Error() string { return fmt.Sprintf("%s may not serve: %s", e.Name, e.Reason) }
 
 // Remedy says what to do.
 func (e *UnwantedError) Remedy() string {
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -17,20 +17,20 @@
 
 // What an Entry decides.
 const (
-	EntryJoin             = "join"        // Member may hold leases from now on
-	EntryForget           = "forget"      // the disk of Name is destroyed: that name and disk never serve again
-	EntryPropose          = "propose"     // a change of policy begins: each controller checks and keeps it
-	EntryFence            = "close"       // all stop deciding by the version before it
-	EntryCommit           = "force"       // decided: all begin with the version after
-	EntryAbort            = "withdraw"    // it never acts anywhere
-	EntrySettle           = "settle"      // all that may serve serve by it: the operator is told
-	EntryInvalidate       = "purge"       // what is kept of a team goes, on every controller
-	EntryTombstone        = "unreachable" // no controller serves it any more
-	EntryErased           = "erased"      // gone from every memory and disk
-	EntryBind             = "bind"        // a load took bound tables into others: these are bound, too
-	EntryBeginEmergency   = "emergency"   // all inside a rule's sites is lost: its further sites are allowed
-	EntryEndEmergency     = "calm"        // the emergency ends; Scope: what crossed is purged outside
-	EntryFinishTightening = "finish"      // what a tighter rule left outside has ended and is purged
+	EntryJoin           = "join"        // Member may hold leases from now on
+	EntryForget         = "forget"      // the disk of Name is destroyed: that name and disk never serve again
+	EntryPropose        = "propose"     // a change of policy begins: each controller checks and keeps it
+	EntryFence          = "close"       // all stop deciding by the version before it
+	EntryCommit         = "force"       // decided: all begin with the version after
+	EntryAbort          = "withdraw"    // it never acts anywhere
+	EntryEnterForce     = "settle"      // all that may serve serve by it: the operator is told
+	EntryInvalidate     = "purge"       // what is kept of a team goes, on every controller
+	EntryTombstone      = "unreachable" // no controller serves it any more
+	EntryErased         = "erased"      // gone from every memory and disk
+	EntryBind           = "bind"        // a load took bound tables into others: these are bound, too
+	EntryBeginEmergency = "emergency"   // all inside a rule's sites is lost: its further sites are allowed
+	EntryEndEmergency   = "calm"        // the emergency ends; Scope: what crossed is purged outside
+	EntryFinishCleanup  = "finish"      // what a tighter rule left outside has ended and is purged
 )
 
 // Entry is one decision of the record. What a kind doesn't need is left out. ID is
@@ -43,8 +43,8 @@
 	// Name: of a controller (EntryJoin, EntryForget) or of a rule (EntryBeginEmergency, EntryEndEmergency)
 	Name   string  `cbor:"4,keyasint,omitempty"`
 	Member *Member `cbor:"5,keyasint,omitempty"`
-	// Base (EntryPropose): the version it is made against
-	Base uint64 `cbor:"6,keyasint,omitempty"`
+	// BaseVersion (EntryPropose): the version it is made against
+	BaseVersion uint64 `cbor:"6,keyasint,omitempty"`
 	// Policy (EntryPropose): the file's text
 	Policy []byte `cbor:"7,keyasint,omitempty"`
 	// AbortAfterMs (EntryPropose): milliseconds until it is withdrawn, 0: never
@@ -57,8 +57,8 @@
 	Team string `cbor:"11,keyasint,omitempty"`
 	// Tables (EntryBind): bound from now on
 	Tables []int64 `cbor:"12,keyasint,omitempty"`
-	// From (EntryBind): whose boundary they follow
-	From []int64 `cbor:"13,keyasint,omitempty"`
+	// SourceTables (EntryBind): whose boundary they follow
+	SourceTables []int64 `cbor:"13,keyasint,omitempty"`
 	// Counts (EntryErased).
 	Counts *InvalidationCounts `cbor:"14,keyasint,omitempty"`
 	// RequestedAtMs: when it was asked for, by the clock of who asked
@@ -97,17 +97,17 @@
 // Member is a controller that may hold leases.
 type Member struct {
 	Name string `cbor:"1,keyasint" json:"name"`
-	// Disk: its directory's own name, drawn when it was made
-	Disk string `cbor:"2,keyasint" json:"disk"`
-	Site string `cbor:"3,keyasint,omitempty" json:"site,omitempty"`
-	// Peer: where its peers reach it
-	Peer string `cbor:"4,keyasint" json:"peer"`
-	// Clients: where clients reach it
-	Clients   string `cbor:"5,keyasint,omitempty" json:"clients,omitempty"`
-	Forgotten bool   `cbor:"6,keyasint,omitempty" json:"forgotten,omitempty"`
-	// Control: it takes no queries and keeps no results, so that neither changes nor
+	// DiskID: its directory's own name, drawn when it was made
+	DiskID string `cbor:"2,keyasint" json:"disk"`
+	Site   string `cbor:"3,keyasint,omitempty" json:"site,omitempty"`
+	// PeerAddress: where its peers reach it
+	PeerAddress string `cbor:"4,keyasint" json:"peer"`
+	// ClientAddress: where clients reach it
+	ClientAddress string `cbor:"5,keyasint,omitempty" json:"clients,omitempty"`
+	Forgotten     bool   `cbor:"6,keyasint,omitempty" json:"forgotten,omitempty"`
+	// ControlOnly: it takes no queries and keeps no results, so that neither changes nor
 	// purges wait for it. Of a name that was a controller once it is never true.
-	Control bool `cbor:"7,keyasint,omitempty" json:"control,omitempty"`
+	ControlOnly bool `cbor:"7,keyasint,omitempty" json:"control,omitempty"`
 }
 
 // ServingState is what this controller may serve now: by which policy version, and until
@@ -137,9 +137,9 @@
 	return time.Duration(w.leaseEnd.Load()), time.Duration(w.confinedLeaseEnd.Load())
 }
 
-// ConfinedLeaseHolds tells whether the lease of bound teams does, whatever is decided by now: what
+// ConfinedLeaseValid tells whether the lease of bound teams does, whatever is decided by now: what
 // is kept is served within it only.
-func (w *ServingState) ConfinedLeaseHolds(now time.Duration) bool {
+func (w *ServingState) ConfinedLeaseValid(now time.Duration) bool {
 	return now < time.Duration(w.leaseEnd.Load()) && now < time.Duration(w.confinedLeaseEnd.Load())
 }
 
@@ -174,8 +174,8 @@
 const (
 	// FencePolicy: stop deciding; report PolicyFenced with Change once nothing is being written.
 	FencePolicy OrderKind = iota
-	// OpenPolicy: decide by Version and Policy; report PolicyOpened.
-	OpenPolicy
+	// ActivatePolicy: decide by Version and Policy; report PolicyOpened.
+	ActivatePolicy
 	// LeaseRenewed: the lease holds Until, that for confined tenants UntilBound.
 	LeaseRenewed
 	// InvalidateData: nothing in Scope that was asked for before Index comes out any more.
@@ -190,16 +190,16 @@
 // Order is one thing for the controller. It goes through a bounded queue; a full one makes the
 // fleet's side wait, never the controller.
 type Order struct {
-	Kind              OrderKind
-	Change            string // FencePolicy
-	Version           uint64 // OpenPolicy
-	Policy            any    // OpenPolicy: what the set-up made of the text
-	Until, UntilBound time.Duration
-	ID                string // InvalidateData: of the purge; RequestAnswered: as in the report
-	Scope             *Scope
-	Index             uint64 // InvalidateData: its place in the log
-	View              *View
-	Response          *Response
+	Kind                       OrderKind
+	ChangeID                   string // FencePolicy
+	Version                    uint64 // OpenPolicy
+	Policy                     any    // OpenPolicy: what the set-up made of the text
+	LeaseEnd, ConfinedLeaseEnd time.Duration
+	ID                         string // InvalidateData: of the purge; RequestAnswered: as in the report
+	Scope                      *Scope
+	Index                      uint64 // InvalidateData: its place in the log
+	View                       *View
+	Response                   *Response
 }
 
 // View is what of the log's state the controller's own decisions need. It is immutable.
@@ -212,9 +212,9 @@
 
 // Binding is one entry of Bind.
 type Binding struct {
-	Team   string  `cbor:"1,keyasint" json:"team"`
-	Tables []int64 `cbor:"2,keyasint" json:"tables"`
-	From   []int64 `cbor:"3,keyasint" json:"from"`
+	Team         string  `cbor:"1,keyasint" json:"team"`
+	Tables       []int64 `cbor:"2,keyasint" json:"tables"`
+	SourceTables []int64 `cbor:"3,keyasint" json:"from"`
 }
 
 // ReportKind is what a Report tells the fleet's side.
@@ -223,8 +223,8 @@
 const (
 	// PolicyFenced, with Change: nothing by the old version is being decided or written.
 	PolicyFenced ReportKind = iota
-	// PolicyOpened, with Version, and Outside as with SitesServing.
-	PolicyOpened
+	// PolicyActivated, with Version, and Outside as with SitesServing.
+	PolicyActivated
 	// DataTombstoned, with ID of a purge: nothing from before comes out any more.
 	DataTombstoned
 	// DataErased, with ID: gone from memory and disk here, with Counts.
@@ -240,14 +240,14 @@
 // controller never waits for: a full one drops SitesServing (it comes again) and leaves the
 // others with the controller until there is room.
 type Report struct {
-	Kind    ReportKind
-	ID      string
-	Change  string
-	Version uint64
-	Counts  InvalidationCounts
-	Sites   []string
-	Outside int
-	Request *Request
+	Kind            ReportKind
+	ID              string
+	ChangeID        string
+	Version         uint64
+	Counts          InvalidationCounts
+	ServingSites    []string
+	AttemptsOutside int
+	Request         *Request
 }
 
 // Request is what an operator, a customer or the reducer wants of the fleet.
@@ -257,7 +257,7 @@
 	// ID: of the change or purge; drawn by who asks
 	ID          string `json:"id"`
 	RequestedBy string `json:"by,omitempty"`
-	Base        uint64 `json:"base,omitempty"`
+	BaseVersion uint64 `json:"base,omitempty"`
 	Policy      []byte `json:"policy,omitempty"`
 	// Name: forget
 	Name  string `json:"name,omitempty"`
@@ -265,8 +265,8 @@
 	// Team: bind; purge and status by a customer: only its own runs are told of
 	Team string `json:"team,omitempty"`
 	// Tables are bound by a bind, From is what they follow.
-	Tables []int64 `json:"tables,omitempty"`
-	From   []int64 `json:"from,omitempty"`
+	Tables       []int64 `json:"tables,omitempty"`
+	SourceTables []int64 `json:"from,omitempty"`
 	// AbortAfterMs: milliseconds: a change not in force by then is withdrawn
 	AbortAfterMs int64 `json:"at_most_ms,omitempty"`
 	// WaitMs: milliseconds until the answer is "not known yet"
@@ -293,8 +293,8 @@
 	Policy []byte `json:"policy,omitempty"`
 }
 
-// Exit is the status that scripts see: 0 done, 3 not done and never will be, 4 not known yet.
-func (r *Response) Exit() int {
+// ExitStatus is the status that scripts see: 0 done, 3 not done and never will be, 4 not known yet.
+func (r *Response) ExitStatus() int {
 	switch r.Outcome {
 	case "unknown":
 		return 4
@@ -311,13 +311,13 @@
 	Index   uint64 `json:"index"`
 	Version uint64 `json:"version"`
 	Serves  bool   `json:"serves"`
-	// LeaseMS: what is left of it; -1: without an end
-	LeaseMS     int64          `json:"lease_ms"`
-	Change      *Response      `json:"change,omitempty"`
-	Members     []MemberStatus `json:"members"`
-	Purges      []Response     `json:"purges,omitempty"`
-	Emergencies []string       `json:"emergencies,omitempty"`
-	Bindings    []Binding      `json:"bindings,omitempty"`
+	// LeaseRemainingMs: what is left of it; -1: without an end
+	LeaseRemainingMs int64          `json:"lease_ms"`
+	Change           *Response      `json:"change,omitempty"`
+	Members          []MemberStatus `json:"members"`
+	Purges           []Response     `json:"purges,omitempty"`
+	Emergencies      []string       `json:"emergencies,omitempty"`
+	Bindings         []Binding      `json:"bindings,omitempty"`
 	// Counts: what was refused on the peers' wire, and such
 	Counts map[string]int `json:"counts,omitempty"`
 }
@@ -325,16 +325,16 @@
 // MemberStatus is one controller as the leader sees it; elsewhere only what the record says.
 type MemberStatus struct {
 	Member
-	Votes bool `json:"votes"`
-	// Holds: it may hold a lease
-	Holds   Holding `json:"holds"`
-	Applied uint64  `json:"applied,omitempty"`
+	IsVoter bool `json:"votes"`
+	// Lease: it may hold a lease
+	Lease        LeaseStatus `json:"holds"`
+	AppliedIndex uint64      `json:"applied,omitempty"`
 }
 
-// WatchedRule is a placement rule that names further sites for the loss of all inside.
-type WatchedRule struct {
-	Rule   string
-	Team   string
-	Inside []string
-	After  time.Duration // all engines inside are lost for so long, or there again
+// EmergencyRule is a placement rule that names further sites for the loss of all inside.
+type EmergencyRule struct {
+	Name  string
+	Team  string
+	Sites []string
+	After time.Duration // all engines inside are lost for so long, or there again
 }
--- a/internal/fleet/golden_values_test.go
+++ b/internal/fleet/golden_values_test.go
@@ -2,9 +2,9 @@
 
 // goldenAsk has every field set.
 var goldenAsk = Request{
-	Kind: "apply", ID: "ask-1", RequestedBy: "operator@host", Base: 1, Policy: []byte("groups: []\n"), Name: "south-1",
+	Kind: "apply", ID: "ask-1", RequestedBy: "operator@host", BaseVersion: 1, Policy: []byte("groups: []\n"), Name: "south-1",
 	Scope: &Scope{Team: "team-a", Tables: []int64{1, -2}, RetainedBeforeMs: 2, OutsideSites: []string{"north"}},
-	Team:  "team-b", Tables: []int64{3, 4}, From: []int64{5}, AbortAfterMs: 6, WaitMs: 7, AwaitedStage: "settled",
+	Team:  "team-b", Tables: []int64{3, 4}, SourceTables: []int64{5}, AbortAfterMs: 6, WaitMs: 7, AwaitedStage: "settled",
 }
 
 // goldenReply has every field set, also those of what it holds.
@@ -13,17 +13,19 @@
 	Counts:      &InvalidationCounts{Results: 12, Answers: 13, Bytes: 14},
 	Outstanding: []string{"south-1", "south-2"},
 	Status: &Status{
-		Name: "north-1", Leader: "north-2", Index: 15, Version: 16, Serves: true, LeaseMS: -1,
+		Name: "north-1", Leader: "north-2", Index: 15, Version: 16, Serves: true, LeaseRemainingMs: -1,
 		Change: &Response{ID: "change-1", Outcome: "unknown", Stage: "closing", Outstanding: []string{"south-1"}},
 		Members: []MemberStatus{
-			{Member: Member{Name: "north-1", Disk: "disk-1", Site: "north", Peer: "10.0.0.1:7000", Clients: "10.0.0.1:6000",
-				Forgotten: true, Control: true}, Votes: true, Holds: HoldingLease, Applied: 17},
-			{Member: Member{Name: "south-1", Disk: "disk-2", Peer: "10.0.0.2:7000"}, Holds: HoldingNone},
-			{Member: Member{Name: "south-2", Disk: "disk-3", Peer: "10.0.0.3:7000"}, Holds: HoldingUnknown},
+			{Member: Member{Name: "north-1", DiskID: "disk-1", Site: "north", PeerAddress: "10.0.0.1:7000", ClientAddress: "10.0.0.1:6000",
+				Forgotten: true, ControlOnly: true}, IsVoter: true, Lease: LeaseStatusPossible, AppliedIndex: 17},
+			{Member: Member{Name: "south-1", DiskID: "disk-2", PeerAddress: "10.0.0.2:7000"},
+				Lease: LeaseStatusNone},
+			{Member: Member{Name: "south-2", DiskID: "disk-3", PeerAddress: "10.0.0.3:7000"},
+				Lease: LeaseStatusUnknown},
 		},
 		Purges:      []Response{{ID: "purge-1", Outcome: "purged", Counts: &InvalidationCounts{Results: 18}}},
 		Emergencies: []string{"rule-1"},
-		Bindings:    []Binding{{Team: "team-b", Tables: []int64{3, 4}, From: []int64{5}}},
+		Bindings:    []Binding{{Team: "team-b", Tables: []int64{3, 4}, SourceTables: []int64{5}}},
 		Counts:      map[string]int{"asks": 19, "refused_replay": 20},
 	},
 	Policy: []byte("voters: []\n"),
--- a/internal/fleet/holding.go
+++ b/internal/fleet/holding.go
@@ -5,57 +5,57 @@
 	"fmt"
 )
 
-// Holding says whether a controller may hold a lease. Only the leader knows: asked of any
+// LeaseStatus says whether a controller may hold a lease. Only the leader knows: asked of any
 // other controller it is HoldingUnknown.
-type Holding int
+type LeaseStatus int
 
 // What is known of a controller's lease.
 const (
-	HoldingUnknown Holding = iota
-	HoldingNone
-	HoldingLease
+	LeaseStatusUnknown LeaseStatus = iota
+	LeaseStatusNone
+	LeaseStatusPossible
 )
 
 // unknownHolding is how HoldingUnknown is written, in text and in JSON.
 const unknownHolding = "not known here"
 
-// HoldingOf is what the leader knows.
-func HoldingOf(mayHold bool) Holding {
+// LeaseStatusOf is what the leader knows.
+func LeaseStatusOf(mayHold bool) LeaseStatus {
 	if mayHold {
-		return HoldingLease
+		return LeaseStatusPossible
 	}
-	return HoldingNone
+	return LeaseStatusNone
 }
 
 // String is "yes", "no" or "not known here".
-func (h Holding) String() string {
+func (h LeaseStatus) String() string {
 	switch h {
-	case HoldingLease:
+	case LeaseStatusPossible:
 		return "yes"
-	case HoldingNone:
+	case LeaseStatusNone:
 		return "no"
 	}
 	return unknownHolding
 }
 
 // MarshalJSON writes true, false or "not known here".
-func (h Holding) MarshalJSON() ([]byte, error) {
+func (h LeaseStatus) MarshalJSON() ([]byte, error) {
 	switch h {
-	case HoldingLease, HoldingNone:
-		return json.Marshal(h == HoldingLease)
+	case LeaseStatusPossible, LeaseStatusNone:
+		return json.Marshal(h == LeaseStatusPossible)
 	}
 	return json.Marshal(unknownHolding)
 }
 
 // UnmarshalJSON reads what MarshalJSON writes.
-func (h *Holding) UnmarshalJSON(text []byte) error {
+func (h *LeaseStatus) UnmarshalJSON(text []byte) error {
 	switch string(text) {
 	case "true":
-		*h = HoldingLease
+		*h = LeaseStatusPossible
 	case "false":
-		*h = HoldingNone
+		*h = LeaseStatusNone
 	case `"` + unknownHolding + `"`:
-		*h = HoldingUnknown
+		*h = LeaseStatusUnknown
 	default:
 		return fmt.Errorf("holds: %s is neither true, false nor %q", text, unknownHolding)
 	}
--- a/internal/fleet/holding_test.go
+++ b/internal/fleet/holding_test.go
@@ -6,8 +6,8 @@
 )
 
 func TestWhoHoldsALeaseIsToldWhereItIsKnown(t *testing.T) {
-	for holding, want := range map[Holding]string{HoldingOf(true): "true", HoldingOf(false): "false", HoldingUnknown: `"not known here"`} {
-		text, err := json.Marshal(MemberStatus{Holds: holding})
+	for holding, want := range map[LeaseStatus]string{LeaseStatusOf(true): "true", LeaseStatusOf(false): "false", LeaseStatusUnknown: `"not known here"`} {
+		text, err := json.Marshal(MemberStatus{Lease: holding})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -16,11 +16,11 @@
 			t.Errorf("%v is written as %s, want %s: %v", holding, fields["holds"], want, err)
 		}
 		var back MemberStatus
-		if err := json.Unmarshal(text, &back); err != nil || back.Holds != holding {
-			t.Errorf("%s is read as %v: %v", text, back.Holds, err)
+		if err := json.Unmarshal(text, &back); err != nil || back.Lease != holding {
+			t.Errorf("%s is read as %v: %v", text, back.Lease, err)
 		}
 	}
-	var h Holding
+	var h LeaseStatus
 	if err := json.Unmarshal([]byte(`"perhaps"`), &h); err == nil {
 		t.Error("anything is read")
 	}
--- a/internal/fleet/node/cluster_test.go
+++ b/internal/fleet/node/cluster_test.go
@@ -98,7 +98,7 @@
 }
 
 func configOf(name string, voters []consensus.Voter, seed uint64, lease time.Duration) Config {
-	return Config{Self: fleet.Member{Name: name, Disk: "disk " + name, Site: "here", Peer: name + ":1"},
+	return Config{Self: fleet.Member{Name: name, DiskID: "disk " + name, Site: "here", PeerAddress: name + ":1"},
 		Voters: voters, Lease: lease, ClockDrift: 0.01, ElectionTimeout: 200 * time.Millisecond,
 		HeartbeatInterval: 40 * time.Millisecond, Seed: seed, SnapshotAfterEntries: 50}
 }
@@ -134,7 +134,7 @@
 
 // request has an operator request something of a controller.
 func (a *testController) request(handle uint64, ask *fleet.Request) {
-	a.step(Event{Kind: OperatorRequested, Handle: handle, Ask: ask})
+	a.step(Event{Kind: OperatorRequested, Handle: handle, Request: ask})
 }
 
 // receive brings a message to a controller.
@@ -183,7 +183,7 @@
 			a.schedule(time.Millisecond, func() { a.performOrder(e.Order) })
 		case Respond:
 			key := fmt.Sprintf("%s %d", a.name, e.Handle)
-			a.replies[key] = append(a.replies[key], e.Reply)
+			a.replies[key] = append(a.replies[key], e.Response)
 		case SetTimer:
 			at := a.now + max(e.Delay, 100*time.Microsecond)
 			a.timerAt = at
@@ -200,13 +200,14 @@
 	switch o.Kind {
 	case fleet.FencePolicy:
 		a.permit.SetVersion(0)
-		a.step(Event{Kind: ControllerReported, Report: fleet.Report{Kind: fleet.PolicyFenced, Change: o.Change}})
-	case fleet.OpenPolicy:
+		a.step(Event{Kind: ControllerReported, Report: fleet.Report{Kind: fleet.PolicyFenced,
+			ChangeID: o.ChangeID}})
+	case fleet.ActivatePolicy:
 		a.permit.SetVersion(o.Version)
-		a.step(Event{Kind: ControllerReported, Report: fleet.Report{Kind: fleet.PolicyOpened, Version: o.Version,
-			Outside: a.outsideAtOpen}})
+		a.step(Event{Kind: ControllerReported, Report: fleet.Report{Kind: fleet.PolicyActivated, Version: o.Version,
+			AttemptsOutside: a.outsideAtOpen}})
 	case fleet.LeaseRenewed:
-		a.permit.SetLease(o.Until, o.UntilBound)
+		a.permit.SetLease(o.LeaseEnd, o.ConfinedLeaseEnd)
 	case fleet.InvalidateData:
 		a.step(Event{Kind: ControllerReported, Report: fleet.Report{Kind: fleet.DataTombstoned, ID: o.ID}})
 		a.step(Event{Kind: ControllerReported, Report: fleet.Report{Kind: fleet.DataErased, ID: o.ID,
@@ -280,7 +281,7 @@
 
 func (s *testCluster) leader() *testController {
 	for _, n := range s.names {
-		if a := s.controllers[n]; a.run > 0 && a.core.Leads() && a.core.ready {
+		if a := s.controllers[n]; a.run > 0 && a.core.IsLeader() && a.core.ready {
 			return a
 		}
 	}
--- a/internal/fleet/node/configuration_change.go
+++ b/internal/fleet/node/configuration_change.go
@@ -34,9 +34,9 @@
 	switch change.Phase {
 	case statemachine.Proposed:
 		c.driveProposed(change)
-	case statemachine.Closing:
+	case statemachine.Fencing:
 		c.driveFencing(change)
-	case statemachine.Decided:
+	case statemachine.Committed:
 		c.driveCommitted(change)
 	}
 }
@@ -101,7 +101,7 @@
 		return r.PolicyVersion >= change.Version || r.ValidationResults[change.ID] != ""
 	})
 	if len(waiting) == 0 {
-		c.proposeOnce("settle "+change.ID, &fleet.Entry{Kind: fleet.EntrySettle, ID: change.ID})
+		c.proposeOnce("settle "+change.ID, &fleet.Entry{Kind: fleet.EntryEnterForce, ID: change.ID})
 	}
 	c.setWaitingFor(change.ID, waiting)
 }
@@ -113,11 +113,11 @@
 
 // isLate reports whether a change's timeout has passed since this leader has known of it.
 func (c *Core) isLate(change *statemachine.PolicyChange) bool {
-	return change.TimeoutMillis > 0 && c.now-c.changeSeenAt[change.ID] >= changeTimeout(change)
+	return change.AbortAfterMs > 0 && c.now-c.changeSeenAt[change.ID] >= changeTimeout(change)
 }
 
 func changeTimeout(change *statemachine.PolicyChange) time.Duration {
-	return time.Duration(change.TimeoutMillis) * time.Millisecond
+	return time.Duration(change.AbortAfterMs) * time.Millisecond
 }
 
 // finishChanges logs when nothing is left that a stricter policy put outside its zones:
@@ -130,14 +130,14 @@
 		}
 		erased := true
 		for _, run := range c.state.Purges {
-			erased = erased && (run.PartOf != id || run.Stage == fleet.EntryErased)
+			erased = erased && (run.ParentID != id || run.Stage == fleet.EntryErased)
 		}
 		waiting := c.unconfirmedHolders(c.config.Lease, func(r *LeaseRenewal) bool {
 			return r.PolicyVersion >= change.Version && r.AttemptsOutside == 0
 		})
 		c.setWaitingFor(id, waiting)
 		if erased && len(waiting) == 0 {
-			c.proposeOnce("finish "+id, &fleet.Entry{Kind: fleet.EntryFinishTightening, ID: id})
+			c.proposeOnce("finish "+id, &fleet.Entry{Kind: fleet.EntryFinishCleanup, ID: id})
 		}
 	}
 }
--- a/internal/fleet/node/controller_orders.go
+++ b/internal/fleet/node/controller_orders.go
@@ -63,7 +63,7 @@
 		return
 	}
 	change := c.state.ChangeUnderWay()
-	fencing := change != nil && change.Phase == statemachine.Closing
+	fencing := change != nil && change.Phase == statemachine.Fencing
 	if fencing && c.fenceOrderedFor != change.ID {
 		c.orderFence(change.ID)
 	}
@@ -91,7 +91,7 @@
 	c.fenceOrderedFor = change
 	c.orderedVersion = 0
 	c.servedVersion = 0
-	c.orderController(fleet.Order{Kind: fleet.FencePolicy, Change: change})
+	c.orderController(fleet.Order{Kind: fleet.FencePolicy, ChangeID: change})
 }
 
 // orderOpen has the request side decide by the committed policy.
@@ -102,7 +102,11 @@
 	c.fenceConfirmedFor = ""
 	maps.DeleteFunc(c.policies, func(v uint64, _ *validatedPolicy) bool { return v < c.orderedVersion })
 	maps.DeleteFunc(c.validations, func(_ string, v *validation) bool { return v.version < c.orderedVersion })
-	c.orderController(fleet.Order{Kind: fleet.OpenPolicy, Version: c.orderedVersion, Policy: committed.policy})
+	c.orderController(fleet.Order{
+		Kind:    fleet.ActivatePolicy,
+		Version: c.orderedVersion,
+		Policy:  committed.policy,
+	})
 }
 
 // orderInvalidations orders each invalidation once, and shows the state that it is part of.
@@ -123,12 +127,12 @@
 // orderView shows the request side the state.
 func (c *Core) orderView() {
 	c.viewIndex = max(1, c.state.Index)
-	c.orderController(fleet.Order{Kind: fleet.ViewChanged, View: c.state.Picture()})
+	c.orderController(fleet.Order{Kind: fleet.ViewChanged, View: c.state.View()})
 }
 
 // orderInvalidation orders an invalidation once. One that doesn't concern this
 // controller's zone is reported as done: nothing of it is here.
-func (c *Core) orderInvalidation(run *statemachine.PurgeRun) {
+func (c *Core) orderInvalidation(run *statemachine.Purge) {
 	ordered := c.invalidationsOrdered[run.ID]
 	if run.Stage == fleet.EntryErased {
 		if ordered {
@@ -156,14 +160,14 @@
 func (c *Core) controllerReported(r fleet.Report) {
 	switch r.Kind {
 	case fleet.PolicyFenced:
-		if r.Change == c.fenceOrderedFor {
-			c.fenceConfirmedFor = r.Change
+		if r.ChangeID == c.fenceOrderedFor {
+			c.fenceConfirmedFor = r.ChangeID
 			c.unreported = true
 		}
-	case fleet.PolicyOpened:
+	case fleet.PolicyActivated:
 		if r.Version == c.orderedVersion {
 			c.servedVersion = r.Version
-			c.attemptsOutside = r.Outside // by this version: the figure of the one before is of no use
+			c.attemptsOutside = r.AttemptsOutside // by this version: the figure of the one before is of no use
 			c.unreported = true
 		}
 	case fleet.DataTombstoned:
@@ -175,12 +179,12 @@
 			c.unreported = true
 		}
 	case fleet.SitesServing:
-		anyOutsideChanged := (c.attemptsOutside == 0) != (r.Outside == 0)
-		if anyOutsideChanged || !slices.Equal(c.servingSites, r.Sites) {
+		anyOutsideChanged := (c.attemptsOutside == 0) != (r.AttemptsOutside == 0)
+		if anyOutsideChanged || !slices.Equal(c.servingSites, r.ServingSites) {
 			c.unreported = true
 		}
-		c.servingSites = r.Sites
-		c.attemptsOutside = r.Outside
+		c.servingSites = r.ServingSites
+		c.attemptsOutside = r.AttemptsOutside
 	case fleet.RequestMade:
 		if r.Request != nil {
 			c.operatorRequested(r.Request, 0)
--- a/internal/fleet/node/effects.go
+++ b/internal/fleet/node/effects.go
@@ -47,12 +47,12 @@
 
 	Order fleet.Order
 
-	Handle uint64
-	Reply  *fleet.Response
+	Handle   uint64
+	Response *fleet.Response
 
 	Delay time.Duration
 
-	Loud    bool
-	LogText string
-	Err     fleet.ErrorWithRemedy
+	LogAlways bool
+	LogText   string
+	Err       fleet.ErrorWithRemedy
 }
--- a/internal/fleet/node/emergency.go
+++ b/internal/fleet/node/emergency.go
@@ -16,30 +16,30 @@
 
 // watchRule begins an emergency once no controller sees an engine in any of a residency
 // rule's zones for as long as the rule says, and ends it once one is seen for as long.
-func (c *Core) watchRule(w fleet.WatchedRule) {
-	reports, inside := c.zoneReports(w.Inside)
+func (c *Core) watchRule(w fleet.EmergencyRule) {
+	reports, inside := c.zoneReports(w.Sites)
 	if reports == 0 {
-		delete(c.lostSince, w.Rule)
-		delete(c.foundSince, w.Rule)
+		delete(c.lostSince, w.Name)
+		delete(c.foundSince, w.Name)
 		return
 	}
 	since, other := c.lostSince, c.foundSince
 	if inside {
 		since, other = c.foundSince, c.lostSince
 	}
-	delete(other, w.Rule)
-	if _, had := since[w.Rule]; !had {
-		since[w.Rule] = c.now
+	delete(other, w.Name)
+	if _, had := since[w.Name]; !had {
+		since[w.Name] = c.now
 	}
-	_, isEmergency := c.state.Emergencies[w.Rule]
-	if isEmergency != inside || c.now-since[w.Rule] < w.After {
+	_, isEmergency := c.state.Emergencies[w.Name]
+	if isEmergency != inside || c.now-since[w.Name] < w.After {
 		return
 	}
 	if inside {
-		scope := &fleet.Scope{Team: w.Team, OutsideSites: w.Inside}
-		c.proposeOnce("calm "+w.Rule, &fleet.Entry{Kind: fleet.EntryEndEmergency, Name: w.Rule, Scope: scope})
+		scope := &fleet.Scope{Team: w.Team, OutsideSites: w.Sites}
+		c.proposeOnce("calm "+w.Name, &fleet.Entry{Kind: fleet.EntryEndEmergency, Name: w.Name, Scope: scope})
 	} else {
-		c.proposeOnce("emergency "+w.Rule, &fleet.Entry{Kind: fleet.EntryBeginEmergency, Name: w.Rule})
+		c.proposeOnce("emergency "+w.Name, &fleet.Entry{Kind: fleet.EntryBeginEmergency, Name: w.Name})
 	}
 }
 
@@ -70,7 +70,7 @@
 	}
 	watched := c.watchedRules()
 	for _, name := range sorted(c.state.Emergencies) {
-		if !slices.ContainsFunc(watched, func(w fleet.WatchedRule) bool { return w.Rule == name }) {
+		if !slices.ContainsFunc(watched, func(w fleet.EmergencyRule) bool { return w.Name == name }) {
 			c.proposeOnce("calm "+name, &fleet.Entry{Kind: fleet.EntryEndEmergency, Name: name})
 		}
 	}
--- a/internal/fleet/node/events.go
+++ b/internal/fleet/node/events.go
@@ -32,10 +32,10 @@
 	Message *Message
 
 	// The outcome of a validation.
-	ChangeID     string
-	Reason       string
-	Policy       any
-	WatchedRules []fleet.WatchedRule
+	ChangeID       string
+	Reason         string
+	Policy         any
+	EmergencyRules []fleet.EmergencyRule
 	// ResidencyRulesUnknown: the rules in force by this policy are those of the
 	// controllers' own set-ups, and this process doesn't know them.
 	ResidencyRulesUnknown bool
@@ -46,6 +46,6 @@
 
 	Report fleet.Report
 
-	Ask    *fleet.Request
-	Handle uint64
+	Request *fleet.Request
+	Handle  uint64
 }
--- a/internal/fleet/node/invalidation.go
+++ b/internal/fleet/node/invalidation.go
@@ -15,7 +15,7 @@
 //	erased         nothing
 
 // driveInvalidation moves an invalidation on.
-func (c *Core) driveInvalidation(run *statemachine.PurgeRun) {
+func (c *Core) driveInvalidation(run *statemachine.Purge) {
 	switch run.Stage {
 	case "":
 		waiting := c.unconfirmedHolders(c.shorterLease(), func(r *LeaseRenewal) bool {
@@ -40,7 +40,7 @@
 // process, which keeps no results, is not waited for.
 func (c *Core) erasureOutstanding(id string) (sum fleet.InvalidationCounts, awaited []string) {
 	for _, name := range c.memberNames() {
-		if c.state.Members[name].Control {
+		if c.state.Members[name].ControlOnly {
 			continue
 		}
 		p := c.peers[name]
--- a/internal/fleet/node/lease.go
+++ b/internal/fleet/node/lease.go
@@ -196,7 +196,7 @@
 	c.leaseUntil = until
 	c.confinedLeaseUntil = confinedUntil
 	c.orderOutstanding() // before the lease: what is forbidden by now must be known first
-	c.orderController(fleet.Order{Kind: fleet.LeaseRenewed, Until: until, UntilBound: confinedUntil})
+	c.orderController(fleet.Order{Kind: fleet.LeaseRenewed, LeaseEnd: until, ConfinedLeaseEnd: confinedUntil})
 }
 
 // leaseEnd is when a lease ends that was asked for at a time.
@@ -219,7 +219,7 @@
 		return
 	}
 	c.refusedReason = reason
-	c.logError(&fleet.UnwantedError{Name: c.config.Self.Name, Why: reason})
+	c.logError(&fleet.UnwantedError{Name: c.config.Self.Name, Reason: reason})
 	c.pendingLeases = nil
 	c.leaseUntil = 0
 	c.confinedLeaseUntil = 0
--- a/internal/fleet/node/lease_granting.go
+++ b/internal/fleet/node/lease_granting.go
@@ -66,7 +66,7 @@
 	g.Seq = r.Seq
 	g.SentAt = r.SentAt
 	g.Incarnation = r.Incarnation
-	c.send(to, r.Member.Peer, &Message{Grant: &g})
+	c.send(to, r.Member.PeerAddress, &Message{Grant: &g})
 }
 
 // Reasons for which a controller is refused for good.
@@ -83,7 +83,7 @@
 		return ""
 	case m.Forgotten:
 		return forgottenName
-	case m.Disk != disk:
+	case m.DiskID != disk:
 		return foreignDisk
 	}
 	return ""
@@ -116,15 +116,15 @@
 	}
 	logged := c.state.Members[name]
 	member := r.Member
-	if logged != nil && !logged.Control {
-		member.Control = false // as the log has it, for good
+	if logged != nil && !logged.ControlOnly {
+		member.ControlOnly = false // as the log has it, for good
 	}
 	if logged == nil || *logged != member {
 		c.proposeOnce("join "+name, &fleet.Entry{Kind: fleet.EntryJoin, ID: name, Name: name, Member: &member})
 	}
 	// Changes don't wait for a control process: one that takes queries by now must be in
 	// the log as what it is before it holds a lease.
-	return "", logged != nil && logged.Control == member.Control
+	return "", logged != nil && logged.ControlOnly == member.ControlOnly
 }
 
 // updatePeer replaces what a controller reported before by a renewal.
--- a/internal/fleet/node/lease_holders.go
+++ b/internal/fleet/node/lease_holders.go
@@ -43,7 +43,7 @@
 	lease time.Duration, hasConfirmed func(*LeaseRenewal) bool,
 ) (names []string) {
 	for _, name := range c.possibleHolders() {
-		if c.state.Members[name].Control || !c.mayHoldLease(name, lease) {
+		if c.state.Members[name].ControlOnly || !c.mayHoldLease(name, lease) {
 			continue
 		}
 		if p := c.peers[name]; p == nil || p.renewal == nil || !hasConfirmed(p.renewal) {
--- a/internal/fleet/node/messages.go
+++ b/internal/fleet/node/messages.go
@@ -12,18 +12,18 @@
 // Message is one message from a controller to another. Exactly one of the fields after
 // Disk is set.
 type Message struct {
-	From string `cbor:"From"`
-	To   string `cbor:"To"`
-	Disk string `cbor:"Disk,omitempty"` // the sender's disk: one that lost it is not believed
+	From   string `cbor:"From"`
+	To     string `cbor:"To"`
+	DiskID string `cbor:"Disk,omitempty"` // the sender's disk: one that lost it is not believed
 
 	Consensus []byte        `cbor:"Agree,omitempty"` // between voters, encoded by package consensus
 	Renewal   *LeaseRenewal `cbor:"Renew,omitempty"`
 	Grant     *LeaseGrant   `cbor:"Grant,omitempty"`
 	LogUpdate *LogUpdate    `cbor:"Follow,omitempty"`
 
-	// Ask is forwarded to the leader, which logs it. The outcome is read from the log,
+	// Request is forwarded to the leader, which logs it. The outcome is read from the log,
 	// so there is no answer; a lost one is forwarded again after forwardInterval.
-	Ask *fleet.Request `cbor:"Ask,omitempty"`
+	Request *fleet.Request `cbor:"Ask,omitempty"`
 
 	LogRequest *LogRequest `cbor:"Lacks,omitempty"`
 
@@ -109,7 +109,7 @@
 // RelayedRenewal is a controller's last renewal, which the leader lacks.
 type RelayedRenewal struct {
 	Name    string        `cbor:"Name"`
-	Disk    string        `cbor:"Disk"`
+	DiskID  string        `cbor:"Disk"`
 	Renewal *LeaseRenewal `cbor:"Renew"`
 }
 
--- a/internal/fleet/node/node.go
+++ b/internal/fleet/node/node.go
@@ -134,7 +134,7 @@
 	case ControllerReported:
 		c.controllerReported(ev.Report)
 	case OperatorRequested:
-		c.operatorRequested(ev.Ask, ev.Handle)
+		c.operatorRequested(ev.Request, ev.Handle)
 	case RequesterGone:
 		c.requests = slices.DeleteFunc(c.requests, func(a *operatorRequest) bool { return a.handle == ev.Handle })
 	}
@@ -163,7 +163,7 @@
 
 // receive takes a message from another controller, or from this one.
 func (c *Core) receive(m *Message) {
-	if m.Renewal == nil && c.isForeignDisk(m.From, m.Disk) {
+	if m.Renewal == nil && c.isForeignDisk(m.From, m.DiskID) {
 		c.Counts["of another disk"]++
 		return
 	}
@@ -171,7 +171,7 @@
 	case len(m.Consensus) > 0:
 		c.receiveConsensus(m.From, m.Consensus)
 	case m.Renewal != nil:
-		c.receiveRenewal(m.From, m.Disk, m.Renewal)
+		c.receiveRenewal(m.From, m.DiskID, m.Renewal)
 	case m.Grant != nil:
 		c.receiveGrant(m.From, m.Grant)
 	case m.LogUpdate != nil:
@@ -182,10 +182,10 @@
 		c.receiveRelayedGrants(m.From, m.RelayedGrants)
 	case m.LogRequest != nil:
 		c.receiveLogRequest(m.From, m.LogRequest)
-	case m.Ask != nil && c.isLeader:
-		c.propose(c.logEntryFor(m.Ask))
-	case m.Ask != nil && c.aggregates():
-		c.forwardRequest(m.Ask)
+	case m.Request != nil && c.isLeader:
+		c.propose(c.logEntryFor(m.Request))
+	case m.Request != nil && c.aggregates():
+		c.forwardRequest(m.Request)
 	}
 }
 
@@ -194,12 +194,12 @@
 // are taken anyway: their answer says that the name is refused.
 func (c *Core) isForeignDisk(from, disk string) bool {
 	m := c.state.Members[from]
-	return m != nil && (m.Forgotten || m.Disk != "" && m.Disk != disk)
+	return m != nil && (m.Forgotten || m.DiskID != "" && m.DiskID != disk)
 }
 
 // send sends a message; one to this controller itself is received at once.
 func (c *Core) send(to, address string, m *Message) {
-	m.From, m.To, m.Disk = c.config.Self.Name, to, c.config.Self.Disk
+	m.From, m.To, m.DiskID = c.config.Self.Name, to, c.config.Self.DiskID
 	if to == c.config.Self.Name {
 		c.receive(m)
 		return
@@ -211,8 +211,8 @@
 
 // addressOf is where a controller is reached, "": not known.
 func (c *Core) addressOf(name string) string {
-	if m := c.state.Members[name]; m != nil && m.Peer != "" {
-		return m.Peer
+	if m := c.state.Members[name]; m != nil && m.PeerAddress != "" {
+		return m.PeerAddress
 	}
 	for _, v := range c.voters {
 		if v.Name == name {
@@ -241,18 +241,18 @@
 
 // logf logs a line; a loud one is written at every log level.
 func (c *Core) logf(loud bool, form string, args ...any) {
-	c.emit(Effect{Kind: LogMessage, Loud: loud, LogText: fmt.Sprintf(form, args...)})
+	c.emit(Effect{Kind: LogMessage, LogAlways: loud, LogText: fmt.Sprintf(form, args...)})
 }
 
 func (c *Core) logError(err fleet.ErrorWithRemedy) {
-	c.emit(Effect{Kind: LogMessage, Loud: true, Err: err, LogText: err.Error()})
+	c.emit(Effect{Kind: LogMessage, LogAlways: true, Err: err, LogText: err.Error()})
 }
 
 // State is the replicated log as applied here, for tests; it must not be changed.
 func (c *Core) State() *statemachine.State { return c.state }
 
-// Leads reports whether this controller leads, as far as it knows.
-func (c *Core) Leads() bool { return c.isLeader }
+// IsLeader reports whether this controller leads, as far as it knows.
+func (c *Core) IsLeader() bool { return c.isLeader }
 
 // sorted returns the keys of m in order.
 func sorted[T any](m map[string]T) (l []string) {
--- a/internal/fleet/node/node_test.go
+++ b/internal/fleet/node/node_test.go
@@ -15,7 +15,7 @@
 	s := newTestCluster(t, 1, 3, 3, 600*time.Millisecond)
 	s.waitUntilAllServe(5 * time.Second)
 	a := s.controllers["f0"]
-	a.request(1, &fleet.Request{Kind: "apply", ID: "c1", Base: 1, Policy: []byte("x")})
+	a.request(1, &fleet.Request{Kind: "apply", ID: "c1", BaseVersion: 1, Policy: []byte("x")})
 	s.waitFor(5*time.Second, "in force", func() bool { return s.replyTo(a, 1) != nil })
 	if w := s.replyTo(a, 1); w.Outcome != statemachine.InForce || w.Version != 2 {
 		t.Fatalf("%+v", w)
@@ -27,8 +27,8 @@
 	}
 	// two operators at once: one is refused
 	b := s.controllers["v1"]
-	a.request(2, &fleet.Request{Kind: "apply", ID: "c2", Base: 2, Policy: []byte("y")})
-	b.request(3, &fleet.Request{Kind: "apply", ID: "c3", Base: 2, Policy: []byte("z")})
+	a.request(2, &fleet.Request{Kind: "apply", ID: "c2", BaseVersion: 2, Policy: []byte("y")})
+	b.request(3, &fleet.Request{Kind: "apply", ID: "c3", BaseVersion: 2, Policy: []byte("z")})
 	s.waitFor(5*time.Second, "both answered", func() bool {
 		return s.replyTo(a, 2) != nil && s.replyTo(b, 3) != nil
 	})
@@ -37,9 +37,9 @@
 		t.Errorf("%v", words)
 	}
 	// one can't serve by it: it is aborted everywhere
-	a.request(4, &fleet.Request{Kind: "apply", ID: "c4", Base: 3, Policy: []byte("bad for f2")})
+	a.request(4, &fleet.Request{Kind: "apply", ID: "c4", BaseVersion: 3, Policy: []byte("bad for f2")})
 	s.waitFor(5*time.Second, "withdrawn", func() bool { return s.replyTo(a, 4) != nil })
-	if w := s.replyTo(a, 4); w.Outcome != statemachine.Withdrawn || w.Exit() != 3 {
+	if w := s.replyTo(a, 4); w.Outcome != statemachine.Aborted || w.ExitStatus() != 3 {
 		t.Errorf("%+v", w)
 	}
 	s.waitFor(2*time.Second, "all serve again", func() bool { return s.allServe(s.names...) })
@@ -51,7 +51,7 @@
 	f := s.controllers["f1"]
 	f.run = 0
 	l := s.leader()
-	l.request(1, &fleet.Request{Kind: "apply", ID: "c1", Base: 1, Policy: []byte("x")})
+	l.request(1, &fleet.Request{Kind: "apply", ID: "c1", BaseVersion: 1, Policy: []byte("x")})
 	l.request(2, &fleet.Request{Kind: "purge", ID: "p1", Scope: &fleet.Scope{Team: "a"},
 		AwaitedStage: fleet.EntryTombstone,
 		WaitMs:       30000})
@@ -93,7 +93,7 @@
 		s.waitUntilAllServe(5 * time.Second)
 		l := s.leader()
 		a := s.controllers["f0"]
-		a.request(1, &fleet.Request{Kind: "apply", ID: "c1", Base: 1, Policy: []byte("x"), WaitMs: 20000})
+		a.request(1, &fleet.Request{Kind: "apply", ID: "c1", BaseVersion: 1, Policy: []byte("x"), WaitMs: 20000})
 		for end := s.now + time.Duration(s.rand.IntN(60))*time.Millisecond; s.now < end; {
 			s.playNextEvent()
 		}
@@ -114,7 +114,7 @@
 		s.waitUntilAllServe(10 * time.Second)
 	}
 	t.Log(phases)
-	for _, p := range []string{statemachine.Proposed, statemachine.Closing, statemachine.Decided,
+	for _, p := range []string{statemachine.Proposed, statemachine.Fencing, statemachine.Committed,
 		statemachine.InForce} {
 		if phases[p] == 0 {
 			t.Errorf("no leader was lost while %s", p)
@@ -154,8 +154,8 @@
 			want = append(want, n+"="+n+":1")
 		}
 	}
-	l.request(1, &fleet.Request{Kind: "apply", ID: "c1", Base: 1, Policy: []byte("voters " + strings.Join(want,
-		" "))})
+	l.request(1, &fleet.Request{Kind: "apply", ID: "c1", BaseVersion: 1,
+		Policy: []byte("voters " + strings.Join(want, " "))})
 	s.waitFor(5*time.Second, "in force", func() bool { return s.replyTo(l, 1) != nil })
 	s.waitFor(5*time.Second, "the new one votes, the old one follows", func() bool {
 		f, o := s.controllers["f0"].core, s.controllers[old].core
@@ -202,7 +202,7 @@
 	}
 	a := s.controllers["f77"]
 	at := s.now
-	a.request(1, &fleet.Request{Kind: "apply", ID: "c1", Base: 1, Policy: []byte("x")})
+	a.request(1, &fleet.Request{Kind: "apply", ID: "c1", BaseVersion: 1, Policy: []byte("x")})
 	s.waitFor(5*time.Second, "in force", func() bool { return s.replyTo(a, 1) != nil })
 	if s.replyTo(a, 1).Outcome != statemachine.InForce {
 		t.Fatalf("%+v", s.replyTo(a, 1))
@@ -286,7 +286,7 @@
 	s.waitFor(5*time.Second, "no confirmation is under way", func() bool {
 		return len(l.core.confirming)+len(l.core.toConfirm) == 0
 	})
-	l.step(Event{Kind: MessageReceived, Message: &Message{From: "f0", Disk: "disk f0",
+	l.step(Event{Kind: MessageReceived, Message: &Message{From: "f0", DiskID: "disk f0",
 		Renewal: &LeaseRenewal{Member: f.config.Self, Incarnation: 99, Seq: 1, AppliedIndex: l.core.state.Index}}})
 	s.waitFor(5*time.Second, "a confirmation has begun", func() bool { return len(l.core.confirming) > 0 })
 	if !l.core.mayHoldLease("f0", l.core.config.Lease) {
@@ -306,10 +306,10 @@
 		}
 	}
 	f := s.controllers["f0"]
-	f.request(1, &fleet.Request{Kind: "apply", ID: "c1", Base: 1, Policy: []byte("x")})
+	f.request(1, &fleet.Request{Kind: "apply", ID: "c1", BaseVersion: 1, Policy: []byte("x")})
 	s.waitFor(5*time.Second, "in force", func() bool { return s.replyTo(f, 1) != nil })
 	f.neverValidates = "c2"
-	f.request(2, &fleet.Request{Kind: "apply", ID: "c2", Base: 2, Policy: []byte("voters f0=f0:1"),
+	f.request(2, &fleet.Request{Kind: "apply", ID: "c2", BaseVersion: 2, Policy: []byte("voters f0=f0:1"),
 		WaitMs: 60000})
 	checked := func(a *testController) bool { return slices.Contains(a.validations, "done c2") }
 	s.waitFor(5*time.Second, "it is checked", func() bool {
@@ -325,7 +325,7 @@
 	}
 	f.step(Event{Kind: PolicyValidated, ChangeID: "c2", Voters: []string{"f0=f0:1"}})
 	s.waitFor(5*time.Second, "closing", func() bool {
-		return f.core.state.Changes["c2"].Phase == statemachine.Closing
+		return f.core.state.Changes["c2"].Phase == statemachine.Fencing
 	})
 	anew()
 	s.waitFor(20*time.Second, "in force", func() bool { return s.replyTo(f, 2) != nil })
@@ -340,7 +340,7 @@
 		s := newTestCluster(t, 20+seed, 3, 3, 500*time.Millisecond)
 		s.waitUntilAllServe(5 * time.Second)
 		a := s.controllers["f0"]
-		a.request(1, &fleet.Request{Kind: "apply", ID: "c1", Base: 1,
+		a.request(1, &fleet.Request{Kind: "apply", ID: "c1", BaseVersion: 1,
 			Policy: []byte("voters f0=f0:1 f1=f1:1 f2=f2:1"), WaitMs: 60000})
 		s.waitFor(20*time.Second, "in force", func() bool { return s.replyTo(a, 1) != nil })
 		s.waitFor(20*time.Second, "the old ones follow, all serve", func() bool {
@@ -388,9 +388,9 @@
 	s.waitFor(5*time.Second, "it serves", func() bool { return s.allServe("v0") })
 	c := s.controllers["v0"].core
 	s.controllers["v0"].step(Event{Kind: ControllerReported, Report: fleet.Report{Kind: fleet.SitesServing,
-		Sites: []string{"here"}}})
-	s.controllers["v0"].step(Event{Kind: ControllerReported, Report: fleet.Report{Kind: fleet.PolicyOpened,
-		Version: 1, Outside: 2}})
+		ServingSites: []string{"here"}}})
+	s.controllers["v0"].step(Event{Kind: ControllerReported, Report: fleet.Report{Kind: fleet.PolicyActivated,
+		Version: 1, AttemptsOutside: 2}})
 	if c.attemptsOutside != 2 {
 		t.Errorf("%d outside", c.attemptsOutside)
 	}
@@ -402,16 +402,17 @@
 	s.waitUntilAllServe(5 * time.Second)
 	f := s.controllers["f0"]
 	f.outsideAtOpen = 1
-	f.request(1, &fleet.Request{Kind: "apply", ID: "c1", Base: 1, Policy: []byte("x")})
-	f.request(2, &fleet.Request{Kind: "apply", ID: "c1", Base: 1, Policy: []byte("x"), AwaitedStage: "settled",
-		WaitMs: 60000})
+	f.request(1, &fleet.Request{Kind: "apply", ID: "c1", BaseVersion: 1, Policy: []byte("x")})
+	f.request(2, &fleet.Request{Kind: "apply", ID: "c1", BaseVersion: 1, Policy: []byte("x"),
+		AwaitedStage: "settled",
+		WaitMs:       60000})
 	s.waitFor(5*time.Second, "in force", func() bool { return s.replyTo(f, 1) != nil })
 	for end := s.now + 2*time.Second; s.now < end; s.playNextEvent() {
 		if s.replyTo(f, 2) != nil {
 			t.Fatalf("%+v while a query runs outside", s.replyTo(f, 2))
 		}
 	}
-	report := fleet.Report{Kind: fleet.SitesServing, Sites: []string{"here"}}
+	report := fleet.Report{Kind: fleet.SitesServing, ServingSites: []string{"here"}}
 	f.step(Event{Kind: ControllerReported, Report: report})
 	s.waitFor(5*time.Second, "settled", func() bool { return s.replyTo(f, 2) != nil })
 	if w := s.replyTo(f, 2); w.Outcome != "settled" {
@@ -456,13 +457,13 @@
 	s := newTestCluster(t, 16, 3, 1, 500*time.Millisecond)
 	s.waitUntilAllServe(5 * time.Second)
 	for _, name := range s.names {
-		want := fleet.HoldingUnknown
+		want := fleet.LeaseStatusUnknown
 		if s.controllers[name] == s.leader() {
-			want = fleet.HoldingLease
+			want = fleet.LeaseStatusPossible
 		}
 		for _, m := range s.controllers[name].core.Status().Members {
-			if m.Holds != want {
-				t.Errorf("%s says of %s: %v, want %v", name, m.Name, m.Holds, want)
+			if m.Lease != want {
+				t.Errorf("%s says of %s: %v, want %v", name, m.Name, m.Lease, want)
 			}
 		}
 	}
--- a/internal/fleet/node/operator_requests.go
+++ b/internal/fleet/node/operator_requests.go
@@ -50,7 +50,7 @@
 }
 
 func (c *Core) respond(handle uint64, reply *fleet.Response) {
-	c.emit(Effect{Kind: Respond, Handle: handle, Reply: reply})
+	c.emit(Effect{Kind: Respond, Handle: handle, Response: reply})
 }
 
 // answerRequests answers requests whose outcome is known or whose deadline has passed, and
@@ -125,11 +125,11 @@
 		return
 	}
 	if via := c.currentRelay(); via != nil { // which may reach the leader where this controller doesn't
-		c.send(via.Name, via.Address, &Message{Ask: a})
+		c.send(via.Name, via.Address, &Message{Request: a})
 		return
 	}
 	if c.leader != "" {
-		c.send(c.leader, c.addressOf(c.leader), &Message{Ask: a})
+		c.send(c.leader, c.addressOf(c.leader), &Message{Request: a})
 	}
 }
 
@@ -141,11 +141,11 @@
 		Team:         a.Team,
 		Scope:        a.Scope,
 		Name:         a.Name,
-		Base:         a.Base,
+		BaseVersion:  a.BaseVersion,
 		Policy:       a.Policy,
 		AbortAfterMs: a.AbortAfterMs,
 		Tables:       a.Tables,
-		From:         a.From,
+		SourceTables: a.SourceTables,
 	}
 	switch a.Kind {
 	case "apply":
@@ -174,29 +174,29 @@
 // Status is how this controller sees the fleet.
 func (c *Core) Status() *fleet.Status {
 	s := &fleet.Status{
-		Name:        c.config.Self.Name,
-		Leader:      c.leader,
-		Index:       c.state.Index,
-		Version:     c.state.Version,
-		Serves:      c.serves(),
-		LeaseMS:     -1,
-		Emergencies: sorted(c.state.Emergencies),
-		Bindings:    c.state.Bindings,
-		Counts:      c.Counts,
+		Name:             c.config.Self.Name,
+		Leader:           c.leader,
+		Index:            c.state.Index,
+		Version:          c.state.Version,
+		Serves:           c.serves(),
+		LeaseRemainingMs: -1,
+		Emergencies:      sorted(c.state.Emergencies),
+		Bindings:         c.state.Bindings,
+		Counts:           c.Counts,
 	}
 	if c.leaseUntil != fleet.Forever {
-		s.LeaseMS = max(0, (c.leaseUntil - c.now).Milliseconds())
+		s.LeaseRemainingMs = max(0, (c.leaseUntil - c.now).Milliseconds())
 	}
 	if u := c.state.ChangeUnderWay(); u != nil {
 		s.Change = c.state.Outcome(&fleet.Request{Kind: "apply", ID: u.ID})
 		s.Change.Outstanding = c.outstanding(u.ID)
 	}
 	for _, name := range sorted(c.state.Members) {
-		m := fleet.MemberStatus{Member: *c.state.Members[name], Votes: c.isVoter(name)}
+		m := fleet.MemberStatus{Member: *c.state.Members[name], IsVoter: c.isVoter(name)}
 		if c.isLeader {
-			m.Holds = fleet.HoldingOf(c.mayHoldLease(name, c.config.Lease))
+			m.Lease = fleet.LeaseStatusOf(c.mayHoldLease(name, c.config.Lease))
 			if p := c.peers[name]; p != nil {
-				m.Applied = p.appliedIndex
+				m.AppliedIndex = p.appliedIndex
 			}
 		}
 		s.Members = append(s.Members, m)
--- a/internal/fleet/node/policy_validation.go
+++ b/internal/fleet/node/policy_validation.go
@@ -17,7 +17,7 @@
 type validatedPolicy struct {
 	checksum     uint64 // of its text: a change that was aborted had the same version
 	policy       any    // what the set-up made of the text
-	watchedRules []fleet.WatchedRule
+	watchedRules []fleet.EmergencyRule
 	// residencyRulesUnknown: there may be rules that watchedRules doesn't name.
 	residencyRulesUnknown bool
 }
@@ -72,17 +72,17 @@
 		c.policies[v.version] = &validatedPolicy{
 			checksum:              v.checksum,
 			policy:                ev.Policy,
-			watchedRules:          ev.WatchedRules,
+			watchedRules:          ev.EmergencyRules,
 			residencyRulesUnknown: ev.ResidencyRulesUnknown,
 		}
 	} else if strings.HasPrefix(ev.ChangeID, committedKey) {
-		c.logError(&fleet.UnfitError{Version: v.version, Why: ev.Reason})
+		c.logError(&fleet.UnfitError{Version: v.version, Reason: ev.Reason})
 	}
 	c.orderOutstanding()
 }
 
 // watchedRules are the committed residency rules that name further zones.
-func (c *Core) watchedRules() []fleet.WatchedRule {
+func (c *Core) watchedRules() []fleet.EmergencyRule {
 	policy := c.policies[c.state.Version]
 	if policy == nil || c.orderedVersion != c.state.Version {
 		return nil
--- a/internal/fleet/node/relay_aggregation.go
+++ b/internal/fleet/node/relay_aggregation.go
@@ -163,7 +163,7 @@
 	for _, name := range sorted(g.controllers) {
 		from := g.controllers[name]
 		if from.changedInSeq > g.leaderHasUpTo {
-			renewal := RelayedRenewal{Name: name, Disk: from.disk, Renewal: from.renewal}
+			renewal := RelayedRenewal{Name: name, DiskID: from.disk, Renewal: from.renewal}
 			message.Renewals = append(message.Renewals, renewal)
 		}
 	}
@@ -212,7 +212,7 @@
 	withheld := g.withheldReasons(a)
 	for _, name := range sorted(g.controllers) {
 		if grant := g.grantFor(name, a, withheld); grant != nil {
-			address := g.controllers[name].renewal.Member.Peer
+			address := g.controllers[name].renewal.Member.PeerAddress
 			grants = append(grants, addressedGrant{name: name, address: address, grant: grant})
 		}
 	}
--- a/internal/fleet/node/relay_aggregation_test.go
+++ b/internal/fleet/node/relay_aggregation_test.go
@@ -9,8 +9,8 @@
 )
 
 func testRenewal(name string, boot, seq uint64) *LeaseRenewal {
-	return &LeaseRenewal{Member: fleet.Member{Name: name, Disk: "disk " + name, Site: "here",
-		Peer: name + ":1"}, Incarnation: boot, Seq: seq, SentAt: int64(seq)}
+	return &LeaseRenewal{Member: fleet.Member{Name: name, DiskID: "disk " + name, Site: "here",
+		PeerAddress: name + ":1"}, Incarnation: boot, Seq: seq, SentAt: int64(seq)}
 }
 
 func namesIn(g *RelayedRenewals) (names []string) {
--- a/internal/fleet/node/relay_coverage.go
+++ b/internal/fleet/node/relay_coverage.go
@@ -81,7 +81,7 @@
 	}
 	withheld = map[string]string{}
 	for _, from := range g.Renewals {
-		refusal, known := c.admitRenewal(from.Name, from.Disk, from.Renewal, acceptRepeats)
+		refusal, known := c.admitRenewal(from.Name, from.DiskID, from.Renewal, acceptRepeats)
 		if !known {
 			c.uncover(coverage, from.Name, coverage.heardAt)
 			withheld[from.Name] = refusal
--- a/internal/fleet/node/relay_coverage_test.go
+++ b/internal/fleet/node/relay_coverage_test.go
@@ -26,7 +26,7 @@
 	}
 	return s, l, func(g *RelayedRenewals) *RelayedGrants {
 		g.Incarnation, last = 77, nil
-		l.step(Event{Kind: MessageReceived, Message: &Message{From: "r0", To: l.name, Disk: "disk r0",
+		l.step(Event{Kind: MessageReceived, Message: &Message{From: "r0", To: l.name, DiskID: "disk r0",
 			RelayedRenewals: g}})
 		s.playFor(60*time.Millisecond, nil)
 		return last
@@ -34,7 +34,7 @@
 }
 
 func relayedFrom(name string, boot, seq uint64) RelayedRenewal {
-	return RelayedRenewal{Name: name, Disk: "disk " + name, Renewal: testRenewal(name, boot, seq)}
+	return RelayedRenewal{Name: name, DiskID: "disk " + name, Renewal: testRenewal(name, boot, seq)}
 }
 
 func TestCoverageAsksForFullMessageWithoutBase(t *testing.T) {
@@ -123,7 +123,7 @@
 		a.Withheld[0].RefusedReason != forgottenName {
 		t.Errorf("%+v", a)
 	}
-	if a := tell(&RelayedRenewals{Seq: 3, Renewals: []RelayedRenewal{{Name: "f1", Disk: "another",
+	if a := tell(&RelayedRenewals{Seq: 3, Renewals: []RelayedRenewal{{Name: "f1", DiskID: "another",
 		Renewal: testRenewal("f1", 51, 1)}}}); a == nil || a.Withheld[0].RefusedReason != foreignDisk {
 		t.Errorf("%+v", a)
 	}
@@ -134,12 +134,12 @@
 	_, l, tell := leaderWithManualRelay(t)
 	tell(&RelayedRenewals{Seq: 1, Renewals: []RelayedRenewal{relayedFrom("f0", 90, 1)}})
 	old := &RelayedRenewals{Incarnation: 5, Seq: 1, Renewals: []RelayedRenewal{relayedFrom("f0", 80, 1)}}
-	l.step(Event{Kind: MessageReceived, Message: &Message{From: "r9", To: l.name, Disk: "disk r9",
+	l.step(Event{Kind: MessageReceived, Message: &Message{From: "r9", To: l.name, DiskID: "disk r9",
 		RelayedRenewals: old}})
 	if l.core.peers["f0"].incarnation != 80 {
 		t.Fatal("the other relay's word doesn't stand")
 	}
-	l.step(Event{Kind: MessageReceived, Message: &Message{From: "r9", To: l.name, Disk: "disk r9",
+	l.step(Event{Kind: MessageReceived, Message: &Message{From: "r9", To: l.name, DiskID: "disk r9",
 		RelayedRenewals: &RelayedRenewals{Incarnation: 5, Seq: 2, BaseSeq: 1,
 			Silent: []SilentController{{Name: "f0", SilentFor: 1}}}}})
 	if a := tell(&RelayedRenewals{Seq: 2, BaseSeq: 1}); a == nil || !slices.Equal(a.Resend, []string{"f0"}) {
--- a/internal/fleet/node/relay_test.go
+++ b/internal/fleet/node/relay_test.go
@@ -18,14 +18,14 @@
 	named := votersNamed(voters)
 	for _, v := range named {
 		begin := configOf(v.Name, named, seed, lease)
-		begin.Self.Control = true
+		begin.Self.ControlOnly = true
 		s.add(begin)
 	}
 	var upstreams []Upstream
 	for i := range relays {
 		name := fmt.Sprintf("r%d", i)
 		begin := configOf(name, named, seed, lease)
-		begin.IsRelay, begin.Self.Control = true, true
+		begin.IsRelay, begin.Self.ControlOnly = true, true
 		s.add(begin)
 		upstreams = append(upstreams, Upstream{Name: name, Address: name + ":1"})
 	}
@@ -52,7 +52,7 @@
 	version, by := uint64(0), ""
 	for _, name := range s.names {
 		a := s.controllers[name]
-		if a.run == 0 || a.config.Self.Control {
+		if a.run == 0 || a.config.Self.ControlOnly {
 			continue
 		}
 		v := a.permit.ServingVersion(s.now, false)
@@ -68,7 +68,8 @@
 
 // applyPolicy requests a change at a controller and returns what tells whether it is answered.
 func (s *testCluster) applyPolicy(a *testController, id string, handle, base uint64) func() bool {
-	a.request(handle, &fleet.Request{Kind: "apply", ID: id, Base: base, Policy: []byte(id), WaitMs: 60000})
+	a.request(handle, &fleet.Request{Kind: "apply", ID: id, BaseVersion: base, Policy: []byte(id),
+		WaitMs: 60000})
 	return func() bool {
 		s.checkOneVersion()
 		return s.replyTo(a, handle) != nil
@@ -323,7 +324,7 @@
 		lost.start()
 		s.waitFor(10*time.Second, "all serve", func() bool { s.checkOneVersion(); return s.allServe(s.names...) })
 	}
-	for _, p := range []string{statemachine.Proposed, statemachine.Closing, statemachine.Decided} {
+	for _, p := range []string{statemachine.Proposed, statemachine.Fencing, statemachine.Committed} {
 		if phases[p] == 0 {
 			t.Errorf("nobody was lost while %s: %v", p, phases)
 		}
@@ -347,7 +348,7 @@
 	for i := range uint64(5) { // it goes on, and knows nothing of the controllers that left it
 		g := &RelayedRenewals{Incarnation: old.config.Incarnation, Seq: seq + 1 + i,
 			BaseSeq: old.aggregator.leaderHasUpTo}
-		l.step(Event{Kind: MessageReceived, Message: &Message{From: "r0", To: l.name, Disk: "disk r0",
+		l.step(Event{Kind: MessageReceived, Message: &Message{From: "r0", To: l.name, DiskID: "disk r0",
 			RelayedRenewals: g}})
 		s.playFor(20*time.Millisecond, s.checkOneVersion)
 	}
@@ -438,7 +439,7 @@
 	given = 0
 	for i := range uint64(20) {
 		member := s.controllers["f0"].config.Self
-		r.step(Event{Kind: MessageReceived, Message: &Message{From: "f0", To: "r0", Disk: member.Disk,
+		r.step(Event{Kind: MessageReceived, Message: &Message{From: "f0", To: "r0", DiskID: member.DiskID,
 			Renewal: &LeaseRenewal{Member: member, Incarnation: 1, Seq: 1000 + i, SentAt: int64(s.now),
 				AppliedIndex: r.core.state.Index}}})
 		s.playFor(20*time.Millisecond, nil)
@@ -463,15 +464,15 @@
 	r := s.controllers["r0"].core
 	late := *oldRun
 	late.Seq++
-	l.step(Event{Kind: MessageReceived, Message: &Message{From: "r0", To: l.name, Disk: "disk r0",
+	l.step(Event{Kind: MessageReceived, Message: &Message{From: "r0", To: l.name, DiskID: "disk r0",
 		RelayedRenewals: &RelayedRenewals{Incarnation: r.config.Incarnation, Seq: r.aggregator.lastSeq + 1,
 			BaseSeq:  r.aggregator.leaderHasUpTo,
-			Renewals: []RelayedRenewal{{Name: "f0", Disk: "disk f0", Renewal: &late}}}}})
+			Renewals: []RelayedRenewal{{Name: "f0", DiskID: "disk f0", Renewal: &late}}}}})
 	r.aggregator.lastSeq++
 	if l.core.peers["f0"].incarnation == f.config.Incarnation {
 		t.Fatal("the old run isn't told: this test shows nothing")
 	}
-	l.step(Event{Kind: MessageReceived, Message: &Message{From: "r0", To: l.name, Disk: "disk r0",
+	l.step(Event{Kind: MessageReceived, Message: &Message{From: "r0", To: l.name, DiskID: "disk r0",
 		RelayedRenewals: &RelayedRenewals{Incarnation: r.config.Incarnation, Seq: r.aggregator.lastSeq + 1,
 			BaseSeq: r.aggregator.leaderHasUpTo, Silent: []SilentController{{Name: "f0",
 				SilentFor: int64(time.Second)}}}}})
@@ -513,11 +514,11 @@
 	s.waitUntilAllServe(5 * time.Second)
 	l := s.leader()
 	r, f := s.controllers["r0"], s.controllers["f0"]
-	r.config.Self.Control, r.config.IsRelay = false, false
+	r.config.Self.ControlOnly, r.config.IsRelay = false, false
 	granted := false
 	s.seen = func(_, to string, m *Message) {
 		if to == "r0" && m.Grant != nil && m.Grant.Granted && m.Grant.Incarnation == r.config.Incarnation &&
-			l.core.state.Members["r0"].Control {
+			l.core.state.Members["r0"].ControlOnly {
 			granted = true
 		}
 	}
@@ -525,15 +526,15 @@
 	s.playFor(relayLease, nil)
 	r.start()
 	s.waitFor(5*time.Second, "it serves", func() bool { return s.allServe("r0") })
-	if granted || l.core.state.Members["r0"].Control {
+	if granted || l.core.state.Members["r0"].ControlOnly {
 		t.Errorf("granted while the record has it as a control process: %v", granted)
 	}
 	f.run = 0
-	f.config.Self.Control = true
+	f.config.Self.ControlOnly = true
 	f.start()
 	s.waitFor(5*time.Second, "it holds a lease", func() bool { return s.allServe("f0") })
 	s.playFor(2*time.Second, nil)
-	if l.core.state.Members["f0"].Control {
+	if l.core.state.Members["f0"].ControlOnly {
 		t.Error("the record has a controller as a control process")
 	}
 }
@@ -544,9 +545,9 @@
 	s := newRelayCluster(t, 14, 3, 2, 2, relayLease)
 	s.waitUntilAllServe(5 * time.Second)
 	l := s.leader()
-	l.request(1, &fleet.Request{Kind: "apply", ID: "c1", Base: 1, Policy: []byte("bad for " + l.name)})
+	l.request(1, &fleet.Request{Kind: "apply", ID: "c1", BaseVersion: 1, Policy: []byte("bad for " + l.name)})
 	s.waitFor(5*time.Second, "a word", func() bool { return s.replyTo(l, 1) != nil })
-	if w := s.replyTo(l, 1); w.Outcome != statemachine.Withdrawn {
+	if w := s.replyTo(l, 1); w.Outcome != statemachine.Aborted {
 		t.Errorf("%+v", w)
 	}
 }
--- a/internal/fleet/noop/noop.go
+++ b/internal/fleet/noop/noop.go
@@ -65,13 +65,13 @@
 	switch order.Kind {
 	case fleet.FencePolicy:
 		r.set(0)
-		return []fleet.Report{{Kind: fleet.PolicyFenced, Change: order.Change}}
-	case fleet.OpenPolicy:
+		return []fleet.Report{{Kind: fleet.PolicyFenced, ChangeID: order.ChangeID}}
+	case fleet.ActivatePolicy:
 		r.set(order.Version)
-		return []fleet.Report{{Kind: fleet.PolicyOpened, Version: order.Version}}
+		return []fleet.Report{{Kind: fleet.PolicyActivated, Version: order.Version}}
 	case fleet.LeaseRenewed:
 		if r.Word != nil {
-			r.Word.SetLease(order.Until, order.UntilBound)
+			r.Word.SetLease(order.LeaseEnd, order.ConfinedLeaseEnd)
 		}
 	case fleet.InvalidateData:
 		return []fleet.Report{{Kind: fleet.DataTombstoned, ID: order.ID}, {Kind: fleet.DataErased, ID: order.ID}}
--- a/internal/fleet/noop/noop_test.go
+++ b/internal/fleet/noop/noop_test.go
@@ -11,10 +11,10 @@
 func TestEveryOrderIsCarriedOutAndReported(t *testing.T) {
 	orders, reports := make(chan fleet.Order, 8), make(chan fleet.Report, 8)
 	word := &fleet.ServingState{}
-	orders <- fleet.Order{Kind: fleet.LeaseRenewed, Until: time.Minute, UntilBound: time.Second}
-	orders <- fleet.Order{Kind: fleet.OpenPolicy, Version: 3}
+	orders <- fleet.Order{Kind: fleet.LeaseRenewed, LeaseEnd: time.Minute, ConfinedLeaseEnd: time.Second}
+	orders <- fleet.Order{Kind: fleet.ActivatePolicy, Version: 3}
 	orders <- fleet.Order{Kind: fleet.InvalidateData, ID: "p1"}
-	orders <- fleet.Order{Kind: fleet.FencePolicy, Change: "c1"}
+	orders <- fleet.Order{Kind: fleet.FencePolicy, ChangeID: "c1"}
 	close(orders)
 	if err := (Controller{Word: word, Delay: time.Millisecond}).Serve(t.Context(), orders, reports); err != nil {
 		t.Fatal(err)
@@ -24,7 +24,7 @@
 	for r := range reports {
 		kinds = append(kinds, r.Kind)
 	}
-	want := []fleet.ReportKind{fleet.PolicyOpened, fleet.DataTombstoned, fleet.DataErased, fleet.PolicyFenced}
+	want := []fleet.ReportKind{fleet.PolicyActivated, fleet.DataTombstoned, fleet.DataErased, fleet.PolicyFenced}
 	if !slices.Equal(kinds, want) {
 		t.Errorf("reported %v, want %v", kinds, want)
 	}
--- a/internal/fleet/statemachine/apply.go
+++ b/internal/fleet/statemachine/apply.go
@@ -14,7 +14,7 @@
 		s.applyMembership(e)
 	case fleet.EntryPropose:
 		s.propose(e)
-	case fleet.EntryFence, fleet.EntryCommit, fleet.EntryAbort, fleet.EntrySettle, fleet.EntryFinishTightening:
+	case fleet.EntryFence, fleet.EntryCommit, fleet.EntryAbort, fleet.EntryEnterForce, fleet.EntryFinishCleanup:
 		if c := s.Changes[e.ID]; c != nil {
 			s.applyPhase(c, e)
 		}
@@ -23,7 +23,11 @@
 	case fleet.EntryBind:
 		if !s.BindIDs[e.ID] {
 			s.BindIDs[e.ID] = true
-			s.Bindings = append(s.Bindings, fleet.Binding{Team: e.Team, Tables: e.Tables, From: e.From})
+			s.Bindings = append(s.Bindings, fleet.Binding{
+				Team:         e.Team,
+				Tables:       e.Tables,
+				SourceTables: e.SourceTables,
+			})
 			s.mergeBindings()
 			s.ViewIndex = s.Index
 		}
@@ -38,13 +42,13 @@
 	have := s.Members[e.Name]
 	switch {
 	case e.Kind == fleet.EntryJoin:
-		mayJoin := e.Member != nil && (have == nil || have.Disk == e.Member.Disk && !have.Forgotten)
+		mayJoin := e.Member != nil && (have == nil || have.DiskID == e.Member.DiskID && !have.Forgotten)
 		if !mayJoin {
 			return
 		}
 		m := *e.Member
 		m.Forgotten = false
-		m.Control = m.Control && (have == nil || have.Control) // results of its time as a controller may be on its disk
+		m.ControlOnly = m.ControlOnly && (have == nil || have.ControlOnly) // results of its time as a controller may be on its disk
 		s.Members[e.Name] = &m
 	case have != nil:
 		s.forgottenName = e.Name
@@ -60,27 +64,27 @@
 func (s *State) applyPhase(c *PolicyChange, e *fleet.Entry) {
 	switch {
 	case e.Kind == fleet.EntryFence && c.Phase == Proposed:
-		c.Phase = Closing
+		c.Phase = Fencing
 		c.OutsideScopes = e.Scopes
 		c.Voters = e.Voters
-	case e.Kind == fleet.EntryCommit && c.Phase == Closing:
-		c.Phase = Decided
+	case e.Kind == fleet.EntryCommit && c.Phase == Fencing:
+		c.Phase = Committed
 		s.Version = c.Version
 		s.Policy = c.Policy
 		if len(c.Voters) > 0 {
 			s.Voters = c.Voters
 		}
-	case e.Kind == fleet.EntryAbort && (c.Phase == Proposed || c.Phase == Closing):
-		c.Phase = Withdrawn
+	case e.Kind == fleet.EntryAbort && (c.Phase == Proposed || c.Phase == Fencing):
+		c.Phase = Aborted
 		c.Reason = e.Reason
 		s.markChangeEnded(c.ID)
-	case e.Kind == fleet.EntrySettle && c.Phase == Decided:
+	case e.Kind == fleet.EntryEnterForce && c.Phase == Committed:
 		c.Phase = InForce // Finish settles it, also where there is nothing to purge
 		for i, scope := range c.OutsideScopes {
 			s.addPurge(fmt.Sprintf("%s.outside.%d", c.ID, i), "the fleet", scope, c.ID)
 		}
 		s.markChangeEnded(c.ID)
-	case e.Kind == fleet.EntryFinishTightening && c.Phase == InForce:
+	case e.Kind == fleet.EntryFinishCleanup && c.Phase == InForce:
 		c.Settled = true
 	}
 }
@@ -129,13 +133,13 @@
 		return
 	}
 	c := &PolicyChange{
-		ID: e.ID, RequestedBy: e.RequestedBy, BaseVersion: e.Base, Version: s.Version + 1, Policy: e.Policy, Phase: Proposed,
-		TimeoutMillis: e.AbortAfterMs, LogIndex: s.Index,
+		ID: e.ID, RequestedBy: e.RequestedBy, BaseVersion: e.BaseVersion, Version: s.Version + 1, Policy: e.Policy, Phase: Proposed,
+		AbortAfterMs: e.AbortAfterMs, LogIndex: s.Index,
 	}
 	s.Changes[e.ID] = c
 	switch cur := s.Changes[s.CurrentChange]; {
-	case e.Base != s.Version:
-		c.Phase, c.Reason = Refused, fmt.Sprintf("it was made against version %d and %d is in force", e.Base, s.Version)
+	case e.BaseVersion != s.Version:
+		c.Phase, c.Reason = Refused, fmt.Sprintf("it was made against version %d and %d is in force", e.BaseVersion, s.Version)
 	case cur != nil && !cur.IsFinal():
 		c.Phase, c.Reason = Refused, fmt.Sprintf("the change %s is under way", cur.ID)
 	default:
@@ -149,7 +153,7 @@
 // addPurge begins a purge; partOf is the change or rule that it belongs to, "": none.
 func (s *State) addPurge(id, requestedBy string, scope fleet.Scope, partOf string) {
 	if s.Purges[id] == nil {
-		s.Purges[id] = &PurgeRun{ID: id, RequestedBy: requestedBy, Scope: scope, LogIndex: s.Index, PartOf: partOf}
+		s.Purges[id] = &Purge{ID: id, RequestedBy: requestedBy, Scope: scope, LogIndex: s.Index, ParentID: partOf}
 		s.ViewIndex = s.Index // queries admitted from now on come after it
 	}
 }
@@ -180,7 +184,7 @@
 func (s *State) mergeBindings() {
 	var all []fleet.Binding
 	for _, b := range s.Bindings {
-		i := slices.IndexFunc(all, func(x fleet.Binding) bool { return x.Team == b.Team && slices.Equal(x.From, b.From) })
+		i := slices.IndexFunc(all, func(x fleet.Binding) bool { return x.Team == b.Team && slices.Equal(x.SourceTables, b.SourceTables) })
 		if i < 0 {
 			all = append(all, b)
 			continue
--- a/internal/fleet/statemachine/outcome.go
+++ b/internal/fleet/statemachine/outcome.go
@@ -36,8 +36,8 @@
 		}
 	case c.Phase == InForce:
 		r.Outcome, r.Version = InForce, c.Version
-	case c.Phase == Withdrawn:
-		r.Outcome = Withdrawn
+	case c.Phase == Aborted:
+		r.Outcome = Aborted
 		r.Remedy = "see to what it names, then propose the change again under another id"
 	case c.Phase == Refused:
 		r.Outcome = Refused
--- a/internal/fleet/statemachine/state.go
+++ b/internal/fleet/statemachine/state.go
@@ -13,27 +13,27 @@
 	"railrelay.dev/railrelay/internal/fleet"
 )
 
-// Phases of a PolicyChange. A change under way is Proposed, Closing or Decided.
+// Phases of a PolicyChange. A change under way is Proposed, Fencing or Committed.
 const (
 	Proposed  = "proposed"
-	Closing   = "closing"
-	Decided   = "decided"  // committed: every controller starts to decide by it
+	Fencing   = "closing"
+	Committed = "decided"  // committed: every controller starts to decide by it
 	InForce   = "in force" // every controller decides by it, and the operator was notified
-	Withdrawn = "withdrawn"
+	Aborted   = "withdrawn"
 	Refused   = "refused" // rejected when it was proposed: it never was under way
 )
 
 // PolicyChange is one configuration change: a new policy for the whole fleet.
 type PolicyChange struct {
-	ID            string `cbor:"ID"`
-	RequestedBy   string `cbor:"By"`
-	BaseVersion   uint64 `cbor:"Base"`    // the version in force that it was made against
-	Version       uint64 `cbor:"Version"` // the version that it becomes
-	Policy        []byte `cbor:"Policy"`  // the file's text; nil once the change has ended
-	Phase         string `cbor:"Phase"`
-	Reason        string `cbor:"Why"`    // why it was withdrawn or refused
-	TimeoutMillis int64  `cbor:"AtMost"` // until the leader withdraws it; 0: never
-	LogIndex      uint64 `cbor:"At"`     // of the entry that proposed it
+	ID           string `cbor:"ID"`
+	RequestedBy  string `cbor:"By"`
+	BaseVersion  uint64 `cbor:"Base"`    // the version in force that it was made against
+	Version      uint64 `cbor:"Version"` // the version that it becomes
+	Policy       []byte `cbor:"Policy"`  // the file's text; nil once the change has ended
+	Phase        string `cbor:"Phase"`
+	Reason       string `cbor:"Why"`    // why it was withdrawn or refused
+	AbortAfterMs int64  `cbor:"AtMost"` // until the leader withdraws it; 0: never
+	LogIndex     uint64 `cbor:"At"`     // of the entry that proposed it
 
 	// OutsideScopes are what the change leaves outside its rules. A purge of each begins
 	// once it is in force, and Settled is set when nothing of it is left.
@@ -45,18 +45,18 @@
 // IsFinal reports whether the change was withdrawn, refused or came into force: after that
 // only Settled may change.
 func (c *PolicyChange) IsFinal() bool {
-	return c.Phase == InForce || c.Phase == Withdrawn || c.Phase == Refused
+	return c.Phase == InForce || c.Phase == Aborted || c.Phase == Refused
 }
 
-// PurgeRun is one purge.
-type PurgeRun struct {
+// Purge is one purge.
+type Purge struct {
 	ID          string                   `cbor:"ID"`
 	RequestedBy string                   `cbor:"By"`
 	Scope       fleet.Scope              `cbor:"Scope"`
 	LogIndex    uint64                   `cbor:"At"`    // of its entry: results of queries admitted before that go
 	Stage       string                   `cbor:"Stage"` // "" at first, then fleet.Unreachable, then fleet.Erased
 	Counts      fleet.InvalidationCounts `cbor:"Counts"`
-	PartOf      string                   `cbor:"Settles"` // ID of the change or name of the rule that began it, "": an operator or a team did
+	ParentID    string                   `cbor:"Settles"` // ID of the change or name of the rule that began it, "": an operator or a team did
 }
 
 // State is what the log entries applied so far have decided. The same entries in the same
@@ -72,7 +72,7 @@
 	Changes       map[string]*PolicyChange `cbor:"Changes"`
 	CurrentChange string                   `cbor:"Current"` // the last one that was under way
 
-	Purges map[string]*PurgeRun `cbor:"Purges"` // by ID
+	Purges map[string]*Purge `cbor:"Purges"` // by ID
 
 	// What tables are bound to beyond the policy, and the rules in an emergency with the
 	// index at which it began.
@@ -92,7 +92,7 @@
 
 // NewState is the state before the first entry.
 func NewState() *State {
-	return &State{Version: 1, Members: map[string]*fleet.Member{}, Changes: map[string]*PolicyChange{}, Purges: map[string]*PurgeRun{},
+	return &State{Version: 1, Members: map[string]*fleet.Member{}, Changes: map[string]*PolicyChange{}, Purges: map[string]*Purge{},
 		BindIDs: map[string]bool{}, Emergencies: map[string]uint64{}}
 }
 
@@ -148,8 +148,8 @@
 	return nil
 }
 
-// Picture is the immutable view of the state that the controller's decisions use.
-func (s *State) Picture() *fleet.View {
+// View is the immutable view of the state that the controller's decisions use.
+func (s *State) View() *fleet.View {
 	p := &fleet.View{Index: s.Index, Bindings: slices.Clone(s.Bindings), Emergencies: maps.Clone(s.Emergencies)}
 	for _, name := range slices.Sorted(maps.Keys(s.Members)) {
 		if m := s.Members[name]; !m.Forgotten {
--- a/internal/fleet/transport/control_server_test.go
+++ b/internal/fleet/transport/control_server_test.go
@@ -37,7 +37,8 @@
 	if a.Kind == "fail" {
 		return nil, &UnreachableError{"its leader", false, errors.New("none is known")}
 	}
-	return &fleet.Response{ID: a.ID, Outcome: "in force", Version: a.Base + 1, Reason: string(a.Policy)}, nil
+	return &fleet.Response{ID: a.ID, Outcome: "in force", Version: a.BaseVersion + 1,
+		Reason: string(a.Policy)}, nil
 }
 
 func within(t *testing.T) context.Context {
@@ -48,12 +49,12 @@
 
 func TestAnAskIsAnswered(t *testing.T) {
 	d, address, _ := desk(t, Keys{keyA, keyB}, echo)
-	_, err := AskControl(within(t), address, Keys{keyB}, &fleet.Request{Kind: "apply", ID: "x", Base: 3, Policy: []byte("teams: {}")})
+	_, err := AskControl(within(t), address, Keys{keyB}, &fleet.Request{Kind: "apply", ID: "x", BaseVersion: 3, Policy: []byte("teams: {}")})
 	var refused *UnauthenticatedError
 	if !errors.As(err, &refused) {
 		t.Errorf("an answer by a key that isn't there was taken: %v", err)
 	}
-	r, err := AskControl(within(t), address, Keys{keyB, keyA}, &fleet.Request{Kind: "apply", ID: "x", Base: 3, Policy: []byte("teams: {}")})
+	r, err := AskControl(within(t), address, Keys{keyB, keyA}, &fleet.Request{Kind: "apply", ID: "x", BaseVersion: 3, Policy: []byte("teams: {}")})
 	if err != nil || r.ID != "x" || r.Version != 4 || r.Reason != "teams: {}" {
 		t.Fatal(r, err)
 	}
--- a/internal/fleet/transport/golden_values_test.go
+++ b/internal/fleet/transport/golden_values_test.go
@@ -13,7 +13,7 @@
 
 var goldenRenew = node.LeaseRenewal{
 	Member: fleet.Member{
-		Name: "north-1", Disk: "disk-1", Site: "north", Peer: "10.0.0.1:7000", Clients: "10.0.0.1:6000", Forgotten: true, Control: true,
+		Name: "north-1", DiskID: "disk-1", Site: "north", PeerAddress: "10.0.0.1:7000", ClientAddress: "10.0.0.1:6000", Forgotten: true, ControlOnly: true,
 	},
 	Incarnation:       11,
 	Seq:               12,
@@ -30,9 +30,9 @@
 }
 
 var goldenAsk = fleet.Request{
-	Kind: "apply", ID: "ask-1", RequestedBy: "operator@host", Base: 21, Policy: []byte("groups: []\n"), Name: "south-1",
+	Kind: "apply", ID: "ask-1", RequestedBy: "operator@host", BaseVersion: 21, Policy: []byte("groups: []\n"), Name: "south-1",
 	Scope: &fleet.Scope{Team: "team-a", Tables: []int64{1, -2}, RetainedBeforeMs: 22, OutsideSites: []string{"north"}},
-	Team:  "team-b", Tables: []int64{3, 4}, From: []int64{5}, AbortAfterMs: 23, WaitMs: 24, AwaitedStage: "settled",
+	Team:  "team-b", Tables: []int64{3, 4}, SourceTables: []int64{5}, AbortAfterMs: 23, WaitMs: 24, AwaitedStage: "settled",
 }
 
 // goldenMessages is one message of each kind, by its kind, and one with all kinds.
@@ -48,14 +48,14 @@
 		CommittedIndex: 45, Leader: "north-3",
 	}
 	gather := node.RelayedRenewals{Incarnation: 51, Seq: 52, BaseSeq: 53,
-		Renewals: []node.RelayedRenewal{{Name: "north-1", Disk: "disk-1", Renewal: &goldenRenew}},
+		Renewals: []node.RelayedRenewal{{Name: "north-1", DiskID: "disk-1", Renewal: &goldenRenew}},
 		Silent:   []node.SilentController{{Name: "south-3", SilentFor: 54}}}
 	gathered := node.RelayedGrants{Incarnation: 61, Seq: 62, Granted: true, Resync: true, RequiredIndex: 63, Leader: "north-4",
 		Withheld: []node.WithheldLease{{Name: "south-4", RefusedReason: "it is forgotten"}},
 		Resend:   []string{"south-5"}, WaitingFor: map[string][]string{"purge-1": {"south-6"}}}
 	lacks := node.LogRequest{FromIndex: 71}
 	from := func(m node.Message) *node.Message {
-		m.From, m.To, m.Disk = "north-1", "south-1", "disk-1"
+		m.From, m.To, m.DiskID = "north-1", "south-1", "disk-1"
 		return &m
 	}
 	return map[string]*node.Message{
@@ -63,11 +63,11 @@
 		"renew":    from(node.Message{Renewal: &goldenRenew}),
 		"grant":    from(node.Message{Grant: &grant}),
 		"follow":   from(node.Message{LogUpdate: &follow}),
-		"ask":      from(node.Message{Ask: &goldenAsk}),
+		"ask":      from(node.Message{Request: &goldenAsk}),
 		"lacks":    from(node.Message{LogRequest: &lacks}),
 		"gather":   from(node.Message{RelayedRenewals: &gather}),
 		"gathered": from(node.Message{RelayedGrants: &gathered}),
-		"all": from(node.Message{Consensus: []byte("vote"), Renewal: &goldenRenew, Grant: &grant, LogUpdate: &follow, Ask: &goldenAsk,
+		"all": from(node.Message{Consensus: []byte("vote"), Renewal: &goldenRenew, Grant: &grant, LogUpdate: &follow, Request: &goldenAsk,
 			LogRequest: &lacks, RelayedRenewals: &gather, RelayedGrants: &gathered}),
 	}
 }
--- a/internal/residency/residency.go
+++ b/internal/residency/residency.go
@@ -79,7 +79,7 @@
 		for more := r.Follows && !b.allTables; more; {
 			more = false
 			for _, x := range bindings {
-				if x.Team != r.Team || !slices.ContainsFunc(x.From, func(t int64) bool { return b.tables[t] }) {
+				if x.Team != r.Team || !slices.ContainsFunc(x.SourceTables, func(t int64) bool { return b.tables[t] }) {
 					continue
 				}
 				for _, t := range x.Tables {
@@ -242,13 +242,13 @@
 }
 
 func equalBindings(a, b fleet.Binding) bool {
-	return a.Team == b.Team && slices.Equal(a.Tables, b.Tables) && slices.Equal(a.From, b.From)
+	return a.Team == b.Team && slices.Equal(a.Tables, b.Tables) && slices.Equal(a.SourceTables, b.SourceTables)
 }
 
 // covers reports whether one of the bindings binds as much. The log joins those that follow the same.
 func covers(l []fleet.Binding, b fleet.Binding) bool {
 	return slices.ContainsFunc(l, func(x fleet.Binding) bool {
-		return x.Team == b.Team && slices.Equal(x.From, b.From) &&
+		return x.Team == b.Team && slices.Equal(x.SourceTables, b.SourceTables) &&
 			!slices.ContainsFunc(b.Tables, func(t int64) bool { return !slices.Contains(x.Tables, t) })
 	})
 }
@@ -322,14 +322,14 @@
 		need.Tables = append(need.Tables, missing...)
 		for _, t := range read {
 			if b.tables[t] {
-				need.From = append(need.From, t)
+				need.SourceTables = append(need.SourceTables, t)
 			}
 		}
 	}
 	if len(need.Tables) == 0 {
 		return nil, nil
 	}
-	need.Tables, need.From = sorted(need.Tables), sorted(need.From)
+	need.Tables, need.SourceTables = sorted(need.Tables), sorted(need.SourceTables)
 	return need, nil
 }
 
@@ -381,17 +381,17 @@
 }
 
 // Watches are the rules that name further sites: the fleet watches whether all inside is lost.
-func Watches(rules []Rule) (l []fleet.WatchedRule) {
+func Watches(rules []Rule) (l []fleet.EmergencyRule) {
 	for _, r := range rules {
 		if len(r.Emergency.Sites) > 0 && len(r.Engines) > 0 {
-			l = append(l, fleet.WatchedRule{Rule: r.Name, Team: r.Team, Inside: r.Engines, After: r.Emergency.After})
+			l = append(l, fleet.EmergencyRule{Name: r.Name, Team: r.Team, Sites: r.Engines, After: r.Emergency.After})
 		}
 	}
 	return l
 }
 
 // Watches are those of the rules in force.
-func (c *Core) Watches() []fleet.WatchedRule { return Watches(c.rules) }
+func (c *Core) Watches() []fleet.EmergencyRule { return Watches(c.rules) }
 
 // Calmed is what has to be invalidated once a rule's emergency has ended: what was retained
 // where the rule forbids it. nil: nothing can be, its results may be anywhere.
--- a/internal/residency/residency_test.go
+++ b/internal/residency/residency_test.go
@@ -49,7 +49,7 @@
 	c := core("linz", Rule{Name: "a", Team: "bank", Tables: []int64{1}, Engines: []string{"linz"}, Follows: true},
 		Rule{Name: "b", Team: "bank", Tables: []int64{7}, Engines: []string{"wien"}})
 	need, err := c.Needs("bank", []int64{1, 5}, []int64{2, 1}, true)
-	if want := (&fleet.Binding{Team: "bank", Tables: []int64{2}, From: []int64{1}}); err != nil || !cmp.Equal(need, want) {
+	if want := (&fleet.Binding{Team: "bank", Tables: []int64{2}, SourceTables: []int64{1}}); err != nil || !cmp.Equal(need, want) {
 		t.Fatal(cmp.Diff(need, want), err)
 	}
 	if need, err := c.Needs("bank", []int64{7}, []int64{2}, true); need != nil || err != nil {
@@ -60,9 +60,11 @@
 	}
 	old := c.Stamp()
 	// recorded in an order in which the second follows what only the third binds
-	c.Pictured(&fleet.View{Bindings: []fleet.Binding{{Team: "bank", Tables: []int64{2}, From: []int64{1}},
-		{Team: "bank", Tables: []int64{4}, From: []int64{3}}, {Team: "bank", Tables: []int64{3}, From: []int64{2}},
-		{Team: "other", Tables: []int64{8}, From: []int64{1}}}})
+	c.Pictured(&fleet.View{Bindings: []fleet.Binding{
+		{Team: "bank", Tables: []int64{2}, SourceTables: []int64{1}},
+		{Team: "bank", Tables: []int64{4}, SourceTables: []int64{3}},
+		{Team: "bank", Tables: []int64{3}, SourceTables: []int64{2}},
+		{Team: "other", Tables: []int64{8}, SourceTables: []int64{1}}}})
 	if c.Stamp() == old {
 		t.Fatal("verdicts from before would hold on")
 	}
@@ -82,7 +84,7 @@
 func TestEmergency(t *testing.T) {
 	c := core("linz", Rule{Name: "a", Team: "bank", Engines: []string{"linz"},
 		Emergency: Emergency{Sites: []string{"wien"}, After: time.Minute}})
-	want := []fleet.WatchedRule{{Rule: "a", Team: "bank", Inside: []string{"linz"}, After: time.Minute}}
+	want := []fleet.EmergencyRule{{Name: "a", Team: "bank", Sites: []string{"linz"}, After: time.Minute}}
 	if got := c.Watches(); !cmp.Equal(got, want) {
 		t.Fatal(got)
 	}
@@ -111,7 +113,7 @@
 func TestTightened(t *testing.T) {
 	old := []Rule{{Name: "a", Team: "bank", Tables: []int64{1}, Engines: []string{"linz", "wien"}, Follows: true}}
 	next := []Rule{{Name: "a", Team: "bank", Tables: []int64{1}, Engines: []string{"wien"}, Keep: []string{}, Follows: true}}
-	bindings := []fleet.Binding{{Team: "bank", Tables: []int64{4}, From: []int64{1}}}
+	bindings := []fleet.Binding{{Team: "bank", Tables: []int64{4}, SourceTables: []int64{1}}}
 	got := Tightened(old, next, bindings)
 	if len(got) != 1 || !slices.Equal(got[0].Tables, []int64{1, 4}) || !got[0].Ends || got[0].Purge == nil ||
 		len(got[0].Purge.OutsideSites) > 0 || !slices.Equal(got[0].Purge.Tables, []int64{1, 4}) {
--- a/internal/resultcache/invalidation.go
+++ b/internal/resultcache/invalidation.go
@@ -17,7 +17,7 @@
 	c.advance(now)
 	c.logIndex = max(c.logIndex, index)
 	inScope := func(e *entry) bool {
-		return e.logIndex < index && scope.Means(e.tenant.name, e.tables, e.startedWall)
+		return e.logIndex < index && scope.Matches(e.tenant.name, e.tables, e.startedWall)
 	}
 	for _, e := range c.entriesWhere(inScope) {
 		c.Counts.Purged++
@@ -26,7 +26,7 @@
 		c.remove(e)
 	}
 	askedBefore := func(f *flight) bool {
-		return f.logIndex < index && scope.Means(f.leader.Team, f.leader.Tables, f.startedWall)
+		return f.logIndex < index && scope.Matches(f.leader.Team, f.leader.Tables, f.startedWall)
 	}
 	for _, f := range c.invalidateFlights(askedBefore) {
 		if leader := c.promote(f); leader != nil {
@@ -93,4 +93,4 @@
 }
 
 // mayOverlap reports whether two lists have a table in common; where one can't be told they may.
-func mayOverlap(a, b []int64) bool { return len(a) == 0 || len(b) == 0 || fleet.Meet(a, b) }
+func mayOverlap(a, b []int64) bool { return len(a) == 0 || len(b) == 0 || fleet.TablesOverlap(a, b) }
--- a/internal/resultcache/result_cache_test.go
+++ b/internal/resultcache/result_cache_test.go
@@ -85,7 +85,7 @@
 		}
 	}
 	for _, d := range w.drops {
-		if p.index < d.index && d.scope.Means(x.Team, x.Tables, p.began.Milliseconds()) {
+		if p.index < d.index && d.scope.Matches(x.Team, x.Tables, p.began.Milliseconds()) {
 			w.t.Fatalf("answered with what was drawn before a purge: %d, %d", p.index, d.index)
 		}
 	}
--- a/internal/setup/control.go
+++ b/internal/setup/control.go
@@ -65,7 +65,7 @@
 	// set-ups hold, and Rules are what this process's own set-up says that they are.
 	Stated  bool
 	Known   bool // Stated, or this process's own set-up has the part placement
-	Watched []fleet.WatchedRule
+	Watched []fleet.EmergencyRule
 	Voters  []string // as name=address; none: as before
 }
 
--- a/internal/setup/control_test.go
+++ b/internal/setup/control_test.go
@@ -34,7 +34,8 @@
 	if !s.Control() || s.Fleet.Relay || s.Cores() != 1 || s.MemoryMB() != 256 {
 		t.Errorf("%+v", s.Fleet)
 	}
-	if got, want := s.Member(), (fleet.Member{Name: "v0", Peer: "127.0.0.1:7610", Control: true}); got != want {
+	want := fleet.Member{Name: "v0", PeerAddress: "127.0.0.1:7610", ControlOnly: true}
+	if got := s.Member(); got != want {
 		t.Errorf("%+v, want %+v", got, want)
 	}
 	if s = parsed(t, exampleOf(t, "relay.yaml")); !s.Control() || !s.Fleet.Relay {
@@ -228,7 +229,7 @@
 		}
 	}
 	tables := parsedPolicy(t, bare, "placement: [{name: a, team: x, tables: [3], engines: [linz], follows: true}]")
-	scopes, err := tables.Narrowed("next", bare.BaseControlPolicy(), []fleet.Binding{{Team: "x", Tables: []int64{7}, From: []int64{3}}})
+	scopes, err := tables.Narrowed("next", bare.BaseControlPolicy(), []fleet.Binding{{Team: "x", Tables: []int64{7}, SourceTables: []int64{3}}})
 	if err != nil || len(scopes) != 1 || !slices.Equal(scopes[0].Tables, []int64{3, 7}) {
 		t.Errorf("what a load bound goes, too: %+v %v", scopes, err)
 	}
--- a/internal/setup/fleet.go
+++ b/internal/setup/fleet.go
@@ -245,10 +245,10 @@
 // control role has no site and no clients.
 func (x *Setup) Member() fleet.Member {
 	f := x.Fleet
-	m := fleet.Member{Name: x.Name, Site: x.Engines.Location, Peer: cmp.Or(f.Address, f.Listen), Clients: cmp.Or(f.Clients, x.Listen), Control: x.Control()}
+	m := fleet.Member{Name: x.Name, Site: x.Engines.Location, PeerAddress: cmp.Or(f.Address, f.Listen), ClientAddress: cmp.Or(f.Clients, x.Listen), ControlOnly: x.Control()}
 	for _, v := range f.Voters {
 		if v.Name == x.Name {
-			m.Peer = v.Address
+			m.PeerAddress = v.Address
 		}
 	}
 	return m
--- a/internal/setup/fleet_test.go
+++ b/internal/setup/fleet_test.go
@@ -51,7 +51,7 @@
 	if got := s.Fleet.Terms(); got != want {
 		t.Fatalf("%+v", got)
 	}
-	if m := s.Member(); m.Name != "c1" || m.Site != "here" || m.Peer != "127.0.0.1:7601" || m.Clients != "127.0.0.1:6561" {
+	if m := s.Member(); m.Name != "c1" || m.Site != "here" || m.PeerAddress != "127.0.0.1:7601" || m.ClientAddress != "127.0.0.1:6561" {
 		t.Fatalf("%+v", m)
 	}
 	text, _ := os.ReadFile("../../deploy/fleet/c0.yaml")
--- a/internal/setup/placement.go
+++ b/internal/setup/placement.go
@@ -149,7 +149,7 @@
 }
 
 // Base is the policy that the set-up itself holds: version 0, before any change.
-func (x *Setup) Base() (*controller.Policy, []fleet.WatchedRule) {
+func (x *Setup) Base() (*controller.Policy, []fleet.EmergencyRule) {
 	rules := x.rules()
 	return &controller.Policy{Fair: x.Shape(), Facts: x.facts(), Rules: rules}, residency.Watches(rules)
 }
@@ -157,7 +157,7 @@
 // ParsePolicy reads a policy's text, strictly, and checks it against a controller's own
 // set-up, which is not changed. What is wrong is an *Unfit. Voters are name=address; none:
 // as before.
-func ParsePolicy(file string, text []byte, own *Setup) (*controller.Policy, []fleet.WatchedRule, []string, error) {
+func ParsePolicy(file string, text []byte, own *Setup) (*controller.Policy, []fleet.EmergencyRule, []string, error) {
 	x, p, err := own.with(file, text)
 	if err != nil {
 		return nil, nil, nil, err
--- a/internal/spool/purge.go
+++ b/internal/spool/purge.go
@@ -23,7 +23,7 @@
 	c.at(now)
 	var l []*Result
 	means := func(r *Result) {
-		if r.tag.Index < index && s.Means(r.owner(), r.tag.Tables, r.wall) {
+		if r.tag.Index < index && s.Matches(r.owner(), r.tag.Tables, r.wall) {
 			l = append(l, r)
 		}
 	}
--- a/internal/spool/spool_test.go
+++ b/internal/spool/spool_test.go
@@ -132,7 +132,7 @@
 	}
 	for _, l := range []map[uint64]*Result{b.c.results} {
 		for _, r := range l {
-			if s.Means(r.team.name, r.tag.Tables, r.wall) {
+			if s.Matches(r.team.name, r.tag.Tables, r.wall) {
 				b.t.Fatal("some is left after a purge")
 			}
 		}
