--- a/internal/controller/residency.go
+++ b/internal/controller/residency.go
@@ -122,9 +122,9 @@
 	}
 }
 
-// isBound reports whether a query needs the lease of confined tenants. It must run before
+// attachResidency reports whether a query needs the lease of confined tenants. It must run before
 // checkAdmission.
-func (r *residencyState) isBound(q *query, from CallOrigin) bool {
+func (r *residencyState) attachResidency(q *query, from CallOrigin) bool {
 	q.residency = &queryResidency{tenant: r.residencyTenantOf(q, from), tablesKnown: true}
 	return r.verdict(q).Bound
 }
@@ -190,8 +190,8 @@
 	r.redirectedQueries++
 	var controllers []string
 	for _, m := range r.fleetView.Members {
-		if !m.Forgotten && m.Clients != "" && slices.Contains(v.Takers, m.Site) {
-			controllers = append(controllers, m.Clients)
+		if !m.Forgotten && m.ClientAddress != "" && slices.Contains(v.Takers, m.Site) {
+			controllers = append(controllers, m.ClientAddress)
 		}
 	}
 	outside := &residency.Outside{
@@ -206,7 +206,7 @@
 	}
 	r.counters.deferred++
 	if owner, ok := q.owner.(redirectable); ok && len(controllers) > 0 {
-		owner.directed(r.retryAfter(), controllers)
+		owner.redirected(r.retryAfter(), controllers)
 		return
 	}
 	q.owner.deferred(r.retryAfter())
@@ -214,14 +214,14 @@
 
 // redirectable is a query's owner that can be told of other controllers.
 type redirectable interface {
-	directed(comeBack time.Duration, controllers []string)
+	redirected(comeBack time.Duration, controllers []string)
 }
 
 // requestBinding asks the fleet to log a binding, once for all queries that need it.
 func (r *residencyState) requestBinding(required *fleet.Binding) {
 	// The id is the same everywhere and after a restart, and differs for each binding: the
 	// fleet takes one that it has seen as asked for again.
-	sum := sha256.Sum256(fmt.Appendf(nil, "%q %v %v", required.Team, required.Tables, required.From))
+	sum := sha256.Sum256(fmt.Appendf(nil, "%q %v %v", required.Team, required.Tables, required.SourceTables))
 	id := fmt.Sprintf("bind-%x", sum[:16])
 	if r.pendingBindings[id] != nil {
 		return
@@ -234,13 +234,13 @@
 
 func (r *residencyState) sendBindingRequest(id string, b *bindingRequest) {
 	ask := &fleet.Request{
-		Kind:        "bind",
-		ID:          id,
-		RequestedBy: r.core.Site(),
-		Team:        b.binding.Team,
-		Tables:      b.binding.Tables,
-		From:        b.binding.From,
-		WaitMs:      bindingWait.Milliseconds(),
+		Kind:         "bind",
+		ID:           id,
+		RequestedBy:  r.core.Site(),
+		Team:         b.binding.Team,
+		Tables:       b.binding.Tables,
+		SourceTables: b.binding.SourceTables,
+		WaitMs:       bindingWait.Milliseconds(),
 	}
 	r.report(fleet.Report{Kind: fleet.RequestMade, ID: id, Request: ask})
 }
@@ -424,9 +424,9 @@
 		r.requestedBindings, crossed)
 }
 
-// ResidencyViolations lists the latest queries that an emergency let leave their sites, and how
+// EmergencyCrossings lists the latest queries that an emergency let leave their sites, and how
 // many there were. It is for reports, between two steps.
-func (c *Controller) ResidencyViolations() ([]residency.Crossing, int) {
+func (c *Controller) EmergencyCrossings() ([]residency.Crossing, int) {
 	if c.servingLease == nil || c.servingLease.residency == nil {
 		return nil, 0
 	}
