--- a/internal/scheduler/benchmark_test.go
+++ b/internal/scheduler/benchmark_test.go
@@ -7,7 +7,8 @@
 	"time"
 )
 
-// quiet is Actions that only notes what it has to answer.
+// recordingActions records the attempts and health checks that the scheduler sends, and ignores
+// other actions.
 type recordingActions struct {
 	sent         []string
 	healthChecks []string
@@ -39,7 +40,8 @@
 	return a, s
 }
 
-// BenchmarkQuery is an arrival, its looks, its submission and its end.
+// BenchmarkQuery measures a query from its arrival to its end, with its health checks and its
+// attempt.
 func BenchmarkQuery(b *testing.B) {
 	for _, n := range []int{8, 80, 400, 1024} {
 		b.Run(strconv.Itoa(n), func(b *testing.B) {
@@ -56,7 +58,7 @@
 					s.HealthCheckEnded(now+ms, e, Finished, map[string]float64{"held": 3, "cores": 0.4})
 				}
 				if len(a.sent) == 0 {
-					b.Fatal("not sent")
+					b.Fatal("query was not sent")
 				}
 				a.sent = a.sent[:0]
 				s.AttemptEnded(now+10*ms, id, 0, Finished, 9*ms, true, 9*ms, 64, nil)
@@ -65,7 +67,7 @@
 	}
 }
 
-// BenchmarkTick is the periodic work, with nothing out.
+// BenchmarkTick measures the periodic work of an idle controller.
 func BenchmarkTick(b *testing.B) {
 	for _, n := range []int{8, 80, 400, 1024} {
 		b.Run(strconv.Itoa(n), func(b *testing.B) {
--- a/internal/scheduler/chain_test.go
+++ b/internal/scheduler/chain_test.go
@@ -5,20 +5,20 @@
 	"time"
 )
 
-func TestChainHoldsWriteAndSendsItToSameEngine(t *testing.T) {
+func TestChainDelaysWriteAndSendsItToSameEngine(t *testing.T) {
 	h := newHarness(t, 4, nil)
 	a, b := h.arrive(2, 1, -1, 25*sec), h.arrive(2, 1, -1, 25*sec)
 	if len(a.attempts) != 1 || len(b.attempts) != 0 {
-		t.Fatalf("first sent %d times, second %d", len(a.attempts), len(b.attempts))
+		t.Fatalf("first write sent %d times, second %d times", len(a.attempts), len(b.attempts))
 	}
 	h.advance(500 * ms)
 	h.endAttempt(a, 0, Finished)
 	if sentTo(b) != sentTo(a) {
-		t.Fatalf("held load went to %q, chain runs on %q", sentTo(b), sentTo(a))
+		t.Fatalf("waiting write sent to %q, the chain runs on %q", sentTo(b), sentTo(a))
 	}
 }
 
-func TestChainAffinityEndsAfterItsSpan(t *testing.T) {
+func TestChainAffinityEndsAfterItsDuration(t *testing.T) {
 	for _, c := range []struct {
 		rest time.Duration
 		same bool
@@ -35,28 +35,30 @@
 			}
 		}
 		if (same == 20) != c.same {
-			t.Fatalf("%v after its end the chain went on at its engine %d times of 20", c.rest, same)
+			t.Fatalf("%v after the first write, the second one went to the same engine %d times of 20", c.rest, same)
 		}
 	}
 }
 
 func TestChainSendsWaitingWriteAfterItsTimeout(t *testing.T) {
 	h := newHarness(t, 4, nil)
-	a, b := h.arrive(2, 1, -1, 25*sec), h.arrive(2, 1, -1, 25*sec)
+	a, waiting := h.arrive(2, 1, -1, 25*sec), h.arrive(2, 1, -1, 25*sec)
 	h.advance(20 * sec)
-	if len(b.attempts) != 1 || sentTo(b) == sentTo(a) {
-		t.Fatalf("held load sent %d times, to %q beside %q", len(b.attempts), sentTo(b), sentTo(a))
+	if len(waiting.attempts) != 1 || sentTo(waiting) == sentTo(a) {
+		t.Fatalf("waiting write sent %d times, to %q; the first one is on %q",
+			len(waiting.attempts), sentTo(waiting), sentTo(a))
 	}
 }
 
-// A load held behind another goes on alone while there is time; after 1 s its client had long gone.
-func TestWaitingWriteGoesOnWhileItHasTime(t *testing.T) {
+// A write that waits for another one starts beside it while it has time left. Clients with short
+// timeouts left before the maximum wait of 1 s.
+func TestWaitingWriteStartsWhileItHasTime(t *testing.T) {
 	h := newShortTimeoutHarness(t, 2, map[string]string{"loads": "true,false,false"})
-	first, held := h.arrive(0, 1, -1, 290*ms), h.arrive(0, 1, -1, 290*ms)
-	if len(first.attempts) != 1 || len(held.attempts) != 0 {
-		t.Fatal("not held, and the test proves nothing")
+	first, waiting := h.arrive(0, 1, -1, 290*ms), h.arrive(0, 1, -1, 290*ms)
+	if len(first.attempts) != 1 || len(waiting.attempts) != 0 {
+		t.Fatal("the second write did not wait")
 	}
-	if h.advance(150 * ms); len(held.attempts) != 1 {
-		t.Fatalf("held for 150 ms of 290, sent %d times", len(held.attempts))
+	if h.advance(150 * ms); len(waiting.attempts) != 1 {
+		t.Fatalf("after 150 ms of 290, the waiting write was sent %d times", len(waiting.attempts))
 	}
 }
--- a/internal/scheduler/confinement_test.go
+++ b/internal/scheduler/confinement_test.go
@@ -10,13 +10,13 @@
 	"pgregory.net/rapid"
 )
 
-// fence is Actions that holds every submission against where its query may be.
+// confinementActions checks that each attempt is sent to a location that its query allows.
 type confinementActions struct {
 	recordingActions
 	t                interface{ Fatalf(string, ...any) }
 	allowedLocations map[string][]string
-	locationOf       map[string]int // an engine's location
-	inFlight         []string       // query, try
+	locationOf       map[string]int // of an engine
+	inFlight         []string       // query id and attempt number
 	attempts         map[string]int
 	sentByLocation   map[int]int
 }
@@ -24,7 +24,7 @@
 func (actions *confinementActions) SendAttempt(query, engine string, _ time.Duration) {
 	where := actions.locationOf[engine]
 	if l, bound := actions.allowedLocations[query]; bound && !slices.Contains(l, strconv.Itoa(where)) {
-		actions.t.Fatalf("%s, submission %d, at location %d, and it may be at %v", query,
+		actions.t.Fatalf("%s, attempt %d, sent to location %d, and it may be at %v", query,
 			actions.attempts[query], where, l)
 	}
 	actions.sentByLocation[where]++
@@ -36,10 +36,11 @@
 	actions.healthChecks = append(actions.healthChecks, engine)
 }
 
-// Every way to an engine obeys a query's boundary: first submissions, chains, repeats after
-// each kind of end, moves, copies; and a boundary that changes while the query is held.
+// Every attempt obeys its query's allowed locations: first attempts, chains, retries after each
+// outcome, moved attempts and hedged ones, also if the allowed locations change while the query
+// waits.
 func TestConfinedQueryStaysInAllowedLocations(t *testing.T) {
-	crossedBoth := false
+	sentEverywhere := false
 	rapid.Check(t, func(t *rapid.T) {
 		actions := &confinementActions{t: t, allowedLocations: map[string][]string{}, locationOf: map[string]int{},
 			attempts: map[string]int{}, sentByLocation: map[int]int{}}
@@ -57,7 +58,7 @@
 			s.ListEnded()
 		}
 		list(0, func(int) EngineState { return EngineActive })
-		bounds := rapid.SampledFrom([][]string{{"0"}, {"1", "2"}, {"2"}, {}})
+		drawLocations := rapid.SampledFrom([][]string{{"0"}, {"1", "2"}, {"2"}, {}})
 		for now, n := 20*ms, 0; n < 60; now, n = now+rapid.SampledFrom([]time.Duration{ms, 40 * ms,
 			400 * ms}).Draw(t, "later"), n+1 {
 			switch rapid.IntRange(0, 5).Draw(t, "what") {
@@ -65,32 +66,32 @@
 				id := fmt.Sprint("q", n)
 				group, budget := rapid.IntRange(0, 2).Draw(t, "group"), rapid.SampledFrom([]time.Duration{2 * sec,
 					20 * sec}).Draw(t, "budget")
-				var inside []string
+				var locations []string
 				if rapid.IntRange(0, 2).Draw(t, "bound") > 0 {
-					inside = bounds.Draw(t, "inside")
-					actions.allowedLocations[id] = inside
+					locations = drawLocations.Draw(t, "inside")
+					actions.allowedLocations[id] = locations
 				}
-				s.ConfinedQueryArrived(now, id, group, -1, budget, int64(n%3), int64(n%4), 300*ms, 64, inside)
+				s.ConfinedQueryArrived(now, id, group, -1, budget, int64(n%3), int64(n%4), 300*ms, 64, locations)
 			case 3:
 				if len(actions.inFlight) > 0 {
 					i := rapid.IntRange(0, len(actions.inFlight)-1).Draw(t, "which")
 					var id string
-					var try int
-					fmt.Sscan(actions.inFlight[i], &id, &try)
+					var number int
+					fmt.Sscan(actions.inFlight[i], &id, &number)
 					actions.inFlight = slices.Delete(actions.inFlight, i, i+1)
-					if how := rapid.SampledFrom([]Outcome{Finished, Rejected, ConnectionReset, Unreachable, NeverSent,
-						Cancelled}).Draw(t, "end"); how == Finished ||
+					if outcome := rapid.SampledFrom([]Outcome{Finished, Rejected, ConnectionReset, Unreachable, NeverSent,
+						Cancelled}).Draw(t, "end"); outcome == Finished ||
 						rapid.Bool().Draw(t, "ends") {
-						s.AttemptEnded(now, id, try, how, 100*ms, how == Finished, 0, 0, nil)
+						s.AttemptEnded(now, id, number, outcome, 100*ms, outcome == Finished, 0, 0, nil)
 					} else {
-						s.NoteReceived(now, id, try, rapid.SampledFrom([]NoteKind{WaitingForLoad, Progress}).Draw(t, "sign"),
+						s.NoteReceived(now, id, number, rapid.SampledFrom([]NoteKind{WaitingForLoad, Progress}).Draw(t, "sign"),
 							0.001)
 					}
 				}
 			case 4:
-				down := rapid.IntRange(0, 7).Draw(t, "down") // all of its location, from 3 on none
+				drainedLocation := rapid.IntRange(0, 7).Draw(t, "down") // all engines of the location; from 3 on none
 				list(now, func(i int) EngineState {
-					if i%3 == down {
+					if i%3 == drainedLocation {
 						return EngineDraining
 					}
 					return EngineActive
@@ -99,7 +100,7 @@
 				for _, id := range rapid.Permutation([]string{"q0", "q3", "q5", "q9", "q20"}).Draw(t,
 					"other bounds")[:2] {
 					if s.queries[id] != nil {
-						actions.allowedLocations[id] = bounds.Draw(t, "then")
+						actions.allowedLocations[id] = drawLocations.Draw(t, "then")
 						s.ConfineQuery(now, id, actions.allowedLocations[id])
 					}
 				}
@@ -111,16 +112,16 @@
 			}
 			s.TimerFired(now, tickTag)
 		}
-		crossedBoth = crossedBoth || actions.sentByLocation[0] > 0 && actions.sentByLocation[1] > 0 &&
+		sentEverywhere = sentEverywhere || actions.sentByLocation[0] > 0 && actions.sentByLocation[1] > 0 &&
 			actions.sentByLocation[2] > 0 && len(actions.allowedLocations) > 3
 	})
-	if !crossedBoth {
-		t.Fatal("no run sent bound queries to all locations: nothing was tried")
+	if !sentEverywhere {
+		t.Fatal("no run sent confined queries to all locations")
 	}
 }
 
-// What is held for want of an engine inside holds up nobody who may go elsewhere.
-func TestConfinedQueryBlocksOnlyItsLike(t *testing.T) {
+// A confined query without an eligible engine doesn't block queries that other engines may run.
+func TestConfinedQueryBlocksOnlyQueriesLikeItself(t *testing.T) {
 	actions := &confinementActions{t: t, allowedLocations: map[string][]string{"bound": {"5"}},
 		locationOf: map[string]int{"e0": 0},
 		attempts:   map[string]int{}, sentByLocation: map[int]int{}}
@@ -135,6 +136,6 @@
 	}
 	actions.allowedLocations["bound"] = []string{"0"}
 	if s.ConfineQuery(2*ms, "bound", []string{"0"}); actions.attempts["bound"] != 1 {
-		t.Fatal("a boundary that opened lets it go", actions.attempts)
+		t.Fatal("query not sent after its locations were widened:", actions.attempts)
 	}
 }
--- a/internal/scheduler/deadline_test.go
+++ b/internal/scheduler/deadline_test.go
@@ -9,6 +9,6 @@
 	h.s.draining = true
 	q := &query{group: h.s.groups[1], objectiveAt: 4 * sec, deadline: sec}
 	if at := h.s.latestStart(q); at > sec {
-		t.Fatalf("to be begun by %v, its client leaves at 1s", at)
+		t.Fatalf("latest start is %v, the deadline 1s", at)
 	}
 }
--- a/internal/scheduler/harness_test.go
+++ b/internal/scheduler/harness_test.go
@@ -11,7 +11,8 @@
 	"railrelay.dev/railrelay/internal/rapidtest"
 )
 
-// world is a Gateway's clients, engines and clock, and checks it by the seven rules.
+// harness simulates a scheduler's clients, engines and clock, and checks the scheduler's actions by
+// the seven rules.
 type harness struct {
 	t                interface{ Fatalf(string, ...any) }
 	s                *Scheduler
@@ -23,10 +24,10 @@
 	engines          map[string]*listedEngine
 	actions          []string
 	retries          []time.Duration
-	keyCooldownUntil map[int64]time.Duration // until when a key rests
+	keyCooldownUntil map[int64]time.Duration // by key
 	keyCooldownQuery map[int64]*clientQuery
 	healthChecks     []string
-	retryAfters      []time.Duration // with each deferral, to come back
+	retryAfters      []time.Duration // one per deferral
 }
 
 type timerRequest struct {
@@ -66,9 +67,10 @@
 	rapidtest.Main(m, rapidtest.Config{Seed: 20261201, Checks: 1500, Shrink: 5 * time.Second})
 }
 
-// plainFacts: a read-only group that waits for loads, a heavy one, loads in order by key.
+// testSettings returns settings with three groups: light queries that wait for loads, heavy
+// queries, and loads ordered by key.
 func testSettings(more map[string]string) map[string]string {
-	f := map[string]string{
+	given := map[string]string{
 		"gateways": "2", "own.number": "0", "groups": "3", "loads": "false,false,true", "waits": "true,true,false",
 		"threads": "1,3,2", "kind.cores": "8,8", "kind.memory": "16384,16384", "grant.most": "0.4",
 		"may.grant":      "true",
@@ -84,8 +86,8 @@
 		"group.2.value": "6", "group.2.target": "4000", "group.2.timeout": "25000", "group.2.effect": "mutating",
 		"group.2.in-order": "true", "group.2.late-share": "0.5", "group.2.stretch": "3",
 	}
-	maps.Copy(f, more)
-	return f
+	maps.Copy(given, more)
+	return given
 }
 
 func newHarness(t interface{ Fatalf(string, ...any) }, engines int, more map[string]string) *harness {
@@ -103,8 +105,8 @@
 
 func (h *harness) engineIDs() []string { return slices.Sorted(maps.Keys(h.engines)) }
 
-func (h *harness) listEngines(whole bool, ids ...string) {
-	h.s.ListStarted(h.now, whole)
+func (h *harness) listEngines(complete bool, ids ...string) {
+	h.s.ListStarted(h.now, complete)
 	for _, id := range ids {
 		engine := h.engines[id]
 		h.s.EngineListed(id, engine.location, engine.kind, engine.cell, engine.state, engine.startedAt,
@@ -114,7 +116,7 @@
 	h.checkAnswered()
 }
 
-// restart has an engine come back as a new, cold process.
+// restartEngine replaces an engine's process by a new one, which has to warm up.
 func (h *harness) restartEngine(id string) {
 	h.engines[id].startedAt, h.engines[id].slowStartSends, h.engines[id].state = h.now, nil, EngineActive
 	h.listEngines(false, id)
@@ -139,25 +141,25 @@
 
 func (h *harness) workSeconds(group int) float64 { return []float64{0.2, 3, 3}[group] }
 
-// end has a submission end; a finish ends its query with it.
-func (h *harness) endAttempt(q *clientQuery, k int, o Outcome) {
-	attempt := q.attempts[k]
+// endAttempt ends an attempt. The outcome Finished also answers its query.
+func (h *harness) endAttempt(q *clientQuery, number int, outcome Outcome) {
+	attempt := q.attempts[number]
 	if attempt.ended {
 		return
 	}
-	attempt.ended, attempt.outcome = true, o
-	if o == Finished {
+	attempt.ended, attempt.outcome = true, outcome
+	if outcome == Finished {
 		q.answered = true
 	}
-	if o.mayStillRun() && h.groupSetting("in-order", q.group) == "true" {
+	if outcome.mayStillRun() && h.groupSetting("in-order", q.group) == "true" {
 		h.keyCooldownUntil[q.key], h.keyCooldownQuery[q.key] = h.now+h.settings.duration("key.rest"), q
 	}
 	took := max(h.now-attempt.sentAt, time.Duration(h.workSeconds(q.group)*float64(time.Second)))
-	h.s.AttemptEnded(h.now, q.id, k, o, took, q.answered, 0, 0, nil)
+	h.s.AttemptEnded(h.now, q.id, number, outcome, took, q.answered, 0, 0, nil)
 	h.checkAnswered()
 }
 
-// pass lets time go by, waking the gateway as it asked to be.
+// advance moves the clock, and fires timers and ends health checks on the way.
 func (h *harness) advance(span time.Duration) {
 	for until := h.now + span; ; {
 		slices.SortStableFunc(h.timers, func(a, b timerRequest) int { return int(a.at - b.at) })
@@ -199,7 +201,7 @@
 	case q.answered:
 		h.t.Fatalf("rule 1: %s sent after its answer", id)
 	case engine.state != EngineActive && h.now > engine.stateChangedAt+h.settings.duration("drain.grace"):
-		h.t.Fatalf("rule 3: %s sent to %s, told to be leaving at %v", id, engineID, engine.stateChangedAt)
+		h.t.Fatalf("rule 3: %s sent to %s, not active since %v", id, engineID, engine.stateChangedAt)
 	case h.groupSetting("locations", q.group) != "" && h.groupSetting("locations",
 		q.group) != fmt.Sprint(engine.location),
 		h.groupSetting("kinds", q.group) != "" && h.groupSetting("kinds", q.group) != fmt.Sprint(engine.kind):
@@ -209,22 +211,23 @@
 	if h.groupSetting("in-order", q.group) == "true" && q.key >= 0 {
 		h.checkKeyOrder(q)
 	}
-	if span := h.settings.duration("budget.span"); span > 0 && len(q.attempts) > 0 {
+	if window := h.settings.duration("budget.span"); window > 0 && len(q.attempts) > 0 {
 		h.retries = append(h.retries, h.now)
-		made, taken := 0, 0
+		retries, arrived := 0, 0
 		for _, at := range h.retries {
-			if at > h.now-span {
-				made++
+			if at > h.now-window {
+				retries++
 			}
 		}
-		for _, x := range h.arrivals {
-			if x.arrivedAt >= h.now-span {
-				taken++
+		for _, other := range h.arrivals {
+			if other.arrivedAt >= h.now-window {
+				arrived++
 			}
 		}
-		f := h.settings
-		if most := f.number("budget.least") + f.number("budget.share")*float64(taken); float64(made) > most {
-			h.t.Fatalf("rule 7: %d further submissions, %v allowed", made, most)
+		settings := h.settings
+		if limit := settings.number("budget.least") +
+			settings.number("budget.share")*float64(arrived); float64(retries) > limit {
+			h.t.Fatalf("rule 7: %d retries, %v allowed", retries, limit)
 		}
 	}
 	h.checkSlowStart(q, engine)
@@ -234,80 +237,83 @@
 func (h *harness) checkRetry(q *clientQuery, engine *listedEngine) {
 	for _, attempt := range q.attempts {
 		if !attempt.ended && h.settings["may.copy"] != "true" {
-			h.t.Fatalf("rule 2: %s is out twice", q.id)
+			h.t.Fatalf("rule 2: %s has two attempts in flight", q.id)
 		}
 		if attempt.ended && attempt.outcome.NeverRan() {
 			continue
 		}
-		other, scope := h.engines[attempt.engine], h.groupSetting("scope", q.group)
-		near := scope == "all" || scope == "location" && other.location == engine.location ||
-			scope == "cell" && other.cell == engine.cell
+		otherEngine, scope := h.engines[attempt.engine], h.groupSetting("scope", q.group)
+		shared := scope == "all" || scope == "location" && otherEngine.location == engine.location ||
+			scope == "cell" && otherEngine.cell == engine.cell
 		switch h.groupSetting("effect", q.group) {
 		case "mutating":
-			h.t.Fatalf("rule 2: mutating %s sent again", q.id)
+			h.t.Fatalf("rule 2: non-idempotent %s sent again", q.id)
 		case "tokened":
-			if !near || h.now-attempt.sentAt > h.settings.duration(fmt.Sprintf("group.%d.window", q.group)) {
-				h.t.Fatalf("rule 2: tokened %s sent outside its scope or window", q.id)
+			if !shared || h.now-attempt.sentAt > h.settings.duration(fmt.Sprintf("group.%d.window", q.group)) {
+				h.t.Fatalf("rule 2: keyed %s sent outside its scope or window", q.id)
 			}
 		}
 	}
 }
 
 func (h *harness) checkKeyOrder(q *clientQuery) {
-	for _, x := range h.arrivals {
-		if x == q {
+	for _, earlier := range h.arrivals {
+		if earlier == q {
 			break
 		}
-		if x.group != q.group || x.key != q.key {
+		if earlier.group != q.group || earlier.key != q.key {
 			continue
 		}
-		if out := slices.ContainsFunc(x.attempts, func(a *sentAttempt) bool { return !a.ended }); !x.answered ||
-			out {
-			h.t.Fatalf("rule 5: %s sent before %s is over", q.id, x.id)
+		if running := slices.ContainsFunc(earlier.attempts, func(a *sentAttempt) bool {
+			return !a.ended
+		}); !earlier.answered || running {
+			h.t.Fatalf("rule 5: %s sent before %s has ended", q.id, earlier.id)
 		}
 	}
 	if h.now < h.keyCooldownUntil[q.key] && h.keyCooldownQuery[q.key] != q {
-		h.t.Fatalf("rule 5: %s sent while its key rests", q.id)
+		h.t.Fatalf("rule 5: %s sent while its key cools down", q.id)
 	}
 }
 
-// cold holds this gateway to what all together may send, in any window.
+// checkSlowStart checks that the attempts of this controller stay within 0.75 of what all
+// controllers may send to a warming engine in a window.
 func (h *harness) checkSlowStart(q *clientQuery, engine *listedEngine) {
-	age, f := h.now-engine.startedAt, h.settings
-	span := f.duration("cold.span")
-	if engine.startedAt == 0 || age >= span {
+	age, settings := h.now-engine.startedAt, h.settings
+	warmup := settings.duration("cold.span")
+	if engine.startedAt == 0 || age >= warmup {
 		return
 	}
 	engine.slowStartSends = append(engine.slowStartSends, sentWork{h.now, h.workSeconds(q.group)})
 	sum := 0.0
 	for _, s := range engine.slowStartSends {
-		if s.at > h.now-f.duration("cold.window") {
+		if s.at > h.now-settings.duration("cold.window") {
 			sum += s.work
 		}
 	}
-	able := f.number("cold.from") + (1-f.number("cold.from"))*age.Seconds()/span.Seconds()
-	most := f.number("cold.multiple") * able * 0.85 * 8 * f.duration("cold.window").Seconds()
-	if sum > most*0.75 {
-		h.t.Fatalf("rule 4: %.1f s of work sent to cold %s, %.1f in all", sum, engine.id, most)
+	capacity := settings.number("cold.from") + (1-settings.number("cold.from"))*age.Seconds()/warmup.Seconds()
+	limit := settings.number("cold.multiple") * capacity * 0.85 * 8 * settings.duration("cold.window").Seconds()
+	if sum > limit*0.75 {
+		h.t.Fatalf("rule 4: %.1f s of work sent to warming %s, %.1f s allowed for all controllers",
+			sum, engine.id, limit)
 	}
 }
 
-func (h *harness) endQuery(id, how string) {
+func (h *harness) endQuery(id, outcome string) {
 	q := h.queries[id]
 	if q.answered {
 		h.t.Fatalf("rule 1: %s answered twice", id)
 	}
 	q.answered, q.endedAt = true, h.now
-	h.actions = append(h.actions, id+" "+how)
+	h.actions = append(h.actions, id+" "+outcome)
 }
 
-func (h *harness) DeferQuery(id string, comeBack time.Duration) {
+func (h *harness) DeferQuery(id string, retryAfter time.Duration) {
 	q := h.queries[id]
-	h.retryAfters = append(h.retryAfters, comeBack)
+	h.retryAfters = append(h.retryAfters, retryAfter)
 	for _, attempt := range q.attempts {
-		e := h.groupSetting("effect", q.group)
-		scoped := e == "tokened" && h.groupSetting("scope", q.group) != "all"
-		if !(attempt.ended && attempt.outcome.NeverRan()) && (e == "mutating" || scoped) {
+		effect := h.groupSetting("effect", q.group)
+		limitedScope := effect == "tokened" && h.groupSetting("scope", q.group) != "all"
+		if !(attempt.ended && attempt.outcome.NeverRan()) && (effect == "mutating" || limitedScope) {
 			h.t.Fatalf("rule 2: %s deferred though it may have run", id)
 		}
 	}
@@ -316,10 +322,11 @@
 
 func (h *harness) FailQuery(id string) { h.endQuery(id, "killed") }
 
-// Cancel: the end comes with the next end drawn, as on a slow network.
-func (h *harness) CancelAttempt(id string, try int) {
-	if h.settings["may.cancel"] != "true" || try >= len(h.queries[id].attempts) {
-		h.t.Fatalf("cancel of %s %d", id, try)
+// CancelAttempt checks that cancelling is allowed. The attempt ends only when the test ends it, as
+// on a slow network.
+func (h *harness) CancelAttempt(id string, number int) {
+	if h.settings["may.cancel"] != "true" || number >= len(h.queries[id].attempts) {
+		h.t.Fatalf("unexpected cancel of %s, attempt %d", id, number)
 	}
 }
 func (h *harness) SetLimits(string, int, int) {}
@@ -335,16 +342,16 @@
 	h.checkAnswered()
 }
 
-// facts are the settings that a world was made with, read apart from what is tested.
+// settingsMap reads settings independently of the code under test.
 type settingsMap map[string]string
 
-// num is a number, 0 if there is none.
+// number returns a number, 0 if it is missing.
 func (m settingsMap) number(name string) float64 {
 	x, _ := strconv.ParseFloat(m[name], 64)
 	return x
 }
 
-// span is of milliseconds, 0 if there is none.
+// duration returns a number of milliseconds as a duration, 0 if it is missing.
 func (m settingsMap) duration(name string) time.Duration {
 	return time.Duration(m.number(name) * float64(time.Millisecond))
 }
--- a/internal/scheduler/health_check.go
+++ b/internal/scheduler/health_check.go
@@ -114,7 +114,7 @@
 	if e.unresponsive && s.now-e.lastResponseAt > assumedRestartAfter {
 		e.warmupStartedAt = s.now
 		e.warmupEndsAt = max(e.warmupEndsAt, s.now+s.settings.SlowStartDuration)
-		s.actions.Log("engine " + e.id + " heard again, taken as cold")
+		s.actions.Log("engine " + e.id + " responds again after a long silence; treating it as a new process")
 	}
 	e.unresponsive = false
 	e.lastResponseAt = s.now
@@ -141,7 +141,7 @@
 	case silence > silenceLimit+unresponsiveGrace:
 		e.unresponsive = true
 		e.ejectedUntil = s.now + unresponsiveCooldown
-		s.actions.Log("engine " + e.id + " silent, queries out: " + strconv.Itoa(len(e.inFlight)))
+		s.actions.Log("engine " + e.id + " is unresponsive; attempts in flight: " + strconv.Itoa(len(e.inFlight)))
 	case silence > silenceLimit:
 		s.sendHealthCheck(e) // a busy engine still answers a health check; a stalled or lost one doesn't
 	}
--- a/internal/scheduler/invariants_test.go
+++ b/internal/scheduler/invariants_test.go
@@ -9,11 +9,12 @@
 
 const ms, sec = time.Millisecond, time.Second
 
-// TestSchedulerKeepsRulesOnRandomDays plays random days; world checks the seven rules at every step.
+// TestSchedulerKeepsRulesOnRandomEvents plays random events. The harness checks the seven rules at
+// every step.
 func TestSchedulerKeepsRulesOnRandomEvents(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		pick := func(name string, from ...string) string { return rapid.SampledFrom(from).Draw(t, name) }
-		more := map[string]string{
+		given := map[string]string{
 			"gateways": pick("gateways", "0", "1", "2", "300"), "may.cancel": pick("cancel", "true", "false"),
 			"may.copy": pick("copy", "true", "false"), "may.probe": pick("probe", "true", "false"),
 			"note.period": pick("notes", "0", "1000"), "submissions.most": pick("most", "1", "3", "6"),
@@ -26,7 +27,7 @@
 			"group.2.effect": pick("loads", "mutating", "tokened"), "group.2.window": "5000", "group.2.scope": "all",
 			"loads": pick("chains", "false,false,true", ""), "kind.cores": pick("cores", "8,8", "", "0"),
 		}
-		h := newHarness(t, rapid.IntRange(0, 6).Draw(t, "engines"), more)
+		h := newHarness(t, rapid.IntRange(0, 6).Draw(t, "engines"), given)
 		for range rapid.IntRange(20, 150).Draw(t, "steps") {
 			runRandomStep(t, h)
 		}
@@ -35,43 +36,43 @@
 }
 
 func runRandomStep(t *rapid.T, h *harness) {
-	n := rapid.IntRange(0, 99).Draw(t, "what")
+	choice := rapid.IntRange(0, 99).Draw(t, "what")
 	engine := ""
 	if ids := h.engineIDs(); len(ids) > 0 {
 		engine = rapid.SampledFrom(ids).Draw(t, "engine")
 	}
 	switch {
-	case n < 35:
+	case choice < 35:
 		group := rapid.IntRange(0, 2).Draw(t, "group")
 		h.arrive(group, rapid.Int64Range(0, 2).Draw(t, "tables"), rapid.Int64Range(-1, 2).Draw(t, "key"),
 			time.Duration(rapid.IntRange(0, 9000).Draw(t, "budget"))*ms)
-	case n < 60:
+	case choice < 60:
 		q, k := drawInFlight(t, h)
 		if q != nil {
 			h.endAttempt(q, k, rapid.SampledFrom([]Outcome{Finished, Failed, Rejected, TimedOut, Unreachable,
 				ConnectionReset, Cancelled,
 				NeverSent}).Draw(t, "outcome"))
 		}
-	case n < 68:
+	case choice < 68:
 		if q, k := drawInFlight(t, h); q != nil {
 			h.s.NoteReceived(h.now, q.id, k, NoteKind(rapid.IntRange(0, 3).Draw(t, "sign")), rapid.Float64Range(0,
 				1).Draw(t, "x"))
 			h.checkAnswered()
 		}
-	case n < 73 && engine != "":
+	case choice < 73 && engine != "":
 		h.setState(engine, EngineState(rapid.IntRange(0, 2).Draw(t, "state")))
-	case n < 76 && engine != "":
+	case choice < 76 && engine != "":
 		h.restartEngine(engine)
-	case n < 78 && engine != "":
+	case choice < 78 && engine != "":
 		h.reportLoad(engine, map[string]float64{"held": 60})
-	case n < 80:
+	case choice < 80:
 		h.s.ListRefused(h.now)
-	case n < 82 && len(h.arrivals) > 0:
+	case choice < 82 && len(h.arrivals) > 0:
 		q := rapid.SampledFrom(h.arrivals).Draw(t, "leaver")
 		q.answered = true
 		h.s.ClientLeft(h.now, q.id)
 		h.checkAnswered()
-	case n < 84:
+	case choice < 84:
 		h.s.AttemptEnded(h.now, "nobody", 0, Finished, sec, true, 0, 0, nil)
 	default:
 		h.advance(time.Duration(rapid.IntRange(0, 1500).Draw(t, "pass")) * ms)
@@ -80,11 +81,11 @@
 
 func drawInFlight(t *rapid.T, h *harness) (*clientQuery, int) {
 	var all []*clientQuery
-	var tries []int
+	var numbers []int
 	for _, q := range h.arrivals {
-		for k, attempt := range q.attempts {
+		for number, attempt := range q.attempts {
 			if !attempt.ended {
-				all, tries = append(all, q), append(tries, k)
+				all, numbers = append(all, q), append(numbers, number)
 			}
 		}
 	}
@@ -92,7 +93,7 @@
 		return nil, 0
 	}
 	i := rapid.IntRange(0, len(all)-1).Draw(t, "out")
-	return all[i], tries[i]
+	return all[i], numbers[i]
 }
 
 func sentTo(q *clientQuery) string {
--- a/internal/scheduler/queue_test.go
+++ b/internal/scheduler/queue_test.go
@@ -22,7 +22,7 @@
 	}
 }
 
-func TestQueueLetsOthersPassReaderWaitingForLoad(t *testing.T) {
+func TestQueueSkipsReaderWaitingForLoad(t *testing.T) {
 	h := newHarness(t, 2, nil)
 	load := h.arrive(2, 1, -1, 25*sec)
 	for _, e := range h.s.engines {
@@ -31,13 +31,14 @@
 				&attempt{query: &query{group: h.s.groups[0]}})
 		}
 	}
-	held, other := h.arrive(0, 1, -1, 5*sec), h.arrive(0, 2, -1, 5*sec)
-	if len(held.attempts) != 0 || sentTo(other) != sentTo(load) {
-		t.Fatalf("reader of the load's tables sent to %q, one of others to %q", sentTo(held), sentTo(other))
+	waiting, other := h.arrive(0, 1, -1, 5*sec), h.arrive(0, 2, -1, 5*sec)
+	if len(waiting.attempts) != 0 || sentTo(other) != sentTo(load) {
+		t.Fatalf("reader of the load's tables sent to %q, reader of other tables to %q",
+			sentTo(waiting), sentTo(other))
 	}
 }
 
-func TestQueueAsksOncePerTableGroup(t *testing.T) {
+func TestQueueRoutesOncePerTableGroup(t *testing.T) {
 	h := newHarness(t, 1, nil)
 	h.arrive(2, 1, -1, 25*sec)
 	e := h.s.engines[0]
@@ -49,14 +50,14 @@
 	for range 500 {
 		h.arrive(0, 1, -1, 5*sec)
 	}
-	asked := testing.AllocsPerRun(1, func() { h.s.dispatchQueued() })
-	if len(e.inFlight) != 1 || asked > 100 {
-		t.Fatalf("%v allocations for one round, %d out", asked, len(e.inFlight))
+	allocations := testing.AllocsPerRun(1, func() { h.s.dispatchQueued() })
+	if len(e.inFlight) != 1 || allocations > 100 {
+		t.Fatalf("%v allocations in one dispatch, %d attempts in flight", allocations, len(e.inFlight))
 	}
 }
 
-// Clients that hang up early: a queue that waits longer than they do serves none.
-func TestQueueRejectsByPatienceSeen(t *testing.T) {
+// If clients leave early, a queue in which queries wait longer than that would answer none of them.
+func TestQueueRejectsByObservedPatience(t *testing.T) {
 	h := newHarness(t, 1, nil)
 	h.setState("e0", EngineDraining)
 	for range 20 {
@@ -67,14 +68,15 @@
 	}
 	a, b := h.arrive(1, 1, -1, 15*sec), h.arrive(1, 1, -1, 15*sec)
 	if h.advance(600 * ms); !a.answered || b.answered {
-		t.Fatalf("first given up %v, last %v", a.answered, b.answered)
+		t.Fatalf("first query rejected %v, last one %v", a.answered, b.answered)
 	}
 }
 
-// A long query in front took the room of several that are worth as much.
+// A long query at the head of the queue took the capacity of several shorter queries of equal
+// value.
 func TestLongQueueShedsCostliestFirst(t *testing.T) {
 	h := newHarness(t, 1, nil)
-	h.s.engines[0].slowdown, h.s.engines[0].threadsInFlight = 9, 16 // pressed, and no room left of one's own
+	h.s.engines[0].slowdown, h.s.engines[0].threadsInFlight = 9, 16 // under pressure, own share used up
 	h.s.groups[1].objectiveStretch = 9                              // all of them can still be in time
 	h.now = 5 * sec
 	h.s.groups[1].recentThreadSeconds, h.s.groups[1].workSeconds = 15, movingAverage{3, 50}
@@ -88,11 +90,11 @@
 		}
 	}
 	if fmt.Sprint(kept) != "[x0 x2 x4 x5 x6]" {
-		t.Fatalf("kept %v", kept)
+		t.Fatalf("queries kept: %v", kept)
 	}
 }
 
-// A customer three times over its share: its queries count for less than others'.
+// A query of a tenant at three times its quota has a lower weight than those of other tenants.
 func TestQueriesOverQuotaCostMore(t *testing.T) {
 	h := newHarness(t, 1, map[string]string{"gateways": "1", "teams": "2", "team.0.quota": "4",
 		"team.1.quota": "4", "over.worth": "0.05"})
@@ -108,28 +110,28 @@
 	}
 	if a, b := h.s.costPerWeight(q(0)), h.s.costPerWeight(q(1)); h.s.overQuotaFraction(h.s.tenants[1]) > 0 ||
 		a < 1.3*b {
-		t.Fatalf("%.2f beyond its share, %.2f within", a, b)
+		t.Fatalf("cost %.2f beyond the quota, %.2f within", a, b)
 	}
 	if x := h.s.costPerWeight(&query{group: h.s.groups[0], tenant: h.s.tenantByIndex(2),
 		workSeconds: 0.2}); x != 0.2 || h.s.tenantByIndex(-1) != h.s.tenantByIndex(2) {
-		t.Fatalf("nobody's query counts for less: %.2f", x)
+		t.Fatalf("cost of a query without a tenant is %.2f", x)
 	}
 }
 
-// Alone in its queue, with nothing to be had from a late answer, it was held until its client left.
-// Where nothing is told of late answers they are waited for, as before.
+// A late query alone in its queue waited until its client left, even if a late answer has no value.
+// Without a setting for late answers, it still waits.
 func TestQueueRejectsLateQueryWithoutLateValue(t *testing.T) {
 	for _, late := range []string{"0", "0.1", ""} {
 		h := newHarness(t, 1, map[string]string{"group.0.late-share": late})
 		h.setState("e0", EngineDraining)
 		q := h.arrive(0, 1, -1, 5*sec)
 		if h.advance(1200 * ms); q.answered != (late == "0") {
-			t.Fatalf("worth %s when late: answered %v at %v", late, q.answered, h.now)
+			t.Fatalf("late value %q: answered %v at %v", late, q.answered, h.now)
 		}
 	}
 }
 
-// While it is held nothing goes, and all goes in its order afterwards.
+// A paused scheduler sends nothing, and sends the queued queries in order once it is resumed.
 func TestPausedSchedulerDispatchesNothing(t *testing.T) {
 	a := &recordingActions{}
 	s := New(a, 7, testSettings(map[string]string{"report.how": "off", "may.probe": ""}))
@@ -146,7 +148,7 @@
 	}
 	s.QueryDropped(60*ms, "q1")
 	if rg := s.groups[0]; rg.abandonRate.count > 0 {
-		t.Fatal("it passes for one whose client left")
+		t.Fatal("dropped query counted as one whose client left")
 	}
 	s.SetPaused(70*ms, false)
 	if !slices.Equal(a.sent, []string{"q0", "q2"}) || len(s.queries) != 2 {
@@ -154,10 +156,10 @@
 	}
 }
 
-// takeAs takes a query of a customer, with an estimate.
-func arriveForTenant(h *harness, group, team int, work time.Duration) {
+// arriveForTenant adds a query of a tenant with an estimate of its work.
+func arriveForTenant(h *harness, group, tenant int, work time.Duration) {
 	q := &clientQuery{id: fmt.Sprint("x", len(h.arrivals)), group: group, arrivedAt: h.now,
 		deadline: h.now + 60*sec}
 	h.queries[q.id], h.arrivals = q, append(h.arrivals, q)
-	h.s.QueryArrived(h.now, q.id, group, team, 60*sec, int64(len(h.arrivals)), -1, work, 100)
+	h.s.QueryArrived(h.now, q.id, group, tenant, 60*sec, int64(len(h.arrivals)), -1, work, 100)
 }
--- a/internal/scheduler/routing_test.go
+++ b/internal/scheduler/routing_test.go
@@ -4,13 +4,13 @@
 	"testing"
 )
 
-func TestRoutingAvoidsEngineWhereTablesHang(t *testing.T) {
+func TestRoutingAvoidsEngineWhereTablesAreBlocked(t *testing.T) {
 	h := newHarness(t, 2, nil)
 	q := h.arrive(0, 1, -1, 10*sec)
 	h.advance(2 * sec)
 	attempt := h.s.openAttempt(q.id, 0)
 	if !attempt.moving || !h.s.loadRunning(attempt.engine, 1) || h.s.loadRunning(attempt.engine, 2) {
-		t.Fatalf("moved %v, shut %v", attempt.moving, attempt.engine.loadRunningUntil)
+		t.Fatalf("moved %v, loads running %v", attempt.moving, attempt.engine.loadRunningUntil)
 	}
 }
 
@@ -20,7 +20,7 @@
 	for range 30 {
 		q := h.arrive(0, 3, -1, 5*sec)
 		if e := h.engines[sentTo(q)]; e == nil || e.location != 1 {
-			t.Fatalf("sent to %q", sentTo(q))
+			t.Fatalf("light query sent to %q at another location", sentTo(q))
 		}
 		h.endAttempt(q, 0, Finished)
 	}
@@ -30,6 +30,6 @@
 		}
 	}
 	if q := h.arrive(0, 3, -1, 5*sec); sentTo(q) == "" {
-		t.Fatal("held for a location that has gone")
+		t.Fatal("query not sent although other locations have engines")
 	}
 }
--- a/internal/scheduler/scheduler_test.go
+++ b/internal/scheduler/scheduler_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-func TestSchedulerSubscribesToPolledList(t *testing.T) {
+func TestSchedulerRequestsListSentOnRequest(t *testing.T) {
 	h := newHarness(t, 1, map[string]string{"list.how": "asked"})
 	h.advance(300 * ms)
 	if len(h.actions) != 1 || h.actions[0] != "subscribe" {
@@ -15,19 +15,19 @@
 	h.s.ListRefused(h.now)
 	h.advance(2 * sec)
 	if len(h.actions) < 2 {
-		t.Fatal("did not ask again after a refusal")
+		t.Fatal("list not requested again after a refusal")
 	}
 }
 
-// Groups' limits and teams' shares are read anew; what waits stays, aims at the new
-// target and counts to its team by name.
+// New settings change the groups' limits and the tenants' quotas. Queued queries keep their place,
+// get the new objective and count to their tenant by its name.
 func TestUpdateSettingsKeepsQueuedQueries(t *testing.T) {
-	facts := testSettings(map[string]string{"teams": "2", "team.0.name": "a", "team.0.quota": "4",
+	given := testSettings(map[string]string{"teams": "2", "team.0.name": "a", "team.0.quota": "4",
 		"team.1.name": "b", "team.1.quota": "6"})
-	s := New(&recordingActions{}, 7, facts)
+	s := New(&recordingActions{}, 7, given)
 	s.QueryArrived(ms, "q", 0, 1, 5*sec, 1, -1, 0, 0)
 	q, b := s.queries["q"], s.tenants[1]
-	next := maps.Clone(facts)
+	next := maps.Clone(given)
 	maps.Copy(next, map[string]string{"teams": "1", "team.0.name": "b", "team.0.quota": "8",
 		"group.0.target": "250", "group.0.stretch": "0",
 		"group.0.value": "42", "group.0.effect": "mutating", "threads": "2,3,2"})
--- a/internal/scheduler/simulated_fleet_test.go
+++ b/internal/scheduler/simulated_fleet_test.go
@@ -14,8 +14,8 @@
 	"railrelay.dev/railrelay/internal/timerqueue"
 )
 
-// fleet is many gateways that share engines, all in virtual time: what one does
-// alone is summed at the engines, which is where rule 4 is judged.
+// simFleet simulates many controllers that share engines, in virtual time. Rule 4 is checked at the
+// engines, on the sum of what the controllers send.
 type simFleet struct {
 	now             time.Duration
 	events          timerqueue.Queue
@@ -24,35 +24,35 @@
 	engines         map[string]*simEngine
 	engineIDs       []string
 	lastQuery       int
-	offeredValue    float64 // value, once the first of the new engines has started
+	offeredValue    float64 // of queries that arrived after measureFrom
 	servedValue     float64
 	measureFrom     time.Duration
-	warmingWork     float64 // sent to engines while cold
-	warmingCapacity float64 // what those could do meanwhile
-	worstLimitRatio float64 // of rule 4's limit, in any window
-	overLimit       int     // submissions that passed it
+	warmingWork     float64 // sent to warming engines
+	warmingCapacity float64 // work that they could do meanwhile
+	worstLimitRatio float64 // relative to rule 4's limit, in any window
+	overLimit       int     // attempts beyond the limit
 
-	workFactor      float64       // of what a cold engine is able to, in a window
-	window          time.Duration // over which it is counted
-	lateFraction    float64       // of the connections, which come up to 1 s late
-	worstCountRatio float64       // of N + 2 x root of N + 2, in queries of mean work
+	workFactor      float64       // of a warming engine's capacity, in a window
+	window          time.Duration // for that limit
+	lateFraction    float64       // of attempts whose connection takes up to 1 s
+	worstCountRatio float64       // relative to N + 2 x root of N + 2 queries of mean work
 }
 
-// fleetMean is the work of a query in the mean.
+// meanQueryWork is the mean work of a query by the mix of arrivals.
 var meanQueryWork = (14*groupWork[0] + 2.5*groupWork[1] + groupWork[2]) / 17.5
 
-func (f *simFleet) schedule(span time.Duration, do func()) { f.events.Add(f.now+span, do) }
+func (f *simFleet) schedule(span time.Duration, callback func()) { f.events.Add(f.now+span, callback) }
 
 func (f *simFleet) runUntil(until time.Duration) {
 	for at, ok := f.events.NextDue(); ok && at <= until; at, ok = f.events.NextDue() {
 		f.now = at
-		do, _ := f.events.PopDue(at)
-		do()
+		callback, _ := f.events.PopDue(at)
+		callback()
 	}
 	f.now = until
 }
 
-// member is one gateway with what stands round it.
+// simController is one controller with its clients.
 type simController struct {
 	fleet     *simFleet
 	scheduler *Scheduler
@@ -70,7 +70,7 @@
 	closed      bool
 }
 
-// worker is an engine: its threads share its cores, which warm up by its age.
+// simEngine is an engine whose threads share its cores, with a capacity that grows with its age.
 type simEngine struct {
 	id              string
 	startedAt       time.Duration // 0: long ago
@@ -79,7 +79,7 @@
 	advancedAt      time.Duration
 	version         int
 	slowStartSends  []sentWork
-	reportedQueries int // as it reports
+	reportedQueries int // delayed, as in its load reports
 }
 
 type simTask struct {
@@ -107,7 +107,7 @@
 	return simInitialCapacity + (1-simInitialCapacity)*(now-e.startedAt).Seconds()/simWarmup.Seconds()
 }
 
-// on has a worker do what it does until now, and looks when its next task ends.
+// advance runs an engine's tasks up to the present, and schedules the end of the next one.
 func (f *simFleet) advance(e *simEngine) {
 	threads := 0.0
 	for _, task := range e.tasks {
@@ -197,7 +197,8 @@
 	})
 }
 
-// weigh judges rule 4: the work of all gateways in any window, by its group's usual.
+// checkSlowStart checks rule 4 for an attempt: the typical work that all controllers sent in a
+// window.
 func (f *simFleet) checkSlowStart(e *simEngine, group int) {
 	capacity := e.warmupCapacity(f.now)
 	if capacity == 1 {
@@ -276,41 +277,41 @@
 	c.fleet.schedule(in, func() { c.scheduler.TimerFired(c.fleet.now, tag) })
 }
 
-// newFleet starts gateways and engines with a share of all they can do as load,
-// spread unevenly over the gateways.
-func newSimFleet(seed uint64, gateways, engines int, load float64, length time.Duration,
+// newSimFleet starts controllers and engines. The load is a fraction of the engines' capacity, and
+// is distributed unevenly over the controllers.
+func newSimFleet(seed uint64, controllers, engines int, load float64, length time.Duration,
 	more map[string]string) *simFleet {
 	f := &simFleet{rng: rand.New(rand.NewPCG(seed, 1)), engines: map[string]*simEngine{}, workFactor: 3,
 		window: time.Second}
-	facts := testSettings(map[string]string{"gateways": strconv.Itoa(gateways), "may.copy": "true",
+	given := testSettings(map[string]string{"gateways": strconv.Itoa(controllers), "may.copy": "true",
 		"note.period": "2000",
 		"report.how":  "probed", "memory.short": "swap", "answers.cost": "true", "submissions.most": "3",
 		"group.0.target": "1000", "group.0.stretch": "1.5", "group.0.timeout": "5000",
 		"group.1.target": "2000", "group.1.stretch": "2.5", "group.1.timeout": "15000",
 		"group.2.target": "3000", "group.2.stretch": "2.5", "group.2.timeout": "25000", "group.2.in-order": "",
 		"loads": "", "waits": ""})
-	maps.Copy(facts, more)
+	maps.Copy(given, more)
 	for i := range engines {
 		f.addEngine(fmt.Sprint("e", i), 0)
 	}
 	total := 0.0
 	var shares []float64
-	for i := range gateways {
-		facts["own.number"] = strconv.Itoa(i)
-		c := &simController{fleet: f, settings: facts, queries: map[string]*simQuery{}}
-		c.scheduler = New(c, f.rng.Uint64(), facts)
+	for i := range controllers {
+		given["own.number"] = strconv.Itoa(i)
+		c := &simController{fleet: f, settings: given, queries: map[string]*simQuery{}}
+		c.scheduler = New(c, f.rng.Uint64(), given)
 		f.controllers = append(f.controllers, c)
 		f.listEngines(c, f.engineIDs...)
-		x := math.Exp(0.6 * f.rng.NormFloat64())
+		share := math.Exp(0.6 * f.rng.NormFloat64())
 		if i%60 == 7 {
-			x *= 4
+			share *= 4
 		}
-		shares, total = append(shares, x), total+x
+		shares, total = append(shares, share), total+share
 	}
-	mix := []float64{14, 2.5, 1}
+	arrivalMix := []float64{14, 2.5, 1}
 	perQuery := 0.0
-	for i := range mix {
-		perQuery += mix[i] / 17.5 * groupWork[i]
+	for i := range arrivalMix {
+		perQuery += arrivalMix[i] / 17.5 * groupWork[i]
 	}
 	rate := load * float64(engines) * simCores * 0.85 / perQuery
 	for i, c := range f.controllers {
@@ -318,7 +319,7 @@
 		gap := func() time.Duration { return seconds(f.rng.ExpFloat64() / (rate * shares[i] / total)) }
 		next = func() {
 			if f.now < length {
-				c.sendQuery(mix)
+				c.sendQuery(arrivalMix)
 				f.schedule(gap(), next)
 			}
 		}
@@ -328,8 +329,8 @@
 	report = func() {
 		for _, id := range f.engineIDs {
 			e := f.engines[id]
-			held := len(e.tasks)
-			f.schedule(150*time.Millisecond, func() { e.reportedQueries = held })
+			count := len(e.tasks)
+			f.schedule(150*time.Millisecond, func() { e.reportedQueries = count })
 		}
 		if f.now < length {
 			f.schedule(400*time.Millisecond, report)
@@ -380,10 +381,10 @@
 	c.scheduler.ListEnded()
 }
 
-// release replaces engines: drained, and gone while a cold one comes under a new id.
-// Each gateway hears of it in its own time.
+// replaceEngines drains and removes engines, and starts a new one with a new id for each. Each
+// controller learns of that at a random time.
 func (f *simFleet) replaceEngines(at time.Duration, ids ...string) {
-	tell := func(id string) {
+	announce := func(id string) {
 		for _, c := range f.controllers {
 			f.schedule(seconds(0.5+f.rng.Float64()), func() { f.listEngines(c, id) })
 		}
@@ -392,30 +393,31 @@
 		f.schedule(at, func() {
 			e := f.engines[id]
 			e.state = EngineDraining
-			tell(id)
+			announce(id)
 			f.schedule(3*time.Second, func() {
 				e.state = EngineRemoved
-				tell(id)
+				announce(id)
 				f.addEngine(id+"n", f.now)
-				tell(id + "n")
+				announce(id + "n")
 			})
 		})
 	}
 }
 
-// Half of the engines and more are replaced within seconds, in fleets of several shapes.
-// What all gateways together send to each cold one stays, in any window, under rule 4's
-// limit; and they are used: a twentieth of what they could do was sent to them once, while
-// queries were refused for want of room. FLEET_SEEDS asks for more than the usual one.
+// Half of the engines or more are replaced within seconds, in fleets of several sizes. The work
+// that all controllers together send to each warming engine must stay within rule 4's limit in any
+// window. The warming engines must also be used: they once got a twentieth of their capacity while
+// queries were rejected for lack of capacity. FLEET_SEEDS sets the number of seeds, which is 1 by
+// default.
 func TestSlowStartLimitHoldsOverAllControllers(t *testing.T) {
 	seeds := 1
 	if more, err := strconv.Atoi(os.Getenv("FLEET_SEEDS")); err == nil {
 		seeds = more
 	}
-	for _, shape := range []struct{ gateways, engines, replaced int }{{300, 80, 48}, {350, 40, 20}, {60, 80,
+	for _, shape := range []struct{ controllers, engines, replaced int }{{300, 80, 48}, {350, 40, 20}, {60, 80,
 		40}} {
 		for seed := range seeds {
-			f := newSimFleet(uint64(seed+1), shape.gateways, shape.engines, 0.75, 22*sec, nil)
+			f := newSimFleet(uint64(seed+1), shape.controllers, shape.engines, 0.75, 22*sec, nil)
 			f.measureFrom = 8 * sec
 			for i := range shape.replaced {
 				f.replaceEngines(5*sec+time.Duration(i*7/shape.replaced)*sec, fmt.Sprint("e", i))
@@ -432,78 +434,80 @@
 			t.Logf("%v seed %d: cold_worst=%.2f over=%d cold_use=%.2f service=%.3f", shape, seed+1,
 				f.worstLimitRatio, f.overLimit, use, f.servedValue/f.offeredValue)
 			if f.overLimit > 0 {
-				t.Fatalf("%v seed %d: a cold engine was sent %.2f times what it stands, %d submissions over it", shape,
+				t.Fatalf("%v seed %d: a warming engine got %.2f times its limit, %d attempts beyond the limit", shape,
 					seed+1, f.worstLimitRatio, f.overLimit)
 			}
 			if use < 0.08 {
-				t.Fatalf("%v seed %d: cold engines were sent %.2f of what they can do: safe by starving them", shape,
+				t.Fatalf("%v seed %d: warming engines got only %.2f of what they can do", shape,
 					seed+1, use)
 			}
 		}
 	}
 }
 
-// Whatever the fleet's size, and however small what a cold engine stands: what all controllers send
-// it in any window stays under N + 2 x root of N + 2 queries of mean work, which is chance, and cold
-// engines are not starved for it where they stand a query at all. A third of the connections come up
-// late, by up to a second, so that what was sent in turn arrives together; engines that are full send
-// queries on; and controllers that were away come back all at once, having learned nothing, counted
-// by the settings or not.
+// For any fleet size and any limit, all controllers together send a warming engine at most N + 2 x
+// root of N + 2 queries of mean work in a window, which allows for chance. Engines that can take a
+// query at all are not starved. A third of the connections take up to a second, so that attempts
+// sent one after the other arrive together. Full engines reject queries, which are retried
+// elsewhere. Many controllers restart at once without any learned state, and the number of
+// controllers in the settings may be wrong.
 func TestSlowStartLimitHoldsAtAnyFleetSize(t *testing.T) {
 	for _, shape := range []struct {
-		gateways, told, engines, replaced int
-		multiple                          float64
-		window                            time.Duration
-		use                               float64 // at the least
+		controllers, configured, engines, replaced int
+		multiple                                   float64
+		window                                     time.Duration
+		use                                        float64 // lower bound
 	}{
 		{1, 1, 8, 4, 3, time.Second, 0.1},
 		{2, 2, 8, 4, 3, time.Second, 0.04},
 		{20, 20, 16, 8, 3, time.Second, 0.08},
 		{20, 30, 16, 8, 3, time.Second, 0.08},    // ten of them down
-		{30, 20, 16, 8, 3, time.Second, 0.08},    // ten more than is told
-		{350, 350, 40, 20, 3, time.Second, 0.05}, // two thirds of them know nothing of the load after 11 s
-		{20, 20, 16, 8, 2, 300 * ms, 0},          // N is under one
+		{30, 20, 16, 8, 3, time.Second, 0.08},    // ten more than configured
+		{350, 350, 40, 20, 3, time.Second, 0.05}, // two thirds of them restart after 11 s without learned state
+		{20, 20, 16, 8, 2, 300 * ms, 0},          // N is less than one
 		{350, 300, 40, 20, 2, 500 * ms, 0},
 	} {
 		for seed := range 2 {
-			f := newSimFleet(uint64(seed+11), shape.gateways, shape.engines, 0.75, 20*sec,
-				map[string]string{"gateways": strconv.Itoa(shape.told),
+			f := newSimFleet(uint64(seed+11), shape.controllers, shape.engines, 0.75, 20*sec,
+				map[string]string{"gateways": strconv.Itoa(shape.configured),
 					"cold.multiple": fmt.Sprint(shape.multiple), "cold.window": fmt.Sprint(shape.window.Milliseconds())})
 			f.workFactor, f.window, f.lateFraction, f.measureFrom = shape.multiple, shape.window, 1.0/3, 8*sec
 			for i := range shape.replaced {
 				f.replaceEngines(5*sec+time.Duration(i*5/shape.replaced)*sec, fmt.Sprint("e", i))
 			}
-			f.schedule(11*sec, f.restartMost) // in the midst of it, knowing the list and nothing else
+			f.schedule(11*sec, f.restartMost) // while engines warm up; they know only the endpoint list
 			f.runUntil(26 * sec)
-			able := 0.0
+			capacity := 0.0
 			for _, id := range f.engineIDs {
 				if e := f.engines[id]; e.startedAt > 0 {
 					for at := e.startedAt; at < min(20*sec, e.startedAt+simWarmup); at += 100 * ms {
-						able += e.warmupCapacity(at) * simCores * 0.85 * 0.1
+						capacity += e.warmupCapacity(at) * simCores * 0.85 * 0.1
 					}
 				}
 			}
-			use := f.warmingWork / able
+			use := f.warmingWork / capacity
 			t.Logf("%v seed %d: worst window %.2f of N + 2 x root of N + 2, cold_use=%.2f service=%.3f", shape, seed,
 				f.worstCountRatio, use, f.servedValue/f.offeredValue)
 			if f.worstCountRatio > 1 {
-				t.Errorf("%v seed %d: a cold engine was sent %.2f of what is chance", shape, seed, f.worstCountRatio)
+				t.Errorf("%v seed %d: a warming engine got %.2f times the queries that chance allows",
+					shape, seed, f.worstCountRatio)
 			}
 			if use < shape.use {
-				t.Errorf("%v seed %d: cold engines were sent %.2f of what they can do: safe by starving them", shape,
+				t.Errorf("%v seed %d: warming engines got only %.2f of what they can do", shape,
 					seed, use)
 			}
 		}
 	}
 }
 
-// anew has two thirds of the controllers start again at once: what they held is their clients' to ask again.
+// restartMost restarts two thirds of the controllers at once. Their clients have to retry the lost
+// queries.
 func (f *simFleet) restartMost() {
 	for i, c := range f.controllers {
 		if i%3 == 0 {
 			continue
 		}
-		facts := c.settings
+		given := c.settings
 		for _, id := range slices.Sorted(maps.Keys(c.queries)) {
 			if q := c.queries[id]; len(q.running) == 0 {
 				delete(c.queries, id)
@@ -511,19 +515,19 @@
 				q.closed = true
 			}
 		}
-		c.scheduler = New(c, f.rng.Uint64(), facts)
+		c.scheduler = New(c, f.rng.Uint64(), given)
 		f.listEngines(c, f.engineIDs...)
 	}
 }
 
-// What a report shows as free is read by several gateways while it keeps. Each that filled it alone put
-// several times what an engine can do on one of them at a time.
-func TestEngineIsNotFilledByAllThatSawItFree(t *testing.T) {
+// Several controllers see the same free capacity in a load report while the report is valid. When
+// each of them filled it alone, single engines got several times what they can do.
+func TestControllersDoNotOverfillEngineReportedFree(t *testing.T) {
 	const most = 3 * simCores // threads
 	defer func(usual []float64) { groupWork = usual }(groupWork)
-	groupWork = []float64{0.05, 0.4, 0.1} // short queries, so that many come while a report keeps
+	groupWork = []float64{0.05, 0.4, 0.1} // short queries, so that many arrive while a report is valid
 	f := newSimFleet(3, 300, 80, 0.7, 5*sec, nil)
-	over, seen := 0, 0
+	over, samples := 0, 0
 	for at := sec; at < 5*sec; at += 50 * ms {
 		f.runUntil(at)
 		for _, id := range f.engineIDs {
@@ -531,12 +535,12 @@
 			for _, task := range f.engines[id].tasks {
 				threads += task.threads
 			}
-			if seen++; threads > most {
+			if samples++; threads > most {
 				over++
 			}
 		}
 	}
-	if t.Logf("over %.0f threads in %d of %d looks", most, over, seen); over*250 > seen {
-		t.Fatal("engines are filled past all they can do")
+	if t.Logf("more than %.0f threads in %d of %d samples", most, over, samples); over*250 > samples {
+		t.Fatal("engines got more than they can do")
 	}
 }
--- a/internal/scheduler/slow_start_test.go
+++ b/internal/scheduler/slow_start_test.go
@@ -8,7 +8,7 @@
 	h := newLargeFleet(t, 30)
 	h.advance(sec)
 	h.restartEngine("e0")
-	// a fifth is this group's
+	// a fifth of the work is this group's
 	h.s.recentWorkSeconds, h.s.groups[0].recentArrivals, h.s.meanWorkSeconds.value = 10, 4, 1
 	n := 0
 	for i := range 3000 {
@@ -16,52 +16,53 @@
 			n++
 		}
 	}
-	// 30 engines do 240 s of work a second, a fifth of it this group's; 6.7 is the limit
+	// 30 engines do 240 s of work per second, a fifth of it this group's; the limit is 6.7.
 	if sum := 240 * 0.2 * float64(n) / 3000; sum < 1 || sum > 3.5 {
-		t.Fatalf("%.1f s of work a second by chance", sum)
+		t.Fatalf("chances allow %.1f s of work per second", sum)
 	}
 }
 
-// Each light query that went to a cold engine was looked ahead for, though its chance alone
-// leaves room there: a probe a query, priced over the whole fleet.
+// Each light query for a warming engine waited for a health check, although its chance alone limits
+// the load. That cost a health check per query over the whole fleet.
 func TestWarmingEngineGetsLightQueriesWithoutHealthCheck(t *testing.T) {
 	h := newHarness(t, 40, map[string]string{"gateways": "300", "report.how": "probed"})
-	ask := func() *clientQuery {
+	arriveWithReports := func() *clientQuery {
 		h.advance(20 * ms)
-		for _, id := range []string{"e8", "e9"} { // two warm ones with room are known
+		for _, id := range []string{"e8", "e9"} { // two engines that aren't warming up are known to have capacity
 			h.reportLoad(id, map[string]float64{"held": 2})
 		}
 		h.healthChecks = nil
 		return h.arrive(0, 1, -1, 5*sec)
 	}
-	h.arrive(1, 1, -1, 15*sec) // beside which lookups are light
+	h.arrive(1, 1, -1, 15*sec) // compared with it, queries of group 0 are light
 	for range 40 {
-		h.endAttempt(ask(), 0, Finished)
+		h.endAttempt(arriveWithReports(), 0, Finished)
 	}
 	for _, id := range h.engineIDs()[:20] {
 		h.restartEngine(id)
 	}
-	went := 0
+	sentToWarming := 0
 	for range 400 {
-		q := ask()
+		q := arriveWithReports()
 		if len(q.attempts) != 1 || len(h.healthChecks) > 0 {
-			t.Fatalf("sent %d times, %d looks", len(q.attempts), len(h.healthChecks))
+			t.Fatalf("sent %d times, %d health checks", len(q.attempts), len(h.healthChecks))
 		}
 		if h.engines[q.attempts[0].engine].startedAt > 0 {
-			went++
+			sentToWarming++
 		}
 		h.endAttempt(q, 0, Finished)
 	}
-	if went < 50 {
-		t.Fatalf("%d of 400 went to cold engines, half of all", went)
+	if sentToWarming < 50 {
+		t.Fatalf("%d of 400 queries sent to warming engines, which are half of all", sentToWarming)
 	}
 }
 
-// Small engines among large ones: chances by one engine's cores times their number were off by their ratio.
+// With engines of different sizes, chances that were computed from one engine's cores times the
+// number of engines were wrong by the ratio of the sizes.
 func TestSlowStartChanceIsByAllCores(t *testing.T) {
 	h := newHarness(t, 12, map[string]string{"gateways": "300", "kind.cores": "4,28", "cold.span": "9000"})
 	h.advance(sec)
-	h.restartEngine("e0") // of 4 cores; the others do as much as 12 of 16
+	h.restartEngine("e0") // has 4 cores; the others have as many as 12 engines of 16
 	h.s.recentWorkSeconds, h.s.groups[0].recentArrivals, h.s.meanWorkSeconds.value = 10, 4, 1
 	n := 0
 	for i := range 3000 {
@@ -69,9 +70,9 @@
 			n++
 		}
 	}
-	// 192 cores do as much work a second, a fifth of it this group's; 3.4 is the limit, three tenths of it
-	// the part
+	// 192 cores do as much work per second, a fifth of it this group's. The limit is 3.4, of which
+	// light queries' chances may use three tenths.
 	if sum := 192 * 0.2 * float64(n) / 3000; sum > 1.5 {
-		t.Fatalf("%.1f s of work a second by chance", sum)
+		t.Fatalf("chances allow %.1f s of work per second", sum)
 	}
 }
