--- a/internal/scheduler/events.go
+++ b/internal/scheduler/events.go
@@ -10,7 +10,7 @@
 	"railrelay.dev/railrelay/internal/settings"
 )
 
-// ListStarted opens an endpoint list.
+// ListStarted begins an endpoint list.
 func (s *Scheduler) ListStarted(now time.Duration, complete bool) {
 	s.now = now
 	s.listComplete = complete
@@ -18,9 +18,10 @@
 	s.subscribed = s.subscribeSentAt >= 0
 }
 
-// EngineListed takes an entry of the endpoint list.
+// EngineListed adds or updates an engine of the endpoint list. The start of its process is used
+// only if startKnown is set.
 func (s *Scheduler) EngineListed(id string, location, kind, cell int, state EngineState,
-	started time.Duration, fresh bool) {
+	started time.Duration, startKnown bool) {
 	e := s.enginesByID[id]
 	if e == nil {
 		e = s.addEngine(id)
@@ -31,33 +32,33 @@
 	}
 	e.location, e.kind, e.cell = location, kind, cell
 	e.state = state
-	e.local = strconv.Itoa(location) == s.settings.ControllerLocation
+	e.isLocal = strconv.Itoa(location) == s.settings.ControllerLocation
 	e.cores = max(1, settings.ValueAt(s.settings.KindCores, kind))
 	e.memoryCapacityMB = settings.ValueAt(s.settings.KindMemoryMB, kind)
 	if e.memoryCapacityMB <= 0 {
-		e.memoryCapacityMB = math.Inf(1) // not told: no limit
+		e.memoryCapacityMB = math.Inf(1) // unknown: no limit
 	}
-	if fresh && started != e.startedAt {
+	if startKnown && started != e.startedAt {
 		s.engineRestarted(e, started)
 	}
 }
 
 func (s *Scheduler) addEngine(id string) *engine {
-	h := fnv.New32a()
-	h.Write([]byte(id))
+	hash := fnv.New32a()
+	hash.Write([]byte(id))
 	e := &engine{
 		id:                 id,
-		hash:               h.Sum32(),
+		hash:               hash.Sum32(),
 		lastResponseAt:     s.now,
 		slowdown:           1,
-		lastFinishOfTables: map[int64]time.Duration{},
+		lastFinishByTables: map[int64]time.Duration{},
 	}
 	s.enginesByID[id] = e
 	s.engines = append(s.engines, e)
 	return e
 }
 
-// ListEnded closes an endpoint list; engines that a complete one leaves out are gone.
+// ListEnded completes an endpoint list. Engines that a complete list doesn't contain are removed.
 func (s *Scheduler) ListEnded() {
 	for _, e := range s.engines {
 		if s.listComplete && !s.listedEngines[e] && e.state != EngineRemoved {
@@ -65,25 +66,26 @@
 			e.removedAt = s.now
 		}
 	}
-	s.totalsStale = true
+	s.totalsOutdated = true
 	s.finishEvent()
 }
 
-// ListRefused tells that no list comes for what was asked; it is asked for again later.
+// ListRefused records that the requested endpoint list won't be sent. It is requested again later.
 func (s *Scheduler) ListRefused(now time.Duration) {
 	s.now = now
 	s.subscribed = false
 	s.finishEvent()
 }
 
-// QueryArrived takes a query that may be sent to all locations of its group.
+// QueryArrived admits a query that may be sent to all locations of its group.
 func (s *Scheduler) QueryArrived(now time.Duration, id string, group, tenant int, budget time.Duration,
 	tables, key int64, work time.Duration, memoryMB float64) {
 	s.ConfinedQueryArrived(now, id, group, tenant, budget, tables, key, work, memoryMB, nil)
 }
 
-// ConfinedQueryArrived takes a query that may only be sent to engines at some of its group's
-// locations, by their places in the settings; nil: at all of them, empty: at none.
+// ConfinedQueryArrived admits a query that may be sent only to engines at some of its group's
+// locations, given by their indexes in the settings. With nil it may be sent to all of them, with
+// an empty list to none.
 func (s *Scheduler) ConfinedQueryArrived(now time.Duration, id string, group, tenant int,
 	budget time.Duration,
 	tables, key int64, work time.Duration, memoryMB float64, locations []string) {
@@ -96,10 +98,10 @@
 	q := &query{
 		id:        id,
 		group:     s.groups[group],
-		tenant:    s.tenant(tenant),
+		tenant:    s.tenantByIndex(tenant),
 		tables:    tables,
 		key:       key,
-		seq:       s.lastSequence,
+		sequence:  s.lastSequence,
 		arrivedAt: now,
 		deadline:  now + budget,
 
@@ -114,7 +116,8 @@
 	s.finishEvent()
 }
 
-// ConfineQuery changes where a query may be sent; an attempt in flight stays where it is.
+// ConfineQuery changes the locations to which a query may be sent. An attempt in flight isn't
+// affected.
 func (s *Scheduler) ConfineQuery(now time.Duration, id string, locations []string) {
 	s.now = now
 	if q := s.queries[id]; q != nil {
@@ -123,7 +126,7 @@
 	}
 }
 
-// AttemptEnded takes the end of an attempt; answered says that its query was answered with it.
+// AttemptEnded records the end of an attempt. answered is whether the query's client has an answer.
 func (s *Scheduler) AttemptEnded(now time.Duration, id string, number int, outcome Outcome,
 	took time.Duration,
 	answered bool, work time.Duration, memoryMB float64, report map[string]float64) {
@@ -136,7 +139,7 @@
 	a.outcome = outcome
 	a.query.inFlight--
 	a.engine.inFlight = slices.DeleteFunc(a.engine.inFlight, func(x *attempt) bool { return x == a })
-	s.countAttempt(a, -1)
+	s.adjustInFlight(a, -1)
 	s.storeReport(a.engine, report)
 	s.handleAttemptEnd(a, took, answered, work.Seconds(), memoryMB)
 	s.finishEvent()
@@ -151,26 +154,27 @@
 	if a.outcome == Finished {
 		s.learnFromAnswer(a, took, work, memoryMB)
 	}
-	s.restKey(a)
+	s.startKeyCooldown(a)
 	if answered || a.outcome == Finished {
-		q.group.abandonRate.add(0, abandonSamples)
-		s.end(q)
+		q.group.abandonRate.add(0, abandonRateSamples)
+		s.endQuery(q)
 	} else if !q.ended {
 		s.retryOrReject(a)
 	}
 	s.releaseEnded(q)
 }
 
-// NoteReceived takes an engine's note on a running attempt.
-func (s *Scheduler) NoteReceived(now time.Duration, id string, number int, kind NoteKind, x float64) {
+// NoteReceived handles an engine's progress note on a running attempt.
+func (s *Scheduler) NoteReceived(now time.Duration, id string, number int, kind NoteKind, value float64) {
 	s.now = now
 	if a := s.openAttempt(id, number); a != nil {
-		s.handleNote(a, kind, x)
+		s.handleNote(a, kind, value)
 		s.finishEvent()
 	}
 }
 
-// AnswerStarted tells that an answer has begun to reach the client: it can't be rejected any more.
+// AnswerStarted records that the client has received the start of an answer, so that the query
+// can't be rejected any more.
 func (s *Scheduler) AnswerStarted(now time.Duration, id string) {
 	s.now = now
 	if q := s.queries[id]; q != nil {
@@ -178,43 +182,43 @@
 	}
 }
 
-// ClientLeft tells that a query's client disconnected.
+// ClientLeft ends a query whose client disconnected.
 func (s *Scheduler) ClientLeft(now time.Duration, id string) {
 	s.now = now
 	if q := s.queries[id]; q != nil {
-		s.clientGone(q)
+		s.handleClientLeft(q)
 		s.finishEvent()
 	}
 }
 
-// QueryDropped tells that a query was answered by its adapter, and nothing of it has run. Its
-// client has not left, so nothing is learned of how long clients wait.
+// QueryDropped ends a query that the adapter has answered and of which nothing has run. Its client
+// hasn't left, so that the patience of clients isn't updated.
 func (s *Scheduler) QueryDropped(now time.Duration, id string) {
 	s.now = now
 	if q := s.queries[id]; q != nil {
-		s.end(q)
+		s.endQuery(q)
 		s.releaseEnded(q)
 		s.finishEvent()
 	}
 }
 
-// DrainStarted has all queries rejected that arrive from now on.
+// DrainStarted rejects all queries that arrive from now on.
 func (s *Scheduler) DrainStarted(now time.Duration) {
 	s.now = now
 	s.draining = true
 }
 
-// SetPaused has nothing dispatched while it is on: queries wait in their queues, and are rejected at
-// the end of their time as ever.
-func (s *Scheduler) SetPaused(now time.Duration, on bool) {
+// SetPaused stops or resumes the dispatch of queries. While it is paused, queries stay in their
+// queues and are rejected at their deadlines as usual.
+func (s *Scheduler) SetPaused(now time.Duration, paused bool) {
 	s.now = now
-	if s.paused != on {
-		s.paused = on
+	if s.paused != paused {
+		s.paused = paused
 		s.finishEvent()
 	}
 }
 
-// HealthCheckEnded takes the end of a health check, with a load report if it brought one.
+// HealthCheckEnded records the end of a health check, with a load report if the check returned one.
 func (s *Scheduler) HealthCheckEnded(now time.Duration, id string, outcome Outcome,
 	report map[string]float64) {
 	s.now = now
@@ -227,12 +231,12 @@
 		s.engineResponded(e)
 		s.storeReport(e, report)
 	} else {
-		s.healthCheckFailed(e)
+		s.handleFailedHealthCheck(e)
 	}
 	s.finishEvent()
 }
 
-// LoadReported takes a load report that was not asked for.
+// LoadReported stores a load report that the engine sent on its own.
 func (s *Scheduler) LoadReported(now time.Duration, id string, report map[string]float64) {
 	s.now = now
 	if e := s.enginesByID[id]; e != nil {
@@ -241,11 +245,11 @@
 	}
 }
 
-// TimerFired takes a wake that was asked for, with its tag.
+// TimerFired handles a timer that was set with a tag.
 func (s *Scheduler) TimerFired(now time.Duration, tag int) {
 	s.now = now
-	if tag == timersTag {
-		s.wakeAt = -1
+	if tag == timerQueueTag {
+		s.timerAt = -1
 	} else {
 		s.tick()
 		s.evictStale()
