--- a/internal/eventloop/endings_test.go
+++ b/internal/eventloop/endings_test.go
@@ -162,20 +162,38 @@
 			if said != "SUB 2" {
 				t.Fatal(said)
 			}
-			io.WriteString(watch, listed(3, false, entry("e1", y.engine, "DRAINING"))+"\n")
+			// Heartbeat 4 tells of an event that is missing, so the controller closes the connection as
+			// soon as it has read the drain.
+			io.WriteString(watch, listed(3, false, entry("e1", y.engine, "DRAINING"))+"\n4\n")
+			written := time.Now()
+			drainRead := make(chan struct{})
+			go func() {
+				io.Copy(io.Discard, watch)
+				close(drainRead)
+			}()
 			c := y.client()
-			for n := 1; n <= 12; n++ {
+			for n, sentAfterRead := 1, 0; sentAfterRead < 11; n++ {
+				wasRead := isClosed(drainRead)
+				if wasRead {
+					sentAfterRead++
+				} else if time.Since(written) > patienceMost {
+					t.Fatal("the drain was never read")
+				}
 				c.ask("squall", n, 10*time.Second)
 				other.over(id(n))
 				y.engine.over(id(n))
 				c.finished(n)
-				if n == 1 {
-					continue // it may have crossed the word
+				postedAt, posted := y.engine.posted(id(n))
+				if posted && wasRead {
+					t.Fatal("sent to an engine after the controller had read that it drains")
 				}
-				if y.engine.heard.has("POST "+id(n)) > 0 {
-					t.Fatal("sent to an engine that drains")
+				if after := postedAt.Sub(written); posted && after > drainGrace {
+					t.Fatalf("sent to a draining engine %v after the drain was written, the grace is %v", after, drainGrace)
 				}
 			}
+			if _, said = y.feed.watch(); said != "SUB 3" {
+				t.Fatalf("the controller asked again with %q, want SUB 3: the connection closed before it read the drain", said)
+			}
 			y.ends()
 		})
 	}
--- a/internal/eventloop/gate_test.go
+++ b/internal/eventloop/gate_test.go
@@ -94,6 +94,7 @@
 	mu    sync.Mutex
 	holds map[string]chan string // a call waits for how it is answered
 	done  map[string]bool        // queries that are over
+	posts map[string]time.Time   // when the last POST of a query was read
 	conns []net.Conn
 	pages string // what each further page of a result is
 }
@@ -109,7 +110,7 @@
 	if l == nil {
 		l = listen(t)
 	}
-	g := &gate{t: t, Listener: l, heard: newRecord(t), holds: map[string]chan string{}, done: map[string]bool{}}
+	g := &gate{t: t, Listener: l, heard: newRecord(t), holds: map[string]chan string{}, done: map[string]bool{}, posts: map[string]time.Time{}}
 	t.Cleanup(g.end)
 	go func() {
 		for {
@@ -181,6 +182,14 @@
 	return g.done[id]
 }
 
+// posted returns when the engine read the last POST of a query, false if there was none.
+func (g *gate) posted(id string) (time.Time, bool) {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	at, ok := g.posts[id]
+	return at, ok
+}
+
 func good(id string) string {
 	row := id + "\tof\tit\n"
 	return fmt.Sprintf("HTTP/1.1 200 x\r\nChunks: 1\r\nElapsed-Work: 9\r\nHigh-Water: 4\r\nContent-Length: %d\r\n\r\n%s", len(row), row)
@@ -206,6 +215,9 @@
 		g.mu.Lock()
 		held := g.holds[name]
 		delete(g.holds, name)
+		if r.Method == "POST" {
+			g.posts[id] = time.Now()
+		}
 		g.mu.Unlock()
 		g.heard.add(name + ";")
 		answer := word(202, "")
@@ -333,13 +345,16 @@
 	return fmt.Sprintf(`{"id":%q,"host_port":%q,"locality":"quay","flavor":"std","cell":1,"phase":%q,"size":1,"up_since_ms":0}`, id, l.Addr(), state)
 }
 
+// drainGrace is the setting drain.grace: how long after the news a draining engine may still be sent queries.
+const drainGrace = 400 * time.Millisecond
+
 // facts are settings of nobody's: short times, so that what is sized for seconds shows.
 func facts(more map[string]string) map[string]string {
 	f := map[string]string{
 		"gateways": "1", "own.number": "0", "groups": "3", "loads": "false,false,true", "waits": "false,false,false",
 		"threads": "1,1,1", "kinds": "std", "locations": "quay", "kind.cores": "16", "kind.memory": "4096", "grant.most": "0.4",
 		"may.cancel": "true", "may.probe": "false", "may.copy": "true", "may.name-return": "true", "return.most": "50",
-		"submissions.most": "3", "note.period": "2000", "tick": "5", "drain.grace": "400", "report.how": "off", "answers.cost": "true",
+		"submissions.most": "3", "note.period": "2000", "tick": "5", "drain.grace": strconv.FormatInt(drainGrace.Milliseconds(), 10), "report.how": "off", "answers.cost": "true",
 		"key.rest": "60", "connect.timeout": "250", "idle.most": "15000",
 	}
 	for i, name := range []string{"squall", "entry", "haul"} { // read-only; mutating in order of key; mutating, a load
@@ -455,6 +470,15 @@
 	return &asker{t: y.t, TCPConn: c.(*net.TCPConn)}
 }
 
+func isClosed(c <-chan struct{}) bool {
+	select {
+	case <-c:
+		return true
+	default:
+		return false
+	}
+}
+
 func id(n int) string { return fmt.Sprintf("%016x", n) }
 
 // ask writes a query for tables of its own, unless more names some.
