--- a/internal/cli/platform.go
+++ b/internal/cli/platform.go
@@ -61,15 +61,15 @@
 		return err
 	}
 	log := logger("", "")
-	refused, strange := settings.Mixed(facts)
+	refused, strange := settings.Conflicts(facts)
 	for _, m := range refused {
-		err = errors.Join(err, fmt.Errorf("config: settings.%s: %s", settings.Key(m[0]), m[1]))
+		err = errors.Join(err, fmt.Errorf("config: settings.%s: %s", settings.ExternalName(m[0]), m[1]))
 	}
 	if err != nil {
 		return err
 	}
 	for _, m := range strange {
-		log.Log().Msg("config: settings." + settings.Key(m[0]) + ": " + m[1])
+		log.Log().Msg("config: settings." + settings.ExternalName(m[0]) + ": " + m[1])
 	}
 	for _, line := range odd(facts) {
 		log.Log().Msg(line)
@@ -82,8 +82,8 @@
 	if address == "" {
 		address = g.Listen
 	}
-	means := controller.Config{FieldNames: platformWords, Seed: seed, MemoryMB: g.Limits.MemoryMB, Sockets: g.Limits.Sockets,
-		DiscoveryAddress: g.Feed, KnownEngines: g.Known, Settings: facts, StartedAt: started}
+	means := controller.Config{FieldNames: platformWords, Seed: seed, MemoryMB: g.Limits.MemoryMB, MaxDescriptors: g.Limits.Sockets,
+		DiscoveryAddress: g.Feed, InitialEndpoints: g.Known, Settings: facts, StartedAt: started}
 	return listen(address, g.Limits.Cores, means, nil, func(log zerolog.Logger) <-chan controller.Event {
 		return follow(signals, func() (controller.Event, error) {
 			next, err := again(path, g, log)
--- a/internal/controller/fair_queue.go
+++ b/internal/controller/fair_queue.go
@@ -40,7 +40,7 @@
 	shape := *tenants
 	shape.Lanes = f.lanes()
 	f.queue.Reload(f.now, shape)
-	f.logMessage(true, fmt.Sprintf("teams were read again, %d queries wait", f.queue.Waiting()))
+	f.logMessage(true, fmt.Sprintf("teams were read again, %d queries wait", f.queue.WaitingCount()))
 }
 
 // lanes are the resource groups as the fair queue needs to know them.
@@ -48,12 +48,12 @@
 	lanes := make([]fairqueue.Lane, len(f.groups))
 	for _, g := range f.groups {
 		lanes[g.index] = fairqueue.Lane{
-			Name:           g.name,
-			Threads:        g.threads,
-			PriorityWeight: g.priorityWeight,
-			Ordered:        g.inOrder,
-			Chained:        g.isLoad,
-			UsualWork:      time.Duration(float64(g.latencyObjective) / 2 * g.threads),
+			Name:                g.name,
+			Threads:             g.threads,
+			PriorityWeight:      g.priorityWeight,
+			Ordered:             g.inOrder,
+			Chained:             g.isLoad,
+			InitialWorkEstimate: time.Duration(float64(g.latencyObjective) / 2 * g.threads),
 		}
 	}
 	return lanes
@@ -81,7 +81,7 @@
 func (f *fairQueue) priorityChanged(w *fairqueue.Query, lowered bool) {
 	q := w.Owner.(*query)
 	if lowered {
-		f.logAbout(f.waiterFields(q, w), "makes way: its priority is the least for now")
+		f.logWithFields(f.waiterFields(q, w), "makes way: its priority is the least for now")
 	}
 	for _, s := range q.attempts {
 		f.sendPriority(s)
@@ -93,7 +93,7 @@
 }
 
 // enqueue takes a query in, or defers it at once if its wait would be too long.
-func (f *fairQueue) enqueue(q *query, from From) {
+func (f *fairQueue) enqueue(q *query, from CallOrigin) {
 	if f.isDraining() { // the scheduler rejects it
 		f.scheduler.QueryArrived(f.now, q.id, q.group.index, q.customer, q.deadline-f.now,
 			q.tableGroup, q.keyNumber, q.estimatedWork, q.estimatedMemoryMB)
@@ -102,11 +102,11 @@
 	w := f.newWaiter(q, from)
 	verdict := f.queue.Enqueue(f.now, w)
 	if !verdict.Admitted {
-		f.logAbout(f.waiterFields(q, w), "deferred: "+verdict.Reason.String()+", "+verdict.Estimate.String())
-		f.answerDeferred(q, f.retryAfter(verdict.Estimate))
+		f.logWithFields(f.waiterFields(q, w), "deferred: "+verdict.Reason.String()+", "+verdict.WaitEstimate.String())
+		f.answerDeferred(q, f.retryAfter(verdict.WaitEstimate))
 		return
 	}
-	q.waiter = w
+	q.fairEntry = w
 	q.waitTimer = f.timers.Add(f.queue.LatestStart(w), func() {
 		if w.Waiting() && !q.answered {
 			f.answerDeferred(q, f.retryAfter(f.queue.RetryAfter(f.now, w)))
@@ -120,7 +120,7 @@
 	}
 }
 
-func (f *fairQueue) newWaiter(q *query, from From) *fairqueue.Query {
+func (f *fairQueue) newWaiter(q *query, from CallOrigin) *fairqueue.Query {
 	w := &fairqueue.Query{
 		Owner:         q,
 		Lane:          q.group.index,
@@ -159,7 +159,7 @@
 		w := f.queue.Next(f.now, lane)
 		if w != nil {
 			q := w.Owner.(*query)
-			f.timers.Drop(q.waitTimer)
+			f.timers.Cancel(q.waitTimer)
 			f.submitToScheduler(q)
 			return true
 		}
@@ -168,26 +168,26 @@
 }
 
 func (f *fairQueue) attemptStarted(q *query) {
-	if q.waiter != nil {
-		f.queue.Started(f.now, q.waiter)
+	if q.fairEntry != nil {
+		f.queue.Started(f.now, q.fairEntry)
 	}
 }
 
 // queryClosed takes a query that waits out at once. One that was submitted leaves with queryOver.
 func (f *fairQueue) queryClosed(q *query, end fairqueue.Outcome) {
-	if q.waiter == nil {
+	if q.fairEntry == nil {
 		return
 	}
-	q.fairEnd = end
-	if q.waiter.Waiting() {
-		f.timers.Drop(q.waitTimer)
-		f.queue.Ended(f.now, q.waiter, end, 0, 0)
+	q.fairOutcome = end
+	if q.fairEntry.Waiting() {
+		f.timers.Cancel(q.waitTimer)
+		f.queue.Ended(f.now, q.fairEntry, end, 0, 0)
 	}
 }
 
 // queryOver charges a query's work to its tenant, once none of its attempts runs.
 func (f *fairQueue) queryOver(q *query) {
-	if q.waiter == nil {
+	if q.fairEntry == nil {
 		return
 	}
 	var work, lost time.Duration // lost: the time of attempts that told no work
@@ -198,7 +198,7 @@
 			lost += max(0, s.endedAt-s.startedAt)
 		}
 	}
-	f.queue.Ended(f.now, q.waiter, q.fairEnd, work, lost)
+	f.queue.Ended(f.now, q.fairEntry, q.fairOutcome, work, lost)
 }
 
 // deferAll defers all queries that wait, as the controller shuts down.
@@ -213,15 +213,15 @@
 	n := f.queue.Total
 	return fmt.Sprintf("; fairness waiting %d started %d deferred %d repeated %d lowered %d,"+
 		" wait s told %.3f had %.3f worst %.3f",
-		f.queue.Waiting(), n.Started, n.Deferred, n.Repeated, n.Lowered,
-		meanSeconds(n.SumEstimates, n.Started), meanSeconds(n.SumWaits, n.Started), n.MaxWait.Seconds())
+		f.queue.WaitingCount(), n.Started, n.Deferred, n.Repeated, n.PriorityLowered,
+		meanSeconds(n.TotalEstimatedWait, n.Started), meanSeconds(n.TotalWait, n.Started), n.MaxWait.Seconds())
 }
 
 func meanSeconds(sum time.Duration, n int) float64 { return sum.Seconds() / float64(max(1, n)) }
 
-// Teams calls each with what happened to the queries of every tenant so far; never without fair queueing.
+// EachTenant calls each with what happened to the queries of every tenant so far; never without fair queueing.
 // It is for reports, and must not be called during a Step.
-func (c *Controller) Teams(each func(path string, waiting int, n fairqueue.Counts)) {
+func (c *Controller) EachTenant(each func(path string, waiting int, n fairqueue.Counts)) {
 	if c.fairQueue != nil {
 		c.fairQueue.queue.EachTenant(each)
 	}
--- a/internal/controller/result_cache.go
+++ b/internal/controller/result_cache.go
@@ -18,12 +18,12 @@
 	cachedGroups map[string]bool // whose answers are cached, by the group's name
 }
 
-// cacheLookup is what the cache knows of a query: one that reads has an ask, one that changes
+// queryCacheState is what the cache knows of a query: one that reads has an ask, one that changes
 // tables has mutates set.
-type cacheLookup struct {
+type queryCacheState struct {
 	ask         *resultcache.Request
-	followTimer *timerqueue.Item // until when it may follow another
-	proceed     func()           // sends it on its way, if it has to lead
+	followTimer *timerqueue.Timer // until when it may follow another
+	proceed     func()            // sends it on its way, if it has to lead
 
 	mutates bool    // nothing of its tables is answered from the cache until it is over
 	tables  []int64 // that it changes; none: they can't be told
@@ -78,18 +78,18 @@
 		if !known {
 			written = nil
 		}
-		q.cacheState = &cacheLookup{mutates: true, tables: written}
+		q.cacheState = &queryCacheState{mutates: true, tables: written}
 		a.core.MutationStarted(a.now, written)
 	}
 }
 
 // lookup answers a query from the cache, or has it follow another that asks the same. It reports
 // whether the query has to go its way, which proceed would send it on later.
-func (a *resultCaching) lookup(q *query, from From, proceed func(From)) bool {
+func (a *resultCaching) lookup(q *query, from CallOrigin, proceed func(CallOrigin)) bool {
 	if !a.mayLookUp(q) {
 		return true
 	}
-	l := &cacheLookup{ask: &resultcache.Request{
+	l := &queryCacheState{ask: &resultcache.Request{
 		Team:      a.dataOwner(from),
 		Group:     q.group.index,
 		Statement: q.statement,
@@ -139,7 +139,7 @@
 	if q.cacheState == nil || q.cacheState.ask == nil {
 		return
 	}
-	a.timers.Drop(q.cacheState.followTimer)
+	a.timers.Cancel(q.cacheState.followTimer)
 	a.promote(a.core.Leave(a.now, q.cacheState.ask))
 }
 
@@ -156,8 +156,8 @@
 		return
 	}
 	q := next.Of.(*query)
-	a.timers.Drop(q.cacheState.followTimer)
-	a.runSoon(func() {
+	a.timers.Cancel(q.cacheState.followTimer)
+	a.enqueueCallback(func() {
 		if !q.answered {
 			q.cacheState.proceed()
 		}
@@ -179,8 +179,8 @@
 	}
 }
 
-// AnswerCache is the result cache, nil without one. It is for reports, between two steps.
-func (c *Controller) AnswerCache() *resultcache.Cache {
+// ResultCache is the result cache, nil without one. It is for reports, between two steps.
+func (c *Controller) ResultCache() *resultcache.Cache {
 	if c.caching == nil {
 		return nil
 	}
--- a/internal/controller/scheduler_actions.go
+++ b/internal/controller/scheduler_actions.go
@@ -55,8 +55,8 @@
 	if q == nil {
 		return
 	}
-	if c.fairQueue != nil && q.waiter != nil {
-		retryAfter = max(retryAfter, c.fairQueue.retryAfter(c.fairQueue.queue.RetryAfter(c.now, q.waiter)))
+	if c.fairQueue != nil && q.fairEntry != nil {
+		retryAfter = max(retryAfter, c.fairQueue.retryAfter(c.fairQueue.queue.RetryAfter(c.now, q.fairEntry)))
 	}
 	c.answerDeferred(q, retryAfter)
 }
@@ -91,5 +91,5 @@
 // settingIndex is the index of a name in a setting that is a list, by which the scheduler knows it; -1 if
 // it is not in the list.
 func (c *Controller) settingIndex(setting, name string) int {
-	return slices.Index(strings.Split(c.Settings[setting], ","), settings.Plain(name))
+	return slices.Index(strings.Split(c.Settings[setting], ","), settings.SanitizeName(name))
 }
--- a/internal/controller/serving_lease_test.go
+++ b/internal/controller/serving_lease_test.go
@@ -15,10 +15,10 @@
 
 // withPeers is a stage whose controller has peers, with nothing opened yet.
 func withPeers(t interface{ Fatalf(string, ...any) }, engines int, more map[string]string, change ...func(*Config)) *harness {
-	return newHarness(t, engines, 256, more, append([]func(*Config){func(m *Config) { m.Fleet = &FleetConfig{Word: &fleet.ServingState{}} }}, change...)...)
+	return newHarness(t, engines, 256, more, append([]func(*Config){func(m *Config) { m.Fleet = &FleetConfig{ServingState: &fleet.ServingState{}} }}, change...)...)
 }
 
-func (s *harness) order(o fleet.Order) { s.step(Event{Kind: FleetOrdered, Order: &o}) }
+func (s *harness) order(o fleet.Order) { s.step(Event{Kind: FleetOrderReceived, Order: &o}) }
 
 // opens has it decide by a version, with a lease for so long.
 func (s *harness) opens(version uint64, lease time.Duration) {
@@ -26,21 +26,21 @@
 	s.order(fleet.Order{Kind: fleet.ActivatePolicy, Version: version, Policy: &Policy{Version: version}})
 }
 
-// mayGo is the runner's last look: by the time it writes, it may be later.
-func (s *harness) mayGo(f Effect) bool {
-	w := s.controller.Config.Fleet.Word
+// mayWrite is the runner's last look: by the time it writes, it may be later.
+func (s *harness) mayWrite(f Effect) bool {
+	w := s.controller.Config.Fleet.ServingState
 	if !w.BeginWrite(s.now+s.writeDelay, f.PolicyVersion, f.Confined) {
 		return false
 	}
 	w.EndWrite()
-	if n := len(s.versions); n > 0 && f.PolicyVersion < s.versions[n-1] {
-		s.t.Fatalf("submitted by version %d after one by %d", f.PolicyVersion, s.versions[n-1])
+	if n := len(s.submittedVersions); n > 0 && f.PolicyVersion < s.submittedVersions[n-1] {
+		s.t.Fatalf("submitted by version %d after one by %d", f.PolicyVersion, s.submittedVersions[n-1])
 	}
-	s.versions = append(s.versions, f.PolicyVersion)
+	s.submittedVersions = append(s.submittedVersions, f.PolicyVersion)
 	return true
 }
 
-func (s *harness) told(kind fleet.ReportKind) (n int) {
+func (s *harness) reportCount(kind fleet.ReportKind) (n int) {
 	for _, p := range s.reports {
 		if p.Kind == kind {
 			n++
@@ -67,7 +67,7 @@
 	if first.answer != "finished" || next.answer != "finished" || s.controller.servingLease.longestHold != time.Second {
 		t.Fatal(first.answer, next.answer, s.controller.servingLease.longestHold)
 	}
-	if s.told(fleet.PolicyActivated) != 1 || s.told(fleet.SitesServing) < 2 || !slices.Equal(s.reports[0].ServingSites, []string{"here"}) {
+	if s.reportCount(fleet.PolicyActivated) != 1 || s.reportCount(fleet.SitesServing) < 2 || !slices.Equal(s.reports[0].ServingSites, []string{"here"}) {
 		t.Fatalf("%+v", s.reports)
 	}
 }
@@ -89,7 +89,7 @@
 	s.controller.servingLease.heldCount = maxHeldQueries
 	over := s.sendQuery(c, "lookup", "", 9*time.Second, 1)
 	s.controller.servingLease.heldCount = 0
-	if over.answer != "deferred" || len(s.versions) > 0 {
+	if over.answer != "deferred" || len(s.submittedVersions) > 0 {
 		t.Fatal(over.answer)
 	}
 }
@@ -155,21 +155,21 @@
 	s := withPeers(t, 1, map[string]string{"teams": "1", "team.0.name": "old", "team.0.quota": "5"}, func(m *Config) { m.FieldNames.Customer = "who" })
 	s.opens(1, time.Minute)
 	c := s.connect()
-	word := s.controller.Config.Fleet.Word
+	word := s.controller.Config.Fleet.ServingState
 	word.BeginWrite(s.now, 1, false) // one is being written
 	s.order(fleet.Order{Kind: fleet.FencePolicy, ChangeID: "c"})
 	s.runUntil(10 * time.Millisecond)
 	a := s.sendQuery(c, "lookup", "", 5*time.Second, 1, "who", "new")
 	b := s.sendQuery(c, "lookup", "", 25*time.Second, 1)
-	if s.told(fleet.PolicyFenced) != 0 || len(a.runs) > 0 {
+	if s.reportCount(fleet.PolicyFenced) != 0 || len(a.runs) > 0 {
 		t.Fatal("closed while something is being written")
 	}
 	word.EndWrite()
 	s.runUntil(12 * time.Millisecond)
-	if s.told(fleet.PolicyFenced) != 1 {
+	if s.reportCount(fleet.PolicyFenced) != 1 {
 		t.Fatal("not told")
 	}
-	s.order(fleet.Order{Kind: fleet.ActivatePolicy, Version: 2, Policy: &Policy{Version: 2, Facts: map[string]string{"group.0.timeout": "20000",
+	s.order(fleet.Order{Kind: fleet.ActivatePolicy, Version: 2, Policy: &Policy{Version: 2, Settings: map[string]string{"group.0.timeout": "20000",
 		"group.0.value": "9", "group.0.target": "700", "threads": "2,3,2", "teams": "2", "team.0.name": "old", "team.1.name": "new", "team.1.quota": "7",
 		"group.0.effect": "mutating"}}})
 	if q := s.controller.queries[a.id]; q == nil || q.customer != 1 {
@@ -182,8 +182,8 @@
 		t.Fatal("more was taken over than is the fleet's")
 	}
 	s.runUntil(s.now + 50*time.Millisecond)
-	if !slices.Equal(s.versions, []uint64{2}) {
-		t.Fatal(s.versions)
+	if !slices.Equal(s.submittedVersions, []uint64{2}) {
+		t.Fatal(s.submittedVersions)
 	}
 }
 
@@ -192,7 +192,7 @@
 func TestBlockedAttemptObeysTheNextVersion(t *testing.T) {
 	s := placedStage(t, 2, "a", map[string]string{"may.probe": "false", "report.how": "off"})
 	s.opens(1, time.Minute)
-	s.body = "insert into d_1.x select 1"
+	s.statement = "insert into d_1.x select 1"
 	a := s.sendQuery(s.connect(), "load", "k", 9*time.Second, 1, "who", "bank")
 	q := s.controller.queries[a.id]
 	s.order(fleet.Order{Kind: fleet.FencePolicy, ChangeID: "c"}) // while it waits for a line
@@ -207,15 +207,15 @@
 	s.order(fleet.Order{Kind: fleet.ActivatePolicy, Version: 2, Policy: &Policy{Version: 2,
 		Rules: []residency.Rule{{Name: "r", Team: "bank", Engines: []string{other}, Controllers: []string{"a"}}}}})
 	h := s.waitForCall("POST", a.id)
-	if h.engine.id == chosen || h.engine.site != other || !slices.Equal(s.versions, []uint64{2}) || s.controller.counters.attemptEnds[7] != 1 {
-		t.Fatalf("to %s, chosen was %s, %v, %v", h.engine.id, chosen, s.versions, s.controller.counters.attemptEnds)
+	if h.engine.id == chosen || h.engine.site != other || !slices.Equal(s.submittedVersions, []uint64{2}) || s.controller.counters.attemptEnds[7] != 1 {
+		t.Fatalf("to %s, chosen was %s, %v, %v", h.engine.id, chosen, s.submittedVersions, s.controller.counters.attemptEnds)
 	}
 }
 
 // Bound teams' queries can need a shorter lease: only they wait, and none of their
 // key overtakes them.
 func TestOnlyConfinedTenantsWaitForTheirLease(t *testing.T) {
-	s := withPeers(t, 1, nil, func(m *Config) { m.Fleet.Bound = func(_ string, tables int64) bool { return tables == 7 } })
+	s := withPeers(t, 1, nil, func(m *Config) { m.Fleet.IsConfined = func(_ string, tables int64) bool { return tables == 7 } })
 	s.order(fleet.Order{Kind: fleet.ActivatePolicy, Version: 1})
 	s.order(fleet.Order{Kind: fleet.LeaseRenewed, LeaseEnd: fleet.Forever})
 	c := s.connect()
@@ -238,16 +238,16 @@
 	for range 3 {
 		s.sendQuery(c, "lookup", "", 9*time.Second, 1)
 	}
-	s.reportsFull = true
+	s.rejectReports = true
 	s.order(fleet.Order{Kind: fleet.FencePolicy, ChangeID: "c"})
-	waits := s.controller.fairQueue.queue.Waiting()
+	waits := s.controller.fairQueue.queue.WaitingCount()
 	s.runUntil(time.Second)
-	if s.controller.fairQueue.queue.Waiting() != waits || s.told(fleet.PolicyFenced) != 0 {
+	if s.controller.fairQueue.queue.WaitingCount() != waits || s.reportCount(fleet.PolicyFenced) != 0 {
 		t.Fatal("it went on")
 	}
-	s.order(fleet.Order{Kind: fleet.ActivatePolicy, Version: 2, Policy: &Policy{Version: 2, Fair: &fairqueue.Config{Tenants: []fairqueue.Tenant{{Name: "b", Weight: 1}}}}})
+	s.order(fleet.Order{Kind: fleet.ActivatePolicy, Version: 2, Policy: &Policy{Version: 2, Tenants: &fairqueue.Config{Tenants: []fairqueue.Tenant{{Name: "b", Weight: 1}}}}})
 	s.order(fleet.Order{Kind: fleet.InvalidateData, ID: "p", Scope: &fleet.Scope{Team: "a"}})
-	s.reportsFull, s.reports = false, nil
+	s.rejectReports, s.reports = false, nil
 	s.runUntil(s.now + 2*reportRetryInterval)
 	var kinds []fleet.ReportKind
 	for _, p := range s.reports {
@@ -257,7 +257,7 @@
 		t.Fatal(kinds)
 	}
 	s.step(Event{Kind: CountersRequested})
-	if text := s.logged[len(s.logged)-1]; !strings.Contains(text, "fleet version 2 switches 1") {
+	if text := s.logLines[len(s.logLines)-1]; !strings.Contains(text, "fleet version 2 switches 1") {
 		t.Fatal(text)
 	}
 }
@@ -288,12 +288,12 @@
 			case 2, 3:
 				version++
 				s.order(fleet.Order{Kind: fleet.FencePolicy, ChangeID: "c"})
-				before := len(s.versions)
+				before := len(s.submittedVersions)
 				s.runUntil(s.now + 20*time.Millisecond)
-				if len(s.versions) > before {
+				if len(s.submittedVersions) > before {
 					t.Fatalf("submitted while shut")
 				}
-				s.order(fleet.Order{Kind: fleet.ActivatePolicy, Version: version, Policy: &Policy{Facts: map[string]string{"threads": "2,2,2"}}})
+				s.order(fleet.Order{Kind: fleet.ActivatePolicy, Version: version, Policy: &Policy{Settings: map[string]string{"threads": "2,2,2"}}})
 			case 4:
 				s.order(fleet.Order{Kind: fleet.ActivatePolicy, Version: version})
 				lease(time.Minute)
@@ -311,7 +311,7 @@
 		struck["deferred"] += s.controller.servingLease.deferredHeld
 		struck["parked"] += len(s.controller.servingLease.blockedAttempts)
 		struck["switches"] += s.controller.servingLease.policySwitches
-		struck["written"] += len(s.versions)
+		struck["written"] += len(s.submittedVersions)
 		s.runRandom(nil)
 	})
 	for _, what := range []string{"refused", "held", "deferred", "parked", "switches", "written"} {
@@ -330,7 +330,7 @@
 		}
 		c := s.connect()
 		one := func() {
-			c.messages, s.queries, s.written = 0, s.queries[:0], s.written[:0]
+			c.messageCount, s.queries, s.writeLog = 0, s.queries[:0], s.writeLog[:0]
 			for _, m := range s.engines {
 				clear(m.runs)
 			}
@@ -344,7 +344,7 @@
 		one()
 		return testing.AllocsPerRun(100, one)
 	}
-	off, on := cost(), cost(func(m *Config) { m.Fleet = &FleetConfig{Word: &fleet.ServingState{}} })
+	off, on := cost(), cost(func(m *Config) { m.Fleet = &FleetConfig{ServingState: &fleet.ServingState{}} })
 	if on > off+1 { // the sites told each second
 		t.Fatalf("%v off, %v on", off, on)
 	}
