--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -1,7 +1,7 @@
-// Package fleet is what controllers agree on: one ordered record of what the fleet
-// has decided, the state that follows from it, and what passes between the parts of
-// a controller because of it. It is pure: no I/O, clock or goroutine. Times are spans
-// since the program's start unless a name says wall (milliseconds since 1970).
+// Package fleet has the types that the controllers of a fleet share: the entries of the
+// replicated log, and the orders and reports that a controller's fleet side and request side
+// exchange. It does no I/O, reads no clock and starts no goroutine. Times are durations since
+// the start of the program; wall times are in milliseconds since 1970.
 package fleet
 
 import (
@@ -9,87 +9,91 @@
 	"time"
 )
 
-// ErrorWithRemedy is an error of the fleet's packages that says what an operator can do.
+// ErrorWithRemedy is an error that also tells an operator what to do about it.
 type ErrorWithRemedy interface {
 	error
 	Remedy() string
 }
 
-// What an Entry decides.
+// The kinds of log entries.
 const (
-	EntryJoin           = "join"        // Member may hold leases from now on
-	EntryForget         = "forget"      // the disk of Name is destroyed: that name and disk never serve again
-	EntryPropose        = "propose"     // a change of policy begins: each controller checks and keeps it
-	EntryFence          = "close"       // all stop deciding by the version before it
-	EntryCommit         = "force"       // decided: all begin with the version after
-	EntryAbort          = "withdraw"    // it never acts anywhere
-	EntryEnterForce     = "settle"      // all that may serve serve by it: the operator is told
-	EntryInvalidate     = "purge"       // what is kept of a team goes, on every controller
-	EntryTombstone      = "unreachable" // no controller serves it any more
-	EntryErased         = "erased"      // gone from every memory and disk
-	EntryBind           = "bind"        // a load took bound tables into others: these are bound, too
-	EntryBeginEmergency = "emergency"   // all inside a rule's sites is lost: its further sites are allowed
-	EntryEndEmergency   = "calm"        // the emergency ends; Scope: what crossed is purged outside
-	EntryFinishCleanup  = "finish"      // what a tighter rule left outside has ended and is purged
+	EntryJoin           = "join"        // Member may hold leases from this entry on
+	EntryForget         = "forget"      // the disk of Name is destroyed: the name and the disk never serve again
+	EntryPropose        = "propose"     // a policy change begins: each controller validates the policy
+	EntryFence          = "close"       // every controller stops deciding by the previous version
+	EntryCommit         = "force"       // committed: every controller starts to decide by the new version
+	EntryAbort          = "withdraw"    // the change is aborted: no controller ever decides by it
+	EntryEnterForce     = "settle"      // every serving controller decides by the new version
+	EntryInvalidate     = "purge"       // every controller deletes the retained data in Scope
+	EntryTombstone      = "unreachable" // no controller serves data of the invalidation any more
+	EntryErased         = "erased"      // the data is erased from the memory and disk of every controller
+	EntryBind           = "bind"        // a load wrote confined tables into others: these are confined too
+	EntryBeginEmergency = "emergency"   // all engines in a rule's sites are lost: further sites are allowed
+	EntryEndEmergency   = "calm"        // the emergency ends; data in Scope is purged outside the rule's sites
+	EntryFinishCleanup  = "finish"      // attempts and data that a stricter rule left outside are gone
 )
 
-// Entry is one decision of the record. What a kind doesn't need is left out. ID is
-// what it is asked for again by: a second entry of a kind with the same ID changes nothing.
+// Entry is one entry of the replicated log. Fields that its kind doesn't need are empty. A
+// second entry of the same kind with the same ID changes nothing, so a request can be retried.
 type Entry struct {
 	Kind string `cbor:"1,keyasint"`
 	ID   string `cbor:"2,keyasint,omitempty"`
-	// RequestedBy: an operator, a team, or the fleet itself
+	// RequestedBy is an operator, a team, or the fleet itself.
 	RequestedBy string `cbor:"3,keyasint,omitempty"`
-	// Name: of a controller (EntryJoin, EntryForget) or of a rule (EntryBeginEmergency, EntryEndEmergency)
+	// Name is the name of a controller (EntryJoin, EntryForget) or of a rule
+	// (EntryBeginEmergency, EntryEndEmergency).
 	Name   string  `cbor:"4,keyasint,omitempty"`
 	Member *Member `cbor:"5,keyasint,omitempty"`
-	// BaseVersion (EntryPropose): the version it is made against
+	// BaseVersion (EntryPropose) is the version in force that the change was made against.
 	BaseVersion uint64 `cbor:"6,keyasint,omitempty"`
-	// Policy (EntryPropose): the file's text
+	// Policy (EntryPropose) is the text of the policy file.
 	Policy []byte `cbor:"7,keyasint,omitempty"`
-	// AbortAfterMs (EntryPropose): milliseconds until it is withdrawn, 0: never
+	// AbortAfterMs (EntryPropose) is the timeout of the change in milliseconds, 0: none.
 	AbortAfterMs int64 `cbor:"8,keyasint,omitempty"`
-	// Reason (EntryAbort).
+	// Reason (EntryAbort) says why the change was aborted.
 	Reason string `cbor:"9,keyasint,omitempty"`
-	// Scope (EntryInvalidate).
+	// Scope (EntryInvalidate, EntryEndEmergency) selects the data to purge.
 	Scope *Scope `cbor:"10,keyasint,omitempty"`
-	// Team (EntryBind).
+	// Team (EntryBind) owns the tables.
 	Team string `cbor:"11,keyasint,omitempty"`
-	// Tables (EntryBind): bound from now on
+	// Tables (EntryBind) are confined from this entry on.
 	Tables []int64 `cbor:"12,keyasint,omitempty"`
-	// SourceTables (EntryBind): whose boundary they follow
+	// SourceTables (EntryBind) are the tables whose boundary Tables follow.
 	SourceTables []int64 `cbor:"13,keyasint,omitempty"`
-	// Counts (EntryErased).
+	// Counts (EntryErased) has the number of items that were erased.
 	Counts *InvalidationCounts `cbor:"14,keyasint,omitempty"`
-	// RequestedAtMs: when it was asked for, by the clock of who asked
+	// RequestedAtMs is the wall time of the request, by the requester's clock.
 	RequestedAtMs int64 `cbor:"15,keyasint,omitempty"`
-	// Voters (EntryFence): who votes once it is in force, as name=address; empty: as before
+	// Voters (EntryFence) are the voters once the change is in force, as name=address;
+	// none: the voters don't change.
 	Voters []string `cbor:"16,keyasint,omitempty"`
-	// Scopes (EntryFence): what the policy leaves outside, to be purged once it is in force
+	// Scopes (EntryFence) select the data that the policy leaves outside its sites. The data
+	// is purged once the change is in force.
 	Scopes []Scope `cbor:"17,keyasint,omitempty"`
 }
 
-// Scope is what of a team a purge means.
+// Scope selects the data of a team that an invalidation covers.
 type Scope struct {
 	Team string `cbor:"1,keyasint" json:"team"`
-	// Tables: table groups, none: all
+	// Tables are table groups, none: all of the team's.
 	Tables []int64 `cbor:"2,keyasint,omitempty" json:"tables,omitempty"`
-	// RetainedBeforeMs: wall time it was kept before, 0: whenever
+	// RetainedBeforeMs is a wall time: only data retained before it is covered, 0: all data.
 	RetainedBeforeMs int64 `cbor:"3,keyasint,omitempty" json:"before,omitempty"`
-	// OutsideSites: only on controllers that are in none of these sites; none: on all
+	// OutsideSites restricts the invalidation to controllers in none of these sites; none: all
+	// controllers.
 	OutsideSites []string `cbor:"4,keyasint,omitempty" json:"outside,omitempty"`
 }
 
-// InvalidationCounts are what a purge found.
+// InvalidationCounts counts the items that an invalidation erased.
 type InvalidationCounts struct {
-	// Results: kept results
+	// Results is the number of stored results.
 	Results int64 `cbor:"1,keyasint" json:"results"`
-	// Answers: cached answers
+	// Answers is the number of cached answers.
 	Answers int64 `cbor:"2,keyasint" json:"answers"`
 	Bytes   int64 `cbor:"3,keyasint" json:"bytes"`
 }
 
-// Add adds what another controller found.
+// Add adds the counts of another controller.
 func (c *InvalidationCounts) Add(o InvalidationCounts) {
 	c.Results, c.Answers, c.Bytes = c.Results+o.Results, c.Answers+o.Answers, c.Bytes+o.Bytes
 }
@@ -97,148 +101,153 @@
 // Member is a controller that may hold leases.
 type Member struct {
 	Name string `cbor:"1,keyasint" json:"name"`
-	// DiskID: its directory's own name, drawn when it was made
+	// DiskID identifies the controller's directory; it is drawn when the directory is made.
 	DiskID string `cbor:"2,keyasint" json:"disk"`
 	Site   string `cbor:"3,keyasint,omitempty" json:"site,omitempty"`
-	// PeerAddress: where its peers reach it
+	// PeerAddress is where other controllers reach it.
 	PeerAddress string `cbor:"4,keyasint" json:"peer"`
-	// ClientAddress: where clients reach it
+	// ClientAddress is where clients reach it.
 	ClientAddress string `cbor:"5,keyasint,omitempty" json:"clients,omitempty"`
 	Forgotten     bool   `cbor:"6,keyasint,omitempty" json:"forgotten,omitempty"`
-	// ControlOnly: it takes no queries and keeps no results, so that neither changes nor
-	// purges wait for it. Of a name that was a controller once it is never true.
+	// ControlOnly marks a control process: it takes no queries and keeps no results, so neither
+	// changes nor purges wait for it. It is never true for a name that was a controller once.
 	ControlOnly bool `cbor:"7,keyasint,omitempty" json:"control,omitempty"`
 }
 
-// ServingState is what this controller may serve now: by which policy version, and until
-// when. The controller's goroutine sets it; the goroutine that writes an attempt's first byte
-// asks it again right before. A controller without peers has none.
+// ServingState holds the policy version that this controller may decide by, and its leases.
+// The controller's goroutine sets it; the goroutine that writes the first byte of an attempt
+// checks it right before the write. A controller without peers has no ServingState.
 type ServingState struct {
-	version          atomic.Uint64 // 0: closed
-	leaseEnd         atomic.Int64  // when the lease ends
-	confinedLeaseEnd atomic.Int64  // and that for bound teams
-	writesInProgress atomic.Int64  // submissions being written
+	version          atomic.Uint64 // 0: fenced
+	leaseEnd         atomic.Int64  // end of the lease
+	confinedLeaseEnd atomic.Int64  // end of the lease for confined tenants
+	writesInProgress atomic.Int64  // attempts being written
 }
 
-// Forever is a lease without an end.
+// Forever is the end of a lease that never expires.
 const Forever = time.Duration(1<<63 - 1)
 
-// SetVersion allows decisions by a version; 0 allows none.
-func (w *ServingState) SetVersion(version uint64) { w.version.Store(version) }
+// SetVersion allows decisions by a policy version; 0 allows none.
+func (s *ServingState) SetVersion(version uint64) { s.version.Store(version) }
 
-// SetLease sets the end of the lease, and that of the lease for confined tenants' queries.
-func (w *ServingState) SetLease(until, bound time.Duration) {
-	w.leaseEnd.Store(int64(until))
-	w.confinedLeaseEnd.Store(int64(bound))
+// SetLease sets the end of the lease and of the lease for confined tenants.
+func (s *ServingState) SetLease(leaseEnd, confinedLeaseEnd time.Duration) {
+	s.leaseEnd.Store(int64(leaseEnd))
+	s.confinedLeaseEnd.Store(int64(confinedLeaseEnd))
 }
 
-// LeaseEnds gives the end of the lease, and that of the lease for confined tenants.
-func (w *ServingState) LeaseEnds() (until, bound time.Duration) {
-	return time.Duration(w.leaseEnd.Load()), time.Duration(w.confinedLeaseEnd.Load())
+// LeaseEnds returns the end of the lease and of the lease for confined tenants.
+func (s *ServingState) LeaseEnds() (leaseEnd, confinedLeaseEnd time.Duration) {
+	return time.Duration(s.leaseEnd.Load()), time.Duration(s.confinedLeaseEnd.Load())
 }
 
-// ConfinedLeaseValid tells whether the lease of bound teams does, whatever is decided by now: what
-// is kept is served within it only.
-func (w *ServingState) ConfinedLeaseValid(now time.Duration) bool {
-	return now < time.Duration(w.leaseEnd.Load()) && now < time.Duration(w.confinedLeaseEnd.Load())
+// ConfinedLeaseValid reports whether both leases hold, whatever policy version is in force. Kept
+// results are served only then.
+func (s *ServingState) ConfinedLeaseValid(now time.Duration) bool {
+	return now < time.Duration(s.leaseEnd.Load()) && now < time.Duration(s.confinedLeaseEnd.Load())
 }
 
-// ServingVersion tells the version to decide by, 0 if this controller may not decide.
-func (w *ServingState) ServingVersion(now time.Duration, bound bool) uint64 {
-	if now >= time.Duration(w.leaseEnd.Load()) || bound && now >= time.Duration(w.confinedLeaseEnd.Load()) {
+// ServingVersion returns the policy version to decide by, 0 if this controller may not decide.
+// For a confined tenant's query it checks both leases.
+func (s *ServingState) ServingVersion(now time.Duration, confined bool) uint64 {
+	if now >= time.Duration(s.leaseEnd.Load()) || confined && now >= time.Duration(s.confinedLeaseEnd.Load()) {
 		return 0
 	}
-	return w.version.Load()
+	return s.version.Load()
 }
 
-// BeginWrite is asked right before an attempt decided by a version is written. If it returns
-// true, EndWrite must follow once it is written.
-func (w *ServingState) BeginWrite(now time.Duration, version uint64, bound bool) bool {
-	w.writesInProgress.Add(1) // before the look: who closes it waits for those inside
-	if version == 0 || w.ServingVersion(now, bound) != version {
-		w.writesInProgress.Add(-1)
+// BeginWrite reports whether an attempt that was decided by a version may be written now. If
+// it returns true, the caller must call EndWrite after the write.
+func (s *ServingState) BeginWrite(now time.Duration, version uint64, confined bool) bool {
+	s.writesInProgress.Add(1) // before the check, so that a fence waits for this write
+	if version == 0 || s.ServingVersion(now, confined) != version {
+		s.writesInProgress.Add(-1)
 		return false
 	}
 	return true
 }
 
-// EndWrite ends what BeginWrite began.
-func (w *ServingState) EndWrite() { w.writesInProgress.Add(-1) }
+// EndWrite ends a write that BeginWrite allowed.
+func (s *ServingState) EndWrite() { s.writesInProgress.Add(-1) }
 
-// WritesFinished reports whether nothing is being written that was decided before it was closed.
-func (w *ServingState) WritesFinished() bool { return w.writesInProgress.Load() == 0 }
+// WritesFinished reports whether no attempt is being written. After SetVersion(0) it tells that
+// the attempts decided before the fence are written.
+func (s *ServingState) WritesFinished() bool { return s.writesInProgress.Load() == 0 }
 
-// OrderKind is what an Order asks the controller for. Orders come in the order of the log.
+// OrderKind is the kind of an Order. Orders come in the order of the log.
 type OrderKind int
 
 const (
-	// FencePolicy: stop deciding; report PolicyFenced with Change once nothing is being written.
+	// FencePolicy: stop deciding; report PolicyFenced with ChangeID once no attempt is being
+	// written.
 	FencePolicy OrderKind = iota
-	// ActivatePolicy: decide by Version and Policy; report PolicyOpened.
+	// ActivatePolicy: decide by Version and Policy; report PolicyActivated.
 	ActivatePolicy
-	// LeaseRenewed: the lease holds Until, that for confined tenants UntilBound.
+	// LeaseRenewed: the lease ends at LeaseEnd, the lease for confined tenants at
+	// ConfinedLeaseEnd.
 	LeaseRenewed
-	// InvalidateData: nothing in Scope that was asked for before Index comes out any more.
-	// Report DataTombstoned, and DataErased once it is gone from memory and disk.
+	// InvalidateData: serve no data in Scope of queries admitted before Index. Report
+	// DataTombstoned, and DataErased once the data is erased from memory and disk.
 	InvalidateData
-	// ViewChanged: View holds from now on.
+	// ViewChanged: use View from now on.
 	ViewChanged
-	// RequestAnswered: the request that a report made came to Response.
+	// RequestAnswered: Response answers the request of a RequestMade report.
 	RequestAnswered
 )
 
-// Order is one thing for the controller. It goes through a bounded queue; a full one makes the
-// fleet's side wait, never the controller.
+// Order is one order from the fleet side to the controller's request side. It goes through a
+// bounded queue; the fleet side waits while the queue is full, the controller never waits.
 type Order struct {
 	Kind                       OrderKind
 	ChangeID                   string // FencePolicy
-	Version                    uint64 // OpenPolicy
-	Policy                     any    // OpenPolicy: what the set-up made of the text
+	Version                    uint64 // ActivatePolicy
+	Policy                     any    // ActivatePolicy: the validated policy
 	LeaseEnd, ConfinedLeaseEnd time.Duration
-	ID                         string // InvalidateData: of the purge; RequestAnswered: as in the report
+	ID                         string // InvalidateData: the invalidation; RequestAnswered: the ID of the request
 	Scope                      *Scope
-	Index                      uint64 // InvalidateData: its place in the log
+	Index                      uint64 // InvalidateData: the log index of the invalidation
 	View                       *View
 	Response                   *Response
 }
 
-// View is what of the log's state the controller's own decisions need. It is immutable.
+// View is the part of the replicated state that the controller's decisions use. It is immutable.
 type View struct {
-	Index       uint64            // of the record: what is taken now is taken after it
-	Bindings    []Binding         // tables bound because a load took bound ones into them
-	Emergencies map[string]uint64 // rules whose further sites are allowed, with the place where that began
-	Members     []Member          // who else there is, and where
+	Index       uint64            // log index of the view: queries admitted with it come after this index
+	Bindings    []Binding         // tables confined because a load read confined tables into them
+	Emergencies map[string]uint64 // rules in an emergency, with the log index at which it began
+	Members     []Member          // members that aren't forgotten, in the order of their names
 }
 
-// Binding is one entry of Bind.
+// Binding says that Tables of a team follow the boundary of SourceTables.
 type Binding struct {
 	Team         string  `cbor:"1,keyasint" json:"team"`
 	Tables       []int64 `cbor:"2,keyasint" json:"tables"`
 	SourceTables []int64 `cbor:"3,keyasint" json:"from"`
 }
 
-// ReportKind is what a Report tells the fleet's side.
+// ReportKind is the kind of a Report.
 type ReportKind int
 
 const (
-	// PolicyFenced, with Change: nothing by the old version is being decided or written.
+	// PolicyFenced, with ChangeID: no attempt is being decided or written by the old version.
 	PolicyFenced ReportKind = iota
-	// PolicyActivated, with Version, and Outside as with SitesServing.
+	// PolicyActivated, with Version, and AttemptsOutside as with SitesServing.
 	PolicyActivated
-	// DataTombstoned, with ID of a purge: nothing from before comes out any more.
+	// DataTombstoned, with the ID of an invalidation: its data is no longer served here.
 	DataTombstoned
-	// DataErased, with ID: gone from memory and disk here, with Counts.
+	// DataErased, with ID and Counts: the data is erased from memory and disk here.
 	DataErased
-	// SitesServing: Sites have engines that serve; Outside is how many attempts of confined
-	// tenants run outside their sites.
+	// SitesServing: ServingSites have engines that serve; AttemptsOutside counts the attempts
+	// of confined tenants that run outside their sites.
 	SitesServing
-	// RequestMade, with Request: answered by a RequestAnswered order with the same ID.
+	// RequestMade, with Request: a RequestAnswered order with the same ID answers it.
 	RequestMade
 )
 
-// Report is one thing that the controller tells. It goes through a bounded queue that the
-// controller never waits for: a full one drops SitesServing (it comes again) and leaves the
-// others with the controller until there is room.
+// Report is one report from the controller's request side to the fleet side. It goes through a
+// bounded queue that the controller never waits for. While the queue is full, SitesServing
+// reports are dropped, since they are repeated; the controller holds other reports back until
+// the queue has room.
 type Report struct {
 	Kind            ReportKind
 	ID              string
@@ -250,50 +259,59 @@
 	Request         *Request
 }
 
-// Request is what an operator, a customer or the reducer wants of the fleet.
+// Request is a request of an operator, a customer or the controller itself to the fleet.
 type Request struct {
-	// Kind: "apply", "purge", "forget", "bind", "status", "policy"
+	// Kind is "apply", "purge", "forget", "bind", "status" or "policy".
 	Kind string `json:"kind"`
-	// ID: of the change or purge; drawn by who asks
+	// ID identifies the change or purge; the requester draws it.
 	ID          string `json:"id"`
 	RequestedBy string `json:"by,omitempty"`
 	BaseVersion uint64 `json:"base,omitempty"`
 	Policy      []byte `json:"policy,omitempty"`
-	// Name: forget
+	// Name (forget) is the controller to forget.
 	Name  string `json:"name,omitempty"`
 	Scope *Scope `json:"scope,omitempty"`
-	// Team: bind; purge and status by a customer: only its own runs are told of
+	// Team (bind) owns the tables. In a customer's purge or status it restricts the answer to
+	// the team's own purges.
 	Team string `json:"team,omitempty"`
-	// Tables are bound by a bind, From is what they follow.
+	// Tables (bind) follow the boundary of SourceTables.
 	Tables       []int64 `json:"tables,omitempty"`
 	SourceTables []int64 `json:"from,omitempty"`
-	// AbortAfterMs: milliseconds: a change not in force by then is withdrawn
+	// AbortAfterMs (apply) is the timeout of the change in milliseconds, 0: none.
 	AbortAfterMs int64 `json:"at_most_ms,omitempty"`
-	// WaitMs: milliseconds until the answer is "not known yet"
+	// WaitMs is how long to wait for the outcome, in milliseconds, before the answer is
+	// "unknown".
 	WaitMs int64 `json:"wait_ms,omitempty"`
-	// AwaitedStage: the word waited for: "" the last one; purge: "unreachable"
+	// AwaitedStage is the stage to wait for. An apply waits until the change is in force, with
+	// "settled" until the data outside its sites is purged too; a purge waits until the data is
+	// erased, with "unreachable" until it is no longer served.
 	AwaitedStage string `json:"until,omitempty"`
 }
 
-// Response is what became of a Request. Outcome is one of: in force, withdrawn, refused, settled,
-// unreachable, purged, forgotten, bound, unknown (not known yet: ask again by id).
+// Response answers a Request. Outcome is one of: in force, withdrawn, refused, settled,
+// unreachable, purged, forgotten, bound, status, policy, unknown (not known yet: ask again with
+// the same ID).
 type Response struct {
 	ID      string `json:"id"`
 	Outcome string `json:"word"`
 	Reason  string `json:"why,omitempty"`
 	Remedy  string `json:"remedy,omitempty"`
 	Version uint64 `json:"version,omitempty"`
-	// Stage: how far a run has come: proposed, closing, decided, unreachable ...
+	// Stage is the phase of a change (proposed, closing, decided, ...) or the stage of a purge
+	// (unreachable, ...).
 	Stage  string              `json:"stage,omitempty"`
 	Counts *InvalidationCounts `json:"counts,omitempty"`
-	// Outstanding: controllers that are waited for, as far as is known here
+	// Outstanding are the controllers that the change or purge waits for, as far as the
+	// answering controller knows.
 	Outstanding []string `json:"outstanding,omitempty"`
 	Status      *Status  `json:"status,omitempty"`
-	// Policy: to a "policy": the text in force, none while it is each set-up's own
+	// Policy answers a "policy" request: the text of the policy in force, empty while every
+	// controller uses the policy of its own configuration.
 	Policy []byte `json:"policy,omitempty"`
 }
 
-// ExitStatus is the status that scripts see: 0 done, 3 not done and never will be, 4 not known yet.
+// ExitStatus returns the exit status of the fleet commands: 0 done, 3 not done and
+// never will be, 4 not known yet.
 func (r *Response) ExitStatus() int {
 	switch r.Outcome {
 	case "unknown":
@@ -304,37 +322,39 @@
 	return 0
 }
 
-// Status is how a controller sees the fleet.
+// Status is the state of the fleet as one controller knows it.
 type Status struct {
 	Name    string `json:"name"`
 	Leader  string `json:"leader,omitempty"`
 	Index   uint64 `json:"index"`
 	Version uint64 `json:"version"`
 	Serves  bool   `json:"serves"`
-	// LeaseRemainingMs: what is left of it; -1: without an end
+	// LeaseRemainingMs is what remains of the lease in milliseconds, -1: it has no end.
 	LeaseRemainingMs int64          `json:"lease_ms"`
 	Change           *Response      `json:"change,omitempty"`
 	Members          []MemberStatus `json:"members"`
 	Purges           []Response     `json:"purges,omitempty"`
 	Emergencies      []string       `json:"emergencies,omitempty"`
 	Bindings         []Binding      `json:"bindings,omitempty"`
-	// Counts: what was refused on the peers' wire, and such
+	// Counts has counters, such as of messages from peers that were refused.
 	Counts map[string]int `json:"counts,omitempty"`
 }
 
-// MemberStatus is one controller as the leader sees it; elsewhere only what the record says.
+// MemberStatus is one controller as the leader knows it. From any other controller it has only
+// what the replicated log says.
 type MemberStatus struct {
 	Member
 	IsVoter bool `json:"votes"`
-	// Lease: it may hold a lease
+	// Lease says whether the controller may hold a lease.
 	Lease        LeaseStatus `json:"holds"`
 	AppliedIndex uint64      `json:"applied,omitempty"`
 }
 
-// EmergencyRule is a placement rule that names further sites for the loss of all inside.
+// EmergencyRule is a residency rule that allows further sites while all engines in its own
+// sites are lost.
 type EmergencyRule struct {
 	Name  string
 	Team  string
 	Sites []string
-	After time.Duration // all engines inside are lost for so long, or there again
+	After time.Duration // how long all engines in Sites must be lost, or one must serve again
 }
--- a/internal/fleet/golden_test.go
+++ b/internal/fleet/golden_test.go
@@ -10,8 +10,8 @@
 	"railrelay.dev/railrelay/internal/goldentest"
 )
 
-// line is a value as the fleet's commands print it with --json.
-func line(t *testing.T, v any) []byte {
+// jsonLine encodes a value as the fleet commands print it with --json.
+func jsonLine(t *testing.T, v any) []byte {
 	t.Helper()
 	var out bytes.Buffer
 	encoder := json.NewEncoder(&out)
@@ -22,22 +22,22 @@
 	return out.Bytes()
 }
 
-func TestGoldenAsksAndRepliesAreReadAndWritten(t *testing.T) {
-	goldentest.EveryFieldSet(t, goldentest.JSON, &goldenAsk, &goldenReply)
+func TestGoldenRequestsAndResponsesAreReadAndWritten(t *testing.T) {
+	goldentest.EveryFieldSet(t, goldentest.JSON, &goldenRequest, &goldenResponse)
 	for _, c := range []struct {
 		name      string
 		want, got any
 	}{
-		{"ask.json", &goldenAsk, &Request{}},
-		{"reply.json", &goldenReply, &Response{}},
-		{"reply_empty.json", &goldenEmptyReply, &Response{}},
+		{"ask.json", &goldenRequest, &Request{}},
+		{"reply.json", &goldenResponse, &Response{}},
+		{"reply_empty.json", &goldenEmptyResponse, &Response{}},
 	} {
 		if err := json.Unmarshal(goldentest.File(t, c.name), c.got); err != nil {
 			t.Fatal(c.name, err)
 		}
 		if diff := cmp.Diff(c.want, c.got); diff != "" {
-			t.Errorf("%s (-want +got):\n%s", c.name, diff)
+			t.Errorf("%s decodes to (-want +got):\n%s", c.name, diff)
 		}
-		goldentest.Same(t, c.name, line(t, c.want))
+		goldentest.Same(t, c.name, jsonLine(t, c.want))
 	}
 }
--- a/internal/fleet/golden_values_test.go
+++ b/internal/fleet/golden_values_test.go
@@ -1,14 +1,14 @@
 package fleet
 
-// goldenAsk has every field set.
-var goldenAsk = Request{
+// goldenRequest has every field set.
+var goldenRequest = Request{
 	Kind: "apply", ID: "ask-1", RequestedBy: "operator@host", BaseVersion: 1, Policy: []byte("groups: []\n"), Name: "south-1",
 	Scope: &Scope{Team: "team-a", Tables: []int64{1, -2}, RetainedBeforeMs: 2, OutsideSites: []string{"north"}},
 	Team:  "team-b", Tables: []int64{3, 4}, SourceTables: []int64{5}, AbortAfterMs: 6, WaitMs: 7, AwaitedStage: "settled",
 }
 
-// goldenReply has every field set, also those of what it holds.
-var goldenReply = Response{
+// goldenResponse has every field set, including those of nested values.
+var goldenResponse = Response{
 	ID: "ask-1", Outcome: "in force", Reason: "a <reason> & more", Remedy: "a remedy", Version: 11, Stage: "decided",
 	Counts:      &InvalidationCounts{Results: 12, Answers: 13, Bytes: 14},
 	Outstanding: []string{"south-1", "south-2"},
@@ -31,5 +31,5 @@
 	Policy: []byte("voters: []\n"),
 }
 
-// goldenEmptyReply shows which fields stand there without a value.
-var goldenEmptyReply = Response{Status: &Status{Change: &Response{Counts: &InvalidationCounts{}}, Members: []MemberStatus{{}}, Bindings: []Binding{{}}}}
+// goldenEmptyResponse shows which fields are encoded although they have no value.
+var goldenEmptyResponse = Response{Status: &Status{Change: &Response{Counts: &InvalidationCounts{}}, Members: []MemberStatus{{}}, Bindings: []Binding{{}}}}
--- a/internal/fleet/remedies_test.go
+++ b/internal/fleet/remedies_test.go
@@ -22,17 +22,18 @@
 	"railrelay.dev/railrelay/internal/setup"
 )
 
-// Every error that an operator may be told says what to do, unlike the others, and
-// docs/operate/fleet.md lists it. One whose package doesn't register it is found by its
-// source.
+// Every error type that an operator may see has a text and a remedy of its own, and
+// docs/operate/fleet.md lists it. A type that is missing from its package's Errors function is
+// found in the package's source.
 func TestEveryErrorHasARemedyAndIsInTheDocs(t *testing.T) {
 	docs, err := os.ReadFile("../../docs/operate/fleet.md")
 	if err != nil {
 		t.Fatal(err)
 	}
-	all := slices.Concat(resultcache.Errors(), capacity.Errors(), fleet.Errors(), consensus.Errors(), storage.Errors(), driver.Errors(), bench.Errors(), transport.Errors(), residency.Errors(), setup.Errors())
+	registered := slices.Concat(resultcache.Errors(), capacity.Errors(), fleet.Errors(), consensus.Errors(),
+		storage.Errors(), driver.Errors(), bench.Errors(), transport.Errors(), residency.Errors(), setup.Errors())
 	known, texts := map[string]bool{}, map[string]string{}
-	for _, e := range all {
+	for _, e := range registered {
 		name := strings.TrimPrefix(fmt.Sprintf("%T", e), "*")
 		known[name] = true
 		for what, text := range map[string]string{"error": e.Error(), "remedy": e.Remedy()} {
@@ -40,7 +41,7 @@
 				t.Errorf("%s has no %s", name, what)
 			}
 			if other := texts[what+text]; other != "" && other != name {
-				t.Errorf("%s and %s have one %s: %s", name, other, what, text)
+				t.Errorf("%s and %s have the same %s: %s", name, other, what, text)
 			}
 			texts[what+text] = name
 		}
@@ -58,7 +59,7 @@
 		for _, m := range remedy.FindAllSubmatch(text, -1) {
 			found++
 			if name := filepath.Base(filepath.Dir(path)) + "." + string(m[1]); !known[strings.TrimPrefix(name, "...")] && !known[name] {
-				t.Errorf("%s: %s is in no Errors()", path, name)
+				t.Errorf("%s: %s is missing from its package's Errors function", path, name)
 			}
 		}
 		return err
--- a/internal/fleet/statemachine/apply.go
+++ b/internal/fleet/statemachine/apply.go
@@ -7,7 +7,7 @@
 	"railrelay.dev/railrelay/internal/fleet"
 )
 
-// apply applies an entry at Index.
+// apply applies an entry whose log index is s.Index.
 func (s *State) apply(e *fleet.Entry) {
 	switch e.Kind {
 	case fleet.EntryJoin, fleet.EntryForget:
@@ -36,8 +36,7 @@
 	}
 }
 
-// applyMembership lets a controller join or forgets it. A forgotten name or disk never
-// joins again.
+// applyMembership adds or forgets a member. A forgotten name or disk never joins again.
 func (s *State) applyMembership(e *fleet.Entry) {
 	have := s.Members[e.Name]
 	switch {
@@ -48,19 +47,20 @@
 		}
 		m := *e.Member
 		m.Forgotten = false
-		m.ControlOnly = m.ControlOnly && (have == nil || have.ControlOnly) // results of its time as a controller may be on its disk
+		// the disk of a former controller may still have results
+		m.ControlOnly = m.ControlOnly && (have == nil || have.ControlOnly)
 		s.Members[e.Name] = &m
 	case have != nil:
 		s.forgottenName = e.Name
 		have.Forgotten = true
-	default: // it never served, and never will
+	default: // the name never joined; the entry keeps it from ever joining
 		s.forgottenName = e.Name
 		s.Members[e.Name] = &fleet.Member{Name: e.Name, Forgotten: true}
 	}
 	s.ViewIndex = s.Index
 }
 
-// applyPhase moves a change on, if the entry fits the phase that it is in.
+// applyPhase moves a change to its next phase, if the entry fits the present one.
 func (s *State) applyPhase(c *PolicyChange, e *fleet.Entry) {
 	switch {
 	case e.Kind == fleet.EntryFence && c.Phase == Proposed:
@@ -79,7 +79,7 @@
 		c.Reason = e.Reason
 		s.markChangeEnded(c.ID)
 	case e.Kind == fleet.EntryEnterForce && c.Phase == Committed:
-		c.Phase = InForce // Finish settles it, also where there is nothing to purge
+		c.Phase = InForce // EntryFinishCleanup sets Settled, also where nothing is to be purged
 		for i, scope := range c.OutsideScopes {
 			s.addPurge(fmt.Sprintf("%s.outside.%d", c.ID, i), "the fleet", scope, c.ID)
 		}
@@ -89,59 +89,61 @@
 	}
 }
 
-// applyPurge begins a purge or moves it on.
+// applyPurge begins a purge or moves it to its next stage.
 func (s *State) applyPurge(e *fleet.Entry) {
-	run := s.Purges[e.ID]
+	purge := s.Purges[e.ID]
 	switch {
 	case e.Kind == fleet.EntryInvalidate:
 		if e.Scope != nil {
 			s.addPurge(e.ID, e.RequestedBy, *e.Scope, "")
 		}
-	case run == nil:
-	case e.Kind == fleet.EntryTombstone && run.Stage == "":
-		run.Stage = fleet.EntryTombstone
-	case e.Kind == fleet.EntryErased && run.Stage == fleet.EntryTombstone:
-		run.Stage = fleet.EntryErased
+	case purge == nil:
+	case e.Kind == fleet.EntryTombstone && purge.Stage == "":
+		purge.Stage = fleet.EntryTombstone
+	case e.Kind == fleet.EntryErased && purge.Stage == fleet.EntryTombstone:
+		purge.Stage = fleet.EntryErased
 		if e.Counts != nil {
-			run.Counts = *e.Counts
+			purge.Counts = *e.Counts
 		}
-		s.markEnded(run.ID)
+		s.markEnded(purge.ID)
 	}
 }
 
-// applyEmergency begins or ends a rule's emergency. What was kept outside the rule's own
-// sites is purged when it ends.
+// applyEmergency begins or ends a rule's emergency. At its end the data outside the rule's own
+// sites is purged.
 func (s *State) applyEmergency(e *fleet.Entry) {
-	from, isOn := s.Emergencies[e.Name]
+	beganAt, active := s.Emergencies[e.Name]
 	switch {
-	case e.Kind == fleet.EntryBeginEmergency && !isOn:
+	case e.Kind == fleet.EntryBeginEmergency && !active:
 		s.Emergencies[e.Name] = s.Index
 		s.ViewIndex = s.Index
-	case e.Kind == fleet.EntryEndEmergency && isOn:
+	case e.Kind == fleet.EntryEndEmergency && active:
 		delete(s.Emergencies, e.Name)
 		s.ViewIndex = s.Index
 		if e.Scope != nil {
-			s.addPurge(fmt.Sprintf("%s.crossed.%d", e.Name, from), "the fleet", *e.Scope, e.Name)
+			s.addPurge(fmt.Sprintf("%s.crossed.%d", e.Name, beganAt), "the fleet", *e.Scope, e.Name)
 		}
 	}
 }
 
-// propose begins a change. One that was made against another version than the one in force,
-// or while another change is under way, is refused at once.
+// propose begins a change. A change that was made against a version that isn't in force, or
+// while another change is under way, is refused at once.
 func (s *State) propose(e *fleet.Entry) {
 	if s.Changes[e.ID] != nil {
 		return
 	}
 	c := &PolicyChange{
-		ID: e.ID, RequestedBy: e.RequestedBy, BaseVersion: e.BaseVersion, Version: s.Version + 1, Policy: e.Policy, Phase: Proposed,
+		ID: e.ID, RequestedBy: e.RequestedBy, BaseVersion: e.BaseVersion, Version: s.Version + 1,
+		Policy: e.Policy, Phase: Proposed,
 		AbortAfterMs: e.AbortAfterMs, LogIndex: s.Index,
 	}
 	s.Changes[e.ID] = c
-	switch cur := s.Changes[s.CurrentChange]; {
+	switch current := s.Changes[s.CurrentChange]; {
 	case e.BaseVersion != s.Version:
-		c.Phase, c.Reason = Refused, fmt.Sprintf("it was made against version %d and %d is in force", e.BaseVersion, s.Version)
-	case cur != nil && !cur.IsFinal():
-		c.Phase, c.Reason = Refused, fmt.Sprintf("the change %s is under way", cur.ID)
+		c.Phase, c.Reason = Refused, fmt.Sprintf("it was made against version %d and %d is in force",
+			e.BaseVersion, s.Version)
+	case current != nil && !current.IsFinal():
+		c.Phase, c.Reason = Refused, fmt.Sprintf("the change %s is under way", current.ID)
 	default:
 		s.CurrentChange = e.ID
 		return
@@ -150,15 +152,15 @@
 	s.markChangeEnded(c.ID)
 }
 
-// addPurge begins a purge; partOf is the change or rule that it belongs to, "": none.
-func (s *State) addPurge(id, requestedBy string, scope fleet.Scope, partOf string) {
+// addPurge begins a purge; parentID is the change or rule that it belongs to, "": none.
+func (s *State) addPurge(id, requestedBy string, scope fleet.Scope, parentID string) {
 	if s.Purges[id] == nil {
-		s.Purges[id] = &Purge{ID: id, RequestedBy: requestedBy, Scope: scope, LogIndex: s.Index, ParentID: partOf}
-		s.ViewIndex = s.Index // queries admitted from now on come after it
+		s.Purges[id] = &Purge{ID: id, RequestedBy: requestedBy, Scope: scope, LogIndex: s.Index, ParentID: parentID}
+		s.ViewIndex = s.Index // queries admitted with the new view come after the purge
 	}
 }
 
-// markChangeEnded drops the text of a change that has ended, which nobody needs any more.
+// markChangeEnded marks a change as ended and drops its policy text, which is no longer needed.
 func (s *State) markChangeEnded(id string) {
 	if c := s.Changes[id]; c != nil {
 		c.Policy = nil
@@ -166,7 +168,7 @@
 	s.markEnded(id)
 }
 
-// markEnded forgets the oldest of the changes and purges that have ended, if there are too many.
+// markEnded records an ended change or purge, and forgets the oldest one past maxEndedIDs.
 func (s *State) markEnded(id string) {
 	if slices.Contains(s.EndedIDs, id) {
 		return
@@ -179,19 +181,21 @@
 	}
 }
 
-// mergeBindings joins the bindings of a team that follow the same tables, so that many loads
-// don't make the state grow.
+// mergeBindings merges the bindings of a team that have the same source tables, so that the
+// state doesn't grow with the number of loads.
 func (s *State) mergeBindings() {
-	var all []fleet.Binding
+	var merged []fleet.Binding
 	for _, b := range s.Bindings {
-		i := slices.IndexFunc(all, func(x fleet.Binding) bool { return x.Team == b.Team && slices.Equal(x.SourceTables, b.SourceTables) })
+		i := slices.IndexFunc(merged, func(x fleet.Binding) bool {
+			return x.Team == b.Team && slices.Equal(x.SourceTables, b.SourceTables)
+		})
 		if i < 0 {
-			all = append(all, b)
+			merged = append(merged, b)
 			continue
 		}
-		l := append(slices.Clone(all[i].Tables), b.Tables...)
-		slices.Sort(l)
-		all[i].Tables = slices.Compact(l)
+		tables := append(slices.Clone(merged[i].Tables), b.Tables...)
+		slices.Sort(tables)
+		merged[i].Tables = slices.Compact(tables)
 	}
-	s.Bindings = all
+	s.Bindings = merged
 }
--- a/internal/fleet/statemachine/golden_test.go
+++ b/internal/fleet/statemachine/golden_test.go
@@ -20,13 +20,13 @@
 		t.Fatal(err)
 	}
 	if diff := cmp.Diff(want, got, cmpopts.IgnoreUnexported(State{})); diff != "" {
-		t.Errorf("the state (-want +got):\n%s", diff)
+		t.Errorf("the decoded state differs (-want +got):\n%s", diff)
 	}
 	goldentest.Same(t, "snapshot", want.Encode())
 }
 
-// TestGoldenEntriesLeadToTheSameState applies the entries as an earlier program wrote them:
-// the state after each of them is that program's, byte for byte.
+// TestGoldenEntriesLeadToTheSameState applies entries that an earlier version of the program
+// encoded. The encoded state after each entry equals that version's, byte for byte.
 func TestGoldenEntriesLeadToTheSameState(t *testing.T) {
 	state := NewState()
 	entries := goldenEntries()
@@ -39,7 +39,7 @@
 			t.Fatal(name, err)
 		}
 		if diff := cmp.Diff(want, got); diff != "" {
-			t.Errorf("%s (-want +got):\n%s", name, diff)
+			t.Errorf("%s decodes to (-want +got):\n%s", name, diff)
 		}
 		goldentest.Same(t, name, EncodeEntry(&want))
 		if err := state.Apply(uint64(i+1), data); err != nil {
--- a/internal/fleet/statemachine/golden_values_test.go
+++ b/internal/fleet/statemachine/golden_values_test.go
@@ -2,7 +2,7 @@
 
 import "railrelay.dev/railrelay/internal/fleet"
 
-// goldenState has every field set.
+// goldenState returns a state with every field set.
 func goldenState() *State {
 	return &State{
 		Index:   101,
@@ -34,8 +34,8 @@
 	}
 }
 
-// goldenEntries are entries of each kind, in an order in which each changes the state, and
-// at last one of no kind with every field set.
+// goldenEntries returns entries of each kind, in an order in which each entry changes the state.
+// The last entry has an unknown kind and every field set.
 func goldenEntries() []fleet.Entry {
 	scope := fleet.Scope{Team: "team-a", Tables: []int64{1, -2}, RetainedBeforeMs: 201, OutsideSites: []string{"north"}}
 	counts := fleet.InvalidationCounts{Results: 202, Answers: 203, Bytes: 204}
--- a/internal/fleet/statemachine/outcome.go
+++ b/internal/fleet/statemachine/outcome.go
@@ -2,8 +2,8 @@
 
 import "railrelay.dev/railrelay/internal/fleet"
 
-// Outcome is what the state tells of an ask: its Word is "unknown" until the outcome is
-// final, and a final one never changes.
+// Outcome returns what the state says of a request. The response's Outcome is "unknown" until
+// the outcome is final; a final outcome never changes.
 func (s *State) Outcome(a *fleet.Request) *fleet.Response {
 	r := &fleet.Response{ID: a.ID, Outcome: "unknown"}
 	switch a.Kind {
@@ -38,26 +38,27 @@
 		r.Outcome, r.Version = InForce, c.Version
 	case c.Phase == Aborted:
 		r.Outcome = Aborted
-		r.Remedy = "see to what it names, then propose the change again under another id"
+		r.Remedy = "resolve the given reason, then propose the change again under another id"
 	case c.Phase == Refused:
 		r.Outcome = Refused
-		r.Remedy = "look at the version in force (fleet status), make the change against it and propose it under another id"
+		r.Remedy = "get the version in force from fleet status, make the change against it " +
+			"and propose it under another id"
 	}
 }
 
 func (s *State) purgeOutcome(a *fleet.Request, r *fleet.Response) {
-	run := s.Purges[a.ID]
-	if run == nil {
+	purge := s.Purges[a.ID]
+	if purge == nil {
 		return
 	}
-	if a.Team != "" && run.Scope.Team != a.Team { // whether there is one is nobody else's business
+	if a.Team != "" && purge.Scope.Team != a.Team { // other teams must not learn whether the purge exists
 		r.Outcome, r.Reason = Refused, "no purge of this team has this id"
 		return
 	}
-	switch r.Stage = run.Stage; {
-	case run.Stage == fleet.EntryErased:
-		r.Outcome, r.Counts = "purged", &run.Counts
-	case run.Stage == fleet.EntryTombstone && a.AwaitedStage == fleet.EntryTombstone:
+	switch r.Stage = purge.Stage; {
+	case purge.Stage == fleet.EntryErased:
+		r.Outcome, r.Counts = "purged", &purge.Counts
+	case purge.Stage == fleet.EntryTombstone && a.AwaitedStage == fleet.EntryTombstone:
 		r.Outcome = fleet.EntryTombstone
 	}
 }
--- a/internal/setup/control_test.go
+++ b/internal/setup/control_test.go
@@ -34,8 +34,8 @@
 	if !s.Control() || s.Fleet.Relay || s.Cores() != 1 || s.MemoryMB() != 256 {
 		t.Errorf("%+v", s.Fleet)
 	}
-	want := fleet.Member{Name: "v0", PeerAddress: "127.0.0.1:7610", ControlOnly: true}
-	if got := s.Member(); got != want {
+	if got, want := s.Member(), (fleet.Member{Name: "v0", PeerAddress: "127.0.0.1:7610",
+		ControlOnly: true}); got != want {
 		t.Errorf("%+v, want %+v", got, want)
 	}
 	if s = parsed(t, exampleOf(t, "relay.yaml")); !s.Control() || !s.Fleet.Relay {
