--- a/internal/fleet/node/config.go
+++ b/internal/fleet/node/config.go
@@ -10,38 +10,40 @@
 // defaultSnapshotAfterEntries is Config.SnapshotAfterEntries where that is 0.
 const defaultSnapshotAfterEntries = 2000
 
-// Config is what a controller's part in the fleet is started with.
+// Config configures a Core.
 type Config struct {
 	Self        fleet.Member
-	Incarnation uint64            // drawn anew at each start of the process
-	Seed        uint64            // of the randomised election timeouts
-	Voters      []consensus.Voter // by the set-up; used until the log names voters
+	Incarnation uint64            // drawn at random at each start of the process
+	Seed        uint64            // of the randomized election timeouts
+	Voters      []consensus.Voter // configured voters; used until the log names voters
 
-	// Lease is how long a lease lasts; 0: without an end.
+	// Lease is the duration of a lease; 0: it has no end.
 	Lease time.Duration
-	// ConfinedLease is the same for confined tenants and kept results; 0: as Lease.
+	// ConfinedLease is the duration of the lease for confined tenants and kept results;
+	// 0: that of Lease.
 	ConfinedLease time.Duration
-	// ClockDrift is by how much clocks may differ, as a part of a span: 0.01.
+	// ClockDrift bounds the drift of a controller's clock, as a fraction of the time that
+	// passes, for example 0.01.
 	ClockDrift        float64
 	ElectionTimeout   time.Duration
 	HeartbeatInterval time.Duration
 
-	Persisted            consensus.PersistentState // read back from the disk
+	Persisted            consensus.PersistentState // read from the disk at the start
 	SnapshotAfterEntries int                       // log entries kept before a snapshot replaces them
 
-	// Relays are asked for the lease and bring the log, in place of the leader: the
-	// first one, or the second where that doesn't answer. None: the leader is asked
-	// directly.
+	// Relays renew the lease and send the log in place of the leader: the first one, or the
+	// second while the first doesn't answer. None: the controller renews directly at the
+	// leader.
 	Relays []Upstream
-	// IsRelay makes this controller a relay: it aggregates the renewals of others for
-	// the leader and passes grants and the log on. It never grants a lease itself.
+	// IsRelay makes this controller a relay: it aggregates the renewals of other controllers
+	// for the leader and forwards grants and the log. A relay doesn't grant leases itself.
 	IsRelay bool
 }
 
-// Upstream is a relay or leader as a controller reaches it.
+// Upstream is a relay or leader to which a controller sends its renewals.
 type Upstream struct{ Name, Address string }
 
-// foreverIfZero gives a lease of 0 no end.
+// foreverIfZero returns fleet.Forever for a lease of 0.
 func foreverIfZero(lease time.Duration) time.Duration {
 	if lease == 0 {
 		return fleet.Forever
--- a/internal/fleet/node/configuration_change.go
+++ b/internal/fleet/node/configuration_change.go
@@ -10,19 +10,19 @@
 	"railrelay.dev/railrelay/internal/fleet/statemachine"
 )
 
-// The leader's side of a configuration change. Its phases are those of the state machine,
-// so that the next leader goes on where this one ends:
+// The leader's side of a policy change. The phases are those of the state machine, so that the
+// next leader can continue the change:
 //
-//	phase       the leader waits for every controller that may hold a lease     it logs
+//	phase       the leader waits for every controller that may hold a lease     entry it logs
 //	proposed    to have validated the policy                                    close (fence)
-//	closing     to be fenced: to decide nothing by the old version              force (commit)
+//	closing     to be fenced, i.e. to decide nothing by the old version              force (commit)
 //	decided     to decide by the new version                                    settle
-//	in force    to have nothing left outside the zones of the new version       finish
+//	in force    to have nothing left outside the sites of the new version       finish
 //
-// A change that is proposed or closing is aborted (withdraw) where a controller can't
-// serve by its policy, or where it isn't fenced within its timeout. A committed one isn't.
+// A change that is proposed or closing is aborted (withdraw) if a controller can't serve by its
+// policy, or if its timeout passes. A committed change is never aborted.
 
-// driveChange moves on the configuration change that is under way.
+// driveChange advances the policy change that is under way.
 func (c *Core) driveChange() {
 	change := c.state.ChangeUnderWay()
 	if change == nil {
@@ -41,7 +41,7 @@
 	}
 }
 
-// driveProposed fences a change once all have validated its policy.
+// driveProposed fences a change once every controller has validated its policy.
 func (c *Core) driveProposed(change *statemachine.PolicyChange) {
 	id := change.ID
 	for _, name := range c.memberNames() {
@@ -50,7 +50,7 @@
 			continue
 		}
 		if reason := p.renewal.ValidationResults[id]; reason != "" {
-			c.abort(change, name+" can't take it: "+reason)
+			c.abort(change, name+" can't serve by the policy: "+reason)
 			return
 		}
 	}
@@ -58,14 +58,14 @@
 		_, validated := r.ValidationResults[id]
 		return validated
 	})
-	if c.isLate(change) && len(waiting) > 0 {
-		c.abort(change, fmt.Sprintf("not checked by %s within %v", nameList(waiting), changeTimeout(change)))
+	if c.isTimedOut(change) && len(waiting) > 0 {
+		c.abort(change, fmt.Sprintf("not validated by %s within %v", nameList(waiting), changeTimeout(change)))
 		return
 	}
 	own := c.validations[id]
 	validated := own != nil && own.done
-	if validated && own.reason != "" { // of a control process, which isn't waited for
-		c.abort(change, c.config.Self.Name+" can't take it: "+own.reason)
+	if validated && own.reason != "" { // this leader may be a control process, which isn't waited for
+		c.abort(change, c.config.Self.Name+" can't serve by the policy: "+own.reason)
 		return
 	}
 	if len(waiting) == 0 && validated {
@@ -79,13 +79,13 @@
 	c.setWaitingFor(id, waiting)
 }
 
-// driveFencing commits a change once no controller decides by the version before it.
+// driveFencing commits a change once no controller decides by the previous version.
 func (c *Core) driveFencing(change *statemachine.PolicyChange) {
 	waiting := c.unconfirmedHolders(c.config.Lease, func(r *LeaseRenewal) bool {
 		return r.FencedFor == change.ID
 	})
-	if c.isLate(change) && len(waiting) > 0 {
-		c.abort(change, fmt.Sprintf("not stopped by %s within %v", nameList(waiting), changeTimeout(change)))
+	if c.isTimedOut(change) && len(waiting) > 0 {
+		c.abort(change, fmt.Sprintf("not fenced by %s within %v", nameList(waiting), changeTimeout(change)))
 		return
 	}
 	if len(waiting) == 0 { // fenced everywhere
@@ -94,8 +94,8 @@
 	c.setWaitingFor(change.ID, waiting)
 }
 
-// driveCommitted settles a change once all decide by it. A controller that was down while
-// it was validated and can't serve by it serves nothing, and isn't waited for.
+// driveCommitted puts a change in force once every controller decides by it. A controller that was
+// down during the validation and can't serve by the policy serves nothing and isn't waited for.
 func (c *Core) driveCommitted(change *statemachine.PolicyChange) {
 	waiting := c.unconfirmedHolders(c.config.Lease, func(r *LeaseRenewal) bool {
 		return r.PolicyVersion >= change.Version || r.ValidationResults[change.ID] != ""
@@ -106,13 +106,13 @@
 	c.setWaitingFor(change.ID, waiting)
 }
 
-// abort ends a change that isn't committed: it is never decided by anywhere.
+// abort ends a change that isn't committed. No controller ever decides by it.
 func (c *Core) abort(change *statemachine.PolicyChange, reason string) {
 	c.proposeOnce("withdraw "+change.ID, &fleet.Entry{Kind: fleet.EntryAbort, ID: change.ID, Reason: reason})
 }
 
-// isLate reports whether a change's timeout has passed since this leader has known of it.
-func (c *Core) isLate(change *statemachine.PolicyChange) bool {
+// isTimedOut reports whether the timeout of a change has passed since this leader first saw it.
+func (c *Core) isTimedOut(change *statemachine.PolicyChange) bool {
 	return change.AbortAfterMs > 0 && c.now-c.changeSeenAt[change.ID] >= changeTimeout(change)
 }
 
@@ -120,8 +120,8 @@
 	return time.Duration(change.AbortAfterMs) * time.Millisecond
 }
 
-// finishChanges logs when nothing is left that a stricter policy put outside its zones:
-// its invalidations are erased, and no attempt of a confined tenant runs there.
+// finishChanges logs the end of a change once nothing is left outside the sites of its policy: its
+// invalidations are erased, and no attempt of a confined tenant runs outside.
 func (c *Core) finishChanges() {
 	for _, id := range sorted(c.state.Changes) {
 		change := c.state.Changes[id]
@@ -129,8 +129,8 @@
 			continue
 		}
 		erased := true
-		for _, run := range c.state.Purges {
-			erased = erased && (run.ParentID != id || run.Stage == fleet.EntryErased)
+		for _, purge := range c.state.Purges {
+			erased = erased && (purge.ParentID != id || purge.Stage == fleet.EntryErased)
 		}
 		waiting := c.unconfirmedHolders(c.config.Lease, func(r *LeaseRenewal) bool {
 			return r.PolicyVersion >= change.Version && r.AttemptsOutside == 0
@@ -142,7 +142,7 @@
 	}
 }
 
-// alignVoters has consensus make those the voters that the log names.
+// alignVoters changes the voters of consensus to those that the log names.
 func (c *Core) alignVoters() {
 	var want []consensus.Voter
 	for _, v := range c.state.Voters {
--- a/internal/fleet/node/controller_orders.go
+++ b/internal/fleet/node/controller_orders.go
@@ -9,37 +9,36 @@
 	"railrelay.dev/railrelay/internal/fleet/statemachine"
 )
 
-// controllerState is what this process's request side (package controller) was told by
-// orders, and what it has confirmed by reports, which the next renewal tells the leader.
+// controllerState has the orders that the request side of this process (package controller) was
+// given, and the reports by which it confirmed them. The next renewal reports them to the leader.
 //
-// Of a configuration change it goes through these states, by fenceOrderedFor,
-// orderedVersion and servedVersion:
+// During a policy change the request side passes through these states:
 //
-//	serving    orderedVersion = servedVersion = the committed version
-//	fencing    fenceOrderedFor = the change, until it is reported closed
-//	fenced     fenceConfirmedFor = the change: nothing is decided by the old version
-//	opening    orderedVersion = the committed version, until it is reported opened
-//	serving    as above, by the new version, or by the old one if the change was aborted
+//	serving       orderedVersion = servedVersion = the committed version
+//	fencing       fenceOrderedFor = the change, until PolicyFenced is reported
+//	fenced        fenceConfirmedFor = the change: nothing is decided by the old version
+//	activating    orderedVersion = the committed version, until PolicyActivated is reported
+//	serving       as above, by the new version, or by the old one if the change was aborted
 type controllerState struct {
 	// Policies.
-	policies    map[uint64]*validatedPolicy // that can be served by, by version
-	validations map[string]*validation      // by change; that of the committed policy has a key of its own
+	policies    map[uint64]*validatedPolicy // policies that this controller can serve by, by version
+	validations map[string]*validation      // by change ID; see committedKey for the committed policy
 
 	// Fences and versions.
-	fenceOrderedFor   string // the change that it was ordered to stop for, "": none
-	fenceConfirmedFor string // the change that it has stopped for
-	orderedVersion    uint64 // that it was ordered to decide by, 0: none
-	servedVersion     uint64 // that it has confirmed
+	fenceOrderedFor   string // the change for which a fence was ordered, "": none
+	fenceConfirmedFor string // the change for which the fence is confirmed
+	orderedVersion    uint64 // the version ordered to decide by, 0: none
+	servedVersion     uint64 // the version confirmed
 
-	// Invalidations, each by its ID.
-	viewIndex            uint64 // of the state that it was shown last, 0: none was
+	// Invalidations, by ID.
+	viewIndex            uint64 // of the last View ordered, 0: none was
 	invalidationsOrdered map[string]bool
-	tombstoned           map[string]bool                     // their results no longer come out here
-	erased               map[string]fleet.InvalidationCounts // gone from memory and disk here
+	tombstoned           map[string]bool                     // data no longer served here
+	erased               map[string]fleet.InvalidationCounts // data erased from memory and disk here
 
-	// The engines that it sees.
-	servingSites    []string // zones with engines that serve
-	attemptsOutside int      // attempts of confined tenants outside their zones
+	// The last SitesServing report.
+	servingSites    []string // sites with engines that serve
+	attemptsOutside int      // attempts of confined tenants outside their sites
 }
 
 func newControllerState() controllerState {
@@ -56,8 +55,9 @@
 	c.emit(Effect{Kind: OrderController, Order: order})
 }
 
-// orderOutstanding orders what the state asks for and the request side was not told yet.
-// Before the first lease of this incarnation it is told nothing: the state may be old.
+// orderOutstanding gives the request side every order that follows from the state and that it
+// wasn't given yet. Before the first lease of this incarnation there are no orders, since the
+// state may be out of date.
 func (c *Core) orderOutstanding() {
 	if !c.caughtUp || c.stateError != nil {
 		return
@@ -68,13 +68,13 @@
 		c.orderFence(change.ID)
 	}
 	if c.orderedVersion != 0 && c.orderedVersion != c.state.Version {
-		// a snapshot went past the fence: the lease to come is not for the old version
+		// a snapshot skipped the fence: the next lease isn't valid for the old version
 		c.orderFence(fmt.Sprintf("version %d", c.state.Version))
 	}
 	c.orderInvalidations()
 
 	committed, pending := c.committedPolicy()
-	if pending { // the next policy is validated against it
+	if pending { // a change is validated only after the committed policy
 		return
 	}
 	if change != nil && c.validations[change.ID] == nil {
@@ -83,19 +83,19 @@
 	if fencing || c.orderedVersion == c.state.Version || committed == nil {
 		return
 	}
-	c.orderOpen(committed)
+	c.orderActivation(committed)
 }
 
-// orderFence has the request side stop deciding by the version before a change.
-func (c *Core) orderFence(change string) {
-	c.fenceOrderedFor = change
+// orderFence orders the request side to stop deciding by the version before a change.
+func (c *Core) orderFence(changeID string) {
+	c.fenceOrderedFor = changeID
 	c.orderedVersion = 0
 	c.servedVersion = 0
-	c.orderController(fleet.Order{Kind: fleet.FencePolicy, ChangeID: change})
+	c.orderController(fleet.Order{Kind: fleet.FencePolicy, ChangeID: changeID})
 }
 
-// orderOpen has the request side decide by the committed policy.
-func (c *Core) orderOpen(committed *validatedPolicy) {
+// orderActivation orders the request side to decide by the committed policy.
+func (c *Core) orderActivation(committed *validatedPolicy) {
 	c.orderedVersion = c.state.Version
 	c.servedVersion = 0
 	c.fenceOrderedFor = ""
@@ -109,54 +109,55 @@
 	})
 }
 
-// orderInvalidations orders each invalidation once, and shows the state that it is part of.
+// orderInvalidations orders each invalidation once, and the View if it changed.
 func (c *Core) orderInvalidations() {
-	if c.viewIndex == 0 { // invalidations are measured by the first view
+	if c.viewIndex == 0 { // invalidations refer to log indexes of a view
 		c.orderView()
 	}
 	for _, id := range sorted(c.state.Purges) {
 		c.orderInvalidation(c.state.Purges[id])
 	}
-	// the state forgets old ones in time
+	// the state forgets old invalidations
 	maps.DeleteFunc(c.invalidationsOrdered, func(id string, _ bool) bool { return c.state.Purges[id] == nil })
 	if c.state.ViewIndex > c.viewIndex {
 		c.orderView()
 	}
 }
 
-// orderView shows the request side the state.
+// orderView gives the request side the current View.
 func (c *Core) orderView() {
 	c.viewIndex = max(1, c.state.Index)
 	c.orderController(fleet.Order{Kind: fleet.ViewChanged, View: c.state.View()})
 }
 
-// orderInvalidation orders an invalidation once. One that doesn't concern this
-// controller's zone is reported as done: nothing of it is here.
-func (c *Core) orderInvalidation(run *statemachine.Purge) {
-	ordered := c.invalidationsOrdered[run.ID]
-	if run.Stage == fleet.EntryErased {
+// orderInvalidation orders an invalidation once. If the invalidation excludes this controller's
+// site, it is reported as done, since none of its data is here.
+func (c *Core) orderInvalidation(purge *statemachine.Purge) {
+	ordered := c.invalidationsOrdered[purge.ID]
+	if purge.Stage == fleet.EntryErased {
 		if ordered {
-			delete(c.tombstoned, run.ID)
-			delete(c.erased, run.ID)
+			delete(c.tombstoned, purge.ID)
+			delete(c.erased, purge.ID)
 		}
 		return
 	}
 	if ordered {
 		return
 	}
-	c.invalidationsOrdered[run.ID] = true
-	if slices.Contains(run.Scope.OutsideSites, c.config.Self.Site) {
-		c.tombstoned[run.ID] = true
-		c.erased[run.ID] = fleet.InvalidationCounts{}
+	c.invalidationsOrdered[purge.ID] = true
+	if slices.Contains(purge.Scope.OutsideSites, c.config.Self.Site) {
+		c.tombstoned[purge.ID] = true
+		c.erased[purge.ID] = fleet.InvalidationCounts{}
 		c.unreported = true
 		return
 	}
-	scope := run.Scope
-	c.orderController(fleet.Order{Kind: fleet.InvalidateData, ID: run.ID, Scope: &scope, Index: run.LogIndex})
+	scope := purge.Scope
+	c.orderController(fleet.Order{Kind: fleet.InvalidateData, ID: purge.ID, Scope: &scope,
+		Index: purge.LogIndex})
 }
 
-// controllerReported takes a report of the request side. What is new to the leader is
-// reported by a renewal at once.
+// controllerReported handles a report of the request side. A renewal reports a change to the
+// leader at once.
 func (c *Core) controllerReported(r fleet.Report) {
 	switch r.Kind {
 	case fleet.PolicyFenced:
@@ -167,20 +168,20 @@
 	case fleet.PolicyActivated:
 		if r.Version == c.orderedVersion {
 			c.servedVersion = r.Version
-			c.attemptsOutside = r.AttemptsOutside // by this version: the figure of the one before is of no use
+			c.attemptsOutside = r.AttemptsOutside // by this version; the previous count is obsolete
 			c.unreported = true
 		}
 	case fleet.DataTombstoned:
 		c.unreported = c.unreported || !c.tombstoned[r.ID]
 		c.tombstoned[r.ID] = true
 	case fleet.DataErased:
-		if _, had := c.erased[r.ID]; !had {
+		if _, recorded := c.erased[r.ID]; !recorded {
 			c.erased[r.ID] = r.Counts
 			c.unreported = true
 		}
 	case fleet.SitesServing:
-		anyOutsideChanged := (c.attemptsOutside == 0) != (r.AttemptsOutside == 0)
-		if anyOutsideChanged || !slices.Equal(c.servingSites, r.ServingSites) {
+		outsideChanged := (c.attemptsOutside == 0) != (r.AttemptsOutside == 0)
+		if outsideChanged || !slices.Equal(c.servingSites, r.ServingSites) {
 			c.unreported = true
 		}
 		c.servingSites = r.ServingSites
--- a/internal/fleet/node/doc.go
+++ b/internal/fleet/node/doc.go
@@ -1,9 +1,9 @@
-// Package node is one controller's part in the fleet. It follows the replicated log,
-// votes if the log names it, requests leases and, while it leads, grants them and drives
-// configuration changes, invalidations and emergencies; as a relay it aggregates the
-// renewals of others. It tells the request side of its process (package controller) when
-// to stop and start deciding.
+// Package node is the fleet side of one controller. It applies the replicated log, votes if
+// the log names it a voter, and renews its lease. While it leads, it grants leases and drives
+// policy changes, invalidations and emergencies. As a relay it aggregates the renewals of other
+// controllers. It tells the request side of its process (package controller) when to stop and
+// start deciding.
 //
-// It is a pure state machine: Step takes an event and the time and returns effects, which
+// The package does no I/O: Core.Step takes an event and the time and returns effects, which
 // package driver performs. A Core is not safe for concurrent use; its driver owns it.
 package node
--- a/internal/fleet/node/effects.go
+++ b/internal/fleet/node/effects.go
@@ -7,32 +7,34 @@
 	"railrelay.dev/railrelay/internal/fleet/consensus"
 )
 
-// EffectKind says what is to be done. The fields of Effect that a kind sets are named with it.
+// EffectKind is the kind of an Effect. Each kind's comment names the fields of Effect that it
+// sets.
 type EffectKind int
 
 // The kinds of effects.
 const (
-	// Send sends Message to the controller To at Address; it may be lost.
+	// Send sends Message to the controller To at Address. The message may be lost.
 	Send EffectKind = iota
-	// Persist writes and syncs Writes; a WritesPersisted event follows. There is at most
-	// one outstanding.
+	// Persist writes Writes to disk and syncs them; a WritesPersisted event follows. At most
+	// one Persist is outstanding.
 	Persist
-	// ValidatePolicy validates PolicyText, the policy of ChangeID, against the set-up; a
-	// PolicyValidated event with the same ChangeID follows. An empty text is the
-	// set-up's own policy.
+	// ValidatePolicy validates PolicyText, the policy of ChangeID, against this controller's
+	// configuration; a PolicyValidated event with the same ChangeID follows. An empty text
+	// stands for the configuration's own policy.
 	ValidatePolicy
-	// OrderController passes Order to the process's request side, in the order of the effects.
+	// OrderController passes Order to the request side of the process, in the order of the
+	// effects.
 	OrderController
-	// Respond answers the operator's request of Handle with Reply.
+	// Respond answers the operator's request of Handle with Response.
 	Respond
-	// SetTimer asks for a TimerFired after Delay. It replaces the one before.
+	// SetTimer requests a TimerFired event after Delay and replaces the previous timer.
 	SetTimer
-	// LogMessage writes LogText, with Err if there is one. Loud lines are written at
+	// LogMessage logs LogText, and Err if it is set. With LogAlways the line is written at
 	// every log level.
 	LogMessage
 )
 
-// Effect is one output of Step.
+// Effect is one output of Core.Step.
 type Effect struct {
 	Kind EffectKind
 
--- a/internal/fleet/node/emergency.go
+++ b/internal/fleet/node/emergency.go
@@ -8,69 +8,69 @@
 )
 
 const (
-	// A controller not heard of for so long, and for so many renewal intervals, has no say
-	// on which zones have engines.
-	zoneReportMaxAge       = 2 * time.Second
-	zoneReportMaxIntervals = 4
+	// The report of a controller on the sites with engines is ignored once its last renewal is
+	// older than both.
+	siteReportMaxAge       = 2 * time.Second
+	siteReportMaxIntervals = 4
 )
 
-// watchRule begins an emergency once no controller sees an engine in any of a residency
-// rule's zones for as long as the rule says, and ends it once one is seen for as long.
-func (c *Core) watchRule(w fleet.EmergencyRule) {
-	reports, inside := c.zoneReports(w.Sites)
+// driveEmergency begins an emergency once no controller has seen a serving engine in any of the
+// rule's sites for the rule's After, and ends it once one was seen for as long.
+func (c *Core) driveEmergency(rule fleet.EmergencyRule) {
+	reports, serving := c.siteReports(rule.Sites)
 	if reports == 0 {
-		delete(c.lostSince, w.Name)
-		delete(c.foundSince, w.Name)
+		delete(c.lostSince, rule.Name)
+		delete(c.foundSince, rule.Name)
 		return
 	}
-	since, other := c.lostSince, c.foundSince
-	if inside {
-		since, other = c.foundSince, c.lostSince
+	since, opposite := c.lostSince, c.foundSince
+	if serving {
+		since, opposite = c.foundSince, c.lostSince
 	}
-	delete(other, w.Name)
-	if _, had := since[w.Name]; !had {
-		since[w.Name] = c.now
+	delete(opposite, rule.Name)
+	if _, recorded := since[rule.Name]; !recorded {
+		since[rule.Name] = c.now
 	}
-	_, isEmergency := c.state.Emergencies[w.Name]
-	if isEmergency != inside || c.now-since[w.Name] < w.After {
+	_, inEmergency := c.state.Emergencies[rule.Name]
+	if inEmergency != serving || c.now-since[rule.Name] < rule.After {
 		return
 	}
-	if inside {
-		scope := &fleet.Scope{Team: w.Team, OutsideSites: w.Sites}
-		c.proposeOnce("calm "+w.Name, &fleet.Entry{Kind: fleet.EntryEndEmergency, Name: w.Name, Scope: scope})
+	if serving {
+		scope := &fleet.Scope{Team: rule.Team, OutsideSites: rule.Sites}
+		c.proposeOnce("calm "+rule.Name, &fleet.Entry{Kind: fleet.EntryEndEmergency, Name: rule.Name, Scope: scope})
 	} else {
-		c.proposeOnce("emergency "+w.Name, &fleet.Entry{Kind: fleet.EntryBeginEmergency, Name: w.Name})
+		c.proposeOnce("emergency "+rule.Name, &fleet.Entry{Kind: fleet.EntryBeginEmergency, Name: rule.Name})
 	}
 }
 
-// zoneReports counts the controllers that have reported lately which zones have engines,
-// and tells whether any of them sees one in some zones.
-func (c *Core) zoneReports(zones []string) (reports int, inside bool) {
-	maxAge := max(zoneReportMaxAge, zoneReportMaxIntervals*c.renewalInterval())
+// siteReports returns the number of controllers with a recent report on the sites with engines,
+// and whether any of them reports an engine in the given sites.
+func (c *Core) siteReports(sites []string) (reports int, serving bool) {
+	maxAge := max(siteReportMaxAge, siteReportMaxIntervals*c.renewalInterval())
 	for _, name := range c.peerNames {
 		p := c.peers[name]
 		if p.renewal == nil || p.renewal.ServingSites == nil || c.now-c.lastHeardOf(name) > maxAge {
 			continue
 		}
 		reports++
-		for _, zone := range p.renewal.ServingSites {
-			inside = inside || slices.Contains(zones, zone)
+		for _, site := range p.renewal.ServingSites {
+			serving = serving || slices.Contains(sites, site)
 		}
 	}
-	return reports, inside
+	return reports, serving
 }
 
-// endObsoleteEmergencies ends emergencies whose rule is no longer committed: nobody
-// watches for their end, and a later rule of that name would begin with its zones open. A
-// control process that doesn't know the controllers' own rules leaves that to a leader
-// that does.
+// endObsoleteEmergencies ends emergencies whose rule is no longer in the committed policy.
+// Otherwise nothing would end them, and a later rule of the same name would start with its
+// further sites allowed. A control process that doesn't know the controllers' own rules leaves
+// the emergencies to a leader that does.
 func (c *Core) endObsoleteEmergencies() {
 	if c.orderedVersion != c.state.Version || c.residencyRulesUnknown() {
 		return
 	}
-	watched := c.watchedRules()
+	rules := c.emergencyRules()
 	for _, name := range sorted(c.state.Emergencies) {
-		if !slices.ContainsFunc(watched, func(w fleet.EmergencyRule) bool { return w.Name == name }) {
+		if !slices.ContainsFunc(rules, func(r fleet.EmergencyRule) bool { return r.Name == name }) {
 			c.proposeOnce("calm "+name, &fleet.Entry{Kind: fleet.EntryEndEmergency, Name: name})
 		}
 	}
--- a/internal/fleet/node/events.go
+++ b/internal/fleet/node/events.go
@@ -2,47 +2,47 @@
 
 import "railrelay.dev/railrelay/internal/fleet"
 
-// EventKind says what has happened. The fields of Event that a kind sets are named with it.
+// EventKind is the kind of an Event. Each kind's comment names the fields of Event that it sets.
 type EventKind int
 
 // The kinds of events.
 const (
-	// TimerFired: the time asked for by the last SetTimer has come.
+	// TimerFired: the delay of the last SetTimer effect has passed.
 	TimerFired EventKind = iota
-	// MessageReceived: Message has come from another controller.
+	// MessageReceived: Message was received from another controller.
 	MessageReceived
-	// WritesPersisted: the Writes of the oldest outstanding Persist are on disk, synced.
+	// WritesPersisted: the Writes of the oldest outstanding Persist effect are synced to disk.
 	WritesPersisted
 	// PolicyValidated: the policy of ChangeID was validated against this controller's
-	// set-up. Reason says why it can't be served by, "": it can, and Policy,
-	// WatchedRules, ResidencyRulesUnknown, PurgeScopes and Voters are the outcome.
+	// configuration. Reason says why the controller can't serve by it. If Reason is "", the
+	// result is in Policy, EmergencyRules, ResidencyRulesUnknown, PurgeScopes and Voters.
 	PolicyValidated
-	// ControllerReported: Report has come from this process's request side.
+	// ControllerReported: the request side of this process sent Report.
 	ControllerReported
-	// OperatorRequested: Ask has come from an operator; a Respond with the same Handle
+	// OperatorRequested: an operator sent Request; a Respond effect with the same Handle
 	// answers it.
 	OperatorRequested
-	// RequesterGone: whoever asked with Handle no longer waits for the answer.
+	// RequesterGone: the requester of Handle no longer waits for the response.
 	RequesterGone
 )
 
-// Event is one input of Step.
+// Event is one input of Core.Step.
 type Event struct {
 	Kind    EventKind
 	Message *Message
 
-	// The outcome of a validation.
+	// The result of a validation.
 	ChangeID       string
 	Reason         string
 	Policy         any
 	EmergencyRules []fleet.EmergencyRule
-	// ResidencyRulesUnknown: the rules in force by this policy are those of the
-	// controllers' own set-ups, and this process doesn't know them.
+	// ResidencyRulesUnknown: the policy leaves the residency rules to the configurations of
+	// the controllers, which this process doesn't know.
 	ResidencyRulesUnknown bool
-	// PurgeScopes are what the policy leaves outside the zones that the one before it
-	// confined it to.
+	// PurgeScopes select the data that the policy leaves outside the sites to which the
+	// previous policy confined it.
 	PurgeScopes []fleet.Scope
-	Voters      []string // as name=address; none: as before
+	Voters      []string // as name=address; none: the voters don't change
 
 	Report fleet.Report
 
--- a/internal/fleet/node/leader.go
+++ b/internal/fleet/node/leader.go
@@ -12,66 +12,65 @@
 )
 
 const (
-	// throttleElections, times the election timeout, is how long the same proposal is not
-	// repeated: it may be under way.
+	// throttleElections is in election timeouts: for so long the same proposal isn't repeated,
+	// since it may be under way.
 	throttleElections = 2
-	// A leader with work re-evaluates it after a half of the heartbeat interval, and looks
-	// for a confirmation that it waits for after a quarter.
+	// A leader re-evaluates its work each half of the heartbeat interval, and checks for a
+	// pending confirmation each quarter.
 	evaluationsPerHeartbeat   = 2
 	confirmChecksPerHeartbeat = 4
 
-	maxReportedWaits      = 32 // changes and invalidations in a grant's WaitingFor
-	maxReportedNames      = 16 // controllers of each
-	maxNamesInWithdrawals = 5
+	maxReportedWaits = 32 // changes and invalidations in a grant's WaitingFor
+	maxReportedNames = 16 // controllers of each
+	maxNamesInReason = 5
 )
 
-// leaderState is what counts only while this controller leads. It starts anew whenever
-// leadership is won or lost.
+// leaderState is the state of a leader. It is reset whenever the leadership is won or lost.
 type leaderState struct {
 	isLeader    bool
 	leaderSince time.Duration
-	ready       bool // all that was committed before it led is applied; it drives nothing before
+	ready       bool // the entries committed before its leadership are applied; until then it drives no work
 
-	// What the controllers reported, each by its name.
+	// The last reports of the controllers, by name.
 	peers     map[string]*peer
-	peerNames []string // in order
+	peerNames []string // sorted
 	coverage  map[relayIncarnation]*relayCoverage
 
-	// Renewals wait in toConfirm until a majority has confirmed the leadership after they
-	// came; at most one confirmation is under way.
+	// A renewal waits until a majority has confirmed the leadership after the renewal was
+	// received. At most one confirmation is under way.
 	confirmHandle  uint64 // of the last confirmation; never reused
 	confirmAskedAt time.Duration
-	confirming     []unconfirmedRenewal // in the confirmation that is under way
+	confirming     []unconfirmedRenewal // in the current confirmation
 	toConfirm      []unconfirmedRenewal // in the next one
 
 	// Configuration changes, invalidations and emergencies under way.
-	reevaluate   bool // something came that may move one of them
+	reevaluate   bool // an event may have advanced one of them
 	evaluatedAt  time.Duration
-	lastTried    map[string]time.Duration // proposals, by what they propose
-	waitingFor   map[string][]string      // controllers that are waited for, by change or invalidation
-	changeSeenAt map[string]time.Duration // changes, since when this leader has known of them
-	lostSince    map[string]time.Duration // rules, since when all engines inside are lost
-	foundSince   map[string]time.Duration // rules, since when some engine inside serves
-
-	// followersBehind: some follower may lack entries. A relay that doesn't lead has
-	// followers, too.
+	lastTried    map[string]time.Duration // when each proposal was last made, by its throttle key
+	waitingFor   map[string][]string      // controllers that a change or invalidation waits for, by its ID
+	changeSeenAt map[string]time.Duration // when this leader first saw each change
+	lostSince    map[string]time.Duration // rules, since when all engines in the rule's sites are lost
+	foundSince   map[string]time.Duration // rules, since when some engine in the rule's sites serves
+
+	// followersBehind is set if some follower may lack entries. A relay that doesn't lead has
+	// followers too.
 	followersBehind bool
 }
 
-// peer is a controller as its last renewal reported it.
+// peer is the state of a controller as of its last renewal.
 type peer struct {
 	follower
 	incarnation uint64
-	// lastSeq has the last Seq of each incarnation. A renewal of an earlier one may come
-	// late, even first; it was true, and must not shut out the present one's.
+	// lastSeq has the last Seq of each incarnation. A late renewal of an earlier incarnation
+	// may be received at any time, even first, and must not block renewals of the current one.
 	lastSeq map[uint64]uint64
-	// leaseAskedAt is when it asked for the last lease that it was given by this leader
-	// or may yet be; neverAsked: it was given none.
+	// leaseAskedAt is when the controller requested the last lease that this leader granted
+	// or may still grant; neverAsked: there is none.
 	leaseAskedAt time.Duration
 	renewal      *LeaseRenewal
 }
 
-// leaderChanged takes from consensus who leads, "": nobody that is known.
+// leaderChanged handles a change of the leader in consensus, "": no leader is known.
 func (c *Core) leaderChanged(leader string) {
 	if leader != "" || c.consensus != nil {
 		c.leader = leader
@@ -93,17 +92,17 @@
 		foundSince:    map[string]time.Duration{},
 	}
 	c.resetAggregator()
-	c.logf(true, "leads: %v", leads)
+	c.logf(true, "this controller is the leader: %v", leads)
 	c.renewAt = c.now
 	c.reevaluate = true
 	c.followersBehind = true
-	if leads { // what was committed before must be applied before anything is driven
+	if leads { // entries committed earlier must be applied before any work is driven
 		c.confirmLeadership()
 	}
 }
 
-// otherLeader is the leader that isn't this controller, "": not known, as right after this
-// one lost its leadership.
+// otherLeader returns the leader if it is another controller, "" if that is unknown, as it is
+// right after this controller lost its leadership.
 func (c *Core) otherLeader() string {
 	if c.leader == c.config.Self.Name {
 		return ""
@@ -111,7 +110,7 @@
 	return c.leader
 }
 
-// ensurePeer is the peer of a name, made where there is none yet.
+// ensurePeer returns the peer of a name and creates it if needed.
 func (c *Core) ensurePeer(name string) *peer {
 	p := c.peers[name]
 	if p == nil {
@@ -123,22 +122,22 @@
 	return p
 }
 
-// hasWork reports whether something is under way that time alone may move.
+// hasWork reports whether work is under way that must be re-evaluated as time passes.
 func (c *Core) hasWork() bool {
 	return !c.ready || len(c.waitingFor) > 0 || len(c.toConfirm) > 0 || c.state.ChangeUnderWay() != nil ||
-		len(c.watchedRules()) > 0 || len(c.state.Emergencies) > 0
+		len(c.emergencyRules()) > 0 || len(c.state.Emergencies) > 0
 }
 
-// leaderDue is when the leader has something to do, Forever where this controller doesn't
-// lead or has nothing.
-func (c *Core) leaderDue() time.Duration {
+// nextLeaderWork returns when the leader has work to do, fleet.Forever if it has none or this
+// controller doesn't lead.
+func (c *Core) nextLeaderWork() time.Duration {
 	if !c.isLeader {
 		return fleet.Forever
 	}
 	at := fleet.Forever
 	if c.hasWork() {
 		at = c.evaluatedAt + c.config.HeartbeatInterval/evaluationsPerHeartbeat
-		if at <= c.now { // it waits for a confirmation
+		if at <= c.now { // the work waits for a confirmation
 			at = c.now + c.config.HeartbeatInterval/confirmChecksPerHeartbeat
 		}
 	}
@@ -148,8 +147,8 @@
 	return at
 }
 
-// driveWork moves on what is under way, while this controller leads: at once after news,
-// else at each half heartbeat.
+// driveWork advances the changes, invalidations and emergencies under way, while this controller
+// leads: at once after an event that may matter, else each half heartbeat.
 func (c *Core) driveWork() {
 	if !c.isLeader || c.consensus == nil {
 		return
@@ -170,8 +169,8 @@
 	for _, id := range sorted(c.state.Purges) {
 		c.driveInvalidation(c.state.Purges[id])
 	}
-	for _, w := range c.watchedRules() {
-		c.watchRule(w)
+	for _, w := range c.emergencyRules() {
+		c.driveEmergency(w)
 	}
 	c.endObsoleteEmergencies()
 	c.finishChanges()
@@ -180,8 +179,8 @@
 	}
 }
 
-// propose asks the voters to log an entry. It may be lost: who proposes looks at the state
-// and proposes again.
+// propose proposes a log entry to the voters. The proposal may be lost: the caller checks the
+// state later and proposes the entry again.
 func (c *Core) propose(e *fleet.Entry) {
 	if e == nil || !c.isLeader {
 		return
@@ -189,30 +188,30 @@
 	c.stepConsensus(consensus.Event{Kind: consensus.Propose, Data: statemachine.EncodeEntry(e)})
 }
 
-// throttle does something unless the same was done a moment ago and may be under way.
-func (c *Core) throttle(what string, do func()) {
-	at, tried := c.lastTried[what]
+// throttle calls do unless it was called for the same key a moment ago and may be under way.
+func (c *Core) throttle(key string, do func()) {
+	at, tried := c.lastTried[key]
 	if tried && c.now-at < throttleElections*c.config.ElectionTimeout {
 		return
 	}
-	c.lastTried[what] = c.now
+	c.lastTried[key] = c.now
 	do()
 }
 
-// proposeOnce proposes an entry, throttled by what it does.
-func (c *Core) proposeOnce(what string, e *fleet.Entry) {
-	c.throttle(what, func() { c.propose(e) })
+// proposeOnce proposes an entry, throttled by a key.
+func (c *Core) proposeOnce(key string, e *fleet.Entry) {
+	c.throttle(key, func() { c.propose(e) })
 }
 
-// setWaitingFor notes which controllers a change or invalidation waits for.
+// setWaitingFor records the controllers that a change or invalidation waits for.
 func (c *Core) setWaitingFor(id string, names []string) {
 	if len(names) > 0 {
 		c.waitingFor[id] = names
 	}
 }
 
-// waitingForExcerpt is a bounded part of waitingFor, to be reported to controllers.
-func (c *Core) waitingForExcerpt() map[string][]string {
+// waitingForSummary returns a bounded part of waitingFor for the grants to controllers.
+func (c *Core) waitingForSummary() map[string][]string {
 	if len(c.waitingFor) == 0 {
 		return nil
 	}
@@ -225,11 +224,11 @@
 	return excerpt
 }
 
-// nameList writes out the first of some names, for the reason of a withdrawal.
+// nameList formats the first few names for the reason of an abort.
 func nameList(names []string) string {
-	text := strings.Join(names[:min(len(names), maxNamesInWithdrawals)], ", ")
-	if len(names) > maxNamesInWithdrawals {
-		text += fmt.Sprintf(" and %d more", len(names)-maxNamesInWithdrawals)
+	text := strings.Join(names[:min(len(names), maxNamesInReason)], ", ")
+	if len(names) > maxNamesInReason {
+		text += fmt.Sprintf(" and %d more", len(names)-maxNamesInReason)
 	}
 	return text
 }
--- a/internal/fleet/node/lease.go
+++ b/internal/fleet/node/lease.go
@@ -12,49 +12,50 @@
 const (
 	maxRenewalInterval = 500 * time.Millisecond
 	minRenewalInterval = 10 * time.Millisecond
-	renewalsPerLease   = 4 // so that a lost one doesn't end the lease
-	// refusedTimerInterval is how far apart timers are once the controller was refused for
-	// good: it asks no more.
+	renewalsPerLease   = 4 // so that a lost renewal doesn't end the lease
+	// refusedTimerInterval is the timer interval of a controller that was refused for good and
+	// sends no more renewals.
 	refusedTimerInterval = time.Minute
 )
 
-// leaseState is a controller's own lease and how it asks for it. A lease counts from when
-// it was asked for, by this controller's clock, and only once the log is applied up to the
-// index that the grant names: what is forbidden by then is known here.
+// leaseState is this controller's own lease and the state of its renewals. A lease starts when
+// its renewal was sent, by this controller's clock. It is active only once the log is applied up
+// to the index that the grant names, so that this controller knows every fence and invalidation
+// up to that index.
 //
-// A lease goes from requested (a renewal is sent) to granted (pendingLeases) to active
-// (now < leaseUntil) to ended; each renewal starts another one beside it.
+// A lease is requested (a renewal is sent), then granted (in pendingLeases), then active
+// (now < leaseUntil), then ended. Each renewal requests another lease beside the current one.
 type leaseState struct {
-	// The leader, as far as is known, and the way to it.
-	leader    string // "": not known
-	voterHint int    // which voter is asked next while no leader is known
+	// The leader and the route to it.
+	leader    string // "": unknown
+	voterTurn int    // selects the voter to ask while the leader is unknown
 	routes    routes
 
 	// Renewals.
-	renewalSeq      uint64 // of the last one
+	renewalSeq      uint64 // of the last renewal
 	renewAt         time.Duration
-	unansweredSince time.Duration // when the first one that wasn't answered was sent, 0: none
-	unreported      bool          // something that a renewal reports has changed since the last one
+	unansweredSince time.Duration // when the first unanswered renewal was sent, 0: none is unanswered
+	unreported      bool          // state that a renewal reports has changed since the last one
 
 	// The lease.
 	pendingLeases      []pendingLease
 	leaseUntil         time.Duration
 	confinedLeaseUntil time.Duration // the same for confined tenants and kept results
-	caughtUp           bool          // a lease was active in this incarnation: what came before is known
-	refusedReason      string        // why no lease will ever be granted, "": it may
+	caughtUp           bool          // a lease was active in this incarnation: earlier entries are applied
+	refusedReason      string        // why this controller is refused for good, "": it isn't
 
-	// leaderWaitsFor are controllers that the leader waits for, some of them, by change or
-	// invalidation, as the last grant reported.
+	// leaderWaitsFor has, by change or invalidation, some of the controllers that the leader
+	// waits for, as of the last grant.
 	leaderWaitsFor map[string][]string
 }
 
-// pendingLease is a granted lease that counts once the log up to index is applied.
+// pendingLease is a granted lease that becomes active once the log is applied up to index.
 type pendingLease struct {
 	askedAt time.Duration
 	index   uint64
 }
 
-// renewalInterval is how often a lease is asked for: often enough for the shorter one.
+// renewalInterval returns the interval between renewals, by the shorter of the two leases.
 func (c *Core) renewalInterval() time.Duration {
 	span := c.shorterLease()
 	if span == fleet.Forever {
@@ -63,7 +64,7 @@
 	return max(minRenewalInterval, min(span/renewalsPerLease, maxRenewalInterval))
 }
 
-// renewLease asks for the lease when it is time, or at once when it has something to report.
+// renewLease sends a renewal when one is due, or at once if the reported state has changed.
 func (c *Core) renewLease() {
 	if c.refusedReason != "" {
 		c.renewAt = c.now + refusedTimerInterval
@@ -72,9 +73,9 @@
 	if c.now < c.renewAt && !c.unreported {
 		return
 	}
-	if c.isLeader { // a late message that names another leader must not have it ask elsewhere
+	if c.isLeader { // a late message may have named another leader
 		c.leader = c.config.Self.Name
-	} else if c.leader == c.config.Self.Name { // another may not know yet that it no longer leads
+	} else if c.leader == c.config.Self.Name { // named by a controller that doesn't know of the lost leadership
 		c.leader = ""
 	}
 	upstreams := c.upstreams()
@@ -92,7 +93,7 @@
 	}
 }
 
-// nextRenewal reports what the leader needs to know of this controller.
+// nextRenewal returns the next renewal, with the current state of this controller.
 func (c *Core) nextRenewal() *LeaseRenewal {
 	c.renewalSeq++
 	renewal := &LeaseRenewal{
@@ -117,7 +118,7 @@
 	return renewal
 }
 
-// receiveGrant takes the answer to a renewal, from the leader, a relay or another controller.
+// receiveGrant handles the answer to a renewal from the leader, a relay or another controller.
 func (c *Core) receiveGrant(from string, g *LeaseGrant) {
 	if g.Incarnation != c.config.Incarnation || g.Seq > c.renewalSeq {
 		return
@@ -127,7 +128,7 @@
 		return
 	}
 	route := c.routeOf(from)
-	if g.Granted || route == len(c.config.Relays) { // a relay that leads nowhere hasn't answered
+	if g.Granted || route == len(c.config.Relays) { // a relay without a leader doesn't count as answering
 		retryFirstAfter := firstRelayRetryIntervals * c.renewalInterval()
 		c.routes.recordAnswer(route, c.now, c.unansweredSince > 0, retryFirstAfter)
 		c.unansweredSince = 0
@@ -147,10 +148,10 @@
 	c.activateLeases()
 }
 
-// learnLeader takes the leader that another controller names, "": it knows none, and asks
-// that one at once. A voter learns from consensus that there is none.
+// learnLeader records the leader that another controller named ("" if it knows none) and sends
+// that leader a renewal at once. A voter learns only from consensus that there is no leader.
 func (c *Core) learnLeader(from, leader string) {
-	if leader == c.config.Self.Name { // it led, and the other may not know better yet
+	if leader == c.config.Self.Name { // the other controller doesn't know yet that this one lost its leadership
 		return
 	}
 	changed := leader != c.leader && (c.consensus == nil || leader != "")
@@ -163,18 +164,18 @@
 	}
 }
 
-// withholdLease sets what a controller may do by the log that it persisted, before a
-// leader has answered it: nothing. Changes and invalidations may have been committed while
-// it was down, so it holds no lease and serves nobody until it has caught up.
+// withholdLease starts this controller without a lease, so that it serves nothing until a leader
+// has granted one and the log is caught up. Policy changes and invalidations may have been
+// committed while the controller was down.
 func (c *Core) withholdLease() {
 	c.caughtUp = false
 	c.leaseUntil = 0
 	c.confinedLeaseUntil = 0
 }
 
-// activateLeases makes those granted leases count whose log index is applied.
+// activateLeases activates the granted leases whose log index is applied.
 func (c *Core) activateLeases() {
-	// The two end apart: the one may have no end, and the other must go on.
+	// The two ends are tracked separately: one lease may have no end while the other is renewed.
 	until := c.leaseUntil
 	confinedUntil := c.confinedLeaseUntil
 	c.pendingLeases = slices.DeleteFunc(c.pendingLeases, func(p pendingLease) bool {
@@ -195,11 +196,11 @@
 	}
 	c.leaseUntil = until
 	c.confinedLeaseUntil = confinedUntil
-	c.orderOutstanding() // before the lease: what is forbidden by now must be known first
+	c.orderOutstanding() // before the lease, so that the request side knows all fences and invalidations first
 	c.orderController(fleet.Order{Kind: fleet.LeaseRenewed, LeaseEnd: until, ConfinedLeaseEnd: confinedUntil})
 }
 
-// leaseEnd is when a lease ends that was asked for at a time.
+// leaseEnd returns the end of a lease that was requested at a time.
 func leaseEnd(askedAt, lease time.Duration) time.Duration {
 	if lease == fleet.Forever {
 		return fleet.Forever
@@ -212,8 +213,8 @@
 	return c.now < c.leaseUntil && c.servedVersion == c.state.Version && c.fenceOrderedFor == ""
 }
 
-// stopForGood ends this name's and disk's part in the fleet. Its lease ends now, since one
-// without an end wouldn't by itself.
+// stopForGood stops a controller whose name or disk may never serve again. The lease ends now,
+// since it may have no end of its own.
 func (c *Core) stopForGood(reason string) {
 	if c.refusedReason != "" {
 		return
--- a/internal/fleet/node/lease_granting.go
+++ b/internal/fleet/node/lease_granting.go
@@ -9,19 +9,19 @@
 	"railrelay.dev/railrelay/internal/fleet/consensus"
 )
 
-// The leader's side of leases. A lease is granted in these steps: its renewal is admitted,
-// waits in toConfirm, is part of a confirmation that the leadership still holds, and is
-// granted once a majority of voters has confirmed.
+// The leader's side of leases. The leader grants a lease in these steps: it admits the renewal,
+// queues it in toConfirm, asks the voters to confirm its leadership for a batch of renewals
+// (confirming), and grants the leases of the batch once a majority has confirmed.
 
 const (
-	// Renewals wait for others to share a confirmation, at most so long and at most such
-	// a part of the renewal interval.
+	// Renewals wait to share a confirmation with others, but no longer than maxBatchingDelay
+	// and 1/batchesPerInterval of the renewal interval.
 	maxBatchingDelay   = 5 * time.Millisecond
 	batchesPerInterval = 10
 )
 
-// unconfirmedRenewal is a controller's renewal or a relay's message that waits for a
-// confirmation. Either renewal is set, or relayed, coverage and withheld are.
+// unconfirmedRenewal is a controller's renewal or a relay's message that waits for a confirmation
+// of the leadership. Either renewal is set, or relayed, coverage and withheld are.
 type unconfirmedRenewal struct {
 	name       string // of the sender
 	receivedAt time.Duration
@@ -29,11 +29,11 @@
 
 	relayed  *RelayedRenewals
 	coverage *relayCoverage
-	withheld map[string]string // controllers that are given no lease, and why; "": not in the log yet
+	withheld map[string]string // controllers that get no lease, and why; "": not in the log yet
 }
 
-// receiveRenewal takes a controller's renewal: as the leader, as a relay, or as one that
-// only knows who leads.
+// receiveRenewal handles a controller's renewal. A leader admits it, a relay aggregates it, and
+// any other controller answers with the name of the leader.
 func (c *Core) receiveRenewal(from, disk string, r *LeaseRenewal) {
 	switch {
 	case c.aggregates():
@@ -44,7 +44,7 @@
 		return
 	}
 	if p := c.peers[from]; p != nil && r.Seq <= p.lastSeq[r.Incarnation] && c.refusalReason(from, disk) == "" {
-		return // late, or doubled
+		return // late or duplicated
 	}
 	refusal, known := c.admitRenewal(from, disk, r, ignoreRepeats)
 	if refusal != "" {
@@ -61,7 +61,7 @@
 	c.awaitConfirmation(unconfirmedRenewal{name: from, receivedAt: c.now, renewal: r})
 }
 
-// answerRenewal sends a controller the answer to its renewal.
+// answerRenewal sends a controller a grant that answers its renewal.
 func (c *Core) answerRenewal(to string, r *LeaseRenewal, g LeaseGrant) {
 	g.Seq = r.Seq
 	g.SentAt = r.SentAt
@@ -69,13 +69,13 @@
 	c.send(to, r.Member.PeerAddress, &Message{Grant: &g})
 }
 
-// Reasons for which a controller is refused for good.
+// The reasons for refusing a controller for good.
 const (
 	forgottenName = "its name was forgotten: the disk that had it is taken for destroyed"
 	foreignDisk   = "another disk has this name"
 )
 
-// refusalReason says why a controller is refused for good, "": it isn't.
+// refusalReason returns why a controller is refused for good, "" if it isn't.
 func (c *Core) refusalReason(name, disk string) string {
 	m := c.state.Members[name]
 	switch {
@@ -89,18 +89,18 @@
 	return ""
 }
 
-// repeatRule says what is done with the last renewal of an incarnation that comes again
-// after another incarnation's.
+// repeatRule says how to treat the last renewal of an incarnation when it is received again after
+// a renewal of another incarnation.
 type repeatRule bool
 
 const (
-	ignoreRepeats repeatRule = false // a controller's own: it is late, or doubled
-	acceptRepeats repeatRule = true  // by a relay, whose messages come in order: it holds again
+	ignoreRepeats repeatRule = false // sent by the controller itself: the renewal is late or duplicated
+	acceptRepeats repeatRule = true  // sent by a relay, whose messages come in order: it is current again
 )
 
-// admitRenewal takes what a controller reports of itself, unless it is older than what it
-// reported before. known is whether the log has the controller, which gets no lease
-// before; refusal is set where it is refused for good.
+// admitRenewal records the state that a controller reports, unless a newer report was recorded.
+// known reports whether the log has the controller in its present role; without that it gets no
+// lease. refusal is set if the controller is refused for good.
 func (c *Core) admitRenewal(
 	name, disk string, r *LeaseRenewal, repeats repeatRule,
 ) (refusal string, known bool) {
@@ -117,17 +117,17 @@
 	logged := c.state.Members[name]
 	member := r.Member
 	if logged != nil && !logged.ControlOnly {
-		member.ControlOnly = false // as the log has it, for good
+		member.ControlOnly = false // a controller in the log never becomes a control process
 	}
 	if logged == nil || *logged != member {
 		c.proposeOnce("join "+name, &fleet.Entry{Kind: fleet.EntryJoin, ID: name, Name: name, Member: &member})
 	}
-	// Changes don't wait for a control process: one that takes queries by now must be in
-	// the log as what it is before it holds a lease.
+	// Changes don't wait for control processes. A former control process that now takes queries
+	// must be in the log as a controller before it gets a lease.
 	return "", logged != nil && logged.ControlOnly == member.ControlOnly
 }
 
-// updatePeer replaces what a controller reported before by a renewal.
+// updatePeer replaces the last report of a controller by a renewal.
 func (c *Core) updatePeer(p *peer, r *LeaseRenewal) {
 	restarted := p.incarnation != r.Incarnation
 	if p.renewal == nil || restarted || p.renewal.differs(r) {
@@ -143,8 +143,7 @@
 	p.appliedIndex = r.AppliedIndex
 }
 
-// differs reports whether a renewal has something that the leader acts on and another
-// one has not.
+// differs reports whether two renewals differ in anything that the leader acts on.
 func (r *LeaseRenewal) differs(o *LeaseRenewal) bool {
 	return r.PolicyVersion != o.PolicyVersion ||
 		r.FencedFor != o.FencedFor ||
@@ -155,14 +154,14 @@
 		!maps.Equal(r.Erased, o.Erased)
 }
 
-// batchingDelay is how long renewals wait to share a confirmation: a thousand controllers
-// would otherwise have the voters confirm a thousand times a second.
+// batchingDelay returns how long renewals wait to share a confirmation. Without the delay, a
+// thousand controllers would cause a thousand confirmations a second.
 func (c *Core) batchingDelay() time.Duration {
 	return min(maxBatchingDelay, c.renewalInterval()/batchesPerInterval)
 }
 
-// awaitConfirmation has a renewal confirmed with the next ones. Of a relay's messages the
-// last one stands for those before it.
+// awaitConfirmation queues a renewal for the next confirmation. A relay's message replaces the
+// relay's earlier ones in the queue.
 func (c *Core) awaitConfirmation(next unconfirmedRenewal) {
 	if next.coverage != nil {
 		c.toConfirm = slices.DeleteFunc(c.toConfirm, func(earlier unconfirmedRenewal) bool {
@@ -172,7 +171,7 @@
 	c.toConfirm = append(c.toConfirm, next)
 }
 
-// confirmWaitingRenewals has what waits for a lease confirmed, when it is time.
+// confirmWaitingRenewals starts the next confirmation when one is due.
 func (c *Core) confirmWaitingRenewals() {
 	if !c.isLeader {
 		return
@@ -183,14 +182,14 @@
 	}
 }
 
-// confirmLeadership asks the other voters whether this controller still leads. A lease
-// that is granted on it counts from before it was asked for: whoever is elected later
-// knows how long to wait for it.
+// confirmLeadership asks the other voters to confirm that this controller still leads. Every
+// lease granted on the confirmation was requested before the confirmation began, so a leader
+// elected later knows how long to wait for the lease.
 func (c *Core) confirmLeadership() {
 	c.confirmHandle++
 	c.confirming = c.toConfirm
 	c.toConfirm = nil
-	for _, q := range c.confirming { // from now on each may be granted its lease
+	for _, q := range c.confirming { // from now on each may get its lease
 		if q.coverage != nil {
 			q.coverage.leaseAskedAt = q.receivedAt
 		} else {
@@ -201,8 +200,9 @@
 	c.stepConsensus(consensus.Event{Kind: consensus.ConfirmLeadership, Handle: c.confirmHandle})
 }
 
-// leadershipConfirmed grants the leases that waited for the confirmation. index is what
-// was committed when it was asked for; a lease counts once that is applied by its holder.
+// leadershipConfirmed grants the leases that waited for the confirmation. index is the commit
+// index when the confirmation began; a holder must apply the log up to it before its lease is
+// active.
 func (c *Core) leadershipConfirmed(handle, index uint64) {
 	if handle != c.confirmHandle || !c.isLeader {
 		return
@@ -222,8 +222,8 @@
 	}
 }
 
-// grantLease grants a confirmed renewal its lease, unless its controller was forgotten or
-// started anew in the meantime.
+// grantLease grants the lease of a confirmed renewal, unless its controller was forgotten or
+// restarted in the meantime.
 func (c *Core) grantLease(q unconfirmedRenewal, index uint64) {
 	m := c.state.Members[q.name]
 	if m == nil || m.Forgotten || c.peers[q.name].incarnation != q.renewal.Incarnation {
@@ -233,12 +233,11 @@
 		Granted:       true,
 		RequiredIndex: index,
 		Leader:        c.config.Self.Name,
-		WaitingFor:    c.waitingForExcerpt(),
+		WaitingFor:    c.waitingForSummary(),
 	})
 }
 
-// leadershipDenied drops what waited for a confirmation that didn't come: the renewals
-// will be sent again.
+// leadershipDenied drops the renewals of a failed confirmation; their senders repeat them.
 func (c *Core) leadershipDenied(handle uint64) {
 	if handle != c.confirmHandle {
 		return
--- a/internal/fleet/node/lease_holders.go
+++ b/internal/fleet/node/lease_holders.go
@@ -6,9 +6,9 @@
 	"railrelay.dev/railrelay/internal/fleet"
 )
 
-// mayHoldLease reports whether a controller may hold a lease of a length, by what this
-// leader knows. Leases that an earlier leader granted have ended once their length has
-// passed since this one leads.
+// mayHoldLease reports whether a controller may hold a lease of a given duration, to this leader's
+// knowledge. A lease that an earlier leader granted has ended once its duration has passed since
+// this controller became the leader.
 func (c *Core) mayHoldLease(name string, lease time.Duration) bool {
 	m := c.state.Members[name]
 	switch {
@@ -24,8 +24,8 @@
 	return c.now < askedAt+c.bySlowestClock(lease)
 }
 
-// bySlowestClock is how long a span may last by the slowest clock allowed for. The drift
-// counts twice: its holder's clock may be slow, and this one's fast.
+// bySlowestClock returns how long a lease may last by the slowest clock within ClockDrift. The
+// drift counts twice: the holder's clock may be slow and this controller's clock fast.
 func (c *Core) bySlowestClock(span time.Duration) time.Duration {
 	if span == fleet.Forever {
 		return span
@@ -33,12 +33,12 @@
 	return time.Duration(float64(span) * (1 + 2*c.config.ClockDrift))
 }
 
-// shorterLease is the lease by which confined tenants and kept results are served.
+// shorterLease returns the duration of the lease for confined tenants and kept results.
 func (c *Core) shorterLease() time.Duration { return min(c.config.Lease, c.config.ConfinedLease) }
 
-// unconfirmedHolders are the controllers that may hold a lease and haven't confirmed
-// something, in order. A control process decides nothing by a policy, whatever lease it
-// holds.
+// unconfirmedHolders returns the sorted names of the controllers that may hold a lease and whose
+// last renewal doesn't satisfy hasConfirmed. Control processes are left out, since they decide
+// nothing by a policy whatever lease they hold.
 func (c *Core) unconfirmedHolders(
 	lease time.Duration, hasConfirmed func(*LeaseRenewal) bool,
 ) (names []string) {
--- a/internal/fleet/node/log_follower.go
+++ b/internal/fleet/node/log_follower.go
@@ -8,16 +8,16 @@
 
 const (
 	entriesPerMessage   = 512             // log entries in a LogUpdate
-	followerSilentAfter = 5 * time.Second // a follower not heard of for so long is sent nothing
-	// votedOutElections, times the election timeout without a word of another voter: then
-	// a LogUpdate that is ahead says that the others vote without this controller.
+	followerSilentAfter = 5 * time.Second // a follower that was silent for so long is sent no log
+	// votedOutElections is in election timeouts: after so long without a message of another
+	// voter, a LogUpdate that is ahead means that the others vote without this controller.
 	votedOutElections = 2
 )
 
-// receiveLogUpdate takes log entries or a snapshot that the leader or a relay sends to
-// controllers that don't vote.
+// receiveLogUpdate handles log entries or a snapshot from the leader or a relay, which send them
+// only to controllers that don't vote.
 func (c *Core) receiveLogUpdate(from string, update *LogUpdate) {
-	c.stopVoting() // a leader sends these only to controllers that don't vote with it
+	c.stopVoting() // the leader no longer counts this controller as a voter
 	c.stopVotingIfVotedOut(update)
 	if c.consensus != nil {
 		return
@@ -48,8 +48,9 @@
 	}
 }
 
-// stopVotingIfVotedOut ends voting where this controller was voted out while it was away:
-// it can't learn that from consensus, whose messages no longer come.
+// stopVotingIfVotedOut makes this controller a follower if the others removed it from the voters
+// while it was down or disconnected. It can't learn that from consensus, since the other voters
+// no longer send it messages.
 func (c *Core) stopVotingIfVotedOut(update *LogUpdate) {
 	switch {
 	case c.consensus == nil, c.isLeader, update.CommittedIndex <= c.state.Index:
@@ -61,10 +62,10 @@
 	c.leader = update.Leader
 	c.votedOut = true
 	c.persistIndex = c.state.Index
-	c.logf(true, "this controller votes no more: others do by now")
+	c.logf(true, "this controller is no longer a voter: the other voters removed it")
 }
 
-// receiveLogRequest sends a follower its entries from the one on that it lacks.
+// receiveLogRequest has the log sent to a follower from the first entry that it lacks.
 func (c *Core) receiveLogRequest(from string, request *LogRequest) {
 	if f := c.followerOf(from); f != nil {
 		f.nextIndex = request.FromIndex
@@ -72,18 +73,17 @@
 	}
 }
 
-// follower is how far a controller has come that the log is sent to, by the leader or by
-// the relay that it asks.
+// follower is the progress of a controller to which this one, its leader or relay, sends the log.
 type follower struct {
 	heardAt      time.Duration
-	appliedIndex uint64        // as it reported
-	nextIndex    uint64        // of the entry that it is sent next, 0: it is sent none
-	sentAt       time.Duration // when it was last sent entries
-	isVoter      bool          // consensus brings it the log
+	appliedIndex uint64        // as its last renewal reported
+	nextIndex    uint64        // of the next entry to send, 0: none is sent
+	sentAt       time.Duration // when entries were last sent
+	isVoter      bool          // it gets the log through consensus
 }
 
-// updateFrom takes what a controller's renewal reports. What it was sent more than an
-// interval ago and hasn't applied is taken for lost, and sent again.
+// updateFrom updates the progress from a renewal. Entries that were sent more than an interval
+// ago and aren't applied yet count as lost and are sent again.
 func (f *follower) updateFrom(r *LeaseRenewal, now, interval time.Duration) {
 	f.heardAt = now
 	f.appliedIndex = r.AppliedIndex
@@ -94,10 +94,10 @@
 	}
 }
 
-// sendsLog reports whether this controller sends the log to others.
+// sendsLog reports whether this controller sends the log to followers.
 func (c *Core) sendsLog() bool { return c.isLeader || c.aggregator != nil }
 
-// followerOf is a controller that this one sends the log to, nil: it doesn't.
+// followerOf returns the progress of a controller, nil if this one doesn't send it the log.
 func (c *Core) followerOf(name string) *follower {
 	if c.isLeader {
 		if p := c.peers[name]; p != nil {
@@ -113,7 +113,7 @@
 	return nil
 }
 
-// sendLog sends its followers what they lack.
+// sendLog sends every follower the entries that it lacks.
 func (c *Core) sendLog() {
 	if !c.followersBehind || !c.sendsLog() {
 		return
@@ -130,8 +130,8 @@
 	}
 }
 
-// sendLogTo sends a follower the entries that it lacks, or a snapshot where those are no
-// longer kept.
+// sendLogTo sends a follower the entries that it lacks, or a snapshot if those entries are no
+// longer in recentEntries.
 func (c *Core) sendLogTo(name string, f *follower) {
 	switch {
 	case name == c.config.Self.Name, f.isVoter && c.isVoter(name):
--- a/internal/fleet/node/node.go
+++ b/internal/fleet/node/node.go
@@ -11,46 +11,47 @@
 	"railrelay.dev/railrelay/internal/fleet/statemachine"
 )
 
-// Core is one controller's part in the fleet.
+// Core is the fleet side of one controller.
 type Core struct {
 	config  Config
-	now     time.Duration // of the present Step
-	started bool          // the first event has come: before it there is no clock
-	effects []Effect      // of the present Step
+	now     time.Duration // of the current Step
+	started bool          // Step was called: before the first call the time is unknown
+	effects []Effect      // of the current Step
 
 	// The replicated log as applied here.
 	state          *statemachine.State
-	stateError     fleet.ErrorWithRemedy // an entry or snapshot can't be applied: this controller never serves
+	stateError     fleet.ErrorWithRemedy // an entry or snapshot can't be decoded: this controller never serves
 	appliedTerm    uint64                // of the last entry applied
 	recentEntries  []consensus.LogEntry
-	latestSnapshot *consensus.Snapshot // for followers that lag far behind; nil: none was needed yet
+	latestSnapshot *consensus.Snapshot // for followers that lack more than recentEntries; nil: not needed yet
 	roster         roster
 
 	// Consensus among the voters.
-	consensus        *consensus.Core // nil: this controller only follows the log
+	consensus        *consensus.Core // nil: this controller is a follower
 	voters           []consensus.Voter
-	voterHeardAt     time.Duration      // when a message of another voter last came
-	votedOut         bool               // others vote by now, though the log as applied here doesn't say so yet
-	hardState        []byte             // its last vote and term, as consensus encodes them
-	consensusEffects []consensus.Effect // not performed yet
-	performing       bool               // performConsensus is under way further up the stack
+	voterHeardAt     time.Duration      // when the last message of another voter was received
+	votedOut         bool               // the others vote without it; the log applied here may not say so yet
+	hardState        []byte             // the last vote and term, as consensus encodes them
+	consensusEffects []consensus.Effect // to be performed
+	performing       bool               // a call of performConsensus is on the stack
 
 	// The disk.
-	pendingWrites        []*pendingWrite // the first one is under way
+	pendingWrites        []*pendingWrite // the first one is being written
 	entriesSinceSnapshot int
-	persistIndex         uint64 // where it only follows: the last entry that is persisted or being persisted
+	persistIndex         uint64 // of a follower: the last entry that is persisted or being written
 
 	leaseState
 	controllerState
 	leaderState
-	aggregator *renewalAggregator // nil: this controller is no relay
-	requests   []*operatorRequest // not answered yet
+	aggregator *renewalAggregator // nil: this controller isn't a relay
+	requests   []*operatorRequest // awaiting a response
 
-	// Counts has how often something was refused or odd, for the status.
+	// Counts counts refused and unexpected messages, for the status.
 	Counts map[string]int
 }
 
-// New starts a controller's part from what was persisted and returns its first effects.
+// New returns a Core that continues from Config.Persisted, and its first effects. It fails if
+// the persisted state can't be decoded.
 func New(config Config) (*Core, []Effect, error) {
 	config.Lease = foreverIfZero(config.Lease)
 	config.ConfinedLease = foreverIfZero(config.ConfinedLease)
@@ -88,21 +89,23 @@
 	return c, c.effects, nil
 }
 
-// restorePersisted continues from the persisted entries, as a voter or a follower.
+// restorePersisted continues from the persisted entries as a voter or a follower.
 func (c *Core) restorePersisted() error {
 	persisted := c.config.Persisted
 	named := c.namedToVote()
 	hasVoted := persisted.HardState != nil
-	// A snapshot that doesn't tell who votes was taken while this controller followed.
-	// Entries persisted after it may be consensus's and not committed, if it ever voted.
+	// A snapshot without voters was taken while this controller was a follower. If the
+	// controller ever voted, the entries after the snapshot may have been written by consensus
+	// and may not be committed.
 	snapshotAsFollower := persisted.Snapshot != nil && len(persisted.Snapshot.VoterConfig) == 0
 	switch {
 	case snapshotAsFollower && hasVoted:
-		c.logf(false, "log entries after %d are requested again: they may not be committed", c.state.Index)
+		c.logf(false, "requesting the log entries after %d again: the persisted ones may not be committed",
+			c.state.Index)
 		return nil
 	case (named || hasVoted) && !snapshotAsFollower:
 		voters := c.config.Voters
-		if !named || hasVoted { // the log tells
+		if !named || hasVoted { // the persisted log names the voters
 			voters = nil
 		}
 		return c.startConsensus(persisted, voters)
@@ -114,14 +117,14 @@
 	return nil
 }
 
-// Step takes an event and returns the effects it leads to, in the order in which they are
-// to be performed. The slice is valid until the next Step. A now before that of the
-// last Step counts as the last one's.
+// Step handles an event and returns the resulting effects in the order in which they must be
+// performed. The slice is valid until the next Step. If now is before the time of the last Step,
+// the time of the last Step is used.
 func (c *Core) Step(now time.Duration, ev Event) []Effect {
 	c.now = max(now, c.now)
 	if !c.started {
 		c.started = true
-		c.resetRoster() // what was kept holds names that were forgotten until now
+		c.resetRoster() // the persisted state may have names that were forgotten a moment ago
 	}
 	c.effects = nil
 	switch ev.Kind {
@@ -142,7 +145,8 @@
 	return c.effects
 }
 
-// advance does what is due and what has become possible. The order is that of the effects.
+// advance does all work that is due or has become possible. The order of the calls is the order
+// of their effects.
 func (c *Core) advance() {
 	if c.consensus != nil && c.now >= c.consensus.NextTick() {
 		c.stepConsensus(consensus.Event{Kind: consensus.Tick})
@@ -161,7 +165,7 @@
 	c.setTimer()
 }
 
-// receive takes a message from another controller, or from this one.
+// receive handles a message from another controller or from this one.
 func (c *Core) receive(m *Message) {
 	if m.Renewal == nil && c.isForeignDisk(m.From, m.DiskID) {
 		c.Counts["of another disk"]++
@@ -189,15 +193,15 @@
 	}
 }
 
-// isForeignDisk reports whether the log has the sender's name with another disk, or as
-// forgotten. A controller that lost its disk may have lost its vote with it. Renewals
-// are taken anyway: their answer says that the name is refused.
+// isForeignDisk reports whether the log has the sender's name with another disk or as
+// forgotten. A controller that lost its disk may have lost its vote too, so its messages are
+// dropped. Renewals are handled anyway: their answer tells the sender that it is refused.
 func (c *Core) isForeignDisk(from, disk string) bool {
 	m := c.state.Members[from]
 	return m != nil && (m.Forgotten || m.DiskID != "" && m.DiskID != disk)
 }
 
-// send sends a message; one to this controller itself is received at once.
+// send sends a message. A message to this controller itself is received immediately.
 func (c *Core) send(to, address string, m *Message) {
 	m.From, m.To, m.DiskID = c.config.Self.Name, to, c.config.Self.DiskID
 	if to == c.config.Self.Name {
@@ -209,7 +213,7 @@
 	}
 }
 
-// addressOf is where a controller is reached, "": not known.
+// addressOf returns the peer address of a controller, "" if it is unknown.
 func (c *Core) addressOf(name string) string {
 	if m := c.state.Members[name]; m != nil && m.PeerAddress != "" {
 		return m.PeerAddress
@@ -222,43 +226,43 @@
 	return ""
 }
 
-// setTimer asks for a TimerFired when the next thing is due.
+// setTimer sets the timer to the time when the next work is due.
 func (c *Core) setTimer() {
-	at := min(c.renewAt, c.leaderDue(), c.aggregateDue())
+	at := min(c.renewAt, c.nextLeaderWork(), c.nextAggregate())
 	if c.consensus != nil {
 		at = min(at, c.consensus.NextTick())
 	}
-	if c.sendsLog() && c.followersBehind { // one that lacks more than a message holds
+	if c.sendsLog() && c.followersBehind { // a follower lacks more entries than one message holds
 		at = c.now
 	}
-	for _, a := range c.requests {
-		at = min(at, a.deadline, a.forwardAt)
+	for _, request := range c.requests {
+		at = min(at, request.deadline, request.forwardAt)
 	}
 	c.emit(Effect{Kind: SetTimer, Delay: max(0, at-c.now)})
 }
 
 func (c *Core) emit(e Effect) { c.effects = append(c.effects, e) }
 
-// logf logs a line; a loud one is written at every log level.
-func (c *Core) logf(loud bool, form string, args ...any) {
-	c.emit(Effect{Kind: LogMessage, LogAlways: loud, LogText: fmt.Sprintf(form, args...)})
+// logf logs a line; with always it is written at every log level.
+func (c *Core) logf(always bool, format string, args ...any) {
+	c.emit(Effect{Kind: LogMessage, LogAlways: always, LogText: fmt.Sprintf(format, args...)})
 }
 
 func (c *Core) logError(err fleet.ErrorWithRemedy) {
 	c.emit(Effect{Kind: LogMessage, LogAlways: true, Err: err, LogText: err.Error()})
 }
 
-// State is the replicated log as applied here, for tests; it must not be changed.
+// State returns the replicated state as applied here, for tests. The caller must not change it.
 func (c *Core) State() *statemachine.State { return c.state }
 
-// IsLeader reports whether this controller leads, as far as it knows.
+// IsLeader reports whether this controller leads, to its own knowledge.
 func (c *Core) IsLeader() bool { return c.isLeader }
 
-// sorted returns the keys of m in order.
-func sorted[T any](m map[string]T) (l []string) {
-	for k := range m {
-		l = append(l, k)
+// sorted returns the sorted keys of m.
+func sorted[T any](m map[string]T) (keys []string) {
+	for key := range m {
+		keys = append(keys, key)
 	}
-	slices.SortFunc(l, strings.Compare)
-	return l
+	slices.SortFunc(keys, strings.Compare)
+	return keys
 }
--- a/internal/fleet/node/operator_requests.go
+++ b/internal/fleet/node/operator_requests.go
@@ -7,147 +7,147 @@
 	"railrelay.dev/railrelay/internal/fleet"
 )
 
-// What operators, customers and this process's request side ask of the fleet. A request
-// that changes the log goes to the leader, again and again until the log has it; its
-// answer is read from the log as applied here.
+// Requests of operators, customers and this process's request side to the fleet. A request that
+// changes the log is forwarded to the leader repeatedly until the log has it; the response is
+// read from the log as applied here.
 
 const (
-	defaultRequestTimeout = 10 * time.Second       // until the answer is "not known yet"
-	forwardInterval       = 300 * time.Millisecond // between attempts to bring a request to the leader
+	defaultRequestTimeout = 10 * time.Second       // until the response is outcomeUnknown
+	forwardInterval       = 300 * time.Millisecond // between attempts to forward a request to the leader
 
-	outcomeUnknown = "unknown" // fleet.Reply.Word: not known yet
+	outcomeUnknown = "unknown" // fleet.Response.Outcome of a request whose outcome isn't known yet
 )
 
 // operatorRequest is a request that waits for its outcome.
 type operatorRequest struct {
-	ask       *fleet.Request
-	handle    uint64 // 0: of this process's request side
+	request   *fleet.Request
+	handle    uint64 // 0: from this process's request side
 	deadline  time.Duration
-	forwardAt time.Duration // when it is forwarded again
+	forwardAt time.Duration // when to forward the request again
 }
 
-// operatorRequested takes a request. Questions for the status or the policy are answered
-// at once, from what is known here.
-func (c *Core) operatorRequested(ask *fleet.Request, handle uint64) {
+// operatorRequested handles a new request. Requests for the status or the policy are answered at
+// once from the state as applied here.
+func (c *Core) operatorRequested(request *fleet.Request, handle uint64) {
 	switch {
-	case ask.Kind == "status" && ask.ID == "":
+	case request.Kind == "status" && request.ID == "":
 		c.respond(handle, &fleet.Response{Outcome: "status", Status: c.Status()})
 		return
-	case ask.Kind == "policy":
+	case request.Kind == "policy":
 		c.respond(handle, &fleet.Response{Outcome: "policy", Version: c.state.Version, Policy: c.state.Policy})
 		return
 	}
-	timeout := time.Duration(ask.WaitMs) * time.Millisecond
+	timeout := time.Duration(request.WaitMs) * time.Millisecond
 	if timeout <= 0 {
 		timeout = defaultRequestTimeout
 	}
 	c.requests = append(c.requests, &operatorRequest{
-		ask:       ask,
+		request:   request,
 		handle:    handle,
 		deadline:  c.now + timeout,
 		forwardAt: c.now,
 	})
 }
 
-func (c *Core) respond(handle uint64, reply *fleet.Response) {
-	c.emit(Effect{Kind: Respond, Handle: handle, Response: reply})
+func (c *Core) respond(handle uint64, response *fleet.Response) {
+	c.emit(Effect{Kind: Respond, Handle: handle, Response: response})
 }
 
 // answerRequests answers requests whose outcome is known or whose deadline has passed, and
-// forwards those that the log hasn't got.
+// forwards those that aren't in the log yet.
 func (c *Core) answerRequests() {
-	c.requests = slices.DeleteFunc(c.requests, func(request *operatorRequest) bool {
-		reply := c.outcome(request.ask)
-		reply.ID = request.ask.ID
-		if reply.Outcome == outcomeUnknown && c.now < request.deadline {
-			c.forwardIfDue(request)
+	c.requests = slices.DeleteFunc(c.requests, func(pending *operatorRequest) bool {
+		response := c.outcome(pending.request)
+		response.ID = pending.request.ID
+		if response.Outcome == outcomeUnknown && c.now < pending.deadline {
+			c.forwardIfDue(pending)
 			return false
 		}
-		if reply.Outcome == outcomeUnknown {
-			reply.Outstanding = c.outstanding(request.ask.ID)
-			reply.Remedy = "ask again by id " + request.ask.ID
-			if reply.Reason == "" {
-				reply.Reason = "not known yet"
+		if response.Outcome == outcomeUnknown {
+			response.Outstanding = c.outstanding(pending.request.ID)
+			response.Remedy = "ask again with the id " + pending.request.ID
+			if response.Reason == "" {
+				response.Reason = "not known yet"
 			}
 		}
-		if request.handle == 0 {
-			c.orderController(fleet.Order{Kind: fleet.RequestAnswered, ID: request.ask.ID, Response: reply})
+		if pending.handle == 0 {
+			c.orderController(fleet.Order{Kind: fleet.RequestAnswered, ID: pending.request.ID, Response: response})
 		} else {
-			c.respond(request.handle, reply)
+			c.respond(pending.handle, response)
 		}
 		return true
 	})
 }
 
-// forwardIfDue forwards a request at intervals until the log has it.
-func (c *Core) forwardIfDue(request *operatorRequest) {
-	if c.now < request.forwardAt {
+// forwardIfDue forwards a request each forwardInterval until the log has it.
+func (c *Core) forwardIfDue(pending *operatorRequest) {
+	if c.now < pending.forwardAt {
 		return
 	}
-	request.forwardAt = c.now + forwardInterval
-	if !c.isRecorded(request.ask) {
-		c.forwardRequest(request.ask)
+	pending.forwardAt = c.now + forwardInterval
+	if !c.isLogged(pending.request) {
+		c.forwardRequest(pending.request)
 	}
 }
 
-// isRecorded reports whether the log has a request already: then it isn't forwarded.
-func (c *Core) isRecorded(a *fleet.Request) bool {
-	switch a.Kind {
+// isLogged reports whether the log has a request, so that it needn't be forwarded.
+func (c *Core) isLogged(request *fleet.Request) bool {
+	switch request.Kind {
 	case "apply":
-		return c.state.Changes[a.ID] != nil
+		return c.state.Changes[request.ID] != nil
 	case "purge":
-		return c.state.Purges[a.ID] != nil
+		return c.state.Purges[request.ID] != nil
 	case "status":
 		return true
 	}
-	return c.outcome(a).Outcome != outcomeUnknown
+	return c.outcome(request).Outcome != outcomeUnknown
 }
 
-// outcome is what is known of a request by now. A status with an ID is of the change or
-// invalidation that has it.
-func (c *Core) outcome(ask *fleet.Request) *fleet.Response {
-	if ask.Kind != "status" {
-		return c.state.Outcome(ask)
+// outcome returns the response to a request by the state as applied here. A status with an ID
+// is that of the change or invalidation with the ID.
+func (c *Core) outcome(request *fleet.Request) *fleet.Response {
+	if request.Kind != "status" {
+		return c.state.Outcome(request)
 	}
-	of := *ask
-	of.Kind = "apply"
-	if c.state.Changes[ask.ID] == nil {
-		of.Kind = "purge"
+	target := *request
+	target.Kind = "apply"
+	if c.state.Changes[request.ID] == nil {
+		target.Kind = "purge"
 	}
-	return c.state.Outcome(&of)
+	return c.state.Outcome(&target)
 }
 
-// forwardRequest brings a request to the leader. It may be lost; forwarding it again is
-// harmless because of its ID.
-func (c *Core) forwardRequest(a *fleet.Request) {
+// forwardRequest sends a request to the leader. The message may be lost; forwarding the request
+// again does no harm, since the state applies each ID once.
+func (c *Core) forwardRequest(request *fleet.Request) {
 	if c.isLeader {
-		c.propose(c.logEntryFor(a))
+		c.propose(c.logEntryFor(request))
 		return
 	}
-	if via := c.currentRelay(); via != nil { // which may reach the leader where this controller doesn't
-		c.send(via.Name, via.Address, &Message{Request: a})
+	if via := c.currentRelay(); via != nil { // the relay may reach the leader when this controller can't
+		c.send(via.Name, via.Address, &Message{Request: request})
 		return
 	}
 	if c.leader != "" {
-		c.send(c.leader, c.addressOf(c.leader), &Message{Request: a})
+		c.send(c.leader, c.addressOf(c.leader), &Message{Request: request})
 	}
 }
 
-// logEntryFor is the entry that a request asks for, nil: none.
-func (c *Core) logEntryFor(a *fleet.Request) *fleet.Entry {
+// logEntryFor returns the log entry that a request asks for, nil if it asks for none.
+func (c *Core) logEntryFor(request *fleet.Request) *fleet.Entry {
 	e := &fleet.Entry{
-		ID:           a.ID,
-		RequestedBy:  a.RequestedBy,
-		Team:         a.Team,
-		Scope:        a.Scope,
-		Name:         a.Name,
-		BaseVersion:  a.BaseVersion,
-		Policy:       a.Policy,
-		AbortAfterMs: a.AbortAfterMs,
-		Tables:       a.Tables,
-		SourceTables: a.SourceTables,
-	}
-	switch a.Kind {
+		ID:           request.ID,
+		RequestedBy:  request.RequestedBy,
+		Team:         request.Team,
+		Scope:        request.Scope,
+		Name:         request.Name,
+		BaseVersion:  request.BaseVersion,
+		Policy:       request.Policy,
+		AbortAfterMs: request.AbortAfterMs,
+		Tables:       request.Tables,
+		SourceTables: request.SourceTables,
+	}
+	switch request.Kind {
 	case "apply":
 		e.Kind = fleet.EntryPropose
 	case "purge":
@@ -162,8 +162,8 @@
 	return e
 }
 
-// outstanding are the controllers that a change or invalidation waits for, as far as is
-// known here.
+// outstanding returns the controllers that a change or invalidation waits for, as far as this
+// controller knows.
 func (c *Core) outstanding(id string) []string {
 	if c.isLeader {
 		return c.waitingFor[id]
@@ -171,7 +171,7 @@
 	return c.leaderWaitsFor[id]
 }
 
-// Status is how this controller sees the fleet.
+// Status returns the state of the fleet as this controller knows it.
 func (c *Core) Status() *fleet.Status {
 	s := &fleet.Status{
 		Name:             c.config.Self.Name,
@@ -187,9 +187,9 @@
 	if c.leaseUntil != fleet.Forever {
 		s.LeaseRemainingMs = max(0, (c.leaseUntil - c.now).Milliseconds())
 	}
-	if u := c.state.ChangeUnderWay(); u != nil {
-		s.Change = c.state.Outcome(&fleet.Request{Kind: "apply", ID: u.ID})
-		s.Change.Outstanding = c.outstanding(u.ID)
+	if change := c.state.ChangeUnderWay(); change != nil {
+		s.Change = c.state.Outcome(&fleet.Request{Kind: "apply", ID: change.ID})
+		s.Change.Outstanding = c.outstanding(change.ID)
 	}
 	for _, name := range sorted(c.state.Members) {
 		m := fleet.MemberStatus{Member: *c.state.Members[name], IsVoter: c.isVoter(name)}
@@ -202,10 +202,10 @@
 		s.Members = append(s.Members, m)
 	}
 	for _, id := range sorted(c.state.Purges) {
-		if r := c.state.Purges[id]; r.Stage != fleet.EntryErased {
-			w := c.state.Outcome(&fleet.Request{Kind: "purge", ID: id})
-			w.Outstanding = c.outstanding(id)
-			s.Purges = append(s.Purges, *w)
+		if purge := c.state.Purges[id]; purge.Stage != fleet.EntryErased {
+			outcome := c.state.Outcome(&fleet.Request{Kind: "purge", ID: id})
+			outcome.Outstanding = c.outstanding(id)
+			s.Purges = append(s.Purges, *outcome)
 		}
 	}
 	return s
--- a/internal/fleet/node/persistence.go
+++ b/internal/fleet/node/persistence.go
@@ -6,14 +6,14 @@
 	"railrelay.dev/railrelay/internal/fleet/consensus"
 )
 
-// pendingWrite is one write that isn't persisted yet, and what follows once it is.
+// pendingWrite is a write that isn't persisted yet, with a callback for when it is.
 type pendingWrite struct {
 	writes      *consensus.PersistentState
 	onPersisted func()
 }
 
-// persist has something written and synced before what follows from it. Writes go to the
-// disk one at a time, in their order.
+// persist writes and syncs writes, then calls onPersisted. Writes go to the disk one at a time,
+// in order.
 func (c *Core) persist(writes *consensus.PersistentState, onPersisted func()) {
 	c.pendingWrites = append(c.pendingWrites, &pendingWrite{writes, onPersisted})
 	if len(c.pendingWrites) == 1 {
@@ -21,7 +21,7 @@
 	}
 }
 
-// writesPersisted ends the write that is under way and begins the next.
+// writesPersisted completes the current write and starts the next one.
 func (c *Core) writesPersisted() {
 	if len(c.pendingWrites) == 0 {
 		return
@@ -34,7 +34,7 @@
 	done.onPersisted()
 }
 
-// compact replaces a log that has grown by a snapshot.
+// compact replaces the log by a snapshot once it has SnapshotAfterEntries new entries.
 func (c *Core) compact() {
 	if c.entriesSinceSnapshot < c.config.SnapshotAfterEntries {
 		return
@@ -49,12 +49,12 @@
 	} else {
 		c.persist(&consensus.PersistentState{Snapshot: snapshot}, func() {})
 	}
-	if over := len(c.recentEntries) - c.config.SnapshotAfterEntries; over > 0 {
-		c.recentEntries = slices.Clone(c.recentEntries[over:])
+	if excess := len(c.recentEntries) - c.config.SnapshotAfterEntries; excess > 0 {
+		c.recentEntries = slices.Clone(c.recentEntries[excess:])
 	}
 }
 
-// currentSnapshot is the state as it is, encoded once for all that are sent it.
+// currentSnapshot returns a snapshot of the current state. It is encoded once for all followers.
 func (c *Core) currentSnapshot() *consensus.Snapshot {
 	if c.latestSnapshot == nil || c.latestSnapshot.Index != c.state.Index {
 		c.latestSnapshot = c.encodeSnapshot()
@@ -62,7 +62,7 @@
 	return c.latestSnapshot
 }
 
-// encodeSnapshot encodes the state as it is.
+// encodeSnapshot encodes a snapshot of the current state.
 func (c *Core) encodeSnapshot() *consensus.Snapshot {
 	return &consensus.Snapshot{Index: c.state.Index, Term: c.appliedTerm, Data: c.state.Encode()}
 }
--- a/internal/fleet/node/policy_validation.go
+++ b/internal/fleet/node/policy_validation.go
@@ -9,40 +9,40 @@
 	"railrelay.dev/railrelay/internal/fleet"
 )
 
-// committedKey begins the validation key of a policy that is committed already; the rest
-// is its version and checksum. Other validations have their change's ID.
+// committedKey is the prefix of the validation key of a committed policy; the rest is the
+// version and checksum of the policy. The key of any other validation is the change's ID.
 const committedKey = "in force "
 
 // validatedPolicy is a policy that this controller can serve by.
 type validatedPolicy struct {
-	checksum     uint64 // of its text: a change that was aborted had the same version
-	policy       any    // what the set-up made of the text
-	watchedRules []fleet.EmergencyRule
-	// residencyRulesUnknown: there may be rules that watchedRules doesn't name.
+	checksum       uint64 // of the text, since an aborted change may have had the same version
+	policy         any    // the parsed policy, for the request side
+	emergencyRules []fleet.EmergencyRule
+	// residencyRulesUnknown: emergencyRules may be incomplete.
 	residencyRulesUnknown bool
 }
 
-// validation is one validation of a policy against the set-up, asked for or done.
+// validation is a requested or finished validation of a policy.
 type validation struct {
 	version  uint64
 	checksum uint64
 	done     bool
 
-	// The outcome.
-	reason      string // why it can't be served by, "": it can
+	// The result.
+	reason      string // why this controller can't serve by the policy, "": it can
 	purgeScopes []fleet.Scope
 	voters      []string
 }
 
-// validatePolicy has a policy validated against this controller's own set-up.
+// validatePolicy requests the validation of a policy against this controller's configuration.
 func (c *Core) validatePolicy(key string, version uint64, text []byte) {
 	c.validations[key] = &validation{version: version, checksum: xxhash.Sum64(text)}
 	c.emit(Effect{Kind: ValidatePolicy, ChangeID: key, PolicyText: text})
 }
 
-// committedPolicy is the committed policy, as it was validated or, where the request side
-// was told of it already, whatever is known of it. It is nil where this controller can't
-// serve by it, and pending while its validation, which this asks for, isn't done.
+// committedPolicy returns the committed policy after its validation, nil if this controller can't
+// serve by it. It requests the validation if needed and returns pending until that is done. A
+// policy that the request side was already ordered to decide by is returned as it is.
 func (c *Core) committedPolicy() (policy *validatedPolicy, pending bool) {
 	policy = c.policies[c.state.Version]
 	checksum := xxhash.Sum64(c.state.Policy)
@@ -56,7 +56,7 @@
 	return nil, !c.validations[key].done
 }
 
-// policyValidated takes the outcome of a validation.
+// policyValidated handles the result of a validation.
 func (c *Core) policyValidated(ev Event) {
 	v := c.validations[ev.ChangeID]
 	if v == nil || v.done {
@@ -72,7 +72,7 @@
 		c.policies[v.version] = &validatedPolicy{
 			checksum:              v.checksum,
 			policy:                ev.Policy,
-			watchedRules:          ev.EmergencyRules,
+			emergencyRules:        ev.EmergencyRules,
 			residencyRulesUnknown: ev.ResidencyRulesUnknown,
 		}
 	} else if strings.HasPrefix(ev.ChangeID, committedKey) {
@@ -81,16 +81,17 @@
 	c.orderOutstanding()
 }
 
-// watchedRules are the committed residency rules that name further zones.
-func (c *Core) watchedRules() []fleet.EmergencyRule {
+// emergencyRules returns the committed residency rules that allow further sites in an emergency.
+func (c *Core) emergencyRules() []fleet.EmergencyRule {
 	policy := c.policies[c.state.Version]
 	if policy == nil || c.orderedVersion != c.state.Version {
 		return nil
 	}
-	return policy.watchedRules
+	return policy.emergencyRules
 }
 
-// residencyRulesUnknown reports whether rules may be committed that this process doesn't know.
+// residencyRulesUnknown reports whether the committed policy may have residency rules that this
+// process doesn't know.
 func (c *Core) residencyRulesUnknown() bool {
 	policy := c.policies[c.state.Version]
 	return policy != nil && policy.residencyRulesUnknown
--- a/internal/fleet/node/relay.go
+++ b/internal/fleet/node/relay.go
@@ -6,23 +6,23 @@
 	"railrelay.dev/railrelay/internal/fleet"
 )
 
-// A relay's part in the core: renewals of others go to the leader in one message, and
-// leases and the log come back through it. While a relay leads it answers renewals as any
-// leader does.
+// The relay's side of leases. A relay aggregates the renewals of other controllers in one message
+// to the leader and forwards the grants and the log. While a relay leads, it answers renewals as
+// any leader does.
 
 const (
-	messagesPerInterval = 4 // to the leader, in a renewal interval
-	silentIntervals     = 2 // renewal intervals without a renewal: the controller is covered no longer
-	// unansweredIntervals, renewal intervals without an answer: then it is logged that the
-	// leader doesn't answer.
+	messagesPerInterval = 4 // messages to the leader in a renewal interval
+	silentIntervals     = 2 // in renewal intervals: a controller silent for longer is no longer covered
+	// unansweredIntervals is in renewal intervals: after so long without an answer, the relay
+	// logs that the leader doesn't answer.
 	unansweredIntervals = 8
 )
 
-// aggregates reports whether renewals that come are aggregated for the leader.
+// aggregates reports whether this controller aggregates renewals for the leader.
 func (c *Core) aggregates() bool { return c.aggregator != nil && !c.isLeader }
 
-// resetAggregator begins to aggregate, with nothing reported yet. Messages of one
-// incarnation are never numbered anew.
+// resetAggregator replaces the aggregator by an empty one. The sequence numbers of an incarnation
+// continue, since they must not be reused.
 func (c *Core) resetAggregator() {
 	if !c.config.IsRelay {
 		return
@@ -34,7 +34,7 @@
 	c.aggregator = next
 }
 
-// aggregateRenewal takes the renewal of a controller that asks through this relay.
+// aggregateRenewal handles the renewal of a controller that uses this relay.
 func (c *Core) aggregateRenewal(name, disk string, r *LeaseRenewal) {
 	from := c.aggregator.addRenewal(c.now, name, disk, r)
 	if from == nil {
@@ -44,18 +44,18 @@
 	c.followersBehind = c.followersBehind || from.nextIndex <= c.state.Index
 }
 
-// otherLeaderKnown reports whether there is a leader to send to.
+// otherLeaderKnown reports whether another controller is known to lead.
 func (c *Core) otherLeaderKnown() bool { return c.leader != "" && c.leader != c.config.Self.Name }
 
-// aggregateDue is when the next message to the leader is to be sent, Forever: none is.
-func (c *Core) aggregateDue() time.Duration {
+// nextAggregate returns when the next message to the leader is due, fleet.Forever if none is.
+func (c *Core) nextAggregate() time.Duration {
 	if !c.aggregates() || !c.otherLeaderKnown() {
 		return fleet.Forever
 	}
 	return c.aggregator.due(c.batchingDelay(), c.renewalInterval()/messagesPerInterval)
 }
 
-// sendAggregate sends what has come together to the leader, when it is time.
+// sendAggregate sends the aggregated renewals to the leader when a message is due.
 func (c *Core) sendAggregate() {
 	if !c.aggregates() {
 		return
@@ -65,15 +65,15 @@
 		return
 	}
 	c.aggregator.setLeader(c.leader)
-	if c.now < c.aggregateDue() {
+	if c.now < c.nextAggregate() {
 		return
 	}
 	c.send(c.leader, c.addressOf(c.leader), &Message{RelayedRenewals: c.aggregator.nextMessage(c.now)})
 	c.logUnansweredLeader()
 }
 
-// logUnansweredLeader logs once that messages to the leader aren't answered though this
-// relay itself holds a lease.
+// logUnansweredLeader logs once that the leader doesn't answer messages although this relay itself
+// holds a lease.
 func (c *Core) logUnansweredLeader() {
 	g := c.aggregator
 	late := c.now-g.unansweredSince >= unansweredIntervals*c.renewalInterval()
@@ -84,7 +84,7 @@
 	c.logError(&fleet.RelayUnansweredError{Leader: c.leader})
 }
 
-// receiveRelayedGrants takes the leader's answer and passes the grants on.
+// receiveRelayedGrants handles the leader's answer and forwards the grants.
 func (c *Core) receiveRelayedGrants(from string, a *RelayedGrants) {
 	if !c.aggregates() {
 		return
--- a/internal/fleet/node/relay_aggregation.go
+++ b/internal/fleet/node/relay_aggregation.go
@@ -7,32 +7,32 @@
 	"railrelay.dev/railrelay/internal/fleet"
 )
 
-// renewalAggregator is a relay's memory of the controllers that ask through it. It grants
-// nothing: a lease is passed on only where the leader's answer is to a message that was
-// sent after the controller had asked.
+// renewalAggregator is a relay's state of the controllers that it covers. It grants no lease
+// itself: a lease is forwarded only if the leader has answered a message that was sent after the
+// controller requested the lease.
 //
-// A message has what changed since the one before (its base). One that the leader lacks
-// the base of is answered by Resync, and the next message is full.
+// A message has the changes since the previous message, its base. If the leader doesn't have the
+// base, it answers with Resync, and the next message is a full one.
 type renewalAggregator struct {
 	incarnation uint64 // of the relay
 
 	// The controllers covered.
 	controllers map[string]*relayedController
-	silentSince map[string]time.Duration // no longer covered since the last message, by when each last asked
+	silentSince map[string]time.Duration // uncovered since the last message, by their last renewal
 
-	// What the leader has.
-	leader        string // to whom messages go
+	// The messages sent to the leader.
+	leader        string // the leader that the messages are sent to
 	lastSeq       uint64 // of the last message
 	lastFullSeq   uint64 // of the last full message
-	leaderHasUpTo uint64 // the leader is taken to have all up to this message; 0: nothing
+	leaderHasUpTo uint64 // the leader is assumed to have all messages up to this Seq; 0: none
 
 	// When to send the next message.
 	sentAt          time.Duration
-	urgent          bool // a change that the leader should know soon
-	renewalsWaiting bool // some controller has asked since the last message
+	urgent          bool // a change that the leader must learn soon
+	renewalsWaiting bool // a controller has sent a renewal since the last message
 
 	// Whether the leader answers.
-	awaitingAnswer   bool          // no message since the one at unansweredSince was answered
+	awaitingAnswer   bool          // no message sent since unansweredSince was answered
 	unansweredSince  time.Duration // valid while awaitingAnswer
 	unansweredLogged bool
 }
@@ -45,28 +45,28 @@
 	}
 }
 
-// maxPendingRequests bounds the requests for a lease that are remembered of a controller.
+// maxPendingRequests bounds the lease requests that are remembered of one controller.
 const maxPendingRequests = 16
 
-// relayedController is one controller that asks through a relay.
+// relayedController is one controller that the relay covers.
 type relayedController struct {
 	follower
 	disk         string
-	renewal      *LeaseRenewal // its last one
-	changedInSeq uint64        // the first message that has its present state
-	// pendingRequests are those that no lease was passed on for, oldest first, at most
+	renewal      *LeaseRenewal // the last one received
+	changedInSeq uint64        // the first message with the current renewal
+	// pendingRequests are the lease requests without a forwarded lease, oldest first, at most
 	// one for each message.
 	pendingRequests []pendingRequest
 }
 
-// pendingRequest is a request for a lease, with the first message that it is part of.
+// pendingRequest is a lease request.
 type pendingRequest struct {
-	firstSeq   uint64
+	firstSeq   uint64 // the first message that covers the request
 	renewalSeq uint64
 	sentAt     int64 // by the controller's clock
 }
 
-// addRequest remembers a request for a lease: the newest one for each message.
+// addRequest adds a lease request. It replaces an earlier one for the same message.
 func (f *relayedController) addRequest(r pendingRequest) {
 	last := len(f.pendingRequests) - 1
 	if last >= 0 && f.pendingRequests[last].firstSeq == r.firstSeq {
@@ -79,7 +79,7 @@
 	f.pendingRequests = append(f.pendingRequests, r)
 }
 
-// takeGranted takes the newest request that a message covered, and forgets those before it.
+// takeGranted removes the requests that a message covered and returns the newest of them.
 func (f *relayedController) takeGranted(seq uint64) (request pendingRequest, covered bool) {
 	n := 0
 	for n < len(f.pendingRequests) && f.pendingRequests[n].firstSeq <= seq {
@@ -93,7 +93,7 @@
 	return request, true
 }
 
-// addRenewal takes a controller's renewal. It returns nil where that is late or doubled.
+// addRenewal adds a controller's renewal. It returns nil if the renewal is late or duplicated.
 func (g *renewalAggregator) addRenewal(
 	now time.Duration, name, disk string, r *LeaseRenewal,
 ) *relayedController {
@@ -122,8 +122,8 @@
 	return from
 }
 
-// expire ends the coverage of controllers that haven't asked for longer than a span. Their
-// requests are forgotten: no message after this has them.
+// expire uncovers the controllers that have sent no renewal for longer than a span, and drops
+// their lease requests.
 func (g *renewalAggregator) expire(now, span time.Duration) {
 	for name, from := range g.controllers {
 		if now-from.heardAt > span {
@@ -134,7 +134,7 @@
 	}
 }
 
-// setLeader turns to another leader, who has nothing of what the last one was sent.
+// setLeader sets the leader that messages are sent to. A new leader gets a full message first.
 func (g *renewalAggregator) setLeader(leader string) {
 	if g.leader != leader {
 		g.leader = leader
@@ -148,8 +148,8 @@
 	g.urgent = true
 }
 
-// nextMessage makes the next message: all that has changed since the last one, or
-// everything where the leader has nothing.
+// nextMessage returns the next message: the changes since the last one, or a full message if the
+// leader has none.
 func (g *renewalAggregator) nextMessage(now time.Duration) *RelayedRenewals {
 	g.lastSeq++
 	g.sentAt = now
@@ -167,7 +167,7 @@
 			message.Renewals = append(message.Renewals, renewal)
 		}
 	}
-	if g.leaderHasUpTo == 0 { // one that isn't named is no longer covered
+	if g.leaderHasUpTo == 0 { // a full message names every covered controller, so it needs no Silent
 		g.lastFullSeq = g.lastSeq
 	} else {
 		for _, name := range sorted(g.silentSince) {
@@ -180,8 +180,8 @@
 	return message
 }
 
-// due is when the next message is to be sent: soon after a change, else once in a period,
-// Forever where nobody has asked.
+// due returns when the next message is due: soon after an urgent change, a period after the last
+// message if a renewal waits, else fleet.Forever.
 func (g *renewalAggregator) due(soon, period time.Duration) time.Duration {
 	switch {
 	case g.urgent:
@@ -192,8 +192,8 @@
 	return fleet.Forever
 }
 
-// handleAnswer takes the leader's answer and returns the grants that follow from it, by
-// the controllers' names in order.
+// handleAnswer handles the leader's answer and returns the resulting grants, sorted by controller
+// name.
 func (g *renewalAggregator) handleAnswer(from string, a *RelayedGrants) (grants []addressedGrant) {
 	if a.Incarnation != g.incarnation || a.Seq > g.lastSeq {
 		return nil
@@ -201,7 +201,7 @@
 	g.awaitingAnswer = false
 	g.unansweredLogged = false
 	if a.Resync {
-		if from == g.leader && a.Seq > g.lastFullSeq { // no full one is on its way yet
+		if from == g.leader && a.Seq > g.lastFullSeq { // no full message was sent since
 			g.sendAll()
 		}
 		return nil
@@ -227,14 +227,14 @@
 	return grants
 }
 
-// addressedGrant is a grant on its way to a controller.
+// addressedGrant is a grant with the name and peer address of its controller.
 type addressedGrant struct {
 	name, address string
 	grant         *LeaseGrant
 }
 
-// withheldReasons are the controllers that aren't granted a lease, and why; "": they
-// aren't in the log yet. The next message names each once more.
+// withheldReasons returns the controllers that get no lease, with the reason; "": not in the log
+// yet. The next message names each of them again.
 func (g *renewalAggregator) withheldReasons(a *RelayedGrants) map[string]string {
 	withheld := make(map[string]string, len(a.Withheld))
 	for _, w := range a.Withheld {
@@ -244,7 +244,7 @@
 	return withheld
 }
 
-// resend has the next message name a controller.
+// resend makes the next message name a controller.
 func (g *renewalAggregator) resend(name string) {
 	if from := g.controllers[name]; from != nil {
 		from.changedInSeq = g.lastSeq + 1
@@ -252,7 +252,8 @@
 	}
 }
 
-// grantFor is what a controller is told of the leader's answer, nil: nothing.
+// grantFor returns the grant for a controller that follows from the leader's answer, nil if the
+// answer covers none of its requests.
 func (g *renewalAggregator) grantFor(name string, a *RelayedGrants, withheld map[string]string) *LeaseGrant {
 	from := g.controllers[name]
 	request, covered := from.takeGranted(a.Seq)
--- a/internal/fleet/node/relay_coverage.go
+++ b/internal/fleet/node/relay_coverage.go
@@ -5,34 +5,34 @@
 	"time"
 )
 
-// The leader's side of relays. A relay covers controllers; each of its messages asks for a
-// lease for all of them. A covered controller is taken to have asked when the relay's last
-// message came, which is never before it did: so a change waits for it at least as long as
-// its lease.
+// The leader's side of relays. A relay covers controllers; each of its messages requests a lease
+// for all of them. The leader assumes that a covered controller requested its lease when the
+// relay's last message was received. The controller never requested it later, so a change waits
+// for the controller at least until its lease ends.
 
-// neverAsked is the time of a request for a lease that never was.
+// neverAsked stands for the time of a lease request that was never made.
 const neverAsked time.Duration = -1
 
-// maxFiniteLease stands for a lease without an end where a span is computed with it.
+// maxFiniteLease replaces a lease without an end in computations.
 const maxFiniteLease = time.Hour
 
-// relayIncarnation names one incarnation of a relay: one that was started anew, or still
-// runs beside its successor, covers controllers on its own.
+// relayIncarnation identifies one incarnation of a relay. Each incarnation covers controllers on
+// its own, also while an old one still runs beside its successor.
 type relayIncarnation struct {
 	relay       string
 	incarnation uint64
 }
 
-// relayCoverage is what one incarnation of a relay has reported.
+// relayCoverage is the state that one incarnation of a relay has reported.
 type relayCoverage struct {
-	lastSeq      uint64 // of the last message that was taken
+	lastSeq      uint64 // of the last accepted message
 	controllers  map[string]bool
-	resend       map[string]bool // covered, and to be reported once more
-	heardAt      time.Duration   // when the last message came
-	leaseAskedAt time.Duration   // when the last message came that was granted or may be, or neverAsked
+	resend       map[string]bool // covered controllers that the relay must report again
+	heardAt      time.Duration   // when the last message was received
+	leaseAskedAt time.Duration   // when the last granted or grantable message was received, or neverAsked
 }
 
-// receiveRelayedRenewals takes a relay's message.
+// receiveRelayedRenewals handles a relay's message.
 func (c *Core) receiveRelayedRenewals(relay string, g *RelayedRenewals) {
 	answer := &RelayedGrants{Incarnation: g.Incarnation, Seq: g.Seq}
 	if !c.isLeader {
@@ -57,7 +57,7 @@
 		c.coverage[key] = coverage
 	}
 	if g.Seq <= coverage.lastSeq {
-		return // late, or doubled
+		return // late or duplicated
 	}
 	withheld := c.updateCoverage(coverage, g)
 	c.awaitConfirmation(unconfirmedRenewal{
@@ -69,14 +69,14 @@
 	})
 }
 
-// updateCoverage brings a coverage up to a message. withheld are those that the message
-// names and that aren't covered, by their names: why, "": not in the log yet.
+// updateCoverage updates a coverage from a message. withheld has the controllers that the message
+// names and that aren't covered, with the reason; "": not in the log yet.
 func (c *Core) updateCoverage(coverage *relayCoverage, g *RelayedRenewals) (withheld map[string]string) {
 	if g.BaseSeq == 0 {
 		c.uncoverUnnamed(coverage, g)
 	}
 	for _, s := range g.Silent {
-		silentFor := time.Duration(float64(s.SilentFor) * (1 - 2*c.config.ClockDrift)) // at least
+		silentFor := time.Duration(float64(s.SilentFor) * (1 - 2*c.config.ClockDrift)) // lower bound
 		c.uncover(coverage, s.Name, c.now-max(0, silentFor))
 	}
 	withheld = map[string]string{}
@@ -89,14 +89,14 @@
 		}
 		coverage.controllers[from.Name] = true
 		delete(coverage.resend, from.Name)
-		c.peers[from.Name].nextIndex = 0 // the relay sends the log to it
+		c.peers[from.Name].nextIndex = 0 // the relay sends it the log
 	}
 	coverage.lastSeq = g.Seq
 	coverage.heardAt = c.now
 	return withheld
 }
 
-// uncoverUnnamed uncovers those that a full message doesn't name.
+// uncoverUnnamed uncovers the controllers that a full message doesn't name.
 func (c *Core) uncoverUnnamed(coverage *relayCoverage, g *RelayedRenewals) {
 	named := make(map[string]bool, len(g.Renewals))
 	for _, from := range g.Renewals {
@@ -109,9 +109,9 @@
 	}
 }
 
-// uncover takes a controller out of a relay's coverage. askedAt is the latest time at which
-// it may have asked for a lease that it was granted through it. What this relay reported
-// of it last may be older than what another did, which is asked to report it again.
+// uncover removes a controller from a relay's coverage. askedAt is the latest time at which the
+// controller may have requested a lease that the relay forwarded. Other relays that cover the
+// controller must report it again, since this relay's last report may have been older than theirs.
 func (c *Core) uncover(coverage *relayCoverage, name string, askedAt time.Duration) {
 	if !coverage.controllers[name] {
 		return
@@ -128,8 +128,8 @@
 	}
 }
 
-// expireCoverage forgets relays that weren't heard of for so long that no lease that they
-// passed on can last.
+// expireCoverage removes relays that were silent for so long that every lease that they forwarded
+// has ended.
 func (c *Core) expireCoverage() {
 	lease := c.bySlowestClock(min(c.config.Lease, maxFiniteLease))
 	keepFor := max(followerSilentAfter, 2*lease)
@@ -144,8 +144,8 @@
 	}
 }
 
-// coveredLeaseAskedAt is when a controller last asked through any relay, as far as it may
-// have been granted a lease for it; neverAsked: it didn't.
+// coveredLeaseAskedAt returns the latest time at which a controller may have requested, through
+// any relay, a lease that was or may be granted; neverAsked if there is none.
 func (c *Core) coveredLeaseAskedAt(name string) time.Duration {
 	at := neverAsked
 	for _, coverage := range c.coverage {
@@ -156,7 +156,7 @@
 	return at
 }
 
-// lastHeardOf is when a controller was last heard of, directly or through a relay.
+// lastHeardOf returns when a controller last sent a renewal, directly or through a relay.
 func (c *Core) lastHeardOf(name string) time.Duration {
 	at := c.peers[name].heardAt
 	for _, coverage := range c.coverage {
@@ -167,7 +167,7 @@
 	return at
 }
 
-// grantRelayed answers a relay's message once a majority has confirmed the leadership.
+// grantRelayed answers a relay's message after a majority has confirmed the leadership.
 func (c *Core) grantRelayed(q unconfirmedRenewal, index uint64) {
 	answer := &RelayedGrants{
 		Incarnation:   q.relayed.Incarnation,
@@ -175,7 +175,7 @@
 		Granted:       true,
 		RequiredIndex: index,
 		Leader:        c.config.Self.Name,
-		WaitingFor:    c.waitingForExcerpt(),
+		WaitingFor:    c.waitingForSummary(),
 	}
 	for _, name := range sorted(q.withheld) {
 		answer.Withheld = append(answer.Withheld, WithheldLease{Name: name, RefusedReason: q.withheld[name]})
@@ -188,7 +188,7 @@
 	c.send(q.name, c.addressOf(q.name), &Message{RelayedGrants: answer})
 }
 
-// forgottenAmong are covered controllers whose name is forgotten by now, in order.
+// forgottenAmong returns the sorted names of covered controllers that are forgotten.
 func (c *Core) forgottenAmong(coverage *relayCoverage) (names []string) {
 	for name := range coverage.controllers {
 		if c.state.Members[name].Forgotten {
--- a/internal/fleet/node/replicated_log.go
+++ b/internal/fleet/node/replicated_log.go
@@ -6,8 +6,8 @@
 	"railrelay.dev/railrelay/internal/fleet/statemachine"
 )
 
-// applyEntry applies the next committed entry. What it asks of the request side is worked
-// out afterwards, from the state alone, so that a snapshot leads to the same.
+// applyEntry applies the next committed entry. The orders to the request side are derived
+// afterwards from the state alone, so that a snapshot leads to the same orders.
 func (c *Core) applyEntry(r consensus.LogEntry) {
 	if r.Index <= c.state.Index || c.stateError != nil {
 		return
@@ -33,7 +33,7 @@
 	c.stateChanged()
 }
 
-// restoreSnapshot replaces the state by a later one.
+// restoreSnapshot replaces the state by that of a later snapshot.
 func (c *Core) restoreSnapshot(s *consensus.Snapshot) {
 	if s == nil || s.Index <= c.state.Index || c.stateError != nil {
 		return
@@ -53,7 +53,7 @@
 	c.stateChanged()
 }
 
-// stateChanged draws the consequences of entries or a snapshot just applied.
+// stateChanged acts on entries or a snapshot that were just applied.
 func (c *Core) stateChanged() {
 	c.reevaluate = true
 	c.followersBehind = true
@@ -62,7 +62,7 @@
 	c.orderOutstanding()
 }
 
-// stopIfForgotten ends this controller's part where the log says that its disk is destroyed.
+// stopIfForgotten stops this controller for good if the log has its name as forgotten.
 func (c *Core) stopIfForgotten() {
 	if m := c.state.Members[c.config.Self.Name]; m != nil && m.Forgotten {
 		c.stopForGood(forgottenName)
--- a/internal/fleet/node/roster.go
+++ b/internal/fleet/node/roster.go
@@ -7,20 +7,20 @@
 	"railrelay.dev/railrelay/internal/fleet"
 )
 
-// roster is who is a member by the log, as this process needs it. Over the years most
-// names in the log are forgotten ones: they cost nothing but their place there.
+// roster caches the member names of the log without the forgotten ones. Over the years most
+// names in the log become forgotten ones; with the roster they cost no time per step.
 type roster struct {
-	members []string // names that aren't forgotten, in order; nil: to be made anew
-	// forgottenAt is when this process learned that a name is forgotten, as long as that
-	// one may hold a lease granted before.
+	members []string // names that aren't forgotten, sorted; nil: to be rebuilt
+	// forgottenAt is when this process learned that a name is forgotten. A name is removed once
+	// its last lease must have ended.
 	forgottenAt map[string]time.Duration
-	// stateTakenAt is when this process took a whole state, in which names may have been
+	// stateTakenAt is when this process loaded a whole state. Its forgotten names may have been
 	// forgotten a moment before.
 	stateTakenAt time.Duration
 }
 
-// updateRoster takes note of an entry that was applied. membersBefore is how many names
-// the log had before it.
+// updateRoster updates the roster after an entry was applied. membersBefore is the number of
+// names in the state before the entry.
 func (c *Core) updateRoster(membersBefore int) {
 	if name := c.state.ForgottenName(); name != "" {
 		c.roster.forgottenAt[name] = c.now
@@ -31,12 +31,12 @@
 	}
 }
 
-// resetRoster takes note of a whole state.
+// resetRoster resets the roster after a whole state was loaded.
 func (c *Core) resetRoster() {
 	c.roster = roster{forgottenAt: map[string]time.Duration{}, stateTakenAt: c.now}
 }
 
-// memberNames are the names in the log that aren't forgotten, in order.
+// memberNames returns the sorted names in the log that aren't forgotten.
 func (c *Core) memberNames() []string {
 	if c.roster.members == nil {
 		c.roster.members = make([]string, 0, len(c.state.Members))
@@ -50,11 +50,11 @@
 	return c.roster.members
 }
 
-// possibleHolders are all names that may hold a lease, in order.
+// possibleHolders returns the sorted names of all controllers that may hold a lease.
 func (c *Core) possibleHolders() []string {
 	span := c.longestLease()
 	if c.now < c.roster.stateTakenAt+span {
-		return sorted(c.state.Members) // one that is forgotten in it may still hold one
+		return sorted(c.state.Members) // a name that is forgotten in the state may still hold a lease
 	}
 	c.expireForgotten(span)
 	if len(c.roster.forgottenAt) == 0 {
@@ -65,7 +65,8 @@
 	return names
 }
 
-// longestLease is for how long a lease that has an end may be held; 0: none has.
+// longestLease returns how long a lease may last by the slowest clock, over the leases that have
+// an end; 0: none has.
 func (c *Core) longestLease() (span time.Duration) {
 	for _, lease := range []time.Duration{c.config.Lease, c.config.ConfinedLease} {
 		if lease != fleet.Forever {
@@ -75,7 +76,7 @@
 	return span
 }
 
-// expireForgotten leaves out forgotten names whose leases have ended.
+// expireForgotten removes forgotten names whose leases have ended.
 func (c *Core) expireForgotten(span time.Duration) {
 	for name, learned := range c.roster.forgottenAt {
 		if c.now >= learned+span {
@@ -84,10 +85,10 @@
 	}
 }
 
-// forgottenMayHoldLease reports whether a forgotten controller may hold a lease. None is
-// granted to it any more, so one that it holds was asked for before this process learned
-// of that. One without an end stops as its holder learns of it, and isn't waited for: its
-// disk is destroyed.
+// forgottenMayHoldLease reports whether a forgotten controller may still hold a lease. It gets no
+// new lease, so its last one was requested before this process learned that it is forgotten. A
+// lease without an end isn't waited for: the controller stops when it learns that it is
+// forgotten, and its disk counts as destroyed.
 func (c *Core) forgottenMayHoldLease(name string, lease time.Duration) bool {
 	if lease == fleet.Forever {
 		return false
--- a/internal/fleet/node/route.go
+++ b/internal/fleet/node/route.go
@@ -6,27 +6,27 @@
 )
 
 const (
-	// firstRelayRetryIntervals, renewal intervals, is how often the first relay is asked
-	// once more while another route is current.
+	// firstRelayRetryIntervals is in renewal intervals: so often the first relay is tried again
+	// while another route is current.
 	firstRelayRetryIntervals = 16
-	// leaderUnansweredIntervals, renewal intervals without an answer: then the leader that
-	// is known is taken to lead no longer.
+	// leaderUnansweredIntervals is in renewal intervals: after so long without an answer, the
+	// known leader is assumed to have lost its leadership.
 	leaderUnansweredIntervals = 3
-	// overduePerInterval: an answer is overdue after such a part of a renewal interval.
+	// overduePerInterval: an answer is overdue after 1/overduePerInterval of a renewal interval.
 	overduePerInterval = 2
 )
 
-// routes is how a controller asks for its lease: through one of its relays, by their
-// places in Config.Relays, or, past the last one, of the leader itself.
+// routes selects where a controller sends its renewals. A route is an index in Config.Relays;
+// the index after the last relay is the direct route to the leader.
 type routes struct {
 	current           int
-	alternativesTried int           // since the current one last answered
-	firstRetryAt      time.Duration // when the first relay is asked once more, while another is current
+	alternativesTried int           // since the current route last answered
+	firstRetryAt      time.Duration // when to try the first relay again, while another route is current
 }
 
-// recordAnswer takes note of an answer by a route, which becomes the current one.
-// Unless a renewal was unanswered, an answer by a later route is to a renewal that the
-// current one has answered, too, and changes nothing.
+// recordAnswer records an answer by a route and makes that route the current one. An answer by
+// a later route changes nothing unless a renewal was unanswered, since the current route has
+// answered the same renewal.
 func (r *routes) recordAnswer(route int, now time.Duration, unanswered bool, retryFirstAfter time.Duration) {
 	r.alternativesTried = 0
 	if route < r.current || unanswered {
@@ -37,7 +37,7 @@
 	}
 }
 
-// routeOf is the route by which an answer of a controller comes.
+// routeOf returns the route of an answer by its sender.
 func (c *Core) routeOf(from string) int {
 	for i, relay := range c.config.Relays {
 		if relay.Name == from {
@@ -47,24 +47,24 @@
 	return len(c.config.Relays)
 }
 
-// upstreams are whom the next renewal is sent to: by the current route; while that doesn't
-// answer, by another one besides; and from time to time by the first, if it isn't current.
+// upstreams returns where the next renewal is sent: by the current route, by one more route while
+// the current one doesn't answer, and at times by the first relay if it isn't the current route.
 func (c *Core) upstreams() (to []Upstream) {
 	switch {
 	case c.consensus != nil || c.isLeader:
 		return c.directUpstreams()
 	case c.config.IsRelay && c.renewalOverdue() && len(c.voters) > 0:
-		// many controllers wait for this one to find the leader
+		// many controllers wait for this relay to find the leader
 		return append(c.directUpstreams(), c.nextVoter())
 	case len(c.config.Relays) == 0:
 		return c.directUpstreams()
 	}
 	to = c.upstreamsBy(c.routes.current)
 	if c.renewalOverdue() {
-		others := len(c.config.Relays)
-		step := 1 + c.routes.alternativesTried%others
+		alternatives := len(c.config.Relays)
+		step := 1 + c.routes.alternativesTried%alternatives
 		c.routes.alternativesTried++
-		to = append(to, c.upstreamsBy((c.routes.current+step)%(others+1))...)
+		to = append(to, c.upstreamsBy((c.routes.current+step)%(alternatives+1))...)
 	}
 	if c.routes.current != 0 && c.now >= c.routes.firstRetryAt {
 		c.routes.firstRetryAt = c.now + firstRelayRetryIntervals*c.renewalInterval()
@@ -75,12 +75,12 @@
 	return to
 }
 
-// renewalOverdue reports whether a renewal should have been answered by now.
+// renewalOverdue reports whether the answer to a renewal is overdue.
 func (c *Core) renewalOverdue() bool {
 	return c.unansweredSince > 0 && c.now-c.unansweredSince >= c.renewalInterval()/overduePerInterval
 }
 
-// currentRelay is the relay that answers renewals, nil: the leader is asked directly.
+// currentRelay returns the relay of the current route, nil if that is the direct route.
 func (c *Core) currentRelay() *Upstream {
 	if c.consensus != nil || c.routes.current >= len(c.config.Relays) {
 		return nil
@@ -88,7 +88,7 @@
 	return &c.config.Relays[c.routes.current]
 }
 
-// upstreamsBy is whom a route leads to.
+// upstreamsBy returns the upstreams of a route.
 func (c *Core) upstreamsBy(route int) []Upstream {
 	if route < len(c.config.Relays) {
 		return []Upstream{c.config.Relays[route]}
@@ -96,8 +96,8 @@
 	return c.directUpstreams()
 }
 
-// directUpstreams is the leader or, where that isn't known or doesn't answer, a voter that
-// may know it.
+// directUpstreams returns the leader or, if the leader is unknown or doesn't answer, a voter that
+// may know the leader.
 func (c *Core) directUpstreams() []Upstream {
 	answers := c.unansweredSince == 0 ||
 		c.now-c.unansweredSince <= leaderUnansweredIntervals*c.renewalInterval()
@@ -110,9 +110,9 @@
 	return []Upstream{c.nextVoter()}
 }
 
-// nextVoter is another voter each time, in turn. There must be some.
+// nextVoter returns the voters in turn, one each call. There must be at least one voter.
 func (c *Core) nextVoter() Upstream {
-	c.voterHint++
-	name := c.voters[c.voterHint%len(c.voters)].Name
+	c.voterTurn++
+	name := c.voters[c.voterTurn%len(c.voters)].Name
 	return Upstream{Name: name, Address: c.addressOf(name)}
 }
--- a/internal/fleet/node/voting.go
+++ b/internal/fleet/node/voting.go
@@ -7,13 +7,13 @@
 	"railrelay.dev/railrelay/internal/fleet/statemachine"
 )
 
-// startConsensus makes this controller a voter, from what it persisted. voters are those
-// of the set-up, nil where the log tells.
-func (c *Core) startConsensus(kept consensus.PersistentState, voters []consensus.Voter) error {
+// startConsensus makes this controller a voter that continues from persisted. voters are the
+// configured voters, nil if the persisted log names them.
+func (c *Core) startConsensus(persisted consensus.PersistentState, voters []consensus.Voter) error {
 	core, effects, err := consensus.New(consensus.Config{
 		Self:              c.config.Self.Name,
 		Voters:            voters,
-		Persistent:        kept,
+		Persistent:        persisted,
 		Seed:              c.config.Seed,
 		ElectionTimeout:   c.config.ElectionTimeout,
 		HeartbeatInterval: c.config.HeartbeatInterval,
@@ -26,8 +26,8 @@
 	return nil
 }
 
-// namedToVote reports whether this controller is named to vote, by the log or, before
-// the log names voters, by the set-up.
+// namedToVote reports whether the log names this controller as a voter or, before the log
+// names any voters, the configuration does.
 func (c *Core) namedToVote() bool {
 	if len(c.state.Voters) > 0 {
 		return slices.ContainsFunc(c.state.Voters, func(v string) bool {
@@ -38,16 +38,16 @@
 	return containsVoter(c.config.Voters, c.config.Self.Name)
 }
 
-// isVoter reports whether a controller votes, as consensus has it.
+// isVoter reports whether consensus counts a controller as a voter.
 func (c *Core) isVoter(name string) bool { return containsVoter(c.voters, name) }
 
 func containsVoter(voters []consensus.Voter, name string) bool {
 	return slices.ContainsFunc(voters, func(v consensus.Voter) bool { return v.Name == name })
 }
 
-// receiveConsensus takes a message of another voter.
+// receiveConsensus handles a consensus message of another voter.
 func (c *Core) receiveConsensus(from string, message []byte) {
-	if c.consensus == nil { // the others count it among the voters
+	if c.consensus == nil { // the sender counts this controller as a voter
 		c.votedOut = false
 		return
 	}
@@ -55,15 +55,14 @@
 	c.stepConsensus(consensus.Event{Kind: consensus.MessageReceived, From: from, Bytes: message})
 }
 
-// stepConsensus passes an event to consensus and performs what follows. This controller
-// must vote.
+// stepConsensus passes an event to consensus and performs the effects. This controller must be
+// a voter.
 func (c *Core) stepConsensus(event consensus.Event) {
 	c.performConsensus(c.consensus.Step(c.now, event))
 }
 
-// performConsensus performs the effects of consensus in their order. Performing one may
-// lead to more, by a call from further down the stack: they wait until those before them
-// are done.
+// performConsensus performs the effects of consensus in order. Performing an effect may call
+// performConsensus again with more effects; the nested call only queues them.
 func (c *Core) performConsensus(effects []consensus.Effect) {
 	c.consensusEffects = append(c.consensusEffects, effects...)
 	if c.performing {
@@ -95,47 +94,47 @@
 	case consensus.LeaderChanged:
 		c.leaderChanged(e.Leader)
 	case consensus.VotersChanged:
-		// a new voter is sent a snapshot that names it
+		// take a snapshot now, since a new voter must get one that names it
 		c.entriesSinceSnapshot = max(c.entriesSinceSnapshot, c.config.SnapshotAfterEntries)
 		c.voters = e.Voters
 	}
 }
 
-// persistConsensus persists entries and votes before consensus tells others of them.
+// persistConsensus persists entries and votes before consensus sends them to other voters.
 func (c *Core) persistConsensus(writes *consensus.PersistentState) {
 	if writes.HardState != nil {
 		c.hardState = writes.HardState
 	}
 	core := c.consensus
 	c.persist(writes, func() {
-		if core == nil || c.consensus != core { // it no longer votes
+		if core == nil || c.consensus != core { // this controller stopped voting in the meantime
 			return
 		}
 		c.stepConsensus(consensus.Event{Kind: consensus.Persisted})
 	})
 }
 
-// startVoting makes this controller a voter where the log names it, once nothing of what
-// it followed is on its way to the disk.
+// startVoting makes this controller a voter if the log names it, once its writes as a follower
+// are persisted.
 func (c *Core) startVoting() {
 	if c.consensus != nil || c.votedOut || !c.namedToVote() || len(c.pendingWrites) > 0 || c.stateError != nil {
 		return
 	}
-	c.logf(true, "this controller votes from now on")
+	c.logf(true, "this controller is now a voter")
 	persisted := consensus.PersistentState{HardState: consensus.VoteOnly(c.hardState)}
 	if err := c.startConsensus(persisted, nil); err != nil {
-		c.logf(true, "can't start voting: %v", err)
+		c.logf(true, "can't become a voter: %v", err)
 	}
 }
 
-// stopVoting ends voting where the log names others. It must not be called before
-// consensus itself counts without this controller: until then, changing the voters takes
-// a majority that includes it.
+// stopVoting makes this controller a follower if the log names other voters. The caller must
+// make sure that consensus no longer counts this controller: until then, the change of the
+// voters needs a majority that includes it.
 func (c *Core) stopVoting() {
 	if len(c.state.Voters) > 0 && !c.namedToVote() && !c.isLeader {
 		c.consensus = nil
 		c.leader = ""
 		c.persistIndex = c.state.Index
-		c.logf(true, "this controller votes no more")
+		c.logf(true, "this controller is no longer a voter")
 	}
 }
