--- a/internal/fleet/node/cluster_test.go
+++ b/internal/fleet/node/cluster_test.go
@@ -13,8 +13,8 @@
 	"railrelay.dev/railrelay/internal/fleet/consensus"
 )
 
-// testCluster is some controllers in virtual time, with request sides that do at once what
-// they are ordered. Its events are played in the order of their times.
+// testCluster runs controllers in virtual time. Their simulated request sides perform each order
+// after a fixed delay. Events run in the order of their times.
 type testCluster struct {
 	t               *testing.T
 	now             time.Duration
@@ -24,21 +24,21 @@
 	timeline        timeline
 	messagesSent    int
 	eventsScheduled int
-	cutLinks        map[string]bool // "a>b"
-	replies         map[string][]*fleet.Response
-	lose            func(from, to string, m *Message) bool // nil: none but those that are cut
-	seen            func(from, to string, m *Message)
+	cutLinks        map[string]bool // keys "from>to"
+	responses       map[string][]*fleet.Response
+	dropMessage     func(from, to string, m *Message) bool // besides cutLinks; nil: drop none
+	onSend          func(from, to string, m *Message)
 }
 
 type scheduledEvent struct {
-	at       time.Duration
-	do       func()
-	owner    *testController
-	ownerRun int
-	order    int
+	at               time.Duration
+	do               func()
+	owner            *testController
+	ownerIncarnation int
+	order            int
 }
 
-// timeline is events by their times, and among equal ones in the order they were scheduled.
+// timeline is a heap of events by time, and by the order of scheduling for equal times.
 type timeline []*scheduledEvent
 
 func (l timeline) Len() int { return len(l) }
@@ -59,17 +59,17 @@
 	name           string
 	config         Config
 	core           *Core
-	run            int // its incarnation, 0: it is down
+	incarnation    int // 0: the controller is down
 	starts         int
 	disk           consensus.PersistentState
 	timerAt        time.Duration
-	permit         fleet.ServingState
+	serving        fleet.ServingState
 	orders         []fleet.Order
-	validations    []string // "asked ID" and "done ID", in order
-	neverValidates string   // a change whose validation never ends
-	rulesUnknown   bool     // of the controllers' own set-ups: it is a control process
-	// outsideAtOpen is how many attempts it reports outside as it opens a version.
-	outsideAtOpen int
+	validations    []string // "asked CHANGE" and "done CHANGE", in order
+	neverValidates string   // ID of a change whose validation never finishes
+	rulesUnknown   bool     // it doesn't know the controllers' own rules, as a control process
+	// attemptsOutside is the number of attempts outside that it reports with PolicyActivated.
+	attemptsOutside int
 }
 
 func newTestCluster(t *testing.T, seed uint64, voters, followers int, lease time.Duration) *testCluster {
@@ -80,14 +80,14 @@
 		if i >= voters {
 			name = fmt.Sprintf("f%d", i-voters)
 		}
-		s.add(configOf(name, l, seed, lease))
+		s.add(testConfig(name, l, seed, lease))
 	}
 	return s
 }
 
 func newEmptyTestCluster(t *testing.T, seed uint64) *testCluster {
 	return &testCluster{t: t, rand: rand.New(rand.NewPCG(seed, 1)), controllers: map[string]*testController{},
-		cutLinks: map[string]bool{}, replies: map[string][]*fleet.Response{}}
+		cutLinks: map[string]bool{}, responses: map[string][]*fleet.Response{}}
 }
 
 func votersNamed(n int) (l []consensus.Voter) {
@@ -97,13 +97,13 @@
 	return l
 }
 
-func configOf(name string, voters []consensus.Voter, seed uint64, lease time.Duration) Config {
+func testConfig(name string, voters []consensus.Voter, seed uint64, lease time.Duration) Config {
 	return Config{Self: fleet.Member{Name: name, DiskID: "disk " + name, Site: "here", PeerAddress: name + ":1"},
 		Voters: voters, Lease: lease, ClockDrift: 0.01, ElectionTimeout: 200 * time.Millisecond,
 		HeartbeatInterval: 40 * time.Millisecond, Seed: seed, SnapshotAfterEntries: 50}
 }
 
-// add starts one more controller.
+// add adds and starts a controller.
 func (s *testCluster) add(b Config) *testController {
 	a := &testController{testCluster: s, name: b.Self.Name, config: b}
 	s.controllers[a.name] = a
@@ -114,10 +114,10 @@
 
 func (a *testController) start() {
 	a.starts++
-	a.run = a.starts
+	a.incarnation = a.starts
 	a.config.Incarnation = uint64(a.starts)
 	a.config.Persisted = a.disk
-	a.permit, a.validations = fleet.ServingState{}, nil
+	a.serving, a.validations = fleet.ServingState{}, nil
 	core, effects, err := New(a.config)
 	if err != nil {
 		a.t.Fatal(err)
@@ -128,16 +128,16 @@
 
 func (a *testController) schedule(in time.Duration, do func()) {
 	a.eventsScheduled++
-	heap.Push(&a.timeline, &scheduledEvent{at: a.now + in, do: do, owner: a, ownerRun: a.run,
+	heap.Push(&a.timeline, &scheduledEvent{at: a.now + in, do: do, owner: a, ownerIncarnation: a.incarnation,
 		order: a.eventsScheduled})
 }
 
-// request has an operator request something of a controller.
+// request sends a controller an operator's request.
 func (a *testController) request(handle uint64, ask *fleet.Request) {
 	a.step(Event{Kind: OperatorRequested, Handle: handle, Request: ask})
 }
 
-// receive brings a message to a controller.
+// receive delivers a message to a controller.
 func (a *testController) receive(m *Message) { a.step(Event{Kind: MessageReceived, Message: m}) }
 
 func (a *testController) step(ev Event) { a.perform(a.core.Step(a.now, ev)) }
@@ -148,11 +148,12 @@
 		case Send:
 			to := a.controllers[e.To]
 			a.messagesSent++
-			if to == nil || a.cutLinks[a.name+">"+e.To] || a.lose != nil && a.lose(a.name, e.To, e.Message) {
+			if to == nil || a.cutLinks[a.name+">"+e.To] ||
+				a.dropMessage != nil && a.dropMessage(a.name, e.To, e.Message) {
 				continue
 			}
-			if a.seen != nil {
-				a.seen(a.name, e.To, e.Message)
+			if a.onSend != nil {
+				a.onSend(a.name, e.To, e.Message)
 			}
 			to.schedule(time.Millisecond+time.Duration(a.rand.IntN(3000))*time.Microsecond,
 				func() { to.step(Event{Kind: MessageReceived, Message: e.Message}) })
@@ -183,7 +184,7 @@
 			a.schedule(time.Millisecond, func() { a.performOrder(e.Order) })
 		case Respond:
 			key := fmt.Sprintf("%s %d", a.name, e.Handle)
-			a.replies[key] = append(a.replies[key], e.Response)
+			a.responses[key] = append(a.responses[key], e.Response)
 		case SetTimer:
 			at := a.now + max(e.Delay, 100*time.Microsecond)
 			a.timerAt = at
@@ -199,15 +200,15 @@
 func (a *testController) performOrder(o fleet.Order) {
 	switch o.Kind {
 	case fleet.FencePolicy:
-		a.permit.SetVersion(0)
+		a.serving.SetVersion(0)
 		a.step(Event{Kind: ControllerReported, Report: fleet.Report{Kind: fleet.PolicyFenced,
 			ChangeID: o.ChangeID}})
 	case fleet.ActivatePolicy:
-		a.permit.SetVersion(o.Version)
+		a.serving.SetVersion(o.Version)
 		a.step(Event{Kind: ControllerReported, Report: fleet.Report{Kind: fleet.PolicyActivated, Version: o.Version,
-			AttemptsOutside: a.outsideAtOpen}})
+			AttemptsOutside: a.attemptsOutside}})
 	case fleet.LeaseRenewed:
-		a.permit.SetLease(o.LeaseEnd, o.ConfinedLeaseEnd)
+		a.serving.SetLease(o.LeaseEnd, o.ConfinedLeaseEnd)
 	case fleet.InvalidateData:
 		a.step(Event{Kind: ControllerReported, Report: fleet.Report{Kind: fleet.DataTombstoned, ID: o.ID}})
 		a.step(Event{Kind: ControllerReported, Report: fleet.Report{Kind: fleet.DataErased, ID: o.ID,
@@ -215,7 +216,7 @@
 	}
 }
 
-// afterWrite is what a disk holds once it was written to.
+// afterWrite returns the contents of a disk after a write.
 func afterWrite(d consensus.PersistentState, k *consensus.PersistentState) consensus.PersistentState {
 	if k.HardState != nil {
 		d.HardState = k.HardState
@@ -240,7 +241,7 @@
 	return d
 }
 
-// waitFor plays until something holds, and fails after a span of virtual time.
+// waitFor runs events until holds returns true, and fails the test after a span of virtual time.
 func (s *testCluster) waitFor(within time.Duration, what string, holds func() bool) {
 	s.t.Helper()
 	for end := s.now + within; !holds(); {
@@ -248,12 +249,13 @@
 			for _, n := range s.names {
 				a := s.controllers[n]
 				st := a.core.Status()
-				s.t.Logf("%s run %d leader %s index %d version %d serves %v word %d change %+v", n, a.run, st.Leader,
-					st.Index, st.Version, st.Serves, a.permit.ServingVersion(s.now, false), st.Change)
+				s.t.Logf("%s incarnation %d leader %s index %d version %d serves %v may serve %d change %+v", n,
+					a.incarnation, st.Leader,
+					st.Index, st.Version, st.Serves, a.serving.ServingVersion(s.now, false), st.Change)
 			}
-			s.t.Fatalf("not within %v: %s", within, what)
+			s.t.Fatalf("not reached within %v: %s", within, what)
 		}
-		s.playNextEvent()
+		s.runNextEvent()
 	}
 }
 
@@ -262,17 +264,17 @@
 	s.waitFor(within, "all serve", func() bool { return s.allServe(s.names...) })
 }
 
-func (s *testCluster) playNextEvent() {
+func (s *testCluster) runNextEvent() {
 	e := heap.Pop(&s.timeline).(*scheduledEvent)
 	s.now = max(s.now, e.at)
-	if e.owner.run == e.ownerRun && e.ownerRun > 0 {
+	if e.owner.incarnation == e.ownerIncarnation && e.ownerIncarnation > 0 {
 		e.do()
 	}
 }
 
 func (s *testCluster) allServe(names ...string) bool {
 	for _, n := range names {
-		if a := s.controllers[n]; a.run == 0 || a.permit.ServingVersion(s.now, false) == 0 {
+		if a := s.controllers[n]; a.incarnation == 0 || a.serving.ServingVersion(s.now, false) == 0 {
 			return false
 		}
 	}
@@ -281,15 +283,15 @@
 
 func (s *testCluster) leader() *testController {
 	for _, n := range s.names {
-		if a := s.controllers[n]; a.run > 0 && a.core.IsLeader() && a.core.ready {
+		if a := s.controllers[n]; a.incarnation > 0 && a.core.IsLeader() && a.core.ready {
 			return a
 		}
 	}
 	return nil
 }
 
-func (s *testCluster) replyTo(a *testController, handle uint64) *fleet.Response {
-	if l := s.replies[fmt.Sprintf("%s %d", a.name, handle)]; len(l) > 0 {
+func (s *testCluster) responseTo(a *testController, handle uint64) *fleet.Response {
+	if l := s.responses[fmt.Sprintf("%s %d", a.name, handle)]; len(l) > 0 {
 		return l[0]
 	}
 	return nil
--- a/internal/fleet/node/relay_aggregation_test.go
+++ b/internal/fleet/node/relay_aggregation_test.go
@@ -8,9 +8,9 @@
 	"railrelay.dev/railrelay/internal/fleet"
 )
 
-func testRenewal(name string, boot, seq uint64) *LeaseRenewal {
+func testRenewal(name string, incarnation, seq uint64) *LeaseRenewal {
 	return &LeaseRenewal{Member: fleet.Member{Name: name, DiskID: "disk " + name, Site: "here",
-		PeerAddress: name + ":1"}, Incarnation: boot, Seq: seq, SentAt: int64(seq)}
+		PeerAddress: name + ":1"}, Incarnation: incarnation, Seq: seq, SentAt: int64(seq)}
 }
 
 func namesIn(g *RelayedRenewals) (names []string) {
@@ -27,19 +27,19 @@
 	return names
 }
 
-func (g *renewalAggregator) given(seq uint64, withheld ...WithheldLease) []addressedGrant {
+func (g *renewalAggregator) grantAll(seq uint64, withheld ...WithheldLease) []addressedGrant {
 	return g.handleAnswer("l", &RelayedGrants{Incarnation: g.incarnation, Seq: seq, Granted: true,
 		RequiredIndex: 7, Leader: "l", Withheld: withheld})
 }
 
-// aggregatorWithTwo is a relay's, which a leader has everything of: a and b ask through it.
+// aggregatorWithTwo returns an aggregator that covers a and b, with no unsent change.
 func aggregatorWithTwo() *renewalAggregator {
 	g := newRenewalAggregator(1)
 	g.setLeader("l")
 	g.addRenewal(0, "a", "disk a", testRenewal("a", 1, 1))
 	g.addRenewal(0, "b", "disk b", testRenewal("b", 1, 1))
 	g.nextMessage(0)
-	g.given(1)
+	g.grantAll(1)
 	return g
 }
 
@@ -49,19 +49,19 @@
 	g.addRenewal(0, "a", "disk a", testRenewal("a", 1, 3))
 	g.nextMessage(0)
 	g.addRenewal(0, "a", "disk a", testRenewal("a", 1, 4))
-	grants := g.given(2)
+	grants := g.grantAll(2)
 	if len(grants) != 1 || grants[0].name != "a" || grants[0].grant.Seq != 3 || grants[0].grant.SentAt != 3 ||
 		grants[0].grant.RequiredIndex != 7 {
 		t.Fatalf("%+v", grants)
 	}
-	if again := g.given(2); len(again) != 0 {
-		t.Errorf("an answer that comes twice grants %+v", again)
+	if again := g.grantAll(2); len(again) != 0 {
+		t.Errorf("a duplicated answer grants %+v", again)
 	}
-	if early := g.given(3); len(early) != 0 {
-		t.Errorf("an answer to a gather that wasn't sent grants %+v", early)
+	if early := g.grantAll(3); len(early) != 0 {
+		t.Errorf("an answer to a message that wasn't sent grants %+v", early)
 	}
 	if other := g.handleAnswer("l", &RelayedGrants{Incarnation: 2, Seq: 2, Granted: true}); len(other) != 0 {
-		t.Errorf("an answer to another run grants %+v", other)
+		t.Errorf("an answer to another incarnation grants %+v", other)
 	}
 }
 
@@ -70,7 +70,7 @@
 	g.addRenewal(0, "a", "disk a", testRenewal("a", 1, 2))
 	g.addRenewal(0, "a", "disk a", testRenewal("a", 2, 1))
 	g.nextMessage(0)
-	for _, to := range g.given(2) {
+	for _, to := range g.grantAll(2) {
 		if to.grant.Incarnation != 2 || to.grant.Seq != 1 {
 			t.Errorf("%+v", to.grant)
 		}
@@ -78,31 +78,31 @@
 	g.addRenewal(0, "a", "disk a", testRenewal("a", 2, 2))
 	g.nextMessage(0)
 	g.addRenewal(0, "a", "disk a", testRenewal("a", 3, 1))
-	if grants := g.given(3); len(grants) != 0 {
-		t.Errorf("a run is granted what the one before asked for: %+v", grants[0].grant)
+	if grants := g.grantAll(3); len(grants) != 0 {
+		t.Errorf("an incarnation is granted the request of the previous one: %+v", grants[0].grant)
 	}
 	if late := g.addRenewal(0, "a", "disk a", testRenewal("a", 3, 1)); late != nil {
-		t.Error("a doubled renewal is an ask")
+		t.Error("a duplicated renewal is accepted")
 	}
 }
 
 func TestAggregatorSendsWhatLeaderLacks(t *testing.T) {
 	g := aggregatorWithTwo()
 	if names := namesIn(g.nextMessage(0)); len(names) != 0 {
-		t.Errorf("unchanged, and told again: %v", names)
+		t.Errorf("unchanged renewals are sent again: %v", names)
 	}
 	changed := testRenewal("b", 1, 2)
 	changed.PolicyVersion = 3
 	g.addRenewal(0, "b", "disk b", changed)
 	if next := g.nextMessage(0); !slices.Equal(namesIn(next), []string{"b"}) || next.BaseSeq != 2 {
-		t.Errorf("%v since %d", namesIn(next), next.BaseSeq)
+		t.Errorf("sent %v with base %d", namesIn(next), next.BaseSeq)
 	}
 	if next := g.nextMessage(0); len(namesIn(next)) != 0 || next.BaseSeq != 3 {
-		t.Errorf("told again: %v since %d", namesIn(next), next.BaseSeq)
+		t.Errorf("sent again: %v with base %d", namesIn(next), next.BaseSeq)
 	}
 	g.setLeader("m")
 	if next := g.nextMessage(0); !slices.Equal(namesIn(next), []string{"a", "b"}) || next.BaseSeq != 0 {
-		t.Errorf("another leader is told %v since %d", namesIn(next), next.BaseSeq)
+		t.Errorf("another leader is sent %v with base %d", namesIn(next), next.BaseSeq)
 	}
 }
 
@@ -115,16 +115,16 @@
 		next.Silent[0].SilentFor != int64(1500*time.Millisecond) {
 		t.Fatalf("%+v", next.Silent)
 	}
-	if grants := g.given(2); len(grants) != 1 || grants[0].name != "b" {
-		t.Errorf("who is silent is granted a lease: %+v", grants)
+	if grants := g.grantAll(2); len(grants) != 1 || grants[0].name != "b" {
+		t.Errorf("a silent controller is granted a lease: %+v", grants)
 	}
 	if next := g.nextMessage(2 * time.Second); len(next.Silent) != 0 {
-		t.Errorf("it is told again: %+v", next.Silent)
+		t.Errorf("the silent controller is reported again: %+v", next.Silent)
 	}
 }
 
-// Whatever message is lost, the next one builds on it, so that a leader notices; the full
-// message that follows leaves out controllers that fell silent meanwhile.
+// A message names the previous one as its base, so a leader notices a lost message. The full
+// message that follows leaves out controllers that became silent in the meantime.
 func TestAggregatorMessageLostIsNoticed(t *testing.T) {
 	g := newRenewalAggregator(1)
 	g.setLeader("l")
@@ -145,11 +145,11 @@
 	}
 	g.handleAnswer("l", &RelayedGrants{Incarnation: 1, Seq: 2, Resync: true})
 	if next := g.nextMessage(time.Second); next.BaseSeq != 3 {
-		t.Errorf("an answer from before everything was told has it told again: %+v", next)
+		t.Errorf("an answer from before the full message makes the next one full too: %+v", next)
 	}
 	g.handleAnswer("l", &RelayedGrants{Incarnation: 1, Seq: 4, Resync: true})
 	if all := g.nextMessage(time.Second); all.BaseSeq != 0 {
-		t.Errorf("everything was lost, and isn't told again: %+v", all)
+		t.Errorf("the lost full message isn't sent again: %+v", all)
 	}
 }
 
@@ -158,13 +158,13 @@
 	g.addRenewal(0, "a", "disk a", testRenewal("a", 1, 2))
 	g.addRenewal(0, "b", "disk b", testRenewal("b", 1, 2))
 	g.nextMessage(0)
-	grants := g.given(2, WithheldLease{Name: "a"}, WithheldLease{Name: "b", RefusedReason: "forgotten"})
+	grants := g.grantAll(2, WithheldLease{Name: "a"}, WithheldLease{Name: "b", RefusedReason: "forgotten"})
 	if len(grants) != 2 || grants[0].grant.Granted || grants[0].grant.RefusedReason != "" ||
 		grants[1].grant.Granted || grants[1].grant.RefusedReason != "forgotten" {
 		t.Fatalf("%+v %+v", grants[0].grant, grants[1].grant)
 	}
 	if next := g.nextMessage(0); !slices.Equal(namesIn(next), []string{"a"}) {
-		t.Errorf("told again: %v", namesIn(next))
+		t.Errorf("sent again: %v, want only a", namesIn(next))
 	}
 }
 
@@ -176,10 +176,10 @@
 		t.Errorf("%+v", grants)
 	}
 	if next := g.nextMessage(0); next.BaseSeq != 0 || !slices.Equal(namesIn(next), []string{"a", "b"}) {
-		t.Errorf("%v since %d", namesIn(next), next.BaseSeq)
+		t.Errorf("sent %v with base %d", namesIn(next), next.BaseSeq)
 	}
 	g.handleAnswer("l", &RelayedGrants{Incarnation: 1, Seq: 3, Granted: true, Resend: []string{"b"}})
 	if next := g.nextMessage(0); !slices.Equal(namesIn(next), []string{"b"}) {
-		t.Errorf("%v", namesIn(next))
+		t.Errorf("sent %v, want only b", namesIn(next))
 	}
 }
