--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -23,7 +23,7 @@
 	EntryFence          = "close"       // every controller stops deciding by the previous version
 	EntryCommit         = "force"       // committed: every controller starts to decide by the new version
 	EntryAbort          = "withdraw"    // the change is aborted: no controller ever decides by it
-	EntryEnterForce     = "settle"      // every serving controller decides by the new version
+	EntryEnterForce     = "settle"      // every serving controller decides by it: the operator is told
 	EntryInvalidate     = "purge"       // every controller deletes the retained data in Scope
 	EntryTombstone      = "unreachable" // no controller serves data of the invalidation any more
 	EntryErased         = "erased"      // the data is erased from the memory and disk of every controller
@@ -67,8 +67,8 @@
 	// Voters (EntryFence) are the voters once the change is in force, as name=address;
 	// none: the voters don't change.
 	Voters []string `cbor:"16,keyasint,omitempty"`
-	// Scopes (EntryFence) select the data that the policy leaves outside its sites. The data
-	// is purged once the change is in force.
+	// Scopes (EntryFence) select the retained data that the policy's narrower residency rules
+	// leave outside their sites. The data is purged once the change is in force.
 	Scopes []Scope `cbor:"17,keyasint,omitempty"`
 }
 
@@ -170,8 +170,8 @@
 // EndWrite ends a write that BeginWrite allowed.
 func (s *ServingState) EndWrite() { s.writesInProgress.Add(-1) }
 
-// WritesFinished reports whether no attempt is being written. After SetVersion(0) it tells that
-// the attempts decided before the fence are written.
+// WritesFinished reports whether no attempt is being written. After SetVersion(0) true means
+// that the attempts decided before the fence are written.
 func (s *ServingState) WritesFinished() bool { return s.writesInProgress.Load() == 0 }
 
 // OrderKind is the kind of an Order. Orders come in the order of the log.
--- a/internal/fleet/node/emergency.go
+++ b/internal/fleet/node/emergency.go
@@ -9,7 +9,7 @@
 
 const (
 	// The report of a controller on the sites with engines is ignored once its last renewal is
-	// older than both.
+	// older than siteReportMaxAge and than siteReportMaxIntervals renewal intervals.
 	siteReportMaxAge       = 2 * time.Second
 	siteReportMaxIntervals = 4
 )
--- a/internal/fleet/node/events.go
+++ b/internal/fleet/node/events.go
@@ -39,8 +39,8 @@
 	// ResidencyRulesUnknown: the policy leaves the residency rules to the configurations of
 	// the controllers, which this process doesn't know.
 	ResidencyRulesUnknown bool
-	// PurgeScopes select the data that the policy leaves outside the sites to which the
-	// previous policy confined it.
+	// PurgeScopes select the retained data that the policy's narrower residency rules leave
+	// outside their sites.
 	PurgeScopes []fleet.Scope
 	Voters      []string // as name=address; none: the voters don't change
 
--- a/internal/fleet/statemachine/state.go
+++ b/internal/fleet/statemachine/state.go
@@ -35,9 +35,9 @@
 	AbortAfterMs int64  `cbor:"AtMost"` // until the leader aborts the change; 0: never
 	LogIndex     uint64 `cbor:"At"`     // of the entry that proposed the change
 
-	// OutsideScopes select the data that the change leaves outside its sites. A purge of each
-	// scope begins once the change is in force. Settled is set once the data and the attempts
-	// outside are gone.
+	// OutsideScopes select the retained data that the change's narrower residency rules leave
+	// outside their sites. A purge of each scope begins once the change is in force. Settled is
+	// set once the data and the attempts outside are gone.
 	OutsideScopes []fleet.Scope `cbor:"Scopes"`
 	Voters        []string      `cbor:"Voters"` // as name=address; none: the voters don't change
 	Settled       bool          `cbor:"Settled"`
@@ -57,7 +57,7 @@
 	LogIndex    uint64                   `cbor:"At"`    // results of queries admitted before it are purged
 	Stage       string                   `cbor:"Stage"` // "", then EntryTombstone, then EntryErased
 	Counts      fleet.InvalidationCounts `cbor:"Counts"`
-	ParentID    string                   `cbor:"Settles"` // change ID or rule name that began it; "": a request did
+	ParentID    string                   `cbor:"Settles"` // change ID or rule that began it; "": a request
 }
 
 // State is the replicated state after the log entries applied so far. The same entries in the
