--- a/internal/fleet/statemachine/state.go
+++ b/internal/fleet/statemachine/state.go
@@ -18,7 +18,7 @@
 	Proposed  = "proposed"
 	Fencing   = "closing"
 	Committed = "decided"  // every controller starts to decide by the new version
-	InForce   = "in force" // every serving controller decides by the new version
+	InForce   = "in force" // every serving controller decides by it; the operator was told
 	Aborted   = "withdrawn"
 	Refused   = "refused" // rejected when it was proposed; it was never under way
 )
