--- a/internal/fairqueue/admission.go
+++ b/internal/fairqueue/admission.go
@@ -4,160 +4,163 @@
 	"time"
 )
 
-// Admission is the answer to a query that arrived.
+// Admission is the result of Enqueue.
 type Admission struct {
 	Admitted     bool
-	WaitEstimate time.Duration // until the query starts, or if rejected until it might
+	WaitEstimate time.Duration // until the query starts or, if it was rejected, until a retry could start
 	Reason       RejectReason
 }
 
-// RejectReason says why a query was not admitted.
+// RejectReason tells why a query was not admitted.
 type RejectReason int
 
-// The reasons. The first is that of an admitted query.
+// The reasons for a rejection. An admitted query has NotRejected.
 const (
 	NotRejected       RejectReason = iota
-	WouldStartTooLate              // its client would be gone before it ended
-	WaitTooLong                    // it would wait longer than ageing allows
-	TenantQueueFull                // too many queries of its tenant wait
-	QueueFull                      // too many queries wait in all
+	WouldStartTooLate              // the query would not end before its client's deadline
+	WaitTooLong                    // the estimated wait exceeds what ageing allows
+	TenantQueueFull                // the tenant has reached its limit of waiting queries
+	QueueFull                      // all tenants together have reached Config.MaxWaiting
 )
 
 var rejectReasonTexts = [...]string{
 	NotRejected:       "",
-	WouldStartTooLate: "it would start too late",
-	WaitTooLong:       "it would wait longer than any may",
-	TenantQueueFull:   "too many of its team wait",
-	QueueFull:         "too many wait",
+	WouldStartTooLate: "query would start too late for its deadline",
+	WaitTooLong:       "estimated wait exceeds the limit",
+	TenantQueueFull:   "too many queries of its team are waiting",
+	QueueFull:         "too many queries are waiting",
 }
 
-// String returns the reason as log messages have it.
+// String returns the text for log messages.
 func (r RejectReason) String() string { return rejectReasonTexts[r] }
 
-// Enqueue admits a query or rejects it with the wait after which it may be retried. Next
-// dispatches admitted queries.
-func (f *Queue) Enqueue(now time.Duration, q *Query) Admission {
-	f.advance(now)
-	n := f.node(q.Tenant)
-	q.leaf = n
-	q.enqueuedAt = f.now
-	q.ArrivedAt = f.now
-	n.counts.Arrived++
-	f.Total.Arrived++
-	f.takeOverRepeat(q)
-	q.estimatedWork = f.usualWork(n, q.Lane)
-	admission, wait := f.decideAdmission(q)
+// Enqueue admits a query, or rejects it and estimates the wait after which a retry could start.
+// Next dispatches admitted queries.
+func (fq *Queue) Enqueue(now time.Duration, q *Query) Admission {
+	fq.advance(now)
+	leaf := fq.node(q.Tenant)
+	q.leaf = leaf
+	q.enqueuedAt = fq.now
+	q.ArrivedAt = fq.now
+	leaf.counts.Arrived++
+	fq.Total.Arrived++
+	fq.inheritFromRepeated(q)
+	q.estimatedWork = fq.expectedWork(leaf, q.Lane)
+	admission, wait := fq.decideAdmission(q)
 	if !admission.Admitted {
-		f.reject(q, n)
+		fq.reject(q, leaf)
 		return admission
 	}
-	f.recordArrival(q)
-	f.lastSequence++
-	q.sequence = f.lastSequence
+	fq.recordArrival(q)
+	fq.lastSequence++
+	q.sequence = fq.lastSequence
 	q.state = stateWaiting
 	q.WaitEstimate = wait
-	q.expectedStart = f.now + wait
-	f.insertWaiting(q)
+	q.expectedStart = fq.now + wait
+	fq.insertWaiting(q)
 	return admission
 }
 
-// takeOverRepeat gives a repeated call the age and the charge of the call that it repeats.
-func (f *Queue) takeOverRepeat(q *Query) {
+// inheritFromRepeated gives a repeated call the arrival time and the charge of the call that it repeats.
+func (fq *Queue) inheritFromRepeated(q *Query) {
 	if q.RepeatOf == 0 {
 		return
 	}
-	was, ok := f.repeats.take(q.RepeatOf)
-	if !ok || was.tenant != q.Tenant {
+	earlier, found := fq.repeats.take(q.RepeatOf)
+	if !found || earlier.tenant != q.Tenant {
 		return
 	}
-	q.ArrivedAt = was.arrived
-	q.credit = was.charged
+	q.ArrivedAt = earlier.arrived
+	q.credit = earlier.charged
 	q.leaf.counts.Repeated++
-	f.Total.Repeated++
+	fq.Total.Repeated++
 }
 
-// decideAdmission checks a query's wait estimate against the bounds. wait is the estimate that
-// an admitted query is queued with.
-func (f *Queue) decideAdmission(q *Query) (admission Admission, wait time.Duration) {
-	n := q.leaf
-	estimate := f.estimateWait(q)
+// decideAdmission checks a query against the queue limits, its deadline and the ageing limit.
+// wait is the estimate that is recorded for the query if it is admitted.
+func (fq *Queue) decideAdmission(q *Query) (admission Admission, wait time.Duration) {
+	leaf := q.leaf
+	estimate := fq.estimateWait(q)
 	wait = estimate
-	// A query behind others of its tenant is not admitted to grow old. The first of a tenant is:
-	// ageing brings its turn whatever its weight.
-	limit := f.config.AgeingLimit*3/5 - (q.enqueuedAt - q.ArrivedAt)
-	if n.queues[q.Lane].First() == nil {
-		wait = min(estimate, f.config.AgeingLimit)
+	// A query behind others of its tenant is rejected if its age at the start would exceed three
+	// fifths of the ageing limit. For the first query of a tenant, ageing bounds the wait whatever
+	// the tenant's weight, so the estimate is capped instead.
+	limit := fq.config.AgeingLimit*3/5 - (q.enqueuedAt - q.ArrivedAt)
+	if leaf.queues[q.Lane].First() == nil {
+		wait = min(estimate, fq.config.AgeingLimit)
 		limit = wait
 	}
-	run := seconds(f.usualRunSeconds(&f.lanes[q.Lane]))
+	expectedRun := seconds(fq.expectedRunSeconds(&fq.lanes[q.Lane]))
 	switch {
-	case n.waiting >= n.maxWaiting:
+	case leaf.waiting >= leaf.maxWaiting:
 		return Admission{Reason: TenantQueueFull, WaitEstimate: wait}, wait
-	case f.waiting >= f.config.MaxWaiting:
+	case fq.waiting >= fq.config.MaxWaiting:
 		return Admission{Reason: QueueFull, WaitEstimate: wait}, wait
-	case f.now+wait+run > q.Deadline:
+	case fq.now+wait+expectedRun > q.Deadline:
 		return Admission{Reason: WouldStartTooLate, WaitEstimate: wait}, wait
-	case wait > max(limit, f.config.AgeingLimit/5):
+	case wait > max(limit, fq.config.AgeingLimit/5):
 		return Admission{Reason: WaitTooLong, WaitEstimate: wait}, wait
 	}
 	return Admission{Admitted: true, WaitEstimate: estimate}, wait
 }
 
-// recordArrival adds an admitted query to the arrival rates; in a surge it counts for less.
-func (f *Queue) recordArrival(q *Query) {
-	n := q.leaf
-	leastSurge := minSurgeQueries * f.largestUsualWork()
-	usual := q.estimatedWork / f.surge.add(f.now, q.estimatedWork, f.totalArrivalRate(), leastSurge)
-	n.arrivalRates[q.Lane].add(f.now, usual)
-	f.lanes[q.Lane].arrivals.add(f.now, usual)
-	q.workAhead = n.backlog[q.Lane] + n.dequeuedWork[q.Lane]
-	if q.NotifyChanges && !q.subscribed && len(f.subscribers) < maxSubscribers {
+// recordArrival adds an admitted query to the arrival rates, divided by the surge factor while a
+// surge lasts, and subscribes it to changes of its estimate if its client asked for them.
+func (fq *Queue) recordArrival(q *Query) {
+	leaf := q.leaf
+	minSurgeWork := minSurgeQueries * fq.largestMeanWork()
+	countedWork := q.estimatedWork / fq.surge.add(fq.now, q.estimatedWork, fq.totalArrivalRate(), minSurgeWork)
+	leaf.arrivalRates[q.Lane].add(fq.now, countedWork)
+	fq.lanes[q.Lane].arrivals.add(fq.now, countedWork)
+	q.workAhead = leaf.backlog[q.Lane] + leaf.dequeuedWork[q.Lane]
+	if q.NotifyChanges && !q.subscribed && len(fq.subscribers) < maxSubscribers {
 		q.subscribed = true
-		f.subscribers = append(f.subscribers, q)
+		fq.subscribers = append(fq.subscribers, q)
 	}
 }
 
-// insertWaiting puts an admitted query into its lane, its orders and, if it may go, its
-// tenant's queue.
-func (f *Queue) insertWaiting(q *Query) {
-	l := &f.lanes[q.Lane]
-	f.addActive(q.leaf)
+// insertWaiting adds an admitted query to its lane, to the orders of its key and chain and, if it
+// is eligible, to its tenant's queue.
+func (fq *Queue) insertWaiting(q *Query) {
+	l := &fq.lanes[q.Lane]
+	fq.addActive(q.leaf)
 	q.leaf.waiting++
-	f.waiting++
+	fq.waiting++
 	l.waiting++
-	f.addBacklog(q)
+	fq.addBacklog(q)
 	l.insert(q)
 	if l.Ordered && q.Key >= 0 {
-		f.joinOrder(q, keyOrder, q.Key)
+		fq.joinOrder(q, keyOrder, q.Key)
 	}
 	if l.Chained {
-		f.joinOrder(q, chainOrder, q.Chain)
+		fq.joinOrder(q, chainOrder, q.Chain)
 	}
-	if q.firstOfItsKey() {
-		f.makeEligible(q)
+	if q.isFirstOfKey() {
+		fq.makeEligible(q)
 	}
 }
 
-// addBacklog counts a query among those that wait, up to the root.
-func (f *Queue) addBacklog(q *Query) {
-	for x := q.leaf; x.parent != nil; x = x.parent {
-		if x.waitingBelow++; x.waitingBelow == 1 {
-			x.catchUp(len(f.lanes))
+// addBacklog adds a waiting query's estimated work to its tenant and all ancestors.
+func (fq *Queue) addBacklog(q *Query) {
+	for n := q.leaf; n.parent != nil; n = n.parent {
+		if n.waitingBelow++; n.waitingBelow == 1 {
+			n.catchUp(len(fq.lanes))
 		}
-		x.backlog[q.Lane] += q.estimatedWork
+		n.backlog[q.Lane] += q.estimatedWork
 	}
-	f.root.backlog[q.Lane] += q.estimatedWork
+	fq.root.backlog[q.Lane] += q.estimatedWork
 }
 
-// reject counts a rejected query and remembers it for its repeat.
-func (f *Queue) reject(q *Query, n *node) {
-	n.counts.Deferred++
-	f.Total.Deferred++
-	f.rememberForRepeat(q)
+// reject counts a rejected query and remembers its arrival time for a repeated call. A tenant
+// without other queries is idle from now.
+func (fq *Queue) reject(q *Query, leaf *node) {
+	leaf.counts.Deferred++
+	fq.Total.Deferred++
+	fq.rememberForRepeat(q)
 	q.state = stateAbsent
-	if n.busy == 0 {
-		f.idle.Remove(&n.idleElement)
-		n.idleSince = f.now
-		f.idle.Append(&n.idleElement, n)
+	if leaf.activeQueries == 0 {
+		fq.idleNodes.Remove(&leaf.idleElement)
+		leaf.idleSince = fq.now
+		fq.idleNodes.Append(&leaf.idleElement, leaf)
 	}
 }
--- a/internal/fairqueue/config.go
+++ b/internal/fairqueue/config.go
@@ -8,35 +8,37 @@
 	"time"
 )
 
-// Config is the configuration of the fair queue: the tree of tenants, the lanes and the bounds.
+// Config configures a Queue: its lanes, the tree of tenants, and the limits.
 type Config struct {
 	Lanes   []Lane
 	Tenants []Tenant
-	// DefaultTenant is the name of the tenant of calls that name none and come from no
-	// tenant's address.
+	// DefaultTenant names the tenant of calls that name no tenant and come from an address
+	// that no tenant owns.
 	DefaultTenant string
-	// TrustedAddresses are those whose calls may name a tenant.
+	// TrustedAddresses lists the addresses whose calls may name a tenant.
 	TrustedAddresses []netip.Prefix
 
-	// AgeingLimit is how long a query waits at the most before it goes ahead of all younger
-	// ones of its lane, whatever its tenant. Behind others of its tenant no query is admitted
-	// whose estimate is over three fifths of it. 0: DefaultAgeingLimit.
+	// AgeingLimit is the wait after which a query is dispatched before all younger queries of
+	// its lane, regardless of tenant. A query that has queries of its own tenant ahead is only
+	// admitted if its estimated wait is at most three fifths of this limit. The zero value
+	// means DefaultAgeingLimit.
 	AgeingLimit time.Duration
-	// MaxWaiting bounds the waiting queries of all tenants together. 0: DefaultMaxWaiting.
+	// MaxWaiting limits the waiting queries of all tenants together. The zero value means
+	// DefaultMaxWaiting.
 	MaxWaiting int
-	// OverrunFactor is how many times its usual work a query takes before its priority is
-	// lowered. 0: DefaultOverrunFactor.
+	// OverrunFactor is the multiple of its estimated work that a query may use before its
+	// priority is lowered. Values up to 1 mean DefaultOverrunFactor.
 	OverrunFactor float64
-	// NotifyThreshold is the change of an estimate, as a part of it, of which clients are
-	// notified. 0: DefaultNotifyChange.
+	// NotifyThreshold is the relative change of a wait estimate above which a subscribed
+	// client is notified. The zero value means DefaultNotifyThreshold.
 	NotifyThreshold float64
 }
 
-// Defaults of the configuration.
+// Default values of Config and Tenant.
 const (
 	DefaultAgeingLimit      = 10 * time.Second
 	DefaultMaxWaiting       = 100_000
-	DefaultTenantMaxWaiting = 10_000 // of one tenant
+	DefaultTenantMaxWaiting = 10_000 // per tenant
 	DefaultOverrunFactor    = 4.0
 	DefaultNotifyThreshold  = 0.25
 )
@@ -44,67 +46,70 @@
 // Lane describes the queue of one resource group.
 type Lane struct {
 	Name                string
-	Threads             float64       // a query runs on
-	PriorityWeight      float64       // of a query that finishes
-	InitialWorkEstimate time.Duration // thread time of a query until any finished
-	MaxRetryAfter       time.Duration // the longest Retry-After its clients follow, 0: any
+	Threads             float64       // that one query runs on
+	PriorityWeight      float64       // scheduling value of one finished query
+	InitialWorkEstimate time.Duration // thread time assumed until a query has finished
+	MaxRetryAfter       time.Duration // longest Retry-After that its clients follow, 0: unlimited
 
-	// Ordered queries are never lowered, nor passed by a younger one of their key or chain.
+	// Ordered lanes dispatch the queries of a key, and of a chain, in the order of arrival, and
+	// never lower the priority of a running query.
 	Ordered bool
-	// Chained queries are loads: they are ordered by table group too.
+	// Chained lanes hold loads, which are also ordered by table group (Query.Chain).
 	Chained bool
 }
 
-// Tenant is a node of the tenant tree. One with Children is a group of tenants, and has no
-// queries of its own.
+// Tenant is a node of the tenant tree. A tenant with Children is a group and has no queries of
+// its own.
 type Tenant struct {
 	Name     string
-	Weight   float64 // against its siblings
+	Weight   float64 // relative to its siblings
 	Children []Tenant
 
-	// The token bucket: Quota in thread seconds a second, 0 for none; Burst in thread seconds.
+	// Quota and Burst configure the token bucket. Quota is its refill rate in thread seconds
+	// per second, 0 for no quota; Burst is its size in thread seconds.
 	Quota float64
 	Burst float64
 
-	MaxWaiting int            // queries, 0: DefaultTenantMaxWaiting
-	Addresses  []netip.Prefix // whose calls are this tenant's
+	MaxWaiting int            // limit of waiting queries, 0: DefaultTenantMaxWaiting
+	Addresses  []netip.Prefix // calls from these addresses belong to this tenant
 }
 
 const maxWeight = 1e6
 
-// Validate reports what is wrong with a configuration, with the path of the tenant at fault.
-func (s *Config) Validate() error {
-	if len(s.Lanes) == 0 {
+// Validate returns an error that names the invalid setting, with the path of the tenant that has it.
+func (c *Config) Validate() error {
+	if len(c.Lanes) == 0 {
 		return errors.New("no resource groups")
 	}
 	seen := map[string]bool{}
-	if err := checkTenants(s.Tenants, "", seen); err != nil {
+	if err := validateTenants(c.Tenants, "", seen); err != nil {
 		return err
 	}
-	if s.DefaultTenant != "" && !seen[s.DefaultTenant] {
-		return fmt.Errorf("default: no team is called %q", s.DefaultTenant)
+	if c.DefaultTenant != "" && !seen[c.DefaultTenant] {
+		return fmt.Errorf("default: no team is named %q", c.DefaultTenant)
 	}
 	return nil
 }
 
-func checkTenants(l []Tenant, path string, seen map[string]bool) error {
-	for _, t := range l {
-		at := path + t.Name
+func validateTenants(tenants []Tenant, parentPath string, seen map[string]bool) error {
+	for _, tenant := range tenants {
+		path := parentPath + tenant.Name
 		switch {
-		case t.Name == "":
-			return fmt.Errorf("%s: a team without a name", path)
-		case !(t.Weight > 0) || t.Weight > maxWeight || math.IsInf(t.Weight, 0):
-			return fmt.Errorf("%s: a weight of %v", at, t.Weight)
-		case t.Quota < 0 || t.Burst < 0 || math.IsNaN(t.Quota+t.Burst):
-			return fmt.Errorf("%s: a budget of %v with a burst of %v", at, t.Quota, t.Burst)
-		case len(t.Children) == 0 && seen[t.Name]:
-			return fmt.Errorf("%s: a second team of this name", at)
-		case len(t.Children) > 0 && len(t.Addresses) > 0:
-			return fmt.Errorf("%s: addresses belong to a team, not to a kind", at)
+		case tenant.Name == "":
+			return fmt.Errorf("%s: a team has no name", parentPath)
+		case !(tenant.Weight > 0) || tenant.Weight > maxWeight || math.IsInf(tenant.Weight, 0):
+			return fmt.Errorf("%s: weight %v is outside the range (0, 1e6]", path, tenant.Weight)
+		case tenant.Quota < 0 || tenant.Burst < 0 || math.IsNaN(tenant.Quota+tenant.Burst):
+			return fmt.Errorf("%s: budget %v or burst %v is negative or not a number",
+				path, tenant.Quota, tenant.Burst)
+		case len(tenant.Children) == 0 && seen[tenant.Name]:
+			return fmt.Errorf("%s: another team has the same name", path)
+		case len(tenant.Children) > 0 && len(tenant.Addresses) > 0:
+			return fmt.Errorf("%s: a group of teams has addresses; only a team can have them", path)
 		}
-		if len(t.Children) == 0 {
-			seen[t.Name] = true
-		} else if err := checkTenants(t.Children, at+"/", seen); err != nil {
+		if len(tenant.Children) == 0 {
+			seen[tenant.Name] = true
+		} else if err := validateTenants(tenant.Children, path+"/", seen); err != nil {
 			return err
 		}
 	}
--- a/internal/fairqueue/dispatch.go
+++ b/internal/fairqueue/dispatch.go
@@ -4,146 +4,150 @@
 	"time"
 )
 
-// Next dispatches the query that goes next in a lane and returns it, or nil if no waiting query
-// may go. The scheduler must be ready for one more query of the lane.
+// Next dispatches the lane's next query and returns it, or returns nil if no waiting query may be
+// dispatched. The scheduler must be able to take one more query of the lane.
 //
-// If the query whose turn it is stands behind another one of its chain, that one goes in its
-// place: it has to go first, and the turn of its own tenant may be far off.
-func (f *Queue) Next(now time.Duration, i int) *Query {
-	f.advance(now)
-	l := &f.lanes[i]
-	if l.waiting == 0 || l.dispatched >= maxDispatched {
+// If the selected query is not the first of its chain, Next dispatches the first one instead: it
+// has to run earlier, and its own tenant may not be selected for a long time.
+func (fq *Queue) Next(now time.Duration, lane int) *Query {
+	fq.advance(now)
+	l := &fq.lanes[lane]
+	if l.waiting == 0 || l.dispatched >= maxDispatchedPerLane {
 		return nil
 	}
 	for {
-		q := l.byAge.First().Value
-		if f.now-q.ArrivedAt < f.config.AgeingLimit || !q.eligible {
-			if q = f.nextInTurn(i); q == nil || f.yields(q) {
+		q := l.waitingByAge.First().Value
+		if fq.now-q.ArrivedAt < fq.config.AgeingLimit || !q.eligible {
+			if q = fq.nextByVirtualTime(lane); q == nil || fq.mustYield(q) {
 				return nil
 			}
 		}
-		b := q.chainPredecessor()
+		head := q.blockingChainHead()
 		switch {
-		case b == nil:
-			f.dispatch(q, l)
+		case head == nil:
+			fq.dispatch(q, l)
 			return q
-		case b.eligible && b.Lane == i:
-			f.dispatch(b, l)
-			return b
+		case head.eligible && head.Lane == lane:
+			fq.dispatch(head, l)
+			return head
 		}
-		f.makeIneligible(q) // until the one before it may go, or is gone
+		fq.makeIneligible(q) // until the head of its chain becomes eligible or leaves
 		q.parked = true
 		q.orders[chainOrder].order.parked++
 	}
 }
 
-// nextInTurn walks down the tree to the tenant with the least virtual start time among those
-// within their quotas, or, if none of them has a query that may go, among those beyond.
-func (f *Queue) nextInTurn(i int) *Query {
-	n := f.root
+// nextByVirtualTime returns the oldest eligible query of the tenant with the least virtual start
+// time, chosen level by level from the root. Tenants beyond their quota are only considered if no
+// tenant within its quota has an eligible query.
+func (fq *Queue) nextByVirtualTime(lane int) *Query {
+	n := fq.root
 	for n.queues == nil {
-		h := n.heaps[withinQuota][i]
-		if len(h) == 0 {
-			h = n.heaps[beyondQuota][i]
+		candidates := n.heaps[withinQuota][lane]
+		if len(candidates) == 0 {
+			candidates = n.heaps[beyondQuota][lane]
 		}
-		if len(h) == 0 {
+		if len(candidates) == 0 {
 			return nil
 		}
-		n = h[0]
+		n = candidates[0]
 	}
-	return n.queues[i].First().Value
+	return n.queues[lane].First().Value
 }
 
-// yields reports whether a query leaves the engines to other lanes: there is capacity for it in
-// its own lane, but queries of other lanes find none in theirs. The engines are full then, and a
-// tenant that is ahead of its share, or beyond its quota, yields to those.
-func (f *Queue) yields(q *Query) bool {
-	if !f.contended(q.Lane) {
+// mustYield reports whether a query has to wait although its lane has capacity. If queries of
+// another lane wait for capacity, the engines are full, and a tenant that is further ahead of its
+// share than allowedLead leaves the capacity to the other lanes.
+func (fq *Queue) mustYield(q *Query) bool {
+	if !fq.isContended(q.Lane) {
 		return false
 	}
-	return q.leaf.lead(len(f.lanes)) > f.allowedLead(q.leaf)
+	return q.leaf.lead(len(fq.lanes)) > fq.allowedLead(q.leaf)
 }
 
-// contended reports whether a query waits in another lane because the engines have no capacity.
-func (f *Queue) contended(but int) bool {
-	for i := range f.lanes {
-		if l := &f.lanes[i]; i != but && l.full && l.waiting > 0 {
+// isContended reports whether a query of another lane waits for engine capacity.
+func (fq *Queue) isContended(exceptLane int) bool {
+	for i := range fq.lanes {
+		if l := &fq.lanes[i]; i != exceptLane && l.schedulerFull && l.waiting > 0 {
 			return true
 		}
 	}
 	return false
 }
 
-// allowedLead is how far a tenant may be ahead of its share before it yields, in thread seconds.
-func (f *Queue) allowedLead(n *node) float64 {
-	return max(maxLeadSeconds*n.share()*f.capacity(), 1e-3)
+// allowedLead returns how far a tenant may be ahead of its share before its queries yield to other
+// lanes, in thread seconds.
+func (fq *Queue) allowedLead(n *node) float64 {
+	return max(yieldLeadSeconds*n.share()*fq.capacity(), 1e-3)
 }
 
-// maxLeadSeconds is in seconds of a tenant's share of the engines.
-const maxLeadSeconds = 3.0
+// yieldLeadSeconds is the lead from which a tenant yields, in seconds of its share of the engines.
+const yieldLeadSeconds = 3.0
 
 // dispatch hands a query to the scheduler and charges its estimated work.
-func (f *Queue) dispatch(q *Query, l *lane) {
-	f.dequeue(q, l)
+func (fq *Queue) dispatch(q *Query, l *laneState) {
+	fq.dequeue(q, l)
 	q.state = stateDispatched
-	f.recordLaneRatio(q.Lane, q.estimatedWork)
+	fq.recordLaneRatio(q.Lane, q.estimatedWork)
 	if l.Chained {
-		f.chainDispatched(q, l)
+		fq.chainDispatched(q, l)
 	}
 	if l.atCapacity {
-		f.typicalInFlight.add(f.inFlightWorkLeft(), 100)
+		fq.typicalInFlight.add(fq.inFlightWorkLeft(), 100)
 	}
-	f.inFlightWork += q.estimatedWork
-	f.runningThreads += l.Threads
-	q.remainingWork, q.serviceAtDispatch = q.estimatedWork, f.servicePerThread
+	fq.inFlightWork += q.estimatedWork
+	fq.runningThreads += l.Threads
+	q.remainingWork, q.serviceAtDispatch = q.estimatedWork, fq.servicePerThread
 	q.charged = max(0, q.estimatedWork-q.credit)
-	f.charge(q.leaf, q.Lane, q.charged)
+	fq.charge(q.leaf, q.Lane, q.charged)
 	l.dispatched++
 	l.dispatchedWork += q.estimatedWork
-	f.running.Append(&q.turnElement, q)
+	fq.running.Append(&q.queueElement, q)
 }
 
-// dequeue takes a query out of all that it waits in.
-func (f *Queue) dequeue(q *Query, l *lane) {
-	f.makeIneligible(q)
-	l.byAge.Remove(&q.ageElement)
-	// The scheduler keeps a chain's order from here on. A key's next turn comes with the query's end.
-	f.leaveOrder(q, chainOrder)
+// dequeue removes a query from its lane, its tenant's queue, its chain's order and the backlogs.
+// It stays in the order of its key.
+func (fq *Queue) dequeue(q *Query, l *laneState) {
+	fq.makeIneligible(q)
+	l.waitingByAge.Remove(&q.ageElement)
+	// From here on the scheduler keeps the order of the chain. The next query of the key becomes
+	// eligible when this query ends.
+	fq.leaveOrder(q, chainOrder)
 	l.waiting--
-	f.waiting--
+	fq.waiting--
 	q.leaf.waiting--
 	q.leaf.dequeuedWork[q.Lane] += q.estimatedWork
-	for x := q.leaf; x.parent != nil; x = x.parent {
-		x.waitingBelow--
-		if x.backlog[q.Lane] -= q.estimatedWork; x.queues != nil && x.waiting == 0 {
-			x.backlog[q.Lane] = 0 // without the rounding of what was added and taken off
+	for n := q.leaf; n.parent != nil; n = n.parent {
+		n.waitingBelow--
+		if n.backlog[q.Lane] -= q.estimatedWork; n.queues != nil && n.waiting == 0 {
+			n.backlog[q.Lane] = 0 // clears accumulated rounding errors
 		}
 	}
-	if f.root.backlog[q.Lane] -= q.estimatedWork; l.waiting == 0 {
-		f.root.backlog[q.Lane] = 0
+	if fq.root.backlog[q.Lane] -= q.estimatedWork; l.waiting == 0 {
+		fq.root.backlog[q.Lane] = 0
 	}
 }
 
-// maxDispatched bounds the queries of a lane that the scheduler holds for other reasons than
-// capacity: locked tables, chains.
-const maxDispatched = 256
+// maxDispatchedPerLane limits the dispatched queries of a lane that the scheduler holds back for
+// reasons other than capacity, such as locked tables and chains.
+const maxDispatchedPerLane = 256
 
-// SetLaneFull records whether the scheduler would take no more queries of a lane.
-func (f *Queue) SetLaneFull(now time.Duration, i int, full bool) {
-	f.advance(now)
-	l := &f.lanes[i]
-	// A query goes whenever there is capacity for it: the lane is at its capacity until there is
-	// some and no query left to use it.
-	if l.atCapacity = full || l.atCapacity && l.waiting > 0; l.atCapacity == l.wasAtCapacity {
-		l.full = full
+// SetLaneFull records whether the scheduler accepts no more queries of a lane.
+func (fq *Queue) SetLaneFull(now time.Duration, lane int, full bool) {
+	fq.advance(now)
+	l := &fq.lanes[lane]
+	// Queries are dispatched as soon as there is capacity. A lane that was full therefore stays at
+	// capacity until there is capacity and no waiting query to use it.
+	if l.atCapacity = full || l.atCapacity && l.waiting > 0; l.atCapacity == l.previouslyAtCapacity {
+		l.schedulerFull = full
 		return
 	}
-	l.full, l.wasAtCapacity = full, l.atCapacity
-	busy := 0
-	for k := range f.lanes {
-		if f.lanes[k].atCapacity {
-			busy++
+	l.schedulerFull, l.previouslyAtCapacity = full, l.atCapacity
+	lanesAtCapacity := 0
+	for k := range fq.lanes {
+		if fq.lanes[k].atCapacity {
+			lanesAtCapacity++
 		}
 	}
-	f.workDone.setSaturated(f.now, busy > 0)
+	fq.workDone.setSaturated(fq.now, lanesAtCapacity > 0)
 }
--- a/internal/fairqueue/engine_model_test.go
+++ b/internal/fairqueue/engine_model_test.go
@@ -169,7 +169,7 @@
 		if n == nil {
 			continue
 		}
-		if n.parent == m.c.root && n.busy > 0 {
+		if n.parent == m.c.root && n.activeQueries > 0 {
 			heavy += n.weight
 		}
 		if n.quota > 0 && n.overQuota != (n.tokens < 0) {
@@ -191,8 +191,8 @@
 			}
 		}
 	}
-	if math.Abs(heavy-m.c.root.busyWeight) > 1e-6*(1+heavy) {
-		m.t.Fatalf("busy weights are %v, not %v", m.c.root.busyWeight, heavy)
+	if math.Abs(heavy-m.c.root.activeChildWeight) > 1e-6*(1+heavy) {
+		m.t.Fatalf("busy weights are %v, not %v", m.c.root.activeChildWeight, heavy)
 	}
 	// what goes next in a lane goes before younger ones of its key and chain
 	last := map[[2]int64]uint64{}
--- a/internal/fairqueue/estimate_correction.go
+++ b/internal/fairqueue/estimate_correction.go
@@ -5,53 +5,55 @@
 	"time"
 )
 
-// estimateCorrection is the factor by which a lane's last estimates were wrong. The error of short
-// waits is taken over soon: queries that just started arrived a moment ago. A query that starts
-// after a long wait got its estimate in another state of things; of its error only a part is taken
-// over, slowly, and never much.
+// estimateCorrection corrects a lane's wait estimates by the error of its recent estimates. It
+// follows the error of short waits quickly, because queries that start after a short wait arrived
+// a moment ago. A query that starts after a long wait was estimated under different conditions, so
+// the correction of long waits is slow, partial and limited.
 type estimateCorrection struct {
-	shortWaits, longWaits float64 // logarithms of the wait over its estimate
-	updatedAt             time.Duration
+	shortLogRatio, longLogRatio float64 // mean logarithm of actual over estimated wait
+	updatedAt                   time.Duration
 }
 
 const (
-	correctionShortGain  = 0.2  // of a new one's error that is taken over
-	correctionLongGain   = 0.01 // the same of long waits
-	correctionDecay      = time.Second
-	maxCorrectionLog     = 1.0 // of the logarithm
-	correctionLongUsed   = 0.7 // of the error of long waits
-	maxLongCorrectionLog = 0.25
-	shortWaitSeconds     = 0.6  // seconds of wait that are half short and half long
-	minMeaningfulWait    = 0.02 // seconds that say nothing
+	shortWaitGain       = 0.2  // part of a new error that enters shortLogRatio
+	longWaitGain        = 0.01 // part of a new error that enters longLogRatio
+	shortWaitDecay      = time.Second
+	maxLogRatio         = 1.0 // limit of the error of a single query
+	longWaitWeight      = 0.7 // part of longLogRatio that is applied
+	maxLongWaitLogRatio = 0.25
+	waitMidpointSeconds = 0.6  // wait that counts half as short and half as long
+	waitOffsetSeconds   = 0.02 // added to both waits, so that tiny waits give no large ratio
 )
 
-func (x *estimateCorrection) advance(now time.Duration) {
-	x.shortWaits *= math.Exp(-(now - x.updatedAt).Seconds() / correctionDecay.Seconds())
-	x.updatedAt = now
+func (c *estimateCorrection) advance(now time.Duration) {
+	c.shortLogRatio *= math.Exp(-(now - c.updatedAt).Seconds() / shortWaitDecay.Seconds())
+	c.updatedAt = now
 }
 
-// add learns from a start: the wait as estimated and as it was, in seconds.
-func (x *estimateCorrection) add(now time.Duration, told, had float64) {
-	x.advance(now)
-	ratio := (had + minMeaningfulWait) / (told + minMeaningfulWait)
-	off := max(-maxCorrectionLog, min(math.Log(ratio), maxCorrectionLog))
-	short := shortness(max(told, had))
-	x.shortWaits += short * correctionShortGain * (off - x.shortWaits)
-	x.longWaits += (1 - short) * correctionLongGain * (off - x.longWaits)
+// add records the estimated and the actual wait of a query that started, in seconds.
+func (c *estimateCorrection) add(now time.Duration, estimated, actual float64) {
+	c.advance(now)
+	ratio := (actual + waitOffsetSeconds) / (estimated + waitOffsetSeconds)
+	logRatio := max(-maxLogRatio, min(math.Log(ratio), maxLogRatio))
+	shortFraction := shortWaitFraction(max(estimated, actual))
+	c.shortLogRatio += shortFraction * shortWaitGain * (logRatio - c.shortLogRatio)
+	c.longLogRatio += (1 - shortFraction) * longWaitGain * (logRatio - c.longLogRatio)
 }
 
-func shortness(wait float64) float64 {
-	r := wait / shortWaitSeconds
-	return 1 / (1 + r*r*r)
+// shortWaitFraction returns the weight with which a wait counts as short: near 1 far below
+// waitMidpointSeconds, near 0 far above.
+func shortWaitFraction(wait float64) float64 {
+	ratio := wait / waitMidpointSeconds
+	return 1 / (1 + ratio*ratio*ratio)
 }
 
-// factor is the correction of an estimate in seconds.
-func (x *estimateCorrection) factor(now time.Duration, wait float64) float64 {
-	if x.shortWaits == 0 && x.longWaits == 0 {
+// factor returns the number by which to multiply a wait estimate, given in seconds.
+func (c *estimateCorrection) factor(now time.Duration, wait float64) float64 {
+	if c.shortLogRatio == 0 && c.longLogRatio == 0 {
 		return 1
 	}
-	x.advance(now)
-	short := shortness(wait)
-	long := max(-maxLongCorrectionLog, min(correctionLongUsed*x.longWaits, maxLongCorrectionLog))
-	return math.Exp(short*x.shortWaits + (1-short)*long)
+	c.advance(now)
+	shortFraction := shortWaitFraction(wait)
+	longLogRatio := max(-maxLongWaitLogRatio, min(longWaitWeight*c.longLogRatio, maxLongWaitLogRatio))
+	return math.Exp(shortFraction*c.shortLogRatio + (1-shortFraction)*longLogRatio)
 }
--- a/internal/fairqueue/heap.go
+++ b/internal/fairqueue/heap.go
@@ -1,9 +1,11 @@
 package fairqueue
 
-// heap orders siblings that wait in one lane by virtual start time. Each node knows its position.
-type heap []*node
+// virtualStartHeap is a binary heap of sibling nodes with eligible queries in one lane, ordered by
+// virtual start time. Each node stores its position.
+type virtualStartHeap []*node
 
-// startsBefore orders siblings by virtual start time, and by age of their state in a tie.
+// startsBefore reports whether a precedes its sibling b: by virtual start time, and in a tie by the
+// order in which their states were created.
 func startsBefore(a, b *node, lane int) bool {
 	if a.virtualStart[lane] < b.virtualStart[lane] {
 		return true
@@ -11,75 +13,76 @@
 	return a.virtualStart[lane] == b.virtualStart[lane] && a.sequence < b.sequence
 }
 
-func (h *heap) push(n *node, lane int) {
+func (h *virtualStartHeap) push(n *node, lane int) {
 	*h = append(*h, n)
 	n.heapPosition[lane] = len(*h) - 1
 	h.up(n.heapPosition[lane], lane)
 }
 
-func (h *heap) remove(i, lane int) {
-	l := *h
-	last := len(l) - 1
-	l[i].heapPosition[lane] = -1
+func (h *virtualStartHeap) remove(i, lane int) {
+	nodes := *h
+	last := len(nodes) - 1
+	nodes[i].heapPosition[lane] = -1
 	if i != last {
-		l[i] = l[last]
-		l[i].heapPosition[lane] = i
+		nodes[i] = nodes[last]
+		nodes[i].heapPosition[lane] = i
 	}
-	l[last] = nil
-	*h = l[:last]
+	nodes[last] = nil
+	*h = nodes[:last]
 	if i < last {
 		h.fix(i, lane)
 	}
 }
 
-func (h *heap) fix(i, lane int) {
+func (h *virtualStartHeap) fix(i, lane int) {
 	if !h.up(i, lane) {
 		h.down(i, lane)
 	}
 }
 
-func (h *heap) up(i, lane int) (moved bool) {
-	l := *h
+func (h *virtualStartHeap) up(i, lane int) (moved bool) {
+	nodes := *h
 	for i > 0 {
-		p := (i - 1) / 2
-		if !startsBefore(l[i], l[p], lane) {
+		parent := (i - 1) / 2
+		if !startsBefore(nodes[i], nodes[parent], lane) {
 			break
 		}
-		l[i], l[p] = l[p], l[i]
-		l[i].heapPosition[lane], l[p].heapPosition[lane] = i, p
-		i, moved = p, true
+		nodes[i], nodes[parent] = nodes[parent], nodes[i]
+		nodes[i].heapPosition[lane], nodes[parent].heapPosition[lane] = i, parent
+		i, moved = parent, true
 	}
 	return moved
 }
 
-func (h *heap) down(i, lane int) {
-	l := *h
+func (h *virtualStartHeap) down(i, lane int) {
+	nodes := *h
 	for {
-		k := 2*i + 1
-		if k >= len(l) {
+		child := 2*i + 1
+		if child >= len(nodes) {
 			return
 		}
-		if k+1 < len(l) && startsBefore(l[k+1], l[k], lane) {
-			k++
+		if child+1 < len(nodes) && startsBefore(nodes[child+1], nodes[child], lane) {
+			child++
 		}
-		if !startsBefore(l[k], l[i], lane) {
+		if !startsBefore(nodes[child], nodes[i], lane) {
 			return
 		}
-		l[i], l[k] = l[k], l[i]
-		l[i].heapPosition[lane], l[k].heapPosition[lane] = i, k
-		i = k
+		nodes[i], nodes[child] = nodes[child], nodes[i]
+		nodes[i].heapPosition[lane], nodes[child].heapPosition[lane] = i, child
+		i = child
 	}
 }
 
-// refillHeap orders nodes beyond their quota by the time when they are within it again.
+// refillHeap is a binary heap of the nodes beyond their quota, ordered by the time at which their
+// token buckets are back at zero.
 type refillHeap []*node
 
 func (h *refillHeap) less(i, j int) bool { return (*h)[i].refilledAt() < (*h)[j].refilledAt() }
 
 func (h *refillHeap) swap(i, j int) {
-	l := *h
-	l[i], l[j] = l[j], l[i]
-	l[i].refillHeapPosition, l[j].refillHeapPosition = i, j
+	nodes := *h
+	nodes[i], nodes[j] = nodes[j], nodes[i]
+	nodes[i].refillHeapPosition, nodes[j].refillHeapPosition = i, j
 }
 
 func (h *refillHeap) push(n *node) {
@@ -105,17 +108,17 @@
 		i = (i - 1) / 2
 	}
 	for {
-		k := 2*i + 1
-		if k >= len(*h) {
+		child := 2*i + 1
+		if child >= len(*h) {
 			return
 		}
-		if k+1 < len(*h) && h.less(k+1, k) {
-			k++
+		if child+1 < len(*h) && h.less(child+1, child) {
+			child++
 		}
-		if !h.less(k, i) {
+		if !h.less(child, i) {
 			return
 		}
-		h.swap(i, k)
-		i = k
+		h.swap(i, child)
+		i = child
 	}
 }
--- a/internal/fairqueue/lane.go
+++ b/internal/fairqueue/lane.go
@@ -2,42 +2,43 @@
 
 import "railrelay.dev/railrelay/internal/intrusivelist"
 
-// lane is the state of one resource group's queue.
-type lane struct {
+// laneState is the state of one resource group's queue.
+type laneState struct {
 	Lane
 
 	// Waiting queries.
-	byAge           intrusivelist.List[Query] // all that wait
+	waitingByAge    intrusivelist.List[Query] // all of them, oldest first
 	waiting         int
-	eligibleTenants int // with a query that may go
+	eligibleTenants int // tenants with an eligible query
 
-	// Capacity.
-	atCapacity, wasAtCapacity bool // now, and at the last change
-	full                      bool // the scheduler would take no more when last asked
+	// Engine capacity, see SetLaneFull.
+	atCapacity, previouslyAtCapacity bool // current value, and value at the last change
+	schedulerFull                    bool // the scheduler accepted no more queries when last asked
 
-	// Dispatched queries that are not sent yet, and their thread seconds.
+	// Dispatched queries whose first attempt is not sent yet, and their thread seconds.
 	dispatched     int
 	dispatchedWork float64
 
-	// What was learned.
-	usualCost  runningMean // thread seconds of a query
-	slowdown   runningMean // run time over the run time alone
-	runSeconds runningMean // from start to end
+	// Measurements.
+	meanWork   runningMean // thread seconds of a query
+	slowdown   runningMean // run time over the run time on an idle engine
+	runSeconds runningMean // run time of a query
 	arrivals   arrivalRate // of admitted queries
-	profile    rivalProfile
+	sample     competitorSample
 	correction estimateCorrection
 }
 
-// insert puts a query into the lane by age: a repeated call stands further ahead.
-func (l *lane) insert(q *Query) {
-	at := l.byAge.Last()
+// insert adds a query in the order of arrival. A repeated call has the arrival time of the call that
+// it repeats, so it can precede queries that are already waiting.
+func (l *laneState) insert(q *Query) {
+	at := l.waitingByAge.Last()
 	for at != nil && at.Value.ArrivedAt > q.ArrivedAt {
 		at = at.Previous()
 	}
-	l.byAge.InsertAfter(&q.ageElement, q, at)
+	l.waitingByAge.InsertAfter(&q.ageElement, q, at)
 }
 
-func (l *lane) removeDispatched(q *Query) {
+func (l *laneState) removeDispatched(q *Query) {
 	if l.dispatched--; l.dispatched == 0 {
 		l.dispatchedWork = 0
 	} else {
@@ -46,6 +47,6 @@
 }
 
 // valuePerWork is the priority weight of the lane's queries over their usual work.
-func (l *lane) valuePerWork() float64 {
-	return l.PriorityWeight / l.usualCost.valueOr(max(1e-4, l.InitialWorkEstimate.Seconds()))
+func (l *laneState) valuePerWork() float64 {
+	return l.PriorityWeight / l.meanWork.valueOr(max(1e-4, l.InitialWorkEstimate.Seconds()))
 }
--- a/internal/fairqueue/order.go
+++ b/internal/fairqueue/order.go
@@ -4,145 +4,149 @@
 	"time"
 )
 
+// orderLink is a query's place in an orderQueue, as a link of a doubly linked list.
 type orderLink struct {
 	order      *orderQueue
 	prev, next *Query
 }
 
-// orderQueue keeps the order in which queries of a key, or loads of a table group, arrived.
+// orderQueue holds the queries of a key, or the loads of a table group, in the order of arrival.
 type orderQueue struct {
 	first, last *Query
 	id          orderID
-	parked      int // of a chain
+	parked      int // number of parked queries, only in a chain's order
 }
 
-// The kinds of orders: of a key, and of a chain.
+// Kinds of orders, also indexes in Query.orders.
 const (
 	keyOrder   = 0
 	chainOrder = 1
 )
 
+// orderID identifies an orderQueue.
 type orderID struct {
 	kind int // keyOrder or chainOrder
 	id   int64
 }
 
-// firstOfItsKey reports whether no query of its key goes before it. One that stands behind another
-// of its chain may still have a turn: the other goes in its place.
-func (q *Query) firstOfItsKey() bool {
-	x := q.orders[keyOrder].order
-	return x == nil || x.first == q
+// isFirstOfKey reports whether no earlier query of its key is left. Such a query is eligible even if
+// earlier queries of its chain wait: when it is selected, Next dispatches the first of the chain.
+func (q *Query) isFirstOfKey() bool {
+	order := q.orders[keyOrder].order
+	return order == nil || order.first == q
 }
 
-// chainPredecessor is the query of its chain that has to go before it, nil if there is none.
-func (q *Query) chainPredecessor() *Query {
-	if x := q.orders[chainOrder].order; x != nil && x.first != q {
-		return x.first
+// blockingChainHead returns the first query of its chain, or nil if that is the query itself or if
+// it belongs to no chain.
+func (q *Query) blockingChainHead() *Query {
+	if order := q.orders[chainOrder].order; order != nil && order.first != q {
+		return order.first
 	}
 	return nil
 }
 
-// joinOrder puts a query at the end of a key's or chain's order, which neither age nor weight
-// changes.
-func (f *Queue) joinOrder(q *Query, kind int, id int64) {
-	at := orderID{kind, id}
-	x := f.orders[at]
-	if x == nil {
-		if x = f.spareOrder; x != nil {
-			f.spareOrder = nil
+// joinOrder appends a query to the order of a key or chain. Neither age nor weight changes its place
+// there.
+func (fq *Queue) joinOrder(q *Query, kind int, id int64) {
+	orderKey := orderID{kind, id}
+	order := fq.orders[orderKey]
+	if order == nil {
+		if order = fq.spareOrder; order != nil {
+			fq.spareOrder = nil
 		} else {
-			x = &orderQueue{}
+			order = &orderQueue{}
 		}
-		x.id, x.first, x.last = at, nil, nil
-		f.orders[at] = x
+		order.id, order.first, order.last = orderKey, nil, nil
+		fq.orders[orderKey] = order
 	}
-	k := &q.orders[kind]
-	k.order, k.prev, k.next = x, x.last, nil
-	if x.last != nil {
-		x.last.orders[kind].next = q
+	link := &q.orders[kind]
+	link.order, link.prev, link.next = order, order.last, nil
+	if order.last != nil {
+		order.last.orders[kind].next = q
 	} else {
-		x.first = q
+		order.first = q
 	}
-	x.last = q
+	order.last = q
 }
 
-// leaveOrder takes a query out of an order and makes the one behind it eligible.
-func (f *Queue) leaveOrder(q *Query, kind int) {
-	k := &q.orders[kind]
-	x := k.order
-	if x == nil {
+// leaveOrder removes a query from one of its orders. It then makes the order's first query eligible,
+// or a chain's parked queries.
+func (fq *Queue) leaveOrder(q *Query, kind int) {
+	link := &q.orders[kind]
+	order := link.order
+	if order == nil {
 		return
 	}
-	if k.prev != nil {
-		k.prev.orders[kind].next = k.next
+	if link.prev != nil {
+		link.prev.orders[kind].next = link.next
 	} else {
-		x.first = k.next
+		order.first = link.next
 	}
-	if k.next != nil {
-		k.next.orders[kind].prev = k.prev
+	if link.next != nil {
+		link.next.orders[kind].prev = link.prev
 	} else {
-		x.last = k.prev
+		order.last = link.prev
 	}
-	*k = orderLink{}
+	*link = orderLink{}
 	if q.parked && kind == chainOrder {
 		q.parked = false
-		x.parked--
+		order.parked--
 	}
-	if x.first == nil {
-		delete(f.orders, x.id)
-		f.spareOrder = x
+	if order.first == nil {
+		delete(fq.orders, order.id)
+		fq.spareOrder = order
 		return
 	}
 	if kind == chainOrder {
-		f.unpark(x)
+		fq.unpark(order)
 		return
 	}
-	// q may have been one further behind: then the first is eligible already.
-	next := x.first
+	// If q was not the first of its key, the first query is eligible already.
+	next := order.first
 	if next.state == stateWaiting && !next.eligible && !next.parked {
-		f.makeEligible(next)
+		fq.makeEligible(next)
 	}
 }
 
-// unpark makes the queries eligible again that were parked behind the first of a chain.
-func (f *Queue) unpark(x *orderQueue) {
-	for q := x.first; q != nil && x.parked > 0; q = q.orders[chainOrder].next {
+// unpark makes the parked queries of a chain eligible again.
+func (fq *Queue) unpark(order *orderQueue) {
+	for q := order.first; q != nil && order.parked > 0; q = q.orders[chainOrder].next {
 		if q.parked {
 			q.parked = false
-			x.parked--
-			f.makeEligible(q)
+			order.parked--
+			fq.makeEligible(q)
 		}
 	}
 }
 
-// chainInFlight counts what of a chain was dispatched and is not over.
+// chainInFlight tracks the loads of a chain that were dispatched and have not ended.
 type chainInFlight struct {
 	inFlight    int
-	expectedEnd time.Duration // when it should be
+	expectedEnd time.Duration // of the last of them
 }
 
-// chainDispatched counts a load that was dispatched.
-func (f *Queue) chainDispatched(q *Query, l *lane) {
-	x := f.chains[q.Chain]
-	x.inFlight++
-	x.expectedEnd = max(x.expectedEnd, f.now) + seconds(f.usualRunSeconds(l))
-	f.chains[q.Chain] = x
+// chainDispatched adds a dispatched load to its chain.
+func (fq *Queue) chainDispatched(q *Query, l *laneState) {
+	chain := fq.chains[q.Chain]
+	chain.inFlight++
+	chain.expectedEnd = max(chain.expectedEnd, fq.now) + seconds(fq.expectedRunSeconds(l))
+	fq.chains[q.Chain] = chain
 }
 
-// chainEnded counts a dispatched load that is over.
-func (f *Queue) chainEnded(q *Query) {
-	if x := f.chains[q.Chain]; x.inFlight > 1 {
-		x.inFlight--
-		f.chains[q.Chain] = x
+// chainEnded removes a dispatched load that has ended from its chain.
+func (fq *Queue) chainEnded(q *Query) {
+	if chain := fq.chains[q.Chain]; chain.inFlight > 1 {
+		chain.inFlight--
+		fq.chains[q.Chain] = chain
 	} else {
-		delete(f.chains, q.Chain)
+		delete(fq.chains, q.Chain)
 	}
 }
 
-// predecessor is the query before q, or the last if q is not in the order yet.
-func (x *orderQueue) predecessor(q *Query, kind int) *Query {
-	if q.orders[kind].order == x {
+// predecessor returns the query before q, or the last query if q has not joined the order.
+func (o *orderQueue) predecessor(q *Query, kind int) *Query {
+	if q.orders[kind].order == o {
 		return q.orders[kind].prev
 	}
-	return x.last
+	return o.last
 }
--- a/internal/fairqueue/query.go
+++ b/internal/fairqueue/query.go
@@ -6,74 +6,77 @@
 	"railrelay.dev/railrelay/internal/intrusivelist"
 )
 
-// Query is a query's state in the fair queue. Its owner embeds it in its own record, so that
+// Query is the state of a query in the fair queue. The owner provides its memory, so that
 // enqueueing and ending a query allocate nothing.
 type Query struct {
 	// Set by the owner before Enqueue.
 	Owner         any           // the owner's record
 	Lane          int           // index in Config.Lanes
-	Tenant        int           // index as TenantOf gives it
-	Key           int64         // of its order, -1: none
-	Chain         int64         // its table group, used in chained lanes
-	Deadline      time.Duration // its client waits no longer
-	NotifyChanges bool          // its client wants to be notified when its estimate changes by much
-	RepeatOf      uint64        // the call that this one repeats: it keeps its age and charge. 0: none
-	RepeatID      uint64        // what a repeat of this one will name. 0: nothing
+	Tenant        int           // index returned by TenantOf
+	Key           int64         // queries of one key run in order, -1: no key
+	Chain         int64         // table group, used in chained lanes
+	Deadline      time.Duration // time at which its client stops waiting
+	NotifyChanges bool          // notify the client of changes of its wait estimate
+	RepeatOf      uint64        // RepeatID of the call that this one repeats, 0: none
+	RepeatID      uint64        // what a repeated call names in RepeatOf, 0: the call can't be repeated
 
-	// Set by the queue. ArrivedAt is an earlier call's time if the query repeats one.
+	// Set by the queue. ArrivedAt is the arrival of the first call if this one repeats it.
 	ArrivedAt    time.Duration
-	WaitEstimate time.Duration // the first one
+	WaitEstimate time.Duration // first estimate of the wait
 
-	// Waiting.
-	state           state
-	leaf            *node // its tenant's
+	// Admission and waiting.
+	state           queryState
+	leaf            *node // state of its tenant
 	enqueuedAt      time.Duration
 	sequence        uint64
-	uncorrectedWait float64       // estimate in seconds before the lane's correction
-	expectedStart   time.Duration // by the last estimate given
-	workAhead       float64       // of its tenant before it, with all that had been dequeued
+	uncorrectedWait float64       // wait estimate in seconds before the lane's correction
+	expectedStart   time.Duration // by the latest wait estimate
+	workAhead       float64       // work of its tenant ahead in the lane, on the scale of node.dequeuedWork
 	subscribed      bool
 
-	// Charges, in thread seconds.
+	// Charges in thread seconds.
 	estimatedWork float64
 	charged       float64
-	credit        float64 // charged for the call that it repeats
+	credit        float64 // charge of the call that it repeats
 
 	// Running.
 	startedAt         time.Duration
 	sweptAt           time.Duration
-	ranSeconds        float64 // since the start, as far as sweeps counted them
-	remainingWork     float64 // of the estimated work
-	serviceAtDispatch float64 // servicePerThread then
-	measuredWork      float64 // counted for the capacity while it runs
-	lowered           bool
+	runSeconds        float64 // run time counted by Sweep
+	remainingWork     float64 // part of estimatedWork that is left
+	serviceAtDispatch float64 // Queue.servicePerThread at dispatch
+	countedWork       float64 // work already added to Queue.workDone
+	priorityLowered   bool
 
-	// Places in lists.
-	turnElement intrusivelist.Element[Query] // in its tenant's queue, or among the running
-	ageElement  intrusivelist.Element[Query] // in its lane, among all that wait
-	eligible    bool                         // it is in its tenant's queue
-	orders      [2]orderLink                 // its places in the orders of its key and its chain
-	parked      bool                         // its turn came, and one of its chain that can't go is before it
+	// List membership.
+	queueElement intrusivelist.Element[Query] // in its tenant's queue, or in Queue.running
+	ageElement   intrusivelist.Element[Query] // in its lane's list of waiting queries
+	eligible     bool                         // in its tenant's queue
+	orders       [2]orderLink                 // places in the orders of its key and its chain
+	parked       bool                         // waits for the first query of its chain, see Queue.Next
 }
 
-type state uint8
+// queryState is the progress of a query through the queue.
+type queryState uint8
 
 const (
-	stateAbsent state = iota
+	stateAbsent queryState = iota // not admitted, or ended
 	stateWaiting
-	stateDispatched // handed to the scheduler, not sent yet
+	stateDispatched // handed to the scheduler, no attempt sent yet
 	stateRunning    // the first attempt was sent
 )
 
-// list holds the eligible queries of a tenant in a lane, oldest first, or the running queries.
-type list = intrusivelist.List[Query]
+// queryList is a list of queries: a tenant's eligible queries of a lane, oldest first, or the running
+// queries.
+type queryList = intrusivelist.List[Query]
 
-func older(a, b *Query) bool {
+// arrivedBefore orders queries by arrival time, and in a tie by the order of admission.
+func arrivedBefore(a, b *Query) bool {
 	return a.ArrivedAt < b.ArrivedAt || a.ArrivedAt == b.ArrivedAt && a.sequence < b.sequence
 }
 
-// PriorityLowered reports whether the query's priority is lowered to the least for now.
-func (q *Query) PriorityLowered() bool { return q.lowered }
+// PriorityLowered reports whether the query currently has the lowest priority.
+func (q *Query) PriorityLowered() bool { return q.priorityLowered }
 
-// Waiting reports whether the query was admitted and is not dispatched yet.
+// Waiting reports whether the query was admitted and has not been dispatched.
 func (q *Query) Waiting() bool { return q.state == stateWaiting }
--- a/internal/fairqueue/queue.go
+++ b/internal/fairqueue/queue.go
@@ -1,11 +1,12 @@
-// Package fairqueue decides which tenant's query goes next, how long each will wait, and which
-// running queries have their priority lowered: start-time fair queueing over a tree of weighted
-// tenants, with token buckets and ageing. It stands before the scheduler, which chooses engines
-// and rejects for want of them; this package chooses whose turn it is whenever the scheduler
-// would take one more query.
+// Package fairqueue shares engine capacity between tenants. It implements start-time fair queueing
+// over a tree of weighted tenants, with token buckets and ageing. It decides which tenant's query is
+// dispatched next, estimates how long each query will wait, and lowers the priority of some running
+// queries. The queue is in front of the scheduler: the scheduler chooses engines, and rejects queries
+// for which it has none; this package chooses the next query whenever the scheduler can take one more.
+// A lane is the queue of one resource group.
 //
-// It is a pure state machine: no I/O, no clock, no goroutine. Times are spans since the owner's
-// start and never run backwards inside. Amounts of work are thread seconds.
+// The package is a pure state machine without I/O, clock or goroutines. Times are durations since the
+// start of the owner; inside the queue, time never goes backwards. Work is measured in thread seconds.
 package fairqueue
 
 import (
@@ -15,296 +16,302 @@
 	"railrelay.dev/railrelay/internal/intrusivelist"
 )
 
-// Counts sums what happened to the queries of a tenant, or of all tenants together.
+// Counts holds the query statistics of a tenant, or of all tenants together.
 type Counts struct {
 	// Numbers of queries.
 	Arrived, Started, Finished, Deferred, Killed, ClientGone, Repeated, PriorityLowered int
 
-	// ChargedThreadSeconds is in thread seconds.
+	// ChargedThreadSeconds is the work charged to a tenant. Queue.Total leaves it and LastStartAt at zero.
 	ChargedThreadSeconds float64
 
-	// Of the queries that started: sums of their first estimates and of their waits, the
-	// longest wait, and when the last one started.
+	// Statistics of the queries that started: the sums of their first wait estimates and of
+	// their waits, the longest wait, and the time of the last start.
 	TotalEstimatedWait, TotalWait, MaxWait, LastStartAt time.Duration
 }
 
-// Queue is the fair queue of one controller. It is not safe for concurrent use: its owner's
+// Queue is the fair queue of one controller. It is not safe for concurrent use: the owner's
 // goroutine makes all calls.
 type Queue struct {
 	config   Config
 	resolver *tenantResolver
-	lanes    []lane
+	lanes    []laneState
 	cores    float64
 
-	// The tenant tree. Indexes are those of tenants.
-	tenants   []tenantRecord
-	children  [][]int
-	root      *node
-	nodeCount int    // nodes with state
-	nodesMade uint64 // ever, numbers the nodes
-	debtors   []*node
-	idle      intrusivelist.List[node] // in the order in which they became idle
-	refills   refillHeap
-
-	// Time never runs backwards; sweptAt is the last sweep's.
+	// The tenant tree. children holds the indexes in tenants of each tenant's children.
+	tenants             []tenantRecord
+	children            [][]int
+	root                *node
+	nodeCount           int    // tenants with state
+	nextNodeSequence    uint64 // for node.sequence
+	deferredChargeNodes []*node
+	idleNodes           intrusivelist.List[node] // in the order in which they became idle
+	overQuotaNodes      refillHeap
+
+	// now never decreases; sweptAt is the time of the last Sweep.
 	now           time.Duration
 	sweptAt       time.Duration
-	lastWaitingAt time.Duration // when a query last waited, as sweeps saw it
+	lastWaitingAt time.Duration // last sweep at which a query waited
 
 	// Waiting queries.
 	lastSequence uint64
 	waiting      int
 	orders       map[orderID]*orderQueue
-	spareOrder   *orderQueue // to be used again
+	spareOrder   *orderQueue // an empty order for reuse
 	chains       map[int64]chainInFlight
-	repeats      repeatMemory
-	subscribers  []*Query // asked for changes of their estimate
+	repeats      repeatCache
+	subscribers  []*Query // whose clients are notified of changed estimates
 
 	// Dispatched and running queries.
-	running          list    // in the order of dispatch
-	inFlightWork     float64 // thread seconds left, at the last sweep
+	running          queryList // dispatched and running, in the order of dispatch
+	inFlightWork     float64   // estimated thread seconds left, as of the last sweep
 	runningThreads   float64
-	servicePerThread float64 // seconds that each running thread was served so far
-
-	// What was learned of the engines.
-	workDone        saturatedRate // part of the cores' time that was used while queries waited
-	overrunRate     float64       // thread seconds a second of queries far beyond their usual work
-	overrunMean     runningMean   // the same, while queries wait
-	typicalInFlight runningMean   // work in flight when a query that waited was dispatched
-	laneRatios      [][2]float64  // by pair of lanes: work dispatched of each while both waited
+	servicePerThread float64 // seconds of core time given to each running thread so far
+
+	// Measurements of the engines.
+	workDone        saturatedRate // fraction of the cores used while queries waited
+	overrunRate     float64       // thread seconds per second used by queries far beyond their estimated work
+	meanOverrunRate runningMean   // mean of overrunRate while queries wait
+	typicalInFlight runningMean   // work in flight at a dispatch from a lane at capacity
+	laneRatios      [][2]float64  // work dispatched from each lane of a pair while both waited
 	surge           surge
 
-	// Total counts all tenants together.
+	// Total holds the counts of all tenants together.
 	Total Counts
 }
 
-// New makes an empty queue. The configuration must have passed Check.
-func New(shape Config) *Queue {
-	f := &Queue{
+// New returns an empty queue. The configuration must be valid, see Config.Validate.
+func New(config Config) *Queue {
+	fq := &Queue{
 		orders:        map[orderID]*orderQueue{},
 		chains:        map[int64]chainInFlight{},
 		cores:         1,
 		lastWaitingAt: -time.Hour,
 	}
-	f.root = &node{weight: 1}
-	f.applyConfig(shape)
-	return f
+	fq.root = &node{weight: 1}
+	fq.applyConfig(config)
+	return fq
 }
 
-// TenantOf returns the tenant's index: by the name in the call, where the call's address is
-// trusted to name one, and else by the address.
-func (f *Queue) TenantOf(from netip.Addr, named []byte) int { return f.resolver.resolve(from, named) }
+// TenantOf returns the index of a call's tenant. The name in the call decides if the address is
+// trusted to name a tenant, otherwise the address does.
+func (fq *Queue) TenantOf(from netip.Addr, named []byte) int { return fq.resolver.resolve(from, named) }
 
-// TenantName returns the name of a tenant's index as TenantOf gave it.
-func (f *Queue) TenantName(i int) string { return f.tenants[i].Name }
+// TenantName returns the name of the tenant with an index returned by TenantOf.
+func (fq *Queue) TenantName(tenant int) string { return fq.tenants[tenant].Name }
 
-// StarvationBound is the longest time that a tenant with a waiting query goes without a start:
-// the ageing limit, after which its query goes before all that arrived later, and a quarter of
-// it for those that arrived earlier. Only the first waiting query of a tenant may grow as old.
-func (f *Queue) StarvationBound() time.Duration { return f.config.AgeingLimit * 5 / 4 }
+// StarvationBound returns the longest time for which a tenant with a waiting query gets no start. It
+// is the ageing limit, after which the query precedes all that arrived later, plus a quarter of the
+// limit for the queries that arrived earlier. Only the first waiting query of a tenant may become as
+// old.
+func (fq *Queue) StarvationBound() time.Duration { return fq.config.AgeingLimit * 5 / 4 }
 
-// WaitingCount returns the number of queries that wait, over all tenants.
-func (f *Queue) WaitingCount() int { return f.waiting }
+// WaitingCount returns the number of waiting queries of all tenants.
+func (fq *Queue) WaitingCount() int { return fq.waiting }
 
-// StateCount returns how many tenants, orders, chains and remembered calls have state. Tests
-// use it to check the bounds on memory.
-func (f *Queue) StateCount() int {
-	return f.nodeCount + len(f.orders) + len(f.chains) + f.repeats.size()
+// StateCount returns the number of tenants, orders, chains and repeatable calls with state. Tests use
+// it to check that memory is bounded.
+func (fq *Queue) StateCount() int {
+	return fq.nodeCount + len(fq.orders) + len(fq.chains) + fq.repeats.size()
 }
 
-func (f *Queue) advance(now time.Duration) {
-	f.now = max(f.now, now)
-	for len(f.refills) > 0 && f.refills[0].refilledAt() <= f.now {
-		n := f.refills[0]
-		f.refill(n)
-		if n.tokens < 0 { // rounding
+// advance sets the current time, unless the argument is older, and refills the token buckets of nodes
+// that are within their quota again.
+func (fq *Queue) advance(now time.Duration) {
+	fq.now = max(fq.now, now)
+	for len(fq.overQuotaNodes) > 0 && fq.overQuotaNodes[0].refilledAt() <= fq.now {
+		n := fq.overQuotaNodes[0]
+		fq.refill(n)
+		if n.tokens < 0 { // rounding error
 			n.tokens = 0
 		}
-		f.updateQuotaBand(n)
+		fq.updateQuotaBand(n)
 	}
 }
 
-// SetCores sets the number of cores of all engines that take queries.
-func (f *Queue) SetCores(cores float64) { f.cores = max(cores, 0.1) }
+// SetCores sets the total number of cores of the engines that accept queries.
+func (fq *Queue) SetCores(cores float64) { fq.cores = max(cores, 0.1) }
 
-// usualRunSeconds is the usual time of a lane's query from start to end, in seconds.
-func (f *Queue) usualRunSeconds(l *lane) float64 {
+// expectedRunSeconds returns the mean run time of a lane's queries, or an initial estimate.
+func (fq *Queue) expectedRunSeconds(l *laneState) float64 {
 	return l.runSeconds.valueOr(l.InitialWorkEstimate.Seconds() / max(1, l.Threads))
 }
 
-// rememberForRepeat keeps a call's age and charge for the call that repeats it.
-func (f *Queue) rememberForRepeat(q *Query) {
+// rememberForRepeat stores a call's arrival time and charge for a call that repeats it.
+func (fq *Queue) rememberForRepeat(q *Query) {
 	if q.RepeatID != 0 {
-		f.repeats.put(q.RepeatID, repeatedCall{
+		fq.repeats.put(q.RepeatID, repeatableCall{
 			arrived: q.ArrivedAt,
 			charged: q.charged + q.credit,
 			tenant:  q.Tenant,
-			endedAt: f.now,
+			endedAt: fq.now,
 		})
 	}
 }
 
-// usualWork is the expected thread time of a tenant's query, in seconds.
-func (f *Queue) usualWork(n *node, i int) float64 {
-	l := &f.lanes[i]
-	all := l.usualCost.valueOr(max(1e-4, l.InitialWorkEstimate.Seconds()))
-	m := n.usualCosts[i]
-	const trust = 8 // queries of one's own that count as much as everybody's
-	return (m.value*m.count + all*trust) / (m.count + trust)
+// expectedWork returns the expected work of a tenant's query in a lane: the tenant's own mean, blended
+// with the lane's mean while the tenant has few finished queries.
+func (fq *Queue) expectedWork(n *node, lane int) float64 {
+	l := &fq.lanes[lane]
+	laneMean := l.meanWork.valueOr(max(1e-4, l.InitialWorkEstimate.Seconds()))
+	tenantMean := n.meanWork[lane]
+	const priorQueries = 8 // the lane's mean weighs as much as this number of the tenant's own queries
+	return (tenantMean.value*tenantMean.count + laneMean*priorQueries) / (tenantMean.count + priorQueries)
 }
 
-// makeEligible puts a query into its tenant's queue, by age.
-func (f *Queue) makeEligible(q *Query) {
-	n := q.leaf
-	l := &n.queues[q.Lane]
-	at := l.Last()
-	if first := l.First(); first != nil && older(q, first.Value) { // set free by one before it: it is old
+// makeEligible adds a query to its tenant's queue in the order of arrival. If the query is the first
+// of its chain, the queries parked behind it become eligible too.
+func (fq *Queue) makeEligible(q *Query) {
+	leaf := q.leaf
+	queue := &leaf.queues[q.Lane]
+	at := queue.Last()
+	// A query that had to wait for its order is often the oldest.
+	if first := queue.First(); first != nil && arrivedBefore(q, first.Value) {
 		at = nil
 	}
-	for at != nil && older(q, at.Value) {
+	for at != nil && arrivedBefore(q, at.Value) {
 		at = at.Previous()
 	}
-	l.InsertAfter(&q.turnElement, q, at)
+	queue.InsertAfter(&q.queueElement, q, at)
 	q.eligible = true
-	f.addEligible(n, q.Lane)
-	if x := q.orders[chainOrder].order; x != nil && x.first == q && x.parked > 0 {
-		f.unpark(x)
+	fq.addEligible(leaf, q.Lane)
+	if order := q.orders[chainOrder].order; order != nil && order.first == q && order.parked > 0 {
+		fq.unpark(order)
 	}
 }
 
-// makeIneligible takes a query out of its tenant's queue; it goes on waiting.
-func (f *Queue) makeIneligible(q *Query) {
+// makeIneligible removes a query from its tenant's queue. The query stays in its lane.
+func (fq *Queue) makeIneligible(q *Query) {
 	if !q.eligible {
 		return
 	}
-	q.leaf.queues[q.Lane].Remove(&q.turnElement)
+	q.leaf.queues[q.Lane].Remove(&q.queueElement)
 	q.eligible = false
-	f.removeEligible(q.leaf, q.Lane)
+	fq.removeEligible(q.leaf, q.Lane)
 }
 
-// Started records that the first attempt of a dispatched query was sent.
-func (f *Queue) Started(now time.Duration, q *Query) {
-	f.advance(now)
+// Started records that the first attempt of a dispatched query was sent to an engine.
+func (fq *Queue) Started(now time.Duration, q *Query) {
+	fq.advance(now)
 	if q.state != stateDispatched {
 		return
 	}
-	q.state, q.startedAt, q.sweptAt = stateRunning, f.now, f.now
-	had := f.now - q.enqueuedAt
-	l := &f.lanes[q.Lane]
+	q.state, q.startedAt, q.sweptAt = stateRunning, fq.now, fq.now
+	waited := fq.now - q.enqueuedAt
+	l := &fq.lanes[q.Lane]
 	l.removeDispatched(q)
 	if q.uncorrectedWait > 0 && !l.Chained && q.orders[keyOrder].order == nil {
-		l.correction.add(f.now, q.uncorrectedWait, had.Seconds())
+		l.correction.add(fq.now, q.uncorrectedWait, waited.Seconds())
 	}
-	n := &q.leaf.counts
-	n.Started++
-	n.TotalEstimatedWait += q.WaitEstimate
-	n.TotalWait += had
-	n.MaxWait = max(n.MaxWait, had)
-	n.LastStartAt = f.now
-	f.Total.Started++
-	f.Total.TotalEstimatedWait += q.WaitEstimate
-	f.Total.TotalWait += had
-	f.Total.MaxWait = max(f.Total.MaxWait, had)
+	counts := &q.leaf.counts
+	counts.Started++
+	counts.TotalEstimatedWait += q.WaitEstimate
+	counts.TotalWait += waited
+	counts.MaxWait = max(counts.MaxWait, waited)
+	counts.LastStartAt = fq.now
+	fq.Total.Started++
+	fq.Total.TotalEstimatedWait += q.WaitEstimate
+	fq.Total.TotalWait += waited
+	fq.Total.MaxWait = max(fq.Total.MaxWait, waited)
 }
 
-// Outcome is how a query ended.
+// Outcome tells how a query ended.
 type Outcome int
 
-// The outcomes.
+// Outcomes of admitted queries.
 const (
 	Finished   Outcome = iota
 	Deferred           // its client was told to retry later
-	Killed             // it was given up while it ran
+	Killed             // it was aborted while it ran
 	ClientGone         // its client disconnected or cancelled it
 )
 
-// Ended records that a query was answered or its client has gone, and that none of its attempts
-// runs any more. work is the thread time that the engine reported, 0 if it reported none: then
-// what the query was charged while it ran stands. lost is how long attempts ran that reported
-// nothing.
-func (f *Queue) Ended(now time.Duration, q *Query, end Outcome, work, lost time.Duration) {
-	f.advance(now)
-	l := &f.lanes[q.Lane]
-	n := q.leaf
+// Ended records that a query was answered or that its client has gone, and that none of its attempts
+// is running. work is the thread time that engines reported; if it is 0, the charge made while the
+// query ran stands. lost is the run time of attempts for which no work was reported.
+func (fq *Queue) Ended(now time.Duration, q *Query, outcome Outcome, work, lost time.Duration) {
+	fq.advance(now)
+	l := &fq.lanes[q.Lane]
+	leaf := q.leaf
 	switch q.state {
 	case stateAbsent:
 		return
 	case stateWaiting:
-		f.dequeue(q, l)
-	case stateDispatched: // never sent: it used nothing
-		f.removeRunning(q, l)
+		fq.dequeue(q, l)
+	case stateDispatched: // never sent, so it used nothing
+		fq.removeRunning(q, l)
 		l.removeDispatched(q)
-		f.charge(n, q.Lane, -q.charged)
+		fq.charge(leaf, q.Lane, -q.charged)
 		q.charged = 0
 	case stateRunning:
-		f.removeRunning(q, l)
-		if end == Finished {
-			f.learnRunTime(q, l, work)
+		fq.removeRunning(q, l)
+		if outcome == Finished {
+			fq.learnRunTime(q, l, work)
 		}
 		if work > 0 {
-			f.settleWork(q, l, work, lost)
+			fq.settleWork(q, l, work, lost)
 		}
 	}
-	n.counts.add(end)
-	f.Total.add(end)
-	if end != Finished {
-		f.rememberForRepeat(q)
+	leaf.counts.add(outcome)
+	fq.Total.add(outcome)
+	if outcome != Finished {
+		fq.rememberForRepeat(q)
 	}
 	if l.Chained && (q.state == stateDispatched || q.state == stateRunning) {
-		f.chainEnded(q)
+		fq.chainEnded(q)
 	}
 	q.state = stateAbsent
-	f.leaveOrder(q, keyOrder)
-	f.removeActive(n)
+	fq.leaveOrder(q, keyOrder)
+	fq.removeActive(leaf)
 }
 
-// removeRunning takes a dispatched or running query out of the work in flight.
-func (f *Queue) removeRunning(q *Query, l *lane) {
-	f.running.Remove(&q.turnElement)
-	f.inFlightWork -= q.remainingWork
-	f.runningThreads -= l.Threads
+// removeRunning removes a dispatched or running query from the work in flight.
+func (fq *Queue) removeRunning(q *Query, l *laneState) {
+	fq.running.Remove(&q.queueElement)
+	fq.inFlightWork -= q.remainingWork
+	fq.runningThreads -= l.Threads
 }
 
-// learnRunTime adds a finished query to its lane's usual run time and slowdown.
-func (f *Queue) learnRunTime(q *Query, l *lane, work time.Duration) {
-	took := (f.now - q.startedAt).Seconds()
-	l.runSeconds.add(took, 200)
+// learnRunTime adds a finished query to its lane's mean run time and slowdown.
+func (fq *Queue) learnRunTime(q *Query, l *laneState, work time.Duration) {
+	runSeconds := (fq.now - q.startedAt).Seconds()
+	l.runSeconds.add(runSeconds, 200)
 	if work > 0 {
-		l.slowdown.add(max(1, took*l.Threads/work.Seconds()), 200)
+		l.slowdown.add(max(1, runSeconds*l.Threads/work.Seconds()), 200)
 	}
 }
 
-// settleWork replaces what a query was charged while it ran by what it really used.
-func (f *Queue) settleWork(q *Query, l *lane, work, lost time.Duration) {
-	// The work of a bad plan is not taken for usual.
-	usual := min(work.Seconds(), f.config.OverrunFactor*q.estimatedWork)
-	l.usualCost.add(usual, 400)
-	q.leaf.usualCosts[q.Lane].add(usual, 100)
-	f.workDone.add(f.now, max(0, work.Seconds()-q.measuredWork)/f.cores)
-	real := max(0, work.Seconds()+lost.Seconds()*l.Threads/max(1, l.slowdown.valueOr(1))-q.credit)
-	f.correctCharge(q.leaf, real-q.charged)
-	q.charged = real
+// settleWork replaces the charge made while a query ran by the work it actually used.
+func (fq *Queue) settleWork(q *Query, l *laneState, work, lost time.Duration) {
+	// Limits the effect of a bad query plan on the mean.
+	typicalWork := min(work.Seconds(), fq.config.OverrunFactor*q.estimatedWork)
+	l.meanWork.add(typicalWork, 400)
+	q.leaf.meanWork[q.Lane].add(typicalWork, 100)
+	fq.workDone.add(fq.now, max(0, work.Seconds()-q.countedWork)/fq.cores)
+	actualWork := max(0, work.Seconds()+lost.Seconds()*l.Threads/max(1, l.slowdown.valueOr(1))-q.credit)
+	fq.correctCharge(q.leaf, actualWork-q.charged)
+	q.charged = actualWork
 }
 
-// add counts a query's outcome.
-func (x *Counts) add(end Outcome) {
-	switch end {
+// add increments the count of an outcome.
+func (c *Counts) add(outcome Outcome) {
+	switch outcome {
 	case Finished:
-		x.Finished++
+		c.Finished++
 	case Deferred:
-		x.Deferred++
+		c.Deferred++
 	case Killed:
-		x.Killed++
+		c.Killed++
 	case ClientGone:
-		x.ClientGone++
+		c.ClientGone++
 	}
 }
 
-// EachTenant calls each with the counts of every tenant that has state, in configured order.
-func (f *Queue) EachTenant(each func(path string, waiting int, n Counts)) {
-	for i := range f.tenants {
-		if p := &f.tenants[i]; p.isLeaf && p.state != nil {
-			each(p.path, p.state.waiting, p.state.counts)
+// EachTenant calls each with the counts of every tenant that has state, in the order of the
+// configuration.
+func (fq *Queue) EachTenant(each func(path string, waiting int, n Counts)) {
+	for i := range fq.tenants {
+		if record := &fq.tenants[i]; record.isLeaf && record.state != nil {
+			each(record.path, record.state.waiting, record.state.counts)
 		}
 	}
 }
--- a/internal/fairqueue/queue_test.go
+++ b/internal/fairqueue/queue_test.go
@@ -89,8 +89,8 @@
 				t.Fatalf("%s %d waits for ever in lane %d", j.team, j.sequence, j.Lane)
 			}
 		}
-		if m.c.WaitingCount() != 0 || len(m.c.orders)+len(m.c.chains) != 0 || m.c.running.First() != nil || math.Abs(m.c.root.busyWeight) > 1e-9 {
-			t.Fatalf("%d wait, %d lines, busy %v after all is over", m.c.WaitingCount(), len(m.c.orders), m.c.root.busyWeight)
+		if m.c.WaitingCount() != 0 || len(m.c.orders)+len(m.c.chains) != 0 || m.c.running.First() != nil || math.Abs(m.c.root.activeChildWeight) > 1e-9 {
+			t.Fatalf("%d wait, %d lines, busy %v after all is over", m.c.WaitingCount(), len(m.c.orders), m.c.root.activeChildWeight)
 		}
 		if m.c.nodeCount != 0 {
 			t.Fatalf("%d teams have state after ten minutes of nothing", m.c.nodeCount)
--- a/internal/fairqueue/rates.go
+++ b/internal/fairqueue/rates.go
@@ -5,15 +5,17 @@
 	"time"
 )
 
+// seconds converts seconds to a duration, limited to 1e9 seconds to prevent overflow.
 func seconds(x float64) time.Duration {
 	return time.Duration(min(x, 1e9) * float64(time.Second))
 }
 
-// runningMean is an average in which old values fade.
+// runningMean is the mean of the first values, and an exponentially weighted mean once their number
+// has reached the limit given to add.
 type runningMean struct{ value, count float64 }
 
-func (m *runningMean) add(x, most float64) {
-	m.count = min(m.count+1, most)
+func (m *runningMean) add(x, maxCount float64) {
+	m.count = min(m.count+1, maxCount)
 	m.value += (x - m.value) / m.count
 }
 
@@ -24,43 +26,44 @@
 	return m.value
 }
 
-// arrivalRate is an amount a second, from what arrived in whole seconds. A surge counts for no more
-// than a few times the usual: it is not the start of an endless one, and its queries already wait.
+// arrivalRate measures an amount per second from the totals of whole seconds. A second counts for at
+// most maxRateGrowth times the rate before it plus its largest single amount: most surges end soon,
+// and their queries are counted in the backlog already.
 type arrivalRate struct {
 	value          float64
-	current        float64 // of the second under way
-	largestArrival float64 // single amount in it
+	current        float64 // total of the current second
+	largestArrival float64 // largest single amount in the current second
 	secondStart    time.Duration
-	secondsSeen    int // that were seen
+	secondsSeen    int // completed seconds
 	started        bool
 }
 
 const (
-	rateSpan  = 8.0 // seconds that it remembers, about
-	maxGrowth = 2.0
+	rateMemorySeconds = 8.0 // time constant of the moving average
+	maxRateGrowth     = 2.0 // per second
 )
 
-func (r *arrivalRate) add(now time.Duration, x float64) {
+func (r *arrivalRate) add(now time.Duration, amount float64) {
 	if !r.started {
 		r.started, r.secondStart = true, now
 	}
 	r.advance(now)
-	r.current += x
-	r.largestArrival = max(r.largestArrival, x)
+	r.current += amount
+	r.largestArrival = max(r.largestArrival, amount)
 }
 
 func (r *arrivalRate) advance(now time.Duration) {
 	for now-r.secondStart >= time.Second {
-		if now-r.secondStart > time.Minute { // long nothing
+		if now-r.secondStart > time.Minute { // restarts after a long idle time
 			r.value, r.current, r.secondsSeen, r.secondStart = 0, 0, 0, now
 			return
 		}
-		x := r.current
+		arrived := r.current
 		if r.secondsSeen >= 2 {
-			x = min(x, maxGrowth*r.value+r.largestArrival)
+			arrived = min(arrived, maxRateGrowth*r.value+r.largestArrival)
 		}
 		r.secondsSeen++
-		r.value += (x - r.value) / min(float64(r.secondsSeen), rateSpan)
+		r.value += (arrived - r.value) / min(float64(r.secondsSeen), rateMemorySeconds)
 		r.current, r.largestArrival = 0, 0
 		r.secondStart += time.Second
 	}
@@ -71,52 +74,52 @@
 		return 0
 	}
 	r.advance(now)
-	if r.secondsSeen == 0 { // of the first second, what came so far
+	if r.secondsSeen == 0 { // extrapolates the first second
 		return r.current / max(0.5, (now-r.secondStart).Seconds())
 	}
 	return r.value
 }
 
-// saturatedRate measures an amount a second while queries wait, and at no other time: that is what
-// the engines can do.
+// saturatedRate measures an amount per second, but only while queries wait for capacity: the rate is
+// then the throughput that the engines are capable of.
 type saturatedRate struct {
-	amount, span float64
-	updatedAt    time.Duration
-	saturated    bool
+	amount, observedSeconds float64
+	updatedAt               time.Duration
+	saturated               bool
 }
 
-const saturatedSpan = 20.0 // seconds of waiting that it remembers, about
+const saturatedMemorySeconds = 20.0 // time constant of the moving average
 
-func (f *saturatedRate) advance(now time.Duration) {
-	dt := (now - f.updatedAt).Seconds()
-	if dt <= 0 {
+func (r *saturatedRate) advance(now time.Duration) {
+	elapsed := (now - r.updatedAt).Seconds()
+	if elapsed <= 0 {
 		return
 	}
-	f.updatedAt = now
-	if !f.saturated {
-		return // what was learned keeps, and what goes now says nothing
+	r.updatedAt = now
+	if !r.saturated {
+		return // keeps the measured rate: the current load is below capacity
 	}
-	k := math.Exp(-min(dt, 1) / saturatedSpan)
-	f.amount *= k
-	f.span = f.span*k + saturatedSpan*(1-k)
+	decay := math.Exp(-min(elapsed, 1) / saturatedMemorySeconds)
+	r.amount *= decay
+	r.observedSeconds = r.observedSeconds*decay + saturatedMemorySeconds*(1-decay)
 }
 
-func (f *saturatedRate) setSaturated(now time.Duration, full bool) {
-	f.advance(now)
-	f.saturated = full
+func (r *saturatedRate) setSaturated(now time.Duration, saturated bool) {
+	r.advance(now)
+	r.saturated = saturated
 }
 
-func (f *saturatedRate) add(now time.Duration, x float64) {
-	f.advance(now)
-	if f.saturated {
-		f.amount += x
+func (r *saturatedRate) add(now time.Duration, amount float64) {
+	r.advance(now)
+	if r.saturated {
+		r.amount += amount
 	}
 }
 
-// perSecond returns the rate, and in known for how many seconds it was seen of late.
-func (f *saturatedRate) perSecond() (r, known float64) {
-	if f.span < 1e-9 {
+// perSecond returns the rate, and how many of the recent seconds were observed.
+func (r *saturatedRate) perSecond() (rate, observedSeconds float64) {
+	if r.observedSeconds < 1e-9 {
 		return 0, 0
 	}
-	return f.amount / f.span, f.span
+	return r.amount / r.observedSeconds, r.observedSeconds
 }
--- a/internal/fairqueue/reload.go
+++ b/internal/fairqueue/reload.go
@@ -6,179 +6,184 @@
 	"railrelay.dev/railrelay/internal/intrusivelist"
 )
 
-func (f *Queue) applyConfig(shape Config) {
-	if shape.AgeingLimit <= 0 {
-		shape.AgeingLimit = DefaultAgeingLimit
-	}
-	if shape.MaxWaiting <= 0 {
-		shape.MaxWaiting = DefaultMaxWaiting
-	}
-	if shape.OverrunFactor <= 1 {
-		shape.OverrunFactor = DefaultOverrunFactor
-	}
-	if shape.NotifyThreshold <= 0 {
-		shape.NotifyThreshold = DefaultNotifyThreshold
-	}
-	f.config, f.tenants, f.children = shape, nil, nil
-	f.addTenants(shape.Tenants, "", -1)
-	named := false
-	for _, p := range f.tenants {
-		named = named || p.isLeaf && p.Name == shape.DefaultTenant
-	}
-	if !named { // a tenant for the calls that belong to no other
-		f.addTenants([]Tenant{{Name: "others", Weight: 1}}, "", -1)
-	}
-	f.resolver = newTenantResolver(&f.config, f.tenants)
-	if f.lanes == nil {
-		f.lanes = make([]lane, len(shape.Lanes))
-		f.laneRatios = make([][2]float64, len(shape.Lanes)*len(shape.Lanes))
-	}
-	for i, l := range shape.Lanes {
-		f.lanes[i].Lane = l
-	}
-	f.root.heaps[withinQuota] = make([]heap, len(f.lanes))
-	f.root.heaps[beyondQuota] = make([]heap, len(f.lanes))
-	f.root.eligible = make([]int, len(f.lanes))
-	f.root.backlog = make([]float64, len(f.lanes))
-	f.root.virtualClocks = make([]virtualClock, len(f.lanes)+1)
+// applyConfig sets the configuration, with defaults for zero values, and builds the tenant tree without
+// state. Lanes keep their state.
+func (fq *Queue) applyConfig(config Config) {
+	if config.AgeingLimit <= 0 {
+		config.AgeingLimit = DefaultAgeingLimit
+	}
+	if config.MaxWaiting <= 0 {
+		config.MaxWaiting = DefaultMaxWaiting
+	}
+	if config.OverrunFactor <= 1 {
+		config.OverrunFactor = DefaultOverrunFactor
+	}
+	if config.NotifyThreshold <= 0 {
+		config.NotifyThreshold = DefaultNotifyThreshold
+	}
+	fq.config, fq.tenants, fq.children = config, nil, nil
+	fq.addTenants(config.Tenants, "", -1)
+	hasDefault := false
+	for _, record := range fq.tenants {
+		hasDefault = hasDefault || record.isLeaf && record.Name == config.DefaultTenant
+	}
+	if !hasDefault { // adds a tenant for the calls that no other tenant owns
+		fq.addTenants([]Tenant{{Name: "others", Weight: 1}}, "", -1)
+	}
+	fq.resolver = newTenantResolver(&fq.config, fq.tenants)
+	if fq.lanes == nil {
+		fq.lanes = make([]laneState, len(config.Lanes))
+		fq.laneRatios = make([][2]float64, len(config.Lanes)*len(config.Lanes))
+	}
+	for i, l := range config.Lanes {
+		fq.lanes[i].Lane = l
+	}
+	fq.root.heaps[withinQuota] = make([]virtualStartHeap, len(fq.lanes))
+	fq.root.heaps[beyondQuota] = make([]virtualStartHeap, len(fq.lanes))
+	fq.root.eligible = make([]int, len(fq.lanes))
+	fq.root.backlog = make([]float64, len(fq.lanes))
+	fq.root.virtualClocks = make([]virtualClock, len(fq.lanes)+1)
 }
 
-func (f *Queue) addTenants(l []Tenant, path string, parent int) {
-	for _, t := range l {
-		at := len(f.tenants)
-		f.tenants = append(f.tenants, tenantRecord{
-			Tenant: t,
-			path:   path + t.Name,
+// addTenants appends tenants and, recursively, their children to the tenant list.
+func (fq *Queue) addTenants(tenants []Tenant, prefix string, parent int) {
+	for _, tenant := range tenants {
+		index := len(fq.tenants)
+		fq.tenants = append(fq.tenants, tenantRecord{
+			Tenant: tenant,
+			path:   prefix + tenant.Name,
 			parent: parent,
-			isLeaf: len(t.Children) == 0,
+			isLeaf: len(tenant.Children) == 0,
 		})
-		f.children = append(f.children, nil)
+		fq.children = append(fq.children, nil)
 		if parent >= 0 {
-			f.children[parent] = append(f.children[parent], at)
+			fq.children[parent] = append(fq.children[parent], index)
 		}
-		f.addTenants(t.Children, path+t.Name+"/", at)
+		fq.addTenants(tenant.Children, prefix+tenant.Name+"/", index)
 	}
 }
 
-// Reload follows another configuration with the same lanes. Waiting and running queries keep
-// their age and their tenant, or become the default tenant's if theirs is gone. Tenants keep
+// Reload replaces the configuration by one with the same lanes. Waiting and running queries
+// keep their age and their tenant, or move to the default tenant if theirs was removed. Tenants keep
 // their charges and the state of their token buckets.
-func (f *Queue) Reload(now time.Duration, config Config) {
-	f.advance(now)
+func (fq *Queue) Reload(now time.Duration, config Config) {
+	fq.advance(now)
 	var queries []*Query
-	for i := range f.lanes {
-		for e := f.lanes[i].byAge.First(); e != nil; e = e.Next() {
+	for i := range fq.lanes {
+		for e := fq.lanes[i].waitingByAge.First(); e != nil; e = e.Next() {
 			queries = append(queries, e.Value)
 		}
 	}
 	waiting := len(queries)
-	for e := f.running.First(); e != nil; e = e.Next() {
+	for e := fq.running.First(); e != nil; e = e.Next() {
 		queries = append(queries, e.Value)
 	}
-	names := make([]string, len(f.tenants))
-	for i := range f.tenants {
-		names[i] = f.tenants[i].Name
-	}
-	kept := f.keptStates()
-	for len(f.debtors) > 0 {
-		f.settleDebts(time.Hour)
-	}
-	f.idle = intrusivelist.List[node]{}
-	f.refills = nil
-	f.nodeCount = 0
-	f.root = &node{weight: 1}
-	f.applyConfig(config)
-	for i := range f.lanes {
-		f.lanes[i].eligibleTenants = 0
-		f.lanes[i].profile = rivalProfile{}
-	}
-	f.restoreStates(kept)
-	f.reassign(queries, waiting, names)
-	for i := range f.tenants { // a quota used up before is so still
-		if n := f.tenants[i].state; n != nil && n.quota > 0 {
-			f.refill(n)
-			f.updateQuotaBand(n)
+	names := make([]string, len(fq.tenants))
+	for i := range fq.tenants {
+		names[i] = fq.tenants[i].Name
+	}
+	saved := fq.saveStates()
+	for len(fq.deferredChargeNodes) > 0 {
+		fq.settleDeferredCharges(time.Hour)
+	}
+	fq.idleNodes = intrusivelist.List[node]{}
+	fq.overQuotaNodes = nil
+	fq.nodeCount = 0
+	fq.root = &node{weight: 1}
+	fq.applyConfig(config)
+	for i := range fq.lanes {
+		fq.lanes[i].eligibleTenants = 0
+		fq.lanes[i].sample = competitorSample{}
+	}
+	fq.restoreStates(saved)
+	fq.reassign(queries, waiting, names)
+	for i := range fq.tenants { // a quota stays exhausted over a reload
+		if n := fq.tenants[i].state; n != nil && n.quota > 0 {
+			fq.refill(n)
+			fq.updateQuotaBand(n)
 		}
 	}
 }
 
-// keptState is what a tenant keeps over a reload.
-type keptState struct {
-	lead     []float64 // of virtual start over the parent's virtual time, by lane
-	tokens   float64
-	tokensAt time.Duration
-	counts   Counts
-	cost     []runningMean
-	rate     []arrivalRate
+// savedState is the state that a tenant keeps over a reload.
+type savedState struct {
+	leads        []float64 // virtual start less the parent's virtual time, by clock
+	tokens       float64
+	tokensAt     time.Duration
+	counts       Counts
+	meanWork     []runningMean
+	arrivalRates []arrivalRate
 }
 
-// keptStates collects the state of all tenants by path.
-func (f *Queue) keptStates() map[string]keptState {
-	kept := map[string]keptState{}
-	for i := range f.tenants {
-		n := f.tenants[i].state
+// saveStates returns the state of all tenants by path.
+func (fq *Queue) saveStates() map[string]savedState {
+	saved := map[string]savedState{}
+	for i := range fq.tenants {
+		n := fq.tenants[i].state
 		if n == nil {
 			continue
 		}
-		lead := make([]float64, len(n.virtualStart))
-		for k := range lead {
-			lead[k] = n.virtualStart[k] - n.parent.virtualTime(k)
+		leads := make([]float64, len(n.virtualStart))
+		for k := range leads {
+			leads[k] = n.virtualStart[k] - n.parent.virtualTime(k)
 		}
-		kept[f.tenants[i].path] = keptState{lead, n.tokens, n.tokensAt, n.counts, n.usualCosts, n.arrivalRates}
+		saved[fq.tenants[i].path] = savedState{leads, n.tokens, n.tokensAt, n.counts, n.meanWork, n.arrivalRates}
 	}
-	return kept
+	return saved
 }
 
-// restoreStates gives the tenants that are still configured their state again.
-func (f *Queue) restoreStates(kept map[string]keptState) {
-	for i := range f.tenants {
-		p := &f.tenants[i]
-		was, ok := kept[p.path]
+// restoreStates restores the saved state of the tenants that are still configured.
+func (fq *Queue) restoreStates(saved map[string]savedState) {
+	for i := range fq.tenants {
+		record := &fq.tenants[i]
+		state, ok := saved[record.path]
 		if !ok {
 			continue
 		}
-		n := f.node(i)
-		n.virtualStart = was.lead
-		n.counts = was.counts
-		n.tokensAt = was.tokensAt
+		n := fq.node(i)
+		n.virtualStart = state.leads
+		n.counts = state.counts
+		n.tokensAt = state.tokensAt
 		if n.quota > 0 {
-			n.tokens = min(n.burst, was.tokens)
+			n.tokens = min(n.burst, state.tokens)
 		}
-		if p.isLeaf && was.cost != nil {
-			n.usualCosts = was.cost
-			n.arrivalRates = was.rate
+		if record.isLeaf && state.meanWork != nil {
+			n.meanWork = state.meanWork
+			n.arrivalRates = state.arrivalRates
 		}
 	}
 }
 
-// reassign puts queries, of which the first so many wait, into their tenants by name.
-func (f *Queue) reassign(queries []*Query, waiting int, names []string) {
+// reassign assigns queries to the new tenants by the old tenants' names. The first waitingCount queries
+// are waiting, the others run.
+func (fq *Queue) reassign(queries []*Query, waitingCount int, tenantNames []string) {
 	var eligible []*Query
 	for i, q := range queries {
-		tenant, ok := f.resolver.byName[names[q.Tenant]]
+		tenant, ok := fq.resolver.byName[tenantNames[q.Tenant]]
 		if !ok {
-			tenant = f.resolver.defaultTenant
+			tenant = fq.resolver.defaultTenant
 		}
 		q.Tenant = tenant
-		q.leaf = f.node(tenant)
-		n := q.leaf
-		f.addActive(n)
-		if i >= waiting {
+		q.leaf = fq.node(tenant)
+		leaf := q.leaf
+		fq.addActive(leaf)
+		if i >= waitingCount {
 			continue
 		}
-		n.waiting++
-		q.workAhead = n.backlog[q.Lane]
-		f.addBacklog(q)
+		leaf.waiting++
+		q.workAhead = leaf.backlog[q.Lane]
+		fq.addBacklog(q)
 		if q.eligible {
 			eligible = append(eligible, q)
 		}
-		q.turnElement = intrusivelist.Element[Query]{}
+		q.queueElement = intrusivelist.Element[Query]{}
 		q.eligible = false
 	}
-	// Only after all have their tenant: one made eligible may bring back those parked behind it.
+	// All queries need their new tenant first, because makeEligible may also unpark later queries of
+	// the chain.
 	for _, q := range eligible {
 		if !q.eligible {
-			f.makeEligible(q)
+			fq.makeEligible(q)
 		}
 	}
 }
--- a/internal/fairqueue/surge.go
+++ b/internal/fairqueue/surge.go
@@ -4,92 +4,94 @@
 	"time"
 )
 
-// surge detects that far more arrives at once than usually does, as when an alert goes out: how
-// much more, and for how long it will go on. That is as long as surges lately lasted or, if there
-// was none yet, as long again as this one has. Without it the first queries of a surge would be
-// told of nobody behind them, and a surge that is over would be taken for usual from then on.
+// surge detects that far more work arrives than usual, for example when an alert goes out. It
+// estimates by what factor the arrivals exceed the usual rate and how long the surge will go on: as
+// long as recent surges lasted or, if there was none yet, as long again as this one has lasted.
+// Without this detection the estimates of a surge's first queries would ignore the queries that
+// arrive after them, and the arrival rate would stay too high after the surge.
 type surge struct {
-	slots       [surgeSlots]float64 // work that came, by crowdSlot
-	lastSlot    int64
-	sum         float64 // of the slots
-	active      bool
-	becameUsual bool // it went on for too long: it is what usually comes from here on
-	startedAt   time.Duration
-	work        float64 // that came since
-	lastBusyAt  time.Duration
-	durations   runningMean // seconds that crowds took
+	slots          [surgeSlotCount]float64 // arrived work by time slot, a ring buffer
+	currentSlot    int64
+	sum            float64 // of all slots
+	active         bool
+	becameNormal   bool // the surge exceeded maxSurgeDuration, so its rate counts as the usual one
+	startedAt      time.Duration
+	arrivedWork    float64 // since startedAt
+	lastElevatedAt time.Duration
+	durations      runningMean // of past surges, in seconds
 }
 
 const (
-	surgeSlots    = 4
-	surgeSlotSpan = 25 * time.Millisecond
-	surgeFactor   = 3.0 // of what usually comes
-	maxSurge      = time.Second
+	surgeSlotCount    = 4
+	surgeSlotDuration = 25 * time.Millisecond
+	surgeFactor       = 3.0 // a surge exceeds this multiple of the usual rate
+	maxSurgeDuration  = time.Second
 )
 
-// advance moves the slots to a time.
-func (x *surge) advance(now time.Duration) {
-	at := int64(now / surgeSlotSpan)
-	if at-x.lastSlot >= surgeSlots {
-		x.slots, x.sum = [surgeSlots]float64{}, 0
+// advance moves the ring buffer to a time and clears the slots that expired.
+func (s *surge) advance(now time.Duration) {
+	slot := int64(now / surgeSlotDuration)
+	if slot-s.currentSlot >= surgeSlotCount {
+		s.slots, s.sum = [surgeSlotCount]float64{}, 0
 	} else {
-		for ; x.lastSlot < at; x.lastSlot++ {
-			s := &x.slots[(x.lastSlot+1)%surgeSlots]
-			x.sum -= *s
-			*s = 0
+		for ; s.currentSlot < slot; s.currentSlot++ {
+			expired := &s.slots[(s.currentSlot+1)%surgeSlotCount]
+			s.sum -= *expired
+			*expired = 0
 		}
 	}
-	x.lastSlot = at
+	s.currentSlot = slot
 }
 
-// add counts arrived work, where usual is the usual rate and least an amount that is no surge. It
-// returns how many times the usual arrives.
-func (x *surge) add(now time.Duration, work, usual, least float64) float64 {
-	x.update(now, usual, least)
-	x.slots[x.lastSlot%surgeSlots] += work
-	x.sum += work
-	if x.active {
-		x.work += work
-		late := x.slots[x.lastSlot%surgeSlots] + x.slots[(x.lastSlot+surgeSlots-1)%surgeSlots]
-		if late > surgeFactor*usual*2*surgeSlotSpan.Seconds() {
-			x.lastBusyAt = now
+// add counts arrived work and returns the factor by which arrivals exceed normalRate, at least 1.
+// minWork is an amount of work that alone is no surge.
+func (s *surge) add(now time.Duration, work, normalRate, minWork float64) float64 {
+	s.update(now, normalRate, minWork)
+	s.slots[s.currentSlot%surgeSlotCount] += work
+	s.sum += work
+	if s.active {
+		s.arrivedWork += work
+		recentWork := s.slots[s.currentSlot%surgeSlotCount] +
+			s.slots[(s.currentSlot+surgeSlotCount-1)%surgeSlotCount]
+		if recentWork > surgeFactor*normalRate*2*surgeSlotDuration.Seconds() {
+			s.lastElevatedAt = now
 		}
-		return x.factor(now, usual)
+		return s.factor(now, normalRate)
 	}
 	return 1
 }
 
-// update decides whether a surge starts, goes on or is over.
-func (x *surge) update(now time.Duration, usual, least float64) {
-	x.advance(now)
-	span := (surgeSlots * surgeSlotSpan).Seconds()
-	many := x.sum > surgeFactor*usual*span+least
+// update starts or ends the surge.
+func (s *surge) update(now time.Duration, normalRate, minWork float64) {
+	s.advance(now)
+	spanSeconds := (surgeSlotCount * surgeSlotDuration).Seconds()
+	elevated := s.sum > surgeFactor*normalRate*spanSeconds+minWork
 	switch {
-	case !x.active && many && !x.becameUsual:
-		x.active, x.startedAt, x.lastBusyAt, x.work = true, max(0, now-surgeSlotSpan), now, x.sum
-	case x.active && !many:
-		x.active = false
-		x.durations.add((x.lastBusyAt - x.startedAt).Seconds(), 4)
-	case x.active && now-x.startedAt > maxSurge:
-		x.active, x.becameUsual = false, true
-	case x.becameUsual && !many:
-		x.becameUsual = false
+	case !s.active && elevated && !s.becameNormal:
+		s.active, s.startedAt, s.lastElevatedAt, s.arrivedWork = true, max(0, now-surgeSlotDuration), now, s.sum
+	case s.active && !elevated:
+		s.active = false
+		s.durations.add((s.lastElevatedAt - s.startedAt).Seconds(), 4)
+	case s.active && now-s.startedAt > maxSurgeDuration:
+		s.active, s.becameNormal = false, true
+	case s.becameNormal && !elevated:
+		s.becameNormal = false
 	}
 }
 
-// factor is how many times the usual arrives while a surge goes on, else 1.
-func (x *surge) factor(now time.Duration, usual float64) float64 {
-	if !x.active || usual <= 0 {
+// factor returns the factor by which arrivals exceed normalRate during a surge, otherwise 1.
+func (s *surge) factor(now time.Duration, normalRate float64) float64 {
+	if !s.active || normalRate <= 0 {
 		return 1
 	}
-	return max(1, x.work/max(now-x.startedAt, surgeSlotSpan).Seconds()/usual)
+	return max(1, s.arrivedWork/max(now-s.startedAt, surgeSlotDuration).Seconds()/normalRate)
 }
 
-// remainingSeconds is for how much longer a surge will go on.
-func (x *surge) remainingSeconds(now time.Duration) float64 {
-	if !x.active {
+// remainingSeconds estimates how much longer the current surge will last, 0 if there is none.
+func (s *surge) remainingSeconds(now time.Duration) float64 {
+	if !s.active {
 		return 0
 	}
-	been := (now - x.startedAt).Seconds()
-	return max(0, x.durations.valueOr(2*been)-been)
+	elapsed := (now - s.startedAt).Seconds()
+	return max(0, s.durations.valueOr(2*elapsed)-elapsed)
 }
--- a/internal/fairqueue/surge_test.go
+++ b/internal/fairqueue/surge_test.go
@@ -52,7 +52,7 @@
 	usually(x, 0, 4*time.Second)
 	for at := 4 * time.Second; at < 10*time.Second; at += time.Millisecond {
 		times := x.add(at, 0.4, 20, 3)
-		if at > 4*time.Second+maxSurge+2*surgeSlots*surgeSlotSpan && (x.active || times != 1) {
+		if at > 4*time.Second+maxSurgeDuration+2*surgeSlotCount*surgeSlotDuration && (x.active || times != 1) {
 			t.Fatal("still a crowd at ", at)
 		}
 	}
@@ -84,7 +84,7 @@
 		now += 5 * time.Millisecond
 		x.add(now, 1, 60)
 	}
-	if f := x.factor(now, 6); f > math.Exp(maxLongCorrectionLog)+1e-9 {
+	if f := x.factor(now, 6); f > math.Exp(maxLongWaitLogRatio)+1e-9 {
 		t.Fatalf("long waits are trimmed by %v", f)
 	}
 }
--- a/internal/fairqueue/sweep.go
+++ b/internal/fairqueue/sweep.go
@@ -4,122 +4,125 @@
 	"time"
 )
 
-// Sweep is called every SweepInterval. It charges running queries for what they have used so
-// far, calls lower for each query whose priority is to be lowered (on) or raised again, and
-// calls retell for each waiting query that asked for changes of its estimate and whose estimate
-// changed by much. After a jump of the clock it charges no more than maxSweepSpan.
-func (f *Queue) Sweep(now time.Duration, lower func(q *Query, on bool),
-	retell func(q *Query, wait time.Duration)) {
-	f.advance(now)
-	span := min(f.now-f.sweptAt, maxSweepSpan)
-	f.servicePerThread += span.Seconds() * min(1, f.cores/max(1, f.runningThreads))
-	f.sweptAt = f.now
-	f.settleDebts(span)
-	if f.waiting > 0 {
-		f.lastWaitingAt = f.now
+// Sweep must be called every SweepInterval. It charges running queries for the work used so far,
+// calls setLowered for each query whose priority is to be lowered or raised again, and calls
+// notifyWait for each waiting query whose client asked for changes of its estimate and whose estimate
+// changed by more than NotifyThreshold. After a jump of the clock it charges at most maxSweepSpan.
+func (fq *Queue) Sweep(now time.Duration, setLowered func(q *Query, on bool),
+	notifyWait func(q *Query, wait time.Duration)) {
+	fq.advance(now)
+	span := min(fq.now-fq.sweptAt, maxSweepSpan)
+	fq.servicePerThread += span.Seconds() * min(1, fq.cores/max(1, fq.runningThreads))
+	fq.sweptAt = fq.now
+	fq.settleDeferredCharges(span)
+	if fq.waiting > 0 {
+		fq.lastWaitingAt = fq.now
 	}
-	waitingValue := f.waitingValue()
-	for e := f.running.First(); e != nil; e = e.Next() {
+	maxWaitingValue := fq.maxWaitingValue()
+	for e := fq.running.First(); e != nil; e = e.Next() {
 		e.Value.leaf.overrunRate = 0
 	}
 	inFlight, overrun := 0.0, 0.0
-	for e := f.running.First(); e != nil; e = e.Next() {
+	for e := fq.running.First(); e != nil; e = e.Next() {
 		q := e.Value
 		if q.state != stateRunning {
-			q.serviceAtDispatch = f.servicePerThread
+			q.serviceAtDispatch = fq.servicePerThread
 			inFlight += q.remainingWork
 			continue
 		}
-		work := f.chargeRunning(q, span)
+		work := fq.chargeRunning(q, span)
 		inFlight += q.remainingWork
 		if work > 2*q.estimatedWork {
-			overrun += f.recordOverrun(q, work)
+			overrun += fq.recordOverrun(q, work)
 		}
-		f.updatePriority(q, work, waitingValue, lower)
+		fq.updatePriority(q, work, maxWaitingValue, setLowered)
 	}
-	f.overrunRate = overrun
-	if f.waiting > 0 {
-		f.overrunMean.add(overrun, 200)
+	fq.overrunRate = overrun
+	if fq.waiting > 0 {
+		fq.meanOverrunRate.add(overrun, 200)
 	}
-	f.inFlightWork = inFlight // anew: the rounding of what was added and taken off adds up
-	if retell != nil {
-		f.notifyChangedWaits(retell)
+	fq.inFlightWork = inFlight // recomputed, as rounding errors of increments and decrements accumulate
+	if notifyWait != nil {
+		fq.notifyChangedWaits(notifyWait)
 	}
-	f.dropIdle()
-	f.repeats.dropExpired(f.now)
+	fq.dropIdle()
+	fq.repeats.dropExpired(fq.now)
 }
 
-// waitingValue is the greatest value for its work of the lanes in which queries wait.
-func (f *Queue) waitingValue() float64 {
-	most := 0.0
-	for i := range f.lanes {
-		if l := &f.lanes[i]; l.waiting > 0 {
-			most = max(most, l.valuePerWork())
+// maxWaitingValue returns the highest value per work of the lanes with waiting queries.
+func (fq *Queue) maxWaitingValue() float64 {
+	maximum := 0.0
+	for i := range fq.lanes {
+		if l := &fq.lanes[i]; l.waiting > 0 {
+			maximum = max(maximum, l.valuePerWork())
 		}
 	}
-	return most
+	return maximum
 }
 
-// chargeRunning charges a running query for a span and returns the thread seconds that it is
-// thought to have used: by the usual slowdown of its lane, of the threads that it holds.
-func (f *Queue) chargeRunning(q *Query, span time.Duration) (work float64) {
-	l := &f.lanes[q.Lane]
-	q.ranSeconds += min(span, f.now-q.sweptAt).Seconds()
-	q.sweptAt = f.now
-	served := f.servicePerThread - q.serviceAtDispatch
-	q.remainingWork = max(0.05*q.estimatedWork, q.estimatedWork-l.Threads*served)
-	work = q.ranSeconds*l.Threads/max(1, l.slowdown.valueOr(1)) - q.credit
+// chargeRunning charges a running query for a span and returns the thread seconds that it has probably
+// used: its run time times its threads, divided by the mean slowdown of its lane.
+func (fq *Queue) chargeRunning(q *Query, span time.Duration) (work float64) {
+	l := &fq.lanes[q.Lane]
+	q.runSeconds += min(span, fq.now-q.sweptAt).Seconds()
+	q.sweptAt = fq.now
+	servedSeconds := fq.servicePerThread - q.serviceAtDispatch
+	q.remainingWork = max(0.05*q.estimatedWork, q.estimatedWork-l.Threads*servedSeconds)
+	work = q.runSeconds*l.Threads/max(1, l.slowdown.valueOr(1)) - q.credit
 	if work > q.charged {
-		f.correctCharge(q.leaf, work-q.charged)
+		fq.correctCharge(q.leaf, work-q.charged)
 		q.charged = work
 	}
 	return work
 }
 
-// recordOverrun counts a query that runs far beyond its usual work, and returns the thread time
-// a second that it takes.
-func (f *Queue) recordOverrun(q *Query, work float64) (pace float64) {
-	l := &f.lanes[q.Lane]
-	pace = l.Threads / max(1, l.slowdown.valueOr(1))
-	q.leaf.overrunRate += pace
-	f.workDone.add(f.now, max(0, work-q.measuredWork)/f.cores)
-	q.measuredWork = max(q.measuredWork, work)
-	return pace
+// recordOverrun records a query that runs far beyond its estimated work, and returns the thread
+// seconds that it uses per second.
+func (fq *Queue) recordOverrun(q *Query, work float64) (rate float64) {
+	l := &fq.lanes[q.Lane]
+	rate = l.Threads / max(1, l.slowdown.valueOr(1))
+	q.leaf.overrunRate += rate
+	fq.workDone.add(fq.now, max(0, work-q.countedWork)/fq.cores)
+	q.countedWork = max(q.countedWork, work)
+	return rate
 }
 
-// updatePriority lowers a running query's priority, or raises it again. While queries wait, those
-// are lowered that overrun, whose tenant is over its quota, or that are worth much less for
-// their work than what waits. Ordered and chained queries never are.
-func (f *Queue) updatePriority(q *Query, work, waitingValue float64, lower func(q *Query, on bool)) {
-	l := &f.lanes[q.Lane]
-	on := f.now-f.lastWaitingAt < raisePriorityAfter && !l.Ordered && !l.Chained &&
-		(work > f.config.OverrunFactor*q.estimatedWork || f.anyOverQuota(q.leaf) ||
-			l.valuePerWork() < waitingValue/2)
-	if on == q.lowered {
+// updatePriority lowers a running query's priority or raises it again. While queries wait, it lowers
+// queries that overrun, whose tenant is over its quota, or that have less than half the value per work
+// of the best waiting lane. Queries of ordered and chained lanes are never lowered.
+func (fq *Queue) updatePriority(q *Query, work, maxWaitingValue float64,
+	setLowered func(q *Query, lowered bool)) {
+	l := &fq.lanes[q.Lane]
+	lowered := fq.now-fq.lastWaitingAt < priorityRaiseDelay && !l.Ordered && !l.Chained &&
+		(work > fq.config.OverrunFactor*q.estimatedWork || fq.isOverQuota(q.leaf) ||
+			l.valuePerWork() < maxWaitingValue/2)
+	if lowered == q.priorityLowered {
 		return
 	}
-	q.lowered = on
-	if on {
+	q.priorityLowered = lowered
+	if lowered {
 		q.leaf.counts.PriorityLowered++
-		f.Total.PriorityLowered++
+		fq.Total.PriorityLowered++
 	}
-	if lower != nil {
-		lower(q, on)
+	if setLowered != nil {
+		setLowered(q, lowered)
 	}
 }
 
-// raisePriorityAfter is how long nobody must have waited before lowered priorities are raised
-// again: where engines are nearly full somebody waits every other moment.
-const raisePriorityAfter = 2 * time.Second
+// priorityRaiseDelay is the time without waiting queries after which lowered priorities are raised
+// again. On engines that are nearly full, queries wait every now and then, and priorities would
+// otherwise change constantly.
+const priorityRaiseDelay = 2 * time.Second
 
 const (
-	// SweepInterval is the time between two calls of Sweep.
+	// SweepInterval is the interval at which the owner calls Sweep.
 	SweepInterval = 100 * time.Millisecond
 
 	maxSweepSpan = time.Second
 )
 
-func (f *Queue) anyOverQuota(n *node) bool {
+// isOverQuota reports whether a tenant or one of its ancestors is over its quota.
+func (fq *Queue) isOverQuota(n *node) bool {
 	for ; n.parent != nil; n = n.parent {
 		if n.overQuota {
 			return true
--- a/internal/fairqueue/tenant_resolver.go
+++ b/internal/fairqueue/tenant_resolver.go
@@ -6,8 +6,8 @@
 	"github.com/gaissmai/bart"
 )
 
-// tenantResolver finds the tenant of a call: the one that the call names if its address is
-// trusted to name one, else the one that owns the address, else the default tenant.
+// tenantResolver determines the tenant of a call: the tenant that the call names if its address is
+// trusted to name one, else the tenant that owns the address, else the default tenant.
 type tenantResolver struct {
 	byName        map[string]int
 	trusted       bart.Lite
@@ -15,38 +15,38 @@
 	defaultTenant int
 }
 
-func newTenantResolver(s *Config, plans []tenantRecord) *tenantResolver {
-	r := &tenantResolver{byName: make(map[string]int, len(plans)), defaultTenant: 0}
-	for i, p := range plans {
-		if p.isLeaf {
-			r.byName[p.Name] = i
-			for _, a := range p.Addresses {
-				r.byAddress.Insert(a.Masked(), i)
+func newTenantResolver(config *Config, records []tenantRecord) *tenantResolver {
+	resolver := &tenantResolver{byName: make(map[string]int, len(records)), defaultTenant: 0}
+	for i, record := range records {
+		if record.isLeaf {
+			resolver.byName[record.Name] = i
+			for _, prefix := range record.Addresses {
+				resolver.byAddress.Insert(prefix.Masked(), i)
 			}
 		}
 	}
-	for _, a := range s.TrustedAddresses {
-		r.trusted.Insert(a.Masked())
+	for _, prefix := range config.TrustedAddresses {
+		resolver.trusted.Insert(prefix.Masked())
 	}
-	if i, ok := r.byName[s.DefaultTenant]; ok {
-		r.defaultTenant = i
+	if i, ok := resolver.byName[config.DefaultTenant]; ok {
+		resolver.defaultTenant = i
 	} else {
-		r.defaultTenant = len(plans) - 1 // planned as the last
+		resolver.defaultTenant = len(records) - 1 // applyConfig appends it last
 	}
-	return r
+	return resolver
 }
 
-// resolve returns the tenant's index. named is the tenant's name in the call, empty if there is
-// none; where it is not trusted or not known, the address decides.
-func (r *tenantResolver) resolve(from netip.Addr, named []byte) int {
-	from = from.Unmap()
-	if len(named) > 0 && from.IsValid() && r.trusted.Contains(from) {
+// resolve returns the index of a call's tenant. named is the tenant name in the call, empty if the call
+// names none. If the name is unknown or the address is not trusted, the address decides.
+func (r *tenantResolver) resolve(address netip.Addr, named []byte) int {
+	address = address.Unmap()
+	if len(named) > 0 && address.IsValid() && r.trusted.Contains(address) {
 		if i, ok := r.byName[string(named)]; ok {
 			return i
 		}
 	}
-	if from.IsValid() {
-		if i, ok := r.byAddress.Lookup(from); ok {
+	if address.IsValid() {
+		if i, ok := r.byAddress.Lookup(address); ok {
 			return i
 		}
 	}
--- a/internal/fairqueue/tenant_tree.go
+++ b/internal/fairqueue/tenant_tree.go
@@ -7,309 +7,317 @@
 	"railrelay.dev/railrelay/internal/intrusivelist"
 )
 
-// tenantRecord is a tenant as configured. A tenant without queries has no other state.
+// tenantRecord is a configured tenant. It only has further state while it is active, see node.
 type tenantRecord struct {
 	Tenant
 	path   string
-	parent int // -1: the root's
+	parent int // index in Queue.tenants, -1 for the root
 	isLeaf bool
-	state  *node // its state while it has any
+	state  *node // nil if it has none
 }
 
-// node is the state of a tenant, or a group of tenants, while it is busy and for a minute after.
+// node is the state of a tenant, or of a group of tenants, while it is active and for at least
+// idleRetention afterwards. A node is active while it has waiting or running queries.
 //
-// A virtual start time is the thread time charged over the weight. A charge counts at once in the
-// lane of the query and bit by bit in the other lanes: so a lane's order is as smooth as its
-// queries are small, and over all lanes tenants still get work by weight. A node that becomes busy
-// starts at the virtual time of its parent (as the lag-keeping of EEVDF does, Stoica and
-// Abdel-Wahab 1995): neither idle time nor work done while nobody else wanted the engines is held
-// against it beyond maxDebtSeconds.
+// The virtual start time of a node is the charged work divided by the weight. A charge counts at
+// once in the lane of the query and gradually in the other lanes. The order within a lane is thus
+// only as coarse as that lane's queries, and over all lanes tenants get work in proportion to their
+// weights. A node that becomes active starts at least at the virtual time of its parent (as in the
+// lag handling of EEVDF, Stoica and Abdel-Wahab 1995), and ahead of it by at most
+// maxCarriedLeadSeconds: idle time earns no credit, and work done while no other tenant wanted the
+// engines is soon forgiven.
 type node struct {
-	tenant   int // index
+	tenant   int // index in Queue.tenants
 	name     string
 	weight   float64
 	parent   *node
-	sequence uint64 // in the order of making: breaks ties, so that equal events give equal order
-
-	// Virtual start times by lane, and the last one over all lanes. A leaf's charges that are
-	// still to be settled, in thread seconds: by lane, and corrections in all lanes alike.
-	virtualStart    []float64
-	deferredCharges []float64
-	corrections     float64
-	isDebtor        bool // it is listed among the debtors
-
-	// Activity below.
-	busy          int            // waiting and running queries
-	busyWeight    float64        // of busy children
-	virtualClocks []virtualClock // of the children, by lane as virtualStart
-	eligible      []int          // by lane: queries that may go of a leaf, else children with such
-
-	// Heaps of a node with children by band and lane, and this node's place in its parent's.
-	heaps        [2][]heap
-	heapPosition []int   // by lane, -1: in none
+	sequence uint64 // order of creation; breaks ties, so that the order of dispatch is deterministic
+
+	// Virtual start times by lane; the last element covers all lanes. A leaf also has charges that
+	// are not yet in its virtual start times, in thread seconds: deferredCharges by lane, and
+	// corrections, which apply to every lane.
+	virtualStart       []float64
+	deferredCharges    []float64
+	corrections        float64
+	hasDeferredCharges bool // listed in Queue.deferredChargeNodes
+
+	// Activity of the node and its descendants.
+	activeQueries     int            // waiting, dispatched and running queries
+	activeChildWeight float64        // sum of the weights of active children
+	virtualClocks     []virtualClock // of the children, indexed like virtualStart
+	eligible          []int          // by lane: eligible queries of a leaf, else children with eligible queries
+
+	// The heaps of a node's children by band and lane, and the node's place in its parent's heaps.
+	heaps        [2][]virtualStartHeap
+	heapPosition []int   // by lane, -1: in no heap
 	heapBand     []uint8 // by lane
 
-	// Waiting queries. queues are a leaf's eligible queries by lane, in the order of age.
-	queues       []list
+	// Waiting queries. queues holds a leaf's eligible queries by lane, oldest first.
+	queues       []queryList
 	waiting      int
 	maxWaiting   int
 	waitingBelow int
-	backlog      []float64 // estimated thread seconds that wait below, by lane
-	dequeuedWork []float64 // thread seconds that waited and do no more, by lane
+	backlog      []float64 // estimated thread seconds of waiting queries, by lane
+	dequeuedWork []float64 // estimated thread seconds of all queries that stopped waiting, by lane
 
-	// What was learned, by lane.
+	// Measurements, by lane except for overrunRate.
 	arrivalRates []arrivalRate
-	usualCosts   []runningMean // thread seconds of a query
-	overrunRate  float64       // thread seconds a second of queries far beyond their usual work
+	meanWork     []runningMean // thread seconds per query
+	overrunRate  float64       // thread seconds per second used by queries far beyond their estimated work
 
-	// The token bucket: quota in thread seconds a second, 0 for none; burst and tokens in
-	// thread seconds, as of tokensAt.
+	// The token bucket: quota is the refill rate in thread seconds per second, 0 for none; burst
+	// is the size, and tokens the content at tokensAt, both in thread seconds.
 	quota, burst       float64
 	tokens             float64
 	tokensAt           time.Duration
-	overQuota          bool // the tokens are used up
-	refillHeapPosition int  // -1: not in it
+	overQuota          bool // tokens are below zero
+	refillHeapPosition int  // place in Queue.overQuotaNodes, -1: not in it
 
 	idleSince   time.Duration
 	idleElement intrusivelist.Element[node]
 	counts      Counts
 }
 
-// Bands: children within their quota go before those beyond.
+// Bands of children: those within their quota are served before those beyond.
 const (
 	withinQuota = 0
 	beyondQuota = 1
 )
 
-// maxDebtSeconds bounds by how much a node that becomes busy is ahead, in seconds of its share of
-// the engines: work beyond its share while others wanted nothing is soon forgiven.
-const maxDebtSeconds = 4.0
+// maxCarriedLeadSeconds limits the lead of a node that becomes active, in seconds of its share of the
+// engines.
+const maxCarriedLeadSeconds = 4.0
 
-func (f *Queue) newNode(p int) *node {
-	pl := &f.tenants[p]
-	lanes := len(f.lanes)
+// newNode creates the state of a tenant and, if needed, of its ancestors.
+func (fq *Queue) newNode(tenant int) *node {
+	record := &fq.tenants[tenant]
+	lanes := len(fq.lanes)
 	n := &node{
-		tenant:             p,
-		name:               pl.Name,
-		weight:             pl.Weight,
-		sequence:           f.nodesMade,
+		tenant:             tenant,
+		name:               record.Name,
+		weight:             record.Weight,
+		sequence:           fq.nextNodeSequence,
 		heapPosition:       make([]int, lanes),
 		heapBand:           make([]uint8, lanes),
 		eligible:           make([]int, lanes),
 		backlog:            make([]float64, lanes),
 		arrivalRates:       make([]arrivalRate, lanes),
-		quota:              pl.Quota,
-		burst:              max(pl.Burst, pl.Quota),
-		tokensAt:           f.now,
+		quota:              record.Quota,
+		burst:              max(record.Burst, record.Quota),
+		tokensAt:           fq.now,
 		refillHeapPosition: -1,
-		idleSince:          f.now,
+		idleSince:          fq.now,
 	}
-	f.nodesMade++
+	fq.nextNodeSequence++
 	n.tokens = n.burst
 	n.virtualStart = make([]float64, lanes+1)
 	for i := range n.heapPosition {
 		n.heapPosition[i] = -1
 	}
-	if pl.isLeaf {
+	if record.isLeaf {
 		n.dequeuedWork, n.deferredCharges = make([]float64, lanes), make([]float64, lanes)
-		n.queues, n.usualCosts = make([]list, lanes), make([]runningMean, lanes)
-		if n.maxWaiting = pl.MaxWaiting; n.maxWaiting == 0 {
+		n.queues, n.meanWork = make([]queryList, lanes), make([]runningMean, lanes)
+		if n.maxWaiting = record.MaxWaiting; n.maxWaiting == 0 {
 			n.maxWaiting = DefaultTenantMaxWaiting
 		}
 	} else {
 		n.virtualClocks = make([]virtualClock, lanes+1)
-		n.heaps[withinQuota], n.heaps[beyondQuota] = make([]heap, lanes), make([]heap, lanes)
+		n.heaps[withinQuota], n.heaps[beyondQuota] =
+			make([]virtualStartHeap, lanes), make([]virtualStartHeap, lanes)
 	}
-	if n.parent = f.root; pl.parent >= 0 {
-		n.parent = f.node(pl.parent)
+	if n.parent = fq.root; record.parent >= 0 {
+		n.parent = fq.node(record.parent)
 	}
-	pl.state = n
-	f.nodeCount++
-	f.idle.Append(&n.idleElement, n)
+	record.state = n
+	fq.nodeCount++
+	fq.idleNodes.Append(&n.idleElement, n)
 	return n
 }
 
-// node returns a tenant's state and makes it if there is none.
-func (f *Queue) node(p int) *node {
-	if n := f.tenants[p].state; n != nil {
+// node returns a tenant's state and creates it if necessary.
+func (fq *Queue) node(tenant int) *node {
+	if n := fq.tenants[tenant].state; n != nil {
 		return n
 	}
-	return f.newNode(p)
+	return fq.newNode(tenant)
 }
 
-// virtualClock sums the virtual start times of a node's busy children, relative to base.
+// virtualClock sums the virtual start times of a node's active children, relative to base.
 type virtualClock struct {
-	base, sum float64 // sum is of weight times (virtual start time less base)
-	lastMean  float64 // the mean when last one was busy
+	base, weightedSum float64 // weightedSum adds up weight * (virtual start time - base)
+	lastMean          float64 // the mean when the last child became idle
 }
 
-// virtualTime is the mean of the busy children's virtual start times in a lane, by weight.
-func (n *node) virtualTime(k int) float64 {
-	x := &n.virtualClocks[k]
-	if n.busyWeight <= 1e-12 {
-		return x.lastMean
+// virtualTime returns the weighted mean of the active children's virtual start times on one clock.
+func (n *node) virtualTime(clock int) float64 {
+	vc := &n.virtualClocks[clock]
+	if n.activeChildWeight <= 1e-12 {
+		return vc.lastMean
 	}
-	return x.base + x.sum/n.busyWeight
+	return vc.base + vc.weightedSum/n.activeChildWeight
 }
 
-// rebase makes the sum of a virtual clock relative to another base.
-func (n *node) rebase(k int, base float64) {
-	x := &n.virtualClocks[k]
-	x.sum += n.busyWeight * (x.base - base)
-	x.base = base
+// rebase changes the base of a virtual clock without changing its virtual time.
+func (n *node) rebase(clock int, base float64) {
+	vc := &n.virtualClocks[clock]
+	vc.weightedSum += n.activeChildWeight * (vc.base - base)
+	vc.base = base
 }
 
-// addActive counts one more waiting or running query in a tenant and all nodes above.
-func (f *Queue) addActive(n *node) {
+// addActive counts a new query in a tenant. Each node that becomes active joins its parent's clocks.
+func (fq *Queue) addActive(n *node) {
 	for ; n.parent != nil; n = n.parent {
-		if n.busy++; n.busy > 1 {
+		if n.activeQueries++; n.activeQueries > 1 {
 			continue
 		}
-		f.idle.Remove(&n.idleElement)
-		p := n.parent
-		most := maxDebtSeconds * f.capacity() / (n.weight + p.busyWeight)
-		for k := range n.virtualStart {
-			v := p.virtualTime(k)
-			n.virtualStart[k] = min(max(n.virtualStart[k], v), v+most)
-			far := math.Abs(n.virtualStart[k]-p.virtualClocks[k].base) > 1e6
-			if p.busyWeight <= 1e-12 || far { // so that sums stay exact enough
-				p.rebase(k, n.virtualStart[k])
+		fq.idleNodes.Remove(&n.idleElement)
+		parent := n.parent
+		maxLead := maxCarriedLeadSeconds * fq.capacity() / (n.weight + parent.activeChildWeight)
+		for clock := range n.virtualStart {
+			parentTime := parent.virtualTime(clock)
+			n.virtualStart[clock] = min(max(n.virtualStart[clock], parentTime), parentTime+maxLead)
+			farFromBase := math.Abs(n.virtualStart[clock]-parent.virtualClocks[clock].base) > 1e6
+			if parent.activeChildWeight <= 1e-12 || farFromBase { // limits rounding errors of the sums
+				parent.rebase(clock, n.virtualStart[clock])
 			}
-			p.virtualClocks[k].sum += n.weight * (n.virtualStart[k] - p.virtualClocks[k].base)
+			parent.virtualClocks[clock].weightedSum +=
+				n.weight * (n.virtualStart[clock] - parent.virtualClocks[clock].base)
 		}
-		p.busyWeight += n.weight
+		parent.activeChildWeight += n.weight
 	}
 }
 
-// removeActive counts one query less in a tenant and all nodes above.
-func (f *Queue) removeActive(n *node) {
+// removeActive counts a query that ended. Each node that becomes idle leaves its parent's clocks.
+func (fq *Queue) removeActive(n *node) {
 	for ; n.parent != nil; n = n.parent {
-		if n.busy--; n.busy > 0 {
+		if n.activeQueries--; n.activeQueries > 0 {
 			continue
 		}
-		p := n.parent
-		left := p.busyWeight - n.weight
-		for k := range n.virtualStart {
-			x := &p.virtualClocks[k]
-			x.lastMean = p.virtualTime(k)
-			if x.sum -= n.weight * (n.virtualStart[k] - x.base); left < 1e-9 {
-				x.sum = 0
+		parent := n.parent
+		remainingWeight := parent.activeChildWeight - n.weight
+		for clock := range n.virtualStart {
+			vc := &parent.virtualClocks[clock]
+			vc.lastMean = parent.virtualTime(clock)
+			if vc.weightedSum -= n.weight * (n.virtualStart[clock] - vc.base); remainingWeight < 1e-9 {
+				vc.weightedSum = 0
 			}
 		}
-		if p.busyWeight = left; left < 1e-9 {
-			p.busyWeight = 0
+		if parent.activeChildWeight = remainingWeight; remainingWeight < 1e-9 {
+			parent.activeChildWeight = 0
 		}
-		n.idleSince = f.now
-		f.idle.Append(&n.idleElement, n)
+		n.idleSince = fq.now
+		fq.idleNodes.Append(&n.idleElement, n)
 	}
 }
 
-// catchUp advances a node's virtual start time to its parent's virtual time: a share that a tenant
-// did not ask for is forfeited, though some of its queries ran all the time. Otherwise a tenant
-// that asks for less than its share would gather a claim without end, and one that takes the rest
-// a debt.
-func (n *node) catchUp(k int) {
-	if d := n.parent.virtualTime(k) - n.virtualStart[k]; d > 0 {
-		n.virtualStart[k] += d
-		if n.busy > 0 {
-			n.parent.virtualClocks[k].sum += n.weight * d
+// catchUp advances a node's virtual start time to its parent's virtual time if it is behind. A tenant
+// forfeits a share that it did not ask for, even if some of its queries were running all the time.
+// Otherwise a tenant that asks for less than its share would accumulate an unlimited claim, and a
+// tenant that uses the rest an unlimited debt.
+func (n *node) catchUp(clock int) {
+	if behind := n.parent.virtualTime(clock) - n.virtualStart[clock]; behind > 0 {
+		n.virtualStart[clock] += behind
+		if n.activeQueries > 0 {
+			n.parent.virtualClocks[clock].weightedSum += n.weight * behind
 		}
 	}
 }
 
-// charge adds thread time to a tenant and all nodes above: at once in its lane, and bit by bit in
-// the others.
-func (f *Queue) charge(n *node, lane int, work float64) {
-	f.advanceVirtualStart(n, lane, work)
-	f.advanceVirtualStart(n, len(f.lanes), work)
-	f.deferCharge(n, lane, work)
-	f.spendTokens(n, work)
+// charge adds thread seconds to a tenant and its ancestors: at once in the given lane, gradually in the
+// other lanes.
+func (fq *Queue) charge(n *node, lane int, work float64) {
+	fq.advanceVirtualStart(n, lane, work)
+	fq.advanceVirtualStart(n, len(fq.lanes), work)
+	fq.deferCharge(n, lane, work)
+	fq.spendTokens(n, work)
 }
 
-// correctCharge adds what a query used beyond what it was charged, or takes back what it did not
-// use. The token buckets have it at once, the virtual start times bit by bit over correctionSpan.
-// What a query uses is only known while it runs, after the wait estimates of the queries behind
-// it were given: this way the order of the next seconds stays predictable, and a bad plan costs
-// its tenant a part of its share for long rather than all of it for seconds.
-func (f *Queue) correctCharge(n *node, work float64) {
+// correctCharge charges what a query used beyond its charge, or returns what it did not use (negative
+// work). The token buckets change at once, the virtual start times gradually over correctionSpan. The
+// actual use is only known while a query runs, after wait estimates were given to the queries behind
+// it. The gradual correction keeps the order of the next seconds predictable, and a bad query plan
+// costs its tenant a part of its share for a long time instead of all of it for a few seconds.
+func (fq *Queue) correctCharge(n *node, work float64) {
 	if work == 0 {
 		return
 	}
 	n.corrections += work
-	f.addDebtor(n)
-	f.spendTokens(n, work)
+	fq.trackDeferredCharges(n)
+	fq.spendTokens(n, work)
 }
 
 const (
-	deferredChargeSpan = 5 * time.Second
-	correctionSpan     = 20 * time.Second
+	deferredChargeSpan = 5 * time.Second  // time constant of settling deferredCharges
+	correctionSpan     = 20 * time.Second // time constant of settling corrections
 )
 
-// deferCharge charges a tenant bit by bit in all lanes but one.
-func (f *Queue) deferCharge(n *node, but int, work float64) {
-	for k := range n.deferredCharges {
-		if k != but {
-			n.deferredCharges[k] += work
+// deferCharge charges a tenant gradually in all lanes except one.
+func (fq *Queue) deferCharge(n *node, exceptLane int, work float64) {
+	for lane := range n.deferredCharges {
+		if lane != exceptLane {
+			n.deferredCharges[lane] += work
 		}
 	}
-	f.addDebtor(n)
+	fq.trackDeferredCharges(n)
 }
 
-// addDebtor lists a tenant that has deferred charges or corrections.
-func (f *Queue) addDebtor(n *node) {
-	if !n.isDebtor {
-		n.isDebtor = true
-		f.debtors = append(f.debtors, n)
+// trackDeferredCharges makes settleDeferredCharges consider a tenant.
+func (fq *Queue) trackDeferredCharges(n *node) {
+	if !n.hasDeferredCharges {
+		n.hasDeferredCharges = true
+		fq.deferredChargeNodes = append(fq.deferredChargeNodes, n)
 	}
 }
 
-// settleDebts charges all debtors the part of their deferred charges that is due for a span.
-func (f *Queue) settleDebts(span time.Duration) {
-	part := func(owed float64, over time.Duration) float64 {
-		if math.Abs(owed) < 1e-4 {
-			return owed
+// settleDeferredCharges moves the part of the deferred charges and corrections that is due for a span into
+// the virtual start times.
+func (fq *Queue) settleDeferredCharges(span time.Duration) {
+	duePart := func(pending float64, settlementSpan time.Duration) float64 {
+		if math.Abs(pending) < 1e-4 {
+			return pending
 		}
-		return owed * (1 - math.Exp(-span.Seconds()/over.Seconds()))
+		return pending * (1 - math.Exp(-span.Seconds()/settlementSpan.Seconds()))
 	}
-	kept := f.debtors[:0]
-	for _, n := range f.debtors {
-		amends := part(n.corrections, correctionSpan)
-		n.corrections -= amends
-		n.isDebtor = n.corrections != 0
-		f.advanceVirtualStart(n, len(n.deferredCharges), amends)
-		for k, owed := range n.deferredCharges {
-			pay := part(owed, deferredChargeSpan)
-			n.deferredCharges[k] -= pay
-			f.advanceVirtualStart(n, k, pay+amends)
-			n.isDebtor = n.isDebtor || n.deferredCharges[k] != 0
+	remaining := fq.deferredChargeNodes[:0]
+	for _, n := range fq.deferredChargeNodes {
+		correction := duePart(n.corrections, correctionSpan)
+		n.corrections -= correction
+		n.hasDeferredCharges = n.corrections != 0
+		fq.advanceVirtualStart(n, len(n.deferredCharges), correction)
+		for lane, pending := range n.deferredCharges {
+			due := duePart(pending, deferredChargeSpan)
+			n.deferredCharges[lane] -= due
+			fq.advanceVirtualStart(n, lane, due+correction)
+			n.hasDeferredCharges = n.hasDeferredCharges || n.deferredCharges[lane] != 0
 		}
-		if n.isDebtor {
-			kept = append(kept, n)
+		if n.hasDeferredCharges {
+			remaining = append(remaining, n)
 		}
 	}
-	clear(f.debtors[len(kept):])
-	f.debtors = kept
+	clear(fq.deferredChargeNodes[len(remaining):])
+	fq.deferredChargeNodes = remaining
 }
 
-// advanceVirtualStart moves the virtual start times of a tenant and all nodes above in a lane, and
-// their places in the heaps.
-func (f *Queue) advanceVirtualStart(n *node, k int, work float64) {
+// advanceVirtualStart adds work to the virtual start times of a tenant and its ancestors on one clock,
+// and restores the order of the heaps.
+func (fq *Queue) advanceVirtualStart(n *node, clock int, work float64) {
 	if work == 0 {
 		return
 	}
 	for ; n.parent != nil; n = n.parent {
-		d := work / n.weight
-		n.virtualStart[k] += d
-		if n.busy > 0 {
-			n.parent.virtualClocks[k].sum += n.weight * d
+		advance := work / n.weight
+		n.virtualStart[clock] += advance
+		if n.activeQueries > 0 {
+			n.parent.virtualClocks[clock].weightedSum += n.weight * advance
 		}
-		if k < len(n.heapPosition) && n.heapPosition[k] >= 0 {
-			n.parent.heaps[n.heapBand[k]][k].fix(n.heapPosition[k], k)
+		if clock < len(n.heapPosition) && n.heapPosition[clock] >= 0 {
+			n.parent.heaps[n.heapBand[clock]][clock].fix(n.heapPosition[clock], clock)
 		}
 	}
 }
 
-// band: a group is within its quota as long as any of its waiting tenants is.
+// band returns the band of a node in a lane. A group is within its quota only if its own bucket is and
+// one of its tenants with eligible queries is too.
 func (n *node) band(lane int) int {
 	if n.overQuota || n.queues == nil && len(n.heaps[withinQuota][lane]) == 0 {
 		return beyondQuota
@@ -317,100 +325,106 @@
 	return withinQuota
 }
 
-func (f *Queue) enterHeaps(n *node) {
+// enterHeaps adds a node to its parent's heaps of the lanes in which it has eligible queries.
+func (fq *Queue) enterHeaps(n *node) {
 	for lane := range n.heapPosition {
 		if n.eligible[lane] > 0 && n.heapPosition[lane] < 0 {
-			f.pushHeap(n, lane)
+			fq.pushHeap(n, lane)
 		}
 	}
 }
 
-func (f *Queue) leaveHeaps(n *node) {
+// leaveHeaps removes a node from all heaps of its parent.
+func (fq *Queue) leaveHeaps(n *node) {
 	for lane := range n.heapPosition {
 		if n.heapPosition[lane] >= 0 {
-			f.removeFromHeap(n, lane)
+			fq.removeFromHeap(n, lane)
 		}
 	}
 }
 
-func (f *Queue) pushHeap(n *node, lane int) {
+func (fq *Queue) pushHeap(n *node, lane int) {
 	n.heapBand[lane] = uint8(n.band(lane))
 	n.parent.heaps[n.heapBand[lane]][lane].push(n, lane)
 }
 
-func (f *Queue) removeFromHeap(n *node, lane int) {
+func (fq *Queue) removeFromHeap(n *node, lane int) {
 	n.parent.heaps[n.heapBand[lane]][lane].remove(n.heapPosition[lane], lane)
 }
 
-// updateBands brings the bands of n and all nodes above in line with a change below.
-func (f *Queue) updateBands(n *node) {
+// updateBands moves n and its ancestors to the bands that a change among their descendants requires.
+func (fq *Queue) updateBands(n *node) {
 	for ; n.parent != nil; n = n.parent {
 		for lane := range n.heapPosition {
 			if n.heapPosition[lane] >= 0 && int(n.heapBand[lane]) != n.band(lane) {
-				f.removeFromHeap(n, lane)
-				f.pushHeap(n, lane)
+				fq.removeFromHeap(n, lane)
+				fq.pushHeap(n, lane)
 			}
 		}
 	}
 }
 
-// addEligible counts one more query that may go in a lane, up to the root.
-func (f *Queue) addEligible(n *node, lane int) {
+// addEligible counts a query of a leaf that became eligible in a lane. Each node that gets its first
+// eligible query joins its parent's heap.
+func (fq *Queue) addEligible(n *node, lane int) {
 	for ; n.parent != nil; n = n.parent {
 		if n.eligible[lane]++; n.eligible[lane] > 1 {
 			break
 		}
 		if n.queues != nil {
-			f.lanes[lane].eligibleTenants++
+			fq.lanes[lane].eligibleTenants++
 		}
 		n.catchUp(lane)
-		f.pushHeap(n, lane)
+		fq.pushHeap(n, lane)
 	}
-	f.updateBands(n)
+	fq.updateBands(n)
 }
 
-// removeEligible counts one query less that may go in a lane, up to the root.
-func (f *Queue) removeEligible(n *node, lane int) {
+// removeEligible counts a query of a leaf that is no longer eligible in a lane. Each node without
+// eligible queries leaves its parent's heap.
+func (fq *Queue) removeEligible(n *node, lane int) {
 	for ; n.parent != nil; n = n.parent {
 		if n.eligible[lane]--; n.eligible[lane] > 0 {
 			break
 		}
 		if n.queues != nil {
-			f.lanes[lane].eligibleTenants--
+			fq.lanes[lane].eligibleTenants--
 		}
-		f.removeFromHeap(n, lane)
+		fq.removeFromHeap(n, lane)
 	}
-	f.updateBands(n)
+	fq.updateBands(n)
 }
 
-// idleRetention is how long an idle tenant keeps its state. One whose token bucket is not full
-// keeps it until refilled.
+// idleRetention is how long an idle tenant keeps its state. A tenant whose token bucket is not full
+// keeps the state until the bucket is full.
 const idleRetention = time.Minute
 
-func (f *Queue) dropIdle() {
-	for e := f.idle.First(); e != nil && f.now-e.Value.idleSince >= idleRetention; e = f.idle.First() {
+// dropIdle deletes the state of nodes that have been idle for idleRetention.
+func (fq *Queue) dropIdle() {
+	for e := fq.idleNodes.First(); e != nil &&
+		fq.now-e.Value.idleSince >= idleRetention; e = fq.idleNodes.First() {
 		n := e.Value
-		f.idle.Remove(&n.idleElement)
+		fq.idleNodes.Remove(&n.idleElement)
 		if n.quota > 0 {
-			f.refill(n)
+			fq.refill(n)
 		}
-		if n.quota > 0 && n.tokens < n.burst || n.queues == nil && f.hasChildState(n) {
-			n.idleSince = f.now
-			f.idle.Append(&n.idleElement, n)
+		if n.quota > 0 && n.tokens < n.burst || n.queues == nil && fq.hasChildState(n) {
+			n.idleSince = fq.now
+			fq.idleNodes.Append(&n.idleElement, n)
 			continue
 		}
 		if n.refillHeapPosition >= 0 {
-			f.refills.remove(n.refillHeapPosition)
+			fq.overQuotaNodes.remove(n.refillHeapPosition)
 		}
-		f.tenants[n.tenant].state = nil
-		f.nodeCount--
+		fq.tenants[n.tenant].state = nil
+		fq.nodeCount--
 	}
 }
 
-// hasChildState reports whether a tenant of a group still has state, which points to the group's.
-func (f *Queue) hasChildState(n *node) bool {
-	for _, i := range f.children[n.tenant] {
-		if f.tenants[i].state != nil {
+// hasChildState reports whether a child of a group still has state. That state refers to the group's.
+func (fq *Queue) hasChildState(n *node) bool {
+	for _, i := range fq.children[n.tenant] {
+		if fq.tenants[i].state != nil {
 			return true
 		}
 	}
--- a/internal/fairqueue/wait_estimate.go
+++ b/internal/fairqueue/wait_estimate.go
@@ -6,525 +6,550 @@
 )
 
 // A wait estimate is the solution of a fluid model of all work that is done before a query starts,
-// found anew for each query. Full engines do a certain amount of work a second, whichever lanes it
-// is for; that rate is best measured by what ends while queries wait. Before the query goes
+// computed for each query. Full engines have a certain throughput, regardless of the lanes that the
+// work is for, which is best measured by the work that ends while queries wait. Before the query
+// starts, the engines do
 //
-//   - the work in flight beyond what usually is when a query is dispatched,
-//   - what was dispatched and not sent, and what its tenant has waiting before it,
-//   - of each rival of its lane what it is served until the level is reached at which the query's
-//     turn comes, but no more than it has waiting and will send meanwhile, and than its quota,
-//   - of each other lane what goes of it meanwhile, by the ratio seen while both waited, but no
-//     more than it has waiting and what arrives there meanwhile:
+//   - the work in flight that exceeds the typical work in flight at a dispatch,
+//   - the work that was dispatched but not sent, and the waiting work of its tenant ahead of it,
+//   - for each competing tenant of its lane the work that it gets until the virtual time reaches the
+//     level at which the query is selected, limited by its backlog and arrivals, and by its quota,
+//   - for each other lane the work dispatched meanwhile, by the ratio of the lanes measured while
+//     both had waiting queries, limited by the backlog and arrivals of that lane.
 //
-// In formulas:
+// As formulas, with T as the wait:
 //
-//	level = (ahead + lead + paid) / share
-//	T = (excess + dispatched + ahead + sum over rivals of min(share*level - lead - paid,
-//	     backlog + rate*T, tokens + quota*T) + sum over lanes of min(ratio*own,
-//	     backlog + rate*T)) / flow
+//	level = (ahead + lead + settled) / share
+//	T = (excess + dispatched + ahead + sum over competitors of min(share*level - lead - settled,
+//	     backlog + rate*T, tokens + quota*T) + sum over other lanes of min(ratio*own,
+//	     backlog + rate*T)) / throughput
 //
-// lead is what a tenant was charged beyond the mean of its siblings; paid is what it will have been
-// charged for work in other lanes and for what queries used beyond their usual work. T stands on
-// both sides and is found by a few iterations. Where less arrives than is done, no wait is longer
-// than it takes until nothing waits at all.
-
-// rival is a tenant with queries waiting in a lane.
-type rival struct {
-	node                   *node
-	share                  float64 // of all weights, down from the root
-	lead, backlog          float64 // as they are at the moment
-	deferredCharge         float64
-	arrivalRate, otherRate float64
-	tokens, refillRate     float64
-}
-
-// rivalProfile holds a lane's rivals. Beyond maxRivals tenants it is a sample of them, each standing
-// for scale.
-type rivalProfile struct {
-	rivals     []rival
-	builtAt    time.Duration
-	tenants    int // how many waited when it was made
-	scale      float64
-	fresh      bool    // its rivals' standing was looked at since
-	absentRate float64 // the rate of those of whom none wait
-	scanned    int
-}
-
-// correctionPart is how much of a correction is settled while deferredChargeSpan's part of the
-// deferred charges is.
-const correctionPart = float64(deferredChargeSpan) / float64(correctionSpan)
-
-// shortWaitPart is the part of a query's wait that a lane's queue may take and still be one that
-// gets all it asks for: it waits for moments only.
-const shortWaitPart = 0.05
+// lead is a tenant's charge beyond the mean of its siblings. settled is what will have been charged
+// to it meanwhile for work in other lanes and for work beyond the estimates of its queries. T is on
+// both sides and is found by a few iterations. If less work arrives than the engines can do, T is
+// limited to the time until no query waits at all.
+
+// competitor is a tenant with eligible queries in a lane, as the wait model sees it.
+type competitor struct {
+	node                         *node
+	share                        float64 // product of its parts of the active weights, from the root down
+	lead, backlog                float64 // at the last refresh
+	deferredCharge               float64
+	arrivalRate, otherChargeRate float64
+	tokens, refillRate           float64
+}
+
+// competitorSample holds the competitors of a lane. Above maxCompetitors tenants it is a sample, in
+// which each tenant represents scale tenants.
+type competitorSample struct {
+	competitors       []competitor
+	builtAt           time.Duration
+	waitingTenants    int // tenants with eligible queries when it was built
+	scale             float64
+	refreshed         bool    // refresh was called since it was built
+	absentArrivalRate float64 // arrival rate of the tenants without eligible queries
+	scannedTenants    int
+}
+
+// correctionShare is the speed at which corrections are settled, relative to deferred charges.
+const correctionShare = float64(deferredChargeSpan) / float64(correctionSpan)
+
+// shortQueueFraction is the fraction of a query's wait up to which the backlog of another lane counts
+// as short. A lane with a short backlog gets all the work that it asks for.
+const shortQueueFraction = 0.05
 
 const (
-	maxRivals       = 16
-	rivalProfileAge = 20 * time.Millisecond
-	solveRounds     = 4
+	maxCompetitors         = 16
+	competitorSampleMaxAge = 20 * time.Millisecond
+	solveIterations        = 4
 )
 
-func (f *Queue) rivalProfile(i int) *rivalProfile {
-	l := &f.lanes[i]
-	p := &l.profile
-	few := max(p.tenants, l.eligibleTenants) <= maxRivals
-	similar := p.tenants == l.eligibleTenants || !few && 8*abs(p.tenants-l.eligibleTenants) < p.tenants
-	if p.builtAt != 0 && f.now-p.builtAt < rivalProfileAge && similar {
-		return p
+// competitorSample returns the competitors of a lane. It builds the sample anew if it is older than
+// competitorSampleMaxAge or if the number of competitors has changed too much.
+func (fq *Queue) competitorSample(lane int) *competitorSample {
+	l := &fq.lanes[lane]
+	sample := &l.sample
+	few := max(sample.waitingTenants, l.eligibleTenants) <= maxCompetitors
+	similar := sample.waitingTenants == l.eligibleTenants ||
+		!few && 8*abs(sample.waitingTenants-l.eligibleTenants) < sample.waitingTenants
+	if sample.builtAt != 0 && fq.now-sample.builtAt < competitorSampleMaxAge && similar {
+		return sample
 	}
-	p.builtAt, p.tenants, p.rivals, p.scanned = max(1, f.now), l.eligibleTenants, p.rivals[:0], 0
-	step := max(1, (l.eligibleTenants+maxRivals-1)/maxRivals)
-	p.scale, p.fresh = float64(step), false
-	f.gatherRivals(p, f.root, i, 1, step)
-	waiting := 0.0
-	for _, r := range p.rivals {
-		waiting += r.arrivalRate * p.scale
+	sample.builtAt, sample.waitingTenants, sample.competitors, sample.scannedTenants =
+		max(1, fq.now), l.eligibleTenants, sample.competitors[:0], 0
+	step := max(1, (l.eligibleTenants+maxCompetitors-1)/maxCompetitors)
+	sample.scale, sample.refreshed = float64(step), false
+	fq.collectCompetitors(sample, fq.root, lane, 1, step)
+	waitingArrivalRate := 0.0
+	for _, tenant := range sample.competitors {
+		waitingArrivalRate += tenant.arrivalRate * sample.scale
 	}
-	p.absentRate = max(0, l.arrivals.perSecond(f.now)-waiting)
-	return p
+	sample.absentArrivalRate = max(0, l.arrivals.perSecond(fq.now)-waitingArrivalRate)
+	return sample
 }
 
-// gatherRivals walks the tenants that wait in a lane and keeps each step-th.
-func (f *Queue) gatherRivals(p *rivalProfile, n *node, i int, share float64, step int) {
+// collectCompetitors adds every step-th tenant with eligible queries below n to a sample.
+func (fq *Queue) collectCompetitors(sample *competitorSample, n *node, lane int, share float64, step int) {
 	for _, band := range n.heaps {
-		for _, x := range band[i] {
-			e := share
-			if n.busyWeight > 0 {
-				e *= x.weight / n.busyWeight
+		for _, child := range band[lane] {
+			childShare := share
+			if n.activeChildWeight > 0 {
+				childShare *= child.weight / n.activeChildWeight
 			}
-			if x.queues == nil {
-				f.gatherRivals(p, x, i, e, step)
+			if child.queues == nil {
+				fq.collectCompetitors(sample, child, lane, childShare, step)
 				continue
 			}
-			if p.scanned++; p.scanned%step != 0 && step > 1 {
+			if sample.scannedTenants++; sample.scannedTenants%step != 0 && step > 1 {
 				continue
 			}
-			r := rival{
-				node:        x,
-				share:       e,
-				arrivalRate: x.arrivalRates[i].perSecond(f.now),
-				otherRate:   x.otherRate(f.now, i),
-				tokens:      math.Inf(1),
+			found := competitor{
+				node:            child,
+				share:           childShare,
+				arrivalRate:     child.arrivalRates[lane].perSecond(fq.now),
+				otherChargeRate: child.otherChargeRate(fq.now, lane),
+				tokens:          math.Inf(1),
 			}
-			for up := x; up.parent != nil; up = up.parent {
-				if up.quota > 0 {
-					t := up.tokens + up.quota*(f.now-up.tokensAt).Seconds()
-					if part := up.partOf(x); t*part < r.tokens {
-						r.tokens, r.refillRate = t*part, up.quota*part
+			for ancestor := child; ancestor.parent != nil; ancestor = ancestor.parent {
+				if ancestor.quota > 0 {
+					tokens := ancestor.tokens + ancestor.quota*(fq.now-ancestor.tokensAt).Seconds()
+					if fraction := ancestor.shareWithin(child); tokens*fraction < found.tokens {
+						found.tokens, found.refillRate = tokens*fraction, ancestor.quota*fraction
 					}
 				}
 			}
-			p.rivals = append(p.rivals, r)
+			sample.competitors = append(sample.competitors, found)
 		}
 	}
 }
 
-// partOf is the part of n's share that belongs to tenant x below it.
-func (n *node) partOf(x *node) float64 {
-	part := 1.0
-	for ; x != n; x = x.parent {
-		part *= x.weight / max(x.weight, x.parent.busyWeight)
+// shareWithin returns the part of n's share that belongs to a tenant below it.
+func (n *node) shareWithin(tenant *node) float64 {
+	fraction := 1.0
+	for ; tenant != n; tenant = tenant.parent {
+		fraction *= tenant.weight / max(tenant.weight, tenant.parent.activeChildWeight)
 	}
-	return part
+	return fraction
 }
 
-// lead is how far a tenant is ahead of its siblings in a lane, in thread seconds, with its part of
-// what its group is ahead.
-func (n *node) lead(k int) float64 {
-	sum, part := 0.0, 1.0
-	for x := n; x.parent != nil; x = x.parent {
-		if x.busy > 0 {
-			sum += part * x.weight * (x.virtualStart[k] - x.parent.virtualTime(k))
+// lead returns how far a tenant is ahead of its siblings on one clock, in thread seconds, including
+// its part of the leads of its ancestors.
+func (n *node) lead(clock int) float64 {
+	sum, fraction := 0.0, 1.0
+	for ancestor := n; ancestor.parent != nil; ancestor = ancestor.parent {
+		if ancestor.activeQueries > 0 {
+			sum += fraction * ancestor.weight * (ancestor.virtualStart[clock] - ancestor.parent.virtualTime(clock))
 		}
-		part *= x.weight / max(x.weight, x.parent.busyWeight)
+		fraction *= ancestor.weight / max(ancestor.weight, ancestor.parent.activeChildWeight)
 	}
 	return sum
 }
 
-// otherRate is the rate at which a tenant is charged beside what it asks for in a lane.
-func (n *node) otherRate(now time.Duration, lane int) float64 {
+// otherChargeRate returns the rate at which a tenant is charged for work that does not arrive in the
+// given lane.
+func (n *node) otherChargeRate(now time.Duration, lane int) float64 {
 	sum := n.overrunRate
-	for k := range n.arrivalRates {
-		if k != lane {
-			sum += n.arrivalRates[k].perSecond(now)
+	for other := range n.arrivalRates {
+		if other != lane {
+			sum += n.arrivalRates[other].perSecond(now)
 		}
 	}
 	return sum
 }
 
-// deferredCharge is what a tenant will be charged in a lane bit by bit.
+// deferredCharge returns the charges that are still to be settled in a lane, weighted by their speed.
 func (n *node) deferredCharge(lane int) float64 {
-	return n.deferredCharges[lane] + n.corrections*correctionPart
+	return n.deferredCharges[lane] + n.corrections*correctionShare
 }
 
-// share is a tenant's part of all weights of busy tenants, down from the root.
+// share returns a tenant's share of the engines among the active tenants.
 func (n *node) share() float64 {
-	part := 1.0
-	for x := n; x.parent != nil; x = x.parent {
-		heavy := x.parent.busyWeight
-		if x.busy == 0 { // it is about to be
-			heavy += x.weight
+	fraction := 1.0
+	for ancestor := n; ancestor.parent != nil; ancestor = ancestor.parent {
+		siblingWeight := ancestor.parent.activeChildWeight
+		if ancestor.activeQueries == 0 { // counts as active, because a query is about to arrive
+			siblingWeight += ancestor.weight
 		}
-		part *= x.weight / heavy
+		fraction *= ancestor.weight / siblingWeight
 	}
-	return part
+	return fraction
 }
 
-// capacity is the work done a second while queries wait: the measured part of the cores, less what
-// overrunning queries take, which is in nobody's estimate.
-func (f *Queue) capacity() float64 {
-	used, known := f.workDone.perSecond()
-	trust := known / (known + 1)
-	r := f.cores * min(1.5, trust*used+(1-trust))
-	return max(r-(f.overrunRate+f.overrunMean.value)/2, r/10, 1e-3)
+// capacity returns the work done per second while queries wait. It is the measured part of the cores
+// less the work of overrunning queries, which no estimate includes.
+func (fq *Queue) capacity() float64 {
+	usedFraction, observedSeconds := fq.workDone.perSecond()
+	measuredWeight := observedSeconds / (observedSeconds + 1)
+	rate := fq.cores * min(1.5, measuredWeight*usedFraction+(1-measuredWeight))
+	return max(rate-(fq.overrunRate+fq.meanOverrunRate.value)/2, rate/10, 1e-3)
 }
 
-// totalArrivalRate is the work that usually arrives a second.
-func (f *Queue) totalArrivalRate() (sum float64) {
-	for i := range f.lanes {
-		sum += f.lanes[i].arrivals.perSecond(f.now)
+// totalArrivalRate returns the work that arrives per second in all lanes.
+func (fq *Queue) totalArrivalRate() (sum float64) {
+	for i := range fq.lanes {
+		sum += fq.lanes[i].arrivals.perSecond(fq.now)
 	}
 	return sum
 }
 
-// minSurgeQueries is how many queries of the largest lane at once are no surge.
+// minSurgeQueries is the number of simultaneous queries of the most expensive lane that is no surge.
 const minSurgeQueries = 6
 
-// largestUsualWork is the usual work of a query of the lane with the largest.
-func (f *Queue) largestUsualWork() (most float64) {
-	for i := range f.lanes {
-		most = max(most, f.lanes[i].usualCost.valueOr(0))
+// largestMeanWork returns the mean work per query of the most expensive lane.
+func (fq *Queue) largestMeanWork() (largest float64) {
+	for i := range fq.lanes {
+		largest = max(largest, fq.lanes[i].meanWork.valueOr(0))
 	}
-	return most
+	return largest
 }
 
-// laneRatio is how much work of lane h is dispatched for each of lane g while both wait.
-func (f *Queue) laneRatio(h, g int) float64 {
-	p := &f.laneRatios[g*len(f.lanes)+h]
-	const prior = 0.5 // thread seconds of each
-	return (p[1] + prior) / (p[0] + prior)
+// laneRatio returns the work dispatched from another lane per work of the own lane while both wait.
+func (fq *Queue) laneRatio(other, own int) float64 {
+	work := &fq.laneRatios[own*len(fq.lanes)+other]
+	const prior = 0.5 // thread seconds assumed for each lane before any measurement
+	return (work[1] + prior) / (work[0] + prior)
 }
 
-// laneRatioMemory bounds the memory of lane ratios, in thread seconds.
-const laneRatioMemory = 25
+// laneRatioMemorySeconds limits the dispatched work from which a lane ratio is computed, in thread
+// seconds, so that the ratio follows changes.
+const laneRatioMemorySeconds = 25
 
-// recordLaneRatio counts dispatched work of a lane against all other lanes that wait too.
-func (f *Queue) recordLaneRatio(i int, work float64) {
-	n := len(f.lanes)
-	for k := range f.lanes {
-		if k == i || f.lanes[k].waiting == 0 || f.lanes[i].waiting == 0 {
+// recordLaneRatio adds a lane's dispatched work to its ratios with the other lanes that have waiting
+// queries.
+func (fq *Queue) recordLaneRatio(lane int, work float64) {
+	laneCount := len(fq.lanes)
+	for other := range fq.lanes {
+		if other == lane || fq.lanes[other].waiting == 0 || fq.lanes[lane].waiting == 0 {
 			continue
 		}
-		f.laneRatios[i*n+k][0] += work
-		f.laneRatios[k*n+i][1] += work
-		for _, p := range []*[2]float64{&f.laneRatios[i*n+k], &f.laneRatios[k*n+i]} {
-			if sum := p[0] + p[1]; sum > laneRatioMemory {
-				p[0], p[1] = p[0]*laneRatioMemory/sum, p[1]*laneRatioMemory/sum
+		fq.laneRatios[lane*laneCount+other][0] += work
+		fq.laneRatios[other*laneCount+lane][1] += work
+		for _, pair := range []*[2]float64{
+			&fq.laneRatios[lane*laneCount+other], &fq.laneRatios[other*laneCount+lane],
+		} {
+			if sum := pair[0] + pair[1]; sum > laneRatioMemorySeconds {
+				pair[0], pair[1] = pair[0]*laneRatioMemorySeconds/sum, pair[1]*laneRatioMemorySeconds/sum
 			}
 		}
 	}
 }
 
-// inFlightWorkLeft is the estimated work left of all that runs: engines share their cores among
-// the threads that run.
-func (f *Queue) inFlightWorkLeft() float64 {
-	return max(0, f.inFlightWork-min(f.runningThreads, f.cores)*(f.now-f.sweptAt).Seconds())
+// inFlightWorkLeft returns the estimated work left of the dispatched and running queries. Engines
+// divide their cores among the running threads.
+func (fq *Queue) inFlightWorkLeft() float64 {
+	return max(0, fq.inFlightWork-min(fq.runningThreads, fq.cores)*(fq.now-fq.sweptAt).Seconds())
 }
 
-// excessInFlight is the work in flight beyond the usual at a dispatch of a query that waited:
-// surges get in before engines show that they are full.
-func (f *Queue) excessInFlight() float64 {
-	if f.typicalInFlight.count < 5 {
+// excessInFlight returns the work in flight beyond the typical work at a dispatch from a lane at
+// capacity. A surge can cause an excess, because its queries are dispatched before the engines report
+// that they are full.
+func (fq *Queue) excessInFlight() float64 {
+	if fq.typicalInFlight.count < 5 {
 		return 0
 	}
-	return max(0, f.inFlightWorkLeft()-1.1*f.typicalInFlight.value)
+	return max(0, fq.inFlightWorkLeft()-1.1*fq.typicalInFlight.value)
 }
 
-// estimateWait is how long a query that arrives now waits until it starts.
-func (f *Queue) estimateWait(q *Query) time.Duration {
-	l := &f.lanes[q.Lane]
-	t := 0.0
-	if l.full {
-		t = f.solveWait(q, l, q.leaf.backlog[q.Lane])
-	} else if f.contended(q.Lane) {
-		t = f.yieldSeconds(q, q.leaf.backlog[q.Lane])
+// estimateWait returns the estimated wait of a query that arrives now.
+func (fq *Queue) estimateWait(q *Query) time.Duration {
+	l := &fq.lanes[q.Lane]
+	waitSeconds := 0.0
+	if l.schedulerFull {
+		waitSeconds = fq.solveWait(q, l, q.leaf.backlog[q.Lane])
+	} else if fq.isContended(q.Lane) {
+		waitSeconds = fq.yieldSeconds(q, q.leaf.backlog[q.Lane])
 	}
-	q.uncorrectedWait = t
-	t *= l.correction.factor(f.now, t)
-	return max(seconds(t), f.orderWait(q, l, seconds(t)))
-}
-
-// yieldSeconds is how long a tenant yields before its next query goes, with so much work ahead.
-func (f *Queue) yieldSeconds(q *Query, ahead float64) float64 {
-	n := q.leaf
-	over := ahead - f.allowedLead(n)
-	if n.busy > 0 {
-		over += n.lead(len(f.lanes))
+	q.uncorrectedWait = waitSeconds
+	waitSeconds *= l.correction.factor(fq.now, waitSeconds)
+	return max(seconds(waitSeconds), fq.orderWait(q, l, seconds(waitSeconds)))
+}
+
+// yieldSeconds returns how long a tenant yields to other lanes before a query with the given work of
+// its tenant ahead is dispatched.
+func (fq *Queue) yieldSeconds(q *Query, ahead float64) float64 {
+	leaf := q.leaf
+	excessLead := ahead - fq.allowedLead(leaf)
+	if leaf.activeQueries > 0 {
+		excessLead += leaf.lead(len(fq.lanes))
 	}
-	gain := max(n.share()*f.capacity(), 1e-3)
-	return max(0, over) / gain
-}
-
-// solveWait returns the wait in seconds of a query with so much work of its tenant ahead.
-func (f *Queue) solveWait(q *Query, l *lane, ahead float64) float64 {
-	m := f.newWaitModel(q, l, ahead)
-	// Solved twice: by the tenant's weight, and as for a tenant beyond its quota, which goes
-	// behind all that are within theirs.
-	tokens, refillRate := f.tightestQuota(q.leaf)
-	t := f.solveModel(&m, false)
-	if need := ahead + q.estimatedWork - tokens; need > 0 {
-		t = max(t, min(need/max(refillRate-m.otherRate, refillRate/10), f.solveModel(&m, true)))
+	serviceRate := max(leaf.share()*fq.capacity(), 1e-3)
+	return max(0, excessLead) / serviceRate
+}
+
+// solveWait returns the wait in seconds of a query with the given work of its tenant ahead.
+func (fq *Queue) solveWait(q *Query, l *laneState, ahead float64) float64 {
+	m := fq.newWaitModel(q, l, ahead)
+	// If the tenant will be beyond its quota, the model is solved a second time with the query behind
+	// all tenants within their quotas.
+	tokens, refillRate := fq.tightestQuota(q.leaf)
+	waitSeconds := fq.solveModel(&m, false)
+	if missingTokens := ahead + q.estimatedWork - tokens; missingTokens > 0 {
+		waitSeconds = max(waitSeconds, min(
+			missingTokens/max(refillRate-m.otherChargeRate, refillRate/10), fq.solveModel(&m, true)))
 	}
-	return t
+	return waitSeconds
 }
 
-// waitModel is the fluid model of one query's wait. Work is in thread seconds, rates in thread
-// seconds a second.
+// waitModel is the fluid model of one query's wait. Work is in thread seconds, rates in thread seconds
+// per second.
 type waitModel struct {
 	query  *Query
-	lane   *lane
-	rivals *rivalProfile
+	lane   *laneState
+	sample *competitorSample
 
 	// The query's tenant.
-	share          float64 // of all weights
-	lead           float64
-	deferredCharge float64
-	otherRate      float64
-	ahead          float64 // waiting work of the tenant before the query
+	share           float64 // of the engines
+	lead            float64
+	deferredCharge  float64
+	otherChargeRate float64
+	workAhead       float64 // waiting work of the tenant ahead of the query
 
 	// The engines.
-	flow   float64 // work done a second
-	excess float64 // work in flight beyond the usual
-	fixed  float64 // work that goes first in any case
-	bound  float64 // seconds until nothing waits at all, infinite if more comes than is done
-
-	// A surge of arrivals: how many times the usual comes, and for how many seconds more.
-	surgeFactor, surgeLeft float64
-}
-
-func (f *Queue) newWaitModel(q *Query, l *lane, ahead float64) waitModel {
-	n := q.leaf
-	m := waitModel{query: q, lane: l, ahead: ahead}
-	m.rivals = f.rivalProfile(q.Lane)
-	m.flow = f.capacity()
-	m.share = n.share()
-	m.otherRate = n.otherRate(f.now, q.Lane)
-	if n.busy > 0 {
-		m.lead = n.lead(q.Lane)
+	throughput     float64 // work done per second
+	excessInFlight float64 // see Queue.excessInFlight
+	fixedWork      float64 // work that is done first in any case
+	drainSeconds   float64 // time until no query waits, infinite if more work arrives than is done
+
+	// A surge of arrivals: the multiple of the usual rate, and its remaining duration.
+	surgeFactor, surgeSecondsLeft float64
+}
+
+// newWaitModel collects the current inputs of the model.
+func (fq *Queue) newWaitModel(q *Query, l *laneState, ahead float64) waitModel {
+	leaf := q.leaf
+	m := waitModel{query: q, lane: l, workAhead: ahead}
+	m.sample = fq.competitorSample(q.Lane)
+	m.throughput = fq.capacity()
+	m.share = leaf.share()
+	m.otherChargeRate = leaf.otherChargeRate(fq.now, q.Lane)
+	if leaf.activeQueries > 0 {
+		m.lead = leaf.lead(q.Lane)
 	}
-	m.deferredCharge = n.deferredCharge(q.Lane)
-	m.rivals.refresh(q.Lane)
-	m.excess = f.excessInFlight()
-	m.fixed = m.excess + l.dispatchedWork + ahead
-	m.bound = math.Inf(1)
-	all, arrivals := m.fixed, 0.0
-	for i := range f.lanes {
-		x := &f.lanes[i]
-		arrivals += x.arrivals.perSecond(f.now)
-		if x != l {
-			all += f.root.backlog[i] + x.dispatchedWork
+	m.deferredCharge = leaf.deferredCharge(q.Lane)
+	m.sample.refresh(q.Lane)
+	m.excessInFlight = fq.excessInFlight()
+	m.fixedWork = m.excessInFlight + l.dispatchedWork + ahead
+	m.drainSeconds = math.Inf(1)
+	totalWork, arrivalRate := m.fixedWork, 0.0
+	for i := range fq.lanes {
+		other := &fq.lanes[i]
+		arrivalRate += other.arrivals.perSecond(fq.now)
+		if other != l {
+			totalWork += fq.root.backlog[i] + other.dispatchedWork
 		} else {
-			all += f.root.backlog[i] - ahead
+			totalWork += fq.root.backlog[i] - ahead
 		}
 	}
-	m.surgeFactor = f.surge.factor(f.now, arrivals)
-	m.surgeLeft = f.surge.remainingSeconds(f.now)
-	if arrivals < 0.95*m.flow {
-		m.bound = (all + (m.surgeFactor-1)*arrivals*m.surgeLeft) / (m.flow - arrivals)
+	m.surgeFactor = fq.surge.factor(fq.now, arrivalRate)
+	m.surgeSecondsLeft = fq.surge.remainingSeconds(fq.now)
+	if arrivalRate < 0.95*m.throughput {
+		m.drainSeconds = (totalWork + (m.surgeFactor-1)*arrivalRate*m.surgeSecondsLeft) /
+			(m.throughput - arrivalRate)
 	}
 	return m
 }
 
-// refresh brings the rivals' standing up to date. A sample is as good a few milliseconds later.
-func (p *rivalProfile) refresh(lane int) {
-	for k := range p.rivals {
-		if p.scale > 1 && p.fresh {
+// refresh updates the leads, backlogs and deferred charges of the competitors. A sample that does not
+// hold all tenants is refreshed only once, because it is approximate anyway.
+func (s *competitorSample) refresh(lane int) {
+	for i := range s.competitors {
+		if s.scale > 1 && s.refreshed {
 			break
 		}
-		r := &p.rivals[k]
-		r.deferredCharge = r.node.deferredCharge(lane)
-		r.lead = r.node.lead(lane)
-		r.backlog = r.node.backlog[lane]
+		tenant := &s.competitors[i]
+		tenant.deferredCharge = tenant.node.deferredCharge(lane)
+		tenant.lead = tenant.node.lead(lane)
+		tenant.backlog = tenant.node.backlog[lane]
 	}
-	p.fresh = true
-}
-
-// solveModel finds the wait in seconds by fixed-point iteration. last puts the query behind all
-// rivals that have tokens left.
-func (f *Queue) solveModel(m *waitModel, last bool) float64 {
-	t := m.fixed / m.flow
-	for range solveRounds {
-		paid := t / (t + deferredChargeSpan.Seconds()) // about this part of the deferred charges
-		level := max(0, m.ahead+m.lead+(m.deferredCharge+m.otherRate*t/2)*paid) / m.share
-		arrivalSpan := t + (m.surgeFactor-1)*min(t, m.surgeLeft) // in which as much usually comes
-		sum := m.fixed + m.rivals.absentRate*t
-		sum = m.addRivals(sum, t, paid, level, arrivalSpan, last)
-		sum = f.addOtherLanes(m, sum, t, arrivalSpan)
-		t = min(m.bound, (t+2*sum/m.flow)/3)
+	s.refreshed = true
+}
+
+// solveModel computes the wait in seconds by fixed-point iteration. afterAll puts the query behind all
+// competitors that have tokens left.
+func (fq *Queue) solveModel(m *waitModel, afterAll bool) float64 {
+	waitSeconds := m.fixedWork / m.throughput
+	for range solveIterations {
+		// The approximate part of the deferred charges that is settled during the wait.
+		settled := waitSeconds / (waitSeconds + deferredChargeSpan.Seconds())
+		level := max(0, m.workAhead+m.lead+(m.deferredCharge+m.otherChargeRate*waitSeconds/2)*settled) / m.share
+		// The time in which as much work arrives at the usual rate.
+		arrivalSpan := waitSeconds + (m.surgeFactor-1)*min(waitSeconds, m.surgeSecondsLeft)
+		workBefore := m.fixedWork + m.sample.absentArrivalRate*waitSeconds
+		workBefore = m.addCompetitors(workBefore, waitSeconds, settled, level, arrivalSpan, afterAll)
+		workBefore = fq.addOtherLanes(m, workBefore, waitSeconds, arrivalSpan)
+		waitSeconds = min(m.drainSeconds, (waitSeconds+2*workBefore/m.throughput)/3)
 	}
-	return t
+	return waitSeconds
 }
 
-// addRivals adds to sum what each rival of the lane is served before the query.
-func (m *waitModel) addRivals(sum, t, paid, level, arrivalSpan float64, last bool) float64 {
-	for k := range m.rivals.rivals {
-		r := &m.rivals.rivals[k]
-		if r.node == m.query.leaf {
+// addCompetitors adds to workBefore the work that competitors get before the query starts.
+func (m *waitModel) addCompetitors(
+	workBefore, waitSeconds, settled, level, arrivalSpan float64, afterAll bool,
+) float64 {
+	for i := range m.sample.competitors {
+		tenant := &m.sample.competitors[i]
+		if tenant.node == m.query.leaf {
 			continue
 		}
-		x := r.share*level - r.lead - (r.deferredCharge+r.otherRate*t/2)*paid + m.query.estimatedWork/2
-		if last && r.tokens > 0 {
-			x = math.Inf(1)
+		served := tenant.share*level - tenant.lead -
+			(tenant.deferredCharge+tenant.otherChargeRate*waitSeconds/2)*settled + m.query.estimatedWork/2
+		if afterAll && tenant.tokens > 0 {
+			served = math.Inf(1)
 		}
-		x = min(x, r.backlog+r.arrivalRate*arrivalSpan, max(0, r.tokens)+r.refillRate*t)
-		sum += max(0, x) * m.rivals.scale
+		served = min(served, tenant.backlog+tenant.arrivalRate*arrivalSpan,
+			max(0, tenant.tokens)+tenant.refillRate*waitSeconds)
+		workBefore += max(0, served) * m.sample.scale
 	}
-	return sum
+	return workBefore
 }
 
-// addOtherLanes adds to sum what goes of the other lanes meanwhile.
-func (f *Queue) addOtherLanes(m *waitModel, sum, t, arrivalSpan float64) float64 {
-	own := sum - m.excess
-	for i := range f.lanes {
-		x := &f.lanes[i]
-		if x == m.lane {
+// addOtherLanes adds to workBefore the work that the other lanes dispatch before the query starts.
+func (fq *Queue) addOtherLanes(m *waitModel, workBefore, waitSeconds, arrivalSpan float64) float64 {
+	ownWork := workBefore - m.excessInFlight
+	for i := range fq.lanes {
+		other := &fq.lanes[i]
+		if other == m.lane {
 			continue
 		}
-		most := f.root.backlog[i] + x.dispatchedWork + x.arrivals.perSecond(f.now)*arrivalSpan
-		if f.root.backlog[i] <= shortWaitPart*m.flow*t {
-			sum += most
+		available := fq.root.backlog[i] + other.dispatchedWork + other.arrivals.perSecond(fq.now)*arrivalSpan
+		if fq.root.backlog[i] <= shortQueueFraction*m.throughput*waitSeconds {
+			workBefore += available
 		} else {
-			sum += min(f.laneRatio(i, m.query.Lane)*own, most)
+			workBefore += min(fq.laneRatio(i, m.query.Lane)*ownWork, available)
 		}
 	}
-	return sum
+	return workBefore
 }
 
-// tightestQuota is the token bucket with the fewest tokens above a tenant: its tokens, and how many
-// come back a second.
-func (f *Queue) tightestQuota(n *node) (tokens, refilled float64) {
+// tightestQuota returns the tokens and the refill rate of the token bucket with the fewest tokens among
+// a tenant and its ancestors, and infinitely many tokens if none of them has a quota.
+func (fq *Queue) tightestQuota(n *node) (tokens, refillRate float64) {
 	tokens = math.Inf(1)
-	for x := n; x.parent != nil; x = x.parent {
-		if x.quota > 0 {
-			if t := x.tokens + x.quota*(f.now-x.tokensAt).Seconds(); t < tokens {
-				tokens, refilled = t, x.quota
+	for ancestor := n; ancestor.parent != nil; ancestor = ancestor.parent {
+		if ancestor.quota > 0 {
+			if available := ancestor.tokens + ancestor.quota*(fq.now-ancestor.tokensAt).Seconds(); available < tokens {
+				tokens, refillRate = available, ancestor.quota
 			}
 		}
 	}
-	return tokens, refilled
+	return tokens, refillRate
 }
 
-// orderWait is the wait for the query's orders: queries before it of its key have to be over, and
-// of its chain one runs at a time, or for maxChainHold until it goes alone.
-func (f *Queue) orderWait(q *Query, l *lane, t time.Duration) time.Duration {
+// orderWait returns the wait that the query's orders cause. fairWait is the wait without them. Earlier
+// queries of its key have to end first. Earlier loads of its chain have to end too, but the scheduler
+// holds the query back for at most maxChainHold.
+func (fq *Queue) orderWait(q *Query, l *laneState, fairWait time.Duration) time.Duration {
 	if !l.Ordered && !l.Chained {
 		return 0
 	}
-	run := seconds(f.usualRunSeconds(l))
-	over := func(x *Query) time.Duration { // from now, when it should be over
-		if x.state == stateRunning {
-			return max(0, x.startedAt+run-f.now)
+	expectedRun := seconds(fq.expectedRunSeconds(l))
+	timeToEnd := func(earlier *Query) time.Duration {
+		if earlier.state == stateRunning {
+			return max(0, earlier.startedAt+expectedRun-fq.now)
 		}
-		return max(0, x.expectedStart-f.now) + run
+		return max(0, earlier.expectedStart-fq.now) + expectedRun
 	}
-	by := time.Duration(0)
+	wait := time.Duration(0)
 	if l.Ordered && q.Key >= 0 {
-		if x := f.orders[orderID{keyOrder, q.Key}]; x != nil {
-			if last := x.predecessor(q, keyOrder); last != nil {
-				by = max(by, over(last))
+		if order := fq.orders[orderID{keyOrder, q.Key}]; order != nil {
+			if earlier := order.predecessor(q, keyOrder); earlier != nil {
+				wait = max(wait, timeToEnd(earlier))
 			}
 		}
 	}
 	if l.Chained {
-		if x := f.orders[orderID{chainOrder, q.Chain}]; x != nil {
-			if last := x.predecessor(q, chainOrder); last != nil {
-				by = max(by, min(over(last), t+min(run, maxChainHold)))
+		if order := fq.orders[orderID{chainOrder, q.Chain}]; order != nil {
+			if earlier := order.predecessor(q, chainOrder); earlier != nil {
+				wait = max(wait, min(timeToEnd(earlier), fairWait+min(expectedRun, maxChainHold)))
 			}
 		}
-		if x, ok := f.chains[q.Chain]; ok {
-			by = max(by, min(max(0, x.expectedEnd-f.now), t+maxChainHold))
+		if chain, inFlight := fq.chains[q.Chain]; inFlight {
+			wait = max(wait, min(max(0, chain.expectedEnd-fq.now), fairWait+maxChainHold))
 		}
 	}
-	return by
+	return wait
 }
 
-// maxChainHold is how long the scheduler holds a load behind another of its tables.
+// maxChainHold is the longest time for which the scheduler holds back a load because of an earlier load
+// of its tables.
 const maxChainHold = time.Second
 
-// FirstEstimate returns the first wait estimate of an admitted query, after all queries that may
-// go at once were dispatched: 0 if it has started, the estimate of Enqueue if it waits, and for
-// one that was dispatched and not sent yet the time to the lane's next start.
-func (f *Queue) FirstEstimate(now time.Duration, q *Query) time.Duration {
-	f.advance(now)
+// FirstEstimate returns the first wait estimate of an admitted query. The owner calls it after it has
+// dispatched all queries that Next returns. The result is 0 if the query has started, the estimate of
+// Enqueue if it waits, and the expected time until the lane's next start if the query was dispatched but
+// not sent.
+func (fq *Queue) FirstEstimate(now time.Duration, q *Query) time.Duration {
+	fq.advance(now)
 	switch {
 	case q.state == stateRunning:
 		q.WaitEstimate = 0
 	case q.state == stateDispatched:
-		l := &f.lanes[q.Lane]
-		q.WaitEstimate = max(q.WaitEstimate, seconds(min((f.excessInFlight()+l.dispatchedWork)/f.capacity(), 1)))
+		l := &fq.lanes[q.Lane]
+		q.WaitEstimate = max(q.WaitEstimate, seconds(min((fq.excessInFlight()+l.dispatchedWork)/fq.capacity(), 1)))
 	}
-	q.expectedStart = f.now + q.WaitEstimate
+	q.expectedStart = fq.now + q.WaitEstimate
 	return q.WaitEstimate
 }
 
-// notifyChangedWaits calls tell for subscribed queries whose wait estimate changed by much.
-func (f *Queue) notifyChangedWaits(tell func(q *Query, wait time.Duration)) {
-	kept := f.subscribers[:0]
-	for _, q := range f.subscribers {
+// notifyChangedWaits calls notify for subscribed queries whose wait estimate changed by more than
+// minWaitChange and Config.NotifyThreshold.
+func (fq *Queue) notifyChangedWaits(notify func(q *Query, wait time.Duration)) {
+	remaining := fq.subscribers[:0]
+	for _, q := range fq.subscribers {
 		if q.state != stateWaiting {
 			q.subscribed = false
 			continue
 		}
-		kept = append(kept, q)
-		l := &f.lanes[q.Lane]
-		t := 0.0
-		if l.full {
-			t = f.solveWait(q, l, max(0, q.workAhead-q.leaf.dequeuedWork[q.Lane]))
+		remaining = append(remaining, q)
+		l := &fq.lanes[q.Lane]
+		waitSeconds := 0.0
+		if l.schedulerFull {
+			waitSeconds = fq.solveWait(q, l, max(0, q.workAhead-q.leaf.dequeuedWork[q.Lane]))
 		}
-		t *= l.correction.factor(f.now, t)
-		wait := max(seconds(t), f.orderWait(q, l, seconds(t)))
-		left := max(0, q.expectedStart-f.now)
-		if change := max(wait-left, left-wait); change > minNotifyChange &&
-			change.Seconds() > f.config.NotifyThreshold*left.Seconds() {
-			q.expectedStart = f.now + wait
-			tell(q, wait)
+		waitSeconds *= l.correction.factor(fq.now, waitSeconds)
+		wait := max(seconds(waitSeconds), fq.orderWait(q, l, seconds(waitSeconds)))
+		expected := max(0, q.expectedStart-fq.now)
+		if change := max(wait-expected, expected-wait); change > minWaitChange &&
+			change.Seconds() > fq.config.NotifyThreshold*expected.Seconds() {
+			q.expectedStart = fq.now + wait
+			notify(q, wait)
 		}
 	}
-	clear(f.subscribers[len(kept):])
-	f.subscribers = kept
+	clear(fq.subscribers[len(remaining):])
+	fq.subscribers = remaining
 }
 
 const (
-	minNotifyChange = 100 * time.Millisecond
-	maxSubscribers  = 4096 // further queries only get their first estimate
+	minWaitChange  = 100 * time.Millisecond
+	maxSubscribers = 4096 // further queries get no notifications of changes
 )
 
 func abs(x int) int { return max(x, -x) }
 
-// RetryAfter returns after what time a client had better retry: the wait estimate of a query
-// that arrived now.
-func (f *Queue) RetryAfter(now time.Duration, q *Query) time.Duration {
-	f.advance(now)
-	n := q.leaf
-	if n == nil || !f.lanes[q.Lane].full {
+// RetryAfter returns the time after which a client should retry, which is the estimated wait of a
+// query that arrives now, or 0 if the lane has capacity.
+func (fq *Queue) RetryAfter(now time.Duration, q *Query) time.Duration {
+	fq.advance(now)
+	leaf := q.leaf
+	if leaf == nil || !fq.lanes[q.Lane].schedulerFull {
 		return 0
 	}
-	return seconds(f.solveWait(q, &f.lanes[q.Lane], n.backlog[q.Lane]))
+	return seconds(fq.solveWait(q, &fq.lanes[q.Lane], leaf.backlog[q.Lane]))
 }
 
-// LatestStart returns when a waiting query has to be given up: started later, it would not end
-// before its client's deadline.
-func (f *Queue) LatestStart(q *Query) time.Duration {
-	return max(q.enqueuedAt, q.Deadline-seconds(f.usualRunSeconds(&f.lanes[q.Lane])))
+// LatestStart returns the time at which the owner has to give up a waiting query, because after it the
+// query would not end before its client's deadline.
+func (fq *Queue) LatestStart(q *Query) time.Duration {
+	return max(q.enqueuedAt, q.Deadline-seconds(fq.expectedRunSeconds(&fq.lanes[q.Lane])))
 }
 
-// EachWaiting calls do for all waiting queries, lane by lane, the oldest first. The query that
-// do is called with may end in the call.
-func (f *Queue) EachWaiting(do func(q *Query)) {
-	for i := range f.lanes {
-		for e := f.lanes[i].byAge.First(); e != nil; {
+// EachWaiting calls visit for all waiting queries, lane by lane, oldest first. visit may end the query
+// that it is called with.
+func (fq *Queue) EachWaiting(visit func(q *Query)) {
+	for i := range fq.lanes {
+		for e := fq.lanes[i].waitingByAge.First(); e != nil; {
 			next := e.Next()
-			do(e.Value)
+			visit(e.Value)
 			e = next
 		}
 	}
