--- a/internal/fairqueue/lane.go
+++ b/internal/fairqueue/lane.go
@@ -46,7 +46,7 @@
 	}
 }
 
-// valuePerWork is the priority weight of the lane's queries over their usual work.
+// valuePerWork returns the priority weight of the lane's queries divided by their mean work.
 func (l *laneState) valuePerWork() float64 {
 	return l.PriorityWeight / l.meanWork.valueOr(max(1e-4, l.InitialWorkEstimate.Seconds()))
 }
--- a/internal/fairqueue/queue.go
+++ b/internal/fairqueue/queue.go
@@ -3,7 +3,7 @@
 // dispatched next, estimates how long each query will wait, and lowers the priority of some running
 // queries. The queue is in front of the scheduler: the scheduler chooses engines, and rejects queries
 // for which it has none; this package chooses the next query whenever the scheduler can take one more.
-// A lane is the queue of one resource group.
+// A lane is the queue of one resource group. Settings and messages call a tenant a team.
 //
 // The package is a pure state machine without I/O, clock or goroutines. Times are durations since the
 // start of the owner; inside the queue, time never goes backwards. Work is measured in thread seconds.
--- a/internal/fairqueue/reload.go
+++ b/internal/fairqueue/reload.go
@@ -124,8 +124,8 @@
 			continue
 		}
 		leads := make([]float64, len(n.virtualStart))
-		for k := range leads {
-			leads[k] = n.virtualStart[k] - n.parent.virtualTime(k)
+		for clock := range leads {
+			leads[clock] = n.virtualStart[clock] - n.parent.virtualTime(clock)
 		}
 		saved[fq.tenants[i].path] = savedState{leads, n.tokens, n.tokensAt, n.counts, n.meanWork, n.arrivalRates}
 	}
--- a/internal/fairqueue/sweep.go
+++ b/internal/fairqueue/sweep.go
@@ -7,8 +7,8 @@
 // Sweep must be called every SweepInterval. It charges running queries for the work used so far,
 // calls setLowered for each query whose priority is to be lowered or raised again, and calls
 // notifyWait for each waiting query whose client asked for changes of its estimate and whose estimate
-// changed by more than NotifyThreshold. After a jump of the clock it charges at most maxSweepSpan.
-func (fq *Queue) Sweep(now time.Duration, setLowered func(q *Query, on bool),
+// changed by more than Config.NotifyThreshold. After a jump of the clock it charges at most maxSweepSpan.
+func (fq *Queue) Sweep(now time.Duration, setLowered func(q *Query, lowered bool),
 	notifyWait func(q *Query, wait time.Duration)) {
 	fq.advance(now)
 	span := min(fq.now-fq.sweptAt, maxSweepSpan)
