--- a/internal/scheduler/queue.go
+++ b/internal/scheduler/queue.go
@@ -7,72 +7,75 @@
 )
 
 const (
-	rateSpan      = 5 * time.Second // over which recent rates are taken
-	leastRateSpan = time.Second     // the same just after the start
-	queueParts    = 4               // of the work started in an objective, one may be queued
-	leastRate     = 0.01            // queries a second, against a division by 0
+	rateWindow        = 5 * time.Second // for recent rates
+	minRateWindow     = time.Second     // used shortly after the start
+	queuedWorkDivisor = 4               // of the work started in an objective, for the limit of queued work
+	minRate           = 0.01            // queries per second, avoids a division by 0
 )
 
 func (s *Scheduler) enqueue(q *query) { q.group.insert(q) }
 
-// dispatchQueued sends what can be sent: the group with the most weight for its work first, each in
-// the order of arrival. A query that no engine may take whatever its capacity is passed over, and
-// so are those that the same tables and locations bar: queues get long, and each is asked once.
+// dispatchQueued sends the queued queries that can be sent, in order of the groups' ranks and then
+// of arrival. A query that no engine is eligible for is skipped, and so are the queries with the
+// same eligibility key, so that a long queue needs few routing decisions.
 func (s *Scheduler) dispatchQueued() {
 	for _, rg := range s.ranked {
-		var barredKeys []int64
+		var ineligibleKeys []int64
 		rg.blocked = false
 		for i := 0; i < len(rg.queue); {
 			q := rg.queue[i]
-			if !q.ended && s.notWorthStarting(q, len(rg.queue) > i+1) {
+			if !q.ended && s.tooLateToStart(q, len(rg.queue) > i+1) {
 				s.reject(q)
 			}
 			if q.ended {
 				rg.remove(q)
 				continue
 			}
-			if len(q.attempts) == 0 && slices.Contains(barredKeys, q.blockingKey) {
+			if len(q.attempts) == 0 && slices.Contains(ineligibleKeys, q.eligibilityKey) {
 				i++
 				continue
 			}
-			e, barred := s.route(q)
+			e, ineligible := s.route(q)
 			switch {
 			case e != nil && s.submit(q, e):
 				rg.remove(q)
-			case e == nil && !barred && !q.confined: // a confined one holds up only its like
+			case e == nil && !ineligible && !q.confined: // a confined query blocks only queries like itself
 				s.shedCostliest(rg)
 				rg.blocked = true
 				i = len(rg.queue)
 			default:
-				barredKeys = append(barredKeys, q.blockingKey)
+				ineligibleKeys = append(ineligibleKeys, q.eligibilityKey)
 				i++
 			}
 		}
 	}
 }
 
-// rankGroups orders the groups by weight for the thread time of a query, which is what is rationed.
+// rankGroups orders the groups by weight per thread second of a query, as thread seconds are the
+// scarce resource.
 func (s *Scheduler) rankGroups() {
 	weight := func(rg *resourceGroup) float64 {
-		return rg.priorityWeight / rg.threadSecondsUsed.valueOr(s.usualWorkSeconds(rg))
+		return rg.priorityWeight / rg.threadSecondsUsed.valueOr(s.typicalWorkSeconds(rg))
 	}
 	slices.SortStableFunc(s.ranked, func(a, b *resourceGroup) int {
 		return cmp.Or(cmp.Compare(weight(b), weight(a)), a.index-b.index)
 	})
 }
 
-// shedCostliest rejects, from a queue with more work than can be started in time, what costs most
-// for its weight. In order of arrival alone a long query takes the capacity of several that are
-// worth as much; where all are alike that order is as good.
+// shedCostliest rejects queries of a queue with more work than can be started in time, those with
+// the highest cost for their weight first. In order of arrival alone, a long query would take the
+// capacity of several shorter ones of equal value. A queue of queries that cost the same keeps its
+// order.
 func (s *Scheduler) shedCostliest(rg *resourceGroup) {
 	work := 0.0
 	for _, q := range rg.queue {
 		work += s.estimatedSoloSeconds(q) * rg.threads
 	}
 	byCost := func(a, b *query) int { return cmp.Compare(s.costPerWeight(a), s.costPerWeight(b)) }
-	for len(rg.queue) > 1 && work > s.perSecond(rg.recentThreadSeconds)*rg.objective.Seconds()/queueParts {
+	for len(rg.queue) > 1 &&
+		work > s.perSecond(rg.recentThreadSeconds)*rg.objective.Seconds()/queuedWorkDivisor {
 		costliest := slices.MaxFunc(rg.queue, byCost)
-		if s.costPerWeight(costliest) <= s.usualWorkSeconds(rg)/rg.threads {
+		if s.costPerWeight(costliest) <= s.typicalWorkSeconds(rg)/rg.threads {
 			return
 		}
 		work -= s.estimatedSoloSeconds(costliest) * rg.threads
@@ -81,8 +84,9 @@
 	}
 }
 
-// costPerWeight is a query's time alone, in seconds, for its weight: less is had of a tenant over
-// its quota. What was sent once costs nothing, or the work done would be lost.
+// costPerWeight returns a query's run time alone, in seconds, over its weight, which is lower for a
+// tenant over its quota. A query that was sent before costs nothing, because its work would be
+// lost.
 func (s *Scheduler) costPerWeight(q *query) float64 {
 	if len(q.attempts) > 0 {
 		return 0
@@ -90,13 +94,14 @@
 	return s.estimatedSoloSeconds(q) / (1 - s.overQuotaFraction(q.tenant)*(1-s.settings.OverQuotaWeight))
 }
 
-// overQuotaFraction is the part of a tenant's queries here beyond its quota: this controller's even
-// part of it, and more the busier this one is in the long run, as traffic isn't even.
+// overQuotaFraction returns the fraction of a tenant's queries at this controller beyond its quota.
+// The quota is the controller's even part, and grows with the controller's long-term load, as
+// traffic isn't even.
 func (s *Scheduler) overQuotaFraction(t *tenant) float64 {
-	return max(0, 1-t.quota*max(1, s.tenantLoad.valueOr(1))/max(leastRate, s.perSecond(t.recentArrivals)))
+	return max(0, 1-t.quota*max(1, s.tenantLoad.valueOr(1))/max(minRate, s.perSecond(t.recentArrivals)))
 }
 
-// perSecond turns a sum that decays over rateSpan into a rate.
+// perSecond converts a sum that decays over rateWindow into a rate.
 func (s *Scheduler) perSecond(sum float64) float64 {
-	return sum / min(rateSpan, max(leastRateSpan, s.now)).Seconds()
+	return sum / min(rateWindow, max(minRateWindow, s.now)).Seconds()
 }
