--- a/internal/controller/result_paging_test.go
+++ b/internal/controller/result_paging_test.go
@@ -63,7 +63,7 @@
 		t.Fatal(err)
 	}
 	figures := engine.Usual()
-	means := controller.Config{MemoryMB: 64, Sockets: 4096, Settings: bench.Facts(bench.Usual(), figures), Tenants: shape, StartedAt: time.UnixMilli(0),
+	means := controller.Config{MemoryMB: 64, MaxDescriptors: 4096, Settings: bench.Facts(bench.Usual(), figures), Tenants: shape, StartedAt: time.UnixMilli(0),
 		FieldNames: controller.FieldNames{Tenant: "team", Paged: "pages"},
 		Spool:      &controller.SpoolConfig{Limits: l, Keys: keys, FirstResultID: keeper.First(), Restore: keeper.Restore}}
 	for _, do := range change {
@@ -477,7 +477,7 @@
 	charged := 0.0
 	s.R.EachTenant(func(path string, _ int, n fairqueue.Counts) {
 		if strings.HasSuffix(path, "gauges-1") {
-			charged = n.Charged
+			charged = n.ChargedThreadSeconds
 		}
 	})
 	if charged < 0.015 || charged > 0.03 {
--- a/internal/emulator/world/world.go
+++ b/internal/emulator/world/world.go
@@ -39,7 +39,7 @@
 	Said    []string // what the controller logged aloud, and its counters
 
 	delay  time.Duration
-	events timerqueue.Times
+	events timerqueue.Queue
 	ends   map[*controller.Connection]*end
 	byAddr map[string]*Engine
 	feeds  []*end
@@ -112,7 +112,7 @@
 		all = append(all, e.Engine)
 	}
 	w.Feed.Tell(true, all...)
-	means.Seed, means.DiscoveryAddress, means.KnownEngines = seed, "feed", w.Feed.Known()
+	means.Seed, means.DiscoveryAddress, means.InitialEndpoints = seed, "feed", w.Feed.Known()
 	w.History.KeyRest = time.Duration(number(means.Settings["key.rest"])) * time.Millisecond
 	w.History.Grace = time.Duration(number(means.Settings["drain.grace"])) * time.Millisecond
 	w.History.Most = int(number(means.Settings["submissions.most"]))
@@ -164,14 +164,14 @@
 
 // Until plays up to a time.
 func (w *World) Until(end time.Duration) {
-	for at, ok := w.events.First(); ok && at <= end; at, ok = w.events.First() {
+	for at, ok := w.events.NextDue(); ok && at <= end; at, ok = w.events.NextDue() {
 		if at > w.Now {
 			w.still = 0
 		} else if w.still++; w.still > stillMost {
 			panic("the world stands still at " + w.Now.String())
 		}
 		w.Now = at
-		do, _ := w.events.Next(at)
+		do, _ := w.events.PopDue(at)
 		do()
 	}
 	w.Now = max(w.Now, end)
@@ -448,7 +448,7 @@
 
 // Order has the controller do what a fleet orders; Reports has what it told in turn.
 func (w *World) Order(o fleet.Order) {
-	w.step(controller.Event{Kind: controller.FleetOrdered, Order: &o})
+	w.step(controller.Event{Kind: controller.FleetOrderReceived, Order: &o})
 }
 
 // Leave takes a query back.
--- a/internal/setup/check.go
+++ b/internal/setup/check.go
@@ -219,7 +219,7 @@
 	}
 	if shape := shapeOf(f); len(c.faults) == 0 {
 		shape.Lanes = []fairqueue.Lane{{}}
-		if err := shape.Check(); err != nil {
+		if err := shape.Validate(); err != nil {
 			c.wrong("fairness.teams", "%v", err)
 		}
 	}
@@ -263,7 +263,7 @@
 	if len(c.faults) > 0 {
 		return // what is wrong by itself needn't be told as a mix, too
 	}
-	refused, odd := settings.Mixed(s.facts())
+	refused, odd := settings.Conflicts(s.facts())
 	for _, m := range append(refused, odd...) { // a file of our own needn't be served by guesses
 		c.wrong(keys[m[0]], "%s", m[1])
 	}
