--- a/internal/controller/discovery.go
+++ b/internal/controller/discovery.go
@@ -19,8 +19,8 @@
 	// completeEvent: the event being read lists all engines, and any other is removed.
 	completeEvent bool
 
-	heardAt     time.Duration // on this connection; at first when it was dialled
-	lastHeardAt time.Duration // on whichever connection
+	connectionActiveAt time.Duration // on this connection; at first when it was dialled
+	lastMessageAt      time.Duration // on whichever connection
 
 	unreadableAfter int64 // the event after this one could not be read once, -1: none was
 	skippedLines    int64 // unreadable lines passed over since the last event, on this connection
@@ -44,7 +44,7 @@
 // queries: a dial and the backoff before it are then over within that time once the discovery is back.
 func (c *Controller) boundDiscoveryDelay(most time.Duration) time.Duration {
 	grace := c.durationSetting("drain.grace")
-	silence := c.now - c.discovery.lastHeardAt
+	silence := c.now - c.discovery.lastMessageAt
 	if grace > 0 && silence > discoveryDeliveredAfter-maxDiscoveryBackoff-discoveryDialTimeout {
 		return max(2*minDiscoveryBackoff, min(most, grace/2))
 	}
@@ -59,10 +59,10 @@
 	}
 	conn := &Connection{}
 	d.connection = conn
-	d.heardAt = c.now
+	d.connectionActiveAt = c.now
 	d.skippedLines = 0
 	conn.onConnected = func() {
-		d.heardAt = c.now
+		d.connectionActiveAt = c.now
 		c.write(conn, discovery.Since(nil, d.lastEvent))
 	}
 	conn.onDialFailed = func(bool) { c.reconnectDiscovery(conn) }
@@ -112,8 +112,8 @@
 		if n == 0 {
 			return
 		}
-		d.heardAt = c.now
-		d.lastHeardAt = c.now
+		d.connectionActiveAt = c.now
+		d.lastMessageAt = c.now
 		d.retryDelay = 0
 		conn.Received.Drop(n)
 	}
@@ -139,15 +139,15 @@
 // since may count as told, and a drain among them must be obeyed within its grace.
 func (c *Controller) watchHeartbeat(conn *Connection) {
 	d := &c.discovery
-	due := d.heardAt + discoverySilentAfter
+	due := d.connectionActiveAt + discoverySilentAfter
 	c.runAt(due, func() {
 		switch {
 		case d.connection != conn:
-		case c.now-d.heardAt < discoverySilentAfter:
+		case c.now-d.connectionActiveAt < discoverySilentAfter:
 			c.watchHeartbeat(conn)
 		case c.now > due+maxNetworkDelay:
 			// this process stood still: what came meanwhile is read first
-			d.heardAt = c.now + maxNetworkDelay - discoverySilentAfter
+			d.connectionActiveAt = c.now + maxNetworkDelay - discoverySilentAfter
 			c.watchHeartbeat(conn)
 		default:
 			c.counters.discoveryFaults++
--- a/internal/controller/discovery_test.go
+++ b/internal/controller/discovery_test.go
@@ -63,7 +63,7 @@
 		}
 		s.runUntil(down + 7*time.Second + time.Duration(late)*90*time.Millisecond)
 		s.discoveryReachable = true
-		for back := s.now; s.controller.discovery.lastHeardAt <= down; s.runUntil(s.now + 10*time.Millisecond) {
+		for back := s.now; s.controller.discovery.lastMessageAt <= down; s.runUntil(s.now + 10*time.Millisecond) {
 			if s.now > back+500*time.Millisecond {
 				t.Fatalf("back at %v and not heard by %v", back-down, s.now-down)
 			}
--- a/internal/controller/fair_queue.go
+++ b/internal/controller/fair_queue.go
@@ -81,14 +81,14 @@
 func (f *fairQueue) priorityChanged(w *fairqueue.Query, lowered bool) {
 	q := w.Owner.(*query)
 	if lowered {
-		f.logWithFields(f.waiterFields(q, w), "makes way: its priority is the least for now")
+		f.logWithFields(f.entryLogFields(q, w), "makes way: its priority is the least for now")
 	}
 	for _, s := range q.attempts {
 		f.sendPriority(s)
 	}
 }
 
-func (f *fairQueue) waiterFields(q *query, w *fairqueue.Query) LogFields {
+func (f *fairQueue) entryLogFields(q *query, w *fairqueue.Query) LogFields {
 	return LogFields{Query: q.id, Group: q.group.name, Tenant: f.queue.TenantName(w.Tenant)}
 }
 
@@ -99,10 +99,10 @@
 			q.tableGroup, q.keyNumber, q.estimatedWork, q.estimatedMemoryMB)
 		return
 	}
-	w := f.newWaiter(q, from)
+	w := f.newQueueEntry(q, from)
 	verdict := f.queue.Enqueue(f.now, w)
 	if !verdict.Admitted {
-		f.logWithFields(f.waiterFields(q, w), "deferred: "+verdict.Reason.String()+", "+verdict.WaitEstimate.String())
+		f.logWithFields(f.entryLogFields(q, w), "deferred: "+verdict.Reason.String()+", "+verdict.WaitEstimate.String())
 		f.answerDeferred(q, f.retryAfter(verdict.WaitEstimate))
 		return
 	}
@@ -120,7 +120,7 @@
 	}
 }
 
-func (f *fairQueue) newWaiter(q *query, from CallOrigin) *fairqueue.Query {
+func (f *fairQueue) newQueueEntry(q *query, from CallOrigin) *fairqueue.Query {
 	w := &fairqueue.Query{
 		Owner:         q,
 		Lane:          q.group.index,
--- a/internal/controller/invalidation.go
+++ b/internal/controller/invalidation.go
@@ -30,13 +30,13 @@
 	logIndex uint64
 
 	// Without peers.
-	local      map[string]*localInvalidation // by id
-	localOrder []string                      // ids of local, the oldest first
+	local    map[string]*localInvalidation // by id
+	localIDs []string                      // ids of local, the oldest first
 
 	// Clients' calls.
-	serial      uint64 // of the last id made here
-	callers     map[string][]*invalidationCall
-	unconfirmed map[string]*fleet.Request // not known to be in the log yet: asked for until they are
+	lastSerial   uint64 // of the last id made here
+	pendingCalls map[string][]*invalidationCall
+	unconfirmed  map[string]*fleet.Request // not known to be in the log yet: asked for until they are
 
 	// Retained bytes handed to connections, some of which may not be out.
 	retainedWrites   map[retainedWrite]bool
@@ -52,7 +52,7 @@
 	return &invalidation{
 		Controller:     c,
 		local:          map[string]*localInvalidation{},
-		callers:        map[string][]*invalidationCall{},
+		pendingCalls:   map[string][]*invalidationCall{},
 		unconfirmed:    map[string]*fleet.Request{},
 		retainedWrites: map[retainedWrite]bool{},
 	}
@@ -117,10 +117,10 @@
 func (v *invalidation) startLocal(id string, scope *fleet.Scope) {
 	entry := &localInvalidation{tenant: scope.Team}
 	v.local[id] = entry
-	v.localOrder = append(v.localOrder, id)
-	if len(v.localOrder) > maxLocalInvalidations {
-		delete(v.local, v.localOrder[0])
-		v.localOrder = v.localOrder[1:]
+	v.localIDs = append(v.localIDs, id)
+	if len(v.localIDs) > maxLocalInvalidations {
+		delete(v.local, v.localIDs[0])
+		v.localIDs = v.localIDs[1:]
 	}
 	v.started++
 	v.apply(scope, v.logIndex+1, func() {}, func(n fleet.InvalidationCounts) {
@@ -128,18 +128,18 @@
 		entry.done = true
 		entry.counts = n
 		v.logCompleted(id, scope.Team, n)
-		v.answerLocalCallers(id)
+		v.answerLocalCalls(id)
 	})
 }
 
 // newID is an id that no other invalidation has: it is drawn from what can't come twice.
 func (v *invalidation) newID(tenant string) string {
-	v.serial++
+	v.lastSerial++
 	draw := uint64(v.StartedAt.UnixNano())
 	if v.NewUniqueID != nil {
 		draw = v.NewUniqueID()
 	}
-	here := xxhash.Sum64String(fmt.Sprint(tenant, v.serial, v.now, v.StartedAt.UnixNano()))
+	here := xxhash.Sum64String(fmt.Sprint(tenant, v.lastSerial, v.now, v.StartedAt.UnixNano()))
 	return fmt.Sprintf("%016x%016x", draw, here)
 }
 
--- a/internal/controller/invalidation_calls.go
+++ b/internal/controller/invalidation_calls.go
@@ -64,27 +64,27 @@
 	}
 	v.clientCalls++
 	cl.pageReads++
-	v.callers[x.id] = append(v.callers[x.id], x)
+	v.pendingCalls[x.id] = append(v.pendingCalls[x.id], x)
 	x.answerBy = cl.now + max(0, call.Patience-answerMargin)
 	x.timer = cl.timers.Add(x.answerBy, func() { v.answerState(x, statePending, "", nil, nil) })
 	scope := &fleet.Scope{Team: tenant, Tables: call.Tables, RetainedBeforeMs: call.Before}
 	switch {
 	case v.servingLease != nil && isNew:
-		ask := v.fleetAsk("purge", x, call.Patience)
+		ask := v.newFleetRequest("purge", x, call.Patience)
 		ask.Scope = scope
 		v.unconfirmed[x.id] = ask
 		v.servingLease.report(fleet.Report{Kind: fleet.RequestMade, Request: ask})
 	case v.servingLease != nil:
-		request := v.fleetAsk("status", x, call.Patience)
+		request := v.newFleetRequest("status", x, call.Patience)
 		v.servingLease.report(fleet.Report{Kind: fleet.RequestMade, Request: request})
 	case isNew:
 		v.startLocal(x.id, scope)
 	default:
-		v.answerLocalCallers(x.id)
+		v.answerLocalCalls(x.id)
 	}
 }
 
-func (v *invalidation) fleetAsk(kind string, x *invalidationCall, patience time.Duration) *fleet.Request {
+func (v *invalidation) newFleetRequest(kind string, x *invalidationCall, patience time.Duration) *fleet.Request {
 	wait := max(1, (patience - 2*answerMargin).Milliseconds())
 	return &fleet.Request{Kind: kind, ID: x.id, RequestedBy: x.tenant, Team: x.tenant, WaitMs: wait}
 }
@@ -92,7 +92,7 @@
 // tooManyCalls reports whether no further call of a tenant can be taken now.
 func (v *invalidation) tooManyCalls(tenant string) bool {
 	waiting := 0
-	for _, calls := range v.callers {
+	for _, calls := range v.pendingCalls {
 		for _, x := range calls {
 			if x.tenant == tenant {
 				waiting++
@@ -102,11 +102,11 @@
 	return waiting >= maxCallsPerTenant || len(v.unconfirmed) >= maxLocalInvalidations
 }
 
-// answerLocalCallers answers those who wait for an invalidation of a controller without
+// answerLocalCalls answers those who wait for an invalidation of a controller without
 // peers, if it is complete or unknown.
-func (v *invalidation) answerLocalCallers(id string) {
+func (v *invalidation) answerLocalCalls(id string) {
 	entry := v.local[id]
-	for _, x := range v.waitingCallers(id) {
+	for _, x := range v.pendingCallsFor(id) {
 		switch {
 		case entry == nil || entry.tenant != x.tenant:
 			v.finishCall(x, msgpackrpc.Killed(nil, x.msg, unknownInvalidationText))
@@ -116,15 +116,15 @@
 	}
 }
 
-// waitingCallers is a copy: who is answered leaves the list.
-func (v *invalidation) waitingCallers(id string) []*invalidationCall {
-	return slices.Clone(v.callers[id])
+// pendingCallsFor is a copy: who is answered leaves the list.
+func (v *invalidation) pendingCallsFor(id string) []*invalidationCall {
+	return slices.Clone(v.pendingCalls[id])
 }
 
 // fleetAnswered takes the fleet's reply to what was asked for here. It reports whether
 // anything was.
 func (v *invalidation) fleetAnswered(id string, r *fleet.Response) bool {
-	calls := v.waitingCallers(id)
+	calls := v.pendingCallsFor(id)
 	unconfirmed := v.unconfirmed[id]
 	if unconfirmed != nil && r.Outcome == "unknown" && r.Stage == "" {
 		ask := *unconfirmed // its callers may have been answered: it is asked for all the same
@@ -183,11 +183,11 @@
 	}
 	x.answered = true
 	v.timers.Cancel(x.timer)
-	rest := slices.DeleteFunc(v.callers[x.id], func(y *invalidationCall) bool { return x == y })
+	rest := slices.DeleteFunc(v.pendingCalls[x.id], func(y *invalidationCall) bool { return x == y })
 	if len(rest) == 0 {
-		delete(v.callers, x.id)
+		delete(v.pendingCalls, x.id)
 	} else {
-		v.callers[x.id] = rest
+		v.pendingCalls[x.id] = rest
 	}
 	x.client.pageReads--
 	x.client.idleSince = v.now
--- a/internal/controller/invalidation_test.go
+++ b/internal/controller/invalidation_test.go
@@ -19,15 +19,15 @@
 )
 
 // keeps is a world whose controller keeps results and answers, alone or in a fleet.
-func keeps(t *testing.T, word *fleet.ServingState, change ...func(*controller.Config)) *spooled {
+func newRetainingWorld(t *testing.T, word *fleet.ServingState, change ...func(*controller.Config)) *spoolWorld {
 	d := disk.New()
-	return keepsOn(t, d, disk.NewIndex(d), word, change...)
+	return newRetainingWorldOn(t, d, disk.NewIndex(d), word, change...)
 }
 
-func keepsOn(t *testing.T, d *disk.Disk, x *disk.Index, word *fleet.ServingState, change ...func(*controller.Config)) *spooled {
-	small := limits()
+func newRetainingWorldOn(t *testing.T, d *disk.Disk, x *disk.Index, word *fleet.ServingState, change ...func(*controller.Config)) *spoolWorld {
+	small := testLimits()
 	small.Memory = 200 << 10
-	return newSpooled(t, d, x, small, nil, func(m *controller.Config) {
+	return newSpoolWorld(t, d, x, small, nil, func(m *controller.Config) {
 		l := resultcache.DefaultLimits()
 		m.CacheLimits = &l
 		m.FieldNames.Customer = "team" // whose a call is, believed from anybody
@@ -40,34 +40,34 @@
 	})
 }
 
-func (s *spooled) of(c *world.Client, team string, tables int64, more ...string) *world.Asked {
+func (s *spoolWorld) sendAs(c *world.Client, team string, tables int64, more ...string) *world.Asked {
 	s.serial++
 	return c.Ask(fmt.Sprintf("%016x", s.serial), "report", "", 12*time.Second,
 		engine.Work{Threads: 1, CPU: 200 * time.Millisecond, MemoryMB: 10, Rows: 3000, Tables: tables}, append(more, "team", team)...)
 }
 
 // purge asks for one and gives what was told; nil while nothing was.
-func (s *spooled) purge(c *world.Client, fields ...string) *client.Answer {
+func (s *spoolWorld) purge(c *world.Client, fields ...string) *client.Answer {
 	a := &client.Answer{Msg: 0}
 	c.Purge(func(ans client.Answer) { *a = ans }, fields...)
 	return a
 }
 
 // mark is how a query's rows begin on disk.
-func mark(a *world.Asked) []byte { return []byte(engine.Row(a.ID, 0)) }
+func firstRow(a *world.Asked) []byte { return []byte(engine.Row(a.ID, 0)) }
 
 // A team has its kept results gone: its tokens open nothing at once, a page being read
 // then comes out no more, and "purged" is told once no byte is on disk. The others' stay.
 func TestInvalidationWithoutPeers(t *testing.T) {
-	s := keeps(t, nil)
+	s := newRetainingWorld(t, nil)
 	c := s.client()
-	theirs, other, elsewhere := s.of(c, "linz", 3, "pages", "1"), s.of(c, "steyr", 3, "pages", "1"), s.of(c, "linz", 4, "pages", "1")
+	theirs, other, elsewhere := s.sendAs(c, "linz", 3, "pages", "1"), s.sendAs(c, "steyr", 3, "pages", "1"), s.sendAs(c, "linz", 4, "pages", "1")
 	s.Until(2 * time.Second)
 	for i := range 30 { // what is kept in memory goes to disk
-		s.of(c, "steyr", int64(10+i), "pages", "1")
+		s.sendAs(c, "steyr", int64(10+i), "pages", "1")
 	}
 	s.Until(6 * time.Second)
-	if len(s.d.Holds(mark(theirs))) == 0 || pagesOf(theirs) < 3 {
+	if len(s.disk.Holds(firstRow(theirs))) == 0 || pageCount(theirs) < 3 {
 		t.Fatal("it isn't on disk")
 	}
 	page := func(a *world.Asked, n int) *client.Answer {
@@ -91,11 +91,11 @@
 	if n := done.About; n["state"] != "purged" || n["results"] != "1" || n["id"] == "" {
 		t.Fatalf("told %+v", done)
 	}
-	if l := s.d.Holds(mark(theirs)); len(l) > 0 {
+	if l := s.disk.Holds(firstRow(theirs)); len(l) > 0 {
 		t.Fatal("purged is told, and it is in ", l)
 	}
 	for _, a := range []*world.Asked{other, elsewhere} {
-		if ans := page(a, 1); s.ran(time.Second) && ans.Kind != client.Finished {
+		if ans := page(a, 1); s.advance(time.Second) && ans.Kind != client.Finished {
 			t.Fatalf("another's went, too: %+v", ans)
 		}
 	}
@@ -107,16 +107,16 @@
 	}
 }
 
-func (s *spooled) ran(d time.Duration) bool {
+func (s *spoolWorld) advance(d time.Duration) bool {
 	s.Until(s.Now + d)
 	return true
 }
 
 // What is being taken in when a purge comes is not kept; its query may come again.
 func TestInvalidationWhileResultIsSpooled(t *testing.T) {
-	s := keeps(t, nil)
+	s := newRetainingWorld(t, nil)
 	c := s.client()
-	a := s.of(c, "linz", 3, "pages", "1")
+	a := s.sendAs(c, "linz", 3, "pages", "1")
 	s.Until(100 * time.Millisecond)
 	done := s.purge(c, "patience", "5000", "team", "linz")
 	s.Until(3 * time.Second)
@@ -126,7 +126,7 @@
 	if held, _, _ := s.R.SpoolUsage(); held != 0 || s.keeper.Live() != 0 {
 		t.Fatal("it is kept")
 	}
-	if b := s.of(c, "linz", 3, "pages", "1"); s.ran(3*time.Second) && pagesOf(b) < 2 {
+	if b := s.sendAs(c, "linz", 3, "pages", "1"); s.advance(3*time.Second) && pageCount(b) < 2 {
 		t.Fatal("nothing is kept any more")
 	}
 }
@@ -135,22 +135,22 @@
 // turn, what a client asked for is handed on and answered by the fleet's word.
 func TestInvalidationInAFleet(t *testing.T) {
 	word := &fleet.ServingState{}
-	s := keeps(t, word)
+	s := newRetainingWorld(t, word)
 	c := s.client()
 	s.Order(fleet.Order{Kind: fleet.OpenPolicy, Version: 1})
 	s.Order(fleet.Order{Kind: fleet.LeaseRenewed, Until: fleet.Forever, UntilBound: 4 * time.Second})
-	a := s.of(c, "linz", 3, "pages", "1")
-	whole := s.of(c, "linz", 3)
+	a := s.sendAs(c, "linz", 3, "pages", "1")
+	whole := s.sendAs(c, "linz", 3)
 	s.Until(3 * time.Second)
-	if pagesOf(a) < 2 || len(whole.Rows) == 0 {
+	if pageCount(a) < 2 || len(whole.Rows) == 0 {
 		t.Fatal("nothing is kept")
 	}
 	s.Order(fleet.Order{Kind: fleet.ViewChanged, View: &fleet.View{Index: 7}})
-	later := s.of(c, "linz", 3, "pages", "1")
+	later := s.sendAs(c, "linz", 3, "pages", "1")
 	s.Until(3900 * time.Millisecond)
 	asks := []*client.Answer{s.purge(c, "patience", "1000", "team", "linz"), s.purge(c, "patience", "9000", "id", "p1", "team", "linz")}
 	s.Until(4100 * time.Millisecond) // the lease of bound teams is over
-	barred, cached := &client.Answer{}, s.of(c, "linz", 3)
+	barred, cached := &client.Answer{}, s.sendAs(c, "linz", 3)
 	c.Page(a.Paging["token"], 1, func(ans client.Answer) { *barred = ans }, "team", "linz")
 	s.Until(4200 * time.Millisecond)
 	if barred.Kind != client.Deferred || cached.Answered && cached.Answer == client.Finished && bytes.Equal(cached.Rows, whole.Rows) {
@@ -202,11 +202,11 @@
 
 // A rule that a result lies outside of bars its pages at once, and not for ever.
 func TestPagesObeyResidencyRules(t *testing.T) {
-	s := keeps(t, &fleet.ServingState{})
+	s := newRetainingWorld(t, &fleet.ServingState{})
 	c := s.client()
 	s.Order(fleet.Order{Kind: fleet.OpenPolicy, Version: 1})
 	s.Order(fleet.Order{Kind: fleet.LeaseRenewed, Until: fleet.Forever, UntilBound: fleet.Forever})
-	a := s.of(c, "linz", 3, "pages", "1")
+	a := s.sendAs(c, "linz", 3, "pages", "1")
 	s.Until(3 * time.Second)
 	for i, want := range []client.Kind{client.Finished, client.Killed, client.Finished} {
 		var rules []residency.Rule
@@ -226,12 +226,12 @@
 // Many who ask the same at once cost one run; so does whoever asks while it is fresh.
 // A load of its tables, or a purge, makes the next go to an engine again.
 func TestConcurrentEqualQueriesShareOneRun(t *testing.T) {
-	s := keeps(t, nil)
+	s := newRetainingWorld(t, nil)
 	c := s.client()
 	runs := func() int { return len(s.finished) }
 	group := func(n int, team string, tables int64) (l []*world.Asked) {
 		for range n {
-			l = append(l, s.of(c, team, tables))
+			l = append(l, s.sendAs(c, team, tables))
 		}
 		s.Until(s.Now + 2*time.Second)
 		for _, a := range l {
@@ -265,7 +265,7 @@
 		t.Fatalf("served past a purge: %d runs, %+v", runs(), done)
 	}
 	// the one that leads leaves, the next leads
-	l := []*world.Asked{s.of(c, "linz", 8), s.of(c, "linz", 8), s.of(c, "linz", 8)}
+	l := []*world.Asked{s.sendAs(c, "linz", 8), s.sendAs(c, "linz", 8), s.sendAs(c, "linz", 8)}
 	s.Until(s.Now + 50*time.Millisecond)
 	c.Leave(l[0])
 	s.Until(s.Now + 2*time.Second)
@@ -279,18 +279,18 @@
 
 // What was kept after a purge goes by the next, also where the program was started anew between.
 func TestInvalidationWithoutPeersAfterARestart(t *testing.T) {
-	s := keeps(t, nil)
+	s := newRetainingWorld(t, nil)
 	c := s.client()
 	first := s.purge(c, "patience", "1000", "team", "linz")
 	s.Until(time.Second)
-	kept := s.of(c, "linz", 3, "pages", "1")
+	kept := s.sendAs(c, "linz", 3, "pages", "1")
 	s.Until(4 * time.Second)
 	if first.About["state"] != "purged" || kept.Paging["token"] == "" {
 		t.Fatalf("%+v %+v", first, kept.Paging)
 	}
-	steps := s.d.Steps()
-	d := s.d.After(steps, disk.Torn)
-	next := keepsOn(t, d, s.x.After(steps, d), nil)
+	steps := s.disk.Steps()
+	d := s.disk.After(steps, disk.Torn)
+	next := newRetainingWorldOn(t, d, s.index.After(steps, d), nil)
 	if n, _, _ := next.R.SpoolUsage(); n != 1 {
 		t.Fatalf("%d are kept over a start", n)
 	}
@@ -303,17 +303,17 @@
 
 // What a controller kept alone, or by another record, goes by the first purge of its fleet.
 func TestInvalidationOfResultsByAnotherLog(t *testing.T) {
-	s := keeps(t, nil)
+	s := newRetainingWorld(t, nil)
 	c := s.client()
 	for range 5 {
 		s.purge(c, "patience", "1000", "team", "linz")
 		s.Until(s.Now + 100*time.Millisecond)
 	}
-	s.of(c, "linz", 3, "pages", "1")
+	s.sendAs(c, "linz", 3, "pages", "1")
 	s.Until(s.Now + 4*time.Second)
-	steps := s.d.Steps()
-	d := s.d.After(steps, disk.Torn)
-	next := keepsOn(t, d, s.x.After(steps, d), &fleet.ServingState{})
+	steps := s.disk.Steps()
+	d := s.disk.After(steps, disk.Torn)
+	next := newRetainingWorldOn(t, d, s.index.After(steps, d), &fleet.ServingState{})
 	if n, _, _ := next.R.SpoolUsage(); n != 1 {
 		t.Fatalf("%d are kept over a start", n)
 	}
--- a/internal/controller/residency.go
+++ b/internal/controller/residency.go
@@ -19,9 +19,9 @@
 // when they are handed to the scheduler, and at each attempt, by the rules as they are then.
 type residencyState struct {
 	*servingLease
-	core        *residency.Core // the rules and what the log has of bindings
-	siteNames   []string        // of locations, by their index in the settings
-	judgedStamp uint64          // of the rules by which all queries were last judged
+	core           *residency.Core // the rules and what the log has of bindings
+	siteNames      []string        // of locations, by their index in the settings
+	evaluatedStamp uint64          // of the rules by which all queries were last judged
 
 	pendingBindings map[string]*bindingRequest // asked of the fleet, by id
 
@@ -62,7 +62,7 @@
 	verdict residency.Verdict
 	stamp   uint64
 
-	attemptsNoted int // how many attempts there were when one was last noted as sent
+	attemptsRecorded int // how many attempts there were when one was last noted as sent
 }
 
 func newResidencyState(lease *servingLease) *residencyState {
@@ -77,7 +77,7 @@
 		ownSite = r.siteName(location)
 	}
 	r.core = residency.New(ownSite)
-	r.judgedStamp = r.core.Stamp()
+	r.evaluatedStamp = r.core.Stamp()
 	return r
 }
 
@@ -288,10 +288,10 @@
 // reevaluate applies rules that have changed to all queries. What runs goes on to its end, and
 // what is retained is invalidated through the log; nothing new is sent outside.
 func (r *residencyState) reevaluate() {
-	if r.judgedStamp == r.core.Stamp() {
+	if r.evaluatedStamp == r.core.Stamp() {
 		return
 	}
-	r.judgedStamp = r.core.Stamp()
+	r.evaluatedStamp = r.core.Stamp()
 	confined := r.findQueries(func(q *query) bool { return q.residency != nil && !q.answered && !q.held })
 	for _, q := range confined {
 		r.reevaluateQuery(q)
@@ -368,8 +368,8 @@
 		r.barredSends++ // a retry, and a rule came since that binds the tables it writes
 		return false
 	}
-	if q.residency.attemptsNoted != len(q.attempts) {
-		q.residency.attemptsNoted = len(q.attempts)
+	if q.residency.attemptsRecorded != len(q.attempts) {
+		q.residency.attemptsRecorded = len(q.attempts)
 		if r.core.Sent(q.id, q.residency.tenant, v, site) {
 			r.logWithFields(q.logFields(), "crosses to site "+site+": an emergency of its rules is on")
 		}
--- a/internal/controller/residency_test.go
+++ b/internal/controller/residency_test.go
@@ -15,13 +15,13 @@
 	"railrelay.dev/railrelay/internal/residency"
 )
 
-// placedStage has engines at sites a, b and c in turn and itself stands at one; a call's
+// newResidencyHarness has engines at sites a, b and c in turn and itself stands at one; a call's
 // field who names its team.
-func placedStage(t interface{ Fatalf(string, ...any) }, engines int, site string, more map[string]string) *harness {
+func newResidencyHarness(t interface{ Fatalf(string, ...any) }, engines int, site string, more map[string]string) *harness {
 	f := map[string]string{"locations": "a,b,c", "own.location": fmt.Sprint(strings.Index("abc", site)), "teams": "2", "team.0.name": "bank",
 		"team.1.name": "shop", "team.0.quota": "1000", "team.1.quota": "1000"}
 	maps.Copy(f, more)
-	return withPeers(t, engines, f, func(m *Config) { m.FieldNames.Customer = "who" })
+	return newFleetHarness(t, engines, f, func(m *Config) { m.FieldNames.Customer = "who" })
 }
 
 func (s *harness) siteOf(e *engine) string {
@@ -29,12 +29,12 @@
 }
 
 // rules opens a version with rules.
-func (s *harness) rules(version uint64, rules ...residency.Rule) {
-	s.order(fleet.Order{Kind: fleet.LeaseRenewed, Until: fleet.Forever, UntilBound: fleet.Forever})
-	s.order(fleet.Order{Kind: fleet.OpenPolicy, Version: version, Policy: &Policy{Version: version, Rules: rules}})
+func (s *harness) openRules(version uint64, rules ...residency.Rule) {
+	s.deliverOrder(fleet.Order{Kind: fleet.LeaseRenewed, Until: fleet.Forever, UntilBound: fleet.Forever})
+	s.deliverOrder(fleet.Order{Kind: fleet.OpenPolicy, Version: version, Policy: &Policy{Version: version, Rules: rules}})
 }
 
-func (s *harness) wanted() (l []*fleet.Request) {
+func (s *harness) fleetRequests() (l []*fleet.Request) {
 	for _, p := range s.reports {
 		if p.Kind == fleet.RequestMade {
 			l = append(l, p.Request)
@@ -44,8 +44,8 @@
 }
 
 func TestConfinedQueryStaysInItsSites(t *testing.T) {
-	s := placedStage(t, 6, "a", nil)
-	s.rules(1, residency.Rule{Name: "only-b", Team: "bank", Tables: []int64{1}, Engines: []string{"b"}, Controllers: []string{"a"}})
+	s := newResidencyHarness(t, 6, "a", nil)
+	s.openRules(1, residency.Rule{Name: "only-b", Team: "bank", Tables: []int64{1}, Engines: []string{"b"}, Controllers: []string{"a"}})
 	c := s.connect()
 	for i := range 6 {
 		a := s.sendQuery(c, "lookup", "", 5*time.Second, 1, "who", "bank")
@@ -59,7 +59,7 @@
 	// none inside: held while there is time, and never across
 	for _, m := range s.sortedEngines() {
 		if m.site == "b" {
-			s.order(fleet.Order{Kind: fleet.ViewChanged, View: &fleet.View{}})
+			s.deliverOrder(fleet.Order{Kind: fleet.ViewChanged, View: &fleet.View{}})
 			m.state = "DRAINING"
 			s.listEngines(m.endpointJSON(0))
 		}
@@ -72,10 +72,10 @@
 }
 
 func TestConflictingQueryIsKilledAndForeignQueryRedirected(t *testing.T) {
-	s := placedStage(t, 3, "a", nil)
-	s.rules(1, residency.Rule{Name: "in-a", Team: "bank", Tables: []int64{1}, Engines: []string{"a"}},
+	s := newResidencyHarness(t, 3, "a", nil)
+	s.openRules(1, residency.Rule{Name: "in-a", Team: "bank", Tables: []int64{1}, Engines: []string{"a"}},
 		residency.Rule{Name: "in-b", Team: "bank", Tables: []int64{2}, Engines: []string{"b"}})
-	s.order(fleet.Order{Kind: fleet.ViewChanged, View: &fleet.View{Members: []fleet.Member{{Name: "x", Site: "b", Clients: "10.9.9.9:6565"},
+	s.deliverOrder(fleet.Order{Kind: fleet.ViewChanged, View: &fleet.View{Members: []fleet.Member{{Name: "x", Site: "b", Clients: "10.9.9.9:6565"},
 		{Name: "y", Site: "b", Clients: "10.9.9.8:6565", Forgotten: true}, {Name: "z", Site: "c", Clients: "10.9.9.7:6565"}}}})
 	c := s.connect()
 	s.statement = "select * from d_1.x join d_2.y using (id)"
@@ -98,8 +98,8 @@
 // A load that takes bound tables into others is sent once the record has it, others of
 // its key stay behind it, and then the tables are bound.
 func TestLoadIsSentOnceItsBindingIsLogged(t *testing.T) {
-	s := placedStage(t, 3, "a", nil)
-	s.rules(1, residency.Rule{Name: "r", Team: "bank", Tables: []int64{1}, Engines: []string{"a"}, Follows: true})
+	s := newResidencyHarness(t, 3, "a", nil)
+	s.openRules(1, residency.Rule{Name: "r", Team: "bank", Tables: []int64{1}, Engines: []string{"a"}, Follows: true})
 	c := s.connect()
 	s.statement = "insert into d_5.x select * from d_1.y"
 	first := s.sendQuery(c, "load", "k", 9*time.Second, 0, "who", "bank")
@@ -107,19 +107,19 @@
 	s.statement = "insert into d_9.x values (1)"
 	behind := s.sendQuery(c, "load", "k", 9*time.Second, 0, "who", "bank")
 	s.runUntil(s.now + 300*time.Millisecond)
-	asks := s.wanted()
+	asks := s.fleetRequests()
 	if len(asks) != 1 || !slices.Equal(asks[0].Tables, []int64{5}) || !slices.Equal(asks[0].From, []int64{1}) || asks[0].Kind != "bind" {
 		t.Fatalf("%+v", asks)
 	}
 	if len(first.runs)+len(alike.runs)+len(behind.runs) > 0 {
 		t.Fatal("sent before the record has it")
 	}
-	s.order(fleet.Order{Kind: fleet.RequestAnswered, ID: asks[0].ID, Response: &fleet.Response{ID: asks[0].ID, Outcome: "unknown"}})
+	s.deliverOrder(fleet.Order{Kind: fleet.RequestAnswered, ID: asks[0].ID, Response: &fleet.Response{ID: asks[0].ID, Outcome: "unknown"}})
 	s.runUntil(s.now + 200*time.Millisecond)
-	if again := s.wanted(); len(again) != 2 || again[1].ID != asks[0].ID || len(first.runs) > 0 {
+	if again := s.fleetRequests(); len(again) != 2 || again[1].ID != asks[0].ID || len(first.runs) > 0 {
 		t.Fatalf("asked again by its id: %+v", again)
 	}
-	s.order(fleet.Order{Kind: fleet.RequestAnswered, ID: asks[0].ID, Response: &fleet.Response{ID: asks[0].ID, Outcome: "bound"}})
+	s.deliverOrder(fleet.Order{Kind: fleet.RequestAnswered, ID: asks[0].ID, Response: &fleet.Response{ID: asks[0].ID, Outcome: "bound"}})
 	s.respond(s.waitForCall("POST", first.id), "ok")
 	s.waitForCall("POST", alike.id)
 	s.waitForCall("POST", behind.id) // posted checks the key's order
@@ -138,38 +138,38 @@
 
 // A load that runs when a rule comes to follow what it takes along is recorded too.
 func TestNewRuleBindsTablesOfARunningLoad(t *testing.T) {
-	s := placedStage(t, 3, "a", nil)
-	s.rules(1)
+	s := newResidencyHarness(t, 3, "a", nil)
+	s.openRules(1)
 	s.statement = "insert into d_5.x select * from d_1.y"
 	a := s.sendQuery(s.connect(), "load", "k", 9*time.Second, 0, "who", "bank")
 	s.respond(s.waitForCall("POST", a.id), "runs")
-	s.rules(2, residency.Rule{Name: "r", Team: "bank", Tables: []int64{1}, Engines: []string{"a", "b"}, Controllers: []string{"a"}, Follows: true})
-	if asks := s.wanted(); len(asks) != 1 || !slices.Equal(asks[0].Tables, []int64{5}) || len(a.runs) != 1 || a.answer != "" {
+	s.openRules(2, residency.Rule{Name: "r", Team: "bank", Tables: []int64{1}, Engines: []string{"a", "b"}, Controllers: []string{"a"}, Follows: true})
+	if asks := s.fleetRequests(); len(asks) != 1 || !slices.Equal(asks[0].Tables, []int64{5}) || len(a.runs) != 1 || a.answer != "" {
 		t.Fatalf("%+v %q", asks, a.answer)
 	}
 }
 
 func TestEmergencyAllowsMoreSitesAndIsListed(t *testing.T) {
-	s := placedStage(t, 1, "a", map[string]string{"locations": "b,a", "own.location": "1"})
-	s.rules(1, residency.Rule{Name: "r", Team: "bank", Engines: []string{"a"}, Emergency: residency.Emergency{Sites: []string{"b"}, After: time.Second}})
+	s := newResidencyHarness(t, 1, "a", map[string]string{"locations": "b,a", "own.location": "1"})
+	s.openRules(1, residency.Rule{Name: "r", Team: "bank", Engines: []string{"a"}, Emergency: residency.Emergency{Sites: []string{"b"}, After: time.Second}})
 	a := s.sendQuery(s.connect(), "lookup", "", 5*time.Second, 1, "who", "bank")
 	s.runUntil(s.now + 100*time.Millisecond)
 	if len(a.runs) > 0 {
 		t.Fatal("across")
 	}
-	s.order(fleet.Order{Kind: fleet.ViewChanged, View: &fleet.View{Emergencies: map[string]uint64{"r": 9}}})
+	s.deliverOrder(fleet.Order{Kind: fleet.ViewChanged, View: &fleet.View{Emergencies: map[string]uint64{"r": 9}}})
 	h := s.waitForCall("POST", a.id)
 	if l, n := s.controller.EmergencyCrossings(); n != 1 || l[0] != (residency.Crossing{Query: a.id, Team: "bank", Rule: "r", Site: "b"}) {
 		t.Fatal(l, n)
 	}
 	s.respond(h, "runs")
 	s.runUntil(1050 * time.Millisecond) // sites are told each second
-	if p := s.lastSites(); p.Outside != 1 {
+	if p := s.lastSitesReport(); p.Outside != 1 {
 		t.Fatalf("%+v", p)
 	}
 }
 
-func (s *harness) lastSites() (last fleet.Report) {
+func (s *harness) lastSitesReport() (last fleet.Report) {
 	for _, p := range s.reports {
 		if p.Kind == fleet.SitesServing {
 			last = p
@@ -183,7 +183,7 @@
 func TestConfinedQueriesAreNeverSentOutside(t *testing.T) {
 	sent := 0
 	rapid.Check(t, func(t *rapid.T) {
-		s := placedStage(t, 6, "a", nil)
+		s := newResidencyHarness(t, 6, "a", nil)
 		draws := func() (l []residency.Rule) {
 			for i, tables := range [][]int64{{1}, {2}, nil} {
 				if rapid.Bool().Draw(t, "rule") {
@@ -194,7 +194,7 @@
 			return l
 		}
 		now := draws()
-		s.rules(1, now...)
+		s.openRules(1, now...)
 		seen := map[*fakeRun]bool{}
 		look := func() {
 			for _, a := range s.queries {
@@ -232,11 +232,11 @@
 				}
 			case 5:
 				version++
-				s.order(fleet.Order{Kind: fleet.FencePolicy, Change: "c"})
+				s.deliverOrder(fleet.Order{Kind: fleet.FencePolicy, Change: "c"})
 				s.runUntil(s.now + rapid.SampledFrom([]time.Duration{0, 30 * time.Millisecond}).Draw(t, "switch"))
 				look()
 				now = draws()
-				s.rules(version, now...)
+				s.openRules(version, now...)
 			case 6:
 				m := s.sortedEngines()[rapid.IntRange(0, 5).Draw(t, "engine")]
 				if m.state = "DRAINING"; rapid.Bool().Draw(t, "back") {
@@ -255,12 +255,12 @@
 
 // With the word that it decides by a tighter rule goes how much runs outside of that.
 func TestAttemptsOutsideAreReportedWithTheVersion(t *testing.T) {
-	s := placedStage(t, 3, "a", nil)
-	s.rules(1)
+	s := newResidencyHarness(t, 3, "a", nil)
+	s.openRules(1)
 	a := s.sendQuery(s.connect(), "lookup", "", 9*time.Second, 1, "who", "bank")
 	at := s.waitForCall("POST", a.id).engine.site
 	within := slices.DeleteFunc([]string{"a", "b", "c"}, func(x string) bool { return x == at })
-	s.rules(2, residency.Rule{Name: "r", Team: "bank", Engines: within, Controllers: []string{"a"}})
+	s.openRules(2, residency.Rule{Name: "r", Team: "bank", Engines: within, Controllers: []string{"a"}})
 	for _, p := range s.reports {
 		if p.Kind == fleet.PolicyOpened && p.Version == 2 && p.Outside != 1 {
 			t.Errorf("%+v", p)
@@ -271,17 +271,17 @@
 // The answer to a binding reaches the loads that wait for it, also where a client asks for
 // a purge by the same id.
 func TestClientCannotConsumeABindingsReply(t *testing.T) {
-	s := placedStage(t, 3, "a", nil)
-	s.rules(1, residency.Rule{Name: "r", Team: "bank", Tables: []int64{1}, Engines: []string{"a"}, Follows: true})
+	s := newResidencyHarness(t, 3, "a", nil)
+	s.openRules(1, residency.Rule{Name: "r", Team: "bank", Tables: []int64{1}, Engines: []string{"a"}, Follows: true})
 	s.controller.invalidation = newInvalidation(s.controller)
 	s.controller.servingLease.invalidator = s.controller.invalidation
 	c := s.connect()
 	s.statement = "insert into d_5.x select * from d_1.y"
 	a := s.sendQuery(c, "load", "k", 9*time.Second, 0, "who", "bank")
 	s.runUntil(s.now + 10*time.Millisecond)
-	id := s.wanted()[0].ID
+	id := s.fleetRequests()[0].ID
 	x := &invalidationCall{client: s.controller.clients[0], id: id, answerBy: s.now + time.Minute}
-	s.controller.invalidation.callers[id] = []*invalidationCall{x}
-	s.order(fleet.Order{Kind: fleet.RequestAnswered, ID: id, Response: &fleet.Response{ID: id, Outcome: "bound"}})
+	s.controller.invalidation.pendingCalls[id] = []*invalidationCall{x}
+	s.deliverOrder(fleet.Order{Kind: fleet.RequestAnswered, ID: id, Response: &fleet.Response{ID: id, Outcome: "bound"}})
 	s.waitForCall("POST", a.id)
 }
--- a/internal/controller/result_cache.go
+++ b/internal/controller/result_cache.go
@@ -102,7 +102,7 @@
 	switch verdict {
 	case resultcache.Hit:
 		a.invalidation.markRetained(func() { a.answerFinished(q, pages) })
-		a.invalidation.noteRetainedAnswer(q)
+		a.invalidation.trackRetainedAnswer(q)
 		return false
 	case resultcache.Follow:
 		from.Fields = from.Fields.Clone() // the call lies in its connection's buffer
@@ -174,7 +174,7 @@
 		if a.closeQuery(o, fairqueue.Finished) {
 			a.counters.finished++
 			a.invalidation.markRetained(func() { o.owner.finished(pages) })
-			a.invalidation.noteRetainedAnswer(o)
+			a.invalidation.trackRetainedAnswer(o)
 		}
 	}
 }
--- a/internal/controller/result_paging.go
+++ b/internal/controller/result_paging.go
@@ -122,7 +122,7 @@
 		}
 		a.finish(scheduler.Finished)
 	case spool.Wait:
-		p.pollOnceRoom(a, number)
+		p.pollWhenRoom(a, number)
 	default:
 		a.spooledPages++
 		if a.spooledPages < a.pageCount {
@@ -134,9 +134,9 @@
 	}
 }
 
-// pollOnceRoom polls for a page again once the spool has room for it, and before its engine, which
+// pollWhenRoom polls for a page again once the spool has room for it, and before its engine, which
 // keeps the result for as long as it is polled, would forget it.
-func (p *resultPaging) pollOnceRoom(a *attempt, page int) {
+func (p *resultPaging) pollWhenRoom(a *attempt, page int) {
 	polled := false
 	poll := func() {
 		if !polled && !a.ended {
@@ -167,11 +167,11 @@
 		a.finish(scheduler.Finished)
 		return
 	}
-	p.core.Whole(p.now, a.result, func(err error) { p.retained(a, err) })
+	p.core.Whole(p.now, a.result, func(err error) { p.retentionEnded(a, err) })
 }
 
-// retained answers once the spool has a complete result, or could not write it.
-func (p *resultPaging) retained(a *attempt, err error) {
+// retentionEnded answers once the spool has a complete result, or could not write it.
+func (p *resultPaging) retentionEnded(a *attempt, err error) {
 	r := a.result
 	switch {
 	case a.ended: // given up meanwhile
@@ -289,7 +289,7 @@
 		cl.reply(msgpackrpc.Killed(nil, msg, spool.ErrNone.Error()))
 	default:
 		cl.invalidation.markRetained(func() { cl.reply(msgpackrpc.Answer(nil, msg, [][]byte{body})) })
-		cl.invalidation.noteRetainedWrite(cl.connection, owner)
+		cl.invalidation.trackRetainedWrite(cl.connection, owner)
 	}
 }
 
--- a/internal/controller/result_paging_test.go
+++ b/internal/controller/result_paging_test.go
@@ -22,24 +22,24 @@
 )
 
 // spooled is a world whose controller keeps results.
-type spooled struct {
+type spoolWorld struct {
 	*world.World
 	t        *testing.T
-	d        *disk.Disk
-	x        *disk.Index
+	disk     *disk.Disk
+	index    *disk.Index
 	keeper   *resultstore.Keeper
 	finished map[string]time.Duration // at engines
 	released map[string]time.Duration
 	serial   int
 }
 
-func limits() spool.Limits {
+func testLimits() spool.Limits {
 	l := spool.Usual()
 	l.Memory, l.Disk, l.Page, l.Flight = 1<<20, 8<<20, 16<<10, 128<<10
 	return l
 }
 
-func newSpooled(t *testing.T, d *disk.Disk, x *disk.Index, l spool.Limits, shape *fairqueue.Config, change ...func(*controller.Config)) *spooled {
+func newSpoolWorld(t *testing.T, d *disk.Disk, x *disk.Index, l spool.Limits, shape *fairqueue.Config, change ...func(*controller.Config)) *spoolWorld {
 	keeper, err := resultstore.NewKeeper(d, x, resultstore.Terms{SegmentBytes: 256 << 10})
 	if err != nil {
 		t.Fatal(err)
@@ -69,7 +69,7 @@
 	for _, do := range change {
 		do(&means)
 	}
-	s := &spooled{t: t, d: d, x: x, keeper: keeper, finished: map[string]time.Duration{}, released: map[string]time.Duration{}}
+	s := &spoolWorld{t: t, disk: d, index: x, keeper: keeper, finished: map[string]time.Duration{}, released: map[string]time.Duration{}}
 	s.World = world.New(5, []engine.Figures{figures, figures}, means)
 	s.Keeper, s.Disk = keeper, time.Millisecond
 	for _, e := range s.Engines {
@@ -88,28 +88,28 @@
 	return s
 }
 
-func fresh(t *testing.T) *spooled {
+func newDefaultSpoolWorld(t *testing.T) *spoolWorld {
 	d := disk.New()
-	return newSpooled(t, d, disk.NewIndex(d), limits(), nil)
+	return newSpoolWorld(t, d, disk.NewIndex(d), testLimits(), nil)
 }
 
-func (s *spooled) ask(c *world.Client, rows int, more ...string) *world.Asked {
+func (s *spoolWorld) ask(c *world.Client, rows int, more ...string) *world.Asked {
 	s.serial++
 	return c.Ask(fmt.Sprintf("%016x", s.serial), "report", "", 12*time.Second,
 		engine.Work{Threads: 1, CPU: 20 * time.Millisecond, MemoryMB: 10, Rows: rows}, append(more, "pages", "1")...)
 }
 
-func (s *spooled) client() *world.Client { return s.Connect("c", bench.Home) }
+func (s *spoolWorld) client() *world.Client { return s.Connect("c", bench.Home) }
 
-func pagesOf(a *world.Asked) int {
+func pageCount(a *world.Asked) int {
 	n, _ := strconv.Atoi(a.Paging["pages"])
 	return n
 }
 
 // reads asks for all further pages, in the order given, and compares all with what engines make.
-func (s *spooled) reads(c *world.Client, a *world.Asked, order []int) {
+func (s *spoolWorld) checkPages(c *world.Client, a *world.Asked, order []int) {
 	s.t.Helper()
-	n := pagesOf(a)
+	n := pageCount(a)
 	parts := make([][]byte, n)
 	parts[0] = a.Rows
 	left := 0
@@ -138,16 +138,16 @@
 	}
 }
 
-// plain is a query whose client asks for no pages.
-const plain = "00000000000000aa"
+// unpagedQueryID is a query whose client asks for no pages.
+const unpagedQueryID = "00000000000000aa"
 
-func (s *spooled) done() {
+func (s *spoolWorld) checkEnd() {
 	s.t.Helper()
 	for _, f := range s.History.Done(s.Now) {
 		s.t.Error("broken: ", f)
 	}
 	for id, at := range s.finished {
-		if id == plain {
+		if id == unpagedQueryID {
 			continue
 		}
 		if r, ok := s.released[id]; !ok || r > at+time.Second {
@@ -156,7 +156,7 @@
 	}
 }
 
-func from1(n int) (l []int) {
+func pagesAfterFirst(n int) (l []int) {
 	for i := 1; i < n; i++ {
 		l = append(l, i)
 	}
@@ -164,23 +164,23 @@
 }
 
 func TestResultIsReadPageByPage(t *testing.T) {
-	s := fresh(t)
+	s := newDefaultSpoolWorld(t)
 	c := s.client()
 	a, one := s.ask(c, 4000), s.ask(c, 3)
-	whole := c.Ask(plain, "report", "", 12*time.Second, engine.Work{Threads: 1, CPU: time.Millisecond, Rows: 2000})
+	whole := c.Ask(unpagedQueryID, "report", "", 12*time.Second, engine.Work{Threads: 1, CPU: time.Millisecond, Rows: 2000})
 	s.Until(2 * time.Second)
-	if !a.Answered || pagesOf(a) < 5 || a.Paging["token"] == "" {
+	if !a.Answered || pageCount(a) < 5 || a.Paging["token"] == "" {
 		t.Fatal("not answered by pages: ", a.Answered, a.Paging)
 	}
-	if one.Paging["token"] != "" || pagesOf(one) != 1 || !bytes.Equal(one.Rows, world.Rows(one)) {
+	if one.Paging["token"] != "" || pageCount(one) != 1 || !bytes.Equal(one.Rows, world.Rows(one)) {
 		t.Fatal("one page needs no token: ", one.Paging)
 	}
 	if !bytes.Equal(whole.Rows, world.Rows(whole)) {
 		t.Fatal("who asks for no pages gets one answer")
 	}
-	order := from1(pagesOf(a))
+	order := pagesAfterFirst(pageCount(a))
 	rand.New(rand.NewPCG(1, 1)).Shuffle(len(order), func(i, j int) { order[i], order[j] = order[j], order[i] })
-	s.reads(c, a, order)
+	s.checkPages(c, a, order)
 	// it goes after page two and is back minutes later on another connection
 	b := s.ask(c, 4000)
 	s.Until(s.Now + 2*time.Second)
@@ -188,7 +188,7 @@
 	s.Until(s.Now + time.Second)
 	c.Drop()
 	s.Until(s.Now + 7*time.Minute)
-	s.reads(s.client(), b, from1(pagesOf(b)))
+	s.checkPages(s.client(), b, pagesAfterFirst(pageCount(b)))
 	s.Until(s.Now + 16*time.Minute) // past its life
 	late := ""
 	s.client().Page(b.Paging["token"], 1, func(ans client.Answer) { late = ans.Why })
@@ -200,11 +200,11 @@
 	if s.keeper.Live() != 0 {
 		t.Errorf("%d bytes are left behind", s.keeper.Live())
 	}
-	s.done()
+	s.checkEnd()
 }
 
 func TestResultLargerThanTheSpool(t *testing.T) {
-	s := fresh(t)
+	s := newDefaultSpoolWorld(t)
 	c := s.client()
 	a := s.ask(c, 400_000) // 10 MB
 	killed := ""
@@ -216,35 +216,35 @@
 	if s.keeper.Live() != 0 {
 		t.Errorf("%d bytes are left behind", s.keeper.Live())
 	}
-	s.done()
+	s.checkEnd()
 }
 
 // What is given up while it is drawn leaves nothing behind, whoever gave it up.
 func TestAbandonedResultLeavesNothingBehind(t *testing.T) {
-	for name, trouble := range map[string]func(s *spooled, c *world.Client, a *world.Asked){
-		"the client cancels":  func(s *spooled, c *world.Client, a *world.Asked) { c.Leave(a) },
-		"the client vanishes": func(s *spooled, c *world.Client, a *world.Asked) { c.Drop() },
-		"the engine dies": func(s *spooled, c *world.Client, a *world.Asked) {
+	for name, trouble := range map[string]func(s *spoolWorld, c *world.Client, a *world.Asked){
+		"the client cancels":  func(s *spoolWorld, c *world.Client, a *world.Asked) { c.Leave(a) },
+		"the client vanishes": func(s *spoolWorld, c *world.Client, a *world.Asked) { c.Drop() },
+		"the engine dies": func(s *spoolWorld, c *world.Client, a *world.Asked) {
 			for _, e := range s.Engines {
 				e.Crash(time.Minute)
 			}
 		},
-		"the engine goes silent": func(s *spooled, c *world.Client, a *world.Asked) {
+		"the engine goes silent": func(s *spoolWorld, c *world.Client, a *world.Asked) {
 			for _, e := range s.Engines {
 				e.Vanish()
 			}
 		},
-		"the disk is full": func(s *spooled, c *world.Client, a *world.Asked) {
-			s.d.Half = true
-			s.d.Fail = func(verb, _ string) error {
+		"the disk is full": func(s *spoolWorld, c *world.Client, a *world.Asked) {
+			s.disk.Half = true
+			s.disk.Fail = func(verb, _ string) error {
 				if verb == "write" {
 					return syscall.ENOSPC
 				}
 				return nil
 			}
 		},
-		"the disk refuses a sync": func(s *spooled, c *world.Client, a *world.Asked) {
-			s.d.Fail = func(verb, _ string) error {
+		"the disk refuses a sync": func(s *spoolWorld, c *world.Client, a *world.Asked) {
+			s.disk.Fail = func(verb, _ string) error {
 				if verb == "sync" {
 					return syscall.EIO
 				}
@@ -253,7 +253,7 @@
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			s := fresh(t)
+			s := newDefaultSpoolWorld(t)
 			c := s.client()
 			a := s.ask(c, 120_000) // 3 MB: to disk as it comes
 			s.Until(100 * time.Millisecond)
@@ -262,7 +262,7 @@
 			}
 			trouble(s, c, a)
 			s.Until(20 * time.Second)
-			s.d.Fail = nil
+			s.disk.Fail = nil
 			s.Until(40 * time.Second)
 			if !a.Answered && !a.Left {
 				t.Error("no answer")
@@ -280,7 +280,7 @@
 			if name != "the engine goes silent" && name != "the engine dies" {
 				b := s.ask(c, 4000)
 				s.Until(s.Now + 3*time.Second)
-				s.reads(c, b, from1(pagesOf(b)))
+				s.checkPages(c, b, pagesAfterFirst(pageCount(b)))
 			}
 		})
 	}
@@ -289,25 +289,25 @@
 // The program ends between any two writes; the next one serves what was promised, by
 // the tokens of the one before, and nothing that was not.
 func TestPromisedResultsSurviveARestart(t *testing.T) {
-	s := fresh(t)
+	s := newDefaultSpoolWorld(t)
 	c := s.client()
 	var asked []*world.Asked
 	promisedAt := map[*world.Asked]int{}
-	c.Heard = func(a *world.Asked, _ client.Answer) { promisedAt[a] = s.d.Steps() }
+	c.Heard = func(a *world.Asked, _ client.Answer) { promisedAt[a] = s.disk.Steps() }
 	for range 8 {
 		asked = append(asked, s.ask(c, 3000))
 		s.Until(s.Now + 40*time.Millisecond)
 	}
 	s.Until(s.Now + 3*time.Second)
-	steps := s.d.Steps()
+	steps := s.disk.Steps()
 	served := 0
 	for k := 0; k <= steps; k += max(1, steps/40) {
-		d := s.d.After(k, disk.Torn)
-		next := newSpooled(t, d, s.x.After(k, d), limits(), nil)
+		d := s.disk.After(k, disk.Torn)
+		next := newSpoolWorld(t, d, s.index.After(k, d), testLimits(), nil)
 		nc := next.client()
 		for _, a := range asked {
 			if at, was := promisedAt[a]; was && at <= k {
-				next.reads(nc, a, from1(pagesOf(a)))
+				next.checkPages(nc, a, pagesAfterFirst(pageCount(a)))
 				served++
 			}
 		}
@@ -319,30 +319,30 @@
 	if served < 20 {
 		t.Fatal("the cuts say nothing: ", served)
 	}
-	s.done()
+	s.checkEnd()
 }
 
 // An engine that drains hands out what it has; one whose answers are spoilt is asked again.
 func TestPagesOfADrainingOrGarblingEngine(t *testing.T) {
-	for name, trouble := range map[string]func(s *spooled){
-		"drains": func(s *spooled) {
+	for name, trouble := range map[string]func(s *spoolWorld){
+		"drains": func(s *spoolWorld) {
 			for _, e := range s.Engines {
 				s.Tell(e, "DRAINING")
 			}
 		},
-		"garbles": func(s *spooled) {
+		"garbles": func(s *spoolWorld) {
 			for _, e := range s.Engines {
 				e.Spoil = 3
 			}
 		},
-		"ends its connections": func(s *spooled) {
+		"ends its connections": func(s *spoolWorld) {
 			for _, e := range s.Engines {
 				e.Reset(s.Now, false)
 			}
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			s := fresh(t)
+			s := newDefaultSpoolWorld(t)
 			c := s.client()
 			a := s.ask(c, 120_000)
 			s.Until(100 * time.Millisecond)
@@ -351,21 +351,21 @@
 			if a.Answer != client.Finished || !a.Answered {
 				t.Fatal("not finished: ", a.Answered, a.Answer)
 			}
-			s.reads(s.client(), a, from1(pagesOf(a)))
-			s.done()
+			s.checkPages(s.client(), a, pagesAfterFirst(pageCount(a)))
+			s.checkEnd()
 		})
 	}
 }
 
 // A mutating query whose result can't be kept is killed, and never run again.
 func TestMutatingQueryIsNotRetriedAfterSpoolFailure(t *testing.T) {
-	s := fresh(t)
+	s := newDefaultSpoolWorld(t)
 	c := s.client()
 	s.serial++
 	a := c.Ask(fmt.Sprintf("%016x", s.serial), "load", "k", 12*time.Second,
 		engine.Work{Threads: 1, CPU: 20 * time.Millisecond, MemoryMB: 10, Rows: 120_000, Load: true}, "pages", "1")
 	s.Until(100 * time.Millisecond)
-	s.d.Fail = func(verb, _ string) error {
+	s.disk.Fail = func(verb, _ string) error {
 		if verb == "write" {
 			return syscall.ENOSPC
 		}
@@ -375,26 +375,26 @@
 	if !a.Answered || a.Answer != client.Killed || s.History.Sent != 1 {
 		t.Error(a.Answered, a.Answer, s.History.Sent)
 	}
-	s.done()
+	s.checkEnd()
 }
 
 func TestCorruptPageIsNeverServed(t *testing.T) {
-	s := fresh(t)
+	s := newDefaultSpoolWorld(t)
 	c := s.client()
 	a := s.ask(c, 120_000) // most of it is on disk only
 	s.Until(5 * time.Second)
-	names, _ := s.d.List()
+	names, _ := s.disk.List()
 	for _, name := range names {
 		if strings.HasSuffix(name, ".seg") {
-			f, _ := s.d.Open(name)
+			f, _ := s.disk.Open(name)
 			size, _ := f.Size()
 			for at := int64(100); at < size; at += 9000 {
-				s.d.Flip(name, at, 3)
+				s.disk.Flip(name, at, 3)
 			}
 		}
 	}
 	spoilt, good, want := 0, 0, world.Rows(a)
-	for i := range pagesOf(a) {
+	for i := range pageCount(a) {
 		c.Page(a.Paging["token"], i, func(ans client.Answer) {
 			if ans.Kind == client.Finished && !bytes.Contains(want, ans.Rows) {
 				t.Error("a spoilt page is served")
@@ -414,15 +414,15 @@
 	if !strings.Contains(strings.Join(s.Said, "\n"), "the page is spoilt") {
 		t.Error("nothing in the log")
 	}
-	s.done()
+	s.checkEnd()
 }
 
 // A thousand clients read slowly; memory stays within its bound and engines are free.
 func TestThousandSlowPageReaders(t *testing.T) {
 	d := disk.New()
-	l := limits()
+	l := testLimits()
 	l.Disk, l.Team = 256<<20, 1
-	s := newSpooled(t, d, disk.NewIndex(d), l, nil)
+	s := newSpoolWorld(t, d, disk.NewIndex(d), l, nil)
 	var all []*world.Asked
 	most := int64(0)
 	for range 1000 {
@@ -432,7 +432,7 @@
 		next := 1
 		var read func()
 		read = func() {
-			if next < pagesOf(a) {
+			if next < pageCount(a) {
 				c.Page(a.Paging["token"], next, func(client.Answer) { s.After(16*time.Second, read) }) // 1 KB/s
 				next++
 			}
@@ -455,14 +455,14 @@
 	if answered < 990 {
 		t.Errorf("%d of 1000 finished", answered)
 	}
-	s.done()
+	s.checkEnd()
 }
 
 // Teams' tokens open for their own team alone, and spooled work is charged as any other.
 func TestPageTokensAndChargesAreByTenant(t *testing.T) {
 	d := disk.New()
 	shape := &fairqueue.Config{Tenants: bench.Teams(), TrustedAddresses: bench.Homes}
-	s := newSpooled(t, d, disk.NewIndex(d), limits(), shape)
+	s := newSpoolWorld(t, d, disk.NewIndex(d), testLimits(), shape)
 	c := s.client()
 	a := s.ask(c, 3000, "team", "gauges-1")
 	s.Until(3 * time.Second)
@@ -483,5 +483,5 @@
 	if charged < 0.015 || charged > 0.03 {
 		t.Errorf("%v thread seconds charged, not 0.02", charged)
 	}
-	s.done()
+	s.checkEnd()
 }
--- a/internal/controller/retained_writes.go
+++ b/internal/controller/retained_writes.go
@@ -22,7 +22,7 @@
 }
 
 // of reports whether it may be of a tenant.
-func (w retainedWrite) of(tenant string) bool { return w.tenant == "" || w.tenant == tenant }
+func (w retainedWrite) mayBelongTo(tenant string) bool { return w.tenant == "" || w.tenant == tenant }
 
 // markRetained marks what do writes as retained bytes: they go out only while the lease
 // holds, by the clock as it is then.
@@ -32,8 +32,8 @@
 	v.writingRetainedData = false
 }
 
-// noteRetainedAnswer notes that a query was answered with retained bytes.
-func (v *invalidation) noteRetainedAnswer(q *query) {
+// trackRetainedAnswer notes that a query was answered with retained bytes.
+func (v *invalidation) trackRetainedAnswer(q *query) {
 	call, ok := q.owner.(*rpcCall)
 	if !ok {
 		return
@@ -42,12 +42,12 @@
 	if q.cacheState != nil && q.cacheState.ask != nil {
 		tenant = q.cacheState.ask.Team
 	}
-	v.noteRetainedWrite(call.client.connection, tenant)
+	v.trackRetainedWrite(call.client.connection, tenant)
 }
 
-// noteRetainedWrite notes that retained bytes of a tenant, "" if it isn't known, are on their
+// trackRetainedWrite notes that retained bytes of a tenant, "" if it isn't known, are on their
 // way out by a connection.
-func (v *invalidation) noteRetainedWrite(conn *Connection, tenant string) {
+func (v *invalidation) trackRetainedWrite(conn *Connection, tenant string) {
 	if len(v.retainedWrites) >= 2*v.writesAfterSweep+minWritesSweep {
 		v.forgetFlushed()
 		v.writesAfterSweep = len(v.retainedWrites)
@@ -69,7 +69,7 @@
 func (v *invalidation) writesFlushed(tenant string) bool {
 	v.forgetFlushed()
 	for w := range v.retainedWrites {
-		if w.of(tenant) {
+		if w.mayBelongTo(tenant) {
 			return false
 		}
 	}
@@ -92,7 +92,7 @@
 
 func (v *invalidation) disconnectUnflushed(tenant string) {
 	for w := range v.retainedWrites {
-		if w.of(tenant) {
+		if w.mayBelongTo(tenant) {
 			v.counters.disconnected++
 			v.closeConnection(w.connection, false)
 			delete(v.retainedWrites, w)
--- a/internal/controller/serving_lease.go
+++ b/internal/controller/serving_lease.go
@@ -183,11 +183,11 @@
 // updateServing notes whether anything may be decided now, and holds or releases what there is
 // accordingly. It runs before every event, since a lease ends without one.
 func (l *servingLease) updateServing() {
-	all := l.noteServing(&l.pausedSince, l.servingVersion(false) != 0)
+	all := l.updatePausedSince(&l.pausedSince, l.servingVersion(false) != 0)
 	if all == servingPaused {
 		l.scheduler.SetPaused(l.now, true)
 	}
-	confined := l.noteServing(&l.confinedPausedSince, l.servingVersion(true) != 0)
+	confined := l.updatePausedSince(&l.confinedPausedSince, l.servingVersion(true) != 0)
 	if all != servingUnchanged || confined != servingUnchanged {
 		l.scheduleHoldExpiry()
 	}
@@ -196,7 +196,7 @@
 	}
 }
 
-func (l *servingLease) noteServing(pausedSince *time.Duration, serving bool) servingChange {
+func (l *servingLease) updatePausedSince(pausedSince *time.Duration, serving bool) servingChange {
 	switch {
 	case !serving && *pausedSince == notPaused:
 		*pausedSince = l.now
--- a/internal/controller/serving_lease_test.go
+++ b/internal/controller/serving_lease_test.go
@@ -13,17 +13,17 @@
 	"railrelay.dev/railrelay/internal/residency"
 )
 
-// withPeers is a stage whose controller has peers, with nothing opened yet.
-func withPeers(t interface{ Fatalf(string, ...any) }, engines int, more map[string]string, change ...func(*Config)) *harness {
+// newFleetHarness is a stage whose controller has peers, with nothing opened yet.
+func newFleetHarness(t interface{ Fatalf(string, ...any) }, engines int, more map[string]string, change ...func(*Config)) *harness {
 	return newHarness(t, engines, 256, more, append([]func(*Config){func(m *Config) { m.Fleet = &FleetConfig{ServingState: &fleet.ServingState{}} }}, change...)...)
 }
 
-func (s *harness) order(o fleet.Order) { s.step(Event{Kind: FleetOrderReceived, Order: &o}) }
+func (s *harness) deliverOrder(o fleet.Order) { s.step(Event{Kind: FleetOrderReceived, Order: &o}) }
 
 // opens has it decide by a version, with a lease for so long.
-func (s *harness) opens(version uint64, lease time.Duration) {
-	s.order(fleet.Order{Kind: fleet.LeaseRenewed, Until: s.now + lease, UntilBound: s.now + lease})
-	s.order(fleet.Order{Kind: fleet.OpenPolicy, Version: version, Policy: &Policy{Version: version}})
+func (s *harness) openVersion(version uint64, lease time.Duration) {
+	s.deliverOrder(fleet.Order{Kind: fleet.LeaseRenewed, Until: s.now + lease, UntilBound: s.now + lease})
+	s.deliverOrder(fleet.Order{Kind: fleet.OpenPolicy, Version: version, Policy: &Policy{Version: version}})
 }
 
 // mayWrite is the runner's last look: by the time it writes, it may be later.
@@ -51,7 +51,7 @@
 
 // What comes while nothing may be decided waits, and goes on in the order it came.
 func TestHeldQueriesGoInOrderOnceAVersionOpens(t *testing.T) {
-	s := withPeers(t, 1, nil)
+	s := newFleetHarness(t, 1, nil)
 	c := s.connect()
 	first, next := s.sendQuery(c, "load", "k", 5*time.Second, 1), s.sendQuery(c, "load", "k", 5*time.Second, 2)
 	gone := s.sendQuery(c, "lookup", "", 5*time.Second, 1)
@@ -60,7 +60,7 @@
 	if len(first.runs) > 0 || s.controller.servingLease.heldCount != 2 || s.controller.servingLease.servingVersion(false) != 0 {
 		t.Fatalf("%d sent, %d held", len(first.runs), s.controller.servingLease.heldCount)
 	}
-	s.opens(1, time.Minute)
+	s.openVersion(1, time.Minute)
 	s.respond(s.waitForCall("POST", first.id), "ok")
 	s.respond(s.waitForCall("POST", next.id), "ok") // posted checks their order
 	s.runUntil(s.now + 100*time.Millisecond)
@@ -75,7 +75,7 @@
 // Held too long, or at the end of its client's patience, one is deferred in time; more
 // than may be held are at once. None of it was ever sent.
 func TestQueryHeldForTooLongIsDeferred(t *testing.T) {
-	s := withPeers(t, 1, nil)
+	s := newFleetHarness(t, 1, nil)
 	c := s.connect()
 	long, short := s.sendQuery(c, "load", "k", 9*time.Second, 1), s.sendQuery(c, "load", "k", 500*time.Millisecond, 1)
 	s.runUntil(495 * time.Millisecond)
@@ -97,8 +97,8 @@
 // The lease ends with queries in hand: with the decisions, chosen for an engine and
 // not sent, and running. Those that run go on, the others wait and are deferred.
 func TestNothingIsSentAfterTheLeaseEnds(t *testing.T) {
-	s := withPeers(t, 1, map[string]string{"may.copy": "false"})
-	s.opens(1, 100*time.Millisecond)
+	s := newFleetHarness(t, 1, map[string]string{"may.copy": "false"})
+	s.openVersion(1, 100*time.Millisecond)
 	c := s.connect()
 	runs := s.sendQuery(c, "load", "k", 9*time.Second, 1)
 	s.respond(s.waitForCall("POST", runs.id), "runs")
@@ -126,16 +126,16 @@
 // The process stands still past its lease right before a submission is written: none
 // of it goes out, it is known never to have run, and is sent once there is a lease.
 func TestWriteIsBarredAfterAStallPastTheLease(t *testing.T) {
-	s := withPeers(t, 1, nil)
-	s.opens(1, 10*time.Second)
+	s := newFleetHarness(t, 1, nil)
+	s.openVersion(1, 10*time.Second)
 	s.writeDelay = time.Minute
 	a := s.sendQuery(s.connect(), "load", "k", 9*time.Second, 1)
 	s.runUntil(50 * time.Millisecond)
 	if len(a.runs) > 0 || s.controller.servingLease.rejectedWrites == 0 || s.controller.counters.attemptEnds[7] == 0 {
 		t.Fatalf("%d sent, %d refused, %v", len(a.runs), s.controller.servingLease.rejectedWrites, s.controller.counters.attemptEnds)
 	}
-	s = withPeers(t, 1, nil)
-	s.opens(1, 10*time.Second)
+	s = newFleetHarness(t, 1, nil)
+	s.openVersion(1, 10*time.Second)
 	a = s.sendQuery(s.connect(), "load", "k", 9*time.Second, 1)
 	s.writeDelay = time.Minute
 	for s.controller.servingLease.rejectedWrites == 0 {
@@ -152,12 +152,12 @@
 // A switch is told closed only once nothing is being written, and what waited is
 // judged by the next version: its limits, its teams' places, its placement.
 func TestHeldQueryIsAdmittedByTheNextVersion(t *testing.T) {
-	s := withPeers(t, 1, map[string]string{"teams": "1", "team.0.name": "old", "team.0.quota": "5"}, func(m *Config) { m.FieldNames.Customer = "who" })
-	s.opens(1, time.Minute)
+	s := newFleetHarness(t, 1, map[string]string{"teams": "1", "team.0.name": "old", "team.0.quota": "5"}, func(m *Config) { m.FieldNames.Customer = "who" })
+	s.openVersion(1, time.Minute)
 	c := s.connect()
 	word := s.controller.Config.Fleet.ServingState
 	word.BeginWrite(s.now, 1, false) // one is being written
-	s.order(fleet.Order{Kind: fleet.FencePolicy, Change: "c"})
+	s.deliverOrder(fleet.Order{Kind: fleet.FencePolicy, Change: "c"})
 	s.runUntil(10 * time.Millisecond)
 	a := s.sendQuery(c, "lookup", "", 5*time.Second, 1, "who", "new")
 	b := s.sendQuery(c, "lookup", "", 25*time.Second, 1)
@@ -169,7 +169,7 @@
 	if s.reportCount(fleet.PolicyFenced) != 1 {
 		t.Fatal("not told")
 	}
-	s.order(fleet.Order{Kind: fleet.OpenPolicy, Version: 2, Policy: &Policy{Version: 2, Settings: map[string]string{"group.0.timeout": "20000",
+	s.deliverOrder(fleet.Order{Kind: fleet.OpenPolicy, Version: 2, Policy: &Policy{Version: 2, Settings: map[string]string{"group.0.timeout": "20000",
 		"group.0.value": "9", "group.0.target": "700", "threads": "2,3,2", "teams": "2", "team.0.name": "old", "team.1.name": "new", "team.1.quota": "7",
 		"group.0.effect": "mutating"}}})
 	if q := s.controller.queries[a.id]; q == nil || q.customer != 1 {
@@ -190,12 +190,12 @@
 // A submission held over a switch goes back to the decisions where the next version
 // doesn't let it go to the engine that it was chosen for.
 func TestBlockedAttemptObeysTheNextVersion(t *testing.T) {
-	s := placedStage(t, 2, "a", map[string]string{"may.probe": "false", "report.how": "off"})
-	s.opens(1, time.Minute)
+	s := newResidencyHarness(t, 2, "a", map[string]string{"may.probe": "false", "report.how": "off"})
+	s.openVersion(1, time.Minute)
 	s.statement = "insert into d_1.x select 1"
 	a := s.sendQuery(s.connect(), "load", "k", 9*time.Second, 1, "who", "bank")
 	q := s.controller.queries[a.id]
-	s.order(fleet.Order{Kind: fleet.FencePolicy, Change: "c"}) // while it waits for a line
+	s.deliverOrder(fleet.Order{Kind: fleet.FencePolicy, Change: "c"}) // while it waits for a line
 	s.runUntil(s.now + 300*time.Millisecond)
 	if len(s.controller.servingLease.blockedAttempts) != 1 {
 		t.Fatal("it doesn't wait")
@@ -204,7 +204,7 @@
 	if s.siteOf(q.attempts[0].engine) == "a" {
 		other = "b"
 	}
-	s.order(fleet.Order{Kind: fleet.OpenPolicy, Version: 2, Policy: &Policy{Version: 2,
+	s.deliverOrder(fleet.Order{Kind: fleet.OpenPolicy, Version: 2, Policy: &Policy{Version: 2,
 		Rules: []residency.Rule{{Name: "r", Team: "bank", Engines: []string{other}, Controllers: []string{"a"}}}}})
 	h := s.waitForCall("POST", a.id)
 	if h.engine.id == chosen || h.engine.site != other || !slices.Equal(s.submittedVersions, []uint64{2}) || s.controller.counters.attemptEnds[7] != 1 {
@@ -215,37 +215,37 @@
 // Bound teams' queries can need a shorter lease: only they wait, and none of their
 // key overtakes them.
 func TestOnlyConfinedTenantsWaitForTheirLease(t *testing.T) {
-	s := withPeers(t, 1, nil, func(m *Config) { m.Fleet.IsConfined = func(_ string, tables int64) bool { return tables == 7 } })
-	s.order(fleet.Order{Kind: fleet.OpenPolicy, Version: 1})
-	s.order(fleet.Order{Kind: fleet.LeaseRenewed, Until: fleet.Forever})
+	s := newFleetHarness(t, 1, nil, func(m *Config) { m.Fleet.IsConfined = func(_ string, tables int64) bool { return tables == 7 } })
+	s.deliverOrder(fleet.Order{Kind: fleet.OpenPolicy, Version: 1})
+	s.deliverOrder(fleet.Order{Kind: fleet.LeaseRenewed, Until: fleet.Forever})
 	c := s.connect()
 	bound, free, behind := s.sendQuery(c, "load", "k", 9*time.Second, 7), s.sendQuery(c, "load", "x", 9*time.Second, 1), s.sendQuery(c, "load", "k", 9*time.Second, 2)
 	s.runUntil(time.Second)
 	if len(bound.runs)+len(behind.runs) > 0 || len(free.runs) != 1 {
 		t.Fatal(len(bound.runs), len(behind.runs), len(free.runs))
 	}
-	s.order(fleet.Order{Kind: fleet.LeaseRenewed, Until: fleet.Forever, UntilBound: s.now + time.Minute})
+	s.deliverOrder(fleet.Order{Kind: fleet.LeaseRenewed, Until: fleet.Forever, UntilBound: s.now + time.Minute})
 	s.respond(s.waitForCall("POST", bound.id), "ok")
 	s.waitForCall("POST", behind.id)
 }
 
 // Teams' turns stand still with all else, and a full ring loses no report.
 func TestFairQueuePausesAndRejectedReportsAreResent(t *testing.T) {
-	s := withPeers(t, 0, nil, func(m *Config) { m.Tenants = &fairqueue.Config{Tenants: []fairqueue.Tenant{{Name: "a", Weight: 1}}} })
-	s.opens(1, time.Minute)
+	s := newFleetHarness(t, 0, nil, func(m *Config) { m.Tenants = &fairqueue.Config{Tenants: []fairqueue.Tenant{{Name: "a", Weight: 1}}} })
+	s.openVersion(1, time.Minute)
 	c := s.connect()
 	for range 3 {
 		s.sendQuery(c, "lookup", "", 9*time.Second, 1)
 	}
 	s.rejectReports = true
-	s.order(fleet.Order{Kind: fleet.FencePolicy, Change: "c"})
+	s.deliverOrder(fleet.Order{Kind: fleet.FencePolicy, Change: "c"})
 	waits := s.controller.fairQueue.queue.WaitingCount()
 	s.runUntil(time.Second)
 	if s.controller.fairQueue.queue.WaitingCount() != waits || s.reportCount(fleet.PolicyFenced) != 0 {
 		t.Fatal("it went on")
 	}
-	s.order(fleet.Order{Kind: fleet.OpenPolicy, Version: 2, Policy: &Policy{Version: 2, Tenants: &fairqueue.Config{Tenants: []fairqueue.Tenant{{Name: "b", Weight: 1}}}}})
-	s.order(fleet.Order{Kind: fleet.InvalidateData, ID: "p", Scope: &fleet.Scope{Team: "a"}})
+	s.deliverOrder(fleet.Order{Kind: fleet.OpenPolicy, Version: 2, Policy: &Policy{Version: 2, Tenants: &fairqueue.Config{Tenants: []fairqueue.Tenant{{Name: "b", Weight: 1}}}}})
+	s.deliverOrder(fleet.Order{Kind: fleet.InvalidateData, ID: "p", Scope: &fleet.Scope{Team: "a"}})
 	s.rejectReports, s.reports = false, nil
 	s.runUntil(s.now + 2*reportRetryInterval)
 	var kinds []fleet.ReportKind
@@ -269,32 +269,32 @@
 		choices := rapid.SliceOfN(rapid.Uint16(), 60, 150).Draw(t, "choices")
 		orders := rapid.SliceOfN(rapid.IntRange(0, 7), 8, 8).Draw(t, "orders")
 		teams := rapid.Bool().Draw(t, "teams")
-		s := withPeers(t, 3, nil, func(m *Config) {
+		s := newFleetHarness(t, 3, nil, func(m *Config) {
 			if teams {
 				m.Tenants = &fairqueue.Config{Tenants: []fairqueue.Tenant{{Name: "a", Weight: 1}}}
 			}
 		})
-		s.opens(1, time.Minute)
+		s.openVersion(1, time.Minute)
 		version := uint64(1)
 		part := len(choices) / len(orders)
 		for i, o := range orders {
 			lease := func(d time.Duration) {
-				s.order(fleet.Order{Kind: fleet.LeaseRenewed, Until: s.now + d, UntilBound: s.now + d/2})
+				s.deliverOrder(fleet.Order{Kind: fleet.LeaseRenewed, Until: s.now + d, UntilBound: s.now + d/2})
 			}
 			switch s.writeDelay = 0; o {
 			case 0, 1:
-				s.order(fleet.Order{Kind: fleet.FencePolicy, Change: "c"})
+				s.deliverOrder(fleet.Order{Kind: fleet.FencePolicy, Change: "c"})
 			case 2, 3:
 				version++
-				s.order(fleet.Order{Kind: fleet.FencePolicy, Change: "c"})
+				s.deliverOrder(fleet.Order{Kind: fleet.FencePolicy, Change: "c"})
 				before := len(s.submittedVersions)
 				s.runUntil(s.now + 20*time.Millisecond)
 				if len(s.submittedVersions) > before {
 					t.Fatalf("submitted while shut")
 				}
-				s.order(fleet.Order{Kind: fleet.OpenPolicy, Version: version, Policy: &Policy{Settings: map[string]string{"threads": "2,2,2"}}})
+				s.deliverOrder(fleet.Order{Kind: fleet.OpenPolicy, Version: version, Policy: &Policy{Settings: map[string]string{"threads": "2,2,2"}}})
 			case 4:
-				s.order(fleet.Order{Kind: fleet.OpenPolicy, Version: version})
+				s.deliverOrder(fleet.Order{Kind: fleet.OpenPolicy, Version: version})
 				lease(time.Minute)
 			case 5:
 				lease(100 * time.Millisecond)
@@ -325,7 +325,7 @@
 	cost := func(with ...func(*Config)) float64 {
 		s := newHarness(t, 1, 256, nil, with...)
 		if s.controller.servingLease != nil {
-			s.opens(1, time.Hour)
+			s.openVersion(1, time.Hour)
 		}
 		c := s.connect()
 		one := func() {
--- a/internal/controller/shutdown.go
+++ b/internal/controller/shutdown.go
@@ -6,8 +6,8 @@
 type shutdownPhase int
 
 const (
-	// serving: no shutdown was requested.
-	serving shutdownPhase = iota
+	// noShutdown: no shutdown was requested.
+	noShutdown shutdownPhase = iota
 	// gracePeriod: queries are accepted as before, for clients may not know yet.
 	gracePeriod
 	// draining: new queries are rejected as they come; accepted ones run to their ends.
@@ -29,7 +29,7 @@
 )
 
 func (c *Controller) beginShutdown() {
-	if c.shutdown != serving {
+	if c.shutdown != noShutdown {
 		return
 	}
 	c.shutdown = gracePeriod
@@ -47,7 +47,7 @@
 // answered and the answers are written. It doesn't wait for clients that don't read.
 func (c *Controller) continueShutdown() {
 	elapsed := c.now - c.shutdownRequestedAt
-	if c.shutdown == serving || c.shutdown == exited || elapsed < shutdownGrace {
+	if c.shutdown == noShutdown || c.shutdown == exited || elapsed < shutdownGrace {
 		return
 	}
 	if c.shutdown == gracePeriod {
