--- a/internal/controller/discovery.go
+++ b/internal/controller/discovery.go
@@ -7,54 +7,54 @@
 	"railrelay.dev/railrelay/internal/scheduler"
 )
 
-// discoveryWatch follows the endpoint list: the discovery sends numbered events on a connection that
-// stays open. A connection that goes silent, skips a number or sends what can't be read is replaced by a
-// new one, which asks for all events after lastEvent.
+// discoveryWatch follows the endpoint list. The discovery service sends numbered events on a connection
+// that stays open. A connection that misses a heartbeat, skips an event or sends an unreadable event is
+// replaced by a new one, which requests all events after lastEvent.
 type discoveryWatch struct {
-	connection *Connection // nil: none is open or being dialled
+	connection *Connection // nil if no connection is open or being dialled
 	retryDelay time.Duration
 
-	lastEvent int64 // the number of the last event applied
-	listed    bool  // an event was applied at all
-	// completeEvent: the event being read lists all engines, and any other is removed.
+	lastEvent int64 // number of the last applied event
+	listed    bool  // at least one event was applied
+	// completeEvent is set while the event being read lists all engines; engines not in it are removed.
 	completeEvent bool
 
-	connectionActiveAt time.Duration // on this connection; at first when it was dialled
-	lastMessageAt      time.Duration // on whichever connection
+	connectionActiveAt time.Duration // last message on this connection, or the dial before the first one
+	lastMessageAt      time.Duration // last message on any connection
 
-	unreadableAfter int64 // the event after this one could not be read once, -1: none was
-	skippedLines    int64 // unreadable lines passed over since the last event, on this connection
+	unreadableAfter int64 // the event after this number was unreadable once; -1 if none was
+	skippedLines    int64 // unreadable lines skipped on this connection since the last event
 }
 
 const (
-	// discoveryHeartbeat is how often the discovery sends at least a number, by the protocol.
+	// discoveryHeartbeat is the longest time between two messages that the protocol allows the service.
 	discoveryHeartbeat = time.Second
-	// discoverySilentAfter is when a heartbeat counts as missing: events since may be missing, too.
+	// discoverySilentAfter is the silence after which a heartbeat, and perhaps an event, counts as lost.
 	discoverySilentAfter = discoveryHeartbeat + 5*maxNetworkDelay
 	discoveryDialTimeout = 800 * time.Millisecond
 	minDiscoveryBackoff  = 50 * time.Millisecond
 	maxDiscoveryBackoff  = 800 * time.Millisecond
-	// discoveryDeliveredAfter is when an event counts as told to us, whether it came or not, by the
-	// protocol.
+	// discoveryDeliveredAfter is the time after which the protocol regards an event as delivered, even if
+	// the controller has not received it.
 	discoveryDeliveredAfter = 7 * time.Second
 )
 
-// boundDiscoveryDelay bounds the wait for the discovery by most or, once the first event that may be
-// missing is about to count as told, by half of the time for which a drained engine may still be sent
-// queries: a dial and the backoff before it are then over within that time once the discovery is back.
-func (c *Controller) boundDiscoveryDelay(most time.Duration) time.Duration {
+// boundDiscoveryDelay returns limit, or a shorter delay once a missed event may soon count as delivered.
+// The event may drain an engine, which may be sent queries for a grace period only. Half of that period
+// each for the backoff and the dial lets the watch reconnect within it once the service is back.
+func (c *Controller) boundDiscoveryDelay(limit time.Duration) time.Duration {
 	grace := c.durationSetting("drain.grace")
 	silence := c.now - c.discovery.lastMessageAt
 	if grace > 0 && silence > discoveryDeliveredAfter-maxDiscoveryBackoff-discoveryDialTimeout {
-		return max(2*minDiscoveryBackoff, min(most, grace/2))
+		return max(2*minDiscoveryBackoff, min(limit, grace/2))
 	}
-	return most
+	return limit
 }
 
-// connectDiscovery dials the discovery and asks for the events after the last one applied.
+// connectDiscovery dials the discovery service and requests the events after the last applied one.
 func (c *Controller) connectDiscovery() {
 	d := &c.discovery
-	if c.DiscoveryAddress == "" || d.connection != nil { // another address may have come during the backoff
+	if c.DiscoveryAddress == "" || d.connection != nil { // changeDiscoveryAddress may run during the backoff
 		return
 	}
 	conn := &Connection{}
@@ -78,7 +78,7 @@
 	c.watchHeartbeat(conn)
 }
 
-// reconnectDiscovery replaces a connection after a backoff, unless that has been done.
+// reconnectDiscovery replaces conn after a backoff, unless it has been replaced already.
 func (c *Controller) reconnectDiscovery(conn *Connection) {
 	d := &c.discovery
 	if d.connection != conn {
@@ -89,12 +89,12 @@
 	c.runAfter(d.retryDelay, c.connectDiscovery)
 }
 
-// readDiscovery reads the events that were received whole. An event that can't be read is asked for once
-// more on a new connection, and passed over if it is no better then.
+// readDiscovery reads the events that were received in full. An unreadable event is requested once more on
+// a new connection, and skipped if it is unreadable there too.
 func (c *Controller) readDiscovery(conn *Connection) {
 	d := &c.discovery
 	for !conn.closed {
-		// one event may name all engines there are: it has a limit of its own, not a client's
+		// one event may list all engines, so the limit of a client's message doesn't apply
 		n, err := discovery.Read(conn.Received.Bytes(), c.maxBufferedBytes, c)
 		if err != nil && d.unreadableAfter == d.lastEvent && n > 0 {
 			d.skippedLines++
@@ -103,7 +103,8 @@
 		}
 		if err != nil {
 			c.counters.discoveryFaults++
-			c.logMessage(true, "the feed can't be read: "+err.Error()+"; asked for once more, then passed over")
+			c.logMessage(true, "unreadable event from discovery: "+err.Error()+
+				"; requested once more, then skipped")
 			d.unreadableAfter = d.lastEvent
 			c.closeConnection(conn, false)
 			c.reconnectDiscovery(conn)
@@ -119,7 +120,7 @@
 	}
 }
 
-// changeDiscoveryAddress follows the list at another address at once, from the last event applied.
+// changeDiscoveryAddress connects to another address at once and continues after the last applied event.
 func (c *Controller) changeDiscoveryAddress(address string) {
 	d := &c.discovery
 	c.counters.reloads++
@@ -135,8 +136,8 @@
 	c.connectDiscovery()
 }
 
-// watchHeartbeat replaces a connection once a heartbeat is missing, though nothing was closed: events
-// since may count as told, and a drain among them must be obeyed within its grace.
+// watchHeartbeat replaces a connection that misses a heartbeat, even if neither side closed it. Events sent
+// since may count as delivered, and a drain among them takes effect within a grace period.
 func (c *Controller) watchHeartbeat(conn *Connection) {
 	d := &c.discovery
 	due := d.connectionActiveAt + discoverySilentAfter
@@ -146,7 +147,7 @@
 		case c.now-d.connectionActiveAt < discoverySilentAfter:
 			c.watchHeartbeat(conn)
 		case c.now > due+maxNetworkDelay:
-			// this process stood still: what came meanwhile is read first
+			// the process was stalled: read what arrived meanwhile before judging the connection
 			d.connectionActiveAt = c.now + maxNetworkDelay - discoverySilentAfter
 			c.watchHeartbeat(conn)
 		default:
@@ -157,7 +158,8 @@
 	})
 }
 
-// Event begins an event. False: it is not applied, as it is known already or one before it is missing.
+// Event begins an event. It returns false if the event must not be applied, because it was applied before
+// or an earlier event is missing.
 func (c *Controller) Event(number int64, complete bool) bool {
 	d := &c.discovery
 	switch {
@@ -176,12 +178,12 @@
 	return true
 }
 
-// Last takes a heartbeat: the number of the last event that there is.
+// Last handles a heartbeat, which carries the number of the latest event.
 func (c *Controller) Last(number int64) {
 	d := &c.discovery
 	switch {
 	case number <= d.lastEvent:
-	case number <= d.lastEvent+d.skippedLines: // events that were passed over
+	case number <= d.lastEvent+d.skippedLines: // the missing events are those that were skipped
 		d.skippedLines -= number - d.lastEvent
 		d.lastEvent = number
 	default:
@@ -189,7 +191,7 @@
 	}
 }
 
-// reconnectAfterGap closes the connection, since an event is missing; the next asks for it.
+// reconnectAfterGap closes the connection because an event is missing. The next connection requests it.
 func (c *Controller) reconnectAfterGap() {
 	conn := c.discovery.connection
 	if conn != nil {
@@ -198,8 +200,8 @@
 	}
 }
 
-// Engine takes an engine as an event lists it. startedMs is the wall-clock time, in milliseconds of Unix
-// time, at which its process started, 0: not known.
+// Engine applies an engine's entry in an event. startedMs is the Unix time in milliseconds at which the
+// engine's process started; 0 if it is unknown.
 func (c *Controller) Engine(id, address, location, kind string, cell int, state scheduler.EngineState,
 	startedMs int64) {
 	e := c.engines[id]
@@ -226,8 +228,8 @@
 	c.scheduler.EngineListed(id, e.location, e.kind, cell, state, started, startedMs != 0)
 }
 
-// claimAddress gives an engine the address that it is listed at. It is taken from another engine that had
-// it, unless this one is removed and the other is not.
+// claimAddress assigns an engine the address at which it is listed. Another engine with that address loses
+// it, unless e is removed and the other engine is not.
 func (c *Controller) claimAddress(e *engine) {
 	if e.address == "" {
 		return
@@ -242,14 +244,14 @@
 			return
 		}
 		if holder.state == scheduler.EngineActive && e.state == scheduler.EngineActive {
-			c.logWithFields(LogFields{Engine: holder.id}, "has its address no more, "+e.id+" is listed there")
+			c.logWithFields(LogFields{Engine: holder.id}, "lost its address, engine "+e.id+" is listed there")
 		}
 		c.releaseAddress(holder)
 	}
 	c.engineByAddress[e.address] = e
 }
 
-// EventEnds ends an event. Engines that a complete one leaves out are removed.
+// EventEnds ends an event. It removes the engines that a complete event doesn't list.
 func (c *Controller) EventEnds() {
 	for _, e := range c.engines {
 		isListed := e.listedInEvent == c.discovery.lastEvent
@@ -266,7 +268,8 @@
 	}
 }
 
-// removeEngine closes its idle connections; attempts that run there are polled on.
+// removeEngine marks an engine as removed and closes its idle connections. Polling of the attempts that run
+// there goes on.
 func (c *Controller) removeEngine(e *engine) {
 	e.revokePermits()
 	e.state = scheduler.EngineRemoved
@@ -278,8 +281,8 @@
 	}
 }
 
-// Odd takes what of an event is not understood.
+// Odd counts and logs an entry of an event that was skipped as invalid.
 func (c *Controller) Odd(why string) {
 	c.counters.unexpectedMessages++
-	c.logMessage(true, "passed over in the list: "+why)
+	c.logMessage(true, "skipped an invalid entry of the endpoint list: "+why)
 }
--- a/internal/controller/fair_queue.go
+++ b/internal/controller/fair_queue.go
@@ -11,14 +11,14 @@
 	"railrelay.dev/railrelay/internal/scheduler"
 )
 
-// fairQueue holds queries until it is their tenant's turn, and then submits them to the scheduler. It
-// exists where the set-up has tenants; else it is nil and costs nothing.
+// fairQueue holds queries until their tenant's turn, and then submits them to the scheduler. It is nil if
+// no tenants are configured.
 type fairQueue struct {
 	*Controller
 	queue         *fairqueue.Queue
 	fieldNames    FieldNames
-	maxRetryAfter time.Duration     // the longest that clients follow, 0: none is named to them
-	tenants       *fairqueue.Config // as last configured
+	maxRetryAfter time.Duration     // longest delay that clients follow; 0 if clients are told none
+	tenants       *fairqueue.Config // latest configuration
 }
 
 func newFairQueue(c *Controller, tenants *fairqueue.Config, names FieldNames) *fairQueue {
@@ -34,16 +34,17 @@
 	return f
 }
 
-// reload takes over other tenants, and the groups' present limits.
+// reload applies a changed configuration of tenants and the current limits of the groups.
 func (f *fairQueue) reload(tenants *fairqueue.Config) {
 	f.tenants = tenants
 	shape := *tenants
 	shape.Lanes = f.lanes()
 	f.queue.Reload(f.now, shape)
-	f.logMessage(true, fmt.Sprintf("teams were read again, %d queries wait", f.queue.WaitingCount()))
+	f.logMessage(true, fmt.Sprintf("configuration of teams reloaded, %d queries are waiting",
+		f.queue.WaitingCount()))
 }
 
-// lanes are the resource groups as the fair queue needs to know them.
+// lanes returns a lane of the fair queue for each resource group.
 func (f *fairQueue) lanes() []fairqueue.Lane {
 	lanes := make([]fairqueue.Lane, len(f.groups))
 	for _, g := range f.groups {
@@ -59,7 +60,7 @@
 	return lanes
 }
 
-// updateCores tells the queue how many cores the engines that take queries have.
+// updateCores sets the queue's capacity to the number of cores of all active engines.
 func (f *fairQueue) updateCores() {
 	cores := 0.0
 	for _, e := range f.engines {
@@ -70,7 +71,8 @@
 	f.queue.SetCores(cores)
 }
 
-// sweep lowers and raises priorities by the tenants' use, and notifies of waits.
+// sweep periodically lowers and restores priorities by the tenants' use, and notifies clients whose expected
+// wait has changed.
 func (f *fairQueue) sweep() {
 	f.runAfter(fairqueue.SweepInterval, f.sweep)
 	f.queue.Sweep(f.now, f.priorityChanged, func(w *fairqueue.Query, wait time.Duration) {
@@ -81,7 +83,7 @@
 func (f *fairQueue) priorityChanged(w *fairqueue.Query, lowered bool) {
 	q := w.Owner.(*query)
 	if lowered {
-		f.logWithFields(f.entryLogFields(q, w), "makes way: its priority is the least for now")
+		f.logWithFields(f.entryLogFields(q, w), "priority lowered by fair queueing")
 	}
 	for _, s := range q.attempts {
 		f.sendPriority(s)
@@ -92,9 +94,9 @@
 	return LogFields{Query: q.id, Group: q.group.name, Tenant: f.queue.TenantName(w.Tenant)}
 }
 
-// enqueue takes a query in, or defers it at once if its wait would be too long.
+// enqueue adds a query to the queue, or defers the query at once if its wait would be too long.
 func (f *fairQueue) enqueue(q *query, from CallOrigin) {
-	if f.isDraining() { // the scheduler rejects it
+	if f.isDraining() { // the scheduler rejects the query
 		f.scheduler.QueryArrived(f.now, q.id, q.group.index, q.customer, q.deadline-f.now,
 			q.tableGroup, q.keyNumber, q.estimatedWork, q.estimatedMemoryMB)
 		return
@@ -102,7 +104,8 @@
 	w := f.newQueueEntry(q, from)
 	verdict := f.queue.Enqueue(f.now, w)
 	if !verdict.Admitted {
-		f.logWithFields(f.entryLogFields(q, w), "deferred: "+verdict.Reason.String()+", "+verdict.WaitEstimate.String())
+		f.logWithFields(f.entryLogFields(q, w),
+			"deferred: "+verdict.Reason.String()+", "+verdict.WaitEstimate.String())
 		f.answerDeferred(q, f.retryAfter(verdict.WaitEstimate))
 		return
 	}
@@ -135,20 +138,20 @@
 		first := from.Fields.Get(f.fieldNames.RepeatOf)
 		if len(first) > 0 {
 			w.RepeatOf = idHash(string(first))
-			w.RepeatID = w.RepeatOf // a repeat of this repeat names the first query, too
+			w.RepeatID = w.RepeatOf // a repeat of this repeat names the first query as well
 		}
 	}
 	return w
 }
 
-// idHash is a query's id as the fair queue knows it, never 0.
+// idHash returns the hash by which the fair queue identifies a query. It is never 0.
 func idHash(id string) uint64 { return xxhash.Sum64String(strings.ToLower(id)) | 1 }
 
-// retryAfter is what may be named to a client of an estimated wait.
+// retryAfter returns the part of an estimated wait that a client may be told to wait before it retries.
 func (f *fairQueue) retryAfter(wait time.Duration) time.Duration { return min(wait, f.maxRetryAfter) }
 
-// dispatchNext submits one query to the scheduler, of the first group whose queue there takes more. False:
-// there is none.
+// dispatchNext submits one query to the scheduler, from the first group whose queue in the scheduler has
+// room. It returns false if there is no such query.
 func (f *fairQueue) dispatchNext() bool {
 	for lane := range len(f.groups) {
 		full := f.scheduler.QueueBlocked(lane)
@@ -173,7 +176,7 @@
 	}
 }
 
-// queryClosed takes a query that waits out at once. One that was submitted leaves with queryOver.
+// queryClosed removes a query that is still waiting. A query that was submitted is removed by queryOver.
 func (f *fairQueue) queryClosed(q *query, end fairqueue.Outcome) {
 	if q.fairEntry == nil {
 		return
@@ -185,30 +188,30 @@
 	}
 }
 
-// queryOver charges a query's work to its tenant, once none of its attempts runs.
+// queryOver charges a query's work to its tenant once no attempt of the query runs any more.
 func (f *fairQueue) queryOver(q *query) {
 	if q.fairEntry == nil {
 		return
 	}
-	var work, lost time.Duration // lost: the time of attempts that told no work
+	var work, unreported time.Duration // unreported: elapsed time of attempts without a work report
 	for _, s := range q.attempts {
 		if s.work > 0 {
 			work += s.work
 		} else if s.sent {
-			lost += max(0, s.endedAt-s.startedAt)
+			unreported += max(0, s.endedAt-s.startedAt)
 		}
 	}
-	f.queue.Ended(f.now, q.fairEntry, q.fairOutcome, work, lost)
+	f.queue.Ended(f.now, q.fairEntry, q.fairOutcome, work, unreported)
 }
 
-// deferAll defers all queries that wait, as the controller shuts down.
+// deferAll defers all waiting queries because the controller shuts down.
 func (f *fairQueue) deferAll() {
 	f.queue.EachWaiting(func(w *fairqueue.Query) {
 		f.answerDeferred(w.Owner.(*query), f.retryAfter(f.queue.RetryAfter(f.now, w)))
 	})
 }
 
-// countersText is the counters of all tenants together.
+// countersText formats the counters of all tenants together.
 func (f *fairQueue) countersText() string {
 	n := f.queue.Total
 	return fmt.Sprintf("; fairness waiting %d started %d deferred %d repeated %d lowered %d,"+
@@ -219,10 +222,10 @@
 
 func meanSeconds(sum time.Duration, n int) float64 { return sum.Seconds() / float64(max(1, n)) }
 
-// EachTenant calls each with what happened to the queries of every tenant so far; never without fair queueing.
-// It is for reports, and must not be called during a Step.
-func (c *Controller) EachTenant(each func(path string, waiting int, n fairqueue.Counts)) {
+// EachTenant calls visit with the number of waiting queries and the counters of each tenant, or not at all
+// without fair queueing. It must not be called during a Step.
+func (c *Controller) EachTenant(visit func(path string, waiting int, n fairqueue.Counts)) {
 	if c.fairQueue != nil {
-		c.fairQueue.queue.EachTenant(each)
+		c.fairQueue.queue.EachTenant(visit)
 	}
 }
--- a/internal/controller/fleet_reports.go
+++ b/internal/controller/fleet_reports.go
@@ -10,23 +10,23 @@
 )
 
 const (
-	// reportRetryInterval passes before reports for which there was no room are sent again.
+	// reportRetryInterval is the delay before reports are resent that the fleet's full queue rejected.
 	reportRetryInterval = 10 * time.Millisecond
-	// sitesReportInterval is how often the fleet is told which sites have serving engines.
+	// sitesReportInterval is the interval of the reports on which sites have serving engines.
 	sitesReportInterval = time.Second
 )
 
-// report sends a report to the fleet, after all that could not be sent yet.
+// report sends a report to the fleet, or queues the report behind those that were rejected.
 func (l *servingLease) report(r fleet.Report) {
 	switch {
 	case len(l.unsentReports) == 0:
 		l.emit(Effect{Kind: ReportToFleet, Report: &r})
-	case r.Kind != fleet.SitesServing: // those are repeated anyway
+	case r.Kind != fleet.SitesServing: // reports of sites are repeated periodically
 		l.unsentReports = append(l.unsentReports, r)
 	}
 }
 
-// reportRejected keeps a report for which there was no room, to be sent again soon.
+// reportRejected schedules a retry of a report that was rejected because the queue to the fleet was full.
 func (l *servingLease) reportRejected(r *fleet.Report) {
 	if r.Kind == fleet.SitesServing {
 		return
@@ -47,14 +47,14 @@
 	}
 }
 
-// reportSitesPeriodically tells the fleet each sitesReportInterval which sites have engines that serve.
+// reportSitesPeriodically reports every sitesReportInterval which sites have active engines.
 func (l *servingLease) reportSitesPeriodically() {
 	l.runAfter(sitesReportInterval, l.reportSitesPeriodically)
 	l.reportedSites = l.servingSites()
 	l.reportSites(l.reportedSites)
 }
 
-// endpointsChanged reports the serving sites at once if a change of the endpoint list changed them.
+// endpointsChanged reports the serving sites at once if they changed with the endpoint list.
 func (l *servingLease) endpointsChanged() {
 	sites := l.servingSites()
 	if !slices.Equal(sites, l.reportedSites) {
@@ -67,7 +67,7 @@
 	l.report(fleet.Report{Kind: fleet.SitesServing, Sites: sites, Outside: l.residency.countOutside()})
 }
 
-// servingSites are the locations that have active engines, in the order of the settings.
+// servingSites returns the locations that have active engines, in the order of the settings.
 func (l *servingLease) servingSites() (sites []string) {
 	hasActive := map[int]bool{}
 	for _, e := range l.engines {
--- a/internal/controller/invalidation.go
+++ b/internal/controller/invalidation.go
@@ -9,40 +9,40 @@
 	"railrelay.dev/railrelay/internal/spool"
 )
 
-// invalidator removes what is retained of a tenant. Without one an invalidation finds nothing.
+// invalidator removes the retained data of a tenant. A controller that retains no data has none.
 type invalidator interface {
-	// invalidate sees to it that nothing in scope that was asked for before index comes out any
-	// more, and reports Unreached and then Wiped once that is so.
+	// invalidate removes the data in scope that was requested before index. It reports
+	// DataTombstoned once none of the data is served any more, and DataErased once all of it is erased.
 	invalidate(id string, scope *fleet.Scope, index uint64)
-	// fleetAnswered takes what a Wanted came to. It reports whether that was asked for here.
+	// fleetAnswered handles the fleet's reply to a request, and reports whether the request was made here.
 	fleetAnswered(id string, reply *fleet.Response) bool
 }
 
 var _ invalidator = (*invalidation)(nil)
 
-// invalidation removes what is retained of a tenant, spooled results and cached answers: by
-// itself where the controller has no peers, else as the fleet orders it. Where nothing is
-// retained it is nil. All fields are the controller goroutine's.
+// invalidation removes the retained data of tenants: spooled results and cached answers. A
+// controller without peers does so on a client's call, one with peers on an order of the fleet. It
+// is nil if the controller retains no data. Only the controller goroutine accesses its fields.
 type invalidation struct {
 	*Controller
-	// logIndex is the latest invalidation's index in the log: a query that comes now is asked
-	// for after it.
+	// logIndex is the log index of the latest invalidation, which doesn't affect queries that
+	// arrive from now on.
 	logIndex uint64
 
-	// Without peers.
+	// invalidations without peers
 	local    map[string]*localInvalidation // by id
-	localIDs []string                      // ids of local, the oldest first
+	localIDs []string                      // keys of local, oldest first
 
-	// Clients' calls.
-	lastSerial   uint64 // of the last id made here
-	pendingCalls map[string][]*invalidationCall
-	unconfirmed  map[string]*fleet.Request // not known to be in the log yet: asked for until they are
+	// clients' calls
+	lastSerial   uint64                         // of the latest id from newID
+	pendingCalls map[string][]*invalidationCall // by the invalidation's id
+	unconfirmed  map[string]*fleet.Request      // resent until they are known to be in the log
 
-	// Retained bytes handed to connections, some of which may not be out.
+	// retained data handed to connections, some of it perhaps not written yet
 	retainedWrites   map[retainedWrite]bool
-	writesAfterSweep int // how many the last sweep left
+	writesAfterSweep int // length of retainedWrites after the last sweep
 
-	// Counts since the start.
+	// counts since the start
 	started     int
 	completed   int
 	clientCalls int
@@ -58,7 +58,8 @@
 	}
 }
 
-// currentIndex is the index in the log after which a query that comes now is asked for.
+// currentIndex returns the log index for a query that arrives now. Invalidations up to this index
+// don't affect the query's result.
 func (v *invalidation) currentIndex() uint64 {
 	if v.servingLease != nil {
 		return max(v.logIndex, v.servingLease.fleetView.Index)
@@ -66,13 +67,13 @@
 	return v.logIndex
 }
 
-// servingBarred reports whether nothing retained may be served now: it may be invalidated
-// elsewhere, and without a lease this controller isn't waited for.
+// servingBarred reports whether no retained data may be served now. Without a lease other
+// controllers may complete an invalidation without waiting for this one.
 func (v *invalidation) servingBarred() bool {
 	return v.servingLease != nil && v.servingLease.servingVersion(true) == 0
 }
 
-// dataOwner is whose data a call reads: its tenant's, or its customer's where there are no tenants.
+// dataOwner returns the tenant whose data a call reads, or the customer if no tenants are configured.
 func (c *Controller) dataOwner(from CallOrigin) string {
 	if c.fairQueue == nil && c.FieldNames.Customer != "" {
 		if name := string(from.Fields.Get(c.FieldNames.Customer)); name != "" {
@@ -82,10 +83,10 @@
 	return c.tenantOf(from)
 }
 
-// invalidate does what the fleet orders.
+// invalidate carries out an invalidation that the fleet ordered.
 func (v *invalidation) invalidate(id string, scope *fleet.Scope, index uint64) {
 	v.started++
-	v.logMessage(false, "purge "+id+" of team "+scope.Team+" begins")
+	v.logMessage(false, "purge "+id+" of team "+scope.Team+" started")
 	unreachable := func() {
 		v.servingLease.report(fleet.Report{Kind: fleet.DataTombstoned, ID: id})
 	}
@@ -98,22 +99,22 @@
 }
 
 func (v *invalidation) logCompleted(id, tenant string, n fleet.InvalidationCounts) {
-	text := fmt.Sprintf("purge %s is done here: %d results and %d answers, %d bytes",
+	text := fmt.Sprintf("purge %s completed on this controller: %d results and %d answers, %d bytes",
 		id, n.Results, n.Answers, n.Bytes)
 	v.logWithFields(LogFields{Tenant: tenant}, text)
 }
 
-// localInvalidation is one of a controller without peers.
+// localInvalidation is an invalidation by a controller without peers.
 type localInvalidation struct {
 	tenant string
 	done   bool
 	counts fleet.InvalidationCounts
 }
 
-// maxLocalInvalidations bounds the invalidations that a controller without peers can still tell of.
+// maxLocalInvalidations bounds the invalidations whose state a controller without peers remembers.
 const maxLocalInvalidations = 1024
 
-// startLocal is an invalidation where there are no peers.
+// startLocal starts an invalidation on a controller without peers.
 func (v *invalidation) startLocal(id string, scope *fleet.Scope) {
 	entry := &localInvalidation{tenant: scope.Team}
 	v.local[id] = entry
@@ -132,19 +133,20 @@
 	})
 }
 
-// newID is an id that no other invalidation has: it is drawn from what can't come twice.
+// newID returns a unique id for an invalidation. It combines a number that no other controller
+// draws with a hash of values that don't repeat on this one.
 func (v *invalidation) newID(tenant string) string {
 	v.lastSerial++
-	draw := uint64(v.StartedAt.UnixNano())
+	unique := uint64(v.StartedAt.UnixNano())
 	if v.NewUniqueID != nil {
-		draw = v.NewUniqueID()
+		unique = v.NewUniqueID()
 	}
-	here := xxhash.Sum64String(fmt.Sprint(tenant, v.lastSerial, v.now, v.StartedAt.UnixNano()))
-	return fmt.Sprintf("%016x%016x", draw, here)
+	localHash := xxhash.Sum64String(fmt.Sprint(tenant, v.lastSerial, v.now, v.StartedAt.UnixNano()))
+	return fmt.Sprintf("%016x%016x", unique, localHash)
 }
 
-// apply removes all of a scope that was asked for before an index of the log. It calls
-// unreachable once nothing of it comes out any more, and erased once none of it is left.
+// apply removes all data in scope that was requested before index. It calls unreachable once none
+// of the data is served any more, and erased once all of it is erased.
 func (v *invalidation) apply(
 	scope *fleet.Scope, index uint64, unreachable func(), erased func(fleet.InvalidationCounts),
 ) {
@@ -159,7 +161,7 @@
 			erased(found)
 		}
 	}
-	nothingComesOut := func() {
+	awaitWrites := func() {
 		v.awaitWritesFlushed(scope.Team, v.now+flushTimeout, func() {
 			unreachable()
 			isUnreachable = true
@@ -172,25 +174,27 @@
 		finish()
 	}
 	if v.paging == nil {
-		nothingComesOut()
+		awaitWrites()
 		spoolErased(fleet.InvalidationCounts{})
 		return
 	}
-	v.paging.core.Purge(v.now, scope, index, nothingComesOut, spoolErased)
+	v.paging.core.Purge(v.now, scope, index, awaitWrites, spoolErased)
 	v.paging.answerInvalidated()
 }
 
-// invalidate removes cached answers. Queries that followed a run which it struck go their own way.
+// invalidate removes cached answers. It dispatches the queries that waited for the result of a run
+// which was invalidated.
 func (a *resultCaching) invalidate(scope *fleet.Scope, index uint64) fleet.InvalidationCounts {
 	found, next := a.core.Invalidate(a.now, scope, index)
-	for _, ask := range next {
-		a.promote(ask)
+	for _, request := range next {
+		a.promote(request)
 	}
 	return found
 }
 
-// answerInvalidated answers the queries whose results were invalidated before they were complete.
-// One that may be sent again is deferred: nothing that it asked for can be retained any more.
+// answerInvalidated answers the queries whose results were invalidated while they were being
+// spooled, since these results can't be retained any more. A query that is safe to repeat is
+// deferred, any other is killed.
 func (p *resultPaging) answerInvalidated() {
 	for _, q := range p.findQueries(isInvalidated) {
 		sent := false
--- a/internal/controller/invalidation_calls.go
+++ b/internal/controller/invalidation_calls.go
@@ -12,20 +12,19 @@
 )
 
 const (
-	// maxCallsPerTenant bounds the invalidation calls of one tenant that wait on one controller.
+	// maxCallsPerTenant bounds the pending invalidation calls of one tenant on one controller.
 	maxCallsPerTenant = 16
-	// confirmationWait is how long the fleet may take to confirm an invalidation that it is
-	// asked for again.
+	// confirmationWait is the time that the fleet has to answer a repeated request.
 	confirmationWait = 5 * time.Second
-	// statePending is told of an invalidation that isn't complete when its caller's time is over.
+	// statePending is the answer to a call whose time is up before the invalidation is complete.
 	statePending = "not yet"
-	// unknownInvalidationText is all that is told of an id that is none of the tenant's.
+	// unknownInvalidationText is the answer if the tenant has no invalidation with the given id. It
+	// doesn't tell whether another tenant has one.
 	unknownInvalidationText = "no purge of this team has this id: ask for one without an id"
 )
 
-// stageNames are what callers are told of how far an invalidation has come, by its stage in the
-// log. One that isn't logged is asked for again and again by the controller that it was
-// asked of, and by no other.
+// stageNames are the stages of an invalidation in answers to clients, by its latest log entry. Only
+// the controller that received the call repeats the request for an invalidation that isn't logged yet.
 var stageNames = map[string]string{
 	"":                    "not recorded",
 	fleet.EntryInvalidate: "recorded",
@@ -33,68 +32,70 @@
 	fleet.EntryErased:     "erased",
 }
 
-// invalidationCall is a client's call that waits for its answer.
+// invalidationCall is a client's call that has not been answered yet.
 type invalidationCall struct {
 	client   *client
 	msg      uint32
 	id       string // of the invalidation
 	tenant   string
 	answerBy time.Duration
-	timer    *timerqueue.Timer // of answerBy
+	timer    *timerqueue.Timer // fires at answerBy
 	answered bool
 }
 
-// Purge is a client's call to invalidate what is retained of its tenant or, with an id, to learn
-// how far an invalidation has come.
-func (cl *client) Purge(msg uint32, call msgpackrpc.Purge, all msgpackrpc.Fields) {
+// Purge handles a client's call to invalidate the retained data of its tenant or, with an id, to
+// query the state of an invalidation.
+func (cl *client) Purge(msg uint32, purge msgpackrpc.Purge, fields msgpackrpc.Fields) {
 	v := cl.invalidation
 	if v == nil {
 		cl.Wrong(msg, "no such method")
 		return
 	}
-	tenant := cl.dataOwner(CallOrigin{cl.connection.RemoteAddress, all})
+	tenant := cl.dataOwner(CallOrigin{cl.connection.RemoteAddress, fields})
 	if cl.pageReads >= cl.limits.MaxOpenQueries || v.tooManyCalls(tenant) {
 		cl.reply(msgpackrpc.Deferred(nil, msg, noSpaceRetryAfter))
 		return
 	}
-	x := &invalidationCall{client: cl, msg: msg, id: string(call.ID), tenant: tenant}
-	isNew := x.id == ""
+	call := &invalidationCall{client: cl, msg: msg, id: string(purge.ID), tenant: tenant}
+	isNew := call.id == ""
 	if isNew {
-		x.id = v.newID(tenant)
+		call.id = v.newID(tenant)
 	}
 	v.clientCalls++
 	cl.pageReads++
-	v.pendingCalls[x.id] = append(v.pendingCalls[x.id], x)
-	x.answerBy = cl.now + max(0, call.Patience-answerMargin)
-	x.timer = cl.timers.Add(x.answerBy, func() { v.answerState(x, statePending, "", nil, nil) })
-	scope := &fleet.Scope{Team: tenant, Tables: call.Tables, RetainedBeforeMs: call.Before}
+	v.pendingCalls[call.id] = append(v.pendingCalls[call.id], call)
+	call.answerBy = cl.now + max(0, purge.Patience-answerMargin)
+	call.timer = cl.timers.Add(call.answerBy, func() { v.answerState(call, statePending, "", nil, nil) })
+	scope := &fleet.Scope{Team: tenant, Tables: purge.Tables, RetainedBeforeMs: purge.Before}
 	switch {
 	case v.servingLease != nil && isNew:
-		ask := v.newFleetRequest("purge", x, call.Patience)
-		ask.Scope = scope
-		v.unconfirmed[x.id] = ask
-		v.servingLease.report(fleet.Report{Kind: fleet.RequestMade, Request: ask})
+		request := v.newFleetRequest("purge", call, purge.Patience)
+		request.Scope = scope
+		v.unconfirmed[call.id] = request
+		v.servingLease.report(fleet.Report{Kind: fleet.RequestMade, Request: request})
 	case v.servingLease != nil:
-		request := v.newFleetRequest("status", x, call.Patience)
+		request := v.newFleetRequest("status", call, purge.Patience)
 		v.servingLease.report(fleet.Report{Kind: fleet.RequestMade, Request: request})
 	case isNew:
-		v.startLocal(x.id, scope)
+		v.startLocal(call.id, scope)
 	default:
-		v.answerLocalCalls(x.id)
+		v.answerLocalCalls(call.id)
 	}
 }
 
-func (v *invalidation) newFleetRequest(kind string, x *invalidationCall, patience time.Duration) *fleet.Request {
+func (v *invalidation) newFleetRequest(
+	kind string, call *invalidationCall, patience time.Duration,
+) *fleet.Request {
 	wait := max(1, (patience - 2*answerMargin).Milliseconds())
-	return &fleet.Request{Kind: kind, ID: x.id, RequestedBy: x.tenant, Team: x.tenant, WaitMs: wait}
+	return &fleet.Request{Kind: kind, ID: call.id, RequestedBy: call.tenant, Team: call.tenant, WaitMs: wait}
 }
 
-// tooManyCalls reports whether no further call of a tenant can be taken now.
+// tooManyCalls reports whether a further call of the tenant must be deferred.
 func (v *invalidation) tooManyCalls(tenant string) bool {
 	waiting := 0
 	for _, calls := range v.pendingCalls {
-		for _, x := range calls {
-			if x.tenant == tenant {
+		for _, call := range calls {
+			if call.tenant == tenant {
 				waiting++
 			}
 		}
@@ -102,65 +103,65 @@
 	return waiting >= maxCallsPerTenant || len(v.unconfirmed) >= maxLocalInvalidations
 }
 
-// answerLocalCalls answers those who wait for an invalidation of a controller without
-// peers, if it is complete or unknown.
+// answerLocalCalls answers the calls for an invalidation of a controller without peers, if the
+// invalidation is complete or unknown.
 func (v *invalidation) answerLocalCalls(id string) {
 	entry := v.local[id]
-	for _, x := range v.pendingCallsFor(id) {
+	for _, call := range v.pendingCallsFor(id) {
 		switch {
-		case entry == nil || entry.tenant != x.tenant:
-			v.finishCall(x, msgpackrpc.Killed(nil, x.msg, unknownInvalidationText))
+		case entry == nil || entry.tenant != call.tenant:
+			v.finishCall(call, msgpackrpc.Killed(nil, call.msg, unknownInvalidationText))
 		case entry.done:
-			v.answerState(x, "purged", "", &entry.counts, nil)
+			v.answerState(call, "purged", "", &entry.counts, nil)
 		}
 	}
 }
 
-// pendingCallsFor is a copy: who is answered leaves the list.
+// pendingCallsFor returns a copy of the list, since answering a call removes it from pendingCalls.
 func (v *invalidation) pendingCallsFor(id string) []*invalidationCall {
 	return slices.Clone(v.pendingCalls[id])
 }
 
-// fleetAnswered takes the fleet's reply to what was asked for here. It reports whether
-// anything was.
+// fleetAnswered handles the fleet's reply to a request, and reports whether the request was made
+// here.
 func (v *invalidation) fleetAnswered(id string, r *fleet.Response) bool {
 	calls := v.pendingCallsFor(id)
 	unconfirmed := v.unconfirmed[id]
 	if unconfirmed != nil && r.Outcome == "unknown" && r.Stage == "" {
-		ask := *unconfirmed // its callers may have been answered: it is asked for all the same
-		ask.WaitMs = confirmationWait.Milliseconds()
-		v.servingLease.report(fleet.Report{Kind: fleet.RequestMade, Request: &ask})
+		repeated := *unconfirmed // sent even if all calls for the invalidation have been answered
+		repeated.WaitMs = confirmationWait.Milliseconds()
+		v.servingLease.report(fleet.Report{Kind: fleet.RequestMade, Request: &repeated})
 	} else {
 		delete(v.unconfirmed, id)
 	}
-	for _, x := range calls {
-		v.answerCall(x, r)
+	for _, call := range calls {
+		v.answerCall(call, r)
 	}
 	return len(calls) > 0 || unconfirmed != nil
 }
 
-// answerCall answers a call by the fleet's reply. One that isn't complete is answered only
-// shortly before its caller's time is over: each caller has a reply of its own then.
-func (v *invalidation) answerCall(x *invalidationCall, r *fleet.Response) {
+// answerCall answers a call with the fleet's reply. While the invalidation isn't complete, a call is
+// answered only shortly before its own time is up, since the reply may be for another call.
+func (v *invalidation) answerCall(call *invalidationCall, r *fleet.Response) {
 	_, isStage := stageNames[r.Stage]
 	switch {
 	case r.Outcome == "purged":
-		v.answerState(x, r.Outcome, "", r.Counts, nil)
+		v.answerState(call, r.Outcome, "", r.Counts, nil)
 	case r.Outcome == "unknown" && isStage:
-		if v.now >= x.answerBy-4*answerMargin {
-			v.answerState(x, statePending, stageNames[r.Stage], nil, r.Outstanding)
+		if v.now >= call.answerBy-4*answerMargin {
+			v.answerState(call, statePending, stageNames[r.Stage], nil, r.Outstanding)
 		}
 	case r.Outcome == "refused" && r.Reason != "":
-		v.finishCall(x, msgpackrpc.Killed(nil, x.msg, r.Reason))
+		v.finishCall(call, msgpackrpc.Killed(nil, call.msg, r.Reason))
 	default:
-		v.finishCall(x, msgpackrpc.Killed(nil, x.msg, unknownInvalidationText))
+		v.finishCall(call, msgpackrpc.Killed(nil, call.msg, unknownInvalidationText))
 	}
 }
 
 func (v *invalidation) answerState(
-	x *invalidationCall, state, stage string, n *fleet.InvalidationCounts, outstanding []string,
+	call *invalidationCall, state, stage string, n *fleet.InvalidationCounts, outstanding []string,
 ) {
-	fields := []string{"id", x.id, "state", state}
+	fields := []string{"id", call.id, "state", state}
 	if n != nil {
 		fields = append(fields,
 			"results", strconv.FormatInt(n.Results, 10),
@@ -173,25 +174,27 @@
 	if len(outstanding) > 0 {
 		fields = append(fields, "outstanding", strings.Join(outstanding, ","))
 	}
-	v.finishCall(x, msgpackrpc.Purged(nil, x.msg, fields...))
+	v.finishCall(call, msgpackrpc.Purged(nil, call.msg, fields...))
 }
 
-// finishCall answers a call, once.
-func (v *invalidation) finishCall(x *invalidationCall, answer []byte) {
-	if x.answered {
+// finishCall answers a call unless it was answered before.
+func (v *invalidation) finishCall(call *invalidationCall, answer []byte) {
+	if call.answered {
 		return
 	}
-	x.answered = true
-	v.timers.Cancel(x.timer)
-	rest := slices.DeleteFunc(v.pendingCalls[x.id], func(y *invalidationCall) bool { return x == y })
+	call.answered = true
+	v.timers.Cancel(call.timer)
+	rest := slices.DeleteFunc(v.pendingCalls[call.id], func(other *invalidationCall) bool {
+		return call == other
+	})
 	if len(rest) == 0 {
-		delete(v.pendingCalls, x.id)
+		delete(v.pendingCalls, call.id)
 	} else {
-		v.pendingCalls[x.id] = rest
+		v.pendingCalls[call.id] = rest
 	}
-	x.client.pageReads--
-	x.client.idleSince = v.now
-	if !x.client.connection.closed {
-		x.client.reply(answer)
+	call.client.pageReads--
+	call.client.idleSince = v.now
+	if !call.client.connection.closed {
+		call.client.reply(answer)
 	}
 }
--- a/internal/controller/policy_update.go
+++ b/internal/controller/policy_update.go
@@ -9,20 +9,20 @@
 	"railrelay.dev/railrelay/internal/fleet"
 )
 
-// Policy is the part of the set-up that the whole fleet shares, as an Open order brings it.
+// Policy is the part of the configuration that the whole fleet shares. An OpenPolicy order carries it.
 type Policy struct {
 	Version uint64
-	// Tenants are the tenants; nil leaves them as they are.
+	// Tenants configures the tenants of fair queueing; nil keeps the current configuration.
 	Tenants *fairqueue.Config
-	// Settings are the groups' limits and the customers' shares, as the scheduler's settings
-	// name them. Other settings in it are ignored; nil leaves all as they are.
+	// Settings are the limits of groups and the shares of customers, by the names of the scheduler's
+	// settings. Other settings are ignored; nil keeps the current settings.
 	Settings map[string]string
-	// Rules are the data residency rules: a []residency.Rule.
+	// Rules are the data residency rules, of type []residency.Rule.
 	Rules any
 }
 
-// openPolicy applies a committed version before anything is decided by it. After an aborted
-// change the version that was in use before is opened again.
+// openPolicy applies a committed version and resumes serving by it. After an aborted change the fleet
+// opens the previous version again.
 func (l *servingLease) openPolicy(order *fleet.Order) {
 	l.fencingChange = ""
 	if order.Version != l.policyVersion {
@@ -48,16 +48,16 @@
 	case p.Tenants != nil:
 		l.fairQueue.reload(p.Tenants)
 	case p.Settings != nil:
-		l.fairQueue.reload(l.fairQueue.tenants) // its lanes are the groups, whose limits may have changed
+		l.fairQueue.reload(l.fairQueue.tenants) // the groups' limits are part of its lanes
 	}
 	l.residency.policyOpened(p)
 }
 
-// fleetGroupSettings are the settings of a resource group that the fleet may change while
-// it runs: those named "group.N." and one of these.
+// fleetGroupSettings are the settings of a resource group, without their prefix "group.N.", that the
+// fleet may change while the controller runs.
 var fleetGroupSettings = []string{"value", "target", "timeout", "stretch", "late-share"}
 
-// isFleetSetting reports whether the fleet may change a setting while it runs.
+// isFleetSetting reports whether the fleet may change a setting while the controller runs.
 func isFleetSetting(name string) bool {
 	if group, isGroup := strings.CutPrefix(name, "group."); isGroup {
 		_, setting, _ := strings.Cut(group, ".")
@@ -66,12 +66,12 @@
 	return strings.HasPrefix(name, "team.") || name == "threads" || name == "teams" || name == "over.worth"
 }
 
-// applyFleetSettings replaces the limits of groups and the shares of customers; all other
-// settings stay as the program started with them.
-func (c *Controller) applyFleetSettings(facts map[string]string) {
+// applyFleetSettings replaces the limits of groups and the shares of customers. All other settings keep
+// the values that the program started with.
+func (c *Controller) applyFleetSettings(settings map[string]string) {
 	next := maps.Clone(c.Settings)
 	maps.DeleteFunc(next, func(name, _ string) bool { return isFleetSetting(name) })
-	for name, value := range facts {
+	for name, value := range settings {
 		if isFleetSetting(name) {
 			next[name] = value
 		}
--- a/internal/controller/residency.go
+++ b/internal/controller/residency.go
@@ -15,17 +15,17 @@
 	"railrelay.dev/railrelay/internal/residency"
 )
 
-// residencyState confines queries to where their tenants' data may be: when they are admitted,
-// when they are handed to the scheduler, and at each attempt, by the rules as they are then.
+// residencyState confines queries to the sites where their tenants' data may be. It checks a query
+// on admission, on handing it to the scheduler, and before each attempt, by the current rules.
 type residencyState struct {
 	*servingLease
-	core           *residency.Core // the rules and what the log has of bindings
-	siteNames      []string        // of locations, by their index in the settings
-	evaluatedStamp uint64          // of the rules by which all queries were last judged
+	core           *residency.Core // the rules and the logged bindings
+	siteNames      []string        // names of locations, by their index in the settings
+	evaluatedStamp uint64          // stamp of the rules in the latest reevaluate
 
-	pendingBindings map[string]*bindingRequest // asked of the fleet, by id
+	pendingBindings map[string]*bindingRequest // requested from the fleet, by id
 
-	// Counts since the start.
+	// counts since the start
 	boundQueries      int
 	conflicts         int
 	redirectedQueries int
@@ -33,36 +33,36 @@
 	barredSends       int
 }
 
-// bindingRequest is what a load needs in the log before it may be sent; all loads that need
-// the same wait for one.
+// bindingRequest asks the fleet to log a binding. A load may be sent only once the log has all its
+// bindings. Loads that need the same binding share one request.
 type bindingRequest struct {
 	binding *fleet.Binding
-	backoff time.Duration // before it is asked for once more
+	backoff time.Duration // delay before the request is repeated
 }
 
 const (
-	// bindingWait is how long the fleet looks for an answer before it says that it isn't known yet.
+	// bindingWait is the time after which the fleet answers that the outcome isn't known yet.
 	bindingWait       = 2 * time.Second
 	minBindingBackoff = 50 * time.Millisecond
 	maxBindingBackoff = time.Second
 )
 
-// queryResidency is what is known of where one query may be.
+// queryResidency is the residency state of one query.
 type queryResidency struct {
 	tenant string
 
-	// What its statement tells, once it was inspected.
-	inspected     bool // only where its tenant was bound by a rule at some time
+	// from the query's statement, which is inspected only if a rule binds the tenant
+	inspected     bool
 	readTables    []int64
 	writtenTables []int64
-	tables        []int64 // both
+	tables        []int64 // readTables and writtenTables
 	tablesKnown   bool
 
-	// The last verdict, and the stamp of the rules that it is by.
+	// the latest verdict, and the stamp of the rules that led to it
 	verdict residency.Verdict
 	stamp   uint64
 
-	attemptsRecorded int // how many attempts there were when one was last noted as sent
+	attemptsRecorded int // number of attempts when one was last recorded as sent
 }
 
 func newResidencyState(lease *servingLease) *residencyState {
@@ -81,7 +81,7 @@
 	return r
 }
 
-// residencyTenantOf is the tenant of a call, or its customer where there are no tenants.
+// residencyTenantOf returns the tenant of a call, or the customer if no tenants are configured.
 func (l *servingLease) residencyTenantOf(q *query, from CallOrigin) string {
 	if l.fairQueue == nil && q.customer >= 0 && q.customer < len(l.customers) {
 		return l.customers[q.customer]
@@ -89,7 +89,7 @@
 	return l.tenantOf(from)
 }
 
-// siteName is the name of a location; "" if the settings don't have it.
+// siteName returns the name of a location, or "" if the settings don't have the location.
 func (r *residencyState) siteName(location int) string {
 	if location < 0 || location >= len(r.siteNames) {
 		return ""
@@ -97,7 +97,7 @@
 	return r.siteNames[location]
 }
 
-// verdict judges a query by the rules as they are now.
+// verdict returns the verdict on a query by the current rules.
 func (r *residencyState) verdict(q *query) *residency.Verdict {
 	x := q.residency
 	if x.stamp == r.core.Stamp() {
@@ -111,26 +111,26 @@
 	return &x.verdict
 }
 
-// inspect reads the tables from the query's statement, which is forgotten once it is over.
+// inspect reads the tables from the query's statement, which is dropped when the query is over.
 func (x *queryResidency) inspect(q *query) {
 	x.inspected = true
 	x.readTables, x.writtenTables, x.tablesKnown = msgpackrpc.AllTables(q.statement)
 	x.tables = slices.Concat(x.readTables, x.writtenTables)
 	if len(q.statement) == 0 || q.group.isLoad && len(x.writtenTables) == 0 {
-		// the statement is forgotten, or loads into what can't be told: the strictest rules hold
+		// the statement was dropped, or the load's target tables are unknown: the strictest rules apply
 		x.tablesKnown = false
 	}
 }
 
-// attachResidency reports whether a query needs the lease of confined tenants. It must run before
-// checkAdmission.
+// attachResidency sets a query's residency state, and reports whether the query needs the lease of
+// confined tenants. It must run before checkAdmission.
 func (r *residencyState) attachResidency(q *query, from CallOrigin) bool {
 	q.residency = &queryResidency{tenant: r.residencyTenantOf(q, from), tablesKnown: true}
 	return r.verdict(q).Bound
 }
 
-// checkAdmission reports whether a query may go on: it is served here and the log has what it
-// binds. If not it was answered, or is held until the log has that.
+// checkAdmission reports whether a query is admitted: this controller may serve it and the log has
+// its bindings. Otherwise it answers the query, or holds the query until the log has the bindings.
 func (r *residencyState) checkAdmission(q *query, from CallOrigin) bool {
 	v := r.verdict(q)
 	if !v.Bound {
@@ -150,20 +150,20 @@
 		r.requestBinding(required)
 	}
 	if isUnrecorded(required, err) {
-		r.hold(q, from) // releaseHeld tries it again once the log has it
+		r.hold(q, from) // releaseHeld admits the query once the log has its bindings
 		return false
 	}
 	return true
 }
 
-// isUnrecorded reports whether a load must not be sent yet, by what requiredBinding gave:
-// the log doesn't have all that the load binds, or that can't be told.
+// isUnrecorded reports, from the results of requiredBinding, whether a load must not be sent yet: a
+// binding is missing in the log, or the load's bindings are unknown.
 func isUnrecorded(required *fleet.Binding, err error) bool {
 	return required != nil || err != nil
 }
 
-// ensureServable reports whether this controller may serve a query. If not it answers the query,
-// of which nothing was sent.
+// ensureServable reports whether this controller may serve a query. If not, it answers the query, no
+// attempt of which may have been sent.
 func (r *residencyState) ensureServable(q *query, v *residency.Verdict) bool {
 	switch {
 	case v.Conflict != nil:
@@ -175,7 +175,8 @@
 	return !q.answered
 }
 
-// requiredBinding is what the log must have before a query may be sent; nil: nothing.
+// requiredBinding returns the binding that the log must have before a query may be sent, or nil if
+// nothing is missing.
 func (r *residencyState) requiredBinding(q *query) (*fleet.Binding, error) {
 	x := q.residency
 	readOnly := r.Settings["group."+strconv.Itoa(q.group.index)+".effect"] == "read-only"
@@ -185,7 +186,7 @@
 	return r.core.Needs(x.tenant, x.readTables, x.writtenTables, x.tablesKnown)
 }
 
-// redirect defers a query, and tells its client which controllers may serve it.
+// redirect defers a query and tells its client which controllers may serve the query.
 func (r *residencyState) redirect(q *query, v *residency.Verdict) {
 	r.redirectedQueries++
 	var controllers []string
@@ -212,15 +213,15 @@
 	q.owner.deferred(r.retryAfter())
 }
 
-// redirectable is a query's owner that can be told of other controllers.
+// redirectable is a queryOwner that can be told the addresses of other controllers.
 type redirectable interface {
-	redirected(comeBack time.Duration, controllers []string)
+	redirected(retryAfter time.Duration, controllers []string)
 }
 
-// requestBinding asks the fleet to log a binding, once for all queries that need it.
+// requestBinding asks the fleet to log a binding, unless a request for it is pending.
 func (r *residencyState) requestBinding(required *fleet.Binding) {
-	// The id is the same everywhere and after a restart, and differs for each binding: the
-	// fleet takes one that it has seen as asked for again.
+	// The id depends on the binding alone, so that the fleet recognises a request that is repeated
+	// by another controller or after a restart.
 	sum := sha256.Sum256(fmt.Appendf(nil, "%q %v %v", required.Team, required.Tables, required.From))
 	id := fmt.Sprintf("bind-%x", sum[:16])
 	if r.pendingBindings[id] != nil {
@@ -233,7 +234,7 @@
 }
 
 func (r *residencyState) sendBindingRequest(id string, b *bindingRequest) {
-	ask := &fleet.Request{
+	request := &fleet.Request{
 		Kind:        "bind",
 		ID:          id,
 		RequestedBy: r.core.Site(),
@@ -242,11 +243,11 @@
 		From:        b.binding.From,
 		WaitMs:      bindingWait.Milliseconds(),
 	}
-	r.report(fleet.Report{Kind: fleet.RequestMade, ID: id, Request: ask})
+	r.report(fleet.Report{Kind: fleet.RequestMade, ID: id, Request: request})
 }
 
-// fleetAnswered takes the fleet's reply to a binding request: the log has it, it isn't known
-// yet, or the log never will. It reports whether the id is of a request from here.
+// fleetAnswered handles the fleet's reply to a binding request: the binding is logged, its outcome is
+// not known yet, or it was refused. It reports whether the request was made here.
 func (r *residencyState) fleetAnswered(id string, reply *fleet.Response) bool {
 	b := r.pendingBindings[id]
 	if b == nil {
@@ -259,7 +260,7 @@
 		r.reevaluate()
 		r.enqueueCallback(r.servingLease.releaseHeld)
 	case "unknown":
-		// asked again by the same id; the loads that wait for it have deadlines of their own
+		// repeated with the same id without limit, since the waiting loads have deadlines of their own
 		b.backoff = min(max(2*b.backoff, minBindingBackoff), maxBindingBackoff)
 		r.runAfter(b.backoff, func() {
 			if r.pendingBindings[id] == b {
@@ -280,13 +281,13 @@
 	r.reevaluate()
 }
 
-func (r *residencyState) viewChanged(picture *fleet.View) {
-	r.core.Pictured(picture)
+func (r *residencyState) viewChanged(view *fleet.View) {
+	r.core.Pictured(view)
 	r.reevaluate()
 }
 
-// reevaluate applies rules that have changed to all queries. What runs goes on to its end, and
-// what is retained is invalidated through the log; nothing new is sent outside.
+// reevaluate applies changed rules to all queries. Running attempts go on to their ends, and retained
+// data is invalidated through the log, but no new attempt is sent outside.
 func (r *residencyState) reevaluate() {
 	if r.evaluatedStamp == r.core.Stamp() {
 		return
@@ -303,7 +304,7 @@
 	q.confined = v.Bound
 	if !q.mayHaveRun() {
 		required, err := r.requiredBinding(q)
-		if required != nil || err != nil { // its client comes again, and the binding is logged then
+		if required != nil || err != nil { // the binding is requested when the client retries
 			r.deferUnsent(q)
 			return
 		}
@@ -314,14 +315,14 @@
 		}
 	}
 	if required, _ := r.requiredBinding(q); required != nil {
-		r.requestBinding(required) // the tables that it binds may be changed already
+		r.requestBinding(required) // the load may have written the tables already
 	}
 	allowed := r.allowedLocations(q)
 	r.enqueueCallback(func() { r.scheduler.ConfineQuery(r.now, q.id, allowed) })
 }
 
-// allowedLocations are the locations that a query may be sent to, by their index in the
-// settings; nil: all.
+// allowedLocations returns the locations to which a query may be sent, by their index in the settings,
+// or nil if all are allowed.
 func (r *residencyState) allowedLocations(q *query) []string {
 	v := r.verdict(q)
 	if v.Conflict == nil && v.Take && v.Engines == nil {
@@ -336,8 +337,8 @@
 	return allowed
 }
 
-// forwardToScheduler hands a query to the scheduler, or answers it: the rules may have changed
-// while it waited in the fair queue.
+// forwardToScheduler hands a query to the scheduler, or answers the query if the rules have changed
+// while it waited in the fair queue and this controller may no longer serve it.
 func (r *residencyState) forwardToScheduler(q *query) {
 	if q.residency != nil && !r.ensureServable(q, r.verdict(q)) {
 		return
@@ -350,7 +351,7 @@
 		q.tableGroup, q.keyNumber, q.estimatedWork, q.estimatedMemoryMB, allowed)
 }
 
-// allowsSend reports whether the rules as they are now let an attempt go to an engine.
+// allowsSend reports whether the current rules allow sending an attempt to an engine.
 func (r *residencyState) allowsSend(q *query, e *engine) bool {
 	if q.residency == nil {
 		return true
@@ -365,28 +366,28 @@
 		return false
 	}
 	if required, err := r.requiredBinding(q); isUnrecorded(required, err) {
-		r.barredSends++ // a retry, and a rule came since that binds the tables it writes
+		r.barredSends++ // a retry of a load to which a newer rule applies
 		return false
 	}
 	if q.residency.attemptsRecorded != len(q.attempts) {
 		q.residency.attemptsRecorded = len(q.attempts)
 		if r.core.Sent(q.id, q.residency.tenant, v, site) {
-			r.logWithFields(q.logFields(), "crosses to site "+site+": an emergency of its rules is on")
+			r.logWithFields(q.logFields(), "sent to site "+site+" under an emergency of its residency rules")
 		}
 	}
 	return true
 }
 
-// mayRetain reports whether this controller may retain a query's result or cache its answer.
+// mayRetain reports whether this controller may spool a query's result or cache its answer.
 func (r *residencyState) mayRetain(q *query) bool { return q.residency == nil || r.verdict(q).Keep }
 
-// mayServe reports whether a retained result of these tables may be read here.
+// mayServe reports whether a retained result over these tables may be served by this controller.
 func (r *residencyState) mayServe(tenant string, tables []int64) bool {
 	return r.core.Judge(tenant, tables, len(tables) > 0).Keep
 }
 
-// countOutside counts the attempts that run, or may still run, where the rules in force
-// forbid their query.
+// countOutside returns the number of attempts that run, or may still run, at engines where the current
+// rules forbid their query.
 func (r *residencyState) countOutside() (n int) {
 	for _, q := range r.queries {
 		for _, a := range q.attempts {
@@ -397,7 +398,7 @@
 	}
 	for _, e := range r.engines {
 		for _, a := range e.cancelling {
-			if a.outcomeKnown && r.isOutside(a) { // its outcome was told, and its engine may still run it
+			if a.outcomeKnown && r.isOutside(a) { // its engine may still run it
 				n++
 			}
 		}
@@ -424,8 +425,8 @@
 		r.requestedBindings, crossed)
 }
 
-// EmergencyCrossings lists the latest queries that an emergency let leave their sites, and how
-// many there were. It is for reports, between two steps.
+// EmergencyCrossings returns the latest queries that an emergency allowed to leave their sites, and the
+// number of all of them. It must not be called during a Step.
 func (c *Controller) EmergencyCrossings() ([]residency.Crossing, int) {
 	if c.servingLease == nil || c.servingLease.residency == nil {
 		return nil, 0
--- a/internal/controller/result_cache.go
+++ b/internal/controller/result_cache.go
@@ -10,29 +10,29 @@
 	"railrelay.dev/railrelay/internal/timerqueue"
 )
 
-// resultCaching answers read-only queries from what others were answered. Where the set-up has no
-// result cache it is nil. All fields are the controller goroutine's.
+// resultCaching answers read-only queries from the cached answers of equal queries. It is nil if no
+// result cache is configured. Only the controller goroutine accesses its fields.
 type resultCaching struct {
 	*Controller
 	core         *resultcache.Cache
-	cachedGroups map[string]bool // whose answers are cached, by the group's name
+	cachedGroups map[string]bool // groups whose answers are cached, by name
 }
 
-// queryCacheState is what the cache knows of a query: one that reads has an ask, one that changes
+// queryCacheState is the cache's state of a query. A query that reads has a request, one that changes
 // tables has mutates set.
 type queryCacheState struct {
-	ask         *resultcache.Request
-	followTimer *timerqueue.Timer // until when it may follow another
-	proceed     func()            // sends it on its way, if it has to lead
+	request     *resultcache.Request
+	followTimer *timerqueue.Timer // end of the time for which the query may wait for a leader's answer
+	proceed     func()            // dispatches a follower if it becomes the leader
 
-	mutates bool    // nothing of its tables is answered from the cache until it is over
-	tables  []int64 // that it changes; none: they can't be told
+	mutates bool    // its tables are not served from the cache until the query is over
+	tables  []int64 // tables that the query changes; empty if they are unknown
 }
 
 const (
 	cacheSweepInterval = time.Second
-	// answerMargin is how long before its deadline a query that follows is deferred: the
-	// answer has to reach its client in time.
+	// answerMargin is the time before its deadline at which a waiting query is deferred, so that
+	// the answer reaches the client in time.
 	answerMargin = 10 * time.Millisecond
 )
 
@@ -56,8 +56,7 @@
 	a.core.Sweep(a.now)
 }
 
-// allTables are the table groups that a statement reads or writes, nil if any of them
-// can't be told.
+// allTables returns the table groups that a statement reads or writes, or nil if any of them is unknown.
 func allTables(statement []byte) []int64 {
 	read, written, known := msgpackrpc.AllTables(statement)
 	if !known {
@@ -71,7 +70,7 @@
 	return read
 }
 
-// noteMutation notes a query that changes tables, as soon as it is received.
+// noteMutation tracks a query that changes tables from its receipt on.
 func (a *resultCaching) noteMutation(q *query) {
 	if q.group.isLoad || !q.group.readOnly {
 		_, written, known := msgpackrpc.AllTables(q.statement)
@@ -83,13 +82,13 @@
 	}
 }
 
-// lookup answers a query from the cache, or has it follow another that asks the same. It reports
-// whether the query has to go its way, which proceed would send it on later.
+// lookup answers a query from the cache, or makes it a follower of an equal query that runs already. It
+// reports whether the query must be dispatched instead. proceed dispatches a follower whose leader is gone.
 func (a *resultCaching) lookup(q *query, from CallOrigin, proceed func(CallOrigin)) bool {
 	if !a.mayLookUp(q) {
 		return true
 	}
-	l := &queryCacheState{ask: &resultcache.Request{
+	state := &queryCacheState{request: &resultcache.Request{
 		Team:      a.dataOwner(from),
 		Group:     q.group.index,
 		Statement: q.statement,
@@ -98,59 +97,59 @@
 		Until:     q.deadline - answerMargin,
 		Of:        q,
 	}}
-	verdict, pages := a.core.Lookup(a.now, l.ask)
+	verdict, pages := a.core.Lookup(a.now, state.request)
 	switch verdict {
 	case resultcache.Hit:
 		a.invalidation.markRetained(func() { a.answerFinished(q, pages) })
 		a.invalidation.trackRetainedAnswer(q)
 		return false
 	case resultcache.Follow:
-		from.Fields = from.Fields.Clone() // the call lies in its connection's buffer
-		q.cacheState = l
-		l.proceed = func() { proceed(from) }
-		l.followTimer = a.timers.Add(max(a.now, l.ask.Until), func() { a.answerDeferred(q, 0) })
+		from.Fields = from.Fields.Clone() // the fields point into the connection's buffer
+		q.cacheState = state
+		state.proceed = func() { proceed(from) }
+		state.followTimer = a.timers.Add(max(a.now, state.request.Until), func() { a.answerDeferred(q, 0) })
 		return false
 	case resultcache.Lead:
-		q.cacheState = l
+		q.cacheState = state
 	}
 	return true
 }
 
-// mayLookUp reports whether a query may be answered from the cache, or its answer cached.
+// mayLookUp reports whether the cache may answer a query or store its answer.
 func (a *resultCaching) mayLookUp(q *query) bool {
 	return a.cachedGroups[q.group.name] && q.cacheState == nil && q.spooled == nil &&
 		!a.isDraining() && !a.invalidation.servingBarred() && a.mayRetain(q)
 }
 
-// takeFollowers is called when a query is about to be answered by its engine's result. It gives
-// the queries that followed it and are answered by the same.
+// takeFollowers stores the answer of a query that its engine has finished, and returns the followers to
+// which the same answer goes.
 func (a *resultCaching) takeFollowers(q *query, pages [][]byte) (followers []*query) {
-	if q.cacheState == nil || q.cacheState.ask == nil {
+	if q.cacheState == nil || q.cacheState.request == nil {
 		return nil
 	}
-	for _, o := range a.core.Complete(a.now, q.cacheState.ask, pages) {
-		followers = append(followers, o.Of.(*query))
+	for _, follower := range a.core.Complete(a.now, q.cacheState.request, pages) {
+		followers = append(followers, follower.Of.(*query))
 	}
 	return followers
 }
 
-// queryAnswered notes that a query is owed no answer any more, whether it led, followed or neither.
+// queryAnswered removes an answered or cancelled query from the cache's leaders and followers.
 func (a *resultCaching) queryAnswered(q *query) {
-	if q.cacheState == nil || q.cacheState.ask == nil {
+	if q.cacheState == nil || q.cacheState.request == nil {
 		return
 	}
 	a.timers.Cancel(q.cacheState.followTimer)
-	a.promote(a.core.Leave(a.now, q.cacheState.ask))
+	a.promote(a.core.Leave(a.now, q.cacheState.request))
 }
 
-// queryOver notes that nothing of a query is in flight any more.
+// queryOver ends the tracking of a mutating query, no attempt of which is in flight any more.
 func (a *resultCaching) queryOver(q *query) {
 	if q.cacheState != nil && q.cacheState.mutates {
 		a.core.MutationEnded(a.now, q.cacheState.tables)
 	}
 }
 
-// promote sends a query that followed another on its own way; nil: none.
+// promote dispatches a follower as the new leader. next may be nil.
 func (a *resultCaching) promote(next *resultcache.Request) {
 	if next == nil {
 		return
@@ -164,22 +163,23 @@
 	})
 }
 
-// answerFollowers answers those who followed with what the leader was answered.
+// answerFollowers answers the followers with the leader's answer.
 func (a *resultCaching) answerFollowers(followers []*query, pages [][]byte) {
-	for _, o := range followers {
+	for _, follower := range followers {
 		if a.invalidation.servingBarred() {
-			a.answerDeferred(o, a.servingLease.retryAfter())
+			a.answerDeferred(follower, a.servingLease.retryAfter())
 			continue
 		}
-		if a.closeQuery(o, fairqueue.Finished) {
+		if a.closeQuery(follower, fairqueue.Finished) {
 			a.counters.finished++
-			a.invalidation.markRetained(func() { o.owner.finished(pages) })
-			a.invalidation.trackRetainedAnswer(o)
+			a.invalidation.markRetained(func() { follower.owner.finished(pages) })
+			a.invalidation.trackRetainedAnswer(follower)
 		}
 	}
 }
 
-// ResultCache is the result cache, nil without one. It is for reports, between two steps.
+// ResultCache returns the result cache, or nil if none is configured. The cache must not be used during a
+// Step.
 func (c *Controller) ResultCache() *resultcache.Cache {
 	if c.caching == nil {
 		return nil
--- a/internal/controller/result_paging.go
+++ b/internal/controller/result_paging.go
@@ -11,28 +11,28 @@
 	"railrelay.dev/railrelay/internal/spool"
 )
 
-// SpoolConfig is what the program starts the spool with.
+// SpoolConfig is the initial configuration of the spool.
 type SpoolConfig struct {
 	Limits        spool.Limits
 	Keys          *spool.Keyring
-	FirstResultID uint64 // number of its first result
-	// Restore hands over what the disk held; nil if there is none.
+	FirstResultID uint64 // the ids of later results count up from it
+	// Restore calls each with every result found on disk; nil if there is no disk.
 	Restore func(each func(f *spool.Found)) error
 }
 
-// resultPaging retains results for clients that read them page by page. Without a spool it is
-// nil. All fields are the controller goroutine's.
+// resultPaging retains results for clients that read them page by page. It is nil if no spool is
+// configured. Only the controller goroutine accesses its fields.
 type resultPaging struct {
 	*Controller
 	core          *spool.Core
-	restoredIndex uint64 // the latest index in the log of what the disk held
+	restoredIndex uint64 // highest log index of a result found on disk
 }
 
 const (
 	spoolSweepInterval = time.Second
-	// noSpaceRetryAfter is told to those for whom there was no space: results go as they are read.
+	// noSpaceRetryAfter is the retry delay if the spool is full. Space is freed as results are read.
 	noSpaceRetryAfter = time.Second
-	// busyRetryAfter is told to those whose page can't be read now.
+	// busyRetryAfter is the retry delay if a page can't be read now.
 	busyRetryAfter = 100 * time.Millisecond
 )
 
@@ -54,7 +54,7 @@
 		p.core.Restore(f)
 	})
 	if err != nil {
-		p.logMessage(true, "what was spooled can't be read: "+err.Error())
+		p.logMessage(true, "can't restore spooled results: "+err.Error())
 	}
 }
 
@@ -63,8 +63,8 @@
 	p.core.Sweep(p.now)
 }
 
-// tenantOf is the tenant of a call, as the spool's limits and tokens have it; "" where there are
-// no tenants.
+// tenantOf returns the tenant of a call, to which the spool's limits and tokens apply; "" if no
+// tenants are configured.
 func (c *Controller) tenantOf(from CallOrigin) string {
 	if c.fairQueue == nil {
 		return ""
@@ -73,8 +73,8 @@
 	return c.fairQueue.queue.TenantName(c.fairQueue.queue.TenantOf(from.Address, named))
 }
 
-// reserve takes space for a query whose client reads page by page. Where there is none the query
-// is deferred, before anything of it is sent.
+// reserve reserves spool space for a query whose client reads page by page. If there is none, the
+// query is deferred before it is sent.
 func (p *resultPaging) reserve(q *query, from CallOrigin) {
 	if len(from.Fields.Get(p.FieldNames.Paged)) == 0 {
 		return
@@ -88,7 +88,7 @@
 	q.spooled = spooled
 }
 
-// resultTag is what an invalidation finds a query's result by.
+// resultTag returns the tag by which an invalidation finds a query's result.
 func (p *resultPaging) resultTag(q *query, from CallOrigin) spool.Tag {
 	t := spool.Tag{Index: p.invalidation.currentIndex(), Tables: allTables(q.statement)}
 	if p.fairQueue == nil {
@@ -97,7 +97,7 @@
 	return t
 }
 
-// queryOver gives back the space of a query that is over.
+// queryOver releases the space reserved for a query that is over.
 func (p *resultPaging) queryOver(q *query) {
 	if q.spooled != nil {
 		p.core.Drop(p.now, q.spooled)
@@ -105,7 +105,7 @@
 	}
 }
 
-// addPage spools a page of an attempt's result from its engine.
+// addPage spools a page of an attempt's result that was received from its engine.
 func (p *resultPaging) addPage(a *attempt, number, of int, rows []byte) {
 	if a.result == nil {
 		a.result = p.core.Again(p.now, a.query.spooled)
@@ -134,8 +134,8 @@
 	}
 }
 
-// pollWhenRoom polls for a page again once the spool has room for it, and before its engine, which
-// keeps the result for as long as it is polled, would forget it.
+// pollWhenRoom polls for a page again once the spool has room for the page. It polls earlier if the
+// engine, which retains a result only while it is polled, would drop the result.
 func (p *resultPaging) pollWhenRoom(a *attempt, page int) {
 	polled := false
 	poll := func() {
@@ -151,15 +151,15 @@
 	})
 }
 
-// releaseAtEngine lets the engine forget the query: all its pages were read.
+// releaseAtEngine tells the engine to drop the result, all pages of which were read.
 func (p *resultPaging) releaseAtEngine(a *attempt) {
 	a.released = true
 	p.cancelAtEngine(a, func() {})
 }
 
-// retain promises a complete result to its client: it is answered once the disk has it.
+// retain makes a complete result durable. The client is answered once the result is on disk.
 func (p *resultPaging) retain(a *attempt) {
-	if !p.mayRetain(a.query) { // it might have been when it began
+	if !p.mayRetain(a.query) { // the rules may have changed since the query was admitted
 		p.discard(a)
 		if !a.query.answered {
 			p.answerKilled(a.query, "its result may not be kept here any more")
@@ -170,14 +170,14 @@
 	p.core.Whole(p.now, a.result, func(err error) { p.retentionEnded(a, err) })
 }
 
-// retentionEnded answers once the spool has a complete result, or could not write it.
+// retentionEnded answers the query once its result is on disk, or could not be written.
 func (p *resultPaging) retentionEnded(a *attempt, err error) {
 	r := a.result
 	switch {
-	case a.ended: // given up meanwhile
+	case a.ended: // withdrawn during the write
 		p.enqueueCallback(func() { p.core.Drop(p.now, r) })
 	case err != nil:
-		p.logWithFields(a.logFields(), "its result can't be kept: "+err.Error())
+		p.logWithFields(a.logFields(), "can't retain the result: "+err.Error())
 		a.result = nil
 		if !a.query.answered {
 			p.answerKilled(a.query, fmt.Sprintf("the result of %d bytes can't be kept: %v", r.Bytes(), err))
@@ -195,7 +195,7 @@
 func (p *resultPaging) answerFirstPage(a *attempt, r *spool.Result, token string, body []byte, err error) {
 	drop := func() { p.core.Drop(p.now, r) }
 	switch {
-	case a.query.answered, a.ended: // another was first, its client left, or its time was over
+	case a.query.answered, a.ended: // another attempt was first, the client left, or the time was up
 		p.enqueueCallback(drop)
 	case err != nil:
 		p.answerKilled(a.query, "its result can't be read: "+err.Error())
@@ -215,7 +215,7 @@
 	}
 }
 
-// discard gives up the pages of an attempt whose result isn't promised.
+// discard drops the spooled pages of an attempt whose result isn't promised to the client.
 func (p *resultPaging) discard(a *attempt) {
 	if a.result != nil && !a.resultPromised {
 		p.core.Drop(p.now, a.result)
@@ -223,14 +223,14 @@
 	}
 }
 
-// workDone takes work that the disk has done.
+// workDone handles the completion of work on the spool's disk.
 func (p *resultPaging) workDone(w *spool.Work) {
 	switch {
 	case w.Err == nil:
 	case w.Fetch == nil:
-		p.logMessage(true, "the spool's disk: "+w.Err.Error())
+		p.logMessage(true, "spool disk: "+w.Err.Error())
 	default:
-		p.logMessage(true, fmt.Sprintf("the spool's disk: page %d of result %016x: %v",
+		p.logMessage(true, fmt.Sprintf("spool disk: page %d of result %016x: %v",
 			w.Fetch.Page, w.Fetch.Result, w.Err))
 	}
 	w.Done(p.now)
@@ -246,8 +246,8 @@
 		fmt.Sprintf(", evicted %d expired %d read out %d, waited %d", n.Evicted, n.Expired, n.ReadOut, n.Waited)
 }
 
-// Page is a client's call for a page of a result that was promised.
-func (cl *client) Page(msg uint32, token []byte, number int, all msgpackrpc.Fields) {
+// Page handles a client's call for a page of a retained result.
+func (cl *client) Page(msg uint32, token []byte, number int, fields msgpackrpc.Fields) {
 	switch {
 	case cl.paging == nil:
 		cl.Wrong(msg, "no such method")
@@ -260,7 +260,7 @@
 		return
 	}
 	cl.pageReads++
-	from := CallOrigin{cl.connection.RemoteAddress, all}
+	from := CallOrigin{cl.connection.RemoteAddress, fields}
 	owner, tenant := cl.dataOwner(from), cl.tenantOf(from)
 	var tables []int64
 	if cl.servingLease != nil {
@@ -275,9 +275,9 @@
 	})
 }
 
-// answerPage answers with a page of a result of a data owner, over these tables.
+// answerPage answers a call with a page of a result that owner requested and that covers tables.
 func (cl *client) answerPage(msg uint32, owner string, tables []int64, body []byte, err error) {
-	forbidden := func() bool { // the rules may have been others when it was retained
+	forbidden := func() bool { // the rules may have changed since the result was retained
 		return cl.servingLease != nil && !cl.servingLease.residency.mayServe(owner, tables)
 	}
 	switch {
@@ -293,8 +293,8 @@
 	}
 }
 
-// SpoolUsage is what the spool holds: results, and bytes in memory and on disk; 0 without a
-// spool. It is for reports, between two steps.
+// SpoolUsage returns the number of results in the spool and their bytes in memory and on disk, all 0
+// without a spool. It must not be called during a Step.
 func (c *Controller) SpoolUsage() (results int, memory, disk int64) {
 	if c.paging == nil {
 		return 0, 0, 0
--- a/internal/controller/retained_writes.go
+++ b/internal/controller/retained_writes.go
@@ -2,51 +2,51 @@
 
 import "time"
 
-// Before an invalidation is reported as unreachable, what was handed out of the tenant's retained
-// bytes has to be out, or its connection closed.
+// Before an invalidation is reported as DataTombstoned, all retained data of the tenant that was
+// handed to a connection must have been written, or the connection must be closed.
 
 const (
-	// flushTimeout is how long retained bytes handed out before an invalidation may take to
-	// leave this program; their connection is closed then.
+	// flushTimeout is the time after which an invalidation closes connections with unwritten
+	// retained data of the tenant.
 	flushTimeout      = 250 * time.Millisecond
 	flushPollInterval = 2 * time.Millisecond
-	// minWritesSweep is how many new retained writes there are at the least before those that
-	// are out are forgotten.
+	// minWritesSweep is the minimum number of new retained writes between two removals of those
+	// that are flushed.
 	minWritesSweep = 64
 )
 
-// retainedWrite is a connection that retained bytes of a tenant were written to.
+// retainedWrite is a write of a tenant's retained data to a connection.
 type retainedWrite struct {
 	connection *Connection
-	tenant     string // "": not known
+	tenant     string // "" if it is unknown
 }
 
-// of reports whether it may be of a tenant.
+// mayBelongTo reports whether the data may be the tenant's.
 func (w retainedWrite) mayBelongTo(tenant string) bool { return w.tenant == "" || w.tenant == tenant }
 
-// markRetained marks what do writes as retained bytes: they go out only while the lease
-// holds, by the clock as it is then.
-func (v *invalidation) markRetained(do func()) {
+// markRetained marks the messages that write sends as retained data. They are written only if the
+// lease still holds at the time of the write.
+func (v *invalidation) markRetained(write func()) {
 	v.writingRetainedData = true
-	do()
+	write()
 	v.writingRetainedData = false
 }
 
-// trackRetainedAnswer notes that a query was answered with retained bytes.
+// trackRetainedAnswer tracks the write of a query's answer from retained data.
 func (v *invalidation) trackRetainedAnswer(q *query) {
 	call, ok := q.owner.(*rpcCall)
 	if !ok {
 		return
 	}
 	tenant := ""
-	if q.cacheState != nil && q.cacheState.ask != nil {
-		tenant = q.cacheState.ask.Team
+	if q.cacheState != nil && q.cacheState.request != nil {
+		tenant = q.cacheState.request.Team
 	}
 	v.trackRetainedWrite(call.client.connection, tenant)
 }
 
-// trackRetainedWrite notes that retained bytes of a tenant, "" if it isn't known, are on their
-// way out by a connection.
+// trackRetainedWrite tracks the write of retained data to conn. tenant is "" if the data's tenant is
+// unknown.
 func (v *invalidation) trackRetainedWrite(conn *Connection, tenant string) {
 	if len(v.retainedWrites) >= 2*v.writesAfterSweep+minWritesSweep {
 		v.forgetFlushed()
@@ -65,7 +65,7 @@
 	}
 }
 
-// writesFlushed reports whether no retained bytes of a tenant are on their way out.
+// writesFlushed reports whether all tracked writes of a tenant's retained data are flushed.
 func (v *invalidation) writesFlushed(tenant string) bool {
 	v.forgetFlushed()
 	for w := range v.retainedWrites {
@@ -76,8 +76,8 @@
 	return true
 }
 
-// awaitWritesFlushed calls then once all retained bytes of a tenant are out. A client that
-// doesn't take them until the given time is disconnected.
+// awaitWritesFlushed calls then once all tracked writes of a tenant's retained data are flushed.
+// Clients that have not read the data by the time until are disconnected.
 func (v *invalidation) awaitWritesFlushed(tenant string, until time.Duration, then func()) {
 	switch {
 	case v.writesFlushed(tenant):
--- a/internal/controller/serving_lease.go
+++ b/internal/controller/serving_lease.go
@@ -9,71 +9,72 @@
 	"railrelay.dev/railrelay/internal/timerqueue"
 )
 
-// FleetConfig is what a controller with peers starts with.
+// FleetConfig is the initial configuration of a controller with peers.
 type FleetConfig struct {
-	// ServingState is what may be decided now. The node's goroutine and the controller's share it.
+	// ServingState holds the policy version and the lease by which queries are decided. The node's
+	// goroutine and the controller's share it.
 	ServingState *fleet.ServingState
-	// MaxHold is the longest that a query waits while this controller may not decide, before
-	// it is deferred. 0: 2 s.
+	// MaxHold is the longest time for which a query is held while this controller is paused; the
+	// query is deferred then. 0 means 2 s.
 	MaxHold time.Duration
-	// RetryAfter is the time to come back that the deferred are told, where one may be told and
-	// within the longest that clients follow. 0: 1 s.
+	// RetryAfter is the retry delay of deferred queries, if clients may be told one. The longest
+	// delay that clients follow limits it. 0 means 1 s.
 	RetryAfter time.Duration
-	// IsConfined tells whether a query of a tenant, over a group of tables (-1: not
-	// known), needs the lease of confined tenants. nil: none does.
+	// IsConfined reports whether a query of a tenant over a table group, -1 if the group is unknown,
+	// needs the lease of confined tenants. nil: no query does.
 	IsConfined func(tenant string, tables int64) bool
 }
 
 const (
 	defaultMaxHold    = 2 * time.Second
 	defaultRetryAfter = time.Second
-	// writesIdlePollInterval is how often a fenced controller looks whether what was being
-	// written is out.
+	// writesIdlePollInterval is the interval at which a fenced controller checks whether the writes
+	// under way are finished.
 	writesIdlePollInterval = time.Millisecond
 )
 
-// notPaused stands for no time in pausedSince and confinedPausedSince.
+// notPaused is the value of pausedSince and confinedPausedSince while serving.
 const notPaused time.Duration = -1
 
-// servingLease is this controller's part in the fleet as far as its queries go: by which policy
-// version they are decided, and what waits while they may not be. Without peers it is nil.
+// servingLease applies the fleet's policy version and serving lease to this controller's queries.
+// Queries, and attempts not yet sent, wait while the controller is paused. It is nil without peers.
 //
-// Confined tenants (those under data residency rules) have a shorter lease of their own, so there
-// are two states, one for all queries and one for theirs, each with these transitions:
+// Confined tenants (those under data residency rules) have a shorter lease of their own. There are
+// therefore two states, one for all queries and one for theirs, each with these transitions:
 //
-//	serving -> paused   a Shut order fences the version, or the lease ends
-//	paused  -> serving  an Open order brings a version, or the lease is renewed; both must hold
+//	serving -> paused   a FencePolicy order fences the version, or the lease ends
+//	paused  -> serving  an open version and a valid lease, after an OpenPolicy or LeaseRenewed order
 //
-// All fields are the controller goroutine's but Word.
+// Only the controller goroutine accesses its fields, except ServingState.
 type servingLease struct {
 	*Controller
 	FleetConfig
 
-	// The parts that act on the fleet's orders.
-	invalidator invalidator // nil: nothing is retained of tenants
+	// the parts that carry out the fleet's orders
+	invalidator invalidator // nil if the controller retains no data
 	residency   *residencyState
-	fleetView   *fleet.View // the latest; never nil
-
-	// The version and the lease.
-	policyVersion       uint64            // last opened, 0: none
-	fencingChange       string            // the change that it is fenced for, until that is reported; "": none
-	pausedSince         time.Duration     // nothing may be decided; or notPaused
-	confinedPausedSince time.Duration     // nothing of confined tenants may be decided; or notPaused
-	leaseTimer          *timerqueue.Timer // the end of the lease
-
-	// What waits while paused.
-	heldQueries     []*pendingAdmission // in the order in which they came; some may be answered
-	heldCount       int                 // of heldQueries that are still to be answered
-	heldFieldBytes  int                 // of the fields of the calls in heldQueries
-	blockedAttempts []*attempt          // whose engine was chosen, in the order of the choice
-	holdTimer       *timerqueue.Timer   // what waits for too long is deferred then
-
-	// Reports to the fleet.
-	unsentReports        []fleet.Report // there was no room; at the most as many as orders are under way
+	fleetView   *fleet.View // latest view; never nil
+
+	// version and lease
+	policyVersion       uint64            // latest opened version; 0 if there is none
+	fencingChange       string            // change whose fence has not been reported yet; "" if there is none
+	pausedSince         time.Duration     // start of the pause of all queries, or notPaused
+	confinedPausedSince time.Duration     // start of the pause of confined queries, or notPaused
+	leaseTimer          *timerqueue.Timer // fires at the end of a lease
+
+	// queries and attempts that wait while paused
+	heldQueries     []*pendingAdmission // in the order of arrival; some may be answered
+	heldCount       int                 // number of heldQueries without an answer
+	heldFieldBytes  int                 // size of the call fields in heldQueries
+	blockedAttempts []*attempt          // attempts with an engine, in the order of their start
+	holdTimer       *timerqueue.Timer   // fires when MaxHold is over
+
+	// reports to the fleet
+	unsentReports        []fleet.Report // rejected reports, at most as many as orders under way
 	reportRetryScheduled bool
-	reportedSites        []string // last reported
+	reportedSites        []string // in the latest report
 
-	// Counts since the start.
+	// counts since the start
 	heldTotal      int
 	deferredHeld   int
 	rejectedWrites int
@@ -97,12 +98,12 @@
 	return l
 }
 
-// servingVersion is the version to decide by, 0 if nothing may be decided.
+// servingVersion returns the policy version by which queries are decided, or 0 while paused.
 func (l *servingLease) servingVersion(confined bool) uint64 {
 	return l.ServingState.ServingVersion(l.now, confined)
 }
 
-// handleFleetOrder does what the fleet orders. Orders come in the order of the log.
+// handleFleetOrder carries out an order of the fleet. Orders arrive in the order of the log.
 func (l *servingLease) handleFleetOrder(o *fleet.Order) {
 	switch o.Kind {
 	case fleet.FencePolicy:
@@ -119,13 +120,13 @@
 	case fleet.InvalidateData:
 		l.orderInvalidation(o)
 	case fleet.ViewChanged:
-		if l.paging != nil && l.fleetView.Index == 0 { // the first of this run
+		if l.paging != nil && l.fleetView.Index == 0 { // the first view since the start
 			l.paging.core.Recorded(o.View.Index)
 		}
 		l.fleetView = o.View
 		l.residency.viewChanged(o.View)
 	case fleet.RequestAnswered:
-		// both, whatever the first says: a client may ask for any id, a binding's too
+		// both handle every reply: a client's call may carry the id of a binding request
 		l.residency.fleetAnswered(o.ID, o.Response)
 		if l.invalidator != nil {
 			l.invalidator.fleetAnswered(o.ID, o.Response)
@@ -142,8 +143,8 @@
 	l.report(fleet.Report{Kind: fleet.DataErased, ID: o.ID})
 }
 
-// reportFencedOnceIdle reports that the old version is fenced once nothing is being written.
-// What is written later, though it was decided before, asks Word first and is rejected.
+// reportFencedOnceIdle reports that the old version is fenced once no write is under way. Later
+// writes that were decided by the old version are rejected by ServingState.
 func (l *servingLease) reportFencedOnceIdle() {
 	switch {
 	case l.fencingChange == "":
@@ -155,7 +156,7 @@
 	}
 }
 
-// scheduleLeaseCheck updates the serving state when the lease ends, if nothing else has by then.
+// scheduleLeaseCheck sets the timer that updates the serving state at the end of a lease.
 func (l *servingLease) scheduleLeaseCheck() {
 	l.timers.Cancel(l.leaseTimer)
 	l.leaseTimer = nil
@@ -171,7 +172,7 @@
 	}
 }
 
-// servingChange is what became of a serving state: see servingLease.
+// servingChange is a transition of a serving state, see servingLease.
 type servingChange int
 
 const (
@@ -180,8 +181,8 @@
 	servingResumed
 )
 
-// updateServing notes whether anything may be decided now, and holds or releases what there is
-// accordingly. It runs before every event, since a lease ends without one.
+// updateServing updates both serving states, and pauses or resumes queries accordingly. It runs before
+// every event, because no event announces the end of a lease.
 func (l *servingLease) updateServing() {
 	all := l.updatePausedSince(&l.pausedSince, l.servingVersion(false) != 0)
 	if all == servingPaused {
@@ -208,11 +209,11 @@
 	return servingUnchanged
 }
 
-// paused reports whether nothing may be decided, of any tenant.
+// paused reports whether the queries of all tenants are paused.
 func (l *servingLease) paused() bool { return l.pausedSince != notPaused }
 
-// acceptsQueries reports whether clients may expect answers here, as health checks are told. A
-// change of policy lasts a moment and is no reason to go elsewhere; a lost lease is.
+// acceptsQueries reports to health checks whether clients should send queries here. A change of policy
+// takes only a moment, so clients should stay during one, but not after the loss of the lease.
 func (l *servingLease) acceptsQueries() bool {
 	until, _ := l.ServingState.LeaseEnds()
 	return !l.paused() || l.policyVersion != 0 && l.now < until && l.now-l.pausedSince < l.MaxHold
--- a/internal/controller/shutdown.go
+++ b/internal/controller/shutdown.go
@@ -2,25 +2,26 @@
 
 import "time"
 
-// shutdownPhase is how far a graceful shutdown has come. It only ever moves down this list.
+// shutdownPhase is the phase of a graceful shutdown. Phases follow one another in this order.
 type shutdownPhase int
 
 const (
 	// noShutdown: no shutdown was requested.
 	noShutdown shutdownPhase = iota
-	// gracePeriod: queries are accepted as before, for clients may not know yet.
+	// gracePeriod: queries are still accepted, because clients may not know of the shutdown yet.
 	gracePeriod
-	// draining: new queries are rejected as they come; accepted ones run to their ends.
+	// draining: new queries are rejected; accepted queries run to their ends.
 	draining
-	// exited: Exit was asked for.
+	// exited: the Exit effect was emitted.
 	exited
 )
 
-// By the protocol connections stay open for 0.6 s after SIGTERM and carry new queries. One that comes
-// after 0.7 s and is unanswered at SIGKILL is lost, and a query may take longer than that leaves; so
-// from shutdownGrace on new ones are rejected at once. The program doesn't exit before
-// shutdownMinimum, as a client's last query may still be on its way, and then waits for a moment
-// without new queries of shutdownQuiet, but no longer than shutdownQuietLimit. All from the request.
+// Times of a graceful shutdown, from the request on. By the protocol clients may send new queries on
+// their connections for 0.6 s after SIGTERM. A query that arrives after 0.7 s and is unanswered at
+// SIGKILL is lost, and a query may take longer than the time that is left then. Therefore new queries are
+// rejected from shutdownGrace on. The program doesn't exit before shutdownMinimum, since a client's last
+// query may still be in the network. From then on it waits until no query has arrived for shutdownQuiet,
+// but no longer than shutdownQuietLimit.
 const (
 	shutdownGrace      = 650 * time.Millisecond
 	shutdownMinimum    = 750 * time.Millisecond
@@ -34,17 +35,17 @@
 	}
 	c.shutdown = gracePeriod
 	c.shutdownRequestedAt = c.now
-	c.logMessage(false, "stopping once all is answered")
-	// continueShutdown is asked at the end of every step; these make sure that there is one
+	c.logMessage(false, "shutting down once all queries are answered")
+	// continueShutdown runs at the end of every step; these timers cause the steps
 	c.runAfter(shutdownGrace, func() {})
 	c.runAfter(shutdownMinimum, func() {})
 }
 
-// isDraining reports whether new queries are rejected since the controller shuts down.
+// isDraining reports whether new queries are rejected because the controller shuts down.
 func (c *Controller) isDraining() bool { return c.shutdown >= draining }
 
-// continueShutdown ends the grace period when it is over, and the program once all accepted queries are
-// answered and the answers are written. It doesn't wait for clients that don't read.
+// continueShutdown starts draining at the end of the grace period. It exits once all accepted queries are
+// answered and the answers are written, without waiting for clients that don't read.
 func (c *Controller) continueShutdown() {
 	elapsed := c.now - c.shutdownRequestedAt
 	if c.shutdown == noShutdown || c.shutdown == exited || elapsed < shutdownGrace {
@@ -86,7 +87,7 @@
 	return true
 }
 
-// cancellationsPending reports whether a cancelled attempt may still run at its engine.
+// cancellationsPending reports whether an attempt that is being cancelled may still run at its engine.
 func (c *Controller) cancellationsPending() bool {
 	for _, e := range c.engines {
 		if len(e.cancelling) > 0 {
