--- a/internal/controller/discovery_heartbeat_test.go
+++ b/internal/controller/discovery_heartbeat_test.go
@@ -5,47 +5,48 @@
 	"time"
 )
 
-// A watch is given up by the number that is due, though nothing was closed, and the list asked for
-// anew after the last event had: one that falls silent, says half a line again and again, or was
-// accepted and never said anything. A drain told right after the last word is obeyed by then.
+// A discovery connection that misses a heartbeat must be replaced though it stays open: one that falls
+// silent, one that sends only parts of a line, and one that never sends anything. A drain sent right
+// after the last message must be applied from the new connection.
 func TestMissingHeartbeatReplacesDiscovery(t *testing.T) {
-	for what, says := range map[string]func(s *harness, watch *fakeConnection){
+	for name, send := range map[string]func(s *harness, watch *fakeConnection){
 		"nothing":     func(*harness, *fakeConnection) {},
 		"half a line": func(s *harness, watch *fakeConnection) { s.receive(watch, []byte(`{"n":2,"mem`)) },
 	} {
-		for _, spoke := range []bool{true, false} {
+		for _, sentBefore := range []bool{true, false} {
 			s := newHarness(t, 1, 256, map[string]string{"may.probe": "false"})
-			if spoke {
+			if sentBefore {
 				s.runUntil(10 * time.Millisecond)
 				s.listEngines("")
 			}
-			watch, from, m := s.discovery, s.now, s.sortedEngines()[0]
+			watch, start, e := s.discovery, s.now, s.sortedEngines()[0]
 			watch.established = true
-			if !spoke {
+			if !sentBefore {
 				s.step(Event{Kind: Connected, Connection: watch.connection})
 			}
-			m.state = "DRAINING" // told in that very moment, and never heard on this one
+			e.state = "DRAINING" // sent now, but never received on this connection
 			for s.discovery == watch || !s.discovery.established {
 				if s.runUntil(s.now + 100*time.Millisecond); s.discovery == watch {
-					says(s, watch)
+					send(s, watch)
 				}
-				if s.now-from > 1500*time.Millisecond {
-					t.Fatalf("%s, spoke: %v: still waited for after %v", what, spoke, s.now-from)
+				if s.now-start > 1500*time.Millisecond {
+					t.Fatalf("%s, sent before: %v: not replaced after %v", name, sentBefore, s.now-start)
 				}
 			}
 			if s.controller.counters.discoveryFaults != 1 {
-				t.Fatalf("%d faults of the feed", s.controller.counters.discoveryFaults)
+				t.Fatalf("%d discovery faults, want 1", s.controller.counters.discoveryFaults)
 			}
-			s.listEngines(m.endpointJSON(0))
+			s.listEngines(e.endpointJSON(0))
 			a := s.sendQuery(s.connect(), "lookup", "", 500*time.Millisecond, 1)
 			if s.runUntil(s.now + time.Second); len(a.runs) > 0 {
-				t.Fatalf("%s: sent to an engine that drains", what)
+				t.Fatalf("%s: query sent to a draining engine", name)
 			}
 		}
 	}
 }
 
-// Where we stood still ourselves, what a watch said meanwhile is read before it is judged.
+// After a stall of the controller's process, the bytes that arrived meanwhile must be read before the
+// connection counts as silent.
 func TestProcessStallKeepsDiscovery(t *testing.T) {
 	s := newHarness(t, 1, 256, nil)
 	s.runUntil(10 * time.Millisecond)
@@ -54,10 +55,10 @@
 	s.now += 3 * time.Second
 	s.step(Event{Kind: TimerFired})
 	if s.listEngines(""); s.discovery != watch || s.controller.counters.discoveryFaults > 0 {
-		t.Fatal("a feed that spoke all the time was given up")
+		t.Fatal("a connection that kept sending was replaced")
 	}
 	s.runUntil(s.now + 1400*time.Millisecond)
 	if s.discovery == watch {
-		t.Fatal("it has fallen silent since, and is still waited for")
+		t.Fatal("a connection that fell silent was not replaced")
 	}
 }
--- a/internal/controller/fair_queue_test.go
+++ b/internal/controller/fair_queue_test.go
@@ -11,21 +11,26 @@
 	"railrelay.dev/railrelay/internal/msgpackrpc"
 )
 
-// Limits on a connection follow the narrowest set that its address is in.
+// A client gets the limits of the narrowest prefix that contains its address, and default values for limits
+// that aren't configured.
 func TestClientLimitsByAddress(t *testing.T) {
 	p := netip.MustParsePrefix
-	m := newClientLimitTable([]ClientLimits{{Prefixes: []netip.Prefix{p("10.0.0.0/8")}, MaxOpenQueries: 100}, {Prefixes: []netip.Prefix{p("10.1.0.0/16")}, MaxOpenQueries: 7, IdleTimeout: time.Minute}})
-	for from, want := range map[string]int{"10.2.0.1": 100, "10.1.0.1": 7, "::ffff:10.1.0.1": 7, "192.0.2.1": maxOpenQueries} {
-		if got := m.find(netip.MustParseAddr(from)); got.MaxOpenQueries != want || got.MaxMessagesPerSweep != maxMessagesPerSweep || got.MessageTimeout != messageTimeout {
+	m := newClientLimitTable([]ClientLimits{{Prefixes: []netip.Prefix{p("10.0.0.0/8")}, MaxOpenQueries: 100},
+		{Prefixes: []netip.Prefix{p("10.1.0.0/16")}, MaxOpenQueries: 7, IdleTimeout: time.Minute}})
+	for from, want := range map[string]int{"10.2.0.1": 100, "10.1.0.1": 7, "::ffff:10.1.0.1": 7,
+		"192.0.2.1": maxOpenQueries} {
+		if got := m.find(netip.MustParseAddr(from)); got.MaxOpenQueries != want ||
+			got.MaxMessagesPerSweep != maxMessagesPerSweep || got.MessageTimeout != messageTimeout {
 			t.Errorf("%s: %+v", from, got)
 		}
 	}
-	if m.find(netip.Addr{}).MaxOpenQueries != maxOpenQueries || m.find(netip.MustParseAddr("10.1.0.1")).IdleTimeout != time.Minute {
-		t.Error("the platform's figures don't hold for others")
+	if m.find(netip.Addr{}).MaxOpenQueries != maxOpenQueries ||
+		m.find(netip.MustParseAddr("10.1.0.1")).IdleTimeout != time.Minute {
+		t.Error("wrong limits for an unknown address, or wrong idle timeout")
 	}
 }
 
-// Whoever sends more than may be is told so before the connection is closed.
+// A client that sends too many messages must be told the reason before its connection is closed.
 func TestFloodingClientIsToldWhy(t *testing.T) {
 	s := newHarness(t, 1, 256, nil)
 	c := s.connect()
@@ -37,22 +42,25 @@
 	}
 	s.receive(c, p)
 	if c.closed {
-		t.Fatal("closed for what is allowed")
+		t.Fatal("closed at the limit, not beyond it")
 	}
 	s.receive(c, []byte("\x94\x00\x02\xa5alive\x91\x80"))
 	for _, l := range s.writeLog {
 		out = append(out, l...)
 	}
 	if !c.closed || !bytes.Contains(out, []byte("more than 128 messages in 250ms")) {
-		t.Fatalf("gone %v, told nothing of it", c.closed)
+		t.Fatalf("closed %v, the client wasn't told the reason", c.closed)
 	}
 }
 
-// A gateway's set lets it send what would close anybody else's connection.
+// Configured limits may be higher than the default ones, as a gateway needs.
 func TestClientLimitsMayAllowMore(t *testing.T) {
 	s := newHarness(t, 1, 256, nil)
-	s.controller.clientLimits = newClientLimitTable([]ClientLimits{{Prefixes: []netip.Prefix{netip.MustParsePrefix("10.0.0.0/8")}, MaxMessagesPerSweep: 5000, MaxOpenQueries: 500}})
-	c := &fakeConnection{number: len(s.connections), connection: &Connection{RemoteAddress: netip.MustParseAddr("10.9.9.9")}, isClient: true, established: true}
+	s.controller.clientLimits = newClientLimitTable(
+		[]ClientLimits{{Prefixes: []netip.Prefix{netip.MustParsePrefix("10.0.0.0/8")}, MaxMessagesPerSweep: 5000,
+			MaxOpenQueries: 500}})
+	c := &fakeConnection{number: len(s.connections),
+		connection: &Connection{RemoteAddress: netip.MustParseAddr("10.9.9.9")}, isClient: true, established: true}
 	s.connections = append(s.connections, c)
 	s.step(Event{Kind: ClientAccepted, Connection: c.connection})
 	var p []byte
@@ -60,16 +68,19 @@
 		p = append(p, "\x94\x00\x01\xa5alive\x91\x80"...)
 	}
 	if s.receive(c, p); c.closed || s.controller.counters.aliveRequests != 10*maxMessagesPerSweep {
-		t.Fatalf("closed after %d", s.controller.counters.aliveRequests)
+		t.Fatalf("closed after %d messages", s.controller.counters.aliveRequests)
 	}
 }
 
-// A call's further fields reach fairness, and what it is told reaches the call.
+// The optional fields of a call must reach fair queueing, and wait notices must have the right wire format.
 func TestFairQueueFieldsAndWaitNotices(t *testing.T) {
 	s := newHarness(t, 0, 256, nil)
-	s.controller.fairQueue = newFairQueue(s.controller, &fairqueue.Config{Tenants: []fairqueue.Tenant{{Name: "a", Weight: 1}, {Name: "b", Weight: 1}},
-		TrustedAddresses: []netip.Prefix{netip.MustParsePrefix("10.0.0.0/8")}}, FieldNames{Tenant: "team", NotifyWait: "tell", RepeatOf: "first"})
-	c := &fakeConnection{number: len(s.connections), connection: &Connection{RemoteAddress: netip.MustParseAddr("10.0.0.1")}, isClient: true, established: true}
+	s.controller.fairQueue = newFairQueue(s.controller,
+		&fairqueue.Config{Tenants: []fairqueue.Tenant{{Name: "a", Weight: 1}, {Name: "b", Weight: 1}},
+			TrustedAddresses: []netip.Prefix{netip.MustParsePrefix("10.0.0.0/8")}},
+		FieldNames{Tenant: "team", NotifyWait: "tell", RepeatOf: "first"})
+	c := &fakeConnection{number: len(s.connections),
+		connection: &Connection{RemoteAddress: netip.MustParseAddr("10.0.0.1")}, isClient: true, established: true}
 	s.connections = append(s.connections, c)
 	s.step(Event{Kind: ClientAccepted, Connection: c.connection})
 	c.messageCount++
@@ -82,7 +93,8 @@
 	}
 	s.receive(c, append(call, "\xc4\x08SELECT 1"...))
 	q := s.controller.queries[a.id]
-	if q == nil || q.fairEntry == nil || s.controller.fairQueue.queue.TenantName(q.fairEntry.Tenant) != "b" || !q.fairEntry.NotifyChanges {
+	if q == nil || q.fairEntry == nil || s.controller.fairQueue.queue.TenantName(q.fairEntry.Tenant) != "b" ||
+		!q.fairEntry.NotifyChanges {
 		t.Fatalf("%+v", q)
 	}
 	got := msgpackrpc.Told(nil, 300, 1234*time.Millisecond)
@@ -90,20 +102,20 @@
 		t.Fatalf("%q", got)
 	}
 	s.controller.logCounters()
-	if text := s.controller.effects[len(s.controller.effects)-1].Text; !strings.Contains(text, "fairness waiting") {
+	if text := s.controller.effects[len(s.controller.effects)-1].Text; !strings.Contains(text,
+		"fairness waiting") {
 		t.Fatal(text)
 	}
 }
 
-// Priority has one owner: what the decisions set, and the least where fairness
-// has a query make way.
+// A query's effective priority is the one that the scheduler set, unless fair queueing has lowered it.
 func TestEffectivePriorityIsLoweredPriority(t *testing.T) {
 	q := &query{priority: 3}
 	if q.effectivePriority() != 3 {
-		t.Fatal("without teams it is not the decisions'")
+		t.Fatal("not the scheduler's priority without fair queueing")
 	}
 	q.fairEntry = &fairqueue.Query{}
 	if q.effectivePriority() != 3 {
-		t.Fatal("lowered for nothing")
+		t.Fatal("priority lowered without a reason")
 	}
 }
--- a/internal/controller/residency_retention_test.go
+++ b/internal/controller/residency_retention_test.go
@@ -11,15 +11,17 @@
 	"railrelay.dev/railrelay/internal/residency"
 )
 
-// What a rule forbids to keep here is answered whole and not cached, and what was kept
-// before the rule is read no more, though it is not purged yet.
+// If a rule forbids retaining data on this controller, results are answered in one piece and not cached. Data
+// that was retained before the rule must not be served any more, even before it is invalidated.
 func TestNothingIsRetainedWhereARuleForbidsIt(t *testing.T) {
 	s := newRetainingWorld(t, &fleet.ServingState{}, func(m *controller.Config) {
-		m.Settings["teams"], m.Settings["team.0.name"], m.Settings["team.0.quota"], m.Settings["own.location"] = "1", "linz", "1000", "0"
+		m.Settings["teams"], m.Settings["team.0.name"], m.Settings["team.0.quota"],
+			m.Settings["own.location"] = "1", "linz", "1000", "0"
 	})
 	here, _, _ := strings.Cut(s.R.Settings["locations"], ",")
 	open := func(version uint64, rules ...residency.Rule) {
-		s.Order(fleet.Order{Kind: fleet.OpenPolicy, Version: version, Policy: &controller.Policy{Version: version, Rules: rules}})
+		s.Order(fleet.Order{Kind: fleet.OpenPolicy, Version: version,
+			Policy: &controller.Policy{Version: version, Rules: rules}})
 	}
 	s.Order(fleet.Order{Kind: fleet.LeaseRenewed, Until: fleet.Forever, UntilBound: fleet.Forever})
 	open(1, residency.Rule{Name: "r", Team: "linz", Engines: []string{here}})
@@ -32,26 +34,29 @@
 	}
 	kept := s.sendAs(c, "linz", 3, "pages", "1")
 	if s.advance(2*time.Second) && page(kept.Paging["token"]).Kind != client.Finished {
-		t.Fatal("it isn't kept to begin with")
+		t.Fatal("the result isn't retained before the rule")
 	}
 	s.sendAs(c, "linz", 4)
 	s.advance(2 * time.Second)
 	if s.sendAs(c, "linz", 4); s.advance(time.Second) && s.R.ResultCache().Counts.Hits != 1 {
 		t.Fatalf("%+v", s.R.ResultCache().Counts)
 	}
-	open(2, residency.Rule{Name: "r", Team: "linz", Tables: []int64{3, 4}, Engines: []string{here}, Keep: []string{}})
+	open(2, residency.Rule{Name: "r", Team: "linz", Tables: []int64{3, 4}, Engines: []string{here},
+		Keep: []string{}})
 	if ans := page(kept.Paging["token"]); ans.Kind != client.Killed {
-		t.Fatalf("a page came, or nothing did: kind %v", ans.Kind)
+		t.Fatalf("a page was served, or the call wasn't answered: kind %v", ans.Kind)
 	}
 	whole, again := s.sendAs(c, "linz", 3, "pages", "1"), s.sendAs(c, "linz", 4)
 	s.advance(3 * time.Second)
-	if whole.Answer != client.Finished || pageCount(whole) > 0 || len(whole.Rows) == 0 || again.Answer != client.Finished {
-		t.Fatalf("%v %v of %v bytes, %v", whole.Answer, whole.Paging, len(whole.Rows), again.Answer)
+	if whole.Answer != client.Finished || pageCount(whole) > 0 || len(whole.Rows) == 0 ||
+		again.Answer != client.Finished {
+		t.Fatalf("answered %v, paging %v, %v bytes; the next was answered %v", whole.Answer, whole.Paging,
+			len(whole.Rows), again.Answer)
 	}
 	if n := s.R.ResultCache().Counts.Hits; n != 1 {
-		t.Fatalf("%d answered from the cache", n)
+		t.Fatalf("%d queries answered from the cache, want 1", n)
 	}
 	if free := s.sendAs(c, "linz", 5, "pages", "1"); s.advance(2*time.Second) && pageCount(free) < 2 {
-		t.Fatal("tables that no rule binds are kept no more")
+		t.Fatal("a result over tables that no rule binds isn't retained")
 	}
 }
--- a/internal/controller/residency_test.go
+++ b/internal/controller/residency_test.go
@@ -15,10 +15,12 @@
 	"railrelay.dev/railrelay/internal/residency"
 )
 
-// newResidencyHarness has engines at sites a, b and c in turn and itself stands at one; a call's
-// field who names its team.
-func newResidencyHarness(t interface{ Fatalf(string, ...any) }, engines int, site string, more map[string]string) *harness {
-	f := map[string]string{"locations": "a,b,c", "own.location": fmt.Sprint(strings.Index("abc", site)), "teams": "2", "team.0.name": "bank",
+// newResidencyHarness returns a harness whose engines are at sites a, b and c in turn, and whose controller
+// is at site. The field "who" of a call names its tenant.
+func newResidencyHarness(t interface{ Fatalf(string, ...any) }, engines int, site string,
+	more map[string]string) *harness {
+	f := map[string]string{"locations": "a,b,c", "own.location": fmt.Sprint(strings.Index("abc", site)),
+		"teams": "2", "team.0.name": "bank",
 		"team.1.name": "shop", "team.0.quota": "1000", "team.1.quota": "1000"}
 	maps.Copy(f, more)
 	return newFleetHarness(t, engines, f, func(m *Config) { m.FieldNames.Customer = "who" })
@@ -28,35 +30,38 @@
 	return s.controller.servingLease.residency.siteName(e.location)
 }
 
-// rules opens a version with rules.
+// openRules opens a policy version with the given rules.
 func (s *harness) openRules(version uint64, rules ...residency.Rule) {
 	s.deliverOrder(fleet.Order{Kind: fleet.LeaseRenewed, Until: fleet.Forever, UntilBound: fleet.Forever})
-	s.deliverOrder(fleet.Order{Kind: fleet.OpenPolicy, Version: version, Policy: &Policy{Version: version, Rules: rules}})
+	s.deliverOrder(fleet.Order{Kind: fleet.OpenPolicy, Version: version,
+		Policy: &Policy{Version: version, Rules: rules}})
 }
 
-func (s *harness) fleetRequests() (l []*fleet.Request) {
+// fleetRequests returns the requests that the controller has made to the fleet.
+func (s *harness) fleetRequests() (requests []*fleet.Request) {
 	for _, p := range s.reports {
 		if p.Kind == fleet.RequestMade {
-			l = append(l, p.Request)
+			requests = append(requests, p.Request)
 		}
 	}
-	return l
+	return requests
 }
 
 func TestConfinedQueryStaysInItsSites(t *testing.T) {
 	s := newResidencyHarness(t, 6, "a", nil)
-	s.openRules(1, residency.Rule{Name: "only-b", Team: "bank", Tables: []int64{1}, Engines: []string{"b"}, Controllers: []string{"a"}})
+	s.openRules(1, residency.Rule{Name: "only-b", Team: "bank", Tables: []int64{1}, Engines: []string{"b"},
+		Controllers: []string{"a"}})
 	c := s.connect()
 	for i := range 6 {
 		a := s.sendQuery(c, "lookup", "", 5*time.Second, 1, "who", "bank")
 		if h := s.waitForCall("POST", a.id); h.engine.site != "b" {
-			t.Fatalf("%d went to %s", i, h.engine.site)
+			t.Fatalf("query %d was sent to site %s, want b", i, h.engine.site)
 		}
 	}
 	if a := s.sendQuery(c, "lookup", "", 5*time.Second, 1, "who", "shop"); s.waitForCall("POST", a.id) == nil {
-		t.Fatal("another team's is held")
+		t.Fatal("another tenant's query is held")
 	}
-	// none inside: held while there is time, and never across
+	// without an engine at an allowed site the query is held until its deadline, and never sent elsewhere
 	for _, m := range s.sortedEngines() {
 		if m.site == "b" {
 			s.deliverOrder(fleet.Order{Kind: fleet.ViewChanged, View: &fleet.View{}})
@@ -75,8 +80,10 @@
 	s := newResidencyHarness(t, 3, "a", nil)
 	s.openRules(1, residency.Rule{Name: "in-a", Team: "bank", Tables: []int64{1}, Engines: []string{"a"}},
 		residency.Rule{Name: "in-b", Team: "bank", Tables: []int64{2}, Engines: []string{"b"}})
-	s.deliverOrder(fleet.Order{Kind: fleet.ViewChanged, View: &fleet.View{Members: []fleet.Member{{Name: "x", Site: "b", Clients: "10.9.9.9:6565"},
-		{Name: "y", Site: "b", Clients: "10.9.9.8:6565", Forgotten: true}, {Name: "z", Site: "c", Clients: "10.9.9.7:6565"}}}})
+	s.deliverOrder(fleet.Order{Kind: fleet.ViewChanged,
+		View: &fleet.View{Members: []fleet.Member{{Name: "x", Site: "b", Clients: "10.9.9.9:6565"},
+			{Name: "y", Site: "b", Clients: "10.9.9.8:6565", Forgotten: true},
+			{Name: "z", Site: "c", Clients: "10.9.9.7:6565"}}}})
 	c := s.connect()
 	s.statement = "select * from d_1.x join d_2.y using (id)"
 	both := s.sendQuery(c, "lookup", "", 5*time.Second, 0, "who", "bank")
@@ -85,21 +92,24 @@
 	if both.answer != "killed" || !bytes.Contains(both.answerBytes, []byte("in-a and in-b")) {
 		t.Fatalf("%q", both.answerBytes)
 	}
-	if other.answer != "deferred" || !bytes.Contains(other.answerBytes, []byte("10.9.9.9:6565")) || bytes.Contains(other.answerBytes, []byte("10.9.9.8")) ||
+	if other.answer != "deferred" || !bytes.Contains(other.answerBytes, []byte("10.9.9.9:6565")) ||
+		bytes.Contains(other.answerBytes, []byte("10.9.9.8")) ||
 		bytes.Contains(other.answerBytes, []byte("10.9.9.7")) {
 		t.Fatalf("%q", other.answerBytes)
 	}
 	s.statement = "select * from orders"
 	if a := s.sendQuery(c, "lookup", "", 5*time.Second, 0, "who", "bank"); a.answer != "killed" {
-		t.Fatal("what can't be told touches both", a.answer)
+		t.Fatal("a query with unknown tables must conflict with both rules:", a.answer)
 	}
 }
 
-// A load that takes bound tables into others is sent once the record has it, others of
-// its key stay behind it, and then the tables are bound.
+// A load that reads bound tables binds the tables that it writes. The load must be sent only once the log
+// has the binding, later loads with its key must wait behind it, and queries of the written tables must be
+// confined from then on.
 func TestLoadIsSentOnceItsBindingIsLogged(t *testing.T) {
 	s := newResidencyHarness(t, 3, "a", nil)
-	s.openRules(1, residency.Rule{Name: "r", Team: "bank", Tables: []int64{1}, Engines: []string{"a"}, Follows: true})
+	s.openRules(1, residency.Rule{Name: "r", Team: "bank", Tables: []int64{1}, Engines: []string{"a"},
+		Follows: true})
 	c := s.connect()
 	s.statement = "insert into d_5.x select * from d_1.y"
 	first := s.sendQuery(c, "load", "k", 9*time.Second, 0, "who", "bank")
@@ -107,27 +117,31 @@
 	s.statement = "insert into d_9.x values (1)"
 	behind := s.sendQuery(c, "load", "k", 9*time.Second, 0, "who", "bank")
 	s.runUntil(s.now + 300*time.Millisecond)
-	asks := s.fleetRequests()
-	if len(asks) != 1 || !slices.Equal(asks[0].Tables, []int64{5}) || !slices.Equal(asks[0].From, []int64{1}) || asks[0].Kind != "bind" {
-		t.Fatalf("%+v", asks)
+	requests := s.fleetRequests()
+	if len(requests) != 1 || !slices.Equal(requests[0].Tables, []int64{5}) ||
+		!slices.Equal(requests[0].From, []int64{1}) || requests[0].Kind != "bind" {
+		t.Fatalf("%+v", requests)
 	}
 	if len(first.runs)+len(alike.runs)+len(behind.runs) > 0 {
 		t.Fatal("sent before the record has it")
 	}
-	s.deliverOrder(fleet.Order{Kind: fleet.RequestAnswered, ID: asks[0].ID, Response: &fleet.Response{ID: asks[0].ID, Outcome: "unknown"}})
+	s.deliverOrder(fleet.Order{Kind: fleet.RequestAnswered, ID: requests[0].ID,
+		Response: &fleet.Response{ID: requests[0].ID, Outcome: "unknown"}})
 	s.runUntil(s.now + 200*time.Millisecond)
-	if again := s.fleetRequests(); len(again) != 2 || again[1].ID != asks[0].ID || len(first.runs) > 0 {
-		t.Fatalf("asked again by its id: %+v", again)
+	if again := s.fleetRequests(); len(again) != 2 || again[1].ID != requests[0].ID || len(first.runs) > 0 {
+		t.Fatalf("request not repeated with the same id: %+v", again)
 	}
-	s.deliverOrder(fleet.Order{Kind: fleet.RequestAnswered, ID: asks[0].ID, Response: &fleet.Response{ID: asks[0].ID, Outcome: "bound"}})
+	s.deliverOrder(fleet.Order{Kind: fleet.RequestAnswered, ID: requests[0].ID,
+		Response: &fleet.Response{ID: requests[0].ID, Outcome: "bound"}})
 	s.respond(s.waitForCall("POST", first.id), "ok")
 	s.waitForCall("POST", alike.id)
-	s.waitForCall("POST", behind.id) // posted checks the key's order
+	s.waitForCall("POST", behind.id) // the harness checks the order within a key
 	s.statement = ""
-	if h := s.waitForCall("POST", s.sendQuery(c, "lookup", "", 9*time.Second, 5, "who", "bank").id); h.engine.site != "a" {
-		t.Fatal("bound, and at", h.engine.site)
+	if h := s.waitForCall("POST",
+		s.sendQuery(c, "lookup", "", 9*time.Second, 5, "who", "bank").id); h.engine.site != "a" {
+		t.Fatal("query of a bound table sent to site", h.engine.site)
 	}
-	// who never hears of it is deferred in time, and may come again
+	// a load whose binding is never answered is deferred before its deadline
 	s.statement = "insert into d_6.x select * from d_5.y"
 	late := s.sendQuery(c, "load", "l", time.Second, 0, "who", "bank")
 	s.runUntil(late.deadline)
@@ -136,34 +150,39 @@
 	}
 }
 
-// A load that runs when a rule comes to follow what it takes along is recorded too.
+// If a new rule binds the tables that a running load reads, the tables that it writes must be bound as well.
 func TestNewRuleBindsTablesOfARunningLoad(t *testing.T) {
 	s := newResidencyHarness(t, 3, "a", nil)
 	s.openRules(1)
 	s.statement = "insert into d_5.x select * from d_1.y"
 	a := s.sendQuery(s.connect(), "load", "k", 9*time.Second, 0, "who", "bank")
 	s.respond(s.waitForCall("POST", a.id), "runs")
-	s.openRules(2, residency.Rule{Name: "r", Team: "bank", Tables: []int64{1}, Engines: []string{"a", "b"}, Controllers: []string{"a"}, Follows: true})
-	if asks := s.fleetRequests(); len(asks) != 1 || !slices.Equal(asks[0].Tables, []int64{5}) || len(a.runs) != 1 || a.answer != "" {
-		t.Fatalf("%+v %q", asks, a.answer)
+	s.openRules(2, residency.Rule{Name: "r", Team: "bank", Tables: []int64{1}, Engines: []string{"a", "b"},
+		Controllers: []string{"a"}, Follows: true})
+	if requests := s.fleetRequests(); len(requests) != 1 || !slices.Equal(requests[0].Tables, []int64{5}) ||
+		len(a.runs) != 1 || a.answer != "" {
+		t.Fatalf("%+v %q", requests, a.answer)
 	}
 }
 
 func TestEmergencyAllowsMoreSitesAndIsListed(t *testing.T) {
 	s := newResidencyHarness(t, 1, "a", map[string]string{"locations": "b,a", "own.location": "1"})
-	s.openRules(1, residency.Rule{Name: "r", Team: "bank", Engines: []string{"a"}, Emergency: residency.Emergency{Sites: []string{"b"}, After: time.Second}})
+	s.openRules(1, residency.Rule{Name: "r", Team: "bank", Engines: []string{"a"},
+		Emergency: residency.Emergency{Sites: []string{"b"}, After: time.Second}})
 	a := s.sendQuery(s.connect(), "lookup", "", 5*time.Second, 1, "who", "bank")
 	s.runUntil(s.now + 100*time.Millisecond)
 	if len(a.runs) > 0 {
-		t.Fatal("across")
+		t.Fatal("sent to another site before the emergency")
 	}
-	s.deliverOrder(fleet.Order{Kind: fleet.ViewChanged, View: &fleet.View{Emergencies: map[string]uint64{"r": 9}}})
+	s.deliverOrder(fleet.Order{Kind: fleet.ViewChanged,
+		View: &fleet.View{Emergencies: map[string]uint64{"r": 9}}})
 	h := s.waitForCall("POST", a.id)
-	if l, n := s.controller.EmergencyCrossings(); n != 1 || l[0] != (residency.Crossing{Query: a.id, Team: "bank", Rule: "r", Site: "b"}) {
+	if l, n := s.controller.EmergencyCrossings(); n != 1 ||
+		l[0] != (residency.Crossing{Query: a.id, Team: "bank", Rule: "r", Site: "b"}) {
 		t.Fatal(l, n)
 	}
 	s.respond(h, "runs")
-	s.runUntil(1050 * time.Millisecond) // sites are told each second
+	s.runUntil(1050 * time.Millisecond) // sites are reported every second
 	if p := s.lastSitesReport(); p.Outside != 1 {
 		t.Fatalf("%+v", p)
 	}
@@ -178,25 +197,26 @@
 	return last
 }
 
-// Whatever engines and rules do, no bound query is at an engine where the rules, as they
-// were when it was let go, forbid it.
+// Under random changes of engines and rules, no confined query may be sent to an engine that the rules in
+// force at that time forbid.
 func TestConfinedQueriesAreNeverSentOutside(t *testing.T) {
 	sent := 0
 	rapid.Check(t, func(t *rapid.T) {
 		s := newResidencyHarness(t, 6, "a", nil)
-		draws := func() (l []residency.Rule) {
+		drawRules := func() (rules []residency.Rule) {
 			for i, tables := range [][]int64{{1}, {2}, nil} {
 				if rapid.Bool().Draw(t, "rule") {
-					l = append(l, residency.Rule{Name: fmt.Sprint("r", i), Team: "bank", Tables: tables, Controllers: []string{"a"},
-						Engines: rapid.SampledFrom([][]string{{"a"}, {"b"}, {"a", "b"}, {"b", "c"}}).Draw(t, "engines")})
+					rules = append(rules, residency.Rule{Name: fmt.Sprint("r", i), Team: "bank", Tables: tables,
+						Controllers: []string{"a"},
+						Engines:     rapid.SampledFrom([][]string{{"a"}, {"b"}, {"a", "b"}, {"b", "c"}}).Draw(t, "engines")})
 				}
 			}
-			return l
+			return rules
 		}
-		now := draws()
-		s.openRules(1, now...)
+		current := drawRules()
+		s.openRules(1, current...)
 		seen := map[*fakeRun]bool{}
-		look := func() {
+		checkSent := func() {
 			for _, a := range s.queries {
 				for _, x := range a.runs {
 					if seen[x] {
@@ -207,9 +227,9 @@
 					}
 					sent++
 					c := residency.New("a")
-					c.Rules(now)
+					c.Rules(current)
 					if v := c.Judge("bank", []int64{int64(x.query.messageID % 3)}, true); !v.May(x.engine.site) {
-						t.Fatalf("%s at %s by %+v", a.id, x.engine.site, now)
+						t.Fatalf("query %s sent to site %s by rules %+v", a.id, x.engine.site, current)
 					}
 				}
 			}
@@ -220,7 +240,8 @@
 			case 0, 1, 2, 3:
 				who := rapid.SampledFrom([]string{"bank", "shop"}).Draw(t, "who")
 				if c.messageCount < 100 {
-					a := s.sendQuery(c, rapid.SampledFrom([]string{"lookup", "report"}).Draw(t, "group"), "", 3*time.Second, (c.messageCount+1)%3, "who", who)
+					a := s.sendQuery(c, rapid.SampledFrom([]string{"lookup", "report"}).Draw(t, "group"), "", 3*time.Second,
+						(c.messageCount+1)%3, "who", who)
 					a.key = who
 				}
 			case 4:
@@ -234,9 +255,9 @@
 				version++
 				s.deliverOrder(fleet.Order{Kind: fleet.FencePolicy, Change: "c"})
 				s.runUntil(s.now + rapid.SampledFrom([]time.Duration{0, 30 * time.Millisecond}).Draw(t, "switch"))
-				look()
-				now = draws()
-				s.openRules(version, now...)
+				checkSent()
+				current = drawRules()
+				s.openRules(version, current...)
 			case 6:
 				m := s.sortedEngines()[rapid.IntRange(0, 5).Draw(t, "engine")]
 				if m.state = "DRAINING"; rapid.Bool().Draw(t, "back") {
@@ -244,16 +265,17 @@
 				}
 				s.listEngines(m.endpointJSON(0))
 			}
-			s.runUntil(s.now + rapid.SampledFrom([]time.Duration{0, 5 * time.Millisecond, 400 * time.Millisecond}).Draw(t, "later"))
-			look()
+			s.runUntil(s.now + rapid.SampledFrom([]time.Duration{0, 5 * time.Millisecond,
+				400 * time.Millisecond}).Draw(t, "later"))
+			checkSent()
 		}
 	})
 	if sent < 1000 {
-		t.Fatalf("only %d bound submissions: nothing was tried", sent)
+		t.Fatalf("only %d attempts of confined queries, want at least 1000", sent)
 	}
 }
 
-// With the word that it decides by a tighter rule goes how much runs outside of that.
+// The report that a version is open must state how many attempts run outside the version's rules.
 func TestAttemptsOutsideAreReportedWithTheVersion(t *testing.T) {
 	s := newResidencyHarness(t, 3, "a", nil)
 	s.openRules(1)
@@ -268,11 +290,12 @@
 	}
 }
 
-// The answer to a binding reaches the loads that wait for it, also where a client asks for
-// a purge by the same id.
+// The fleet's reply to a binding request must reach the waiting loads even if a client's call for an
+// invalidation carries the same id.
 func TestClientCannotConsumeABindingsReply(t *testing.T) {
 	s := newResidencyHarness(t, 3, "a", nil)
-	s.openRules(1, residency.Rule{Name: "r", Team: "bank", Tables: []int64{1}, Engines: []string{"a"}, Follows: true})
+	s.openRules(1, residency.Rule{Name: "r", Team: "bank", Tables: []int64{1}, Engines: []string{"a"},
+		Follows: true})
 	s.controller.invalidation = newInvalidation(s.controller)
 	s.controller.servingLease.invalidator = s.controller.invalidation
 	c := s.connect()
@@ -282,6 +305,7 @@
 	id := s.fleetRequests()[0].ID
 	x := &invalidationCall{client: s.controller.clients[0], id: id, answerBy: s.now + time.Minute}
 	s.controller.invalidation.pendingCalls[id] = []*invalidationCall{x}
-	s.deliverOrder(fleet.Order{Kind: fleet.RequestAnswered, ID: id, Response: &fleet.Response{ID: id, Outcome: "bound"}})
+	s.deliverOrder(fleet.Order{Kind: fleet.RequestAnswered, ID: id,
+		Response: &fleet.Response{ID: id, Outcome: "bound"}})
 	s.waitForCall("POST", a.id)
 }
--- a/internal/controller/serving_lease_test.go
+++ b/internal/controller/serving_lease_test.go
@@ -13,20 +13,23 @@
 	"railrelay.dev/railrelay/internal/residency"
 )
 
-// newFleetHarness is a stage whose controller has peers, with nothing opened yet.
-func newFleetHarness(t interface{ Fatalf(string, ...any) }, engines int, more map[string]string, change ...func(*Config)) *harness {
-	return newHarness(t, engines, 256, more, append([]func(*Config){func(m *Config) { m.Fleet = &FleetConfig{ServingState: &fleet.ServingState{}} }}, change...)...)
+// newFleetHarness returns a harness whose controller has peers and no open policy version.
+func newFleetHarness(t interface{ Fatalf(string, ...any) }, engines int, more map[string]string,
+	change ...func(*Config)) *harness {
+	return newHarness(t, engines, 256, more, append(
+		[]func(*Config){func(m *Config) { m.Fleet = &FleetConfig{ServingState: &fleet.ServingState{}} }},
+		change...)...)
 }
 
 func (s *harness) deliverOrder(o fleet.Order) { s.step(Event{Kind: FleetOrderReceived, Order: &o}) }
 
-// opens has it decide by a version, with a lease for so long.
+// openVersion renews the lease for the given time and opens a policy version.
 func (s *harness) openVersion(version uint64, lease time.Duration) {
 	s.deliverOrder(fleet.Order{Kind: fleet.LeaseRenewed, Until: s.now + lease, UntilBound: s.now + lease})
 	s.deliverOrder(fleet.Order{Kind: fleet.OpenPolicy, Version: version, Policy: &Policy{Version: version}})
 }
 
-// mayWrite is the runner's last look: by the time it writes, it may be later.
+// mayWrite makes the runner's check right before a write, which may come later than the step.
 func (s *harness) mayWrite(f Effect) bool {
 	w := s.controller.Config.Fleet.ServingState
 	if !w.BeginWrite(s.now+s.writeDelay, f.PolicyVersion, f.Confined) {
@@ -34,12 +37,13 @@
 	}
 	w.EndWrite()
 	if n := len(s.submittedVersions); n > 0 && f.PolicyVersion < s.submittedVersions[n-1] {
-		s.t.Fatalf("submitted by version %d after one by %d", f.PolicyVersion, s.submittedVersions[n-1])
+		s.t.Fatalf("attempt sent by version %d after one by version %d", f.PolicyVersion, s.submittedVersions[n-1])
 	}
 	s.submittedVersions = append(s.submittedVersions, f.PolicyVersion)
 	return true
 }
 
+// reportCount returns the number of reports of a kind.
 func (s *harness) reportCount(kind fleet.ReportKind) (n int) {
 	for _, p := range s.reports {
 		if p.Kind == kind {
@@ -49,7 +53,8 @@
 	return n
 }
 
-// What comes while nothing may be decided waits, and goes on in the order it came.
+// Queries that arrive while the controller is paused must be held, and sent in the order of arrival once a
+// version opens.
 func TestHeldQueriesGoInOrderOnceAVersionOpens(t *testing.T) {
 	s := newFleetHarness(t, 1, nil)
 	c := s.connect()
@@ -57,54 +62,59 @@
 	gone := s.sendQuery(c, "lookup", "", 5*time.Second, 1)
 	s.cancel(gone)
 	s.runUntil(time.Second)
-	if len(first.runs) > 0 || s.controller.servingLease.heldCount != 2 || s.controller.servingLease.servingVersion(false) != 0 {
+	if len(first.runs) > 0 || s.controller.servingLease.heldCount != 2 ||
+		s.controller.servingLease.servingVersion(false) != 0 {
 		t.Fatalf("%d sent, %d held", len(first.runs), s.controller.servingLease.heldCount)
 	}
 	s.openVersion(1, time.Minute)
 	s.respond(s.waitForCall("POST", first.id), "ok")
-	s.respond(s.waitForCall("POST", next.id), "ok") // posted checks their order
+	s.respond(s.waitForCall("POST", next.id), "ok") // the harness checks their order
 	s.runUntil(s.now + 100*time.Millisecond)
-	if first.answer != "finished" || next.answer != "finished" || s.controller.servingLease.longestHold != time.Second {
+	if first.answer != "finished" || next.answer != "finished" ||
+		s.controller.servingLease.longestHold != time.Second {
 		t.Fatal(first.answer, next.answer, s.controller.servingLease.longestHold)
 	}
-	if s.reportCount(fleet.PolicyOpened) != 1 || s.reportCount(fleet.SitesServing) < 2 || !slices.Equal(s.reports[0].Sites, []string{"here"}) {
+	if s.reportCount(fleet.PolicyOpened) != 1 || s.reportCount(fleet.SitesServing) < 2 ||
+		!slices.Equal(s.reports[0].Sites, []string{"here"}) {
 		t.Fatalf("%+v", s.reports)
 	}
 }
 
-// Held too long, or at the end of its client's patience, one is deferred in time; more
-// than may be held are at once. None of it was ever sent.
+// A held query must be deferred after MaxHold, or shortly before its deadline if that is earlier. Beyond
+// maxHeldQueries, queries must be deferred at once. None of them may be sent.
 func TestQueryHeldForTooLongIsDeferred(t *testing.T) {
 	s := newFleetHarness(t, 1, nil)
 	c := s.connect()
-	long, short := s.sendQuery(c, "load", "k", 9*time.Second, 1), s.sendQuery(c, "load", "k", 500*time.Millisecond, 1)
+	long, short := s.sendQuery(c, "load", "k", 9*time.Second, 1),
+		s.sendQuery(c, "load", "k", 500*time.Millisecond, 1)
 	s.runUntil(495 * time.Millisecond)
 	if short.answer != "deferred" || long.answer != "" {
 		t.Fatal(short.answer, long.answer)
 	}
 	s.runUntil(defaultMaxHold + time.Millisecond)
-	if long.answer != "deferred" || s.controller.servingLease.deferredHeld != 2 || len(s.controller.queries) > 0 {
+	if long.answer != "deferred" || s.controller.servingLease.deferredHeld != 2 ||
+		len(s.controller.queries) > 0 {
 		t.Fatal(long.answer, s.controller.servingLease.deferredHeld)
 	}
 	s.controller.servingLease.heldCount = maxHeldQueries
-	over := s.sendQuery(c, "lookup", "", 9*time.Second, 1)
+	excess := s.sendQuery(c, "lookup", "", 9*time.Second, 1)
 	s.controller.servingLease.heldCount = 0
-	if over.answer != "deferred" || len(s.submittedVersions) > 0 {
-		t.Fatal(over.answer)
+	if excess.answer != "deferred" || len(s.submittedVersions) > 0 {
+		t.Fatal(excess.answer)
 	}
 }
 
-// The lease ends with queries in hand: with the decisions, chosen for an engine and
-// not sent, and running. Those that run go on, the others wait and are deferred.
+// When the lease ends, running attempts must go on. Queries in the scheduler, and attempts that have an
+// engine but aren't sent, must wait and then be deferred.
 func TestNothingIsSentAfterTheLeaseEnds(t *testing.T) {
 	s := newFleetHarness(t, 1, map[string]string{"may.copy": "false"})
 	s.openVersion(1, 100*time.Millisecond)
 	c := s.connect()
 	runs := s.sendQuery(c, "load", "k", 9*time.Second, 1)
 	s.respond(s.waitForCall("POST", runs.id), "runs")
-	behind := s.sendQuery(c, "load", "k", 9*time.Second, 2) // of its key, with the decisions
+	behind := s.sendQuery(c, "load", "k", 9*time.Second, 2) // same key, waits in the scheduler
 	s.runUntil(99 * time.Millisecond)
-	s.controller.pool.limit = s.controller.pool.open // so that the next waits for a line
+	s.controller.pool.limit = s.controller.pool.open // so that the next attempt waits for a connection
 	chosen := s.sendQuery(c, "lookup", "", 9*time.Second, 3)
 	s.runUntil(200 * time.Millisecond)
 	s.controller.pool.limit = 100
@@ -123,16 +133,18 @@
 	}
 }
 
-// The process stands still past its lease right before a submission is written: none
-// of it goes out, it is known never to have run, and is sent once there is a lease.
+// If the process stalls past the end of its lease right before it writes a request, nothing may be written.
+// The attempt counts as never sent, and the query must be sent again once there is a lease.
 func TestWriteIsBarredAfterAStallPastTheLease(t *testing.T) {
 	s := newFleetHarness(t, 1, nil)
 	s.openVersion(1, 10*time.Second)
 	s.writeDelay = time.Minute
 	a := s.sendQuery(s.connect(), "load", "k", 9*time.Second, 1)
 	s.runUntil(50 * time.Millisecond)
-	if len(a.runs) > 0 || s.controller.servingLease.rejectedWrites == 0 || s.controller.counters.attemptEnds[7] == 0 {
-		t.Fatalf("%d sent, %d refused, %v", len(a.runs), s.controller.servingLease.rejectedWrites, s.controller.counters.attemptEnds)
+	if len(a.runs) > 0 || s.controller.servingLease.rejectedWrites == 0 ||
+		s.controller.counters.attemptEnds[7] == 0 {
+		t.Fatalf("%d sent, %d writes rejected, attempt ends %v", len(a.runs),
+			s.controller.servingLease.rejectedWrites, s.controller.counters.attemptEnds)
 	}
 	s = newFleetHarness(t, 1, nil)
 	s.openVersion(1, 10*time.Second)
@@ -149,37 +161,41 @@
 	}
 }
 
-// A switch is told closed only once nothing is being written, and what waited is
-// judged by the next version: its limits, its teams' places, its placement.
+// A fence must be reported only once no write is under way. A held query must be judged by the next version:
+// by its limits, its customers and its rules.
 func TestHeldQueryIsAdmittedByTheNextVersion(t *testing.T) {
-	s := newFleetHarness(t, 1, map[string]string{"teams": "1", "team.0.name": "old", "team.0.quota": "5"}, func(m *Config) { m.FieldNames.Customer = "who" })
+	s := newFleetHarness(t, 1, map[string]string{"teams": "1", "team.0.name": "old", "team.0.quota": "5"},
+		func(m *Config) { m.FieldNames.Customer = "who" })
 	s.openVersion(1, time.Minute)
 	c := s.connect()
-	word := s.controller.Config.Fleet.ServingState
-	word.BeginWrite(s.now, 1, false) // one is being written
+	state := s.controller.Config.Fleet.ServingState
+	state.BeginWrite(s.now, 1, false) // a write is under way
 	s.deliverOrder(fleet.Order{Kind: fleet.FencePolicy, Change: "c"})
 	s.runUntil(10 * time.Millisecond)
 	a := s.sendQuery(c, "lookup", "", 5*time.Second, 1, "who", "new")
 	b := s.sendQuery(c, "lookup", "", 25*time.Second, 1)
 	if s.reportCount(fleet.PolicyFenced) != 0 || len(a.runs) > 0 {
-		t.Fatal("closed while something is being written")
+		t.Fatal("fence reported, or query sent, during a write")
 	}
-	word.EndWrite()
+	state.EndWrite()
 	s.runUntil(12 * time.Millisecond)
 	if s.reportCount(fleet.PolicyFenced) != 1 {
-		t.Fatal("not told")
+		t.Fatal("fence not reported after the write")
 	}
-	s.deliverOrder(fleet.Order{Kind: fleet.OpenPolicy, Version: 2, Policy: &Policy{Version: 2, Settings: map[string]string{"group.0.timeout": "20000",
-		"group.0.value": "9", "group.0.target": "700", "threads": "2,3,2", "teams": "2", "team.0.name": "old", "team.1.name": "new", "team.1.quota": "7",
-		"group.0.effect": "mutating"}}})
+	s.deliverOrder(fleet.Order{Kind: fleet.OpenPolicy, Version: 2,
+		Policy: &Policy{Version: 2, Settings: map[string]string{"group.0.timeout": "20000",
+			"group.0.value": "9", "group.0.target": "700", "threads": "2,3,2", "teams": "2", "team.0.name": "old",
+			"team.1.name": "new", "team.1.quota": "7",
+			"group.0.effect": "mutating"}}})
 	if q := s.controller.queries[a.id]; q == nil || q.customer != 1 {
 		t.Fatalf("%+v", q)
 	}
-	if g := s.controller.groups["lookup"]; b.answer != "killed" || g.priorityWeight != 9 || g.threads != 2 || g.latencyObjective != 700*time.Millisecond {
+	if g := s.controller.groups["lookup"]; b.answer != "killed" || g.priorityWeight != 9 || g.threads != 2 ||
+		g.latencyObjective != 700*time.Millisecond {
 		t.Fatalf("%q %+v", b.answer, g)
 	}
 	if s.controller.Settings["group.0.effect"] != "read-only" || s.controller.servingLease.policySwitches != 1 {
-		t.Fatal("more was taken over than is the fleet's")
+		t.Fatal("a setting that the fleet must not change was changed, or switches were miscounted")
 	}
 	s.runUntil(s.now + 50*time.Millisecond)
 	if !slices.Equal(s.submittedVersions, []uint64{2}) {
@@ -187,18 +203,18 @@
 	}
 }
 
-// A submission held over a switch goes back to the decisions where the next version
-// doesn't let it go to the engine that it was chosen for.
+// An attempt that is blocked during a change of version must go back to the scheduler if the next version
+// forbids its engine.
 func TestBlockedAttemptObeysTheNextVersion(t *testing.T) {
 	s := newResidencyHarness(t, 2, "a", map[string]string{"may.probe": "false", "report.how": "off"})
 	s.openVersion(1, time.Minute)
 	s.statement = "insert into d_1.x select 1"
 	a := s.sendQuery(s.connect(), "load", "k", 9*time.Second, 1, "who", "bank")
 	q := s.controller.queries[a.id]
-	s.deliverOrder(fleet.Order{Kind: fleet.FencePolicy, Change: "c"}) // while it waits for a line
+	s.deliverOrder(fleet.Order{Kind: fleet.FencePolicy, Change: "c"}) // while the attempt waits for a connection
 	s.runUntil(s.now + 300*time.Millisecond)
 	if len(s.controller.servingLease.blockedAttempts) != 1 {
-		t.Fatal("it doesn't wait")
+		t.Fatal("the attempt isn't blocked")
 	}
 	chosen, other := q.attempts[0].engine.id, "a"
 	if s.siteOf(q.attempts[0].engine) == "a" {
@@ -207,31 +223,39 @@
 	s.deliverOrder(fleet.Order{Kind: fleet.OpenPolicy, Version: 2, Policy: &Policy{Version: 2,
 		Rules: []residency.Rule{{Name: "r", Team: "bank", Engines: []string{other}, Controllers: []string{"a"}}}}})
 	h := s.waitForCall("POST", a.id)
-	if h.engine.id == chosen || h.engine.site != other || !slices.Equal(s.submittedVersions, []uint64{2}) || s.controller.counters.attemptEnds[7] != 1 {
-		t.Fatalf("to %s, chosen was %s, %v, %v", h.engine.id, chosen, s.submittedVersions, s.controller.counters.attemptEnds)
+	if h.engine.id == chosen || h.engine.site != other || !slices.Equal(s.submittedVersions, []uint64{2}) ||
+		s.controller.counters.attemptEnds[7] != 1 {
+		t.Fatalf("sent to %s, chosen first was %s, versions %v, attempt ends %v", h.engine.id, chosen,
+			s.submittedVersions, s.controller.counters.attemptEnds)
 	}
 }
 
-// Bound teams' queries can need a shorter lease: only they wait, and none of their
-// key overtakes them.
+// Confined queries need the shorter lease of their own. Without it only they must wait, along with the later
+// queries of their keys.
 func TestOnlyConfinedTenantsWaitForTheirLease(t *testing.T) {
-	s := newFleetHarness(t, 1, nil, func(m *Config) { m.Fleet.IsConfined = func(_ string, tables int64) bool { return tables == 7 } })
+	s := newFleetHarness(t, 1, nil, func(m *Config) {
+		m.Fleet.IsConfined = func(_ string, tables int64) bool { return tables == 7 }
+	})
 	s.deliverOrder(fleet.Order{Kind: fleet.OpenPolicy, Version: 1})
 	s.deliverOrder(fleet.Order{Kind: fleet.LeaseRenewed, Until: fleet.Forever})
 	c := s.connect()
-	bound, free, behind := s.sendQuery(c, "load", "k", 9*time.Second, 7), s.sendQuery(c, "load", "x", 9*time.Second, 1), s.sendQuery(c, "load", "k", 9*time.Second, 2)
+	confined, free, behind := s.sendQuery(c, "load", "k", 9*time.Second, 7),
+		s.sendQuery(c, "load", "x", 9*time.Second, 1), s.sendQuery(c, "load", "k", 9*time.Second, 2)
 	s.runUntil(time.Second)
-	if len(bound.runs)+len(behind.runs) > 0 || len(free.runs) != 1 {
-		t.Fatal(len(bound.runs), len(behind.runs), len(free.runs))
+	if len(confined.runs)+len(behind.runs) > 0 || len(free.runs) != 1 {
+		t.Fatal(len(confined.runs), len(behind.runs), len(free.runs))
 	}
 	s.deliverOrder(fleet.Order{Kind: fleet.LeaseRenewed, Until: fleet.Forever, UntilBound: s.now + time.Minute})
-	s.respond(s.waitForCall("POST", bound.id), "ok")
+	s.respond(s.waitForCall("POST", confined.id), "ok")
 	s.waitForCall("POST", behind.id)
 }
 
-// Teams' turns stand still with all else, and a full ring loses no report.
+// The fair queue must not dispatch while the controller is paused, and reports that the fleet's full queue
+// rejected must be resent in order.
 func TestFairQueuePausesAndRejectedReportsAreResent(t *testing.T) {
-	s := newFleetHarness(t, 0, nil, func(m *Config) { m.Tenants = &fairqueue.Config{Tenants: []fairqueue.Tenant{{Name: "a", Weight: 1}}} })
+	s := newFleetHarness(t, 0, nil, func(m *Config) {
+		m.Tenants = &fairqueue.Config{Tenants: []fairqueue.Tenant{{Name: "a", Weight: 1}}}
+	})
 	s.openVersion(1, time.Minute)
 	c := s.connect()
 	for range 3 {
@@ -242,9 +266,11 @@
 	waits := s.controller.fairQueue.queue.WaitingCount()
 	s.runUntil(time.Second)
 	if s.controller.fairQueue.queue.WaitingCount() != waits || s.reportCount(fleet.PolicyFenced) != 0 {
-		t.Fatal("it went on")
+		t.Fatal("the fair queue dispatched while paused, or a rejected report was received")
 	}
-	s.deliverOrder(fleet.Order{Kind: fleet.OpenPolicy, Version: 2, Policy: &Policy{Version: 2, Tenants: &fairqueue.Config{Tenants: []fairqueue.Tenant{{Name: "b", Weight: 1}}}}})
+	s.deliverOrder(fleet.Order{Kind: fleet.OpenPolicy, Version: 2,
+		Policy: &Policy{Version: 2, Tenants: &fairqueue.Config{
+			Tenants: []fairqueue.Tenant{{Name: "b", Weight: 1}}}}})
 	s.deliverOrder(fleet.Order{Kind: fleet.InvalidateData, ID: "p", Scope: &fleet.Scope{Team: "a"}})
 	s.rejectReports, s.reports = false, nil
 	s.runUntil(s.now + 2*reportRetryInterval)
@@ -252,7 +278,8 @@
 	for _, p := range s.reports {
 		kinds = append(kinds, p.Kind)
 	}
-	if !slices.Equal(kinds, []fleet.ReportKind{fleet.PolicyFenced, fleet.PolicyOpened, fleet.DataTombstoned, fleet.DataErased}) {
+	if !slices.Equal(kinds, []fleet.ReportKind{fleet.PolicyFenced, fleet.PolicyOpened, fleet.DataTombstoned,
+		fleet.DataErased}) {
 		t.Fatal(kinds)
 	}
 	s.step(Event{Kind: CountersRequested})
@@ -261,10 +288,10 @@
 	}
 }
 
-// Whatever happens between, the rules hold with versions that come and go, leases that
-// end and a process that stands still: and nothing by an older version after a newer.
+// Under random events, changes of version, ends of leases and stalls of the process, the invariants that the
+// harness checks must hold, and no attempt may be sent by an older version after one by a newer version.
 func TestInvariantsHoldInAFleet(t *testing.T) {
-	struck := map[string]int{}
+	reached := map[string]int{}
 	rapid.Check(t, func(t *rapid.T) {
 		choices := rapid.SliceOfN(rapid.Uint16(), 60, 150).Draw(t, "choices")
 		orders := rapid.SliceOfN(rapid.IntRange(0, 7), 8, 8).Draw(t, "orders")
@@ -290,9 +317,10 @@
 				before := len(s.submittedVersions)
 				s.runUntil(s.now + 20*time.Millisecond)
 				if len(s.submittedVersions) > before {
-					t.Fatalf("submitted while shut")
+					t.Fatalf("attempt sent while the policy was fenced")
 				}
-				s.deliverOrder(fleet.Order{Kind: fleet.OpenPolicy, Version: version, Policy: &Policy{Settings: map[string]string{"threads": "2,2,2"}}})
+				s.deliverOrder(fleet.Order{Kind: fleet.OpenPolicy, Version: version,
+					Policy: &Policy{Settings: map[string]string{"threads": "2,2,2"}}})
 			case 4:
 				s.deliverOrder(fleet.Order{Kind: fleet.OpenPolicy, Version: version})
 				lease(time.Minute)
@@ -305,25 +333,25 @@
 			}
 			s.randomEvents(choices[i*part : (i+1)*part])
 		}
-		struck["refused"] += s.controller.servingLease.rejectedWrites
-		struck["held"] += s.controller.servingLease.heldTotal
-		struck["deferred"] += s.controller.servingLease.deferredHeld
-		struck["parked"] += len(s.controller.servingLease.blockedAttempts)
-		struck["switches"] += s.controller.servingLease.policySwitches
-		struck["written"] += len(s.submittedVersions)
+		reached["refused"] += s.controller.servingLease.rejectedWrites
+		reached["held"] += s.controller.servingLease.heldTotal
+		reached["deferred"] += s.controller.servingLease.deferredHeld
+		reached["blocked"] += len(s.controller.servingLease.blockedAttempts)
+		reached["switches"] += s.controller.servingLease.policySwitches
+		reached["written"] += len(s.submittedVersions)
 		s.runRandom(nil)
 	})
-	for _, what := range []string{"refused", "held", "deferred", "parked", "switches", "written"} {
-		if struck[what] == 0 {
-			t.Errorf("none was ever %s: %v", what, struck)
+	for _, what := range []string{"refused", "held", "deferred", "blocked", "switches", "written"} {
+		if reached[what] == 0 {
+			t.Errorf("no case of %s was reached: %v", what, reached)
 		}
 	}
 }
 
-// A query costs no more allocations with peers than without.
+// With peers a query may cost at most one allocation more than without, for the periodic reports of sites.
 func TestPeersCostNoAllocationsPerQuery(t *testing.T) {
-	cost := func(with ...func(*Config)) float64 {
-		s := newHarness(t, 1, 256, nil, with...)
+	cost := func(change ...func(*Config)) float64 {
+		s := newHarness(t, 1, 256, nil, change...)
 		if s.controller.servingLease != nil {
 			s.openVersion(1, time.Hour)
 		}
@@ -343,8 +371,10 @@
 		one()
 		return testing.AllocsPerRun(100, one)
 	}
-	off, on := cost(), cost(func(m *Config) { m.Fleet = &FleetConfig{ServingState: &fleet.ServingState{}} })
-	if on > off+1 { // the sites told each second
-		t.Fatalf("%v off, %v on", off, on)
+	without, with := cost(), cost(func(m *Config) {
+		m.Fleet = &FleetConfig{ServingState: &fleet.ServingState{}}
+	})
+	if with > without+1 { // one for the sites reported every second
+		t.Fatalf("%v allocations without peers, %v with", without, with)
 	}
 }
