--- a/internal/controller/invalidation_test.go
+++ b/internal/controller/invalidation_test.go
@@ -18,21 +18,25 @@
 	"railrelay.dev/railrelay/internal/resultcache"
 )
 
-// keeps is a world whose controller keeps results and answers, alone or in a fleet.
-func newRetainingWorld(t *testing.T, word *fleet.ServingState, change ...func(*controller.Config)) *spoolWorld {
+// newRetainingWorld returns a world whose controller retains results and answers. The controller has peers if
+// state isn't nil.
+func newRetainingWorld(t *testing.T, state *fleet.ServingState,
+	change ...func(*controller.Config)) *spoolWorld {
 	d := disk.New()
-	return newRetainingWorldOn(t, d, disk.NewIndex(d), word, change...)
+	return newRetainingWorldOn(t, d, disk.NewIndex(d), state, change...)
 }
 
-func newRetainingWorldOn(t *testing.T, d *disk.Disk, x *disk.Index, word *fleet.ServingState, change ...func(*controller.Config)) *spoolWorld {
+// newRetainingWorldOn is newRetainingWorld with a given disk and index.
+func newRetainingWorldOn(t *testing.T, d *disk.Disk, x *disk.Index, state *fleet.ServingState,
+	change ...func(*controller.Config)) *spoolWorld {
 	small := testLimits()
 	small.Memory = 200 << 10
 	return newSpoolWorld(t, d, x, small, nil, func(m *controller.Config) {
 		l := resultcache.DefaultLimits()
 		m.CacheLimits = &l
-		m.FieldNames.Customer = "team" // whose a call is, believed from anybody
-		if word != nil {
-			m.Fleet = &controller.FleetConfig{ServingState: word}
+		m.FieldNames.Customer = "team" // names the data's owner; trusted from any address
+		if state != nil {
+			m.Fleet = &controller.FleetConfig{ServingState: state}
 		}
 		for _, do := range change {
 			do(m)
@@ -40,35 +44,39 @@
 	})
 }
 
+// sendAs sends a query of a team over a table group.
 func (s *spoolWorld) sendAs(c *world.Client, team string, tables int64, more ...string) *world.Asked {
 	s.serial++
 	return c.Ask(fmt.Sprintf("%016x", s.serial), "report", "", 12*time.Second,
-		engine.Work{Threads: 1, CPU: 200 * time.Millisecond, MemoryMB: 10, Rows: 3000, Tables: tables}, append(more, "team", team)...)
+		engine.Work{Threads: 1, CPU: 200 * time.Millisecond, MemoryMB: 10, Rows: 3000, Tables: tables},
+		append(more, "team", team)...)
 }
 
-// purge asks for one and gives what was told; nil while nothing was.
+// purge calls for an invalidation. The returned answer is filled in when it arrives.
 func (s *spoolWorld) purge(c *world.Client, fields ...string) *client.Answer {
 	a := &client.Answer{Msg: 0}
 	c.Purge(func(ans client.Answer) { *a = ans }, fields...)
 	return a
 }
 
-// mark is how a query's rows begin on disk.
+// firstRow returns the first row of a query's result, by which the result is found on disk.
 func firstRow(a *world.Asked) []byte { return []byte(engine.Row(a.ID, 0)) }
 
-// A team has its kept results gone: its tokens open nothing at once, a page being read
-// then comes out no more, and "purged" is told once no byte is on disk. The others' stay.
+// From the start of an invalidation the tenant's tokens must be invalid, and a page that is being read
+// from disk must not be served. "purged" may be answered only once no byte is on disk. Results of other
+// tenants and over other tables must stay.
 func TestInvalidationWithoutPeers(t *testing.T) {
 	s := newRetainingWorld(t, nil)
 	c := s.client()
-	theirs, other, elsewhere := s.sendAs(c, "linz", 3, "pages", "1"), s.sendAs(c, "steyr", 3, "pages", "1"), s.sendAs(c, "linz", 4, "pages", "1")
+	theirs, other, elsewhere := s.sendAs(c, "linz", 3, "pages", "1"), s.sendAs(c, "steyr", 3, "pages", "1"),
+		s.sendAs(c, "linz", 4, "pages", "1")
 	s.Until(2 * time.Second)
-	for i := range 30 { // what is kept in memory goes to disk
+	for i := range 30 { // so that results move from memory to disk
 		s.sendAs(c, "steyr", int64(10+i), "pages", "1")
 	}
 	s.Until(6 * time.Second)
 	if len(s.disk.Holds(firstRow(theirs))) == 0 || pageCount(theirs) < 3 {
-		t.Fatal("it isn't on disk")
+		t.Fatal("the result isn't on disk")
 	}
 	page := func(a *world.Asked, n int) *client.Answer {
 		ans := &client.Answer{Kind: -1}
@@ -76,43 +84,46 @@
 		return ans
 	}
 	s.Disk = 20 * time.Millisecond
-	under := page(theirs, 2)
-	s.Until(s.Now + time.Millisecond) // it is being read from disk
-	if under.Kind != -1 {
+	during := page(theirs, 2)
+	s.Until(s.Now + time.Millisecond) // the page is being read from disk
+	if during.Kind != -1 {
 		t.Fatal("the page was in memory")
 	}
 	done := s.purge(c, "patience", "5000", "tables", "3", "team", "linz")
 	s.Until(s.Now + time.Millisecond)
 	late := page(theirs, 1)
 	s.Until(s.Now + time.Second)
-	if under.Kind != client.Killed || late.Kind != client.Killed || under.Why != late.Why {
-		t.Fatalf("read after its purge: %+v %+v", under, late)
+	if during.Kind != client.Killed || late.Kind != client.Killed || during.Why != late.Why {
+		t.Fatalf("pages answered after the invalidation: %+v %+v", during, late)
 	}
 	if n := done.About; n["state"] != "purged" || n["results"] != "1" || n["id"] == "" {
-		t.Fatalf("told %+v", done)
+		t.Fatalf("answer of the invalidation: %+v", done)
 	}
 	if l := s.disk.Holds(firstRow(theirs)); len(l) > 0 {
-		t.Fatal("purged is told, and it is in ", l)
+		t.Fatal("answered purged, but the result is still in ", l)
 	}
 	for _, a := range []*world.Asked{other, elsewhere} {
 		if ans := page(a, 1); s.advance(time.Second) && ans.Kind != client.Finished {
-			t.Fatalf("another's went, too: %+v", ans)
+			t.Fatalf("another result was invalidated as well: %+v", ans)
 		}
 	}
 	again := s.purge(c, "patience", "100", "id", done.About["id"], "team", "linz")
 	foreign := s.purge(c, "patience", "100", "id", done.About["id"], "team", "steyr")
 	s.Until(s.Now + time.Second)
-	if again.About["state"] != "purged" || again.About["bytes"] != done.About["bytes"] || foreign.Kind != client.Killed {
-		t.Fatalf("asked again: %+v, by another team: %+v", again, foreign)
+	if again.About["state"] != "purged" || again.About["bytes"] != done.About["bytes"] ||
+		foreign.Kind != client.Killed {
+		t.Fatalf("state for the same team: %+v, for another team: %+v", again, foreign)
 	}
 }
 
+// advance lets time pass. It returns true, so that a condition can begin with it.
 func (s *spoolWorld) advance(d time.Duration) bool {
 	s.Until(s.Now + d)
 	return true
 }
 
-// What is being taken in when a purge comes is not kept; its query may come again.
+// A result that is being spooled when an invalidation arrives must be dropped. Its query must be deferred,
+// and be able to succeed when it is repeated.
 func TestInvalidationWhileResultIsSpooled(t *testing.T) {
 	s := newRetainingWorld(t, nil)
 	c := s.client()
@@ -124,18 +135,18 @@
 		t.Fatalf("%v, %+v", a.Answer, done)
 	}
 	if held, _, _ := s.R.SpoolUsage(); held != 0 || s.keeper.Live() != 0 {
-		t.Fatal("it is kept")
+		t.Fatal("the result is retained")
 	}
 	if b := s.sendAs(c, "linz", 3, "pages", "1"); s.advance(3*time.Second) && pageCount(b) < 2 {
-		t.Fatal("nothing is kept any more")
+		t.Fatal("the result of the repeated query isn't retained")
 	}
 }
 
-// In a fleet a purge is what the record orders: unreached and wiped are reported in
-// turn, what a client asked for is handed on and answered by the fleet's word.
+// With peers the controller must pass a client's call on to the fleet and answer it with the fleet's
+// reply, and invalidate only on an order, reporting DataTombstoned and then DataErased.
 func TestInvalidationInAFleet(t *testing.T) {
-	word := &fleet.ServingState{}
-	s := newRetainingWorld(t, word)
+	state := &fleet.ServingState{}
+	s := newRetainingWorld(t, state)
 	c := s.client()
 	s.Order(fleet.Order{Kind: fleet.OpenPolicy, Version: 1})
 	s.Order(fleet.Order{Kind: fleet.LeaseRenewed, Until: fleet.Forever, UntilBound: 4 * time.Second})
@@ -143,64 +154,78 @@
 	whole := s.sendAs(c, "linz", 3)
 	s.Until(3 * time.Second)
 	if pageCount(a) < 2 || len(whole.Rows) == 0 {
-		t.Fatal("nothing is kept")
+		t.Fatal("nothing is retained")
 	}
 	s.Order(fleet.Order{Kind: fleet.ViewChanged, View: &fleet.View{Index: 7}})
 	later := s.sendAs(c, "linz", 3, "pages", "1")
 	s.Until(3900 * time.Millisecond)
-	asks := []*client.Answer{s.purge(c, "patience", "1000", "team", "linz"), s.purge(c, "patience", "9000", "id", "p1", "team", "linz")}
-	s.Until(4100 * time.Millisecond) // the lease of bound teams is over
+	answers := []*client.Answer{s.purge(c, "patience", "1000", "team", "linz"),
+		s.purge(c, "patience", "9000", "id", "p1", "team", "linz")}
+	s.Until(4100 * time.Millisecond) // the lease of confined tenants has ended
 	barred, cached := &client.Answer{}, s.sendAs(c, "linz", 3)
 	c.Page(a.Paging["token"], 1, func(ans client.Answer) { *barred = ans }, "team", "linz")
 	s.Until(4200 * time.Millisecond)
-	if barred.Kind != client.Deferred || cached.Answered && cached.Answer == client.Finished && bytes.Equal(cached.Rows, whole.Rows) {
-		t.Fatalf("served without a lease: %+v", barred)
+	if barred.Kind != client.Deferred || cached.Answered && cached.Answer == client.Finished &&
+		bytes.Equal(cached.Rows, whole.Rows) {
+		t.Fatalf("retained data served without a lease: %+v", barred)
 	}
-	s.Reports = slices.DeleteFunc(s.Reports, func(p fleet.Report) bool { return p.Kind == fleet.SitesServing || p.Kind == fleet.PolicyOpened })
-	if len(s.Reports) != 2 || s.Reports[0].Request.Kind != "purge" || s.Reports[0].Request.Scope.Team != "linz" || s.Reports[1].Request.Kind != "status" ||
+	s.Reports = slices.DeleteFunc(s.Reports, func(p fleet.Report) bool {
+		return p.Kind == fleet.SitesServing || p.Kind == fleet.PolicyOpened
+	})
+	if len(s.Reports) != 2 || s.Reports[0].Request.Kind != "purge" ||
+		s.Reports[0].Request.Scope.Team != "linz" || s.Reports[1].Request.Kind != "status" ||
 		s.Reports[1].Request.ID != "p1" || s.Reports[1].Request.Team != "linz" {
-		t.Fatalf("the fleet isn't asked: %+v", s.Reports)
+		t.Fatalf("requests to the fleet: %+v", s.Reports)
 	}
 	first := s.Reports[0].Request.ID
 	s.Order(fleet.Order{Kind: fleet.InvalidateData, ID: first, Scope: &fleet.Scope{Team: "linz"}, Index: 7})
 	s.Until(4800 * time.Millisecond)
-	l := slices.DeleteFunc(s.Reports[2:], func(p fleet.Report) bool { return p.Kind == fleet.SitesServing })
-	if len(l) != 2 || l[0].Kind != fleet.DataTombstoned || l[1].Kind != fleet.DataErased || l[0].ID != first || l[1].Counts.Results != 1 || l[1].Counts.Answers != 1 {
-		t.Fatalf("reported %+v", l)
+	reports := slices.DeleteFunc(s.Reports[2:], func(p fleet.Report) bool {
+		return p.Kind == fleet.SitesServing
+	})
+	if len(reports) != 2 || reports[0].Kind != fleet.DataTombstoned || reports[1].Kind != fleet.DataErased ||
+		reports[0].ID != first || reports[1].Counts.Results != 1 || reports[1].Counts.Answers != 1 {
+		t.Fatalf("reported %+v", reports)
 	}
 	s.Until(4880 * time.Millisecond)
-	s.Order(fleet.Order{Kind: fleet.RequestAnswered, ID: first, Response: &fleet.Response{ID: first, Outcome: "unknown", Stage: fleet.EntryTombstone, Outstanding: []string{"b", "c"}}})
-	s.Order(fleet.Order{Kind: fleet.RequestAnswered, ID: "p1", Response: &fleet.Response{ID: "p1", Outcome: "purged", Counts: &fleet.InvalidationCounts{Results: 4}}})
+	s.Order(fleet.Order{Kind: fleet.RequestAnswered, ID: first,
+		Response: &fleet.Response{ID: first, Outcome: "unknown", Stage: fleet.EntryTombstone,
+			Outstanding: []string{"b", "c"}}})
+	s.Order(fleet.Order{Kind: fleet.RequestAnswered, ID: "p1",
+		Response: &fleet.Response{ID: "p1", Outcome: "purged", Counts: &fleet.InvalidationCounts{Results: 4}}})
 	s.Until(5 * time.Second)
-	if n := asks[0].About; n["state"] != "not yet" || n["outstanding"] != "b,c" || n["id"] != first {
-		t.Errorf("at the end of its patience: %+v", asks[0])
+	if n := answers[0].About; n["state"] != "not yet" || n["outstanding"] != "b,c" || n["id"] != first {
+		t.Errorf("answer at the deadline: %+v", answers[0])
 	}
-	if n := asks[1].About; n["state"] != "purged" || n["results"] != "4" {
-		t.Errorf("by id: %+v", asks[1])
+	if n := answers[1].About; n["state"] != "purged" || n["results"] != "4" {
+		t.Errorf("answer to a call by id: %+v", answers[1])
 	}
 	n := len(s.Reports)
-	lost := s.purge(c, "patience", "100", "team", "linz") // no majority takes it: it is asked for again
+	lost := s.purge(c, "patience", "100", "team", "linz") // without a majority: the request must be repeated
 	s.Until(s.Now + 80*time.Millisecond)
-	s.Order(fleet.Order{Kind: fleet.RequestAnswered, ID: s.Reports[n].Request.ID, Response: &fleet.Response{Outcome: "unknown"}})
+	s.Order(fleet.Order{Kind: fleet.RequestAnswered, ID: s.Reports[n].Request.ID,
+		Response: &fleet.Response{Outcome: "unknown"}})
 	s.Until(s.Now + 10*time.Millisecond)
-	if len(s.Reports) < n+2 || s.Reports[n+1].Request == nil || s.Reports[n+1].Request.ID != s.Reports[n].Request.ID || lost.About["stage"] != "not recorded" {
-		t.Errorf("not recorded: %+v, %+v", lost, s.Reports[n:])
+	if len(s.Reports) < n+2 || s.Reports[n+1].Request == nil ||
+		s.Reports[n+1].Request.ID != s.Reports[n].Request.ID || lost.About["stage"] != "not recorded" {
+		t.Errorf("invalidation that isn't logged: %+v, %+v", lost, s.Reports[n:])
 	}
-	silent := s.purge(c, "patience", "300", "team", "linz") // the fleet says nothing
+	silent := s.purge(c, "patience", "300", "team", "linz") // the fleet doesn't answer
 	s.Order(fleet.Order{Kind: fleet.LeaseRenewed, Until: fleet.Forever, UntilBound: fleet.Forever})
 	gone, stays := &client.Answer{}, &client.Answer{}
 	c.Page(a.Paging["token"], 1, func(ans client.Answer) { *gone = ans }, "team", "linz")
 	c.Page(later.Paging["token"], 1, func(ans client.Answer) { *stays = ans }, "team", "linz")
 	s.Until(6 * time.Second)
 	if gone.Kind != client.Killed || stays.Kind != client.Finished {
-		t.Errorf("what was asked for before: %+v, after: %+v", gone, stays)
+		t.Errorf("page of a result from before the invalidation: %+v, from after: %+v", gone, stays)
 	}
 	if silent.About["state"] != "not yet" {
-		t.Errorf("without a word: %+v", silent)
+		t.Errorf("without a reply of the fleet: %+v", silent)
 	}
 }
 
-// A rule that a result lies outside of bars its pages at once, and not for ever.
+// Pages of a result must not be served while a rule forbids retaining it on this controller, and must be
+// served again once the rule is gone.
 func TestPagesObeyResidencyRules(t *testing.T) {
 	s := newRetainingWorld(t, &fleet.ServingState{})
 	c := s.client()
@@ -210,74 +235,79 @@
 	s.Until(3 * time.Second)
 	for i, want := range []client.Kind{client.Finished, client.Killed, client.Finished} {
 		var rules []residency.Rule
-		if i == 1 { // this controller stands nowhere
-			rules = []residency.Rule{{Name: "inside", Team: "linz", Tables: []int64{3}, Engines: []string{"here"}, Controllers: []string{"here"}, Keep: []string{"here"}}}
+		if i == 1 { // the controller has no site, so it isn't at an allowed one
+			rules = []residency.Rule{{Name: "inside", Team: "linz", Tables: []int64{3}, Engines: []string{"here"},
+				Controllers: []string{"here"}, Keep: []string{"here"}}}
 		}
-		s.Order(fleet.Order{Kind: fleet.OpenPolicy, Version: uint64(i + 2), Policy: &controller.Policy{Version: uint64(i + 2), Rules: rules}})
+		s.Order(fleet.Order{Kind: fleet.OpenPolicy, Version: uint64(i + 2),
+			Policy: &controller.Policy{Version: uint64(i + 2), Rules: rules}})
 		got := client.Kind(-1)
 		c.Page(a.Paging["token"], 1, func(ans client.Answer) { got = ans.Kind }, "team", "linz")
 		s.Until(s.Now + time.Second)
 		if got != want {
-			t.Errorf("by rules %v: %v", rules, got)
+			t.Errorf("with rules %v: answered %v", rules, got)
 		}
 	}
 }
 
-// Many who ask the same at once cost one run; so does whoever asks while it is fresh.
-// A load of its tables, or a purge, makes the next go to an engine again.
+// Equal concurrent queries must share one run, and later ones must be answered from the cache while the
+// answer is fresh. After a load of its tables or an invalidation, the next query must run on an engine
+// again.
 func TestConcurrentEqualQueriesShareOneRun(t *testing.T) {
 	s := newRetainingWorld(t, nil)
 	c := s.client()
 	runs := func() int { return len(s.finished) }
-	group := func(n int, team string, tables int64) (l []*world.Asked) {
+	sendEqual := func(n int, team string, tables int64) (queries []*world.Asked) {
 		for range n {
-			l = append(l, s.sendAs(c, team, tables))
+			queries = append(queries, s.sendAs(c, team, tables))
 		}
 		s.Until(s.Now + 2*time.Second)
-		for _, a := range l {
-			if !a.Answered || a.Answer != client.Finished || !bytes.Equal(a.Rows, l[0].Rows) {
-				t.Fatalf("of %d one has %v %v", n, a.Answered, a.Answer)
+		for _, a := range queries {
+			if !a.Answered || a.Answer != client.Finished || !bytes.Equal(a.Rows, queries[0].Rows) {
+				t.Fatalf("one of %d equal queries: answered %v, %v", n, a.Answered, a.Answer)
 			}
 		}
-		return l
+		return queries
 	}
-	first := group(20, "linz", 3)
+	first := sendEqual(20, "linz", 3)
 	if runs() != 1 {
-		t.Fatalf("%d runs for 20 who ask the same at once", runs())
+		t.Fatalf("%d runs for 20 equal concurrent queries", runs())
 	}
-	if again := group(5, "linz", 3); runs() != 1 || !bytes.Equal(again[0].Rows, first[0].Rows) {
-		t.Fatal("it isn't kept: ", runs())
+	if again := sendEqual(5, "linz", 3); runs() != 1 || !bytes.Equal(again[0].Rows, first[0].Rows) {
+		t.Fatal("the answer isn't cached, runs: ", runs())
 	}
-	if other := group(1, "steyr", 3); runs() != 2 || bytes.Equal(other[0].Rows, first[0].Rows) {
-		t.Fatal("served across teams: ", runs())
+	if other := sendEqual(1, "steyr", 3); runs() != 2 || bytes.Equal(other[0].Rows, first[0].Rows) {
+		t.Fatal("answer of another team served, runs: ", runs())
 	}
 	s.serial++
-	load := c.Ask(fmt.Sprintf("%016x", s.serial), "load", "k", 12*time.Second, engine.Work{Threads: 1, CPU: 10 * time.Millisecond, Rows: 1, Tables: 3, Load: true}, "team", "steyr")
+	load := c.Ask(fmt.Sprintf("%016x", s.serial), "load", "k", 12*time.Second,
+		engine.Work{Threads: 1, CPU: 10 * time.Millisecond, Rows: 1, Tables: 3, Load: true}, "team", "steyr")
 	s.Until(s.Now + 2*time.Second)
 	if n := runs(); load.Answer != client.Finished || n != 3 {
-		t.Fatal("no load: ", load.Answer, n)
+		t.Fatal("the load didn't run: ", load.Answer, n)
 	}
-	if after := group(2, "linz", 3); runs() != 4 || bytes.Equal(after[0].Rows, first[0].Rows) {
-		t.Fatal("served past a load: ", runs())
+	if after := sendEqual(2, "linz", 3); runs() != 4 || bytes.Equal(after[0].Rows, first[0].Rows) {
+		t.Fatal("answer from before a load served, runs: ", runs())
 	}
 	done := s.purge(c, "patience", "1000", "team", "linz")
-	if group(1, "linz", 3); runs() != 5 || done.About["answers"] != "1" {
-		t.Fatalf("served past a purge: %d runs, %+v", runs(), done)
+	if sendEqual(1, "linz", 3); runs() != 5 || done.About["answers"] != "1" {
+		t.Fatalf("answer from before an invalidation served: %d runs, %+v", runs(), done)
 	}
-	// the one that leads leaves, the next leads
-	l := []*world.Asked{s.sendAs(c, "linz", 8), s.sendAs(c, "linz", 8), s.sendAs(c, "linz", 8)}
+	// when the leader's client leaves, a follower becomes the leader
+	equal := []*world.Asked{s.sendAs(c, "linz", 8), s.sendAs(c, "linz", 8), s.sendAs(c, "linz", 8)}
 	s.Until(s.Now + 50*time.Millisecond)
-	c.Leave(l[0])
+	c.Leave(equal[0])
 	s.Until(s.Now + 2*time.Second)
-	if l[1].Answer != client.Finished || !bytes.Equal(l[1].Rows, world.Rows(l[1])) || !bytes.Equal(l[2].Rows, l[1].Rows) {
-		t.Fatal("nobody leads once the first has left")
+	if equal[1].Answer != client.Finished || !bytes.Equal(equal[1].Rows, world.Rows(equal[1])) ||
+		!bytes.Equal(equal[2].Rows, equal[1].Rows) {
+		t.Fatal("no follower became the leader")
 	}
 	if line := s.R.ResultCache().Text(); !strings.Contains(line, "hits 5 followed 22") {
 		t.Error(line)
 	}
 }
 
-// What was kept after a purge goes by the next, also where the program was started anew between.
+// A result that was retained after one invalidation must be removed by the next, even with a restart between.
 func TestInvalidationWithoutPeersAfterARestart(t *testing.T) {
 	s := newRetainingWorld(t, nil)
 	c := s.client()
@@ -292,16 +322,17 @@
 	d := s.disk.After(steps, disk.Torn)
 	next := newRetainingWorldOn(t, d, s.index.After(steps, d), nil)
 	if n, _, _ := next.R.SpoolUsage(); n != 1 {
-		t.Fatalf("%d are kept over a start", n)
+		t.Fatalf("%d results after a restart, want 1", n)
 	}
 	a := next.purge(next.client(), "patience", "1000", "team", "linz")
 	next.Until(next.Now + time.Second)
 	if n, _, _ := next.R.SpoolUsage(); a.About["state"] != "purged" || a.About["results"] != "1" || n != 0 {
-		t.Errorf("%+v, %d left", a.About, n)
+		t.Errorf("%+v, %d results left", a.About, n)
 	}
 }
 
-// What a controller kept alone, or by another record, goes by the first purge of its fleet.
+// Results that a controller retained without peers, or by another log, must be removed by the first
+// invalidation of its fleet.
 func TestInvalidationOfResultsByAnotherLog(t *testing.T) {
 	s := newRetainingWorld(t, nil)
 	c := s.client()
@@ -315,12 +346,12 @@
 	d := s.disk.After(steps, disk.Torn)
 	next := newRetainingWorldOn(t, d, s.index.After(steps, d), &fleet.ServingState{})
 	if n, _, _ := next.R.SpoolUsage(); n != 1 {
-		t.Fatalf("%d are kept over a start", n)
+		t.Fatalf("%d results after a restart, want 1", n)
 	}
 	next.Order(fleet.Order{Kind: fleet.ViewChanged, View: &fleet.View{Index: 3}})
 	next.Order(fleet.Order{Kind: fleet.InvalidateData, ID: "p", Index: 3, Scope: &fleet.Scope{Team: "linz"}})
 	next.Until(next.Now + time.Second)
 	if n, _, _ := next.R.SpoolUsage(); n != 0 {
-		t.Errorf("%d left", n)
+		t.Errorf("%d results left", n)
 	}
 }
--- a/internal/controller/result_paging_test.go
+++ b/internal/controller/result_paging_test.go
@@ -21,25 +21,28 @@
 	"railrelay.dev/railrelay/internal/spool"
 )
 
-// spooled is a world whose controller keeps results.
+// spoolWorld is a world whose controller retains results in a spool.
 type spoolWorld struct {
 	*world.World
 	t        *testing.T
 	disk     *disk.Disk
 	index    *disk.Index
 	keeper   *resultstore.Keeper
-	finished map[string]time.Duration // at engines
-	released map[string]time.Duration
-	serial   int
+	finished map[string]time.Duration // when a query finished at its engine, by id
+	released map[string]time.Duration // when its engine was told to drop the result, by id
+	serial   int                      // of the latest query
 }
 
+// testLimits returns limits at which results of a few MB are written to disk.
 func testLimits() spool.Limits {
 	l := spool.Usual()
 	l.Memory, l.Disk, l.Page, l.Flight = 1<<20, 8<<20, 16<<10, 128<<10
 	return l
 }
 
-func newSpoolWorld(t *testing.T, d *disk.Disk, x *disk.Index, l spool.Limits, shape *fairqueue.Config, change ...func(*controller.Config)) *spoolWorld {
+// newSpoolWorld returns a world with two engines, whose controller restores its spool from the given disk.
+func newSpoolWorld(t *testing.T, d *disk.Disk, x *disk.Index, l spool.Limits, tenants *fairqueue.Config,
+	change ...func(*controller.Config)) *spoolWorld {
 	keeper, err := resultstore.NewKeeper(d, x, resultstore.Terms{SegmentBytes: 256 << 10})
 	if err != nil {
 		t.Fatal(err)
@@ -63,14 +66,17 @@
 		t.Fatal(err)
 	}
 	figures := engine.Usual()
-	means := controller.Config{MemoryMB: 64, MaxDescriptors: 4096, Settings: bench.Facts(bench.Usual(), figures), Tenants: shape, StartedAt: time.UnixMilli(0),
+	config := controller.Config{MemoryMB: 64, MaxDescriptors: 4096,
+		Settings: bench.Facts(bench.Usual(), figures), Tenants: tenants, StartedAt: time.UnixMilli(0),
 		FieldNames: controller.FieldNames{Tenant: "team", Paged: "pages"},
-		Spool:      &controller.SpoolConfig{Limits: l, Keys: keys, FirstResultID: keeper.First(), Restore: keeper.Restore}}
+		Spool: &controller.SpoolConfig{Limits: l, Keys: keys, FirstResultID: keeper.First(),
+			Restore: keeper.Restore}}
 	for _, do := range change {
-		do(&means)
+		do(&config)
 	}
-	s := &spoolWorld{t: t, disk: d, index: x, keeper: keeper, finished: map[string]time.Duration{}, released: map[string]time.Duration{}}
-	s.World = world.New(5, []engine.Figures{figures, figures}, means)
+	s := &spoolWorld{t: t, disk: d, index: x, keeper: keeper, finished: map[string]time.Duration{},
+		released: map[string]time.Duration{}}
+	s.World = world.New(5, []engine.Figures{figures, figures}, config)
 	s.Keeper, s.Disk = keeper, time.Millisecond
 	for _, e := range s.Engines {
 		e.Released = func(id string, at time.Duration) {
@@ -88,25 +94,30 @@
 	return s
 }
 
+// newDefaultSpoolWorld returns a spoolWorld with an empty disk and no tenants.
 func newDefaultSpoolWorld(t *testing.T) *spoolWorld {
 	d := disk.New()
 	return newSpoolWorld(t, d, disk.NewIndex(d), testLimits(), nil)
 }
 
+// ask sends a query whose result has the given number of rows and is read page by page.
 func (s *spoolWorld) ask(c *world.Client, rows int, more ...string) *world.Asked {
 	s.serial++
 	return c.Ask(fmt.Sprintf("%016x", s.serial), "report", "", 12*time.Second,
-		engine.Work{Threads: 1, CPU: 20 * time.Millisecond, MemoryMB: 10, Rows: rows}, append(more, "pages", "1")...)
+		engine.Work{Threads: 1, CPU: 20 * time.Millisecond, MemoryMB: 10, Rows: rows},
+		append(more, "pages", "1")...)
 }
 
 func (s *spoolWorld) client() *world.Client { return s.Connect("c", bench.Home) }
 
+// pageCount returns the number of pages of a result, or 0 if it was answered in one piece.
 func pageCount(a *world.Asked) int {
 	n, _ := strconv.Atoi(a.Paging["pages"])
 	return n
 }
 
-// reads asks for all further pages, in the order given, and compares all with what engines make.
+// checkPages reads the pages after the first in the given order, and checks that all pages together are
+// the rows that the engine produced.
 func (s *spoolWorld) checkPages(c *world.Client, a *world.Asked, order []int) {
 	s.t.Helper()
 	n := pageCount(a)
@@ -122,14 +133,16 @@
 			}
 			parts[i] = ans.Rows
 		})
-		if left >= 20 { // a few at once
+		if left >= 20 { // bounds the concurrent calls
 			s.Until(s.Now + 300*time.Millisecond)
 		}
 	}
 	s.Until(s.Now + 2*time.Second)
-	if all := bytes.Join(parts, nil); left > 0 || !bytes.Equal(all, world.Rows(a)) || strconv.Itoa(len(all)) != a.Paging["bytes"] ||
+	if all := bytes.Join(parts, nil); left > 0 || !bytes.Equal(all, world.Rows(a)) ||
+		strconv.Itoa(len(all)) != a.Paging["bytes"] ||
 		strconv.Itoa(bytes.Count(all, []byte("\n"))) != a.Paging["rows"] {
-		s.t.Errorf("%d bytes of %d, %s told, %d pages unanswered", len(all), len(world.Rows(a)), a.Paging["bytes"], left)
+		s.t.Errorf("%d bytes of %d, %s announced, %d pages unanswered", len(all), len(world.Rows(a)),
+			a.Paging["bytes"], left)
 	}
 	for _, p := range parts {
 		if len(p) > 0 && p[len(p)-1] != '\n' {
@@ -138,50 +151,53 @@
 	}
 }
 
-// unpagedQueryID is a query whose client asks for no pages.
+// unpagedQueryID is the id of a query whose client doesn't read page by page.
 const unpagedQueryID = "00000000000000aa"
 
+// checkEnd checks the history of all queries, and that engines were told in time to drop finished results.
 func (s *spoolWorld) checkEnd() {
 	s.t.Helper()
 	for _, f := range s.History.Done(s.Now) {
-		s.t.Error("broken: ", f)
+		s.t.Error("invariant violated: ", f)
 	}
 	for id, at := range s.finished {
 		if id == unpagedQueryID {
 			continue
 		}
 		if r, ok := s.released[id]; !ok || r > at+time.Second {
-			s.t.Errorf("%s finished at %v and its engine was released at %v", id, at, r)
+			s.t.Errorf("query %s finished at %v, its engine was told to drop the result at %v", id, at, r)
 		}
 	}
 }
 
-func pagesAfterFirst(n int) (l []int) {
+// pagesAfterFirst returns the numbers of all pages of n but the first.
+func pagesAfterFirst(n int) (pages []int) {
 	for i := 1; i < n; i++ {
-		l = append(l, i)
+		pages = append(pages, i)
 	}
-	return l
+	return pages
 }
 
 func TestResultIsReadPageByPage(t *testing.T) {
 	s := newDefaultSpoolWorld(t)
 	c := s.client()
 	a, one := s.ask(c, 4000), s.ask(c, 3)
-	whole := c.Ask(unpagedQueryID, "report", "", 12*time.Second, engine.Work{Threads: 1, CPU: time.Millisecond, Rows: 2000})
+	whole := c.Ask(unpagedQueryID, "report", "", 12*time.Second,
+		engine.Work{Threads: 1, CPU: time.Millisecond, Rows: 2000})
 	s.Until(2 * time.Second)
 	if !a.Answered || pageCount(a) < 5 || a.Paging["token"] == "" {
-		t.Fatal("not answered by pages: ", a.Answered, a.Paging)
+		t.Fatal("not answered page by page: ", a.Answered, a.Paging)
 	}
 	if one.Paging["token"] != "" || pageCount(one) != 1 || !bytes.Equal(one.Rows, world.Rows(one)) {
-		t.Fatal("one page needs no token: ", one.Paging)
+		t.Fatal("a result of one page must have no token: ", one.Paging)
 	}
 	if !bytes.Equal(whole.Rows, world.Rows(whole)) {
-		t.Fatal("who asks for no pages gets one answer")
+		t.Fatal("a result that isn't read page by page must be answered in one piece")
 	}
 	order := pagesAfterFirst(pageCount(a))
 	rand.New(rand.NewPCG(1, 1)).Shuffle(len(order), func(i, j int) { order[i], order[j] = order[j], order[i] })
 	s.checkPages(c, a, order)
-	// it goes after page two and is back minutes later on another connection
+	// the client disconnects after the second page and reads on minutes later on another connection
 	b := s.ask(c, 4000)
 	s.Until(s.Now + 2*time.Second)
 	c.Page(b.Paging["token"], 1, func(client.Answer) {})
@@ -189,12 +205,12 @@
 	c.Drop()
 	s.Until(s.Now + 7*time.Minute)
 	s.checkPages(s.client(), b, pagesAfterFirst(pageCount(b)))
-	s.Until(s.Now + 16*time.Minute) // past its life
+	s.Until(s.Now + 16*time.Minute) // until the result has expired
 	late := ""
 	s.client().Page(b.Paging["token"], 1, func(ans client.Answer) { late = ans.Why })
 	s.Until(s.Now + time.Second)
 	if late != "no such page" {
-		t.Error("past its life: ", late)
+		t.Error("page of an expired result: ", late)
 	}
 	s.Until(s.Now + 3*time.Second)
 	if s.keeper.Live() != 0 {
@@ -210,7 +226,8 @@
 	killed := ""
 	c.Heard = func(_ *world.Asked, ans client.Answer) { killed = ans.Why }
 	s.Until(15 * time.Second)
-	if !a.Answered || a.Answer != client.Killed || !strings.Contains(killed, "too large") || !strings.Contains(killed, "7864320") {
+	if !a.Answered || a.Answer != client.Killed || !strings.Contains(killed, "too large") ||
+		!strings.Contains(killed, "7864320") {
 		t.Fatal(a.Answered, a.Answer, killed)
 	}
 	if s.keeper.Live() != 0 {
@@ -219,7 +236,8 @@
 	s.checkEnd()
 }
 
-// What is given up while it is drawn leaves nothing behind, whoever gave it up.
+// A result that is abandoned while it is being spooled must leave nothing in memory or on disk, whatever
+// the reason.
 func TestAbandonedResultLeavesNothingBehind(t *testing.T) {
 	for name, trouble := range map[string]func(s *spoolWorld, c *world.Client, a *world.Asked){
 		"the client cancels":  func(s *spoolWorld, c *world.Client, a *world.Asked) { c.Leave(a) },
@@ -255,10 +273,10 @@
 		t.Run(name, func(t *testing.T) {
 			s := newDefaultSpoolWorld(t)
 			c := s.client()
-			a := s.ask(c, 120_000) // 3 MB: to disk as it comes
+			a := s.ask(c, 120_000) // 3 MB, written to disk as it arrives
 			s.Until(100 * time.Millisecond)
 			if s.keeper.Total() == 0 || a.Answered {
-				t.Fatal("it is not under way")
+				t.Fatal("nothing was written to disk yet, or the query was answered already")
 			}
 			trouble(s, c, a)
 			s.Until(20 * time.Second)
@@ -268,15 +286,15 @@
 				t.Error("no answer")
 			}
 			if a.Answered && a.Answer == client.Finished {
-				t.Error("finished all the same")
+				t.Error("finished despite the fault")
 			}
 			if held, _, _ := s.R.SpoolUsage(); held != 0 || s.keeper.Live() != 0 {
 				t.Errorf("%d results and %d bytes are left behind", held, s.keeper.Live())
 			}
 			for _, f := range s.History.Done(s.Now) {
-				t.Error("broken: ", f)
+				t.Error("invariant violated: ", f)
 			}
-			c = s.client() // it goes on
+			c = s.client() // the controller goes on serving
 			if name != "the engine goes silent" && name != "the engine dies" {
 				b := s.ask(c, 4000)
 				s.Until(s.Now + 3*time.Second)
@@ -286,8 +304,8 @@
 	}
 }
 
-// The program ends between any two writes; the next one serves what was promised, by
-// the tokens of the one before, and nothing that was not.
+// After a crash between any two writes, the restarted controller must serve every promised result by its
+// old token, and must not restore more results than there were queries.
 func TestPromisedResultsSurviveARestart(t *testing.T) {
 	s := newDefaultSpoolWorld(t)
 	c := s.client()
@@ -317,12 +335,13 @@
 		}
 	}
 	if served < 20 {
-		t.Fatal("the cuts say nothing: ", served)
+		t.Fatal("too few results were promised before a crash: ", served)
 	}
 	s.checkEnd()
 }
 
-// An engine that drains hands out what it has; one whose answers are spoilt is asked again.
+// A result must be complete even if its engine drains, corrupts responses or resets its connections while the
+// result is being read.
 func TestPagesOfADrainingOrGarblingEngine(t *testing.T) {
 	for name, trouble := range map[string]func(s *spoolWorld){
 		"drains": func(s *spoolWorld) {
@@ -357,7 +376,7 @@
 	}
 }
 
-// A mutating query whose result can't be kept is killed, and never run again.
+// A mutating query whose result can't be written to disk must be killed and never be sent again.
 func TestMutatingQueryIsNotRetriedAfterSpoolFailure(t *testing.T) {
 	s := newDefaultSpoolWorld(t)
 	c := s.client()
@@ -381,7 +400,7 @@
 func TestCorruptPageIsNeverServed(t *testing.T) {
 	s := newDefaultSpoolWorld(t)
 	c := s.client()
-	a := s.ask(c, 120_000) // most of it is on disk only
+	a := s.ask(c, 120_000) // most of its pages are only on disk
 	s.Until(5 * time.Second)
 	names, _ := s.disk.List()
 	for _, name := range names {
@@ -393,14 +412,14 @@
 			}
 		}
 	}
-	spoilt, good, want := 0, 0, world.Rows(a)
+	corrupt, good, want := 0, 0, world.Rows(a)
 	for i := range pageCount(a) {
 		c.Page(a.Paging["token"], i, func(ans client.Answer) {
 			if ans.Kind == client.Finished && !bytes.Contains(want, ans.Rows) {
-				t.Error("a spoilt page is served")
+				t.Error("a corrupt page was served")
 			}
 			if ans.Kind == client.Killed {
-				spoilt++
+				corrupt++
 			} else {
 				good++
 			}
@@ -408,23 +427,23 @@
 		s.Until(s.Now + 10*time.Millisecond)
 	}
 	s.Until(s.Now + time.Second)
-	if spoilt < 50 {
-		t.Errorf("%d pages spoilt, %d good", spoilt, good)
+	if corrupt < 50 {
+		t.Errorf("%d corrupt pages, %d good ones, want at least 50 corrupt", corrupt, good)
 	}
 	if !strings.Contains(strings.Join(s.Said, "\n"), "the page is spoilt") {
-		t.Error("nothing in the log")
+		t.Error("corrupt pages weren't logged")
 	}
 	s.checkEnd()
 }
 
-// A thousand clients read slowly; memory stays within its bound and engines are free.
+// With a thousand slow readers the spool's memory must stay within its limit, and engines must be released.
 func TestThousandSlowPageReaders(t *testing.T) {
 	d := disk.New()
 	l := testLimits()
 	l.Disk, l.Team = 256<<20, 1
 	s := newSpoolWorld(t, d, disk.NewIndex(d), l, nil)
 	var all []*world.Asked
-	most := int64(0)
+	maxMemory := int64(0)
 	for range 1000 {
 		c := s.client()
 		a := s.ask(c, 1500)
@@ -440,7 +459,7 @@
 		c.Heard = func(*world.Asked, client.Answer) { s.After(time.Second, read) }
 		s.Until(s.Now + 10*time.Millisecond)
 		_, memory, _ := s.R.SpoolUsage()
-		most = max(most, memory)
+		maxMemory = max(maxMemory, memory)
 	}
 	s.Until(s.Now + 30*time.Second)
 	answered := 0
@@ -449,20 +468,21 @@
 			answered++
 		}
 	}
-	if _, memory, _ := s.R.SpoolUsage(); memory > l.Memory || most > l.Memory {
-		t.Errorf("%d bytes in memory of %d", max(memory, most), l.Memory)
+	if _, memory, _ := s.R.SpoolUsage(); memory > l.Memory || maxMemory > l.Memory {
+		t.Errorf("%d bytes in memory, limit %d", max(memory, maxMemory), l.Memory)
 	}
 	if answered < 990 {
-		t.Errorf("%d of 1000 finished", answered)
+		t.Errorf("%d of 1000 queries finished, want at least 990", answered)
 	}
 	s.checkEnd()
 }
 
-// Teams' tokens open for their own team alone, and spooled work is charged as any other.
+// A page token must be valid only for the tenant that it was issued to, and the work of a spooled query
+// must be charged to its tenant.
 func TestPageTokensAndChargesAreByTenant(t *testing.T) {
 	d := disk.New()
-	shape := &fairqueue.Config{Tenants: bench.Teams(), TrustedAddresses: bench.Homes}
-	s := newSpoolWorld(t, d, disk.NewIndex(d), testLimits(), shape)
+	tenants := &fairqueue.Config{Tenants: bench.Teams(), TrustedAddresses: bench.Homes}
+	s := newSpoolWorld(t, d, disk.NewIndex(d), testLimits(), tenants)
 	c := s.client()
 	a := s.ask(c, 3000, "team", "gauges-1")
 	s.Until(3 * time.Second)
@@ -481,7 +501,7 @@
 		}
 	})
 	if charged < 0.015 || charged > 0.03 {
-		t.Errorf("%v thread seconds charged, not 0.02", charged)
+		t.Errorf("%v thread seconds charged, want about 0.02", charged)
 	}
 	s.checkEnd()
 }
