--- a/internal/controller/discovery_test.go
+++ b/internal/controller/discovery_test.go
@@ -10,7 +10,7 @@
 	"railrelay.dev/railrelay/internal/scheduler"
 )
 
-func TestDiscoveryGapIsAskedForAgain(t *testing.T) {
+func TestDiscoveryRequestsMissingEvent(t *testing.T) {
 	s := newHarness(t, 1, 256, nil)
 	m := s.sortedEngines()[0]
 	s.runUntil(s.now + 10*time.Millisecond)
--- a/internal/controller/fair_queue_test.go
+++ b/internal/controller/fair_queue_test.go
@@ -109,7 +109,7 @@
 }
 
 // A query's effective priority is the one that the scheduler set, unless fair queueing has lowered it.
-func TestEffectivePriorityIsLoweredPriority(t *testing.T) {
+func TestEffectivePriorityIsSchedulersUnlessLowered(t *testing.T) {
 	q := &query{priority: 3}
 	if q.effectivePriority() != 3 {
 		t.Fatal("not the scheduler's priority without fair queueing")
