--- a/internal/controller/result_paging_test.go
+++ b/internal/controller/result_paging_test.go
@@ -21,25 +21,28 @@
 	"railrelay.dev/railrelay/internal/spool"
 )
 
-// spooled is a world whose controller keeps results.
-type spooled struct {
+// spoolWorld is a world whose controller retains results in a spool.
+type spoolWorld struct {
 	*world.World
 	t        *testing.T
-	d        *disk.Disk
-	x        *disk.Index
+	disk     *disk.Disk
+	index    *disk.Index
 	keeper   *resultstore.Keeper
-	finished map[string]time.Duration // at engines
-	released map[string]time.Duration
-	serial   int
+	finished map[string]time.Duration // when a query finished at its engine, by id
+	released map[string]time.Duration // when its engine was told to drop the result, by id
+	serial   int                      // of the latest query
 }
 
-func limits() spool.Limits {
+// testLimits returns limits at which results of a few MB are written to disk.
+func testLimits() spool.Limits {
 	l := spool.Usual()
 	l.Memory, l.Disk, l.Page, l.Flight = 1<<20, 8<<20, 16<<10, 128<<10
 	return l
 }
 
-func newSpooled(t *testing.T, d *disk.Disk, x *disk.Index, l spool.Limits, shape *fairqueue.Config, change ...func(*controller.Config)) *spooled {
+// newSpoolWorld returns a world with two engines, whose controller restores its spool from the given disk.
+func newSpoolWorld(t *testing.T, d *disk.Disk, x *disk.Index, l spool.Limits, tenants *fairqueue.Config,
+	change ...func(*controller.Config)) *spoolWorld {
 	keeper, err := resultstore.NewKeeper(d, x, resultstore.Terms{SegmentBytes: 256 << 10})
 	if err != nil {
 		t.Fatal(err)
@@ -63,14 +66,17 @@
 		t.Fatal(err)
 	}
 	figures := engine.Usual()
-	means := controller.Config{MemoryMB: 64, MaxDescriptors: 4096, Settings: bench.Facts(bench.Usual(), figures), Tenants: shape, StartedAt: time.UnixMilli(0),
+	config := controller.Config{MemoryMB: 64, MaxDescriptors: 4096,
+		Settings: bench.Facts(bench.Usual(), figures), Tenants: tenants, StartedAt: time.UnixMilli(0),
 		FieldNames: controller.FieldNames{Tenant: "team", Paged: "pages"},
-		Spool:      &controller.SpoolConfig{Limits: l, Keys: keys, FirstResultID: keeper.First(), Restore: keeper.Restore}}
+		Spool: &controller.SpoolConfig{Limits: l, Keys: keys, FirstResultID: keeper.First(),
+			Restore: keeper.Restore}}
 	for _, do := range change {
-		do(&means)
+		do(&config)
 	}
-	s := &spooled{t: t, d: d, x: x, keeper: keeper, finished: map[string]time.Duration{}, released: map[string]time.Duration{}}
-	s.World = world.New(5, []engine.Figures{figures, figures}, means)
+	s := &spoolWorld{t: t, disk: d, index: x, keeper: keeper, finished: map[string]time.Duration{},
+		released: map[string]time.Duration{}}
+	s.World = world.New(5, []engine.Figures{figures, figures}, config)
 	s.Keeper, s.Disk = keeper, time.Millisecond
 	for _, e := range s.Engines {
 		e.Released = func(id string, at time.Duration) {
@@ -88,28 +94,33 @@
 	return s
 }
 
-func fresh(t *testing.T) *spooled {
+// newDefaultSpoolWorld returns a spoolWorld with an empty disk and no tenants.
+func newDefaultSpoolWorld(t *testing.T) *spoolWorld {
 	d := disk.New()
-	return newSpooled(t, d, disk.NewIndex(d), limits(), nil)
+	return newSpoolWorld(t, d, disk.NewIndex(d), testLimits(), nil)
 }
 
-func (s *spooled) ask(c *world.Client, rows int, more ...string) *world.Asked {
+// ask sends a query whose result has the given number of rows and is read page by page.
+func (s *spoolWorld) ask(c *world.Client, rows int, more ...string) *world.Asked {
 	s.serial++
 	return c.Ask(fmt.Sprintf("%016x", s.serial), "report", "", 12*time.Second,
-		engine.Work{Threads: 1, CPU: 20 * time.Millisecond, MemoryMB: 10, Rows: rows}, append(more, "pages", "1")...)
+		engine.Work{Threads: 1, CPU: 20 * time.Millisecond, MemoryMB: 10, Rows: rows},
+		append(more, "pages", "1")...)
 }
 
-func (s *spooled) client() *world.Client { return s.Connect("c", bench.Home) }
+func (s *spoolWorld) client() *world.Client { return s.Connect("c", bench.Home) }
 
-func pagesOf(a *world.Asked) int {
+// pageCount returns the number of pages of a result, or 0 if it was answered in one piece.
+func pageCount(a *world.Asked) int {
 	n, _ := strconv.Atoi(a.Paging["pages"])
 	return n
 }
 
-// reads asks for all further pages, in the order given, and compares all with what engines make.
-func (s *spooled) reads(c *world.Client, a *world.Asked, order []int) {
+// checkPages reads the pages after the first in the given order, and checks that all pages together are
+// the rows that the engine produced.
+func (s *spoolWorld) checkPages(c *world.Client, a *world.Asked, order []int) {
 	s.t.Helper()
-	n := pagesOf(a)
+	n := pageCount(a)
 	parts := make([][]byte, n)
 	parts[0] = a.Rows
 	left := 0
@@ -122,14 +133,16 @@
 			}
 			parts[i] = ans.Rows
 		})
-		if left >= 20 { // a few at once
+		if left >= 20 { // bounds the concurrent calls
 			s.Until(s.Now + 300*time.Millisecond)
 		}
 	}
 	s.Until(s.Now + 2*time.Second)
-	if all := bytes.Join(parts, nil); left > 0 || !bytes.Equal(all, world.Rows(a)) || strconv.Itoa(len(all)) != a.Paging["bytes"] ||
+	if all := bytes.Join(parts, nil); left > 0 || !bytes.Equal(all, world.Rows(a)) ||
+		strconv.Itoa(len(all)) != a.Paging["bytes"] ||
 		strconv.Itoa(bytes.Count(all, []byte("\n"))) != a.Paging["rows"] {
-		s.t.Errorf("%d bytes of %d, %s told, %d pages unanswered", len(all), len(world.Rows(a)), a.Paging["bytes"], left)
+		s.t.Errorf("%d bytes of %d, %s announced, %d pages unanswered", len(all), len(world.Rows(a)),
+			a.Paging["bytes"], left)
 	}
 	for _, p := range parts {
 		if len(p) > 0 && p[len(p)-1] != '\n' {
@@ -138,113 +151,118 @@
 	}
 }
 
-// plain is a query whose client asks for no pages.
-const plain = "00000000000000aa"
+// unpagedQueryID is the id of a query whose client doesn't read page by page.
+const unpagedQueryID = "00000000000000aa"
 
-func (s *spooled) done() {
+// checkEnd checks the history of all queries, and that engines were told in time to drop finished results.
+func (s *spoolWorld) checkEnd() {
 	s.t.Helper()
 	for _, f := range s.History.Done(s.Now) {
-		s.t.Error("broken: ", f)
+		s.t.Error("invariant violated: ", f)
 	}
 	for id, at := range s.finished {
-		if id == plain {
+		if id == unpagedQueryID {
 			continue
 		}
 		if r, ok := s.released[id]; !ok || r > at+time.Second {
-			s.t.Errorf("%s finished at %v and its engine was released at %v", id, at, r)
+			s.t.Errorf("query %s finished at %v, its engine was told to drop the result at %v", id, at, r)
 		}
 	}
 }
 
-func from1(n int) (l []int) {
+// pagesAfterFirst returns the numbers of all pages of n but the first.
+func pagesAfterFirst(n int) (pages []int) {
 	for i := 1; i < n; i++ {
-		l = append(l, i)
+		pages = append(pages, i)
 	}
-	return l
+	return pages
 }
 
 func TestResultIsReadPageByPage(t *testing.T) {
-	s := fresh(t)
+	s := newDefaultSpoolWorld(t)
 	c := s.client()
 	a, one := s.ask(c, 4000), s.ask(c, 3)
-	whole := c.Ask(plain, "report", "", 12*time.Second, engine.Work{Threads: 1, CPU: time.Millisecond, Rows: 2000})
+	whole := c.Ask(unpagedQueryID, "report", "", 12*time.Second,
+		engine.Work{Threads: 1, CPU: time.Millisecond, Rows: 2000})
 	s.Until(2 * time.Second)
-	if !a.Answered || pagesOf(a) < 5 || a.Paging["token"] == "" {
-		t.Fatal("not answered by pages: ", a.Answered, a.Paging)
+	if !a.Answered || pageCount(a) < 5 || a.Paging["token"] == "" {
+		t.Fatal("not answered page by page: ", a.Answered, a.Paging)
 	}
-	if one.Paging["token"] != "" || pagesOf(one) != 1 || !bytes.Equal(one.Rows, world.Rows(one)) {
-		t.Fatal("one page needs no token: ", one.Paging)
+	if one.Paging["token"] != "" || pageCount(one) != 1 || !bytes.Equal(one.Rows, world.Rows(one)) {
+		t.Fatal("a result of one page must have no token: ", one.Paging)
 	}
 	if !bytes.Equal(whole.Rows, world.Rows(whole)) {
-		t.Fatal("who asks for no pages gets one answer")
+		t.Fatal("a result that isn't read page by page must be answered in one piece")
 	}
-	order := from1(pagesOf(a))
+	order := pagesAfterFirst(pageCount(a))
 	rand.New(rand.NewPCG(1, 1)).Shuffle(len(order), func(i, j int) { order[i], order[j] = order[j], order[i] })
-	s.reads(c, a, order)
-	// it goes after page two and is back minutes later on another connection
+	s.checkPages(c, a, order)
+	// the client disconnects after the second page and reads on minutes later on another connection
 	b := s.ask(c, 4000)
 	s.Until(s.Now + 2*time.Second)
 	c.Page(b.Paging["token"], 1, func(client.Answer) {})
 	s.Until(s.Now + time.Second)
 	c.Drop()
 	s.Until(s.Now + 7*time.Minute)
-	s.reads(s.client(), b, from1(pagesOf(b)))
-	s.Until(s.Now + 16*time.Minute) // past its life
+	s.checkPages(s.client(), b, pagesAfterFirst(pageCount(b)))
+	s.Until(s.Now + 16*time.Minute) // until the result has expired
 	late := ""
 	s.client().Page(b.Paging["token"], 1, func(ans client.Answer) { late = ans.Why })
 	s.Until(s.Now + time.Second)
 	if late != "no such page" {
-		t.Error("past its life: ", late)
+		t.Error("page of an expired result: ", late)
 	}
 	s.Until(s.Now + 3*time.Second)
 	if s.keeper.Live() != 0 {
 		t.Errorf("%d bytes are left behind", s.keeper.Live())
 	}
-	s.done()
+	s.checkEnd()
 }
 
 func TestResultLargerThanTheSpool(t *testing.T) {
-	s := fresh(t)
+	s := newDefaultSpoolWorld(t)
 	c := s.client()
 	a := s.ask(c, 400_000) // 10 MB
 	killed := ""
 	c.Heard = func(_ *world.Asked, ans client.Answer) { killed = ans.Why }
 	s.Until(15 * time.Second)
-	if !a.Answered || a.Answer != client.Killed || !strings.Contains(killed, "too large") || !strings.Contains(killed, "7864320") {
+	if !a.Answered || a.Answer != client.Killed || !strings.Contains(killed, "too large") ||
+		!strings.Contains(killed, "7864320") {
 		t.Fatal(a.Answered, a.Answer, killed)
 	}
 	if s.keeper.Live() != 0 {
 		t.Errorf("%d bytes are left behind", s.keeper.Live())
 	}
-	s.done()
+	s.checkEnd()
 }
 
-// What is given up while it is drawn leaves nothing behind, whoever gave it up.
+// A result that is abandoned while it is being spooled must leave nothing in memory or on disk, whatever
+// the reason.
 func TestAbandonedResultLeavesNothingBehind(t *testing.T) {
-	for name, trouble := range map[string]func(s *spooled, c *world.Client, a *world.Asked){
-		"the client cancels":  func(s *spooled, c *world.Client, a *world.Asked) { c.Leave(a) },
-		"the client vanishes": func(s *spooled, c *world.Client, a *world.Asked) { c.Drop() },
-		"the engine dies": func(s *spooled, c *world.Client, a *world.Asked) {
+	for name, trouble := range map[string]func(s *spoolWorld, c *world.Client, a *world.Asked){
+		"the client cancels":  func(s *spoolWorld, c *world.Client, a *world.Asked) { c.Leave(a) },
+		"the client vanishes": func(s *spoolWorld, c *world.Client, a *world.Asked) { c.Drop() },
+		"the engine dies": func(s *spoolWorld, c *world.Client, a *world.Asked) {
 			for _, e := range s.Engines {
 				e.Crash(time.Minute)
 			}
 		},
-		"the engine goes silent": func(s *spooled, c *world.Client, a *world.Asked) {
+		"the engine goes silent": func(s *spoolWorld, c *world.Client, a *world.Asked) {
 			for _, e := range s.Engines {
 				e.Vanish()
 			}
 		},
-		"the disk is full": func(s *spooled, c *world.Client, a *world.Asked) {
-			s.d.Half = true
-			s.d.Fail = func(verb, _ string) error {
+		"the disk is full": func(s *spoolWorld, c *world.Client, a *world.Asked) {
+			s.disk.Half = true
+			s.disk.Fail = func(verb, _ string) error {
 				if verb == "write" {
 					return syscall.ENOSPC
 				}
 				return nil
 			}
 		},
-		"the disk refuses a sync": func(s *spooled, c *world.Client, a *world.Asked) {
-			s.d.Fail = func(verb, _ string) error {
+		"the disk refuses a sync": func(s *spoolWorld, c *world.Client, a *world.Asked) {
+			s.disk.Fail = func(verb, _ string) error {
 				if verb == "sync" {
 					return syscall.EIO
 				}
@@ -253,61 +271,61 @@
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			s := fresh(t)
+			s := newDefaultSpoolWorld(t)
 			c := s.client()
-			a := s.ask(c, 120_000) // 3 MB: to disk as it comes
+			a := s.ask(c, 120_000) // 3 MB, written to disk as it arrives
 			s.Until(100 * time.Millisecond)
 			if s.keeper.Total() == 0 || a.Answered {
-				t.Fatal("it is not under way")
+				t.Fatal("nothing was written to disk yet, or the query was answered already")
 			}
 			trouble(s, c, a)
 			s.Until(20 * time.Second)
-			s.d.Fail = nil
+			s.disk.Fail = nil
 			s.Until(40 * time.Second)
 			if !a.Answered && !a.Left {
 				t.Error("no answer")
 			}
 			if a.Answered && a.Answer == client.Finished {
-				t.Error("finished all the same")
+				t.Error("finished despite the fault")
 			}
 			if held, _, _ := s.R.SpoolUsage(); held != 0 || s.keeper.Live() != 0 {
 				t.Errorf("%d results and %d bytes are left behind", held, s.keeper.Live())
 			}
 			for _, f := range s.History.Done(s.Now) {
-				t.Error("broken: ", f)
+				t.Error("invariant violated: ", f)
 			}
-			c = s.client() // it goes on
+			c = s.client() // the controller goes on serving
 			if name != "the engine goes silent" && name != "the engine dies" {
 				b := s.ask(c, 4000)
 				s.Until(s.Now + 3*time.Second)
-				s.reads(c, b, from1(pagesOf(b)))
+				s.checkPages(c, b, pagesAfterFirst(pageCount(b)))
 			}
 		})
 	}
 }
 
-// The program ends between any two writes; the next one serves what was promised, by
-// the tokens of the one before, and nothing that was not.
+// After a crash between any two writes, the restarted controller must serve every promised result by its
+// old token, and must not restore more results than there were queries.
 func TestPromisedResultsSurviveARestart(t *testing.T) {
-	s := fresh(t)
+	s := newDefaultSpoolWorld(t)
 	c := s.client()
 	var asked []*world.Asked
 	promisedAt := map[*world.Asked]int{}
-	c.Heard = func(a *world.Asked, _ client.Answer) { promisedAt[a] = s.d.Steps() }
+	c.Heard = func(a *world.Asked, _ client.Answer) { promisedAt[a] = s.disk.Steps() }
 	for range 8 {
 		asked = append(asked, s.ask(c, 3000))
 		s.Until(s.Now + 40*time.Millisecond)
 	}
 	s.Until(s.Now + 3*time.Second)
-	steps := s.d.Steps()
+	steps := s.disk.Steps()
 	served := 0
 	for k := 0; k <= steps; k += max(1, steps/40) {
-		d := s.d.After(k, disk.Torn)
-		next := newSpooled(t, d, s.x.After(k, d), limits(), nil)
+		d := s.disk.After(k, disk.Torn)
+		next := newSpoolWorld(t, d, s.index.After(k, d), testLimits(), nil)
 		nc := next.client()
 		for _, a := range asked {
 			if at, was := promisedAt[a]; was && at <= k {
-				next.reads(nc, a, from1(pagesOf(a)))
+				next.checkPages(nc, a, pagesAfterFirst(pageCount(a)))
 				served++
 			}
 		}
@@ -317,32 +335,33 @@
 		}
 	}
 	if served < 20 {
-		t.Fatal("the cuts say nothing: ", served)
+		t.Fatal("too few results were promised before a crash: ", served)
 	}
-	s.done()
+	s.checkEnd()
 }
 
-// An engine that drains hands out what it has; one whose answers are spoilt is asked again.
+// A result must be complete even if its engine drains, corrupts responses or resets its connections while the
+// result is being read.
 func TestPagesOfADrainingOrGarblingEngine(t *testing.T) {
-	for name, trouble := range map[string]func(s *spooled){
-		"drains": func(s *spooled) {
+	for name, trouble := range map[string]func(s *spoolWorld){
+		"drains": func(s *spoolWorld) {
 			for _, e := range s.Engines {
 				s.Tell(e, "DRAINING")
 			}
 		},
-		"garbles": func(s *spooled) {
+		"garbles": func(s *spoolWorld) {
 			for _, e := range s.Engines {
 				e.Spoil = 3
 			}
 		},
-		"ends its connections": func(s *spooled) {
+		"ends its connections": func(s *spoolWorld) {
 			for _, e := range s.Engines {
 				e.Reset(s.Now, false)
 			}
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			s := fresh(t)
+			s := newDefaultSpoolWorld(t)
 			c := s.client()
 			a := s.ask(c, 120_000)
 			s.Until(100 * time.Millisecond)
@@ -351,21 +370,21 @@
 			if a.Answer != client.Finished || !a.Answered {
 				t.Fatal("not finished: ", a.Answered, a.Answer)
 			}
-			s.reads(s.client(), a, from1(pagesOf(a)))
-			s.done()
+			s.checkPages(s.client(), a, pagesAfterFirst(pageCount(a)))
+			s.checkEnd()
 		})
 	}
 }
 
-// A mutating query whose result can't be kept is killed, and never run again.
+// A mutating query whose result can't be written to disk must be killed and never be sent again.
 func TestMutatingQueryIsNotRetriedAfterSpoolFailure(t *testing.T) {
-	s := fresh(t)
+	s := newDefaultSpoolWorld(t)
 	c := s.client()
 	s.serial++
 	a := c.Ask(fmt.Sprintf("%016x", s.serial), "load", "k", 12*time.Second,
 		engine.Work{Threads: 1, CPU: 20 * time.Millisecond, MemoryMB: 10, Rows: 120_000, Load: true}, "pages", "1")
 	s.Until(100 * time.Millisecond)
-	s.d.Fail = func(verb, _ string) error {
+	s.disk.Fail = func(verb, _ string) error {
 		if verb == "write" {
 			return syscall.ENOSPC
 		}
@@ -375,32 +394,32 @@
 	if !a.Answered || a.Answer != client.Killed || s.History.Sent != 1 {
 		t.Error(a.Answered, a.Answer, s.History.Sent)
 	}
-	s.done()
+	s.checkEnd()
 }
 
 func TestCorruptPageIsNeverServed(t *testing.T) {
-	s := fresh(t)
+	s := newDefaultSpoolWorld(t)
 	c := s.client()
-	a := s.ask(c, 120_000) // most of it is on disk only
+	a := s.ask(c, 120_000) // most of its pages are only on disk
 	s.Until(5 * time.Second)
-	names, _ := s.d.List()
+	names, _ := s.disk.List()
 	for _, name := range names {
 		if strings.HasSuffix(name, ".seg") {
-			f, _ := s.d.Open(name)
+			f, _ := s.disk.Open(name)
 			size, _ := f.Size()
 			for at := int64(100); at < size; at += 9000 {
-				s.d.Flip(name, at, 3)
+				s.disk.Flip(name, at, 3)
 			}
 		}
 	}
-	spoilt, good, want := 0, 0, world.Rows(a)
-	for i := range pagesOf(a) {
+	corrupt, good, want := 0, 0, world.Rows(a)
+	for i := range pageCount(a) {
 		c.Page(a.Paging["token"], i, func(ans client.Answer) {
 			if ans.Kind == client.Finished && !bytes.Contains(want, ans.Rows) {
-				t.Error("a spoilt page is served")
+				t.Error("a corrupt page was served")
 			}
 			if ans.Kind == client.Killed {
-				spoilt++
+				corrupt++
 			} else {
 				good++
 			}
@@ -408,23 +427,23 @@
 		s.Until(s.Now + 10*time.Millisecond)
 	}
 	s.Until(s.Now + time.Second)
-	if spoilt < 50 {
-		t.Errorf("%d pages spoilt, %d good", spoilt, good)
+	if corrupt < 50 {
+		t.Errorf("%d corrupt pages, %d good ones, want at least 50 corrupt", corrupt, good)
 	}
 	if !strings.Contains(strings.Join(s.Said, "\n"), "the page is spoilt") {
-		t.Error("nothing in the log")
+		t.Error("corrupt pages weren't logged")
 	}
-	s.done()
+	s.checkEnd()
 }
 
-// A thousand clients read slowly; memory stays within its bound and engines are free.
+// With a thousand slow readers the spool's memory must stay within its limit, and engines must be released.
 func TestThousandSlowPageReaders(t *testing.T) {
 	d := disk.New()
-	l := limits()
+	l := testLimits()
 	l.Disk, l.Team = 256<<20, 1
-	s := newSpooled(t, d, disk.NewIndex(d), l, nil)
+	s := newSpoolWorld(t, d, disk.NewIndex(d), l, nil)
 	var all []*world.Asked
-	most := int64(0)
+	maxMemory := int64(0)
 	for range 1000 {
 		c := s.client()
 		a := s.ask(c, 1500)
@@ -432,7 +451,7 @@
 		next := 1
 		var read func()
 		read = func() {
-			if next < pagesOf(a) {
+			if next < pageCount(a) {
 				c.Page(a.Paging["token"], next, func(client.Answer) { s.After(16*time.Second, read) }) // 1 KB/s
 				next++
 			}
@@ -440,7 +459,7 @@
 		c.Heard = func(*world.Asked, client.Answer) { s.After(time.Second, read) }
 		s.Until(s.Now + 10*time.Millisecond)
 		_, memory, _ := s.R.SpoolUsage()
-		most = max(most, memory)
+		maxMemory = max(maxMemory, memory)
 	}
 	s.Until(s.Now + 30*time.Second)
 	answered := 0
@@ -449,20 +468,21 @@
 			answered++
 		}
 	}
-	if _, memory, _ := s.R.SpoolUsage(); memory > l.Memory || most > l.Memory {
-		t.Errorf("%d bytes in memory of %d", max(memory, most), l.Memory)
+	if _, memory, _ := s.R.SpoolUsage(); memory > l.Memory || maxMemory > l.Memory {
+		t.Errorf("%d bytes in memory, limit %d", max(memory, maxMemory), l.Memory)
 	}
 	if answered < 990 {
-		t.Errorf("%d of 1000 finished", answered)
+		t.Errorf("%d of 1000 queries finished, want at least 990", answered)
 	}
-	s.done()
+	s.checkEnd()
 }
 
-// Teams' tokens open for their own team alone, and spooled work is charged as any other.
+// A page token must be valid only for the tenant that it was issued to, and the work of a spooled query
+// must be charged to its tenant.
 func TestPageTokensAndChargesAreByTenant(t *testing.T) {
 	d := disk.New()
-	shape := &fairqueue.Config{Tenants: bench.Teams(), TrustedAddresses: bench.Homes}
-	s := newSpooled(t, d, disk.NewIndex(d), limits(), shape)
+	tenants := &fairqueue.Config{Tenants: bench.Teams(), TrustedAddresses: bench.Homes}
+	s := newSpoolWorld(t, d, disk.NewIndex(d), testLimits(), tenants)
 	c := s.client()
 	a := s.ask(c, 3000, "team", "gauges-1")
 	s.Until(3 * time.Second)
@@ -481,7 +501,7 @@
 		}
 	})
 	if charged < 0.015 || charged > 0.03 {
-		t.Errorf("%v thread seconds charged, not 0.02", charged)
+		t.Errorf("%v thread seconds charged, want about 0.02", charged)
 	}
-	s.done()
+	s.checkEnd()
 }
