--- a/internal/controller/attempt.go
+++ b/internal/controller/attempt.go
@@ -8,35 +8,35 @@
 	"railrelay.dev/railrelay/internal/timerqueue"
 )
 
-// attempt is one submission of a query to an engine. It is tied to no connection: what becomes of it is
-// polled, call by call, on whatever connection is free.
+// attempt is one submission of a query to an engine. An attempt is not tied to a connection: each call that
+// polls its outcome goes out on any free connection to the engine.
 //
-// It is queued until the first byte of its request is let go (sent), and polled from the first response
-// on until its outcome is known. Its flags are only ever set, never cleared:
+// An attempt is queued until the first byte of its request may be written (sent). From the first response on
+// the controller polls it until the outcome is known. Its flags are only set, never cleared:
 //
-//	sent          its request may have left
-//	settled       after sent: its request has arrived, or never will
-//	ended         nothing more is done for it but cancelling; by finish (the engine told the outcome, or
-//	              it is out of reach) or by withdrawAttempt (given up here)
-//	outcomeKnown  after ended: at once, or, where mustProveEnd, when it is certainly over at its engine
-//	reported      after outcomeKnown: the scheduler was told, within the same step
+//	sent          the request may have been written
+//	settled       after sent: the request has arrived at the engine, or never will
+//	ended         the controller does nothing more for the attempt except cancel it. Set by finish (the engine
+//	              reported the outcome or is unreachable) or by withdrawAttempt (the controller gave it up)
+//	outcomeKnown  after ended: at once, or, with mustProveEnd, once the attempt is certainly over at the engine
+//	reported      after outcomeKnown: the scheduler was told the outcome, within the same step
 //
-// The query is forgotten once it is answered and all of its attempts are reported.
+// The controller forgets a query once the query is answered and all of its attempts are reported.
 type attempt struct {
 	*Controller
 	query         *query
 	engine        *engine
-	number        int              // from 0
-	policyVersion uint64           // that it was decided by, 0 without peers
-	permit        *WritePermit     // of the write of its request, from when that is handed over
-	deadlineTimer *timerqueue.Item // withdraws it
+	number        int              // index in query.attempts
+	policyVersion uint64           // policy version that decided the attempt, 0 without peers
+	permit        *WritePermit     // guards the write of the request, nil before that write
+	deadlineTimer *timerqueue.Item // withdraws the attempt at the deadline
 	startedAt     time.Duration
 	deadline      time.Duration
-	endedAt       time.Duration // when the outcome was known
+	endedAt       time.Duration // when the outcome became known
 
 	// progress, see above
 	sent           bool
-	submitCallDone bool // the call with the request has ended, whatever it came to
+	submitCallDone bool // the call that carries the request has ended, with any result
 	settled        bool
 	onSettled      []func()
 	ended          bool
@@ -44,61 +44,61 @@
 	outcome        scheduler.Outcome
 	reported       bool
 
-	// how long its engine may retain it, see provenOver
-	callsInFlight int           // written calls that make the engine retain it, while they may arrive
-	lastArrival   time.Duration // the latest that one which is no longer in flight may have arrived
-	polledAt      time.Duration // when such a call was last written
+	// how long the engine may retain the query, see provenOver
+	callsInFlight int           // written calls that extend the retention and may still arrive
+	lastArrival   time.Duration // latest time at which a call no longer in flight may have arrived
+	polledAt      time.Duration // when a call that extends the retention was last written
 
 	// polling
-	maybeForgotten  bool          // out of reach since the last response: an error may mean unknown there
-	staleNotesUntil time.Duration // notes before this may be older than its being forgotten
-	pollRetryDelay  time.Duration // before the next poll after a failed one
-	lastResponseAt  time.Duration // when the last readable response came, or the first call was made
-	lastCallText    string        // what its last call came to, for the log
+	maybeForgotten  bool          // unreachable since the last response: an error may mean an unknown query
+	staleNotesUntil time.Duration // progress notes before this time may predate the loss of the query
+	pollRetryDelay  time.Duration // delay before the next poll after a failed one
+	lastResponseAt  time.Duration // when the last valid response came, or the request was written
+	lastCallText    string        // result of the last call, for the log
 
-	sentPriority    int  // that its engine was last told
-	prioritySending bool // a change of it is under way
+	sentPriority    int  // priority that the engine was last told
+	prioritySending bool // a call that changes the priority is in progress
 
-	// its result, collected here unless the client reads page by page
+	// result, collected in memory unless the client reads page by page
 	pages     [][]byte
-	pageCount int // that the result has
-	pageBytes int // of pages
+	pageCount int // pages of the whole result
+	pageBytes int // size of pages
 	work      time.Duration
 	memoryMB  float64
 
-	// its result in the spool
+	// result in the spool
 	result         *spool.Result
 	spooledPages   int
-	released       bool // the engine was told that it may forget it
-	resultPromised bool // the spool keeps it until its client has read it or it expires
+	released       bool // the engine was told that it may drop the result
+	resultPromised bool // the spool keeps the result until its client has read it or it expires
 }
 
 const (
-	// engineRetention is how long an engine retains a query that nobody polls.
+	// engineRetention is how long an engine retains a query that is not polled.
 	engineRetention = 2 * time.Second
-	// longPollTimeout is how long an engine holds a poll without news; meanwhile the query counts as
-	// polled.
+	// longPollTimeout is how long an engine holds a poll while it has no news. During that time the
+	// query counts as polled.
 	longPollTimeout = 250 * time.Millisecond
-	// maxNetworkDelay is for what is in the network when its connection ends.
+	// maxNetworkDelay bounds how long after the end of its connection a message may still arrive.
 	maxNetworkDelay = 50 * time.Millisecond
-	// submitWriteTimeout bounds the time from the step that lets a request go to its first byte. The
-	// process may stand still there and the client leave meanwhile, for whom nothing may start more than
-	// 0.1 s later. What takes longer counts as not sent, and the scheduler decides again.
+	// submitWriteTimeout bounds the time from the step that emits a request to its first byte. If the
+	// process stalls in between, the client may have left, and the protocol allows no query to start
+	// more than 0.1 s after that. A later write counts as not sent, and the scheduler decides again.
 	submitWriteTimeout = 75 * time.Millisecond
-	// minPollRetryDelay and maxPollRetryDelay bound the pause before a call is repeated that came to nothing.
-	// An engine that ends every connection must not be dialled in a loop.
+	// minPollRetryDelay and maxPollRetryDelay bound the delay before a failed poll is retried, so that an
+	// engine that closes every connection is not dialled in a tight loop.
 	minPollRetryDelay = 10 * time.Millisecond
 	maxPollRetryDelay = engineRetention / 4
 )
 
 // startAttempt submits a query to an engine, as the scheduler decided. The attempt is withdrawn after
-// within, or at the query's deadline if within is 0.
+// the time within, or at the query's deadline if within is 0.
 func (c *Controller) startAttempt(q *query, e *engine, within time.Duration) {
 	deadline := q.deadline
 	if within != 0 {
 		deadline = min(deadline, c.now+within)
 	}
-	s := &attempt{
+	a := &attempt{
 		Controller: c,
 		query:      q,
 		engine:     e,
@@ -106,53 +106,53 @@
 		startedAt:  c.now,
 		deadline:   deadline,
 	}
-	q.attempts = append(q.attempts, s)
+	q.attempts = append(q.attempts, a)
 	e.unreportedAttempts++
 	if c.fairQueue != nil {
 		c.fairQueue.attemptStarted(q)
 	}
 	c.counters.attempts++
-	s.deadlineTimer = c.timers.Add(deadline, func() { c.withdrawAttempt(s, scheduler.TimedOut) })
-	// an engine can't tell two attempts of one query apart: cancelling the first would end the second
+	a.deadlineTimer = c.timers.Add(deadline, func() { c.withdrawAttempt(a, scheduler.TimedOut) })
+	// the engine identifies attempts by query id alone: cancelling the first would end the second, too
 	if e.isCancelling(q.id) {
-		e.waitingForID = append(e.waitingForID, s)
+		e.waitingForID = append(e.waitingForID, a)
 		return
 	}
-	s.send()
+	a.send()
 }
 
-// finish ends an attempt whose outcome is certain: nothing of it runs any more, or whether it does can't
-// be learned.
-func (s *attempt) finish(outcome scheduler.Outcome) {
-	if !s.ended {
-		s.ended = true
-		s.report(outcome)
+// finish ends an attempt whose outcome is certain: the engine no longer runs the query, or the controller
+// cannot learn whether it does.
+func (a *attempt) finish(outcome scheduler.Outcome) {
+	if !a.ended {
+		a.ended = true
+		a.report(outcome)
 	}
 }
 
-// report tells the scheduler the outcome, before the step ends.
-func (s *attempt) report(outcome scheduler.Outcome) {
-	s.pages = nil
-	if s.paging != nil {
-		s.paging.discard(s)
+// report records the outcome and tells the scheduler before the step ends.
+func (a *attempt) report(outcome scheduler.Outcome) {
+	a.pages = nil
+	if a.paging != nil {
+		a.paging.discard(a)
 	}
-	s.timers.Drop(s.deadlineTimer)
-	s.counters.attemptEnds[outcome]++
-	s.outcomeKnown = true
-	s.outcome = outcome
-	took := s.now - s.startedAt
-	s.endedAt = s.now
-	if s.TraceQueries {
-		s.trace(s.logFields(), "told %s after %v, %s", outcomeNames[outcome], took, s.lastCallText)
+	a.timers.Drop(a.deadlineTimer)
+	a.counters.attemptEnds[outcome]++
+	a.outcomeKnown = true
+	a.outcome = outcome
+	took := a.now - a.startedAt
+	a.endedAt = a.now
+	if a.TraceQueries {
+		a.trace(a.logFields(), "told %s after %v, %s", outcomeNames[outcome], took, a.lastCallText)
 	}
 	if outcome != scheduler.Finished && outcome != scheduler.Cancelled {
-		s.logWithFields(s.logFields(), outcomeNames[outcome]+" after "+took.String()+", "+s.lastCallText)
+		a.logWithFields(a.logFields(), outcomeNames[outcome]+" after "+took.String()+", "+a.lastCallText)
 	}
-	s.enqueueCallback(func() {
-		s.reported = true
-		s.engine.unreportedAttempts--
-		q := s.query
-		s.scheduler.AttemptEnded(s.now, q.id, s.number, outcome, took, q.answered, s.work, s.memoryMB, nil)
-		s.forgetQuery(q)
+	a.enqueueCallback(func() {
+		a.reported = true
+		a.engine.unreportedAttempts--
+		q := a.query
+		a.scheduler.AttemptEnded(a.now, q.id, a.number, outcome, took, q.answered, a.work, a.memoryMB, nil)
+		a.forgetQuery(q)
 	})
 }
--- a/internal/controller/attempt_calls.go
+++ b/internal/controller/attempt_calls.go
@@ -8,166 +8,167 @@
 	"railrelay.dev/railrelay/internal/scheduler"
 )
 
-// send submits the query to the attempt's engine, unless the serving lease holds it back.
-func (s *attempt) send() {
-	if s.ended || s.servingLease != nil && !s.servingLease.permitSend(s) {
+// send submits the query to the attempt's engine, unless the serving lease does not permit it now.
+func (a *attempt) send() {
+	if a.ended || a.servingLease != nil && !a.servingLease.permitSend(a) {
 		return
 	}
 	request := &call{
 		method:           "POST",
-		engine:           s.engine,
-		attempt:          s,
+		engine:           a.engine,
+		attempt:          a,
 		startsAttempt:    true,
 		extendsRetention: true,
-		validResponse:    s.responseValidator(0),
-		encode:           s.encodeSubmission,
-		onResult: func(as callResult, status int, field func(string) string, body []byte) {
-			s.handleCallResult(0, as, status, field, body)
-			s.submitCallDone = true
+		validResponse:    a.responseValidator(0),
+		encode:           a.encodeSubmission,
+		onResult: func(result callResult, status int, field func(string) string, body []byte) {
+			a.handleCallResult(0, result, status, field, body)
+			a.submitCallDone = true
 		},
 	}
-	request.stillWanted = func() bool { return s.maySubmitNow(request) }
-	s.startCall(request)
+	request.stillWanted = func() bool { return a.maySubmitNow(request) }
+	a.startCall(request)
 }
 
-// maySubmitNow asks again, right before the request is written, what the attempt was decided on: it may
-// have waited for a connection since.
-func (s *attempt) maySubmitNow(request *call) bool {
-	startBy := min(s.deadline, s.scheduler.StartDeadline(s.query.id, s.number), s.now+submitWriteTimeout)
-	wanted := !s.ended && !s.query.answered && s.now < startBy && s.engine.state == scheduler.EngineActive
-	s.permit = NewWritePermit(startBy)
-	if wanted && s.servingLease != nil && !s.servingLease.permitSend(s) {
-		// this call comes to nothing: send makes another once the lease lets the attempt go
+// maySubmitNow repeats the checks that the attempt was decided on, right before the request is written: the
+// attempt may have waited for a connection in the meantime.
+func (a *attempt) maySubmitNow(request *call) bool {
+	startBy := min(a.deadline, a.scheduler.StartDeadline(a.query.id, a.number), a.now+submitWriteTimeout)
+	wanted := !a.ended && !a.query.answered && a.now < startBy && a.engine.state == scheduler.EngineActive
+	a.permit = NewWritePermit(startBy)
+	if wanted && a.servingLease != nil && !a.servingLease.permitSend(a) {
+		// this call ends without a result: send makes another once the lease permits the attempt
 		request.done = true
 		return false
 	}
 	return wanted
 }
 
-func (s *attempt) encodeSubmission(dst []byte) []byte {
-	s.sent = true
-	s.polledAt = s.now
-	s.lastResponseAt = s.now
-	s.sentPriority = s.query.effectivePriority()
-	if s.number == 0 {
-		s.counters.recordFirstByte(s.now - s.query.receivedAt)
+func (a *attempt) encodeSubmission(dst []byte) []byte {
+	a.sent = true
+	a.polledAt = a.now
+	a.lastResponseAt = a.now
+	a.sentPriority = a.query.effectivePriority()
+	if a.number == 0 {
+		a.counters.recordFirstByte(a.now - a.query.receivedAt)
 	}
-	q := s.query
-	return enginehttp.Submit(dst, s.engine.address, q.id, q.groupName, q.idempotencyKey, s.deadline-s.now,
-		q.memoryGrantMB, s.sentPriority, q.statement)
+	q := a.query
+	return enginehttp.Submit(dst, a.engine.address, q.id, q.groupName, q.idempotencyKey, a.deadline-a.now,
+		q.memoryGrantMB, a.sentPriority, q.statement)
 }
 
-// poll asks the engine for news of the query (page 0), or for a further page of its result.
-func (s *attempt) poll(page int) {
-	s.startCall(&call{
+// poll asks the engine for the progress of the query (page 0), or for a further page of its result.
+func (a *attempt) poll(page int) {
+	a.startCall(&call{
 		method:           "GET",
-		engine:           s.engine,
-		attempt:          s,
+		engine:           a.engine,
+		attempt:          a,
 		isPoll:           page == 0,
 		extendsRetention: true,
-		validResponse:    s.responseValidator(page),
-		stillWanted:      func() bool { return !s.ended },
+		validResponse:    a.responseValidator(page),
+		stillWanted:      func() bool { return !a.ended },
 		encode: func(dst []byte) []byte {
-			if s.now > s.polledAt+engineRetention {
-				s.maybeForgotten = true
-				s.staleNotesUntil = s.now + 2*longPollTimeout
+			if a.now > a.polledAt+engineRetention {
+				a.maybeForgotten = true
+				a.staleNotesUntil = a.now + 2*longPollTimeout
 			}
-			s.polledAt = s.now
-			return enginehttp.Ask(dst, s.engine.address, s.query.id, page)
+			a.polledAt = a.now
+			return enginehttp.Ask(dst, a.engine.address, a.query.id, page)
 		},
-		onResult: func(as callResult, status int, field func(string) string, body []byte) {
-			s.handleCallResult(page, as, status, field, body)
+		onResult: func(result callResult, status int, field func(string) string, body []byte) {
+			a.handleCallResult(page, result, status, field, body)
 		},
 	})
 }
 
-func (s *attempt) responseValidator(page int) func(int, func(string) string, []byte) bool {
+func (a *attempt) responseValidator(page int) func(int, func(string) string, []byte) bool {
 	return func(status int, field func(string) string, body []byte) bool {
 		return enginehttp.Fits(page, status, field, body)
 	}
 }
 
-// handleCallResult judges what a submission or a poll came to.
-func (s *attempt) handleCallResult(page int, as callResult, status int, field func(string) string, body []byte) {
-	if s.ended {
+// handleCallResult decides how the attempt goes on after a submission or a poll.
+func (a *attempt) handleCallResult(page int, result callResult, status int,
+	field func(string) string, body []byte) {
+	if a.ended {
 		return
 	}
-	s.lastCallText = callResultNames[as] + " " + strconv.Itoa(status) + " on page " + strconv.Itoa(page)
+	a.lastCallText = callResultNames[result] + " " + strconv.Itoa(status) + " on page " + strconv.Itoa(page)
 	switch {
-	case as == callAnswered:
-		s.handleResponse(page, status, field, body)
-	case !s.sent && as == callNotSent, !s.submitCallDone && as == callNotWritten:
-		// the end of a connection says nothing against its engine
-		s.finish(scheduler.NeverSent)
-	case !s.sent:
-		s.finish(scheduler.Unreachable)
-	case s.engineProcessDied(as):
-		s.finish(scheduler.ConnectionReset)
-	case as == callMalformedResponse && s.now-s.lastResponseAt >= engineRetention:
-		// too many for one response damaged on its way
-		s.withdrawAttempt(s, scheduler.ConnectionReset)
-	case s.provenOver():
-		// if it still ran there it has been forgotten by now
-		s.finish(scheduler.TimedOut)
+	case result == callAnswered:
+		a.handleResponse(page, status, field, body)
+	case !a.sent && result == callNotSent, !a.submitCallDone && result == callNotWritten:
+		// a closed connection is no evidence against its engine
+		a.finish(scheduler.NeverSent)
+	case !a.sent:
+		a.finish(scheduler.Unreachable)
+	case a.engineProcessDied(result):
+		a.finish(scheduler.ConnectionReset)
+	case result == callMalformedResponse && a.now-a.lastResponseAt >= engineRetention:
+		// invalid responses for this long are not a single response damaged in transit
+		a.withdrawAttempt(a, scheduler.ConnectionReset)
+	case a.provenOver():
+		// if the engine still ran the query, its retention time has passed by now
+		a.finish(scheduler.TimedOut)
 	default:
-		s.retryPoll(page)
+		a.retryPoll(page)
 	}
 }
 
-func (s *attempt) handleResponse(page, status int, field func(string) string, body []byte) {
-	s.pollRetryDelay = 0
-	s.lastResponseAt = s.now
-	if s.loadReportsInResponses {
+func (a *attempt) handleResponse(page, status int, field func(string) string, body []byte) {
+	a.pollRetryDelay = 0
+	a.lastResponseAt = a.now
+	if a.loadReportsInResponses {
 		loadReport := enginehttp.Load(field)
 		if loadReport != nil {
-			s.enqueueCallback(func() { s.scheduler.LoadReported(s.now, s.engine.id, loadReport) })
+			a.enqueueCallback(func() { a.scheduler.LoadReported(a.now, a.engine.id, loadReport) })
 		}
 	}
-	enginehttp.Hear(page, status, field, body, &responseHandler{s})
+	enginehttp.Hear(page, status, field, body, &responseHandler{a})
 }
 
-// retryPoll asks again after a pause. The call or its response may be lost and the query not: a poll on
-// another connection tells, as often as it is asked, what became of it and all pages of its result.
-func (s *attempt) retryPoll(page int) {
-	s.counters.pollRetries++
-	s.maybeForgotten = true
-	s.pollRetryDelay = min(max(2*s.pollRetryDelay, minPollRetryDelay), maxPollRetryDelay)
-	s.runAfter(s.pollRetryDelay, func() {
-		if !s.ended {
-			s.poll(page)
+// retryPoll polls again after a delay. A lost call or response does not mean a lost query: a poll on another
+// connection returns the outcome, and any page of the result, as often as it is asked.
+func (a *attempt) retryPoll(page int) {
+	a.counters.pollRetries++
+	a.maybeForgotten = true
+	a.pollRetryDelay = min(max(2*a.pollRetryDelay, minPollRetryDelay), maxPollRetryDelay)
+	a.runAfter(a.pollRetryDelay, func() {
+		if !a.ended {
+			a.poll(page)
 		}
 	})
 }
 
-// sendPriority tells the engine of an attempt that runs the query's priority, if that has changed.
-func (c *Controller) sendPriority(s *attempt) {
-	if !s.sent || s.ended || s.released || s.prioritySending || s.query.effectivePriority() == s.sentPriority {
+// sendPriority tells the attempt's engine the query's priority, if the priority has changed.
+func (c *Controller) sendPriority(a *attempt) {
+	if !a.sent || a.ended || a.released || a.prioritySending || a.query.effectivePriority() == a.sentPriority {
 		return
 	}
-	s.prioritySending = true
-	s.sentPriority = s.query.effectivePriority()
+	a.prioritySending = true
+	a.sentPriority = a.query.effectivePriority()
 	c.startCall(&call{
 		method:        "PUT",
-		engine:        s.engine,
-		attempt:       s,
+		engine:        a.engine,
+		attempt:       a,
 		validResponse: enginehttp.FitsDone,
-		stillWanted:   func() bool { return !s.ended },
+		stillWanted:   func() bool { return !a.ended },
 		encode: func(dst []byte) []byte {
-			return enginehttp.Rank(dst, s.engine.address, s.query.id, s.sentPriority)
+			return enginehttp.Rank(dst, a.engine.address, a.query.id, a.sentPriority)
 		},
 		onResult: func(callResult, int, func(string) string, []byte) {
-			s.prioritySending = false
-			c.sendPriority(s) // it may have changed again meanwhile
+			a.prioritySending = false
+			c.sendPriority(a) // the priority may have changed again during the call
 		},
 	})
 }
 
-// responseHandler takes what an engine's response says of an attempt. It is a type of its own to keep
-// the methods that enginehttp calls apart from those of the attempt.
+// responseHandler receives the contents of an engine's response to an attempt's call. It is a separate type
+// to keep the methods that enginehttp calls apart from the methods of attempt.
 type responseHandler struct{ *attempt }
 
-// Runs: the query runs. After a time unpolled that is longer than engines retain a query the first such
-// responses may be stale, from before it was forgotten.
+// Runs handles the response that the query is still running, and polls again. After a time without polls
+// that exceeds engineRetention, the first such responses may be stale, from before the query was dropped.
 func (h *responseHandler) Runs() {
 	h.maybeForgotten = h.now < h.staleNotesUntil
 	h.poll(0)
@@ -175,56 +176,56 @@
 
 // Note passes a progress note on to the scheduler.
 func (h *responseHandler) Note(kind scheduler.NoteKind, value float64) {
-	s := h.attempt
-	s.counters.progressNotes++
-	s.enqueueCallback(func() {
-		if !s.ended {
-			s.scheduler.NoteReceived(s.now, s.query.id, s.number, kind, value)
+	a := h.attempt
+	a.counters.progressNotes++
+	a.enqueueCallback(func() {
+		if !a.ended {
+			a.scheduler.NoteReceived(a.now, a.query.id, a.number, kind, value)
 		}
 	})
 }
 
-// Finished comes before the first page of a result.
+// Finished handles the figures that precede the first page of a result.
 func (h *responseHandler) Finished(work time.Duration, memoryMB float64) {
 	h.work = work
 	h.memoryMB = memoryMB
 	h.pages = nil
 }
 
-// Page takes a page of the result, and asks for the next or ends the attempt.
+// Page stores a page of the result, and then polls the next page or ends the attempt.
 func (h *responseHandler) Page(number, count int, rows []byte) {
-	s := h.attempt
-	if s.query.spooled != nil {
-		if number == s.spooledPages && !s.released {
-			s.paging.addPage(s, number, count, rows)
+	a := h.attempt
+	if a.query.spooled != nil {
+		if number == a.spooledPages && !a.released {
+			a.paging.addPage(a, number, count, rows)
 		}
 		return
 	}
 	if number == 0 {
-		s.pages = make([][]byte, 0, min(count, 64))
-		s.pageCount = count
+		a.pages = make([][]byte, 0, min(count, 64))
+		a.pageCount = count
 	}
-	s.pageBytes += len(rows)
-	if s.pageBytes > s.maxMessageBytes {
-		s.finish(scheduler.Failed)
+	a.pageBytes += len(rows)
+	if a.pageBytes > a.maxMessageBytes {
+		a.finish(scheduler.Failed)
 		return
 	}
-	s.pages = append(s.pages, append([]byte{}, rows...))
-	if len(s.pages) < s.pageCount && !s.query.answered { // if it is, nobody wants the others
-		s.poll(len(s.pages))
+	a.pages = append(a.pages, append([]byte{}, rows...))
+	if len(a.pages) < a.pageCount && !a.query.answered { // an answered query needs no further pages
+		a.poll(len(a.pages))
 		return
 	}
-	if !s.query.answered {
-		s.answerFinished(s.query, s.pages)
+	if !a.query.answered {
+		a.answerFinished(a.query, a.pages)
 	}
-	s.finish(scheduler.Finished)
+	a.finish(scheduler.Finished)
 }
 
-// Ends: the query failed, was rejected or timed out, or isn't known there. Where the attempt may have
-// been forgotten an error is no proof of its end: the request may have reached a machine that hasn't
-// taken it up yet, and will run it all the same. An attempt that must prove its end is withdrawn then, so
-// that the next query of its key can't overtake it. Any other just ends: the engine responds, and must
-// not be taken for dead.
+// Ends handles the response that the query failed, was rejected, timed out or is not known at the engine.
+// If the engine may have dropped the query, an error does not prove that the attempt is over: the request
+// may have reached a machine that has not taken it up yet and will still run it. An attempt that must prove
+// its end is therefore withdrawn, so that the next query of its key cannot overtake it. Any other attempt
+// ends: the engine does respond, and must not be taken for dead.
 func (h *responseHandler) Ends(outcome scheduler.Outcome) {
 	if h.maybeForgotten && outcome == scheduler.Failed && h.mustProveEnd() {
 		h.withdrawAttempt(h.attempt, scheduler.ConnectionReset)
--- a/internal/controller/attempt_cancel.go
+++ b/internal/controller/attempt_cancel.go
@@ -5,117 +5,117 @@
 	"railrelay.dev/railrelay/internal/scheduler"
 )
 
-// When an attempt is over is decided here and by handleCallResult; docs/design.md has the table.
+// This file and handleCallResult decide when an attempt is over; docs/design.md lists the cases.
 
-// mustProveEnd reports whether the scheduler may be told of the attempt's end only once nothing of it can
-// run any more: a query of the same key or a second copy must not overlap with it.
-func (s *attempt) mustProveEnd() bool { return s.query.group.inOrder || !s.mayHedge }
+// mustProveEnd reports whether the scheduler may learn of the attempt's end only once no part of the attempt
+// can still run: a query of the same key or a second attempt must not overlap with it.
+func (a *attempt) mustProveEnd() bool { return a.query.group.inOrder || !a.mayHedge }
 
-// provenOver reports whether it is over at its engine, heard from or not, since it went unpolled for
-// as long as engines retain a query. A call may arrive as long as its connection stands, and counts as
-// having arrived no earlier than its response timed out: by our clock alone it would be over too soon
-// where this process stood still meanwhile.
+// provenOver reports whether the engine certainly no longer runs the query, even without a response, because
+// the query was not polled for as long as engines retain one. A call may arrive for as long as its
+// connection is open, and counts as arrived no earlier than its response timeout: judged by this process's
+// clock alone, the retention would seem over too soon after the process stalled.
 //
-// Where engines take no cancellations they may run a query whether it is polled or not. What keeps order
-// is over then only with the time that its engine was given.
-func (s *attempt) provenOver() bool {
-	arrived := max(s.lastArrival, s.polledAt+responseTimeout+maxNetworkDelay)
+// An engine that takes no cancellations may run a query whether it is polled or not. With ordered queries
+// such an attempt is over only after the deadline that the engine was given.
+func (a *attempt) provenOver() bool {
+	arrived := max(a.lastArrival, a.polledAt+responseTimeout+maxNetworkDelay)
 	retainedUntil := arrived + longPollTimeout + engineRetention
-	if s.query.group.inOrder && !s.mayCancel {
-		retainedUntil = max(retainedUntil, s.deadline+maxNetworkDelay+longPollTimeout+engineRetention)
+	if a.query.group.inOrder && !a.mayCancel {
+		retainedUntil = max(retainedUntil, a.deadline+maxNetworkDelay+longPollTimeout+engineRetention)
 	}
-	return s.callsInFlight == 0 && s.now >= retainedUntil
+	return a.callsInFlight == 0 && a.now >= retainedUntil
 }
 
-// engineProcessDied reports whether the engine's process is gone by all there is to see. A process that ends
-// takes its connections with it. A refusal while one stands only says that it takes no more of them, and
-// with none left it may mean that, too; so it proves nothing where the end must be proven.
-func (s *attempt) engineProcessDied(as callResult) bool {
-	return as == callRefused && !s.engine.hasConnection() && !s.mustProveEnd()
+// engineProcessDied reports whether all evidence says that the engine's process is gone. A process that ends
+// closes its connections. A refused dial while a connection is open only means that the engine accepts no
+// more connections. Without an open connection it may mean the same, so it is no proof with mustProveEnd.
+func (a *attempt) engineProcessDied(result callResult) bool {
+	return result == callRefused && !a.engine.hasConnection() && !a.mustProveEnd()
 }
 
-// recordArrival notes that a written call was answered or its connection is gone. What is still in the
-// network then may arrive within maxNetworkDelay.
+// recordArrival records that a written call was answered or its connection is gone. Bytes still in the
+// network at that moment may arrive within maxNetworkDelay.
 func (r *call) recordArrival() {
-	s := r.attempt
-	if s == nil || !r.extendsRetention {
+	a := r.attempt
+	if a == nil || !r.extendsRetention {
 		return
 	}
 	delay := maxNetworkDelay
 	if r.answered {
 		delay = 0
 	}
-	s.callsInFlight--
-	s.lastArrival = max(s.lastArrival, s.now+delay)
+	a.callsInFlight--
+	a.lastArrival = max(a.lastArrival, a.now+delay)
 	if r.startsAttempt {
-		s.runAfter(delay, s.markSettled)
+		a.runAfter(delay, a.markSettled)
 	}
 }
 
-// markSettled notes that the request has arrived, or never will.
-func (s *attempt) markSettled() {
-	s.settled = true
-	for _, callback := range s.onSettled {
+// markSettled records that the request has arrived at the engine, or never will.
+func (a *attempt) markSettled() {
+	a.settled = true
+	for _, callback := range a.onSettled {
 		callback()
 	}
-	s.onSettled = nil
+	a.onSettled = nil
 }
 
-// withdrawAttempt gives an attempt up and cancels it at its engine. The scheduler is told at once where
-// it may overlap with what comes next. Where mustProveEnd, it is told when the attempt is over at its
-// engine: it was cancelled there, the process is gone, or it went unpolled for as long as engines retain
-// a query.
-func (c *Controller) withdrawAttempt(s *attempt, outcome scheduler.Outcome) {
-	if s.ended {
+// withdrawAttempt gives an attempt up and cancels it at its engine. The scheduler is told at once if the
+// attempt may overlap with its successor. With mustProveEnd, the scheduler is told when the attempt is over
+// at the engine: the cancellation was confirmed, the engine's process is gone, or the query was not polled
+// for as long as engines retain one.
+func (c *Controller) withdrawAttempt(a *attempt, outcome scheduler.Outcome) {
+	if a.ended {
 		return
 	}
-	s.ended = true
-	s.permit.Revoke()
+	a.ended = true
+	a.permit.Revoke()
 	if c.TraceQueries {
-		c.trace(s.logFields(), "withdrawn")
+		c.trace(a.logFields(), "withdrawn")
 	}
-	if !s.sent {
-		s.report(scheduler.NeverSent)
+	if !a.sent {
+		a.report(scheduler.NeverSent)
 		return
 	}
-	reportLate := s.mustProveEnd()
-	s.engine.cancelling = append(s.engine.cancelling, s)
+	reportLate := a.mustProveEnd()
+	a.engine.cancelling = append(a.engine.cancelling, a)
 	over := func() {
-		s.engine.cancellationDone(s)
+		a.engine.cancellationDone(a)
 		if reportLate {
-			s.report(outcome)
+			a.report(outcome)
 		}
 	}
 	if !reportLate {
-		s.report(outcome)
+		a.report(outcome)
 	}
-	c.cancelAtEngine(s, func() {
-		if s.settled {
+	c.cancelAtEngine(a, func() {
+		if a.settled {
 			over()
 			return
 		}
-		// the cancellation may have overtaken the request
-		s.onSettled = append(s.onSettled, func() { c.cancelAtEngine(s, over) })
+		// the cancellation may have overtaken the request, so it is sent again
+		a.onSettled = append(a.onSettled, func() { c.cancelAtEngine(a, over) })
 	})
 }
 
-// cancelAtEngine cancels an attempt at its engine, again and again until that is confirmed or moot, and
-// then calls done.
-func (c *Controller) cancelAtEngine(s *attempt, done func()) {
+// cancelAtEngine cancels an attempt at its engine, retries until the cancellation is confirmed or no longer
+// needed, and then calls done.
+func (c *Controller) cancelAtEngine(a *attempt, done func()) {
 	c.startCall(&call{
 		method:        "DELETE",
-		engine:        s.engine,
-		attempt:       s,
+		engine:        a.engine,
+		attempt:       a,
 		validResponse: enginehttp.FitsDone,
 		encode: func(dst []byte) []byte {
-			return enginehttp.GiveUp(dst, s.engine.address, s.query.id)
+			return enginehttp.GiveUp(dst, a.engine.address, a.query.id)
 		},
-		onResult: func(as callResult, _ int, _ func(string) string, _ []byte) {
-			if as == callAnswered || s.engineProcessDied(as) || s.provenOver() {
+		onResult: func(result callResult, _ int, _ func(string) string, _ []byte) {
+			if result == callAnswered || a.engineProcessDied(result) || a.provenOver() {
 				done()
 				return
 			}
-			c.runAfter(maxNetworkDelay, func() { c.cancelAtEngine(s, done) })
+			c.runAfter(maxNetworkDelay, func() { c.cancelAtEngine(a, done) })
 		},
 	})
 }
--- a/internal/controller/attempt_cancel_test.go
+++ b/internal/controller/attempt_cancel_test.go
@@ -6,17 +6,17 @@
 )
 
 // disconnectDuringQuery has a query of a key run at an engine that is cut off from us, with another of its key behind.
-func disconnectDuringQuery(t *testing.T, more map[string]string, patience time.Duration) (s *harness, m *fakeEngine, first, next *sentQuery) {
-	s = newHarness(t, 2, 256, more)
-	c := s.connect()
-	first = s.sendQuery(c, "load", "k", patience, 1)
-	h := s.waitForCall("POST", first.id)
-	s.respond(h, "runs")
-	next = s.sendQuery(c, "load", "k", 30*time.Second, 2)
-	s.waitForCall("GET", first.id)
-	m = h.engine
-	m.networkCut = true
-	return s, m, first, next
+func disconnectDuringQuery(t *testing.T, more map[string]string, patience time.Duration) (h *harness, engine *fakeEngine, first, next *sentQuery) {
+	h = newHarness(t, 2, 256, more)
+	conn := h.connect()
+	first = h.sendQuery(conn, "load", "k", patience, 1)
+	call := h.waitForCall("POST", first.id)
+	h.respond(call, "runs")
+	next = h.sendQuery(conn, "load", "k", 30*time.Second, 2)
+	h.waitForCall("GET", first.id)
+	engine = call.engine
+	engine.networkCut = true
+	return h, engine, first, next
 }
 
 // Where nothing may be cancelled an engine works on though nobody asks for the query: seen on a variant's
@@ -24,26 +24,26 @@
 // key waits until the engine was heard, or until the time that it was told to have is over.
 func TestOrderHoldsWithoutCancellation(t *testing.T) {
 	for _, cancel := range []string{"true", "false"} {
-		s, m, first, next := disconnectDuringQuery(t, map[string]string{"may.probe": "false", "may.cancel": cancel}, 20*time.Second)
-		s.runUntil(s.now + 6*time.Second)
+		h, engine, first, next := disconnectDuringQuery(t, map[string]string{"may.probe": "false", "may.cancel": cancel}, 20*time.Second)
+		h.runUntil(h.now + 6*time.Second)
 		if sent := len(next.runs) > 0; sent != (cancel == "true") {
 			t.Fatalf("may.cancel %s: after 6 s of silence the next of its key was sent: %v", cancel, sent)
 		}
 		if cancel == "true" {
 			continue
 		}
-		m.runs[first.id].ended, m.runs[first.id].polledAt = false, s.now // it ran on, and does now
-		s.healNetwork(m)
-		s.respond(s.waitForCall("GET", first.id), "ok")
-		if s.runUntil(s.now + 100*time.Millisecond); first.answer != "finished" || len(next.runs) != 1 {
+		engine.runs[first.id].ended, engine.runs[first.id].polledAt = false, h.now // it ran on, and does now
+		h.healNetwork(engine)
+		h.respond(h.waitForCall("GET", first.id), "ok")
+		if h.runUntil(h.now + 100*time.Millisecond); first.answer != "finished" || len(next.runs) != 1 {
 			t.Fatalf("heard again: the first %q, the next sent %d times", first.answer, len(next.runs))
 		}
 	}
-	s, _, _, next := disconnectDuringQuery(t, map[string]string{"may.probe": "false", "may.cancel": "false"}, 4*time.Second)
-	if s.runUntil(s.now + 5*time.Second); len(next.runs) > 0 {
+	h, _, _, next := disconnectDuringQuery(t, map[string]string{"may.probe": "false", "may.cancel": "false"}, 4*time.Second)
+	if h.runUntil(h.now + 5*time.Second); len(next.runs) > 0 {
 		t.Fatal("sent before its time was over at its engine")
 	}
-	if s.runUntil(s.now + 4*time.Second); len(next.runs) != 1 {
+	if h.runUntil(h.now + 4*time.Second); len(next.runs) != 1 {
 		t.Fatal("its key waits for good for an engine that is never heard")
 	}
 }
@@ -52,23 +52,23 @@
 // is heard again. They are no sign that the query lives, and the error behind them is no certain end:
 // it is given up there, and its key rests.
 func TestStaleNoteIsNoSignOfLife(t *testing.T) {
-	s, m, first, next := disconnectDuringQuery(t, map[string]string{"may.probe": "false", "may.cancel": "false"}, 20*time.Second)
-	s.runUntil(s.now + 4*time.Second)
-	x := m.runs[first.id]
-	x.ended, x.polledAt = false, s.now // what was noted before is told first
-	s.healNetwork(m)
+	h, engine, first, next := disconnectDuringQuery(t, map[string]string{"may.probe": "false", "may.cancel": "false"}, 20*time.Second)
+	h.runUntil(h.now + 4*time.Second)
+	run := engine.runs[first.id]
+	run.ended, run.polledAt = false, h.now // what was noted before is told first
+	h.healNetwork(engine)
 	for range 2 {
-		s.respond(s.waitForCall("GET", first.id), "stuck")
+		h.respond(h.waitForCall("GET", first.id), "stuck")
 	}
-	s.waitForCall("GET", first.id)
-	x.ended, x.keyCoolsDown, x.endedAt, x.pages = true, true, s.now, 0
-	s.respond(s.waitForCall("GET", first.id), "runs")
-	from := s.now
-	s.respond(s.waitForCall("DELETE", first.id), "ok")
-	if s.runUntil(from + 250*time.Millisecond); len(next.runs) > 0 {
+	h.waitForCall("GET", first.id)
+	run.ended, run.keyCoolsDown, run.endedAt, run.pages = true, true, h.now, 0
+	h.respond(h.waitForCall("GET", first.id), "runs")
+	from := h.now
+	h.respond(h.waitForCall("DELETE", first.id), "ok")
+	if h.runUntil(from + 250*time.Millisecond); len(next.runs) > 0 {
 		t.Fatal("its key didn't rest")
 	}
-	if s.runUntil(from + 400*time.Millisecond); len(next.runs) != 1 || first.answer != "killed" {
+	if h.runUntil(from + 400*time.Millisecond); len(next.runs) != 1 || first.answer != "killed" {
 		t.Fatalf("the first %q, the next sent %d times", first.answer, len(next.runs))
 	}
 }
--- a/internal/controller/client.go
+++ b/internal/controller/client.go
@@ -9,26 +9,27 @@
 	"railrelay.dev/railrelay/internal/msgpackrpc"
 )
 
-// maxBadCalls is how many calls that can't be used one connection may send before it is closed.
+// maxBadCalls is how many invalid calls a connection may send before it is closed.
 const maxBadCalls = maxOpenQueries
 
-// client is one connection from a client, and what is open on it.
+// client is one connection from a client, with its open calls.
 type client struct {
 	*Controller
 	connection *Connection
 	limits     *ClientLimits
-	calls      []*rpcCall // in the order they came
-	pageReads  int        // calls for pages of spooled results, and for invalidations, that wait
+	calls      []*rpcCall // in order of arrival
+	pageReads  int        // pending calls that read pages of spooled results or request invalidations
 
 	// messages
-	messageStartedAt   time.Duration // when the message under way began, -1: none is; at first the connecting
-	hasSentMessage     bool          // a whole message came at some time
-	idleSince          time.Duration // when the last query open on it was closed
+	// messageStartedAt is when the current incomplete message began, -1: none; at first the accept time.
+	messageStartedAt   time.Duration
+	hasSentMessage     bool          // a complete message has arrived
+	idleSince          time.Duration // when the last open query was closed
 	badCalls           int
 	messagesSinceSweep int
 
-	// what it doesn't read, as of the last sweep
-	stalledSince  time.Duration // when it last took any of what is written to it, -1: nothing is unwritten
+	// unread answers, as of the last sweep
+	stalledSince  time.Duration // when the client last read bytes written to it, -1: nothing is unread
 	unreadAtSweep int           // bytes
 }
 
@@ -49,7 +50,7 @@
 	c.evictClient(cl)
 }
 
-// readMessages reads the messages that were received whole.
+// readMessages handles the complete messages received so far.
 func (cl *client) readMessages() {
 	readAny := false
 	for !cl.connection.closed {
@@ -75,7 +76,7 @@
 	}
 }
 
-// trackPartialMessage notes since when the next message is under way.
+// trackPartialMessage records when the next, still incomplete message began to arrive.
 func (cl *client) trackPartialMessage(readAny bool) {
 	switch {
 	case len(cl.connection.Received.Bytes()) == 0:
@@ -85,8 +86,8 @@
 	}
 }
 
-// messageHandler takes the next message: the client, or, for one message too many, which all other
-// clients would have to wait for, floodingClient.
+// messageHandler returns the handler for the next message: the client itself or, for the first message over
+// the limit, floodingClient. Further messages would delay all other clients.
 func (cl *client) messageHandler() msgpackrpc.Hearer {
 	if cl.messagesSinceSweep >= cl.limits.MaxMessagesPerSweep {
 		return &floodingClient{cl}
@@ -94,14 +95,14 @@
 	return cl
 }
 
-// disconnect closes the connection from our side; what was open on it gets no answers.
+// disconnect closes the connection from the controller's side; its open calls get no answers.
 func (cl *client) disconnect(graceful bool) {
 	cl.closeConnection(cl.connection, graceful)
 	cl.abandonAllCalls()
 }
 
 func (cl *client) connectionClosed() {
-	cl.connection.Received = bytebuf.Buffer{} // timers of its queries may outlive it
+	cl.connection.Received = bytebuf.Buffer{} // free the memory now: timers of its queries may outlive it
 	cl.clients = slices.DeleteFunc(cl.clients, func(x *client) bool { return x == cl })
 	cl.abandonAllCalls()
 }
@@ -113,9 +114,9 @@
 }
 
 func (cl *client) findCall(messageID uint32) *rpcCall {
-	for _, a := range cl.calls {
-		if a.messageID == messageID {
-			return a
+	for _, rc := range cl.calls {
+		if rc.messageID == messageID {
+			return rc
 		}
 	}
 	return nil
@@ -123,7 +124,7 @@
 
 func (cl *client) reply(message []byte) { cl.write(cl.connection, message) }
 
-// floodingClient tells a connection that is about to be closed why.
+// floodingClient tells a client why its connection is about to be closed.
 type floodingClient struct{ *client }
 
 func (f *floodingClient) explain(messageID uint32) {
@@ -155,5 +156,5 @@
 // Wrong implements msgpackrpc.Hearer.
 func (f *floodingClient) Wrong(messageID uint32, _ string) { f.explain(messageID) }
 
-// Left implements msgpackrpc.Hearer: a cancellation counts even so.
+// Left implements msgpackrpc.Hearer. A cancellation still takes effect.
 func (f *floodingClient) Left(messageID uint32) { f.client.Left(messageID) }
--- a/internal/controller/client_calls.go
+++ b/internal/controller/client_calls.go
@@ -13,7 +13,7 @@
 )
 
 // Query receives a query.
-func (cl *client) Query(messageID uint32, name, id []byte, patience time.Duration, key []byte, hasKey bool,
+func (cl *client) Query(messageID uint32, name, id []byte, timeout time.Duration, key []byte, hasKey bool,
 	statement []byte, fields msgpackrpc.Fields) {
 	if cl.findCall(messageID) != nil {
 		// answers could no longer be told apart
@@ -24,34 +24,34 @@
 	call := &queryCall{
 		groupName: string(name),
 		id:        string(id),
-		timeout:   patience,
+		timeout:   timeout,
 		key:       key,
 		hasKey:    hasKey,
 		statement: statement,
 		from:      CallOrigin{cl.connection.RemoteAddress, fields},
 	}
 	if len(cl.calls) >= cl.limits.MaxOpenQueries {
-		why := cl.validateCall(call)
-		if why != "" {
-			cl.Wrong(messageID, why)
+		reason := cl.validateCall(call)
+		if reason != "" {
+			cl.Wrong(messageID, reason)
 			return
 		}
 		cl.Wrong(messageID, "too many are open")
 		cl.disconnect(true)
 		return
 	}
-	a := &rpcCall{client: cl, messageID: messageID}
-	q, why := cl.receiveQuery(a, call)
-	switch why {
+	rc := &rpcCall{client: cl, messageID: messageID}
+	q, reason := cl.receiveQuery(rc, call)
+	switch reason {
 	case "":
-		a.query = q
-		cl.calls = append(cl.calls, a)
+		rc.query = q
+		cl.calls = append(cl.calls, rc)
 	case statementMemoryFull:
 		// counted as a bad call it could in the end cost what else is open on the connection
 		cl.counters.deferred++
-		cl.reply(msgpackrpc.Deferred(nil, messageID, min(cl.durationSetting("return.most"), patience/2)))
+		cl.reply(msgpackrpc.Deferred(nil, messageID, min(cl.durationSetting("return.most"), timeout/2)))
 	default:
-		cl.Wrong(messageID, why)
+		cl.Wrong(messageID, reason)
 	}
 }
 
@@ -64,20 +64,20 @@
 
 // Left takes a cancellation.
 func (cl *client) Left(messageID uint32) {
-	a := cl.findCall(messageID)
-	if a != nil {
-		cl.abandonQuery(a.query)
+	rc := cl.findCall(messageID)
+	if rc != nil {
+		cl.abandonQuery(rc.query)
 	}
 }
 
 // Wrong answers a call that can't be used. A connection with too many of them is closed.
-func (cl *client) Wrong(messageID uint32, why string) {
+func (cl *client) Wrong(messageID uint32, reason string) {
 	cl.counters.malformed++
 	if cl.findCall(messageID) != nil {
 		cl.disconnect(true)
 		return
 	}
-	cl.reply(msgpackrpc.Killed(nil, messageID, why))
+	cl.reply(msgpackrpc.Killed(nil, messageID, reason))
 	cl.badCalls++
 	if cl.badCalls > maxBadCalls {
 		cl.disconnect(true)
@@ -91,33 +91,33 @@
 	query     *query
 }
 
-func (a *rpcCall) finished(pages [][]byte) {
-	a.client.reply(msgpackrpc.Answer(nil, a.messageID, pages))
+func (rc *rpcCall) finished(pages [][]byte) {
+	rc.client.reply(msgpackrpc.Answer(nil, rc.messageID, pages))
 }
 
-func (a *rpcCall) paged(first []byte, rest msgpackrpc.Paging) {
-	a.client.reply(msgpackrpc.Paged(nil, a.messageID, first, rest))
+func (rc *rpcCall) paged(first []byte, rest msgpackrpc.Paging) {
+	rc.client.reply(msgpackrpc.Paged(nil, rc.messageID, first, rest))
 }
 
-func (a *rpcCall) deferred(retryAfter time.Duration) {
-	a.client.reply(msgpackrpc.Deferred(nil, a.messageID, retryAfter))
+func (rc *rpcCall) deferred(retryAfter time.Duration) {
+	rc.client.reply(msgpackrpc.Deferred(nil, rc.messageID, retryAfter))
 }
 
-func (a *rpcCall) directed(comeBack time.Duration, controllers []string) {
-	a.client.reply(msgpackrpc.Directed(nil, a.messageID, comeBack, controllers))
+func (rc *rpcCall) directed(comeBack time.Duration, controllers []string) {
+	rc.client.reply(msgpackrpc.Directed(nil, rc.messageID, comeBack, controllers))
 }
 
-func (a *rpcCall) killed(why string) {
-	a.client.reply(msgpackrpc.Killed(nil, a.messageID, why))
+func (rc *rpcCall) killed(reason string) {
+	rc.client.reply(msgpackrpc.Killed(nil, rc.messageID, reason))
 }
 
-func (a *rpcCall) notifyWait(wait time.Duration) {
-	a.client.reply(msgpackrpc.Told(nil, a.messageID, wait))
+func (rc *rpcCall) notifyWait(wait time.Duration) {
+	rc.client.reply(msgpackrpc.Told(nil, rc.messageID, wait))
 }
 
-func (a *rpcCall) connection() *Connection { return a.client.connection }
+func (rc *rpcCall) connection() *Connection { return rc.client.connection }
 
-func (a *rpcCall) closed() {
-	a.client.calls = slices.DeleteFunc(a.client.calls, func(x *rpcCall) bool { return x == a })
-	a.client.idleSince = a.client.now
+func (rc *rpcCall) closed() {
+	rc.client.calls = slices.DeleteFunc(rc.client.calls, func(x *rpcCall) bool { return x == rc })
+	rc.client.idleSince = rc.client.now
 }
--- a/internal/controller/client_limits.go
+++ b/internal/controller/client_limits.go
@@ -10,14 +10,14 @@
 
 // The default limits of a client's connection.
 const (
-	maxOpenQueries      = 32 // at a time, by the protocol
+	maxOpenQueries      = 32 // at a time, fixed by the protocol
 	maxMessagesPerSweep = 4 * maxOpenQueries
 	clientIdleTimeout   = 6 * time.Second // clients close a connection after 4 s idle
-	messageTimeout      = 2 * time.Second // for a message to come whole
+	messageTimeout      = 2 * time.Second // for a message to arrive completely
 )
 
-// ClientLimits are what is expected of the connections from some addresses. A limit of 0 is the
-// default one.
+// ClientLimits are the limits for connections from given addresses. A limit of 0 stands for the default
+// limit.
 type ClientLimits struct {
 	Prefixes []netip.Prefix
 	// MaxOpenQueries is how many queries may be open on one connection. Default: 32.
@@ -25,10 +25,10 @@
 	// MaxMessagesPerSweep is how many messages one connection may send in a quarter of a second.
 	// Default: 128.
 	MaxMessagesPerSweep int
-	// IdleTimeout is how long a connection stays open with no query open on it. Default: 6 s.
+	// IdleTimeout is how long a connection without open queries stays open. Default: 6 s.
 	IdleTimeout time.Duration
-	// MessageTimeout is how long a message may take to come whole, from its first byte, or from the
-	// connecting for the first message. Default: 2 s.
+	// MessageTimeout is how long a message may take to arrive completely, from its first byte, or from the
+	// accept for the first message. Default: 2 s.
 	MessageTimeout time.Duration
 }
 
@@ -40,10 +40,10 @@
 	return l
 }
 
-// clientLimitTable finds the limits for an address: those of the longest prefix that it is in.
+// clientLimitTable finds the limits for an address: those of the longest prefix that contains it.
 type clientLimitTable struct {
-	limits   []ClientLimits   // the first are the default ones
-	prefixes *bart.Table[int] // indices in limits; nil: there are only the default ones
+	limits   []ClientLimits   // the first entry holds the default limits
+	prefixes *bart.Table[int] // indices in limits; nil: there are only the default limits
 }
 
 func newClientLimitTable(sets []ClientLimits) clientLimitTable {
--- a/internal/controller/client_test.go
+++ b/internal/controller/client_test.go
@@ -7,89 +7,89 @@
 )
 
 func TestClientThatDoesNotReadIsDisconnected(t *testing.T) {
-	s := newHarness(t, 1, 256, nil)
-	c, other := s.connect(), s.connect()
-	a := s.sendQuery(c, "lookup", "", 5*time.Second, 1)
-	h := s.waitForCall("POST", a.id)
-	c.dropsWrites, a.cancelled = true, true
-	s.respond(h, "ok")
+	h := newHarness(t, 1, 256, nil)
+	conn, other := h.connect(), h.connect()
+	query := h.sendQuery(conn, "lookup", "", 5*time.Second, 1)
+	call := h.waitForCall("POST", query.id)
+	conn.dropsWrites, query.cancelled = true, true
+	h.respond(call, "ok")
 	for range 3 {
-		if h := s.pendingCalls; len(h) > 0 {
-			s.respond(h[0], "")
+		if calls := h.pendingCalls; len(calls) > 0 {
+			h.respond(calls[0], "")
 		}
 	}
-	s.sendQuery(other, "load", "k", 25*time.Second, 2)
-	s.runUntil(s.now + 12*time.Second)
-	if !c.closed || other.closed {
+	h.sendQuery(other, "load", "k", 25*time.Second, 2)
+	h.runUntil(h.now + 12*time.Second)
+	if !conn.closed || other.closed {
 		t.Fatal("it is waited for")
 	}
 }
 
 func TestStatementBytesAreBounded(t *testing.T) {
-	s := newHarness(t, 1, 256, nil)
-	c := s.connect()
-	s.sendQuery(c, "lookup", "", 3*time.Second, 1)
-	s.controller.maxStatementBytes = s.controller.statementBytes + 10
+	h := newHarness(t, 1, 256, nil)
+	conn := h.connect()
+	h.sendQuery(conn, "lookup", "", 3*time.Second, 1)
+	h.controller.maxStatementBytes = h.controller.statementBytes + 10
 	for range maxBadCalls + 5 { // more than may be wrong on a connection: none of these is
-		if a := s.sendQuery(c, "lookup", "", 3*time.Second, 1); a.answer != "deferred" {
-			t.Fatalf("%q", a.answer)
+		if query := h.sendQuery(conn, "lookup", "", 3*time.Second, 1); query.answer != "deferred" {
+			t.Fatalf("%q", query.answer)
 		}
 	}
-	if c.closed {
+	if conn.closed {
 		t.Fatal("the connection was ended, with a query open on it")
 	}
-	s.runUntil(s.now + 4*time.Second)
-	if s.controller.statementBytes != 0 {
-		t.Fatal("it forgets to forget: ", s.controller.statementBytes)
+	h.runUntil(h.now + 4*time.Second)
+	if h.controller.statementBytes != 0 {
+		t.Fatal("it forgets to forget: ", h.controller.statementBytes)
 	}
 }
 
 func TestSilentClientsAreEvictedFirst(t *testing.T) {
-	s := newHarness(t, 1, 256, nil)
-	good, rested := s.connect(), s.connect()
-	a := s.sendQuery(good, "load", "k", 20*time.Second, 1)
-	s.runUntil(s.now + time.Millisecond)
-	s.cancel(s.sendQuery(rested, "lookup", "", 5*time.Second, 1))
-	s.runUntil(s.now + time.Millisecond)
-	var mute []*fakeConnection
-	for range s.controller.maxClients + 5 {
-		mute = append(mute, s.connect())
-		s.runUntil(s.now + time.Millisecond)
-	}
-	last := mute[len(mute)-1]
-	if good.closed || rested.closed || last.closed || !mute[0].closed {
+	h := newHarness(t, 1, 256, nil)
+	good, rested := h.connect(), h.connect()
+	query := h.sendQuery(good, "load", "k", 20*time.Second, 1)
+	h.runUntil(h.now + time.Millisecond)
+	h.cancel(h.sendQuery(rested, "lookup", "", 5*time.Second, 1))
+	h.runUntil(h.now + time.Millisecond)
+	var silent []*fakeConnection
+	for range h.controller.maxClients + 5 {
+		silent = append(silent, h.connect())
+		h.runUntil(h.now + time.Millisecond)
+	}
+	last := silent[len(silent)-1]
+	if good.closed || rested.closed || last.closed || !silent[0].closed {
 		t.Fatal("the wrong ones made way")
 	}
-	s.receive(last, []byte{0x94, 0, 1}) // begun, and never ended
-	s.runUntil(s.now + time.Second)
-	s.receive(last, []byte{0xa1})
-	s.runUntil(s.now + 1500*time.Millisecond)
-	if !last.closed || !mute[10].closed || good.closed || rested.closed {
+	h.receive(last, []byte{0x94, 0, 1}) // begun, and never ended
+	h.runUntil(h.now + time.Second)
+	h.receive(last, []byte{0xa1})
+	h.runUntil(h.now + 1500*time.Millisecond)
+	if !last.closed || !silent[10].closed || good.closed || rested.closed {
 		t.Fatal("nothing, or half a message, is waited for")
 	}
-	s.runUntil(s.now + clientIdleTimeout)
-	if !rested.closed || good.closed || a.cancelled {
+	h.runUntil(h.now + clientIdleTimeout)
+	if !rested.closed || good.closed || query.cancelled {
 		t.Fatal("idle for good, and kept")
 	}
 }
 
 func TestIdleClientsAreEvicted(t *testing.T) {
-	s := newHarness(t, 1, 256, nil)
-	var stay []*fakeConnection
-	for range s.controller.maxClients {
-		stay = append(stay, s.connect())
-		s.cancel(s.sendQuery(stay[len(stay)-1], "lookup", "", 5*time.Second, 1))
-		s.runUntil(s.now + time.Millisecond)
-	}
-	s.runUntil(s.now + time.Second) // all are idle, none for long enough to be closed for it
-	held := s.sendQuery(stay[0], "load", "k", 20*time.Second, 1)
+	h := newHarness(t, 1, 256, nil)
+	var idle []*fakeConnection
+	for range h.controller.maxClients {
+		idle = append(idle, h.connect())
+		h.cancel(h.sendQuery(idle[len(idle)-1], "lookup", "", 5*time.Second, 1))
+		h.runUntil(h.now + time.Millisecond)
+	}
+	h.runUntil(h.now + time.Second) // all are idle, none for long enough to be closed for it
+	held := h.sendQuery(idle[0], "load", "k", 20*time.Second, 1)
 	for i := range 20 {
-		c := s.connect()
-		s.runUntil(s.now + time.Millisecond) // its call is on the way
-		if c.closed || !stay[i+1].closed || stay[i+2].closed {
+		conn := h.connect()
+		h.runUntil(h.now + time.Millisecond) // its call is on the way
+		if conn.closed || !idle[i+1].closed || idle[i+2].closed {
 			t.Fatal("a newcomer is turned off for one that just stays")
 		}
-		s.cancel(s.sendQuery(c, "lookup", "", 5*time.Second, 1))
+		h.cancel(h.sendQuery(conn, "lookup", "", 5*time.Second, 1))
 	}
 	if held.connection.closed || held.answer != "" {
 		t.Fatal("one with a query open made way")
@@ -97,8 +97,8 @@
 }
 
 func TestMessageFloodIsCutOff(t *testing.T) {
-	s := newHarness(t, 1, 256, nil)
-	c := s.connect()
+	h := newHarness(t, 1, 256, nil)
+	conn := h.connect()
 	var p []byte
 	call := func(i int, fields string) {
 		p = append(append(append(p, 0x94, 0, 0xcd, byte(i>>8), byte(i)), "\xa6lookup\x92"...), fields...)
@@ -108,89 +108,89 @@
 		call(i, fmt.Sprintf("\x82\xa5trace\xb0%016x\xa8patience\xa41000", i+1))
 		p = append(append(append(p, 0x93, 2), fixstr("cancelRequest")...), 0x91, 0xcd, byte(i>>8), byte(i))
 	}
-	s.receive(c, p)
-	if s.controller.counters.attempts > 0 || s.controller.counters.received != 30 || len(s.controller.queries) > 0 || c.closed {
-		t.Fatal("what was taken back at once went out: ", s.controller.counters.format(s.controller))
+	h.receive(conn, p)
+	if h.controller.counters.attempts > 0 || h.controller.counters.received != 30 || len(h.controller.queries) > 0 || conn.closed {
+		t.Fatal("what was taken back at once went out: ", h.controller.counters.format(h.controller))
 	}
-	s.runUntil(s.now + time.Second)
+	h.runUntil(h.now + time.Second)
 	p = nil
 	for i := range 3 * maxOpenQueries { // without a trace
 		call(i, "\x81\xa8patience\xa41000")
 	}
-	if s.receive(c, p); !c.closed || s.controller.counters.malformed != maxBadCalls+1 {
-		t.Fatal("calls that can't be used go on for ever: ", s.controller.counters.malformed)
+	if h.receive(conn, p); !conn.closed || h.controller.counters.malformed != maxBadCalls+1 {
+		t.Fatal("calls that can't be used go on for ever: ", h.controller.counters.malformed)
 	}
-	c, p = s.connect(), nil
+	conn, p = h.connect(), nil
 	for i := range 2 * maxOpenQueries {
 		call(i, fmt.Sprintf("\x82\xa5trace\xb0%016x\xa8patience\xa41000", i+1))
 	}
-	if s.receive(c, p); !c.closed || s.controller.counters.received != 30+maxOpenQueries || s.controller.counters.attempts > 0 {
-		t.Fatal("more open than may be: ", s.controller.counters.format(s.controller))
+	if h.receive(conn, p); !conn.closed || h.controller.counters.received != 30+maxOpenQueries || h.controller.counters.attempts > 0 {
+		t.Fatal("more open than may be: ", h.controller.counters.format(h.controller))
 	}
-	c, p = s.connect(), nil
+	conn, p = h.connect(), nil
 	for range maxMessagesPerSweep + 10 {
 		p = append(p, "\x94\x00\x01\xa5alive\x91\x80"...)
 	}
-	if s.receive(c, p); !c.closed || s.controller.counters.aliveRequests > maxMessagesPerSweep+1 {
-		t.Fatal("it may talk without end: ", s.controller.counters.aliveRequests)
+	if h.receive(conn, p); !conn.closed || h.controller.counters.aliveRequests > maxMessagesPerSweep+1 {
+		t.Fatal("it may talk without end: ", h.controller.counters.aliveRequests)
 	}
 }
 
 func TestBufferedBytesOfClientsAreBounded(t *testing.T) {
-	s := newHarness(t, 1, 1024, nil)
-	s.controller.maxBufferedBytes = 1 << 20
+	h := newHarness(t, 1, 1024, nil)
+	h.controller.maxBufferedBytes = 1 << 20
 	half := append([]byte("\x94\x00\x01\xa6lookup\x92\x80\xc5\xff\xff"), make([]byte, 60000)...)
 	for range 40 {
-		s.receive(s.connect(), half)
-		if s.controller.bufferedBytes > s.controller.maxBufferedBytes+1<<17 {
-			t.Fatal(s.controller.bufferedBytes)
+		h.receive(h.connect(), half)
+		if h.controller.bufferedBytes > h.controller.maxBufferedBytes+1<<17 {
+			t.Fatal(h.controller.bufferedBytes)
 		}
 	}
-	if s.controller.counters.disconnected == 0 {
+	if h.controller.counters.disconnected == 0 {
 		t.Fatal("there was no shortage")
 	}
-	s.runUntil(s.now + 3*time.Second)
-	if s.controller.bufferedBytes > 4<<10 { // the feed's
-		t.Fatal("it forgets to forget: ", s.controller.bufferedBytes)
+	h.runUntil(h.now + 3*time.Second)
+	if h.controller.bufferedBytes > 4<<10 { // the feed's
+		t.Fatal("it forgets to forget: ", h.controller.bufferedBytes)
 	}
 }
 
 func TestShutdownEndsWhateverClientsDo(t *testing.T) {
-	s := newHarness(t, 1, 256, nil)
-	s.connect()
-	c := s.connect()
-	s.step(Event{Kind: ShutdownRequested})
-	early := s.sendQuery(c, "load", "k", 3*time.Second, 1)
-	s.runUntil(s.now + shutdownGrace + 10*time.Millisecond)
-	late := s.sendQuery(c, "load", "k", 3*time.Second, 1)
+	h := newHarness(t, 1, 256, nil)
+	h.connect()
+	conn := h.connect()
+	h.step(Event{Kind: ShutdownRequested})
+	early := h.sendQuery(conn, "load", "k", 3*time.Second, 1)
+	h.runUntil(h.now + shutdownGrace + 10*time.Millisecond)
+	late := h.sendQuery(conn, "load", "k", 3*time.Second, 1)
 	if late.answer != "deferred" || early.answer != "" {
 		t.Fatalf("%q, %q", late.answer, early.answer)
 	}
-	s.respond(s.waitForCall("GET", early.id), "ok")
+	h.respond(h.waitForCall("GET", early.id), "ok")
 	for range 40 { // at once again, whatever it is told
-		if s.exited {
+		if h.exited {
 			break
 		}
-		s.sendQuery(c, "lookup", "", time.Second, 1)
-		s.runUntil(s.now + 50*time.Millisecond)
+		h.sendQuery(conn, "lookup", "", time.Second, 1)
+		h.runUntil(h.now + 50*time.Millisecond)
 	}
-	if early.answer != "finished" || !s.exited {
-		t.Fatalf("%q, and no end at %v", early.answer, s.now)
+	if early.answer != "finished" || !h.exited {
+		t.Fatalf("%q, and no end at %v", early.answer, h.now)
 	}
 }
 
 // On a connection that stays open queries come for 0.6 s after the word to stop. SIGKILL may come 3.7 s
 // after it, whatever longer queries there are, and what came later than 0.7 s is lost if it is open then.
 func TestShutdownRejectsLateQueriesAtOnce(t *testing.T) {
-	s := newHarness(t, 1, 256, nil)
-	c := s.connect()
-	s.step(Event{Kind: ShutdownRequested})
-	s.runUntil(s.now + 600*time.Millisecond)
-	if in := s.sendQuery(c, "report", "", 20*time.Second, 1); in.answer != "" || s.waitForCall("POST", in.id) == nil {
+	h := newHarness(t, 1, 256, nil)
+	conn := h.connect()
+	h.step(Event{Kind: ShutdownRequested})
+	h.runUntil(h.now + 600*time.Millisecond)
+	if in := h.sendQuery(conn, "report", "", 20*time.Second, 1); in.answer != "" || h.waitForCall("POST", in.id) == nil {
 		t.Fatalf("%q while queries may still come", in.answer)
 	}
-	s.runUntil(s.now + 101*time.Millisecond)
-	if late := s.sendQuery(c, "report", "", 20*time.Second, 2); late.answer != "deferred" {
+	h.runUntil(h.now + 101*time.Millisecond)
+	if late := h.sendQuery(conn, "report", "", 20*time.Second, 2); late.answer != "deferred" {
 		t.Fatalf("%q at 0.7 s, and it may be open when the end comes", late.answer)
 	}
 }
@@ -198,12 +198,12 @@
 // A client that asked in time is not to blame where we stood still and didn't read: its
 // connection was ended as one that begins nothing.
 func TestProcessStallDisconnectsNoClient(t *testing.T) {
-	s := newHarness(t, 1, 96, nil)
-	c := s.connect()
-	s.runUntil(s.now + 100*time.Millisecond)
-	s.now += 2500 * time.Millisecond
-	s.step(Event{Kind: TimerFired})
-	if a := s.sendQuery(c, "lookup", "", 5*time.Second, 1); c.closed || s.waitForCall("POST", a.id) == nil {
+	h := newHarness(t, 1, 96, nil)
+	conn := h.connect()
+	h.runUntil(h.now + 100*time.Millisecond)
+	h.now += 2500 * time.Millisecond
+	h.step(Event{Kind: TimerFired})
+	if query := h.sendQuery(conn, "lookup", "", 5*time.Second, 1); conn.closed || h.waitForCall("POST", query.id) == nil {
 		t.Fatal("ended though it asked in time")
 	}
 }
--- a/internal/controller/config.go
+++ b/internal/controller/config.go
@@ -12,69 +12,69 @@
 	"railrelay.dev/railrelay/internal/settings"
 )
 
-// Config is what a controller starts with. The program fills it from the deploy file, the platform's
-// settings and the environment; nothing in it changes while the controller runs, but for
-// DiscoveryAddress and Settings, which the controller replaces in its own copy.
+// Config is the configuration of a controller. The program fills it from the deploy file, the platform's
+// settings and the environment. It does not change while the controller runs, except for DiscoveryAddress
+// and Settings, which the controller replaces in its own copy.
 type Config struct {
-	// Seed starts the scheduler's random draws.
+	// Seed seeds the scheduler's random number generator.
 	Seed uint64
-	// MemoryMB is the memory of the process in MB (2^20 bytes). All byte limits are parts of it.
+	// MemoryMB is the memory of the process in MB (2^20 bytes). All byte limits are fractions of it.
 	MemoryMB float64
-	// Sockets is how many descriptors the process may use.
+	// MaxDescriptors is how many file descriptors the process may use.
 	MaxDescriptors int
-	// StartedAt is the wall-clock time at which the monotonic clock of Step was 0.
+	// StartedAt is the wall-clock time at which the monotonic clock passed to Step was 0.
 	StartedAt time.Time
 
-	// DiscoveryAddress is where the endpoint list is watched; "": there is no watch.
+	// DiscoveryAddress is where the endpoint list is watched; "": the list is not watched.
 	DiscoveryAddress string
-	// InitialEndpoints is an endpoint list, in the form of the discovery's events, to start with; it may
+	// InitialEndpoints is the endpoint list to start with, encoded as the discovery's events are; it may
 	// be empty.
 	InitialEndpoints []byte
-	// Settings are the platform's, by the names that package settings has for them.
+	// Settings are the platform's settings, keyed by the names that package settings defines.
 	Settings map[string]string
 
-	// FieldNames are the names of the optional fields of calls.
+	// FieldNames are the names of the optional fields of clients' calls.
 	FieldNames FieldNames
-	// ClientLimits are limits for clients from some addresses; all others have the default ones.
+	// ClientLimits are limits for clients from given addresses; all other clients have the default limits.
 	ClientLimits []ClientLimits
 
-	// Tenants are the tenants of fair queueing; nil: queries are scheduled as they come.
+	// Tenants configures fair queueing among tenants; nil: queries are scheduled in order of arrival.
 	Tenants *fairqueue.Config
-	// Spool configures results that are read page by page; nil: each is answered in one piece.
+	// Spool configures results that clients read page by page; nil: each result is answered in one piece.
 	Spool *SpoolConfig
-	// CacheLimits configures cached answers; nil: every query goes to an engine.
+	// CacheLimits configures the result cache; nil: every query goes to an engine.
 	CacheLimits *resultcache.Limits
-	// Fleet is set if the controller has peers; nil: it stands alone.
+	// Fleet is set if the controller has peers; nil: the controller runs alone.
 	Fleet *FleetConfig
-	// NewUniqueID draws a number that no other controller draws, for the ids of invalidations;
-	// nil: the start time is used.
+	// NewUniqueID returns a number that no other controller uses, for the ids of invalidations; nil: the
+	// start time is used.
 	NewUniqueID func() uint64
 
-	// TraceQueries logs, at debug level, every step of every query.
+	// TraceQueries logs every step of every query at debug level.
 	TraceQueries bool
 }
 
-// FieldNames are the names of the optional fields of a client's call. The empty name: the field is
-// not looked for.
+// FieldNames are the names of the optional fields of a client's call. A field with an empty name is not
+// read.
 type FieldNames struct {
-	Tenant          string // whose call it is; believed only from addresses that the set-up names
-	NotifyWait      string // the client wants to be notified of how long it waits
-	RepeatOf        string // the id of the query that this one repeats
+	Tenant          string // tenant of the call; trusted only from addresses that the configuration lists
+	NotifyWait      string // the client wants to be notified of its expected wait
+	RepeatOf        string // id of the query that this one repeats
 	Paged           string // the client reads the result page by page
-	Customer        string // the customer whose entitlement it counts to
+	Customer        string // customer whose quota the query counts against
 	EstimatedWork   string // in milliseconds of one thread
 	EstimatedMemory string // in MB
-	IdempotencyKey  string // by which engines recognise a repeat, for groups that need one
+	IdempotencyKey  string // lets engines recognise a retried query, for groups that require one
 }
 
-// CallOrigin is where a call comes from and its fields beside those of the query itself.
+// CallOrigin is the address that a call came from, and the call's fields beside those of the query itself.
 type CallOrigin struct {
 	Address netip.Addr
 	Fields  msgpackrpc.Fields
 }
 
-// A third of the descriptors is for clients, the rest for engines, but for some kept back for the
-// listener, the discovery, the runtime and connections that are being closed.
+// A third of the descriptors is for clients. The rest is for engines, except for a reserve for the listener,
+// the discovery, the runtime and connections that are being closed.
 const (
 	clientDescriptorsDivisor   = 3
 	minReservedDescriptors     = 16
@@ -82,8 +82,8 @@
 	minEngineConnections       = 2
 )
 
-// A message may take a 64th of the memory; all bytes that clients have not read, all statements, and
-// the buffers of all connections an eighth each.
+// A message may take a 64th of the memory. The bytes that clients have not read, the statements, and the
+// buffers of all connections may take an eighth each.
 const (
 	megabyte             = 1 << 20
 	messageMemoryDivisor = 64
@@ -95,37 +95,37 @@
 	minBufferedBytes  = 1 << 20
 )
 
-// settingTrue is how the settings write a switch that is on.
+// settingTrue is the value of a boolean setting that is on.
 const settingTrue = "true"
 
-func (m Config) clientDescriptors() int { return max(1, m.MaxDescriptors/clientDescriptorsDivisor) }
+func (c Config) clientDescriptors() int { return max(1, c.MaxDescriptors/clientDescriptorsDivisor) }
 
-func (m Config) reservedDescriptors() int {
-	return minReservedDescriptors + m.MaxDescriptors/reservedDescriptorsDivisor
+func (c Config) reservedDescriptors() int {
+	return minReservedDescriptors + c.MaxDescriptors/reservedDescriptorsDivisor
 }
 
-// MaxClientConnections is how many connections of clients there may be at a time, with those that are
+// MaxClientConnections returns how many client connections may exist at a time, including those that are
 // being closed.
-func (m Config) MaxClientConnections() int { return m.clientDescriptors() + m.reservedDescriptors()/2 }
+func (c Config) MaxClientConnections() int { return c.clientDescriptors() + c.reservedDescriptors()/2 }
 
-// group is what the controller knows of a resource group. It is made once; readSettings replaces
-// what a change of policy may change.
+// group is the configuration of a resource group. A group is created once; readSettings replaces the values
+// that a policy change may change.
 type group struct {
-	index int // among the platform's groups
+	index int // position among the platform's groups
 	name  string
 
-	inOrder             bool // the queries of a key run one at a time, in the order they came
-	isLoad              bool // they load tables
+	inOrder             bool // the queries of a key run one at a time, in order of arrival
+	isLoad              bool // the queries load tables
 	readOnly            bool
 	needsIdempotencyKey bool
 
-	timeout          time.Duration // the longest that a query may ask for
+	timeout          time.Duration // longest timeout that a query may ask for
 	latencyObjective time.Duration
-	threads          float64 // of an engine that a query takes
+	threads          float64 // engine threads that a query takes
 	priorityWeight   float64
 }
 
-// readGroups makes the groups by the settings.
+// readGroups creates the groups from the settings.
 func (c *Controller) readGroups() {
 	count, _ := strconv.Atoi(c.Settings["groups"])
 	for i := range count {
@@ -147,7 +147,7 @@
 
 func groupPrefix(index int) string { return "group." + strconv.Itoa(index) + "." }
 
-// readSettings takes what a change of policy may change.
+// readSettings reads the values that a policy change may change.
 func (g *group) readSettings(c *Controller) {
 	prefix := groupPrefix(g.index)
 	g.timeout = c.durationSetting(prefix + "timeout")
@@ -156,7 +156,7 @@
 	g.priorityWeight = parseNumber(c.Settings[prefix+"value"])
 }
 
-// readCustomers takes the customers' names from the settings.
+// readCustomers reads the customers' names from the settings.
 func (c *Controller) readCustomers() {
 	c.customers = nil
 	n, _ := strconv.Atoi(c.Settings["teams"])
@@ -165,7 +165,7 @@
 	}
 }
 
-// listItem is one item of a setting that is a list, "" if it has fewer.
+// listItem returns the item at an index of a comma-separated setting, "" if the list is shorter.
 func listItem(list string, i int) string {
 	items := strings.Split(list, ",")
 	if i < len(items) {
@@ -174,13 +174,13 @@
 	return ""
 }
 
-// parseNumber reads a setting that is a number; 0 if it is absent.
+// parseNumber parses a numeric setting; 0 if the setting is absent.
 func parseNumber(text string) float64 {
 	x, _ := strconv.ParseFloat(text, 64)
 	return x
 }
 
-// durationSetting reads a setting that is a number of milliseconds; 0 if it is absent.
+// durationSetting returns a setting that is a number of milliseconds; 0 if the setting is absent.
 func (c *Controller) durationSetting(name string) time.Duration {
 	ms, _ := strconv.ParseFloat(c.Settings[name], 64)
 	return time.Duration(ms * float64(time.Millisecond))
--- a/internal/controller/connection_pool.go
+++ b/internal/controller/connection_pool.go
@@ -2,24 +2,24 @@
 
 import "time"
 
-// connectionPool shares out the descriptors for connections to engines.
+// connectionPool allocates the descriptors for connections to engines.
 type connectionPool struct {
-	limit int // of connections
-	open  int // connections that may hold a descriptor, also those dialled or being closed
+	limit int // maximum of open
+	open  int // connections that may hold a descriptor, including those being dialled or closed
 
 	connections []*engineConnection
-	dialCount   int // since the start; numbers connections in the log
+	dialCount   int // connections dialled since the start; numbers them in the log
 
-	// calls that wait for a connection, in the order they came; polls only go when no other call waits
+	// calls that wait for a connection, in order of arrival; polls are served only when no other call waits
 	waitingCalls []*call
 	waitingPolls []*call
 }
 
-// connectionReuseDelay passes before a connection carries another query's call. What an engine sends
-// behind its response, a second copy of it, must not be taken for the response to that.
+// connectionReuseDelay must pass before a connection carries a call of another query. A duplicate of the
+// engine's last response, sent late, must not be read as the response to that call.
 const connectionReuseDelay = 10 * time.Millisecond
 
-// startCall writes a call on an idle connection or a new one, or queues it until there is one.
+// startCall writes a call to an idle or a new connection, or queues the call until there is one.
 func (c *Controller) startCall(request *call) {
 	if request.timeout == 0 {
 		request.timeout = responseTimeout
@@ -49,7 +49,7 @@
 	}
 }
 
-// serveWaitingCalls starts queued calls for as long as there are connections for them.
+// serveWaitingCalls starts queued calls while there are connections for them.
 func (c *Controller) serveWaitingCalls() {
 	for _, queue := range []*[]*call{&c.pool.waitingCalls, &c.pool.waitingPolls} {
 		for len(*queue) > 0 {
@@ -72,8 +72,8 @@
 	}
 }
 
-// idleConnection finds the connection for a call that was used last among those to its engine that may
-// carry it, nil if there is none. It closes one that the engine is about to close for being idle.
+// idleConnection returns the most recently used idle connection to the call's engine that may carry the
+// call, nil if there is none. It closes a connection that the engine is about to close as idle.
 func (c *Controller) idleConnection(request *call) *engineConnection {
 	var found *engineConnection
 	for _, ec := range request.engine.connections {
@@ -88,12 +88,13 @@
 	return found
 }
 
-// mayCarry reports whether an idle connection may carry a call. Before connectionReuseDelay has passed
-// it may only if a second copy of the last response can't be taken for one to this call:
-//   - a further call of the same attempt, which the copy doesn't fit, or says the same; but no
-//     cancellation behind a change of priority, whose copy would confirm the cancellation;
-//   - any attempt's call behind a successful health check, whose copy fits no call but another health
-//     check. A query is often sent to an engine right after one, and would need a second connection.
+// mayCarry reports whether an idle connection may carry a call. Before connectionReuseDelay has passed, it
+// may do so only if a duplicate of the last response cannot be read as the response to this call:
+//   - a further call of the same attempt: the duplicate does not fit the call, or says the same. Exception:
+//     a cancellation after a change of priority, which the duplicate would confirm;
+//   - a call of any attempt after a successful health check: the duplicate fits no call except another
+//     health check. A query is often sent to an engine right after a health check, and would otherwise
+//     need a second connection.
 func (c *Controller) mayCarry(ec *engineConnection, request *call) bool {
 	if c.now-ec.idleSince >= connectionReuseDelay {
 		return true
@@ -105,13 +106,13 @@
 	return ec.lastAttempt == request.attempt && !confirmsCancel || ec.healthChecked
 }
 
-// isIdleTooLong reports whether the engine may close a connection any moment.
+// isIdleTooLong reports whether the engine may close an idle connection at any moment.
 func (c *Controller) isIdleTooLong(ec *engineConnection) bool {
 	return c.now-ec.idleSince > c.engineIdleTimeout*3/4
 }
 
-// closeLongestIdleConnection closes the connection, to whatever engine, that was idle longest. Its descriptor
-// is free when ConnectionClosed comes, which serves the waiting calls.
+// closeLongestIdleConnection closes the connection, to any engine, that has been idle longest. Its
+// descriptor is free when ConnectionClosed comes, which then serves the waiting calls.
 func (c *Controller) closeLongestIdleConnection() {
 	var idlest *engineConnection
 	for _, ec := range c.pool.connections {
@@ -124,7 +125,7 @@
 	}
 }
 
-// closeIdleConnections closes those that their engines may close any moment.
+// closeIdleConnections closes the connections that their engines may close at any moment.
 func (c *Controller) closeIdleConnections() {
 	if c.engineIdleTimeout <= 0 {
 		return
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -1,10 +1,10 @@
-// Package controller is a controller's state machine. Controller.Step takes one event at a time and
-// returns the effects that the runner is to perform; the package does no I/O and reads no clock, so it
-// can be driven without either. One goroutine steps a controller, and owns all of its state.
+// Package controller is the state machine of a controller. Controller.Step takes one event at a time and
+// returns the effects that the runner has to perform. The package does no I/O and reads no clock, so tests
+// can drive it without either. One goroutine steps a controller and owns all of its state.
 //
-// What is admitted, which engine gets a query, when it is retried, hedged or given up is decided by
-// package scheduler. This package carries the decisions out and reports every outcome back; it never
-// picks an engine or sends a query again by itself.
+// Package scheduler decides which queries are admitted, which engine gets a query, and when a query is
+// retried, hedged or given up. This package carries the decisions out and reports each outcome back. It never
+// picks an engine or resends a query by itself.
 package controller
 
 import (
@@ -18,17 +18,17 @@
 	"railrelay.dev/railrelay/internal/timerqueue"
 )
 
-// Controller is one controller. Its methods must be called by one goroutine.
+// Controller is one controller. Only one goroutine may call its methods.
 type Controller struct {
 	Config
 	scheduler *scheduler.Scheduler
 
-	// the step under way
-	now       time.Duration // since StartedAt; it never goes back
+	// the current step
+	now       time.Duration // since StartedAt; never decreases
 	effects   []Effect
-	callbacks []func() // to run before the step ends, since the scheduler must not be called while it acts
+	callbacks []func() // run before the step ends, since the scheduler must not be called while it acts
 	timers    timerqueue.Times
-	timerAt   time.Duration // when the TimerFired asked for is due, -1: none was
+	timerAt   time.Duration // when the requested TimerFired is due, -1: none was requested
 	counters  counters
 	// writingRetainedData is set while data kept for tenants is being written, for Effect.RetainedData.
 	writingRetainedData bool
@@ -36,17 +36,17 @@
 	// queries and the clients that sent them
 	queryTable
 	clientTable
-	maxMessageBytes int // of a client's message, and of a result that is answered in one piece
+	maxMessageBytes int // limit on a client's message, and on a result that is answered in one piece
 	groups          map[string]*group
-	customers       []string // by their places in the settings
+	customers       []string // in the order of the settings
 
 	// engines
 	engines         map[string]*engine // by id
-	engineByAddress map[string]*engine // the one that is listed at an address now
+	engineByAddress map[string]*engine // the engine currently listed at an address
 	pool            connectionPool
 	discovery       discoveryWatch
 
-	// parts that a set-up may leave out: nil then
+	// optional components, nil if not configured
 	fairQueue    *fairQueue
 	paging       *resultPaging
 	caching      *resultCaching
@@ -59,21 +59,21 @@
 
 	// from the settings
 	connectTimeout         time.Duration
-	engineIdleTimeout      time.Duration // engines close a connection that is idle for so long
-	keyReuseDelay          time.Duration // a key's number rests for so long before another key has it
-	longestQueryTimeout    time.Duration // of all groups
+	engineIdleTimeout      time.Duration // engines close a connection that is idle for this long
+	keyReuseDelay          time.Duration // idle time before another key may reuse a key's number
+	longestQueryTimeout    time.Duration // over all groups
 	enginesReportLoad      bool
-	loadReportsInResponses bool // load reports come with all responses, not with health checks alone
+	loadReportsInResponses bool // every response carries a load report, not only those to health checks
 	mayHedge               bool // two attempts of a query may overlap
-	mayCancel              bool // engines take cancellations
+	mayCancel              bool // engines accept cancellations
 
 	// graceful shutdown
 	shutdown            shutdownPhase
 	shutdownRequestedAt time.Duration
-	lastQueryAt         time.Duration // when a query last came
+	lastQueryAt         time.Duration // when the last query arrived
 }
 
-// New returns a controller and the effects that it starts with, valid until the first Step.
+// New returns a controller and its first effects, which are valid until the first Step.
 func New(config Config) (*Controller, []Effect) {
 	c := &Controller{
 		Config:          config,
@@ -101,7 +101,7 @@
 	return c, c.effects
 }
 
-// readLimits takes what is fixed from the start from the configuration.
+// readLimits computes the limits that do not change while the controller runs.
 func (c *Controller) readLimits() {
 	c.connectTimeout = c.durationSetting("connect.timeout")
 	c.engineIdleTimeout = c.durationSetting("idle.most")
@@ -113,9 +113,10 @@
 	c.mayCancel = c.Settings["may.cancel"] == settingTrue
 
 	c.clientLimits = newClientLimitTable(c.ClientLimits)
-	// a little over the clients' third: a closing connection may overlap with the client's next
+	// slightly more than the clients' third: a connection that is closing may overlap with the client's next
 	c.maxClients = c.clientDescriptors() + c.reservedDescriptors()/4
-	c.pool.limit = max(minEngineConnections, c.MaxDescriptors-c.MaxDescriptors/clientDescriptorsDivisor-c.reservedDescriptors())
+	c.pool.limit = max(minEngineConnections,
+		c.MaxDescriptors-c.MaxDescriptors/clientDescriptorsDivisor-c.reservedDescriptors())
 
 	memory := int(c.MemoryMB * megabyte)
 	c.maxMessageBytes = max(minMessageBytes, memory/messageMemoryDivisor)
@@ -137,7 +138,7 @@
 	if c.paging != nil || c.caching != nil {
 		c.invalidation = newInvalidation(c)
 		if c.paging != nil && c.Fleet == nil {
-			// an invalidation of this controller alone comes after all that the disk held
+			// without peers, an invalidation comes after everything that the disk held at the start
 			c.invalidation.logIndex = c.paging.restoredIndex
 		}
 	}
@@ -152,30 +153,30 @@
 	}
 }
 
-// Step takes an event that happened at now, the time since StartedAt, and returns the effects that it
-// leads to. They are valid until the next Step.
-func (c *Controller) Step(now time.Duration, ev Event) []Effect {
-	c.step(now, ev)
+// Step handles an event that happened at now, the time since StartedAt, and returns the resulting effects.
+// They are valid until the next Step.
+func (c *Controller) Step(now time.Duration, event Event) []Effect {
+	c.step(now, event)
 	return c.effects
 }
 
-func (c *Controller) step(now time.Duration, ev Event) {
+func (c *Controller) step(now time.Duration, event Event) {
 	c.now = max(now, c.now)
 	clear(c.effects)
 	c.effects = c.effects[:0]
 	if !invariant.Debug {
-		defer c.recoverStep(ev.Connection)
+		defer c.recoverStep(event.Connection)
 	}
 	if c.servingLease != nil {
 		c.servingLease.updateServing()
 	}
-	c.handle(ev)
-	c.runPending(ev.Backlogged)
+	c.handle(event)
+	c.runPending(event.Backlogged)
 }
 
-func (c *Controller) handle(ev Event) {
-	conn := ev.Connection
-	switch ev.Kind {
+func (c *Controller) handle(event Event) {
+	conn := event.Connection
+	switch event.Kind {
 	case ClientAccepted:
 		c.acceptClient(conn)
 	case Connected:
@@ -184,11 +185,11 @@
 		}
 	case ConnectRefused, ConnectTimedOut:
 		conn.closed = true
-		conn.onDialFailed(ev.Kind == ConnectRefused)
+		conn.onDialFailed(event.Kind == ConnectRefused)
 	case BytesReceived:
-		c.handleBytes(conn, ev.ByteCount, ev.EndOfStream)
+		c.handleBytes(conn, event.ByteCount, event.EndOfStream)
 	case BytesWritten:
-		c.recordWritten(conn, ev.ByteCount)
+		c.recordWritten(conn, event.ByteCount)
 	case ConnectionClosed:
 		conn.closed = true
 		conn.onClosed()
@@ -201,21 +202,21 @@
 	case CountersRequested:
 		c.logCounters()
 	case SpoolWorkDone:
-		c.paging.workDone(ev.SpoolWork)
+		c.paging.workDone(event.SpoolWork)
 	case FleetOrderReceived:
-		c.servingLease.handleFleetOrder(ev.Order)
+		c.servingLease.handleFleetOrder(event.Order)
 	case FleetReportRejected:
-		c.servingLease.reportRejected(ev.Report)
+		c.servingLease.reportRejected(event.Report)
 	case WriteRejected:
 		c.counters.rejectedWrites++
 		if c.servingLease != nil {
 			c.servingLease.rejectedWrites++
 		}
 	case ConfigurationReloaded:
-		c.changeDiscoveryAddress(ev.DiscoveryAddress)
-		// with peers tenants are the fleet's to change
-		if c.fairQueue != nil && ev.Tenants != nil && c.servingLease == nil {
-			c.fairQueue.reload(ev.Tenants)
+		c.changeDiscoveryAddress(event.DiscoveryAddress)
+		// with peers, the fleet's policy sets the tenants
+		if c.fairQueue != nil && event.Tenants != nil && c.servingLease == nil {
+			c.fairQueue.reload(event.Tenants)
 		}
 	}
 }
@@ -235,26 +236,26 @@
 	}
 }
 
-// recoverStep has a panic cost the connection that the event came by, and not all that is served on
-// the others.
+// recoverStep recovers from a panic in a step. It closes the connection that the event came from and keeps
+// serving the others.
 func (c *Controller) recoverStep(conn *Connection) {
 	fault := recover()
 	if fault == nil {
 		return
 	}
-	invariant.Hold(false, "no step fails")
-	c.logMessage(true, fmt.Sprintf("a fault: %v at %s", fault, debug.Stack()))
+	invariant.Hold(false, "a step does not panic")
+	c.logMessage(true, fmt.Sprintf("panic in a step: %v at %s", fault, debug.Stack()))
 	if conn != nil {
 		c.closeConnection(conn, false)
 	}
-	if c.timerAt < 0 { // the next step runs what this one could not
+	if c.timerAt < 0 { // the next step runs the callbacks that this one did not
 		c.timerAt = c.now + time.Millisecond
 		c.emit(Effect{Kind: SetTimer, Timeout: time.Millisecond})
 	}
 }
 
-// runPending ends a step: it runs the callbacks, the timers that are due and the fair queue until
-// nothing is left to do. While events are backlogged timers wait.
+// runPending ends a step: it runs the callbacks, the timers that are due and the fair queue until nothing is
+// left to do. While events are backlogged, timers wait.
 func (c *Controller) runPending(backlogged bool) {
 	for c.runNext(backlogged) {
 	}
@@ -270,13 +271,13 @@
 	if invariant.Debug {
 		for id, e := range c.engines {
 			inFlight, known := c.scheduler.InFlight(id)
-			invariant.Hold(!known || inFlight == e.unreportedAttempts, "decisions know what is out")
+			invariant.Hold(!known || inFlight == e.unreportedAttempts, "scheduler's attempts in flight match")
 		}
 	}
-	invariant.Hold(c.pool.open >= 0 && c.pool.open <= c.pool.limit, "engine links within their part")
+	invariant.Hold(c.pool.open >= 0 && c.pool.open <= c.pool.limit, "engine connections within their limit")
 }
 
-// runNext does one thing that is pending; false: nothing is.
+// runNext runs one pending callback, timer or fair-queue dispatch. It returns false if there is none.
 func (c *Controller) runNext(backlogged bool) bool {
 	if len(c.callbacks) > 0 {
 		run := c.callbacks[0]
@@ -299,7 +300,7 @@
 
 func (c *Controller) emit(e Effect) { c.effects = append(c.effects, e) }
 
-// enqueueCallback runs a callback before the step ends.
+// enqueueCallback queues a callback that runs before the step ends.
 func (c *Controller) enqueueCallback(callback func()) { c.callbacks = append(c.callbacks, callback) }
 
 func (c *Controller) runAt(at time.Duration, callback func()) { c.timers.Add(at, callback) }
@@ -310,7 +311,8 @@
 
 const sweepInterval = 250 * time.Millisecond
 
-// sweep is the controller's one periodic timer.
+// sweep closes idle connections, forgets unused engines and keys, and checks the clients, every
+// sweepInterval.
 func (c *Controller) sweep() {
 	c.runAfter(sweepInterval, c.sweep)
 	c.closeIdleConnections()
--- a/internal/controller/counters.go
+++ b/internal/controller/counters.go
@@ -9,14 +9,13 @@
 	"railrelay.dev/railrelay/internal/invariant"
 )
 
-// counters count what happened since the start. The texts under which they are logged are listed in
-// docs/oncall.md.
+// counters count events since the start. docs/oncall.md lists the texts under which they are logged.
 type counters struct {
 	// clients
 	connections   int // accepted
-	disconnected  int // closed by us for a limit that was passed
+	disconnected  int // closed by the controller because a limit was exceeded
 	idleClosed    int
-	malformed     int // messages and calls that can't be used
+	malformed     int // invalid messages and calls
 	aliveRequests int
 
 	// queries
@@ -24,19 +23,19 @@
 	finished  int
 	deferred  int
 	killed    int
-	abandoned int // cancelled by their clients, or their clients went
+	abandoned int // cancelled by the client, or the client disconnected
 
 	// engines
 	attempts           int
 	attemptEnds        [outcomeCount]int // by outcome
 	healthChecks       int
 	dials              int
-	queuedCalls        int // that had to wait for a connection
-	rejectedWrites     int // whose guards failed right before the first byte
+	queuedCalls        int // calls that had to wait for a connection
+	rejectedWrites     int // writes whose guards failed right before the first byte
 	engineResponses    int
 	progressNotes      int
-	unexpectedMessages int // responses that can't be used, and what of the list is not understood
-	pollRetries        int // calls that came to nothing and were repeated
+	unexpectedMessages int // invalid responses, and entries of the endpoint list that are not understood
+	pollRetries        int // failed polls that were retried
 	firstByteDelays    []time.Duration
 
 	// discovery
@@ -48,33 +47,33 @@
 
 const outcomeCount = 8
 
-// outcomeNames are the scheduler's outcomes as the log names them.
+// outcomeNames are the log names of the scheduler's outcomes.
 var outcomeNames = [outcomeCount]string{
 	"finished", "errored", "full", "timed-out", "unreachable", "reset", "cancelled", "never-sent",
 }
 
-// maxFirstByteDelays bounds the delays that the median is taken of: at least half as many, the latest.
+// maxFirstByteDelays bounds the delays kept for the median. At the bound the older half is dropped.
 const maxFirstByteDelays = 1000
 
-// recordFirstByte notes the time from a query's arrival to the first byte of its first attempt.
-func (n *counters) recordFirstByte(delay time.Duration) {
-	if len(n.firstByteDelays) >= maxFirstByteDelays {
-		n.firstByteDelays = n.firstByteDelays[maxFirstByteDelays/2:]
+// recordFirstByte records the time from a query's arrival to the first byte of its first attempt.
+func (counts *counters) recordFirstByte(delay time.Duration) {
+	if len(counts.firstByteDelays) >= maxFirstByteDelays {
+		counts.firstByteDelays = counts.firstByteDelays[maxFirstByteDelays/2:]
 	}
-	n.firstByteDelays = append(n.firstByteDelays, delay)
+	counts.firstByteDelays = append(counts.firstByteDelays, delay)
 }
 
-// text is the line of the log.
-func (n *counters) format(c *Controller) string {
+// format returns the counters as one log line.
+func (counts *counters) format(c *Controller) string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "taken %d finished %d deferred %d killed %d left %d open %d",
-		n.received, n.finished, n.deferred, n.killed, n.abandoned, len(c.queries))
+		counts.received, counts.finished, counts.deferred, counts.killed, counts.abandoned, len(c.queries))
 	fmt.Fprintf(&b, "; clients %d of %d turned off %d idle %d malformed %d",
-		len(c.clients), n.connections, n.disconnected, n.idleClosed, n.malformed)
-	n.addEngines(&b, c)
+		len(c.clients), counts.connections, counts.disconnected, counts.idleClosed, counts.malformed)
+	counts.addEngines(&b, c)
 	fmt.Fprintf(&b, "; list event %d connections %d faults %d reloads %d",
-		c.discovery.lastEvent, n.discoveryDials, n.discoveryFaults, n.reloads)
-	n.addFirstByteDelays(&b)
+		c.discovery.lastEvent, counts.discoveryDials, counts.discoveryFaults, counts.reloads)
+	counts.addFirstByteDelays(&b)
 	if c.fairQueue != nil {
 		b.WriteString(c.fairQueue.countersText())
 	}
@@ -94,27 +93,27 @@
 	return b.String()
 }
 
-func (n *counters) addEngines(b *strings.Builder, c *Controller) {
-	fmt.Fprintf(b, "; submissions %d", n.attempts)
-	for outcome, count := range n.attemptEnds {
+func (counts *counters) addEngines(b *strings.Builder, c *Controller) {
+	fmt.Fprintf(b, "; submissions %d", counts.attempts)
+	for outcome, count := range counts.attemptEnds {
 		if count > 0 {
 			fmt.Fprintf(b, " %s %d", outcomeNames[outcome], count)
 		}
 	}
 	fmt.Fprintf(b, "; engine answers %d notes %d odd %d asked again %d probes %d dials %d"+
 		" links %d of %d waited %d",
-		n.engineResponses, n.progressNotes, n.unexpectedMessages, n.pollRetries, n.healthChecks, n.dials,
-		c.pool.open, c.pool.limit, n.queuedCalls)
-	if n.rejectedWrites > 0 {
-		fmt.Fprintf(b, " barred %d", n.rejectedWrites)
+		counts.engineResponses, counts.progressNotes, counts.unexpectedMessages, counts.pollRetries,
+		counts.healthChecks, counts.dials, c.pool.open, c.pool.limit, counts.queuedCalls)
+	if counts.rejectedWrites > 0 {
+		fmt.Fprintf(b, " barred %d", counts.rejectedWrites)
 	}
 }
 
-func (n *counters) addFirstByteDelays(b *strings.Builder) {
-	if len(n.firstByteDelays) == 0 {
+func (counts *counters) addFirstByteDelays(b *strings.Builder) {
+	if len(counts.firstByteDelays) == 0 {
 		return
 	}
-	delays := slices.Sorted(slices.Values(n.firstByteDelays))
+	delays := slices.Sorted(slices.Values(counts.firstByteDelays))
 	fmt.Fprintf(b, "; to first byte ms median %.1f worst tenth %.1f",
 		milliseconds(delays[len(delays)/2]), milliseconds(delays[len(delays)*9/10]))
 }
--- a/internal/controller/effects.go
+++ b/internal/controller/effects.go
@@ -7,34 +7,34 @@
 	"railrelay.dev/railrelay/internal/spool"
 )
 
-// EffectKind says what the runner is to do. The comment of each kind names the fields of Effect
-// that it reads.
+// EffectKind is the kind of an Effect. The comment of each kind names the fields of Effect that the runner
+// reads.
 type EffectKind int
 
 const (
 	// Dial connects Connection to Address within Timeout.
 	Dial EffectKind = iota
-	// Write sends Bytes on Connection, behind all earlier writes, if the guards of Effect allow it.
+	// Write sends Bytes on Connection, after all earlier writes, if the guards of the Effect hold.
 	Write
-	// Close ends Connection. Graceful: once earlier writes are out and the peer has closed its
-	// side, or after Timeout. Abort: what the peer has not received yet must never arrive.
+	// Close ends Connection. Graceful: once earlier writes are sent and the peer has closed its side, or
+	// after Timeout. Abort: bytes that the peer has not received yet must never arrive.
 	Close
-	// SetTimer asks for a TimerFired after Timeout. It replaces the one asked for before.
+	// SetTimer requests a TimerFired after Timeout. It replaces the previous request.
 	SetTimer
-	// LogMessage logs Text with Fields: always if Warning, at debug level if Trace, else at
+	// LogMessage logs Text with Fields: at warning level if Warning, at debug level if Trace, else at
 	// info level.
 	LogMessage
-	// LogCounters logs Text, the counters, with the processor time spent a query, of QueryCount.
+	// LogCounters logs Text, the counters, with the processor time per query over QueryCount queries.
 	LogCounters
 	// Exit ends the program.
 	Exit
-	// SubmitSpoolWork has SpoolWork done on the spool's disk; SpoolWorkDone follows.
+	// SubmitSpoolWork performs SpoolWork on the spool's disk; SpoolWorkDone follows.
 	SubmitSpoolWork
-	// ReportToFleet gives Report to the fleet's side; FleetReportRejected follows if it has no room.
+	// ReportToFleet hands Report to the fleet; FleetReportRejected follows if there is no room for it.
 	ReportToFleet
 )
 
-// Effect is one thing for the runner to do. Which fields are set depends on Kind.
+// Effect is an action for the runner to perform. Kind determines which other fields are set.
 type Effect struct {
 	Kind       EffectKind
 	Connection *Connection
@@ -53,24 +53,24 @@
 	SpoolWork *spool.Work
 	Report    *fleet.Report
 
-	// Guards of a Write. The runner checks them right before the first byte, by the clock as it is
-	// then; if one fails nothing is written and WriteRejected is reported.
+	// Guards of a Write. The runner checks them right before the first byte, by the clock at that moment.
+	// If one fails, nothing is written and WriteRejected is reported.
 
-	// PolicyVersion is the version of the policy that the bytes were decided by, 0: any. They go
-	// out only while that version is committed, and under the lease of confined tenants if Confined.
+	// PolicyVersion is the policy version that decided the write, 0: any. The bytes are sent only while
+	// that version is committed and, if Confined, while the lease of confined tenants holds.
 	PolicyVersion uint64
 	Confined      bool
-	// RetainedData marks data kept for a tenant (spooled results, cached answers). It goes out only
-	// while the lease of confined tenants holds.
+	// RetainedData marks data kept for a tenant (spooled results, cached answers). It is sent only while
+	// the lease of confined tenants holds.
 	RetainedData bool
-	// Permit is that of the write that starts a query at an engine; nil: none is needed.
+	// Permit guards the write that starts a query at an engine; nil: no permit is needed.
 	Permit *WritePermit
-	// Client is the connection of the client that a query came by. What the runner has received from
-	// it and not stepped yet goes first: it may be the client's cancellation.
+	// Client is the connection of the client that sent the query. The runner first reports the bytes that
+	// it has received from there and not stepped yet: they may contain the client's cancellation.
 	Client *Connection
 }
 
-// LogFields name what a log line is about. Each is logged under a key of its own, if set.
+// LogFields identify the subject of a log line. Each is logged under its own key, if set.
 type LogFields struct {
 	Query, Group, Tenant, Engine string
 	Attempt                      int // from 1, 0: none
--- a/internal/controller/engine.go
+++ b/internal/controller/engine.go
@@ -7,43 +7,43 @@
 	"railrelay.dev/railrelay/internal/scheduler"
 )
 
-// engine is one engine of the endpoint list. Its id identifies it: a new engine may be listed at the
-// address of one that is gone.
+// engine is one engine of the endpoint list, identified by its id: a new engine may be listed at the address
+// of one that is gone.
 type engine struct {
 	id      string
-	address string // "" once another engine has it
+	address string // "" once another engine has the address
 
 	// as last listed
 	state         scheduler.EngineState
 	kind          int           // index in the settings' kinds
-	location      int           // index in the settings' locations, -1: in none
-	listedInEvent int64         // the last event that named it
-	removedAt     time.Duration // when it left the list
+	location      int           // index in the settings' locations, -1: none
+	listedInEvent int64         // the last discovery event that named the engine
+	removedAt     time.Duration // when the engine left the list
 
 	connections []*engineConnection
-	healthCheck *call // the last one
+	healthCheck *call // the most recent one
 
 	// attempts
-	unreportedAttempts int        // whose end the scheduler has not been told
-	cancelling         []*attempt // ended for the scheduler, but perhaps not yet at the engine
-	waitingForID       []*attempt // not sent yet, since one of the same query is among cancelling
+	unreportedAttempts int        // attempts whose end the scheduler has not been told
+	cancelling         []*attempt // being cancelled; they may still run at the engine
+	waitingForID       []*attempt // not sent yet, because an attempt of the same query is in cancelling
 }
 
-// hasConnection reports whether a connection to it is established.
+// hasConnection reports whether a connection to the engine is established.
 func (e *engine) hasConnection() bool {
 	return slices.ContainsFunc(e.connections, func(ec *engineConnection) bool {
 		return ec.connected && !ec.connection.closed
 	})
 }
 
-// isCancelling reports whether an attempt of a query is still being cancelled there.
+// isCancelling reports whether an attempt of a query is still being cancelled at the engine.
 func (e *engine) isCancelling(queryID string) bool {
-	return slices.ContainsFunc(e.cancelling, func(s *attempt) bool { return s.query.id == queryID })
+	return slices.ContainsFunc(e.cancelling, func(a *attempt) bool { return a.query.id == queryID })
 }
 
-// cancellationDone notes that a cancelled attempt is over, and sends those that waited for it.
-func (e *engine) cancellationDone(s *attempt) {
-	i := slices.Index(e.cancelling, s)
+// cancellationDone records that a cancelled attempt is over, and sends the attempts that waited for it.
+func (e *engine) cancellationDone(a *attempt) {
+	i := slices.Index(e.cancelling, a)
 	if i >= 0 {
 		e.cancelling = slices.Delete(e.cancelling, i, i+1)
 	}
@@ -58,7 +58,7 @@
 	}
 }
 
-// revokePermits stops attempts whose request is not written yet from starting there.
+// revokePermits prevents attempts whose request is not written yet from starting at the engine.
 func (e *engine) revokePermits() {
 	for _, ec := range e.connections {
 		request := ec.call
@@ -68,8 +68,8 @@
 	}
 }
 
-// releaseAddress takes an engine's address from it, as another engine has that now: its process is gone,
-// and its calls must not reach the other one, which may run a query of the same id.
+// releaseAddress removes an engine's address because another engine has it now. The old process is gone, and
+// calls meant for it must not reach the new one, which may run a query of the same id.
 func (c *Controller) releaseAddress(e *engine) {
 	if c.engineByAddress[e.address] == e {
 		delete(c.engineByAddress, e.address)
@@ -80,7 +80,7 @@
 	}
 }
 
-// sweepEngines forgets removed engines once no call can be on its way to them.
+// sweepEngines forgets removed engines once no call to them can be in flight.
 func (c *Controller) sweepEngines() {
 	for id, e := range c.engines {
 		inUse := e.unreportedAttempts + len(e.connections) + len(e.cancelling) + len(e.waitingForID)
--- a/internal/controller/engine_call.go
+++ b/internal/controller/engine_call.go
@@ -6,21 +6,21 @@
 	"railrelay.dev/railrelay/internal/timerqueue"
 )
 
-// callResult says how a call to an engine came out. Only callAnswered has a response.
+// callResult is the result of a call to an engine. Only callAnswered comes with a response.
 type callResult int
 
 const (
 	callAnswered          callResult = iota
-	callNotSent                      // not a byte was written: it was no longer wanted
+	callNotSent                      // nothing was written: the call was no longer wanted
 	callRefused                      // the connection was refused
-	callDialTimedOut                 // there was no connection in time
+	callDialTimedOut                 // no connection was established in time
 	callNotWritten                   // the connection ended before the first byte was written
-	callConnectionLost               // the connection ended; some of the request may have been written
-	callNoResponse                   // there was no response in time
-	callMalformedResponse            // the response could not be read, or fitted no call of this kind
+	callConnectionLost               // the connection ended; part of the request may have been written
+	callNoResponse                   // no response came in time
+	callMalformedResponse            // the response could not be parsed, or does not fit the call
 )
 
-// callResultNames are the results as the log names them; the operators' pages list them.
+// callResultNames are the log names of the results; the operators' pages list them.
 var callResultNames = [...]string{
 	callAnswered:          "answered",
 	callNotSent:           "unfit",
@@ -33,41 +33,41 @@
 }
 
 const (
-	// responseTimeout bounds the wait for a response: an engine holds a poll for longPollTimeout at
-	// most, and what is waited for a lost response is missing from short query timeouts.
+	// responseTimeout bounds the wait for a response. An engine holds a poll for at most longPollTimeout.
+	// The time spent waiting for a lost response is lost to queries with a short timeout.
 	responseTimeout = longPollTimeout + 3*maxNetworkDelay
-	// maxResponseBytes bounds a response. No page of a result is larger, whatever length it claims.
+	// maxResponseBytes bounds a response. No page of a result is larger, whatever length its header claims.
 	maxResponseBytes = 64 << 10
 )
 
-// call is one HTTP request to an engine. It waits for a connection, is written, and ends with onResult,
-// which is called exactly once.
+// call is one HTTP request to an engine. It waits for a connection, is written, and ends with onResult, which
+// is called exactly once.
 type call struct {
-	method  string // of HTTP; "probe" for a health check, which is a GET of its own
+	method  string // HTTP method; "probe" for a health check, which is sent as a GET
 	engine  *engine
 	attempt *attempt // nil for health checks
 
-	// stillWanted is asked right before the first byte is written; nil: always.
+	// stillWanted is checked right before the first byte is written; nil: the call is always wanted.
 	stillWanted func() bool
 	encode      func(dst []byte) []byte
-	// validResponse reports whether a response can be one to this call.
+	// validResponse reports whether a response can belong to this call.
 	validResponse func(status int, field func(string) string, body []byte) bool
-	onResult      func(as callResult, status int, field func(string) string, body []byte)
+	onResult      func(result callResult, status int, field func(string) string, body []byte)
 
-	startsAttempt    bool // it submits the query: written only by the attempt's permit and policy version
-	extendsRetention bool // the engine retains the query for some time from its arrival on
-	isPoll           bool // it gives way to all other calls when connections are short
+	startsAttempt    bool // submits the query; written only under the attempt's permit and policy version
+	extendsRetention bool // makes the engine retain the query for some time after the call arrives
+	isPoll           bool // served after all other calls when connections are short
 
-	timeout      time.Duration // for the response, 0: responseTimeout
+	timeout      time.Duration // for the response; 0: responseTimeout
 	timer        *timerqueue.Item
 	requestBytes int
 
 	answered bool
-	done     bool // onResult was called, or must not be
+	done     bool // onResult was called, or must not be called
 }
 
-// finishCall ends a call, unless it has ended.
-func (c *Controller) finishCall(request *call, as callResult, status int, field func(string) string,
+// finishCall ends a call with a result, unless it has already ended.
+func (c *Controller) finishCall(request *call, result callResult, status int, field func(string) string,
 	body []byte) {
 	if request.done {
 		return
@@ -75,21 +75,21 @@
 	request.done = true
 	c.timers.Drop(request.timer)
 	if c.TraceQueries && request.attempt != nil {
-		c.trace(request.attempt.logFields(), "%s came to %s %d", request.method, callResultNames[as], status)
+		c.trace(request.attempt.logFields(), "%s came to %s %d", request.method, callResultNames[result], status)
 	}
-	request.onResult(as, status, field, body)
+	request.onResult(result, status, field, body)
 }
 
-// failCall ends the call under way on a connection, if there is one, without a response.
-func (c *Controller) failCall(ec *engineConnection, as callResult) {
+// failCall ends the call in progress on a connection, if there is one, without a response.
+func (c *Controller) failCall(ec *engineConnection, result callResult) {
 	request := ec.call
 	if request != nil {
 		ec.call = nil
-		c.finishCall(request, as, 0, nil, nil)
+		c.finishCall(request, result, 0, nil, nil)
 	}
 }
 
-// isWanted asks whether a call that is about to be written still should be.
+// isWanted reports whether a call that is about to be written should still be written.
 func (r *call) isWanted() bool {
 	return !r.done && (r.stillWanted == nil || r.stillWanted())
 }
--- a/internal/controller/engine_connection.go
+++ b/internal/controller/engine_connection.go
@@ -12,18 +12,18 @@
 type engineConnection struct {
 	connection *Connection
 	engine     *engine
-	number     int  // in the log
-	connected  bool // the dial has succeeded; the connection may have ended since
+	number     int  // identifies the connection in the log
+	connected  bool // the dial succeeded; the connection may have ended since
 
-	call *call // under way, or to be written once it is connected; nil: none
-	// lastWritten is the call written last, nil once that was answered: it may still arrive.
+	call *call // in progress, or to be written once connected; nil: none
+	// lastWritten is the last call written, nil once it was answered: its request may still arrive.
 	lastWritten *call
 
-	// what decides which call it may carry next, see mayCarry
+	// decide which call the connection may carry next, see mayCarry
 	idleSince       time.Duration
 	lastAttempt     *attempt // of the last call
 	changedPriority bool     // the last call changed a priority
-	healthChecked   bool     // the last call was a health check, and the engine was well
+	healthChecked   bool     // the last call was a successful health check
 }
 
 func (ec *engineConnection) isIdle() bool {
@@ -77,9 +77,9 @@
 	c.failCall(ec, callConnectionLost)
 }
 
-// closeEngineConnection closes a connection. With a call under way the bytes of that must not arrive later: a
-// kernel left to itself goes on sending for minutes, and would start a query behind a network that heals
-// long after the query was held to be over.
+// closeEngineConnection closes a connection, and aborts it if a call is in progress: the bytes of that call
+// must not arrive later. After a plain close the kernel would keep sending for minutes, and a query could
+// start after a network partition heals, long after the controller considered it over.
 func (c *Controller) closeEngineConnection(ec *engineConnection) {
 	if !ec.connection.closed {
 		ec.connection.closed = true
@@ -87,7 +87,7 @@
 	}
 }
 
-// removeEngineConnection notes that a connection holds no descriptor any more.
+// removeEngineConnection records that a connection no longer holds a descriptor.
 func (c *Controller) removeEngineConnection(ec *engineConnection) {
 	isThis := func(x *engineConnection) bool { return x == ec }
 	ec.engine.connections = slices.DeleteFunc(ec.engine.connections, isThis)
@@ -101,7 +101,7 @@
 	c.enqueueCallback(c.serveWaitingCalls)
 }
 
-// writeCall writes a call on a connection that is established and carries none.
+// writeCall writes a call on an established connection that carries none.
 func (c *Controller) writeCall(ec *engineConnection, request *call) {
 	isFree := ec.connected && ec.call == nil && ec.engine == request.engine
 	invariant.Hold(isFree, "one call at a time on a connection")
@@ -139,8 +139,8 @@
 	}
 }
 
-// releaseConnection makes a connection idle. Calls that wait may take it, at once or, if it has just
-// answered another query's call, after connectionReuseDelay.
+// releaseConnection makes a connection idle. Waiting calls may take it at once or, if its last call belonged
+// to another query, after connectionReuseDelay.
 func (c *Controller) releaseConnection(ec *engineConnection) {
 	ec.call = nil
 	ec.idleSince = c.now
@@ -150,10 +150,10 @@
 	}
 }
 
-// readResponses reads what a connection received.
+// readResponses reads the bytes that a connection received.
 func (c *Controller) readResponses(ec *engineConnection) {
 	if ec.call == nil {
-		if len(ec.connection.Received.Bytes()) > 0 { // a response to nothing
+		if len(ec.connection.Received.Bytes()) > 0 { // a response without a call
 			c.counters.unexpectedMessages++
 			c.closeEngineConnection(ec)
 		}
@@ -166,12 +166,12 @@
 	}
 }
 
-// readResponse reads one message and, if it is a final response, ends the call with it. False: nothing
-// more can be read.
+// readResponse reads one message and, if it is a final response, ends the call with it. It returns false if
+// no more can be read.
 func (c *Controller) readResponse(ec *engineConnection) bool {
 	received := &ec.connection.Received
 	request := ec.call
-	var finish func() // with the response; nil: the message was an interim one
+	var finish func() // ends the call with the response; nil: the message was an interim response
 	valid, hasBody, isOK := false, false, false
 	n, keepAlive, err := enginehttp.Read(received.Bytes(), maxResponseBytes,
 		func(status int, field func(string) string, body []byte) {
@@ -188,7 +188,7 @@
 		return true
 	}
 	moreBehind := len(received.Bytes()) > 0
-	// with more behind a body its length may be wrong, and then the result is not all there
+	// bytes after a body mean that its length may be wrong, and that the result may be incomplete
 	if err != nil || !valid || moreBehind && hasBody {
 		c.counters.unexpectedMessages++
 		c.closeEngineConnection(ec)
@@ -208,6 +208,6 @@
 		ec.lastWritten = nil
 		request.recordArrival()
 	}
-	finish() // last, as it may start a call that the connection can carry
+	finish() // last, because it may start a call that this connection can carry
 	return true
 }
--- a/internal/controller/events.go
+++ b/internal/controller/events.go
@@ -6,56 +6,58 @@
 	"railrelay.dev/railrelay/internal/spool"
 )
 
-// EventKind says what happened. The comment of each kind names the fields of Event that it sets.
+// EventKind is the kind of an Event. The comment of each kind names the fields of Event that it sets.
 type EventKind int
 
 const (
-	// ClientAccepted: a client opened Connection.
+	// ClientAccepted reports that a client opened Connection.
 	ClientAccepted EventKind = iota
-	// Connected: Connection, which a Dial effect asked for, is established.
+	// Connected reports that Connection, requested by a Dial effect, is established.
 	Connected
-	// ConnectRefused: the peer refused Connection.
+	// ConnectRefused reports that the peer refused Connection.
 	ConnectRefused
-	// ConnectTimedOut: Connection was not established within the timeout of its Dial, or was
-	// closed before it was.
+	// ConnectTimedOut reports that Connection was not established within the timeout of its Dial, or
+	// was closed first.
 	ConnectTimedOut
-	// BytesReceived: ByteCount more bytes are in Connection.Received.
+	// BytesReceived reports that ByteCount more bytes are in Connection.Received.
 	BytesReceived
-	// BytesWritten: ByteCount bytes of those that Write effects asked for left for Connection.
+	// BytesWritten reports that ByteCount more bytes requested by Write effects were sent on Connection.
 	BytesWritten
-	// ConnectionClosed: Connection ended, whoever closed it, and its descriptor is free.
+	// ConnectionClosed reports that Connection ended, closed by either side, and that its descriptor is
+	// free.
 	ConnectionClosed
-	// TimerFired: the time that the last SetTimer asked for has come.
+	// TimerFired reports that the time requested by the last SetTimer has come.
 	TimerFired
-	// ShutdownRequested: exit once all accepted queries are answered.
+	// ShutdownRequested asks the controller to exit once all accepted queries are answered.
 	ShutdownRequested
-	// CountersRequested: log the counters.
+	// CountersRequested asks the controller to log its counters.
 	CountersRequested
-	// ConfigurationReloaded: DiscoveryAddress and, unless nil, Tenants replace the present ones.
+	// ConfigurationReloaded replaces the discovery address by DiscoveryAddress and, unless nil, the
+	// tenants by Tenants.
 	ConfigurationReloaded
-	// SpoolWorkDone: SpoolWork was done on the disk, or failed.
+	// SpoolWorkDone reports that SpoolWork was done on the disk, or failed.
 	SpoolWorkDone
-	// FleetOrderReceived: the fleet's side gives Order.
+	// FleetOrderReceived delivers Order from the fleet.
 	FleetOrderReceived
-	// FleetReportRejected: there was no room for Report; it is to be sent again.
+	// FleetReportRejected reports that there was no room for Report; it must be sent again.
 	FleetReportRejected
-	// WriteRejected: a guarded Write on Connection was not performed since its policy version, lease or
-	// permit no longer held. The end of the connection follows as an event of its own.
+	// WriteRejected reports that a guarded Write on Connection was not performed because its policy
+	// version, lease or permit was no longer valid. ConnectionClosed follows as a separate event.
 	WriteRejected
 )
 
-// Event is one thing that happened, as the runner reports it to Controller.Step. Which fields
-// are set depends on Kind.
+// Event is something that happened, as the runner reports it to Controller.Step. Kind determines which other
+// fields are set.
 type Event struct {
 	Kind       EventKind
 	Connection *Connection
 	ByteCount  int
-	// EndOfStream, with BytesReceived: the peer closed its side right behind these bytes.
+	// EndOfStream, with BytesReceived: the peer closed its side right after these bytes.
 	EndOfStream bool
 
-	// Backlogged: the process stood still, and this is one of the events that piled up meanwhile.
-	// Timers that are due wait until the backlog is stepped and a TimerFired follows, since a
-	// response that is here and only unread isn't late.
+	// Backlogged marks an event that piled up while the process was stalled. Timers that are due wait until
+	// the backlog is handled and a TimerFired follows: a response that arrived but was not read yet is not
+	// late.
 	Backlogged bool
 
 	DiscoveryAddress string
--- a/internal/controller/harness_clients_test.go
+++ b/internal/controller/harness_clients_test.go
@@ -20,90 +20,90 @@
 	answerBytes     []byte
 }
 
-func (s *harness) checkAnswer(e *fakeConnection, p []byte) {
-	if p[0] == 0x93 { // a notice, no answer
+func (h *harness) checkAnswer(conn *fakeConnection, data []byte) {
+	if data[0] == 0x93 { // a notice, no answer
 		return
 	}
-	if p[2] >= 0x80 {
-		s.t.Fatalf("more messages than this test reads: %q", p)
+	if data[2] >= 0x80 {
+		h.t.Fatalf("more messages than this test reads: %q", data)
 	}
-	for _, a := range s.queries {
-		if a.connection != e || a.messageID != int(p[2]) {
+	for _, query := range h.queries {
+		if query.connection != conn || query.messageID != int(data[2]) {
 			continue
 		}
-		if a.answer != "" || a.cancelled {
-			s.t.Fatalf("rule 1: a second answer to %s, or one nobody waits for", a.id)
+		if query.answer != "" || query.cancelled {
+			h.t.Fatalf("rule 1: a second answer to %s, or one nobody waits for", query.id)
 		}
-		a.answerBytes = p
+		query.answerBytes = data
 		switch {
-		case p[3] == 0xc0:
-			a.answer = "finished"
-			if !bytes.Contains(p, []byte(a.expectedPayload)) || a.expectedPayload == "" {
-				s.t.Fatalf("finished with what no engine made: %q, not %q", p, a.expectedPayload)
+		case data[3] == 0xc0:
+			query.answer = "finished"
+			if !bytes.Contains(data, []byte(query.expectedPayload)) || query.expectedPayload == "" {
+				h.t.Fatalf("finished with what no engine made: %q, not %q", data, query.expectedPayload)
 			}
-		case bytes.Contains(p, []byte("Throttled")):
-			a.answer = "deferred"
-			for _, x := range a.runs {
-				if a.group == "load" && !x.neverRan {
-					s.t.Fatalf("rule 2: deferred, and may have run: %s", a.id)
+		case bytes.Contains(data, []byte("Throttled")):
+			query.answer = "deferred"
+			for _, run := range query.runs {
+				if query.group == "load" && !run.neverRan {
+					h.t.Fatalf("rule 2: deferred, and may have run: %s", query.id)
 				}
 			}
 		default:
-			a.answer = "killed"
+			query.answer = "killed"
 		}
 	}
 }
 
-func (s *harness) connect() *fakeConnection {
-	e := &fakeConnection{number: len(s.connections), connection: &Connection{}, isClient: true, established: true}
-	s.connections = append(s.connections, e)
-	s.step(Event{Kind: ClientAccepted, Connection: e.connection})
-	return e
+func (h *harness) connect() *fakeConnection {
+	conn := &fakeConnection{number: len(h.connections), connection: &Connection{}, isClient: true, established: true}
+	h.connections = append(h.connections, conn)
+	h.step(Event{Kind: ClientAccepted, Connection: conn.connection})
+	return conn
 }
 
-func (s *harness) receive(e *fakeConnection, p []byte) {
-	for len(p) > 0 && !e.closed {
-		n := copy(e.connection.Received.Space(), p)
-		p = p[n:]
-		s.step(Event{Kind: BytesReceived, Connection: e.connection, ByteCount: n})
+func (h *harness) receive(conn *fakeConnection, data []byte) {
+	for len(data) > 0 && !conn.closed {
+		n := copy(conn.connection.Received.Space(), data)
+		data = data[n:]
+		h.step(Event{Kind: BytesReceived, Connection: conn.connection, ByteCount: n})
 	}
 }
 
 func fixstr(v string) []byte { return append([]byte{byte(0xa0 + len(v))}, v...) }
 
 // sendQuery has a client send a query.
-func (s *harness) sendQuery(e *fakeConnection, group, key string, patience time.Duration, tables int, more ...string) *sentQuery {
-	e.messageCount++
-	a := &sentQuery{id: fmt.Sprintf("%016x", len(s.queries)+1), group: group, key: key, messageID: e.messageCount, connection: e, deadline: s.now + patience}
-	s.queries = append(s.queries, a)
-	p := append([]byte{0x94, 0, byte(a.messageID)}, fixstr(group)...)
-	fields := []string{"trace", a.id, "patience", strconv.Itoa(int(patience.Milliseconds()))}
+func (h *harness) sendQuery(conn *fakeConnection, group, key string, timeout time.Duration, tables int, more ...string) *sentQuery {
+	conn.messageCount++
+	query := &sentQuery{id: fmt.Sprintf("%016x", len(h.queries)+1), group: group, key: key, messageID: conn.messageCount, connection: conn, deadline: h.now + timeout}
+	h.queries = append(h.queries, query)
+	data := append([]byte{0x94, 0, byte(query.messageID)}, fixstr(group)...)
+	fields := []string{"trace", query.id, "patience", strconv.Itoa(int(timeout.Milliseconds()))}
 	if key != "" {
 		fields = append(fields, "entity", key)
 	}
 	fields = append(fields, more...)
-	p = append(p, 0x92, 0x80|byte(len(fields)/2))
-	for _, f := range fields {
-		p = append(p, fixstr(f)...)
+	data = append(data, 0x92, 0x80|byte(len(fields)/2))
+	for _, field := range fields {
+		data = append(data, fixstr(field)...)
 	}
-	body := cmp.Or(s.statement, "SELECT * FROM sales_"+strconv.Itoa(tables)+".orders")
-	s.receive(e, append(append(p, 0xc4, byte(len(body))), body...))
-	return a
+	body := cmp.Or(h.statement, "SELECT * FROM sales_"+strconv.Itoa(tables)+".orders")
+	h.receive(conn, append(append(data, 0xc4, byte(len(body))), body...))
+	return query
 }
 
-func (s *harness) cancel(a *sentQuery) {
-	if a.answer == "" && !a.cancelled && !a.connection.closed {
-		a.cancelled = true
-		s.receive(a.connection, append(append([]byte{0x93, 2}, fixstr("cancelRequest")...), 0x91, byte(a.messageID)))
+func (h *harness) cancel(query *sentQuery) {
+	if query.answer == "" && !query.cancelled && !query.connection.closed {
+		query.cancelled = true
+		h.receive(query.connection, append(append([]byte{0x93, 2}, fixstr("cancelRequest")...), 0x91, byte(query.messageID)))
 	}
 }
 
-func (s *harness) disconnect(e *fakeConnection) {
-	for _, a := range s.queries {
-		if a.connection == e && a.answer == "" {
-			a.cancelled = true
+func (h *harness) disconnect(conn *fakeConnection) {
+	for _, query := range h.queries {
+		if query.connection == conn && query.answer == "" {
+			query.cancelled = true
 		}
 	}
-	s.closeConnection(e)
-	s.flush()
+	h.closeConnection(conn)
+	h.flush()
 }
--- a/internal/controller/harness_engines_test.go
+++ b/internal/controller/harness_engines_test.go
@@ -43,15 +43,15 @@
 	delayed            bool // it was held up by a cut
 }
 
-func (m *fakeEngine) endpointJSON(up int64) string {
+func (engine *fakeEngine) endpointJSON(up int64) string {
 	return fmt.Sprintf(`{"id":%q,"host_port":%q,"locality":%q,"flavor":"std","cell":1,"phase":%q,"size":1,"up_since_ms":%d}`,
-		m.id, m.address, m.site, m.state, up)
+		engine.id, engine.address, engine.site, engine.state, up)
 }
 
 // readCalls takes what was written to an engine, call by call.
-func (s *harness) readCalls(e *fakeConnection) {
-	m := s.engines[e.address]
-	head, rest, ok := strings.Cut(string(e.received), "\r\n\r\n")
+func (h *harness) readCalls(conn *fakeConnection) {
+	engine := h.engines[conn.address]
+	head, rest, ok := strings.Cut(string(conn.received), "\r\n\r\n")
 	if !ok {
 		return
 	}
@@ -61,175 +61,175 @@
 		length, _ = strconv.Atoi(v)
 	}
 	if len(rest) != length {
-		s.t.Fatalf("two calls at a time on a connection, or a length that is off: %q", e.received)
+		h.t.Fatalf("two calls at a time on a connection, or a length that is off: %q", conn.received)
 	}
-	e.received = nil
+	conn.received = nil
 	w := strings.Fields(head)
-	h := &pendingCall{connection: e, engine: m, writtenAt: s.now, method: w[0], path: w[1], body: rest}
-	if parts := strings.Split(h.path, "/"); len(parts) > 2 {
-		h.id = parts[2]
+	call := &pendingCall{connection: conn, engine: engine, writtenAt: h.now, method: w[0], path: w[1], body: rest}
+	if parts := strings.Split(call.path, "/"); len(parts) > 2 {
+		call.id = parts[2]
 		if len(parts) > 3 {
-			h.page, _ = strconv.Atoi(parts[3])
+			call.page, _ = strconv.Atoi(parts[3])
 		}
 	}
-	h.head = head
+	call.head = head
 	switch {
-	case m.unresponsive: // it lies in a buffer for ever
-	case m.networkCut:
-		h.delayed = true
-		m.delayedCalls = append(m.delayedCalls, h)
+	case engine.unresponsive: // it lies in a buffer for ever
+	case engine.networkCut:
+		call.delayed = true
+		engine.delayedCalls = append(engine.delayedCalls, call)
 	default:
-		s.deliverCall(h)
+		h.deliverCall(call)
 	}
 }
 
 // arrive takes a call that has arrived whole, perhaps long after it was written.
-func (s *harness) deliverCall(h *pendingCall) {
-	m, head := h.engine, h.head
-	switch h.method {
+func (h *harness) deliverCall(call *pendingCall) {
+	engine, head := call.engine, call.head
+	switch call.method {
 	case "POST":
 		_, id, _ := strings.Cut(head, "X-Req: ")
-		h.id, _, _ = strings.Cut(id, "\r\n")
-		s.checkSubmission(h)
+		call.id, _, _ = strings.Cut(id, "\r\n")
+		h.checkSubmission(call)
 	case "GET":
-		if h.run = m.runs[h.id]; h.run != nil && h.run.unregistered {
-			h.run = nil
-		} else if h.run != nil && !h.run.ended && h.page == 0 {
-			h.run.polledAt = s.now
+		if call.run = engine.runs[call.id]; call.run != nil && call.run.unregistered {
+			call.run = nil
+		} else if call.run != nil && !call.run.ended && call.page == 0 {
+			call.run.polledAt = h.now
 		}
 	case "DELETE":
-		if x := m.runs[h.id]; x != nil && !x.ended {
-			s.endRun(x, true)
+		if run := engine.runs[call.id]; run != nil && !run.ended {
+			h.endRun(run, true)
 		}
 	}
-	if !h.connection.closed {
-		s.pendingCalls = append(s.pendingCalls, h)
+	if !call.connection.closed {
+		h.pendingCalls = append(h.pendingCalls, call)
 	}
 }
 
 // heal ends a cut of the network, and delivers the calls that it held up.
-func (s *harness) healNetwork(m *fakeEngine) {
-	m.networkCut = false
-	lying := m.delayedCalls
-	m.delayedCalls = nil
-	for _, h := range lying {
-		s.deliverCall(h)
+func (h *harness) healNetwork(engine *fakeEngine) {
+	engine.networkCut = false
+	lying := engine.delayedCalls
+	engine.delayedCalls = nil
+	for _, call := range lying {
+		h.deliverCall(call)
 	}
 }
 
-func (s *harness) endRun(x *fakeRun, rests bool) {
-	x.ended, x.endedAt, x.keyCoolsDown = true, s.now, rests
+func (h *harness) endRun(run *fakeRun, rests bool) {
+	run.ended, run.endedAt, run.keyCoolsDown = true, h.now, rests
 }
 
 // checkSubmission checks by the rules what an engine is sent.
-func (s *harness) checkSubmission(h *pendingCall) {
-	var a *sentQuery
-	for _, x := range s.queries {
-		if x.id == h.id {
-			a = x
+func (h *harness) checkSubmission(call *pendingCall) {
+	var query *sentQuery
+	for _, other := range h.queries {
+		if other.id == call.id {
+			query = other
 		}
 	}
-	late := h.delayed || s.now > h.writtenAt // a link may be cut and heal in one instant, with its client gone between
+	late := call.delayed || h.now > call.writtenAt // a link may be cut and heal in one instant, with its client gone between
 	switch {
-	case a == nil:
-		s.t.Fatalf("submitted what nobody asked for: %s", h.id)
+	case query == nil:
+		h.t.Fatalf("submitted what nobody asked for: %s", call.id)
 	case late: // it was right when it was sent; its order is judged below
-	case a.answer != "" || a.cancelled:
-		s.t.Fatalf("rule 1: submitted after its end: %s", h.id)
-	case h.engine.state != "SERVING" && s.controller.discovery.lastEvent == s.lastEventNumber:
-		s.t.Fatalf("rule 3: submitted to one %s", h.engine.state)
-	case h.engine.runs[h.id] != nil && !h.engine.runs[h.id].ended:
-		s.t.Fatalf("two of one id at one engine: %s", h.id)
+	case query.answer != "" || query.cancelled:
+		h.t.Fatalf("rule 1: submitted after its end: %s", call.id)
+	case call.engine.state != "SERVING" && h.controller.discovery.lastEvent == h.lastEventNumber:
+		h.t.Fatalf("rule 3: submitted to one %s", call.engine.state)
+	case call.engine.runs[call.id] != nil && !call.engine.runs[call.id].ended:
+		h.t.Fatalf("two of one id at one engine: %s", call.id)
 	}
-	if q := s.controller.queries[a.id]; q != nil && !late && len(a.runs) >= len(q.attempts) { // nil: given up in this very step
-		s.t.Fatalf("one submission written twice: %s", h.id)
+	if q := h.controller.queries[query.id]; q != nil && !late && len(query.runs) >= len(q.attempts) { // nil: given up in this very step
+		h.t.Fatalf("one submission written twice: %s", call.id)
 	}
-	for _, x := range a.runs {
-		if a.group == "load" && !x.neverRan {
-			s.t.Fatalf("rule 2: a mutating query sent again: %s", h.id)
+	for _, run := range query.runs {
+		if query.group == "load" && !run.neverRan {
+			h.t.Fatalf("rule 2: a mutating query sent again: %s", call.id)
 		}
 	}
-	for _, x := range s.queries {
-		if x == a {
+	for _, other := range h.queries {
+		if other == query {
 			break
 		}
-		if a.group != "load" || x.group != "load" || x.key != a.key {
+		if query.group != "load" || other.group != "load" || other.key != query.key {
 			continue
 		}
-		if x.answer == "" && !x.cancelled {
-			s.t.Fatalf("rule 5: %s sent before %s is over", a.id, x.id)
+		if other.answer == "" && !other.cancelled {
+			h.t.Fatalf("rule 5: %s sent before %s is over", query.id, other.id)
 		}
-		for _, y := range x.runs {
-			if !y.ended || y.keyCoolsDown && s.now < y.endedAt+300*time.Millisecond {
-				s.t.Fatalf("rule 5: %s sent at %v while %s runs or its key rests (%v)", a.id, s.now, x.id, y.endedAt)
+		for _, otherRun := range other.runs {
+			if !otherRun.ended || otherRun.keyCoolsDown && h.now < otherRun.endedAt+300*time.Millisecond {
+				h.t.Fatalf("rule 5: %s sent at %v while %s runs or its key rests (%v)", query.id, h.now, other.id, otherRun.endedAt)
 			}
 		}
 	}
-	for i := len(s.queries) - 1; s.queries[i] != a; i-- {
-		if x := s.queries[i]; a.group == "load" && x.group == "load" && x.key == a.key && len(x.runs) > 0 {
-			s.t.Fatalf("rule 5: %s arrives after %s, which came later", a.id, x.id)
+	for i := len(h.queries) - 1; h.queries[i] != query; i-- {
+		if other := h.queries[i]; query.group == "load" && other.group == "load" && other.key == query.key && len(other.runs) > 0 {
+			h.t.Fatalf("rule 5: %s arrives after %s, which came later", query.id, other.id)
 		}
 	}
-	x := &fakeRun{query: a, engine: h.engine, polledAt: s.now}
-	a.runs, h.engine.runs[h.id], h.run = append(a.runs, x), x, x
+	run := &fakeRun{query: query, engine: call.engine, polledAt: h.now}
+	query.runs, call.engine.runs[call.id], call.run = append(query.runs, run), run, run
 }
 
 // news reports whether the engine holds this call until there is news.
-func (h *pendingCall) isLongPoll() bool {
-	return h.method == "POST" || h.method == "GET" && h.id != "" && h.page == 0
+func (call *pendingCall) isLongPoll() bool {
+	return call.method == "POST" || call.method == "GET" && call.id != "" && call.page == 0
 }
 
 // respond answers a held call in the way that how names.
-func (s *harness) respond(h *pendingCall, how string) {
-	s.pendingCalls = slices.DeleteFunc(s.pendingCalls, func(x *pendingCall) bool { return x == h })
+func (h *harness) respond(call *pendingCall, how string) {
+	h.pendingCalls = slices.DeleteFunc(h.pendingCalls, func(x *pendingCall) bool { return x == call })
 	out := func(status int, fields, body string) {
-		s.receive(h.connection, []byte(fmt.Sprintf("HTTP/1.1 %d x\r\n%sContent-Length: %d\r\n\r\n%s", status, fields, len(body), body)))
+		h.receive(call.connection, []byte(fmt.Sprintf("HTTP/1.1 %d x\r\n%sContent-Length: %d\r\n\r\n%s", status, fields, len(body), body)))
 	}
-	row := func(page int) string { return h.id + "\tof page\t" + strconv.Itoa(page) + "\n" }
-	x := h.run
+	row := func(page int) string { return call.id + "\tof page\t" + strconv.Itoa(page) + "\n" }
+	run := call.run
 	switch {
-	case how == "untaken" && h.method == "POST" && x.query.group == "load":
-		x.unregistered = true // it lies there whole, and nothing is heard of it
+	case how == "untaken" && call.method == "POST" && run.query.group == "load":
+		run.unregistered = true // it lies there whole, and nothing is heard of it
 	case how == "lost":
-		s.closeConnection(h.connection)
-		s.flush()
+		h.closeConnection(call.connection)
+		h.flush()
 	case how == "garbled":
-		s.receive(h.connection, []byte("HTTP/1.1 what\r\n\r\n"))
-	case h.id == "" && h.method == "GET":
+		h.receive(call.connection, []byte("HTTP/1.1 what\r\n\r\n"))
+	case call.id == "" && call.method == "GET":
 		out(200, "X-Load: inflight:3;util:0.5\r\n", "")
-	case h.method == "DELETE" || h.method == "PUT":
+	case call.method == "DELETE" || call.method == "PUT":
 		out(204, "", "")
-	case x == nil, h.isLongPoll() && x.ended && x.pages == 0:
+	case run == nil, call.isLongPoll() && run.ended && run.pages == 0:
 		out(500, "", "")
-	case h.page > 0:
-		out(200, "Chunk: "+strconv.Itoa(h.page)+"\r\n", row(h.page))
-	case x.ended && x.pages > 0 || how == "ok" || how == "twice":
-		s.finishRun(x)
-		x.query.expectedPayload = ""
-		for p := range x.pages {
-			x.query.expectedPayload += row(p)
+	case call.page > 0:
+		out(200, "Chunk: "+strconv.Itoa(call.page)+"\r\n", row(call.page))
+	case run.ended && run.pages > 0 || how == "ok" || how == "twice":
+		h.finishRun(run)
+		run.query.expectedPayload = ""
+		for p := range run.pages {
+			run.query.expectedPayload += row(p)
 		}
-		fields := fmt.Sprintf("Chunks: %d\r\nElapsed-Work: 300\r\nHigh-Water: 64\r\n", x.pages)
+		fields := fmt.Sprintf("Chunks: %d\r\nElapsed-Work: 300\r\nHigh-Water: 64\r\n", run.pages)
 		out(200, fields, row(0))
-		if how == "twice" && !h.connection.closed { // a second copy comes a moment later
-			s.receive(h.connection, []byte(fmt.Sprintf("HTTP/1.1 200 x\r\n%sContent-Length: %d\r\n\r\n%s", fields, len(row(0)), row(0))))
+		if how == "twice" && !call.connection.closed { // a second copy comes a moment later
+			h.receive(call.connection, []byte(fmt.Sprintf("HTTP/1.1 200 x\r\n%sContent-Length: %d\r\n\r\n%s", fields, len(row(0)), row(0))))
 		}
 	case how == "full":
-		s.endRun(x, false)
-		x.neverRan = true
+		h.endRun(run, false)
+		run.neverRan = true
 		out(503, "X-Not-Run: 1\r\n", "")
 	case how == "busy": // no proof that it did not run
-		s.endRun(x, false)
+		h.endRun(run, false)
 		out(503, "", "")
 	case how == "error":
-		s.endRun(x, false)
+		h.endRun(run, false)
 		out(500, "", "")
 	case how == "cut": // it has run; asked again, the engine has the rest
-		s.finishRun(x)
-		out(200, fmt.Sprintf("Chunks: %d\r\n", x.pages), "half a row")
+		h.finishRun(run)
+		out(200, fmt.Sprintf("Chunks: %d\r\n", run.pages), "half a row")
 	case how == "short":
-		s.finishRun(x)
-		s.receive(h.connection, []byte("HTTP/1.1 200 x\r\nChunks: 1\r\nContent-Length: 900\r\n\r\n"+row(0)))
+		h.finishRun(run)
+		h.receive(call.connection, []byte("HTTP/1.1 200 x\r\nChunks: 1\r\nContent-Length: 900\r\n\r\n"+row(0)))
 	case how == "stuck":
 		out(202, "X-Cache: stall\r\nReading: 2\r\n", "")
 	default:
@@ -238,38 +238,38 @@
 }
 
 // finishRun ends a run with a result, whatever becomes of the response.
-func (s *harness) finishRun(x *fakeRun) {
-	if !x.ended {
-		s.endRun(x, false)
-		x.pages = 1 + int(s.now/time.Millisecond)%3
+func (h *harness) finishRun(run *fakeRun) {
+	if !run.ended {
+		h.endRun(run, false)
+		run.pages = 1 + int(h.now/time.Millisecond)%3
 	}
 }
 
 // listEngines has the discovery send an event about engines or, for "", a heartbeat.
-func (s *harness) listEngines(members string) {
+func (h *harness) listEngines(members string) {
 	if members != "" {
-		s.lastEventNumber++
-		members = fmt.Sprintf(`{"n":%d,"members":{"complete":false,"members":[%s]}}`, s.lastEventNumber, members)
+		h.lastEventNumber++
+		members = fmt.Sprintf(`{"n":%d,"members":{"complete":false,"members":[%s]}}`, h.lastEventNumber, members)
 	} else {
-		members = strconv.FormatInt(s.lastEventNumber, 10)
+		members = strconv.FormatInt(h.lastEventNumber, 10)
 	}
-	if s.discovery != nil && s.discovery.established && !s.discovery.closed {
-		s.receive(s.discovery, []byte(members+"\n"))
+	if h.discovery != nil && h.discovery.established && !h.discovery.closed {
+		h.receive(h.discovery, []byte(members+"\n"))
 	}
 }
 
 // restartEngine ends an engine's process; a new one takes its place, unless dead.
-func (s *harness) restartEngine(m *fakeEngine, dead bool) {
-	for _, id := range slices.Sorted(maps.Keys(m.runs)) {
-		if !m.runs[id].ended {
-			s.endRun(m.runs[id], true)
+func (h *harness) restartEngine(engine *fakeEngine, dead bool) {
+	for _, id := range slices.Sorted(maps.Keys(engine.runs)) {
+		if !engine.runs[id].ended {
+			h.endRun(engine.runs[id], true)
 		}
 	}
-	m.runs, m.refusesConnections, m.unresponsive, m.networkCut, m.delayedCalls = map[string]*fakeRun{}, dead, false, false, nil
-	for _, e := range s.connections {
-		if e.address == m.address && e.established && !e.closed {
-			s.closeConnection(e)
+	engine.runs, engine.refusesConnections, engine.unresponsive, engine.networkCut, engine.delayedCalls = map[string]*fakeRun{}, dead, false, false, nil
+	for _, conn := range h.connections {
+		if conn.address == engine.address && conn.established && !conn.closed {
+			h.closeConnection(conn)
 		}
 	}
-	s.flush()
+	h.flush()
 }
--- a/internal/controller/harness_test.go
+++ b/internal/controller/harness_test.go
@@ -54,8 +54,8 @@
 	messageCount                                         int
 }
 
-func defaultSettings(more map[string]string) map[string]string {
-	f := map[string]string{
+func defaultSettings(overrides map[string]string) map[string]string {
+	settings := map[string]string{
 		"gateways": "2", "own.number": "0", "groups": "3", "loads": "false,false,true", "waits": "true,true,false",
 		"threads": "1,3,2", "kinds": "std", "locations": "here", "kind.cores": "8", "kind.memory": "16384", "grant.most": "0.4",
 		"may.grant": "true", "may.prioritise": "true", "may.cancel": "true", "may.probe": "true", "may.copy": "true",
@@ -66,216 +66,216 @@
 	}
 	for i, name := range []string{"lookup", "report", "load"} {
 		at := "group." + strconv.Itoa(i) + "."
-		f[at+"name"], f[at+"value"] = name, strconv.Itoa(1+5*i)
-		f[at+"target"], f[at+"timeout"], f[at+"stretch"] = "1000", "30000", "1.5"
-		f[at+"effect"], f[at+"scope"], f[at+"window"] = "read-only", "all", "5000"
+		settings[at+"name"], settings[at+"value"] = name, strconv.Itoa(1+5*i)
+		settings[at+"target"], settings[at+"timeout"], settings[at+"stretch"] = "1000", "30000", "1.5"
+		settings[at+"effect"], settings[at+"scope"], settings[at+"window"] = "read-only", "all", "5000"
 	}
-	f["group.2.effect"], f["group.2.in-order"] = "mutating", "true"
-	maps.Copy(f, more)
-	return f
+	settings["group.2.effect"], settings["group.2.in-order"] = "mutating", "true"
+	maps.Copy(settings, overrides)
+	return settings
 }
 
-func newHarness(t interface{ Fatalf(string, ...any) }, engines, sockets int, more map[string]string, with ...func(*Config)) *harness {
-	s := &harness{t: t, timerAt: -1, engines: map[string]*fakeEngine{}, discoveryReachable: true, maxDescriptors: sockets}
+func newHarness(t interface{ Fatalf(string, ...any) }, engines, sockets int, overrides map[string]string, options ...func(*Config)) *harness {
+	h := &harness{t: t, timerAt: -1, engines: map[string]*fakeEngine{}, discoveryReachable: true, maxDescriptors: sockets}
 	var members []string
 	for i := range engines {
-		sites := strings.Split(defaultSettings(more)["locations"], ",")
-		m := &fakeEngine{id: "e" + strconv.Itoa(i), address: "10.0.0." + strconv.Itoa(i) + ":1", state: "SERVING", runs: map[string]*fakeRun{},
+		sites := strings.Split(defaultSettings(overrides)["locations"], ",")
+		engine := &fakeEngine{id: "e" + strconv.Itoa(i), address: "10.0.0." + strconv.Itoa(i) + ":1", state: "SERVING", runs: map[string]*fakeRun{},
 			site: sites[i%len(sites)]}
-		s.engines[m.address] = m
-		members = append(members, m.endpointJSON(0))
+		h.engines[engine.address] = engine
+		members = append(members, engine.endpointJSON(0))
 	}
-	s.lastEventNumber = 1
+	h.lastEventNumber = 1
 	var effects []Effect
-	means := Config{Seed: 7, MemoryMB: 64, MaxDescriptors: sockets, DiscoveryAddress: "feed", Settings: defaultSettings(more),
+	config := Config{Seed: 7, MemoryMB: 64, MaxDescriptors: sockets, DiscoveryAddress: "feed", Settings: defaultSettings(overrides),
 		InitialEndpoints: []byte(`{"n":1,"events":[{"n":1,"members":{"complete":true,"members":[` + strings.Join(members, ",") + `]}}]}`)}
-	for _, change := range with {
-		change(&means)
+	for _, change := range options {
+		change(&config)
 	}
-	s.controller, effects = New(means)
-	s.perform(effects)
-	s.flush()
-	return s
+	h.controller, effects = New(config)
+	h.perform(effects)
+	h.flush()
+	return h
 }
 
 // sortedEngines are the engines by address.
-func (s *harness) sortedEngines() []*fakeEngine {
-	return slices.SortedFunc(maps.Values(s.engines), func(a, b *fakeEngine) int { return strings.Compare(a.address, b.address) })
+func (h *harness) sortedEngines() []*fakeEngine {
+	return slices.SortedFunc(maps.Values(h.engines), func(a, b *fakeEngine) int { return strings.Compare(a.address, b.address) })
 }
 
-func (s *harness) step(ev Event) {
-	ev.Backlogged = s.backlogged
-	s.perform(s.controller.Step(s.now, ev))
-	s.flush()
+func (h *harness) step(event Event) {
+	event.Backlogged = h.backlogged
+	h.perform(h.controller.Step(h.now, event))
+	h.flush()
 }
 
-func (s *harness) flush() {
-	for len(s.pendingEvents) > 0 {
-		ev := s.pendingEvents[0]
-		s.pendingEvents = s.pendingEvents[1:]
-		ev.Backlogged = s.backlogged
-		s.perform(s.controller.Step(s.now, ev))
+func (h *harness) flush() {
+	for len(h.pendingEvents) > 0 {
+		event := h.pendingEvents[0]
+		h.pendingEvents = h.pendingEvents[1:]
+		event.Backlogged = h.backlogged
+		h.perform(h.controller.Step(h.now, event))
 	}
 }
 
-func (s *harness) findConnection(l *Connection) *fakeConnection {
-	for _, e := range s.connections {
-		if e.connection == l {
-			return e
+func (h *harness) findConnection(connection *Connection) *fakeConnection {
+	for _, conn := range h.connections {
+		if conn.connection == connection {
+			return conn
 		}
 	}
 	return nil
 }
 
-func (s *harness) perform(effects []Effect) {
-	for _, f := range effects {
-		e := s.findConnection(f.Connection)
-		switch f.Kind {
+func (h *harness) perform(effects []Effect) {
+	for _, effect := range effects {
+		conn := h.findConnection(effect.Connection)
+		switch effect.Kind {
 		case Dial:
-			e = &fakeConnection{number: len(s.connections), connection: f.Connection, address: f.Address, dialledAt: s.now}
-			s.connections = append(s.connections, e)
-			if f.Address == "feed" {
-				s.discovery = e
+			conn = &fakeConnection{number: len(h.connections), connection: effect.Connection, address: effect.Address, dialledAt: h.now}
+			h.connections = append(h.connections, conn)
+			if effect.Address == "feed" {
+				h.discovery = conn
 			}
 			open := 3
-			for _, x := range s.connections {
-				if !x.closed {
+			for _, other := range h.connections {
+				if !other.closed {
 					open++
 				}
 			}
-			if open > s.maxDescriptors {
-				s.t.Fatalf("%d descriptors of %d", open, s.maxDescriptors)
+			if open > h.maxDescriptors {
+				h.t.Fatalf("%d descriptors of %d", open, h.maxDescriptors)
 			}
 		case Write:
-			s.writeLog = append(s.writeLog, fmt.Sprintf("%v %d %q", s.now, e.number, f.Bytes))
-			if e.closedByController {
-				s.t.Fatalf("written to a closed link")
+			h.writeLog = append(h.writeLog, fmt.Sprintf("%v %d %q", h.now, conn.number, effect.Bytes))
+			if conn.closedByController {
+				h.t.Fatalf("written to a closed link")
 			}
-			if e.dropsWrites || e.closed { // its end is on the way
+			if conn.dropsWrites || conn.closed { // its end is on the way
 				break
 			}
-			if !f.Permit.ValidAt(s.now+s.writeDelay) || f.PolicyVersion != 0 && !s.mayGo(f) {
-				s.pendingEvents = append(s.pendingEvents, Event{Kind: WriteRejected, Connection: f.Connection})
-				s.closeConnection(e)
+			if !effect.Permit.ValidAt(h.now+h.writeDelay) || effect.PolicyVersion != 0 && !h.mayGo(effect) {
+				h.pendingEvents = append(h.pendingEvents, Event{Kind: WriteRejected, Connection: effect.Connection})
+				h.closeConnection(conn)
 				break
 			}
-			s.pendingEvents = append(s.pendingEvents, Event{Kind: BytesWritten, Connection: f.Connection, ByteCount: len(f.Bytes)})
-			if e.isClient {
-				s.checkAnswer(e, f.Bytes)
-			} else if e.address != "feed" {
-				e.received = append(e.received, f.Bytes...)
-				s.readCalls(e)
+			h.pendingEvents = append(h.pendingEvents, Event{Kind: BytesWritten, Connection: effect.Connection, ByteCount: len(effect.Bytes)})
+			if conn.isClient {
+				h.checkAnswer(conn, effect.Bytes)
+			} else if conn.address != "feed" {
+				conn.received = append(conn.received, effect.Bytes...)
+				h.readCalls(conn)
 			}
 		case Close:
-			s.writeLog = append(s.writeLog, fmt.Sprintf("%v %d close", s.now, e.number))
-			e.closedByController, e.aborted = true, f.Abort
-			if m := s.engines[e.address]; m != nil && f.Abort { // else the kernel goes on sending it
-				m.delayedCalls = slices.DeleteFunc(m.delayedCalls, func(h *pendingCall) bool { return h.connection == e })
+			h.writeLog = append(h.writeLog, fmt.Sprintf("%v %d close", h.now, conn.number))
+			conn.closedByController, conn.aborted = true, effect.Abort
+			if engine := h.engines[conn.address]; engine != nil && effect.Abort { // else the kernel goes on sending it
+				engine.delayedCalls = slices.DeleteFunc(engine.delayedCalls, func(call *pendingCall) bool { return call.connection == conn })
 			}
-			if e.established {
-				s.closeConnection(e)
+			if conn.established {
+				h.closeConnection(conn)
 			} else {
-				e.closed = true
-				s.pendingEvents = append(s.pendingEvents, Event{Kind: ConnectTimedOut, Connection: e.connection})
+				conn.closed = true
+				h.pendingEvents = append(h.pendingEvents, Event{Kind: ConnectTimedOut, Connection: conn.connection})
 			}
 		case SetTimer:
-			s.timerAt = s.now + f.Timeout
+			h.timerAt = h.now + effect.Timeout
 		case LogMessage, LogCounters:
-			s.logLines = append(s.logLines, f.Text)
+			h.logLines = append(h.logLines, effect.Text)
 		case ReportToFleet:
-			if s.rejectReports {
-				s.pendingEvents = append(s.pendingEvents, Event{Kind: FleetReportRejected, Report: f.Report})
+			if h.rejectReports {
+				h.pendingEvents = append(h.pendingEvents, Event{Kind: FleetReportRejected, Report: effect.Report})
 			} else {
-				s.reports = append(s.reports, *f.Report)
+				h.reports = append(h.reports, *effect.Report)
 			}
 		case Exit:
-			s.exited = true
+			h.exited = true
 		}
 	}
 }
 
 // closeConnection ends a connection, whichever side closed it.
-func (s *harness) closeConnection(e *fakeConnection) {
-	if !e.closed {
-		e.closed = true
-		s.pendingCalls = slices.DeleteFunc(s.pendingCalls, func(h *pendingCall) bool { return h.connection == e })
-		s.pendingEvents = append(s.pendingEvents, Event{Kind: ConnectionClosed, Connection: e.connection})
+func (h *harness) closeConnection(conn *fakeConnection) {
+	if !conn.closed {
+		conn.closed = true
+		h.pendingCalls = slices.DeleteFunc(h.pendingCalls, func(call *pendingCall) bool { return call.connection == conn })
+		h.pendingEvents = append(h.pendingEvents, Event{Kind: ConnectionClosed, Connection: conn.connection})
 	}
 }
 
 // runUntil lets time pass, with the timers that come due, healthy engines' responses to polls, and dials.
-func (s *harness) runUntil(t time.Duration) {
-	for !s.exited {
+func (h *harness) runUntil(t time.Duration) {
+	for !h.exited {
 		next, what := t, func() {}
 		soonest := func(at time.Duration, do func()) {
 			if at < next {
-				next, what = max(at, s.now), do
+				next, what = max(at, h.now), do
 			}
 		}
-		if s.timerAt >= 0 {
-			soonest(s.timerAt, func() { s.timerAt = -1; s.step(Event{Kind: TimerFired}) })
+		if h.timerAt >= 0 {
+			soonest(h.timerAt, func() { h.timerAt = -1; h.step(Event{Kind: TimerFired}) })
 		}
-		for _, h := range s.pendingCalls {
-			if !h.engine.unresponsive && !h.engine.networkCut {
+		for _, call := range h.pendingCalls {
+			if !call.engine.unresponsive && !call.engine.networkCut {
 				take := time.Millisecond
-				if h.isLongPoll() {
+				if call.isLongPoll() {
 					take = engineResponseDelay
 				}
-				soonest(h.writtenAt+take, func() { s.respond(h, "runs") })
+				soonest(call.writtenAt+take, func() { h.respond(call, "runs") })
 			}
 		}
-		for _, e := range s.connections {
-			if !e.established && !e.closed {
-				s.scheduleDialOutcome(e, soonest)
+		for _, conn := range h.connections {
+			if !conn.established && !conn.closed {
+				h.scheduleDialOutcome(conn, soonest)
 			}
 		}
-		for _, m := range s.sortedEngines() {
-			for _, id := range slices.Sorted(maps.Keys(m.runs)) {
-				if x := m.runs[id]; !x.ended {
-					soonest(x.polledAt+engineResponseDelay+2*time.Second, func() { s.endRun(x, true) })
+		for _, engine := range h.sortedEngines() {
+			for _, id := range slices.Sorted(maps.Keys(engine.runs)) {
+				if run := engine.runs[id]; !run.ended {
+					soonest(run.polledAt+engineResponseDelay+2*time.Second, func() { h.endRun(run, true) })
 				}
 			}
 		}
 		if what != nil && next >= t {
-			s.now = t
+			h.now = t
 			break
 		}
-		s.now = next
+		h.now = next
 		what()
-		s.checkDeadlines()
+		h.checkDeadlines()
 	}
-	s.checkDeadlines()
+	h.checkDeadlines()
 }
 
-func (s *harness) scheduleDialOutcome(e *fakeConnection, soonest func(time.Duration, func())) {
-	m := s.engines[e.address]
-	up := func() { e.established = true; s.step(Event{Kind: Connected, Connection: e.connection}) }
+func (h *harness) scheduleDialOutcome(conn *fakeConnection, soonest func(time.Duration, func())) {
+	engine := h.engines[conn.address]
+	up := func() { conn.established = true; h.step(Event{Kind: Connected, Connection: conn.connection}) }
 	fail := func(kind EventKind) func() {
-		return func() { e.closed = true; s.step(Event{Kind: kind, Connection: e.connection}) }
+		return func() { conn.closed = true; h.step(Event{Kind: kind, Connection: conn.connection}) }
 	}
 	switch {
-	case m == nil && s.discoveryReachable:
-		soonest(e.dialledAt+time.Millisecond, func() { up(); s.listEngines("") })
-	case m == nil || m.unresponsive || m.networkCut:
-		soonest(e.dialledAt+engineResponseDelay, fail(ConnectTimedOut))
-	case m.refusesConnections:
-		soonest(e.dialledAt+time.Millisecond, fail(ConnectRefused))
+	case engine == nil && h.discoveryReachable:
+		soonest(conn.dialledAt+time.Millisecond, func() { up(); h.listEngines("") })
+	case engine == nil || engine.unresponsive || engine.networkCut:
+		soonest(conn.dialledAt+engineResponseDelay, fail(ConnectTimedOut))
+	case engine.refusesConnections:
+		soonest(conn.dialledAt+time.Millisecond, fail(ConnectRefused))
 	default:
-		soonest(e.dialledAt+time.Millisecond, up)
+		soonest(conn.dialledAt+time.Millisecond, up)
 	}
 }
 
-func (s *harness) checkDeadlines() {
-	for _, a := range s.queries {
-		if a.answer == "" && !a.cancelled && s.now > a.deadline+20*time.Millisecond {
-			s.t.Fatalf("rule 1: no answer to %s in time", a.id)
+func (h *harness) checkDeadlines() {
+	for _, query := range h.queries {
+		if query.answer == "" && !query.cancelled && h.now > query.deadline+20*time.Millisecond {
+			h.t.Fatalf("rule 1: no answer to %s in time", query.id)
 		}
 	}
 }
 
-func (s *harness) openQueries(e *fakeConnection) (n int) {
-	for _, a := range s.queries {
-		if a.connection == e && a.answer == "" && !a.cancelled {
+func (h *harness) openQueries(conn *fakeConnection) (n int) {
+	for _, query := range h.queries {
+		if query.connection == conn && query.answer == "" && !query.cancelled {
 			n++
 		}
 	}
@@ -283,80 +283,80 @@
 }
 
 // runRandom has choices say what happens, and then shuts down.
-func (s *harness) runRandom(choices []uint16) {
-	s.randomEvents(choices)
-	s.runUntil(s.now + 12*time.Second)
-	s.step(Event{Kind: ShutdownRequested})
-	s.runUntil(s.now + 6*time.Second)
-	if !s.exited {
-		s.t.Fatalf("it does not end: %d queries open", len(s.controller.queries))
+func (h *harness) runRandom(choices []uint16) {
+	h.randomEvents(choices)
+	h.runUntil(h.now + 12*time.Second)
+	h.step(Event{Kind: ShutdownRequested})
+	h.runUntil(h.now + 6*time.Second)
+	if !h.exited {
+		h.t.Fatalf("it does not end: %d queries open", len(h.controller.queries))
 	}
 }
 
-func (s *harness) randomEvents(choices []uint16) {
-	clients := []*fakeConnection{s.connect(), s.connect()}
+func (h *harness) randomEvents(choices []uint16) {
+	clients := []*fakeConnection{h.connect(), h.connect()}
 	for _, c := range choices {
 		kind, x := int(c%16), int(c/16)
-		c, all := clients[x%2], s.sortedEngines()
-		m := all[x%len(all)]
+		conn, engines := clients[x%2], h.sortedEngines()
+		engine := engines[x%len(engines)]
 		switch {
 		case kind < 5:
-			if c.closed || c.messageCount > 100 || s.openQueries(c) == maxOpenQueries {
-				clients[x%2] = s.connect()
-				c = clients[x%2]
+			if conn.closed || conn.messageCount > 100 || h.openQueries(conn) == maxOpenQueries {
+				clients[x%2] = h.connect()
+				conn = clients[x%2]
 			}
 			group := []string{"lookup", "report", "load", "load"}[x/2%4]
-			s.sendQuery(c, group, "k"+strconv.Itoa(x/8%2), time.Duration(400+x%5000)*time.Millisecond, x/16%3)
+			h.sendQuery(conn, group, "k"+strconv.Itoa(x/8%2), time.Duration(400+x%5000)*time.Millisecond, x/16%3)
 		case kind < 9:
-			if len(s.pendingCalls) > 0 && !s.pendingCalls[x%len(s.pendingCalls)].engine.networkCut {
-				s.respond(s.pendingCalls[x%len(s.pendingCalls)], []string{"ok", "ok", "runs", "stuck", "full", "busy", "error", "cut", "lost", "garbled", "short", "twice", "untaken"}[x/64%13])
+			if len(h.pendingCalls) > 0 && !h.pendingCalls[x%len(h.pendingCalls)].engine.networkCut {
+				h.respond(h.pendingCalls[x%len(h.pendingCalls)], []string{"ok", "ok", "runs", "stuck", "full", "busy", "error", "cut", "lost", "garbled", "short", "twice", "untaken"}[x/64%13])
 			}
 		case kind < 13:
-			s.runUntil(s.now + time.Duration(x%500)*time.Millisecond)
+			h.runUntil(h.now + time.Duration(x%500)*time.Millisecond)
 		case kind == 13:
-			if len(s.queries) > 0 {
-				s.cancel(s.queries[x%len(s.queries)])
+			if len(h.queries) > 0 {
+				h.cancel(h.queries[x%len(h.queries)])
 			}
 		case x%7 == 0:
-			s.disconnect(c)
+			h.disconnect(conn)
 		case x%7 == 1:
-			m.state = []string{"SERVING", "DRAINING"}[x/7%2]
-			s.listEngines(m.endpointJSON(0))
+			engine.state = []string{"SERVING", "DRAINING"}[x/7%2]
+			h.listEngines(engine.endpointJSON(0))
 		case x%7 == 2:
-			s.restartEngine(m, x/7%2 == 0)
+			h.restartEngine(engine, x/7%2 == 0)
 		case x%7 == 3:
-			m.unresponsive = !m.unresponsive
-			if !m.unresponsive { // a machine comes back with nothing
-				s.restartEngine(m, false)
+			engine.unresponsive = !engine.unresponsive
+			if !engine.unresponsive { // a machine comes back with nothing
+				h.restartEngine(engine, false)
 			}
 		case x%7 == 4:
-			s.discoveryReachable = !s.discoveryReachable
-			if !s.discoveryReachable && s.discovery != nil && s.discovery.established {
-				s.closeConnection(s.discovery)
-				s.flush()
+			h.discoveryReachable = !h.discoveryReachable
+			if !h.discoveryReachable && h.discovery != nil && h.discovery.established {
+				h.closeConnection(h.discovery)
+				h.flush()
 			}
 		case x%7 == 5: // its table of connections is full, or has room again
-			m.refusesConnections = !m.refusesConnections
-		case m.networkCut:
-			s.healNetwork(m)
+			engine.refusesConnections = !engine.refusesConnections
+		case engine.networkCut:
+			h.healNetwork(engine)
 		case x/7%2 == 0:
-			m.networkCut = true
+			engine.networkCut = true
 		default:
-			s.runUntil(s.now + time.Duration(x)*time.Millisecond)
+			h.runUntil(h.now + time.Duration(x)*time.Millisecond)
 		}
 	}
 }
 
 // waitForCall returns the held call of a query, letting time pass until there is one.
-func (s *harness) waitForCall(method, id string) *pendingCall {
+func (h *harness) waitForCall(method, id string) *pendingCall {
 	for range 1000 {
-		for _, h := range s.pendingCalls {
-			if h.method == method && h.id == id {
-				return h
+		for _, call := range h.pendingCalls {
+			if call.method == method && call.id == id {
+				return call
 			}
 		}
-		s.runUntil(s.now + time.Millisecond)
+		h.runUntil(h.now + time.Millisecond)
 	}
-	s.t.Fatalf("no %s of %s", method, id)
+	h.t.Fatalf("no %s of %s", method, id)
 	return nil
 }
--- a/internal/controller/health_check.go
+++ b/internal/controller/health_check.go
@@ -23,8 +23,8 @@
 		encode: func(dst []byte) []byte {
 			return enginehttp.Probe(dst, e.address, c.enginesReportLoad)
 		},
-		onResult: func(as callResult, status int, field func(string) string, _ []byte) {
-			outcome := healthCheckOutcome(as, status)
+		onResult: func(result callResult, status int, field func(string) string, _ []byte) {
+			outcome := healthCheckOutcome(result, status)
 			var loadReport map[string]float64
 			if outcome == scheduler.Finished {
 				loadReport = enginehttp.Load(field)
@@ -35,8 +35,8 @@
 	c.startCall(e.healthCheck)
 }
 
-func healthCheckOutcome(as callResult, status int) scheduler.Outcome {
-	switch as {
+func healthCheckOutcome(result callResult, status int) scheduler.Outcome {
+	switch result {
 	case callAnswered:
 		if status == statusOK {
 			return scheduler.Finished
--- a/internal/controller/idempotency_key_test.go
+++ b/internal/controller/idempotency_key_test.go
@@ -7,36 +7,36 @@
 )
 
 // tokened makes the second group one whose repeats engines know by a token.
-func withIdempotencyKeys(more map[string]string) map[string]string {
-	f := map[string]string{"group.1.effect": "tokened", "may.probe": "false"}
-	for k, v := range more {
-		f[k] = v
+func withIdempotencyKeys(overrides map[string]string) map[string]string {
+	settings := map[string]string{"group.1.effect": "tokened", "may.probe": "false"}
+	for k, v := range overrides {
+		settings[k] = v
 	}
-	return f
+	return settings
 }
 
 // The token that a client gives goes with every submission of a tokened query, as it is:
 // without it an engine takes none, or can't know a repeat. No other group has one.
 func TestIdempotencyKeyGoesWithEveryAttempt(t *testing.T) {
-	s := newHarness(t, 2, 256, withIdempotencyKeys(nil))
-	s.controller.FieldNames = FieldNames{IdempotencyKey: "nonce"}
-	c := s.connect()
-	a := s.sendQuery(c, "report", "", 5*time.Second, 1, "nonce", "once-7")
-	h := s.waitForCall("POST", a.id)
-	if !strings.Contains(h.head, "\r\nIdempotency-Key: once-7\r\n") {
-		t.Fatalf("%q", h.head)
+	h := newHarness(t, 2, 256, withIdempotencyKeys(nil))
+	h.controller.FieldNames = FieldNames{IdempotencyKey: "nonce"}
+	conn := h.connect()
+	query := h.sendQuery(conn, "report", "", 5*time.Second, 1, "nonce", "once-7")
+	call := h.waitForCall("POST", query.id)
+	if !strings.Contains(call.head, "\r\nIdempotency-Key: once-7\r\n") {
+		t.Fatalf("%q", call.head)
 	}
-	s.respond(h, "full")
-	if h = s.waitForCall("POST", a.id); !strings.Contains(h.head, "\r\nIdempotency-Key: once-7\r\n") {
-		t.Fatalf("a repeat without it: %q", h.head)
+	h.respond(call, "full")
+	if call = h.waitForCall("POST", query.id); !strings.Contains(call.head, "\r\nIdempotency-Key: once-7\r\n") {
+		t.Fatalf("a repeat without it: %q", call.head)
 	}
 	for _, group := range []string{"lookup", "load"} {
-		b := s.sendQuery(c, group, "k", 5*time.Second, 2, "nonce", "other")
-		if h := s.waitForCall("POST", b.id); strings.Contains(h.head, "Idempotency-Key") {
-			t.Fatalf("%s: %q", group, h.head)
+		other := h.sendQuery(conn, group, "k", 5*time.Second, 2, "nonce", "other")
+		if call := h.waitForCall("POST", other.id); strings.Contains(call.head, "Idempotency-Key") {
+			t.Fatalf("%s: %q", group, call.head)
 		}
 	}
-	if b := s.sendQuery(c, "report", "", 5*time.Second, 1, "nonce", "a\r\nPool-Rank: 3"); b.answer != "killed" {
-		t.Fatalf("one that can't be passed on: %q", b.answer)
+	if other := h.sendQuery(conn, "report", "", 5*time.Second, 1, "nonce", "a\r\nPool-Rank: 3"); other.answer != "killed" {
+		t.Fatalf("one that can't be passed on: %q", other.answer)
 	}
 }
--- a/internal/controller/key_order_test.go
+++ b/internal/controller/key_order_test.go
@@ -10,24 +10,24 @@
 // answered by then; one that comes by itself has all of its time, but for what clients hold back the
 // second of a key whose first went elsewhere.
 func TestDeadlineCountsTheWaitOfAKeysQueriesAtTheirClient(t *testing.T) {
-	s := newHarness(t, 1, 256, map[string]string{"may.probe": "false", "group.2.stretch": "100"})
-	c := s.connect()
-	s.runUntil(time.Second)
-	from := s.now
+	h := newHarness(t, 1, 256, map[string]string{"may.probe": "false", "group.2.stretch": "100"})
+	conn := h.connect()
+	h.runUntil(time.Second)
+	from := h.now
 	var last *sentQuery
 	for i := range 10 {
-		s.runUntil(from + time.Duration(i)*70*time.Millisecond)
-		last = s.sendQuery(c, "load", "k", 25*time.Second, 1+i)
+		h.runUntil(from + time.Duration(i)*70*time.Millisecond)
+		last = h.sendQuery(conn, "load", "k", 25*time.Second, 1+i)
 	}
-	q := s.controller.queries[last.id]
+	q := h.controller.queries[last.id]
 	if q == nil || q.deadline != from+25*time.Second+keyDeadlineSlack-firstKeySpacing {
 		t.Fatalf("%+v, and not until %v", q, from+25*time.Second+keyDeadlineSlack-firstKeySpacing)
 	}
-	alone := s.sendQuery(c, "load", "other", 25*time.Second, 30)
-	if d := s.controller.queries[alone.id].deadline; d != s.now+25*time.Second-firstKeySpacing {
-		t.Fatalf("one by itself has until %v", d-s.now)
+	alone := h.sendQuery(conn, "load", "other", 25*time.Second, 30)
+	if d := h.controller.queries[alone.id].deadline; d != h.now+25*time.Second-firstKeySpacing {
+		t.Fatalf("one by itself has until %v", d-h.now)
 	}
-	if s.runUntil(q.deadline); last.answer == "" {
+	if h.runUntil(q.deadline); last.answer == "" {
 		t.Fatal("unanswered by then")
 	}
 }
--- a/internal/controller/logging.go
+++ b/internal/controller/logging.go
@@ -24,9 +24,9 @@
 
 func (q *query) logFields() LogFields { return LogFields{Query: q.id, Group: q.group.name} }
 
-func (s *attempt) logFields() LogFields {
-	fields := s.query.logFields()
-	fields.Engine = s.engine.id
-	fields.Attempt = s.number + 1
+func (a *attempt) logFields() LogFields {
+	fields := a.query.logFields()
+	fields.Engine = a.engine.id
+	fields.Attempt = a.number + 1
 	return fields
 }
--- a/internal/controller/query.go
+++ b/internal/controller/query.go
@@ -19,7 +19,7 @@
 	paged(first []byte, rest msgpackrpc.Paging)
 	// deferred rejects a query that has not run. It may be sent again after retryAfter, 0: not said.
 	deferred(retryAfter time.Duration)
-	killed(why string)
+	killed(reason string)
 	// notifyWait says how long the query is expected to wait. Only owners that asked for it get it.
 	notifyWait(wait time.Duration)
 	// closed says that no answer is owed any more, or that it follows at once.
@@ -152,11 +152,11 @@
 		return false
 	}
 	q.answered = true
-	for _, s := range q.attempts {
-		s.permit.Revoke()
-		if !s.sent {
+	for _, a := range q.attempts {
+		a.permit.Revoke()
+		if !a.sent {
 			// also where engines take no cancellations: its key's next query would wait for a dial
-			c.withdrawAttempt(s, scheduler.NeverSent)
+			c.withdrawAttempt(a, scheduler.NeverSent)
 		}
 	}
 	if c.TraceQueries {
@@ -198,10 +198,10 @@
 	}
 }
 
-func (c *Controller) answerKilled(q *query, why string) {
+func (c *Controller) answerKilled(q *query, reason string) {
 	if !q.answered && c.closeQuery(q, fairqueue.Killed) {
 		c.counters.killed++
-		q.owner.killed(why)
+		q.owner.killed(reason)
 	}
 }
 
@@ -210,8 +210,8 @@
 	if !q.answered || c.queries[q.id] != q {
 		return
 	}
-	for _, s := range q.attempts {
-		if !s.reported {
+	for _, a := range q.attempts {
+		if !a.reported {
 			return
 		}
 	}
--- a/internal/controller/receive.go
+++ b/internal/controller/receive.go
@@ -60,10 +60,10 @@
 
 // receiveQuery accepts a call, and dispatches its query before the step ends. It copies what it keeps of
 // the call. If the call is invalid the query is nil and why says so.
-func (c *Controller) receiveQuery(owner queryOwner, call *queryCall) (q *query, why string) {
-	why = c.validateCall(call)
-	if why != "" {
-		return nil, why
+func (c *Controller) receiveQuery(owner queryOwner, call *queryCall) (q *query, reason string) {
+	reason = c.validateCall(call)
+	if reason != "" {
+		return nil, reason
 	}
 	q = c.newQuery(owner, call)
 	c.statementBytes += len(q.statement)
--- a/internal/controller/scheduler_actions.go
+++ b/internal/controller/scheduler_actions.go
@@ -43,8 +43,8 @@
 	}
 	q.priority = priority
 	q.memoryGrantMB = grantMB
-	for _, s := range q.attempts {
-		c.sendPriority(s)
+	for _, a := range q.attempts {
+		c.sendPriority(a)
 	}
 }
 
--- a/internal/controller/size_test.go
+++ b/internal/controller/size_test.go
@@ -13,16 +13,16 @@
 	for _, n := range []int{8, 80, 400, 1024} {
 		var members []string
 		for i := range n {
-			m := &fakeEngine{id: "e" + strconv.Itoa(i), address: fmt.Sprintf("10.0.%d.%d:6565", i/250, i%250), state: "SERVING"}
-			members = append(members, m.endpointJSON(0))
+			engine := &fakeEngine{id: "e" + strconv.Itoa(i), address: fmt.Sprintf("10.0.%d.%d:6565", i/250, i%250), state: "SERVING"}
+			members = append(members, engine.endpointJSON(0))
 		}
 		known := []byte(`{"n":1,"events":[{"n":1,"members":{"complete":true,"members":[` + strings.Join(members, ",") + `]}}]}`)
 		b.Run(strconv.Itoa(n), func(b *testing.B) {
 			b.ReportAllocs()
 			for range b.N {
-				r, _ := New(Config{Seed: 7, MemoryMB: 32, MaxDescriptors: 256, DiscoveryAddress: "feed", InitialEndpoints: known, Settings: defaultSettings(nil)})
-				if len(r.engines) != n {
-					b.Fatal(len(r.engines))
+				controller, _ := New(Config{Seed: 7, MemoryMB: 32, MaxDescriptors: 256, DiscoveryAddress: "feed", InitialEndpoints: known, Settings: defaultSettings(nil)})
+				if len(controller.engines) != n {
+					b.Fatal(len(controller.engines))
 				}
 			}
 		})
--- a/internal/controller/write_permit.go
+++ b/internal/controller/write_permit.go
@@ -5,28 +5,27 @@
 	"time"
 )
 
-// WritePermit lets the first byte of an attempt out. What was decided may have lost its reason by
-// the time it is written: its client left, its engine drains, its deadline or the window for its
-// retries is over, or this process stood still meanwhile. The controller revokes the permit, and
-// whoever writes asks it last: here and nowhere else, so that no queue on the way needs a check of
-// its own.
+// WritePermit guards the first byte of an attempt's request. By the time the request is written, the reason
+// to send it may be gone: the client left, the engine is draining, the deadline or the retry window has
+// passed, or this process was stalled. The controller then revokes the permit. The writer checks the permit
+// last, so that no queue between the controller and the write needs a check of its own.
 type WritePermit struct {
 	revoked   atomic.Bool
-	expiresAt time.Duration // since the program's start; nothing begins from then on
+	expiresAt time.Duration // since the program's start; no write may begin from then on
 }
 
-// NewWritePermit makes one that holds until a time since the start.
+// NewWritePermit returns a permit that expires at a time since the program's start.
 func NewWritePermit(until time.Duration) *WritePermit { return &WritePermit{expiresAt: until} }
 
-// Revoke takes it back; what is not out by then doesn't go. It may be called again.
+// Revoke invalidates the permit for writes that have not begun. It may be called more than once.
 func (p *WritePermit) Revoke() {
 	if p != nil {
 		p.revoked.Store(true)
 	}
 }
 
-// ValidAt reports whether the first byte may go out at a time since the program's start. A nil permit
-// always holds.
+// ValidAt reports whether the first byte may be written at a time since the program's start. A nil permit
+// is always valid.
 func (p *WritePermit) ValidAt(now time.Duration) bool {
 	return p == nil || !p.revoked.Load() && now < p.expiresAt
 }
