--- a/internal/controller/attempt.go
+++ b/internal/controller/attempt.go
@@ -26,10 +26,10 @@
 	*Controller
 	query         *query
 	engine        *engine
-	number        int              // index in query.attempts
-	policyVersion uint64           // policy version that decided the attempt, 0 without peers
-	permit        *WritePermit     // guards the write of the request, nil before that write
-	deadlineTimer *timerqueue.Item // withdraws the attempt at the deadline
+	number        int               // index in query.attempts
+	policyVersion uint64            // policy version that decided the attempt, 0 without peers
+	permit        *WritePermit      // guards the write of the request, nil before that write
+	deadlineTimer *timerqueue.Timer // withdraws the attempt at the deadline
 	startedAt     time.Duration
 	deadline      time.Duration
 	endedAt       time.Duration // when the outcome became known
@@ -136,7 +136,7 @@
 	if a.paging != nil {
 		a.paging.discard(a)
 	}
-	a.timers.Drop(a.deadlineTimer)
+	a.timers.Cancel(a.deadlineTimer)
 	a.counters.attemptEnds[outcome]++
 	a.outcomeKnown = true
 	a.outcome = outcome
--- a/internal/controller/attempt_calls.go
+++ b/internal/controller/attempt_calls.go
@@ -33,7 +33,7 @@
 // maySubmitNow repeats the checks that the attempt was decided on, right before the request is written: the
 // attempt may have waited for a connection in the meantime.
 func (a *attempt) maySubmitNow(request *call) bool {
-	startBy := min(a.deadline, a.scheduler.StartDeadline(a.query.id, a.number), a.now+submitWriteTimeout)
+	startBy := min(a.deadline, a.scheduler.SendDeadline(a.query.id, a.number), a.now+submitWriteTimeout)
 	wanted := !a.ended && !a.query.answered && a.now < startBy && a.engine.state == scheduler.EngineActive
 	a.permit = NewWritePermit(startBy)
 	if wanted && a.servingLease != nil && !a.servingLease.permitSend(a) {
--- a/internal/controller/query.go
+++ b/internal/controller/query.go
@@ -65,7 +65,7 @@
 	spooled    *spool.Result // its client reads page by page; nil: not so
 	cacheState *cacheLookup  // nil: nothing of it concerns the cache
 
-	waitTimer *timerqueue.Item // while it waits in the fair queue or is blocked
+	waitTimer *timerqueue.Timer // while it waits in the fair queue or is blocked
 	// with fair queueing
 	fairEntry   *fairqueue.Query
 	fairOutcome fairqueue.Outcome // how it was closed
@@ -74,7 +74,7 @@
 // effectivePriority is the query's priority at engines: the scheduler's, unless fair queueing has lowered
 // it. The two meet nowhere else.
 func (q *query) effectivePriority() int {
-	if q.fairEntry != nil && q.fairEntry.Lowered() {
+	if q.fairEntry != nil && q.fairEntry.PriorityLowered() {
 		return min(q.priority, 0)
 	}
 	return q.priority
