--- a/internal/controller/client.go
+++ b/internal/controller/client.go
@@ -20,7 +20,7 @@
 	calls      []*rpcCall // in order of arrival
 	pageReads  int        // pending calls that read pages of spooled results or request invalidations
 
-	// messages
+	// incoming messages
 	// messageStartedAt is when the current incomplete message began, -1: none; at first the accept time.
 	messageStartedAt   time.Duration
 	hasSentMessage     bool          // a complete message has arrived
--- a/internal/controller/client_bounds.go
+++ b/internal/controller/client_bounds.go
@@ -7,29 +7,29 @@
 	"railrelay.dev/railrelay/internal/bytebuf"
 )
 
-// clientTable is the connections of clients and the bounds on all of them together.
+// clientTable holds the connections of clients and the limits on all of them together.
 type clientTable struct {
 	clients      []*client
 	maxClients   int
 	clientLimits clientLimitTable
 
-	unreadBytes    int // written to clients that have not taken them, as of the last sweep
+	unreadBytes    int // written to clients and not yet read by them, as of the last sweep
 	maxUnreadBytes int
 	sweptAt        time.Duration
 }
 
-// stallTimeout is how long a client may take nothing of what is written to it.
+// stallTimeout is how long a client may read nothing of the bytes written to it.
 const stallTimeout = 10 * time.Second
 
-// evictionOrder says which client is evicted first where there are too many: the lowest.
+// evictionOrder ranks clients for eviction when there are too many: the lowest is evicted first.
 type evictionOrder int
 
 const (
-	evictSilent    evictionOrder = iota // no whole message ever came
-	evictIdle                           // nothing is open on it
-	evictReceiving                      // its next call may be on its way
-	evictNewcomer                       // the one just accepted
-	neverEvict                          // a query is open, or it is reading an answer
+	evictSilent    evictionOrder = iota // no complete message has arrived
+	evictIdle                           // no query is open
+	evictReceiving                      // its next call may be arriving
+	evictNewcomer                       // just accepted
+	neverEvict                          // a query is open, or the client is reading an answer
 )
 
 func (c *Controller) evictionOrder(cl, newcomer *client) evictionOrder {
@@ -48,9 +48,9 @@
 	return evictSilent
 }
 
-// evictClient closes a client's connection if there are more than maxClients: by evictionOrder, and among
-// equals the one idle for longest. Connections that cost their owners nothing must not keep out clients
-// that mean to send queries.
+// evictClient closes a client's connection if there are more than maxClients: the lowest by evictionOrder,
+// and among equals the one idle for longest. Idle connections cost their owners nothing and must not keep
+// out clients that send queries.
 func (c *Controller) evictClient(newcomer *client) {
 	open := 0
 	victim := newcomer
@@ -66,21 +66,21 @@
 	}
 	if open > c.maxClients {
 		c.counters.disconnected++
-		// gracefully: it may have been answered a moment ago, and its next query be on its way
+		// gracefully: the client may just have been answered, and its next query may be in flight
 		c.closeConnectionWithin(victim.connection, true, maxNetworkDelay)
 	}
 }
 
-// sweepClients closes the connections of clients that don't read their answers for too long, leave a
-// message incomplete, send none, or are idle. If clients leave more unread than their part of the memory
-// the one with the most goes.
+// sweepClients closes the connections of clients that do not read their answers, leave a message incomplete,
+// send none, or are idle for too long. If the unread bytes of all clients exceed their limit, it closes the
+// connection with the most.
 func (c *Controller) sweepClients() {
 	c.unreadBytes = 0
-	stood := c.stallDuration()
+	stalled := c.stallDuration()
 	c.sweptAt = c.now
 	var worst *client // with the most unread bytes
 	for _, cl := range slices.Clone(c.clients) {
-		cl.excludeStall(stood)
+		cl.excludeStall(stalled)
 		cl.recordUnread()
 		unread := cl.unreadAtSweep
 		c.unreadBytes += unread
@@ -90,7 +90,7 @@
 			continue
 		case cl.isStalled() || cl.isMessageOverdue():
 			c.counters.disconnected++
-			cl.disconnect(cl.stalledSince < 0) // one that takes nothing is not waited for
+			cl.disconnect(cl.stalledSince < 0) // no grace for a client that reads nothing
 		case cl.isIdle():
 			c.counters.idleClosed++
 			cl.disconnect(true)
@@ -104,28 +104,28 @@
 	}
 }
 
-// stallDuration is for how long this process stood still since the last sweep, 0 if hardly. No client is to
-// blame for that time: what came meanwhile is not read yet.
+// stallDuration returns for how long this process was stalled since the last sweep; 0 for a short delay.
+// Clients are not held responsible for that time, since their messages were not read meanwhile.
 func (c *Controller) stallDuration() time.Duration {
-	late := c.now - c.sweptAt - sweepInterval
-	if late < sweepInterval {
+	delay := c.now - c.sweptAt - sweepInterval
+	if delay < sweepInterval {
 		return 0
 	}
-	return late
+	return delay
 }
 
-// excuse moves the times that a client is judged by.
-func (cl *client) excludeStall(stood time.Duration) {
-	cl.idleSince += stood
+// excludeStall excludes the time that this process was stalled from the client's timeouts.
+func (cl *client) excludeStall(stalled time.Duration) {
+	cl.idleSince += stalled
 	if cl.messageStartedAt >= 0 {
-		cl.messageStartedAt += stood
+		cl.messageStartedAt += stalled
 	}
 	if cl.stalledSince >= 0 {
-		cl.stalledSince += stood
+		cl.stalledSince += stalled
 	}
 }
 
-// recordUnread notes what the client has not taken, and since when it has taken nothing.
+// recordUnread records how many bytes the client has not read, and since when it has read none.
 func (cl *client) recordUnread() {
 	unread := cl.connection.unwrittenBytes
 	switch {
@@ -150,9 +150,9 @@
 	return nothingOpen && cl.now-cl.idleSince > cl.limits.IdleTimeout
 }
 
-// reclaimBufferMemory is called when the buffers of all connections hold more than their part of the memory. It
-// closes the client's connection with the largest incomplete message, or else the engine's connection with
-// the largest buffer. A buffer that any connection may keep is not to blame.
+// reclaimBufferMemory frees memory when the buffers of all connections exceed their limit. It closes the
+// client connection with the largest incomplete message or, if there is none, the engine connection with the
+// largest buffer. Buffers up to the size that every connection may keep do not count.
 func (c *Controller) reclaimBufferMemory() {
 	most := bytebuf.Keeps
 	var worst *client
--- a/internal/controller/client_calls.go
+++ b/internal/controller/client_calls.go
@@ -12,11 +12,11 @@
 	_ queryOwner        = (*rpcCall)(nil)
 )
 
-// Query receives a query.
+// Query implements msgpackrpc.Hearer: it accepts or rejects a query.
 func (cl *client) Query(messageID uint32, name, id []byte, timeout time.Duration, key []byte, hasKey bool,
 	statement []byte, fields msgpackrpc.Fields) {
 	if cl.findCall(messageID) != nil {
-		// answers could no longer be told apart
+		// the answers to the two calls could not be told apart
 		cl.counters.malformed++
 		cl.disconnect(true)
 		return
@@ -47,7 +47,7 @@
 		rc.query = q
 		cl.calls = append(cl.calls, rc)
 	case statementMemoryFull:
-		// counted as a bad call it could in the end cost what else is open on the connection
+		// a memory shortage is not the client's error: as a bad call it could close the connection
 		cl.counters.deferred++
 		cl.reply(msgpackrpc.Deferred(nil, messageID, min(cl.durationSetting("return.most"), timeout/2)))
 	default:
@@ -55,14 +55,15 @@
 	}
 }
 
-// Alive answers whether the controller has an endpoint list and, with peers, may serve.
+// Alive implements msgpackrpc.Hearer: it answers whether the controller has an endpoint list and, with peers,
+// may accept queries.
 func (cl *client) Alive(messageID uint32) {
 	cl.counters.aliveRequests++
 	ready := cl.discovery.listed && (cl.servingLease == nil || cl.servingLease.acceptsQueries())
 	cl.reply(msgpackrpc.Alive(nil, messageID, ready))
 }
 
-// Left takes a cancellation.
+// Left implements msgpackrpc.Hearer: it cancels an open query.
 func (cl *client) Left(messageID uint32) {
 	rc := cl.findCall(messageID)
 	if rc != nil {
@@ -70,7 +71,8 @@
 	}
 }
 
-// Wrong answers a call that can't be used. A connection with too many of them is closed.
+// Wrong implements msgpackrpc.Hearer: it answers an invalid call. A connection with more than maxBadCalls of
+// them is closed.
 func (cl *client) Wrong(messageID uint32, reason string) {
 	cl.counters.malformed++
 	if cl.findCall(messageID) != nil {
@@ -84,7 +86,7 @@
 	}
 }
 
-// rpcCall is a call for a query that is open on a client's connection; it owns the query.
+// rpcCall is an open call for a query on a client's connection. It owns the query.
 type rpcCall struct {
 	client    *client
 	messageID uint32
--- a/internal/controller/effects.go
+++ b/internal/controller/effects.go
@@ -21,7 +21,7 @@
 	Close
 	// SetTimer requests a TimerFired after Timeout. It replaces the previous request.
 	SetTimer
-	// LogMessage logs Text with Fields: at warning level if Warning, at debug level if Trace, else at
+	// LogMessage logs Text with Fields: at any log level if Warning, at debug level if Trace, else at
 	// info level.
 	LogMessage
 	// LogCounters logs Text, the counters, with the processor time per query over QueryCount queries.
--- a/internal/controller/health_check.go
+++ b/internal/controller/health_check.go
@@ -7,9 +7,9 @@
 
 const statusOK = 200
 
-// checkHealth sends a health check to an engine and reports its outcome to the scheduler. It has as long
-// as a connection may take; no response by then is an outcome, too. With one under way it does nothing:
-// where connections are short they would pile up and starve the polls.
+// checkHealth sends a health check to an engine and reports the outcome to the scheduler. The check times out
+// after connectTimeout, which is an outcome, too. While a check is in progress, checkHealth does nothing:
+// when connections are short, queued checks would pile up and starve the polls.
 func (c *Controller) checkHealth(e *engine) {
 	if e.healthCheck != nil && !e.healthCheck.done {
 		return
--- a/internal/controller/held_queries.go
+++ b/internal/controller/held_queries.go
@@ -10,31 +10,31 @@
 	"railrelay.dev/railrelay/internal/scheduler"
 )
 
-// What can't be decided while this controller is paused waits in one of three places: a query
-// that came since is held before admission (heldQueries); one that was admitted stays with the
-// scheduler, which is paused, too; an attempt whose engine was chosen already is blocked before
-// its first byte (blockedAttempts). What waits for MaxHold is deferred.
+// While this controller is paused, queries wait in one of three places. A query that arrives during the
+// pause is held before admission (heldQueries). An admitted query stays with the scheduler, which is paused,
+// too. An attempt whose engine is already chosen is blocked before its first byte (blockedAttempts). Anything
+// that has waited for MaxHold is deferred.
 
 const (
-	// maxHeldQueries bounds the queries held before admission; further ones are deferred at
-	// once. The bytes of their calls' fields are bounded like those of all statements.
+	// maxHeldQueries bounds the queries held before admission; further queries are deferred at once. The
+	// fields of their calls have the same byte limit as all statements.
 	maxHeldQueries = 8192
-	// heldAnswerMargin is how long before its deadline a held query is deferred: the answer
-	// has to reach its client in time.
+	// heldAnswerMargin is how long before its deadline a held query is deferred, so that the answer reaches
+	// the client in time.
 	heldAnswerMargin = 10 * time.Millisecond
-	// maxAnsweredHeld is how many answered queries heldQueries may have, beside as many as
-	// still wait, before they are removed.
+	// maxAnsweredHeld is how many answered queries heldQueries may contain, in addition to as many as are
+	// still waiting, before they are removed.
 	maxAnsweredHeld = 64
 )
 
-// pendingAdmission is a query that came while nothing could be decided.
+// pendingAdmission is a query that arrived while the controller was paused.
 type pendingAdmission struct {
 	query *query
 	from  CallOrigin
 }
 
-// admit takes every query that comes. One that can't be decided now is held as it is, and
-// admitted by the version in force when it is released. It reports whether the query goes on.
+// admit checks whether an arriving query may proceed. A query that cannot be decided now is held unchanged,
+// and admitted by the policy version in force at its release. It reports whether the query may proceed.
 func (l *servingLease) admit(q *query, from CallOrigin) bool {
 	q.confined = l.residency.isBound(q, from) || l.Bound != nil && l.Bound(q.residency.tenant, q.tableGroup)
 	if l.servingVersion(q.confined) == 0 || q.key != nil && l.isKeyHeld(q.key) {
@@ -44,14 +44,14 @@
 	return l.residency.checkAdmission(q, from)
 }
 
-// isKeyHeld reports whether a query of this key is held, which later ones must not overtake.
+// isKeyHeld reports whether a query of this key is held. Later queries of the key must not overtake it.
 func (l *servingLease) isKeyHeld(k *orderKey) bool {
 	return l.heldCount > 0 && slices.ContainsFunc(l.heldQueries, func(h *pendingAdmission) bool {
 		return h.query.held && h.query.key == k
 	})
 }
 
-// hold has a query wait for admission, or defers it at once where too many wait.
+// hold makes a query wait for admission, or defers it at once if too many are waiting.
 func (l *servingLease) hold(q *query, from CallOrigin) {
 	if len(l.heldQueries) > 2*l.heldCount+maxAnsweredHeld || l.heldFieldBytes > l.maxStatementBytes {
 		l.removeAnsweredHeld()
@@ -63,7 +63,7 @@
 	l.heldTotal++
 	q.held = true
 	l.heldCount++
-	from.Fields = from.Fields.Clone() // the call lies in its connection's buffer
+	from.Fields = from.Fields.Clone() // the call's bytes are in its connection's buffer
 	l.heldFieldBytes += from.Fields.Size()
 	l.heldQueries = append(l.heldQueries, &pendingAdmission{q, from})
 	q.waitTimer = l.timers.Add(min(q.receivedAt+l.MaxHold, q.deadline-heldAnswerMargin), func() {
@@ -81,7 +81,7 @@
 	}
 }
 
-// endHold notes that a query is held no longer, whatever becomes of it.
+// endHold records that a query is no longer held, for any reason.
 func (l *servingLease) endHold(q *query) {
 	q.held = false
 	l.heldCount--
@@ -90,13 +90,13 @@
 	q.waitTimer = nil
 }
 
-// releaseHeld lets go what may be decided again, in the order of its progress: attempts whose
-// engine was chosen, then what the scheduler has, then the queries that came since.
+// releaseHeld releases the work that may be decided again, the furthest advanced first: attempts whose engine
+// was chosen, then the scheduler's queries, then the queries held before admission.
 func (l *servingLease) releaseHeld() {
 	attempts := l.blockedAttempts
 	l.blockedAttempts = nil
 	for _, a := range attempts {
-		a.send() // blocked again if its query is confined, and those still may not go
+		a.send() // blocked again if its query is confined and confined queries are still paused
 	}
 	if !l.paused() {
 		l.scheduler.SetPaused(l.now, false)
@@ -111,7 +111,7 @@
 	}
 }
 
-// readmit sends a held query on its way again, by the settings as they are now.
+// readmit dispatches a held query again, by the current settings.
 func (l *servingLease) readmit(h *pendingAdmission) {
 	q := h.query
 	l.endHold(q)
@@ -123,8 +123,8 @@
 	l.dispatch(q, h.from)
 }
 
-// permitSend reports whether an attempt may be sent now. Where nothing may be decided it waits.
-// One whose engine the policy in force forbids goes back to the scheduler as never sent.
+// permitSend reports whether an attempt may be sent now. While the controller is paused, the attempt waits.
+// An attempt whose engine the policy in force forbids is returned to the scheduler as never sent.
 func (l *servingLease) permitSend(a *attempt) bool {
 	version := l.servingVersion(a.query.confined)
 	switch {
@@ -139,14 +139,14 @@
 	return true
 }
 
-// scheduleHoldExpiry sets the timer by which what waits is deferred for having waited too long.
+// scheduleHoldExpiry sets the timer at which waiting queries have waited for MaxHold.
 func (l *servingLease) scheduleHoldExpiry() {
 	l.timers.Cancel(l.holdTimer)
 	l.holdTimer = nil
 	at := fleet.Forever
 	for _, since := range []time.Duration{l.pausedSince, l.confinedPausedSince} {
 		if since != notPaused {
-			// at the least a quarter of MaxHold from now, so that it doesn't fire in a row
+			// at least a quarter of MaxHold from now, so that the timer does not fire in rapid succession
 			at = min(at, max(since+l.MaxHold, l.now+l.MaxHold/4))
 		}
 	}
@@ -155,9 +155,9 @@
 	}
 }
 
-// expireHeld gives up what has waited for MaxHold in the fair queue, with the scheduler or with
-// its engine chosen. Nothing of it was sent, or what was sent is proven never to have run. (Queries
-// held before admission have timers of their own.)
+// expireHeld gives up the queries that have waited for MaxHold in the fair queue, with the scheduler or with
+// a chosen engine. None of them was sent, or their attempts are proven never to have run. Queries held before
+// admission have timers of their own.
 func (l *servingLease) expireHeld() {
 	for _, a := range l.blockedAttempts {
 		if !a.ended && l.holdExpired(a.query) && a.query.mayHaveRun() {
@@ -174,7 +174,7 @@
 	l.scheduleHoldExpiry()
 }
 
-// holdExpired reports whether queries like this one have been paused for MaxHold.
+// holdExpired reports whether queries of this kind, confined or not, have been paused for MaxHold.
 func (l *servingLease) holdExpired(q *query) bool {
 	since := l.pausedSince
 	if q.confined {
@@ -183,14 +183,14 @@
 	return since != notPaused && l.now-since >= l.MaxHold
 }
 
-// mayHaveRun reports whether something of a query was sent and isn't proven never to have run.
+// mayHaveRun reports whether an attempt of the query was sent and is not proven never to have run.
 func (q *query) mayHaveRun() bool {
 	return slices.ContainsFunc(q.attempts, func(a *attempt) bool {
 		return a.sent && !(a.outcomeKnown && a.outcome.NeverRan())
 	})
 }
 
-// findQueries are the queries for which a condition holds, in the order in which they came.
+// findQueries returns the queries that fulfil a condition, in order of arrival.
 func (c *Controller) findQueries(holds func(q *query) bool) (queries []*query) {
 	for _, q := range c.queries {
 		if holds(q) {
@@ -203,10 +203,10 @@
 	return queries
 }
 
-// deferUnsent defers a query of which nothing has run.
+// deferUnsent defers a query of which no attempt has run.
 func (l *servingLease) deferUnsent(q *query) {
 	l.deferredHeld++
-	l.logWithFields(q.logFields(), "deferred: this controller may not decide now")
+	l.logWithFields(q.logFields(), "deferred: this controller is paused")
 	attempts := q.attempts
 	l.answerDeferred(q, l.retryAfter())
 	l.enqueueCallback(func() { l.scheduler.QueryDropped(l.now, q.id) })
@@ -221,7 +221,7 @@
 	}
 }
 
-// retryAfter is the time to come back that deferred clients are told; 0 where none may be told.
+// retryAfter returns the retry delay for deferred clients; 0 if the platform does not allow one.
 func (l *servingLease) retryAfter() time.Duration {
 	if l.Settings["may.name-return"] != "true" {
 		return 0
@@ -229,7 +229,7 @@
 	return min(l.RetryAfter, l.durationSetting("return.most"))
 }
 
-// deferAllHeld defers the queries held before admission: the program ends.
+// deferAllHeld defers the queries held before admission, because the program is about to end.
 func (l *servingLease) deferAllHeld() {
 	for _, h := range l.heldQueries {
 		if h.query.held {
--- a/internal/controller/key_order.go
+++ b/internal/controller/key_order.go
@@ -6,58 +6,58 @@
 	"time"
 )
 
-// keyTable gives keys numbers: the scheduler knows keys by number, and unequal keys must have
-// unequal numbers. A number is used again once its key has been idle for long enough.
+// keyTable assigns numbers to keys: the scheduler identifies keys by number, and distinct keys must have
+// distinct numbers. A number is reused once its key has been idle for long enough.
 type keyTable struct {
 	byName map[string]*orderKey
-	free   []int64 // numbers to use again, the last first
+	free   []int64 // numbers to reuse, the last one first
 	next   int64
 }
 
-// orderKey is a key whose queries run in the order in which their client wrote them.
+// orderKey is a key whose queries run in the order in which their client sent them.
 type orderKey struct {
 	name        string
 	number      int64
-	openQueries int           // not over yet
-	idleSince   time.Duration // when the last query was over
+	openQueries int           // queries that are not over yet
+	idleSince   time.Duration // when the last open query was over
 
-	// A burst is queries that come as close together as clients write them.
-	burstStart     time.Duration // when the current one began
-	lastArrival    time.Duration // when the last query came, 0: none has
-	lastBeganBurst bool          // the last query began a burst
+	// A burst is a series of queries that arrive at the intervals at which a client sends them.
+	burstStart     time.Duration // start of the current burst
+	lastArrival    time.Duration // when the last query arrived, 0: none has
+	lastBeganBurst bool          // the last query started a burst
 }
 
-// Clients write the queries of a key keySpacing apart, by the protocol, and the second
-// firstKeySpacing after the first. For so long any of them may have waited at its client, though
-// no other is known here: the one before may have gone to another controller.
+// By the protocol, a client sends the queries of a key keySpacing apart, and the second firstKeySpacing after
+// the first. Any query may have waited at its client for that long, even if no earlier one is known here: the
+// previous query may have gone to another controller.
 const (
 	keySpacing      = 60 * time.Millisecond
 	firstKeySpacing = 250 * time.Millisecond
-	// keySpacingTolerance is how far a query may come from its turn, delayed by the network and
-	// by when it is read.
+	// keySpacingTolerance is how far a query may arrive from its send slot, delayed by the network and by the
+	// time until it is read.
 	keySpacingTolerance = 4 * time.Millisecond
-	// maxKeyGap is how long a burst is held to go on over turns that stay empty.
+	// maxKeyGap is how long a burst may continue over unused send slots.
 	maxKeyGap = 5 * time.Second
-	// keyDeadlineSlack may pass after a client's deadline: it harms no more than an answer
-	// that comes too late.
+	// keyDeadlineSlack extends a client's estimated deadline. Exceeding the real deadline costs no more than an
+	// answer that comes too late.
 	keyDeadlineSlack = 300 * time.Millisecond
 )
 
-// recordArrival notes a query of the key, and gives the time since when it may have been waiting at
-// its client for its turn: the start of the burst that it belongs to.
+// recordArrival records the arrival of a query of the key. It returns the earliest time since when the query
+// may have waited at its client for its send slot: the start of the burst that it belongs to.
 //
-// A query that its client took back before it was written leaves its turn empty, so that the next
-// comes at a whole number of turns; one that is written just as it is asked has no reason to.
-// Turns stay empty for hardly longer than a client waits, its patience.
-func (k *orderKey) recordArrival(now, patience time.Duration) (since time.Duration) {
-	apart := keySpacing
+// A query that its client cancels before sending leaves its slot unused, so the next query arrives a whole
+// number of slots later. A query that is sent as soon as it is requested has no reason to arrive in a slot.
+// Slots hardly stay unused for longer than the client's timeout.
+func (k *orderKey) recordArrival(now, timeout time.Duration) (since time.Duration) {
+	spacing := keySpacing
 	if k.lastBeganBurst {
-		apart = firstKeySpacing
+		spacing = firstKeySpacing
 	}
 	gap := now - k.lastArrival
-	off := gap % keySpacing
-	inTurn := min(off, keySpacing-off) <= keySpacingTolerance && gap < min(2*patience, maxKeyGap)
-	k.lastBeganBurst = k.lastArrival == 0 || gap > apart+maxNetworkDelay && !inTurn
+	offset := gap % keySpacing
+	inTurn := min(offset, keySpacing-offset) <= keySpacingTolerance && gap < min(2*timeout, maxKeyGap)
+	k.lastBeganBurst = k.lastArrival == 0 || gap > spacing+maxNetworkDelay && !inTurn
 	if k.lastBeganBurst {
 		k.burstStart = now
 	}
@@ -67,7 +67,7 @@
 
 func newKeyTable() keyTable { return keyTable{byName: map[string]*orderKey{}} }
 
-// acquire gives the key of a name for one more query, to be released when that is over.
+// acquire returns the key of a name for one more query. The caller releases it when the query is over.
 func (t *keyTable) acquire(name string) *orderKey {
 	k := t.byName[name]
 	if k == nil {
@@ -94,7 +94,7 @@
 	k.idleSince = now
 }
 
-// forgetIdle forgets the keys that have been idle since before a time.
+// forgetIdle forgets the keys that have been idle since before a given time.
 func (t *keyTable) forgetIdle(before time.Duration) {
 	var idle []*orderKey
 	for _, k := range t.byName {
--- a/internal/controller/logging.go
+++ b/internal/controller/logging.go
@@ -7,13 +7,13 @@
 	c.emit(Effect{Kind: LogMessage, Warning: warning, Text: text})
 }
 
-// logWithFields logs a line about what fields name, at info level.
+// logWithFields logs a line about the subject that fields identify, at info level.
 func (c *Controller) logWithFields(fields LogFields, text string) {
 	c.emit(Effect{Kind: LogMessage, Text: text, Fields: fields})
 }
 
-// trace logs what becomes of a query, step by step, at debug level. Callers check TraceQueries first,
-// so that nothing is formatted for a log that nobody reads.
+// trace logs a step of a query at debug level. Callers check TraceQueries first, so that nothing is
+// formatted for a log that is off.
 func (c *Controller) trace(fields LogFields, format string, values ...any) {
 	c.emit(Effect{Kind: LogMessage, Trace: true, Fields: fields, Text: fmt.Sprintf(format, values...)})
 }
--- a/internal/controller/query.go
+++ b/internal/controller/query.go
@@ -11,34 +11,34 @@
 	"railrelay.dev/railrelay/internal/timerqueue"
 )
 
-// queryOwner is whoever a query belongs to: a client's call. It gets at most one of finished, paged,
-// deferred and killed, right after closed; only closed if the client went or cancelled the query.
+// queryOwner is the owner of a query: a client's call. It receives at most one of finished, paged, deferred
+// and killed, right after closed; only closed if the client disconnected or cancelled the query.
 type queryOwner interface {
 	finished(pages [][]byte)
-	// paged answers with the first page of a result that is spooled, and where to read the rest.
+	// paged answers with the first page of a spooled result and where to read the rest.
 	paged(first []byte, rest msgpackrpc.Paging)
-	// deferred rejects a query that has not run. It may be sent again after retryAfter, 0: not said.
+	// deferred rejects a query that has not run. The client may resend it after retryAfter; 0: no time given.
 	deferred(retryAfter time.Duration)
 	killed(reason string)
-	// notifyWait says how long the query is expected to wait. Only owners that asked for it get it.
+	// notifyWait reports how long the query is expected to wait, to owners that asked for it.
 	notifyWait(wait time.Duration)
-	// closed says that no answer is owed any more, or that it follows at once.
+	// closed reports that no answer is owed any more, or that the answer follows at once.
 	closed()
-	// connection is the one that the query came by; nil: none.
+	// connection returns the connection that the query came from; nil: none.
 	connection() *Connection
 }
 
-// query is a query from when it is received until it is answered and none of its attempts is left to
-// report. It belongs to the controller.
+// query is a query from its arrival until it is answered and all of its attempts are reported. It belongs to
+// the controller.
 type query struct {
 	// as the client sent it
 	id             string
-	groupName      string // as the client writes it
+	groupName      string // as spelled by the client
 	owner          queryOwner
 	group          *group
-	key            *orderKey // whose queries run in order; nil: none
-	keyNumber      int64     // the key as the scheduler knows it, -1: none
-	tableGroup     int64     // as the statement tells, see msgpackrpc.Tables
+	key            *orderKey // the key whose queries run in order; nil: none
+	keyNumber      int64     // the key's number at the scheduler, -1: none
+	tableGroup     int64     // from the statement, see msgpackrpc.Tables
 	idempotencyKey string    // "": none
 	statement      []byte
 	customer       int // index in Controller.customers, -1: none
@@ -50,29 +50,29 @@
 	receivedAt time.Duration
 	deadline   time.Duration
 
-	// as the scheduler last set them
+	// last set by the scheduler
 	priority      int
 	memoryGrantMB int
 
 	attempts []*attempt
-	answered bool // or no answer is owed: closeQuery was called
+	answered bool // closeQuery was called: the query is answered, or no answer is owed
 
 	// with peers
-	confined  bool // it needs the lease of confined tenants
-	held      bool // it came while nothing may be decided, and waits to be judged
+	confined  bool // needs the lease of confined tenants
+	held      bool // arrived while the controller was paused, and waits for admission
 	residency *queryResidency
 
-	spooled    *spool.Result // its client reads page by page; nil: not so
-	cacheState *cacheLookup  // nil: nothing of it concerns the cache
+	spooled    *spool.Result // nil: the client does not read page by page
+	cacheState *cacheLookup  // nil: the cache is not involved
 
-	waitTimer *timerqueue.Timer // while it waits in the fair queue or is blocked
+	waitTimer *timerqueue.Timer // set while the query waits in the fair queue or is held
 	// with fair queueing
 	fairEntry   *fairqueue.Query
-	fairOutcome fairqueue.Outcome // how it was closed
+	fairOutcome fairqueue.Outcome // how the query was closed
 }
 
-// effectivePriority is the query's priority at engines: the scheduler's, unless fair queueing has lowered
-// it. The two meet nowhere else.
+// effectivePriority returns the query's priority at engines: the scheduler's, unless fair queueing has
+// lowered it. No other code combines the two.
 func (q *query) effectivePriority() int {
 	if q.fairEntry != nil && q.fairEntry.PriorityLowered() {
 		return min(q.priority, 0)
@@ -80,7 +80,7 @@
 	return q.priority
 }
 
-// queryTable is the queries that are not over.
+// queryTable holds the queries that are not over.
 type queryTable struct {
 	queries           map[string]*query // by id
 	keys              keyTable
@@ -88,8 +88,8 @@
 	maxStatementBytes int
 }
 
-// dispatch takes a query that was received through the lease, the spool and the cache to the fair queue,
-// or to the scheduler where there is none. Each may hold it back or answer it.
+// dispatch passes a received query through the serving lease, the spool and the cache to the fair queue, or
+// to the scheduler without one. Each of them may hold the query back or answer it.
 func (c *Controller) dispatch(q *query, from CallOrigin) {
 	if q.answered {
 		return
@@ -98,7 +98,7 @@
 	if c.servingLease != nil && !c.isDraining() && !c.servingLease.admit(q, from) {
 		return
 	}
-	if c.paging != nil && c.mayRetain(q) { // else it is answered in one piece
+	if c.paging != nil && c.mayRetain(q) { // otherwise the result is answered in one piece
 		c.paging.reserve(q, from)
 	}
 	if c.caching != nil && !q.answered && c.mayRetain(q) {
@@ -116,7 +116,7 @@
 	}
 }
 
-// mayRetain reports whether data residency allows keeping a query's result or answer here.
+// mayRetain reports whether data residency allows storing a query's result or answer here.
 func (c *Controller) mayRetain(q *query) bool {
 	return c.servingLease == nil || c.servingLease.residency.mayRetain(q)
 }
@@ -130,10 +130,10 @@
 		q.tableGroup, q.keyNumber, q.estimatedWork, q.estimatedMemoryMB)
 }
 
-// abandonQuery closes a query without an answer, since its client cancelled it or disconnected.
+// abandonQuery closes a query without an answer, because its client cancelled it or disconnected.
 func (c *Controller) abandonQuery(q *query) {
 	c.counters.abandoned++
-	// it must reach the scheduler before the ends of attempts that were not sent, which count as answered
+	// the scheduler must learn this before the ends of unsent attempts, which count as answered
 	c.enqueueCallback(func() { c.scheduler.ClientLeft(c.now, q.id) })
 	c.closeQuery(q, fairqueue.ClientGone)
 }
@@ -145,8 +145,8 @@
 	fairqueue.ClientGone: "left",
 }
 
-// closeQuery notes that a query is answered, or that no answer is owed; the caller answers right behind
-// it. It withdraws attempts that were not sent, and reports false if the query was closed before.
+// closeQuery records that a query is answered, or that no answer is owed; the caller answers right after it.
+// It withdraws attempts that were not sent. It returns false if the query was already closed.
 func (c *Controller) closeQuery(q *query, end fairqueue.Outcome) bool {
 	if !invariant.Hold(!q.answered, "one final answer a query") {
 		return false
@@ -155,7 +155,7 @@
 	for _, a := range q.attempts {
 		a.permit.Revoke()
 		if !a.sent {
-			// also where engines take no cancellations: its key's next query would wait for a dial
+			// even if engines take no cancellations: the key's next query would wait for a dial
 			c.withdrawAttempt(a, scheduler.NeverSent)
 		}
 	}
@@ -176,7 +176,7 @@
 	return true
 }
 
-// answerFinished answers a query, and those that wait for the same answer, with its result.
+// answerFinished answers a query, and the queries that wait for the same answer, with its result.
 func (c *Controller) answerFinished(q *query, pages [][]byte) {
 	var followers []*query
 	if c.caching != nil && !q.answered {
@@ -205,7 +205,7 @@
 	}
 }
 
-// forgetQuery forgets a query once it is answered and all of its attempts are reported.
+// forgetQuery releases a query once it is answered and all of its attempts are reported.
 func (c *Controller) forgetQuery(q *query) {
 	if !q.answered || c.queries[q.id] != q {
 		return
@@ -215,7 +215,7 @@
 			return
 		}
 	}
-	// the scheduler may still decide on it in this very step
+	// the scheduler may still act on the query within this step
 	c.enqueueCallback(func() {
 		if c.queries[q.id] == q {
 			c.releaseQuery(q)
@@ -235,7 +235,7 @@
 		c.caching.queryOver(q)
 	}
 	c.statementBytes -= len(q.statement)
-	// timers may hold the query for longer
+	// free the memory now: timers may hold the query for longer
 	q.statement = nil
 	q.attempts = nil
 	if q.key != nil {
--- a/internal/controller/receive.go
+++ b/internal/controller/receive.go
@@ -9,25 +9,25 @@
 	"railrelay.dev/railrelay/internal/settings"
 )
 
-// queryCall is a client's call for a query. The bytes belong to the caller.
+// queryCall is a client's call for a query. The caller owns its byte slices.
 type queryCall struct {
 	groupName string
 	id        string
-	timeout   time.Duration // the client waits no longer for the answer
+	timeout   time.Duration // how long the client waits for the answer
 	key       []byte
 	hasKey    bool
 	statement []byte
 	from      CallOrigin
 }
 
-// Why a call is not accepted, as its client is told. The texts are part of the protocol's answers.
+// Reasons to reject a call, as the client is told. The texts are part of the protocol's answers.
 const (
 	unknownGroup          = "no such method"
 	timeoutTooLong        = "no such patience"
 	keyMissing            = "no entity"
 	idempotencyKeyInvalid = "no such token"
 	duplicateID           = "this trace is in hand"
-	// statementMemoryFull is no fault of the call: later, or at another controller, there may be memory.
+	// statementMemoryFull is not an error in the call: later, or at another controller, there may be memory.
 	statementMemoryFull = "too much is in hand"
 )
 
@@ -38,7 +38,7 @@
 	maxEstimatedMB     = 1 << 30
 )
 
-// validateCall says why a call can't be accepted, "" if it can.
+// validateCall returns the reason to reject a call, "" if the call is valid.
 func (c *Controller) validateCall(call *queryCall) string {
 	g := c.groups[settings.SanitizeName(call.groupName)]
 	switch {
@@ -58,8 +58,8 @@
 	return ""
 }
 
-// receiveQuery accepts a call, and dispatches its query before the step ends. It copies what it keeps of
-// the call. If the call is invalid the query is nil and why says so.
+// receiveQuery accepts a call, and dispatches its query before the step ends. It copies the parts of the call
+// that it keeps. For an invalid call, the query is nil and reason is set.
 func (c *Controller) receiveQuery(owner queryOwner, call *queryCall) (q *query, reason string) {
 	reason = c.validateCall(call)
 	if reason != "" {
@@ -77,7 +77,7 @@
 	if c.caching != nil {
 		c.caching.noteMutation(q)
 	}
-	// once all that has come is read: a query whose cancellation comes with it goes nowhere
+	// dispatch after all received bytes are read: a query that is cancelled in the same read is not sent
 	from := call.from
 	c.enqueueCallback(func() { c.dispatch(q, from) })
 	return q, ""
@@ -107,23 +107,24 @@
 	if g.inOrder {
 		q.key = c.keys.acquire(string(call.key))
 		q.keyNumber = q.key.number
-		// The client's time counts from when it would have sent the query, which it holds back behind
-		// others of its key. Answers timed by when it was written came up to half a second too late.
+		// The client's timeout counts from when the query was requested, and the client holds the query back
+		// behind others of its key. Deadlines that counted from the send time gave answers up to half a second
+		// too late.
 		latest := q.key.recordArrival(c.now, call.timeout) + call.timeout + keyDeadlineSlack
 		q.deadline = min(q.deadline, latest) - min(firstKeySpacing, call.timeout/8)
 	}
 	return q
 }
 
-// customerIndex is the index of the customer that a call names in customers, -1: none.
+// customerIndex returns the index in customers of the customer that a call names, -1: none.
 func (c *Controller) customerIndex(from CallOrigin) int {
 	return slices.Index(c.customers, settings.SanitizeName(string(from.Fields.Get(c.FieldNames.Customer))))
 }
 
-// parseEstimate reads a figure that a client tells; one out of range counts as not told.
-func parseEstimate(text []byte, most float64) float64 {
+// parseEstimate parses an estimate from a client; an invalid or out-of-range value counts as absent.
+func parseEstimate(text []byte, limit float64) float64 {
 	x, err := strconv.ParseFloat(string(text), 64)
-	if err == nil && x >= 0 && x <= most {
+	if err == nil && x >= 0 && x <= limit {
 		return x
 	}
 	return 0
--- a/internal/controller/scheduler_actions.go
+++ b/internal/controller/scheduler_actions.go
@@ -10,17 +10,17 @@
 	"railrelay.dev/railrelay/internal/settings"
 )
 
-// The methods of scheduler.Actions carry out what the scheduler decides. None of them calls the scheduler
-// back at once: what comes of them is reported by callbacks before the step ends, or by later events.
+// The methods of scheduler.Actions carry out the scheduler's decisions. None of them calls the scheduler
+// directly: results are reported by callbacks before the step ends, or by later events.
 var _ scheduler.Actions = (*Controller)(nil)
 
-// notDone is the answer to a query that may have run, or that no engine was found for in time.
+// notDone is the answer to a query that may have run, or for which no engine was found in time.
 const notDone = "not done"
 
 // SendAttempt starts an attempt of a query.
 func (c *Controller) SendAttempt(id, engine string, within time.Duration) {
 	q, e := c.queries[id], c.engines[engine]
-	if !invariant.Hold(q != nil && e != nil, "submissions name what is known") {
+	if !invariant.Hold(q != nil && e != nil, "attempts name a known query and engine") {
 		return
 	}
 	c.startAttempt(q, e, within)
@@ -34,8 +34,8 @@
 	}
 }
 
-// SetLimits sets a query's priority and memory grant. Attempts that run are told the priority; the grant is
-// that of attempts to come.
+// SetLimits sets a query's priority and memory grant. Running attempts are told the priority; the grant
+// applies to attempts that start later.
 func (c *Controller) SetLimits(id string, priority, grantMB int) {
 	q := c.queries[id]
 	if q == nil {
@@ -48,8 +48,8 @@
 	}
 }
 
-// DeferQuery answers a query that has not run, and names the time after which it may come again, or the fair
-// queue's estimate if that is longer.
+// DeferQuery answers a query that has not run with the time after which it may be sent again, or with the
+// fair queue's estimate if that is longer.
 func (c *Controller) DeferQuery(id string, retryAfter time.Duration) {
 	q := c.queries[id]
 	if q == nil {
@@ -61,7 +61,7 @@
 	c.answerDeferred(q, retryAfter)
 }
 
-// FailQuery answers a query that can't be finished.
+// FailQuery answers a query that cannot be finished.
 func (c *Controller) FailQuery(id string) {
 	q := c.queries[id]
 	if q != nil {
@@ -72,24 +72,24 @@
 // CheckHealth sends a health check to an engine.
 func (c *Controller) CheckHealth(engine string) {
 	e := c.engines[engine]
-	if invariant.Hold(e != nil, "probes name what is known") {
+	if invariant.Hold(e != nil, "health checks name a known engine") {
 		c.checkHealth(e)
 	}
 }
 
-// RequestEndpoints does nothing: the controller follows the endpoint list by itself.
+// RequestEndpoints does nothing: the controller watches the endpoint list by itself.
 func (c *Controller) RequestEndpoints() {}
 
-// SetTimer calls the scheduler back after a time.
-func (c *Controller) SetTimer(in time.Duration, tag int) {
-	c.runAfter(in, func() { c.scheduler.TimerFired(c.now, tag) })
+// SetTimer calls the scheduler back after a delay.
+func (c *Controller) SetTimer(delay time.Duration, tag int) {
+	c.runAfter(delay, func() { c.scheduler.TimerFired(c.now, tag) })
 }
 
 // Log logs a line at info level.
 func (c *Controller) Log(line string) { c.logMessage(false, line) }
 
-// settingIndex is the index of a name in a setting that is a list, by which the scheduler knows it; -1 if
-// it is not in the list.
+// settingIndex returns the index of a name in a comma-separated setting, by which the scheduler knows the
+// name; -1 if the list does not contain it.
 func (c *Controller) settingIndex(setting, name string) int {
 	return slices.Index(strings.Split(c.Settings[setting], ","), settings.SanitizeName(name))
 }
