--- a/internal/controller/attempt_cancel_test.go
+++ b/internal/controller/attempt_cancel_test.go
@@ -5,11 +5,13 @@
 	"time"
 )
 
-// disconnectDuringQuery has a query of a key run at an engine that is cut off from us, with another of its key behind.
-func disconnectDuringQuery(t *testing.T, more map[string]string, patience time.Duration) (h *harness, engine *fakeEngine, first, next *sentQuery) {
-	h = newHarness(t, 2, 256, more)
+// cutNetworkDuringQuery runs a query of a key at an engine, sends a second query of the key, and then cuts
+// the network to the engine.
+func cutNetworkDuringQuery(t *testing.T, overrides map[string]string, timeout time.Duration) (h *harness,
+	engine *fakeEngine, first, next *sentQuery) {
+	h = newHarness(t, 2, 256, overrides)
 	conn := h.connect()
-	first = h.sendQuery(conn, "load", "k", patience, 1)
+	first = h.sendQuery(conn, "load", "k", timeout, 1)
 	call := h.waitForCall("POST", first.id)
 	h.respond(call, "runs")
 	next = h.sendQuery(conn, "load", "k", 30*time.Second, 2)
@@ -19,43 +21,47 @@
 	return h, engine, first, next
 }
 
-// Where nothing may be cancelled an engine works on though nobody asks for the query: seen on a variant's
-// split days, where the next of a key was sent 2.7 s into a cut while the first still ran behind it. The
-// key waits until the engine was heard, or until the time that it was told to have is over.
+// An engine that takes no cancellations keeps running a query that is not polled. The next query of the key
+// was once sent 2.7 s into a network cut while the first still ran. The key must wait until the engine
+// responds again, or until the deadline that the engine was given has passed.
 func TestOrderHoldsWithoutCancellation(t *testing.T) {
 	for _, cancel := range []string{"true", "false"} {
-		h, engine, first, next := disconnectDuringQuery(t, map[string]string{"may.probe": "false", "may.cancel": cancel}, 20*time.Second)
+		h, engine, first, next := cutNetworkDuringQuery(t, map[string]string{"may.probe": "false",
+			"may.cancel": cancel}, 20*time.Second)
 		h.runUntil(h.now + 6*time.Second)
 		if sent := len(next.runs) > 0; sent != (cancel == "true") {
-			t.Fatalf("may.cancel %s: after 6 s of silence the next of its key was sent: %v", cancel, sent)
+			t.Fatalf("may.cancel %s: after 6 s without a response the next query of the key was sent: %v", cancel,
+				sent)
 		}
 		if cancel == "true" {
 			continue
 		}
-		engine.runs[first.id].ended, engine.runs[first.id].polledAt = false, h.now // it ran on, and does now
+		engine.runs[first.id].ended, engine.runs[first.id].polledAt = false, h.now // it is still running
 		h.healNetwork(engine)
 		h.respond(h.waitForCall("GET", first.id), "ok")
 		if h.runUntil(h.now + 100*time.Millisecond); first.answer != "finished" || len(next.runs) != 1 {
-			t.Fatalf("heard again: the first %q, the next sent %d times", first.answer, len(next.runs))
+			t.Fatalf("after the cut: first query %q, next query sent %d times", first.answer, len(next.runs))
 		}
 	}
-	h, _, _, next := disconnectDuringQuery(t, map[string]string{"may.probe": "false", "may.cancel": "false"}, 4*time.Second)
+	h, _, _, next := cutNetworkDuringQuery(t, map[string]string{"may.probe": "false", "may.cancel": "false"},
+		4*time.Second)
 	if h.runUntil(h.now + 5*time.Second); len(next.runs) > 0 {
-		t.Fatal("sent before its time was over at its engine")
+		t.Fatal("next query sent before the first one's deadline at its engine")
 	}
 	if h.runUntil(h.now + 4*time.Second); len(next.runs) != 1 {
-		t.Fatal("its key waits for good for an engine that is never heard")
+		t.Fatal("the key waits forever for an engine that never responds")
 	}
 }
 
-// An engine that dropped a query, as nobody asked, still has its notes: they come first, and fast, once it
-// is heard again. They are no sign that the query lives, and the error behind them is no certain end:
-// it is given up there, and its key rests.
+// An engine that dropped an unpolled query first returns the progress notes from before, once it is reachable
+// again. They do not prove that the query still runs, and the error after them does not prove its end: the
+// attempt is cancelled, and the next query of the key waits for the pause after that.
 func TestStaleNoteIsNoSignOfLife(t *testing.T) {
-	h, engine, first, next := disconnectDuringQuery(t, map[string]string{"may.probe": "false", "may.cancel": "false"}, 20*time.Second)
+	h, engine, first, next := cutNetworkDuringQuery(t, map[string]string{"may.probe": "false",
+		"may.cancel": "false"}, 20*time.Second)
 	h.runUntil(h.now + 4*time.Second)
 	run := engine.runs[first.id]
-	run.ended, run.polledAt = false, h.now // what was noted before is told first
+	run.ended, run.polledAt = false, h.now // the engine returns its earlier notes first
 	h.healNetwork(engine)
 	for range 2 {
 		h.respond(h.waitForCall("GET", first.id), "stuck")
@@ -66,9 +72,9 @@
 	from := h.now
 	h.respond(h.waitForCall("DELETE", first.id), "ok")
 	if h.runUntil(from + 250*time.Millisecond); len(next.runs) > 0 {
-		t.Fatal("its key didn't rest")
+		t.Fatal("the next query was sent without the pause after a cancellation")
 	}
 	if h.runUntil(from + 400*time.Millisecond); len(next.runs) != 1 || first.answer != "killed" {
-		t.Fatalf("the first %q, the next sent %d times", first.answer, len(next.runs))
+		t.Fatalf("first query %q, next query sent %d times", first.answer, len(next.runs))
 	}
 }
--- a/internal/controller/client_test.go
+++ b/internal/controller/client_test.go
@@ -21,7 +21,7 @@
 	h.sendQuery(other, "load", "k", 25*time.Second, 2)
 	h.runUntil(h.now + 12*time.Second)
 	if !conn.closed || other.closed {
-		t.Fatal("it is waited for")
+		t.Fatal("want only the client that does not read to be disconnected")
 	}
 }
 
@@ -30,17 +30,17 @@
 	conn := h.connect()
 	h.sendQuery(conn, "lookup", "", 3*time.Second, 1)
 	h.controller.maxStatementBytes = h.controller.statementBytes + 10
-	for range maxBadCalls + 5 { // more than may be wrong on a connection: none of these is
+	for range maxBadCalls + 5 { // more than maxBadCalls: a deferred query is not a bad call
 		if query := h.sendQuery(conn, "lookup", "", 3*time.Second, 1); query.answer != "deferred" {
-			t.Fatalf("%q", query.answer)
+			t.Fatalf("answer %q, want deferred", query.answer)
 		}
 	}
 	if conn.closed {
-		t.Fatal("the connection was ended, with a query open on it")
+		t.Fatal("a connection with an open query was closed")
 	}
 	h.runUntil(h.now + 4*time.Second)
 	if h.controller.statementBytes != 0 {
-		t.Fatal("it forgets to forget: ", h.controller.statementBytes)
+		t.Fatal("statement bytes after all queries are over: ", h.controller.statementBytes)
 	}
 }
 
@@ -58,18 +58,18 @@
 	}
 	last := silent[len(silent)-1]
 	if good.closed || rested.closed || last.closed || !silent[0].closed {
-		t.Fatal("the wrong ones made way")
+		t.Fatal("the wrong clients were evicted")
 	}
-	h.receive(last, []byte{0x94, 0, 1}) // begun, and never ended
+	h.receive(last, []byte{0x94, 0, 1}) // an incomplete message
 	h.runUntil(h.now + time.Second)
 	h.receive(last, []byte{0xa1})
 	h.runUntil(h.now + 1500*time.Millisecond)
 	if !last.closed || !silent[10].closed || good.closed || rested.closed {
-		t.Fatal("nothing, or half a message, is waited for")
+		t.Fatal("a client with no message or an incomplete one was not disconnected, or another one was")
 	}
 	h.runUntil(h.now + clientIdleTimeout)
 	if !rested.closed || good.closed || query.cancelled {
-		t.Fatal("idle for good, and kept")
+		t.Fatal("want only the idle client to be closed after clientIdleTimeout")
 	}
 }
 
@@ -81,22 +81,22 @@
 		h.cancel(h.sendQuery(idle[len(idle)-1], "lookup", "", 5*time.Second, 1))
 		h.runUntil(h.now + time.Millisecond)
 	}
-	h.runUntil(h.now + time.Second) // all are idle, none for long enough to be closed for it
+	h.runUntil(h.now + time.Second) // all are idle, but shorter than clientIdleTimeout
 	held := h.sendQuery(idle[0], "load", "k", 20*time.Second, 1)
 	for i := range 20 {
 		conn := h.connect()
-		h.runUntil(h.now + time.Millisecond) // its call is on the way
+		h.runUntil(h.now + time.Millisecond) // its call is arriving
 		if conn.closed || !idle[i+1].closed || idle[i+2].closed {
-			t.Fatal("a newcomer is turned off for one that just stays")
+			t.Fatal("want the longest idle client to be evicted for a new one")
 		}
 		h.cancel(h.sendQuery(conn, "lookup", "", 5*time.Second, 1))
 	}
 	if held.connection.closed || held.answer != "" {
-		t.Fatal("one with a query open made way")
+		t.Fatal("a client with an open query was evicted")
 	}
 }
 
-func TestMessageFloodIsCutOff(t *testing.T) {
+func TestMessageFloodIsDisconnected(t *testing.T) {
 	h := newHarness(t, 1, 256, nil)
 	conn := h.connect()
 	var p []byte
@@ -104,35 +104,37 @@
 		p = append(append(append(p, 0x94, 0, 0xcd, byte(i>>8), byte(i)), "\xa6lookup\x92"...), fields...)
 		p = append(p, "\xc4\x01;"...)
 	}
-	for i := range 30 { // taken back in the same breath
+	for i := range 30 { // cancelled within the same read
 		call(i, fmt.Sprintf("\x82\xa5trace\xb0%016x\xa8patience\xa41000", i+1))
 		p = append(append(append(p, 0x93, 2), fixstr("cancelRequest")...), 0x91, 0xcd, byte(i>>8), byte(i))
 	}
 	h.receive(conn, p)
-	if h.controller.counters.attempts > 0 || h.controller.counters.received != 30 || len(h.controller.queries) > 0 || conn.closed {
-		t.Fatal("what was taken back at once went out: ", h.controller.counters.format(h.controller))
+	if h.controller.counters.attempts > 0 || h.controller.counters.received != 30 ||
+		len(h.controller.queries) > 0 || conn.closed {
+		t.Fatal("queries cancelled within the same read were sent: ", h.controller.counters.format(h.controller))
 	}
 	h.runUntil(h.now + time.Second)
 	p = nil
-	for i := range 3 * maxOpenQueries { // without a trace
+	for i := range 3 * maxOpenQueries { // without a query id
 		call(i, "\x81\xa8patience\xa41000")
 	}
 	if h.receive(conn, p); !conn.closed || h.controller.counters.malformed != maxBadCalls+1 {
-		t.Fatal("calls that can't be used go on for ever: ", h.controller.counters.malformed)
+		t.Fatal("not disconnected after too many invalid calls: ", h.controller.counters.malformed)
 	}
 	conn, p = h.connect(), nil
 	for i := range 2 * maxOpenQueries {
 		call(i, fmt.Sprintf("\x82\xa5trace\xb0%016x\xa8patience\xa41000", i+1))
 	}
-	if h.receive(conn, p); !conn.closed || h.controller.counters.received != 30+maxOpenQueries || h.controller.counters.attempts > 0 {
-		t.Fatal("more open than may be: ", h.controller.counters.format(h.controller))
+	if h.receive(conn, p); !conn.closed || h.controller.counters.received != 30+maxOpenQueries ||
+		h.controller.counters.attempts > 0 {
+		t.Fatal("not disconnected with too many open queries: ", h.controller.counters.format(h.controller))
 	}
 	conn, p = h.connect(), nil
 	for range maxMessagesPerSweep + 10 {
 		p = append(p, "\x94\x00\x01\xa5alive\x91\x80"...)
 	}
 	if h.receive(conn, p); !conn.closed || h.controller.counters.aliveRequests > maxMessagesPerSweep+1 {
-		t.Fatal("it may talk without end: ", h.controller.counters.aliveRequests)
+		t.Fatal("not disconnected after too many messages: ", h.controller.counters.aliveRequests)
 	}
 }
 
@@ -143,15 +145,15 @@
 	for range 40 {
 		h.receive(h.connect(), half)
 		if h.controller.bufferedBytes > h.controller.maxBufferedBytes+1<<17 {
-			t.Fatal(h.controller.bufferedBytes)
+			t.Fatal("buffered bytes above the limit: ", h.controller.bufferedBytes)
 		}
 	}
 	if h.controller.counters.disconnected == 0 {
-		t.Fatal("there was no shortage")
+		t.Fatal("the buffers never exceeded their limit, so the test proves nothing")
 	}
 	h.runUntil(h.now + 3*time.Second)
-	if h.controller.bufferedBytes > 4<<10 { // the feed's
-		t.Fatal("it forgets to forget: ", h.controller.bufferedBytes)
+	if h.controller.bufferedBytes > 4<<10 { // of the discovery connection
+		t.Fatal("buffered bytes after all clients are gone: ", h.controller.bufferedBytes)
 	}
 }
 
@@ -164,10 +166,10 @@
 	h.runUntil(h.now + shutdownGrace + 10*time.Millisecond)
 	late := h.sendQuery(conn, "load", "k", 3*time.Second, 1)
 	if late.answer != "deferred" || early.answer != "" {
-		t.Fatalf("%q, %q", late.answer, early.answer)
+		t.Fatalf("late query %q, early query %q", late.answer, early.answer)
 	}
 	h.respond(h.waitForCall("GET", early.id), "ok")
-	for range 40 { // at once again, whatever it is told
+	for range 40 { // the client sends again at once after each answer
 		if h.exited {
 			break
 		}
@@ -175,35 +177,37 @@
 		h.runUntil(h.now + 50*time.Millisecond)
 	}
 	if early.answer != "finished" || !h.exited {
-		t.Fatalf("%q, and no end at %v", early.answer, h.now)
+		t.Fatalf("early query %q, not exited at %v", early.answer, h.now)
 	}
 }
 
-// On a connection that stays open queries come for 0.6 s after the word to stop. SIGKILL may come 3.7 s
-// after it, whatever longer queries there are, and what came later than 0.7 s is lost if it is open then.
+// Clients may send queries on an open connection for 0.6 s after the request to shut down. SIGKILL may follow
+// 3.7 s after the request, and a query that arrived later than 0.7 s may be lost if it is still open then.
 func TestShutdownRejectsLateQueriesAtOnce(t *testing.T) {
 	h := newHarness(t, 1, 256, nil)
 	conn := h.connect()
 	h.step(Event{Kind: ShutdownRequested})
 	h.runUntil(h.now + 600*time.Millisecond)
-	if in := h.sendQuery(conn, "report", "", 20*time.Second, 1); in.answer != "" || h.waitForCall("POST", in.id) == nil {
-		t.Fatalf("%q while queries may still come", in.answer)
+	if in := h.sendQuery(conn, "report", "", 20*time.Second, 1); in.answer != "" ||
+		h.waitForCall("POST", in.id) == nil {
+		t.Fatalf("answer %q while clients may still send queries", in.answer)
 	}
 	h.runUntil(h.now + 101*time.Millisecond)
 	if late := h.sendQuery(conn, "report", "", 20*time.Second, 2); late.answer != "deferred" {
-		t.Fatalf("%q at 0.7 s, and it may be open when the end comes", late.answer)
+		t.Fatalf("answer %q at 0.7 s, want deferred: the query may be open at the exit", late.answer)
 	}
 }
 
-// A client that asked in time is not to blame where we stood still and didn't read: its
-// connection was ended as one that begins nothing.
+// A client is not disconnected for messages that the stalled process did not read in time. Such a connection
+// was once closed as one without messages.
 func TestProcessStallDisconnectsNoClient(t *testing.T) {
 	h := newHarness(t, 1, 96, nil)
 	conn := h.connect()
 	h.runUntil(h.now + 100*time.Millisecond)
 	h.now += 2500 * time.Millisecond
 	h.step(Event{Kind: TimerFired})
-	if query := h.sendQuery(conn, "lookup", "", 5*time.Second, 1); conn.closed || h.waitForCall("POST", query.id) == nil {
-		t.Fatal("ended though it asked in time")
+	if query := h.sendQuery(conn, "lookup", "", 5*time.Second, 1); conn.closed ||
+		h.waitForCall("POST", query.id) == nil {
+		t.Fatal("disconnected although the client sent its query in time")
 	}
 }
--- a/internal/controller/controller_test.go
+++ b/internal/controller/controller_test.go
@@ -37,7 +37,8 @@
 func TestOrderHoldsWhenEngineVanishes(t *testing.T) {
 	h := newHarness(t, 2, 256, nil)
 	conn := h.connect()
-	first, next := h.sendQuery(conn, "load", "k", 1500*time.Millisecond, 1), h.sendQuery(conn, "load", "k", 20*time.Second, 2)
+	first, next := h.sendQuery(conn, "load", "k", 1500*time.Millisecond, 1),
+		h.sendQuery(conn, "load", "k", 20*time.Second, 2)
 	h.respond(h.waitForCall("POST", first.id), "runs")
 	call := h.waitForCall("GET", first.id)
 	call.engine.unresponsive = true // cut off: what it has is still at work there
@@ -58,7 +59,8 @@
 func TestOrderHoldsAfterErrorFromSilentEngine(t *testing.T) {
 	h := newHarness(t, 1, 256, nil)
 	conn := h.connect()
-	first, next := h.sendQuery(conn, "load", "k", 20*time.Second, 1), h.sendQuery(conn, "load", "k", 20*time.Second, 2)
+	first, next := h.sendQuery(conn, "load", "k", 20*time.Second, 1),
+		h.sendQuery(conn, "load", "k", 20*time.Second, 2)
 	h.respond(h.waitForCall("POST", first.id), "runs")
 	call := h.waitForCall("GET", first.id)
 	h.restartEngine(call.engine, false) // the new process knows nothing of it, and answers 500
@@ -101,7 +103,8 @@
 	query := h.sendQuery(h.connect(), "lookup", "", 20*time.Second, 1)
 	h.respond(h.waitForCall("POST", query.id), "runs")
 	call := h.waitForCall("GET", query.id)
-	h.controller.enqueueCallback(func() { h.controller.CancelAttempt(query.id, 0) }) // as the decisions do when they move it
+	// as the decisions do when they move it
+	h.controller.enqueueCallback(func() { h.controller.CancelAttempt(query.id, 0) })
 	h.step(Event{Kind: TimerFired})
 	if len(query.runs) != 1 || len(h.controller.queries[query.id].attempts) != 2 {
 		t.Fatal("sent again while the first is being given up there")
@@ -191,7 +194,8 @@
 	query := h.sendQuery(h.connect(), "load", "k", 20*time.Second, 1)
 	h.waitForCall("POST", query.id)
 	if q := h.controller.queries[query.id]; q.memoryGrantMB != 6553 || q.priority < 1 ||
-		!strings.Contains(strings.Join(h.writeLog, "\n"), fmt.Sprintf(`Pool-Mb: 6553\r\nPool-Rank: %d\r\n`, q.priority)) {
+		!strings.Contains(strings.Join(h.writeLog, "\n"), fmt.Sprintf(`Pool-Mb: 6553\r\nPool-Rank: %d\r\n`,
+			q.priority)) {
 		t.Fatal(h.writeLog)
 	}
 	h.runUntil(h.now + 1500*time.Millisecond)
@@ -288,14 +292,17 @@
 }
 
 func TestStateIsBoundedOverLongRuns(t *testing.T) {
-	h := newHarness(t, 0, 256, map[string]string{"group.0.timeout": "5000", "group.1.timeout": "5000", "group.2.timeout": "5000"})
+	h := newHarness(t, 0, 256, map[string]string{"group.0.timeout": "5000", "group.1.timeout": "5000",
+		"group.2.timeout": "5000"})
 	h.runUntil(h.now + 10*time.Millisecond)
 	sizes := func() [6]int {
-		return [6]int{len(h.controller.engines), len(h.controller.queries), len(h.controller.keys.byName), len(h.controller.clients), h.controller.statementBytes, h.controller.scheduler.EntryCount()}
+		return [6]int{len(h.controller.engines), len(h.controller.queries), len(h.controller.keys.byName),
+			len(h.controller.clients), h.controller.statementBytes, h.controller.scheduler.EntryCount()}
 	}
 	var early [6]int
 	for i := range 1500 { // each engine serves a few, then another takes its place and its address
-		engine := &fakeEngine{id: "n" + strconv.Itoa(i), address: "10.0.1." + strconv.Itoa(i%3) + ":1", state: "SERVING", runs: map[string]*fakeRun{}}
+		engine := &fakeEngine{id: "n" + strconv.Itoa(i), address: "10.0.1." + strconv.Itoa(i%3) + ":1",
+			state: "SERVING", runs: map[string]*fakeRun{}}
 		if old := h.engines[engine.address]; old != nil {
 			h.restartEngine(old, false)
 			old.state = "DELETED"
@@ -318,7 +325,8 @@
 		if h.queries = h.queries[len(h.queries)-2:]; i%10 == 0 {
 			h.disconnect(conn)
 		}
-		if h.connections = slices.DeleteFunc(h.connections, func(conn *fakeConnection) bool { return conn.closed }); i == 500 {
+		if h.connections = slices.DeleteFunc(h.connections,
+			func(conn *fakeConnection) bool { return conn.closed }); i == 500 {
 			early = sizes()
 		}
 	}
@@ -412,7 +420,8 @@
 		t.Fatalf("%d looks, %d connections", h.controller.counters.healthChecks, h.controller.counters.dials)
 	}
 	h.pendingCalls = nil // answered behind the copy, on a connection that is then gone
-	h.receive(call.connection, []byte("HTTP/1.1 200 x\r\nX-Load: inflight:3;util:0.5\r\nContent-Length: 0\r\n\r\n"))
+	h.receive(call.connection,
+		[]byte("HTTP/1.1 200 x\r\nX-Load: inflight:3;util:0.5\r\nContent-Length: 0\r\n\r\n"))
 	if !call.connection.closed || query.answer != "" {
 		t.Fatalf("%v %q", call.connection.closed, query.answer)
 	}
@@ -438,7 +447,8 @@
 	h.runUntil(h.now + 60*time.Millisecond)
 	var at *fakeEngine
 	for _, engine := range h.sortedEngines() {
-		if slices.ContainsFunc(engine.delayedCalls, func(call *pendingCall) bool { return strings.Contains(call.head, first.id) }) {
+		if slices.ContainsFunc(engine.delayedCalls,
+			func(call *pendingCall) bool { return strings.Contains(call.head, first.id) }) {
 			at = engine
 		}
 	}
@@ -463,7 +473,8 @@
 // A call may name the customer whose share it counts to, and estimates; the names stand in
 // the settings, and what can't be meant is taken as not told.
 func TestCustomerAndEstimatesReachScheduler(t *testing.T) {
-	h := newHarness(t, 1, 64, map[string]string{"teams": "2", "team.0.name": "upper", "team.0.quota": "9", "team.1.name": "lower",
+	h := newHarness(t, 1, 64, map[string]string{"teams": "2", "team.0.name": "upper", "team.0.quota": "9",
+		"team.1.name":  "lower",
 		"team.1.quota": "9", "over.worth": "0.1"})
 	h.controller.FieldNames = FieldNames{Customer: "customer", EstimatedWork: "weight", EstimatedMemory: "ram"}
 	conn := h.connect()
--- a/internal/controller/harness_clients_test.go
+++ b/internal/controller/harness_clients_test.go
@@ -8,6 +8,7 @@
 	"time"
 )
 
+// sentQuery is a query that a fake client has sent.
 type sentQuery struct {
 	id, group, key  string
 	messageID       int
@@ -20,32 +21,33 @@
 	answerBytes     []byte
 }
 
+// checkAnswer checks a message from the controller to a client, and records answers to queries.
 func (h *harness) checkAnswer(conn *fakeConnection, data []byte) {
-	if data[0] == 0x93 { // a notice, no answer
+	if data[0] == 0x93 { // a notification, not an answer
 		return
 	}
 	if data[2] >= 0x80 {
-		h.t.Fatalf("more messages than this test reads: %q", data)
+		h.t.Fatalf("message id beyond the range that the harness parses: %q", data)
 	}
 	for _, query := range h.queries {
 		if query.connection != conn || query.messageID != int(data[2]) {
 			continue
 		}
 		if query.answer != "" || query.cancelled {
-			h.t.Fatalf("rule 1: a second answer to %s, or one nobody waits for", query.id)
+			h.t.Fatalf("rule 1: query %s answered twice, or answered after its cancellation", query.id)
 		}
 		query.answerBytes = data
 		switch {
 		case data[3] == 0xc0:
 			query.answer = "finished"
 			if !bytes.Contains(data, []byte(query.expectedPayload)) || query.expectedPayload == "" {
-				h.t.Fatalf("finished with what no engine made: %q, not %q", data, query.expectedPayload)
+				h.t.Fatalf("result that no engine returned: %q, want %q", data, query.expectedPayload)
 			}
 		case bytes.Contains(data, []byte("Throttled")):
 			query.answer = "deferred"
 			for _, run := range query.runs {
 				if query.group == "load" && !run.neverRan {
-					h.t.Fatalf("rule 2: deferred, and may have run: %s", query.id)
+					h.t.Fatalf("rule 2: query %s deferred although it may have run", query.id)
 				}
 			}
 		default:
@@ -54,13 +56,16 @@
 	}
 }
 
+// connect opens a client connection.
 func (h *harness) connect() *fakeConnection {
-	conn := &fakeConnection{number: len(h.connections), connection: &Connection{}, isClient: true, established: true}
+	conn := &fakeConnection{number: len(h.connections), connection: &Connection{}, isClient: true,
+		established: true}
 	h.connections = append(h.connections, conn)
 	h.step(Event{Kind: ClientAccepted, Connection: conn.connection})
 	return conn
 }
 
+// receive delivers bytes to the controller on a connection.
 func (h *harness) receive(conn *fakeConnection, data []byte) {
 	for len(data) > 0 && !conn.closed {
 		n := copy(conn.connection.Received.Space(), data)
@@ -69,12 +74,15 @@
 	}
 }
 
+// fixstr encodes a short string in MessagePack.
 func fixstr(v string) []byte { return append([]byte{byte(0xa0 + len(v))}, v...) }
 
-// sendQuery has a client send a query.
-func (h *harness) sendQuery(conn *fakeConnection, group, key string, timeout time.Duration, tables int, more ...string) *sentQuery {
+// sendQuery sends a query on a client connection.
+func (h *harness) sendQuery(conn *fakeConnection, group, key string, timeout time.Duration, tables int,
+	more ...string) *sentQuery {
 	conn.messageCount++
-	query := &sentQuery{id: fmt.Sprintf("%016x", len(h.queries)+1), group: group, key: key, messageID: conn.messageCount, connection: conn, deadline: h.now + timeout}
+	query := &sentQuery{id: fmt.Sprintf("%016x", len(h.queries)+1), group: group, key: key,
+		messageID: conn.messageCount, connection: conn, deadline: h.now + timeout}
 	h.queries = append(h.queries, query)
 	data := append([]byte{0x94, 0, byte(query.messageID)}, fixstr(group)...)
 	fields := []string{"trace", query.id, "patience", strconv.Itoa(int(timeout.Milliseconds()))}
@@ -91,13 +99,16 @@
 	return query
 }
 
+// cancel cancels an open query.
 func (h *harness) cancel(query *sentQuery) {
 	if query.answer == "" && !query.cancelled && !query.connection.closed {
 		query.cancelled = true
-		h.receive(query.connection, append(append([]byte{0x93, 2}, fixstr("cancelRequest")...), 0x91, byte(query.messageID)))
+		h.receive(query.connection, append(append([]byte{0x93, 2}, fixstr("cancelRequest")...), 0x91,
+			byte(query.messageID)))
 	}
 }
 
+// disconnect closes a client connection from the client's side.
 func (h *harness) disconnect(conn *fakeConnection) {
 	for _, query := range h.queries {
 		if query.connection == conn && query.answer == "" {
--- a/internal/controller/harness_engines_test.go
+++ b/internal/controller/harness_engines_test.go
@@ -9,28 +9,30 @@
 	"time"
 )
 
-// fakeEngine is an engine.
+// fakeEngine is a simulated engine.
 type fakeEngine struct {
 	id, address, state               string
 	site                             string
 	unresponsive, refusesConnections bool
-	networkCut                       bool // nothing comes through; what was written is delayed until the network heals
-	delayedCalls                     []*pendingCall
-	runs                             map[string]*fakeRun
+	// no bytes arrive; calls written meanwhile are delayed until the network heals
+	networkCut   bool
+	delayedCalls []*pendingCall
+	runs         map[string]*fakeRun
 }
 
-// fakeRun is an attempt as its engine sees it.
+// fakeRun is a query that a fake engine has received.
 type fakeRun struct {
 	query           *sentQuery
 	engine          *fakeEngine
 	polledAt        time.Duration
 	ended, neverRan bool
-	keyCoolsDown    bool // it ended in a way after which its key has to rest
+	keyCoolsDown    bool // the run ended in a way that requires a pause before its key's next query
 	endedAt         time.Duration
 	pages           int
-	unregistered    bool // it arrived whole, and its engine does not know it yet
+	unregistered    bool // received completely, but still unknown to the engine's polls
 }
 
+// pendingCall is a call to a fake engine that has not been answered.
 type pendingCall struct {
 	connection         *fakeConnection
 	engine             *fakeEngine
@@ -40,15 +42,16 @@
 	page               int
 	run                *fakeRun
 	head               string
-	delayed            bool // it was held up by a cut
+	delayed            bool // delivered only after a network cut
 }
 
 func (engine *fakeEngine) endpointJSON(up int64) string {
-	return fmt.Sprintf(`{"id":%q,"host_port":%q,"locality":%q,"flavor":"std","cell":1,"phase":%q,"size":1,"up_since_ms":%d}`,
+	return fmt.Sprintf(
+		`{"id":%q,"host_port":%q,"locality":%q,"flavor":"std","cell":1,"phase":%q,"size":1,"up_since_ms":%d}`,
 		engine.id, engine.address, engine.site, engine.state, up)
 }
 
-// readCalls takes what was written to an engine, call by call.
+// readCalls parses the call that was written to an engine.
 func (h *harness) readCalls(conn *fakeConnection) {
 	engine := h.engines[conn.address]
 	head, rest, ok := strings.Cut(string(conn.received), "\r\n\r\n")
@@ -61,11 +64,12 @@
 		length, _ = strconv.Atoi(v)
 	}
 	if len(rest) != length {
-		h.t.Fatalf("two calls at a time on a connection, or a length that is off: %q", conn.received)
+		h.t.Fatalf("two calls at a time on a connection, or a wrong Content-Length: %q", conn.received)
 	}
 	conn.received = nil
-	w := strings.Fields(head)
-	call := &pendingCall{connection: conn, engine: engine, writtenAt: h.now, method: w[0], path: w[1], body: rest}
+	words := strings.Fields(head)
+	call := &pendingCall{connection: conn, engine: engine, writtenAt: h.now, method: words[0], path: words[1],
+		body: rest}
 	if parts := strings.Split(call.path, "/"); len(parts) > 2 {
 		call.id = parts[2]
 		if len(parts) > 3 {
@@ -74,7 +78,7 @@
 	}
 	call.head = head
 	switch {
-	case engine.unresponsive: // it lies in a buffer for ever
+	case engine.unresponsive: // the call stays in a buffer for ever
 	case engine.networkCut:
 		call.delayed = true
 		engine.delayedCalls = append(engine.delayedCalls, call)
@@ -83,7 +87,7 @@
 	}
 }
 
-// arrive takes a call that has arrived whole, perhaps long after it was written.
+// deliverCall processes a call that has arrived completely, perhaps long after it was written.
 func (h *harness) deliverCall(call *pendingCall) {
 	engine, head := call.engine, call.head
 	switch call.method {
@@ -107,21 +111,22 @@
 	}
 }
 
-// heal ends a cut of the network, and delivers the calls that it held up.
+// healNetwork ends a network cut and delivers the calls that it delayed.
 func (h *harness) healNetwork(engine *fakeEngine) {
 	engine.networkCut = false
-	lying := engine.delayedCalls
+	delayed := engine.delayedCalls
 	engine.delayedCalls = nil
-	for _, call := range lying {
+	for _, call := range delayed {
 		h.deliverCall(call)
 	}
 }
 
-func (h *harness) endRun(run *fakeRun, rests bool) {
-	run.ended, run.endedAt, run.keyCoolsDown = true, h.now, rests
+// endRun ends a run; coolsDown requires a pause before its key's next query.
+func (h *harness) endRun(run *fakeRun, coolsDown bool) {
+	run.ended, run.endedAt, run.keyCoolsDown = true, h.now, coolsDown
 }
 
-// checkSubmission checks by the rules what an engine is sent.
+// checkSubmission checks a submission that an engine received against the protocol's rules.
 func (h *harness) checkSubmission(call *pendingCall) {
 	var query *sentQuery
 	for _, other := range h.queries {
@@ -129,24 +134,26 @@
 			query = other
 		}
 	}
-	late := call.delayed || h.now > call.writtenAt // a link may be cut and heal in one instant, with its client gone between
+	// the network may be cut and heal at the same simulated time, with the client gone in between
+	late := call.delayed || h.now > call.writtenAt
 	switch {
 	case query == nil:
-		h.t.Fatalf("submitted what nobody asked for: %s", call.id)
-	case late: // it was right when it was sent; its order is judged below
+		h.t.Fatalf("submission of a query that no client sent: %s", call.id)
+	case late: // valid when it was sent; its order is checked below
 	case query.answer != "" || query.cancelled:
-		h.t.Fatalf("rule 1: submitted after its end: %s", call.id)
+		h.t.Fatalf("rule 1: query %s submitted after it was closed", call.id)
 	case call.engine.state != "SERVING" && h.controller.discovery.lastEvent == h.lastEventNumber:
-		h.t.Fatalf("rule 3: submitted to one %s", call.engine.state)
+		h.t.Fatalf("rule 3: query submitted to an engine that is %s", call.engine.state)
 	case call.engine.runs[call.id] != nil && !call.engine.runs[call.id].ended:
-		h.t.Fatalf("two of one id at one engine: %s", call.id)
+		h.t.Fatalf("two runs of query %s at one engine", call.id)
 	}
-	if q := h.controller.queries[query.id]; q != nil && !late && len(query.runs) >= len(q.attempts) { // nil: given up in this very step
-		h.t.Fatalf("one submission written twice: %s", call.id)
+	// nil: closed within this step
+	if q := h.controller.queries[query.id]; q != nil && !late && len(query.runs) >= len(q.attempts) {
+		h.t.Fatalf("one attempt of query %s written twice", call.id)
 	}
 	for _, run := range query.runs {
 		if query.group == "load" && !run.neverRan {
-			h.t.Fatalf("rule 2: a mutating query sent again: %s", call.id)
+			h.t.Fatalf("rule 2: mutating query %s sent again", call.id)
 		}
 	}
 	for _, other := range h.queries {
@@ -157,39 +164,43 @@
 			continue
 		}
 		if other.answer == "" && !other.cancelled {
-			h.t.Fatalf("rule 5: %s sent before %s is over", query.id, other.id)
+			h.t.Fatalf("rule 5: query %s sent before %s is over", query.id, other.id)
 		}
 		for _, otherRun := range other.runs {
 			if !otherRun.ended || otherRun.keyCoolsDown && h.now < otherRun.endedAt+300*time.Millisecond {
-				h.t.Fatalf("rule 5: %s sent at %v while %s runs or its key rests (%v)", query.id, h.now, other.id, otherRun.endedAt)
+				h.t.Fatalf("rule 5: query %s sent at %v while %s runs or within its key's pause (%v)", query.id, h.now,
+					other.id,
+					otherRun.endedAt)
 			}
 		}
 	}
 	for i := len(h.queries) - 1; h.queries[i] != query; i-- {
-		if other := h.queries[i]; query.group == "load" && other.group == "load" && other.key == query.key && len(other.runs) > 0 {
-			h.t.Fatalf("rule 5: %s arrives after %s, which came later", query.id, other.id)
+		if other := h.queries[i]; query.group == "load" && other.group == "load" && other.key == query.key &&
+			len(other.runs) > 0 {
+			h.t.Fatalf("rule 5: query %s reaches an engine after %s, which came later", query.id, other.id)
 		}
 	}
 	run := &fakeRun{query: query, engine: call.engine, polledAt: h.now}
 	query.runs, call.engine.runs[call.id], call.run = append(query.runs, run), run, run
 }
 
-// news reports whether the engine holds this call until there is news.
+// isLongPoll reports whether the engine holds this call until the run's state changes.
 func (call *pendingCall) isLongPoll() bool {
 	return call.method == "POST" || call.method == "GET" && call.id != "" && call.page == 0
 }
 
-// respond answers a held call in the way that how names.
+// respond answers a pending call in the manner named by how.
 func (h *harness) respond(call *pendingCall, how string) {
 	h.pendingCalls = slices.DeleteFunc(h.pendingCalls, func(x *pendingCall) bool { return x == call })
 	out := func(status int, fields, body string) {
-		h.receive(call.connection, []byte(fmt.Sprintf("HTTP/1.1 %d x\r\n%sContent-Length: %d\r\n\r\n%s", status, fields, len(body), body)))
+		h.receive(call.connection,
+			[]byte(fmt.Sprintf("HTTP/1.1 %d x\r\n%sContent-Length: %d\r\n\r\n%s", status, fields, len(body), body)))
 	}
 	row := func(page int) string { return call.id + "\tof page\t" + strconv.Itoa(page) + "\n" }
 	run := call.run
 	switch {
-	case how == "untaken" && call.method == "POST" && run.query.group == "load":
-		run.unregistered = true // it lies there whole, and nothing is heard of it
+	case how == "unregistered" && call.method == "POST" && run.query.group == "load":
+		run.unregistered = true // received completely, without a response
 	case how == "lost":
 		h.closeConnection(call.connection)
 		h.flush()
@@ -211,20 +222,21 @@
 		}
 		fields := fmt.Sprintf("Chunks: %d\r\nElapsed-Work: 300\r\nHigh-Water: 64\r\n", run.pages)
 		out(200, fields, row(0))
-		if how == "twice" && !call.connection.closed { // a second copy comes a moment later
-			h.receive(call.connection, []byte(fmt.Sprintf("HTTP/1.1 200 x\r\n%sContent-Length: %d\r\n\r\n%s", fields, len(row(0)), row(0))))
+		if how == "twice" && !call.connection.closed { // a duplicate follows shortly after
+			h.receive(call.connection,
+				[]byte(fmt.Sprintf("HTTP/1.1 200 x\r\n%sContent-Length: %d\r\n\r\n%s", fields, len(row(0)), row(0))))
 		}
 	case how == "full":
 		h.endRun(run, false)
 		run.neverRan = true
 		out(503, "X-Not-Run: 1\r\n", "")
-	case how == "busy": // no proof that it did not run
+	case how == "busy": // without proof that the query did not run
 		h.endRun(run, false)
 		out(503, "", "")
 	case how == "error":
 		h.endRun(run, false)
 		out(500, "", "")
-	case how == "cut": // it has run; asked again, the engine has the rest
+	case how == "cut": // the query has run, and polls return its pages
 		h.finishRun(run)
 		out(200, fmt.Sprintf("Chunks: %d\r\n", run.pages), "half a row")
 	case how == "short":
@@ -237,7 +249,7 @@
 	}
 }
 
-// finishRun ends a run with a result, whatever becomes of the response.
+// finishRun ends a run with a result, independently of the response.
 func (h *harness) finishRun(run *fakeRun) {
 	if !run.ended {
 		h.endRun(run, false)
@@ -245,7 +257,7 @@
 	}
 }
 
-// listEngines has the discovery send an event about engines or, for "", a heartbeat.
+// listEngines sends a discovery event that lists engines or, for "", a heartbeat.
 func (h *harness) listEngines(members string) {
 	if members != "" {
 		h.lastEventNumber++
@@ -258,14 +270,15 @@
 	}
 }
 
-// restartEngine ends an engine's process; a new one takes its place, unless dead.
-func (h *harness) restartEngine(engine *fakeEngine, dead bool) {
+// restartEngine ends an engine's process, and starts a new one unless dead.
+func (h *harness) restartEngine(engine *fakeEngine, refuseConnections bool) {
 	for _, id := range slices.Sorted(maps.Keys(engine.runs)) {
 		if !engine.runs[id].ended {
 			h.endRun(engine.runs[id], true)
 		}
 	}
-	engine.runs, engine.refusesConnections, engine.unresponsive, engine.networkCut, engine.delayedCalls = map[string]*fakeRun{}, dead, false, false, nil
+	engine.runs, engine.refusesConnections, engine.unresponsive, engine.networkCut,
+		engine.delayedCalls = map[string]*fakeRun{}, refuseConnections, false, false, nil
 	for _, conn := range h.connections {
 		if conn.address == engine.address && conn.established && !conn.closed {
 			h.closeConnection(conn)
--- a/internal/controller/harness_test.go
+++ b/internal/controller/harness_test.go
@@ -11,10 +11,13 @@
 	"railrelay.dev/railrelay/internal/fleet"
 )
 
+// engineResponseDelay is how long a fake engine holds a long poll, and how long a dial to an unreachable
+// engine takes to fail.
 const engineResponseDelay = 250 * time.Millisecond
 
-// harness is what surrounds a controller: its runner, clients, engines and clock. It checks the rules by
-// what is written; tests, or random choices, say what happens.
+// harness simulates the environment of a controller: its runner, clients, engines, discovery and clock.
+// It checks the protocol's rules on all bytes that the controller writes. Tests or random choices decide
+// which events happen.
 type harness struct {
 	t                  interface{ Fatalf(string, ...any) }
 	controller         *Controller
@@ -31,17 +34,18 @@
 	logLines           []string
 	writeLog           []string
 	maxDescriptors     int
-	statement          string  // statement of the next queries, in place of a select
-	pendingEvents      []Event // that the runner reports next
+	statement          string  // statement of the next queries, "": a SELECT
+	pendingEvents      []Event // reported next by the runner
 
-	// where it has peers
+	// for controllers with peers
 	reports           []fleet.Report
-	rejectReports     bool          // there is no room for reports to the fleet
-	backlogged        bool          // events are marked as such
-	writeDelay        time.Duration // the process stands still for so long between a step and its writes
-	submittedVersions []uint64      // policy versions of submissions, in the order they were written
+	rejectReports     bool          // the fleet has no room for reports
+	backlogged        bool          // events are marked as backlogged
+	writeDelay        time.Duration // how long the process stalls between a step and its writes
+	submittedVersions []uint64      // policy versions of submissions, in write order
 }
 
+// fakeConnection is the far end of a connection, at a client, an engine or the discovery.
 type fakeConnection struct {
 	number                                               int
 	connection                                           *Connection
@@ -54,14 +58,18 @@
 	messageCount                                         int
 }
 
+// defaultSettings returns the settings of two read-only groups and an ordered group of loads, with overrides.
 func defaultSettings(overrides map[string]string) map[string]string {
 	settings := map[string]string{
-		"gateways": "2", "own.number": "0", "groups": "3", "loads": "false,false,true", "waits": "true,true,false",
-		"threads": "1,3,2", "kinds": "std", "locations": "here", "kind.cores": "8", "kind.memory": "16384", "grant.most": "0.4",
-		"may.grant": "true", "may.prioritise": "true", "may.cancel": "true", "may.probe": "true", "may.copy": "true",
-		"may.name-return": "true", "return.most": "500", "submissions.most": "3", "note.period": "2000", "tick": "5",
-		"memory.short": "swap", "drain.grace": "1000", "report.how": "probed", "cold.from": "0.33", "answers.cost": "true",
-		"cold.span": "15000", "cold.multiple": "3", "cold.window": "1000", "key.rest": "300", "list.how": "pushed",
+		"gateways": "2", "own.number": "0", "groups": "3", "threads": "1,3,2",
+		"loads": "false,false,true", "waits": "true,true,false",
+		"kinds": "std", "kind.cores": "8", "kind.memory": "16384", "locations": "here",
+		"may.grant": "true", "may.prioritise": "true", "may.cancel": "true", "may.probe": "true",
+		"may.copy": "true", "may.name-return": "true",
+		"grant.most": "0.4", "return.most": "500", "submissions.most": "3", "memory.short": "swap",
+		"note.period": "2000", "tick": "5", "drain.grace": "1000", "key.rest": "300",
+		"report.how": "probed", "list.how": "pushed", "answers.cost": "true",
+		"cold.from": "0.33", "cold.span": "15000", "cold.multiple": "3", "cold.window": "1000",
 		"connect.timeout": "250", "idle.most": "15000",
 	}
 	for i, name := range []string{"lookup", "report", "load"} {
@@ -75,20 +83,26 @@
 	return settings
 }
 
-func newHarness(t interface{ Fatalf(string, ...any) }, engines, sockets int, overrides map[string]string, options ...func(*Config)) *harness {
-	h := &harness{t: t, timerAt: -1, engines: map[string]*fakeEngine{}, discoveryReachable: true, maxDescriptors: sockets}
+// newHarness starts a controller with a number of engines and descriptors.
+func newHarness(t interface{ Fatalf(string, ...any) }, engines, descriptors int, overrides map[string]string,
+	options ...func(*Config)) *harness {
+	h := &harness{t: t, timerAt: -1, engines: map[string]*fakeEngine{}, discoveryReachable: true,
+		maxDescriptors: descriptors}
 	var members []string
 	for i := range engines {
 		sites := strings.Split(defaultSettings(overrides)["locations"], ",")
-		engine := &fakeEngine{id: "e" + strconv.Itoa(i), address: "10.0.0." + strconv.Itoa(i) + ":1", state: "SERVING", runs: map[string]*fakeRun{},
+		engine := &fakeEngine{id: "e" + strconv.Itoa(i), address: "10.0.0." + strconv.Itoa(i) + ":1",
+			state: "SERVING", runs: map[string]*fakeRun{},
 			site: sites[i%len(sites)]}
 		h.engines[engine.address] = engine
 		members = append(members, engine.endpointJSON(0))
 	}
 	h.lastEventNumber = 1
 	var effects []Effect
-	config := Config{Seed: 7, MemoryMB: 64, MaxDescriptors: sockets, DiscoveryAddress: "feed", Settings: defaultSettings(overrides),
-		InitialEndpoints: []byte(`{"n":1,"events":[{"n":1,"members":{"complete":true,"members":[` + strings.Join(members, ",") + `]}}]}`)}
+	config := Config{Seed: 7, MemoryMB: 64, MaxDescriptors: descriptors, DiscoveryAddress: "feed",
+		Settings: defaultSettings(overrides),
+		InitialEndpoints: []byte(`{"n":1,"events":[{"n":1,"members":{"complete":true,"members":[` +
+			strings.Join(members, ",") + `]}}]}`)}
 	for _, change := range options {
 		change(&config)
 	}
@@ -98,17 +112,20 @@
 	return h
 }
 
-// sortedEngines are the engines by address.
+// sortedEngines returns the engines in the order of their addresses.
 func (h *harness) sortedEngines() []*fakeEngine {
-	return slices.SortedFunc(maps.Values(h.engines), func(a, b *fakeEngine) int { return strings.Compare(a.address, b.address) })
+	return slices.SortedFunc(maps.Values(h.engines),
+		func(a, b *fakeEngine) int { return strings.Compare(a.address, b.address) })
 }
 
+// step passes an event to the controller and performs the effects.
 func (h *harness) step(event Event) {
 	event.Backlogged = h.backlogged
 	h.perform(h.controller.Step(h.now, event))
 	h.flush()
 }
 
+// flush steps the events that the runner still has to report.
 func (h *harness) flush() {
 	for len(h.pendingEvents) > 0 {
 		event := h.pendingEvents[0]
@@ -132,7 +149,8 @@
 		conn := h.findConnection(effect.Connection)
 		switch effect.Kind {
 		case Dial:
-			conn = &fakeConnection{number: len(h.connections), connection: effect.Connection, address: effect.Address, dialledAt: h.now}
+			conn = &fakeConnection{number: len(h.connections), connection: effect.Connection,
+				address: effect.Address, dialledAt: h.now}
 			h.connections = append(h.connections, conn)
 			if effect.Address == "feed" {
 				h.discovery = conn
@@ -144,14 +162,14 @@
 				}
 			}
 			if open > h.maxDescriptors {
-				h.t.Fatalf("%d descriptors of %d", open, h.maxDescriptors)
+				h.t.Fatalf("%d descriptors in use, the limit is %d", open, h.maxDescriptors)
 			}
 		case Write:
 			h.writeLog = append(h.writeLog, fmt.Sprintf("%v %d %q", h.now, conn.number, effect.Bytes))
 			if conn.closedByController {
-				h.t.Fatalf("written to a closed link")
+				h.t.Fatalf("write to a connection that the controller closed")
 			}
-			if conn.dropsWrites || conn.closed { // its end is on the way
+			if conn.dropsWrites || conn.closed { // the end of the connection is already pending
 				break
 			}
 			if !effect.Permit.ValidAt(h.now+h.writeDelay) || effect.PolicyVersion != 0 && !h.mayGo(effect) {
@@ -159,7 +177,8 @@
 				h.closeConnection(conn)
 				break
 			}
-			h.pendingEvents = append(h.pendingEvents, Event{Kind: BytesWritten, Connection: effect.Connection, ByteCount: len(effect.Bytes)})
+			h.pendingEvents = append(h.pendingEvents, Event{Kind: BytesWritten, Connection: effect.Connection,
+				ByteCount: len(effect.Bytes)})
 			if conn.isClient {
 				h.checkAnswer(conn, effect.Bytes)
 			} else if conn.address != "feed" {
@@ -169,8 +188,10 @@
 		case Close:
 			h.writeLog = append(h.writeLog, fmt.Sprintf("%v %d close", h.now, conn.number))
 			conn.closedByController, conn.aborted = true, effect.Abort
-			if engine := h.engines[conn.address]; engine != nil && effect.Abort { // else the kernel goes on sending it
-				engine.delayedCalls = slices.DeleteFunc(engine.delayedCalls, func(call *pendingCall) bool { return call.connection == conn })
+			// without Abort the kernel would keep sending
+			if engine := h.engines[conn.address]; engine != nil && effect.Abort {
+				engine.delayedCalls = slices.DeleteFunc(engine.delayedCalls,
+					func(call *pendingCall) bool { return call.connection == conn })
 			}
 			if conn.established {
 				h.closeConnection(conn)
@@ -194,22 +215,24 @@
 	}
 }
 
-// closeConnection ends a connection, whichever side closed it.
+// closeConnection ends a connection, closed by either side.
 func (h *harness) closeConnection(conn *fakeConnection) {
 	if !conn.closed {
 		conn.closed = true
-		h.pendingCalls = slices.DeleteFunc(h.pendingCalls, func(call *pendingCall) bool { return call.connection == conn })
+		h.pendingCalls = slices.DeleteFunc(h.pendingCalls,
+			func(call *pendingCall) bool { return call.connection == conn })
 		h.pendingEvents = append(h.pendingEvents, Event{Kind: ConnectionClosed, Connection: conn.connection})
 	}
 }
 
-// runUntil lets time pass, with the timers that come due, healthy engines' responses to polls, and dials.
-func (h *harness) runUntil(t time.Duration) {
+// runUntil advances the clock. It fires due timers, completes dials and lets healthy engines respond to
+// polls.
+func (h *harness) runUntil(deadline time.Duration) {
 	for !h.exited {
-		next, what := t, func() {}
+		next, action := deadline, func() {}
 		soonest := func(at time.Duration, do func()) {
 			if at < next {
-				next, what = max(at, h.now), do
+				next, action = max(at, h.now), do
 			}
 		}
 		if h.timerAt >= 0 {
@@ -236,12 +259,12 @@
 				}
 			}
 		}
-		if what != nil && next >= t {
-			h.now = t
+		if action != nil && next >= deadline {
+			h.now = deadline
 			break
 		}
 		h.now = next
-		what()
+		action()
 		h.checkDeadlines()
 	}
 	h.checkDeadlines()
@@ -265,10 +288,11 @@
 	}
 }
 
+// checkDeadlines fails the test if a query is unanswered 20 ms after its deadline.
 func (h *harness) checkDeadlines() {
 	for _, query := range h.queries {
 		if query.answer == "" && !query.cancelled && h.now > query.deadline+20*time.Millisecond {
-			h.t.Fatalf("rule 1: no answer to %s in time", query.id)
+			h.t.Fatalf("rule 1: query %s not answered by its deadline", query.id)
 		}
 	}
 }
@@ -282,14 +306,14 @@
 	return n
 }
 
-// runRandom has choices say what happens, and then shuts down.
+// runRandom performs the events that choices encode, and then shuts the controller down.
 func (h *harness) runRandom(choices []uint16) {
 	h.randomEvents(choices)
 	h.runUntil(h.now + 12*time.Second)
 	h.step(Event{Kind: ShutdownRequested})
 	h.runUntil(h.now + 6*time.Second)
 	if !h.exited {
-		h.t.Fatalf("it does not end: %d queries open", len(h.controller.queries))
+		h.t.Fatalf("the controller does not exit: %d queries open", len(h.controller.queries))
 	}
 }
 
@@ -309,7 +333,8 @@
 			h.sendQuery(conn, group, "k"+strconv.Itoa(x/8%2), time.Duration(400+x%5000)*time.Millisecond, x/16%3)
 		case kind < 9:
 			if len(h.pendingCalls) > 0 && !h.pendingCalls[x%len(h.pendingCalls)].engine.networkCut {
-				h.respond(h.pendingCalls[x%len(h.pendingCalls)], []string{"ok", "ok", "runs", "stuck", "full", "busy", "error", "cut", "lost", "garbled", "short", "twice", "untaken"}[x/64%13])
+				h.respond(h.pendingCalls[x%len(h.pendingCalls)], []string{"ok", "ok", "runs", "stuck", "full", "busy",
+					"error", "cut", "lost", "garbled", "short", "twice", "unregistered"}[x/64%13])
 			}
 		case kind < 13:
 			h.runUntil(h.now + time.Duration(x%500)*time.Millisecond)
@@ -326,7 +351,7 @@
 			h.restartEngine(engine, x/7%2 == 0)
 		case x%7 == 3:
 			engine.unresponsive = !engine.unresponsive
-			if !engine.unresponsive { // a machine comes back with nothing
+			if !engine.unresponsive { // the machine returns without its queries
 				h.restartEngine(engine, false)
 			}
 		case x%7 == 4:
@@ -335,7 +360,7 @@
 				h.closeConnection(h.discovery)
 				h.flush()
 			}
-		case x%7 == 5: // its table of connections is full, or has room again
+		case x%7 == 5: // the engine accepts no more connections, or does again
 			engine.refusesConnections = !engine.refusesConnections
 		case engine.networkCut:
 			h.healNetwork(engine)
@@ -347,7 +372,7 @@
 	}
 }
 
-// waitForCall returns the held call of a query, letting time pass until there is one.
+// waitForCall returns the pending call of a query with a method, and advances the clock until there is one.
 func (h *harness) waitForCall(method, id string) *pendingCall {
 	for range 1000 {
 		for _, call := range h.pendingCalls {
@@ -357,6 +382,6 @@
 		}
 		h.runUntil(h.now + time.Millisecond)
 	}
-	h.t.Fatalf("no %s of %s", method, id)
+	h.t.Fatalf("no %s for query %s", method, id)
 	return nil
 }
--- a/internal/controller/key_order_test.go
+++ b/internal/controller/key_order_test.go
@@ -5,11 +5,11 @@
 	"time"
 )
 
-// A client writes a key's queries 60 ms apart, and holds back those that come faster: the tenth of a
-// burst may have waited for half a second as we read it, and its time is over that much sooner. It is
-// answered by then; one that comes by itself has all of its time, but for what clients hold back the
-// second of a key whose first went elsewhere.
-func TestDeadlineCountsTheWaitOfAKeysQueriesAtTheirClient(t *testing.T) {
+// A client sends the queries of a key 60 ms apart and holds faster ones back. The tenth query of a burst may
+// have waited half a second at the client when the controller reads it, so its deadline is that much earlier.
+// A single query keeps its whole timeout, except for the time that a client holds back the second query of a
+// key whose first went to another controller.
+func TestDeadlineCountsWaitAtClient(t *testing.T) {
 	h := newHarness(t, 1, 256, map[string]string{"may.probe": "false", "group.2.stretch": "100"})
 	conn := h.connect()
 	h.runUntil(time.Second)
@@ -21,20 +21,20 @@
 	}
 	q := h.controller.queries[last.id]
 	if q == nil || q.deadline != from+25*time.Second+keyDeadlineSlack-firstKeySpacing {
-		t.Fatalf("%+v, and not until %v", q, from+25*time.Second+keyDeadlineSlack-firstKeySpacing)
+		t.Fatalf("query %+v, want the deadline %v", q, from+25*time.Second+keyDeadlineSlack-firstKeySpacing)
 	}
 	alone := h.sendQuery(conn, "load", "other", 25*time.Second, 30)
 	if d := h.controller.queries[alone.id].deadline; d != h.now+25*time.Second-firstKeySpacing {
-		t.Fatalf("one by itself has until %v", d-h.now)
+		t.Fatalf("single query has a deadline in %v", d-h.now)
 	}
 	if h.runUntil(q.deadline); last.answer == "" {
-		t.Fatal("unanswered by then")
+		t.Fatal("query not answered by its deadline")
 	}
 }
 
-// A client that took back some of what it held back leaves their turns empty, and writes on at whole
-// numbers of turns; what comes at any other time after a pause is held to have come by itself.
-func TestBurstGoesOnOverEmptyTurns(t *testing.T) {
+// A client that cancels queries which it holds back leaves their send slots unused, and sends the next query
+// a whole number of slots later. A query that arrives at any other time after a pause starts a new burst.
+func TestBurstContinuesOverUnusedSlots(t *testing.T) {
 	k := &orderKey{}
 	at := 3 * time.Second
 	first := at
@@ -42,13 +42,13 @@
 	for _, gap := range []time.Duration{60, 60, 120, 59, 181, 240, 60, 1499} {
 		at += gap * time.Millisecond
 		if since := k.recordArrival(at, 2*time.Second); since != first {
-			t.Fatalf("after %v held to have waited since %v, not %v", gap, since, first)
+			t.Fatalf("after a gap of %v: waiting since %v, want %v", gap, since, first)
 		}
 	}
 	for _, gap := range []time.Duration{330, 9000} {
 		at += gap * time.Millisecond
 		if since := k.recordArrival(at, 2*time.Second); since != at {
-			t.Fatalf("after %v held to have waited since %v, at %v", gap, since, at)
+			t.Fatalf("after a gap of %v: waiting since %v, want %v", gap, since, at)
 		}
 	}
 }
