--- a/internal/controller/attempt_test.go
+++ b/internal/controller/attempt_test.go
@@ -153,7 +153,7 @@
 // An unsent attempt ends together with its query, even if engines take no cancellations: otherwise the next
 // query of the key would wait for a dial that may take long.
 func TestUnsentAttemptEndsWithItsQuery(t *testing.T) {
-	for _, cause := range []string{"cancelled", "deadline"} {
+	for _, cause := range []string{"left", "deadline"} {
 		h := newHarness(t, 2, 256, map[string]string{"may.probe": "false", "may.cancel": "false",
 			"connect.timeout": "4000"})
 		h.runUntil(10 * time.Millisecond)
@@ -166,7 +166,7 @@
 		if h.controller.pool.open == 0 {
 			t.Fatal("no connection is being dialled, so the test proves nothing")
 		}
-		if cause == "cancelled" {
+		if cause == "left" {
 			h.cancel(query)
 		} else {
 			h.runUntil(query.deadline)
--- a/internal/controller/controller_test.go
+++ b/internal/controller/controller_test.go
@@ -18,18 +18,19 @@
 	rapidtest.Main(m, rapidtest.Config{Seed: 20261201, Checks: 1000, Shrink: 5 * time.Second})
 }
 
+// Random events keep the rules that the harness checks, and equal events lead to equal effects.
 func TestRulesHoldUnderRandomEvents(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		choices := rapid.SliceOfN(rapid.Uint16(), 120, 250).Draw(t, "choices")
-		sockets := rapid.SampledFrom([]int{64, 28, 1024}).Draw(t, "sockets")
+		descriptors := rapid.SampledFrom([]int{64, 28, 1024}).Draw(t, "sockets")
 		var logs [2][]string
 		for i := range logs {
-			h := newHarness(t, 3, sockets, nil)
+			h := newHarness(t, 3, descriptors, nil)
 			h.runRandom(choices)
 			logs[i] = h.writeLog
 		}
 		if !slices.Equal(logs[0], logs[1]) {
-			t.Fatalf("the same events, other effects")
+			t.Fatalf("the same events led to different effects")
 		}
 	})
 }
@@ -41,18 +42,18 @@
 		h.sendQuery(conn, "load", "k", 20*time.Second, 2)
 	h.respond(h.waitForCall("POST", first.id), "runs")
 	call := h.waitForCall("GET", first.id)
-	call.engine.unresponsive = true // cut off: what it has is still at work there
+	call.engine.unresponsive = true // unreachable, but still running the query
 	h.runUntil(first.deadline)
 	if first.answer != "killed" {
-		t.Fatalf("%q at its client's end", first.answer)
+		t.Fatalf("answer %q at the deadline, want killed", first.answer)
 	}
 	h.runUntil(call.writtenAt + engineResponseDelay + 1990*time.Millisecond)
 	if len(next.runs) > 0 {
-		t.Fatal("sent while the first may still run")
+		t.Fatal("next query sent while the first may still run")
 	}
-	h.runUntil(h.now + 1500*time.Millisecond) // posted checks the rest
+	h.runUntil(h.now + 1500*time.Millisecond) // checkSubmission checks the order
 	if len(next.runs) != 1 {
-		t.Fatal("the key is stuck")
+		t.Fatal("next query of the key not sent")
 	}
 }
 
@@ -63,14 +64,14 @@
 		h.sendQuery(conn, "load", "k", 20*time.Second, 2)
 	h.respond(h.waitForCall("POST", first.id), "runs")
 	call := h.waitForCall("GET", first.id)
-	h.restartEngine(call.engine, false) // the new process knows nothing of it, and answers 500
+	h.restartEngine(call.engine, false) // the new process does not know the query, and answers 500
 	h.runUntil(h.now + 290*time.Millisecond)
 	if len(next.runs) > 0 {
-		t.Fatal("an error that may be a restart lets the key go at once")
+		t.Fatal("next query sent at once after an error that may mean a restart")
 	}
 	h.runUntil(h.now + time.Second)
 	if first.answer != "killed" || len(next.runs) != 1 {
-		t.Fatalf("%q, %d", first.answer, len(next.runs))
+		t.Fatalf("first query %q, next query sent %d times", first.answer, len(next.runs))
 	}
 }
 
@@ -79,22 +80,22 @@
 	conn := h.connect()
 	first := h.sendQuery(conn, "load", "k", 20*time.Second, 1)
 	call := h.waitForCall("POST", first.id)
-	for i := range 6 { // so that there are other connections
+	for i := range 6 { // opens more connections
 		h.sendQuery(conn, "load", "x"+strconv.Itoa(i), 20*time.Second, 10+i)
 	}
 	h.runUntil(h.now + 100*time.Millisecond)
 	next := h.sendQuery(conn, "load", "k", 20*time.Second, 2)
-	call.engine.refusesConnections = true // full
+	call.engine.refusesConnections = true // at its connection limit
 	h.closeConnection(call.connection)
 	h.flush()
 	h.runUntil(h.now + 2*time.Second)
 	if first.answer != "" || len(next.runs) > 0 {
-		t.Fatal("taken for dead: ", first.answer)
+		t.Fatal("a refused dial was taken for the end of the engine: ", first.answer)
 	}
 	call.engine.unresponsive = true
-	h.runUntil(h.now + 4*time.Second) // posted checks the rest
+	h.runUntil(h.now + 4*time.Second) // checkSubmission checks the order
 	if first.answer != "killed" || len(next.runs) != 1 {
-		t.Fatalf("%q, %d", first.answer, len(next.runs))
+		t.Fatalf("first query %q, next query sent %d times", first.answer, len(next.runs))
 	}
 }
 
@@ -103,19 +104,19 @@
 	query := h.sendQuery(h.connect(), "lookup", "", 20*time.Second, 1)
 	h.respond(h.waitForCall("POST", query.id), "runs")
 	call := h.waitForCall("GET", query.id)
-	// as the decisions do when they move it
+	// as the scheduler does when it moves a query
 	h.controller.enqueueCallback(func() { h.controller.CancelAttempt(query.id, 0) })
 	h.step(Event{Kind: TimerFired})
 	if len(query.runs) != 1 || len(h.controller.queries[query.id].attempts) != 2 {
-		t.Fatal("sent again while the first is being given up there")
+		t.Fatal("sent again while the first attempt is being cancelled at the engine")
 	}
 	h.respond(h.waitForCall("DELETE", query.id), "")
 	h.respond(h.waitForCall("POST", query.id), "runs")
 	if len(query.runs) != 2 {
-		t.Fatal("not sent again")
+		t.Fatal("second attempt not sent")
 	}
 	if slices.Contains(h.pendingCalls, call) {
-		h.respond(call, "error") // the first one's late answer
+		h.respond(call, "error") // the late response to the first attempt
 	}
 	h.respond(h.waitForCall("GET", query.id), "ok")
 	h.runUntil(h.now + 300*time.Millisecond)
@@ -125,14 +126,14 @@
 }
 
 func TestUnwrittenAttemptCountsAsNeverSent(t *testing.T) {
-	for _, none := range []bool{true, false} {
+	for _, unwritten := range []bool{true, false} {
 		h := newHarness(t, 1, 256, nil)
 		conn := h.connect()
 		warm := h.sendQuery(conn, "lookup", "", 5*time.Second, 1)
 		h.respond(h.waitForCall("POST", warm.id), "ok")
 		h.runUntil(h.now + 50*time.Millisecond)
-		for _, conn := range h.connections { // what is idle now dies as the next call comes
-			conn.dropsWrites = none && conn.address == "10.0.0.0:1"
+		for _, conn := range h.connections { // idle connections close when the next call is written
+			conn.dropsWrites = unwritten && conn.address == "10.0.0.0:1"
 		}
 		query := h.sendQuery(conn, "load", "k", 5*time.Second, 2)
 		for _, conn := range h.connections {
@@ -142,17 +143,18 @@
 		}
 		h.flush()
 		h.runUntil(h.now + 2*time.Second)
-		if none != (len(query.runs) == 1 && h.controller.counters.attemptEnds[7] == 1) && none {
-			t.Fatalf("not sent once more: %d, %v", len(query.runs), h.controller.counters.attemptEnds)
+		if unwritten != (len(query.runs) == 1 && h.controller.counters.attemptEnds[7] == 1) && unwritten {
+			t.Fatalf("not sent exactly once more: %d runs, attempt ends %v", len(query.runs),
+				h.controller.counters.attemptEnds)
 		}
-		if !none && h.controller.counters.attemptEnds[7] > 0 {
-			t.Fatal("what was written passes for never sent")
+		if !unwritten && h.controller.counters.attemptEnds[7] > 0 {
+			t.Fatal("a written attempt counts as never sent")
 		}
 	}
 }
 
 func TestPollsShareConnections(t *testing.T) {
-	h := newHarness(t, 2, 32, nil) // a pool of few
+	h := newHarness(t, 2, 32, nil) // a small connection pool
 	conn := h.connect()
 	var all []*sentQuery
 	for i := range 16 {
@@ -161,16 +163,16 @@
 	h.runUntil(h.now + 6*time.Second)
 	for _, query := range all {
 		if len(query.runs) == 0 {
-			t.Fatal("not sent: ", query.id)
+			t.Fatal("query not sent: ", query.id)
 		}
 		for _, run := range query.runs {
 			if run.ended && run.keyCoolsDown {
-				t.Fatal("it went unasked for: ", query.id)
+				t.Fatal("query dropped by its engine for lack of polls: ", query.id)
 			}
 		}
 	}
 	if h.controller.counters.queuedCalls == 0 {
-		t.Fatal("there was no shortage")
+		t.Fatal("no call was queued, so the test proves nothing")
 	}
 }
 
@@ -180,12 +182,12 @@
 	k.release(a, 10)
 	k.forgetIdle(10)
 	if k.acquire("a") != a || a.number == b.number || a.number < 0 {
-		t.Fatal("a key that has not rested lost its number")
+		t.Fatal("a key that is not idle long enough lost its number")
 	}
 	k.release(a, 20)
 	k.forgetIdle(21)
 	if c := k.acquire("c"); c.number != a.number || len(k.byName) != 2 {
-		t.Fatal("a key at rest keeps its number")
+		t.Fatal("the number of an idle key is not reused")
 	}
 }
 
@@ -199,8 +201,8 @@
 		t.Fatal(h.writeLog)
 	}
 	h.runUntil(h.now + 1500*time.Millisecond)
-	if call := h.waitForCall("PUT", query.id); call.body != "0" { // its target runtime has passed
-		t.Fatalf("%q", call.body)
+	if call := h.waitForCall("PUT", query.id); call.body != "0" { // its latency objective has passed
+		t.Fatalf("priority %q sent, want 0", call.body)
 	}
 }
 
@@ -211,11 +213,11 @@
 	query := h.sendQuery(conn, "lookup", "", 3*time.Second, 1)
 	h.runUntil(h.now + 20*time.Millisecond)
 	if h.controller.counters.healthChecks == 0 || h.controller.counters.attempts > 0 {
-		t.Fatal("not looked at first: ", h.controller.counters.format(h.controller))
+		t.Fatal("no health check before the first attempt: ", h.controller.counters.format(h.controller))
 	}
 	h.runUntil(h.now + 4*time.Second)
 	if len(query.runs) > 0 || query.answer != "deferred" || h.controller.counters.attemptEnds[0] > 0 {
-		t.Fatalf("%q after %d", query.answer, len(query.runs))
+		t.Fatalf("answer %q after %d runs, want deferred", query.answer, len(query.runs))
 	}
 }
 
@@ -225,11 +227,11 @@
 	h.respond(h.waitForCall("POST", query.id), "ok")
 	h.runUntil(h.now + 100*time.Millisecond)
 	if h.controller.pool.open == 0 {
-		t.Fatal("none is kept for the next call")
+		t.Fatal("no connection is kept for the next call")
 	}
 	h.runUntil(h.now + 14*time.Second)
 	if h.controller.pool.open > 0 {
-		t.Fatal("kept for as long as the engine keeps it")
+		t.Fatal("connection not closed before the engine's idle timeout")
 	}
 }
 
@@ -244,7 +246,7 @@
 		h.respond(call, how)
 		h.runUntil(h.now + responseTimeout + 100*time.Millisecond)
 		if query.answer != "finished" || len(query.runs) != 1 || h.controller.counters.attemptEnds[0] != 1 {
-			t.Fatalf("%s: %q, %s", how, query.answer, h.controller.counters.format(h.controller))
+			t.Fatalf("%s: answer %q, %s", how, query.answer, h.controller.counters.format(h.controller))
 		}
 	}
 }
@@ -257,13 +259,13 @@
 	h.finishRun(call.run)
 	call.run.pages = 1
 	h.respond(call, "ok")
-	other := h.sendQuery(conn, "lookup", "", 5*time.Second, 1) // in the same moment
+	other := h.sendQuery(conn, "lookup", "", 5*time.Second, 1) // at the same moment
 	if h.waitForCall("POST", other.id).connection == call.connection {
-		t.Fatal("on the line whose answer may have a second copy behind it")
+		t.Fatal("query sent on a connection that may still deliver a duplicate response")
 	}
 	h.receive(call.connection, []byte("HTTP/1.1 200 x\r\nChunks: 1\r\nContent-Length: 0\r\n\r\n"))
 	if !call.connection.closed || query.answer != "finished" || other.answer != "" {
-		t.Fatalf("%v %q %q", call.connection.closed, query.answer, other.answer)
+		t.Fatalf("connection closed %v, answers %q and %q", call.connection.closed, query.answer, other.answer)
 	}
 }
 
@@ -279,15 +281,15 @@
 	h.listEngines(next.endpointJSON(0))
 	h.runUntil(h.now + 300*time.Millisecond)
 	if len(query.runs) != 2 || query.runs[1].engine != next {
-		t.Fatal("not sent to the new one: ", len(query.runs))
+		t.Fatal("query not sent to the new engine, runs: ", len(query.runs))
 	}
-	for _, l := range h.writeLog {
-		if strings.Contains(l, "DELETE") {
-			t.Fatal("the new one was told to end what the old one had: ", l)
+	for _, line := range h.writeLog {
+		if strings.Contains(line, "DELETE") {
+			t.Fatal("cancellation for the old engine sent to the new one: ", line)
 		}
 	}
 	if h.controller.engines["e0"].address != "" {
-		t.Fatal("the old one is thought to be there still")
+		t.Fatal("the old engine still has its address")
 	}
 }
 
@@ -300,7 +302,7 @@
 			len(h.controller.clients), h.controller.statementBytes, h.controller.scheduler.EntryCount()}
 	}
 	var early [6]int
-	for i := range 1500 { // each engine serves a few, then another takes its place and its address
+	for i := range 1500 { // each engine serves a few queries, then another one takes its address
 		engine := &fakeEngine{id: "n" + strconv.Itoa(i), address: "10.0.1." + strconv.Itoa(i%3) + ":1",
 			state: "SERVING", runs: map[string]*fakeRun{}}
 		if old := h.engines[engine.address]; old != nil {
@@ -333,30 +335,30 @@
 	late := sizes()
 	for i := range late {
 		if late[i] > early[i]*5/4+8 {
-			t.Fatalf("grows: %v, then %v", early, late)
+			t.Fatalf("state grows: %v, then %v", early, late)
 		}
 	}
 	if h.controller.counters.finished < 1000 {
-		t.Fatal("finished only ", h.controller.counters.finished)
+		t.Fatal("too few finished queries: ", h.controller.counters.finished)
 	}
 }
 
 func TestPanicCostsOneConnection(t *testing.T) {
 	if invariant.Debug {
-		t.Skip("a debug build stops at once")
+		t.Skip("a debug build does not recover from a panic")
 	}
 	h := newHarness(t, 1, 256, nil)
 	conn, other := h.connect(), h.connect()
-	conn.connection.onBytes = func() { panic("of ours") }
+	conn.connection.onBytes = func() { panic("planned panic") }
 	h.receive(conn, []byte{0x94})
-	if !conn.closed || other.closed || !strings.Contains(strings.Join(h.logLines, ""), "of ours") {
+	if !conn.closed || other.closed || !strings.Contains(strings.Join(h.logLines, ""), "planned panic") {
 		t.Fatal(h.logLines)
 	}
 	query := h.sendQuery(other, "lookup", "", 5*time.Second, 1)
 	h.respond(h.waitForCall("POST", query.id), "ok")
 	h.runUntil(h.now + 400*time.Millisecond)
 	if query.answer != "finished" {
-		t.Fatal("the others were not served: ", query.answer)
+		t.Fatal("query on another connection not finished: ", query.answer)
 	}
 }
 
@@ -365,7 +367,7 @@
 	h.runUntil(h.now + 10*time.Millisecond)
 	before := h.controller.timers.Len() + h.controller.scheduler.EntryCount()
 	conn := h.connect()
-	for range 200 { // asked and taken back, each with a long queue timeout
+	for range 200 { // sent and cancelled, each with a long timeout
 		query := h.sendQuery(conn, "lookup", "", 30*time.Second, 1)
 		h.runUntil(h.now + 10*time.Millisecond)
 		h.cancel(query)
@@ -375,16 +377,15 @@
 	}
 	h.runUntil(h.now + 3*time.Second)
 	if after := h.controller.timers.Len() + h.controller.scheduler.EntryCount(); after > before+30 {
-		t.Fatalf("%d, then %d", before, after)
+		t.Fatalf("%d timers and scheduler entries, then %d", before, after)
 	}
 }
 
-// A call that starts a query may have come whole to a machine that has not taken
-// it up: asked on another connection the engine doesn't know it, which is no end.
-// On split+mass the next of its key went out 300 ms after such an error, while
-// the first was still to be run.
+// A submission may have arrived at a machine that has not taken it up yet. A poll on another connection then
+// finds no such query, which does not prove that the query is over. The next query of the key was once sent
+// 300 ms after such an error, while the first was still to run.
 func TestUnknownAtEngineIsNoProofOfEnd(t *testing.T) {
-	for _, lose := range []string{"reset", "mute"} {
+	for _, loss := range []string{"reset", "mute"} {
 		h := newHarness(t, 1, 96, nil)
 		conn := h.connect()
 		query := h.sendQuery(conn, "load", "k", 9*time.Second, 0)
@@ -392,50 +393,52 @@
 		h.runUntil(h.now + 5*time.Millisecond)
 		call := h.waitForCall("POST", query.id)
 		call.run.unregistered = true
-		if lose == "reset" {
+		if loss == "reset" {
 			h.respond(call, "lost")
 		} else {
-			h.pendingCalls = nil // nothing is ever heard of it
+			h.pendingCalls = nil // the call is never answered
 		}
-		if h.runUntil(h.now + 500*time.Millisecond); lose == "mute" && !call.connection.aborted {
-			t.Fatal("what starts it may still arrive once the link heals")
+		if h.runUntil(h.now + 500*time.Millisecond); loss == "mute" && !call.connection.aborted {
+			t.Fatal("connection not aborted: the submission may still arrive")
 		}
-		if h.runUntil(h.now + 4*time.Second); query.answer != "killed" { // posted checks the order
-			t.Fatalf("%s: the first: %q", lose, query.answer)
+		if h.runUntil(h.now + 4*time.Second); query.answer != "killed" { // checkSubmission checks the order
+			t.Fatalf("%s: first query: answer %q, want killed", loss, query.answer)
 		}
 		if len(h.queries[1].runs) == 0 || !query.runs[0].ended {
-			t.Fatalf("%s: the second has to follow once the first was given up", lose)
+			t.Fatalf("%s: second query not sent after the first was cancelled", loss)
 		}
 	}
 }
 
-// Each look dialled twice, once for itself and once for what it let go there: three
-// hundred controllers made a connection a query. A copy of the look's answer that
-// comes late fits no other call, and costs no more than asking once more.
+// A health check and the query that follows it use one connection. With one dial each, three hundred
+// controllers opened a connection per query. A late duplicate of the health check's response fits no other
+// call, and costs one repeated poll at most.
 func TestConnectionOfHealthCheckCarriesQuery(t *testing.T) {
 	h := newHarness(t, 1, 256, nil)
 	query := h.sendQuery(h.connect(), "lookup", "", 5*time.Second, 1)
 	call := h.waitForCall("POST", query.id)
 	if h.controller.counters.healthChecks != 1 || h.controller.counters.dials != 1 {
-		t.Fatalf("%d looks, %d connections", h.controller.counters.healthChecks, h.controller.counters.dials)
+		t.Fatalf("%d health checks, %d dials, want 1 of each", h.controller.counters.healthChecks,
+			h.controller.counters.dials)
 	}
-	h.pendingCalls = nil // answered behind the copy, on a connection that is then gone
+	h.pendingCalls = nil // the response would follow the duplicate, on a connection that is closed by then
 	h.receive(call.connection,
 		[]byte("HTTP/1.1 200 x\r\nX-Load: inflight:3;util:0.5\r\nContent-Length: 0\r\n\r\n"))
 	if !call.connection.closed || query.answer != "" {
-		t.Fatalf("%v %q", call.connection.closed, query.answer)
+		t.Fatalf("connection closed %v, answer %q", call.connection.closed, query.answer)
 	}
 	h.finishRun(call.run)
 	if h.runUntil(h.now + 500*time.Millisecond); query.answer != "finished" || len(query.runs) != 1 {
-		t.Fatalf("%q after %d", query.answer, len(query.runs))
+		t.Fatalf("answer %q after %d runs, want finished after 1", query.answer, len(query.runs))
 	}
 }
 
-// What was written into a cut must not arrive when it heals: its key has gone on.
+// A call written during a network cut must not arrive after the cut: by then the next query of its key may
+// run.
 func TestCutConnectionDeliversNothingLater(t *testing.T) {
 	h := newHarness(t, 2, 96, map[string]string{"may.probe": "false"})
 	conn := h.connect()
-	for range 8 { // so that there are lines to both
+	for range 8 { // opens connections to both engines
 		h.runUntil(h.now + 20*time.Millisecond)
 		h.sendQuery(conn, "lookup", "", 2*time.Second, 3)
 	}
@@ -445,33 +448,33 @@
 	}
 	first := h.sendQuery(conn, "load", "k", 20*time.Second, 1)
 	h.runUntil(h.now + 60*time.Millisecond)
-	var at *fakeEngine
+	var cutEngine *fakeEngine
 	for _, engine := range h.sortedEngines() {
 		if slices.ContainsFunc(engine.delayedCalls,
 			func(call *pendingCall) bool { return strings.Contains(call.head, first.id) }) {
-			at = engine
+			cutEngine = engine
 		}
 	}
-	if at == nil {
-		// it was written before the cut: nothing of it lies there, and the test proves nothing
-		t.Fatal("the call is not on its way")
+	if cutEngine == nil {
+		// the call was written before the cut, so the test proves nothing
+		t.Fatal("the call is not delayed by the cut")
 	}
 	next := h.sendQuery(conn, "load", "k", 20*time.Second, 2)
 	for _, engine := range h.sortedEngines() {
-		if engine != at {
+		if engine != cutEngine {
 			h.healNetwork(engine)
 		}
 	}
 	h.runUntil(h.now + 8*time.Second)
 	if first.answer != "killed" || len(next.runs) != 1 {
-		t.Fatalf("%q, the next was sent %d times", first.answer, len(next.runs))
+		t.Fatalf("first query %q, next query sent %d times", first.answer, len(next.runs))
 	}
-	h.healNetwork(at) // posted judges what arrives
+	h.healNetwork(cutEngine) // checkSubmission checks the calls that arrive
 	h.runUntil(h.now + time.Second)
 }
 
-// A call may name the customer whose share it counts to, and estimates; the names stand in
-// the settings, and what can't be meant is taken as not told.
+// The customer and the estimates that a call names reach the scheduler. Customers are listed in the settings;
+// an unknown customer or an invalid estimate counts as absent.
 func TestCustomerAndEstimatesReachScheduler(t *testing.T) {
 	h := newHarness(t, 1, 64, map[string]string{"teams": "2", "team.0.name": "upper", "team.0.quota": "9",
 		"team.1.name":  "lower",
@@ -491,34 +494,34 @@
 	} {
 		q := h.controller.queries[h.sendQuery(conn, "report", "", 5*time.Second, 1, x.more...).id]
 		if q == nil || q.customer != x.customer || q.estimatedWork != x.work || q.estimatedMemoryMB != x.need {
-			t.Errorf("%v: %+v", x.more, q)
+			t.Errorf("fields %v: query %+v", x.more, q)
 		}
 	}
 }
 
-// The controller itself stands still while its call lies behind a cut that heals: by its
-// clock the engine has long dropped the query, which in truth has only just come there.
+// The controller stalls while its call is delayed by a network cut that heals meanwhile. By the controller's
+// clock the engine has dropped the query, which in fact has only just arrived there.
 func TestProcessStallEndsNoAttempt(t *testing.T) {
 	h := newHarness(t, 1, 96, map[string]string{"may.probe": "false"})
 	conn := h.connect()
-	h.sendQuery(conn, "lookup", "", 2*time.Second, 3) // so that there is a connection
+	h.sendQuery(conn, "lookup", "", 2*time.Second, 3) // opens a connection
 	h.runUntil(h.now + 3*time.Second)
 	engine := h.sortedEngines()[0]
 	engine.networkCut = true
 	first := h.sendQuery(conn, "load", "k", 20*time.Second, 1)
 	next := h.sendQuery(conn, "load", "k", 20*time.Second, 2)
 	if h.runUntil(h.now + 60*time.Millisecond); len(engine.delayedCalls) == 0 {
-		t.Fatal("the call is not on its way")
+		t.Fatal("the call is not delayed by the cut")
 	}
 	h.now += 3 * time.Second
 	h.healNetwork(engine)
 	h.step(Event{Kind: TimerFired})
-	h.runUntil(h.now + time.Second) // posted checks the order
+	h.runUntil(h.now + time.Second) // checkSubmission checks the order
 	if len(first.runs) != 1 || len(next.runs) > 0 {
-		t.Fatalf("the first came %d times, the next %d", len(first.runs), len(next.runs))
+		t.Fatalf("first query ran %d times, next query %d times", len(first.runs), len(next.runs))
 	}
 	h.respond(h.waitForCall("GET", first.id), "ok")
 	if h.runUntil(h.now + 100*time.Millisecond); first.answer != "finished" || len(next.runs) != 1 {
-		t.Fatalf("the first: %q, the next came %d times", first.answer, len(next.runs))
+		t.Fatalf("first query %q, next query ran %d times", first.answer, len(next.runs))
 	}
 }
