--- a/internal/controller/client_test.go
+++ b/internal/controller/client_test.go
@@ -145,7 +145,7 @@
 	for range 40 {
 		h.receive(h.connect(), half)
 		if h.controller.bufferedBytes > h.controller.maxBufferedBytes+1<<17 {
-			t.Fatal(h.controller.bufferedBytes)
+			t.Fatal("buffered bytes above the limit: ", h.controller.bufferedBytes)
 		}
 	}
 	if h.controller.counters.disconnected == 0 {
--- a/internal/controller/controller_test.go
+++ b/internal/controller/controller_test.go
@@ -121,7 +121,7 @@
 	h.respond(h.waitForCall("GET", query.id), "ok")
 	h.runUntil(h.now + 300*time.Millisecond)
 	if query.answer != "finished" {
-		t.Fatal(query.answer)
+		t.Fatal("query not finished: ", query.answer)
 	}
 }
 
@@ -198,7 +198,7 @@
 	if q := h.controller.queries[query.id]; q.memoryGrantMB != 6553 || q.priority < 1 ||
 		!strings.Contains(strings.Join(h.writeLog, "\n"), fmt.Sprintf(`Pool-Mb: 6553\r\nPool-Rank: %d\r\n`,
 			q.priority)) {
-		t.Fatal(h.writeLog)
+		t.Fatal("submission without the grant and priority: ", h.writeLog)
 	}
 	h.runUntil(h.now + 1500*time.Millisecond)
 	if call := h.waitForCall("PUT", query.id); call.body != "0" { // its latency objective has passed
@@ -352,7 +352,7 @@
 	conn.connection.onBytes = func() { panic("planned panic") }
 	h.receive(conn, []byte{0x94})
 	if !conn.closed || other.closed || !strings.Contains(strings.Join(h.logLines, ""), "planned panic") {
-		t.Fatal(h.logLines)
+		t.Fatal("want one closed connection and a log line: ", h.logLines)
 	}
 	query := h.sendQuery(other, "lookup", "", 5*time.Second, 1)
 	h.respond(h.waitForCall("POST", query.id), "ok")
