--- a/internal/controller/attempt.go
+++ b/internal/controller/attempt.go
@@ -143,7 +143,7 @@
 	took := a.now - a.startedAt
 	a.endedAt = a.now
 	if a.TraceQueries {
-		a.trace(a.logFields(), "told %s after %v, %s", outcomeNames[outcome], took, a.lastCallText)
+		a.trace(a.logFields(), "reported %s after %v, %s", outcomeNames[outcome], took, a.lastCallText)
 	}
 	if outcome != scheduler.Finished && outcome != scheduler.Cancelled {
 		a.logWithFields(a.logFields(), outcomeNames[outcome]+" after "+took.String()+", "+a.lastCallText)
--- a/internal/controller/client.go
+++ b/internal/controller/client.go
@@ -24,7 +24,7 @@
 	// messageStartedAt is when the current incomplete message began, -1: none; at first the accept time.
 	messageStartedAt   time.Duration
 	hasSentMessage     bool          // a complete message has arrived
-	idleSince          time.Duration // when the last open query was closed
+	idleSince          time.Duration // when the last message came or the last open query was closed
 	badCalls           int
 	messagesSinceSweep int
 
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -90,7 +90,7 @@
 	if len(config.InitialEndpoints) > 0 {
 		err := discovery.Known(config.InitialEndpoints, c)
 		if err != nil {
-			c.logMessage(true, "the known list can't be read: "+err.Error())
+			c.logMessage(true, "cannot read the initial endpoint list: "+err.Error())
 		}
 	}
 	c.initOptionalComponents()
--- a/internal/controller/engine_call.go
+++ b/internal/controller/engine_call.go
@@ -75,7 +75,7 @@
 	request.done = true
 	c.timers.Cancel(request.timer)
 	if c.TraceQueries && request.attempt != nil {
-		c.trace(request.attempt.logFields(), "%s came to %s %d", request.method, callResultNames[result], status)
+		c.trace(request.attempt.logFields(), "%s ended: %s %d", request.method, callResultNames[result], status)
 	}
 	request.onResult(result, status, field, body)
 }
--- a/internal/controller/engine_connection.go
+++ b/internal/controller/engine_connection.go
@@ -36,7 +36,7 @@
 	c.pool.dialCount++
 	ec := &engineConnection{connection: &Connection{}, number: c.pool.dialCount, engine: e, call: request}
 	if c.TraceQueries && request.attempt != nil {
-		c.trace(request.attempt.logFields(), "line %d dialled for %s", ec.number, request.method)
+		c.trace(request.attempt.logFields(), "connection %d dialled for %s", ec.number, request.method)
 	}
 	e.connections = append(e.connections, ec)
 	c.pool.connections = append(c.pool.connections, ec)
@@ -104,7 +104,7 @@
 // writeCall writes a call on an established connection that carries none.
 func (c *Controller) writeCall(ec *engineConnection, request *call) {
 	isFree := ec.connected && ec.call == nil && ec.engine == request.engine
-	invariant.Hold(isFree, "one call at a time on a connection")
+	invariant.Hold(isFree, "a connection carries one call at a time")
 	if !request.isWanted() {
 		c.releaseConnection(ec)
 		c.finishCall(request, callNotSent, 0, nil, nil)
@@ -121,7 +121,7 @@
 		request.attempt.callsInFlight++
 	}
 	if c.TraceQueries && request.attempt != nil {
-		c.trace(request.attempt.logFields(), "%s on line %d", request.method, ec.number)
+		c.trace(request.attempt.logFields(), "%s on connection %d", request.method, ec.number)
 	}
 	if request.startsAttempt {
 		c.writeAttempt(ec.connection, text, request.attempt)
--- a/internal/controller/harness_engines_test.go
+++ b/internal/controller/harness_engines_test.go
@@ -270,7 +270,7 @@
 	}
 }
 
-// restartEngine ends an engine's process, and starts a new one unless dead.
+// restartEngine ends an engine's process. The new process takes over, or the engine refuses connections.
 func (h *harness) restartEngine(engine *fakeEngine, refuseConnections bool) {
 	for _, id := range slices.Sorted(maps.Keys(engine.runs)) {
 		if !engine.runs[id].ended {
--- a/internal/controller/harness_test.go
+++ b/internal/controller/harness_test.go
@@ -16,8 +16,13 @@
 const engineResponseDelay = 250 * time.Millisecond
 
 // harness simulates the environment of a controller: its runner, clients, engines, discovery and clock.
-// It checks the protocol's rules on all bytes that the controller writes. Tests or random choices decide
-// which events happen.
+// Tests or random choices decide which events happen. The harness checks all bytes that the controller writes
+// against the protocol's rules:
+//
+//	rule 1  an accepted query gets one answer by its deadline, and is not submitted after it is closed
+//	rule 2  a mutating query that may have run is neither sent again nor deferred
+//	rule 3  no query is submitted to an engine that is not serving
+//	rule 5  the mutating queries of a key run one at a time, in the order in which their client sent them
 type harness struct {
 	t                  interface{ Fatalf(string, ...any) }
 	controller         *Controller
@@ -61,16 +66,14 @@
 // defaultSettings returns the settings of two read-only groups and an ordered group of loads, with overrides.
 func defaultSettings(overrides map[string]string) map[string]string {
 	settings := map[string]string{
-		"gateways": "2", "own.number": "0", "groups": "3", "threads": "1,3,2",
-		"loads": "false,false,true", "waits": "true,true,false",
-		"kinds": "std", "kind.cores": "8", "kind.memory": "16384", "locations": "here",
-		"may.grant": "true", "may.prioritise": "true", "may.cancel": "true", "may.probe": "true",
-		"may.copy": "true", "may.name-return": "true",
-		"grant.most": "0.4", "return.most": "500", "submissions.most": "3", "memory.short": "swap",
-		"note.period": "2000", "tick": "5", "drain.grace": "1000", "key.rest": "300",
-		"report.how": "probed", "list.how": "pushed", "answers.cost": "true",
-		"cold.from": "0.33", "cold.span": "15000", "cold.multiple": "3", "cold.window": "1000",
-		"connect.timeout": "250", "idle.most": "15000",
+		"gateways": "2", "own.number": "0", "groups": "3", "loads": "false,false,true",
+		"waits": "true,true,false", "threads": "1,3,2", "kinds": "std", "locations": "here", "kind.cores": "8",
+		"kind.memory": "16384", "grant.most": "0.4", "may.grant": "true", "may.prioritise": "true",
+		"may.cancel": "true", "may.probe": "true", "may.copy": "true", "may.name-return": "true",
+		"return.most": "500", "submissions.most": "3", "note.period": "2000", "tick": "5",
+		"memory.short": "swap", "drain.grace": "1000", "report.how": "probed", "cold.from": "0.33",
+		"answers.cost": "true", "cold.span": "15000", "cold.multiple": "3", "cold.window": "1000",
+		"key.rest": "300", "list.how": "pushed", "connect.timeout": "250", "idle.most": "15000",
 	}
 	for i, name := range []string{"lookup", "report", "load"} {
 		at := "group." + strconv.Itoa(i) + "."
--- a/internal/controller/held_queries.go
+++ b/internal/controller/held_queries.go
@@ -139,7 +139,7 @@
 	return true
 }
 
-// scheduleHoldExpiry sets the timer at which waiting queries have waited for MaxHold.
+// scheduleHoldExpiry sets the timer that defers the queries which have waited for MaxHold.
 func (l *servingLease) scheduleHoldExpiry() {
 	l.timers.Cancel(l.holdTimer)
 	l.holdTimer = nil
--- a/internal/controller/query.go
+++ b/internal/controller/query.go
@@ -148,7 +148,7 @@
 // closeQuery records that a query is answered, or that no answer is owed; the caller answers right after it.
 // It withdraws attempts that were not sent. It returns false if the query was already closed.
 func (c *Controller) closeQuery(q *query, end fairqueue.Outcome) bool {
-	if !invariant.Hold(!q.answered, "one final answer a query") {
+	if !invariant.Hold(!q.answered, "a query has one final answer") {
 		return false
 	}
 	q.answered = true
--- a/internal/controller/receive.go
+++ b/internal/controller/receive.go
@@ -70,7 +70,7 @@
 	c.queries[q.id] = q
 	c.counters.received++
 	if c.TraceQueries {
-		c.trace(q.logFields(), "taken, key %q (%d), for %v, fields %q",
+		c.trace(q.logFields(), "received, key %q (%d), timeout %v, fields %q",
 			call.key, q.keyNumber, call.timeout, call.from.Fields.Names())
 	}
 	c.lastQueryAt = c.now
