--- a/internal/controller/client_calls.go
+++ b/internal/controller/client_calls.go
@@ -105,7 +105,7 @@
 	rc.client.reply(msgpackrpc.Deferred(nil, rc.messageID, retryAfter))
 }
 
-func (rc *rpcCall) directed(comeBack time.Duration, controllers []string) {
+func (rc *rpcCall) redirected(comeBack time.Duration, controllers []string) {
 	rc.client.reply(msgpackrpc.Directed(nil, rc.messageID, comeBack, controllers))
 }
 
--- a/internal/controller/harness_test.go
+++ b/internal/controller/harness_test.go
@@ -175,7 +175,7 @@
 			if conn.dropsWrites || conn.closed { // the end of the connection is already pending
 				break
 			}
-			if !effect.Permit.ValidAt(h.now+h.writeDelay) || effect.PolicyVersion != 0 && !h.mayGo(effect) {
+			if !effect.Permit.ValidAt(h.now+h.writeDelay) || effect.PolicyVersion != 0 && !h.mayWrite(effect) {
 				h.pendingEvents = append(h.pendingEvents, Event{Kind: WriteRejected, Connection: effect.Connection})
 				h.closeConnection(conn)
 				break
--- a/internal/controller/query.go
+++ b/internal/controller/query.go
@@ -62,8 +62,8 @@
 	held      bool // arrived while the controller was paused, and waits for admission
 	residency *queryResidency
 
-	spooled    *spool.Result // nil: the client does not read page by page
-	cacheState *cacheLookup  // nil: the cache is not involved
+	spooled    *spool.Result    // nil: the client does not read page by page
+	cacheState *queryCacheState // nil: the cache is not involved
 
 	waitTimer *timerqueue.Timer // set while the query waits in the fair queue or is held
 	// with fair queueing
--- a/internal/controller/residency_retention_test.go
+++ b/internal/controller/residency_retention_test.go
@@ -19,9 +19,9 @@
 	})
 	here, _, _ := strings.Cut(s.R.Settings["locations"], ",")
 	open := func(version uint64, rules ...residency.Rule) {
-		s.Order(fleet.Order{Kind: fleet.OpenPolicy, Version: version, Policy: &controller.Policy{Version: version, Rules: rules}})
+		s.Order(fleet.Order{Kind: fleet.ActivatePolicy, Version: version, Policy: &controller.Policy{Version: version, Rules: rules}})
 	}
-	s.Order(fleet.Order{Kind: fleet.LeaseRenewed, Until: fleet.Forever, UntilBound: fleet.Forever})
+	s.Order(fleet.Order{Kind: fleet.LeaseRenewed, LeaseEnd: fleet.Forever, ConfinedLeaseEnd: fleet.Forever})
 	open(1, residency.Rule{Name: "r", Team: "linz", Engines: []string{here}})
 	c := s.client()
 	page := func(token string) *client.Answer {
@@ -36,8 +36,8 @@
 	}
 	s.of(c, "linz", 4)
 	s.ran(2 * time.Second)
-	if s.of(c, "linz", 4); s.ran(time.Second) && s.R.AnswerCache().Counts.Hits != 1 {
-		t.Fatalf("%+v", s.R.AnswerCache().Counts)
+	if s.of(c, "linz", 4); s.ran(time.Second) && s.R.ResultCache().Counts.Hits != 1 {
+		t.Fatalf("%+v", s.R.ResultCache().Counts)
 	}
 	open(2, residency.Rule{Name: "r", Team: "linz", Tables: []int64{3, 4}, Engines: []string{here}, Keep: []string{}})
 	if ans := page(kept.Paging["token"]); ans.Kind != client.Killed {
@@ -48,7 +48,7 @@
 	if whole.Answer != client.Finished || pagesOf(whole) > 0 || len(whole.Rows) == 0 || again.Answer != client.Finished {
 		t.Fatalf("%v %v of %v bytes, %v", whole.Answer, whole.Paging, len(whole.Rows), again.Answer)
 	}
-	if n := s.R.AnswerCache().Counts.Hits; n != 1 {
+	if n := s.R.ResultCache().Counts.Hits; n != 1 {
 		t.Fatalf("%d answered from the cache", n)
 	}
 	if free := s.of(c, "linz", 5, "pages", "1"); s.ran(2*time.Second) && pagesOf(free) < 2 {
