--- a/internal/controller/held_queries.go
+++ b/internal/controller/held_queries.go
@@ -36,7 +36,8 @@
 // admit checks whether an arriving query may proceed. A query that cannot be decided now is held unchanged,
 // and admitted by the policy version in force at its release. It reports whether the query may proceed.
 func (l *servingLease) admit(q *query, from CallOrigin) bool {
-	q.confined = l.residency.attachResidency(q, from) || l.IsConfined != nil && l.IsConfined(q.residency.tenant, q.tableGroup)
+	q.confined = l.residency.attachResidency(q, from) ||
+		l.IsConfined != nil && l.IsConfined(q.residency.tenant, q.tableGroup)
 	if l.servingVersion(q.confined) == 0 || q.key != nil && l.isKeyHeld(q.key) {
 		l.hold(q, from)
 		return false
