--- a/internal/eventloop/endings_test.go
+++ b/internal/eventloop/endings_test.go
@@ -192,7 +192,7 @@
 				}
 			}
 			if _, said = y.feed.watch(); said != "SUB 3" {
-				t.Fatalf("the controller asked again with %q, want SUB 3: the connection closed before it read the drain", said)
+				t.Fatalf("asked again with %q, want SUB 3: the connection closed before the drain was read", said)
 			}
 			y.ends()
 		})
--- a/internal/eventloop/gate_test.go
+++ b/internal/eventloop/gate_test.go
@@ -345,7 +345,8 @@
 	return fmt.Sprintf(`{"id":%q,"host_port":%q,"locality":"quay","flavor":"std","cell":1,"phase":%q,"size":1,"up_since_ms":0}`, id, l.Addr(), state)
 }
 
-// drainGrace is the setting drain.grace: how long after the news a draining engine may still be sent queries.
+// drainGrace is the setting drain.grace: for how long after the news of its drain an engine may still be
+// sent queries.
 const drainGrace = 400 * time.Millisecond
 
 // facts are settings of nobody's: short times, so that what is sized for seconds shows.
@@ -354,7 +355,8 @@
 		"gateways": "1", "own.number": "0", "groups": "3", "loads": "false,false,true", "waits": "false,false,false",
 		"threads": "1,1,1", "kinds": "std", "locations": "quay", "kind.cores": "16", "kind.memory": "4096", "grant.most": "0.4",
 		"may.cancel": "true", "may.probe": "false", "may.copy": "true", "may.name-return": "true", "return.most": "50",
-		"submissions.most": "3", "note.period": "2000", "tick": "5", "drain.grace": strconv.FormatInt(drainGrace.Milliseconds(), 10), "report.how": "off", "answers.cost": "true",
+		"submissions.most": "3", "note.period": "2000", "tick": "5",
+		"drain.grace": strconv.FormatInt(drainGrace.Milliseconds(), 10), "report.how": "off", "answers.cost": "true",
 		"key.rest": "60", "connect.timeout": "250", "idle.most": "15000",
 	}
 	for i, name := range []string{"squall", "entry", "haul"} { // read-only; mutating in order of key; mutating, a load
