--- a/internal/eventloop/gate_test.go
+++ b/internal/eventloop/gate_test.go
@@ -110,7 +110,8 @@
 	if l == nil {
 		l = listen(t)
 	}
-	g := &gate{t: t, Listener: l, heard: newRecord(t), holds: map[string]chan string{}, done: map[string]bool{}, posts: map[string]time.Time{}}
+	g := &gate{t: t, Listener: l, heard: newRecord(t), holds: map[string]chan string{},
+		done: map[string]bool{}, posts: map[string]time.Time{}}
 	t.Cleanup(g.end)
 	go func() {
 		for {
