--- a/internal/fleet/consensus/core.go
+++ b/internal/fleet/consensus/core.go
@@ -306,7 +306,7 @@
 		cc.Changes = append(cc.Changes, &pb.ConfChangeSingle{Type: kind.Enum(), NodeId: new(id)})
 	}
 	for _, v := range voters {
-		id := VoterNumber(v.Name)
+		id := VoterID(v.Name)
 		wanted[id] = true
 		if old, ok := c.voters[id]; !ok {
 			change(pb.ConfChangeAddNode, id)
@@ -315,8 +315,8 @@
 		}
 	}
 	for _, v := range c.Voters() {
-		if !wanted[VoterNumber(v.Name)] {
-			change(pb.ConfChangeRemoveNode, VoterNumber(v.Name))
+		if !wanted[VoterID(v.Name)] {
+			change(pb.ConfChangeRemoveNode, VoterID(v.Name))
 		}
 	}
 	if c.raft.ProposeConfChange(cc) == nil {
--- a/internal/fleet/consensus/core_test.go
+++ b/internal/fleet/consensus/core_test.go
@@ -93,8 +93,8 @@
 		return n
 	}
 	ask := func(c *Core, from string) (early, late int) {
-		effs := c.Step(ms, Event{Kind: MessageReceived, From: from, Bytes: encodeProto(&pb.Message{Type: pb.MsgVote.Enum(), From: new(VoterNumber(from)),
-			To: new(VoterNumber("a")), Term: new(uint64(5)), LogTerm: new(uint64(1)), Index: new(uint64(3))})})
+		effs := c.Step(ms, Event{Kind: MessageReceived, From: from, Bytes: encodeProto(&pb.Message{Type: pb.MsgVote.Enum(), From: new(VoterID(from)),
+			To: new(VoterID("a")), Term: new(uint64(5)), LogTerm: new(uint64(1)), Index: new(uint64(3))})})
 		for _, e := range effs {
 			if e.Kind == Persist {
 				keep(&b.Persistent, *e.Persistent)
--- a/internal/fleet/consensus/errors.go
+++ b/internal/fleet/consensus/errors.go
@@ -20,16 +20,16 @@
 }
 
 // VoterNameError is a voter without a name, named twice, or one whose number another has.
-type VoterNameError struct{ Name, Other string }
+type VoterNameError struct{ Name, OtherName string }
 
 func (e *VoterNameError) Error() string {
-	switch e.Other {
+	switch e.OtherName {
 	case "":
 		return "a voter has no name, or this one hasn't"
 	case e.Name:
 		return fmt.Sprintf("voter %q is named twice", e.Name)
 	}
-	return fmt.Sprintf("voters %q and %q come to the same number", e.Name, e.Other)
+	return fmt.Sprintf("voters %q and %q come to the same number", e.Name, e.OtherName)
 }
 
 // Remedy says what an operator can do.
@@ -51,9 +51,9 @@
 }
 
 // PersistentStateError is persisted data that can't be decoded although its checksum is right.
-type PersistentStateError struct{ What string }
+type PersistentStateError struct{ Reason string }
 
-func (e *PersistentStateError) Error() string { return "what was kept can't be used: " + e.What }
+func (e *PersistentStateError) Error() string { return "what was kept can't be used: " + e.Reason }
 
 // Remedy says what an operator can do.
 func (e *PersistentStateError) Remedy() string {
--- a/internal/fleet/consensus/golden_values_test.go
+++ b/internal/fleet/consensus/golden_values_test.go
@@ -10,10 +10,10 @@
 func goldenKept() PersistentState {
 	conf := &pb.ConfState{}
 	for _, voter := range goldenVoters {
-		conf.Voters = append(conf.Voters, VoterNumber(voter.Name))
+		conf.Voters = append(conf.Voters, VoterID(voter.Name))
 	}
 	return PersistentState{
-		HardState: encodeProto(&pb.HardState{Term: new(uint64(4)), Vote: new(VoterNumber("north-2")), Commit: new(uint64(13))}),
+		HardState: encodeProto(&pb.HardState{Term: new(uint64(4)), Vote: new(VoterID("north-2")), Commit: new(uint64(13))}),
 		Snapshot: &Snapshot{Index: 12, Term: 3, Data: []byte("state"),
 			VoterConfig: encodeCBOR(voterConfig{State: encodeProto(conf), Voters: goldenVoters})},
 		Entries: []LogEntry{
--- a/internal/fleet/consensus/ready.go
+++ b/internal/fleet/consensus/ready.go
@@ -14,7 +14,7 @@
 // about what can't be.
 func (c *Core) receive(ev Event) {
 	m := &pb.Message{}
-	isMeant := proto.Unmarshal(ev.Bytes, m) == nil && m.GetTo() == c.id && m.GetFrom() == VoterNumber(ev.From) && ev.From != c.self
+	isMeant := proto.Unmarshal(ev.Bytes, m) == nil && m.GetTo() == c.id && m.GetFrom() == VoterID(ev.From) && ev.From != c.self
 	if !isMeant || !c.isValid(m) {
 		c.IgnoredMessages++
 		return
@@ -228,7 +228,7 @@
 		in[id] = true
 	}
 	for _, v := range named {
-		if id := VoterNumber(v.Name); in[id] {
+		if id := VoterID(v.Name); in[id] {
 			c.voters[id], c.names[id] = v, v.Name
 		}
 	}
--- a/internal/fleet/consensus/start.go
+++ b/internal/fleet/consensus/start.go
@@ -19,7 +19,7 @@
 	if err := checkVoterNames(config.Self, config.Voters); err != nil {
 		return nil, nil, err
 	}
-	number := VoterNumber(config.Self)
+	number := VoterID(config.Self)
 	c := &Core{
 		id:                number,
 		self:              config.Self,
--- a/internal/fleet/consensus/wire.go
+++ b/internal/fleet/consensus/wire.go
@@ -10,8 +10,8 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// VoterNumber is a voter's number in messages. It is never 0.
-func VoterNumber(name string) uint64 {
+// VoterID returns the ID of a voter in raft messages, which is never 0.
+func VoterID(name string) uint64 {
 	n := xxhash.Sum64String(name)
 	if n == 0 || n >= 1<<64-2 { // those the library keeps for itself
 		return 1
@@ -19,9 +19,9 @@
 	return n
 }
 
-// VoteOnly is a hard state without its commit index: a controller that begins to vote with an
+// WithoutCommitIndex is a hard state without its commit index: a controller that begins to vote with an
 // empty log must still not vote twice in a term.
-func VoteOnly(hard []byte) []byte {
+func WithoutCommitIndex(hard []byte) []byte {
 	if hard == nil {
 		return nil
 	}
@@ -38,13 +38,13 @@
 	if self == "" {
 		return &VoterNameError{}
 	}
-	of := map[uint64]string{VoterNumber(self): self}
+	of := map[uint64]string{VoterID(self): self}
 	seen := map[string]bool{}
 	for _, v := range voters {
-		if other, ok := of[VoterNumber(v.Name)]; v.Name == "" || ok && other != v.Name || seen[v.Name] {
+		if other, ok := of[VoterID(v.Name)]; v.Name == "" || ok && other != v.Name || seen[v.Name] {
 			return &VoterNameError{v.Name, other}
 		}
-		of[VoterNumber(v.Name)], seen[v.Name] = v.Name, true
+		of[VoterID(v.Name)], seen[v.Name] = v.Name, true
 	}
 	return nil
 }
@@ -56,7 +56,7 @@
 	var k PersistentState
 	for i, v := range voters {
 		cc := &pb.ConfChangeV2{
-			Changes: []*pb.ConfChangeSingle{{Type: pb.ConfChangeAddNode.Enum(), NodeId: new(VoterNumber(v.Name))}},
+			Changes: []*pb.ConfChangeSingle{{Type: pb.ConfChangeAddNode.Enum(), NodeId: new(VoterID(v.Name))}},
 			Context: encodeCBOR(voters),
 		}
 		k.Entries = append(k.Entries, LogEntry{Index: uint64(i + 1), Term: 1, IsVoterChange: true, Data: encodeProto(cc)})
--- a/internal/fleet/node/voting.go
+++ b/internal/fleet/node/voting.go
@@ -121,7 +121,7 @@
 		return
 	}
 	c.logf(true, "this controller is now a voter")
-	persisted := consensus.PersistentState{HardState: consensus.VoteOnly(c.hardState)}
+	persisted := consensus.PersistentState{HardState: consensus.WithoutCommitIndex(c.hardState)}
 	if err := c.startConsensus(persisted, nil); err != nil {
 		c.logf(true, "can't become a voter: %v", err)
 	}
--- a/internal/fleet/storage/disk_test.go
+++ b/internal/fleet/storage/disk_test.go
@@ -186,7 +186,7 @@
 	// One byte of a record's data, in the copy that counts: at the last place.
 	at := bytes.LastIndex(whole, []byte("what was decided as 457 in 2"))
 	var spoilt *CorruptionError
-	if err := flip(at + 3); !errors.As(err, &spoilt) || spoilt.Where != "record 457" {
+	if err := flip(at + 3); !errors.As(err, &spoilt) || spoilt.Location != "record 457" {
 		t.Fatal(err)
 	}
 	for _, head := range []int{16 + 48, os.Getpagesize() + 16 + 48} { // the number of the last write
--- a/internal/fleet/storage/errors.go
+++ b/internal/fleet/storage/errors.go
@@ -17,9 +17,9 @@
 	"start it under a new name: it gets all from the others"
 
 // TornWriteError is a file that is cut short or incomplete.
-type TornWriteError struct{ Path, What string }
+type TornWriteError struct{ Path, Reason string }
 
-func (e *TornWriteError) Error() string { return fmt.Sprintf("%s is torn: %s", e.Path, e.What) }
+func (e *TornWriteError) Error() string { return fmt.Sprintf("%s is torn: %s", e.Path, e.Reason) }
 
 // Remedy says what to do.
 func (e *TornWriteError) Remedy() string {
@@ -27,9 +27,9 @@
 }
 
 // CorruptionError is a file with content that doesn't match its checksums.
-type CorruptionError struct{ Path, Where string }
+type CorruptionError struct{ Path, Location string }
 
-func (e *CorruptionError) Error() string { return fmt.Sprintf("%s is spoilt: %s", e.Path, e.Where) }
+func (e *CorruptionError) Error() string { return fmt.Sprintf("%s is spoilt: %s", e.Path, e.Location) }
 
 // Remedy says what to do.
 func (e *CorruptionError) Remedy() string {
