--- a/internal/bench/fleet_controllers.go
+++ b/internal/bench/fleet_controllers.go
@@ -149,7 +149,7 @@
 
 func (c *fleetController) gets(e *fleetEnd, p []byte) {
 	for len(p) > 0 && !e.gone {
-		n := copy(e.link.Received.Space(), p)
+		n := copy(e.link.Received.FreeSpace(), p)
 		p = p[n:]
 		c.step(controller.Event{Kind: controller.BytesReceived, Connection: e.link, ByteCount: n})
 	}
--- a/internal/bench/spool.go
+++ b/internal/bench/spool.go
@@ -191,7 +191,7 @@
 
 // writeRatio is what the store takes in a second beside what plain writes to one file
 // take with the same syncs.
-func writeRatio(dir string, sync resultstore.Sync) (ours, plain float64, err error) {
+func writeRatio(dir string, sync resultstore.SyncPolicy) (ours, plain float64, err error) {
 	const results, pages, size = 60, 32, 32 << 10
 	const segment = 16 // results of 1 MB: one that was filled is synced, whatever the setting but never
 	body := bytes.Repeat([]byte("0123456789abcde\n"), size/16)
@@ -206,7 +206,7 @@
 				return 0, 0, err
 			}
 		}
-		if sync == resultstore.Never || sync == resultstore.AtTicks && n%segment != segment-1 {
+		if sync == resultstore.SyncNever || sync == resultstore.SyncOnTick && n%segment != segment-1 {
 			continue
 		}
 		if err := f.Sync(); err != nil {
@@ -217,19 +217,19 @@
 	os.Remove(f.Name())
 	total := float64(results*pages*size) / (1 << 20)
 	plain = total / time.Since(begin).Seconds()
-	k, err := resultstore.OpenKeeper(filepath.Join(dir, fmt.Sprint("ours", sync)), resultstore.Terms{Sync: sync})
+	k, err := resultstore.OpenSpoolStore(filepath.Join(dir, fmt.Sprint("ours", sync)), resultstore.Options{Sync: sync})
 	if err != nil {
 		return 0, 0, err
 	}
 	defer k.Close()
 	begin = time.Now()
 	for i := range results {
-		id := k.First() + uint64(i) + 1
+		id := k.FirstResultID() + uint64(i) + 1
 		rows := make([]uint32, pages)
 		for n := range pages {
-			j := &resultstore.Job{Pages: []resultstore.Record{{Kind: resultstore.Page, Result: id, Page: uint32(n), Body: body}}}
+			j := &resultstore.Job{Pages: []resultstore.Record{{Kind: resultstore.PageRecord, Result: id, Page: uint32(n), Body: body}}}
 			if n == pages-1 {
-				j.Promise = &resultstore.Meta{Result: id, Rows: rows}
+				j.Commit = &resultstore.Meta{Result: id, PageRows: rows}
 			}
 			if k.Do([]*resultstore.Job{j}); j.Err != nil {
 				return 0, 0, j.Err
@@ -304,18 +304,18 @@
 // reopen is how long it takes to open so many results.
 func reopen(dir string, results int) (time.Duration, error) {
 	path := filepath.Join(dir, "many")
-	k, err := resultstore.OpenKeeper(path, resultstore.Terms{Sync: resultstore.Never, Keep: 20_000})
+	k, err := resultstore.OpenSpoolStore(path, resultstore.Options{Sync: resultstore.SyncNever, MaxIndexLag: 20_000})
 	if err != nil {
 		return 0, err
 	}
 	for i := range results {
-		id := k.First() + uint64(i) + 1
-		j := &resultstore.Job{Pages: []resultstore.Record{{Kind: resultstore.Page, Result: id, Body: []byte("a\tb\tc\n")}, {Kind: resultstore.Page, Result: id, Page: 1, Body: []byte("d\te\tf\n")}},
-			Promise: &resultstore.Meta{Result: id, Query: fmt.Sprintf("%016x", i), Team: "linz", Ends: 1 << 60, Rows: []uint32{1, 1}}}
+		id := k.FirstResultID() + uint64(i) + 1
+		j := &resultstore.Job{Pages: []resultstore.Record{{Kind: resultstore.PageRecord, Result: id, Body: []byte("a\tb\tc\n")}, {Kind: resultstore.PageRecord, Result: id, Page: 1, Body: []byte("d\te\tf\n")}},
+			Commit: &resultstore.Meta{Result: id, QueryID: fmt.Sprintf("%016x", i), Tenant: "linz", ExpiresMillis: 1 << 60, PageRows: []uint32{1, 1}}}
 		if k.Do([]*resultstore.Job{j}); j.Err != nil {
 			return 0, j.Err
 		}
-		if k.Behind() {
+		if k.NeedsCheckpoint() {
 			if _, err := k.Tick(); err != nil {
 				return 0, err
 			}
@@ -325,12 +325,12 @@
 		return 0, err
 	}
 	begin := time.Now()
-	if k, err = resultstore.OpenKeeper(path, resultstore.Terms{}); err != nil {
+	if k, err = resultstore.OpenSpoolStore(path, resultstore.Options{}); err != nil {
 		return 0, err
 	}
 	took := time.Since(begin)
-	if k.Found.Results != results {
-		err = fmt.Errorf("%d results of %d", k.Found.Results, results)
+	if k.Recovery.Results != results {
+		err = fmt.Errorf("%d results of %d", k.Recovery.Results, results)
 	}
 	return took, errors.Join(err, k.Close())
 }
@@ -359,7 +359,7 @@
 	defer os.RemoveAll(dir)
 	ratio := 0.0
 	for i, name := range []string{"promise", "ticks", "never"} {
-		ours, plain, err := writeRatio(dir, resultstore.Sync(i))
+		ours, plain, err := writeRatio(dir, resultstore.SyncPolicy(i))
 		if err != nil {
 			return err
 		}
--- a/internal/bytebuf/buffer.go
+++ b/internal/bytebuf/buffer.go
@@ -2,8 +2,8 @@
 package bytebuf
 
 const (
-	least = 4 << 10  // room offered to a read
-	Keeps = 16 << 10 // what an empty buffer may hold on to
+	least           = 4 << 10  // room offered to a read
+	MaxIdleCapacity = 16 << 10 // what an empty buffer may hold on to
 )
 
 // Buffer is a connection's one buffer: it grows as its messages need, is
@@ -14,7 +14,7 @@
 }
 
 // Space is where the next read goes.
-func (b *Buffer) Space() []byte {
+func (b *Buffer) FreeSpace() []byte {
 	if len(b.b)-b.to >= least {
 		return b.b[b.to:]
 	}
@@ -30,21 +30,21 @@
 }
 
 // Took says how much of Space was filled.
-func (b *Buffer) Took(n int) { b.to += n }
+func (b *Buffer) Advance(n int) { b.to += n }
 
 // Bytes is what has come and was not dropped; valid until the next Space.
 func (b *Buffer) Bytes() []byte { return b.b[b.from:b.to] }
 
 // Drop forgets the first n bytes.
-func (b *Buffer) Drop(n int) {
+func (b *Buffer) Discard(n int) {
 	if b.from += n; b.from < b.to {
 		return
 	}
 	b.from, b.to = 0, 0
-	if len(b.b) > Keeps {
+	if len(b.b) > MaxIdleCapacity {
 		b.b = nil
 	}
 }
 
 // Held is the memory it has.
-func (b *Buffer) Held() int { return len(b.b) }
+func (b *Buffer) Capacity() int { return len(b.b) }
--- a/internal/bytebuf/buffer_test.go
+++ b/internal/bytebuf/buffer_test.go
@@ -13,26 +13,26 @@
 		var model []byte
 		for i, n := range rapid.SliceOfN(rapid.IntRange(0, 9000), 1, 60).Draw(t, "sizes") {
 			if i%2 == 0 {
-				n = min(n, len(b.Space()))
+				n = min(n, len(b.FreeSpace()))
 				part := bytes.Repeat([]byte{byte(i)}, n)
-				copy(b.Space(), part)
-				b.Took(n)
+				copy(b.FreeSpace(), part)
+				b.Advance(n)
 				model = append(model, part...)
 			} else {
 				n = min(n, len(model))
-				b.Drop(n)
+				b.Discard(n)
 				model = model[n:]
 			}
 			if !bytes.Equal(b.Bytes(), model) {
 				t.Fatalf("step %d: other bytes", i)
 			}
-			if b.Held() > 4*(len(model)+9000)+Keeps {
-				t.Fatalf("%d held for %d", b.Held(), len(model))
+			if b.Capacity() > 4*(len(model)+9000)+MaxIdleCapacity {
+				t.Fatalf("%d held for %d", b.Capacity(), len(model))
 			}
 		}
-		b.Drop(len(model))
-		if b.Held() > Keeps {
-			t.Fatalf("%d held for nothing", b.Held())
+		b.Discard(len(model))
+		if b.Capacity() > MaxIdleCapacity {
+			t.Fatalf("%d held for nothing", b.Capacity())
 		}
 	})
 }
--- a/internal/cli/program.go
+++ b/internal/cli/program.go
@@ -183,7 +183,7 @@
 }
 
 // listen runs a controller until it is done, and beside it its part in a fleet, if it has one.
-func listen(address string, cores float64, means controller.Config, disk *resultstore.Keeper, asked func(zerolog.Logger) <-chan controller.Event,
+func listen(address string, cores float64, means controller.Config, disk *resultstore.SpoolStore, asked func(zerolog.Logger) <-chan controller.Event,
 	joined Joined, log zerolog.Logger) error {
 	if address == "" {
 		return errors.New("no address to listen on")
--- a/internal/controller/attempt_test.go
+++ b/internal/controller/attempt_test.go
@@ -126,7 +126,7 @@
 func TestBarredWriteCountsAsNeverSent(t *testing.T) {
 	s := newHarness(t, 2, 256, map[string]string{"may.probe": "false"})
 	s.runUntil(10 * time.Millisecond)
-	broken := invariant.Broken()
+	broken := invariant.Violations()
 	s.writeDelay = submitWriteTimeout // the runner stands still between the step and the write
 	a := s.sendQuery(s.connect(), "load", "k", 5*time.Second, 1)
 	for range 20 {
@@ -137,7 +137,7 @@
 	if s.controller.counters.rejectedWrites != 1 || len(a.runs) > 0 {
 		t.Fatalf("%d barred, sent %d times", s.controller.counters.rejectedWrites, len(a.runs))
 	}
-	if n := invariant.Broken() - broken; n > 0 {
+	if n := invariant.Violations() - broken; n > 0 {
 		t.Fatalf("%d times something did not hold", n)
 	}
 	s.writeDelay = 0
@@ -289,7 +289,7 @@
 		s.backlogged = early
 		for _, e := range lines {
 			if !e.closedByController {
-				s.step(Event{Kind: BytesReceived, Connection: e.connection, ByteCount: copy(e.connection.Received.Space(), answer)})
+				s.step(Event{Kind: BytesReceived, Connection: e.connection, ByteCount: copy(e.connection.Received.FreeSpace(), answer)})
 			}
 		}
 		s.backlogged = false
--- a/internal/controller/client.go
+++ b/internal/controller/client.go
@@ -66,7 +66,7 @@
 		readAny = true
 		cl.hasSentMessage = true
 		cl.idleSince = cl.now
-		cl.connection.Received.Drop(n)
+		cl.connection.Received.Discard(n)
 		cl.messagesSinceSweep++
 		if cl.messagesSinceSweep > cl.limits.MaxMessagesPerSweep {
 			cl.counters.disconnected++
--- a/internal/controller/client_bounds.go
+++ b/internal/controller/client_bounds.go
@@ -154,7 +154,7 @@
 // closes the client's connection with the largest incomplete message, or else the engine's connection with
 // the largest buffer. A buffer that any connection may keep is not to blame.
 func (c *Controller) reclaimBufferMemory() {
-	most := bytebuf.Keeps
+	most := bytebuf.MaxIdleCapacity
 	var worst *client
 	for _, cl := range c.clients {
 		if !cl.connection.closed && cl.messageStartedAt >= 0 && cl.connection.bufferBytes > most {
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -224,12 +224,12 @@
 	if conn.closed {
 		return
 	}
-	conn.Received.Took(count)
+	conn.Received.Advance(count)
 	conn.onBytes()
 	if endOfStream && conn.onEndOfStream != nil {
 		conn.onEndOfStream()
 	}
-	c.recordBufferSize(conn, conn.Received.Held())
+	c.recordBufferSize(conn, conn.Received.Capacity())
 	if c.bufferedBytes > c.maxBufferedBytes {
 		c.reclaimBufferMemory()
 	}
@@ -242,7 +242,7 @@
 	if fault == nil {
 		return
 	}
-	invariant.Hold(false, "no step fails")
+	invariant.Check(false, "no step fails")
 	c.logMessage(true, fmt.Sprintf("a fault: %v at %s", fault, debug.Stack()))
 	if conn != nil {
 		c.closeConnection(conn, false)
@@ -270,10 +270,10 @@
 	if invariant.Debug {
 		for id, e := range c.engines {
 			inFlight, known := c.scheduler.InFlight(id)
-			invariant.Hold(!known || inFlight == e.unreportedAttempts, "decisions know what is out")
+			invariant.Check(!known || inFlight == e.unreportedAttempts, "decisions know what is out")
 		}
 	}
-	invariant.Hold(c.pool.open >= 0 && c.pool.open <= c.pool.limit, "engine links within their part")
+	invariant.Check(c.pool.open >= 0 && c.pool.open <= c.pool.limit, "engine links within their part")
 }
 
 // runNext does one thing that is pending; false: nothing is.
--- a/internal/controller/counters.go
+++ b/internal/controller/counters.go
@@ -90,7 +90,7 @@
 	if c.servingLease != nil {
 		b.WriteString(c.servingLease.countersText())
 	}
-	fmt.Fprintf(&b, "; did not hold %d", invariant.Broken())
+	fmt.Fprintf(&b, "; did not hold %d", invariant.Violations())
 	return b.String()
 }
 
--- a/internal/controller/discovery.go
+++ b/internal/controller/discovery.go
@@ -98,7 +98,7 @@
 		n, err := discovery.Read(conn.Received.Bytes(), c.maxBufferedBytes, c)
 		if err != nil && d.unreadableAfter == d.lastEvent && n > 0 {
 			d.skippedLines++
-			conn.Received.Drop(n)
+			conn.Received.Discard(n)
 			continue
 		}
 		if err != nil {
@@ -116,7 +116,7 @@
 		d.connectionActiveAt = c.now
 		d.lastMessageAt = c.now
 		d.retryDelay = 0
-		conn.Received.Drop(n)
+		conn.Received.Discard(n)
 	}
 }
 
--- a/internal/controller/engine_connection.go
+++ b/internal/controller/engine_connection.go
@@ -104,7 +104,7 @@
 // writeCall writes a call on a connection that is established and carries none.
 func (c *Controller) writeCall(ec *engineConnection, request *call) {
 	isFree := ec.connected && ec.call == nil && ec.engine == request.engine
-	invariant.Hold(isFree, "one call at a time on a connection")
+	invariant.Check(isFree, "one call at a time on a connection")
 	if !request.isWanted() {
 		c.releaseConnection(ec)
 		c.finishCall(request, callNotSent, 0, nil, nil)
@@ -183,7 +183,7 @@
 	if n == 0 && err == nil {
 		return false
 	}
-	received.Drop(n)
+	received.Discard(n)
 	if finish == nil && err == nil {
 		return true
 	}
--- a/internal/controller/harness_clients_test.go
+++ b/internal/controller/harness_clients_test.go
@@ -63,7 +63,7 @@
 
 func (s *harness) receive(e *fakeConnection, p []byte) {
 	for len(p) > 0 && !e.closed {
-		n := copy(e.connection.Received.Space(), p)
+		n := copy(e.connection.Received.FreeSpace(), p)
 		p = p[n:]
 		s.step(Event{Kind: BytesReceived, Connection: e.connection, ByteCount: n})
 	}
--- a/internal/controller/invalidation_test.go
+++ b/internal/controller/invalidation_test.go
@@ -134,7 +134,7 @@
 	if a.Answer != client.Deferred || !a.Answered || done.About["state"] != "purged" {
 		t.Fatalf("%v, %+v", a.Answer, done)
 	}
-	if held, _, _ := s.R.SpoolUsage(); held != 0 || s.keeper.Live() != 0 {
+	if held, _, _ := s.R.SpoolUsage(); held != 0 || s.keeper.LiveBytes() != 0 {
 		t.Fatal("the result is retained")
 	}
 	if b := s.sendAs(c, "linz", 3, "pages", "1"); s.advance(3*time.Second) && pageCount(b) < 2 {
--- a/internal/controller/query.go
+++ b/internal/controller/query.go
@@ -148,7 +148,7 @@
 // closeQuery notes that a query is answered, or that no answer is owed; the caller answers right behind
 // it. It withdraws attempts that were not sent, and reports false if the query was closed before.
 func (c *Controller) closeQuery(q *query, end fairqueue.Outcome) bool {
-	if !invariant.Hold(!q.answered, "one final answer a query") {
+	if !invariant.Check(!q.answered, "one final answer a query") {
 		return false
 	}
 	q.answered = true
--- a/internal/controller/result_paging_test.go
+++ b/internal/controller/result_paging_test.go
@@ -27,7 +27,7 @@
 	t        *testing.T
 	disk     *disk.Disk
 	index    *disk.Index
-	keeper   *resultstore.Keeper
+	keeper   *resultstore.SpoolStore
 	finished map[string]time.Duration // when a query finished at its engine, by id
 	released map[string]time.Duration // when its engine was told to drop the result, by id
 	serial   int                      // of the latest query
@@ -43,7 +43,7 @@
 // newSpoolWorld returns a world with two engines, whose controller restores its spool from the given disk.
 func newSpoolWorld(t *testing.T, d *disk.Disk, x *disk.Index, l spool.Limits, tenants *fairqueue.Config,
 	change ...func(*controller.Config)) *spoolWorld {
-	keeper, err := resultstore.NewKeeper(d, x, resultstore.Terms{SegmentBytes: 256 << 10})
+	keeper, err := resultstore.NewSpoolStore(d, x, resultstore.Options{SegmentBytes: 256 << 10})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -62,14 +62,14 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := keeper.KeepKeys(keys.Text()); err != nil {
+	if err := keeper.SaveKeys(keys.Text()); err != nil {
 		t.Fatal(err)
 	}
 	figures := engine.Usual()
 	config := controller.Config{MemoryMB: 64, MaxDescriptors: 4096,
 		Settings: bench.Facts(bench.Usual(), figures), Tenants: tenants, StartedAt: time.UnixMilli(0),
 		FieldNames: controller.FieldNames{Tenant: "team", Paged: "pages"},
-		Spool: &controller.SpoolConfig{Limits: l, Keys: keys, FirstResultID: keeper.First(),
+		Spool: &controller.SpoolConfig{Limits: l, Keys: keys, FirstResultID: keeper.FirstResultID(),
 			Restore: keeper.Restore}}
 	for _, do := range change {
 		do(&config)
@@ -213,8 +213,8 @@
 		t.Error("page of an expired result: ", late)
 	}
 	s.Until(s.Now + 3*time.Second)
-	if s.keeper.Live() != 0 {
-		t.Errorf("%d bytes are left behind", s.keeper.Live())
+	if s.keeper.LiveBytes() != 0 {
+		t.Errorf("%d bytes are left behind", s.keeper.LiveBytes())
 	}
 	s.checkEnd()
 }
@@ -230,8 +230,8 @@
 		!strings.Contains(killed, "7864320") {
 		t.Fatal(a.Answered, a.Answer, killed)
 	}
-	if s.keeper.Live() != 0 {
-		t.Errorf("%d bytes are left behind", s.keeper.Live())
+	if s.keeper.LiveBytes() != 0 {
+		t.Errorf("%d bytes are left behind", s.keeper.LiveBytes())
 	}
 	s.checkEnd()
 }
@@ -275,7 +275,7 @@
 			c := s.client()
 			a := s.ask(c, 120_000) // 3 MB, written to disk as it arrives
 			s.Until(100 * time.Millisecond)
-			if s.keeper.Total() == 0 || a.Answered {
+			if s.keeper.TotalBytes() == 0 || a.Answered {
 				t.Fatal("nothing was written to disk yet, or the query was answered already")
 			}
 			trouble(s, c, a)
@@ -288,8 +288,8 @@
 			if a.Answered && a.Answer == client.Finished {
 				t.Error("finished despite the fault")
 			}
-			if held, _, _ := s.R.SpoolUsage(); held != 0 || s.keeper.Live() != 0 {
-				t.Errorf("%d results and %d bytes are left behind", held, s.keeper.Live())
+			if held, _, _ := s.R.SpoolUsage(); held != 0 || s.keeper.LiveBytes() != 0 {
+				t.Errorf("%d results and %d bytes are left behind", held, s.keeper.LiveBytes())
 			}
 			for _, f := range s.History.Done(s.Now) {
 				t.Error("invariant violated: ", f)
--- a/internal/controller/scheduler_actions.go
+++ b/internal/controller/scheduler_actions.go
@@ -20,7 +20,7 @@
 // SendAttempt starts an attempt of a query.
 func (c *Controller) SendAttempt(id, engine string, within time.Duration) {
 	q, e := c.queries[id], c.engines[engine]
-	if !invariant.Hold(q != nil && e != nil, "submissions name what is known") {
+	if !invariant.Check(q != nil && e != nil, "submissions name what is known") {
 		return
 	}
 	c.startAttempt(q, e, within)
@@ -72,7 +72,7 @@
 // CheckHealth sends a health check to an engine.
 func (c *Controller) CheckHealth(engine string) {
 	e := c.engines[engine]
-	if invariant.Hold(e != nil, "probes name what is known") {
+	if invariant.Check(e != nil, "probes name what is known") {
 		c.checkHealth(e)
 	}
 }
--- a/internal/emulator/disk/index.go
+++ b/internal/emulator/disk/index.go
@@ -41,8 +41,8 @@
 	return &Index{disk: d, held: []held{at}}
 }
 
-// Through is the place up to which it is.
-func (x *Index) Through() (uint64, int64, error) {
+// Position is the place up to which it is.
+func (x *Index) Position() (uint64, int64, error) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	return x.last().segment, x.last().offset, nil
@@ -73,7 +73,7 @@
 	if m := x.last().results[id]; m != nil {
 		return m, nil
 	}
-	return nil, resultstore.ErrNone
+	return nil, resultstore.ErrNotFound
 }
 
 // Each hands over all, by number.
--- a/internal/emulator/world/world.go
+++ b/internal/emulator/world/world.go
@@ -33,8 +33,8 @@
 	History historycheck.History
 	Rand    *rand.Rand
 	Quit    bool
-	Keeper  *resultstore.Keeper // of the spool's disk, nil: none
-	Disk    time.Duration       // what work on it takes
+	Keeper  *resultstore.SpoolStore // of the spool's disk, nil: none
+	Disk    time.Duration           // what work on it takes
 	Reports []fleet.Report
 	Said    []string // what the controller logged aloud, and its counters
 
@@ -244,10 +244,10 @@
 // erase steps the disk, on and on while anything is to be erased.
 func (w *World) erase() {
 	w.Keeper.Tick()
-	for _, work := range w.Keeper.Erased() {
+	for _, work := range w.Keeper.TakeErased() {
 		w.step(controller.Event{Kind: controller.SpoolWorkDone, SpoolWork: work})
 	}
-	if w.Keeper.Erases() {
+	if w.Keeper.ErasePending() {
 		w.After(w.Disk, w.erase)
 	}
 }
@@ -324,7 +324,7 @@
 // feedBytes brings bytes to the controller.
 func (w *World) feedBytes(e *end, p []byte) {
 	for len(p) > 0 && !e.gone {
-		n := copy(e.link.Received.Space(), p)
+		n := copy(e.link.Received.FreeSpace(), p)
 		p = p[n:]
 		w.step(controller.Event{Kind: controller.BytesReceived, Connection: e.link, ByteCount: n})
 	}
--- a/internal/eventloop/run.go
+++ b/internal/eventloop/run.go
@@ -30,8 +30,8 @@
 	log    zerolog.Logger
 	start  time.Time
 	timer  *time.Timer
-	room   chan struct{}       // one a client's connection: there are never more than it holds
-	disk   *resultstore.Keeper // nil: there is no spool on disk
+	room   chan struct{}           // one a client's connection: there are never more than it holds
+	disk   *resultstore.SpoolStore // nil: there is no spool on disk
 	work   backlog
 	word   *fleet.ServingState // nil: there are no peers
 	peers  FleetChannels
@@ -52,7 +52,7 @@
 
 // Serve runs a controller on a listener until it is done or ctx ends. Peers are left
 // empty where it has none.
-func Serve(ctx context.Context, listener net.Listener, means controller.Config, disk *resultstore.Keeper, peers FleetChannels, asked <-chan controller.Event, log zerolog.Logger) error {
+func Serve(ctx context.Context, listener net.Listener, means controller.Config, disk *resultstore.SpoolStore, peers FleetChannels, asked <-chan controller.Event, log zerolog.Logger) error {
 	group, ctx := errgroup.WithContext(ctx)
 	ctx, cancel := context.WithCancel(ctx)
 	l := &loop{ctx: ctx, group: group, events: make(chan event), wires: map[*controller.Connection]*wire{}, later: map[*wire][]func(){}, log: log,
--- a/internal/eventloop/wire.go
+++ b/internal/eventloop/wire.go
@@ -123,7 +123,7 @@
 		return nil
 	})
 	for drained := 0; ; {
-		n, err := w.conn.Read(w.link.Received.Space())
+		n, err := w.conn.Read(w.link.Received.FreeSpace())
 		w.unheard.Store(true)
 		if n > 0 {
 			if w.isEnding() { // what comes after we shut it is nobody's, and only read so that it is not reset
@@ -276,7 +276,7 @@
 		return n, false
 	}
 	raw.Read(func(fd uintptr) bool {
-		if room := w.link.Received.Space()[n:]; len(room) > 0 {
+		if room := w.link.Received.FreeSpace()[n:]; len(room) > 0 {
 			m, err := syscall.Read(int(fd), room)
 			n += max(m, 0)
 			last = m == 0 && err == nil || m < 0 && err != syscall.EAGAIN && err != syscall.EINTR
--- a/internal/invariant/debug.go
+++ b/internal/invariant/debug.go
@@ -5,10 +5,10 @@
 // Debug is true: checks that cost much are made.
 const Debug = true
 
-// Hold panics if what has to hold does not.
-func Hold(ok bool, what string) bool {
+// Check panics if what has to hold does not.
+func Check(ok bool, description string) bool {
 	if !ok {
-		panic("must hold: " + what)
+		panic("must hold: " + description)
 	}
 	return true
 }
--- a/internal/invariant/must.go
+++ b/internal/invariant/must.go
@@ -5,7 +5,7 @@
 
 import "sync/atomic"
 
-var broken atomic.Int64
+var violations atomic.Int64
 
-// Broken is how often something did not hold.
-func Broken() int64 { return broken.Load() }
+// Violations is how often something did not hold.
+func Violations() int64 { return violations.Load() }
--- a/internal/invariant/release.go
+++ b/internal/invariant/release.go
@@ -5,10 +5,10 @@
 // Debug is false: checks that cost much are left out.
 const Debug = false
 
-// Hold counts if what has to hold does not, and tells whether it does.
-func Hold(ok bool, what string) bool {
+// Check counts if what has to hold does not, and tells whether it does.
+func Check(ok bool, description string) bool {
 	if !ok {
-		broken.Add(1)
+		violations.Add(1)
 	}
 	return ok
 }
--- a/internal/resultstore/compaction.go
+++ b/internal/resultstore/compaction.go
@@ -30,7 +30,7 @@
 			continue
 		}
 		part := 1 - float64(g.live)/float64(max(1, g.size-headSize))
-		if (part >= s.terms.Garbage || g.live == 0) && part > dead && !(g.live == 0 && s.needed(g)) {
+		if (part >= s.terms.CompactionGarbageRatio || g.live == 0) && part > dead && !(g.live == 0 && s.needed(g)) {
 			worst, dead = g, part
 		}
 	}
@@ -57,7 +57,7 @@
 	c := s.compact
 	stop := errors.New("enough for now")
 	var l []Record
-	left := s.terms.StepBytes
+	left := s.terms.CompactionStepBytes
 	older := s.numbers()[0] < c.g.number
 	known := map[uint64]*Meta{} // for this step, in which nothing else changes
 	meta := func(id uint64) (m *Meta, err error) {
@@ -76,15 +76,15 @@
 		c.at = at.offset + r.size()
 		r.Body = slices.Clone(r.Body)
 		switch r.Kind {
-		case Page:
+		case PageRecord:
 			if now, err := s.find(r.Result, int(r.Page), meta); err == nil && now == at {
 				l = append(l, r)
 			}
-		case Whole:
+		case CommitRecord:
 			if m, err := meta(r.Result); err == nil && m.at == at {
 				c.wholes[r.Result] = true
 			}
-		case Gone:
+		case TombstoneRecord:
 			if older {
 				l = append(l, r)
 			}
@@ -101,7 +101,7 @@
 		return false, e
 	}
 	for i, r := range l {
-		if r.Kind == Gone {
+		if r.Kind == TombstoneRecord {
 			s.active.keeps++
 			continue
 		}
@@ -199,7 +199,7 @@
 	for i, at := range m.places {
 		fresh.places[i] = to(i, at)
 	}
-	places, err := s.write([]Record{{Kind: Whole, Result: id, Body: fresh.encode()}})
+	places, err := s.write([]Record{{Kind: CommitRecord, Result: id, Body: fresh.encode()}})
 	if err != nil {
 		return err
 	}
--- a/internal/resultstore/erase.go
+++ b/internal/resultstore/erase.go
@@ -85,4 +85,4 @@
 }
 
 // Erases tells whether anything is still to be erased.
-func (s *Store) Erases() bool { return s.erasing.segments != nil || len(s.erasing.asked) > 0 }
+func (s *Store) ErasePending() bool { return s.erasing.segments != nil || len(s.erasing.asked) > 0 }
--- a/internal/resultstore/erase_test.go
+++ b/internal/resultstore/erase_test.go
@@ -19,7 +19,7 @@
 const purgedTeam = "team-to-be-purged"
 
 // put keeps a result of a team, or writes its pages only.
-func put(t testing.TB, k *resultstore.Keeper, id uint64, team string, promised bool) {
+func put(t testing.TB, k *resultstore.SpoolStore, id uint64, team string, promised bool) {
 	w := &spool.Work{}
 	var rows []uint32
 	for i := range 3 {
@@ -35,14 +35,14 @@
 }
 
 // purge drops all of the team and steps until that is erased.
-func purge(t testing.TB, k *resultstore.Keeper, all []uint64) {
+func purge(t testing.TB, k *resultstore.SpoolStore, all []uint64) {
 	w := &spool.Work{Erase: true}
 	k.Write([]*spool.Work{{Drop: all}, w})
 	for range 1000 {
 		if _, err := k.Tick(); err != nil {
 			continue // it is tried again
 		}
-		if l := k.Erased(); len(l) == 1 && l[0] == w {
+		if l := k.TakeErased(); len(l) == 1 && l[0] == w {
 			return
 		}
 	}
@@ -50,7 +50,7 @@
 }
 
 // theirs are the results of the team that are there.
-func theirs(t testing.TB, k *resultstore.Keeper) (l []uint64, others int) {
+func theirs(t testing.TB, k *resultstore.SpoolStore) (l []uint64, others int) {
 	if err := k.Restore(func(f *spool.Found) {
 		if f.Team == purgedTeam {
 			l = append(l, f.Result)
@@ -69,7 +69,7 @@
 func TestEraseThroughEveryCrash(t *testing.T) {
 	d := disk.New()
 	x := disk.NewIndex(d)
-	k, err := resultstore.NewKeeper(d, x, small())
+	k, err := resultstore.NewSpoolStore(d, x, small())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -94,7 +94,7 @@
 	if len(d.Holds(marker(purgedTeam))) < 3 {
 		t.Fatal("there is nothing to purge")
 	}
-	clean := func(d *disk.Disk, k *resultstore.Keeper, when string) {
+	clean := func(d *disk.Disk, k *resultstore.SpoolStore, when string) {
 		t.Helper()
 		if l := append(d.Holds(marker(purgedTeam)), d.Holds([]byte(purgedTeam))...); len(l) > 0 {
 			t.Fatalf("%s: wiped is told, and it is in %v", when, l)
@@ -131,14 +131,14 @@
 				if lost {
 					x = disk.NewIndex(d)
 				}
-				k, err := resultstore.NewKeeper(d, x, small())
+				k, err := resultstore.NewSpoolStore(d, x, small())
 				if err != nil {
 					t.Fatalf("%s: %v", when, err)
 				}
 				l, _ := theirs(t, k)
 				back += len(l)
-				put(t, k, k.First()+1, purgedTeam, false) // goes on meanwhile
-				purge(t, k, append(l, k.First()+1))
+				put(t, k, k.FirstResultID()+1, purgedTeam, false) // goes on meanwhile
+				purge(t, k, append(l, k.FirstResultID()+1))
 				clean(d, k, when)
 			}
 		}
@@ -153,7 +153,7 @@
 	refused := 0
 	for nth := range 40 {
 		d := disk.New()
-		k, err := resultstore.NewKeeper(d, disk.NewIndex(d), small())
+		k, err := resultstore.NewSpoolStore(d, disk.NewIndex(d), small())
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -188,7 +188,7 @@
 // The same on files of the system's, the index's own file included.
 func TestEraseOnRealFiles(t *testing.T) {
 	dir := t.TempDir()
-	k, err := resultstore.OpenKeeper(dir, resultstore.Terms{SegmentBytes: 4 << 10, Keep: 2})
+	k, err := resultstore.OpenSpoolStore(dir, resultstore.Options{SegmentBytes: 4 << 10, MaxIndexLag: 2})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -231,8 +231,8 @@
 	if err := k.Close(); err != nil {
 		t.Fatal(err)
 	}
-	if k, err = resultstore.OpenKeeper(dir, resultstore.Terms{}); err != nil || k.Found.Results != 21 || k.Found.Rebuilt {
-		t.Fatalf("%v %+v", err, k.Found)
+	if k, err = resultstore.OpenSpoolStore(dir, resultstore.Options{}); err != nil || k.Recovery.Results != 21 || k.Recovery.IndexRebuilt {
+		t.Fatalf("%v %+v", err, k.Recovery)
 	}
 	k.Close()
 }
--- a/internal/resultstore/files.go
+++ b/internal/resultstore/files.go
@@ -43,7 +43,7 @@
 var ErrInUse = errors.New("the directory is in use by another program")
 
 // Hold takes a directory, made if it isn't there. ErrInUse if another program has it.
-func Hold(path string) (*Dir, error) {
+func LockDir(path string) (*Dir, error) {
 	if err := os.MkdirAll(path, 0o700); err != nil {
 		return nil, err
 	}
--- a/internal/resultstore/golden_test.go
+++ b/internal/resultstore/golden_test.go
@@ -18,12 +18,12 @@
 
 func TestGoldenDirectoryIsRead(t *testing.T) {
 	dir := goldentest.Copy(t, "directory")
-	keeper, err := OpenKeeper(dir, goldenTerms)
+	keeper, err := OpenSpoolStore(dir, goldenTerms)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer keeper.Close()
-	if got := keeper.Found; got.Rebuilt || got.Dropped != 0 || got.Torn != 0 || len(got.Lost) != 0 || got.Orphans != 0 {
+	if got := keeper.Recovery; got.IndexRebuilt || got.Incomplete != 0 || got.CorruptBytes != 0 || len(got.Lost) != 0 || got.OrphanFiles != 0 {
 		t.Errorf("what was found at the start: %+v", got)
 	}
 	var got []*spool.Found
@@ -42,11 +42,11 @@
 			}
 		}
 	}
-	if _, err := keeper.Fetch(goldenDropped, 0); !errors.Is(err, ErrNone) {
+	if _, err := keeper.Fetch(goldenDropped, 0); !errors.Is(err, ErrNotFound) {
 		t.Errorf("the dropped result: %v", err)
 	}
-	if keeper.First() != 2<<32 {
-		t.Errorf("the second start's first number is %d", keeper.First())
+	if keeper.FirstResultID() != 2<<32 {
+		t.Errorf("the second start's first number is %d", keeper.FirstResultID())
 	}
 	text, err := keeper.Keys()
 	if err != nil {
@@ -67,7 +67,7 @@
 	if err := os.Remove(filepath.Join(dir, indexName)); err != nil {
 		t.Fatal(err)
 	}
-	keeper, err := OpenKeeper(dir, goldenTerms)
+	keeper, err := OpenSpoolStore(dir, goldenTerms)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -76,8 +76,8 @@
 	if err := keeper.Restore(func(f *spool.Found) { got = append(got, f) }); err != nil {
 		t.Fatal(err)
 	}
-	if diff := cmp.Diff(goldenFound(), got); diff != "" || !keeper.Found.Rebuilt {
-		t.Errorf("rebuilt %v, the results (-want +got):\n%s", keeper.Found.Rebuilt, diff)
+	if diff := cmp.Diff(goldenFound(), got); diff != "" || !keeper.Recovery.IndexRebuilt {
+		t.Errorf("rebuilt %v, the results (-want +got):\n%s", keeper.Recovery.IndexRebuilt, diff)
 	}
 }
 
--- a/internal/resultstore/golden_values_test.go
+++ b/internal/resultstore/golden_values_test.go
@@ -32,7 +32,7 @@
 const goldenDropped = uint64(1)<<32 + 1
 
 // goldenTerms close a segment after a few pages.
-var goldenTerms = Terms{SegmentBytes: 1 << 10}
+var goldenTerms = Options{SegmentBytes: 1 << 10}
 
 // goldenKeys makes the keyring whose text the golden directory has.
 func goldenKeys(text []byte) (*spool.Keyring, error) {
@@ -41,7 +41,7 @@
 
 // writeGolden makes a directory that holds goldenFound.
 func writeGolden(dir string) error {
-	keeper, err := OpenKeeper(dir, goldenTerms)
+	keeper, err := OpenSpoolStore(dir, goldenTerms)
 	if err != nil {
 		return err
 	}
--- a/internal/resultstore/index.go
+++ b/internal/resultstore/index.go
@@ -14,8 +14,8 @@
 // Index keeps what is known of each result that was promised, as of a place in the
 // log. It is a shortcut: lost or spoilt, all of it is read anew from the segments.
 type Index interface {
-	// Through is the place up to which it has what the log says.
-	Through() (segment uint64, offset int64, err error)
+	// Position is the place up to which it has what the log says.
+	Position() (segment uint64, offset int64, err error)
 	// Commit puts and deletes at once, and moves the place.
 	Commit(put []*Meta, gone []uint64, segment uint64, offset int64) error
 	Get(result uint64) (*Meta, error)
@@ -27,11 +27,11 @@
 	Close() error
 }
 
-// ErrNone tells that there is no such result or page.
-var ErrNone = errors.New("no such result")
+// ErrNotFound tells that there is no such result or page.
+var ErrNotFound = errors.New("no such result")
 
-// Bolt is an index in an embedded store.
-type Bolt struct {
+// BoltIndex is an index in an embedded store.
+type BoltIndex struct {
 	path string
 	mu   sync.RWMutex // held while the file is replaced
 	db   *bbolt.DB
@@ -43,9 +43,9 @@
 	through = []byte("through")
 )
 
-// OpenBolt opens an index file; one that can't be read is begun anew.
-func OpenBolt(path string) (*Bolt, error) {
-	b := &Bolt{path: path}
+// OpenBoltIndex opens an index file; one that can't be read is begun anew.
+func OpenBoltIndex(path string) (*BoltIndex, error) {
+	b := &BoltIndex{path: path}
 	if err := b.open(); err != nil {
 		if errors.Is(err, os.ErrPermission) {
 			return nil, err
@@ -59,7 +59,7 @@
 	return bbolt.Open(path, 0o600, &bbolt.Options{Timeout: time.Second, NoFreelistSync: true, FreelistType: bbolt.FreelistMapType})
 }
 
-func (b *Bolt) open() error {
+func (b *BoltIndex) open() error {
 	db, err := openBolt(b.path)
 	if err != nil {
 		return err
@@ -75,7 +75,7 @@
 	})
 }
 
-func (b *Bolt) Reset() error {
+func (b *BoltIndex) Reset() error {
 	if b.db != nil {
 		b.db.Close()
 		b.db = nil
@@ -88,7 +88,7 @@
 
 // Scrub copies what counts into a file of its own and puts that in place: pages that
 // are free in the old one still hold what they held.
-func (b *Bolt) Scrub() error {
+func (b *BoltIndex) Scrub() error {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	fresh := b.path + ".new"
@@ -112,9 +112,9 @@
 	return errors.Join(old.Close(), (&Dir{path: filepath.Dir(b.path)}).SyncDir())
 }
 
-func (b *Bolt) Close() error { return b.db.Close() }
+func (b *BoltIndex) Close() error { return b.db.Close() }
 
-func (b *Bolt) Through() (segment uint64, offset int64, err error) {
+func (b *BoltIndex) Position() (segment uint64, offset int64, err error) {
 	b.mu.RLock()
 	defer b.mu.RUnlock()
 	err = b.db.View(func(tx *bbolt.Tx) error {
@@ -126,7 +126,7 @@
 	return segment, offset, err
 }
 
-func (b *Bolt) Commit(put []*Meta, gone []uint64, segment uint64, offset int64) error {
+func (b *BoltIndex) Commit(put []*Meta, gone []uint64, segment uint64, offset int64) error {
 	return b.db.Update(func(tx *bbolt.Tx) error {
 		l := tx.Bucket(results)
 		for _, m := range put {
@@ -168,13 +168,13 @@
 
 func key(result uint64) []byte { return binary.BigEndian.AppendUint64(nil, result) }
 
-func (b *Bolt) Get(result uint64) (m *Meta, err error) {
+func (b *BoltIndex) Get(result uint64) (m *Meta, err error) {
 	b.mu.RLock()
 	defer b.mu.RUnlock()
 	err = b.db.View(func(tx *bbolt.Tx) error {
 		p := tx.Bucket(results).Get(key(result))
 		if p == nil {
-			return ErrNone
+			return ErrNotFound
 		}
 		var err error
 		m, err = decodePlaced(p)
@@ -183,7 +183,7 @@
 	return m, err
 }
 
-func (b *Bolt) Each(do func(m *Meta) error) error {
+func (b *BoltIndex) Each(do func(m *Meta) error) error {
 	b.mu.RLock()
 	defer b.mu.RUnlock()
 	return b.db.View(func(tx *bbolt.Tx) error {
--- a/internal/resultstore/reading.go
+++ b/internal/resultstore/reading.go
@@ -11,7 +11,7 @@
 	s.mu.RLock()
 	defer s.mu.RUnlock()
 	if s.gone[id] {
-		return nil, ErrNone
+		return nil, ErrNotFound
 	}
 	if m := s.recent[id]; m != nil {
 		return m, nil
@@ -32,8 +32,8 @@
 	return m, err
 }
 
-// ErrSpoilt tells that a page is not what was written. It is never handed out.
-var ErrSpoilt = errors.New("the page is spoilt")
+// ErrCorrupt tells that a page is not what was written. It is never handed out.
+var ErrCorrupt = errors.New("the page is spoilt")
 
 // Fetch reads a page of a result that was promised, or is being taken.
 func (s *Store) Fetch(id uint64, page int) ([]byte, error) {
@@ -67,7 +67,7 @@
 		places = m.places
 	}
 	if page < 0 || page >= len(places) {
-		return place{}, ErrNone
+		return place{}, ErrNotFound
 	}
 	return places[page], nil
 }
@@ -81,13 +81,13 @@
 	p := make([]byte, recordHead+int(at.size))
 	if _, err := f.ReadAt(p, at.offset); err != nil {
 		if errors.Is(err, io.EOF) {
-			return nil, ErrSpoilt
+			return nil, ErrCorrupt
 		}
 		return nil, err
 	}
 	r, _, err := readRecord(p, at.segment)
-	if err != nil || r.Kind != Page || r.Result != id || len(r.Body) != int(at.size) {
-		return nil, ErrSpoilt
+	if err != nil || r.Kind != PageRecord || r.Result != id || len(r.Body) != int(at.size) {
+		return nil, ErrCorrupt
 	}
 	return r.Body, nil
 }
--- a/internal/resultstore/record.go
+++ b/internal/resultstore/record.go
@@ -18,12 +18,12 @@
 // no record there.
 
 // Kind is what a record tells.
-type Kind uint8
+type RecordKind uint8
 
 const (
-	Page  Kind = 1 + iota // rows of a result
-	Whole                 // a result is whole and was promised: its body is a Meta
-	Gone                  // a result is no more
+	PageRecord      RecordKind = 1 + iota // rows of a result
+	CommitRecord                          // a result is whole and was promised: its body is a Meta
+	TombstoneRecord                       // a result is no more
 )
 
 const (
@@ -31,12 +31,12 @@
 	headSize   = 16
 	recordHead = 28
 	// BodyMost bounds a record's body, in bytes.
-	BodyMost = 64 << 20
+	MaxBodyBytes = 64 << 20
 )
 
 // Record is one as written.
 type Record struct {
-	Kind   Kind
+	Kind   RecordKind
 	Result uint64
 	Page   uint32
 	Body   []byte
@@ -75,8 +75,8 @@
 		return r, 0, errTorn
 	}
 	length := binary.LittleEndian.Uint32(p)
-	r = Record{Kind: Kind(p[4]), Result: binary.LittleEndian.Uint64(p[8:]), Page: binary.LittleEndian.Uint32(p[16:])}
-	if length > BodyMost || r.Kind < Page || r.Kind > Gone || p[5]|p[6]|p[7] != 0 {
+	r = Record{Kind: RecordKind(p[4]), Result: binary.LittleEndian.Uint64(p[8:]), Page: binary.LittleEndian.Uint32(p[16:])}
+	if length > MaxBodyBytes || r.Kind < PageRecord || r.Kind > TombstoneRecord || p[5]|p[6]|p[7] != 0 {
 		return r, 0, errSpoilt
 	}
 	n = recordHead + int(length)
@@ -103,34 +103,34 @@
 
 // Meta is a result that was promised.
 type Meta struct {
-	Result uint64
-	Query  string // its trace
-	Team   string
+	Result  uint64
+	QueryID string // its trace
+	Tenant  string
 	// Made and Ends are in milliseconds since 1970, as the clock on the wall had it.
-	Made, Ends int64
+	CreatedMillis, ExpiresMillis int64
 	// Index is of the fleet's record when its query was taken, Tables the groups of tables
 	// that it reads; none: it can't be told. Owner is whose it is where the team doesn't
 	// tell. What older programs wrote has none of these.
-	Index  uint64
-	Tables []int64
-	Owner  string
-	Rows   []uint32 // by page
-	Bytes  []uint32 // by page
-	places []place
-	at     place // of its own record
+	FleetIndex  uint64
+	TableGroups []int64
+	Owner       string
+	PageRows    []uint32 // by page
+	PageBytes   []uint32 // by page
+	places      []place
+	at          place // of its own record
 }
 
 // Size is all its pages hold, in bytes.
-func (m *Meta) Size() (sum int64) {
-	for _, n := range m.Bytes {
+func (m *Meta) TotalBytes() (sum int64) {
+	for _, n := range m.PageBytes {
 		sum += int64(n)
 	}
 	return sum
 }
 
 // Count is all its rows.
-func (m *Meta) Count() (sum int64) {
-	for _, n := range m.Rows {
+func (m *Meta) RowCount() (sum int64) {
+	for _, n := range m.PageRows {
 		sum += int64(n)
 	}
 	return sum
@@ -145,21 +145,21 @@
 
 func (m *Meta) encode() []byte {
 	p := binary.AppendUvarint(nil, m.Result)
-	for _, s := range []string{m.Query, m.Team} {
+	for _, s := range []string{m.QueryID, m.Tenant} {
 		p = append(binary.AppendUvarint(p, uint64(len(s))), s...)
 	}
-	p = binary.AppendVarint(binary.AppendVarint(p, m.Made), m.Ends)
+	p = binary.AppendVarint(binary.AppendVarint(p, m.CreatedMillis), m.ExpiresMillis)
 	p = binary.AppendUvarint(p, uint64(len(m.places)))
 	for i, at := range m.places {
-		for _, x := range []uint64{uint64(m.Rows[i]), uint64(at.size), at.segment, uint64(at.offset)} {
+		for _, x := range []uint64{uint64(m.PageRows[i]), uint64(at.size), at.segment, uint64(at.offset)} {
 			p = binary.AppendUvarint(p, x)
 		}
 	}
-	if m.Index == 0 && len(m.Tables) == 0 && m.Owner == "" {
+	if m.FleetIndex == 0 && len(m.TableGroups) == 0 && m.Owner == "" {
 		return p
 	}
-	p = binary.AppendUvarint(binary.AppendUvarint(p, m.Index), uint64(len(m.Tables)))
-	for _, t := range m.Tables {
+	p = binary.AppendUvarint(binary.AppendUvarint(p, m.FleetIndex), uint64(len(m.TableGroups)))
+	for _, t := range m.TableGroups {
 		p = binary.AppendVarint(p, t)
 	}
 	return append(binary.AppendUvarint(p, uint64(len(m.Owner))), m.Owner...)
@@ -198,30 +198,30 @@
 		p = p[n:]
 		return s
 	}
-	m.Result, m.Query, m.Team = whole(), text(), text()
-	m.Made, m.Ends = signed(), signed()
+	m.Result, m.QueryID, m.Tenant = whole(), text(), text()
+	m.CreatedMillis, m.ExpiresMillis = signed(), signed()
 	n := whole()
 	if bad || n > pagesMost || n*4 > uint64(len(p)) {
 		return nil, errMeta
 	}
-	m.Rows, m.Bytes, m.places = make([]uint32, n), make([]uint32, n), make([]place, n)
+	m.PageRows, m.PageBytes, m.places = make([]uint32, n), make([]uint32, n), make([]place, n)
 	for i := range m.places {
 		rows, size := whole(), whole()
 		segment, offset := whole(), whole()
-		if rows > 1<<32-1 || size > BodyMost || offset > 1<<62 {
+		if rows > 1<<32-1 || size > MaxBodyBytes || offset > 1<<62 {
 			return nil, errMeta
 		}
-		m.Rows[i], m.Bytes[i] = uint32(rows), uint32(size)
+		m.PageRows[i], m.PageBytes[i] = uint32(rows), uint32(size)
 		m.places[i] = place{segment, int64(offset), uint32(size)}
 	}
 	if !bad && len(p) > 0 {
-		m.Index = whole()
+		m.FleetIndex = whole()
 		n := whole()
 		if bad || n > tablesMost || n > uint64(len(p)) {
 			return nil, errMeta
 		}
 		for range n {
-			m.Tables = append(m.Tables, signed())
+			m.TableGroups = append(m.TableGroups, signed())
 		}
 		m.Owner = text()
 	}
--- a/internal/resultstore/record_test.go
+++ b/internal/resultstore/record_test.go
@@ -6,10 +6,10 @@
 )
 
 func FuzzRecord(f *testing.F) {
-	f.Add(appendRecord(nil, 3, &Record{Kind: Page, Result: 7, Page: 1, Body: []byte("a\tb\tc\n")}), uint64(3))
-	f.Add(appendRecord(nil, 3, &Record{Kind: Gone, Result: 7}), uint64(4))
-	m := &Meta{Result: 9, Query: "q", Team: "t", Made: -1, Ends: 5, Rows: []uint32{1}, places: []place{{1, 16, 5}}}
-	f.Add(appendRecord(nil, 1, &Record{Kind: Whole, Result: 9, Body: m.encode()}), uint64(1))
+	f.Add(appendRecord(nil, 3, &Record{Kind: PageRecord, Result: 7, Page: 1, Body: []byte("a\tb\tc\n")}), uint64(3))
+	f.Add(appendRecord(nil, 3, &Record{Kind: TombstoneRecord, Result: 7}), uint64(4))
+	m := &Meta{Result: 9, QueryID: "q", Tenant: "t", CreatedMillis: -1, ExpiresMillis: 5, PageRows: []uint32{1}, places: []place{{1, 16, 5}}}
+	f.Add(appendRecord(nil, 1, &Record{Kind: CommitRecord, Result: 9, Body: m.encode()}), uint64(1))
 	f.Add([]byte{0xff, 0xff, 0xff, 0x03, 1}, uint64(1))
 	f.Fuzz(func(t *testing.T, p []byte, segment uint64) {
 		r, n, err := readRecord(p, segment)
@@ -19,8 +19,8 @@
 		if again := appendRecord(nil, segment, &r); !bytes.Equal(again, p[:n]) {
 			t.Fatal("what was read is not what stands there")
 		}
-		if r.Kind == Whole {
-			if m, err := decodeMeta(r.Body); err == nil && len(m.Rows) != len(m.places) {
+		if r.Kind == CommitRecord {
+			if m, err := decodeMeta(r.Body); err == nil && len(m.PageRows) != len(m.places) {
 				t.Fatal("pages without places")
 			}
 		}
--- a/internal/resultstore/recovery.go
+++ b/internal/resultstore/recovery.go
@@ -23,14 +23,14 @@
 }
 
 // Recovered is what was found at the start.
-type Recovered struct {
-	Results  int
-	Segments int
-	Dropped  int      // results that were never whole
-	Torn     int64    // bytes that were no records
-	Lost     []uint64 // results that were promised and whose pages are not all there
-	Rebuilt  bool     // the index was of no use
-	Orphans  int      // files that didn't count
+type Recovery struct {
+	Results      int
+	Segments     int
+	Incomplete   int      // results that were never whole
+	CorruptBytes int64    // bytes that were no records
+	Lost         []uint64 // results that were promised and whose pages are not all there
+	IndexRebuilt bool     // the index was of no use
+	OrphanFiles  int      // files that didn't count
 }
 
 func segmentNumber(name string) (uint64, bool) {
@@ -40,7 +40,7 @@
 }
 
 // readManifest finds the segments that count, and removes the files that don't.
-func (s *Store) readManifest(found *Recovered) error {
+func (s *Store) readManifest(found *Recovery) error {
 	names, err := s.files.List()
 	if err != nil {
 		return err
@@ -66,7 +66,7 @@
 	for _, name := range names {
 		n, is := segmentNumber(name)
 		if is && s.segments[n] == nil || strings.HasSuffix(name, ".new") {
-			found.Orphans++
+			found.OrphanFiles++
 			if err := s.files.Remove(name); err != nil {
 				return err
 			}
@@ -78,7 +78,7 @@
 
 // First is the first number for this start's results: no start uses those of another,
 // so that what an older one left behind is never taken for part of a newer result.
-func (s *Store) First() uint64 { return s.starts << 32 }
+func (s *Store) FirstResultID() uint64 { return s.starts << 32 }
 
 func (s *Store) writeManifest() error {
 	m := manifest{Version: 1, Next: s.next, Starts: s.starts, Segments: s.numbers()}
@@ -93,8 +93,8 @@
 
 // recover brings the index up to the segments, a part at a time: all results at once
 // might not fit the memory.
-func (s *Store) recover(found *Recovered) error {
-	from, offset, err := s.index.Through()
+func (s *Store) recover(found *Recovery) error {
+	from, offset, err := s.index.Position()
 	numbers := s.numbers()
 	if err == nil && from > 0 && (len(numbers) == 0 || from < numbers[0]) && s.segments[from] == nil {
 		from = 0 // it knows only what is no more
@@ -103,7 +103,7 @@
 		err = s.index.Each(func(*Meta) error { return nil }) // can it be read at all
 	}
 	if err != nil || from == 0 {
-		found.Rebuilt = err != nil || len(numbers) > 0
+		found.IndexRebuilt = err != nil || len(numbers) > 0
 		if err := s.index.Reset(); err != nil {
 			return err
 		}
@@ -137,13 +137,13 @@
 			}
 			err = s.scan(f, g, start, i == len(numbers)-1, found, func(r Record, at place) error {
 				switch r.Kind {
-				case Page:
+				case PageRecord:
 					unfinished[r.Result] = true
 					return nil
-				case Gone:
+				case TombstoneRecord:
 					delete(put, r.Result)
 					gone[r.Result] = true
-				case Whole:
+				case CommitRecord:
 					m, err := decodeMeta(r.Body)
 					if err != nil || m.Result != r.Result {
 						return nil
@@ -153,7 +153,7 @@
 					delete(gone, m.Result)
 					delete(unfinished, m.Result)
 				}
-				if len(put)+len(gone) >= s.terms.Keep {
+				if len(put)+len(gone) >= s.terms.MaxIndexLag {
 					return flush(from, offset)
 				}
 				return nil
@@ -165,7 +165,7 @@
 		}
 		s.total += g.size
 	}
-	found.Dropped, found.Segments = len(unfinished), len(numbers)
+	found.Incomplete, found.Segments = len(unfinished), len(numbers)
 	through := func() (uint64, int64) {
 		if len(numbers) == 0 {
 			return 0, 0
@@ -206,15 +206,15 @@
 // scan reads a segment's records from an offset. A torn or spoilt stretch is passed
 // over: what is sound behind it counts. Behind the last sound record the last segment
 // is cut off.
-func (s *Store) scan(f File, g *segment, from int64, last bool, found *Recovered, each func(r Record, at place) error) error {
+func (s *Store) scan(f File, g *segment, from int64, last bool, found *Recovery, each func(r Record, at place) error) error {
 	end := from
 	err := walk(f, g.number, from, g.size, func(r Record, at place) error {
 		end = at.offset + r.size()
-		if r.Kind == Gone {
+		if r.Kind == TombstoneRecord {
 			g.keeps++
 		}
 		return each(r, at)
-	}, func(n int64) { found.Torn += n })
+	}, func(n int64) { found.CorruptBytes += n })
 	if err == nil && last && end < g.size && end > 0 {
 		g.size = end
 		err = f.Truncate(end)
@@ -231,7 +231,7 @@
 		r, n, err := Record{}, 0, error(nil)
 		if p, err = in.Peek(recordHead); err == nil {
 			need := recordHead + int64(uint32(p[0])|uint32(p[1])<<8|uint32(p[2])<<16|uint32(p[3])<<24)
-			if need > BodyMost+recordHead || from+need > to {
+			if need > MaxBodyBytes+recordHead || from+need > to {
 				err = errTorn
 			} else if need <= int64(in.Size()) {
 				p, _ = in.Peek(int(need))
--- a/internal/resultstore/store.go
+++ b/internal/resultstore/store.go
@@ -23,36 +23,36 @@
 	"sync"
 )
 
-// Sync says when what is written is synced.
-type Sync int
+// SyncPolicy says when what is written is synced.
+type SyncPolicy int
 
 const (
-	AtPromise Sync = iota // before a result is promised
-	AtTicks               // at each Tick: a crash of the machine, not of the program, may take the last
-	Never                 // the system decides
+	SyncOnCommit SyncPolicy = iota // before a result is promised
+	SyncOnTick                     // at each Tick: a crash of the machine, not of the program, may take the last
+	SyncNever                      // the system decides
 )
 
-// Terms are a store's figures. Zero values take those named.
-type Terms struct {
-	SegmentBytes int64 // a segment is closed at (16 MiB)
-	Sync         Sync
-	Keep         int     // results that the index may be behind by (1024)
-	Garbage      float64 // part of a segment that may be dead before it is compacted (0.5)
-	StepBytes    int64   // read or copied by one step of compaction (1 MiB)
+// Options are a store's figures. Zero values take those named.
+type Options struct {
+	SegmentBytes           int64 // a segment is closed at (16 MiB)
+	Sync                   SyncPolicy
+	MaxIndexLag            int     // results that the index may be behind by (1024)
+	CompactionGarbageRatio float64 // part of a segment that may be dead before it is compacted (0.5)
+	CompactionStepBytes    int64   // read or copied by one step of compaction (1 MiB)
 }
 
-func (t Terms) orUsual() Terms {
+func (t Options) orUsual() Options {
 	if t.SegmentBytes <= 0 {
 		t.SegmentBytes = 16 << 20
 	}
-	if t.Keep <= 0 {
-		t.Keep = 1024
+	if t.MaxIndexLag <= 0 {
+		t.MaxIndexLag = 1024
 	}
-	if t.Garbage <= 0 {
-		t.Garbage = 0.5
+	if t.CompactionGarbageRatio <= 0 {
+		t.CompactionGarbageRatio = 0.5
 	}
-	if t.StepBytes <= 0 {
-		t.StepBytes = 1 << 20
+	if t.CompactionStepBytes <= 0 {
+		t.CompactionStepBytes = 1 << 20
 	}
 	return t
 }
@@ -70,7 +70,7 @@
 
 // Store is one directory's results.
 type Store struct {
-	terms Terms
+	terms Options
 	files Files
 	index Index
 
@@ -98,10 +98,10 @@
 
 // Open reads what a directory holds. Errors are those of the files; what is spoilt
 // in them is no error, and is told.
-func Open(files Files, index Index, terms Terms) (*Store, Recovered, error) {
+func Open(files Files, index Index, terms Options) (*Store, Recovery, error) {
 	s := &Store{terms: terms.orUsual(), files: files, index: index, segments: map[uint64]*segment{}, recent: map[uint64]*Meta{},
 		gone: map[uint64]bool{}, open: map[uint64]*taking{}, next: 1}
-	var found Recovered
+	var found Recovery
 	if err := s.readManifest(&found); err != nil {
 		return nil, found, err
 	}
@@ -129,9 +129,9 @@
 func (s *Store) Each(do func(m *Meta) error) error { return s.index.Each(do) }
 
 // Total is all that the segments hold, in bytes; Live what of it counts.
-func (s *Store) Total() int64 { return s.total }
+func (s *Store) TotalBytes() int64 { return s.total }
 
-func (s *Store) Live() (sum int64) {
+func (s *Store) LiveBytes() (sum int64) {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
 	for _, g := range s.segments {
@@ -155,8 +155,8 @@
 	s.buffer = s.buffer[:0]
 	places := make([]place, len(l))
 	for i := range l {
-		if len(l[i].Body) > BodyMost {
-			return nil, fmt.Errorf("a record of %d bytes, more than %d", len(l[i].Body), BodyMost)
+		if len(l[i].Body) > MaxBodyBytes {
+			return nil, fmt.Errorf("a record of %d bytes, more than %d", len(l[i].Body), MaxBodyBytes)
 		}
 		places[i] = place{g.number, g.size + int64(len(s.buffer)), uint32(len(l[i].Body))}
 		s.buffer = appendRecord(s.buffer, g.number, &l[i])
@@ -194,7 +194,7 @@
 	}
 	g.file = f
 	if _, err = f.WriteAt(segmentHead(g.number), 0); err == nil {
-		if g.size = headSize; s.terms.Sync != Never {
+		if g.size = headSize; s.terms.Sync != SyncNever {
 			if err = f.Sync(); err == nil {
 				err = s.files.SyncDir()
 			}
@@ -228,7 +228,7 @@
 // sync brings all that was written to the disk for good. A disk that refuses says
 // nothing about what of it got there: nothing more is written behind that.
 func (s *Store) sync() error {
-	if !s.dirty || s.active == nil || s.terms.Sync == Never {
+	if !s.dirty || s.active == nil || s.terms.Sync == SyncNever {
 		s.dirty = false
 		return nil
 	}
@@ -245,7 +245,7 @@
 	// Pages are written to a result that is being taken.
 	Pages []Record
 	// Promise makes the result whole, once its Pages are written.
-	Promise *Meta
+	Commit *Meta
 	// Drop has a result be no more, whether it was promised or is being taken.
 	Drop []uint64
 
@@ -258,14 +258,14 @@
 	promises := false
 	for _, j := range jobs {
 		j.Err = s.do(j)
-		promises = promises || j.Promise != nil && j.Err == nil
+		promises = promises || j.Commit != nil && j.Err == nil
 	}
-	if promises && s.terms.Sync == AtPromise {
+	if promises && s.terms.Sync == SyncOnCommit {
 		if err := s.sync(); err != nil {
 			for _, j := range jobs {
-				if j.Err == nil && j.Promise != nil {
+				if j.Err == nil && j.Commit != nil {
 					j.Err = err
-					s.drop([]uint64{j.Promise.Result}) // it may be there after a crash all the same, and nobody has its token
+					s.drop([]uint64{j.Commit.Result}) // it may be there after a crash all the same, and nobody has its token
 				}
 			}
 		}
@@ -293,22 +293,22 @@
 		s.count(at, 1)
 	}
 	s.mu.Unlock()
-	if j.Promise != nil {
-		return s.promise(j.Promise)
+	if j.Commit != nil {
+		return s.promise(j.Commit)
 	}
 	return nil
 }
 
 func (s *Store) promise(m *Meta) error {
 	t := s.open[m.Result]
-	if t == nil || len(t.places) != len(m.Rows) {
+	if t == nil || len(t.places) != len(m.PageRows) {
 		return errors.New("a result is promised whose pages were not all written")
 	}
-	m.places, m.Bytes = t.places, make([]uint32, len(t.places))
+	m.places, m.PageBytes = t.places, make([]uint32, len(t.places))
 	for i, at := range t.places {
-		m.Bytes[i] = at.size
+		m.PageBytes[i] = at.size
 	}
-	places, err := s.write([]Record{{Kind: Whole, Result: m.Result, Body: m.encode()}})
+	places, err := s.write([]Record{{Kind: CommitRecord, Result: m.Result, Body: m.encode()}})
 	if err != nil {
 		return err
 	}
@@ -345,7 +345,7 @@
 		s.gone[id] = true
 		s.lately.drop(id)
 		s.mu.Unlock()
-		tombs = append(tombs, Record{Kind: Gone, Result: id})
+		tombs = append(tombs, Record{Kind: TombstoneRecord, Result: id})
 	}
 	s.tombs = append(s.tombs, tombs...)
 	s.bury()
@@ -364,7 +364,7 @@
 // index up, and goes on with compaction by a step. It says whether there is more to do.
 func (s *Store) Tick() (more bool, err error) {
 	s.bury()
-	if s.terms.Sync == AtTicks {
+	if s.terms.Sync == SyncOnTick {
 		if err := s.sync(); err != nil {
 			return false, err
 		}
@@ -406,7 +406,7 @@
 }
 
 // Behind tells whether the index should be brought up before the next tick.
-func (s *Store) Behind() bool { return len(s.recent)+len(s.gone) >= s.terms.Keep }
+func (s *Store) NeedsCheckpoint() bool { return len(s.recent)+len(s.gone) >= s.terms.MaxIndexLag }
 
 // Close brings the index up and closes all. Nothing is lost without it.
 func (s *Store) Close() error {
--- a/internal/resultstore/store_test.go
+++ b/internal/resultstore/store_test.go
@@ -37,14 +37,14 @@
 	next  uint64
 }
 
-func newScript(t testing.TB, seed uint64, terms resultstore.Terms) *script {
+func newScript(t testing.TB, seed uint64, terms resultstore.Options) *script {
 	d := disk.New()
 	x := disk.NewIndex(d)
 	s, _, err := resultstore.Open(d, x, terms)
 	if err != nil {
 		t.Fatal(err)
 	}
-	return &script{t: t, rng: rand.New(rand.NewPCG(seed, 1)), d: d, x: x, s: s, lives: map[uint64]*life{}, next: s.First()}
+	return &script{t: t, rng: rand.New(rand.NewPCG(seed, 1)), d: d, x: x, s: s, lives: map[uint64]*life{}, next: s.FirstResultID()}
 }
 
 func (c *script) page() []byte {
@@ -63,14 +63,14 @@
 func (c *script) write(id uint64) {
 	l := c.lives[id]
 	p := c.page()
-	if c.do(&resultstore.Job{Pages: []resultstore.Record{{Kind: resultstore.Page, Result: id, Page: uint32(len(l.pages)), Body: p}}}) == nil {
+	if c.do(&resultstore.Job{Pages: []resultstore.Record{{Kind: resultstore.PageRecord, Result: id, Page: uint32(len(l.pages)), Body: p}}}) == nil {
 		l.pages, l.rows = append(l.pages, p), append(l.rows, 1)
 	}
 }
 
 func (c *script) promise(id uint64) error {
 	l := c.lives[id]
-	err := c.do(&resultstore.Job{Promise: &resultstore.Meta{Result: id, Query: fmt.Sprintf("%016x", id), Team: "linz", Made: 1, Ends: 1000, Rows: l.rows}})
+	err := c.do(&resultstore.Job{Commit: &resultstore.Meta{Result: id, QueryID: fmt.Sprintf("%016x", id), Tenant: "linz", CreatedMillis: 1, ExpiresMillis: 1000, PageRows: l.rows}})
 	if err == nil {
 		l.promised = c.d.Steps()
 	}
@@ -126,13 +126,13 @@
 			t.Fatalf("page %d of %d: %v, %d bytes of %d", i, len(l.pages), err, len(got), len(want))
 		}
 	}
-	if _, err := s.Fetch(id, len(l.pages)); !errors.Is(err, resultstore.ErrNone) {
+	if _, err := s.Fetch(id, len(l.pages)); !errors.Is(err, resultstore.ErrNotFound) {
 		t.Fatal("a page behind the last: ", err)
 	}
 }
 
-func small() resultstore.Terms {
-	return resultstore.Terms{SegmentBytes: 2 << 10, Keep: 5, StepBytes: 1 << 10}
+func small() resultstore.Options {
+	return resultstore.Options{SegmentBytes: 2 << 10, MaxIndexLag: 5, CompactionStepBytes: 1 << 10}
 }
 
 // Every write of a run is cut, in three ways, with and without the index, and what is
@@ -169,7 +169,7 @@
 				s.Each(func(m *resultstore.Meta) error {
 					there[m.Result] = true
 					l := c.lives[m.Result]
-					if l == nil || len(l.rows) != len(m.Rows) || l.promised == 0 && l.dropping == 0 && k >= steps {
+					if l == nil || len(l.rows) != len(m.PageRows) || l.promised == 0 && l.dropping == 0 && k >= steps {
 						t.Fatalf("cut at %d: a result that was never whole: %x", k, m.Result)
 					}
 					matches(t, s, m.Result, l)
@@ -190,8 +190,8 @@
 						t.Fatal(err)
 					}
 				}
-				if dead := s.Total() - s.Live(); dead > s.Live()+int64(len(there)+9)*600+8<<10 {
-					t.Fatalf("cut at %d: %d bytes are dead and %d live", k, dead, s.Live())
+				if dead := s.TotalBytes() - s.LiveBytes(); dead > s.LiveBytes()+int64(len(there)+9)*600+8<<10 {
+					t.Fatalf("cut at %d: %d bytes are dead and %d live", k, dead, s.LiveBytes())
 				}
 				for id := range there {
 					matches(t, s, id, c.lives[id])
@@ -235,7 +235,7 @@
 }
 
 func TestFlippedBit(t *testing.T) {
-	c := newScript(t, 3, resultstore.Terms{})
+	c := newScript(t, 3, resultstore.Options{})
 	c.next++
 	id := c.next
 	c.lives[id] = &life{}
@@ -252,7 +252,7 @@
 		for i, want := range c.lives[id].pages {
 			if p, err := c.s.Fetch(id, i); err == nil && !bytes.Equal(p, want) {
 				t.Fatalf("a bit at %d: page %d was served spoilt", at, i)
-			} else if err != nil && !errors.Is(err, resultstore.ErrSpoilt) {
+			} else if err != nil && !errors.Is(err, resultstore.ErrCorrupt) {
 				t.Fatal(err)
 			}
 		}
@@ -266,12 +266,12 @@
 
 func TestOnRealFiles(t *testing.T) {
 	path := t.TempDir()
-	open := func() (*resultstore.Store, resultstore.Recovered, *resultstore.Dir) {
-		d, err := resultstore.Hold(path)
+	open := func() (*resultstore.Store, resultstore.Recovery, *resultstore.Dir) {
+		d, err := resultstore.LockDir(path)
 		if err != nil {
 			t.Fatal(err)
 		}
-		x, err := resultstore.OpenBolt(d.Path("index.db"))
+		x, err := resultstore.OpenBoltIndex(d.Path("index.db"))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -282,10 +282,10 @@
 		return s, found, d
 	}
 	s, _, d := open()
-	if _, err := resultstore.Hold(path); !errors.Is(err, resultstore.ErrInUse) {
+	if _, err := resultstore.LockDir(path); !errors.Is(err, resultstore.ErrInUse) {
 		t.Fatal("two programs have one directory: ", err)
 	}
-	c := &script{t: t, rng: rand.New(rand.NewPCG(5, 1)), d: disk.New(), s: s, lives: map[uint64]*life{}, next: s.First()}
+	c := &script{t: t, rng: rand.New(rand.NewPCG(5, 1)), d: disk.New(), s: s, lives: map[uint64]*life{}, next: s.FirstResultID()}
 	for range 400 {
 		c.step()
 	}
@@ -296,13 +296,13 @@
 	check := func(rebuilt bool) {
 		t.Helper()
 		s, found, d := open()
-		if found.Results != len(c.whole) || found.Rebuilt != rebuilt || len(found.Lost) > 0 {
+		if found.Results != len(c.whole) || found.IndexRebuilt != rebuilt || len(found.Lost) > 0 {
 			t.Fatalf("%d results of %d, %+v", found.Results, len(c.whole), found)
 		}
 		for _, id := range c.whole {
 			matches(t, s, id, c.lives[id])
 		}
-		if s.First() <= c.next {
+		if s.FirstResultID() <= c.next {
 			t.Fatal("numbers are used again")
 		}
 		s.Close()
@@ -318,8 +318,8 @@
 	s, _, d = open()
 	defer d.Close()
 	defer s.Close()
-	if n, err := s.GC(2000); err != nil || n != len(c.whole) || s.Live() != 0 {
-		t.Fatalf("%d dropped of %d, %v, %d bytes live", n, len(c.whole), err, s.Live())
+	if n, err := s.GC(2000); err != nil || n != len(c.whole) || s.LiveBytes() != 0 {
+		t.Fatalf("%d dropped of %d, %v, %d bytes live", n, len(c.whole), err, s.LiveBytes())
 	}
 	names, _ := d.List()
 	if n := strings.Count(strings.Join(names, " "), ".seg"); n > 1 {
@@ -330,7 +330,7 @@
 func TestDirectoryThatCantBeWritten(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "file")
 	os.WriteFile(path, nil, 0o600)
-	if _, err := resultstore.Hold(filepath.Join(path, "spool")); err == nil {
+	if _, err := resultstore.LockDir(filepath.Join(path, "spool")); err == nil {
 		t.Fatal("a directory within a file")
 	}
 }
--- a/internal/resultstore/verify.go
+++ b/internal/resultstore/verify.go
@@ -6,16 +6,16 @@
 )
 
 // Checked is what a look at every record found.
-type Checked struct {
+type Verification struct {
 	Segments, Records, Results, Pages int
-	Bytes, Dead                       int64
+	Bytes, DeadBytes                  int64
 	Faults                            []string // what is promised and not there, or spoilt
 }
 
 const faultsMost = 100
 
 // Verify reads every record of every segment, and every page that was promised.
-func (s *Store) Verify() (c Checked, err error) {
+func (s *Store) Verify() (c Verification, err error) {
 	fault := func(format string, args ...any) {
 		if len(c.Faults) < faultsMost {
 			c.Faults = append(c.Faults, fmt.Sprintf(format, args...))
@@ -41,14 +41,14 @@
 		}
 		c.Segments++
 		c.Bytes += g.size
-		c.Dead += g.size - headSize - g.live
+		c.DeadBytes += g.size - headSize - g.live
 	}
 	err = s.index.Each(func(m *Meta) error {
 		c.Results++
 		for i, at := range m.places {
 			c.Pages++
 			if _, err := s.read(at, m.Result); err != nil {
-				fault("result %016x of query %s, team %q: page %d of %d: %v", m.Result, m.Query, m.Team, i, len(m.places), err)
+				fault("result %016x of query %s, team %q: page %d of %d: %v", m.Result, m.QueryID, m.Tenant, i, len(m.places), err)
 			}
 		}
 		return nil
@@ -61,7 +61,7 @@
 func (s *Store) GC(now int64) (dropped int, err error) {
 	var past []uint64
 	if err := s.index.Each(func(m *Meta) error {
-		if m.Ends <= now {
+		if m.ExpiresMillis <= now {
 			past = append(past, m.Result)
 		}
 		return nil
@@ -75,7 +75,7 @@
 			return dropped, err
 		}
 	}
-	s.terms.Garbage = 0.01
+	s.terms.CompactionGarbageRatio = 0.01
 	for {
 		if more, err := s.Tick(); err != nil || !more {
 			return dropped, err
--- a/internal/setup/spool.go
+++ b/internal/setup/spool.go
@@ -32,7 +32,7 @@
 	Keys        Span    `yaml:"keys"`         // a key makes tokens for: 24h
 }
 
-var syncs = map[string]resultstore.Sync{"": resultstore.AtPromise, "promise": resultstore.AtPromise, "ticks": resultstore.AtTicks, "never": resultstore.Never}
+var syncs = map[string]resultstore.SyncPolicy{"": resultstore.SyncOnCommit, "promise": resultstore.SyncOnCommit, "ticks": resultstore.SyncOnTick, "never": resultstore.SyncNever}
 
 func (c *checker) spool(s *Spool, l Limits) {
 	if s.Field == "" {
@@ -83,7 +83,7 @@
 
 // OpenSpool opens the spool that the set-up names and puts it into means. Nothing
 // is opened where it names none.
-func (x *Setup) OpenSpool(means *controller.Config, log zerolog.Logger) (*resultstore.Keeper, error) {
+func (x *Setup) OpenSpool(means *controller.Config, log zerolog.Logger) (*resultstore.SpoolStore, error) {
 	s := x.Spool
 	if s == nil {
 		return nil, nil
@@ -97,29 +97,29 @@
 	means.FieldNames.Paged = s.Field
 	means.Spool = part
 	wall := means.StartedAt.UnixMilli()
-	var disk *resultstore.Keeper
+	var disk *resultstore.SpoolStore
 	var text []byte
 	if s.Directory != "" {
 		var err error
-		if disk, err = resultstore.OpenKeeper(s.Directory, resultstore.Terms{Sync: syncs[s.Sync]}); err != nil {
+		if disk, err = resultstore.OpenSpoolStore(s.Directory, resultstore.Options{Sync: syncs[s.Sync]}); err != nil {
 			return nil, err
 		}
-		f := &disk.Found
+		f := &disk.Recovery
 		line := log.Info()
-		if len(f.Lost) > 0 || f.Torn > 0 {
+		if len(f.Lost) > 0 || f.CorruptBytes > 0 {
 			line = log.Log()
 		}
-		line.Int("results", f.Results).Int("segments", f.Segments).Int("half_written", f.Dropped).Int64("torn_bytes", f.Torn).
-			Int("lost", len(f.Lost)).Bool("index_rebuilt", f.Rebuilt).Msg("the spool is open")
+		line.Int("results", f.Results).Int("segments", f.Segments).Int("half_written", f.Incomplete).Int64("torn_bytes", f.CorruptBytes).
+			Int("lost", len(f.Lost)).Bool("index_rebuilt", f.IndexRebuilt).Msg("the spool is open")
 		if text, err = disk.Keys(); err != nil {
 			disk.Close()
 			return nil, err
 		}
-		part.FirstResultID, part.Restore = disk.First(), disk.Restore
+		part.FirstResultID, part.Restore = disk.FirstResultID(), disk.Restore
 	}
 	keys, err := spool.NewKeyring(text, s.Keys.or(24*time.Hour), wall, fresh)
 	if err == nil && disk != nil {
-		err = disk.KeepKeys(keys.Text())
+		err = disk.SaveKeys(keys.Text())
 	}
 	if err != nil {
 		if disk != nil {
