--- a/internal/controller/attempt_test.go
+++ b/internal/controller/attempt_test.go
@@ -129,7 +129,7 @@
 func TestRejectedWriteCountsAsNeverSent(t *testing.T) {
 	h := newHarness(t, 2, 256, map[string]string{"may.probe": "false"})
 	h.runUntil(10 * time.Millisecond)
-	broken := invariant.Broken()
+	broken := invariant.Violations()
 	h.writeDelay = submitWriteTimeout // the process stalls between the step and the write
 	query := h.sendQuery(h.connect(), "load", "k", 5*time.Second, 1)
 	for range 20 {
@@ -140,7 +140,7 @@
 	if h.controller.counters.rejectedWrites != 1 || len(query.runs) > 0 {
 		t.Fatalf("%d writes rejected, query sent %d times", h.controller.counters.rejectedWrites, len(query.runs))
 	}
-	if n := invariant.Broken() - broken; n > 0 {
+	if n := invariant.Violations() - broken; n > 0 {
 		t.Fatalf("%d invariants violated", n)
 	}
 	h.writeDelay = 0
@@ -296,7 +296,7 @@
 		for _, conn := range connections {
 			if !conn.closedByController {
 				h.step(Event{Kind: BytesReceived, Connection: conn.connection,
-					ByteCount: copy(conn.connection.Received.Space(), answer)})
+					ByteCount: copy(conn.connection.Received.FreeSpace(), answer)})
 			}
 		}
 		h.backlogged = false
--- a/internal/controller/client_bounds.go
+++ b/internal/controller/client_bounds.go
@@ -154,7 +154,7 @@
 // client connection with the largest incomplete message or, if there is none, the engine connection with the
 // largest buffer. Buffers up to the size that every connection may keep do not count.
 func (c *Controller) reclaimBufferMemory() {
-	most := bytebuf.Keeps
+	most := bytebuf.MaxIdleCapacity
 	var worst *client
 	for _, cl := range c.clients {
 		if !cl.connection.closed && cl.messageStartedAt >= 0 && cl.connection.bufferBytes > most {
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -225,12 +225,12 @@
 	if conn.closed {
 		return
 	}
-	conn.Received.Took(count)
+	conn.Received.Advance(count)
 	conn.onBytes()
 	if endOfStream && conn.onEndOfStream != nil {
 		conn.onEndOfStream()
 	}
-	c.recordBufferSize(conn, conn.Received.Held())
+	c.recordBufferSize(conn, conn.Received.Capacity())
 	if c.bufferedBytes > c.maxBufferedBytes {
 		c.reclaimBufferMemory()
 	}
@@ -243,7 +243,7 @@
 	if fault == nil {
 		return
 	}
-	invariant.Hold(false, "a step does not panic")
+	invariant.Check(false, "a step does not panic")
 	c.logMessage(true, fmt.Sprintf("panic in a step: %v at %s", fault, debug.Stack()))
 	if conn != nil {
 		c.closeConnection(conn, false)
@@ -271,10 +271,10 @@
 	if invariant.Debug {
 		for id, e := range c.engines {
 			inFlight, known := c.scheduler.InFlight(id)
-			invariant.Hold(!known || inFlight == e.unreportedAttempts, "scheduler's attempts in flight match")
+			invariant.Check(!known || inFlight == e.unreportedAttempts, "scheduler's attempts in flight match")
 		}
 	}
-	invariant.Hold(c.pool.open >= 0 && c.pool.open <= c.pool.limit, "engine connections within their limit")
+	invariant.Check(c.pool.open >= 0 && c.pool.open <= c.pool.limit, "engine connections within their limit")
 }
 
 // runNext runs one pending callback, timer or fair-queue dispatch. It returns false if there is none.
--- a/internal/controller/counters.go
+++ b/internal/controller/counters.go
@@ -89,7 +89,7 @@
 	if c.servingLease != nil {
 		b.WriteString(c.servingLease.countersText())
 	}
-	fmt.Fprintf(&b, "; did not hold %d", invariant.Broken())
+	fmt.Fprintf(&b, "; did not hold %d", invariant.Violations())
 	return b.String()
 }
 
--- a/internal/controller/harness_clients_test.go
+++ b/internal/controller/harness_clients_test.go
@@ -68,7 +68,7 @@
 // receive delivers bytes to the controller on a connection.
 func (h *harness) receive(conn *fakeConnection, data []byte) {
 	for len(data) > 0 && !conn.closed {
-		n := copy(conn.connection.Received.Space(), data)
+		n := copy(conn.connection.Received.FreeSpace(), data)
 		data = data[n:]
 		h.step(Event{Kind: BytesReceived, Connection: conn.connection, ByteCount: n})
 	}
