--- a/cmd/railrelay-fleet/command.go
+++ b/cmd/railrelay-fleet/command.go
@@ -245,7 +245,7 @@
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), time.Duration(a.WaitMs)*time.Millisecond+asksAfter)
 	defer cancel()
-	r, err := transport.AskControl(ctx, address, keys, a)
+	r, err := transport.SendControlRequest(ctx, address, keys, a)
 	var away *transport.UnreachableError
 	if errors.As(err, &away) && away.Sent && a.ID != "" {
 		return &fleet.Response{ID: a.ID, Outcome: "unknown", Reason: away.Error(), Remedy: away.Remedy()}, nil
--- a/cmd/railrelay-fleet/join.go
+++ b/cmd/railrelay-fleet/join.go
@@ -38,8 +38,8 @@
 	if have.Control() {
 		judge = checkControl
 	}
-	e, err := driver.Open(driver.Options{Node: begin(have), Fleet: f.Name, Listen: f.Listen, Control: f.Control, Directory: f.Directory, Keys: f.Keys,
-		Started: means.StartedAt, Log: log, CheckPolicy: func(change string, text []byte, now driver.PolicyContext) driver.PolicyVerdict {
+	e, err := driver.Open(driver.Options{Node: begin(have), Fleet: f.Name, PeerAddress: f.Listen, ControlAddress: f.Control, Directory: f.Directory, KeyFile: f.Keys,
+		StartTime: means.StartedAt, Log: log, CheckPolicy: func(change string, text []byte, now driver.PolicyContext) driver.PolicyVerdict {
 			return judge(have, change, text, now)
 		}})
 	if err != nil {
--- a/internal/bench/many_process.go
+++ b/internal/bench/many_process.go
@@ -209,7 +209,7 @@
 func (o operator) ask(ctx context.Context, a *fleet.Request) (*fleet.Response, error) {
 	ctx, stop := context.WithTimeout(ctx, time.Duration(a.WaitMs)*time.Millisecond+2*time.Second)
 	defer stop()
-	return transport.AskControl(ctx, o.control, o.keys, a)
+	return transport.SendControlRequest(ctx, o.control, o.keys, a)
 }
 
 // status is how it sees the fleet; an empty one if it can't be asked.
--- a/internal/bench/planted.go
+++ b/internal/bench/planted.go
@@ -39,7 +39,7 @@
 	{"copy", "a copy past the boundary", "internal/scheduler", "./internal/scheduler", "^TestConfinedQueryStaysInAllowedLocations$", "and it may be at ["},
 	{"follow", "followed binding not recorded first", "internal/controller", "./internal/controller", "^TestLoadIsSentOnceItsBindingIsLogged$", "sent before the record has it"},
 	{"relay", "a relay that answers a renewal by itself", "internal/fleet/node", "./internal/bench", "^TestBriefSchedulesWithRelays$", "mixed:"},
-	{"mac", "MAC not checked", "internal/fleet/transport", "./internal/fleet/transport", "^(TestAStrangersAskIsRefused|TestAMACIsForItsPurposeAndItsBytes)$", "a wrong MAC was accepted"},
+	{"mac", "MAC not checked", "internal/fleet/transport", "./internal/fleet/transport", "^(TestUnauthenticatedRequestIsRejected|TestMACIsBoundToPurposeAndBody)$", "a wrong MAC was accepted"},
 }
 
 // sound is the name of the build of its tests without a fault.
--- a/internal/bench/together_processes.go
+++ b/internal/bench/together_processes.go
@@ -110,7 +110,7 @@
 func (g *gathering) ask(p *process, a *fleet.Request) (*fleet.Response, error) {
 	ctx, stop := context.WithTimeout(g.ctx, time.Duration(a.WaitMs)*time.Millisecond+2*time.Second)
 	defer stop()
-	return transport.AskControl(ctx, p.control, g.keys, a)
+	return transport.SendControlRequest(ctx, p.control, g.keys, a)
 }
 
 func (g *gathering) status(p *process) *fleet.Status {
--- a/internal/emulator/hollow/controller.go
+++ b/internal/emulator/hollow/controller.go
@@ -54,12 +54,12 @@
 	}
 	listener, err := net.Listen("tcp", c.member.Listen)
 	if err != nil {
-		return &driver.ListenError{What: "peers", Address: c.member.Listen, Err: err}
+		return &driver.ListenError{Purpose: "peers", Address: c.member.Listen, Err: err}
 	}
 	started := time.Now().Add(-c.offset())
 	shape := c.shaper(listener.Addr())
 	dialer := &dialer{local: hostOf(listener.Addr()), direct: c.config.Direct, shape: shape, gate: c.gate, abroad: c.abroad}
-	opened, err := driver.Open(driver.Options{Node: c.begin(), Fleet: c.config.Fleet, Keys: c.config.Keys, Control: c.member.Control, Started: started, Log: zerolog.Nop(), CheckPolicy: check,
+	opened, err := driver.Open(driver.Options{Node: c.begin(), Fleet: c.config.Fleet, KeyFile: c.config.Keys, ControlAddress: c.member.Control, StartTime: started, Log: zerolog.Nop(), CheckPolicy: check,
 		OpenStore: func() (driver.Store, storage.Contents, error) { return c.store, c.store.Found(), nil },
 		Listener:  &shapedListener{listener, shape}, Dial: dialer.dial})
 	if err != nil {
--- a/internal/emulator/hollow/hollow_test.go
+++ b/internal/emulator/hollow/hollow_test.go
@@ -133,7 +133,7 @@
 	p.t.Helper()
 	ctx, stop := context.WithTimeout(p.t.Context(), patience)
 	defer stop()
-	r, err := transport.AskControl(ctx, p.control, p.keys, &fleet.Request{Kind: "apply", ID: id, BaseVersion: base, Policy: []byte("# " + id), WaitMs: 15000})
+	r, err := transport.SendControlRequest(ctx, p.control, p.keys, &fleet.Request{Kind: "apply", ID: id, BaseVersion: base, Policy: []byte("# " + id), WaitMs: 15000})
 	if err != nil {
 		p.t.Fatal(err)
 	}
--- a/internal/fleet/driver/driver.go
+++ b/internal/fleet/driver/driver.go
@@ -143,7 +143,7 @@
 		initialEffects: initialEffects,
 		checkPolicy:    o.CheckPolicy,
 		log:            o.Log,
-		started:        o.Started,
+		started:        o.StartTime,
 		name:           o.Node.Self.Name,
 		messages:       make(chan *node.Message, maxQueuedMessages),
 		reports:        make(chan fleet.Report, maxQueuedReports),
--- a/internal/fleet/driver/driver_test.go
+++ b/internal/fleet/driver/driver_test.go
@@ -77,7 +77,7 @@
 
 func play(t *testing.T, do func(ev node.Event) []node.Effect, disk error) (*Driver, *script, *noted) {
 	s, log := &script{make(chan node.Event, 10_000), do}, &noted{}
-	e := newDriver(s, []node.Effect{{Kind: node.SetTimer, Delay: time.Hour}}, &Options{Started: time.Now(), Log: zerolog.New(log),
+	e := newDriver(s, []node.Effect{{Kind: node.SetTimer, Delay: time.Hour}}, &Options{StartTime: time.Now(), Log: zerolog.New(log),
 		CheckPolicy: func(change string, text []byte, have PolicyContext) PolicyVerdict {
 			return PolicyVerdict{Reason: change + string(text) + have.Policy.(string)}
 		}})
--- a/internal/fleet/driver/open.go
+++ b/internal/fleet/driver/open.go
@@ -18,15 +18,15 @@
 
 // Options are what a controller's part in the fleet is opened with.
 type Options struct {
-	Node        node.Config // without Self.Disk, Seed, Boot and Kept, which are drawn and read here
-	Fleet       string
-	Listen      string // where peers come in
-	Control     string // where operators come in; "": they don't
-	Directory   string
-	Keys        string    // the key file
-	Started     time.Time // what all spans count from: the reducer's own
-	CheckPolicy func(change string, text []byte, have PolicyContext) PolicyVerdict
-	Log         zerolog.Logger
+	Node           node.Config // without Self.Disk, Seed, Boot and Kept, which are drawn and read here
+	Fleet          string
+	PeerAddress    string // where peers come in
+	ControlAddress string // where operators come in; "": they don't
+	Directory      string
+	KeyFile        string    // the key file
+	StartTime      time.Time // what all spans count from: the reducer's own
+	CheckPolicy    func(change string, text []byte, have PolicyContext) PolicyVerdict
+	Log            zerolog.Logger
 
 	// OpenStore opens what keeps the record in place of the disk at Directory; nil: that disk.
 	OpenStore func() (Store, storage.Contents, error)
@@ -46,12 +46,12 @@
 
 // ListenError is an address that can't be listened on.
 type ListenError struct {
-	What, Address string
-	Err           error
+	Purpose, Address string
+	Err              error
 }
 
 func (e *ListenError) Error() string {
-	return fmt.Sprintf("can't listen for %s on %s: %v", e.What, e.Address, e.Err)
+	return fmt.Sprintf("can't listen for %s on %s: %v", e.Purpose, e.Address, e.Err)
 }
 
 // Remedy says what to do.
@@ -75,7 +75,7 @@
 			opened.close()
 		}
 	}()
-	keys, err := transport.ReadKeys(o.Keys)
+	keys, err := transport.ReadKeys(o.KeyFile)
 	if err != nil {
 		return nil, err
 	}
@@ -139,12 +139,12 @@
 func (p *openedParts) listen() (err error) {
 	p.peers = p.options.Listener
 	if p.peers == nil {
-		if p.peers, err = p.listenOn("peers", p.options.Listen); err != nil {
+		if p.peers, err = p.listenOn("peers", p.options.PeerAddress); err != nil {
 			return err
 		}
 	}
-	if p.options.Control != "" {
-		p.operators, err = p.listenOn("operators", p.options.Control)
+	if p.options.ControlAddress != "" {
+		p.operators, err = p.listenOn("operators", p.options.ControlAddress)
 	}
 	return err
 }
@@ -165,16 +165,16 @@
 		o.Log.Log().Str("from", from).Str("error", err.Error()).Str("remedy", err.Remedy()).Msg("fleet: refused")
 	}
 	peers, err := transport.Open(transport.Options{
-		Local:     localAddress(p.peers),
-		Fleet:     o.Fleet,
-		Self:      config.Self.Name,
-		Boot:      config.Incarnation,
-		Keys:      keys,
-		Listener:  p.peers,
-		OnMessage: d.receiveMessage,
-		OnRefused: onRefused,
-		Seed:      transport.RandomID(),
-		Dial:      o.Dial,
+		LocalIP:     localAddress(p.peers),
+		Fleet:       o.Fleet,
+		Self:        config.Self.Name,
+		Incarnation: config.Incarnation,
+		Keys:        keys,
+		Listener:    p.peers,
+		OnMessage:   d.receiveMessage,
+		OnRejected:  onRefused,
+		Seed:        transport.RandomID(),
+		Dial:        o.Dial,
 	})
 	if err != nil {
 		return err
@@ -196,7 +196,7 @@
 	}
 	d.closeAll = func() error { return runAll(closers) }
 	d.reloadKeys = func() error {
-		keys, err := transport.ReadKeys(o.Keys)
+		keys, err := transport.ReadKeys(o.KeyFile)
 		if err != nil {
 			return err
 		}
--- a/internal/fleet/noop/noop.go
+++ b/internal/fleet/noop/noop.go
@@ -12,7 +12,7 @@
 
 // Controller answers orders. Word, if set, is kept as a reducer would keep it.
 type Controller struct {
-	Word *fleet.ServingState
+	ServingState *fleet.ServingState
 	// Delay is waited before an order other than a lease is answered; 0: not at all.
 	Delay time.Duration
 }
@@ -70,8 +70,8 @@
 		r.set(order.Version)
 		return []fleet.Report{{Kind: fleet.PolicyActivated, Version: order.Version}}
 	case fleet.LeaseRenewed:
-		if r.Word != nil {
-			r.Word.SetLease(order.LeaseEnd, order.ConfinedLeaseEnd)
+		if r.ServingState != nil {
+			r.ServingState.SetLease(order.LeaseEnd, order.ConfinedLeaseEnd)
 		}
 	case fleet.InvalidateData:
 		return []fleet.Report{{Kind: fleet.DataTombstoned, ID: order.ID}, {Kind: fleet.DataErased, ID: order.ID}}
@@ -80,7 +80,7 @@
 }
 
 func (r Controller) set(version uint64) {
-	if r.Word != nil {
-		r.Word.SetVersion(version)
+	if r.ServingState != nil {
+		r.ServingState.SetVersion(version)
 	}
 }
--- a/internal/fleet/noop/noop_test.go
+++ b/internal/fleet/noop/noop_test.go
@@ -16,7 +16,7 @@
 	orders <- fleet.Order{Kind: fleet.InvalidateData, ID: "p1"}
 	orders <- fleet.Order{Kind: fleet.FencePolicy, ChangeID: "c1"}
 	close(orders)
-	if err := (Controller{Word: word, Delay: time.Millisecond}).Serve(t.Context(), orders, reports); err != nil {
+	if err := (Controller{ServingState: word, Delay: time.Millisecond}).Serve(t.Context(), orders, reports); err != nil {
 		t.Fatal(err)
 	}
 	close(reports)
--- a/internal/fleet/transport/control_server.go
+++ b/internal/fleet/transport/control_server.go
@@ -23,11 +23,11 @@
 )
 
 const (
-	// AskAtMost bounds an ask and a reply, in bytes.
-	AskAtMost = 16 << 20
+	// MaxRequestBytes bounds an ask and a reply, in bytes.
+	MaxRequestBytes = 16 << 20
 
-	asksReading = 4 * AskAtMost // of all asks that are being read, each counted as long as it says it is
-	maxNonces   = 1 << 16       // remembered; after so many asks another challenge is drawn, and they are forgotten
+	asksReading = 4 * MaxRequestBytes // of all asks that are being read, each counted as long as it says it is
+	maxNonces   = 1 << 16             // remembered; after so many asks another challenge is drawn, and they are forgotten
 	nonceBytes  = 16
 	askConnect  = 5 * time.Second // to connect to a control listener and for its hello
 	askRead     = 10 * time.Second
@@ -45,10 +45,10 @@
 // for one ask; Boot is the listener's challenge. So an ask counts once, and on one
 // controller's one run; a reply fits one ask.
 type signedRequest struct {
-	Nonce  string `cbor:"1,keyasint"`
-	Boot   uint64 `cbor:"2,keyasint"`
-	Status int    `cbor:"3,keyasint,omitempty"` // of a reply
-	Body   []byte `cbor:"4,keyasint,omitempty"`
+	Nonce     string `cbor:"1,keyasint"`
+	Challenge uint64 `cbor:"2,keyasint"`
+	Status    int    `cbor:"3,keyasint,omitempty"` // of a reply
+	Body      []byte `cbor:"4,keyasint,omitempty"`
 }
 
 // nonceGuard tells a request that was here before. It needs no clock and doesn't grow without
@@ -94,10 +94,10 @@
 }
 
 // ServeControl begins to answer operators on a listener: POST /ask takes a fleet.Ask and
-// gives a fleet.Reply, both JSON of at most AskAtMost bytes, signed by the fleet's keys.
+// gives a fleet.Reply, both JSON of at most MaxRequestBytes bytes, signed by the fleet's keys.
 // ask may take as long as the ask's own patience; its context ends when who asked is
 // gone or at Close. An error of it is told as the word unknown: nothing is said that
-// isn't so. onRefused is as Options.OnRefused, and may be nil.
+// isn't so. onRefused is as Options.OnRejected, and may be nil.
 func ServeControl(l net.Listener, keys Keys, ask func(context.Context, *fleet.Request) (*fleet.Response, error),
 	onRefused func(fleet.ErrorWithRemedy, string)) (*ControlServer, error) {
 	if err := keys.validate(); err != nil {
@@ -153,11 +153,11 @@
 		rw.WriteHeader(http.StatusBadRequest)
 		return
 	}
-	d.writeSigned(rw, forHello, &signedRequest{Nonce: nonce, Boot: boot, Status: http.StatusOK})
+	d.writeSigned(rw, forHello, &signedRequest{Nonce: nonce, Challenge: boot, Status: http.StatusOK})
 }
 
 func (d *ControlServer) writeSigned(rw http.ResponseWriter, what string, a *signedRequest) {
-	rw.Header().Set(headerBoot, strconv.FormatUint(a.Boot, 16))
+	rw.Header().Set(headerBoot, strconv.FormatUint(a.Challenge, 16))
 	rw.Header().Set(headerMAC, hex.EncodeToString((*d.keys.Load()).sign(what, encode(a))))
 	rw.Header().Set("Content-Type", "application/json")
 	rw.WriteHeader(a.Status)
@@ -170,8 +170,8 @@
 		rw.WriteHeader(http.StatusLengthRequired)
 		return
 	}
-	if r.ContentLength > AskAtMost {
-		d.rejectRequest(rw, &TooLargeError{remote, r.ContentLength, AskAtMost}, remote)
+	if r.ContentLength > MaxRequestBytes {
+		d.rejectRequest(rw, &TooLargeError{remote, r.ContentLength, MaxRequestBytes}, remote)
 		return
 	}
 	body, err := d.readBody(rw, r)
@@ -183,7 +183,7 @@
 	boot, err := strconv.ParseUint(r.Header.Get(headerBoot), 16, 64)
 	sum, _ := hex.DecodeString(r.Header.Get(headerMAC)) // what is no hex fits no key
 	if err != nil || len(nonce) != 2*nonceBytes ||
-		!(*d.keys.Load()).verify(forAsk, encode(&signedRequest{Nonce: nonce, Boot: boot, Body: body}), sum) {
+		!(*d.keys.Load()).verify(forAsk, encode(&signedRequest{Nonce: nonce, Challenge: boot, Body: body}), sum) {
 		d.rejectRequest(rw, &UnauthenticatedError{remote, "an ask"}, remote)
 		return
 	}
@@ -192,7 +192,7 @@
 	now := d.nonces.challenge
 	d.mu.Unlock()
 	if !fits {
-		d.writeSigned(rw, forReply, &signedRequest{Nonce: nonce, Boot: now, Status: http.StatusConflict})
+		d.writeSigned(rw, forReply, &signedRequest{Nonce: nonce, Challenge: now, Status: http.StatusConflict})
 		return
 	}
 	if !fresh {
@@ -213,14 +213,14 @@
 		}
 	}
 	text, err := json.Marshal(reply)
-	if err == nil && len(text) > AskAtMost {
+	if err == nil && len(text) > MaxRequestBytes {
 		err = fmt.Errorf("the reply has %d bytes", len(text))
 	}
 	if err != nil {
 		text, _ = json.Marshal(&fleet.Response{ID: a.ID, Outcome: "unknown", Reason: err.Error()})
 	}
 	d.count("asks", 1)
-	d.writeSigned(rw, forReply, &signedRequest{Nonce: nonce, Boot: boot, Status: http.StatusOK, Body: text})
+	d.writeSigned(rw, forReply, &signedRequest{Nonce: nonce, Challenge: boot, Status: http.StatusOK, Body: text})
 }
 
 func (d *ControlServer) readBody(rw http.ResponseWriter, r *http.Request) ([]byte, error) {
@@ -236,10 +236,10 @@
 	return io.ReadAll(r.Body)
 }
 
-// AskControl asks a controller's control listener. The context bounds how long: an ask
+// SendControlRequest asks a controller's control listener. The context bounds how long: an ask
 // with a patience of its own needs a context that lasts longer. An UnreachableError with
 // Sent means that the ask may have been taken all the same: ask again by its id.
-func AskControl(ctx context.Context, address string, keys Keys, a *fleet.Request) (*fleet.Response, error) {
+func SendControlRequest(ctx context.Context, address string, keys Keys, a *fleet.Request) (*fleet.Response, error) {
 	if err := keys.validate(); err != nil {
 		return nil, err
 	}
@@ -247,8 +247,8 @@
 	if err != nil {
 		return nil, &MalformedError{"this ask", err}
 	}
-	if len(text) > AskAtMost {
-		return nil, &TooLargeError{address, int64(len(text)), AskAtMost}
+	if len(text) > MaxRequestBytes {
+		return nil, &TooLargeError{address, int64(len(text)), MaxRequestBytes}
 	}
 	transport := &http.Transport{DialContext: (&net.Dialer{Timeout: askConnect}).DialContext, DisableCompression: true}
 	defer transport.CloseIdleConnections()
@@ -261,7 +261,7 @@
 		return nil, err
 	}
 	for range 2 { // once more if the challenge changed in between
-		q := &signedRequest{Nonce: nonce(), Boot: hello.Boot, Body: text}
+		q := &signedRequest{Nonce: nonce(), Challenge: hello.Challenge, Body: text}
 		reply, err := c.call(ctx, http.MethodPost, pathAsk, forReply, q)
 		switch {
 		case err != nil:
@@ -301,7 +301,7 @@
 	}
 	r.Header.Set(headerNonce, q.Nonce)
 	if what == forReply {
-		r.Header.Set(headerBoot, strconv.FormatUint(q.Boot, 16))
+		r.Header.Set(headerBoot, strconv.FormatUint(q.Challenge, 16))
 		r.Header.Set(headerMAC, hex.EncodeToString(c.keys.sign(forAsk, encode(q))))
 	}
 	a, err := c.transport.RoundTrip(r)
@@ -312,16 +312,16 @@
 	if a.StatusCode != http.StatusOK && (a.StatusCode != http.StatusConflict || what != forReply) {
 		return nil, &PeerRejectedError{"the controller", c.address, a.StatusCode}
 	}
-	body, err := io.ReadAll(io.LimitReader(a.Body, AskAtMost+1))
+	body, err := io.ReadAll(io.LimitReader(a.Body, MaxRequestBytes+1))
 	if err != nil {
 		return nil, &UnreachableError{c.address, what == forReply, err}
 	}
-	if len(body) > AskAtMost {
-		return nil, &TooLargeError{c.address, int64(len(body)), AskAtMost}
+	if len(body) > MaxRequestBytes {
+		return nil, &TooLargeError{c.address, int64(len(body)), MaxRequestBytes}
 	}
 	boot, err := strconv.ParseUint(a.Header.Get(headerBoot), 16, 64)
 	sum, err2 := hex.DecodeString(a.Header.Get(headerMAC))
-	said := &signedRequest{Nonce: q.Nonce, Boot: boot, Status: a.StatusCode, Body: body}
+	said := &signedRequest{Nonce: q.Nonce, Challenge: boot, Status: a.StatusCode, Body: body}
 	if err != nil || err2 != nil || !c.keys.verify(what, encode(said), sum) {
 		return nil, &UnauthenticatedError{c.address, "an answer"}
 	}
--- a/internal/fleet/transport/control_server_test.go
+++ b/internal/fleet/transport/control_server_test.go
@@ -49,16 +49,16 @@
 
 func TestAnAskIsAnswered(t *testing.T) {
 	d, address, _ := desk(t, Keys{keyA, keyB}, echo)
-	_, err := AskControl(within(t), address, Keys{keyB}, &fleet.Request{Kind: "apply", ID: "x", BaseVersion: 3, Policy: []byte("teams: {}")})
+	_, err := SendControlRequest(within(t), address, Keys{keyB}, &fleet.Request{Kind: "apply", ID: "x", BaseVersion: 3, Policy: []byte("teams: {}")})
 	var refused *UnauthenticatedError
 	if !errors.As(err, &refused) {
 		t.Errorf("an answer by a key that isn't there was taken: %v", err)
 	}
-	r, err := AskControl(within(t), address, Keys{keyB, keyA}, &fleet.Request{Kind: "apply", ID: "x", BaseVersion: 3, Policy: []byte("teams: {}")})
+	r, err := SendControlRequest(within(t), address, Keys{keyB, keyA}, &fleet.Request{Kind: "apply", ID: "x", BaseVersion: 3, Policy: []byte("teams: {}")})
 	if err != nil || r.ID != "x" || r.Version != 4 || r.Reason != "teams: {}" {
 		t.Fatal(r, err)
 	}
-	r, err = AskControl(within(t), address, Keys{keyA}, &fleet.Request{Kind: "fail", ID: "y"})
+	r, err = SendControlRequest(within(t), address, Keys{keyA}, &fleet.Request{Kind: "fail", ID: "y"})
 	if err != nil || r.Outcome != "unknown" || r.ID != "y" || r.Remedy == "" {
 		t.Error(r, err)
 	}
@@ -67,12 +67,12 @@
 	}
 }
 
-func TestAStrangersAskIsRefused(t *testing.T) {
+func TestUnauthenticatedRequestIsRejected(t *testing.T) {
 	_, address, refused := desk(t, Keys{keyA}, func(context.Context, *fleet.Request) (*fleet.Response, error) {
 		t.Error("it was asked")
 		return &fleet.Response{}, nil
 	})
-	_, err := AskControl(within(t), address, Keys{keyB}, &fleet.Request{Kind: "purge"})
+	_, err := SendControlRequest(within(t), address, Keys{keyB}, &fleet.Request{Kind: "purge"})
 	var stranger *UnauthenticatedError
 	if !errors.As(err, &stranger) {
 		t.Fatalf("the client didn't see that it isn't its fleet: %v", err)
@@ -100,11 +100,11 @@
 
 func TestARecordedAskCountsOnce(t *testing.T) {
 	d, address, refused := desk(t, Keys{keyA}, echo)
-	q := &signedRequest{Nonce: nonce(), Boot: d.nonces.challenge, Body: []byte(`{"kind":"purge"}`)}
+	q := &signedRequest{Nonce: nonce(), Challenge: d.nonces.challenge, Body: []byte(`{"kind":"purge"}`)}
 	send := func() int {
 		r, _ := http.NewRequest(http.MethodPost, "http://"+address+pathAsk, bytes.NewReader(q.Body))
 		r.Header.Set(headerNonce, q.Nonce)
-		r.Header.Set(headerBoot, strconv.FormatUint(q.Boot, 16))
+		r.Header.Set(headerBoot, strconv.FormatUint(q.Challenge, 16))
 		r.Header.Set(headerMAC, hex.EncodeToString(Keys{keyA}.sign(forAsk, encode(q))))
 		return roundTrip(t, r).StatusCode
 	}
@@ -112,11 +112,11 @@
 		t.Error(first, again)
 	}
 	refusal[*ReplayError](t, refused)
-	q.Boot++ // as after a restart
+	q.Challenge++ // as after a restart
 	if status := send(); status != http.StatusConflict {
 		t.Error(status)
 	}
-	q.Boot, q.Nonce, q.Body = d.nonces.challenge, nonce(), []byte("{")
+	q.Challenge, q.Nonce, q.Body = d.nonces.challenge, nonce(), []byte("{")
 	if status := send(); status != http.StatusBadRequest {
 		t.Error(status)
 	}
@@ -145,14 +145,14 @@
 func TestAControllerThatCantBeReached(t *testing.T) {
 	l := listen(t, "127.0.0.1:0")
 	l.Close()
-	_, err := AskControl(within(t), l.Addr().String(), Keys{keyA}, &fleet.Request{})
+	_, err := SendControlRequest(within(t), l.Addr().String(), Keys{keyA}, &fleet.Request{})
 	var gone *UnreachableError
 	if !errors.As(err, &gone) || gone.Sent || gone.Remedy() == "" {
 		t.Errorf("%T %v", err, err)
 	}
 	other := httptest.NewServer(http.NotFoundHandler())
 	defer other.Close()
-	_, err = AskControl(within(t), other.Listener.Addr().(*net.TCPAddr).String(), Keys{keyA}, &fleet.Request{})
+	_, err = SendControlRequest(within(t), other.Listener.Addr().(*net.TCPAddr).String(), Keys{keyA}, &fleet.Request{})
 	var away *PeerRejectedError
 	if !errors.As(err, &away) || away.Status != http.StatusNotFound {
 		t.Errorf("%T %v", err, err)
@@ -169,7 +169,7 @@
 	})
 	ctx, cancel := context.WithCancel(context.Background())
 	go func() { <-began; cancel() }()
-	_, err := AskControl(ctx, address, Keys{keyA}, &fleet.Request{})
+	_, err := SendControlRequest(ctx, address, Keys{keyA}, &fleet.Request{})
 	var gone *UnreachableError
 	if !errors.As(err, &gone) || !gone.Sent {
 		t.Errorf("%T %v", err, err)
--- a/internal/fleet/transport/errors.go
+++ b/internal/fleet/transport/errors.go
@@ -114,12 +114,12 @@
 
 // TooLargeError is a frame or ask over its bound, which wasn't read or sent.
 type TooLargeError struct {
-	Peer          string
-	Bytes, AtMost int64
+	Peer         string
+	Bytes, Limit int64
 }
 
 func (e *TooLargeError) Error() string {
-	return fmt.Sprintf("%d bytes from or for %s, at most %d are taken", e.Bytes, e.Peer, e.AtMost)
+	return fmt.Sprintf("%d bytes from or for %s, at most %d are taken", e.Bytes, e.Peer, e.Limit)
 }
 
 // Remedy says what an operator can do.
@@ -175,16 +175,16 @@
 
 // KeyFileError says why a key file can't be used.
 type KeyFileError struct {
-	Path string
-	Line int // 0: the whole file
-	Why  string
+	Path   string
+	Line   int // 0: the whole file
+	Reason string
 }
 
 func (e *KeyFileError) Error() string {
 	if e.Line > 0 {
-		return fmt.Sprintf("key file %s, line %d: %s", e.Path, e.Line, e.Why)
+		return fmt.Sprintf("key file %s, line %d: %s", e.Path, e.Line, e.Reason)
 	}
-	return fmt.Sprintf("key file %s: %s", e.Path, e.Why)
+	return fmt.Sprintf("key file %s: %s", e.Path, e.Reason)
 }
 
 // Remedy says what an operator can do.
@@ -202,7 +202,7 @@
 		&WrongRecipientError{"b", "c", "a"},
 		&StaleIncarnationError{"b"},
 		&MalformedError{"b", fmt.Errorf("no CBOR")},
-		&TooLargeError{"b", BodyAtMost + 1, BodyAtMost},
+		&TooLargeError{"b", MaxFrameBytes + 1, MaxFrameBytes},
 		&PeerRejectedError{"b", "10.0.0.2:7700", http.StatusForbidden},
 		&UnreachableError{"10.0.0.2:7701", false, fmt.Errorf("connection refused")},
 		&KeyFileError{"fleet.key", 1, "24 bytes, 32 at least are needed"},
--- a/internal/fleet/transport/faults_test.go
+++ b/internal/fleet/transport/faults_test.go
@@ -95,7 +95,7 @@
 		if err != nil {
 			t.Skip("not all of 127/8 is local here:", err)
 		}
-		return Options{Listener: l, Local: net.ParseIP(m.Source(name)), Timeout: 50 * time.Millisecond}
+		return Options{Listener: l, LocalIP: net.ParseIP(m.Source(name)), Timeout: 50 * time.Millisecond}
 	}
 	a, b := pair(t, o("a"), o("b"))
 	t.Cleanup(m.Close)
--- a/internal/fleet/transport/frame.go
+++ b/internal/fleet/transport/frame.go
@@ -16,8 +16,8 @@
 )
 
 const (
-	// BodyAtMost bounds a frame, in bytes.
-	BodyAtMost = 64 << 20
+	// MaxFrameBytes bounds a frame, in bytes.
+	MaxFrameBytes = 64 << 20
 	// windowSize is how far behind the newest number of a sender's run another one may
 	// be and still be told from a replay.
 	windowSize = 1024
@@ -32,25 +32,25 @@
 // frame is what one POST carries: its MAC stands beside it, over these very bytes, and
 // is checked before they are read.
 type frame struct {
-	Fleet    string            `cbor:"1,keyasint"`
-	From     string            `cbor:"2,keyasint"`
-	To       string            `cbor:"3,keyasint"`
-	Boot     uint64            `cbor:"4,keyasint"` // of the sender's run
-	There    uint64            `cbor:"5,keyasint"` // of the receiver's; 0: a hello, which asks for it
-	Seq      uint64            `cbor:"6,keyasint"` // from 1, within the sender's run and for this receiver
-	Messages []cbor.RawMessage `cbor:"7,keyasint,omitempty"`
+	Fleet               string            `cbor:"1,keyasint"`
+	From                string            `cbor:"2,keyasint"`
+	To                  string            `cbor:"3,keyasint"`
+	SenderIncarnation   uint64            `cbor:"4,keyasint"` // of the sender's run
+	ReceiverIncarnation uint64            `cbor:"5,keyasint"` // of the receiver's; 0: a hello, which asks for it
+	Seq                 uint64            `cbor:"6,keyasint"` // from 1, within the sender's run and for this receiver
+	Messages            []cbor.RawMessage `cbor:"7,keyasint,omitempty"`
 }
 
 // answer is what the MAC of an answer is over. The sender of the frame knows all of it
 // but Boot. Frame is the frame's MAC: an answer to any other frame, older ones
 // included, doesn't fit.
 type answer struct {
-	Fleet  string `cbor:"1,keyasint"`
-	From   string `cbor:"2,keyasint"`
-	Status int    `cbor:"3,keyasint"`
-	Boot   uint64 `cbor:"4,keyasint"` // of who answers
-	Seq    uint64 `cbor:"5,keyasint"`
-	Frame  []byte `cbor:"6,keyasint"`
+	Fleet       string `cbor:"1,keyasint"`
+	From        string `cbor:"2,keyasint"`
+	Status      int    `cbor:"3,keyasint"`
+	Incarnation uint64 `cbor:"4,keyasint"` // of who answers
+	Seq         uint64 `cbor:"5,keyasint"`
+	Frame       []byte `cbor:"6,keyasint"`
 }
 
 var encoding, decoding = modes()
@@ -90,7 +90,7 @@
 	if err := decoding.Unmarshal(body, f); err != nil {
 		return nil, &MalformedError{remote, err}
 	}
-	if f.From == "" || f.Boot == 0 {
+	if f.From == "" || f.SenderIncarnation == 0 {
 		return nil, &MalformedError{remote, errors.New("a frame without a sender")}
 	}
 	return f, nil
--- a/internal/fleet/transport/frame_test.go
+++ b/internal/fleet/transport/frame_test.go
@@ -46,30 +46,30 @@
 
 func TestAnEarlierRunStaysShutOutOnceForgotten(t *testing.T) {
 	g := newReplayGuard("north", "a", 5)
-	f := frame{Fleet: "north", From: "b", To: "a", There: 5, Seq: 1}
+	f := frame{Fleet: "north", From: "b", To: "a", ReceiverIncarnation: 5, Seq: 1}
 	for boot := uint64(1); boot <= runsAtMost+1; boot++ {
-		f.Boot = boot
+		f.SenderIncarnation = boot
 		if err := g.accept(&f); err != nil {
 			t.Fatal(boot, err)
 		}
 	}
 	for boot := uint64(1); boot <= runsAtMost+1; boot++ {
-		f.Boot = boot
+		f.SenderIncarnation = boot
 		if err := g.accept(&f); err == nil || err.Reason() != "replay" {
 			t.Errorf("the frame of run %d was taken twice: %v", boot, err)
 		}
 	}
-	f.Boot, f.Seq = 1, 2
+	f.SenderIncarnation, f.Seq = 1, 2
 	if g.accept(&f) == nil {
 		t.Error("a run that has no window any more was taken")
 	}
-	f.Boot, f.Seq = 2, 2
+	f.SenderIncarnation, f.Seq = 2, 2
 	if err := g.accept(&f); err != nil {
 		t.Error("an earlier run with a window:", err)
 	}
 }
 
-func TestAMACIsForItsPurposeAndItsBytes(t *testing.T) {
+func TestMACIsBoundToPurposeAndBody(t *testing.T) {
 	keys := Keys{keyA, keyB}
 	body := []byte("hello")
 	sum := keys.sign(forFrame, body)
--- a/internal/fleet/transport/keys.go
+++ b/internal/fleet/transport/keys.go
@@ -26,25 +26,25 @@
 func ReadKeys(path string) (Keys, error) {
 	f, err := os.Open(path)
 	if err != nil {
-		return nil, &KeyFileError{Path: path, Why: err.Error()}
+		return nil, &KeyFileError{Path: path, Reason: err.Error()}
 	}
 	defer f.Close()
 	about, err := f.Stat() // of what is read, not of what may be at the path by then
 	if err != nil {
-		return nil, &KeyFileError{Path: path, Why: err.Error()}
+		return nil, &KeyFileError{Path: path, Reason: err.Error()}
 	}
 	switch {
 	case !about.Mode().IsRegular():
-		return nil, &KeyFileError{Path: path, Why: "it is no regular file"}
+		return nil, &KeyFileError{Path: path, Reason: "it is no regular file"}
 	case about.Mode().Perm()&0o077 != 0:
-		return nil, &KeyFileError{Path: path, Why: fmt.Sprintf("its rights are %#o, others can get at it", about.Mode().Perm())}
+		return nil, &KeyFileError{Path: path, Reason: fmt.Sprintf("its rights are %#o, others can get at it", about.Mode().Perm())}
 	case about.Size() > 1<<16:
-		return nil, &KeyFileError{Path: path, Why: "it is over 64 KiB"}
+		return nil, &KeyFileError{Path: path, Reason: "it is over 64 KiB"}
 	}
 	text := make([]byte, about.Size())
 	n, err := f.Read(text)
 	if err != nil && n < len(text) {
-		return nil, &KeyFileError{Path: path, Why: err.Error()}
+		return nil, &KeyFileError{Path: path, Reason: err.Error()}
 	}
 	var keys Keys
 	for i, line := range strings.Split(string(text[:n]), "\n") {
@@ -67,7 +67,7 @@
 		keys = append(keys, key)
 	}
 	if len(keys) == 0 {
-		return nil, &KeyFileError{Path: path, Why: "it has no key"}
+		return nil, &KeyFileError{Path: path, Reason: "it has no key"}
 	}
 	return keys, nil
 }
@@ -76,11 +76,11 @@
 func (k Keys) validate() error {
 	for _, key := range k {
 		if len(key) < keyAtLeast {
-			return &KeyFileError{Why: "a key that is too short"}
+			return &KeyFileError{Reason: "a key that is too short"}
 		}
 	}
 	if len(k) == 0 {
-		return &KeyFileError{Why: "no key"}
+		return &KeyFileError{Reason: "no key"}
 	}
 	return nil
 }
--- a/internal/fleet/transport/peer_transport.go
+++ b/internal/fleet/transport/peer_transport.go
@@ -42,24 +42,24 @@
 
 // Options are what a PeerTransport is made with.
 type Options struct {
-	Fleet    string       // its name: another fleet's frames are refused
-	Self     string       // this controller's name
-	Boot     uint64       // of this run, 0: it is drawn
-	Keys     Keys         // the first signs, all are accepted
-	Listener net.Listener // where peers come in; Close closes it
+	Fleet       string       // its name: another fleet's frames are refused
+	Self        string       // this controller's name
+	Incarnation uint64       // of this run, 0: it is drawn
+	Keys        Keys         // the first signs, all are accepted
+	Listener    net.Listener // where peers come in; Close closes it
 
 	// Got is handed what came in, on the goroutine of the connection it came by, which
 	// answers its sender afterwards: it must not block for long.
 	OnMessage func(*node.Message)
-	// OnRefused is told what wasn't taken, once a minute for each peer and reason; from
+	// OnRejected is told what wasn't taken, once a minute for each peer and reason; from
 	// is the peer's name, or its address where the name isn't proven. May be nil.
-	OnRefused func(err fleet.ErrorWithRemedy, from string)
+	OnRejected func(err fleet.ErrorWithRemedy, from string)
 
-	Timeout time.Duration // to connect, and for an answer; 0: 1 s. A frame has a second more for each MiB
-	Idle    time.Duration // a peer's goroutine and connection end after it; 0: 30 s
-	Seed    uint64        // for the back-off
+	Timeout     time.Duration // to connect, and for an answer; 0: 1 s. A frame has a second more for each MiB
+	IdleTimeout time.Duration // a peer's goroutine and connection end after it; 0: 30 s
+	Seed        uint64        // for the back-off
 
-	Local net.IP // connections to peers come from this address; nil: as the system chooses
+	LocalIP net.IP // connections to peers come from this address; nil: as the system chooses
 	// Dial connects to peers in place of a net.Dialer, for links that a test shapes; nil: none does.
 	Dial func(ctx context.Context, network, address string) (net.Conn, error)
 }
@@ -102,7 +102,7 @@
 
 	mu          sync.Mutex
 	address     string
-	queue       []queuedMessage // at most ringAtMost and BodyAtMost bytes: over it the oldest go
+	queue       []queuedMessage // at most maxQueuedMessages and MaxFrameBytes bytes: over it the oldest go
 	queuedBytes int
 	running     bool
 
@@ -118,23 +118,23 @@
 	if err := o.Keys.validate(); err != nil {
 		return nil, err
 	}
-	if o.Boot == 0 {
-		o.Boot = RandomID()
+	if o.Incarnation == 0 {
+		o.Incarnation = RandomID()
 	}
 	if o.Timeout <= 0 {
 		o.Timeout = time.Second
 	}
-	if o.Idle <= 0 {
-		o.Idle = 30 * time.Second
+	if o.IdleTimeout <= 0 {
+		o.IdleTimeout = 30 * time.Second
 	}
-	w := &PeerTransport{options: o, peers: map[string]*peer{}, replayGuard: newReplayGuard(o.Fleet, o.Self, o.Boot),
+	w := &PeerTransport{options: o, peers: map[string]*peer{}, replayGuard: newReplayGuard(o.Fleet, o.Self, o.Incarnation),
 		readBudget: semaphore.NewWeighted(maxBytesBeingRead)}
-	w.init(o.OnRefused)
+	w.init(o.OnRejected)
 	w.keys.Store(&o.Keys)
 	w.ctx, w.cancel = context.WithCancel(context.Background())
 	dialer := &net.Dialer{Timeout: o.Timeout}
-	if o.Local != nil {
-		dialer.LocalAddr = &net.TCPAddr{IP: o.Local}
+	if o.LocalIP != nil {
+		dialer.LocalAddr = &net.TCPAddr{IP: o.LocalIP}
 	}
 	dial := dialer.DialContext
 	if o.Dial != nil {
@@ -152,19 +152,19 @@
 			return w.meter.conn(c), nil
 		},
 		MaxIdleConnsPerHost: 1,
-		IdleConnTimeout:     o.Idle,
+		IdleConnTimeout:     o.IdleTimeout,
 		DisableCompression:  true,
 	}
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST "+pathFleet, w.serveFrame)
-	w.server = &http.Server{Handler: mux, ReadHeaderTimeout: 5 * o.Timeout, IdleTimeout: 2 * o.Idle,
+	w.server = &http.Server{Handler: mux, ReadHeaderTimeout: 5 * o.Timeout, IdleTimeout: 2 * o.IdleTimeout,
 		MaxHeaderBytes: 8 << 10, ErrorLog: discardLog, ConnState: countConnections(&w.inbound)}
 	w.serving.Go(func() { w.server.Serve(w.meter.listener(o.Listener)) })
 	return w, nil
 }
 
 // Boot is this run's number.
-func (w *PeerTransport) Boot() uint64 { return w.options.Boot }
+func (w *PeerTransport) Incarnation() uint64 { return w.options.Incarnation }
 
 // SetKeys takes other keys from now on, for all that is sent and comes in.
 func (w *PeerTransport) SetKeys(keys Keys) error {
@@ -212,8 +212,8 @@
 		w.refuse(&MalformedError{w.options.Self, err}, to)
 		return
 	}
-	if len(body) > BodyAtMost-1<<10 { // what a frame has beside its messages is under that
-		w.refuse(&TooLargeError{to, int64(len(body)), BodyAtMost}, to)
+	if len(body) > MaxFrameBytes-1<<10 { // what a frame has beside its messages is under that
+		w.refuse(&TooLargeError{to, int64(len(body)), MaxFrameBytes}, to)
 		return
 	}
 	w.mu.Lock()
@@ -246,7 +246,7 @@
 
 // dropOldest keeps the queue within its bounds and tells how many messages were dropped.
 func (p *peer) dropOldest() (gone int) {
-	for len(p.queue) > maxQueuedMessages || p.queuedBytes > BodyAtMost {
+	for len(p.queue) > maxQueuedMessages || p.queuedBytes > MaxFrameBytes {
 		p.queuedBytes -= len(p.queue[0].body)
 		p.queue[0] = queuedMessage{}
 		p.queue = p.queue[1:]
@@ -291,13 +291,13 @@
 // sendLoop is a peer's goroutine: it ends when there was nothing to send, or no answer, for
 // as long as Options.Idle.
 func (w *PeerTransport) sendLoop(p *peer) {
-	timer := time.NewTimer(w.options.Idle)
+	timer := time.NewTimer(w.options.IdleTimeout)
 	defer timer.Stop()
 	good := time.Now() // the last time all was well
 	for {
 		batch, address := p.nextBatch()
 		if len(batch) == 0 {
-			timer.Reset(w.options.Idle)
+			timer.Reset(w.options.IdleTimeout)
 			select {
 			case <-p.wake:
 				continue
@@ -327,7 +327,7 @@
 			w.count("lost", lost)
 			w.count("dropped", dropped)
 		}
-		if time.Since(good) > w.options.Idle {
+		if time.Since(good) > w.options.IdleTimeout {
 			w.count("dropped", p.dropAll())
 			if p.stopUnlessQueued(false) {
 				return
@@ -374,7 +374,7 @@
 		messages[i] = it.body
 	}
 	for range 3 { // hello, the batch, and once more if the peer starts in between
-		f := &frame{Fleet: w.options.Fleet, From: w.options.Self, To: p.name, Boot: w.options.Boot, There: p.incarnation}
+		f := &frame{Fleet: w.options.Fleet, From: w.options.Self, To: p.name, SenderIncarnation: w.options.Incarnation, ReceiverIncarnation: p.incarnation}
 		p.seq++
 		f.Seq = p.seq
 		if p.incarnation != 0 {
@@ -422,7 +422,7 @@
 	if err != nil || err2 != nil || !keys.verify(forAnswer, said, theirs) {
 		return 0, 0, &UnauthenticatedError{address, "an answer"}
 	}
-	if a.StatusCode == http.StatusConflict && (boot == 0 || boot == f.There) {
+	if a.StatusCode == http.StatusConflict && (boot == 0 || boot == f.ReceiverIncarnation) {
 		return 0, 0, &MalformedError{f.To, errors.New("it refuses its own boot number")}
 	}
 	return a.StatusCode, boot, nil
@@ -460,7 +460,7 @@
 	case refused != nil:
 		w.refuse(refused, f.From)
 		status = statusOf(refused)
-	case f.There == 0:
+	case f.ReceiverIncarnation == 0:
 		status = http.StatusConflict // a hello
 	default:
 		status = http.StatusNoContent
@@ -470,8 +470,8 @@
 		}
 	}
 	if status == http.StatusConflict || status == http.StatusNoContent {
-		said := encode(&answer{w.options.Fleet, w.options.Self, status, w.options.Boot, f.Seq, sum})
-		rw.Header().Set(headerBoot, strconv.FormatUint(w.options.Boot, 16))
+		said := encode(&answer{w.options.Fleet, w.options.Self, status, w.options.Incarnation, f.Seq, sum})
+		rw.Header().Set(headerBoot, strconv.FormatUint(w.options.Incarnation, 16))
 		rw.Header().Set(headerMAC, hex.EncodeToString(keys.sign(forAnswer, said)))
 	}
 	rw.WriteHeader(status)
@@ -483,8 +483,8 @@
 	if r.ContentLength < 0 {
 		return nil, http.StatusLengthRequired
 	}
-	if r.ContentLength > BodyAtMost {
-		w.refuse(&TooLargeError{remote, r.ContentLength, BodyAtMost}, remote)
+	if r.ContentLength > MaxFrameBytes {
+		w.refuse(&TooLargeError{remote, r.ContentLength, MaxFrameBytes}, remote)
 		return nil, http.StatusRequestEntityTooLarge
 	}
 	within := w.timeoutFor(r.ContentLength)
--- a/internal/fleet/transport/peer_transport_test.go
+++ b/internal/fleet/transport/peer_transport_test.go
@@ -49,7 +49,7 @@
 		o.Keys = Keys{keyA}
 	}
 	o.OnMessage = func(m *node.Message) { e.got <- m }
-	o.OnRefused = func(err fleet.ErrorWithRemedy, _ string) { e.refused <- err }
+	o.OnRejected = func(err fleet.ErrorWithRemedy, _ string) { e.refused <- err }
 	e.address = o.Listener.Addr().String()
 	var err error
 	if e.PeerTransport, err = Open(o); err != nil {
@@ -184,7 +184,7 @@
 
 func TestAReplayIsRefusedAndToldFromWhatIsNew(t *testing.T) {
 	_, b := pair(t, Options{}, Options{})
-	f := &frame{Fleet: "north", From: "c", To: "b", Boot: 4, There: b.Boot(), Seq: 1}
+	f := &frame{Fleet: "north", From: "c", To: "b", SenderIncarnation: 4, ReceiverIncarnation: b.Incarnation(), Seq: 1}
 	f.Messages = append(f.Messages, message("c", "b", "once"))
 	if a := post(t, b, Keys{keyA}, f); a.StatusCode != http.StatusNoContent {
 		t.Fatal(a.Status)
@@ -209,7 +209,7 @@
 
 func TestOthersFramesAreRefused(t *testing.T) {
 	_, b := pair(t, Options{}, Options{})
-	good := frame{Fleet: "north", From: "c", To: "b", Boot: 4, There: b.Boot(), Seq: 1}
+	good := frame{Fleet: "north", From: "c", To: "b", SenderIncarnation: 4, ReceiverIncarnation: b.Incarnation(), Seq: 1}
 	f := good
 	f.Fleet = "south"
 	post(t, b, Keys{keyA}, &f)
@@ -241,14 +241,14 @@
 		t.Fatal(err)
 	}
 	defer c.Close()
-	fmt.Fprintf(c, "POST /fleet HTTP/1.1\r\nHost: b\r\nContent-Length: %d\r\n\r\n", BodyAtMost+1)
+	fmt.Fprintf(c, "POST /fleet HTTP/1.1\r\nHost: b\r\nContent-Length: %d\r\n\r\n", MaxFrameBytes+1)
 	head := make([]byte, len("HTTP/1.1 413"))
 	c.SetReadDeadline(time.Now().Add(soon))
 	if _, err := io.ReadFull(c, head); err != nil || string(head) != "HTTP/1.1 413" {
 		t.Errorf("%q %v", head, err)
 	}
 	refusal[*TooLargeError](t, b.refused)
-	a.Send("b", b.address, &node.Message{Consensus: make([]byte, BodyAtMost)})
+	a.Send("b", b.address, &node.Message{Consensus: make([]byte, MaxFrameBytes)})
 	refusal[*TooLargeError](t, a.refused)
 }
 
@@ -257,12 +257,12 @@
 	a.say(b, "before")
 	b.hears(t, "a", "before")
 	a.until(t, "sent", 1) // an answer that the restart cuts off would have it sent twice
-	old := &frame{Fleet: "north", From: "a", To: "b", Boot: a.Boot(), There: b.Boot(), Seq: 2}
+	old := &frame{Fleet: "north", From: "a", To: "b", SenderIncarnation: a.Incarnation(), ReceiverIncarnation: b.Incarnation(), Seq: 2}
 	old.Messages = append(old.Messages, message("a", "b", "recorded"))
 	b.Close()
 	b2 := open1(t, Options{Self: "b", Listener: listen(t, b.address)})
 	answer := post(t, b2, Keys{keyA}, old)
-	if answer.StatusCode != http.StatusConflict || answer.Header.Get(headerBoot) != strconv.FormatUint(b2.Boot(), 16) {
+	if answer.StatusCode != http.StatusConflict || answer.Header.Get(headerBoot) != strconv.FormatUint(b2.Incarnation(), 16) {
 		t.Error(answer.Status, answer.Header)
 	}
 	refusal[*StaleIncarnationError](t, b2.refused)
@@ -326,14 +326,14 @@
 	a.mu.Unlock()
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.queuedBytes > BodyAtMost {
+	if p.queuedBytes > MaxFrameBytes {
 		t.Error(p.queuedBytes, "bytes wait")
 	}
 }
 
 func TestAFrameCutInTheMiddleHandsOnNothing(t *testing.T) {
 	a, b := pair(t, Options{}, Options{})
-	f := &frame{Fleet: "north", From: "a", To: "b", Boot: 3, There: b.Boot(), Seq: 1}
+	f := &frame{Fleet: "north", From: "a", To: "b", SenderIncarnation: 3, ReceiverIncarnation: b.Incarnation(), Seq: 1}
 	f.Messages = append(f.Messages, message("a", "b", "whole"))
 	body := encode(f)
 	c, err := net.Dial("tcp", b.address)
@@ -359,7 +359,7 @@
 }
 
 func TestIdlePeersCostNoGoroutine(t *testing.T) {
-	a, b := pair(t, Options{Idle: 20 * time.Millisecond}, Options{})
+	a, b := pair(t, Options{IdleTimeout: 20 * time.Millisecond}, Options{})
 	running := func() bool {
 		a.mu.Lock()
 		p := a.peers["b"]
--- a/internal/fleet/transport/replay_guard.go
+++ b/internal/fleet/transport/replay_guard.go
@@ -56,9 +56,9 @@
 		return &OtherFleetError{f.From, f.Fleet, g.fleet}
 	case f.To != g.self:
 		return &WrongRecipientError{f.From, f.To, g.self}
-	case f.There == 0 && len(f.Messages) == 0:
+	case f.ReceiverIncarnation == 0 && len(f.Messages) == 0:
 		return nil
-	case f.There != g.incarnation:
+	case f.ReceiverIncarnation != g.incarnation:
 		return &StaleIncarnationError{f.From}
 	}
 	r := g.senders[f.From]
@@ -66,7 +66,7 @@
 		r = &senderIncarnations{expired: map[uint64]struct{}{}}
 		g.senders[f.From] = r
 	}
-	if w := r.window(f.Boot); w == nil || !w.accept(f.Seq) {
+	if w := r.window(f.SenderIncarnation); w == nil || !w.accept(f.Seq) {
 		return &ReplayError{f.From, f.Seq}
 	}
 	return nil
