--- a/internal/controller/residency_test.go
+++ b/internal/controller/residency_test.go
@@ -26,20 +26,20 @@
 	return newFleetHarness(t, engines, f, func(m *Config) { m.FieldNames.Customer = "who" })
 }
 
-func (s *harness) siteOf(e *engine) string {
-	return s.controller.servingLease.residency.siteName(e.location)
+func (h *harness) siteOf(e *engine) string {
+	return h.controller.servingLease.residency.siteName(e.location)
 }
 
 // openRules opens a policy version with the given rules.
-func (s *harness) openRules(version uint64, rules ...residency.Rule) {
-	s.deliverOrder(fleet.Order{Kind: fleet.LeaseRenewed, LeaseEnd: fleet.Forever, ConfinedLeaseEnd: fleet.Forever})
-	s.deliverOrder(fleet.Order{Kind: fleet.ActivatePolicy, Version: version,
+func (h *harness) openRules(version uint64, rules ...residency.Rule) {
+	h.deliverOrder(fleet.Order{Kind: fleet.LeaseRenewed, LeaseEnd: fleet.Forever, ConfinedLeaseEnd: fleet.Forever})
+	h.deliverOrder(fleet.Order{Kind: fleet.ActivatePolicy, Version: version,
 		Policy: &Policy{Version: version, Rules: rules}})
 }
 
 // fleetRequests returns the requests that the controller has made to the fleet.
-func (s *harness) fleetRequests() (requests []*fleet.Request) {
-	for _, p := range s.reports {
+func (h *harness) fleetRequests() (requests []*fleet.Request) {
+	for _, p := range h.reports {
 		if p.Kind == fleet.RequestMade {
 			requests = append(requests, p.Request)
 		}
@@ -188,8 +188,8 @@
 	}
 }
 
-func (s *harness) lastSitesReport() (last fleet.Report) {
-	for _, p := range s.reports {
+func (h *harness) lastSitesReport() (last fleet.Report) {
+	for _, p := range h.reports {
 		if p.Kind == fleet.SitesServing {
 			last = p
 		}
--- a/internal/controller/serving_lease_test.go
+++ b/internal/controller/serving_lease_test.go
@@ -21,31 +21,31 @@
 		change...)...)
 }
 
-func (s *harness) deliverOrder(o fleet.Order) { s.step(Event{Kind: FleetOrderReceived, Order: &o}) }
+func (h *harness) deliverOrder(o fleet.Order) { h.step(Event{Kind: FleetOrderReceived, Order: &o}) }
 
 // openVersion renews the lease for the given time and opens a policy version.
-func (s *harness) openVersion(version uint64, lease time.Duration) {
-	s.deliverOrder(fleet.Order{Kind: fleet.LeaseRenewed, LeaseEnd: s.now + lease, ConfinedLeaseEnd: s.now + lease})
-	s.deliverOrder(fleet.Order{Kind: fleet.ActivatePolicy, Version: version, Policy: &Policy{Version: version}})
+func (h *harness) openVersion(version uint64, lease time.Duration) {
+	h.deliverOrder(fleet.Order{Kind: fleet.LeaseRenewed, LeaseEnd: h.now + lease, ConfinedLeaseEnd: h.now + lease})
+	h.deliverOrder(fleet.Order{Kind: fleet.ActivatePolicy, Version: version, Policy: &Policy{Version: version}})
 }
 
 // mayWrite makes the runner's check right before a write, which may come later than the step.
-func (s *harness) mayWrite(f Effect) bool {
-	w := s.controller.Config.Fleet.ServingState
-	if !w.BeginWrite(s.now+s.writeDelay, f.PolicyVersion, f.Confined) {
+func (h *harness) mayWrite(f Effect) bool {
+	w := h.controller.Config.Fleet.ServingState
+	if !w.BeginWrite(h.now+h.writeDelay, f.PolicyVersion, f.Confined) {
 		return false
 	}
 	w.EndWrite()
-	if n := len(s.submittedVersions); n > 0 && f.PolicyVersion < s.submittedVersions[n-1] {
-		s.t.Fatalf("attempt sent by version %d after one by version %d", f.PolicyVersion, s.submittedVersions[n-1])
+	if n := len(h.submittedVersions); n > 0 && f.PolicyVersion < h.submittedVersions[n-1] {
+		h.t.Fatalf("attempt sent by version %d after one by version %d", f.PolicyVersion, h.submittedVersions[n-1])
 	}
-	s.submittedVersions = append(s.submittedVersions, f.PolicyVersion)
+	h.submittedVersions = append(h.submittedVersions, f.PolicyVersion)
 	return true
 }
 
 // reportCount returns the number of reports of a kind.
-func (s *harness) reportCount(kind fleet.ReportKind) (n int) {
-	for _, p := range s.reports {
+func (h *harness) reportCount(kind fleet.ReportKind) (n int) {
+	for _, p := range h.reports {
 		if p.Kind == kind {
 			n++
 		}
