--- a/internal/fleet/consensus/core.go
+++ b/internal/fleet/consensus/core.go
@@ -23,7 +23,7 @@
 	// maxMessagesInFlight to one voter are not answered yet.
 	maxMessagesInFlight = 64
 	// never is a time that doesn't come.
-	never = time.Duration(1<<63 - 1)
+	noDeadline = time.Duration(1<<63 - 1)
 )
 
 // Core is one voter. It isn't safe for use by several goroutines. The bytes that it hands
@@ -109,7 +109,7 @@
 }
 
 // Step takes an event in and tells what follows. Time never goes back.
-func (c *Core) Step(now time.Duration, ev Event) []Effect {
+func (c *Core) Step(now time.Duration, event Event) []Effect {
 	c.now = max(c.now, now)
 	if !c.started {
 		c.started, c.electionTimerStart = true, c.now
@@ -119,21 +119,21 @@
 		}
 	}
 	c.forgetSilentLeader()
-	switch ev.Kind {
+	switch event.Kind {
 	case MessageReceived:
-		c.receive(ev)
+		c.receive(event)
 	case Persisted:
 		c.persisted()
 	case Propose:
-		if c.leading && len(ev.Data) > 0 {
-			_ = c.raft.Propose(ev.Data)
+		if c.leading && len(event.Data) > 0 {
+			_ = c.raft.Propose(event.Data)
 		}
 	case ConfirmLeadership:
-		c.confirm(ev.Handle)
+		c.confirm(event.Handle)
 	case ChangeVoters:
-		c.changeVoters(ev.Voters)
+		c.changeVoters(event.Voters)
 	case SnapshotTaken:
-		c.snapshotTaken(ev.Snapshot)
+		c.snapshotTaken(event.Snapshot)
 	}
 	c.updateLeader()
 	c.runTimers()
@@ -143,12 +143,12 @@
 
 // snapshotTaken notes a snapshot of the state to replace the log up to there. An older one
 // than is pending already, or one of entries that aren't applied, is passed over.
-func (c *Core) snapshotTaken(s *Snapshot) {
-	if s == nil || s.Index > c.applied {
+func (c *Core) snapshotTaken(snapshot *Snapshot) {
+	if snapshot == nil || snapshot.Index > c.applied {
 		return
 	}
-	if c.pendingSnapshot == nil || c.pendingSnapshot.Index < s.Index {
-		c.pendingSnapshot = s
+	if c.pendingSnapshot == nil || c.pendingSnapshot.Index < snapshot.Index {
+		c.pendingSnapshot = snapshot
 	}
 }
 
@@ -161,7 +161,7 @@
 	if c.leading {
 		return c.nextHeartbeat
 	}
-	due := never
+	due := noDeadline
 	if c.isVoter() {
 		due = c.electionTimerStart + c.electionDelay
 	}
@@ -173,8 +173,8 @@
 
 // Leader is who leads, "" if nobody is known to, and in which term.
 func (c *Core) Leader() (name string, term uint64) {
-	s := c.raft.BasicStatus()
-	return c.names[s.Lead], s.GetTerm()
+	status := c.raft.BasicStatus()
+	return c.names[status.Lead], status.GetTerm()
 }
 
 // IsLeader reports whether this is the leader, as far as it knows. Another may lead already:
@@ -199,27 +199,27 @@
 func (c *Core) emit(e Effect) { c.effects = append(c.effects, e) }
 func (c *Core) takeEffects() []Effect {
 	c.updateLeader()
-	out := c.effects
+	effects := c.effects
 	c.effects = nil
-	return out
+	return effects
 }
 
 // forgetSilentLeader forgets a leader that wasn't heard for an election timeout, so that
 // another may be voted for. Until then the library answers no request for votes: a voter that
 // was cut off and comes back doesn't unseat a leader that all others hear.
 func (c *Core) forgetSilentLeader() {
-	s := c.raft.BasicStatus()
-	if s.RaftState == raft.StateFollower && s.Lead != raft.None && c.now-c.leaderHeardAt >= c.electionTimeout {
+	status := c.raft.BasicStatus()
+	if status.RaftState == raft.StateFollower && status.Lead != raft.None && c.now-c.leaderHeardAt >= c.electionTimeout {
 		_ = c.raft.ForgetLeader()
 	}
 }
 
 // updateLeader notes and tells a change of leader or term.
 func (c *Core) updateLeader() {
-	s := c.raft.BasicStatus()
-	leads := s.RaftState == raft.StateLeader
-	if leads != c.leading || leads && s.GetTerm() != c.leaderTerm {
-		c.leading = leads
+	status := c.raft.BasicStatus()
+	isLeader := status.RaftState == raft.StateLeader
+	if isLeader != c.leading || isLeader && status.GetTerm() != c.leaderTerm {
+		c.leading = isLeader
 		c.confirmsAsked = 0
 		c.proposedVoterChange = false
 		clear(c.snapshotsInFlight)
@@ -227,9 +227,9 @@
 		c.drawElectionDelay()
 		c.denyConfirms(true)
 	}
-	name := c.names[s.Lead]
-	if name != c.leader || name != "" && s.GetTerm() != c.leaderTerm {
-		c.leader, c.leaderTerm = name, s.GetTerm()
+	name := c.names[status.Lead]
+	if name != c.leader || name != "" && status.GetTerm() != c.leaderTerm {
+		c.leader, c.leaderTerm = name, status.GetTerm()
 		c.emit(Effect{Kind: LeaderChanged, Leader: name, Term: c.leaderTerm})
 	}
 }
@@ -276,12 +276,12 @@
 
 // denyConfirms denies the confirmations that have waited too long, or all.
 func (c *Core) denyConfirms(all bool) {
-	c.pendingConfirms = slices.DeleteFunc(c.pendingConfirms, func(a pendingConfirm) bool {
-		gone := all || c.now >= a.until
-		if gone {
-			c.emit(Effect{Kind: LeadershipDenied, Handle: a.handle})
+	c.pendingConfirms = slices.DeleteFunc(c.pendingConfirms, func(pending pendingConfirm) bool {
+		isDenied := all || c.now >= pending.until
+		if isDenied {
+			c.emit(Effect{Kind: LeadershipDenied, Handle: pending.handle})
 		}
-		return gone
+		return isDenied
 	})
 }
 
@@ -297,29 +297,29 @@
 	if slices.Equal(voters, c.Voters()) {
 		return
 	}
-	cc := &pb.ConfChangeV2{
+	change := &pb.ConfChangeV2{
 		Transition: pb.ConfChangeTransitionJointImplicit.Enum(),
 		Context:    encodeCBOR(voters),
 	}
-	wanted := map[uint64]bool{}
-	change := func(kind pb.ConfChangeType, id uint64) {
-		cc.Changes = append(cc.Changes, &pb.ConfChangeSingle{Type: kind.Enum(), NodeId: new(id)})
+	isKept := map[uint64]bool{}
+	addChange := func(kind pb.ConfChangeType, id uint64) {
+		change.Changes = append(change.Changes, &pb.ConfChangeSingle{Type: kind.Enum(), NodeId: new(id)})
 	}
 	for _, v := range voters {
 		id := VoterID(v.Name)
-		wanted[id] = true
+		isKept[id] = true
 		if old, ok := c.voters[id]; !ok {
-			change(pb.ConfChangeAddNode, id)
+			addChange(pb.ConfChangeAddNode, id)
 		} else if old != v {
-			change(pb.ConfChangeUpdateNode, id)
+			addChange(pb.ConfChangeUpdateNode, id)
 		}
 	}
 	for _, v := range c.Voters() {
-		if !wanted[VoterID(v.Name)] {
-			change(pb.ConfChangeRemoveNode, VoterID(v.Name))
+		if !isKept[VoterID(v.Name)] {
+			addChange(pb.ConfChangeRemoveNode, VoterID(v.Name))
 		}
 	}
-	if c.raft.ProposeConfChange(cc) == nil {
+	if c.raft.ProposeConfChange(change) == nil {
 		c.proposedVoterChange = true
 	}
 }
--- a/internal/fleet/consensus/errors.go
+++ b/internal/fleet/consensus/errors.go
@@ -69,19 +69,19 @@
 }
 
 // quiet keeps the library's log to itself; what it can't go on from is a panic.
-type quiet struct{}
-
-func (quiet) Debug(...any)            {}
-func (quiet) Debugf(string, ...any)   {}
-func (quiet) Error(...any)            {}
-func (quiet) Errorf(string, ...any)   {}
-func (quiet) Info(...any)             {}
-func (quiet) Infof(string, ...any)    {}
-func (quiet) Warning(...any)          {}
-func (quiet) Warningf(string, ...any) {}
-func (quiet) Fatal(v ...any)          { panic(fmt.Sprint(v...)) }
-func (quiet) Fatalf(f string, v ...any) {
+type discardLogger struct{}
+
+func (discardLogger) Debug(...any)            {}
+func (discardLogger) Debugf(string, ...any)   {}
+func (discardLogger) Error(...any)            {}
+func (discardLogger) Errorf(string, ...any)   {}
+func (discardLogger) Info(...any)             {}
+func (discardLogger) Infof(string, ...any)    {}
+func (discardLogger) Warning(...any)          {}
+func (discardLogger) Warningf(string, ...any) {}
+func (discardLogger) Fatal(v ...any)          { panic(fmt.Sprint(v...)) }
+func (discardLogger) Fatalf(f string, v ...any) {
 	panic(fmt.Sprintf(f, v...))
 }
-func (quiet) Panic(v ...any)            { panic(fmt.Sprint(v...)) }
-func (quiet) Panicf(f string, v ...any) { panic(fmt.Sprintf(f, v...)) }
+func (discardLogger) Panic(v ...any)            { panic(fmt.Sprint(v...)) }
+func (discardLogger) Panicf(f string, v ...any) { panic(fmt.Sprintf(f, v...)) }
--- a/internal/fleet/consensus/golden_test.go
+++ b/internal/fleet/consensus/golden_test.go
@@ -11,7 +11,7 @@
 	"railrelay.dev/railrelay/internal/goldentest"
 )
 
-func TestGoldenValuesAreReadAndWritten(t *testing.T) {
+func TestGoldenValuesAreDecodedAndEncoded(t *testing.T) {
 	var values []any
 	for name, want := range goldenValues() {
 		values = append(values, want)
@@ -25,43 +25,43 @@
 		goldentest.Same(t, name, encodeCBOR(want))
 	}
 	goldentest.EveryFieldSet(t, goldentest.CBOR, values...)
-	kept, begun := goldenKept(), initialState(goldenVoters)
-	goldentest.Same(t, "hard", kept.HardState)
-	goldentest.Same(t, "genesis_hard", begun.HardState)
-	goldentest.Same(t, "conf", kept.Snapshot.VoterConfig)
+	persistent, initial := goldenPersistentState(), initialState(goldenVoters)
+	goldentest.Same(t, "hard", persistent.HardState)
+	goldentest.Same(t, "genesis_hard", initial.HardState)
+	goldentest.Same(t, "conf", persistent.Snapshot.VoterConfig)
 }
 
 // TestGoldenDiskBeginsAVoter begins a voter with what an earlier program kept.
-func TestGoldenDiskBeginsAVoter(t *testing.T) {
-	kept := PersistentState{HardState: goldentest.File(t, "hard"), Snapshot: &Snapshot{}}
-	if err := cbor.Unmarshal(goldentest.File(t, "snapshot"), kept.Snapshot); err != nil {
+func TestVoterStartsFromGoldenDisk(t *testing.T) {
+	persistent := PersistentState{HardState: goldentest.File(t, "hard"), Snapshot: &Snapshot{}}
+	if err := cbor.Unmarshal(goldentest.File(t, "snapshot"), persistent.Snapshot); err != nil {
 		t.Fatal(err)
 	}
-	if err := cbor.Unmarshal(goldentest.File(t, "records"), &kept.Entries); err != nil {
+	if err := cbor.Unmarshal(goldentest.File(t, "records"), &persistent.Entries); err != nil {
 		t.Fatal(err)
 	}
-	core, effects, err := New(Config{Self: "north-1", Persistent: kept, Seed: 1, ElectionTimeout: time.Second, HeartbeatInterval: 100 * time.Millisecond})
+	core, effects, err := New(Config{Self: "north-1", Persistent: persistent, Seed: 1, ElectionTimeout: time.Second, HeartbeatInterval: 100 * time.Millisecond})
 	if err != nil {
 		t.Fatal(err)
 	}
 	if diff := cmp.Diff(goldenVoters, core.Voters()); diff != "" {
 		t.Errorf("who votes (-want +got):\n%s", diff)
 	}
-	want := goldenKept()
+	want := goldenPersistentState()
 	var restored *Snapshot
-	var decided []LogEntry
+	var committed []LogEntry
 	for _, effect := range effects {
 		switch effect.Kind {
 		case SnapshotRestored:
 			restored = effect.Snapshot
 		case Committed:
-			decided = append(decided, effect.Entry)
+			committed = append(committed, effect.Entry)
 		}
 	}
 	if diff := cmp.Diff(want.Snapshot, restored); diff != "" {
 		t.Errorf("the state (-want +got):\n%s", diff)
 	}
-	if diff := cmp.Diff(want.Entries[1:2], decided); diff != "" {
+	if diff := cmp.Diff(want.Entries[1:2], committed); diff != "" {
 		t.Errorf("what is decided (-want +got):\n%s", diff)
 	}
 }
--- a/internal/fleet/consensus/golden_values_test.go
+++ b/internal/fleet/consensus/golden_values_test.go
@@ -7,7 +7,7 @@
 var goldenVoters = []Voter{{"north-1", "10.0.0.1:7000"}, {"north-2", "10.0.0.2:7000"}, {"south-1", "10.0.0.3:7000"}}
 
 // goldenKept is what a voter's disk holds after a snapshot, with every field set.
-func goldenKept() PersistentState {
+func goldenPersistentState() PersistentState {
 	conf := &pb.ConfState{}
 	for _, voter := range goldenVoters {
 		conf.Voters = append(conf.Voters, VoterID(voter.Name))
@@ -24,16 +24,16 @@
 	}
 }
 
-var goldenPassed = snapshotPayload{Voters: goldenVoters, Data: []byte("state")}
+var goldenSnapshotPayload = snapshotPayload{Voters: goldenVoters, Data: []byte("state")}
 
 // goldenValues are the values of each encoded type, by file.
 func goldenValues() map[string]any {
-	kept, begun := goldenKept(), initialState(goldenVoters)
+	persistent, initial := goldenPersistentState(), initialState(goldenVoters)
 	return map[string]any{
 		"voters":   &goldenVoters,
-		"passed":   &goldenPassed,
-		"snapshot": kept.Snapshot,
-		"records":  &kept.Entries,
-		"genesis":  &begun.Entries,
+		"passed":   &goldenSnapshotPayload,
+		"snapshot": persistent.Snapshot,
+		"records":  &persistent.Entries,
+		"genesis":  &initial.Entries,
 	}
 }
--- a/internal/fleet/consensus/ready.go
+++ b/internal/fleet/consensus/ready.go
@@ -12,14 +12,14 @@
 
 // receive gives a valid message to the library, which trusts what it is given and panics
 // about what can't be.
-func (c *Core) receive(ev Event) {
+func (c *Core) receive(event Event) {
 	m := &pb.Message{}
-	isMeant := proto.Unmarshal(ev.Bytes, m) == nil && m.GetTo() == c.id && m.GetFrom() == VoterID(ev.From) && ev.From != c.self
-	if !isMeant || !c.isValid(m) {
+	isAddressedHere := proto.Unmarshal(event.Bytes, m) == nil && m.GetTo() == c.id && m.GetFrom() == VoterID(event.From) && event.From != c.self
+	if !isAddressedHere || !c.isValid(m) {
 		c.IgnoredMessages++
 		return
 	}
-	c.names[m.GetFrom()] = ev.From
+	c.names[m.GetFrom()] = event.From
 	before := c.raft.BasicStatus()
 	if c.raft.Step(m) != nil {
 		c.IgnoredMessages++
@@ -49,19 +49,19 @@
 		last, _ := c.storage.LastIndex()
 		return m.GetTerm() > 0 && (m.GetTerm() < c.raft.BasicStatus().GetTerm() || m.GetCommit() <= last)
 	case pb.MsgHeartbeatResp:
-		x := m.GetContext()
-		return m.GetTerm() > 0 && (len(x) == 0 || len(x) == 8 && binary.LittleEndian.Uint64(x) <= c.confirmsAsked)
+		context := m.GetContext()
+		return m.GetTerm() > 0 && (len(context) == 0 || len(context) == 8 && binary.LittleEndian.Uint64(context) <= c.confirmsAsked)
 	case pb.MsgAppResp:
 		return m.GetTerm() > 0 && (m.GetReject() || m.GetIndex() <= c.lastIndex || m.GetTerm() != c.raft.BasicStatus().GetTerm())
 	case pb.MsgApp:
-		for i, e := range m.GetEntries() {
-			if e.GetIndex() != m.GetIndex()+1+uint64(i) || e.GetTerm() > m.GetTerm() || e.GetTerm() == 0 {
+		for i, entry := range m.GetEntries() {
+			if entry.GetIndex() != m.GetIndex()+1+uint64(i) || entry.GetTerm() > m.GetTerm() || entry.GetTerm() == 0 {
 				return false
 			}
-			switch e.GetType() {
+			switch entry.GetType() {
 			case pb.EntryNormal:
 			case pb.EntryConfChangeV2:
-				if proto.Unmarshal(e.GetData(), &pb.ConfChangeV2{}) != nil {
+				if proto.Unmarshal(entry.GetData(), &pb.ConfChangeV2{}) != nil {
 					return false
 				}
 			default:
@@ -70,10 +70,10 @@
 		}
 		return m.GetTerm() > 0
 	case pb.MsgSnap:
-		s := m.GetSnapshot()
-		var p snapshotPayload
-		return m.GetTerm() > 0 && s.GetMetadata().GetIndex() > 0 && s.GetMetadata().GetTerm() > 0 &&
-			len(s.GetMetadata().GetConfState().GetVoters()) > 0 && cbor.Unmarshal(s.GetData(), &p) == nil
+		snapshot := m.GetSnapshot()
+		var payload snapshotPayload
+		return m.GetTerm() > 0 && snapshot.GetMetadata().GetIndex() > 0 && snapshot.GetMetadata().GetTerm() > 0 &&
+			len(snapshot.GetMetadata().GetConfState().GetVoters()) > 0 && cbor.Unmarshal(snapshot.GetData(), &payload) == nil
 	}
 	return false
 }
@@ -101,28 +101,28 @@
 		// for the majority only when its Persist is done.
 		if c.raft.BasicStatus().RaftState == raft.StateLeader {
 			rd.Messages = slices.DeleteFunc(slices.Clone(rd.Messages), func(m *pb.Message) bool {
-				early := m.GetType() == pb.MsgApp || m.GetType() == pb.MsgHeartbeat
-				if early {
+				canPrecedePersist := m.GetType() == pb.MsgApp || m.GetType() == pb.MsgHeartbeat
+				if canPrecedePersist {
 					c.send(m)
 				}
-				return early
+				return canPrecedePersist
 			})
 		}
-		k := &PersistentState{Entries: fromRaftEntries(rd.Entries)}
+		persistent := &PersistentState{Entries: fromRaftEntries(rd.Entries)}
 		if !raft.IsEmptyHardState(rd.HardState) {
 			c.hardState = rd.HardState
 		}
-		k.HardState = encodeProto(c.hardState)
+		persistent.HardState = encodeProto(c.hardState)
 		if !raft.IsEmptySnap(rd.Snapshot) {
-			k.Snapshot = fromRaftSnapshot(rd.Snapshot)
+			persistent.Snapshot = fromRaftSnapshot(rd.Snapshot)
 		}
 		if n := len(rd.Entries); n > 0 {
 			c.lastIndex = rd.Entries[n-1].GetIndex()
-		} else if k.Snapshot != nil {
-			c.lastIndex = k.Snapshot.Index
+		} else if persistent.Snapshot != nil {
+			c.lastIndex = persistent.Snapshot.Index
 		}
 		c.pendingReady, c.persisting = &rd, true
-		c.emit(Effect{Kind: Persist, Persistent: k})
+		c.emit(Effect{Kind: Persist, Persistent: persistent})
 	}
 	if c.votersChanged {
 		c.votersChanged = false
@@ -146,12 +146,12 @@
 func (c *Core) finishReady(rd *raft.Ready) {
 	if !raft.IsEmptySnap(rd.Snapshot) {
 		_ = c.storage.ApplySnapshot(rd.Snapshot)
-		s := fromRaftSnapshot(rd.Snapshot)
-		var p snapshotPayload
-		_ = cbor.Unmarshal(rd.Snapshot.GetData(), &p) // it was looked at when it came
-		c.applied, c.appliedTerm = s.Index, s.Term
-		c.setVoterConfig(s.Index, rd.Snapshot.GetMetadata().GetConfState(), p.Voters)
-		c.emit(Effect{Kind: SnapshotRestored, Snapshot: s})
+		snapshot := fromRaftSnapshot(rd.Snapshot)
+		var payload snapshotPayload
+		_ = cbor.Unmarshal(rd.Snapshot.GetData(), &payload) // it was looked at when it came
+		c.applied, c.appliedTerm = snapshot.Index, snapshot.Term
+		c.setVoterConfig(snapshot.Index, rd.Snapshot.GetMetadata().GetConfState(), payload.Voters)
+		c.emit(Effect{Kind: SnapshotRestored, Snapshot: snapshot})
 	}
 	_ = c.storage.Append(rd.Entries)
 	if !raft.IsEmptyHardState(rd.HardState) {
@@ -163,11 +163,11 @@
 	}
 	for _, e := range rd.CommittedEntries {
 		c.applied, c.appliedTerm = e.GetIndex(), e.GetTerm()
-		r := fromRaftEntry(e)
-		if r.IsVoterChange {
+		entry := fromRaftEntry(e)
+		if entry.IsVoterChange {
 			c.applyVoterChange(e)
 		}
-		c.emit(Effect{Kind: Committed, Entry: r})
+		c.emit(Effect{Kind: Committed, Entry: entry})
 	}
 	for _, rs := range rd.ReadStates {
 		seq, term := binary.LittleEndian.Uint64(rs.RequestCtx), binary.LittleEndian.Uint64(rs.RequestCtx[8:])
@@ -178,24 +178,24 @@
 		}
 	}
 	c.raft.Advance(*rd)
-	c.pendingConfirms = slices.DeleteFunc(c.pendingConfirms, func(a pendingConfirm) bool {
-		known := a.index > 0 && a.index <= c.applied
-		if known {
-			c.emit(Effect{Kind: LeadershipConfirmed, Handle: a.handle, Index: a.index})
+	c.pendingConfirms = slices.DeleteFunc(c.pendingConfirms, func(pending pendingConfirm) bool {
+		isConfirmed := pending.index > 0 && pending.index <= c.applied
+		if isConfirmed {
+			c.emit(Effect{Kind: LeadershipConfirmed, Handle: pending.handle, Index: pending.index})
 		}
-		return known
+		return isConfirmed
 	})
 	c.updateLeader()
 }
 
 func (c *Core) send(m *pb.Message) {
-	to, ok := c.names[m.GetTo()]
+	name, ok := c.names[m.GetTo()]
 	if !ok {
 		return // it voted once, and nobody knows its name any more
 	}
 	if m.GetType() == pb.MsgSnap {
-		conf := m.GetSnapshot().GetMetadata().GetConfState()
-		if !slices.Contains(conf.GetVoters(), m.GetTo()) && !slices.Contains(conf.GetVotersOutgoing(), m.GetTo()) {
+		config := m.GetSnapshot().GetMetadata().GetConfState()
+		if !slices.Contains(config.GetVoters(), m.GetTo()) && !slices.Contains(config.GetVotersOutgoing(), m.GetTo()) {
 			// It is from before this one votes, who would pass it over in silence. A
 			// newer one will be there when it is tried again.
 			c.raft.ReportSnapshot(m.GetTo(), raft.SnapshotFailure)
@@ -203,19 +203,19 @@
 		}
 		c.snapshotsInFlight[m.GetTo()] = c.now
 	}
-	c.emit(Effect{Kind: SendMessage, To: to, Bytes: encodeProto(m)})
+	c.emit(Effect{Kind: SendMessage, To: name, Bytes: encodeProto(m)})
 }
 
 // applyVoterChange applies a committed change of voters.
-func (c *Core) applyVoterChange(e *pb.Entry) {
-	cc := &pb.ConfChangeV2{}
-	_ = proto.Unmarshal(e.GetData(), cc) // it was looked at when it came
+func (c *Core) applyVoterChange(entry *pb.Entry) {
+	change := &pb.ConfChangeV2{}
+	_ = proto.Unmarshal(entry.GetData(), change) // it was looked at when it came
 	var named []Voter
-	if len(cc.GetContext()) > 0 {
-		_ = cbor.Unmarshal(cc.GetContext(), &named)
+	if len(change.GetContext()) > 0 {
+		_ = cbor.Unmarshal(change.GetContext(), &named)
 	}
 	c.proposedVoterChange = false
-	c.setVoterConfig(e.GetIndex(), c.raft.ApplyConfChange(cc), append(c.Voters(), named...))
+	c.setVoterConfig(entry.GetIndex(), c.raft.ApplyConfChange(change), append(c.Voters(), named...))
 }
 
 // setVoterConfig notes who votes from an index on. Of several voters of one name in named the
@@ -223,12 +223,12 @@
 func (c *Core) setVoterConfig(index uint64, conf *pb.ConfState, named []Voter) {
 	c.voterConfig = proto.Clone(conf).(*pb.ConfState)
 	clear(c.voters)
-	in := map[uint64]bool{}
+	votes := map[uint64]bool{}
 	for _, id := range append(slices.Clone(conf.GetVoters()), conf.GetVotersOutgoing()...) {
-		in[id] = true
+		votes[id] = true
 	}
 	for _, v := range named {
-		if id := VoterID(v.Name); in[id] {
+		if id := VoterID(v.Name); votes[id] {
 			c.voters[id], c.names[id] = v, v.Name
 		}
 	}
@@ -238,28 +238,28 @@
 
 // compactLog puts the pending snapshot in the place of the log up to there.
 func (c *Core) compactLog() {
-	s := c.pendingSnapshot
+	pending := c.pendingSnapshot
 	c.pendingSnapshot = nil
-	old, _ := c.storage.Snapshot()
-	if s.Index <= old.GetMetadata().GetIndex() {
+	previous, _ := c.storage.Snapshot()
+	if pending.Index <= previous.GetMetadata().GetIndex() {
 		return
 	}
-	for len(c.configHistory) > 1 && c.configHistory[1].index <= s.Index {
+	for len(c.configHistory) > 1 && c.configHistory[1].index <= pending.Index {
 		c.configHistory = c.configHistory[1:]
 	}
-	if len(c.configHistory) == 0 || c.configHistory[0].index > s.Index {
+	if len(c.configHistory) == 0 || c.configHistory[0].index > pending.Index {
 		return
 	}
-	at := c.configHistory[0]
-	whole, err := c.storage.CreateSnapshot(s.Index, at.config, encodeCBOR(snapshotPayload{at.voters, s.Data}))
+	atSnapshot := c.configHistory[0]
+	snapshot, err := c.storage.CreateSnapshot(pending.Index, atSnapshot.config, encodeCBOR(snapshotPayload{atSnapshot.voters, pending.Data}))
 	if err != nil {
 		return
 	}
-	if first, _ := c.storage.FirstIndex(); s.Index > trailingEntries && s.Index-trailingEntries >= first {
-		_ = c.storage.Compact(s.Index - trailingEntries)
+	if first, _ := c.storage.FirstIndex(); pending.Index > trailingEntries && pending.Index-trailingEntries >= first {
+		_ = c.storage.Compact(pending.Index - trailingEntries)
 	}
 	first, _ := c.storage.FirstIndex()
-	all, _ := c.storage.Entries(first, c.lastIndex+1, 1<<63)
+	entries, _ := c.storage.Entries(first, c.lastIndex+1, 1<<63)
 	c.persisting = true
-	c.emit(Effect{Kind: Persist, Persistent: &PersistentState{HardState: encodeProto(c.hardState), Entries: fromRaftEntries(all), Snapshot: fromRaftSnapshot(whole)}})
+	c.emit(Effect{Kind: Persist, Persistent: &PersistentState{HardState: encodeProto(c.hardState), Entries: fromRaftEntries(entries), Snapshot: fromRaftSnapshot(snapshot)}})
 }
--- a/internal/fleet/consensus/start.go
+++ b/internal/fleet/consensus/start.go
@@ -19,14 +19,14 @@
 	if err := checkVoterNames(config.Self, config.Voters); err != nil {
 		return nil, nil, err
 	}
-	number := VoterID(config.Self)
+	id := VoterID(config.Self)
 	c := &Core{
-		id:                number,
+		id:                id,
 		self:              config.Self,
-		rand:              rand.New(rand.NewPCG(config.Seed, number)),
+		rand:              rand.New(rand.NewPCG(config.Seed, id)),
 		electionTimeout:   config.ElectionTimeout,
 		heartbeatInterval: config.HeartbeatInterval,
-		names:             map[uint64]string{number: config.Self},
+		names:             map[uint64]string{id: config.Self},
 		voters:            map[uint64]Voter{},
 		voterConfig:       &pb.ConfState{},
 		snapshotsInFlight: map[uint64]time.Duration{},
@@ -45,7 +45,7 @@
 		ID:      c.id,
 		Storage: c.storage,
 		Applied: c.applied,
-		Logger:  quiet{},
+		Logger:  discardLogger{},
 
 		// Only a leader is ever ticked, once a heartbeat: after so many ticks without
 		// a majority it gives up. Elections are called here, by the Core's own times.
@@ -71,27 +71,27 @@
 }
 
 // load puts what the disk held where the library reads it.
-func (c *Core) load(p PersistentState) error {
+func (c *Core) load(persistent PersistentState) error {
 	c.storage = raft.NewMemoryStorage()
 	c.hardState = &pb.HardState{}
-	if err := proto.Unmarshal(p.HardState, c.hardState); err != nil {
+	if err := proto.Unmarshal(persistent.HardState, c.hardState); err != nil {
 		return &PersistentStateError{"term and vote can't be read"}
 	}
-	for i, entry := range p.Entries {
-		if entry.Index != p.Entries[0].Index+uint64(i) || entry.Index == 0 {
+	for i, entry := range persistent.Entries {
+		if entry.Index != persistent.Entries[0].Index+uint64(i) || entry.Index == 0 {
 			return &LogGapError{entry.Index}
 		}
 	}
-	if p.Snapshot != nil {
-		if err := c.loadSnapshot(p.Snapshot, p.Entries); err != nil {
+	if persistent.Snapshot != nil {
+		if err := c.loadSnapshot(persistent.Snapshot, persistent.Entries); err != nil {
 			return err
 		}
-		c.emit(Effect{Kind: SnapshotRestored, Snapshot: p.Snapshot})
+		c.emit(Effect{Kind: SnapshotRestored, Snapshot: persistent.Snapshot})
 	} else {
-		if len(p.Entries) > 0 && p.Entries[0].Index != 1 {
-			return &LogGapError{p.Entries[0].Index}
+		if len(persistent.Entries) > 0 && persistent.Entries[0].Index != 1 {
+			return &LogGapError{persistent.Entries[0].Index}
 		}
-		_ = c.storage.Append(toRaftEntries(p.Entries))
+		_ = c.storage.Append(toRaftEntries(persistent.Entries))
 	}
 	c.lastIndex, _ = c.storage.LastIndex()
 	if c.hardState.GetCommit() > c.lastIndex {
@@ -100,7 +100,7 @@
 	if c.hardState.GetCommit() < c.applied {
 		c.hardState.Commit = new(c.applied)
 	}
-	if p.HardState != nil || p.Snapshot != nil {
+	if persistent.HardState != nil || persistent.Snapshot != nil {
 		_ = c.storage.SetHardState(proto.Clone(c.hardState).(*pb.HardState))
 	}
 	return nil
@@ -118,12 +118,12 @@
 	c.appliedTerm = snapshot.Term
 	c.setVoterConfig(snapshot.Index, state, config.Voters)
 	data := encodeCBOR(snapshotPayload{config.Voters, snapshot.Data})
-	at := func(index, term uint64) *pb.SnapshotMetadata {
+	metadata := func(index, term uint64) *pb.SnapshotMetadata {
 		return &pb.SnapshotMetadata{Index: new(index), Term: new(term), ConfState: state}
 	}
 	if len(entries) > 0 && entries[0].Index < snapshot.Index && entries[len(entries)-1].Index >= snapshot.Index {
 		// The library wants a log to begin after something: the first entry is given up for that.
-		_ = c.storage.ApplySnapshot(&pb.Snapshot{Metadata: at(entries[0].Index, entries[0].Term)})
+		_ = c.storage.ApplySnapshot(&pb.Snapshot{Metadata: metadata(entries[0].Index, entries[0].Term)})
 		_ = c.storage.Append(toRaftEntries(entries[1:]))
 		_, _ = c.storage.CreateSnapshot(snapshot.Index, state, data)
 		return nil
@@ -134,7 +134,7 @@
 	if len(entries) > 0 && entries[0].Index != snapshot.Index+1 {
 		return &LogGapError{entries[0].Index}
 	}
-	_ = c.storage.ApplySnapshot(&pb.Snapshot{Data: data, Metadata: at(snapshot.Index, snapshot.Term)})
+	_ = c.storage.ApplySnapshot(&pb.Snapshot{Data: data, Metadata: metadata(snapshot.Index, snapshot.Term)})
 	_ = c.storage.Append(toRaftEntries(entries))
 	return nil
 }
--- a/internal/fleet/consensus/wire.go
+++ b/internal/fleet/consensus/wire.go
@@ -12,25 +12,25 @@
 
 // VoterID returns the ID of a voter in raft messages, which is never 0.
 func VoterID(name string) uint64 {
-	n := xxhash.Sum64String(name)
-	if n == 0 || n >= 1<<64-2 { // those the library keeps for itself
+	id := xxhash.Sum64String(name)
+	if id == 0 || id >= 1<<64-2 { // those the library keeps for itself
 		return 1
 	}
-	return n
+	return id
 }
 
 // WithoutCommitIndex is a hard state without its commit index: a controller that begins to vote with an
 // empty log must still not vote twice in a term.
-func WithoutCommitIndex(hard []byte) []byte {
-	if hard == nil {
+func WithoutCommitIndex(hardState []byte) []byte {
+	if hardState == nil {
 		return nil
 	}
-	h := &pb.HardState{}
-	if proto.Unmarshal(hard, h) != nil {
+	state := &pb.HardState{}
+	if proto.Unmarshal(hardState, state) != nil {
 		return nil
 	}
-	h.Commit = new(uint64(0))
-	return encodeProto(h)
+	state.Commit = new(uint64(0))
+	return encodeProto(state)
 }
 
 // checkVoterNames checks that voters have names, and that their numbers differ.
@@ -38,13 +38,13 @@
 	if self == "" {
 		return &VoterNameError{}
 	}
-	of := map[uint64]string{VoterID(self): self}
+	nameByID := map[uint64]string{VoterID(self): self}
 	seen := map[string]bool{}
 	for _, v := range voters {
-		if other, ok := of[VoterID(v.Name)]; v.Name == "" || ok && other != v.Name || seen[v.Name] {
+		if other, ok := nameByID[VoterID(v.Name)]; v.Name == "" || ok && other != v.Name || seen[v.Name] {
 			return &VoterNameError{v.Name, other}
 		}
-		of[VoterID(v.Name)], seen[v.Name] = v.Name, true
+		nameByID[VoterID(v.Name)], seen[v.Name] = v.Name, true
 	}
 	return nil
 }
@@ -53,71 +53,71 @@
 // entry a voter.
 func initialState(voters []Voter) PersistentState {
 	voters = sortedByName(voters)
-	var k PersistentState
+	var state PersistentState
 	for i, v := range voters {
-		cc := &pb.ConfChangeV2{
+		change := &pb.ConfChangeV2{
 			Changes: []*pb.ConfChangeSingle{{Type: pb.ConfChangeAddNode.Enum(), NodeId: new(VoterID(v.Name))}},
 			Context: encodeCBOR(voters),
 		}
-		k.Entries = append(k.Entries, LogEntry{Index: uint64(i + 1), Term: 1, IsVoterChange: true, Data: encodeProto(cc)})
+		state.Entries = append(state.Entries, LogEntry{Index: uint64(i + 1), Term: 1, IsVoterChange: true, Data: encodeProto(change)})
 	}
-	k.HardState = encodeProto(&pb.HardState{Term: new(uint64(1)), Vote: new(uint64(0)), Commit: new(uint64(len(voters)))})
-	return k
+	state.HardState = encodeProto(&pb.HardState{Term: new(uint64(1)), Vote: new(uint64(0)), Commit: new(uint64(len(voters)))})
+	return state
 }
 
 func isVoterChange(e *pb.Entry) bool { return e.GetType() != pb.EntryNormal }
 
-func fromRaftSnapshot(s *pb.Snapshot) *Snapshot {
-	var p snapshotPayload
-	_ = cbor.Unmarshal(s.GetData(), &p)
-	m := s.GetMetadata()
-	return &Snapshot{Index: m.GetIndex(), Term: m.GetTerm(), Data: p.Data,
-		VoterConfig: encodeCBOR(voterConfig{encodeProto(m.GetConfState()), p.Voters})}
+func fromRaftSnapshot(snapshot *pb.Snapshot) *Snapshot {
+	var payload snapshotPayload
+	_ = cbor.Unmarshal(snapshot.GetData(), &payload)
+	metadata := snapshot.GetMetadata()
+	return &Snapshot{Index: metadata.GetIndex(), Term: metadata.GetTerm(), Data: payload.Data,
+		VoterConfig: encodeCBOR(voterConfig{encodeProto(metadata.GetConfState()), payload.Voters})}
 }
 
-func toRaftEntries(rs []LogEntry) []*pb.Entry {
-	es := make([]*pb.Entry, len(rs))
-	for i, r := range rs {
+func toRaftEntries(entries []LogEntry) []*pb.Entry {
+	raftEntries := make([]*pb.Entry, len(entries))
+	for i, entry := range entries {
 		kind := pb.EntryNormal
-		if r.IsVoterChange {
+		if entry.IsVoterChange {
 			kind = pb.EntryConfChangeV2
 		}
-		es[i] = &pb.Entry{Index: new(r.Index), Term: new(r.Term), Type: kind.Enum(), Data: r.Data}
+		raftEntries[i] = &pb.Entry{Index: new(entry.Index), Term: new(entry.Term), Type: kind.Enum(), Data: entry.Data}
 	}
-	return es
+	return raftEntries
 }
 
-func fromRaftEntries(es []*pb.Entry) []LogEntry {
-	var rs []LogEntry
-	for _, e := range es {
-		rs = append(rs, fromRaftEntry(e))
+func fromRaftEntries(raftEntries []*pb.Entry) []LogEntry {
+	var entries []LogEntry
+	for _, entry := range raftEntries {
+		entries = append(entries, fromRaftEntry(entry))
 	}
-	return rs
+	return entries
 }
 
-func fromRaftEntry(e *pb.Entry) LogEntry {
-	return LogEntry{Index: e.GetIndex(), Term: e.GetTerm(), IsVoterChange: e.GetType() == pb.EntryConfChangeV2, Data: e.GetData()}
+func fromRaftEntry(entry *pb.Entry) LogEntry {
+	return LogEntry{Index: entry.GetIndex(), Term: entry.GetTerm(), IsVoterChange: entry.GetType() == pb.EntryConfChangeV2, Data: entry.GetData()}
 }
 
-func sortedByName(vs []Voter) []Voter {
-	vs = slices.Clone(vs)
-	slices.SortFunc(vs, func(a, b Voter) int { return cmp.Compare(a.Name, b.Name) })
-	return vs
+func sortedByName(voters []Voter) []Voter {
+	voters = slices.Clone(voters)
+	slices.SortFunc(voters, func(a, b Voter) int { return cmp.Compare(a.Name, b.Name) })
+	return voters
 }
 
 // encodeProto and encodeCBOR encode values that can always be encoded, the same way each time.
 func encodeProto(m proto.Message) []byte {
-	b, err := proto.MarshalOptions{Deterministic: true}.Marshal(m)
+	encoded, err := proto.MarshalOptions{Deterministic: true}.Marshal(m)
 	if err != nil {
 		panic(err)
 	}
-	return b
+	return encoded
 }
 
 func encodeCBOR(v any) []byte {
-	b, err := cbor.Marshal(v)
+	encoded, err := cbor.Marshal(v)
 	if err != nil {
 		panic(err)
 	}
-	return b
+	return encoded
 }
--- a/internal/fleet/storage/disk.go
+++ b/internal/fleet/storage/disk.go
@@ -30,7 +30,7 @@
 var (
 	stateBucket, logBucket, noteBucket = []byte("state"), []byte("records"), []byte("notes")
 
-	nameKey, ownerKey, hardKey, snapshotKey, spanKey = []byte("disk"), []byte("owner"), []byte("hard"),
+	diskIDKey, ownerKey, hardKey, snapshotKey, completenessKey = []byte("disk"), []byte("owner"), []byte("hard"),
 		[]byte("snapshot"), []byte("span")
 )
 
@@ -70,7 +70,7 @@
 	case name:
 		return nil
 	case "":
-		err := d.update(func(tx *bbolt.Tx) error { return putChecked(tx.Bucket(stateBucket), ownerKey, []byte(name)) })
+		err := d.update(func(tx *bbolt.Tx) error { return putWithChecksum(tx.Bucket(stateBucket), ownerKey, []byte(name)) })
 		if err == nil {
 			d.contents.Owner = name
 		}
@@ -93,12 +93,12 @@
 	err = d.update(func(tx *bbolt.Tx) error {
 		state := tx.Bucket(stateBucket)
 		if p.HardState != nil {
-			if err := putChecked(state, hardKey, p.HardState); err != nil {
+			if err := putWithChecksum(state, hardKey, p.HardState); err != nil {
 				return err
 			}
 		}
 		if p.Snapshot != nil {
-			if err := putChecked(state, snapshotKey, encode(p.Snapshot)); err != nil {
+			if err := putWithChecksum(state, snapshotKey, encode(p.Snapshot)); err != nil {
 				return err
 			}
 		}
@@ -106,7 +106,7 @@
 			return err
 		}
 		if next != d.logRange {
-			return putChecked(state, spanKey, encode(next))
+			return putWithChecksum(state, completenessKey, encode(next))
 		}
 		return nil
 	})
@@ -163,7 +163,7 @@
 	}
 	log.FillPercent = 0.95 // they come in order
 	for _, entry := range p.Entries {
-		if err := putChecked(log, indexKey(entry.Index), encode(entry)); err != nil {
+		if err := putWithChecksum(log, indexKey(entry.Index), encode(entry)); err != nil {
 			return err
 		}
 	}
@@ -182,21 +182,21 @@
 		notes[key] = append([]byte{}, value...)
 	}
 	err := d.update(func(tx *bbolt.Tx) error {
-		b, k := tx.Bucket(noteBucket), []byte("/"+key)
+		bucket, k := tx.Bucket(noteBucket), []byte("/"+key)
 		var err error
 		if value == nil {
-			err = b.Delete(k)
+			err = bucket.Delete(k)
 		} else {
-			err = putChecked(b, k, value)
+			err = putWithChecksum(bucket, k, value)
 		}
 		if err != nil {
 			return err
 		}
-		all := uint64(0) // which there are: a lost one is seen by it
+		keySum := uint64(0) // which there are: a lost one is seen by it
 		for k := range notes {
-			all ^= xxhash.Sum64String("/" + k)
+			keySum ^= xxhash.Sum64String("/" + k)
 		}
-		return putChecked(b, spanKey, binary.LittleEndian.AppendUint64(nil, all))
+		return putWithChecksum(bucket, completenessKey, binary.LittleEndian.AppendUint64(nil, keySum))
 	})
 	if err == nil {
 		d.contents.Notes = notes
@@ -228,13 +228,13 @@
 	return catchPanics(d.db.Path(), d.db.Close)
 }
 
-func (d *Disk) update(do func(*bbolt.Tx) error) error {
+func (d *Disk) update(write func(*bbolt.Tx) error) error {
 	if d.err != nil {
 		return d.err
 	}
 	d.err = catchPanics(d.db.Path(), func() error {
 		return d.db.Update(func(tx *bbolt.Tx) error {
-			if err := do(tx); err != nil {
+			if err := write(tx); err != nil {
 				return err
 			}
 			if d.writeFault != nil {
--- a/internal/fleet/storage/disk_test.go
+++ b/internal/fleet/storage/disk_test.go
@@ -19,7 +19,7 @@
 	"railrelay.dev/railrelay/internal/fleet/consensus"
 )
 
-func named() string { return "disk-1" }
+func fixedDiskID() string { return "disk-1" }
 
 func must(t testing.TB, err error) {
 	t.Helper()
@@ -28,24 +28,24 @@
 	}
 }
 
-func open(t testing.TB, o Options, dir string) (*Disk, Contents) {
+func open(t testing.TB, options Options, dir string) (*Disk, Contents) {
 	t.Helper()
-	d, f, err := o.Open(dir, named)
+	d, contents, err := options.Open(dir, fixedDiskID)
 	must(t, err)
 	t.Cleanup(func() { d.Close() })
-	return d, f
+	return d, contents
 }
 
-func records(from, to uint64, term uint64) []consensus.LogEntry {
-	var rs []consensus.LogEntry
+func logEntries(from, to uint64, term uint64) []consensus.LogEntry {
+	var entries []consensus.LogEntry
 	for i := from; i <= to; i++ {
-		rs = append(rs, consensus.LogEntry{Index: i, Term: term, IsVoterChange: i%7 == 0, Data: fmt.Appendf(nil, "what was decided as %d in %d", i, term)})
+		entries = append(entries, consensus.LogEntry{Index: i, Term: term, IsVoterChange: i%7 == 0, Data: fmt.Appendf(nil, "what was decided as %d in %d", i, term)})
 	}
-	return rs
+	return entries
 }
 
 // typeOf is the error's type if it is one of this package's.
-func typeOf(t testing.TB, err error) string {
+func errorTypeName(t testing.TB, err error) string {
 	t.Helper()
 	var r fleet.ErrorWithRemedy
 	if !errors.As(err, &r) || r.Remedy() == "" {
@@ -54,178 +54,178 @@
 	return reflect.TypeOf(r).Elem().Name()
 }
 
-func TestKept(t *testing.T) {
+func TestWrittenDataIsReadBack(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "a", "b")
-	d, f := open(t, Options{}, dir)
-	if !f.Fresh || f.DiskID != "disk-1" || d.ID() != "disk-1" || f.Owner != "" {
-		t.Fatalf("%+v", f)
+	d, contents := open(t, Options{}, dir)
+	if !contents.Fresh || contents.DiskID != "disk-1" || d.ID() != "disk-1" || contents.Owner != "" {
+		t.Fatalf("%+v", contents)
 	}
 	must(t, d.Claim("north"))
 	want := Contents{DiskID: "disk-1", Owner: "north", Notes: map[string][]byte{}}
-	write := func(k consensus.PersistentState) {
+	write := func(p consensus.PersistentState) {
 		t.Helper()
-		must(t, d.Write(k))
-		if k.HardState != nil {
-			want.Persistent.HardState = k.HardState
+		must(t, d.Write(p))
+		if p.HardState != nil {
+			want.Persistent.HardState = p.HardState
 		}
-		if k.Snapshot != nil {
-			want.Persistent.Snapshot, want.Persistent.Entries = k.Snapshot, nil
+		if p.Snapshot != nil {
+			want.Persistent.Snapshot, want.Persistent.Entries = p.Snapshot, nil
 		}
-		for i, r := range want.Persistent.Entries {
-			if len(k.Entries) > 0 && r.Index == k.Entries[0].Index {
+		for i, entry := range want.Persistent.Entries {
+			if len(p.Entries) > 0 && entry.Index == p.Entries[0].Index {
 				want.Persistent.Entries = want.Persistent.Entries[:i:i]
 				break
 			}
 		}
-		want.Persistent.Entries = append(want.Persistent.Entries, k.Entries...)
+		want.Persistent.Entries = append(want.Persistent.Entries, p.Entries...)
 	}
-	again := func() {
+	reopen := func() {
 		t.Helper()
 		must(t, d.Close())
-		d, f = open(t, Options{}, dir)
-		if x := diff(want, f); x != "" {
-			t.Fatal(x)
+		d, contents = open(t, Options{}, dir)
+		if difference := diff(want, contents); difference != "" {
+			t.Fatal(difference)
 		}
 		must(t, d.Claim("north"))
 	}
-	write(consensus.PersistentState{HardState: []byte("1"), Entries: records(1, 50, 1)})
-	again()
-	write(consensus.PersistentState{Entries: records(31, 40, 2)}) // ten of the old ones are void
-	again()
+	write(consensus.PersistentState{HardState: []byte("1"), Entries: logEntries(1, 50, 1)})
+	reopen()
+	write(consensus.PersistentState{Entries: logEntries(31, 40, 2)}) // ten of the old ones are void
+	reopen()
 	write(consensus.PersistentState{HardState: []byte("2"), Snapshot: &consensus.Snapshot{Index: 35, Term: 2, VoterConfig: []byte("c"), Data: []byte("state")},
 		Entries: want.Persistent.Entries[19:]})
-	again()
-	write(consensus.PersistentState{Entries: records(41, 60, 3)})
-	again()
+	reopen()
+	write(consensus.PersistentState{Entries: logEntries(41, 60, 3)})
+	reopen()
 	write(consensus.PersistentState{Snapshot: &consensus.Snapshot{Index: 900, Term: 4}}) // from a leader: nothing before it counts
-	write(consensus.PersistentState{Entries: records(901, 903, 4)})
+	write(consensus.PersistentState{Entries: logEntries(901, 903, 4)})
 	must(t, d.WriteNote("p1", []byte("wiped")))
 	must(t, d.WriteNote("p2", []byte{}))
 	must(t, d.WriteNote("p3", []byte("x")))
 	must(t, d.WriteNote("p3", nil))
 	want.Notes["p1"], want.Notes["p2"] = []byte("wiped"), []byte{}
-	again()
+	reopen()
 	if string(d.ReadNote("p1")) != "wiped" || d.ReadNote("p2") == nil || d.ReadNote("p3") != nil {
 		t.Fatal("notes")
 	}
-	if got := typeOf(t, d.Claim("south")); got != "ForeignDataError" {
+	if got := errorTypeName(t, d.Claim("south")); got != "ForeignDataError" {
 		t.Fatal(got)
 	}
 	var gap *consensus.LogGapError
-	if err := d.Write(consensus.PersistentState{Entries: records(905, 906, 4)}); !errors.As(err, &gap) || gap.Index != 905 {
+	if err := d.Write(consensus.PersistentState{Entries: logEntries(905, 906, 4)}); !errors.As(err, &gap) || gap.Index != 905 {
 		t.Fatal(err)
 	}
-	again()
+	reopen()
 }
 
 // full lays down a directory with a bit of everything, and tells what it holds.
-func filled(t testing.TB) (dir string, held Contents) {
+func writeSampleDirectory(t testing.TB) (dir string, contents Contents) {
 	dir = t.TempDir()
 	d, _ := open(t, Options{}, dir)
 	must(t, d.Claim("north"))
-	must(t, d.Write(consensus.PersistentState{HardState: []byte("hard"), Entries: records(1, 300, 1)}))
+	must(t, d.Write(consensus.PersistentState{HardState: []byte("hard"), Entries: logEntries(1, 300, 1)}))
 	must(t, d.Write(consensus.PersistentState{Snapshot: &consensus.Snapshot{Index: 200, Term: 1, VoterConfig: []byte("conf"), Data: bytes.Repeat([]byte("s"), 9000)},
-		Entries: records(100, 300, 1)}))
+		Entries: logEntries(100, 300, 1)}))
 	must(t, d.WriteNote("p1", []byte("wiped")))
-	must(t, d.Write(consensus.PersistentState{Entries: records(301, 600, 2)}))
+	must(t, d.Write(consensus.PersistentState{Entries: logEntries(301, 600, 2)}))
 	must(t, d.Close())
-	d, held = open(t, Options{}, dir)
+	d, contents = open(t, Options{}, dir)
 	must(t, d.Close())
-	return dir, held
+	return dir, contents
 }
 
 // Wherever a file ends too early, it opens with all that it held, or says so.
-func TestTorn(t *testing.T) {
-	dir, held := filled(t)
+func TestTruncatedFileIsReadWholeOrReported(t *testing.T) {
+	dir, want := writeSampleDirectory(t)
 	path := filepath.Join(dir, "record")
-	whole, err := os.ReadFile(path)
+	intact, err := os.ReadFile(path)
 	must(t, err)
-	torn := 0
-	for cut := len(whole) - 1; cut > 0; cut -= 1500 {
-		must(t, os.WriteFile(path, whole[:cut], 0o600))
-		d, f, err := Open(dir, named)
+	reported := 0
+	for cut := len(intact) - 1; cut > 0; cut -= 1500 {
+		must(t, os.WriteFile(path, intact[:cut], 0o600))
+		d, got, err := Open(dir, fixedDiskID)
 		if err == nil {
-			if x := diff(held, f); x != "" {
-				t.Fatalf("cut at %d: %s", cut, x)
+			if difference := diff(want, got); difference != "" {
+				t.Fatalf("cut at %d: %s", cut, difference)
 			}
 			must(t, d.Close())
 			continue
 		}
-		if got := typeOf(t, err); got != "TornWriteError" && got != "CorruptionError" {
+		if got := errorTypeName(t, err); got != "TornWriteError" && got != "CorruptionError" {
 			t.Fatalf("cut at %d: %v", cut, err)
 		}
-		torn++
+		reported++
 	}
-	if torn < 20 {
-		t.Fatalf("only %d of the cuts were seen", torn)
+	if reported < 20 {
+		t.Fatalf("only %d of the cuts were seen", reported)
 	}
-	must(t, os.WriteFile(path, whole, 0o600)) // and nobody holds it
-	d, _, err := Open(dir, named)
+	must(t, os.WriteFile(path, intact, 0o600)) // and nobody holds it
+	d, _, err := Open(dir, fixedDiskID)
 	must(t, err)
 	must(t, d.Close())
 }
 
-func TestSpoilt(t *testing.T) {
-	dir, held := filled(t)
+func TestDamagedBytesAreReported(t *testing.T) {
+	dir, want := writeSampleDirectory(t)
 	path := filepath.Join(dir, "record")
-	whole, err := os.ReadFile(path)
+	intact, err := os.ReadFile(path)
 	must(t, err)
-	flip := func(at int) error {
-		b := bytes.Clone(whole)
-		b[at] ^= 0x10
-		must(t, os.WriteFile(path, b, 0o600))
-		d, f, err := Open(dir, named)
+	openWithFlippedBit := func(at int) error {
+		damaged := bytes.Clone(intact)
+		damaged[at] ^= 0x10
+		must(t, os.WriteFile(path, damaged, 0o600))
+		d, got, err := Open(dir, fixedDiskID)
 		if err == nil {
-			if x := diff(held, f); x != "" {
-				t.Fatalf("byte %d: %s", at, x)
+			if difference := diff(want, got); difference != "" {
+				t.Fatalf("byte %d: %s", at, difference)
 			}
 			must(t, d.Close())
 		}
 		return err
 	}
 	// One byte of a record's data, in the copy that counts: at the last place.
-	at := bytes.LastIndex(whole, []byte("what was decided as 457 in 2"))
-	var spoilt *CorruptionError
-	if err := flip(at + 3); !errors.As(err, &spoilt) || spoilt.Location != "record 457" {
+	at := bytes.LastIndex(intact, []byte("what was decided as 457 in 2"))
+	var corruption *CorruptionError
+	if err := openWithFlippedBit(at + 3); !errors.As(err, &corruption) || corruption.Location != "record 457" {
 		t.Fatal(err)
 	}
-	for _, head := range []int{16 + 48, os.Getpagesize() + 16 + 48} { // the number of the last write
-		if err := flip(head); !errors.As(err, &spoilt) {
+	for _, metaTxID := range []int{16 + 48, os.Getpagesize() + 16 + 48} { // the number of the last write
+		if err := openWithFlippedBit(metaTxID); !errors.As(err, &corruption) {
 			t.Fatal(err)
 		}
 	}
 	// Any byte: the same as before, or told.
-	r, told := rand.New(rand.NewPCG(7, 7)), 0
+	r, reported := rand.New(rand.NewPCG(7, 7)), 0
 	for range 400 {
-		if err := flip(r.IntN(len(whole))); err != nil {
-			if got := typeOf(t, err); got != "TornWriteError" && got != "CorruptionError" && got != "AccessError" {
+		if err := openWithFlippedBit(r.IntN(len(intact))); err != nil {
+			if got := errorTypeName(t, err); got != "TornWriteError" && got != "CorruptionError" && got != "AccessError" {
 				t.Fatal(err)
 			}
-			told++
+			reported++
 		}
 	}
-	if told < 50 {
-		t.Fatalf("only %d of 400 were told", told)
+	if reported < 50 {
+		t.Fatalf("only %d of 400 were told", reported)
 	}
-	t.Logf("%d of 400 flipped bytes were told, the others changed nothing", told)
+	t.Logf("%d of 400 flipped bytes were told, the others changed nothing", reported)
 }
 
 // A write that fails fails for good until the directory is opened anew, and leaves
 // what was written before.
-func stuck(t *testing.T, o Options, want string, off func()) {
+func testFailingWrite(t *testing.T, options Options, wantType string, stopFault func()) {
 	t.Helper()
-	dir, held := filled(t)
-	d, _, err := o.Open(dir, named)
+	dir, contents := writeSampleDirectory(t)
+	d, _, err := options.Open(dir, fixedDiskID)
 	must(t, err)
 	for from := uint64(601); err == nil && from < 100_000; from += 500 {
-		if err = d.Write(consensus.PersistentState{Entries: records(from, from+499, 3)}); err == nil {
-			held.Persistent.Entries = append(held.Persistent.Entries, records(from, from+499, 3)...)
+		if err = d.Write(consensus.PersistentState{Entries: logEntries(from, from+499, 3)}); err == nil {
+			contents.Persistent.Entries = append(contents.Persistent.Entries, logEntries(from, from+499, 3)...)
 		}
 	}
-	if err == nil || typeOf(t, err) != want {
-		t.Fatalf("want %s, got %v", want, err)
+	if err == nil || errorTypeName(t, err) != wantType {
+		t.Fatalf("want %s, got %v", wantType, err)
 	}
-	off()
+	stopFault()
 	if again := d.Write(consensus.PersistentState{HardState: []byte("x")}); again != err {
 		t.Fatal(again)
 	}
@@ -233,17 +233,17 @@
 		t.Fatal(again)
 	}
 	must(t, d.Close())
-	d, f := open(t, Options{}, dir)
-	if x := diff(held, f); x != "" {
-		t.Fatal(x)
+	d, got := open(t, Options{}, dir)
+	if difference := diff(contents, got); difference != "" {
+		t.Fatal(difference)
 	}
 	must(t, d.Write(consensus.PersistentState{HardState: []byte("x")}))
 }
 
-func TestFull(t *testing.T) {
-	stuck(t, Options{MaxBytes: 1 << 20}, "DiskFullError", func() {})
+func TestFullDiskFailsWrites(t *testing.T) {
+	testFailingWrite(t, Options{MaxBytes: 1 << 20}, "DiskFullError", func() {})
 	fault := syscall.ENOSPC
-	stuck(t, Options{WriteFault: func() error {
+	testFailingWrite(t, Options{WriteFault: func() error {
 		if fault != 0 {
 			return &os.PathError{Op: "write", Path: "record", Err: fault}
 		}
@@ -251,80 +251,80 @@
 	}}, "DiskFullError", func() { fault = 0 })
 }
 
-func TestRefused(t *testing.T) {
+func TestAccessErrorFailsWrites(t *testing.T) {
 	// The file itself takes nothing: it was opened for reading only.
-	stuck(t, Options{OpenFile: func(name string, _ int, mode os.FileMode) (*os.File, error) {
+	testFailingWrite(t, Options{OpenFile: func(name string, _ int, mode os.FileMode) (*os.File, error) {
 		return os.OpenFile(name, os.O_RDONLY, mode)
 	}}, "AccessError", func() {})
-	stuck(t, Options{WriteFault: func() error { return syscall.EIO }}, "AccessError", func() {})
+	testFailingWrite(t, Options{WriteFault: func() error { return syscall.EIO }}, "AccessError", func() {})
 	in := filepath.Join(t.TempDir(), "file")
 	must(t, os.WriteFile(in, nil, 0o600))
-	if _, _, err := Open(filepath.Join(in, "dir"), named); typeOf(t, err) != "AccessError" {
+	if _, _, err := Open(filepath.Join(in, "dir"), fixedDiskID); errorTypeName(t, err) != "AccessError" {
 		t.Fatal(err)
 	}
 }
 
 // Cut off while it was first made, a directory is made again.
-func TestMadeAgain(t *testing.T) {
+func TestInterruptedCreationIsRepeated(t *testing.T) {
 	dir := t.TempDir()
 	must(t, os.WriteFile(filepath.Join(dir, "record.new"), bytes.Repeat([]byte{1}, 5000), 0o600))
-	if _, f := open(t, Options{}, dir); !f.Fresh {
-		t.Fatalf("%+v", f)
+	if _, contents := open(t, Options{}, dir); !contents.Fresh {
+		t.Fatalf("%+v", contents)
 	}
 }
 
-func TestTwoPrograms(t *testing.T) {
+func TestDirectoryIsLockedAgainstOtherProcesses(t *testing.T) {
 	if dir := os.Getenv("DISK_TEST_DIR"); dir != "" { // the other one
-		_, _, err := Open(dir, named)
-		fmt.Print(typeOf(t, err))
+		_, _, err := Open(dir, fixedDiskID)
+		fmt.Print(errorTypeName(t, err))
 		os.Exit(0)
 	}
 	dir := t.TempDir()
 	d, _ := open(t, Options{}, dir)
-	c := exec.Command(os.Args[0], "-test.run=^TestTwoPrograms$")
-	c.Env = append(os.Environ(), "DISK_TEST_DIR="+dir)
-	out, err := c.CombinedOutput()
+	command := exec.Command(os.Args[0], "-test.run=^TestDirectoryIsLockedAgainstOtherProcesses$")
+	command.Env = append(os.Environ(), "DISK_TEST_DIR="+dir)
+	out, err := command.CombinedOutput()
 	if err != nil || string(out) != "LockedError" {
 		t.Fatalf("%s %v", out, err)
 	}
-	if _, _, err := Open(dir, named); typeOf(t, err) != "LockedError" {
+	if _, _, err := Open(dir, fixedDiskID); errorTypeName(t, err) != "LockedError" {
 		t.Fatal(err)
 	}
 	must(t, d.Close())
 	open(t, Options{}, dir)
 }
 
-func TestLongRecord(t *testing.T) {
+func TestLongLogIsReadWithinTwoSeconds(t *testing.T) {
 	dir := t.TempDir()
 	d, _ := open(t, Options{}, dir)
 	begin := time.Now()
 	const n = 100_000
 	for from := uint64(1); from <= n; from += 10_000 {
-		must(t, d.Write(consensus.PersistentState{Entries: records(from, from+9999, 1)}))
+		must(t, d.Write(consensus.PersistentState{Entries: logEntries(from, from+9999, 1)}))
 	}
 	t.Logf("%d records were written in %v", n, time.Since(begin))
 	must(t, d.Close())
 	begin = time.Now()
-	d, f := open(t, Options{}, dir)
+	d, contents := open(t, Options{}, dir)
 	took := time.Since(begin)
 	t.Logf("%d records were read in %v", n, took)
-	if len(f.Persistent.Entries) != n || took > 2*time.Second {
-		t.Fatalf("%d records in %v", len(f.Persistent.Entries), took)
+	if len(contents.Persistent.Entries) != n || took > 2*time.Second {
+		t.Fatalf("%d records in %v", len(contents.Persistent.Entries), took)
 	}
 	begin = time.Now()
-	must(t, d.Write(consensus.PersistentState{HardState: []byte("h"), Snapshot: &consensus.Snapshot{Index: n, Term: 1, Data: make([]byte, 1<<20)}, Entries: records(n-199, n, 1)}))
+	must(t, d.Write(consensus.PersistentState{HardState: []byte("h"), Snapshot: &consensus.Snapshot{Index: n, Term: 1, Data: make([]byte, 1<<20)}, Entries: logEntries(n-199, n, 1)}))
 	t.Logf("a snapshot in place of all but 200 took %v", time.Since(begin))
 	must(t, d.Close())
 	begin = time.Now()
-	_, f = open(t, Options{}, dir)
+	_, contents = open(t, Options{}, dir)
 	took = time.Since(begin)
 	t.Logf("the snapshot with 200 records was read in %v", took)
-	if f.Persistent.Snapshot.Index != n || len(f.Persistent.Entries) != 200 || took > 2*time.Second {
-		t.Fatalf("%d records in %v", len(f.Persistent.Entries), took)
+	if contents.Persistent.Snapshot.Index != n || len(contents.Persistent.Entries) != 200 || took > 2*time.Second {
+		t.Fatalf("%d records in %v", len(contents.Persistent.Entries), took)
 	}
 }
 
-func TestErrors(t *testing.T) {
+func TestErrorsHaveTextAndRemedy(t *testing.T) {
 	for _, e := range Errors() {
 		if e.Error() == "" || e.Remedy() == "" {
 			t.Errorf("%T says nothing", e)
@@ -337,7 +337,7 @@
 	i := uint64(0)
 	for b.Loop() {
 		i++
-		must(b, d.Write(consensus.PersistentState{HardState: []byte("h"), Entries: records(i, i, 1)}))
+		must(b, d.Write(consensus.PersistentState{HardState: []byte("h"), Entries: logEntries(i, i, 1)}))
 	}
 }
 
--- a/internal/fleet/storage/encoding.go
+++ b/internal/fleet/storage/encoding.go
@@ -11,30 +11,32 @@
 func indexKey(index uint64) []byte { return binary.BigEndian.AppendUint64(nil, index) }
 
 // putChecked writes a value after the checksum of key and value.
-func putChecked(b *bbolt.Bucket, key, value []byte) error {
+func putWithChecksum(b *bbolt.Bucket, key, value []byte) error {
 	return b.Put(key, append(binary.LittleEndian.AppendUint64(nil, checksum(key, value)), value...))
 }
 
-func getChecked(b *bbolt.Bucket, key []byte) ([]byte, bool) { return withoutChecksum(key, b.Get(key)) }
+func getWithChecksum(b *bbolt.Bucket, key []byte) ([]byte, bool) {
+	return verifyChecksum(key, b.Get(key))
+}
 
-func withoutChecksum(key, v []byte) ([]byte, bool) {
-	if len(v) < 8 || binary.LittleEndian.Uint64(v) != checksum(key, v[8:]) {
+func verifyChecksum(key, stored []byte) ([]byte, bool) {
+	if len(stored) < 8 || binary.LittleEndian.Uint64(stored) != checksum(key, stored[8:]) {
 		return nil, false
 	}
-	return v[8:], true
+	return stored[8:], true
 }
 
 func checksum(key, value []byte) uint64 {
-	h := xxhash.NewWithSeed(uint64(len(key)))
-	_, _ = h.Write(key)
-	_, _ = h.Write(value)
-	return h.Sum64()
+	hash := xxhash.NewWithSeed(uint64(len(key)))
+	_, _ = hash.Write(key)
+	_, _ = hash.Write(value)
+	return hash.Sum64()
 }
 
 func encode(v any) []byte {
-	b, err := cbor.Marshal(v)
+	encoded, err := cbor.Marshal(v)
 	if err != nil {
 		panic(err) // plain structs can always be encoded
 	}
-	return b
+	return encoded
 }
--- a/internal/fleet/storage/golden_test.go
+++ b/internal/fleet/storage/golden_test.go
@@ -12,7 +12,7 @@
 )
 
 // buckets are all keys and values of a file, by bucket.
-func buckets(t *testing.T, dir string) map[string]map[string]string {
+func readBuckets(t *testing.T, dir string) map[string]map[string]string {
 	t.Helper()
 	db, err := bbolt.Open(filepath.Join(dir, fileName), 0o600, &bbolt.Options{ReadOnly: true, Timeout: time.Second})
 	must(t, err)
@@ -33,10 +33,10 @@
 
 func TestGoldenDirectoryIsRead(t *testing.T) {
 	dir := goldentest.Copy(t, "directory")
-	d, found := open(t, Options{}, dir)
-	want := goldenFound()
+	d, got := open(t, Options{}, dir)
+	want := goldenContents()
 	goldentest.EveryFieldSet(t, goldentest.CBOR, want.Persistent.Snapshot, want.Persistent.Entries)
-	if diff := cmp.Diff(want, found); diff != "" {
+	if diff := cmp.Diff(want, got); diff != "" {
 		t.Errorf("what it holds (-want +got):\n%s", diff)
 	}
 	must(t, d.Claim(want.Owner))
@@ -52,8 +52,8 @@
 func TestGoldenDirectoryIsWritten(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "directory")
 	must(t, writeGolden(dir))
-	want := buckets(t, goldentest.Copy(t, "directory"))
-	if diff := cmp.Diff(want, buckets(t, dir)); diff != "" {
+	want := readBuckets(t, goldentest.Copy(t, "directory"))
+	if diff := cmp.Diff(want, readBuckets(t, dir)); diff != "" {
 		t.Errorf("keys and values (-want +got):\n%s", diff)
 	}
 }
--- a/internal/fleet/storage/golden_values_test.go
+++ b/internal/fleet/storage/golden_values_test.go
@@ -3,7 +3,7 @@
 import "railrelay.dev/railrelay/internal/fleet/consensus"
 
 // goldenFound is what the golden directory holds, with every field set.
-func goldenFound() Contents {
+func goldenContents() Contents {
 	return Contents{
 		Persistent: consensus.PersistentState{
 			HardState: []byte("hard"),
@@ -23,28 +23,28 @@
 
 // writeGolden makes a directory that holds goldenFound.
 func writeGolden(dir string) error {
-	found := goldenFound()
-	d, _, err := Open(dir, func() string { return found.DiskID })
+	contents := goldenContents()
+	d, _, err := Open(dir, func() string { return contents.DiskID })
 	if err != nil {
 		return err
 	}
 	defer d.Close()
-	if err := d.Claim(found.Owner); err != nil {
+	if err := d.Claim(contents.Owner); err != nil {
 		return err
 	}
 	if err := d.Write(consensus.PersistentState{HardState: []byte("before"), Entries: []consensus.LogEntry{{Index: 1, Term: 1, Data: []byte("one")}}}); err != nil {
 		return err
 	}
-	kept := found.Persistent
-	kept.Entries = found.Persistent.Entries[:3]
-	if err := d.Write(kept); err != nil {
+	persistent := contents.Persistent
+	persistent.Entries = contents.Persistent.Entries[:3]
+	if err := d.Write(persistent); err != nil {
 		return err
 	}
-	if err := d.Write(consensus.PersistentState{Entries: found.Persistent.Entries[3:]}); err != nil {
+	if err := d.Write(consensus.PersistentState{Entries: contents.Persistent.Entries[3:]}); err != nil {
 		return err
 	}
 	for _, key := range []string{"policy", "wiped"} {
-		if err := d.WriteNote(key, found.Notes[key]); err != nil {
+		if err := d.WriteNote(key, contents.Notes[key]); err != nil {
 			return err
 		}
 	}
--- a/internal/fleet/storage/open.go
+++ b/internal/fleet/storage/open.go
@@ -31,12 +31,12 @@
 // Open locks a directory, makes it if it isn't there, and reads all of it. A new one
 // gets its ID from fresh. Errors are *TornWriteError, *CorruptionError, *DiskFullError,
 // *AccessError or *LockedError.
-func Open(dir string, fresh func() string) (*Disk, Contents, error) {
-	return Options{}.Open(dir, fresh)
+func Open(dir string, newDiskID func() string) (*Disk, Contents, error) {
+	return Options{}.Open(dir, newDiskID)
 }
 
 // Open is the package's Open with these options.
-func (o Options) Open(dir string, fresh func() string) (*Disk, Contents, error) {
+func (o Options) Open(dir string, newDiskID func() string) (*Disk, Contents, error) {
 	if o.OpenFile == nil {
 		o.OpenFile = os.OpenFile
 	}
@@ -45,7 +45,7 @@
 	}
 	path := filepath.Join(dir, fileName)
 	if _, err := os.Stat(path); errors.Is(err, fs.ErrNotExist) {
-		if err := o.create(path, fresh); err != nil {
+		if err := o.create(path, newDiskID); err != nil {
 			return nil, Contents{}, err
 		}
 	}
@@ -59,14 +59,14 @@
 		_ = catchPanics(path, db.Close)
 		return nil, Contents{}, err
 	}
-	f := d.contents
-	f.Notes, d.contents.Persistent = maps.Clone(f.Notes), consensus.PersistentState{} // the caller's alone: it may be long
-	return d, f, nil
+	contents := d.contents
+	contents.Notes, d.contents.Persistent = maps.Clone(contents.Notes), consensus.PersistentState{} // the caller's alone: it may be long
+	return d, contents, nil
 }
 
 // create makes a new file whole under its name, or not at all: one that was cut off while it
 // was first written must not look like a torn one.
-func (o Options) create(path string, fresh func() string) error {
+func (o Options) create(path string, newDiskID func() string) error {
 	db, err := o.open(path + ".new")
 	if torn := (*TornWriteError)(nil); errors.As(err, &torn) { // left from then, and nobody holds it
 		_ = os.Remove(path + ".new")
@@ -82,11 +82,11 @@
 			}
 		}
 		state := tx.Bucket(stateBucket)
-		return errors.Join(putChecked(state, nameKey, []byte(fresh())), putChecked(state, spanKey, encode(logRange{1, 0})))
+		return errors.Join(putWithChecksum(state, diskIDKey, []byte(newDiskID())), putWithChecksum(state, completenessKey, encode(logRange{1, 0})))
 	})
 	if err == nil {
 		// Another program may have been quicker: its file is locked by it, and stays.
-		if _, gone := os.Stat(path); errors.Is(gone, fs.ErrNotExist) {
+		if _, statErr := os.Stat(path); errors.Is(statErr, fs.ErrNotExist) {
 			err = os.Rename(path+".new", path)
 		}
 	}
@@ -123,8 +123,8 @@
 		return err
 	})
 	// What the library finds wrong of itself, not of the system, is the file's fault.
-	if r := (*AccessError)(nil); errors.As(err, &r) && !errors.As(err, new(syscall.Errno)) {
-		err = &TornWriteError{path, r.Err.Error()}
+	if access := (*AccessError)(nil); errors.As(err, &access) && !errors.As(err, new(syscall.Errno)) {
+		err = &TornWriteError{path, access.Err.Error()}
 	}
 	if err != nil && opened != nil {
 		// The library does neither when it panics, and the lock would stay with the mapping.
@@ -152,20 +152,20 @@
 // checkMetaPages checks both of the file's meta pages. The library uses the newest intact
 // one: if the newer one was damaged, the last write, perhaps a vote, would silently be undone.
 // The layout is bbolt's, version 2: a page header of 16 bytes, 56 bytes, their FNV-1a sum.
-func checkMetaPages(path string, page int) error {
+func checkMetaPages(path string, pageSize int) error {
 	f, err := os.Open(path)
 	if err != nil {
 		return err
 	}
 	defer f.Close()
 	for i := range int64(2) {
-		var b [80]byte
-		if _, err := f.ReadAt(b[:], i*int64(page)); err != nil {
+		var meta [80]byte
+		if _, err := f.ReadAt(meta[:], i*int64(pageSize)); err != nil {
 			return &TornWriteError{path, "a head is missing"}
 		}
-		h := fnv.New64a()
-		h.Write(b[16:72])
-		if h.Sum64() != binary.NativeEndian.Uint64(b[72:]) {
+		sum := fnv.New64a()
+		sum.Write(meta[16:72])
+		if sum.Sum64() != binary.NativeEndian.Uint64(meta[72:]) {
 			return &CorruptionError{path, "head " + strconv.FormatInt(i, 10)}
 		}
 	}
--- a/internal/fleet/storage/read.go
+++ b/internal/fleet/storage/read.go
@@ -52,32 +52,32 @@
 		required bool
 		read     func([]byte) error
 	}{
-		{nameKey, true, func(b []byte) error { c.DiskID = string(b); return nil }},
+		{diskIDKey, true, func(b []byte) error { c.DiskID = string(b); return nil }},
 		{ownerKey, false, func(b []byte) error { c.Owner = string(b); return nil }},
 		{hardKey, false, func(b []byte) error { c.Persistent.HardState = append([]byte{}, b...); return nil }},
 		{snapshotKey, false, func(b []byte) error {
 			c.Persistent.Snapshot = &consensus.Snapshot{}
 			return cbor.Unmarshal(b, c.Persistent.Snapshot)
 		}},
-		{spanKey, true, func(b []byte) error { return cbor.Unmarshal(b, &d.logRange) }},
+		{completenessKey, true, func(b []byte) error { return cbor.Unmarshal(b, &d.logRange) }},
 	}
-	known := 0
+	found := 0
 	for _, value := range values {
-		isThere := state.Get(value.key) != nil
-		if isThere {
-			known++
+		isPresent := state.Get(value.key) != nil
+		if isPresent {
+			found++
 		}
-		b, isIntact := getChecked(state, value.key)
-		if isThere && !isIntact || !isThere && value.required || isIntact && value.read(b) != nil {
+		b, isIntact := getWithChecksum(state, value.key)
+		if isPresent && !isIntact || !isPresent && value.required || isIntact && value.read(b) != nil {
 			return &CorruptionError{path, string(value.key)}
 		}
 	}
 	// A value with a damaged key would seem never written: there must be no unknown ones.
-	all := 0
-	if err := state.ForEach(func([]byte, []byte) error { all++; return nil }); err != nil {
+	present := 0
+	if err := state.ForEach(func([]byte, []byte) error { present++; return nil }); err != nil {
 		return err
 	}
-	if known != all || d.logRange.First == 0 || d.logRange.Last+1 < d.logRange.First {
+	if found != present || d.logRange.First == 0 || d.logRange.Last+1 < d.logRange.First {
 		return &CorruptionError{path, "state"}
 	}
 	return nil
@@ -93,9 +93,9 @@
 	cursor := log.Cursor()
 	for k, v := cursor.First(); k != nil; k, v = cursor.Next() {
 		var entry consensus.LogEntry
-		b, isIntact := withoutChecksum(k, v)
+		encoded, isIntact := verifyChecksum(k, v)
 		if !isIntact || len(k) != 8 || binary.BigEndian.Uint64(k) != next || next > d.logRange.Last ||
-			cbor.Unmarshal(b, &entry) != nil || entry.Index != next {
+			cbor.Unmarshal(encoded, &entry) != nil || entry.Index != next {
 			return &CorruptionError{path, "record " + strconv.FormatUint(next, 10)}
 		}
 		entries = append(entries, entry)
@@ -112,27 +112,27 @@
 // a missing note is detected by it.
 func (d *Disk) readNotes(path string, notes *bbolt.Bucket) error {
 	d.contents.Notes = map[string][]byte{}
-	listed, isListed := getChecked(notes, spanKey)
-	if !isListed && notes.Get(spanKey) != nil {
+	storedSum, hasSum := getWithChecksum(notes, completenessKey)
+	if !hasSum && notes.Get(completenessKey) != nil {
 		return &CorruptionError{path, "notes"}
 	}
-	seen := uint64(0)
+	keySum := uint64(0)
 	err := notes.ForEach(func(k, v []byte) error {
-		if string(k) == string(spanKey) {
+		if string(k) == string(completenessKey) {
 			return nil
 		}
-		b, isIntact := withoutChecksum(k, v)
+		b, isIntact := verifyChecksum(k, v)
 		if !isIntact || k[0] != '/' {
 			return &CorruptionError{path, fmt.Sprintf("note %q", k)}
 		}
 		d.contents.Notes[string(k[1:])] = append([]byte{}, b...)
-		seen ^= xxhash.Sum64(k)
+		keySum ^= xxhash.Sum64(k)
 		return nil
 	})
 	if err != nil {
 		return err
 	}
-	if (isListed || seen != 0) && (len(listed) != 8 || binary.LittleEndian.Uint64(listed) != seen) {
+	if (hasSum || keySum != 0) && (len(storedSum) != 8 || binary.LittleEndian.Uint64(storedSum) != keySum) {
 		return &CorruptionError{path, "notes"}
 	}
 	return nil
