--- a/internal/fleet/consensus/cluster_test.go
+++ b/internal/fleet/consensus/cluster_test.go
@@ -16,7 +16,7 @@
 
 const ms = time.Millisecond
 
-// A play of voters on one clock, with what can go wrong between them.
+// cluster simulates voters on one virtual clock, with faults of processes, disks and links.
 type cluster struct {
 	t             testing.TB
 	now           time.Duration
@@ -26,22 +26,23 @@
 	seq           int
 	voters        []Voter
 	nodes         map[string]*node
-	blockedLinks  map[[2]string]bool // one way
+	blockedLinks  map[[2]string]bool // by sender and receiver
 	lossRate      float64
 	duplicateRate float64
 	compactEvery  uint64
 	trace         bytes.Buffer
 
 	committed         map[uint64]LogEntry
-	checksums         map[uint64]uint64 // index: sum of all decided up to it
+	checksums         map[uint64]uint64 // of all committed entries up to an index
 	lastCommitted     uint64
-	proposals         map[string]bool // what was proposed, and whether it is decided
-	confirmsAsked     map[uint64]uint64
-	confirmations     int // confirmed
-	faultsInjected    int // messages lost, voters lost
-	snapshotsRestored int // snapshots taken over
+	proposals         map[string]bool   // whether a proposal is committed, by its data
+	minConfirmedIndex map[uint64]uint64 // commit index when it was asked, by handle
+	confirmations     int
+	faultsInjected    int // lost messages and crashes
+	snapshotsRestored int // from a leader or a disk
 }
 
+// node is one simulated voter with its disk. core is nil while the voter is down.
 type node struct {
 	name          string
 	core          *Core
@@ -75,8 +76,9 @@
 }
 
 func newCluster(t testing.TB, n int, seed uint64) *cluster {
-	c := &cluster{t: t, seed: seed, rand: rand.New(rand.NewPCG(seed, 1)), nodes: map[string]*node{}, blockedLinks: map[[2]string]bool{},
-		committed: map[uint64]LogEntry{}, checksums: map[uint64]uint64{0: 0}, proposals: map[string]bool{}, confirmsAsked: map[uint64]uint64{}}
+	c := &cluster{t: t, seed: seed, rand: rand.New(rand.NewPCG(seed, 1)),
+		nodes: map[string]*node{}, blockedLinks: map[[2]string]bool{}, committed: map[uint64]LogEntry{},
+		checksums: map[uint64]uint64{0: 0}, proposals: map[string]bool{}, minConfirmedIndex: map[uint64]uint64{}}
 	for i := range n {
 		c.voters = append(c.voters, Voter{fmt.Sprintf("v%d", i), fmt.Sprintf("10.0.0.%d:7", i)})
 	}
@@ -102,14 +104,14 @@
 	core, effects, err := New(Config{Self: name, Voters: voters, Persistent: n.disk, Seed: c.seed,
 		ElectionTimeout: 300 * ms, HeartbeatInterval: 30 * ms})
 	if err != nil {
-		c.t.Fatalf("seed %d: %s starts: %v", c.seed, name, err)
+		c.t.Fatalf("seed %d: %s can't start: %v", c.seed, name, err)
 	}
 	n.core = core
 	c.performEffects(n, effects)
 	c.step(n, Event{Kind: Tick})
 }
 
-// lose takes a voter away with all that wasn't stored.
+// crash stops a voter. Its pending disk write may be lost.
 func (c *cluster) crash(name string) {
 	c.faultsInjected++
 	c.nodes[name].core = nil
@@ -124,7 +126,7 @@
 	c.performEffects(n, n.core.Step(c.now, event))
 	if due := n.core.NextTick(); due < noDeadline && n.core != nil {
 		if due <= c.now && event.Kind == Tick {
-			c.t.Fatalf("seed %d: %s wants to be woken at %v, it is %v", c.seed, n.name, due, c.now)
+			c.t.Fatalf("seed %d: next tick of %s is due at %v, which isn't after now, %v", c.seed, n.name, due, c.now)
 		}
 		if n.tickAt <= c.now || due < n.tickAt {
 			n.tickAt = due
@@ -149,7 +151,7 @@
 		case Persist:
 			persistent := e.Persistent
 			c.schedule(n.diskDelay+ms+time.Duration(c.rand.Int64N(int64(4*ms))), func() {
-				// A voter lost meanwhile may have got it on its disk or not.
+				// The pending write of a crashed voter may have reached its disk or not.
 				if n.incarnation == boot || n.core == nil && c.rand.IntN(2) == 0 {
 					writeToDisk(&n.disk, *persistent)
 				}
@@ -160,14 +162,16 @@
 		case Committed:
 			entry := e.Entry
 			if entry.Index != n.applied+1 {
-				c.t.Fatalf("seed %d: %s decided %d after %d", c.seed, n.name, entry.Index, n.applied)
+				c.t.Fatalf("seed %d: %s committed index %d after index %d", c.seed, n.name, entry.Index, n.applied)
 			}
 			n.applied, n.checksum = entry.Index, xxhash.Sum64(fmt.Appendf(nil, "%x %v", n.checksum, entry))
 			if previous, ok := c.committed[entry.Index]; !ok {
 				c.committed[entry.Index], c.checksums[entry.Index] = entry, n.checksum
 				c.lastCommitted = max(c.lastCommitted, entry.Index)
-			} else if previous.Term != entry.Term || !bytes.Equal(previous.Data, entry.Data) || c.checksums[entry.Index] != n.checksum {
-				c.t.Fatalf("seed %d: %d is %v and at %s %v", c.seed, entry.Index, previous, n.name, entry)
+			} else if previous.Term != entry.Term || !bytes.Equal(previous.Data, entry.Data) ||
+				c.checksums[entry.Index] != n.checksum {
+				c.t.Fatalf("seed %d: committed entry %d is %v, but %s committed %v", c.seed, entry.Index, previous,
+					n.name, entry)
 			}
 			if !entry.IsVoterChange && len(entry.Data) > 0 {
 				c.proposals[string(entry.Data)] = true
@@ -182,26 +186,28 @@
 				})
 			}
 		case SnapshotRestored:
-			n.applied, n.snapshotIndex, n.checksum = e.Snapshot.Index, e.Snapshot.Index, binary.BigEndian.Uint64(e.Snapshot.Data)
+			n.applied, n.snapshotIndex, n.checksum = e.Snapshot.Index, e.Snapshot.Index,
+				binary.BigEndian.Uint64(e.Snapshot.Data)
 			if n.checksum != c.checksums[n.applied] {
-				c.t.Fatalf("seed %d: %s restored another state at %d", c.seed, n.name, n.applied)
+				c.t.Fatalf("seed %d: %s restored a different state at index %d", c.seed, n.name, n.applied)
 			}
 			c.snapshotsRestored++
 		case LeadershipConfirmed:
-			if e.Index < c.confirmsAsked[e.Handle] {
-				c.t.Fatalf("seed %d: %s confirmed %d, %d was decided before it was asked", c.seed, n.name, e.Index, c.confirmsAsked[e.Handle])
+			if e.Index < c.minConfirmedIndex[e.Handle] {
+				c.t.Fatalf("seed %d: %s confirmed index %d, but index %d was committed before the request", c.seed,
+					n.name, e.Index, c.minConfirmedIndex[e.Handle])
 			}
 			c.confirmations++
-			delete(c.confirmsAsked, e.Handle)
+			delete(c.minConfirmedIndex, e.Handle)
 		case LeadershipDenied:
-			delete(c.confirmsAsked, e.Handle)
+			delete(c.minConfirmedIndex, e.Handle)
 		case VotersChanged:
 			n.voters = e.Voters
 		}
 	}
 }
 
-// keep is what a disk does.
+// writeToDisk merges a write into the content of a disk.
 func writeToDisk(disk *PersistentState, write PersistentState) {
 	if write.HardState != nil {
 		disk.HardState = write.HardState
@@ -241,7 +247,8 @@
 func (c *cluster) leader() *node {
 	var leader *node
 	for _, name := range c.names() {
-		if n := c.nodes[name]; n.core != nil && n.core.IsLeader() && (leader == nil || n.core.leaderTerm > leader.core.leaderTerm) {
+		if n := c.nodes[name]; n.core != nil && n.core.IsLeader() &&
+			(leader == nil || n.core.leaderTerm > leader.core.leaderTerm) {
 			leader = n
 		}
 	}
@@ -257,13 +264,13 @@
 	return names
 }
 
-// until plays on until something is so, and fails if it isn't within a time.
+// runUntil runs events until a condition is met, and fails the test if it isn't met within a time.
 func (c *cluster) runUntil(within time.Duration, condition string, isMet func() bool) {
 	c.t.Helper()
 	end := c.now + within
 	for !isMet() {
 		if len(c.events) == 0 || c.events[0].at > end {
-			c.t.Fatalf("seed %d: not within %v: %s", c.seed, within, condition)
+			c.t.Fatalf("seed %d: condition not met within %v: %s", c.seed, within, condition)
 		}
 		next := heap.Pop(&c.events).(scheduledEvent)
 		c.now = next.at
@@ -274,24 +281,25 @@
 func (c *cluster) runFor(d time.Duration) {
 	isOver := false
 	c.schedule(d, func() { isOver = true })
-	c.runUntil(d+1, "time passes", func() bool { return isOver })
+	c.runUntil(d+1, "the time has passed", func() bool { return isOver })
 }
 
-// ask proposes until it is seen decided, and asks each now and then who leads.
+// proposeUntilCommitted proposes data repeatedly until it is committed. Each time, it also has every
+// voter that believes it leads confirm its leadership.
 func (c *cluster) proposeUntilCommitted(data string) {
 	isCommitted := c.proposals[data]
-	c.proposals[data] = isCommitted // it is one of those asked for from now on
+	c.proposals[data] = isCommitted // hasConverged waits for it from now on
 	if isCommitted {
 		return
 	}
 	if leader := c.leader(); leader != nil {
 		c.step(leader, Event{Kind: Propose, Data: []byte(data)})
 	}
-	for _, name := range c.names() { // also those that think so wrongly
+	for _, name := range c.names() { // including leaders of past terms
 		if n := c.nodes[name]; n.core != nil && n.core.IsLeader() {
 			c.seq++
 			handle := uint64(c.seq)
-			c.confirmsAsked[handle] = c.lastCommitted
+			c.minConfirmedIndex[handle] = c.lastCommitted
 			c.step(n, Event{Kind: ConfirmLeadership, Handle: handle})
 		}
 	}
@@ -304,6 +312,8 @@
 	}
 }
 
+// hasConverged reports whether all proposals are committed, and all voters run and have applied
+// all committed entries.
 func (c *cluster) hasConverged() bool {
 	for _, isCommitted := range c.proposals {
 		if !isCommitted {
@@ -318,7 +328,7 @@
 	return true
 }
 
-// faults strike every now and then, by the seed.
+// injectFaults injects a fault and schedules the next one at a random time, until a given time.
 func (c *cluster) injectFaults(until time.Duration) {
 	if c.now >= until {
 		return
@@ -337,7 +347,7 @@
 		})
 	}
 	switch kind := c.rand.IntN(9); kind {
-	case 0, 1: // one is lost, maybe the leader, and comes back with what it had stored
+	case 0, 1: // a voter crashes, perhaps the leader, and restarts from its disk
 		if leader := c.leader(); kind == 1 && leader != nil {
 			a = leader.name
 		}
@@ -349,7 +359,7 @@
 		blockLinks([2]string{a, b}, [2]string{b, a})
 	case 3:
 		blockLinks([2]string{a, b})
-	case 4: // the leader hears nobody, or nobody hears it
+	case 4: // the leader can't receive, or can't send
 		if leader := c.leader(); leader != nil {
 			var links [][2]string
 			isSilent := c.rand.IntN(2) == 0
@@ -362,7 +372,7 @@
 			}
 			blockLinks(links...)
 		}
-	case 6, 7, 8: // disks are slow, then all but one are lost, and soon there again
+	case 6, 7, 8: // disks are slow, then all voters or all but one crash and soon restart
 		survivor := a
 		if kind == 6 {
 			survivor = ""
@@ -386,6 +396,7 @@
 	c.schedule(100*ms+time.Duration(c.rand.Int64N(int64(900*ms))), func() { c.injectFaults(until) })
 }
 
+// runWithFaults runs a cluster through 15 s of faults, and checks that it converges after them.
 func runWithFaults(t testing.TB, n int, seed uint64) *cluster {
 	c := newCluster(t, n, seed)
 	c.lossRate, c.duplicateRate, c.compactEvery = 0.05, 0.05, 20
@@ -396,6 +407,6 @@
 	c.injectFaults(15 * time.Second)
 	c.runFor(18 * time.Second)
 	c.lossRate = 0
-	c.runUntil(20*time.Second, "all is decided everywhere once it heals", c.hasConverged)
+	c.runUntil(20*time.Second, "all voters converge once the faults have ended", c.hasConverged)
 	return c
 }
--- a/internal/fleet/consensus/consensus.go
+++ b/internal/fleet/consensus/consensus.go
@@ -1,68 +1,68 @@
 // Package consensus replicates one log among the voters, on go.etcd.io/raft/v3. It is a pure
-// state machine: events go in by Step and effects come out. It sends and persists nothing
-// itself, reads no clock, and draws its election times from a seed, so that a schedule plays
-// the same way each time.
+// state machine: Step takes an event and returns the effects that the caller must perform. The
+// package sends and persists nothing itself, reads no clock, and draws its election delays from
+// a seed, so that the same events at the same times always have the same effects.
 package consensus
 
 import "time"
 
-// Voter is a controller that votes. Its number in messages follows from its name.
+// Voter is a controller that votes. VoterID derives its ID in raft messages from its name.
 type Voter struct {
 	Name    string `cbor:"Name"`
 	Address string `cbor:"Address"`
 }
 
-// LogEntry is one entry of the log.
+// LogEntry is one entry of the replicated log.
 type LogEntry struct {
 	Index         uint64 `cbor:"1,keyasint"`
 	Term          uint64 `cbor:"2,keyasint"`
-	IsVoterChange bool   `cbor:"3,keyasint,omitempty"` // Data is the library's ConfChangeV2
-	Data          []byte `cbor:"4,keyasint,omitempty"` // empty: the entry decides nothing
+	IsVoterChange bool   `cbor:"3,keyasint,omitempty"` // Data is an encoded raftpb.ConfChangeV2
+	Data          []byte `cbor:"4,keyasint,omitempty"` // empty in the entry that a new leader appends
 }
 
-// PersistentState is what a voter's disk holds, and what is to be written to it.
+// PersistentState is the content of a voter's disk, or one write to the disk.
 type PersistentState struct {
-	HardState []byte     // encoded by the library; nil: unchanged
-	Entries   []LogEntry // they replace what the disk has from the first one's index on
+	HardState []byte     // encoded raftpb.HardState; a write with nil leaves it unchanged
+	Entries   []LogEntry // a write replaces the entries on disk from the first one's index on
 
-	// Snapshot replaces all entries but those that come along with it. Some of these may be
-	// from before it: they are for voters that lag a little.
+	// A write with a Snapshot replaces all entries on disk by its own Entries. Some of these may
+	// precede the snapshot: the leader sends them to voters that lag slightly.
 	Snapshot *Snapshot
 }
 
-// Snapshot is the state up to an index, in place of the log up to there.
+// Snapshot is the replicated state at Index. It replaces the log up to Index.
 type Snapshot struct {
 	Index       uint64 `cbor:"1,keyasint"`
 	Term        uint64 `cbor:"2,keyasint"`
-	VoterConfig []byte `cbor:"3,keyasint,omitempty"` // who votes, encoded by this package
+	VoterConfig []byte `cbor:"3,keyasint,omitempty"` // the voters at Index, encoded by this package
 	Data        []byte `cbor:"4,keyasint,omitempty"`
 }
 
-// Config is what a voter starts with.
+// Config is the configuration and the persistent state that a voter starts with.
 type Config struct {
 	Self       string
-	Voters     []Voter         // for the first start; later the log has them. None: it waits to be added
-	Persistent PersistentState // what the disk held
-	Seed       uint64          // of the election delays
+	Voters     []Voter         // for the first start, later the log has them; empty: waits to be added
+	Persistent PersistentState // read from the disk
+	Seed       uint64          // of the random election delays
 
-	// Without a message from a leader for one to two ElectionTimeouts a voter stands for
-	// election. A leader sends a heartbeat each HeartbeatInterval.
+	// A voter that hears no leader for a random time between one and two ElectionTimeouts stands
+	// for election. A leader sends a heartbeat every HeartbeatInterval.
 	ElectionTimeout   time.Duration
 	HeartbeatInterval time.Duration
 }
 
-// EventKind is what an Event tells.
+// EventKind is the kind of an Event.
 type EventKind int
 
-// Events that a Step takes.
+// The kinds of events that Step takes.
 const (
-	Tick              EventKind = iota // time has passed; nothing else
-	MessageReceived                    // Bytes came from From
-	Persisted                          // the last Persist is on disk, synced
-	Propose                            // Data should be in the log; it may be lost, and is to be proposed again then
-	ConfirmLeadership                  // whether this is the leader now: Handle comes back with the answer
-	ChangeVoters                       // Voters should vote
-	SnapshotTaken                      // Snapshot of the state up to its Index may replace the log up to there
+	Tick              EventKind = iota // only the time has advanced
+	MessageReceived                    // From sent Bytes
+	Persisted                          // the write of the last Persist is on disk and synced
+	Propose                            // append Data to the log; the caller repeats a lost proposal
+	ConfirmLeadership                  // ask whether this voter leads now; the answer carries Handle
+	ChangeVoters                       // replace the voters by Voters
+	SnapshotTaken                      // Snapshot may replace the log up to its Index
 )
 
 // Event is the input of one Step.
@@ -73,25 +73,25 @@
 	Data     []byte
 	Handle   uint64
 	Voters   []Voter
-	Snapshot *Snapshot // Index and Data; the rest is filled in here
+	Snapshot *Snapshot // Index and Data; this package fills in the rest
 }
 
-// EffectKind is what an Effect asks for or tells.
+// EffectKind is the kind of an Effect.
 type EffectKind int
 
-// Effects of a Step.
+// The kinds of effects that Step returns.
 const (
-	SendMessage         EffectKind = iota // Bytes to the voter To
-	Persist                               // Persistent, synced; then a Persisted. There is one at a time
-	Committed                             // Entry is in the log for good; voter changes are handed over, too
-	SnapshotRestored                      // the state is that of Snapshot from now on
-	LeadershipConfirmed                   // Handle: it led after it was asked, and Index was committed by then
-	LeadershipDenied                      // Handle: it doesn't lead, or can't know
-	LeaderChanged                         // Leader leads in Term, "" if nobody is known to
-	VotersChanged                         // Voters vote now
+	SendMessage         EffectKind = iota // send Bytes to the voter To
+	Persist                               // write and sync Persistent, then answer Persisted; one at a time
+	Committed                             // Entry is committed; entries that change the voters are reported too
+	SnapshotRestored                      // the replicated state is now that of Snapshot
+	LeadershipConfirmed                   // this voter led after it was asked, with Index committed
+	LeadershipDenied                      // this voter doesn't lead, or couldn't confirm in time that it does
+	LeaderChanged                         // Leader leads in Term; "" if no leader is known
+	VotersChanged                         // the voters are now Voters
 )
 
-// Effect is what the caller of a Step must do, in the order given.
+// Effect is one action that the caller of Step must perform, in the order returned.
 type Effect struct {
 	Kind       EffectKind
 	To         string
--- a/internal/fleet/consensus/core.go
+++ b/internal/fleet/consensus/core.go
@@ -12,24 +12,25 @@
 )
 
 const (
-	// trailingEntries stay in the log before a snapshot, so that a voter that lags a little
-	// gets entries and not the whole state.
+	// trailingEntries is how many entries before a snapshot stay in the log, so that a voter that
+	// lags slightly gets these entries instead of the whole state.
 	trailingEntries = 200
-	// maxMessageBytes bounds the entries in one message.
+	// maxMessageBytes bounds the size of the entries in one message.
 	maxMessageBytes = 1 << 20
-	// maxUncommittedBytes bounds what is proposed but not yet committed. Proposals beyond
-	// that are lost, and proposed again by who made them.
+	// maxUncommittedBytes bounds the size of proposed but uncommitted entries. Proposals beyond
+	// it are dropped, and their proposers must propose them again.
 	maxUncommittedBytes = 64 << 20
-	// maxMessagesInFlight to one voter are not answered yet.
+	// maxMessagesInFlight bounds the unanswered messages to one voter.
 	maxMessagesInFlight = 64
-	// never is a time that doesn't come.
+	// noDeadline is later than any time.
 	noDeadline = time.Duration(1<<63 - 1)
 )
 
-// Core is one voter. It isn't safe for use by several goroutines. The bytes that it hands
-// out must not be changed, and it keeps those that it is given.
+// Core is one voter. It isn't safe for use by several goroutines. The caller must not change the
+// byte slices that it gets from a Core, nor those that it has passed in: the Core keeps them.
 type Core struct {
-	// IgnoredMessages counts messages that were damaged, for another, or such as no voter sends.
+	// IgnoredMessages counts ignored input: messages that were damaged, addressed to another
+	// voter, or invalid, and Persisted events without a Persist.
 	IgnoredMessages int
 
 	id                uint64
@@ -39,23 +40,23 @@
 	rand              *rand.Rand
 	electionTimeout   time.Duration
 	heartbeatInterval time.Duration
-	names             map[uint64]string // by number, of all who were heard or vote: who to answer
+	names             map[uint64]string // by voter ID, of the voters and of all senders of messages, for replies
 
-	// Who votes. configHistory has who voted from which index on, for a snapshot of an
-	// earlier index than applied.
+	// The voters. configHistory has the voters since earlier indexes: the caller may take a
+	// snapshot at an index before applied.
 	voterConfig         *pb.ConfState
 	voters              map[uint64]Voter
 	configHistory       []configAt
-	proposedVoterChange bool // one was proposed in this term and isn't committed
-	votersChanged       bool // to be told by a VotersChanged
+	proposedVoterChange bool // proposed in this term and not committed yet
+	votersChanged       bool // a VotersChanged effect is due
 
-	// The log. An entry at lastIndex or before was handed out to be persisted.
+	// The log. All entries up to lastIndex were handed out in Persist effects.
 	applied     uint64
-	appliedTerm uint64 // of the entry at applied
+	appliedTerm uint64 // of the entry at index applied
 	lastIndex   uint64
 	hardState   *pb.HardState
 
-	// Times, as the Steps had them. The voter stands for election electionDelay after
+	// Times, as passed to Step. The voter stands for election electionDelay after
 	// electionTimerStart.
 	started            bool
 	now                time.Duration
@@ -64,58 +65,59 @@
 	electionDelay      time.Duration
 	nextHeartbeat      time.Duration
 
-	// What it does while it leads. leading is as of the last updateLeader.
+	// State of a leader. leading was set by the last updateLeader.
 	leading           bool
-	confirmsAsked     uint64 // since it leads
+	confirmsAsked     uint64 // since this voter became leader
 	pendingConfirms   []pendingConfirm
-	snapshotsInFlight map[uint64]time.Duration // when a snapshot was sent, by the voter's number
+	snapshotsInFlight map[uint64]time.Duration // send times of snapshots, by voter ID
 
-	// persisting is set from a Persist to its Persisted. pendingReady is what is finished
-	// then; nil: the Persist was for a snapshot of this voter, or the very first one.
+	// persisting is set between a Persist effect and its Persisted event. pendingReady is the
+	// Ready to finish then; nil if the write holds this voter's own snapshot or its initial state.
 	persisting      bool
 	pendingReady    *raft.Ready
-	pendingSnapshot *Snapshot // to replace the log up to there, once nothing is being persisted
+	pendingSnapshot *Snapshot // replaces the log up to its index once no write is pending
 
-	leader     string // as last told, with its term
+	leader     string // of the last LeaderChanged effect, with leaderTerm
 	leaderTerm uint64
-	effects    []Effect // of the Step under way
+	effects    []Effect // of the current Step
 }
 
-// configAt is who votes from an index on.
+// configAt is the set of voters from an index on.
 type configAt struct {
 	index  uint64
 	config *pb.ConfState
 	voters []Voter
 }
 
-// pendingConfirm is a ConfirmLeadership without an answer yet.
+// pendingConfirm is an unanswered ConfirmLeadership event.
 type pendingConfirm struct {
 	seq    uint64
 	handle uint64
-	index  uint64        // it led, and this was committed then; 0: not known yet
-	until  time.Duration // it is denied then
+	index  uint64        // a quorum confirmed the leader, and this was the commit index; 0: unconfirmed
+	until  time.Duration // deadline, after which it is denied
 }
 
-// voterConfig is what Snapshot.VoterConfig holds, as CBOR.
+// voterConfig is the content of Snapshot.VoterConfig, encoded in CBOR.
 type voterConfig struct {
-	State  []byte  `cbor:"1,keyasint"` // the library's ConfState
+	State  []byte  `cbor:"1,keyasint"` // encoded raftpb.ConfState
 	Voters []Voter `cbor:"2,keyasint"`
 }
 
-// snapshotPayload is a snapshot's data as voters send it to each other: with the voters.
+// snapshotPayload is the data of a snapshot that voters send to each other.
 type snapshotPayload struct {
 	Voters []Voter `cbor:"1,keyasint"`
 	Data   []byte  `cbor:"2,keyasint"`
 }
 
-// Step takes an event in and tells what follows. Time never goes back.
+// Step handles an event and returns its effects. A now before that of an earlier Step counts as
+// the earlier one's.
 func (c *Core) Step(now time.Duration, event Event) []Effect {
 	c.now = max(c.now, now)
 	if !c.started {
 		c.started, c.electionTimerStart = true, c.now
 		c.drawElectionDelay()
 		if c.isOnlyVoter() {
-			c.electionDelay = 0 // nobody else could lead
+			c.electionDelay = 0 // no other voter could lead
 		}
 	}
 	c.forgetSilentLeader()
@@ -141,8 +143,8 @@
 	return c.takeEffects()
 }
 
-// snapshotTaken notes a snapshot of the state to replace the log up to there. An older one
-// than is pending already, or one of entries that aren't applied, is passed over.
+// snapshotTaken sets the pending snapshot, which will replace the log up to its index. It ignores
+// a snapshot older than the pending one, and one of entries that aren't applied yet.
 func (c *Core) snapshotTaken(snapshot *Snapshot) {
 	if snapshot == nil || snapshot.Index > c.applied {
 		return
@@ -152,8 +154,8 @@
 	}
 }
 
-// NextTick is when the next Tick is due. It is never later than the voter needs, and may
-// change with each Step.
+// NextTick returns the time at which the next Tick is due. It may change with each Step. It may be
+// earlier than the voter needs, but never later.
 func (c *Core) NextTick() time.Duration {
 	if !c.started {
 		return 0
@@ -171,18 +173,18 @@
 	return due
 }
 
-// Leader is who leads, "" if nobody is known to, and in which term.
+// Leader returns the name of the known leader, "" if there is none, and the current term.
 func (c *Core) Leader() (name string, term uint64) {
 	status := c.raft.BasicStatus()
 	return c.names[status.Lead], status.GetTerm()
 }
 
-// IsLeader reports whether this is the leader, as far as it knows. Another may lead already:
-// see ConfirmLeadership.
+// IsLeader reports whether this voter believes that it leads. Another voter may lead already: see
+// ConfirmLeadership.
 func (c *Core) IsLeader() bool { return c.leading }
 
-// Voters are those that vote, by name. While some are being replaced both the old and
-// the new ones do.
+// Voters returns the voters, sorted by name. During a change of the voters these are the old and
+// the new ones.
 func (c *Core) Voters() []Voter {
 	var all []Voter
 	for _, v := range c.voters {
@@ -204,17 +206,18 @@
 	return effects
 }
 
-// forgetSilentLeader forgets a leader that wasn't heard for an election timeout, so that
-// another may be voted for. Until then the library answers no request for votes: a voter that
-// was cut off and comes back doesn't unseat a leader that all others hear.
+// forgetSilentLeader forgets a leader that was silent for an election timeout, so that this voter
+// may vote for another. Until then the library answers no vote request, so that a voter that
+// reconnects after a partition doesn't unseat a leader that the other voters still hear.
 func (c *Core) forgetSilentLeader() {
 	status := c.raft.BasicStatus()
-	if status.RaftState == raft.StateFollower && status.Lead != raft.None && c.now-c.leaderHeardAt >= c.electionTimeout {
+	if status.RaftState == raft.StateFollower && status.Lead != raft.None &&
+		c.now-c.leaderHeardAt >= c.electionTimeout {
 		_ = c.raft.ForgetLeader()
 	}
 }
 
-// updateLeader notes and tells a change of leader or term.
+// updateLeader records a change of the leader or the term, and emits LeaderChanged.
 func (c *Core) updateLeader() {
 	status := c.raft.BasicStatus()
 	isLeader := status.RaftState == raft.StateLeader
@@ -234,14 +237,14 @@
 	}
 }
 
-// runTimers does what is due by the time alone.
+// runTimers sends heartbeats, and starts elections and denies confirmations whose time has come.
 func (c *Core) runTimers() {
 	switch {
 	case c.leading:
 		if c.now >= c.nextHeartbeat {
 			c.nextHeartbeat = c.now + c.heartbeatInterval
 			c.raft.Tick()
-			// The library would wait for a lost snapshot for ever.
+			// Without a report, the library would wait forever for a lost snapshot.
 			for _, id := range slices.Sorted(maps.Keys(c.snapshotsInFlight)) {
 				if c.now-c.snapshotsInFlight[id] >= 4*c.electionTimeout {
 					delete(c.snapshotsInFlight, id)
@@ -253,12 +256,13 @@
 	case c.isVoter() && c.now >= c.electionTimerStart+c.electionDelay:
 		c.electionTimerStart = c.now
 		c.drawElectionDelay()
-		if !c.persisting { // a voter with a slow disk had better not lead
+		if !c.persisting { // a voter with a slow disk shouldn't become leader
 			_ = c.raft.Campaign()
 		}
 	}
 }
 
+// confirm asks a quorum whether this voter still leads.
 func (c *Core) confirm(handle uint64) {
 	if !c.leading {
 		c.emit(Effect{Kind: LeadershipDenied, Handle: handle})
@@ -268,13 +272,13 @@
 	c.pendingConfirms = append(c.pendingConfirms, pendingConfirm{
 		seq: c.confirmsAsked, handle: handle, until: c.now + 2*c.electionTimeout,
 	})
-	// The context comes back as it is: which confirmation, and in which term it was asked for.
+	// The library returns this context unchanged with the answer: the confirmation's number and term.
 	request := binary.LittleEndian.AppendUint64(nil, c.confirmsAsked)
 	request = binary.LittleEndian.AppendUint64(request, c.raft.BasicStatus().GetTerm())
 	c.raft.ReadIndex(request)
 }
 
-// denyConfirms denies the confirmations that have waited too long, or all.
+// denyConfirms denies the pending confirmations past their deadline, or all of them.
 func (c *Core) denyConfirms(all bool) {
 	c.pendingConfirms = slices.DeleteFunc(c.pendingConfirms, func(pending pendingConfirm) bool {
 		isDenied := all || c.now >= pending.until
@@ -285,8 +289,8 @@
 	})
 }
 
-// changeVoters proposes a change of voters, in one step during which both the old and the
-// new majority are needed. Asked again for the same it does nothing.
+// changeVoters proposes a change of the voters by joint consensus: during the change, entries need
+// a majority of the old and of the new voters. It does nothing if the voters are the same already.
 func (c *Core) changeVoters(voters []Voter) {
 	if !c.leading || len(voters) == 0 || checkVoterNames(c.self, voters) != nil ||
 		len(c.voterConfig.GetVotersOutgoing()) > 0 || c.proposedVoterChange ||
--- a/internal/fleet/consensus/encoding_keys_test.go
+++ b/internal/fleet/consensus/encoding_keys_test.go
@@ -7,5 +7,6 @@
 )
 
 func TestKeysAreExplicit(t *testing.T) {
-	goldentest.ExplicitKeys(t, goldentest.CBOR, LogEntry{}, Snapshot{}, Voter{}, voterConfig{}, snapshotPayload{})
+	goldentest.ExplicitKeys(t, goldentest.CBOR, LogEntry{}, Snapshot{}, Voter{}, voterConfig{},
+		snapshotPayload{})
 }
--- a/internal/fleet/consensus/errors.go
+++ b/internal/fleet/consensus/errors.go
@@ -7,68 +7,72 @@
 	"railrelay.dev/railrelay/internal/fleet"
 )
 
-// TimeoutError is an election timeout that leaves no room for lost heartbeats.
+// TimeoutError is a heartbeat interval that isn't positive, or an election timeout shorter than two
+// heartbeat intervals: one lost heartbeat could start an election.
 type TimeoutError struct{ Election, Heartbeat time.Duration }
 
 func (e *TimeoutError) Error() string {
-	return fmt.Sprintf("election after %v with a heartbeat each %v: at least two must fit in", e.Election, e.Heartbeat)
+	return fmt.Sprintf("election timeout %v needs a positive heartbeat interval of at most half of it, not %v",
+		e.Election, e.Heartbeat)
 }
 
-// Remedy says what an operator can do.
+// Remedy tells an operator how to choose both times.
 func (e *TimeoutError) Remedy() string {
-	return "set the heartbeat to a tenth of the election time, and the election time to at least ten message round trips"
+	return "choose an election timeout of at least ten message round trips, and a tenth of it as the heartbeat"
 }
 
-// VoterNameError is a voter without a name, named twice, or one whose number another has.
+// VoterNameError is a voter that has no name, is listed twice, or has the same ID as another.
 type VoterNameError struct{ Name, OtherName string }
 
 func (e *VoterNameError) Error() string {
 	switch e.OtherName {
 	case "":
-		return "a voter has no name, or this one hasn't"
+		return "this controller or a voter has no name"
 	case e.Name:
-		return fmt.Sprintf("voter %q is named twice", e.Name)
+		return fmt.Sprintf("voter %q is listed twice", e.Name)
 	}
-	return fmt.Sprintf("voters %q and %q come to the same number", e.Name, e.OtherName)
+	return fmt.Sprintf("voters %q and %q have the same ID", e.Name, e.OtherName)
 }
 
-// Remedy says what an operator can do.
+// Remedy tells an operator how to choose the names.
 func (e *VoterNameError) Remedy() string {
-	return "give each voter one name of its own; if two come to the same number, rename the one that votes newest"
+	return "give each voter a unique name; if two have the same ID, rename the one that was added last"
 }
 
-// LogGapError is a log entry missing from what the disk held.
+// LogGapError is a log that lacks entries. Index is that of the first entry after the gap, or of the
+// first missing entry if the log ends too early.
 type LogGapError struct{ Index uint64 }
 
 func (e *LogGapError) Error() string {
-	return fmt.Sprintf("what was kept has a gap before record %d", e.Index)
+	return fmt.Sprintf("log has a gap at entry %d", e.Index)
 }
 
-// Remedy says what an operator can do.
+// Remedy tells an operator how to get the missing entries.
 func (e *LogGapError) Remedy() string {
-	return "restore the directory from where it was copied wholly, or forget this controller and start it " +
-		"with an empty directory under a new name; the others have the record"
+	return "copy the whole directory again from its source, or forget this controller and start it " +
+		"with an empty directory under a new name; the other controllers have the log"
 }
 
-// PersistentStateError is persisted data that can't be decoded although its checksum is right.
+// PersistentStateError is persisted data that can't be used although its checksum matches.
 type PersistentStateError struct{ Reason string }
 
-func (e *PersistentStateError) Error() string { return "what was kept can't be used: " + e.Reason }
+func (e *PersistentStateError) Error() string { return "persisted state can't be used: " + e.Reason }
 
-// Remedy says what an operator can do.
+// Remedy tells an operator how to start the controller again.
 func (e *PersistentStateError) Remedy() string {
-	return "it may be from a newer version of the program: start that one; else forget this controller and " +
+	return "if a newer program version wrote it, start that version; otherwise forget this controller and " +
 		"start it with an empty directory under a new name"
 }
 
-// Errors has a sample of each of this package's errors.
+// Errors returns a sample of each error type of this package.
 func Errors() []fleet.ErrorWithRemedy {
 	return []fleet.ErrorWithRemedy{
-		&TimeoutError{time.Second, time.Second}, &VoterNameError{"a", "b"}, &LogGapError{7}, &PersistentStateError{"term and vote can't be read"},
+		&TimeoutError{time.Second, time.Second}, &VoterNameError{"a", "b"}, &LogGapError{7},
+		&PersistentStateError{"hard state can't be decoded"},
 	}
 }
 
-// quiet keeps the library's log to itself; what it can't go on from is a panic.
+// discardLogger discards the library's log messages. A Fatal or Panic message becomes a panic.
 type discardLogger struct{}
 
 func (discardLogger) Debug(...any)            {}
--- a/internal/fleet/consensus/golden_test.go
+++ b/internal/fleet/consensus/golden_test.go
@@ -31,7 +31,7 @@
 	goldentest.Same(t, "conf", persistent.Snapshot.VoterConfig)
 }
 
-// TestGoldenDiskBeginsAVoter begins a voter with what an earlier program kept.
+// TestVoterStartsFromGoldenDisk starts a voter with the persistent state of an earlier version.
 func TestVoterStartsFromGoldenDisk(t *testing.T) {
 	persistent := PersistentState{HardState: goldentest.File(t, "hard"), Snapshot: &Snapshot{}}
 	if err := cbor.Unmarshal(goldentest.File(t, "snapshot"), persistent.Snapshot); err != nil {
@@ -40,12 +40,13 @@
 	if err := cbor.Unmarshal(goldentest.File(t, "records"), &persistent.Entries); err != nil {
 		t.Fatal(err)
 	}
-	core, effects, err := New(Config{Self: "north-1", Persistent: persistent, Seed: 1, ElectionTimeout: time.Second, HeartbeatInterval: 100 * time.Millisecond})
+	core, effects, err := New(Config{Self: "north-1", Persistent: persistent, Seed: 1,
+		ElectionTimeout: time.Second, HeartbeatInterval: 100 * time.Millisecond})
 	if err != nil {
 		t.Fatal(err)
 	}
 	if diff := cmp.Diff(goldenVoters, core.Voters()); diff != "" {
-		t.Errorf("who votes (-want +got):\n%s", diff)
+		t.Errorf("voters (-want +got):\n%s", diff)
 	}
 	want := goldenPersistentState()
 	var restored *Snapshot
@@ -59,9 +60,9 @@
 		}
 	}
 	if diff := cmp.Diff(want.Snapshot, restored); diff != "" {
-		t.Errorf("the state (-want +got):\n%s", diff)
+		t.Errorf("snapshot (-want +got):\n%s", diff)
 	}
 	if diff := cmp.Diff(want.Entries[1:2], committed); diff != "" {
-		t.Errorf("what is decided (-want +got):\n%s", diff)
+		t.Errorf("committed entries (-want +got):\n%s", diff)
 	}
 }
--- a/internal/fleet/consensus/ready.go
+++ b/internal/fleet/consensus/ready.go
@@ -10,11 +10,12 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// receive gives a valid message to the library, which trusts what it is given and panics
-// about what can't be.
+// receive passes a valid message to the library, which trusts its input and panics on an impossible
+// message.
 func (c *Core) receive(event Event) {
 	m := &pb.Message{}
-	isAddressedHere := proto.Unmarshal(event.Bytes, m) == nil && m.GetTo() == c.id && m.GetFrom() == VoterID(event.From) && event.From != c.self
+	isAddressedHere := proto.Unmarshal(event.Bytes, m) == nil && m.GetTo() == c.id &&
+		m.GetFrom() == VoterID(event.From) && event.From != c.self
 	if !isAddressedHere || !c.isValid(m) {
 		c.IgnoredMessages++
 		return
@@ -32,7 +33,8 @@
 			c.leaderHeardAt, c.electionTimerStart = c.now, c.now
 		}
 	case pb.MsgVote:
-		if after.GetVote() == m.GetFrom() && (before.GetVote() != after.GetVote() || before.GetTerm() != after.GetTerm()) {
+		if after.GetVote() == m.GetFrom() &&
+			(before.GetVote() != after.GetVote() || before.GetTerm() != after.GetTerm()) {
 			c.electionTimerStart = c.now
 			c.drawElectionDelay()
 		}
@@ -41,6 +43,7 @@
 	}
 }
 
+// isValid reports whether a correct voter could have sent the message to this one.
 func (c *Core) isValid(m *pb.Message) bool {
 	switch m.GetType() {
 	case pb.MsgVote, pb.MsgVoteResp, pb.MsgPreVote, pb.MsgPreVoteResp:
@@ -50,9 +53,11 @@
 		return m.GetTerm() > 0 && (m.GetTerm() < c.raft.BasicStatus().GetTerm() || m.GetCommit() <= last)
 	case pb.MsgHeartbeatResp:
 		context := m.GetContext()
-		return m.GetTerm() > 0 && (len(context) == 0 || len(context) == 8 && binary.LittleEndian.Uint64(context) <= c.confirmsAsked)
+		return m.GetTerm() > 0 && (len(context) == 0 ||
+			len(context) == 8 && binary.LittleEndian.Uint64(context) <= c.confirmsAsked)
 	case pb.MsgAppResp:
-		return m.GetTerm() > 0 && (m.GetReject() || m.GetIndex() <= c.lastIndex || m.GetTerm() != c.raft.BasicStatus().GetTerm())
+		return m.GetTerm() > 0 && (m.GetReject() || m.GetIndex() <= c.lastIndex ||
+			m.GetTerm() != c.raft.BasicStatus().GetTerm())
 	case pb.MsgApp:
 		for i, entry := range m.GetEntries() {
 			if entry.GetIndex() != m.GetIndex()+1+uint64(i) || entry.GetTerm() > m.GetTerm() || entry.GetTerm() == 0 {
@@ -73,12 +78,13 @@
 		snapshot := m.GetSnapshot()
 		var payload snapshotPayload
 		return m.GetTerm() > 0 && snapshot.GetMetadata().GetIndex() > 0 && snapshot.GetMetadata().GetTerm() > 0 &&
-			len(snapshot.GetMetadata().GetConfState().GetVoters()) > 0 && cbor.Unmarshal(snapshot.GetData(), &payload) == nil
+			len(snapshot.GetMetadata().GetConfState().GetVoters()) > 0 &&
+			cbor.Unmarshal(snapshot.GetData(), &payload) == nil
 	}
 	return false
 }
 
-// handleReady hands out what the library has ready, until something must be persisted first.
+// handleReady emits the effects of the library's Readys, up to the first one that must be persisted.
 func (c *Core) handleReady() {
 	for !c.persisting {
 		if c.pendingSnapshot != nil {
@@ -89,16 +95,17 @@
 			break
 		}
 		rd := c.raft.Ready()
-		if !rd.MustSync && raft.IsEmptySnap(rd.Snapshot) && !slices.ContainsFunc(rd.CommittedEntries, isVoterChange) {
-			// Who votes is kept at once: a fleet at rest that starts anew would otherwise
-			// need those who were let go, since the log's end alone doesn't say what holds.
-			// At most the commit index has grown: that goes with the next Persist; who
-			// loses it learns it again from the leader.
+		if !rd.MustSync && raft.IsEmptySnap(rd.Snapshot) &&
+			!slices.ContainsFunc(rd.CommittedEntries, isVoterChange) {
+			// This Ready advances the commit index at most, which the next Persist writes; a
+			// voter that loses it learns it again from the leader. A committed change of the
+			// voters, however, is persisted at once: a log alone doesn't tell which entries are
+			// committed, so an idle fleet that restarts would need the removed voters.
 			c.finishReady(&rd)
 			continue
 		}
-		// A leader's disk works at the same time as those of the others: its vote counts
-		// for the majority only when its Persist is done.
+		// A leader sends new entries before its own Persist, so that the disks of all voters
+		// write at the same time. It counts toward the majority only after its Persist.
 		if c.raft.BasicStatus().RaftState == raft.StateLeader {
 			rd.Messages = slices.DeleteFunc(slices.Clone(rd.Messages), func(m *pb.Message) bool {
 				canPrecedePersist := m.GetType() == pb.MsgApp || m.GetType() == pb.MsgHeartbeat
@@ -130,6 +137,7 @@
 	}
 }
 
+// persisted finishes the Ready whose write is now on disk.
 func (c *Core) persisted() {
 	if !c.persisting {
 		c.IgnoredMessages++
@@ -142,13 +150,14 @@
 	}
 }
 
-// finishReady does what may be done once a Ready is persisted.
+// finishReady performs the rest of a Ready once it is persisted: it stores the entries in memory,
+// sends the messages, and emits the committed entries and the confirmations.
 func (c *Core) finishReady(rd *raft.Ready) {
 	if !raft.IsEmptySnap(rd.Snapshot) {
 		_ = c.storage.ApplySnapshot(rd.Snapshot)
 		snapshot := fromRaftSnapshot(rd.Snapshot)
 		var payload snapshotPayload
-		_ = cbor.Unmarshal(rd.Snapshot.GetData(), &payload) // it was looked at when it came
+		_ = cbor.Unmarshal(rd.Snapshot.GetData(), &payload) // isValid checked it on receipt
 		c.applied, c.appliedTerm = snapshot.Index, snapshot.Term
 		c.setVoterConfig(snapshot.Index, rd.Snapshot.GetMetadata().GetConfState(), payload.Voters)
 		c.emit(Effect{Kind: SnapshotRestored, Snapshot: snapshot})
@@ -188,16 +197,18 @@
 	c.updateLeader()
 }
 
+// send emits a message, unless it can't reach its voter or would be of no use there.
 func (c *Core) send(m *pb.Message) {
 	name, ok := c.names[m.GetTo()]
 	if !ok {
-		return // it voted once, and nobody knows its name any more
+		return // a former voter whose name is no longer known
 	}
 	if m.GetType() == pb.MsgSnap {
 		config := m.GetSnapshot().GetMetadata().GetConfState()
-		if !slices.Contains(config.GetVoters(), m.GetTo()) && !slices.Contains(config.GetVotersOutgoing(), m.GetTo()) {
-			// It is from before this one votes, who would pass it over in silence. A
-			// newer one will be there when it is tried again.
+		if !slices.Contains(config.GetVoters(), m.GetTo()) &&
+			!slices.Contains(config.GetVotersOutgoing(), m.GetTo()) {
+			// The snapshot precedes the change that added this voter, which would silently
+			// ignore it. The library retries, and finds a newer snapshot then.
 			c.raft.ReportSnapshot(m.GetTo(), raft.SnapshotFailure)
 			return
 		}
@@ -206,10 +217,10 @@
 	c.emit(Effect{Kind: SendMessage, To: name, Bytes: encodeProto(m)})
 }
 
-// applyVoterChange applies a committed change of voters.
+// applyVoterChange applies a committed change of the voters.
 func (c *Core) applyVoterChange(entry *pb.Entry) {
 	change := &pb.ConfChangeV2{}
-	_ = proto.Unmarshal(entry.GetData(), change) // it was looked at when it came
+	_ = proto.Unmarshal(entry.GetData(), change) // isValid checked it on receipt
 	var named []Voter
 	if len(change.GetContext()) > 0 {
 		_ = cbor.Unmarshal(change.GetContext(), &named)
@@ -218,8 +229,8 @@
 	c.setVoterConfig(entry.GetIndex(), c.raft.ApplyConfChange(change), append(c.Voters(), named...))
 }
 
-// setVoterConfig notes who votes from an index on. Of several voters of one name in named the
-// last one counts.
+// setVoterConfig sets the voters from an index on. named has their names and addresses; of several
+// voters with one name, the last one counts.
 func (c *Core) setVoterConfig(index uint64, conf *pb.ConfState, named []Voter) {
 	c.voterConfig = proto.Clone(conf).(*pb.ConfState)
 	clear(c.voters)
@@ -236,7 +247,8 @@
 	c.configHistory = append(c.configHistory, configAt{index, c.voterConfig, c.Voters()})
 }
 
-// compactLog puts the pending snapshot in the place of the log up to there.
+// compactLog replaces the log up to the pending snapshot by the snapshot, except for
+// trailingEntries, and emits a Persist.
 func (c *Core) compactLog() {
 	pending := c.pendingSnapshot
 	c.pendingSnapshot = nil
@@ -251,15 +263,18 @@
 		return
 	}
 	atSnapshot := c.configHistory[0]
-	snapshot, err := c.storage.CreateSnapshot(pending.Index, atSnapshot.config, encodeCBOR(snapshotPayload{atSnapshot.voters, pending.Data}))
+	snapshot, err := c.storage.CreateSnapshot(pending.Index, atSnapshot.config,
+		encodeCBOR(snapshotPayload{atSnapshot.voters, pending.Data}))
 	if err != nil {
 		return
 	}
-	if first, _ := c.storage.FirstIndex(); pending.Index > trailingEntries && pending.Index-trailingEntries >= first {
+	if first, _ := c.storage.FirstIndex(); pending.Index > trailingEntries &&
+		pending.Index-trailingEntries >= first {
 		_ = c.storage.Compact(pending.Index - trailingEntries)
 	}
 	first, _ := c.storage.FirstIndex()
 	entries, _ := c.storage.Entries(first, c.lastIndex+1, 1<<63)
 	c.persisting = true
-	c.emit(Effect{Kind: Persist, Persistent: &PersistentState{HardState: encodeProto(c.hardState), Entries: fromRaftEntries(entries), Snapshot: fromRaftSnapshot(snapshot)}})
+	c.emit(Effect{Kind: Persist, Persistent: &PersistentState{HardState: encodeProto(c.hardState),
+		Entries: fromRaftEntries(entries), Snapshot: fromRaftSnapshot(snapshot)}})
 }
--- a/internal/fleet/consensus/start.go
+++ b/internal/fleet/consensus/start.go
@@ -10,8 +10,8 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// New begins a voter. The effects are those of a Step: what the disk held comes as
-// SnapshotRestored and Committed, as far as it is known to be committed.
+// New starts a voter. The effects are to be performed like those of a Step. They return the
+// persistent state as SnapshotRestored and Committed, as far as it is known to be committed.
 func New(config Config) (*Core, []Effect, error) {
 	if config.HeartbeatInterval <= 0 || config.ElectionTimeout < 2*config.HeartbeatInterval {
 		return nil, nil, &TimeoutError{config.ElectionTimeout, config.HeartbeatInterval}
@@ -47,8 +47,8 @@
 		Applied: c.applied,
 		Logger:  discardLogger{},
 
-		// Only a leader is ever ticked, once a heartbeat: after so many ticks without
-		// a majority it gives up. Elections are called here, by the Core's own times.
+		// Only a leader ticks the library, once per heartbeat; it steps down after
+		// ElectionTick ticks without a majority. The Core's own timers start elections.
 		ElectionTick:  max(2, int(config.ElectionTimeout/config.HeartbeatInterval)),
 		HeartbeatTick: 1,
 
@@ -70,12 +70,12 @@
 	return c, c.takeEffects(), nil
 }
 
-// load puts what the disk held where the library reads it.
+// load copies the persistent state to the storage that the library reads.
 func (c *Core) load(persistent PersistentState) error {
 	c.storage = raft.NewMemoryStorage()
 	c.hardState = &pb.HardState{}
 	if err := proto.Unmarshal(persistent.HardState, c.hardState); err != nil {
-		return &PersistentStateError{"term and vote can't be read"}
+		return &PersistentStateError{"hard state can't be decoded"}
 	}
 	for i, entry := range persistent.Entries {
 		if entry.Index != persistent.Entries[0].Index+uint64(i) || entry.Index == 0 {
@@ -106,13 +106,13 @@
 	return nil
 }
 
-// loadSnapshot begins with a snapshot, and with the entries after it. Entries up to it stay
-// in the log for voters that lag, where they reach up to it.
+// loadSnapshot loads a snapshot and the entries after it. Entries before the snapshot stay in the
+// log for voters that lag, if the entries reach at least up to the snapshot.
 func (c *Core) loadSnapshot(snapshot *Snapshot, entries []LogEntry) error {
 	var config voterConfig
 	state := &pb.ConfState{}
 	if cbor.Unmarshal(snapshot.VoterConfig, &config) != nil || proto.Unmarshal(config.State, state) != nil {
-		return &PersistentStateError{"the snapshot doesn't tell who votes"}
+		return &PersistentStateError{"voters of the snapshot can't be decoded"}
 	}
 	c.applied = snapshot.Index
 	c.appliedTerm = snapshot.Term
@@ -122,7 +122,8 @@
 		return &pb.SnapshotMetadata{Index: new(index), Term: new(term), ConfState: state}
 	}
 	if len(entries) > 0 && entries[0].Index < snapshot.Index && entries[len(entries)-1].Index >= snapshot.Index {
-		// The library wants a log to begin after something: the first entry is given up for that.
+		// The library's log must begin after an entry that it only knows by index and term: the
+		// first entry becomes that one.
 		_ = c.storage.ApplySnapshot(&pb.Snapshot{Metadata: metadata(entries[0].Index, entries[0].Term)})
 		_ = c.storage.Append(toRaftEntries(entries[1:]))
 		_, _ = c.storage.CreateSnapshot(snapshot.Index, state, data)
--- a/internal/fleet/consensus/wire.go
+++ b/internal/fleet/consensus/wire.go
@@ -13,14 +13,15 @@
 // VoterID returns the ID of a voter in raft messages, which is never 0.
 func VoterID(name string) uint64 {
 	id := xxhash.Sum64String(name)
-	if id == 0 || id >= 1<<64-2 { // those the library keeps for itself
+	if id == 0 || id >= 1<<64-2 { // the library reserves these IDs
 		return 1
 	}
 	return id
 }
 
-// WithoutCommitIndex is a hard state without its commit index: a controller that begins to vote with an
-// empty log must still not vote twice in a term.
+// WithoutCommitIndex returns an encoded hard state with only its term and vote, nil if there is none
+// or it can't be decoded. A controller that becomes a voter with an empty log must still not vote
+// twice in a term.
 func WithoutCommitIndex(hardState []byte) []byte {
 	if hardState == nil {
 		return nil
@@ -33,7 +34,8 @@
 	return encodeProto(state)
 }
 
-// checkVoterNames checks that voters have names, and that their numbers differ.
+// checkVoterNames checks that self and the voters have names, that no voter is listed twice, and that
+// their IDs differ.
 func checkVoterNames(self string, voters []Voter) error {
 	if self == "" {
 		return &VoterNameError{}
@@ -49,8 +51,8 @@
 	return nil
 }
 
-// initialState is the log that all voters of a new fleet begin with, the same on each: one
-// entry a voter.
+// initialState returns the log with which each voter of a new fleet starts. The log has one entry per
+// voter and is the same on all of them.
 func initialState(voters []Voter) PersistentState {
 	voters = sortedByName(voters)
 	var state PersistentState
@@ -59,9 +61,11 @@
 			Changes: []*pb.ConfChangeSingle{{Type: pb.ConfChangeAddNode.Enum(), NodeId: new(VoterID(v.Name))}},
 			Context: encodeCBOR(voters),
 		}
-		state.Entries = append(state.Entries, LogEntry{Index: uint64(i + 1), Term: 1, IsVoterChange: true, Data: encodeProto(change)})
+		state.Entries = append(state.Entries, LogEntry{Index: uint64(i + 1), Term: 1, IsVoterChange: true,
+			Data: encodeProto(change)})
 	}
-	state.HardState = encodeProto(&pb.HardState{Term: new(uint64(1)), Vote: new(uint64(0)), Commit: new(uint64(len(voters)))})
+	state.HardState = encodeProto(&pb.HardState{Term: new(uint64(1)), Vote: new(uint64(0)),
+		Commit: new(uint64(len(voters)))})
 	return state
 }
 
@@ -82,7 +86,8 @@
 		if entry.IsVoterChange {
 			kind = pb.EntryConfChangeV2
 		}
-		raftEntries[i] = &pb.Entry{Index: new(entry.Index), Term: new(entry.Term), Type: kind.Enum(), Data: entry.Data}
+		raftEntries[i] = &pb.Entry{Index: new(entry.Index), Term: new(entry.Term), Type: kind.Enum(),
+			Data: entry.Data}
 	}
 	return raftEntries
 }
@@ -96,7 +101,8 @@
 }
 
 func fromRaftEntry(entry *pb.Entry) LogEntry {
-	return LogEntry{Index: entry.GetIndex(), Term: entry.GetTerm(), IsVoterChange: entry.GetType() == pb.EntryConfChangeV2, Data: entry.GetData()}
+	return LogEntry{Index: entry.GetIndex(), Term: entry.GetTerm(),
+		IsVoterChange: entry.GetType() == pb.EntryConfChangeV2, Data: entry.GetData()}
 }
 
 func sortedByName(voters []Voter) []Voter {
@@ -105,7 +111,7 @@
 	return voters
 }
 
-// encodeProto and encodeCBOR encode values that can always be encoded, the same way each time.
+// encodeProto encodes a message deterministically. The messages of this package can always be encoded.
 func encodeProto(m proto.Message) []byte {
 	encoded, err := proto.MarshalOptions{Deterministic: true}.Marshal(m)
 	if err != nil {
@@ -114,6 +120,7 @@
 	return encoded
 }
 
+// encodeCBOR encodes a value deterministically. The types of this package can always be encoded.
 func encodeCBOR(v any) []byte {
 	encoded, err := cbor.Marshal(v)
 	if err != nil {
