--- a/internal/fleet/storage/disk.go
+++ b/internal/fleet/storage/disk.go
@@ -1,11 +1,11 @@
-// Package storage persists what a controller must know of the fleet after a restart: its
-// part of the replicated log, and a few notes. It is one bbolt file in a directory of its
-// own. When Write has returned, its data is on the disk, synced. Each value has a checksum,
-// the range of the log is stored beside it, and both of the file's meta pages must be
+// Package storage persists what a controller must know about the fleet after a restart: its
+// part of the replicated log, and a few notes. The data is in one bbolt file in a directory of
+// its own. When Write returns, its data is on the disk and synced. Each value has a checksum,
+// the range of the log is stored beside the log, and both of the file's meta pages must be
 // intact, so that data lost or changed while the program was down is reported, not used.
 //
-// One thing can't be detected: an older copy of the whole directory put in its place. A
-// voter that forgets its vote may break the log; see Remedy of TornWriteError.
+// Open can't detect that the whole directory was replaced by an older copy. A voter that thereby
+// forgets its vote may corrupt the replicated log; see Remedy of TornWriteError.
 package storage
 
 import (
@@ -25,21 +25,25 @@
 // lockTimeout is how long Open waits for another process to release the directory.
 const lockTimeout = 300 * time.Millisecond
 
+// fileName is the name of the bbolt file in the directory.
 const fileName = "record"
 
 var (
+	// The names of the buckets in the file.
 	stateBucket, logBucket, noteBucket = []byte("state"), []byte("records"), []byte("notes")
 
+	// Keys in stateBucket. completenessKey is in noteBucket too; its value shows whether an entry of
+	// the log, or a note, is missing.
 	diskIDKey, ownerKey, hardKey, snapshotKey, completenessKey = []byte("disk"), []byte("owner"), []byte("hard"),
 		[]byte("snapshot"), []byte("span")
 )
 
-// Contents is what a directory held when it was opened.
+// Contents is the content of a directory when it was opened.
 type Contents struct {
 	Persistent consensus.PersistentState
-	DiskID     string // identifies the directory, drawn when it was made
-	Owner      string // the controller that it belongs to, "" until Claim
-	Fresh      bool   // nothing was written to it yet
+	DiskID     string // identifies the directory; generated when it was created
+	Owner      string // the controller that owns the directory, "" before Claim
+	Fresh      bool   // nothing was written to the directory yet
 	Notes      map[string][]byte
 }
 
@@ -48,21 +52,21 @@
 type Disk struct {
 	mu         sync.Mutex
 	db         *bbolt.DB
-	err        error // of the first write that failed: what is on the disk isn't known after it
+	err        error // of the first failed write, after which the disk's content is unknown
 	contents   Contents
 	logRange   logRange
 	writeFault func() error // Options.WriteFault
 	closed     bool
 }
 
-// logRange is the range of log entries that the file must have: a missing one is detected by it.
+// logRange is the range of log entries that the file must contain, for detecting missing entries.
 type logRange struct {
 	First uint64 `cbor:"1,keyasint"`
-	Last  uint64 `cbor:"2,keyasint"` // First-1: none
+	Last  uint64 `cbor:"2,keyasint"` // First-1 if the log is empty
 }
 
-// Claim notes the owner of a new directory. If another controller owns it, the error is a
-// *ForeignDataError.
+// Claim records the owner of a new directory. If another controller owns the directory, the error
+// is a *ForeignDataError.
 func (d *Disk) Claim(name string) error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -70,7 +74,9 @@
 	case name:
 		return nil
 	case "":
-		err := d.update(func(tx *bbolt.Tx) error { return putWithChecksum(tx.Bucket(stateBucket), ownerKey, []byte(name)) })
+		err := d.update(func(tx *bbolt.Tx) error {
+			return putWithChecksum(tx.Bucket(stateBucket), ownerKey, []byte(name))
+		})
 		if err == nil {
 			d.contents.Owner = name
 		}
@@ -80,9 +86,10 @@
 }
 
 // Write persists log entries, a snapshot and the hard state: all of them or none, synced when
-// it returns. Entries replace those from the first one's index on; a snapshot replaces all
-// entries but those that come along with it. After an error every later write fails with the
-// same error, until the directory is opened again.
+// it returns. New entries replace those on disk from the first one's index on; a write with a
+// snapshot replaces all entries on disk by its own. After an error every later write fails with
+// the same error, until the directory is opened again. A *consensus.LogGapError is returned
+// before anything is written, and later writes may succeed.
 func (d *Disk) Write(p consensus.PersistentState) error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -116,7 +123,8 @@
 	return err
 }
 
-// after is the range once p is written. Entries that leave a gap are a *consensus.LogGapError.
+// after returns the range once p is written. The error is a *consensus.LogGapError if the entries
+// would leave a gap.
 func (r logRange) after(p consensus.PersistentState) (logRange, error) {
 	if p.Snapshot != nil {
 		r = logRange{p.Snapshot.Index + 1, p.Snapshot.Index}
@@ -141,7 +149,7 @@
 	return r, nil
 }
 
-// writeLog deletes the entries that p replaces and writes those that it has.
+// writeLog deletes the entries that p replaces and writes the entries of p.
 func (d *Disk) writeLog(tx *bbolt.Tx, p consensus.PersistentState) error {
 	log := tx.Bucket(logBucket)
 	switch {
@@ -161,7 +169,7 @@
 			}
 		}
 	}
-	log.FillPercent = 0.95 // they come in order
+	log.FillPercent = 0.95 // entries are appended in the order of their keys, so that pages can be filled
 	for _, entry := range p.Entries {
 		if err := putWithChecksum(log, indexKey(entry.Index), encode(entry)); err != nil {
 			return err
@@ -170,8 +178,8 @@
 	return nil
 }
 
-// WriteNote persists a small value under a key, synced when it returns; nil deletes it. It
-// fails as Write does.
+// WriteNote persists a small value under a key, synced when it returns. A nil value deletes the
+// note. After an error, later writes fail as described at Write.
 func (d *Disk) WriteNote(key string, value []byte) error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -192,7 +200,7 @@
 		if err != nil {
 			return err
 		}
-		keySum := uint64(0) // which there are: a lost one is seen by it
+		keySum := uint64(0) // of the keys of all notes, for detecting a missing note
 		for k := range notes {
 			keySum ^= xxhash.Sum64String("/" + k)
 		}
@@ -204,14 +212,15 @@
 	return err
 }
 
-// ReadNote is the value under a key, nil if there is none. It must not be changed.
+// ReadNote returns the value under a key, nil if there is none. The caller must not change the
+// value.
 func (d *Disk) ReadNote(key string) []byte {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.contents.Notes[key]
 }
 
-// ID identifies the directory; it was drawn when the directory was made.
+// ID returns the ID of the directory, which was generated when the directory was created.
 func (d *Disk) ID() string { return d.contents.DiskID }
 
 // Close releases the directory for other processes.
@@ -228,6 +237,7 @@
 	return catchPanics(d.db.Path(), d.db.Close)
 }
 
+// update runs write in a transaction. After an error, it returns the same error from then on.
 func (d *Disk) update(write func(*bbolt.Tx) error) error {
 	if d.err != nil {
 		return d.err
--- a/internal/fleet/storage/disk_test.go
+++ b/internal/fleet/storage/disk_test.go
@@ -39,17 +39,19 @@
 func logEntries(from, to uint64, term uint64) []consensus.LogEntry {
 	var entries []consensus.LogEntry
 	for i := from; i <= to; i++ {
-		entries = append(entries, consensus.LogEntry{Index: i, Term: term, IsVoterChange: i%7 == 0, Data: fmt.Appendf(nil, "what was decided as %d in %d", i, term)})
+		entries = append(entries, consensus.LogEntry{Index: i, Term: term, IsVoterChange: i%7 == 0,
+			Data: fmt.Appendf(nil, "data of entry %d in term %d", i, term)})
 	}
 	return entries
 }
 
-// typeOf is the error's type if it is one of this package's.
+// errorTypeName returns the name of the error type with a remedy in err, and fails the test if there
+// is none.
 func errorTypeName(t testing.TB, err error) string {
 	t.Helper()
 	var r fleet.ErrorWithRemedy
 	if !errors.As(err, &r) || r.Remedy() == "" {
-		t.Fatalf("%T isn't of a type of its own: %v", err, err)
+		t.Fatalf("%T has no remedy: %v", err, err)
 	}
 	return reflect.TypeOf(r).Elem().Name()
 }
@@ -90,14 +92,16 @@
 	}
 	write(consensus.PersistentState{HardState: []byte("1"), Entries: logEntries(1, 50, 1)})
 	reopen()
-	write(consensus.PersistentState{Entries: logEntries(31, 40, 2)}) // ten of the old ones are void
+	write(consensus.PersistentState{Entries: logEntries(31, 40, 2)}) // replaces entries 31 to 50
 	reopen()
-	write(consensus.PersistentState{HardState: []byte("2"), Snapshot: &consensus.Snapshot{Index: 35, Term: 2, VoterConfig: []byte("c"), Data: []byte("state")},
-		Entries: want.Persistent.Entries[19:]})
+	write(consensus.PersistentState{HardState: []byte("2"),
+		Snapshot: &consensus.Snapshot{Index: 35, Term: 2, VoterConfig: []byte("c"), Data: []byte("state")},
+		Entries:  want.Persistent.Entries[19:]})
 	reopen()
 	write(consensus.PersistentState{Entries: logEntries(41, 60, 3)})
 	reopen()
-	write(consensus.PersistentState{Snapshot: &consensus.Snapshot{Index: 900, Term: 4}}) // from a leader: nothing before it counts
+	// A snapshot from a leader replaces the whole log.
+	write(consensus.PersistentState{Snapshot: &consensus.Snapshot{Index: 900, Term: 4}})
 	write(consensus.PersistentState{Entries: logEntries(901, 903, 4)})
 	must(t, d.WriteNote("p1", []byte("wiped")))
 	must(t, d.WriteNote("p2", []byte{}))
@@ -106,25 +110,27 @@
 	want.Notes["p1"], want.Notes["p2"] = []byte("wiped"), []byte{}
 	reopen()
 	if string(d.ReadNote("p1")) != "wiped" || d.ReadNote("p2") == nil || d.ReadNote("p3") != nil {
-		t.Fatal("notes")
+		t.Fatal("wrong notes after reopening")
 	}
 	if got := errorTypeName(t, d.Claim("south")); got != "ForeignDataError" {
 		t.Fatal(got)
 	}
 	var gap *consensus.LogGapError
-	if err := d.Write(consensus.PersistentState{Entries: logEntries(905, 906, 4)}); !errors.As(err, &gap) || gap.Index != 905 {
+	if err := d.Write(consensus.PersistentState{Entries: logEntries(905, 906, 4)}); !errors.As(err, &gap) ||
+		gap.Index != 905 {
 		t.Fatal(err)
 	}
 	reopen()
 }
 
-// full lays down a directory with a bit of everything, and tells what it holds.
+// writeSampleDirectory writes a directory with every kind of content, and returns the content.
 func writeSampleDirectory(t testing.TB) (dir string, contents Contents) {
 	dir = t.TempDir()
 	d, _ := open(t, Options{}, dir)
 	must(t, d.Claim("north"))
 	must(t, d.Write(consensus.PersistentState{HardState: []byte("hard"), Entries: logEntries(1, 300, 1)}))
-	must(t, d.Write(consensus.PersistentState{Snapshot: &consensus.Snapshot{Index: 200, Term: 1, VoterConfig: []byte("conf"), Data: bytes.Repeat([]byte("s"), 9000)},
+	must(t, d.Write(consensus.PersistentState{Snapshot: &consensus.Snapshot{Index: 200, Term: 1,
+		VoterConfig: []byte("conf"), Data: bytes.Repeat([]byte("s"), 9000)},
 		Entries: logEntries(100, 300, 1)}))
 	must(t, d.WriteNote("p1", []byte("wiped")))
 	must(t, d.Write(consensus.PersistentState{Entries: logEntries(301, 600, 2)}))
@@ -134,7 +140,7 @@
 	return dir, contents
 }
 
-// Wherever a file ends too early, it opens with all that it held, or says so.
+// A file that is truncated anywhere either opens with its whole content or is reported.
 func TestTruncatedFileIsReadWholeOrReported(t *testing.T) {
 	dir, want := writeSampleDirectory(t)
 	path := filepath.Join(dir, "record")
@@ -146,20 +152,20 @@
 		d, got, err := Open(dir, fixedDiskID)
 		if err == nil {
 			if difference := diff(want, got); difference != "" {
-				t.Fatalf("cut at %d: %s", cut, difference)
+				t.Fatalf("truncated to %d bytes: %s", cut, difference)
 			}
 			must(t, d.Close())
 			continue
 		}
 		if got := errorTypeName(t, err); got != "TornWriteError" && got != "CorruptionError" {
-			t.Fatalf("cut at %d: %v", cut, err)
+			t.Fatalf("truncated to %d bytes: %v", cut, err)
 		}
 		reported++
 	}
 	if reported < 20 {
-		t.Fatalf("only %d of the cuts were seen", reported)
+		t.Fatalf("only %d truncated files were reported, want at least 20", reported)
 	}
-	must(t, os.WriteFile(path, intact, 0o600)) // and nobody holds it
+	must(t, os.WriteFile(path, intact, 0o600)) // a failed Open must not keep the lock
 	d, _, err := Open(dir, fixedDiskID)
 	must(t, err)
 	must(t, d.Close())
@@ -183,35 +189,37 @@
 		}
 		return err
 	}
-	// One byte of a record's data, in the copy that counts: at the last place.
-	at := bytes.LastIndex(intact, []byte("what was decided as 457 in 2"))
+	// A byte in the data of a log entry. bbolt may leave old copies of a page; the last one is in use.
+	at := bytes.LastIndex(intact, []byte("data of entry 457 in term 2"))
 	var corruption *CorruptionError
-	if err := openWithFlippedBit(at + 3); !errors.As(err, &corruption) || corruption.Location != "record 457" {
+	if err := openWithFlippedBit(at + 3); !errors.As(err, &corruption) ||
+		corruption.Location != "log entry 457" {
 		t.Fatal(err)
 	}
-	for _, metaTxID := range []int{16 + 48, os.Getpagesize() + 16 + 48} { // the number of the last write
+	for _, metaTxID := range []int{16 + 48, os.Getpagesize() + 16 + 48} { // transaction ID in each meta page
 		if err := openWithFlippedBit(metaTxID); !errors.As(err, &corruption) {
 			t.Fatal(err)
 		}
 	}
-	// Any byte: the same as before, or told.
+	// A random byte: the content is unchanged, or the damage is reported.
 	r, reported := rand.New(rand.NewPCG(7, 7)), 0
 	for range 400 {
 		if err := openWithFlippedBit(r.IntN(len(intact))); err != nil {
-			if got := errorTypeName(t, err); got != "TornWriteError" && got != "CorruptionError" && got != "AccessError" {
+			if got := errorTypeName(t, err); got != "TornWriteError" && got != "CorruptionError" &&
+				got != "AccessError" {
 				t.Fatal(err)
 			}
 			reported++
 		}
 	}
 	if reported < 50 {
-		t.Fatalf("only %d of 400 were told", reported)
+		t.Fatalf("only %d of 400 flipped bits were reported, want at least 50", reported)
 	}
-	t.Logf("%d of 400 flipped bytes were told, the others changed nothing", reported)
+	t.Logf("%d of 400 flipped bits were reported, the others changed nothing", reported)
 }
 
-// A write that fails fails for good until the directory is opened anew, and leaves
-// what was written before.
+// testFailingWrite checks that after a failed write all writes fail until the directory is opened
+// again, and that the earlier writes are kept.
 func testFailingWrite(t *testing.T, options Options, wantType string, stopFault func()) {
 	t.Helper()
 	dir, contents := writeSampleDirectory(t)
@@ -252,7 +260,7 @@
 }
 
 func TestAccessErrorFailsWrites(t *testing.T) {
-	// The file itself takes nothing: it was opened for reading only.
+	// The file is opened read-only, so that each write to it fails.
 	testFailingWrite(t, Options{OpenFile: func(name string, _ int, mode os.FileMode) (*os.File, error) {
 		return os.OpenFile(name, os.O_RDONLY, mode)
 	}}, "AccessError", func() {})
@@ -264,7 +272,7 @@
 	}
 }
 
-// Cut off while it was first made, a directory is made again.
+// A directory whose creation was interrupted is created again.
 func TestInterruptedCreationIsRepeated(t *testing.T) {
 	dir := t.TempDir()
 	must(t, os.WriteFile(filepath.Join(dir, "record.new"), bytes.Repeat([]byte{1}, 5000), 0o600))
@@ -274,7 +282,7 @@
 }
 
 func TestDirectoryIsLockedAgainstOtherProcesses(t *testing.T) {
-	if dir := os.Getenv("DISK_TEST_DIR"); dir != "" { // the other one
+	if dir := os.Getenv("DISK_TEST_DIR"); dir != "" { // in the child process
 		_, _, err := Open(dir, fixedDiskID)
 		fmt.Print(errorTypeName(t, err))
 		os.Exit(0)
@@ -302,32 +310,35 @@
 	for from := uint64(1); from <= n; from += 10_000 {
 		must(t, d.Write(consensus.PersistentState{Entries: logEntries(from, from+9999, 1)}))
 	}
-	t.Logf("%d records were written in %v", n, time.Since(begin))
+	t.Logf("%d log entries were written in %v", n, time.Since(begin))
 	must(t, d.Close())
 	begin = time.Now()
 	d, contents := open(t, Options{}, dir)
 	took := time.Since(begin)
-	t.Logf("%d records were read in %v", n, took)
+	t.Logf("%d log entries were read in %v", n, took)
 	if len(contents.Persistent.Entries) != n || took > 2*time.Second {
-		t.Fatalf("%d records in %v", len(contents.Persistent.Entries), took)
+		t.Fatalf("%d log entries were read in %v", len(contents.Persistent.Entries), took)
 	}
 	begin = time.Now()
-	must(t, d.Write(consensus.PersistentState{HardState: []byte("h"), Snapshot: &consensus.Snapshot{Index: n, Term: 1, Data: make([]byte, 1<<20)}, Entries: logEntries(n-199, n, 1)}))
-	t.Logf("a snapshot in place of all but 200 took %v", time.Since(begin))
+	must(t, d.Write(consensus.PersistentState{HardState: []byte("h"),
+		Snapshot: &consensus.Snapshot{Index: n, Term: 1, Data: make([]byte, 1<<20)},
+		Entries:  logEntries(n-199, n, 1)}))
+	t.Logf("a snapshot that replaces all but 200 entries was written in %v", time.Since(begin))
 	must(t, d.Close())
 	begin = time.Now()
 	_, contents = open(t, Options{}, dir)
 	took = time.Since(begin)
-	t.Logf("the snapshot with 200 records was read in %v", took)
-	if contents.Persistent.Snapshot.Index != n || len(contents.Persistent.Entries) != 200 || took > 2*time.Second {
-		t.Fatalf("%d records in %v", len(contents.Persistent.Entries), took)
+	t.Logf("the snapshot and 200 entries were read in %v", took)
+	if contents.Persistent.Snapshot.Index != n || len(contents.Persistent.Entries) != 200 ||
+		took > 2*time.Second {
+		t.Fatalf("%d log entries were read in %v", len(contents.Persistent.Entries), took)
 	}
 }
 
 func TestErrorsHaveTextAndRemedy(t *testing.T) {
 	for _, e := range Errors() {
 		if e.Error() == "" || e.Remedy() == "" {
-			t.Errorf("%T says nothing", e)
+			t.Errorf("%T has no text or no remedy", e)
 		}
 	}
 }
@@ -341,7 +352,7 @@
 	}
 }
 
-// diff is cmp's, which is slow for what is long and the same.
+// diff is cmp.Diff, which is slow for large equal values, after a fast check for equality.
 func diff(want, got Contents) string {
 	if reflect.DeepEqual(want, got) {
 		return ""
--- a/internal/fleet/storage/encoding.go
+++ b/internal/fleet/storage/encoding.go
@@ -8,17 +8,20 @@
 	"go.etcd.io/bbolt"
 )
 
+// indexKey returns the key of a log entry; keys sort in the order of the indexes.
 func indexKey(index uint64) []byte { return binary.BigEndian.AppendUint64(nil, index) }
 
-// putChecked writes a value after the checksum of key and value.
+// putWithChecksum stores the checksum of key and value, followed by the value.
 func putWithChecksum(b *bbolt.Bucket, key, value []byte) error {
 	return b.Put(key, append(binary.LittleEndian.AppendUint64(nil, checksum(key, value)), value...))
 }
 
+// getWithChecksum returns the value under a key, and whether it is present and intact.
 func getWithChecksum(b *bbolt.Bucket, key []byte) ([]byte, bool) {
 	return verifyChecksum(key, b.Get(key))
 }
 
+// verifyChecksum returns the value in a stored value with checksum, and whether it is intact.
 func verifyChecksum(key, stored []byte) ([]byte, bool) {
 	if len(stored) < 8 || binary.LittleEndian.Uint64(stored) != checksum(key, stored[8:]) {
 		return nil, false
--- a/internal/fleet/storage/errors.go
+++ b/internal/fleet/storage/errors.go
@@ -12,28 +12,31 @@
 )
 
 // rejoinRemedy ends the remedies of errors after which a vote may be lost: the controller must
-// not come back as the voter that it was.
-const rejoinRemedy = "; else, and never from an older copy: end this controller by `fleet forget NAME`, empty the directory and " +
-	"start it under a new name: it gets all from the others"
+// not return as the same voter, since it could vote twice in one term.
+const rejoinRemedy = "; never use an older copy: instead, end this controller by `fleet forget NAME`, " +
+	"empty the directory and start it under a new name, so that it gets its data from the other controllers"
 
-// TornWriteError is a file that is cut short or incomplete.
+// TornWriteError is a file that is truncated, or whose structure is damaged.
 type TornWriteError struct{ Path, Reason string }
 
-func (e *TornWriteError) Error() string { return fmt.Sprintf("%s is torn: %s", e.Path, e.Reason) }
+func (e *TornWriteError) Error() string {
+	return fmt.Sprintf("%s is truncated or damaged: %s", e.Path, e.Reason)
+}
 
-// Remedy says what to do.
+// Remedy tells an operator how to restore the file.
 func (e *TornWriteError) Remedy() string {
-	return "look for what cut it (a full disk, a copy that broke off) and put the newest whole file back if nothing was written since" + rejoinRemedy
+	return "find the cause (a full disk, an interrupted copy) and restore the newest intact file if nothing " +
+		"was written since" + rejoinRemedy
 }
 
-// CorruptionError is a file with content that doesn't match its checksums.
+// CorruptionError is a file whose content at Location doesn't match its checksum, or is missing.
 type CorruptionError struct{ Path, Location string }
 
-func (e *CorruptionError) Error() string { return fmt.Sprintf("%s is spoilt: %s", e.Path, e.Location) }
+func (e *CorruptionError) Error() string { return fmt.Sprintf("%s is corrupt: %s", e.Path, e.Location) }
 
-// Remedy says what to do.
+// Remedy tells an operator what to do about the disk and the controller.
 func (e *CorruptionError) Remedy() string {
-	return "don't trust this disk before it was tested" + rejoinRemedy
+	return "test this disk before using it again" + rejoinRemedy
 }
 
 // DiskFullError is a disk, quota or file size limit without room for a write.
@@ -42,37 +45,37 @@
 	Err  error
 }
 
-func (e *DiskFullError) Error() string { return fmt.Sprintf("no room for %s: %v", e.Path, e.Err) }
+func (e *DiskFullError) Error() string { return fmt.Sprintf("no space left for %s: %v", e.Path, e.Err) }
 func (e *DiskFullError) Unwrap() error { return e.Err }
 
-// Remedy says what to do.
+// Remedy tells an operator how to continue.
 func (e *DiskFullError) Remedy() string {
-	return "make room on this disk and start the controller again; nothing that was told is lost"
+	return "free space on this disk and start the controller again; no acknowledged write is lost"
 }
 
-// AccessError is a read or write that the system refused or failed.
+// AccessError is a file operation that the operating system refused, or that failed.
 type AccessError struct {
 	Path string
 	Err  error
 }
 
-func (e *AccessError) Error() string { return fmt.Sprintf("%s is refused: %v", e.Path, e.Err) }
+func (e *AccessError) Error() string { return fmt.Sprintf("can't access %s: %v", e.Path, e.Err) }
 func (e *AccessError) Unwrap() error { return e.Err }
 
-// Remedy says what to do.
+// Remedy tells an operator where to find the cause.
 func (e *AccessError) Remedy() string {
-	return "look at the directory's rights and the system's log for errors of the disk, and start the controller again; if the disk is gone, " +
-		"end this controller by `fleet forget NAME` and start it with an empty directory under a new name"
+	return "check the directory's permissions and the system's log for disk errors, and start the controller " +
+		"again; if the disk is lost, run `fleet forget NAME` and start it with an empty directory under a new name"
 }
 
 // LockedError is a directory that another process has open.
 type LockedError struct{ Dir string }
 
-func (e *LockedError) Error() string { return e.Dir + " is in use by another program" }
+func (e *LockedError) Error() string { return e.Dir + " is in use by another process" }
 
-// Remedy says what to do.
+// Remedy tells an operator how to free the directory.
 func (e *LockedError) Remedy() string {
-	return "end the other controller first, or give this one a directory of its own"
+	return "stop the other process first, or give this controller a directory of its own"
 }
 
 // ForeignDataError is a directory that belongs to another controller.
@@ -82,12 +85,12 @@
 	return fmt.Sprintf("%s belongs to %q, not to %q", e.Dir, e.Owner, e.Name)
 }
 
-// Remedy says what to do.
+// Remedy tells an operator how to match name and directory.
 func (e *ForeignDataError) Remedy() string {
-	return "put the name or the directory in the set-up right; a controller that gets a new name gets an empty directory"
+	return "correct the name or directory in the settings; a controller with a new name needs an empty directory"
 }
 
-// classify gives an error the type of this package that tells the operator what to do.
+// classify converts an error to one of this package's types, whose Remedy tells an operator what to do.
 func classify(path string, err error) error {
 	var known interface {
 		error
@@ -98,7 +101,8 @@
 		return known
 	case errors.Is(err, berrors.ErrTimeout):
 		return &LockedError{filepath.Dir(path)}
-	case errors.Is(err, berrors.ErrInvalid), errors.Is(err, berrors.ErrChecksum), errors.Is(err, berrors.ErrVersionMismatch),
+	case errors.Is(err, berrors.ErrInvalid), errors.Is(err, berrors.ErrChecksum),
+		errors.Is(err, berrors.ErrVersionMismatch),
 		errors.Is(err, berrors.ErrInvalidMapping):
 		return &TornWriteError{path, err.Error()}
 	case isDiskFull(err):
@@ -116,10 +120,11 @@
 	return false
 }
 
-// Errors has a sample of each of this package's errors.
+// Errors returns a sample of each error type of this package.
 func Errors() []fleet.ErrorWithRemedy {
 	return []fleet.ErrorWithRemedy{
-		&TornWriteError{"record", "a head is missing"}, &CorruptionError{"record", "record 7"}, &DiskFullError{"record", syscall.ENOSPC},
+		&TornWriteError{"record", "a meta page is missing"}, &CorruptionError{"record", "log entry 7"},
+		&DiskFullError{"record", syscall.ENOSPC},
 		&AccessError{"record", syscall.EIO}, &LockedError{"fleet"}, &ForeignDataError{"fleet", "north", "south"},
 	}
 }
--- a/internal/fleet/storage/golden_test.go
+++ b/internal/fleet/storage/golden_test.go
@@ -11,10 +11,11 @@
 	"railrelay.dev/railrelay/internal/goldentest"
 )
 
-// buckets are all keys and values of a file, by bucket.
+// readBuckets returns all keys and values of a directory's file, by bucket.
 func readBuckets(t *testing.T, dir string) map[string]map[string]string {
 	t.Helper()
-	db, err := bbolt.Open(filepath.Join(dir, fileName), 0o600, &bbolt.Options{ReadOnly: true, Timeout: time.Second})
+	db, err := bbolt.Open(filepath.Join(dir, fileName), 0o600,
+		&bbolt.Options{ReadOnly: true, Timeout: time.Second})
 	must(t, err)
 	defer db.Close()
 	all := map[string]map[string]string{}
@@ -37,7 +38,7 @@
 	want := goldenContents()
 	goldentest.EveryFieldSet(t, goldentest.CBOR, want.Persistent.Snapshot, want.Persistent.Entries)
 	if diff := cmp.Diff(want, got); diff != "" {
-		t.Errorf("what it holds (-want +got):\n%s", diff)
+		t.Errorf("content (-want +got):\n%s", diff)
 	}
 	must(t, d.Claim(want.Owner))
 	for key, note := range want.Notes {
@@ -47,8 +48,8 @@
 	}
 }
 
-// TestGoldenDirectoryIsWritten compares what the files hold: how the library lays pages out
-// isn't this program's to say.
+// TestGoldenDirectoryIsWritten compares keys and values and not bytes, since the library decides the
+// layout of the pages.
 func TestGoldenDirectoryIsWritten(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "directory")
 	must(t, writeGolden(dir))
--- a/internal/fleet/storage/golden_values_test.go
+++ b/internal/fleet/storage/golden_values_test.go
@@ -2,7 +2,7 @@
 
 import "railrelay.dev/railrelay/internal/fleet/consensus"
 
-// goldenFound is what the golden directory holds, with every field set.
+// goldenContents returns the content of the golden directory, with every field set.
 func goldenContents() Contents {
 	return Contents{
 		Persistent: consensus.PersistentState{
@@ -21,7 +21,7 @@
 	}
 }
 
-// writeGolden makes a directory that holds goldenFound.
+// writeGolden creates a directory with the content of goldenContents.
 func writeGolden(dir string) error {
 	contents := goldenContents()
 	d, _, err := Open(dir, func() string { return contents.DiskID })
@@ -32,7 +32,8 @@
 	if err := d.Claim(contents.Owner); err != nil {
 		return err
 	}
-	if err := d.Write(consensus.PersistentState{HardState: []byte("before"), Entries: []consensus.LogEntry{{Index: 1, Term: 1, Data: []byte("one")}}}); err != nil {
+	if err := d.Write(consensus.PersistentState{HardState: []byte("before"),
+		Entries: []consensus.LogEntry{{Index: 1, Term: 1, Data: []byte("one")}}}); err != nil {
 		return err
 	}
 	persistent := contents.Persistent
--- a/internal/fleet/storage/open.go
+++ b/internal/fleet/storage/open.go
@@ -18,24 +18,26 @@
 	"railrelay.dev/railrelay/internal/fleet/consensus"
 )
 
-// Options are what Open can be given beyond the directory; the zero value is its default.
+// Options are optional settings of Open. The zero value has the defaults.
 type Options struct {
-	// OpenFile opens the files in place of os.OpenFile.
+	// OpenFile replaces os.OpenFile.
 	OpenFile func(string, int, os.FileMode) (*os.File, error)
-	// MaxBytes bounds the file; beyond it the disk counts as full. 0: no bound.
+	// MaxBytes bounds the size of the file in bytes: a write beyond it fails with a *DiskFullError.
+	// 0: unbounded.
 	MaxBytes int
-	// WriteFault is called before each write commits: its error fails the write. To inject faults.
+	// WriteFault is called before each write commits; its error fails the write. Tests inject faults
+	// by it.
 	WriteFault func() error
 }
 
-// Open locks a directory, makes it if it isn't there, and reads all of it. A new one
-// gets its ID from fresh. Errors are *TornWriteError, *CorruptionError, *DiskFullError,
-// *AccessError or *LockedError.
+// Open locks a directory, which it creates if there is none, and reads its content. A new
+// directory gets its ID from newDiskID. Errors are *TornWriteError, *CorruptionError,
+// *DiskFullError, *AccessError or *LockedError.
 func Open(dir string, newDiskID func() string) (*Disk, Contents, error) {
 	return Options{}.Open(dir, newDiskID)
 }
 
-// Open is the package's Open with these options.
+// Open is like the function Open, with these options.
 func (o Options) Open(dir string, newDiskID func() string) (*Disk, Contents, error) {
 	if o.OpenFile == nil {
 		o.OpenFile = os.OpenFile
@@ -60,15 +62,16 @@
 		return nil, Contents{}, err
 	}
 	contents := d.contents
-	contents.Notes, d.contents.Persistent = maps.Clone(contents.Notes), consensus.PersistentState{} // the caller's alone: it may be long
+	// Only the caller keeps the persistent state, which may be large.
+	contents.Notes, d.contents.Persistent = maps.Clone(contents.Notes), consensus.PersistentState{}
 	return d, contents, nil
 }
 
-// create makes a new file whole under its name, or not at all: one that was cut off while it
-// was first written must not look like a torn one.
+// create creates the file under a temporary name and then renames it, so that a creation that is
+// interrupted doesn't leave a truncated file under the final name.
 func (o Options) create(path string, newDiskID func() string) error {
 	db, err := o.open(path + ".new")
-	if torn := (*TornWriteError)(nil); errors.As(err, &torn) { // left from then, and nobody holds it
+	if torn := (*TornWriteError)(nil); errors.As(err, &torn) { // left by an interrupted creation and not locked
 		_ = os.Remove(path + ".new")
 		db, err = o.open(path + ".new")
 	}
@@ -82,10 +85,11 @@
 			}
 		}
 		state := tx.Bucket(stateBucket)
-		return errors.Join(putWithChecksum(state, diskIDKey, []byte(newDiskID())), putWithChecksum(state, completenessKey, encode(logRange{1, 0})))
+		return errors.Join(putWithChecksum(state, diskIDKey, []byte(newDiskID())),
+			putWithChecksum(state, completenessKey, encode(logRange{1, 0})))
 	})
 	if err == nil {
-		// Another program may have been quicker: its file is locked by it, and stays.
+		// Keep the file if another process has created and locked it in the meantime.
 		if _, statErr := os.Stat(path); errors.Is(statErr, fs.ErrNotExist) {
 			err = os.Rename(path+".new", path)
 		}
@@ -100,6 +104,7 @@
 	return nil
 }
 
+// syncDir syncs a directory, so that a rename in it is persisted.
 func syncDir(dir string) error {
 	f, err := os.Open(dir)
 	if err != nil {
@@ -108,12 +113,13 @@
 	return errors.Join(f.Sync(), f.Close())
 }
 
+// open opens and locks the bbolt file. It releases the lock if that fails.
 func (o Options) open(path string) (db *bbolt.DB, err error) {
 	var opened *os.File
 	err = catchPanics(path, func() (err error) {
 		db, err = bbolt.Open(path, 0o600, &bbolt.Options{Timeout: lockTimeout, FreelistType: bbolt.FreelistMapType,
-			// The list of free pages is kept: to find them the library would read the
-			// whole file in a goroutine of its own, where a spoilt page ends the program.
+			// Store the list of free pages: otherwise the library would read the whole file
+			// in its own goroutine to find them, where a damaged page would crash the program.
 			NoFreelistSync: false, NoStatistics: true, MaxSize: o.MaxBytes,
 			OpenFile: func(name string, flag int, mode os.FileMode) (*os.File, error) {
 				f, err := o.OpenFile(name, flag, mode)
@@ -122,20 +128,20 @@
 			}})
 		return err
 	})
-	// What the library finds wrong of itself, not of the system, is the file's fault.
+	// An error of the library that isn't one of the operating system means a damaged file.
 	if access := (*AccessError)(nil); errors.As(err, &access) && !errors.As(err, new(syscall.Errno)) {
 		err = &TornWriteError{path, access.Err.Error()}
 	}
 	if err != nil && opened != nil {
-		// The library does neither when it panics, and the lock would stay with the mapping.
+		// The library does neither when it panics, and its memory mapping would keep the lock.
 		_ = syscall.Flock(int(opened.Fd()), syscall.LOCK_UN)
 		_ = opened.Close()
 	}
 	return db, err
 }
 
-// catchPanics turns what a damaged file does into errors of this package: the library panics
-// about some damage, and reads past the end of a mapped file fault.
+// catchPanics runs do and returns an error of this package if do fails or panics. The library panics
+// on some damage, and a read beyond the end of a mapped file is a memory fault.
 func catchPanics(path string, do func() error) (err error) {
 	defer debug.SetPanicOnFault(debug.SetPanicOnFault(true))
 	defer func() {
@@ -149,9 +155,9 @@
 	return nil
 }
 
-// checkMetaPages checks both of the file's meta pages. The library uses the newest intact
-// one: if the newer one was damaged, the last write, perhaps a vote, would silently be undone.
-// The layout is bbolt's, version 2: a page header of 16 bytes, 56 bytes, their FNV-1a sum.
+// checkMetaPages checks both of the file's meta pages. The library uses the newest intact page: if
+// the newer one is damaged, the last write, perhaps a vote, is silently undone. The layout is that
+// of bbolt, version 2: a page header of 16 bytes, a body of 56 bytes, and the FNV-1a sum of the body.
 func checkMetaPages(path string, pageSize int) error {
 	f, err := os.Open(path)
 	if err != nil {
@@ -161,12 +167,12 @@
 	for i := range int64(2) {
 		var meta [80]byte
 		if _, err := f.ReadAt(meta[:], i*int64(pageSize)); err != nil {
-			return &TornWriteError{path, "a head is missing"}
+			return &TornWriteError{path, "a meta page is missing"}
 		}
 		sum := fnv.New64a()
 		sum.Write(meta[16:72])
 		if sum.Sum64() != binary.NativeEndian.Uint64(meta[72:]) {
-			return &CorruptionError{path, "head " + strconv.FormatInt(i, 10)}
+			return &CorruptionError{path, "meta page " + strconv.FormatInt(i, 10)}
 		}
 	}
 	return nil
--- a/internal/fleet/storage/read.go
+++ b/internal/fleet/storage/read.go
@@ -13,7 +13,7 @@
 	"railrelay.dev/railrelay/internal/fleet/consensus"
 )
 
-// read checks all of the file and reads it into contents.
+// read checks the whole file and reads it into contents.
 func (d *Disk) read(path string) error {
 	if err := checkMetaPages(path, d.db.Info().PageSize); err != nil {
 		return err
@@ -24,11 +24,11 @@
 			return err
 		}
 		if info.Size() < tx.Size() {
-			return &TornWriteError{path, fmt.Sprintf("%d bytes of %d are there", info.Size(), tx.Size())}
+			return &TornWriteError{path, fmt.Sprintf("the file has %d bytes of %d", info.Size(), tx.Size())}
 		}
 		state, log, notes := tx.Bucket(stateBucket), tx.Bucket(logBucket), tx.Bucket(noteBucket)
 		if state == nil || log == nil || notes == nil {
-			return &CorruptionError{path, "table of contents"}
+			return &CorruptionError{path, "list of buckets"}
 		}
 		if err := d.readState(path, state); err != nil {
 			return err
@@ -44,7 +44,8 @@
 	})
 }
 
-// readState reads the values that there is one of each.
+// readState reads the state bucket: the disk ID, the owner, the hard state, the snapshot and the
+// range of the log.
 func (d *Disk) readState(path string, state *bbolt.Bucket) error {
 	c := &d.contents
 	values := []struct {
@@ -72,7 +73,7 @@
 			return &CorruptionError{path, string(value.key)}
 		}
 	}
-	// A value with a damaged key would seem never written: there must be no unknown ones.
+	// A value with a damaged key would look as if it was never written, so unknown keys are an error.
 	present := 0
 	if err := state.ForEach(func([]byte, []byte) error { present++; return nil }); err != nil {
 		return err
@@ -83,10 +84,10 @@
 	return nil
 }
 
-// preallocatedEntries bounds what a damaged range can make readLog allocate at once.
+// preallocatedEntries bounds the entries for which a damaged range can make readLog allocate memory.
 const preallocatedEntries = 1 << 20
 
-// readLog reads the log entries, which must be those of logRange without a gap.
+// readLog reads the log entries, which must be exactly those of logRange.
 func (d *Disk) readLog(path string, log *bbolt.Bucket) error {
 	entries := make([]consensus.LogEntry, 0, min(d.logRange.Last+1-d.logRange.First, preallocatedEntries))
 	next := d.logRange.First
@@ -96,20 +97,20 @@
 		encoded, isIntact := verifyChecksum(k, v)
 		if !isIntact || len(k) != 8 || binary.BigEndian.Uint64(k) != next || next > d.logRange.Last ||
 			cbor.Unmarshal(encoded, &entry) != nil || entry.Index != next {
-			return &CorruptionError{path, "record " + strconv.FormatUint(next, 10)}
+			return &CorruptionError{path, "log entry " + strconv.FormatUint(next, 10)}
 		}
 		entries = append(entries, entry)
 		next++
 	}
 	d.contents.Persistent.Entries = entries
 	if next != d.logRange.Last+1 {
-		return &CorruptionError{path, "record " + strconv.FormatUint(next, 10)}
+		return &CorruptionError{path, "log entry " + strconv.FormatUint(next, 10)}
 	}
 	return nil
 }
 
-// readNotes reads the notes. What their bucket has under spanKey is the sum of their keys:
-// a missing note is detected by it.
+// readNotes reads the notes. Their bucket has a sum of the notes' keys under completenessKey, for
+// detecting a missing note.
 func (d *Disk) readNotes(path string, notes *bbolt.Bucket) error {
 	d.contents.Notes = map[string][]byte{}
 	storedSum, hasSum := getWithChecksum(notes, completenessKey)
