--- a/internal/fleet/consensus/cluster_test.go
+++ b/internal/fleet/consensus/cluster_test.go
@@ -130,9 +130,9 @@
 		}
 		if n.tickAt <= c.now || due < n.tickAt {
 			n.tickAt = due
-			boot := n.incarnation
+			incarnation := n.incarnation
 			c.schedule(max(0, due-c.now), func() {
-				if n.incarnation == boot && n.tickAt == due {
+				if n.incarnation == incarnation && n.tickAt == due {
 					c.step(n, Event{Kind: Tick})
 				}
 			})
@@ -144,7 +144,7 @@
 	for _, e := range effects {
 		fmt.Fprintf(&c.trace, "%d %s > %d %s %x %v %d %d %s %d %v\n", c.now, n.name, e.Kind, e.To, e.Bytes, e.Entry,
 			e.Handle, e.Index, e.Leader, e.Term, e.Voters)
-		boot := n.incarnation
+		incarnation := n.incarnation
 		switch e.Kind {
 		case SendMessage:
 			c.send(n.name, e.To, e.Bytes)
@@ -152,10 +152,10 @@
 			persistent := e.Persistent
 			c.schedule(n.diskDelay+ms+time.Duration(c.rand.Int64N(int64(4*ms))), func() {
 				// The pending write of a crashed voter may have reached its disk or not.
-				if n.incarnation == boot || n.core == nil && c.rand.IntN(2) == 0 {
+				if n.incarnation == incarnation || n.core == nil && c.rand.IntN(2) == 0 {
 					writeToDisk(&n.disk, *persistent)
 				}
-				if n.incarnation == boot {
+				if n.incarnation == incarnation {
 					c.step(n, Event{Kind: Persisted})
 				}
 			})
@@ -180,7 +180,7 @@
 				n.snapshotIndex = n.applied
 				snapshot := &Snapshot{Index: n.applied, Data: binary.BigEndian.AppendUint64(nil, n.checksum)}
 				c.schedule(0, func() {
-					if n.incarnation == boot {
+					if n.incarnation == incarnation {
 						c.step(n, Event{Kind: SnapshotTaken, Snapshot: snapshot})
 					}
 				})
@@ -335,14 +335,14 @@
 	}
 	names := c.names()
 	a, b := names[c.rand.IntN(len(names))], names[c.rand.IntN(len(names))]
-	heal := 200*ms + time.Duration(c.rand.Int64N(int64(1500*ms)))
+	healAfter := 200*ms + time.Duration(c.rand.Int64N(int64(1500*ms)))
 	blockLinks := func(links ...[2]string) {
-		for _, w := range links {
-			c.blockedLinks[w] = true
+		for _, link := range links {
+			c.blockedLinks[link] = true
 		}
-		c.schedule(heal, func() {
-			for _, w := range links {
-				delete(c.blockedLinks, w)
+		c.schedule(healAfter, func() {
+			for _, link := range links {
+				delete(c.blockedLinks, link)
 			}
 		})
 	}
@@ -353,7 +353,7 @@
 		}
 		if c.nodes[a].core != nil {
 			c.crash(a)
-			c.schedule(heal, func() { c.start(a, c.voters) })
+			c.schedule(healAfter, func() { c.start(a, c.voters) })
 		}
 	case 2:
 		blockLinks([2]string{a, b}, [2]string{b, a})
@@ -380,7 +380,7 @@
 		for _, n := range names {
 			c.nodes[n].diskDelay = 40 * ms
 		}
-		c.schedule(heal, func() {
+		c.schedule(healAfter, func() {
 			for _, n := range names {
 				c.nodes[n].diskDelay = 0
 				if n != survivor && c.nodes[n].core != nil {
@@ -391,7 +391,7 @@
 		})
 	case 5:
 		c.nodes[a].diskDelay = 50 * ms
-		c.schedule(heal, func() { c.nodes[a].diskDelay = 0 })
+		c.schedule(healAfter, func() { c.nodes[a].diskDelay = 0 })
 	}
 	c.schedule(100*ms+time.Duration(c.rand.Int64N(int64(900*ms))), func() { c.injectFaults(until) })
 }
--- a/internal/fleet/consensus/core.go
+++ b/internal/fleet/consensus/core.go
@@ -67,7 +67,7 @@
 
 	// State of a leader. leading was set by the last updateLeader.
 	leading           bool
-	confirmsAsked     uint64 // since this voter became leader
+	confirmRequests   uint64 // since this voter became leader
 	pendingConfirms   []pendingConfirm
 	snapshotsInFlight map[uint64]time.Duration // send times of snapshots, by voter ID
 
@@ -91,10 +91,10 @@
 
 // pendingConfirm is an unanswered ConfirmLeadership event.
 type pendingConfirm struct {
-	seq    uint64
-	handle uint64
-	index  uint64        // a quorum confirmed the leader, and this was the commit index; 0: unconfirmed
-	until  time.Duration // deadline, after which it is denied
+	seq      uint64
+	handle   uint64
+	index    uint64        // commit index at the request, set once a quorum has confirmed; 0 before
+	deadline time.Duration // the confirmation is denied then
 }
 
 // voterConfig is the content of Snapshot.VoterConfig, encoded in CBOR.
@@ -109,8 +109,8 @@
 	Data   []byte  `cbor:"2,keyasint"`
 }
 
-// Step handles an event and returns its effects. A now before that of an earlier Step counts as
-// the earlier one's.
+// Step handles an event at the time now and returns its effects. Time never goes back: a now earlier
+// than that of a previous Step counts as the previous one.
 func (c *Core) Step(now time.Duration, event Event) []Effect {
 	c.now = max(c.now, now)
 	if !c.started {
@@ -186,11 +186,11 @@
 // Voters returns the voters, sorted by name. During a change of the voters these are the old and
 // the new ones.
 func (c *Core) Voters() []Voter {
-	var all []Voter
+	var voters []Voter
 	for _, v := range c.voters {
-		all = append(all, v)
+		voters = append(voters, v)
 	}
-	return sortedByName(all)
+	return sortedByName(voters)
 }
 
 func (c *Core) isVoter() bool     { _, ok := c.voters[c.id]; return ok }
@@ -223,7 +223,7 @@
 	isLeader := status.RaftState == raft.StateLeader
 	if isLeader != c.leading || isLeader && status.GetTerm() != c.leaderTerm {
 		c.leading = isLeader
-		c.confirmsAsked = 0
+		c.confirmRequests = 0
 		c.proposedVoterChange = false
 		clear(c.snapshotsInFlight)
 		c.electionTimerStart, c.nextHeartbeat = c.now, c.now
@@ -268,12 +268,12 @@
 		c.emit(Effect{Kind: LeadershipDenied, Handle: handle})
 		return
 	}
-	c.confirmsAsked++
+	c.confirmRequests++
 	c.pendingConfirms = append(c.pendingConfirms, pendingConfirm{
-		seq: c.confirmsAsked, handle: handle, until: c.now + 2*c.electionTimeout,
+		seq: c.confirmRequests, handle: handle, deadline: c.now + 2*c.electionTimeout,
 	})
 	// The library returns this context unchanged with the answer: the confirmation's number and term.
-	request := binary.LittleEndian.AppendUint64(nil, c.confirmsAsked)
+	request := binary.LittleEndian.AppendUint64(nil, c.confirmRequests)
 	request = binary.LittleEndian.AppendUint64(request, c.raft.BasicStatus().GetTerm())
 	c.raft.ReadIndex(request)
 }
@@ -281,7 +281,7 @@
 // denyConfirms denies the pending confirmations past their deadline, or all of them.
 func (c *Core) denyConfirms(all bool) {
 	c.pendingConfirms = slices.DeleteFunc(c.pendingConfirms, func(pending pendingConfirm) bool {
-		isDenied := all || c.now >= pending.until
+		isDenied := all || c.now >= pending.deadline
 		if isDenied {
 			c.emit(Effect{Kind: LeadershipDenied, Handle: pending.handle})
 		}
--- a/internal/fleet/consensus/ready.go
+++ b/internal/fleet/consensus/ready.go
@@ -54,7 +54,7 @@
 	case pb.MsgHeartbeatResp:
 		context := m.GetContext()
 		return m.GetTerm() > 0 && (len(context) == 0 ||
-			len(context) == 8 && binary.LittleEndian.Uint64(context) <= c.confirmsAsked)
+			len(context) == 8 && binary.LittleEndian.Uint64(context) <= c.confirmRequests)
 	case pb.MsgAppResp:
 		return m.GetTerm() > 0 && (m.GetReject() || m.GetIndex() <= c.lastIndex ||
 			m.GetTerm() != c.raft.BasicStatus().GetTerm())
@@ -221,25 +221,25 @@
 func (c *Core) applyVoterChange(entry *pb.Entry) {
 	change := &pb.ConfChangeV2{}
 	_ = proto.Unmarshal(entry.GetData(), change) // isValid checked it on receipt
-	var named []Voter
+	var newVoters []Voter
 	if len(change.GetContext()) > 0 {
-		_ = cbor.Unmarshal(change.GetContext(), &named)
+		_ = cbor.Unmarshal(change.GetContext(), &newVoters)
 	}
 	c.proposedVoterChange = false
-	c.setVoterConfig(entry.GetIndex(), c.raft.ApplyConfChange(change), append(c.Voters(), named...))
+	c.setVoterConfig(entry.GetIndex(), c.raft.ApplyConfChange(change), append(c.Voters(), newVoters...))
 }
 
-// setVoterConfig sets the voters from an index on. named has their names and addresses; of several
-// voters with one name, the last one counts.
-func (c *Core) setVoterConfig(index uint64, conf *pb.ConfState, named []Voter) {
-	c.voterConfig = proto.Clone(conf).(*pb.ConfState)
+// setVoterConfig sets the voters from an index on. knownVoters has their names and addresses; of
+// several with one name, the last one counts.
+func (c *Core) setVoterConfig(index uint64, config *pb.ConfState, knownVoters []Voter) {
+	c.voterConfig = proto.Clone(config).(*pb.ConfState)
 	clear(c.voters)
-	votes := map[uint64]bool{}
-	for _, id := range append(slices.Clone(conf.GetVoters()), conf.GetVotersOutgoing()...) {
-		votes[id] = true
+	isVoter := map[uint64]bool{}
+	for _, id := range append(slices.Clone(config.GetVoters()), config.GetVotersOutgoing()...) {
+		isVoter[id] = true
 	}
-	for _, v := range named {
-		if id := VoterID(v.Name); votes[id] {
+	for _, v := range knownVoters {
+		if id := VoterID(v.Name); isVoter[id] {
 			c.voters[id], c.names[id] = v, v.Name
 		}
 	}
@@ -247,8 +247,8 @@
 	c.configHistory = append(c.configHistory, configAt{index, c.voterConfig, c.Voters()})
 }
 
-// compactLog replaces the log up to the pending snapshot by the snapshot, except for
-// trailingEntries, and emits a Persist.
+// compactLog replaces the log up to the index of the pending snapshot by the snapshot, and emits a
+// Persist. The trailingEntries before the snapshot stay in the log.
 func (c *Core) compactLog() {
 	pending := c.pendingSnapshot
 	c.pendingSnapshot = nil
--- a/internal/fleet/consensus/start.go
+++ b/internal/fleet/consensus/start.go
@@ -10,8 +10,8 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// New starts a voter. The effects are to be performed like those of a Step. They return the
-// persistent state as SnapshotRestored and Committed, as far as it is known to be committed.
+// New starts a voter. The caller performs the effects like those of a Step. Among them is the
+// persistent state, as SnapshotRestored and Committed, as far as it is known to be committed.
 func New(config Config) (*Core, []Effect, error) {
 	if config.HeartbeatInterval <= 0 || config.ElectionTimeout < 2*config.HeartbeatInterval {
 		return nil, nil, &TimeoutError{config.ElectionTimeout, config.HeartbeatInterval}
--- a/internal/fleet/storage/disk.go
+++ b/internal/fleet/storage/disk.go
@@ -34,7 +34,8 @@
 
 	// Keys in stateBucket. completenessKey is in noteBucket too; its value shows whether an entry of
 	// the log, or a note, is missing.
-	diskIDKey, ownerKey, hardKey, snapshotKey, completenessKey = []byte("disk"), []byte("owner"), []byte("hard"),
+	diskIDKey, ownerKey, hardStateKey, snapshotKey, completenessKey = []byte("disk"), []byte("owner"),
+		[]byte("hard"),
 		[]byte("snapshot"), []byte("span")
 )
 
@@ -88,8 +89,8 @@
 // Write persists log entries, a snapshot and the hard state: all of them or none, synced when
 // it returns. New entries replace those on disk from the first one's index on; a write with a
 // snapshot replaces all entries on disk by its own. After an error every later write fails with
-// the same error, until the directory is opened again. A *consensus.LogGapError is returned
-// before anything is written, and later writes may succeed.
+// the same error, until the directory is opened again. The exception is a *consensus.LogGapError:
+// nothing was written then, and later writes may succeed.
 func (d *Disk) Write(p consensus.PersistentState) error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -100,7 +101,7 @@
 	err = d.update(func(tx *bbolt.Tx) error {
 		state := tx.Bucket(stateBucket)
 		if p.HardState != nil {
-			if err := putWithChecksum(state, hardKey, p.HardState); err != nil {
+			if err := putWithChecksum(state, hardStateKey, p.HardState); err != nil {
 				return err
 			}
 		}
@@ -179,7 +180,7 @@
 }
 
 // WriteNote persists a small value under a key, synced when it returns. A nil value deletes the
-// note. After an error, later writes fail as described at Write.
+// note. After an error every later write fails with the same error.
 func (d *Disk) WriteNote(key string, value []byte) error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/fleet/storage/open.go
+++ b/internal/fleet/storage/open.go
@@ -25,8 +25,8 @@
 	// MaxBytes bounds the size of the file in bytes: a write beyond it fails with a *DiskFullError.
 	// 0: unbounded.
 	MaxBytes int
-	// WriteFault is called before each write commits; its error fails the write. Tests inject faults
-	// by it.
+	// WriteFault is called before each write commits; its error fails the write. It is for
+	// fault injection in tests.
 	WriteFault func() error
 }
 
@@ -71,7 +71,7 @@
 // interrupted doesn't leave a truncated file under the final name.
 func (o Options) create(path string, newDiskID func() string) error {
 	db, err := o.open(path + ".new")
-	if torn := (*TornWriteError)(nil); errors.As(err, &torn) { // left by an interrupted creation and not locked
+	if torn := (*TornWriteError)(nil); errors.As(err, &torn) { // of an interrupted creation
 		_ = os.Remove(path + ".new")
 		db, err = o.open(path + ".new")
 	}
@@ -133,7 +133,8 @@
 		err = &TornWriteError{path, access.Err.Error()}
 	}
 	if err != nil && opened != nil {
-		// The library does neither when it panics, and its memory mapping would keep the lock.
+		// When the library panics, it leaves the file locked and open, and its memory mapping would
+		// keep the lock.
 		_ = syscall.Flock(int(opened.Fd()), syscall.LOCK_UN)
 		_ = opened.Close()
 	}
--- a/internal/fleet/storage/read.go
+++ b/internal/fleet/storage/read.go
@@ -55,7 +55,7 @@
 	}{
 		{diskIDKey, true, func(b []byte) error { c.DiskID = string(b); return nil }},
 		{ownerKey, false, func(b []byte) error { c.Owner = string(b); return nil }},
-		{hardKey, false, func(b []byte) error { c.Persistent.HardState = append([]byte{}, b...); return nil }},
+		{hardStateKey, false, func(b []byte) error { c.Persistent.HardState = append([]byte{}, b...); return nil }},
 		{snapshotKey, false, func(b []byte) error {
 			c.Persistent.Snapshot = &consensus.Snapshot{}
 			return cbor.Unmarshal(b, c.Persistent.Snapshot)
@@ -84,7 +84,8 @@
 	return nil
 }
 
-// preallocatedEntries bounds the entries for which a damaged range can make readLog allocate memory.
+// preallocatedEntries bounds the entries for which readLog allocates memory at once, since the range
+// may be damaged.
 const preallocatedEntries = 1 << 20
 
 // readLog reads the log entries, which must be exactly those of logRange.
