--- a/internal/fleet/driver/driver.go
+++ b/internal/fleet/driver/driver.go
@@ -104,7 +104,7 @@
 	messages  chan *node.Message
 	reports   chan fleet.Report
 	orders    chan fleet.Order
-	requests  chan request
+	requests  chan pendingRequest
 	abandoned chan uint64 // handles of requests whose callers have given up
 	writes    chan *consensus.PersistentState
 	written   chan error
@@ -130,11 +130,11 @@
 }
 
 // request is an operator's request that waits for its response.
-type request struct {
-	ask       *fleet.Request
-	response  chan *fleet.Response
-	handle    chan uint64
-	abandoned *atomic.Bool // its caller has given up
+type pendingRequest struct {
+	operatorRequest *fleet.Request
+	response        chan *fleet.Response
+	handle          chan uint64
+	abandoned       *atomic.Bool // its caller has given up
 }
 
 func newDriver(core stateMachine, initialEffects []node.Effect, o *Options) *Driver {
@@ -148,7 +148,7 @@
 		messages:       make(chan *node.Message, maxQueuedMessages),
 		reports:        make(chan fleet.Report, maxQueuedReports),
 		orders:         make(chan fleet.Order),
-		requests:       make(chan request, maxQueuedRequests),
+		requests:       make(chan pendingRequest, maxQueuedRequests),
 		abandoned:      make(chan uint64, maxQueuedRequests),
 		writes:         make(chan *consensus.PersistentState, 1),
 		written:        make(chan error, 1),
@@ -176,34 +176,34 @@
 
 // Request has the fleet do what is asked, and waits for the outcome. If ctx ends first, or
 // too many wait, the outcome is that it isn't known yet.
-func (d *Driver) Request(ctx context.Context, ask *fleet.Request) *fleet.Response {
-	a := request{ask, make(chan *fleet.Response, 1), make(chan uint64, 1), &atomic.Bool{}}
+func (d *Driver) Request(ctx context.Context, request *fleet.Request) *fleet.Response {
+	r := pendingRequest{request, make(chan *fleet.Response, 1), make(chan uint64, 1), &atomic.Bool{}}
 	select {
-	case d.requests <- a:
+	case d.requests <- r:
 	default:
-		return unknownOutcome(ask.ID, &BusyError{})
+		return unknownOutcome(request.ID, &BusyError{})
 	}
 	select {
-	case r := <-a.response:
-		return r
+	case response := <-r.response:
+		return response
 	case <-ctx.Done():
 	case <-d.coreEnded:
 	}
-	a.abandoned.Store(true) // first: the core looks at it after it has given the handle
+	r.abandoned.Store(true) // first: the core looks at it after it has given the handle
 	select {
-	case h := <-a.handle:
+	case handle := <-r.handle:
 		select {
-		case d.abandoned <- h:
+		case d.abandoned <- handle:
 		case <-d.coreEnded:
 		}
 	default:
 	}
-	return unknownOutcome(ask.ID, &RequestTimeoutError{ask.Kind, ask.ID})
+	return unknownOutcome(request.ID, &RequestTimeoutError{request.Kind, request.ID})
 }
 
 // unknownOutcome is the response to a request whose outcome isn't known yet.
-func unknownOutcome(id string, err fleet.ErrorWithRemedy) *fleet.Response {
-	return &fleet.Response{ID: id, Outcome: "unknown", Reason: err.Error(), Remedy: err.Remedy()}
+func unknownOutcome(requestID string, err fleet.ErrorWithRemedy) *fleet.Response {
+	return &fleet.Response{ID: requestID, Outcome: "unknown", Reason: err.Error(), Remedy: err.Remedy()}
 }
 
 // run starts the goroutines of the core, the store and the policy checks, and waits for them.
@@ -219,8 +219,8 @@
 func (d *Driver) writeLoop(ctx context.Context) error {
 	for {
 		select {
-		case k := <-d.writes:
-			d.written <- d.store.Write(*k) // one write is under way at a time: there is room
+		case state := <-d.writes:
+			d.written <- d.store.Write(*state) // one write is under way at a time: there is room
 		case <-ctx.Done():
 			return nil
 		}
@@ -325,7 +325,7 @@
 
 // openRequest passes an operator's request on to the core, unless too many are open or its
 // caller has given up meanwhile.
-func (d *Driver) openRequest(r request) (node.Event, bool) {
+func (d *Driver) openRequest(r pendingRequest) (node.Event, bool) {
 	if d.storeFailure != nil || len(d.openRequests) >= maxOpenRequests {
 		d.rejectRequest(r)
 		return node.Event{}, false
@@ -337,7 +337,7 @@
 		delete(d.openRequests, d.lastHandle)
 		return node.Event{}, false
 	}
-	return node.Event{Kind: node.OperatorRequested, Request: r.ask, Handle: d.lastHandle}, true
+	return node.Event{Kind: node.OperatorRequested, Request: r.operatorRequest, Handle: d.lastHandle}, true
 }
 
 // closeRequest forgets a request whose caller has given up.
@@ -367,34 +367,34 @@
 
 func (d *Driver) perform(ctx context.Context, effects []node.Effect) {
 	for i := range effects {
-		f := &effects[i]
-		switch f.Kind {
+		effect := &effects[i]
+		switch effect.Kind {
 		case node.Send:
-			d.peers.Send(f.To, f.Address, f.Message)
+			d.peers.Send(effect.To, effect.Address, effect.Message)
 		case node.Persist:
-			d.writes <- f.Writes // agreement has one under way at a time: there is room
+			d.writes <- effect.Writes // agreement has one under way at a time: there is room
 		case node.ValidatePolicy:
-			have := d.policyContext
-			have.Committed = strings.HasPrefix(f.ChangeID, committedPolicyPrefix)
-			d.pendingChecks = append(d.pendingChecks, policyCheck{f.ChangeID, f.PolicyText, have})
+			policyContext := d.policyContext
+			policyContext.Committed = strings.HasPrefix(effect.ChangeID, committedPolicyPrefix)
+			d.pendingChecks = append(d.pendingChecks, policyCheck{effect.ChangeID, effect.PolicyText, policyContext})
 		case node.OrderController:
-			d.queueOrder(f.Order)
+			d.queueOrder(effect.Order)
 		case node.Respond:
-			if to := d.openRequests[f.Handle]; to != nil {
-				delete(d.openRequests, f.Handle)
-				to <- d.copyForCaller(f.Response)
+			if response := d.openRequests[effect.Handle]; response != nil {
+				delete(d.openRequests, effect.Handle)
+				response <- d.copyForCaller(effect.Response)
 			}
 		case node.SetTimer:
-			d.timer.Reset(f.Delay)
+			d.timer.Reset(effect.Delay)
 		case node.LogMessage:
-			line := d.log.Info()
-			if f.LogAlways {
-				line = d.log.Log()
+			event := d.log.Info()
+			if effect.LogAlways {
+				event = d.log.Log()
 			}
-			if f.Err != nil {
-				line = line.Str("error", f.Err.Error()).Str("remedy", f.Err.Remedy())
+			if effect.Err != nil {
+				event = event.Str("error", effect.Err.Error()).Str("remedy", effect.Err.Remedy())
 			}
-			line.Msg("fleet: " + f.LogText)
+			event.Msg("fleet: " + effect.LogText)
 		}
 	}
 }
@@ -422,10 +422,10 @@
 	if r.Status == nil {
 		return r
 	}
-	reply, status := *r, *r.Status
+	copied, status := *r, *r.Status
 	status.Counts = maps.Clone(status.Counts)
-	reply.Status = d.addCounters(&status)
-	return &reply
+	copied.Status = d.addCounters(&status)
+	return &copied
 }
 
 // addCounters adds what the driver itself has counted.
@@ -451,9 +451,9 @@
 	// a lease without an end wouldn't run out by itself
 	d.queueOrder(fleet.Order{Kind: fleet.LeaseRenewed})
 	d.queueOrder(fleet.Order{Kind: fleet.FencePolicy, ChangeID: "the disk"})
-	for h, to := range d.openRequests {
-		delete(d.openRequests, h)
-		to <- d.failedOutcome("")
+	for handle, response := range d.openRequests {
+		delete(d.openRequests, handle)
+		response <- d.failedOutcome("")
 	}
 	d.logFailure()
 }
@@ -466,20 +466,20 @@
 }
 
 // rejectRequest answers a request that isn't passed on.
-func (d *Driver) rejectRequest(a request) {
+func (d *Driver) rejectRequest(r pendingRequest) {
 	if d.storeFailure != nil {
-		a.response <- d.failedOutcome(a.ask.ID)
+		r.response <- d.failedOutcome(r.operatorRequest.ID)
 		return
 	}
-	a.response <- unknownOutcome(a.ask.ID, &BusyError{})
+	r.response <- unknownOutcome(r.operatorRequest.ID, &BusyError{})
 }
 
 // failedOutcome is the response of a controller whose disk has failed. Others may know more of
 // what was asked, so it is never that it won't be.
-func (d *Driver) failedOutcome(id string) *fleet.Response {
-	r := unknownOutcome(id, d.storeFailure)
-	r.Status = d.addCounters(&fleet.Status{Name: d.name})
-	return r
+func (d *Driver) failedOutcome(requestID string) *fleet.Response {
+	response := unknownOutcome(requestID, d.storeFailure)
+	response.Status = d.addCounters(&fleet.Status{Name: d.name})
+	return response
 }
 
 // withRemedy makes sure that an operator is told what to do.
--- a/internal/fleet/driver/driver_test.go
+++ b/internal/fleet/driver/driver_test.go
@@ -19,83 +19,83 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-const patienceMost = 20 * time.Second
+const testTimeout = 20 * time.Second
 
 // script is a core of our own: what it does with an event is in do.
-type script struct {
-	seen chan node.Event
-	do   func(ev node.Event) []node.Effect
+type fakeCore struct {
+	events chan node.Event
+	step   func(ev node.Event) []node.Effect
 }
 
-func (s *script) Step(_ time.Duration, ev node.Event) []node.Effect {
-	s.seen <- ev
-	return s.do(ev)
+func (c *fakeCore) Step(_ time.Duration, ev node.Event) []node.Effect {
+	c.events <- ev
+	return c.step(ev)
 }
 
-func (s *script) saw(t *testing.T, kind node.EventKind) node.Event {
+func (c *fakeCore) waitFor(t *testing.T, kind node.EventKind) node.Event {
 	t.Helper()
-	for wait := time.After(patienceMost); ; {
+	for timeout := time.After(testTimeout); ; {
 		select {
-		case ev := <-s.seen:
+		case ev := <-c.events:
 			if ev.Kind == kind {
 				return ev
 			}
-		case <-wait:
+		case <-timeout:
 			t.Fatal("the core never saw ", kind)
 		}
 	}
 }
 
-type paper struct {
+type fakeStore struct {
 	err    error
 	writes chan consensus.PersistentState
 }
 
-func (p *paper) Write(k consensus.PersistentState) error { p.writes <- k; return p.err }
+func (s *fakeStore) Write(k consensus.PersistentState) error { s.writes <- k; return s.err }
 
-type mute struct{}
+type fakePeers struct{}
 
-func (mute) Send(string, string, *node.Message) {}
-func (mute) Counts() map[string]int             { return map[string]int{"refused_stranger": 3} }
+func (fakePeers) Send(string, string, *node.Message) {}
+func (fakePeers) Counts() map[string]int             { return map[string]int{"refused_stranger": 3} }
 
-type noted struct {
+type syncBuffer struct {
 	mu sync.Mutex
 	bytes.Buffer
 }
 
-func (n *noted) Write(p []byte) (int, error) {
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	return n.Buffer.Write(p)
+func (b *syncBuffer) Write(p []byte) (int, error) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	return b.Buffer.Write(p)
 }
 
-func (n *noted) text() string {
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	return n.String()
+func (b *syncBuffer) text() string {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	return b.String()
 }
 
-func play(t *testing.T, do func(ev node.Event) []node.Effect, disk error) (*Driver, *script, *noted) {
-	s, log := &script{make(chan node.Event, 10_000), do}, &noted{}
-	e := newDriver(s, []node.Effect{{Kind: node.SetTimer, Delay: time.Hour}}, &Options{StartTime: time.Now(), Log: zerolog.New(log),
+func startDriver(t *testing.T, step func(ev node.Event) []node.Effect, writeErr error) (*Driver, *fakeCore, *syncBuffer) {
+	core, log := &fakeCore{make(chan node.Event, 10_000), step}, &syncBuffer{}
+	d := newDriver(core, []node.Effect{{Kind: node.SetTimer, Delay: time.Hour}}, &Options{StartTime: time.Now(), Log: zerolog.New(log),
 		CheckPolicy: func(change string, text []byte, have PolicyContext) PolicyVerdict {
 			return PolicyVerdict{Reason: change + string(text) + have.Policy.(string)}
 		}})
-	e.store, e.peers = &paper{disk, make(chan consensus.PersistentState, 100)}, mute{}
+	d.store, d.peers = &fakeStore{writeErr, make(chan consensus.PersistentState, 100)}, fakePeers{}
 	ctx, stop := context.WithCancel(context.Background())
 	done := make(chan error, 1)
-	go func() { done <- e.run(ctx) }()
+	go func() { done <- d.run(ctx) }()
 	t.Cleanup(func() {
 		stop()
 		if err := <-done; err != nil {
 			t.Error(err)
 		}
 	})
-	return e, s, log
+	return d, core, log
 }
 
 func TestWhatIsAskedForIsDoneAndComesBack(t *testing.T) {
-	e, s, _ := play(t, func(ev node.Event) []node.Effect {
+	e, s, _ := startDriver(t, func(ev node.Event) []node.Effect {
 		switch ev.Kind {
 		case node.MessageReceived:
 			return []node.Effect{{Kind: node.OrderController, Order: fleet.Order{Kind: fleet.ActivatePolicy, Policy: "now"}}, {Kind: node.Persist, Writes: &consensus.PersistentState{}}, {Kind: node.ValidatePolicy, ChangeID: "c1", PolicyText: []byte("x")}, {Kind: node.SetTimer}}
@@ -107,10 +107,10 @@
 		return nil
 	}, nil)
 	e.receiveMessage(&node.Message{From: "b"})
-	s.saw(t, node.MessageReceived)
+	s.waitFor(t, node.MessageReceived)
 	kinds := map[node.EventKind]bool{}
 	for range 3 {
-		ev := <-s.seen
+		ev := <-s.events
 		if kinds[ev.Kind] = true; ev.Kind == node.PolicyValidated && ev.Reason != "c1xnow" {
 			t.Errorf("%+v", ev)
 		}
@@ -125,15 +125,15 @@
 	ctx, stop := context.WithCancel(context.Background())
 	answer := make(chan *fleet.Response)
 	go func() { answer <- e.Request(ctx, &fleet.Request{Kind: "apply", ID: "a1"}) }()
-	asked := s.saw(t, node.OperatorRequested)
+	asked := s.waitFor(t, node.OperatorRequested)
 	for asked.Request.Kind != "apply" {
-		asked = s.saw(t, node.OperatorRequested)
+		asked = s.waitFor(t, node.OperatorRequested)
 	}
 	stop()
 	if r := <-answer; r.Outcome != "unknown" || r.ExitStatus() != 4 || r.ID != "a1" || r.Remedy == "" {
 		t.Fatalf("%+v", r)
 	}
-	if gone := s.saw(t, node.RequesterGone); gone.Handle != asked.Handle {
+	if gone := s.waitFor(t, node.RequesterGone); gone.Handle != asked.Handle {
 		t.Fatal(gone.Handle)
 	}
 }
@@ -142,7 +142,7 @@
 // kept, and past the bound the core takes nothing in, so that its leases run out.
 func TestAReducerThatTakesNoOrders(t *testing.T) {
 	n := uint64(0)
-	e, s, _ := play(t, func(ev node.Event) []node.Effect {
+	e, s, _ := startDriver(t, func(ev node.Event) []node.Effect {
 		n++
 		return []node.Effect{{Kind: node.OrderController, Order: fleet.Order{Kind: fleet.LeaseRenewed, LeaseEnd: time.Duration(n)}},
 			{Kind: node.OrderController, Order: fleet.Order{Kind: fleet.LeaseRenewed, LeaseEnd: time.Duration(n) + 1}},
@@ -152,10 +152,10 @@
 		e.receiveMessage(&node.Message{})
 	}
 	for range maxPendingOrders / 2 { // two orders stay of the three of each
-		s.saw(t, node.MessageReceived)
+		s.waitFor(t, node.MessageReceived)
 	}
 	select {
-	case <-s.seen:
+	case <-s.events:
 		t.Fatal("it takes in more than the reducer takes")
 	case <-time.After(20 * time.Millisecond):
 	}
@@ -176,14 +176,14 @@
 // Without its disk a controller decides nothing, even by a lease without an end, and
 // whoever asks is told why and what to do, never that it won't be done.
 func TestADiskThatFails(t *testing.T) {
-	e, s, log := play(t, func(ev node.Event) []node.Effect {
+	e, s, log := startDriver(t, func(ev node.Event) []node.Effect {
 		if ev.Kind == node.MessageReceived {
 			return []node.Effect{{Kind: node.OrderController, Order: fleet.Order{Kind: fleet.LeaseRenewed, LeaseEnd: fleet.Forever}}, {Kind: node.Persist, Writes: &consensus.PersistentState{}}}
 		}
 		return nil
 	}, errors.New("no space left on device"))
 	e.receiveMessage(&node.Message{})
-	s.saw(t, node.MessageReceived)
+	s.waitFor(t, node.MessageReceived)
 	word := &fleet.ServingState{}
 	word.SetVersion(1)
 	for shut := false; !shut; {
@@ -206,7 +206,7 @@
 	e.receiveMessage(&node.Message{})
 	e.reports <- fleet.Report{}
 	e.reports <- fleet.Report{}
-	if len(s.seen) > 0 {
+	if len(s.events) > 0 {
 		t.Error("it goes on taking part")
 	}
 	if !strings.Contains(log.text(), "serves nothing") || !strings.Contains(log.text(), "remedy") {
@@ -217,7 +217,7 @@
 // Who was away for many changes is asked to check them all in one breath.
 func TestManyPoliciesToCheckAtOnce(t *testing.T) {
 	const many = 3 * maxQueuedChecks
-	e, s, _ := play(t, func(ev node.Event) (l []node.Effect) {
+	e, s, _ := startDriver(t, func(ev node.Event) (l []node.Effect) {
 		if ev.Kind == node.MessageReceived {
 			l = append(l, node.Effect{Kind: node.OrderController, Order: fleet.Order{Kind: fleet.ActivatePolicy, Policy: "now"}})
 			for range many {
@@ -228,14 +228,14 @@
 	}, nil)
 	e.receiveMessage(&node.Message{})
 	for range many {
-		s.saw(t, node.PolicyValidated)
+		s.waitFor(t, node.PolicyValidated)
 	}
 }
 
 // A check is told whether its policy is in force already: that one can't be withdrawn.
 func TestACheckKnowsWhatIsDecided(t *testing.T) {
 	haves := make(chan PolicyContext, 2)
-	e, _, _ := play(t, func(ev node.Event) []node.Effect {
+	e, _, _ := startDriver(t, func(ev node.Event) []node.Effect {
 		if ev.Kind != node.MessageReceived {
 			return nil
 		}
@@ -252,7 +252,7 @@
 			if have.Committed != want {
 				t.Errorf("decided: %v, want %v", have.Committed, want)
 			}
-		case <-time.After(patienceMost):
+		case <-time.After(testTimeout):
 			t.Fatal("no check is asked for")
 		}
 	}
--- a/internal/fleet/driver/open.go
+++ b/internal/fleet/driver/open.go
@@ -66,28 +66,28 @@
 // Open opens the store and both listeners. Errors are of the key file, the store, what it
 // held, or the listeners; nothing is left open then.
 func Open(o Options) (d *Driver, err error) {
-	opened := &openedParts{options: &o}
+	parts := &openedParts{options: &o}
 	if o.Listener != nil {
-		opened.closers = append(opened.closers, o.Listener.Close)
+		parts.closers = append(parts.closers, o.Listener.Close)
 	}
 	defer func() {
 		if err != nil {
-			opened.close()
+			parts.close()
 		}
 	}()
 	keys, err := transport.ReadKeys(o.KeyFile)
 	if err != nil {
 		return nil, err
 	}
-	found, err := opened.openStore()
+	contents, err := parts.openStore()
 	if err != nil {
 		return nil, err
 	}
-	if err := opened.listen(); err != nil {
+	if err := parts.listen(); err != nil {
 		return nil, err
 	}
 	config := o.Node
-	config.Self.DiskID, config.Persisted = found.DiskID, found.Persistent
+	config.Self.DiskID, config.Persisted = contents.DiskID, contents.Persistent
 	config.Seed = transport.RandomID()
 	config.Incarnation = transport.RandomID()
 	core, initialEffects, err := node.New(config)
@@ -95,15 +95,15 @@
 		return nil, err
 	}
 	d = newDriver(core, initialEffects, &o)
-	d.store = opened.store
-	if err := opened.serve(d, &config, keys); err != nil {
+	d.store = parts.store
+	if err := parts.serve(d, &config, keys); err != nil {
 		return nil, err
 	}
-	line := o.Log.Info().Str("peers", opened.peers.Addr().String()).Str("disk", config.Self.DiskID)
-	if opened.operators != nil {
-		line = line.Str("operators", opened.operators.Addr().String())
+	event := o.Log.Info().Str("peers", parts.peers.Addr().String()).Str("disk", config.Self.DiskID)
+	if parts.operators != nil {
+		event = event.Str("operators", parts.operators.Addr().String())
 	}
-	line.Msg("fleet: listening")
+	event.Msg("fleet: listening")
 	return d, nil
 }
 
@@ -118,21 +118,21 @@
 
 // close closes what was opened, where Open fails.
 func (p *openedParts) close() {
-	for _, do := range p.closers {
-		do()
+	for _, closePart := range p.closers {
+		closePart()
 	}
 }
 
-func (p *openedParts) openStore() (found storage.Contents, err error) {
+func (p *openedParts) openStore() (contents storage.Contents, err error) {
 	open := p.options.OpenStore
 	if open == nil {
 		open = p.options.openDisk
 	}
-	if p.store, found, err = open(); err != nil {
+	if p.store, contents, err = open(); err != nil {
 		return storage.Contents{}, err
 	}
 	p.closers = append(p.closers, p.store.Close)
-	return found, nil
+	return contents, nil
 }
 
 // listen opens the listeners that the options name.
@@ -149,10 +149,10 @@
 	return err
 }
 
-func (p *openedParts) listenOn(what, address string) (net.Listener, error) {
+func (p *openedParts) listenOn(purpose, address string) (net.Listener, error) {
 	l, err := net.Listen("tcp", address)
 	if err != nil {
-		return nil, &ListenError{what, address, err}
+		return nil, &ListenError{purpose, address, err}
 	}
 	p.closers = append(p.closers, l.Close)
 	return l, nil
@@ -211,17 +211,17 @@
 // localAddress is the address that peers reach this controller at, from which it connects
 // to them; nil where the listener takes any.
 func localAddress(l net.Listener) net.IP {
-	at, isTCP := l.Addr().(*net.TCPAddr)
-	if !isTCP || at.IP.IsUnspecified() {
+	tcpAddress, isTCP := l.Addr().(*net.TCPAddr)
+	if !isTCP || tcpAddress.IP.IsUnspecified() {
 		return nil
 	}
-	return at.IP
+	return tcpAddress.IP
 }
 
 // openDisk opens the disk at Directory and claims it for this controller's name.
 func (o *Options) openDisk() (Store, storage.Contents, error) {
 	newDiskID := func() string { return fmt.Sprintf("%016x", transport.RandomID()) }
-	store, found, err := storage.Open(o.Directory, newDiskID)
+	store, contents, err := storage.Open(o.Directory, newDiskID)
 	if err != nil {
 		return nil, storage.Contents{}, err
 	}
@@ -229,13 +229,13 @@
 		store.Close()
 		return nil, storage.Contents{}, err
 	}
-	return store, found, nil
+	return store, contents, nil
 }
 
 // runAll runs all functions and joins their errors.
 func runAll(list []func() error) (err error) {
-	for _, do := range list {
-		err = errors.Join(err, do())
+	for _, run := range list {
+		err = errors.Join(err, run())
 	}
 	return err
 }
--- a/internal/fleet/noop/noop.go
+++ b/internal/fleet/noop/noop.go
@@ -20,40 +20,40 @@
 // Serve takes orders until ctx ends or orders is closed. Reports that find no room are
 // kept here and the next order is taken all the same: the fleet's side may take in no
 // report before it is rid of its orders.
-func (r Controller) Serve(ctx context.Context, orders <-chan fleet.Order, reports chan<- fleet.Report) error {
-	var untold []fleet.Report
-	for orders != nil || len(untold) > 0 {
-		var room chan<- fleet.Report
+func (c Controller) Serve(ctx context.Context, orders <-chan fleet.Order, reports chan<- fleet.Report) error {
+	var unsent []fleet.Report
+	for orders != nil || len(unsent) > 0 {
+		var sendTo chan<- fleet.Report
 		var next fleet.Report
-		if len(untold) > 0 {
-			room, next = reports, untold[0]
+		if len(unsent) > 0 {
+			sendTo, next = reports, unsent[0]
 		}
 		select {
 		case <-ctx.Done():
 			return nil
-		case room <- next:
-			untold = untold[1:]
+		case sendTo <- next:
+			unsent = unsent[1:]
 		case order, open := <-orders:
 			if !open {
 				orders = nil
 				continue
 			}
-			if !r.wait(ctx, order) {
+			if !c.wait(ctx, order) {
 				return nil
 			}
-			untold = append(untold, r.answer(order)...)
+			unsent = append(unsent, c.execute(order)...)
 		}
 	}
 	return nil
 }
 
 // wait is the delay before an order is answered; false if ctx ended meanwhile.
-func (r Controller) wait(ctx context.Context, order fleet.Order) bool {
-	if order.Kind == fleet.LeaseRenewed || r.Delay <= 0 {
+func (c Controller) wait(ctx context.Context, order fleet.Order) bool {
+	if order.Kind == fleet.LeaseRenewed || c.Delay <= 0 {
 		return true
 	}
 	select {
-	case <-time.After(r.Delay):
+	case <-time.After(c.Delay):
 		return true
 	case <-ctx.Done():
 		return false
@@ -61,17 +61,17 @@
 }
 
 // answer changes the word as the order says and gives what is reported of it.
-func (r Controller) answer(order fleet.Order) []fleet.Report {
+func (c Controller) execute(order fleet.Order) []fleet.Report {
 	switch order.Kind {
 	case fleet.FencePolicy:
-		r.set(0)
+		c.setVersion(0)
 		return []fleet.Report{{Kind: fleet.PolicyFenced, ChangeID: order.ChangeID}}
 	case fleet.ActivatePolicy:
-		r.set(order.Version)
+		c.setVersion(order.Version)
 		return []fleet.Report{{Kind: fleet.PolicyActivated, Version: order.Version}}
 	case fleet.LeaseRenewed:
-		if r.ServingState != nil {
-			r.ServingState.SetLease(order.LeaseEnd, order.ConfinedLeaseEnd)
+		if c.ServingState != nil {
+			c.ServingState.SetLease(order.LeaseEnd, order.ConfinedLeaseEnd)
 		}
 	case fleet.InvalidateData:
 		return []fleet.Report{{Kind: fleet.DataTombstoned, ID: order.ID}, {Kind: fleet.DataErased, ID: order.ID}}
@@ -79,8 +79,8 @@
 	return nil
 }
 
-func (r Controller) set(version uint64) {
-	if r.ServingState != nil {
-		r.ServingState.SetVersion(version)
+func (c Controller) setVersion(version uint64) {
+	if c.ServingState != nil {
+		c.ServingState.SetVersion(version)
 	}
 }
--- a/internal/fleet/transport/control_server.go
+++ b/internal/fleet/transport/control_server.go
@@ -26,25 +26,25 @@
 	// MaxRequestBytes bounds an ask and a reply, in bytes.
 	MaxRequestBytes = 16 << 20
 
-	asksReading = 4 * MaxRequestBytes // of all asks that are being read, each counted as long as it says it is
-	maxNonces   = 1 << 16             // remembered; after so many asks another challenge is drawn, and they are forgotten
-	nonceBytes  = 16
-	askConnect  = 5 * time.Second // to connect to a control listener and for its hello
-	askRead     = 10 * time.Second
+	maxRequestBytesBeingRead = 4 * MaxRequestBytes // of all asks that are being read, each counted as long as it says it is
+	maxNonces                = 1 << 16             // remembered; after so many asks another challenge is drawn, and they are forgotten
+	nonceBytes               = 16
+	controlConnectTimeout    = 5 * time.Second // to connect to a control listener and for its hello
+	requestReadTimeout       = 10 * time.Second
 
 	pathHello   = "/hello"
-	pathAsk     = "/ask"
+	pathRequest = "/ask"
 	headerNonce = "Fleet-Nonce"
 
-	forHello = "control hello 1"
-	forAsk   = "control ask 1"
-	forReply = "control reply 1"
+	purposeHello    = "control hello 1"
+	purposeRequest  = "control ask 1"
+	purposeResponse = "control reply 1"
 )
 
 // signedRequest is what the MACs of the control surface are over. Nonce is the client's, drawn
 // for one ask; Boot is the listener's challenge. So an ask counts once, and on one
 // controller's one run; a reply fits one ask.
-type signedRequest struct {
+type signedMessage struct {
 	Nonce     string `cbor:"1,keyasint"`
 	Challenge uint64 `cbor:"2,keyasint"`
 	Status    int    `cbor:"3,keyasint,omitempty"` // of a reply
@@ -61,8 +61,8 @@
 }
 
 // check reports whether a request is for the present challenge (fits) and new.
-func (n *nonceGuard) check(boot uint64, nonce string) (fits, fresh bool) {
-	if boot != n.challenge {
+func (n *nonceGuard) check(challenge uint64, nonce string) (isCurrent, isNew bool) {
+	if challenge != n.challenge {
 		return false, false
 	}
 	if _, ok := n.seen[nonce]; ok {
@@ -98,188 +98,188 @@
 // ask may take as long as the ask's own patience; its context ends when who asked is
 // gone or at Close. An error of it is told as the word unknown: nothing is said that
 // isn't so. onRefused is as Options.OnRejected, and may be nil.
-func ServeControl(l net.Listener, keys Keys, ask func(context.Context, *fleet.Request) (*fleet.Response, error),
-	onRefused func(fleet.ErrorWithRemedy, string)) (*ControlServer, error) {
+func ServeControl(l net.Listener, keys Keys, handle func(context.Context, *fleet.Request) (*fleet.Response, error),
+	onRejected func(fleet.ErrorWithRemedy, string)) (*ControlServer, error) {
 	if err := keys.validate(); err != nil {
 		return nil, err
 	}
-	d := &ControlServer{handle: ask, listener: l, readBudget: semaphore.NewWeighted(asksReading), nonces: nonceGuard{RandomID(), map[string]struct{}{}, RandomID}}
-	d.init(onRefused)
-	d.keys.Store(&keys)
-	d.ctx, d.cancel = context.WithCancel(context.Background())
+	s := &ControlServer{handle: handle, listener: l, readBudget: semaphore.NewWeighted(maxRequestBytesBeingRead), nonces: nonceGuard{RandomID(), map[string]struct{}{}, RandomID}}
+	s.init(onRejected)
+	s.keys.Store(&keys)
+	s.ctx, s.cancel = context.WithCancel(context.Background())
 	mux := http.NewServeMux()
-	mux.HandleFunc("GET "+pathHello, d.serveHello)
-	mux.HandleFunc("POST "+pathAsk, d.serveRequest)
-	d.server = &http.Server{Handler: mux, ReadHeaderTimeout: askRead, IdleTimeout: time.Minute, MaxHeaderBytes: 8 << 10,
-		ErrorLog: discardLog, ConnState: countConnections(&d.inbound), BaseContext: func(net.Listener) context.Context { return d.ctx }}
-	d.serving.Go(func() { d.server.Serve(l) })
-	return d, nil
+	mux.HandleFunc("GET "+pathHello, s.serveHello)
+	mux.HandleFunc("POST "+pathRequest, s.serveRequest)
+	s.server = &http.Server{Handler: mux, ReadHeaderTimeout: requestReadTimeout, IdleTimeout: time.Minute, MaxHeaderBytes: 8 << 10,
+		ErrorLog: discardLog, ConnState: countConnections(&s.inbound), BaseContext: func(net.Listener) context.Context { return s.ctx }}
+	s.serving.Go(func() { s.server.Serve(l) })
+	return s, nil
 }
 
 // SetKeys takes other keys from now on.
-func (d *ControlServer) SetKeys(keys Keys) error {
+func (s *ControlServer) SetKeys(keys Keys) error {
 	if err := keys.validate(); err != nil {
 		return err
 	}
-	d.keys.Store(&keys)
+	s.keys.Store(&keys)
 	return nil
 }
 
 // Close ends all asks and waits for their goroutines.
-func (d *ControlServer) Close() error {
-	d.cancel()
-	err := d.listener.Close()
-	d.serving.Wait()
-	d.server.Close()
-	d.inbound.Wait()
+func (s *ControlServer) Close() error {
+	s.cancel()
+	err := s.listener.Close()
+	s.serving.Wait()
+	s.server.Close()
+	s.inbound.Wait()
 	return err
 }
 
 // Counts are asks answered (asks), and refused_REASON.
-func (d *ControlServer) Counts() map[string]int { return d.counters.snapshot() }
+func (s *ControlServer) Counts() map[string]int { return s.counters.snapshot() }
 
-func (d *ControlServer) rejectRequest(rw http.ResponseWriter, err RejectionError, from string) {
-	d.counters.refuse(err, from)
-	rw.WriteHeader(statusOf(err))
+func (s *ControlServer) rejectRequest(rw http.ResponseWriter, err RejectionError, from string) {
+	s.counters.reject(err, from)
+	rw.WriteHeader(statusFor(err))
 }
 
 // hello gives the challenge, signed together with the client's nonce.
-func (d *ControlServer) serveHello(rw http.ResponseWriter, r *http.Request) {
-	d.mu.Lock()
-	boot := d.nonces.challenge
-	d.mu.Unlock()
+func (s *ControlServer) serveHello(rw http.ResponseWriter, r *http.Request) {
+	s.mu.Lock()
+	challenge := s.nonces.challenge
+	s.mu.Unlock()
 	nonce := r.Header.Get(headerNonce)
 	if len(nonce) != 2*nonceBytes {
 		rw.WriteHeader(http.StatusBadRequest)
 		return
 	}
-	d.writeSigned(rw, forHello, &signedRequest{Nonce: nonce, Challenge: boot, Status: http.StatusOK})
+	s.writeSigned(rw, purposeHello, &signedMessage{Nonce: nonce, Challenge: challenge, Status: http.StatusOK})
 }
 
-func (d *ControlServer) writeSigned(rw http.ResponseWriter, what string, a *signedRequest) {
-	rw.Header().Set(headerBoot, strconv.FormatUint(a.Challenge, 16))
-	rw.Header().Set(headerMAC, hex.EncodeToString((*d.keys.Load()).sign(what, encode(a))))
+func (s *ControlServer) writeSigned(rw http.ResponseWriter, purpose string, message *signedMessage) {
+	rw.Header().Set(headerBoot, strconv.FormatUint(message.Challenge, 16))
+	rw.Header().Set(headerMAC, hex.EncodeToString((*s.keys.Load()).sign(purpose, encode(message))))
 	rw.Header().Set("Content-Type", "application/json")
-	rw.WriteHeader(a.Status)
-	rw.Write(a.Body)
+	rw.WriteHeader(message.Status)
+	rw.Write(message.Body)
 }
 
-func (d *ControlServer) serveRequest(rw http.ResponseWriter, r *http.Request) {
+func (s *ControlServer) serveRequest(rw http.ResponseWriter, r *http.Request) {
 	remote, _, _ := net.SplitHostPort(r.RemoteAddr)
 	if r.ContentLength < 0 {
 		rw.WriteHeader(http.StatusLengthRequired)
 		return
 	}
 	if r.ContentLength > MaxRequestBytes {
-		d.rejectRequest(rw, &TooLargeError{remote, r.ContentLength, MaxRequestBytes}, remote)
+		s.rejectRequest(rw, &TooLargeError{remote, r.ContentLength, MaxRequestBytes}, remote)
 		return
 	}
-	body, err := d.readBody(rw, r)
+	body, err := s.readBody(rw, r)
 	if err != nil {
 		rw.WriteHeader(http.StatusBadRequest)
 		return
 	}
 	nonce := r.Header.Get(headerNonce)
-	boot, err := strconv.ParseUint(r.Header.Get(headerBoot), 16, 64)
+	challenge, err := strconv.ParseUint(r.Header.Get(headerBoot), 16, 64)
 	sum, _ := hex.DecodeString(r.Header.Get(headerMAC)) // what is no hex fits no key
 	if err != nil || len(nonce) != 2*nonceBytes ||
-		!(*d.keys.Load()).verify(forAsk, encode(&signedRequest{Nonce: nonce, Challenge: boot, Body: body}), sum) {
-		d.rejectRequest(rw, &UnauthenticatedError{remote, "an ask"}, remote)
+		!(*s.keys.Load()).verify(purposeRequest, encode(&signedMessage{Nonce: nonce, Challenge: challenge, Body: body}), sum) {
+		s.rejectRequest(rw, &UnauthenticatedError{remote, "an ask"}, remote)
 		return
 	}
-	d.mu.Lock()
-	fits, fresh := d.nonces.check(boot, nonce)
-	now := d.nonces.challenge
-	d.mu.Unlock()
-	if !fits {
-		d.writeSigned(rw, forReply, &signedRequest{Nonce: nonce, Challenge: now, Status: http.StatusConflict})
+	s.mu.Lock()
+	isCurrent, isNew := s.nonces.check(challenge, nonce)
+	currentChallenge := s.nonces.challenge
+	s.mu.Unlock()
+	if !isCurrent {
+		s.writeSigned(rw, purposeResponse, &signedMessage{Nonce: nonce, Challenge: currentChallenge, Status: http.StatusConflict})
 		return
 	}
-	if !fresh {
-		d.rejectRequest(rw, &ReplayError{From: remote}, remote)
+	if !isNew {
+		s.rejectRequest(rw, &ReplayError{From: remote}, remote)
 		return
 	}
-	a := &fleet.Request{}
-	if err := json.Unmarshal(body, a); err != nil {
-		d.rejectRequest(rw, &MalformedError{remote, err}, remote)
+	request := &fleet.Request{}
+	if err := json.Unmarshal(body, request); err != nil {
+		s.rejectRequest(rw, &MalformedError{remote, err}, remote)
 		return
 	}
-	reply, err := d.handle(r.Context(), a)
+	response, err := s.handle(r.Context(), request)
 	if err != nil {
-		reply = &fleet.Response{ID: a.ID, Outcome: "unknown", Reason: err.Error()}
-		var remedied fleet.ErrorWithRemedy
-		if errors.As(err, &remedied) {
-			reply.Remedy = remedied.Remedy()
+		response = &fleet.Response{ID: request.ID, Outcome: "unknown", Reason: err.Error()}
+		var withRemedy fleet.ErrorWithRemedy
+		if errors.As(err, &withRemedy) {
+			response.Remedy = withRemedy.Remedy()
 		}
 	}
-	text, err := json.Marshal(reply)
+	text, err := json.Marshal(response)
 	if err == nil && len(text) > MaxRequestBytes {
 		err = fmt.Errorf("the reply has %d bytes", len(text))
 	}
 	if err != nil {
-		text, _ = json.Marshal(&fleet.Response{ID: a.ID, Outcome: "unknown", Reason: err.Error()})
+		text, _ = json.Marshal(&fleet.Response{ID: request.ID, Outcome: "unknown", Reason: err.Error()})
 	}
-	d.count("asks", 1)
-	d.writeSigned(rw, forReply, &signedRequest{Nonce: nonce, Challenge: boot, Status: http.StatusOK, Body: text})
+	s.count("asks", 1)
+	s.writeSigned(rw, purposeResponse, &signedMessage{Nonce: nonce, Challenge: challenge, Status: http.StatusOK, Body: text})
 }
 
-func (d *ControlServer) readBody(rw http.ResponseWriter, r *http.Request) ([]byte, error) {
+func (s *ControlServer) readBody(rw http.ResponseWriter, r *http.Request) ([]byte, error) {
 	control := http.NewResponseController(rw)
-	control.SetReadDeadline(time.Now().Add(askRead))
+	control.SetReadDeadline(time.Now().Add(requestReadTimeout))
 	defer control.SetReadDeadline(time.Time{}) // the ask may wait longer than it took to read
-	ctx, cancel := context.WithTimeout(r.Context(), askRead)
+	ctx, cancel := context.WithTimeout(r.Context(), requestReadTimeout)
 	defer cancel()
-	if err := d.readBudget.Acquire(ctx, r.ContentLength); err != nil {
+	if err := s.readBudget.Acquire(ctx, r.ContentLength); err != nil {
 		return nil, err
 	}
-	defer d.readBudget.Release(r.ContentLength)
+	defer s.readBudget.Release(r.ContentLength)
 	return io.ReadAll(r.Body)
 }
 
 // SendControlRequest asks a controller's control listener. The context bounds how long: an ask
 // with a patience of its own needs a context that lasts longer. An UnreachableError with
 // Sent means that the ask may have been taken all the same: ask again by its id.
-func SendControlRequest(ctx context.Context, address string, keys Keys, a *fleet.Request) (*fleet.Response, error) {
+func SendControlRequest(ctx context.Context, address string, keys Keys, request *fleet.Request) (*fleet.Response, error) {
 	if err := keys.validate(); err != nil {
 		return nil, err
 	}
-	text, err := json.Marshal(a)
+	text, err := json.Marshal(request)
 	if err != nil {
 		return nil, &MalformedError{"this ask", err}
 	}
 	if len(text) > MaxRequestBytes {
 		return nil, &TooLargeError{address, int64(len(text)), MaxRequestBytes}
 	}
-	transport := &http.Transport{DialContext: (&net.Dialer{Timeout: askConnect}).DialContext, DisableCompression: true}
+	transport := &http.Transport{DialContext: (&net.Dialer{Timeout: controlConnectTimeout}).DialContext, DisableCompression: true}
 	defer transport.CloseIdleConnections()
 	c := &controlClient{transport, address, keys}
 
-	within, cancel := context.WithTimeout(ctx, askConnect)
-	hello, err := c.call(within, http.MethodGet, pathHello, forHello, &signedRequest{Nonce: nonce()})
+	connectCtx, cancel := context.WithTimeout(ctx, controlConnectTimeout)
+	hello, err := c.call(connectCtx, http.MethodGet, pathHello, purposeHello, &signedMessage{Nonce: newNonce()})
 	cancel()
 	if err != nil {
 		return nil, err
 	}
 	for range 2 { // once more if the challenge changed in between
-		q := &signedRequest{Nonce: nonce(), Challenge: hello.Challenge, Body: text}
-		reply, err := c.call(ctx, http.MethodPost, pathAsk, forReply, q)
+		signed := &signedMessage{Nonce: newNonce(), Challenge: hello.Challenge, Body: text}
+		response, err := c.call(ctx, http.MethodPost, pathRequest, purposeResponse, signed)
 		switch {
 		case err != nil:
 			return nil, err
-		case reply.Status == http.StatusConflict:
-			hello = reply
+		case response.Status == http.StatusConflict:
+			hello = response
 			continue
 		}
-		r := &fleet.Response{}
-		if err := json.Unmarshal(reply.Body, r); err != nil {
+		result := &fleet.Response{}
+		if err := json.Unmarshal(response.Body, result); err != nil {
 			return nil, &MalformedError{address, err}
 		}
-		return r, nil
+		return result, nil
 	}
 	return nil, &UnreachableError{address, false, errors.New("it changes its challenge each time")}
 }
 
-func nonce() string {
+func newNonce() string {
 	var b [nonceBytes]byte
 	crand.Read(b[:])
 	return hex.EncodeToString(b[:])
@@ -293,37 +293,37 @@
 
 // call sends one request and gives its answer, signed as what; its status is 200, or
 // 409 for an ask.
-func (c *controlClient) call(ctx context.Context, method, path, what string, q *signedRequest) (*signedRequest, error) {
+func (c *controlClient) call(ctx context.Context, method, path, purpose string, request *signedMessage) (*signedMessage, error) {
 	u := url.URL{Scheme: "http", Host: c.address, Path: path}
-	r, err := http.NewRequestWithContext(ctx, method, u.String(), bytes.NewReader(q.Body))
+	httpRequest, err := http.NewRequestWithContext(ctx, method, u.String(), bytes.NewReader(request.Body))
 	if err != nil {
 		return nil, &UnreachableError{c.address, false, err}
 	}
-	r.Header.Set(headerNonce, q.Nonce)
-	if what == forReply {
-		r.Header.Set(headerBoot, strconv.FormatUint(q.Challenge, 16))
-		r.Header.Set(headerMAC, hex.EncodeToString(c.keys.sign(forAsk, encode(q))))
+	httpRequest.Header.Set(headerNonce, request.Nonce)
+	if purpose == purposeResponse {
+		httpRequest.Header.Set(headerBoot, strconv.FormatUint(request.Challenge, 16))
+		httpRequest.Header.Set(headerMAC, hex.EncodeToString(c.keys.sign(purposeRequest, encode(request))))
 	}
-	a, err := c.transport.RoundTrip(r)
+	httpResponse, err := c.transport.RoundTrip(httpRequest)
 	if err != nil {
-		return nil, &UnreachableError{c.address, what == forReply, err}
+		return nil, &UnreachableError{c.address, purpose == purposeResponse, err}
 	}
-	defer a.Body.Close()
-	if a.StatusCode != http.StatusOK && (a.StatusCode != http.StatusConflict || what != forReply) {
-		return nil, &PeerRejectedError{"the controller", c.address, a.StatusCode}
+	defer httpResponse.Body.Close()
+	if httpResponse.StatusCode != http.StatusOK && (httpResponse.StatusCode != http.StatusConflict || purpose != purposeResponse) {
+		return nil, &PeerRejectedError{"the controller", c.address, httpResponse.StatusCode}
 	}
-	body, err := io.ReadAll(io.LimitReader(a.Body, MaxRequestBytes+1))
+	body, err := io.ReadAll(io.LimitReader(httpResponse.Body, MaxRequestBytes+1))
 	if err != nil {
-		return nil, &UnreachableError{c.address, what == forReply, err}
+		return nil, &UnreachableError{c.address, purpose == purposeResponse, err}
 	}
 	if len(body) > MaxRequestBytes {
 		return nil, &TooLargeError{c.address, int64(len(body)), MaxRequestBytes}
 	}
-	boot, err := strconv.ParseUint(a.Header.Get(headerBoot), 16, 64)
-	sum, err2 := hex.DecodeString(a.Header.Get(headerMAC))
-	said := &signedRequest{Nonce: q.Nonce, Challenge: boot, Status: a.StatusCode, Body: body}
-	if err != nil || err2 != nil || !c.keys.verify(what, encode(said), sum) {
+	challenge, err := strconv.ParseUint(httpResponse.Header.Get(headerBoot), 16, 64)
+	sum, macErr := hex.DecodeString(httpResponse.Header.Get(headerMAC))
+	response := &signedMessage{Nonce: request.Nonce, Challenge: challenge, Status: httpResponse.StatusCode, Body: body}
+	if err != nil || macErr != nil || !c.keys.verify(purpose, encode(response), sum) {
 		return nil, &UnauthenticatedError{c.address, "an answer"}
 	}
-	return said, nil
+	return response, nil
 }
--- a/internal/fleet/transport/control_server_test.go
+++ b/internal/fleet/transport/control_server_test.go
@@ -19,18 +19,18 @@
 	"railrelay.dev/railrelay/internal/fleet"
 )
 
-func desk(t *testing.T, keys Keys, ask func(context.Context, *fleet.Request) (*fleet.Response, error)) (*ControlServer, string, chan fleet.ErrorWithRemedy) {
+func startControlServer(t *testing.T, keys Keys, handle func(context.Context, *fleet.Request) (*fleet.Response, error)) (*ControlServer, string, chan fleet.ErrorWithRemedy) {
 	t.Helper()
 	now := goleak.IgnoreCurrent()
 	t.Cleanup(func() { goleak.VerifyNone(t, now) })
-	refused := make(chan fleet.ErrorWithRemedy, 16)
+	rejections := make(chan fleet.ErrorWithRemedy, 16)
 	l := listen(t, "127.0.0.1:0")
-	d, err := ServeControl(l, keys, ask, func(err fleet.ErrorWithRemedy, _ string) { refused <- err })
+	server, err := ServeControl(l, keys, handle, func(err fleet.ErrorWithRemedy, _ string) { rejections <- err })
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { d.Close() })
-	return d, l.Addr().String(), refused
+	t.Cleanup(func() { server.Close() })
+	return server, l.Addr().String(), rejections
 }
 
 func echo(_ context.Context, a *fleet.Request) (*fleet.Response, error) {
@@ -41,24 +41,24 @@
 		Reason: string(a.Policy)}, nil
 }
 
-func within(t *testing.T) context.Context {
-	ctx, cancel := context.WithTimeout(context.Background(), soon)
+func testContext(t *testing.T) context.Context {
+	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	t.Cleanup(cancel)
 	return ctx
 }
 
 func TestAnAskIsAnswered(t *testing.T) {
-	d, address, _ := desk(t, Keys{keyA, keyB}, echo)
-	_, err := SendControlRequest(within(t), address, Keys{keyB}, &fleet.Request{Kind: "apply", ID: "x", BaseVersion: 3, Policy: []byte("teams: {}")})
+	d, address, _ := startControlServer(t, Keys{keyA, keyB}, echo)
+	_, err := SendControlRequest(testContext(t), address, Keys{keyB}, &fleet.Request{Kind: "apply", ID: "x", BaseVersion: 3, Policy: []byte("teams: {}")})
 	var refused *UnauthenticatedError
 	if !errors.As(err, &refused) {
 		t.Errorf("an answer by a key that isn't there was taken: %v", err)
 	}
-	r, err := SendControlRequest(within(t), address, Keys{keyB, keyA}, &fleet.Request{Kind: "apply", ID: "x", BaseVersion: 3, Policy: []byte("teams: {}")})
+	r, err := SendControlRequest(testContext(t), address, Keys{keyB, keyA}, &fleet.Request{Kind: "apply", ID: "x", BaseVersion: 3, Policy: []byte("teams: {}")})
 	if err != nil || r.ID != "x" || r.Version != 4 || r.Reason != "teams: {}" {
 		t.Fatal(r, err)
 	}
-	r, err = SendControlRequest(within(t), address, Keys{keyA}, &fleet.Request{Kind: "fail", ID: "y"})
+	r, err = SendControlRequest(testContext(t), address, Keys{keyA}, &fleet.Request{Kind: "fail", ID: "y"})
 	if err != nil || r.Outcome != "unknown" || r.ID != "y" || r.Remedy == "" {
 		t.Error(r, err)
 	}
@@ -68,22 +68,22 @@
 }
 
 func TestUnauthenticatedRequestIsRejected(t *testing.T) {
-	_, address, refused := desk(t, Keys{keyA}, func(context.Context, *fleet.Request) (*fleet.Response, error) {
+	_, address, refused := startControlServer(t, Keys{keyA}, func(context.Context, *fleet.Request) (*fleet.Response, error) {
 		t.Error("it was asked")
 		return &fleet.Response{}, nil
 	})
-	_, err := SendControlRequest(within(t), address, Keys{keyB}, &fleet.Request{Kind: "purge"})
+	_, err := SendControlRequest(testContext(t), address, Keys{keyB}, &fleet.Request{Kind: "purge"})
 	var stranger *UnauthenticatedError
 	if !errors.As(err, &stranger) {
 		t.Fatalf("the client didn't see that it isn't its fleet: %v", err)
 	}
-	r, _ := http.NewRequest(http.MethodPost, "http://"+address+pathAsk, strings.NewReader("{}"))
-	r.Header.Set(headerNonce, nonce())
+	r, _ := http.NewRequest(http.MethodPost, "http://"+address+pathRequest, strings.NewReader("{}"))
+	r.Header.Set(headerNonce, newNonce())
 	r.Header.Set(headerBoot, "1")
 	if a := roundTrip(t, r); a.StatusCode != http.StatusForbidden {
 		t.Error(a.Status)
 	}
-	refusal[*UnauthenticatedError](t, refused)
+	expectRejection[*UnauthenticatedError](t, refused)
 }
 
 func roundTrip(t *testing.T, r *http.Request) *http.Response {
@@ -99,24 +99,24 @@
 }
 
 func TestARecordedAskCountsOnce(t *testing.T) {
-	d, address, refused := desk(t, Keys{keyA}, echo)
-	q := &signedRequest{Nonce: nonce(), Challenge: d.nonces.challenge, Body: []byte(`{"kind":"purge"}`)}
+	d, address, refused := startControlServer(t, Keys{keyA}, echo)
+	q := &signedMessage{Nonce: newNonce(), Challenge: d.nonces.challenge, Body: []byte(`{"kind":"purge"}`)}
 	send := func() int {
-		r, _ := http.NewRequest(http.MethodPost, "http://"+address+pathAsk, bytes.NewReader(q.Body))
+		r, _ := http.NewRequest(http.MethodPost, "http://"+address+pathRequest, bytes.NewReader(q.Body))
 		r.Header.Set(headerNonce, q.Nonce)
 		r.Header.Set(headerBoot, strconv.FormatUint(q.Challenge, 16))
-		r.Header.Set(headerMAC, hex.EncodeToString(Keys{keyA}.sign(forAsk, encode(q))))
+		r.Header.Set(headerMAC, hex.EncodeToString(Keys{keyA}.sign(purposeRequest, encode(q))))
 		return roundTrip(t, r).StatusCode
 	}
 	if first, again := send(), send(); first != http.StatusOK || again != http.StatusForbidden {
 		t.Error(first, again)
 	}
-	refusal[*ReplayError](t, refused)
+	expectRejection[*ReplayError](t, refused)
 	q.Challenge++ // as after a restart
 	if status := send(); status != http.StatusConflict {
 		t.Error(status)
 	}
-	q.Challenge, q.Nonce, q.Body = d.nonces.challenge, nonce(), []byte("{")
+	q.Challenge, q.Nonce, q.Body = d.nonces.challenge, newNonce(), []byte("{")
 	if status := send(); status != http.StatusBadRequest {
 		t.Error(status)
 	}
@@ -145,14 +145,14 @@
 func TestAControllerThatCantBeReached(t *testing.T) {
 	l := listen(t, "127.0.0.1:0")
 	l.Close()
-	_, err := SendControlRequest(within(t), l.Addr().String(), Keys{keyA}, &fleet.Request{})
+	_, err := SendControlRequest(testContext(t), l.Addr().String(), Keys{keyA}, &fleet.Request{})
 	var gone *UnreachableError
 	if !errors.As(err, &gone) || gone.Sent || gone.Remedy() == "" {
 		t.Errorf("%T %v", err, err)
 	}
 	other := httptest.NewServer(http.NotFoundHandler())
 	defer other.Close()
-	_, err = SendControlRequest(within(t), other.Listener.Addr().(*net.TCPAddr).String(), Keys{keyA}, &fleet.Request{})
+	_, err = SendControlRequest(testContext(t), other.Listener.Addr().(*net.TCPAddr).String(), Keys{keyA}, &fleet.Request{})
 	var away *PeerRejectedError
 	if !errors.As(err, &away) || away.Status != http.StatusNotFound {
 		t.Errorf("%T %v", err, err)
@@ -161,7 +161,7 @@
 
 func TestWhoAskedAndIsGoneIsNotWaitedFor(t *testing.T) {
 	began, ended := make(chan struct{}), make(chan struct{})
-	_, address, _ := desk(t, Keys{keyA}, func(ctx context.Context, _ *fleet.Request) (*fleet.Response, error) {
+	_, address, _ := startControlServer(t, Keys{keyA}, func(ctx context.Context, _ *fleet.Request) (*fleet.Response, error) {
 		close(began)
 		<-ctx.Done()
 		close(ended)
@@ -176,7 +176,7 @@
 	}
 	select {
 	case <-ended:
-	case <-time.After(soon):
+	case <-time.After(testTimeout):
 		t.Error("it is still being asked")
 	}
 }
--- a/internal/fleet/transport/counters.go
+++ b/internal/fleet/transport/counters.go
@@ -11,37 +11,37 @@
 // counters counts what was done and what was rejected, and logs each reason once a minute
 // for each peer. PeerTransport and ControlServer have one each.
 type counters struct {
-	started   time.Time
-	onRefused func(fleet.ErrorWithRemedy, string) // nil: nothing is said
-	countMu   sync.Mutex
-	counts    map[string]int
-	logged    logLimiter
+	started    time.Time
+	onRejected func(fleet.ErrorWithRemedy, string) // nil: nothing is said
+	countMu    sync.Mutex
+	counts     map[string]int
+	limiter    logLimiter
 }
 
-func (t *counters) init(onRefused func(fleet.ErrorWithRemedy, string)) {
-	t.started, t.onRefused, t.counts, t.logged = time.Now(), onRefused, map[string]int{}, logLimiter{}
+func (c *counters) init(onRejected func(fleet.ErrorWithRemedy, string)) {
+	c.started, c.onRejected, c.counts, c.limiter = time.Now(), onRejected, map[string]int{}, logLimiter{}
 }
 
-func (t *counters) snapshot() map[string]int {
-	t.countMu.Lock()
-	defer t.countMu.Unlock()
-	return maps.Clone(t.counts)
+func (c *counters) snapshot() map[string]int {
+	c.countMu.Lock()
+	defer c.countMu.Unlock()
+	return maps.Clone(c.counts)
 }
 
-func (t *counters) count(name string, n int) {
-	t.countMu.Lock()
-	t.counts[name] += n
-	t.countMu.Unlock()
+func (c *counters) count(name string, n int) {
+	c.countMu.Lock()
+	c.counts[name] += n
+	c.countMu.Unlock()
 }
 
 // refuse counts a rejection, and logs it if its peer and reason weren't logged lately.
-func (t *counters) refuse(err RejectionError, from string) {
-	t.countMu.Lock()
-	t.counts["refused_"+err.Reason()]++
-	say := t.logged.allow(from, err.Reason(), time.Since(t.started))
-	t.countMu.Unlock()
-	if say && t.onRefused != nil {
-		t.onRefused(err, from)
+func (c *counters) reject(err RejectionError, from string) {
+	c.countMu.Lock()
+	c.counts["refused_"+err.Reason()]++
+	shouldLog := c.limiter.allow(from, err.Reason(), time.Since(c.started))
+	c.countMu.Unlock()
+	if shouldLog && c.onRejected != nil {
+		c.onRejected(err, from)
 	}
 }
 
@@ -55,21 +55,21 @@
 // logLimiter keeps the log short: when each peer and reason was last logged.
 type logLimiter map[logKey]time.Duration
 
-func (s logLimiter) allow(peer, reason string, now time.Duration) bool {
+func (l logLimiter) allow(peer, reason string, now time.Duration) bool {
 	k := logKey{peer, reason}
-	if last, ok := s[k]; ok && now-last < logInterval {
+	if last, ok := l[k]; ok && now-last < logInterval {
 		return false
 	}
-	if len(s) >= maxLogKeys {
-		for k, last := range s {
+	if len(l) >= maxLogKeys {
+		for k, last := range l {
 			if now-last >= logInterval {
-				delete(s, k)
+				delete(l, k)
 			}
 		}
-		if len(s) >= maxLogKeys {
+		if len(l) >= maxLogKeys {
 			return false
 		}
 	}
-	s[k] = now
+	l[k] = now
 	return true
 }
--- a/internal/fleet/transport/encoding_keys_test.go
+++ b/internal/fleet/transport/encoding_keys_test.go
@@ -9,6 +9,6 @@
 )
 
 func TestKeysAreExplicit(t *testing.T) {
-	goldentest.ExplicitKeys(t, goldentest.CBOR, frame{}, answer{}, signedRequest{}, node.Message{})
+	goldentest.ExplicitKeys(t, goldentest.CBOR, frame{}, frameResponse{}, signedMessage{}, node.Message{})
 	goldentest.ExplicitKeys(t, goldentest.JSON, fleet.Request{}, fleet.Response{})
 }
--- a/internal/fleet/transport/faults_test.go
+++ b/internal/fleet/transport/faults_test.go
@@ -11,47 +11,47 @@
 	"railrelay.dev/railrelay/internal/fleet/node"
 )
 
-func between(t *testing.T, o Options) (a, b *end, l *faultproxy.Link) {
+func newFaultyPair(t *testing.T, o Options) (a, b *testPeer, link *faultproxy.Link) {
 	t.Helper()
-	a, b = pair(t, o, Options{Timeout: o.Timeout})
-	l, err := faultproxy.New(b.address)
+	a, b = newPeerPair(t, o, Options{Timeout: o.Timeout})
+	link, err := faultproxy.New(b.address)
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { l.Close() })
-	return a, b, l
+	t.Cleanup(func() { link.Close() })
+	return a, b, link
 }
 
 func TestADuplicateConnectionIsAReplay(t *testing.T) {
-	a, b, l := between(t, Options{})
+	a, b, l := newFaultyPair(t, Options{})
 	l.Set(faultproxy.Fault{Kind: faultproxy.Double})
 	for i := range 5 {
 		a.Send("b", l.Address(), &node.Message{Consensus: []byte(fmt.Sprint(i))})
-		b.hears(t, "a", fmt.Sprint(i))
-		a.until(t, "sent", i+1)
+		b.expectMessage(t, "a", fmt.Sprint(i))
+		a.waitForCount(t, "sent", i+1)
 	}
-	refusal[*ReplayError](t, b.refused)
-	b.until(t, "refused_replay", 5)
+	expectRejection[*ReplayError](t, b.rejections)
+	b.waitForCount(t, "refused_replay", 5)
 	if c := b.Counts(); c["got"] != 5 || l.Struck()["double"] < 5 {
 		t.Error(c, l.Struck())
 	}
 }
 
 func TestAFrameThatStallsIsCutAndTheNextPasses(t *testing.T) {
-	a, b, l := between(t, Options{Timeout: 50 * time.Millisecond})
+	a, b, l := newFaultyPair(t, Options{Timeout: 50 * time.Millisecond})
 	l.Set(faultproxy.Fault{Kind: faultproxy.Stall, Way: faultproxy.There, After: 2000}) // a hello passes
 	a.Send("b", l.Address(), &node.Message{Consensus: make([]byte, 5000)})
-	a.until(t, "lost", 1)
-	b.until(t, "cut", 1)
+	a.waitForCount(t, "lost", 1)
+	b.waitForCount(t, "cut", 1)
 	l.Set(faultproxy.Fault{Kind: faultproxy.Reset})
 	a.Send("b", l.Address(), &node.Message{Consensus: []byte("after")})
-	b.hears(t, "a", "after")
+	b.expectMessage(t, "a", "after")
 }
 
 // Whatever a link does, nothing comes that wasn't sent, nothing is refused but replays,
 // and once it has healed messages pass.
 func TestFaultsByChance(t *testing.T) {
-	a, b, l := between(t, Options{Timeout: 50 * time.Millisecond})
+	a, b, l := newFaultyPair(t, Options{Timeout: 50 * time.Millisecond})
 	r := rand.New(rand.NewPCG(32, 1))
 	sent := map[string]bool{}
 	say := func(text string) {
@@ -64,17 +64,17 @@
 		for j := range 10 {
 			say(fmt.Sprintf("%d.%d", i, j))
 		}
-		a.until(t, "bytes_out", before+1)
+		a.waitForCount(t, "bytes_out", before+1)
 	}
 	l.Set(faultproxy.Fault{})
 	say("healed")
 	for last := ""; last != "healed"; {
 		select {
-		case m := <-b.got:
+		case m := <-b.received:
 			if last = string(m.Consensus); !sent[last] {
 				t.Fatalf("%q was never sent", last)
 			}
-		case <-time.After(soon):
+		case <-time.After(testTimeout):
 			t.Fatal(a.Counts(), b.Counts(), l.Struck())
 		}
 	}
@@ -97,7 +97,7 @@
 		}
 		return Options{Listener: l, LocalIP: net.ParseIP(m.Source(name)), Timeout: 50 * time.Millisecond}
 	}
-	a, b := pair(t, o("a"), o("b"))
+	a, b := newPeerPair(t, o("a"), o("b"))
 	t.Cleanup(m.Close)
 	m.Target("a", a.address)
 	m.Target("b", b.address)
@@ -112,15 +112,15 @@
 	m.Set("a", "b", faultproxy.Fault{Kind: faultproxy.Cut, Silent: true})
 	a.Send("b", toB, &node.Message{Consensus: []byte("held up")})
 	b.Send("a", toA, &node.Message{Consensus: []byte("other way")})
-	a.hears(t, "b", "other way")
-	a.until(t, "failed", 1)
+	a.expectMessage(t, "b", "other way")
+	a.waitForCount(t, "failed", 1)
 	m.Heal()
 	a.Send("b", toB, &node.Message{Consensus: []byte("now")})
 	for text := ""; text != "now"; {
 		select {
-		case m := <-b.got:
+		case m := <-b.received:
 			text = string(m.Consensus)
-		case <-time.After(soon):
+		case <-time.After(testTimeout):
 			t.Fatal(a.Counts())
 		}
 	}
--- a/internal/fleet/transport/frame.go
+++ b/internal/fleet/transport/frame.go
@@ -20,13 +20,13 @@
 	MaxFrameBytes = 64 << 20
 	// windowSize is how far behind the newest number of a sender's run another one may
 	// be and still be told from a replay.
-	windowSize = 1024
+	replayWindowSize = 1024
 	// runsAtMost is how many runs of one sender have a window here. Of older ones only
 	// the number is kept: nothing of them is taken any more.
-	runsAtMost = 16
+	maxIncarnations = 16
 
-	forFrame  = "fleet frame 1"
-	forAnswer = "fleet answer 1"
+	purposeFrame         = "fleet frame 1"
+	purposeFrameResponse = "fleet answer 1"
 )
 
 // frame is what one POST carries: its MAC stands beside it, over these very bytes, and
@@ -44,7 +44,7 @@
 // answer is what the MAC of an answer is over. The sender of the frame knows all of it
 // but Boot. Frame is the frame's MAC: an answer to any other frame, older ones
 // included, doesn't fit.
-type answer struct {
+type frameResponse struct {
 	Fleet       string `cbor:"1,keyasint"`
 	From        string `cbor:"2,keyasint"`
 	Status      int    `cbor:"3,keyasint"`
@@ -53,9 +53,9 @@
 	Frame       []byte `cbor:"6,keyasint"`
 }
 
-var encoding, decoding = modes()
+var encMode, decMode = newCBORModes()
 
-func modes() (cbor.EncMode, cbor.DecMode) {
+func newCBORModes() (cbor.EncMode, cbor.DecMode) {
 	e, err := cbor.CoreDetEncOptions().EncMode()
 	if err != nil {
 		panic(err) // the options are constants
@@ -74,7 +74,7 @@
 }
 
 func encode(v any) []byte {
-	b, err := encoding.Marshal(v)
+	b, err := encMode.Marshal(v)
 	if err != nil {
 		panic(err) // plain structs of this package: they always can be
 	}
@@ -83,11 +83,11 @@
 
 // authenticate checks the MAC and reads the frame; it needs no state.
 func authenticate(keys Keys, body, sum []byte, remote string) (*frame, RejectionError) {
-	if !keys.verify(forFrame, body, sum) {
+	if !keys.verify(purposeFrame, body, sum) {
 		return nil, &UnauthenticatedError{remote, "a frame"}
 	}
 	f := &frame{}
-	if err := decoding.Unmarshal(body, f); err != nil {
+	if err := decMode.Unmarshal(body, f); err != nil {
 		return nil, &MalformedError{remote, err}
 	}
 	if f.From == "" || f.SenderIncarnation == 0 {
@@ -97,16 +97,16 @@
 }
 
 // messages reads what a frame carries: all of it or nothing.
-func (f *frame) messages() ([]*node.Message, RejectionError) {
-	ms := make([]*node.Message, len(f.Messages))
+func (f *frame) decodeMessages() ([]*node.Message, RejectionError) {
+	messages := make([]*node.Message, len(f.Messages))
 	for i, raw := range f.Messages {
-		ms[i] = &node.Message{}
-		if err := decoding.Unmarshal(raw, ms[i]); err != nil {
+		messages[i] = &node.Message{}
+		if err := decMode.Unmarshal(raw, messages[i]); err != nil {
 			return nil, &MalformedError{f.From, err}
 		}
-		if ms[i].From != f.From || ms[i].To != f.To {
+		if messages[i].From != f.From || messages[i].To != f.To {
 			return nil, &MalformedError{f.From, errors.New("a message by or for another than its frame")}
 		}
 	}
-	return ms, nil
+	return messages, nil
 }
--- a/internal/fleet/transport/frame_test.go
+++ b/internal/fleet/transport/frame_test.go
@@ -26,7 +26,7 @@
 				from = top - 1500
 			}
 			seq := rapid.Uint64Range(from, top+1300).Draw(t, "seq")
-			want := !taken[seq] && seq+windowSize > top
+			want := !taken[seq] && seq+replayWindowSize > top
 			if got := w.accept(seq); got != want {
 				t.Fatalf("take(%d) with newest %d: %v, want %v", seq, top, got, want)
 			}
@@ -47,13 +47,13 @@
 func TestAnEarlierRunStaysShutOutOnceForgotten(t *testing.T) {
 	g := newReplayGuard("north", "a", 5)
 	f := frame{Fleet: "north", From: "b", To: "a", ReceiverIncarnation: 5, Seq: 1}
-	for boot := uint64(1); boot <= runsAtMost+1; boot++ {
+	for boot := uint64(1); boot <= maxIncarnations+1; boot++ {
 		f.SenderIncarnation = boot
 		if err := g.accept(&f); err != nil {
 			t.Fatal(boot, err)
 		}
 	}
-	for boot := uint64(1); boot <= runsAtMost+1; boot++ {
+	for boot := uint64(1); boot <= maxIncarnations+1; boot++ {
 		f.SenderIncarnation = boot
 		if err := g.accept(&f); err == nil || err.Reason() != "replay" {
 			t.Errorf("the frame of run %d was taken twice: %v", boot, err)
@@ -72,12 +72,12 @@
 func TestMACIsBoundToPurposeAndBody(t *testing.T) {
 	keys := Keys{keyA, keyB}
 	body := []byte("hello")
-	sum := keys.sign(forFrame, body)
-	if !(Keys{keyB, keyA}).verify(forFrame, body, sum) {
+	sum := keys.sign(purposeFrame, body)
+	if !(Keys{keyB, keyA}).verify(purposeFrame, body, sum) {
 		t.Error("the second key isn't accepted")
 	}
-	if keys.verify(forAnswer, body, sum) || keys.verify(forFrame, []byte("hellp"), sum) ||
-		keys.verify(forFrame, body, nil) || (Keys{keyB}).verify(forFrame, body, sum) {
+	if keys.verify(purposeFrameResponse, body, sum) || keys.verify(purposeFrame, []byte("hellp"), sum) ||
+		keys.verify(purposeFrame, body, nil) || (Keys{keyB}).verify(purposeFrame, body, sum) {
 		t.Error("a wrong MAC was accepted")
 	}
 }
--- a/internal/fleet/transport/golden_test.go
+++ b/internal/fleet/transport/golden_test.go
@@ -10,7 +10,7 @@
 )
 
 // cut separates a golden file's bytes from the MAC that stands behind them.
-func cut(t *testing.T, text []byte) (body, sum []byte) {
+func splitMAC(t *testing.T, text []byte) (body, sum []byte) {
 	t.Helper()
 	const macBytes = 32
 	if len(text) <= macBytes {
@@ -25,7 +25,7 @@
 		values = append(values, message, goldenFrame(message))
 		t.Run(kind, func(t *testing.T) {
 			name := "frame_" + kind
-			body, sum := cut(t, goldentest.File(t, name))
+			body, sum := splitMAC(t, goldentest.File(t, name))
 			got, refused := authenticate(goldenKeys, body, sum, "test")
 			if refused != nil {
 				t.Fatal(refused)
@@ -34,7 +34,7 @@
 			if diff := cmp.Diff(want, got); diff != "" {
 				t.Errorf("the frame (-want +got):\n%s", diff)
 			}
-			messages, refused := got.messages()
+			messages, refused := got.decodeMessages()
 			if refused != nil {
 				t.Fatal(refused)
 			}
@@ -42,7 +42,7 @@
 				t.Errorf("its messages (-want +got):\n%s", diff)
 			}
 			again := encode(want)
-			goldentest.Same(t, name, append(again, goldenKeys.sign(forFrame, again)...))
+			goldentest.Same(t, name, append(again, goldenKeys.sign(purposeFrame, again)...))
 		})
 	}
 	goldentest.EveryFieldSet(t, goldentest.CBOR, values...)
@@ -53,15 +53,15 @@
 		name, purpose string
 		want, got     any
 	}{
-		{"answer", forAnswer, &goldenAnswer, &answer{}},
-		{"asked", forAsk, &goldenAsked, &signedRequest{}},
-		{"replied", forReply, &goldenAsked, &signedRequest{}},
+		{"answer", purposeFrameResponse, &goldenAnswer, &frameResponse{}},
+		{"asked", purposeRequest, &goldenAsked, &signedMessage{}},
+		{"replied", purposeResponse, &goldenAsked, &signedMessage{}},
 	} {
-		body, sum := cut(t, goldentest.File(t, c.name))
+		body, sum := splitMAC(t, goldentest.File(t, c.name))
 		if !goldenKeys.verify(c.purpose, body, sum) {
 			t.Errorf("%s: its MAC doesn't fit", c.name)
 		}
-		if err := decoding.Unmarshal(body, c.got); err != nil {
+		if err := decMode.Unmarshal(body, c.got); err != nil {
 			t.Fatal(err)
 		}
 		if diff := cmp.Diff(c.want, c.got); diff != "" {
--- a/internal/fleet/transport/keys.go
+++ b/internal/fleet/transport/keys.go
@@ -16,8 +16,8 @@
 type Keys [][]byte
 
 const (
-	keyAtLeast = 32 // bytes
-	keysAtMost = 2
+	minKeyBytes = 32 // bytes
+	maxKeys     = 2
 )
 
 // ReadKeys reads a key file: one key a line in hex or base64, # begins a comment. What
@@ -29,19 +29,19 @@
 		return nil, &KeyFileError{Path: path, Reason: err.Error()}
 	}
 	defer f.Close()
-	about, err := f.Stat() // of what is read, not of what may be at the path by then
+	info, err := f.Stat() // of what is read, not of what may be at the path by then
 	if err != nil {
 		return nil, &KeyFileError{Path: path, Reason: err.Error()}
 	}
 	switch {
-	case !about.Mode().IsRegular():
+	case !info.Mode().IsRegular():
 		return nil, &KeyFileError{Path: path, Reason: "it is no regular file"}
-	case about.Mode().Perm()&0o077 != 0:
-		return nil, &KeyFileError{Path: path, Reason: fmt.Sprintf("its rights are %#o, others can get at it", about.Mode().Perm())}
-	case about.Size() > 1<<16:
+	case info.Mode().Perm()&0o077 != 0:
+		return nil, &KeyFileError{Path: path, Reason: fmt.Sprintf("its rights are %#o, others can get at it", info.Mode().Perm())}
+	case info.Size() > 1<<16:
 		return nil, &KeyFileError{Path: path, Reason: "it is over 64 KiB"}
 	}
-	text := make([]byte, about.Size())
+	text := make([]byte, info.Size())
 	n, err := f.Read(text)
 	if err != nil && n < len(text) {
 		return nil, &KeyFileError{Path: path, Reason: err.Error()}
@@ -59,9 +59,9 @@
 		switch {
 		case err != nil:
 			return nil, &KeyFileError{path, i + 1, "neither hex nor base64"}
-		case len(key) < keyAtLeast:
-			return nil, &KeyFileError{path, i + 1, fmt.Sprintf("%d bytes, %d at least are needed", len(key), keyAtLeast)}
-		case len(keys) == keysAtMost:
+		case len(key) < minKeyBytes:
+			return nil, &KeyFileError{path, i + 1, fmt.Sprintf("%d bytes, %d at least are needed", len(key), minKeyBytes)}
+		case len(keys) == maxKeys:
 			return nil, &KeyFileError{path, i + 1, "a third key"}
 		}
 		keys = append(keys, key)
@@ -75,7 +75,7 @@
 // good says whether keys that didn't come from a file can be used.
 func (k Keys) validate() error {
 	for _, key := range k {
-		if len(key) < keyAtLeast {
+		if len(key) < minKeyBytes {
 			return &KeyFileError{Reason: "a key that is too short"}
 		}
 	}
@@ -87,21 +87,21 @@
 
 // sign gives the MAC by the first key. What keeps a MAC made for one purpose from
 // counting for another; it has no byte 0, so that it and the bytes can't be cut elsewhere.
-func (k Keys) sign(what string, body []byte) []byte { return mac(k[0], what, body) }
+func (k Keys) sign(purpose string, body []byte) []byte { return mac(k[0], purpose, body) }
 
-func mac(key []byte, what string, body []byte) []byte {
+func mac(key []byte, purpose string, body []byte) []byte {
 	h := hmac.New(sha256.New, key)
-	h.Write([]byte("railrelay " + what + "\x00"))
+	h.Write([]byte("railrelay " + purpose + "\x00"))
 	h.Write(body)
 	return h.Sum(nil)
 }
 
 // verify reports whether sum is the MAC of body for this purpose by any of the keys. It
 // takes the same time whichever key fits: all of them are compared, each in constant time.
-func (k Keys) verify(what string, body, sum []byte) bool {
+func (k Keys) verify(purpose string, body, sum []byte) bool {
 	ok := false
 	for _, key := range k {
-		ok = hmac.Equal(mac(key, what, body), sum) || ok
+		ok = hmac.Equal(mac(key, purpose, body), sum) || ok
 	}
 	return ok
 }
--- a/internal/fleet/transport/peer_transport.go
+++ b/internal/fleet/transport/peer_transport.go
@@ -27,15 +27,15 @@
 )
 
 const (
-	maxQueuedMessages = 256     // messages that wait for a peer
-	maxBatchBytes     = 4 << 20 // in one POST, unless one message alone is more
-	minBackoff        = 10 * time.Millisecond
-	maxBackoff        = 500 * time.Millisecond
-	minBytesPerSecond = 1 << 20   // bytes a second: a frame's time-out grows by its length over this
-	maxBytesBeingRead = 256 << 20 // of all frames that are being read, each counted as long as it says it is
-	maxAttempts       = 2         // of a message that may have reached its peer
-
-	pathFleet  = "/fleet"
+	maxQueuedMessages      = 256     // messages that wait for a peer
+	maxBatchBytes          = 4 << 20 // in one POST, unless one message alone is more
+	minBackoff             = 10 * time.Millisecond
+	maxBackoff             = 500 * time.Millisecond
+	minBytesPerSecond      = 1 << 20   // bytes a second: a frame's time-out grows by its length over this
+	maxFrameBytesBeingRead = 256 << 20 // of all frames that are being read, each counted as long as it says it is
+	maxAttempts            = 2         // of a message that may have reached its peer
+
+	pathFrame  = "/fleet"
 	headerMAC  = "Fleet-Mac"
 	headerBoot = "Fleet-Boot"
 )
@@ -127,11 +127,11 @@
 	if o.IdleTimeout <= 0 {
 		o.IdleTimeout = 30 * time.Second
 	}
-	w := &PeerTransport{options: o, peers: map[string]*peer{}, replayGuard: newReplayGuard(o.Fleet, o.Self, o.Incarnation),
-		readBudget: semaphore.NewWeighted(maxBytesBeingRead)}
-	w.init(o.OnRejected)
-	w.keys.Store(&o.Keys)
-	w.ctx, w.cancel = context.WithCancel(context.Background())
+	t := &PeerTransport{options: o, peers: map[string]*peer{}, replayGuard: newReplayGuard(o.Fleet, o.Self, o.Incarnation),
+		readBudget: semaphore.NewWeighted(maxFrameBytesBeingRead)}
+	t.init(o.OnRejected)
+	t.keys.Store(&o.Keys)
+	t.ctx, t.cancel = context.WithCancel(context.Background())
 	dialer := &net.Dialer{Timeout: o.Timeout}
 	if o.LocalIP != nil {
 		dialer.LocalAddr = &net.TCPAddr{IP: o.LocalIP}
@@ -140,53 +140,53 @@
 	if o.Dial != nil {
 		dial = o.Dial
 	}
-	w.transport = &http.Transport{
+	t.transport = &http.Transport{
 		DialContext: func(ctx context.Context, network, address string) (net.Conn, error) {
 			ctx, cancel := context.WithCancel(ctx)
 			defer cancel()
-			defer context.AfterFunc(w.ctx, cancel)()
+			defer context.AfterFunc(t.ctx, cancel)()
 			c, err := dial(ctx, network, address)
 			if err != nil {
 				return nil, err
 			}
-			return w.meter.conn(c), nil
+			return t.meter.conn(c), nil
 		},
 		MaxIdleConnsPerHost: 1,
 		IdleConnTimeout:     o.IdleTimeout,
 		DisableCompression:  true,
 	}
 	mux := http.NewServeMux()
-	mux.HandleFunc("POST "+pathFleet, w.serveFrame)
-	w.server = &http.Server{Handler: mux, ReadHeaderTimeout: 5 * o.Timeout, IdleTimeout: 2 * o.IdleTimeout,
-		MaxHeaderBytes: 8 << 10, ErrorLog: discardLog, ConnState: countConnections(&w.inbound)}
-	w.serving.Go(func() { w.server.Serve(w.meter.listener(o.Listener)) })
-	return w, nil
+	mux.HandleFunc("POST "+pathFrame, t.serveFrame)
+	t.server = &http.Server{Handler: mux, ReadHeaderTimeout: 5 * o.Timeout, IdleTimeout: 2 * o.IdleTimeout,
+		MaxHeaderBytes: 8 << 10, ErrorLog: discardLog, ConnState: countConnections(&t.inbound)}
+	t.serving.Go(func() { t.server.Serve(t.meter.listener(o.Listener)) })
+	return t, nil
 }
 
 // Boot is this run's number.
-func (w *PeerTransport) Incarnation() uint64 { return w.options.Incarnation }
+func (t *PeerTransport) Incarnation() uint64 { return t.options.Incarnation }
 
 // SetKeys takes other keys from now on, for all that is sent and comes in.
-func (w *PeerTransport) SetKeys(keys Keys) error {
+func (t *PeerTransport) SetKeys(keys Keys) error {
 	if err := keys.validate(); err != nil {
 		return err
 	}
-	w.keys.Store(&keys)
+	t.keys.Store(&keys)
 	return nil
 }
 
 // Close ends all of it and waits for its goroutines. What waits is not sent any more.
-func (w *PeerTransport) Close() error {
-	w.mu.Lock()
-	w.closed = true
-	w.mu.Unlock()
-	w.cancel()
-	err := w.options.Listener.Close()
-	w.serving.Wait() // first, so that no connection begins that the server's Close doesn't see
-	w.server.Close()
-	w.inbound.Wait()
-	w.outbound.Wait()
-	w.transport.CloseIdleConnections()
+func (t *PeerTransport) Close() error {
+	t.mu.Lock()
+	t.closed = true
+	t.mu.Unlock()
+	t.cancel()
+	err := t.options.Listener.Close()
+	t.serving.Wait() // first, so that no connection begins that the server's Close doesn't see
+	t.server.Close()
+	t.inbound.Wait()
+	t.outbound.Wait()
+	t.transport.CloseIdleConnections()
 	return err
 }
 
@@ -195,47 +195,47 @@
 // bytes_out and bytes_in of frames, conn_bytes_out and conn_bytes_in of connections with
 // all that HTTP adds, cut (frames that ended too early), failed (POSTs without an
 // answer), and refused_REASON.
-func (w *PeerTransport) Counts() map[string]int {
-	counts := w.counters.snapshot()
-	counts["conn_bytes_out"], counts["conn_bytes_in"] = int(w.meter.sent.Load()), int(w.meter.received.Load())
+func (t *PeerTransport) Counts() map[string]int {
+	counts := t.counters.snapshot()
+	counts["conn_bytes_out"], counts["conn_bytes_in"] = int(t.meter.sent.Load()), int(t.meter.received.Load())
 	return counts
 }
 
 // Send puts a message into the ring of a peer and returns at once. If the ring is full
 // its oldest message goes. The message must not be changed until Send returns; it is
 // sent as from this controller and for that one, whatever it says.
-func (w *PeerTransport) Send(to, address string, m *node.Message) {
+func (t *PeerTransport) Send(to, address string, m *node.Message) {
 	c := *m
-	c.From, c.To = w.options.Self, to
-	body, err := encoding.Marshal(&c)
+	c.From, c.To = t.options.Self, to
+	body, err := encMode.Marshal(&c)
 	if err != nil {
-		w.refuse(&MalformedError{w.options.Self, err}, to)
+		t.reject(&MalformedError{t.options.Self, err}, to)
 		return
 	}
 	if len(body) > MaxFrameBytes-1<<10 { // what a frame has beside its messages is under that
-		w.refuse(&TooLargeError{to, int64(len(body)), MaxFrameBytes}, to)
+		t.reject(&TooLargeError{to, int64(len(body)), MaxFrameBytes}, to)
 		return
 	}
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	if w.closed {
-		w.count("dropped", 1)
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	if t.closed {
+		t.count("dropped", 1)
 		return
 	}
-	p := w.peers[to]
+	p := t.peers[to]
 	if p == nil {
-		p = &peer{name: to, wake: make(chan struct{}, 1), rand: rand.New(rand.NewPCG(w.options.Seed, xxhash.Sum64String(to)))}
-		w.peers[to] = p
+		p = &peer{name: to, wake: make(chan struct{}, 1), rand: rand.New(rand.NewPCG(t.options.Seed, xxhash.Sum64String(to)))}
+		t.peers[to] = p
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.address = address
 	p.queue = append(p.queue, queuedMessage{body: body})
 	p.queuedBytes += len(body)
-	w.count("dropped", p.dropOldest())
+	t.count("dropped", p.dropOldest())
 	if !p.running {
 		p.running = true
-		w.outbound.Go(func() { w.sendLoop(p) })
+		t.outbound.Go(func() { t.sendLoop(p) })
 		return
 	}
 	select {
@@ -245,14 +245,14 @@
 }
 
 // dropOldest keeps the queue within its bounds and tells how many messages were dropped.
-func (p *peer) dropOldest() (gone int) {
+func (p *peer) dropOldest() (dropped int) {
 	for len(p.queue) > maxQueuedMessages || p.queuedBytes > MaxFrameBytes {
 		p.queuedBytes -= len(p.queue[0].body)
 		p.queue[0] = queuedMessage{}
 		p.queue = p.queue[1:]
-		gone++
+		dropped++
 	}
-	return gone
+	return dropped
 }
 
 // nextBatch takes what goes into the next POST.
@@ -271,74 +271,74 @@
 
 // requeue puts a batch back before all that came since, and tells what was given up: lost
 // are messages that have had their attempts, dropped are those without room.
-func (p *peer) requeue(batch []queuedMessage, tried bool) (lost, dropped int) {
+func (p *peer) requeue(batch []queuedMessage, mayHaveArrived bool) (lost, dropped int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	var back []queuedMessage
-	for _, i := range batch {
-		if tried {
-			i.attempts++
+	var retried []queuedMessage
+	for _, message := range batch {
+		if mayHaveArrived {
+			message.attempts++
 		}
-		if i.attempts < maxAttempts {
-			back = append(back, i)
-			p.queuedBytes += len(i.body)
+		if message.attempts < maxAttempts {
+			retried = append(retried, message)
+			p.queuedBytes += len(message.body)
 		}
 	}
-	p.queue = append(back, p.queue...)
-	return len(batch) - len(back), p.dropOldest()
+	p.queue = append(retried, p.queue...)
+	return len(batch) - len(retried), p.dropOldest()
 }
 
 // sendLoop is a peer's goroutine: it ends when there was nothing to send, or no answer, for
 // as long as Options.Idle.
-func (w *PeerTransport) sendLoop(p *peer) {
-	timer := time.NewTimer(w.options.IdleTimeout)
+func (t *PeerTransport) sendLoop(p *peer) {
+	timer := time.NewTimer(t.options.IdleTimeout)
 	defer timer.Stop()
-	good := time.Now() // the last time all was well
+	lastSuccess := time.Now() // the last time all was well
 	for {
 		batch, address := p.nextBatch()
 		if len(batch) == 0 {
-			timer.Reset(w.options.IdleTimeout)
+			timer.Reset(t.options.IdleTimeout)
 			select {
 			case <-p.wake:
 				continue
 			case <-timer.C:
-			case <-w.ctx.Done():
+			case <-t.ctx.Done():
 			}
-			if p.stopUnlessQueued(w.ctx.Err() != nil) {
+			if p.stopUnlessQueued(t.ctx.Err() != nil) {
 				return
 			}
 			continue
 		}
-		tried, err := w.deliver(p, address, batch)
-		var refused RejectionError
+		mayHaveArrived, err := t.deliver(p, address, batch)
+		var rejection RejectionError
 		switch {
 		case err == nil:
-			p.backoff, good = 0, time.Now()
+			p.backoff, lastSuccess = 0, time.Now()
 			continue
-		case errors.As(err, &refused):
-			w.refuse(refused, p.name)
+		case errors.As(err, &rejection):
+			t.reject(rejection, p.name)
 		default:
-			w.count("failed", 1)
+			t.count("failed", 1)
 		}
-		if _, away := err.(*PeerRejectedError); away {
-			w.count("lost", len(batch)) // the same would be refused again
+		if _, rejectedByPeer := err.(*PeerRejectedError); rejectedByPeer {
+			t.count("lost", len(batch)) // the same would be refused again
 		} else {
-			lost, dropped := p.requeue(batch, tried)
-			w.count("lost", lost)
-			w.count("dropped", dropped)
+			lost, dropped := p.requeue(batch, mayHaveArrived)
+			t.count("lost", lost)
+			t.count("dropped", dropped)
 		}
-		if time.Since(good) > w.options.IdleTimeout {
-			w.count("dropped", p.dropAll())
+		if time.Since(lastSuccess) > t.options.IdleTimeout {
+			t.count("dropped", p.dropAll())
 			if p.stopUnlessQueued(false) {
 				return
 			}
-			good = time.Now()
+			lastSuccess = time.Now()
 		}
 		p.backoff = min(max(2*p.backoff, minBackoff), maxBackoff)
 		timer.Reset(p.backoff/2 + time.Duration(p.rand.Int64N(int64(p.backoff/2)+1)))
 		select {
 		case <-timer.C:
-		case <-w.ctx.Done():
+		case <-t.ctx.Done():
 			p.stopUnlessQueued(true)
 			return
 		}
@@ -347,10 +347,10 @@
 
 // stopUnlessQueued lets the goroutine end unless something came to be sent meanwhile;
 // anyway ends it in any case.
-func (p *peer) stopUnlessQueued(anyway bool) bool {
+func (p *peer) stopUnlessQueued(force bool) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if len(p.queue) > 0 && !anyway {
+	if len(p.queue) > 0 && !force {
 		return false
 	}
 	p.running = false
@@ -368,137 +368,137 @@
 // deliver brings a batch to a peer. It first asks for the peer's boot number if it
 // doesn't know it, and sends anew if that was an earlier run's. tried: it may have
 // reached the peer though no answer came.
-func (w *PeerTransport) deliver(p *peer, address string, batch []queuedMessage) (tried bool, err error) {
+func (t *PeerTransport) deliver(p *peer, address string, batch []queuedMessage) (mayHaveArrived bool, err error) {
 	messages := make([]cbor.RawMessage, len(batch))
-	for i, it := range batch {
-		messages[i] = it.body
+	for i, message := range batch {
+		messages[i] = message.body
 	}
 	for range 3 { // hello, the batch, and once more if the peer starts in between
-		f := &frame{Fleet: w.options.Fleet, From: w.options.Self, To: p.name, SenderIncarnation: w.options.Incarnation, ReceiverIncarnation: p.incarnation}
+		f := &frame{Fleet: t.options.Fleet, From: t.options.Self, To: p.name, SenderIncarnation: t.options.Incarnation, ReceiverIncarnation: p.incarnation}
 		p.seq++
 		f.Seq = p.seq
 		if p.incarnation != 0 {
 			f.Messages = messages
 		}
-		status, boot, err := w.post(f, address)
+		status, incarnation, err := t.post(f, address)
 		if err != nil {
 			var op *net.OpError
 			return !errors.As(err, &op) || op.Op != "dial", err
 		}
 		if status == http.StatusNoContent {
-			w.count("sent", len(batch))
+			t.count("sent", len(batch))
 			return true, nil
 		}
-		p.incarnation = boot
+		p.incarnation = incarnation
 	}
 	return false, errors.New("its boot number is another one each time")
 }
 
 // post sends one frame. The status is 204, or 409 with the peer's boot number.
-func (w *PeerTransport) post(f *frame, address string) (status int, boot uint64, err error) {
-	body, keys := encode(f), *w.keys.Load()
-	sum := keys.sign(forFrame, body)
-	ctx, cancel := context.WithTimeout(w.ctx, w.options.Timeout+w.timeoutFor(int64(len(body))))
+func (t *PeerTransport) post(f *frame, address string) (status int, incarnation uint64, err error) {
+	body, keys := encode(f), *t.keys.Load()
+	sum := keys.sign(purposeFrame, body)
+	ctx, cancel := context.WithTimeout(t.ctx, t.options.Timeout+t.timeoutFor(int64(len(body))))
 	defer cancel()
-	u := url.URL{Scheme: "http", Host: address, Path: pathFleet}
-	r, err := http.NewRequestWithContext(ctx, http.MethodPost, u.String(), bytes.NewReader(body))
+	u := url.URL{Scheme: "http", Host: address, Path: pathFrame}
+	request, err := http.NewRequestWithContext(ctx, http.MethodPost, u.String(), bytes.NewReader(body))
 	if err != nil {
 		return 0, 0, err
 	}
-	r.Header.Set(headerMAC, hex.EncodeToString(sum))
-	w.count("bytes_out", len(body))
-	a, err := w.transport.RoundTrip(r)
+	request.Header.Set(headerMAC, hex.EncodeToString(sum))
+	t.count("bytes_out", len(body))
+	response, err := t.transport.RoundTrip(request)
 	if err != nil {
 		return 0, 0, err
 	}
-	defer a.Body.Close()
-	io.CopyN(io.Discard, a.Body, 1<<10) // what is longer costs the connection
-	if a.StatusCode != http.StatusNoContent && a.StatusCode != http.StatusConflict {
-		return 0, 0, &PeerRejectedError{f.To, address, a.StatusCode}
+	defer response.Body.Close()
+	io.CopyN(io.Discard, response.Body, 1<<10) // what is longer costs the connection
+	if response.StatusCode != http.StatusNoContent && response.StatusCode != http.StatusConflict {
+		return 0, 0, &PeerRejectedError{f.To, address, response.StatusCode}
 	}
-	boot, err = strconv.ParseUint(a.Header.Get(headerBoot), 16, 64)
-	theirs, err2 := hex.DecodeString(a.Header.Get(headerMAC))
-	said := encode(&answer{f.Fleet, f.To, a.StatusCode, boot, f.Seq, sum})
-	if err != nil || err2 != nil || !keys.verify(forAnswer, said, theirs) {
+	incarnation, err = strconv.ParseUint(response.Header.Get(headerBoot), 16, 64)
+	responseSum, macErr := hex.DecodeString(response.Header.Get(headerMAC))
+	signed := encode(&frameResponse{f.Fleet, f.To, response.StatusCode, incarnation, f.Seq, sum})
+	if err != nil || macErr != nil || !keys.verify(purposeFrameResponse, signed, responseSum) {
 		return 0, 0, &UnauthenticatedError{address, "an answer"}
 	}
-	if a.StatusCode == http.StatusConflict && (boot == 0 || boot == f.ReceiverIncarnation) {
+	if response.StatusCode == http.StatusConflict && (incarnation == 0 || incarnation == f.ReceiverIncarnation) {
 		return 0, 0, &MalformedError{f.To, errors.New("it refuses its own boot number")}
 	}
-	return a.StatusCode, boot, nil
+	return response.StatusCode, incarnation, nil
 }
 
 // timeoutFor is the time that so many bytes and an answer may take.
-func (w *PeerTransport) timeoutFor(n int64) time.Duration {
-	return w.options.Timeout + time.Duration(n)*time.Second/minBytesPerSecond
+func (t *PeerTransport) timeoutFor(n int64) time.Duration {
+	return t.options.Timeout + time.Duration(n)*time.Second/minBytesPerSecond
 }
 
 // serveFrame answers a POST. Nothing is handed on before all of a frame was checked.
-func (w *PeerTransport) serveFrame(rw http.ResponseWriter, r *http.Request) {
+func (t *PeerTransport) serveFrame(rw http.ResponseWriter, r *http.Request) {
 	remote, _, _ := net.SplitHostPort(r.RemoteAddr)
-	body, status := w.readFrame(rw, r, remote)
+	body, status := t.readFrame(rw, r, remote)
 	if status != 0 {
 		rw.WriteHeader(status)
 		return
 	}
-	keys := *w.keys.Load()
+	keys := *t.keys.Load()
 	sum, _ := hex.DecodeString(r.Header.Get(headerMAC)) // what is no hex fits no key
-	f, refused := authenticate(keys, body, sum, remote)
-	if refused != nil {
-		w.refuse(refused, remote)
-		rw.WriteHeader(statusOf(refused))
+	f, rejection := authenticate(keys, body, sum, remote)
+	if rejection != nil {
+		t.reject(rejection, remote)
+		rw.WriteHeader(statusFor(rejection))
 		return
 	}
-	w.replayGuardMu.Lock()
-	refused = w.replayGuard.accept(f)
-	w.replayGuardMu.Unlock()
-	var ms []*node.Message
-	if refused == nil {
-		ms, refused = f.messages()
+	t.replayGuardMu.Lock()
+	rejection = t.replayGuard.accept(f)
+	t.replayGuardMu.Unlock()
+	var messages []*node.Message
+	if rejection == nil {
+		messages, rejection = f.decodeMessages()
 	}
 	switch {
-	case refused != nil:
-		w.refuse(refused, f.From)
-		status = statusOf(refused)
+	case rejection != nil:
+		t.reject(rejection, f.From)
+		status = statusFor(rejection)
 	case f.ReceiverIncarnation == 0:
 		status = http.StatusConflict // a hello
 	default:
 		status = http.StatusNoContent
-		w.count("got", len(ms))
-		for _, m := range ms {
-			w.options.OnMessage(m)
+		t.count("got", len(messages))
+		for _, m := range messages {
+			t.options.OnMessage(m)
 		}
 	}
 	if status == http.StatusConflict || status == http.StatusNoContent {
-		said := encode(&answer{w.options.Fleet, w.options.Self, status, w.options.Incarnation, f.Seq, sum})
-		rw.Header().Set(headerBoot, strconv.FormatUint(w.options.Incarnation, 16))
-		rw.Header().Set(headerMAC, hex.EncodeToString(keys.sign(forAnswer, said)))
+		signed := encode(&frameResponse{t.options.Fleet, t.options.Self, status, t.options.Incarnation, f.Seq, sum})
+		rw.Header().Set(headerBoot, strconv.FormatUint(t.options.Incarnation, 16))
+		rw.Header().Set(headerMAC, hex.EncodeToString(keys.sign(purposeFrameResponse, signed)))
 	}
 	rw.WriteHeader(status)
 }
 
 // readFrame reads a frame's bytes; a status other than 0 is the answer instead. They are
 // read before it is known who sends them, so that all that are being read have a bound.
-func (w *PeerTransport) readFrame(rw http.ResponseWriter, r *http.Request, remote string) ([]byte, int) {
+func (t *PeerTransport) readFrame(rw http.ResponseWriter, r *http.Request, remote string) ([]byte, int) {
 	if r.ContentLength < 0 {
 		return nil, http.StatusLengthRequired
 	}
 	if r.ContentLength > MaxFrameBytes {
-		w.refuse(&TooLargeError{remote, r.ContentLength, MaxFrameBytes}, remote)
+		t.reject(&TooLargeError{remote, r.ContentLength, MaxFrameBytes}, remote)
 		return nil, http.StatusRequestEntityTooLarge
 	}
-	within := w.timeoutFor(r.ContentLength)
-	http.NewResponseController(rw).SetReadDeadline(time.Now().Add(within))
-	ctx, cancel := context.WithTimeout(w.ctx, within)
+	timeout := t.timeoutFor(r.ContentLength)
+	http.NewResponseController(rw).SetReadDeadline(time.Now().Add(timeout))
+	ctx, cancel := context.WithTimeout(t.ctx, timeout)
 	defer cancel()
-	if w.readBudget.Acquire(ctx, r.ContentLength) != nil {
+	if t.readBudget.Acquire(ctx, r.ContentLength) != nil {
 		return nil, http.StatusServiceUnavailable
 	}
-	defer w.readBudget.Release(r.ContentLength)
+	defer t.readBudget.Release(r.ContentLength)
 	body, err := io.ReadAll(r.Body)
-	w.count("bytes_in", len(body))
+	t.count("bytes_in", len(body))
 	if err != nil {
-		w.count("cut", 1)
+		t.count("cut", 1)
 		return nil, http.StatusBadRequest
 	}
 	return body, 0
@@ -507,7 +507,7 @@
 // discardLog drops what net/http would log of strangers' broken requests: it is counted here.
 var discardLog = log.New(io.Discard, "", 0)
 
-func statusOf(err RejectionError) int {
+func statusFor(err RejectionError) int {
 	switch err.(type) {
 	case *StaleIncarnationError:
 		return http.StatusConflict
--- a/internal/fleet/transport/replay_guard.go
+++ b/internal/fleet/transport/replay_guard.go
@@ -3,29 +3,29 @@
 // sequenceWindow tells sequence numbers that were seen from new ones.
 type sequenceWindow struct {
 	highest uint64
-	seen    [windowSize / 64]uint64 // bit seq mod windowSize, for those in (top-windowSize, top]
+	seen    [replayWindowSize / 64]uint64 // bit seq mod windowSize, for those in (top-windowSize, top]
 }
 
 // accept reports whether a number is new, and marks it as seen.
 func (w *sequenceWindow) accept(seq uint64) bool {
-	if seq == 0 || seq < w.highest && w.highest-seq >= windowSize {
+	if seq == 0 || seq < w.highest && w.highest-seq >= replayWindowSize {
 		return false
 	}
 	if seq > w.highest {
-		if seq-w.highest >= windowSize {
-			w.seen = [windowSize / 64]uint64{}
+		if seq-w.highest >= replayWindowSize {
+			w.seen = [replayWindowSize / 64]uint64{}
 		} else {
 			for s := w.highest + 1; s != seq+1; s++ {
-				w.seen[s%windowSize/64] &^= 1 << (s % 64)
+				w.seen[s%replayWindowSize/64] &^= 1 << (s % 64)
 			}
 		}
 		w.highest = seq
 	}
-	cell, bit := &w.seen[seq%windowSize/64], uint64(1)<<(seq%64)
-	if *cell&bit != 0 {
+	word, bit := &w.seen[seq%replayWindowSize/64], uint64(1)<<(seq%64)
+	if *word&bit != 0 {
 		return false
 	}
-	*cell |= bit
+	*word |= bit
 	return true
 }
 
@@ -43,8 +43,8 @@
 	senders     map[string]*senderIncarnations
 }
 
-func newReplayGuard(fleet, self string, boot uint64) *replayGuard {
-	return &replayGuard{fleet: fleet, self: self, incarnation: boot, senders: map[string]*senderIncarnations{}}
+func newReplayGuard(fleet, self string, incarnation uint64) *replayGuard {
+	return &replayGuard{fleet: fleet, self: self, incarnation: incarnation, senders: map[string]*senderIncarnations{}}
 }
 
 // accept reports why an authentic frame is not accepted: it must be for this controller's
@@ -61,12 +61,12 @@
 	case f.ReceiverIncarnation != g.incarnation:
 		return &StaleIncarnationError{f.From}
 	}
-	r := g.senders[f.From]
-	if r == nil {
-		r = &senderIncarnations{expired: map[uint64]struct{}{}}
-		g.senders[f.From] = r
+	sender := g.senders[f.From]
+	if sender == nil {
+		sender = &senderIncarnations{expired: map[uint64]struct{}{}}
+		g.senders[f.From] = sender
 	}
-	if w := r.window(f.SenderIncarnation); w == nil || !w.accept(f.Seq) {
+	if w := sender.window(f.SenderIncarnation); w == nil || !w.accept(f.Seq) {
 		return &ReplayError{f.From, f.Seq}
 	}
 	return nil
@@ -74,20 +74,20 @@
 
 // window gives an incarnation's window, nil if that is too long ago. An earlier one's stays
 // beside a later one's: a frame that was held up must not shut out the present incarnation.
-func (r *senderIncarnations) window(boot uint64) *sequenceWindow {
-	for i, b := range r.incarnations {
-		if b == boot {
-			return r.windows[i]
+func (s *senderIncarnations) window(incarnation uint64) *sequenceWindow {
+	for i, known := range s.incarnations {
+		if known == incarnation {
+			return s.windows[i]
 		}
 	}
-	if _, ok := r.expired[boot]; ok {
+	if _, ok := s.expired[incarnation]; ok {
 		return nil
 	}
-	if len(r.incarnations) == runsAtMost {
-		r.expired[r.incarnations[0]] = struct{}{}
-		r.incarnations, r.windows = r.incarnations[1:], r.windows[1:]
+	if len(s.incarnations) == maxIncarnations {
+		s.expired[s.incarnations[0]] = struct{}{}
+		s.incarnations, s.windows = s.incarnations[1:], s.windows[1:]
 	}
 	w := &sequenceWindow{}
-	r.incarnations, r.windows = append(r.incarnations, boot), append(r.windows, w)
+	s.incarnations, s.windows = append(s.incarnations, incarnation), append(s.windows, w)
 	return w
 }
