--- a/internal/cli/control.go
+++ b/internal/cli/control.go
@@ -34,7 +34,8 @@
 	defer stop()
 	group.Go(func() error { return joined.Serve(ctx) })
 	group.Go(func() error {
-		return noop.Controller{ServingState: means.Fleet.ServingState}.Serve(ctx, joined.Peers.Orders, joined.Peers.Reports)
+		return noop.Controller{ServingState: means.Fleet.ServingState}.Serve(ctx,
+			joined.Peers.Orders, joined.Peers.Reports)
 	})
 	group.Go(func() error {
 		defer stop()
--- a/internal/fleet/transport/byte_meter.go
+++ b/internal/fleet/transport/byte_meter.go
@@ -5,14 +5,14 @@
 	"sync/atomic"
 )
 
-// meter counts the bytes of connections as they are read and written: frames with
-// HTTP's headers and answers. The headers of TCP and IP come on top.
+// byteMeter counts the bytes that are read from and written to connections: frames and responses
+// with their HTTP headers, but without TCP and IP headers.
 type byteMeter struct{ received, sent atomic.Int64 }
 
-// listener counts on every connection that is accepted.
+// listener wraps l so that the bytes of every accepted connection are counted.
 func (m *byteMeter) listener(l net.Listener) net.Listener { return &meteredListener{l, m} }
 
-// conn counts on one connection.
+// conn wraps c so that the bytes of the connection are counted.
 func (m *byteMeter) conn(c net.Conn) net.Conn { return &meteredConn{c, m} }
 
 type meteredListener struct {
--- a/internal/fleet/transport/frame.go
+++ b/internal/fleet/transport/frame.go
@@ -1,10 +1,10 @@
-// Package transport carries what controllers of one fleet say to each other, and what
-// operators ask of them. Everything bears a keyed MAC; nothing is hidden by it: who
-// listens between two controllers reads policies and reports, so a network that isn't
-// the operator's own needs a tunnel besides.
+// Package transport carries messages between the controllers of one fleet, and requests from
+// operators to controllers. Every message carries a keyed MAC but isn't encrypted: anyone who can
+// read the traffic between two controllers can read policies and reports. On a network that the
+// operator doesn't control, run the connections through an encrypted tunnel.
 //
-// frame.go is the pure part: what is authentic and for this controller; replay_guard.go
-// is what has been seen. peer_transport.go and control_server.go are the sockets.
+// frame.go encodes, decodes and authenticates frames without state or I/O; replay_guard.go rejects
+// replayed frames. peer_transport.go and control_server.go do the network I/O.
 package transport
 
 import (
@@ -16,39 +16,39 @@
 )
 
 const (
-	// MaxFrameBytes bounds a frame, in bytes.
+	// MaxFrameBytes is the size limit of an encoded frame.
 	MaxFrameBytes = 64 << 20
-	// windowSize is how far behind the newest number of a sender's run another one may
-	// be and still be told from a replay.
+	// replayWindowSize is the number of sequence numbers, counted back from the highest one of a
+	// sender's incarnation, that the receiver can tell from replays. Older frames are rejected.
 	replayWindowSize = 1024
-	// runsAtMost is how many runs of one sender have a window here. Of older ones only
-	// the number is kept: nothing of them is taken any more.
+	// maxIncarnations is how many incarnations of one sender have a replay window. Of older
+	// incarnations only the number is kept, so that their frames are rejected.
 	maxIncarnations = 16
 
 	purposeFrame         = "fleet frame 1"
 	purposeFrameResponse = "fleet answer 1"
 )
 
-// frame is what one POST carries: its MAC stands beside it, over these very bytes, and
-// is checked before they are read.
+// frame is the body of one POST. The MAC of the encoded bytes travels in a header and is verified
+// before the frame is decoded.
 type frame struct {
 	Fleet               string            `cbor:"1,keyasint"`
 	From                string            `cbor:"2,keyasint"`
 	To                  string            `cbor:"3,keyasint"`
-	SenderIncarnation   uint64            `cbor:"4,keyasint"` // of the sender's run
-	ReceiverIncarnation uint64            `cbor:"5,keyasint"` // of the receiver's; 0: a hello, which asks for it
-	Seq                 uint64            `cbor:"6,keyasint"` // from 1, within the sender's run and for this receiver
+	SenderIncarnation   uint64            `cbor:"4,keyasint"`
+	ReceiverIncarnation uint64            `cbor:"5,keyasint"` // 0: a hello, which asks for it
+	Seq                 uint64            `cbor:"6,keyasint"` // from 1, per sender incarnation and receiver
 	Messages            []cbor.RawMessage `cbor:"7,keyasint,omitempty"`
 }
 
-// answer is what the MAC of an answer is over. The sender of the frame knows all of it
-// but Boot. Frame is the frame's MAC: an answer to any other frame, older ones
-// included, doesn't fit.
+// frameResponse is the data that the MAC of a response to a frame covers. The sender of the frame
+// knows each field but Incarnation. Frame is the MAC of the frame, so that a response to another
+// frame, older frames included, doesn't verify.
 type frameResponse struct {
 	Fleet       string `cbor:"1,keyasint"`
 	From        string `cbor:"2,keyasint"`
 	Status      int    `cbor:"3,keyasint"`
-	Incarnation uint64 `cbor:"4,keyasint"` // of who answers
+	Incarnation uint64 `cbor:"4,keyasint"` // incarnation of the responder
 	Seq         uint64 `cbor:"5,keyasint"`
 	Frame       []byte `cbor:"6,keyasint"`
 }
@@ -76,12 +76,12 @@
 func encode(v any) []byte {
 	b, err := encMode.Marshal(v)
 	if err != nil {
-		panic(err) // plain structs of this package: they always can be
+		panic(err) // the values are plain structs of this package, which always encode
 	}
 	return b
 }
 
-// authenticate checks the MAC and reads the frame; it needs no state.
+// authenticate verifies the MAC of body, then decodes the frame.
 func authenticate(keys Keys, body, sum []byte, remote string) (*frame, RejectionError) {
 	if !keys.verify(purposeFrame, body, sum) {
 		return nil, &UnauthenticatedError{remote, "a frame"}
@@ -91,12 +91,13 @@
 		return nil, &MalformedError{remote, err}
 	}
 	if f.From == "" || f.SenderIncarnation == 0 {
-		return nil, &MalformedError{remote, errors.New("a frame without a sender")}
+		return nil, &MalformedError{remote, errors.New("frame has no sender name or no sender incarnation")}
 	}
 	return f, nil
 }
 
-// messages reads what a frame carries: all of it or nothing.
+// decodeMessages decodes the messages of a frame. If one message is malformed, decodeMessages
+// returns none of them.
 func (f *frame) decodeMessages() ([]*node.Message, RejectionError) {
 	messages := make([]*node.Message, len(f.Messages))
 	for i, raw := range f.Messages {
@@ -105,7 +106,7 @@
 			return nil, &MalformedError{f.From, err}
 		}
 		if messages[i].From != f.From || messages[i].To != f.To {
-			return nil, &MalformedError{f.From, errors.New("a message by or for another than its frame")}
+			return nil, &MalformedError{f.From, errors.New("message and frame differ in sender or recipient")}
 		}
 	}
 	return messages, nil
--- a/internal/fleet/transport/keys.go
+++ b/internal/fleet/transport/keys.go
@@ -10,36 +10,38 @@
 	"strings"
 )
 
-// Keys are what the fleet's controllers and operators share. The first one signs, all
-// are accepted. To replace one without a break: the new one as second line everywhere,
-// then as first line everywhere, then the old one goes.
+// Keys are the shared secrets of the fleet's controllers and operators. The first key signs;
+// signatures by any of the keys are accepted. To replace a key without an interruption, add the
+// new key as the second line everywhere, then make it the first line everywhere, then remove the
+// old key.
 type Keys [][]byte
 
 const (
-	minKeyBytes = 32 // bytes
+	minKeyBytes = 32
 	maxKeys     = 2
 )
 
-// ReadKeys reads a key file: one key a line in hex or base64, # begins a comment. What
-// can be read as hex is hex. It refuses, by a KeyFileError, a file that others than its owner can
-// read or write: who has the key may change every team's policy.
+// ReadKeys reads a key file: one key per line in hex or base64; # begins a comment. A line that is
+// valid hex is decoded as hex. ReadKeys returns a KeyFileError for a file that users other than
+// its owner can read or write, because anyone who has a key can change every team's policy.
 func ReadKeys(path string) (Keys, error) {
 	f, err := os.Open(path)
 	if err != nil {
 		return nil, &KeyFileError{Path: path, Reason: err.Error()}
 	}
 	defer f.Close()
-	info, err := f.Stat() // of what is read, not of what may be at the path by then
+	info, err := f.Stat() // not os.Stat: the file at the path may have been replaced since it was opened
 	if err != nil {
 		return nil, &KeyFileError{Path: path, Reason: err.Error()}
 	}
 	switch {
 	case !info.Mode().IsRegular():
-		return nil, &KeyFileError{Path: path, Reason: "it is no regular file"}
+		return nil, &KeyFileError{Path: path, Reason: "not a regular file"}
 	case info.Mode().Perm()&0o077 != 0:
-		return nil, &KeyFileError{Path: path, Reason: fmt.Sprintf("its rights are %#o, others can get at it", info.Mode().Perm())}
+		return nil, &KeyFileError{Path: path,
+			Reason: fmt.Sprintf("permissions %#o give other users access", info.Mode().Perm())}
 	case info.Size() > 1<<16:
-		return nil, &KeyFileError{Path: path, Reason: "it is over 64 KiB"}
+		return nil, &KeyFileError{Path: path, Reason: "file is larger than 64 KiB"}
 	}
 	text := make([]byte, info.Size())
 	n, err := f.Read(text)
@@ -60,33 +62,34 @@
 		case err != nil:
 			return nil, &KeyFileError{path, i + 1, "neither hex nor base64"}
 		case len(key) < minKeyBytes:
-			return nil, &KeyFileError{path, i + 1, fmt.Sprintf("%d bytes, %d at least are needed", len(key), minKeyBytes)}
+			return nil, &KeyFileError{path, i + 1, fmt.Sprintf("%d bytes, need at least %d", len(key), minKeyBytes)}
 		case len(keys) == maxKeys:
-			return nil, &KeyFileError{path, i + 1, "a third key"}
+			return nil, &KeyFileError{path, i + 1, "more than two keys"}
 		}
 		keys = append(keys, key)
 	}
 	if len(keys) == 0 {
-		return nil, &KeyFileError{Path: path, Reason: "it has no key"}
+		return nil, &KeyFileError{Path: path, Reason: "file contains no key"}
 	}
 	return keys, nil
 }
 
-// good says whether keys that didn't come from a file can be used.
+// validate checks keys that weren't read by ReadKeys.
 func (k Keys) validate() error {
 	for _, key := range k {
 		if len(key) < minKeyBytes {
-			return &KeyFileError{Reason: "a key that is too short"}
+			return &KeyFileError{Reason: "key is too short"}
 		}
 	}
 	if len(k) == 0 {
-		return &KeyFileError{Reason: "no key"}
+		return &KeyFileError{Reason: "no key was given"}
 	}
 	return nil
 }
 
-// sign gives the MAC by the first key. What keeps a MAC made for one purpose from
-// counting for another; it has no byte 0, so that it and the bytes can't be cut elsewhere.
+// sign returns the MAC of body by the first key. A MAC made for one purpose doesn't verify for
+// another. The purpose contains no zero byte, so that the zero byte that mac writes after the
+// purpose is an unambiguous separator.
 func (k Keys) sign(purpose string, body []byte) []byte { return mac(k[0], purpose, body) }
 
 func mac(key []byte, purpose string, body []byte) []byte {
@@ -96,8 +99,9 @@
 	return h.Sum(nil)
 }
 
-// verify reports whether sum is the MAC of body for this purpose by any of the keys. It
-// takes the same time whichever key fits: all of them are compared, each in constant time.
+// verify reports whether sum is the MAC of body for the purpose by any of the keys. It compares
+// sum with the MAC of every key, each in constant time, so that its duration doesn't tell which
+// key matched.
 func (k Keys) verify(purpose string, body, sum []byte) bool {
 	ok := false
 	for _, key := range k {
--- a/internal/fleet/transport/peer_transport.go
+++ b/internal/fleet/transport/peer_transport.go
@@ -27,58 +27,58 @@
 )
 
 const (
-	maxQueuedMessages      = 256     // messages that wait for a peer
-	maxBatchBytes          = 4 << 20 // in one POST, unless one message alone is more
+	maxQueuedMessages      = 256     // per peer
+	maxBatchBytes          = 4 << 20 // in one POST, unless a single message is larger
 	minBackoff             = 10 * time.Millisecond
 	maxBackoff             = 500 * time.Millisecond
-	minBytesPerSecond      = 1 << 20   // bytes a second: a frame's time-out grows by its length over this
-	maxFrameBytesBeingRead = 256 << 20 // of all frames that are being read, each counted as long as it says it is
-	maxAttempts            = 2         // of a message that may have reached its peer
+	minBytesPerSecond      = 1 << 20   // a frame's timeout grows by its size over this rate
+	maxFrameBytesBeingRead = 256 << 20 // of all frames being read, each counted by its Content-Length
+	maxAttempts            = 2         // for a message that may have reached its peer
 
 	pathFrame  = "/fleet"
 	headerMAC  = "Fleet-Mac"
 	headerBoot = "Fleet-Boot"
 )
 
-// Options are what a PeerTransport is made with.
+// Options configure a PeerTransport.
 type Options struct {
-	Fleet       string       // its name: another fleet's frames are refused
-	Self        string       // this controller's name
-	Incarnation uint64       // of this run, 0: it is drawn
-	Keys        Keys         // the first signs, all are accepted
-	Listener    net.Listener // where peers come in; Close closes it
-
-	// Got is handed what came in, on the goroutine of the connection it came by, which
-	// answers its sender afterwards: it must not block for long.
+	Fleet       string       // name of the fleet; frames of other fleets are rejected
+	Self        string       // name of this controller
+	Incarnation uint64       // of this controller; 0: chosen at random
+	Keys        Keys         // the first key signs, all are accepted
+	Listener    net.Listener // accepts connections from peers; Close closes it
+
+	// OnMessage is called with each received message, on the goroutine of its connection. The
+	// sender gets its response only afterwards, so OnMessage must not block for long.
 	OnMessage func(*node.Message)
-	// OnRejected is told what wasn't taken, once a minute for each peer and reason; from
-	// is the peer's name, or its address where the name isn't proven. May be nil.
+	// OnRejected is called with rejections, at most once a minute for each peer and reason. from
+	// is the name of the peer, or its address if the name isn't authenticated. May be nil.
 	OnRejected func(err fleet.ErrorWithRemedy, from string)
 
-	Timeout     time.Duration // to connect, and for an answer; 0: 1 s. A frame has a second more for each MiB
-	IdleTimeout time.Duration // a peer's goroutine and connection end after it; 0: 30 s
-	Seed        uint64        // for the back-off
+	Timeout     time.Duration // to connect, and for a response; 0: 1 s. A frame gets a second more for each MiB
+	IdleTimeout time.Duration // after which a peer's goroutine and connection end; 0: 30 s
+	Seed        uint64        // of the backoff jitter
 
-	LocalIP net.IP // connections to peers come from this address; nil: as the system chooses
-	// Dial connects to peers in place of a net.Dialer, for links that a test shapes; nil: none does.
+	LocalIP net.IP // source address of connections to peers; nil: chosen by the system
+	// Dial replaces net.Dialer for connections to peers, so that a test can shape the links. May be nil.
 	Dial func(ctx context.Context, network, address string) (net.Conn, error)
 }
 
-// PeerTransport sends messages to peers and receives theirs. A message may be lost, doubled
-// or late: whoever needs an answer asks again.
+// PeerTransport sends messages to peers and receives messages from peers. Messages may be lost,
+// duplicated or delayed; a sender that needs a response must retry.
 type PeerTransport struct {
 	options    Options
 	keys       atomic.Pointer[Keys]
 	transport  *http.Transport
 	server     *http.Server
 	readBudget *semaphore.Weighted
-	ctx        context.Context // ends with Close
+	ctx        context.Context // canceled by Close
 	cancel     context.CancelFunc
-	serving    sync.WaitGroup // the listener's goroutine
-	inbound    sync.WaitGroup // connections that came in
-	outbound   sync.WaitGroup // peers' goroutines
+	serving    sync.WaitGroup // goroutine of the listener
+	inbound    sync.WaitGroup // accepted connections
+	outbound   sync.WaitGroup // goroutines of peers
 
-	mu     sync.Mutex // over peers and closed
+	mu     sync.Mutex // guards peers and closed
 	peers  map[string]*peer
 	closed bool
 
@@ -95,25 +95,26 @@
 	attempts int
 }
 
-// peer is one that was sent to. It has a goroutine only while there is something to send.
+// peer holds the send queue of a peer. It has a goroutine only while there are messages to send,
+// and for Options.IdleTimeout afterwards.
 type peer struct {
 	name string
-	wake chan struct{} // of one place: a full one wakes as well
+	wake chan struct{} // capacity 1: a full channel has the same effect as a send
 
 	mu          sync.Mutex
 	address     string
-	queue       []queuedMessage // at most maxQueuedMessages and MaxFrameBytes bytes: over it the oldest go
+	queue       []queuedMessage // limited by maxQueuedMessages and MaxFrameBytes, see dropOldest
 	queuedBytes int
 	running     bool
 
-	// Of the goroutine that runs.
-	incarnation uint64 // the peer's, 0: not known
+	// Owned by the peer's goroutine.
+	incarnation uint64 // of the peer; 0: unknown
 	seq         uint64
 	backoff     time.Duration
 	rand        *rand.Rand
 }
 
-// Open begins to listen. It fails only by its options.
+// Open starts to serve the listener. It fails only if the keys are invalid.
 func Open(o Options) (*PeerTransport, error) {
 	if err := o.Keys.validate(); err != nil {
 		return nil, err
@@ -127,8 +128,9 @@
 	if o.IdleTimeout <= 0 {
 		o.IdleTimeout = 30 * time.Second
 	}
-	t := &PeerTransport{options: o, peers: map[string]*peer{}, replayGuard: newReplayGuard(o.Fleet, o.Self, o.Incarnation),
-		readBudget: semaphore.NewWeighted(maxFrameBytesBeingRead)}
+	t := &PeerTransport{options: o, peers: map[string]*peer{},
+		replayGuard: newReplayGuard(o.Fleet, o.Self, o.Incarnation),
+		readBudget:  semaphore.NewWeighted(maxFrameBytesBeingRead)}
 	t.init(o.OnRejected)
 	t.keys.Store(&o.Keys)
 	t.ctx, t.cancel = context.WithCancel(context.Background())
@@ -163,10 +165,10 @@
 	return t, nil
 }
 
-// Boot is this run's number.
+// Incarnation returns the incarnation number of this controller.
 func (t *PeerTransport) Incarnation() uint64 { return t.options.Incarnation }
 
-// SetKeys takes other keys from now on, for all that is sent and comes in.
+// SetKeys replaces the keys for all subsequent sends and receives.
 func (t *PeerTransport) SetKeys(keys Keys) error {
 	if err := keys.validate(); err != nil {
 		return err
@@ -175,14 +177,15 @@
 	return nil
 }
 
-// Close ends all of it and waits for its goroutines. What waits is not sent any more.
+// Close closes the listener and all connections, and waits for the goroutines. Queued messages are
+// discarded.
 func (t *PeerTransport) Close() error {
 	t.mu.Lock()
 	t.closed = true
 	t.mu.Unlock()
 	t.cancel()
 	err := t.options.Listener.Close()
-	t.serving.Wait() // first, so that no connection begins that the server's Close doesn't see
+	t.serving.Wait() // first, so that no connection starts that the server's Close doesn't see
 	t.server.Close()
 	t.inbound.Wait()
 	t.outbound.Wait()
@@ -190,20 +193,25 @@
 	return err
 }
 
-// Counts are what was done since the start: messages sent (and answered), got, dropped
-// (a ring was full, or its peer away for too long), lost (sent, and no answer came),
-// bytes_out and bytes_in of frames, conn_bytes_out and conn_bytes_in of connections with
-// all that HTTP adds, cut (frames that ended too early), failed (POSTs without an
-// answer), and refused_REASON.
+// Counts returns the counters since the start:
+//   - sent: messages that the peer acknowledged
+//   - got: messages received
+//   - dropped: messages discarded because a queue was full or a peer was unreachable for too long
+//   - lost: messages sent without an acknowledgement, and given up
+//   - bytes_out, bytes_in: bytes of frames
+//   - conn_bytes_out, conn_bytes_in: bytes of connections, including the HTTP overhead
+//   - cut: frames that ended early
+//   - failed: POSTs without a response
+//   - refused_REASON: rejections by reason
 func (t *PeerTransport) Counts() map[string]int {
 	counts := t.counters.snapshot()
 	counts["conn_bytes_out"], counts["conn_bytes_in"] = int(t.meter.sent.Load()), int(t.meter.received.Load())
 	return counts
 }
 
-// Send puts a message into the ring of a peer and returns at once. If the ring is full
-// its oldest message goes. The message must not be changed until Send returns; it is
-// sent as from this controller and for that one, whatever it says.
+// Send queues a message for a peer and returns at once. If the queue is full, its oldest messages
+// are dropped. The message must not be changed until Send returns. Send sets From and To of the
+// message that it sends.
 func (t *PeerTransport) Send(to, address string, m *node.Message) {
 	c := *m
 	c.From, c.To = t.options.Self, to
@@ -212,7 +220,7 @@
 		t.reject(&MalformedError{t.options.Self, err}, to)
 		return
 	}
-	if len(body) > MaxFrameBytes-1<<10 { // what a frame has beside its messages is under that
+	if len(body) > MaxFrameBytes-1<<10 { // the other fields of a frame take less than 1 KiB
 		t.reject(&TooLargeError{to, int64(len(body)), MaxFrameBytes}, to)
 		return
 	}
@@ -224,7 +232,8 @@
 	}
 	p := t.peers[to]
 	if p == nil {
-		p = &peer{name: to, wake: make(chan struct{}, 1), rand: rand.New(rand.NewPCG(t.options.Seed, xxhash.Sum64String(to)))}
+		p = &peer{name: to, wake: make(chan struct{}, 1),
+			rand: rand.New(rand.NewPCG(t.options.Seed, xxhash.Sum64String(to)))}
 		t.peers[to] = p
 	}
 	p.mu.Lock()
@@ -244,7 +253,8 @@
 	}
 }
 
-// dropOldest keeps the queue within its bounds and tells how many messages were dropped.
+// dropOldest drops the oldest messages until the queue is within its limits, and returns how many
+// it dropped. p.mu must be held.
 func (p *peer) dropOldest() (dropped int) {
 	for len(p.queue) > maxQueuedMessages || p.queuedBytes > MaxFrameBytes {
 		p.queuedBytes -= len(p.queue[0].body)
@@ -255,7 +265,7 @@
 	return dropped
 }
 
-// nextBatch takes what goes into the next POST.
+// nextBatch removes the messages of the next POST from the queue.
 func (p *peer) nextBatch() (batch []queuedMessage, address string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -269,8 +279,9 @@
 	return batch, p.address
 }
 
-// requeue puts a batch back before all that came since, and tells what was given up: lost
-// are messages that have had their attempts, dropped are those without room.
+// requeue puts a batch back at the head of the queue. It returns the number of messages that were
+// given up: lost after maxAttempts attempts, and dropped because the queue was full. Only attempts
+// that may have reached the peer count.
 func (p *peer) requeue(batch []queuedMessage, mayHaveArrived bool) (lost, dropped int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -288,12 +299,12 @@
 	return len(batch) - len(retried), p.dropOldest()
 }
 
-// sendLoop is a peer's goroutine: it ends when there was nothing to send, or no answer, for
-// as long as Options.Idle.
+// sendLoop is the goroutine of a peer. It ends when, for Options.IdleTimeout, there was nothing to
+// send or no POST succeeded.
 func (t *PeerTransport) sendLoop(p *peer) {
 	timer := time.NewTimer(t.options.IdleTimeout)
 	defer timer.Stop()
-	lastSuccess := time.Now() // the last time all was well
+	lastSuccess := time.Now()
 	for {
 		batch, address := p.nextBatch()
 		if len(batch) == 0 {
@@ -321,7 +332,7 @@
 			t.count("failed", 1)
 		}
 		if _, rejectedByPeer := err.(*PeerRejectedError); rejectedByPeer {
-			t.count("lost", len(batch)) // the same would be refused again
+			t.count("lost", len(batch)) // a retry would be rejected again
 		} else {
 			lost, dropped := p.requeue(batch, mayHaveArrived)
 			t.count("lost", lost)
@@ -345,8 +356,8 @@
 	}
 }
 
-// stopUnlessQueued lets the goroutine end unless something came to be sent meanwhile;
-// anyway ends it in any case.
+// stopUnlessQueued marks the goroutine as ended, and reports true, unless messages are queued and
+// force is false.
 func (p *peer) stopUnlessQueued(force bool) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -357,6 +368,7 @@
 	return true
 }
 
+// dropAll empties the queue and returns the number of messages dropped.
 func (p *peer) dropAll() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -365,16 +377,18 @@
 	return n
 }
 
-// deliver brings a batch to a peer. It first asks for the peer's boot number if it
-// doesn't know it, and sends anew if that was an earlier run's. tried: it may have
-// reached the peer though no answer came.
-func (t *PeerTransport) deliver(p *peer, address string, batch []queuedMessage) (mayHaveArrived bool, err error) {
+// deliver sends a batch to a peer. If the peer's incarnation is unknown, deliver asks for it with a
+// hello first; if the peer has restarted, deliver resends the batch to the new incarnation.
+// mayHaveArrived reports whether the batch may have reached the peer despite an error.
+func (t *PeerTransport) deliver(p *peer, address string,
+	batch []queuedMessage) (mayHaveArrived bool, err error) {
 	messages := make([]cbor.RawMessage, len(batch))
 	for i, message := range batch {
 		messages[i] = message.body
 	}
-	for range 3 { // hello, the batch, and once more if the peer starts in between
-		f := &frame{Fleet: t.options.Fleet, From: t.options.Self, To: p.name, SenderIncarnation: t.options.Incarnation, ReceiverIncarnation: p.incarnation}
+	for range 3 { // a hello, the batch, and the batch again if the peer restarts in between
+		f := &frame{Fleet: t.options.Fleet, From: t.options.Self, To: p.name,
+			SenderIncarnation: t.options.Incarnation, ReceiverIncarnation: p.incarnation}
 		p.seq++
 		f.Seq = p.seq
 		if p.incarnation != 0 {
@@ -391,10 +405,10 @@
 		}
 		p.incarnation = incarnation
 	}
-	return false, errors.New("its boot number is another one each time")
+	return false, errors.New("peer responded with a different incarnation to each attempt")
 }
 
-// post sends one frame. The status is 204, or 409 with the peer's boot number.
+// post sends one frame. The status is 204, or 409 together with the peer's current incarnation.
 func (t *PeerTransport) post(f *frame, address string) (status int, incarnation uint64, err error) {
 	body, keys := encode(f), *t.keys.Load()
 	sum := keys.sign(purposeFrame, body)
@@ -412,7 +426,7 @@
 		return 0, 0, err
 	}
 	defer response.Body.Close()
-	io.CopyN(io.Discard, response.Body, 1<<10) // what is longer costs the connection
+	io.CopyN(io.Discard, response.Body, 1<<10) // the connection isn't reused after a longer body
 	if response.StatusCode != http.StatusNoContent && response.StatusCode != http.StatusConflict {
 		return 0, 0, &PeerRejectedError{f.To, address, response.StatusCode}
 	}
@@ -420,20 +434,20 @@
 	responseSum, macErr := hex.DecodeString(response.Header.Get(headerMAC))
 	signed := encode(&frameResponse{f.Fleet, f.To, response.StatusCode, incarnation, f.Seq, sum})
 	if err != nil || macErr != nil || !keys.verify(purposeFrameResponse, signed, responseSum) {
-		return 0, 0, &UnauthenticatedError{address, "an answer"}
+		return 0, 0, &UnauthenticatedError{address, "a response"}
 	}
 	if response.StatusCode == http.StatusConflict && (incarnation == 0 || incarnation == f.ReceiverIncarnation) {
-		return 0, 0, &MalformedError{f.To, errors.New("it refuses its own boot number")}
+		return 0, 0, &MalformedError{f.To, errors.New("status 409 doesn't name a different incarnation")}
 	}
 	return response.StatusCode, incarnation, nil
 }
 
-// timeoutFor is the time that so many bytes and an answer may take.
+// timeoutFor returns the time that a transfer of n bytes and the response may take.
 func (t *PeerTransport) timeoutFor(n int64) time.Duration {
 	return t.options.Timeout + time.Duration(n)*time.Second/minBytesPerSecond
 }
 
-// serveFrame answers a POST. Nothing is handed on before all of a frame was checked.
+// serveFrame handles the POST of a frame. It delivers no message before the whole frame is verified.
 func (t *PeerTransport) serveFrame(rw http.ResponseWriter, r *http.Request) {
 	remote, _, _ := net.SplitHostPort(r.RemoteAddr)
 	body, status := t.readFrame(rw, r, remote)
@@ -442,7 +456,7 @@
 		return
 	}
 	keys := *t.keys.Load()
-	sum, _ := hex.DecodeString(r.Header.Get(headerMAC)) // what is no hex fits no key
+	sum, _ := hex.DecodeString(r.Header.Get(headerMAC)) // a header that isn't hex matches no key
 	f, rejection := authenticate(keys, body, sum, remote)
 	if rejection != nil {
 		t.reject(rejection, remote)
@@ -477,8 +491,9 @@
 	rw.WriteHeader(status)
 }
 
-// readFrame reads a frame's bytes; a status other than 0 is the answer instead. They are
-// read before it is known who sends them, so that all that are being read have a bound.
+// readFrame reads the body of a frame. If it fails, it returns the HTTP status to respond with,
+// else 0. The sender isn't authenticated yet, so readBudget limits the memory of all frames that
+// are being read.
 func (t *PeerTransport) readFrame(rw http.ResponseWriter, r *http.Request, remote string) ([]byte, int) {
 	if r.ContentLength < 0 {
 		return nil, http.StatusLengthRequired
@@ -504,9 +519,11 @@
 	return body, 0
 }
 
-// discardLog drops what net/http would log of strangers' broken requests: it is counted here.
+// discardLog drops the messages of net/http about invalid requests. Rejected frames and requests
+// are counted and reported by counters instead.
 var discardLog = log.New(io.Discard, "", 0)
 
+// statusFor returns the HTTP status for a rejection.
 func statusFor(err RejectionError) int {
 	switch err.(type) {
 	case *StaleIncarnationError:
@@ -521,14 +538,15 @@
 	return http.StatusForbidden
 }
 
-// RandomID draws a number that no other incarnation has, not 0.
+// RandomID returns a random odd 64-bit number, unlikely to be returned twice and never 0.
 func RandomID() uint64 {
 	var b [8]byte
 	crand.Read(b[:])
 	return binary.BigEndian.Uint64(b[:]) | 1
 }
 
-// countConnections counts a server's connections, so that its Close can wait for their goroutines.
+// countConnections returns an http.Server.ConnState hook that counts the open connections in conns,
+// so that Close can wait for their goroutines.
 func countConnections(conns *sync.WaitGroup) func(net.Conn, http.ConnState) {
 	return func(_ net.Conn, s http.ConnState) {
 		switch s {
--- a/internal/fleet/transport/replay_guard.go
+++ b/internal/fleet/transport/replay_guard.go
@@ -1,12 +1,15 @@
 package transport
 
-// sequenceWindow tells sequence numbers that were seen from new ones.
+// sequenceWindow is a sliding bitmap of the sequence numbers that were received from one sender
+// incarnation. Bit seq mod replayWindowSize of seen is set if seq was received; seen covers
+// (highest-replayWindowSize, highest].
 type sequenceWindow struct {
 	highest uint64
-	seen    [replayWindowSize / 64]uint64 // bit seq mod windowSize, for those in (top-windowSize, top]
+	seen    [replayWindowSize / 64]uint64
 }
 
-// accept reports whether a number is new, and marks it as seen.
+// accept reports whether seq is new, and marks seq as seen. It rejects 0 and numbers that are
+// older than the window.
 func (w *sequenceWindow) accept(seq uint64) bool {
 	if seq == 0 || seq < w.highest && w.highest-seq >= replayWindowSize {
 		return false
@@ -29,14 +32,16 @@
 	return true
 }
 
-// senderIncarnations are the incarnations of one sender that were heard of, oldest first.
+// senderIncarnations holds the replay windows of one sender's incarnations, in the order in which
+// their first frames arrived, and the incarnations whose windows were dropped.
 type senderIncarnations struct {
 	incarnations []uint64
 	windows      []*sequenceWindow
 	expired      map[uint64]struct{}
 }
 
-// replayGuard decides which authentic frames are accepted. It grows only by frames that were signed.
+// replayGuard decides which authenticated frames are accepted. Only frames with a valid MAC add
+// state, so that a sender without a key can't exhaust memory.
 type replayGuard struct {
 	fleet, self string
 	incarnation uint64
@@ -44,12 +49,13 @@
 }
 
 func newReplayGuard(fleet, self string, incarnation uint64) *replayGuard {
-	return &replayGuard{fleet: fleet, self: self, incarnation: incarnation, senders: map[string]*senderIncarnations{}}
+	return &replayGuard{fleet: fleet, self: self, incarnation: incarnation,
+		senders: map[string]*senderIncarnations{}}
 }
 
-// accept reports why an authentic frame is not accepted: it must be for this controller's
-// present incarnation, and new.
-// A hello passes without a mark: it carries nothing, and its answer fits no other frame.
+// accept returns nil for a new frame that is addressed to the current incarnation of this
+// controller, and the reason for the rejection of any other frame. Hellos are accepted without
+// being recorded: a hello carries no messages, and its response verifies for no other frame.
 func (g *replayGuard) accept(f *frame) RejectionError {
 	switch {
 	case f.Fleet != g.fleet:
@@ -72,8 +78,9 @@
 	return nil
 }
 
-// window gives an incarnation's window, nil if that is too long ago. An earlier one's stays
-// beside a later one's: a frame that was held up must not shut out the present incarnation.
+// window returns the window of an incarnation, or nil if the window was dropped to make room for
+// those of later incarnations. Windows of several incarnations exist side by side, so that a delayed
+// frame of an earlier incarnation doesn't block the current one.
 func (s *senderIncarnations) window(incarnation uint64) *sequenceWindow {
 	for i, known := range s.incarnations {
 		if known == incarnation {
