--- a/internal/fleet/driver/driver.go
+++ b/internal/fleet/driver/driver.go
@@ -1,21 +1,20 @@
-// Package driver performs what a controller's part in the fleet asks for, and brings back
-// what came of it: it knows the disk, the peers' wire, the operators' listener and the
-// clock, and decides nothing.
+// Package driver performs the effects that a controller's fleet node requests, and passes the
+// results back to the node as events. It does all I/O (the store, the connections to peers and
+// operators, the clock) and makes no decisions.
 //
-// One goroutine has each duty: the core (Serve), the disk, the policies' checks; the
-// peers' and operators' connections have theirs in package transport. What joins them is
-// bounded:
+// The core (package node), the store and the policy checks have one goroutine each; the
+// connections of peers and operators have theirs in package transport. The queues between the
+// goroutines are bounded:
 //
-//   - messages of peers: a full ring drops the message, which counts; whoever sent it
-//     asks again;
-//   - writes: agreement has one under way at a time, so the ring of one is never full;
-//   - checks: what was decided while a controller was away comes all at once, so what the
-//     ring has no room for waits with the core, no more than changes since the last snapshot;
-//   - reports by the reducer: the ring is the reducer's to fill, which never waits for it;
-//   - orders for the reducer: where they pile up, leases that were renewed twice are told
-//     once, and past the bound the core takes nothing in until there is room: its leases
-//     run out meanwhile, which is the safe side;
-//   - asks by operators: past the bound they are told that it isn't known yet.
+//   - messages from peers: a full queue drops the message and counts it; the sender retries
+//   - writes: consensus has one write in progress at a time, so the queue of length one is never full
+//   - policy checks: a controller that was down gets the committed changes all at once; checks
+//     that exceed the queue wait at the core, at most one for each change since the last snapshot
+//   - reports of the controller: the controller fills the queue and never blocks on it
+//   - orders for the controller: consecutive lease renewals that wait are merged into the last one;
+//     at maxPendingOrders the core processes no events until there is room, so that its leases
+//     expire meanwhile, which is safe
+//   - requests of operators: beyond the limit the response says that the outcome is unknown
 package driver
 
 import (
@@ -34,64 +33,64 @@
 )
 
 const (
-	maxQueuedMessages  = 4096 // of peers that wait for the core
-	maxPendingOrders   = 256  // that wait for the reducer before the core takes nothing in
-	maxQueuedReports   = 256  // of the reducer that wait for the core
-	maxQueuedRequests  = 64   // that wait for the core
-	maxOpenRequests    = 1024 // asks that wait for their answer
-	maxQueuedChecks    = 4    // policies that wait to be checked
+	maxQueuedMessages  = 4096 // messages from peers for the core
+	maxPendingOrders   = 256  // orders for the controller, beyond which the core processes no events
+	maxQueuedReports   = 256  // reports of the controller for the core
+	maxQueuedRequests  = 64   // requests of operators for the core
+	maxOpenRequests    = 1024 // requests of operators that wait for their response
+	maxQueuedChecks    = 4    // policy texts to check
 	failureLogInterval = time.Minute
 
-	committedPolicyPrefix = "in force " // begins the name under which node has the policy in force checked
+	committedPolicyPrefix = "in force " // of the change ID with which package node validates the policy in force
 )
 
-// stateMachine is package node's Core, as far as it is used here.
+// stateMachine is the part of node.Core that Driver uses.
 type stateMachine interface {
 	Step(now time.Duration, ev node.Event) []node.Effect
 }
 
-// persister keeps what must survive a restart. Write returns once it is synced; after an error
-// nothing more is written.
+// persister stores the state that must survive a restart. Write returns once the state is synced to
+// disk; after an error nothing more is written.
 type persister interface {
 	Write(consensus.PersistentState) error
 }
 
-// peerSender sends messages to peers.
+// peerSender sends messages to peers, and returns the counters of the connections.
 type peerSender interface {
 	Send(to, address string, m *node.Message)
 	Counts() map[string]int
 }
 
-// PolicyContext is what a policy's text is checked against, beside the set-up.
+// PolicyContext is the fleet state that a policy text is checked against, beside the configuration.
 type PolicyContext struct {
-	Policy    any // in force, as far as is known here; nil: the set-up's own
+	Policy    any // the latest policy known to be in force; nil: that of the configuration
 	Bindings  []fleet.Binding
-	Committed bool // the text is that of the policy in force: it can't be withdrawn any more
+	Committed bool // the text is the policy in force, which can't be withdrawn any more
 }
 
-// policyCheck is a policy's text to be checked.
+// policyCheck is a policy text to check.
 type policyCheck struct {
 	changeID string
 	text     []byte
 	context  PolicyContext
 }
 
-// PolicyVerdict is what the check of a policy's text came to.
+// PolicyVerdict is the result of checking a policy text.
 type PolicyVerdict struct {
-	Reason       string // it can't be taken here
+	Reason       string // why this controller can't serve by the policy; "": it can
 	Policy       any
 	WatchedRules []fleet.EmergencyRule
-	// RulesUnknown: it leaves the placement rules to the controllers' own set-ups, which
-	// this process doesn't know.
+	// ResidencyRulesUnknown: the policy leaves the residency rules to the configurations of the
+	// controllers, which this process doesn't know.
 	ResidencyRulesUnknown bool
 	PurgeScopes           []fleet.Scope
 	Voters                []string
 }
 
-// Driver runs one controller's part in the fleet.
+// Driver connects one controller's fleet node to the store, the peers, the operators and the clock.
 type Driver struct {
 	core           stateMachine
-	initialEffects []node.Effect // what the core asked for when it was made
+	initialEffects []node.Effect // requested by the core when it was created
 	store          persister
 	peers          peerSender
 	checkPolicy    func(change string, text []byte, context PolicyContext) PolicyVerdict
@@ -111,30 +110,31 @@
 	checks    chan policyCheck
 	checked   chan node.Event
 
-	closeAll        func() error  // the listeners and the store
-	reloadKeys      func() error  // reads the key file again
-	droppedMessages atomic.Int64  // of peers: the queue was full
+	closeAll        func() error  // closes the listeners and the store
+	reloadKeys      func() error  // rereads the key file
+	droppedMessages atomic.Int64  // messages from peers that found the queue full
 	coreEnded       chan struct{} // closed once the core's goroutine has ended
 
 	// Owned by the core's goroutine.
 	pendingOrders []fleet.Order
-	// pendingChecks are the checks that the queue has no room for: a start replays one change
-	// after another, and a core that waited for room would wait for itself. They are no more
-	// than the changes since the last snapshot.
+	// pendingChecks are the checks that don't fit into the queue. A start replays many changes at
+	// once; if the core blocked until the queue had room, it would deadlock with checkLoop, which
+	// waits for the core to receive a result. There is at most one for each change since the
+	// last snapshot.
 	pendingChecks []policyCheck
 	policyContext PolicyContext
 	openRequests  map[uint64]chan *fleet.Response // by handle
 	lastHandle    uint64
 	timer         *time.Timer
-	storeFailure  fleet.ErrorWithRemedy // not nil: the store failed, and nothing is taken part in any more
+	storeFailure  fleet.ErrorWithRemedy // not nil: the store failed, and this controller no longer participates
 }
 
-// request is an operator's request that waits for its response.
+// pendingRequest is an operator's request that waits for its response.
 type pendingRequest struct {
 	operatorRequest *fleet.Request
 	response        chan *fleet.Response
 	handle          chan uint64
-	abandoned       *atomic.Bool // its caller has given up
+	abandoned       *atomic.Bool // the caller has given up
 }
 
 func newDriver(core stateMachine, initialEffects []node.Effect, o *Options) *Driver {
@@ -159,13 +159,14 @@
 	}
 }
 
-// Orders are for the controller, in the order in which they were given.
+// Orders returns the channel of orders for the controller, in the sequence in which the fleet node
+// issued them.
 func (d *Driver) Orders() <-chan fleet.Order { return d.orders }
 
-// Reports take what the controller reports.
+// Reports returns the channel to which the controller sends its reports.
 func (d *Driver) Reports() chan<- fleet.Report { return d.reports }
 
-// receiveMessage queues a peer's message, or drops it.
+// receiveMessage queues a message from a peer for the core, or drops it if the queue is full.
 func (d *Driver) receiveMessage(m *node.Message) {
 	select {
 	case d.messages <- m:
@@ -174,8 +175,8 @@
 	}
 }
 
-// Request has the fleet do what is asked, and waits for the outcome. If ctx ends first, or
-// too many wait, the outcome is that it isn't known yet.
+// Request passes an operator's request to the core and waits for the response. If ctx ends first,
+// or too many requests wait, the outcome in the response is "unknown".
 func (d *Driver) Request(ctx context.Context, request *fleet.Request) *fleet.Response {
 	r := pendingRequest{request, make(chan *fleet.Response, 1), make(chan uint64, 1), &atomic.Bool{}}
 	select {
@@ -189,7 +190,7 @@
 	case <-ctx.Done():
 	case <-d.coreEnded:
 	}
-	r.abandoned.Store(true) // first: the core looks at it after it has given the handle
+	r.abandoned.Store(true) // before reading the handle: the core checks abandoned after sending the handle
 	select {
 	case handle := <-r.handle:
 		select {
@@ -201,12 +202,12 @@
 	return unknownOutcome(request.ID, &RequestTimeoutError{request.Kind, request.ID})
 }
 
-// unknownOutcome is the response to a request whose outcome isn't known yet.
+// unknownOutcome returns the response to a request whose outcome isn't known yet.
 func unknownOutcome(requestID string, err fleet.ErrorWithRemedy) *fleet.Response {
 	return &fleet.Response{ID: requestID, Outcome: "unknown", Reason: err.Error(), Remedy: err.Remedy()}
 }
 
-// run starts the goroutines of the core, the store and the policy checks, and waits for them.
+// run runs the goroutines of the core, the store and the policy checks until ctx ends.
 func (d *Driver) run(ctx context.Context) error {
 	group, ctx := errgroup.WithContext(ctx)
 	group.Go(func() error { return d.writeLoop(ctx) })
@@ -215,19 +216,19 @@
 	return group.Wait()
 }
 
-// writeLoop is the store's goroutine.
+// writeLoop writes persistent state to the store.
 func (d *Driver) writeLoop(ctx context.Context) error {
 	for {
 		select {
 		case state := <-d.writes:
-			d.written <- d.store.Write(*state) // one write is under way at a time: there is room
+			d.written <- d.store.Write(*state) // doesn't block: one write is in progress at a time
 		case <-ctx.Done():
 			return nil
 		}
 	}
 }
 
-// checkLoop is the goroutine of policy checks.
+// checkLoop checks policy texts and passes the results to the core.
 func (d *Driver) checkLoop(ctx context.Context) error {
 	for {
 		select {
@@ -243,7 +244,7 @@
 	}
 }
 
-// validate checks a policy's text and gives the event that tells the core.
+// validate checks a policy text and returns the event with the result.
 func (d *Driver) validate(check policyCheck) node.Event {
 	verdict := d.checkPolicy(check.changeID, check.text, check.context)
 	return node.Event{
@@ -258,8 +259,8 @@
 	}
 }
 
-// coreLoop is the core's goroutine: it alone calls the core and uses the fields that are
-// listed as its own.
+// coreLoop feeds events to the core and performs the effects. Only its goroutine calls the core and
+// accesses the fields that the core's goroutine owns.
 func (d *Driver) coreLoop(ctx context.Context) error {
 	defer close(d.coreEnded)
 	d.timer = time.NewTimer(time.Hour)
@@ -274,9 +275,9 @@
 	return nil
 }
 
-// nextEvent waits for one thing: room for an order or a check that waits, or something
-// that has come. It reports whether that is an event for the core. While too many orders
-// wait for the controller nothing is taken in.
+// nextEvent waits until it can send a pending order or check, or receives an input. isForCore reports
+// whether event is to be passed to the core. While maxPendingOrders orders or more wait for the
+// controller, nextEvent receives only from abandoned.
 func (d *Driver) nextEvent(ctx context.Context) (event node.Event, isForCore bool) {
 	messages, reports, requests := d.messages, d.reports, d.requests
 	timer, written, checked := d.timer.C, d.written, d.checked
@@ -323,8 +324,8 @@
 	}
 }
 
-// openRequest passes an operator's request on to the core, unless too many are open or its
-// caller has given up meanwhile.
+// openRequest returns the event that passes an operator's request to the core, unless the store has
+// failed, too many requests are open, or the caller has given up.
 func (d *Driver) openRequest(r pendingRequest) (node.Event, bool) {
 	if d.storeFailure != nil || len(d.openRequests) >= maxOpenRequests {
 		d.rejectRequest(r)
@@ -340,7 +341,7 @@
 	return node.Event{Kind: node.OperatorRequested, Request: r.operatorRequest, Handle: d.lastHandle}, true
 }
 
-// closeRequest forgets a request whose caller has given up.
+// closeRequest removes a request whose caller has given up, and returns the event that tells the core.
 func (d *Driver) closeRequest(handle uint64) (node.Event, bool) {
 	if d.openRequests[handle] == nil {
 		return node.Event{}, false
@@ -349,6 +350,7 @@
 	return node.Event{Kind: node.RequesterGone, Handle: handle}, true
 }
 
+// timerFired returns the timer event for the core, or logs the failure again if the store has failed.
 func (d *Driver) timerFired() (node.Event, bool) {
 	if d.storeFailure != nil {
 		d.logFailure()
@@ -357,6 +359,7 @@
 	return node.Event{Kind: node.TimerFired}, true
 }
 
+// writeEnded returns the event of a completed write, or handles the failure of the store.
 func (d *Driver) writeEnded(err error) (node.Event, bool) {
 	if err != nil {
 		d.stopParticipating(withRemedy(err))
@@ -365,6 +368,7 @@
 	return node.Event{Kind: node.WritesPersisted}, true
 }
 
+// perform carries out the effects that the core requested.
 func (d *Driver) perform(ctx context.Context, effects []node.Effect) {
 	for i := range effects {
 		effect := &effects[i]
@@ -372,7 +376,7 @@
 		case node.Send:
 			d.peers.Send(effect.To, effect.Address, effect.Message)
 		case node.Persist:
-			d.writes <- effect.Writes // agreement has one under way at a time: there is room
+			d.writes <- effect.Writes // doesn't block: consensus has one write in progress at a time
 		case node.ValidatePolicy:
 			policyContext := d.policyContext
 			policyContext.Committed = strings.HasPrefix(effect.ChangeID, committedPolicyPrefix)
@@ -399,8 +403,9 @@
 	}
 }
 
-// queueOrder puts an order behind those that wait. A lease that nobody has looked at yet is
-// replaced by the next: it is never longer by that, and none waits behind a thousand.
+// queueOrder appends an order to the pending orders. If the last pending order and the new one both
+// renew the lease, the new one replaces the last, so that a slow controller doesn't accumulate
+// renewals. Merging renewals never lengthens a lease.
 func (d *Driver) queueOrder(o fleet.Order) {
 	n := len(d.pendingOrders)
 	lastIsLease := n > 0 && d.pendingOrders[n-1].Kind == fleet.LeaseRenewed
@@ -417,7 +422,8 @@
 	d.pendingOrders = append(d.pendingOrders, o)
 }
 
-// copyForCaller copies of a response what the core goes on changing, for another goroutine.
+// copyForCaller copies the parts of a response that the core may still modify, so that the caller's
+// goroutine can read the response.
 func (d *Driver) copyForCaller(r *fleet.Response) *fleet.Response {
 	if r.Status == nil {
 		return r
@@ -428,7 +434,7 @@
 	return &copied
 }
 
-// addCounters adds what the driver itself has counted.
+// addCounters adds the counters of the driver and its connections to s.
 func (d *Driver) addCounters(s *fleet.Status) *fleet.Status {
 	if s.Counts == nil {
 		s.Counts = map[string]int{}
@@ -444,11 +450,12 @@
 	return s
 }
 
-// stopParticipating ends this controller's part: what isn't on disk must not be told to anybody, so
-// it votes, grants and serves no more until it is started again. It says so for good.
+// stopParticipating takes this controller out of the fleet after a failed write. State that isn't on
+// disk must not be sent to peers, so the controller neither votes, grants leases nor serves until it
+// is restarted. The failure is logged again every failureLogInterval.
 func (d *Driver) stopParticipating(err fleet.ErrorWithRemedy) {
 	d.storeFailure = err
-	// a lease without an end wouldn't run out by itself
+	// revoke the lease: a lease without an end would never expire
 	d.queueOrder(fleet.Order{Kind: fleet.LeaseRenewed})
 	d.queueOrder(fleet.Order{Kind: fleet.FencePolicy, ChangeID: "the disk"})
 	for handle, response := range d.openRequests {
@@ -458,14 +465,14 @@
 	d.logFailure()
 }
 
-// logFailure logs why nothing goes on, and again in a while.
+// logFailure logs the store's failure and sets the timer to log it again.
 func (d *Driver) logFailure() {
 	d.log.Log().Str("error", d.storeFailure.Error()).Str("remedy", d.storeFailure.Remedy()).
-		Msg("fleet: this controller serves nothing and votes no more")
+		Msg("fleet: the store failed; this controller no longer serves or votes")
 	d.timer.Reset(failureLogInterval)
 }
 
-// rejectRequest answers a request that isn't passed on.
+// rejectRequest responds to a request that isn't passed to the core.
 func (d *Driver) rejectRequest(r pendingRequest) {
 	if d.storeFailure != nil {
 		r.response <- d.failedOutcome(r.operatorRequest.ID)
@@ -474,15 +481,15 @@
 	r.response <- unknownOutcome(r.operatorRequest.ID, &BusyError{})
 }
 
-// failedOutcome is the response of a controller whose disk has failed. Others may know more of
-// what was asked, so it is never that it won't be.
+// failedOutcome returns the response of a controller whose store has failed. The outcome is
+// "unknown", never a refusal, because other controllers may know that the request took effect.
 func (d *Driver) failedOutcome(requestID string) *fleet.Response {
 	response := unknownOutcome(requestID, d.storeFailure)
 	response.Status = d.addCounters(&fleet.Status{Name: d.name})
 	return response
 }
 
-// withRemedy makes sure that an operator is told what to do.
+// withRemedy returns err itself if it has a remedy, and else wraps it in a WriteError.
 func withRemedy(err error) fleet.ErrorWithRemedy {
 	if r, ok := err.(fleet.ErrorWithRemedy); ok {
 		return r
--- a/internal/fleet/driver/driver_test.go
+++ b/internal/fleet/driver/driver_test.go
@@ -21,7 +21,7 @@
 
 const testTimeout = 20 * time.Second
 
-// script is a core of our own: what it does with an event is in do.
+// fakeCore records the events that it gets, and returns the effects that step returns.
 type fakeCore struct {
 	events chan node.Event
 	step   func(ev node.Event) []node.Effect
@@ -32,6 +32,7 @@
 	return c.step(ev)
 }
 
+// waitFor returns the next event of a kind, skipping others.
 func (c *fakeCore) waitFor(t *testing.T, kind node.EventKind) node.Event {
 	t.Helper()
 	for timeout := time.After(testTimeout); ; {
@@ -41,11 +42,12 @@
 				return ev
 			}
 		case <-timeout:
-			t.Fatal("the core never saw ", kind)
+			t.Fatal("the core got no event of kind ", kind)
 		}
 	}
 }
 
+// fakeStore records the writes and returns err from each.
 type fakeStore struct {
 	err    error
 	writes chan consensus.PersistentState
@@ -53,11 +55,13 @@
 
 func (s *fakeStore) Write(k consensus.PersistentState) error { s.writes <- k; return s.err }
 
+// fakePeers drops all messages, and has one nonzero counter.
 type fakePeers struct{}
 
 func (fakePeers) Send(string, string, *node.Message) {}
 func (fakePeers) Counts() map[string]int             { return map[string]int{"refused_stranger": 3} }
 
+// syncBuffer is a bytes.Buffer for concurrent use.
 type syncBuffer struct {
 	mu sync.Mutex
 	bytes.Buffer
@@ -75,7 +79,9 @@
 	return b.String()
 }
 
-func startDriver(t *testing.T, step func(ev node.Event) []node.Effect, writeErr error) (*Driver, *fakeCore, *syncBuffer) {
+// startDriver runs a driver with a fake core, store and peers until the test ends.
+func startDriver(t *testing.T, step func(ev node.Event) []node.Effect, writeErr error) (
+	*Driver, *fakeCore, *syncBuffer) {
 	core, log := &fakeCore{make(chan node.Event, 10_000), step}, &syncBuffer{}
 	d := newDriver(core, []node.Effect{{Kind: node.SetTimer, Delay: time.Hour}}, &Options{StartTime: time.Now(), Log: zerolog.New(log),
 		CheckPolicy: func(change string, text []byte, have PolicyContext) PolicyVerdict {
@@ -94,8 +100,8 @@
 	return d, core, log
 }
 
-func TestWhatIsAskedForIsDoneAndComesBack(t *testing.T) {
-	e, s, _ := startDriver(t, func(ev node.Event) []node.Effect {
+func TestEffectsArePerformedAndResultsReturnAsEvents(t *testing.T) {
+	d, core, _ := startDriver(t, func(ev node.Event) []node.Effect {
 		switch ev.Kind {
 		case node.MessageReceived:
 			return []node.Effect{{Kind: node.OrderController, Order: fleet.Order{Kind: fleet.ActivatePolicy, Policy: "now"}}, {Kind: node.Persist, Writes: &consensus.PersistentState{}}, {Kind: node.ValidatePolicy, ChangeID: "c1", PolicyText: []byte("x")}, {Kind: node.SetTimer}}
@@ -106,154 +112,156 @@
 		}
 		return nil
 	}, nil)
-	e.receiveMessage(&node.Message{From: "b"})
-	s.waitFor(t, node.MessageReceived)
+	d.receiveMessage(&node.Message{From: "b"})
+	core.waitFor(t, node.MessageReceived)
 	kinds := map[node.EventKind]bool{}
 	for range 3 {
-		ev := <-s.events
+		ev := <-core.events
 		if kinds[ev.Kind] = true; ev.Kind == node.PolicyValidated && ev.Reason != "c1xnow" {
-			t.Errorf("%+v", ev)
+			t.Errorf("the check of the policy returned %+v", ev)
 		}
 	}
 	if !kinds[node.WritesPersisted] || !kinds[node.PolicyValidated] || !kinds[node.TimerFired] {
-		t.Fatal(kinds)
+		t.Fatal("events after the effects: ", kinds)
 	}
-	r := e.Request(context.Background(), &fleet.Request{Kind: "status"})
+	r := d.Request(context.Background(), &fleet.Request{Kind: "status"})
 	if r.Status == nil || r.Status.Counts["wire_refused_stranger"] != 3 {
 		t.Fatalf("%+v", r)
 	}
 	ctx, stop := context.WithCancel(context.Background())
 	answer := make(chan *fleet.Response)
-	go func() { answer <- e.Request(ctx, &fleet.Request{Kind: "apply", ID: "a1"}) }()
-	asked := s.waitFor(t, node.OperatorRequested)
+	go func() { answer <- d.Request(ctx, &fleet.Request{Kind: "apply", ID: "a1"}) }()
+	asked := core.waitFor(t, node.OperatorRequested)
 	for asked.Request.Kind != "apply" {
-		asked = s.waitFor(t, node.OperatorRequested)
+		asked = core.waitFor(t, node.OperatorRequested)
 	}
 	stop()
 	if r := <-answer; r.Outcome != "unknown" || r.ExitStatus() != 4 || r.ID != "a1" || r.Remedy == "" {
 		t.Fatalf("%+v", r)
 	}
-	if gone := s.waitFor(t, node.RequesterGone); gone.Handle != asked.Handle {
-		t.Fatal(gone.Handle)
+	if gone := core.waitFor(t, node.RequesterGone); gone.Handle != asked.Handle {
+		t.Fatalf("the abandoned request has handle %d, want %d", gone.Handle, asked.Handle)
 	}
 }
 
-// The reducer takes nothing for a while: leases are told once, the order of all else is
-// kept, and past the bound the core takes nothing in, so that its leases run out.
-func TestAReducerThatTakesNoOrders(t *testing.T) {
+// While the controller receives no orders, waiting lease renewals are merged and the sequence of
+// the other orders is kept. At maxPendingOrders the core processes no more events, so that its
+// leases expire.
+func TestCorePausesWhileControllerReceivesNoOrders(t *testing.T) {
 	n := uint64(0)
-	e, s, _ := startDriver(t, func(ev node.Event) []node.Effect {
+	d, core, _ := startDriver(t, func(ev node.Event) []node.Effect {
 		n++
 		return []node.Effect{{Kind: node.OrderController, Order: fleet.Order{Kind: fleet.LeaseRenewed, LeaseEnd: time.Duration(n)}},
 			{Kind: node.OrderController, Order: fleet.Order{Kind: fleet.LeaseRenewed, LeaseEnd: time.Duration(n) + 1}},
 			{Kind: node.OrderController, Order: fleet.Order{Kind: fleet.ActivatePolicy, Version: n}}}
 	}, nil)
 	for range maxPendingOrders {
-		e.receiveMessage(&node.Message{})
+		d.receiveMessage(&node.Message{})
 	}
-	for range maxPendingOrders / 2 { // two orders stay of the three of each
-		s.waitFor(t, node.MessageReceived)
+	for range maxPendingOrders / 2 { // each event leaves two of its three orders
+		core.waitFor(t, node.MessageReceived)
 	}
 	select {
-	case <-s.events:
-		t.Fatal("it takes in more than the reducer takes")
+	case <-core.events:
+		t.Fatal("the core got an event while maxPendingOrders orders were pending")
 	case <-time.After(20 * time.Millisecond):
 	}
 	for i := uint64(1); i <= maxPendingOrders; i++ {
-		lease, open := <-e.Orders(), <-e.Orders()
+		lease, open := <-d.Orders(), <-d.Orders()
 		if lease.Kind != fleet.LeaseRenewed || lease.LeaseEnd != time.Duration(i)+1 || open.Kind != fleet.ActivatePolicy || open.Version != i {
 			t.Fatal(i, lease, open)
 		}
 	}
 	for range maxQueuedMessages + maxPendingOrders {
-		e.receiveMessage(&node.Message{})
+		d.receiveMessage(&node.Message{})
 	}
-	if d := e.droppedMessages.Load(); d < 1 || d > maxPendingOrders {
+	if d := d.droppedMessages.Load(); d < 1 || d > maxPendingOrders {
 		t.Errorf("%d messages dropped", d)
 	}
 }
 
-// Without its disk a controller decides nothing, even by a lease without an end, and
-// whoever asks is told why and what to do, never that it won't be done.
-func TestADiskThatFails(t *testing.T) {
-	e, s, log := startDriver(t, func(ev node.Event) []node.Effect {
+// After its store fails, a controller doesn't serve, even by a lease without an end. Requests get the
+// outcome "unknown" with the error and a remedy, never a refusal.
+func TestControllerStopsParticipatingAfterStoreFails(t *testing.T) {
+	d, core, log := startDriver(t, func(ev node.Event) []node.Effect {
 		if ev.Kind == node.MessageReceived {
 			return []node.Effect{{Kind: node.OrderController, Order: fleet.Order{Kind: fleet.LeaseRenewed, LeaseEnd: fleet.Forever}}, {Kind: node.Persist, Writes: &consensus.PersistentState{}}}
 		}
 		return nil
 	}, errors.New("no space left on device"))
-	e.receiveMessage(&node.Message{})
-	s.waitFor(t, node.MessageReceived)
-	word := &fleet.ServingState{}
-	word.SetVersion(1)
-	for shut := false; !shut; {
-		switch o := <-e.Orders(); o.Kind {
+	d.receiveMessage(&node.Message{})
+	core.waitFor(t, node.MessageReceived)
+	servingState := &fleet.ServingState{}
+	servingState.SetVersion(1)
+	for fenced := false; !fenced; {
+		switch o := <-d.Orders(); o.Kind {
 		case fleet.LeaseRenewed:
-			word.SetLease(o.LeaseEnd, o.ConfinedLeaseEnd)
+			servingState.SetLease(o.LeaseEnd, o.ConfinedLeaseEnd)
 		case fleet.FencePolicy:
-			shut = true
+			fenced = true
 		}
 	}
-	if word.ServingVersion(time.Second, false) != 0 {
-		t.Error("the lease stands")
+	if servingState.ServingVersion(time.Second, false) != 0 {
+		t.Error("the controller still serves by the lease")
 	}
 	for _, kind := range []string{"status", "apply"} {
-		r := e.Request(context.Background(), &fleet.Request{Kind: kind, ID: "x"})
+		r := d.Request(context.Background(), &fleet.Request{Kind: kind, ID: "x"})
 		if r.Outcome != "unknown" || !strings.Contains(r.Reason, "no space left") || r.Remedy == "" || r.Status == nil {
 			t.Errorf("%+v", r)
 		}
 	}
-	e.receiveMessage(&node.Message{})
-	e.reports <- fleet.Report{}
-	e.reports <- fleet.Report{}
-	if len(s.events) > 0 {
-		t.Error("it goes on taking part")
+	d.receiveMessage(&node.Message{})
+	d.reports <- fleet.Report{}
+	d.reports <- fleet.Report{}
+	if len(core.events) > 0 {
+		t.Error("the core got an event after the store had failed")
 	}
-	if !strings.Contains(log.text(), "serves nothing") || !strings.Contains(log.text(), "remedy") {
+	if !strings.Contains(log.text(), "no longer serves") || !strings.Contains(log.text(), "remedy") {
 		t.Error(log.text())
 	}
 }
 
-// Who was away for many changes is asked to check them all in one breath.
-func TestManyPoliciesToCheckAtOnce(t *testing.T) {
-	const many = 3 * maxQueuedChecks
-	e, s, _ := startDriver(t, func(ev node.Event) (l []node.Effect) {
+// A controller that missed many changes must check all their policies at once. More checks than the
+// queue holds must not block the core.
+func TestMoreChecksThanTheQueueHolds(t *testing.T) {
+	const checks = 3 * maxQueuedChecks
+	d, core, _ := startDriver(t, func(ev node.Event) (effects []node.Effect) {
 		if ev.Kind == node.MessageReceived {
-			l = append(l, node.Effect{Kind: node.OrderController, Order: fleet.Order{Kind: fleet.ActivatePolicy, Policy: "now"}})
-			for range many {
-				l = append(l, node.Effect{Kind: node.ValidatePolicy, ChangeID: "c"})
+			effects = append(effects, node.Effect{Kind: node.OrderController, Order: fleet.Order{Kind: fleet.ActivatePolicy, Policy: "now"}})
+			for range checks {
+				effects = append(effects, node.Effect{Kind: node.ValidatePolicy, ChangeID: "c"})
 			}
 		}
-		return l
+		return effects
 	}, nil)
-	e.receiveMessage(&node.Message{})
-	for range many {
-		s.waitFor(t, node.PolicyValidated)
+	d.receiveMessage(&node.Message{})
+	for range checks {
+		core.waitFor(t, node.PolicyValidated)
 	}
 }
 
-// A check is told whether its policy is in force already: that one can't be withdrawn.
-func TestACheckKnowsWhatIsDecided(t *testing.T) {
-	haves := make(chan PolicyContext, 2)
-	e, _, _ := startDriver(t, func(ev node.Event) []node.Effect {
+// A policy in force can't be withdrawn any more, so a check must know whether it checks such a policy.
+func TestPolicyContextTellsCommittedPolicies(t *testing.T) {
+	contexts := make(chan PolicyContext, 2)
+	d, _, _ := startDriver(t, func(ev node.Event) []node.Effect {
 		if ev.Kind != node.MessageReceived {
 			return nil
 		}
 		return []node.Effect{{Kind: node.ValidatePolicy, ChangeID: "in force 3 abc"}, {Kind: node.ValidatePolicy, ChangeID: "c4"}}
 	}, nil)
-	e.checkPolicy = func(_ string, _ []byte, have PolicyContext) PolicyVerdict {
-		haves <- have
+	d.checkPolicy = func(_ string, _ []byte, policyContext PolicyContext) PolicyVerdict {
+		contexts <- policyContext
 		return PolicyVerdict{}
 	}
-	e.receiveMessage(&node.Message{From: "b"})
+	d.receiveMessage(&node.Message{From: "b"})
 	for _, want := range []bool{true, false} {
 		select {
-		case have := <-haves:
-			if have.Committed != want {
-				t.Errorf("decided: %v, want %v", have.Committed, want)
+		case policyContext := <-contexts:
+			if policyContext.Committed != want {
+				t.Errorf("Committed is %v, want %v", policyContext.Committed, want)
 			}
 		case <-time.After(testTimeout):
-			t.Fatal("no check is asked for")
+			t.Fatal("no policy was checked")
 		}
 	}
 }
--- a/internal/fleet/driver/errors.go
+++ b/internal/fleet/driver/errors.go
@@ -6,44 +6,46 @@
 	"railrelay.dev/railrelay/internal/fleet"
 )
 
-// WriteError is a write of the record that failed for a reason that the disk's own
-// errors don't name.
+// WriteError says that writing the persistent state failed with an error that isn't one of package
+// storage's own types.
 type WriteError struct{ Err error }
 
-func (e *WriteError) Error() string { return fmt.Sprintf("the record can't be written: %v", e.Err) }
+func (e *WriteError) Error() string {
+	return fmt.Sprintf("can't write the persistent state: %v", e.Err)
+}
 
-// Remedy says what to do.
+// Remedy returns what an operator can do about the error.
 func (e *WriteError) Remedy() string {
-	return "see to the disk of the fleet's directory (room, rights, its own log), " +
-		"then start this controller again"
+	return "check the disk of the fleet's directory (free space, permissions, disk errors in the system log), " +
+		"then restart this controller"
 }
 
-// Unwrap gives the cause.
+// Unwrap returns the cause.
 func (e *WriteError) Unwrap() error { return e.Err }
 
-// BusyError is an ask that found too many others waiting.
+// BusyError says that too many requests of operators wait at this controller.
 type BusyError struct{}
 
-func (e *BusyError) Error() string { return "too many asks wait at this controller" }
+func (e *BusyError) Error() string { return "too many requests wait at this controller" }
 
-// Remedy says what to do.
+// Remedy returns what an operator can do about the error.
 func (e *BusyError) Remedy() string {
-	return "ask again by the same id, here in a while or another controller now"
+	return "retry with the same id, at this controller later or at another one now"
 }
 
-// RequestTimeoutError is a request whose outcome didn't come while it was waited for.
+// RequestTimeoutError says that the outcome of a request wasn't known when the caller stopped waiting.
 type RequestTimeoutError struct{ Kind, ID string }
 
 func (e *RequestTimeoutError) Error() string {
-	return "the word on " + e.Kind + " " + e.ID + " hasn't come yet"
+	return "the outcome of " + e.Kind + " " + e.ID + " isn't known yet"
 }
 
-// Remedy says what to do.
+// Remedy returns what an operator can do about the error.
 func (e *RequestTimeoutError) Remedy() string {
-	return "ask again by the same id, of any controller: what was decided meanwhile is told then"
+	return "retry with the same id at any controller, which then returns the outcome"
 }
 
-// Errors is one of each, for the test and the docs that walk all of them.
+// Errors returns an example of each error type, for the tests and documentation that cover all of them.
 func Errors() []fleet.ErrorWithRemedy {
 	return []fleet.ErrorWithRemedy{&WriteError{fmt.Errorf("no space left on device")}, &BusyError{},
 		&RequestTimeoutError{"apply", "a1"},
--- a/internal/fleet/driver/open.go
+++ b/internal/fleet/driver/open.go
@@ -16,35 +16,35 @@
 	"railrelay.dev/railrelay/internal/fleet/transport"
 )
 
-// Options are what a controller's part in the fleet is opened with.
+// Options configure a Driver.
 type Options struct {
-	Node           node.Config // without Self.Disk, Seed, Boot and Kept, which are drawn and read here
+	Node           node.Config // without Self.DiskID, Seed, Incarnation and Persisted, which Open sets
 	Fleet          string
-	PeerAddress    string // where peers come in
-	ControlAddress string // where operators come in; "": they don't
+	PeerAddress    string // listen address for peers
+	ControlAddress string // listen address for operators; "": none
 	Directory      string
-	KeyFile        string    // the key file
-	StartTime      time.Time // what all spans count from: the reducer's own
+	KeyFile        string
+	StartTime      time.Time // origin of the node's time, the same as the controller's
 	CheckPolicy    func(change string, text []byte, have PolicyContext) PolicyVerdict
 	Log            zerolog.Logger
 
-	// OpenStore opens what keeps the record in place of the disk at Directory; nil: that disk.
+	// OpenStore opens a store that replaces the one at Directory. May be nil.
 	OpenStore func() (Store, storage.Contents, error)
-	// Listener is where peers come in, in place of Listen, which is not used then; nil: none.
-	// It is closed with the edge, and where Open fails.
+	// Listener accepts peers in place of a listener on PeerAddress. It is closed with the Driver, or
+	// if Open fails. May be nil.
 	Listener net.Listener
-	// Dial connects to peers in place of the network's own; nil: that.
+	// Dial replaces net.Dialer for connections to peers. May be nil.
 	Dial func(ctx context.Context, network, address string) (net.Conn, error)
 }
 
-// Store keeps a controller's part of the record. Write returns once it is synced; after
-// an error nothing more is written.
+// Store keeps the persistent state of a controller's fleet node. Write returns once the state is
+// synced to disk; after an error nothing more is written.
 type Store interface {
 	Write(consensus.PersistentState) error
 	Close() error
 }
 
-// ListenError is an address that can't be listened on.
+// ListenError says that listening on an address failed.
 type ListenError struct {
 	Purpose, Address string
 	Err              error
@@ -54,17 +54,17 @@
 	return fmt.Sprintf("can't listen for %s on %s: %v", e.Purpose, e.Address, e.Err)
 }
 
-// Remedy says what to do.
+// Remedy returns what an operator can do about the error.
 func (e *ListenError) Remedy() string {
-	return "see that no other process has the address and that this machine has it; " +
-		"fleet.listen and fleet.control of the set-up name them"
+	return "check that no other process uses the address and that it belongs to this machine; " +
+		"fleet.listen and fleet.control set the addresses"
 }
 
-// Unwrap gives the cause.
+// Unwrap returns the cause.
 func (e *ListenError) Unwrap() error { return e.Err }
 
-// Open opens the store and both listeners. Errors are of the key file, the store, what it
-// held, or the listeners; nothing is left open then.
+// Open reads the key file, opens the store and both listeners, and creates the core. If it fails, it
+// closes everything that it opened.
 func Open(o Options) (d *Driver, err error) {
 	parts := &openedParts{options: &o}
 	if o.Listener != nil {
@@ -107,22 +107,23 @@
 	return d, nil
 }
 
-// openedParts are what Open has opened so far.
+// openedParts holds the resources that Open has opened so far.
 type openedParts struct {
 	options   *Options
 	store     Store
 	peers     net.Listener
-	operators net.Listener // nil: operators don't come in
+	operators net.Listener // nil: no listener for operators
 	closers   []func() error
 }
 
-// close closes what was opened, where Open fails.
+// close closes the resources when Open fails.
 func (p *openedParts) close() {
 	for _, closePart := range p.closers {
 		closePart()
 	}
 }
 
+// openStore opens the store and returns its contents.
 func (p *openedParts) openStore() (contents storage.Contents, err error) {
 	open := p.options.OpenStore
 	if open == nil {
@@ -135,7 +136,7 @@
 	return contents, nil
 }
 
-// listen opens the listeners that the options name.
+// listen opens the listeners that the options specify.
 func (p *openedParts) listen() (err error) {
 	p.peers = p.options.Listener
 	if p.peers == nil {
@@ -149,6 +150,7 @@
 	return err
 }
 
+// listenOn opens a TCP listener; purpose is for the error.
 func (p *openedParts) listenOn(purpose, address string) (net.Listener, error) {
 	l, err := net.Listen("tcp", address)
 	if err != nil {
@@ -158,11 +160,11 @@
 	return l, nil
 }
 
-// serve begins to take in peers and operators for the driver.
+// serve starts to serve peers and operators on behalf of the driver.
 func (p *openedParts) serve(d *Driver, config *node.Config, keys transport.Keys) error {
 	o := p.options
 	onRefused := func(err fleet.ErrorWithRemedy, from string) {
-		o.Log.Log().Str("from", from).Str("error", err.Error()).Str("remedy", err.Remedy()).Msg("fleet: refused")
+		o.Log.Log().Str("from", from).Str("error", err.Error()).Str("remedy", err.Remedy()).Msg("fleet: rejected")
 	}
 	peers, err := transport.Open(transport.Options{
 		LocalIP:     localAddress(p.peers),
@@ -208,8 +210,8 @@
 	return nil
 }
 
-// localAddress is the address that peers reach this controller at, from which it connects
-// to them; nil where the listener takes any.
+// localAddress returns the IP address of the listener, which is also the source address of
+// connections to peers, or nil if the listener accepts connections on all addresses.
 func localAddress(l net.Listener) net.IP {
 	tcpAddress, isTCP := l.Addr().(*net.TCPAddr)
 	if !isTCP || tcpAddress.IP.IsUnspecified() {
@@ -218,7 +220,7 @@
 	return tcpAddress.IP
 }
 
-// openDisk opens the disk at Directory and claims it for this controller's name.
+// openDisk opens the store at Directory and claims it for this controller's name.
 func (o *Options) openDisk() (Store, storage.Contents, error) {
 	newDiskID := func() string { return fmt.Sprintf("%016x", transport.RandomID()) }
 	store, contents, err := storage.Open(o.Directory, newDiskID)
@@ -240,13 +242,13 @@
 	return err
 }
 
-// Counts are what the peers' wire has counted since the start, by name.
+// Counts returns the counters of the connections with peers since the start, by name.
 func (d *Driver) Counts() map[string]int { return d.peers.Counts() }
 
-// ReloadKeys reads the key file anew.
+// ReloadKeys rereads the key file and uses its keys from then on.
 func (d *Driver) ReloadKeys() error { return d.reloadKeys() }
 
-// Serve takes part in the fleet until ctx ends, and closes all that was opened.
+// Serve runs the fleet node until ctx ends, then closes the listeners and the store.
 func (d *Driver) Serve(ctx context.Context) error {
 	err := d.run(ctx)
 	return errors.Join(err, d.closeAll())
--- a/internal/fleet/noop/noop.go
+++ b/internal/fleet/noop/noop.go
@@ -1,6 +1,6 @@
-// Package noop stands in for the reducer in a process that takes no queries: it carries
-// out each order of the fleet's side at once and reports that it is done. A process of
-// the control role and the hollow controllers of scale runs use it.
+// Package noop implements the controller's side of the fleet protocol in a process that handles no
+// queries: it executes each order at once and reports its completion. Processes with the control
+// role and the emulated controllers of scale tests use it.
 package noop
 
 import (
@@ -10,16 +10,16 @@
 	"railrelay.dev/railrelay/internal/fleet"
 )
 
-// Controller answers orders. Word, if set, is kept as a reducer would keep it.
+// Controller executes orders. It updates ServingState, if set, as package controller does.
 type Controller struct {
 	ServingState *fleet.ServingState
-	// Delay is waited before an order other than a lease is answered; 0: not at all.
+	// Delay is the time before each order other than a lease renewal is executed.
 	Delay time.Duration
 }
 
-// Serve takes orders until ctx ends or orders is closed. Reports that find no room are
-// kept here and the next order is taken all the same: the fleet's side may take in no
-// report before it is rid of its orders.
+// Serve executes orders until ctx ends, or until orders is closed and all reports are sent. While
+// reports can't be sent, Serve keeps them and goes on receiving orders: the driver may receive no
+// report before its pending orders are received.
 func (c Controller) Serve(ctx context.Context, orders <-chan fleet.Order, reports chan<- fleet.Report) error {
 	var unsent []fleet.Report
 	for orders != nil || len(unsent) > 0 {
@@ -47,7 +47,7 @@
 	return nil
 }
 
-// wait is the delay before an order is answered; false if ctx ended meanwhile.
+// wait waits for the delay before an order; it returns false if ctx ends first.
 func (c Controller) wait(ctx context.Context, order fleet.Order) bool {
 	if order.Kind == fleet.LeaseRenewed || c.Delay <= 0 {
 		return true
@@ -60,7 +60,7 @@
 	}
 }
 
-// answer changes the word as the order says and gives what is reported of it.
+// execute updates the serving state as the order says and returns the reports on it.
 func (c Controller) execute(order fleet.Order) []fleet.Report {
 	switch order.Kind {
 	case fleet.FencePolicy:
