--- a/internal/controller/health_check.go
+++ b/internal/controller/health_check.go
@@ -7,9 +7,9 @@
 
 const statusOK = 200
 
-// checkHealth sends a health check to an engine and reports its outcome to the scheduler. It has as long
-// as a connection may take; no response by then is an outcome, too. With one under way it does nothing:
-// where connections are short they would pile up and starve the polls.
+// checkHealth sends a health check to an engine and reports the outcome to the scheduler. The check times out
+// after connectTimeout, which is an outcome, too. While a check is in progress, checkHealth does nothing:
+// when connections are short, queued checks would pile up and starve the polls.
 func (c *Controller) checkHealth(e *engine) {
 	if e.healthCheck != nil && !e.healthCheck.done {
 		return
@@ -23,8 +23,8 @@
 		encode: func(dst []byte) []byte {
 			return enginehttp.Probe(dst, e.address, c.enginesReportLoad)
 		},
-		onResult: func(as callResult, status int, field func(string) string, _ []byte) {
-			outcome := healthCheckOutcome(as, status)
+		onResult: func(result callResult, status int, field func(string) string, _ []byte) {
+			outcome := healthCheckOutcome(result, status)
 			var loadReport map[string]float64
 			if outcome == scheduler.Finished {
 				loadReport = enginehttp.Load(field)
@@ -35,8 +35,8 @@
 	c.startCall(e.healthCheck)
 }
 
-func healthCheckOutcome(as callResult, status int) scheduler.Outcome {
-	switch as {
+func healthCheckOutcome(result callResult, status int) scheduler.Outcome {
+	switch result {
 	case callAnswered:
 		if status == statusOK {
 			return scheduler.Finished
