--- a/internal/fleet/transport/control_server_test.go
+++ b/internal/fleet/transport/control_server_test.go
@@ -19,12 +19,13 @@
 	"railrelay.dev/railrelay/internal/fleet"
 )
 
+// startControlServer runs a control server until the test ends, and checks for leaked goroutines.
 func startControlServer(t *testing.T, keys Keys,
 	handle func(context.Context, *fleet.Request) (*fleet.Response, error)) (
 	*ControlServer, string, chan fleet.ErrorWithRemedy) {
 	t.Helper()
-	now := goleak.IgnoreCurrent()
-	t.Cleanup(func() { goleak.VerifyNone(t, now) })
+	running := goleak.IgnoreCurrent()
+	t.Cleanup(func() { goleak.VerifyNone(t, running) })
 	rejections := make(chan fleet.ErrorWithRemedy, 16)
 	l := listen(t, "127.0.0.1:0")
 	server, err := ServeControl(l, keys, handle, func(err fleet.ErrorWithRemedy, _ string) { rejections <- err })
@@ -35,12 +36,13 @@
 	return server, l.Addr().String(), rejections
 }
 
-func echo(_ context.Context, a *fleet.Request) (*fleet.Response, error) {
-	if a.Kind == "fail" {
+// echo is a handler that returns values of the request; the kind "fail" returns an error.
+func echo(_ context.Context, request *fleet.Request) (*fleet.Response, error) {
+	if request.Kind == "fail" {
 		return nil, &UnreachableError{"its leader", false, errors.New("none is known")}
 	}
-	return &fleet.Response{ID: a.ID, Outcome: "in force", Version: a.BaseVersion + 1,
-		Reason: string(a.Policy)}, nil
+	return &fleet.Response{ID: request.ID, Outcome: "in force", Version: request.BaseVersion + 1,
+		Reason: string(request.Policy)}, nil
 }
 
 func testContext(t *testing.T) context.Context {
@@ -49,123 +51,128 @@
 	return ctx
 }
 
-func TestAnAskIsAnswered(t *testing.T) {
-	d, address, _ := startControlServer(t, Keys{keyA, keyB}, echo)
+func TestRequestIsAnswered(t *testing.T) {
+	server, address, _ := startControlServer(t, Keys{keyA, keyB}, echo)
 	_, err := SendControlRequest(testContext(t), address, Keys{keyB},
 		&fleet.Request{Kind: "apply", ID: "x", BaseVersion: 3, Policy: []byte("teams: {}")})
-	var refused *UnauthenticatedError
-	if !errors.As(err, &refused) {
-		t.Errorf("an answer by a key that isn't there was taken: %v", err)
+	var unauthenticated *UnauthenticatedError
+	if !errors.As(err, &unauthenticated) {
+		t.Errorf("a response signed with an unknown key was accepted: %v", err)
 	}
-	r, err := SendControlRequest(testContext(t), address, Keys{keyB, keyA},
+	response, err := SendControlRequest(testContext(t), address, Keys{keyB, keyA},
 		&fleet.Request{Kind: "apply", ID: "x", BaseVersion: 3, Policy: []byte("teams: {}")})
-	if err != nil || r.ID != "x" || r.Version != 4 || r.Reason != "teams: {}" {
-		t.Fatal(r, err)
+	if err != nil || response.ID != "x" || response.Version != 4 || response.Reason != "teams: {}" {
+		t.Fatal(response, err)
 	}
-	r, err = SendControlRequest(testContext(t), address, Keys{keyA}, &fleet.Request{Kind: "fail", ID: "y"})
-	if err != nil || r.Outcome != "unknown" || r.ID != "y" || r.Remedy == "" {
-		t.Error(r, err)
+	response, err = SendControlRequest(testContext(t), address, Keys{keyA},
+		&fleet.Request{Kind: "fail", ID: "y"})
+	if err != nil || response.Outcome != "unknown" || response.ID != "y" || response.Remedy == "" {
+		t.Error(response, err)
 	}
-	if c := d.Counts(); c["asks"] != 2 {
-		t.Error(c)
+	if counts := server.Counts(); counts["asks"] != 2 {
+		t.Error(counts)
 	}
 }
 
 func TestUnauthenticatedRequestIsRejected(t *testing.T) {
-	_, address, refused := startControlServer(t, Keys{keyA}, func(context.Context, *fleet.Request) (*fleet.Response, error) {
-		t.Error("it was asked")
+	_, address, rejections := startControlServer(t, Keys{keyA}, func(context.Context,
+		*fleet.Request) (*fleet.Response, error) {
+		t.Error("the handler got the unauthenticated request")
 		return &fleet.Response{}, nil
 	})
 	_, err := SendControlRequest(testContext(t), address, Keys{keyB}, &fleet.Request{Kind: "purge"})
-	var stranger *UnauthenticatedError
-	if !errors.As(err, &stranger) {
-		t.Fatalf("the client didn't see that it isn't its fleet: %v", err)
+	var unauthenticated *UnauthenticatedError
+	if !errors.As(err, &unauthenticated) {
+		t.Fatalf("the client accepted a server with another key: %v", err)
 	}
 	r, _ := http.NewRequest(http.MethodPost, "http://"+address+pathRequest, strings.NewReader("{}"))
 	r.Header.Set(headerNonce, newNonce())
 	r.Header.Set(headerBoot, "1")
-	if a := roundTrip(t, r); a.StatusCode != http.StatusForbidden {
-		t.Error(a.Status)
+	if response := roundTrip(t, r); response.StatusCode != http.StatusForbidden {
+		t.Error(response.Status)
 	}
-	expectRejection[*UnauthenticatedError](t, refused)
+	expectRejection[*UnauthenticatedError](t, rejections)
 }
 
 func roundTrip(t *testing.T, r *http.Request) *http.Response {
 	t.Helper()
 	r.Close = true
-	a, err := http.DefaultTransport.RoundTrip(r)
+	response, err := http.DefaultTransport.RoundTrip(r)
 	if err != nil {
 		t.Fatal(err)
 	}
-	io.Copy(io.Discard, a.Body)
-	a.Body.Close()
-	return a
+	io.Copy(io.Discard, response.Body)
+	response.Body.Close()
+	return response
 }
 
-func TestARecordedAskCountsOnce(t *testing.T) {
-	d, address, refused := startControlServer(t, Keys{keyA}, echo)
-	q := &signedMessage{Nonce: newNonce(), Challenge: d.nonces.challenge, Body: []byte(`{"kind":"purge"}`)}
+func TestReplayedRequestIsRejected(t *testing.T) {
+	server, address, rejections := startControlServer(t, Keys{keyA}, echo)
+	request := &signedMessage{Nonce: newNonce(), Challenge: server.nonces.challenge,
+		Body: []byte(`{"kind":"purge"}`)}
 	send := func() int {
-		r, _ := http.NewRequest(http.MethodPost, "http://"+address+pathRequest, bytes.NewReader(q.Body))
-		r.Header.Set(headerNonce, q.Nonce)
-		r.Header.Set(headerBoot, strconv.FormatUint(q.Challenge, 16))
-		r.Header.Set(headerMAC, hex.EncodeToString(Keys{keyA}.sign(purposeRequest, encode(q))))
+		r, _ := http.NewRequest(http.MethodPost, "http://"+address+pathRequest, bytes.NewReader(request.Body))
+		r.Header.Set(headerNonce, request.Nonce)
+		r.Header.Set(headerBoot, strconv.FormatUint(request.Challenge, 16))
+		r.Header.Set(headerMAC, hex.EncodeToString(Keys{keyA}.sign(purposeRequest, encode(request))))
 		return roundTrip(t, r).StatusCode
 	}
 	if first, again := send(), send(); first != http.StatusOK || again != http.StatusForbidden {
 		t.Error(first, again)
 	}
-	expectRejection[*ReplayError](t, refused)
-	q.Challenge++ // as after a restart
+	expectRejection[*ReplayError](t, rejections)
+	request.Challenge++ // as after a restart
 	if status := send(); status != http.StatusConflict {
 		t.Error(status)
 	}
-	q.Challenge, q.Nonce, q.Body = d.nonces.challenge, newNonce(), []byte("{")
+	request.Challenge, request.Nonce, request.Body = server.nonces.challenge, newNonce(), []byte("{")
 	if status := send(); status != http.StatusBadRequest {
 		t.Error(status)
 	}
-	if c := d.Counts(); c["asks"] != 1 {
-		t.Error(c)
+	if counts := server.Counts(); counts["asks"] != 1 {
+		t.Error(counts)
 	}
 }
 
-func TestNoncesAreBoundedAndNeverComeBack(t *testing.T) {
-	boots := uint64(1)
-	n := nonceGuard{1, map[string]struct{}{}, func() uint64 { boots++; return boots }}
+func TestNoncesAreBoundedAndAcceptedOnce(t *testing.T) {
+	lastChallenge := uint64(1)
+	guard := nonceGuard{1, map[string]struct{}{}, func() uint64 { lastChallenge++; return lastChallenge }}
 	for i := range 2 * maxNonces {
-		boot := n.challenge
-		if fits, fresh := n.check(boot, strconv.Itoa(i)); !fits || !fresh {
+		challenge := guard.challenge
+		if isCurrent, isNew := guard.check(challenge, strconv.Itoa(i)); !isCurrent || !isNew {
 			t.Fatal(i)
 		}
-		if fits, fresh := n.check(boot, strconv.Itoa(i)); fits && fresh {
-			t.Fatalf("ask %d was taken twice", i)
+		if isCurrent, isNew := guard.check(challenge, strconv.Itoa(i)); isCurrent && isNew {
+			t.Fatalf("request %d was accepted twice", i)
 		}
 	}
-	if boots != 3 || len(n.seen) >= maxNonces {
-		t.Error(boots, len(n.seen))
+	if lastChallenge != 3 || len(guard.seen) >= maxNonces {
+		t.Error(lastChallenge, len(guard.seen))
 	}
 }
 
-func TestAControllerThatCantBeReached(t *testing.T) {
+func TestUnreachableController(t *testing.T) {
 	l := listen(t, "127.0.0.1:0")
 	l.Close()
 	_, err := SendControlRequest(testContext(t), l.Addr().String(), Keys{keyA}, &fleet.Request{})
-	var gone *UnreachableError
-	if !errors.As(err, &gone) || gone.Sent || gone.Remedy() == "" {
+	var unreachable *UnreachableError
+	if !errors.As(err, &unreachable) || unreachable.Sent || unreachable.Remedy() == "" {
 		t.Errorf("%T %v", err, err)
 	}
 	other := httptest.NewServer(http.NotFoundHandler())
 	defer other.Close()
-	_, err = SendControlRequest(testContext(t), other.Listener.Addr().(*net.TCPAddr).String(), Keys{keyA}, &fleet.Request{})
-	var away *PeerRejectedError
-	if !errors.As(err, &away) || away.Status != http.StatusNotFound {
+	_, err = SendControlRequest(testContext(t), other.Listener.Addr().(*net.TCPAddr).String(),
+		Keys{keyA}, &fleet.Request{})
+	var rejected *PeerRejectedError
+	if !errors.As(err, &rejected) || rejected.Status != http.StatusNotFound {
 		t.Errorf("%T %v", err, err)
 	}
 }
 
-func TestWhoAskedAndIsGoneIsNotWaitedFor(t *testing.T) {
+func TestRequestIsCanceledWhenClientDisconnects(t *testing.T) {
 	began, ended := make(chan struct{}), make(chan struct{})
-	_, address, _ := startControlServer(t, Keys{keyA}, func(ctx context.Context, _ *fleet.Request) (*fleet.Response, error) {
+	_, address, _ := startControlServer(t, Keys{keyA}, func(ctx context.Context,
+		_ *fleet.Request) (*fleet.Response, error) {
 		close(began)
 		<-ctx.Done()
 		close(ended)
@@ -174,13 +181,13 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	go func() { <-began; cancel() }()
 	_, err := SendControlRequest(ctx, address, Keys{keyA}, &fleet.Request{})
-	var gone *UnreachableError
-	if !errors.As(err, &gone) || !gone.Sent {
+	var unreachable *UnreachableError
+	if !errors.As(err, &unreachable) || !unreachable.Sent {
 		t.Errorf("%T %v", err, err)
 	}
 	select {
 	case <-ended:
 	case <-time.After(testTimeout):
-		t.Error("it is still being asked")
+		t.Error("the handler's context wasn't canceled")
 	}
 }
--- a/internal/fleet/transport/errors.go
+++ b/internal/fleet/transport/errors.go
@@ -75,7 +75,7 @@
 
 // Remedy returns what an operator can do about the error.
 func (e *WrongRecipientError) Remedy() string {
-	return "a peer address leads to the wrong controller: compare the peers' addresses in the configuration with the names"
+	return "a peer address leads to the wrong controller: compare the names and addresses in the configuration"
 }
 
 // Reason returns the name by which the counters count the rejection.
@@ -149,7 +149,7 @@
 
 // Remedy returns what an operator can do about the error.
 func (e *PeerRejectedError) Remedy() string {
-	return "look at the log of the other side: 403 is a different key or fleet name, 404 no controller listens there, " +
+	return "look at the other side's log: 403 is a different key or fleet name, 404 no controller listens there, " +
 		"421 a wrong address, 400 a different version of the program"
 }
 
@@ -175,7 +175,7 @@
 	if e.Sent {
 		return "the request may have taken effect: retry it with the same id, at this controller or another one"
 	}
-	return "check that the controller runs and that the address is its control listener's, or ask another controller"
+	return "check that the controller runs and that this is its control address, or ask another controller"
 }
 
 func (e *UnreachableError) Unwrap() error { return e.Err }
--- a/internal/fleet/transport/faults_test.go
+++ b/internal/fleet/transport/faults_test.go
@@ -11,6 +11,7 @@
 	"railrelay.dev/railrelay/internal/fleet/node"
 )
 
+// newFaultyPair returns a pair of peers, and a link to b that injects faults.
 func newFaultyPair(t *testing.T, o Options) (a, b *testPeer, link *faultproxy.Link) {
 	t.Helper()
 	a, b = newPeerPair(t, o, Options{Timeout: o.Timeout})
@@ -22,60 +23,60 @@
 	return a, b, link
 }
 
-func TestADuplicateConnectionIsAReplay(t *testing.T) {
-	a, b, l := newFaultyPair(t, Options{})
-	l.Set(faultproxy.Fault{Kind: faultproxy.Double})
+func TestDuplicatedConnectionIsRejectedAsReplay(t *testing.T) {
+	a, b, link := newFaultyPair(t, Options{})
+	link.Set(faultproxy.Fault{Kind: faultproxy.Double})
 	for i := range 5 {
-		a.Send("b", l.Address(), &node.Message{Consensus: []byte(fmt.Sprint(i))})
+		a.Send("b", link.Address(), &node.Message{Consensus: []byte(fmt.Sprint(i))})
 		b.expectMessage(t, "a", fmt.Sprint(i))
 		a.waitForCount(t, "sent", i+1)
 	}
 	expectRejection[*ReplayError](t, b.rejections)
 	b.waitForCount(t, "refused_replay", 5)
-	if c := b.Counts(); c["got"] != 5 || l.Struck()["double"] < 5 {
-		t.Error(c, l.Struck())
+	if counts := b.Counts(); counts["got"] != 5 || link.Struck()["double"] < 5 {
+		t.Error(counts, link.Struck())
 	}
 }
 
-func TestAFrameThatStallsIsCutAndTheNextPasses(t *testing.T) {
-	a, b, l := newFaultyPair(t, Options{Timeout: 50 * time.Millisecond})
-	l.Set(faultproxy.Fault{Kind: faultproxy.Stall, Way: faultproxy.There, After: 2000}) // a hello passes
-	a.Send("b", l.Address(), &node.Message{Consensus: make([]byte, 5000)})
+func TestStalledFrameTimesOutAndNextOneArrives(t *testing.T) {
+	a, b, link := newFaultyPair(t, Options{Timeout: 50 * time.Millisecond})
+	link.Set(faultproxy.Fault{Kind: faultproxy.Stall, Way: faultproxy.There, After: 2000}) // lets a hello pass
+	a.Send("b", link.Address(), &node.Message{Consensus: make([]byte, 5000)})
 	a.waitForCount(t, "lost", 1)
 	b.waitForCount(t, "cut", 1)
-	l.Set(faultproxy.Fault{Kind: faultproxy.Reset})
-	a.Send("b", l.Address(), &node.Message{Consensus: []byte("after")})
+	link.Set(faultproxy.Fault{Kind: faultproxy.Reset})
+	a.Send("b", link.Address(), &node.Message{Consensus: []byte("after")})
 	b.expectMessage(t, "a", "after")
 }
 
-// Whatever a link does, nothing comes that wasn't sent, nothing is refused but replays,
-// and once it has healed messages pass.
-func TestFaultsByChance(t *testing.T) {
-	a, b, l := newFaultyPair(t, Options{Timeout: 50 * time.Millisecond})
-	r := rand.New(rand.NewPCG(32, 1))
+// Under random link faults, no message arrives that wasn't sent, and only replays are rejected.
+// Messages arrive again once the link works.
+func TestRandomLinkFaults(t *testing.T) {
+	a, b, link := newFaultyPair(t, Options{Timeout: 50 * time.Millisecond})
+	random := rand.New(rand.NewPCG(32, 1))
 	sent := map[string]bool{}
-	say := func(text string) {
+	send := func(text string) {
 		sent[text] = true
-		a.Send("b", l.Address(), &node.Message{Consensus: []byte(text)})
+		a.Send("b", link.Address(), &node.Message{Consensus: []byte(text)})
 	}
 	for i := range 30 {
-		l.Set(faultproxy.Draw(r))
+		link.Set(faultproxy.Draw(random))
 		before := a.Counts()["bytes_out"]
 		for j := range 10 {
-			say(fmt.Sprintf("%d.%d", i, j))
+			send(fmt.Sprintf("%d.%d", i, j))
 		}
 		a.waitForCount(t, "bytes_out", before+1)
 	}
-	l.Set(faultproxy.Fault{})
-	say("healed")
+	link.Set(faultproxy.Fault{})
+	send("healed")
 	for last := ""; last != "healed"; {
 		select {
 		case m := <-b.received:
 			if last = string(m.Consensus); !sent[last] {
-				t.Fatalf("%q was never sent", last)
+				t.Fatalf("received message %q, which was never sent", last)
 			}
 		case <-time.After(testTimeout):
-			t.Fatal(a.Counts(), b.Counts(), l.Struck())
+			t.Fatal(a.Counts(), b.Counts(), link.Struck())
 		}
 	}
 	for name, n := range b.Counts() {
@@ -83,43 +84,43 @@
 			t.Error(name, n)
 		}
 	}
-	if len(l.Struck()) < 5 {
-		t.Error("few faults struck:", l.Struck())
+	if len(link.Struck()) < 5 {
+		t.Error("too few kinds of faults were injected:", link.Struck())
 	}
 }
 
-func TestThroughAMeshByOneAddressEach(t *testing.T) {
-	m := faultproxy.NewMesh("a", "b")
-	o := func(name string) Options {
-		l, err := net.Listen("tcp", m.Source(name)+":0")
+func TestMeshCutsOneDirectionBySourceAddress(t *testing.T) {
+	mesh := faultproxy.NewMesh("a", "b")
+	options := func(name string) Options {
+		listener, err := net.Listen("tcp", mesh.Source(name)+":0")
 		if err != nil {
-			t.Skip("not all of 127/8 is local here:", err)
+			t.Skip("this system can't listen on all addresses in 127/8:", err)
 		}
-		return Options{Listener: l, LocalIP: net.ParseIP(m.Source(name)), Timeout: 50 * time.Millisecond}
+		return Options{Listener: listener, LocalIP: net.ParseIP(mesh.Source(name)), Timeout: 50 * time.Millisecond}
 	}
-	a, b := newPeerPair(t, o("a"), o("b"))
-	t.Cleanup(m.Close)
-	m.Target("a", a.address)
-	m.Target("b", b.address)
-	toA, err := m.Front("a")
+	a, b := newPeerPair(t, options("a"), options("b"))
+	t.Cleanup(mesh.Close)
+	mesh.Target("a", a.address)
+	mesh.Target("b", b.address)
+	toA, err := mesh.Front("a")
 	if err != nil {
 		t.Fatal(err)
 	}
-	toB, err := m.Front("b")
+	toB, err := mesh.Front("b")
 	if err != nil {
 		t.Fatal(err)
 	}
-	m.Set("a", "b", faultproxy.Fault{Kind: faultproxy.Cut, Silent: true})
+	mesh.Set("a", "b", faultproxy.Fault{Kind: faultproxy.Cut, Silent: true})
 	a.Send("b", toB, &node.Message{Consensus: []byte("held up")})
 	b.Send("a", toA, &node.Message{Consensus: []byte("other way")})
 	a.expectMessage(t, "b", "other way")
 	a.waitForCount(t, "failed", 1)
-	m.Heal()
+	mesh.Heal()
 	a.Send("b", toB, &node.Message{Consensus: []byte("now")})
 	for text := ""; text != "now"; {
 		select {
-		case m := <-b.received:
-			text = string(m.Consensus)
+		case mesh := <-b.received:
+			text = string(mesh.Consensus)
 		case <-time.After(testTimeout):
 			t.Fatal(a.Counts())
 		}
--- a/internal/fleet/transport/frame.go
+++ b/internal/fleet/transport/frame.go
@@ -25,6 +25,7 @@
 	// incarnations only the number is kept, so that their frames are rejected.
 	maxIncarnations = 16
 
+	// The purposes of MACs are part of the wire format.
 	purposeFrame         = "fleet frame 1"
 	purposeFrameResponse = "fleet answer 1"
 )
@@ -55,6 +56,8 @@
 
 var encMode, decMode = newCBORModes()
 
+// newCBORModes returns a deterministic encoder, and a decoder that rejects duplicate keys, tags and
+// values of indefinite length.
 func newCBORModes() (cbor.EncMode, cbor.DecMode) {
 	e, err := cbor.CoreDetEncOptions().EncMode()
 	if err != nil {
--- a/internal/fleet/transport/frame_test.go
+++ b/internal/fleet/transport/frame_test.go
@@ -16,56 +16,57 @@
 
 var keyA, keyB = bytes.Repeat([]byte{7}, 32), bytes.Repeat([]byte{9}, 40)
 
-func TestWindowTakesEachNumberOnce(t *testing.T) {
+func TestWindowAcceptsEachNumberOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		var w sequenceWindow
-		taken, top := map[uint64]bool{}, uint64(0)
+		var window sequenceWindow
+		accepted, highest := map[uint64]bool{}, uint64(0)
 		for range rapid.IntRange(1, 300).Draw(t, "n") {
 			from := uint64(1)
-			if top > 1500 {
-				from = top - 1500
+			if highest > 1500 {
+				from = highest - 1500
 			}
-			seq := rapid.Uint64Range(from, top+1300).Draw(t, "seq")
-			want := !taken[seq] && seq+replayWindowSize > top
-			if got := w.accept(seq); got != want {
-				t.Fatalf("take(%d) with newest %d: %v, want %v", seq, top, got, want)
+			seq := rapid.Uint64Range(from, highest+1300).Draw(t, "seq")
+			want := !accepted[seq] && seq+replayWindowSize > highest
+			if got := window.accept(seq); got != want {
+				t.Fatalf("accept(%d) with highest %d: %v, want %v", seq, highest, got, want)
 			}
-			taken[seq] = taken[seq] || want
-			top = max(top, seq)
+			accepted[seq] = accepted[seq] || want
+			highest = max(highest, seq)
 		}
 	})
 }
 
-func TestWindowAtItsEnds(t *testing.T) {
-	w := sequenceWindow{}
-	const most = ^uint64(0)
-	if w.accept(0) || !w.accept(most) || w.accept(most) || !w.accept(most-1) || w.accept(3) {
-		t.Error("the ends of the numbers aren't told apart")
+func TestWindowAtSmallestAndLargestNumbers(t *testing.T) {
+	window := sequenceWindow{}
+	const largest = ^uint64(0)
+	if window.accept(0) || !window.accept(largest) || window.accept(largest) ||
+		!window.accept(largest-1) || window.accept(3) {
+		t.Error("0, the largest numbers or a number out of the window was misjudged")
 	}
 }
 
-func TestAnEarlierRunStaysShutOutOnceForgotten(t *testing.T) {
-	g := newReplayGuard("north", "a", 5)
+func TestIncarnationWithDroppedWindowStaysRejected(t *testing.T) {
+	guard := newReplayGuard("north", "a", 5)
 	f := frame{Fleet: "north", From: "b", To: "a", ReceiverIncarnation: 5, Seq: 1}
-	for boot := uint64(1); boot <= maxIncarnations+1; boot++ {
-		f.SenderIncarnation = boot
-		if err := g.accept(&f); err != nil {
-			t.Fatal(boot, err)
+	for incarnation := uint64(1); incarnation <= maxIncarnations+1; incarnation++ {
+		f.SenderIncarnation = incarnation
+		if err := guard.accept(&f); err != nil {
+			t.Fatal(incarnation, err)
 		}
 	}
-	for boot := uint64(1); boot <= maxIncarnations+1; boot++ {
-		f.SenderIncarnation = boot
-		if err := g.accept(&f); err == nil || err.Reason() != "replay" {
-			t.Errorf("the frame of run %d was taken twice: %v", boot, err)
+	for incarnation := uint64(1); incarnation <= maxIncarnations+1; incarnation++ {
+		f.SenderIncarnation = incarnation
+		if err := guard.accept(&f); err == nil || err.Reason() != "replay" {
+			t.Errorf("the frame of incarnation %d was accepted twice: %v", incarnation, err)
 		}
 	}
 	f.SenderIncarnation, f.Seq = 1, 2
-	if g.accept(&f) == nil {
-		t.Error("a run that has no window any more was taken")
+	if guard.accept(&f) == nil {
+		t.Error("a frame of an incarnation with a dropped window was accepted")
 	}
 	f.SenderIncarnation, f.Seq = 2, 2
-	if err := g.accept(&f); err != nil {
-		t.Error("an earlier run with a window:", err)
+	if err := guard.accept(&f); err != nil {
+		t.Error("a new frame of an earlier incarnation with a window was rejected:", err)
 	}
 }
 
@@ -82,22 +83,23 @@
 	}
 }
 
-func TestSayingsOnceAMinute(t *testing.T) {
-	s := logLimiter{}
+func TestLogLimiterAllowsEachPairOncePerInterval(t *testing.T) {
+	limiter := logLimiter{}
 	for i, want := range []struct {
 		peer string
 		at   time.Duration
 		say  bool
 	}{{"b", 0, true}, {"b", time.Second, false}, {"c", time.Second, true}, {"b", 60 * time.Second, true}, {"b", 61 * time.Second, false}} {
-		if got := s.allow(want.peer, "replay", want.at); got != want.say {
+		if got := limiter.allow(want.peer, "replay", want.at); got != want.say {
 			t.Errorf("step %d: %v", i, got)
 		}
 	}
 	for i := range maxLogKeys {
-		s.allow(strings.Repeat("x", i+1), "stranger", time.Hour)
+		limiter.allow(strings.Repeat("x", i+1), "stranger", time.Hour)
 	}
-	if len(s) != maxLogKeys || s.allow("new", "stranger", time.Hour) || !s.allow("new", "stranger", 2*time.Hour) {
-		t.Errorf("%d sayings are kept", len(s))
+	if len(limiter) != maxLogKeys || limiter.allow("new", "stranger", time.Hour) ||
+		!limiter.allow("new", "stranger", 2*time.Hour) {
+		t.Errorf("the full limiter has %d entries, or allowed the wrong pair", len(limiter))
 	}
 }
 
@@ -124,8 +126,8 @@
 			}
 			os.Chmod(path, c.mode)
 			keys, err := ReadKeys(path)
-			var typed *KeyFileError
-			if c.why != "" && (!errors.As(err, &typed) || !strings.Contains(err.Error(), c.why)) {
+			var keyFileErr *KeyFileError
+			if c.why != "" && (!errors.As(err, &keyFileErr) || !strings.Contains(err.Error(), c.why)) {
 				t.Fatalf("%v, want %q", err, c.why)
 			}
 			if c.why == "" && err != nil || len(keys) != len(c.want) {
@@ -133,7 +135,7 @@
 			}
 			for i := range keys {
 				if !bytes.Equal(keys[i], c.want[i]) {
-					t.Error("another key in place", i)
+					t.Error("wrong key at index", i)
 				}
 			}
 		})
@@ -142,11 +144,11 @@
 		t.Error("a directory was read")
 	}
 	if _, err := ReadKeys("/no/such"); err == nil {
-		t.Error("what isn't there was read")
+		t.Error("a missing file was read")
 	}
 }
 
-func TestErrorsSayWhatToDo(t *testing.T) {
+func TestErrorsHaveTextAndRemedy(t *testing.T) {
 	for _, err := range Errors() {
 		if err.Error() == "" || len(err.Remedy()) < 20 {
 			t.Errorf("%T: %q, %q", err, err.Error(), err.Remedy())
--- a/internal/fleet/transport/golden_test.go
+++ b/internal/fleet/transport/golden_test.go
@@ -9,37 +9,37 @@
 	"railrelay.dev/railrelay/internal/goldentest"
 )
 
-// cut separates a golden file's bytes from the MAC that stands behind them.
+// splitMAC splits the text of a golden file into the encoded value and the MAC that follows it.
 func splitMAC(t *testing.T, text []byte) (body, sum []byte) {
 	t.Helper()
 	const macBytes = 32
 	if len(text) <= macBytes {
-		t.Fatalf("%d bytes are too few", len(text))
+		t.Fatalf("%d bytes are too few for a value and its MAC", len(text))
 	}
 	return text[:len(text)-macBytes], text[len(text)-macBytes:]
 }
 
-func TestGoldenFramesAreReadAndWritten(t *testing.T) {
+func TestGoldenFramesAreDecodedAndEncoded(t *testing.T) {
 	values := []any{&goldenAnswer, &goldenAsked}
 	for kind, message := range goldenMessages() {
 		values = append(values, message, goldenFrame(message))
 		t.Run(kind, func(t *testing.T) {
 			name := "frame_" + kind
 			body, sum := splitMAC(t, goldentest.File(t, name))
-			got, refused := authenticate(goldenKeys, body, sum, "test")
-			if refused != nil {
-				t.Fatal(refused)
+			got, rejection := authenticate(goldenKeys, body, sum, "test")
+			if rejection != nil {
+				t.Fatal(rejection)
 			}
 			want := goldenFrame(message)
 			if diff := cmp.Diff(want, got); diff != "" {
 				t.Errorf("the frame (-want +got):\n%s", diff)
 			}
-			messages, refused := got.decodeMessages()
-			if refused != nil {
-				t.Fatal(refused)
+			messages, rejection := got.decodeMessages()
+			if rejection != nil {
+				t.Fatal(rejection)
 			}
 			if diff := cmp.Diff([]*node.Message{message}, messages); diff != "" {
-				t.Errorf("its messages (-want +got):\n%s", diff)
+				t.Errorf("the messages of the frame (-want +got):\n%s", diff)
 			}
 			again := encode(want)
 			goldentest.Same(t, name, append(again, goldenKeys.sign(purposeFrame, again)...))
@@ -48,7 +48,7 @@
 	goldentest.EveryFieldSet(t, goldentest.CBOR, values...)
 }
 
-func TestGoldenAnswersAndAsksAreReadAndWritten(t *testing.T) {
+func TestGoldenResponsesAndRequestsAreDecodedAndEncoded(t *testing.T) {
 	for _, c := range []struct {
 		name, purpose string
 		want, got     any
@@ -59,7 +59,7 @@
 	} {
 		body, sum := splitMAC(t, goldentest.File(t, c.name))
 		if !goldenKeys.verify(c.purpose, body, sum) {
-			t.Errorf("%s: its MAC doesn't fit", c.name)
+			t.Errorf("%s: the MAC doesn't verify", c.name)
 		}
 		if err := decMode.Unmarshal(body, c.got); err != nil {
 			t.Fatal(err)
--- a/internal/fleet/transport/golden_values_test.go
+++ b/internal/fleet/transport/golden_values_test.go
@@ -8,7 +8,7 @@
 	"railrelay.dev/railrelay/internal/fleet/node"
 )
 
-// goldenKeys are what golden frames, answers and asks are signed with.
+// goldenKeys sign the golden frames, responses and requests.
 var goldenKeys = Keys{[]byte("0123456789abcdef0123456789abcdef"), []byte("fedcba9876543210fedcba9876543210")}
 
 var goldenRenew = node.LeaseRenewal{
@@ -35,7 +35,7 @@
 	Team:  "team-b", Tables: []int64{3, 4}, SourceTables: []int64{5}, AbortAfterMs: 23, WaitMs: 24, AwaitedStage: "settled",
 }
 
-// goldenMessages is one message of each kind, by its kind, and one with all kinds.
+// goldenMessages returns one message of each kind, by the name of the kind, and "all" with every kind.
 func goldenMessages() map[string]*node.Message {
 	grant := node.LeaseGrant{Seq: 31, SentAt: 32, Incarnation: 33, Granted: true, RequiredIndex: 34, Leader: "north-2",
 		WaitingFor: map[string][]string{"change-1": {"south-1", "south-2"}}, RefusedReason: "its disk is forgotten"}
@@ -72,7 +72,7 @@
 	}
 }
 
-// goldenFrame is a frame with one message.
+// goldenFrame returns a frame that holds one message.
 func goldenFrame(m *node.Message) *frame {
 	return &frame{Fleet: "fleet-1", From: m.From, To: m.To, SenderIncarnation: 81, ReceiverIncarnation: 82, Seq: 83, Messages: []cbor.RawMessage{encode(m)}}
 }
--- a/internal/fleet/transport/peer_transport_test.go
+++ b/internal/fleet/transport/peer_transport_test.go
@@ -17,9 +17,9 @@
 	"railrelay.dev/railrelay/internal/fleet/node"
 )
 
-const testTimeout = 10 * time.Second // what a test waits for at most
+const testTimeout = 10 * time.Second
 
-// end is one controller of a test.
+// testPeer is a PeerTransport that records the messages and rejections it gets.
 type testPeer struct {
 	*PeerTransport
 	address    string
@@ -36,6 +36,7 @@
 	return l
 }
 
+// openTestPeer opens a peer on a free local port, unless the options name a listener.
 func openTestPeer(t *testing.T, options Options) *testPeer {
 	t.Helper()
 	peer := &testPeer{received: make(chan *node.Message, 4096), rejections: make(chan fleet.ErrorWithRemedy, 64)}
@@ -59,19 +60,21 @@
 	return peer
 }
 
-// pair makes a and b; the leak check runs after both were closed.
+// newPeerPair opens the peers a and b. It checks for leaked goroutines after both are closed.
 func newPeerPair(t *testing.T, a, b Options) (*testPeer, *testPeer) {
 	t.Helper()
-	now := goleak.IgnoreCurrent()
-	t.Cleanup(func() { goleak.VerifyNone(t, now) })
+	running := goleak.IgnoreCurrent()
+	t.Cleanup(func() { goleak.VerifyNone(t, running) })
 	a.Self, b.Self = "a", "b"
 	return openTestPeer(t, a), openTestPeer(t, b)
 }
 
+// send sends a message with the given text.
 func (p *testPeer) send(to *testPeer, text string) {
 	p.Send(to.options.Self, to.address, &node.Message{Consensus: []byte(text)})
 }
 
+// expectMessage checks the sender, recipient and text of the next message.
 func (p *testPeer) expectMessage(t *testing.T, from, text string) {
 	t.Helper()
 	select {
@@ -80,10 +83,11 @@
 			t.Fatalf("%q from %s for %s, want %q from %s", m.Consensus, m.From, m.To, text, from)
 		}
 	case <-time.After(testTimeout):
-		t.Fatalf("%q never came: %v", text, p.Counts())
+		t.Fatalf("message %q never arrived: %v", text, p.Counts())
 	}
 }
 
+// expectRejection returns the next rejection, which must have the type E.
 func expectRejection[E fleet.ErrorWithRemedy](t *testing.T, rejections chan fleet.ErrorWithRemedy) E {
 	t.Helper()
 	select {
@@ -94,47 +98,49 @@
 		}
 		return typed
 	case <-time.After(testTimeout):
-		t.Fatal("nothing was refused")
+		t.Fatal("nothing was rejected")
 	}
 	panic("unreachable")
 }
 
-// until waits for a count, by looking: counts have no event.
+// waitForCount polls until a counter reaches n.
 func (p *testPeer) waitForCount(t *testing.T, name string, n int) {
 	t.Helper()
-	for end := time.Now().Add(testTimeout); p.Counts()[name] < n; time.Sleep(time.Millisecond) {
-		if time.Now().After(end) {
-			t.Fatalf("%s stays under %d: %v", name, n, p.Counts())
+	for deadline := time.Now().Add(testTimeout); p.Counts()[name] < n; time.Sleep(time.Millisecond) {
+		if time.Now().After(deadline) {
+			t.Fatalf("counter %s stays under %d: %v", name, n, p.Counts())
 		}
 	}
 }
 
-// post sends a frame by hand.
-func postFrame(t *testing.T, e *testPeer, keys Keys, f *frame) *http.Response {
+// postFrame posts a frame, signed with keys, without a PeerTransport.
+func postFrame(t *testing.T, peer *testPeer, keys Keys, f *frame) *http.Response {
 	t.Helper()
 	body := encode(f)
-	return postRaw(t, e, body, keys.sign(purposeFrame, body))
+	return postRaw(t, peer, body, keys.sign(purposeFrame, body))
 }
 
-func postRaw(t *testing.T, e *testPeer, body, sum []byte) *http.Response {
+// postRaw posts a body with a MAC.
+func postRaw(t *testing.T, peer *testPeer, body, sum []byte) *http.Response {
 	t.Helper()
-	r, _ := http.NewRequest(http.MethodPost, "http://"+e.address+pathFrame, bytes.NewReader(body))
+	r, _ := http.NewRequest(http.MethodPost, "http://"+peer.address+pathFrame, bytes.NewReader(body))
 	r.Header.Set(headerMAC, hex.EncodeToString(sum))
 	r.Close = true
-	a, err := http.DefaultTransport.RoundTrip(r)
+	response, err := http.DefaultTransport.RoundTrip(r)
 	if err != nil {
 		t.Fatal(err)
 	}
-	io.Copy(io.Discard, a.Body)
-	a.Body.Close()
-	return a
+	io.Copy(io.Discard, response.Body)
+	response.Body.Close()
+	return response
 }
 
+// encodeMessage returns an encoded message.
 func encodeMessage(from, to, text string) []byte {
 	return encode(&node.Message{From: from, To: to, Consensus: []byte(text)})
 }
 
-func TestMessagesGoBothWaysInOrder(t *testing.T) {
+func TestMessagesArriveInOrderInBothDirections(t *testing.T) {
 	a, b := newPeerPair(t, Options{}, Options{})
 	for i := range 100 {
 		a.send(b, fmt.Sprint(i))
@@ -145,12 +151,13 @@
 	b.send(a, "back")
 	a.expectMessage(t, "b", "back")
 	a.waitForCount(t, "sent", 100)
-	if c := b.Counts(); c["got"] != 100 || c["bytes_in"] == 0 || len(a.rejections)+len(b.rejections) > 0 {
-		t.Error(c, a.Counts())
+	if counts := b.Counts(); counts["got"] != 100 || counts["bytes_in"] == 0 ||
+		len(a.rejections)+len(b.rejections) > 0 {
+		t.Error(counts, a.Counts())
 	}
 }
 
-func TestAStrangerIsRefused(t *testing.T) {
+func TestFrameWithUnknownKeyIsRejected(t *testing.T) {
 	a, b := newPeerPair(t, Options{Keys: Keys{keyB}}, Options{})
 	a.send(b, "let me in")
 	expectRejection[*UnauthenticatedError](t, b.rejections)
@@ -160,11 +167,11 @@
 	a.send(b, "and again")
 	b.waitForCount(t, "refused_stranger", 2)
 	if len(b.rejections) > 0 || len(b.received) > 0 {
-		t.Errorf("said twice within a minute, or taken: %v", b.Counts())
+		t.Errorf("reported twice within a minute, or accepted: %v", b.Counts())
 	}
 }
 
-func TestAForgedAnswerCountsForNothing(t *testing.T) {
+func TestForgedResponseIsRejected(t *testing.T) {
 	l := listen(t, "127.0.0.1:0")
 	forger := &http.Server{Handler: http.HandlerFunc(func(rw http.ResponseWriter, r *http.Request) {
 		rw.Header().Set(headerBoot, "7")
@@ -177,76 +184,76 @@
 	a.Send("c", l.Addr().String(), &node.Message{})
 	expectRejection[*UnauthenticatedError](t, a.rejections)
 	a.waitForCount(t, "lost", 1)
-	if c := a.Counts(); c["sent"] != 0 {
-		t.Error(c)
+	if counts := a.Counts(); counts["sent"] != 0 {
+		t.Error(counts)
 	}
 }
 
-func TestAReplayIsRefusedAndToldFromWhatIsNew(t *testing.T) {
+func TestReplayIsRejectedAndNewFrameAccepted(t *testing.T) {
 	_, b := newPeerPair(t, Options{}, Options{})
 	f := &frame{Fleet: "north", From: "c", To: "b",
 		SenderIncarnation: 4, ReceiverIncarnation: b.Incarnation(), Seq: 1}
 	f.Messages = append(f.Messages, encodeMessage("c", "b", "once"))
-	if a := postFrame(t, b, Keys{keyA}, f); a.StatusCode != http.StatusNoContent {
-		t.Fatal(a.Status)
+	if response := postFrame(t, b, Keys{keyA}, f); response.StatusCode != http.StatusNoContent {
+		t.Fatal(response.Status)
 	}
 	b.expectMessage(t, "c", "once")
-	if a := postFrame(t, b, Keys{keyA}, f); a.StatusCode != http.StatusForbidden {
-		t.Error(a.Status)
+	if response := postFrame(t, b, Keys{keyA}, f); response.StatusCode != http.StatusForbidden {
+		t.Error(response.Status)
 	}
 	expectRejection[*ReplayError](t, b.rejections)
 	for seq, want := range map[uint64]int{3000: 204, 3000 - replayWindowSize: 403} {
 		f.Seq = max(seq, 3000) // the newest first, whatever the map's order
 		postFrame(t, b, Keys{keyA}, f)
 		f.Seq = seq - 1
-		if a := postFrame(t, b, Keys{keyA}, f); seq != 3000 && a.StatusCode != want {
-			t.Errorf("number %d after 3000: %s", f.Seq, a.Status)
+		if response := postFrame(t, b, Keys{keyA}, f); seq != 3000 && response.StatusCode != want {
+			t.Errorf("number %d after 3000: %s", f.Seq, response.Status)
 		}
 	}
-	if c := b.Counts(); c["refused_replay"] < 3 {
-		t.Error(c)
+	if counts := b.Counts(); counts["refused_replay"] < 3 {
+		t.Error(counts)
 	}
 }
 
-func TestOthersFramesAreRefused(t *testing.T) {
+func TestMisaddressedAndMalformedFramesAreRejected(t *testing.T) {
 	_, b := newPeerPair(t, Options{}, Options{})
-	good := frame{Fleet: "north", From: "c", To: "b",
+	valid := frame{Fleet: "north", From: "c", To: "b",
 		SenderIncarnation: 4, ReceiverIncarnation: b.Incarnation(), Seq: 1}
-	f := good
+	f := valid
 	f.Fleet = "south"
 	postFrame(t, b, Keys{keyA}, &f)
 	expectRejection[*OtherFleetError](t, b.rejections)
-	f = good
+	f = valid
 	f.To = "d"
-	if a := postFrame(t, b, Keys{keyA}, &f); a.StatusCode != http.StatusMisdirectedRequest {
-		t.Error(a.Status)
+	if response := postFrame(t, b, Keys{keyA}, &f); response.StatusCode != http.StatusMisdirectedRequest {
+		t.Error(response.Status)
 	}
 	expectRejection[*WrongRecipientError](t, b.rejections)
-	f = good
+	f = valid
 	f.Messages = append(f.Messages, encodeMessage("c", "b", "fine"), encodeMessage("d", "b", "not its own"))
-	if a := postFrame(t, b, Keys{keyA}, &f); a.StatusCode != http.StatusBadRequest {
-		t.Error(a.Status)
+	if response := postFrame(t, b, Keys{keyA}, &f); response.StatusCode != http.StatusBadRequest {
+		t.Error(response.Status)
 	}
 	expectRejection[*MalformedError](t, b.rejections)
 	junk := []byte{0xff, 0, 1}
 	postRaw(t, b, junk, Keys{keyA}.sign(purposeFrame, junk))
 	expectRejection[*MalformedError](t, b.rejections)
 	if len(b.received) > 0 {
-		t.Error("some of it was handed on")
+		t.Error("a message of a rejected frame was delivered")
 	}
 }
 
-func TestTooLargeIsNotReadAndNotSent(t *testing.T) {
+func TestTooLargeFrameIsNeitherReadNorSent(t *testing.T) {
 	a, b := newPeerPair(t, Options{}, Options{})
-	c, err := net.Dial("tcp", b.address)
+	conn, err := net.Dial("tcp", b.address)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer c.Close()
-	fmt.Fprintf(c, "POST /fleet HTTP/1.1\r\nHost: b\r\nContent-Length: %d\r\n\r\n", MaxFrameBytes+1)
+	defer conn.Close()
+	fmt.Fprintf(conn, "POST /fleet HTTP/1.1\r\nHost: b\r\nContent-Length: %d\r\n\r\n", MaxFrameBytes+1)
 	head := make([]byte, len("HTTP/1.1 413"))
-	c.SetReadDeadline(time.Now().Add(testTimeout))
-	if _, err := io.ReadFull(c, head); err != nil || string(head) != "HTTP/1.1 413" {
+	conn.SetReadDeadline(time.Now().Add(testTimeout))
+	if _, err := io.ReadFull(conn, head); err != nil || string(head) != "HTTP/1.1 413" {
 		t.Errorf("%q %v", head, err)
 	}
 	expectRejection[*TooLargeError](t, b.rejections)
@@ -254,30 +261,30 @@
 	expectRejection[*TooLargeError](t, a.rejections)
 }
 
-func TestAfterARestartOldFramesAreRefusedAndNewOnesCome(t *testing.T) {
+func TestFramesForEarlierIncarnationAreRejectedAfterRestart(t *testing.T) {
 	a, b := newPeerPair(t, Options{}, Options{})
 	a.send(b, "before")
 	b.expectMessage(t, "a", "before")
-	a.waitForCount(t, "sent", 1) // an answer that the restart cuts off would have it sent twice
+	a.waitForCount(t, "sent", 1) // without the response, a would send the message again after the restart
 	old := &frame{Fleet: "north", From: "a", To: "b",
 		SenderIncarnation: a.Incarnation(), ReceiverIncarnation: b.Incarnation(), Seq: 2}
 	old.Messages = append(old.Messages, encodeMessage("a", "b", "recorded"))
 	b.Close()
 	b2 := openTestPeer(t, Options{Self: "b", Listener: listen(t, b.address)})
-	answer := postFrame(t, b2, Keys{keyA}, old)
-	if answer.StatusCode != http.StatusConflict ||
-		answer.Header.Get(headerBoot) != strconv.FormatUint(b2.Incarnation(), 16) {
-		t.Error(answer.Status, answer.Header)
+	response := postFrame(t, b2, Keys{keyA}, old)
+	if response.StatusCode != http.StatusConflict ||
+		response.Header.Get(headerBoot) != strconv.FormatUint(b2.Incarnation(), 16) {
+		t.Error(response.Status, response.Header)
 	}
 	expectRejection[*StaleIncarnationError](t, b2.rejections)
 	a.send(b2, "after")
 	b2.expectMessage(t, "a", "after")
 	if len(b2.received) > 0 {
-		t.Error("the recorded frame was taken")
+		t.Error("the replayed frame was accepted")
 	}
 }
 
-func TestAKeyIsReplacedWithoutABreak(t *testing.T) {
+func TestKeyIsReplacedWithoutInterruption(t *testing.T) {
 	a, b := newPeerPair(t, Options{}, Options{})
 	for i, step := range []struct{ a, b Keys }{
 		{Keys{keyA}, Keys{keyA, keyB}}, {Keys{keyA, keyB}, Keys{keyA, keyB}},
@@ -293,14 +300,14 @@
 	}
 	a.waitForCount(t, "sent", 5)
 	if a.SetKeys(nil) == nil || a.SetKeys(Keys{keyA[:16]}) == nil {
-		t.Error("no key or a short one was set")
+		t.Error("SetKeys accepted no key or a short key")
 	}
 	b.SetKeys(Keys{keyA})
 	a.send(b, "by the new key")
 	expectRejection[*UnauthenticatedError](t, b.rejections)
 }
 
-func TestAPeerThatIsDownGetsTheNewestWhenItIsUp(t *testing.T) {
+func TestRestartedPeerGetsNewestQueuedMessages(t *testing.T) {
 	a, b := newPeerPair(t, Options{}, Options{})
 	b.Close()
 	for i := range maxQueuedMessages + 50 {
@@ -313,12 +320,12 @@
 		b2.expectMessage(t, "a", fmt.Sprint(i+50))
 	}
 	a.waitForCount(t, "sent", maxQueuedMessages)
-	if c := a.Counts(); c["dropped"] != 50 || c["lost"] != 0 {
-		t.Error(c)
+	if counts := a.Counts(); counts["dropped"] != 50 || counts["lost"] != 0 {
+		t.Error(counts)
 	}
 }
 
-func TestARingIsBoundInBytes(t *testing.T) {
+func TestQueueIsBoundedInBytes(t *testing.T) {
 	a, b := newPeerPair(t, Options{}, Options{})
 	b.Close()
 	for range 12 {
@@ -331,30 +338,30 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.queuedBytes > MaxFrameBytes {
-		t.Error(p.queuedBytes, "bytes wait")
+		t.Error(p.queuedBytes, "bytes are queued")
 	}
 }
 
-func TestAFrameCutInTheMiddleHandsOnNothing(t *testing.T) {
+func TestTruncatedFrameDeliversNothing(t *testing.T) {
 	a, b := newPeerPair(t, Options{}, Options{})
 	f := &frame{Fleet: "north", From: "a", To: "b",
 		SenderIncarnation: 3, ReceiverIncarnation: b.Incarnation(), Seq: 1}
 	f.Messages = append(f.Messages, encodeMessage("a", "b", "whole"))
 	body := encode(f)
-	c, err := net.Dial("tcp", b.address)
+	conn, err := net.Dial("tcp", b.address)
 	if err != nil {
 		t.Fatal(err)
 	}
-	fmt.Fprintf(c, "POST /fleet HTTP/1.1\r\nHost: b\r\nFleet-Mac: %x\r\nContent-Length: %d\r\n\r\n%s",
+	fmt.Fprintf(conn, "POST /fleet HTTP/1.1\r\nHost: b\r\nFleet-Mac: %x\r\nContent-Length: %d\r\n\r\n%s",
 		Keys{keyA}.sign(purposeFrame, body), len(body), body[:len(body)-1])
-	c.Close()
+	conn.Close()
 	b.waitForCount(t, "cut", 1)
 	a.send(b, "after")
 	b.expectMessage(t, "a", "after")
 }
 
-func TestAPeerThatTakesAndDoesNotAnswer(t *testing.T) {
-	l := listen(t, "127.0.0.1:0") // connections are taken by the system, nobody reads them
+func TestPeerThatAcceptsButNeverResponds(t *testing.T) {
+	l := listen(t, "127.0.0.1:0") // the system accepts connections, but nothing reads them
 	a, b := newPeerPair(t, Options{Timeout: 30 * time.Millisecond}, Options{})
 	t.Cleanup(func() { l.Close() })
 	a.Send("c", l.Addr().String(), &node.Message{})
@@ -363,7 +370,7 @@
 	a.waitForCount(t, "lost", 1)
 }
 
-func TestIdlePeersCostNoGoroutine(t *testing.T) {
+func TestIdlePeerHasNoGoroutine(t *testing.T) {
 	a, b := newPeerPair(t, Options{IdleTimeout: 20 * time.Millisecond}, Options{})
 	running := func() bool {
 		a.mu.Lock()
@@ -376,9 +383,9 @@
 	for i := range 3 {
 		a.send(b, fmt.Sprint(i))
 		b.expectMessage(t, "a", fmt.Sprint(i))
-		for end := time.Now().Add(testTimeout); running(); time.Sleep(time.Millisecond) {
-			if time.Now().After(end) {
-				t.Fatal("its goroutine never ends")
+		for deadline := time.Now().Add(testTimeout); running(); time.Sleep(time.Millisecond) {
+			if time.Now().After(deadline) {
+				t.Fatal("the goroutine of the idle peer never ends")
 			}
 		}
 	}
