--- a/internal/fleet/driver/driver.go
+++ b/internal/fleet/driver/driver.go
@@ -95,11 +95,11 @@
 	peers          peerSender
 	checkPolicy    func(change string, text []byte, context PolicyContext) PolicyVerdict
 	log            zerolog.Logger
-	started        time.Time // what the core's times count from
-	name           string    // this controller's
+	started        time.Time // origin of the core's time
+	name           string    // of this controller
 
-	// Into the core's goroutine, and out of it. What happens when one is full stands in the
-	// package's comment.
+	// Queues to and from the core's goroutine. The package comment says what happens when a queue
+	// is full.
 	messages  chan *node.Message
 	reports   chan fleet.Report
 	orders    chan fleet.Order
--- a/internal/fleet/driver/driver_test.go
+++ b/internal/fleet/driver/driver_test.go
@@ -53,7 +53,7 @@
 	writes chan consensus.PersistentState
 }
 
-func (s *fakeStore) Write(k consensus.PersistentState) error { s.writes <- k; return s.err }
+func (s *fakeStore) Write(state consensus.PersistentState) error { s.writes <- state; return s.err }
 
 // fakePeers drops all messages, and has one nonzero counter.
 type fakePeers struct{}
@@ -84,8 +84,8 @@
 	*Driver, *fakeCore, *syncBuffer) {
 	core, log := &fakeCore{make(chan node.Event, 10_000), step}, &syncBuffer{}
 	d := newDriver(core, []node.Effect{{Kind: node.SetTimer, Delay: time.Hour}}, &Options{StartTime: time.Now(), Log: zerolog.New(log),
-		CheckPolicy: func(change string, text []byte, have PolicyContext) PolicyVerdict {
-			return PolicyVerdict{Reason: change + string(text) + have.Policy.(string)}
+		CheckPolicy: func(changeID string, text []byte, policyContext PolicyContext) PolicyVerdict {
+			return PolicyVerdict{Reason: changeID + string(text) + policyContext.Policy.(string)}
 		}})
 	d.store, d.peers = &fakeStore{writeErr, make(chan consensus.PersistentState, 100)}, fakePeers{}
 	ctx, stop := context.WithCancel(context.Background())
