--- a/internal/fleet/driver/driver_test.go
+++ b/internal/fleet/driver/driver_test.go
@@ -131,16 +131,16 @@
 	ctx, stop := context.WithCancel(context.Background())
 	answer := make(chan *fleet.Response)
 	go func() { answer <- d.Request(ctx, &fleet.Request{Kind: "apply", ID: "a1"}) }()
-	asked := core.waitFor(t, node.OperatorRequested)
-	for asked.Request.Kind != "apply" {
-		asked = core.waitFor(t, node.OperatorRequested)
+	requested := core.waitFor(t, node.OperatorRequested)
+	for requested.Request.Kind != "apply" {
+		requested = core.waitFor(t, node.OperatorRequested)
 	}
 	stop()
 	if r := <-answer; r.Outcome != "unknown" || r.ExitStatus() != 4 || r.ID != "a1" || r.Remedy == "" {
 		t.Fatalf("%+v", r)
 	}
-	if gone := core.waitFor(t, node.RequesterGone); gone.Handle != asked.Handle {
-		t.Fatalf("the abandoned request has handle %d, want %d", gone.Handle, asked.Handle)
+	if gone := core.waitFor(t, node.RequesterGone); gone.Handle != requested.Handle {
+		t.Fatalf("the abandoned request has handle %d, want %d", gone.Handle, requested.Handle)
 	}
 }
 
--- a/internal/fleet/transport/control_server.go
+++ b/internal/fleet/transport/control_server.go
@@ -167,7 +167,7 @@
 
 // writeSigned writes message as an HTTP response, with its MAC in a header.
 func (s *ControlServer) writeSigned(rw http.ResponseWriter, purpose string, message *signedMessage) {
-	rw.Header().Set(headerBoot, strconv.FormatUint(message.Challenge, 16))
+	rw.Header().Set(headerIncarnation, strconv.FormatUint(message.Challenge, 16))
 	rw.Header().Set(headerMAC, hex.EncodeToString((*s.keys.Load()).sign(purpose, encode(message))))
 	rw.Header().Set("Content-Type", "application/json")
 	rw.WriteHeader(message.Status)
@@ -192,7 +192,7 @@
 		return
 	}
 	nonce := r.Header.Get(headerNonce)
-	challenge, err := strconv.ParseUint(r.Header.Get(headerBoot), 16, 64)
+	challenge, err := strconv.ParseUint(r.Header.Get(headerIncarnation), 16, 64)
 	sum, _ := hex.DecodeString(r.Header.Get(headerMAC)) // a header that isn't hex matches no key
 	if err != nil || len(nonce) != 2*nonceBytes ||
 		!(*s.keys.Load()).verify(purposeRequest,
@@ -322,7 +322,7 @@
 	}
 	httpRequest.Header.Set(headerNonce, request.Nonce)
 	if purpose == purposeResponse {
-		httpRequest.Header.Set(headerBoot, strconv.FormatUint(request.Challenge, 16))
+		httpRequest.Header.Set(headerIncarnation, strconv.FormatUint(request.Challenge, 16))
 		httpRequest.Header.Set(headerMAC, hex.EncodeToString(c.keys.sign(purposeRequest, encode(request))))
 	}
 	httpResponse, err := c.transport.RoundTrip(httpRequest)
@@ -341,7 +341,7 @@
 	if len(body) > MaxRequestBytes {
 		return nil, &TooLargeError{c.address, int64(len(body)), MaxRequestBytes}
 	}
-	challenge, err := strconv.ParseUint(httpResponse.Header.Get(headerBoot), 16, 64)
+	challenge, err := strconv.ParseUint(httpResponse.Header.Get(headerIncarnation), 16, 64)
 	sum, macErr := hex.DecodeString(httpResponse.Header.Get(headerMAC))
 	response := &signedMessage{Nonce: request.Nonce, Challenge: challenge,
 		Status: httpResponse.StatusCode, Body: body}
--- a/internal/fleet/transport/control_server_test.go
+++ b/internal/fleet/transport/control_server_test.go
@@ -87,7 +87,7 @@
 	}
 	r, _ := http.NewRequest(http.MethodPost, "http://"+address+pathRequest, strings.NewReader("{}"))
 	r.Header.Set(headerNonce, newNonce())
-	r.Header.Set(headerBoot, "1")
+	r.Header.Set(headerIncarnation, "1")
 	if response := roundTrip(t, r); response.StatusCode != http.StatusForbidden {
 		t.Error(response.Status)
 	}
@@ -113,7 +113,7 @@
 	send := func() int {
 		r, _ := http.NewRequest(http.MethodPost, "http://"+address+pathRequest, bytes.NewReader(request.Body))
 		r.Header.Set(headerNonce, request.Nonce)
-		r.Header.Set(headerBoot, strconv.FormatUint(request.Challenge, 16))
+		r.Header.Set(headerIncarnation, strconv.FormatUint(request.Challenge, 16))
 		r.Header.Set(headerMAC, hex.EncodeToString(Keys{keyA}.sign(purposeRequest, encode(request))))
 		return roundTrip(t, r).StatusCode
 	}
--- a/internal/fleet/transport/golden_test.go
+++ b/internal/fleet/transport/golden_test.go
@@ -20,7 +20,7 @@
 }
 
 func TestGoldenFramesAreDecodedAndEncoded(t *testing.T) {
-	values := []any{&goldenAnswer, &goldenAsked}
+	values := []any{&goldenFrameResponse, &goldenSignedMessage}
 	for kind, message := range goldenMessages() {
 		values = append(values, message, goldenFrame(message))
 		t.Run(kind, func(t *testing.T) {
@@ -53,9 +53,9 @@
 		name, purpose string
 		want, got     any
 	}{
-		{"answer", purposeFrameResponse, &goldenAnswer, &frameResponse{}},
-		{"asked", purposeRequest, &goldenAsked, &signedMessage{}},
-		{"replied", purposeResponse, &goldenAsked, &signedMessage{}},
+		{"answer", purposeFrameResponse, &goldenFrameResponse, &frameResponse{}},
+		{"asked", purposeRequest, &goldenSignedMessage, &signedMessage{}},
+		{"replied", purposeResponse, &goldenSignedMessage, &signedMessage{}},
 	} {
 		body, sum := splitMAC(t, goldentest.File(t, c.name))
 		if !goldenKeys.verify(c.purpose, body, sum) {
--- a/internal/fleet/transport/golden_values_test.go
+++ b/internal/fleet/transport/golden_values_test.go
@@ -77,6 +77,6 @@
 	return &frame{Fleet: "fleet-1", From: m.From, To: m.To, SenderIncarnation: 81, ReceiverIncarnation: 82, Seq: 83, Messages: []cbor.RawMessage{encode(m)}}
 }
 
-var goldenAnswer = frameResponse{Fleet: "fleet-1", From: "south-1", Status: 200, Incarnation: 91, Seq: 92, Frame: []byte("its mac")}
+var goldenFrameResponse = frameResponse{Fleet: "fleet-1", From: "south-1", Status: 200, Incarnation: 91, Seq: 92, Frame: []byte("its mac")}
 
-var goldenAsked = signedMessage{Nonce: "00112233445566778899aabbccddeeff", Challenge: 93, Status: 200, Body: []byte(`{"kind":"status"}`)}
+var goldenSignedMessage = signedMessage{Nonce: "00112233445566778899aabbccddeeff", Challenge: 93, Status: 200, Body: []byte(`{"kind":"status"}`)}
--- a/internal/fleet/transport/peer_transport.go
+++ b/internal/fleet/transport/peer_transport.go
@@ -35,9 +35,9 @@
 	maxFrameBytesBeingRead = 256 << 20 // of all frames being read, each counted by its Content-Length
 	maxAttempts            = 2         // for a message that may have reached its peer
 
-	pathFrame  = "/fleet"
-	headerMAC  = "Fleet-Mac"
-	headerBoot = "Fleet-Boot"
+	pathFrame         = "/fleet"
+	headerMAC         = "Fleet-Mac"
+	headerIncarnation = "Fleet-Boot" // in control requests and responses: the challenge
 )
 
 // Options configure a PeerTransport.
@@ -430,7 +430,7 @@
 	if response.StatusCode != http.StatusNoContent && response.StatusCode != http.StatusConflict {
 		return 0, 0, &PeerRejectedError{f.To, address, response.StatusCode}
 	}
-	incarnation, err = strconv.ParseUint(response.Header.Get(headerBoot), 16, 64)
+	incarnation, err = strconv.ParseUint(response.Header.Get(headerIncarnation), 16, 64)
 	responseSum, macErr := hex.DecodeString(response.Header.Get(headerMAC))
 	signed := encode(&frameResponse{f.Fleet, f.To, response.StatusCode, incarnation, f.Seq, sum})
 	if err != nil || macErr != nil || !keys.verify(purposeFrameResponse, signed, responseSum) {
@@ -485,7 +485,7 @@
 	}
 	if status == http.StatusConflict || status == http.StatusNoContent {
 		signed := encode(&frameResponse{t.options.Fleet, t.options.Self, status, t.options.Incarnation, f.Seq, sum})
-		rw.Header().Set(headerBoot, strconv.FormatUint(t.options.Incarnation, 16))
+		rw.Header().Set(headerIncarnation, strconv.FormatUint(t.options.Incarnation, 16))
 		rw.Header().Set(headerMAC, hex.EncodeToString(keys.sign(purposeFrameResponse, signed)))
 	}
 	rw.WriteHeader(status)
--- a/internal/fleet/transport/peer_transport_test.go
+++ b/internal/fleet/transport/peer_transport_test.go
@@ -174,7 +174,7 @@
 func TestForgedResponseIsRejected(t *testing.T) {
 	l := listen(t, "127.0.0.1:0")
 	forger := &http.Server{Handler: http.HandlerFunc(func(rw http.ResponseWriter, r *http.Request) {
-		rw.Header().Set(headerBoot, "7")
+		rw.Header().Set(headerIncarnation, "7")
 		rw.Header().Set(headerMAC, hex.EncodeToString(Keys{keyB}.sign(purposeFrameResponse, nil)))
 		rw.WriteHeader(http.StatusNoContent)
 	})}
@@ -273,7 +273,7 @@
 	b2 := openTestPeer(t, Options{Self: "b", Listener: listen(t, b.address)})
 	response := postFrame(t, b2, Keys{keyA}, old)
 	if response.StatusCode != http.StatusConflict ||
-		response.Header.Get(headerBoot) != strconv.FormatUint(b2.Incarnation(), 16) {
+		response.Header.Get(headerIncarnation) != strconv.FormatUint(b2.Incarnation(), 16) {
 		t.Error(response.Status, response.Header)
 	}
 	expectRejection[*StaleIncarnationError](t, b2.rejections)
