--- a/cmd/railrelay-fleet/join.go
+++ b/cmd/railrelay-fleet/join.go
@@ -64,9 +64,9 @@
 	}
 	was, _ := before.Rules.([]residency.Rule)
 	next, _ := policy.Rules.([]residency.Rule)
-	for _, t := range residency.Tightened(was, next, have.Bindings) {
-		if t.Purge != nil {
-			c.PurgeScopes = append(c.PurgeScopes, *t.Purge)
+	for _, t := range residency.FindTightenings(was, next, have.Bindings) {
+		if t.PurgeScope != nil {
+			c.PurgeScopes = append(c.PurgeScopes, *t.PurgeScope)
 		}
 	}
 	return c
--- a/cmd/railrelay-fleet/plan.go
+++ b/cmd/railrelay-fleet/plan.go
@@ -59,7 +59,7 @@
 			}
 			was, _ := now.Rules.([]residency.Rule)
 			rules, _ := next.Rules.([]residency.Rule)
-			o := residency.Plan(was, rules, world)
+			o := residency.PlanChange(was, rules, world)
 			if d.json {
 				err = printed(c, o)
 			} else if len(o.Rows) == 0 {
@@ -67,7 +67,7 @@
 			} else {
 				_, err = fmt.Fprint(c.OutOrStdout(), args[0]+": good\n"+o.Table())
 			}
-			if len(o.None) > 0 && err == nil {
+			if len(o.TeamsWithoutSite) > 0 && err == nil {
 				return cli.Status{Code: 3}
 			}
 			return err
@@ -77,7 +77,7 @@
 }
 
 // world asks for what there is: the policy in force, controllers, bindings, engines.
-func (d *desk) world(c *cobra.Command, own *setup.Setup) (now *controller.Policy, w residency.World, err error) {
+func (d *desk) world(c *cobra.Command, own *setup.Setup) (now *controller.Policy, w residency.PlanInput, err error) {
 	policy, err := d.reply(c, &fleet.Request{Kind: "policy"})
 	if err != nil {
 		return nil, w, err
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -147,7 +147,7 @@
 			c.servingLease.invalidator = c.invalidation
 		}
 		if c.paging != nil {
-			c.paging.core.Serves = c.servingLease.residency.mayServe
+			c.paging.core.MayServe = c.servingLease.residency.mayServe
 		}
 	}
 }
--- a/internal/controller/counters.go
+++ b/internal/controller/counters.go
@@ -82,7 +82,7 @@
 		b.WriteString(c.paging.countersText())
 	}
 	if c.caching != nil {
-		b.WriteString(c.caching.core.Text())
+		b.WriteString(c.caching.core.CountersText())
 	}
 	if c.invalidation != nil {
 		b.WriteString(c.invalidation.countersText())
--- a/internal/controller/effects.go
+++ b/internal/controller/effects.go
@@ -50,7 +50,7 @@
 	Fields     LogFields
 	QueryCount int
 
-	SpoolWork *spool.Work
+	SpoolWork *spool.DiskTask
 	Report    *fleet.Report
 
 	// Guards of a Write. The runner checks them right before the first byte, by the clock as it is
--- a/internal/controller/events.go
+++ b/internal/controller/events.go
@@ -60,7 +60,7 @@
 
 	DiscoveryAddress string
 	Tenants          *fairqueue.Config // nil: unchanged
-	SpoolWork        *spool.Work
+	SpoolWork        *spool.DiskTask
 	Order            *fleet.Order
 	Report           *fleet.Report
 }
--- a/internal/controller/invalidation_test.go
+++ b/internal/controller/invalidation_test.go
@@ -26,7 +26,7 @@
 
 func keepsOn(t *testing.T, d *disk.Disk, x *disk.Index, word *fleet.ServingState, change ...func(*controller.Config)) *spooled {
 	small := limits()
-	small.Memory = 200 << 10
+	small.MaxMemoryBytes = 200 << 10
 	return newSpooled(t, d, x, small, nil, func(m *controller.Config) {
 		l := resultcache.DefaultLimits()
 		m.CacheLimits = &l
@@ -272,7 +272,7 @@
 	if l[1].Answer != client.Finished || !bytes.Equal(l[1].Rows, world.Rows(l[1])) || !bytes.Equal(l[2].Rows, l[1].Rows) {
 		t.Fatal("nobody leads once the first has left")
 	}
-	if line := s.R.ResultCache().Text(); !strings.Contains(line, "hits 5 followed 22") {
+	if line := s.R.ResultCache().CountersText(); !strings.Contains(line, "hits 5 followed 22") {
 		t.Error(line)
 	}
 }
--- a/internal/controller/residency.go
+++ b/internal/controller/residency.go
@@ -59,7 +59,7 @@
 	tablesKnown   bool
 
 	// The last verdict, and the stamp of the rules that it is by.
-	verdict residency.Verdict
+	verdict residency.Decision
 	stamp   uint64
 
 	attemptsNoted int // how many attempts there were when one was last noted as sent
@@ -77,7 +77,7 @@
 		ownSite = r.siteName(location)
 	}
 	r.core = residency.New(ownSite)
-	r.judgedStamp = r.core.Stamp()
+	r.judgedStamp = r.core.Generation()
 	return r
 }
 
@@ -98,16 +98,16 @@
 }
 
 // verdict judges a query by the rules as they are now.
-func (r *residencyState) verdict(q *query) *residency.Verdict {
+func (r *residencyState) verdict(q *query) *residency.Decision {
 	x := q.residency
-	if x.stamp == r.core.Stamp() {
+	if x.stamp == r.core.Generation() {
 		return &x.verdict
 	}
-	if !x.inspected && r.core.Bound(x.tenant) {
+	if !x.inspected && r.core.HasRules(x.tenant) {
 		x.inspect(q)
 	}
-	x.stamp = r.core.Stamp()
-	x.verdict = r.core.Judge(x.tenant, x.tables, x.tablesKnown)
+	x.stamp = r.core.Generation()
+	x.verdict = r.core.Decide(x.tenant, x.tables, x.tablesKnown)
 	return &x.verdict
 }
 
@@ -126,14 +126,14 @@
 // checkAdmission.
 func (r *residencyState) attachResidency(q *query, from CallOrigin) bool {
 	q.residency = &queryResidency{tenant: r.residencyTenantOf(q, from), tablesKnown: true}
-	return r.verdict(q).Bound
+	return r.verdict(q).RuleApplies
 }
 
 // checkAdmission reports whether a query may go on: it is served here and the log has what it
 // binds. If not it was answered, or is held until the log has that.
 func (r *residencyState) checkAdmission(q *query, from CallOrigin) bool {
 	v := r.verdict(q)
-	if !v.Bound {
+	if !v.RuleApplies {
 		return true
 	}
 	r.boundQueries++
@@ -164,12 +164,12 @@
 
 // ensureServable reports whether this controller may serve a query. If not it answers the query,
 // of which nothing was sent.
-func (r *residencyState) ensureServable(q *query, v *residency.Verdict) bool {
+func (r *residencyState) ensureServable(q *query, v *residency.Decision) bool {
 	switch {
 	case v.Conflict != nil:
 		r.conflicts++
 		r.answerKilled(q, v.Conflict.Error())
-	case !v.Take:
+	case !v.MayServe:
 		r.redirect(q, v)
 	}
 	return !q.answered
@@ -182,22 +182,22 @@
 	if !q.group.isLoad && len(x.writtenTables) == 0 && (x.tablesKnown || readOnly) {
 		return nil, nil
 	}
-	return r.core.Needs(x.tenant, x.readTables, x.writtenTables, x.tablesKnown)
+	return r.core.MissingBinding(x.tenant, x.readTables, x.writtenTables, x.tablesKnown)
 }
 
 // redirect defers a query, and tells its client which controllers may serve it.
-func (r *residencyState) redirect(q *query, v *residency.Verdict) {
+func (r *residencyState) redirect(q *query, v *residency.Decision) {
 	r.redirectedQueries++
 	var controllers []string
 	for _, m := range r.fleetView.Members {
-		if !m.Forgotten && m.ClientAddress != "" && slices.Contains(v.Takers, m.Site) {
+		if !m.Forgotten && m.ClientAddress != "" && slices.Contains(v.ControllerSites, m.Site) {
 			controllers = append(controllers, m.ClientAddress)
 		}
 	}
 	outside := &residency.Outside{
 		Team:        q.residency.tenant,
 		Site:        r.core.Site(),
-		Rules:       v.Rules,
+		Rules:       v.RuleNames,
 		Controllers: controllers,
 	}
 	r.logWithFields(q.logFields(), outside.Error())
@@ -255,7 +255,7 @@
 	switch reply.Outcome {
 	case "bound":
 		delete(r.pendingBindings, id)
-		r.core.Recorded(*b.binding)
+		r.core.AddRecordedBinding(*b.binding)
 		r.reevaluate()
 		r.enqueueCallback(r.servingLease.releaseHeld)
 	case "unknown":
@@ -269,29 +269,29 @@
 	default:
 		delete(r.pendingBindings, id)
 		why := cmp.Or(reply.Reason, reply.Outcome)
-		r.logMessage(true, (&residency.Unbound{Team: b.binding.Team, Tables: b.binding.Tables, Why: why}).Error())
+		r.logMessage(true, (&residency.Unbound{Team: b.binding.Team, Tables: b.binding.Tables, Reason: why}).Error())
 	}
 	return true
 }
 
 func (r *residencyState) policyOpened(policy *Policy) {
 	rules, _ := policy.Rules.([]residency.Rule)
-	r.core.Rules(rules)
+	r.core.SetRules(rules)
 	r.reevaluate()
 }
 
 func (r *residencyState) viewChanged(picture *fleet.View) {
-	r.core.Pictured(picture)
+	r.core.SetFleetView(picture)
 	r.reevaluate()
 }
 
 // reevaluate applies rules that have changed to all queries. What runs goes on to its end, and
 // what is retained is invalidated through the log; nothing new is sent outside.
 func (r *residencyState) reevaluate() {
-	if r.judgedStamp == r.core.Stamp() {
+	if r.judgedStamp == r.core.Generation() {
 		return
 	}
-	r.judgedStamp = r.core.Stamp()
+	r.judgedStamp = r.core.Generation()
 	confined := r.findQueries(func(q *query) bool { return q.residency != nil && !q.answered && !q.held })
 	for _, q := range confined {
 		r.reevaluateQuery(q)
@@ -300,7 +300,7 @@
 
 func (r *residencyState) reevaluateQuery(q *query) {
 	v := r.verdict(q)
-	q.confined = v.Bound
+	q.confined = v.RuleApplies
 	if !q.mayHaveRun() {
 		required, err := r.requiredBinding(q)
 		if required != nil || err != nil { // its client comes again, and the binding is logged then
@@ -324,12 +324,12 @@
 // settings; nil: all.
 func (r *residencyState) allowedLocations(q *query) []string {
 	v := r.verdict(q)
-	if v.Conflict == nil && v.Take && v.Engines == nil {
+	if v.Conflict == nil && v.MayServe && v.EngineSites == nil {
 		return nil
 	}
 	allowed := []string{}
 	for i, name := range r.siteNames {
-		if v.Take && v.May(name) {
+		if v.MayServe && v.AllowsEngineSite(name) {
 			allowed = append(allowed, strconv.Itoa(i))
 		}
 	}
@@ -356,11 +356,11 @@
 		return true
 	}
 	v := r.verdict(q)
-	if !v.Bound {
+	if !v.RuleApplies {
 		return true
 	}
 	site := r.siteName(e.location)
-	if !v.Take || !v.May(site) {
+	if !v.MayServe || !v.AllowsEngineSite(site) {
 		r.barredSends++
 		return false
 	}
@@ -370,7 +370,7 @@
 	}
 	if q.residency.attemptsNoted != len(q.attempts) {
 		q.residency.attemptsNoted = len(q.attempts)
-		if r.core.Sent(q.id, q.residency.tenant, v, site) {
+		if r.core.RecordAttempt(q.id, q.residency.tenant, v, site) {
 			r.logWithFields(q.logFields(), "crosses to site "+site+": an emergency of its rules is on")
 		}
 	}
@@ -378,11 +378,13 @@
 }
 
 // mayRetain reports whether this controller may retain a query's result or cache its answer.
-func (r *residencyState) mayRetain(q *query) bool { return q.residency == nil || r.verdict(q).Keep }
+func (r *residencyState) mayRetain(q *query) bool {
+	return q.residency == nil || r.verdict(q).MayRetain
+}
 
 // mayServe reports whether a retained result of these tables may be read here.
 func (r *residencyState) mayServe(tenant string, tables []int64) bool {
-	return r.core.Judge(tenant, tables, len(tables) > 0).Keep
+	return r.core.Decide(tenant, tables, len(tables) > 0).MayRetain
 }
 
 // countOutside counts the attempts that run, or may still run, where the rules in force
@@ -407,17 +409,17 @@
 
 func (r *residencyState) isOutside(a *attempt) bool {
 	x := a.query.residency
-	if x == nil || !r.core.Bound(x.tenant) {
+	if x == nil || !r.core.HasRules(x.tenant) {
 		return false
 	}
 	if !x.inspected {
 		x.inspect(a.query)
 	}
-	return r.core.Outside(x.tenant, x.tables, x.tablesKnown, r.siteName(a.engine.location))
+	return r.core.IsOutsideRules(x.tenant, x.tables, x.tablesKnown, r.siteName(a.engine.location))
 }
 
 func (r *residencyState) countersText() string {
-	_, crossed := r.core.Crossed()
+	_, crossed := r.core.RecentCrossings()
 	return fmt.Sprintf("; placement bound %d, outside here %d, in conflict %d, barred %d,"+
 		" bindings %d, crossed %d",
 		r.boundQueries, r.redirectedQueries, r.conflicts, r.barredSends,
@@ -426,9 +428,9 @@
 
 // EmergencyCrossings lists the latest queries that an emergency let leave their sites, and how
 // many there were. It is for reports, between two steps.
-func (c *Controller) EmergencyCrossings() ([]residency.Crossing, int) {
+func (c *Controller) EmergencyCrossings() ([]residency.EmergencyCrossing, int) {
 	if c.servingLease == nil || c.servingLease.residency == nil {
 		return nil, 0
 	}
-	return c.servingLease.residency.core.Crossed()
+	return c.servingLease.residency.core.RecentCrossings()
 }
--- a/internal/controller/residency_test.go
+++ b/internal/controller/residency_test.go
@@ -159,7 +159,7 @@
 	}
 	s.order(fleet.Order{Kind: fleet.ViewChanged, View: &fleet.View{Emergencies: map[string]uint64{"r": 9}}})
 	h := s.waitForCall("POST", a.id)
-	if l, n := s.controller.EmergencyCrossings(); n != 1 || l[0] != (residency.Crossing{Query: a.id, Team: "bank", Rule: "r", Site: "b"}) {
+	if l, n := s.controller.EmergencyCrossings(); n != 1 || l[0] != (residency.EmergencyCrossing{Query: a.id, Team: "bank", Rule: "r", Site: "b"}) {
 		t.Fatal(l, n)
 	}
 	s.respond(h, "runs")
@@ -207,8 +207,8 @@
 					}
 					sent++
 					c := residency.New("a")
-					c.Rules(now)
-					if v := c.Judge("bank", []int64{int64(x.query.messageID % 3)}, true); !v.May(x.engine.site) {
+					c.SetRules(now)
+					if v := c.Decide("bank", []int64{int64(x.query.messageID % 3)}, true); !v.AllowsEngineSite(x.engine.site) {
 						t.Fatalf("%s at %s by %+v", a.id, x.engine.site, now)
 					}
 				}
--- a/internal/controller/result_cache.go
+++ b/internal/controller/result_cache.go
@@ -90,13 +90,13 @@
 		return true
 	}
 	l := &queryCacheState{ask: &resultcache.Request{
-		Team:      a.dataOwner(from),
-		Group:     q.group.index,
-		Statement: q.statement,
-		Tables:    allTables(q.statement),
-		Index:     a.invalidation.currentIndex(),
-		Until:     q.deadline - answerMargin,
-		Of:        q,
+		Team:       a.dataOwner(from),
+		Group:      q.group.index,
+		Statement:  q.statement,
+		Tables:     allTables(q.statement),
+		LogIndex:   a.invalidation.currentIndex(),
+		Deadline:   q.deadline - answerMargin,
+		CallerData: q,
 	}}
 	verdict, pages := a.core.Lookup(a.now, l.ask)
 	switch verdict {
@@ -108,7 +108,7 @@
 		from.Fields = from.Fields.Clone() // the call lies in its connection's buffer
 		q.cacheState = l
 		l.proceed = func() { proceed(from) }
-		l.followTimer = a.timers.Add(max(a.now, l.ask.Until), func() { a.answerDeferred(q, 0) })
+		l.followTimer = a.timers.Add(max(a.now, l.ask.Deadline), func() { a.answerDeferred(q, 0) })
 		return false
 	case resultcache.Lead:
 		q.cacheState = l
@@ -129,7 +129,7 @@
 		return nil
 	}
 	for _, o := range a.core.Complete(a.now, q.cacheState.ask, pages) {
-		followers = append(followers, o.Of.(*query))
+		followers = append(followers, o.CallerData.(*query))
 	}
 	return followers
 }
@@ -140,7 +140,7 @@
 		return
 	}
 	a.timers.Cancel(q.cacheState.followTimer)
-	a.promote(a.core.Leave(a.now, q.cacheState.ask))
+	a.promote(a.core.Abandon(a.now, q.cacheState.ask))
 }
 
 // queryOver notes that nothing of a query is in flight any more.
@@ -155,7 +155,7 @@
 	if next == nil {
 		return
 	}
-	q := next.Of.(*query)
+	q := next.CallerData.(*query)
 	a.timers.Cancel(q.cacheState.followTimer)
 	a.enqueueCallback(func() {
 		if !q.answered {
--- a/internal/controller/result_paging.go
+++ b/internal/controller/result_paging.go
@@ -17,7 +17,7 @@
 	Keys          *spool.Keyring
 	FirstResultID uint64 // number of its first result
 	// Restore hands over what the disk held; nil if there is none.
-	Restore func(each func(f *spool.Found)) error
+	Restore func(each func(f *spool.StoredResult)) error
 }
 
 // resultPaging retains results for clients that read them page by page. Without a spool it is
@@ -38,7 +38,7 @@
 
 func newResultPaging(c *Controller, s *SpoolConfig) *resultPaging {
 	p := &resultPaging{Controller: c}
-	p.core = spool.New(s.Limits, s.Keys, c.StartedAt.UnixMilli(), s.FirstResultID, func(w *spool.Work) {
+	p.core = spool.New(s.Limits, s.Keys, c.StartedAt.UnixMilli(), s.FirstResultID, func(w *spool.DiskTask) {
 		c.emit(Effect{Kind: SubmitSpoolWork, SpoolWork: w})
 	})
 	if s.Restore != nil {
@@ -49,8 +49,8 @@
 }
 
 func (p *resultPaging) restore(s *SpoolConfig) {
-	err := s.Restore(func(f *spool.Found) {
-		p.restoredIndex = max(p.restoredIndex, f.Index)
+	err := s.Restore(func(f *spool.StoredResult) {
+		p.restoredIndex = max(p.restoredIndex, f.LogIndex)
 		p.core.Restore(f)
 	})
 	if err != nil {
@@ -79,7 +79,7 @@
 	if len(from.Fields.Get(p.FieldNames.Paged)) == 0 {
 		return
 	}
-	spooled, err := p.core.Enter(p.now, q.id, p.tenantOf(from), p.resultTag(q, from))
+	spooled, err := p.core.Admit(p.now, q.id, p.tenantOf(from), p.resultTag(q, from))
 	if err != nil {
 		p.logWithFields(q.logFields(), "deferred: "+err.Error())
 		p.answerDeferred(q, noSpaceRetryAfter)
@@ -89,8 +89,8 @@
 }
 
 // resultTag is what an invalidation finds a query's result by.
-func (p *resultPaging) resultTag(q *query, from CallOrigin) spool.Tag {
-	t := spool.Tag{Index: p.invalidation.currentIndex(), Tables: allTables(q.statement)}
+func (p *resultPaging) resultTag(q *query, from CallOrigin) spool.InvalidationTag {
+	t := spool.InvalidationTag{LogIndex: p.invalidation.currentIndex(), Tables: allTables(q.statement)}
 	if p.fairQueue == nil {
 		t.Owner = p.dataOwner(from)
 	}
@@ -108,20 +108,20 @@
 // addPage spools a page of an attempt's result from its engine.
 func (p *resultPaging) addPage(a *attempt, number, of int, rows []byte) {
 	if a.result == nil {
-		a.result = p.core.Again(p.now, a.query.spooled)
+		a.result = p.core.AdmitAgain(p.now, a.query.spooled)
 		a.pageCount = of
 	}
 	rowCount := uint32(bytes.Count(rows, []byte("\n")))
-	verdict, err := p.core.Add(p.now, a.result, rows, rowCount, a.deadline)
+	verdict, err := p.core.AddPage(p.now, a.result, rows, rowCount, a.deadline)
 	switch verdict {
-	case spool.Never:
+	case spool.PageRefused:
 		p.discard(a)
 		p.releaseAtEngine(a)
 		if !a.query.answered {
 			p.answerKilled(a.query, err.Error())
 		}
 		a.finish(scheduler.Finished)
-	case spool.Wait:
+	case spool.WaitForSpace:
 		p.pollOnceRoom(a, number)
 	default:
 		a.spooledPages++
@@ -145,7 +145,7 @@
 		}
 	}
 	timer := p.timers.Add(p.now+engineRetention/2, poll)
-	p.core.Room(func() {
+	p.core.OnSpace(func() {
 		p.timers.Cancel(timer)
 		p.enqueueCallback(poll)
 	})
@@ -167,7 +167,7 @@
 		a.finish(scheduler.Finished)
 		return
 	}
-	p.core.Whole(p.now, a.result, func(err error) { p.retained(a, err) })
+	p.core.Commit(p.now, a.result, func(err error) { p.retained(a, err) })
 }
 
 // retained answers once the spool has a complete result, or could not write it.
@@ -186,7 +186,7 @@
 	default:
 		a.resultPromised = true
 		token := p.core.Token(r)
-		p.core.First(p.now, r, func(body []byte, err error) {
+		p.core.ReadFirstPage(p.now, r, func(body []byte, err error) {
 			p.answerFirstPage(a, r, token, body, err)
 		})
 	}
@@ -207,7 +207,7 @@
 			Bytes: r.Bytes(),
 			Rows:  r.Rows(),
 			Token: token,
-			Lasts: p.core.Kept(r),
+			Lasts: p.core.TimeToLive(r),
 		})
 	}
 	if !a.ended {
@@ -224,26 +224,26 @@
 }
 
 // workDone takes work that the disk has done.
-func (p *resultPaging) workDone(w *spool.Work) {
+func (p *resultPaging) workDone(w *spool.DiskTask) {
 	switch {
 	case w.Err == nil:
 	case w.Fetch == nil:
 		p.logMessage(true, "the spool's disk: "+w.Err.Error())
 	default:
 		p.logMessage(true, fmt.Sprintf("the spool's disk: page %d of result %016x: %v",
-			w.Fetch.Page, w.Fetch.Result, w.Err))
+			w.Fetch.Page, w.Fetch.ResultID, w.Err))
 	}
-	w.Done(p.now)
+	w.OnDone(p.now)
 }
 
 func (p *resultPaging) countersText() string {
 	n := &p.core.Counts
-	results, memory, disk := p.core.Held()
+	results, memory, disk := p.core.Usage()
 	return fmt.Sprintf("; spool holds %d results, bytes %d in memory %d on disk", results, memory, disk) +
 		fmt.Sprintf(", promised %d refused %d too large %d without room %d not kept %d",
-			n.Promised, n.Refused, n.TooLarge, n.NoRoom, n.Failed) +
-		fmt.Sprintf(", pages %d from disk %d bad tokens %d spoilt %d", n.Pages, n.FromDisk, n.BadTokens, n.Spoilt) +
-		fmt.Sprintf(", evicted %d expired %d read out %d, waited %d", n.Evicted, n.Expired, n.ReadOut, n.Waited)
+			n.Committed, n.Refused, n.TooLarge, n.NoRoom, n.Failed) +
+		fmt.Sprintf(", pages %d from disk %d bad tokens %d spoilt %d", n.PagesServed, n.PagesFromDisk, n.BadTokens, n.FailedReads) +
+		fmt.Sprintf(", evicted %d expired %d read out %d, waited %d", n.Evicted, n.Expired, n.EvictedAfterRead, n.Waited)
 }
 
 // Page is a client's call for a page of a result that was promised.
@@ -264,9 +264,9 @@
 	owner, tenant := cl.dataOwner(from), cl.tenantOf(from)
 	var tables []int64
 	if cl.servingLease != nil {
-		tables = cl.paging.core.Tagged(token, tenant).Tables
+		tables = cl.paging.core.TagOf(token, tenant).Tables
 	}
-	cl.paging.core.Read(cl.now, token, tenant, number, func(body []byte, err error) {
+	cl.paging.core.ReadPage(cl.now, token, tenant, number, func(body []byte, err error) {
 		cl.pageReads--
 		cl.idleSince = cl.now
 		if !cl.connection.closed {
@@ -283,10 +283,10 @@
 	switch {
 	case cl.invalidation.servingBarred():
 		cl.reply(msgpackrpc.Deferred(nil, msg, cl.servingLease.retryAfter()))
-	case err == spool.ErrBusy:
+	case err == spool.ErrTooManyReads:
 		cl.reply(msgpackrpc.Deferred(nil, msg, busyRetryAfter))
 	case err != nil || forbidden():
-		cl.reply(msgpackrpc.Killed(nil, msg, spool.ErrNone.Error()))
+		cl.reply(msgpackrpc.Killed(nil, msg, spool.ErrPageNotFound.Error()))
 	default:
 		cl.invalidation.markRetained(func() { cl.reply(msgpackrpc.Answer(nil, msg, [][]byte{body})) })
 		cl.invalidation.noteRetainedWrite(cl.connection, owner)
@@ -299,5 +299,5 @@
 	if c.paging == nil {
 		return 0, 0, 0
 	}
-	return c.paging.core.Held()
+	return c.paging.core.Usage()
 }
--- a/internal/controller/result_paging_test.go
+++ b/internal/controller/result_paging_test.go
@@ -34,8 +34,8 @@
 }
 
 func limits() spool.Limits {
-	l := spool.Usual()
-	l.Memory, l.Disk, l.Page, l.Flight = 1<<20, 8<<20, 16<<10, 128<<10
+	l := spool.DefaultLimits()
+	l.MaxMemoryBytes, l.MaxDiskBytes, l.PageBytes, l.MaxWritingBytes = 1<<20, 8<<20, 16<<10, 128<<10
 	return l
 }
 
@@ -59,7 +59,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := keeper.KeepKeys(keys.Text()); err != nil {
+	if err := keeper.KeepKeys(keys.Encode()); err != nil {
 		t.Fatal(err)
 	}
 	figures := engine.Usual()
@@ -421,7 +421,7 @@
 func TestThousandSlowPageReaders(t *testing.T) {
 	d := disk.New()
 	l := limits()
-	l.Disk, l.Team = 256<<20, 1
+	l.MaxDiskBytes, l.TeamShare = 256<<20, 1
 	s := newSpooled(t, d, disk.NewIndex(d), l, nil)
 	var all []*world.Asked
 	most := int64(0)
@@ -449,8 +449,8 @@
 			answered++
 		}
 	}
-	if _, memory, _ := s.R.SpoolUsage(); memory > l.Memory || most > l.Memory {
-		t.Errorf("%d bytes in memory of %d", max(memory, most), l.Memory)
+	if _, memory, _ := s.R.SpoolUsage(); memory > l.MaxMemoryBytes || most > l.MaxMemoryBytes {
+		t.Errorf("%d bytes in memory of %d", max(memory, most), l.MaxMemoryBytes)
 	}
 	if answered < 990 {
 		t.Errorf("%d of 1000 finished", answered)
--- a/internal/emulator/world/world.go
+++ b/internal/emulator/world/world.go
@@ -226,7 +226,7 @@
 				if work.Fetch != nil {
 					w.Keeper.Read(work)
 				} else {
-					w.Keeper.Write([]*spool.Work{work})
+					w.Keeper.Write([]*spool.DiskTask{work})
 					if w.erase(); work.Erase {
 						return
 					}
--- a/internal/eventloop/disk.go
+++ b/internal/eventloop/disk.go
@@ -11,11 +11,11 @@
 // reducer never waits for the disk.
 type backlog struct {
 	mu    sync.Mutex
-	l     []*spool.Work
+	l     []*spool.DiskTask
 	ready chan struct{}
 }
 
-func (b *backlog) add(w *spool.Work) {
+func (b *backlog) add(w *spool.DiskTask) {
 	b.mu.Lock()
 	b.l = append(b.l, w)
 	b.mu.Unlock()
@@ -25,7 +25,7 @@
 	}
 }
 
-func (b *backlog) take() []*spool.Work {
+func (b *backlog) take() []*spool.DiskTask {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	l := b.l
@@ -34,7 +34,7 @@
 }
 
 // store has work done: reads each on its own, all else in order.
-func (l *loop) store(w *spool.Work) {
+func (l *loop) store(w *spool.DiskTask) {
 	if w.Fetch == nil {
 		l.work.add(w)
 		return
@@ -46,7 +46,7 @@
 	})
 }
 
-func (l *loop) stored(w *spool.Work) {
+func (l *loop) stored(w *spool.DiskTask) {
 	select {
 	case l.events <- event{Event: controller.Event{Kind: controller.SpoolWorkDone, SpoolWork: w}}:
 	case <-l.ctx.Done():
@@ -55,7 +55,7 @@
 
 // keep writes what is to be written until the controller is done.
 func (l *loop) keep() error {
-	work := make(chan *spool.Work)
+	work := make(chan *spool.DiskTask)
 	l.group.Go(func() error {
 		defer close(work)
 		for {
--- a/internal/residency/change.go
+++ b/internal/residency/change.go
@@ -9,9 +9,9 @@
 	"railrelay.dev/railrelay/internal/fleet"
 )
 
-// Check finds what is wrong with rules: names, sites and teams that there are not, and
+// ValidateRules finds what is wrong with rules: names, sites and teams that there are not, and
 // rules for the same tables that leave nothing. nil for sites or teams: any will do.
-func Check(rules []Rule, sites, teams []string) (flaws []*Flaw) {
+func ValidateRules(rules []Rule, sites, teams []string) (flaws []*Flaw) {
 	wrong := func(i int, field, form string, args ...any) {
 		flaws = append(flaws, &Flaw{i, field, fmt.Sprintf(form, args...)})
 	}
@@ -74,13 +74,13 @@
 			}
 			last := v.Conflict.Rules[len(v.Conflict.Rules)-1]
 			i := slices.IndexFunc(rules, func(r Rule) bool { return r.Name == last })
-			if !slices.ContainsFunc(flaws, func(f *Flaw) bool { return f.Rule == i }) {
-				wrong(i, v.Conflict.What+"s", "rules %s leave team %q no %s for %s", strings.Join(v.Conflict.Rules, " and "), team,
-					v.Conflict.What, tablesText(tables))
+			if !slices.ContainsFunc(flaws, func(f *Flaw) bool { return f.RuleIndex == i }) {
+				wrong(i, v.Conflict.Role+"s", "rules %s leave team %q no %s for %s", strings.Join(v.Conflict.Rules, " and "), team,
+					v.Conflict.Role, tablesText(tables))
 			}
 		}
 	}
-	slices.SortFunc(flaws, func(a, b *Flaw) int { return a.Rule - b.Rule })
+	slices.SortFunc(flaws, func(a, b *Flaw) int { return a.RuleIndex - b.RuleIndex })
 	return flaws
 }
 
@@ -107,12 +107,12 @@
 	Team   string   `json:"team"`
 	Rules  []string `json:"rules"`            // that draw it from now on
 	Tables []int64  `json:"tables,omitempty"` // none: all that no rule names
-	// Engines are the sites inside from now on; nil: all. What runs elsewhere must
+	// EngineSites are the sites inside from now on; nil: all. What runs elsewhere must
 	// have ended before the change is settled, if Ends.
-	Engines []string `json:"engines"`
-	Ends    bool     `json:"ends"`
-	// Purge is what has to go: what is kept outside. nil: nothing can be kept there.
-	Purge *fleet.Scope `json:"purge,omitempty"`
+	EngineSites        []string `json:"engines"`
+	EndsRunningQueries bool     `json:"ends"`
+	// PurgeScope is what has to go: what is kept outside. nil: nothing can be kept there.
+	PurgeScope *fleet.Scope `json:"purge,omitempty"`
 }
 
 // narrower: something of a is not in b; nil is everywhere.
@@ -123,25 +123,25 @@
 	return a == nil || slices.ContainsFunc(a, func(s string) bool { return !slices.Contains(b, s) })
 }
 
-// Tightened tells which boundaries other rules make narrower. Wider ones need nothing:
+// FindTightenings tells which boundaries other rules make narrower. Wider ones need nothing:
 // they are left out. Results of which the tables can't be told belong to each of a
 // team's purges.
-func Tightened(old, next []Rule, bindings []fleet.Binding) (l []Tightening) {
+func FindTightenings(old, next []Rule, bindings []fleet.Binding) (l []Tightening) {
 	before, after := bindTables(old, bindings), bindTables(next, bindings)
 	for _, team := range teams(next) { // a team without rules from now on is narrower nowhere
 		for _, tables := range classes(before[team], after[team]) {
 			a, b := evaluate(before[team], tables, true, nil), evaluate(after[team], tables, true, nil)
-			t := Tightening{Team: team, Rules: b.Rules, Tables: tables, Engines: b.Engines, Ends: narrower(a.Engines, b.Engines)}
-			if narrower(a.Keepers, b.Keepers) {
-				t.Purge = &fleet.Scope{Team: team, Tables: tables, OutsideSites: b.Keepers}
+			t := Tightening{Team: team, Rules: b.RuleNames, Tables: tables, EngineSites: b.EngineSites, EndsRunningQueries: narrower(a.EngineSites, b.EngineSites)}
+			if narrower(a.RetentionSites, b.RetentionSites) {
+				t.PurgeScope = &fleet.Scope{Team: team, Tables: tables, OutsideSites: b.RetentionSites}
 			}
-			if !t.Ends && t.Purge == nil && !narrower(a.Takers, b.Takers) {
+			if !t.EndsRunningQueries && t.PurgeScope == nil && !narrower(a.ControllerSites, b.ControllerSites) {
 				continue
 			}
 			if i := slices.IndexFunc(l, func(x Tightening) bool { return len(tables) > 0 && len(x.Tables) > 0 && t.alike(x) }); i >= 0 {
 				l[i].Tables = append(l[i].Tables, tables...)
-				if l[i].Purge != nil {
-					l[i].Purge.Tables = l[i].Tables
+				if l[i].PurgeScope != nil {
+					l[i].PurgeScope.Tables = l[i].Tables
 				}
 				continue
 			}
@@ -151,22 +151,22 @@
 	return l
 }
 
-// Scopes is what of a change of rules has to be purged before it is settled.
-func Scopes(old, next []Rule, bindings []fleet.Binding) (l []fleet.Scope) {
-	for _, t := range Tightened(old, next, bindings) {
-		if t.Purge != nil {
-			l = append(l, *t.Purge)
+// PurgeScopes is what of a change of rules has to be purged before it is settled.
+func PurgeScopes(old, next []Rule, bindings []fleet.Binding) (l []fleet.Scope) {
+	for _, t := range FindTightenings(old, next, bindings) {
+		if t.PurgeScope != nil {
+			l = append(l, *t.PurgeScope)
 		}
 	}
 	return l
 }
 
 func (t Tightening) alike(x Tightening) bool {
-	same := t.Team == x.Team && t.Ends == x.Ends && slices.Equal(t.Rules, x.Rules) && slices.Equal(t.Engines, x.Engines)
-	if !same || t.Purge == nil || x.Purge == nil {
-		return same && t.Purge == nil && x.Purge == nil
+	same := t.Team == x.Team && t.EndsRunningQueries == x.EndsRunningQueries && slices.Equal(t.Rules, x.Rules) && slices.Equal(t.EngineSites, x.EngineSites)
+	if !same || t.PurgeScope == nil || x.PurgeScope == nil {
+		return same && t.PurgeScope == nil && x.PurgeScope == nil
 	}
-	return slices.Equal(t.Purge.OutsideSites, x.Purge.OutsideSites)
+	return slices.Equal(t.PurgeScope.OutsideSites, x.PurgeScope.OutsideSites)
 }
 
 func teams(rules []Rule) (l []string) {
@@ -178,12 +178,12 @@
 	return l
 }
 
-// World is what a plan is made against.
-type World struct {
+// PlanInput is what a plan is made against.
+type PlanInput struct {
 	Engines     []Engine
 	Controllers []fleet.Member
 	Bindings    []fleet.Binding
-	Kept        []Kept // as far as known
+	Retained    []RetainedData // as far as known
 }
 
 // Engine is one of the list's, with the threads that it has.
@@ -192,36 +192,36 @@
 	Threads    float64
 }
 
-// Kept is what a controller keeps of a team.
-type Kept struct {
+// RetainedData is what a controller keeps of a team.
+type RetainedData struct {
 	Controller, Team string
 	Counts           fleet.InvalidationCounts
 }
 
-// Outlook is what a change of rules would do. Shares are of all engines' threads, 0 to 1.
-type Outlook struct {
-	Rows []Row    `json:"rows"`
-	None []string `json:"none"` // teams that would have no engine for some of their tables
+// ChangePlan is what a change of rules would do. Shares are of all engines' threads, 0 to 1.
+type ChangePlan struct {
+	Rows             []PlanRow `json:"rows"`
+	TeamsWithoutSite []string  `json:"none"` // teams that would have no engine for some of their tables
 }
 
-// Row is one team's tables that are treated alike.
-type Row struct {
-	Team        string                   `json:"team"`
-	Tables      []int64                  `json:"tables,omitempty"` // none: all that no rule names
-	Rules       []string                 `json:"rules"`
-	Before      float64                  `json:"share_before"`
-	After       float64                  `json:"share_after"`
-	Engines     []string                 `json:"engines_outside"`     // that it has now and would lose
-	Controllers []string                 `json:"controllers_outside"` // that may take it now and could no longer
-	Purge       []string                 `json:"purge_on"`            // controllers on which what is kept would go
-	Kept        fleet.InvalidationCounts `json:"kept_outside"`        // of the whole team, on those
-	Conflict    string                   `json:"conflict,omitempty"`
+// PlanRow is one team's tables that are treated alike.
+type PlanRow struct {
+	Team               string                   `json:"team"`
+	Tables             []int64                  `json:"tables,omitempty"` // none: all that no rule names
+	Rules              []string                 `json:"rules"`
+	ShareBefore        float64                  `json:"share_before"`
+	ShareAfter         float64                  `json:"share_after"`
+	EnginesOutside     []string                 `json:"engines_outside"`     // that it has now and would lose
+	ControllersOutside []string                 `json:"controllers_outside"` // that may take it now and could no longer
+	PurgeOn            []string                 `json:"purge_on"`            // controllers on which what is kept would go
+	RetainedOutside    fleet.InvalidationCounts `json:"kept_outside"`        // of the whole team, on those
+	Conflict           string                   `json:"conflict,omitempty"`
 }
 
-// Plan tells what other rules would do, before they are applied.
-func Plan(old, next []Rule, w World) *Outlook {
+// PlanChange tells what other rules would do, before they are applied.
+func PlanChange(old, next []Rule, w PlanInput) *ChangePlan {
 	before, after := bindTables(old, w.Bindings), bindTables(next, w.Bindings)
-	o := &Outlook{Rows: []Row{}, None: []string{}}
+	o := &ChangePlan{Rows: []PlanRow{}, TeamsWithoutSite: []string{}}
 	total := 0.0
 	for _, e := range w.Engines {
 		total += e.Threads
@@ -230,21 +230,21 @@
 	for _, team := range teams(slices.Concat(old, next)) {
 		for _, tables := range classes(before[team], after[team]) {
 			a, b := evaluate(before[team], tables, true, nil), evaluate(after[team], tables, true, nil)
-			if !a.Bound && !b.Bound {
+			if !a.RuleApplies && !b.RuleApplies {
 				continue
 			}
-			row := Row{Team: team, Tables: tables, Rules: b.Rules, Engines: []string{}, Controllers: []string{}, Purge: []string{}}
+			row := PlanRow{Team: team, Tables: tables, Rules: b.RuleNames, EnginesOutside: []string{}, ControllersOutside: []string{}, PurgeOn: []string{}}
 			if b.Conflict != nil {
 				row.Conflict = b.Conflict.Error()
 			}
 			for _, e := range w.Engines {
-				if a.May(e.Site) {
-					row.Before += e.Threads / total
+				if a.AllowsEngineSite(e.Site) {
+					row.ShareBefore += e.Threads / total
 				}
-				if b.May(e.Site) {
-					row.After += e.Threads / total
-				} else if a.May(e.Site) {
-					row.Engines = append(row.Engines, e.Name)
+				if b.AllowsEngineSite(e.Site) {
+					row.ShareAfter += e.Threads / total
+				} else if a.AllowsEngineSite(e.Site) {
+					row.EnginesOutside = append(row.EnginesOutside, e.Name)
 				}
 			}
 			takers := 0
@@ -252,22 +252,22 @@
 				if m.Forgotten {
 					continue
 				}
-				if includes(b.Takers, m.Site) {
+				if includes(b.ControllerSites, m.Site) {
 					takers++
-				} else if includes(a.Takers, m.Site) {
-					row.Controllers = append(row.Controllers, m.Name)
+				} else if includes(a.ControllerSites, m.Site) {
+					row.ControllersOutside = append(row.ControllersOutside, m.Name)
 				}
-				if includes(a.Keepers, m.Site) && !includes(b.Keepers, m.Site) {
-					row.Purge = append(row.Purge, m.Name)
-					for _, k := range w.Kept {
+				if includes(a.RetentionSites, m.Site) && !includes(b.RetentionSites, m.Site) {
+					row.PurgeOn = append(row.PurgeOn, m.Name)
+					for _, k := range w.Retained {
 						if k.Controller == m.Name && k.Team == team {
-							row.Kept.Add(k.Counts)
+							row.RetainedOutside.Add(k.Counts)
 						}
 					}
 				}
 			}
-			if none := row.After == 0 || takers == 0; none && !slices.Contains(o.None, team) {
-				o.None = append(o.None, team)
+			if none := row.ShareAfter == 0 || takers == 0; none && !slices.Contains(o.TeamsWithoutSite, team) {
+				o.TeamsWithoutSite = append(o.TeamsWithoutSite, team)
 			}
 			o.Rows = append(o.Rows, row)
 		}
@@ -283,7 +283,7 @@
 }
 
 // Table is the outlook for people.
-func (o *Outlook) Table() string {
+func (o *ChangePlan) Table() string {
 	var text strings.Builder
 	w := tabwriter.NewWriter(&text, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "TEAM\tTABLES\tRULES\tTHREADS NOW\tTHREADS THEN\tENGINES LOST\tCONTROLLERS OUTSIDE\tPURGED ON")
@@ -298,12 +298,12 @@
 		if len(r.Tables) > 0 {
 			tables = strings.Trim(fmt.Sprint(r.Tables), "[]")
 		}
-		fmt.Fprintf(w, "%s\t%s\t%s\t%.1f %%\t%.1f %%\t%s\t%s\t%s\n", r.Team, tables, list(r.Rules), 100*r.Before, 100*r.After,
-			list(r.Engines), list(r.Controllers), list(r.Purge))
+		fmt.Fprintf(w, "%s\t%s\t%s\t%.1f %%\t%.1f %%\t%s\t%s\t%s\n", r.Team, tables, list(r.Rules), 100*r.ShareBefore, 100*r.ShareAfter,
+			list(r.EnginesOutside), list(r.ControllersOutside), list(r.PurgeOn))
 	}
 	w.Flush()
-	if len(o.None) > 0 {
-		fmt.Fprintf(&text, "no engine or controller would be left for: %s\n", strings.Join(o.None, ", "))
+	if len(o.TeamsWithoutSite) > 0 {
+		fmt.Fprintf(&text, "no engine or controller would be left for: %s\n", strings.Join(o.TeamsWithoutSite, ", "))
 	}
 	return text.String()
 }
--- a/internal/residency/errors.go
+++ b/internal/residency/errors.go
@@ -9,13 +9,13 @@
 
 // Conflict tells that rules leave no site for a query.
 type Conflict struct {
-	What  string // engine or controller
+	Role  string // engine or controller
 	Team  string
 	Rules []string
 }
 
 func (c *Conflict) Error() string {
-	return fmt.Sprintf("rules %s of team %q have no %s site in common", strings.Join(c.Rules, " and "), c.Team, c.What)
+	return fmt.Sprintf("rules %s of team %q have no %s site in common", strings.Join(c.Rules, " and "), c.Team, c.Role)
 }
 
 // Remedy says what an operator can do.
@@ -60,11 +60,11 @@
 type Unbound struct {
 	Team   string
 	Tables []int64
-	Why    string
+	Reason string
 }
 
 func (u *Unbound) Error() string {
-	return fmt.Sprintf("that tables %v of team %q are bound is not in the record: %s", u.Tables, u.Team, u.Why)
+	return fmt.Sprintf("that tables %v of team %q are bound is not in the record: %s", u.Tables, u.Team, u.Reason)
 }
 
 // Remedy says what an operator can do.
@@ -74,12 +74,14 @@
 
 // Flaw is what is wrong with a rule by itself or beside the others.
 type Flaw struct {
-	Rule  int    // its place
-	Field string // in the set-up's words, with a place in a list
-	Why   string
+	RuleIndex int    // its place
+	Field     string // in the set-up's words, with a place in a list
+	Reason    string
 }
 
-func (f *Flaw) Error() string { return fmt.Sprintf("placement[%d].%s: %s", f.Rule, f.Field, f.Why) }
+func (f *Flaw) Error() string {
+	return fmt.Sprintf("placement[%d].%s: %s", f.RuleIndex, f.Field, f.Reason)
+}
 
 // Remedy says what an operator can do.
 func (f *Flaw) Remedy() string { return "mend the rule in the file: nothing of it was taken over" }
--- a/internal/residency/golden_test.go
+++ b/internal/residency/golden_test.go
@@ -8,7 +8,7 @@
 
 // Scripts read what the commands print as JSON.
 func TestGoldenKeysOfPlans(t *testing.T) {
-	goldentest.Same(t, "outlook_keys", goldentest.KeyPaths(goldentest.JSON, Outlook{}))
+	goldentest.Same(t, "outlook_keys", goldentest.KeyPaths(goldentest.JSON, ChangePlan{}))
 	goldentest.Same(t, "tightening_keys", goldentest.KeyPaths(goldentest.JSON, Tightening{}))
-	goldentest.Same(t, "crossing_keys", goldentest.KeyPaths(goldentest.JSON, Crossing{}))
+	goldentest.Same(t, "crossing_keys", goldentest.KeyPaths(goldentest.JSON, EmergencyCrossing{}))
 }
--- a/internal/residency/residency.go
+++ b/internal/residency/residency.go
@@ -94,21 +94,21 @@
 	return teams
 }
 
-// Verdict is what the rules say of one query. Its lists are shared: they must not be changed.
-type Verdict struct {
-	Bound    bool      // a rule applies
-	Rules    []string  // the names of those that do
-	Engines  []string  // sites whose engines may run it; nil: all
-	Takers   []string  // sites whose controllers may serve it; nil: all
-	Keepers  []string  // sites where its result may be retained; nil: all, empty: nowhere
-	Take     bool      // this controller may serve it
-	Keep     bool      // this controller may retain its result or answer
-	Conflict *Conflict // the rules leave no site; nil: they leave some
+// Decision is what the rules say of one query. Its lists are shared: they must not be changed.
+type Decision struct {
+	RuleApplies     bool      // a rule applies
+	RuleNames       []string  // the names of those that do
+	EngineSites     []string  // sites whose engines may run it; nil: all
+	ControllerSites []string  // sites whose controllers may serve it; nil: all
+	RetentionSites  []string  // sites where its result may be retained; nil: all, empty: nowhere
+	MayServe        bool      // this controller may serve it
+	MayRetain       bool      // this controller may retain its result or answer
+	Conflict        *Conflict // the rules leave no site; nil: they leave some
 }
 
-// May reports whether an engine of this site may run the query.
-func (v *Verdict) May(site string) bool {
-	return v.Conflict == nil && includes(v.Engines, site)
+// AllowsEngineSite reports whether an engine of this site may run the query.
+func (v *Decision) AllowsEngineSite(site string) bool {
+	return v.Conflict == nil && includes(v.EngineSites, site)
 }
 
 // includes reports whether a list has a site; nil is everywhere.
@@ -142,7 +142,7 @@
 // evaluate applies all rules of a tenant. emergencies has the rules whose emergency is on; nil: none.
 func evaluate(
 	rules []*boundRule, tables []int64, known bool, emergencies map[string]uint64,
-) (v Verdict) {
+) (v Decision) {
 	var applying []*boundRule
 	allowed := func(b *boundRule) []string {
 		if _, on := emergencies[b.Name]; on && len(b.Engines) > 0 {
@@ -155,20 +155,20 @@
 			continue
 		}
 		applying = append(applying, b)
-		v.Bound = true
-		v.Rules = append(v.Rules, b.Name)
-		v.Engines = intersect(v.Engines, allowed(b))
-		v.Takers = intersect(v.Takers, emptyAsAll(b.controllerSites()))
+		v.RuleApplies = true
+		v.RuleNames = append(v.RuleNames, b.Name)
+		v.EngineSites = intersect(v.EngineSites, allowed(b))
+		v.ControllerSites = intersect(v.ControllerSites, emptyAsAll(b.controllerSites()))
 		if b.Keep != nil {
-			v.Keepers = intersect(v.Keepers, b.Keep) // an empty one is nowhere
+			v.RetentionSites = intersect(v.RetentionSites, b.Keep) // an empty one is nowhere
 		} else {
-			v.Keepers = intersect(v.Keepers, emptyAsAll(b.retentionSites()))
+			v.RetentionSites = intersect(v.RetentionSites, emptyAsAll(b.retentionSites()))
 		}
 	}
 	switch {
-	case v.Engines != nil && len(v.Engines) == 0:
+	case v.EngineSites != nil && len(v.EngineSites) == 0:
 		v.Conflict = findConflict(applying, "engine", allowed)
-	case v.Takers != nil && len(v.Takers) == 0:
+	case v.ControllerSites != nil && len(v.ControllerSites) == 0:
 		controllers := func(b *boundRule) []string { return emptyAsAll(b.controllerSites()) }
 		v.Conflict = findConflict(applying, "controller", controllers)
 	}
@@ -177,7 +177,7 @@
 
 // findConflict names two rules that have no site in common, or all if only all together have none.
 func findConflict(applying []*boundRule, what string, of func(*boundRule) []string) *Conflict {
-	c := &Conflict{What: what, Team: applying[0].Team}
+	c := &Conflict{Role: what, Team: applying[0].Team}
 	for i, a := range applying {
 		for _, b := range applying[i+1:] {
 			if l := intersect(of(a), of(b)); l != nil && len(l) == 0 {
@@ -202,10 +202,10 @@
 	fleetView      fleet.View
 	unseenBindings []fleet.Binding // in the log, and not in fleetView yet
 
-	stamp    uint64                 // changes with all of the above
-	verdicts map[verdictKey]Verdict // of queries on one table, until anything changes
+	stamp    uint64                  // changes with all of the above
+	verdicts map[verdictKey]Decision // of queries on one table, until anything changes
 
-	crossings     []Crossing // the latest
+	crossings     []EmergencyCrossing // the latest
 	crossingCount int
 }
 
@@ -220,16 +220,16 @@
 const maxVerdicts = 4096
 
 // New makes the Core of a controller at a site; "" is at none, and inside no boundary.
-func New(site string) *Core { return &Core{site: site, stamp: 1, verdicts: map[verdictKey]Verdict{}} }
+func New(site string) *Core { return &Core{site: site, stamp: 1, verdicts: map[verdictKey]Decision{}} }
 
-// Rules replaces the rules: from now on all is judged by them.
-func (c *Core) Rules(rules []Rule) {
+// SetRules replaces the rules: from now on all is judged by them.
+func (c *Core) SetRules(rules []Rule) {
 	c.rules = slices.Clone(rules)
 	c.rebind()
 }
 
-// Pictured takes what the log says: what loads bound, and which emergencies are on.
-func (c *Core) Pictured(p *fleet.View) {
+// SetFleetView takes what the log says: what loads bound, and which emergencies are on.
+func (c *Core) SetFleetView(p *fleet.View) {
 	same := slices.EqualFunc(p.Bindings, c.fleetView.Bindings, equalBindings) &&
 		maps.Equal(p.Emergencies, c.fleetView.Emergencies)
 	c.fleetView = *p
@@ -253,8 +253,8 @@
 	})
 }
 
-// Recorded tells that the log has a binding, though no view of the fleet has shown it yet.
-func (c *Core) Recorded(b fleet.Binding) {
+// AddRecordedBinding tells that the log has a binding, though no view of the fleet has shown it yet.
+func (c *Core) AddRecordedBinding(b fleet.Binding) {
 	if !covers(c.fleetView.Bindings, b) && !covers(c.unseenBindings, b) {
 		c.unseenBindings = append(c.unseenBindings, b)
 		c.rebind()
@@ -271,18 +271,18 @@
 	clear(c.verdicts)
 }
 
-// Stamp changes with all that verdicts depend on: an older verdict must be asked for anew.
-func (c *Core) Stamp() uint64 { return c.stamp }
+// Generation changes with all that verdicts depend on: an older verdict must be asked for anew.
+func (c *Core) Generation() uint64 { return c.stamp }
 
-// Bound reports whether a tenant has a rule at all. Of others nothing need be found out.
-func (c *Core) Bound(team string) bool { return len(c.rulesByTeam[team]) > 0 }
+// HasRules reports whether a tenant has a rule at all. Of others nothing need be found out.
+func (c *Core) HasRules(team string) bool { return len(c.rulesByTeam[team]) > 0 }
 
-// Judge says where a tenant's query on some tables may be. known: these are all the
+// Decide says where a tenant's query on some tables may be. known: these are all the
 // tables that it touches.
-func (c *Core) Judge(team string, tables []int64, known bool) Verdict {
+func (c *Core) Decide(team string, tables []int64, known bool) Decision {
 	rules := c.rulesByTeam[team]
 	if len(rules) == 0 {
-		return Verdict{Take: true, Keep: true}
+		return Decision{MayServe: true, MayRetain: true}
 	}
 	k := verdictKey{team: team, noTable: len(tables) == 0}
 	if !k.noTable {
@@ -293,18 +293,18 @@
 		return v
 	}
 	v := evaluate(rules, tables, known, c.fleetView.Emergencies)
-	v.Take = v.Conflict == nil && includes(v.Takers, c.site)
-	v.Keep = v.Conflict == nil && includes(v.Keepers, c.site)
+	v.MayServe = v.Conflict == nil && includes(v.ControllerSites, c.site)
+	v.MayRetain = v.Conflict == nil && includes(v.RetentionSites, c.site)
 	if remember && len(c.verdicts) < maxVerdicts {
 		c.verdicts[k] = v
 	}
 	return v
 }
 
-// Needs is what must be in the log before a load may be sent: nil if nothing is missing
+// MissingBinding is what must be in the log before a load may be sent: nil if nothing is missing
 // there. read and written are the tables of its statement. A load of which these aren't known
 // can't be followed: the error is an *Untold where a rule follows data.
-func (c *Core) Needs(team string, read, written []int64, known bool) (*fleet.Binding, error) {
+func (c *Core) MissingBinding(team string, read, written []int64, known bool) (*fleet.Binding, error) {
 	need := &fleet.Binding{Team: team}
 	for _, b := range c.rulesByTeam[team] {
 		switch {
@@ -338,8 +338,8 @@
 	return slices.Compact(l)
 }
 
-// Crossing is a query that an emergency let go to an engine outside its rule's own sites.
-type Crossing struct {
+// EmergencyCrossing is a query that an emergency let go to an engine outside its rule's own sites.
+type EmergencyCrossing struct {
 	Query string `json:"query"`
 	Team  string `json:"team"`
 	Rule  string `json:"rule"`
@@ -349,11 +349,11 @@
 // maxCrossings bounds the list: the latest are listed, all are counted.
 const maxCrossings = 1000
 
-// Sent notes an attempt at an engine of a site, and reports whether it left a rule's own sites in an
+// RecordAttempt notes an attempt at an engine of a site, and reports whether it left a rule's own sites in an
 // emergency.
-func (c *Core) Sent(query, team string, v *Verdict, site string) (outside bool) {
+func (c *Core) RecordAttempt(query, team string, v *Decision, site string) (outside bool) {
 	for _, b := range c.rulesByTeam[team] {
-		if !slices.Contains(v.Rules, b.Name) || includes(emptyAsAll(b.Engines), site) {
+		if !slices.Contains(v.RuleNames, b.Name) || includes(emptyAsAll(b.Engines), site) {
 			continue
 		}
 		outside = true
@@ -361,27 +361,29 @@
 		if len(c.crossings) >= maxCrossings {
 			c.crossings = slices.Delete(c.crossings, 0, 1)
 		}
-		c.crossings = append(c.crossings, Crossing{Query: query, Team: team, Rule: b.Name, Site: site})
+		c.crossings = append(c.crossings, EmergencyCrossing{Query: query, Team: team, Rule: b.Name, Site: site})
 	}
 	return outside
 }
 
-// Crossed lists the latest crossings, and how many there were in all.
-func (c *Core) Crossed() ([]Crossing, int) { return slices.Clone(c.crossings), c.crossingCount }
+// RecentCrossings lists the latest crossings, and how many there were in all.
+func (c *Core) RecentCrossings() ([]EmergencyCrossing, int) {
+	return slices.Clone(c.crossings), c.crossingCount
+}
 
-// Outside reports whether a query runs at a site that its rules themselves, without any emergency,
+// IsOutsideRules reports whether a query runs at a site that its rules themselves, without any emergency,
 // forbid.
-func (c *Core) Outside(team string, tables []int64, known bool, site string) bool {
+func (c *Core) IsOutsideRules(team string, tables []int64, known bool, site string) bool {
 	rules := c.rulesByTeam[team]
 	if len(rules) == 0 {
 		return false
 	}
 	v := evaluate(rules, tables, known, nil)
-	return !v.May(site)
+	return !v.AllowsEngineSite(site)
 }
 
-// Watches are the rules that name further sites: the fleet watches whether all inside is lost.
-func Watches(rules []Rule) (l []fleet.EmergencyRule) {
+// EmergencyRules are the rules that name further sites: the fleet watches whether all inside is lost.
+func EmergencyRules(rules []Rule) (l []fleet.EmergencyRule) {
 	for _, r := range rules {
 		if len(r.Emergency.Sites) > 0 && len(r.Engines) > 0 {
 			l = append(l, fleet.EmergencyRule{Name: r.Name, Team: r.Team, Sites: r.Engines, After: r.Emergency.After})
@@ -390,12 +392,12 @@
 	return l
 }
 
-// Watches are those of the rules in force.
-func (c *Core) Watches() []fleet.EmergencyRule { return Watches(c.rules) }
+// EmergencyRules are those of the rules in force.
+func (c *Core) EmergencyRules() []fleet.EmergencyRule { return EmergencyRules(c.rules) }
 
-// Calmed is what has to be invalidated once a rule's emergency has ended: what was retained
+// ScopeAfterEmergency is what has to be invalidated once a rule's emergency has ended: what was retained
 // where the rule forbids it. nil: nothing can be, its results may be anywhere.
-func Calmed(rules []Rule, name string) *fleet.Scope {
+func ScopeAfterEmergency(rules []Rule, name string) *fleet.Scope {
 	for _, r := range rules {
 		if r.Name == name {
 			return scope(r.Team, r.Tables, r.retentionSites(), r.Keep == nil && len(r.retentionSites()) == 0)
--- a/internal/residency/residency_test.go
+++ b/internal/residency/residency_test.go
@@ -16,7 +16,7 @@
 
 func core(site string, rules ...Rule) *Core {
 	c := New(site)
-	c.Rules(rules)
+	c.SetRules(rules)
 	return c
 }
 
@@ -25,22 +25,22 @@
 		Rule{Name: "a", Team: "bank", Tables: []int64{1}, Engines: []string{"linz", "wien"}, Keep: []string{"linz"}},
 		Rule{Name: "b", Team: "bank", Tables: []int64{2}, Engines: []string{"wien", "graz"}},
 		Rule{Name: "c", Team: "bank", Tables: []int64{3}, Engines: []string{"graz"}})
-	if v := c.Judge("bank", []int64{1}, true); !v.Take || !v.Keep || !slices.Equal(v.Engines, []string{"linz", "wien"}) {
+	if v := c.Decide("bank", []int64{1}, true); !v.MayServe || !v.MayRetain || !slices.Equal(v.EngineSites, []string{"linz", "wien"}) {
 		t.Fatalf("%+v", v)
 	}
-	if v := c.Judge("bank", []int64{1, 2}, true); v.Take || v.Keep || !v.May("wien") || v.May("linz") {
+	if v := c.Decide("bank", []int64{1, 2}, true); v.MayServe || v.MayRetain || !v.AllowsEngineSite("wien") || v.AllowsEngineSite("linz") {
 		t.Fatalf("%+v", v)
 	}
-	if v := c.Judge("bank", []int64{1, 3}, true); v.Conflict == nil || !slices.Equal(v.Conflict.Rules, []string{"a", "c"}) || v.May("graz") {
+	if v := c.Decide("bank", []int64{1, 3}, true); v.Conflict == nil || !slices.Equal(v.Conflict.Rules, []string{"a", "c"}) || v.AllowsEngineSite("graz") {
 		t.Fatalf("%+v", v)
 	}
-	if v := c.Judge("bank", nil, false); v.Conflict == nil {
+	if v := c.Decide("bank", nil, false); v.Conflict == nil {
 		t.Fatalf("what can't be told is taken as all: %+v", v)
 	}
-	if v := c.Judge("bank", []int64{9}, true); v.Bound || !v.Take || !v.May("anywhere") {
+	if v := c.Decide("bank", []int64{9}, true); v.RuleApplies || !v.MayServe || !v.AllowsEngineSite("anywhere") {
 		t.Fatalf("%+v", v)
 	}
-	if c.Bound("other") || !c.Judge("other", []int64{1}, true).Take {
+	if c.HasRules("other") || !c.Decide("other", []int64{1}, true).MayServe {
 		t.Fatal("a rule binds its own team")
 	}
 }
@@ -48,35 +48,35 @@
 func TestFollowed(t *testing.T) {
 	c := core("linz", Rule{Name: "a", Team: "bank", Tables: []int64{1}, Engines: []string{"linz"}, Follows: true},
 		Rule{Name: "b", Team: "bank", Tables: []int64{7}, Engines: []string{"wien"}})
-	need, err := c.Needs("bank", []int64{1, 5}, []int64{2, 1}, true)
+	need, err := c.MissingBinding("bank", []int64{1, 5}, []int64{2, 1}, true)
 	if want := (&fleet.Binding{Team: "bank", Tables: []int64{2}, SourceTables: []int64{1}}); err != nil || !cmp.Equal(need, want) {
 		t.Fatal(cmp.Diff(need, want), err)
 	}
-	if need, err := c.Needs("bank", []int64{7}, []int64{2}, true); need != nil || err != nil {
+	if need, err := c.MissingBinding("bank", []int64{7}, []int64{2}, true); need != nil || err != nil {
 		t.Fatal(need, err)
 	}
-	if _, err := c.Needs("bank", nil, nil, false); err == nil {
+	if _, err := c.MissingBinding("bank", nil, nil, false); err == nil {
 		t.Fatal("a load that can't be told can't be followed")
 	}
-	old := c.Stamp()
+	old := c.Generation()
 	// recorded in an order in which the second follows what only the third binds
-	c.Pictured(&fleet.View{Bindings: []fleet.Binding{
+	c.SetFleetView(&fleet.View{Bindings: []fleet.Binding{
 		{Team: "bank", Tables: []int64{2}, SourceTables: []int64{1}},
 		{Team: "bank", Tables: []int64{4}, SourceTables: []int64{3}},
 		{Team: "bank", Tables: []int64{3}, SourceTables: []int64{2}},
 		{Team: "other", Tables: []int64{8}, SourceTables: []int64{1}}}})
-	if c.Stamp() == old {
+	if c.Generation() == old {
 		t.Fatal("verdicts from before would hold on")
 	}
 	for _, n := range []int64{2, 3, 4} {
-		if v := c.Judge("bank", []int64{n}, true); v.May("wien") || !v.May("linz") {
+		if v := c.Decide("bank", []int64{n}, true); v.AllowsEngineSite("wien") || !v.AllowsEngineSite("linz") {
 			t.Fatalf("%d: %+v", n, v)
 		}
 	}
-	if v := c.Judge("bank", []int64{8}, true); v.Bound {
+	if v := c.Decide("bank", []int64{8}, true); v.RuleApplies {
 		t.Fatal("another team's load bound it")
 	}
-	if need, _ := c.Needs("bank", []int64{2}, []int64{3}, true); need != nil {
+	if need, _ := c.MissingBinding("bank", []int64{2}, []int64{3}, true); need != nil {
 		t.Fatal("bound already", need)
 	}
 }
@@ -85,27 +85,27 @@
 	c := core("linz", Rule{Name: "a", Team: "bank", Engines: []string{"linz"},
 		Emergency: Emergency{Sites: []string{"wien"}, After: time.Minute}})
 	want := []fleet.EmergencyRule{{Name: "a", Team: "bank", Sites: []string{"linz"}, After: time.Minute}}
-	if got := c.Watches(); !cmp.Equal(got, want) {
+	if got := c.EmergencyRules(); !cmp.Equal(got, want) {
 		t.Fatal(got)
 	}
-	c.Pictured(&fleet.View{Emergencies: map[string]uint64{"a": 7}})
-	v := c.Judge("bank", nil, true)
-	if !v.May("wien") || v.May("graz") || slices.Contains(v.Takers, "wien") || slices.Contains(v.Keepers, "wien") {
+	c.SetFleetView(&fleet.View{Emergencies: map[string]uint64{"a": 7}})
+	v := c.Decide("bank", nil, true)
+	if !v.AllowsEngineSite("wien") || v.AllowsEngineSite("graz") || slices.Contains(v.ControllerSites, "wien") || slices.Contains(v.RetentionSites, "wien") {
 		t.Fatalf("%+v", v)
 	}
 	for i := range maxCrossings + 5 {
-		if !c.Sent(fmt.Sprint(i), "bank", &v, "wien") || c.Sent(fmt.Sprint(i), "bank", &v, "linz") {
+		if !c.RecordAttempt(fmt.Sprint(i), "bank", &v, "wien") || c.RecordAttempt(fmt.Sprint(i), "bank", &v, "linz") {
 			t.Fatal("what crosses is told apart")
 		}
 	}
-	if l, n := c.Crossed(); len(l) != maxCrossings || n != maxCrossings+5 || l[0].Query != "5" {
+	if l, n := c.RecentCrossings(); len(l) != maxCrossings || n != maxCrossings+5 || l[0].Query != "5" {
 		t.Fatal(len(l), n, l[0])
 	}
-	c.Pictured(&fleet.View{})
-	if v := c.Judge("bank", nil, true); v.May("wien") || !c.Outside("bank", nil, true, "wien") {
+	c.SetFleetView(&fleet.View{})
+	if v := c.Decide("bank", nil, true); v.AllowsEngineSite("wien") || !c.IsOutsideRules("bank", nil, true, "wien") {
 		t.Fatalf("%+v", v)
 	}
-	if s := Calmed(c.rules, "a"); s == nil || s.Team != "bank" || !slices.Equal(s.OutsideSites, []string{"linz"}) {
+	if s := ScopeAfterEmergency(c.rules, "a"); s == nil || s.Team != "bank" || !slices.Equal(s.OutsideSites, []string{"linz"}) {
 		t.Fatalf("%+v", s)
 	}
 }
@@ -114,21 +114,21 @@
 	old := []Rule{{Name: "a", Team: "bank", Tables: []int64{1}, Engines: []string{"linz", "wien"}, Follows: true}}
 	next := []Rule{{Name: "a", Team: "bank", Tables: []int64{1}, Engines: []string{"wien"}, Keep: []string{}, Follows: true}}
 	bindings := []fleet.Binding{{Team: "bank", Tables: []int64{4}, SourceTables: []int64{1}}}
-	got := Tightened(old, next, bindings)
-	if len(got) != 1 || !slices.Equal(got[0].Tables, []int64{1, 4}) || !got[0].Ends || got[0].Purge == nil ||
-		len(got[0].Purge.OutsideSites) > 0 || !slices.Equal(got[0].Purge.Tables, []int64{1, 4}) {
+	got := FindTightenings(old, next, bindings)
+	if len(got) != 1 || !slices.Equal(got[0].Tables, []int64{1, 4}) || !got[0].EndsRunningQueries || got[0].PurgeScope == nil ||
+		len(got[0].PurgeScope.OutsideSites) > 0 || !slices.Equal(got[0].PurgeScope.Tables, []int64{1, 4}) {
 		t.Fatalf("%+v", got)
 	}
-	if got := Tightened(next, old, bindings); len(got) > 0 {
+	if got := FindTightenings(next, old, bindings); len(got) > 0 {
 		t.Fatalf("widening needs nothing: %+v", got)
 	}
-	o := Plan(old, []Rule{{Name: "a", Team: "bank", Tables: []int64{1}, Engines: []string{"graz"}}}, World{Bindings: bindings,
+	o := PlanChange(old, []Rule{{Name: "a", Team: "bank", Tables: []int64{1}, Engines: []string{"graz"}}}, PlanInput{Bindings: bindings,
 		Engines:     []Engine{{"e1", "linz", 30}, {"e2", "ulm", 10}},
 		Controllers: []fleet.Member{{Name: "c1", Site: "linz"}, {Name: "c2", Site: "graz"}},
-		Kept:        []Kept{{"c1", "bank", fleet.InvalidationCounts{Results: 3}}, {"c2", "bank", fleet.InvalidationCounts{Results: 4}}}})
+		Retained:    []RetainedData{{"c1", "bank", fleet.InvalidationCounts{Results: 3}}, {"c2", "bank", fleet.InvalidationCounts{Results: 4}}}})
 	row := o.Rows[0]
-	if !slices.Equal(o.None, []string{"bank"}) || row.Before != 0.75 || row.After != 0 || !slices.Equal(row.Engines, []string{"e1"}) ||
-		!slices.Equal(row.Purge, []string{"c1"}) || row.Kept.Results != 3 || !strings.Contains(o.Table(), "75.0 %") {
+	if !slices.Equal(o.TeamsWithoutSite, []string{"bank"}) || row.ShareBefore != 0.75 || row.ShareAfter != 0 || !slices.Equal(row.EnginesOutside, []string{"e1"}) ||
+		!slices.Equal(row.PurgeOn, []string{"c1"}) || row.RetainedOutside.Results != 3 || !strings.Contains(o.Table(), "75.0 %") {
 		t.Fatalf("%+v\n%s", o, o.Table())
 	}
 }
@@ -144,13 +144,13 @@
 		"inside anyway":   {{Name: "a", Team: "bank", Engines: []string{"linz"}, Emergency: Emergency{[]string{"linz"}, 1}}},
 		"must all inside": {{Name: "a", Team: "bank", Engines: []string{"linz"}, Emergency: Emergency{Sites: []string{"wien"}}}},
 	} {
-		if flaws := Check(rules, sites, teams); len(flaws) != 1 || !strings.Contains(flaws[0].Error(), want) {
+		if flaws := ValidateRules(rules, sites, teams); len(flaws) != 1 || !strings.Contains(flaws[0].Error(), want) {
 			t.Errorf("%q: %v", want, flaws)
 		}
 	}
 	apart := []Rule{{Name: "a", Team: "bank", Tables: []int64{1}, Engines: []string{"linz"}},
 		{Name: "b", Team: "bank", Tables: []int64{2}, Engines: []string{"wien"}}}
-	if flaws := Check(apart, sites, teams); len(flaws) > 0 {
+	if flaws := ValidateRules(apart, sites, teams); len(flaws) > 0 {
 		t.Error("only a query on both has no site", flaws)
 	}
 }
@@ -181,20 +181,20 @@
 		tables := rapid.SliceOfNDistinct(rapid.Int64Range(0, 4), 0, 3, rapid.ID[int64]).Draw(t, "on")
 		known := rapid.Bool().Draw(t, "known")
 		site := rapid.SampledFrom(sites).Draw(t, "site")
-		v := b.Judge("t", tables, known)
+		v := b.Decide("t", tables, known)
 		for _, r := range next {
 			says := !known || len(r.Tables) == 0 || slices.ContainsFunc(tables, func(n int64) bool { return slices.Contains(r.Tables, n) })
-			if says && len(r.Engines) > 0 && !slices.Contains(r.Engines, site) && v.May(site) {
+			if says && len(r.Engines) > 0 && !slices.Contains(r.Engines, site) && v.AllowsEngineSite(site) {
 				t.Fatalf("%+v forbids %s: %+v", r, site, v)
 			}
 		}
 		if len(tables) != 1 || !known {
 			return
 		}
-		told := slices.ContainsFunc(Tightened(old, next, nil), func(x Tightening) bool {
+		told := slices.ContainsFunc(FindTightenings(old, next, nil), func(x Tightening) bool {
 			return slices.Equal(x.Tables, tables) || slices.Contains(x.Tables, tables[0]) || len(x.Tables) == 0
 		})
-		if was := a.Judge("t", tables, true); !told && was.May(site) && !v.May(site) {
+		if was := a.Decide("t", tables, true); !told && was.AllowsEngineSite(site) && !v.AllowsEngineSite(site) {
 			t.Fatalf("not told: %v to %v", was, v)
 		}
 	})
--- a/internal/resultcache/entries.go
+++ b/internal/resultcache/entries.go
@@ -18,16 +18,16 @@
 	for _, p := range pages {
 		size += int64(cap(p))
 	}
-	if size > c.Answer || size > c.Memory {
-		c.Counts.Large++
+	if size > c.MaxAnswerBytes || size > c.MaxBytes {
+		c.Counts.TooLarge++
 		return
 	}
-	expiresAt := f.startedAt + c.Fresh
+	expiresAt := f.startedAt + c.Freshness
 	if c.now >= expiresAt {
 		c.Counts.Expired++
 		return
 	}
-	for c.bytes+size > c.Memory || c.count >= c.Count {
+	for c.bytes+size > c.MaxBytes || c.count >= c.MaxEntries {
 		c.Counts.Evicted++
 		c.remove(c.evictionCandidate())
 	}
@@ -48,7 +48,7 @@
 		startedWall: f.startedWall,
 		logIndex:    f.logIndex,
 	}
-	c.Counts.Kept++
+	c.Counts.Cached++
 	c.entries[f.hash] = append(c.entries[f.hash], e)
 	c.bytes += size
 	c.count++
@@ -61,7 +61,7 @@
 	candidateIsOver := false
 	for _, t := range c.tenants {
 		oldest := t.lru.First().Value
-		isOver := float64(t.bytes) > c.Team*float64(c.Memory)
+		isOver := float64(t.bytes) > c.TenantShare*float64(c.MaxBytes)
 		switch {
 		case candidate == nil,
 			isOver && !candidateIsOver,
--- a/internal/resultcache/invalidation.go
+++ b/internal/resultcache/invalidation.go
@@ -57,7 +57,7 @@
 	c.advance(now)
 	c.countMutation(tables, 1)
 	for _, e := range c.entriesWhere(func(e *entry) bool { return mayOverlap(e.tables, tables) }) {
-		c.Counts.Loaded++
+		c.Counts.RemovedByMutation++
 		c.remove(e)
 	}
 	c.invalidateFlights(func(f *flight) bool { return mayOverlap(f.leader.Tables, tables) })
--- a/internal/resultcache/result_cache.go
+++ b/internal/resultcache/result_cache.go
@@ -29,14 +29,14 @@
 // Request is one query that asks for an answer. What is in it must not change while it follows or
 // leads.
 type Request struct {
-	Team      string
-	Group     int
-	Statement []byte
-	Tables    []int64       // all that it reads; none: they can't be told
-	Index     uint64        // of the log when its query was received
-	Wall      int64         // and when that was
-	Until     time.Duration // its deadline: from then on it leads no flight
-	Of        any           // the caller's
+	Team         string
+	Group        int
+	Statement    []byte
+	Tables       []int64       // all that it reads; none: they can't be told
+	LogIndex     uint64        // of the log when its query was received
+	ReceivedWall int64         // and when that was
+	Deadline     time.Duration // its deadline: from then on it leads no flight
+	CallerData   any           // the caller's
 
 	flight *flight // that it leads or follows; nil: none
 }
@@ -80,10 +80,10 @@
 
 // Counts are counted since the start.
 type Counts struct {
-	Hits, Followed, Led, Passed int // what became of those who asked
-	Kept, Large, Struck         int // what became of runs that finished
-	Evicted, Expired, Loaded    int // what became of answers that were kept
-	Purged                      int
+	Hits, Followed, Led, Bypassed       int // what became of those who asked
+	Cached, TooLarge, Invalidated       int // what became of runs that finished
+	Evicted, Expired, RemovedByMutation int // what became of answers that were kept
+	Purged                              int
 }
 
 // Cache is one controller's. It is used by one goroutine.
@@ -144,22 +144,22 @@
 	return d.Sum64()
 }
 
-// Verdict is what becomes of who asks.
-type Verdict int
+// LookupResult is what becomes of who asks.
+type LookupResult int
 
 const (
-	Bypass Verdict = iota // it goes its way: nothing here is for it, and it owes nothing
-	Hit                   // answered
-	Lead                  // it goes its way, and what comes of it is to be told by Complete or Leave
-	Follow                // it waits until another's Complete or Leave names it, or leaves by Leave
+	Bypass LookupResult = iota // it goes its way: nothing here is for it, and it owes nothing
+	Hit                        // answered
+	Lead                       // it goes its way, and what comes of it is to be told by Complete or Leave
+	Follow                     // it waits until another's Complete or Leave names it, or leaves by Leave
 )
 
 // Lookup takes a request. With Hit come the pages, which must not be changed.
-func (c *Cache) Lookup(now time.Duration, r *Request) (Verdict, [][]byte) {
+func (c *Cache) Lookup(now time.Duration, r *Request) (LookupResult, [][]byte) {
 	c.advance(now)
-	c.logIndex = max(c.logIndex, r.Index)
+	c.logIndex = max(c.logIndex, r.LogIndex)
 	if c.isChanging(r.Tables) {
-		c.Counts.Passed++
+		c.Counts.Bypassed++
 		return Bypass, nil
 	}
 	hash := hashOf(r)
@@ -169,7 +169,7 @@
 		return Hit, e.pages
 	}
 	for _, f := range c.joinable[hash] {
-		tooOld := c.now-f.startedAt >= c.Fresh // its answer will be older than answers may be
+		tooOld := c.now-f.startedAt >= c.Freshness // its answer will be older than answers may be
 		if !tooOld && f.leader.equal(r) {
 			c.Counts.Followed++
 			r.flight = f
@@ -237,16 +237,16 @@
 		o.flight = nil
 	}
 	if f.invalidated {
-		c.Counts.Struck++
+		c.Counts.Invalidated++
 	} else {
 		c.insert(f, r, pages)
 	}
 	return followers
 }
 
-// Leave tells that a request wants no answer any more, or got another than a finished one. If it
+// Abandon tells that a request wants no answer any more, or got another than a finished one. If it
 // led, the next that follows leads: that one is named and has to go its way now.
-func (c *Cache) Leave(now time.Duration, r *Request) (next *Request) {
+func (c *Cache) Abandon(now time.Duration, r *Request) (next *Request) {
 	c.advance(now)
 	f := r.flight
 	if f == nil {
@@ -265,7 +265,7 @@
 // it; those whose deadline is over stay until they leave. It gives the new leader, nil if
 // there is none.
 func (c *Cache) promote(f *flight) (leader *Request) {
-	i := slices.IndexFunc(f.followers, func(o *Request) bool { return c.now < o.Until })
+	i := slices.IndexFunc(f.followers, func(o *Request) bool { return c.now < o.Deadline })
 	if i < 0 {
 		for _, o := range f.followers {
 			o.flight = nil
@@ -307,12 +307,12 @@
 	}
 }
 
-// Text tells the counters.
-func (c *Cache) Text() string {
+// CountersText tells the counters.
+func (c *Cache) CountersText() string {
 	n := &c.Counts
 	count, size, flights := c.Usage()
 	return fmt.Sprintf("; answers kept %d bytes %d being drawn %d", count, size, flights) +
-		fmt.Sprintf(", hits %d followed %d led %d passed %d", n.Hits, n.Followed, n.Led, n.Passed) +
-		fmt.Sprintf(", kept %d large %d struck %d", n.Kept, n.Large, n.Struck) +
-		fmt.Sprintf(", evicted %d expired %d loaded %d purged %d", n.Evicted, n.Expired, n.Loaded, n.Purged)
+		fmt.Sprintf(", hits %d followed %d led %d passed %d", n.Hits, n.Followed, n.Led, n.Bypassed) +
+		fmt.Sprintf(", kept %d large %d struck %d", n.Cached, n.TooLarge, n.Invalidated) +
+		fmt.Sprintf(", evicted %d expired %d loaded %d purged %d", n.Evicted, n.Expired, n.RemovedByMutation, n.Purged)
 }
--- a/internal/resultcache/result_cache_test.go
+++ b/internal/resultcache/result_cache_test.go
@@ -76,7 +76,7 @@
 	if p.team != x.Team || p.statement != string(x.Statement) {
 		w.t.Fatalf("%s asked %s and was answered what %s asked, %s", x.Team, x.Statement, p.team, p.statement)
 	}
-	if x.asked >= p.began+w.c.Fresh {
+	if x.asked >= p.began+w.c.Freshness {
 		w.t.Fatalf("asked at %v and answered from %v", x.asked, p.began)
 	}
 	for i := range 4 { // every load taken before it was asked
@@ -91,7 +91,7 @@
 	}
 }
 
-func (x *asker) before() [4]int { return x.Of.([4]int) }
+func (x *asker) before() [4]int { return x.CallerData.([4]int) }
 
 func splitted(s string) (l []string) {
 	for len(l) < 4 {
@@ -136,11 +136,11 @@
 			n++
 		}
 	}
-	if c, b, _ := w.c.Usage(); c != count || b != size || byTeam != size || n != count || c > w.c.Count || b > w.c.Memory {
+	if c, b, _ := w.c.Usage(); c != count || b != size || byTeam != size || n != count || c > w.c.MaxEntries || b > w.c.MaxBytes {
 		w.t.Fatalf("%d answers of %d bytes, told %d of %d, by team %d of %d", count, size, c, b, n, byTeam)
 	}
 	for _, x := range w.out {
-		if !x.leads && x.flight == nil && w.now < x.Until {
+		if !x.leads && x.flight == nil && w.now < x.Deadline {
 			w.t.Fatal("one follows nobody and was not told")
 		}
 	}
@@ -149,7 +149,7 @@
 func TestModel(t *testing.T) {
 	total, hits, struck, purged := 0, 0, 0, 0
 	rapid.Check(t, func(t *rapid.T) {
-		c, err := New(Limits{Fresh: 3 * time.Second, Memory: 4000, Count: 8, Answer: 600, Team: 0.4}, 0)
+		c, err := New(Limits{Freshness: 3 * time.Second, MaxBytes: 4000, MaxEntries: 8, MaxAnswerBytes: 600, TenantShare: 0.4}, 0)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -166,8 +166,8 @@
 			switch what := rapid.IntRange(0, 19).Draw(t, "what"); {
 			case what < 9:
 				n := rapid.IntRange(0, 5).Draw(t, "statement")
-				x := &asker{asked: w.now, Request: &Request{Team: rapid.SampledFrom([]string{"linz", "steyr"}).Draw(t, "team"), Group: n % 2, Index: w.index,
-					Statement: fmt.Appendf(nil, "select %d", n), Until: w.now + 2*time.Second, Of: w.loads}}
+				x := &asker{asked: w.now, Request: &Request{Team: rapid.SampledFrom([]string{"linz", "steyr"}).Draw(t, "team"), Group: n % 2, LogIndex: w.index,
+					Statement: fmt.Appendf(nil, "select %d", n), Deadline: w.now + 2*time.Second, CallerData: w.loads}}
 				if n < 4 {
 					x.Tables = []int64{int64(n), int64((n + 1) % 4)}
 				}
@@ -189,8 +189,8 @@
 			case what < 15 && len(w.out) > 0:
 				x := w.out[rapid.IntRange(0, len(w.out)-1).Draw(t, "one")]
 				w.goes(x)
-				if !x.leads || what == 14 || w.now >= x.Until {
-					lead(c.Leave(w.now, x.Request))
+				if !x.leads || what == 14 || w.now >= x.Deadline {
+					lead(c.Abandon(w.now, x.Request))
 					break
 				}
 				pages := w.told(x)
@@ -223,7 +223,7 @@
 			w.check()
 		}
 		total += w.served
-		struck, purged = struck+c.Counts.Struck, purged+c.Counts.Purged
+		struck, purged = struck+c.Counts.Invalidated, purged+c.Counts.Purged
 	})
 	t.Logf("served %d, of them %d kept; struck %d, purged %d", total, hits, struck, purged)
 	if hits < 500 || total-hits < 200 || struck < 100 || purged < 100 {
@@ -243,7 +243,7 @@
 func TestDrawnOverAPurge(t *testing.T) {
 	c, _ := New(DefaultLimits(), 0)
 	ask := func() *Request {
-		return &Request{Team: "linz", Statement: []byte("select 1"), Tables: []int64{3}, Until: time.Minute}
+		return &Request{Team: "linz", Statement: []byte("select 1"), Tables: []int64{3}, Deadline: time.Minute}
 	}
 	first, second := ask(), ask()
 	v1, _ := c.Lookup(0, first)
@@ -268,10 +268,10 @@
 
 // A team beyond its share loses its own least used answers first.
 func TestShare(t *testing.T) {
-	l := Limits{Fresh: time.Minute, Memory: 4 * (entryOverheadBytes + 24 + 10 + 100), Count: 100, Answer: 1000, Team: 0.5}
+	l := Limits{Freshness: time.Minute, MaxBytes: 4 * (entryOverheadBytes + 24 + 10 + 100), MaxEntries: 100, MaxAnswerBytes: 1000, TenantShare: 0.5}
 	c, _ := New(l, 0)
-	put := func(team string, n int) Verdict {
-		a := &Request{Team: team, Statement: fmt.Appendf(nil, "select %03d", n), Tables: []int64{1}, Until: time.Hour}
+	put := func(team string, n int) LookupResult {
+		a := &Request{Team: team, Statement: fmt.Appendf(nil, "select %03d", n), Tables: []int64{1}, Deadline: time.Hour}
 		v, _ := c.Lookup(0, a)
 		c.Complete(0, a, [][]byte{make([]byte, 100)})
 		return v
@@ -286,7 +286,7 @@
 }
 
 func TestErrors(t *testing.T) {
-	for _, l := range []Limits{{}, {Fresh: 1}, {Fresh: 1, Memory: 1}, {Fresh: 1, Memory: 1, Count: 1}, {Fresh: 1, Memory: 1, Count: 1, Answer: 1, Team: 2}} {
+	for _, l := range []Limits{{}, {Freshness: 1}, {Freshness: 1, MaxBytes: 1}, {Freshness: 1, MaxBytes: 1, MaxEntries: 1}, {Freshness: 1, MaxBytes: 1, MaxEntries: 1, MaxAnswerBytes: 1, TenantShare: 2}} {
 		_, err := New(l, 0)
 		var u *Unusable
 		if !errors.As(err, &u) || u.Remedy() == "" {
--- a/internal/resultstore/erase_test.go
+++ b/internal/resultstore/erase_test.go
@@ -20,24 +20,24 @@
 
 // put keeps a result of a team, or writes its pages only.
 func put(t testing.TB, k *resultstore.Keeper, id uint64, team string, promised bool) {
-	w := &spool.Work{}
+	w := &spool.DiskTask{}
 	var rows []uint32
 	for i := range 3 {
-		w.Pages = append(w.Pages, spool.Page{Result: id, Number: uint32(i), Body: append(marker(team), make([]byte, 200)...)})
+		w.Pages = append(w.Pages, spool.Page{ResultID: id, Number: uint32(i), Body: append(marker(team), make([]byte, 200)...)})
 		rows = append(rows, 1)
 	}
 	if promised {
-		w.Promise = &spool.Promise{Result: id, Query: fmt.Sprintf("%016x", id), Team: team, Made: 1, Ends: 1 << 50, Rows: rows, Tag: spool.Tag{Index: id, Tables: []int64{int64(id), -1}, Owner: team}}
+		w.Metadata = &spool.Metadata{ResultID: id, Query: fmt.Sprintf("%016x", id), Team: team, CreatedWall: 1, ExpiresWall: 1 << 50, PageRows: rows, InvalidationTag: spool.InvalidationTag{LogIndex: id, Tables: []int64{int64(id), -1}, Owner: team}}
 	}
-	if k.Write([]*spool.Work{w}); w.Err != nil {
+	if k.Write([]*spool.DiskTask{w}); w.Err != nil {
 		t.Fatal(w.Err)
 	}
 }
 
 // purge drops all of the team and steps until that is erased.
 func purge(t testing.TB, k *resultstore.Keeper, all []uint64) {
-	w := &spool.Work{Erase: true}
-	k.Write([]*spool.Work{{Drop: all}, w})
+	w := &spool.DiskTask{Erase: true}
+	k.Write([]*spool.DiskTask{{Drop: all}, w})
 	for range 1000 {
 		if _, err := k.Tick(); err != nil {
 			continue // it is tried again
@@ -51,11 +51,11 @@
 
 // theirs are the results of the team that are there.
 func theirs(t testing.TB, k *resultstore.Keeper) (l []uint64, others int) {
-	if err := k.Restore(func(f *spool.Found) {
+	if err := k.Restore(func(f *spool.StoredResult) {
 		if f.Team == purgedTeam {
-			l = append(l, f.Result)
-		} else if others++; f.Index != f.Result || len(f.Tables) != 2 || f.Tables[0] != int64(f.Result) || f.Tables[1] != -1 || f.Owner != f.Team {
-			t.Fatalf("what a purge finds it by is lost: %+v", f.Promise)
+			l = append(l, f.ResultID)
+		} else if others++; f.LogIndex != f.ResultID || len(f.Tables) != 2 || f.Tables[0] != int64(f.ResultID) || f.Tables[1] != -1 || f.Owner != f.Team {
+			t.Fatalf("what a purge finds it by is lost: %+v", f.Metadata)
 		}
 	}); err != nil {
 		t.Fatal(err)
@@ -82,7 +82,7 @@
 		}
 		put(t, k, id, purgedTeam, id%3 != 0) // some are never whole
 		if id%5 == 0 {                       // evicted long ago
-			k.Write([]*spool.Work{{Drop: []uint64{id}}})
+			k.Write([]*spool.DiskTask{{Drop: []uint64{id}}})
 		} else {
 			gone = append(gone, id)
 		}
--- a/internal/resultstore/golden_test.go
+++ b/internal/resultstore/golden_test.go
@@ -26,8 +26,8 @@
 	if got := keeper.Found; got.Rebuilt || got.Dropped != 0 || got.Torn != 0 || len(got.Lost) != 0 || got.Orphans != 0 {
 		t.Errorf("what was found at the start: %+v", got)
 	}
-	var got []*spool.Found
-	if err := keeper.Restore(func(f *spool.Found) { got = append(got, f) }); err != nil {
+	var got []*spool.StoredResult
+	if err := keeper.Restore(func(f *spool.StoredResult) { got = append(got, f) }); err != nil {
 		t.Fatal(err)
 	}
 	want := goldenFound()
@@ -35,10 +35,10 @@
 		t.Errorf("the results (-want +got):\n%s", diff)
 	}
 	for _, found := range want {
-		for number := range found.Rows {
-			body, err := keeper.Fetch(found.Result, number)
-			if err != nil || string(body) != string(goldenPage(found.Result, number)) {
-				t.Errorf("page %d of %d: %q, %v", number, found.Result, body, err)
+		for number := range found.PageRows {
+			body, err := keeper.Fetch(found.ResultID, number)
+			if err != nil || string(body) != string(goldenPage(found.ResultID, number)) {
+				t.Errorf("page %d of %d: %q, %v", number, found.ResultID, body, err)
 			}
 		}
 	}
@@ -56,8 +56,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if string(keys.Text()) != string(text) {
-		t.Errorf("the keys: got %s, want %s", keys.Text(), text)
+	if string(keys.Encode()) != string(text) {
+		t.Errorf("the keys: got %s, want %s", keys.Encode(), text)
 	}
 }
 
@@ -72,8 +72,8 @@
 		t.Fatal(err)
 	}
 	defer keeper.Close()
-	var got []*spool.Found
-	if err := keeper.Restore(func(f *spool.Found) { got = append(got, f) }); err != nil {
+	var got []*spool.StoredResult
+	if err := keeper.Restore(func(f *spool.StoredResult) { got = append(got, f) }); err != nil {
 		t.Fatal(err)
 	}
 	if diff := cmp.Diff(goldenFound(), got); diff != "" || !keeper.Found.Rebuilt {
--- a/internal/resultstore/golden_values_test.go
+++ b/internal/resultstore/golden_values_test.go
@@ -12,18 +12,18 @@
 }
 
 // goldenFound are the results that the golden directory holds.
-func goldenFound() []*spool.Found {
+func goldenFound() []*spool.StoredResult {
 	first := uint64(1) << 32 // of the directory's first start
-	return []*spool.Found{
+	return []*spool.StoredResult{
 		{
-			Promise: spool.Promise{Result: first, Query: "query-1", Team: "team-a", Made: 1_700_000_000_001, Ends: 1_700_000_900_002,
-				Rows: []uint32{10, 11, 12}, Tag: spool.Tag{Owner: "customer-1", Index: 21, Tables: []int64{31, -32}}},
-			Bytes: []uint32{300, 300, 300},
+			Metadata: spool.Metadata{ResultID: first, Query: "query-1", Team: "team-a", CreatedWall: 1_700_000_000_001, ExpiresWall: 1_700_000_900_002,
+				PageRows: []uint32{10, 11, 12}, InvalidationTag: spool.InvalidationTag{Owner: "customer-1", LogIndex: 21, Tables: []int64{31, -32}}},
+			PageBytes: []uint32{300, 300, 300},
 		},
 		{
-			Promise: spool.Promise{Result: first + 2, Query: "query-3", Team: "team-b", Made: 1_700_000_000_003, Ends: 1_700_000_900_004,
-				Rows: []uint32{13, 14}},
-			Bytes: []uint32{300, 300},
+			Metadata: spool.Metadata{ResultID: first + 2, Query: "query-3", Team: "team-b", CreatedWall: 1_700_000_000_003, ExpiresWall: 1_700_000_900_004,
+				PageRows: []uint32{13, 14}},
+			PageBytes: []uint32{300, 300},
 		},
 	}
 }
@@ -49,18 +49,18 @@
 	if err != nil {
 		return err
 	}
-	dropped := &spool.Found{Promise: spool.Promise{Result: goldenDropped, Query: "query-2", Team: "team-a", Made: 1, Ends: 2, Rows: []uint32{1}}}
+	dropped := &spool.StoredResult{Metadata: spool.Metadata{ResultID: goldenDropped, Query: "query-2", Team: "team-a", CreatedWall: 1, ExpiresWall: 2, PageRows: []uint32{1}}}
 	for _, found := range append(goldenFound(), dropped) {
-		work := &spool.Work{Promise: &found.Promise}
-		for number := range found.Rows {
-			work.Pages = append(work.Pages, spool.Page{Result: found.Result, Number: uint32(number), Body: goldenPage(found.Result, number)})
+		work := &spool.DiskTask{Metadata: &found.Metadata}
+		for number := range found.PageRows {
+			work.Pages = append(work.Pages, spool.Page{ResultID: found.ResultID, Number: uint32(number), Body: goldenPage(found.ResultID, number)})
 		}
-		keeper.Write([]*spool.Work{work})
+		keeper.Write([]*spool.DiskTask{work})
 		if work.Err != nil {
 			return work.Err
 		}
 	}
-	rest := []*spool.Work{{Drop: []uint64{goldenDropped}}, {Keys: keys.Text()}}
+	rest := []*spool.DiskTask{{Drop: []uint64{goldenDropped}}, {Keys: keys.Encode()}}
 	keeper.Write(rest)
 	for _, work := range rest {
 		if work.Err != nil {
--- a/internal/resultstore/keeper.go
+++ b/internal/resultstore/keeper.go
@@ -20,7 +20,7 @@
 	Found  Recovered
 	files  Files
 	dir    *Dir
-	erased []*spool.Work // done, and not told yet
+	erased []*spool.DiskTask // done, and not told yet
 }
 
 // OpenKeeper holds a directory and opens what it has. ErrInUse if another program does.
@@ -66,34 +66,36 @@
 func (k *Keeper) KeepKeys(text []byte) error { return k.files.Replace(keysName, text) }
 
 // Restore hands over what the disk held.
-func (k *Keeper) Restore(each func(f *spool.Found)) error {
+func (k *Keeper) Restore(each func(f *spool.StoredResult)) error {
 	return k.Each(func(m *Meta) error {
-		each(&spool.Found{Promise: spool.Promise{Result: m.Result, Query: m.Query, Team: m.Team, Made: m.Made, Ends: m.Ends, Rows: m.Rows,
-			Tag: spool.Tag{Index: m.Index, Tables: m.Tables, Owner: m.Owner}}, Bytes: m.Bytes})
+		each(&spool.StoredResult{Metadata: spool.Metadata{ResultID: m.Result, Query: m.Query, Team: m.Team, CreatedWall: m.Made, ExpiresWall: m.Ends, PageRows: m.Rows,
+			InvalidationTag: spool.InvalidationTag{LogIndex: m.Index, Tables: m.Tables, Owner: m.Owner}}, PageBytes: m.Bytes})
 		return nil
 	})
 }
 
 // Read does a fetch.
-func (k *Keeper) Read(w *spool.Work) { w.Body, w.Err = k.Fetch(w.Fetch.Result, w.Fetch.Page) }
+func (k *Keeper) Read(w *spool.DiskTask) {
+	w.FetchedPage, w.Err = k.Fetch(w.Fetch.ResultID, w.Fetch.Page)
+}
 
 // Write does all other work, in order, with one sync for all. Work that erases is only
 // begun: Erased names it once it is done.
-func (k *Keeper) Write(l []*spool.Work) {
+func (k *Keeper) Write(l []*spool.DiskTask) {
 	jobs := make([]*Job, 0, len(l))
 	for _, w := range l {
 		j := &Job{Drop: w.Drop}
 		for _, p := range w.Pages {
-			j.Pages = append(j.Pages, Record{Kind: Page, Result: p.Result, Page: p.Number, Body: p.Body})
+			j.Pages = append(j.Pages, Record{Kind: Page, Result: p.ResultID, Page: p.Number, Body: p.Body})
 		}
-		if p := w.Promise; p != nil {
-			j.Promise = &Meta{Result: p.Result, Query: p.Query, Team: p.Team, Made: p.Made, Ends: p.Ends, Rows: p.Rows, Index: p.Index, Tables: p.Tables, Owner: p.Owner}
+		if p := w.Metadata; p != nil {
+			j.Promise = &Meta{Result: p.ResultID, Query: p.Query, Team: p.Team, Made: p.CreatedWall, Ends: p.ExpiresWall, Rows: p.PageRows, Index: p.LogIndex, Tables: p.Tables, Owner: p.Owner}
 		}
 		jobs = append(jobs, j)
 	}
 	k.Do(jobs)
 	for i, w := range l {
-		if w.Err, w.Total = jobs[i].Err, jobs[i].Total; w.Keys != nil {
+		if w.Err, w.BytesOnDisk = jobs[i].Err, jobs[i].Total; w.Keys != nil {
 			w.Err = k.KeepKeys(w.Keys)
 		}
 		if w.Erase {
@@ -103,17 +105,17 @@
 }
 
 // Erased is the work that erases and was done since it was last asked for.
-func (k *Keeper) Erased() []*spool.Work {
+func (k *Keeper) Erased() []*spool.DiskTask {
 	l := k.erased
 	k.erased = nil
 	for _, w := range l {
-		w.Total = k.Total()
+		w.BytesOnDisk = k.Total()
 	}
 	return l
 }
 
 // Serve does work as it comes until there is no more. done is told of each.
-func (k *Keeper) Serve(work <-chan *spool.Work, done func(w *spool.Work), fault func(err error)) {
+func (k *Keeper) Serve(work <-chan *spool.DiskTask, done func(w *spool.DiskTask), fault func(err error)) {
 	const batch = 64
 	tick := time.NewTicker(time.Second)
 	defer tick.Stop()
@@ -129,7 +131,7 @@
 		}
 	}
 	for {
-		var l []*spool.Work
+		var l []*spool.DiskTask
 		if more { // what comes goes before compaction
 			select {
 			case w, ok := <-work:
--- a/internal/setup/answers.go
+++ b/internal/setup/answers.go
@@ -64,10 +64,10 @@
 		return nil
 	}
 	l := resultcache.DefaultLimits()
-	l.Fresh = time.Duration(a.Fresh)
-	l.Memory = int64(cmp.Or(a.MemoryMB, 16) * (1 << 20))
-	l.Count, l.Team = cmp.Or(a.Count, l.Count), cmp.Or(a.TeamShare, l.Team)
-	l.Answer = min(l.Memory, int64(cmp.Or(a.AnswerKB, 1024)*1024))
+	l.Freshness = time.Duration(a.Fresh)
+	l.MaxBytes = int64(cmp.Or(a.MemoryMB, 16) * (1 << 20))
+	l.MaxEntries, l.TenantShare = cmp.Or(a.Count, l.MaxEntries), cmp.Or(a.TeamShare, l.TenantShare)
+	l.MaxAnswerBytes = min(l.MaxBytes, int64(cmp.Or(a.AnswerKB, 1024)*1024))
 	l.Groups = a.Groups
 	return &l
 }
--- a/internal/setup/control.go
+++ b/internal/setup/control.go
@@ -72,7 +72,7 @@
 // BaseControlPolicy is the policy that holds before any change: that of the set-ups.
 func (x *Setup) BaseControlPolicy() *ControlPolicy {
 	rules := x.rules()
-	return &ControlPolicy{Rules: rules, Known: x.Placement != nil, Watched: residency.Watches(rules)}
+	return &ControlPolicy{Rules: rules, Known: x.Placement != nil, Watched: residency.EmergencyRules(rules)}
 }
 
 // ParseControlPolicy reads a policy's text for a control process and checks its form:
@@ -109,7 +109,7 @@
 	case before.Stated:
 		was = before.Rules
 	}
-	return residency.Scopes(was, p.Rules, bindings), nil
+	return residency.PurgeScopes(was, p.Rules, bindings), nil
 }
 
 // naming is this set-up with the teams, customers and groups that a policy names, so that
--- a/internal/setup/placement.go
+++ b/internal/setup/placement.go
@@ -89,8 +89,8 @@
 	if x.Control() { // which there are is known to controllers only
 		sites, teams = nil, nil
 	}
-	for _, f := range residency.Check(x.rules(), sites, teams) {
-		c.wrong(fmt.Sprintf("placement[%d].%s", f.Rule, f.Field), "%s", f.Why)
+	for _, f := range residency.ValidateRules(x.rules(), sites, teams) {
+		c.wrong(fmt.Sprintf("placement[%d].%s", f.RuleIndex, f.Field), "%s", f.Reason)
 	}
 }
 
@@ -151,7 +151,7 @@
 // Base is the policy that the set-up itself holds: version 0, before any change.
 func (x *Setup) Base() (*controller.Policy, []fleet.EmergencyRule) {
 	rules := x.rules()
-	return &controller.Policy{Tenants: x.Shape(), Settings: x.facts(), Rules: rules}, residency.Watches(rules)
+	return &controller.Policy{Tenants: x.Shape(), Settings: x.facts(), Rules: rules}, residency.EmergencyRules(rules)
 }
 
 // ParsePolicy reads a policy's text, strictly, and checks it against a controller's own
--- a/internal/setup/spool.go
+++ b/internal/setup/spool.go
@@ -57,7 +57,7 @@
 	if s.MemoryMB > cmp.Or(l.MemoryMB, 512)/2 {
 		c.wrong("spool.memory_mb", "is over half of limits.memory_mb")
 	}
-	if idle, life := s.Idle.or(spool.Usual().Idle), s.Life.or(spool.Usual().Life); idle > life {
+	if idle, life := s.Idle.or(spool.DefaultLimits().IdleTimeout), s.Life.or(spool.DefaultLimits().MaxAge); idle > life {
 		c.wrong("spool.idle", "%v is longer than the life of %v", idle, life)
 	}
 	if k := time.Duration(s.Keys); k > 0 && k < time.Minute {
@@ -68,16 +68,16 @@
 // Limits are the spool's figures.
 func (s *Spool) Limits() spool.Limits {
 	const mb = 1 << 20
-	l := spool.Usual()
-	l.Memory = int64(cmp.Or(s.MemoryMB, 16) * mb)
+	l := spool.DefaultLimits()
+	l.MaxMemoryBytes = int64(cmp.Or(s.MemoryMB, 16) * mb)
 	if s.Directory != "" {
-		l.Disk = int64(cmp.Or(s.DiskMB, 1024) * mb)
+		l.MaxDiskBytes = int64(cmp.Or(s.DiskMB, 1024) * mb)
 	}
-	l.TeamBytes = int64(s.TeamMB * mb)
-	l.Result = int64(cmp.Or(s.ResultMB, 1024) * mb)
-	l.Results, l.TeamResults = cmp.Or(s.Results, l.Results), cmp.Or(s.TeamResults, l.TeamResults)
-	l.Team, l.Idle, l.Life = cmp.Or(s.TeamShare, l.Team), s.Idle.or(l.Idle), s.Life.or(l.Life)
-	l.Page, l.Flight, l.Reads = int(cmp.Or(s.PageKB, 32)*1024), int64(cmp.Or(s.FlightMB, 4)*mb), cmp.Or(s.Reads, l.Reads)
+	l.MaxTeamBytes = int64(s.TeamMB * mb)
+	l.MaxResultBytes = int64(cmp.Or(s.ResultMB, 1024) * mb)
+	l.MaxResults, l.MaxTeamResults = cmp.Or(s.Results, l.MaxResults), cmp.Or(s.TeamResults, l.MaxTeamResults)
+	l.TeamShare, l.IdleTimeout, l.MaxAge = cmp.Or(s.TeamShare, l.TeamShare), s.Idle.or(l.IdleTimeout), s.Life.or(l.MaxAge)
+	l.PageBytes, l.MaxWritingBytes, l.MaxReads = int(cmp.Or(s.PageKB, 32)*1024), int64(cmp.Or(s.FlightMB, 4)*mb), cmp.Or(s.Reads, l.MaxReads)
 	return l
 }
 
@@ -119,7 +119,7 @@
 	}
 	keys, err := spool.NewKeyring(text, s.Keys.or(24*time.Hour), wall, fresh)
 	if err == nil && disk != nil {
-		err = disk.KeepKeys(keys.Text())
+		err = disk.KeepKeys(keys.Encode())
 	}
 	if err != nil {
 		if disk != nil {
--- a/internal/spool/golden_test.go
+++ b/internal/spool/golden_test.go
@@ -20,7 +20,7 @@
 	}
 	goldentest.EveryFieldSet(t, goldentest.JSON, got)
 	ring := &Keyring{keys: goldenKeys()}
-	goldentest.Same(t, "keys.json", ring.Text())
+	goldentest.Same(t, "keys.json", ring.Encode())
 }
 
 // TestGoldenTokenOpensItsResult: clients hold tokens that an earlier program gave.
@@ -31,7 +31,7 @@
 	}
 	c := goldenCore(keys)
 	r := c.opened(goldentest.File(t, "token"), goldenFound.Team)
-	if r == nil || r.id != goldenFound.Result {
+	if r == nil || r.id != goldenFound.ResultID {
 		t.Fatalf("the token opens %+v", r)
 	}
 	if c.opened(goldentest.File(t, "token"), "team-b") != nil {
--- a/internal/spool/golden_values_test.go
+++ b/internal/spool/golden_values_test.go
@@ -5,20 +5,20 @@
 // goldenKeys are the keys of the golden key file.
 func goldenKeys() []Key {
 	return []Key{
-		{ID: 7, Made: 1_700_000_000_001, Secret: []byte("0123456789abcdef0123456789abcdef")},
-		{ID: 8, Made: 1_700_000_000_002, Secret: []byte("fedcba9876543210fedcba9876543210")},
+		{ID: 7, CreatedWall: 1_700_000_000_001, Secret: []byte("0123456789abcdef0123456789abcdef")},
+		{ID: 8, CreatedWall: 1_700_000_000_002, Secret: []byte("fedcba9876543210fedcba9876543210")},
 	}
 }
 
 // goldenFound is the result that the golden token opens.
-var goldenFound = Found{
-	Promise: Promise{Result: 1<<32 + 5, Query: "query-1", Team: "team-a", Made: 1_700_000_000_003, Ends: 1_700_000_600_004, Rows: []uint32{10, 11}},
-	Bytes:   []uint32{300, 400},
+var goldenFound = StoredResult{
+	Metadata:  Metadata{ResultID: 1<<32 + 5, Query: "query-1", Team: "team-a", CreatedWall: 1_700_000_000_003, ExpiresWall: 1_700_000_600_004, PageRows: []uint32{10, 11}},
+	PageBytes: []uint32{300, 400},
 }
 
 // goldenCore is a spool that found the golden result at its start.
 func goldenCore(keys *Keyring) *Core {
-	c := New(Limits{Life: time.Hour, Idle: time.Hour}, keys, 1_700_000_000_005, 2<<32, func(*Work) {})
+	c := New(Limits{MaxAge: time.Hour, IdleTimeout: time.Hour}, keys, 1_700_000_000_005, 2<<32, func(*DiskTask) {})
 	c.Restore(&goldenFound)
 	return c
 }
--- a/internal/spool/purge.go
+++ b/internal/spool/purge.go
@@ -9,7 +9,7 @@
 )
 
 // ErrPurged tells that a result was purged while it was taken in, or while its first page was read.
-var ErrPurged = Refusal("what is kept of its team was purged before its result was whole")
+var ErrPurged = RefusalError("what is kept of its team was purged before its result was whole")
 
 // Purged reports whether a purge took the result.
 func (r *Result) Purged() bool { return r.purged }
@@ -23,7 +23,7 @@
 	c.at(now)
 	var l []*Result
 	means := func(r *Result) {
-		if r.tag.Index < index && s.Matches(r.owner(), r.tag.Tables, r.wall) {
+		if r.tag.LogIndex < index && s.Matches(r.owner(), r.tag.Tables, r.wall) {
 			l = append(l, r)
 		}
 	}
@@ -48,35 +48,35 @@
 		c.Drop(c.now, r)
 	}
 	unreached()
-	if c.Disk == 0 {
+	if c.MaxDiskBytes == 0 {
 		wiped(found)
 		return
 	}
-	w := &Work{Erase: true}
-	w.Done = func(now time.Duration) {
+	w := &DiskTask{Erase: true}
+	w.OnDone = func(now time.Duration) {
 		c.at(now)
-		c.dead = max(0, w.Total-c.disk)
+		c.dead = max(0, w.BytesOnDisk-c.disk)
 		wiped(found)
 		c.wake()
 	}
 	c.do(w)
 }
 
-// Tagged is what a token's result is found by; none where it opens nothing.
-func (c *Core) Tagged(token []byte, teamName string) Tag {
+// TagOf is what a token's result is found by; none where it opens nothing.
+func (c *Core) TagOf(token []byte, teamName string) InvalidationTag {
 	if r := c.opened(token, teamName); r != nil {
 		return r.tag
 	}
-	return Tag{}
+	return InvalidationTag{}
 }
 
-// Recorded tells the place of the record that is gone by from now on. What is kept by a
+// LogReplaced tells the place of the record that is gone by from now on. What is kept by a
 // later one is so by the places of another record, or of a controller alone: it comes
 // before all of this one's.
-func (c *Core) Recorded(index uint64) {
+func (c *Core) LogReplaced(index uint64) {
 	for _, r := range c.results {
-		if r.tag.Index > index {
-			r.tag.Index = 0
+		if r.tag.LogIndex > index {
+			r.tag.LogIndex = 0
 		}
 	}
 }
--- a/internal/spool/reading.go
+++ b/internal/spool/reading.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// First hands out a whole result's first page, now or once it was read from disk.
-func (c *Core) First(now time.Duration, r *Result, tell func(body []byte, err error)) {
+// ReadFirstPage hands out a whole result's first page, now or once it was read from disk.
+func (c *Core) ReadFirstPage(now time.Duration, r *Result, tell func(body []byte, err error)) {
 	c.at(now)
 	if len(r.pages) > 0 && r.pages[0].body != nil {
 		tell(r.pages[0].body, nil)
@@ -15,24 +15,24 @@
 	c.fetch(r, 0, tell)
 }
 
-// ErrNone is all that is told of a token or page that opens nothing.
-var ErrNone = Refusal("no such page")
+// ErrPageNotFound is all that is told of a token or page that opens nothing.
+var ErrPageNotFound = RefusalError("no such page")
 
-// ErrBusy tells that too many pages are being read from disk.
-var ErrBusy = Refusal("too many pages are being read")
+// ErrTooManyReads tells that too many pages are being read from disk.
+var ErrTooManyReads = RefusalError("too many pages are being read")
 
-// Read hands out a page to whoever holds its result's token, now or once it was read
+// ReadPage hands out a page to whoever holds its result's token, now or once it was read
 // from disk. It tells one reason for refusing from another in nothing.
-func (c *Core) Read(now time.Duration, token []byte, teamName string, number int, tell func(body []byte, err error)) {
+func (c *Core) ReadPage(now time.Duration, token []byte, teamName string, number int, tell func(body []byte, err error)) {
 	c.at(now)
 	r := c.opened(token, teamName)
 	if r == nil || number < 0 || number >= r.count || !c.serves(r) {
 		c.Counts.BadTokens++
-		tell(nil, ErrNone)
+		tell(nil, ErrPageNotFound)
 		return
 	}
 	r.readAt, r.begun = c.now, true
-	if r.inMemory > 0 && c.Disk > 0 && r.listed {
+	if r.inMemory > 0 && c.MaxDiskBytes > 0 && r.listed {
 		c.list(r)
 	}
 	if number < len(r.pages) && r.pages[number].body != nil {
@@ -40,20 +40,22 @@
 		tell(r.pages[number].body, nil)
 		return
 	}
-	if c.reads >= c.Reads {
-		tell(nil, ErrBusy)
+	if c.reads >= c.MaxReads {
+		tell(nil, ErrTooManyReads)
 		return
 	}
 	c.fetch(r, number, func(body []byte, err error) {
 		if err == ErrPurged || err == nil && !c.serves(r) { // which is nobody's to know
 			c.Counts.BadTokens++
-			body, err = nil, ErrNone
+			body, err = nil, ErrPageNotFound
 		}
 		tell(body, err)
 	})
 }
 
-func (c *Core) serves(r *Result) bool { return c.Serves == nil || c.Serves(r.owner(), r.tag.Tables) }
+func (c *Core) serves(r *Result) bool {
+	return c.MayServe == nil || c.MayServe(r.owner(), r.tag.Tables)
+}
 
 // owner is whose it is.
 func (r *Result) owner() string { return cmp.Or(r.tag.Owner, r.team.name) }
@@ -61,9 +63,9 @@
 func (c *Core) fetch(r *Result, number int, tell func(body []byte, err error)) {
 	c.reads++
 	r.reading++
-	c.Counts.FromDisk++
-	w := &Work{Fetch: &Fetch{r.id, number}}
-	w.Done = func(now time.Duration) {
+	c.Counts.PagesFromDisk++
+	w := &DiskTask{Fetch: &Fetch{r.id, number}}
+	w.OnDone = func(now time.Duration) {
 		c.at(now)
 		c.reads--
 		r.reading--
@@ -71,12 +73,12 @@
 		case r.purged: // whatever was read comes too late
 			tell(nil, ErrPurged)
 		case w.Err != nil:
-			c.Counts.Spoilt++
+			c.Counts.FailedReads++
 			tell(nil, w.Err)
 		default:
 			r.readAt = c.now
 			c.handed(r, number)
-			tell(w.Body, nil)
+			tell(w.FetchedPage, nil)
 		}
 	}
 	c.do(w)
@@ -84,7 +86,7 @@
 
 // handed marks a page as read.
 func (c *Core) handed(r *Result, number int) {
-	c.Counts.Pages++
+	c.Counts.PagesServed++
 	if number == 0 || r.unread == 0 {
 		return
 	}
--- a/internal/spool/room.go
+++ b/internal/spool/room.go
@@ -22,17 +22,17 @@
 
 // teamFull: with so much more a result's team would have more than any may.
 func (c *Core) teamFull(r *Result, size int64) bool {
-	return c.TeamBytes > 0 && r.team.bytes+size > c.TeamBytes
+	return c.MaxTeamBytes > 0 && r.team.bytes+size > c.MaxTeamBytes
 }
 
 // most is what any result may have at all.
 func (c *Core) most() int64 {
-	most := min(c.Result, c.Memory)
-	if c.Disk > 0 {
-		most = min(c.Result, c.Disk-c.Disk/16)
+	most := min(c.MaxResultBytes, c.MaxMemoryBytes)
+	if c.MaxDiskBytes > 0 {
+		most = min(c.MaxResultBytes, c.MaxDiskBytes-c.MaxDiskBytes/16)
 	}
-	if c.TeamBytes > 0 {
-		most = min(most, c.TeamBytes)
+	if c.MaxTeamBytes > 0 {
+		most = min(most, c.MaxTeamBytes)
 	}
 	return most
 }
@@ -44,11 +44,11 @@
 			return false
 		}
 	}
-	for c.memory+size > c.Memory {
+	for c.memory+size > c.MaxMemoryBytes {
 		if c.uncache() {
 			continue
 		}
-		if c.Disk > 0 {
+		if c.MaxDiskBytes > 0 {
 			c.flush()
 			return false
 		}
@@ -56,26 +56,26 @@
 			return false
 		}
 	}
-	if c.Disk == 0 {
+	if c.MaxDiskBytes == 0 {
 		return true
 	}
-	if c.flight > c.Flight {
+	if c.flight > c.MaxWritingBytes {
 		return false
 	}
-	for c.disk+r.unwritten()+size+recordCost > c.Disk {
+	for c.disk+r.unwritten()+size+recordCost > c.MaxDiskBytes {
 		if !c.evictOne(nil, readOut|pastLife|overShare) {
 			return false
 		}
 	}
 	// the dead are still there until they are compacted
-	return c.disk+c.dead+r.unwritten()+size+recordCost <= c.Disk+c.Disk/8
+	return c.disk+c.dead+r.unwritten()+size+recordCost <= c.MaxDiskBytes+c.MaxDiskBytes/8
 }
 
 // share is what pages being taken in may have of the memory before they go to disk.
-func (c *Core) share() int64 { return c.Memory / 2 }
+func (c *Core) share() int64 { return c.MaxMemoryBytes / 2 }
 
-// Room has do called once, when there may be room again.
-func (c *Core) Room(do func()) { c.room = append(c.room, do) }
+// OnSpace has do called once, when there may be room again.
+func (c *Core) OnSpace(do func()) { c.room = append(c.room, do) }
 
 // wake tells all that wait, in the order in which they came; who finds none waits anew.
 func (c *Core) wake() {
@@ -98,7 +98,7 @@
 const noneFor = 100 * time.Millisecond
 
 // life is when a result's life is over unless it is read before.
-func (r *Result) life(c *Core) time.Duration { return min(r.readAt+c.Idle, r.ends) }
+func (r *Result) life(c *Core) time.Duration { return min(r.readAt+c.IdleTimeout, r.ends) }
 
 // mayGo: nothing of it is being read, or written.
 func (r *Result) mayGo() bool { return r.whole && r.reading == 0 && r.writing == 0 }
@@ -142,7 +142,7 @@
 	}
 	switch bestRank {
 	case 3:
-		c.Counts.ReadOut++
+		c.Counts.EvictedAfterRead++
 	case 2:
 		c.Counts.Expired++
 	case 1:
@@ -154,11 +154,11 @@
 
 // over: a team has more than its share of the room.
 func (c *Core) over(t *team) bool {
-	all := c.Disk
+	all := c.MaxDiskBytes
 	if all == 0 {
-		all = c.Memory
+		all = c.MaxMemoryBytes
 	}
-	return float64(t.bytes) > c.Team*float64(all)
+	return float64(t.bytes) > c.TeamShare*float64(all)
 }
 
 // uncache frees memory of the page set longest unread that is on disk too.
--- a/internal/spool/spool.go
+++ b/internal/spool/spool.go
@@ -22,82 +22,82 @@
 
 // Limits are the spool's figures. All must be set but Disk.
 type Limits struct {
-	Memory      int64         // pages in memory, those on their way to disk too
-	Disk        int64         // pages on disk, 0: there is no disk, and no result outlives the program
-	Results     int           // at once
-	Result      int64         // one result
-	Team        float64       // part of the room that a team may have before it is the first to lose some
-	TeamResults int           // of one team at once
-	TeamBytes   int64         // of one team, 0: only its share counts, and that where room is short
-	Idle        time.Duration // a result lives since it was last read
-	Life        time.Duration // and no longer than this from when it was promised
-	Page        int           // pages from the engine are joined up to this size
-	Flight      int64         // being written at once
-	Reads       int           // pages being read from disk at once
+	MaxMemoryBytes  int64         // pages in memory, those on their way to disk too
+	MaxDiskBytes    int64         // pages on disk, 0: there is no disk, and no result outlives the program
+	MaxResults      int           // at once
+	MaxResultBytes  int64         // one result
+	TeamShare       float64       // part of the room that a team may have before it is the first to lose some
+	MaxTeamResults  int           // of one team at once
+	MaxTeamBytes    int64         // of one team, 0: only its share counts, and that where room is short
+	IdleTimeout     time.Duration // a result lives since it was last read
+	MaxAge          time.Duration // and no longer than this from when it was promised
+	PageBytes       int           // pages from the engine are joined up to this size
+	MaxWritingBytes int64         // being written at once
+	MaxReads        int           // pages being read from disk at once
 }
 
-// Usual are the figures where the set-up says nothing.
-func Usual() Limits {
-	return Limits{Memory: 16 << 20, Results: 10_000, Result: 1 << 30, Team: 0.25, TeamResults: 1000, Idle: 15 * time.Minute,
-		Life: 2 * time.Hour, Page: 32 << 10, Flight: 4 << 20, Reads: 64}
+// DefaultLimits are the figures where the set-up says nothing.
+func DefaultLimits() Limits {
+	return Limits{MaxMemoryBytes: 16 << 20, MaxResults: 10_000, MaxResultBytes: 1 << 30, TeamShare: 0.25, MaxTeamResults: 1000, IdleTimeout: 15 * time.Minute,
+		MaxAge: 2 * time.Hour, PageBytes: 32 << 10, MaxWritingBytes: 4 << 20, MaxReads: 64}
 }
 
-// Work is one thing for the edge to do to the disk. Done is to be called once with
+// DiskTask is one thing for the edge to do to the disk. Done is to be called once with
 // what came of it, whatever that is.
-type Work struct {
-	Pages   []Page
-	Promise *Promise
-	Drop    []uint64
+type DiskTask struct {
+	Pages    []Page
+	Metadata *Metadata
+	Drop     []uint64
 	// Erase is done once no byte of what was dropped before is on disk any more.
 	Erase bool
 	Fetch *Fetch
 	Keys  []byte // the keyring's text, to be kept
 
-	Err   error
-	Body  []byte // fetched
-	Total int64  // on disk, all that is dead counted
-	Done  func(now time.Duration)
+	Err         error
+	FetchedPage []byte // fetched
+	BytesOnDisk int64  // on disk, all that is dead counted
+	OnDone      func(now time.Duration)
 }
 
 // Page is one to be written.
 type Page struct {
-	Result uint64
-	Number uint32
-	Body   []byte
+	ResultID uint64
+	Number   uint32
+	Body     []byte
 }
 
-// Promise is a result that is whole.
-type Promise struct {
-	Result      uint64
-	Query, Team string
-	Made, Ends  int64 // milliseconds since 1970
-	Rows        []uint32
-	Tag
+// Metadata is a result that is whole.
+type Metadata struct {
+	ResultID                 uint64
+	Query, Team              string
+	CreatedWall, ExpiresWall int64 // milliseconds since 1970
+	PageRows                 []uint32
+	InvalidationTag
 }
 
-// Tag is what a purge finds a result by.
-type Tag struct {
-	Owner  string  // whose it is, where its team doesn't tell
-	Index  uint64  // of the record when its query was taken
-	Tables []int64 // groups of tables that it reads, none: it can't be told
+// InvalidationTag is what a purge finds a result by.
+type InvalidationTag struct {
+	Owner    string  // whose it is, where its team doesn't tell
+	LogIndex uint64  // of the record when its query was taken
+	Tables   []int64 // groups of tables that it reads, none: it can't be told
 }
 
 // Fetch is a page to be read.
 type Fetch struct {
-	Result uint64
-	Page   int
+	ResultID uint64
+	Page     int
 }
 
-// Found is a result that the disk held at the start.
-type Found struct {
-	Promise
-	Bytes []uint32 // by page
+// StoredResult is a result that the disk held at the start.
+type StoredResult struct {
+	Metadata
+	PageBytes []uint32 // by page
 }
 
-// Refusal is why a call for pages isn't taken, or a result is killed.
-type Refusal string
+// RefusalError is why a call for pages isn't taken, or a result is killed.
+type RefusalError string
 
-func (r Refusal) Error() string { return string(r) }
+func (r RefusalError) Error() string { return string(r) }
 
 // recordCost is what a page takes on disk beyond what it holds.
 const recordCost = 32
@@ -109,7 +109,7 @@
 	wall    int64 // milliseconds since 1970 at the start
 	next    uint64
 	now     time.Duration
-	do      func(*Work)
+	do      func(*DiskTask)
 	results map[uint64]*Result
 	taking  map[*Result]bool
 	serial  uint64
@@ -126,21 +126,21 @@
 	room    []func()                   // wait for room, in turn
 	sweepAt time.Duration
 
-	// Serves is asked before a page is handed out, and again once it was read from disk:
+	// MayServe is asked before a page is handed out, and again once it was read from disk:
 	// what is kept of these tables may be served here. nil: all may.
-	Serves func(owner string, tables []int64) bool
+	MayServe func(owner string, tables []int64) bool
 	// Counts is what happened so far.
 	Counts Counts
 }
 
 // Counts are counted since the start.
 type Counts struct {
-	Taken, Promised, Refused, TooLarge, Failed int
-	NoRoom                                     int
-	Pages, FromDisk, BadTokens, Spoilt         int
-	Evicted, Expired, ReadOut, Waited          int
-	Purged                                     int
-	BytesIn                                    int64
+	Admitted, Committed, Refused, TooLarge, Failed     int
+	NoRoom                                             int
+	PagesServed, PagesFromDisk, BadTokens, FailedReads int
+	Evicted, Expired, EvictedAfterRead, Waited         int
+	Purged                                             int
+	BytesIn                                            int64
 }
 
 type team struct {
@@ -155,7 +155,7 @@
 	serial   uint64 // in which they came
 	query    string
 	team     *team
-	tag      Tag
+	tag      InvalidationTag
 	wall     int64 // when its taking in began, or it was promised, in milliseconds since 1970
 	purged   bool
 	pages    []page // while taken in, and as long as any is in memory
@@ -210,7 +210,7 @@
 
 // New makes a spool. wall is the start in milliseconds since 1970, first the first
 // number for its results, do where work goes.
-func New(l Limits, keys *Keyring, wall int64, first uint64, do func(*Work)) *Core {
+func New(l Limits, keys *Keyring, wall int64, first uint64, do func(*DiskTask)) *Core {
 	return &Core{Limits: l, keys: keys, wall: wall, next: first, do: do, results: map[uint64]*Result{}, taking: map[*Result]bool{}, teams: map[string]*team{}}
 }
 
@@ -218,17 +218,17 @@
 
 // Restore takes in what the disk held at the start. Its life goes on as the clock on
 // the wall has it, but lasts no longer than a new one's, whatever that clock says.
-func (c *Core) Restore(f *Found) {
-	r := &Result{id: f.Result, query: f.Query, team: c.teamOf(f.Team), count: len(f.Rows), whole: true, tag: f.Tag, wall: f.Made}
-	r.sizes = sums(func(i int) uint32 { return f.Bytes[i] }, func(i int) uint32 { return f.Rows[i] }, r.count)
-	for i, rows := range f.Rows {
-		r.bytes += int64(f.Bytes[i])
+func (c *Core) Restore(f *StoredResult) {
+	r := &Result{id: f.ResultID, query: f.Query, team: c.teamOf(f.Team), count: len(f.PageRows), whole: true, tag: f.InvalidationTag, wall: f.CreatedWall}
+	r.sizes = sums(func(i int) uint32 { return f.PageBytes[i] }, func(i int) uint32 { return f.PageRows[i] }, r.count)
+	for i, rows := range f.PageRows {
+		r.bytes += int64(f.PageBytes[i])
 		r.rows += int64(rows)
-		r.onDisk += int64(f.Bytes[i]) + recordCost
+		r.onDisk += int64(f.PageBytes[i]) + recordCost
 	}
 	r.unread = max(0, r.count-1)
-	r.endsWall = f.Ends
-	r.ends = min(time.Duration(f.Ends-c.wall)*time.Millisecond, c.Life)
+	r.endsWall = f.ExpiresWall
+	r.ends = min(time.Duration(f.ExpiresWall-c.wall)*time.Millisecond, c.MaxAge)
 	r.readAt = 0
 	c.results[r.id] = r
 	c.count++
@@ -252,29 +252,29 @@
 	}
 }
 
-// Held is what the spool holds, for the log and for tests.
-func (c *Core) Held() (results int, memory, disk int64) { return c.count, c.memory, c.disk }
+// Usage is what the spool holds, for the log and for tests.
+func (c *Core) Usage() (results int, memory, disk int64) { return c.count, c.memory, c.disk }
 
-// Enter lets a call for pages in, before anything of it is sent, or says why not.
-func (c *Core) Enter(now time.Duration, query, teamName string, tag Tag) (*Result, error) {
+// Admit lets a call for pages in, before anything of it is sent, or says why not.
+func (c *Core) Admit(now time.Duration, query, teamName string, tag InvalidationTag) (*Result, error) {
 	c.at(now)
 	t := c.teamOf(teamName)
-	if t.results >= c.TeamResults && !c.evictOne(t, readOut|pastLife) {
+	if t.results >= c.MaxTeamResults && !c.evictOne(t, readOut|pastLife) {
 		c.Counts.Refused++
 		c.forgetTeam(t)
-		return nil, Refusal("too many results of its team are kept")
+		return nil, RefusalError("too many results of its team are kept")
 	}
-	if c.count >= c.Results && !c.evictOne(nil, readOut|pastLife|overShare) {
+	if c.count >= c.MaxResults && !c.evictOne(nil, readOut|pastLife|overShare) {
 		c.Counts.Refused++
 		c.forgetTeam(t)
-		return nil, Refusal("too many results are kept")
+		return nil, RefusalError("too many results are kept")
 	}
-	c.Counts.Taken++
+	c.Counts.Admitted++
 	return c.begin(query, t, tag), nil
 }
 
-// Again begins the same result for another submission that hands it out.
-func (c *Core) Again(now time.Duration, r *Result) *Result {
+// AdmitAgain begins the same result for another submission that hands it out.
+func (c *Core) AdmitAgain(now time.Duration, r *Result) *Result {
 	c.at(now)
 	again := c.begin(r.query, r.team, r.tag)
 	if r.purged {
@@ -283,7 +283,7 @@
 	return again
 }
 
-func (c *Core) begin(query string, t *team, tag Tag) *Result {
+func (c *Core) begin(query string, t *team, tag InvalidationTag) *Result {
 	c.count++
 	t.results++
 	c.teams[t.name] = t
@@ -293,35 +293,35 @@
 	return r
 }
 
-// Verdict is what becomes of a page that came from an engine.
-type Verdict int
+// AddOutcome is what becomes of a page that came from an engine.
+type AddOutcome int
 
 const (
-	Taken Verdict = iota // ask for the next
-	Wait                 // there is no room yet: hand it over again when told
-	Never                // there can't be: Killed has why
+	PageAccepted AddOutcome = iota // ask for the next
+	WaitForSpace                   // there is no room yet: hand it over again when told
+	PageRefused                    // there can't be: Killed has why
 )
 
-// Add takes a page from the engine. The body is copied. Who waits for room until a
+// AddPage takes a page from the engine. The body is copied. Who waits for room until a
 // time by which none can come is refused at once: the room it holds may be what
 // another needs.
-func (c *Core) Add(now time.Duration, r *Result, body []byte, rows uint32, until time.Duration) (Verdict, error) {
+func (c *Core) AddPage(now time.Duration, r *Result, body []byte, rows uint32, until time.Duration) (AddOutcome, error) {
 	c.at(now)
 	if r.failed != nil {
-		return Never, r.failed
+		return PageRefused, r.failed
 	}
 	size := int64(len(body))
 	if total := r.bytes + size; total > c.most() {
 		c.Counts.TooLarge++
-		return Never, Refusal(fmt.Sprintf("the result is too large: over %d bytes, more than the %d that one may have", total, c.most()))
+		return PageRefused, RefusalError(fmt.Sprintf("the result is too large: over %d bytes, more than the %d that one may have", total, c.most()))
 	}
 	if !c.makeRoom(r, size) {
 		if !c.comes(until, r) {
 			c.Counts.NoRoom++
-			return Never, Refusal(fmt.Sprintf("there is no room for more than %d bytes of the result: %d are held by results that are read", r.bytes, c.disk-r.onDisk))
+			return PageRefused, RefusalError(fmt.Sprintf("there is no room for more than %d bytes of the result: %d are held by results that are read", r.bytes, c.disk-r.onDisk))
 		}
 		c.Counts.Waited++
-		return Wait, nil
+		return WaitForSpace, nil
 	}
 	c.Counts.BytesIn += size
 	r.bytes += size
@@ -329,31 +329,31 @@
 	r.team.bytes += size
 	c.memory += size
 	r.inMemory += size
-	if n := len(r.pages); n > 0 && r.pages[n-1].state == inMemory && len(r.pages[n-1].body)+len(body) <= c.Page {
+	if n := len(r.pages); n > 0 && r.pages[n-1].state == inMemory && len(r.pages[n-1].body)+len(body) <= c.PageBytes {
 		p := &r.pages[n-1]
 		p.body = append(p.body, body...)
 		p.size += uint32(size)
 		p.rows += rows
 	} else {
-		r.pages = append(r.pages, page{body: append(make([]byte, 0, max(len(body), min(c.Page, 4*len(body)))), body...), size: uint32(size), rows: rows})
+		r.pages = append(r.pages, page{body: append(make([]byte, 0, max(len(body), min(c.PageBytes, 4*len(body)))), body...), size: uint32(size), rows: rows})
 	}
-	if c.Disk > 0 {
+	if c.MaxDiskBytes > 0 {
 		c.spill(r)
 	}
-	return Taken, nil
+	return PageAccepted, nil
 }
 
-// Whole tells that the last page of a result was taken. tell hears whether it is promised,
+// Commit tells that the last page of a result was taken. tell hears whether it is promised,
 // perhaps at once.
-func (c *Core) Whole(now time.Duration, r *Result, tell func(error)) {
+func (c *Core) Commit(now time.Duration, r *Result, tell func(error)) {
 	c.at(now)
 	r.promised = tell
 	r.number(c)
-	r.made, r.ends, r.wall = c.now, c.now+c.Life, c.wall+c.now.Milliseconds()
+	r.made, r.ends, r.wall = c.now, c.now+c.MaxAge, c.wall+c.now.Milliseconds()
 	r.endsWall = c.wall + r.ends.Milliseconds()
 	r.count = len(r.pages)
 	r.sizes = sums(func(i int) uint32 { return r.pages[i].size }, func(i int) uint32 { return r.pages[i].rows }, r.count)
-	if c.Disk == 0 || r.count == 1 { // one page is all handed out with the answer
+	if c.MaxDiskBytes == 0 || r.count == 1 { // one page is all handed out with the answer
 		c.settled(r)
 		return
 	}
@@ -361,7 +361,7 @@
 	for i := range r.pages {
 		rows[i] = r.pages[i].rows
 	}
-	c.write(r, r.count, &Promise{Result: r.id, Query: r.query, Team: r.team.name, Made: c.wall + c.now.Milliseconds(), Ends: r.endsWall, Rows: rows, Tag: r.tag})
+	c.write(r, r.count, &Metadata{ResultID: r.id, Query: r.query, Team: r.team.name, CreatedWall: c.wall + c.now.Milliseconds(), ExpiresWall: r.endsWall, PageRows: rows, InvalidationTag: r.tag})
 }
 
 // number gives it the number that it has on disk.
@@ -387,8 +387,8 @@
 func (r *Result) Bytes() int64 { return r.bytes }
 func (r *Result) Rows() int64  { return r.rows }
 
-// Kept is for how long a result can be asked for, from its last read.
-func (c *Core) Kept(r *Result) time.Duration { return min(c.Idle, r.ends-c.now) }
+// TimeToLive is for how long a result can be asked for, from its last read.
+func (c *Core) TimeToLive(r *Result) time.Duration { return min(c.IdleTimeout, r.ends-c.now) }
 
 // Drop gives a result up, whether it is whole or not.
 func (c *Core) Drop(now time.Duration, r *Result) {
@@ -411,10 +411,10 @@
 		c.disk -= r.onDisk
 		c.dead += r.onDisk
 		r.onDisk = 0
-		w := &Work{Drop: []uint64{r.id}}
-		w.Done = func(now time.Duration) {
+		w := &DiskTask{Drop: []uint64{r.id}}
+		w.OnDone = func(now time.Duration) {
 			c.at(now)
-			c.dead = max(0, w.Total-c.disk)
+			c.dead = max(0, w.BytesOnDisk-c.disk)
 			c.wake()
 		}
 		c.do(w)
--- a/internal/spool/spool_test.go
+++ b/internal/spool/spool_test.go
@@ -54,7 +54,7 @@
 	t      *rapid.T
 	c      *Core
 	now    time.Duration
-	work   []*Work
+	work   []*DiskTask
 	disk   map[uint64]map[int][]byte
 	takes  []*take
 	wholes map[uint64]*held
@@ -71,12 +71,12 @@
 	over  bool // asked to be promised
 }
 
-func (b *bench) perform(w *Work) {
+func (b *bench) perform(w *DiskTask) {
 	for _, p := range w.Pages {
-		if b.disk[p.Result] == nil {
-			b.disk[p.Result] = map[int][]byte{}
+		if b.disk[p.ResultID] == nil {
+			b.disk[p.ResultID] = map[int][]byte{}
 		}
-		b.disk[p.Result][int(p.Number)] = bytes.Clone(p.Body)
+		b.disk[p.ResultID][int(p.Number)] = bytes.Clone(p.Body)
 	}
 	if b.fails && len(w.Pages) > 0 {
 		w.Err = errors.New("no space")
@@ -89,18 +89,18 @@
 		delete(b.disk, id)
 	}
 	if f := w.Fetch; f != nil {
-		p, ok := b.disk[f.Result][f.Page]
+		p, ok := b.disk[f.ResultID][f.Page]
 		if !ok {
 			b.t.Fatal("a page is read that isn't on disk")
 		}
-		w.Body = p
+		w.FetchedPage = p
 	}
 	for _, l := range b.disk {
 		for _, p := range l {
-			w.Total += int64(len(p)) + recordCost
+			w.BytesOnDisk += int64(len(p)) + recordCost
 		}
 	}
-	w.Done(b.now)
+	w.OnDone(b.now)
 }
 
 // purge has no more of a scope be found at once, and none be on disk once that is told.
@@ -123,8 +123,8 @@
 		if h.r.purged {
 			gone = append(gone, id)
 			delete(b.wholes, id)
-			b.c.Read(b.now, []byte(h.token), h.team, 0, func(_ []byte, err error) {
-				if err != ErrNone {
+			b.c.ReadPage(b.now, []byte(h.token), h.team, 0, func(_ []byte, err error) {
+				if err != ErrPageNotFound {
 					b.t.Fatal("a token opens what was purged: ", err)
 				}
 			})
@@ -141,7 +141,7 @@
 
 // mayGo: what was given up was read to its end, past its life, or not being read.
 func (b *bench) mayGo(h *held) {
-	within := b.now < min(h.readAt+b.c.Idle, h.made+b.c.Life)
+	within := b.now < min(h.readAt+b.c.IdleTimeout, h.made+b.c.MaxAge)
 	if !h.r.purged && within && len(h.read) > 0 && len(h.read) < len(h.pages)-1 {
 		b.t.Fatalf("given up while it was being read: %d of %d pages", len(h.read), len(h.pages))
 	}
@@ -164,12 +164,12 @@
 	for _, r := range b.c.results {
 		see(r)
 	}
-	results, m, d := b.c.Held()
+	results, m, d := b.c.Usage()
 	if results != count || m != memory || d != disk {
 		b.t.Fatalf("it holds %d results, %d and %d bytes, and says %d, %d, %d", count, memory, disk, results, m, d)
 	}
-	if m > b.c.Memory || d > b.c.Disk || count > b.c.Results+len(b.c.taking) {
-		b.t.Fatalf("beyond its bounds: %d results, %d of %d in memory, %d of %d on disk", count, m, b.c.Memory, d, b.c.Disk)
+	if m > b.c.MaxMemoryBytes || d > b.c.MaxDiskBytes || count > b.c.MaxResults+len(b.c.taking) {
+		b.t.Fatalf("beyond its bounds: %d results, %d of %d in memory, %d of %d on disk", count, m, b.c.MaxMemoryBytes, d, b.c.MaxDiskBytes)
 	}
 	for name, team := range b.c.teams {
 		n, size := 0, int64(0)
@@ -185,8 +185,8 @@
 				n, size = n+1, size+r.bytes
 			}
 		}
-		if size > b.c.TeamBytes {
-			b.t.Fatalf("team %s has %d bytes of %d", name, size, b.c.TeamBytes)
+		if size > b.c.MaxTeamBytes {
+			b.t.Fatalf("team %s has %d bytes of %d", name, size, b.c.MaxTeamBytes)
 		}
 		if n != team.results || size != team.bytes {
 			b.t.Fatalf("team %s has %d results of %d bytes, not %d of %d", name, n, size, team.results, team.bytes)
@@ -197,26 +197,26 @@
 func TestSeeded(t *testing.T) {
 	promised, evicted, waited, served, purged := 0, 0, 0, 0, 0
 	rapid.Check(t, func(t *rapid.T) {
-		l := Limits{Memory: 4000, Disk: 20_000, Results: 12, Result: 9000, Team: 0.3, TeamResults: 6, TeamBytes: 14_000, Idle: 20 * time.Second,
-			Life: time.Minute, Page: 300, Flight: 400, Reads: 4}
+		l := Limits{MaxMemoryBytes: 4000, MaxDiskBytes: 20_000, MaxResults: 12, MaxResultBytes: 9000, TeamShare: 0.3, MaxTeamResults: 6, MaxTeamBytes: 14_000, IdleTimeout: 20 * time.Second,
+			MaxAge: time.Minute, PageBytes: 300, MaxWritingBytes: 400, MaxReads: 4}
 		if rapid.Bool().Draw(t, "no disk") {
-			l.Disk = 0
+			l.MaxDiskBytes = 0
 		}
 		b := &bench{t: t, disk: map[uint64]map[int][]byte{}, wholes: map[uint64]*held{}}
-		b.c = New(l, keys(t), 1_700_000_000_000, 1<<32, func(w *Work) { b.work = append(b.work, w) })
+		b.c = New(l, keys(t), 1_700_000_000_000, 1<<32, func(w *DiskTask) { b.work = append(b.work, w) })
 		add := func(k *take) {
 			p := bytes.Repeat([]byte{byte('a' + len(k.bytes)%26)}, rapid.IntRange(1, 400).Draw(t, "size"))
-			v, err := b.c.Add(b.now, k.r, p, 1, b.now+rapid.SampledFrom([]time.Duration{time.Second, 15 * time.Second}).Draw(t, "until"))
-			if err != nil != (v == Never) {
+			v, err := b.c.AddPage(b.now, k.r, p, 1, b.now+rapid.SampledFrom([]time.Duration{time.Second, 15 * time.Second}).Draw(t, "until"))
+			if err != nil != (v == PageRefused) {
 				t.Fatal("a verdict without its reason")
 			}
 			switch v {
-			case Taken:
+			case PageAccepted:
 				k.bytes = append(k.bytes, p...)
-			case Wait:
+			case WaitForSpace:
 				k.wait = true
-				b.c.Room(func() { k.wait = false })
-			case Never:
+				b.c.OnSpace(func() { k.wait = false })
+			case PageRefused:
 				b.c.Drop(b.now, k.r)
 				k.r = nil
 			}
@@ -227,13 +227,13 @@
 			switch x := rapid.IntRange(0, 12).Draw(t, "what"); {
 			case x == 0:
 				team := []string{"linz", "steyr", "enns"}[rapid.IntRange(0, 2).Draw(t, "team")]
-				if r, err := b.c.Enter(b.now, fmt.Sprint("q", len(b.takes)), team, Tag{Index: b.index, Tables: []int64{int64(len(b.takes) % 3)}}); err == nil {
+				if r, err := b.c.Admit(b.now, fmt.Sprint("q", len(b.takes)), team, InvalidationTag{LogIndex: b.index, Tables: []int64{int64(len(b.takes) % 3)}}); err == nil {
 					b.takes = append(b.takes, &take{r: r, team: team})
 				}
 			case x < 6 && len(b.takes) > 0:
 				k := b.takes[rapid.IntRange(0, len(b.takes)-1).Draw(t, "take")]
 				if k.r != nil && k.r.purged && !k.over {
-					if v, err := b.c.Add(b.now, k.r, []byte("x"), 1, b.now); v != Never || err != ErrPurged {
+					if v, err := b.c.AddPage(b.now, k.r, []byte("x"), 1, b.now); v != PageRefused || err != ErrPurged {
 						t.Fatal("what was purged is taken in on: ", v, err)
 					}
 					k.r = nil
@@ -246,7 +246,7 @@
 					break
 				}
 				k.over = true
-				b.c.Whole(b.now, k.r, func(err error) {
+				b.c.Commit(b.now, k.r, func(err error) {
 					if err != nil {
 						return
 					}
@@ -280,9 +280,9 @@
 					}
 				}
 				i := rapid.IntRange(0, len(h.pages)-1).Draw(t, "page")
-				live := !h.r.gone && b.now < min(h.readAt+l.Idle, h.made+l.Life)
+				live := !h.r.gone && b.now < min(h.readAt+l.IdleTimeout, h.made+l.MaxAge)
 				told := false
-				b.c.Read(b.now, []byte(h.token), h.team, i, func(p []byte, err error) {
+				b.c.ReadPage(b.now, []byte(h.token), h.team, i, func(p []byte, err error) {
 					told = true
 					switch {
 					case err == nil && h.r.purged:
@@ -294,7 +294,7 @@
 						if h.readAt = b.now; i > 0 {
 							h.read[i] = true
 						}
-					case err == ErrNone && live && !h.r.purged:
+					case err == ErrPageNotFound && live && !h.r.purged:
 						t.Fatal("a result within its life isn't found")
 					}
 				})
@@ -321,17 +321,17 @@
 			b.check()
 		}
 		purged += b.purged
-		evicted += b.c.Counts.Evicted + b.c.Counts.ReadOut
+		evicted += b.c.Counts.Evicted + b.c.Counts.EvictedAfterRead
 		waited += b.c.Counts.Waited
 		for _, k := range b.takes { // all is given back
 			if k.r != nil && !k.r.whole {
 				b.c.Drop(b.now, k.r)
 			}
 		}
-		b.now += l.Life
+		b.now += l.MaxAge
 		b.c.Sweep(b.now)
 		b.check()
-		if n, m, d := b.c.Held(); n != 0 || m != 0 || d != 0 {
+		if n, m, d := b.c.Usage(); n != 0 || m != 0 || d != 0 {
 			t.Fatalf("left behind: %d results, %d and %d bytes", n, m, d)
 		}
 	})
@@ -342,17 +342,17 @@
 
 // whole makes a promised result of two pages.
 func whole(t testing.TB, c *Core, team string) (*Result, string) {
-	r, err := c.Enter(c.now, "q", team, Tag{})
+	r, err := c.Admit(c.now, "q", team, InvalidationTag{})
 	if err != nil {
 		t.Fatal(err)
 	}
 	for range 2 {
-		if v, err := c.Add(c.now, r, bytes.Repeat([]byte("x"), c.Page), 1, c.now+time.Second); v != Taken {
+		if v, err := c.AddPage(c.now, r, bytes.Repeat([]byte("x"), c.PageBytes), 1, c.now+time.Second); v != PageAccepted {
 			t.Fatal(v, err)
 		}
 	}
 	token := ""
-	c.Whole(c.now, r, func(err error) {
+	c.Commit(c.now, r, func(err error) {
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -362,9 +362,9 @@
 }
 
 func usualCore(t testing.TB) *Core {
-	l := Usual()
-	l.Page = 100
-	return New(l, keys(t), 1_700_000_000_000, 1<<32, func(w *Work) { t.Fatal("work without a disk") })
+	l := DefaultLimits()
+	l.PageBytes = 100
+	return New(l, keys(t), 1_700_000_000_000, 1<<32, func(w *DiskTask) { t.Fatal("work without a disk") })
 }
 
 // Whatever is wrong with a token it opens nothing, is told the same, and costs the same.
@@ -373,7 +373,7 @@
 	r, good := whole(t, c, "linz")
 	read := func(token, team string, page int) (macs int, err error) {
 		before := c.keys.macs
-		c.Read(c.now, []byte(token), team, page, func(_ []byte, e error) { err = e })
+		c.ReadPage(c.now, []byte(token), team, page, func(_ []byte, e error) { err = e })
 		return c.keys.macs - before, err
 	}
 	if _, err := read(good, "linz", 1); err != nil {
@@ -389,38 +389,38 @@
 		bad[fmt.Sprint("byte ", i, " changed")] = [2]string{base64.RawURLEncoding.EncodeToString(p), "linz"}
 	}
 	for what, x := range bad {
-		if macs, err := read(x[0], x[1], 1); err != ErrNone || macs != 1 {
+		if macs, err := read(x[0], x[1], 1); err != ErrPageNotFound || macs != 1 {
 			t.Errorf("%s: %v after %d macs", what, err, macs)
 		}
 	}
 	for _, page := range []int{-1, 2, 1 << 30} {
-		if macs, err := read(good, "linz", page); err != ErrNone || macs != 1 {
+		if macs, err := read(good, "linz", page); err != ErrPageNotFound || macs != 1 {
 			t.Errorf("page %d: %v", page, err)
 		}
 	}
-	c.now += c.Idle // past its life, and not swept yet
-	if macs, err := read(good, "linz", 1); err != ErrNone || macs != 1 || r.gone {
+	c.now += c.IdleTimeout // past its life, and not swept yet
+	if macs, err := read(good, "linz", 1); err != ErrPageNotFound || macs != 1 || r.gone {
 		t.Error("past its life: ", err)
 	}
 }
 
 func TestKeysRotate(t *testing.T) {
 	c := usualCore(t)
-	c.Life, c.Idle = 3*time.Hour, 3*time.Hour
+	c.MaxAge, c.IdleTimeout = 3*time.Hour, 3*time.Hour
 	_, first := whole(t, c, "linz")
 	for h := range 40 {
 		c.Sweep(time.Duration(h) * time.Hour / 4)
 		ok := false
-		c.Read(c.now, []byte(first), "linz", 1, func(_ []byte, err error) { ok = err == nil })
-		if want := c.now < c.Life; ok != want {
+		c.ReadPage(c.now, []byte(first), "linz", 1, func(_ []byte, err error) { ok = err == nil })
+		if want := c.now < c.MaxAge; ok != want {
 			t.Fatalf("after %v it opens: %v", c.now, ok)
 		}
 	}
 	if n := len(c.keys.keys); n < 3 || n > 8 {
 		t.Fatalf("%d keys after ten hours of one an hour", n)
 	}
-	k, err := NewKeyring(c.keys.Text(), time.Hour, 0, secrets(2))
-	if err != nil || string(k.Text()) != string(c.keys.Text()) {
+	k, err := NewKeyring(c.keys.Encode(), time.Hour, 0, secrets(2))
+	if err != nil || string(k.Encode()) != string(c.keys.Encode()) {
 		t.Fatal("keys don't survive: ", err)
 	}
 	for _, text := range []string{"{", `[{"ID":1,"Secret":"AAAA"}]`} {
@@ -433,14 +433,14 @@
 // A clock set back or forward makes a result that was found live no longer than a new one.
 func TestClockSetBack(t *testing.T) {
 	for _, off := range []time.Duration{-48 * time.Hour, -time.Minute, 0, time.Hour, 48 * time.Hour} {
-		l := Usual()
-		l.Disk = 1 << 30
+		l := DefaultLimits()
+		l.MaxDiskBytes = 1 << 30
 		wall := int64(1_700_000_000_000)
-		c := New(l, keys(t), wall+off.Milliseconds(), 2<<32, func(w *Work) { w.Done(0) })
-		c.Restore(&Found{Promise{Result: 1, Query: "q", Team: "linz", Made: wall, Ends: wall + l.Life.Milliseconds(), Rows: []uint32{1, 1}}, []uint32{10, 10}})
+		c := New(l, keys(t), wall+off.Milliseconds(), 2<<32, func(w *DiskTask) { w.OnDone(0) })
+		c.Restore(&StoredResult{Metadata{ResultID: 1, Query: "q", Team: "linz", CreatedWall: wall, ExpiresWall: wall + l.MaxAge.Milliseconds(), PageRows: []uint32{1, 1}}, []uint32{10, 10}})
 		r := c.results[1]
-		left := c.Kept(r)
-		if want := min(l.Idle, max(0, l.Life-max(0, off))); left > l.Idle || off <= 0 && left != want || off > l.Life && left > 0 {
+		left := c.TimeToLive(r)
+		if want := min(l.IdleTimeout, max(0, l.MaxAge-max(0, off))); left > l.IdleTimeout || off <= 0 && left != want || off > l.MaxAge && left > 0 {
 			t.Errorf("clock off by %v: it lives on for %v", off, left)
 		}
 	}
@@ -464,27 +464,27 @@
 	_, good := whole(b, c, "linz")
 	token := []byte(good)
 	for b.Loop() {
-		c.Read(c.now, token, "linz", 1, func([]byte, error) {})
+		c.ReadPage(c.now, token, "linz", 1, func([]byte, error) {})
 	}
 }
 
 // Results being drawn that fill the disk between them don't wait for each other for
 // good: who can't have room in its time is refused, and the rest goes on.
 func TestNobodyWaitsForEachOther(t *testing.T) {
-	l := Limits{Memory: 20_000, Disk: 40_000, Results: 100, Result: 30_000, Team: 1, TeamResults: 100, Idle: time.Hour, Life: time.Hour,
-		Page: 1000, Flight: 10_000, Reads: 4}
-	var work []*Work
-	c := New(l, keys(t), 0, 1<<32, func(w *Work) { work = append(work, w) })
+	l := Limits{MaxMemoryBytes: 20_000, MaxDiskBytes: 40_000, MaxResults: 100, MaxResultBytes: 30_000, TeamShare: 1, MaxTeamResults: 100, IdleTimeout: time.Hour, MaxAge: time.Hour,
+		PageBytes: 1000, MaxWritingBytes: 10_000, MaxReads: 4}
+	var work []*DiskTask
+	c := New(l, keys(t), 0, 1<<32, func(w *DiskTask) { work = append(work, w) })
 	perform := func() {
 		for len(work) > 0 {
 			w := work[0]
 			work = work[1:]
-			w.Done(c.now)
+			w.OnDone(c.now)
 		}
 	}
 	var all []*Result
 	for i := range 10 {
-		r, err := c.Enter(c.now, fmt.Sprint(i), "linz", Tag{})
+		r, err := c.Admit(c.now, fmt.Sprint(i), "linz", InvalidationTag{})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -496,17 +496,17 @@
 			if r == nil {
 				continue
 			}
-			switch v, err := c.Add(c.now, r, make([]byte, 1000), 1, c.now+10*time.Second); {
-			case v == Never:
+			switch v, err := c.AddPage(c.now, r, make([]byte, 1000), 1, c.now+10*time.Second); {
+			case v == PageRefused:
 				c.Drop(c.now, r)
 				all[i] = nil
 				refused++
 				if !bytes.Contains([]byte(err.Error()), []byte("no room")) {
 					t.Fatal(err)
 				}
-			case v == Taken && r.bytes >= 9000:
+			case v == PageAccepted && r.bytes >= 9000:
 				all[i] = nil
-				c.Whole(c.now, r, func(err error) {
+				c.Commit(c.now, r, func(err error) {
 					if err != nil {
 						t.Error(err)
 					}
@@ -524,30 +524,30 @@
 // What is evicted for room, and in which order: read to the end, past its life, the
 // largest of a team over its share; what is being read within its life never is.
 func TestEvictionOrder(t *testing.T) {
-	l := Limits{Memory: 100_000, Disk: 0, Results: 100, Result: 50_000, Team: 0.3, TeamResults: 100, Idle: time.Minute, Life: time.Hour,
-		Page: 1000, Flight: 10_000, Reads: 4}
-	c := New(l, keys(t), 1_700_000_000_000, 1<<32, func(*Work) { t.Fatal("work without a disk") })
+	l := Limits{MaxMemoryBytes: 100_000, MaxDiskBytes: 0, MaxResults: 100, MaxResultBytes: 50_000, TeamShare: 0.3, MaxTeamResults: 100, IdleTimeout: time.Minute, MaxAge: time.Hour,
+		PageBytes: 1000, MaxWritingBytes: 10_000, MaxReads: 4}
+	c := New(l, keys(t), 1_700_000_000_000, 1<<32, func(*DiskTask) { t.Fatal("work without a disk") })
 	type kept struct {
 		r     *Result
 		token string
 	}
-	keep := func(team string, pages int) (k kept, v Verdict) {
-		r, err := c.Enter(c.now, "q", team, Tag{})
+	keep := func(team string, pages int) (k kept, v AddOutcome) {
+		r, err := c.Admit(c.now, "q", team, InvalidationTag{})
 		if err != nil {
 			t.Fatal(err)
 		}
 		for range pages {
-			if v, _ = c.Add(c.now, r, bytes.Repeat([]byte("y"), 1000), 1, c.now+time.Second); v != Taken {
+			if v, _ = c.AddPage(c.now, r, bytes.Repeat([]byte("y"), 1000), 1, c.now+time.Second); v != PageAccepted {
 				c.Drop(c.now, r)
 				return kept{}, v
 			}
 		}
-		c.Whole(c.now, r, func(error) {})
-		return kept{r, c.Token(r)}, Taken
+		c.Commit(c.now, r, func(error) {})
+		return kept{r, c.Token(r)}, PageAccepted
 	}
 	read := func(k kept, pages ...int) {
 		for _, i := range pages {
-			c.Read(c.now, []byte(k.token), k.r.team.name, i, func(_ []byte, err error) {
+			c.ReadPage(c.now, []byte(k.token), k.r.team.name, i, func(_ []byte, err error) {
 				if err != nil {
 					t.Fatal(err)
 				}
@@ -565,7 +565,7 @@
 	c.now += 15 * time.Second
 	all := []kept{done, old, unread}
 	for n := range all {
-		if _, v := keep(fmt.Sprint("wels ", n), 22); v != Taken {
+		if _, v := keep(fmt.Sprint("wels ", n), 22); v != PageAccepted {
 			t.Fatal("there is no room: ", v)
 		}
 		for i, k := range all {
--- a/internal/spool/token.go
+++ b/internal/spool/token.go
@@ -27,9 +27,9 @@
 
 // Key is one of the keys that tokens are made with.
 type Key struct {
-	ID     uint32 `json:"ID"`
-	Made   int64  `json:"Made"`   // milliseconds since 1970
-	Secret []byte `json:"Secret"` // 32 bytes
+	ID          uint32 `json:"ID"`
+	CreatedWall int64  `json:"Made"`   // milliseconds since 1970
+	Secret      []byte `json:"Secret"` // 32 bytes
 }
 
 // Keyring makes tokens with its newest key and takes those of older ones, for as long
@@ -71,8 +71,8 @@
 	k.keys = append(k.keys, Key{id, wall, k.fresh()})
 }
 
-// Text is the keys as they are to be kept, readable by nobody else.
-func (k *Keyring) Text() []byte {
+// Encode is the keys as they are to be kept, readable by nobody else.
+func (k *Keyring) Encode() []byte {
 	text, err := json.Marshal(k.keys)
 	if err != nil {
 		panic(err) // numbers and bytes
@@ -149,22 +149,22 @@
 	k := c.keys
 	wall := c.wall + c.now.Milliseconds()
 	newest := k.keys[len(k.keys)-1]
-	if k.renews || k.rotate <= 0 || time.Duration(wall-newest.Made)*time.Millisecond < k.rotate && wall >= newest.Made {
+	if k.renews || k.rotate <= 0 || time.Duration(wall-newest.CreatedWall)*time.Millisecond < k.rotate && wall >= newest.CreatedWall {
 		return
 	}
 	next := *k
 	next.keys = slices.DeleteFunc(slices.Clone(k.keys), func(x Key) bool {
-		return x.ID != newest.ID && time.Duration(wall-x.Made)*time.Millisecond > 2*k.rotate+c.Life
+		return x.ID != newest.ID && time.Duration(wall-x.CreatedWall)*time.Millisecond > 2*k.rotate+c.MaxAge
 	})
 	next.keys = next.keys[max(0, len(next.keys)-keysMost+1):]
 	next.add(wall)
-	if c.Disk == 0 {
+	if c.MaxDiskBytes == 0 {
 		k.keys = next.keys
 		return
 	}
 	k.renews = true
-	w := &Work{Keys: next.Text()}
-	w.Done = func(time.Duration) {
+	w := &DiskTask{Keys: next.Encode()}
+	w.OnDone = func(time.Duration) {
 		if k.renews = false; w.Err == nil {
 			k.keys = next.keys
 		}
--- a/internal/spool/writing.go
+++ b/internal/spool/writing.go
@@ -36,9 +36,9 @@
 }
 
 // write sends pages that are in memory only to disk, up to one of them.
-func (c *Core) write(r *Result, to int, promise *Promise) {
+func (c *Core) write(r *Result, to int, promise *Metadata) {
 	r.number(c)
-	w := &Work{}
+	w := &DiskTask{}
 	var sent []int
 	size := int64(0)
 	for i := r.written(); i < to; i++ {
@@ -56,14 +56,14 @@
 	if len(sent) == 0 && promise == nil {
 		return
 	}
-	w.Promise = promise
+	w.Metadata = promise
 	c.flight += size
 	r.writing++
-	w.Done = func(now time.Duration) {
+	w.OnDone = func(now time.Duration) {
 		c.at(now)
 		c.flight -= size
 		r.writing--
-		c.dead = max(0, w.Total-c.disk)
+		c.dead = max(0, w.BytesOnDisk-c.disk)
 		for _, i := range sent {
 			if w.Err != nil || r.gone {
 				break
@@ -123,13 +123,13 @@
 	r.whole, r.readAt = true, c.now
 	r.unread = r.count - 1
 	c.results[r.id] = r
-	c.Counts.Promised++
+	c.Counts.Committed++
 	delete(c.taking, r)
 	tell(nil)
 	switch {
 	case r.count == 1: // nothing is left to ask for
 		c.Drop(c.now, r)
-	case c.Disk == 0 || r.gone:
+	case c.MaxDiskBytes == 0 || r.gone:
 	case c.memory > c.share() || r.inMemory == 0:
 		c.forget(r)
 	default:
