--- a/internal/controller/result_paging_test.go
+++ b/internal/controller/result_paging_test.go
@@ -35,8 +35,8 @@
 
 // testLimits returns limits at which results of a few MB are written to disk.
 func testLimits() spool.Limits {
-	l := spool.Usual()
-	l.Memory, l.Disk, l.Page, l.Flight = 1<<20, 8<<20, 16<<10, 128<<10
+	l := spool.DefaultLimits()
+	l.MaxMemoryBytes, l.MaxDiskBytes, l.PageBytes, l.MaxWritingBytes = 1<<20, 8<<20, 16<<10, 128<<10
 	return l
 }
 
@@ -62,7 +62,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := keeper.SaveKeys(keys.Text()); err != nil {
+	if err := keeper.SaveKeys(keys.Encode()); err != nil {
 		t.Fatal(err)
 	}
 	figures := engine.Usual()
@@ -440,7 +440,7 @@
 func TestThousandSlowPageReaders(t *testing.T) {
 	d := disk.New()
 	l := testLimits()
-	l.Disk, l.Team = 256<<20, 1
+	l.MaxDiskBytes, l.TeamShare = 256<<20, 1
 	s := newSpoolWorld(t, d, disk.NewIndex(d), l, nil)
 	var all []*world.Asked
 	maxMemory := int64(0)
@@ -468,8 +468,8 @@
 			answered++
 		}
 	}
-	if _, memory, _ := s.R.SpoolUsage(); memory > l.Memory || maxMemory > l.Memory {
-		t.Errorf("%d bytes in memory, limit %d", max(memory, maxMemory), l.Memory)
+	if _, memory, _ := s.R.SpoolUsage(); memory > l.MaxMemoryBytes || maxMemory > l.MaxMemoryBytes {
+		t.Errorf("%d bytes in memory, limit %d", max(memory, maxMemory), l.MaxMemoryBytes)
 	}
 	if answered < 990 {
 		t.Errorf("%d of 1000 queries finished, want at least 990", answered)
--- a/internal/resultstore/keeper.go
+++ b/internal/resultstore/keeper.go
@@ -20,7 +20,7 @@
 	Recovery Recovery
 	files    Files
 	dir      *Dir
-	erased   []*spool.Work // done, and not told yet
+	erased   []*spool.DiskTask // done, and not told yet
 }
 
 // OpenSpoolStore holds a directory and opens what it has. ErrInUse if another program does.
@@ -66,34 +66,36 @@
 func (k *SpoolStore) SaveKeys(text []byte) error { return k.files.Replace(keysName, text) }
 
 // Restore hands over what the disk held.
-func (k *SpoolStore) Restore(each func(f *spool.Found)) error {
+func (k *SpoolStore) Restore(each func(f *spool.StoredResult)) error {
 	return k.Each(func(m *Meta) error {
-		each(&spool.Found{Promise: spool.Promise{Result: m.Result, Query: m.QueryID, Team: m.Tenant, Made: m.CreatedMillis, Ends: m.ExpiresMillis, Rows: m.PageRows,
-			Tag: spool.Tag{Index: m.FleetIndex, Tables: m.TableGroups, Owner: m.Owner}}, Bytes: m.PageBytes})
+		each(&spool.StoredResult{Metadata: spool.Metadata{ResultID: m.Result, Query: m.QueryID, Team: m.Tenant, CreatedWall: m.CreatedMillis, ExpiresWall: m.ExpiresMillis, PageRows: m.PageRows,
+			InvalidationTag: spool.InvalidationTag{LogIndex: m.FleetIndex, Tables: m.TableGroups, Owner: m.Owner}}, PageBytes: m.PageBytes})
 		return nil
 	})
 }
 
 // Read does a fetch.
-func (k *SpoolStore) Read(w *spool.Work) { w.Body, w.Err = k.Fetch(w.Fetch.Result, w.Fetch.Page) }
+func (k *SpoolStore) Read(w *spool.DiskTask) {
+	w.FetchedPage, w.Err = k.Fetch(w.Fetch.ResultID, w.Fetch.Page)
+}
 
 // Write does all other work, in order, with one sync for all. Work that erases is only
 // begun: TakeErased names it once it is done.
-func (k *SpoolStore) Write(l []*spool.Work) {
+func (k *SpoolStore) Write(l []*spool.DiskTask) {
 	jobs := make([]*Job, 0, len(l))
 	for _, w := range l {
 		j := &Job{Drop: w.Drop}
 		for _, p := range w.Pages {
-			j.Pages = append(j.Pages, Record{Kind: PageRecord, Result: p.Result, Page: p.Number, Body: p.Body})
+			j.Pages = append(j.Pages, Record{Kind: PageRecord, Result: p.ResultID, Page: p.Number, Body: p.Body})
 		}
-		if p := w.Promise; p != nil {
-			j.Commit = &Meta{Result: p.Result, QueryID: p.Query, Tenant: p.Team, CreatedMillis: p.Made, ExpiresMillis: p.Ends, PageRows: p.Rows, FleetIndex: p.Index, TableGroups: p.Tables, Owner: p.Owner}
+		if p := w.Metadata; p != nil {
+			j.Commit = &Meta{Result: p.ResultID, QueryID: p.Query, Tenant: p.Team, CreatedMillis: p.CreatedWall, ExpiresMillis: p.ExpiresWall, PageRows: p.PageRows, FleetIndex: p.LogIndex, TableGroups: p.Tables, Owner: p.Owner}
 		}
 		jobs = append(jobs, j)
 	}
 	k.Do(jobs)
 	for i, w := range l {
-		if w.Err, w.Total = jobs[i].Err, jobs[i].Total; w.Keys != nil {
+		if w.Err, w.BytesOnDisk = jobs[i].Err, jobs[i].Total; w.Keys != nil {
 			w.Err = k.SaveKeys(w.Keys)
 		}
 		if w.Erase {
@@ -103,17 +105,17 @@
 }
 
 // TakeErased is the work that erases and was done since it was last asked for.
-func (k *SpoolStore) TakeErased() []*spool.Work {
+func (k *SpoolStore) TakeErased() []*spool.DiskTask {
 	l := k.erased
 	k.erased = nil
 	for _, w := range l {
-		w.Total = k.TotalBytes()
+		w.BytesOnDisk = k.TotalBytes()
 	}
 	return l
 }
 
 // Serve does work as it comes until there is no more. done is told of each.
-func (k *SpoolStore) Serve(work <-chan *spool.Work, done func(w *spool.Work), fault func(err error)) {
+func (k *SpoolStore) Serve(work <-chan *spool.DiskTask, done func(w *spool.DiskTask), fault func(err error)) {
 	const batch = 64
 	tick := time.NewTicker(time.Second)
 	defer tick.Stop()
@@ -129,7 +131,7 @@
 		}
 	}
 	for {
-		var l []*spool.Work
+		var l []*spool.DiskTask
 		if more { // what comes goes before compaction
 			select {
 			case w, ok := <-work:
