--- a/cmd/railrelay-fleet/command.go
+++ b/cmd/railrelay-fleet/command.go
@@ -229,7 +229,7 @@
 		err = show(c.OutOrStdout(), r)
 	}
 	if status := r.ExitStatus(); status != 0 && err == nil {
-		return cli.Status{Code: status}
+		return cli.ExitError{Code: status}
 	}
 	return err
 }
@@ -263,7 +263,7 @@
 func remedied(err error) error {
 	var r fleet.ErrorWithRemedy
 	if errors.As(err, &r) {
-		return cli.Failed(1, fmt.Errorf("%w\n%s", err, r.Remedy()))
+		return cli.WithExitCode(1, fmt.Errorf("%w\n%s", err, r.Remedy()))
 	}
 	return err
 }
--- a/cmd/railrelay-fleet/join.go
+++ b/cmd/railrelay-fleet/join.go
@@ -32,7 +32,7 @@
 }
 
 // join opens the set-up's part in its fleet.
-func join(have *setup.Setup, means *controller.Config, log zerolog.Logger) (cli.Joined, error) {
+func join(have *setup.Setup, means *controller.Config, log zerolog.Logger) (cli.FleetMembership, error) {
 	f := have.Fleet
 	judge := check
 	if have.Control() {
@@ -43,11 +43,11 @@
 			return judge(have, change, text, now)
 		}})
 	if err != nil {
-		return cli.Joined{}, remedied(err)
+		return cli.FleetMembership{}, remedied(err)
 	}
 	means.Fleet = &controller.FleetConfig{ServingState: &fleet.ServingState{}, MaxHold: f.Terms().Hold}
 	status := func(ctx context.Context) *fleet.Status { return e.Request(ctx, &fleet.Request{Kind: "status"}).Status }
-	return cli.Joined{Peers: eventloop.FleetChannels{Orders: e.Orders(), Reports: e.Reports()}, Serve: e.Serve, Again: e.ReloadKeys, Status: status}, nil
+	return cli.FleetMembership{Channels: eventloop.FleetChannels{Orders: e.Orders(), Reports: e.Reports()}, Serve: e.Serve, ReloadKeys: e.ReloadKeys, Status: status}, nil
 }
 
 // check makes of a policy's text what the reducer decides by, and tells what of it is
--- a/cmd/railrelay-fleet/main.go
+++ b/cmd/railrelay-fleet/main.go
@@ -5,4 +5,4 @@
 
 import "railrelay.dev/railrelay/internal/cli"
 
-func main() { cli.Main(&cli.Fleet{Command: command, Join: join}) }
+func main() { cli.Main(&cli.FleetSupport{Command: command, Join: join}) }
--- a/cmd/railrelay-fleet/plan.go
+++ b/cmd/railrelay-fleet/plan.go
@@ -44,7 +44,7 @@
 			}
 			next, _, _, err := setup.ParsePolicy(args[0], text, own)
 			if err != nil {
-				return cli.Failed(3, remedied(err))
+				return cli.WithExitCode(3, remedied(err))
 			}
 			if alone {
 				if d.json {
@@ -68,7 +68,7 @@
 				_, err = fmt.Fprint(c.OutOrStdout(), args[0]+": good\n"+o.Table())
 			}
 			if len(o.None) > 0 && err == nil {
-				return cli.Status{Code: 3}
+				return cli.ExitError{Code: 3}
 			}
 			return err
 		}}
@@ -113,7 +113,7 @@
 	}
 	defer conn.Close()
 	conn.SetDeadline(time.Now().Add(within))
-	if _, err := conn.Write(discovery.Since(nil, 0)); err != nil {
+	if _, err := conn.Write(discovery.AppendSubscribe(nil, 0)); err != nil {
 		return nil, fmt.Errorf("the feed of engines: %w", err)
 	}
 	h := &hearer{cores: map[string]float64{}, all: map[string]residency.Engine{}}
@@ -144,7 +144,7 @@
 	whole     bool
 }
 
-func (h *hearer) Event(number int64, whole bool) bool {
+func (h *hearer) BeginEvent(number int64, whole bool) bool {
 	if whole {
 		h.whole = true
 		clear(h.all)
@@ -159,6 +159,6 @@
 	}
 }
 
-func (h *hearer) EventEnds()        {}
-func (h *hearer) Last(number int64) { h.last = number }
-func (h *hearer) Odd(string)        {}
+func (h *hearer) EndEvent()                {}
+func (h *hearer) LatestEvent(number int64) { h.last = number }
+func (h *hearer) InvalidEntry(string)      {}
--- a/internal/cli/control.go
+++ b/internal/cli/control.go
@@ -19,7 +19,7 @@
 
 // serveControl serves as a process of the control role: its part in the fleet, and in
 // place of a reducer one that is idle. It listens for no clients and follows no feed.
-func serveControl(have *setup.Setup, path string, started time.Time, signals <-chan os.Signal, part *Fleet, log zerolog.Logger) error {
+func serveControl(have *setup.Setup, path string, started time.Time, signals <-chan os.Signal, part *FleetSupport, log zerolog.Logger) error {
 	limit(have.Cores(), have.MemoryMB())
 	if have.Placement == nil {
 		log.Info().Msg("placement is left out: as leader this process watches for no emergency of rules that controllers' set-ups have")
@@ -34,7 +34,7 @@
 	defer stop()
 	group.Go(func() error { return joined.Serve(ctx) })
 	group.Go(func() error {
-		return noop.Controller{ServingState: means.Fleet.ServingState}.Serve(ctx, joined.Peers.Orders, joined.Peers.Reports)
+		return noop.Controller{ServingState: means.Fleet.ServingState}.Serve(ctx, joined.Channels.Orders, joined.Channels.Reports)
 	})
 	group.Go(func() error {
 		defer stop()
@@ -45,7 +45,7 @@
 }
 
 // heed does what signals ask of a control process, until one ends it or ctx ends.
-func heed(ctx context.Context, signals <-chan os.Signal, have *setup.Setup, path string, joined Joined, log zerolog.Logger) {
+func heed(ctx context.Context, signals <-chan os.Signal, have *setup.Setup, path string, joined FleetMembership, log zerolog.Logger) {
 	for {
 		select {
 		case <-ctx.Done():
@@ -68,7 +68,7 @@
 }
 
 // logStatus logs the counters of a control process and how it sees the fleet.
-func logStatus(ctx context.Context, joined Joined, log zerolog.Logger) {
+func logStatus(ctx context.Context, joined FleetMembership, log zerolog.Logger) {
 	ctx, cancel := context.WithTimeout(ctx, statusWait)
 	defer cancel()
 	status := joined.Status(ctx)
--- a/internal/cli/platform.go
+++ b/internal/cli/platform.go
@@ -93,7 +93,7 @@
 			g.Feed = next.Feed
 			return controller.Event{Kind: controller.ConfigurationReloaded, DiscoveryAddress: next.Feed}, nil
 		}, log)
-	}, Joined{}, log)
+	}, FleetMembership{}, log)
 }
 
 // odd says what the settings leave out or name wrongly, and what is done instead: a
--- a/internal/cli/program.go
+++ b/internal/cli/program.go
@@ -34,41 +34,41 @@
 )
 
 // Fleet is what a program has that can take part in a fleet.
-type Fleet struct {
+type FleetSupport struct {
 	// Command is `railrelay fleet` with all below it.
 	Command func() *cobra.Command
 	// Join opens what the set-up's fleet part names, and puts into means what the
 	// reducer needs of it.
-	Join func(have *setup.Setup, means *controller.Config, log zerolog.Logger) (Joined, error)
+	Join func(have *setup.Setup, means *controller.Config, log zerolog.Logger) (FleetMembership, error)
 }
 
 // Joined is one controller's part in the fleet.
-type Joined struct {
-	Peers  eventloop.FleetChannels                 // what the reducer takes from it and tells it
-	Serve  func(ctx context.Context) error         // until ctx ends; closes all that was opened
-	Again  func() error                            // reads the key file again
-	Status func(ctx context.Context) *fleet.Status // how this process sees the fleet; nil: no word before ctx ended
+type FleetMembership struct {
+	Channels   eventloop.FleetChannels                 // what the reducer takes from it and tells it
+	Serve      func(ctx context.Context) error         // until ctx ends; closes all that was opened
+	ReloadKeys func() error                            // reads the key file again
+	Status     func(ctx context.Context) *fleet.Status // how this process sees the fleet; nil: no word before ctx ended
 }
 
 // Status is an error that ends the program with a status of its own.
-type Status struct {
+type ExitError struct {
 	Code int
 	error
 }
 
 // Failed is an error with a status.
-func Failed(code int, err error) error { return Status{code, err} }
+func WithExitCode(code int, err error) error { return ExitError{code, err} }
 
 // Unwrap gives what it is of.
-func (s Status) Unwrap() error { return s.error }
+func (s ExitError) Unwrap() error { return s.error }
 
 // Main is the program. part is nil in the one that can't take part in any.
-func Main(part *Fleet) {
+func Main(part *FleetSupport) {
 	// before all else: a signal that nobody has asked for ends the program
 	signals := make(chan os.Signal, 64)
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT, syscall.SIGUSR1, syscall.SIGHUP)
 	if err := commands(signals, part).Execute(); err != nil {
-		var status Status
+		var status ExitError
 		if errors.As(err, &status) {
 			if status.error != nil {
 				fmt.Fprintln(os.Stderr, status.error)
@@ -98,7 +98,7 @@
 }
 
 // commands is the command line. Without arguments it serves, as it always did.
-func commands(signals <-chan os.Signal, part *Fleet) *cobra.Command {
+func commands(signals <-chan os.Signal, part *FleetSupport) *cobra.Command {
 	path := ""
 	start := func(*cobra.Command, []string) error {
 		if path != "" {
@@ -184,7 +184,7 @@
 
 // listen runs a controller until it is done, and beside it its part in a fleet, if it has one.
 func listen(address string, cores float64, means controller.Config, disk *resultstore.SpoolStore, asked func(zerolog.Logger) <-chan controller.Event,
-	joined Joined, log zerolog.Logger) error {
+	joined FleetMembership, log zerolog.Logger) error {
 	if address == "" {
 		return errors.New("no address to listen on")
 	}
@@ -202,7 +202,7 @@
 	group.Go(func() error { return joined.Serve(ctx) })
 	group.Go(func() error {
 		defer done()
-		return eventloop.Serve(ctx, listener, means, disk, joined.Peers, asked(log), log)
+		return eventloop.Serve(ctx, listener, means, disk, joined.Channels, asked(log), log)
 	})
 	return group.Wait()
 }
@@ -232,7 +232,7 @@
 }
 
 // serveSetup serves by the product's YAML.
-func serveSetup(path string, signals <-chan os.Signal, part *Fleet) error {
+func serveSetup(path string, signals <-chan os.Signal, part *FleetSupport) error {
 	started := time.Now()
 	have, err := setup.Load(path)
 	if err != nil {
@@ -253,7 +253,7 @@
 	if disk != nil {
 		defer disk.Close()
 	}
-	var joined Joined
+	var joined FleetMembership
 	if have.Fleet != nil {
 		if joined, err = part.Join(have, &means, log); err != nil {
 			return err
@@ -271,7 +271,7 @@
 }
 
 // reread reads a set-up and the fleet's keys again, and says what can't be changed.
-func reread(have *setup.Setup, path string, joined Joined, log zerolog.Logger) (*setup.Setup, error) {
+func reread(have *setup.Setup, path string, joined FleetMembership, log zerolog.Logger) (*setup.Setup, error) {
 	next, err := setup.Load(path)
 	if err != nil {
 		return nil, err
@@ -279,8 +279,8 @@
 	for _, what := range have.Fixed(next) {
 		log.Log().Str("what", what).Msg("can't be changed while running")
 	}
-	if joined.Again != nil {
-		if err := joined.Again(); err != nil {
+	if joined.ReloadKeys != nil {
+		if err := joined.ReloadKeys(); err != nil {
 			log.Log().Err(err).Msg("the fleet's keys are kept as they were")
 		}
 	}
--- a/internal/controller/attempt_calls.go
+++ b/internal/controller/attempt_calls.go
@@ -53,7 +53,7 @@
 		a.counters.recordFirstByte(a.now - a.query.receivedAt)
 	}
 	q := a.query
-	return enginehttp.Submit(dst, a.engine.address, q.id, q.groupName, q.idempotencyKey, a.deadline-a.now,
+	return enginehttp.AppendSubmit(dst, a.engine.address, q.id, q.groupName, q.idempotencyKey, a.deadline-a.now,
 		q.memoryGrantMB, a.sentPriority, q.statement)
 }
 
@@ -73,7 +73,7 @@
 				a.staleNotesUntil = a.now + 2*longPollTimeout
 			}
 			a.polledAt = a.now
-			return enginehttp.Ask(dst, a.engine.address, a.query.id, page)
+			return enginehttp.AppendPoll(dst, a.engine.address, a.query.id, page)
 		},
 		onResult: func(result callResult, status int, field func(string) string, body []byte) {
 			a.handleCallResult(page, result, status, field, body)
@@ -83,7 +83,7 @@
 
 func (a *attempt) responseValidator(page int) func(int, func(string) string, []byte) bool {
 	return func(status int, field func(string) string, body []byte) bool {
-		return enginehttp.Fits(page, status, field, body)
+		return enginehttp.IsQueryResponse(page, status, field, body)
 	}
 }
 
@@ -119,12 +119,12 @@
 	a.pollRetryDelay = 0
 	a.lastResponseAt = a.now
 	if a.loadReportsInResponses {
-		loadReport := enginehttp.Load(field)
+		loadReport := enginehttp.ParseLoadReport(field)
 		if loadReport != nil {
 			a.enqueueCallback(func() { a.scheduler.LoadReported(a.now, a.engine.id, loadReport) })
 		}
 	}
-	enginehttp.Hear(page, status, field, body, &responseHandler{a})
+	enginehttp.HandleResponse(page, status, field, body, &responseHandler{a})
 }
 
 // retryPoll polls again after a delay. A lost call or response does not mean a lost query: a poll on another
@@ -151,10 +151,10 @@
 		method:        "PUT",
 		engine:        a.engine,
 		attempt:       a,
-		validResponse: enginehttp.FitsDone,
+		validResponse: enginehttp.IsCommandResponse,
 		stillWanted:   func() bool { return !a.ended },
 		encode: func(dst []byte) []byte {
-			return enginehttp.Rank(dst, a.engine.address, a.query.id, a.sentPriority)
+			return enginehttp.AppendSetPriority(dst, a.engine.address, a.query.id, a.sentPriority)
 		},
 		onResult: func(callResult, int, func(string) string, []byte) {
 			a.prioritySending = false
@@ -167,9 +167,9 @@
 // to keep the methods that enginehttp calls apart from the methods of attempt.
 type responseHandler struct{ *attempt }
 
-// Runs handles the response that the query is still running, and polls again. After a time without polls
+// Running handles the response that the query is still running, and polls again. After a time without polls
 // that exceeds engineRetention, the first such responses may be stale, from before the query was dropped.
-func (h *responseHandler) Runs() {
+func (h *responseHandler) Running() {
 	h.maybeForgotten = h.now < h.staleNotesUntil
 	h.poll(0)
 }
@@ -221,12 +221,12 @@
 	a.finish(scheduler.Finished)
 }
 
-// Ends handles the response that the query failed, was rejected, timed out or is not known at the engine.
+// Ended handles the response that the query failed, was rejected, timed out or is not known at the engine.
 // If the engine may have dropped the query, an error does not prove that the attempt is over: the request
 // may have reached a machine that has not taken it up yet and will still run it. An attempt that must prove
 // its end is therefore withdrawn, so that the next query of its key cannot overtake it. Any other attempt
 // ends: the engine does respond, and must not be taken for dead.
-func (h *responseHandler) Ends(outcome scheduler.Outcome) {
+func (h *responseHandler) Ended(outcome scheduler.Outcome) {
 	if h.maybeForgotten && outcome == scheduler.Failed && h.mustProveEnd() {
 		h.withdrawAttempt(h.attempt, scheduler.ConnectionReset)
 		return
--- a/internal/controller/attempt_cancel.go
+++ b/internal/controller/attempt_cancel.go
@@ -106,9 +106,9 @@
 		method:        "DELETE",
 		engine:        a.engine,
 		attempt:       a,
-		validResponse: enginehttp.FitsDone,
+		validResponse: enginehttp.IsCommandResponse,
 		encode: func(dst []byte) []byte {
-			return enginehttp.GiveUp(dst, a.engine.address, a.query.id)
+			return enginehttp.AppendCancel(dst, a.engine.address, a.query.id)
 		},
 		onResult: func(result callResult, _ int, _ func(string) string, _ []byte) {
 			if result == callAnswered || a.engineProcessDied(result) || a.provenOver() {
--- a/internal/controller/client.go
+++ b/internal/controller/client.go
@@ -88,7 +88,7 @@
 
 // messageHandler returns the handler for the next message: the client itself or, for the first message over
 // the limit, floodingClient. Further messages would delay all other clients.
-func (cl *client) messageHandler() msgpackrpc.Hearer {
+func (cl *client) messageHandler() msgpackrpc.Handler {
 	if cl.messagesSinceSweep >= cl.limits.MaxMessagesPerSweep {
 		return &floodingClient{cl}
 	}
@@ -109,7 +109,7 @@
 
 func (cl *client) abandonAllCalls() {
 	for len(cl.calls) > 0 {
-		cl.Left(cl.calls[0].messageID)
+		cl.Cancel(cl.calls[0].messageID)
 	}
 }
 
@@ -129,32 +129,32 @@
 
 func (f *floodingClient) explain(messageID uint32) {
 	if f.findCall(messageID) == nil {
-		f.reply(msgpackrpc.Killed(nil, messageID, "more than "+strconv.Itoa(f.limits.MaxMessagesPerSweep)+
+		f.reply(msgpackrpc.AppendFailure(nil, messageID, "more than "+strconv.Itoa(f.limits.MaxMessagesPerSweep)+
 			" messages in "+sweepInterval.String()+" on one connection: it is closed"))
 	}
 }
 
-// Query implements msgpackrpc.Hearer.
+// Query implements msgpackrpc.Handler.
 func (f *floodingClient) Query(messageID uint32, _, _ []byte, _ time.Duration, _ []byte, _ bool, _ []byte,
 	_ msgpackrpc.Fields) {
 	f.explain(messageID)
 }
 
-// Page implements msgpackrpc.Hearer.
+// Page implements msgpackrpc.Handler.
 func (f *floodingClient) Page(messageID uint32, _ []byte, _ int, _ msgpackrpc.Fields) {
 	f.explain(messageID)
 }
 
-// Purge implements msgpackrpc.Hearer.
+// Purge implements msgpackrpc.Handler.
 func (f *floodingClient) Purge(messageID uint32, _ msgpackrpc.Purge, _ msgpackrpc.Fields) {
 	f.explain(messageID)
 }
 
-// Alive implements msgpackrpc.Hearer.
+// Alive implements msgpackrpc.Handler.
 func (f *floodingClient) Alive(messageID uint32) { f.explain(messageID) }
 
-// Wrong implements msgpackrpc.Hearer.
-func (f *floodingClient) Wrong(messageID uint32, _ string) { f.explain(messageID) }
+// Invalid implements msgpackrpc.Handler.
+func (f *floodingClient) Invalid(messageID uint32, _ string) { f.explain(messageID) }
 
-// Left implements msgpackrpc.Hearer. A cancellation still takes effect.
-func (f *floodingClient) Left(messageID uint32) { f.client.Left(messageID) }
+// Cancel implements msgpackrpc.Handler. A cancellation still takes effect.
+func (f *floodingClient) Cancel(messageID uint32) { f.client.Cancel(messageID) }
--- a/internal/controller/client_calls.go
+++ b/internal/controller/client_calls.go
@@ -8,11 +8,11 @@
 )
 
 var (
-	_ msgpackrpc.Hearer = (*client)(nil)
-	_ queryOwner        = (*rpcCall)(nil)
+	_ msgpackrpc.Handler = (*client)(nil)
+	_ queryOwner         = (*rpcCall)(nil)
 )
 
-// Query implements msgpackrpc.Hearer: it accepts or rejects a query.
+// Query implements msgpackrpc.Handler: it accepts or rejects a query.
 func (cl *client) Query(messageID uint32, name, id []byte, timeout time.Duration, key []byte, hasKey bool,
 	statement []byte, fields msgpackrpc.Fields) {
 	if cl.findCall(messageID) != nil {
@@ -33,10 +33,10 @@
 	if len(cl.calls) >= cl.limits.MaxOpenQueries {
 		reason := cl.validateCall(call)
 		if reason != "" {
-			cl.Wrong(messageID, reason)
+			cl.Invalid(messageID, reason)
 			return
 		}
-		cl.Wrong(messageID, "too many are open")
+		cl.Invalid(messageID, "too many are open")
 		cl.disconnect(true)
 		return
 	}
@@ -49,37 +49,37 @@
 	case statementMemoryFull:
 		// a memory shortage is not the client's error: as a bad call it could close the connection
 		cl.counters.deferred++
-		cl.reply(msgpackrpc.Deferred(nil, messageID, min(cl.durationSetting("return.most"), timeout/2)))
+		cl.reply(msgpackrpc.AppendDeferral(nil, messageID, min(cl.durationSetting("return.most"), timeout/2)))
 	default:
-		cl.Wrong(messageID, reason)
+		cl.Invalid(messageID, reason)
 	}
 }
 
-// Alive implements msgpackrpc.Hearer: it answers whether the controller has an endpoint list and, with peers,
-// may accept queries.
+// Alive implements msgpackrpc.Handler: it answers whether the controller has an endpoint list and,
+// with peers, may accept queries.
 func (cl *client) Alive(messageID uint32) {
 	cl.counters.aliveRequests++
 	ready := cl.discovery.listed && (cl.servingLease == nil || cl.servingLease.acceptsQueries())
-	cl.reply(msgpackrpc.Alive(nil, messageID, ready))
+	cl.reply(msgpackrpc.AppendAlive(nil, messageID, ready))
 }
 
-// Left implements msgpackrpc.Hearer: it cancels an open query.
-func (cl *client) Left(messageID uint32) {
+// Cancel implements msgpackrpc.Handler: it cancels an open query.
+func (cl *client) Cancel(messageID uint32) {
 	rc := cl.findCall(messageID)
 	if rc != nil {
 		cl.abandonQuery(rc.query)
 	}
 }
 
-// Wrong implements msgpackrpc.Hearer: it answers an invalid call. A connection with more than maxBadCalls of
-// them is closed.
-func (cl *client) Wrong(messageID uint32, reason string) {
+// Invalid implements msgpackrpc.Handler: it answers an invalid call. A connection with more than
+// maxBadCalls of them is closed.
+func (cl *client) Invalid(messageID uint32, reason string) {
 	cl.counters.malformed++
 	if cl.findCall(messageID) != nil {
 		cl.disconnect(true)
 		return
 	}
-	cl.reply(msgpackrpc.Killed(nil, messageID, reason))
+	cl.reply(msgpackrpc.AppendFailure(nil, messageID, reason))
 	cl.badCalls++
 	if cl.badCalls > maxBadCalls {
 		cl.disconnect(true)
@@ -94,27 +94,27 @@
 }
 
 func (rc *rpcCall) finished(pages [][]byte) {
-	rc.client.reply(msgpackrpc.Answer(nil, rc.messageID, pages))
+	rc.client.reply(msgpackrpc.AppendResult(nil, rc.messageID, pages))
 }
 
-func (rc *rpcCall) paged(first []byte, rest msgpackrpc.Paging) {
-	rc.client.reply(msgpackrpc.Paged(nil, rc.messageID, first, rest))
+func (rc *rpcCall) paged(first []byte, rest msgpackrpc.PageInfo) {
+	rc.client.reply(msgpackrpc.AppendFirstPage(nil, rc.messageID, first, rest))
 }
 
 func (rc *rpcCall) deferred(retryAfter time.Duration) {
-	rc.client.reply(msgpackrpc.Deferred(nil, rc.messageID, retryAfter))
+	rc.client.reply(msgpackrpc.AppendDeferral(nil, rc.messageID, retryAfter))
 }
 
 func (rc *rpcCall) redirected(comeBack time.Duration, controllers []string) {
-	rc.client.reply(msgpackrpc.Directed(nil, rc.messageID, comeBack, controllers))
+	rc.client.reply(msgpackrpc.AppendRedirect(nil, rc.messageID, comeBack, controllers))
 }
 
 func (rc *rpcCall) killed(reason string) {
-	rc.client.reply(msgpackrpc.Killed(nil, rc.messageID, reason))
+	rc.client.reply(msgpackrpc.AppendFailure(nil, rc.messageID, reason))
 }
 
 func (rc *rpcCall) notifyWait(wait time.Duration) {
-	rc.client.reply(msgpackrpc.Told(nil, rc.messageID, wait))
+	rc.client.reply(msgpackrpc.AppendWaitNotification(nil, rc.messageID, wait))
 }
 
 func (rc *rpcCall) connection() *Connection { return rc.client.connection }
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -88,7 +88,7 @@
 	c.readCustomers()
 	c.scheduler = scheduler.New(c, config.Seed, config.Settings)
 	if len(config.InitialEndpoints) > 0 {
-		err := discovery.Known(config.InitialEndpoints, c)
+		err := discovery.ReadSnapshot(config.InitialEndpoints, c)
 		if err != nil {
 			c.logMessage(true, "cannot read the initial endpoint list: "+err.Error())
 		}
--- a/internal/controller/discovery.go
+++ b/internal/controller/discovery.go
@@ -63,7 +63,7 @@
 	d.skippedLines = 0
 	conn.onConnected = func() {
 		d.connectionActiveAt = c.now
-		c.write(conn, discovery.Since(nil, d.lastEvent))
+		c.write(conn, discovery.AppendSubscribe(nil, d.lastEvent))
 	}
 	conn.onDialFailed = func(bool) { c.reconnectDiscovery(conn) }
 	conn.onClosed = func() { c.reconnectDiscovery(conn) }
@@ -160,7 +160,7 @@
 
 // Event begins an event. It returns false if the event must not be applied, because it was applied before
 // or an earlier event is missing.
-func (c *Controller) Event(number int64, complete bool) bool {
+func (c *Controller) BeginEvent(number int64, complete bool) bool {
 	d := &c.discovery
 	switch {
 	case number <= d.lastEvent:
@@ -178,8 +178,8 @@
 	return true
 }
 
-// Last handles a heartbeat, which carries the number of the latest event.
-func (c *Controller) Last(number int64) {
+// LatestEvent handles a heartbeat, which carries the number of the latest event.
+func (c *Controller) LatestEvent(number int64) {
 	d := &c.discovery
 	switch {
 	case number <= d.lastEvent:
@@ -251,8 +251,8 @@
 	c.engineByAddress[e.address] = e
 }
 
-// EventEnds ends an event. It removes the engines that a complete event doesn't list.
-func (c *Controller) EventEnds() {
+// EndEvent ends an event. It removes the engines that a complete event doesn't list.
+func (c *Controller) EndEvent() {
 	for _, e := range c.engines {
 		isListed := e.listedInEvent == c.discovery.lastEvent
 		if c.discovery.completeEvent && e.state != scheduler.EngineRemoved && !isListed {
@@ -281,8 +281,8 @@
 	}
 }
 
-// Odd counts and logs an entry of an event that was skipped as invalid.
-func (c *Controller) Odd(why string) {
+// InvalidEntry counts and logs an entry of an event that was skipped as invalid.
+func (c *Controller) InvalidEntry(why string) {
 	c.counters.unexpectedMessages++
 	c.logMessage(true, "skipped an invalid entry of the endpoint list: "+why)
 }
--- a/internal/controller/fair_queue_test.go
+++ b/internal/controller/fair_queue_test.go
@@ -97,7 +97,7 @@
 		!q.fairEntry.NotifyChanges {
 		t.Fatalf("%+v", q)
 	}
-	got := msgpackrpc.Told(nil, 300, 1234*time.Millisecond)
+	got := msgpackrpc.AppendWaitNotification(nil, 300, 1234*time.Millisecond)
 	if want := "\x93\x02\xa4wait\x92\xcd\x01\x2c\xcd\x04\xd2"; string(got) != want {
 		t.Fatalf("%q", got)
 	}
--- a/internal/controller/health_check.go
+++ b/internal/controller/health_check.go
@@ -19,15 +19,15 @@
 		method:        "probe",
 		engine:        e,
 		timeout:       c.connectTimeout,
-		validResponse: enginehttp.FitsProbe,
+		validResponse: enginehttp.IsProbeResponse,
 		encode: func(dst []byte) []byte {
-			return enginehttp.Probe(dst, e.address, c.enginesReportLoad)
+			return enginehttp.AppendProbe(dst, e.address, c.enginesReportLoad)
 		},
 		onResult: func(result callResult, status int, field func(string) string, _ []byte) {
 			outcome := healthCheckOutcome(result, status)
 			var loadReport map[string]float64
 			if outcome == scheduler.Finished {
-				loadReport = enginehttp.Load(field)
+				loadReport = enginehttp.ParseLoadReport(field)
 			}
 			c.enqueueCallback(func() { c.scheduler.HealthCheckEnded(c.now, e.id, outcome, loadReport) })
 		},
--- a/internal/controller/invalidation_calls.go
+++ b/internal/controller/invalidation_calls.go
@@ -48,12 +48,12 @@
 func (cl *client) Purge(msg uint32, purge msgpackrpc.Purge, fields msgpackrpc.Fields) {
 	v := cl.invalidation
 	if v == nil {
-		cl.Wrong(msg, "no such method")
+		cl.Invalid(msg, "no such method")
 		return
 	}
 	tenant := cl.dataOwner(CallOrigin{cl.connection.RemoteAddress, fields})
 	if cl.pageReads >= cl.limits.MaxOpenQueries || v.tooManyCalls(tenant) {
-		cl.reply(msgpackrpc.Deferred(nil, msg, noSpaceRetryAfter))
+		cl.reply(msgpackrpc.AppendDeferral(nil, msg, noSpaceRetryAfter))
 		return
 	}
 	call := &invalidationCall{client: cl, msg: msg, id: string(purge.ID), tenant: tenant}
@@ -64,17 +64,17 @@
 	v.clientCalls++
 	cl.pageReads++
 	v.pendingCalls[call.id] = append(v.pendingCalls[call.id], call)
-	call.answerBy = cl.now + max(0, purge.Patience-answerMargin)
+	call.answerBy = cl.now + max(0, purge.Timeout-answerMargin)
 	call.timer = cl.timers.Add(call.answerBy, func() { v.answerState(call, statePending, "", nil, nil) })
-	scope := &fleet.Scope{Team: tenant, Tables: purge.Tables, RetainedBeforeMs: purge.Before}
+	scope := &fleet.Scope{Team: tenant, Tables: purge.TableGroups, RetainedBeforeMs: purge.BeforeMillis}
 	switch {
 	case v.servingLease != nil && isNew:
-		request := v.newFleetRequest("purge", call, purge.Patience)
+		request := v.newFleetRequest("purge", call, purge.Timeout)
 		request.Scope = scope
 		v.unconfirmed[call.id] = request
 		v.servingLease.report(fleet.Report{Kind: fleet.RequestMade, Request: request})
 	case v.servingLease != nil:
-		request := v.newFleetRequest("status", call, purge.Patience)
+		request := v.newFleetRequest("status", call, purge.Timeout)
 		v.servingLease.report(fleet.Report{Kind: fleet.RequestMade, Request: request})
 	case isNew:
 		v.startLocal(call.id, scope)
@@ -110,7 +110,7 @@
 	for _, call := range v.pendingCallsFor(id) {
 		switch {
 		case entry == nil || entry.tenant != call.tenant:
-			v.finishCall(call, msgpackrpc.Killed(nil, call.msg, unknownInvalidationText))
+			v.finishCall(call, msgpackrpc.AppendFailure(nil, call.msg, unknownInvalidationText))
 		case entry.done:
 			v.answerState(call, "purged", "", &entry.counts, nil)
 		}
@@ -152,9 +152,9 @@
 			v.answerState(call, statePending, stageNames[r.Stage], nil, r.Outstanding)
 		}
 	case r.Outcome == "refused" && r.Reason != "":
-		v.finishCall(call, msgpackrpc.Killed(nil, call.msg, r.Reason))
+		v.finishCall(call, msgpackrpc.AppendFailure(nil, call.msg, r.Reason))
 	default:
-		v.finishCall(call, msgpackrpc.Killed(nil, call.msg, unknownInvalidationText))
+		v.finishCall(call, msgpackrpc.AppendFailure(nil, call.msg, unknownInvalidationText))
 	}
 }
 
@@ -174,7 +174,7 @@
 	if len(outstanding) > 0 {
 		fields = append(fields, "outstanding", strings.Join(outstanding, ","))
 	}
-	v.finishCall(call, msgpackrpc.Purged(nil, call.msg, fields...))
+	v.finishCall(call, msgpackrpc.AppendPurgeStatus(nil, call.msg, fields...))
 }
 
 // finishCall answers a call unless it was answered before.
--- a/internal/controller/query.go
+++ b/internal/controller/query.go
@@ -16,7 +16,7 @@
 type queryOwner interface {
 	finished(pages [][]byte)
 	// paged answers with the first page of a spooled result and where to read the rest.
-	paged(first []byte, rest msgpackrpc.Paging)
+	paged(first []byte, rest msgpackrpc.PageInfo)
 	// deferred rejects a query that has not run. The client may resend it after retryAfter; 0: no time given.
 	deferred(retryAfter time.Duration)
 	killed(reason string)
@@ -38,7 +38,7 @@
 	group          *group
 	key            *orderKey // the key whose queries run in order; nil: none
 	keyNumber      int64     // the key's number at the scheduler, -1: none
-	tableGroup     int64     // from the statement, see msgpackrpc.Tables
+	tableGroup     int64     // from the statement, see msgpackrpc.TableGroup
 	idempotencyKey string    // "": none
 	statement      []byte
 	customer       int // index in Controller.customers, -1: none
@@ -94,7 +94,7 @@
 	if q.answered {
 		return
 	}
-	q.tableGroup = msgpackrpc.Tables(q.statement)
+	q.tableGroup = msgpackrpc.TableGroup(q.statement)
 	if c.servingLease != nil && !c.isDraining() && !c.servingLease.admit(q, from) {
 		return
 	}
--- a/internal/controller/receive.go
+++ b/internal/controller/receive.go
@@ -48,7 +48,7 @@
 		return timeoutTooLong
 	case g.inOrder && !call.hasKey:
 		return keyMissing
-	case g.needsIdempotencyKey && !enginehttp.Sendable(call.from.Fields.Get(c.FieldNames.IdempotencyKey)):
+	case g.needsIdempotencyKey && !enginehttp.IsHeaderValue(call.from.Fields.Get(c.FieldNames.IdempotencyKey)):
 		return idempotencyKeyInvalid
 	case c.queries[call.id] != nil:
 		return duplicateID
--- a/internal/controller/residency.go
+++ b/internal/controller/residency.go
@@ -114,7 +114,7 @@
 // inspect reads the tables from the query's statement, which is dropped when the query is over.
 func (x *queryResidency) inspect(q *query) {
 	x.inspected = true
-	x.readTables, x.writtenTables, x.tablesKnown = msgpackrpc.AllTables(q.statement)
+	x.readTables, x.writtenTables, x.tablesKnown = msgpackrpc.TableGroups(q.statement)
 	x.tables = slices.Concat(x.readTables, x.writtenTables)
 	if len(q.statement) == 0 || q.group.isLoad && len(x.writtenTables) == 0 {
 		// the statement was dropped, or the load's target tables are unknown: the strictest rules apply
--- a/internal/controller/result_cache.go
+++ b/internal/controller/result_cache.go
@@ -58,7 +58,7 @@
 
 // allTables returns the table groups that a statement reads or writes, or nil if any of them is unknown.
 func allTables(statement []byte) []int64 {
-	read, written, known := msgpackrpc.AllTables(statement)
+	read, written, known := msgpackrpc.TableGroups(statement)
 	if !known {
 		return nil
 	}
@@ -73,7 +73,7 @@
 // noteMutation tracks a query that changes tables from its receipt on.
 func (a *resultCaching) noteMutation(q *query) {
 	if q.group.isLoad || !q.group.readOnly {
-		_, written, known := msgpackrpc.AllTables(q.statement)
+		_, written, known := msgpackrpc.TableGroups(q.statement)
 		if !known {
 			written = nil
 		}
--- a/internal/controller/result_paging.go
+++ b/internal/controller/result_paging.go
@@ -202,12 +202,12 @@
 		p.enqueueCallback(drop)
 	case p.closeQuery(a.query, fairqueue.Finished):
 		p.counters.finished++
-		a.query.owner.paged(body, msgpackrpc.Paging{
-			Pages: r.Pages(),
-			Bytes: r.Bytes(),
-			Rows:  r.Rows(),
-			Token: token,
-			Lasts: p.core.Kept(r),
+		a.query.owner.paged(body, msgpackrpc.PageInfo{
+			Pages:    r.Pages(),
+			Bytes:    r.Bytes(),
+			Rows:     r.Rows(),
+			Token:    token,
+			Lifetime: p.core.Kept(r),
 		})
 	}
 	if !a.ended {
@@ -250,13 +250,13 @@
 func (cl *client) Page(msg uint32, token []byte, number int, fields msgpackrpc.Fields) {
 	switch {
 	case cl.paging == nil:
-		cl.Wrong(msg, "no such method")
+		cl.Invalid(msg, "no such method")
 		return
 	case cl.pageReads >= cl.limits.MaxOpenQueries:
-		cl.reply(msgpackrpc.Deferred(nil, msg, busyRetryAfter))
+		cl.reply(msgpackrpc.AppendDeferral(nil, msg, busyRetryAfter))
 		return
 	case cl.invalidation.servingBarred():
-		cl.reply(msgpackrpc.Deferred(nil, msg, cl.servingLease.retryAfter()))
+		cl.reply(msgpackrpc.AppendDeferral(nil, msg, cl.servingLease.retryAfter()))
 		return
 	}
 	cl.pageReads++
@@ -282,13 +282,13 @@
 	}
 	switch {
 	case cl.invalidation.servingBarred():
-		cl.reply(msgpackrpc.Deferred(nil, msg, cl.servingLease.retryAfter()))
+		cl.reply(msgpackrpc.AppendDeferral(nil, msg, cl.servingLease.retryAfter()))
 	case err == spool.ErrBusy:
-		cl.reply(msgpackrpc.Deferred(nil, msg, busyRetryAfter))
+		cl.reply(msgpackrpc.AppendDeferral(nil, msg, busyRetryAfter))
 	case err != nil || forbidden():
-		cl.reply(msgpackrpc.Killed(nil, msg, spool.ErrNone.Error()))
+		cl.reply(msgpackrpc.AppendFailure(nil, msg, spool.ErrNone.Error()))
 	default:
-		cl.invalidation.markRetained(func() { cl.reply(msgpackrpc.Answer(nil, msg, [][]byte{body})) })
+		cl.invalidation.markRetained(func() { cl.reply(msgpackrpc.AppendResult(nil, msg, [][]byte{body})) })
 		cl.invalidation.trackRetainedWrite(cl.connection, owner)
 	}
 }
--- a/internal/discovery/list.go
+++ b/internal/discovery/list.go
@@ -14,26 +14,26 @@
 var errForm = errors.New("not a line of the feed")
 
 // Hearer is handed what the list says.
-type Hearer interface {
+type Handler interface {
 	// Event opens an event; false if it is not the one that comes next.
-	Event(number int64, whole bool) bool
+	BeginEvent(number int64, whole bool) bool
 	Engine(id, address, location, kind string, cell int, state scheduler.EngineState, startedMs int64)
-	EventEnds()
+	EndEvent()
 	// Last is the number of the newest event there is.
-	Last(number int64)
+	LatestEvent(number int64)
 	// Odd is an entry that can't be used; the rest of its event can.
-	Odd(why string)
+	InvalidEntry(why string)
 }
 
 // Since writes the call for all that comes after an event.
-func Since(dst []byte, number int64) []byte {
+func AppendSubscribe(dst []byte, number int64) []byte {
 	return append(strconv.AppendInt(append(dst, "SUB "...), number, 10), '\n')
 }
 
 // Read hands over the first line if all of it is there, and says how many
 // bytes it took: 0 while it isn't. With an error they are those of a line that
 // can't be used and may be passed over, 0 where there is no end of it.
-func Read(p []byte, most int, h Hearer) (int, error) {
+func Read(p []byte, most int, h Handler) (int, error) {
 	end := bytes.IndexByte(p, '\n')
 	if end < 0 {
 		if len(p) > most {
@@ -42,7 +42,7 @@
 		return 0, nil
 	}
 	if line := bytes.TrimSpace(p[:end]); len(line) > 0 {
-		if err := Event(line, h); err != nil {
+		if err := readEvent(line, h); err != nil {
 			return end + 1, err
 		}
 	}
@@ -50,7 +50,7 @@
 }
 
 // Known hands over the events known at the start.
-func Known(known []byte, h Hearer) error {
+func ReadSnapshot(known []byte, h Handler) error {
 	var all struct { // an error names these keys; they are matched in any case
 		N      int64             `json:"N"`
 		Events []json.RawMessage `json:"Events"`
@@ -59,18 +59,18 @@
 		return err
 	}
 	for _, e := range all.Events {
-		if err := Event(e, h); err != nil {
+		if err := readEvent(e, h); err != nil {
 			return err
 		}
 	}
-	h.Last(all.N)
+	h.LatestEvent(all.N)
 	return nil
 }
 
 // Event hands over one event, or the bare number of the last one.
-func Event(line []byte, h Hearer) error {
+func readEvent(line []byte, h Handler) error {
 	if n, err := strconv.ParseInt(string(line), 10, 64); err == nil {
-		h.Last(n)
+		h.LatestEvent(n)
 		return nil
 	}
 	var event struct {
@@ -84,20 +84,20 @@
 		return errForm
 	}
 	if event.Members == nil {
-		h.Last(*event.N)
+		h.LatestEvent(*event.N)
 		return nil
 	}
-	if !h.Event(*event.N, event.Members.Complete) {
+	if !h.BeginEvent(*event.N, event.Members.Complete) {
 		return nil
 	}
 	for _, m := range event.Members.Members {
 		entry(m, h)
 	}
-	h.EventEnds()
+	h.EndEvent()
 	return nil
 }
 
-func entry(line []byte, h Hearer) {
+func entry(line []byte, h Handler) {
 	var e struct {
 		ID       string  `json:"id"`
 		HostPort string  `json:"host_port"`
@@ -111,16 +111,16 @@
 	state, known := states[e.Phase]
 	switch {
 	case err != nil:
-		h.Odd("an entry that can't be read")
+		h.InvalidEntry("an entry that can't be read")
 	case e.ID == "":
-		h.Odd("an entry without an id")
+		h.InvalidEntry("an entry without an id")
 	case !known:
-		h.Odd("engine " + e.ID + ", of unknown state " + strconv.Quote(e.Phase))
+		h.InvalidEntry("engine " + e.ID + ", of unknown state " + strconv.Quote(e.Phase))
 	case e.HostPort == "" && state == scheduler.EngineActive:
-		h.Odd("engine " + e.ID + ", which has no address")
+		h.InvalidEntry("engine " + e.ID + ", which has no address")
 	default:
 		if e.Up < 0 || e.Up > startMost {
-			h.Odd("engine " + e.ID + ", whose start is out of range: taken as not told")
+			h.InvalidEntry("engine " + e.ID + ", whose start is out of range: taken as not told")
 			e.Up = 0
 		}
 		h.Engine(e.ID, e.HostPort, e.Locality, e.Flavor, e.Cell, state, int64(e.Up))
--- a/internal/discovery/list_test.go
+++ b/internal/discovery/list_test.go
@@ -10,16 +10,16 @@
 
 type notes struct{ said []string }
 
-func (n *notes) Event(number int64, whole bool) bool {
+func (n *notes) BeginEvent(number int64, whole bool) bool {
 	n.add("event %d %v", number, whole)
 	return number != 9
 }
 func (n *notes) Engine(id, address, location, kind string, cell int, state scheduler.EngineState, ms int64) {
 	n.add("%s %s %s %s %d %d %d", id, address, location, kind, cell, state, ms)
 }
-func (n *notes) EventEnds()                { n.add("ends") }
-func (n *notes) Last(number int64)         { n.add("last %d", number) }
-func (n *notes) Odd(why string)            { n.add("odd") }
+func (n *notes) EndEvent()                 { n.add("ends") }
+func (n *notes) LatestEvent(number int64)  { n.add("last %d", number) }
+func (n *notes) InvalidEntry(why string)   { n.add("odd") }
 func (n *notes) add(form string, a ...any) { n.said = append(n.said, fmt.Sprintf(form, a...)) }
 
 func readAll(text string, step int) (string, error) {
@@ -59,10 +59,10 @@
 		}
 	}
 	n := &notes{}
-	if err := Known([]byte(`{"n":41,"events":[`+one+`]}`), n); err != nil || strings.Join(n.said, ";") != want+";last 41" {
+	if err := ReadSnapshot([]byte(`{"n":41,"events":[`+one+`]}`), n); err != nil || strings.Join(n.said, ";") != want+";last 41" {
 		t.Error(err, n.said)
 	}
-	if string(Since(nil, 41)) != "SUB 41\n" {
+	if string(AppendSubscribe(nil, 41)) != "SUB 41\n" {
 		t.Error("SUB")
 	}
 }
--- a/internal/enginehttp/engines.go
+++ b/internal/enginehttp/engines.go
@@ -11,7 +11,7 @@
 )
 
 // Submit writes the call that starts a statement; token "": none goes with it.
-func Submit(dst []byte, host, id, group, token string, within time.Duration, grantMB, priority int, statement []byte) []byte {
+func AppendSubmit(dst []byte, host, id, group, token string, within time.Duration, grantMB, priority int, statement []byte) []byte {
 	dst = start(dst, "POST", "/o", host)
 	dst = put(dst, "X-Req", id)
 	dst = put(dst, "X-Class", group)
@@ -32,7 +32,7 @@
 }
 
 // Sendable reports whether a value can stand in a field as it is, without an end of the line or of itself in it.
-func Sendable(value []byte) bool {
+func IsHeaderValue(value []byte) bool {
 	for _, b := range value {
 		if b <= ' ' || b > '~' {
 			return false
@@ -42,22 +42,22 @@
 }
 
 // Ask writes the call for a query's news, page 0, or a further page.
-func Ask(dst []byte, host, id string, page int) []byte {
+func AppendPoll(dst []byte, host, id string, page int) []byte {
 	return finish(start(dst, "GET", "/o/"+id+"/"+strconv.Itoa(page), host), nil)
 }
 
 // Rank writes the call that changes a query's priority.
-func Rank(dst []byte, host, id string, priority int) []byte {
+func AppendSetPriority(dst []byte, host, id string, priority int) []byte {
 	return finish(start(dst, "PUT", "/o/"+id, host), strconv.AppendInt(nil, int64(priority), 10))
 }
 
 // GiveUp writes the call that ends a query.
-func GiveUp(dst []byte, host, id string) []byte {
+func AppendCancel(dst []byte, host, id string) []byte {
 	return finish(start(dst, "DELETE", "/o/"+id, host), nil)
 }
 
 // Probe writes a look at an engine, with its load where it tells that.
-func Probe(dst []byte, host string, load bool) []byte {
+func AppendProbe(dst []byte, host string, load bool) []byte {
 	path := "/ping"
 	if load {
 		path = "/stats"
@@ -66,18 +66,18 @@
 }
 
 // Hearer is handed what an engine's answer says of a query.
-type Hearer interface {
-	Runs()
+type ResponseHandler interface {
+	Running()
 	Note(sign scheduler.NoteKind, x float64)
 	Page(number, of int, rows []byte)
 	// Finished comes with page 0: the work and memory that were needed.
 	Finished(work time.Duration, memoryMB float64)
-	Ends(outcome scheduler.Outcome)
+	Ended(outcome scheduler.Outcome)
 }
 
 // Fits reports whether the answer is one to the call for a page (0: the news, Submit's too).
 // What does not fit is spoilt, or belongs to another call: it says nothing.
-func Fits(page, status int, field func(string) string, body []byte) bool {
+func IsQueryResponse(page, status int, field func(string) string, body []byte) bool {
 	switch {
 	case status == 202:
 		return page == 0
@@ -94,11 +94,11 @@
 }
 
 // FitsDone is the same for a change of priority and for giving up, FitsProbe for a probe.
-func FitsDone(status int, _ func(string) string, _ []byte) bool {
+func IsCommandResponse(status int, _ func(string) string, _ []byte) bool {
 	return status != 200 && status != 202
 }
 
-func FitsProbe(status int, field func(string) string, _ []byte) bool {
+func IsProbeResponse(status int, field func(string) string, _ []byte) bool {
 	return (status == 200 || status == 503) && field("Chunks") == "" && field("Chunk") == ""
 }
 
@@ -116,11 +116,11 @@
 }
 
 // Hear tells what an answer that fits means, to Submit or Ask for a page.
-func Hear(page int, status int, field func(string) string, body []byte, h Hearer) {
+func HandleResponse(page int, status int, field func(string) string, body []byte, h ResponseHandler) {
 	neverRan := field("X-Not-Run") == "1"
 	switch {
 	case status == 202:
-		h.Runs()
+		h.Running()
 		x, is := figure(field("Reading"))
 		if sign, ok := signs[field("X-Cache")]; ok && is {
 			if sign == scheduler.WaitingForMemory && x == 2 {
@@ -138,11 +138,11 @@
 		}
 		h.Page(page, number, body)
 	case status == 503 && neverRan:
-		h.Ends(scheduler.Rejected)
+		h.Ended(scheduler.Rejected)
 	case status == 504 && neverRan:
-		h.Ends(scheduler.NeverSent)
+		h.Ended(scheduler.NeverSent)
 	default:
-		h.Ends(scheduler.Failed)
+		h.Ended(scheduler.Failed)
 	}
 }
 
@@ -163,7 +163,7 @@
 }
 
 // Load is the report that an answer carries, nil if none.
-func Load(field func(string) string) map[string]float64 {
+func ParseLoadReport(field func(string) string) map[string]float64 {
 	text := field("X-Load")
 	if text == "" {
 		return nil
--- a/internal/enginehttp/engines_test.go
+++ b/internal/enginehttp/engines_test.go
@@ -11,13 +11,13 @@
 
 type notes struct{ said []string }
 
-func (n *notes) Runs()                                { n.add("runs") }
+func (n *notes) Running()                             { n.add("runs") }
 func (n *notes) Note(s scheduler.NoteKind, x float64) { n.add("note %d %g", s, x) }
 func (n *notes) Page(number, of int, rows []byte) {
 	n.add("page %d of %d %q", number, of, rows)
 }
 func (n *notes) Finished(w time.Duration, mb float64) { n.add("finished %v %g", w, mb) }
-func (n *notes) Ends(o scheduler.Outcome)             { n.add("ends %d", o) }
+func (n *notes) Ended(o scheduler.Outcome)            { n.add("ends %d", o) }
 func (n *notes) add(form string, a ...any)            { n.said = append(n.said, fmt.Sprintf(form, a...)) }
 
 func hear(text string, page, step int) (string, bool, error) {
@@ -27,11 +27,11 @@
 		have = append(have, text[i:min(i+step, len(text))]...)
 		for {
 			took, k, err := Read(have, 1<<20, func(status int, field func(string) string, body []byte) {
-				if !Fits(page, status, field, body) {
+				if !IsQueryResponse(page, status, field, body) {
 					n.add("unfit")
 					return
 				}
-				Hear(page, status, field, body, n)
+				HandleResponse(page, status, field, body, n)
 			})
 			if err != nil {
 				return strings.Join(n.said, ";"), false, err
@@ -113,27 +113,27 @@
 
 func TestCalls(t *testing.T) {
 	for want, got := range map[string][]byte{
-		"POST /o HTTP/1.1\r\nHost: h:1\r\nX-Req: id\r\nX-Class: report\r\nX-Wait-Ms: 1500\r\nPool-Mb: 64\r\nPool-Rank: 2\r\nContent-Length: 8\r\n\r\nSELECT 1": Submit(nil, "h:1", "id", "report", "", 1500*time.Millisecond, 64, 2, []byte("SELECT 1")),
-		"POST /o HTTP/1.1\r\nHost: h:1\r\nX-Req: id\r\nX-Class: r\r\nX-Wait-Ms: 1\r\nContent-Length: 0\r\n\r\n":                                                Submit(nil, "h:1", "id", "r", "", 0, 0, -1, nil),
-		"POST /o HTTP/1.1\r\nHost: h:1\r\nX-Req: id\r\nX-Class: r\r\nIdempotency-Key: a-1\r\nX-Wait-Ms: 1\r\nContent-Length: 0\r\n\r\n":                        Submit(nil, "h:1", "id", "r", "a-1", 0, 0, -1, nil),
-		"GET /o/id/3 HTTP/1.1\r\nHost: h:1\r\n\r\n":                     Ask(nil, "h:1", "id", 3),
-		"PUT /o/id HTTP/1.1\r\nHost: h:1\r\nContent-Length: 1\r\n\r\n0": Rank(nil, "h:1", "id", 0),
-		"DELETE /o/id HTTP/1.1\r\nHost: h:1\r\n\r\n":                    GiveUp(nil, "h:1", "id"),
-		"GET /stats HTTP/1.1\r\nHost: h:1\r\n\r\n":                      Probe(nil, "h:1", true),
-		"GET /ping HTTP/1.1\r\nHost: h:1\r\n\r\n":                       Probe(nil, "h:1", false),
+		"POST /o HTTP/1.1\r\nHost: h:1\r\nX-Req: id\r\nX-Class: report\r\nX-Wait-Ms: 1500\r\nPool-Mb: 64\r\nPool-Rank: 2\r\nContent-Length: 8\r\n\r\nSELECT 1": AppendSubmit(nil, "h:1", "id", "report", "", 1500*time.Millisecond, 64, 2, []byte("SELECT 1")),
+		"POST /o HTTP/1.1\r\nHost: h:1\r\nX-Req: id\r\nX-Class: r\r\nX-Wait-Ms: 1\r\nContent-Length: 0\r\n\r\n":                                                AppendSubmit(nil, "h:1", "id", "r", "", 0, 0, -1, nil),
+		"POST /o HTTP/1.1\r\nHost: h:1\r\nX-Req: id\r\nX-Class: r\r\nIdempotency-Key: a-1\r\nX-Wait-Ms: 1\r\nContent-Length: 0\r\n\r\n":                        AppendSubmit(nil, "h:1", "id", "r", "a-1", 0, 0, -1, nil),
+		"GET /o/id/3 HTTP/1.1\r\nHost: h:1\r\n\r\n":                     AppendPoll(nil, "h:1", "id", 3),
+		"PUT /o/id HTTP/1.1\r\nHost: h:1\r\nContent-Length: 1\r\n\r\n0": AppendSetPriority(nil, "h:1", "id", 0),
+		"DELETE /o/id HTTP/1.1\r\nHost: h:1\r\n\r\n":                    AppendCancel(nil, "h:1", "id"),
+		"GET /stats HTTP/1.1\r\nHost: h:1\r\n\r\n":                      AppendProbe(nil, "h:1", true),
+		"GET /ping HTTP/1.1\r\nHost: h:1\r\n\r\n":                       AppendProbe(nil, "h:1", false),
 	} {
 		if string(got) != want {
 			t.Errorf("%q, not %q", got, want)
 		}
 	}
 	// an id that would start a field of its own
-	if got := string(Submit(nil, "h", "a\r\nPool-Rank: 3", "g", "", 0, 0, 1, nil)); strings.Count(got, "\r\nPool-Rank") != 1 {
+	if got := string(AppendSubmit(nil, "h", "a\r\nPool-Rank: 3", "g", "", 0, 0, 1, nil)); strings.Count(got, "\r\nPool-Rank") != 1 {
 		t.Errorf("%q", got)
 	}
-	if load := Load(func(string) string { return "inflight:-3;util:NaN;outstanding:;utilization:Inf" }); len(load) != 0 {
+	if load := ParseLoadReport(func(string) string { return "inflight:-3;util:NaN;outstanding:;utilization:Inf" }); len(load) != 0 {
 		t.Error(load)
 	}
-	load := Load(func(string) string { return "inflight:7; util:0.61;new:1;bad" })
+	load := ParseLoadReport(func(string) string { return "inflight:7; util:0.61;new:1;bad" })
 	if len(load) != 2 || load["held"] != 7 || load["cores"] != 0.61 {
 		t.Error(load)
 	}
@@ -141,11 +141,11 @@
 
 func TestAnswersToOtherCalls(t *testing.T) {
 	none, rows := func(string) string { return "" }, func(name string) string { return map[string]string{"Chunks": "1"}[name] }
-	if FitsDone(200, rows, nil) || FitsDone(202, none, nil) || !FitsDone(204, none, nil) || !FitsDone(500, none, nil) {
+	if IsCommandResponse(200, rows, nil) || IsCommandResponse(202, none, nil) || !IsCommandResponse(204, none, nil) || !IsCommandResponse(500, none, nil) {
 		t.Error("news pass for the end of giving up")
 	}
-	if FitsProbe(200, rows, nil) || FitsProbe(202, none, nil) || FitsProbe(204, none, nil) || !FitsProbe(200, none, nil) ||
-		!FitsProbe(503, none, nil) {
+	if IsProbeResponse(200, rows, nil) || IsProbeResponse(202, none, nil) || IsProbeResponse(204, none, nil) || !IsProbeResponse(200, none, nil) ||
+		!IsProbeResponse(503, none, nil) {
 		t.Error("news pass for a probe's answer")
 	}
 }
--- a/internal/msgpackrpc/alltables.go
+++ b/internal/msgpackrpc/alltables.go
@@ -12,7 +12,7 @@
 // or staging written to, which no number follows. What staging holds is of no group.
 // A name of the form that stands for no table may be taken for one, never the other
 // way round.
-func AllTables(statement []byte) (read, written []int64, known bool) {
+func TableGroups(statement []byte) (read, written []int64, known bool) {
 	f := finder{scanner: scanner{p: statement}, known: true}
 	for f.token(); f.kind != 0; {
 		f.take()
@@ -205,9 +205,9 @@
 		f.token()
 	}
 	first := strings.ToLower(string(parts[0]))
-	table, staging := int64(NoTables), false
+	table, staging := int64(NoTableGroup), false
 	for _, p := range parts[:len(parts)-1] {
-		if n := number(p); n != NoTables {
+		if n := number(p); n != NoTableGroup {
 			table = n
 		}
 		staging = staging || bytes.EqualFold(p, []byte("staging"))
@@ -235,15 +235,15 @@
 		}
 		return
 	case wants == nothing:
-		if f.naming = false; table != NoTables {
+		if f.naming = false; table != NoTableGroup {
 			f.stray = append(f.stray, stray{first, table})
 		}
 		return
-	case wants == writes && table != NoTables:
+	case wants == writes && table != NoTableGroup:
 		f.written = append(f.written, table)
 	case wants == writes:
 		f.known = false
-	case table != NoTables:
+	case table != NoTableGroup:
 		f.read = append(f.read, table)
 	case staging:
 	case len(parts) == 1 && f.kind != '(':
--- a/internal/msgpackrpc/alltables_test.go
+++ b/internal/msgpackrpc/alltables_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-func TestAllTables(t *testing.T) {
+func TestTableGroups(t *testing.T) {
 	for statement, want := range map[string]string{
 		"select 1":                "[] [] true",
 		"select * from sales_3.a": "[3] [] true",
@@ -41,7 +41,7 @@
 		"update t set a = 1":                             "[] [] false",
 		"select * from":                                  "[] [] false",
 	} {
-		r, w, known := AllTables([]byte(statement))
+		r, w, known := TableGroups([]byte(statement))
 		if got := fmt.Sprint(r, w, known); got != want {
 			t.Errorf("%s: %s, want %s", statement, got, want)
 		}
@@ -49,11 +49,11 @@
 }
 
 // It ends, and what it gives is in order, whatever the text.
-func FuzzAllTables(f *testing.F) {
+func FuzzTableGroups(f *testing.F) {
 	f.Add([]byte("select * from sales_3.a, (sales_4.b) join c_5.d using (x) where \"from"))
 	f.Add([]byte("insert into d_4.t (((("))
 	f.Fuzz(func(t *testing.T, p []byte) {
-		read, written, _ := AllTables(p)
+		read, written, _ := TableGroups(p)
 		if !slices.IsSorted(read) || !slices.IsSorted(written) {
 			t.Fatalf("%v %v", read, written)
 		}
--- a/internal/msgpackrpc/clients.go
+++ b/internal/msgpackrpc/clients.go
@@ -11,22 +11,22 @@
 
 // Hearer is handed what a client said, its fields as they were read. What it
 // keeps of a slice it must copy.
-type Hearer interface {
+type Handler interface {
 	Query(msg uint32, group, id []byte, patience time.Duration, key []byte, keyed bool, statement []byte, all Fields)
 	// Page asks for a page, by number, of a result that a token opens.
 	Page(msg uint32, token []byte, number int, all Fields)
 	// Purge asks for what is kept of the caller's team to go, or how far that is.
 	Purge(msg uint32, p Purge, all Fields)
 	Alive(msg uint32)
-	Left(msg uint32)
+	Cancel(msg uint32)
 	// Wrong is a call that can be answered but not understood.
-	Wrong(msg uint32, why string)
+	Invalid(msg uint32, why string)
 }
 
 // Read hands over the first message if all of it is there, and says how many
 // bytes it took: 0 while it isn't. An error means that the connection can't be
 // read any further.
-func Read(p []byte, most int, h Hearer) (int, error) {
+func Read(p []byte, most int, h Handler) (int, error) {
 	c := &cursor{p: p, most: uint64(max(most, 0))}
 	say := message(c, h)
 	if c.err == errShort {
@@ -47,7 +47,7 @@
 // message reads one and gives what is to be said of it, once it is known to be
 // whole. What is no call at all is an error; a call that is wrong in itself
 // has an answer.
-func message(c *cursor, h Hearer) func() {
+func message(c *cursor, h Handler) func() {
 	parts := c.array()
 	if c.err != nil {
 		return nil
@@ -75,12 +75,12 @@
 	}
 	say := call(&rest, msg, h)
 	if rest.err != nil || rest.at != c.at {
-		return func() { h.Wrong(msg, "malformed call") }
+		return func() { h.Invalid(msg, "malformed call") }
 	}
 	return say
 }
 
-func call(c *cursor, msg uint32, h Hearer) func() {
+func call(c *cursor, msg uint32, h Handler) func() {
 	method := c.str()
 	params := c.array()
 	if string(method) == "alive" && params <= 1 {
@@ -135,13 +135,13 @@
 		why = "no statement"
 	}
 	if why != "" {
-		return func() { h.Wrong(msg, why) }
+		return func() { h.Invalid(msg, why) }
 	}
 	return func() { h.Query(msg, method, id, patience, key, key != nil, statement, all) }
 }
 
 // page reads a call for a page: its one parameter names a token and a number.
-func page(c *cursor, msg uint32, h Hearer) func() {
+func page(c *cursor, msg uint32, h Handler) func() {
 	count, from := c.fields(), c.at
 	for n := count; n > 0 && c.err == nil; n-- {
 		c.str()
@@ -152,9 +152,9 @@
 	token := all.Get("token")
 	switch {
 	case len(token) == 0:
-		return func() { h.Wrong(msg, "no token") }
+		return func() { h.Invalid(msg, "no token") }
 	case err != nil:
-		return func() { h.Wrong(msg, "no page") }
+		return func() { h.Invalid(msg, "no page") }
 	}
 	return func() { h.Page(msg, token, int(number), all) }
 }
@@ -227,7 +227,7 @@
 	return time.Duration(ms * float64(time.Millisecond))
 }
 
-func notice(c *cursor, h Hearer) func() {
+func notice(c *cursor, h Handler) func() {
 	rest := *c
 	c.skip(0)
 	c.skip(0)
@@ -242,11 +242,11 @@
 	if rest.err != nil || msg > math.MaxUint32 {
 		return nil
 	}
-	return func() { h.Left(uint32(msg)) }
+	return func() { h.Cancel(uint32(msg)) }
 }
 
 // Answer writes a finished query's result, its pages run together.
-func Answer(dst []byte, msg uint32, pages [][]byte) []byte {
+func AppendResult(dst []byte, msg uint32, pages [][]byte) []byte {
 	size := 0
 	for _, p := range pages {
 		size += len(p)
@@ -260,21 +260,21 @@
 }
 
 // Paging is what a client is told of a result that it reads page by page.
-type Paging struct {
+type PageInfo struct {
 	Pages       int
 	Bytes, Rows int64
 	Token       string
-	Lasts       time.Duration // unless a page is read, from now
+	Lifetime    time.Duration // unless a page is read, from now
 }
 
 // Paged writes a finished query's first page and how to ask for the others. A result
 // of one page has no token.
-func Paged(dst []byte, msg uint32, first []byte, p Paging) []byte {
+func AppendFirstPage(dst []byte, msg uint32, first []byte, p PageInfo) []byte {
 	dst = append(appendWhole(append(dst, 0x94, 1), msg), 0xc0, 0x92)
 	dst = append(appendBinHead(dst, len(first)), first...)
 	pairs := []string{"pages", strconv.Itoa(p.Pages), "bytes", strconv.FormatInt(p.Bytes, 10), "rows", strconv.FormatInt(p.Rows, 10)}
 	if p.Pages > 1 {
-		pairs = append(pairs, "token", p.Token, "lasts", strconv.FormatInt(p.Lasts.Milliseconds(), 10))
+		pairs = append(pairs, "token", p.Token, "lasts", strconv.FormatInt(p.Lifetime.Milliseconds(), 10))
 	}
 	dst = append(dst, 0x80|byte(len(pairs)/2))
 	for _, s := range pairs {
@@ -284,7 +284,7 @@
 }
 
 // Deferred writes that trying again is harmless, after a pause if one is named.
-func Deferred(dst []byte, msg uint32, pause time.Duration) []byte {
+func AppendDeferral(dst []byte, msg uint32, pause time.Duration) []byte {
 	dst = appendStr(append(appendWhole(append(dst, 0x94, 1), msg), 0x92), "Throttled")
 	if ms := pause.Milliseconds(); ms > 0 {
 		dst = appendStr(appendStr(append(dst, 0x81), "pause"), strconv.FormatInt(ms, 10))
@@ -295,7 +295,7 @@
 }
 
 // Directed is Deferred with the addresses of controllers that may take the query, by commas.
-func Directed(dst []byte, msg uint32, pause time.Duration, controllers []string) []byte {
+func AppendRedirect(dst []byte, msg uint32, pause time.Duration, controllers []string) []byte {
 	dst = appendStr(append(appendWhole(append(dst, 0x94, 1), msg), 0x92), "Throttled")
 	if ms := pause.Milliseconds(); ms > 0 {
 		dst = appendStr(appendStr(append(dst, 0x82), "pause"), strconv.FormatInt(ms, 10))
@@ -309,20 +309,20 @@
 const directedMost = 15
 
 // Killed writes an error that promises nothing.
-func Killed(dst []byte, msg uint32, why string) []byte {
+func AppendFailure(dst []byte, msg uint32, why string) []byte {
 	dst = appendStr(append(appendWhole(append(dst, 0x94, 1), msg), 0x92), "Failed")
 	return append(appendStr(appendStr(append(dst, 0x81), "why"), why), 0xc0)
 }
 
 // Told writes a notice that a call's query should start after so long: clients
 // that asked for it know the method.
-func Told(dst []byte, msg uint32, wait time.Duration) []byte {
+func AppendWaitNotification(dst []byte, msg uint32, wait time.Duration) []byte {
 	dst = appendStr(append(dst, 0x93, 2), "wait")
 	return appendWhole(appendWhole(append(dst, 0x92), msg), uint32(min(max(0, wait.Milliseconds()), math.MaxUint32)))
 }
 
 // Alive writes whether we are ready.
-func Alive(dst []byte, msg uint32, ready bool) []byte {
+func AppendAlive(dst []byte, msg uint32, ready bool) []byte {
 	yes := byte(0xc2)
 	if ready {
 		yes = 0xc3
--- a/internal/msgpackrpc/clients_test.go
+++ b/internal/msgpackrpc/clients_test.go
@@ -19,12 +19,12 @@
 	n.add("page %d %s %d", msg, token, number)
 }
 func (n *notes) Purge(msg uint32, p Purge, _ Fields) {
-	n.add("purge %d %s %v %d %v", msg, p.ID, p.Tables, p.Before, p.Patience)
+	n.add("purge %d %s %v %d %v", msg, p.ID, p.TableGroups, p.BeforeMillis, p.Timeout)
 }
-func (n *notes) Alive(msg uint32)             { n.add("alive %d", msg) }
-func (n *notes) Left(msg uint32)              { n.add("left %d", msg) }
-func (n *notes) Wrong(msg uint32, why string) { n.add("wrong %d %s", msg, why) }
-func (n *notes) add(form string, a ...any)    { n.said = append(n.said, fmt.Sprintf(form, a...)) }
+func (n *notes) Alive(msg uint32)               { n.add("alive %d", msg) }
+func (n *notes) Cancel(msg uint32)              { n.add("left %d", msg) }
+func (n *notes) Invalid(msg uint32, why string) { n.add("wrong %d %s", msg, why) }
+func (n *notes) add(form string, a ...any)      { n.said = append(n.said, fmt.Sprintf(form, a...)) }
 
 func readAll(p []byte, step int) (*notes, error) {
 	n, have := &notes{}, []byte(nil)
@@ -187,19 +187,19 @@
 
 func TestAnswers(t *testing.T) {
 	for want, got := range map[string][]byte{
-		"\x94\x01\x07\xc0\x92\xc4\x06a\tb\tc\n\x80":                        Answer(nil, 7, [][]byte{[]byte("a\tb\tc\n")}),
-		"\x94\x01\xcc\x80\x92\xa9Throttled\x81\xa5pause\xa3250\xc0":        Deferred(nil, 128, 250*time.Millisecond),
-		"\x94\x01\xcd\x01\x00\x92\xa9Throttled\x80\xc0":                    Deferred(nil, 256, 0),
-		"\x94\x01\xce\x00\x01\x00\x00\x92\xa6Failed\x81\xa3why\xa3bad\xc0": Killed(nil, 65536, "bad"),
-		"\x94\x01\x08\xc0\x92\xc3\x80":                                     Alive(nil, 8, true),
-		"\x94\x01\x08\xc0\x92\xc2\x80":                                     Alive(nil, 8, false),
+		"\x94\x01\x07\xc0\x92\xc4\x06a\tb\tc\n\x80":                        AppendResult(nil, 7, [][]byte{[]byte("a\tb\tc\n")}),
+		"\x94\x01\xcc\x80\x92\xa9Throttled\x81\xa5pause\xa3250\xc0":        AppendDeferral(nil, 128, 250*time.Millisecond),
+		"\x94\x01\xcd\x01\x00\x92\xa9Throttled\x80\xc0":                    AppendDeferral(nil, 256, 0),
+		"\x94\x01\xce\x00\x01\x00\x00\x92\xa6Failed\x81\xa3why\xa3bad\xc0": AppendFailure(nil, 65536, "bad"),
+		"\x94\x01\x08\xc0\x92\xc3\x80":                                     AppendAlive(nil, 8, true),
+		"\x94\x01\x08\xc0\x92\xc2\x80":                                     AppendAlive(nil, 8, false),
 	} {
 		if string(got) != want {
 			t.Errorf("%q, not %q", got, want)
 		}
 	}
 	for _, size := range []int{0, 255, 256, 48000, 70000} {
-		p := Answer(nil, 1, [][]byte{make([]byte, size/2), make([]byte, size-size/2)})
+		p := AppendResult(nil, 1, [][]byte{make([]byte, size/2), make([]byte, size-size/2)})
 		c := &cursor{p: p, at: 5, most: 1 << 20}
 		if body := c.bin(); len(body) != size || c.err != nil || !bytes.Equal(p[c.at:], []byte{0x80}) {
 			t.Errorf("%d: %d %v", size, len(body), c.err)
@@ -207,7 +207,7 @@
 	}
 }
 
-func TestTables(t *testing.T) {
+func TestTableGroup(t *testing.T) {
 	for text, want := range map[string]int64{
 		"SELECT * FROM sales_17.orders":                                                               17,
 		"select o.id from stock_part_4.orders o join sales_5.x on 1=1":                                4,
@@ -220,15 +220,15 @@
 		"select t_9.id from sales_7.orders t_9":                                                       7,
 		"select * from sales_12 . orders":                                                             12,
 		"select * from sales_12 /* x */ . /* y */ orders":                                             12,
-		"select 1.5, a_3 from x.y":                                                                    NoTables,
-		"select * from staging.load_12":                                                               NoTables,
-		"select * from sales_12x.orders":                                                              NoTables,
-		"select 'open sales_1.x":                                                                      NoTables,
-		"":                                                                                            NoTables,
-		"select * from s_99999999999999999999.x":                                                      NoTables,
+		"select 1.5, a_3 from x.y":                                                                    NoTableGroup,
+		"select * from staging.load_12":                                                               NoTableGroup,
+		"select * from sales_12x.orders":                                                              NoTableGroup,
+		"select 'open sales_1.x":                                                                      NoTableGroup,
+		"":                                                                                            NoTableGroup,
+		"select * from s_99999999999999999999.x":                                                      NoTableGroup,
 		"delete from only \"a.b_31\".t":                                                               31,
 	} {
-		if got := Tables([]byte(text)); got != want {
+		if got := TableGroup([]byte(text)); got != want {
 			t.Errorf("%q: %d, not %d", text, got, want)
 		}
 	}
@@ -247,10 +247,10 @@
 	})
 }
 
-func FuzzTables(f *testing.F) {
+func FuzzTableGroup(f *testing.F) {
 	f.Add([]byte("select \"a\"\"b_3\".c /* -- 'x' */ from 'y"))
 	f.Fuzz(func(t *testing.T, p []byte) {
-		if n := Tables(p); n < NoTables {
+		if n := TableGroup(p); n < NoTableGroup {
 			t.Fatal(n)
 		}
 	})
--- a/internal/msgpackrpc/purge.go
+++ b/internal/msgpackrpc/purge.go
@@ -11,10 +11,10 @@
 // tables (none: of all), before a time on the wall in milliseconds since 1970 (0: whenever).
 // With an ID it asks how far that purge has come.
 type Purge struct {
-	ID       []byte
-	Tables   []int64
-	Before   int64
-	Patience time.Duration
+	ID           []byte
+	TableGroups  []int64
+	BeforeMillis int64
+	Timeout      time.Duration
 }
 
 const (
@@ -22,25 +22,25 @@
 	purgeName   = 64   // bytes of an id
 )
 
-func purge(c *cursor, msg uint32, h Hearer) func() {
+func purge(c *cursor, msg uint32, h Handler) func() {
 	count, from := c.fields(), c.at
 	for n := count; n > 0 && c.err == nil; n-- {
 		c.str()
 		c.skip(0)
 	}
 	all := Fields{c.p[min(from, c.at):c.at], count}
-	p := Purge{ID: all.Get("id"), Patience: span(all.Get("patience"))}
-	wrong := func(why string) func() { return func() { h.Wrong(msg, why) } }
-	if p.Patience <= 0 {
+	p := Purge{ID: all.Get("id"), Timeout: span(all.Get("patience"))}
+	wrong := func(why string) func() { return func() { h.Invalid(msg, why) } }
+	if p.Timeout <= 0 {
 		return wrong("no patience")
 	}
 	if text := all.Get("tables"); text != nil {
 		for t := range bytes.SplitSeq(text, []byte(",")) {
 			n, err := strconv.ParseInt(string(t), 10, 64)
-			if err != nil || n < 0 || len(p.Tables) == purgeTables {
+			if err != nil || n < 0 || len(p.TableGroups) == purgeTables {
 				return wrong("no table groups")
 			}
-			p.Tables = append(p.Tables, n)
+			p.TableGroups = append(p.TableGroups, n)
 		}
 	}
 	if text := all.Get("before"); text != nil {
@@ -48,21 +48,21 @@
 		if err != nil || n == 0 {
 			return wrong("no time before which")
 		}
-		p.Before = int64(n)
+		p.BeforeMillis = int64(n)
 	}
 	odd := func(b byte) bool { return !letter(b) && (b < '0' || b > '9') && b != '-' && b != '.' || b >= 0x80 }
 	switch {
 	case p.ID == nil:
 	case len(p.ID) == 0 || len(p.ID) > purgeName || slices.ContainsFunc(p.ID, odd):
 		return wrong("no purge has this id")
-	case p.Tables != nil || p.Before != 0:
+	case p.TableGroups != nil || p.BeforeMillis != 0:
 		return wrong("an id asks for a purge as it is: tables and before go with a new one")
 	}
 	return func() { h.Purge(msg, p, all) }
 }
 
 // Purged writes what is told of a purge: pairs of names and values, up to 15.
-func Purged(dst []byte, msg uint32, pairs ...string) []byte {
+func AppendPurgeStatus(dst []byte, msg uint32, pairs ...string) []byte {
 	dst = append(appendWhole(append(dst, 0x94, 1), msg), 0xc0, 0x92)
 	dst = append(appendBinHead(dst, 0), 0x80|byte(len(pairs)/2))
 	for _, s := range pairs {
--- a/internal/msgpackrpc/statement.go
+++ b/internal/msgpackrpc/statement.go
@@ -6,25 +6,25 @@
 )
 
 // NoTables stands for a statement that names no table group.
-const NoTables = -1
+const NoTableGroup = -1
 
 // Tables is the group of tables that a statement reads or writes: the number
 // behind the last underscore of its schema's name. Names inside strings and
 // comments are none, and neither is the schema staging, which has no number.
-func Tables(statement []byte) int64 {
+func TableGroup(statement []byte) int64 {
 	s := scanner{p: statement}
-	found := int64(NoTables)
+	found := int64(NoTableGroup)
 	var before, name []byte // the two words before a mark, nil for anything else
 	for {
 		word, kind := s.next()
 		if kind == 0 {
 			return found
 		}
-		if n := number(name); kind == '.' && n != NoTables {
+		if n := number(name); kind == '.' && n != NoTableGroup {
 			if opens(before) {
 				return n
 			}
-			if found == NoTables {
+			if found == NoTableGroup {
 				found = n // an alias may look like a schema: only if no table says more
 			}
 		}
@@ -47,16 +47,16 @@
 func number(schema []byte) int64 {
 	at := bytes.LastIndexByte(schema, '_')
 	if at <= 0 || at+1 == len(schema) {
-		return NoTables
+		return NoTableGroup
 	}
 	for _, b := range schema[at+1:] {
 		if b < '0' || b > '9' {
-			return NoTables
+			return NoTableGroup
 		}
 	}
 	n, err := strconv.ParseInt(string(schema[at+1:]), 10, 64)
 	if err != nil {
-		return NoTables
+		return NoTableGroup
 	}
 	return n
 }
