--- a/cmd/railrelay-fleet/fleet_test.go
+++ b/cmd/railrelay-fleet/fleet_test.go
@@ -53,7 +53,7 @@
 func free(t *testing.T, n int) (l []string) {
 	t.Helper()
 	for range n {
-		address, err := loopback.Address()
+		address, err := loopback.FreeAddress()
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/cmd/railrelay-fleet/purge_test.go
+++ b/cmd/railrelay-fleet/purge_test.go
@@ -69,20 +69,22 @@
 func (c *customer) asks(id string, fields ...string) client.Answer {
 	c.t.Helper()
 	return c.hears(func(dst []byte, msg uint32) []byte {
-		return client.Call(dst, msg, "lookup", engine.Statement(engine.Work{Threads: 1, CPU: 5 * time.Millisecond, MemoryMB: 1, Rows: 6000, Tables: 3}),
+		return client.AppendQuery(dst, msg, "lookup", engine.Statement(engine.Work{Threads: 1, CPU: 5 * time.Millisecond, MemoryMB: 1, Rows: 6000, TableGroup: 3}),
 			append([]string{"trace", id, "patience", "20000", "team", "a"}, fields...)...)
 	})
 }
 
 func (c *customer) page(token string) client.Answer {
 	c.t.Helper()
-	return c.hears(func(dst []byte, msg uint32) []byte { return client.Page(dst, msg, token, "1", "team", "a") })
+	return c.hears(func(dst []byte, msg uint32) []byte {
+		return client.AppendPageRequest(dst, msg, token, "1", "team", "a")
+	})
 }
 
 func (c *customer) purges(fields ...string) client.Answer {
 	c.t.Helper()
 	return c.hears(func(dst []byte, msg uint32) []byte {
-		return client.Purge(dst, msg, append([]string{"team", "a"}, fields...)...)
+		return client.AppendPurgeRequest(dst, msg, append([]string{"team", "a"}, fields...)...)
 	})
 }
 
@@ -92,7 +94,7 @@
 func TestACustomerPurges(t *testing.T) {
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
-	figures := engine.Usual()
+	figures := engine.DefaultConfig()
 	e, err := engine.Listen(ctx, "127.0.0.1:0", figures, false)
 	if err != nil {
 		t.Fatal(err)
@@ -117,7 +119,7 @@
 	for i, m := range all {
 		m.until("a lease", serves)
 		a := m.customer().asks(ids[i], "pages", "1")
-		if tokens[i] = a.About["token"]; tokens[i] == "" {
+		if tokens[i] = a.Fields["token"]; tokens[i] == "" {
 			t.Fatalf("nothing is kept: %+v", a)
 		}
 	}
@@ -146,9 +148,9 @@
 	}
 	all[1].kill()
 	first := all[0].customer().purges("patience", "1000", "tables", "3,9")
-	id := first.About["id"]
-	for end := time.Now().Add(patienceMost); first.About["outstanding"] != "c1" || first.About["stage"] != "unreachable"; { // the one down may have led
-		if first.Kind != client.Finished || first.About["state"] != "not yet" || id == "" || time.Now().After(end) {
+	id := first.Fields["id"]
+	for end := time.Now().Add(patienceMost); first.Fields["outstanding"] != "c1" || first.Fields["stage"] != "unreachable"; { // the one down may have led
+		if first.Kind != client.Finished || first.Fields["state"] != "not yet" || id == "" || time.Now().After(end) {
 			t.Fatalf("while one is down: %+v", first)
 		}
 		first = all[0].customer().purges("patience", "1000", "id", id)
@@ -160,7 +162,7 @@
 	}
 	all[1].begin()
 	done := all[2].customer().purges("id", id, "patience", "25000")
-	if n := done.About; n["state"] != "purged" || n["results"] != "3" || n["answers"] != "1" {
+	if n := done.Fields; n["state"] != "purged" || n["results"] != "3" || n["answers"] != "1" {
 		t.Fatalf("once it is back: %+v", done)
 	}
 	if l := holds(); len(l) > 0 {
--- a/internal/bench/datapath.go
+++ b/internal/bench/datapath.go
@@ -145,7 +145,7 @@
 	}
 	defer s.close()
 	b.add("start time", engines, float64(s.started)/float64(time.Millisecond), "ms")
-	b.add("start list", engines, float64(s.list.Bytes().Events), "bytes")
+	b.add("start list", engines, float64(s.list.Traffic().Events), "bytes")
 	if err := s.pause(settles); err != nil {
 		return err
 	}
--- a/internal/bench/datapath_clients.go
+++ b/internal/bench/datapath_clients.go
@@ -127,7 +127,7 @@
 	a.open[number] = due
 	a.mu.Unlock()
 	trace := fmt.Sprintf("%08x%08x", a.number+1, number)
-	_, err := a.Write(client.Call(nil, number, "lookup", statement, "trace", trace, "patience", "5000", "team", "a"))
+	_, err := a.Write(client.AppendQuery(nil, number, "lookup", statement, "trace", trace, "patience", "5000", "team", "a"))
 	return true, err
 }
 
@@ -157,7 +157,7 @@
 const lookupTakes = 2500 * time.Microsecond
 
 func lookupWork(tables int64) engine.Work {
-	return engine.Work{Threads: 1, CPU: lookupTakes, MemoryMB: 1, Tables: tables, Rows: 1, Plan: 1}
+	return engine.Work{Threads: 1, CPU: lookupTakes, MemoryMB: 1, TableGroup: tables, Rows: 1, PlanFactor: 1}
 }
 
 // offer sends queries at a rate a second over connections in turn, with exponential gaps
--- a/internal/bench/datapath_stage.go
+++ b/internal/bench/datapath_stage.go
@@ -68,7 +68,7 @@
 	if err := s.listen(ctx, engines, d.Seed); err != nil {
 		return s, err
 	}
-	if s.address, err = loopback.Address(); err != nil {
+	if s.address, err = loopback.FreeAddress(); err != nil {
 		return s, err
 	}
 	if s.dir, err = os.MkdirTemp("", "railrelay-datapath"); err != nil {
@@ -100,11 +100,13 @@
 		s.closers = append(s.closers, func() { e.Close() })
 		s.engines = append(s.engines, e)
 		rng := rand.New(rand.NewPCG(seed, uint64(i)))
-		e.Do(func(_ time.Duration, x *engine.Server) { x.Others = func() (int, float64) { return othersLoad(rng) } })
+		e.WithServer(func(_ time.Duration, x *engine.Server) {
+			x.ExternalLoad = func() (int, float64) { return othersLoad(rng) }
+		})
 		entries = append(entries, feed.Engine{ID: fmt.Sprintf("engine-%04d", i), HostPort: e.Addr().String(), Locality: "here",
 			Flavor: "std", Cell: 1, Phase: "SERVING", Size: 1})
 	}
-	log.Tell(true, entries...)
+	log.Append(true, entries...)
 	list, err := feed.Listen(ctx, "127.0.0.1:0", &log)
 	if err != nil {
 		return err
@@ -156,7 +158,7 @@
 func askAlive(c net.Conn) error {
 	c.SetDeadline(time.Now().Add(aliveMost))
 	defer c.SetDeadline(time.Time{})
-	if _, err := c.Write(client.Alive(nil, 1)); err != nil {
+	if _, err := c.Write(client.AppendAliveRequest(nil, 1)); err != nil {
 		return err
 	}
 	var in []byte
@@ -187,13 +189,13 @@
 	at      time.Time
 	used    processUsage
 	traffic engine.Traffic
-	list    feed.Bytes
+	list    feed.Traffic
 }
 
 func (s *datapathStage) look() (sight, error) {
-	now := sight{at: time.Now(), list: s.list.Bytes()}
+	now := sight{at: time.Now(), list: s.list.Traffic()}
 	for _, e := range s.engines {
-		now.traffic = now.traffic.Plus(e.Traffic())
+		now.traffic = now.traffic.Add(e.Traffic())
 	}
 	var err error
 	now.used, err = usageOf(s.running.Process.Pid)
@@ -222,7 +224,7 @@
 func (s *datapathStage) queriesByEngine() []int {
 	calls := make([]int, len(s.engines))
 	for i, e := range s.engines {
-		calls[i] = e.Traffic().Calls[engine.Queries]
+		calls[i] = e.Traffic().Requests[engine.Queries]
 	}
 	return calls
 }
@@ -290,15 +292,19 @@
 func between(first, last sight) spend {
 	seconds := last.at.Sub(first.at).Seconds()
 	rate := func(now, before int) float64 { return float64(now-before) / seconds }
-	in := func(kind engine.Kind) float64 { return rate(last.traffic.In[kind], first.traffic.In[kind]) }
-	out := func(kind engine.Kind) float64 { return rate(last.traffic.Out[kind], first.traffic.Out[kind]) }
+	in := func(kind engine.TrafficKind) float64 {
+		return rate(last.traffic.BytesIn[kind], first.traffic.BytesIn[kind])
+	}
+	out := func(kind engine.TrafficKind) float64 {
+		return rate(last.traffic.BytesOut[kind], first.traffic.BytesOut[kind])
+	}
 	x := spend{seconds: seconds,
 		cpuMs:      float64(last.used.CPU-first.used.CPU) / float64(time.Millisecond) / seconds,
 		opened:     rate(last.traffic.Opened, first.traffic.Opened),
-		probes:     rate(last.traffic.Calls[engine.Probes], first.traffic.Calls[engine.Probes]),
+		probes:     rate(last.traffic.Requests[engine.Probes], first.traffic.Requests[engine.Probes]),
 		probesSent: in(engine.Probes), probesReceived: out(engine.Probes),
-		newsSent: in(engine.News), newsReceived: out(engine.News),
-		queriesSent: in(engine.Queries) + in(engine.Orders), queriesReceived: out(engine.Queries) + out(engine.Orders)}
+		newsSent: in(engine.Polls), newsReceived: out(engine.Polls),
+		queriesSent: in(engine.Queries) + in(engine.ControlCalls), queriesReceived: out(engine.Queries) + out(engine.ControlCalls)}
 	x.controlSent = rate(last.list.In, first.list.In) + x.probesSent + x.newsSent
 	x.controlReceived = rate(last.list.Out, first.list.Out) + x.probesReceived + x.newsReceived
 	return x
--- a/internal/bench/datapath_takeover.go
+++ b/internal/bench/datapath_takeover.go
@@ -27,7 +27,7 @@
 	{"killed", func(e *engine.Listener) { e.Close() }},
 	// its machine is cut off: connections stay open, nothing answers
 	{"silent", func(e *engine.Listener) {
-		e.Do(func(now time.Duration, s *engine.Server) { s.Silence(now, true) })
+		e.WithServer(func(now time.Duration, s *engine.Server) { s.SetUnreachable(now, true) })
 	}},
 }
 
@@ -68,7 +68,7 @@
 }
 
 func (l *loads) ask(ctx context.Context) {
-	statement := engine.Statement(engine.Work{Threads: 1, CPU: loadTakes, MemoryMB: 1, Tables: 7, Load: true, Rows: 1, Plan: 1})
+	statement := engine.Statement(engine.Work{Threads: 1, CPU: loadTakes, MemoryMB: 1, TableGroup: 7, Load: true, Rows: 1, PlanFactor: 1})
 	every := time.NewTicker(loadEvery)
 	defer every.Stop()
 	for number := uint32(1); ; number++ {
@@ -81,7 +81,7 @@
 			l.mu.Unlock()
 		}
 		trace := fmt.Sprintf("%016x", number)
-		l.Write(client.Call(nil, number, "load", statement, "trace", trace, "patience", "20000", "entity", trace, "team", "a"))
+		l.Write(client.AppendQuery(nil, number, "load", statement, "trace", trace, "patience", "20000", "entity", trace, "team", "a"))
 	}
 }
 
@@ -134,8 +134,8 @@
 	defer s.close()
 	came := make(chan posted, 1024)
 	for i, e := range s.engines {
-		e.Do(func(_ time.Duration, x *engine.Server) {
-			x.Posted = func(string, string, int, time.Duration) {
+		e.WithServer(func(_ time.Duration, x *engine.Server) {
+			x.OnSubmit = func(string, string, int, time.Duration) {
 				select {
 				case came <- posted{i, time.Now()}:
 				default: // nobody waits for it
--- a/internal/bench/datapath_test.go
+++ b/internal/bench/datapath_test.go
@@ -84,10 +84,10 @@
 	last := sight{at: time.Unix(110, 0), used: processUsage{CPU: 3 * time.Second}}
 	first.list.In, first.list.Out = 6, 1000
 	last.list.In, last.list.Out = 6, 1020
-	first.traffic.In[engine.Probes] = 100
-	last.traffic.In[engine.Probes], last.traffic.Out[engine.Probes], last.traffic.Calls[engine.Probes] = 300, 500, 20
-	last.traffic.In[engine.News], last.traffic.Out[engine.News] = 70, 30
-	last.traffic.In[engine.Orders], last.traffic.Out[engine.Queries], last.traffic.Opened = 40, 900, 5
+	first.traffic.BytesIn[engine.Probes] = 100
+	last.traffic.BytesIn[engine.Probes], last.traffic.BytesOut[engine.Probes], last.traffic.Requests[engine.Probes] = 300, 500, 20
+	last.traffic.BytesIn[engine.Polls], last.traffic.BytesOut[engine.Polls] = 70, 30
+	last.traffic.BytesIn[engine.ControlCalls], last.traffic.BytesOut[engine.Queries], last.traffic.Opened = 40, 900, 5
 	x := between(first, last)
 	for name, pair := range map[string][2]float64{
 		"cpu": {x.cpuMs, 200}, "sent": {x.controlSent, 27}, "received": {x.controlReceived, 55}, "looks": {x.probes, 2},
--- a/internal/bench/fairness.go
+++ b/internal/bench/fairness.go
@@ -55,7 +55,7 @@
 }
 
 // Facts are the settings, in our words, that a mix and engines of these figures give.
-func Facts(kinds []Kind, f engine.Figures) map[string]string {
+func Facts(kinds []Kind, f engine.Config) map[string]string {
 	m := map[string]string{
 		"gateways": "1", "own.number": "0", "groups": strconv.Itoa(len(kinds)), "kinds": "std", "locations": "here",
 		"kind.cores": fmt.Sprint(f.Cores), "kind.memory": fmt.Sprint(f.MemoryMB), "grant.most": "0.4",
@@ -116,7 +116,7 @@
 	Kinds  []Kind
 	Names  []string
 	Shares []float64
-	All    []*world.Asked
+	All    []*world.Query
 	rng    *rand.Rand
 	conns  map[string]*world.Client
 	capac  float64 // core seconds a second of all engines
@@ -135,9 +135,9 @@
 
 // NewNight makes one. shape nil: the program without teams.
 func NewNight(seed uint64, engines int, kinds []Kind, teams []fairqueue.Tenant, shape *fairqueue.Config, facts map[string]string) *Night {
-	f := engine.Usual()
-	f.Disks = 16
-	figures := make([]engine.Figures, engines)
+	f := engine.DefaultConfig()
+	f.DiskParallelism = 16
+	figures := make([]engine.Config, engines)
 	for i := range figures {
 		figures[i] = f
 	}
@@ -162,19 +162,19 @@
 // long teams go without a start.
 func (n *Night) sample() {
 	const every = 2 * time.Millisecond
-	n.After(every, n.sample)
+	n.ScheduleAfter(every, n.sample)
 	clear(n.waiting)
 	waits := false
 	for _, a := range n.All[n.from:] {
-		if a.Started > n.lastStart[a.Team] {
-			n.lastStart[a.Team] = a.Started
+		if a.StartedAt > n.lastStart[a.Team] {
+			n.lastStart[a.Team] = a.StartedAt
 		}
-		if a.Started < 0 && !a.Answered && !a.Left && n.Now-a.At > every {
+		if a.StartedAt < 0 && !a.Answered && !a.Cancelled && n.Now-a.SubmittedAt > every {
 			n.waiting[a.Team]++
 			waits = waits || a.Group != "load" // loads wait for their order too
 		}
 	}
-	for n.from < len(n.All) && (n.All[n.from].Answered || n.All[n.from].Left) {
+	for n.from < len(n.All) && (n.All[n.from].Answered || n.All[n.from].Cancelled) {
 		n.from++
 	}
 	for _, name := range n.Names {
@@ -197,10 +197,10 @@
 	}
 	n.WaitTime += every
 	for _, e := range n.Engines {
-		if e.Phase != "SERVING" || e.Silent() {
+		if e.Phase != "SERVING" || e.Unreachable() {
 			continue
 		}
-		if _, cores, _, _ := e.Load(n.Now); cores < 1-1.0/e.Cores {
+		if _, cores, _, _ := e.LoadReport(n.Now); cores < 1-1.0/e.Cores {
 			n.IdleTime += every
 			break
 		}
@@ -208,15 +208,15 @@
 }
 
 // Ask has a team ask for one query of a kind.
-func (n *Night) Ask(team string, k Kind, plan float64) *world.Asked {
+func (n *Night) Ask(team string, k Kind, plan float64) *world.Query {
 	c := n.conns[team]
-	if c == nil || c.Gone {
+	if c == nil || c.Closed {
 		c = n.Connect(team, Home)
 		n.conns[team] = c
 	}
 	n.serial++
 	id := fmt.Sprintf("%016x", uint64(n.serial)<<20|n.rng.Uint64()&0xfffff)
-	w := engine.Work{Threads: k.Threads, MemoryMB: k.MemoryMB, Tables: int64(n.rng.IntN(200)), Load: k.Load, Rows: k.Rows, Plan: plan}
+	w := engine.Work{Threads: k.Threads, MemoryMB: k.MemoryMB, TableGroup: int64(n.rng.IntN(200)), Load: k.Load, Rows: k.Rows, PlanFactor: plan}
 	w.CPU = time.Duration(float64(k.CPU) * math.Exp(n.rng.NormFloat64()*k.Spread-k.Spread*k.Spread/2))
 	w.Disk = time.Duration(float64(w.CPU) / k.Threads * k.Disk)
 	key := ""
@@ -227,7 +227,7 @@
 	if n.fair {
 		more = append(more, "tell", "1")
 	}
-	a := c.Ask(id, k.Name, key, k.Patience, w, more...)
+	a := c.Submit(id, k.Name, key, k.Patience, w, more...)
 	n.All = append(n.All, a)
 	return a
 }
@@ -268,9 +268,9 @@
 			p = plan()
 		}
 		n.Ask(team, n.kind(), p)
-		n.After(time.Duration(n.rng.ExpFloat64()*mean*float64(time.Second)), next)
+		n.ScheduleAfter(time.Duration(n.rng.ExpFloat64()*mean*float64(time.Second)), next)
 	}
-	n.At(from+time.Duration(n.rng.ExpFloat64()*mean*float64(time.Second)), next)
+	n.Schedule(from+time.Duration(n.rng.ExpFloat64()*mean*float64(time.Second)), next)
 }
 
 // holds: an estimate is within a fifth of the wait, or 25 ms of a short one.
@@ -291,10 +291,10 @@
 func (t Told) Share() float64 { return float64(t.Within) / float64(max(1, t.Of)) }
 
 // Estimates compares first estimates with waits had, of those that started.
-func (n *Night) Estimates(of func(a *world.Asked) bool) (t Told) {
+func (n *Night) Estimates(of func(a *world.Query) bool) (t Told) {
 	var waits []time.Duration
 	for _, a := range n.All {
-		if a.At >= nightLong || of != nil && !of(a) { // load goes on until those counted have started
+		if a.SubmittedAt >= nightLong || of != nil && !of(a) { // load goes on until those counted have started
 			continue
 		}
 		if a.Answered {
@@ -307,10 +307,10 @@
 				t.Killed++
 			}
 		}
-		if a.Started < 0 {
+		if a.StartedAt < 0 {
 			continue
 		}
-		had, told := a.Started-a.At, max(0, a.Told)
+		had, told := a.StartedAt-a.SubmittedAt, max(0, a.FirstWait)
 		waits = append(waits, had)
 		t.Of++
 		if holds(told, had) {
@@ -333,7 +333,7 @@
 func (n *Night) Jain(from, to time.Duration) float64 {
 	used := map[string]float64{}
 	for _, a := range n.All {
-		if a.Started >= from && a.Started < to {
+		if a.StartedAt >= from && a.StartedAt < to {
 			used[a.Team] += a.Work.CPU.Seconds()
 		}
 	}
@@ -366,7 +366,7 @@
 		{name: "alert", play: func(n *Night) {
 			each(n, 0.5, 0, nightLong, nil)
 			for at := 5 * time.Second; at < nightLong; at += 12 * time.Second {
-				n.At(at, func() {
+				n.Schedule(at, func() {
 					for i, name := range n.Names { // all at once, over a third of a second
 						n.Stream(name, 9*n.Shares[i], n.Now, n.Now+time.Second/3, nil)
 					}
@@ -383,7 +383,7 @@
 		}},
 		{name: "enginelost", beat: true, play: func(n *Night) {
 			each(n, 1.1, 0, nightLong+fairqueue.DefaultAgeingLimit, nil)
-			n.At(15*time.Second, func() { n.Engines[0].Crash(30 * time.Second) })
+			n.Schedule(15*time.Second, func() { n.Engines[0].Crash(30 * time.Second) })
 		}},
 	}
 }
@@ -400,13 +400,13 @@
 	for _, p := range patterns() {
 		n := NewNight(seed, engines, Usual(), Teams(), shape(), nil)
 		p.play(n)
-		n.Until(nightLong + 20*time.Second)
+		n.RunUntil(nightLong + 20*time.Second)
 		faults = append(faults, n.History.Done(n.Now)...)
 		t := n.Estimates(nil)
 		fmt.Fprintf(out, "%-11s started %5d within20 %.3f finished %5d deferred %5d killed %d wait p99 %.2fs gap %.2fs idle while waiting %.4f\n",
 			p.name, t.Of, t.Share(), t.Finished, t.Deferred, t.Killed, t.P99.Seconds(), n.MaxGap.Seconds(), ratio(n.IdleTime, n.WaitTime))
 		for _, k := range n.Kinds {
-			t := n.Estimates(func(a *world.Asked) bool { return a.Group == k.Name })
+			t := n.Estimates(func(a *world.Query) bool { return a.Group == k.Name })
 			fmt.Fprintf(out, "  %-9s started %5d within20 %.3f deferred %5d wait p99 %.2fs\n", k.Name, t.Of, t.Share(), t.Deferred, t.P99.Seconds())
 		}
 		if detail {
@@ -426,7 +426,7 @@
 		for _, name := range n.Names { // all alike, whatever their weights: far more than any share
 			n.Stream(name, 4.0/float64(len(n.Names)), 0, 45*time.Second, nil)
 		}
-		n.Until(60 * time.Second)
+		n.RunUntil(60 * time.Second)
 		faults = append(faults, n.History.Done(n.Now)...)
 		jain[i] = n.Jain(10*time.Second, 45*time.Second)
 	}
@@ -440,13 +440,13 @@
 				n.Stream(name, 0.9*n.Shares[k], 0, 30*time.Second, nil)
 			}
 			for at := 2 * time.Second; at < 30*time.Second; at += 12 * time.Second { // one at a time
-				n.At(at, func() { n.Ask(n.Names[0], n.Kinds[1], plan) })
+				n.Schedule(at, func() { n.Ask(n.Names[0], n.Kinds[1], plan) })
 			}
-			n.Until(45 * time.Second)
+			n.RunUntil(45 * time.Second)
 			faults = append(faults, n.History.Done(n.Now)...)
 			for _, a := range n.All {
-				if a.Started >= 0 && a.Team != n.Names[0] {
-					waits = append(waits, a.Started-a.At)
+				if a.StartedAt >= 0 && a.Team != n.Names[0] {
+					waits = append(waits, a.StartedAt-a.SubmittedAt)
 				}
 			}
 		}
@@ -474,11 +474,11 @@
 		var shortOK, shortOff, longOK, under, over int
 		when := map[string]int{}
 		for _, a := range n.All {
-			if a.Group != k.Name || a.Started < 0 || a.At >= nightLong {
+			if a.Group != k.Name || a.StartedAt < 0 || a.SubmittedAt >= nightLong {
 				continue
 			}
-			had, told := a.Started-a.At, max(0, a.Told)
-			at := int(a.At/(2*time.Second)) * 2
+			had, told := a.StartedAt-a.SubmittedAt, max(0, a.FirstWait)
+			at := int(a.SubmittedAt/(2*time.Second)) * 2
 			switch off := had - told; {
 			case had < 125*time.Millisecond && off.Abs() <= 25*time.Millisecond:
 				shortOK++
--- a/internal/bench/fairness_test.go
+++ b/internal/bench/fairness_test.go
@@ -30,7 +30,7 @@
 }
 
 func (n *Night) over(t interface{ Fatalf(string, ...any) }, end time.Duration) {
-	n.Until(end)
+	n.RunUntil(end)
 	if faults := n.History.Done(n.Now); len(faults) > 0 {
 		t.Fatalf("%d rules broken, first: %s", len(faults), faults[0])
 	}
@@ -54,37 +54,37 @@
 			team := rapid.SampledFrom(n.Names).Draw(t, "team")
 			switch rapid.IntRange(0, 6).Draw(t, "what") {
 			case 0:
-				n.At(at, func() { e.Crash(2 * time.Second) })
+				n.Schedule(at, func() { e.Crash(2 * time.Second) })
 			case 1:
-				n.At(at, func() { e.Stall(700 * time.Millisecond) })
+				n.Schedule(at, func() { e.Stall(700 * time.Millisecond) })
 			case 2:
-				n.At(at, func() {
-					e.Vanish()
-					n.After(3*time.Second, func() { n.Tell(e, "DELETED") })
+				n.Schedule(at, func() {
+					e.MakeUnreachable()
+					n.ScheduleAfter(3*time.Second, func() { n.SetPhase(e, "DELETED") })
 				})
 			case 3:
-				n.At(at, func() {
-					n.Tell(e, "DRAINING")
-					n.After(2*time.Second, func() { n.Tell(e, "SERVING") })
+				n.Schedule(at, func() {
+					n.SetPhase(e, "DRAINING")
+					n.ScheduleAfter(2*time.Second, func() { n.SetPhase(e, "SERVING") })
 				})
 			case 4:
-				n.At(at, func() {
-					if c := n.conns[team]; c != nil && !c.Gone {
-						c.Drop()
+				n.Schedule(at, func() {
+					if c := n.conns[team]; c != nil && !c.Closed {
+						c.Disconnect()
 					}
 				})
 			case 5:
-				n.At(at, func() {
+				n.Schedule(at, func() {
 					for i, a := range n.All[max(0, len(n.All)-50):] {
 						if c := n.conns[a.Team]; i%2 == 0 && c != nil {
-							c.Leave(a)
+							c.Cancel(a)
 						}
 					}
 				})
 			case 6:
-				n.At(at, func() {
+				n.Schedule(at, func() {
 					n.Reload(&fairqueue.Config{Tenants: Teams()[1:], TrustedAddresses: []netip.Prefix{netip.MustParsePrefix("10.0.0.0/8")}})
-					n.After(time.Second, func() {
+					n.ScheduleAfter(time.Second, func() {
 						n.Reload(&fairqueue.Config{Tenants: Teams(), TrustedAddresses: []netip.Prefix{netip.MustParsePrefix("10.0.0.0/8")}})
 					})
 				})
@@ -103,11 +103,11 @@
 		for i, name := range n.Names {
 			n.Stream(name, 1.2*n.Shares[i], 0, 4*time.Second, nil)
 		}
-		n.At(2*time.Second, func() { n.Engines[1].Crash(time.Second) })
+		n.Schedule(2*time.Second, func() { n.Engines[1].Crash(time.Second) })
 		n.over(t, 20*time.Second)
 		text := ""
 		for _, a := range n.All {
-			text += fmt.Sprintln(a.ID, a.At, a.Told, a.Started, a.Over, a.Answer, a.Pause)
+			text += fmt.Sprintln(a.ID, a.SubmittedAt, a.FirstWait, a.StartedAt, a.EndedAt, a.Answer, a.RetryAfter)
 		}
 		return text
 	}
@@ -126,7 +126,7 @@
 			n.Stream("flood", flood, 0, 15*time.Second, nil)
 		}
 		n.over(t, 40*time.Second)
-		finished := n.Estimates(func(a *world.Asked) bool { return a.Team != "flood" })
+		finished := n.Estimates(func(a *world.Query) bool { return a.Team != "flood" })
 		if finished.Deferred+finished.Killed > finished.Finished/20 {
 			t.Fatalf("of the others %d were finished and %d not", finished.Finished, finished.Deferred+finished.Killed)
 		}
@@ -141,23 +141,23 @@
 func TestABadPlanHogsAnEngine(t *testing.T) {
 	n := NewNight(5, 2, Usual(), flat("a", "b"), shape(), nil)
 	n.Stream("b", 0.85, 0, 12*time.Second, nil)
-	var bad *world.Asked
-	n.At(2*time.Second, func() { bad = n.Ask("a", n.Kinds[1], 20) })
-	n.At(4*time.Second, func() {
+	var bad *world.Query
+	n.Schedule(2*time.Second, func() { bad = n.Ask("a", n.Kinds[1], 20) })
+	n.Schedule(4*time.Second, func() {
 		for range 10 { // somebody waits
 			n.Ask("b", n.Kinds[1], 1)
 		}
 	})
 	lowered := false
 	for at := 3 * time.Second; at < 10*time.Second; at += 100 * time.Millisecond {
-		n.At(at, func() {
+		n.Schedule(at, func() {
 			for _, e := range n.Engines {
-				lowered = lowered || e.Calls["PUT"] > 0
+				lowered = lowered || e.RequestCounts["PUT"] > 0
 			}
 		})
 	}
 	n.over(t, 40*time.Second)
-	if bad.Started < 0 || !lowered {
+	if bad.StartedAt < 0 || !lowered {
 		t.Fatal("its priority was never lowered")
 	}
 }
@@ -167,9 +167,9 @@
 	for i, name := range n.Names {
 		n.Stream(name, 0.8*n.Shares[i], 0, 20*time.Second, nil)
 	}
-	n.At(8*time.Second, func() { n.Engines[0].Crash(20 * time.Second) })
+	n.Schedule(8*time.Second, func() { n.Engines[0].Crash(20 * time.Second) })
 	n.over(t, 50*time.Second)
-	late := n.Estimates(func(a *world.Asked) bool { return a.At > 10*time.Second })
+	late := n.Estimates(func(a *world.Query) bool { return a.SubmittedAt > 10*time.Second })
 	if late.Finished < 100 || late.Deferred == 0 {
 		t.Fatalf("after the loss %d were finished, %d deferred", late.Finished, late.Deferred)
 	}
@@ -181,11 +181,11 @@
 // crowd has so many reports wait at once.
 func crowd(t *testing.T, seed uint64, count int) *Night {
 	n := NewNight(seed, 1, Usual(), flat("a", "b"), shape(), nil)
-	n.Until(100 * time.Millisecond)
+	n.RunUntil(100 * time.Millisecond)
 	for i := range count {
 		n.Ask(n.Names[i%2], n.Kinds[1], 1)
 	}
-	n.Until(n.Now + 50*time.Millisecond)
+	n.RunUntil(n.Now + 50*time.Millisecond)
 	return n
 }
 
@@ -194,10 +194,10 @@
 	deferred, last := 0, time.Duration(0)
 	for _, a := range n.All {
 		if a.Answered && a.Answer == client.Deferred {
-			if deferred++; a.Over > a.At+20*time.Millisecond {
-				t.Fatalf("held for %v before it was deferred", a.Over-a.At)
+			if deferred++; a.EndedAt > a.SubmittedAt+20*time.Millisecond {
+				t.Fatalf("held for %v before it was deferred", a.EndedAt-a.SubmittedAt)
 			}
-			last = a.Pause
+			last = a.RetryAfter
 		}
 	}
 	if deferred < 20 || last < 4*time.Second || last > 20*time.Second {
@@ -210,24 +210,24 @@
 	n := crowd(t, 4, 60)
 	gone := 0
 	for _, a := range n.All {
-		if a.Team == "a" && a.Started < 0 && !a.Answered {
-			n.conns["a"].Leave(a)
+		if a.Team == "a" && a.StartedAt < 0 && !a.Answered {
+			n.conns["a"].Cancel(a)
 			gone++
 		}
 	}
-	n.Until(n.Now + time.Millisecond)
-	n.conns["b"].Drop()
+	n.RunUntil(n.Now + time.Millisecond)
+	n.conns["b"].Disconnect()
 	n.over(t, 30*time.Second)
 	if gone < 5 {
 		t.Fatalf("only %d waited", gone)
 	}
 	for _, a := range n.All {
-		if a.Left && a.Started > n.All[0].At+time.Second {
+		if a.Cancelled && a.StartedAt > n.All[0].SubmittedAt+time.Second {
 			t.Fatal("started for nobody")
 		}
 	}
 	teams := 0
-	n.R.EachTenant(func(_ string, waiting int, _ fairqueue.Counts) { teams += waiting })
+	n.Controller.EachTenant(func(_ string, waiting int, _ fairqueue.Counts) { teams += waiting })
 	if teams != 0 {
 		t.Fatalf("%d still wait", teams)
 	}
@@ -236,31 +236,31 @@
 func TestShutdownWithAFullQueue(t *testing.T) {
 	n := crowd(t, 4, 60)
 	n.Stop()
-	n.Until(n.Now + time.Second)
+	n.RunUntil(n.Now + time.Second)
 	for _, a := range n.All {
-		if !a.Answered && a.Started < 0 {
+		if !a.Answered && a.StartedAt < 0 {
 			t.Fatal("one still waits after the word to stop")
 		}
 	}
 	n.over(t, 40*time.Second)
-	if !n.Quit {
+	if !n.Exited {
 		t.Fatal("no end")
 	}
 }
 
 func TestAWaitIsToldAgainWhenItChanges(t *testing.T) {
 	n := crowd(t, 4, 40)
-	n.At(n.Now+200*time.Millisecond, func() {
+	n.Schedule(n.Now+200*time.Millisecond, func() {
 		for _, a := range n.All {
 			if a.Team == "a" {
-				n.conns["a"].Leave(a)
+				n.conns["a"].Cancel(a)
 			}
 		}
 	})
 	n.over(t, 30*time.Second)
 	again := 0
 	for _, a := range n.All {
-		if a.Team == "b" && a.Tells > 1 {
+		if a.Team == "b" && a.WaitNotices > 1 {
 			again++
 		}
 	}
@@ -271,17 +271,17 @@
 
 func TestARepeatIsKnownByItsField(t *testing.T) {
 	n := crowd(t, 4, 150)
-	var first *world.Asked
+	var first *world.Query
 	for _, a := range n.All {
 		if a.Answered && a.Answer == client.Deferred {
 			first = a
 		}
 	}
-	n.Until(n.Now + 2*time.Second)
+	n.RunUntil(n.Now + 2*time.Second)
 	c := n.conns[first.Team]
-	c.Ask("00000000000000ff", first.Group, "", 12*time.Second, first.Work, "team", first.Team, "first", first.ID)
+	c.Submit("00000000000000ff", first.Group, "", 12*time.Second, first.Work, "team", first.Team, "first", first.ID)
 	repeats := 0
-	n.R.EachTenant(func(_ string, _ int, x fairqueue.Counts) { repeats += x.Repeated })
+	n.Controller.EachTenant(func(_ string, _ int, x fairqueue.Counts) { repeats += x.Repeated })
 	if repeats != 1 {
 		t.Fatalf("%d repeats were known", repeats)
 	}
@@ -297,7 +297,7 @@
 	}
 	n.over(t, 40*time.Second)
 	for _, a := range n.All {
-		if a.Told >= 0 {
+		if a.FirstWait >= 0 {
 			t.Fatal("a wait was told")
 		}
 	}
--- a/internal/bench/fleet.go
+++ b/internal/bench/fleet.go
@@ -112,8 +112,8 @@
 	f := &fleetRun{FleetDay: d, rng: rand.New(rand.NewPCG(d.Seed, 22)), byAddr: map[string]*fleetEngine{}, byID: map[string]*fleetController{}}
 	f.out.Took = map[string]int{}
 	kinds := Usual()
-	figures := engine.Usual()
-	figures.Disks = 16
+	figures := engine.DefaultConfig()
+	figures.DiskParallelism = 16
 	f.facts = Facts(kinds, figures)
 	f.facts["gateways"] = strconv.Itoa(d.Controllers)
 	for k, v := range d.Facts {
@@ -128,7 +128,7 @@
 		f.told = append(f.told, fleetTold{}) // the whole list is one event; those of one engine follow
 	}
 	f.told = f.told[:1]
-	f.log.Tell(true, list...)
+	f.log.Append(true, list...)
 	for n := range d.Controllers {
 		f.start(n)
 	}
--- a/internal/bench/fleet_controllers.go
+++ b/internal/bench/fleet_controllers.go
@@ -28,11 +28,11 @@
 	fed     int
 	client  *fleetEnd
 	in      []byte
-	open    map[uint32]*world.Asked
+	open    map[uint32]*world.Query
 	ways    []*fleetWay
 }
 
-func (c *fleetController) asked(id string) *world.Asked {
+func (c *fleetController) asked(id string) *world.Query {
 	for _, a := range c.open {
 		if a.ID == id {
 			return a
@@ -42,7 +42,7 @@
 }
 
 func (f *fleetRun) start(n int) {
-	c := &fleetController{fleetRun: f, n: n, ends: map[*controller.Connection]*fleetEnd{}, open: map[uint32]*world.Asked{}, stalled: -1, fed: f.log.Last()}
+	c := &fleetController{fleetRun: f, n: n, ends: map[*controller.Connection]*fleetEnd{}, open: map[uint32]*world.Query{}, stalled: -1, fed: f.log.LastEvent()}
 	facts := map[string]string{}
 	for k, v := range f.facts {
 		facts[k] = v
@@ -59,7 +59,7 @@
 		c.ways = append(c.ways, &fleetWay{delay: time.Duration(100+f.rng.IntN(2000)) * time.Microsecond})
 	}
 	f.all = append(f.all, c)
-	r, effects := controller.New(controller.Config{Seed: f.rng.Uint64(), MemoryMB: 256, MaxDescriptors: 512, DiscoveryAddress: "feed", InitialEndpoints: f.log.Known(), Settings: facts,
+	r, effects := controller.New(controller.Config{Seed: f.rng.Uint64(), MemoryMB: 256, MaxDescriptors: 512, DiscoveryAddress: "feed", InitialEndpoints: f.log.ConfigurationJSON(), Settings: facts,
 		StartedAt: time.UnixMilli(fleetEpoch), ClientLimits: []controller.ClientLimits{{Prefixes: Homes, MaxOpenQueries: 100_000, MaxMessagesPerSweep: 100_000, IdleTimeout: time.Minute}}})
 	c.r = r
 	c.perform(effects)
@@ -98,7 +98,7 @@
 		}
 		msg++
 		id := fmt.Sprintf("%04x%012x", c.n, msg)
-		work := engine.Work{Threads: k.Threads, MemoryMB: k.MemoryMB, Tables: int64(c.rng.IntN(20)), Load: k.Load, Rows: k.Rows}
+		work := engine.Work{Threads: k.Threads, MemoryMB: k.MemoryMB, TableGroup: int64(c.rng.IntN(20)), Load: k.Load, Rows: k.Rows}
 		work.CPU = time.Duration(float64(k.CPU) * math.Exp(c.rng.NormFloat64()*k.Spread-k.Spread*k.Spread/2))
 		work.Disk = time.Duration(float64(work.CPU) / k.Threads * k.Disk)
 		patience := k.Patience/2 + time.Duration(c.rng.Int64N(int64(k.Patience/2)))
@@ -112,15 +112,15 @@
 		}
 		m := msg
 		c.fleetRun.at(at, func() {
-			a := &world.Asked{ID: id, Group: k.Name, Msg: m, At: c.now, Until: c.now + patience, Work: work}
+			a := &world.Query{ID: id, Group: k.Name, Msg: m, SubmittedAt: c.now, Deadline: c.now + patience, Work: work}
 			c.open[m], c.byID[id] = a, c
 			c.out.Asked++
 			c.connects()
 			end := c.client
-			p := client.Call(nil, m, k.Name, engine.Statement(work), fields...)
+			p := client.AppendQuery(nil, m, k.Name, engine.Statement(work), fields...)
 			c.deliver(func() {
 				// taken once it is read: a patience that passed while it stood still is the client's
-				c.history.Asked(c.now, id, k.Name, key, max(a.Until, c.now)+c.stood(a.At))
+				c.history.Asked(c.now, id, k.Name, key, max(a.Deadline, c.now)+c.stood(a.SubmittedAt))
 				began := time.Now()
 				c.gets(end, p)
 				c.out.Arrivals += time.Since(began)
@@ -175,7 +175,7 @@
 				c.hears(p)
 			} else if !e.up {
 				e.up = true
-				n, _ := feed.Asked(p)
+				n, _ := feed.ParseSubscription(p)
 				c.fed, c.feed = min(n, c.fed), e
 				c.follows(e, c.Lag/4)
 				c.beat(e)
@@ -212,7 +212,7 @@
 			return
 		}
 		c.in = bytes.Clone(c.in[n:])
-		if ans.Kind == client.Told {
+		if ans.Kind == client.WaitNotice {
 			continue
 		}
 		a := c.open[ans.Msg]
@@ -224,9 +224,9 @@
 		delete(c.open, ans.Msg)
 		at := c.now
 		if c.now-c.stalled < 50*time.Millisecond { // nothing can be answered while it stands still
-			at = min(at, a.Until)
+			at = min(at, a.Deadline)
 		}
-		c.history.Answered(at, a.ID, historycheck.Answer(ans.Kind), ans.Rows, world.Rows(a))
+		c.history.Answered(at, a.ID, historycheck.Answer(ans.Kind), ans.Rows, world.ExpectedRows(a))
 	}
 }
 
--- a/internal/bench/fleet_engines.go
+++ b/internal/bench/fleet_engines.go
@@ -29,17 +29,17 @@
 const coldSlack = 0.15
 
 func (f *fleetRun) add(place int, cold bool) *fleetEngine {
-	figures := engine.Usual()
-	figures.Disks = 16
+	figures := engine.DefaultConfig()
+	figures.DiskParallelism = 16
 	e := &fleetEngine{Server: engine.NewServer(engine.NewModel(figures, f.now, cold)), f: f, place: place, wakeAt: -1, cold: -1,
 		untaken: map[string]*bool{}, toldTo: map[int]bool{}}
 	at := strings.Split(f.facts["locations"], ",")
 	e.Engine = feed.Engine{ID: fmt.Sprintf("e%d", len(f.engines)), HostPort: fmt.Sprintf("10.0.%d.%d:6565", place/200, place%200+1),
 		Locality: at[place%len(at)], Flavor: "std", Cell: place, Phase: "SERVING", Size: 1}
 	if cold {
-		e.cold, e.Up = f.now, fleetEpoch+f.now.Milliseconds()
+		e.cold, e.UpSinceMs = f.now, fleetEpoch+f.now.Milliseconds()
 	}
-	e.Posted = func(id, _ string, _ int, at time.Duration) {
+	e.OnSubmit = func(id, _ string, _ int, at time.Duration) {
 		f.say("%s begins at %s", id, e.ID)
 		if c := f.byID[id]; c != nil {
 			c.history.Began(at, id, e.ID)
@@ -48,10 +48,10 @@
 			}
 		}
 	}
-	e.Ended = func(id string, as engine.Outcome, at time.Duration) {
+	e.OnEnd = func(id string, as engine.Outcome, at time.Duration) {
 		f.say("%s ended at %s: %d", id, e.ID, as)
 		if c := f.byID[id]; c != nil {
-			c.history.Ended(at, id, e.ID, as == engine.Good)
+			c.history.Ended(at, id, e.ID, as == engine.Succeeded)
 		}
 	}
 	f.engines = append(f.engines, e)
@@ -68,7 +68,7 @@
 	f := e.f
 	switch method {
 	case "POST":
-		if f.now < e.sluggish && !e.Silent() {
+		if f.now < e.sluggish && !e.Unreachable() {
 			taken := new(bool)
 			e.untaken[id] = taken
 			f.say("%s lies at %s", id, e.ID)
@@ -85,11 +85,11 @@
 		e.takes(c, from, id, p)
 		return
 	case "DELETE":
-		if !e.Silent() {
+		if !e.Unreachable() {
 			delete(e.untaken, id)
 		}
 	}
-	e.Got(f.now, from.conn, p)
+	e.Receive(f.now, from.conn, p)
 	e.wake()
 }
 
@@ -104,9 +104,9 @@
 	if e.cold >= 0 {
 		e.counts(c, p)
 	}
-	e.Got(f.now, conn, p)
+	e.Receive(f.now, conn, p)
 	if from.gone {
-		e.Server.Gone(conn)
+		e.Server.Disconnected(conn)
 	}
 	e.wake()
 }
@@ -120,7 +120,7 @@
 		return
 	}
 	_, body, _ := bytes.Cut(p, []byte("\r\n\r\n"))
-	work := e.Cost("", body).CPU.Seconds()
+	work := e.ParseWork("", body).CPU.Seconds()
 	e.sent = append(e.sent, fleetSent{f.now, work, e.toldTo[c.n]})
 	f.out.ColdWork += work
 	for e.sent[0].at <= f.now-window {
@@ -157,7 +157,7 @@
 }
 
 func (e *fleetEngine) wake() {
-	at, ok := e.Next()
+	at, ok := e.NextDue()
 	if !ok || e.wakeAt >= 0 && e.wakeAt <= at {
 		return
 	}
@@ -165,7 +165,7 @@
 	e.f.at(at, func() {
 		if e.wakeAt == at {
 			e.wakeAt = -1
-			e.Due(e.f.now)
+			e.ProcessDue(e.f.now)
 			e.wake()
 		}
 	})
@@ -174,8 +174,8 @@
 // tell adds an event to the list; each controller hears of it in its own time, at times twice.
 func (f *fleetRun) tell(e *fleetEngine, phase string) {
 	e.Phase = phase
-	f.log.Tell(false, e.Engine)
-	f.told = append(f.told, fleetTold{e, phase == "SERVING", e.Up})
+	f.log.Append(false, e.Engine)
+	f.told = append(f.told, fleetTold{e, phase == "SERVING", e.UpSinceMs})
 	for _, c := range f.all {
 		f.after(time.Duration(f.rng.Int64N(int64(f.Lag)+1)), func() {
 			if c.feed != nil && !c.feed.gone {
@@ -193,7 +193,7 @@
 
 // back: a new and cold process is there; the list tells late.
 func (e *fleetEngine) back() {
-	e.down, e.cold, e.Up = false, e.f.now, fleetEpoch+e.f.now.Milliseconds()
+	e.down, e.cold, e.UpSinceMs = false, e.f.now, fleetEpoch+e.f.now.Milliseconds()
 	e.toldTo, e.sent = map[int]bool{}, nil
 	e.Restart(e.f.now)
 	e.f.tell(e, "SERVING")
--- a/internal/bench/fleet_faults.go
+++ b/internal/bench/fleet_faults.go
@@ -41,25 +41,25 @@
 	case "storm":
 		for range 1 + int(i.For/(200*time.Millisecond)) {
 			f.after(time.Duration(f.rng.Int64N(int64(i.For))), func() {
-				if !e.down && !e.Silent() && !e.dead {
+				if !e.down && !e.Unreachable() && !e.dead {
 					e.Reset(f.now, false)
 				}
 			})
 		}
 	case "vanish":
-		if !e.down && !e.Silent() {
-			e.Silence(f.now, true)
+		if !e.down && !e.Unreachable() {
+			e.SetUnreachable(f.now, true)
 			var goes func()
 			goes = func() { // what it has runs on, and is forgotten unasked
-				if e.Advance(f.now); e.Silent() {
+				if e.Advance(f.now); e.Unreachable() {
 					f.after(20*time.Millisecond, goes)
 				}
 			}
 			goes()
 			f.after(i.For, func() {
 				if !e.dead && !e.down {
-					e.Silence(f.now, false)
-					e.Due(f.now)
+					e.SetUnreachable(f.now, false)
+					e.ProcessDue(f.now)
 					e.wake()
 				}
 			})
--- a/internal/bench/fleet_network.go
+++ b/internal/bench/fleet_network.go
@@ -49,7 +49,7 @@
 	e.gone = true
 	delete(c.ends, e.link)
 	if e.conn != nil {
-		e.way.pass(func() bool { return true }, func() { e.e.Server.Gone(e.conn) })
+		e.way.pass(func() bool { return true }, func() { e.e.Server.Disconnected(e.conn) })
 	}
 	c.event(controller.Event{Kind: controller.ConnectionClosed, Connection: e.link})
 }
@@ -88,7 +88,7 @@
 	}
 	way := c.ways[to.place]
 	switch {
-	case to.Silent() || way.cut > 0:
+	case to.Unreachable() || way.cut > 0:
 		fail(controller.ConnectTimedOut, within)
 		return
 	case to.down:
@@ -187,14 +187,14 @@
 		if from > 0 && c.rng.IntN(3) == 0 {
 			from-- // doubled
 		}
-		lines, since := c.log.Since(from), c.fed
-		c.fed = c.log.Last()
+		lines, since := c.log.EventsSince(from), c.fed
+		c.fed = c.log.LastEvent()
 		last := c.fed
 		c.deliver(func() {
 			for n := since; n < last; n++ {
 				if t := c.told[n]; t.e != nil {
 					c.history.State(c.now, t.e.ID, t.on)
-					if t.up == t.e.Up && t.on {
+					if t.up == t.e.UpSinceMs && t.on {
 						t.e.toldTo[c.n] = true
 					}
 				}
--- a/internal/bench/many.go
+++ b/internal/bench/many.go
@@ -127,7 +127,7 @@
 		return "", nil, err
 	}
 	var list feed.Log
-	list.Tell(true, feed.Engine{ID: "e0", HostPort: e.Addr().String(), Locality: "here", Flavor: "std", Cell: 1, Phase: "SERVING", Size: 1})
+	list.Append(true, feed.Engine{ID: "e0", HostPort: e.Addr().String(), Locality: "here", Flavor: "std", Cell: 1, Phase: "SERVING", Size: 1})
 	f, err := feed.Listen(ctx, "127.0.0.1:0", &list)
 	if err != nil {
 		e.Close()
--- a/internal/bench/relays_faults_test.go
+++ b/internal/bench/relays_faults_test.go
@@ -205,9 +205,9 @@
 	relay, other, leader, p := f.relays[0], f.relays[1], f.leading(), f.controllers[0]
 	f.cutFromVoters(p)
 	f.cut(p, other)
-	f.mesh.Set(leader.name, relay.name, faultproxy.Fault{Kind: faultproxy.Delay, Way: faultproxy.There, By: late})
+	f.mesh.SetFault(leader.name, relay.name, faultproxy.Fault{Kind: faultproxy.Delay, Direction: faultproxy.ToTarget, Latency: late})
 	f.pastLease()
-	f.mesh.Set(relay.name, leader.name, faultproxy.Fault{Kind: faultproxy.Cut, Silent: true})
+	f.mesh.SetFault(relay.name, leader.name, faultproxy.Fault{Kind: faultproxy.Cut, Silent: true})
 	time.Sleep(2 * late) // one answer may have waited for the one before it
 	f.cut(relay, leader)
 	f.changes(f.asker())
@@ -233,8 +233,8 @@
 	time.Sleep(relayedSlack) // queries that the controller holds must not be sent by the version before
 	for _, m := range f.members {
 		if m != p {
-			f.mesh.Set(relay.name, m.name, faultproxy.Fault{})
-			f.mesh.Set(m.name, relay.name, faultproxy.Fault{})
+			f.mesh.SetFault(relay.name, m.name, faultproxy.Fault{})
+			f.mesh.SetFault(m.name, relay.name, faultproxy.Fault{})
 		}
 	}
 	f.serveAll()
@@ -247,7 +247,7 @@
 func grantsLate(f *relayed) {
 	const late = 400 * time.Millisecond
 	p := f.controllers[0]
-	f.mesh.Set("", p.name, faultproxy.Fault{Kind: faultproxy.Delay, Way: faultproxy.There, By: late})
+	f.mesh.SetFault("", p.name, faultproxy.Fault{Kind: faultproxy.Delay, Direction: faultproxy.ToTarget, Latency: late})
 	begin := time.Now()
 	f.pastLease() // what was granted before is over
 	f.changes(f.asker())
@@ -275,7 +275,7 @@
 	}
 	before := refused()
 	for _, relay := range f.relays {
-		f.mesh.Set(relay.name, "", faultproxy.Fault{Kind: faultproxy.Double})
+		f.mesh.SetFault(relay.name, "", faultproxy.Fault{Kind: faultproxy.Duplicate})
 	}
 	f.awaits("replays of grants that are refused", func() bool { return refused() > before })
 	f.changes(f.asker())
@@ -330,8 +330,8 @@
 
 	again := f.anotherRun(old, secondRun)
 	f.must(os.CopyFS(f.path(again.name+"-fleet"), os.DirFS(f.path(old.name+"-fleet"))))
-	f.mesh.Target(old.name, again.listen)
-	f.mesh.Set("", old.name, faultproxy.Fault{Kind: faultproxy.Reset}) // what is connected goes to the new run from now on
+	f.mesh.SetTarget(old.name, again.listen)
+	f.mesh.SetFault("", old.name, faultproxy.Fault{Kind: faultproxy.Reset}) // what is connected goes to the new run from now on
 	f.must(f.begin(again))
 	f.relays[0] = again
 	f.serveAll()
--- a/internal/bench/relays_fleet_test.go
+++ b/internal/bench/relays_fleet_test.go
@@ -148,9 +148,9 @@
 	f.t.Helper()
 	p := &process{name: name, site: "east"}
 	f.place(p, name, firstRun)
-	f.mesh.Target(name, p.listen)
+	f.mesh.SetTarget(name, p.listen)
 	var err error
-	p.peer, err = f.mesh.Front(name)
+	p.peer, err = f.mesh.SharedAddress(name)
 	f.must(err)
 	p.log, err = os.Create(f.path(name + ".log"))
 	f.must(err)
@@ -177,7 +177,7 @@
 // place gives a run of a process its addresses, where the mesh knows it by its name.
 func (f *relayed) place(p *process, name string, run int) {
 	ports := portsFrom + os.Getpid()%portBlocks*portBlock + run*portsOfARun
-	at := func(port int) string { return net.JoinHostPort(f.mesh.Source(name), strconv.Itoa(ports+port)) }
+	at := func(port int) string { return net.JoinHostPort(f.mesh.SourceAddress(name), strconv.Itoa(ports+port)) }
 	p.listen, p.address, p.control = at(peersPort), at(clientsPort), at(operatorPort)
 }
 
@@ -342,8 +342,8 @@
 	f.awaits(a.ID+" under way", func() bool { return f.heldBy(leader, a.ID, held.name) || f.hasWord(a.ID) })
 	strike()
 	struck = slices.ContainsFunc(f.voters, func(p *process) bool { return f.isUnderWay(p, a.ID) })
-	f.mesh.Set(held.name, "", faultproxy.Fault{})
-	f.mesh.Set("", held.name, faultproxy.Fault{})
+	f.mesh.SetFault(held.name, "", faultproxy.Fault{})
+	f.mesh.SetFault("", held.name, faultproxy.Fault{})
 	<-asked
 	f.comesInForce(f.asker(), a)
 	return struck
--- a/internal/bench/relays_hollow_test.go
+++ b/internal/bench/relays_hollow_test.go
@@ -77,7 +77,7 @@
 	}
 	for i, p := range f.later {
 		first, second := f.relays[i%relayedRelays], f.relays[(i+1)%relayedRelays]
-		config.Controllers = append(config.Controllers, hollow.Member{Name: p.name, Listen: p.listen,
+		config.Controllers = append(config.Controllers, hollow.Member{Name: p.name, ListenAddress: p.listen,
 			Relays: []hollow.Peer{{Name: first.name, Address: first.peer}, {Name: second.name, Address: second.peer}}})
 	}
 	input, commands := io.Pipe()
@@ -85,7 +85,7 @@
 	var ended sync.WaitGroup
 	ended.Go(func() {
 		if err := hollow.Run(f.ctx, input, events); err != nil {
-			g.saw(hollow.Event{Kind: hollow.Failed, Why: err.Error()})
+			g.saw(hollow.Event{Kind: hollow.Failed, Reason: err.Error()})
 		}
 		input.Close()
 		events.Close()
@@ -102,7 +102,7 @@
 	for lines := bufio.NewScanner(output); lines.Scan(); {
 		var e hollow.Event
 		if err := json.Unmarshal(lines.Bytes(), &e); err != nil {
-			e = hollow.Event{Kind: hollow.Failed, Why: err.Error()}
+			e = hollow.Event{Kind: hollow.Failed, Reason: err.Error()}
 		}
 		g.saw(e)
 	}
@@ -168,7 +168,7 @@
 	defer g.mu.Unlock()
 	var broken []string
 	for _, e := range g.failed {
-		broken = append(broken, fmt.Sprintf("%s failed: %s", e.Name, e.Why))
+		broken = append(broken, fmt.Sprintf("%s failed: %s", e.Name, e.Reason))
 	}
 	for _, s := range g.f.watch.since(time.Time{}) {
 		if s.control { // changes don't wait for it
--- a/internal/bench/scale_faults.go
+++ b/internal/bench/scale_faults.go
@@ -291,7 +291,7 @@
 	for _, a := range f.real {
 		for _, b := range f.real {
 			if a.place.Region != b.place.Region {
-				f.mesh.Set(a.name, b.name, faultproxy.Fault{Kind: faultproxy.Cut, Silent: true})
+				f.mesh.SetFault(a.name, b.name, faultproxy.Fault{Kind: faultproxy.Cut, Silent: true})
 			}
 		}
 	}
--- a/internal/bench/scale_fleet.go
+++ b/internal/bench/scale_fleet.go
@@ -119,7 +119,7 @@
 			Phase: "SERVING", Size: 1})
 	}
 	var log feed.Log
-	log.Tell(true, list...)
+	log.Append(true, list...)
 	listener, err := feed.Listen(f.ctx, "127.0.0.1:0", &log)
 	if err != nil {
 		return err
@@ -186,15 +186,15 @@
 func (f *scaleFleet) planReal(i int, m *scaleMember) (err error) {
 	host := f.host(realBlock, i)
 	if f.Linked {
-		host = f.mesh.Source(m.name)
+		host = f.mesh.SourceAddress(m.name)
 	}
 	if m.listen, err = freePortOf(host); err != nil {
 		return err
 	}
 	m.address = m.listen
 	if f.Linked {
-		f.mesh.Target(m.name, m.listen)
-		if m.address, err = f.mesh.Front(m.name); err != nil {
+		f.mesh.SetTarget(m.name, m.listen)
+		if m.address, err = f.mesh.SharedAddress(m.name); err != nil {
 			return err
 		}
 	}
@@ -228,7 +228,7 @@
 		for _, b := range f.real {
 			if a != b {
 				span := scaleLinks.OneWay(a.place, b.place)
-				f.mesh.Set(a.name, b.name, faultproxy.Fault{Kind: faultproxy.Delay, By: span, Jitter: time.Duration(float64(span) * scaleLinks.Jitter), Seed: random.Uint64()})
+				f.mesh.SetFault(a.name, b.name, faultproxy.Fault{Kind: faultproxy.Delay, Latency: span, Jitter: time.Duration(float64(span) * scaleLinks.Jitter), Seed: random.Uint64()})
 			}
 		}
 	}
@@ -295,7 +295,7 @@
 		return err
 	}
 	config := hollow.Config{Fleet: "scale", Keys: f.keyFile, Voters: f.voters(), Sites: zonesWithEngines(f.Engines), Lease: f.Lease, Election: scaleElection, Heartbeat: scaleHeartbeat,
-		WriteDelay: storeDelay, StartWithin: f.Lease / 4, Seed: f.Seed, Places: map[string]hollow.Place{}, Direct: map[string]string{}}
+		WriteDelay: storeDelay, StartWithin: f.Lease / 4, Seed: f.Seed, Places: map[string]hollow.Place{}, DirectAddresses: map[string]string{}}
 	if f.Linked {
 		config.Links = scaleLinks
 	}
@@ -303,13 +303,13 @@
 		host, _, _ := net.SplitHostPort(m.listen)
 		config.Places[host] = m.place
 		if m.address != m.listen {
-			config.Direct[m.address] = m.listen
+			config.DirectAddresses[m.address] = m.listen
 		}
 	}
 	for part := range slices.Chunk(f.hollow, hollowAtMost) {
 		config.Controllers = nil
 		for _, m := range part {
-			config.Controllers = append(config.Controllers, hollow.Member{Name: m.name, Listen: m.listen, Clients: m.clients, Place: m.place,
+			config.Controllers = append(config.Controllers, hollow.Member{Name: m.name, ListenAddress: m.listen, ClientAddress: m.clients, Place: m.place,
 				Relays: f.relaysOf(m)})
 		}
 		p, err := startHollow(f.ctx, laboratory, config, f.saw)
--- a/internal/bench/scale_hollow.go
+++ b/internal/bench/scale_hollow.go
@@ -64,7 +64,7 @@
 	for lines := bufio.NewScanner(output); lines.Scan(); {
 		var e hollow.Event
 		if err := json.Unmarshal(lines.Bytes(), &e); err != nil {
-			e = hollow.Event{Kind: hollow.Failed, Why: err.Error()}
+			e = hollow.Event{Kind: hollow.Failed, Reason: err.Error()}
 		}
 		switch e.Kind {
 		case hollow.Failed:
@@ -101,7 +101,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if len(p.failed) > 0 {
-		return fmt.Errorf("hollow controller %s: %s", p.failed[0].Name, p.failed[0].Why)
+		return fmt.Errorf("hollow controller %s: %s", p.failed[0].Name, p.failed[0].Reason)
 	}
 	return nil
 }
--- a/internal/bench/scale_usage.go
+++ b/internal/bench/scale_usage.go
@@ -43,7 +43,7 @@
 		if err != nil {
 			return sight, err
 		}
-		sight.used[m.name] = scaleUse{processUsage: used, run: m.process.command.Process.Pid, counts: *hollow.CountsOf(status.Counts, "wire_")}
+		sight.used[m.name] = scaleUse{processUsage: used, run: m.process.command.Process.Pid, counts: *hollow.ParseCounts(status.Counts, "wire_")}
 	}
 	f.round++
 	for _, p := range f.hollows {
--- a/internal/bench/speed.go
+++ b/internal/bench/speed.go
@@ -70,7 +70,7 @@
 	ask := func() error {
 		msg++
 		team := trialTeams[int(msg)%len(trialTeams)].name
-		_, err := c.Write(client.Call(nil, msg, "lookup", statement, "trace", fmt.Sprintf("%08x%08x", n+1, msg), "patience", "5000",
+		_, err := c.Write(client.AppendQuery(nil, msg, "lookup", statement, "trace", fmt.Sprintf("%08x%08x", n+1, msg), "patience", "5000",
 			"team", team))
 		return err
 	}
--- a/internal/bench/spool.go
+++ b/internal/bench/spool.go
@@ -75,8 +75,8 @@
 				return
 			}
 			a, err := r.answer(within)
-			for page := 1; err == nil && a.About["token"] != ""; page++ {
-				_, err = r.page(within, a.About["token"], page)
+			for page := 1; err == nil && a.Fields["token"] != ""; page++ {
+				_, err = r.page(within, a.Fields["token"], page)
 			}
 		}()
 	}
@@ -86,9 +86,9 @@
 		rss = max(rss, resident(s.running.Process.Pid))
 	}
 	wg.Wait()
-	p99 = x.p99(engine.Usual().Forgets)
+	p99 = x.p99(engine.DefaultConfig().AbandonAfter)
 	fmt.Fprintf(out, "slow readers, pages %v: %d at 1 KB/s, results of %d KB, %d done by engines, held for %.3f s (p99), %.1f MB resident at the most\n",
-		paged, readers, len(world.Rows(&world.Asked{ID: fmt.Sprintf("%016x", 1), Work: engine.Work{Rows: 8000}}))>>10, len(x.done), p99, rss)
+		paged, readers, len(world.ExpectedRows(&world.Query{ID: fmt.Sprintf("%016x", 1), Work: engine.Work{Rows: 8000}}))>>10, len(x.done), p99, rss)
 	return p99, rss, s.end()
 }
 
@@ -154,10 +154,10 @@
 					if err != nil {
 						return
 					}
-					if a.Kind != client.Finished || a.About["token"] == "" {
+					if a.Kind != client.Finished || a.Fields["token"] == "" {
 						continue
 					}
-					p.first, p.about = a.Rows, a.About
+					p.first, p.about = a.Rows, a.Fields
 					mu.Lock()
 					all = append(all, p)
 					mu.Unlock()
@@ -275,12 +275,12 @@
 		return 0, 0, err
 	}
 	a, err := r.answer(ctx)
-	if err != nil || a.About["token"] == "" {
-		return 0, 0, fmt.Errorf("no pages: %v %v", err, a.About)
+	if err != nil || a.Fields["token"] == "" {
+		return 0, 0, fmt.Errorf("no pages: %v %v", err, a.Fields)
 	}
 	before = used()
 	for range 5 * calls {
-		b, err := r.page(ctx, a.About["token"], 1)
+		b, err := r.page(ctx, a.Fields["token"], 1)
 		if err != nil || b.Kind != client.Finished || len(b.Rows) < size*4/5 {
 			return 0, 0, fmt.Errorf("a page: %v %v, %d bytes of %d", err, b.Kind, len(b.Rows), size)
 		}
--- a/internal/bench/spool_client.go
+++ b/internal/bench/spool_client.go
@@ -67,13 +67,13 @@
 	if paged {
 		fields = append(fields, "pages", "1")
 	}
-	_, err := r.Write(client.Call(nil, r.msg, "report", engine.Statement(engine.Work{Threads: 1, CPU: 2 * time.Millisecond, MemoryMB: 10, Rows: rows}), fields...))
+	_, err := r.Write(client.AppendQuery(nil, r.msg, "report", engine.Statement(engine.Work{Threads: 1, CPU: 2 * time.Millisecond, MemoryMB: 10, Rows: rows}), fields...))
 	return err
 }
 
 func (r *reader) page(ctx context.Context, token string, page int) (client.Answer, error) {
 	r.msg++
-	if _, err := r.Write(client.Page(nil, r.msg, token, strconv.Itoa(page))); err != nil {
+	if _, err := r.Write(client.AppendPageRequest(nil, r.msg, token, strconv.Itoa(page))); err != nil {
 		return client.Answer{}, err
 	}
 	return r.answer(ctx)
@@ -98,7 +98,7 @@
 		}
 		got = append(got, a.Rows...)
 	}
-	return false, !bytes.Equal(got, world.Rows(&world.Asked{ID: p.id, Work: engine.Work{Rows: p.rows}}))
+	return false, !bytes.Equal(got, world.ExpectedRows(&world.Query{ID: p.id, Work: engine.Work{Rows: p.rows}}))
 }
 
 // rid keeps when engines had done a query and when they were rid of it.
@@ -109,14 +109,14 @@
 }
 
 func (x *rid) hear(_ int, s *engine.Server) {
-	s.Model.Ended = func(id string, how engine.Outcome, _ time.Duration) {
+	s.Model.OnEnd = func(id string, how engine.Outcome, _ time.Duration) {
 		x.mu.Lock()
 		defer x.mu.Unlock()
-		if how == engine.Good {
+		if how == engine.Succeeded {
 			x.done[id] = time.Now()
 		}
 	}
-	s.Released = func(id string, _ time.Duration) {
+	s.OnRelease = func(id string, _ time.Duration) {
 		x.mu.Lock()
 		defer x.mu.Unlock()
 		if _, again := x.released[id]; !again {
--- a/internal/bench/spool_large.go
+++ b/internal/bench/spool_large.go
@@ -23,7 +23,7 @@
 	const wide = 4000
 	rows := size << 20 / (wide + 28)
 	f := trialEngine()
-	f.PageBytes, f.Wide = 48_000, wide
+	f.PageBytes, f.RowPadding = 48_000, wide
 	t := &Trial{Program: program, Engines: 1, Seed: 1, Log: os.Stderr}
 	s, err := newStage(ctx, program, 1, f, t.Log, func(int, *engine.Server) {})
 	if err != nil {
@@ -70,21 +70,21 @@
 		}
 		a, err := r.answer(ctx)
 		if err != nil || a.Kind != client.Finished {
-			return fmt.Errorf("result %d: error %v, answer of kind %d %s", n, err, a.Kind, a.Why)
+			return fmt.Errorf("result %d: error %v, answer of kind %d %s", n, err, a.Kind, a.Reason)
 		}
 		drawn += time.Since(begin)
 		want, got := xxhash.New(), xxhash.New()
 		for i := range rows {
-			want.WriteString(engine.WideRow(id, i, wide))
+			want.WriteString(engine.PaddedRow(id, i, wide))
 		}
-		pages, _ := strconv.Atoi(a.About["pages"])
+		pages, _ := strconv.Atoi(a.Fields["pages"])
 		size := int64(len(a.Rows))
 		got.Write(a.Rows)
 		begin = time.Now()
 		for i := 1; i < pages; i++ {
-			b, err := r.page(ctx, a.About["token"], i)
+			b, err := r.page(ctx, a.Fields["token"], i)
 			if err != nil || b.Kind != client.Finished {
-				return fmt.Errorf("result %d, page %d of %d: %v, %s", n, i, pages, err, b.Why)
+				return fmt.Errorf("result %d, page %d of %d: %v, %s", n, i, pages, err, b.Reason)
 			}
 			got.Write(b.Rows)
 			size += int64(len(b.Rows))
--- a/internal/bench/spool_test.go
+++ b/internal/bench/spool_test.go
@@ -60,8 +60,8 @@
 		t.Fatal(err)
 	}
 	a, err := r.answer(t.Context())
-	if err != nil || a.Kind != client.Finished || a.About["token"] == "" {
-		t.Fatal(err, a.Kind, a.About)
+	if err != nil || a.Kind != client.Finished || a.Fields["token"] == "" {
+		t.Fatal(err, a.Kind, a.Fields)
 	}
 	for _, what := range []string{"ls", "verify", "gc"} {
 		run("in use by another program", true, "spool", what, dir)
@@ -98,9 +98,9 @@
 		t.Fatal(err)
 	}
 	defer r.Close()
-	want := world.Rows(&world.Asked{ID: id, Work: engine.Work{Rows: 5000}})
+	want := world.ExpectedRows(&world.Query{ID: id, Work: engine.Work{Rows: 5000}})
 	for i := range 5 { // the others are served
-		b, err := r.page(t.Context(), a.About["token"], i)
+		b, err := r.page(t.Context(), a.Fields["token"], i)
 		if err != nil || (b.Kind == client.Finished) != (i != 1) || !strings.Contains(string(want), string(b.Rows)) {
 			t.Errorf("page %d: %v %v", i, err, b.Kind)
 		}
--- a/internal/bench/storm.go
+++ b/internal/bench/storm.go
@@ -44,7 +44,7 @@
 		g.fleet.Note(g.since(), fmt.Sprintf("links from %q to %q: %s", from, to, name), from, to)
 		g.mu.Unlock()
 		f.Seed = g.Seed
-		g.mesh.Set(from, to, f)
+		g.mesh.SetFault(from, to, f)
 	}, func(g *gathering) { g.mesh.Heal() }, lasts, purges}
 }
 
@@ -91,12 +91,12 @@
 			g.note(p, "cut off")
 			g.mesh.Isolate(p.name)
 		}, func(g *gathering) { g.mesh.Heal() }, past, true},
-		links("one way", faultproxy.Fault{Kind: faultproxy.OneWay, Way: faultproxy.There}, toFollower, false, past),
+		links("one way", faultproxy.Fault{Kind: faultproxy.OneWay, Direction: faultproxy.ToTarget}, toFollower, false, past),
 		links("slow", faultproxy.Fault{Kind: faultproxy.Slow, Rate: 30_000}, ofLeader, false, short),
-		links("jitter", faultproxy.Fault{Kind: faultproxy.Delay, By: 2 * time.Millisecond, Jitter: 60 * time.Millisecond}, (*gathering).all, true, short),
+		links("jitter", faultproxy.Fault{Kind: faultproxy.Delay, Latency: 2 * time.Millisecond, Jitter: 60 * time.Millisecond}, (*gathering).all, true, short),
 		links("reset", faultproxy.Fault{Kind: faultproxy.Reset}, (*gathering).all, false, short),
-		links("stall", faultproxy.Fault{Kind: faultproxy.Stall, After: 1500}, ofLeader, false, short),
-		links("double", faultproxy.Fault{Kind: faultproxy.Double}, (*gathering).all, true, short),
+		links("stall", faultproxy.Fault{Kind: faultproxy.Stall, AfterBytes: 1500}, ofLeader, false, short),
+		links("double", faultproxy.Fault{Kind: faultproxy.Duplicate}, (*gathering).all, true, short),
 		{"the majority lost", func(g *gathering) {
 			two = g.members[:g.Voters/2+1]
 			for _, p := range two {
@@ -124,7 +124,7 @@
 // play has a change, a second operator's at the same version and perhaps a purge under
 // way while a fault strikes, and waits until all of them have come to their end.
 func (g *gathering) play(r round) error {
-	before := g.mesh.Struck()
+	before := g.mesh.HitCounts()
 	base := g.version
 	mine, other := g.change(base, 0, false), g.change(base, 0, false)
 	at := g.members[g.rng.IntN(len(g.members))]
@@ -168,7 +168,7 @@
 	if err := g.allServe(15 * time.Second); err != nil {
 		return fmt.Errorf("%s: %w", r.name, err)
 	}
-	after := g.mesh.Struck()
+	after := g.mesh.HitCounts()
 	for kind, n := range after {
 		if n > before[kind] {
 			g.mu.Lock()
@@ -244,7 +244,7 @@
 			g.rules.State(g.since(), e.ID, phase == "SERVING")
 		}
 		g.mu.Unlock()
-		g.feed.Tell(false, l...)
+		g.feed.Publish(false, l...)
 	}
 	g.mu.Lock()
 	from := g.further
@@ -421,11 +421,11 @@
 		stages[on] = s
 		text := t.setup(s.feed, s.address)
 		if on == 1 {
-			peer, err := loopback.Address()
+			peer, err := loopback.FreeAddress()
 			if err != nil {
 				return 0, err
 			}
-			control, err := loopback.Address()
+			control, err := loopback.FreeAddress()
 			if err != nil {
 				return 0, err
 			}
--- a/internal/bench/together.go
+++ b/internal/bench/together.go
@@ -112,20 +112,20 @@
 	g.closers = append(g.closers, g.mesh.Close)
 	for i, name := range names {
 		p := &process{name: name, site: []string{"east", "west"}[i%2]}
-		if p.address, err = loopback.Address(); err != nil {
+		if p.address, err = loopback.FreeAddress(); err != nil {
 			return g, err
 		}
-		if p.control, err = loopback.Address(); err != nil {
+		if p.control, err = loopback.FreeAddress(); err != nil {
 			return g, err
 		}
-		l, err := net.Listen("tcp", g.mesh.Source(name)+":0")
+		l, err := net.Listen("tcp", g.mesh.SourceAddress(name)+":0")
 		if err != nil {
 			return g, err
 		}
 		p.listen = l.Addr().String()
 		l.Close()
-		g.mesh.Target(name, p.listen)
-		if p.peer, err = g.mesh.Front(name); err != nil {
+		g.mesh.SetTarget(name, p.listen)
+		if p.peer, err = g.mesh.SharedAddress(name); err != nil {
 			return g, err
 		}
 		if p.log, err = os.Create(g.path(name + ".log")); err != nil {
@@ -161,17 +161,17 @@
 		}
 		g.closers = append(g.closers, func() { e.Close() })
 		name := fmt.Sprint("e", i)
-		e.Do(func(_ time.Duration, s *engine.Server) {
-			s.Posted = func(id, _ string, rank int, _ time.Duration) { g.posted(id, name, site, rank) }
-			s.Model.Ended = func(id string, how engine.Outcome, _ time.Duration) {
+		e.WithServer(func(_ time.Duration, s *engine.Server) {
+			s.OnSubmit = func(id, _ string, rank int, _ time.Duration) { g.posted(id, name, site, rank) }
+			s.Model.OnEnd = func(id string, how engine.Outcome, _ time.Duration) {
 				g.mu.Lock()
 				defer g.mu.Unlock()
-				g.rules.Ended(g.since(), id, name, how == engine.Good)
+				g.rules.Ended(g.since(), id, name, how == engine.Succeeded)
 			}
 		})
 		g.list = append(g.list, feed.Engine{ID: name, HostPort: e.Addr().String(), Locality: site, Flavor: "std", Cell: 1, Phase: "SERVING", Size: 1})
 	}
-	list.Tell(true, g.list...)
+	list.Append(true, g.list...)
 	f, err := feed.Listen(g.ctx, "127.0.0.1:0", &list)
 	if err != nil {
 		return err
--- a/internal/bench/together_clients.go
+++ b/internal/bench/together_clients.go
@@ -148,7 +148,7 @@
 			}
 			key++
 		}
-		w := engine.Work{Threads: 1, CPU: time.Millisecond, MemoryMB: 10, Rows: 1, Tables: int64(rng.IntN(3)) + 1, Load: group == "load"}
+		w := engine.Work{Threads: 1, CPU: time.Millisecond, MemoryMB: 10, Rows: 1, TableGroup: int64(rng.IntN(3)) + 1, Load: group == "load"}
 		if paged {
 			w.Rows = 3000
 		}
@@ -165,12 +165,12 @@
 		g.serial++
 		id := fmt.Sprintf("%016x", 0x70000000+g.serial)
 		now := g.since()
-		g.asked[id] = &askedFor{now, team, w.Tables, n}
+		g.asked[id] = &askedFor{now, team, w.TableGroup, n}
 		g.rules.Asked(now, id, group, entity, now+patienceTogether)
 		g.mu.Unlock()
 		r.msg++
 		r.SetDeadline(time.Now().Add(patienceTogether))
-		_, err := r.Write(client.Call(nil, r.msg, group, engine.Statement(w), append([]string{"trace", id}, fields...)...))
+		_, err := r.Write(client.AppendQuery(nil, r.msg, group, engine.Statement(w), append([]string{"trace", id}, fields...)...))
 		var a client.Answer
 		if err == nil {
 			a, err = r.answer(g.ctx)
@@ -183,13 +183,13 @@
 			g.mu.Unlock()
 			continue
 		}
-		made := world.Rows(&world.Asked{ID: id, Work: w})
+		made := world.ExpectedRows(&world.Query{ID: id, Work: w})
 		if paged && len(a.Rows) > 0 && bytes.HasPrefix(made, a.Rows) {
 			made = a.Rows
 		}
 		g.rules.Answered(g.since(), id, historycheck.Answer(a.Kind), a.Rows, made)
-		if a.Kind == client.Finished && a.About["token"] != "" {
-			g.kept = append(g.kept, keptAt{id, team, a.About["token"], n})
+		if a.Kind == client.Finished && a.Fields["token"] != "" {
+			g.kept = append(g.kept, keptAt{id, team, a.Fields["token"], n})
 		}
 		var k *keptAt
 		if paged && len(g.kept) > 0 {
--- a/internal/bench/try.go
+++ b/internal/bench/try.go
@@ -55,9 +55,9 @@
 
 // trialEngine is its engines' figures. They only reckon: six of them take a small
 // part of one core.
-func trialEngine() engine.Figures {
-	f := engine.Usual()
-	f.Cores, f.Disks, f.MemoryMB = 8, 16, 16384
+func trialEngine() engine.Config {
+	f := engine.DefaultConfig()
+	f.Cores, f.DiskParallelism, f.MemoryMB = 8, 16, 16384
 	return f
 }
 
@@ -139,7 +139,7 @@
 	do func(ctx context.Context, address string) error) (err error) {
 	s, err := newStage(ctx, t.Program, t.Engines, trialEngine(), t.Log, func(_ int, s *engine.Server) {
 		if posted != nil {
-			s.Posted = func(id, _ string, _ int, _ time.Duration) { posted(id) }
+			s.OnSubmit = func(id, _ string, _ int, _ time.Duration) { posted(id) }
 		}
 	})
 	if err != nil {
@@ -165,7 +165,7 @@
 }
 
 // newStage starts engines and a feed; each is told of each engine.
-func newStage(ctx context.Context, program string, engines int, figures engine.Figures, log io.Writer, each func(i int, s *engine.Server)) (s *stage, err error) {
+func newStage(ctx context.Context, program string, engines int, figures engine.Config, log io.Writer, each func(i int, s *engine.Server)) (s *stage, err error) {
 	ctx, stop := context.WithCancel(ctx)
 	s = &stage{ctx: ctx, program: program, log: log, closers: []func(){stop}}
 	defer func() {
@@ -181,18 +181,18 @@
 			return s, err
 		}
 		s.closers = append(s.closers, func() { e.Close() })
-		e.Do(func(_ time.Duration, x *engine.Server) { each(i, x) })
+		e.WithServer(func(_ time.Duration, x *engine.Server) { each(i, x) })
 		entries = append(entries, feed.Engine{ID: fmt.Sprintf("e%d", i), HostPort: e.Addr().String(), Locality: "here", Flavor: "std",
 			Cell: 1, Phase: "SERVING", Size: 1})
 	}
-	list.Tell(true, entries...)
+	list.Append(true, entries...)
 	f, err := feed.Listen(ctx, "127.0.0.1:0", &list)
 	if err != nil {
 		return s, err
 	}
 	s.closers = append(s.closers, func() { f.Close() })
 	s.feed = f.Addr().String()
-	if s.address, err = loopback.Address(); err != nil {
+	if s.address, err = loopback.FreeAddress(); err != nil {
 		return s, err
 	}
 	if s.dir, err = os.MkdirTemp("", "railrelay-stage"); err == nil {
@@ -257,7 +257,7 @@
 		c, err := net.Dial("tcp", address)
 		if err == nil {
 			c.SetDeadline(time.Now().Add(time.Second))
-			c.Write(client.Alive(nil, 1))
+			c.Write(client.AppendAliveRequest(nil, 1))
 			p := make([]byte, 64)
 			n, _ := c.Read(p)
 			c.Close()
@@ -312,7 +312,7 @@
 				q := open[a.Msg]
 				if q != nil {
 					seen.mu.Lock()
-					if a.Kind == client.Told {
+					if a.Kind == client.WaitNotice {
 						if q.told < 0 {
 							q.told = a.Wait
 						}
@@ -355,7 +355,7 @@
 				break
 			}
 		}
-		w := engine.Work{Threads: k.Threads, MemoryMB: k.MemoryMB, Tables: int64(rng.IntN(100)), Load: k.Load, Rows: k.Rows,
+		w := engine.Work{Threads: k.Threads, MemoryMB: k.MemoryMB, TableGroup: int64(rng.IntN(100)), Load: k.Load, Rows: k.Rows,
 			CPU: time.Duration(float64(k.CPU) * math.Exp(rng.NormFloat64()*k.Spread-k.Spread*k.Spread/2))}
 		q := &trialQuery{team: team, id: fmt.Sprintf("%08x%08x", team+1, msg), work: w, at: time.Now(), told: -1}
 		fields := []string{"trace", q.id, "patience", fmt.Sprint(k.Patience.Milliseconds()), "team", trialTeams[team].name, "tell", "1"}
@@ -368,7 +368,7 @@
 		mu.Lock()
 		open[msg] = q
 		mu.Unlock()
-		if _, err := c.Write(client.Call(nil, msg, k.Name, engine.Statement(w), fields...)); err != nil {
+		if _, err := c.Write(client.AppendQuery(nil, msg, k.Name, engine.Statement(w), fields...)); err != nil {
 			return err
 		}
 	}
--- a/internal/controller/residency_retention_test.go
+++ b/internal/controller/residency_retention_test.go
@@ -18,12 +18,12 @@
 		m.Settings["teams"], m.Settings["team.0.name"], m.Settings["team.0.quota"],
 			m.Settings["own.location"] = "1", "linz", "1000", "0"
 	})
-	here, _, _ := strings.Cut(s.R.Settings["locations"], ",")
+	here, _, _ := strings.Cut(s.Controller.Settings["locations"], ",")
 	open := func(version uint64, rules ...residency.Rule) {
-		s.Order(fleet.Order{Kind: fleet.ActivatePolicy, Version: version,
+		s.SendOrder(fleet.Order{Kind: fleet.ActivatePolicy, Version: version,
 			Policy: &controller.Policy{Version: version, Rules: rules}})
 	}
-	s.Order(fleet.Order{Kind: fleet.LeaseRenewed, LeaseEnd: fleet.Forever, ConfinedLeaseEnd: fleet.Forever})
+	s.SendOrder(fleet.Order{Kind: fleet.LeaseRenewed, LeaseEnd: fleet.Forever, ConfinedLeaseEnd: fleet.Forever})
 	open(1, residency.Rule{Name: "r", Team: "linz", Engines: []string{here}})
 	c := s.client()
 	page := func(token string) *client.Answer {
@@ -38,8 +38,8 @@
 	}
 	s.sendAs(c, "linz", 4)
 	s.advance(2 * time.Second)
-	if s.sendAs(c, "linz", 4); s.advance(time.Second) && s.R.ResultCache().Counts.Hits != 1 {
-		t.Fatalf("%+v", s.R.ResultCache().Counts)
+	if s.sendAs(c, "linz", 4); s.advance(time.Second) && s.Controller.ResultCache().Counts.Hits != 1 {
+		t.Fatalf("%+v", s.Controller.ResultCache().Counts)
 	}
 	open(2, residency.Rule{Name: "r", Team: "linz", Tables: []int64{3, 4}, Engines: []string{here},
 		Keep: []string{}})
@@ -53,7 +53,7 @@
 		t.Fatalf("answered %v, paging %v, %v bytes; the next was answered %v", whole.Answer, whole.Paging,
 			len(whole.Rows), again.Answer)
 	}
-	if n := s.R.ResultCache().Counts.Hits; n != 1 {
+	if n := s.Controller.ResultCache().Counts.Hits; n != 1 {
 		t.Fatalf("%d queries answered from the cache, want 1", n)
 	}
 	if free := s.sendAs(c, "linz", 5, "pages", "1"); s.advance(2*time.Second) && pageCount(free) < 2 {
--- a/internal/controller/result_paging_test.go
+++ b/internal/controller/result_paging_test.go
@@ -65,7 +65,7 @@
 	if err := keeper.SaveKeys(keys.Text()); err != nil {
 		t.Fatal(err)
 	}
-	figures := engine.Usual()
+	figures := engine.DefaultConfig()
 	config := controller.Config{MemoryMB: 64, MaxDescriptors: 4096,
 		Settings: bench.Facts(bench.Usual(), figures), Tenants: tenants, StartedAt: time.UnixMilli(0),
 		FieldNames: controller.FieldNames{Tenant: "team", Paged: "pages"},
@@ -76,17 +76,17 @@
 	}
 	s := &spoolWorld{t: t, disk: d, index: x, keeper: keeper, finished: map[string]time.Duration{},
 		released: map[string]time.Duration{}}
-	s.World = world.New(5, []engine.Figures{figures, figures}, config)
-	s.Keeper, s.Disk = keeper, time.Millisecond
+	s.World = world.New(5, []engine.Config{figures, figures}, config)
+	s.SpoolStore, s.DiskLatency = keeper, time.Millisecond
 	for _, e := range s.Engines {
-		e.Released = func(id string, at time.Duration) {
+		e.OnRelease = func(id string, at time.Duration) {
 			if _, again := s.released[id]; !again {
 				s.released[id] = at
 			}
 		}
-		ended := e.Ended
-		e.Ended = func(id string, how engine.Outcome, at time.Duration) {
-			if ended(id, how, at); how == engine.Good {
+		ended := e.OnEnd
+		e.OnEnd = func(id string, how engine.Outcome, at time.Duration) {
+			if ended(id, how, at); how == engine.Succeeded {
 				s.finished[id] = at
 			}
 		}
@@ -101,9 +101,9 @@
 }
 
 // ask sends a query whose result has the given number of rows and is read page by page.
-func (s *spoolWorld) ask(c *world.Client, rows int, more ...string) *world.Asked {
+func (s *spoolWorld) ask(c *world.Client, rows int, more ...string) *world.Query {
 	s.serial++
-	return c.Ask(fmt.Sprintf("%016x", s.serial), "report", "", 12*time.Second,
+	return c.Submit(fmt.Sprintf("%016x", s.serial), "report", "", 12*time.Second,
 		engine.Work{Threads: 1, CPU: 20 * time.Millisecond, MemoryMB: 10, Rows: rows},
 		append(more, "pages", "1")...)
 }
@@ -111,14 +111,14 @@
 func (s *spoolWorld) client() *world.Client { return s.Connect("c", bench.Home) }
 
 // pageCount returns the number of pages of a result, or 0 if it was answered in one piece.
-func pageCount(a *world.Asked) int {
+func pageCount(a *world.Query) int {
 	n, _ := strconv.Atoi(a.Paging["pages"])
 	return n
 }
 
 // checkPages reads the pages after the first in the given order, and checks that all pages together are
 // the rows that the engine produced.
-func (s *spoolWorld) checkPages(c *world.Client, a *world.Asked, order []int) {
+func (s *spoolWorld) checkPages(c *world.Client, a *world.Query, order []int) {
 	s.t.Helper()
 	n := pageCount(a)
 	parts := make([][]byte, n)
@@ -129,19 +129,19 @@
 		c.Page(a.Paging["token"], i, func(ans client.Answer) {
 			left--
 			if ans.Kind != client.Finished {
-				s.t.Errorf("page %d of %d: %v %s", i, n, ans.Kind, ans.Why)
+				s.t.Errorf("page %d of %d: %v %s", i, n, ans.Kind, ans.Reason)
 			}
 			parts[i] = ans.Rows
 		})
 		if left >= 20 { // bounds the concurrent calls
-			s.Until(s.Now + 300*time.Millisecond)
+			s.RunUntil(s.Now + 300*time.Millisecond)
 		}
 	}
-	s.Until(s.Now + 2*time.Second)
-	if all := bytes.Join(parts, nil); left > 0 || !bytes.Equal(all, world.Rows(a)) ||
+	s.RunUntil(s.Now + 2*time.Second)
+	if all := bytes.Join(parts, nil); left > 0 || !bytes.Equal(all, world.ExpectedRows(a)) ||
 		strconv.Itoa(len(all)) != a.Paging["bytes"] ||
 		strconv.Itoa(bytes.Count(all, []byte("\n"))) != a.Paging["rows"] {
-		s.t.Errorf("%d bytes of %d, %s announced, %d pages unanswered", len(all), len(world.Rows(a)),
+		s.t.Errorf("%d bytes of %d, %s announced, %d pages unanswered", len(all), len(world.ExpectedRows(a)),
 			a.Paging["bytes"], left)
 	}
 	for _, p := range parts {
@@ -182,16 +182,16 @@
 	s := newDefaultSpoolWorld(t)
 	c := s.client()
 	a, one := s.ask(c, 4000), s.ask(c, 3)
-	whole := c.Ask(unpagedQueryID, "report", "", 12*time.Second,
+	whole := c.Submit(unpagedQueryID, "report", "", 12*time.Second,
 		engine.Work{Threads: 1, CPU: time.Millisecond, Rows: 2000})
-	s.Until(2 * time.Second)
+	s.RunUntil(2 * time.Second)
 	if !a.Answered || pageCount(a) < 5 || a.Paging["token"] == "" {
 		t.Fatal("not answered page by page: ", a.Answered, a.Paging)
 	}
-	if one.Paging["token"] != "" || pageCount(one) != 1 || !bytes.Equal(one.Rows, world.Rows(one)) {
+	if one.Paging["token"] != "" || pageCount(one) != 1 || !bytes.Equal(one.Rows, world.ExpectedRows(one)) {
 		t.Fatal("a result of one page must have no token: ", one.Paging)
 	}
-	if !bytes.Equal(whole.Rows, world.Rows(whole)) {
+	if !bytes.Equal(whole.Rows, world.ExpectedRows(whole)) {
 		t.Fatal("a result that isn't read page by page must be answered in one piece")
 	}
 	order := pagesAfterFirst(pageCount(a))
@@ -199,20 +199,20 @@
 	s.checkPages(c, a, order)
 	// the client disconnects after the second page and reads on minutes later on another connection
 	b := s.ask(c, 4000)
-	s.Until(s.Now + 2*time.Second)
+	s.RunUntil(s.Now + 2*time.Second)
 	c.Page(b.Paging["token"], 1, func(client.Answer) {})
-	s.Until(s.Now + time.Second)
-	c.Drop()
-	s.Until(s.Now + 7*time.Minute)
+	s.RunUntil(s.Now + time.Second)
+	c.Disconnect()
+	s.RunUntil(s.Now + 7*time.Minute)
 	s.checkPages(s.client(), b, pagesAfterFirst(pageCount(b)))
-	s.Until(s.Now + 16*time.Minute) // until the result has expired
+	s.RunUntil(s.Now + 16*time.Minute) // until the result has expired
 	late := ""
-	s.client().Page(b.Paging["token"], 1, func(ans client.Answer) { late = ans.Why })
-	s.Until(s.Now + time.Second)
+	s.client().Page(b.Paging["token"], 1, func(ans client.Answer) { late = ans.Reason })
+	s.RunUntil(s.Now + time.Second)
 	if late != "no such page" {
 		t.Error("page of an expired result: ", late)
 	}
-	s.Until(s.Now + 3*time.Second)
+	s.RunUntil(s.Now + 3*time.Second)
 	if s.keeper.LiveBytes() != 0 {
 		t.Errorf("%d bytes are left behind", s.keeper.LiveBytes())
 	}
@@ -224,8 +224,8 @@
 	c := s.client()
 	a := s.ask(c, 400_000) // 10 MB
 	killed := ""
-	c.Heard = func(_ *world.Asked, ans client.Answer) { killed = ans.Why }
-	s.Until(15 * time.Second)
+	c.OnAnswer = func(_ *world.Query, ans client.Answer) { killed = ans.Reason }
+	s.RunUntil(15 * time.Second)
 	if !a.Answered || a.Answer != client.Killed || !strings.Contains(killed, "too large") ||
 		!strings.Contains(killed, "7864320") {
 		t.Fatal(a.Answered, a.Answer, killed)
@@ -239,30 +239,30 @@
 // A result that is abandoned while it is being spooled must leave nothing in memory or on disk, whatever
 // the reason.
 func TestAbandonedResultLeavesNothingBehind(t *testing.T) {
-	for name, trouble := range map[string]func(s *spoolWorld, c *world.Client, a *world.Asked){
-		"the client cancels":  func(s *spoolWorld, c *world.Client, a *world.Asked) { c.Leave(a) },
-		"the client vanishes": func(s *spoolWorld, c *world.Client, a *world.Asked) { c.Drop() },
-		"the engine dies": func(s *spoolWorld, c *world.Client, a *world.Asked) {
+	for name, trouble := range map[string]func(s *spoolWorld, c *world.Client, a *world.Query){
+		"the client cancels":  func(s *spoolWorld, c *world.Client, a *world.Query) { c.Cancel(a) },
+		"the client vanishes": func(s *spoolWorld, c *world.Client, a *world.Query) { c.Disconnect() },
+		"the engine dies": func(s *spoolWorld, c *world.Client, a *world.Query) {
 			for _, e := range s.Engines {
 				e.Crash(time.Minute)
 			}
 		},
-		"the engine goes silent": func(s *spoolWorld, c *world.Client, a *world.Asked) {
+		"the engine goes silent": func(s *spoolWorld, c *world.Client, a *world.Query) {
 			for _, e := range s.Engines {
-				e.Vanish()
+				e.MakeUnreachable()
 			}
 		},
-		"the disk is full": func(s *spoolWorld, c *world.Client, a *world.Asked) {
-			s.disk.Half = true
-			s.disk.Fail = func(verb, _ string) error {
+		"the disk is full": func(s *spoolWorld, c *world.Client, a *world.Query) {
+			s.disk.PartialWrites = true
+			s.disk.InjectError = func(verb, _ string) error {
 				if verb == "write" {
 					return syscall.ENOSPC
 				}
 				return nil
 			}
 		},
-		"the disk refuses a sync": func(s *spoolWorld, c *world.Client, a *world.Asked) {
-			s.disk.Fail = func(verb, _ string) error {
+		"the disk refuses a sync": func(s *spoolWorld, c *world.Client, a *world.Query) {
+			s.disk.InjectError = func(verb, _ string) error {
 				if verb == "sync" {
 					return syscall.EIO
 				}
@@ -274,21 +274,21 @@
 			s := newDefaultSpoolWorld(t)
 			c := s.client()
 			a := s.ask(c, 120_000) // 3 MB, written to disk as it arrives
-			s.Until(100 * time.Millisecond)
+			s.RunUntil(100 * time.Millisecond)
 			if s.keeper.TotalBytes() == 0 || a.Answered {
 				t.Fatal("nothing was written to disk yet, or the query was answered already")
 			}
 			trouble(s, c, a)
-			s.Until(20 * time.Second)
-			s.disk.Fail = nil
-			s.Until(40 * time.Second)
-			if !a.Answered && !a.Left {
+			s.RunUntil(20 * time.Second)
+			s.disk.InjectError = nil
+			s.RunUntil(40 * time.Second)
+			if !a.Answered && !a.Cancelled {
 				t.Error("no answer")
 			}
 			if a.Answered && a.Answer == client.Finished {
 				t.Error("finished despite the fault")
 			}
-			if held, _, _ := s.R.SpoolUsage(); held != 0 || s.keeper.LiveBytes() != 0 {
+			if held, _, _ := s.Controller.SpoolUsage(); held != 0 || s.keeper.LiveBytes() != 0 {
 				t.Errorf("%d results and %d bytes are left behind", held, s.keeper.LiveBytes())
 			}
 			for _, f := range s.History.Done(s.Now) {
@@ -297,7 +297,7 @@
 			c = s.client() // the controller goes on serving
 			if name != "the engine goes silent" && name != "the engine dies" {
 				b := s.ask(c, 4000)
-				s.Until(s.Now + 3*time.Second)
+				s.RunUntil(s.Now + 3*time.Second)
 				s.checkPages(c, b, pagesAfterFirst(pageCount(b)))
 			}
 		})
@@ -309,19 +309,19 @@
 func TestPromisedResultsSurviveARestart(t *testing.T) {
 	s := newDefaultSpoolWorld(t)
 	c := s.client()
-	var asked []*world.Asked
-	promisedAt := map[*world.Asked]int{}
-	c.Heard = func(a *world.Asked, _ client.Answer) { promisedAt[a] = s.disk.Steps() }
+	var asked []*world.Query
+	promisedAt := map[*world.Query]int{}
+	c.OnAnswer = func(a *world.Query, _ client.Answer) { promisedAt[a] = s.disk.StepCount() }
 	for range 8 {
 		asked = append(asked, s.ask(c, 3000))
-		s.Until(s.Now + 40*time.Millisecond)
+		s.RunUntil(s.Now + 40*time.Millisecond)
 	}
-	s.Until(s.Now + 3*time.Second)
-	steps := s.disk.Steps()
+	s.RunUntil(s.Now + 3*time.Second)
+	steps := s.disk.StepCount()
 	served := 0
 	for k := 0; k <= steps; k += max(1, steps/40) {
-		d := s.disk.After(k, disk.Torn)
-		next := newSpoolWorld(t, d, s.index.After(k, d), testLimits(), nil)
+		d := s.disk.AfterCrash(k, disk.TornWrite)
+		next := newSpoolWorld(t, d, s.index.AfterCrash(k, d), testLimits(), nil)
 		nc := next.client()
 		for _, a := range asked {
 			if at, was := promisedAt[a]; was && at <= k {
@@ -329,8 +329,8 @@
 				served++
 			}
 		}
-		next.Until(next.Now + time.Second)
-		if held, _, _ := next.R.SpoolUsage(); held > len(asked) {
+		next.RunUntil(next.Now + time.Second)
+		if held, _, _ := next.Controller.SpoolUsage(); held > len(asked) {
 			t.Fatalf("%d results of %d", held, len(asked))
 		}
 	}
@@ -346,12 +346,12 @@
 	for name, trouble := range map[string]func(s *spoolWorld){
 		"drains": func(s *spoolWorld) {
 			for _, e := range s.Engines {
-				s.Tell(e, "DRAINING")
+				s.SetPhase(e, "DRAINING")
 			}
 		},
 		"garbles": func(s *spoolWorld) {
 			for _, e := range s.Engines {
-				e.Spoil = 3
+				e.TruncatedPages = 3
 			}
 		},
 		"ends its connections": func(s *spoolWorld) {
@@ -364,9 +364,9 @@
 			s := newDefaultSpoolWorld(t)
 			c := s.client()
 			a := s.ask(c, 120_000)
-			s.Until(100 * time.Millisecond)
+			s.RunUntil(100 * time.Millisecond)
 			trouble(s)
-			s.Until(8 * time.Second)
+			s.RunUntil(8 * time.Second)
 			if a.Answer != client.Finished || !a.Answered {
 				t.Fatal("not finished: ", a.Answered, a.Answer)
 			}
@@ -381,16 +381,16 @@
 	s := newDefaultSpoolWorld(t)
 	c := s.client()
 	s.serial++
-	a := c.Ask(fmt.Sprintf("%016x", s.serial), "load", "k", 12*time.Second,
+	a := c.Submit(fmt.Sprintf("%016x", s.serial), "load", "k", 12*time.Second,
 		engine.Work{Threads: 1, CPU: 20 * time.Millisecond, MemoryMB: 10, Rows: 120_000, Load: true}, "pages", "1")
-	s.Until(100 * time.Millisecond)
-	s.disk.Fail = func(verb, _ string) error {
+	s.RunUntil(100 * time.Millisecond)
+	s.disk.InjectError = func(verb, _ string) error {
 		if verb == "write" {
 			return syscall.ENOSPC
 		}
 		return nil
 	}
-	s.Until(20 * time.Second)
+	s.RunUntil(20 * time.Second)
 	if !a.Answered || a.Answer != client.Killed || s.History.Sent != 1 {
 		t.Error(a.Answered, a.Answer, s.History.Sent)
 	}
@@ -401,18 +401,18 @@
 	s := newDefaultSpoolWorld(t)
 	c := s.client()
 	a := s.ask(c, 120_000) // most of its pages are only on disk
-	s.Until(5 * time.Second)
+	s.RunUntil(5 * time.Second)
 	names, _ := s.disk.List()
 	for _, name := range names {
 		if strings.HasSuffix(name, ".seg") {
 			f, _ := s.disk.Open(name)
 			size, _ := f.Size()
 			for at := int64(100); at < size; at += 9000 {
-				s.disk.Flip(name, at, 3)
+				s.disk.FlipBit(name, at, 3)
 			}
 		}
 	}
-	corrupt, good, want := 0, 0, world.Rows(a)
+	corrupt, good, want := 0, 0, world.ExpectedRows(a)
 	for i := range pageCount(a) {
 		c.Page(a.Paging["token"], i, func(ans client.Answer) {
 			if ans.Kind == client.Finished && !bytes.Contains(want, ans.Rows) {
@@ -424,13 +424,13 @@
 				good++
 			}
 		})
-		s.Until(s.Now + 10*time.Millisecond)
+		s.RunUntil(s.Now + 10*time.Millisecond)
 	}
-	s.Until(s.Now + time.Second)
+	s.RunUntil(s.Now + time.Second)
 	if corrupt < 50 {
 		t.Errorf("%d corrupt pages, %d good ones, want at least 50 corrupt", corrupt, good)
 	}
-	if !strings.Contains(strings.Join(s.Said, "\n"), "the page is spoilt") {
+	if !strings.Contains(strings.Join(s.LogLines, "\n"), "the page is spoilt") {
 		t.Error("corrupt pages weren't logged")
 	}
 	s.checkEnd()
@@ -442,7 +442,7 @@
 	l := testLimits()
 	l.Disk, l.Team = 256<<20, 1
 	s := newSpoolWorld(t, d, disk.NewIndex(d), l, nil)
-	var all []*world.Asked
+	var all []*world.Query
 	maxMemory := int64(0)
 	for range 1000 {
 		c := s.client()
@@ -452,23 +452,23 @@
 		var read func()
 		read = func() {
 			if next < pageCount(a) {
-				c.Page(a.Paging["token"], next, func(client.Answer) { s.After(16*time.Second, read) }) // 1 KB/s
+				c.Page(a.Paging["token"], next, func(client.Answer) { s.ScheduleAfter(16*time.Second, read) }) // 1 KB/s
 				next++
 			}
 		}
-		c.Heard = func(*world.Asked, client.Answer) { s.After(time.Second, read) }
-		s.Until(s.Now + 10*time.Millisecond)
-		_, memory, _ := s.R.SpoolUsage()
+		c.OnAnswer = func(*world.Query, client.Answer) { s.ScheduleAfter(time.Second, read) }
+		s.RunUntil(s.Now + 10*time.Millisecond)
+		_, memory, _ := s.Controller.SpoolUsage()
 		maxMemory = max(maxMemory, memory)
 	}
-	s.Until(s.Now + 30*time.Second)
+	s.RunUntil(s.Now + 30*time.Second)
 	answered := 0
 	for _, a := range all {
 		if a.Answered && a.Answer == client.Finished {
 			answered++
 		}
 	}
-	if _, memory, _ := s.R.SpoolUsage(); memory > l.Memory || maxMemory > l.Memory {
+	if _, memory, _ := s.Controller.SpoolUsage(); memory > l.Memory || maxMemory > l.Memory {
 		t.Errorf("%d bytes in memory, limit %d", max(memory, maxMemory), l.Memory)
 	}
 	if answered < 990 {
@@ -485,17 +485,17 @@
 	s := newSpoolWorld(t, d, disk.NewIndex(d), testLimits(), tenants)
 	c := s.client()
 	a := s.ask(c, 3000, "team", "gauges-1")
-	s.Until(3 * time.Second)
+	s.RunUntil(3 * time.Second)
 	got := map[string]client.Kind{}
 	for _, team := range []string{"gauges-1", "gauges-2", ""} {
 		c.Page(a.Paging["token"], 1, func(ans client.Answer) { got[team] = ans.Kind }, "team", team)
 	}
-	s.Until(s.Now + time.Second)
+	s.RunUntil(s.Now + time.Second)
 	if got["gauges-1"] != client.Finished || got["gauges-2"] != client.Killed || got[""] != client.Killed {
 		t.Error(got)
 	}
 	charged := 0.0
-	s.R.EachTenant(func(path string, _ int, n fairqueue.Counts) {
+	s.Controller.EachTenant(func(path string, _ int, n fairqueue.Counts) {
 		if strings.HasSuffix(path, "gauges-1") {
 			charged = n.ChargedThreadSeconds
 		}
--- a/internal/emulator/client/caller.go
+++ b/internal/emulator/client/caller.go
@@ -12,7 +12,7 @@
 )
 
 // Call writes a query. Fields are pairs of names and values.
-func Call(dst []byte, msg uint32, group string, statement []byte, fields ...string) []byte {
+func AppendQuery(dst []byte, msg uint32, group string, statement []byte, fields ...string) []byte {
 	dst = str(whole(append(dst, 0x94, 0), msg), group)
 	dst = append(dst, 0x92, 0xde, 0, byte(len(fields)/2))
 	for _, f := range fields {
@@ -23,7 +23,7 @@
 }
 
 // Page asks for a page of a result.
-func Page(dst []byte, msg uint32, token, page string, fields ...string) []byte {
+func AppendPageRequest(dst []byte, msg uint32, token, page string, fields ...string) []byte {
 	dst = append(str(whole(append(dst, 0x94, 0), msg), "page"), 0x91)
 	fields = append([]string{"token", token, "page", page}, fields...)
 	dst = append(dst, 0x80|byte(len(fields)/2))
@@ -35,7 +35,7 @@
 
 // Purge asks for what is kept of its team to go, or with an id how far that is. Fields
 // are pairs of names and values.
-func Purge(dst []byte, msg uint32, fields ...string) []byte {
+func AppendPurgeRequest(dst []byte, msg uint32, fields ...string) []byte {
 	dst = append(str(whole(append(dst, 0x94, 0), msg), "purge"), 0x91, 0x80|byte(len(fields)/2))
 	for _, f := range fields {
 		dst = str(dst, f)
@@ -44,12 +44,12 @@
 }
 
 // Alive asks whether a controller is ready.
-func Alive(dst []byte, msg uint32) []byte {
+func AppendAliveRequest(dst []byte, msg uint32) []byte {
 	return append(str(whole(append(dst, 0x94, 0), msg), "alive"), 0x91, 0x80)
 }
 
 // Cancel takes a query back.
-func Cancel(dst []byte, msg uint32) []byte {
+func AppendCancel(dst []byte, msg uint32) []byte {
 	return whole(append(str(append(dst, 0x93, 2), "cancelRequest"), 0x91), msg)
 }
 
@@ -68,19 +68,19 @@
 	Finished Kind = iota
 	Deferred
 	Killed
-	Told  // a notice of how long it waits
-	Ready // an answer to alive
+	WaitNotice // a notice of how long it waits
+	Ready      // an answer to alive
 )
 
 // Answer is one message that came.
 type Answer struct {
-	Kind  Kind
-	Msg   uint32
-	Rows  []byte
-	Wait  time.Duration // Told: until it starts; Deferred: the pause, 0 if none is named
-	Why   string        // Killed
-	Ready bool
-	About map[string]string // what else an answer told
+	Kind   Kind
+	Msg    uint32
+	Rows   []byte
+	Wait   time.Duration // Told: until it starts; Deferred: the pause, 0 if none is named
+	Reason string        // Killed
+	Ready  bool
+	Fields map[string]string // what else an answer told
 }
 
 var errForm = errors.New("not an answer")
@@ -217,7 +217,7 @@
 		if at, ok := l[2].([]any); ok && len(at) == 2 {
 			msg, _ := at[0].(int)
 			ms, _ := at[1].(int)
-			return Answer{Kind: Told, Msg: uint32(msg), Wait: time.Duration(ms) * time.Millisecond}
+			return Answer{Kind: WaitNotice, Msg: uint32(msg), Wait: time.Duration(ms) * time.Millisecond}
 		}
 	}
 	if len(l) != 4 || l[0] != 1 {
@@ -235,7 +235,7 @@
 			a.Kind = Deferred
 		}
 		ms, _ := strconv.Atoi(about["pause"])
-		a.Wait, a.Why, a.About = time.Duration(ms)*time.Millisecond, about["why"], about
+		a.Wait, a.Reason, a.Fields = time.Duration(ms)*time.Millisecond, about["why"], about
 		return a
 	}
 	good, _ := l[3].([]any)
@@ -243,7 +243,7 @@
 		r.err = errForm
 		return a
 	}
-	a.About, _ = good[1].(map[string]string)
+	a.Fields, _ = good[1].(map[string]string)
 	switch x := good[0].(type) {
 	case bool:
 		a.Kind, a.Ready = Ready, x
--- a/internal/emulator/disk/disk.go
+++ b/internal/emulator/disk/disk.go
@@ -22,8 +22,8 @@
 	steps []step
 	// Fail is asked before each step, if it is set; what it gives is the step's error.
 	// A write it refuses is done in part if Half is set, as a full disk does.
-	Fail func(verb, name string) error
-	Half bool
+	InjectError   func(verb, name string) error
+	PartialWrites bool
 }
 
 type file struct {
@@ -46,14 +46,14 @@
 func (d *Disk) did(s step) { d.steps = append(d.steps, s) }
 
 func (d *Disk) fails(verb, name string) error {
-	if d.Fail == nil {
+	if d.InjectError == nil {
 		return nil
 	}
-	return d.Fail(verb, name)
+	return d.InjectError(verb, name)
 }
 
 // Steps is how many there were.
-func (d *Disk) Steps() int {
+func (d *Disk) StepCount() int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return len(d.steps)
@@ -141,7 +141,7 @@
 }
 
 // Bytes is what all files hold.
-func (d *Disk) Bytes() (sum int64) {
+func (d *Disk) TotalBytes() (sum int64) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	for _, f := range d.files {
@@ -151,7 +151,7 @@
 }
 
 // Holds names the files that hold some bytes.
-func (d *Disk) Holds(p []byte) (names []string) {
+func (d *Disk) FilesContaining(p []byte) (names []string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	for _, name := range slices.Sorted(maps.Keys(d.files)) {
@@ -163,7 +163,7 @@
 }
 
 // Flip turns a bit of a file over.
-func (d *Disk) Flip(name string, offset int64, bit uint) {
+func (d *Disk) FlipBit(name string, offset int64, bit uint) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.files[name].p[offset] ^= 1 << bit
@@ -189,7 +189,7 @@
 		return 0, errClosed
 	}
 	if err := f.d.fails("write", f.name); err != nil {
-		if f.d.Half {
+		if f.d.PartialWrites {
 			f.put(p[:len(p)/2], at)
 		}
 		return 0, err
@@ -246,13 +246,13 @@
 type Crash int
 
 const (
-	Killed Crash = iota // the program ended: the system writes what it was given
-	Torn                // and of the step it was in, half
-	Cut                 // the power went: what was not synced is lost
+	ProcessKilled Crash = iota // the program ended: the system writes what it was given
+	TornWrite                  // and of the step it was in, half
+	PowerLoss                  // the power went: what was not synced is lost
 )
 
 // After is the directory that a crash after so many steps leaves behind.
-func (d *Disk) After(steps int, how Crash) *Disk {
+func (d *Disk) AfterCrash(steps int, how Crash) *Disk {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	x := New()
@@ -262,7 +262,7 @@
 	for i := range min(len(d.steps), steps+1) {
 		s := d.steps[i]
 		if i == steps { // the step it was in
-			if how != Torn || s.verb != "write" {
+			if how != TornWrite || s.verb != "write" {
 				break
 			}
 			s.p = s.p[:len(s.p)/2]
@@ -299,7 +299,7 @@
 			clear(back)
 		}
 	}
-	if how == Cut {
+	if how == PowerLoss {
 		for name, f := range x.files {
 			if f.p = slices.Clone(kept[name]); !named[name] {
 				delete(x.files, name)
--- a/internal/emulator/disk/index.go
+++ b/internal/emulator/disk/index.go
@@ -28,7 +28,7 @@
 func (x *Index) last() *held { return &x.held[len(x.held)-1] }
 
 // After is the index as a crash after so many steps of the disk leaves it.
-func (x *Index) After(steps int, d *Disk) *Index {
+func (x *Index) AfterCrash(steps int, d *Disk) *Index {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	at := held{}
@@ -62,7 +62,7 @@
 	for _, id := range gone {
 		delete(next, id)
 	}
-	x.held = append(x.held, held{x.disk.Steps(), next, segment, offset})
+	x.held = append(x.held, held{x.disk.StepCount(), next, segment, offset})
 	return nil
 }
 
@@ -96,7 +96,7 @@
 func (x *Index) Reset() error {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	x.held = append(x.held, held{step: x.disk.Steps()})
+	x.held = append(x.held, held{step: x.disk.StepCount()})
 	return nil
 }
 
--- a/internal/emulator/engine/listen.go
+++ b/internal/emulator/engine/listen.go
@@ -21,7 +21,7 @@
 
 // Listen starts an engine on an address ("127.0.0.1:0" for a port of the
 // system's); Close ends it and all it holds.
-func Listen(ctx context.Context, address string, f Figures, cold bool) (*Listener, error) {
+func Listen(ctx context.Context, address string, f Config, cold bool) (*Listener, error) {
 	var lc net.ListenConfig
 	l, err := lc.Listen(ctx, "tcp", address)
 	if err != nil {
@@ -35,7 +35,7 @@
 }
 
 // Do runs something on the server at the present time, alone.
-func (l *Listener) Do(what func(now time.Duration, s *Server)) {
+func (l *Listener) WithServer(what func(now time.Duration, s *Server)) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	what(time.Since(l.start), l.server)
@@ -53,13 +53,13 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if !l.done {
-		l.server.Due(time.Since(l.start))
+		l.server.ProcessDue(time.Since(l.start))
 		l.arm()
 	}
 }
 
 func (l *Listener) arm() {
-	if at, ok := l.server.Next(); ok && !l.done {
+	if at, ok := l.server.NextDue(); ok && !l.done {
 		l.timer.Reset(max(0, at-time.Since(l.start)))
 	}
 }
@@ -99,11 +99,11 @@
 		n, err := c.Read(p)
 		l.mu.Lock()
 		if n > 0 && !l.done {
-			l.server.Got(time.Since(l.start), conn, p[:n])
+			l.server.Receive(time.Since(l.start), conn, p[:n])
 			l.arm()
 		}
 		if err != nil {
-			l.server.Gone(conn)
+			l.server.Disconnected(conn)
 			delete(l.open, c)
 		}
 		l.mu.Unlock()
--- a/internal/emulator/engine/server.go
+++ b/internal/emulator/engine/server.go
@@ -14,22 +14,22 @@
 type Server struct {
 	*Model
 	// Cost tells what a statement takes; ParseCost unless set.
-	Cost func(group string, statement []byte) Work
+	ParseWork func(group string, statement []byte) Work
 	// Posted is told of each query that comes to run here, if it is set.
-	Posted func(id, group string, rank int, at time.Duration)
+	OnSubmit func(id, group string, rank int, at time.Duration)
 	// Released is told of each query that it was told to end or to forget, if it is set.
-	Released func(id string, at time.Duration)
+	OnRelease func(id string, at time.Duration)
 	// Others is what it runs for controllers that aren't there: its reports have these
 	// queries and this part of its cores beside its own, if it is set.
-	Others func() (held int, cores float64)
+	ExternalLoad func() (held int, cores float64)
 	// Spoil is how many of the next pages are spoilt on their way.
-	Spoil   int
-	conns   []*Conn
-	holding []*Conn // those with a call that is held for news, in turn
-	silent  bool
+	TruncatedPages int
+	conns          []*Conn
+	holding        []*Conn // those with a call that is held for news, in turn
+	silent         bool
 	// Calls counts what came, by method.
-	Calls   map[string]int
-	traffic Traffic
+	RequestCounts map[string]int
+	traffic       Traffic
 }
 
 // Conn is one connection. Write is called with whole answers, Close if the
@@ -42,13 +42,13 @@
 	since time.Duration // when it came
 	held  bool
 	gone  bool
-	call  Kind     // the one answered next
-	count *Traffic // of its engine
+	call  TrafficKind // the one answered next
+	count *Traffic    // of its engine
 }
 
 // NewServer puts the protocol round a model.
 func NewServer(m *Model) *Server {
-	return &Server{Model: m, Cost: ParseCost, Calls: map[string]int{}}
+	return &Server{Model: m, ParseWork: ParseStatement, RequestCounts: map[string]int{}}
 }
 
 // Accept adds a connection.
@@ -59,14 +59,14 @@
 }
 
 // Gone takes one away that ended.
-func (s *Server) Gone(c *Conn) {
+func (s *Server) Disconnected(c *Conn) {
 	c.gone = true
 	is := func(x *Conn) bool { return x == c }
 	s.conns, s.holding = slices.DeleteFunc(s.conns, is), slices.DeleteFunc(s.holding, is)
 }
 
 // Got takes bytes that came on a connection.
-func (s *Server) Got(now time.Duration, c *Conn, p []byte) {
+func (s *Server) Receive(now time.Duration, c *Conn, p []byte) {
 	if s.silent || c.gone {
 		return // they lie in a buffer for ever
 	}
@@ -89,12 +89,12 @@
 		}
 		body := bytes.Clone(rest[:length])
 		c.call = kindOfCall(words[0], words[1])
-		s.traffic.Calls[c.call]++
-		s.traffic.In[c.call] += len(c.in) - len(rest) + length
+		s.traffic.Requests[c.call]++
+		s.traffic.BytesIn[c.call] += len(c.in) - len(rest) + length
 		c.in = append([]byte{}, rest[length:]...)
 		s.call(now, c, words[0], words[1], field, body)
 	}
-	s.Due(now)
+	s.ProcessDue(now)
 }
 
 func lookup(head []byte, name string) string {
@@ -107,22 +107,22 @@
 }
 
 func (s *Server) end(c *Conn) {
-	s.Gone(c)
+	s.Disconnected(c)
 	if c.Close != nil {
 		c.Close()
 	}
 }
 
 func (s *Server) call(now time.Duration, c *Conn, method, path string, field func(string) string, body []byte) {
-	s.Calls[method]++
+	s.RequestCounts[method]++
 	parts := strings.Split(strings.Trim(path, "/"), "/")
 	switch {
 	case path == "/ping":
 		c.answer(200, "", nil)
 	case path == "/stats":
-		held, cores, memory, disks := s.Load(now)
-		if s.Others != nil {
-			others, busy := s.Others()
+		held, cores, memory, disks := s.LoadReport(now)
+		if s.ExternalLoad != nil {
+			others, busy := s.ExternalLoad()
 			held, cores = held+others, min(1, cores+busy)
 		}
 		c.answer(200, fmt.Sprintf("X-Load: outstanding:%d;utilization:%.4f;x0:%.4f;x1:%.4f\r\n", held, cores, memory, disks), nil)
@@ -138,12 +138,12 @@
 			c.answer(504, "X-Not-Run: 1\r\n", nil)
 			return
 		}
-		if !s.Post(now, id, s.Cost(group, body), rank, grant, time.Duration(wait)*time.Millisecond) {
+		if !s.Submit(now, id, s.ParseWork(group, body), rank, grant, time.Duration(wait)*time.Millisecond) {
 			c.answer(503, "X-Not-Run: 1\r\n", nil)
 			return
 		}
-		if s.Posted != nil {
-			s.Posted(id, group, rank, now)
+		if s.OnSubmit != nil {
+			s.OnSubmit(id, group, rank, now)
 		}
 		s.hold(now, c, id)
 	case method == "GET" && len(parts) == 3 && parts[0] == "o":
@@ -154,12 +154,12 @@
 		s.hold(now, c, parts[1])
 	case method == "PUT" && len(parts) == 2:
 		rank, _ := strconv.Atoi(string(body))
-		s.Rank(now, parts[1], rank)
+		s.SetPriority(now, parts[1], rank)
 		c.answer(204, "", nil)
 	case method == "DELETE" && len(parts) == 2:
-		s.GiveUp(now, parts[1])
-		if s.Released != nil {
-			s.Released(parts[1], now)
+		s.Cancel(now, parts[1])
+		if s.OnRelease != nil {
+			s.OnRelease(parts[1], now)
 		}
 		c.answer(204, "", nil)
 	default:
@@ -170,36 +170,36 @@
 // hold keeps a call until there is news of its query.
 func (s *Server) hold(now time.Duration, c *Conn, id string) {
 	c.held, c.id, c.since = true, id, now
-	s.Ask(now, id)
+	s.Poll(now, id)
 	s.holding = append(s.holding, c)
 }
 
 // Due brings the engine to a time and answers what is due by then.
-func (s *Server) Due(now time.Duration) {
+func (s *Server) ProcessDue(now time.Duration) {
 	s.Advance(now)
 	if s.silent || s.stopped {
 		return
 	}
 	for _, c := range slices.Clone(s.holding) {
-		outcome := Bad
+		outcome := Failed
 		x := s.sessions[c.id]
 		if x != nil {
 			outcome = x.outcome
 		}
-		if outcome == Runs && now < c.since+s.News && now < x.noteAt+s.Notes {
+		if outcome == Running && now < c.since+s.PollTimeout && now < x.noteAt+s.NoteInterval {
 			continue
 		}
 		s.holding = slices.DeleteFunc(s.holding, func(y *Conn) bool { return y == c })
 		c.held = false
 		switch outcome {
-		case Runs:
+		case Running:
 			x.askedAt = now
 			if n := s.note(x); n.Kind != "" {
-				c.answer(202, fmt.Sprintf("X-Cache: %s\r\nReading: %g\r\n", n.Kind, n.X), nil)
+				c.answer(202, fmt.Sprintf("X-Cache: %s\r\nReading: %g\r\n", n.Kind, n.Value), nil)
 			} else {
 				c.answer(202, "", nil)
 			}
-		case Good:
+		case Succeeded:
 			x.askedAt = now
 			pages := s.pages(x)
 			c.answer(200, fmt.Sprintf("Chunks: %d\r\nElapsed-Work: %.3f\r\nHigh-Water: %g\r\n", len(pages),
@@ -208,21 +208,21 @@
 			c.answer(500, "", nil)
 		}
 		if len(c.in) > 0 && !c.gone { // a call that came behind it
-			s.Got(now, c, nil)
+			s.Receive(now, c, nil)
 		}
 	}
 }
 
 // Next is when something is due by itself.
-func (s *Server) Next() (time.Duration, bool) {
-	next, any := s.Model.Next()
+func (s *Server) NextDue() (time.Duration, bool) {
+	next, any := s.Model.NextEvent()
 	if s.silent || s.stopped {
 		return 0, false
 	}
 	for _, c := range s.holding {
-		at := c.since + s.News
+		at := c.since + s.PollTimeout
 		if x := s.sessions[c.id]; x != nil {
-			at = min(at, x.noteAt+s.Notes)
+			at = min(at, x.noteAt+s.NoteInterval)
 		}
 		if !any || at < next {
 			next, any = at, true
@@ -232,11 +232,11 @@
 }
 
 func (s *Server) page(now time.Duration, c *Conn, id string, page int) {
-	s.Ask(now, id)
-	if x := s.sessions[id]; x != nil && x.outcome == Good {
+	s.Poll(now, id)
+	if x := s.sessions[id]; x != nil && x.outcome == Succeeded {
 		if pages := s.pages(x); page < len(pages) {
-			if s.Spoil > 0 {
-				s.Spoil--
+			if s.TruncatedPages > 0 {
+				s.TruncatedPages--
 				c.answer(200, fmt.Sprintf("Chunk: %d\r\n", page), pages[page][:len(pages[page])-3])
 				return
 			}
@@ -251,7 +251,7 @@
 func Row(id string, i int) string { return id + "\trow\t" + strconv.Itoa(i) + "\n" }
 
 // WideRow is a row with so many bytes more.
-func WideRow(id string, i, wide int) string {
+func PaddedRow(id string, i, wide int) string {
 	if wide == 0 {
 		return Row(id, i)
 	}
@@ -264,7 +264,7 @@
 	}
 	pages := [][]byte{nil}
 	for i := range x.work.Rows {
-		row := WideRow(x.id, i, s.Wide)
+		row := PaddedRow(x.id, i, s.RowPadding)
 		if last := pages[len(pages)-1]; len(last)+len(row) > s.PageBytes && len(last) > 0 {
 			pages = append(pages, nil)
 		}
@@ -276,7 +276,7 @@
 
 // Silence has it say and hear nothing, with its connections left open, as a
 // machine that is cut off; what runs, runs on.
-func (s *Server) Silence(now time.Duration, silent bool) {
+func (s *Server) SetUnreachable(now time.Duration, silent bool) {
 	s.Advance(now)
 	s.silent = silent
 }
@@ -300,7 +300,7 @@
 		p = fmt.Appendf(p, "Content-Length: %d\r\n", len(body))
 	}
 	p = append(append(p, "\r\n"...), body...)
-	c.count.Out[kindOfAnswer(c.call, status)] += len(p)
+	c.count.BytesOut[kindOfAnswer(c.call, status)] += len(p)
 	c.Write(p)
 }
 
@@ -312,18 +312,18 @@
 		verb = "INSERT INTO"
 	}
 	return fmt.Appendf(nil, "%s sales_%d.orders -- takes threads=%g cpu_ms=%g disk_ms=%g memory_mb=%g rows=%d plan=%g load=%t waits=%t",
-		verb, w.Tables, w.Threads, ms(w.CPU), ms(w.Disk), w.MemoryMB, w.Rows, w.Plan, w.Load, w.Waits)
+		verb, w.TableGroup, w.Threads, ms(w.CPU), ms(w.Disk), w.MemoryMB, w.Rows, w.PlanFactor, w.Load, w.WaitsForLoad)
 }
 
 func ms(t time.Duration) float64 { return float64(t) / float64(time.Millisecond) }
 
 // ParseCost reads what Statement wrote. What says nothing takes next to nothing.
-func ParseCost(_ string, statement []byte) Work {
+func ParseStatement(_ string, statement []byte) Work {
 	w := Work{Threads: 1, Rows: 1}
 	text := string(statement)
 	if _, rest, ok := strings.Cut(text, "sales_"); ok {
 		digits, _, _ := strings.Cut(rest, ".")
-		w.Tables, _ = strconv.ParseInt(digits, 10, 64)
+		w.TableGroup, _ = strconv.ParseInt(digits, 10, 64)
 	}
 	_, said, _ := strings.Cut(text, "-- takes ")
 	for pair := range strings.FieldsSeq(said) {
@@ -342,15 +342,15 @@
 		case "rows":
 			w.Rows = int(x)
 		case "plan":
-			w.Plan = x
+			w.PlanFactor = x
 		case "load":
 			w.Load = value == "true"
 		case "waits":
-			w.Waits = value == "true"
+			w.WaitsForLoad = value == "true"
 		}
 	}
 	return w
 }
 
 // Silent tells whether it was cut off.
-func (s *Server) Silent() bool { return s.silent }
+func (s *Server) Unreachable() bool { return s.silent }
--- a/internal/emulator/faultproxy/link.go
+++ b/internal/emulator/faultproxy/link.go
@@ -68,14 +68,14 @@
 func (l *Link) Address() string { return l.listener.Addr().String() }
 
 // Target says where new connections lead from now on.
-func (l *Link) Target(address string) {
+func (l *Link) SetTarget(address string) {
 	l.mu.Lock()
 	l.target = address
 	l.mu.Unlock()
 }
 
 // Set puts a fault on the link instead of the one before it.
-func (l *Link) Set(f Fault) {
+func (l *Link) SetFault(f Fault) {
 	l.mu.Lock()
 	l.fault, l.round = f, l.round+1
 	l.rand = rand.New(rand.NewPCG(f.Seed, 1))
@@ -100,14 +100,14 @@
 
 // Play tells a script of an event and sets what is due by it.
 func (l *Link) Play(s *Script, event string) {
-	for _, step := range s.Happened(event) {
-		l.Set(step.Fault)
+	for _, step := range s.OnEvent(event) {
+		l.SetFault(step.Fault)
 	}
 }
 
 // Struck counts by kind how often a fault really did something: to some bytes, or for
 // Cut and Reset to a connection. double_left_out: what was too much to be doubled.
-func (l *Link) Struck() map[string]int {
+func (l *Link) HitCounts() map[string]int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return maps.Clone(l.struck)
@@ -217,8 +217,8 @@
 	if c.open() && c.dial(target, &c.out) {
 		back := c.read(&wg, c.out)
 		var pumps sync.WaitGroup
-		pumps.Go(func() { c.pump(There, there, c.out, target) })
-		pumps.Go(func() { c.pump(Back, back, c.in, target) })
+		pumps.Go(func() { c.pump(ToTarget, there, c.out, target) })
+		pumps.Go(func() { c.pump(FromTarget, back, c.in, target) })
 		pumps.Wait()
 		c.double(target)
 		c.mu.Lock()
@@ -242,7 +242,7 @@
 func (c *conn) open() bool {
 	for {
 		f, _, changed := c.l.look()
-		if !f.blocks(There) {
+		if !f.blocks(ToTarget) {
 			return c.ctx.Err() == nil
 		}
 		c.l.hit(string(f.Kind))
@@ -293,13 +293,13 @@
 }
 
 // pump writes what is queued, through the faults, and then the stream's end.
-func (c *conn) pump(way Way, queue chan piece, to *net.TCPConn, target string) {
+func (c *conn) pump(way Direction, queue chan piece, to *net.TCPConn, target string) {
 	for p := range queue {
 		if !c.pass(way, p, to) {
 			c.end(true)
 			return
 		}
-		if way == Back {
+		if way == FromTarget {
 			c.double(target) // who connected has the answer: a twin's comes second
 		}
 	}
@@ -318,7 +318,7 @@
 }
 
 // pass brings one piece through the fault of now, and those set while it waits.
-func (c *conn) pass(way Way, p piece, to *net.TCPConn) bool {
+func (c *conn) pass(way Direction, p piece, to *net.TCPConn) bool {
 	round, late, b := -1, time.Duration(0), p.bytes
 	for len(b) > 0 {
 		c.l.mu.Lock()
@@ -352,7 +352,7 @@
 				return false
 			}
 		}
-		if way == There && f.Kind == Double {
+		if way == ToTarget && f.Kind == Duplicate {
 			c.remember(b[:v.take]) // before it is written: the answer may be there before Write returns
 		}
 		n, err := to.Write(b[:v.take])
@@ -404,6 +404,6 @@
 	}
 	c.twin.SetWriteDeadline(time.Now().Add(patience))
 	if _, err := c.twin.Write(b); err == nil {
-		c.l.hit(string(Double))
+		c.l.hit(string(Duplicate))
 	}
 }
--- a/internal/emulator/faultproxy/link_test.go
+++ b/internal/emulator/faultproxy/link_test.go
@@ -135,8 +135,8 @@
 	if back, err := io.ReadAll(c); err != nil || !bytes.Equal(back, data) {
 		t.Errorf("%d bytes of %d came back: %v", len(back), len(data), err)
 	}
-	if n := len(l.Struck()); n > 0 {
-		t.Error(l.Struck())
+	if n := len(l.HitCounts()); n > 0 {
+		t.Error(l.HitCounts())
 	}
 }
 
@@ -145,7 +145,7 @@
 	c := dial(t, l.Address())
 	write(t, c, "a")
 	reads(t, c, "a")
-	l.Set(Fault{Kind: Cut})
+	l.SetFault(Fault{Kind: Cut})
 	closed(t, c)
 	if late, err := net.Dial("tcp", l.Address()); err == nil { // the reset may come before or after
 		late.SetDeadline(time.Now().Add(soon))
@@ -154,8 +154,8 @@
 	} else if !errors.Is(err, syscall.ECONNRESET) {
 		t.Error(err)
 	}
-	struck(t, l.Struck, Cut, 2)
-	l.Set(Fault{})
+	struck(t, l.HitCounts, Cut, 2)
+	l.SetFault(Fault{})
 	c = dial(t, l.Address())
 	write(t, c, "b")
 	reads(t, c, "b")
@@ -167,15 +167,15 @@
 	write(t, c, "a")
 	reads(t, c, "a")
 	e.takes(t, "a")
-	l.Set(Fault{Kind: Cut, Silent: true})
+	l.SetFault(Fault{Kind: Cut, Silent: true})
 	write(t, c, "b")
 	late := dial(t, l.Address())
 	write(t, late, "c")
-	struck(t, l.Struck, Cut, 2)
+	struck(t, l.HitCounts, Cut, 2)
 	if len(e.took) > 0 {
 		t.Error("something passed")
 	}
-	l.Set(Fault{})
+	l.SetFault(Fault{})
 	reads(t, c, "b")
 	reads(t, late, "c")
 }
@@ -183,25 +183,25 @@
 func TestOneWay(t *testing.T) {
 	l, e := links(t)
 	c := dial(t, l.Address())
-	l.Set(Fault{Kind: OneWay, Way: Back, Hold: true})
+	l.SetFault(Fault{Kind: OneWay, Direction: FromTarget, Hold: true})
 	write(t, c, "a")
 	e.takes(t, "a")
-	struck(t, l.Struck, OneWay, 1)
-	l.Set(Fault{})
+	struck(t, l.HitCounts, OneWay, 1)
+	l.SetFault(Fault{})
 	reads(t, c, "a")
-	l.Set(Fault{Kind: OneWay, Way: Back}) // lost, not held
+	l.SetFault(Fault{Kind: OneWay, Direction: FromTarget}) // lost, not held
 	write(t, c, "b")
 	e.takes(t, "b")
-	struck(t, l.Struck, OneWay, 2)
-	l.Set(Fault{})
+	struck(t, l.HitCounts, OneWay, 2)
+	l.SetFault(Fault{})
 	closed(t, c)
 	c = dial(t, l.Address())
 	write(t, c, "c")
 	reads(t, c, "c")
 	e.takes(t, "c")
-	l.Set(Fault{Kind: OneWay, Way: There})
+	l.SetFault(Fault{Kind: OneWay, Direction: ToTarget})
 	write(t, c, "d")
-	struck(t, l.Struck, OneWay, 3)
+	struck(t, l.HitCounts, OneWay, 3)
 	if len(e.took) > 0 {
 		t.Error("it passed")
 	}
@@ -211,22 +211,22 @@
 	l, _ := links(t)
 	c := dial(t, l.Address())
 	for _, f := range []Fault{
-		{Kind: Slow, Way: There, Rate: 10000},
-		{Kind: Delay, Way: Back, By: 100 * time.Millisecond, Jitter: time.Millisecond},
+		{Kind: Slow, Direction: ToTarget, Rate: 10000},
+		{Kind: Delay, Direction: FromTarget, Latency: 100 * time.Millisecond, Jitter: time.Millisecond},
 	} {
-		l.Set(f)
+		l.SetFault(f)
 		began := time.Now()
 		write(t, c, string(make([]byte, 1000)))
 		reads(t, c, string(make([]byte, 1000)))
 		if took := time.Since(began); took < 100*time.Millisecond {
 			t.Errorf("%s: %v", f.Kind, took)
 		}
-		struck(t, l.Struck, f.Kind, 1)
+		struck(t, l.HitCounts, f.Kind, 1)
 	}
-	l.Set(Fault{Kind: Delay, By: time.Hour})
+	l.SetFault(Fault{Kind: Delay, Latency: time.Hour})
 	write(t, c, "x")
-	struck(t, l.Struck, Delay, 2)
-	l.Set(Fault{}) // what waits waits no more
+	struck(t, l.HitCounts, Delay, 2)
+	l.SetFault(Fault{}) // what waits waits no more
 	reads(t, c, "x")
 }
 
@@ -235,34 +235,34 @@
 	c := dial(t, l.Address())
 	write(t, c, "a")
 	reads(t, c, "a")
-	l.Set(Fault{Kind: Reset})
+	l.SetFault(Fault{Kind: Reset})
 	if _, err := c.Read(make([]byte, 1)); !errors.Is(err, syscall.ECONNRESET) {
 		t.Error(err)
 	}
 	c = dial(t, l.Address())
 	write(t, c, "b")
 	reads(t, c, "b")
-	struck(t, l.Struck, Reset, 1)
+	struck(t, l.HitCounts, Reset, 1)
 }
 
 func TestStallStopsInTheMiddle(t *testing.T) {
 	l, e := links(t)
 	c := dial(t, l.Address())
-	l.Set(Fault{Kind: Stall, Way: There, After: 3})
+	l.SetFault(Fault{Kind: Stall, Direction: ToTarget, AfterBytes: 3})
 	write(t, c, "abcdef")
 	reads(t, c, "abc")
 	e.takes(t, "abc")
-	struck(t, l.Struck, Stall, 1)
+	struck(t, l.HitCounts, Stall, 1)
 	other := dial(t, l.Address())
 	write(t, other, "xyz") // up to there each passes
 	reads(t, other, "xyz")
-	l.Set(Fault{})
+	l.SetFault(Fault{})
 	reads(t, c, "def")
 }
 
 func TestDoubleComesOnceMoreAfterTheAnswer(t *testing.T) {
 	l, e := links(t)
-	l.Set(Fault{Kind: Double})
+	l.SetFault(Fault{Kind: Duplicate})
 	c := dial(t, l.Address())
 	write(t, c, "once")
 	reads(t, c, "once")
@@ -270,25 +270,25 @@
 	write(t, c, "more")
 	reads(t, c, "more")
 	e.takes(t, "moremore")
-	struck(t, l.Struck, Double, 2)
+	struck(t, l.HitCounts, Duplicate, 2)
 	c.CloseWrite()
 	closed(t, c) // of the twin's answers none came
 }
 
 func TestCloseWithAllHeld(t *testing.T) {
 	l, _ := links(t)
-	l.Set(Fault{Kind: Cut, Silent: true})
+	l.SetFault(Fault{Kind: Cut, Silent: true})
 	for range 3 {
 		write(t, dial(t, l.Address()), "held")
 	}
-	struck(t, l.Struck, Cut, 3)
+	struck(t, l.HitCounts, Cut, 3)
 } // the clean-up closes the link and looks for goroutines
 
 func TestMeshCutsPairs(t *testing.T) {
 	names := []string{"a", "b", "c"}
 	m := NewMesh(names...)
 	for _, n := range names {
-		m.Target(n, echo(t, "127.0.0.1:0").Addr().String())
+		m.SetTarget(n, echo(t, "127.0.0.1:0").Addr().String())
 	}
 	t.Cleanup(m.Close)
 	type pair struct{ from, to string }
@@ -300,12 +300,12 @@
 			}
 			address, err := m.Address(from, to)
 			if (i+j)%2 == 0 { // the other way to be told apart: by where it comes from
-				address, err = m.Front(to)
+				address, err = m.SharedAddress(to)
 			}
 			if err != nil {
 				t.Fatal(err)
 			}
-			d := net.Dialer{LocalAddr: &net.TCPAddr{IP: net.ParseIP(m.Source(from))}}
+			d := net.Dialer{LocalAddr: &net.TCPAddr{IP: net.ParseIP(m.SourceAddress(from))}}
 			c, err := d.Dial("tcp", address)
 			if err != nil {
 				t.Fatal(err)
@@ -318,12 +318,12 @@
 	ask := func(cut func(pair) bool, step string) {
 		n, before := 0, map[pair]int{}
 		for p, c := range conns {
-			before[p] = m.Link(p.from, p.to).Struck()[string(Cut)]
+			before[p] = m.Link(p.from, p.to).HitCounts()[string(Cut)]
 			write(t, c, step)
 		}
 		for p, c := range conns {
 			if cut(p) {
-				struck(t, m.Link(p.from, p.to).Struck, Cut, before[p]+1)
+				struck(t, m.Link(p.from, p.to).HitCounts, Cut, before[p]+1)
 				n++
 			} else {
 				reads(t, c, step)
@@ -344,24 +344,24 @@
 	ask(func(p pair) bool { return p.from+p.to == "ab" || p.from+p.to == "ba" }, "pair")
 	m.Isolate("c")
 	ask(func(p pair) bool { return p.from == "c" || p.to == "c" }, "alone")
-	m.Play(&Script{Steps: []Step{{On: "now", From: "a", To: "c", Fault: Fault{Kind: Cut, Silent: true}}}}, "now")
+	m.Play(&Script{Steps: []Step{{Event: "now", From: "a", To: "c", Fault: Fault{Kind: Cut, Silent: true}}}}, "now")
 	ask(func(p pair) bool { return p.from+p.to == "ac" }, "scripted")
-	if m.Struck()[string(Cut)] < 7 {
-		t.Error(m.Struck())
+	if m.HitCounts()[string(Cut)] < 7 {
+		t.Error(m.HitCounts())
 	}
-	front, _ := m.Front("a")
+	front, _ := m.SharedAddress("a")
 	closed(t, dial(t, front)) // from no process
 }
 
 func TestAScriptGoesByEvents(t *testing.T) {
 	s := Script{Steps: []Step{
-		{On: "decided", Nth: 2, Fault: Fault{Kind: Cut}}, {To: "b", Fault: Fault{Kind: Slow}},
-		{On: "decided", Fault: Fault{Kind: Reset}}, {On: "led", Fault: Fault{}},
+		{Event: "decided", Nth: 2, Fault: Fault{Kind: Cut}}, {To: "b", Fault: Fault{Kind: Slow}},
+		{Event: "decided", Fault: Fault{Kind: Reset}}, {Event: "led", Fault: Fault{}},
 	}}
 	var got []Kind
 	for _, e := range []string{"led", "decided", "led", "decided", "x", "decided", "decided", "led", "led"} {
 		got = append(got, Kind(e))
-		for _, step := range s.Happened(e) {
+		for _, step := range s.OnEvent(e) {
 			got = append(got, "!"+step.Fault.Kind)
 		}
 	}
@@ -375,18 +375,18 @@
 	kinds := map[Kind]bool{}
 	rapid.Check(t, func(t *rapid.T) {
 		r := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 1))
-		f := Draw(r)
+		f := RandomFault(r)
 		kinds[f.Kind] = true
 		n := rapid.IntRange(1, chunk).Draw(t, "n")
 		passed := rapid.Int64Range(0, 5000).Draw(t, "passed")
-		for _, way := range []Way{There, Back} {
+		for _, way := range []Direction{ToTarget, FromTarget} {
 			v := f.over(way, n, passed, f.late(r), 0)
 			switch {
 			case v.take < 0 || v.take > n || v.wait < 0 || v.drop && v.take > 0:
 				t.Fatalf("%+v: %+v of %d", f, v, n)
-			case f.Way != Both && f.Way != way && v != verdict{take: n}:
+			case f.Direction != Both && f.Direction != way && v != verdict{take: n}:
 				t.Fatalf("%+v strikes the other way: %+v", f, v)
-			case f.Kind == Stall && v.take > 0 && passed+int64(v.take) > f.After && (f.Way == Both || f.Way == way):
+			case f.Kind == Stall && v.take > 0 && passed+int64(v.take) > f.AfterBytes && (f.Direction == Both || f.Direction == way):
 				t.Fatalf("%+v lets %d pass after %d", f, v.take, passed)
 			}
 		}
--- a/internal/emulator/faultproxy/mesh.go
+++ b/internal/emulator/faultproxy/mesh.go
@@ -37,10 +37,10 @@
 }
 
 // Target says where a process listens. Until then, connections to it are closed.
-func (m *Mesh) Target(name, address string) {
+func (m *Mesh) SetTarget(name, address string) {
 	for pair, l := range m.pairs {
 		if pair[1] == name {
-			l.Target(address)
+			l.SetTarget(address)
 		}
 	}
 }
@@ -55,11 +55,11 @@
 
 // Front is where all reach a process, each from its own Source. Who comes from no
 // process's source is closed.
-func (m *Mesh) Front(to string) (string, error) {
+func (m *Mesh) SharedAddress(to string) (string, error) {
 	return m.listen("to "+to, func(c *net.TCPConn) {
 		host, _, _ := net.SplitHostPort(c.RemoteAddr().String())
 		for _, from := range m.names {
-			if l := m.Link(from, to); l != nil && m.Source(from) == host {
+			if l := m.Link(from, to); l != nil && m.SourceAddress(from) == host {
 				l.carry(c)
 				return
 			}
@@ -84,7 +84,7 @@
 }
 
 // Source is the address that a process listens on and connects from.
-func (m *Mesh) Source(name string) string {
+func (m *Mesh) SourceAddress(name string) string {
 	for i, n := range m.names {
 		if n == name {
 			return fmt.Sprintf("127.77.%d.%d", i/250, 1+i%250)
@@ -94,11 +94,11 @@
 }
 
 // Set puts a fault on the links from one process to another, "" is any.
-func (m *Mesh) Set(from, to string, f Fault) {
+func (m *Mesh) SetFault(from, to string, f Fault) {
 	for _, a := range m.names { // in order, so that a seeded test is the same each time
 		for _, b := range m.names {
 			if l := m.Link(a, b); l != nil && (from == "" || from == a) && (to == "" || to == b) {
-				l.Set(f)
+				l.SetFault(f)
 			}
 		}
 	}
@@ -106,31 +106,31 @@
 
 // Cut lets nothing pass between two processes; connections stay and hear nothing.
 func (m *Mesh) Cut(a, b string) {
-	m.Set(a, b, Fault{Kind: Cut, Silent: true})
-	m.Set(b, a, Fault{Kind: Cut, Silent: true})
+	m.SetFault(a, b, Fault{Kind: Cut, Silent: true})
+	m.SetFault(b, a, Fault{Kind: Cut, Silent: true})
 }
 
 // Isolate cuts one process off from all others.
 func (m *Mesh) Isolate(a string) {
-	m.Set(a, "", Fault{Kind: Cut, Silent: true})
-	m.Set("", a, Fault{Kind: Cut, Silent: true})
+	m.SetFault(a, "", Fault{Kind: Cut, Silent: true})
+	m.SetFault("", a, Fault{Kind: Cut, Silent: true})
 }
 
 // Heal ends all faults.
-func (m *Mesh) Heal() { m.Set("", "", Fault{}) }
+func (m *Mesh) Heal() { m.SetFault("", "", Fault{}) }
 
 // Play tells a script of an event and sets what is due by it.
 func (m *Mesh) Play(s *Script, event string) {
-	for _, step := range s.Happened(event) {
-		m.Set(step.From, step.To, step.Fault)
+	for _, step := range s.OnEvent(event) {
+		m.SetFault(step.From, step.To, step.Fault)
 	}
 }
 
 // Struck is the sum over all links.
-func (m *Mesh) Struck() map[string]int {
+func (m *Mesh) HitCounts() map[string]int {
 	sum := map[string]int{}
 	for _, l := range m.pairs {
-		for kind, n := range l.Struck() {
+		for kind, n := range l.HitCounts() {
 			sum[kind] += n
 		}
 	}
--- a/internal/emulator/feed/feed.go
+++ b/internal/emulator/feed/feed.go
@@ -15,14 +15,14 @@
 
 // Engine is one entry of the list, under the feed's names.
 type Engine struct {
-	ID       string `json:"id"`
-	HostPort string `json:"host_port"`
-	Locality string `json:"locality"`
-	Flavor   string `json:"flavor"`
-	Cell     int    `json:"cell"`
-	Phase    string `json:"phase"` // SERVING, DRAINING, DELETED
-	Size     int    `json:"size"`
-	Up       int64  `json:"up_since_ms"`
+	ID        string `json:"id"`
+	HostPort  string `json:"host_port"`
+	Locality  string `json:"locality"`
+	Flavor    string `json:"flavor"`
+	Cell      int    `json:"cell"`
+	Phase     string `json:"phase"` // SERVING, DRAINING, DELETED
+	Size      int    `json:"size"`
+	UpSinceMs int64  `json:"up_since_ms"`
 }
 
 // Log is the feed's events from the first, each a line. The first lists all.
@@ -40,7 +40,7 @@
 }
 
 // Tell adds an event: of all engines with whole, else of those that changed.
-func (l *Log) Tell(whole bool, engines ...Engine) {
+func (l *Log) Append(whole bool, engines ...Engine) {
 	n := len(l.lines) + 1
 	line, err := json.Marshal(event{n, members{n, whole, engines}})
 	if err != nil {
@@ -50,10 +50,10 @@
 }
 
 // Last is the number of the newest event.
-func (l *Log) Last() int { return len(l.lines) }
+func (l *Log) LastEvent() int { return len(l.lines) }
 
 // Since is all events after one, a line each.
-func (l *Log) Since(n int) []byte {
+func (l *Log) EventsSince(n int) []byte {
 	var b bytes.Buffer
 	for _, line := range l.lines[min(max(n, 0), len(l.lines)):] {
 		b.Write(line)
@@ -63,15 +63,17 @@
 }
 
 // Known is the form that a configuration holds all events in.
-func (l *Log) Known() []byte {
-	return append(append([]byte(`{"n":`+strconv.Itoa(l.Last())+`,"events":[`), bytes.Join(l.lines, []byte(","))...), "]}"...)
+func (l *Log) ConfigurationJSON() []byte {
+	return append(append([]byte(`{"n":`+strconv.Itoa(l.LastEvent())+`,"events":[`), bytes.Join(l.lines, []byte(","))...), "]}"...)
 }
 
 // Beat is the line that comes every second.
-func (l *Log) Beat() []byte { return append(strconv.AppendInt(nil, int64(l.Last()), 10), '\n') }
+func (l *Log) Heartbeat() []byte {
+	return append(strconv.AppendInt(nil, int64(l.LastEvent()), 10), '\n')
+}
 
 // Asked reads what a controller writes, SUB N; false if it is no such line.
-func Asked(line []byte) (n int, ok bool) {
+func ParseSubscription(line []byte) (n int, ok bool) {
 	word, number, found := strings.Cut(strings.TrimSpace(string(line)), " ")
 	n, err := strconv.Atoi(number)
 	return n, found && word == "SUB" && err == nil && n >= 0
@@ -86,17 +88,17 @@
 	conns map[net.Conn]int // the last event each was told
 	stop  context.CancelFunc
 	wg    sync.WaitGroup
-	bytes Bytes
+	bytes Traffic
 }
 
 // Bytes is what a feed's connections have carried, without the headers of TCP and IP.
-type Bytes struct {
+type Traffic struct {
 	In, Out int
 	Events  int // of Out, those that are not the number of each second
 }
 
 // Bytes is what there was so far.
-func (l *Listener) Bytes() Bytes {
+func (l *Listener) Traffic() Traffic {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.bytes
@@ -118,10 +120,10 @@
 }
 
 // Tell adds an event and passes it on to all.
-func (l *Listener) Tell(whole bool, engines ...Engine) {
+func (l *Listener) Publish(whole bool, engines ...Engine) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.log.Tell(whole, engines...)
+	l.log.Append(whole, engines...)
 	for c := range l.conns {
 		l.pass(c)
 	}
@@ -129,13 +131,13 @@
 
 func (l *Listener) pass(c net.Conn) {
 	c.SetWriteDeadline(time.Now().Add(time.Second))
-	text := l.log.Since(l.conns[c])
+	text := l.log.EventsSince(l.conns[c])
 	l.bytes.Out += len(text)
 	l.bytes.Events += len(text)
 	if _, err := c.Write(text); err != nil {
 		c.Close()
 	}
-	l.conns[c] = l.log.Last()
+	l.conns[c] = l.log.LastEvent()
 }
 
 func (l *Listener) beat(ctx context.Context) {
@@ -150,7 +152,7 @@
 			l.mu.Lock()
 			for c := range l.conns {
 				c.SetWriteDeadline(time.Now().Add(time.Second))
-				n, _ := c.Write(l.log.Beat())
+				n, _ := c.Write(l.log.Heartbeat())
 				l.bytes.Out += n
 			}
 			l.mu.Unlock()
@@ -181,7 +183,7 @@
 	for known := false; ; {
 		n, err := c.Read(p)
 		if line = append(line, p[:n]...); !known && bytes.IndexByte(line, '\n') >= 0 {
-			last, ok := Asked(line)
+			last, ok := ParseSubscription(line)
 			if !ok {
 				return
 			}
--- a/internal/emulator/hollow/controller.go
+++ b/internal/emulator/hollow/controller.go
@@ -52,15 +52,15 @@
 	if !c.spread(ctx) {
 		return nil
 	}
-	listener, err := net.Listen("tcp", c.member.Listen)
+	listener, err := net.Listen("tcp", c.member.ListenAddress)
 	if err != nil {
-		return &driver.ListenError{Purpose: "peers", Address: c.member.Listen, Err: err}
+		return &driver.ListenError{Purpose: "peers", Address: c.member.ListenAddress, Err: err}
 	}
 	started := time.Now().Add(-c.offset())
 	shape := c.shaper(listener.Addr())
-	dialer := &dialer{local: hostOf(listener.Addr()), direct: c.config.Direct, shape: shape, gate: c.gate, abroad: c.abroad}
-	opened, err := driver.Open(driver.Options{Node: c.begin(), Fleet: c.config.Fleet, KeyFile: c.config.Keys, ControlAddress: c.member.Control, StartTime: started, Log: zerolog.Nop(), CheckPolicy: check,
-		OpenStore: func() (driver.Store, storage.Contents, error) { return c.store, c.store.Found(), nil },
+	dialer := &dialer{local: hostOf(listener.Addr()), direct: c.config.DirectAddresses, shape: shape, gate: c.gate, abroad: c.abroad}
+	opened, err := driver.Open(driver.Options{Node: c.begin(), Fleet: c.config.Fleet, KeyFile: c.config.Keys, ControlAddress: c.member.ControlAddress, StartTime: started, Log: zerolog.Nop(), CheckPolicy: check,
+		OpenStore: func() (driver.Store, storage.Contents, error) { return c.store, c.store.Contents(), nil },
 		Listener:  &shapedListener{listener, shape}, Dial: dialer.dial})
 	if err != nil {
 		return err
@@ -75,7 +75,7 @@
 		group.Go(func() error { return c.tellSites(ctx, opened) })
 		group.Go(func() error { return watch.serve(ctx, opened.Orders(), opened.Reports()) })
 		if err := group.Wait(); err != nil && running.Err() == nil {
-			c.tell(Event{Kind: Failed, Name: c.member.Name, At: time.Now().UnixNano(), Why: err.Error()})
+			c.tell(Event{Kind: Failed, Name: c.member.Name, At: time.Now().UnixNano(), Reason: err.Error()})
 		}
 	}()
 	return nil
@@ -119,11 +119,11 @@
 	if c.running == nil {
 		return &Counts{}
 	}
-	return CountsOf(c.running.Counts(), "")
+	return ParseCounts(c.running.Counts(), "")
 }
 
 // CountsOf reads the sums of a wire, whose names may have a prefix, as in a status.
-func CountsOf(all map[string]int, prefix string) *Counts {
+func ParseCounts(all map[string]int, prefix string) *Counts {
 	at := func(name string) int { return all[prefix+name] }
 	return &Counts{BytesOut: at("conn_bytes_out"), BytesIn: at("conn_bytes_in"), FramesOut: at("bytes_out"), FramesIn: at("bytes_in"),
 		MessagesOut: at("sent"), MessagesIn: at("got"),
@@ -132,8 +132,8 @@
 
 func (c *controller) begin() node.Config {
 	b := node.Config{Self: fleet.Member{Name: c.member.Name, Site: c.member.Place.Zone,
-		PeerAddress:   c.member.Listen,
-		ClientAddress: c.member.Clients}, Lease: c.config.Lease,
+		PeerAddress:   c.member.ListenAddress,
+		ClientAddress: c.member.ClientAddress}, Lease: c.config.Lease,
 		ConfinedLease: c.config.Lease, ClockDrift: drift, ElectionTimeout: c.config.Election, HeartbeatInterval: c.config.Heartbeat, SnapshotAfterEntries: keepAtMost}
 	for _, v := range c.config.Voters {
 		b.Voters = append(b.Voters, consensus.Voter{Name: v.Name, Address: v.Address})
@@ -200,7 +200,7 @@
 	switch command.Do {
 	case Start:
 		if err := c.start(ctx); err != nil {
-			c.tell(Event{Kind: Failed, Name: c.member.Name, At: time.Now().UnixNano(), Why: err.Error()})
+			c.tell(Event{Kind: Failed, Name: c.member.Name, At: time.Now().UnixNano(), Reason: err.Error()})
 		}
 	case Stop:
 		c.kill()
@@ -213,6 +213,6 @@
 	case Report:
 		c.tell(Event{Kind: Counted, Name: c.member.Name, At: time.Now().UnixNano(), Round: command.Round, Counts: c.counts()})
 	default:
-		c.tell(Event{Kind: Failed, Name: c.member.Name, At: time.Now().UnixNano(), Why: fmt.Sprintf("no command is called %q", command.Do)})
+		c.tell(Event{Kind: Failed, Name: c.member.Name, At: time.Now().UnixNano(), Reason: fmt.Sprintf("no command is called %q", command.Do)})
 	}
 }
--- a/internal/emulator/hollow/hollow_test.go
+++ b/internal/emulator/hollow/hollow_test.go
@@ -48,19 +48,19 @@
 		WriteDelay: time.Millisecond, Seed: 7, Places: map[string]Place{}, Links: Links{Zone: time.Millisecond, Regions: 5 * time.Millisecond, Jitter: 0.1}}
 	for i := range 5 {
 		host := fmt.Sprintf("127.78.%d.%d", block, i+1)
-		m := Member{Name: fmt.Sprint("h", i), Listen: freePort(t, host), Place: Place{Region: []string{"east", "west"}[i/3], Zone: fmt.Sprint("z", i%2)}}
+		m := Member{Name: fmt.Sprint("h", i), ListenAddress: freePort(t, host), Place: Place{Region: []string{"east", "west"}[i/3], Zone: fmt.Sprint("z", i%2)}}
 		if i == 0 {
-			m.Control = freePort(t, host)
+			m.ControlAddress = freePort(t, host)
 		}
 		config.Places[host] = m.Place
 		config.Controllers = append(config.Controllers, m)
 		if i < 3 {
-			config.Voters = append(config.Voters, Peer{m.Name, m.Listen})
+			config.Voters = append(config.Voters, Peer{m.Name, m.ListenAddress})
 		}
 	}
 	in, commands := io.Pipe()
 	events, out := io.Pipe()
-	p := &play{t: t, commands: json.NewEncoder(commands), events: make(chan Event, 1000), keys: keys, control: config.Controllers[0].Control, serving: map[string]uint64{}}
+	p := &play{t: t, commands: json.NewEncoder(commands), events: make(chan Event, 1000), keys: keys, control: config.Controllers[0].ControlAddress, serving: map[string]uint64{}}
 	done := make(chan error, 1)
 	go func() { done <- Run(t.Context(), in, out); out.Close() }()
 	read := make(chan struct{})
@@ -175,7 +175,7 @@
 	at := time.Now()
 	p.do(Command{Do: Pause, Names: []string{"h4"}})
 	e := p.until(func(e Event) bool { return e.Name == "h4" && e.Kind == Ended })
-	if over := time.Unix(0, e.At).Sub(at); e.Why != "lease" || over > 1100*time.Millisecond {
+	if over := time.Unix(0, e.At).Sub(at); e.Reason != "lease" || over > 1100*time.Millisecond {
 		t.Errorf("it served for %v more: %+v", over, e)
 	}
 	if r := p.apply("without it", 1); r.Outcome != "in force" {
--- a/internal/emulator/hollow/message.go
+++ b/internal/emulator/hollow/message.go
@@ -15,13 +15,13 @@
 	// StartWithin is the time over which starts are spread, by the seed: all at
 	// once would ask for their leases in one moment ever after, which processes that start
 	// together don't, and spare the leader confirmations.
-	StartWithin time.Duration     `json:"start_within"`
-	Seed        uint64            `json:"seed"` // of clock offsets and of the links' jitter
-	Links       Links             `json:"links"`
-	Places      map[string]Place  `json:"places"` // of all controllers, by host address
-	Direct      map[string]string `json:"direct"` // where the address of a peer leads, past a proxy
-	Sites       []string          `json:"sites"`  // that all tell to have engines, as real ones do
-	Controllers []Member          `json:"controllers"`
+	StartWithin     time.Duration     `json:"start_within"`
+	Seed            uint64            `json:"seed"` // of clock offsets and of the links' jitter
+	Links           Links             `json:"links"`
+	Places          map[string]Place  `json:"places"` // of all controllers, by host address
+	DirectAddresses map[string]string `json:"direct"` // where the address of a peer leads, past a proxy
+	Sites           []string          `json:"sites"`  // that all tell to have engines, as real ones do
+	Controllers     []Member          `json:"controllers"`
 }
 
 // Peer is a controller as others reach it.
@@ -32,12 +32,12 @@
 
 // Member is one hollow controller.
 type Member struct {
-	Name    string `json:"name"`
-	Listen  string `json:"listen"`            // an IP address of its own, and a port
-	Clients string `json:"clients,omitempty"` // where its clients would reach it
-	Place   Place  `json:"place"`
-	Relays  []Peer `json:"relays,omitempty"`  // that it asks in place of the leader
-	Control string `json:"control,omitempty"` // where operators come in; none: they don't
+	Name           string `json:"name"`
+	ListenAddress  string `json:"listen"`            // an IP address of its own, and a port
+	ClientAddress  string `json:"clients,omitempty"` // where its clients would reach it
+	Place          Place  `json:"place"`
+	Relays         []Peer `json:"relays,omitempty"`  // that it asks in place of the leader
+	ControlAddress string `json:"control,omitempty"` // where operators come in; none: they don't
 }
 
 // What a Command has controllers do.
@@ -75,7 +75,7 @@
 	At      int64   `json:"at"` // nanoseconds since 1970
 	Version uint64  `json:"version,omitempty"`
 	Policy  uint64  `json:"policy,omitempty"` // xxhash of the text that it serves by
-	Why     string  `json:"why,omitempty"`
+	Reason  string  `json:"why,omitempty"`
 	Round   int     `json:"round,omitempty"`
 	Counts  *Counts `json:"counts,omitempty"`
 }
--- a/internal/emulator/hollow/reducer.go
+++ b/internal/emulator/hollow/reducer.go
@@ -109,7 +109,7 @@
 		now, why = o.until, "lease"
 	}
 	o.serving = false
-	o.tell(Event{Kind: Ended, Name: o.name, At: o.wall(now), Version: o.version, Why: why})
+	o.tell(Event{Kind: Ended, Name: o.name, At: o.wall(now), Version: o.version, Reason: why})
 }
 
 func (o *observer) stopLapsed(now time.Duration) {
--- a/internal/emulator/hollow/store.go
+++ b/internal/emulator/hollow/store.go
@@ -30,7 +30,7 @@
 }
 
 // Found is what a disk would hold at a start.
-func (s *Store) Found() storage.Contents {
+func (s *Store) Contents() storage.Contents {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	kept := s.kept
--- a/internal/emulator/loopback/loopback.go
+++ b/internal/emulator/loopback/loopback.go
@@ -22,15 +22,15 @@
 var given atomic.Int64
 
 // ErrNone is the error where a process has had all addresses that there are for it.
-var ErrNone = errors.New("no address is left on the loopback network for this process")
+var ErrNoAddress = errors.New("no address is left on the loopback network for this process")
 
 // Address is one that nobody listens on, a different one each time.
-func Address() (string, error) {
+func FreeAddress() (string, error) {
 	ip := ipOf(os.Getpid())
 	for {
 		port := firstPort + int(given.Add(1)) - 1
 		if port > lastPort {
-			return "", ErrNone
+			return "", ErrNoAddress
 		}
 		address := net.JoinHostPort(ip.String(), strconv.Itoa(port))
 		listener, err := net.Listen("tcp", address)
--- a/internal/emulator/loopback/loopback_test.go
+++ b/internal/emulator/loopback/loopback_test.go
@@ -8,7 +8,7 @@
 func TestAddressesAreFreeAndDiffer(t *testing.T) {
 	seen := map[string]bool{}
 	for range 50 {
-		address, err := Address()
+		address, err := FreeAddress()
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/eventloop/endings_clients_test.go
+++ b/internal/eventloop/endings_clients_test.go
@@ -205,7 +205,7 @@
 		c := y.client()
 		time.Sleep(time.Duration(n*9) * time.Millisecond / 2)
 		c.msgs++
-		c.Write(client.Call(nil, c.msgs, "squall", []byte("SELECT 1 FROM sales_3.x"), "trace", id(n), "patience", "5000"))
+		c.Write(client.AppendQuery(nil, c.msgs, "squall", []byte("SELECT 1 FROM sales_3.x"), "trace", id(n), "patience", "5000"))
 		y.engine.over(id(n))
 		if a, ok := c.answer(); ok != (y.engine.heard.has("POST "+id(n)) == 1) || ok && a.Kind != client.Finished {
 			t.Fatalf("query %d: sent %d times, answered: %v %+v", n, y.engine.heard.has("POST "+id(n)), ok, a)
@@ -280,7 +280,7 @@
 	y.engine.heard.wait(1, "POST "+id(1))
 	y.engine.over(id(1))
 	asks.finished(1)
-	if _, err := asks.Write(client.Alive(nil, 77)); err != nil {
+	if _, err := asks.Write(client.AppendAliveRequest(nil, 77)); err != nil {
 		t.Fatal(err)
 	}
 	if a, ok := asks.answer(); !ok || !a.Ready {
--- a/internal/eventloop/gate_test.go
+++ b/internal/eventloop/gate_test.go
@@ -493,14 +493,14 @@
 	if group == "haul" {
 		tables = 1
 	}
-	if _, err := c.Write(client.Call(nil, c.msgs, group, []byte("SELECT * FROM sales_"+strconv.Itoa(tables)+".orders"), fields...)); err != nil {
+	if _, err := c.Write(client.AppendQuery(nil, c.msgs, group, []byte("SELECT * FROM sales_"+strconv.Itoa(tables)+".orders"), fields...)); err != nil {
 		c.t.Fatal(err)
 	}
 }
 
 func (c *asker) cancel() {
 	c.t.Helper()
-	if _, err := c.Write(client.Cancel(nil, c.msgs)); err != nil {
+	if _, err := c.Write(client.AppendCancel(nil, c.msgs)); err != nil {
 		c.t.Fatal(err)
 	}
 }
--- a/internal/fleet/transport/faults_test.go
+++ b/internal/fleet/transport/faults_test.go
@@ -25,7 +25,7 @@
 
 func TestDuplicatedConnectionIsRejectedAsReplay(t *testing.T) {
 	a, b, link := newFaultyPair(t, Options{})
-	link.Set(faultproxy.Fault{Kind: faultproxy.Double})
+	link.SetFault(faultproxy.Fault{Kind: faultproxy.Duplicate})
 	for i := range 5 {
 		a.Send("b", link.Address(), &node.Message{Consensus: []byte(fmt.Sprint(i))})
 		b.expectMessage(t, "a", fmt.Sprint(i))
@@ -33,18 +33,18 @@
 	}
 	expectRejection[*ReplayError](t, b.rejections)
 	b.waitForCount(t, "refused_replay", 5)
-	if counts := b.Counts(); counts["got"] != 5 || link.Struck()["double"] < 5 {
-		t.Error(counts, link.Struck())
+	if counts := b.Counts(); counts["got"] != 5 || link.HitCounts()["double"] < 5 {
+		t.Error(counts, link.HitCounts())
 	}
 }
 
 func TestStalledFrameTimesOutAndNextOneArrives(t *testing.T) {
 	a, b, link := newFaultyPair(t, Options{Timeout: 50 * time.Millisecond})
-	link.Set(faultproxy.Fault{Kind: faultproxy.Stall, Way: faultproxy.There, After: 2000}) // lets a hello pass
+	link.SetFault(faultproxy.Fault{Kind: faultproxy.Stall, Direction: faultproxy.ToTarget, AfterBytes: 2000}) // lets a hello pass
 	a.Send("b", link.Address(), &node.Message{Consensus: make([]byte, 5000)})
 	a.waitForCount(t, "lost", 1)
 	b.waitForCount(t, "cut", 1)
-	link.Set(faultproxy.Fault{Kind: faultproxy.Reset})
+	link.SetFault(faultproxy.Fault{Kind: faultproxy.Reset})
 	a.Send("b", link.Address(), &node.Message{Consensus: []byte("after")})
 	b.expectMessage(t, "a", "after")
 }
@@ -60,14 +60,14 @@
 		a.Send("b", link.Address(), &node.Message{Consensus: []byte(text)})
 	}
 	for i := range 30 {
-		link.Set(faultproxy.Draw(random))
+		link.SetFault(faultproxy.RandomFault(random))
 		before := a.Counts()["bytes_out"]
 		for j := range 10 {
 			send(fmt.Sprintf("%d.%d", i, j))
 		}
 		a.waitForCount(t, "bytes_out", before+1)
 	}
-	link.Set(faultproxy.Fault{})
+	link.SetFault(faultproxy.Fault{})
 	send("healed")
 	for last := ""; last != "healed"; {
 		select {
@@ -76,7 +76,7 @@
 				t.Fatalf("received message %q, which was never sent", last)
 			}
 		case <-time.After(testTimeout):
-			t.Fatal(a.Counts(), b.Counts(), link.Struck())
+			t.Fatal(a.Counts(), b.Counts(), link.HitCounts())
 		}
 	}
 	for name, n := range b.Counts() {
@@ -84,33 +84,33 @@
 			t.Error(name, n)
 		}
 	}
-	if len(link.Struck()) < 5 {
-		t.Error("too few kinds of faults were injected:", link.Struck())
+	if len(link.HitCounts()) < 5 {
+		t.Error("too few kinds of faults were injected:", link.HitCounts())
 	}
 }
 
 func TestMeshCutsOneDirectionBySourceAddress(t *testing.T) {
 	mesh := faultproxy.NewMesh("a", "b")
 	options := func(name string) Options {
-		listener, err := net.Listen("tcp", mesh.Source(name)+":0")
+		listener, err := net.Listen("tcp", mesh.SourceAddress(name)+":0")
 		if err != nil {
 			t.Skip("this system can't listen on all addresses in 127/8:", err)
 		}
-		return Options{Listener: listener, LocalIP: net.ParseIP(mesh.Source(name)), Timeout: 50 * time.Millisecond}
+		return Options{Listener: listener, LocalIP: net.ParseIP(mesh.SourceAddress(name)), Timeout: 50 * time.Millisecond}
 	}
 	a, b := newPeerPair(t, options("a"), options("b"))
 	t.Cleanup(mesh.Close)
-	mesh.Target("a", a.address)
-	mesh.Target("b", b.address)
-	toA, err := mesh.Front("a")
+	mesh.SetTarget("a", a.address)
+	mesh.SetTarget("b", b.address)
+	toA, err := mesh.SharedAddress("a")
 	if err != nil {
 		t.Fatal(err)
 	}
-	toB, err := mesh.Front("b")
+	toB, err := mesh.SharedAddress("b")
 	if err != nil {
 		t.Fatal(err)
 	}
-	mesh.Set("a", "b", faultproxy.Fault{Kind: faultproxy.Cut, Silent: true})
+	mesh.SetFault("a", "b", faultproxy.Fault{Kind: faultproxy.Cut, Silent: true})
 	a.Send("b", toB, &node.Message{Consensus: []byte("held up")})
 	b.Send("a", toA, &node.Message{Consensus: []byte("other way")})
 	a.expectMessage(t, "b", "other way")
--- a/internal/resultstore/erase_test.go
+++ b/internal/resultstore/erase_test.go
@@ -90,13 +90,13 @@
 			k.Tick()
 		}
 	}
-	from := d.Steps()
-	if len(d.Holds(marker(purgedTeam))) < 3 {
+	from := d.StepCount()
+	if len(d.FilesContaining(marker(purgedTeam))) < 3 {
 		t.Fatal("there is nothing to purge")
 	}
 	clean := func(d *disk.Disk, k *resultstore.SpoolStore, when string) {
 		t.Helper()
-		if l := append(d.Holds(marker(purgedTeam)), d.Holds([]byte(purgedTeam))...); len(l) > 0 {
+		if l := append(d.FilesContaining(marker(purgedTeam)), d.FilesContaining([]byte(purgedTeam))...); len(l) > 0 {
 			t.Fatalf("%s: wiped is told, and it is in %v", when, l)
 		}
 		if l, others := theirs(t, k); len(l) > 0 || others != kept {
@@ -107,27 +107,27 @@
 		}
 	}
 	purge(t, k, gone)
-	to := d.Steps()
+	to := d.StepCount()
 	clean(d, k, "in one go")
 	if to-from < 20 {
 		t.Fatal("the purge has too few steps to say anything: ", to-from)
 	}
 	// what was wiped stays so, whatever the crash
-	for how := disk.Killed; how <= disk.Cut; how++ {
-		if l := d.After(to, how).Holds(marker(purgedTeam)); len(l) > 0 {
+	for how := disk.ProcessKilled; how <= disk.PowerLoss; how++ {
+		if l := d.AfterCrash(to, how).FilesContaining(marker(purgedTeam)); len(l) > 0 {
 			t.Fatalf("wiped, and %v brings it back in %v", how, l)
 		}
 	}
 	back := 0
 	for n := from; n <= to; n++ {
-		for how := disk.Killed; how <= disk.Cut; how++ {
+		for how := disk.ProcessKilled; how <= disk.PowerLoss; how++ {
 			for _, lost := range []bool{false, true} {
 				if lost && n%3 != int(how) { // it is all read anew then, which takes long
 					continue
 				}
 				when := fmt.Sprintf("cut at %d of %d to %d, %v, index lost %v", n, from, to, how, lost)
-				d := d.After(n, how)
-				x := x.After(n, d)
+				d := d.AfterCrash(n, how)
+				x := x.AfterCrash(n, d)
 				if lost {
 					x = disk.NewIndex(d)
 				}
@@ -166,9 +166,9 @@
 				gone = append(gone, id)
 			}
 		}
-		d.Half = true
+		d.PartialWrites = true
 		verbs := 0
-		d.Fail = func(verb, name string) error {
+		d.InjectError = func(verb, name string) error {
 			if verbs++; verbs > nth && verbs <= nth+3 {
 				refused++
 				return os.ErrInvalid
@@ -176,7 +176,7 @@
 			return nil
 		}
 		purge(t, k, gone)
-		if l := d.Holds(marker(purgedTeam)); len(l) > 0 {
+		if l := d.FilesContaining(marker(purgedTeam)); len(l) > 0 {
 			t.Fatalf("wiped is told, and it is in %v", l)
 		}
 	}
--- a/internal/resultstore/store_test.go
+++ b/internal/resultstore/store_test.go
@@ -72,16 +72,16 @@
 	l := c.lives[id]
 	err := c.do(&resultstore.Job{Commit: &resultstore.Meta{Result: id, QueryID: fmt.Sprintf("%016x", id), Tenant: "linz", CreatedMillis: 1, ExpiresMillis: 1000, PageRows: l.rows}})
 	if err == nil {
-		l.promised = c.d.Steps()
+		l.promised = c.d.StepCount()
 	}
 	return err
 }
 
 func (c *script) drop(id uint64) {
 	l := c.lives[id]
-	l.dropping = max(1, c.d.Steps())
+	l.dropping = max(1, c.d.StepCount())
 	if c.do(&resultstore.Job{Drop: []uint64{id}}) == nil {
-		l.dropped = c.d.Steps()
+		l.dropped = c.d.StepCount()
 	}
 }
 
@@ -112,7 +112,7 @@
 	case x < 17:
 		c.drop(pick(&c.open))
 	default:
-		if _, err := c.s.Tick(); err != nil && c.d.Fail == nil {
+		if _, err := c.s.Tick(); err != nil && c.d.InjectError == nil {
 			c.t.Fatal(err)
 		}
 	}
@@ -142,21 +142,21 @@
 	for range 230 {
 		c.step()
 	}
-	steps := c.d.Steps()
+	steps := c.d.StepCount()
 	if steps < 300 {
 		t.Fatal("the run has too few steps to say anything: ", steps)
 	}
 	compacted := 0
 	for k := range steps + 1 {
-		for how := disk.Killed; how <= disk.Cut; how++ {
+		for how := disk.ProcessKilled; how <= disk.PowerLoss; how++ {
 			for _, lost := range []bool{false, true} {
 				if lost && k%3 != int(how) { // it is all read anew then, which takes long
 					continue
 				}
-				d := c.d.After(k, how)
+				d := c.d.AfterCrash(k, how)
 				x := disk.NewIndex(d)
 				if !lost {
-					x = c.x.After(k, d)
+					x = c.x.AfterCrash(k, d)
 				}
 				s, found, err := resultstore.Open(d, x, small())
 				if err != nil {
@@ -177,7 +177,7 @@
 				})
 				for id, l := range c.lives {
 					must := l.promised > 0 && l.promised <= k && (l.dropping == 0 || k < l.dropping)
-					mustnt := how != disk.Cut && l.dropped > 0 && l.dropped <= k
+					mustnt := how != disk.PowerLoss && l.dropped > 0 && l.dropped <= k
 					if must && !there[id] || mustnt && there[id] {
 						t.Fatalf("cut at %d of %d, %v, index lost %v: result %x there %v, promised at %d, dropped at %d to %d", k, steps, how, lost, id, there[id], l.promised, l.dropping, l.dropped)
 					}
@@ -210,8 +210,8 @@
 	for seed := range uint64(30) {
 		c := newScript(t, seed, small())
 		faults := rand.New(rand.NewPCG(seed, 9))
-		c.d.Half = true
-		c.d.Fail = func(verb, name string) error {
+		c.d.PartialWrites = true
+		c.d.InjectError = func(verb, name string) error {
 			if faults.IntN(12) == 0 && verb != "remove" {
 				return syscall.ENOSPC
 			}
@@ -220,7 +220,7 @@
 		for range 300 {
 			c.step()
 		}
-		c.d.Fail = nil
+		c.d.InjectError = nil
 		for _, id := range c.whole {
 			matches(t, c.s, id, c.lives[id])
 		}
@@ -248,7 +248,7 @@
 	names, _ := c.d.List()
 	size, _ := func() (int64, error) { f, _ := c.d.Open(names[0]); return f.Size() }()
 	for at := int64(16); at < size; at++ {
-		c.d.Flip(names[0], at, uint(at%8))
+		c.d.FlipBit(names[0], at, uint(at%8))
 		for i, want := range c.lives[id].pages {
 			if p, err := c.s.Fetch(id, i); err == nil && !bytes.Equal(p, want) {
 				t.Fatalf("a bit at %d: page %d was served spoilt", at, i)
@@ -259,7 +259,7 @@
 		if v, err := c.s.Verify(); err != nil || len(v.Faults) == 0 {
 			t.Fatalf("a bit at %d goes unseen: %v", at, err)
 		}
-		c.d.Flip(names[0], at, uint(at%8))
+		c.d.FlipBit(names[0], at, uint(at%8))
 	}
 	matches(t, c.s, id, c.lives[id])
 }
