--- a/cmd/railrelay-fleet/command.go
+++ b/cmd/railrelay-fleet/command.go
@@ -199,7 +199,7 @@
 		if have.Fleet == nil {
 			return "", nil, fmt.Errorf("%s has no fleet part", d.setup)
 		}
-		address, file = cmp.Or(address, have.Fleet.Control), cmp.Or(file, have.Fleet.Keys)
+		address, file = cmp.Or(address, have.Fleet.ControlAddress), cmp.Or(file, have.Fleet.KeyFile)
 	}
 	if address == "" || file == "" {
 		return "", nil, errors.New("whom to ask? Give --setup FILE, or --control ADDRESS and --keys FILE")
--- a/cmd/railrelay-fleet/join.go
+++ b/cmd/railrelay-fleet/join.go
@@ -19,9 +19,9 @@
 
 // begin is what the set-up's fleet part says of this process, for the fleet's core.
 func begin(have *setup.Setup) node.Config {
-	part, terms := have.Fleet, have.Fleet.Terms()
-	b := node.Config{Self: have.Member(), Lease: terms.Lease, ConfinedLease: terms.LeaseBound, ClockDrift: terms.Drift,
-		ElectionTimeout: terms.Election, HeartbeatInterval: terms.Heartbeat, SnapshotAfterEntries: terms.Keep, IsRelay: part.Relay}
+	part, terms := have.Fleet, have.Fleet.Parameters()
+	b := node.Config{Self: have.Member(), Lease: terms.Lease, ConfinedLease: terms.ConfinedLease, ClockDrift: terms.ClockDrift,
+		ElectionTimeout: terms.ElectionTimeout, HeartbeatInterval: terms.HeartbeatInterval, SnapshotAfterEntries: terms.SnapshotAfterEntries, IsRelay: part.IsRelay}
 	for _, voter := range part.Voters {
 		b.Voters = append(b.Voters, consensus.Voter{Name: voter.Name, Address: voter.Address})
 	}
@@ -35,17 +35,17 @@
 func join(have *setup.Setup, means *controller.Config, log zerolog.Logger) (cli.Joined, error) {
 	f := have.Fleet
 	judge := check
-	if have.Control() {
+	if have.IsControlProcess() {
 		judge = checkControl
 	}
-	e, err := driver.Open(driver.Options{Node: begin(have), Fleet: f.Name, PeerAddress: f.Listen, ControlAddress: f.Control, Directory: f.Directory, KeyFile: f.Keys,
+	e, err := driver.Open(driver.Options{Node: begin(have), Fleet: f.Name, PeerAddress: f.ListenAddress, ControlAddress: f.ControlAddress, Directory: f.Directory, KeyFile: f.KeyFile,
 		StartTime: means.StartedAt, Log: log, CheckPolicy: func(change string, text []byte, now driver.PolicyContext) driver.PolicyVerdict {
 			return judge(have, change, text, now)
 		}})
 	if err != nil {
 		return cli.Joined{}, remedied(err)
 	}
-	means.Fleet = &controller.FleetConfig{ServingState: &fleet.ServingState{}, MaxHold: f.Terms().Hold}
+	means.Fleet = &controller.FleetConfig{ServingState: &fleet.ServingState{}, MaxHold: f.Parameters().MaxHold}
 	status := func(ctx context.Context) *fleet.Status { return e.Request(ctx, &fleet.Request{Kind: "status"}).Status }
 	return cli.Joined{Peers: eventloop.FleetChannels{Orders: e.Orders(), Reports: e.Reports()}, Serve: e.Serve, Again: e.ReloadKeys, Status: status}, nil
 }
@@ -60,7 +60,7 @@
 	c := driver.PolicyVerdict{Policy: policy, WatchedRules: watched, Voters: voters}
 	before, _ := have.Policy.(*controller.Policy)
 	if before == nil {
-		before, _ = own.Base()
+		before, _ = own.BasePolicy()
 	}
 	was, _ := before.Rules.([]residency.Rule)
 	next, _ := policy.Rules.([]residency.Rule)
@@ -81,7 +81,7 @@
 	if err != nil {
 		return refused(err)
 	}
-	c := driver.PolicyVerdict{Policy: policy, WatchedRules: policy.Watched, Voters: policy.Voters, ResidencyRulesUnknown: !policy.Known}
+	c := driver.PolicyVerdict{Policy: policy, WatchedRules: policy.WatchedRules, Voters: policy.Voters, ResidencyRulesUnknown: !policy.RulesKnown}
 	if have.Committed { // what it purges was worked out before it was decided
 		return c
 	}
@@ -89,7 +89,7 @@
 	if !known {
 		before = own.BaseControlPolicy()
 	}
-	if c.PurgeScopes, err = policy.Narrowed(file, before, have.Bindings); err != nil {
+	if c.PurgeScopes, err = policy.PurgeScopes(file, before, have.Bindings); err != nil {
 		return refused(err)
 	}
 	return c
--- a/cmd/railrelay-fleet/plan.go
+++ b/cmd/railrelay-fleet/plan.go
@@ -35,7 +35,7 @@
 			if err != nil {
 				return err
 			}
-			if own.Control() {
+			if own.IsControlProcess() {
 				return fmt.Errorf("%s is of a control process, which has no teams or engines to check a policy against: name a controller's set-up", d.setup)
 			}
 			text, err := os.ReadFile(args[0])
@@ -107,7 +107,7 @@
 
 // engines are those that serve, by the feed's whole list.
 func engines(own *setup.Setup, within time.Duration) ([]residency.Engine, error) {
-	conn, err := net.DialTimeout("tcp", own.Feed, within)
+	conn, err := net.DialTimeout("tcp", own.DiscoveryAddress, within)
 	if err != nil {
 		return nil, fmt.Errorf("the feed of engines: %w", err)
 	}
--- a/internal/bench/datapath_test.go
+++ b/internal/bench/datapath_test.go
@@ -23,7 +23,7 @@
 			t.Fatal(err)
 		}
 		// the letter's connections fit in the third of the descriptors that is for clients
-		if most := have.Means(time.Now()).MaxClientConnections(); most < 7414 {
+		if most := have.ControllerConfig(time.Now()).MaxClientConnections(); most < 7414 {
 			t.Errorf("%d clients are let in, not 7,414", most)
 		}
 	}
--- a/internal/cli/program.go
+++ b/internal/cli/program.go
@@ -241,11 +241,11 @@
 	if have.Fleet != nil && part == nil {
 		return become()
 	}
-	log := logger(have.Name, have.Log)
-	if have.Control() {
+	log := logger(have.Name, have.LogLevel)
+	if have.IsControlProcess() {
 		return serveControl(have, path, started, signals, part, log)
 	}
-	means := have.Means(started)
+	means := have.ControllerConfig(started)
 	disk, err := have.OpenSpool(&means, log)
 	if err != nil {
 		return err
@@ -265,7 +265,7 @@
 			if err != nil {
 				return controller.Event{}, err
 			}
-			return controller.Event{Kind: controller.ConfigurationReloaded, DiscoveryAddress: next.Feed, Tenants: next.Shape()}, nil
+			return controller.Event{Kind: controller.ConfigurationReloaded, DiscoveryAddress: next.DiscoveryAddress, Tenants: next.FairQueueConfig()}, nil
 		}, log)
 	}, joined, log)
 }
@@ -276,7 +276,7 @@
 	if err != nil {
 		return nil, err
 	}
-	for _, what := range have.Fixed(next) {
+	for _, what := range have.PartsNeedingRestart(next) {
 		log.Log().Str("what", what).Msg("can't be changed while running")
 	}
 	if joined.Again != nil {
--- a/internal/setup/answers.go
+++ b/internal/setup/answers.go
@@ -11,35 +11,35 @@
 )
 
 // Answers is a cache of finished answers of read-only queries.
-type Answers struct {
-	Fresh     Span     `yaml:"fresh"`      // an answer is served for so long from when its run at an engine began
-	MemoryMB  float64  `yaml:"memory_mb"`  // of all answers: 16
-	Count     int      `yaml:"count"`      // at once: 10000
-	AnswerKB  float64  `yaml:"answer_kb"`  // a larger one is not kept: 1024, no more than the memory
-	TeamShare float64  `yaml:"team_share"` // of the memory before a team's are the first to go: 0.25
-	Groups    []string `yaml:"groups"`     // whose answers are kept: all read-only ones without an order
+type ResultCache struct {
+	MaxAge     Duration `yaml:"fresh"`      // an answer is served for so long from when its run at an engine began
+	MemoryMB   float64  `yaml:"memory_mb"`  // of all answers: 16
+	MaxEntries int      `yaml:"count"`      // at once: 10000
+	MaxEntryKB float64  `yaml:"answer_kb"`  // a larger one is not kept: 1024, no more than the memory
+	TeamShare  float64  `yaml:"team_share"` // of the memory before a team's are the first to go: 0.25
+	Groups     []string `yaml:"groups"`     // whose answers are kept: all read-only ones without an order
 }
 
 // freshMost bounds how old an answer may be told to be.
-const freshMost = 24 * time.Hour
+const maxResultAge = 24 * time.Hour
 
-func (c *checker) answers(x *Setup) {
+func (c *checker) checkResultCache(x *Setup) {
 	a := x.Answers
-	switch d := time.Duration(a.Fresh); {
+	switch d := time.Duration(a.MaxAge); {
 	case d == 0:
-		c.wrong("answers.fresh", "is missing: how old an answer may be is for the set-up to say")
-	case d > freshMost:
-		c.wrong("answers.fresh", "%v is over %v", d, freshMost)
+		c.addError("answers.fresh", "is missing: how old an answer may be is for the set-up to say")
+	case d > maxResultAge:
+		c.addError("answers.fresh", "%v is over %v", d, maxResultAge)
 	}
-	c.maybe("answers.memory_mb", a.MemoryMB, 0.1, 1<<20)
-	c.maybe("answers.count", float64(a.Count), 1, 10_000_000)
-	c.maybe("answers.answer_kb", a.AnswerKB, 1, 1<<20)
-	c.maybe("answers.team_share", a.TeamShare, 0.001, 1)
+	c.optionalNumber("answers.memory_mb", a.MemoryMB, 0.1, 1<<20)
+	c.optionalNumber("answers.count", float64(a.MaxEntries), 1, 10_000_000)
+	c.optionalNumber("answers.answer_kb", a.MaxEntryKB, 1, 1<<20)
+	c.optionalNumber("answers.team_share", a.TeamShare, 0.001, 1)
 	if a.MemoryMB > cmp.Or(x.Limits.MemoryMB, 512)/2 {
-		c.wrong("answers.memory_mb", "is over half of limits.memory_mb")
+		c.addError("answers.memory_mb", "is over half of limits.memory_mb")
 	}
 	if x.Fairness == nil && x.Shares == nil {
-		c.wrong("answers", "there is neither fairness nor shares: it couldn't be told whose an answer is")
+		c.addError("answers", "there is neither fairness nor shares: it couldn't be told whose an answer is")
 	}
 	for i, name := range a.Groups {
 		at := fmt.Sprintf("answers.groups[%d]", i)
@@ -49,31 +49,31 @@
 				continue
 			}
 			if found = true; g.Effect != "read-only" || g.InOrder || g.Load {
-				c.wrong(at, "%q is not read-only, or has an order, or loads", name)
+				c.addError(at, "%q is not read-only, or has an order, or loads", name)
 			}
 		}
 		if !found {
-			c.wrong(at, "no group is called %q", name)
+			c.addError(at, "no group is called %q", name)
 		}
 	}
 }
 
 // limits are the cache's figures, nil without one.
-func (a *Answers) limits() *resultcache.Limits {
+func (a *ResultCache) limits() *resultcache.Limits {
 	if a == nil {
 		return nil
 	}
 	l := resultcache.DefaultLimits()
-	l.Fresh = time.Duration(a.Fresh)
+	l.Fresh = time.Duration(a.MaxAge)
 	l.Memory = int64(cmp.Or(a.MemoryMB, 16) * (1 << 20))
-	l.Count, l.Team = cmp.Or(a.Count, l.Count), cmp.Or(a.TeamShare, l.Team)
-	l.Answer = min(l.Memory, int64(cmp.Or(a.AnswerKB, 1024)*1024))
+	l.Count, l.Team = cmp.Or(a.MaxEntries, l.Count), cmp.Or(a.TeamShare, l.Team)
+	l.Answer = min(l.Memory, int64(cmp.Or(a.MaxEntryKB, 1024)*1024))
 	l.Groups = a.Groups
 	return &l
 }
 
 // draw gives a number that no other controller draws.
-func draw() uint64 {
+func randomID() uint64 {
 	var p [8]byte
 	rand.Read(p[:])
 	return binary.LittleEndian.Uint64(p[:])
--- a/internal/setup/control.go
+++ b/internal/setup/control.go
@@ -16,29 +16,29 @@
 )
 
 // controlParts are the parts that the set-up of a control process may have.
-var controlParts = []string{"name", "log", "limits", "fleet", "placement"}
+var controlProcessKeys = []string{"name", "log", "limits", "fleet", "placement"}
 
 // Control tells whether this set-up is of a process that is set apart for control: one
 // without clients, engines or feed.
-func (x *Setup) Control() bool { return x.Fleet != nil && x.Fleet.Role == RoleControl }
+func (x *Setup) IsControlProcess() bool { return x.Fleet != nil && x.Fleet.Role == RoleControl }
 
 // control checks the set-up of a control process.
-func (c *checker) control(x *Setup) {
-	c.process(x)
-	for _, part := range c.parts() {
-		if !slices.Contains(controlParts, part) {
-			c.wrong(part, "is a part of controllers, and a process with fleet.role: control takes no queries: take this part out, or the role")
+func (c *checker) checkControlProcess(x *Setup) {
+	c.checkProcess(x)
+	for _, part := range c.topLevelKeys() {
+		if !slices.Contains(controlProcessKeys, part) {
+			c.addError(part, "is a part of controllers, and a process with fleet.role: control takes no queries: take this part out, or the role")
 		}
 	}
-	if x.Fleet.Clients != "" {
-		c.wrong("fleet.clients", "a process with role: control has no clients: take this out, or the role")
+	if x.Fleet.ClientAddress != "" {
+		c.addError("fleet.clients", "a process with role: control has no clients: take this out, or the role")
 	}
-	c.fleet(x)
-	c.placement(x)
+	c.checkFleet(x)
+	c.checkPlacement(x)
 }
 
 // parts are the names of the parts that the file itself has, empty ones included.
-func (c *checker) parts() (names []string) {
+func (c *checker) topLevelKeys() (names []string) {
 	if len(c.tree.Docs) == 0 {
 		return nil
 	}
@@ -63,28 +63,28 @@
 	Rules []residency.Rule
 	// Stated: the policy itself has these rules. Otherwise those of the controllers' own
 	// set-ups hold, and Rules are what this process's own set-up says that they are.
-	Stated  bool
-	Known   bool // Stated, or this process's own set-up has the part placement
-	Watched []fleet.EmergencyRule
-	Voters  []string // as name=address; none: as before
+	HasPlacement bool
+	RulesKnown   bool // Stated, or this process's own set-up has the part placement
+	WatchedRules []fleet.EmergencyRule
+	Voters       []string // as name=address; none: as before
 }
 
 // BaseControlPolicy is the policy that holds before any change: that of the set-ups.
 func (x *Setup) BaseControlPolicy() *ControlPolicy {
-	rules := x.rules()
-	return &ControlPolicy{Rules: rules, Known: x.Placement != nil, Watched: residency.Watches(rules)}
+	rules := x.placementRules()
+	return &ControlPolicy{Rules: rules, RulesKnown: x.Placement != nil, WatchedRules: residency.Watches(rules)}
 }
 
 // ParseControlPolicy reads a policy's text for a control process and checks its form:
 // whether its teams, groups and locations exist is known to controllers only, of which
 // each checks it, too, before it can be in force. What is wrong is an *Unfit.
 func ParseControlPolicy(file string, text []byte, own *Setup) (*ControlPolicy, error) {
-	next, policy, err := own.with(file, text)
+	next, policy, err := own.mergePolicy(file, text)
 	if err != nil {
 		return nil, err
 	}
 	c := next.BaseControlPolicy()
-	c.Stated = policy.Placement != nil
+	c.HasPlacement = policy.Placement != nil
 	c.Voters = policy.voters()
 	return c, nil
 }
@@ -97,16 +97,16 @@
 //     there, nothing is found.
 //   - rules of set-ups that follow a policy's own must be known here. Where they aren't,
 //     the error is an *Unfit: the policy can't be taken.
-func (p *ControlPolicy) Narrowed(file string, before *ControlPolicy, bindings []fleet.Binding) ([]fleet.Scope, error) {
+func (p *ControlPolicy) PurgeScopes(file string, before *ControlPolicy, bindings []fleet.Binding) ([]fleet.Scope, error) {
 	var was []residency.Rule
 	switch {
-	case !p.Stated && !before.Stated:
+	case !p.HasPlacement && !before.HasPlacement:
 		return nil, nil // both are as the set-ups have it
-	case !p.Known:
-		return nil, &Unfit{file, []error{&Fault{File: file, Field: "placement", Why: "is missing: the rules of the controllers' set-ups would take " +
+	case !p.RulesKnown:
+		return nil, &Unfit{file, []error{&FieldError{File: file, Field: "placement", Reason: "is missing: the rules of the controllers' set-ups would take " +
 			"the place of the policy's, and this control process can't tell what they leave outside. " +
 			"Write the rules into the policy (placement: [] for none), or give control set-ups the controllers' placement"}}}
-	case before.Stated:
+	case before.HasPlacement:
 		was = before.Rules
 	}
 	return residency.Scopes(was, p.Rules, bindings), nil
@@ -114,7 +114,7 @@
 
 // naming is this set-up with the teams, customers and groups that a policy names, so that
 // a control process, which has none, can check the policy's form.
-func (x *Setup) naming(p *Policy) *Setup {
+func (x *Setup) withNamesFrom(p *Policy) *Setup {
 	own := *x
 	if p.Fairness != nil {
 		own.Fairness = &Fairness{}
--- a/internal/setup/control_test.go
+++ b/internal/setup/control_test.go
@@ -11,7 +11,7 @@
 	"railrelay.dev/railrelay/internal/fleet"
 )
 
-func exampleOf(t *testing.T, name string) string {
+func readExample(t *testing.T, name string) string {
 	t.Helper()
 	text, err := os.ReadFile("../../deploy/fleet/" + name)
 	if err != nil {
@@ -20,7 +20,7 @@
 	return string(text)
 }
 
-func parsed(t *testing.T, text string) *Setup {
+func mustParse(t *testing.T, text string) *Setup {
 	t.Helper()
 	s, err := Parse("x.yaml", []byte(text))
 	if err != nil {
@@ -29,38 +29,38 @@
 	return s
 }
 
-func TestAControlProcessHasNoSiteAndNoClients(t *testing.T) {
-	s := parsed(t, exampleOf(t, "control.yaml"))
-	if !s.Control() || s.Fleet.Relay || s.Cores() != 1 || s.MemoryMB() != 256 {
+func TestControlProcessHasNoSiteAndNoClients(t *testing.T) {
+	s := mustParse(t, readExample(t, "control.yaml"))
+	if !s.IsControlProcess() || s.Fleet.IsRelay || s.Cores() != 1 || s.MemoryMB() != 256 {
 		t.Errorf("%+v", s.Fleet)
 	}
 	if got, want := s.Member(), (fleet.Member{Name: "v0", PeerAddress: "127.0.0.1:7610",
 		ControlOnly: true}); got != want {
 		t.Errorf("%+v, want %+v", got, want)
 	}
-	if s = parsed(t, exampleOf(t, "relay.yaml")); !s.Control() || !s.Fleet.Relay {
+	if s = mustParse(t, readExample(t, "relay.yaml")); !s.IsControlProcess() || !s.Fleet.IsRelay {
 		t.Errorf("%+v", s.Fleet)
 	}
-	if s = parsed(t, exampleOf(t, "c0.yaml")); s.Control() || s.MemoryMB() != 512 {
+	if s = mustParse(t, readExample(t, "c0.yaml")); s.IsControlProcess() || s.MemoryMB() != 512 {
 		t.Errorf("%+v", s.Fleet)
 	}
-	s = parsed(t, exampleOf(t, "relayed.yaml"))
-	if want := []Upstream{{"r0", "127.0.0.1:7620"}, {"r1", "127.0.0.1:7621"}}; s.Control() || !slices.Equal(s.Fleet.Relays, want) {
+	s = mustParse(t, readExample(t, "relayed.yaml"))
+	if want := []Upstream{{"r0", "127.0.0.1:7620"}, {"r1", "127.0.0.1:7621"}}; s.IsControlProcess() || !slices.Equal(s.Fleet.Relays, want) {
 		t.Errorf("%+v", s.Fleet)
 	}
 }
 
 // A voter may be a relay, and a process that is neither stands by to be named a voter.
-func TestARelayMayVote(t *testing.T) {
-	parsed(t, strings.Replace(exampleOf(t, "control.yaml"), "role: control", "role: control\n  relay: true", 1))
-	parsed(t, strings.Replace(exampleOf(t, "control.yaml"), "name: v0\nlog", "name: v9\nlog", 1))
-	voting := strings.ReplaceAll(exampleOf(t, "relayed.yaml"), `{name: r0, address: "127.0.0.1:7620"}`, `{name: v0, address: "127.0.0.1:7610"}`)
-	parsed(t, voting)
+func TestRelayMayVote(t *testing.T) {
+	mustParse(t, strings.Replace(readExample(t, "control.yaml"), "role: control", "role: control\n  relay: true", 1))
+	mustParse(t, strings.Replace(readExample(t, "control.yaml"), "name: v0\nlog", "name: v9\nlog", 1))
+	voting := strings.ReplaceAll(readExample(t, "relayed.yaml"), `{name: r0, address: "127.0.0.1:7620"}`, `{name: v0, address: "127.0.0.1:7610"}`)
+	mustParse(t, voting)
 }
 
 // Each case spoils an example; the error must name the file, the field and a line, and say why.
-func TestWhatIsWrongWithRolesAndRelaysIsNamed(t *testing.T) {
-	voters := exampleOf(t, "relay.yaml")
+func TestRoleAndRelayErrorsNameTheField(t *testing.T) {
+	voters := readExample(t, "relay.yaml")
 	voters = voters[strings.Index(voters, "  voters:"):]
 	twoRelays := "  relays:\n    - {name: r1, address: \"127.0.0.1:7621\"}\n  voters:"
 	for _, c := range []struct{ example, old, new, field, why string }{
@@ -99,35 +99,35 @@
 		{"relayed.yaml", "name: r1,", "name: v1,", "fleet.relays[1].address", "fleet.voters has v1 at 127.0.0.1:7611"},
 		{"relayed.yaml", "127.0.0.1:7621", "127.0.0.1:7611", "fleet.relays[1].address", "fleet.voters has v1 at 127.0.0.1:7611"},
 	} {
-		text := exampleOf(t, c.example)
+		text := readExample(t, c.example)
 		spoilt := strings.Replace(text, c.old, c.new, 1)
 		if spoilt == text {
 			t.Fatalf("%q is not in %s", c.old, c.example)
 		}
 		_, err := Parse("x.yaml", []byte(spoilt))
-		if f := faultAt(err, c.field); f == nil || f.Line == 0 || f.File != "x.yaml" || !strings.Contains(f.Why, c.why) {
+		if f := fieldErrorAt(err, c.field); f == nil || f.Line == 0 || f.File != "x.yaml" || !strings.Contains(f.Reason, c.why) {
 			t.Errorf("%s with %q: %v", c.example, c.new, err)
 		}
 	}
 }
 
-func TestAControlProcessWithPartsUnderAnAnchorIsRefused(t *testing.T) {
-	text := strings.Replace(exampleOf(t, "control.yaml"), "log: info", "listen: 127.0.0.1:6560", 1)
+func TestControlProcessRejectsControllerKeysUnderAnAnchor(t *testing.T) {
+	text := strings.Replace(readExample(t, "control.yaml"), "log: info", "listen: 127.0.0.1:6560", 1)
 	anchored := "&all\n" + text
 	_, err := Parse("x.yaml", []byte(anchored))
-	if f := faultAt(err, "listen"); f == nil {
+	if f := fieldErrorAt(err, "listen"); f == nil {
 		t.Errorf("%v", err)
 	}
 }
 
 // faultAt finds the fault of a field among all that an error joins.
-func faultAt(err error, field string) *Fault {
+func fieldErrorAt(err error, field string) *FieldError {
 	var joined interface{ Unwrap() []error }
 	if !errors.As(err, &joined) {
 		return nil
 	}
 	for _, e := range joined.Unwrap() {
-		var f *Fault
+		var f *FieldError
 		if errors.As(e, &f) && f.Field == field {
 			return f
 		}
@@ -135,8 +135,8 @@
 	return nil
 }
 
-func TestAControlProcessChecksAPolicyByItsForm(t *testing.T) {
-	own := parsed(t, exampleOf(t, "control.yaml"))
+func TestControlPolicyIsCheckedWithoutNamesOfTeams(t *testing.T) {
+	own := mustParse(t, readExample(t, "control.yaml"))
 	text := `
 fairness: {default: x, teams: [{name: x, weight: 3}, {name: y, weight: 1}]}
 shares: {over: 0.5, customers: [{name: someone, rate: 3}]}
@@ -148,13 +148,13 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if !p.Stated || !p.Known || len(p.Rules) != 1 || len(p.Watched) != 1 || p.Watched[0].After != 3*time.Second || !slices.Equal(p.Voters, []string{"v0=h:1"}) {
+	if !p.HasPlacement || !p.RulesKnown || len(p.Rules) != 1 || len(p.WatchedRules) != 1 || p.WatchedRules[0].After != 3*time.Second || !slices.Equal(p.Voters, []string{"v0=h:1"}) {
 		t.Errorf("%+v", p)
 	}
 	if own.Fairness != nil || own.Shares != nil || own.Groups != nil || own.Placement != nil {
 		t.Error("the set-up itself was changed")
 	}
-	if p, err = ParseControlPolicy("p.yaml", nil, own); err != nil || p.Stated || p.Known || len(p.Rules) > 0 {
+	if p, err = ParseControlPolicy("p.yaml", nil, own); err != nil || p.HasPlacement || p.RulesKnown || len(p.Rules) > 0 {
 		t.Errorf("%+v %v", p, err)
 	}
 	for text, want := range map[string]string{
@@ -184,10 +184,10 @@
 
 // A control leader must name every purge that a narrower boundary needs, whatever it knows
 // of the rules before.
-func TestWhatAControlLeaderPurges(t *testing.T) {
-	bare := parsed(t, exampleOf(t, "control.yaml"))
+func TestPurgeScopesOfAControlLeader(t *testing.T) {
+	bare := mustParse(t, readExample(t, "control.yaml"))
 	placing := func(rules string) *Setup {
-		return parsed(t, strings.Replace(exampleOf(t, "control.yaml"), "# placement:", "placement: "+rules+" #", 1))
+		return mustParse(t, strings.Replace(readExample(t, "control.yaml"), "# placement:", "placement: "+rules+" #", 1))
 	}
 	inLinz, inBoth := "[{name: a, team: x, engines: [linz]}]", "[{name: a, team: x, engines: [linz, steyr]}]"
 	all := []fleet.Scope{{Team: "x", OutsideSites: []string{"linz"}}}
@@ -219,7 +219,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		scopes, err := next.Narrowed("next", before, nil)
+		scopes, err := next.PurgeScopes("next", before, nil)
 		var unfit *Unfit
 		if errors.As(err, &unfit) != c.refused || c.refused && !strings.Contains(err.Error(), "placement: is missing") {
 			t.Errorf("%s: %v", c.name, err)
@@ -228,14 +228,14 @@
 			t.Errorf("%s: %+v, want %+v", c.name, scopes, c.want)
 		}
 	}
-	tables := parsedPolicy(t, bare, "placement: [{name: a, team: x, tables: [3], engines: [linz], follows: true}]")
-	scopes, err := tables.Narrowed("next", bare.BaseControlPolicy(), []fleet.Binding{{Team: "x", Tables: []int64{7}, SourceTables: []int64{3}}})
+	tables := mustParseControlPolicy(t, bare, "placement: [{name: a, team: x, tables: [3], engines: [linz], follows: true}]")
+	scopes, err := tables.PurgeScopes("next", bare.BaseControlPolicy(), []fleet.Binding{{Team: "x", Tables: []int64{7}, SourceTables: []int64{3}}})
 	if err != nil || len(scopes) != 1 || !slices.Equal(scopes[0].Tables, []int64{3, 7}) {
 		t.Errorf("what a load bound goes, too: %+v %v", scopes, err)
 	}
 }
 
-func parsedPolicy(t *testing.T, own *Setup, text string) *ControlPolicy {
+func mustParseControlPolicy(t *testing.T, own *Setup, text string) *ControlPolicy {
 	t.Helper()
 	p, err := ParseControlPolicy("p.yaml", []byte(text), own)
 	if err != nil {
--- a/internal/setup/fleet_test.go
+++ b/internal/setup/fleet_test.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-func TestTheExamplesUnderDeployAreAccepted(t *testing.T) {
+func TestDeployExamplesAreValid(t *testing.T) {
 	seen := 0
 	err := filepath.WalkDir("../../deploy", func(path string, d fs.DirEntry, err error) error {
 		if err != nil || filepath.Ext(path) != ".yaml" {
@@ -41,14 +41,14 @@
 	}
 }
 
-func TestTheFleetsFiguresAndWhatIsLeftOut(t *testing.T) {
+func TestFleetParametersAndDefaults(t *testing.T) {
 	s, err := Load("../../deploy/fleet/c1.yaml")
 	if err != nil {
 		t.Fatal(err)
 	}
-	want := Terms{Lease: 5 * time.Second, LeaseBound: 5 * time.Second, Drift: 0.01, Election: 500 * time.Millisecond, Heartbeat: 100 * time.Millisecond,
-		Hold: 5 * time.Second, Keep: 4096}
-	if got := s.Fleet.Terms(); got != want {
+	want := FleetParameters{Lease: 5 * time.Second, ConfinedLease: 5 * time.Second, ClockDrift: 0.01, ElectionTimeout: 500 * time.Millisecond, HeartbeatInterval: 100 * time.Millisecond,
+		MaxHold: 5 * time.Second, SnapshotAfterEntries: 4096}
+	if got := s.Fleet.Parameters(); got != want {
 		t.Fatalf("%+v", got)
 	}
 	if m := s.Member(); m.Name != "c1" || m.Site != "here" || m.PeerAddress != "127.0.0.1:7601" || m.ClientAddress != "127.0.0.1:6561" {
@@ -56,13 +56,13 @@
 	}
 	text, _ := os.ReadFile("../../deploy/fleet/c0.yaml")
 	s, err = Parse("x.yaml", []byte(strings.Replace(string(text), "lease: 5s ", "lease: unbounded ", 1)))
-	if err != nil || s.Fleet.Terms().Lease != 0 || s.Fleet.Terms().LeaseBound != 2*time.Second {
+	if err != nil || s.Fleet.Parameters().Lease != 0 || s.Fleet.Parameters().ConfinedLease != 2*time.Second {
 		t.Fatal(s, err)
 	}
 }
 
 // Each case spoils one line of the example; the error must name the field and its line.
-func TestWhatIsWrongWithAFleetIsNamed(t *testing.T) {
+func TestFleetErrorsNameTheField(t *testing.T) {
 	text, err := os.ReadFile("../../deploy/fleet/c0.yaml")
 	if err != nil {
 		t.Fatal(err)
@@ -92,7 +92,7 @@
 		if spoilt == string(text) {
 			t.Fatalf("%q is not in the example", c.old)
 		}
-		var f *Fault
+		var f *FieldError
 		if _, err := Parse("x.yaml", []byte(spoilt)); !errors.As(err, &f) || f.Field != c.field || f.Line == 0 {
 			t.Errorf("%q: %v", c.new, err)
 		}
--- a/internal/setup/placement.go
+++ b/internal/setup/placement.go
@@ -20,25 +20,25 @@
 
 // Placed is a rule of placement: which tables of a team are bound, inside which of the
 // engines' locations. A team is one of fairness or a customer of shares.
-type Placed struct {
+type PlacementRule struct {
 	Name        string   `yaml:"name"`
 	Team        string   `yaml:"team"`
 	Tables      []int64  `yaml:"tables"`      // table groups: all of the team's
 	Engines     []string `yaml:"engines"`     // whose engines may work on them: all
 	Controllers []string `yaml:"controllers"` // whose controllers may take them: as engines
 	// Keep is where results and cached answers may be kept: as controllers; [] is nowhere.
-	Keep      []string        `yaml:"keep"`
-	Follows   bool            `yaml:"follows"` // a load from them into other tables binds those, too
-	Emergency PlacedEmergency `yaml:"emergency"`
+	Keep      []string           `yaml:"keep"`
+	Follows   bool               `yaml:"follows"` // a load from them into other tables binds those, too
+	Emergency PlacementEmergency `yaml:"emergency"`
 }
 
 // PlacedEmergency allows further sites' engines.
-type PlacedEmergency struct {
+type PlacementEmergency struct {
 	Sites []string `yaml:"sites"`
-	After Span     `yaml:"after"` // all engines inside are lost for so long
+	After Duration `yaml:"after"` // all engines inside are lost for so long
 }
 
-func (x *Setup) rules() (l []residency.Rule) {
+func (x *Setup) placementRules() (l []residency.Rule) {
 	for _, p := range x.Placement {
 		l = append(l, residency.Rule{Name: p.Name, Team: p.Team, Tables: p.Tables, Engines: p.Engines, Controllers: p.Controllers,
 			Keep: p.Keep, Follows: p.Follows, Emergency: residency.Emergency{Sites: p.Emergency.Sites, After: time.Duration(p.Emergency.After)}})
@@ -69,16 +69,16 @@
 	return names
 }
 
-func (c *checker) placement(x *Setup) {
+func (c *checker) checkPlacement(x *Setup) {
 	if len(x.Placement) == 0 {
 		return
 	}
 	if x.Fleet == nil {
-		c.wrong("placement", "there is no fleet part: what loads bind and when emergencies begin stands in its record")
+		c.addError("placement", "there is no fleet part: what loads bind and when emergencies begin stands in its record")
 	}
 	for i, p := range x.Placement {
 		if p.Name != "" {
-			c.name(fmt.Sprintf("placement[%d].name", i), p.Name)
+			c.checkName(fmt.Sprintf("placement[%d].name", i), p.Name)
 		}
 	}
 	sites := x.Engines.Locations
@@ -86,83 +86,83 @@
 		sites = []string{"here"}
 	}
 	teams := x.teamNames()
-	if x.Control() { // which there are is known to controllers only
+	if x.IsControlProcess() { // which there are is known to controllers only
 		sites, teams = nil, nil
 	}
-	for _, f := range residency.Check(x.rules(), sites, teams) {
-		c.wrong(fmt.Sprintf("placement[%d].%s", f.Rule, f.Field), "%s", f.Why)
+	for _, f := range residency.Check(x.placementRules(), sites, teams) {
+		c.addError(fmt.Sprintf("placement[%d].%s", f.Rule, f.Field), "%s", f.Why)
 	}
 }
 
 // Policy is what of a set-up the whole fleet shares, as a file of `fleet apply` says it.
 // What the file leaves out is as each controller's own set-up has it.
 type Policy struct {
-	Fairness  *PolicyTeams  `yaml:"fairness"`
-	Shares    *PolicyShares `yaml:"shares"`
-	Groups    []GroupLimits `yaml:"groups"`
-	Placement []Placed      `yaml:"placement"`
-	Voters    []Voter       `yaml:"voters"` // who votes from now on; left out: as before
+	Fairness  *PolicyTeams    `yaml:"fairness"`
+	Shares    *PolicyShares   `yaml:"shares"`
+	Groups    []GroupLimits   `yaml:"groups"`
+	Placement []PlacementRule `yaml:"placement"`
+	Voters    []Voter         `yaml:"voters"` // who votes from now on; left out: as before
 }
 
 // PolicyTeams are the teams, all of them.
 type PolicyTeams struct {
-	Default string `yaml:"default"`
-	Age     Span   `yaml:"age"`
-	Teams   []Team `yaml:"teams"`
+	Default     string   `yaml:"default"`
+	AgeingLimit Duration `yaml:"age"`
+	Teams       []Team   `yaml:"teams"`
 }
 
 // PolicyShares are customers' shares; who isn't named keeps its own.
 type PolicyShares struct {
-	Over      *float64   `yaml:"over"`
-	Customers []Customer `yaml:"customers"`
+	OverShareValue *float64   `yaml:"over"`
+	Customers      []Customer `yaml:"customers"`
 }
 
 // GroupLimits are what the fleet may change of a resource group. What is left out stays.
 type GroupLimits struct {
-	Name    string   `yaml:"name"`
-	Threads float64  `yaml:"threads"`
-	Value   float64  `yaml:"value"`
-	Target  Span     `yaml:"target"`
-	Timeout Span     `yaml:"timeout"`
-	Stretch *float64 `yaml:"stretch"`
-	Late    *float64 `yaml:"late_share"`
+	Name           string   `yaml:"name"`
+	Threads        float64  `yaml:"threads"`
+	Value          float64  `yaml:"value"`
+	Target         Duration `yaml:"target"`
+	Timeout        Duration `yaml:"timeout"`
+	Stretch        *float64 `yaml:"stretch"`
+	LateValueShare *float64 `yaml:"late_share"`
 }
 
 // Unfit is a policy that this process can't take. It unwraps to Faults.
 type Unfit struct {
 	File   string
-	Faults []error
+	Errors []error
 }
 
-func (u *Unfit) Error() string { return errors.Join(u.Faults...).Error() }
+func (u *Unfit) Error() string { return errors.Join(u.Errors...).Error() }
 
 // Remedy says what an operator can do.
 func (u *Unfit) Remedy() string {
 	return "mend the policy file, or the set-up of the controller that says so, and apply it again"
 }
 
-func (u *Unfit) Unwrap() []error { return u.Faults }
+func (u *Unfit) Unwrap() []error { return u.Errors }
 
 // Errors is one sample of each error that a fleet's operator is told by this package.
 func Errors() []fleet.ErrorWithRemedy {
-	return []fleet.ErrorWithRemedy{&Unfit{"policy.yaml", []error{&Fault{File: "policy.yaml", Line: 3, Field: "groups[0].name", Why: `no group is called "lookup"`}}}}
+	return []fleet.ErrorWithRemedy{&Unfit{"policy.yaml", []error{&FieldError{File: "policy.yaml", Line: 3, Field: "groups[0].name", Reason: `no group is called "lookup"`}}}}
 }
 
 // Base is the policy that the set-up itself holds: version 0, before any change.
-func (x *Setup) Base() (*controller.Policy, []fleet.EmergencyRule) {
-	rules := x.rules()
-	return &controller.Policy{Tenants: x.Shape(), Settings: x.facts(), Rules: rules}, residency.Watches(rules)
+func (x *Setup) BasePolicy() (*controller.Policy, []fleet.EmergencyRule) {
+	rules := x.placementRules()
+	return &controller.Policy{Tenants: x.FairQueueConfig(), Settings: x.settings(), Rules: rules}, residency.Watches(rules)
 }
 
 // ParsePolicy reads a policy's text, strictly, and checks it against a controller's own
 // set-up, which is not changed. What is wrong is an *Unfit. Voters are name=address; none:
 // as before.
 func ParsePolicy(file string, text []byte, own *Setup) (*controller.Policy, []fleet.EmergencyRule, []string, error) {
-	x, p, err := own.with(file, text)
+	x, p, err := own.mergePolicy(file, text)
 	if err != nil {
 		return nil, nil, nil, err
 	}
-	policy, watched := x.Base()
+	policy, watched := x.BasePolicy()
 	return policy, watched, p.voters(), nil
 }
 
@@ -175,118 +175,118 @@
 }
 
 // with is this set-up with what a policy says in it.
-func (x *Setup) with(file string, text []byte) (*Setup, *Policy, error) {
+func (x *Setup) mergePolicy(file string, text []byte) (*Setup, *Policy, error) {
 	tree, err := parser.ParseBytes(text, 0)
 	if err != nil {
-		return nil, nil, &Unfit{file, []error{spot(file, err)}}
+		return nil, nil, &Unfit{file, []error{yamlError(file, err)}}
 	}
 	p := &Policy{}
 	if err := yaml.UnmarshalWithOptions(text, p, yaml.Strict()); err != nil && !(errors.Is(err, io.EOF) && len(bytes.TrimSpace(text)) == 0) {
-		return nil, nil, &Unfit{file, []error{spot(file, err)}}
+		return nil, nil, &Unfit{file, []error{yamlError(file, err)}}
 	}
 	own := x
-	if x.Control() {
-		own = x.naming(p)
+	if x.IsControlProcess() {
+		own = x.withNamesFrom(p)
 	}
 	c := &checker{file: file, text: text, tree: tree}
 	s := *own
-	c.policy(p, own, &s)
-	if len(c.faults) > 0 {
-		return nil, nil, &Unfit{file, c.faults}
+	c.mergePolicy(p, own, &s)
+	if len(c.errors) > 0 {
+		return nil, nil, &Unfit{file, c.errors}
 	}
 	return &s, p, nil
 }
 
 // policy checks a policy against a controller's own set-up, and makes of both the next.
-func (c *checker) policy(p *Policy, own, s *Setup) {
+func (c *checker) mergePolicy(p *Policy, own, s *Setup) {
 	switch f := p.Fairness; {
 	case f == nil:
 	case own.Fairness == nil:
-		c.wrong("fairness", "this controller has no teams")
+		c.addError("fairness", "this controller has no teams")
 	default:
 		next := *own.Fairness
-		next.Teams, next.Default, next.Age = f.Teams, cmp.Or(f.Default, next.Default), cmp.Or(f.Age, next.Age)
+		next.Teams, next.Default, next.AgeingLimit = f.Teams, cmp.Or(f.Default, next.Default), cmp.Or(f.AgeingLimit, next.AgeingLimit)
 		s.Fairness = &next
 		if len(next.Teams) == 0 {
-			c.wrong("fairness.teams", "is missing: the policy names all teams there are")
+			c.addError("fairness.teams", "is missing: the policy names all teams there are")
 		}
-		c.teams(next.Teams, "fairness.teams")
-		c.fairness(&next)
+		c.checkTeams(next.Teams, "fairness.teams")
+		c.checkFairness(&next)
 	}
 	switch x := p.Shares; {
 	case x == nil:
 	case own.Shares == nil:
-		c.wrong("shares", "this controller has no customers")
+		c.addError("shares", "this controller has no customers")
 	default:
 		next := *own.Shares
 		next.Customers = slices.Clone(next.Customers)
 		s.Shares = &next
-		if x.Over != nil {
-			next.Over = *x.Over
-			c.maybe("shares.over", next.Over, 0, 1)
+		if x.OverShareValue != nil {
+			next.OverShareValue = *x.OverShareValue
+			c.optionalNumber("shares.over", next.OverShareValue, 0, 1)
 		}
 		for i, who := range x.Customers {
 			at := fmt.Sprintf("shares.customers[%d].", i)
-			c.number(at+"rate", who.Rate, 1e-9, 1e9)
+			c.requiredNumber(at+"rate", who.Rate, 1e-9, 1e9)
 			j := slices.IndexFunc(next.Customers, func(y Customer) bool { return y.Name == who.Name })
 			if j < 0 {
-				c.wrong(at+"name", "no customer is called %q here", who.Name)
+				c.addError(at+"name", "no customer is called %q here", who.Name)
 				continue
 			}
 			next.Customers[j].Rate = who.Rate
 		}
 	}
-	c.limits(p.Groups, s)
+	c.mergeGroupLimits(p.Groups, s)
 	if p.Placement != nil {
 		s.Placement = p.Placement
 	}
-	c.placement(s) // its teams and sites may be gone even if it is left out
-	if n := len(p.Voters); n > 0 && (n%2 == 0 || n > votersMost) {
-		c.wrong("voters", "%d voters, and there must be 3, 5 or 7, or 1 for a trial", n)
+	c.checkPlacement(s) // its teams and sites may be gone even if it is left out
+	if n := len(p.Voters); n > 0 && (n%2 == 0 || n > maxVoters) {
+		c.addError("voters", "%d voters, and there must be 3, 5 or 7, or 1 for a trial", n)
 	}
 	names := map[string]bool{}
 	for i, v := range p.Voters {
 		at := fmt.Sprintf("voters[%d].", i)
-		c.name(at+"name", v.Name)
-		c.address(at+"address", v.Address)
+		c.checkName(at+"name", v.Name)
+		c.checkAddress(at+"address", v.Address)
 		switch {
 		case strings.Contains(v.Name, "="):
-			c.wrong(at+"name", "%q: a voter's name has no =", v.Name)
+			c.addError(at+"name", "%q: a voter's name has no =", v.Name)
 		case names[v.Name]:
-			c.wrong(at+"name", "a second voter is called %q", v.Name)
+			c.addError(at+"name", "a second voter is called %q", v.Name)
 		}
 		names[v.Name] = true
 	}
 }
 
-func (c *checker) limits(l []GroupLimits, s *Setup) {
+func (c *checker) mergeGroupLimits(l []GroupLimits, s *Setup) {
 	s.Groups = slices.Clone(s.Groups)
 	seen := map[string]bool{}
 	for i, g := range l {
 		at := fmt.Sprintf("groups[%d].", i)
 		j := slices.IndexFunc(s.Groups, func(y Group) bool { return y.Name == g.Name })
 		if seen[g.Name] {
-			c.wrong(at+"name", "a second group is called %q", g.Name)
+			c.addError(at+"name", "a second group is called %q", g.Name)
 		}
 		if seen[g.Name] = true; j < 0 {
-			c.wrong(at+"name", "no group is called %q here", g.Name)
+			c.addError(at+"name", "no group is called %q here", g.Name)
 			continue
 		}
 		x := &s.Groups[j]
 		x.Threads, x.Target, x.Timeout = cmp.Or(g.Threads, x.Threads), cmp.Or(g.Target, x.Target), cmp.Or(g.Timeout, x.Timeout)
-		c.maybe(at+"threads", x.Threads, 1, 1024)
+		c.optionalNumber(at+"threads", x.Threads, 1, 1024)
 		x.Value = cmp.Or(g.Value, x.Value)
-		c.maybe(at+"value", x.Value, 0, 1e9)
+		c.optionalNumber(at+"value", x.Value, 0, 1e9)
 		if g.Stretch != nil {
 			x.Stretch = *g.Stretch
-			c.maybe(at+"stretch", x.Stretch, 0, 1000)
+			c.optionalNumber(at+"stretch", x.Stretch, 0, 1000)
 		}
-		if g.Late != nil {
-			x.Late = g.Late
-			c.maybe(at+"late_share", *x.Late, 0, 1)
+		if g.LateValueShare != nil {
+			x.LateValueShare = g.LateValueShare
+			c.optionalNumber(at+"late_share", *x.LateValueShare, 0, 1)
 		}
 		if x.Target > 0 && x.Timeout > 0 && x.Target > x.Timeout {
-			c.wrong(at+"target", "is longer than the timeout of %v", time.Duration(x.Timeout))
+			c.addError(at+"target", "is longer than the timeout of %v", time.Duration(x.Timeout))
 		}
 	}
 }
--- a/internal/setup/placement_test.go
+++ b/internal/setup/placement_test.go
@@ -10,13 +10,13 @@
 	"railrelay.dev/railrelay/internal/residency"
 )
 
-const placed = `
+const placementText = `
 placement:
   - {name: a, team: linz, tables: [3], engines: [here], keep: [], follows: true, emergency: {sites: [there], after: 30s}}
   - {name: b, team: linz, engines: [here, there]}
 `
 
-func placedSetup(t *testing.T, more string) (*Setup, error) {
+func parseWithPlacement(t *testing.T, more string) (*Setup, error) {
 	text, err := os.ReadFile("../../deploy/fleet/c0.yaml")
 	if err != nil {
 		t.Fatal(err)
@@ -24,12 +24,12 @@
 	return Parse("c0.yaml", []byte(strings.Replace(string(text), "locations: [here]", "locations: [here, there]", 1)+more))
 }
 
-func TestPlacementIsReadAndChecked(t *testing.T) {
-	s, err := placedSetup(t, placed)
+func TestPlacementIsParsedAndChecked(t *testing.T) {
+	s, err := parseWithPlacement(t, placementText)
 	if err != nil {
 		t.Fatal(err)
 	}
-	policy, watched := s.Base()
+	policy, watched := s.BasePolicy()
 	rules := policy.Rules.([]residency.Rule)
 	if a := rules[0]; a.Keep == nil || rules[1].Keep != nil || !a.Follows || len(watched) != 1 || watched[0].After != 30*time.Second {
 		t.Fatalf("%+v %+v", rules, watched)
@@ -42,23 +42,23 @@
 		{"after: 30s", "after: 0s", "placement[0].emergency.after", "is missing"},
 		{"follows: true", "follow: true", "follow", "unknown field"},
 	} {
-		_, err := placedSetup(t, strings.Replace(placed, c.old, c.new, 1))
-		var f *Fault
-		if !errors.As(err, &f) || f.Field != c.field || !strings.Contains(f.Why, c.why) || f.Line == 0 || f.File != "c0.yaml" || f.Source == "" {
+		_, err := parseWithPlacement(t, strings.Replace(placementText, c.old, c.new, 1))
+		var f *FieldError
+		if !errors.As(err, &f) || f.Field != c.field || !strings.Contains(f.Reason, c.why) || f.Line == 0 || f.File != "c0.yaml" || f.Excerpt == "" {
 			t.Errorf("%s: %v", c.new, err)
 		}
 	}
-	alone, err := os.ReadFile(example)
+	alone, err := os.ReadFile(examplePath)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, err := Parse("alone", append(alone, placed...)); err == nil || !strings.Contains(err.Error(), "no fleet part") {
+	if _, err := Parse("alone", append(alone, placementText...)); err == nil || !strings.Contains(err.Error(), "no fleet part") {
 		t.Error(err)
 	}
 }
 
-func TestAPolicyIsCheckedAgainstTheSetUp(t *testing.T) {
-	own, err := placedSetup(t, placed)
+func TestPolicyIsCheckedAgainstTheSetup(t *testing.T) {
+	own, err := parseWithPlacement(t, placementText)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -75,7 +75,7 @@
 		p.Settings["group.0.target"] != "2000" || len(p.Tenants.Tenants) != 2 || p.Tenants.Tenants[0].Weight != 5 || voters[0] != "c0=h:1" {
 		t.Fatalf("%+v %v", p, voters)
 	}
-	if own.Groups[0].Target != Span(time.Second) || len(own.Placement) != 2 || len(own.Fairness.Teams) != 3 {
+	if own.Groups[0].Target != Duration(time.Second) || len(own.Placement) != 2 || len(own.Fairness.Teams) != 3 {
 		t.Fatal("the set-up itself was changed")
 	}
 	p, watched, _, err = ParsePolicy("p.yaml", nil, own)
--- a/internal/setup/setup_test.go
+++ b/internal/setup/setup_test.go
@@ -10,14 +10,14 @@
 	"railrelay.dev/railrelay/internal/fairqueue"
 )
 
-const example = "../../deploy/railrelay.yaml"
+const examplePath = "../../deploy/railrelay.yaml"
 
-func TestTheExampleIsAccepted(t *testing.T) {
-	s, err := Load(example)
+func TestExampleIsValid(t *testing.T) {
+	s, err := Load(examplePath)
 	if err != nil {
 		t.Fatal(err)
 	}
-	m := s.Means(time.Now())
+	m := s.ControllerConfig(time.Now())
 	if m.Seed != 0x8c1f30d27a5be964 || m.Tenants == nil || len(m.ClientLimits) != 1 || m.Settings["group.2.in-order"] != "true" ||
 		m.Settings["loads"] != "false,false,true" || m.Settings["threads"] != "1,3,2" || m.Settings["return.most"] != "60000" {
 		t.Fatalf("%+v", m)
@@ -30,8 +30,8 @@
 
 // Each case spoils one line of the example; the error must name the file, that
 // line and the field, and show the line.
-func TestWhatIsWrongIsNamed(t *testing.T) {
-	text, err := os.ReadFile(example)
+func TestErrorsNameFileLineAndField(t *testing.T) {
+	text, err := os.ReadFile(examplePath)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -67,19 +67,19 @@
 			t.Errorf("%q was taken", c.new)
 			continue
 		}
-		var f *Fault
+		var f *FieldError
 		if !errors.As(err, &f) {
 			t.Errorf("%q: no Fault: %v", c.new, err)
 			continue
 		}
-		if c.field != "" && (f.Field != c.field || f.Line != line && c.field != "fairness.trusted") || !strings.Contains(f.Why, c.why) ||
-			f.File != "x.yaml" || f.Line == 0 || !strings.Contains(f.Source, strings.TrimSpace(strings.Split(c.new, "\n")[0])) && c.field != "fairness.trusted" && c.field != "" {
-			t.Errorf("%q at line %d: %d %q %q\n%s", c.new, line, f.Line, f.Field, f.Why, f.Source)
+		if c.field != "" && (f.Field != c.field || f.Line != line && c.field != "fairness.trusted") || !strings.Contains(f.Reason, c.why) ||
+			f.File != "x.yaml" || f.Line == 0 || !strings.Contains(f.Excerpt, strings.TrimSpace(strings.Split(c.new, "\n")[0])) && c.field != "fairness.trusted" && c.field != "" {
+			t.Errorf("%q at line %d: %d %q %q\n%s", c.new, line, f.Line, f.Field, f.Reason, f.Excerpt)
 		}
 	}
 }
 
-func TestSeveralFaultsAreAllTold(t *testing.T) {
+func TestAllErrorsAreReported(t *testing.T) {
 	_, err := Parse("x.yaml", []byte("listen: a\nfeed: b\ngroups: []\nengines: {kinds: []}\n"))
 	if err == nil || strings.Count(err.Error(), "x.yaml:") < 4 {
 		t.Fatal(err)
@@ -87,20 +87,20 @@
 }
 
 func FuzzParse(f *testing.F) {
-	text, _ := os.ReadFile(example)
+	text, _ := os.ReadFile(examplePath)
 	f.Add(text)
 	f.Add([]byte("listen: [\n"))
 	f.Add([]byte("fairness: {teams: [{name: a, weight: 1e99}]}\n"))
 	f.Fuzz(func(t *testing.T, p []byte) {
-		if s, err := Parse("x", p); err == nil && s.Listen == "" && !s.Control() {
+		if s, err := Parse("x", p); err == nil && s.Listen == "" && !s.IsControlProcess() {
 			t.Fatal("taken without an address")
 		}
 	})
 }
 
 // The shapes of deployment by settings alone, and what mixes them refused by its key.
-func TestShapesAndTheirMixes(t *testing.T) {
-	text, err := os.ReadFile(example)
+func TestDeploymentShapesAndTheirConflicts(t *testing.T) {
+	text, err := os.ReadFile(examplePath)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -111,11 +111,11 @@
 		t.Fatal(err)
 	}
 	for _, name := range []string{"own.location", "report.figures", "teams"} {
-		if x, there := was.facts()[name]; there {
+		if x, there := was.settings()[name]; there {
 			t.Errorf("left out, and %s is %q", name, x)
 		}
 	}
-	if f := was.facts(); f["answers.cost"] != "true" || f["note.period"] != "2000" || f["report.how"] != "probed" {
+	if f := was.settings(); f["answers.cost"] != "true" || f["note.period"] != "2000" || f["report.how"] != "probed" {
 		t.Errorf("what is left out is other than it was: %v", f)
 	}
 	for _, late := range []string{"", "    late_share: 0\n"} {
@@ -125,7 +125,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if x, there := s.facts()["group.0.late-share"]; there != (late != "") || there && x != "0" {
+		if x, there := s.settings()["group.0.late-share"]; there != (late != "") || there && x != "0" {
 			t.Errorf("%q: late share %q, %v", late, x, there)
 		}
 	}
@@ -135,7 +135,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	m := s.Means(time.Now())
+	m := s.ControllerConfig(time.Now())
 	if f := m.Settings; f["report.figures"] != "cores" || f["note.period"] != "0" || f["own.location"] != "0" || f["teams"] != "2" ||
 		f["team.1.quota"] != "110" || f["team.0.name"] != "hogares" || f["over.worth"] != "0.05" || m.FieldNames.Customer != "customer" ||
 		m.FieldNames.EstimatedWork != "weight" || m.FieldNames.EstimatedMemory != "ram" {
@@ -143,7 +143,7 @@
 	}
 	blind := strings.Replace(before, "may: [probe, ", "may: [", 1)
 	blind = strings.Replace(blind, "report: probed ", "tells: [notes]\n  report: off ", 1)
-	if s, err = Parse("x.yaml", []byte(blind)); err != nil || s.facts()["report.how"] != "off" || s.facts()["answers.cost"] != "false" {
+	if s, err = Parse("x.yaml", []byte(blind)); err != nil || s.settings()["report.how"] != "off" || s.settings()["answers.cost"] != "false" {
 		t.Fatal(err, s)
 	}
 	for _, c := range []struct{ in, old, new, field string }{
@@ -164,7 +164,7 @@
 		if spoilt == c.in && c.old != "" {
 			t.Fatalf("%q is not there", c.old)
 		}
-		var f *Fault
+		var f *FieldError
 		if _, err := Parse("x.yaml", []byte(spoilt)); !errors.As(err, &f) || f.Field != c.field || f.Line == 0 {
 			t.Errorf("%q: %v", c.new, err)
 		}
--- a/internal/setup/spool.go
+++ b/internal/setup/spool.go
@@ -14,54 +14,54 @@
 
 // Spool is where results are kept that clients read page by page.
 type Spool struct {
-	Field       string  `yaml:"field"`        // of a call that asks for pages
-	Directory   string  `yaml:"directory"`    // left out: results are kept in memory and end with the program
-	MemoryMB    float64 `yaml:"memory_mb"`    // pages in memory: 16
-	DiskMB      float64 `yaml:"disk_mb"`      // pages on disk: 1024
-	ResultMB    float64 `yaml:"result_mb"`    // one result: 1024, no more than the room
-	Results     int     `yaml:"results"`      // at once: 10000
-	TeamShare   float64 `yaml:"team_share"`   // of the room before a team's are the first to go: 0.25
-	TeamResults int     `yaml:"team_results"` // of one team at once: 1000
-	TeamMB      float64 `yaml:"team_mb"`      // of one team: no bound of its own
-	Idle        Span    `yaml:"idle"`         // a result lives from its last read: 15m
-	Life        Span    `yaml:"life"`         // and in all: 2h
-	PageKB      float64 `yaml:"page_kb"`      // pages of engines are joined up to: 32
-	FlightMB    float64 `yaml:"flight_mb"`    // being written at once: 4
-	Reads       int     `yaml:"reads"`        // pages being read from disk at once: 64
-	Sync        string  `yaml:"sync"`         // promise, ticks or never: promise
-	Keys        Span    `yaml:"keys"`         // a key makes tokens for: 24h
+	Field       string   `yaml:"field"`        // of a call that asks for pages
+	Directory   string   `yaml:"directory"`    // left out: results are kept in memory and end with the program
+	MemoryMB    float64  `yaml:"memory_mb"`    // pages in memory: 16
+	DiskMB      float64  `yaml:"disk_mb"`      // pages on disk: 1024
+	ResultMB    float64  `yaml:"result_mb"`    // one result: 1024, no more than the room
+	Results     int      `yaml:"results"`      // at once: 10000
+	TeamShare   float64  `yaml:"team_share"`   // of the room before a team's are the first to go: 0.25
+	TeamResults int      `yaml:"team_results"` // of one team at once: 1000
+	TeamMB      float64  `yaml:"team_mb"`      // of one team: no bound of its own
+	Idle        Duration `yaml:"idle"`         // a result lives from its last read: 15m
+	Life        Duration `yaml:"life"`         // and in all: 2h
+	PageKB      float64  `yaml:"page_kb"`      // pages of engines are joined up to: 32
+	FlightMB    float64  `yaml:"flight_mb"`    // being written at once: 4
+	Reads       int      `yaml:"reads"`        // pages being read from disk at once: 64
+	Sync        string   `yaml:"sync"`         // promise, ticks or never: promise
+	Keys        Duration `yaml:"keys"`         // a key makes tokens for: 24h
 }
 
-var syncs = map[string]resultstore.SyncPolicy{"": resultstore.SyncOnCommit, "promise": resultstore.SyncOnCommit, "ticks": resultstore.SyncOnTick, "never": resultstore.SyncNever}
+var syncPolicies = map[string]resultstore.SyncPolicy{"": resultstore.SyncOnCommit, "promise": resultstore.SyncOnCommit, "ticks": resultstore.SyncOnTick, "never": resultstore.SyncNever}
 
-func (c *checker) spool(s *Spool, l Limits) {
+func (c *checker) checkSpool(s *Spool, l Limits) {
 	if s.Field == "" {
-		c.wrong("spool.field", "is missing: without it no call asks for pages")
+		c.addError("spool.field", "is missing: without it no call asks for pages")
 	}
-	c.maybe("spool.memory_mb", s.MemoryMB, 1, 1<<20)
-	c.maybe("spool.disk_mb", s.DiskMB, 1, 1<<30)
-	c.maybe("spool.result_mb", s.ResultMB, 0.001, 1<<20)
-	c.maybe("spool.results", float64(s.Results), 1, 10_000_000)
-	c.maybe("spool.team_share", s.TeamShare, 0.001, 1)
-	c.maybe("spool.team_results", float64(s.TeamResults), 1, 10_000_000)
-	c.maybe("spool.team_mb", s.TeamMB, 0.001, 1<<30)
-	c.maybe("spool.page_kb", s.PageKB, 1, 1024)
-	c.maybe("spool.flight_mb", s.FlightMB, 0.1, 1024)
-	c.maybe("spool.reads", float64(s.Reads), 1, 10_000)
-	if _, ok := syncs[s.Sync]; !ok {
-		c.wrong("spool.sync", "%q is none of promise, ticks and never", s.Sync)
+	c.optionalNumber("spool.memory_mb", s.MemoryMB, 1, 1<<20)
+	c.optionalNumber("spool.disk_mb", s.DiskMB, 1, 1<<30)
+	c.optionalNumber("spool.result_mb", s.ResultMB, 0.001, 1<<20)
+	c.optionalNumber("spool.results", float64(s.Results), 1, 10_000_000)
+	c.optionalNumber("spool.team_share", s.TeamShare, 0.001, 1)
+	c.optionalNumber("spool.team_results", float64(s.TeamResults), 1, 10_000_000)
+	c.optionalNumber("spool.team_mb", s.TeamMB, 0.001, 1<<30)
+	c.optionalNumber("spool.page_kb", s.PageKB, 1, 1024)
+	c.optionalNumber("spool.flight_mb", s.FlightMB, 0.1, 1024)
+	c.optionalNumber("spool.reads", float64(s.Reads), 1, 10_000)
+	if _, ok := syncPolicies[s.Sync]; !ok {
+		c.addError("spool.sync", "%q is none of promise, ticks and never", s.Sync)
 	}
 	if s.Directory == "" && s.DiskMB > 0 {
-		c.wrong("spool.disk_mb", "there is no directory")
+		c.addError("spool.disk_mb", "there is no directory")
 	}
 	if s.MemoryMB > cmp.Or(l.MemoryMB, 512)/2 {
-		c.wrong("spool.memory_mb", "is over half of limits.memory_mb")
+		c.addError("spool.memory_mb", "is over half of limits.memory_mb")
 	}
-	if idle, life := s.Idle.or(spool.Usual().Idle), s.Life.or(spool.Usual().Life); idle > life {
-		c.wrong("spool.idle", "%v is longer than the life of %v", idle, life)
+	if idle, life := s.Idle.orDefault(spool.Usual().Idle), s.Life.orDefault(spool.Usual().Life); idle > life {
+		c.addError("spool.idle", "%v is longer than the life of %v", idle, life)
 	}
 	if k := time.Duration(s.Keys); k > 0 && k < time.Minute {
-		c.wrong("spool.keys", "%v is under a minute", k)
+		c.addError("spool.keys", "%v is under a minute", k)
 	}
 }
 
@@ -76,7 +76,7 @@
 	l.TeamBytes = int64(s.TeamMB * mb)
 	l.Result = int64(cmp.Or(s.ResultMB, 1024) * mb)
 	l.Results, l.TeamResults = cmp.Or(s.Results, l.Results), cmp.Or(s.TeamResults, l.TeamResults)
-	l.Team, l.Idle, l.Life = cmp.Or(s.TeamShare, l.Team), s.Idle.or(l.Idle), s.Life.or(l.Life)
+	l.Team, l.Idle, l.Life = cmp.Or(s.TeamShare, l.Team), s.Idle.orDefault(l.Idle), s.Life.orDefault(l.Life)
 	l.Page, l.Flight, l.Reads = int(cmp.Or(s.PageKB, 32)*1024), int64(cmp.Or(s.FlightMB, 4)*mb), cmp.Or(s.Reads, l.Reads)
 	return l
 }
@@ -101,7 +101,7 @@
 	var text []byte
 	if s.Directory != "" {
 		var err error
-		if disk, err = resultstore.OpenSpoolStore(s.Directory, resultstore.Options{Sync: syncs[s.Sync]}); err != nil {
+		if disk, err = resultstore.OpenSpoolStore(s.Directory, resultstore.Options{Sync: syncPolicies[s.Sync]}); err != nil {
 			return nil, err
 		}
 		f := &disk.Recovery
@@ -117,7 +117,7 @@
 		}
 		part.FirstResultID, part.Restore = disk.FirstResultID(), disk.Restore
 	}
-	keys, err := spool.NewKeyring(text, s.Keys.or(24*time.Hour), wall, fresh)
+	keys, err := spool.NewKeyring(text, s.Keys.orDefault(24*time.Hour), wall, fresh)
 	if err == nil && disk != nil {
 		err = disk.SaveKeys(keys.Text())
 	}
--- a/internal/setup/value.go
+++ b/internal/setup/value.go
@@ -12,22 +12,22 @@
 )
 
 // Span is a time with its unit: 250ms, 1.5s, 2m.
-type Span time.Duration
+type Duration time.Duration
 
 // UnmarshalYAML reads one; a bare number is no time.
-func (s *Span) UnmarshalYAML(node ast.Node) error {
+func (s *Duration) UnmarshalYAML(node ast.Node) error {
 	text := node.GetToken().Value
 	d, err := time.ParseDuration(text)
 	if err != nil {
 		if _, bare := strconv.ParseFloat(text, 64); bare == nil {
-			return at(node, fmt.Sprintf("%s has no unit: write %sms or %ss", text, text, text))
+			return errorAt(node, fmt.Sprintf("%s has no unit: write %sms or %ss", text, text, text))
 		}
-		return at(node, fmt.Sprintf("%q is no time: write 250ms, 1.5s or 2m", text))
+		return errorAt(node, fmt.Sprintf("%q is no time: write 250ms, 1.5s or 2m", text))
 	}
 	if d < 0 {
-		return at(node, text+" is less than nothing")
+		return errorAt(node, text+" is less than nothing")
 	}
-	*s = Span(d)
+	*s = Duration(d)
 	return nil
 }
 
@@ -43,14 +43,14 @@
 	}
 	x, err := netip.ParsePrefix(text)
 	if err != nil {
-		return at(node, fmt.Sprintf("%q is no set of addresses: write 10.1.0.0/16", text))
+		return errorAt(node, fmt.Sprintf("%q is no set of addresses: write 10.1.0.0/16", text))
 	}
 	p.Prefix = x
 	return nil
 }
 
 // at is an error at a place.
-func at(node ast.Node, why string) error {
+func errorAt(node ast.Node, why string) error {
 	return &yaml.SyntaxError{Message: why, Token: node.GetToken()}
 }
 
@@ -61,4 +61,6 @@
 	return all
 }
 
-func (s Span) or(absent time.Duration) time.Duration { return cmp.Or(time.Duration(s), absent) }
+func (s Duration) orDefault(absent time.Duration) time.Duration {
+	return cmp.Or(time.Duration(s), absent)
+}
