--- a/internal/bytebuf/buffer.go
+++ b/internal/bytebuf/buffer.go
@@ -1,50 +1,53 @@
-// Package bytebuf holds what every connection has, whoever is at its other end.
+// Package bytebuf provides the receive buffer of a connection.
 package bytebuf
 
 const (
-	least           = 4 << 10  // room offered to a read
-	MaxIdleCapacity = 16 << 10 // what an empty buffer may hold on to
+	minReadSize = 4 << 10 // least free space offered to a read, in bytes
+	// MaxIdleCapacity is the largest capacity, in bytes, that an empty buffer keeps.
+	MaxIdleCapacity = 16 << 10
 )
 
-// Buffer is a connection's one buffer: it grows as its messages need, is
-// compacted in place, and gives memory back after a large one.
+// Buffer holds the bytes that were received on a connection and not processed yet. It grows with
+// the largest message, compacts its content in place, and releases a large array once it is empty.
 type Buffer struct {
-	b        []byte
-	from, to int
+	data       []byte
+	start, end int
 }
 
-// Space is where the next read goes.
+// FreeSpace returns the free part of the buffer, into which the next read goes. It has at least
+// minReadSize bytes.
 func (b *Buffer) FreeSpace() []byte {
-	if len(b.b)-b.to >= least {
-		return b.b[b.to:]
+	if len(b.data)-b.end >= minReadSize {
+		return b.data[b.end:]
 	}
-	if b.from > 0 {
-		b.to, b.from = copy(b.b, b.b[b.from:b.to]), 0
+	if b.start > 0 {
+		b.end, b.start = copy(b.data, b.data[b.start:b.end]), 0
 	}
-	if len(b.b)-b.to < least {
-		grown := make([]byte, max(2*len(b.b), least))
-		copy(grown, b.b[:b.to])
-		b.b = grown
+	if len(b.data)-b.end < minReadSize {
+		grown := make([]byte, max(2*len(b.data), minReadSize))
+		copy(grown, b.data[:b.end])
+		b.data = grown
 	}
-	return b.b[b.to:]
+	return b.data[b.end:]
 }
 
-// Took says how much of Space was filled.
-func (b *Buffer) Advance(n int) { b.to += n }
+// Advance records that the first n bytes of FreeSpace were filled.
+func (b *Buffer) Advance(n int) { b.end += n }
 
-// Bytes is what has come and was not dropped; valid until the next Space.
-func (b *Buffer) Bytes() []byte { return b.b[b.from:b.to] }
+// Bytes returns the received bytes that were not discarded. The slice is valid until the next call
+// of FreeSpace.
+func (b *Buffer) Bytes() []byte { return b.data[b.start:b.end] }
 
-// Drop forgets the first n bytes.
+// Discard removes the first n bytes of Bytes.
 func (b *Buffer) Discard(n int) {
-	if b.from += n; b.from < b.to {
+	if b.start += n; b.start < b.end {
 		return
 	}
-	b.from, b.to = 0, 0
-	if len(b.b) > MaxIdleCapacity {
-		b.b = nil
+	b.start, b.end = 0, 0
+	if len(b.data) > MaxIdleCapacity {
+		b.data = nil
 	}
 }
 
-// Held is the memory it has.
-func (b *Buffer) Capacity() int { return len(b.b) }
+// Capacity returns the size of the underlying array in bytes.
+func (b *Buffer) Capacity() int { return len(b.data) }
--- a/internal/invariant/debug.go
+++ b/internal/invariant/debug.go
@@ -2,13 +2,13 @@
 
 package invariant
 
-// Debug is true: checks that cost much are made.
+// Debug tells whether this is a debug build, in which expensive checks are made as well.
 const Debug = true
 
-// Check panics if what has to hold does not.
+// Check panics with the description if ok is false, and returns true otherwise.
 func Check(ok bool, description string) bool {
 	if !ok {
-		panic("must hold: " + description)
+		panic("invariant violated: " + description)
 	}
 	return true
 }
--- a/internal/invariant/release.go
+++ b/internal/invariant/release.go
@@ -2,10 +2,10 @@
 
 package invariant
 
-// Debug is false: checks that cost much are left out.
+// Debug tells whether this is a debug build, in which expensive checks are made as well.
 const Debug = false
 
-// Check counts if what has to hold does not, and tells whether it does.
+// Check counts a violation if ok is false, and returns ok.
 func Check(ok bool, description string) bool {
 	if !ok {
 		violations.Add(1)
