--- a/internal/eventloop/run.go
+++ b/internal/eventloop/run.go
@@ -1,6 +1,6 @@
-// Package eventloop performs the effects that the reducer asks for and brings back
-// what came of them as events. It knows connections and the clock, and nothing
-// of what is said on them.
+// Package eventloop connects a controller to the network, the clock and the disk. It passes events
+// to the controller, performs the effects that the controller returns, and reports their outcome as
+// further events. It doesn't interpret the bytes that it reads and writes.
 package eventloop
 
 import (
@@ -18,58 +18,64 @@
 	"railrelay.dev/railrelay/internal/resultstore"
 )
 
-// loop is the one goroutine that owns the reducer, with those that read and
-// write for it.
+// loop is the state of an event loop. One goroutine, run, owns the controller; the others read from
+// and write to connections and the disk, and send events to run.
 type loop struct {
-	ctx    context.Context
-	group  *errgroup.Group
-	events chan event
-	wires  map[*controller.Connection]*wire
-	later  map[*wire][]func() // writes that wait for what has come from a client to be stepped
-	wakeAt time.Duration      // when the reducer is to be woken, since the start
-	log    zerolog.Logger
-	start  time.Time
-	timer  *time.Timer
-	room   chan struct{}           // one a client's connection: there are never more than it holds
-	disk   *resultstore.SpoolStore // nil: there is no spool on disk
-	work   backlog
-	word   *fleet.ServingState // nil: there are no peers
-	peers  FleetChannels
-	untold []*fleet.Report // found no room, for the reducer to keep
+	ctx            context.Context
+	group          *errgroup.Group
+	events         chan event
+	connections    map[*controller.Connection]*connection
+	deferredWrites map[*connection][]func() // by client: writes behind input that isn't processed yet
+	wakeAt         time.Duration            // when the timer is due, since start
+	log            zerolog.Logger
+	start          time.Time
+	timer          *time.Timer
+	clientSlots    chan struct{}           // holds one element per client connection; its capacity is the limit
+	store          *resultstore.SpoolStore // nil without a spool on disk
+	spoolWork      spoolWorkQueue
+	servingState   *fleet.ServingState // nil outside a fleet
+	fleetChannels  FleetChannels
+	unsentReports  []*fleet.Report // found the channel full, to be handed back to the controller
 }
 
-// FleetChannels joins the reducer and the fleet's side, which runs beside it.
+// FleetChannels connects the controller with the fleet member in the same process. The zero value
+// is for a controller outside a fleet.
 type FleetChannels struct {
-	Orders  <-chan fleet.Order  // a full one makes the fleet's side wait
-	Reports chan<- fleet.Report // nobody waits for it: what finds no room goes back to the reducer
+	Orders  <-chan fleet.Order  // sending blocks until the controller takes the order
+	Reports chan<- fleet.Report // never blocks: a report that doesn't fit goes back to the controller
 }
 
-// event is one for the reducer, with its link's connection where that is new.
+// event is an event for the controller. For ClientAccepted, accepted is the new connection.
 type event struct {
 	controller.Event
-	wire *wire
+	accepted *connection
 }
 
-// Serve runs a controller on a listener until it is done or ctx ends. Peers are left
-// empty where it has none.
-func Serve(ctx context.Context, listener net.Listener, means controller.Config, disk *resultstore.SpoolStore, peers FleetChannels, asked <-chan controller.Event, log zerolog.Logger) error {
+// Serve runs a controller that accepts clients on the listener, until the controller exits or ctx
+// ends. The channel requests delivers events of the operator, such as a shutdown. The store is nil without a
+// spool on disk, and fleetChannels is empty outside a fleet.
+func Serve(ctx context.Context, listener net.Listener, config controller.Config,
+	store *resultstore.SpoolStore, fleetChannels FleetChannels, requests <-chan controller.Event,
+	log zerolog.Logger) error {
 	group, ctx := errgroup.WithContext(ctx)
 	ctx, cancel := context.WithCancel(ctx)
-	l := &loop{ctx: ctx, group: group, events: make(chan event), wires: map[*controller.Connection]*wire{}, later: map[*wire][]func(){}, log: log,
-		start: means.StartedAt, timer: time.NewTimer(time.Hour), room: make(chan struct{}, means.MaxClientConnections()), disk: disk, peers: peers}
-	if means.Fleet != nil {
-		l.word = means.Fleet.ServingState
+	l := &loop{ctx: ctx, group: group, events: make(chan event),
+		connections: map[*controller.Connection]*connection{}, deferredWrites: map[*connection][]func(){}, log: log,
+		start: config.StartedAt, timer: time.NewTimer(time.Hour),
+		clientSlots: make(chan struct{}, config.MaxClientConnections()), store: store, fleetChannels: fleetChannels}
+	if config.Fleet != nil {
+		l.servingState = config.Fleet.ServingState
 	}
-	if disk != nil {
-		l.work.ready = make(chan struct{}, 1)
-		group.Go(l.keep)
+	if store != nil {
+		l.spoolWork.ready = make(chan struct{}, 1)
+		group.Go(l.runSpoolWriter)
 	}
 	log.Info().Str("address", listener.Addr().String()).Msg("listening")
 	group.Go(func() error { return l.accept(listener) })
 	group.Go(func() error {
 		defer listener.Close()
 		defer cancel()
-		return l.run(means, asked)
+		return l.run(config, requests)
 	})
 	err := group.Wait()
 	if errors.Is(err, context.Canceled) {
@@ -78,85 +84,90 @@
 	return err
 }
 
-func (l *loop) run(means controller.Config, asked <-chan controller.Event) error {
+// run owns the controller: it passes events to the controller until the controller exits.
+func (l *loop) run(config controller.Config, requests <-chan controller.Event) error {
 	defer func() {
-		for _, w := range l.wires {
-			w.close()
+		for _, conn := range l.connections {
+			conn.close()
 		}
 	}()
-	r, effects := controller.New(means)
+	core, effects := controller.New(config)
 	done := l.perform(effects)
 	for !done {
-		for len(l.untold) > 0 { // it keeps these, and asks for none of them again at once
-			p := l.untold[0]
-			l.untold = l.untold[1:]
-			done = l.perform(r.Step(time.Since(l.start), controller.Event{Kind: controller.FleetReportRejected, Report: p})) || done
+		for len(l.unsentReports) > 0 { // the controller keeps a rejected report and doesn't send it again at once
+			report := l.unsentReports[0]
+			l.unsentReports = l.unsentReports[1:]
+			done = l.perform(core.Step(time.Since(l.start),
+				controller.Event{Kind: controller.FleetReportRejected, Report: report})) || done
 		}
 		var ev event
 		select {
 		case ev = <-l.events:
 		case <-l.timer.C:
 			ev.Kind = controller.TimerFired
-		case ev.Event = <-asked:
-		case o := <-l.peers.Orders:
-			ev.Kind, ev.Order = controller.FleetOrderReceived, &o
+		case ev.Event = <-requests:
+		case order := <-l.fleetChannels.Orders:
+			ev.Kind, ev.Order = controller.FleetOrderReceived, &order
 		case <-l.ctx.Done():
 			return l.ctx.Err()
 		}
-		if now := time.Since(l.start); l.wakeAt > 0 && now > l.wakeAt+stoodMost {
-			done = l.meanwhile(r, ev)
+		if now := time.Since(l.start); l.wakeAt > 0 && now > l.wakeAt+maxTimerDelay {
+			done = l.processBacklog(core, ev)
 			ev = event{Event: controller.Event{Kind: controller.TimerFired}}
 		}
-		done = l.step(r, ev) || done
+		done = l.step(core, ev) || done
 	}
-	l.finish()
+	l.closeConnections()
 	return nil
 }
 
-// step has the reducer hear an event and performs what it asks for.
-func (l *loop) step(r *controller.Controller, ev event) (done bool) {
-	if ev.wire != nil {
-		l.wires[ev.Connection] = ev.wire
+// step passes an event to the controller and performs the effects. It reports whether the controller
+// exits.
+func (l *loop) step(core *controller.Controller, ev event) (done bool) {
+	if ev.accepted != nil {
+		l.connections[ev.Connection] = ev.accepted
 	}
-	w := l.wires[ev.Connection]
-	if ev.Kind == controller.BytesReceived && w != nil && w.client {
-		ev.ByteCount, ev.EndOfStream = w.more(ev.ByteCount)
+	conn := l.connections[ev.Connection]
+	if ev.Kind == controller.BytesReceived && conn != nil && conn.isClient {
+		ev.ByteCount, ev.EndOfStream = conn.readAvailable(ev.ByteCount)
 	}
-	if w != nil && (ev.Kind == controller.BytesReceived || ev.Kind == controller.ConnectionClosed) {
-		w.unheard.Store(false)
+	if conn != nil && (ev.Kind == controller.BytesReceived || ev.Kind == controller.ConnectionClosed) {
+		conn.hasUnprocessedInput.Store(false)
 	}
-	if ev.Kind == controller.ConnectionClosed || ev.Kind == controller.ConnectRefused || ev.Kind == controller.ConnectTimedOut {
-		delete(l.wires, ev.Connection)
+	if ev.Kind == controller.ConnectionClosed || ev.Kind == controller.ConnectRefused ||
+		ev.Kind == controller.ConnectTimedOut {
+		delete(l.connections, ev.Connection)
 	}
-	done = l.perform(r.Step(time.Since(l.start), ev.Event))
+	done = l.perform(core.Step(time.Since(l.start), ev.Event))
 	if ev.Kind == controller.BytesReceived || ev.Kind == controller.ConnectionClosed {
-		l.heard(w)
+		l.runDeferredWrites(conn)
 	}
-	if w != nil && ev.Kind == controller.BytesReceived {
-		w.turn <- struct{}{}
+	if conn != nil && ev.Kind == controller.BytesReceived {
+		conn.bufferReleased <- struct{}{}
 	}
 	return done
 }
 
-// heard lets go what waited for a client's word to be stepped.
-func (l *loop) heard(w *wire) {
-	for _, do := range l.later[w] {
-		do()
+// runDeferredWrites makes the writes that waited until the controller had processed the client's input.
+func (l *loop) runDeferredWrites(conn *connection) {
+	for _, write := range l.deferredWrites[conn] {
+		write()
 	}
-	delete(l.later, w)
+	delete(l.deferredWrites, conn)
 }
 
-// meanwhile is for when we stood still ourselves, or had no processor: what came is heard before
-// anything that is due is done. A client may have hung up long ago, and an answer that is held to
-// be late lies here unread. The pause lets those that read run, who then wait with what they have.
-func (l *loop) meanwhile(r *controller.Controller, ev event) (done bool) {
+// processBacklog runs after the process was stopped or starved of processor time. It passes pending
+// input to the controller before the overdue timers: a client may have disconnected long ago, and an
+// answer that would count as late may have arrived unread. The sleep lets the reading goroutines run,
+// which then block with the events that they have.
+func (l *loop) processBacklog(core *controller.Controller, ev event) (done bool) {
 	time.Sleep(time.Millisecond)
 	for n := 0; ; n++ {
 		if ev.Kind != controller.TimerFired {
 			ev.Backlogged = true
-			done = l.step(r, ev) || done
+			done = l.step(core, ev) || done
 		}
-		if n > len(l.wires) { // more than one of each: what is due has waited long enough
+		if n > len(l.connections) { // more than one event per connection: the timers have waited long enough
 			return done
 		}
 		select {
@@ -167,85 +178,89 @@
 	}
 }
 
-// stoodMost is how late we may be before we hold that we stood still: a part of the 0.1 s after
-// which nothing may begin for a client that left.
-const stoodMost = 25 * time.Millisecond
+// maxTimerDelay is how late a timer event may be before the process counts as having been stopped.
+// It is a fraction of 0.1 s, the time after which no work may begin for a client that has left.
+const maxTimerDelay = 25 * time.Millisecond
 
-// finish ends what clients' connections there are gently: an answer may be on its way, and one
-// that rests is not waited for. What still comes on them is not read any more.
-func (l *loop) finish() {
-	left := 0
-	for link, w := range l.wires {
-		if w.client {
-			left++
-			w.closeGently(finishMost)
+// closeConnections closes engine and discovery connections at once, and client connections gracefully,
+// because an answer may still be in transit. It doesn't wait for idle clients to close their side. The
+// controller gets no further input.
+func (l *loop) closeConnections() {
+	remaining := 0
+	for handle, conn := range l.connections {
+		if conn.isClient {
+			remaining++
+			conn.closeGracefully(finalWriteTimeout)
 		} else {
-			delete(l.wires, link)
-			w.close()
+			delete(l.connections, handle)
+			conn.close()
 		}
 	}
-	for wait := time.After(2 * finishMost); left > 0; {
+	for timeout := time.After(2 * finalWriteTimeout); remaining > 0; {
 		select {
 		case ev := <-l.events:
-			switch w := l.wires[ev.Connection]; {
-			case ev.wire != nil:
-				ev.wire.close()
-			case w == nil:
+			switch conn := l.connections[ev.Connection]; {
+			case ev.accepted != nil:
+				ev.accepted.close()
+			case conn == nil:
 			case ev.Kind == controller.BytesReceived:
-				w.turn <- struct{}{}
+				conn.bufferReleased <- struct{}{}
 			case ev.Kind == controller.ConnectionClosed:
-				delete(l.wires, ev.Connection)
-				left--
+				delete(l.connections, ev.Connection)
+				remaining--
 			}
-		case <-wait:
+		case <-timeout:
 			return
 		}
 	}
 }
 
-// finishMost is for the last answers to come to clients that are there to read them.
-const finishMost = 200 * time.Millisecond
+// finalWriteTimeout is how long clients have to read their last answers when the program ends.
+const finalWriteTimeout = 200 * time.Millisecond
 
+// perform carries out the controller's effects. It reports whether Exit is among them.
 func (l *loop) perform(effects []controller.Effect) (done bool) {
-	for _, e := range effects {
-		w := l.wires[e.Connection]
-		switch e.Kind {
+	for _, effect := range effects {
+		conn := l.connections[effect.Connection]
+		switch effect.Kind {
 		case controller.Dial:
-			l.dial(e.Connection, e.Address, e.Timeout)
+			l.dial(effect.Connection, effect.Address, effect.Timeout)
 		case controller.Write:
-			if w == nil {
+			if conn == nil {
 				break
 			}
-			g, bytes := guard{version: e.PolicyVersion, bound: e.Confined, kept: e.RetainedData && l.word != nil, permit: e.Permit}, e.Bytes
-			if from := l.wires[e.Client]; from != nil && from.unheard.Load() {
-				// its client has said something, perhaps that it leaves: that first
-				l.later[from] = append(l.later[from], func() { w.write(bytes, g) })
+			condition, bytes := writeCondition{policyVersion: effect.PolicyVersion, confined: effect.Confined,
+				retained: effect.RetainedData && l.servingState != nil, permit: effect.Permit}, effect.Bytes
+			if client := l.connections[effect.Client]; client != nil && client.hasUnprocessedInput.Load() {
+				// The client's pending input, perhaps a cancellation, goes to the controller first.
+				l.deferredWrites[client] = append(l.deferredWrites[client], func() { conn.enqueue(bytes, condition) })
 			} else {
-				w.write(bytes, g)
+				conn.enqueue(bytes, condition)
 			}
 		case controller.Close:
-			if w != nil && e.Graceful {
-				w.closeGently(e.Timeout)
-			} else if w != nil {
-				w.end(e.Abort)
+			if conn != nil && effect.Graceful {
+				conn.closeGracefully(effect.Timeout)
+			} else if conn != nil {
+				conn.terminate(effect.Abort)
 			}
 		case controller.SetTimer:
-			l.timer.Reset(e.Timeout)
-			l.wakeAt = time.Since(l.start) + e.Timeout
+			l.timer.Reset(effect.Timeout)
+			l.wakeAt = time.Since(l.start) + effect.Timeout
 		case controller.LogMessage:
-			if e.Warning {
-				told(l.log.Log(), e.Fields).Msg(e.Text)
-			} else if e.Trace {
-				told(l.log.Debug(), e.Fields).Msg(e.Text)
+			if effect.Warning {
+				withLogFields(l.log.Log(), effect.Fields).Msg(effect.Text)
+			} else if effect.Trace {
+				withLogFields(l.log.Debug(), effect.Fields).Msg(effect.Text)
 			} else {
-				told(l.log.Info(), e.Fields).Msg(e.Text)
+				withLogFields(l.log.Info(), effect.Fields).Msg(effect.Text)
 			}
 		case controller.LogCounters:
-			l.log.Log().Float64("cpu_ms_a_query", cpuMs()/float64(max(1, e.QueryCount))).Msg(e.Text)
+			l.log.Log().Float64("cpu_ms_a_query",
+				processCPUMillis()/float64(max(1, effect.QueryCount))).Msg(effect.Text)
 		case controller.SubmitSpoolWork:
-			l.store(e.SpoolWork)
+			l.submitSpoolWork(effect.SpoolWork)
 		case controller.ReportToFleet:
-			l.report(e.Report)
+			l.sendReport(effect.Report)
 		case controller.Exit:
 			done = true
 		}
@@ -253,36 +268,38 @@
 	return done
 }
 
-// report tells the fleet's side. Once one found no room none after it is told before it.
-func (l *loop) report(p *fleet.Report) {
-	if len(l.untold) == 0 {
+// sendReport sends a report to the fleet member. Once a report found the channel full, later ones
+// queue behind it, so that reports stay in order.
+func (l *loop) sendReport(report *fleet.Report) {
+	if len(l.unsentReports) == 0 {
 		select {
-		case l.peers.Reports <- *p:
+		case l.fleetChannels.Reports <- *report:
 			return
 		default:
 		}
 	}
-	l.untold = append(l.untold, p)
+	l.unsentReports = append(l.unsentReports, report)
 }
 
-// told puts what a line is about into fields of its own.
-func told(line *zerolog.Event, a controller.LogFields) *zerolog.Event {
-	for _, f := range [...][2]string{{"query", a.Query}, {"group", a.Group}, {"team", a.Tenant}, {"engine", a.Engine}} {
-		if f[1] != "" {
-			line = line.Str(f[0], f[1])
+// withLogFields adds the non-empty fields to a log entry.
+func withLogFields(entry *zerolog.Event, fields controller.LogFields) *zerolog.Event {
+	for _, field := range [...][2]string{{"query", fields.Query}, {"group", fields.Group},
+		{"team", fields.Tenant}, {"engine", fields.Engine}} {
+		if field[1] != "" {
+			entry = entry.Str(field[0], field[1])
 		}
 	}
-	if a.Attempt > 0 {
-		line = line.Int("try", a.Attempt)
+	if fields.Attempt > 0 {
+		entry = entry.Int("try", fields.Attempt)
 	}
-	return line
+	return entry
 }
 
-// tell hands an event to the reducer; false once it is gone.
-func (l *loop) tell(kind controller.EventKind, w *wire, n int) bool {
-	ev := event{Event: controller.Event{Kind: kind, Connection: w.link, ByteCount: n}}
+// sendEvent passes an event to run, and returns false if the loop has ended.
+func (l *loop) sendEvent(kind controller.EventKind, conn *connection, byteCount int) bool {
+	ev := event{Event: controller.Event{Kind: kind, Connection: conn.handle, ByteCount: byteCount}}
 	if kind == controller.ClientAccepted {
-		ev.wire = w
+		ev.accepted = conn
 	}
 	select {
 	case l.events <- ev:
@@ -292,8 +309,8 @@
 	}
 }
 
-// cpuMs is the processor time that the process has taken.
-func cpuMs() float64 {
+// processCPUMillis returns the processor time that the process has used, in milliseconds.
+func processCPUMillis() float64 {
 	var used syscall.Rusage
 	if syscall.Getrusage(syscall.RUSAGE_SELF, &used) != nil {
 		return 0
--- a/internal/eventloop/run_test.go
+++ b/internal/eventloop/run_test.go
@@ -11,17 +11,17 @@
 	"railrelay.dev/railrelay/internal/controller"
 )
 
-// A peer that never reads holds up what is written to it; told to go, it may
-// not keep its connection for good.
-func TestAGentleCloseEndsInTime(t *testing.T) {
-	ours, theirs := net.Pipe() // which takes nothing that is not read
+// Guards against a connection that stays open forever after a graceful close, because the peer never
+// reads and the write blocks.
+func TestGracefulCloseEndsAtTimeout(t *testing.T) {
+	ours, theirs := net.Pipe() // unbuffered: a write blocks until the peer reads
 	defer theirs.Close()
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
 	l := &loop{ctx: ctx, group: &errgroup.Group{}, events: make(chan event)}
-	w := newWire(&controller.Connection{}, ours)
-	w.write([]byte("what is never read"), guard{})
-	w.closeGently(20 * time.Millisecond)
+	w := newConnection(&controller.Connection{}, ours)
+	w.enqueue([]byte("data that is never read"), writeCondition{})
+	w.closeGracefully(20 * time.Millisecond)
 	go l.serve(w)
 	for wait := time.After(20 * time.Second); ; {
 		select {
@@ -30,21 +30,21 @@
 				return
 			}
 		case <-wait:
-			t.Fatal("it waits for a reader")
+			t.Fatal("the connection is still open: the graceful close waits for a reader")
 		}
 	}
 }
 
-// Bytes that lie in our kernel must not arrive once a call was given up: left to
-// it they go out for minutes after, whenever the other end listens again.
-func TestWhatIsAbortedNeverArrives(t *testing.T) {
+// Guards against an abandoned request that still reaches its engine: without an abort, the kernel
+// keeps sending written bytes for minutes, until the peer reads again.
+func TestAbortDropsUndeliveredBytes(t *testing.T) {
 	arrives := func(abort bool) (n int) {
-		ours, theirs := pair(t)
+		ours, theirs := connectionPair(t)
 		defer theirs.Close()
 		ours.SetWriteDeadline(time.Now().Add(50 * time.Millisecond))
-		out, _ := ours.Write(make([]byte, 32<<20)) // as much as both kernels hold: nobody reads
-		w := newWire(&controller.Connection{}, ours)
-		w.end(abort)
+		out, _ := ours.Write(make([]byte, 32<<20)) // as much as both socket buffers hold, since nobody reads
+		w := newConnection(&controller.Connection{}, ours)
+		w.terminate(abort)
 		theirs.SetReadDeadline(time.Now().Add(20 * time.Second))
 		p := make([]byte, 1<<20)
 		for {
@@ -56,9 +56,9 @@
 		return out - n
 	}
 	if left := arrives(false); left != 0 {
-		t.Fatalf("%d bytes are missing though nothing was aborted: this test proves nothing", left)
+		t.Fatalf("%d bytes are missing although nothing was aborted, so this test proves nothing", left)
 	}
 	if arrives(true) == 0 {
-		t.Fatal("all of it came after the connection was aborted")
+		t.Fatal("all bytes arrived although the connection was aborted")
 	}
 }
