--- a/internal/bench/spool.go
+++ b/internal/bench/spool.go
@@ -217,7 +217,8 @@
 	os.Remove(f.Name())
 	total := float64(results*pages*size) / (1 << 20)
 	plain = total / time.Since(begin).Seconds()
-	k, err := resultstore.OpenSpoolStore(filepath.Join(dir, fmt.Sprint("ours", sync)), resultstore.Options{Sync: sync})
+	k, err := resultstore.OpenSpoolStore(filepath.Join(dir, fmt.Sprint("ours", sync)),
+		resultstore.Options{Sync: sync})
 	if err != nil {
 		return 0, 0, err
 	}
@@ -304,7 +305,8 @@
 // reopen is how long it takes to open so many results.
 func reopen(dir string, results int) (time.Duration, error) {
 	path := filepath.Join(dir, "many")
-	k, err := resultstore.OpenSpoolStore(path, resultstore.Options{Sync: resultstore.SyncNever, MaxIndexLag: 20_000})
+	k, err := resultstore.OpenSpoolStore(path,
+		resultstore.Options{Sync: resultstore.SyncNever, MaxIndexLag: 20_000})
 	if err != nil {
 		return 0, err
 	}
--- a/internal/cli/spool.go
+++ b/internal/cli/spool.go
@@ -15,7 +15,8 @@
 // spoolCommand looks after a spool's directory while no program has it.
 func spoolCommand() *cobra.Command {
 	root := &cobra.Command{Use: "spool", Short: "Look at a spool's directory, check or clean it; none that is in use"}
-	with := func(do func(c *cobra.Command, k *resultstore.SpoolStore) error) func(*cobra.Command, []string) error {
+	with := func(
+		do func(c *cobra.Command, k *resultstore.SpoolStore) error) func(*cobra.Command, []string) error {
 		return func(c *cobra.Command, args []string) (err error) {
 			if i, err := os.Stat(args[0]); err != nil {
 				return err
--- a/internal/intrusivelist/list_test.go
+++ b/internal/intrusivelist/list_test.go
@@ -8,11 +8,11 @@
 )
 
 type item struct {
-	name           int
+	name                int
 	inList, inOtherList Element[item]
 }
 
-// Inserts and removes values at random and compares the list, in otherList directions, with a slice.
+// Inserts and removes values at random and compares the list, in both directions, with a slice.
 // Each value is in a second list at the same time, which only grows.
 func TestListMatchesSliceModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
@@ -62,7 +62,8 @@
 func TestAppendAndRemoveDoNotAllocate(t *testing.T) {
 	var list List[item]
 	value := &item{}
-	if n := testing.AllocsPerRun(100, func() { list.Append(&value.inList, value); list.Remove(&value.inList) }); n > 0 {
+	if n := testing.AllocsPerRun(100,
+		func() { list.Append(&value.inList, value); list.Remove(&value.inList) }); n > 0 {
 		t.Errorf("%v allocations", n)
 	}
 }
--- a/internal/resultstore/compaction.go
+++ b/internal/resultstore/compaction.go
@@ -8,207 +8,216 @@
 	"slices"
 )
 
-// compaction moves what lives of a segment to the log's end.
+// compaction copies the live records of a segment to the end of the log, in several steps.
 type compaction struct {
-	g      *segment
-	file   File
-	at     int64
-	moved  map[uint64]map[uint32]place // by result and page
-	wholes map[uint64]bool             // whose own record stands there
+	segment    *segment
+	file       File
+	offset     int64
+	movedPages map[uint64]map[uint32]location // new locations by result and page
+	results    map[uint64]bool                // whose commit record is in the segment
 }
 
-// next segment to compact: the one with the most dead in it, if that is enough.
-func (s *Store) worst() *segment {
-	if g := s.toErase(); g != nil {
-		return g
-	}
-	var worst *segment
-	dead := math.Inf(-1)
-	for _, n := range s.numbers() {
-		g := s.segments[n]
-		if g == s.active {
+// selectSegment returns the next segment to compact: one that is to be erased, or else the one with
+// the highest dead fraction, if that is large enough. It returns nil if there is none.
+func (s *Store) selectSegment() *segment {
+	if seg := s.nextSegmentToErase(); seg != nil {
+		return seg
+	}
+	var candidate *segment
+	highestRatio := math.Inf(-1)
+	for _, number := range s.segmentNumbers() {
+		seg := s.segments[number]
+		if seg == s.active {
 			continue
 		}
-		part := 1 - float64(g.live)/float64(max(1, g.size-headSize))
-		if (part >= s.terms.CompactionGarbageRatio || g.live == 0) && part > dead && !(g.live == 0 && s.needed(g)) {
-			worst, dead = g, part
+		garbageRatio := 1 - float64(seg.liveBytes)/float64(max(1, seg.size-segmentHeaderSize))
+		if (garbageRatio >= s.options.CompactionGarbageRatio || seg.liveBytes == 0) &&
+			garbageRatio > highestRatio && !(seg.liveBytes == 0 && s.holdsOnlyNeededTombstones(seg)) {
+			candidate, highestRatio = seg, garbageRatio
 		}
 	}
-	return worst
+	return candidate
 }
 
-// needed: all that counts in it are Gone records for results that may stand in older ones.
-func (s *Store) needed(g *segment) bool {
-	return g.keeps > 0 && g.size-headSize == int64(g.keeps)*recordHead && s.numbers()[0] < g.number
+// holdsOnlyNeededTombstones reports whether a segment holds nothing but tombstones, for results whose
+// records may be in older segments.
+func (s *Store) holdsOnlyNeededTombstones(seg *segment) bool {
+	return seg.tombstones > 0 && seg.size-segmentHeaderSize == int64(seg.tombstones)*recordHeaderSize &&
+		s.segmentNumbers()[0] < seg.number
 }
 
+// compactStep begins or continues a compaction. It reports whether there is more to do.
 func (s *Store) compactStep() (more bool, err error) {
-	if s.compact == nil {
-		g := s.worst()
-		if g == nil {
+	if s.compaction == nil {
+		seg := s.selectSegment()
+		if seg == nil {
 			return false, nil
 		}
-		f, err := s.files.Open(g.name())
+		f, err := s.files.Open(seg.name())
 		if err != nil {
 			return false, err
 		}
-		s.compact = &compaction{g: g, file: f, at: headSize, moved: map[uint64]map[uint32]place{}, wholes: map[uint64]bool{}}
-	}
-	c := s.compact
-	stop := errors.New("enough for now")
-	var l []Record
-	left := s.terms.CompactionStepBytes
-	older := s.numbers()[0] < c.g.number
-	known := map[uint64]*Meta{} // for this step, in which nothing else changes
-	meta := func(id uint64) (m *Meta, err error) {
-		if m = known[id]; m == nil {
-			if m, err = s.meta(id); err == nil {
-				known[id] = m
+		s.compaction = &compaction{segment: seg, file: f, offset: segmentHeaderSize,
+			movedPages: map[uint64]map[uint32]location{}, results: map[uint64]bool{}}
+	}
+	current := s.compaction
+	errStepDone := errors.New("compaction step done")
+	var copies []Record
+	remaining := s.options.CompactionStepBytes
+	hasOlderSegments := s.segmentNumbers()[0] < current.segment.number
+	metas := map[uint64]*Meta{} // cached for this step, during which no result changes
+	meta := func(result uint64) (m *Meta, err error) {
+		if m = metas[result]; m == nil {
+			if m, err = s.committedMeta(result); err == nil {
+				metas[result] = m
 			}
 		}
 		return m, err
 	}
-	err = walk(c.file, c.g.number, c.at, c.g.size, func(r Record, at place) error {
-		if left <= 0 {
-			return stop
-		}
-		left -= r.size()
-		c.at = at.offset + r.size()
-		r.Body = slices.Clone(r.Body)
-		switch r.Kind {
-		case PageRecord:
-			if now, err := s.find(r.Result, int(r.Page), meta); err == nil && now == at {
-				l = append(l, r)
-			}
-		case CommitRecord:
-			if m, err := meta(r.Result); err == nil && m.at == at {
-				c.wholes[r.Result] = true
+	err = walkRecords(current.file, current.segment.number, current.offset, current.segment.size,
+		func(r Record, loc location) error {
+			if remaining <= 0 {
+				return errStepDone
 			}
-		case TombstoneRecord:
-			if older {
-				l = append(l, r)
+			remaining -= r.size()
+			current.offset = loc.offset + r.size()
+			r.Body = slices.Clone(r.Body)
+			switch r.Kind {
+			case PageRecord:
+				if currentLoc, err := s.findPage(r.Result, int(r.Page), meta); err == nil && currentLoc == loc {
+					copies = append(copies, r)
+				}
+			case CommitRecord:
+				if m, err := meta(r.Result); err == nil && m.location == loc {
+					current.results[r.Result] = true
+				}
+			case TombstoneRecord:
+				if hasOlderSegments {
+					copies = append(copies, r)
+				}
 			}
-		}
-		return nil
-	}, func(int64) {})
-	if err != nil && err != stop {
-		s.giveUp()
+			return nil
+		}, func(int64) {})
+	if err != nil && err != errStepDone {
+		s.abortCompaction()
 		return false, err
 	}
-	places, e := s.write(l)
-	if e != nil {
-		s.giveUp()
-		return false, e
+	locations, writeErr := s.appendRecords(copies)
+	if writeErr != nil {
+		s.abortCompaction()
+		return false, writeErr
 	}
-	for i, r := range l {
+	for i, r := range copies {
 		if r.Kind == TombstoneRecord {
-			s.active.keeps++
+			s.active.tombstones++
 			continue
 		}
-		if c.moved[r.Result] == nil {
-			c.moved[r.Result] = map[uint32]place{}
+		if current.movedPages[r.Result] == nil {
+			current.movedPages[r.Result] = map[uint32]location{}
 		}
-		c.moved[r.Result][r.Page] = places[i]
+		current.movedPages[r.Result][r.Page] = locations[i]
 	}
-	if err == stop {
+	if err == errStepDone {
 		return true, nil
 	}
-	if err := s.moved(c); err != nil {
-		s.giveUp()
+	if err := s.finishCompaction(current); err != nil {
+		s.abortCompaction()
 		return false, err
 	}
-	s.compact = nil
-	return true, c.file.Close()
+	s.compaction = nil
+	return true, current.file.Close()
 }
 
-// giveUp leaves a compaction: what was copied is garbage.
-func (s *Store) giveUp() {
-	s.compact.file.Close()
-	s.compact = nil
+// abortCompaction ends a compaction. The records that were copied are garbage.
+func (s *Store) abortCompaction() {
+	s.compaction.file.Close()
+	s.compaction = nil
 }
 
-// moved has what was copied count, and the segment no more.
-func (s *Store) moved(c *compaction) error {
-	for id := range c.moved {
-		c.wholes[id] = true
+// finishCompaction makes the copied records valid and removes the segment.
+func (s *Store) finishCompaction(c *compaction) error {
+	for result := range c.movedPages {
+		c.results[result] = true
 	}
-	for _, id := range slices.Sorted(maps.Keys(c.wholes)) {
-		if err := s.relocate(id, c); err != nil {
+	for _, result := range slices.Sorted(maps.Keys(c.results)) {
+		if err := s.relocateResult(result, c); err != nil {
 			return err
 		}
 	}
-	if err := s.sync(); err != nil {
+	if err := s.syncActive(); err != nil {
 		return err
 	}
-	if err := s.checkpoint(); err != nil { // the index must not name it any more
+	if err := s.checkpoint(); err != nil { // the index must not refer to the segment any more
 		return err
 	}
 	s.mu.Lock()
-	delete(s.segments, c.g.number)
-	s.total -= c.g.size
+	delete(s.segments, c.segment.number)
+	s.totalBytes -= c.segment.size
 	s.mu.Unlock()
-	s.leaving = append(s.leaving, c.g.name())
-	return s.removeLeaving()
+	s.obsoleteFiles = append(s.obsoleteFiles, c.segment.name())
+	return s.removeObsoleteFiles()
 }
 
-// removeLeaving removes the files of segments that count no more, those too that the
-// disk refused to remove before.
-func (s *Store) removeLeaving() error {
-	if len(s.leaving) == 0 {
+// removeObsoleteFiles deletes the files of removed segments, including files that couldn't be deleted
+// before.
+func (s *Store) removeObsoleteFiles() error {
+	if len(s.obsoleteFiles) == 0 {
 		return nil
 	}
 	if err := s.writeManifest(); err != nil {
 		return err
 	}
-	for len(s.leaving) > 0 {
-		if err := s.files.Remove(s.leaving[0]); err != nil && !errors.Is(err, os.ErrNotExist) {
+	for len(s.obsoleteFiles) > 0 {
+		if err := s.files.Remove(s.obsoleteFiles[0]); err != nil && !errors.Is(err, os.ErrNotExist) {
 			return err
 		}
-		s.leaving = s.leaving[1:]
+		s.obsoleteFiles = s.obsoleteFiles[1:]
 	}
 	return nil
 }
 
-func (s *Store) relocate(id uint64, c *compaction) error {
-	to := func(page int, at place) place {
-		if now, ok := c.moved[id][uint32(page)]; ok && at.segment == c.g.number {
-			return now
+// relocateResult makes a result refer to the copies of its pages, by a new commit record if the result
+// is committed.
+func (s *Store) relocateResult(result uint64, c *compaction) error {
+	relocated := func(page int, loc location) location {
+		if moved, ok := c.movedPages[result][uint32(page)]; ok && loc.segment == c.segment.number {
+			return moved
 		}
-		return at
+		return loc
 	}
 	s.mu.Lock()
-	if t := s.open[id]; t != nil {
-		fresh := make([]place, len(t.places))
-		for i, at := range t.places {
-			if fresh[i] = to(i, at); fresh[i] != at {
-				s.count(at, -1)
-				s.count(fresh[i], 1)
+	if pending := s.pending[result]; pending != nil {
+		updated := make([]location, len(pending.pageLocations))
+		for i, loc := range pending.pageLocations {
+			if updated[i] = relocated(i, loc); updated[i] != loc {
+				s.accountRecord(loc, -1)
+				s.accountRecord(updated[i], 1)
 			}
 		}
-		t.places = fresh
+		pending.pageLocations = updated
 		s.mu.Unlock()
 		return nil
 	}
 	s.mu.Unlock()
-	m, err := s.meta(id)
+	meta, err := s.committedMeta(result)
 	if err != nil {
-		return nil // it went meanwhile
+		return nil // deleted meanwhile
 	}
-	fresh := *m
-	fresh.places = make([]place, len(m.places))
-	for i, at := range m.places {
-		fresh.places[i] = to(i, at)
+	updated := *meta
+	updated.pageLocations = make([]location, len(meta.pageLocations))
+	for i, loc := range meta.pageLocations {
+		updated.pageLocations[i] = relocated(i, loc)
 	}
-	places, err := s.write([]Record{{Kind: CommitRecord, Result: id, Body: fresh.encode()}})
+	locations, err := s.appendRecords([]Record{{Kind: CommitRecord, Result: result, Body: updated.encode()}})
 	if err != nil {
 		return err
 	}
-	fresh.at = places[0]
+	updated.location = locations[0]
 	s.mu.Lock()
-	s.counts(m, -1)
-	s.counts(&fresh, 1)
-	s.recent[id] = &fresh
-	s.lately.drop(id)
+	s.accountResult(meta, -1)
+	s.accountResult(&updated, 1)
+	s.recent[result] = &updated
+	s.metaCache.remove(result)
 	s.mu.Unlock()
 	return nil
 }
--- a/internal/resultstore/erase.go
+++ b/internal/resultstore/erase.go
@@ -1,73 +1,75 @@
 package resultstore
 
-// erasing is what has to be gone from the disk for good, all that counts no more: it
-// stands in segments until these are compacted, which else waits until enough of one
-// is dead.
-type erasing struct {
-	asked    []func()        // since the pass began
-	under    []func()        // told once the pass is through
-	segments map[uint64]bool // that held anything dead when it began, nil: there is none
+// erasure removes all deleted data from the disk. Deleted records stay in their segments until these
+// are compacted, which normally happens only once a large part of a segment is dead. An erasure
+// compacts all segments with dead records, in a pass.
+type erasure struct {
+	requested []func()        // callbacks for the next pass
+	inPass    []func()        // callbacks for the current pass
+	segments  map[uint64]bool // with dead records when the pass began; nil if there is no pass
 }
 
-// Erase has done called, in some later Tick, once no byte of what counts no more is in
-// any segment or in the index, and that is synced. A disk that refuses makes it wait. A
-// program that ends before knows nothing of it afterwards: it is to be asked again.
-func (s *Store) Erase(done func()) { s.erasing.asked = append(s.erasing.asked, done) }
+// Erase requests the erasure of all data that is deleted now. A later Tick calls done once no byte of
+// that data is left in any segment or in the index and the removal is synced. Disk errors delay the
+// erasure. A request is not persistent: it must be repeated after a restart.
+func (s *Store) Erase(done func()) { s.erasure.requested = append(s.erasure.requested, done) }
 
-// dead is what of a segment's file counts no more, Gone records aside.
-func (g *segment) dead() bool {
-	return g.odd || g.size-headSize-g.live-int64(g.keeps)*recordHead > 0
+// hasDeadBytes reports whether a segment's file holds anything but live records and tombstones.
+func (seg *segment) hasDeadBytes() bool {
+	return seg.partialWrite ||
+		seg.size-segmentHeaderSize-seg.liveBytes-int64(seg.tombstones)*recordHeaderSize > 0
 }
 
-// beginErasing begins a pass for all that asked so far.
-func (s *Store) beginErasing() error {
-	e := &s.erasing
-	if e.segments != nil || len(e.asked) == 0 {
+// beginErase begins a pass for all requests so far, unless one is under way.
+func (s *Store) beginErase() error {
+	pass := &s.erasure
+	if pass.segments != nil || len(pass.requested) == 0 {
 		return nil
 	}
-	if s.compact != nil { // what it copied may be dead by now, and nothing would tell
-		s.giveUp()
+	if s.compaction != nil { // its copies may be dead by now without being counted as such
+		s.abortCompaction()
 	}
-	l := map[uint64]bool{}
-	for n, g := range s.segments {
-		if g.dead() {
-			l[n] = true
+	segments := map[uint64]bool{}
+	for number, seg := range s.segments {
+		if seg.hasDeadBytes() {
+			segments[number] = true
 		}
 	}
-	if len(l) > 0 && (s.active == nil || l[s.active.number]) {
-		if err := s.roll(); err != nil {
+	if len(segments) > 0 && (s.active == nil || segments[s.active.number]) {
+		if err := s.rollSegment(); err != nil {
 			return err
 		}
 	}
-	e.segments, e.under, e.asked = l, e.asked, nil
+	pass.segments, pass.inPass, pass.requested = segments, pass.requested, nil
 	return nil
 }
 
-// toErase is the next segment of the pass, nil if there is none left.
-func (s *Store) toErase() (first *segment) {
-	for n := range s.erasing.segments {
-		if g := s.segments[n]; g != nil && (first == nil || n < first.number) {
-			first = g
+// nextSegmentToErase returns the next segment of the pass, or nil if there is none left.
+func (s *Store) nextSegmentToErase() (first *segment) {
+	for number := range s.erasure.segments {
+		if seg := s.segments[number]; seg != nil && (first == nil || number < first.number) {
+			first = seg
 		}
 	}
 	return first
 }
 
-// endErasing tells once the pass is through.
-func (s *Store) endErasing(more bool) (bool, error) {
-	e := &s.erasing
-	if e.segments == nil || s.compact != nil || s.toErase() != nil {
+// finishErase ends the pass once all its segments are compacted, and calls the callbacks. It returns
+// true if more is set or further erasures are requested.
+func (s *Store) finishErase(more bool) (bool, error) {
+	pass := &s.erasure
+	if pass.segments == nil || s.compaction != nil || s.nextSegmentToErase() != nil {
 		return more, nil
 	}
-	if s.active == nil && len(s.recent)+len(s.gone) > 0 { // else the index would not be brought up
-		if err := s.roll(); err != nil {
+	if s.active == nil && len(s.recent)+len(s.deleted) > 0 { // checkpoint needs an active segment
+		if err := s.rollSegment(); err != nil {
 			return false, err
 		}
 	}
 	if err := s.checkpoint(); err != nil {
 		return false, err
 	}
-	if err := s.removeLeaving(); err != nil {
+	if err := s.removeObsoleteFiles(); err != nil {
 		return false, err
 	}
 	if err := s.index.Scrub(); err != nil {
@@ -76,13 +78,13 @@
 	if err := s.files.SyncDir(); err != nil {
 		return false, err
 	}
-	under := e.under
-	e.segments, e.under = nil, nil
-	for _, done := range under {
+	finished := pass.inPass
+	pass.segments, pass.inPass = nil, nil
+	for _, done := range finished {
 		done()
 	}
-	return more || len(e.asked) > 0, nil
+	return more || len(pass.requested) > 0, nil
 }
 
-// Erases tells whether anything is still to be erased.
-func (s *Store) ErasePending() bool { return s.erasing.segments != nil || len(s.erasing.asked) > 0 }
+// ErasePending reports whether an erasure is requested or under way.
+func (s *Store) ErasePending() bool { return s.erasure.segments != nil || len(s.erasure.requested) > 0 }
--- a/internal/resultstore/erase_test.go
+++ b/internal/resultstore/erase_test.go
@@ -12,193 +12,201 @@
 	"railrelay.dev/railrelay/internal/spool"
 )
 
-// marker is what stands in every page of a team, and nowhere else; its name stands in
-// what is told of its results.
-func marker(team string) []byte { return fmt.Appendf(nil, "<rows of %s>", team) }
+// rowMarker is in every page of a tenant's results and nowhere else. The tenant's name is in the
+// descriptions of the results.
+func rowMarker(tenant string) []byte { return fmt.Appendf(nil, "<rows of %s>", tenant) }
 
-const purgedTeam = "team-to-be-purged"
+const purgedTenant = "team-to-be-purged"
 
-// put keeps a result of a team, or writes its pages only.
-func put(t testing.TB, k *resultstore.SpoolStore, id uint64, team string, promised bool) {
-	w := &spool.Work{}
+// putResult writes the pages of a result of a tenant, and commits it if commit is set.
+func putResult(t testing.TB, store *resultstore.SpoolStore, result uint64, tenant string, commit bool) {
+	work := &spool.Work{}
 	var rows []uint32
 	for i := range 3 {
-		w.Pages = append(w.Pages, spool.Page{Result: id, Number: uint32(i), Body: append(marker(team), make([]byte, 200)...)})
+		work.Pages = append(work.Pages, spool.Page{Result: result, Number: uint32(i),
+			Body: append(rowMarker(tenant), make([]byte, 200)...)})
 		rows = append(rows, 1)
 	}
-	if promised {
-		w.Promise = &spool.Promise{Result: id, Query: fmt.Sprintf("%016x", id), Team: team, Made: 1, Ends: 1 << 50, Rows: rows, Tag: spool.Tag{Index: id, Tables: []int64{int64(id), -1}, Owner: team}}
+	if commit {
+		work.Promise = &spool.Promise{Result: result, Query: fmt.Sprintf("%016x", result), Team: tenant, Made: 1,
+			Ends: 1 << 50, Rows: rows, Tag: spool.Tag{Index: result, Tables: []int64{int64(result), -1},
+				Owner: tenant}}
 	}
-	if k.Write([]*spool.Work{w}); w.Err != nil {
-		t.Fatal(w.Err)
+	if store.Write([]*spool.Work{work}); work.Err != nil {
+		t.Fatal(work.Err)
 	}
 }
 
-// purge drops all of the team and steps until that is erased.
-func purge(t testing.TB, k *resultstore.SpoolStore, all []uint64) {
-	w := &spool.Work{Erase: true}
-	k.Write([]*spool.Work{{Drop: all}, w})
+// erase deletes results and calls Tick until they are erased.
+func erase(t testing.TB, store *resultstore.SpoolStore, results []uint64) {
+	work := &spool.Work{Erase: true}
+	store.Write([]*spool.Work{{Drop: results}, work})
 	for range 1000 {
-		if _, err := k.Tick(); err != nil {
-			continue // it is tried again
+		if _, err := store.Tick(); err != nil {
+			continue // the next Tick retries
 		}
-		if l := k.TakeErased(); len(l) == 1 && l[0] == w {
+		if erased := store.TakeErased(); len(erased) == 1 && erased[0] == work {
 			return
 		}
 	}
-	t.Fatal("it isn't erased")
+	t.Fatal("the erasure doesn't finish")
 }
 
-// theirs are the results of the team that are there.
-func theirs(t testing.TB, k *resultstore.SpoolStore) (l []uint64, others int) {
-	if err := k.Restore(func(f *spool.Found) {
-		if f.Team == purgedTeam {
-			l = append(l, f.Result)
-		} else if others++; f.Index != f.Result || len(f.Tables) != 2 || f.Tables[0] != int64(f.Result) || f.Tables[1] != -1 || f.Owner != f.Team {
-			t.Fatalf("what a purge finds it by is lost: %+v", f.Promise)
+// countResults returns the results of the purged tenant, and the number of other results, whose
+// descriptions it checks.
+func countResults(t testing.TB, store *resultstore.SpoolStore) (purged []uint64, others int) {
+	if err := store.Restore(func(f *spool.Found) {
+		if f.Team == purgedTenant {
+			purged = append(purged, f.Result)
+		} else if others++; f.Index != f.Result || len(f.Tables) != 2 || f.Tables[0] != int64(f.Result) ||
+			f.Tables[1] != -1 || f.Owner != f.Team {
+			t.Fatalf("the fields by which a purge selects results are lost: %+v", f.Promise)
 		}
 	}); err != nil {
 		t.Fatal(err)
 	}
-	return l, others
+	return purged, others
 }
 
-// A purge is cut at every step, in three ways, with the index and without, in the middle
-// of compaction too. Whatever was left behind, the same purge again has it all gone: what
-// was dropped long before, half-written results and copies included. Nothing else goes.
-func TestEraseThroughEveryCrash(t *testing.T) {
+// Simulates a crash at every disk step of an erasure, in three ways, with and without the index, and
+// also during a compaction. After a restart, the same erasure removes all data of the purged tenant,
+// including results that were deleted long before, uncommitted results and copies by compaction. It
+// removes no other result.
+func TestEraseAfterEveryCrash(t *testing.T) {
 	d := disk.New()
 	x := disk.NewIndex(d)
-	k, err := resultstore.NewSpoolStore(d, x, small())
+	k, err := resultstore.NewSpoolStore(d, x, smallOptions())
 	if err != nil {
 		t.Fatal(err)
 	}
-	const kept = 12
-	var gone []uint64
-	for id := uint64(1); id <= 2*kept; id++ {
+	const keptCount = 12
+	var purged []uint64
+	for id := uint64(1); id <= 2*keptCount; id++ {
 		if id%2 == 0 {
-			put(t, k, id, "linz", true)
+			putResult(t, k, id, "linz", true)
 			continue
 		}
-		put(t, k, id, purgedTeam, id%3 != 0) // some are never whole
-		if id%5 == 0 {                       // evicted long ago
+		putResult(t, k, id, purgedTenant, id%3 != 0) // some are never committed
+		if id%5 == 0 {                               // deleted long before the erasure
 			k.Write([]*spool.Work{{Drop: []uint64{id}}})
 		} else {
-			gone = append(gone, id)
+			purged = append(purged, id)
 		}
-		if id == kept { // compaction is under way
+		if id == keptCount { // begins a compaction
 			k.Tick()
 		}
 	}
-	from := d.Steps()
-	if len(d.Holds(marker(purgedTeam))) < 3 {
-		t.Fatal("there is nothing to purge")
+	firstStep := d.Steps()
+	if len(d.Holds(rowMarker(purgedTenant))) < 3 {
+		t.Fatal("there is nothing to erase")
 	}
-	clean := func(d *disk.Disk, k *resultstore.SpoolStore, when string) {
+	expectErased := func(d *disk.Disk, k *resultstore.SpoolStore, situation string) {
 		t.Helper()
-		if l := append(d.Holds(marker(purgedTeam)), d.Holds([]byte(purgedTeam))...); len(l) > 0 {
-			t.Fatalf("%s: wiped is told, and it is in %v", when, l)
+		if l := append(d.Holds(rowMarker(purgedTenant)), d.Holds([]byte(purgedTenant))...); len(l) > 0 {
+			t.Fatalf("%s: reported as erased, but still in %v", situation, l)
 		}
-		if l, others := theirs(t, k); len(l) > 0 || others != kept {
-			t.Fatalf("%s: %d of the purged are there, %d others of %d", when, len(l), others, kept)
+		if l, others := countResults(t, k); len(l) > 0 || others != keptCount {
+			t.Fatalf("%s: %d results of the purged tenant are left, and %d other results of %d", situation, len(l),
+				others, keptCount)
 		}
 		if v, err := k.Verify(); err != nil || len(v.Faults) > 0 {
-			t.Fatalf("%s: %v %v", when, err, v.Faults)
+			t.Fatalf("%s: %v %v", situation, err, v.Faults)
 		}
 	}
-	purge(t, k, gone)
-	to := d.Steps()
-	clean(d, k, "in one go")
-	if to-from < 20 {
-		t.Fatal("the purge has too few steps to say anything: ", to-from)
+	erase(t, k, purged)
+	lastStep := d.Steps()
+	expectErased(d, k, "without a crash")
+	if lastStep-firstStep < 20 {
+		t.Fatal("the erasure has too few disk steps: ", lastStep-firstStep)
 	}
-	// what was wiped stays so, whatever the crash
-	for how := disk.Killed; how <= disk.Cut; how++ {
-		if l := d.After(to, how).Holds(marker(purgedTeam)); len(l) > 0 {
-			t.Fatalf("wiped, and %v brings it back in %v", how, l)
+	// erased data doesn't come back after a crash
+	for crash := disk.Killed; crash <= disk.Cut; crash++ {
+		if l := d.After(lastStep, crash).Holds(rowMarker(purgedTenant)); len(l) > 0 {
+			t.Fatalf("erased data came back after a crash (%v) in %v", crash, l)
 		}
 	}
-	back := 0
-	for n := from; n <= to; n++ {
-		for how := disk.Killed; how <= disk.Cut; how++ {
-			for _, lost := range []bool{false, true} {
-				if lost && n%3 != int(how) { // it is all read anew then, which takes long
+	recovered := 0
+	for n := firstStep; n <= lastStep; n++ {
+		for crash := disk.Killed; crash <= disk.Cut; crash++ {
+			for _, indexLost := range []bool{false, true} {
+				if indexLost && n%3 != int(crash) { // rebuilding the index is slow, so only one step in three
 					continue
 				}
-				when := fmt.Sprintf("cut at %d of %d to %d, %v, index lost %v", n, from, to, how, lost)
-				d := d.After(n, how)
+				situation := fmt.Sprintf("crash at step %d of %d to %d, %v, index lost %v", n, firstStep, lastStep, crash,
+					indexLost)
+				d := d.After(n, crash)
 				x := x.After(n, d)
-				if lost {
+				if indexLost {
 					x = disk.NewIndex(d)
 				}
-				k, err := resultstore.NewSpoolStore(d, x, small())
+				k, err := resultstore.NewSpoolStore(d, x, smallOptions())
 				if err != nil {
-					t.Fatalf("%s: %v", when, err)
+					t.Fatalf("%s: %v", situation, err)
 				}
-				l, _ := theirs(t, k)
-				back += len(l)
-				put(t, k, k.FirstResultID()+1, purgedTeam, false) // goes on meanwhile
-				purge(t, k, append(l, k.FirstResultID()+1))
-				clean(d, k, when)
+				l, _ := countResults(t, k)
+				recovered += len(l)
+				putResult(t, k, k.FirstResultID()+1, purgedTenant, false) // written during the erasure
+				erase(t, k, append(l, k.FirstResultID()+1))
+				expectErased(d, k, situation)
 			}
 		}
 	}
-	if back == 0 {
-		t.Fatal("no crash brought any back: it was too late")
+	if recovered == 0 {
+		t.Fatal("no crash brought a deleted result back: all crashes came too late")
 	}
 }
 
-// A disk that refuses makes a purge wait, and never have it told too early.
-func TestEraseOnAFaultyDisk(t *testing.T) {
+// Disk errors delay an erasure, and never cause it to be reported too early.
+func TestEraseWaitsForFaultyDisk(t *testing.T) {
 	refused := 0
 	for nth := range 40 {
 		d := disk.New()
-		k, err := resultstore.NewSpoolStore(d, disk.NewIndex(d), small())
+		k, err := resultstore.NewSpoolStore(d, disk.NewIndex(d), smallOptions())
 		if err != nil {
 			t.Fatal(err)
 		}
-		var gone []uint64
+		var purged []uint64
 		for id := uint64(1); id <= 12; id++ {
-			if team := "linz"; id%2 == 0 {
-				put(t, k, id, team, true)
+			if tenant := "linz"; id%2 == 0 {
+				putResult(t, k, id, tenant, true)
 			} else {
-				put(t, k, id, purgedTeam, true)
-				gone = append(gone, id)
+				putResult(t, k, id, purgedTenant, true)
+				purged = append(purged, id)
 			}
 		}
 		d.Half = true
-		verbs := 0
+		operations := 0
 		d.Fail = func(verb, name string) error {
-			if verbs++; verbs > nth && verbs <= nth+3 {
+			if operations++; operations > nth && operations <= nth+3 {
 				refused++
 				return os.ErrInvalid
 			}
 			return nil
 		}
-		purge(t, k, gone)
-		if l := d.Holds(marker(purgedTeam)); len(l) > 0 {
-			t.Fatalf("wiped is told, and it is in %v", l)
+		erase(t, k, purged)
+		if l := d.Holds(rowMarker(purgedTenant)); len(l) > 0 {
+			t.Fatalf("reported as erased, but still in %v", l)
 		}
 	}
 	if refused < 50 {
-		t.Fatal("the disk refused too seldom: ", refused)
+		t.Fatal("too few disk errors: ", refused)
 	}
 }
 
-// The same on files of the system's, the index's own file included.
+// An erasure on real files removes the data from the index's file, too.
 func TestEraseOnRealFiles(t *testing.T) {
 	dir := t.TempDir()
 	k, err := resultstore.OpenSpoolStore(dir, resultstore.Options{SegmentBytes: 4 << 10, MaxIndexLag: 2})
 	if err != nil {
 		t.Fatal(err)
 	}
-	var gone []uint64
+	var purged []uint64
 	for id := uint64(1); id <= 40; id++ {
 		if id%2 == 0 {
-			put(t, k, id, "linz", true)
+			putResult(t, k, id, "linz", true)
 		} else {
-			put(t, k, id, purgedTeam, true)
-			gone = append(gone, id)
+			putResult(t, k, id, purgedTenant, true)
+			purged = append(purged, id)
 		}
 		if _, err := k.Tick(); err != nil {
 			t.Fatal(err)
@@ -211,27 +219,28 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			if bytes.Contains(p, []byte(purgedTeam)) {
+			if bytes.Contains(p, []byte(purgedTenant)) {
 				names = append(names, e.Name())
 			}
 		}
 		return names
 	}
 	if l := holds(); len(l) < 3 || l[len(l)-1] != "index.db" {
-		t.Fatal("it is not where it was written: ", l)
+		t.Fatal("the data is not in the files where it was written: ", l)
 	}
-	purge(t, k, gone)
+	erase(t, k, purged)
 	if l := holds(); len(l) > 0 {
-		t.Fatal("wiped is told, and it is in ", l)
+		t.Fatal("reported as erased, but still in ", l)
 	}
-	if l, others := theirs(t, k); len(l) > 0 || others != 20 {
+	if l, others := countResults(t, k); len(l) > 0 || others != 20 {
 		t.Fatal(len(l), others)
 	}
-	put(t, k, 41, "linz", true) // the index goes on
+	putResult(t, k, 41, "linz", true) // the replaced index file is still writable
 	if err := k.Close(); err != nil {
 		t.Fatal(err)
 	}
-	if k, err = resultstore.OpenSpoolStore(dir, resultstore.Options{}); err != nil || k.Recovery.Results != 21 || k.Recovery.IndexRebuilt {
+	if k, err = resultstore.OpenSpoolStore(dir, resultstore.Options{}); err != nil || k.Recovery.Results != 21 ||
+		k.Recovery.IndexRebuilt {
 		t.Fatalf("%v %+v", err, k.Recovery)
 	}
 	k.Close()
--- a/internal/resultstore/files.go
+++ b/internal/resultstore/files.go
@@ -10,20 +10,20 @@
 	"syscall"
 )
 
-// Files is the directory of a store. What is written is on disk for good once it,
-// and for a new file the directory, was synced.
+// Files is the directory of a store. A write is durable once the file is synced and, for a new file,
+// the directory as well.
 type Files interface {
-	Create(name string) (File, error) // one that isn't there yet
+	Create(name string) (File, error) // fails if the file exists
 	Open(name string) (File, error)
 	ReadFile(name string) ([]byte, error)
-	// Replace puts a file's whole text in place of another's, at once or not at all.
+	// Replace replaces the whole content of a file, atomically and durably.
 	Replace(name string, p []byte) error
 	Remove(name string) error
 	List() ([]string, error)
 	SyncDir() error
 }
 
-// File is one of them.
+// File is an open file of a store.
 type File interface {
 	io.ReaderAt
 	io.WriterAt
@@ -33,16 +33,17 @@
 	Close() error
 }
 
-// Dir is a directory of the system's, held against other programs until Close.
+// Dir is a directory in the file system, locked against other processes until Close.
 type Dir struct {
 	path string
 	lock *os.File
 }
 
-// ErrInUse tells that another program has the directory.
+// ErrInUse is returned if another process has locked the directory.
 var ErrInUse = errors.New("the directory is in use by another program")
 
-// Hold takes a directory, made if it isn't there. ErrInUse if another program has it.
+// LockDir locks a directory, which is created if it doesn't exist. It returns ErrInUse if another process
+// has locked the directory.
 func LockDir(path string) (*Dir, error) {
 	if err := os.MkdirAll(path, 0o700); err != nil {
 		return nil, err
@@ -61,22 +62,23 @@
 	return &Dir{path, lock}, nil
 }
 
-// Close lets the directory go.
+// Close releases the lock.
 func (d *Dir) Close() error { return d.lock.Close() }
 
-// Path is a file's full name.
+// Path returns the path of a file in the directory.
 func (d *Dir) Path(name string) string { return filepath.Join(d.path, name) }
 
 type osFile struct{ *os.File }
 
 func (f osFile) Size() (int64, error) {
-	i, err := f.Stat()
+	info, err := f.Stat()
 	if err != nil {
 		return 0, err
 	}
-	return i.Size(), nil
+	return info.Size(), nil
 }
 
+// Create creates a file, which must not exist.
 func (d *Dir) Create(name string) (File, error) {
 	f, err := os.OpenFile(d.Path(name), os.O_RDWR|os.O_CREATE|os.O_EXCL, 0o600)
 	if err != nil {
@@ -85,6 +87,7 @@
 	return osFile{f}, nil
 }
 
+// Open opens an existing file for reading and writing.
 func (d *Dir) Open(name string) (File, error) {
 	f, err := os.OpenFile(d.Path(name), os.O_RDWR, 0)
 	if err != nil {
@@ -93,46 +96,51 @@
 	return osFile{f}, nil
 }
 
+// ReadFile returns the content of a file.
 func (d *Dir) ReadFile(name string) ([]byte, error) { return os.ReadFile(d.Path(name)) }
 
-func (d *Dir) Replace(name string, p []byte) error {
-	fresh := d.Path(name + ".new")
-	f, err := os.OpenFile(fresh, os.O_WRONLY|os.O_CREATE|os.O_TRUNC, 0o600)
+// Replace replaces the whole content of a file by writing and renaming a new file.
+func (d *Dir) Replace(name string, content []byte) error {
+	newPath := d.Path(name + ".new")
+	f, err := os.OpenFile(newPath, os.O_WRONLY|os.O_CREATE|os.O_TRUNC, 0o600)
 	if err != nil {
 		return err
 	}
-	_, err = f.Write(p)
+	_, err = f.Write(content)
 	if err == nil {
 		err = f.Sync()
 	}
-	if e := f.Close(); err == nil {
-		err = e
+	if closeErr := f.Close(); err == nil {
+		err = closeErr
 	}
 	if err == nil {
-		err = os.Rename(fresh, d.Path(name))
+		err = os.Rename(newPath, d.Path(name))
 	}
 	if err != nil {
-		os.Remove(fresh)
+		os.Remove(newPath)
 		return err
 	}
 	return d.SyncDir()
 }
 
+// Remove removes a file.
 func (d *Dir) Remove(name string) error { return os.Remove(d.Path(name)) }
 
+// List returns the names of all files, sorted.
 func (d *Dir) List() ([]string, error) {
-	l, err := os.ReadDir(d.path)
+	entries, err := os.ReadDir(d.path)
 	if err != nil {
 		return nil, err
 	}
 	var names []string
-	for _, e := range l {
-		names = append(names, e.Name())
+	for _, entry := range entries {
+		names = append(names, entry.Name())
 	}
 	slices.Sort(names)
 	return names, nil
 }
 
+// SyncDir makes the creation, renaming and removal of files durable.
 func (d *Dir) SyncDir() error {
 	f, err := os.Open(d.path)
 	if err != nil {
--- a/internal/resultstore/golden_test.go
+++ b/internal/resultstore/golden_test.go
@@ -18,37 +18,38 @@
 
 func TestGoldenDirectoryIsRead(t *testing.T) {
 	dir := goldentest.Copy(t, "directory")
-	keeper, err := OpenSpoolStore(dir, goldenTerms)
+	store, err := OpenSpoolStore(dir, goldenOptions)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer keeper.Close()
-	if got := keeper.Recovery; got.IndexRebuilt || got.Incomplete != 0 || got.CorruptBytes != 0 || len(got.Lost) != 0 || got.OrphanFiles != 0 {
-		t.Errorf("what was found at the start: %+v", got)
+	defer store.Close()
+	if got := store.Recovery; got.IndexRebuilt || got.Incomplete != 0 || got.CorruptBytes != 0 ||
+		len(got.Lost) != 0 || got.OrphanFiles != 0 {
+		t.Errorf("recovery: %+v", got)
 	}
 	var got []*spool.Found
-	if err := keeper.Restore(func(f *spool.Found) { got = append(got, f) }); err != nil {
+	if err := store.Restore(func(f *spool.Found) { got = append(got, f) }); err != nil {
 		t.Fatal(err)
 	}
-	want := goldenFound()
+	want := goldenResults()
 	if diff := cmp.Diff(want, got); diff != "" {
-		t.Errorf("the results (-want +got):\n%s", diff)
+		t.Errorf("results (-want +got):\n%s", diff)
 	}
 	for _, found := range want {
 		for number := range found.Rows {
-			body, err := keeper.Fetch(found.Result, number)
-			if err != nil || string(body) != string(goldenPage(found.Result, number)) {
-				t.Errorf("page %d of %d: %q, %v", number, found.Result, body, err)
+			body, err := store.Fetch(found.Result, number)
+			if err != nil || string(body) != string(goldenPageBody(found.Result, number)) {
+				t.Errorf("page %d of result %d: %q, %v", number, found.Result, body, err)
 			}
 		}
 	}
-	if _, err := keeper.Fetch(goldenDropped, 0); !errors.Is(err, ErrNotFound) {
-		t.Errorf("the dropped result: %v", err)
+	if _, err := store.Fetch(goldenDeletedID, 0); !errors.Is(err, ErrNotFound) {
+		t.Errorf("the deleted result: %v", err)
 	}
-	if keeper.FirstResultID() != 2<<32 {
-		t.Errorf("the second start's first number is %d", keeper.FirstResultID())
+	if store.FirstResultID() != 2<<32 {
+		t.Errorf("the first result id of the second start is %d", store.FirstResultID())
 	}
-	text, err := keeper.Keys()
+	text, err := store.Keys()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -57,39 +58,39 @@
 		t.Fatal(err)
 	}
 	if string(keys.Text()) != string(text) {
-		t.Errorf("the keys: got %s, want %s", keys.Text(), text)
+		t.Errorf("keys: got %s, want %s", keys.Text(), text)
 	}
 }
 
-// TestGoldenSegmentsAreEnough reads the directory without its index.
-func TestGoldenSegmentsAreEnough(t *testing.T) {
+// TestGoldenIndexIsRebuilt opens the directory without its index.
+func TestGoldenIndexIsRebuilt(t *testing.T) {
 	dir := goldentest.Copy(t, "directory")
 	if err := os.Remove(filepath.Join(dir, indexName)); err != nil {
 		t.Fatal(err)
 	}
-	keeper, err := OpenSpoolStore(dir, goldenTerms)
+	store, err := OpenSpoolStore(dir, goldenOptions)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer keeper.Close()
+	defer store.Close()
 	var got []*spool.Found
-	if err := keeper.Restore(func(f *spool.Found) { got = append(got, f) }); err != nil {
+	if err := store.Restore(func(f *spool.Found) { got = append(got, f) }); err != nil {
 		t.Fatal(err)
 	}
-	if diff := cmp.Diff(goldenFound(), got); diff != "" || !keeper.Recovery.IndexRebuilt {
-		t.Errorf("rebuilt %v, the results (-want +got):\n%s", keeper.Recovery.IndexRebuilt, diff)
+	if diff := cmp.Diff(goldenResults(), got); diff != "" || !store.Recovery.IndexRebuilt {
+		t.Errorf("index rebuilt: %v; results (-want +got):\n%s", store.Recovery.IndexRebuilt, diff)
 	}
 }
 
-// TestGoldenDirectoryIsWritten compares all files byte for byte, but for the index: of that
-// it compares keys and values, since how the library lays pages out isn't this program's to say.
+// TestGoldenDirectoryIsWritten compares all files byte for byte, except that it compares the keys and
+// values of the index, because the layout of its file is up to the database library.
 func TestGoldenDirectoryIsWritten(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "directory")
 	if err := writeGolden(dir); err != nil {
 		t.Fatal(err)
 	}
 	golden := goldentest.Copy(t, "directory")
-	want, got := contents(t, golden), contents(t, dir)
+	want, got := directoryContent(t, golden), directoryContent(t, dir)
 	if diff := cmp.Diff(want, got); diff != "" {
 		t.Errorf("files (-want +got):\n%s", diff)
 	}
@@ -100,7 +101,7 @@
 		}
 	}
 	if segments < 2 {
-		t.Errorf("%d segments, two at least are to be seen", segments)
+		t.Errorf("%d segments, want at least two", segments)
 	}
 	var m manifest
 	if err := json.Unmarshal([]byte(want[manifestName]), &m); err != nil {
@@ -109,15 +110,15 @@
 	goldentest.EveryFieldSet(t, goldentest.JSON, m)
 }
 
-// contents are a directory's files by name; of the index its keys and values.
-func contents(t *testing.T, dir string) map[string]string {
+// directoryContent returns the files of a directory by name, and the values of the index by key.
+func directoryContent(t *testing.T, dir string) map[string]string {
 	t.Helper()
-	files, err := os.ReadDir(dir)
+	entries, err := os.ReadDir(dir)
 	if err != nil {
 		t.Fatal(err)
 	}
-	all := map[string]string{}
-	for _, entry := range files {
+	content := map[string]string{}
+	for _, entry := range entries {
 		if entry.Name() == indexName {
 			continue
 		}
@@ -125,9 +126,10 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		all[entry.Name()] = string(text)
+		content[entry.Name()] = string(text)
 	}
-	db, err := bbolt.Open(filepath.Join(dir, indexName), 0o600, &bbolt.Options{ReadOnly: true, Timeout: time.Second})
+	db, err := bbolt.Open(filepath.Join(dir, indexName), 0o600,
+		&bbolt.Options{ReadOnly: true, Timeout: time.Second})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -135,7 +137,7 @@
 	err = db.View(func(tx *bbolt.Tx) error {
 		return tx.ForEach(func(name []byte, b *bbolt.Bucket) error {
 			return b.ForEach(func(key, value []byte) error {
-				all[indexName+"/"+string(name)+"/"+string(key)] = string(value)
+				content[indexName+"/"+string(name)+"/"+string(key)] = string(value)
 				return nil
 			})
 		})
@@ -143,5 +145,5 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	return all
+	return content
 }
--- a/internal/resultstore/golden_values_test.go
+++ b/internal/resultstore/golden_values_test.go
@@ -6,42 +6,45 @@
 	"railrelay.dev/railrelay/internal/spool"
 )
 
-// goldenPage is the body of a page of a result of the golden directory.
-func goldenPage(result uint64, number int) []byte {
+// goldenPageBody returns the body of a page of a result in the golden directory.
+func goldenPageBody(result uint64, number int) []byte {
 	return bytes.Repeat([]byte{byte('a' + result%26), byte('0' + number)}, 150)
 }
 
-// goldenFound are the results that the golden directory holds.
-func goldenFound() []*spool.Found {
-	first := uint64(1) << 32 // of the directory's first start
+// goldenResults returns the results that the golden directory holds.
+func goldenResults() []*spool.Found {
+	first := uint64(1) << 32 // first result id of the directory's first start
 	return []*spool.Found{
 		{
-			Promise: spool.Promise{Result: first, Query: "query-1", Team: "team-a", Made: 1_700_000_000_001, Ends: 1_700_000_900_002,
+			Promise: spool.Promise{Result: first, Query: "query-1", Team: "team-a", Made: 1_700_000_000_001,
+				Ends: 1_700_000_900_002,
 				Rows: []uint32{10, 11, 12}, Tag: spool.Tag{Owner: "customer-1", Index: 21, Tables: []int64{31, -32}}},
 			Bytes: []uint32{300, 300, 300},
 		},
 		{
-			Promise: spool.Promise{Result: first + 2, Query: "query-3", Team: "team-b", Made: 1_700_000_000_003, Ends: 1_700_000_900_004,
+			Promise: spool.Promise{Result: first + 2, Query: "query-3", Team: "team-b", Made: 1_700_000_000_003,
+				Ends: 1_700_000_900_004,
 				Rows: []uint32{13, 14}},
 			Bytes: []uint32{300, 300},
 		},
 	}
 }
 
-// goldenDropped is the result that was dropped from the golden directory.
-const goldenDropped = uint64(1)<<32 + 1
+// goldenDeletedID is the result that was deleted from the golden directory.
+const goldenDeletedID = uint64(1)<<32 + 1
 
-// goldenTerms close a segment after a few pages.
-var goldenTerms = Options{SegmentBytes: 1 << 10}
+// goldenOptions close a segment after a few pages.
+var goldenOptions = Options{SegmentBytes: 1 << 10}
 
-// goldenKeys makes the keyring whose text the golden directory has.
+// goldenKeys returns the keyring that the golden directory holds, or a keyring from a saved text.
 func goldenKeys(text []byte) (*spool.Keyring, error) {
-	return spool.NewKeyring(text, 0, 1_700_000_000_000, func() []byte { return []byte("0123456789abcdef0123456789abcdef") })
+	return spool.NewKeyring(text, 0, 1_700_000_000_000,
+		func() []byte { return []byte("0123456789abcdef0123456789abcdef") })
 }
 
-// writeGolden makes a directory that holds goldenFound.
+// writeGolden creates a directory that holds goldenResults.
 func writeGolden(dir string) error {
-	keeper, err := OpenSpoolStore(dir, goldenTerms)
+	store, err := OpenSpoolStore(dir, goldenOptions)
 	if err != nil {
 		return err
 	}
@@ -49,23 +52,25 @@
 	if err != nil {
 		return err
 	}
-	dropped := &spool.Found{Promise: spool.Promise{Result: goldenDropped, Query: "query-2", Team: "team-a", Made: 1, Ends: 2, Rows: []uint32{1}}}
-	for _, found := range append(goldenFound(), dropped) {
+	dropped := &spool.Found{Promise: spool.Promise{Result: goldenDeletedID, Query: "query-2", Team: "team-a",
+		Made: 1, Ends: 2, Rows: []uint32{1}}}
+	for _, found := range append(goldenResults(), dropped) {
 		work := &spool.Work{Promise: &found.Promise}
 		for number := range found.Rows {
-			work.Pages = append(work.Pages, spool.Page{Result: found.Result, Number: uint32(number), Body: goldenPage(found.Result, number)})
+			work.Pages = append(work.Pages, spool.Page{Result: found.Result, Number: uint32(number),
+				Body: goldenPageBody(found.Result, number)})
 		}
-		keeper.Write([]*spool.Work{work})
+		store.Write([]*spool.Work{work})
 		if work.Err != nil {
 			return work.Err
 		}
 	}
-	rest := []*spool.Work{{Drop: []uint64{goldenDropped}}, {Keys: keys.Text()}}
-	keeper.Write(rest)
+	rest := []*spool.Work{{Drop: []uint64{goldenDeletedID}}, {Keys: keys.Text()}}
+	store.Write(rest)
 	for _, work := range rest {
 		if work.Err != nil {
 			return work.Err
 		}
 	}
-	return keeper.Close()
+	return store.Close()
 }
--- a/internal/resultstore/index.go
+++ b/internal/resultstore/index.go
@@ -11,39 +11,40 @@
 	"go.etcd.io/bbolt"
 )
 
-// Index keeps what is known of each result that was promised, as of a place in the
-// log. It is a shortcut: lost or spoilt, all of it is read anew from the segments.
+// Index holds the Meta of each committed result, as of a position in the log. A lost or corrupt index
+// is rebuilt from the segments.
 type Index interface {
-	// Position is the place up to which it has what the log says.
+	// Position returns the position up to which the index reflects the log.
 	Position() (segment uint64, offset int64, err error)
-	// Commit puts and deletes at once, and moves the place.
+	// Commit puts and deletes results and sets the position, atomically.
 	Commit(put []*Meta, gone []uint64, segment uint64, offset int64) error
 	Get(result uint64) (*Meta, error)
 	Each(do func(m *Meta) error) error
-	// Reset empties it.
+	// Reset removes all content.
 	Reset() error
-	// Scrub has nothing of what was deleted be left in its file, for good.
+	// Scrub removes the remains of deleted results from the index's file, durably.
 	Scrub() error
 	Close() error
 }
 
-// ErrNotFound tells that there is no such result or page.
+// ErrNotFound is returned for an unknown result or page.
 var ErrNotFound = errors.New("no such result")
 
-// BoltIndex is an index in an embedded store.
+// BoltIndex is an Index in a bbolt database.
 type BoltIndex struct {
 	path string
-	mu   sync.RWMutex // held while the file is replaced
+	mu   sync.RWMutex // write-locked while Scrub replaces the file
 	db   *bbolt.DB
 }
 
 var (
-	results = []byte("results")
-	state   = []byte("state")
-	through = []byte("through")
+	resultsBucket = []byte("results")
+	stateBucket   = []byte("state")
+	positionKey   = []byte("through")
 )
 
-// OpenBoltIndex opens an index file; one that can't be read is begun anew.
+// OpenBoltIndex opens an index file. A file that can't be opened as an index is replaced by an empty one,
+// unless access to it is denied.
 func OpenBoltIndex(path string) (*BoltIndex, error) {
 	b := &BoltIndex{path: path}
 	if err := b.open(); err != nil {
@@ -56,7 +57,8 @@
 }
 
 func openBolt(path string) (*bbolt.DB, error) {
-	return bbolt.Open(path, 0o600, &bbolt.Options{Timeout: time.Second, NoFreelistSync: true, FreelistType: bbolt.FreelistMapType})
+	return bbolt.Open(path, 0o600, &bbolt.Options{Timeout: time.Second, NoFreelistSync: true,
+		FreelistType: bbolt.FreelistMapType})
 }
 
 func (b *BoltIndex) open() error {
@@ -66,7 +68,7 @@
 	}
 	b.db = db
 	return db.Update(func(tx *bbolt.Tx) error {
-		for _, name := range [][]byte{results, state} {
+		for _, name := range [][]byte{resultsBucket, stateBucket} {
 			if _, err := tx.CreateBucketIfNotExists(name); err != nil {
 				return err
 			}
@@ -75,6 +77,7 @@
 	})
 }
 
+// Reset replaces the file by an empty index.
 func (b *BoltIndex) Reset() error {
 	if b.db != nil {
 		b.db.Close()
@@ -86,25 +89,25 @@
 	return b.open()
 }
 
-// Scrub copies what counts into a file of its own and puts that in place: pages that
-// are free in the old one still hold what they held.
+// Scrub replaces the file by a copy of its content, because free pages of a database file still hold
+// deleted data.
 func (b *BoltIndex) Scrub() error {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	fresh := b.path + ".new"
-	if err := os.Remove(fresh); err != nil && !errors.Is(err, os.ErrNotExist) {
+	newPath := b.path + ".new"
+	if err := os.Remove(newPath); err != nil && !errors.Is(err, os.ErrNotExist) {
 		return err
 	}
-	db, err := openBolt(fresh)
+	db, err := openBolt(newPath)
 	if err != nil {
 		return err
 	}
 	if err = bbolt.Compact(db, b.db, 1<<20); err == nil {
-		err = os.Rename(fresh, b.path)
+		err = os.Rename(newPath, b.path)
 	}
 	if err != nil {
 		db.Close()
-		os.Remove(fresh)
+		os.Remove(newPath)
 		return err
 	}
 	old := b.db
@@ -112,87 +115,95 @@
 	return errors.Join(old.Close(), (&Dir{path: filepath.Dir(b.path)}).SyncDir())
 }
 
+// Close closes the file.
 func (b *BoltIndex) Close() error { return b.db.Close() }
 
+// Position returns the position up to which the index reflects the log, or zeros for an empty index.
 func (b *BoltIndex) Position() (segment uint64, offset int64, err error) {
 	b.mu.RLock()
 	defer b.mu.RUnlock()
 	err = b.db.View(func(tx *bbolt.Tx) error {
-		if p := tx.Bucket(state).Get(through); len(p) == 16 {
-			segment, offset = binary.BigEndian.Uint64(p), int64(binary.BigEndian.Uint64(p[8:]))
+		if value := tx.Bucket(stateBucket).Get(positionKey); len(value) == 16 {
+			segment, offset = binary.BigEndian.Uint64(value), int64(binary.BigEndian.Uint64(value[8:]))
 		}
 		return nil
 	})
 	return segment, offset, err
 }
 
-func (b *BoltIndex) Commit(put []*Meta, gone []uint64, segment uint64, offset int64) error {
+// Commit puts and deletes results and sets the position in one transaction.
+func (b *BoltIndex) Commit(put []*Meta, deleted []uint64, segment uint64, offset int64) error {
 	return b.db.Update(func(tx *bbolt.Tx) error {
-		l := tx.Bucket(results)
-		for _, m := range put {
-			if err := l.Put(key(m.Result), m.withPlace()); err != nil {
+		bucket := tx.Bucket(resultsBucket)
+		for _, meta := range put {
+			if err := bucket.Put(resultKey(meta.Result), meta.encodeWithLocation()); err != nil {
 				return err
 			}
 		}
-		for _, result := range gone {
-			if err := l.Delete(key(result)); err != nil {
+		for _, result := range deleted {
+			if err := bucket.Delete(resultKey(result)); err != nil {
 				return err
 			}
 		}
-		return tx.Bucket(state).Put(through, binary.BigEndian.AppendUint64(binary.BigEndian.AppendUint64(nil, segment), uint64(offset)))
+		return tx.Bucket(stateBucket).Put(positionKey,
+			binary.BigEndian.AppendUint64(binary.BigEndian.AppendUint64(nil, segment), uint64(offset)))
 	})
 }
 
-// withPlace is a meta with where its own record stands before it.
-func (m *Meta) withPlace() []byte {
-	p := binary.AppendUvarint(nil, m.at.segment)
-	p = binary.AppendUvarint(binary.AppendUvarint(p, uint64(m.at.offset)), uint64(m.at.size))
-	return append(p, m.encode()...)
+// encodeWithLocation returns the encoded location of the commit record, followed by the encoded Meta.
+func (m *Meta) encodeWithLocation() []byte {
+	encoded := binary.AppendUvarint(nil, m.location.segment)
+	encoded = binary.AppendUvarint(binary.AppendUvarint(encoded, uint64(m.location.offset)),
+		uint64(m.location.size))
+	return append(encoded, m.encode()...)
 }
 
-func decodePlaced(p []byte) (*Meta, error) {
-	var x [3]uint64
-	for i := range x {
+// decodeWithLocation decodes what encodeWithLocation returns.
+func decodeWithLocation(encoded []byte) (*Meta, error) {
+	var header [3]uint64
+	for i := range header {
 		n := 0
-		if x[i], n = binary.Uvarint(p); n <= 0 {
-			return nil, errMeta
+		if header[i], n = binary.Uvarint(encoded); n <= 0 {
+			return nil, errInvalidMeta
 		}
-		p = p[n:]
+		encoded = encoded[n:]
 	}
-	m, err := decodeMeta(p)
+	meta, err := decodeMeta(encoded)
 	if err == nil {
-		m.at = place{x[0], int64(x[1]), uint32(x[2])}
+		meta.location = location{header[0], int64(header[1]), uint32(header[2])}
 	}
-	return m, err
+	return meta, err
 }
 
-func key(result uint64) []byte { return binary.BigEndian.AppendUint64(nil, result) }
+func resultKey(result uint64) []byte { return binary.BigEndian.AppendUint64(nil, result) }
 
-func (b *BoltIndex) Get(result uint64) (m *Meta, err error) {
+// Get returns a result, or ErrNotFound.
+func (b *BoltIndex) Get(result uint64) (meta *Meta, err error) {
 	b.mu.RLock()
 	defer b.mu.RUnlock()
 	err = b.db.View(func(tx *bbolt.Tx) error {
-		p := tx.Bucket(results).Get(key(result))
-		if p == nil {
+		value := tx.Bucket(resultsBucket).Get(resultKey(result))
+		if value == nil {
 			return ErrNotFound
 		}
 		var err error
-		m, err = decodePlaced(p)
+		meta, err = decodeWithLocation(value)
 		return err
 	})
-	return m, err
+	return meta, err
 }
 
-func (b *BoltIndex) Each(do func(m *Meta) error) error {
+// Each calls visit for each result, in ascending order.
+func (b *BoltIndex) Each(visit func(meta *Meta) error) error {
 	b.mu.RLock()
 	defer b.mu.RUnlock()
 	return b.db.View(func(tx *bbolt.Tx) error {
-		return tx.Bucket(results).ForEach(func(_, p []byte) error {
-			m, err := decodePlaced(p)
+		return tx.Bucket(resultsBucket).ForEach(func(_, value []byte) error {
+			meta, err := decodeWithLocation(value)
 			if err != nil {
 				return err
 			}
-			return do(m)
+			return visit(meta)
 		})
 	})
 }
--- a/internal/resultstore/record.go
+++ b/internal/resultstore/record.go
@@ -7,34 +7,35 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// A segment is a head and records, one behind another:
+// A segment consists of a header and a sequence of records. All integers are little endian; their
+// sizes in bytes are in parentheses:
 //
-//	head    "rrspool1", the segment's number (8 bytes, little endian like all)
-//	record  length of the body (4), kind (1), 3 bytes of nothing, result (8),
-//	        page (4), sum (8), body
+//	header  "rrspool1", number of the segment (8)
+//	record  length of the body (4), kind (1), 3 zero bytes, result (8), page (4), checksum (8), body
 //
-// The sum is XXH64 over the segment's number, the record's fields before it and
-// the body: a record copied to another place, or left over from an older file, is
-// no record there.
+// The checksum is the XXH64 of the preceding fields and the body, seeded with the number of the
+// segment. A record that was copied to another segment, or is left over from an older file, is
+// therefore invalid.
 
-// Kind is what a record tells.
+// RecordKind is the kind of a record.
 type RecordKind uint8
 
 const (
-	PageRecord      RecordKind = 1 + iota // rows of a result
-	CommitRecord                          // a result is whole and was promised: its body is a Meta
-	TombstoneRecord                       // a result is no more
+	PageRecord      RecordKind = 1 + iota // a page of rows of a result
+	CommitRecord                          // marks a result as complete; its body is an encoded Meta
+	TombstoneRecord                       // marks a result as deleted
 )
 
 const (
-	magic      = "rrspool1"
-	headSize   = 16
-	recordHead = 28
-	// BodyMost bounds a record's body, in bytes.
+	segmentMagic      = "rrspool1"
+	segmentHeaderSize = 16
+	recordHeaderSize  = 28
+	// MaxBodyBytes limits the body of a record.
 	MaxBodyBytes = 64 << 20
 )
 
-// Record is one as written.
+// Record is an entry of the log. Page is the number of the page within its result, and is 0 unless
+// Kind is PageRecord.
 type Record struct {
 	Kind   RecordKind
 	Result uint64
@@ -42,26 +43,26 @@
 	Body   []byte
 }
 
-// errTorn: the file ends within a record. errSpoilt: what is there is no record.
 var (
-	errTorn   = errors.New("the record isn't all there")
-	errSpoilt = errors.New("the record's sum is not that of what it holds")
+	errTruncatedRecord = errors.New("truncated record")
+	errCorruptRecord   = errors.New("invalid record header or checksum")
 )
 
-func (r *Record) size() int64 { return recordHead + int64(len(r.Body)) }
+// size returns the encoded size of the record.
+func (r *Record) size() int64 { return recordHeaderSize + int64(len(r.Body)) }
 
-// appendRecord writes a record as it stands in a segment.
+// appendRecord appends the encoding of a record in a segment to dst.
 func appendRecord(dst []byte, segment uint64, r *Record) []byte {
-	at := len(dst)
+	start := len(dst)
 	dst = binary.LittleEndian.AppendUint32(dst, uint32(len(r.Body)))
 	dst = append(dst, byte(r.Kind), 0, 0, 0)
 	dst = binary.LittleEndian.AppendUint64(dst, r.Result)
 	dst = binary.LittleEndian.AppendUint32(dst, r.Page)
-	dst = binary.LittleEndian.AppendUint64(dst, sum(segment, dst[at:at+recordHead-8], r.Body))
+	dst = binary.LittleEndian.AppendUint64(dst, checksum(segment, dst[start:start+recordHeaderSize-8], r.Body))
 	return append(dst, r.Body...)
 }
 
-func sum(segment uint64, head, body []byte) uint64 {
+func checksum(segment uint64, head, body []byte) uint64 {
 	var d xxhash.Digest
 	d.ResetWithSeed(segment)
 	d.Write(head)
@@ -69,58 +70,60 @@
 	return d.Sum64()
 }
 
-// readRecord reads the record at the front of p. It says how many bytes it took.
-func readRecord(p []byte, segment uint64) (r Record, n int, err error) {
-	if len(p) < recordHead {
-		return r, 0, errTorn
+// readRecord decodes the record at the start of encoded, and returns its length.
+func readRecord(encoded []byte, segment uint64) (r Record, n int, err error) {
+	if len(encoded) < recordHeaderSize {
+		return r, 0, errTruncatedRecord
 	}
-	length := binary.LittleEndian.Uint32(p)
-	r = Record{Kind: RecordKind(p[4]), Result: binary.LittleEndian.Uint64(p[8:]), Page: binary.LittleEndian.Uint32(p[16:])}
-	if length > MaxBodyBytes || r.Kind < PageRecord || r.Kind > TombstoneRecord || p[5]|p[6]|p[7] != 0 {
-		return r, 0, errSpoilt
+	length := binary.LittleEndian.Uint32(encoded)
+	r = Record{Kind: RecordKind(encoded[4]), Result: binary.LittleEndian.Uint64(encoded[8:]),
+		Page: binary.LittleEndian.Uint32(encoded[16:])}
+	if length > MaxBodyBytes || r.Kind < PageRecord || r.Kind > TombstoneRecord ||
+		encoded[5]|encoded[6]|encoded[7] != 0 {
+		return r, 0, errCorruptRecord
 	}
-	n = recordHead + int(length)
-	if len(p) < n {
-		return r, 0, errTorn
+	n = recordHeaderSize + int(length)
+	if len(encoded) < n {
+		return r, 0, errTruncatedRecord
 	}
-	r.Body = p[recordHead:n]
-	if sum(segment, p[:recordHead-8], r.Body) != binary.LittleEndian.Uint64(p[20:]) {
-		return r, 0, errSpoilt
+	r.Body = encoded[recordHeaderSize:n]
+	if checksum(segment, encoded[:recordHeaderSize-8], r.Body) != binary.LittleEndian.Uint64(encoded[20:]) {
+		return r, 0, errCorruptRecord
 	}
 	return r, n, nil
 }
 
-func segmentHead(segment uint64) []byte {
-	return binary.LittleEndian.AppendUint64([]byte(magic), segment)
+func segmentHeader(segment uint64) []byte {
+	return binary.LittleEndian.AppendUint64([]byte(segmentMagic), segment)
 }
 
-// place is where a record stands.
-type place struct {
+// location is the position of a record in the log.
+type location struct {
 	segment uint64
 	offset  int64
-	size    uint32 // of its body
+	size    uint32 // of the body
 }
 
-// Meta is a result that was promised.
+// Meta describes a committed result.
 type Meta struct {
 	Result  uint64
-	QueryID string // its trace
+	QueryID string // the query's trace id
 	Tenant  string
-	// Made and Ends are in milliseconds since 1970, as the clock on the wall had it.
+	// CreatedMillis and ExpiresMillis are wall-clock times, in milliseconds since 1970.
 	CreatedMillis, ExpiresMillis int64
-	// Index is of the fleet's record when its query was taken, Tables the groups of tables
-	// that it reads; none: it can't be told. Owner is whose it is where the team doesn't
-	// tell. What older programs wrote has none of these.
-	FleetIndex  uint64
-	TableGroups []int64
-	Owner       string
-	PageRows    []uint32 // by page
-	PageBytes   []uint32 // by page
-	places      []place
-	at          place // of its own record
+	// FleetIndex is the index of the fleet's log when the query was accepted. TableGroups are the table
+	// groups that the query reads; none if they are unknown. Owner is the owner of the result if the
+	// tenant doesn't determine it. Results that older versions wrote lack all three.
+	FleetIndex    uint64
+	TableGroups   []int64
+	Owner         string
+	PageRows      []uint32 // by page
+	PageBytes     []uint32 // by page
+	pageLocations []location
+	location      location // of the commit record
 }
 
-// Size is all its pages hold, in bytes.
+// TotalBytes returns the size of all pages.
 func (m *Meta) TotalBytes() (sum int64) {
 	for _, n := range m.PageBytes {
 		sum += int64(n)
@@ -128,7 +131,7 @@
 	return sum
 }
 
-// Count is all its rows.
+// RowCount returns the number of rows in all pages.
 func (m *Meta) RowCount() (sum int64) {
 	for _, n := range m.PageRows {
 		sum += int64(n)
@@ -137,96 +140,99 @@
 }
 
 const (
-	textMost  = 1 << 10 // of a query or team
-	pagesMost = 1 << 24
-	// tablesMost is of groups of tables that one result is told to read.
-	tablesMost = 1 << 12
+	maxTextBytes = 1 << 10 // of a query id, tenant or owner
+	maxPages     = 1 << 24
+	// maxTableGroups limits the table groups of one result.
+	maxTableGroups = 1 << 12
 )
 
+// encode returns the body of the commit record. It omits the fields that older versions lack if all
+// of them are empty.
 func (m *Meta) encode() []byte {
-	p := binary.AppendUvarint(nil, m.Result)
-	for _, s := range []string{m.QueryID, m.Tenant} {
-		p = append(binary.AppendUvarint(p, uint64(len(s))), s...)
-	}
-	p = binary.AppendVarint(binary.AppendVarint(p, m.CreatedMillis), m.ExpiresMillis)
-	p = binary.AppendUvarint(p, uint64(len(m.places)))
-	for i, at := range m.places {
-		for _, x := range []uint64{uint64(m.PageRows[i]), uint64(at.size), at.segment, uint64(at.offset)} {
-			p = binary.AppendUvarint(p, x)
+	encoded := binary.AppendUvarint(nil, m.Result)
+	for _, text := range []string{m.QueryID, m.Tenant} {
+		encoded = append(binary.AppendUvarint(encoded, uint64(len(text))), text...)
+	}
+	encoded = binary.AppendVarint(binary.AppendVarint(encoded, m.CreatedMillis), m.ExpiresMillis)
+	encoded = binary.AppendUvarint(encoded, uint64(len(m.pageLocations)))
+	for i, loc := range m.pageLocations {
+		for _, value := range []uint64{uint64(m.PageRows[i]), uint64(loc.size), loc.segment, uint64(loc.offset)} {
+			encoded = binary.AppendUvarint(encoded, value)
 		}
 	}
 	if m.FleetIndex == 0 && len(m.TableGroups) == 0 && m.Owner == "" {
-		return p
+		return encoded
 	}
-	p = binary.AppendUvarint(binary.AppendUvarint(p, m.FleetIndex), uint64(len(m.TableGroups)))
-	for _, t := range m.TableGroups {
-		p = binary.AppendVarint(p, t)
+	encoded = binary.AppendUvarint(binary.AppendUvarint(encoded, m.FleetIndex), uint64(len(m.TableGroups)))
+	for _, group := range m.TableGroups {
+		encoded = binary.AppendVarint(encoded, group)
 	}
-	return append(binary.AppendUvarint(p, uint64(len(m.Owner))), m.Owner...)
+	return append(binary.AppendUvarint(encoded, uint64(len(m.Owner))), m.Owner...)
 }
 
-var errMeta = errors.New("what is told of a result can't be read")
+var errInvalidMeta = errors.New("invalid description of a result")
 
-func decodeMeta(p []byte) (*Meta, error) {
+// decodeMeta decodes the body of a commit record.
+func decodeMeta(encoded []byte) (*Meta, error) {
 	m := &Meta{}
-	bad := false
-	whole := func() uint64 {
-		x, n := binary.Uvarint(p)
+	invalid := false
+	readUnsigned := func() uint64 {
+		x, n := binary.Uvarint(encoded)
 		if n <= 0 {
-			bad, p = true, nil
+			invalid, encoded = true, nil
 			return 0
 		}
-		p = p[n:]
+		encoded = encoded[n:]
 		return x
 	}
-	signed := func() int64 {
-		x, n := binary.Varint(p)
+	readSigned := func() int64 {
+		x, n := binary.Varint(encoded)
 		if n <= 0 {
-			bad, p = true, nil
+			invalid, encoded = true, nil
 			return 0
 		}
-		p = p[n:]
+		encoded = encoded[n:]
 		return x
 	}
-	text := func() string {
-		n := whole()
-		if n > textMost || n > uint64(len(p)) {
-			bad, p = true, nil
+	readText := func() string {
+		n := readUnsigned()
+		if n > maxTextBytes || n > uint64(len(encoded)) {
+			invalid, encoded = true, nil
 			return ""
 		}
-		s := string(p[:n])
-		p = p[n:]
+		s := string(encoded[:n])
+		encoded = encoded[n:]
 		return s
 	}
-	m.Result, m.QueryID, m.Tenant = whole(), text(), text()
-	m.CreatedMillis, m.ExpiresMillis = signed(), signed()
-	n := whole()
-	if bad || n > pagesMost || n*4 > uint64(len(p)) {
-		return nil, errMeta
+	m.Result, m.QueryID, m.Tenant = readUnsigned(), readText(), readText()
+	m.CreatedMillis, m.ExpiresMillis = readSigned(), readSigned()
+	n := readUnsigned()
+	if invalid || n > maxPages || n*4 > uint64(len(encoded)) {
+		return nil, errInvalidMeta
 	}
-	m.PageRows, m.PageBytes, m.places = make([]uint32, n), make([]uint32, n), make([]place, n)
-	for i := range m.places {
-		rows, size := whole(), whole()
-		segment, offset := whole(), whole()
+	m.PageRows, m.PageBytes, m.pageLocations = make([]uint32, n), make([]uint32, n), make([]location, n)
+	for i := range m.pageLocations {
+		rows, size := readUnsigned(), readUnsigned()
+		segment, offset := readUnsigned(), readUnsigned()
 		if rows > 1<<32-1 || size > MaxBodyBytes || offset > 1<<62 {
-			return nil, errMeta
+			return nil, errInvalidMeta
 		}
 		m.PageRows[i], m.PageBytes[i] = uint32(rows), uint32(size)
-		m.places[i] = place{segment, int64(offset), uint32(size)}
+		m.pageLocations[i] = location{segment, int64(offset), uint32(size)}
 	}
-	if !bad && len(p) > 0 {
-		m.FleetIndex = whole()
-		n := whole()
-		if bad || n > tablesMost || n > uint64(len(p)) {
-			return nil, errMeta
+	if !invalid && len(encoded) > 0 {
+		m.FleetIndex = readUnsigned()
+		n := readUnsigned()
+		if invalid || n > maxTableGroups || n > uint64(len(encoded)) {
+			return nil, errInvalidMeta
 		}
 		for range n {
-			m.TableGroups = append(m.TableGroups, signed())
+			m.TableGroups = append(m.TableGroups, readSigned())
 		}
-		m.Owner = text()
+		m.Owner = readText()
 	}
-	if bad || len(p) > 0 {
-		return nil, errMeta
+	if invalid || len(encoded) > 0 {
+		return nil, errInvalidMeta
 	}
 	return m, nil
 }
--- a/internal/resultstore/recovery.go
+++ b/internal/resultstore/recovery.go
@@ -15,32 +15,35 @@
 
 const manifestName = "MANIFEST"
 
+// manifest is the content of the file MANIFEST.
 type manifest struct {
 	Version  int      `json:"Version"`
-	Next     uint64   `json:"Next"`
+	Next     uint64   `json:"Next"`   // number of the next segment
 	Starts   uint64   `json:"Starts"` // how often the store was opened
 	Segments []uint64 `json:"Segments"`
 }
 
-// Recovered is what was found at the start.
+// Recovery reports what Open found in the directory.
 type Recovery struct {
 	Results      int
 	Segments     int
-	Incomplete   int      // results that were never whole
-	CorruptBytes int64    // bytes that were no records
-	Lost         []uint64 // results that were promised and whose pages are not all there
-	IndexRebuilt bool     // the index was of no use
-	OrphanFiles  int      // files that didn't count
+	Incomplete   int      // results without a commit record
+	CorruptBytes int64    // bytes that are not part of a valid record
+	Lost         []uint64 // committed results with missing records
+	IndexRebuilt bool     // the index was missing, corrupt or outdated
+	OrphanFiles  int      // files that are not part of the store, which were removed
 }
 
+// segmentNumber parses the name of a segment file.
 func segmentNumber(name string) (uint64, bool) {
-	digits, is := strings.CutSuffix(name, ".seg")
+	digits, hasSuffix := strings.CutSuffix(name, ".seg")
 	n, err := strconv.ParseUint(digits, 16, 64)
-	return n, is && err == nil && len(digits) == 16
+	return n, hasSuffix && err == nil && len(digits) == 16
 }
 
-// readManifest finds the segments that count, and removes the files that don't.
-func (s *Store) readManifest(found *Recovery) error {
+// readManifest finds the valid segments, and removes segment files that the manifest doesn't list and
+// unfinished replacement files.
+func (s *Store) readManifest(recovery *Recovery) error {
 	names, err := s.files.List()
 	if err != nil {
 		return err
@@ -48,40 +51,41 @@
 	m := manifest{Version: 1, Next: 1}
 	text, err := s.files.ReadFile(manifestName)
 	switch {
-	case errors.Is(err, os.ErrNotExist): // nothing counted yet
+	case errors.Is(err, os.ErrNotExist): // a new store
 	case err != nil:
 		return err
 	default:
 		if err := json.Unmarshal(text, &m); err != nil || m.Version != 1 {
-			return fmt.Errorf("%s: not a manifest of this version: %v", manifestName, err)
+			return fmt.Errorf("%s: invalid manifest or unsupported version: %v", manifestName, err)
 		}
 	}
-	s.next, s.starts = max(1, m.Next), m.Starts+1
-	for _, n := range m.Segments {
-		s.next = max(s.next, n+1)
-		if slices.Contains(names, (&segment{number: n}).name()) {
-			s.segments[n] = &segment{number: n}
+	s.nextSegment, s.startCount = max(1, m.Next), m.Starts+1
+	for _, number := range m.Segments {
+		s.nextSegment = max(s.nextSegment, number+1)
+		if slices.Contains(names, (&segment{number: number}).name()) {
+			s.segments[number] = &segment{number: number}
 		}
 	}
 	for _, name := range names {
-		n, is := segmentNumber(name)
-		if is && s.segments[n] == nil || strings.HasSuffix(name, ".new") {
-			found.OrphanFiles++
+		number, isSegment := segmentNumber(name)
+		if isSegment && s.segments[number] == nil || strings.HasSuffix(name, ".new") {
+			recovery.OrphanFiles++
 			if err := s.files.Remove(name); err != nil {
 				return err
 			}
-			s.next = max(s.next, n+1)
+			s.nextSegment = max(s.nextSegment, number+1)
 		}
 	}
 	return s.writeManifest()
 }
 
-// First is the first number for this start's results: no start uses those of another,
-// so that what an older one left behind is never taken for part of a newer result.
-func (s *Store) FirstResultID() uint64 { return s.starts << 32 }
+// FirstResultID returns the first of the result ids that are reserved for this start. Starts never
+// share ids, so that left-over pages of an earlier start are never taken for part of a newer result.
+func (s *Store) FirstResultID() uint64 { return s.startCount << 32 }
 
+// writeManifest replaces the manifest by the current state.
 func (s *Store) writeManifest() error {
-	m := manifest{Version: 1, Next: s.next, Starts: s.starts, Segments: s.numbers()}
+	m := manifest{Version: 1, Next: s.nextSegment, Starts: s.startCount, Segments: s.segmentNumbers()}
 	text, err := json.Marshal(m)
 	if err != nil {
 		return err
@@ -89,72 +93,73 @@
 	return s.files.Replace(manifestName, append(text, '\n'))
 }
 
-func (s *Store) numbers() []uint64 { return slices.Sorted(maps.Keys(s.segments)) }
+// segmentNumbers returns the numbers of all segments in ascending order.
+func (s *Store) segmentNumbers() []uint64 { return slices.Sorted(maps.Keys(s.segments)) }
 
-// recover brings the index up to the segments, a part at a time: all results at once
-// might not fit the memory.
-func (s *Store) recover(found *Recovery) error {
-	from, offset, err := s.index.Position()
-	numbers := s.numbers()
+// recoverIndex updates the index from the segments. It commits after every MaxIndexLag results, since
+// all results at once might not fit into memory.
+func (s *Store) recoverIndex(recovery *Recovery) error {
+	from, startOffset, err := s.index.Position()
+	numbers := s.segmentNumbers()
 	if err == nil && from > 0 && (len(numbers) == 0 || from < numbers[0]) && s.segments[from] == nil {
-		from = 0 // it knows only what is no more
+		from = 0 // the index reflects only segments that no longer exist
 	}
 	if err == nil && from > 0 {
-		err = s.index.Each(func(*Meta) error { return nil }) // can it be read at all
+		err = s.index.Each(func(*Meta) error { return nil }) // checks that the index is readable
 	}
 	if err != nil || from == 0 {
-		found.IndexRebuilt = err != nil || len(numbers) > 0
+		recovery.IndexRebuilt = err != nil || len(numbers) > 0
 		if err := s.index.Reset(); err != nil {
 			return err
 		}
-		from, offset = 0, 0
+		from, startOffset = 0, 0
 	}
-	put, gone := map[uint64]*Meta{}, map[uint64]bool{}
+	put, deleted := map[uint64]*Meta{}, map[uint64]bool{}
 	flush := func(segment uint64, offset int64) error {
-		if len(put)+len(gone) == 0 && segment == from {
+		if len(put)+len(deleted) == 0 && segment == from {
 			return nil
 		}
-		l := make([]*Meta, 0, len(put))
+		metas := make([]*Meta, 0, len(put))
 		for _, id := range slices.Sorted(maps.Keys(put)) {
-			l = append(l, put[id])
+			metas = append(metas, put[id])
 		}
-		err := s.index.Commit(l, slices.Sorted(maps.Keys(gone)), segment, offset)
+		err := s.index.Commit(metas, slices.Sorted(maps.Keys(deleted)), segment, offset)
 		clear(put)
-		clear(gone)
+		clear(deleted)
 		return err
 	}
 	unfinished := map[uint64]bool{}
-	for i, n := range numbers {
-		g := s.segments[n]
-		f, err := s.files.Open(g.name())
+	for i, number := range numbers {
+		seg := s.segments[number]
+		f, err := s.files.Open(seg.name())
 		if err != nil {
 			return err
 		}
-		if g.size, err = f.Size(); err == nil && n >= from {
-			start := int64(headSize)
-			if n == from {
-				start = max(start, offset)
+		if seg.size, err = f.Size(); err == nil && number >= from {
+			start := int64(segmentHeaderSize)
+			if number == from {
+				start = max(start, startOffset)
 			}
-			err = s.scan(f, g, start, i == len(numbers)-1, found, func(r Record, at place) error {
-				switch r.Kind {
+			err = s.scan(f, seg, start, i == len(numbers)-1, recovery, func(record Record, loc location) error {
+				switch record.Kind {
 				case PageRecord:
-					unfinished[r.Result] = true
+					unfinished[record.Result] = true
 					return nil
 				case TombstoneRecord:
-					delete(put, r.Result)
-					gone[r.Result] = true
+					delete(put, record.Result)
+					deleted[record.Result] = true
 				case CommitRecord:
-					m, err := decodeMeta(r.Body)
-					if err != nil || m.Result != r.Result {
+					meta, err := decodeMeta(record.Body)
+					if err != nil || meta.Result != record.Result {
 						return nil
 					}
-					m.at = at
-					put[m.Result] = m
-					delete(gone, m.Result)
-					delete(unfinished, m.Result)
+					meta.location = loc
+					put[meta.Result] = meta
+					delete(deleted, meta.Result)
+					delete(unfinished, meta.Result)
 				}
-				if len(put)+len(gone) >= s.terms.MaxIndexLag {
-					return flush(from, offset)
+				if len(put)+len(deleted) >= s.options.MaxIndexLag {
+					return flush(from, startOffset)
 				}
 				return nil
 			})
@@ -163,99 +168,102 @@
 		if err != nil {
 			return err
 		}
-		s.total += g.size
+		s.totalBytes += seg.size
 	}
-	found.Incomplete, found.Segments = len(unfinished), len(numbers)
-	through := func() (uint64, int64) {
+	recovery.Incomplete, recovery.Segments = len(unfinished), len(numbers)
+	logEnd := func() (uint64, int64) {
 		if len(numbers) == 0 {
 			return 0, 0
 		}
 		last := numbers[len(numbers)-1]
 		return last, s.segments[last].size
 	}
-	if err := flush(through()); err != nil {
+	if err := flush(logEnd()); err != nil {
 		return err
 	}
-	err = s.index.Each(func(m *Meta) error {
-		if !s.allThere(m) {
-			found.Lost = append(found.Lost, m.Result)
+	err = s.index.Each(func(meta *Meta) error {
+		if !s.hasAllRecords(meta) {
+			recovery.Lost = append(recovery.Lost, meta.Result)
 			return nil
 		}
-		found.Results++
-		s.counts(m, 1)
+		recovery.Results++
+		s.accountResult(meta, 1)
 		return nil
 	})
-	if err != nil || len(found.Lost) == 0 {
+	if err != nil || len(recovery.Lost) == 0 {
 		return err
 	}
-	last, end := through()
-	return s.index.Commit(nil, found.Lost, last, end)
+	last, end := logEnd()
+	return s.index.Commit(nil, recovery.Lost, last, end)
 }
 
-// allThere: its pages stand within segments that count.
-func (s *Store) allThere(m *Meta) bool {
-	for _, at := range append(m.places[:len(m.places):len(m.places)], m.at) {
-		g := s.segments[at.segment]
-		if g == nil || at.offset < headSize || at.offset+recordHead+int64(at.size) > g.size {
+// hasAllRecords reports whether the locations of all the result's records are within existing segments.
+func (s *Store) hasAllRecords(meta *Meta) bool {
+	for _, loc := range append(meta.pageLocations[:len(meta.pageLocations):len(meta.pageLocations)],
+		meta.location) {
+		seg := s.segments[loc.segment]
+		if seg == nil || loc.offset < segmentHeaderSize || loc.offset+recordHeaderSize+int64(loc.size) > seg.size {
 			return false
 		}
 	}
 	return true
 }
 
-// scan reads a segment's records from an offset. A torn or spoilt stretch is passed
-// over: what is sound behind it counts. Behind the last sound record the last segment
-// is cut off.
-func (s *Store) scan(f File, g *segment, from int64, last bool, found *Recovery, each func(r Record, at place) error) error {
-	end := from
-	err := walk(f, g.number, from, g.size, func(r Record, at place) error {
-		end = at.offset + r.size()
-		if r.Kind == TombstoneRecord {
-			g.keeps++
+// scan visits the valid records of a segment from an offset on. Corrupt parts are skipped, and valid
+// records after them count. The last segment is truncated after its last valid record.
+func (s *Store) scan(f File, seg *segment, start int64, last bool, recovery *Recovery,
+	visit func(record Record, loc location) error) error {
+	end := start
+	err := walkRecords(f, seg.number, start, seg.size, func(record Record, loc location) error {
+		end = loc.offset + record.size()
+		if record.Kind == TombstoneRecord {
+			seg.tombstones++
 		}
-		return each(r, at)
-	}, func(n int64) { found.CorruptBytes += n })
-	if err == nil && last && end < g.size && end > 0 {
-		g.size = end
+		return visit(record, loc)
+	}, func(n int64) { recovery.CorruptBytes += n })
+	if err == nil && last && end < seg.size && end > 0 {
+		seg.size = end
 		err = f.Truncate(end)
 	}
 	return err
 }
 
-// walk hands over each sound record between two offsets, its body valid for the
-// call only, and tells how many bytes were none.
-func walk(f io.ReaderAt, number uint64, from, to int64, each func(r Record, at place) error, odd func(n int64)) error {
-	in := bufio.NewReaderSize(io.NewSectionReader(f, from, to-from), 1<<20)
-	var p []byte
-	for from < to {
-		r, n, err := Record{}, 0, error(nil)
-		if p, err = in.Peek(recordHead); err == nil {
-			need := recordHead + int64(uint32(p[0])|uint32(p[1])<<8|uint32(p[2])<<16|uint32(p[3])<<24)
-			if need > MaxBodyBytes+recordHead || from+need > to {
-				err = errTorn
-			} else if need <= int64(in.Size()) {
-				p, _ = in.Peek(int(need))
-				r, n, err = readRecord(p, number)
-			} else { // larger than the buffer
-				p = make([]byte, need)
-				if _, e := f.ReadAt(p, from); e != nil {
-					return e
+// walkRecords calls visit for each valid record between two offsets, with a body that is valid during
+// the call only. It calls skipped with the number of bytes that are not part of a valid record.
+func walkRecords(f io.ReaderAt, number uint64, offset, end int64,
+	visit func(record Record, at location) error, skipped func(n int64)) error {
+	reader := bufio.NewReaderSize(io.NewSectionReader(f, offset, end-offset), 1<<20)
+	var encoded []byte
+	for offset < end {
+		record, n, err := Record{}, 0, error(nil)
+		if encoded, err = reader.Peek(recordHeaderSize); err == nil {
+			length := recordHeaderSize + int64(uint32(encoded[0])|uint32(encoded[1])<<8|
+				uint32(encoded[2])<<16|uint32(encoded[3])<<24)
+			if length > MaxBodyBytes+recordHeaderSize || offset+length > end {
+				err = errTruncatedRecord
+			} else if length <= int64(reader.Size()) {
+				encoded, _ = reader.Peek(int(length))
+				record, n, err = readRecord(encoded, number)
+			} else { // larger than the reader's buffer
+				encoded = make([]byte, length)
+				if _, readErr := f.ReadAt(encoded, offset); readErr != nil {
+					return readErr
 				}
-				r, n, err = readRecord(p, number)
+				record, n, err = readRecord(encoded, number)
 			}
 		} else if !errors.Is(err, io.EOF) {
 			return err
 		}
 		if err == nil {
-			if err := each(r, place{number, from, uint32(len(r.Body))}); err != nil {
+			if err := visit(record, location{number, offset, uint32(len(record.Body))}); err != nil {
 				return err
 			}
-		} else { // it may go on further behind
+		} else { // a valid record may begin at a later byte
 			n = 1
-			odd(1)
+			skipped(1)
 		}
-		from += int64(n)
-		if _, err := in.Discard(n); err != nil {
+		offset += int64(n)
+		if _, err := reader.Discard(n); err != nil {
 			return nil
 		}
 	}
--- a/internal/resultstore/store.go
+++ b/internal/resultstore/store.go
@@ -1,18 +1,18 @@
-// Package resultstore keeps results' pages on disk through crashes: segment files of
-// checksummed records, an index in an embedded store, a manifest replaced at once.
+// Package resultstore is a crash-safe, log-structured store for the pages of query results. A store is
+// a directory with segment files of checksummed records, an index in an embedded database, and a
+// manifest that is replaced atomically.
 //
-// The segments are the truth. The manifest names those that count, the index is a
-// shortcut to what they say up to a place; what comes after that place is read anew
-// at the start. Whatever a crash leaves behind, a result is either there with every
-// page or not at all:
+// The segments are authoritative. The manifest lists the valid segments. The index caches what the
+// segments say up to a position in the log; a start reads the records after that position. After a
+// crash, a result is either there with all its pages or not at all:
 //
-//   - a segment counts once the manifest names it, so that one made halfway is none;
-//   - a result is there once its Whole record is, which is written behind its pages
-//     and synced with them;
-//   - a segment leaves the manifest only after what lives of it was written and
-//     synced elsewhere, and its file is removed after that.
+//   - a segment is valid once the manifest lists it, so a partly created one is ignored;
+//   - a result exists once its commit record does, which is written after the result's pages and
+//     synced together with them;
+//   - a segment is removed from the manifest only after its live records were written to another
+//     segment and synced, and its file is removed after that.
 //
-// One goroutine writes (Do, Tick, Close); Fetch may be called from others meanwhile.
+// Do, Tick and Close must be called by one goroutine; Fetch may be called by others at the same time.
 package resultstore
 
 import (
@@ -23,178 +23,185 @@
 	"sync"
 )
 
-// SyncPolicy says when what is written is synced.
+// SyncPolicy is when written records are synced to disk.
 type SyncPolicy int
 
 const (
-	SyncOnCommit SyncPolicy = iota // before a result is promised
-	SyncOnTick                     // at each Tick: a crash of the machine, not of the program, may take the last
-	SyncNever                      // the system decides
+	SyncOnCommit SyncPolicy = iota // before a commit is reported
+	SyncOnTick                     // at each Tick: only a crash of the machine may lose the latest results
+	SyncNever                      // left to the operating system
 )
 
-// Options are a store's figures. Zero values take those named.
+// Options configures a store. A zero value means the default in parentheses.
 type Options struct {
-	SegmentBytes           int64 // a segment is closed at (16 MiB)
+	SegmentBytes           int64 // size at which a segment is closed (16 MiB)
 	Sync                   SyncPolicy
-	MaxIndexLag            int     // results that the index may be behind by (1024)
-	CompactionGarbageRatio float64 // part of a segment that may be dead before it is compacted (0.5)
-	CompactionStepBytes    int64   // read or copied by one step of compaction (1 MiB)
+	MaxIndexLag            int     // changed results that the index may lack (1024)
+	CompactionGarbageRatio float64 // dead fraction at which a segment is compacted (0.5)
+	CompactionStepBytes    int64   // bytes that one step of compaction reads (1 MiB)
 }
 
-func (t Options) orUsual() Options {
-	if t.SegmentBytes <= 0 {
-		t.SegmentBytes = 16 << 20
+// withDefaults returns the options with zero values replaced by the defaults.
+func (o Options) withDefaults() Options {
+	if o.SegmentBytes <= 0 {
+		o.SegmentBytes = 16 << 20
 	}
-	if t.MaxIndexLag <= 0 {
-		t.MaxIndexLag = 1024
+	if o.MaxIndexLag <= 0 {
+		o.MaxIndexLag = 1024
 	}
-	if t.CompactionGarbageRatio <= 0 {
-		t.CompactionGarbageRatio = 0.5
+	if o.CompactionGarbageRatio <= 0 {
+		o.CompactionGarbageRatio = 0.5
 	}
-	if t.CompactionStepBytes <= 0 {
-		t.CompactionStepBytes = 1 << 20
+	if o.CompactionStepBytes <= 0 {
+		o.CompactionStepBytes = 1 << 20
 	}
-	return t
+	return o
 }
 
+// segment is a file of the log.
 type segment struct {
-	number uint64
-	file   File // of the one that is written to, else nil
-	size   int64
-	live   int64 // bytes of records that count
-	keeps  int   // Gone records in it
-	odd    bool  // there is more in its file than its size says
+	number       uint64
+	file         File // nil unless it is the active segment
+	size         int64
+	liveBytes    int64 // of the page and commit records of pending and committed results
+	tombstones   int   // number of tombstone records
+	partialWrite bool  // the file is longer than size, because of a failed write
 }
 
-func (g *segment) name() string { return fmt.Sprintf("%016x.seg", g.number) }
+func (seg *segment) name() string { return fmt.Sprintf("%016x.seg", seg.number) }
 
-// Store is one directory's results.
+// Store holds the results of one directory.
 type Store struct {
-	terms Options
-	files Files
-	index Index
-
-	mu       sync.RWMutex
-	segments map[uint64]*segment
-	recent   map[uint64]*Meta // promised since the index was last written
-	gone     map[uint64]bool  // and no more since
-	open     map[uint64]*taking
-	lately   lately
-
-	active  *segment
-	next    uint64
-	starts  uint64
-	tombs   []Record // that could not be written yet
-	dirty   bool     // something was written since the last sync
-	compact *compaction
-	erasing erasing
-	leaving []string // files of segments that count no more and are still there
-	buffer  []byte
-	total   int64
+	options Options
+	files   Files
+	index   Index
+
+	mu        sync.RWMutex
+	segments  map[uint64]*segment
+	recent    map[uint64]*Meta // committed since the last checkpoint
+	deleted   map[uint64]bool  // deleted since the last checkpoint
+	pending   map[uint64]*pendingResult
+	metaCache metaCache
+
+	active              *segment // the segment that is written to; nil: the next write creates one
+	nextSegment         uint64
+	startCount          uint64   // how often the store was opened
+	unwrittenTombstones []Record // of deleted results, to be written once the disk accepts them
+	dirty               bool     // the active segment has unsynced records
+	compaction          *compaction
+	erasure             erasure
+	obsoleteFiles       []string // of removed segments, to be deleted
+	writeBuffer         []byte
+	totalBytes          int64
 }
 
-// taking is a result that is being written and not promised.
-type taking struct{ places []place }
+// pendingResult is a result whose pages are being written and that isn't committed.
+type pendingResult struct{ pageLocations []location }
 
-// Open reads what a directory holds. Errors are those of the files; what is spoilt
-// in them is no error, and is told.
-func Open(files Files, index Index, terms Options) (*Store, Recovery, error) {
-	s := &Store{terms: terms.orUsual(), files: files, index: index, segments: map[uint64]*segment{}, recent: map[uint64]*Meta{},
-		gone: map[uint64]bool{}, open: map[uint64]*taking{}, next: 1}
-	var found Recovery
-	if err := s.readManifest(&found); err != nil {
-		return nil, found, err
+// Open opens the store in a directory. It returns an error if a file operation fails or the manifest is
+// invalid. Corrupt records are not an error; they are reported in Recovery.
+func Open(files Files, index Index, options Options) (*Store, Recovery, error) {
+	s := &Store{options: options.withDefaults(), files: files, index: index, segments: map[uint64]*segment{},
+		recent: map[uint64]*Meta{}, deleted: map[uint64]bool{}, pending: map[uint64]*pendingResult{},
+		nextSegment: 1}
+	var recovery Recovery
+	if err := s.readManifest(&recovery); err != nil {
+		return nil, recovery, err
 	}
-	if err := s.recover(&found); err != nil {
-		return nil, found, err
+	if err := s.recoverIndex(&recovery); err != nil {
+		return nil, recovery, err
 	}
-	return s, found, nil
+	return s, recovery, nil
 }
 
-// counts adds what a result's records hold to their segments, or takes it away.
-func (s *Store) counts(m *Meta, sign int64) {
-	for _, at := range m.places {
-		s.count(at, sign)
+// accountResult adds the sizes of a result's records to the live bytes of their segments, or subtracts
+// them if sign is -1.
+func (s *Store) accountResult(meta *Meta, sign int64) {
+	for _, loc := range meta.pageLocations {
+		s.accountRecord(loc, sign)
 	}
-	s.count(m.at, sign)
+	s.accountRecord(meta.location, sign)
 }
 
-func (s *Store) count(at place, sign int64) {
-	if g := s.segments[at.segment]; g != nil {
-		g.live += sign * (recordHead + int64(at.size))
+// accountRecord adds the size of a record to the live bytes of its segment, or subtracts it if sign
+// is -1.
+func (s *Store) accountRecord(loc location, sign int64) {
+	if seg := s.segments[loc.segment]; seg != nil {
+		seg.liveBytes += sign * (recordHeaderSize + int64(loc.size))
 	}
 }
 
-// Each hands over every result that was promised, after Open.
-func (s *Store) Each(do func(m *Meta) error) error { return s.index.Each(do) }
+// Each calls visit for each result that the index holds: after Open, for each committed result.
+func (s *Store) Each(visit func(m *Meta) error) error { return s.index.Each(visit) }
 
-// Total is all that the segments hold, in bytes; Live what of it counts.
-func (s *Store) TotalBytes() int64 { return s.total }
+// TotalBytes returns the size of all segments.
+func (s *Store) TotalBytes() int64 { return s.totalBytes }
 
+// LiveBytes returns the size of the page and commit records of pending and committed results.
 func (s *Store) LiveBytes() (sum int64) {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
-	for _, g := range s.segments {
-		sum += g.live
+	for _, seg := range s.segments {
+		sum += seg.liveBytes
 	}
 	return sum
 }
 
-// write puts records at the end of the log and says where they stand. On an error
-// none of them counts.
-func (s *Store) write(l []Record) ([]place, error) {
-	if len(l) == 0 {
+// appendRecords appends records to the log and returns their locations. If it returns an error, none
+// of the records is part of the log.
+func (s *Store) appendRecords(records []Record) ([]location, error) {
+	if len(records) == 0 {
 		return nil, nil
 	}
-	if s.active == nil || s.active.size >= s.terms.SegmentBytes {
-		if err := s.roll(); err != nil {
+	if s.active == nil || s.active.size >= s.options.SegmentBytes {
+		if err := s.rollSegment(); err != nil {
 			return nil, err
 		}
 	}
-	g := s.active
-	s.buffer = s.buffer[:0]
-	places := make([]place, len(l))
-	for i := range l {
-		if len(l[i].Body) > MaxBodyBytes {
-			return nil, fmt.Errorf("a record of %d bytes, more than %d", len(l[i].Body), MaxBodyBytes)
+	seg := s.active
+	s.writeBuffer = s.writeBuffer[:0]
+	locations := make([]location, len(records))
+	for i := range records {
+		if len(records[i].Body) > MaxBodyBytes {
+			return nil, fmt.Errorf("record body has %d bytes, the limit is %d", len(records[i].Body), MaxBodyBytes)
 		}
-		places[i] = place{g.number, g.size + int64(len(s.buffer)), uint32(len(l[i].Body))}
-		s.buffer = appendRecord(s.buffer, g.number, &l[i])
+		locations[i] = location{seg.number, seg.size + int64(len(s.writeBuffer)), uint32(len(records[i].Body))}
+		s.writeBuffer = appendRecord(s.writeBuffer, seg.number, &records[i])
 	}
-	if _, err := g.file.WriteAt(s.buffer, g.size); err != nil {
-		if g.file.Truncate(g.size) != nil { // half of it stays there: nothing may follow
-			g.odd = true
-			s.seal()
+	if _, err := seg.file.WriteAt(s.writeBuffer, seg.size); err != nil {
+		if seg.file.Truncate(seg.size) != nil { // a partial record remains, so nothing may be appended
+			seg.partialWrite = true
+			s.sealActive()
 		}
 		return nil, err
 	}
 	s.mu.Lock()
-	g.size += int64(len(s.buffer))
-	s.total += int64(len(s.buffer))
+	seg.size += int64(len(s.writeBuffer))
+	s.totalBytes += int64(len(s.writeBuffer))
 	s.mu.Unlock()
-	if s.dirty = true; cap(s.buffer) > 4<<20 {
-		s.buffer = nil
+	if s.dirty = true; cap(s.writeBuffer) > 4<<20 {
+		s.writeBuffer = nil
 	}
-	return places, nil
+	return locations, nil
 }
 
-// roll begins another segment.
-func (s *Store) roll() error {
+// rollSegment closes the active segment and creates the next one.
+func (s *Store) rollSegment() error {
 	if s.active != nil {
-		if err := s.sync(); err != nil {
+		if err := s.syncActive(); err != nil {
 			return err
 		}
-		s.seal()
+		s.sealActive()
 	}
-	g := &segment{number: s.next}
-	s.next++
-	f, err := s.files.Create(g.name())
+	seg := &segment{number: s.nextSegment}
+	s.nextSegment++
+	f, err := s.files.Create(seg.name())
 	if err != nil {
 		return err
 	}
-	g.file = f
-	if _, err = f.WriteAt(segmentHead(g.number), 0); err == nil {
-		if g.size = headSize; s.terms.Sync != SyncNever {
+	seg.file = f
+	if _, err = f.WriteAt(segmentHeader(seg.number), 0); err == nil {
+		if seg.size = segmentHeaderSize; s.options.Sync != SyncNever {
 			if err = f.Sync(); err == nil {
 				err = s.files.SyncDir()
 			}
@@ -202,220 +209,224 @@
 	}
 	if err == nil {
 		s.mu.Lock()
-		s.segments[g.number] = g
+		s.segments[seg.number] = seg
 		s.mu.Unlock()
 		if err = s.writeManifest(); err != nil {
 			s.mu.Lock()
-			delete(s.segments, g.number)
+			delete(s.segments, seg.number)
 			s.mu.Unlock()
 		}
 	}
 	if err != nil {
 		f.Close()
-		s.files.Remove(g.name())
+		s.files.Remove(seg.name())
 		return err
 	}
-	s.active = g
-	s.total += headSize
+	s.active = seg
+	s.totalBytes += segmentHeaderSize
 	return nil
 }
 
-func (s *Store) seal() {
+// sealActive closes the active segment, to which nothing more is written.
+func (s *Store) sealActive() {
 	s.active.file.Close()
 	s.active.file, s.active = nil, nil
 }
 
-// sync brings all that was written to the disk for good. A disk that refuses says
-// nothing about what of it got there: nothing more is written behind that.
-func (s *Store) sync() error {
-	if !s.dirty || s.active == nil || s.terms.Sync == SyncNever {
+// syncActive syncs the active segment. After a failed sync it isn't known which records reached the
+// disk, so the segment is closed and nothing more is appended to it.
+func (s *Store) syncActive() error {
+	if !s.dirty || s.active == nil || s.options.Sync == SyncNever {
 		s.dirty = false
 		return nil
 	}
 	if err := s.active.file.Sync(); err != nil {
-		s.seal()
+		s.sealActive()
 		return err
 	}
 	s.dirty = false
 	return nil
 }
 
-// Job is one thing to be done to the store. Err and Total are set once it is done.
+// Job is a change to the store. Do sets Err and Total.
 type Job struct {
-	// Pages are written to a result that is being taken.
+	// Pages are page records of results that are not committed yet.
 	Pages []Record
-	// Promise makes the result whole, once its Pages are written.
+	// Commit commits the result, after Pages are written.
 	Commit *Meta
-	// Drop has a result be no more, whether it was promised or is being taken.
+	// Drop names results to delete, committed or not.
 	Drop []uint64
 
 	Err   error
-	Total int64 // bytes of all segments, afterwards
+	Total int64 // size of all segments after the job
 }
 
-// Do does jobs in their order, with one sync for all their promises.
+// Do performs jobs in order, with one sync for all commits.
 func (s *Store) Do(jobs []*Job) {
 	promises := false
-	for _, j := range jobs {
-		j.Err = s.do(j)
-		promises = promises || j.Commit != nil && j.Err == nil
-	}
-	if promises && s.terms.Sync == SyncOnCommit {
-		if err := s.sync(); err != nil {
-			for _, j := range jobs {
-				if j.Err == nil && j.Commit != nil {
-					j.Err = err
-					s.drop([]uint64{j.Commit.Result}) // it may be there after a crash all the same, and nobody has its token
+	for _, job := range jobs {
+		job.Err = s.apply(job)
+		promises = promises || job.Commit != nil && job.Err == nil
+	}
+	if promises && s.options.Sync == SyncOnCommit {
+		if err := s.syncActive(); err != nil {
+			for _, job := range jobs {
+				if job.Err == nil && job.Commit != nil {
+					job.Err = err
+					// A crash may bring the result back, but no client has a token for it.
+					s.dropResults([]uint64{job.Commit.Result})
 				}
 			}
 		}
 	}
-	for _, j := range jobs {
-		j.Total = s.total
+	for _, job := range jobs {
+		job.Total = s.totalBytes
 	}
 }
 
-func (s *Store) do(j *Job) error {
-	s.drop(j.Drop)
-	places, err := s.write(j.Pages)
+// apply performs a job without syncing.
+func (s *Store) apply(job *Job) error {
+	s.dropResults(job.Drop)
+	locations, err := s.appendRecords(job.Pages)
 	if err != nil {
 		return err
 	}
 	s.mu.Lock()
-	for i, at := range places {
-		id := j.Pages[i].Result
-		t := s.open[id]
-		if t == nil {
-			t = &taking{}
-			s.open[id] = t
+	for i, loc := range locations {
+		result := job.Pages[i].Result
+		pending := s.pending[result]
+		if pending == nil {
+			pending = &pendingResult{}
+			s.pending[result] = pending
 		}
-		t.places = append(t.places, at)
-		s.count(at, 1)
+		pending.pageLocations = append(pending.pageLocations, loc)
+		s.accountRecord(loc, 1)
 	}
 	s.mu.Unlock()
-	if j.Commit != nil {
-		return s.promise(j.Commit)
+	if job.Commit != nil {
+		return s.commit(job.Commit)
 	}
 	return nil
 }
 
-func (s *Store) promise(m *Meta) error {
-	t := s.open[m.Result]
-	if t == nil || len(t.places) != len(m.PageRows) {
-		return errors.New("a result is promised whose pages were not all written")
+// commit writes the commit record of a result whose pages are written.
+func (s *Store) commit(meta *Meta) error {
+	pending := s.pending[meta.Result]
+	if pending == nil || len(pending.pageLocations) != len(meta.PageRows) {
+		return errors.New("can't commit a result before all its pages are written")
 	}
-	m.places, m.PageBytes = t.places, make([]uint32, len(t.places))
-	for i, at := range t.places {
-		m.PageBytes[i] = at.size
+	meta.pageLocations, meta.PageBytes = pending.pageLocations, make([]uint32, len(pending.pageLocations))
+	for i, loc := range pending.pageLocations {
+		meta.PageBytes[i] = loc.size
 	}
-	places, err := s.write([]Record{{Kind: CommitRecord, Result: m.Result, Body: m.encode()}})
+	locations, err := s.appendRecords([]Record{{Kind: CommitRecord, Result: meta.Result, Body: meta.encode()}})
 	if err != nil {
 		return err
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	m.at = places[0]
-	s.count(m.at, 1)
-	s.recent[m.Result] = m
-	delete(s.open, m.Result)
+	meta.location = locations[0]
+	s.accountRecord(meta.location, 1)
+	s.recent[meta.Result] = meta
+	delete(s.pending, meta.Result)
 	return nil
 }
 
-// drop has results be no more.
-func (s *Store) drop(l []uint64) {
-	var tombs []Record
-	for _, id := range l {
+// dropResults deletes results, committed or not. Unknown results are ignored.
+func (s *Store) dropResults(results []uint64) {
+	var tombstones []Record
+	for _, result := range results {
 		s.mu.Lock()
-		if t := s.open[id]; t != nil {
-			for _, at := range t.places {
-				s.count(at, -1)
+		if pending := s.pending[result]; pending != nil {
+			for _, loc := range pending.pageLocations {
+				s.accountRecord(loc, -1)
 			}
-			delete(s.open, id)
+			delete(s.pending, result)
 			s.mu.Unlock()
 			continue
 		}
 		s.mu.Unlock()
-		m, err := s.meta(id)
+		meta, err := s.committedMeta(result)
 		if err != nil {
-			continue // it isn't there
+			continue // unknown result
 		}
 		s.mu.Lock()
-		s.counts(m, -1)
-		delete(s.recent, id)
-		s.gone[id] = true
-		s.lately.drop(id)
+		s.accountResult(meta, -1)
+		delete(s.recent, result)
+		s.deleted[result] = true
+		s.metaCache.remove(result)
 		s.mu.Unlock()
-		tombs = append(tombs, Record{Kind: TombstoneRecord, Result: id})
+		tombstones = append(tombstones, Record{Kind: TombstoneRecord, Result: result})
 	}
-	s.tombs = append(s.tombs, tombs...)
-	s.bury()
+	s.unwrittenTombstones = append(s.unwrittenTombstones, tombstones...)
+	s.writeTombstones()
 }
 
-// bury writes that results are gone. Where the disk is full that has to wait: they are
-// gone all the same, and if the program ends before, come back until their life is over.
-func (s *Store) bury() {
-	if _, err := s.write(s.tombs); err == nil && len(s.tombs) > 0 {
-		s.active.keeps += len(s.tombs)
-		s.tombs = nil
+// writeTombstones writes the tombstones of deleted results, or keeps them for later if the disk is
+// full. If the program ends before they are written, the results come back until they expire.
+func (s *Store) writeTombstones() {
+	if _, err := s.appendRecords(s.unwrittenTombstones); err == nil && len(s.unwrittenTombstones) > 0 {
+		s.active.tombstones += len(s.unwrittenTombstones)
+		s.unwrittenTombstones = nil
 	}
 }
 
-// Tick is due now and then: it syncs where that is not done at promises, brings the
-// index up, and goes on with compaction by a step. It says whether there is more to do.
+// Tick performs periodic maintenance: it syncs under SyncOnTick, updates the index, and advances
+// erasure and compaction by one step. It reports whether there is more to do at once.
 func (s *Store) Tick() (more bool, err error) {
-	s.bury()
-	if s.terms.Sync == SyncOnTick {
-		if err := s.sync(); err != nil {
+	s.writeTombstones()
+	if s.options.Sync == SyncOnTick {
+		if err := s.syncActive(); err != nil {
 			return false, err
 		}
 	}
 	if err := s.checkpoint(); err != nil {
 		return false, err
 	}
-	if err := s.beginErasing(); err != nil {
+	if err := s.beginErase(); err != nil {
 		return false, err
 	}
 	if more, err = s.compactStep(); err != nil {
 		return false, err
 	}
-	return s.endErasing(more)
+	return s.finishErase(more)
 }
 
-// checkpoint brings the index up to the log.
+// checkpoint updates the index to the end of the log.
 func (s *Store) checkpoint() error {
-	if len(s.recent)+len(s.gone) == 0 || s.active == nil {
+	if len(s.recent)+len(s.deleted) == 0 || s.active == nil {
 		return nil
 	}
-	if err := s.sync(); err != nil { // the index must not know more than the segments
+	if err := s.syncActive(); err != nil { // the index must not be ahead of the segments
 		return err
 	}
-	ids := slices.Sorted(maps.Keys(s.recent))
-	put := make([]*Meta, len(ids))
-	for i, id := range ids {
-		put[i] = s.recent[id]
+	changed := slices.Sorted(maps.Keys(s.recent))
+	put := make([]*Meta, len(changed))
+	for i, result := range changed {
+		put[i] = s.recent[result]
 	}
-	gone := slices.Sorted(maps.Keys(s.gone))
-	if err := s.index.Commit(put, gone, s.active.number, s.active.size); err != nil {
+	deleted := slices.Sorted(maps.Keys(s.deleted))
+	if err := s.index.Commit(put, deleted, s.active.number, s.active.size); err != nil {
 		return err
 	}
 	s.mu.Lock()
 	clear(s.recent)
-	clear(s.gone)
+	clear(s.deleted)
 	s.mu.Unlock()
 	return nil
 }
 
-// Behind tells whether the index should be brought up before the next tick.
-func (s *Store) NeedsCheckpoint() bool { return len(s.recent)+len(s.gone) >= s.terms.MaxIndexLag }
+// NeedsCheckpoint reports whether the index should be updated before the next periodic tick.
+func (s *Store) NeedsCheckpoint() bool { return len(s.recent)+len(s.deleted) >= s.options.MaxIndexLag }
 
-// Close brings the index up and closes all. Nothing is lost without it.
+// Close updates the index and closes all files. Omitting Close loses no committed result.
 func (s *Store) Close() error {
 	err := s.checkpoint()
 	if err == nil {
-		err = s.sync()
+		err = s.syncActive()
 	}
 	if s.active != nil {
-		s.seal()
+		s.sealActive()
 	}
 	return errors.Join(err, s.index.Close())
 }
--- a/internal/resultstore/store_test.go
+++ b/internal/resultstore/store_test.go
@@ -15,186 +15,197 @@
 	"railrelay.dev/railrelay/internal/resultstore"
 )
 
-// life is what a test knows of a result.
-type life struct {
-	pages    [][]byte
-	rows     []uint32
-	promised int // disk steps when it was, 0: never
-	dropping int // when its end began, 0: never
-	dropped  int // when that was written
+// resultState is what a test expects of a result.
+type resultState struct {
+	pages         [][]byte
+	rows          []uint32
+	committedAt   int // number of disk steps at the commit; 0: not committed
+	dropStartedAt int // number of disk steps when its deletion began; 0: not deleted
+	droppedAt     int // number of disk steps when its deletion was written
 }
 
-// script plays a store at random and remembers what was promised when.
-type script struct {
-	t     testing.TB
-	rng   *rand.Rand
-	d     *disk.Disk
-	x     *disk.Index
-	s     *resultstore.Store
-	lives map[uint64]*life
-	open  []uint64
-	whole []uint64
-	next  uint64
+// randomRun applies random changes to a store and records the expected results.
+type randomRun struct {
+	t            testing.TB
+	rng          *rand.Rand
+	disk         *disk.Disk
+	index        *disk.Index
+	store        *resultstore.Store
+	results      map[uint64]*resultState
+	pendingIDs   []uint64
+	committedIDs []uint64
+	lastID       uint64
 }
 
-func newScript(t testing.TB, seed uint64, terms resultstore.Options) *script {
-	d := disk.New()
-	x := disk.NewIndex(d)
-	s, _, err := resultstore.Open(d, x, terms)
+func newRandomRun(t testing.TB, seed uint64, options resultstore.Options) *randomRun {
+	files := disk.New()
+	index := disk.NewIndex(files)
+	store, _, err := resultstore.Open(files, index, options)
 	if err != nil {
 		t.Fatal(err)
 	}
-	return &script{t: t, rng: rand.New(rand.NewPCG(seed, 1)), d: d, x: x, s: s, lives: map[uint64]*life{}, next: s.FirstResultID()}
+	return &randomRun{t: t, rng: rand.New(rand.NewPCG(seed, 1)), disk: files, index: index, store: store,
+		results: map[uint64]*resultState{}, lastID: store.FirstResultID()}
 }
 
-func (c *script) page() []byte {
-	p := make([]byte, 20+c.rng.IntN(400))
+func (r *randomRun) randomPage() []byte {
+	p := make([]byte, 20+r.rng.IntN(400))
 	for i := range p {
-		p[i] = byte('a' + c.rng.IntN(26))
+		p[i] = byte('a' + r.rng.IntN(26))
 	}
 	return append(p, '\n')
 }
 
-func (c *script) do(j *resultstore.Job) error {
-	c.s.Do([]*resultstore.Job{j})
-	return j.Err
+func (r *randomRun) apply(job *resultstore.Job) error {
+	r.store.Do([]*resultstore.Job{job})
+	return job.Err
 }
 
-func (c *script) write(id uint64) {
-	l := c.lives[id]
-	p := c.page()
-	if c.do(&resultstore.Job{Pages: []resultstore.Record{{Kind: resultstore.PageRecord, Result: id, Page: uint32(len(l.pages)), Body: p}}}) == nil {
-		l.pages, l.rows = append(l.pages, p), append(l.rows, 1)
+func (r *randomRun) writePage(result uint64) {
+	state := r.results[result]
+	body := r.randomPage()
+	if r.apply(&resultstore.Job{Pages: []resultstore.Record{{Kind: resultstore.PageRecord, Result: result,
+		Page: uint32(len(state.pages)), Body: body}}}) == nil {
+		state.pages, state.rows = append(state.pages, body), append(state.rows, 1)
 	}
 }
 
-func (c *script) promise(id uint64) error {
-	l := c.lives[id]
-	err := c.do(&resultstore.Job{Commit: &resultstore.Meta{Result: id, QueryID: fmt.Sprintf("%016x", id), Tenant: "linz", CreatedMillis: 1, ExpiresMillis: 1000, PageRows: l.rows}})
+func (r *randomRun) commit(result uint64) error {
+	state := r.results[result]
+	err := r.apply(&resultstore.Job{Commit: &resultstore.Meta{Result: result,
+		QueryID: fmt.Sprintf("%016x", result), Tenant: "linz", CreatedMillis: 1,
+		ExpiresMillis: 1000, PageRows: state.rows}})
 	if err == nil {
-		l.promised = c.d.Steps()
+		state.committedAt = r.disk.Steps()
 	}
 	return err
 }
 
-func (c *script) drop(id uint64) {
-	l := c.lives[id]
-	l.dropping = max(1, c.d.Steps())
-	if c.do(&resultstore.Job{Drop: []uint64{id}}) == nil {
-		l.dropped = c.d.Steps()
+func (r *randomRun) drop(result uint64) {
+	state := r.results[result]
+	state.dropStartedAt = max(1, r.disk.Steps())
+	if r.apply(&resultstore.Job{Drop: []uint64{result}}) == nil {
+		state.droppedAt = r.disk.Steps()
 	}
 }
 
-func (c *script) step() {
-	pick := func(l *[]uint64) uint64 {
-		i := c.rng.IntN(len(*l))
-		id := (*l)[i]
-		*l = append((*l)[:i], (*l)[i+1:]...)
+func (r *randomRun) step() {
+	pick := func(ids *[]uint64) uint64 {
+		i := r.rng.IntN(len(*ids))
+		id := (*ids)[i]
+		*ids = append((*ids)[:i], (*ids)[i+1:]...)
 		return id
 	}
-	switch x := c.rng.IntN(20); {
-	case x < 4 || len(c.open) == 0:
-		c.next++
-		c.lives[c.next] = &life{}
-		c.open = append(c.open, c.next)
-		c.write(c.next)
+	switch x := r.rng.IntN(20); {
+	case x < 4 || len(r.pendingIDs) == 0:
+		r.lastID++
+		r.results[r.lastID] = &resultState{}
+		r.pendingIDs = append(r.pendingIDs, r.lastID)
+		r.writePage(r.lastID)
 	case x < 11:
-		c.write(c.open[c.rng.IntN(len(c.open))])
+		r.writePage(r.pendingIDs[r.rng.IntN(len(r.pendingIDs))])
 	case x < 14:
-		id := pick(&c.open)
-		if c.promise(id) == nil {
-			c.whole = append(c.whole, id)
+		id := pick(&r.pendingIDs)
+		if r.commit(id) == nil {
+			r.committedIDs = append(r.committedIDs, id)
 		} else {
-			c.drop(id)
+			r.drop(id)
 		}
-	case x < 16 && len(c.whole) > 0:
-		c.drop(pick(&c.whole))
+	case x < 16 && len(r.committedIDs) > 0:
+		r.drop(pick(&r.committedIDs))
 	case x < 17:
-		c.drop(pick(&c.open))
+		r.drop(pick(&r.pendingIDs))
 	default:
-		if _, err := c.s.Tick(); err != nil && c.d.Fail == nil {
-			c.t.Fatal(err)
+		if _, err := r.store.Tick(); err != nil && r.disk.Fail == nil {
+			r.t.Fatal(err)
 		}
 	}
 }
 
-// matches: what is there is equal byte for byte to what was written.
-func matches(t testing.TB, s *resultstore.Store, id uint64, l *life) {
+// expectPages checks that the store returns exactly the pages that were written.
+func expectPages(t testing.TB, store *resultstore.Store, result uint64, state *resultState) {
 	t.Helper()
-	for i, want := range l.pages {
-		if got, err := s.Fetch(id, i); err != nil || !bytes.Equal(got, want) {
-			t.Fatalf("page %d of %d: %v, %d bytes of %d", i, len(l.pages), err, len(got), len(want))
+	for i, want := range state.pages {
+		if got, err := store.Fetch(result, i); err != nil || !bytes.Equal(got, want) {
+			t.Fatalf("page %d of %d: %v, %d bytes of %d", i, len(state.pages), err, len(got), len(want))
 		}
 	}
-	if _, err := s.Fetch(id, len(l.pages)); !errors.Is(err, resultstore.ErrNotFound) {
-		t.Fatal("a page behind the last: ", err)
+	if _, err := store.Fetch(result, len(state.pages)); !errors.Is(err, resultstore.ErrNotFound) {
+		t.Fatal("a page after the last one: ", err)
 	}
 }
 
-func small() resultstore.Options {
+func smallOptions() resultstore.Options {
 	return resultstore.Options{SegmentBytes: 2 << 10, MaxIndexLag: 5, CompactionStepBytes: 1 << 10}
 }
 
-// Every write of a run is cut, in three ways, with and without the index, and what is
-// found then is all that was promised and nothing else.
-func TestEveryCrash(t *testing.T) {
-	c := newScript(t, 7, small())
+// Simulates a crash after every disk step of a random run, in three ways, with and without the index.
+// The reopened store must hold all committed results with all pages, none that was deleted before or
+// never committed, and must give back the space of deleted ones.
+func TestCommittedResultsSurviveEveryCrash(t *testing.T) {
+	run := newRandomRun(t, 7, smallOptions())
 	for range 230 {
-		c.step()
+		run.step()
 	}
-	steps := c.d.Steps()
+	steps := run.disk.Steps()
 	if steps < 300 {
-		t.Fatal("the run has too few steps to say anything: ", steps)
+		t.Fatal("the run has too few disk steps: ", steps)
 	}
 	compacted := 0
-	for k := range steps + 1 {
-		for how := disk.Killed; how <= disk.Cut; how++ {
-			for _, lost := range []bool{false, true} {
-				if lost && k%3 != int(how) { // it is all read anew then, which takes long
+	for step := range steps + 1 {
+		for crash := disk.Killed; crash <= disk.Cut; crash++ {
+			for _, indexLost := range []bool{false, true} {
+				if indexLost && step%3 != int(crash) { // rebuilding the index is slow, so only one step in three
 					continue
 				}
-				d := c.d.After(k, how)
-				x := disk.NewIndex(d)
-				if !lost {
-					x = c.x.After(k, d)
+				crashed := run.disk.After(step, crash)
+				index := disk.NewIndex(crashed)
+				if !indexLost {
+					index = run.index.After(step, crashed)
 				}
-				s, found, err := resultstore.Open(d, x, small())
+				store, recovery, err := resultstore.Open(crashed, index, smallOptions())
 				if err != nil {
-					t.Fatalf("cut at %d, %v: %v", k, how, err)
+					t.Fatalf("crash at step %d, %v: %v", step, crash, err)
 				}
-				if len(found.Lost) > 0 {
-					t.Fatalf("cut at %d, %v: promised and lost %x", k, how, found.Lost)
+				if len(recovery.Lost) > 0 {
+					t.Fatalf("crash at step %d, %v: committed results lost: %x", step, crash, recovery.Lost)
 				}
-				there := map[uint64]bool{}
-				s.Each(func(m *resultstore.Meta) error {
-					there[m.Result] = true
-					l := c.lives[m.Result]
-					if l == nil || len(l.rows) != len(m.PageRows) || l.promised == 0 && l.dropping == 0 && k >= steps {
-						t.Fatalf("cut at %d: a result that was never whole: %x", k, m.Result)
+				found := map[uint64]bool{}
+				store.Each(func(m *resultstore.Meta) error {
+					found[m.Result] = true
+					state := run.results[m.Result]
+					if state == nil || len(state.rows) != len(m.PageRows) ||
+						state.committedAt == 0 && state.dropStartedAt == 0 && step >= steps {
+						t.Fatalf("crash at step %d: result %x was never committed", step, m.Result)
 					}
-					matches(t, s, m.Result, l)
+					expectPages(t, store, m.Result, state)
 					return nil
 				})
-				for id, l := range c.lives {
-					must := l.promised > 0 && l.promised <= k && (l.dropping == 0 || k < l.dropping)
-					mustnt := how != disk.Cut && l.dropped > 0 && l.dropped <= k
-					if must && !there[id] || mustnt && there[id] {
-						t.Fatalf("cut at %d of %d, %v, index lost %v: result %x there %v, promised at %d, dropped at %d to %d", k, steps, how, lost, id, there[id], l.promised, l.dropping, l.dropped)
+				for id, state := range run.results {
+					mustExist := state.committedAt > 0 && state.committedAt <= step &&
+						(state.dropStartedAt == 0 || step < state.dropStartedAt)
+					mustNotExist := crash != disk.Cut && state.droppedAt > 0 && state.droppedAt <= step
+					if mustExist && !found[id] || mustNotExist && found[id] {
+						t.Fatalf(
+							"crash at step %d of %d, %v, index lost %v: result %x exists: %v; committed %d, deleted %d to %d",
+							step, steps, crash, indexLost, id, found[id],
+							state.committedAt, state.dropStartedAt, state.droppedAt)
 					}
 				}
-				if v, err := s.Verify(); err != nil || len(v.Faults) > 0 {
-					t.Fatalf("cut at %d: %v %v", k, err, v.Faults)
+				if report, err := store.Verify(); err != nil || len(report.Faults) > 0 {
+					t.Fatalf("crash at step %d: %v %v", step, err, report.Faults)
 				}
-				for more := true; more; compacted++ { // its space comes back
-					if more, err = s.Tick(); err != nil {
+				for more := true; more; compacted++ { // releases the space of deleted results
+					if more, err = store.Tick(); err != nil {
 						t.Fatal(err)
 					}
 				}
-				if dead := s.TotalBytes() - s.LiveBytes(); dead > s.LiveBytes()+int64(len(there)+9)*600+8<<10 {
-					t.Fatalf("cut at %d: %d bytes are dead and %d live", k, dead, s.LiveBytes())
+				if dead := store.TotalBytes() - store.LiveBytes(); dead >
+					store.LiveBytes()+int64(len(found)+9)*600+8<<10 {
+					t.Fatalf("crash at step %d: %d bytes are dead and %d live", step, dead, store.LiveBytes())
 				}
-				for id := range there {
-					matches(t, s, id, c.lives[id])
+				for id := range found {
+					expectPages(t, store, id, run.results[id])
 				}
 			}
 		}
@@ -204,67 +215,69 @@
 	}
 }
 
-// A disk that refuses writes or syncs now and then, or is full, costs what was being
-// written, and nothing that was promised.
-func TestFaultyDisk(t *testing.T) {
+// Disk errors at random, including a full disk, lose the results that were being written, but no
+// committed result.
+func TestCommittedResultsSurviveDiskErrors(t *testing.T) {
 	for seed := range uint64(30) {
-		c := newScript(t, seed, small())
+		run := newRandomRun(t, seed, smallOptions())
 		faults := rand.New(rand.NewPCG(seed, 9))
-		c.d.Half = true
-		c.d.Fail = func(verb, name string) error {
+		run.disk.Half = true
+		run.disk.Fail = func(verb, name string) error {
 			if faults.IntN(12) == 0 && verb != "remove" {
 				return syscall.ENOSPC
 			}
 			return nil
 		}
 		for range 300 {
-			c.step()
+			run.step()
 		}
-		c.d.Fail = nil
-		for _, id := range c.whole {
-			matches(t, c.s, id, c.lives[id])
+		run.disk.Fail = nil
+		for _, id := range run.committedIDs {
+			expectPages(t, run.store, id, run.results[id])
 		}
-		s, found, err := resultstore.Open(c.d, c.x, small())
-		if err != nil || len(found.Lost) > 0 {
-			t.Fatal(err, found)
+		reopened, recovery, err := resultstore.Open(run.disk, run.index, smallOptions())
+		if err != nil || len(recovery.Lost) > 0 {
+			t.Fatal(err, recovery)
 		}
-		for _, id := range c.whole {
-			matches(t, s, id, c.lives[id])
+		for _, id := range run.committedIDs {
+			expectPages(t, reopened, id, run.results[id])
 		}
 	}
 }
 
-func TestFlippedBit(t *testing.T) {
-	c := newScript(t, 3, resultstore.Options{})
-	c.next++
-	id := c.next
-	c.lives[id] = &life{}
+// Fetch never returns a page with a flipped bit, and Verify reports the bit.
+func TestFlippedBitIsDetected(t *testing.T) {
+	run := newRandomRun(t, 3, resultstore.Options{})
+	run.lastID++
+	id := run.lastID
+	run.results[id] = &resultState{}
 	for range 5 {
-		c.write(id)
+		run.writePage(id)
 	}
-	if err := c.promise(id); err != nil {
+	if err := run.commit(id); err != nil {
 		t.Fatal(err)
 	}
-	names, _ := c.d.List()
-	size, _ := func() (int64, error) { f, _ := c.d.Open(names[0]); return f.Size() }()
-	for at := int64(16); at < size; at++ {
-		c.d.Flip(names[0], at, uint(at%8))
-		for i, want := range c.lives[id].pages {
-			if p, err := c.s.Fetch(id, i); err == nil && !bytes.Equal(p, want) {
-				t.Fatalf("a bit at %d: page %d was served spoilt", at, i)
+	names, _ := run.disk.List()
+	size, _ := func() (int64, error) { f, _ := run.disk.Open(names[0]); return f.Size() }()
+	for offset := int64(16); offset < size; offset++ {
+		run.disk.Flip(names[0], offset, uint(offset%8))
+		for i, want := range run.results[id].pages {
+			if p, err := run.store.Fetch(id, i); err == nil && !bytes.Equal(p, want) {
+				t.Fatalf("bit flipped at %d: page %d was returned although it is corrupt", offset, i)
 			} else if err != nil && !errors.Is(err, resultstore.ErrCorrupt) {
 				t.Fatal(err)
 			}
 		}
-		if v, err := c.s.Verify(); err != nil || len(v.Faults) == 0 {
-			t.Fatalf("a bit at %d goes unseen: %v", at, err)
+		if v, err := run.store.Verify(); err != nil || len(v.Faults) == 0 {
+			t.Fatalf("bit flipped at %d: not detected: %v", offset, err)
 		}
-		c.d.Flip(names[0], at, uint(at%8))
+		run.disk.Flip(names[0], offset, uint(offset%8))
 	}
-	matches(t, c.s, id, c.lives[id])
+	expectPages(t, run.store, id, run.results[id])
 }
 
-func TestOnRealFiles(t *testing.T) {
+// A store on real files keeps its results over restarts, also without its index, and GC deletes them.
+func TestStoreOnRealFiles(t *testing.T) {
 	path := t.TempDir()
 	open := func() (*resultstore.Store, resultstore.Recovery, *resultstore.Dir) {
 		d, err := resultstore.LockDir(path)
@@ -275,7 +288,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		s, found, err := resultstore.Open(d, x, small())
+		s, found, err := resultstore.Open(d, x, smallOptions())
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -283,11 +296,12 @@
 	}
 	s, _, d := open()
 	if _, err := resultstore.LockDir(path); !errors.Is(err, resultstore.ErrInUse) {
-		t.Fatal("two programs have one directory: ", err)
+		t.Fatal("a locked directory was locked again: ", err)
 	}
-	c := &script{t: t, rng: rand.New(rand.NewPCG(5, 1)), d: disk.New(), s: s, lives: map[uint64]*life{}, next: s.FirstResultID()}
+	run := &randomRun{t: t, rng: rand.New(rand.NewPCG(5, 1)), disk: disk.New(), store: s,
+		results: map[uint64]*resultState{}, lastID: s.FirstResultID()}
 	for range 400 {
-		c.step()
+		run.step()
 	}
 	if err := s.Close(); err != nil {
 		t.Fatal(err)
@@ -296,14 +310,14 @@
 	check := func(rebuilt bool) {
 		t.Helper()
 		s, found, d := open()
-		if found.Results != len(c.whole) || found.IndexRebuilt != rebuilt || len(found.Lost) > 0 {
-			t.Fatalf("%d results of %d, %+v", found.Results, len(c.whole), found)
+		if found.Results != len(run.committedIDs) || found.IndexRebuilt != rebuilt || len(found.Lost) > 0 {
+			t.Fatalf("%d results of %d, %+v", found.Results, len(run.committedIDs), found)
 		}
-		for _, id := range c.whole {
-			matches(t, s, id, c.lives[id])
+		for _, id := range run.committedIDs {
+			expectPages(t, s, id, run.results[id])
 		}
-		if s.FirstResultID() <= c.next {
-			t.Fatal("numbers are used again")
+		if s.FirstResultID() <= run.lastID {
+			t.Fatal("result ids are used again")
 		}
 		s.Close()
 		d.Close()
@@ -318,19 +332,19 @@
 	s, _, d = open()
 	defer d.Close()
 	defer s.Close()
-	if n, err := s.GC(2000); err != nil || n != len(c.whole) || s.LiveBytes() != 0 {
-		t.Fatalf("%d dropped of %d, %v, %d bytes live", n, len(c.whole), err, s.LiveBytes())
+	if n, err := s.GC(2000); err != nil || n != len(run.committedIDs) || s.LiveBytes() != 0 {
+		t.Fatalf("%d dropped of %d, %v, %d bytes live", n, len(run.committedIDs), err, s.LiveBytes())
 	}
 	names, _ := d.List()
 	if n := strings.Count(strings.Join(names, " "), ".seg"); n > 1 {
-		t.Fatal("left behind: ", names)
+		t.Fatal("segments left behind: ", names)
 	}
 }
 
-func TestDirectoryThatCantBeWritten(t *testing.T) {
+func TestLockDirInUnusablePath(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "file")
 	os.WriteFile(path, nil, 0o600)
 	if _, err := resultstore.LockDir(filepath.Join(path, "spool")); err == nil {
-		t.Fatal("a directory within a file")
+		t.Fatal("locked a directory below a regular file")
 	}
 }
--- a/internal/resultstore/verify.go
+++ b/internal/resultstore/verify.go
@@ -5,77 +5,79 @@
 	"slices"
 )
 
-// Checked is what a look at every record found.
+// Verification is the result of Verify.
 type Verification struct {
 	Segments, Records, Results, Pages int
 	Bytes, DeadBytes                  int64
-	Faults                            []string // what is promised and not there, or spoilt
+	Faults                            []string // corrupt bytes, missing and corrupt pages
 }
 
-const faultsMost = 100
+const maxReportedFaults = 100
 
-// Verify reads every record of every segment, and every page that was promised.
-func (s *Store) Verify() (c Verification, err error) {
-	fault := func(format string, args ...any) {
-		if len(c.Faults) < faultsMost {
-			c.Faults = append(c.Faults, fmt.Sprintf(format, args...))
+// Verify reads every record of every segment, and every page of every committed result. It lists at
+// most maxReportedFaults faults.
+func (s *Store) Verify() (report Verification, err error) {
+	addFault := func(format string, args ...any) {
+		if len(report.Faults) < maxReportedFaults {
+			report.Faults = append(report.Faults, fmt.Sprintf(format, args...))
 		}
 	}
-	for _, n := range s.numbers() {
-		g := s.segments[n]
-		f, err := s.files.Open(g.name())
+	for _, number := range s.segmentNumbers() {
+		seg := s.segments[number]
+		f, err := s.files.Open(seg.name())
 		if err != nil {
-			return c, err
+			return report, err
 		}
-		odd := int64(0)
-		err = walk(f, n, headSize, g.size, func(Record, place) error {
-			c.Records++
+		corruptBytes := int64(0)
+		err = walkRecords(f, number, segmentHeaderSize, seg.size, func(Record, location) error {
+			report.Records++
 			return nil
-		}, func(n int64) { odd += n })
+		}, func(number int64) { corruptBytes += number })
 		f.Close()
 		if err != nil {
-			return c, err
+			return report, err
 		}
-		if odd > 0 {
-			fault("%s: %d bytes are no records", g.name(), odd)
+		if corruptBytes > 0 {
+			addFault("%s: %d bytes are not part of a valid record", seg.name(), corruptBytes)
 		}
-		c.Segments++
-		c.Bytes += g.size
-		c.DeadBytes += g.size - headSize - g.live
+		report.Segments++
+		report.Bytes += seg.size
+		report.DeadBytes += seg.size - segmentHeaderSize - seg.liveBytes
 	}
-	err = s.index.Each(func(m *Meta) error {
-		c.Results++
-		for i, at := range m.places {
-			c.Pages++
-			if _, err := s.read(at, m.Result); err != nil {
-				fault("result %016x of query %s, team %q: page %d of %d: %v", m.Result, m.QueryID, m.Tenant, i, len(m.places), err)
+	err = s.index.Each(func(meta *Meta) error {
+		report.Results++
+		for i, loc := range meta.pageLocations {
+			report.Pages++
+			if _, err := s.readPage(loc, meta.Result); err != nil {
+				addFault("result %016x of query %s, team %q: page %d of %d: %v", meta.Result, meta.QueryID, meta.Tenant,
+					i, len(meta.pageLocations), err)
 			}
 		}
 		return nil
 	})
-	return c, err
+	return report, err
 }
 
-// GC drops results that are past their life at a time, in milliseconds since 1970,
-// and compacts until nothing dead is left in what was closed.
-func (s *Store) GC(now int64) (dropped int, err error) {
-	var past []uint64
-	if err := s.index.Each(func(m *Meta) error {
-		if m.ExpiresMillis <= now {
-			past = append(past, m.Result)
+// GC deletes the results that expire at or before a time, in milliseconds since 1970, and compacts
+// until almost nothing dead is left in the closed segments. It returns the number of deleted results.
+func (s *Store) GC(nowMillis int64) (dropped int, err error) {
+	var expired []uint64
+	if err := s.index.Each(func(meta *Meta) error {
+		if meta.ExpiresMillis <= nowMillis {
+			expired = append(expired, meta.Result)
 		}
 		return nil
 	}); err != nil {
 		return 0, err
 	}
-	for l := range slices.Chunk(past, 512) {
-		s.drop(l)
-		dropped += len(l)
+	for chunk := range slices.Chunk(expired, 512) {
+		s.dropResults(chunk)
+		dropped += len(chunk)
 		if err := s.checkpoint(); err != nil {
 			return dropped, err
 		}
 	}
-	s.terms.CompactionGarbageRatio = 0.01
+	s.options.CompactionGarbageRatio = 0.01
 	for {
 		if more, err := s.Tick(); err != nil || !more {
 			return dropped, err
--- a/internal/setup/spool.go
+++ b/internal/setup/spool.go
@@ -101,7 +101,8 @@
 	var text []byte
 	if s.Directory != "" {
 		var err error
-		if disk, err = resultstore.OpenSpoolStore(s.Directory, resultstore.Options{Sync: syncs[s.Sync]}); err != nil {
+		if disk, err = resultstore.OpenSpoolStore(s.Directory,
+			resultstore.Options{Sync: syncs[s.Sync]}); err != nil {
 			return nil, err
 		}
 		f := &disk.Recovery
