--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -88,7 +88,7 @@
 	c.readCustomers()
 	c.scheduler = scheduler.New(c, config.Seed, config.Settings)
 	if len(config.InitialEndpoints) > 0 {
-		err := discovery.Known(config.InitialEndpoints, c)
+		err := discovery.ReadSnapshot(config.InitialEndpoints, c)
 		if err != nil {
 			c.logMessage(true, "cannot read the initial endpoint list: "+err.Error())
 		}
@@ -148,7 +148,7 @@
 			c.servingLease.invalidator = c.invalidation
 		}
 		if c.paging != nil {
-			c.paging.core.Serves = c.servingLease.residency.mayServe
+			c.paging.core.MayServe = c.servingLease.residency.mayServe
 		}
 	}
 }
--- a/internal/controller/invalidation_test.go
+++ b/internal/controller/invalidation_test.go
@@ -30,7 +30,7 @@
 func newRetainingWorldOn(t *testing.T, d *disk.Disk, x *disk.Index, state *fleet.ServingState,
 	change ...func(*controller.Config)) *spoolWorld {
 	small := testLimits()
-	small.Memory = 200 << 10
+	small.MaxMemoryBytes = 200 << 10
 	return newSpoolWorld(t, d, x, small, nil, func(m *controller.Config) {
 		l := resultcache.DefaultLimits()
 		m.CacheLimits = &l
@@ -302,7 +302,7 @@
 		!bytes.Equal(equal[2].Rows, equal[1].Rows) {
 		t.Fatal("no follower became the leader")
 	}
-	if line := s.R.ResultCache().Text(); !strings.Contains(line, "hits 5 followed 22") {
+	if line := s.R.ResultCache().CountersText(); !strings.Contains(line, "hits 5 followed 22") {
 		t.Error(line)
 	}
 }
--- a/internal/controller/result_cache.go
+++ b/internal/controller/result_cache.go
@@ -58,7 +58,7 @@
 
 // allTables returns the table groups that a statement reads or writes, or nil if any of them is unknown.
 func allTables(statement []byte) []int64 {
-	read, written, known := msgpackrpc.AllTables(statement)
+	read, written, known := msgpackrpc.TableGroups(statement)
 	if !known {
 		return nil
 	}
@@ -73,7 +73,7 @@
 // noteMutation tracks a query that changes tables from its receipt on.
 func (a *resultCaching) noteMutation(q *query) {
 	if q.group.isLoad || !q.group.readOnly {
-		_, written, known := msgpackrpc.AllTables(q.statement)
+		_, written, known := msgpackrpc.TableGroups(q.statement)
 		if !known {
 			written = nil
 		}
@@ -89,13 +89,13 @@
 		return true
 	}
 	state := &queryCacheState{request: &resultcache.Request{
-		Team:      a.dataOwner(from),
-		Group:     q.group.index,
-		Statement: q.statement,
-		Tables:    allTables(q.statement),
-		Index:     a.invalidation.currentIndex(),
-		Until:     q.deadline - answerMargin,
-		Of:        q,
+		Team:       a.dataOwner(from),
+		Group:      q.group.index,
+		Statement:  q.statement,
+		Tables:     allTables(q.statement),
+		LogIndex:   a.invalidation.currentIndex(),
+		Deadline:   q.deadline - answerMargin,
+		CallerData: q,
 	}}
 	verdict, pages := a.core.Lookup(a.now, state.request)
 	switch verdict {
@@ -107,7 +107,7 @@
 		from.Fields = from.Fields.Clone() // the fields point into the connection's buffer
 		q.cacheState = state
 		state.proceed = func() { proceed(from) }
-		state.followTimer = a.timers.Add(max(a.now, state.request.Until), func() { a.answerDeferred(q, 0) })
+		state.followTimer = a.timers.Add(max(a.now, state.request.Deadline), func() { a.answerDeferred(q, 0) })
 		return false
 	case resultcache.Lead:
 		q.cacheState = state
@@ -128,7 +128,7 @@
 		return nil
 	}
 	for _, follower := range a.core.Complete(a.now, q.cacheState.request, pages) {
-		followers = append(followers, follower.Of.(*query))
+		followers = append(followers, follower.CallerData.(*query))
 	}
 	return followers
 }
@@ -139,7 +139,7 @@
 		return
 	}
 	a.timers.Cancel(q.cacheState.followTimer)
-	a.promote(a.core.Leave(a.now, q.cacheState.request))
+	a.promote(a.core.Abandon(a.now, q.cacheState.request))
 }
 
 // queryOver ends the tracking of a mutating query, no attempt of which is in flight any more.
@@ -154,7 +154,7 @@
 	if next == nil {
 		return
 	}
-	q := next.Of.(*query)
+	q := next.CallerData.(*query)
 	a.timers.Cancel(q.cacheState.followTimer)
 	a.enqueueCallback(func() {
 		if !q.answered {
--- a/internal/eventloop/spool_worker.go
+++ b/internal/eventloop/spool_worker.go
@@ -11,11 +11,11 @@
 // adding to it never blocks the controller.
 type spoolWorkQueue struct {
 	mu    sync.Mutex
-	items []*spool.Work
+	items []*spool.DiskTask
 	ready chan struct{}
 }
 
-func (q *spoolWorkQueue) add(work *spool.Work) {
+func (q *spoolWorkQueue) add(work *spool.DiskTask) {
 	q.mu.Lock()
 	q.items = append(q.items, work)
 	q.mu.Unlock()
@@ -25,7 +25,7 @@
 	}
 }
 
-func (q *spoolWorkQueue) take() []*spool.Work {
+func (q *spoolWorkQueue) take() []*spool.DiskTask {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	items := q.items
@@ -34,7 +34,7 @@
 }
 
 // submitSpoolWork starts a read in its own goroutine, and queues all other work in order.
-func (l *loop) submitSpoolWork(work *spool.Work) {
+func (l *loop) submitSpoolWork(work *spool.DiskTask) {
 	if work.Fetch == nil {
 		l.spoolWork.add(work)
 		return
@@ -47,7 +47,7 @@
 }
 
 // reportSpoolWorkDone passes finished work to the controller.
-func (l *loop) reportSpoolWorkDone(work *spool.Work) {
+func (l *loop) reportSpoolWorkDone(work *spool.DiskTask) {
 	select {
 	case l.events <- event{Event: controller.Event{Kind: controller.SpoolWorkDone, SpoolWork: work}}:
 	case <-l.ctx.Done():
@@ -56,7 +56,7 @@
 
 // runSpoolWriter performs the queued work until the loop ends.
 func (l *loop) runSpoolWriter() error {
-	queue := make(chan *spool.Work)
+	queue := make(chan *spool.DiskTask)
 	l.group.Go(func() error {
 		defer close(queue)
 		for {
--- a/internal/fleet/storage/golden_test.go
+++ b/internal/fleet/storage/golden_test.go
@@ -11,10 +11,11 @@
 	"railrelay.dev/railrelay/internal/goldentest"
 )
 
-// buckets are all keys and values of a file, by bucket.
-func buckets(t *testing.T, dir string) map[string]map[string]string {
+// readBuckets returns all keys and values of a directory's file, by bucket.
+func readBuckets(t *testing.T, dir string) map[string]map[string]string {
 	t.Helper()
-	db, err := bbolt.Open(filepath.Join(dir, fileName), 0o600, &bbolt.Options{ReadOnly: true, Timeout: time.Second})
+	db, err := bbolt.Open(filepath.Join(dir, fileName), 0o600,
+		&bbolt.Options{ReadOnly: true, Timeout: time.Second})
 	must(t, err)
 	defer db.Close()
 	all := map[string]map[string]string{}
@@ -33,11 +34,11 @@
 
 func TestGoldenDirectoryIsRead(t *testing.T) {
 	dir := goldentest.Copy(t, "directory")
-	d, found := open(t, Options{}, dir)
-	want := goldenFound()
+	d, got := open(t, Options{}, dir)
+	want := goldenContents()
 	goldentest.EveryFieldSet(t, goldentest.CBOR, want.Persistent.Snapshot, want.Persistent.Entries)
-	if diff := cmp.Diff(want, found); diff != "" {
-		t.Errorf("what it holds (-want +got):\n%s", diff)
+	if diff := cmp.Diff(want, got); diff != "" {
+		t.Errorf("content (-want +got):\n%s", diff)
 	}
 	must(t, d.Claim(want.Owner))
 	for key, note := range want.Notes {
@@ -47,13 +48,13 @@
 	}
 }
 
-// TestGoldenDirectoryIsWritten compares what the files hold: how the library lays pages out
-// isn't this program's to say.
+// TestGoldenDirectoryIsWritten compares keys and values and not bytes, since the library decides the
+// layout of the pages.
 func TestGoldenDirectoryIsWritten(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "directory")
 	must(t, writeGolden(dir))
-	want := buckets(t, goldentest.Copy(t, "directory"))
-	if diff := cmp.Diff(want, buckets(t, dir)); diff != "" {
+	want := readBuckets(t, goldentest.Copy(t, "directory"))
+	if diff := cmp.Diff(want, readBuckets(t, dir)); diff != "" {
 		t.Errorf("keys and values (-want +got):\n%s", diff)
 	}
 }
--- a/internal/fleet/transport/golden_test.go
+++ b/internal/fleet/transport/golden_test.go
@@ -9,59 +9,59 @@
 	"railrelay.dev/railrelay/internal/goldentest"
 )
 
-// cut separates a golden file's bytes from the MAC that stands behind them.
-func cut(t *testing.T, text []byte) (body, sum []byte) {
+// splitMAC splits the text of a golden file into the encoded value and the MAC that follows it.
+func splitMAC(t *testing.T, text []byte) (body, sum []byte) {
 	t.Helper()
 	const macBytes = 32
 	if len(text) <= macBytes {
-		t.Fatalf("%d bytes are too few", len(text))
+		t.Fatalf("%d bytes are too few for a value and its MAC", len(text))
 	}
 	return text[:len(text)-macBytes], text[len(text)-macBytes:]
 }
 
-func TestGoldenFramesAreReadAndWritten(t *testing.T) {
-	values := []any{&goldenAnswer, &goldenAsked}
+func TestGoldenFramesAreDecodedAndEncoded(t *testing.T) {
+	values := []any{&goldenFrameResponse, &goldenSignedMessage}
 	for kind, message := range goldenMessages() {
 		values = append(values, message, goldenFrame(message))
 		t.Run(kind, func(t *testing.T) {
 			name := "frame_" + kind
-			body, sum := cut(t, goldentest.File(t, name))
-			got, refused := authenticate(goldenKeys, body, sum, "test")
-			if refused != nil {
-				t.Fatal(refused)
+			body, sum := splitMAC(t, goldentest.File(t, name))
+			got, rejection := authenticate(goldenKeys, body, sum, "test")
+			if rejection != nil {
+				t.Fatal(rejection)
 			}
 			want := goldenFrame(message)
 			if diff := cmp.Diff(want, got); diff != "" {
 				t.Errorf("the frame (-want +got):\n%s", diff)
 			}
-			messages, refused := got.messages()
-			if refused != nil {
-				t.Fatal(refused)
+			messages, rejection := got.decodeMessages()
+			if rejection != nil {
+				t.Fatal(rejection)
 			}
 			if diff := cmp.Diff([]*node.Message{message}, messages); diff != "" {
-				t.Errorf("its messages (-want +got):\n%s", diff)
+				t.Errorf("the messages of the frame (-want +got):\n%s", diff)
 			}
 			again := encode(want)
-			goldentest.Same(t, name, append(again, goldenKeys.sign(forFrame, again)...))
+			goldentest.Same(t, name, append(again, goldenKeys.sign(purposeFrame, again)...))
 		})
 	}
 	goldentest.EveryFieldSet(t, goldentest.CBOR, values...)
 }
 
-func TestGoldenAnswersAndAsksAreReadAndWritten(t *testing.T) {
+func TestGoldenResponsesAndRequestsAreDecodedAndEncoded(t *testing.T) {
 	for _, c := range []struct {
 		name, purpose string
 		want, got     any
 	}{
-		{"answer", forAnswer, &goldenAnswer, &answer{}},
-		{"asked", forAsk, &goldenAsked, &signedRequest{}},
-		{"replied", forReply, &goldenAsked, &signedRequest{}},
+		{"answer", purposeFrameResponse, &goldenFrameResponse, &frameResponse{}},
+		{"asked", purposeRequest, &goldenSignedMessage, &signedMessage{}},
+		{"replied", purposeResponse, &goldenSignedMessage, &signedMessage{}},
 	} {
-		body, sum := cut(t, goldentest.File(t, c.name))
+		body, sum := splitMAC(t, goldentest.File(t, c.name))
 		if !goldenKeys.verify(c.purpose, body, sum) {
-			t.Errorf("%s: its MAC doesn't fit", c.name)
+			t.Errorf("%s: the MAC doesn't verify", c.name)
 		}
-		if err := decoding.Unmarshal(body, c.got); err != nil {
+		if err := decMode.Unmarshal(body, c.got); err != nil {
 			t.Fatal(err)
 		}
 		if diff := cmp.Diff(c.want, c.got); diff != "" {
--- a/internal/resultstore/erase_test.go
+++ b/internal/resultstore/erase_test.go
@@ -20,27 +20,28 @@
 
 // putResult writes the pages of a result of a tenant, and commits it if commit is set.
 func putResult(t testing.TB, store *resultstore.SpoolStore, result uint64, tenant string, commit bool) {
-	work := &spool.Work{}
+	work := &spool.DiskTask{}
 	var rows []uint32
 	for i := range 3 {
-		work.Pages = append(work.Pages, spool.Page{Result: result, Number: uint32(i),
+		work.Pages = append(work.Pages, spool.Page{ResultID: result, Number: uint32(i),
 			Body: append(rowMarker(tenant), make([]byte, 200)...)})
 		rows = append(rows, 1)
 	}
 	if commit {
-		work.Promise = &spool.Promise{Result: result, Query: fmt.Sprintf("%016x", result), Team: tenant, Made: 1,
-			Ends: 1 << 50, Rows: rows, Tag: spool.Tag{Index: result, Tables: []int64{int64(result), -1},
+		work.Metadata = &spool.Metadata{ResultID: result, Query: fmt.Sprintf("%016x", result), Team: tenant,
+			CreatedWall: 1, ExpiresWall: 1 << 50, PageRows: rows,
+			InvalidationTag: spool.InvalidationTag{LogIndex: result, Tables: []int64{int64(result), -1},
 				Owner: tenant}}
 	}
-	if store.Write([]*spool.Work{work}); work.Err != nil {
+	if store.Write([]*spool.DiskTask{work}); work.Err != nil {
 		t.Fatal(work.Err)
 	}
 }
 
 // erase deletes results and calls Tick until they are erased.
 func erase(t testing.TB, store *resultstore.SpoolStore, results []uint64) {
-	work := &spool.Work{Erase: true}
-	store.Write([]*spool.Work{{Drop: results}, work})
+	work := &spool.DiskTask{Erase: true}
+	store.Write([]*spool.DiskTask{{Drop: results}, work})
 	for range 1000 {
 		if _, err := store.Tick(); err != nil {
 			continue // the next Tick retries
@@ -55,12 +56,12 @@
 // countResults returns the results of the purged tenant, and the number of other results, whose
 // descriptions it checks.
 func countResults(t testing.TB, store *resultstore.SpoolStore) (purged []uint64, others int) {
-	if err := store.Restore(func(f *spool.Found) {
+	if err := store.Restore(func(f *spool.StoredResult) {
 		if f.Team == purgedTenant {
-			purged = append(purged, f.Result)
-		} else if others++; f.Index != f.Result || len(f.Tables) != 2 || f.Tables[0] != int64(f.Result) ||
+			purged = append(purged, f.ResultID)
+		} else if others++; f.LogIndex != f.ResultID || len(f.Tables) != 2 || f.Tables[0] != int64(f.ResultID) ||
 			f.Tables[1] != -1 || f.Owner != f.Team {
-			t.Fatalf("the fields by which a purge selects results are lost: %+v", f.Promise)
+			t.Fatalf("the fields by which a purge selects results are lost: %+v", f.Metadata)
 		}
 	}); err != nil {
 		t.Fatal(err)
@@ -88,7 +89,7 @@
 		}
 		putResult(t, k, id, purgedTenant, id%3 != 0) // some are never committed
 		if id%5 == 0 {                               // deleted long before the erasure
-			k.Write([]*spool.Work{{Drop: []uint64{id}}})
+			k.Write([]*spool.DiskTask{{Drop: []uint64{id}}})
 		} else {
 			purged = append(purged, id)
 		}
--- a/internal/resultstore/golden_test.go
+++ b/internal/resultstore/golden_test.go
@@ -27,8 +27,8 @@
 		len(got.Lost) != 0 || got.OrphanFiles != 0 {
 		t.Errorf("recovery: %+v", got)
 	}
-	var got []*spool.Found
-	if err := store.Restore(func(f *spool.Found) { got = append(got, f) }); err != nil {
+	var got []*spool.StoredResult
+	if err := store.Restore(func(f *spool.StoredResult) { got = append(got, f) }); err != nil {
 		t.Fatal(err)
 	}
 	want := goldenResults()
@@ -36,10 +36,10 @@
 		t.Errorf("results (-want +got):\n%s", diff)
 	}
 	for _, found := range want {
-		for number := range found.Rows {
-			body, err := store.Fetch(found.Result, number)
-			if err != nil || string(body) != string(goldenPageBody(found.Result, number)) {
-				t.Errorf("page %d of result %d: %q, %v", number, found.Result, body, err)
+		for number := range found.PageRows {
+			body, err := store.Fetch(found.ResultID, number)
+			if err != nil || string(body) != string(goldenPageBody(found.ResultID, number)) {
+				t.Errorf("page %d of result %d: %q, %v", number, found.ResultID, body, err)
 			}
 		}
 	}
@@ -57,8 +57,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if string(keys.Text()) != string(text) {
-		t.Errorf("keys: got %s, want %s", keys.Text(), text)
+	if string(keys.Encode()) != string(text) {
+		t.Errorf("keys: got %s, want %s", keys.Encode(), text)
 	}
 }
 
@@ -73,8 +73,8 @@
 		t.Fatal(err)
 	}
 	defer store.Close()
-	var got []*spool.Found
-	if err := store.Restore(func(f *spool.Found) { got = append(got, f) }); err != nil {
+	var got []*spool.StoredResult
+	if err := store.Restore(func(f *spool.StoredResult) { got = append(got, f) }); err != nil {
 		t.Fatal(err)
 	}
 	if diff := cmp.Diff(goldenResults(), got); diff != "" || !store.Recovery.IndexRebuilt {
--- a/internal/resultstore/spool_store.go
+++ b/internal/resultstore/spool_store.go
@@ -20,7 +20,7 @@
 	Recovery   Recovery
 	files      Files
 	dir        *Dir
-	erasedWork []*spool.Work // finished, and not returned by TakeErased yet
+	erasedWork []*spool.DiskTask // finished, and not returned by TakeErased yet
 }
 
 // OpenSpoolStore locks a directory and opens the store in it. It returns ErrInUse if another process has
@@ -67,41 +67,43 @@
 func (s *SpoolStore) SaveKeys(text []byte) error { return s.files.Replace(keysName, text) }
 
 // Restore calls visit for each committed result.
-func (s *SpoolStore) Restore(visit func(f *spool.Found)) error {
+func (s *SpoolStore) Restore(visit func(f *spool.StoredResult)) error {
 	return s.Each(func(meta *Meta) error {
-		visit(&spool.Found{Promise: spool.Promise{Result: meta.Result, Query: meta.QueryID, Team: meta.Tenant,
-			Made: meta.CreatedMillis, Ends: meta.ExpiresMillis, Rows: meta.PageRows,
-			Tag: spool.Tag{Index: meta.FleetIndex, Tables: meta.TableGroups, Owner: meta.Owner}},
-			Bytes: meta.PageBytes})
+		visit(&spool.StoredResult{Metadata: spool.Metadata{ResultID: meta.Result, Query: meta.QueryID,
+			Team:        meta.Tenant,
+			CreatedWall: meta.CreatedMillis, ExpiresWall: meta.ExpiresMillis, PageRows: meta.PageRows,
+			InvalidationTag: spool.InvalidationTag{LogIndex: meta.FleetIndex,
+				Tables: meta.TableGroups, Owner: meta.Owner}},
+			PageBytes: meta.PageBytes})
 		return nil
 	})
 }
 
 // Read fetches a page.
-func (s *SpoolStore) Read(work *spool.Work) {
-	work.Body, work.Err = s.Fetch(work.Fetch.Result, work.Fetch.Page)
+func (s *SpoolStore) Read(work *spool.DiskTask) {
+	work.FetchedPage, work.Err = s.Fetch(work.Fetch.ResultID, work.Fetch.Page)
 }
 
 // Write performs all work other than fetches, in order, with one sync. It only requests erasures;
 // TakeErased returns their work once it is done.
-func (s *SpoolStore) Write(works []*spool.Work) {
+func (s *SpoolStore) Write(works []*spool.DiskTask) {
 	jobs := make([]*Job, 0, len(works))
 	for _, work := range works {
 		job := &Job{Drop: work.Drop}
 		for _, page := range work.Pages {
-			job.Pages = append(job.Pages, Record{Kind: PageRecord, Result: page.Result, Page: page.Number,
+			job.Pages = append(job.Pages, Record{Kind: PageRecord, Result: page.ResultID, Page: page.Number,
 				Body: page.Body})
 		}
-		if promise := work.Promise; promise != nil {
-			job.Commit = &Meta{Result: promise.Result, QueryID: promise.Query, Tenant: promise.Team,
-				CreatedMillis: promise.Made, ExpiresMillis: promise.Ends, PageRows: promise.Rows,
-				FleetIndex: promise.Index, TableGroups: promise.Tables, Owner: promise.Owner}
+		if metadata := work.Metadata; metadata != nil {
+			job.Commit = &Meta{Result: metadata.ResultID, QueryID: metadata.Query, Tenant: metadata.Team,
+				CreatedMillis: metadata.CreatedWall, ExpiresMillis: metadata.ExpiresWall, PageRows: metadata.PageRows,
+				FleetIndex: metadata.LogIndex, TableGroups: metadata.Tables, Owner: metadata.Owner}
 		}
 		jobs = append(jobs, job)
 	}
 	s.Do(jobs)
 	for i, work := range works {
-		if work.Err, work.Total = jobs[i].Err, jobs[i].Total; work.Keys != nil {
+		if work.Err, work.BytesOnDisk = jobs[i].Err, jobs[i].Total; work.Keys != nil {
 			work.Err = s.SaveKeys(work.Keys)
 		}
 		if work.Erase {
@@ -111,18 +113,18 @@
 }
 
 // TakeErased returns the erasure work that was finished since the last call.
-func (s *SpoolStore) TakeErased() []*spool.Work {
+func (s *SpoolStore) TakeErased() []*spool.DiskTask {
 	erased := s.erasedWork
 	s.erasedWork = nil
 	for _, work := range erased {
-		work.Total = s.TotalBytes()
+		work.BytesOnDisk = s.TotalBytes()
 	}
 	return erased
 }
 
 // Serve performs work from the channel until it is closed, and periodic maintenance. It calls done with
 // each finished work, and reportFault with errors of the maintenance.
-func (s *SpoolStore) Serve(queue <-chan *spool.Work, done func(work *spool.Work),
+func (s *SpoolStore) Serve(queue <-chan *spool.DiskTask, done func(work *spool.DiskTask),
 	reportFault func(err error)) {
 	const batch = 64
 	tick := time.NewTicker(time.Second)
@@ -139,7 +141,7 @@
 		}
 	}
 	for {
-		var works []*spool.Work
+		var works []*spool.DiskTask
 		if more { // new work takes precedence over compaction
 			select {
 			case work, ok := <-queue:
