--- a/internal/eventloop/client_disconnect_test.go
+++ b/internal/eventloop/client_disconnect_test.go
@@ -66,7 +66,7 @@
 				}
 				c := h.connect()
 				release := queue.enqueue(h, c)
-				h.log.wait(1, "taken", traceID(1))
+				h.log.wait(1, "received", traceID(1))
 				run(t, h, c, disconnect, release)
 			})
 		}
@@ -121,7 +121,7 @@
 		}
 		c := h.connect()
 		c.query("squall", 1, 15*time.Second)
-		h.log.wait(1, "taken", traceID(1))
+		h.log.wait(1, "received", traceID(1))
 		c.Close()
 		h.log.wait(1, "closed: left", traceID(1))
 		late := h.engine.calls.count("POST " + traceID(1))
--- a/internal/eventloop/lifecycle_test.go
+++ b/internal/eventloop/lifecycle_test.go
@@ -301,7 +301,7 @@
 		h.engine.calls.wait(1, "POST "+traceID(1))
 		io.WriteString(watch, endpointEvent(3, false, endpoint("e1", h.engine, "DRAINING"))+"\n")
 		held <- statusResponse(503, "X-Not-Run: 1\r\n") // the query waits for another engine, and there is none yet
-		h.log.wait(1, "told", "full", traceID(1))
+		h.log.wait(1, "reported", "full", traceID(1))
 		c.cancel()
 		h.log.wait(1, "closed: left", traceID(1))
 		io.WriteString(watch, endpointEvent(4, false, endpoint("e2", other, "SERVING"))+"\n")
