--- a/internal/discovery/list.go
+++ b/internal/discovery/list.go
@@ -1,5 +1,5 @@
-// Package discovery reads the feed of the engine list and writes what is asked of
-// it, over bytes only.
+// Package discovery decodes the feed of the engine list and encodes subscriptions to it. It works on byte
+// slices and does no I/O.
 package discovery
 
 import (
@@ -11,37 +11,40 @@
 	"railrelay.dev/railrelay/internal/scheduler"
 )
 
-var errForm = errors.New("not a line of the feed")
+var errInvalidLine = errors.New("invalid line of the engine list feed")
 
-// Hearer is handed what the list says.
+// Handler receives the events of the engine list.
 type Handler interface {
-	// Event opens an event; false if it is not the one that comes next.
-	BeginEvent(number int64, whole bool) bool
+	// BeginEvent begins an event. A complete event lists all engines. If BeginEvent returns false, the event is
+	// skipped because it is not the next one.
+	BeginEvent(number int64, complete bool) bool
+	// Engine delivers one engine of the event.
 	Engine(id, address, location, kind string, cell int, state scheduler.EngineState, startedMs int64)
+	// EndEvent ends the event.
 	EndEvent()
-	// Last is the number of the newest event there is.
+	// LatestEvent reports the number of the latest event.
 	LatestEvent(number int64)
-	// Odd is an entry that can't be used; the rest of its event can.
-	InvalidEntry(why string)
+	// InvalidEntry reports an invalid entry. The other entries of the event are still delivered.
+	InvalidEntry(reason string)
 }
 
-// Since writes the call for all that comes after an event.
+// AppendSubscribe appends the subscription to all events after the given one.
 func AppendSubscribe(dst []byte, number int64) []byte {
 	return append(strconv.AppendInt(append(dst, "SUB "...), number, 10), '\n')
 }
 
-// Read hands over the first line if all of it is there, and says how many
-// bytes it took: 0 while it isn't. With an error they are those of a line that
-// can't be used and may be passed over, 0 where there is no end of it.
-func Read(p []byte, most int, h Handler) (int, error) {
-	end := bytes.IndexByte(p, '\n')
+// Read passes the first line in data to h and returns the number of bytes of that line, 0 if the line is
+// incomplete. With an error, that number of bytes belongs to an invalid line, which the caller may skip;
+// it is 0 if the line is longer than maxBytes.
+func Read(data []byte, maxBytes int, h Handler) (int, error) {
+	end := bytes.IndexByte(data, '\n')
 	if end < 0 {
-		if len(p) > most {
-			return 0, errForm
+		if len(data) > maxBytes {
+			return 0, errInvalidLine
 		}
 		return 0, nil
 	}
-	if line := bytes.TrimSpace(p[:end]); len(line) > 0 {
+	if line := bytes.TrimSpace(data[:end]); len(line) > 0 {
 		if err := readEvent(line, h); err != nil {
 			return end + 1, err
 		}
@@ -49,25 +52,25 @@
 	return end + 1, nil
 }
 
-// Known hands over the events known at the start.
-func ReadSnapshot(known []byte, h Handler) error {
-	var all struct { // an error names these keys; they are matched in any case
+// ReadSnapshot passes the events known at the start to h.
+func ReadSnapshot(snapshot []byte, h Handler) error {
+	var content struct { // keys are matched in any case; errors name them as written here
 		N      int64             `json:"N"`
 		Events []json.RawMessage `json:"Events"`
 	}
-	if err := json.Unmarshal(known, &all); err != nil {
+	if err := json.Unmarshal(snapshot, &content); err != nil {
 		return err
 	}
-	for _, e := range all.Events {
+	for _, e := range content.Events {
 		if err := readEvent(e, h); err != nil {
 			return err
 		}
 	}
-	h.LatestEvent(all.N)
+	h.LatestEvent(content.N)
 	return nil
 }
 
-// Event hands over one event, or the bare number of the last one.
+// readEvent passes one event, or the bare number of the latest event, to h.
 func readEvent(line []byte, h Handler) error {
 	if n, err := strconv.ParseInt(string(line), 10, 64); err == nil {
 		h.LatestEvent(n)
@@ -81,7 +84,7 @@
 		} `json:"members"`
 	}
 	if err := json.Unmarshal(line, &event); err != nil || event.N == nil {
-		return errForm
+		return errInvalidLine
 	}
 	if event.Members == nil {
 		h.LatestEvent(*event.N)
@@ -91,13 +94,14 @@
 		return nil
 	}
 	for _, m := range event.Members.Members {
-		entry(m, h)
+		readEntry(m, h)
 	}
 	h.EndEvent()
 	return nil
 }
 
-func entry(line []byte, h Handler) {
+// readEntry passes one engine of an event to h.
+func readEntry(line []byte, h Handler) {
 	var e struct {
 		ID       string  `json:"id"`
 		HostPort string  `json:"host_port"`
@@ -108,26 +112,27 @@
 		Up       float64 `json:"up_since_ms"`
 	}
 	err := json.Unmarshal(line, &e)
-	state, known := states[e.Phase]
+	state, known := engineStates[e.Phase]
 	switch {
 	case err != nil:
-		h.InvalidEntry("an entry that can't be read")
+		h.InvalidEntry("malformed entry")
 	case e.ID == "":
-		h.InvalidEntry("an entry without an id")
+		h.InvalidEntry("entry without an id")
 	case !known:
-		h.InvalidEntry("engine " + e.ID + ", of unknown state " + strconv.Quote(e.Phase))
+		h.InvalidEntry("engine " + e.ID + " has unknown phase " + strconv.Quote(e.Phase))
 	case e.HostPort == "" && state == scheduler.EngineActive:
-		h.InvalidEntry("engine " + e.ID + ", which has no address")
+		h.InvalidEntry("engine " + e.ID + " has no address")
 	default:
-		if e.Up < 0 || e.Up > startMost {
-			h.InvalidEntry("engine " + e.ID + ", whose start is out of range: taken as not told")
+		if e.Up < 0 || e.Up > maxStartMillis {
+			h.InvalidEntry("engine " + e.ID + " has an out-of-range start time, which is ignored")
 			e.Up = 0
 		}
 		h.Engine(e.ID, e.HostPort, e.Locality, e.Flavor, e.Cell, state, int64(e.Up))
 	}
 }
 
-// startMost bounds the milliseconds of a start, in the year 2255: beyond it spans overflow.
-const startMost = 9e12
+// maxStartMillis is the latest start time, in the year 2255. Later ones would overflow a duration.
+const maxStartMillis = 9e12
 
-var states = map[string]scheduler.EngineState{"SERVING": scheduler.EngineActive, "DRAINING": scheduler.EngineDraining, "DELETED": scheduler.EngineRemoved}
+var engineStates = map[string]scheduler.EngineState{"SERVING": scheduler.EngineActive,
+	"DRAINING": scheduler.EngineDraining, "DELETED": scheduler.EngineRemoved}
--- a/internal/enginehttp/engines.go
+++ b/internal/enginehttp/engines.go
@@ -10,28 +10,31 @@
 	"railrelay.dev/railrelay/internal/settings"
 )
 
-// Submit writes the call that starts a statement; token "": none goes with it.
-func AppendSubmit(dst []byte, host, id, group, token string, within time.Duration, grantMB, priority int, statement []byte) []byte {
-	dst = start(dst, "POST", "/o", host)
-	dst = put(dst, "X-Req", id)
-	dst = put(dst, "X-Class", group)
+// AppendSubmit appends the request that submits a statement. It sends no idempotency key if token is empty,
+// no memory grant if grantMB is 0, and no priority if priority is negative.
+func AppendSubmit(dst []byte, host, id, group, token string,
+	timeout time.Duration, grantMB, priority int, statement []byte) []byte {
+	dst = appendRequestLine(dst, "POST", "/o", host)
+	dst = appendHeader(dst, "X-Req", id)
+	dst = appendHeader(dst, "X-Class", group)
 	if token != "" {
-		dst = put(dst, "Idempotency-Key", token)
+		dst = appendHeader(dst, "Idempotency-Key", token)
 	}
-	dst = put(dst, "X-Wait-Ms", strconv.FormatInt(max(1, within.Milliseconds()), 10))
+	dst = appendHeader(dst, "X-Wait-Ms", strconv.FormatInt(max(1, timeout.Milliseconds()), 10))
 	if grantMB > 0 {
-		dst = put(dst, "Pool-Mb", strconv.Itoa(grantMB))
+		dst = appendHeader(dst, "Pool-Mb", strconv.Itoa(grantMB))
 	}
 	if priority >= 0 {
-		dst = put(dst, "Pool-Rank", strconv.Itoa(priority))
+		dst = appendHeader(dst, "Pool-Rank", strconv.Itoa(priority))
 	}
 	if statement == nil {
 		statement = []byte{}
 	}
-	return finish(dst, statement)
+	return appendBody(dst, statement)
 }
 
-// Sendable reports whether a value can stand in a field as it is, without an end of the line or of itself in it.
+// IsHeaderValue reports whether a value can be sent in a header unchanged: at most 256 printable ASCII
+// characters without spaces.
 func IsHeaderValue(value []byte) bool {
 	for _, b := range value {
 		if b <= ' ' || b > '~' {
@@ -41,42 +44,46 @@
 	return len(value) <= 256
 }
 
-// Ask writes the call for a query's news, page 0, or a further page.
+// AppendPoll appends the request for the state of a query, page 0, or for a further page of its result.
 func AppendPoll(dst []byte, host, id string, page int) []byte {
-	return finish(start(dst, "GET", "/o/"+id+"/"+strconv.Itoa(page), host), nil)
+	return appendBody(appendRequestLine(dst, "GET", "/o/"+id+"/"+strconv.Itoa(page), host), nil)
 }
 
-// Rank writes the call that changes a query's priority.
+// AppendSetPriority appends the request that changes the priority of a query.
 func AppendSetPriority(dst []byte, host, id string, priority int) []byte {
-	return finish(start(dst, "PUT", "/o/"+id, host), strconv.AppendInt(nil, int64(priority), 10))
+	return appendBody(appendRequestLine(dst, "PUT", "/o/"+id, host), strconv.AppendInt(nil, int64(priority), 10))
 }
 
-// GiveUp writes the call that ends a query.
+// AppendCancel appends the request that cancels a query.
 func AppendCancel(dst []byte, host, id string) []byte {
-	return finish(start(dst, "DELETE", "/o/"+id, host), nil)
+	return appendBody(appendRequestLine(dst, "DELETE", "/o/"+id, host), nil)
 }
 
-// Probe writes a look at an engine, with its load where it tells that.
+// AppendProbe appends a health check request. If load is set, it also requests a load report.
 func AppendProbe(dst []byte, host string, load bool) []byte {
 	path := "/ping"
 	if load {
 		path = "/stats"
 	}
-	return finish(start(dst, "GET", path, host), nil)
+	return appendBody(appendRequestLine(dst, "GET", path, host), nil)
 }
 
-// Hearer is handed what an engine's answer says of a query.
+// ResponseHandler receives the content of an engine's response for a query.
 type ResponseHandler interface {
+	// Running reports that the query is still running.
 	Running()
+	// Note reports the progress of a running query or the reason why it waits.
 	Note(sign scheduler.NoteKind, x float64)
+	// Page delivers a page of the result, which has `of` pages if number is 0.
 	Page(number, of int, rows []byte)
-	// Finished comes with page 0: the work and memory that were needed.
+	// Finished reports the work and the memory that the query needed. It precedes page 0.
 	Finished(work time.Duration, memoryMB float64)
+	// Ended reports that the query ended without a result.
 	Ended(outcome scheduler.Outcome)
 }
 
-// Fits reports whether the answer is one to the call for a page (0: the news, Submit's too).
-// What does not fit is spoilt, or belongs to another call: it says nothing.
+// IsQueryResponse reports whether a response answers the request for a page, or for page 0 also a submission.
+// Any other response is corrupt or belongs to another request, and says nothing about the query.
 func IsQueryResponse(page, status int, field func(string) string, body []byte) bool {
 	switch {
 	case status == 202:
@@ -89,25 +96,27 @@
 		name = "Chunk"
 	}
 	number, err := strconv.Atoi(field(name))
-	return err == nil && wholeRows(body) && number <= resultMost &&
+	return err == nil && areCompleteRows(body) && number <= maxPages &&
 		(page == 0 && number >= 1 || page > 0 && number == page)
 }
 
-// FitsDone is the same for a change of priority and for giving up, FitsProbe for a probe.
+// IsCommandResponse reports whether a response answers a change of priority or a cancellation. Statuses 200 and
+// 202 only answer polls.
 func IsCommandResponse(status int, _ func(string) string, _ []byte) bool {
 	return status != 200 && status != 202
 }
 
+// IsProbeResponse reports whether a response answers a health check.
 func IsProbeResponse(status int, field func(string) string, _ []byte) bool {
 	return (status == 200 || status == 503) && field("Chunks") == "" && field("Chunk") == ""
 }
 
-// resultMost bounds the pages of a result, each of which has a row at least.
-const resultMost = 48_000
+// maxPages limits the pages of a result, each of which has at least one row.
+const maxPages = 48_000
 
-// figure reads a number that can be one: what is no number, or endless, would
-// stay in every mean it got into.
-func figure(text string) (float64, bool) {
+// parseFigure parses a non-negative number. It rejects NaN and infinity, which would corrupt every mean that
+// includes them.
+func parseFigure(text string) (float64, bool) {
 	x, err := strconv.ParseFloat(strings.TrimSpace(text), 64)
 	if err != nil || !(x >= 0 && x < 1e12) {
 		return 0, false
@@ -115,43 +124,45 @@
 	return x, true
 }
 
-// Hear tells what an answer that fits means, to Submit or Ask for a page.
+// HandleResponse passes the content of a response to h. The response answers a submission or a poll for the
+// page and has passed IsQueryResponse.
 func HandleResponse(page int, status int, field func(string) string, body []byte, h ResponseHandler) {
-	neverRan := field("X-Not-Run") == "1"
+	notRun := field("X-Not-Run") == "1"
 	switch {
 	case status == 202:
 		h.Running()
-		x, is := figure(field("Reading"))
-		if sign, ok := signs[field("X-Cache")]; ok && is {
-			if sign == scheduler.WaitingForMemory && x == 2 {
-				sign = scheduler.WaitingForLoad
+		value, valid := parseFigure(field("Reading"))
+		if kind, ok := noteKinds[field("X-Cache")]; ok && valid {
+			if kind == scheduler.WaitingForMemory && value == 2 {
+				kind = scheduler.WaitingForLoad
 			}
-			h.Note(sign, x)
+			h.Note(kind, value)
 		}
 	case status == 200:
-		number := page
+		pages := page
 		if page == 0 {
-			number, _ = strconv.Atoi(field("Chunks"))
-			ms, _ := figure(field("Elapsed-Work"))
-			mb, _ := figure(field("High-Water"))
-			h.Finished(time.Duration(ms*float64(time.Millisecond)), mb)
+			pages, _ = strconv.Atoi(field("Chunks"))
+			workMillis, _ := parseFigure(field("Elapsed-Work"))
+			memoryMB, _ := parseFigure(field("High-Water"))
+			h.Finished(time.Duration(workMillis*float64(time.Millisecond)), memoryMB)
 		}
-		h.Page(page, number, body)
-	case status == 503 && neverRan:
+		h.Page(page, pages, body)
+	case status == 503 && notRun:
 		h.Ended(scheduler.Rejected)
-	case status == 504 && neverRan:
+	case status == 504 && notRun:
 		h.Ended(scheduler.NeverSent)
 	default:
 		h.Ended(scheduler.Failed)
 	}
 }
 
-var signs = map[string]scheduler.NoteKind{
+// noteKinds maps the values of the X-Cache header.
+var noteKinds = map[string]scheduler.NoteKind{
 	"advance": scheduler.Progress, "disk": scheduler.Spilling, "stall": scheduler.WaitingForMemory,
 }
 
-// wholeRows: every row ends, and has its three columns.
-func wholeRows(page []byte) bool {
+// areCompleteRows reports whether every row ends with a newline and has three columns.
+func areCompleteRows(page []byte) bool {
 	for len(page) > 0 {
 		end := bytes.IndexByte(page, '\n')
 		if end < 0 || bytes.Count(page[:end], []byte("\t")) != 2 {
@@ -162,7 +173,7 @@
 	return true
 }
 
-// Load is the report that an answer carries, nil if none.
+// ParseLoadReport returns the load report of a response by field name, nil if there is none.
 func ParseLoadReport(field func(string) string) map[string]float64 {
 	text := field("X-Load")
 	if text == "" {
@@ -171,9 +182,9 @@
 	report := map[string]float64{}
 	for pair := range strings.SplitSeq(text, ";") {
 		name, value, _ := strings.Cut(pair, ":")
-		x, is := figure(value)
-		if ours := settings.ReportField(strings.TrimSpace(name)); is && ours != "" {
-			report[ours] = x
+		x, valid := parseFigure(value)
+		if fieldName := settings.ReportField(strings.TrimSpace(name)); valid && fieldName != "" {
+			report[fieldName] = x
 		}
 	}
 	return report
--- a/internal/enginehttp/engines_test.go
+++ b/internal/enginehttp/engines_test.go
@@ -9,32 +9,32 @@
 	"railrelay.dev/railrelay/internal/scheduler"
 )
 
-type notes struct{ said []string }
+type recorder struct{ calls []string }
 
-func (n *notes) Running()                             { n.add("runs") }
-func (n *notes) Note(s scheduler.NoteKind, x float64) { n.add("note %d %g", s, x) }
-func (n *notes) Page(number, of int, rows []byte) {
-	n.add("page %d of %d %q", number, of, rows)
+func (n *recorder) Running()                             { n.record("runs") }
+func (n *recorder) Note(s scheduler.NoteKind, x float64) { n.record("note %d %g", s, x) }
+func (n *recorder) Page(number, of int, rows []byte) {
+	n.record("page %d of %d %q", number, of, rows)
 }
-func (n *notes) Finished(w time.Duration, mb float64) { n.add("finished %v %g", w, mb) }
-func (n *notes) Ended(o scheduler.Outcome)            { n.add("ends %d", o) }
-func (n *notes) add(form string, a ...any)            { n.said = append(n.said, fmt.Sprintf(form, a...)) }
+func (n *recorder) Finished(w time.Duration, mb float64) { n.record("finished %v %g", w, mb) }
+func (n *recorder) Ended(o scheduler.Outcome)            { n.record("ends %d", o) }
+func (n *recorder) record(form string, a ...any)         { n.calls = append(n.calls, fmt.Sprintf(form, a...)) }
 
-func hear(text string, page, step int) (string, bool, error) {
-	n, keep := &notes{}, true
+func handle(text string, page, step int) (string, bool, error) {
+	n, keep := &recorder{}, true
 	var have []byte
 	for i := 0; i < len(text); i += step {
 		have = append(have, text[i:min(i+step, len(text))]...)
 		for {
 			took, k, err := Read(have, 1<<20, func(status int, field func(string) string, body []byte) {
 				if !IsQueryResponse(page, status, field, body) {
-					n.add("unfit")
+					n.record("unfit")
 					return
 				}
 				HandleResponse(page, status, field, body, n)
 			})
 			if err != nil {
-				return strings.Join(n.said, ";"), false, err
+				return strings.Join(n.calls, ";"), false, err
 			}
 			if took == 0 {
 				break
@@ -42,10 +42,10 @@
 			have, keep = have[took:], keep && k
 		}
 	}
-	return strings.Join(n.said, ";"), keep, nil
+	return strings.Join(n.calls, ";"), keep, nil
 }
 
-func TestHear(t *testing.T) {
+func TestHandlesResponses(t *testing.T) {
 	answer := func(status int, fields, body string) string {
 		return fmt.Sprintf("HTTP/1.1 %d Some words\r\n%sContent-Length: %d\r\n\r\n%s", status, fields, len(body), body)
 	}
@@ -90,13 +90,13 @@
 		{0, "HTTP/1.1 204 No\r\n\r\n", "unfit"},
 	} {
 		for _, step := range []int{1, 7, len(c.text)} {
-			if got, keep, err := hear(c.text, c.page, step); err != nil || got != c.want || !keep {
+			if got, keep, err := handle(c.text, c.page, step); err != nil || got != c.want || !keep {
 				t.Errorf("%q by %d: %v %v %s, not %s", c.text, step, err, keep, got, c.want)
 			}
 		}
 	}
 	for _, fields := range []string{"Connection: close\r\n", "connection:Close\r\n"} {
-		if _, keep, _ := hear(answer(202, fields, ""), 0, 1000); keep {
+		if _, keep, _ := handle(answer(202, fields, ""), 0, 1000); keep {
 			t.Errorf("%q may carry another call", fields)
 		}
 	}
@@ -104,14 +104,14 @@
 		"HTTP/1.1 200 ok\r\nContent-Length: -1\r\n\r\n", "HTTP/1.1 200 ok\r\nContent-Length: 99999999999\r\n\r\n",
 		"HTTP/1.1 200 ok\r\n\r\nuntil the end",
 		"HTTP/1.1 200 ok\r\nTransfer-Encoding: gzip\r\n\r\n", "HTTP/1.1 200 ok\r\nTransfer-Encoding: chunked\r\n\r\n-1\r\n",
-		"HTTP/1.1 200 ok\r\nTransfer-Encoding: chunked\r\n\r\n1\r\nabc\r\n", "HTTP/1.1 200 ok\r\nTransfer-Encoding: chunked\r\n\r\n7fffffff\r\n", "HTTP/1.1 099 ok\r\n\r\n", strings.Repeat("x", headMost+1)} {
-		if _, _, err := hear(text, 0, len(text)); err == nil {
+		"HTTP/1.1 200 ok\r\nTransfer-Encoding: chunked\r\n\r\n1\r\nabc\r\n", "HTTP/1.1 200 ok\r\nTransfer-Encoding: chunked\r\n\r\n7fffffff\r\n", "HTTP/1.1 099 ok\r\n\r\n", strings.Repeat("x", maxHeaderBytes+1)} {
+		if _, _, err := handle(text, 0, len(text)); err == nil {
 			t.Errorf("%q was taken", text[:min(40, len(text))])
 		}
 	}
 }
 
-func TestCalls(t *testing.T) {
+func TestAppendsRequests(t *testing.T) {
 	for want, got := range map[string][]byte{
 		"POST /o HTTP/1.1\r\nHost: h:1\r\nX-Req: id\r\nX-Class: report\r\nX-Wait-Ms: 1500\r\nPool-Mb: 64\r\nPool-Rank: 2\r\nContent-Length: 8\r\n\r\nSELECT 1": AppendSubmit(nil, "h:1", "id", "report", "", 1500*time.Millisecond, 64, 2, []byte("SELECT 1")),
 		"POST /o HTTP/1.1\r\nHost: h:1\r\nX-Req: id\r\nX-Class: r\r\nX-Wait-Ms: 1\r\nContent-Length: 0\r\n\r\n":                                                AppendSubmit(nil, "h:1", "id", "r", "", 0, 0, -1, nil),
@@ -139,7 +139,7 @@
 	}
 }
 
-func TestAnswersToOtherCalls(t *testing.T) {
+func TestRefusesResponsesToOtherRequests(t *testing.T) {
 	none, rows := func(string) string { return "" }, func(name string) string { return map[string]string{"Chunks": "1"}[name] }
 	if IsCommandResponse(200, rows, nil) || IsCommandResponse(202, none, nil) || !IsCommandResponse(204, none, nil) || !IsCommandResponse(500, none, nil) {
 		t.Error("news pass for the end of giving up")
@@ -156,8 +156,8 @@
 	f.Add("HTTP/1.1 200 ok\r\nTransfer-Encoding: chunked\r\n\r\n4;x=1\r\na\tb\t\r\n2\r\nc\n\r\n0\r\nLast: word\r\n\r\n", 0)
 	f.Add("HTTP/1.1 200 ok\r\nChunk: 1\r\nContent-Length: 3\r\n\r\na\tb", 1)
 	f.Fuzz(func(t *testing.T, text string, page int) {
-		a, _, err := hear(text, page, len(text)+1)
-		b, _, err1 := hear(text, page, 1)
+		a, _, err := handle(text, page, len(text)+1)
+		b, _, err1 := handle(text, page, 1)
 		if a != b || (err == nil) != (err1 == nil) {
 			t.Fatalf("%s and %s, %v and %v", a, b, err, err1)
 		}
--- a/internal/enginehttp/http.go
+++ b/internal/enginehttp/http.go
@@ -1,5 +1,5 @@
-// Package enginehttp reads and writes what engines speak, HTTP/1.1 with one call
-// at a time on a connection, over bytes only.
+// Package enginehttp encodes requests to engines and decodes their responses. Engines use HTTP/1.1 with one
+// request at a time per connection. The package works on byte slices and does no I/O.
 package enginehttp
 
 import (
@@ -9,111 +9,112 @@
 	"strings"
 )
 
-var errForm = errors.New("not an answer of HTTP/1.1")
+var errInvalidResponse = errors.New("invalid HTTP/1.1 response")
 
-// headMost bounds what stands before a body.
-const headMost = 16 << 10
+// maxHeaderBytes limits the status line and the headers, and a chunk's size line.
+const maxHeaderBytes = 16 << 10
 
-// Read reads the first answer if all of it is there: how many bytes it took (0
-// while it isn't), and whether the connection may carry another call. An error
-// means that the connection can't be read any further.
-func Read(p []byte, most int, hear func(status int, field func(string) string, body []byte)) (int, bool, error) {
-	end := bytes.Index(p, []byte("\r\n\r\n"))
+// Read passes the first response in data to handle. It returns the number of bytes of that response, 0 if the
+// response is incomplete, and whether the connection may carry another request. After an error the connection
+// can't be read any further.
+func Read(data []byte, maxBytes int,
+	handle func(status int, field func(string) string, body []byte)) (int, bool, error) {
+	end := bytes.Index(data, []byte("\r\n\r\n"))
 	if end < 0 {
-		if len(p) > headMost {
-			return 0, false, errForm
+		if len(data) > maxHeaderBytes {
+			return 0, false, errInvalidResponse
 		}
 		return 0, false, nil
 	}
-	line, head, _ := bytes.Cut(p[:end], []byte("\r\n"))
-	if len(line) < 12 || !bytes.HasPrefix(line, []byte("HTTP/1.")) || line[8] != ' ' || len(line) > 12 && line[12] != ' ' {
-		return 0, false, errForm
+	statusLine, headers, _ := bytes.Cut(data[:end], []byte("\r\n"))
+	if len(statusLine) < 12 || !bytes.HasPrefix(statusLine, []byte("HTTP/1.")) || statusLine[8] != ' ' ||
+		len(statusLine) > 12 && statusLine[12] != ' ' {
+		return 0, false, errInvalidResponse
 	}
-	status, err := strconv.Atoi(string(line[9:12]))
+	status, err := strconv.Atoi(string(statusLine[9:12]))
 	if err != nil || status < 100 {
-		return 0, false, errForm
+		return 0, false, errInvalidResponse
 	}
-	for l := range bytes.SplitSeq(head, []byte("\r\n")) {
-		if len(head) > 0 && bytes.IndexByte(l, ':') <= 0 {
-			return 0, false, errForm
+	for l := range bytes.SplitSeq(headers, []byte("\r\n")) {
+		if len(headers) > 0 && bytes.IndexByte(l, ':') <= 0 {
+			return 0, false, errInvalidResponse
 		}
 	}
-	field := func(name string) string { return lookup(head, name) }
+	field := func(name string) string { return headerValue(headers, name) }
 	length := 0
-	body, took := []byte(nil), end+4
+	body, consumed := []byte(nil), end+4
 	if l := field("Transfer-Encoding"); l != "" {
 		if !strings.EqualFold(l, "chunked") {
-			return 0, false, errForm
+			return 0, false, errInvalidResponse
 		}
-		if body, length, err = chunks(p[took:], most); err != nil || length == 0 {
+		if body, length, err = readChunkedBody(data[consumed:], maxBytes); err != nil || length == 0 {
 			return 0, false, err
 		}
 	} else if l := field("Content-Length"); l != "" {
-		if length, err = strconv.Atoi(l); err != nil || length < 0 || length > most {
-			return 0, false, errForm
+		if length, err = strconv.Atoi(l); err != nil || length < 0 || length > maxBytes {
+			return 0, false, errInvalidResponse
 		}
 	} else if status != 204 && status != 304 && status >= 200 {
-		// an answer that only its connection's end would close can't be told
-		// from one cut short
-		return 0, false, errForm
+		// A body that ends with the connection can't be told from a truncated one.
+		return 0, false, errInvalidResponse
 	}
-	if took += length; len(p) < took {
+	if consumed += length; len(data) < consumed {
 		return 0, false, nil
 	}
 	if body == nil {
-		body = p[end+4 : took]
+		body = data[end+4 : consumed]
 	}
 	if status < 200 {
-		return took, true, nil // an interim answer; the one meant follows
+		return consumed, true, nil // an interim response; the final one follows
 	}
-	keep := line[7] == '1' && !bytes.EqualFold([]byte(field("Connection")), []byte("close"))
-	hear(status, field, body)
-	return took, keep, nil
+	keepAlive := statusLine[7] == '1' && !bytes.EqualFold([]byte(field("Connection")), []byte("close"))
+	handle(status, field, body)
+	return consumed, keepAlive, nil
 }
 
-// chunks joins a body that comes in pieces, and says how many bytes those took:
-// 0 while they aren't all there.
-func chunks(p []byte, most int) (body []byte, took int, err error) {
+// readChunkedBody joins the chunks of a body. It returns the number of encoded bytes, 0 if the body is
+// incomplete.
+func readChunkedBody(data []byte, maxBytes int) (body []byte, consumed int, err error) {
 	body = []byte{}
 	for {
-		line, _, ok := bytes.Cut(p[took:], []byte("\r\n"))
+		line, _, ok := bytes.Cut(data[consumed:], []byte("\r\n"))
 		if !ok {
-			if len(p)-took > headMost {
-				return nil, 0, errForm
+			if len(data)-consumed > maxHeaderBytes {
+				return nil, 0, errInvalidResponse
 			}
 			return nil, 0, nil
 		}
-		took += len(line) + 2
+		consumed += len(line) + 2
 		digits, _, _ := bytes.Cut(line, []byte(";"))
 		size, err := strconv.ParseUint(string(bytes.TrimSpace(digits)), 16, 31)
-		if err != nil || len(body)+int(size) > most {
-			return nil, 0, errForm
+		if err != nil || len(body)+int(size) > maxBytes {
+			return nil, 0, errInvalidResponse
 		}
 		if size == 0 {
 			break
 		}
-		if len(p)-took < int(size)+2 {
+		if len(data)-consumed < int(size)+2 {
 			return nil, 0, nil
 		}
-		body = append(body, p[took:took+int(size)]...)
-		if took += int(size) + 2; string(p[took-2:took]) != "\r\n" {
-			return nil, 0, errForm
+		body = append(body, data[consumed:consumed+int(size)]...)
+		if consumed += int(size) + 2; string(data[consumed-2:consumed]) != "\r\n" {
+			return nil, 0, errInvalidResponse
 		}
 	}
-	for { // what may follow the last piece, up to an empty line
-		line, _, ok := bytes.Cut(p[took:], []byte("\r\n"))
+	for { // trailers, up to an empty line
+		line, _, ok := bytes.Cut(data[consumed:], []byte("\r\n"))
 		if !ok {
 			return nil, 0, nil
 		}
-		if took += len(line) + 2; len(line) == 0 {
-			return body, took, nil
+		if consumed += len(line) + 2; len(line) == 0 {
+			return body, consumed, nil
 		}
 	}
 }
 
-// lookup finds a field's value, "" if there is none.
-func lookup(head []byte, name string) string {
-	for l := range bytes.SplitSeq(head, []byte("\r\n")) {
+// headerValue returns the value of the first header with this name, "" if there is none.
+func headerValue(headers []byte, name string) string {
+	for l := range bytes.SplitSeq(headers, []byte("\r\n")) {
 		n, value, ok := bytes.Cut(l, []byte(":"))
 		if ok && len(n) == len(name) && bytes.EqualFold(n, []byte(name)) {
 			return string(bytes.TrimSpace(value))
@@ -122,14 +123,15 @@
 	return ""
 }
 
-func start(dst []byte, method, path, host string) []byte {
+// appendRequestLine appends the request line and the Host header.
+func appendRequestLine(dst []byte, method, path, host string) []byte {
 	dst = append(append(append(append(dst, method...), ' '), path...), " HTTP/1.1\r\n"...)
-	return put(dst, "Host", host)
+	return appendHeader(dst, "Host", host)
 }
 
-// put writes a field. Values come from outside: what would end the line is
-// left out, so that none can start another.
-func put(dst []byte, name, value string) []byte {
+// appendHeader appends a header. It drops control characters, so that a value from outside can't start
+// another header.
+func appendHeader(dst []byte, name, value string) []byte {
 	dst = append(append(dst, name...), ": "...)
 	for i := range len(value) {
 		if b := value[i]; b >= ' ' && b != 0x7f || b == '\t' {
@@ -139,9 +141,10 @@
 	return append(dst, "\r\n"...)
 }
 
-func finish(dst, body []byte) []byte {
+// appendBody appends the end of the headers and the body. A nil body has no Content-Length.
+func appendBody(dst, body []byte) []byte {
 	if body != nil {
-		dst = put(dst, "Content-Length", strconv.Itoa(len(body)))
+		dst = appendHeader(dst, "Content-Length", strconv.Itoa(len(body)))
 	}
 	return append(append(dst, "\r\n"...), body...)
 }
--- a/internal/msgpackrpc/alltables.go
+++ b/internal/msgpackrpc/alltables.go
@@ -6,264 +6,269 @@
 	"strings"
 )
 
-// AllTables is every group of tables that a statement reads and writes, each sorted,
-// for whoever must know them all. known is false if any of it can't be told: a table
-// without a schema, one of a schema without a number, a function in a table's place,
-// or staging written to, which no number follows. What staging holds is of no group.
-// A name of the form that stands for no table may be taken for one, never the other
-// way round.
+// TableGroups returns all table groups that a statement reads and writes, sorted. known is false if the lists
+// may be incomplete: the statement names a table without a schema, a schema without a number or a table
+// function, or it writes to the schema staging. A table read from staging belongs to no table group.
+// A name that only looks like a table's may be included, but no table is left out while known is true.
 func TableGroups(statement []byte) (read, written []int64, known bool) {
-	f := finder{scanner: scanner{p: statement}, known: true}
-	for f.token(); f.kind != 0; {
-		f.take()
+	f := tableFinder{scanner: scanner{text: statement}, known: true}
+	for f.advance(); f.kind != 0; {
+		f.consume()
 	}
 	f.endStatement()
-	for _, x := range f.stray {
+	for _, x := range f.possibleTables {
 		if !slices.Contains(f.aliases, x.alias) {
 			f.read = append(f.read, x.table)
 		}
 	}
-	return tidy(f.read), tidy(f.written), f.known
+	return sortUnique(f.read), sortUnique(f.written), f.known
 }
 
-func tidy(l []int64) []int64 {
+func sortUnique(l []int64) []int64 {
 	slices.Sort(l)
 	return slices.Compact(l)
 }
 
-// What a name at a place is.
+// What the next name is.
 const (
-	nothing = iota
-	reads
-	writes
+	expectNothing = iota
+	expectRead
+	expectWrite
 )
 
-// level is what is known inside one pair of brackets.
-type level struct {
-	wants  int  // the next name is a table that is read or written
-	list   int  // a comma brings another such
-	naming bool // what follows may be the alias of the table just named
-	inside bool // of a function whose from names no table, as in extract(year from day)
+// bracketLevel is the parser state within one pair of brackets.
+type bracketLevel struct {
+	expected           int  // what the next name is
+	expectedAfterComma int  // what the name after the next comma is
+	aliasMayFollow     bool // the next name may be the alias of the preceding table
+	fromNamesNoTable   bool // FROM belongs to a function, as in extract(year from day)
 }
 
-// finder goes through a statement once, with one token of it in hand.
-type finder struct {
+// tableFinder collects the table groups of a statement in one pass, looking at one token at a time.
+type tableFinder struct {
 	scanner
-	word  []byte
-	kind  byte
-	lower string // the word in small letters, "" if it is quoted or none
-	last  string // the one before
-	older string // and the one before that
+	word               []byte
+	kind               byte
+	lowerWord          string // the current token in lower case, "" for a quoted name
+	previousWord       string // lowerWord of the previous token
+	wordBeforePrevious string // lowerWord of the token before previousWord
 
-	levels  []level // of the brackets open, outermost first
-	level           // the innermost
-	bare    []string
-	views   []string // that the statement itself defines: with x as (...)
-	aliases []string
-	stray   []stray
+	outerLevels    []bracketLevel // of the enclosing brackets, outermost first
+	bracketLevel                  // of the innermost open bracket
+	unqualified    []string       // tables read without a schema
+	commonTables   []string       // defined by the statement: with x as (...)
+	aliases        []string
+	possibleTables []possibleTable
 
 	read, written []int64
 	known         bool
 }
 
-// stray is a name of a schema's form where no table was looked for.
-type stray struct {
+// possibleTable is a qualified name with a table group's number where no table was expected. It counts as
+// read unless its first part is an alias.
+type possibleTable struct {
 	alias string
 	table int64
 }
 
-func (f *finder) token() {
-	f.older, f.last = f.last, f.lower
+// advance reads the next token.
+func (f *tableFinder) advance() {
+	f.wordBeforePrevious, f.previousWord = f.previousWord, f.lowerWord
 	f.word, f.kind = f.next()
-	f.lower = ""
+	f.lowerWord = ""
 	if f.kind == 'a' {
-		f.lower = strings.ToLower(string(f.word))
+		f.lowerWord = strings.ToLower(string(f.word))
 	} else if f.kind != '"' {
-		f.lower = string(rune(f.kind))
+		f.lowerWord = string(rune(f.kind))
 	}
 }
 
-// take takes one token, or a whole name.
-func (f *finder) take() {
+// consume handles one token, or a name with all its parts.
+func (f *tableFinder) consume() {
 	switch {
 	case f.kind == '(':
-		f.opens()
+		f.openBracket()
 	case f.kind == ')':
-		f.unsettled()
-		if n := len(f.levels); n > 0 {
-			f.level, f.levels = f.levels[n-1], f.levels[:n-1]
+		f.endTableSearch()
+		if n := len(f.outerLevels); n > 0 {
+			f.bracketLevel, f.outerLevels = f.outerLevels[n-1], f.outerLevels[:n-1]
 		}
-		f.naming = true // (select ...) x
-		f.token()
+		f.aliasMayFollow = true // (select ...) x
+		f.advance()
 	case f.kind == ',':
-		f.unsettled()
-		f.wants, f.naming = f.list, false
-		f.token()
+		f.endTableSearch()
+		f.expected, f.aliasMayFollow = f.expectedAfterComma, false
+		f.advance()
 	case f.kind == ';':
 		f.endStatement()
-		f.token()
-	case f.kind == 'a' && f.wants == nothing && f.keyword(), f.kind == 'a' && f.wants != nothing && f.passes():
-		f.token()
+		f.advance()
+	case f.kind == 'a' && f.expected == expectNothing && f.consumeKeyword(),
+		f.kind == 'a' && f.expected != expectNothing && f.skipBeforeTable():
+		f.advance()
 	case f.kind == 'a' || f.kind == '"':
-		f.name()
+		f.readName()
 	default:
-		if f.kind != '\'' || f.wants != reads { // copy ... from 'a file'
-			f.unsettled()
+		if f.kind != '\'' || f.expected != expectRead { // copy ... from 'a file'
+			f.endTableSearch()
 		}
-		f.wants, f.naming = nothing, false
-		f.token()
+		f.expected, f.aliasMayFollow = expectNothing, false
+		f.advance()
 	}
 }
 
-// unsettled: a table was looked for, and there is none to be read.
-func (f *finder) unsettled() {
-	if f.wants != nothing {
+// endTableSearch marks the result incomplete if a table name was expected but not found.
+func (f *tableFinder) endTableSearch() {
+	if f.expected != expectNothing {
 		f.known = false
 	}
-	f.wants = nothing
+	f.expected = expectNothing
 }
 
-// opens goes into brackets. Where a table is looked for they hold a select, or tables joined.
-func (f *finder) opens() {
-	in := level{wants: f.wants, list: f.wants}
-	if f.last == "using" || f.wants == writes {
-		in = level{} // columns, or what a copy writes out
+// openBracket enters a bracket. Where a table is expected, the bracket holds a subquery or joined tables.
+func (f *tableFinder) openBracket() {
+	inner := bracketLevel{expected: f.expected, expectedAfterComma: f.expected}
+	if f.previousWord == "using" || f.expected == expectWrite {
+		inner = bracketLevel{} // column names, or the query whose result COPY writes out
 	}
-	switch f.last {
+	switch f.previousWord {
 	case "extract", "substring", "trim", "overlay", "position":
-		in.inside = true
+		inner.fromNamesNoTable = true
 	}
-	f.wants, f.naming = nothing, false
-	f.levels = append(f.levels, f.level)
-	f.level = in
-	f.token()
-	switch f.lower {
+	f.expected, f.aliasMayFollow = expectNothing, false
+	f.outerLevels = append(f.outerLevels, f.bracketLevel)
+	f.bracketLevel = inner
+	f.advance()
+	switch f.lowerWord {
 	case "select", "values", "with", "(":
-		if f.lower != "(" {
-			f.wants, f.list = nothing, nothing
+		if f.lowerWord != "(" {
+			f.expected, f.expectedAfterComma = expectNothing, expectNothing
 		}
 	}
 }
 
-// keyword: the word at hand isn't a name, and tells what follows.
-func (f *finder) keyword() bool {
-	switch f.lower {
+// consumeKeyword handles the current word if it is a keyword, and reports whether it is.
+func (f *tableFinder) consumeKeyword() bool {
+	switch f.lowerWord {
 	case "from":
-		if f.inside || f.last == "distinct" && (f.older == "is" || f.older == "not") {
+		if f.fromNamesNoTable || f.previousWord == "distinct" &&
+			(f.wordBeforePrevious == "is" || f.wordBeforePrevious == "not") {
 			return true
 		}
-		f.wants, f.list = reads, reads
+		f.expected, f.expectedAfterComma = expectRead, expectRead
 	case "join", "using":
-		f.wants = reads
+		f.expected = expectRead
 	case "into", "update", "table", "copy", "merge", "view", "insert", "truncate", "overwrite":
-		if f.lower == "update" && (f.last == "for" || f.last == "do" || f.last == "then" || f.older == "for") {
+		if f.lowerWord == "update" && (f.previousWord == "for" || f.previousWord == "do" ||
+			f.previousWord == "then" || f.wordBeforePrevious == "for") {
 			return true // for update, for no key update, on conflict do update, when matched then update
 		}
-		if f.lower == "insert" && f.last == "then" || f.lower == "view" && f.last == "." {
+		if f.lowerWord == "insert" && f.previousWord == "then" || f.lowerWord == "view" && f.previousWord == "." {
 			return true
 		}
-		f.wants, f.list = writes, nothing
-	case "where", "group", "order", "having", "limit", "window", "union", "intersect", "except", "returning", "set",
+		f.expected, f.expectedAfterComma = expectWrite, expectNothing
+	case "where", "group", "order", "having", "limit", "window", "union", "intersect", "except",
+		"returning", "set",
 		"values", "select", "offset", "fetch", "for", "when":
-		f.list = nothing
-	case "on", "as", "left", "right", "full", "inner", "outer", "cross", "natural", "and", "or", "with", "recursive":
-		if f.lower == "as" {
-			return true // an alias follows still
+		f.expectedAfterComma = expectNothing
+	case "on", "as", "left", "right", "full", "inner", "outer", "cross", "natural", "and", "or", "with",
+		"recursive":
+		if f.lowerWord == "as" {
+			return true // an alias may still follow
 		}
 	default:
 		return false
 	}
-	f.naming = false
+	f.aliasMayFollow = false
 	return true
 }
 
-// passes: the word at hand stands between a keyword and the table's name.
-func (f *finder) passes() bool {
-	switch f.lower {
+// skipBeforeTable reports whether the current word stands between a keyword and the name of a table.
+func (f *tableFinder) skipBeforeTable() bool {
+	switch f.lowerWord {
 	case "only", "lateral", "if", "not", "exists", "table", "into", "overwrite", "materialized":
 		return true
 	case "select", "values", "set": // using (select ...), do update set, copy select
-		f.wants = nothing
+		f.expected = expectNothing
 		return true
 	case "stdin", "stdout":
-		f.wants = nothing
+		f.expected = expectNothing
 		return true
 	}
 	return false
 }
 
-// name reads a name of one or several parts and what it stands for.
-func (f *finder) name() {
+// readName reads a name with all its parts, and records the table group if it is a table.
+func (f *tableFinder) readName() {
 	parts := [][]byte{f.word}
 	quoted := f.kind == '"'
-	f.token()
+	f.advance()
 	for f.kind == '.' {
-		if f.token(); f.kind != 'a' && f.kind != '"' {
+		if f.advance(); f.kind != 'a' && f.kind != '"' {
 			break
 		}
 		parts = append(parts, f.word)
-		f.token()
+		f.advance()
 	}
 	first := strings.ToLower(string(parts[0]))
 	table, staging := int64(NoTableGroup), false
 	for _, p := range parts[:len(parts)-1] {
-		if n := number(p); n != NoTableGroup {
+		if n := tableGroupNumber(p); n != NoTableGroup {
 			table = n
 		}
 		staging = staging || bytes.EqualFold(p, []byte("staging"))
 	}
-	wants := f.wants
-	f.wants = nothing
+	wants := f.expected
+	f.expected = expectNothing
 	switch {
-	case wants == nothing && len(parts) == 1:
-		if f.naming {
+	case wants == expectNothing && len(parts) == 1:
+		if f.aliasMayFollow {
 			f.aliases = append(f.aliases, first)
 		}
-		f.naming = false
-		if f.lower == "as" && !quoted { // with x as (
+		f.aliasMayFollow = false
+		if f.lowerWord == "as" && !quoted { // with x as (
 			at := *f
-			at.token()
-			if at.lower == "not" || at.lower == "materialized" {
-				at.token()
+			at.advance()
+			if at.lowerWord == "not" || at.lowerWord == "materialized" {
+				at.advance()
 			}
-			if at.lower == "materialized" {
-				at.token()
+			if at.lowerWord == "materialized" {
+				at.advance()
 			}
 			if at.kind == '(' {
-				f.views = append(f.views, first)
+				f.commonTables = append(f.commonTables, first)
 			}
 		}
 		return
-	case wants == nothing:
-		if f.naming = false; table != NoTableGroup {
-			f.stray = append(f.stray, stray{first, table})
+	case wants == expectNothing:
+		if f.aliasMayFollow = false; table != NoTableGroup {
+			f.possibleTables = append(f.possibleTables, possibleTable{first, table})
 		}
 		return
-	case wants == writes && table != NoTableGroup:
+	case wants == expectWrite && table != NoTableGroup:
 		f.written = append(f.written, table)
-	case wants == writes:
+	case wants == expectWrite:
 		f.known = false
 	case table != NoTableGroup:
 		f.read = append(f.read, table)
 	case staging:
 	case len(parts) == 1 && f.kind != '(':
-		f.bare = append(f.bare, first) // one that the statement defines, or it can't be told
+		f.unqualified = append(f.unqualified, first) // checked at the end of the statement
 	default:
 		f.known = false
 	}
-	if wants == reads && f.kind == '(' {
-		f.known = false // a function may read anything
+	if wants == expectRead && f.kind == '(' {
+		f.known = false // a function may read any table
 	}
-	f.naming = true
+	f.aliasMayFollow = true
 }
 
-// endStatement looks up names that only the statement itself could define.
-func (f *finder) endStatement() {
-	f.unsettled()
-	for _, b := range f.bare {
-		if !slices.Contains(f.views, b) {
+// endStatement marks the result incomplete if an unqualified table is no common table of the statement.
+func (f *tableFinder) endStatement() {
+	f.endTableSearch()
+	for _, name := range f.unqualified {
+		if !slices.Contains(f.commonTables, name) {
 			f.known = false
 		}
 	}
-	f.bare, f.views, f.levels, f.level = nil, nil, nil, level{}
+	f.unqualified, f.commonTables, f.outerLevels, f.bracketLevel = nil, nil, nil, bracketLevel{}
 }
--- a/internal/msgpackrpc/alltables_test.go
+++ b/internal/msgpackrpc/alltables_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-func TestTableGroups(t *testing.T) {
+func TestTableGroupsOfStatement(t *testing.T) {
 	for statement, want := range map[string]string{
 		"select 1":                "[] [] true",
 		"select * from sales_3.a": "[3] [] true",
--- a/internal/msgpackrpc/clients.go
+++ b/internal/msgpackrpc/clients.go
@@ -1,5 +1,5 @@
-// Package msgpackrpc reads and writes what clients speak, MessagePack-RPC, over
-// bytes only.
+// Package msgpackrpc encodes and decodes the MessagePack-RPC messages of clients. It works on byte slices
+// and does no I/O.
 package msgpackrpc
 
 import (
@@ -9,201 +9,205 @@
 	"time"
 )
 
-// Hearer is handed what a client said, its fields as they were read. What it
-// keeps of a slice it must copy.
+// Handler receives the calls and notifications of a client. The slices that its methods get share memory
+// with the receive buffer, so a handler copies the bytes that it keeps.
 type Handler interface {
-	Query(msg uint32, group, id []byte, patience time.Duration, key []byte, keyed bool, statement []byte, all Fields)
-	// Page asks for a page, by number, of a result that a token opens.
-	Page(msg uint32, token []byte, number int, all Fields)
-	// Purge asks for what is kept of the caller's team to go, or how far that is.
-	Purge(msg uint32, p Purge, all Fields)
-	Alive(msg uint32)
-	Cancel(msg uint32)
+	// Query submits a statement. keyed tells whether the call has a key.
+	Query(messageID uint32, group, id []byte, timeout time.Duration, key []byte, keyed bool,
+		statement []byte, fields Fields)
+	// Page requests one page of the retained result that a token gives access to.
+	Page(messageID uint32, token []byte, number int, fields Fields)
+	// Purge requests the deletion of retained results of the client's tenant, or the status of a purge.
+	Purge(messageID uint32, purge Purge, fields Fields)
+	// Alive requests whether the controller is ready.
+	Alive(messageID uint32)
+	// Cancel cancels the call with this number.
+	Cancel(messageID uint32)
 	// Wrong is a call that can be answered but not understood.
-	Invalid(msg uint32, why string)
+	Invalid(messageID uint32, reason string)
 }
 
-// Read hands over the first message if all of it is there, and says how many
-// bytes it took: 0 while it isn't. An error means that the connection can't be
-// read any further.
-func Read(p []byte, most int, h Handler) (int, error) {
-	c := &cursor{p: p, most: uint64(max(most, 0))}
-	say := message(c, h)
-	if c.err == errShort {
-		if len(p) > most {
-			return 0, errForm
+// Read passes the first message in data to h and returns the number of bytes of that message, 0 if the
+// message is incomplete. After an error the connection can't be read any further.
+func Read(data []byte, maxBytes int, h Handler) (int, error) {
+	c := &cursor{data: data, maxValueBytes: uint64(max(maxBytes, 0))}
+	deliver := readMessage(c, h)
+	if c.err == errIncompleteMessage {
+		if len(data) > maxBytes {
+			return 0, errInvalidMessage
 		}
 		return 0, nil
 	}
 	if c.err != nil {
 		return 0, c.err
 	}
-	if say != nil {
-		say()
+	if deliver != nil {
+		deliver()
 	}
-	return c.at, nil
+	return c.pos, nil
 }
 
-// message reads one and gives what is to be said of it, once it is known to be
-// whole. What is no call at all is an error; a call that is wrong in itself
-// has an answer.
-func message(c *cursor, h Handler) func() {
-	parts := c.array()
+// readMessage reads one message and returns a function that passes the message to h, nil if the message is
+// ignored. A message other than a call or a notification is an error. A call with invalid content is passed
+// to h, so that the call gets a response.
+func readMessage(c *cursor, h Handler) func() {
+	parts := c.arrayLength()
 	if c.err != nil {
 		return nil
 	}
-	switch kind := c.whole(); {
+	switch kind := c.unsigned(); {
 	case c.err != nil:
 		return nil
 	case kind == 2 && parts == 3:
-		return notice(c, h)
+		return readNotification(c, h)
 	case kind != 0 || parts != 4:
-		c.fail(errForm)
+		c.fail(errInvalidMessage)
 		return nil
 	}
-	number := c.whole()
-	if number > math.MaxUint32 {
-		c.fail(errForm)
+	messageNumber := c.unsigned()
+	if messageNumber > math.MaxUint32 {
+		c.fail(errInvalidMessage)
 	}
-	msg := uint32(number)
-	// from here on the call can be answered: find where it ends, then read it
-	rest := *c
+	messageID := uint32(messageNumber)
+	// From here on the call can be answered: find its end before reading its content.
+	call := *c
 	c.skip(0)
 	c.skip(0)
 	if c.err != nil {
 		return nil
 	}
-	say := call(&rest, msg, h)
-	if rest.err != nil || rest.at != c.at {
-		return func() { h.Invalid(msg, "malformed call") }
+	deliver := readCall(&call, messageID, h)
+	if call.err != nil || call.pos != c.pos {
+		return func() { h.Invalid(messageID, "malformed call") }
 	}
-	return say
+	return deliver
 }
 
-func call(c *cursor, msg uint32, h Handler) func() {
-	method := c.str()
-	params := c.array()
+// readCall reads the method and the parameters of a call.
+func readCall(c *cursor, messageID uint32, h Handler) func() {
+	method := c.stringValue()
+	params := c.arrayLength()
 	if string(method) == "alive" && params <= 1 {
 		if params == 1 {
 			c.skip(0)
 		}
-		return func() { h.Alive(msg) }
+		return func() { h.Alive(messageID) }
 	}
 	if string(method) == "page" && params == 1 {
-		return page(c, msg, h)
+		return readPageCall(c, messageID, h)
 	}
 	if string(method) == "purge" && params == 1 {
-		return purge(c, msg, h)
+		return readPurgeCall(c, messageID, h)
 	}
 	if params != 2 {
-		c.fail(errForm)
+		c.fail(errInvalidMessage)
 		return nil
 	}
-	var id, wait, key []byte // nil: not given
-	why := ""
-	field := func(have *[]byte, name string) {
-		if *have != nil {
-			why = name + " given twice" // which one holds can't be told
+	var id, patienceText, key []byte // nil: not given
+	reason := ""
+	field := func(value *[]byte, name string) {
+		if *value != nil {
+			reason = name + " given twice" // neither value takes precedence
 		}
-		*have = c.str()
+		*value = c.stringValue()
 	}
-	count, from := c.fields(), c.at
+	count, from := c.mapLength(), c.pos
 	for n := count; n > 0 && c.err == nil; n-- {
-		switch name := c.str(); string(name) {
+		switch name := c.stringValue(); string(name) {
 		case "trace":
 			field(&id, "trace")
 		case "patience":
-			field(&wait, "patience")
+			field(&patienceText, "patience")
 		case "entity":
 			field(&key, "entity")
 		default:
 			c.skip(0)
 		}
 	}
-	all := Fields{c.p[min(from, c.at):c.at], count}
-	statement := c.bin()
-	patience := span(wait)
+	all := Fields{c.data[min(from, c.pos):c.pos], count}
+	statement := c.binaryValue()
+	patience := parseMillis(patienceText)
 	switch {
-	case why != "":
-	case !usable(id):
-		why = "no trace"
+	case reason != "":
+	case !isTrace(id):
+		reason = "no trace"
 	case patience <= 0:
-		why = "no patience"
-	case key != nil && (len(key) == 0 || len(key) > keyMost):
-		why = "no entity"
+		reason = "no patience"
+	case key != nil && (len(key) == 0 || len(key) > maxKeyBytes):
+		reason = "no entity"
 	case len(statement) == 0:
-		why = "no statement"
+		reason = "no statement"
 	}
-	if why != "" {
-		return func() { h.Invalid(msg, why) }
+	if reason != "" {
+		return func() { h.Invalid(messageID, reason) }
 	}
-	return func() { h.Query(msg, method, id, patience, key, key != nil, statement, all) }
+	return func() { h.Query(messageID, method, id, patience, key, key != nil, statement, all) }
 }
 
-// page reads a call for a page: its one parameter names a token and a number.
-func page(c *cursor, msg uint32, h Handler) func() {
-	count, from := c.fields(), c.at
+// readPageCall reads a page call. Its only parameter is a map with the token and the page number.
+func readPageCall(c *cursor, messageID uint32, h Handler) func() {
+	count, from := c.mapLength(), c.pos
 	for n := count; n > 0 && c.err == nil; n-- {
-		c.str()
+		c.stringValue()
 		c.skip(0)
 	}
-	all := Fields{c.p[min(from, c.at):c.at], count}
+	all := Fields{c.data[min(from, c.pos):c.pos], count}
 	number, err := strconv.ParseUint(string(all.Get("page")), 10, 31)
 	token := all.Get("token")
 	switch {
 	case len(token) == 0:
-		return func() { h.Invalid(msg, "no token") }
+		return func() { h.Invalid(messageID, "no token") }
 	case err != nil:
-		return func() { h.Invalid(msg, "no page") }
+		return func() { h.Invalid(messageID, "no page") }
 	}
-	return func() { h.Page(msg, token, int(number), all) }
+	return func() { h.Page(messageID, token, int(number), all) }
 }
 
-// Fields are all fields of a call, for those that only some set-ups know.
+// Fields are all fields of a call, including those whose names depend on the configuration.
 type Fields struct {
-	p     []byte
+	data  []byte
 	count uint64
 }
 
-// Size is how many bytes they take.
-func (f Fields) Size() int { return len(f.p) }
+// Size returns the number of encoded bytes.
+func (f Fields) Size() int { return len(f.data) }
 
-// Clone keeps them beyond the message that they came in.
-func (f Fields) Clone() Fields { return Fields{append([]byte(nil), f.p...), f.count} }
+// Clone copies the fields, so that they can be kept after the message.
+func (f Fields) Clone() Fields { return Fields{append([]byte(nil), f.data...), f.count} }
 
-// Get is a field's value if it is a string, nil if there is none of the name.
+// Get returns the value of a field, nil if the field is missing or not a string.
 func (f Fields) Get(name string) []byte {
 	if name == "" {
 		return nil
 	}
-	c := &cursor{p: f.p, most: uint64(len(f.p))}
+	c := &cursor{data: f.data, maxValueBytes: uint64(len(f.data))}
 	for n := f.count; n > 0 && c.err == nil; n-- {
-		if string(c.str()) != name {
+		if string(c.stringValue()) != name {
 			c.skip(0)
 			continue
 		}
-		if v := c.str(); c.err == nil {
+		if v := c.stringValue(); c.err == nil {
 			return v
 		}
 	}
 	return nil
 }
 
-// Names lists what fields there are, for who follows a call.
+// Names lists the names of the fields, for tracing.
 func (f Fields) Names() (names []string) {
-	c := &cursor{p: f.p, most: uint64(len(f.p))}
+	c := &cursor{data: f.data, maxValueBytes: uint64(len(f.data))}
 	for n := f.count; n > 0 && c.err == nil; n-- {
-		names = append(names, string(c.str()))
+		names = append(names, string(c.stringValue()))
 		c.skip(0)
 	}
 	return names
 }
 
-const keyMost = 256
+const maxKeyBytes = 256
 
-// usable: the trace has the protocol's form. It stands in the path of calls to
-// engines as it is.
-func usable(id []byte) bool {
+// isTrace reports whether a trace consists of 16 hexadecimal digits. The path of requests to engines contains
+// the trace without escaping.
+func isTrace(id []byte) bool {
 	for _, b := range id {
 		if (b < '0' || b > '9') && (b < 'a' || b > 'f') && (b < 'A' || b > 'F') {
 			return false
@@ -212,9 +216,9 @@
 	return len(id) == 16
 }
 
-// span reads a number of milliseconds, 0 if it is none: digits, and perhaps a
-// part of one. What else parsers of numbers take (1e3, 0x5, nan) no client means.
-func span(text []byte) time.Duration {
+// parseMillis parses a decimal number of milliseconds and returns 0 if the text is invalid. It rejects
+// exponents, hexadecimal numbers and NaN, which strconv accepts but no client means.
+func parseMillis(text []byte) time.Duration {
 	for _, b := range text {
 		if (b < '0' || b > '9') && b != '.' {
 			return 0
@@ -227,105 +231,111 @@
 	return time.Duration(ms * float64(time.Millisecond))
 }
 
-func notice(c *cursor, h Handler) func() {
-	rest := *c
+// readNotification reads a notification. cancelRequest is the only one that is known.
+func readNotification(c *cursor, h Handler) func() {
+	content := *c
 	c.skip(0)
 	c.skip(0)
 	if c.err != nil {
 		return nil
 	}
-	method := rest.str()
-	if n := rest.array(); string(method) != "cancelRequest" || n != 1 {
-		return nil // a notice asks for no answer, and may be one we don't know
+	method := content.stringValue()
+	if n := content.arrayLength(); string(method) != "cancelRequest" || n != 1 {
+		return nil // notifications get no response, so unknown ones are ignored
 	}
-	msg := rest.whole()
-	if rest.err != nil || msg > math.MaxUint32 {
+	messageID := content.unsigned()
+	if content.err != nil || messageID > math.MaxUint32 {
 		return nil
 	}
-	return func() { h.Cancel(uint32(msg)) }
+	return func() { h.Cancel(uint32(messageID)) }
 }
 
-// Answer writes a finished query's result, its pages run together.
-func AppendResult(dst []byte, msg uint32, pages [][]byte) []byte {
+// AppendResult appends the response with the result of a finished query, all its pages concatenated.
+func AppendResult(dst []byte, messageID uint32, pages [][]byte) []byte {
 	size := 0
 	for _, p := range pages {
 		size += len(p)
 	}
-	dst = append(appendWhole(append(dst, 0x94, 1), msg), 0xc0, 0x92)
-	dst = appendBinHead(dst, size)
+	dst = append(appendUnsigned(append(dst, 0x94, 1), messageID), 0xc0, 0x92)
+	dst = appendBinaryHeader(dst, size)
 	for _, p := range pages {
 		dst = append(dst, p...)
 	}
 	return append(dst, 0x80)
 }
 
-// Paging is what a client is told of a result that it reads page by page.
+// PageInfo describes a result that a client reads page by page.
 type PageInfo struct {
 	Pages       int
 	Bytes, Rows int64
 	Token       string
-	Lifetime    time.Duration // unless a page is read, from now
+	Lifetime    time.Duration // time until the result is deleted if no page is read
 }
 
-// Paged writes a finished query's first page and how to ask for the others. A result
-// of one page has no token.
-func AppendFirstPage(dst []byte, msg uint32, first []byte, p PageInfo) []byte {
-	dst = append(appendWhole(append(dst, 0x94, 1), msg), 0xc0, 0x92)
-	dst = append(appendBinHead(dst, len(first)), first...)
-	pairs := []string{"pages", strconv.Itoa(p.Pages), "bytes", strconv.FormatInt(p.Bytes, 10), "rows", strconv.FormatInt(p.Rows, 10)}
-	if p.Pages > 1 {
-		pairs = append(pairs, "token", p.Token, "lasts", strconv.FormatInt(p.Lifetime.Milliseconds(), 10))
+// AppendFirstPage appends the response with the first page of a result, and with the token for the other
+// pages if the result has more than one.
+func AppendFirstPage(dst []byte, messageID uint32, first []byte, info PageInfo) []byte {
+	dst = append(appendUnsigned(append(dst, 0x94, 1), messageID), 0xc0, 0x92)
+	dst = append(appendBinaryHeader(dst, len(first)), first...)
+	pairs := []string{"pages", strconv.Itoa(info.Pages), "bytes",
+		strconv.FormatInt(info.Bytes, 10), "rows", strconv.FormatInt(info.Rows, 10)}
+	if info.Pages > 1 {
+		pairs = append(pairs, "token", info.Token, "lasts", strconv.FormatInt(info.Lifetime.Milliseconds(), 10))
 	}
 	dst = append(dst, 0x80|byte(len(pairs)/2))
 	for _, s := range pairs {
-		dst = appendStr(dst, s)
+		dst = appendString(dst, s)
 	}
 	return dst
 }
 
-// Deferred writes that trying again is harmless, after a pause if one is named.
-func AppendDeferral(dst []byte, msg uint32, pause time.Duration) []byte {
-	dst = appendStr(append(appendWhole(append(dst, 0x94, 1), msg), 0x92), "Throttled")
-	if ms := pause.Milliseconds(); ms > 0 {
-		dst = appendStr(appendStr(append(dst, 0x81), "pause"), strconv.FormatInt(ms, 10))
+// AppendDeferral appends the error that the client may safely send the query again, after retryAfter if that
+// is a millisecond or more.
+func AppendDeferral(dst []byte, messageID uint32, retryAfter time.Duration) []byte {
+	dst = appendString(append(appendUnsigned(append(dst, 0x94, 1), messageID), 0x92), "Throttled")
+	if ms := retryAfter.Milliseconds(); ms > 0 {
+		dst = appendString(appendString(append(dst, 0x81), "pause"), strconv.FormatInt(ms, 10))
 	} else {
 		dst = append(dst, 0x80)
 	}
 	return append(dst, 0xc0)
 }
 
-// Directed is Deferred with the addresses of controllers that may take the query, by commas.
-func AppendRedirect(dst []byte, msg uint32, pause time.Duration, controllers []string) []byte {
-	dst = appendStr(append(appendWhole(append(dst, 0x94, 1), msg), 0x92), "Throttled")
-	if ms := pause.Milliseconds(); ms > 0 {
-		dst = appendStr(appendStr(append(dst, 0x82), "pause"), strconv.FormatInt(ms, 10))
+// AppendRedirect appends a deferral with the addresses of controllers that may accept the query, separated
+// by commas.
+func AppendRedirect(dst []byte, messageID uint32, retryAfter time.Duration, controllers []string) []byte {
+	dst = appendString(append(appendUnsigned(append(dst, 0x94, 1), messageID), 0x92), "Throttled")
+	if ms := retryAfter.Milliseconds(); ms > 0 {
+		dst = appendString(appendString(append(dst, 0x82), "pause"), strconv.FormatInt(ms, 10))
 	} else {
 		dst = append(dst, 0x81)
 	}
-	return append(appendStr(appendStr(dst, "controllers"), strings.Join(controllers[:min(len(controllers), directedMost)], ",")), 0xc0)
+	return append(appendString(appendString(dst, "controllers"),
+		strings.Join(controllers[:min(len(controllers), maxRedirectAddresses)], ",")), 0xc0)
 }
 
-// directedMost is how many addresses are named; one that answers is enough.
-const directedMost = 15
+// maxRedirectAddresses limits the addresses in a redirect. The client needs only one that responds.
+const maxRedirectAddresses = 15
 
-// Killed writes an error that promises nothing.
-func AppendFailure(dst []byte, msg uint32, why string) []byte {
-	dst = appendStr(append(appendWhole(append(dst, 0x94, 1), msg), 0x92), "Failed")
-	return append(appendStr(appendStr(append(dst, 0x81), "why"), why), 0xc0)
+// AppendFailure appends the error that a call failed. It does not say that sending the query again is safe.
+func AppendFailure(dst []byte, messageID uint32, reason string) []byte {
+	dst = appendString(append(appendUnsigned(append(dst, 0x94, 1), messageID), 0x92), "Failed")
+	return append(appendString(appendString(append(dst, 0x81), "why"), reason), 0xc0)
 }
 
-// Told writes a notice that a call's query should start after so long: clients
-// that asked for it know the method.
-func AppendWaitNotification(dst []byte, msg uint32, wait time.Duration) []byte {
-	dst = appendStr(append(dst, 0x93, 2), "wait")
-	return appendWhole(appendWhole(append(dst, 0x92), msg), uint32(min(max(0, wait.Milliseconds()), math.MaxUint32)))
+// AppendWaitNotification appends a notification of the expected wait until the query starts. Clients that
+// asked for the notification know its method.
+func AppendWaitNotification(dst []byte, messageID uint32, wait time.Duration) []byte {
+	dst = appendString(append(dst, 0x93, 2), "wait")
+	return appendUnsigned(appendUnsigned(append(dst, 0x92), messageID),
+		uint32(min(max(0, wait.Milliseconds()), math.MaxUint32)))
 }
 
-// Alive writes whether we are ready.
-func AppendAlive(dst []byte, msg uint32, ready bool) []byte {
-	yes := byte(0xc2)
+// AppendAlive appends the response to an alive call.
+func AppendAlive(dst []byte, messageID uint32, ready bool) []byte {
+	value := byte(0xc2)
 	if ready {
-		yes = 0xc3
+		value = 0xc3
 	}
-	return append(appendWhole(append(dst, 0x94, 1), msg), 0xc0, 0x92, yes, 0x80)
+	return append(appendUnsigned(append(dst, 0x94, 1), messageID), 0xc0, 0x92, value, 0x80)
 }
--- a/internal/msgpackrpc/clients_test.go
+++ b/internal/msgpackrpc/clients_test.go
@@ -10,24 +10,24 @@
 )
 
 // notes writes down what it is handed.
-type notes struct{ said []string }
+type recorder struct{ calls []string }
 
-func (n *notes) Query(msg uint32, group, id []byte, patience time.Duration, key []byte, keyed bool, statement []byte, _ Fields) {
-	n.add("query %d %s %s %v %s %v %s", msg, group, id, patience, key, keyed, statement)
+func (n *recorder) Query(msg uint32, group, id []byte, patience time.Duration, key []byte, keyed bool, statement []byte, _ Fields) {
+	n.record("query %d %s %s %v %s %v %s", msg, group, id, patience, key, keyed, statement)
 }
-func (n *notes) Page(msg uint32, token []byte, number int, _ Fields) {
-	n.add("page %d %s %d", msg, token, number)
+func (n *recorder) Page(msg uint32, token []byte, number int, _ Fields) {
+	n.record("page %d %s %d", msg, token, number)
 }
-func (n *notes) Purge(msg uint32, p Purge, _ Fields) {
-	n.add("purge %d %s %v %d %v", msg, p.ID, p.TableGroups, p.BeforeMillis, p.Timeout)
+func (n *recorder) Purge(msg uint32, p Purge, _ Fields) {
+	n.record("purge %d %s %v %d %v", msg, p.ID, p.TableGroups, p.BeforeMillis, p.Timeout)
 }
-func (n *notes) Alive(msg uint32)               { n.add("alive %d", msg) }
-func (n *notes) Cancel(msg uint32)              { n.add("left %d", msg) }
-func (n *notes) Invalid(msg uint32, why string) { n.add("wrong %d %s", msg, why) }
-func (n *notes) add(form string, a ...any)      { n.said = append(n.said, fmt.Sprintf(form, a...)) }
+func (n *recorder) Alive(msg uint32)               { n.record("alive %d", msg) }
+func (n *recorder) Cancel(msg uint32)              { n.record("left %d", msg) }
+func (n *recorder) Invalid(msg uint32, why string) { n.record("wrong %d %s", msg, why) }
+func (n *recorder) record(form string, a ...any)   { n.calls = append(n.calls, fmt.Sprintf(form, a...)) }
 
-func readAll(p []byte, step int) (*notes, error) {
-	n, have := &notes{}, []byte(nil)
+func readAll(p []byte, step int) (*recorder, error) {
+	n, have := &recorder{}, []byte(nil)
 	for len(p) > 0 {
 		k := min(step, len(p))
 		have, p = append(have, p[:k]...), p[k:]
@@ -45,12 +45,12 @@
 	return n, nil
 }
 
-func TestPurge(t *testing.T) {
+func TestReadsPurgeCalls(t *testing.T) {
 	call := func(fields ...string) []byte {
 		p := append([]byte{0x94, 0, 5, 0xa5}, "purge\x91"...)
 		p = append(p, 0x80|byte(len(fields)/2))
 		for _, f := range fields {
-			p = append(p, forms(f)[0]...)
+			p = append(p, stringEncodings(f)[0]...)
 		}
 		return p
 	}
@@ -69,14 +69,14 @@
 		{[]string{"patience", "1", "id", "a", "tables", "3"}, "wrong 5 an id asks for a purge as it is: tables and before go with a new one"},
 	} {
 		n, err := readAll(call(x.fields...), 3)
-		if got := strings.Join(n.said, ";"); err != nil || got != x.want {
+		if got := strings.Join(n.calls, ";"); err != nil || got != x.want {
 			t.Errorf("%q: %v %q, not %q", x.fields, err, got, x.want)
 		}
 	}
 }
 
 // forms are the ways to write a string, from the shortest.
-func forms(s string) [][]byte {
+func stringEncodings(s string) [][]byte {
 	var l [][]byte
 	if len(s) < 32 {
 		l = append(l, append([]byte{0xa0 | byte(len(s))}, s...))
@@ -87,7 +87,7 @@
 }
 
 func query(form int, msg []byte, array4, map3, bin []byte) []byte {
-	f := func(s string) []byte { return forms(s)[min(form, len(forms(s))-1)] }
+	f := func(s string) []byte { return stringEncodings(s)[min(form, len(stringEncodings(s))-1)] }
 	p := append(append(append([]byte{}, array4...), 0), msg...)
 	p = append(append(append(p, f("report")...), 0x92), map3...)
 	for _, s := range []string{"trace", "9b1f03aa5c7e2d41", "patience", "1500", "entity", "7f3a"} {
@@ -96,7 +96,7 @@
 	return append(append(p, bin...), "SELECT 1"...)
 }
 
-func TestEveryFormByteByByte(t *testing.T) {
+func TestReadsEveryEncodingByteByByte(t *testing.T) {
 	want := "query 7 report 9b1f03aa5c7e2d41 1.5s 7f3a true SELECT 1"
 	heads := [][3][]byte{
 		{{0x94}, {0x83}, {0xc4, 8}},
@@ -114,7 +114,7 @@
 				all = append(append(append(all, 0x94, 0, 9, 0xa5), "alive"...), 0x91, 0x80)
 				for _, step := range []int{1, 3, len(all)} {
 					n, err := readAll(all, step)
-					if got := strings.Join(n.said, "\n"); err != nil || got != want+"\nleft 7\n"+want+"\nalive 9" {
+					if got := strings.Join(n.calls, "\n"); err != nil || got != want+"\nleft 7\n"+want+"\nalive 9" {
 						t.Fatalf("%x by %d: %v %s", all, step, err, got)
 					}
 				}
@@ -123,11 +123,11 @@
 	}
 }
 
-func TestWhatIsWrong(t *testing.T) {
+func TestInvalidCallsAreAnsweredAndInvalidMessagesRefused(t *testing.T) {
 	fields := func(names ...string) []byte {
 		p := append([]byte{0x94, 0, 5, 0xa1, 'g', 0x92}, 0x80|byte(len(names)/2))
 		for _, n := range names {
-			p = append(p, forms(n)[0]...)
+			p = append(p, stringEncodings(n)[0]...)
 		}
 		return append(p, 0xc4, 1, ';')
 	}
@@ -161,7 +161,7 @@
 		"\x94\x00\x05\xa1g\x92\x81\xa5trace\xcb\x00\x00\x00\x00\x00\x00\x00\x00\xc4\x00":     "wrong 5 malformed call",
 	} {
 		n, err := readAll([]byte(text), len(text))
-		if got := strings.Join(n.said, ";"); err != nil || got != want {
+		if got := strings.Join(n.calls, ";"); err != nil || got != want {
 			t.Errorf("%q: %v %q, not %q", text, err, got, want)
 		}
 	}
@@ -171,7 +171,7 @@
 			t.Errorf("%q was taken", text)
 		}
 	}
-	if _, err := Read(append([]byte{0x94, 0, 5, 0xa1, 'g', 0x92, 0x80, 0xc6, 0xff, 0xff, 0xff, 0xff}, make([]byte, 5000)...), 4096, &notes{}); err == nil {
+	if _, err := Read(append([]byte{0x94, 0, 5, 0xa1, 'g', 0x92, 0x80, 0xc6, 0xff, 0xff, 0xff, 0xff}, make([]byte, 5000)...), 4096, &recorder{}); err == nil {
 		t.Error("a message over the most there may be is waited for")
 	}
 	for what, head := range map[string]string{
@@ -179,13 +179,13 @@
 		"a map of millions":                   "\x94\x00\x05\xa1g\x92\xdf\x00\xff\xff\xff",
 		"values without end":                  "\x94\x00\x05\xa1g\xdc\x01\xff" + strings.Repeat("\x9f"+strings.Repeat("\xc0", 15), 40),
 	} {
-		if _, err := Read([]byte(head), 1<<20, &notes{}); err == nil {
+		if _, err := Read([]byte(head), 1<<20, &recorder{}); err == nil {
 			t.Error(what + " is waited for")
 		}
 	}
 }
 
-func TestAnswers(t *testing.T) {
+func TestAppendsResponses(t *testing.T) {
 	for want, got := range map[string][]byte{
 		"\x94\x01\x07\xc0\x92\xc4\x06a\tb\tc\n\x80":                        AppendResult(nil, 7, [][]byte{[]byte("a\tb\tc\n")}),
 		"\x94\x01\xcc\x80\x92\xa9Throttled\x81\xa5pause\xa3250\xc0":        AppendDeferral(nil, 128, 250*time.Millisecond),
@@ -200,14 +200,14 @@
 	}
 	for _, size := range []int{0, 255, 256, 48000, 70000} {
 		p := AppendResult(nil, 1, [][]byte{make([]byte, size/2), make([]byte, size-size/2)})
-		c := &cursor{p: p, at: 5, most: 1 << 20}
-		if body := c.bin(); len(body) != size || c.err != nil || !bytes.Equal(p[c.at:], []byte{0x80}) {
+		c := &cursor{data: p, pos: 5, maxValueBytes: 1 << 20}
+		if body := c.binaryValue(); len(body) != size || c.err != nil || !bytes.Equal(p[c.pos:], []byte{0x80}) {
 			t.Errorf("%d: %d %v", size, len(body), c.err)
 		}
 	}
 }
 
-func TestTableGroup(t *testing.T) {
+func TestTableGroupOfStatement(t *testing.T) {
 	for text, want := range map[string]int64{
 		"SELECT * FROM sales_17.orders":                                                               17,
 		"select o.id from stock_part_4.orders o join sales_5.x on 1=1":                                4,
@@ -241,8 +241,8 @@
 	f.Fuzz(func(t *testing.T, p []byte) {
 		whole, err := readAll(p, len(p)+1)
 		single, err1 := readAll(p, 1)
-		if strings.Join(whole.said, ";") != strings.Join(single.said, ";") || (err == nil) != (err1 == nil) {
-			t.Fatalf("%q and %q, %v and %v", whole.said, single.said, err, err1)
+		if strings.Join(whole.calls, ";") != strings.Join(single.calls, ";") || (err == nil) != (err1 == nil) {
+			t.Fatalf("%q and %q, %v and %v", whole.calls, single.calls, err, err1)
 		}
 	})
 }
--- a/internal/msgpackrpc/msgpack.go
+++ b/internal/msgpackrpc/msgpack.go
@@ -6,92 +6,94 @@
 	"math"
 )
 
-// errShort: the message goes on in a later read.
-var errShort = errors.New("not all there yet")
+// errIncompleteMessage means that the rest of the message has not been received yet.
+var errIncompleteMessage = errors.New("incomplete message: more bytes are needed")
 
-var errForm = errors.New("not a message of this protocol")
+var errInvalidMessage = errors.New("invalid MessagePack-RPC message")
 
-// itemsMost bounds the values in a message: a call has a dozen, and one of
-// millions would be gone through at every read while it comes.
-const itemsMost = 512
+// maxItems limits the values in a message. A call has a dozen values. An incomplete message is parsed again
+// on each read, so a message with millions of values would be expensive.
+const maxItems = 512
 
-// cursor reads MessagePack values off the front of what has come. The first
-// fault stays in err, and all that follows reads as nothing.
+// cursor reads MessagePack values from the start of the received bytes. It keeps the first error in err.
+// After an error every read returns a zero value.
 type cursor struct {
-	p     []byte
-	at    int
-	most  uint64 // bytes in one value: a longer one is not waited for
-	items int
-	err   error
+	data          []byte
+	pos           int
+	maxValueBytes uint64 // a value with more bytes is an error
+	items         int
+	err           error
 }
 
+// fail keeps the first error.
 func (c *cursor) fail(err error) {
 	if c.err == nil {
 		c.err = err
 	}
 }
 
-func (c *cursor) next(n uint64) []byte {
+// take returns the next n bytes.
+func (c *cursor) take(n uint64) []byte {
 	if c.err != nil {
 		return nil
 	}
-	if n > c.most {
-		c.fail(errForm)
+	if n > c.maxValueBytes {
+		c.fail(errInvalidMessage)
 		return nil
 	}
-	if n > uint64(len(c.p)-c.at) {
-		c.fail(errShort)
+	if n > uint64(len(c.data)-c.pos) {
+		c.fail(errIncompleteMessage)
 		return nil
 	}
-	part := c.p[c.at : c.at+int(n)]
-	c.at += int(n)
+	part := c.data[c.pos : c.pos+int(n)]
+	c.pos += int(n)
 	return part
 }
 
-func (c *cursor) byte() byte {
-	if b := c.next(1); b != nil {
+func (c *cursor) readByte() byte {
+	if b := c.take(1); b != nil {
 		return b[0]
 	}
-	return 0xc1 // never used: no branch takes it
+	return 0xc1 // not assigned in MessagePack, so no caller accepts it
 }
 
-// size reads a big-endian length or number of so many bytes.
-func (c *cursor) size(bytes uint64) (n uint64) {
-	for _, b := range c.next(bytes) {
+// bigEndian reads a big-endian unsigned integer of the given number of bytes.
+func (c *cursor) bigEndian(bytes uint64) (n uint64) {
+	for _, b := range c.take(bytes) {
 		n = n<<8 | uint64(b)
 	}
 	return n
 }
 
-// sized reads a length in any of a type's forms: the short one under a mask,
-// and those with the length in 1, 2 or 4 bytes. 0 stands for a form it lacks.
-func (c *cursor) sized(short, mask, one, two, four byte) uint64 {
-	switch b := c.byte(); {
+// length reads a length in any encoding of a type. The length is part of the type byte (short, under mask)
+// or in the 1, 2 or 4 bytes after it. A type byte of 0 stands for an encoding that the type lacks.
+func (c *cursor) length(short, mask, one, two, four byte) uint64 {
+	switch b := c.readByte(); {
 	case c.err != nil:
 	case short != 0 && b&^mask == short:
 		return uint64(b & mask)
 	case one != 0 && b == one:
-		return c.size(1)
+		return c.bigEndian(1)
 	case b == two:
-		return c.size(2)
+		return c.bigEndian(2)
 	case b == four:
-		return c.size(4)
+		return c.bigEndian(4)
 	default:
-		c.fail(errForm)
+		c.fail(errInvalidMessage)
 	}
 	return 0
 }
 
-func (c *cursor) array() uint64 { return c.sized(0x90, 0x0f, 0, 0xdc, 0xdd) }
-func (c *cursor) fields() uint64 {
-	return c.sized(0x80, 0x0f, 0, 0xde, 0xdf)
+func (c *cursor) arrayLength() uint64 { return c.length(0x90, 0x0f, 0, 0xdc, 0xdd) }
+func (c *cursor) mapLength() uint64 {
+	return c.length(0x80, 0x0f, 0, 0xde, 0xdf)
 }
-func (c *cursor) str() []byte { return c.next(c.sized(0xa0, 0x1f, 0xd9, 0xda, 0xdb)) }
-func (c *cursor) bin() []byte { return c.next(c.sized(0, 0, 0xc4, 0xc5, 0xc6)) }
+func (c *cursor) stringValue() []byte { return c.take(c.length(0xa0, 0x1f, 0xd9, 0xda, 0xdb)) }
+func (c *cursor) binaryValue() []byte { return c.take(c.length(0, 0, 0xc4, 0xc5, 0xc6)) }
 
-// whole reads an integer that isn't negative.
-func (c *cursor) whole() uint64 {
-	b := c.byte()
+// unsigned reads an integer in any encoding and rejects a negative one.
+func (c *cursor) unsigned() uint64 {
+	b := c.readByte()
 	if c.err != nil {
 		return 0
 	}
@@ -100,26 +102,26 @@
 	case b < 0x80:
 		return uint64(b)
 	case b >= 0xcc && b <= 0xcf:
-		return c.size(1 << (b - 0xcc))
+		return c.bigEndian(1 << (b - 0xcc))
 	case b >= 0xd0 && b <= 0xd3:
 		bytes := uint64(1) << (b - 0xd0)
-		if n = c.size(bytes); n < 1<<(8*bytes-1) {
+		if n = c.bigEndian(bytes); n < 1<<(8*bytes-1) {
 			return n
 		}
 	}
-	c.fail(errForm)
+	c.fail(errInvalidMessage)
 	return 0
 }
 
-// skip passes over any one value. Deep nesting is refused: it would cost a
-// stack frame a byte.
-func (c *cursor) skip(deep int) {
-	b := c.byte()
+// skip skips one value of any type. It rejects deep nesting, which would use a stack frame per received
+// byte.
+func (c *cursor) skip(depth int) {
+	b := c.readByte()
 	if c.err != nil {
 		return
 	}
-	if c.items++; deep > 16 || c.items > itemsMost {
-		c.fail(errForm)
+	if c.items++; depth > 16 || c.items > maxItems {
+		c.fail(errInvalidMessage)
 		return
 	}
 	items := uint64(0)
@@ -130,39 +132,39 @@
 	case b < 0xa0:
 		items = uint64(b & 0x0f)
 	case b < 0xc0:
-		c.next(uint64(b & 0x1f))
+		c.take(uint64(b & 0x1f))
 	case b >= 0xc4 && b <= 0xc6:
-		c.next(c.size(1 << (b - 0xc4)))
+		c.take(c.bigEndian(1 << (b - 0xc4)))
 	case b >= 0xc7 && b <= 0xc9:
-		c.next(c.size(1<<(b-0xc7)) + 1)
+		c.take(c.bigEndian(1<<(b-0xc7)) + 1)
 	case b == 0xca || b == 0xcb:
-		c.next(4 << (b - 0xca))
+		c.take(4 << (b - 0xca))
 	case b >= 0xcc && b <= 0xcf:
-		c.next(1 << (b - 0xcc))
+		c.take(1 << (b - 0xcc))
 	case b >= 0xd0 && b <= 0xd3:
-		c.next(1 << (b - 0xd0))
+		c.take(1 << (b - 0xd0))
 	case b >= 0xd4 && b <= 0xd8:
-		c.next(1<<(b-0xd4) + 1)
+		c.take(1<<(b-0xd4) + 1)
 	case b >= 0xd9 && b <= 0xdb:
-		c.next(c.size(1 << (b - 0xd9)))
+		c.take(c.bigEndian(1 << (b - 0xd9)))
 	case b == 0xdc || b == 0xdd:
-		items = c.size(2 << (b - 0xdc))
+		items = c.bigEndian(2 << (b - 0xdc))
 	case b == 0xde || b == 0xdf:
-		items = 2 * c.size(2<<(b-0xde))
+		items = 2 * c.bigEndian(2<<(b-0xde))
 	default:
-		c.fail(errForm)
+		c.fail(errInvalidMessage)
 	}
-	if items > itemsMost {
-		c.fail(errForm)
+	if items > maxItems {
+		c.fail(errInvalidMessage)
 	}
 	for ; items > 0 && c.err == nil; items-- {
-		c.skip(deep + 1)
+		c.skip(depth + 1)
 	}
 }
 
-func appendSized(dst []byte, n int, short, most, one, two, four byte) []byte {
+func appendHeader(dst []byte, n int, short, maxShort, one, two, four byte) []byte {
 	switch {
-	case n <= int(most):
+	case n <= int(maxShort):
 		return append(dst, short|byte(n))
 	case one != 0 && n <= math.MaxUint8:
 		return append(dst, one, byte(n))
@@ -172,18 +174,18 @@
 	return binary.BigEndian.AppendUint32(append(dst, four), uint32(n))
 }
 
-func appendStr(dst []byte, s string) []byte {
-	return append(appendSized(dst, len(s), 0xa0, 31, 0xd9, 0xda, 0xdb), s...)
+func appendString(dst []byte, s string) []byte {
+	return append(appendHeader(dst, len(s), 0xa0, 31, 0xd9, 0xda, 0xdb), s...)
 }
 
-func appendBinHead(dst []byte, n int) []byte {
+func appendBinaryHeader(dst []byte, n int) []byte {
 	if n <= math.MaxUint8 {
 		return append(dst, 0xc4, byte(n))
 	}
-	return appendSized(dst, n, 0, 0, 0, 0xc5, 0xc6)
+	return appendHeader(dst, n, 0, 0, 0, 0xc5, 0xc6)
 }
 
-func appendWhole(dst []byte, n uint32) []byte {
+func appendUnsigned(dst []byte, n uint32) []byte {
 	switch {
 	case n < 0x80:
 		return append(dst, byte(n))
--- a/internal/msgpackrpc/statement.go
+++ b/internal/msgpackrpc/statement.go
@@ -5,38 +5,38 @@
 	"strconv"
 )
 
-// NoTables stands for a statement that names no table group.
+// NoTableGroup is the result for a statement that names no table group.
 const NoTableGroup = -1
 
-// Tables is the group of tables that a statement reads or writes: the number
-// behind the last underscore of its schema's name. Names inside strings and
-// comments are none, and neither is the schema staging, which has no number.
+// TableGroup returns the table group of the first table that a statement names: the number after the last
+// underscore of the table's schema. It ignores strings and comments. The schema staging has no number, so it
+// belongs to no table group.
 func TableGroup(statement []byte) int64 {
-	s := scanner{p: statement}
-	found := int64(NoTableGroup)
-	var before, name []byte // the two words before a mark, nil for anything else
+	s := scanner{text: statement}
+	candidate := int64(NoTableGroup)
+	var previous, name []byte // the two tokens before the current one, nil unless they are words
 	for {
 		word, kind := s.next()
 		if kind == 0 {
-			return found
+			return candidate
 		}
-		if n := number(name); kind == '.' && n != NoTableGroup {
-			if opens(before) {
+		if n := tableGroupNumber(name); kind == '.' && n != NoTableGroup {
+			if precedesTable(previous) {
 				return n
 			}
-			if found == NoTableGroup {
-				found = n // an alias may look like a schema: only if no table says more
+			if candidate == NoTableGroup {
+				candidate = n // may be an alias of the same form: used only if no table follows
 			}
 		}
 		if kind != 'a' && kind != '"' {
 			word = nil
 		}
-		before, name = name, word
+		previous, name = name, word
 	}
 }
 
-// opens: the word stands before the name of a table.
-func opens(word []byte) bool {
+// precedesTable reports whether a table name follows the word.
+func precedesTable(word []byte) bool {
 	switch string(bytes.ToLower(word)) {
 	case "from", "join", "into", "update", "table", "using", "only", "copy", "merge":
 		return true
@@ -44,7 +44,8 @@
 	return false
 }
 
-func number(schema []byte) int64 {
+// tableGroupNumber returns the number after the last underscore of a schema name, or NoTableGroup.
+func tableGroupNumber(schema []byte) int64 {
 	at := bytes.LastIndexByte(schema, '_')
 	if at <= 0 || at+1 == len(schema) {
 		return NoTableGroup
@@ -61,82 +62,85 @@
 	return n
 }
 
+// scanner splits an SQL statement into tokens.
 type scanner struct {
-	p  []byte
-	at int
+	text []byte
+	pos  int
 }
 
-// next gives a word and its kind: 'a' a bare name, '"' a quoted one, 0 the end,
-// '0' a number, else the mark itself, which a string's quote is too.
+// next returns the next token and its kind: 'a' for an unquoted name or keyword, '"' for a quoted name, '\”
+// for a string, '0' for a number, 0 at the end of the statement, and otherwise the character itself.
 func (s *scanner) next() (word []byte, kind byte) {
-	for s.at < len(s.p) {
-		b := s.p[s.at]
-		rest := s.p[s.at:]
+	for s.pos < len(s.text) {
+		b := s.text[s.pos]
+		rest := s.text[s.pos:]
 		switch {
 		case b == ' ' || b == '\t' || b == '\n' || b == '\r' || b == '\f' || b == '\v':
-			s.at++
+			s.pos++
 		case bytes.HasPrefix(rest, []byte("--")):
 			if end := bytes.IndexByte(rest, '\n'); end >= 0 {
-				s.at += end
+				s.pos += end
 			} else {
-				s.at = len(s.p)
+				s.pos = len(s.text)
 			}
 		case bytes.HasPrefix(rest, []byte("/*")):
-			s.comment()
+			s.skipBlockComment()
 		case b == '\'' || b == '"':
-			return s.quoted(b), b
-		case letter(b):
-			from := s.at
-			for s.at < len(s.p) && (letter(s.p[s.at]) || s.p[s.at] >= '0' && s.p[s.at] <= '9' || s.p[s.at] == '$') {
-				s.at++
+			return s.readQuoted(b), b
+		case isLetter(b):
+			from := s.pos
+			for s.pos < len(s.text) && (isLetter(s.text[s.pos]) ||
+				s.text[s.pos] >= '0' && s.text[s.pos] <= '9' || s.text[s.pos] == '$') {
+				s.pos++
 			}
-			return s.p[from:s.at], 'a'
+			return s.text[from:s.pos], 'a'
 		case b >= '0' && b <= '9':
-			for s.at < len(s.p) && (letter(s.p[s.at]) || s.p[s.at] >= '0' && s.p[s.at] <= '9' || s.p[s.at] == '.') {
-				s.at++
+			for s.pos < len(s.text) && (isLetter(s.text[s.pos]) ||
+				s.text[s.pos] >= '0' && s.text[s.pos] <= '9' || s.text[s.pos] == '.') {
+				s.pos++
 			}
 			return nil, '0'
 		default:
-			s.at++
+			s.pos++
 			return nil, b
 		}
 	}
 	return nil, 0
 }
 
-func letter(b byte) bool {
+func isLetter(b byte) bool {
 	return b >= 'a' && b <= 'z' || b >= 'A' && b <= 'Z' || b == '_' || b >= 0x80
 }
 
-// comment passes over a block comment; they nest.
-func (s *scanner) comment() {
-	for deep := 0; s.at < len(s.p); {
-		switch rest := s.p[s.at:]; {
+// skipBlockComment skips a block comment. Block comments may be nested.
+func (s *scanner) skipBlockComment() {
+	for depth := 0; s.pos < len(s.text); {
+		switch rest := s.text[s.pos:]; {
 		case bytes.HasPrefix(rest, []byte("/*")):
-			deep++
-			s.at += 2
+			depth++
+			s.pos += 2
 		case bytes.HasPrefix(rest, []byte("*/")):
-			s.at += 2
-			if deep--; deep == 0 {
+			s.pos += 2
+			if depth--; depth == 0 {
 				return
 			}
 		default:
-			s.at++
+			s.pos++
 		}
 	}
 }
 
-// quoted reads up to the closing quote; a doubled one stands for itself.
-func (s *scanner) quoted(q byte) (word []byte) {
-	for s.at++; s.at < len(s.p); s.at++ {
-		if s.p[s.at] == q {
-			if s.at+1 == len(s.p) || s.p[s.at+1] != q {
-				s.at++
+// readQuoted reads up to the closing quote. A doubled quote stands for one quote character.
+func (s *scanner) readQuoted(quote byte) (word []byte) {
+	for s.pos++; s.pos < len(s.text); s.pos++ {
+		if s.text[s.pos] == quote {
+			if s.pos+1 == len(s.text) || s.text[s.pos+1] != quote {
+				s.pos++
 				return word
 			}
-			s.at++
+			s.pos++
 		}
-		word = append(word, s.p[s.at])
+		word = append(word, s.text[s.pos])
 	}
 	return word
 }
