--- a/cmd/railrelay-sim/main.go
+++ b/cmd/railrelay-sim/main.go
@@ -1,5 +1,5 @@
-// Command railrelay-sim puts the decisions on the bench's wire, on standard input and
-// output.
+// Command railrelay-sim runs the scheduler under the simulator. It speaks the simulator's protocol on
+// standard input and output.
 package main
 
 import (
--- a/cmd/railrelay/main.go
+++ b/cmd/railrelay/main.go
@@ -1,7 +1,7 @@
-// Command railrelay is one controller on sockets: it takes clients' queries,
-// has package scheduler decide on them and speaks to engines and the list.
+// Command railrelay runs one controller. It accepts queries from clients, schedules them on engines and
+// follows the engine list.
 package main
 
-import both "railrelay.dev/railrelay/internal/cli"
+import "railrelay.dev/railrelay/internal/cli"
 
-func main() { both.Main(nil) }
+func main() { cli.Main(nil) }
--- a/internal/cli/control.go
+++ b/internal/cli/control.go
@@ -14,38 +14,42 @@
 	"railrelay.dev/railrelay/internal/setup"
 )
 
-// statusWait is how long a control process waits for its own status before it logs none.
-const statusWait = time.Second
+// statusTimeout limits the wait of a control process for its own status, which it logs.
+const statusTimeout = time.Second
 
-// serveControl serves as a process of the control role: its part in the fleet, and in
-// place of a reducer one that is idle. It listens for no clients and follows no feed.
-func serveControl(have *setup.Setup, path string, started time.Time, signals <-chan os.Signal, part *FleetSupport, log zerolog.Logger) error {
-	limit(have.Cores(), have.MemoryMB())
-	if have.Placement == nil {
-		log.Info().Msg("placement is left out: as leader this process watches for no emergency of rules that controllers' set-ups have")
+// serveControl runs a process of the control role. It takes part in the fleet with a controller that does
+// nothing, accepts no clients and follows no engine list.
+func serveControl(current *setup.Setup, path string, started time.Time, signals <-chan os.Signal,
+	support *FleetSupport, log zerolog.Logger) error {
+	setRuntimeLimits(current.Cores(), current.MemoryMB())
+	if current.Placement == nil {
+		log.Info().Msg(
+			"no placement section: as leader this process detects no emergency under the controllers' placement rules")
 	}
-	means := controller.Config{StartedAt: started}
-	joined, err := part.Join(have, &means, log)
+	config := controller.Config{StartedAt: started}
+	membership, err := support.Join(current, &config, log)
 	if err != nil {
 		return err
 	}
 	group, ctx := errgroup.WithContext(context.Background())
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
-	group.Go(func() error { return joined.Serve(ctx) })
+	group.Go(func() error { return membership.Serve(ctx) })
 	group.Go(func() error {
-		return noop.Controller{ServingState: means.Fleet.ServingState}.Serve(ctx, joined.Channels.Orders, joined.Channels.Reports)
+		return noop.Controller{ServingState: config.Fleet.ServingState}.Serve(ctx,
+			membership.Channels.Orders, membership.Channels.Reports)
 	})
 	group.Go(func() error {
 		defer stop()
-		heed(ctx, signals, have, path, joined, log)
+		handleSignals(ctx, signals, current, path, membership, log)
 		return nil
 	})
 	return group.Wait()
 }
 
-// heed does what signals ask of a control process, until one ends it or ctx ends.
-func heed(ctx context.Context, signals <-chan os.Signal, have *setup.Setup, path string, joined FleetMembership, log zerolog.Logger) {
+// handleSignals handles the signals of a control process until one of them stops it or ctx ends.
+func handleSignals(ctx context.Context, signals <-chan os.Signal, current *setup.Setup, path string,
+	membership FleetMembership, log zerolog.Logger) {
 	for {
 		select {
 		case <-ctx.Done():
@@ -53,9 +57,9 @@
 		case s := <-signals:
 			switch s {
 			case syscall.SIGUSR1:
-				logStatus(ctx, joined, log)
+				logStatus(ctx, membership, log)
 			case syscall.SIGHUP:
-				if _, err := reread(have, path, joined, log); err != nil {
+				if _, err := reloadSetup(current, path, membership, log); err != nil {
 					log.Log().Err(err).Msg("the configuration is kept as it was")
 					continue
 				}
@@ -68,15 +72,16 @@
 }
 
 // logStatus logs the counters of a control process and how it sees the fleet.
-func logStatus(ctx context.Context, joined FleetMembership, log zerolog.Logger) {
-	ctx, cancel := context.WithTimeout(ctx, statusWait)
+func logStatus(ctx context.Context, membership FleetMembership, log zerolog.Logger) {
+	ctx, cancel := context.WithTimeout(ctx, statusTimeout)
 	defer cancel()
-	status := joined.Status(ctx)
+	status := membership.Status(ctx)
 	if status == nil {
-		log.Log().Msg("counters: this process has not answered in time")
+		log.Log().Msg("counters: timed out waiting for the status of this process")
 		return
 	}
-	line := log.Log().Str("leader", status.Leader).Uint64("record", status.Index).Uint64("version", status.Version).
+	line := log.Log().Str("leader", status.Leader).Uint64("record", status.Index).
+		Uint64("version", status.Version).
 		Bool("holds_lease", status.Serves).Int("members", len(status.Members)).Int("purges", len(status.Purges))
 	for name, n := range status.Counts {
 		line = line.Int(name, n)
--- a/internal/cli/encoding_keys_test.go
+++ b/internal/cli/encoding_keys_test.go
@@ -7,5 +7,5 @@
 )
 
 func TestKeysAreExplicit(t *testing.T) {
-	goldentest.ExplicitKeys(t, goldentest.JSON, given{})
+	goldentest.ExplicitKeys(t, goldentest.JSON, platformConfig{})
 }
--- a/internal/cli/golden_test.go
+++ b/internal/cli/golden_test.go
@@ -13,7 +13,7 @@
 
 // The platform writes its keys in lower case.
 func TestGoldenPlatformConfigurationIsRead(t *testing.T) {
-	want := given{
+	want := platformConfig{
 		Listen: "127.0.0.1:6000", Seed: "1f", Feed: "127.0.0.1:6001",
 		Known: json.RawMessage(`{"n":1,"events":[]}`), Settings: json.RawMessage(`{"balancers":2}`),
 	}
@@ -21,7 +21,7 @@
 	want.Limits.MemoryMB = 256
 	want.Limits.Sockets = 4096
 	goldentest.EveryFieldSet(t, goldentest.JSON, want)
-	got, err := read(filepath.Join(goldentest.Folder, "platform.json"))
+	got, err := readPlatformConfig(filepath.Join(goldentest.Folder, "platform.json"))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -40,7 +40,7 @@
 		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
-		_, err := read(path)
+		_, err := readPlatformConfig(path)
 		if err == nil {
 			t.Fatal(file, "is taken")
 		}
--- a/internal/cli/platform.go
+++ b/internal/cli/platform.go
@@ -16,9 +16,9 @@
 	"railrelay.dev/railrelay/internal/settings"
 )
 
-// given is what the platform's configuration file says. Its keys are matched in any case;
-// an error names them as they stand here.
-type given struct {
+// platformConfig is the platform's configuration file. Its keys are matched in any case; errors name them as
+// written here.
+type platformConfig struct {
 	Listen string `json:"Listen"`
 	Seed   string `json:"Seed"`
 	Feed   string `json:"Feed"`
@@ -31,103 +31,108 @@
 	Settings json.RawMessage `json:"Settings"`
 }
 
-func read(path string) (g given, err error) {
+// readPlatformConfig reads and checks the configuration file.
+func readPlatformConfig(path string) (config platformConfig, err error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
-		return g, fmt.Errorf("no config in ROUTER_CONFIG: %w", err)
+		return config, fmt.Errorf("no config file at ROUTER_CONFIG: %w", err)
 	}
-	if err := json.Unmarshal(text, &g); err != nil {
-		return g, fmt.Errorf("config: %w", err)
+	if err := json.Unmarshal(text, &config); err != nil {
+		return config, fmt.Errorf("config: %w", err)
 	}
-	if g.Limits.Sockets <= 0 || g.Limits.MemoryMB <= 0 {
-		return g, errors.New("config: limits are missing")
+	if config.Limits.Sockets <= 0 || config.Limits.MemoryMB <= 0 {
+		return config, errors.New("config: limits are missing")
 	}
-	return g, nil
+	return config, nil
 }
 
-// platformWords are the platform's names for what a call may tell besides.
-var platformWords = controller.FieldNames{Customer: "customer", EstimatedWork: "weight", EstimatedMemory: "ram", IdempotencyKey: "nonce"}
+// platformFieldNames are the platform's names for the optional fields of a query call.
+var platformFieldNames = controller.FieldNames{Customer: "customer", EstimatedWork: "weight",
+	EstimatedMemory: "ram", IdempotencyKey: "nonce"}
 
-// servePlatform serves by ROUTER_CONFIG and what stands beside it.
+// servePlatform runs a controller with the configuration of ROUTER_CONFIG and of the other environment
+// variables.
 func servePlatform(signals <-chan os.Signal) error {
 	started := time.Now()
 	path := os.Getenv("ROUTER_CONFIG")
-	g, err := read(path)
+	config, err := readPlatformConfig(path)
 	if err != nil {
 		return err
 	}
-	facts, err := settings.FromJSON(g.Settings)
+	values, err := settings.FromJSON(config.Settings)
 	if err != nil {
 		return err
 	}
 	log := logger("", "")
-	refused, strange := settings.Conflicts(facts)
+	refused, warnings := settings.Conflicts(values)
 	for _, m := range refused {
 		err = errors.Join(err, fmt.Errorf("config: settings.%s: %s", settings.ExternalName(m[0]), m[1]))
 	}
 	if err != nil {
 		return err
 	}
-	for _, m := range strange {
+	for _, m := range warnings {
 		log.Log().Msg("config: settings." + settings.ExternalName(m[0]) + ": " + m[1])
 	}
-	for _, line := range odd(facts) {
+	for _, line := range settingsWarnings(values) {
 		log.Log().Msg(line)
 	}
-	seed, err := strconv.ParseUint(g.Seed, 16, 64)
+	seed, err := strconv.ParseUint(config.Seed, 16, 64)
 	if err != nil {
 		return fmt.Errorf("config: no seed: %w", err)
 	}
 	address := os.Getenv("ROUTER_LISTEN")
 	if address == "" {
-		address = g.Listen
-	}
-	means := controller.Config{FieldNames: platformWords, Seed: seed, MemoryMB: g.Limits.MemoryMB, MaxDescriptors: g.Limits.Sockets,
-		DiscoveryAddress: g.Feed, InitialEndpoints: g.Known, Settings: facts, StartedAt: started}
-	return listen(address, g.Limits.Cores, means, nil, func(log zerolog.Logger) <-chan controller.Event {
-		return follow(signals, func() (controller.Event, error) {
-			next, err := again(path, g, log)
-			if err != nil {
-				return controller.Event{}, err
-			}
-			g.Feed = next.Feed
-			return controller.Event{Kind: controller.ConfigurationReloaded, DiscoveryAddress: next.Feed}, nil
-		}, log)
-	}, FleetMembership{}, log)
+		address = config.Listen
+	}
+	controllerConfig := controller.Config{FieldNames: platformFieldNames, Seed: seed,
+		MemoryMB: config.Limits.MemoryMB, MaxDescriptors: config.Limits.Sockets,
+		DiscoveryAddress: config.Feed, InitialEndpoints: config.Known, Settings: values, StartedAt: started}
+	return serveController(address, config.Limits.Cores, controllerConfig, nil,
+		func(log zerolog.Logger) <-chan controller.Event {
+			return signalEvents(signals, func() (controller.Event, error) {
+				next, err := reloadPlatformConfig(path, config, log)
+				if err != nil {
+					return controller.Event{}, err
+				}
+				config.Feed = next.Feed
+				return controller.Event{Kind: controller.ConfigurationReloaded, DiscoveryAddress: next.Feed}, nil
+			}, log)
+		}, FleetMembership{}, log)
 }
 
-// odd says what the settings leave out or name wrongly, and what is done instead: a
-// controller that refuses to start serves nobody.
-func odd(facts map[string]string) (lines []string) {
-	say := func(field, what string) { lines = append(lines, "config: settings."+field+": "+what) }
-	if n, err := strconv.ParseFloat(facts["gateways"], 64); err != nil || n < 1 {
-		say("balancers", "no number of controllers; taken as one")
-	}
-	groups, _ := strconv.Atoi(facts["groups"])
+// settingsWarnings lists missing and invalid settings and the defaults used instead. They aren't errors,
+// since a controller that refuses to start serves no queries.
+func settingsWarnings(values map[string]string) (lines []string) {
+	warn := func(field, problem string) { lines = append(lines, "config: settings."+field+": "+problem) }
+	if n, err := strconv.ParseFloat(values["gateways"], 64); err != nil || n < 1 {
+		warn("balancers", "not a number of controllers; using 1")
+	}
+	groups, _ := strconv.Atoi(values["groups"])
 	if groups < 1 {
-		say("classes", "none; every query will be killed")
+		warn("classes", "missing; every query will fail")
 	}
 	for i := range groups {
-		at, class := "group."+strconv.Itoa(i)+".", "classes["+strconv.Itoa(i)+"]."
-		if facts[at+"name"] == "" {
-			say(class+"name", "none; nobody can ask for it")
+		prefix, externalPrefix := "group."+strconv.Itoa(i)+".", "classes["+strconv.Itoa(i)+"]."
+		if values[prefix+"name"] == "" {
+			warn(externalPrefix+"name", "missing; no query can select this class")
 		}
-		if effect := facts[at+"effect"]; effect != "read-only" && effect != "tokened" && effect != "mutating" {
-			say(class+"effect", strconv.Quote(effect)+" is not known; taken as never to be repeated")
+		if effect := values[prefix+"effect"]; effect != "read-only" && effect != "tokened" && effect != "mutating" {
+			warn(externalPrefix+"effect", strconv.Quote(effect)+" is unknown; queries are treated as unsafe to repeat")
 		}
 		for _, f := range [][2]string{{"target", "objective_ms"}, {"timeout", "deadline_ms"}} {
-			if x, err := strconv.ParseFloat(facts[at+f[0]], 64); err != nil || x <= 0 {
-				say(class+f[1], "no time")
+			if x, err := strconv.ParseFloat(values[prefix+f[0]], 64); err != nil || x <= 0 {
+				warn(externalPrefix+f[1], "not a positive duration")
 			}
 		}
 	}
 	return lines
 }
 
-// again reads the configuration while running. The feed is all that may
-// change; what else does is said, since whoever wrote it expects it to act.
-func again(path string, have given, log zerolog.Logger) (given, error) {
-	next, err := read(path)
+// reloadPlatformConfig reads the configuration again. Only the feed may change; any other change is logged,
+// since its author expects it to take effect.
+func reloadPlatformConfig(path string, current platformConfig, log zerolog.Logger) (platformConfig, error) {
+	next, err := readPlatformConfig(path)
 	if err != nil {
 		return next, err
 	}
@@ -135,8 +140,8 @@
 		return next, fmt.Errorf("config: no feed: %w", err)
 	}
 	for name, same := range map[string]bool{
-		"listen": next.Listen == have.Listen, "limits": next.Limits == have.Limits,
-		"settings": alike(next.Settings, have.Settings),
+		"listen": next.Listen == current.Listen, "limits": next.Limits == current.Limits,
+		"settings": sameSettings(next.Settings, current.Settings),
 	} {
 		if !same {
 			log.Log().Str("what", name).Msg("can't be changed while running")
@@ -145,8 +150,8 @@
 	return next, nil
 }
 
-// alike: the same settings, however they are laid out.
-func alike(a, b json.RawMessage) bool {
+// sameSettings reports whether two settings are equal, whatever their layout.
+func sameSettings(a, b json.RawMessage) bool {
 	x, err := settings.FromJSON(a)
 	y, other := settings.FromJSON(b)
 	return err == nil && other == nil && maps.Equal(x, y)
--- a/internal/cli/program.go
+++ b/internal/cli/program.go
@@ -1,11 +1,10 @@
-// Package cli is the command line of a controller: it reads the environment or
-// the set-up, listens, and hands signals on.
+// Package cli implements the command line of a controller. It reads the environment or the set-up file,
+// listens for clients and forwards signals.
 //
-// There are two programs of it. railrelay is what the platform starts; it links no
-// agreement and no HTTP, which alone would take eight megabytes more from the start
-// on. railrelay-fleet has these, too, and railrelay becomes it, by exec and in its own
-// place, where a set-up has a fleet part or `railrelay fleet` is asked for: the two
-// stand in one directory.
+// Two programs use the package. The platform starts railrelay, which links neither consensus nor HTTP: these
+// would take 8 MB more memory from the start. railrelay-fleet links both. If a set-up has a fleet section, or
+// the command is `railrelay fleet`, railrelay replaces itself with railrelay-fleet by exec. The two programs
+// are installed in one directory.
 package cli
 
 import (
@@ -33,41 +32,41 @@
 	"railrelay.dev/railrelay/internal/setup"
 )
 
-// Fleet is what a program has that can take part in a fleet.
+// FleetSupport is the part of a program that joins a fleet.
 type FleetSupport struct {
-	// Command is `railrelay fleet` with all below it.
+	// Command returns the command `railrelay fleet` with its subcommands.
 	Command func() *cobra.Command
-	// Join opens what the set-up's fleet part names, and puts into means what the
-	// reducer needs of it.
-	Join func(have *setup.Setup, means *controller.Config, log zerolog.Logger) (FleetMembership, error)
+	// Join starts the member that the set-up's fleet section describes, and adds to config what the
+	// controller needs from the member.
+	Join func(current *setup.Setup, config *controller.Config, log zerolog.Logger) (FleetMembership, error)
 }
 
-// Joined is one controller's part in the fleet.
+// FleetMembership is this process's membership in a fleet.
 type FleetMembership struct {
-	Channels   eventloop.FleetChannels                 // what the reducer takes from it and tells it
-	Serve      func(ctx context.Context) error         // until ctx ends; closes all that was opened
-	ReloadKeys func() error                            // reads the key file again
-	Status     func(ctx context.Context) *fleet.Status // how this process sees the fleet; nil: no word before ctx ended
+	Channels   eventloop.FleetChannels                 // between the member and the controller
+	Serve      func(ctx context.Context) error         // runs the member until ctx ends, then closes it
+	ReloadKeys func() error                            // reloads the key file
+	Status     func(ctx context.Context) *fleet.Status // this process's view of the fleet; nil: ctx ended first
 }
 
-// Status is an error that ends the program with a status of its own.
+// ExitError is an error with the exit status of the program.
 type ExitError struct {
 	Code int
 	error
 }
 
-// Failed is an error with a status.
+// WithExitCode wraps an error with an exit status.
 func WithExitCode(code int, err error) error { return ExitError{code, err} }
 
-// Unwrap gives what it is of.
+// Unwrap returns the wrapped error.
 func (s ExitError) Unwrap() error { return s.error }
 
-// Main is the program. part is nil in the one that can't take part in any.
-func Main(part *FleetSupport) {
-	// before all else: a signal that nobody has asked for ends the program
+// Main runs the program. support is nil in the program that can't join a fleet.
+func Main(support *FleetSupport) {
+	// Signals are registered first, because an unregistered one would kill the program.
 	signals := make(chan os.Signal, 64)
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT, syscall.SIGUSR1, syscall.SIGHUP)
-	if err := commands(signals, part).Execute(); err != nil {
+	if err := newRootCommand(signals, support).Execute(); err != nil {
 		var status ExitError
 		if errors.As(err, &status) {
 			if status.error != nil {
@@ -76,46 +75,50 @@
 			os.Exit(status.Code)
 		}
 		log := logger("", "")
-		log.Fatal().Err(err).Msg("railrelay ends")
+		log.Fatal().Err(err).Msg("railrelay failed")
 	}
 }
 
-// whole is the program that can take part in a fleet.
-const whole = "railrelay-fleet"
+// fleetProgram is the program that can join a fleet.
+const fleetProgram = "railrelay-fleet"
 
-// become makes this process that program, with the same arguments. It returns only
-// if that can't be done.
-func become() error {
-	own, err := os.Executable()
+// execFleetProgram replaces this process with fleetProgram, with the same arguments. It returns only
+// on failure.
+func execFleetProgram() error {
+	executable, err := os.Executable()
 	if err == nil {
-		own, err = filepath.EvalSymlinks(own)
+		executable, err = filepath.EvalSymlinks(executable)
 	}
 	if err != nil {
 		return err
 	}
-	path := filepath.Join(filepath.Dir(own), whole)
-	return fmt.Errorf("%s, which takes part in fleets, must stand beside %s: %w", whole, own, syscall.Exec(path, os.Args, os.Environ()))
+	path := filepath.Join(filepath.Dir(executable), fleetProgram)
+	return fmt.Errorf("%s, which joins fleets, must be installed beside %s: %w",
+		fleetProgram, executable, syscall.Exec(path, os.Args, os.Environ()))
 }
 
-// commands is the command line. Without arguments it serves, as it always did.
-func commands(signals <-chan os.Signal, part *FleetSupport) *cobra.Command {
+// newRootCommand returns the command line. Without arguments the program serves.
+func newRootCommand(signals <-chan os.Signal, support *FleetSupport) *cobra.Command {
 	path := ""
 	start := func(*cobra.Command, []string) error {
 		if path != "" {
-			return serveSetup(path, signals, part)
+			return serveSetup(path, signals, support)
 		}
 		return servePlatform(signals)
 	}
-	root := &cobra.Command{Use: "railrelay", Short: "A front for query engines with limited memory", Args: cobra.NoArgs,
+	root := &cobra.Command{Use: "railrelay",
+		Short: "A front for query engines with limited memory", Args: cobra.NoArgs,
 		Long: "A front for query engines with limited memory. Without a command it serves.", RunE: start,
 		SilenceUsage: true, SilenceErrors: true}
-	serve := &cobra.Command{Use: "serve", Short: "Serve as one controller, until SIGTERM", Args: cobra.NoArgs, RunE: start,
+	serve := &cobra.Command{Use: "serve",
+		Short: "Serve as one controller, until SIGTERM", Args: cobra.NoArgs, RunE: start,
 		Long: "Serve as one controller. --setup names the product's YAML; without it ROUTER_CONFIG, ROUTER_LISTEN and ROUTER_NAME\n" +
 			"say what the platform wants. SIGHUP reads the file again, SIGUSR1 logs the counters, SIGTERM ends once all that was\n" +
 			"taken is answered."}
 	serve.Flags().StringVar(&path, "setup", "", "the set-up, YAML; deploy/railrelay.yaml shows all there is")
 	serve.MarkFlagFilename("setup", "yaml", "yml")
-	check := &cobra.Command{Use: "check FILE...", Short: "Check set-up files and say all that is wrong", Args: cobra.MinimumNArgs(1),
+	check := &cobra.Command{Use: "check FILE...",
+		Short: "Check set-up files and say all that is wrong", Args: cobra.MinimumNArgs(1),
 		RunE: func(c *cobra.Command, files []string) error {
 			bad := 0
 			for _, f := range files {
@@ -131,21 +134,23 @@
 			}
 			return nil
 		}}
-	version := &cobra.Command{Use: "version", Short: "Print the version", Args: cobra.NoArgs, Run: func(c *cobra.Command, _ []string) {
-		fmt.Fprintln(c.OutOrStdout(), "railrelay", built())
-	}}
+	version := &cobra.Command{Use: "version", Short: "Print the version", Args: cobra.NoArgs,
+		Run: func(c *cobra.Command, _ []string) {
+			fmt.Fprintln(c.OutOrStdout(), "railrelay", buildInfo())
+		}}
 	root.AddCommand(serve, check, version, spoolCommand())
-	if part != nil {
-		root.AddCommand(part.Command())
+	if support != nil {
+		root.AddCommand(support.Command())
 	} else {
-		root.AddCommand(&cobra.Command{Use: "fleet", Short: "See and change what the fleet has decided", DisableFlagParsing: true,
-			RunE: func(*cobra.Command, []string) error { return become() }})
+		root.AddCommand(&cobra.Command{Use: "fleet",
+			Short: "See and change what the fleet has decided", DisableFlagParsing: true,
+			RunE: func(*cobra.Command, []string) error { return execFleetProgram() }})
 	}
 	return root
 }
 
-// built is what the program was made of.
-func built() string {
+// buildInfo returns the version, the revision and the Go version of the program.
+func buildInfo() string {
 	info, ok := debug.ReadBuildInfo()
 	if !ok {
 		return "unknown"
@@ -159,56 +164,60 @@
 	return text + " " + info.GoVersion
 }
 
-// logger writes to standard error, one JSON object a line. level is the least one
-// logged; RAILRELAY_LOG goes before it.
+// logger returns a logger that writes one JSON object per line to standard error. RAILRELAY_LOG takes
+// precedence over level, and ROUTER_NAME over name.
 func logger(name, level string) zerolog.Logger {
-	zerolog.TimeFieldFormat = "2006-01-02T15:04:05.000000Z07:00" // one id is followed through several controllers
+	// Microseconds order the lines that several controllers log about one query.
+	zerolog.TimeFieldFormat = "2006-01-02T15:04:05.000000Z07:00"
 	if env := os.Getenv("RAILRELAY_LOG"); env != "" {
 		level = env
 	}
-	least, err := zerolog.ParseLevel(level)
-	if err != nil || least == zerolog.NoLevel {
-		least = zerolog.WarnLevel
+	minLevel, err := zerolog.ParseLevel(level)
+	if err != nil || minLevel == zerolog.NoLevel {
+		minLevel = zerolog.WarnLevel
 	}
 	if env := os.Getenv("ROUTER_NAME"); env != "" {
 		name = env
 	}
-	return zerolog.New(os.Stderr).Level(least).With().Timestamp().Str("name", name).Logger()
+	return zerolog.New(os.Stderr).Level(minLevel).With().Timestamp().Str("name", name).Logger()
 }
 
-// limit keeps the program within a number of cores and within an amount of memory, in MB.
-func limit(cores, memoryMB float64) {
+// setRuntimeLimits limits the cores of the program, and its memory to three quarters of memoryMB.
+func setRuntimeLimits(cores, memoryMB float64) {
 	runtime.GOMAXPROCS(max(1, int(math.Ceil(cores))))
 	debug.SetMemoryLimit(int64(memoryMB * (1 << 20) * 3 / 4))
 }
 
-// listen runs a controller until it is done, and beside it its part in a fleet, if it has one.
-func listen(address string, cores float64, means controller.Config, disk *resultstore.SpoolStore, asked func(zerolog.Logger) <-chan controller.Event,
-	joined FleetMembership, log zerolog.Logger) error {
+// serveController runs a controller, and its fleet member if it has one, until the controller stops.
+func serveController(address string, cores float64, config controller.Config,
+	spoolStore *resultstore.SpoolStore, events func(zerolog.Logger) <-chan controller.Event,
+	membership FleetMembership, log zerolog.Logger) error {
 	if address == "" {
-		return errors.New("no address to listen on")
+		return errors.New("listen address is missing")
 	}
-	means.TraceQueries = log.GetLevel() <= zerolog.DebugLevel
-	limit(cores, means.MemoryMB)
+	config.TraceQueries = log.GetLevel() <= zerolog.DebugLevel
+	setRuntimeLimits(cores, config.MemoryMB)
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
 		return err
 	}
-	if joined.Serve == nil {
-		return eventloop.Serve(context.Background(), listener, means, disk, eventloop.FleetChannels{}, asked(log), log)
+	if membership.Serve == nil {
+		return eventloop.Serve(context.Background(), listener, config, spoolStore,
+			eventloop.FleetChannels{}, events(log), log)
 	}
 	group, ctx := errgroup.WithContext(context.Background())
-	ctx, done := context.WithCancel(ctx)
-	group.Go(func() error { return joined.Serve(ctx) })
+	ctx, cancel := context.WithCancel(ctx)
+	group.Go(func() error { return membership.Serve(ctx) })
 	group.Go(func() error {
-		defer done()
-		return eventloop.Serve(ctx, listener, means, disk, joined.Channels, asked(log), log)
+		defer cancel()
+		return eventloop.Serve(ctx, listener, config, spoolStore, membership.Channels, events(log), log)
 	})
 	return group.Wait()
 }
 
-// follow turns signals into what they ask for; again reads the configuration anew.
-func follow(signals <-chan os.Signal, again func() (controller.Event, error), log zerolog.Logger) <-chan controller.Event {
+// signalEvents converts signals into events. reload reads the configuration again.
+func signalEvents(signals <-chan os.Signal, reload func() (controller.Event, error),
+	log zerolog.Logger) <-chan controller.Event {
 	events := make(chan controller.Event)
 	go func() {
 		for s := range signals {
@@ -216,7 +225,7 @@
 			case syscall.SIGUSR1:
 				events <- controller.Event{Kind: controller.CountersRequested}
 			case syscall.SIGHUP:
-				ev, err := again()
+				ev, err := reload()
 				if err != nil {
 					log.Log().Err(err).Msg("the configuration is kept as it was")
 					continue
@@ -231,57 +240,60 @@
 	return events
 }
 
-// serveSetup serves by the product's YAML.
-func serveSetup(path string, signals <-chan os.Signal, part *FleetSupport) error {
+// serveSetup runs the program with a set-up file.
+func serveSetup(path string, signals <-chan os.Signal, support *FleetSupport) error {
 	started := time.Now()
-	have, err := setup.Load(path)
+	current, err := setup.Load(path)
 	if err != nil {
 		return err
 	}
-	if have.Fleet != nil && part == nil {
-		return become()
+	if current.Fleet != nil && support == nil {
+		return execFleetProgram()
 	}
-	log := logger(have.Name, have.Log)
-	if have.Control() {
-		return serveControl(have, path, started, signals, part, log)
+	log := logger(current.Name, current.Log)
+	if current.Control() {
+		return serveControl(current, path, started, signals, support, log)
 	}
-	means := have.Means(started)
-	disk, err := have.OpenSpool(&means, log)
+	config := current.Means(started)
+	spoolStore, err := current.OpenSpool(&config, log)
 	if err != nil {
 		return err
 	}
-	if disk != nil {
-		defer disk.Close()
+	if spoolStore != nil {
+		defer spoolStore.Close()
 	}
-	var joined FleetMembership
-	if have.Fleet != nil {
-		if joined, err = part.Join(have, &means, log); err != nil {
+	var membership FleetMembership
+	if current.Fleet != nil {
+		if membership, err = support.Join(current, &config, log); err != nil {
 			return err
 		}
 	}
-	return listen(have.Listen, have.Cores(), means, disk, func(log zerolog.Logger) <-chan controller.Event {
-		return follow(signals, func() (controller.Event, error) {
-			next, err := reread(have, path, joined, log)
-			if err != nil {
-				return controller.Event{}, err
-			}
-			return controller.Event{Kind: controller.ConfigurationReloaded, DiscoveryAddress: next.Feed, Tenants: next.Shape()}, nil
-		}, log)
-	}, joined, log)
+	return serveController(current.Listen, current.Cores(), config, spoolStore,
+		func(log zerolog.Logger) <-chan controller.Event {
+			return signalEvents(signals, func() (controller.Event, error) {
+				next, err := reloadSetup(current, path, membership, log)
+				if err != nil {
+					return controller.Event{}, err
+				}
+				return controller.Event{Kind: controller.ConfigurationReloaded,
+					DiscoveryAddress: next.Feed, Tenants: next.Shape()}, nil
+			}, log)
+		}, membership, log)
 }
 
-// reread reads a set-up and the fleet's keys again, and says what can't be changed.
-func reread(have *setup.Setup, path string, joined FleetMembership, log zerolog.Logger) (*setup.Setup, error) {
+// reloadSetup reloads the set-up and the fleet's keys, and logs changes that have no effect while running.
+func reloadSetup(current *setup.Setup, path string, membership FleetMembership,
+	log zerolog.Logger) (*setup.Setup, error) {
 	next, err := setup.Load(path)
 	if err != nil {
 		return nil, err
 	}
-	for _, what := range have.Fixed(next) {
-		log.Log().Str("what", what).Msg("can't be changed while running")
+	for _, field := range current.Fixed(next) {
+		log.Log().Str("what", field).Msg("can't be changed while running")
 	}
-	if joined.ReloadKeys != nil {
-		if err := joined.ReloadKeys(); err != nil {
-			log.Log().Err(err).Msg("the fleet's keys are kept as they were")
+	if membership.ReloadKeys != nil {
+		if err := membership.ReloadKeys(); err != nil {
+			log.Log().Err(err).Msg("reloading the fleet's keys failed; the current keys stay in use")
 		}
 	}
 	return next, nil
