--- a/cmd/railrelay/controller_test.go
+++ b/cmd/railrelay/controller_test.go
@@ -14,15 +14,15 @@
 	"time"
 )
 
-// controller is the program, started.
+// controller is a running railrelay process.
 type controller struct {
-	t       *testing.T
-	cmd     *exec.Cmd
-	address string
-	lines   chan map[string]any
-	ended   chan error
-	config  string
-	limit   string // what the shell does before
+	t           *testing.T
+	cmd         *exec.Cmd
+	address     string
+	lines       chan map[string]any
+	exited      chan error
+	config      string
+	shellPrefix string // shell commands that run before the program
 }
 
 const testSettings = `{"balancers":1,"me":0,"zones":["here"],"kinds":["std"],"quantum_ms":5.0,"discovery":"pushed",
@@ -47,14 +47,14 @@
 	if err := os.WriteFile(c.config, []byte(text), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	c.begin(listen)
+	c.launch(listen)
 	t.Cleanup(func() { c.cmd.Process.Kill() })
 	return c
 }
 
-func (c *controller) begin(listen string) {
+func (c *controller) launch(listen string) {
 	c.t.Helper()
-	c.cmd = exec.Command("/bin/sh", "-c", c.limit+"exec "+program)
+	c.cmd = exec.Command("/bin/sh", "-c", c.shellPrefix+"exec "+program)
 	c.cmd.Env = append(os.Environ(), "RAILRELAY_LOG=info", "ROUTER_NAME=n0", "ROUTER_CONFIG="+c.config, "ROUTER_LISTEN="+listen)
 	out, err := c.cmd.StderrPipe()
 	if err != nil {
@@ -64,7 +64,7 @@
 		c.t.Fatal(err)
 	}
 	lines, ended := make(chan map[string]any, 4096), make(chan error, 1)
-	c.lines, c.ended = lines, ended
+	c.lines, c.exited = lines, ended
 	go func() {
 		for s := bufio.NewScanner(out); s.Scan(); {
 			line := map[string]any{}
@@ -75,20 +75,20 @@
 		}
 		ended <- c.cmd.Wait()
 	}()
-	c.address = c.said("listening")["address"].(string)
+	c.address = c.waitForLog("listening")["address"].(string)
 }
 
-func (c *controller) said(what string) map[string]any {
+func (c *controller) waitForLog(what string) map[string]any {
 	c.t.Helper()
 	last := ""
-	for wait := time.After(patienceMost); ; {
+	for wait := time.After(waitLimit); ; {
 		select {
 		case line := <-c.lines:
 			if last = fmt.Sprint(line["message"]); strings.Contains(last, what) {
 				return line
 			}
 		case <-wait:
-			c.t.Fatalf("it never said %q, but at last %q", what, last)
+			c.t.Fatalf("never logged %q; the last line was %q", what, last)
 		}
 	}
 }
@@ -99,14 +99,14 @@
 	}
 }
 
-func fix(s string) string { return string([]byte{byte(0xa0 | len(s))}) + s }
+func fixString(s string) string { return string([]byte{byte(0xa0 | len(s))}) + s }
 
-// client speaks to the program, one call in hand at a time or more.
+// client is a client connection to the controller. Several calls may be open at a time.
 type client struct {
 	t *testing.T
 	net.Conn
-	in *bufio.Reader
-	n  byte
+	in          *bufio.Reader
+	lastMessage byte
 }
 
 func (c *controller) client() *client {
@@ -116,44 +116,45 @@
 		c.t.Fatal(err)
 	}
 	c.t.Cleanup(func() { conn.Close() })
-	conn.SetDeadline(time.Now().Add(patienceMost))
+	conn.SetDeadline(time.Now().Add(waitLimit))
 	return &client{t: c.t, Conn: conn, in: bufio.NewReader(conn)}
 }
 
-// pad makes a trace of a test's short id; engines leave it out again.
-const pad = "ffffffffffff"
+// tracePrefix extends the short id of a test to a trace. fakeEngine removes the prefix.
+const tracePrefix = "ffffffffffff"
 
-func (c *client) ask(group, id, patience, key string) {
-	c.n++
-	id = pad + id
+func (c *client) query(group, id, patience, key string) {
+	c.lastMessage++
+	id = tracePrefix + id
 	body := "SELECT * FROM sales_17.orders"
 	fields := "\x82"
 	if key != "" {
-		fields, key = "\x83", fix("entity")+fix(key)
+		fields, key = "\x83", fixString("entity")+fixString(key)
 	}
-	p := "\x94\x00" + string([]byte{c.n}) + fix(group) + "\x92" + fields + fix("trace") + fix(id) + fix("patience") + fix(patience) +
+	p := "\x94\x00" + string([]byte{c.lastMessage}) + fixString(group) + "\x92" + fields + fixString("trace") + fixString(id) + fixString("patience") + fixString(patience) +
 		key + "\xc4" + string([]byte{byte(len(body))}) + body
 	if _, err := io.WriteString(c, p); err != nil {
 		c.t.Fatal(err)
 	}
 }
 
-// servesBoth: a lookup and a load in order come back, one after the other.
+// servesBoth checks that a lookup and a load with a key get their results.
 func (c *controller) servesBoth() {
 	c.t.Helper()
 	a := c.client()
-	a.ask("lookup", "0001", "9000", "")
+	a.query("lookup", "0001", "9000", "")
 	a.expect(1, "0001\tfirst")
-	a.ask("load", "0002", "9000", "k")
+	a.query("load", "0002", "9000", "k")
 	a.expect(2, "0002\tfirst")
 }
 
-// answer reads one: the message's number, and the error's name or the body.
+// answer reads a response. It returns the message number and the result, or the error's name with its
+// fields.
 func (c *client) answer() (byte, string) {
 	c.t.Helper()
 	head := make([]byte, 5)
 	if _, err := io.ReadFull(c.in, head); err != nil {
-		c.t.Fatal("no answer: ", err)
+		c.t.Fatal("no response: ", err)
 	}
 	next := func() int {
 		b, err := c.in.ReadByte()
@@ -191,6 +192,6 @@
 func (c *client) expect(n byte, want string) {
 	c.t.Helper()
 	if m, got := c.answer(); m != n || !strings.HasPrefix(got, want) {
-		c.t.Fatalf("%d %q, not %d %q", m, got, n, want)
+		c.t.Fatalf("got response %d %q, want %d %q", m, got, n, want)
 	}
 }
--- a/cmd/railrelay/endings_test.go
+++ b/cmd/railrelay/endings_test.go
@@ -16,22 +16,22 @@
 	"time"
 )
 
-// slow is an engine on bare sockets that runs queries until it is told to end them, and keeps when it
-// has written what.
-type slow struct {
+// controlledEngine is an engine on plain sockets. It runs each query until the test finishes the query, and
+// reports each result that it has written.
+type controlledEngine struct {
 	net.Listener
-	mu    sync.Mutex
-	posts []*http.Request
-	over  map[string]bool
-	wrote chan string // the id of each good end that is out
+	mu        sync.Mutex
+	submitted []*http.Request
+	finished  map[string]bool
+	written   chan string // the trace of each result that was written
 }
 
-func newSlow(t *testing.T) *slow {
+func newControlledEngine(t *testing.T) *controlledEngine {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := &slow{Listener: l, over: map[string]bool{}, wrote: make(chan string, 4096)}
+	s := &controlledEngine{Listener: l, finished: map[string]bool{}, written: make(chan string, 4096)}
 	t.Cleanup(func() { l.Close() })
 	go func() {
 		for {
@@ -45,7 +45,7 @@
 	return s
 }
 
-func (s *slow) serve(c net.Conn) {
+func (s *controlledEngine) serve(c net.Conn) {
 	defer c.Close()
 	for in := bufio.NewReader(c); ; {
 		r, err := http.ReadRequest(in)
@@ -63,21 +63,21 @@
 			answer = "HTTP/1.1 200 x\r\nX-Load: inflight:1;util:0.1\r\nContent-Length: 0\r\n\r\n"
 		case r.Method == "POST":
 			s.mu.Lock()
-			s.posts = append(s.posts, r)
+			s.submitted = append(s.submitted, r)
 			s.mu.Unlock()
 		case r.Method == "DELETE" || r.Method == "PUT":
 			answer = "HTTP/1.1 204 x\r\n\r\n"
 		default:
-			for wait := time.Now(); !s.is(id) && time.Since(wait) < 250*time.Millisecond; {
+			for wait := time.Now(); !s.isFinished(id) && time.Since(wait) < 250*time.Millisecond; {
 				time.Sleep(time.Millisecond)
 			}
-			if s.is(id) {
+			if s.isFinished(id) {
 				answer = fmt.Sprintf("HTTP/1.1 200 x\r\nChunks: 1\r\nElapsed-Work: 5\r\nHigh-Water: 5\r\nContent-Length: %d\r\n\r\n%s\ta\tb\n", len(id)+5, id)
 			}
 		}
 		_, err = io.WriteString(c, answer)
 		if strings.HasPrefix(answer, "HTTP/1.1 200 x\r\nChunks") {
-			s.wrote <- id
+			s.written <- id
 		}
 		if err != nil {
 			return
@@ -85,43 +85,43 @@
 	}
 }
 
-func (s *slow) is(id string) bool {
+func (s *controlledEngine) isFinished(id string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.over[id]
+	return s.finished[id]
 }
 
-func (s *slow) end(ids ...string) {
+func (s *controlledEngine) finish(ids ...string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, id := range ids {
-		s.over[pad+id] = true
+		s.finished[tracePrefix+id] = true
 	}
 }
 
-// sent is the submissions of a query so far.
-func (s *slow) sent(id string) (l []*http.Request) {
+// submissions returns the submissions of a query so far.
+func (s *controlledEngine) submissions(id string) (l []*http.Request) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for _, r := range s.posts {
-		if r.Header.Get("X-Req") == pad+id {
+	for _, r := range s.submitted {
+		if r.Header.Get("X-Req") == tracePrefix+id {
 			l = append(l, r)
 		}
 	}
 	return l
 }
 
-func (s *slow) hears(t *testing.T, id string, n int) {
+func (s *controlledEngine) waitForSubmissions(t *testing.T, id string, n int) {
 	t.Helper()
-	for wait := time.Now(); len(s.sent(id)) < n; time.Sleep(time.Millisecond) {
-		if time.Since(wait) > patienceMost {
-			t.Fatalf("query %s never came %d times", id, n)
+	for wait := time.Now(); len(s.submissions(id)) < n; time.Sleep(time.Millisecond) {
+		if time.Since(wait) > waitLimit {
+			t.Fatalf("query %s was not submitted %d times", id, n)
 		}
 	}
 }
 
-// halt stops the process, as a machine may, until the returned is called.
-func (c *controller) halt() (goOn func()) {
+// pause stops the process until the returned function is called, like a stalled machine.
+func (c *controller) pause() (goOn func()) {
 	c.t.Helper()
 	c.signal(syscall.SIGSTOP)
 	for wait := time.Now(); ; time.Sleep(time.Millisecond) {
@@ -129,32 +129,33 @@
 		if i := strings.LastIndex(string(stat), ") "); i > 0 && stat[i+2] == 'T' {
 			return func() { c.signal(syscall.SIGCONT) }
 		}
-		if time.Since(wait) > patienceMost {
-			c.t.Fatal("it runs on")
+		if time.Since(wait) > waitLimit {
+			c.t.Fatal("the process did not stop")
 		}
 	}
 }
 
-// ready asks until it says so.
+// ready reports whether the controller answers an alive call with true.
 func (c *client) ready() bool {
-	c.n++
-	io.WriteString(c, "\x94\x00"+string([]byte{c.n})+fix("alive")+"\x91\x80")
+	c.lastMessage++
+	io.WriteString(c, "\x94\x00"+string([]byte{c.lastMessage})+fixString("alive")+"\x91\x80")
 	_, said := c.answer()
 	return said == "c3"
 }
 
-// The process stands still while a client hangs up whose query waits for its key's turn, and while
-// that turn comes. What it reads first as it goes on must not matter: nothing begins for who is gone.
-func TestAClientThatLeftWhileWeStoodStill(t *testing.T) {
-	e, f := newSlow(t), newFeed(t)
+// A client with a query queued behind another of the same key disconnects while the process is paused.
+// The first query's result arrives in the same pause. Whichever event the process reads first, it must
+// not submit the queued query.
+func TestQueuedQueryOfDisconnectedClientIsNotSentAfterPause(t *testing.T) {
+	e, f := newControlledEngine(t), newFakeFeed(t)
 	c := start(t, f.Addr().String(), 256, "127.0.0.1:0", entry("e1", e.Addr().String(), "SERVING"))
 	warm := c.client()
-	for i := range 6 { // connections at rest, so that what begins begins at once
-		warm.ask("lookup", fmt.Sprintf("80%02d", i), "15000", "")
-		e.hears(t, fmt.Sprintf("80%02d", i), 1)
+	for i := range 6 { // idle engine connections, so that a query is submitted at once
+		warm.query("lookup", fmt.Sprintf("80%02d", i), "15000", "")
+		e.waitForSubmissions(t, fmt.Sprintf("80%02d", i), 1)
 	}
 	for i := range 6 {
-		e.end(fmt.Sprintf("80%02d", i))
+		e.finish(fmt.Sprintf("80%02d", i))
 	}
 	for range 6 {
 		warm.answer()
@@ -162,30 +163,30 @@
 	for i := range 6 {
 		key, runs, waits, next := fmt.Sprint("k", i), fmt.Sprintf("%03d1", i), fmt.Sprintf("%03d2", i), fmt.Sprintf("%03d3", i)
 		a := c.client()
-		a.ask("load", runs, "15000", key)
-		e.hears(t, runs, 1)
+		a.query("load", runs, "15000", key)
+		e.waitForSubmissions(t, runs, 1)
 		b := c.client()
-		b.ask("load", waits, "15000", key)
-		if !b.ready() { // and so what it asked before was read
+		b.query("load", waits, "15000", key)
+		if !b.ready() { // the response shows that the earlier call was read
 			t.Fatal("not ready")
 		}
-		goOn := c.halt()
-		e.end(runs)
-		for id := range e.wrote { // its answer lies in the kernel, before the end of the other's connection
-			if id == pad+runs {
+		goOn := c.pause()
+		e.finish(runs)
+		for id := range e.written { // the result is in the socket buffer before the other client disconnects
+			if id == tracePrefix+runs {
 				break
 			}
 		}
 		b.Close()
-		time.Sleep(150 * time.Millisecond) // the stall itself: what begins after it begins too late
+		time.Sleep(150 * time.Millisecond) // the pause under test
 		goOn()
-		a.expect(1, pad+runs)
+		a.expect(1, tracePrefix+runs)
 		z := c.client()
-		e.end(next)
-		z.ask("load", next, "15000", key)
-		z.expect(1, pad+next)
-		if n := len(e.sent(waits)); n > 0 {
-			t.Fatalf("round %d: sent %d times for a client that had hung up", i, n)
+		e.finish(next)
+		z.query("load", next, "15000", key)
+		z.expect(1, tracePrefix+next)
+		if n := len(e.submissions(waits)); n > 0 {
+			t.Fatalf("round %d: submitted %d times for a disconnected client", i, n)
 		}
 		for _, x := range []*client{a, z} {
 			x.Close()
@@ -193,32 +194,33 @@
 	}
 }
 
-// Asked and hung up while we stood still: both are there as it goes on, and nothing begins.
-func TestAskedAndGoneWhileWeStoodStill(t *testing.T) {
-	e, f := newSlow(t), newFeed(t)
+// A client sends a query and disconnects while the process is paused. The process must not submit the
+// query.
+func TestQueryOfDisconnectedClientIsNotSentAfterPause(t *testing.T) {
+	e, f := newControlledEngine(t), newFakeFeed(t)
 	c := start(t, f.Addr().String(), 256, "127.0.0.1:0", entry("e1", e.Addr().String(), "SERVING"))
-	goOn := c.halt()
+	goOn := c.pause()
 	for i := range 20 {
 		a := c.client()
-		a.ask("lookup", fmt.Sprintf("%04d", i), "15000", "")
+		a.query("lookup", fmt.Sprintf("%04d", i), "15000", "")
 		a.Close()
 	}
 	goOn()
 	z := c.client()
-	e.end("9999")
-	z.ask("lookup", "9999", "15000", "")
-	z.expect(1, pad+"9999")
+	e.finish("9999")
+	z.query("lookup", "9999", "15000", "")
+	z.expect(1, tracePrefix+"9999")
 	for i := range 20 {
-		if n := len(e.sent(fmt.Sprintf("%04d", i))); n > 0 {
-			t.Fatalf("query %d was sent for a client that had hung up", i)
+		if n := len(e.submissions(fmt.Sprintf("%04d", i))); n > 0 {
+			t.Fatalf("query %d was submitted for a disconnected client", i)
 		}
 	}
 }
 
-// Many controllers are started at once, with the feed away, engines that hang, and idle clients that
-// took every place before: nine in ten are ready within 10 s, for nothing that the list known at the
-// start tells is waited for. Then a feed that comes back is heard by each.
-func TestManyAreReadyWhateverElseIsDown(t *testing.T) {
+// 60 controllers start at once while the feed is down, the engine hangs and idle clients use up the
+// connections. Nine in ten must be ready within 10 s, since the configuration has a list of engines. When
+// the feed is back, each controller must connect to it.
+func TestManyControllersBecomeReadyWithoutFeedAndEngines(t *testing.T) {
 	const many = 60
 	away, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -226,7 +228,7 @@
 	}
 	address := away.Addr().String()
 	away.Close()
-	hangs, err := net.Listen("tcp", "127.0.0.1:0") // comes up and says nothing
+	hangs, err := net.Listen("tcp", "127.0.0.1:0") // accepts connections and never responds
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -238,7 +240,7 @@
 	for i := range all {
 		all[i] = start(t, address, 96, "127.0.0.1:0", entry("e1", hangs.Addr().String(), "SERVING"))
 		wg.Go(func() {
-			for range 60 { // they say nothing, and took their place before any other
+			for range 60 { // idle connections opened before the client's
 				if x, err := net.Dial("tcp", all[i].address); err == nil {
 					defer x.Close()
 				}
@@ -255,22 +257,22 @@
 	}
 	back, err := net.Listen("tcp", address)
 	if err != nil {
-		t.Skip("its address was taken meanwhile: ", err)
+		t.Skip("the feed's address is in use: ", err)
 	}
 	defer back.Close()
 	for range all {
-		back.(*net.TCPListener).SetDeadline(time.Now().Add(patienceMost))
+		back.(*net.TCPListener).SetDeadline(time.Now().Add(waitLimit))
 		x, err := back.Accept()
 		if err != nil {
-			t.Fatal("not all ask for the list: ", err)
+			t.Fatal("not every controller connected to the feed: ", err)
 		}
 		defer x.Close()
 	}
 }
 
-// Settings of a customer that nobody knows: drawn names, sizes, limits and effects. What is judged is
-// what engines see and clients hear, by those settings alone.
-func TestSettingsNeverSeen(t *testing.T) {
+// Names, sizes, limits and effects in the settings are random, as those of an unknown customer. The test
+// checks the requests to engines and the responses to clients against these settings.
+func TestServesRandomSettings(t *testing.T) {
 	rng := rand.New(rand.NewPCG(4, 2))
 	letters := []rune("abcxyzäß -._")
 	name := func() string {
@@ -298,7 +300,7 @@
 			{"name":%q,"effect":"idempotency_key","window_ms":%d,"importance":3,"objective_ms":%d,"deadline_ms":%d,"key_scope":"all"}]}`,
 			1, site, site, kind, 2+rng.IntN(3), 100+rng.IntN(400), 500+rng.IntN(9000), pause, 100+rng.IntN(900), rest, 4+rng.IntN(20),
 			once, limit/2, limit, reads, limit/3, limit, marked, window, limit/2, limit)
-		e, f := newSlow(t), newFeed(t)
+		e, f := newControlledEngine(t), newFakeFeed(t)
 		at := strings.NewReplacer(`"here"`, fmt.Sprintf("%q", site), `"std"`, fmt.Sprintf("%q", kind)).Replace(entry("e1", e.Addr().String(), "SERVING"))
 		c := startWith(t, text, 24+rng.IntN(200), f.Addr().String(), 64+rng.IntN(300), "127.0.0.1:0", at)
 		patience := fmt.Sprint(limit)
@@ -306,10 +308,10 @@
 		calls := []string{reads, marked, once}
 		for i, group := range calls {
 			id := fmt.Sprintf("%d%03d", round, i)
-			e.end(id)
-			a.askWith(group, id, patience, "entity", "k", "nonce", "n"+id)
-			a.expect(byte(i+1), pad+id)
-			l := e.sent(id)
+			e.finish(id)
+			a.queryWithFields(group, id, patience, "entity", "k", "nonce", "n"+id)
+			a.expect(byte(i+1), tracePrefix+id)
+			l := e.submissions(id)
 			if len(l) != 1 || l[0].Header.Get("X-Class") != group {
 				t.Fatalf("round %d, %q: %d times, %v", round, group, len(l), l)
 			}
@@ -317,34 +319,34 @@
 				t.Fatalf("round %d, %q: token %q", round, group, token)
 			}
 		}
-		if a.askWith("lookup", "aaaa", patience, "entity", "k"); a.answered() != "Failed why no such method" {
-			t.Fatalf("round %d: a group of another customer's is served", round)
+		if a.queryWithFields("lookup", "aaaa", patience, "entity", "k"); a.nextAnswer() != "Failed why no such method" {
+			t.Fatalf("round %d: a resource group that isn't in the settings was served", round)
 		}
-		// in order: the second of a key is not sent before the first is over
+		// The second query of a key is not submitted before the first has ended.
 		first, second := fmt.Sprintf("%d100", round), fmt.Sprintf("%d101", round)
 		b := c.client()
-		b.askWith(once, first, patience, "entity", "z")
-		b.askWith(once, second, patience, "entity", "z")
-		e.hears(t, first, 1)
-		if !c.client().ready() || len(e.sent(second)) > 0 {
+		b.queryWithFields(once, first, patience, "entity", "z")
+		b.queryWithFields(once, second, patience, "entity", "z")
+		e.waitForSubmissions(t, first, 1)
+		if !c.client().ready() || len(e.submissions(second)) > 0 {
 			t.Fatalf("round %d: out of order", round)
 		}
-		e.end(first, second)
-		b.expect(1, pad+first)
-		if said := b.answered(); !strings.HasPrefix(said, pad+second) && !strings.HasPrefix(said, "Throttled") {
+		e.finish(first, second)
+		b.expect(1, tracePrefix+first)
+		if said := b.nextAnswer(); !strings.HasPrefix(said, tracePrefix+second) && !strings.HasPrefix(said, "Throttled") {
 			t.Fatalf("round %d: %q", round, said)
 		}
-		// a deferral names no later time to come back than the settings allow
-		list := <-f.conns
+		// The pause in a deferral is at most the one in the settings.
+		list := <-f.connections
 		io.WriteString(list, event(2, false, strings.Replace(at, "SERVING", "DRAINING", 1))+"\n")
 		d := c.client()
 		for i := 0; ; i++ {
 			id := fmt.Sprintf("%d2%02d", round, i)
-			e.end(id)
-			d.askWith(reads, id, patience)
-			said := d.answered()
-			if len(e.sent(id)) > 0 {
-				continue // it crossed the word
+			e.finish(id)
+			d.queryWithFields(reads, id, patience)
+			said := d.nextAnswer()
+			if len(e.submissions(id)) > 0 {
+				continue // submitted before the controller read the event
 			}
 			var ms int
 			if n, _ := fmt.Sscanf(said, "Throttled pause %d", &ms); !strings.HasPrefix(said, "Throttled") || n == 1 && ms > pause {
@@ -353,55 +355,56 @@
 			break
 		}
 		c.signal(syscall.SIGTERM)
-		if err := <-c.ended; err != nil {
+		if err := <-c.exited; err != nil {
 			t.Fatal(err)
 		}
 	}
 }
 
-// askWith writes a call with more fields than ask.
-func (c *client) askWith(group, id, patience string, more ...string) {
+// queryWithFields sends a query with additional fields.
+func (c *client) queryWithFields(group, id, patience string, more ...string) {
 	c.t.Helper()
-	c.n++
+	c.lastMessage++
 	body := "SELECT * FROM sales_17.orders"
-	fields := append([]string{"trace", pad + id, "patience", patience}, more...)
-	p := "\x94\x00" + string([]byte{c.n}) + long(group) + "\x92" + string([]byte{byte(0x80 | len(fields)/2)})
+	fields := append([]string{"trace", tracePrefix + id, "patience", patience}, more...)
+	p := "\x94\x00" + string([]byte{c.lastMessage}) + str8(group) + "\x92" + string([]byte{byte(0x80 | len(fields)/2)})
 	for _, x := range fields {
-		p += long(x)
+		p += str8(x)
 	}
 	if _, err := io.WriteString(c, p+"\xc4"+string([]byte{byte(len(body))})+body); err != nil {
 		c.t.Fatal(err)
 	}
 }
 
-func long(s string) string { return "\xd9" + string([]byte{byte(len(s))}) + s }
+func str8(s string) string { return "\xd9" + string([]byte{byte(len(s))}) + s }
 
-func (c *client) answered() string {
+func (c *client) nextAnswer() string {
 	_, said := c.answer()
 	return said
 }
 
-// The process stands still for longer than an engine's answer may take, and the answer comes
-// meanwhile: it is heard, and its line not cut as that of an engine that says nothing.
-func TestAnAnswerThatCameWhileWeStoodStill(t *testing.T) {
-	e, f := newSlow(t), newFeed(t)
+// The process is paused for longer than the timeout of an engine's response, and the response arrives
+// during the pause. The controller must use the response, and must not close the connection as if the
+// engine were silent.
+func TestResponseReceivedDuringPauseIsUsed(t *testing.T) {
+	e, f := newControlledEngine(t), newFakeFeed(t)
 	c := start(t, f.Addr().String(), 256, "127.0.0.1:0", entry("e1", e.Addr().String(), "SERVING"))
 	a := c.client()
 	for i := range 8 {
-		a.ask("lookup", fmt.Sprintf("%04d", i), "15000", "")
-		e.hears(t, fmt.Sprintf("%04d", i), 1)
+		a.query("lookup", fmt.Sprintf("%04d", i), "15000", "")
+		e.waitForSubmissions(t, fmt.Sprintf("%04d", i), 1)
 	}
-	goOn := c.halt()
-	time.Sleep(700 * time.Millisecond) // 250 ms after which news come, 400 ms that they may take
+	goOn := c.pause()
+	time.Sleep(700 * time.Millisecond) // longer than the 250 ms of a poll and the 400 ms that its response may take
 	goOn()
 	for i := range 8 {
-		e.end(fmt.Sprintf("%04d", i))
+		e.finish(fmt.Sprintf("%04d", i))
 	}
 	for range 8 {
 		a.answer()
 	}
 	c.signal(syscall.SIGUSR1)
-	if said := fmt.Sprint(c.said("taken 8 finished 8")["message"]); !strings.Contains(said, " asked again 0 ") {
+	if said := fmt.Sprint(c.waitForLog("taken 8 finished 8")["message"]); !strings.Contains(said, " asked again 0 ") {
 		t.Fatal(said)
 	}
 }
--- a/cmd/railrelay/lean_test.go
+++ b/cmd/railrelay/lean_test.go
@@ -9,9 +9,9 @@
 	"testing"
 )
 
-// The platform's program links nothing that would make its start heavy: what a fleet
-// needs is in the program that it becomes.
-func TestThePlatformsProgramStaysLean(t *testing.T) {
+// The platform's program must not link large packages that only fleets need, since they would use memory
+// from the start. railrelay-fleet links them.
+func TestPlatformProgramHasSmallFootprint(t *testing.T) {
 	out, err := exec.Command("go", "list", "-deps", ".").CombinedOutput()
 	if err != nil {
 		t.Fatal(string(out))
@@ -21,11 +21,11 @@
 			t.Errorf("%s is linked", heavy)
 		}
 	}
-	e, f := newStand(t, serves(false)), newFeed(t)
+	e, f := newFakeEngine(t, twoPages(false)), newFakeFeed(t)
 	c := start(t, f.Addr().String(), 256, "127.0.0.1:0", entry("e1", e.address(), "SERVING"))
 	status, err := os.ReadFile("/proc/" + strconv.Itoa(c.cmd.Process.Pid) + "/status")
 	if err != nil {
-		t.Skip("this kernel doesn't tell what is resident")
+		t.Skip("the kernel does not report resident memory")
 	}
 	_, rest, _ := strings.Cut(string(status), "VmHWM:")
 	if kb, err := strconv.Atoi(strings.Fields(rest)[0]); err != nil || kb > 9900 {
--- a/cmd/railrelay/main_test.go
+++ b/cmd/railrelay/main_test.go
@@ -18,24 +18,24 @@
 	"time"
 )
 
-// The platform loads a library into each controller and counts processes: a program
-// linked statically, or one that starts others, is a refused start there.
+// The platform loads a library into each controller and counts its processes. It refuses to start a
+// program that is statically linked or starts other processes.
 func TestIsOneDynamicallyLinkedProcess(t *testing.T) {
 	for file, line := range map[string]string{
-		"../../deploy/balancer.toml": `build = "mkdir -p bin && ` + deployed + ` -o bin/ ./cmd/..."`,
-		"../../Makefile":             "\tmkdir -p bin && " + deployed + " -o bin/ ./cmd/...\n",
+		"../../deploy/balancer.toml": `build = "mkdir -p bin && ` + buildCommand + ` -o bin/ ./cmd/..."`,
+		"../../Makefile":             "\tmkdir -p bin && " + buildCommand + " -o bin/ ./cmd/...\n",
 	} {
 		text, err := os.ReadFile(file)
 		if err != nil {
 			t.Fatal(err)
 		}
 		if !strings.Contains(string(text), line) {
-			t.Errorf("%s doesn't build by %q", file, deployed)
+			t.Errorf("%s does not build with %q", file, buildCommand)
 		}
 	}
 	text, _ := os.ReadFile("../../deploy/balancer.toml")
 	if !strings.Contains(string(text), "\nrun = \"exec bin/railrelay\"") {
-		t.Error("run is not one exec of the program")
+		t.Error("run is not a single exec of the program")
 	}
 	file, err := elf.Open(program)
 	if err != nil {
@@ -47,116 +47,116 @@
 		t.Fatalf("not linked against the C library: %v, %v", needs, err)
 	}
 	if file.Section(".interp") == nil {
-		t.Fatal("no dynamic loader is named: nothing can be loaded into it")
+		t.Fatal("no dynamic loader: libraries cannot be loaded into the program")
 	}
-	e, f := newStand(t, serves(false)), newFeed(t)
+	e, f := newFakeEngine(t, twoPages(false)), newFakeFeed(t)
 	c := start(t, f.Addr().String(), 256, "127.0.0.1:0", entry("e1", e.address(), "SERVING"))
 	a := c.client()
-	a.ask("lookup", "0001", "9000", "")
+	a.query("lookup", "0001", "9000", "")
 	a.answer()
 	tasks, _ := filepath.Glob(fmt.Sprintf("/proc/%d/task/*/children", c.cmd.Process.Pid))
 	if len(tasks) == 0 {
-		t.Skip("this kernel doesn't tell a process's children")
+		t.Skip("the kernel does not list a process's children")
 	}
 	for _, task := range tasks {
 		if children, _ := os.ReadFile(task); len(children) > 0 {
-			t.Fatalf("it started others: %s", children)
+			t.Fatalf("the program started other processes: %s", children)
 		}
 	}
 }
 
-func TestServesAndCounts(t *testing.T) {
-	e, f := newStand(t, serves(false)), newFeed(t)
+func TestServesQueriesAndLogsCounters(t *testing.T) {
+	e, f := newFakeEngine(t, twoPages(false)), newFakeFeed(t)
 	c := start(t, f.Addr().String(), 256, "127.0.0.1:0", entry("e1", e.address(), "SERVING"))
-	if line := <-f.lines; line != "SUB 1" {
+	if line := <-f.subscriptions; line != "SUB 1" {
 		t.Fatal(line)
 	}
 	a := c.client()
-	io.WriteString(a, "\x94\x00\x63"+fix("alive")+"\x91\x80")
+	io.WriteString(a, "\x94\x00\x63"+fixString("alive")+"\x91\x80")
 	a.expect(0x63, "c3")
-	a.ask("lookup", "aaaa", "5000", "k")
+	a.query("lookup", "aaaa", "5000", "k")
 	a.expect(1, "aaaa\tfirst\tpage\naaaa\tsecond\tpage\n")
-	a.ask("load", "bbbb", "5000", "k")
+	a.query("load", "bbbb", "5000", "k")
 	a.expect(2, "bbbb\tfirst\tpage\nbbbb\tsecond\tpage\n")
-	a.ask("nothing", "cccc", "5000", "k")
+	a.query("nothing", "cccc", "5000", "k")
 	a.expect(3, "Failed")
-	if post := e.hears(t, "POST"); post != "POST /o aaaa SELECT * FROM sales_17.orders" {
+	if post := e.waitForCall(t, "POST"); post != "POST /o aaaa SELECT * FROM sales_17.orders" {
 		t.Fatal(post)
 	}
 	c.signal(syscall.SIGUSR1)
-	counts := c.said("taken 2 finished 2")
+	counts := c.waitForLog("taken 2 finished 2")
 	if counts["cpu_ms_a_query"] == nil || !strings.Contains(fmt.Sprint(counts["message"]), "did not hold 0") {
 		t.Fatal(counts)
 	}
-	// a connection that speaks something else ends; the others live on
+	// A connection with another protocol is closed; the other connections stay open.
 	b := c.client()
 	io.WriteString(b, "GET / HTTP/1.1\r\n\r\n")
 	if _, err := b.in.ReadByte(); err != io.EOF {
-		t.Fatal("it goes on: ", err)
+		t.Fatal("the connection is still open: ", err)
 	}
-	a.ask("lookup", "dddd", "5000", "k")
+	a.query("lookup", "dddd", "5000", "k")
 	a.expect(4, "dddd\tfirst")
 }
 
-func TestDefersCancelsAndDrains(t *testing.T) {
-	e, f := newStand(t, serves(true)), newFeed(t)
+func TestCancelsDisconnectsAndDrains(t *testing.T) {
+	e, f := newFakeEngine(t, twoPages(true)), newFakeFeed(t)
 	c := start(t, f.Addr().String(), 256, "127.0.0.1:0", entry("e1", e.address(), "SERVING"))
-	list := <-f.conns
+	list := <-f.connections
 	a := c.client()
-	a.ask("lookup", "aaaa", "5000", "")
-	e.hears(t, "POST")
-	io.WriteString(a, "\x93\x02"+fix("cancelRequest")+"\x91\x01")
-	e.hears(t, "DELETE /o/aaaa")
-	// the end of a connection is its client's leaving too
+	a.query("lookup", "aaaa", "5000", "")
+	e.waitForCall(t, "POST")
+	io.WriteString(a, "\x93\x02"+fixString("cancelRequest")+"\x91\x01")
+	e.waitForCall(t, "DELETE /o/aaaa")
+	// Closing the connection also cancels the query.
 	b := c.client()
-	b.ask("lookup", "bbbb", "5000", "")
-	e.hears(t, "POST")
+	b.query("lookup", "bbbb", "5000", "")
+	e.waitForCall(t, "POST")
 	b.Close()
-	e.hears(t, "DELETE /o/bbbb")
-	// an unreadable line costs the connection, and no event
+	e.waitForCall(t, "DELETE /o/bbbb")
+	// An invalid line closes the feed connection, but no event is lost.
 	io.WriteString(list, "hello\n")
-	list = <-f.conns
-	if <-f.lines; <-f.lines != "SUB 1" {
-		t.Fatal("it forgot what it knew")
+	list = <-f.connections
+	if <-f.subscriptions; <-f.subscriptions != "SUB 1" {
+		t.Fatal("the number of the latest event was lost")
 	}
 	io.WriteString(list, event(2, false, entry("e1", e.address(), "DRAINING"))+"\n2\n")
 	list.Close()
-	<-f.conns
-	if line := <-f.lines; line != "SUB 2" {
+	<-f.connections
+	if line := <-f.subscriptions; line != "SUB 2" {
 		t.Fatal(line)
 	}
-	a.ask("lookup", "cccc", "400", "")
+	a.query("lookup", "cccc", "400", "")
 	a.expect(2, "Throttled pause")
-	for len(e.told) > 0 {
-		if call := <-e.told; strings.HasPrefix(call, "POST") {
-			t.Fatal("sent to one that drains: ", call)
+	for len(e.calls) > 0 {
+		if call := <-e.calls; strings.HasPrefix(call, "POST") {
+			t.Fatal("submitted to a draining engine: ", call)
 		}
 	}
 }
 
-func TestEnginesThatFail(t *testing.T) {
+func TestFailingEngines(t *testing.T) {
 	closed, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	closed.Close()
-	resets := newStand(t, func(s *stand, w http.ResponseWriter, r *http.Request, _ string) {
+	resets := newFakeEngine(t, func(s *fakeEngine, w http.ResponseWriter, r *http.Request, _ string) {
 		if r.Method == "POST" {
 			panic(http.ErrAbortHandler)
 		}
 		w.WriteHeader(500)
 	})
-	cuts := newStand(t, func(s *stand, w http.ResponseWriter, r *http.Request, id string) {
+	cuts := newFakeEngine(t, func(s *fakeEngine, w http.ResponseWriter, r *http.Request, id string) {
 		w.Header().Set("Chunks", "1")
 		io.WriteString(w, "half a row")
 	})
-	e, f := newStand(t, serves(false)), newFeed(t)
+	e, f := newFakeEngine(t, twoPages(false)), newFakeFeed(t)
 	c := start(t, f.Addr().String(), 256, "127.0.0.1:0", entry("e1", e.address(), "SERVING"), entry("e2", closed.Addr().String(), "SERVING"),
 		entry("e3", resets.address(), "SERVING"), entry("e4", cuts.address(), "SERVING"))
 	a := c.client()
 	finished := 0
 	for i := range 20 {
-		a.ask("lookup", fmt.Sprintf("a%03d", i), "5000", "")
+		a.query("lookup", fmt.Sprintf("a%03d", i), "5000", "")
 		if n, got := a.answer(); n != byte(i+1) || strings.Contains(got, "half") {
 			t.Fatal(n, got)
 		} else if strings.HasPrefix(got, fmt.Sprintf("a%03d\tfirst", i)) {
@@ -164,134 +164,134 @@
 		}
 	}
 	if finished < 10 {
-		t.Fatal("finished only ", finished)
+		t.Fatal("too few queries finished: ", finished)
 	}
-	// a load that a reset engine may have run is not sent again
+	// A load that an engine may have run before the reset is not submitted again.
 	for i := range 10 {
-		a.ask("load", fmt.Sprintf("b%03d", i), "5000", fmt.Sprint(i))
+		a.query("load", fmt.Sprintf("b%03d", i), "5000", fmt.Sprint(i))
 		a.answer()
 	}
 	posts := map[string]int{}
-	for _, s := range []*stand{resets, cuts, e} {
-		for len(s.told) > 0 {
-			if call := <-s.told; strings.HasPrefix(call, "POST /o b") {
+	for _, s := range []*fakeEngine{resets, cuts, e} {
+		for len(s.calls) > 0 {
+			if call := <-s.calls; strings.HasPrefix(call, "POST /o b") {
 				posts[call]++
 			}
 		}
 	}
 	if len(posts) < 5 {
-		t.Fatal("few were sent: ", posts)
+		t.Fatal("too few loads were submitted: ", posts)
 	}
 	for call, n := range posts {
 		if n > 1 {
-			t.Fatal("sent again, and may have run: ", call)
+			t.Fatal("submitted again, though it may have run: ", call)
 		}
 	}
 }
 
-func TestEndsWithWorkInHand(t *testing.T) {
-	e, f := newStand(t, serves(true)), newFeed(t)
+func TestShutdownFinishesOpenQueries(t *testing.T) {
+	e, f := newFakeEngine(t, twoPages(true)), newFakeFeed(t)
 	c := start(t, f.Addr().String(), 256, "127.0.0.1:0", entry("e1", e.address(), "SERVING"))
 	a := c.client()
-	a.ask("lookup", "aaaa", "5000", "")
-	e.hears(t, "POST")
+	a.query("lookup", "aaaa", "5000", "")
+	e.waitForCall(t, "POST")
 	c.signal(syscall.SIGTERM)
-	c.said("stopping")
-	b := c.client() // they still come for a while
-	b.ask("lookup", "bbbb", "5000", "")
-	e.hears(t, "POST")
-	close(e.end)
+	c.waitForLog("stopping")
+	b := c.client() // clients still connect for a while
+	b.query("lookup", "bbbb", "5000", "")
+	e.waitForCall(t, "POST")
+	close(e.release)
 	a.expect(1, "aaaa\tfirst")
 	b.expect(1, "bbbb\tfirst")
-	c.said("taken 2 finished 2")
-	if err := <-c.ended; err != nil {
-		t.Fatal("it ended with ", err)
-	}
-	// and it starts from nothing under the same address, even after a kill
-	c.begin(c.address)
-	c.client().ask("lookup", "cccc", "5000", "")
-	e.hears(t, "POST")
+	c.waitForLog("taken 2 finished 2")
+	if err := <-c.exited; err != nil {
+		t.Fatal("the program exited with ", err)
+	}
+	// The program restarts on the same address, even after a kill.
+	c.launch(c.address)
+	c.client().query("lookup", "cccc", "5000", "")
+	e.waitForCall(t, "POST")
 	c.signal(syscall.SIGKILL)
-	<-c.ended
-	c.begin(c.address)
+	<-c.exited
+	c.launch(c.address)
 	d := c.client()
-	d.ask("lookup", "dddd", "5000", "")
+	d.query("lookup", "dddd", "5000", "")
 	d.expect(1, "dddd\tfirst")
 }
 
-func TestReload(t *testing.T) {
-	e, f, next := newStand(t, serves(true)), newFeed(t), newFeed(t)
+func TestReloadsConfiguration(t *testing.T) {
+	e, f, next := newFakeEngine(t, twoPages(true)), newFakeFeed(t), newFakeFeed(t)
 	c := start(t, f.Addr().String(), 256, "127.0.0.1:0", entry("e1", e.address(), "SERVING"))
-	old := <-f.conns
-	<-f.lines
+	old := <-f.connections
+	<-f.subscriptions
 	io.WriteString(old, event(2, false, entry("e2", "127.0.0.1:1", "DELETED"))+"\n")
 	a := c.client()
-	a.ask("lookup", "aaaa", "5000", "")
-	e.hears(t, "POST")
+	a.query("lookup", "aaaa", "5000", "")
+	e.waitForCall(t, "POST")
 	good, err := os.ReadFile(c.config)
 	if err != nil {
 		t.Fatal(err)
 	}
-	// what can't be read, or names no feed, changes nothing
+	// An invalid file, or one without a valid feed address, changes nothing.
 	for _, text := range []string{string(good[:len(good)/2]), "", strings.Replace(string(good), f.Addr().String(), "nowhere", 1)} {
 		os.WriteFile(c.config, []byte(text), 0o600)
 		c.signal(syscall.SIGHUP)
-		c.said("kept as it was")
+		c.waitForLog("kept as it was")
 	}
 	os.Remove(c.config)
 	c.signal(syscall.SIGHUP)
-	c.said("kept as it was")
+	c.waitForLog("kept as it was")
 	moved := strings.Replace(string(good), f.Addr().String(), next.Addr().String(), 1)
 	os.WriteFile(c.config, []byte(strings.Replace(moved, "192", "96", 1)), 0o600)
 	c.signal(syscall.SIGHUP)
-	if what := c.said("can't be changed"); what["what"] != "limits" {
+	if what := c.waitForLog("can't be changed"); what["what"] != "limits" {
 		t.Fatal(what)
 	}
-	c.said("read again")
-	fresh := <-next.conns
-	if line := <-next.lines; line != "SUB 2" {
-		t.Fatal("it forgot what it knew, or asked for all: ", line)
+	c.waitForLog("read again")
+	fresh := <-next.connections
+	if line := <-next.subscriptions; line != "SUB 2" {
+		t.Fatal("does not subscribe from the latest event: ", line)
 	}
 	if _, err := old.Read(make([]byte, 1)); err == nil {
-		t.Fatal("the old connection is kept")
+		t.Fatal("the connection to the old feed is still open")
 	}
 	io.WriteString(fresh, event(3, false, entry("e1", e.address(), "DRAINING"))+"\n")
-	for range 3 { // as often as it comes
+	for range 3 { // each signal reloads
 		c.signal(syscall.SIGHUP)
-		c.said("read again")
+		c.waitForLog("read again")
 	}
-	close(e.end)
-	a.expect(1, "aaaa\tfirst") // what was open is served
+	close(e.release)
+	a.expect(1, "aaaa\tfirst") // the open query is served
 	c.signal(syscall.SIGUSR1)
-	c.said("list event 3 connections 2 faults 0 reloads 4")
+	c.waitForLog("list event 3 connections 2 faults 0 reloads 4")
 }
 
-func TestKeepsItsLimits(t *testing.T) {
+func TestStaysWithinDescriptorLimit(t *testing.T) {
 	const sockets = 64
-	e, f := newStand(t, serves(true)), newFeed(t)
+	e, f := newFakeEngine(t, twoPages(true)), newFakeFeed(t)
 	c := start(t, f.Addr().String(), sockets, "127.0.0.1:0", entry("e1", e.address(), "SERVING"))
 	var all []*client
 	for range 4 {
 		a := c.client()
 		all = append(all, a)
 		for i := range 30 {
-			a.ask("lookup", fmt.Sprintf("%02d%02d", len(all), i), "15000", "")
+			a.query("lookup", fmt.Sprintf("%02d%02d", len(all), i), "15000", "")
 		}
 	}
 	within := func() {
 		fds, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", c.cmd.Process.Pid))
 		if err != nil {
-			t.Skip("no way to count descriptors here: ", err)
+			t.Skip("cannot count the descriptors: ", err)
 		}
 		if len(fds) > sockets {
-			t.Fatalf("%d descriptors of %d", len(fds), sockets)
+			t.Fatalf("%d descriptors are open, allowed are %d", len(fds), sockets)
 		}
 	}
 	for range 8 {
-		e.hears(t, "POST")
+		e.waitForCall(t, "POST")
 		within()
 	}
-	close(e.end)
+	close(e.release)
 	for _, a := range all {
 		for range 30 {
 			if _, got := a.answer(); strings.HasPrefix(got, "Failed") {
@@ -302,13 +302,13 @@
 	}
 }
 
-func TestOutOfDescriptors(t *testing.T) {
-	e, f := newStand(t, serves(false)), newFeed(t)
+func TestRecoversFromDescriptorExhaustion(t *testing.T) {
+	e, f := newFakeEngine(t, twoPages(false)), newFakeFeed(t)
 	c := start(t, f.Addr().String(), 256, "127.0.0.1:0", entry("e1", e.address(), "SERVING"))
 	c.signal(syscall.SIGKILL)
-	<-c.ended
-	c.limit = "ulimit -n 24; "
-	c.begin("127.0.0.1:0")
+	<-c.exited
+	c.shellPrefix = "ulimit -n 24; "
+	c.launch("127.0.0.1:0")
 	var all []net.Conn
 	for range 40 {
 		conn, err := net.Dial("tcp", c.address)
@@ -317,30 +317,30 @@
 		}
 		all = append(all, conn)
 	}
-	c.said("can't accept")
+	c.waitForLog("can't accept")
 	for _, conn := range all {
 		conn.Close()
 	}
 	a := c.client()
-	a.ask("lookup", "aaaa", "5000", "")
+	a.query("lookup", "aaaa", "5000", "")
 	a.expect(1, "aaaa\tfirst")
 }
 
-func TestRudeClients(t *testing.T) {
-	e, f := newStand(t, serves(false)), newFeed(t)
+func TestMisbehavingClientsAreDisconnected(t *testing.T) {
+	e, f := newFakeEngine(t, twoPages(false)), newFakeFeed(t)
 	c := start(t, f.Addr().String(), 256, "127.0.0.1:0", entry("e1", e.address(), "SERVING"))
 	call := func(fields, body string) string {
-		return "\x94\x00\x01" + fix("lookup") + "\x92" + fields + body
+		return "\x94\x00\x01" + fixString("lookup") + "\x92" + fields + body
 	}
-	trace, wait := fix("trace")+fix("00000000000000ab"), fix("patience")+fix("5000")
+	trace, wait := fixString("trace")+fixString("00000000000000ab"), fixString("patience")+fixString("5000")
 	rude := map[string]string{
 		"nothing":                  "",
 		"half a call":              call("\x82"+trace+wait, "\xc4\x20SELECT"),
 		"what is no call":          "\xc1\xff\x00",
 		"a body of 60 MB":          call("\x82"+trace+wait, "\xc6\x03\x93\x87\x00") + strings.Repeat("x", 1<<20),
 		"no trace":                 call("\x81"+wait, "\xc4\x01;"),
-		"no figure":                call("\x82"+trace+fix("patience")+fix("soon"), "\xc4\x01;"),
-		"a figure out of range":    call("\x82"+trace+fix("patience")+fix("86400000"), "\xc4\x01;"),
+		"no figure":                call("\x82"+trace+fixString("patience")+fixString("soon"), "\xc4\x01;"),
+		"a figure out of range":    call("\x82"+trace+fixString("patience")+fixString("86400000"), "\xc4\x01;"),
 		"two of one number":        strings.Repeat(call("\x82"+trace+wait, "\xc4\x01;"), 2),
 		"a class that isn't there": strings.Replace(call("\x82"+trace+wait, "\xc4\x01;"), "lookup", "lookUp", 1),
 		"a list of millions":       "\x94\x00\x01\xa1x\xdd\x00\xff\xff\xff",
@@ -349,8 +349,8 @@
 	for what, text := range rude {
 		conn := c.client()
 		go func() {
-			conn.Write([]byte(text)) // it may be cut off in the middle
-			// some word, or the end: more than a line of it nobody is owed
+			conn.Write([]byte(text)) // the controller may close the connection before the end
+			// an error response or the end of the connection
 			head := make([]byte, 4)
 			if _, err := io.ReadFull(conn.in, head); err == nil && head[3] == 0xc0 {
 				what += " was served"
@@ -358,15 +358,15 @@
 			answers <- what
 		}()
 	}
-	for range 200 { // those that say nothing don't keep the others out
+	for range 200 { // idle connections do not keep other clients out
 		c.client()
 	}
 	for i := range 5 {
-		good := c.client() // what idles may have to make way; who asks does not
-		good.ask("lookup", fmt.Sprintf("e%03d", i), "5000", "")
+		good := c.client() // idle connections may be closed, active ones are not
+		good.query("lookup", fmt.Sprintf("e%03d", i), "5000", "")
 		good.expect(1, fmt.Sprintf("e%03d\tfirst", i))
 	}
-	for wait := time.After(patienceMost); len(rude) > 0; {
+	for wait := time.After(waitLimit); len(rude) > 0; {
 		select {
 		case what := <-answers:
 			if _, known := rude[what]; !known {
@@ -374,15 +374,15 @@
 			}
 			delete(rude, what)
 		case <-wait:
-			t.Fatal("no word to ", rude)
+			t.Fatal("no response and no disconnect for ", rude)
 		}
 	}
 	good := c.client()
-	good.ask("lookup", "eeee", "5000", "")
+	good.query("lookup", "eeee", "5000", "")
 	good.expect(1, "eeee\tfirst")
 }
 
-func TestGarblingEngines(t *testing.T) {
+func TestCorruptResponsesAreNotPassedOn(t *testing.T) {
 	page := func(id string) string { return id + "\tfirst\tpage\n" }
 	whole := func(id string, length int) string {
 		return fmt.Sprintf("HTTP/1.1 200 OK\r\nChunks: 1\r\nContent-Length: %d\r\n\r\n%s", length, page(id))
@@ -401,7 +401,7 @@
 	}
 	met := make(chan map[string]bool, 1)
 	met <- map[string]bool{}
-	e := newStand(t, func(s *stand, w http.ResponseWriter, r *http.Request, id string) {
+	e := newFakeEngine(t, func(s *fakeEngine, w http.ResponseWriter, r *http.Request, id string) {
 		seen := <-met
 		first := !seen[id]
 		seen[id] = seen[id] || r.Method == "GET"
@@ -417,24 +417,24 @@
 			var i int
 			fmt.Sscanf(id, "a%03d", &i)
 			io.WriteString(conn, spoilt[i%len(spoilt)](id))
-			t.Cleanup(func() { conn.Close() }) // it stays open, and says no more
+			t.Cleanup(func() { conn.Close() }) // the connection stays open and silent
 		default:
 			w.Header().Set("Chunks", "1")
 			io.WriteString(w, page(id))
 		}
 	})
-	c := start(t, newFeed(t).Addr().String(), 256, "127.0.0.1:0", entry("e1", e.address(), "SERVING"))
+	c := start(t, newFakeFeed(t).Addr().String(), 256, "127.0.0.1:0", entry("e1", e.address(), "SERVING"))
 	a := c.client()
 	for i := range 2 * len(spoilt) {
 		id := fmt.Sprintf("a%03d", i)
-		a.ask([]string{"lookup", "load"}[i%2], id, "15000", []string{"", id}[i%2])
+		a.query([]string{"lookup", "load"}[i%2], id, "15000", []string{"", id}[i%2])
 		a.expect(byte(i+1), page(id))
 	}
 	c.signal(syscall.SIGUSR1)
-	c.said("did not hold 0")
+	c.waitForLog("did not hold 0")
 }
 
-func TestConfigThatIsMissing(t *testing.T) {
+func TestMissingConfigIsReported(t *testing.T) {
 	for config, want := range map[string]string{"/does/not/exist": "no config", os.DevNull: "config:"} {
 		cmd := exec.Command(program)
 		cmd.Env = append(os.Environ(), "ROUTER_CONFIG="+config)
@@ -445,12 +445,11 @@
 	}
 }
 
-// Other deployments have more controllers and engines than any that was played:
-// nothing may be sized for those. Each of the engines has an address of its own,
-// behind which one stand-in listens on all.
-func TestAThousandOfEach(t *testing.T) {
+// Other deployments have more controllers and engines than the tested ones, so nothing may have a fixed
+// size. Each engine has its own address; one fake engine listens on all of them.
+func TestServesManyEnginesAndControllers(t *testing.T) {
 	for _, n := range []int{1024, 1500} {
-		e, f := newStand(t, serves(false)), newFeed(t)
+		e, f := newFakeEngine(t, twoPages(false)), newFakeFeed(t)
 		all, err := net.Listen("tcp", "0.0.0.0:0")
 		if err != nil {
 			t.Fatal(err)
@@ -466,30 +465,30 @@
 		}
 		c := startWith(t, strings.Replace(testSettings, `"balancers":1,"me":0`, fmt.Sprintf(`"balancers":%d,"me":%d`, n, n-1), 1), 32,
 			f.Addr().String(), 256, "127.0.0.1:0", first...)
-		<-f.lines
+		<-f.subscriptions
 		a := c.client()
-		a.ask("lookup", "0001", "9000", "")
+		a.query("lookup", "0001", "9000", "")
 		a.expect(1, "0001\tfirst")
-		conn := <-f.conns // every one of them is replaced, in one event
+		conn := <-f.connections // one event replaces all engines
 		fmt.Fprintln(conn, event(2, false, later...))
-		a.ask("load", "0002", "9000", "k")
+		a.query("load", "0002", "9000", "k")
 		a.expect(2, "0002\tfirst")
 		c.signal(syscall.SIGUSR1)
-		if said := c.said("list event")["message"].(string); !strings.Contains(said, "list event 2 ") {
+		if said := c.waitForLog("list event")["message"].(string); !strings.Contains(said, "list event 2 ") {
 			t.Fatal(said)
 		}
 		text, _ := os.ReadFile(fmt.Sprintf("/proc/%d/status", c.cmd.Process.Pid))
 		_, resident, _ := strings.Cut(string(text), "VmRSS:")
 		resident, _, _ = strings.Cut(strings.TrimSpace(resident), " ")
 		if kB, err := strconv.Atoi(resident); err != nil || kB > 32<<10 {
-			t.Fatalf("%s kB with %d engines, of 32 MB", resident, n)
+			t.Fatalf("%s kB are resident with %d engines; 32 MB are allowed", resident, n)
 		}
 	}
 }
 
-// Settings that are odd are said, field by field, and the program serves all the same.
-func TestOddSettingsAreSaidAndServed(t *testing.T) {
-	e, f := newStand(t, serves(false)), newFeed(t)
+// Invalid settings do not stop the controller: it logs each field and serves queries.
+func TestInvalidSettingsDoNotStopTheController(t *testing.T) {
+	e, f := newFakeEngine(t, twoPages(false)), newFakeFeed(t)
 	odd := strings.NewReplacer(`"balancers":1`, `"balancers":0`, `"effect":"non_idempotent"`, `"effect":"whatever"`,
 		`"objective_ms":3000.0`, `"objective_ms":"soon"`).Replace(testSettings)
 	startWith(t, odd, 64, f.Addr().String(), 256, "127.0.0.1:0", entry("e1", e.address(), "SERVING"), entry("e2", e.address(), "WHATEVER")).servesBoth()
--- a/cmd/railrelay/shape_test.go
+++ b/cmd/railrelay/shape_test.go
@@ -11,10 +11,10 @@
 	"railrelay.dev/railrelay/internal/settings"
 )
 
-// shapes are the deployments that one build serves, by settings alone: engines that tell
-// of busy cores only and of no notes, with shares and a budget; and engines that report
-// nothing and may not be probed.
-var shapes = map[string]*strings.Replacer{
+// deployments are settings of deployments that one build must serve: engines that report only busy cores
+// and send no notes, with customer shares and a retry budget; and engines that report nothing and may not
+// be probed.
+var deployments = map[string]*strings.Replacer{
 	"as before": strings.NewReplacer(),
 	"busy cores": strings.NewReplacer(`"fields":["outstanding","utilization"]`, `"fields":["utilization"]`, `"note_period_ms":2000.0`, `"note_period_ms":0.0`,
 		`"retry_after":true`, `"retry_after":false`, `"second_copies":true`, `"second_copies":false`,
@@ -24,20 +24,20 @@
 		`"memory_heeded":true`, `"memory_heeded":false`, `"cost_in_answers":true`, `"cost_in_answers":false`),
 }
 
-func TestOneBuildServesAllShapes(t *testing.T) {
-	for name, shape := range shapes {
-		e, f := newStand(t, serves(false)), newFeed(t)
+func TestServesAllDeployments(t *testing.T) {
+	for name, shape := range deployments {
+		e, f := newFakeEngine(t, twoPages(false)), newFakeFeed(t)
 		text := shape.Replace(testSettings)
 		if name != "as before" && text == testSettings {
-			t.Fatal("nothing is other in ", name)
+			t.Fatal("the settings are unchanged in ", name)
 		}
 		c := startWith(t, text, 64, f.Addr().String(), 256, "127.0.0.1:0", entry("e1", e.address(), "SERVING"))
 		c.servesBoth()
 	}
 }
 
-// Half of one shape and half of another is refused at the start, by the key's own name.
-func TestAMixOfShapesIsRefusedAtTheStart(t *testing.T) {
+// Settings that mix two deployments are rejected at the start, with the key's name in the message.
+func TestRejectsConflictingSettings(t *testing.T) {
 	for _, c := range []struct{ old, new, key, with string }{
 		{`"key_rest_ms":300.0`, `"key_rest_ms":300.0,"extra_per_request":0.2`, "settings.obligations.ratio_span_ms:", "obligations.extra_per_request"},
 		{`"me":0`, `"me":0,"over_share_worth":1.5,"customers":[{"name":"a","quota_per_s":2},{"name":"b"}]`, "settings.over_share_worth:", "customers.count"},
@@ -62,16 +62,17 @@
 			t.Errorf("%s: %v %s", c.new, err, out)
 		}
 	}
-	for name, shape := range shapes {
+	for name, shape := range deployments {
 		facts, err := settings.FromJSON([]byte(shape.Replace(testSettings)))
 		if refused, odd := settings.Conflicts(facts); err != nil || len(refused)+len(odd) > 0 {
-			t.Errorf("%s is no mix: %v %v %v", name, err, refused, odd)
+			t.Errorf("%s has conflicts: %v %v %v", name, err, refused, odd)
 		}
 	}
 }
 
-// What has a reading is served by it, and said: an unknown deployment must start.
-func TestWhatHasAReadingIsServedAndSaid(t *testing.T) {
+// Settings with one sensible interpretation are served with a warning, since an unknown deployment must
+// start.
+func TestWarnsOfAmbiguousSettings(t *testing.T) {
 	for _, c := range []struct{ old, new, key string }{
 		{`"may_probe":true`, `"may_probe":false`, "settings.report.how:"},
 		{`"fields":["outstanding","utilization"]`, `"fields":[]`, "settings.report.fields:"},
@@ -94,7 +95,7 @@
 			t.Errorf("%s: %v, refused %v, odd %v", c.new, err, refused, odd)
 		}
 	}
-	e, f := newStand(t, serves(false)), newFeed(t)
+	e, f := newFakeEngine(t, twoPages(false)), newFakeFeed(t)
 	c := startWith(t, strings.Replace(testSettings, `"may_probe":true`, `"may_probe":false`, 1), 64, f.Addr().String(), 256, "127.0.0.1:0",
 		entry("e1", e.address(), "SERVING"))
 	c.servesBoth()
--- a/cmd/railrelay/stand_test.go
+++ b/cmd/railrelay/stand_test.go
@@ -17,8 +17,8 @@
 
 var program string
 
-// deployed is how the program is built wherever it is: in deploy, by make and here.
-const deployed = "CGO_ENABLED=1 go build -ldflags=-linkmode=external"
+// buildCommand builds the program in deploy, in the Makefile and in these tests.
+const buildCommand = "CGO_ENABLED=1 go build -ldflags=-linkmode=external"
 
 func TestMain(m *testing.M) {
 	dir, err := os.MkdirTemp("", "railrelay")
@@ -26,7 +26,7 @@
 		panic(err)
 	}
 	program = filepath.Join(dir, "railrelay")
-	flags := strings.Fields(deployed)
+	flags := strings.Fields(buildCommand)
 	build := exec.Command("go", append(flags[2:], "-race=false", "-tags", "debug", "-o", program, ".")...)
 	build.Env = append(os.Environ(), flags[0])
 	if out, err := build.CombinedOutput(); err != nil {
@@ -37,33 +37,33 @@
 	os.Exit(code)
 }
 
-const patienceMost = 20 * time.Second // for what has to come; only a fault makes a test wait so long
+const waitLimit = 20 * time.Second // reached only in a failing test
 
-// stand is an engine of our own: what it does with a statement is in do.
-type stand struct {
+// fakeEngine is an HTTP server that acts as an engine. serve handles submissions and polls.
+type fakeEngine struct {
 	*httptest.Server
-	told chan string // every call, as it comes
-	do   func(s *stand, w http.ResponseWriter, r *http.Request, id string)
-	end  chan struct{} // ends what is held
+	calls   chan string // every request in order
+	serve   func(s *fakeEngine, w http.ResponseWriter, r *http.Request, id string)
+	release chan struct{} // closed to finish blocked queries
 }
 
-func newStand(t *testing.T, do func(*stand, http.ResponseWriter, *http.Request, string)) *stand {
-	s := &stand{told: make(chan string, 4096), do: do, end: make(chan struct{})}
+func newFakeEngine(t *testing.T, do func(*fakeEngine, http.ResponseWriter, *http.Request, string)) *fakeEngine {
+	s := &fakeEngine{calls: make(chan string, 4096), serve: do, release: make(chan struct{})}
 	s.Server = httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		id := r.Header.Get("X-Req")
 		if id == "" {
 			id, _, _ = strings.Cut(strings.TrimPrefix(r.URL.Path, "/o/"), "/")
 		}
 		body, _ := io.ReadAll(r.Body)
-		id = strings.ReplaceAll(id, pad, "")
-		s.told <- r.Method + " " + strings.ReplaceAll(r.URL.Path, pad, "") + " " + id + " " + string(body)
+		id = strings.ReplaceAll(id, tracePrefix, "")
+		s.calls <- r.Method + " " + strings.ReplaceAll(r.URL.Path, tracePrefix, "") + " " + id + " " + string(body)
 		switch {
 		case r.URL.Path == "/stats":
 			w.Header().Set("X-Load", "inflight:1;util:0.1")
 		case r.Method == "DELETE" || r.Method == "PUT":
 			w.WriteHeader(204)
 		default:
-			s.do(s, w, r, id)
+			s.serve(s, w, r, id)
 		}
 	}))
 	t.Cleanup(func() {
@@ -73,11 +73,12 @@
 	return s
 }
 
-func (s *stand) address() string { return s.Listener.Addr().String() }
+func (s *fakeEngine) address() string { return s.Listener.Addr().String() }
 
-// serves answers with two pages, after a 202; held until end is closed if holds.
-func serves(holds bool) func(*stand, http.ResponseWriter, *http.Request, string) {
-	return func(s *stand, w http.ResponseWriter, r *http.Request, id string) {
+// twoPages accepts a submission and answers polls with a result of two pages. If blocks is set, the query
+// runs until release is closed.
+func twoPages(blocks bool) func(*fakeEngine, http.ResponseWriter, *http.Request, string) {
+	return func(s *fakeEngine, w http.ResponseWriter, r *http.Request, id string) {
 		switch {
 		case r.Method == "POST":
 			w.WriteHeader(202)
@@ -86,9 +87,9 @@
 			w.Header().Set("Chunk", "1")
 			fmt.Fprintf(w, "%s\tsecond\tpage\n", id)
 			return
-		case holds:
+		case blocks:
 			select {
-			case <-s.end:
+			case <-s.release:
 			case <-time.After(100 * time.Millisecond):
 				w.Header().Set("X-Cache", "advance")
 				w.Header().Set("Reading", "0.1")
@@ -103,19 +104,19 @@
 	}
 }
 
-// feed is a list of our own.
-type feed struct {
+// fakeFeed is a server that acts as the feed of the engine list.
+type fakeFeed struct {
 	net.Listener
-	lines chan string   // the SUB lines that came
-	conns chan net.Conn // and on what
+	subscriptions chan string   // the SUB lines received
+	connections   chan net.Conn // their connections
 }
 
-func newFeed(t *testing.T) *feed {
+func newFakeFeed(t *testing.T) *fakeFeed {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	f := &feed{l, make(chan string, 64), make(chan net.Conn, 64)}
+	f := &fakeFeed{l, make(chan string, 64), make(chan net.Conn, 64)}
 	t.Cleanup(func() { l.Close() })
 	go func() {
 		for {
@@ -126,8 +127,8 @@
 			go func() {
 				line, err := bufio.NewReader(c).ReadString('\n')
 				if err == nil {
-					f.conns <- c
-					f.lines <- strings.TrimSpace(line)
+					f.connections <- c
+					f.subscriptions <- strings.TrimSpace(line)
 				}
 			}()
 		}
@@ -143,16 +144,16 @@
 	return fmt.Sprintf(`{"n":%d,"members":{"revision":%d,"complete":%v,"members":[%s]}}`, n, n, whole, strings.Join(entries, ","))
 }
 
-func (s *stand) hears(t *testing.T, what string) string {
+func (s *fakeEngine) waitForCall(t *testing.T, what string) string {
 	t.Helper()
-	for wait := time.After(patienceMost); ; {
+	for wait := time.After(waitLimit); ; {
 		select {
-		case call := <-s.told:
+		case call := <-s.calls:
 			if strings.HasPrefix(call, what) {
 				return call
 			}
 		case <-wait:
-			t.Fatalf("the engine never heard %q", what)
+			t.Fatalf("the engine never received %q", what)
 		}
 	}
 }
--- a/internal/cli/golden_test.go
+++ b/internal/cli/golden_test.go
@@ -11,7 +11,7 @@
 	"railrelay.dev/railrelay/internal/goldentest"
 )
 
-// The platform writes its keys in lower case.
+// The platform writes keys in lower case.
 func TestGoldenPlatformConfigurationIsRead(t *testing.T) {
 	want := platformConfig{
 		Listen: "127.0.0.1:6000", Seed: "1f", Feed: "127.0.0.1:6001",
@@ -30,7 +30,7 @@
 	}
 }
 
-// An error names the key as it did before the keys were explicit.
+// Errors must keep the key names from before the keys got explicit tags.
 func TestGoldenPlatformConfigurationErrors(t *testing.T) {
 	for file, text := range map[string]string{
 		"error_cores":   `{"limits":{"cores":"x"}}`,
@@ -42,7 +42,7 @@
 		}
 		_, err := readPlatformConfig(path)
 		if err == nil {
-			t.Fatal(file, "is taken")
+			t.Fatal(file, "was accepted")
 		}
 		goldentest.Same(t, file, []byte(err.Error()+"\n"))
 	}
--- a/internal/cli/platform.go
+++ b/internal/cli/platform.go
@@ -16,8 +16,8 @@
 	"railrelay.dev/railrelay/internal/settings"
 )
 
-// platformConfig is the platform's configuration file. Its keys are matched in any case; errors name them as
-// written here.
+// platformConfig is the platform's configuration file. Its keys are matched in any case; errors name them
+// as written here.
 type platformConfig struct {
 	Listen string `json:"Listen"`
 	Seed   string `json:"Seed"`
--- a/internal/cli/program.go
+++ b/internal/cli/program.go
@@ -1,10 +1,10 @@
 // Package cli implements the command line of a controller. It reads the environment or the set-up file,
 // listens for clients and forwards signals.
 //
-// Two programs use the package. The platform starts railrelay, which links neither consensus nor HTTP: these
-// would take 8 MB more memory from the start. railrelay-fleet links both. If a set-up has a fleet section, or
-// the command is `railrelay fleet`, railrelay replaces itself with railrelay-fleet by exec. The two programs
-// are installed in one directory.
+// Two programs use the package. The platform starts railrelay, which links neither consensus nor HTTP:
+// these would take 8 MB more memory from the start. railrelay-fleet links both. If a set-up has a fleet
+// section, or the command is `railrelay fleet`, railrelay replaces itself with railrelay-fleet by exec.
+// The two programs are installed in one directory.
 package cli
 
 import (
--- a/internal/discovery/list.go
+++ b/internal/discovery/list.go
@@ -15,8 +15,8 @@
 
 // Handler receives the events of the engine list.
 type Handler interface {
-	// BeginEvent begins an event. A complete event lists all engines. If BeginEvent returns false, the event is
-	// skipped because it is not the next one.
+	// BeginEvent begins an event. A complete event lists all engines. If BeginEvent returns false, the event
+	// is skipped because it is not the next one.
 	BeginEvent(number int64, complete bool) bool
 	// Engine delivers one engine of the event.
 	Engine(id, address, location, kind string, cell int, state scheduler.EngineState, startedMs int64)
--- a/internal/discovery/list_test.go
+++ b/internal/discovery/list_test.go
@@ -55,7 +55,7 @@
 	}
 	for _, text := range []string{"hello\n", "{}\n", "{\"members\":{}}\n", "[1]\n", "{\"n\":1\n", strings.Repeat("x", 1<<16+1)} {
 		if _, err := readAll(text, len(text)); err == nil {
-			t.Errorf("%.20q was taken", text)
+			t.Errorf("%.20q was accepted", text)
 		}
 	}
 	n := &recorder{}
--- a/internal/enginehttp/engines.go
+++ b/internal/enginehttp/engines.go
@@ -82,8 +82,9 @@
 	Ended(outcome scheduler.Outcome)
 }
 
-// IsQueryResponse reports whether a response answers the request for a page, or for page 0 also a submission.
-// Any other response is corrupt or belongs to another request, and says nothing about the query.
+// IsQueryResponse reports whether a response answers the request for a page, or for page 0 also a
+// submission. Any other response is corrupt or belongs to another request, and says nothing about the
+// query.
 func IsQueryResponse(page, status int, field func(string) string, body []byte) bool {
 	switch {
 	case status == 202:
@@ -100,8 +101,8 @@
 		(page == 0 && number >= 1 || page > 0 && number == page)
 }
 
-// IsCommandResponse reports whether a response answers a change of priority or a cancellation. Statuses 200 and
-// 202 only answer polls.
+// IsCommandResponse reports whether a response answers a change of priority or a cancellation. Statuses
+// 200 and 202 only answer polls.
 func IsCommandResponse(status int, _ func(string) string, _ []byte) bool {
 	return status != 200 && status != 202
 }
@@ -114,8 +115,8 @@
 // maxPages limits the pages of a result, each of which has at least one row.
 const maxPages = 48_000
 
-// parseFigure parses a non-negative number. It rejects NaN and infinity, which would corrupt every mean that
-// includes them.
+// parseFigure parses a non-negative number. It rejects NaN and infinity, which would corrupt every mean
+// that includes them.
 func parseFigure(text string) (float64, bool) {
 	x, err := strconv.ParseFloat(strings.TrimSpace(text), 64)
 	if err != nil || !(x >= 0 && x < 1e12) {
--- a/internal/enginehttp/engines_test.go
+++ b/internal/enginehttp/engines_test.go
@@ -78,7 +78,7 @@
 		{0, answer(404, "", ""), "unfit"},
 		{1, answer(204, "", ""), "unfit"},
 		{0, answer(200, "Chunks: 48001\r\n", "a\tb\tc\n"), "unfit"},
-		{1, answer(200, "Chunks: 1\r\n", "a\tb\tc\n"), "unfit"}, // a second copy of page 0
+		{1, answer(200, "Chunks: 1\r\n", "a\tb\tc\n"), "unfit"}, // page 0 repeated
 		{0, answer(200, "Chunk: 1\r\n", "a\tb\tc\n"), "unfit"},
 		{1, answer(500, "", ""), errored},
 		{0, answer(202, "X-Cache: advance\r\nReading: NaN\r\n", ""), "runs"},
@@ -97,7 +97,7 @@
 	}
 	for _, fields := range []string{"Connection: close\r\n", "connection:Close\r\n"} {
 		if _, keep, _ := handle(answer(202, fields, ""), 0, 1000); keep {
-			t.Errorf("%q may carry another call", fields)
+			t.Errorf("connection stays open after %q", fields)
 		}
 	}
 	for _, text := range []string{"HTTP/2 200 ok\r\n\r\n", "HTTP/1.1 2x0 ok\r\n\r\n", "HTTP/1.1 200 ok\r\nno colon\r\n\r\n", "\r\n\r\n",
@@ -106,7 +106,7 @@
 		"HTTP/1.1 200 ok\r\nTransfer-Encoding: gzip\r\n\r\n", "HTTP/1.1 200 ok\r\nTransfer-Encoding: chunked\r\n\r\n-1\r\n",
 		"HTTP/1.1 200 ok\r\nTransfer-Encoding: chunked\r\n\r\n1\r\nabc\r\n", "HTTP/1.1 200 ok\r\nTransfer-Encoding: chunked\r\n\r\n7fffffff\r\n", "HTTP/1.1 099 ok\r\n\r\n", strings.Repeat("x", maxHeaderBytes+1)} {
 		if _, _, err := handle(text, 0, len(text)); err == nil {
-			t.Errorf("%q was taken", text[:min(40, len(text))])
+			t.Errorf("%q was accepted", text[:min(40, len(text))])
 		}
 	}
 }
@@ -126,7 +126,7 @@
 			t.Errorf("%q, not %q", got, want)
 		}
 	}
-	// an id that would start a field of its own
+	// A line break in an id must not start another header.
 	if got := string(AppendSubmit(nil, "h", "a\r\nPool-Rank: 3", "g", "", 0, 0, 1, nil)); strings.Count(got, "\r\nPool-Rank") != 1 {
 		t.Errorf("%q", got)
 	}
@@ -142,11 +142,11 @@
 func TestRefusesResponsesToOtherRequests(t *testing.T) {
 	none, rows := func(string) string { return "" }, func(name string) string { return map[string]string{"Chunks": "1"}[name] }
 	if IsCommandResponse(200, rows, nil) || IsCommandResponse(202, none, nil) || !IsCommandResponse(204, none, nil) || !IsCommandResponse(500, none, nil) {
-		t.Error("news pass for the end of giving up")
+		t.Error("a poll's response was accepted for a cancellation")
 	}
 	if IsProbeResponse(200, rows, nil) || IsProbeResponse(202, none, nil) || IsProbeResponse(204, none, nil) || !IsProbeResponse(200, none, nil) ||
 		!IsProbeResponse(503, none, nil) {
-		t.Error("news pass for a probe's answer")
+		t.Error("a poll's response was accepted for a probe")
 	}
 }
 
--- a/internal/enginehttp/http.go
+++ b/internal/enginehttp/http.go
@@ -14,9 +14,9 @@
 // maxHeaderBytes limits the status line and the headers, and a chunk's size line.
 const maxHeaderBytes = 16 << 10
 
-// Read passes the first response in data to handle. It returns the number of bytes of that response, 0 if the
-// response is incomplete, and whether the connection may carry another request. After an error the connection
-// can't be read any further.
+// Read passes the first response in data to handle. It returns the number of bytes of that response, 0 if
+// the response is incomplete, and whether the connection may carry another request. After an error the
+// connection can't be read any further.
 func Read(data []byte, maxBytes int,
 	handle func(status int, field func(string) string, body []byte)) (int, bool, error) {
 	end := bytes.Index(data, []byte("\r\n\r\n"))
--- a/internal/msgpackrpc/alltables.go
+++ b/internal/msgpackrpc/alltables.go
@@ -6,10 +6,11 @@
 	"strings"
 )
 
-// TableGroups returns all table groups that a statement reads and writes, sorted. known is false if the lists
-// may be incomplete: the statement names a table without a schema, a schema without a number or a table
-// function, or it writes to the schema staging. A table read from staging belongs to no table group.
-// A name that only looks like a table's may be included, but no table is left out while known is true.
+// TableGroups returns all table groups that a statement reads and writes, sorted. known is false if the
+// lists may be incomplete: the statement names a table without a schema, a schema without a number or a
+// table function, or it writes to the schema staging. A table read from staging belongs to no table
+// group. A name that only looks like a table's may be included, but no table is left out while known is
+// true.
 func TableGroups(statement []byte) (read, written []int64, known bool) {
 	f := tableFinder{scanner: scanner{text: statement}, known: true}
 	for f.advance(); f.kind != 0; {
--- a/internal/msgpackrpc/alltables_test.go
+++ b/internal/msgpackrpc/alltables_test.go
@@ -48,14 +48,14 @@
 	}
 }
 
-// It ends, and what it gives is in order, whatever the text.
+// TableGroups must return sorted lists for any text.
 func FuzzTableGroups(f *testing.F) {
 	f.Add([]byte("select * from sales_3.a, (sales_4.b) join c_5.d using (x) where \"from"))
 	f.Add([]byte("insert into d_4.t (((("))
 	f.Fuzz(func(t *testing.T, p []byte) {
 		read, written, _ := TableGroups(p)
 		if !slices.IsSorted(read) || !slices.IsSorted(written) {
-			t.Fatalf("%v %v", read, written)
+			t.Fatalf("not sorted: %v %v", read, written)
 		}
 	})
 }
--- a/internal/msgpackrpc/clients.go
+++ b/internal/msgpackrpc/clients.go
@@ -205,8 +205,8 @@
 
 const maxKeyBytes = 256
 
-// isTrace reports whether a trace consists of 16 hexadecimal digits. The path of requests to engines contains
-// the trace without escaping.
+// isTrace reports whether a trace consists of 16 hexadecimal digits. The path of requests to engines
+// contains the trace without escaping.
 func isTrace(id []byte) bool {
 	for _, b := range id {
 		if (b < '0' || b > '9') && (b < 'a' || b > 'f') && (b < 'A' || b > 'F') {
@@ -289,8 +289,8 @@
 	return dst
 }
 
-// AppendDeferral appends the error that the client may safely send the query again, after retryAfter if that
-// is a millisecond or more.
+// AppendDeferral appends the error that the client may safely send the query again, after retryAfter if
+// that is a millisecond or more.
 func AppendDeferral(dst []byte, messageID uint32, retryAfter time.Duration) []byte {
 	dst = appendString(append(appendUnsigned(append(dst, 0x94, 1), messageID), 0x92), "Throttled")
 	if ms := retryAfter.Milliseconds(); ms > 0 {
--- a/internal/msgpackrpc/clients_test.go
+++ b/internal/msgpackrpc/clients_test.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// notes writes down what it is handed.
+// recorder records the calls of its methods as text.
 type recorder struct{ calls []string }
 
 func (n *recorder) Query(msg uint32, group, id []byte, patience time.Duration, key []byte, keyed bool, statement []byte, _ Fields) {
@@ -75,7 +75,7 @@
 	}
 }
 
-// forms are the ways to write a string, from the shortest.
+// stringEncodings returns all encodings of a string, the shortest first.
 func stringEncodings(s string) [][]byte {
 	var l [][]byte
 	if len(s) < 32 {
@@ -151,12 +151,12 @@
 		string(fields("trace", trace, "patience", "-3")):                                     "wrong 5 no patience",
 		string(fields("trace", trace, "patience", "NaN")):                                    "wrong 5 no patience",
 		string(fields("trace", trace, "patience", "1e300")):                                  "wrong 5 no patience",
-		"\x94\x00\x05\xa1g\x92\x80\xa1x":                                                     "wrong 5 malformed call", // a string for a body
+		"\x94\x00\x05\xa1g\x92\x80\xa1x":                                                     "wrong 5 malformed call", // the statement is a string, not binary
 		"\x94\x00\x05\x07\x92\x80\xc4\x00":                                                   "wrong 5 malformed call",
 		"\x94\x00\x05\xa1g\x91\x80":                                                          "wrong 5 malformed call",
 		"\x94\x00\x05\xa1g\xc0":                                                              "wrong 5 malformed call",
 		"\x94\x00\x05\xa1g\x92\x81\x01\xa1a\xc4\x00":                                         "wrong 5 malformed call",
-		"\x93\x02\xa3hum\x90":                                                                "", // a notice we don't know
+		"\x93\x02\xa3hum\x90":                                                                "", // an unknown notification
 		"\x93\x02\xadcancelRequest\x90":                                                      "",
 		"\x94\x00\x05\xa1g\x92\x81\xa5trace\xcb\x00\x00\x00\x00\x00\x00\x00\x00\xc4\x00":     "wrong 5 malformed call",
 	} {
@@ -168,19 +168,19 @@
 	for _, text := range []string{"GET / HTTP/1.1\r\n", "\xc1", "\x94\x01\x05\xc0\xc0", "\x94\xff", "\x94\x00\xcf\xff\xff\xff\xff\xff\xff\xff\xff\xa1g\x90",
 		"\x94\x00\x05\xa1g" + strings.Repeat("\x91", 100) + "\x90"} {
 		if _, err := readAll([]byte(text), 1); err == nil {
-			t.Errorf("%q was taken", text)
+			t.Errorf("%q was accepted", text)
 		}
 	}
 	if _, err := Read(append([]byte{0x94, 0, 5, 0xa1, 'g', 0x92, 0x80, 0xc6, 0xff, 0xff, 0xff, 0xff}, make([]byte, 5000)...), 4096, &recorder{}); err == nil {
-		t.Error("a message over the most there may be is waited for")
+		t.Error("a message over the size limit was not rejected")
 	}
 	for what, head := range map[string]string{
-		"a length over the most there may be": "\x94\x00\x05\xa1g\x92\x80\xc6\x03\x93\x87\x00",
-		"a map of millions":                   "\x94\x00\x05\xa1g\x92\xdf\x00\xff\xff\xff",
-		"values without end":                  "\x94\x00\x05\xa1g\xdc\x01\xff" + strings.Repeat("\x9f"+strings.Repeat("\xc0", 15), 40),
+		"a length over the limit": "\x94\x00\x05\xa1g\x92\x80\xc6\x03\x93\x87\x00",
+		"a map of millions":       "\x94\x00\x05\xa1g\x92\xdf\x00\xff\xff\xff",
+		"too many values":         "\x94\x00\x05\xa1g\xdc\x01\xff" + strings.Repeat("\x9f"+strings.Repeat("\xc0", 15), 40),
 	} {
 		if _, err := Read([]byte(head), 1<<20, &recorder{}); err == nil {
-			t.Error(what + " is waited for")
+			t.Error(what + " was not rejected")
 		}
 	}
 }
--- a/internal/msgpackrpc/statement.go
+++ b/internal/msgpackrpc/statement.go
@@ -9,8 +9,8 @@
 const NoTableGroup = -1
 
 // TableGroup returns the table group of the first table that a statement names: the number after the last
-// underscore of the table's schema. It ignores strings and comments. The schema staging has no number, so it
-// belongs to no table group.
+// underscore of the table's schema. It ignores strings and comments. The schema staging has no number, so
+// it belongs to no table group.
 func TableGroup(statement []byte) int64 {
 	s := scanner{text: statement}
 	candidate := int64(NoTableGroup)
