--- a/cmd/railrelay/controller_test.go
+++ b/cmd/railrelay/controller_test.go
@@ -39,11 +39,13 @@
 	return startWith(t, testSettings, 192, feed, sockets, listen, entries...)
 }
 
-func startWith(t *testing.T, settings string, memoryMB int, feed string, sockets int, listen string, entries ...string) *controller {
+func startWith(t *testing.T, settings string, memoryMB int, feed string, sockets int,
+	listen string, entries ...string) *controller {
 	t.Helper()
 	c := &controller{t: t, config: filepath.Join(t.TempDir(), "config.json")}
 	text := fmt.Sprintf(`{"name":"n0","listen":"127.0.0.1:0","seed":"8c1f30d27a5be964","limits":{"cores":1.0,"memory_mb":%d,"sockets":%d},
-		"feed":%q,"known":{"n":1,"events":[%s]},"settings":%s}`, memoryMB, sockets, feed, event(1, true, entries...), settings)
+		"feed":%q,"known":{"n":1,"events":[%s]},"settings":%s}`,
+		memoryMB, sockets, feed, event(1, true, entries...), settings)
 	if err := os.WriteFile(c.config, []byte(text), 0o600); err != nil {
 		t.Fatal(err)
 	}
@@ -55,7 +57,8 @@
 func (c *controller) launch(listen string) {
 	c.t.Helper()
 	c.cmd = exec.Command("/bin/sh", "-c", c.shellPrefix+"exec "+program)
-	c.cmd.Env = append(os.Environ(), "RAILRELAY_LOG=info", "ROUTER_NAME=n0", "ROUTER_CONFIG="+c.config, "ROUTER_LISTEN="+listen)
+	c.cmd.Env = append(os.Environ(), "RAILRELAY_LOG=info", "ROUTER_NAME=n0",
+		"ROUTER_CONFIG="+c.config, "ROUTER_LISTEN="+listen)
 	out, err := c.cmd.StderrPipe()
 	if err != nil {
 		c.t.Fatal(err)
@@ -131,7 +134,8 @@
 	if key != "" {
 		fields, key = "\x83", fixString("entity")+fixString(key)
 	}
-	p := "\x94\x00" + string([]byte{c.lastMessage}) + fixString(group) + "\x92" + fields + fixString("trace") + fixString(id) + fixString("patience") + fixString(patience) +
+	p := "\x94\x00" + string([]byte{c.lastMessage}) + fixString(group) +
+		"\x92" + fields + fixString("trace") + fixString(id) + fixString("patience") + fixString(patience) +
 		key + "\xc4" + string([]byte{byte(len(body))}) + body
 	if _, err := io.WriteString(c, p); err != nil {
 		c.t.Fatal(err)
--- a/cmd/railrelay/endings_test.go
+++ b/cmd/railrelay/endings_test.go
@@ -72,7 +72,8 @@
 				time.Sleep(time.Millisecond)
 			}
 			if s.isFinished(id) {
-				answer = fmt.Sprintf("HTTP/1.1 200 x\r\nChunks: 1\r\nElapsed-Work: 5\r\nHigh-Water: 5\r\nContent-Length: %d\r\n\r\n%s\ta\tb\n", len(id)+5, id)
+				answer = fmt.Sprintf("HTTP/1.1 200 x\r\nChunks: 1\r\nElapsed-Work: 5\r\nHigh-Water: 5\r\nContent-Length: %d\r\n\r\n%s\ta\tb\n",
+					len(id)+5, id)
 			}
 		}
 		_, err = io.WriteString(c, answer)
@@ -161,7 +162,8 @@
 		warm.answer()
 	}
 	for i := range 6 {
-		key, runs, waits, next := fmt.Sprint("k", i), fmt.Sprintf("%03d1", i), fmt.Sprintf("%03d2", i), fmt.Sprintf("%03d3", i)
+		key, runs, waits, next := fmt.Sprint("k", i), fmt.Sprintf("%03d1", i), fmt.Sprintf("%03d2", i),
+			fmt.Sprintf("%03d3", i)
 		a := c.client()
 		a.query("load", runs, "15000", key)
 		e.waitForSubmissions(t, runs, 1)
@@ -301,7 +303,8 @@
 			1, site, site, kind, 2+rng.IntN(3), 100+rng.IntN(400), 500+rng.IntN(9000), pause, 100+rng.IntN(900), rest, 4+rng.IntN(20),
 			once, limit/2, limit, reads, limit/3, limit, marked, window, limit/2, limit)
 		e, f := newControlledEngine(t), newFakeFeed(t)
-		at := strings.NewReplacer(`"here"`, fmt.Sprintf("%q", site), `"std"`, fmt.Sprintf("%q", kind)).Replace(entry("e1", e.Addr().String(), "SERVING"))
+		at := strings.NewReplacer(`"here"`, fmt.Sprintf("%q", site), `"std"`, fmt.Sprintf("%q", kind)).
+			Replace(entry("e1", e.Addr().String(), "SERVING"))
 		c := startWith(t, text, 24+rng.IntN(200), f.Addr().String(), 64+rng.IntN(300), "127.0.0.1:0", at)
 		patience := fmt.Sprint(limit)
 		a := c.client()
@@ -319,7 +322,8 @@
 				t.Fatalf("round %d, %q: token %q", round, group, token)
 			}
 		}
-		if a.queryWithFields("lookup", "aaaa", patience, "entity", "k"); a.nextAnswer() != "Failed why no such method" {
+		if a.queryWithFields("lookup", "aaaa", patience, "entity",
+			"k"); a.nextAnswer() != "Failed why no such method" {
 			t.Fatalf("round %d: a resource group that isn't in the settings was served", round)
 		}
 		// The second query of a key is not submitted before the first has ended.
@@ -333,7 +337,8 @@
 		}
 		e.finish(first, second)
 		b.expect(1, tracePrefix+first)
-		if said := b.nextAnswer(); !strings.HasPrefix(said, tracePrefix+second) && !strings.HasPrefix(said, "Throttled") {
+		if said := b.nextAnswer(); !strings.HasPrefix(said, tracePrefix+second) &&
+			!strings.HasPrefix(said, "Throttled") {
 			t.Fatalf("round %d: %q", round, said)
 		}
 		// The pause in a deferral is at most the one in the settings.
@@ -349,7 +354,8 @@
 				continue // submitted before the controller read the event
 			}
 			var ms int
-			if n, _ := fmt.Sscanf(said, "Throttled pause %d", &ms); !strings.HasPrefix(said, "Throttled") || n == 1 && ms > pause {
+			if n, _ := fmt.Sscanf(said, "Throttled pause %d", &ms); !strings.HasPrefix(said, "Throttled") ||
+				n == 1 && ms > pause {
 				t.Fatalf("round %d: %q, and at most %d ms are allowed", round, said, pause)
 			}
 			break
@@ -367,7 +373,8 @@
 	c.lastMessage++
 	body := "SELECT * FROM sales_17.orders"
 	fields := append([]string{"trace", tracePrefix + id, "patience", patience}, more...)
-	p := "\x94\x00" + string([]byte{c.lastMessage}) + str8(group) + "\x92" + string([]byte{byte(0x80 | len(fields)/2)})
+	p := "\x94\x00" + string([]byte{c.lastMessage}) + str8(group) + "\x92" +
+		string([]byte{byte(0x80 | len(fields)/2)})
 	for _, x := range fields {
 		p += str8(x)
 	}
@@ -395,7 +402,7 @@
 		e.waitForSubmissions(t, fmt.Sprintf("%04d", i), 1)
 	}
 	goOn := c.pause()
-	time.Sleep(700 * time.Millisecond) // longer than the 250 ms of a poll and the 400 ms that its response may take
+	time.Sleep(700 * time.Millisecond) // longer than a poll (250 ms) and its response timeout (400 ms)
 	goOn()
 	for i := range 8 {
 		e.finish(fmt.Sprintf("%04d", i))
@@ -404,7 +411,8 @@
 		a.answer()
 	}
 	c.signal(syscall.SIGUSR1)
-	if said := fmt.Sprint(c.waitForLog("taken 8 finished 8")["message"]); !strings.Contains(said, " asked again 0 ") {
+	if said := fmt.Sprint(c.waitForLog("taken 8 finished 8")["message"]); !strings.Contains(said,
+		" asked again 0 ") {
 		t.Fatal(said)
 	}
 }
--- a/cmd/railrelay/lean_test.go
+++ b/cmd/railrelay/lean_test.go
@@ -16,7 +16,8 @@
 	if err != nil {
 		t.Fatal(string(out))
 	}
-	for _, heavy := range []string{"net/http", "go.etcd.io/raft/v3", "google.golang.org/protobuf/proto", "crypto/tls"} {
+	for _, heavy := range []string{"net/http", "go.etcd.io/raft/v3", "google.golang.org/protobuf/proto",
+		"crypto/tls"} {
 		if bytes.Contains(out, []byte("\n"+heavy+"\n")) {
 			t.Errorf("%s is linked", heavy)
 		}
--- a/cmd/railrelay/main_test.go
+++ b/cmd/railrelay/main_test.go
@@ -151,7 +151,8 @@
 		io.WriteString(w, "half a row")
 	})
 	e, f := newFakeEngine(t, twoPages(false)), newFakeFeed(t)
-	c := start(t, f.Addr().String(), 256, "127.0.0.1:0", entry("e1", e.address(), "SERVING"), entry("e2", closed.Addr().String(), "SERVING"),
+	c := start(t, f.Addr().String(), 256, "127.0.0.1:0", entry("e1", e.address(), "SERVING"),
+		entry("e2", closed.Addr().String(), "SERVING"),
 		entry("e3", resets.address(), "SERVING"), entry("e4", cuts.address(), "SERVING"))
 	a := c.client()
 	finished := 0
@@ -233,7 +234,8 @@
 		t.Fatal(err)
 	}
 	// An invalid file, or one without a valid feed address, changes nothing.
-	for _, text := range []string{string(good[:len(good)/2]), "", strings.Replace(string(good), f.Addr().String(), "nowhere", 1)} {
+	for _, text := range []string{string(good[:len(good)/2]), "",
+		strings.Replace(string(good), f.Addr().String(), "nowhere", 1)} {
 		os.WriteFile(c.config, []byte(text), 0o600)
 		c.signal(syscall.SIGHUP)
 		c.waitForLog("kept as it was")
@@ -333,7 +335,7 @@
 		return "\x94\x00\x01" + fixString("lookup") + "\x92" + fields + body
 	}
 	trace, wait := fixString("trace")+fixString("00000000000000ab"), fixString("patience")+fixString("5000")
-	rude := map[string]string{
+	misbehaving := map[string]string{
 		"nothing":                  "",
 		"half a call":              call("\x82"+trace+wait, "\xc4\x20SELECT"),
 		"what is no call":          "\xc1\xff\x00",
@@ -346,7 +348,7 @@
 		"a list of millions":       "\x94\x00\x01\xa1x\xdd\x00\xff\xff\xff",
 	}
 	answers := make(chan string)
-	for what, text := range rude {
+	for what, text := range misbehaving {
 		conn := c.client()
 		go func() {
 			conn.Write([]byte(text)) // the controller may close the connection before the end
@@ -366,15 +368,15 @@
 		good.query("lookup", fmt.Sprintf("e%03d", i), "5000", "")
 		good.expect(1, fmt.Sprintf("e%03d\tfirst", i))
 	}
-	for wait := time.After(waitLimit); len(rude) > 0; {
+	for wait := time.After(waitLimit); len(misbehaving) > 0; {
 		select {
 		case what := <-answers:
-			if _, known := rude[what]; !known {
+			if _, known := misbehaving[what]; !known {
 				t.Fatal(what)
 			}
-			delete(rude, what)
+			delete(misbehaving, what)
 		case <-wait:
-			t.Fatal("no response and no disconnect for ", rude)
+			t.Fatal("no response and no disconnect for ", misbehaving)
 		}
 	}
 	good := c.client()
@@ -387,7 +389,7 @@
 	whole := func(id string, length int) string {
 		return fmt.Sprintf("HTTP/1.1 200 OK\r\nChunks: 1\r\nContent-Length: %d\r\n\r\n%s", length, page(id))
 	}
-	spoilt := []func(id string) string{
+	corruptResponses := []func(id string) string{
 		func(string) string { return "\x00\x01 noise \r\n\r\n" },
 		func(id string) string { return whole(id, 3_000_000_000) },
 		func(id string) string { return whole(id, 900) },
@@ -416,7 +418,7 @@
 			}
 			var i int
 			fmt.Sscanf(id, "a%03d", &i)
-			io.WriteString(conn, spoilt[i%len(spoilt)](id))
+			io.WriteString(conn, corruptResponses[i%len(corruptResponses)](id))
 			t.Cleanup(func() { conn.Close() }) // the connection stays open and silent
 		default:
 			w.Header().Set("Chunks", "1")
@@ -425,7 +427,7 @@
 	})
 	c := start(t, newFakeFeed(t).Addr().String(), 256, "127.0.0.1:0", entry("e1", e.address(), "SERVING"))
 	a := c.client()
-	for i := range 2 * len(spoilt) {
+	for i := range 2 * len(corruptResponses) {
 		id := fmt.Sprintf("a%03d", i)
 		a.query([]string{"lookup", "load"}[i%2], id, "15000", []string{"", id}[i%2])
 		a.expect(byte(i+1), page(id))
@@ -461,9 +463,11 @@
 		for i := range n {
 			address := fmt.Sprintf("127.1.%d.%d:%s", i/200, 1+i%200, port)
 			first = append(first, entry(fmt.Sprint("e", i), address, "SERVING"))
-			later = append(later, entry(fmt.Sprint("e", i), address, "DELETED"), entry(fmt.Sprint("n", i), address, "SERVING"))
+			later = append(later, entry(fmt.Sprint("e", i), address, "DELETED"),
+				entry(fmt.Sprint("n", i), address, "SERVING"))
 		}
-		c := startWith(t, strings.Replace(testSettings, `"balancers":1,"me":0`, fmt.Sprintf(`"balancers":%d,"me":%d`, n, n-1), 1), 32,
+		c := startWith(t, strings.Replace(testSettings, `"balancers":1,"me":0`,
+			fmt.Sprintf(`"balancers":%d,"me":%d`, n, n-1), 1), 32,
 			f.Addr().String(), 256, "127.0.0.1:0", first...)
 		<-f.subscriptions
 		a := c.client()
@@ -489,7 +493,8 @@
 // Invalid settings do not stop the controller: it logs each field and serves queries.
 func TestInvalidSettingsDoNotStopTheController(t *testing.T) {
 	e, f := newFakeEngine(t, twoPages(false)), newFakeFeed(t)
-	odd := strings.NewReplacer(`"balancers":1`, `"balancers":0`, `"effect":"non_idempotent"`, `"effect":"whatever"`,
+	invalid := strings.NewReplacer(`"balancers":1`, `"balancers":0`, `"effect":"non_idempotent"`, `"effect":"whatever"`,
 		`"objective_ms":3000.0`, `"objective_ms":"soon"`).Replace(testSettings)
-	startWith(t, odd, 64, f.Addr().String(), 256, "127.0.0.1:0", entry("e1", e.address(), "SERVING"), entry("e2", e.address(), "WHATEVER")).servesBoth()
+	startWith(t, invalid, 64, f.Addr().String(), 256, "127.0.0.1:0", entry("e1", e.address(), "SERVING"),
+		entry("e2", e.address(), "WHATEVER")).servesBoth()
 }
--- a/cmd/railrelay/shape_test.go
+++ b/cmd/railrelay/shape_test.go
@@ -58,14 +58,15 @@
 		cmd := exec.Command(program)
 		cmd.Env = append(os.Environ(), "ROUTER_CONFIG="+config)
 		out, err := cmd.CombinedOutput()
-		if err == nil || !bytes.Contains(out, []byte(c.key)) || !bytes.Contains(out, []byte(c.with)) || bytes.Count(out, []byte("\n")) != 1 {
+		if err == nil || !bytes.Contains(out, []byte(c.key)) || !bytes.Contains(out, []byte(c.with)) ||
+			bytes.Count(out, []byte("\n")) != 1 {
 			t.Errorf("%s: %v %s", c.new, err, out)
 		}
 	}
 	for name, shape := range deployments {
 		facts, err := settings.FromJSON([]byte(shape.Replace(testSettings)))
-		if refused, odd := settings.Conflicts(facts); err != nil || len(refused)+len(odd) > 0 {
-			t.Errorf("%s has conflicts: %v %v %v", name, err, refused, odd)
+		if refused, warnings := settings.Conflicts(facts); err != nil || len(refused)+len(warnings) > 0 {
+			t.Errorf("%s has conflicts: %v %v %v", name, err, refused, warnings)
 		}
 	}
 }
@@ -90,13 +91,15 @@
 			t.Fatalf("%s is not in the settings", c.old)
 		}
 		facts, err := settings.FromJSON([]byte(text))
-		refused, odd := settings.Conflicts(facts)
-		if err != nil || len(refused) > 0 || len(odd) != min(1, len(c.key)) || len(odd) == 1 && "settings."+settings.ExternalName(odd[0][0])+":" != c.key {
-			t.Errorf("%s: %v, refused %v, odd %v", c.new, err, refused, odd)
+		refused, warnings := settings.Conflicts(facts)
+		if err != nil || len(refused) > 0 || len(warnings) != min(1, len(c.key)) ||
+			len(warnings) == 1 && "settings."+settings.ExternalName(warnings[0][0])+":" != c.key {
+			t.Errorf("%s: %v, refused %v, odd %v", c.new, err, refused, warnings)
 		}
 	}
 	e, f := newFakeEngine(t, twoPages(false)), newFakeFeed(t)
-	c := startWith(t, strings.Replace(testSettings, `"may_probe":true`, `"may_probe":false`, 1), 64, f.Addr().String(), 256, "127.0.0.1:0",
+	c := startWith(t, strings.Replace(testSettings, `"may_probe":true`, `"may_probe":false`, 1), 64,
+		f.Addr().String(), 256, "127.0.0.1:0",
 		entry("e1", e.address(), "SERVING"))
 	c.servesBoth()
 }
--- a/cmd/railrelay/stand_test.go
+++ b/cmd/railrelay/stand_test.go
@@ -47,8 +47,9 @@
 	release chan struct{} // closed to finish blocked queries
 }
 
-func newFakeEngine(t *testing.T, do func(*fakeEngine, http.ResponseWriter, *http.Request, string)) *fakeEngine {
-	s := &fakeEngine{calls: make(chan string, 4096), serve: do, release: make(chan struct{})}
+func newFakeEngine(t *testing.T,
+	serve func(*fakeEngine, http.ResponseWriter, *http.Request, string)) *fakeEngine {
+	s := &fakeEngine{calls: make(chan string, 4096), serve: serve, release: make(chan struct{})}
 	s.Server = httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		id := r.Header.Get("X-Req")
 		if id == "" {
@@ -75,8 +76,8 @@
 
 func (s *fakeEngine) address() string { return s.Listener.Addr().String() }
 
-// twoPages accepts a submission and answers polls with a result of two pages. If blocks is set, the query
-// runs until release is closed.
+// twoPages accepts a submission with status 202 and answers polls with a result of two pages. If blocks
+// is set, the query runs until release is closed.
 func twoPages(blocks bool) func(*fakeEngine, http.ResponseWriter, *http.Request, string) {
 	return func(s *fakeEngine, w http.ResponseWriter, r *http.Request, id string) {
 		switch {
@@ -137,11 +138,13 @@
 }
 
 func entry(id, address, state string) string {
-	return fmt.Sprintf(`{"id":%q,"host_port":%q,"locality":"here","flavor":"std","cell":1,"phase":%q,"size":1,"up_since_ms":0}`, id, address, state)
+	return fmt.Sprintf(`{"id":%q,"host_port":%q,"locality":"here","flavor":"std","cell":1,"phase":%q,"size":1,"up_since_ms":0}`,
+		id, address, state)
 }
 
-func event(n int, whole bool, entries ...string) string {
-	return fmt.Sprintf(`{"n":%d,"members":{"revision":%d,"complete":%v,"members":[%s]}}`, n, n, whole, strings.Join(entries, ","))
+func event(n int, complete bool, entries ...string) string {
+	return fmt.Sprintf(`{"n":%d,"members":{"revision":%d,"complete":%v,"members":[%s]}}`,
+		n, n, complete, strings.Join(entries, ","))
 }
 
 func (s *fakeEngine) waitForCall(t *testing.T, what string) string {
--- a/internal/cli/spool.go
+++ b/internal/cli/spool.go
@@ -14,8 +14,7 @@
 
 // spoolCommand returns the commands that inspect and clean a spool directory that no process uses.
 func spoolCommand() *cobra.Command {
-	root := &cobra.Command{Use: "spool",
-		Short: "Look at a spool's directory, check or clean it; none that is in use"}
+	root := &cobra.Command{Use: "spool", Short: "Look at a spool's directory, check or clean it; none that is in use"}
 	withStore := func(action func(c *cobra.Command, store *resultstore.SpoolStore) error) func(*cobra.Command, []string) error {
 		return func(c *cobra.Command, args []string) (err error) {
 			if i, err := os.Stat(args[0]); err != nil {
@@ -29,9 +28,7 @@
 			}
 			defer func() { err = errors.Join(err, store.Close()) }()
 			if f := &store.Recovery; len(f.Lost) > 0 || f.CorruptBytes > 0 || f.IndexRebuilt {
-				fmt.Fprintf(c.ErrOrStderr(),
-					"found on opening: %d promised results lost, %d bytes torn, index rebuilt: %v\n",
-					len(f.Lost), f.CorruptBytes, f.IndexRebuilt)
+				fmt.Fprintf(c.ErrOrStderr(), "found on opening: %d promised results lost, %d bytes torn, index rebuilt: %v\n", len(f.Lost), f.CorruptBytes, f.IndexRebuilt)
 			}
 			return action(c, store)
 		}
@@ -58,15 +55,13 @@
 			for _, f := range v.Faults {
 				fmt.Fprintln(c.OutOrStdout(), f)
 			}
-			fmt.Fprintf(c.OutOrStdout(), "%d segments, %d records, %d results, %d pages, %d bytes, %d of them dead\n",
-				v.Segments, v.Records, v.Results, v.Pages, v.Bytes, v.DeadBytes)
+			fmt.Fprintf(c.OutOrStdout(), "%d segments, %d records, %d results, %d pages, %d bytes, %d of them dead\n", v.Segments, v.Records, v.Results, v.Pages, v.Bytes, v.DeadBytes)
 			if len(v.Faults) > 0 {
 				return fmt.Errorf("%d faults", len(v.Faults))
 			}
 			return nil
 		})}
-	gc := &cobra.Command{Use: "gc DIR",
-		Short: "Drop what is past its life and give the space back", Args: cobra.ExactArgs(1),
+	gc := &cobra.Command{Use: "gc DIR", Short: "Drop what is past its life and give the space back", Args: cobra.ExactArgs(1),
 		RunE: withStore(func(c *cobra.Command, store *resultstore.SpoolStore) error {
 			before := store.TotalBytes()
 			n, err := store.GC(time.Now().UnixMilli())
--- a/internal/msgpackrpc/clients.go
+++ b/internal/msgpackrpc/clients.go
@@ -23,7 +23,7 @@
 	Alive(messageID uint32)
 	// Cancel cancels the call with this number.
 	Cancel(messageID uint32)
-	// Wrong is a call that can be answered but not understood.
+	// Invalid reports a call that can be answered but has invalid content.
 	Invalid(messageID uint32, reason string)
 }
 
--- a/internal/msgpackrpc/statement.go
+++ b/internal/msgpackrpc/statement.go
@@ -68,8 +68,9 @@
 	pos  int
 }
 
-// next returns the next token and its kind: 'a' for an unquoted name or keyword, '"' for a quoted name, '\”
-// for a string, '0' for a number, 0 at the end of the statement, and otherwise the character itself.
+// next returns the next token and its kind: 'a' for an unquoted name or keyword, a double quote for a quoted
+// name, a single quote for a string, '0' for a number, 0 at the end of the statement, and otherwise the
+// character itself.
 func (s *scanner) next() (word []byte, kind byte) {
 	for s.pos < len(s.text) {
 		b := s.text[s.pos]
