--- a/cmd/railrelay/controller_test.go
+++ b/cmd/railrelay/controller_test.go
@@ -81,17 +81,17 @@
 	c.address = c.waitForLog("listening")["address"].(string)
 }
 
-func (c *controller) waitForLog(what string) map[string]any {
+func (c *controller) waitForLog(text string) map[string]any {
 	c.t.Helper()
 	last := ""
 	for wait := time.After(waitLimit); ; {
 		select {
 		case line := <-c.lines:
-			if last = fmt.Sprint(line["message"]); strings.Contains(last, what) {
+			if last = fmt.Sprint(line["message"]); strings.Contains(last, text) {
 				return line
 			}
 		case <-wait:
-			c.t.Fatalf("never logged %q; the last line was %q", what, last)
+			c.t.Fatalf("never logged %q; the last line was %q", text, last)
 		}
 	}
 }
@@ -126,7 +126,7 @@
 // tracePrefix extends the short id of a test to a trace. fakeEngine removes the prefix.
 const tracePrefix = "ffffffffffff"
 
-func (c *client) query(group, id, patience, key string) {
+func (c *client) query(group, id, timeout, key string) {
 	c.lastMessage++
 	id = tracePrefix + id
 	body := "SELECT * FROM sales_17.orders"
@@ -135,7 +135,7 @@
 		fields, key = "\x83", fixString("entity")+fixString(key)
 	}
 	p := "\x94\x00" + string([]byte{c.lastMessage}) + fixString(group) +
-		"\x92" + fields + fixString("trace") + fixString(id) + fixString("patience") + fixString(patience) +
+		"\x92" + fields + fixString("trace") + fixString(id) + fixString("patience") + fixString(timeout) +
 		key + "\xc4" + string([]byte{byte(len(body))}) + body
 	if _, err := io.WriteString(c, p); err != nil {
 		c.t.Fatal(err)
--- a/cmd/railrelay/endings_test.go
+++ b/cmd/railrelay/endings_test.go
@@ -122,7 +122,7 @@
 }
 
 // pause stops the process until the returned function is called, like a stalled machine.
-func (c *controller) pause() (goOn func()) {
+func (c *controller) pause() (resume func()) {
 	c.t.Helper()
 	c.signal(syscall.SIGSTOP)
 	for wait := time.Now(); ; time.Sleep(time.Millisecond) {
@@ -140,8 +140,8 @@
 func (c *client) ready() bool {
 	c.lastMessage++
 	io.WriteString(c, "\x94\x00"+string([]byte{c.lastMessage})+fixString("alive")+"\x91\x80")
-	_, said := c.answer()
-	return said == "c3"
+	_, response := c.answer()
+	return response == "c3"
 }
 
 // A client with a query queued behind another of the same key disconnects while the process is paused.
@@ -172,7 +172,7 @@
 		if !b.ready() { // the response shows that the earlier call was read
 			t.Fatal("not ready")
 		}
-		goOn := c.pause()
+		resume := c.pause()
 		e.finish(runs)
 		for id := range e.written { // the result is in the socket buffer before the other client disconnects
 			if id == tracePrefix+runs {
@@ -181,7 +181,7 @@
 		}
 		b.Close()
 		time.Sleep(150 * time.Millisecond) // the pause under test
-		goOn()
+		resume()
 		a.expect(1, tracePrefix+runs)
 		z := c.client()
 		e.finish(next)
@@ -201,13 +201,13 @@
 func TestQueryOfDisconnectedClientIsNotSentAfterPause(t *testing.T) {
 	e, f := newControlledEngine(t), newFakeFeed(t)
 	c := start(t, f.Addr().String(), 256, "127.0.0.1:0", entry("e1", e.Addr().String(), "SERVING"))
-	goOn := c.pause()
+	resume := c.pause()
 	for i := range 20 {
 		a := c.client()
 		a.query("lookup", fmt.Sprintf("%04d", i), "15000", "")
 		a.Close()
 	}
-	goOn()
+	resume()
 	z := c.client()
 	e.finish("9999")
 	z.query("lookup", "9999", "15000", "")
@@ -223,48 +223,48 @@
 // connections. Nine in ten must be ready within 10 s, since the configuration has a list of engines. When
 // the feed is back, each controller must connect to it.
 func TestManyControllersBecomeReadyWithoutFeedAndEngines(t *testing.T) {
-	const many = 60
-	away, err := net.Listen("tcp", "127.0.0.1:0")
+	const count = 60
+	closedListener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	address := away.Addr().String()
-	away.Close()
-	hangs, err := net.Listen("tcp", "127.0.0.1:0") // accepts connections and never responds
+	address := closedListener.Addr().String()
+	closedListener.Close()
+	silentEngine, err := net.Listen("tcp", "127.0.0.1:0") // accepts connections and never responds
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer hangs.Close()
-	from := time.Now()
-	took := make([]time.Duration, many)
-	all := make([]*controller, many)
+	defer silentEngine.Close()
+	startedAt := time.Now()
+	readyAfter := make([]time.Duration, count)
+	controllers := make([]*controller, count)
 	var wg sync.WaitGroup
-	for i := range all {
-		all[i] = start(t, address, 96, "127.0.0.1:0", entry("e1", hangs.Addr().String(), "SERVING"))
+	for i := range controllers {
+		controllers[i] = start(t, address, 96, "127.0.0.1:0", entry("e1", silentEngine.Addr().String(), "SERVING"))
 		wg.Go(func() {
 			for range 60 { // idle connections opened before the client's
-				if x, err := net.Dial("tcp", all[i].address); err == nil {
+				if x, err := net.Dial("tcp", controllers[i].address); err == nil {
 					defer x.Close()
 				}
 			}
-			for a := all[i].client(); !a.ready(); a = all[i].client() {
+			for a := controllers[i].client(); !a.ready(); a = controllers[i].client() {
 				a.Close()
 			}
-			took[i] = time.Since(from)
+			readyAfter[i] = time.Since(startedAt)
 		})
 	}
 	wg.Wait()
-	if slices.Sort(took); took[many*9/10] > 10*time.Second {
-		t.Fatalf("nine in ten were ready after %v", took[many*9/10])
+	if slices.Sort(readyAfter); readyAfter[count*9/10] > 10*time.Second {
+		t.Fatalf("nine in ten were ready after %v", readyAfter[count*9/10])
 	}
-	back, err := net.Listen("tcp", address)
+	restartedFeed, err := net.Listen("tcp", address)
 	if err != nil {
 		t.Skip("the feed's address is in use: ", err)
 	}
-	defer back.Close()
-	for range all {
-		back.(*net.TCPListener).SetDeadline(time.Now().Add(waitLimit))
-		x, err := back.Accept()
+	defer restartedFeed.Close()
+	for range controllers {
+		restartedFeed.(*net.TCPListener).SetDeadline(time.Now().Add(waitLimit))
+		x, err := restartedFeed.Accept()
 		if err != nil {
 			t.Fatal("not every controller connected to the feed: ", err)
 		}
@@ -288,7 +288,7 @@
 		return s + "e"
 	}
 	for round := range 4 {
-		reads, marked, once := name(), name()+"m", name()+"o"
+		readGroup, keyedGroup, writeGroup := name(), name()+"m", name()+"o"
 		site, kind := name()+"s", name()+"k"
 		limit, window, rest, pause := 400+rng.IntN(3000), 150+rng.IntN(200), 20+rng.IntN(200), 10+rng.IntN(300)
 		text := fmt.Sprintf(`{"balancers":%d,"me":0,"zones":[%q],"my_zone":%q,"kinds":[%q],"quantum_ms":5.0,"discovery":"pushed",
@@ -301,62 +301,62 @@
 			{"name":%q,"effect":"read_like","importance":1,"objective_ms":%d,"deadline_ms":%d,"key_scope":"all"},
 			{"name":%q,"effect":"idempotency_key","window_ms":%d,"importance":3,"objective_ms":%d,"deadline_ms":%d,"key_scope":"all"}]}`,
 			1, site, site, kind, 2+rng.IntN(3), 100+rng.IntN(400), 500+rng.IntN(9000), pause, 100+rng.IntN(900), rest, 4+rng.IntN(20),
-			once, limit/2, limit, reads, limit/3, limit, marked, window, limit/2, limit)
+			writeGroup, limit/2, limit, readGroup, limit/3, limit, keyedGroup, window, limit/2, limit)
 		e, f := newControlledEngine(t), newFakeFeed(t)
-		at := strings.NewReplacer(`"here"`, fmt.Sprintf("%q", site), `"std"`, fmt.Sprintf("%q", kind)).
+		serving := strings.NewReplacer(`"here"`, fmt.Sprintf("%q", site), `"std"`, fmt.Sprintf("%q", kind)).
 			Replace(entry("e1", e.Addr().String(), "SERVING"))
-		c := startWith(t, text, 24+rng.IntN(200), f.Addr().String(), 64+rng.IntN(300), "127.0.0.1:0", at)
-		patience := fmt.Sprint(limit)
+		c := startWith(t, text, 24+rng.IntN(200), f.Addr().String(), 64+rng.IntN(300), "127.0.0.1:0", serving)
+		timeout := fmt.Sprint(limit)
 		a := c.client()
-		calls := []string{reads, marked, once}
+		calls := []string{readGroup, keyedGroup, writeGroup}
 		for i, group := range calls {
 			id := fmt.Sprintf("%d%03d", round, i)
 			e.finish(id)
-			a.queryWithFields(group, id, patience, "entity", "k", "nonce", "n"+id)
+			a.queryWithFields(group, id, timeout, "entity", "k", "nonce", "n"+id)
 			a.expect(byte(i+1), tracePrefix+id)
 			l := e.submissions(id)
 			if len(l) != 1 || l[0].Header.Get("X-Class") != group {
 				t.Fatalf("round %d, %q: %d times, %v", round, group, len(l), l)
 			}
-			if token := l[0].Header.Get("Idempotency-Key"); (group == marked) != (token == "n"+id) {
+			if token := l[0].Header.Get("Idempotency-Key"); (group == keyedGroup) != (token == "n"+id) {
 				t.Fatalf("round %d, %q: token %q", round, group, token)
 			}
 		}
-		if a.queryWithFields("lookup", "aaaa", patience, "entity",
+		if a.queryWithFields("lookup", "aaaa", timeout, "entity",
 			"k"); a.nextAnswer() != "Failed why no such method" {
 			t.Fatalf("round %d: a resource group that isn't in the settings was served", round)
 		}
 		// The second query of a key is not submitted before the first has ended.
 		first, second := fmt.Sprintf("%d100", round), fmt.Sprintf("%d101", round)
 		b := c.client()
-		b.queryWithFields(once, first, patience, "entity", "z")
-		b.queryWithFields(once, second, patience, "entity", "z")
+		b.queryWithFields(writeGroup, first, timeout, "entity", "z")
+		b.queryWithFields(writeGroup, second, timeout, "entity", "z")
 		e.waitForSubmissions(t, first, 1)
 		if !c.client().ready() || len(e.submissions(second)) > 0 {
 			t.Fatalf("round %d: out of order", round)
 		}
 		e.finish(first, second)
 		b.expect(1, tracePrefix+first)
-		if said := b.nextAnswer(); !strings.HasPrefix(said, tracePrefix+second) &&
-			!strings.HasPrefix(said, "Throttled") {
-			t.Fatalf("round %d: %q", round, said)
+		if response := b.nextAnswer(); !strings.HasPrefix(response, tracePrefix+second) &&
+			!strings.HasPrefix(response, "Throttled") {
+			t.Fatalf("round %d: %q", round, response)
 		}
 		// The pause in a deferral is at most the one in the settings.
-		list := <-f.connections
-		io.WriteString(list, event(2, false, strings.Replace(at, "SERVING", "DRAINING", 1))+"\n")
+		feed := <-f.connections
+		io.WriteString(feed, event(2, false, strings.Replace(serving, "SERVING", "DRAINING", 1))+"\n")
 		d := c.client()
 		for i := 0; ; i++ {
 			id := fmt.Sprintf("%d2%02d", round, i)
 			e.finish(id)
-			d.queryWithFields(reads, id, patience)
-			said := d.nextAnswer()
+			d.queryWithFields(readGroup, id, timeout)
+			response := d.nextAnswer()
 			if len(e.submissions(id)) > 0 {
 				continue // submitted before the controller read the event
 			}
 			var ms int
-			if n, _ := fmt.Sscanf(said, "Throttled pause %d", &ms); !strings.HasPrefix(said, "Throttled") ||
+			if n, _ := fmt.Sscanf(response, "Throttled pause %d", &ms); !strings.HasPrefix(response, "Throttled") ||
 				n == 1 && ms > pause {
-				t.Fatalf("round %d: %q, and at most %d ms are allowed", round, said, pause)
+				t.Fatalf("round %d: %q, and at most %d ms are allowed", round, response, pause)
 			}
 			break
 		}
@@ -368,11 +368,11 @@
 }
 
 // queryWithFields sends a query with additional fields.
-func (c *client) queryWithFields(group, id, patience string, more ...string) {
+func (c *client) queryWithFields(group, id, timeout string, extra ...string) {
 	c.t.Helper()
 	c.lastMessage++
 	body := "SELECT * FROM sales_17.orders"
-	fields := append([]string{"trace", tracePrefix + id, "patience", patience}, more...)
+	fields := append([]string{"trace", tracePrefix + id, "patience", timeout}, extra...)
 	p := "\x94\x00" + string([]byte{c.lastMessage}) + str8(group) + "\x92" +
 		string([]byte{byte(0x80 | len(fields)/2)})
 	for _, x := range fields {
@@ -386,8 +386,8 @@
 func str8(s string) string { return "\xd9" + string([]byte{byte(len(s))}) + s }
 
 func (c *client) nextAnswer() string {
-	_, said := c.answer()
-	return said
+	_, response := c.answer()
+	return response
 }
 
 // The process is paused for longer than the timeout of an engine's response, and the response arrives
@@ -401,9 +401,9 @@
 		a.query("lookup", fmt.Sprintf("%04d", i), "15000", "")
 		e.waitForSubmissions(t, fmt.Sprintf("%04d", i), 1)
 	}
-	goOn := c.pause()
+	resume := c.pause()
 	time.Sleep(700 * time.Millisecond) // longer than a poll (250 ms) and its response timeout (400 ms)
-	goOn()
+	resume()
 	for i := range 8 {
 		e.finish(fmt.Sprintf("%04d", i))
 	}
@@ -411,8 +411,8 @@
 		a.answer()
 	}
 	c.signal(syscall.SIGUSR1)
-	if said := fmt.Sprint(c.waitForLog("taken 8 finished 8")["message"]); !strings.Contains(said,
+	if counters := fmt.Sprint(c.waitForLog("taken 8 finished 8")["message"]); !strings.Contains(counters,
 		" asked again 0 ") {
-		t.Fatal(said)
+		t.Fatal(counters)
 	}
 }
--- a/cmd/railrelay/lean_test.go
+++ b/cmd/railrelay/lean_test.go
@@ -16,10 +16,10 @@
 	if err != nil {
 		t.Fatal(string(out))
 	}
-	for _, heavy := range []string{"net/http", "go.etcd.io/raft/v3", "google.golang.org/protobuf/proto",
+	for _, dependency := range []string{"net/http", "go.etcd.io/raft/v3", "google.golang.org/protobuf/proto",
 		"crypto/tls"} {
-		if bytes.Contains(out, []byte("\n"+heavy+"\n")) {
-			t.Errorf("%s is linked", heavy)
+		if bytes.Contains(out, []byte("\n"+dependency+"\n")) {
+			t.Errorf("%s is linked", dependency)
 		}
 	}
 	e, f := newFakeEngine(t, twoPages(false)), newFakeFeed(t)
--- a/cmd/railrelay/main_test.go
+++ b/cmd/railrelay/main_test.go
@@ -101,7 +101,7 @@
 func TestCancelsDisconnectsAndDrains(t *testing.T) {
 	e, f := newFakeEngine(t, twoPages(true)), newFakeFeed(t)
 	c := start(t, f.Addr().String(), 256, "127.0.0.1:0", entry("e1", e.address(), "SERVING"))
-	list := <-f.connections
+	feed := <-f.connections
 	a := c.client()
 	a.query("lookup", "aaaa", "5000", "")
 	e.waitForCall(t, "POST")
@@ -114,13 +114,13 @@
 	b.Close()
 	e.waitForCall(t, "DELETE /o/bbbb")
 	// An invalid line closes the feed connection, but no event is lost.
-	io.WriteString(list, "hello\n")
-	list = <-f.connections
+	io.WriteString(feed, "hello\n")
+	feed = <-f.connections
 	if <-f.subscriptions; <-f.subscriptions != "SUB 1" {
 		t.Fatal("the number of the latest event was lost")
 	}
-	io.WriteString(list, event(2, false, entry("e1", e.address(), "DRAINING"))+"\n2\n")
-	list.Close()
+	io.WriteString(feed, event(2, false, entry("e1", e.address(), "DRAINING"))+"\n2\n")
+	feed.Close()
 	<-f.connections
 	if line := <-f.subscriptions; line != "SUB 2" {
 		t.Fatal(line)
@@ -246,18 +246,18 @@
 	moved := strings.Replace(string(good), f.Addr().String(), next.Addr().String(), 1)
 	os.WriteFile(c.config, []byte(strings.Replace(moved, "192", "96", 1)), 0o600)
 	c.signal(syscall.SIGHUP)
-	if what := c.waitForLog("can't be changed"); what["what"] != "limits" {
-		t.Fatal(what)
+	if line := c.waitForLog("can't be changed"); line["what"] != "limits" {
+		t.Fatal(line)
 	}
 	c.waitForLog("read again")
-	fresh := <-next.connections
+	reconnected := <-next.connections
 	if line := <-next.subscriptions; line != "SUB 2" {
 		t.Fatal("does not subscribe from the latest event: ", line)
 	}
 	if _, err := old.Read(make([]byte, 1)); err == nil {
 		t.Fatal("the connection to the old feed is still open")
 	}
-	io.WriteString(fresh, event(3, false, entry("e1", e.address(), "DRAINING"))+"\n")
+	io.WriteString(reconnected, event(3, false, entry("e1", e.address(), "DRAINING"))+"\n")
 	for range 3 { // each signal reloads
 		c.signal(syscall.SIGHUP)
 		c.waitForLog("read again")
@@ -280,7 +280,7 @@
 			a.query("lookup", fmt.Sprintf("%02d%02d", len(all), i), "15000", "")
 		}
 	}
-	within := func() {
+	checkDescriptors := func() {
 		fds, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", c.cmd.Process.Pid))
 		if err != nil {
 			t.Skip("cannot count the descriptors: ", err)
@@ -291,7 +291,7 @@
 	}
 	for range 8 {
 		e.waitForCall(t, "POST")
-		within()
+		checkDescriptors()
 	}
 	close(e.release)
 	for _, a := range all {
@@ -299,7 +299,7 @@
 			if _, got := a.answer(); strings.HasPrefix(got, "Failed") {
 				t.Fatal(got)
 			}
-			within()
+			checkDescriptors()
 		}
 	}
 }
@@ -478,8 +478,9 @@
 		a.query("load", "0002", "9000", "k")
 		a.expect(2, "0002\tfirst")
 		c.signal(syscall.SIGUSR1)
-		if said := c.waitForLog("list event")["message"].(string); !strings.Contains(said, "list event 2 ") {
-			t.Fatal(said)
+		if counters := c.waitForLog("list event")["message"].(string); !strings.Contains(counters,
+			"list event 2 ") {
+			t.Fatal(counters)
 		}
 		text, _ := os.ReadFile(fmt.Sprintf("/proc/%d/status", c.cmd.Process.Pid))
 		_, resident, _ := strings.Cut(string(text), "VmRSS:")
--- a/internal/discovery/list.go
+++ b/internal/discovery/list.go
@@ -112,13 +112,13 @@
 		Up       float64 `json:"up_since_ms"`
 	}
 	err := json.Unmarshal(line, &e)
-	state, known := engineStates[e.Phase]
+	state, valid := engineStates[e.Phase]
 	switch {
 	case err != nil:
 		h.InvalidEntry("malformed entry")
 	case e.ID == "":
 		h.InvalidEntry("entry without an id")
-	case !known:
+	case !valid:
 		h.InvalidEntry("engine " + e.ID + " has unknown phase " + strconv.Quote(e.Phase))
 	case e.HostPort == "" && state == scheduler.EngineActive:
 		h.InvalidEntry("engine " + e.ID + " has no address")
--- a/internal/discovery/list_test.go
+++ b/internal/discovery/list_test.go
@@ -24,18 +24,18 @@
 
 func readAll(text string, step int) (string, error) {
 	n := &recorder{}
-	var have []byte
+	var received []byte
 	for i := 0; i < len(text); i += step {
-		have = append(have, text[i:min(i+step, len(text))]...)
+		received = append(received, text[i:min(i+step, len(text))]...)
 		for {
-			took, err := Read(have, 1<<16, n)
+			consumed, err := Read(received, 1<<16, n)
 			if err != nil {
 				return strings.Join(n.calls, ";"), err
 			}
-			if took == 0 {
+			if consumed == 0 {
 				break
 			}
-			have = have[took:]
+			received = received[consumed:]
 		}
 	}
 	return strings.Join(n.calls, ";"), nil
--- a/internal/enginehttp/engines_test.go
+++ b/internal/enginehttp/engines_test.go
@@ -21,12 +21,12 @@
 func (n *recorder) record(form string, a ...any)         { n.calls = append(n.calls, fmt.Sprintf(form, a...)) }
 
 func handle(text string, page, step int) (string, bool, error) {
-	n, keep := &recorder{}, true
-	var have []byte
+	n, keepAlive := &recorder{}, true
+	var received []byte
 	for i := 0; i < len(text); i += step {
-		have = append(have, text[i:min(i+step, len(text))]...)
+		received = append(received, text[i:min(i+step, len(text))]...)
 		for {
-			took, k, err := Read(have, 1<<20, func(status int, field func(string) string, body []byte) {
+			consumed, stays, err := Read(received, 1<<20, func(status int, field func(string) string, body []byte) {
 				if !IsQueryResponse(page, status, field, body) {
 					n.record("unfit")
 					return
@@ -36,20 +36,20 @@
 			if err != nil {
 				return strings.Join(n.calls, ";"), false, err
 			}
-			if took == 0 {
+			if consumed == 0 {
 				break
 			}
-			have, keep = have[took:], keep && k
+			received, keepAlive = received[consumed:], keepAlive && stays
 		}
 	}
-	return strings.Join(n.calls, ";"), keep, nil
+	return strings.Join(n.calls, ";"), keepAlive, nil
 }
 
 func TestHandlesResponses(t *testing.T) {
 	answer := func(status int, fields, body string) string {
 		return fmt.Sprintf("HTTP/1.1 %d Some words\r\n%sContent-Length: %d\r\n\r\n%s", status, fields, len(body), body)
 	}
-	errored, full, never := fmt.Sprintf("ends %d", scheduler.Failed), fmt.Sprintf("ends %d", scheduler.Rejected), fmt.Sprintf("ends %d", scheduler.NeverSent)
+	failed, rejected, neverSent := fmt.Sprintf("ends %d", scheduler.Failed), fmt.Sprintf("ends %d", scheduler.Rejected), fmt.Sprintf("ends %d", scheduler.NeverSent)
 	for _, c := range []struct {
 		page       int
 		text, want string
@@ -69,18 +69,18 @@
 		{1, answer(202, "", ""), "unfit"},
 		{0, answer(200, "", "a\tb\tc\n"), "unfit"},
 		{0, answer(200, "Chunks: 0\r\n", ""), "unfit"},
-		{0, answer(503, "X-Not-Run: 1\r\n", ""), full},
-		{0, answer(503, "", ""), errored},
-		{0, answer(503, "X-Not-Run: 0\r\n", ""), errored},
-		{0, answer(504, "X-Not-Run: 1\r\n", ""), never},
-		{0, answer(504, "", ""), errored},
-		{0, answer(500, "X-Not-Run: 1\r\n", ""), errored},
+		{0, answer(503, "X-Not-Run: 1\r\n", ""), rejected},
+		{0, answer(503, "", ""), failed},
+		{0, answer(503, "X-Not-Run: 0\r\n", ""), failed},
+		{0, answer(504, "X-Not-Run: 1\r\n", ""), neverSent},
+		{0, answer(504, "", ""), failed},
+		{0, answer(500, "X-Not-Run: 1\r\n", ""), failed},
 		{0, answer(404, "", ""), "unfit"},
 		{1, answer(204, "", ""), "unfit"},
 		{0, answer(200, "Chunks: 48001\r\n", "a\tb\tc\n"), "unfit"},
 		{1, answer(200, "Chunks: 1\r\n", "a\tb\tc\n"), "unfit"}, // page 0 repeated
 		{0, answer(200, "Chunk: 1\r\n", "a\tb\tc\n"), "unfit"},
-		{1, answer(500, "", ""), errored},
+		{1, answer(500, "", ""), failed},
 		{0, answer(202, "X-Cache: advance\r\nReading: NaN\r\n", ""), "runs"},
 		{0, answer(200, "Chunks: 1\r\nElapsed-Work: Inf\r\nHigh-Water: -5\r\n", ""), `finished 0s 0;page 0 of 1 ""`},
 		{0, "HTTP/1.1 100 Go on\r\n\r\n" + answer(202, "", ""), "runs"},
@@ -90,13 +90,13 @@
 		{0, "HTTP/1.1 204 No\r\n\r\n", "unfit"},
 	} {
 		for _, step := range []int{1, 7, len(c.text)} {
-			if got, keep, err := handle(c.text, c.page, step); err != nil || got != c.want || !keep {
-				t.Errorf("%q by %d: %v %v %s, not %s", c.text, step, err, keep, got, c.want)
+			if got, keepAlive, err := handle(c.text, c.page, step); err != nil || got != c.want || !keepAlive {
+				t.Errorf("%q by %d: %v %v %s, not %s", c.text, step, err, keepAlive, got, c.want)
 			}
 		}
 	}
 	for _, fields := range []string{"Connection: close\r\n", "connection:Close\r\n"} {
-		if _, keep, _ := handle(answer(202, fields, ""), 0, 1000); keep {
+		if _, keepAlive, _ := handle(answer(202, fields, ""), 0, 1000); keepAlive {
 			t.Errorf("connection stays open after %q", fields)
 		}
 	}
--- a/internal/msgpackrpc/alltables.go
+++ b/internal/msgpackrpc/alltables.go
@@ -19,7 +19,7 @@
 	f.endStatement()
 	for _, x := range f.possibleTables {
 		if !slices.Contains(f.aliases, x.alias) {
-			f.read = append(f.read, x.table)
+			f.read = append(f.read, x.group)
 		}
 	}
 	return sortUnique(f.read), sortUnique(f.written), f.known
@@ -69,7 +69,7 @@
 // read unless its first part is an alias.
 type possibleTable struct {
 	alias string
-	table int64
+	group int64
 }
 
 // advance reads the next token.
@@ -211,53 +211,53 @@
 		f.advance()
 	}
 	first := strings.ToLower(string(parts[0]))
-	table, staging := int64(NoTableGroup), false
+	group, staging := int64(NoTableGroup), false
 	for _, p := range parts[:len(parts)-1] {
 		if n := tableGroupNumber(p); n != NoTableGroup {
-			table = n
+			group = n
 		}
 		staging = staging || bytes.EqualFold(p, []byte("staging"))
 	}
-	wants := f.expected
+	expected := f.expected
 	f.expected = expectNothing
 	switch {
-	case wants == expectNothing && len(parts) == 1:
+	case expected == expectNothing && len(parts) == 1:
 		if f.aliasMayFollow {
 			f.aliases = append(f.aliases, first)
 		}
 		f.aliasMayFollow = false
 		if f.lowerWord == "as" && !quoted { // with x as (
-			at := *f
-			at.advance()
-			if at.lowerWord == "not" || at.lowerWord == "materialized" {
-				at.advance()
+			lookahead := *f
+			lookahead.advance()
+			if lookahead.lowerWord == "not" || lookahead.lowerWord == "materialized" {
+				lookahead.advance()
 			}
-			if at.lowerWord == "materialized" {
-				at.advance()
+			if lookahead.lowerWord == "materialized" {
+				lookahead.advance()
 			}
-			if at.kind == '(' {
+			if lookahead.kind == '(' {
 				f.commonTables = append(f.commonTables, first)
 			}
 		}
 		return
-	case wants == expectNothing:
-		if f.aliasMayFollow = false; table != NoTableGroup {
-			f.possibleTables = append(f.possibleTables, possibleTable{first, table})
+	case expected == expectNothing:
+		if f.aliasMayFollow = false; group != NoTableGroup {
+			f.possibleTables = append(f.possibleTables, possibleTable{first, group})
 		}
 		return
-	case wants == expectWrite && table != NoTableGroup:
-		f.written = append(f.written, table)
-	case wants == expectWrite:
+	case expected == expectWrite && group != NoTableGroup:
+		f.written = append(f.written, group)
+	case expected == expectWrite:
 		f.known = false
-	case table != NoTableGroup:
-		f.read = append(f.read, table)
+	case group != NoTableGroup:
+		f.read = append(f.read, group)
 	case staging:
 	case len(parts) == 1 && f.kind != '(':
 		f.unqualified = append(f.unqualified, first) // checked at the end of the statement
 	default:
 		f.known = false
 	}
-	if wants == expectRead && f.kind == '(' {
+	if expected == expectRead && f.kind == '(' {
 		f.known = false // a function may read any table
 	}
 	f.aliasMayFollow = true
--- a/internal/msgpackrpc/clients.go
+++ b/internal/msgpackrpc/clients.go
@@ -103,7 +103,7 @@
 		c.fail(errInvalidMessage)
 		return nil
 	}
-	var id, patienceText, key []byte // nil: not given
+	var id, timeoutText, key []byte // nil: not given
 	reason := ""
 	field := func(value *[]byte, name string) {
 		if *value != nil {
@@ -111,27 +111,27 @@
 		}
 		*value = c.stringValue()
 	}
-	count, from := c.mapLength(), c.pos
+	count, start := c.mapLength(), c.pos
 	for n := count; n > 0 && c.err == nil; n-- {
 		switch name := c.stringValue(); string(name) {
 		case "trace":
 			field(&id, "trace")
 		case "patience":
-			field(&patienceText, "patience")
+			field(&timeoutText, "patience")
 		case "entity":
 			field(&key, "entity")
 		default:
 			c.skip(0)
 		}
 	}
-	all := Fields{c.data[min(from, c.pos):c.pos], count}
+	fields := Fields{c.data[min(start, c.pos):c.pos], count}
 	statement := c.binaryValue()
-	patience := parseMillis(patienceText)
+	timeout := parseMillis(timeoutText)
 	switch {
 	case reason != "":
 	case !isTrace(id):
 		reason = "no trace"
-	case patience <= 0:
+	case timeout <= 0:
 		reason = "no patience"
 	case key != nil && (len(key) == 0 || len(key) > maxKeyBytes):
 		reason = "no entity"
@@ -141,26 +141,26 @@
 	if reason != "" {
 		return func() { h.Invalid(messageID, reason) }
 	}
-	return func() { h.Query(messageID, method, id, patience, key, key != nil, statement, all) }
+	return func() { h.Query(messageID, method, id, timeout, key, key != nil, statement, fields) }
 }
 
 // readPageCall reads a page call. Its only parameter is a map with the token and the page number.
 func readPageCall(c *cursor, messageID uint32, h Handler) func() {
-	count, from := c.mapLength(), c.pos
+	count, start := c.mapLength(), c.pos
 	for n := count; n > 0 && c.err == nil; n-- {
 		c.stringValue()
 		c.skip(0)
 	}
-	all := Fields{c.data[min(from, c.pos):c.pos], count}
-	number, err := strconv.ParseUint(string(all.Get("page")), 10, 31)
-	token := all.Get("token")
+	fields := Fields{c.data[min(start, c.pos):c.pos], count}
+	number, err := strconv.ParseUint(string(fields.Get("page")), 10, 31)
+	token := fields.Get("token")
 	switch {
 	case len(token) == 0:
 		return func() { h.Invalid(messageID, "no token") }
 	case err != nil:
 		return func() { h.Invalid(messageID, "no page") }
 	}
-	return func() { h.Page(messageID, token, int(number), all) }
+	return func() { h.Page(messageID, token, int(number), fields) }
 }
 
 // Fields are all fields of a call, including those whose names depend on the configuration.
--- a/internal/msgpackrpc/clients_test.go
+++ b/internal/msgpackrpc/clients_test.go
@@ -27,19 +27,19 @@
 func (n *recorder) record(form string, a ...any)   { n.calls = append(n.calls, fmt.Sprintf(form, a...)) }
 
 func readAll(p []byte, step int) (*recorder, error) {
-	n, have := &recorder{}, []byte(nil)
+	n, received := &recorder{}, []byte(nil)
 	for len(p) > 0 {
 		k := min(step, len(p))
-		have, p = append(have, p[:k]...), p[k:]
+		received, p = append(received, p[:k]...), p[k:]
 		for {
-			took, err := Read(have, 1<<20, n)
+			consumed, err := Read(received, 1<<20, n)
 			if err != nil {
 				return n, err
 			}
-			if took == 0 {
+			if consumed == 0 {
 				break
 			}
-			have = have[took:]
+			received = received[consumed:]
 		}
 	}
 	return n, nil
--- a/internal/msgpackrpc/purge.go
+++ b/internal/msgpackrpc/purge.go
@@ -21,18 +21,18 @@
 )
 
 func readPurgeCall(c *cursor, messageID uint32, h Handler) func() {
-	count, from := c.mapLength(), c.pos
+	count, start := c.mapLength(), c.pos
 	for n := count; n > 0 && c.err == nil; n-- {
 		c.stringValue()
 		c.skip(0)
 	}
-	all := Fields{c.data[min(from, c.pos):c.pos], count}
-	p := Purge{ID: all.Get("id"), Timeout: parseMillis(all.Get("patience"))}
+	fields := Fields{c.data[min(start, c.pos):c.pos], count}
+	p := Purge{ID: fields.Get("id"), Timeout: parseMillis(fields.Get("patience"))}
 	reject := func(why string) func() { return func() { h.Invalid(messageID, why) } }
 	if p.Timeout <= 0 {
 		return reject("no patience")
 	}
-	if text := all.Get("tables"); text != nil {
+	if text := fields.Get("tables"); text != nil {
 		for t := range bytes.SplitSeq(text, []byte(",")) {
 			n, err := strconv.ParseInt(string(t), 10, 64)
 			if err != nil || n < 0 || len(p.TableGroups) == maxPurgeTableGroups {
@@ -41,7 +41,7 @@
 			p.TableGroups = append(p.TableGroups, n)
 		}
 	}
-	if text := all.Get("before"); text != nil {
+	if text := fields.Get("before"); text != nil {
 		n, err := strconv.ParseUint(string(text), 10, 63)
 		if err != nil || n == 0 {
 			return reject("no time before which")
@@ -58,7 +58,7 @@
 	case p.TableGroups != nil || p.BeforeMillis != 0:
 		return reject("an id asks for a purge as it is: tables and before go with a new one")
 	}
-	return func() { h.Purge(messageID, p, all) }
+	return func() { h.Purge(messageID, p, fields) }
 }
 
 // AppendPurgeStatus appends the response to a purge call: at most 15 pairs of a name and a value.
