--- a/internal/eventloop/client_disconnect_test.go
+++ b/internal/eventloop/client_disconnect_test.go
@@ -17,7 +17,7 @@
 type queueCase struct {
 	options harnessOptions
 	// enqueue sends query 1, which then waits. The returned function lets the query continue.
-	enqueue func(h *harness, c *testClient) (open func())
+	enqueue func(h *harness, c *testClient) (release func())
 }
 
 var queueCases = map[string]queueCase{
@@ -33,7 +33,7 @@
 		c.query("haul", 1, 15*time.Second)
 		return func() { h.engine.finish(traceID(90)); first.expectResult(90) }
 	}},
-	"in its key's line": {harnessOptions{}, func(h *harness, c *testClient) func() {
+	"behind its key": {harnessOptions{}, func(h *harness, c *testClient) func() {
 		first := h.connect()
 		first.query("entry", 90, 15*time.Second, "entity", "k")
 		h.engine.calls.wait(1, "POST "+traceID(90))
@@ -77,15 +77,15 @@
 // waits and however the client disconnected. A half-close counts as a disconnect, since no client that
 // still wants an answer sends one.
 func TestDisconnectWhileQueryWaits(t *testing.T) {
-	forEachQueue(t, func(t *testing.T, h *harness, c *testClient, goes func(*testClient), open func()) {
-		goes(c)
+	forEachQueue(t, func(t *testing.T, h *harness, c *testClient, disconnect func(*testClient), release func()) {
+		disconnect(c)
 		h.log.wait(1, "closed: left", traceID(1))
-		open()
-		b := h.connect() // completes, which shows that the first query could have been sent
-		b.query("squall", 2, 15*time.Second)
+		release()
+		other := h.connect() // completes, which shows that the first query could have been sent
+		other.query("squall", 2, 15*time.Second)
 		h.engine.calls.wait(1, "POST "+traceID(2))
 		h.engine.finish(traceID(2))
-		b.expectResult(2)
+		other.expectResult(2)
 		h.shutDown()
 		if n := h.engine.calls.count("POST " + traceID(1)); n > 0 {
 			t.Fatalf("sent %d times after its client disconnected", n)
@@ -95,10 +95,10 @@
 
 // A query that runs when its client disconnects is cancelled at its engine, and is not sent again.
 func TestDisconnectWhileQueryRuns(t *testing.T) {
-	forEachQueue(t, func(t *testing.T, h *harness, c *testClient, goes func(*testClient), open func()) {
-		open()
+	forEachQueue(t, func(t *testing.T, h *harness, c *testClient, disconnect func(*testClient), release func()) {
+		release()
 		h.engine.calls.wait(1, "POST "+traceID(1))
-		goes(c)
+		disconnect(c)
 		h.log.wait(1, "closed: left", traceID(1))
 		h.engine.calls.wait(1, "DELETE "+traceID(1))
 		h.shutDown()
@@ -279,42 +279,42 @@
 // discovery once it is back.
 func TestIdleClientsDontStarveOthersOfDescriptors(t *testing.T) {
 	t.Parallel()
-	away := listen(t)
-	address := away.Addr().String()
-	away.Close()
+	unused := listen(t)
+	address := unused.Addr().String()
+	unused.Close()
 	h := startHarness(t, harnessOptions{maxDescriptors: 96, discoveryAddress: address})
 	var idle []*testClient
 	for range 60 { // clients may use a third of the descriptors
 		idle = append(idle, h.connect())
 	}
-	asks := h.connect()
-	asks.query("squall", 1, 10*time.Second)
+	busy := h.connect()
+	busy.query("squall", 1, 10*time.Second)
 	h.engine.calls.wait(1, "POST "+traceID(1))
 	h.engine.finish(traceID(1))
-	asks.expectResult(1)
-	if _, err := asks.Write(client.Alive(nil, 77)); err != nil {
+	busy.expectResult(1)
+	if _, err := busy.Write(client.Alive(nil, 77)); err != nil {
 		t.Fatal(err)
 	}
-	if a, ok := asks.readAnswer(); !ok || !a.Ready {
+	if a, ok := busy.readAnswer(); !ok || !a.Ready {
 		t.Fatalf("not ready: %v %+v", ok, a)
 	}
-	back, err := net.Listen("tcp", address)
+	listener, err := net.Listen("tcp", address)
 	if err != nil {
 		t.Skip("another process took the discovery address: ", err)
 	}
-	h.discovery = startDiscovery(t, back)
-	watch, said := h.discovery.awaitSubscription()
-	if said != "SUB 1" {
-		t.Fatal(said)
+	h.discovery = startDiscovery(t, listener)
+	watch, subscription := h.discovery.awaitSubscription()
+	if subscription != "SUB 1" {
+		t.Fatal(subscription)
 	}
-	other := startEngine(t, nil)
+	second := startEngine(t, nil)
 	io.WriteString(watch, endpointEvent(2, false, endpoint("e1", h.engine, "DELETED"),
-		endpoint("e2", other, "SERVING"))+"\n")
-	for n := 2; other.calls.count("POST") == 0; n++ {
-		asks.query("squall", n, 10*time.Second)
-		other.finish(traceID(n))
+		endpoint("e2", second, "SERVING"))+"\n")
+	for n := 2; second.calls.count("POST") == 0; n++ {
+		busy.query("squall", n, 10*time.Second)
+		second.finish(traceID(n))
 		h.engine.finish(traceID(n))
-		asks.expectResult(n)
+		busy.expectResult(n)
 	}
 	h.shutDown()
 	for _, c := range idle {
--- a/internal/eventloop/lifecycle_test.go
+++ b/internal/eventloop/lifecycle_test.go
@@ -18,16 +18,16 @@
 func TestShutdownAnswersAcceptedQueries(t *testing.T) {
 	t.Parallel()
 	h := startHarness(t, harnessOptions{})
-	rests, asks := h.connect(), h.connect()
-	asks.query("squall", 1, 15*time.Second)
+	idle, busy := h.connect(), h.connect()
+	busy.query("squall", 1, 15*time.Second)
 	h.engine.calls.wait(1, "POST "+traceID(1))
 	h.request(controller.ShutdownRequested)
-	rests.query("squall", 2, 15*time.Second) // on an idle connection, while the shutdown begins
+	idle.query("squall", 2, 15*time.Second) // on an idle connection, while the shutdown begins
 	h.engine.calls.wait(1, "POST "+traceID(2))
 	h.request(controller.ShutdownRequested)
 	h.request(controller.ConfigurationReloaded)
 	h.engine.finish(traceID(2))
-	rests.expectResult(2)
+	idle.expectResult(2)
 	late := h.connect()
 	for n := 3; ; n++ { // until the controller defers one
 		late.query("squall", n, 15*time.Second)
@@ -45,8 +45,8 @@
 		}
 	}
 	h.engine.finish(traceID(1))
-	asks.expectResult(1)
-	for _, c := range []*testClient{rests, asks, late} {
+	busy.expectResult(1)
+	for _, c := range []*testClient{idle, busy, late} {
 		if _, ok := c.readAnswer(); ok {
 			t.Fatal("an answer without a query")
 		}
@@ -58,9 +58,9 @@
 // Each query is answered before the timeout of its client.
 func TestShutdownWhileEnginesHang(t *testing.T) {
 	t.Parallel()
-	jam := listenWithFullBacklog(t)
+	fullListener := listenWithFullBacklog(t)
 	h := startHarness(t, harnessOptions{settings: map[string]string{"connect.timeout": "8000"},
-		moreEndpoints: []string{endpoint("e2", jam, "DRAINING")}})
+		moreEndpoints: []string{endpoint("e2", fullListener, "DRAINING")}})
 	watch, _ := h.discovery.awaitSubscription()
 	c := h.connect()
 	patience := 900 * time.Millisecond
@@ -71,12 +71,12 @@
 	h.engine.calls.wait(1, "POST "+traceID(1))
 	h.engine.calls.wait(1, "GET "+traceID(2))
 	c.query("entry", 3, patience, "entity", "k") // waits behind query 2, which has the same key
-	half := h.engine.hold("POST", traceID(4))    // half a response
+	partial := h.engine.hold("POST", traceID(4)) // half a response
 	c.query("squall", 4, patience)
 	h.engine.calls.wait(1, "POST "+traceID(4))
-	half <- "HTTP/1.1 200 x\r\nChunks: 1\r\nConte"
+	partial <- "HTTP/1.1 200 x\r\nChunks: 1\r\nConte"
 	io.WriteString(watch, endpointEvent(2, false, endpoint("e1", h.engine, "DRAINING"),
-		endpoint("e2", jam, "SERVING"))+"\n")
+		endpoint("e2", fullListener, "SERVING"))+"\n")
 	h.log.wait(0, "")
 	c.query("squall", 5, patience) // its connection is never established
 	h.log.wait(1, "dialled for POST", traceID(5))
@@ -102,24 +102,25 @@
 	for _, first := range []string{"drain", "connection"} {
 		t.Run(first+" first", func(t *testing.T) {
 			t.Parallel()
-			jam := listenWithFullBacklog(t)
-			h := startHarness(t, harnessOptions{engineListener: jam,
+			fullListener := listenWithFullBacklog(t)
+			h := startHarness(t, harnessOptions{engineListener: fullListener,
 				settings: map[string]string{"connect.timeout": "8000"}})
 			watch, _ := h.discovery.awaitSubscription()
 			c := h.connect()
 			c.query("squall", 1, 12*time.Second)
 			h.log.wait(1, "dialled for POST", traceID(1))
 			other := startEngine(t, nil)
-			drains := endpointEvent(2, false, endpoint("e1", jam, "DRAINING"), endpoint("e2", other, "SERVING")) + "\n"
+			drain := endpointEvent(2, false, endpoint("e1", fullListener, "DRAINING"),
+				endpoint("e2", other, "SERVING")) + "\n"
 			if first == "drain" {
-				io.WriteString(watch, drains)
+				io.WriteString(watch, drain)
 				b := h.connect() // goes to the other engine, which shows that the drain was processed
 				b.query("squall", 2, 12*time.Second)
 				other.calls.wait(1, "POST "+traceID(2))
 				other.finish(traceID(1))
 				other.finish(traceID(2))
 				b.expectResult(2)
-				h.engine = startEngine(t, jam)
+				h.engine = startEngine(t, fullListener)
 				c.expectResult(1)
 				h.shutDown()
 				if h.engine.calls.count("POST") > 0 || other.calls.count("POST "+traceID(1)) != 1 {
@@ -127,9 +128,9 @@
 				}
 				return
 			}
-			h.engine = startEngine(t, jam)
+			h.engine = startEngine(t, fullListener)
 			h.engine.calls.wait(1, "POST "+traceID(1))
-			io.WriteString(watch, drains)
+			io.WriteString(watch, drain)
 			b := h.connect()
 			b.query("squall", 2, 12*time.Second)
 			other.calls.wait(1, "POST "+traceID(2))
@@ -151,9 +152,9 @@
 			t.Parallel()
 			other := startEngine(t, nil)
 			h := startHarness(t, harnessOptions{moreEndpoints: []string{endpoint("e2", other, "SERVING")}})
-			watch, said := h.discovery.awaitSubscription()
-			if said != "SUB 1" {
-				t.Fatal(said)
+			watch, subscription := h.discovery.awaitSubscription()
+			if subscription != "SUB 1" {
+				t.Fatal(subscription)
 			}
 			io.WriteString(watch, endpointEvent(2, false, endpoint("e3", other, "DELETED"))+"\n2\n")
 			switch how {
@@ -162,9 +163,9 @@
 			case "dies":
 				watch.Close()
 			}
-			watch, said = h.discovery.awaitSubscription()
-			if said != "SUB 2" {
-				t.Fatal(said)
+			watch, subscription = h.discovery.awaitSubscription()
+			if subscription != "SUB 2" {
+				t.Fatal(subscription)
 			}
 			// Heartbeat 4 announces an event that the controller hasn't received, so the controller closes
 			// the connection as soon as it has read the drain.
@@ -195,8 +196,8 @@
 					t.Fatalf("sent to a draining engine %v after the drain, the grace is %v", after, drainGrace)
 				}
 			}
-			if _, said = h.discovery.awaitSubscription(); said != "SUB 3" {
-				t.Fatalf("asked again with %q, want SUB 3: the drain was not read", said)
+			if _, subscription = h.discovery.awaitSubscription(); subscription != "SUB 3" {
+				t.Fatalf("asked again with %q, want SUB 3: the drain was not read", subscription)
 			}
 			h.shutDown()
 		})
@@ -206,13 +207,13 @@
 // The client receives one complete answer although the engine resets or closes the connection before
 // or in the middle of its response to the submission.
 func TestEngineDisconnectsDuringResponse(t *testing.T) {
-	for what, says := range map[string][]string{
+	for name, responses := range map[string][]string{
 		"before":  {"reset"},
 		"half":    {resultResponse(traceID(1))[:60], "reset"},
 		"close":   {resultResponse(traceID(1))[:60], "close"},
 		"no word": {"close"},
 	} {
-		t.Run(what, func(t *testing.T) {
+		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			h := startHarness(t, harnessOptions{})
 			c := h.connect()
@@ -220,7 +221,7 @@
 			c.query("squall", 1, 10*time.Second)
 			h.engine.calls.wait(1, "POST "+traceID(1))
 			h.engine.finish(traceID(1))
-			for _, s := range says {
+			for _, s := range responses {
 				held <- s
 			}
 			c.expectResult(1)
