--- a/internal/eventloop/client_disconnect_test.go
+++ b/internal/eventloop/client_disconnect_test.go
@@ -214,7 +214,7 @@
 		c := h.connect()
 		time.Sleep(time.Duration(n*9) * time.Millisecond / 2)
 		c.lastMessage++
-		c.Write(client.Call(nil, c.lastMessage, "squall", []byte("SELECT 1 FROM sales_3.x"), "trace", traceID(n),
+		c.Write(client.AppendQuery(nil, c.lastMessage, "squall", []byte("SELECT 1 FROM sales_3.x"), "trace", traceID(n),
 			"patience", "5000"))
 		h.engine.finish(traceID(n))
 		if a, ok := c.readAnswer(); ok != (h.engine.calls.count("POST "+traceID(n)) == 1) ||
@@ -292,7 +292,7 @@
 	h.engine.calls.wait(1, "POST "+traceID(1))
 	h.engine.finish(traceID(1))
 	busy.expectResult(1)
-	if _, err := busy.Write(client.Alive(nil, 77)); err != nil {
+	if _, err := busy.Write(client.AppendAliveRequest(nil, 77)); err != nil {
 		t.Fatal(err)
 	}
 	if a, ok := busy.readAnswer(); !ok || !a.Ready {
--- a/internal/eventloop/harness_test.go
+++ b/internal/eventloop/harness_test.go
@@ -514,7 +514,7 @@
 	if group == "haul" {
 		tables = 1
 	}
-	if _, err := c.Write(client.Call(nil, c.lastMessage, group,
+	if _, err := c.Write(client.AppendQuery(nil, c.lastMessage, group,
 		[]byte("SELECT * FROM sales_"+strconv.Itoa(tables)+".orders"), fields...)); err != nil {
 		c.t.Fatal(err)
 	}
@@ -522,7 +522,7 @@
 
 func (c *testClient) cancel() {
 	c.t.Helper()
-	if _, err := c.Write(client.Cancel(nil, c.lastMessage)); err != nil {
+	if _, err := c.Write(client.AppendCancel(nil, c.lastMessage)); err != nil {
 		c.t.Fatal(err)
 	}
 }
--- a/internal/resultstore/erase_test.go
+++ b/internal/resultstore/erase_test.go
@@ -97,13 +97,13 @@
 			k.Tick()
 		}
 	}
-	firstStep := d.Steps()
-	if len(d.Holds(rowMarker(purgedTenant))) < 3 {
+	firstStep := d.StepCount()
+	if len(d.FilesContaining(rowMarker(purgedTenant))) < 3 {
 		t.Fatal("there is nothing to erase")
 	}
 	expectErased := func(d *disk.Disk, k *resultstore.SpoolStore, situation string) {
 		t.Helper()
-		if l := append(d.Holds(rowMarker(purgedTenant)), d.Holds([]byte(purgedTenant))...); len(l) > 0 {
+		if l := append(d.FilesContaining(rowMarker(purgedTenant)), d.FilesContaining([]byte(purgedTenant))...); len(l) > 0 {
 			t.Fatalf("%s: reported as erased, but still in %v", situation, l)
 		}
 		if l, others := countResults(t, k); len(l) > 0 || others != keptCount {
@@ -115,28 +115,28 @@
 		}
 	}
 	erase(t, k, purged)
-	lastStep := d.Steps()
+	lastStep := d.StepCount()
 	expectErased(d, k, "without a crash")
 	if lastStep-firstStep < 20 {
 		t.Fatal("the erasure has too few disk steps: ", lastStep-firstStep)
 	}
 	// erased data doesn't come back after a crash
-	for crash := disk.Killed; crash <= disk.Cut; crash++ {
-		if l := d.After(lastStep, crash).Holds(rowMarker(purgedTenant)); len(l) > 0 {
+	for crash := disk.ProcessKilled; crash <= disk.PowerLoss; crash++ {
+		if l := d.AfterCrash(lastStep, crash).FilesContaining(rowMarker(purgedTenant)); len(l) > 0 {
 			t.Fatalf("erased data came back after a crash (%v) in %v", crash, l)
 		}
 	}
 	recovered := 0
 	for n := firstStep; n <= lastStep; n++ {
-		for crash := disk.Killed; crash <= disk.Cut; crash++ {
+		for crash := disk.ProcessKilled; crash <= disk.PowerLoss; crash++ {
 			for _, indexLost := range []bool{false, true} {
 				if indexLost && n%3 != int(crash) { // rebuilding the index is slow, so only one step in three
 					continue
 				}
 				situation := fmt.Sprintf("crash at step %d of %d to %d, %v, index lost %v", n, firstStep, lastStep, crash,
 					indexLost)
-				d := d.After(n, crash)
-				x := x.After(n, d)
+				d := d.AfterCrash(n, crash)
+				x := x.AfterCrash(n, d)
 				if indexLost {
 					x = disk.NewIndex(d)
 				}
@@ -175,9 +175,9 @@
 				purged = append(purged, id)
 			}
 		}
-		d.Half = true
+		d.PartialWrites = true
 		operations := 0
-		d.Fail = func(verb, name string) error {
+		d.InjectError = func(verb, name string) error {
 			if operations++; operations > nth && operations <= nth+3 {
 				refused++
 				return os.ErrInvalid
@@ -185,7 +185,7 @@
 			return nil
 		}
 		erase(t, k, purged)
-		if l := d.Holds(rowMarker(purgedTenant)); len(l) > 0 {
+		if l := d.FilesContaining(rowMarker(purgedTenant)); len(l) > 0 {
 			t.Fatalf("reported as erased, but still in %v", l)
 		}
 	}
--- a/internal/resultstore/store_test.go
+++ b/internal/resultstore/store_test.go
@@ -76,16 +76,16 @@
 		QueryID: fmt.Sprintf("%016x", result), Tenant: "linz", CreatedMillis: 1,
 		ExpiresMillis: 1000, PageRows: state.rows}})
 	if err == nil {
-		state.committedAt = r.disk.Steps()
+		state.committedAt = r.disk.StepCount()
 	}
 	return err
 }
 
 func (r *randomRun) drop(result uint64) {
 	state := r.results[result]
-	state.dropStartedAt = max(1, r.disk.Steps())
+	state.dropStartedAt = max(1, r.disk.StepCount())
 	if r.apply(&resultstore.Job{Drop: []uint64{result}}) == nil {
-		state.droppedAt = r.disk.Steps()
+		state.droppedAt = r.disk.StepCount()
 	}
 }
 
@@ -116,7 +116,7 @@
 	case x < 17:
 		r.drop(pick(&r.pendingIDs))
 	default:
-		if _, err := r.store.Tick(); err != nil && r.disk.Fail == nil {
+		if _, err := r.store.Tick(); err != nil && r.disk.InjectError == nil {
 			r.t.Fatal(err)
 		}
 	}
@@ -147,21 +147,21 @@
 	for range 230 {
 		run.step()
 	}
-	steps := run.disk.Steps()
+	steps := run.disk.StepCount()
 	if steps < 300 {
 		t.Fatal("the run has too few disk steps: ", steps)
 	}
 	compacted := 0
 	for step := range steps + 1 {
-		for crash := disk.Killed; crash <= disk.Cut; crash++ {
+		for crash := disk.ProcessKilled; crash <= disk.PowerLoss; crash++ {
 			for _, indexLost := range []bool{false, true} {
 				if indexLost && step%3 != int(crash) { // rebuilding the index is slow, so only one step in three
 					continue
 				}
-				crashed := run.disk.After(step, crash)
+				crashed := run.disk.AfterCrash(step, crash)
 				index := disk.NewIndex(crashed)
 				if !indexLost {
-					index = run.index.After(step, crashed)
+					index = run.index.AfterCrash(step, crashed)
 				}
 				store, recovery, err := resultstore.Open(crashed, index, smallOptions())
 				if err != nil {
@@ -184,7 +184,7 @@
 				for id, state := range run.results {
 					mustExist := state.committedAt > 0 && state.committedAt <= step &&
 						(state.dropStartedAt == 0 || step < state.dropStartedAt)
-					mustNotExist := crash != disk.Cut && state.droppedAt > 0 && state.droppedAt <= step
+					mustNotExist := crash != disk.PowerLoss && state.droppedAt > 0 && state.droppedAt <= step
 					if mustExist && !found[id] || mustNotExist && found[id] {
 						t.Fatalf(
 							"crash at step %d of %d, %v, index lost %v: result %x exists: %v; committed %d, deleted %d to %d",
@@ -221,8 +221,8 @@
 	for seed := range uint64(30) {
 		run := newRandomRun(t, seed, smallOptions())
 		faults := rand.New(rand.NewPCG(seed, 9))
-		run.disk.Half = true
-		run.disk.Fail = func(verb, name string) error {
+		run.disk.PartialWrites = true
+		run.disk.InjectError = func(verb, name string) error {
 			if faults.IntN(12) == 0 && verb != "remove" {
 				return syscall.ENOSPC
 			}
@@ -231,7 +231,7 @@
 		for range 300 {
 			run.step()
 		}
-		run.disk.Fail = nil
+		run.disk.InjectError = nil
 		for _, id := range run.committedIDs {
 			expectPages(t, run.store, id, run.results[id])
 		}
@@ -260,7 +260,7 @@
 	names, _ := run.disk.List()
 	size, _ := func() (int64, error) { f, _ := run.disk.Open(names[0]); return f.Size() }()
 	for offset := int64(16); offset < size; offset++ {
-		run.disk.Flip(names[0], offset, uint(offset%8))
+		run.disk.FlipBit(names[0], offset, uint(offset%8))
 		for i, want := range run.results[id].pages {
 			if p, err := run.store.Fetch(id, i); err == nil && !bytes.Equal(p, want) {
 				t.Fatalf("bit flipped at %d: page %d was returned although it is corrupt", offset, i)
@@ -271,7 +271,7 @@
 		if v, err := run.store.Verify(); err != nil || len(v.Faults) == 0 {
 			t.Fatalf("bit flipped at %d: not detected: %v", offset, err)
 		}
-		run.disk.Flip(names[0], offset, uint(offset%8))
+		run.disk.FlipBit(names[0], offset, uint(offset%8))
 	}
 	expectPages(t, run.store, id, run.results[id])
 }
