--- a/internal/eventloop/client_disconnect_test.go
+++ b/internal/eventloop/client_disconnect_test.go
@@ -214,8 +214,8 @@
 		c := h.connect()
 		time.Sleep(time.Duration(n*9) * time.Millisecond / 2)
 		c.lastMessage++
-		c.Write(client.AppendQuery(nil, c.lastMessage, "squall", []byte("SELECT 1 FROM sales_3.x"), "trace", traceID(n),
-			"patience", "5000"))
+		c.Write(client.AppendQuery(nil, c.lastMessage, "squall", []byte("SELECT 1 FROM sales_3.x"),
+			"trace", traceID(n), "patience", "5000"))
 		h.engine.finish(traceID(n))
 		if a, ok := c.readAnswer(); ok != (h.engine.calls.count("POST "+traceID(n)) == 1) ||
 			ok && a.Kind != client.Finished {
--- a/internal/resultstore/erase_test.go
+++ b/internal/resultstore/erase_test.go
@@ -103,7 +103,8 @@
 	}
 	expectErased := func(d *disk.Disk, k *resultstore.SpoolStore, situation string) {
 		t.Helper()
-		if l := append(d.FilesContaining(rowMarker(purgedTenant)), d.FilesContaining([]byte(purgedTenant))...); len(l) > 0 {
+		if l := append(d.FilesContaining(rowMarker(purgedTenant)),
+			d.FilesContaining([]byte(purgedTenant))...); len(l) > 0 {
 			t.Fatalf("%s: reported as erased, but still in %v", situation, l)
 		}
 		if l, others := countResults(t, k); len(l) > 0 || others != keptCount {
