--- a/cmd/railrelay-bench/datapath.go
+++ b/cmd/railrelay-bench/datapath.go
@@ -12,7 +12,7 @@
 )
 
 // datapath measures the data path of one controller.
-func datapath() *cobra.Command {
+func datapathCommand() *cobra.Command {
 	path := bench.UsualDatapath()
 	file := ""
 	c := &cobra.Command{Use: "datapath", Short: "what engines, clients and queries cost one controller", Args: cobra.NoArgs,
@@ -28,7 +28,7 @@
 	flags.IntSliceVar(&path.Rates, "rates", path.Rates, "queries a second")
 	flags.IntSliceVar(&path.Clients, "clients", path.Clients, "sizes of the steps of idle clients")
 	flags.DurationVar(&path.Rest, "rest", path.Rest, "how long each is looked at")
-	flags.Uint64Var(&path.Seed, "seed", path.Seed, seedAbout)
+	flags.Uint64Var(&path.Seed, "seed", path.Seed, seedUsage)
 	flags.StringVar(&file, "csv", "", "the file that the figures are added to")
 	return c
 }
--- a/cmd/railrelay-bench/figures.go
+++ b/cmd/railrelay-bench/figures.go
@@ -10,7 +10,7 @@
 // keepScale adds a scale run's figures to a file. Those of a fleet with relays, or with
 // machines set aside alone, have names of their own: they begin with "4 relays: " or
 // "set aside: ", so that runs without and with them stand side by side.
-func keepScale(path string, s bench.Scale) func([]bench.ScaleRow) error {
+func scaleRecorder(path string, s bench.Scale) func([]bench.ScaleRow) error {
 	variant := ""
 	switch {
 	case s.Relays > 0:
--- a/cmd/railrelay-bench/fleets.go
+++ b/cmd/railrelay-bench/fleets.go
@@ -9,7 +9,7 @@
 	"railrelay.dev/railrelay/internal/bench"
 )
 
-func fleets() *cobra.Command {
+func fleetsCommand() *cobra.Command {
 	var from uint64
 	var plays int
 	c := &cobra.Command{Use: "fleets", Short: "play drawn fleets in virtual time, and say how the first broke a rule", Args: cobra.NoArgs}
--- a/cmd/railrelay-bench/large.go
+++ b/cmd/railrelay-bench/large.go
@@ -6,14 +6,14 @@
 	"railrelay.dev/railrelay/internal/bench"
 )
 
-func large() *cobra.Command {
+func largeCommand() *cobra.Command {
 	var program string
 	var results, size int
 	c := &cobra.Command{Use: "large", Short: "large results through a program of 64 MB, on the disk of this machine", Args: cobra.NoArgs}
 	c.RunE = func(c *cobra.Command, _ []string) error {
 		return bench.Large(c.Context(), c.OutOrStdout(), program, results, size)
 	}
-	c.Flags().StringVar(&program, "program", programDefault, "the controller")
+	c.Flags().StringVar(&program, "program", defaultProgram, "the controller")
 	c.Flags().IntVar(&results, "results", 1, "all of them are kept on disk")
 	c.Flags().IntVar(&size, "mb", 1024, "of each")
 	return c
--- a/cmd/railrelay-bench/main.go
+++ b/cmd/railrelay-bench/main.go
@@ -13,20 +13,20 @@
 
 // What several commands say alike.
 const (
-	programDefault = "bin/railrelay"
-	plantedDefault = "bin/planted"
-	seedAbout      = "what is drawn at random follows from"
+	defaultProgram          = "bin/railrelay"
+	defaultPlantedDirectory = "bin/planted"
+	seedUsage               = "what is drawn at random follows from"
 )
 
 func main() {
 	// a play that is interrupted ends what it has started
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	root := &cobra.Command{Use: "railrelay-bench", Short: "railrelay's laboratory", SilenceUsage: true}
-	root.AddCommand(fleets(), many(), planted(), measure(), try(), speed(), large(), scale(), hollowProcess(), datapath(), page())
+	root.AddCommand(fleetsCommand(), manyCommand(), plantedCommand(), measureCommand(), tryCommand(), speedCommand(), largeCommand(), scaleCommand(), hollowCommand(), datapathCommand(), pageCommand())
 	err := root.ExecuteContext(ctx)
 	stop()
 	if err != nil {
-		remedy(root.ErrOrStderr(), err)
+		printRemedy(root.ErrOrStderr(), err)
 		os.Exit(1)
 	}
 }
--- a/cmd/railrelay-bench/many.go
+++ b/cmd/railrelay-bench/many.go
@@ -8,7 +8,7 @@
 	"railrelay.dev/railrelay/internal/bench"
 )
 
-func many() *cobra.Command {
+func manyCommand() *cobra.Command {
 	play := bench.Many{Lease: 2 * time.Second, Changes: 5, Entries: 100_000}
 	c := &cobra.Command{Use: "many", Short: "a fleet of many processes: what each costs, how soon a change is in force on all", Args: cobra.NoArgs}
 	c.RunE = func(c *cobra.Command, _ []string) error {
@@ -18,7 +18,7 @@
 		}
 		return err
 	}
-	c.Flags().StringVar(&play.Program, "program", programDefault, "the controller")
+	c.Flags().StringVar(&play.Program, "program", defaultProgram, "the controller")
 	c.Flags().IntVar(&play.Controllers, "controllers", 50, "processes")
 	c.Flags().DurationVar(&play.Rest, "rest", 10*time.Second, "how long to look at them at rest")
 	return c
--- a/cmd/railrelay-bench/measure.go
+++ b/cmd/railrelay-bench/measure.go
@@ -8,7 +8,7 @@
 	"railrelay.dev/railrelay/internal/bench"
 )
 
-func measure() *cobra.Command {
+func measureCommand() *cobra.Command {
 	var seed uint64
 	var detail bool
 	var program, planted string
@@ -29,9 +29,9 @@
 		}
 		return fmt.Errorf("no measurement is called %q: there are %v", args[0], c.ValidArgs)
 	}
-	c.Flags().Uint64Var(&seed, "seed", 1, seedAbout)
-	c.Flags().StringVar(&program, "program", programDefault, "the controller")
-	c.Flags().StringVar(&planted, "planted", plantedDefault, "where the tests with planted faults are")
+	c.Flags().Uint64Var(&seed, "seed", 1, seedUsage)
+	c.Flags().StringVar(&program, "program", defaultProgram, "the controller")
+	c.Flags().StringVar(&planted, "planted", defaultPlantedDirectory, "where the tests with planted faults are")
 	c.Flags().BoolVar(&detail, "detail", false, "say more of each part")
 	return c
 }
--- a/cmd/railrelay-bench/page.go
+++ b/cmd/railrelay-bench/page.go
@@ -10,7 +10,7 @@
 )
 
 // page fills the tables of the capacity page from the file of figures.
-func page() *cobra.Command {
+func pageCommand() *cobra.Command {
 	path, file := "docs/CAPACITY.md", "docs/capacity.csv"
 	c := &cobra.Command{Use: "page", Short: "fill the tables of the capacity page from the measured figures", Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
--- a/cmd/railrelay-bench/planted.go
+++ b/cmd/railrelay-bench/planted.go
@@ -6,7 +6,7 @@
 	"railrelay.dev/railrelay/internal/bench"
 )
 
-func planted() *cobra.Command {
+func plantedCommand() *cobra.Command {
 	var directory string
 	var build bool
 	c := &cobra.Command{Use: "planted", Short: "play the tests that have one planted fault each", Args: cobra.NoArgs}
@@ -16,7 +16,7 @@
 		}
 		return bench.FindPlanted(c.Context(), c.OutOrStdout(), directory)
 	}
-	c.Flags().StringVar(&directory, "planted", plantedDefault, "where they are")
+	c.Flags().StringVar(&directory, "planted", defaultPlantedDirectory, "where they are")
 	c.Flags().BoolVar(&build, "build", false, "only build them, from the root of the tree")
 	return c
 }
--- a/cmd/railrelay-bench/remedy.go
+++ b/cmd/railrelay-bench/remedy.go
@@ -9,7 +9,7 @@
 )
 
 // remedy says what can be done about an error, where it knows.
-func remedy(out io.Writer, err error) {
+func printRemedy(out io.Writer, err error) {
 	var remedied fleet.ErrorWithRemedy
 	if errors.As(err, &remedied) {
 		fmt.Fprintln(out, "Remedy:", remedied.Remedy())
--- a/cmd/railrelay-bench/scale.go
+++ b/cmd/railrelay-bench/scale.go
@@ -11,8 +11,8 @@
 	"railrelay.dev/railrelay/internal/emulator/hollow"
 )
 
-func scale() *cobra.Command {
-	s := bench.UsualScale(programDefault, 580)
+func scaleCommand() *cobra.Command {
+	s := bench.UsualScale(defaultProgram, 580)
 	c := &cobra.Command{Use: "scale", Args: cobra.NoArgs, Short: "a fleet of real and hollow controllers: what each role costs, how soon a change is in force, in faults too",
 		Long: "Starts real controllers and hollow ones (the real core and wire, a record in memory, no queries)\n" +
 			"before idle engines, looks at them at rest, changes the policy, and changes it during faults:\n\n  " +
@@ -25,7 +25,7 @@
 			if err := capacity.Append(csv, nil); err != nil { // a damaged file is told before minutes of work
 				return err
 			}
-			s.Record = keepScale(csv, s)
+			s.Record = scaleRecorder(csv, s)
 		}
 		if grow {
 			growth.Program, growth.Seed, growth.Record = s.Program, s.Seed, s.Record
@@ -46,7 +46,7 @@
 	f.IntVar(&s.Relays, "relays", s.Relays, "of the real ones that don't vote gather the renewals of others; 0: none does")
 	f.BoolVar(&s.SetAside, "set-aside", s.SetAside, "voters have the role control, on machines set aside for it; relays always do")
 	f.IntVar(&s.Engines, "engines", s.Engines, "in the feed")
-	f.Uint64Var(&s.Seed, "seed", s.Seed, seedAbout)
+	f.Uint64Var(&s.Seed, "seed", s.Seed, seedUsage)
 	f.DurationVar(&s.Lease, "lease", s.Lease, "of the fleet")
 	f.DurationVar(&s.Settle, "settle", s.Settle, "waited before anything is measured")
 	f.DurationVar(&s.Rest, "rest", s.Rest, "how long to look at it at rest")
@@ -61,7 +61,7 @@
 }
 
 // hollowProcess is what a scale run starts for its hollow controllers.
-func hollowProcess() *cobra.Command {
+func hollowCommand() *cobra.Command {
 	return &cobra.Command{Use: "hollow", Hidden: true, Short: "run hollow controllers, as told on standard input", Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
 			return hollow.Run(c.Context(), c.InOrStdin(), c.OutOrStdout())
--- a/cmd/railrelay-bench/scale_test.go
+++ b/cmd/railrelay-bench/scale_test.go
@@ -14,7 +14,7 @@
 )
 
 // A run that is interrupted, or killed, leaves no process and no directory behind.
-func TestAnInterruptedScaleRunLeavesNothingBehind(t *testing.T) {
+func TestInterruptedScaleRunLeavesNoProcesses(t *testing.T) {
 	bin := t.TempDir()
 	if out, err := exec.Command("go", "build", "-o", bin+"/", "../railrelay", "../railrelay-fleet", ".").CombinedOutput(); err != nil {
 		t.Fatal(string(out))
--- a/cmd/railrelay-bench/speed.go
+++ b/cmd/railrelay-bench/speed.go
@@ -8,7 +8,7 @@
 	"railrelay.dev/railrelay/internal/bench"
 )
 
-func speed() *cobra.Command {
+func speedCommand() *cobra.Command {
 	var program string
 	var turns int
 	c := &cobra.Command{Use: "speed", Short: "queries a second with fairness on and off, on sockets", Args: cobra.NoArgs}
@@ -16,7 +16,7 @@
 		_, err := bench.SpeedOnSockets(c.Context(), c.OutOrStdout(), program, 3*time.Second, turns)
 		return err
 	}
-	c.Flags().StringVar(&program, "program", programDefault, "the controller")
+	c.Flags().StringVar(&program, "program", defaultProgram, "the controller")
 	c.Flags().IntVar(&turns, "turns", 3, "of three seconds each, on and off")
 	return c
 }
--- a/cmd/railrelay-bench/try.go
+++ b/cmd/railrelay-bench/try.go
@@ -10,7 +10,7 @@
 	"railrelay.dev/railrelay/internal/bench"
 )
 
-func try() *cobra.Command {
+func tryCommand() *cobra.Command {
 	trial := &bench.Trial{Engines: 6, Log: os.Stderr}
 	c := &cobra.Command{Use: "try", Short: "start stand-in engines, a feed and a controller with teams, and look", Args: cobra.NoArgs}
 	c.RunE = func(c *cobra.Command, _ []string) error {
@@ -21,8 +21,8 @@
 		}
 		return err
 	}
-	c.Flags().StringVar(&trial.Program, "program", programDefault, "the controller")
+	c.Flags().StringVar(&trial.Program, "program", defaultProgram, "the controller")
 	c.Flags().DurationVar(&trial.Long, "for", 20*time.Second, "how long to ask")
-	c.Flags().Uint64Var(&trial.Seed, "seed", 1, seedAbout)
+	c.Flags().Uint64Var(&trial.Seed, "seed", 1, seedUsage)
 	return c
 }
--- a/cmd/railrelay-fleet/command.go
+++ b/cmd/railrelay-fleet/command.go
@@ -25,43 +25,43 @@
 )
 
 // desk is where a command asks: the set-up's control listener, or one that is named.
-type desk struct {
-	setup, control, keys string
-	json                 bool
-	atMost               time.Duration
+type controlClient struct {
+	setupFile, controlAddress, keyFile string
+	printAsJSON                        bool
+	timeout                            time.Duration
 }
 
 // command is `railrelay fleet`.
 func command() *cobra.Command {
-	d := &desk{}
+	d := &controlClient{}
 	root := &cobra.Command{Use: "fleet", Short: "See and change what the fleet has decided",
 		Long: "See and change what the fleet has decided. --setup names a controller's set-up, or --control and --keys its operators'\n" +
 			"address and the key file. Exit status: 0 done, 3 not done and never will be, 4 not known yet: ask again by the same id,\n" +
 			"of any controller; 1 and 2: nothing was asked."}
-	root.PersistentFlags().StringVar(&d.setup, "setup", "", "the set-up of the controller that is asked")
-	root.PersistentFlags().StringVar(&d.control, "control", "", "its operators' address, in place of the set-up's")
-	root.PersistentFlags().StringVar(&d.keys, "keys", "", "the key file, in place of the set-up's")
-	root.PersistentFlags().BoolVar(&d.json, "json", false, "print the answer as one JSON object")
-	root.AddCommand(d.status(), d.apply(), d.purge(), d.forget(), d.policy(), d.plan())
+	root.PersistentFlags().StringVar(&d.setupFile, "setup", "", "the set-up of the controller that is asked")
+	root.PersistentFlags().StringVar(&d.controlAddress, "control", "", "its operators' address, in place of the set-up's")
+	root.PersistentFlags().StringVar(&d.keyFile, "keys", "", "the key file, in place of the set-up's")
+	root.PersistentFlags().BoolVar(&d.printAsJSON, "json", false, "print the answer as one JSON object")
+	root.AddCommand(d.statusCommand(), d.applyCommand(), d.purgeCommand(), d.forgetCommand(), d.policyCommand(), d.planCommand())
 	return root
 }
 
-func (d *desk) status() *cobra.Command {
+func (d *controlClient) statusCommand() *cobra.Command {
 	var id, until string
 	c := &cobra.Command{Use: "status", Short: "Tell how a controller sees the fleet, or with --id what became of a run", Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
-			if err := oneOf(until, "", "unreachable", "settled"); err != nil {
+			if err := checkUntil(until, "", "unreachable", "settled"); err != nil {
 				return err
 			}
-			return d.ask(c, &fleet.Request{Kind: "status", ID: id, AwaitedStage: until, WaitMs: d.atMost.Milliseconds()})
+			return d.sendAndPrint(c, &fleet.Request{Kind: "status", ID: id, AwaitedStage: until, WaitMs: d.timeout.Milliseconds()})
 		}}
 	c.Flags().StringVar(&until, "until", "", "with --id: unreachable of a purge, settled of a change (erased, in force)")
 	c.Flags().StringVar(&id, "id", "", "of a change or purge: waits for the last word on it")
-	c.Flags().DurationVar(&d.atMost, "at-most", 10*time.Second, "wait so long")
+	c.Flags().DurationVar(&d.timeout, "at-most", 10*time.Second, "wait so long")
 	return c
 }
 
-func (d *desk) apply() *cobra.Command {
+func (d *controlClient) applyCommand() *cobra.Command {
 	var id, until string
 	var base uint64
 	var wait time.Duration
@@ -76,24 +76,24 @@
 			if !c.Flags().Changed("base") {
 				return errors.New("--base is missing: the version that the file was made against, which fleet status tells")
 			}
-			if err := oneOf(until, "", "settled"); err != nil {
+			if err := checkUntil(until, "", "settled"); err != nil {
 				return err
 			}
-			a := &fleet.Request{Kind: "apply", ID: id, BaseVersion: base, Policy: text, AwaitedStage: until, AbortAfterMs: d.atMost.Milliseconds(), WaitMs: wait.Milliseconds()}
+			a := &fleet.Request{Kind: "apply", ID: id, BaseVersion: base, Policy: text, AwaitedStage: until, AbortAfterMs: d.timeout.Milliseconds(), WaitMs: wait.Milliseconds()}
 			if wait == 0 {
-				a.WaitMs = (d.atMost + 5*time.Second).Milliseconds()
+				a.WaitMs = (d.timeout + 5*time.Second).Milliseconds()
 			}
-			return d.ask(c, a)
+			return d.sendAndPrint(c, a)
 		}}
 	c.Flags().StringVar(&id, "id", "", "of the change, to ask again by (one is drawn)")
 	c.Flags().Uint64Var(&base, "base", 0, "the version that the file was made against")
-	c.Flags().DurationVar(&d.atMost, "at-most", 30*time.Second, "withdrawn if not in force by then; 0: never")
+	c.Flags().DurationVar(&d.timeout, "at-most", 30*time.Second, "withdrawn if not in force by then; 0: never")
 	c.Flags().StringVar(&until, "until", "", "settled: waits also for what tighter placement rules leave outside (in force)")
 	c.Flags().DurationVar(&wait, "wait", 0, "wait so long for the word (--at-most and five seconds)")
 	return c
 }
 
-func (d *desk) purge() *cobra.Command {
+func (d *controlClient) purgeCommand() *cobra.Command {
 	var id, team, before, until string
 	var tables []int64
 	c := &cobra.Command{Use: "purge --team T", Short: "Have what is kept of a team go, on every controller", Args: cobra.NoArgs,
@@ -103,38 +103,38 @@
 			if team == "" {
 				return errors.New("--team is missing")
 			}
-			if err := oneOf(until, "", "unreachable", "erased"); err != nil {
+			if err := checkUntil(until, "", "unreachable", "erased"); err != nil {
 				return err
 			}
-			a := &fleet.Request{Kind: "purge", ID: id, Scope: &fleet.Scope{Team: team, Tables: tables}, AwaitedStage: until, WaitMs: d.atMost.Milliseconds()}
+			a := &fleet.Request{Kind: "purge", ID: id, Scope: &fleet.Scope{Team: team, Tables: tables}, AwaitedStage: until, WaitMs: d.timeout.Milliseconds()}
 			if until == "erased" {
 				a.AwaitedStage = ""
 			}
 			if before != "" {
-				at, err := moment(before, time.Now())
+				at, err := parseTime(before, time.Now())
 				if err != nil {
 					return err
 				}
 				a.Scope.RetainedBeforeMs = at.UnixMilli()
 			}
-			return d.ask(c, a)
+			return d.sendAndPrint(c, a)
 		}}
 	c.Flags().StringVar(&id, "id", "", "of the purge, to ask again by (one is drawn)")
 	c.Flags().StringVar(&team, "team", "", "whose")
 	c.Flags().Int64SliceVar(&tables, "tables", nil, "only of these table groups (all)")
 	c.Flags().StringVar(&before, "before", "", "only what was kept before, as 2026-11-30T18:00:00Z, or so long ago, as 2h (whenever)")
 	c.Flags().StringVar(&until, "until", "", "unreachable or erased (erased)")
-	c.Flags().DurationVar(&d.atMost, "at-most", time.Minute, "wait so long; the purge goes on after it")
+	c.Flags().DurationVar(&d.timeout, "at-most", time.Minute, "wait so long; the purge goes on after it")
 	return c
 }
 
-func (d *desk) forget() *cobra.Command {
+func (d *controlClient) forgetCommand() *cobra.Command {
 	id, anyway := "", false
 	c := &cobra.Command{Use: "forget NAME", Short: "Say that a controller's disk is destroyed: it never serves again", Args: cobra.ExactArgs(1),
 		Long: "Say that a controller's disk is destroyed. Nothing waits for it any more, purges least of all, and that name and that disk\n" +
 			"never serve again. It can't be taken back: a controller that only stands still is not to be forgotten.",
 		RunE: func(c *cobra.Command, args []string) error {
-			r, err := d.reply(c, &fleet.Request{Kind: "status"})
+			r, err := d.send(c, &fleet.Request{Kind: "status"})
 			if err != nil {
 				return err
 			}
@@ -142,25 +142,25 @@
 			if !known && !anyway { // a slip of the pen would bar a name for good
 				return fmt.Errorf("no controller is called %q, as far as is known there; --anyway bars that name all the same", args[0])
 			}
-			return d.ask(c, &fleet.Request{Kind: "forget", ID: id, Name: args[0], WaitMs: d.atMost.Milliseconds()})
+			return d.sendAndPrint(c, &fleet.Request{Kind: "forget", ID: id, Name: args[0], WaitMs: d.timeout.Milliseconds()})
 		}}
 	c.Flags().StringVar(&id, "id", "", "to ask again by (one is drawn)")
 	c.Flags().BoolVar(&anyway, "anyway", false, "also a name that isn't known")
-	c.Flags().DurationVar(&d.atMost, "at-most", 10*time.Second, "wait so long")
+	c.Flags().DurationVar(&d.timeout, "at-most", 10*time.Second, "wait so long")
 	return c
 }
 
-func (d *desk) policy() *cobra.Command {
+func (d *controlClient) policyCommand() *cobra.Command {
 	return &cobra.Command{Use: "policy", Short: "Print the policy in force, to be changed and applied again", Args: cobra.NoArgs,
 		Long: "Print the text of the policy in force, and to standard error its version, which is apply's --base. There is none while the\n" +
 			"fleet decides by each controller's own set-up.",
 		RunE: func(c *cobra.Command, _ []string) error {
-			r, err := d.reply(c, &fleet.Request{Kind: "policy"})
+			r, err := d.send(c, &fleet.Request{Kind: "policy"})
 			if err != nil {
 				return err
 			}
-			if d.json {
-				return printed(c, r)
+			if d.printAsJSON {
+				return printJSON(c, r)
 			}
 			fmt.Fprintln(c.ErrOrStderr(), "version", r.Version)
 			_, err = c.OutOrStdout().Write(r.Policy)
@@ -169,7 +169,7 @@
 }
 
 // oneOf is wrong about what --until can't be.
-func oneOf(until string, words ...string) error {
+func checkUntil(until string, words ...string) error {
 	if !slices.Contains(words, until) {
 		return fmt.Errorf("--until %s: it is %s", until, strings.Join(words[1:], " or "))
 	}
@@ -177,7 +177,7 @@
 }
 
 // moment reads a time, or a span before now.
-func moment(text string, now time.Time) (time.Time, error) {
+func parseTime(text string, now time.Time) (time.Time, error) {
 	if ago, err := time.ParseDuration(text); err == nil {
 		return now.Add(-ago), nil
 	}
@@ -189,15 +189,15 @@
 }
 
 // where is whom to ask, and by which keys.
-func (d *desk) where() (address string, keys transport.Keys, err error) {
-	address, file := d.control, d.keys
-	if d.setup != "" {
-		have, err := setup.Load(d.setup)
+func (d *controlClient) endpoint() (address string, keys transport.Keys, err error) {
+	address, file := d.controlAddress, d.keyFile
+	if d.setupFile != "" {
+		have, err := setup.Load(d.setupFile)
 		if err != nil {
 			return "", nil, err
 		}
 		if have.Fleet == nil {
-			return "", nil, fmt.Errorf("%s has no fleet part", d.setup)
+			return "", nil, fmt.Errorf("%s has no fleet part", d.setupFile)
 		}
 		address, file = cmp.Or(address, have.Fleet.ControlAddress), cmp.Or(file, have.Fleet.KeyFile)
 	}
@@ -209,24 +209,24 @@
 }
 
 // asksAfter is how long after its wait the answer may come.
-const asksAfter = 5 * time.Second
+const responseMargin = 5 * time.Second
 
 // ask asks and prints the answer; the error is the exit status.
-func (d *desk) ask(c *cobra.Command, a *fleet.Request) error {
+func (d *controlClient) sendAndPrint(c *cobra.Command, a *fleet.Request) error {
 	if a.ID == "" && a.Kind != "status" {
-		a.ID = draw()
-		if !d.json {
+		a.ID = randomID()
+		if !d.printAsJSON {
 			fmt.Fprintln(c.ErrOrStderr(), "id", a.ID)
 		}
 	}
-	r, err := d.reply(c, a)
+	r, err := d.send(c, a)
 	if err != nil {
 		return err
 	}
-	if d.json {
-		err = printed(c, r)
+	if d.printAsJSON {
+		err = printJSON(c, r)
 	} else {
-		err = show(c.OutOrStdout(), r)
+		err = printResponse(c.OutOrStdout(), r)
 	}
 	if status := r.ExitStatus(); status != 0 && err == nil {
 		return cli.Status{Code: status}
@@ -235,32 +235,32 @@
 }
 
 // reply asks. What may have been taken without an answer isn't known yet.
-func (d *desk) reply(c *cobra.Command, a *fleet.Request) (*fleet.Response, error) {
-	address, keys, err := d.where()
+func (d *controlClient) send(c *cobra.Command, a *fleet.Request) (*fleet.Response, error) {
+	address, keys, err := d.endpoint()
 	if err != nil {
-		return nil, remedied(err)
+		return nil, withRemedy(err)
 	}
 	if host, err := os.Hostname(); err == nil {
 		a.RequestedBy = cmp.Or(os.Getenv("USER"), "operator") + "@" + host
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), time.Duration(a.WaitMs)*time.Millisecond+asksAfter)
+	ctx, cancel := context.WithTimeout(context.Background(), time.Duration(a.WaitMs)*time.Millisecond+responseMargin)
 	defer cancel()
 	r, err := transport.SendControlRequest(ctx, address, keys, a)
 	var away *transport.UnreachableError
 	if errors.As(err, &away) && away.Sent && a.ID != "" {
 		return &fleet.Response{ID: a.ID, Outcome: "unknown", Reason: away.Error(), Remedy: away.Remedy()}, nil
 	}
-	return r, remedied(err)
+	return r, withRemedy(err)
 }
 
-func printed(c *cobra.Command, r any) error {
+func printJSON(c *cobra.Command, r any) error {
 	e := json.NewEncoder(c.OutOrStdout())
 	e.SetEscapeHTML(false)
 	return e.Encode(r)
 }
 
 // remedied is an error with what can be done about it.
-func remedied(err error) error {
+func withRemedy(err error) error {
 	var r fleet.ErrorWithRemedy
 	if errors.As(err, &r) {
 		return cli.Failed(1, fmt.Errorf("%w\n%s", err, r.Remedy()))
@@ -268,17 +268,17 @@
 	return err
 }
 
-func draw() string {
+func randomID() string {
 	p := make([]byte, 8)
 	rand.Read(p)
 	return hex.EncodeToString(p)
 }
 
 // show prints a reply for people.
-func show(out io.Writer, r *fleet.Response) error {
+func printResponse(out io.Writer, r *fleet.Response) error {
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	if r.Outcome != "status" {
-		line(w, r)
+		printOutcome(w, r)
 	}
 	if s := r.Status; s != nil {
 		leader := "leader " + s.Leader
@@ -294,16 +294,16 @@
 		}
 		fmt.Fprintf(w, "%s: %s, record %d, version %d, %s\n", s.Name, leader, s.Index, s.Version, serves)
 		if s.Change != nil {
-			line(w, s.Change)
+			printOutcome(w, s.Change)
 		}
 		for i := range s.Purges {
-			line(w, &s.Purges[i])
+			printOutcome(w, &s.Purges[i])
 		}
 		for _, rule := range s.Emergencies {
 			fmt.Fprintf(w, "emergency by rule %s\n", rule)
 		}
 		for _, b := range s.Bindings {
-			fmt.Fprintf(w, "tables %s of %s follow %s\n", numbers(b.Tables), b.Team, numbers(b.SourceTables))
+			fmt.Fprintf(w, "tables %s of %s follow %s\n", joinNumbers(b.Tables), b.Team, joinNumbers(b.SourceTables))
 		}
 		if len(s.Members) > 0 {
 			fmt.Fprintln(w, "\ncontroller\tsite\tvotes\tholds\trecord\tpeers\tclients")
@@ -317,14 +317,14 @@
 			if m.AppliedIndex > 0 {
 				applied = strconv.FormatUint(m.AppliedIndex, 10)
 			}
-			fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%s\t%s\n", m.Name, cmp.Or(m.Site, "-"), yes(m.IsVoter), holds, cmp.Or(applied, "-"), m.PeerAddress, cmp.Or(m.ClientAddress, "-"))
+			fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%s\t%s\n", m.Name, cmp.Or(m.Site, "-"), yesNo(m.IsVoter), holds, cmp.Or(applied, "-"), m.PeerAddress, cmp.Or(m.ClientAddress, "-"))
 		}
 	}
 	return w.Flush()
 }
 
 // line prints the word on one run.
-func line(w io.Writer, r *fleet.Response) {
+func printOutcome(w io.Writer, r *fleet.Response) {
 	text := r.Outcome
 	if r.ID != "" {
 		text = r.ID + ": " + text
@@ -353,14 +353,14 @@
 	}
 }
 
-func yes(is bool) string {
+func yesNo(is bool) string {
 	if is {
 		return "yes"
 	}
 	return "no"
 }
 
-func numbers(l []int64) string {
+func joinNumbers(l []int64) string {
 	all := make([]string, len(l))
 	for i, n := range l {
 		all[i] = strconv.FormatInt(n, 10)
--- a/cmd/railrelay-fleet/control_test.go
+++ b/cmd/railrelay-fleet/control_test.go
@@ -25,36 +25,36 @@
 
 // process is what the set-up of one process of a fleet says.
 type process struct {
-	name, dir, peer, control string
-	parts                    string // beside the fleet part
-	part                     string // further lines of the fleet part
-	voters                   string // the lines of voters
+	name, directory, peerAddress, controlAddress string
+	topLevelLines                                string // beside the fleet part
+	fleetLines                                   string // further lines of the fleet part
+	voterLines                                   string // the lines of voters
 }
 
 // begin starts it.
-func (p process) begin(t *testing.T) *member {
+func (p process) start(t *testing.T) *member {
 	t.Helper()
-	m := &member{t: t, name: p.name, setup: filepath.Join(p.dir, p.name+".yaml")}
+	m := &member{t: t, name: p.name, setup: filepath.Join(p.directory, p.name+".yaml")}
 	text := fmt.Sprintf("name: %s\nlog: info\n%sfleet:\n  name: trial\n  listen: %s\n  control: %s\n  directory: %s\n  keys: %s\n"+
-		"  lease: 1s\n  election: 300ms\n  heartbeat: 60ms\n%s%s", p.name, p.parts, p.peer, p.control, filepath.Join(p.dir, p.name),
-		filepath.Join(p.dir, "keys"), p.part, p.voters)
+		"  lease: 1s\n  election: 300ms\n  heartbeat: 60ms\n%s%s", p.name, p.topLevelLines, p.peerAddress, p.controlAddress, filepath.Join(p.directory, p.name),
+		filepath.Join(p.directory, "keys"), p.fleetLines, p.voterLines)
 	if err := os.WriteFile(m.setup, []byte(text), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	m.begin()
+	m.start()
 	return m
 }
 
 // apart starts processes that are set apart for control, three voters and one that only
 // relays, and controllers, which ask that one or, in its place, the first voter.
-func apart(t *testing.T) (voting, serving []*member, relay *member) {
+func startControlFleet(t *testing.T) (voting, serving []*member, relay *member) {
 	t.Helper()
-	dir, from := t.TempDir(), feed(t)
+	dir, from := t.TempDir(), startFeed(t)
 	keys := filepath.Join(dir, "keys")
 	if err := os.WriteFile(keys, []byte(strings.Repeat("5a", 32)+"\n"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	voters, at := "", free(t, 2*controlVoters+2+3*controllers)
+	voters, at := "", freeAddresses(t, 2*controlVoters+2+3*controllers)
 	next := func() (address string) {
 		address, at = at[0], at[1:]
 		return address
@@ -66,7 +66,7 @@
 		voters += fmt.Sprintf("    - {name: %s, address: %q}\n", name, peers[name])
 	}
 	begin := func(name, peer, parts, part string) *member {
-		return process{name: name, dir: dir, peer: peer, control: next(), parts: parts, part: part, voters: "  voters:\n" + voters}.begin(t)
+		return process{name: name, directory: dir, peerAddress: peer, controlAddress: next(), topLevelLines: parts, fleetLines: part, voterLines: "  voters:\n" + voters}.start(t)
 	}
 	for i := range controlVoters {
 		name, part := fmt.Sprintf("v%d", i), controlRole
@@ -92,15 +92,15 @@
 // word that it can't take one counts; the relay and the voter that leads are killed and
 // another leads the next change.
 func TestControlProcessesLeadControllers(t *testing.T) {
-	voting, serving, relay := apart(t)
+	voting, serving, relay := startControlFleet(t)
 	all := append(slices.Concat(voting, serving), relay)
 	for _, m := range all {
-		m.until("its lease and a leader", serves)
+		m.awaitStatus("its lease and a leader", isServing)
 	}
 	isVoter := func(name string) bool {
 		return slices.ContainsFunc(voting, func(m *member) bool { return m.name == name })
 	}
-	s := serving[0].until("all members", func(s *fleet.Status) bool { return serves(s) && len(s.Members) == len(all) })
+	s := serving[0].awaitStatus("all members", func(s *fleet.Status) bool { return isServing(s) && len(s.Members) == len(all) })
 	if !isVoter(s.Leader) {
 		t.Fatalf("%s leads", s.Leader)
 	}
@@ -119,7 +119,7 @@
 		return by.fleet("apply", policy, "--base", base, "--id", id, "--until", "settled")
 	}
 	const first = "placement: [{name: a-linz, team: a, engines: [linz]}]\n"
-	planLeavesOutControl(t, serving[0], first)
+	checkPlanExcludesControlProcesses(t, serving[0], first)
 	if r, status := apply(serving[0], "first", "1", first); status != 0 || r.Outcome != "settled" || r.Version != 2 {
 		t.Fatalf("%d %+v", status, r)
 	}
@@ -138,38 +138,38 @@
 	voting[i].kill()
 	rest := slices.Delete(slices.Clone(voting), i, i+1)
 	for _, m := range slices.Concat(rest, serving) {
-		m.until("another leader", func(now *fleet.Status) bool { return serves(now) && now.Leader != s.Leader })
+		m.awaitStatus("another leader", func(now *fleet.Status) bool { return isServing(now) && now.Leader != s.Leader })
 	}
 	if r, status := apply(rest[0], "fourth", "2", "placement: []\n"); status != 0 || r.Outcome != "settled" || r.Version != 3 {
 		t.Fatalf("after the leader was killed: %d %+v", status, r)
 	}
 	for _, m := range slices.Concat(rest, serving) {
-		m.until("the last version", func(s *fleet.Status) bool { return serves(s) && s.Version == 3 })
+		m.awaitStatus("the last version", func(s *fleet.Status) bool { return isServing(s) && s.Version == 3 })
 	}
-	heedsSignals(t, rest[0])
+	checkSignals(t, rest[0])
 	if out, errs, status := railrelay(t, "fleet", "plan", policy, "--alone", "--setup", rest[1].setup); status != 1 || !strings.Contains(errs, "name a controller's set-up") {
 		t.Errorf("a plan by a control process: %d %s%s", status, out, errs)
 	}
 }
 
 // Controllers that voted hand that over to control processes while they serve, by a policy.
-func TestControlProcessesTakeOverTheVotes(t *testing.T) {
-	serving := band(t, controlVoters, "")
+func TestVotesMoveToControlProcesses(t *testing.T) {
+	serving := startControllers(t, controlVoters, "")
 	text, err := os.ReadFile(serving[0].setup)
 	if err != nil {
 		t.Fatal(err)
 	}
-	dir, at := filepath.Dir(serving[0].setup), free(t, 2*controlVoters)
+	dir, at := filepath.Dir(serving[0].setup), freeAddresses(t, 2*controlVoters)
 	old := string(text[strings.Index(string(text), "  voters:"):])
 	var voting []*member
 	policy := "voters:\n"
 	for i := range controlVoters {
-		p := process{name: fmt.Sprintf("v%d", i), dir: dir, peer: at[2*i], control: at[2*i+1], part: controlRole, voters: old}
-		policy += fmt.Sprintf("  - {name: %s, address: %q}\n", p.name, p.peer)
-		voting = append(voting, p.begin(t))
+		p := process{name: fmt.Sprintf("v%d", i), directory: dir, peerAddress: at[2*i], controlAddress: at[2*i+1], fleetLines: controlRole, voterLines: old}
+		policy += fmt.Sprintf("  - {name: %s, address: %q}\n", p.name, p.peerAddress)
+		voting = append(voting, p.start(t))
 	}
 	all := slices.Concat(serving, voting)
-	serving[0].until("all members", func(s *fleet.Status) bool { return serves(s) && len(s.Members) == len(all) })
+	serving[0].awaitStatus("all members", func(s *fleet.Status) bool { return isServing(s) && len(s.Members) == len(all) })
 	file := filepath.Join(t.TempDir(), "policy.yaml")
 	if err := os.WriteFile(file, []byte(policy), 0o600); err != nil {
 		t.Fatal(err)
@@ -178,16 +178,16 @@
 		t.Fatalf("%d %+v", status, r)
 	}
 	for _, m := range all {
-		m.until("a control process as leader", func(s *fleet.Status) bool { return serves(s) && s.Version == 2 && strings.HasPrefix(s.Leader, "v") })
+		m.awaitStatus("a control process as leader", func(s *fleet.Status) bool { return isServing(s) && s.Version == 2 && strings.HasPrefix(s.Leader, "v") })
 	}
-	voting[0].until("the votes with control processes only", func(s *fleet.Status) bool {
+	voting[0].awaitStatus("the votes with control processes only", func(s *fleet.Status) bool {
 		return !slices.ContainsFunc(s.Members, func(m fleet.MemberStatus) bool { return m.IsVoter != strings.HasPrefix(m.Name, "v") })
 	})
 }
 
 // planLeavesOutControl has a plan name those that take queries only, all of which are in
 // steyr, as outside of a boundary round linz.
-func planLeavesOutControl(t *testing.T, by *member, text string) {
+func checkPlanExcludesControlProcesses(t *testing.T, by *member, text string) {
 	t.Helper()
 	policy := filepath.Join(t.TempDir(), "policy.yaml")
 	if err := os.WriteFile(policy, []byte(text), 0o600); err != nil {
@@ -200,7 +200,7 @@
 }
 
 // What the set-up says of relays comes to the fleet's core.
-func TestRelaysOfTheSetUpAreBegunWith(t *testing.T) {
+func TestNodeConfigContainsRelays(t *testing.T) {
 	for name, want := range map[string]node.Config{
 		"control.yaml": {},
 		"relay.yaml":   {IsRelay: true},
@@ -210,7 +210,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		b := begin(have)
+		b := nodeConfig(have)
 		if b.IsRelay != want.IsRelay || !slices.Equal(b.Relays, want.Relays) || len(b.Voters) != 3 || b.Self.Name != have.Name {
 			t.Errorf("%s: %+v", name, b)
 		}
@@ -218,18 +218,18 @@
 }
 
 // heedsSignals has a control process log its counters, read its keys again and end.
-func heedsSignals(t *testing.T, m *member) {
+func checkSignals(t *testing.T, m *member) {
 	t.Helper()
 	m.cmd.Process.Signal(syscall.SIGUSR1)
-	if line := m.hears(`"message":"counters"`); !strings.Contains(line, `"version":3`) || !strings.Contains(line, `"holds_lease":true`) {
+	if line := m.awaitLog(`"message":"counters"`); !strings.Contains(line, `"version":3`) || !strings.Contains(line, `"holds_lease":true`) {
 		t.Error(line)
 	}
 	m.cmd.Process.Signal(syscall.SIGHUP)
-	m.hears("the configuration was read again")
+	m.awaitLog("the configuration was read again")
 	m.cmd.Process.Signal(syscall.SIGTERM)
 	select {
-	case <-m.ended:
-	case <-time.After(patienceMost):
+	case <-m.exited:
+	case <-time.After(testTimeout):
 		t.Fatal("it doesn't end")
 	}
 	if !m.cmd.ProcessState.Success() {
@@ -239,23 +239,23 @@
 
 // A policy that is in force is never refused by a control process, whatever is known of
 // the rules before: it couldn't be withdrawn any more.
-func TestAControlProcessTakesWhatIsInForce(t *testing.T) {
+func TestControlProcessAcceptsCommittedPolicy(t *testing.T) {
 	own, err := setup.Load("../../deploy/fleet/control.yaml")
 	if err != nil {
 		t.Fatal(err)
 	}
-	before := checkControl(own, "first", []byte("placement: [{name: a, team: x, engines: [linz]}]"), driver.PolicyContext{})
+	before := checkControlPolicy(own, "first", []byte("placement: [{name: a, team: x, engines: [linz]}]"), driver.PolicyContext{})
 	if before.Reason != "" || before.ResidencyRulesUnknown || len(before.PurgeScopes) != 1 || before.PurgeScopes[0].Team != "x" {
 		t.Fatalf("%+v", before)
 	}
 	unstated := []byte("groups: [{name: lookup, target: 2s}]")
-	if c := checkControl(own, "second", unstated, driver.PolicyContext{Policy: before.Policy}); !strings.Contains(c.Reason, "placement: is missing") || !strings.Contains(c.Reason, "apply it again") {
+	if c := checkControlPolicy(own, "second", unstated, driver.PolicyContext{Policy: before.Policy}); !strings.Contains(c.Reason, "placement: is missing") || !strings.Contains(c.Reason, "apply it again") {
 		t.Errorf("%+v", c)
 	}
-	if c := checkControl(own, "in force 3", unstated, driver.PolicyContext{Policy: before.Policy, Committed: true}); c.Reason != "" || c.Policy == nil || !c.ResidencyRulesUnknown {
+	if c := checkControlPolicy(own, "in force 3", unstated, driver.PolicyContext{Policy: before.Policy, Committed: true}); c.Reason != "" || c.Policy == nil || !c.ResidencyRulesUnknown {
 		t.Errorf("%+v", c)
 	}
-	if c := checkControl(own, "third", []byte("placement: 3"), driver.PolicyContext{Committed: true}); c.Reason == "" {
+	if c := checkControlPolicy(own, "third", []byte("placement: 3"), driver.PolicyContext{Committed: true}); c.Reason == "" {
 		t.Errorf("no policy at all is taken: %+v", c)
 	}
 }
--- a/cmd/railrelay-fleet/fleet_test.go
+++ b/cmd/railrelay-fleet/fleet_test.go
@@ -21,16 +21,16 @@
 	"railrelay.dev/railrelay/internal/fleet"
 )
 
-const patienceMost = 30 * time.Second // for what has to come; only a fault makes a test wait so long
+const testTimeout = 30 * time.Second // for what has to come; only a fault makes a test wait so long
 
-var bin string // where both programs are
+var binaries string // where both programs are
 
 func TestMain(m *testing.M) {
 	dir, err := os.MkdirTemp("", "railrelay")
 	if err != nil {
 		panic(err)
 	}
-	bin = dir
+	binaries = dir
 	if out, err := exec.Command("go", "build", "-race=false", "-tags", "debug", "-o", dir+"/", ".", "../railrelay").CombinedOutput(); err != nil {
 		panic(string(out))
 	}
@@ -41,16 +41,16 @@
 
 // member is one controller of a fleet: the lean program, which becomes the other one.
 type member struct {
-	t     *testing.T
-	name  string
-	setup string
-	cmd   *exec.Cmd
-	said  chan string
-	ended chan struct{}
+	t        *testing.T
+	name     string
+	setup    string
+	cmd      *exec.Cmd
+	logLines chan string
+	exited   chan struct{}
 }
 
 // free gives addresses that nobody listens on.
-func free(t *testing.T, n int) (l []string) {
+func freeAddresses(t *testing.T, n int) (l []string) {
 	t.Helper()
 	for range n {
 		address, err := loopback.Address()
@@ -63,9 +63,9 @@
 }
 
 // feed names one engine and goes on telling that there is nothing new.
-func feed(t *testing.T) string { return feedOf(t, "127.0.0.1:9") }
+func startFeed(t *testing.T) string { return startFeedWithEngine(t, "127.0.0.1:9") }
 
-func feedOf(t *testing.T, engine string) string {
+func startFeedWithEngine(t *testing.T, engine string) string {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -91,14 +91,14 @@
 }
 
 // band starts a fleet of controllers of which all vote.
-func band(t *testing.T, n int, more string) []*member {
+func startControllers(t *testing.T, n int, more string) []*member {
 	t.Helper()
-	dir, from := t.TempDir(), feed(t)
+	dir, from := t.TempDir(), startFeed(t)
 	keys := filepath.Join(dir, "keys")
 	if err := os.WriteFile(keys, []byte(strings.Repeat("5a", 32)+"\n"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	at := free(t, 3*n)
+	at := freeAddresses(t, 3*n)
 	voters := ""
 	for i := range n {
 		voters += fmt.Sprintf("    - {name: c%d, address: %q}\n", i, at[3*i])
@@ -127,15 +127,15 @@
 		if err := os.WriteFile(m.setup, []byte(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
-		m.begin()
+		m.start()
 		all = append(all, m)
 	}
 	return all
 }
 
-func (m *member) begin() {
+func (m *member) start() {
 	m.t.Helper()
-	m.cmd = exec.Command(filepath.Join(bin, "railrelay"), "serve", "--setup", m.setup)
+	m.cmd = exec.Command(filepath.Join(binaries, "railrelay"), "serve", "--setup", m.setup)
 	m.cmd.Env = append(os.Environ(), "RAILRELAY_LOG=info")
 	out, err := m.cmd.StderrPipe()
 	if err != nil {
@@ -145,7 +145,7 @@
 		m.t.Fatal(err)
 	}
 	said, ended, cmd := make(chan string, 4096), make(chan struct{}), m.cmd
-	m.said, m.ended = said, ended
+	m.logLines, m.exited = said, ended
 	go func() {
 		for s := bufio.NewScanner(out); s.Scan(); {
 			select {
@@ -163,7 +163,7 @@
 func (m *member) told() {
 	for m.t.Failed() {
 		select {
-		case line := <-m.said:
+		case line := <-m.logLines:
 			m.t.Log(m.name, line)
 		default:
 			return
@@ -173,7 +173,7 @@
 
 func (m *member) kill() {
 	m.cmd.Process.Kill()
-	<-m.ended
+	<-m.exited
 }
 
 // fleet runs a command and gives its answer and exit status.
@@ -190,7 +190,7 @@
 func railrelay(t *testing.T, args ...string) (out, errs string, status int) {
 	t.Helper()
 	var o, e bytes.Buffer
-	cmd := exec.Command(filepath.Join(bin, "railrelay"), args...)
+	cmd := exec.Command(filepath.Join(binaries, "railrelay"), args...)
 	cmd.Stdout, cmd.Stderr = &o, &e
 	err := cmd.Run()
 	var exit *exec.ExitError
@@ -204,10 +204,10 @@
 }
 
 // until asks a member for its status until it is as wanted.
-func (m *member) until(what string, good func(s *fleet.Status) bool) *fleet.Status {
+func (m *member) awaitStatus(what string, good func(s *fleet.Status) bool) *fleet.Status {
 	m.t.Helper()
 	var last string
-	for end := time.Now().Add(patienceMost); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
+	for end := time.Now().Add(testTimeout); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
 		r, _ := m.fleet("status")
 		if r.Status != nil && good(r.Status) {
 			return r.Status
@@ -219,24 +219,24 @@
 	return nil
 }
 
-func serves(s *fleet.Status) bool { return s.Serves && s.Leader != "" }
+func isServing(s *fleet.Status) bool { return s.Serves && s.Leader != "" }
 
 // Three processes: one leads and all serve. The leader is killed and another leads. A
 // change is in force, a second one against the same version is refused, a team's purge
 // is unreachable while one is down and done once that is back; each word is the same
 // when it is asked for again of another one.
-func TestThreeControllersDecideTogether(t *testing.T) {
-	all := band(t, 3, "")
+func TestThreeControllersAgreeOnChanges(t *testing.T) {
+	all := startControllers(t, 3, "")
 	for _, m := range all {
-		m.until("its lease and a leader", serves)
+		m.awaitStatus("its lease and a leader", isServing)
 	}
-	leader := all[0].until("three members", func(s *fleet.Status) bool { return serves(s) && len(s.Members) == 3 }).Leader
+	leader := all[0].awaitStatus("three members", func(s *fleet.Status) bool { return isServing(s) && len(s.Members) == 3 }).Leader
 	i := slices.IndexFunc(all, func(m *member) bool { return m.name == leader })
 	lost := all[i]
 	rest := slices.Delete(slices.Clone(all), i, i+1)
 	lost.kill()
 	for _, m := range rest {
-		m.until("another leader", func(s *fleet.Status) bool { return serves(s) && s.Leader != leader })
+		m.awaitStatus("another leader", func(s *fleet.Status) bool { return isServing(s) && s.Leader != leader })
 	}
 
 	policy := filepath.Join(t.TempDir(), "policy.yaml")
@@ -270,11 +270,11 @@
 	if r, status := rest[1].fleet("status", "--id", "p1", "--at-most", "200ms"); status != 4 || r.Outcome != "unknown" || !slices.Contains(r.Outstanding, lost.name) {
 		t.Fatalf("it waits for nobody: %d %+v", status, r)
 	}
-	lost.begin()
+	lost.start()
 	if r, status := rest[1].fleet("purge", "--team", "a", "--id", "p1", "--at-most", "20s"); status != 0 || r.Outcome != "purged" || r.Counts == nil {
 		t.Fatalf("purge with all there: %d %+v", status, r)
 	}
-	lost.until("the policy it has missed", func(s *fleet.Status) bool { return serves(s) && s.Version == 2 })
+	lost.awaitStatus("the policy it has missed", func(s *fleet.Status) bool { return isServing(s) && s.Version == 2 })
 	if r, status := lost.fleet("status", "--id", "first", "--until", "settled", "--at-most", "20s"); status != 0 || r.Outcome != "settled" {
 		t.Fatalf("nothing is left outside: %d %+v", status, r)
 	}
@@ -303,8 +303,8 @@
 		t.Fatal(err)
 	}
 	select {
-	case <-lost.ended:
-	case <-time.After(patienceMost):
+	case <-lost.exited:
+	case <-time.After(testTimeout):
 		t.Error("it doesn't end")
 	}
 	if !lost.cmd.ProcessState.Success() {
@@ -313,11 +313,11 @@
 }
 
 // hears waits for a line of its log.
-func (m *member) hears(what string) string {
+func (m *member) awaitLog(what string) string {
 	m.t.Helper()
-	for wait := time.After(patienceMost); ; {
+	for wait := time.After(testTimeout); ; {
 		select {
-		case line := <-m.said:
+		case line := <-m.logLines:
 			if strings.Contains(line, what) {
 				return line
 			}
@@ -329,10 +329,10 @@
 
 // The key is replaced while all serve: second line everywhere, first line, alone. Who
 // has only the old one gets nowhere after that.
-func TestTheKeyIsReplaced(t *testing.T) {
-	all := band(t, 3, "")
+func TestKeyRotation(t *testing.T) {
+	all := startControllers(t, 3, "")
 	for _, m := range all {
-		m.until("its lease", serves)
+		m.awaitStatus("its lease", isServing)
 	}
 	was, next := strings.Repeat("5a", 32), strings.Repeat("a5", 32)
 	keys := filepath.Join(filepath.Dir(all[0].setup), "keys")
@@ -342,8 +342,8 @@
 		}
 		for _, m := range all {
 			m.cmd.Process.Signal(syscall.SIGHUP)
-			m.hears("the configuration was read again")
-			if s := m.until("its lease", func(s *fleet.Status) bool { return s.Leader != "" }); !s.Serves {
+			m.awaitLog("the configuration was read again")
+			if s := m.awaitStatus("its lease", func(s *fleet.Status) bool { return s.Leader != "" }); !s.Serves {
 				t.Errorf("%s stopped serving", m.name)
 			}
 		}
@@ -356,7 +356,7 @@
 		t.Errorf("by the old key: %d %s", status, errs)
 	}
 	for _, m := range all { // each asks for its lease anew within the time it has: by the new key
-		m.until("its lease", serves)
+		m.awaitStatus("its lease", isServing)
 	}
 	if r, status := all[1].fleet("purge", "--team", "a"); status != 0 || r.Outcome != "purged" {
 		t.Errorf("by the new key: %d %+v", status, r)
@@ -364,12 +364,12 @@
 }
 
 // What can't be asked says why and what to do, and the exit status tells it from a refusal.
-func TestCommandsThatReachNobody(t *testing.T) {
+func TestCommandErrors(t *testing.T) {
 	dir := t.TempDir()
 	keys, open := filepath.Join(dir, "keys"), filepath.Join(dir, "open")
 	os.WriteFile(keys, []byte(strings.Repeat("5a", 32)+"\n"), 0o600)
 	os.WriteFile(open, []byte(strings.Repeat("5a", 32)+"\n"), 0o644)
-	at := free(t, 1)[0]
+	at := freeAddresses(t, 1)[0]
 	for _, c := range []struct {
 		args   []string
 		status int
@@ -394,12 +394,12 @@
 	}
 }
 
-func TestMoments(t *testing.T) {
+func TestParseTime(t *testing.T) {
 	now := time.Date(2026, 11, 30, 18, 0, 0, 0, time.UTC)
-	if at, err := moment("2h", now); err != nil || !at.Equal(now.Add(-2*time.Hour)) {
+	if at, err := parseTime("2h", now); err != nil || !at.Equal(now.Add(-2*time.Hour)) {
 		t.Error(at, err)
 	}
-	if at, err := moment("2026-11-30T17:00:00Z", now); err != nil || !at.Equal(now.Add(-time.Hour)) {
+	if at, err := parseTime("2026-11-30T17:00:00Z", now); err != nil || !at.Equal(now.Add(-time.Hour)) {
 		t.Error(at, err)
 	}
 }
--- a/cmd/railrelay-fleet/join.go
+++ b/cmd/railrelay-fleet/join.go
@@ -18,7 +18,7 @@
 )
 
 // begin is what the set-up's fleet part says of this process, for the fleet's core.
-func begin(have *setup.Setup) node.Config {
+func nodeConfig(have *setup.Setup) node.Config {
 	part, terms := have.Fleet, have.Fleet.Parameters()
 	b := node.Config{Self: have.Member(), Lease: terms.Lease, ConfinedLease: terms.ConfinedLease, ClockDrift: terms.ClockDrift,
 		ElectionTimeout: terms.ElectionTimeout, HeartbeatInterval: terms.HeartbeatInterval, SnapshotAfterEntries: terms.SnapshotAfterEntries, IsRelay: part.IsRelay}
@@ -34,16 +34,16 @@
 // join opens the set-up's part in its fleet.
 func join(have *setup.Setup, means *controller.Config, log zerolog.Logger) (cli.Joined, error) {
 	f := have.Fleet
-	judge := check
+	judge := checkPolicy
 	if have.IsControlProcess() {
-		judge = checkControl
+		judge = checkControlPolicy
 	}
-	e, err := driver.Open(driver.Options{Node: begin(have), Fleet: f.Name, PeerAddress: f.ListenAddress, ControlAddress: f.ControlAddress, Directory: f.Directory, KeyFile: f.KeyFile,
+	e, err := driver.Open(driver.Options{Node: nodeConfig(have), Fleet: f.Name, PeerAddress: f.ListenAddress, ControlAddress: f.ControlAddress, Directory: f.Directory, KeyFile: f.KeyFile,
 		StartTime: means.StartedAt, Log: log, CheckPolicy: func(change string, text []byte, now driver.PolicyContext) driver.PolicyVerdict {
 			return judge(have, change, text, now)
 		}})
 	if err != nil {
-		return cli.Joined{}, remedied(err)
+		return cli.Joined{}, withRemedy(err)
 	}
 	means.Fleet = &controller.FleetConfig{ServingState: &fleet.ServingState{}, MaxHold: f.Parameters().MaxHold}
 	status := func(ctx context.Context) *fleet.Status { return e.Request(ctx, &fleet.Request{Kind: "status"}).Status }
@@ -52,10 +52,10 @@
 
 // check makes of a policy's text what the reducer decides by, and tells what of it is
 // narrower than what is in force.
-func check(own *setup.Setup, change string, text []byte, have driver.PolicyContext) driver.PolicyVerdict {
+func checkPolicy(own *setup.Setup, change string, text []byte, have driver.PolicyContext) driver.PolicyVerdict {
 	policy, watched, voters, err := setup.ParsePolicy("policy "+change, text, own)
 	if err != nil {
-		return refused(err)
+		return rejectPolicy(err)
 	}
 	c := driver.PolicyVerdict{Policy: policy, WatchedRules: watched, Voters: voters}
 	before, _ := have.Policy.(*controller.Policy)
@@ -75,11 +75,11 @@
 // checkControl makes of a policy's text what a control process leads by, and tells what
 // has to be purged for it. Such a process knows no teams, groups or engines: it checks the
 // form only, and each controller the rest.
-func checkControl(own *setup.Setup, change string, text []byte, have driver.PolicyContext) driver.PolicyVerdict {
+func checkControlPolicy(own *setup.Setup, change string, text []byte, have driver.PolicyContext) driver.PolicyVerdict {
 	file := "policy " + change
 	policy, err := setup.ParseControlPolicy(file, text, own)
 	if err != nil {
-		return refused(err)
+		return rejectPolicy(err)
 	}
 	c := driver.PolicyVerdict{Policy: policy, WatchedRules: policy.WatchedRules, Voters: policy.Voters, ResidencyRulesUnknown: !policy.RulesKnown}
 	if have.Committed { // what it purges was worked out before it was decided
@@ -90,13 +90,13 @@
 		before = own.BaseControlPolicy()
 	}
 	if c.PurgeScopes, err = policy.PurgeScopes(file, before, have.Bindings); err != nil {
-		return refused(err)
+		return rejectPolicy(err)
 	}
 	return c
 }
 
 // refused is the word on a policy that can't be taken.
-func refused(err error) driver.PolicyVerdict {
+func rejectPolicy(err error) driver.PolicyVerdict {
 	why := err.Error()
 	var r fleet.ErrorWithRemedy
 	if errors.As(err, &r) {
--- a/cmd/railrelay-fleet/plan.go
+++ b/cmd/railrelay-fleet/plan.go
@@ -20,7 +20,7 @@
 )
 
 // plan tells what a policy would do, and asks nobody to do anything.
-func (d *desk) plan() *cobra.Command {
+func (d *controlClient) planCommand() *cobra.Command {
 	alone := false
 	c := &cobra.Command{Use: "plan FILE --setup SETUP", Short: "Tell what a policy would do before it is applied", Args: cobra.ExactArgs(1),
 		Long: "Check a policy against a controller's set-up and tell what its placement rules would do: which engines and controllers are\n" +
@@ -28,15 +28,15 @@
 			"The policy in force, the controllers and bindings are asked of the fleet, the engines of the feed. Exit status 3: it can't\n" +
 			"be taken, or a team would have no engine or controller.",
 		RunE: func(c *cobra.Command, args []string) error {
-			if d.setup == "" {
+			if d.setupFile == "" {
 				return errors.New("--setup is missing: the policy is checked against it")
 			}
-			own, err := setup.Load(d.setup)
+			own, err := setup.Load(d.setupFile)
 			if err != nil {
 				return err
 			}
 			if own.IsControlProcess() {
-				return fmt.Errorf("%s is of a control process, which has no teams or engines to check a policy against: name a controller's set-up", d.setup)
+				return fmt.Errorf("%s is of a control process, which has no teams or engines to check a policy against: name a controller's set-up", d.setupFile)
 			}
 			text, err := os.ReadFile(args[0])
 			if err != nil {
@@ -44,24 +44,24 @@
 			}
 			next, _, _, err := setup.ParsePolicy(args[0], text, own)
 			if err != nil {
-				return cli.Failed(3, remedied(err))
+				return cli.Failed(3, withRemedy(err))
 			}
 			if alone {
-				if d.json {
-					return printed(c, map[string]bool{"good": true})
+				if d.printAsJSON {
+					return printJSON(c, map[string]bool{"good": true})
 				}
 				_, err = fmt.Fprintln(c.OutOrStdout(), args[0]+": good")
 				return err
 			}
-			now, world, err := d.world(c, own)
+			now, world, err := d.fleetState(c, own)
 			if err != nil {
 				return err
 			}
 			was, _ := now.Rules.([]residency.Rule)
 			rules, _ := next.Rules.([]residency.Rule)
 			o := residency.Plan(was, rules, world)
-			if d.json {
-				err = printed(c, o)
+			if d.printAsJSON {
+				err = printJSON(c, o)
 			} else if len(o.Rows) == 0 {
 				_, err = fmt.Fprintln(c.OutOrStdout(), args[0]+": good; it binds no team to any site")
 			} else {
@@ -77,15 +77,15 @@
 }
 
 // world asks for what there is: the policy in force, controllers, bindings, engines.
-func (d *desk) world(c *cobra.Command, own *setup.Setup) (now *controller.Policy, w residency.World, err error) {
-	policy, err := d.reply(c, &fleet.Request{Kind: "policy"})
+func (d *controlClient) fleetState(c *cobra.Command, own *setup.Setup) (now *controller.Policy, w residency.World, err error) {
+	policy, err := d.send(c, &fleet.Request{Kind: "policy"})
 	if err != nil {
 		return nil, w, err
 	}
 	if now, _, _, err = setup.ParsePolicy("the policy in force", policy.Policy, own); err != nil {
-		return nil, w, remedied(err)
+		return nil, w, withRemedy(err)
 	}
-	status, err := d.reply(c, &fleet.Request{Kind: "status"})
+	status, err := d.send(c, &fleet.Request{Kind: "status"})
 	if err != nil {
 		return nil, w, err
 	}
@@ -98,15 +98,15 @@
 		}
 	}
 	w.Bindings = status.Status.Bindings
-	w.Engines, err = engines(own, listed)
+	w.Engines, err = activeEngines(own, discoveryTimeout)
 	return now, w, err
 }
 
 // listed is how long the feed has to name all engines.
-const listed = 5 * time.Second
+const discoveryTimeout = 5 * time.Second
 
 // engines are those that serve, by the feed's whole list.
-func engines(own *setup.Setup, within time.Duration) ([]residency.Engine, error) {
+func activeEngines(own *setup.Setup, within time.Duration) ([]residency.Engine, error) {
 	conn, err := net.DialTimeout("tcp", own.DiscoveryAddress, within)
 	if err != nil {
 		return nil, fmt.Errorf("the feed of engines: %w", err)
@@ -116,11 +116,11 @@
 	if _, err := conn.Write(discovery.Since(nil, 0)); err != nil {
 		return nil, fmt.Errorf("the feed of engines: %w", err)
 	}
-	h := &hearer{cores: map[string]float64{}, all: map[string]residency.Engine{}}
+	h := &engineCollector{coresByKind: map[string]float64{}, engines: map[string]residency.Engine{}}
 	for _, k := range own.Engines.Kinds {
-		h.cores[k.Name] = k.Cores
+		h.coresByKind[k.Name] = k.Cores
 	}
-	for in := bufio.NewReader(conn); !h.whole || h.had < h.last; {
+	for in := bufio.NewReader(conn); !h.complete || h.current < h.last; {
 		line, err := in.ReadBytes('\n')
 		if err != nil {
 			return nil, fmt.Errorf("the feed of engines: %w", err)
@@ -130,35 +130,35 @@
 		}
 	}
 	var l []residency.Engine
-	for _, e := range h.all {
+	for _, e := range h.engines {
 		l = append(l, e)
 	}
 	return l, nil
 }
 
 // hearer gathers the engines that serve.
-type hearer struct {
-	cores     map[string]float64
-	all       map[string]residency.Engine
-	had, last int64
-	whole     bool
+type engineCollector struct {
+	coresByKind   map[string]float64
+	engines       map[string]residency.Engine
+	current, last int64
+	complete      bool
 }
 
-func (h *hearer) Event(number int64, whole bool) bool {
+func (h *engineCollector) Event(number int64, whole bool) bool {
 	if whole {
-		h.whole = true
-		clear(h.all)
+		h.complete = true
+		clear(h.engines)
 	}
-	h.had = number
+	h.current = number
 	return true
 }
 
-func (h *hearer) Engine(id, _, location, kind string, _ int, state scheduler.EngineState, _ int64) {
-	if delete(h.all, id); state == scheduler.EngineActive {
-		h.all[id] = residency.Engine{Name: id, Site: location, Threads: h.cores[kind]}
+func (h *engineCollector) Engine(id, _, location, kind string, _ int, state scheduler.EngineState, _ int64) {
+	if delete(h.engines, id); state == scheduler.EngineActive {
+		h.engines[id] = residency.Engine{Name: id, Site: location, Threads: h.coresByKind[kind]}
 	}
 }
 
-func (h *hearer) EventEnds()        {}
-func (h *hearer) Last(number int64) { h.last = number }
-func (h *hearer) Odd(string)        {}
+func (h *engineCollector) EventEnds()        {}
+func (h *engineCollector) Last(number int64) { h.last = number }
+func (h *engineCollector) Odd(string)        {}
--- a/cmd/railrelay-fleet/purge_test.go
+++ b/cmd/railrelay-fleet/purge_test.go
@@ -19,13 +19,13 @@
 
 // customer is one connection of a team's.
 type customer struct {
-	t    *testing.T
-	conn net.Conn
-	in   []byte
-	msg  uint32
+	t           *testing.T
+	conn        net.Conn
+	unread      []byte
+	lastMessage uint32
 }
 
-func (m *member) customer() *customer {
+func (m *member) newCustomer() *customer {
 	m.t.Helper()
 	text, err := os.ReadFile(m.setup)
 	if err != nil {
@@ -42,46 +42,46 @@
 }
 
 // hears sends a call and gives its answer.
-func (c *customer) hears(call func(dst []byte, msg uint32) []byte) client.Answer {
+func (c *customer) call(call func(dst []byte, msg uint32) []byte) client.Answer {
 	c.t.Helper()
-	c.msg++
-	if _, err := c.conn.Write(call(nil, c.msg)); err != nil {
+	c.lastMessage++
+	if _, err := c.conn.Write(call(nil, c.lastMessage)); err != nil {
 		c.t.Fatal(err)
 	}
-	c.conn.SetReadDeadline(time.Now().Add(patienceMost))
+	c.conn.SetReadDeadline(time.Now().Add(testTimeout))
 	p := make([]byte, 1<<16)
 	for {
-		a, n, err := client.Read(c.in)
+		a, n, err := client.Read(c.unread)
 		if err != nil {
 			c.t.Fatal(err)
 		}
 		if n > 0 {
-			c.in = c.in[n:]
+			c.unread = c.unread[n:]
 			return a
 		}
 		if n, err = c.conn.Read(p); err != nil {
 			c.t.Fatal(err)
 		}
-		c.in = append(c.in, p[:n]...)
+		c.unread = append(c.unread, p[:n]...)
 	}
 }
 
-func (c *customer) asks(id string, fields ...string) client.Answer {
+func (c *customer) query(id string, fields ...string) client.Answer {
 	c.t.Helper()
-	return c.hears(func(dst []byte, msg uint32) []byte {
+	return c.call(func(dst []byte, msg uint32) []byte {
 		return client.Call(dst, msg, "lookup", engine.Statement(engine.Work{Threads: 1, CPU: 5 * time.Millisecond, MemoryMB: 1, Rows: 6000, Tables: 3}),
 			append([]string{"trace", id, "patience", "20000", "team", "a"}, fields...)...)
 	})
 }
 
-func (c *customer) page(token string) client.Answer {
+func (c *customer) readPage(token string) client.Answer {
 	c.t.Helper()
-	return c.hears(func(dst []byte, msg uint32) []byte { return client.Page(dst, msg, token, "1", "team", "a") })
+	return c.call(func(dst []byte, msg uint32) []byte { return client.Page(dst, msg, token, "1", "team", "a") })
 }
 
-func (c *customer) purges(fields ...string) client.Answer {
+func (c *customer) purge(fields ...string) client.Answer {
 	c.t.Helper()
-	return c.hears(func(dst []byte, msg uint32) []byte {
+	return c.call(func(dst []byte, msg uint32) []byte {
 		return client.Purge(dst, msg, append([]string{"team", "a"}, fields...)...)
 	})
 }
@@ -89,7 +89,7 @@
 // A customer purges what is kept of its team while a controller that keeps some of it is
 // down: not yet, and who is waited for. That one comes back, serves nothing of it, and
 // the same run is done by another controller's word, once nothing of it is in any file.
-func TestACustomerPurges(t *testing.T) {
+func TestCustomerPurge(t *testing.T) {
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
 	figures := engine.Usual()
@@ -98,7 +98,7 @@
 		t.Fatal(err)
 	}
 	defer e.Close()
-	all := band(t, 3, "")
+	all := startControllers(t, 3, "")
 	for _, m := range all { // the same with an engine that answers, and something to keep
 		m.kill()
 		text, err := os.ReadFile(m.setup)
@@ -108,20 +108,20 @@
 		before, rest, _ := strings.Cut(string(text), "feed: ")
 		_, rest, _ = strings.Cut(rest, "\n")
 		more := fmt.Sprintf("spool: {field: pages, directory: %q, memory_mb: 1}\nanswers: {fresh: 1h}\n", filepath.Join(filepath.Dir(m.setup), "spool-"+m.name))
-		if err := os.WriteFile(m.setup, []byte(before+"feed: "+feedOf(t, e.Addr().String())+"\n"+more+rest), 0o600); err != nil {
+		if err := os.WriteFile(m.setup, []byte(before+"feed: "+startFeedWithEngine(t, e.Addr().String())+"\n"+more+rest), 0o600); err != nil {
 			t.Fatal(err)
 		}
-		m.begin()
+		m.start()
 	}
 	ids, tokens := []string{"00000000000000a0", "00000000000000a1", "00000000000000a2"}, make([]string, 3)
 	for i, m := range all {
-		m.until("a lease", serves)
-		a := m.customer().asks(ids[i], "pages", "1")
+		m.awaitStatus("a lease", isServing)
+		a := m.newCustomer().query(ids[i], "pages", "1")
 		if tokens[i] = a.About["token"]; tokens[i] == "" {
 			t.Fatalf("nothing is kept: %+v", a)
 		}
 	}
-	whole, again := all[2].customer().asks("00000000000000b0"), all[2].customer().asks("00000000000000b1")
+	whole, again := all[2].newCustomer().query("00000000000000b0"), all[2].newCustomer().query("00000000000000b1")
 	if whole.Kind != client.Finished || !bytes.Equal(whole.Rows, again.Rows) {
 		t.Fatalf("no answer is kept: %v %v", whole.Kind, again.Kind)
 	}
@@ -145,32 +145,32 @@
 		t.Fatal("it isn't on disk: ", holds())
 	}
 	all[1].kill()
-	first := all[0].customer().purges("patience", "1000", "tables", "3,9")
+	first := all[0].newCustomer().purge("patience", "1000", "tables", "3,9")
 	id := first.About["id"]
-	for end := time.Now().Add(patienceMost); first.About["outstanding"] != "c1" || first.About["stage"] != "unreachable"; { // the one down may have led
+	for end := time.Now().Add(testTimeout); first.About["outstanding"] != "c1" || first.About["stage"] != "unreachable"; { // the one down may have led
 		if first.Kind != client.Finished || first.About["state"] != "not yet" || id == "" || time.Now().After(end) {
 			t.Fatalf("while one is down: %+v", first)
 		}
-		first = all[0].customer().purges("patience", "1000", "id", id)
+		first = all[0].newCustomer().purge("patience", "1000", "id", id)
 	}
 	for i, m := range []*member{all[0], all[2]} {
-		if a := m.customer().page(tokens[2*i]); a.Kind != client.Killed {
+		if a := m.newCustomer().readPage(tokens[2*i]); a.Kind != client.Killed {
 			t.Fatalf("%s serves what was purged: %v", m.name, a.Kind)
 		}
 	}
-	all[1].begin()
-	done := all[2].customer().purges("id", id, "patience", "25000")
+	all[1].start()
+	done := all[2].newCustomer().purge("id", id, "patience", "25000")
 	if n := done.About; n["state"] != "purged" || n["results"] != "3" || n["answers"] != "1" {
 		t.Fatalf("once it is back: %+v", done)
 	}
 	if l := holds(); len(l) > 0 {
 		t.Fatal("purged is told, and it is in ", l)
 	}
-	all[1].until("a lease", serves)
-	if a := all[1].customer().page(tokens[1]); a.Kind != client.Killed {
+	all[1].awaitStatus("a lease", isServing)
+	if a := all[1].newCustomer().readPage(tokens[1]); a.Kind != client.Killed {
 		t.Fatalf("what was purged while it was down is served: %v", a.Kind)
 	}
-	if a := all[2].customer().asks("00000000000000b2"); a.Kind != client.Finished || bytes.Equal(a.Rows, whole.Rows) {
+	if a := all[2].newCustomer().query("00000000000000b2"); a.Kind != client.Finished || bytes.Equal(a.Rows, whole.Rows) {
 		t.Fatalf("a cached answer outlives its purge: %v", a.Kind)
 	}
 	if r, status := all[1].fleet("status", "--id", id); status != 0 || r.Outcome != "purged" || r.Counts == nil || *r.Counts == (fleet.InvalidationCounts{}) {
