--- a/internal/setup/answers.go
+++ b/internal/setup/answers.go
@@ -10,36 +10,36 @@
 	"railrelay.dev/railrelay/internal/resultcache"
 )
 
-// Answers is a cache of finished answers of read-only queries.
+// ResultCache configures the cache of answers to read-only queries.
 type ResultCache struct {
-	MaxAge     Duration `yaml:"fresh"`      // an answer is served for so long from when its run at an engine began
-	MemoryMB   float64  `yaml:"memory_mb"`  // of all answers: 16
-	MaxEntries int      `yaml:"count"`      // at once: 10000
-	MaxEntryKB float64  `yaml:"answer_kb"`  // a larger one is not kept: 1024, no more than the memory
-	TeamShare  float64  `yaml:"team_share"` // of the memory before a team's are the first to go: 0.25
-	Groups     []string `yaml:"groups"`     // whose answers are kept: all read-only ones without an order
+	MaxAge     Duration `yaml:"fresh"`      // age up to which an answer is served, from the start of its run on an engine
+	MemoryMB   float64  `yaml:"memory_mb"`  // of all answers; default 16
+	MaxEntries int      `yaml:"count"`      // default 10000
+	MaxEntryKB float64  `yaml:"answer_kb"`  // a larger answer is not cached; default 1024, at most MemoryMB
+	TeamShare  float64  `yaml:"team_share"` // fraction of the memory above which a team's answers are evicted first; default 0.25
+	Groups     []string `yaml:"groups"`     // groups whose answers are cached; default all read-only groups that keep no order
 }
 
-// freshMost bounds how old an answer may be told to be.
+// maxResultAge is the upper limit of ResultCache.MaxAge.
 const maxResultAge = 24 * time.Hour
 
 func (c *checker) checkResultCache(x *Setup) {
 	a := x.Answers
 	switch d := time.Duration(a.MaxAge); {
 	case d == 0:
-		c.addError("answers.fresh", "is missing: how old an answer may be is for the set-up to say")
+		c.addError("answers.fresh", "is missing: it has no default, because only the operator knows how old an answer may be")
 	case d > maxResultAge:
-		c.addError("answers.fresh", "%v is over %v", d, maxResultAge)
+		c.addError("answers.fresh", "%v is longer than %v", d, maxResultAge)
 	}
 	c.optionalNumber("answers.memory_mb", a.MemoryMB, 0.1, 1<<20)
 	c.optionalNumber("answers.count", float64(a.MaxEntries), 1, 10_000_000)
 	c.optionalNumber("answers.answer_kb", a.MaxEntryKB, 1, 1<<20)
 	c.optionalNumber("answers.team_share", a.TeamShare, 0.001, 1)
 	if a.MemoryMB > cmp.Or(x.Limits.MemoryMB, 512)/2 {
-		c.addError("answers.memory_mb", "is over half of limits.memory_mb")
+		c.addError("answers.memory_mb", "is more than half of limits.memory_mb")
 	}
 	if x.Fairness == nil && x.Shares == nil {
-		c.addError("answers", "there is neither fairness nor shares: it couldn't be told whose an answer is")
+		c.addError("answers", "neither fairness nor shares is configured: the team that an answer belongs to would be unknown")
 	}
 	for i, name := range a.Groups {
 		at := fmt.Sprintf("answers.groups[%d]", i)
@@ -48,17 +48,17 @@
 			if g.Name != name {
 				continue
 			}
-			if found = true; g.Effect != "read-only" || g.InOrder || g.Load {
-				c.addError(at, "%q is not read-only, or has an order, or loads", name)
+			if found = true; g.Effect != "read-only" || g.FIFOByKey || g.IsLoad {
+				c.addError(at, "%q is not read-only, or keeps an order, or is a load", name)
 			}
 		}
 		if !found {
-			c.addError(at, "no group is called %q", name)
+			c.addError(at, "no group is named %q", name)
 		}
 	}
 }
 
-// limits are the cache's figures, nil without one.
+// limits returns the limits of the cache, nil without a cache.
 func (a *ResultCache) limits() *resultcache.Limits {
 	if a == nil {
 		return nil
@@ -72,7 +72,7 @@
 	return &l
 }
 
-// draw gives a number that no other controller draws.
+// randomID returns a random number. 64 bits make a collision with another controller unlikely.
 func randomID() uint64 {
 	var p [8]byte
 	rand.Read(p[:])
--- a/internal/setup/control.go
+++ b/internal/setup/control.go
@@ -11,33 +11,33 @@
 
 // The roles of a process in its fleet.
 const (
-	RoleController = "controller" // takes clients' queries; this one is meant where none is named
-	RoleControl    = "control"    // votes, relays or stands by for either, and takes no queries
+	RoleController = "controller" // serves clients' queries; the default
+	RoleControl    = "control"    // votes, relays or is a standby for either, and serves no queries
 )
 
-// controlParts are the parts that the set-up of a control process may have.
+// controlProcessKeys are the top-level keys that a control process's file may have.
 var controlProcessKeys = []string{"name", "log", "limits", "fleet", "placement"}
 
-// Control tells whether this set-up is of a process that is set apart for control: one
-// without clients, engines or feed.
+// IsControlProcess reports whether the process has the role control: it has no clients and no
+// engines, and doesn't use the discovery service.
 func (x *Setup) IsControlProcess() bool { return x.Fleet != nil && x.Fleet.Role == RoleControl }
 
-// control checks the set-up of a control process.
+// checkControlProcess checks a control process's file.
 func (c *checker) checkControlProcess(x *Setup) {
 	c.checkProcess(x)
 	for _, part := range c.topLevelKeys() {
 		if !slices.Contains(controlProcessKeys, part) {
-			c.addError(part, "is a part of controllers, and a process with fleet.role: control takes no queries: take this part out, or the role")
+			c.addError(part, "is for controllers only, but a process with fleet.role: control serves no queries: remove this key or the role")
 		}
 	}
 	if x.Fleet.ClientAddress != "" {
-		c.addError("fleet.clients", "a process with role: control has no clients: take this out, or the role")
+		c.addError("fleet.clients", "a process with role: control has no clients: remove clients or the role")
 	}
 	c.checkFleet(x)
 	c.checkPlacement(x)
 }
 
-// parts are the names of the parts that the file itself has, empty ones included.
+// topLevelKeys returns the top-level keys of the file, including keys with an empty value.
 func (c *checker) topLevelKeys() (names []string) {
 	if len(c.tree.Docs) == 0 {
 		return nil
@@ -57,27 +57,27 @@
 	return names
 }
 
-// ControlPolicy is what a control process makes of a policy. It takes no queries by it, but
-// may lead, and as leader says what a change has to purge and watches for emergencies.
+// ControlPolicy contains the parts of a policy that a control process needs. The process serves
+// no queries, but as leader it decides which data a change purges and watches for emergencies.
 type ControlPolicy struct {
 	Rules []residency.Rule
-	// Stated: the policy itself has these rules. Otherwise those of the controllers' own
-	// set-ups hold, and Rules are what this process's own set-up says that they are.
+	// HasPlacement tells that the policy contains the rules. Otherwise the rules in the
+	// controllers' own files apply, and Rules are those in this process's file.
 	HasPlacement bool
-	RulesKnown   bool // Stated, or this process's own set-up has the part placement
+	RulesKnown   bool // the policy or this process's file contains the placement rules
 	WatchedRules []fleet.EmergencyRule
-	Voters       []string // as name=address; none: as before
+	Voters       []string // as name=address; empty: unchanged
 }
 
-// BaseControlPolicy is the policy that holds before any change: that of the set-ups.
+// BaseControlPolicy returns the policy in this process's file, which applies before any change.
 func (x *Setup) BaseControlPolicy() *ControlPolicy {
 	rules := x.placementRules()
 	return &ControlPolicy{Rules: rules, RulesKnown: x.Placement != nil, WatchedRules: residency.Watches(rules)}
 }
 
-// ParseControlPolicy reads a policy's text for a control process and checks its form:
-// whether its teams, groups and locations exist is known to controllers only, of which
-// each checks it, too, before it can be in force. What is wrong is an *Unfit.
+// ParseControlPolicy reads a policy for a control process and checks everything but the names of
+// teams, groups and locations. Only controllers know those, and each of them checks the policy
+// before it can be in force. An invalid policy is an *Unfit.
 func ParseControlPolicy(file string, text []byte, own *Setup) (*ControlPolicy, error) {
 	next, policy, err := own.mergePolicy(file, text)
 	if err != nil {
@@ -89,31 +89,31 @@
 	return c, nil
 }
 
-// Narrowed is what has to be purged where this policy follows another: what is kept
-// outside the boundaries that it makes narrower. It errs towards purging:
+// PurgeScopes returns the data to purge when this policy replaces another: the data kept outside
+// the boundaries that this policy tightens. In doubt it purges too much:
 //
-//   - rules of set-ups are not relied on as the ones before, since each controller has
-//     its own: all that the new rules leave outside is purged. Where nothing was kept
-//     there, nothing is found.
-//   - rules of set-ups that follow a policy's own must be known here. Where they aren't,
-//     the error is an *Unfit: the policy can't be taken.
+//   - If the previous rules were those in the controllers' files, they are ignored, because each
+//     controller may have different ones. Everything outside the new rules is purged, and
+//     nothing is found where nothing was kept.
+//   - If the rules in the controllers' files replace those of a policy, they must be known to
+//     this process. Otherwise the error is an *Unfit, and the policy is rejected.
 func (p *ControlPolicy) PurgeScopes(file string, before *ControlPolicy, bindings []fleet.Binding) ([]fleet.Scope, error) {
 	var was []residency.Rule
 	switch {
 	case !p.HasPlacement && !before.HasPlacement:
-		return nil, nil // both are as the set-ups have it
+		return nil, nil // both use the rules in the controllers' files
 	case !p.RulesKnown:
-		return nil, &Unfit{file, []error{&FieldError{File: file, Field: "placement", Reason: "is missing: the rules of the controllers' set-ups would take " +
-			"the place of the policy's, and this control process can't tell what they leave outside. " +
-			"Write the rules into the policy (placement: [] for none), or give control set-ups the controllers' placement"}}}
+		return nil, &Unfit{file, []error{&FieldError{File: file, Field: "placement", Reason: "is missing: the rules in the controllers' set-ups would replace " +
+			"those of the policy, and this control process doesn't know which data to purge for them. " +
+			"Write the rules into the policy (placement: [] for none), or copy the controllers' placement into the set-ups of control processes"}}}
 	case before.HasPlacement:
 		was = before.Rules
 	}
 	return residency.Scopes(was, p.Rules, bindings), nil
 }
 
-// naming is this set-up with the teams, customers and groups that a policy names, so that
-// a control process, which has none, can check the policy's form.
+// withNamesFrom returns a copy with the customers and groups that a policy names, and with an
+// empty fair queue. A control process has none of them, and needs them to check the policy.
 func (x *Setup) withNamesFrom(p *Policy) *Setup {
 	own := *x
 	if p.Fairness != nil {
--- a/internal/setup/control_test.go
+++ b/internal/setup/control_test.go
@@ -50,7 +50,8 @@
 	}
 }
 
-// A voter may be a relay, and a process that is neither stands by to be named a voter.
+// A voter may be a relay. A control process that is neither is a standby, which a policy may make
+// a voter.
 func TestRelayMayVote(t *testing.T) {
 	mustParse(t, strings.Replace(readExample(t, "control.yaml"), "role: control", "role: control\n  relay: true", 1))
 	mustParse(t, strings.Replace(readExample(t, "control.yaml"), "name: v0\nlog", "name: v9\nlog", 1))
@@ -58,46 +59,46 @@
 	mustParse(t, voting)
 }
 
-// Each case spoils an example; the error must name the file, the field and a line, and say why.
+// Each case breaks an example. The error must name the file, the field, a line and the reason.
 func TestRoleAndRelayErrorsNameTheField(t *testing.T) {
 	voters := readExample(t, "relay.yaml")
 	voters = voters[strings.Index(voters, "  voters:"):]
 	twoRelays := "  relays:\n    - {name: r1, address: \"127.0.0.1:7621\"}\n  voters:"
 	for _, c := range []struct{ example, old, new, field, why string }{
-		{"control.yaml", "role: control", "role: contrl", "fleet.role", "none of: controller, control"},
-		{"control.yaml", "log: info", "listen: 127.0.0.1:6560", "listen", "takes no queries"},
-		{"control.yaml", "log: info", "feed: 127.0.0.1:7070", "feed", "takes no queries"},
-		{"control.yaml", "log: info", "seed: 8c1f", "seed", "takes no queries"},
-		{"control.yaml", "log: info", "engines: {}", "engines", "takes no queries"},
-		{"control.yaml", "log: info", "groups: []", "groups", "takes no queries"},
-		{"control.yaml", "log: info", "groups:", "groups", "takes no queries"},
-		{"control.yaml", "log: info", "clients: [{name: a, addresses: [10.0.0.0/8]}]", "clients", "takes no queries"},
-		{"control.yaml", "log: info", "fairness: {teams: [{name: a, weight: 1}]}", "fairness", "takes no queries"},
-		{"control.yaml", "log: info", "spool: {field: pages}", "spool", "takes no queries"},
-		{"control.yaml", "log: info", "answers: {fresh: 1s}", "answers", "takes no queries"},
-		{"control.yaml", "log: info", "shares: {field: customer}", "shares", "takes no queries"},
-		{"control.yaml", "log: info", "estimates: {work: weight}", "estimates", "takes no queries"},
-		{"control.yaml", "log: info", "<<: {listen: 127.0.0.1:6560}", "<<", "takes no queries"},
-		{"control.yaml", "log: info", "log: loud", "log", "none of"},
-		{"control.yaml", "memory_mb: 256", "memory_mb: 2", "limits.memory_mb", "under 16"},
+		{"control.yaml", "role: control", "role: contrl", "fleet.role", "not one of: controller, control"},
+		{"control.yaml", "log: info", "listen: 127.0.0.1:6560", "listen", "serves no queries"},
+		{"control.yaml", "log: info", "feed: 127.0.0.1:7070", "feed", "serves no queries"},
+		{"control.yaml", "log: info", "seed: 8c1f", "seed", "serves no queries"},
+		{"control.yaml", "log: info", "engines: {}", "engines", "serves no queries"},
+		{"control.yaml", "log: info", "groups: []", "groups", "serves no queries"},
+		{"control.yaml", "log: info", "groups:", "groups", "serves no queries"},
+		{"control.yaml", "log: info", "clients: [{name: a, addresses: [10.0.0.0/8]}]", "clients", "serves no queries"},
+		{"control.yaml", "log: info", "fairness: {teams: [{name: a, weight: 1}]}", "fairness", "serves no queries"},
+		{"control.yaml", "log: info", "spool: {field: pages}", "spool", "serves no queries"},
+		{"control.yaml", "log: info", "answers: {fresh: 1s}", "answers", "serves no queries"},
+		{"control.yaml", "log: info", "shares: {field: customer}", "shares", "serves no queries"},
+		{"control.yaml", "log: info", "estimates: {work: weight}", "estimates", "serves no queries"},
+		{"control.yaml", "log: info", "<<: {listen: 127.0.0.1:6560}", "<<", "serves no queries"},
+		{"control.yaml", "log: info", "log: loud", "log", "not one of"},
+		{"control.yaml", "memory_mb: 256", "memory_mb: 2", "limits.memory_mb", "less than 16"},
 		{"control.yaml", "role: control", "role: control\n  clients: 127.0.0.1:6560", "fleet.clients", "has no clients"},
 		{"control.yaml", "name: v0\nlog", "name: ''\nlog", "name", "is missing"},
 		{"control.yaml", "name: v2, ", "name: v1, ", "fleet.voters[2].name", "a second voter"},
 		{"control.yaml", "# placement:", "placement: [{name: a, team: linz}] #", "placement[0].engines", "binds nothing"},
-		{"relay.yaml", voters, "", "fleet.relay", "nobody to pass renewals on to"},
-		{"relay.yaml", "  voters:", twoRelays, "fleet.relays", "relays ask the leader itself"},
+		{"relay.yaml", voters, "", "fleet.relay", "knows no leader to forward renewals to"},
+		{"relay.yaml", "  voters:", twoRelays, "fleet.relays", "relays ask the leader directly"},
 		{"c0.yaml", "role: controller", "relay: true", "fleet.relay", "only a process with role: control"},
-		{"relayed.yaml", "  voters:", "    - {name: r2, address: \"127.0.0.1:7622\"}\n  voters:", "fleet.relays", "2 at most"},
+		{"relayed.yaml", "  voters:", "    - {name: r2, address: \"127.0.0.1:7622\"}\n  voters:", "fleet.relays", "at most 2"},
 		{"relayed.yaml", "controllers: 2", "controllers: 1", "fleet.relays", "2 relays for 1 controllers"},
 		{"relayed.yaml", "  controllers: 2\n", "", "fleet.relays", "2 relays for 1 controllers"},
-		{"relayed.yaml", "name: r1,", "name: r0,", "fleet.relays[1].name", `both relays are called "r0"`},
-		{"relayed.yaml", "127.0.0.1:7621", "127.0.0.1:7620", "fleet.relays[1].address", "both relays are at"},
-		{"relayed.yaml", "name: r1,", "name: n0,", "fleet.relays[1].name", "is this process itself"},
-		{"relayed.yaml", "127.0.0.1:7621", "127.0.0.1:7630", "fleet.relays[1].address", "where this process itself is reached"},
+		{"relayed.yaml", "name: r1,", "name: r0,", "fleet.relays[1].name", `both relays are named "r0"`},
+		{"relayed.yaml", "127.0.0.1:7621", "127.0.0.1:7620", "fleet.relays[1].address", "both relays have the address"},
+		{"relayed.yaml", "name: r1,", "name: n0,", "fleet.relays[1].name", "is the name of this process"},
+		{"relayed.yaml", "127.0.0.1:7621", "127.0.0.1:7630", "fleet.relays[1].address", "is an address of this process"},
 		{"relayed.yaml", "name: r1,", "name: '',", "fleet.relays[1].name", "is missing"},
-		{"relayed.yaml", "127.0.0.1:7621", "7621", "fleet.relays[1].address", "no address"},
-		{"relayed.yaml", "name: r1,", "name: v1,", "fleet.relays[1].address", "fleet.voters has v1 at 127.0.0.1:7611"},
-		{"relayed.yaml", "127.0.0.1:7621", "127.0.0.1:7611", "fleet.relays[1].address", "fleet.voters has v1 at 127.0.0.1:7611"},
+		{"relayed.yaml", "127.0.0.1:7621", "7621", "fleet.relays[1].address", "not an address"},
+		{"relayed.yaml", "name: r1,", "name: v1,", "fleet.relays[1].address", "fleet.voters lists v1 with the address 127.0.0.1:7611"},
+		{"relayed.yaml", "127.0.0.1:7621", "127.0.0.1:7611", "fleet.relays[1].address", "fleet.voters lists v1 with the address 127.0.0.1:7611"},
 	} {
 		text := readExample(t, c.example)
 		spoilt := strings.Replace(text, c.old, c.new, 1)
@@ -120,7 +121,7 @@
 	}
 }
 
-// faultAt finds the fault of a field among all that an error joins.
+// fieldErrorAt returns the error for a field among the errors that err joins.
 func fieldErrorAt(err error, field string) *FieldError {
 	var joined interface{ Unwrap() []error }
 	if !errors.As(err, &joined) {
@@ -152,13 +153,13 @@
 		t.Errorf("%+v", p)
 	}
 	if own.Fairness != nil || own.Shares != nil || own.Groups != nil || own.Placement != nil {
-		t.Error("the set-up itself was changed")
+		t.Error("ParseControlPolicy changed the set-up")
 	}
 	if p, err = ParseControlPolicy("p.yaml", nil, own); err != nil || p.HasPlacement || p.RulesKnown || len(p.Rules) > 0 {
 		t.Errorf("%+v %v", p, err)
 	}
 	for text, want := range map[string]string{
-		"groups: [{name: a, threads: 4000}]":                                              "groups[0].threads: 4000 is over 1024",
+		"groups: [{name: a, threads: 4000}]":                                              "groups[0].threads: 4000 is greater than 1024",
 		"groups: [{name: a, target: 3s, timeout: 2s}]":                                    "groups[0].target: is longer than",
 		"groups: [{name: a, value: 2}, {name: a, value: 3}]":                              "groups[1].name: a second group",
 		"fairness: {teams: []}":                                                           "fairness.teams: is missing",
@@ -169,7 +170,7 @@
 		"placement: [{name: x, team: linz}]":                                              "placement[0].engines",
 		"placement: [{name: x, engines: [here]}]":                                         "placement[0].team",
 		"voters: [{name: a, address: 'h:1'}, {name: b, address: 'h:2'}]":                  "2 voters",
-		"voters: [{name: a=b, address: 'h:1'}]":                                           "no =",
+		"voters: [{name: a=b, address: 'h:1'}]":                                           "may contain no =",
 		"listen: :1":                                                                      "unknown field",
 		"groups: [":                                                                       "p.yaml",
 		"placement: [{name: a, team: x, engines: [p]}, {name: b, team: x, engines: [q]}]": "leave team",
@@ -182,8 +183,8 @@
 	}
 }
 
-// A control leader must name every purge that a narrower boundary needs, whatever it knows
-// of the rules before.
+// A leader that is a control process must purge all data outside a tightened boundary, even if it
+// doesn't know the previous rules.
 func TestPurgeScopesOfAControlLeader(t *testing.T) {
 	bare := mustParse(t, readExample(t, "control.yaml"))
 	placing := func(rules string) *Setup {
@@ -195,21 +196,21 @@
 	for _, c := range []struct {
 		name         string
 		own          *Setup
-		before, next string // texts of policies; "" is that of the set-ups
+		before, next string // texts of policies; "" uses the rules in the set-ups
 		want         []fleet.Scope
 		refused      bool
 	}{
-		{"the set-ups' rules before aren't known", bare, "", "placement: " + inLinz, all, false},
-		{"nor relied on where they are", placing(inLinz), "", "placement: " + inLinz, all, false},
-		{"narrower", bare, "placement: " + inBoth, "placement: " + inLinz, all, false},
-		{"the same", bare, "placement: " + inLinz, "placement: " + inLinz, nil, false},
-		{"wider", bare, "placement: " + inLinz, "placement: " + inBoth, nil, false},
-		{"none any more", bare, "placement: " + inLinz, "placement: []", nil, false},
-		{"none before", bare, "placement: []", "placement: " + inBoth, both, false},
-		{"both as the set-ups have it", bare, "", "groups: [{name: g, target: 2s}]", nil, false},
-		{"the set-ups' anew, and they aren't known", bare, "placement: " + inBoth, "groups: [{name: g, target: 2s}]", nil, true},
-		{"the set-ups' anew, which this one has", placing(inLinz), "placement: " + inBoth, "groups: [{name: g, target: 2s}]", all, false},
-		{"the set-ups' anew, which have none", placing("[]"), "placement: " + inBoth, "groups: [{name: g, target: 2s}]", nil, false},
+		{"unknown set-up rules are replaced", bare, "", "placement: " + inLinz, all, false},
+		{"known set-up rules are replaced", placing(inLinz), "", "placement: " + inLinz, all, false},
+		{"tighter rules", bare, "placement: " + inBoth, "placement: " + inLinz, all, false},
+		{"same rules", bare, "placement: " + inLinz, "placement: " + inLinz, nil, false},
+		{"looser rules", bare, "placement: " + inLinz, "placement: " + inBoth, nil, false},
+		{"rules removed", bare, "placement: " + inLinz, "placement: []", nil, false},
+		{"rules added", bare, "placement: []", "placement: " + inBoth, both, false},
+		{"set-up rules before and after", bare, "", "groups: [{name: g, target: 2s}]", nil, false},
+		{"unknown set-up rules replace the policy's", bare, "placement: " + inBoth, "groups: [{name: g, target: 2s}]", nil, true},
+		{"known set-up rules replace the policy's", placing(inLinz), "placement: " + inBoth, "groups: [{name: g, target: 2s}]", all, false},
+		{"empty set-up rules replace the policy's", placing("[]"), "placement: " + inBoth, "groups: [{name: g, target: 2s}]", nil, false},
 	} {
 		before, err := ParseControlPolicy("before", []byte(c.before), c.own)
 		if err != nil {
@@ -231,7 +232,7 @@
 	tables := mustParseControlPolicy(t, bare, "placement: [{name: a, team: x, tables: [3], engines: [linz], follows: true}]")
 	scopes, err := tables.PurgeScopes("next", bare.BaseControlPolicy(), []fleet.Binding{{Team: "x", Tables: []int64{7}, SourceTables: []int64{3}}})
 	if err != nil || len(scopes) != 1 || !slices.Equal(scopes[0].Tables, []int64{3, 7}) {
-		t.Errorf("what a load bound goes, too: %+v %v", scopes, err)
+		t.Errorf("tables that a load confined are not purged: %+v %v", scopes, err)
 	}
 }
 
--- a/internal/setup/fault.go
+++ b/internal/setup/fault.go
@@ -12,13 +12,13 @@
 	"github.com/goccy/go-yaml/ast"
 )
 
-// Fault is what is wrong with a file, at a place in it.
+// FieldError is a mistake in a file, with its position.
 type FieldError struct {
 	File    string
 	Line    int
 	Field   string
 	Reason  string
-	Excerpt string // the line and those round it
+	Excerpt string // the line with the mistake and its neighbours
 }
 
 func (f *FieldError) Error() string {
@@ -36,7 +36,7 @@
 	return text
 }
 
-// spot turns an error of the YAML library into a Fault.
+// yamlError converts an error of the YAML library into a FieldError.
 func yamlError(file string, err error) error {
 	f := &FieldError{File: file, Reason: err.Error()}
 	var y yaml.Error
@@ -50,7 +50,7 @@
 	return f
 }
 
-// checker finds what is wrong beyond form, and where.
+// checker collects the mistakes in the values of a parsed file, with their positions.
 type checker struct {
 	file   string
 	text   []byte
@@ -58,8 +58,8 @@
 	errors []error
 }
 
-// wrong adds a fault at a path as in groups[0].name; one that isn't written
-// stands at the nearest part above it that is.
+// addError adds an error at a path such as groups[0].name. If the file doesn't contain the path,
+// the error has the position of its nearest ancestor that the file contains.
 func (c *checker) addError(path, form string, args ...any) {
 	f := &FieldError{File: c.file, Field: path, Reason: fmt.Sprintf(form, args...)}
 	for at := path; ; {
@@ -81,12 +81,12 @@
 	c.errors = append(c.errors, f)
 }
 
-// number wants a figure from least to most; 0 is left out and has its default
-// unless it is wanted.
+// requiredNumber checks a number from least to most. 0 stands for a missing field, which is an
+// error if least is positive.
 func (c *checker) requiredNumber(path string, x, least, most float64) {
 	switch {
 	case x == 0 && least > 0:
-		c.addError(path, "is missing, or %v", x)
+		c.addError(path, "is missing or %v", x)
 	default:
 		c.optionalNumber(path, x, least, most)
 	}
@@ -95,11 +95,11 @@
 func (c *checker) optionalNumber(path string, x, least, most float64) {
 	switch {
 	case x != x:
-		c.addError(path, "is no number")
+		c.addError(path, "is not a number")
 	case x != 0 && x < least || x < 0:
-		c.addError(path, "%v is under %v", x, max(least, 0))
+		c.addError(path, "%v is less than %v", x, max(least, 0))
 	case x > most:
-		c.addError(path, "%v is over %v", x, most)
+		c.addError(path, "%v is greater than %v", x, most)
 	}
 }
 
@@ -108,16 +108,16 @@
 	case x == "":
 		c.addError(path, "is missing")
 	case len(x) > maxNameLength || strings.ContainsAny(x, ", \t\n"):
-		c.addError(path, "%.40q is no name: up to %d letters without blanks or commas", x, maxNameLength)
+		c.addError(path, "%.40q is not a valid name: use up to %d characters without blanks and commas", x, maxNameLength)
 	}
 }
 
 const maxNameLength = 128
 
-// oneOf wants one of some words; none is left out.
+// checkOneOf checks that a value is one of words or missing.
 func (c *checker) checkOneOf(path, x string, words ...string) {
 	if x != "" && !slices.Contains(words, x) {
-		c.addError(path, "%q is none of: %s", x, strings.Join(words, ", "))
+		c.addError(path, "%q is not one of: %s", x, strings.Join(words, ", "))
 	}
 }
 
@@ -128,6 +128,6 @@
 	}
 	_, port, err := net.SplitHostPort(x)
 	if _, bad := strconv.ParseUint(port, 10, 16); err != nil || bad != nil {
-		c.addError(path, "%q is no address with a port, as in 127.0.0.1:6565", x)
+		c.addError(path, "%q is not an address with a port, as in 127.0.0.1:6565", x)
 	}
 }
--- a/internal/setup/fleet.go
+++ b/internal/setup/fleet.go
@@ -11,54 +11,54 @@
 	"railrelay.dev/railrelay/internal/fleet"
 )
 
-// Fleet is what makes a process one of a fleet. Its name is the set-up's name.
+// Fleet makes the process a member of a fleet. The member's name is Setup.Name.
 type Fleet struct {
-	Role              string  `yaml:"role"`      // RoleController or RoleControl: controller
-	Name              string  `yaml:"name"`      // of the fleet: another's messages are refused
-	ListenAddress     string  `yaml:"listen"`    // where its peers reach it
-	AdvertisedAddress string  `yaml:"address"`   // what peers are told in its place, where that differs: as listen
-	ControlAddress    string  `yaml:"control"`   // where operators' commands reach it; only this machine, if it names no host
-	Directory         string  `yaml:"directory"` // of its own: the record is kept there
-	KeyFile           string  `yaml:"keys"`      // the key file, the same on all; one or two keys
-	ClientAddress     string  `yaml:"clients"`   // what clients are told who must go to this controller: as listen of the set-up
-	Voters            []Voter `yaml:"voters"`    // the same on all: 1, 3, 5 or 7; the others follow
-	// Relay makes a control process pass renewals of controllers on to the leader, and
-	// grants and the record back.
-	IsRelay bool `yaml:"relay"` // false
-	// Relays are asked for leases and bring the record in place of the leader: the first
-	// one, the second where that doesn't answer.
-	Relays []Upstream `yaml:"relays"` // none: the leader is asked itself
-	// Lease is how long a controller that is cut off serves on, and so how long a
-	// change may have to wait for it: a span, or unbounded.
-	Lease Lease `yaml:"lease"` // 5s
-	// LeaseBound is the same for the queries of teams that placement rules bind.
-	ConfinedLease        Lease    `yaml:"lease_bound"` // as lease
-	ClockDrift           float64  `yaml:"drift"`       // clocks differ by at most this part of a span: 0.01
-	ElectionTimeout      Duration `yaml:"election"`    // without word from a leader for one to two of these: 500ms
-	HeartbeatInterval    Duration `yaml:"heartbeat"`   // 100ms
-	MaxHold              Duration `yaml:"hold"`        // queries wait for a lease or a switch so long, then are deferred: 5s
-	SnapshotAfterEntries int      `yaml:"keep"`        // entries kept before a snapshot replaces them: 4096
+	Role              string  `yaml:"role"`      // RoleController or RoleControl; default controller
+	Name              string  `yaml:"name"`      // name of the fleet; messages of other fleets are rejected
+	ListenAddress     string  `yaml:"listen"`    // address on which the process listens for its peers
+	AdvertisedAddress string  `yaml:"address"`   // address under which peers reach the process; default listen
+	ControlAddress    string  `yaml:"control"`   // address for operators' commands; without a host, reachable from this machine only
+	Directory         string  `yaml:"directory"` // directory of the replicated log; not shared with other parts
+	KeyFile           string  `yaml:"keys"`      // file with one or two keys, the same on all members
+	ClientAddress     string  `yaml:"clients"`   // address that clients are redirected to; default Setup.Listen
+	Voters            []Voter `yaml:"voters"`    // 1, 3, 5 or 7, the same on all members; other members are non-voting
+	// IsRelay makes a control process forward the controllers' lease renewals to the leader,
+	// and grants and log entries back.
+	IsRelay bool `yaml:"relay"`
+	// Relays renew leases and deliver log entries in place of the leader. The second one is
+	// used while the first one doesn't answer.
+	Relays []Upstream `yaml:"relays"` // default none: the leader is asked directly
+	// Lease is the time for which a controller keeps serving after it lost the leader. A change
+	// may have to wait so long for that controller. The value is a duration or unbounded.
+	Lease Lease `yaml:"lease"` // default 5s
+	// ConfinedLease is the lease for queries of teams that placement rules confine to sites.
+	ConfinedLease        Lease    `yaml:"lease_bound"` // default lease
+	ClockDrift           float64  `yaml:"drift"`       // largest relative error between two clocks; default 0.01
+	ElectionTimeout      Duration `yaml:"election"`    // an election starts after one to two timeouts without a message of a leader; default 500ms
+	HeartbeatInterval    Duration `yaml:"heartbeat"`   // default 100ms
+	MaxHold              Duration `yaml:"hold"`        // time for which queries wait for a lease or a policy switch before they are deferred; default 5s
+	SnapshotAfterEntries int      `yaml:"keep"`        // log entries after which a snapshot replaces them; default 4096
 }
 
-// Voter is a controller that votes on what the record takes.
+// Voter is a member that votes on entries of the replicated log.
 type Voter struct {
 	Name    string `yaml:"name"`
 	Address string `yaml:"address"`
 }
 
-// Upstream is a relay as a controller reaches it.
+// Upstream is the name and address of a relay.
 type Upstream struct {
 	Name    string `yaml:"name"`
 	Address string `yaml:"address"`
 }
 
-// Lease is a span or unbounded.
+// Lease is a duration or unbounded.
 type Lease struct {
 	Duration  Duration
 	Unbounded bool
 }
 
-// UnmarshalYAML reads one.
+// UnmarshalYAML reads a duration or the word unbounded.
 func (l *Lease) UnmarshalYAML(node ast.Node) error {
 	if node.GetToken().Value == "unbounded" {
 		*l = Lease{Unbounded: true}
@@ -68,7 +68,7 @@
 	return l.Duration.UnmarshalYAML(node)
 }
 
-// For is how long it lasts, 0 for one without an end; absent is what is left out.
+// DurationOr returns the duration of the lease, 0 if it is unbounded, and absent if it is missing.
 func (l Lease) DurationOr(absent time.Duration) time.Duration {
 	if l.Unbounded {
 		return 0
@@ -107,7 +107,7 @@
 		}
 	}
 	if x.Spool != nil && f.Directory != "" && f.Directory == x.Spool.Directory {
-		c.addError("fleet.directory", "is the spool's: the fleet's must be its own")
+		c.addError("fleet.directory", "is the directory of the spool: the fleet needs a directory of its own")
 	}
 	c.checkVoters(x)
 	c.checkRelays(x)
@@ -117,9 +117,9 @@
 func (c *checker) checkVoters(x *Setup) {
 	f := x.Fleet
 	switch n := len(f.Voters); {
-	case n == 0 && f.IsRelay: // told by relays
+	case n == 0 && f.IsRelay: // a relay without voters is reported by checkRelays
 	case n%2 == 0 || n > maxVoters:
-		c.addError("fleet.voters", "%d voters, and there must be 3, 5 or 7, or 1 for a trial", n)
+		c.addError("fleet.voters", "%d voters: use 3, 5 or 7, or 1 for a trial", n)
 	}
 	names, addresses := map[string]bool{}, map[string]bool{}
 	for i, v := range f.Voters {
@@ -127,73 +127,73 @@
 		c.checkName(at+"name", v.Name)
 		c.checkAddress(at+"address", v.Address)
 		if strings.Contains(v.Name, "=") {
-			c.addError(at+"name", "%q: a voter's name has no =", v.Name)
+			c.addError(at+"name", "%q: a voter's name may contain no =", v.Name)
 		}
 		if names[v.Name] {
-			c.addError(at+"name", "a second voter is called %q", v.Name)
+			c.addError(at+"name", "a second voter is named %q", v.Name)
 		}
 		if v.Address != "" && addresses[v.Address] {
-			c.addError(at+"address", "a second voter is at %s", v.Address)
+			c.addError(at+"address", "a second voter has the address %s", v.Address)
 		}
 		names[v.Name], addresses[v.Address] = true, true
 		if v.Name == x.Name && f.AdvertisedAddress != "" && v.Address != f.AdvertisedAddress {
-			c.addError(at+"address", "%s is this controller, and fleet.address is %s", v.Name, f.AdvertisedAddress)
+			c.addError(at+"address", "%s is this controller, but fleet.address is %s", v.Name, f.AdvertisedAddress)
 		}
 	}
 }
 
-// relays checks what a relay and those who name relays need.
+// checkRelays checks the fields of a relay, and of a member that uses relays.
 func (c *checker) checkRelays(x *Setup) {
 	f := x.Fleet
 	if f.IsRelay && !x.IsControlProcess() {
-		c.addError("fleet.relay", "only a process with role: control is a relay: set that role, or take this out")
+		c.addError("fleet.relay", "only a process with role: control can be a relay: set that role or remove relay")
 	}
 	if f.IsRelay && len(f.Voters) == 0 {
-		c.addError("fleet.relay", "this relay has nobody to pass renewals on to: name the fleet's voters under fleet.voters")
+		c.addError("fleet.relay", "this relay knows no leader to forward renewals to: list the fleet's voters under fleet.voters")
 	}
 	if f.IsRelay && len(f.Relays) > 0 {
-		c.addError("fleet.relays", "this process is a relay, and relays ask the leader itself: take the relays out")
+		c.addError("fleet.relays", "this process is a relay, and relays ask the leader directly: remove relays")
 	}
 	if n := len(f.Relays); n > maxRelays {
-		c.addError("fleet.relays", "%d relays, and there are %d at most: one that is asked, one in its place where it doesn't answer", n, maxRelays)
+		c.addError("fleet.relays", "%d relays, but at most %d are allowed: a primary and a backup", n, maxRelays)
 	}
 	controllers := max(1, x.Engines.Controllers)
 	if n := len(f.Relays); !x.IsControlProcess() && n > controllers {
-		c.addError("fleet.relays", "%d relays for %d controllers (engines.controllers): take relays out, the leader can be asked itself", n, controllers)
+		c.addError("fleet.relays", "%d relays for %d controllers (engines.controllers): remove relays, the leader can be asked directly", n, controllers)
 	}
 	for i := range f.Relays {
 		c.checkRelay(x, i)
 	}
 }
 
-// upstream checks one relay that is named.
+// checkRelay checks entry i of fleet.relays.
 func (c *checker) checkRelay(x *Setup, i int) {
 	f := x.Fleet
 	relay, at := f.Relays[i], fmt.Sprintf("fleet.relays[%d].", i)
 	c.checkName(at+"name", relay.Name)
 	c.checkAddress(at+"address", relay.Address)
 	if relay.Name != "" && relay.Name == x.Name {
-		c.addError(at+"name", "%q is this process itself: name another", relay.Name)
+		c.addError(at+"name", "%q is the name of this process: name another relay", relay.Name)
 	}
 	if relay.Address != "" && (relay.Address == f.ListenAddress || relay.Address == f.AdvertisedAddress) {
-		c.addError(at+"address", "%s is where this process itself is reached: name another", relay.Address)
+		c.addError(at+"address", "%s is an address of this process: name another relay", relay.Address)
 	}
 	for _, other := range f.Relays[:i] {
 		if relay.Name != "" && relay.Name == other.Name {
-			c.addError(at+"name", "both relays are called %q: name two", relay.Name)
+			c.addError(at+"name", "both relays are named %q: name two different relays", relay.Name)
 		}
 		if relay.Address != "" && relay.Address == other.Address {
-			c.addError(at+"address", "both relays are at %s: name two", relay.Address)
+			c.addError(at+"address", "both relays have the address %s: name two different relays", relay.Address)
 		}
 	}
 	for _, voter := range f.Voters {
 		if (voter.Name == relay.Name) != (voter.Address == relay.Address) {
-			c.addError(at+"address", "relay %s is at %s, and fleet.voters has %s at %s: one of the two is wrong", relay.Name, relay.Address, voter.Name, voter.Address)
+			c.addError(at+"address", "relay %s has the address %s, but fleet.voters lists %s with the address %s", relay.Name, relay.Address, voter.Name, voter.Address)
 		}
 	}
 }
 
-// spans checks the figures of leases and elections.
+// checkTimings checks the durations of leases and elections.
 func (c *checker) checkTimings(f *Fleet) {
 	c.optionalNumber("fleet.drift", f.ClockDrift, 0.0001, 0.2)
 	c.optionalNumber("fleet.keep", float64(f.SnapshotAfterEntries), 16, 1_000_000)
@@ -202,7 +202,7 @@
 		c.addError("fleet.election", "%v is not between 50ms and 1m", election)
 	}
 	if heartbeat > election/3 {
-		c.addError("fleet.heartbeat", "%v is over a third of the election's %v: one lost would call for another", heartbeat, election)
+		c.addError("fleet.heartbeat", "%v is more than a third of fleet.election, %v: a lost heartbeat could start an election", heartbeat, election)
 	}
 	for _, l := range []struct {
 		path string
@@ -212,37 +212,37 @@
 		switch {
 		case span == 0:
 		case span < 2*heartbeat:
-			c.addError(l.path, "%v is under two heartbeats of %v: it would run out between them", span, heartbeat)
+			c.addError(l.path, "%v is shorter than two heartbeat intervals of %v: the lease would expire between renewals", span, heartbeat)
 		case span > maxLease:
-			c.addError(l.path, "%v is over %v: say unbounded if that is meant", span, maxLease)
+			c.addError(l.path, "%v is longer than %v: write unbounded for a lease that never expires", span, maxLease)
 		}
 	}
 	if all, bound := f.Lease.DurationOr(defaultLease), f.ConfinedLease.DurationOr(f.Lease.DurationOr(defaultLease)); all > 0 && (bound == 0 || bound > all) {
-		c.addError("fleet.lease_bound", "is longer than the lease of %v: bound teams' may only be shorter", all)
+		c.addError("fleet.lease_bound", "is longer than fleet.lease, %v: it may only be shorter", all)
 	}
 	if hold := f.MaxHold.orDefault(defaultMaxHold); hold > 5*time.Minute {
-		c.addError("fleet.hold", "%v is over 5m", hold)
+		c.addError("fleet.hold", "%v is longer than 5m", hold)
 	}
 }
 
-// Terms are the fleet part's figures with the defaults filled in.
+// FleetParameters are the numeric fields of Fleet, with defaults in place of missing values.
 type FleetParameters struct {
-	Lease, ConfinedLease               time.Duration // 0: without an end
+	Lease, ConfinedLease               time.Duration // 0: unbounded
 	ClockDrift                         float64
 	ElectionTimeout, HeartbeatInterval time.Duration
 	MaxHold                            time.Duration
 	SnapshotAfterEntries               int
 }
 
-// Terms fills in what is left out.
+// Parameters returns the numeric fields, with defaults in place of missing values.
 func (f *Fleet) Parameters() FleetParameters {
 	lease := f.Lease.DurationOr(defaultLease)
 	return FleetParameters{Lease: lease, ConfinedLease: f.ConfinedLease.DurationOr(lease), ClockDrift: cmp.Or(f.ClockDrift, defaultClockDrift), ElectionTimeout: f.ElectionTimeout.orDefault(defaultElectionTimeout),
 		HeartbeatInterval: f.HeartbeatInterval.orDefault(defaultHeartbeatInterval), MaxHold: f.MaxHold.orDefault(defaultMaxHold), SnapshotAfterEntries: cmp.Or(f.SnapshotAfterEntries, defaultSnapshotAfterEntries)}
 }
 
-// Member is how this process is known in its fleet; the disk's name is not here. One of the
-// control role has no site and no clients.
+// Member returns this process as a member of its fleet, without the ID of its disk. A control
+// process has neither a site nor an address for clients.
 func (x *Setup) Member() fleet.Member {
 	f := x.Fleet
 	m := fleet.Member{Name: x.Name, Site: x.Engines.Location, PeerAddress: cmp.Or(f.AdvertisedAddress, f.ListenAddress), ClientAddress: cmp.Or(f.ClientAddress, x.Listen), ControlOnly: x.IsControlProcess()}
--- a/internal/setup/fleet_test.go
+++ b/internal/setup/fleet_test.go
@@ -17,7 +17,7 @@
 			return err
 		}
 		seen++
-		if strings.HasPrefix(d.Name(), "policy") { // checked against a controller's own
+		if strings.HasPrefix(d.Name(), "policy") { // needs a controller's set-up
 			own, err := Load(filepath.Join(filepath.Dir(path), "c0.yaml"))
 			if err != nil {
 				return err
@@ -61,7 +61,7 @@
 	}
 }
 
-// Each case spoils one line of the example; the error must name the field and its line.
+// Each case breaks one line of the example. The error must name the field and its line.
 func TestFleetErrorsNameTheField(t *testing.T) {
 	text, err := os.ReadFile("../../deploy/fleet/c0.yaml")
 	if err != nil {
--- a/internal/setup/golden_test.go
+++ b/internal/setup/golden_test.go
@@ -6,7 +6,7 @@
 	"railrelay.dev/railrelay/internal/goldentest"
 )
 
-// Operators write these files by hand: each key stays where it is.
+// Operators write these files by hand, so that a moved or renamed key breaks their configuration.
 func TestGoldenKeysOfSetupAndPolicy(t *testing.T) {
 	goldentest.Same(t, "setup_keys", goldentest.KeyPaths(goldentest.YAML, Setup{}))
 	goldentest.Same(t, "policy_keys", goldentest.KeyPaths(goldentest.YAML, Policy{}))
--- a/internal/setup/means.go
+++ b/internal/setup/means.go
@@ -12,7 +12,7 @@
 	"railrelay.dev/railrelay/internal/fairqueue"
 )
 
-// shapeOf is the shape that fairness is given.
+// fairQueueConfig converts the settings of the fair queue.
 func fairQueueConfig(f *Fairness) *fairqueue.Config {
 	var walk func(l []Team) []fairqueue.Tenant
 	walk = func(l []Team) (all []fairqueue.Tenant) {
@@ -26,7 +26,7 @@
 		OverrunFactor: f.OverrunFactor, NotifyThreshold: f.NotifyThreshold}
 }
 
-// Means are what the controller starts with, started at a time.
+// ControllerConfig returns the configuration of a controller that starts at a time.
 func (x *Setup) ControllerConfig(started time.Time) controller.Config {
 	seed, _ := strconv.ParseUint(x.Seed, 16, 64)
 	m := controller.Config{Seed: seed, MemoryMB: x.MemoryMB(), MaxDescriptors: cmp.Or(x.Limits.Sockets, 4096), DiscoveryAddress: x.DiscoveryAddress,
@@ -46,7 +46,7 @@
 	return m
 }
 
-// Shape is the teams alone, nil without any: what a reload takes over.
+// FairQueueConfig returns the teams, which a reload replaces. It is nil without fairness.
 func (x *Setup) FairQueueConfig() *fairqueue.Config {
 	if x.Fairness == nil {
 		return nil
@@ -54,15 +54,15 @@
 	return fairQueueConfig(x.Fairness)
 }
 
-// Cores is how many the program may use.
+// Cores returns the number of cores that the program may use.
 func (x *Setup) Cores() float64 { return cmp.Or(x.Limits.Cores, 1) }
 
-// MemoryMB is how much memory the program may use.
+// MemoryMB returns the memory that the program may use.
 func (x *Setup) MemoryMB() float64 { return cmp.Or(x.Limits.MemoryMB, defaultMemoryMB) }
 
 const defaultMemoryMB = 512
 
-// facts are the settings in the decisions' words.
+// settings returns the scheduler's settings by their internal names.
 func (x *Setup) settings() map[string]string {
 	e := x.Engines
 	ms := func(t Duration, absent time.Duration) string {
@@ -77,20 +77,20 @@
 	switch {
 	case report != "":
 	case e.AllowedActions != nil && !slices.Contains(e.AllowedActions, "probe"):
-		report = "off" // there is nothing to be had unasked
+		report = "off" // load reports come with health checks only
 	default:
 		report = "probed"
 	}
 	f := map[string]string{"gateways": num(float64(e.Controllers), 1), "own.number": "0", "groups": strconv.Itoa(len(x.Groups)),
 		"locations": strings.Join(locations, ","), "tick": "5", "list.how": "pushed",
-		"submissions.most": num(float64(e.MaxSubmissions), 3), "return.most": ms(e.MaxRetryDelay, time.Minute),
+		"submissions.most": num(float64(e.MaxAttempts), 3), "return.most": ms(e.MaxRetryAfter, time.Minute),
 		"connect.timeout": ms(e.ConnectTimeout, 250*time.Millisecond), "idle.most": ms(e.IdleTimeout, 15*time.Second),
-		"note.period": ms(e.NoteInterval, 2*time.Second), "drain.grace": ms(e.DrainGrace, time.Second),
-		"key.rest": ms(e.KeyRest, 300*time.Millisecond), "report.how": report,
-		"memory.short": cmp.Or(e.WhenMemoryShort, "swap"), "grant.most": num(e.MaxMemoryShare, 0.4), "cold.from": num(e.WarmUp.InitialCapacity, 0.33),
-		"cold.span": ms(e.WarmUp.Duration, 15*time.Second), "cold.multiple": num(e.WarmUp.MaxBurst, 3),
-		"cold.window": ms(e.WarmUp.Window, time.Second), "budget.least": num(e.RetryBudget.Minimum, 0),
-		"budget.share": num(e.RetryBudget.Share, 0), "budget.span": ms(e.RetryBudget.Span, 0)}
+		"note.period": ms(e.NotePeriod, 2*time.Second), "drain.grace": ms(e.DrainGrace, time.Second),
+		"key.rest": ms(e.KeyCooldown, 300*time.Millisecond), "report.how": report,
+		"memory.short": cmp.Or(e.WhenMemoryShort, "swap"), "grant.most": num(e.MaxGrantFraction, 0.4), "cold.from": num(e.SlowStart.InitialCapacity, 0.33),
+		"cold.span": ms(e.SlowStart.Duration, 15*time.Second), "cold.multiple": num(e.SlowStart.WorkFactor, 3),
+		"cold.window": ms(e.SlowStart.Window, time.Second), "budget.least": num(e.RetryBudget.Minimum, 0),
+		"budget.share": num(e.RetryBudget.Ratio, 0), "budget.span": ms(e.RetryBudget.Window, 0)}
 	if e.Location != "" {
 		f["own.location"] = strconv.Itoa(slices.Index(locations, e.Location))
 	}
@@ -102,7 +102,7 @@
 		f["note.period"] = "0"
 	}
 	if x.Shares != nil {
-		f["teams"], f["over.worth"] = strconv.Itoa(len(x.Shares.Customers)), strconv.FormatFloat(x.Shares.OverShareValue, 'f', -1, 64)
+		f["teams"], f["over.worth"] = strconv.Itoa(len(x.Shares.Customers)), strconv.FormatFloat(x.Shares.OverQuotaWeight, 'f', -1, 64)
 		for i, who := range x.Shares.Customers {
 			at := "team." + strconv.Itoa(i) + "."
 			f[at+"name"], f[at+"quota"] = who.Name, num(who.Rate, 0)
@@ -129,11 +129,11 @@
 	for i, g := range x.Groups {
 		at := "group." + strconv.Itoa(i) + "."
 		threads = append(threads, num(g.Threads, 1))
-		loads, waits = append(loads, strconv.FormatBool(g.Load)), append(waits, strconv.FormatBool(g.WaitsForLoad))
-		f[at+"name"], f[at+"value"], f[at+"stretch"] = g.Name, num(g.Value, 1), num(g.Stretch, 0)
+		loads, waits = append(loads, strconv.FormatBool(g.IsLoad)), append(waits, strconv.FormatBool(g.WaitsForLoads))
+		f[at+"name"], f[at+"value"], f[at+"stretch"] = g.Name, num(g.PriorityWeight, 1), num(g.ObjectiveStretch, 0)
 		f[at+"effect"], f[at+"scope"] = g.Effect, cmp.Or(g.Scope, "all")
-		f[at+"target"], f[at+"timeout"] = ms(g.Target, time.Second), ms(g.Timeout, 30*time.Second)
-		f[at+"window"], f[at+"in-order"] = ms(g.Window, 5*time.Second), strconv.FormatBool(g.InOrder)
+		f[at+"target"], f[at+"timeout"] = ms(g.Objective, time.Second), ms(g.Timeout, 30*time.Second)
+		f[at+"window"], f[at+"in-order"] = ms(g.KeyWindow, 5*time.Second), strconv.FormatBool(g.FIFOByKey)
 		if g.LateValueShare != nil {
 			f[at+"late-share"] = strconv.FormatFloat(*g.LateValueShare, 'f', -1, 64)
 		}
@@ -149,8 +149,8 @@
 	return f
 }
 
-// Fixed lists what differs in another set-up and can't be changed while running:
-// all but the feed and the teams.
+// PartsNeedingRestart lists the parts of next that differ and that a reload can't change: all
+// but the address of the discovery service and the teams.
 func (x *Setup) PartsNeedingRestart(next *Setup) (what []string) {
 	for name, same := range map[string]bool{
 		"name": x.Name == next.Name, "listen": x.Listen == next.Listen, "seed": x.Seed == next.Seed, "log": x.LogLevel == next.LogLevel,
@@ -158,7 +158,7 @@
 		"groups": reflect.DeepEqual(x.Groups, next.Groups), "clients": reflect.DeepEqual(x.Clients, next.Clients),
 		"shares": reflect.DeepEqual(x.Shares, next.Shares), "estimates": x.Estimates == next.Estimates,
 		"spool": reflect.DeepEqual(x.Spool, next.Spool), "answers": reflect.DeepEqual(x.Answers, next.Answers), "fleet": reflect.DeepEqual(x.Fleet, next.Fleet),
-		"placement": reflect.DeepEqual(x.Placement, next.Placement), "fairness.fields": x.fields() == next.fields(), "fairness, there or not": (x.Fairness == nil) == (next.Fairness == nil),
+		"placement": reflect.DeepEqual(x.Placement, next.Placement), "fairness.fields": x.fields() == next.fields(), "fairness (added or removed)": (x.Fairness == nil) == (next.Fairness == nil),
 	} {
 		if !same {
 			what = append(what, name)
--- a/internal/setup/placement.go
+++ b/internal/setup/placement.go
@@ -18,24 +18,25 @@
 	"railrelay.dev/railrelay/internal/residency"
 )
 
-// Placed is a rule of placement: which tables of a team are bound, inside which of the
-// engines' locations. A team is one of fairness or a customer of shares.
+// PlacementRule confines tables of a team to some of the engines' locations. The team is one of
+// Fairness or a customer of Shares.
 type PlacementRule struct {
 	Name        string   `yaml:"name"`
 	Team        string   `yaml:"team"`
-	Tables      []int64  `yaml:"tables"`      // table groups: all of the team's
-	Engines     []string `yaml:"engines"`     // whose engines may work on them: all
-	Controllers []string `yaml:"controllers"` // whose controllers may take them: as engines
-	// Keep is where results and cached answers may be kept: as controllers; [] is nowhere.
+	Tables      []int64  `yaml:"tables"`      // table groups; default all of the team
+	Engines     []string `yaml:"engines"`     // sites whose engines may process the tables; default all
+	Controllers []string `yaml:"controllers"` // sites whose controllers may accept queries on the tables; default as engines
+	// Keep lists the sites that may keep results and cached answers; default as controllers,
+	// [] for none.
 	Keep      []string           `yaml:"keep"`
-	Follows   bool               `yaml:"follows"` // a load from them into other tables binds those, too
+	Follows   bool               `yaml:"follows"` // a load from the tables into other tables confines those, too
 	Emergency PlacementEmergency `yaml:"emergency"`
 }
 
-// PlacedEmergency allows further sites' engines.
+// PlacementEmergency allows the engines of further sites in an emergency.
 type PlacementEmergency struct {
 	Sites []string `yaml:"sites"`
-	After Duration `yaml:"after"` // all engines inside are lost for so long
+	After Duration `yaml:"after"` // time without any engine at the allowed sites after which the emergency begins
 }
 
 func (x *Setup) placementRules() (l []residency.Rule) {
@@ -46,7 +47,7 @@
 	return l
 }
 
-// teamNames are all that a query can be counted to.
+// teamNames returns the teams and customers that a query can belong to.
 func (x *Setup) teamNames() []string {
 	names := []string{}
 	var walk func(l []Team)
@@ -74,7 +75,7 @@
 		return
 	}
 	if x.Fleet == nil {
-		c.addError("placement", "there is no fleet part: what loads bind and when emergencies begin stands in its record")
+		c.addError("placement", "there is no fleet part, whose log records the tables that loads confine and the start of emergencies")
 	}
 	for i, p := range x.Placement {
 		if p.Name != "" {
@@ -86,7 +87,7 @@
 		sites = []string{"here"}
 	}
 	teams := x.teamNames()
-	if x.IsControlProcess() { // which there are is known to controllers only
+	if x.IsControlProcess() { // only controllers know which exist
 		sites, teams = nil, nil
 	}
 	for _, f := range residency.Check(x.placementRules(), sites, teams) {
@@ -94,41 +95,43 @@
 	}
 }
 
-// Policy is what of a set-up the whole fleet shares, as a file of `fleet apply` says it.
-// What the file leaves out is as each controller's own set-up has it.
+// Policy contains the settings that the whole fleet shares, as a file for `fleet apply` lists
+// them. A setting that the file omits keeps the value in each controller's own file.
 type Policy struct {
 	Fairness  *PolicyTeams    `yaml:"fairness"`
 	Shares    *PolicyShares   `yaml:"shares"`
 	Groups    []GroupLimits   `yaml:"groups"`
 	Placement []PlacementRule `yaml:"placement"`
-	Voters    []Voter         `yaml:"voters"` // who votes from now on; left out: as before
+	Voters    []Voter         `yaml:"voters"` // voters from now on; default unchanged
 }
 
-// PolicyTeams are the teams, all of them.
+// PolicyTeams are all teams of the fleet.
 type PolicyTeams struct {
 	Default     string   `yaml:"default"`
 	AgeingLimit Duration `yaml:"age"`
 	Teams       []Team   `yaml:"teams"`
 }
 
-// PolicyShares are customers' shares; who isn't named keeps its own.
+// PolicyShares are customers' quotas. A customer that isn't listed keeps its quota.
 type PolicyShares struct {
-	OverShareValue *float64   `yaml:"over"`
-	Customers      []Customer `yaml:"customers"`
+	OverQuotaWeight *float64   `yaml:"over"`
+	Customers       []Customer `yaml:"customers"`
 }
 
-// GroupLimits are what the fleet may change of a resource group. What is left out stays.
+// GroupLimits are the settings of a resource group that a policy may change. Missing ones stay
+// unchanged.
 type GroupLimits struct {
-	Name           string   `yaml:"name"`
-	Threads        float64  `yaml:"threads"`
-	Value          float64  `yaml:"value"`
-	Target         Duration `yaml:"target"`
-	Timeout        Duration `yaml:"timeout"`
-	Stretch        *float64 `yaml:"stretch"`
-	LateValueShare *float64 `yaml:"late_share"`
+	Name             string   `yaml:"name"`
+	Threads          float64  `yaml:"threads"`
+	PriorityWeight   float64  `yaml:"value"`
+	Objective        Duration `yaml:"target"`
+	Timeout          Duration `yaml:"timeout"`
+	ObjectiveStretch *float64 `yaml:"stretch"`
+	LateValueShare   *float64 `yaml:"late_share"`
 }
 
-// Unfit is a policy that this process can't take. It unwraps to Faults.
+// Unfit is the error for a policy that this process can't apply. It unwraps to a FieldError for
+// each mistake.
 type Unfit struct {
 	File   string
 	Errors []error
@@ -136,27 +139,27 @@
 
 func (u *Unfit) Error() string { return errors.Join(u.Errors...).Error() }
 
-// Remedy says what an operator can do.
+// Remedy returns what an operator can do about the error.
 func (u *Unfit) Remedy() string {
-	return "mend the policy file, or the set-up of the controller that says so, and apply it again"
+	return "correct the policy file, or the set-up of the controller that reports the error, and apply it again"
 }
 
 func (u *Unfit) Unwrap() []error { return u.Errors }
 
-// Errors is one sample of each error that a fleet's operator is told by this package.
+// Errors returns an example of each error of this package that an operator of a fleet may see.
 func Errors() []fleet.ErrorWithRemedy {
-	return []fleet.ErrorWithRemedy{&Unfit{"policy.yaml", []error{&FieldError{File: "policy.yaml", Line: 3, Field: "groups[0].name", Reason: `no group is called "lookup"`}}}}
+	return []fleet.ErrorWithRemedy{&Unfit{"policy.yaml", []error{&FieldError{File: "policy.yaml", Line: 3, Field: "groups[0].name", Reason: `no group is named "lookup"`}}}}
 }
 
-// Base is the policy that the set-up itself holds: version 0, before any change.
+// BasePolicy returns the policy in the process's own file, version 0, which applies before any change.
 func (x *Setup) BasePolicy() (*controller.Policy, []fleet.EmergencyRule) {
 	rules := x.placementRules()
 	return &controller.Policy{Tenants: x.FairQueueConfig(), Settings: x.settings(), Rules: rules}, residency.Watches(rules)
 }
 
-// ParsePolicy reads a policy's text, strictly, and checks it against a controller's own
-// set-up, which is not changed. What is wrong is an *Unfit. Voters are name=address; none:
-// as before.
+// ParsePolicy reads a policy strictly and checks it against a controller's own configuration,
+// which it doesn't change. An invalid policy is an *Unfit. The third result lists the voters as
+// name=address; it is empty if they are unchanged.
 func ParsePolicy(file string, text []byte, own *Setup) (*controller.Policy, []fleet.EmergencyRule, []string, error) {
 	x, p, err := own.mergePolicy(file, text)
 	if err != nil {
@@ -166,7 +169,7 @@
 	return policy, watched, p.voters(), nil
 }
 
-// voters are those that a policy names, as name=address.
+// voters returns the voters in the policy, as name=address.
 func (p *Policy) voters() (l []string) {
 	for _, v := range p.Voters {
 		l = append(l, v.Name+"="+v.Address)
@@ -174,7 +177,7 @@
 	return l
 }
 
-// with is this set-up with what a policy says in it.
+// mergePolicy returns a copy of the configuration with the settings of a policy.
 func (x *Setup) mergePolicy(file string, text []byte) (*Setup, *Policy, error) {
 	tree, err := parser.ParseBytes(text, 0)
 	if err != nil {
@@ -197,18 +200,18 @@
 	return &s, p, nil
 }
 
-// policy checks a policy against a controller's own set-up, and makes of both the next.
+// mergePolicy checks a policy against a controller's own configuration and writes its settings to s.
 func (c *checker) mergePolicy(p *Policy, own, s *Setup) {
 	switch f := p.Fairness; {
 	case f == nil:
 	case own.Fairness == nil:
-		c.addError("fairness", "this controller has no teams")
+		c.addError("fairness", "this controller has no teams, because its set-up has no fairness part")
 	default:
 		next := *own.Fairness
 		next.Teams, next.Default, next.AgeingLimit = f.Teams, cmp.Or(f.Default, next.Default), cmp.Or(f.AgeingLimit, next.AgeingLimit)
 		s.Fairness = &next
 		if len(next.Teams) == 0 {
-			c.addError("fairness.teams", "is missing: the policy names all teams there are")
+			c.addError("fairness.teams", "is missing: a policy must list all teams")
 		}
 		c.checkTeams(next.Teams, "fairness.teams")
 		c.checkFairness(&next)
@@ -216,21 +219,21 @@
 	switch x := p.Shares; {
 	case x == nil:
 	case own.Shares == nil:
-		c.addError("shares", "this controller has no customers")
+		c.addError("shares", "this controller has no customers, because its set-up has no shares part")
 	default:
 		next := *own.Shares
 		next.Customers = slices.Clone(next.Customers)
 		s.Shares = &next
-		if x.OverShareValue != nil {
-			next.OverShareValue = *x.OverShareValue
-			c.optionalNumber("shares.over", next.OverShareValue, 0, 1)
+		if x.OverQuotaWeight != nil {
+			next.OverQuotaWeight = *x.OverQuotaWeight
+			c.optionalNumber("shares.over", next.OverQuotaWeight, 0, 1)
 		}
 		for i, who := range x.Customers {
 			at := fmt.Sprintf("shares.customers[%d].", i)
 			c.requiredNumber(at+"rate", who.Rate, 1e-9, 1e9)
 			j := slices.IndexFunc(next.Customers, func(y Customer) bool { return y.Name == who.Name })
 			if j < 0 {
-				c.addError(at+"name", "no customer is called %q here", who.Name)
+				c.addError(at+"name", "no customer is named %q in the set-up", who.Name)
 				continue
 			}
 			next.Customers[j].Rate = who.Rate
@@ -240,9 +243,9 @@
 	if p.Placement != nil {
 		s.Placement = p.Placement
 	}
-	c.checkPlacement(s) // its teams and sites may be gone even if it is left out
+	c.checkPlacement(s) // rules that the policy omits may name teams that it removes
 	if n := len(p.Voters); n > 0 && (n%2 == 0 || n > maxVoters) {
-		c.addError("voters", "%d voters, and there must be 3, 5 or 7, or 1 for a trial", n)
+		c.addError("voters", "%d voters: use 3, 5 or 7, or 1 for a trial", n)
 	}
 	names := map[string]bool{}
 	for i, v := range p.Voters {
@@ -251,9 +254,9 @@
 		c.checkAddress(at+"address", v.Address)
 		switch {
 		case strings.Contains(v.Name, "="):
-			c.addError(at+"name", "%q: a voter's name has no =", v.Name)
+			c.addError(at+"name", "%q: a voter's name may contain no =", v.Name)
 		case names[v.Name]:
-			c.addError(at+"name", "a second voter is called %q", v.Name)
+			c.addError(at+"name", "a second voter is named %q", v.Name)
 		}
 		names[v.Name] = true
 	}
@@ -266,26 +269,26 @@
 		at := fmt.Sprintf("groups[%d].", i)
 		j := slices.IndexFunc(s.Groups, func(y Group) bool { return y.Name == g.Name })
 		if seen[g.Name] {
-			c.addError(at+"name", "a second group is called %q", g.Name)
+			c.addError(at+"name", "a second group is named %q", g.Name)
 		}
 		if seen[g.Name] = true; j < 0 {
-			c.addError(at+"name", "no group is called %q here", g.Name)
+			c.addError(at+"name", "no group is named %q in the set-up", g.Name)
 			continue
 		}
 		x := &s.Groups[j]
-		x.Threads, x.Target, x.Timeout = cmp.Or(g.Threads, x.Threads), cmp.Or(g.Target, x.Target), cmp.Or(g.Timeout, x.Timeout)
+		x.Threads, x.Objective, x.Timeout = cmp.Or(g.Threads, x.Threads), cmp.Or(g.Objective, x.Objective), cmp.Or(g.Timeout, x.Timeout)
 		c.optionalNumber(at+"threads", x.Threads, 1, 1024)
-		x.Value = cmp.Or(g.Value, x.Value)
-		c.optionalNumber(at+"value", x.Value, 0, 1e9)
-		if g.Stretch != nil {
-			x.Stretch = *g.Stretch
-			c.optionalNumber(at+"stretch", x.Stretch, 0, 1000)
+		x.PriorityWeight = cmp.Or(g.PriorityWeight, x.PriorityWeight)
+		c.optionalNumber(at+"value", x.PriorityWeight, 0, 1e9)
+		if g.ObjectiveStretch != nil {
+			x.ObjectiveStretch = *g.ObjectiveStretch
+			c.optionalNumber(at+"stretch", x.ObjectiveStretch, 0, 1000)
 		}
 		if g.LateValueShare != nil {
 			x.LateValueShare = g.LateValueShare
 			c.optionalNumber(at+"late_share", *x.LateValueShare, 0, 1)
 		}
-		if x.Target > 0 && x.Timeout > 0 && x.Target > x.Timeout {
+		if x.Objective > 0 && x.Timeout > 0 && x.Objective > x.Timeout {
 			c.addError(at+"target", "is longer than the timeout of %v", time.Duration(x.Timeout))
 		}
 	}
--- a/internal/setup/placement_test.go
+++ b/internal/setup/placement_test.go
@@ -75,18 +75,18 @@
 		p.Settings["group.0.target"] != "2000" || len(p.Tenants.Tenants) != 2 || p.Tenants.Tenants[0].Weight != 5 || voters[0] != "c0=h:1" {
 		t.Fatalf("%+v %v", p, voters)
 	}
-	if own.Groups[0].Target != Duration(time.Second) || len(own.Placement) != 2 || len(own.Fairness.Teams) != 3 {
-		t.Fatal("the set-up itself was changed")
+	if own.Groups[0].Objective != Duration(time.Second) || len(own.Placement) != 2 || len(own.Fairness.Teams) != 3 {
+		t.Fatal("ParsePolicy changed the set-up")
 	}
 	p, watched, _, err = ParsePolicy("p.yaml", nil, own)
 	if err != nil || len(p.Rules.([]residency.Rule)) != 2 || len(watched) != 1 {
-		t.Fatal("what is left out is as the set-up has it", err)
+		t.Fatal("an omitted setting doesn't have the value in the set-up", err)
 	}
 	if p, _, _, err := ParsePolicy("p.yaml", []byte("placement: []"), own); err != nil || len(p.Rules.([]residency.Rule)) > 0 {
-		t.Fatal("an empty list takes all rules away", err)
+		t.Fatal("an empty list doesn't remove all rules", err)
 	}
 	for text, want := range map[string]string{
-		"groups: [{name: lookup, threads: 4000}]":                              "p.yaml:1: groups[0].threads: 4000 is over 1024",
+		"groups: [{name: lookup, threads: 4000}]":                              "p.yaml:1: groups[0].threads: 4000 is greater than 1024",
 		"groups:\n - {name: nope, value: 3}":                                   "p.yaml:2: groups[0].name: no group",
 		"groups:\n - {name: lookup, effect: x}":                                "unknown field",
 		"shares: {over: 0.5}":                                                  "no customers",
--- a/internal/setup/policy_bench_test.go
+++ b/internal/setup/policy_bench_test.go
@@ -6,11 +6,11 @@
 	"testing"
 )
 
-// largePolicyBytes is the size of the large policies of scale runs.
+// largePolicyBytes is the size of large policies in the scale benchmark.
 const largePolicyBytes = 100_000
 
-// BenchmarkLargePolicy reads a policy of some 3,000 teams, which each controller does
-// once for each change.
+// BenchmarkLargePolicy parses a policy with about 3,000 teams. Each controller does so once for
+// each change.
 func BenchmarkLargePolicy(b *testing.B) {
 	var text bytes.Buffer
 	text.WriteString("fairness:\n  teams:\n    - {name: a, weight: 2}\n    - {name: b, weight: 1}\n")
--- a/internal/setup/setup.go
+++ b/internal/setup/setup.go
@@ -1,7 +1,9 @@
-// Package setup reads the product's YAML: strictly, so that an unknown key, a
-// wrong unit or two teams of one name are errors that name the file, the line and
-// the field, with the line shown, and nothing is taken over by halves. Every field
-// tells its default; what is left out has it.
+// Package setup reads and checks the YAML files of railrelay: the configuration of a process,
+// which operators call its set-up, and the policy of a fleet.
+//
+// Reading is strict. An unknown key, a value with a wrong unit or a second team with the same
+// name is an error that names the file, the line and the field and shows the line. A file with
+// an error has no effect. Comments on the fields tell their defaults.
 package setup
 
 import (
@@ -12,172 +14,171 @@
 	"github.com/goccy/go-yaml/parser"
 )
 
-// Setup is all that a file says.
+// Setup is the configuration of one process.
 type Setup struct {
-	Name   string `yaml:"name"`   // in the log; empty
-	Listen string `yaml:"listen"` // where clients connect
+	Name   string `yaml:"name"`   // name of the process in the log; default empty
+	Listen string `yaml:"listen"` // address on which clients connect
 	Seed   string `yaml:"seed"`
-	// Log is the least level logged: debug, info, warn or error; warn.
+	// LogLevel is the lowest level that is logged: debug, info, warn or error; default warn.
 	LogLevel         string       `yaml:"log"`
-	DiscoveryAddress string       `yaml:"feed"` // where the list of engines comes from
+	DiscoveryAddress string       `yaml:"feed"` // address of the service that lists the engines
 	Limits           Limits       `yaml:"limits"`
 	Engines          Engines      `yaml:"engines"`
 	Groups           []Group      `yaml:"groups"`
 	Clients          []ClientSet  `yaml:"clients"`
-	Fairness         *Fairness    `yaml:"fairness"` // left out: whoever comes first goes first
-	Spool            *Spool       `yaml:"spool"`    // left out: results are answered whole
-	Answers          *ResultCache `yaml:"answers"`  // left out: every query goes to an engine
-	Shares           *Shares      `yaml:"shares"`   // left out: no customer has one
-	Fleet            *Fleet       `yaml:"fleet"`    // left out: this controller decides by itself
-	// Placement are the rules on where teams' data may be; left out: anywhere.
+	Fairness         *Fairness    `yaml:"fairness"` // nil: queries start in the order of arrival
+	Spool            *Spool       `yaml:"spool"`    // nil: results aren't read in pages
+	Answers          *ResultCache `yaml:"answers"`  // nil: every query goes to an engine
+	Shares           *Shares      `yaml:"shares"`   // nil: customers have no quotas
+	Fleet            *Fleet       `yaml:"fleet"`    // nil: the controller is in no fleet
+	// Placement restricts the sites of teams' data; nil: unrestricted.
 	Placement []PlacementRule `yaml:"placement"`
-	// Estimates are the call fields that tell a query's work, in milliseconds of one
-	// thread, and the memory that it needs, in MB; left out: none does.
+	// Estimates names the call fields with a query's estimated work, in milliseconds of one
+	// thread, and its estimated memory, in MB. Empty: calls have no such field.
 	Estimates Estimates `yaml:"estimates"`
 }
 
-// Limits are the machine's.
+// Limits are the resources of the machine that the process may use.
 type Limits struct {
-	Cores    float64 `yaml:"cores"`     // 1
-	MemoryMB float64 `yaml:"memory_mb"` // 512
-	Sockets  int     `yaml:"sockets"`   // 4096
+	Cores    float64 `yaml:"cores"`     // default 1
+	MemoryMB float64 `yaml:"memory_mb"` // default 512
+	Sockets  int     `yaml:"sockets"`   // default 4096
 }
 
-// Engines tells what engines are like and what the rules allow towards them.
+// Engines describes the engines, and what a controller may do with them.
 type Engines struct {
-	Controllers int      `yaml:"controllers"` // that share them: 1
+	Controllers int      `yaml:"controllers"` // number of controllers that share the engines; default 1
 	Kinds       []Kind   `yaml:"kinds"`
-	Locations   []string `yaml:"locations"` // here
-	Location    string   `yaml:"location"`  // where this controller stands: nowhere in particular
-	// May lists what is allowed: probe, cancel, copy (two submissions at once),
-	// grant (memory), prioritise, name-return (a pause with a deferral). All, if it
-	// is left out.
+	Locations   []string `yaml:"locations"` // default here
+	Location    string   `yaml:"location"`  // location of this controller; default none
+	// AllowedActions lists what the controller may do: probe, cancel, copy (two attempts of a
+	// query at once), grant (memory), prioritise, name-return (a deferral names a delay after
+	// which the client may retry). Default all.
 	AllowedActions []string `yaml:"may"`
-	MaxSubmissions int      `yaml:"submissions"` // of one query at the most: 3
-	MaxRetryDelay  Duration `yaml:"pause"`       // the longest that clients follow: 60s
-	ConnectTimeout Duration `yaml:"connect"`     // a connection comes up within: 250ms
-	IdleTimeout    Duration `yaml:"idle"`        // engines close idle connections after: 15s
-	NoteInterval   Duration `yaml:"notes"`       // time between an engine's notes: 2s
-	DrainGrace     Duration `yaml:"grace"`       // after a drain was told: 1s
-	KeyRest        Duration `yaml:"key_rest"`    // after an end that isn't certain: 300ms
+	MaxAttempts    int      `yaml:"submissions"` // of one query; default 3
+	MaxRetryAfter  Duration `yaml:"pause"`       // longest retry delay that clients respect; default 60s
+	ConnectTimeout Duration `yaml:"connect"`     // default 250ms
+	IdleTimeout    Duration `yaml:"idle"`        // engines close connections that were idle so long; default 15s
+	NotePeriod     Duration `yaml:"notes"`       // between an engine's progress notes on a query; default 2s
+	DrainGrace     Duration `yaml:"grace"`       // after an engine announced that it drains; default 1s
+	KeyCooldown    Duration `yaml:"key_rest"`    // of a key after an attempt that may still run; default 300ms
 	Report         string   `yaml:"report"`
-	// Figures are what reports bring: held (queries in hand), cores (part busy). Left
-	// out: as engines that tell of queries held.
+	// ReportFields lists the fields of an engine's load report: held (number of queries on the
+	// engine), cores (fraction that is busy). Default held.
 	ReportFields []string `yaml:"figures"`
-	// Tells lists what engines tell of a query: notes (while it runs) and costs (with
-	// its answer). Both, if it is left out.
-	QueryReports    []string    `yaml:"tells"`
-	WhenMemoryShort string      `yaml:"memory_short"` // swap
-	MaxMemoryShare  float64     `yaml:"grant"`        // share of memory one query gets at most: 0.4
-	WarmUp          WarmUp      `yaml:"cold"`
-	RetryBudget     RetryBudget `yaml:"budget"`
+	// QueryReports lists what engines report of a query: notes (progress while it runs) and
+	// costs (the work, with the answer). Default both.
+	QueryReports     []string    `yaml:"tells"`
+	WhenMemoryShort  string      `yaml:"memory_short"` // default swap
+	MaxGrantFraction float64     `yaml:"grant"`        // of an engine's memory, granted to one query; default 0.4
+	SlowStart        SlowStart   `yaml:"cold"`
+	RetryBudget      RetryBudget `yaml:"budget"`
 }
 
-// Shares are customers' parts of the service. What goes beyond one counts for less;
-// nobody's turn is kept, which is what fairness is for.
+// Shares are the customers' quotas. A query beyond its customer's quota has a lower priority.
+// Shares guarantee no customer a turn: Fairness does.
 type Shares struct {
-	Field          string     `yaml:"field"` // of a call, names the customer
-	OverShareValue float64    `yaml:"over"`  // what a query beyond its customer's share is worth: 0
-	Customers      []Customer `yaml:"customers"`
+	Field           string     `yaml:"field"` // call field that names the customer
+	OverQuotaWeight float64    `yaml:"over"`  // value of a query beyond its customer's quota, 0 to 1; default 0
+	Customers       []Customer `yaml:"customers"`
 }
 
-// Customer is one of them; Rate is queries a second, all controllers together.
+// Customer has a quota of Rate queries a second over all controllers.
 type Customer struct {
 	Name string  `yaml:"name"`
 	Rate float64 `yaml:"rate"`
 }
 
-// Estimates are names of call fields.
+// Estimates are the names of the call fields with estimates.
 type Estimates struct {
 	Work   string `yaml:"work"`
 	Memory string `yaml:"memory"`
 }
 
-// Kind is a kind of engine.
+// Kind describes the engines of one kind.
 type Kind struct {
 	Name     string  `yaml:"name"`
 	Cores    float64 `yaml:"cores"`
 	MemoryMB float64 `yaml:"memory_mb"`
 }
 
-// Cold is how engines warm up.
-type WarmUp struct {
-	InitialCapacity float64  `yaml:"from"`     // part of its cores that a cold one has: 0.33
-	Duration        Duration `yaml:"span"`     // until it has all: 15s
-	MaxBurst        float64  `yaml:"multiple"` // of what it can do that it may be sent in the window: 3
-	Window          Duration `yaml:"window"`   // 1s
+// SlowStart limits the load on an engine that has just started.
+type SlowStart struct {
+	InitialCapacity float64  `yaml:"from"`     // fraction of its cores that a new engine starts with; default 0.33
+	Duration        Duration `yaml:"span"`     // time until an engine has its full capacity; default 15s
+	WorkFactor      float64  `yaml:"multiple"` // of a warming engine's capacity, sent to it in a window; default 3
+	Window          Duration `yaml:"window"`   // default 1s
 }
 
-// Budget bounds further submissions: least, and share of the queries taken in span.
+// RetryBudget bounds the retries in a window: Minimum, plus Ratio per query that arrived in it.
 type RetryBudget struct {
 	Minimum float64  `yaml:"least"`
-	Share   float64  `yaml:"share"`
-	Span    Duration `yaml:"span"` // 0: no budget
+	Ratio   float64  `yaml:"share"`
+	Window  Duration `yaml:"span"` // 0: retries are unlimited
 }
 
 // Group is a resource group.
 type Group struct {
-	Name           string   `yaml:"name"`
-	Threads        float64  `yaml:"threads"`    // a query runs on: 1
-	Value          float64  `yaml:"value"`      // 1
-	Target         Duration `yaml:"target"`     // 1s
-	Timeout        Duration `yaml:"timeout"`    // the longest queue timeout a call may name: 30s
-	Stretch        float64  `yaml:"stretch"`    // of the work, on top of the target
-	LateValueShare *float64 `yaml:"late_share"` // of the value, when late; left out: late answers are waited for
-	Effect         string   `yaml:"effect"`
-	Scope          string   `yaml:"scope"`     // all
-	Window         Duration `yaml:"window"`    // of a token: 5s
-	InOrder        bool     `yaml:"in_order"`  // by key
-	Load           bool     `yaml:"load"`      // locks its table group
-	WaitsForLoad   bool     `yaml:"waits"`     // stands still behind a load
-	Locations      []string `yaml:"locations"` // all
-	Kinds          []string `yaml:"kinds"`     // all
-}
-
-// Clients are what is expected of connections from some addresses. The narrowest
-// set that holds an address counts; whoever is in none has the platform's figures,
-// which are the defaults.
+	Name             string   `yaml:"name"`
+	Threads          float64  `yaml:"threads"`    // used by a query on an engine; default 1
+	PriorityWeight   float64  `yaml:"value"`      // value of an answer within the objective; default 1
+	Objective        Duration `yaml:"target"`     // default 1s
+	Timeout          Duration `yaml:"timeout"`    // longest queue timeout that a call may name; default 30s
+	ObjectiveStretch float64  `yaml:"stretch"`    // added to the objective, as a multiple of the estimated work
+	LateValueShare   *float64 `yaml:"late_share"` // fraction of the value that a late answer is worth; default 1
+	Effect           string   `yaml:"effect"`
+	Scope            string   `yaml:"scope"`     // default all
+	KeyWindow        Duration `yaml:"window"`    // time for which engines keep an idempotency key; default 5s
+	FIFOByKey        bool     `yaml:"in_order"`  // queries with the same key run one after the other
+	IsLoad           bool     `yaml:"load"`      // writes tables, and locks their table group
+	WaitsForLoads    bool     `yaml:"waits"`     // waits on the engine while a load locks the table group
+	Locations        []string `yaml:"locations"` // default all
+	Kinds            []string `yaml:"kinds"`     // default all
+}
+
+// ClientSet limits the connections from some addresses. The longest prefix that contains a
+// client's address decides. Clients outside all sets have the defaults, which are the
+// platform's limits.
 type ClientSet struct {
 	Name           string   `yaml:"name"`
 	Addresses      []Prefix `yaml:"addresses"`
-	MaxOpenQueries int      `yaml:"open"`     // queries open on a connection: 32
-	MaxMessages    int      `yaml:"messages"` // on a connection in 250ms: 128
-	IdleTimeout    Duration `yaml:"idle"`     // closed after so long with nothing open: 6s
-	MessageTimeout Duration `yaml:"message"`  // one takes no longer: 2s
+	MaxOpenQueries int      `yaml:"open"`     // on a connection; default 32
+	MaxMessages    int      `yaml:"messages"` // on a connection in 250ms; default 128
+	IdleTimeout    Duration `yaml:"idle"`     // of a connection without an open query; default 6s
+	MessageTimeout Duration `yaml:"message"`  // time within which a message must be complete; default 2s
 }
 
-// Fairness is whose turn it is.
+// Fairness configures the fair queue, which decides whose query starts next.
 type Fairness struct {
 	Fields          Fields   `yaml:"fields"`
-	Trusted         []Prefix `yaml:"trusted"`     // whose calls may name a team: nobody's
-	Default         string   `yaml:"default"`     // the team of all others: one of weight 1 beside the rest
-	AgeingLimit     Duration `yaml:"age"`         // nobody waits longer by the estimate, and who does goes first: 10s
-	MaxWaiting      int      `yaml:"waiting"`     // queries, all together: 100000
-	OverrunFactor   float64  `yaml:"overrun"`     // times its usual work before one is lowered: 4
-	NotifyThreshold float64  `yaml:"tell_change"` // of an estimate that is told again: 0.25
+	Trusted         []Prefix `yaml:"trusted"`     // clients whose calls may name a team; default none
+	Default         string   `yaml:"default"`     // team of all other clients; default a further team of weight 1
+	AgeingLimit     Duration `yaml:"age"`         // wait after which a query starts before younger ones; default 10s
+	MaxWaiting      int      `yaml:"waiting"`     // queries of all teams; default 100000
+	OverrunFactor   float64  `yaml:"overrun"`     // multiple of the usual work after which a query loses priority; default 4
+	NotifyThreshold float64  `yaml:"tell_change"` // relative change of an estimate after which it is sent again; default 0.25
 	Teams           []Team   `yaml:"teams"`
 }
 
-// Fields are the names of call fields that are looked at; empty ones are not.
+// Fields are the names of the call fields that the fair queue reads. An empty name disables the field.
 type Fields struct {
 	Team       string `yaml:"team"`  // names the team
-	NotifyWait string `yaml:"tell"`  // asks to be told how long it waits
-	RepeatOf   string `yaml:"again"` // the trace of the call that this one repeats
+	NotifyWait string `yaml:"tell"`  // asks for notifications of the estimated wait
+	RepeatOf   string `yaml:"again"` // trace of the call that this one repeats
 }
 
-// Team is a team, or with teams of its own a kind of customer.
+// Team is a tenant of the fair queue. A team with Teams groups those.
 type Team struct {
 	Name       string   `yaml:"name"`
 	Weight     float64  `yaml:"weight"`
-	Budget     float64  `yaml:"budget"`  // thread seconds a second: none
-	Burst      float64  `yaml:"burst"`   // thread seconds: one second's budget
-	MaxWaiting int      `yaml:"waiting"` // queries: 10000
+	Budget     float64  `yaml:"budget"`  // thread seconds a second; default unlimited
+	Burst      float64  `yaml:"burst"`   // thread seconds; default the budget of one second
+	MaxWaiting int      `yaml:"waiting"` // queries; default 10000
 	Addresses  []Prefix `yaml:"addresses"`
 	Teams      []Team   `yaml:"teams"`
 }
 
-// Load reads a file and checks it. All that is found wrong is in the error, as
-// Faults joined.
+// Load reads and checks a file. The error joins a FieldError for each mistake in the file.
 func Load(path string) (*Setup, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -186,7 +187,7 @@
 	return Parse(path, text)
 }
 
-// Parse is Load of a text; file names it in errors.
+// Parse reads and checks the text of a file. Errors contain file as the file's name.
 func Parse(file string, text []byte) (*Setup, error) {
 	tree, err := parser.ParseBytes(text, 0)
 	if err != nil {
--- a/internal/setup/setup_test.go
+++ b/internal/setup/setup_test.go
@@ -28,8 +28,8 @@
 	}
 }
 
-// Each case spoils one line of the example; the error must name the file, that
-// line and the field, and show the line.
+// Each case breaks one line of the example. The error must name the file, that line and the field,
+// and show the line.
 func TestErrorsNameFileLineAndField(t *testing.T) {
 	text, err := os.ReadFile(examplePath)
 	if err != nil {
@@ -38,22 +38,22 @@
 	for _, c := range []struct{ old, new, field, why string }{
 		{"idle: 5m ", "idel: 5m ", "idel", "unknown field"},
 		{"target: 2s", "target: 2", "2", "has no unit"},
-		{"target: 2s", "target: soon", "soon", "is no time"},
+		{"target: 2s", "target: soon", "soon", "is not a duration"},
 		{"name: steyr,", "name: linz,", "fairness.teams[0].teams[1].name", "a second team"},
-		{"name: steyr, weight: 1", "name: steyr, weight: 0", "fairness.teams[0].teams[1].weight", "a weight is over 0"},
-		{"name: steyr, weight: 1", "name: steyr, weight: -2", "fairness.teams[0].teams[1].weight", "a weight is over 0"},
+		{"name: steyr, weight: 1", "name: steyr, weight: 0", "fairness.teams[0].teams[1].weight", "a weight must be greater than 0"},
+		{"name: steyr, weight: 1", "name: steyr, weight: -2", "fairness.teams[0].teams[1].weight", "a weight must be greater than 0"},
 		{"10.4.0.0/16", "10.3.7.0/24", "fairness.teams[1].teams[1].addresses[0]", `overlaps addresses of "fire-north"`},
 		{"10.4.0.0/16", "10.0.0.0/8", "fairness.teams[1].teams[1].addresses[0]", "overlaps addresses of"},
-		{"10.4.0.0/16", "10.4.0.0/99", "10.4.0.0/99", "is no set"},
-		{"effect: mutating", "effect: sometimes", "groups[2].effect", "none of"},
-		{"listen: 127.0.0.1:6565", "listen: 127.0.0.1", "listen", "no address"},
+		{"10.4.0.0/16", "10.4.0.0/99", "10.4.0.0/99", "is not an address or a prefix"},
+		{"effect: mutating", "effect: sometimes", "groups[2].effect", "not one of"},
+		{"listen: 127.0.0.1:6565", "listen: 127.0.0.1", "listen", "not an address"},
 		{"fresh: 10s", "fresh: 0s", "answers.fresh", "is missing"},
 		{"groups: [lookup, report]", "groups: [lookup, load]", "answers.groups[1]", "is not read-only"},
 		{"default: others", "default: anyone", "fairness.default", "no team"},
 		{"- name: report", "- name: lookup", "groups[1].name", "a second group"},
-		{"    team: team ", "    team: '' ", "fairness.trusted", "nothing to trust"},
+		{"    team: team ", "    team: '' ", "fairness.trusted", "has no effect"},
 		{"report: probed", "report: [probed]", "", ""},
-		{"sockets: 4096 ", "sockets: 4 ", "limits.sockets", "under 64"},
+		{"sockets: 4096 ", "sockets: 4 ", "limits.sockets", "less than 64"},
 		{"seed: 8c1f30d27a5be964", "seed: xyz", "seed", ""},
 		{"fairness:\n  fields:", "fairness:\n   fields:", "", ""},
 	} {
@@ -64,12 +64,12 @@
 		line := 1 + strings.Count(string(text)[:strings.Index(string(text), c.old)], "\n")
 		_, err := Parse("x.yaml", []byte(spoilt))
 		if err == nil {
-			t.Errorf("%q was taken", c.new)
+			t.Errorf("%q was accepted", c.new)
 			continue
 		}
 		var f *FieldError
 		if !errors.As(err, &f) {
-			t.Errorf("%q: no Fault: %v", c.new, err)
+			t.Errorf("%q: the error is no FieldError: %v", c.new, err)
 			continue
 		}
 		if c.field != "" && (f.Field != c.field || f.Line != line && c.field != "fairness.trusted") || !strings.Contains(f.Reason, c.why) ||
@@ -93,12 +93,13 @@
 	f.Add([]byte("fairness: {teams: [{name: a, weight: 1e99}]}\n"))
 	f.Fuzz(func(t *testing.T, p []byte) {
 		if s, err := Parse("x", p); err == nil && s.Listen == "" && !s.IsControlProcess() {
-			t.Fatal("taken without an address")
+			t.Fatal("accepted without an address")
 		}
 	})
 }
 
-// The shapes of deployment by settings alone, and what mixes them refused by its key.
+// Each kind of deployment is configured by settings alone. Settings of different kinds that conflict
+// are rejected with their path.
 func TestDeploymentShapesAndTheirConflicts(t *testing.T) {
 	text, err := os.ReadFile(examplePath)
 	if err != nil {
@@ -112,11 +113,11 @@
 	}
 	for _, name := range []string{"own.location", "report.figures", "teams"} {
 		if x, there := was.settings()[name]; there {
-			t.Errorf("left out, and %s is %q", name, x)
+			t.Errorf("%s is missing in the file, but set to %q", name, x)
 		}
 	}
 	if f := was.settings(); f["answers.cost"] != "true" || f["note.period"] != "2000" || f["report.how"] != "probed" {
-		t.Errorf("what is left out is other than it was: %v", f)
+		t.Errorf("wrong defaults: %v", f)
 	}
 	for _, late := range []string{"", "    late_share: 0\n"} {
 		at := strings.Index(before, "    late_share: 0.1")
--- a/internal/setup/spool.go
+++ b/internal/setup/spool.go
@@ -12,31 +12,31 @@
 	"railrelay.dev/railrelay/internal/spool"
 )
 
-// Spool is where results are kept that clients read page by page.
+// Spool configures the store of results that clients read page by page.
 type Spool struct {
-	Field       string   `yaml:"field"`        // of a call that asks for pages
-	Directory   string   `yaml:"directory"`    // left out: results are kept in memory and end with the program
-	MemoryMB    float64  `yaml:"memory_mb"`    // pages in memory: 16
-	DiskMB      float64  `yaml:"disk_mb"`      // pages on disk: 1024
-	ResultMB    float64  `yaml:"result_mb"`    // one result: 1024, no more than the room
-	Results     int      `yaml:"results"`      // at once: 10000
-	TeamShare   float64  `yaml:"team_share"`   // of the room before a team's are the first to go: 0.25
-	TeamResults int      `yaml:"team_results"` // of one team at once: 1000
-	TeamMB      float64  `yaml:"team_mb"`      // of one team: no bound of its own
-	Idle        Duration `yaml:"idle"`         // a result lives from its last read: 15m
-	Life        Duration `yaml:"life"`         // and in all: 2h
-	PageKB      float64  `yaml:"page_kb"`      // pages of engines are joined up to: 32
-	FlightMB    float64  `yaml:"flight_mb"`    // being written at once: 4
-	Reads       int      `yaml:"reads"`        // pages being read from disk at once: 64
-	Sync        string   `yaml:"sync"`         // promise, ticks or never: promise
-	Keys        Duration `yaml:"keys"`         // a key makes tokens for: 24h
+	Field       string   `yaml:"field"`        // call field that asks for a result in pages
+	Directory   string   `yaml:"directory"`    // empty: results are kept in memory and lost at the end of the process
+	MemoryMB    float64  `yaml:"memory_mb"`    // pages in memory; default 16
+	DiskMB      float64  `yaml:"disk_mb"`      // pages on disk; default 1024
+	ResultMB    float64  `yaml:"result_mb"`    // one result; default 1024, at most the space in memory and on disk
+	Results     int      `yaml:"results"`      // at once; default 10000
+	TeamShare   float64  `yaml:"team_share"`   // fraction of the space above which a team's results are evicted first; default 0.25
+	TeamResults int      `yaml:"team_results"` // of one team at once; default 1000
+	TeamMB      float64  `yaml:"team_mb"`      // of one team; default unlimited
+	Idle        Duration `yaml:"idle"`         // time from its last read until a result expires; default 15m
+	Life        Duration `yaml:"life"`         // time from its start until a result expires; default 2h
+	PageKB      float64  `yaml:"page_kb"`      // size up to which engines' pages are joined; default 32
+	FlightMB    float64  `yaml:"flight_mb"`    // being written at once; default 4
+	Reads       int      `yaml:"reads"`        // pages being read from disk at once; default 64
+	Sync        string   `yaml:"sync"`         // promise, ticks or never; default promise
+	Keys        Duration `yaml:"keys"`         // time for which a key signs new tokens; default 24h
 }
 
 var syncPolicies = map[string]resultstore.SyncPolicy{"": resultstore.SyncOnCommit, "promise": resultstore.SyncOnCommit, "ticks": resultstore.SyncOnTick, "never": resultstore.SyncNever}
 
 func (c *checker) checkSpool(s *Spool, l Limits) {
 	if s.Field == "" {
-		c.addError("spool.field", "is missing: without it no call asks for pages")
+		c.addError("spool.field", "is missing: without it no call can ask for pages")
 	}
 	c.optionalNumber("spool.memory_mb", s.MemoryMB, 1, 1<<20)
 	c.optionalNumber("spool.disk_mb", s.DiskMB, 1, 1<<30)
@@ -49,23 +49,23 @@
 	c.optionalNumber("spool.flight_mb", s.FlightMB, 0.1, 1024)
 	c.optionalNumber("spool.reads", float64(s.Reads), 1, 10_000)
 	if _, ok := syncPolicies[s.Sync]; !ok {
-		c.addError("spool.sync", "%q is none of promise, ticks and never", s.Sync)
+		c.addError("spool.sync", "%q is not one of: promise, ticks, never", s.Sync)
 	}
 	if s.Directory == "" && s.DiskMB > 0 {
-		c.addError("spool.disk_mb", "there is no directory")
+		c.addError("spool.disk_mb", "is set, but spool.directory is missing")
 	}
 	if s.MemoryMB > cmp.Or(l.MemoryMB, 512)/2 {
-		c.addError("spool.memory_mb", "is over half of limits.memory_mb")
+		c.addError("spool.memory_mb", "is more than half of limits.memory_mb")
 	}
 	if idle, life := s.Idle.orDefault(spool.Usual().Idle), s.Life.orDefault(spool.Usual().Life); idle > life {
-		c.addError("spool.idle", "%v is longer than the life of %v", idle, life)
+		c.addError("spool.idle", "%v is longer than spool.life, %v", idle, life)
 	}
 	if k := time.Duration(s.Keys); k > 0 && k < time.Minute {
-		c.addError("spool.keys", "%v is under a minute", k)
+		c.addError("spool.keys", "%v is shorter than a minute", k)
 	}
 }
 
-// Limits are the spool's figures.
+// Limits returns the limits of the spool, with defaults in place of missing values.
 func (s *Spool) Limits() spool.Limits {
 	const mb = 1 << 20
 	l := spool.Usual()
@@ -81,8 +81,8 @@
 	return l
 }
 
-// OpenSpool opens the spool that the set-up names and puts it into means. Nothing
-// is opened where it names none.
+// OpenSpool opens the configured spool and adds it to a controller's configuration. Without a
+// spool it returns nil.
 func (x *Setup) OpenSpool(means *controller.Config, log zerolog.Logger) (*resultstore.SpoolStore, error) {
 	s := x.Spool
 	if s == nil {
@@ -110,7 +110,7 @@
 			line = log.Log()
 		}
 		line.Int("results", f.Results).Int("segments", f.Segments).Int("half_written", f.Incomplete).Int64("torn_bytes", f.CorruptBytes).
-			Int("lost", len(f.Lost)).Bool("index_rebuilt", f.IndexRebuilt).Msg("the spool is open")
+			Int("lost", len(f.Lost)).Bool("index_rebuilt", f.IndexRebuilt).Msg("opened the spool")
 		if text, err = disk.Keys(); err != nil {
 			disk.Close()
 			return nil, err
--- a/internal/setup/value.go
+++ b/internal/setup/value.go
@@ -11,10 +11,10 @@
 	"github.com/goccy/go-yaml/ast"
 )
 
-// Span is a time with its unit: 250ms, 1.5s, 2m.
+// Duration is a time.Duration written with its unit: 250ms, 1.5s, 2m.
 type Duration time.Duration
 
-// UnmarshalYAML reads one; a bare number is no time.
+// UnmarshalYAML reads a duration. A number without a unit is an error.
 func (s *Duration) UnmarshalYAML(node ast.Node) error {
 	text := node.GetToken().Value
 	d, err := time.ParseDuration(text)
@@ -22,19 +22,19 @@
 		if _, bare := strconv.ParseFloat(text, 64); bare == nil {
 			return errorAt(node, fmt.Sprintf("%s has no unit: write %sms or %ss", text, text, text))
 		}
-		return errorAt(node, fmt.Sprintf("%q is no time: write 250ms, 1.5s or 2m", text))
+		return errorAt(node, fmt.Sprintf("%q is not a duration: write 250ms, 1.5s or 2m", text))
 	}
 	if d < 0 {
-		return errorAt(node, text+" is less than nothing")
+		return errorAt(node, text+" is negative")
 	}
 	*s = Duration(d)
 	return nil
 }
 
-// Prefix is a set of addresses: 10.1.0.0/16, or a single one.
+// Prefix is an address prefix, as in 10.1.0.0/16, or a single address.
 type Prefix struct{ netip.Prefix }
 
-// UnmarshalYAML reads one.
+// UnmarshalYAML reads a prefix or an address.
 func (p *Prefix) UnmarshalYAML(node ast.Node) error {
 	text := node.GetToken().Value
 	if a, err := netip.ParseAddr(text); err == nil {
@@ -43,13 +43,13 @@
 	}
 	x, err := netip.ParsePrefix(text)
 	if err != nil {
-		return errorAt(node, fmt.Sprintf("%q is no set of addresses: write 10.1.0.0/16", text))
+		return errorAt(node, fmt.Sprintf("%q is not an address or a prefix: write 10.1.0.0/16", text))
 	}
 	p.Prefix = x
 	return nil
 }
 
-// at is an error at a place.
+// errorAt returns an error with the position of a node.
 func errorAt(node ast.Node, why string) error {
 	return &yaml.SyntaxError{Message: why, Token: node.GetToken()}
 }
