--- a/cmd/railrelay-bench/datapath.go
+++ b/cmd/railrelay-bench/datapath.go
@@ -11,31 +11,31 @@
 	"railrelay.dev/railrelay/internal/capacity"
 )
 
-// datapath measures the data path of one controller.
+// datapathCommand measures the cost of engines, clients and queries on one controller.
 func datapathCommand() *cobra.Command {
 	path := bench.UsualDatapath()
 	file := ""
 	c := &cobra.Command{Use: "datapath", Short: "what engines, clients and queries cost one controller", Args: cobra.NoArgs,
-		Long: "One controller's process before stand-in engines, clients and a feed: idle before engines of each size, with idle\n" +
+		Long: "One controller's process before emulated engines, clients and a discovery service: idle before engines of each size, with idle\n" +
 			"clients of each size, with queries at each rate, and once the engine of a chain is lost. About five minutes.",
 		RunE: func(c *cobra.Command, _ []string) error {
 			return measureDatapath(c.Context(), c.OutOrStdout(), path, file)
 		}}
 	flags := c.Flags()
 	flags.StringVar(&path.Program, "program", path.Program, "the controller")
-	flags.IntVar(&path.Controllers, "controllers", path.Controllers, "that its set-up says share the engines")
-	flags.IntSliceVar(&path.Engines, "engines", path.Engines, "sizes to idle before; the largest is used for all else")
+	flags.IntVar(&path.Controllers, "controllers", path.Controllers, "number of controllers that share the engines, in the set-up")
+	flags.IntSliceVar(&path.Engines, "engines", path.Engines, "numbers of engines to idle with; the largest is used in all other steps")
 	flags.IntSliceVar(&path.Rates, "rates", path.Rates, "queries a second")
-	flags.IntSliceVar(&path.Clients, "clients", path.Clients, "sizes of the steps of idle clients")
-	flags.DurationVar(&path.Rest, "rest", path.Rest, "how long each is looked at")
+	flags.IntSliceVar(&path.Clients, "clients", path.Clients, "numbers of idle clients, one for each step")
+	flags.DurationVar(&path.Rest, "rest", path.Rest, "duration of each step")
 	flags.Uint64Var(&path.Seed, "seed", path.Seed, seedUsage)
-	flags.StringVar(&file, "csv", "", "the file that the figures are added to")
+	flags.StringVar(&file, "csv", "", "the file that the results are appended to")
 	return c
 }
 
-// measureDatapath measures, and adds the figures to a file if one is named.
+// measureDatapath runs the measurement and appends the results to a file, unless its name is empty.
 func measureDatapath(ctx context.Context, out io.Writer, path bench.Datapath, file string) error {
-	if file != "" { // a damaged file is told before minutes of work
+	if file != "" { // detects a damaged file before minutes of measurement
 		if err := capacity.Append(file, nil); err != nil {
 			return err
 		}
@@ -51,7 +51,7 @@
 	return capacity.Append(file, rows)
 }
 
-// printSlopes fits a line through each figure of several sizes.
+// printSlopes prints a fitted line for each quantity that was measured at several sizes.
 func printSlopes(out io.Writer, rows []capacity.Row) {
 	type figure struct{ role, what, unit string }
 	told := map[figure]bool{}
--- a/cmd/railrelay-bench/figures.go
+++ b/cmd/railrelay-bench/figures.go
@@ -7,9 +7,9 @@
 	"railrelay.dev/railrelay/internal/capacity"
 )
 
-// keepScale adds a scale run's figures to a file. Those of a fleet with relays, or with
-// machines set aside alone, have names of their own: they begin with "4 relays: " or
-// "set aside: ", so that runs without and with them stand side by side.
+// scaleRecorder returns a function that appends the results of a scale run to a file. The names of
+// results with relays begin with "4 relays: ", and those with only machines set aside for control
+// begin with "set aside: ". So the file can hold the results of all variants.
 func scaleRecorder(path string, s bench.Scale) func([]bench.ScaleRow) error {
 	variant := ""
 	switch {
--- a/cmd/railrelay-bench/fleets.go
+++ b/cmd/railrelay-bench/fleets.go
@@ -22,7 +22,7 @@
 		first.Explain(c.OutOrStdout())
 		return fmt.Errorf("seed %d breaks a rule", first.Seed)
 	}
-	c.Flags().Uint64Var(&from, "seed", 1, "of the first")
-	c.Flags().IntVar(&plays, "plays", 2000, "how many")
+	c.Flags().Uint64Var(&from, "seed", 1, "seed of the first run")
+	c.Flags().IntVar(&plays, "plays", 2000, "number of runs")
 	return c
 }
--- a/cmd/railrelay-bench/large.go
+++ b/cmd/railrelay-bench/large.go
@@ -14,7 +14,7 @@
 		return bench.Large(c.Context(), c.OutOrStdout(), program, results, size)
 	}
 	c.Flags().StringVar(&program, "program", defaultProgram, "the controller")
-	c.Flags().IntVar(&results, "results", 1, "all of them are kept on disk")
-	c.Flags().IntVar(&size, "mb", 1024, "of each")
+	c.Flags().IntVar(&results, "results", 1, "number of results, which are all kept on disk")
+	c.Flags().IntVar(&size, "mb", 1024, "size of each result in MB")
 	return c
 }
--- a/cmd/railrelay-bench/main.go
+++ b/cmd/railrelay-bench/main.go
@@ -1,5 +1,5 @@
-// Command railrelay-bench is the laboratory: it plays the product against stand-ins and
-// measures what it does.
+// Command railrelay-bench runs railrelay against emulated engines and clients, and measures its
+// performance and behaviour.
 package main
 
 import (
@@ -11,15 +11,15 @@
 	"github.com/spf13/cobra"
 )
 
-// What several commands say alike.
+// Defaults and usage texts that several commands share.
 const (
 	defaultProgram          = "bin/railrelay"
 	defaultPlantedDirectory = "bin/planted"
-	seedUsage               = "what is drawn at random follows from"
+	seedUsage               = "seed of the random numbers"
 )
 
 func main() {
-	// a play that is interrupted ends what it has started
+	// an interrupted run ends the processes that it started
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	root := &cobra.Command{Use: "railrelay-bench", Short: "railrelay's laboratory", SilenceUsage: true}
 	root.AddCommand(fleetsCommand(), manyCommand(), plantedCommand(), measureCommand(), tryCommand(), speedCommand(), largeCommand(), scaleCommand(), hollowCommand(), datapathCommand(), pageCommand())
--- a/cmd/railrelay-bench/many.go
+++ b/cmd/railrelay-bench/many.go
@@ -20,6 +20,6 @@
 	}
 	c.Flags().StringVar(&play.Program, "program", defaultProgram, "the controller")
 	c.Flags().IntVar(&play.Controllers, "controllers", 50, "processes")
-	c.Flags().DurationVar(&play.Rest, "rest", 10*time.Second, "how long to look at them at rest")
+	c.Flags().DurationVar(&play.Rest, "rest", 10*time.Second, "duration of the measurement at rest")
 	return c
 }
--- a/cmd/railrelay-bench/page.go
+++ b/cmd/railrelay-bench/page.go
@@ -9,7 +9,7 @@
 	"railrelay.dev/railrelay/internal/capacity"
 )
 
-// page fills the tables of the capacity page from the file of figures.
+// pageCommand fills the tables of the capacity page with the measured results.
 func pageCommand() *cobra.Command {
 	path, file := "docs/CAPACITY.md", "docs/capacity.csv"
 	c := &cobra.Command{Use: "page", Short: "fill the tables of the capacity page from the measured figures", Args: cobra.NoArgs,
@@ -37,6 +37,6 @@
 			return os.WriteFile(path, []byte(filled.Text), 0o644)
 		}}
 	c.Flags().StringVar(&path, "page", path, "the page")
-	c.Flags().StringVar(&file, "csv", file, "the measured figures")
+	c.Flags().StringVar(&file, "csv", file, "the file with the measured results")
 	return c
 }
--- a/cmd/railrelay-bench/planted.go
+++ b/cmd/railrelay-bench/planted.go
@@ -16,7 +16,7 @@
 		}
 		return bench.FindPlanted(c.Context(), c.OutOrStdout(), directory)
 	}
-	c.Flags().StringVar(&directory, "planted", defaultPlantedDirectory, "where they are")
+	c.Flags().StringVar(&directory, "planted", defaultPlantedDirectory, "directory of the tests")
 	c.Flags().BoolVar(&build, "build", false, "only build them, from the root of the tree")
 	return c
 }
--- a/cmd/railrelay-bench/remedy.go
+++ b/cmd/railrelay-bench/remedy.go
@@ -8,7 +8,7 @@
 	"railrelay.dev/railrelay/internal/fleet"
 )
 
-// remedy says what can be done about an error, where it knows.
+// printRemedy prints the remedy of an error that has one.
 func printRemedy(out io.Writer, err error) {
 	var remedied fleet.ErrorWithRemedy
 	if errors.As(err, &remedied) {
--- a/cmd/railrelay-bench/scale.go
+++ b/cmd/railrelay-bench/scale.go
@@ -22,7 +22,7 @@
 	csv := ""
 	c.RunE = func(c *cobra.Command, _ []string) error {
 		if csv != "" {
-			if err := capacity.Append(csv, nil); err != nil { // a damaged file is told before minutes of work
+			if err := capacity.Append(csv, nil); err != nil { // detects a damaged file before minutes of measurement
 				return err
 			}
 			s.Record = scaleRecorder(csv, s)
@@ -34,33 +34,33 @@
 		return s.Run(c.Context(), c.OutOrStdout())
 	}
 	f := c.Flags()
-	f.StringVar(&csv, "csv", "", "the file that the figures are added to")
-	f.BoolVar(&grow, "growth", false, "look at a record that has grown over time instead of a fleet of a size")
-	f.IntVar(&growth.Members, "growth-members", growth.Members, "that came and went")
-	f.IntVar(&growth.Changes, "growth-changes", growth.Changes, "of policy")
-	f.IntVar(&growth.Steps, "growth-steps", growth.Steps, "at which a voter is started from the record")
+	f.StringVar(&csv, "csv", "", "the file that the results are appended to")
+	f.BoolVar(&grow, "growth", false, "measure a log that has grown over time instead of a fleet of a given size")
+	f.IntVar(&growth.Members, "growth-members", growth.Members, "number of members that joined and left")
+	f.IntVar(&growth.Changes, "growth-changes", growth.Changes, "number of policy changes")
+	f.IntVar(&growth.Steps, "growth-steps", growth.Steps, "number of log sizes at which a voter is started from the log")
 	f.StringVar(&s.Program, "program", s.Program, "the controller")
-	f.IntVar(&s.Controllers, "controllers", s.Controllers, "of the fleet, 2 to 1200")
-	f.IntVar(&s.Real, "real", s.Real, "of them are processes before all engines, 1024 at the most; the others are hollow")
-	f.IntVar(&s.Voters, "voters", s.Voters, "of the real ones vote: 1, 3, 5 or 7")
-	f.IntVar(&s.Relays, "relays", s.Relays, "of the real ones that don't vote gather the renewals of others; 0: none does")
+	f.IntVar(&s.Controllers, "controllers", s.Controllers, "controllers in the fleet, 2 to 1200")
+	f.IntVar(&s.Real, "real", s.Real, "controllers that are real processes with all engines, at most 1024; the others are hollow")
+	f.IntVar(&s.Voters, "voters", s.Voters, "real controllers that vote: 1, 3, 5 or 7")
+	f.IntVar(&s.Relays, "relays", s.Relays, "non-voting real controllers that relay the lease renewals of others; 0: none")
 	f.BoolVar(&s.SetAside, "set-aside", s.SetAside, "voters have the role control, on machines set aside for it; relays always do")
-	f.IntVar(&s.Engines, "engines", s.Engines, "in the feed")
+	f.IntVar(&s.Engines, "engines", s.Engines, "engines in the discovery list")
 	f.Uint64Var(&s.Seed, "seed", s.Seed, seedUsage)
-	f.DurationVar(&s.Lease, "lease", s.Lease, "of the fleet")
-	f.DurationVar(&s.Settle, "settle", s.Settle, "waited before anything is measured")
-	f.DurationVar(&s.Rest, "rest", s.Rest, "how long to look at it at rest")
-	f.IntVar(&s.Changes, "changes", s.Changes, "of policy, at rest")
-	f.IntVar(&s.Large, "large", s.Large, "of these are large")
-	f.IntVar(&s.PolicyBytes, "policy-bytes", s.PolicyBytes, "of a policy")
-	f.IntVar(&s.LargeBytes, "large-bytes", s.LargeBytes, "of a large one")
-	f.StringSliceVar(&s.Faults, "faults", s.Faults, "in this order")
-	f.IntVar(&s.Compare, "compare", s.Compare, "controllers by which hollow ones are held against real ones; 0: they aren't")
-	f.BoolVar(&s.Linked, "links", s.Linked, "links take the times of zones and regions")
+	f.DurationVar(&s.Lease, "lease", s.Lease, "lease of the fleet")
+	f.DurationVar(&s.Settle, "settle", s.Settle, "time to wait before the first measurement")
+	f.DurationVar(&s.Rest, "rest", s.Rest, "duration of the measurement at rest")
+	f.IntVar(&s.Changes, "changes", s.Changes, "policy changes at rest")
+	f.IntVar(&s.Large, "large", s.Large, "policy changes with a large policy")
+	f.IntVar(&s.PolicyBytes, "policy-bytes", s.PolicyBytes, "size of a policy")
+	f.IntVar(&s.LargeBytes, "large-bytes", s.LargeBytes, "size of a large policy")
+	f.StringSliceVar(&s.Faults, "faults", s.Faults, "faults to inject, in this order")
+	f.IntVar(&s.Compare, "compare", s.Compare, "controllers in the comparison of hollow with real ones; 0: no comparison")
+	f.BoolVar(&s.Linked, "links", s.Linked, "add the delays between zones and regions to links")
 	return c
 }
 
-// hollowProcess is what a scale run starts for its hollow controllers.
+// hollowCommand runs the hollow controllers of a scale run, which starts it as a process.
 func hollowCommand() *cobra.Command {
 	return &cobra.Command{Use: "hollow", Hidden: true, Short: "run hollow controllers, as told on standard input", Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
--- a/cmd/railrelay-bench/scale_test.go
+++ b/cmd/railrelay-bench/scale_test.go
@@ -13,7 +13,7 @@
 	"time"
 )
 
-// A run that is interrupted, or killed, leaves no process and no directory behind.
+// An interrupted run leaves no process and no directory behind, and a killed run no process.
 func TestInterruptedScaleRunLeavesNoProcesses(t *testing.T) {
 	bin := t.TempDir()
 	if out, err := exec.Command("go", "build", "-o", bin+"/", "../railrelay", "../railrelay-fleet", ".").CombinedOutput(); err != nil {
@@ -21,8 +21,8 @@
 	}
 	for name, test := range map[string]struct {
 		signal syscall.Signal
-		after  string // a part of a line of the output; "": a moment after the start
-		clean  bool   // it could remove its directory
+		after  string // part of an output line to wait for; "": shortly after the start
+		clean  bool   // the run can remove its directory
 	}{
 		"interrupted while it starts": {syscall.SIGINT, "", true},
 		"interrupted while it plays":  {syscall.SIGINT, "all serve", true},
@@ -47,21 +47,21 @@
 				awaitLine(t, bufio.NewScanner(out), test.after)
 			}
 			if n := len(processesIn(t, directory)); n < 2 {
-				t.Errorf("%d processes run before the signal", n)
+				t.Errorf("only %d processes run before the signal", n)
 			}
 			run.Process.Signal(test.signal)
 			if err := run.Wait(); err == nil {
-				t.Error("it ended as if it was whole")
+				t.Error("an interrupted run exited with status 0")
 			}
 			end := time.Now().Add(5 * time.Second)
 			for len(processesIn(t, directory)) > 0 && time.Now().Before(end) {
 				time.Sleep(20 * time.Millisecond)
 			}
 			if left := processesIn(t, directory); len(left) > 0 {
-				t.Errorf("processes %v are left", left)
+				t.Errorf("processes %v still run", left)
 			}
 			if left, _ := os.ReadDir(directory); test.clean && len(left) > 0 {
-				t.Errorf("%v is left", left)
+				t.Errorf("%v still exists", left)
 			}
 		})
 	}
@@ -76,7 +76,7 @@
 	t.Fatalf("no line has %q", part)
 }
 
-// processesIn are the ids of those whose temporary files go to a directory.
+// processesIn returns the ids of the processes whose TMPDIR is a directory.
 func processesIn(t *testing.T, directory string) (l []int) {
 	entries, err := os.ReadDir("/proc")
 	if err != nil {
@@ -87,7 +87,7 @@
 		if err != nil {
 			continue
 		}
-		environment, _ := os.ReadFile(filepath.Join("/proc", e.Name(), "environ")) // one that has ended has none
+		environment, _ := os.ReadFile(filepath.Join("/proc", e.Name(), "environ")) // a process that has exited has none
 		if bytes.Contains(environment, []byte("TMPDIR="+directory+"\x00")) {
 			l = append(l, id)
 		}
--- a/cmd/railrelay-bench/speed.go
+++ b/cmd/railrelay-bench/speed.go
@@ -17,6 +17,6 @@
 		return err
 	}
 	c.Flags().StringVar(&program, "program", defaultProgram, "the controller")
-	c.Flags().IntVar(&turns, "turns", 3, "of three seconds each, on and off")
+	c.Flags().IntVar(&turns, "turns", 3, "number of turns with fairness on and off, of three seconds each")
 	return c
 }
--- a/cmd/railrelay-bench/try.go
+++ b/cmd/railrelay-bench/try.go
@@ -22,7 +22,7 @@
 		return err
 	}
 	c.Flags().StringVar(&trial.Program, "program", defaultProgram, "the controller")
-	c.Flags().DurationVar(&trial.Long, "for", 20*time.Second, "how long to ask")
+	c.Flags().DurationVar(&trial.Long, "for", 20*time.Second, "time for which queries are sent")
 	c.Flags().Uint64Var(&trial.Seed, "seed", 1, seedUsage)
 	return c
 }
--- a/cmd/railrelay-fleet/command.go
+++ b/cmd/railrelay-fleet/command.go
@@ -24,23 +24,23 @@
 	"railrelay.dev/railrelay/internal/setup"
 )
 
-// desk is where a command asks: the set-up's control listener, or one that is named.
+// controlClient sends a command to a control listener: the one in a set-up, or one given by flags.
 type controlClient struct {
 	setupFile, controlAddress, keyFile string
 	printAsJSON                        bool
 	timeout                            time.Duration
 }
 
-// command is `railrelay fleet`.
+// command returns the command `railrelay fleet`.
 func command() *cobra.Command {
 	d := &controlClient{}
 	root := &cobra.Command{Use: "fleet", Short: "See and change what the fleet has decided",
-		Long: "See and change what the fleet has decided. --setup names a controller's set-up, or --control and --keys its operators'\n" +
-			"address and the key file. Exit status: 0 done, 3 not done and never will be, 4 not known yet: ask again by the same id,\n" +
-			"of any controller; 1 and 2: nothing was asked."}
-	root.PersistentFlags().StringVar(&d.setupFile, "setup", "", "the set-up of the controller that is asked")
-	root.PersistentFlags().StringVar(&d.controlAddress, "control", "", "its operators' address, in place of the set-up's")
-	root.PersistentFlags().StringVar(&d.keyFile, "keys", "", "the key file, in place of the set-up's")
+		Long: "See and change what the fleet has decided. --setup names a controller's set-up, or --control and --keys its control\n" +
+			"address and the key file. Exit status: 0 done, 3 failed for good, 4 not known yet: repeat the command with the same id,\n" +
+			"on any controller; 1 and 2: no request was sent."}
+	root.PersistentFlags().StringVar(&d.setupFile, "setup", "", "the set-up of the controller that receives the request")
+	root.PersistentFlags().StringVar(&d.controlAddress, "control", "", "its control address, instead of the one in the set-up")
+	root.PersistentFlags().StringVar(&d.keyFile, "keys", "", "the key file, instead of the one in the set-up")
 	root.PersistentFlags().BoolVar(&d.printAsJSON, "json", false, "print the answer as one JSON object")
 	root.AddCommand(d.statusCommand(), d.applyCommand(), d.purgeCommand(), d.forgetCommand(), d.policyCommand(), d.planCommand())
 	return root
@@ -55,9 +55,9 @@
 			}
 			return d.sendAndPrint(c, &fleet.Request{Kind: "status", ID: id, AwaitedStage: until, WaitMs: d.timeout.Milliseconds()})
 		}}
-	c.Flags().StringVar(&until, "until", "", "with --id: unreachable of a purge, settled of a change (erased, in force)")
-	c.Flags().StringVar(&id, "id", "", "of a change or purge: waits for the last word on it")
-	c.Flags().DurationVar(&d.timeout, "at-most", 10*time.Second, "wait so long")
+	c.Flags().StringVar(&until, "until", "", "with --id: unreachable for a purge, settled for a change (erased, in force)")
+	c.Flags().StringVar(&id, "id", "", "id of a change or purge, whose outcome is awaited")
+	c.Flags().DurationVar(&d.timeout, "at-most", 10*time.Second, "time to wait")
 	return c
 }
 
@@ -74,7 +74,7 @@
 				return err
 			}
 			if !c.Flags().Changed("base") {
-				return errors.New("--base is missing: the version that the file was made against, which fleet status tells")
+				return errors.New("--base is missing: give the version that the file was made against, as fleet status prints it")
 			}
 			if err := checkUntil(until, "", "settled"); err != nil {
 				return err
@@ -85,11 +85,11 @@
 			}
 			return d.sendAndPrint(c, a)
 		}}
-	c.Flags().StringVar(&id, "id", "", "of the change, to ask again by (one is drawn)")
+	c.Flags().StringVar(&id, "id", "", "id of the change, for repeating the command (random)")
 	c.Flags().Uint64Var(&base, "base", 0, "the version that the file was made against")
-	c.Flags().DurationVar(&d.timeout, "at-most", 30*time.Second, "withdrawn if not in force by then; 0: never")
-	c.Flags().StringVar(&until, "until", "", "settled: waits also for what tighter placement rules leave outside (in force)")
-	c.Flags().DurationVar(&wait, "wait", 0, "wait so long for the word (--at-most and five seconds)")
+	c.Flags().DurationVar(&d.timeout, "at-most", 30*time.Second, "time after which a change that isn't in force is withdrawn; 0: never")
+	c.Flags().StringVar(&until, "until", "", "settled: wait also for the purge of data outside tighter placement rules (in force)")
+	c.Flags().DurationVar(&wait, "wait", 0, "time to wait for the outcome (--at-most and five seconds)")
 	return c
 }
 
@@ -119,12 +119,12 @@
 			}
 			return d.sendAndPrint(c, a)
 		}}
-	c.Flags().StringVar(&id, "id", "", "of the purge, to ask again by (one is drawn)")
+	c.Flags().StringVar(&id, "id", "", "id of the purge, for repeating the command (random)")
 	c.Flags().StringVar(&team, "team", "", "whose")
-	c.Flags().Int64SliceVar(&tables, "tables", nil, "only of these table groups (all)")
-	c.Flags().StringVar(&before, "before", "", "only what was kept before, as 2026-11-30T18:00:00Z, or so long ago, as 2h (whenever)")
+	c.Flags().Int64SliceVar(&tables, "tables", nil, "purge only data of these table groups (all)")
+	c.Flags().StringVar(&before, "before", "", "purge only data kept before a time, as 2026-11-30T18:00:00Z, or for longer than a duration, as 2h (no limit)")
 	c.Flags().StringVar(&until, "until", "", "unreachable or erased (erased)")
-	c.Flags().DurationVar(&d.timeout, "at-most", time.Minute, "wait so long; the purge goes on after it")
+	c.Flags().DurationVar(&d.timeout, "at-most", time.Minute, "time to wait; the purge continues after it")
 	return c
 }
 
@@ -139,14 +139,14 @@
 				return err
 			}
 			known := r.Status != nil && slices.ContainsFunc(r.Status.Members, func(m fleet.MemberStatus) bool { return m.Name == args[0] })
-			if !known && !anyway { // a slip of the pen would bar a name for good
-				return fmt.Errorf("no controller is called %q, as far as is known there; --anyway bars that name all the same", args[0])
+			if !known && !anyway { // a typing error would bar a name permanently
+				return fmt.Errorf("no controller named %q is known to the fleet; --anyway bars the name nevertheless", args[0])
 			}
 			return d.sendAndPrint(c, &fleet.Request{Kind: "forget", ID: id, Name: args[0], WaitMs: d.timeout.Milliseconds()})
 		}}
-	c.Flags().StringVar(&id, "id", "", "to ask again by (one is drawn)")
-	c.Flags().BoolVar(&anyway, "anyway", false, "also a name that isn't known")
-	c.Flags().DurationVar(&d.timeout, "at-most", 10*time.Second, "wait so long")
+	c.Flags().StringVar(&id, "id", "", "id for repeating the command (random)")
+	c.Flags().BoolVar(&anyway, "anyway", false, "accept a name that isn't known")
+	c.Flags().DurationVar(&d.timeout, "at-most", 10*time.Second, "time to wait")
 	return c
 }
 
@@ -168,27 +168,27 @@
 		}}
 }
 
-// oneOf is wrong about what --until can't be.
+// checkUntil checks the value of --until. The first of words is the default, an empty value.
 func checkUntil(until string, words ...string) error {
 	if !slices.Contains(words, until) {
-		return fmt.Errorf("--until %s: it is %s", until, strings.Join(words[1:], " or "))
+		return fmt.Errorf("--until %s: use %s", until, strings.Join(words[1:], " or "))
 	}
 	return nil
 }
 
-// moment reads a time, or a span before now.
+// parseTime reads a time, or a duration before now.
 func parseTime(text string, now time.Time) (time.Time, error) {
 	if ago, err := time.ParseDuration(text); err == nil {
 		return now.Add(-ago), nil
 	}
 	at, err := time.Parse(time.RFC3339, text)
 	if err != nil {
-		return at, fmt.Errorf("%q is no time as 2026-11-30T18:00:00Z and no span as 2h", text)
+		return at, fmt.Errorf("%q is neither a time, as 2026-11-30T18:00:00Z, nor a duration, as 2h", text)
 	}
 	return at, nil
 }
 
-// where is whom to ask, and by which keys.
+// endpoint returns the address of the control listener and the keys for requests to it.
 func (d *controlClient) endpoint() (address string, keys transport.Keys, err error) {
 	address, file := d.controlAddress, d.keyFile
 	if d.setupFile != "" {
@@ -202,16 +202,16 @@
 		address, file = cmp.Or(address, have.Fleet.ControlAddress), cmp.Or(file, have.Fleet.KeyFile)
 	}
 	if address == "" || file == "" {
-		return "", nil, errors.New("whom to ask? Give --setup FILE, or --control ADDRESS and --keys FILE")
+		return "", nil, errors.New("no controller to send the request to: give --setup FILE, or --control ADDRESS and --keys FILE")
 	}
 	keys, err = transport.ReadKeys(file)
 	return address, keys, err
 }
 
-// asksAfter is how long after its wait the answer may come.
+// responseMargin is added to a request's wait to get the time after which the request fails.
 const responseMargin = 5 * time.Second
 
-// ask asks and prints the answer; the error is the exit status.
+// sendAndPrint sends a request and prints the response. The error contains the exit status.
 func (d *controlClient) sendAndPrint(c *cobra.Command, a *fleet.Request) error {
 	if a.ID == "" && a.Kind != "status" {
 		a.ID = randomID()
@@ -234,7 +234,8 @@
 	return err
 }
 
-// reply asks. What may have been taken without an answer isn't known yet.
+// send sends a request and returns the response. The outcome of a request that was sent, but not
+// answered, is unknown.
 func (d *controlClient) send(c *cobra.Command, a *fleet.Request) (*fleet.Response, error) {
 	address, keys, err := d.endpoint()
 	if err != nil {
@@ -259,7 +260,7 @@
 	return e.Encode(r)
 }
 
-// remedied is an error with what can be done about it.
+// withRemedy adds the remedy to the text of an error that has one.
 func withRemedy(err error) error {
 	var r fleet.ErrorWithRemedy
 	if errors.As(err, &r) {
@@ -274,7 +275,7 @@
 	return hex.EncodeToString(p)
 }
 
-// show prints a reply for people.
+// printResponse prints a response as text.
 func printResponse(out io.Writer, r *fleet.Response) error {
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	if r.Outcome != "status" {
@@ -323,7 +324,7 @@
 	return w.Flush()
 }
 
-// line prints the word on one run.
+// printOutcome prints the outcome of one change or purge.
 func printOutcome(w io.Writer, r *fleet.Response) {
 	text := r.Outcome
 	if r.ID != "" {
--- a/cmd/railrelay-fleet/control_test.go
+++ b/cmd/railrelay-fleet/control_test.go
@@ -23,15 +23,15 @@
 	relayRole     = "  role: control\n  relay: true\n"
 )
 
-// process is what the set-up of one process of a fleet says.
+// process describes the set-up of one process in a fleet.
 type process struct {
 	name, directory, peerAddress, controlAddress string
-	topLevelLines                                string // beside the fleet part
-	fleetLines                                   string // further lines of the fleet part
-	voterLines                                   string // the lines of voters
+	topLevelLines                                string // lines outside the fleet part
+	fleetLines                                   string // additional lines of the fleet part
+	voterLines                                   string // lines of fleet.voters
 }
 
-// begin starts it.
+// start writes the set-up and starts the process.
 func (p process) start(t *testing.T) *member {
 	t.Helper()
 	m := &member{t: t, name: p.name, setup: filepath.Join(p.directory, p.name+".yaml")}
@@ -45,8 +45,8 @@
 	return m
 }
 
-// apart starts processes that are set apart for control, three voters and one that only
-// relays, and controllers, which ask that one or, in its place, the first voter.
+// startControlFleet starts three voters and a relay, all control processes, and controllers. The
+// controllers use the relay, with the first voter as the backup.
 func startControlFleet(t *testing.T) (voting, serving []*member, relay *member) {
 	t.Helper()
 	dir, from := t.TempDir(), startFeed(t)
@@ -87,10 +87,10 @@
 	return voting, serving, relay
 }
 
-// Three voters without clients, engines or feed lead two controllers, which ask through a
-// relay: a change is in force on all and what it leaves outside is purged; a controller's
-// word that it can't take one counts; the relay and the voter that leads are killed and
-// another leads the next change.
+// Three voters that are control processes lead two controllers, which use a relay. A change is in
+// force everywhere and data outside its placement rules is purged. A policy that a controller
+// rejects is withdrawn. After the relay and the leader are killed, another voter leads the next
+// change.
 func TestControlProcessesLeadControllers(t *testing.T) {
 	voting, serving, relay := startControlFleet(t)
 	all := append(slices.Concat(voting, serving), relay)
@@ -124,13 +124,13 @@
 		t.Fatalf("%d %+v", status, r)
 	}
 	if r, status := serving[1].fleet("status", "--id", "first.outside.0"); status != 0 || r.Outcome != "purged" {
-		t.Fatalf("what the first rules leave outside isn't purged: %d %+v", status, r)
+		t.Fatalf("data outside the first rules isn't purged: %d %+v", status, r)
 	}
-	if r, status := apply(serving[0], "second", "2", "groups: [{name: nothing, target: 2s}]\nplacement: []\n"); status != 3 || r.Outcome != "withdrawn" || !strings.Contains(r.Reason, "no group is called") {
-		t.Fatalf("that no controller can take: %d %+v", status, r)
+	if r, status := apply(serving[0], "second", "2", "groups: [{name: nothing, target: 2s}]\nplacement: []\n"); status != 3 || r.Outcome != "withdrawn" || !strings.Contains(r.Reason, "no group is named") {
+		t.Fatalf("a policy that no controller can apply: %d %+v", status, r)
 	}
 	if r, status := apply(serving[0], "third", "2", "groups: [{name: lookup, target: 2s}]\n"); status != 3 || r.Outcome != "withdrawn" || !strings.Contains(r.Reason, "placement: is missing") {
-		t.Fatalf("whose rules no voter knows: %d %+v", status, r)
+		t.Fatalf("a policy whose rules no voter knows: %d %+v", status, r)
 	}
 
 	i := slices.IndexFunc(voting, func(m *member) bool { return m.name == s.Leader })
@@ -148,11 +148,11 @@
 	}
 	checkSignals(t, rest[0])
 	if out, errs, status := railrelay(t, "fleet", "plan", policy, "--alone", "--setup", rest[1].setup); status != 1 || !strings.Contains(errs, "name a controller's set-up") {
-		t.Errorf("a plan by a control process: %d %s%s", status, out, errs)
+		t.Errorf("a plan with the set-up of a control process: %d %s%s", status, out, errs)
 	}
 }
 
-// Controllers that voted hand that over to control processes while they serve, by a policy.
+// A policy moves the votes from controllers to control processes while the controllers serve.
 func TestVotesMoveToControlProcesses(t *testing.T) {
 	serving := startControllers(t, controlVoters, "")
 	text, err := os.ReadFile(serving[0].setup)
@@ -185,8 +185,8 @@
 	})
 }
 
-// planLeavesOutControl has a plan name those that take queries only, all of which are in
-// steyr, as outside of a boundary round linz.
+// checkPlanExcludesControlProcesses checks a plan that confines data to linz. The plan must list
+// the controllers, which are all in steyr, as outside, and no control process.
 func checkPlanExcludesControlProcesses(t *testing.T, by *member, text string) {
 	t.Helper()
 	policy := filepath.Join(t.TempDir(), "policy.yaml")
@@ -199,7 +199,7 @@
 	}
 }
 
-// What the set-up says of relays comes to the fleet's core.
+// The node's configuration contains the relays in the set-up.
 func TestNodeConfigContainsRelays(t *testing.T) {
 	for name, want := range map[string]node.Config{
 		"control.yaml": {},
@@ -217,7 +217,7 @@
 	}
 }
 
-// heedsSignals has a control process log its counters, read its keys again and end.
+// checkSignals checks that a control process logs its counters, reloads its keys and exits on signals.
 func checkSignals(t *testing.T, m *member) {
 	t.Helper()
 	m.cmd.Process.Signal(syscall.SIGUSR1)
@@ -230,15 +230,15 @@
 	select {
 	case <-m.exited:
 	case <-time.After(testTimeout):
-		t.Fatal("it doesn't end")
+		t.Fatal("the process doesn't exit")
 	}
 	if !m.cmd.ProcessState.Success() {
 		t.Error(m.cmd.ProcessState)
 	}
 }
 
-// A policy that is in force is never refused by a control process, whatever is known of
-// the rules before: it couldn't be withdrawn any more.
+// A control process never rejects a policy that is in force, even if it doesn't know the previous
+// rules, because such a policy can't be withdrawn any more.
 func TestControlProcessAcceptsCommittedPolicy(t *testing.T) {
 	own, err := setup.Load("../../deploy/fleet/control.yaml")
 	if err != nil {
@@ -256,6 +256,6 @@
 		t.Errorf("%+v", c)
 	}
 	if c := checkControlPolicy(own, "third", []byte("placement: 3"), driver.PolicyContext{Committed: true}); c.Reason == "" {
-		t.Errorf("no policy at all is taken: %+v", c)
+		t.Errorf("an invalid policy is accepted: %+v", c)
 	}
 }
--- a/cmd/railrelay-fleet/fleet_test.go
+++ b/cmd/railrelay-fleet/fleet_test.go
@@ -21,9 +21,9 @@
 	"railrelay.dev/railrelay/internal/fleet"
 )
 
-const testTimeout = 30 * time.Second // for what has to come; only a fault makes a test wait so long
+const testTimeout = 30 * time.Second // for expected events; only a failing test waits so long
 
-var binaries string // where both programs are
+var binaries string // directory of both programs
 
 func TestMain(m *testing.M) {
 	dir, err := os.MkdirTemp("", "railrelay")
@@ -39,7 +39,7 @@
 	os.Exit(code)
 }
 
-// member is one controller of a fleet: the lean program, which becomes the other one.
+// member is one process of a fleet, started as railrelay, which executes railrelay-fleet.
 type member struct {
 	t        *testing.T
 	name     string
@@ -49,7 +49,7 @@
 	exited   chan struct{}
 }
 
-// free gives addresses that nobody listens on.
+// freeAddresses returns unused addresses.
 func freeAddresses(t *testing.T, n int) (l []string) {
 	t.Helper()
 	for range n {
@@ -62,7 +62,7 @@
 	return l
 }
 
-// feed names one engine and goes on telling that there is nothing new.
+// startFeed starts a discovery service that lists two engines and then sends nothing.
 func startFeed(t *testing.T) string { return startFeedWithEngine(t, "127.0.0.1:9") }
 
 func startFeedWithEngine(t *testing.T, engine string) string {
@@ -90,7 +90,7 @@
 	return l.Addr().String()
 }
 
-// band starts a fleet of controllers of which all vote.
+// startControllers starts a fleet of controllers that are all voters.
 func startControllers(t *testing.T, n int, more string) []*member {
 	t.Helper()
 	dir, from := t.TempDir(), startFeed(t)
@@ -176,7 +176,7 @@
 	<-m.exited
 }
 
-// fleet runs a command and gives its answer and exit status.
+// fleet runs a fleet command and returns its response and exit status.
 func (m *member) fleet(args ...string) (*fleet.Response, int) {
 	m.t.Helper()
 	out, errs, status := railrelay(m.t, append([]string{"fleet", "--json", "--setup", m.setup}, args...)...)
@@ -203,7 +203,7 @@
 	return o.String(), e.String(), 0
 }
 
-// until asks a member for its status until it is as wanted.
+// awaitStatus polls the status of a member until good accepts it.
 func (m *member) awaitStatus(what string, good func(s *fleet.Status) bool) *fleet.Status {
 	m.t.Helper()
 	var last string
@@ -215,16 +215,15 @@
 		text, _ := json.Marshal(r)
 		last = string(text)
 	}
-	m.t.Fatalf("%s never saw %s: %s", m.name, what, last)
+	m.t.Fatalf("%s never reported %s: %s", m.name, what, last)
 	return nil
 }
 
 func isServing(s *fleet.Status) bool { return s.Serves && s.Leader != "" }
 
-// Three processes: one leads and all serve. The leader is killed and another leads. A
-// change is in force, a second one against the same version is refused, a team's purge
-// is unreachable while one is down and done once that is back; each word is the same
-// when it is asked for again of another one.
+// Three controllers elect a new leader after the leader is killed. A change comes into force, and a
+// second change against the same version is refused. A purge is unreachable while a controller is
+// down, and done once it is back. Every controller reports the same outcomes.
 func TestThreeControllersAgreeOnChanges(t *testing.T) {
 	all := startControllers(t, 3, "")
 	for _, m := range all {
@@ -251,14 +250,14 @@
 		t.Fatalf("%d %+v", status, r)
 	}
 	if r, status := rest[1].fleet("status", "--id", "first"); status != 0 || r.Outcome != "in force" {
-		t.Fatalf("asked again: %d %+v", status, r)
+		t.Fatalf("the outcome on another controller: %d %+v", status, r)
 	}
 	if r, status := rest[1].fleet("apply", policy, "--base", "1", "--id", "second"); status != 3 || r.Outcome != "refused" || r.Remedy == "" {
-		t.Fatalf("against an old version: %d %+v", status, r)
+		t.Fatalf("a change against an old version: %d %+v", status, r)
 	}
 	write("fairness: {teams: [{name: a, weight: 3}, {name: b, weight: 1}]}\ngroups: [{name: nothing, target: 2s}]\n")
 	if r, status := rest[1].fleet("apply", policy, "--base", "2", "--id", "third"); status != 3 || r.Outcome != "withdrawn" || !strings.Contains(r.Reason, "nothing") {
-		t.Fatalf("that can't be taken: %d %+v", status, r)
+		t.Fatalf("a change that can't be applied: %d %+v", status, r)
 	}
 	if r, _ := rest[0].fleet("policy"); r.Version != 2 || !strings.Contains(string(r.Policy), "a-linz") {
 		t.Fatalf("%+v", r)
@@ -268,18 +267,18 @@
 		t.Fatalf("purge while one is down: %d %+v", status, r)
 	}
 	if r, status := rest[1].fleet("status", "--id", "p1", "--at-most", "200ms"); status != 4 || r.Outcome != "unknown" || !slices.Contains(r.Outstanding, lost.name) {
-		t.Fatalf("it waits for nobody: %d %+v", status, r)
+		t.Fatalf("the purge doesn't wait for the stopped controller: %d %+v", status, r)
 	}
 	lost.start()
 	if r, status := rest[1].fleet("purge", "--team", "a", "--id", "p1", "--at-most", "20s"); status != 0 || r.Outcome != "purged" || r.Counts == nil {
-		t.Fatalf("purge with all there: %d %+v", status, r)
+		t.Fatalf("purge with all controllers: %d %+v", status, r)
 	}
 	lost.awaitStatus("the policy it has missed", func(s *fleet.Status) bool { return isServing(s) && s.Version == 2 })
 	if r, status := lost.fleet("status", "--id", "first", "--until", "settled", "--at-most", "20s"); status != 0 || r.Outcome != "settled" {
-		t.Fatalf("nothing is left outside: %d %+v", status, r)
+		t.Fatalf("the change isn't settled: %d %+v", status, r)
 	}
 	if r, status := lost.fleet("status", "--id", "first"); status != 0 || r.Outcome != "in force" {
-		t.Fatalf("asked of who was down: %d %+v", status, r)
+		t.Fatalf("the outcome on the restarted controller: %d %+v", status, r)
 	}
 
 	out, errs, status := railrelay(t, "fleet", "status", "--setup", lost.setup)
@@ -305,14 +304,14 @@
 	select {
 	case <-lost.exited:
 	case <-time.After(testTimeout):
-		t.Error("it doesn't end")
+		t.Error("the process doesn't exit")
 	}
 	if !lost.cmd.ProcessState.Success() {
 		t.Error(lost.cmd.ProcessState)
 	}
 }
 
-// hears waits for a line of its log.
+// awaitLog waits for a log line that contains a text.
 func (m *member) awaitLog(what string) string {
 	m.t.Helper()
 	for wait := time.After(testTimeout); ; {
@@ -322,13 +321,13 @@
 				return line
 			}
 		case <-wait:
-			m.t.Fatalf("%s never said %q", m.name, what)
+			m.t.Fatalf("%s never logged %q", m.name, what)
 		}
 	}
 }
 
-// The key is replaced while all serve: second line everywhere, first line, alone. Who
-// has only the old one gets nowhere after that.
+// The key is rotated while all controllers serve: the new key is added as the second line of the
+// key file, becomes the first and then the only line. The old key is rejected after that.
 func TestKeyRotation(t *testing.T) {
 	all := startControllers(t, 3, "")
 	for _, m := range all {
@@ -353,17 +352,18 @@
 		t.Fatal(err)
 	}
 	if _, errs, status := railrelay(t, "fleet", "purge", "--team", "a", "--setup", all[0].setup, "--keys", old); status != 1 || !strings.Contains(errs, "signed") {
-		t.Errorf("by the old key: %d %s", status, errs)
+		t.Errorf("a request with the old key: %d %s", status, errs)
 	}
-	for _, m := range all { // each asks for its lease anew within the time it has: by the new key
+	for _, m := range all { // each lease is renewed with the new key before it expires
 		m.awaitStatus("its lease", isServing)
 	}
 	if r, status := all[1].fleet("purge", "--team", "a"); status != 0 || r.Outcome != "purged" {
-		t.Errorf("by the new key: %d %+v", status, r)
+		t.Errorf("a request with the new key: %d %+v", status, r)
 	}
 }
 
-// What can't be asked says why and what to do, and the exit status tells it from a refusal.
+// A command that can't send its request reports the reason and a remedy, and its exit status differs
+// from that of a rejected request.
 func TestCommandErrors(t *testing.T) {
 	dir := t.TempDir()
 	keys, open := filepath.Join(dir, "keys"), filepath.Join(dir, "open")
@@ -377,10 +377,10 @@
 	}{
 		{[]string{"status", "--control", at, "--keys", keys}, 1, []string{"can't be reached", "ask another controller"}},
 		{[]string{"status", "--control", at, "--keys", open}, 1, []string{"give other users access", "chmod 600"}},
-		{[]string{"status"}, 1, []string{"whom to ask"}},
+		{[]string{"status"}, 1, []string{"no controller to send the request to"}},
 		{[]string{"apply", keys, "--control", at, "--keys", keys}, 1, []string{"--base is missing"}},
 		{[]string{"purge", "--control", at, "--keys", keys}, 1, []string{"--team is missing"}},
-		{[]string{"purge", "--team", "a", "--before", "noon", "--control", at, "--keys", keys}, 1, []string{"no time"}},
+		{[]string{"purge", "--team", "a", "--before", "noon", "--control", at, "--keys", keys}, 1, []string{"neither a time"}},
 	} {
 		out, errs, status := railrelay(t, append([]string{"fleet"}, c.args...)...)
 		if status != c.status {
--- a/cmd/railrelay-fleet/join.go
+++ b/cmd/railrelay-fleet/join.go
@@ -17,7 +17,7 @@
 	"railrelay.dev/railrelay/internal/setup"
 )
 
-// begin is what the set-up's fleet part says of this process, for the fleet's core.
+// nodeConfig converts a set-up into the configuration of the fleet's node.
 func nodeConfig(have *setup.Setup) node.Config {
 	part, terms := have.Fleet, have.Fleet.Parameters()
 	b := node.Config{Self: have.Member(), Lease: terms.Lease, ConfinedLease: terms.ConfinedLease, ClockDrift: terms.ClockDrift,
@@ -31,7 +31,7 @@
 	return b
 }
 
-// join opens the set-up's part in its fleet.
+// join opens this process's node and returns it for the controller to use.
 func join(have *setup.Setup, means *controller.Config, log zerolog.Logger) (cli.Joined, error) {
 	f := have.Fleet
 	judge := checkPolicy
@@ -50,8 +50,8 @@
 	return cli.Joined{Peers: eventloop.FleetChannels{Orders: e.Orders(), Reports: e.Reports()}, Serve: e.Serve, Again: e.ReloadKeys, Status: status}, nil
 }
 
-// check makes of a policy's text what the reducer decides by, and tells what of it is
-// narrower than what is in force.
+// checkPolicy parses a policy for a controller and determines the purges for placement rules that
+// are tighter than those in force.
 func checkPolicy(own *setup.Setup, change string, text []byte, have driver.PolicyContext) driver.PolicyVerdict {
 	policy, watched, voters, err := setup.ParsePolicy("policy "+change, text, own)
 	if err != nil {
@@ -72,9 +72,9 @@
 	return c
 }
 
-// checkControl makes of a policy's text what a control process leads by, and tells what
-// has to be purged for it. Such a process knows no teams, groups or engines: it checks the
-// form only, and each controller the rest.
+// checkControlPolicy parses a policy for a control process and determines the purges that it
+// requires. A control process knows no teams, groups or engines. It checks everything else, and
+// each controller checks those names.
 func checkControlPolicy(own *setup.Setup, change string, text []byte, have driver.PolicyContext) driver.PolicyVerdict {
 	file := "policy " + change
 	policy, err := setup.ParseControlPolicy(file, text, own)
@@ -82,7 +82,7 @@
 		return rejectPolicy(err)
 	}
 	c := driver.PolicyVerdict{Policy: policy, WatchedRules: policy.WatchedRules, Voters: policy.Voters, ResidencyRulesUnknown: !policy.RulesKnown}
-	if have.Committed { // what it purges was worked out before it was decided
+	if have.Committed { // the purges were determined before the policy was committed
 		return c
 	}
 	before, known := have.Policy.(*setup.ControlPolicy)
@@ -95,7 +95,7 @@
 	return c
 }
 
-// refused is the word on a policy that can't be taken.
+// rejectPolicy returns the verdict on a policy that can't be applied.
 func rejectPolicy(err error) driver.PolicyVerdict {
 	why := err.Error()
 	var r fleet.ErrorWithRemedy
--- a/cmd/railrelay-fleet/main.go
+++ b/cmd/railrelay-fleet/main.go
@@ -1,6 +1,6 @@
-// Command railrelay-fleet is railrelay with what a fleet of controllers needs: agreement,
-// the peers' wire and the operators' listener. railrelay becomes it where a set-up has a
-// fleet part; started by itself it does all that railrelay does.
+// Command railrelay-fleet is railrelay with the parts for a fleet of controllers: consensus, the
+// transport between peers and the operators' control listener. railrelay executes this program if
+// a set-up has a fleet part. Started directly, it does everything that railrelay does.
 package main
 
 import "railrelay.dev/railrelay/internal/cli"
--- a/cmd/railrelay-fleet/plan.go
+++ b/cmd/railrelay-fleet/plan.go
@@ -19,7 +19,7 @@
 	"railrelay.dev/railrelay/internal/setup"
 )
 
-// plan tells what a policy would do, and asks nobody to do anything.
+// planCommand prints the effects of a policy without applying it.
 func (d *controlClient) planCommand() *cobra.Command {
 	alone := false
 	c := &cobra.Command{Use: "plan FILE --setup SETUP", Short: "Tell what a policy would do before it is applied", Args: cobra.ExactArgs(1),
@@ -29,14 +29,14 @@
 			"be taken, or a team would have no engine or controller.",
 		RunE: func(c *cobra.Command, args []string) error {
 			if d.setupFile == "" {
-				return errors.New("--setup is missing: the policy is checked against it")
+				return errors.New("--setup is missing: give the set-up to check the policy against")
 			}
 			own, err := setup.Load(d.setupFile)
 			if err != nil {
 				return err
 			}
 			if own.IsControlProcess() {
-				return fmt.Errorf("%s is of a control process, which has no teams or engines to check a policy against: name a controller's set-up", d.setupFile)
+				return fmt.Errorf("%s is the set-up of a control process, which has no teams or engines to check a policy against: name a controller's set-up", d.setupFile)
 			}
 			text, err := os.ReadFile(args[0])
 			if err != nil {
@@ -76,7 +76,7 @@
 	return c
 }
 
-// world asks for what there is: the policy in force, controllers, bindings, engines.
+// fleetState requests the policy in force, the controllers, the bindings and the engines.
 func (d *controlClient) fleetState(c *cobra.Command, own *setup.Setup) (now *controller.Policy, w residency.World, err error) {
 	policy, err := d.send(c, &fleet.Request{Kind: "policy"})
 	if err != nil {
@@ -90,10 +90,10 @@
 		return nil, w, err
 	}
 	if status.Status == nil {
-		return nil, w, fmt.Errorf("the controller tells no status: %s", status.Reason)
+		return nil, w, fmt.Errorf("the controller returned no status: %s", status.Reason)
 	}
 	for _, m := range status.Status.Members {
-		if m.ClientAddress != "" { // one of the control role takes no queries
+		if m.ClientAddress != "" { // a control process has none and serves no queries
 			w.Controllers = append(w.Controllers, m.Member)
 		}
 	}
@@ -102,19 +102,19 @@
 	return now, w, err
 }
 
-// listed is how long the feed has to name all engines.
+// discoveryTimeout bounds the time until the discovery service has listed all engines.
 const discoveryTimeout = 5 * time.Second
 
-// engines are those that serve, by the feed's whole list.
+// activeEngines returns the engines that the discovery service lists as active.
 func activeEngines(own *setup.Setup, within time.Duration) ([]residency.Engine, error) {
 	conn, err := net.DialTimeout("tcp", own.DiscoveryAddress, within)
 	if err != nil {
-		return nil, fmt.Errorf("the feed of engines: %w", err)
+		return nil, fmt.Errorf("discovery service: %w", err)
 	}
 	defer conn.Close()
 	conn.SetDeadline(time.Now().Add(within))
 	if _, err := conn.Write(discovery.Since(nil, 0)); err != nil {
-		return nil, fmt.Errorf("the feed of engines: %w", err)
+		return nil, fmt.Errorf("discovery service: %w", err)
 	}
 	h := &engineCollector{coresByKind: map[string]float64{}, engines: map[string]residency.Engine{}}
 	for _, k := range own.Engines.Kinds {
@@ -123,10 +123,10 @@
 	for in := bufio.NewReader(conn); !h.complete || h.current < h.last; {
 		line, err := in.ReadBytes('\n')
 		if err != nil {
-			return nil, fmt.Errorf("the feed of engines: %w", err)
+			return nil, fmt.Errorf("discovery service: %w", err)
 		}
 		if _, err := discovery.Read(line, len(line), h); err != nil {
-			return nil, fmt.Errorf("the feed of engines: %w", err)
+			return nil, fmt.Errorf("discovery service: %w", err)
 		}
 	}
 	var l []residency.Engine
@@ -136,7 +136,7 @@
 	return l, nil
 }
 
-// hearer gathers the engines that serve.
+// engineCollector collects the active engines from discovery messages.
 type engineCollector struct {
 	coresByKind   map[string]float64
 	engines       map[string]residency.Engine
--- a/cmd/railrelay-fleet/purge_test.go
+++ b/cmd/railrelay-fleet/purge_test.go
@@ -17,7 +17,7 @@
 	"railrelay.dev/railrelay/internal/fleet"
 )
 
-// customer is one connection of a team's.
+// customer is a client connection of a team.
 type customer struct {
 	t           *testing.T
 	conn        net.Conn
@@ -41,7 +41,7 @@
 	return &customer{t: m.t, conn: conn}
 }
 
-// hears sends a call and gives its answer.
+// call sends a call and returns the answer.
 func (c *customer) call(call func(dst []byte, msg uint32) []byte) client.Answer {
 	c.t.Helper()
 	c.lastMessage++
@@ -86,9 +86,9 @@
 	})
 }
 
-// A customer purges what is kept of its team while a controller that keeps some of it is
-// down: not yet, and who is waited for. That one comes back, serves nothing of it, and
-// the same run is done by another controller's word, once nothing of it is in any file.
+// A customer purges its team's data while a controller that keeps some of it is down. The answer
+// names that controller as outstanding. After its restart the controller serves none of the data,
+// and another controller reports the purge as done once no file contains the data.
 func TestCustomerPurge(t *testing.T) {
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
@@ -99,7 +99,7 @@
 	}
 	defer e.Close()
 	all := startControllers(t, 3, "")
-	for _, m := range all { // the same with an engine that answers, and something to keep
+	for _, m := range all { // restarted with an engine that answers, a spool and a cache
 		m.kill()
 		text, err := os.ReadFile(m.setup)
 		if err != nil {
@@ -118,12 +118,12 @@
 		m.awaitStatus("a lease", isServing)
 		a := m.newCustomer().query(ids[i], "pages", "1")
 		if tokens[i] = a.About["token"]; tokens[i] == "" {
-			t.Fatalf("nothing is kept: %+v", a)
+			t.Fatalf("no result is kept: %+v", a)
 		}
 	}
 	whole, again := all[2].newCustomer().query("00000000000000b0"), all[2].newCustomer().query("00000000000000b1")
 	if whole.Kind != client.Finished || !bytes.Equal(whole.Rows, again.Rows) {
-		t.Fatalf("no answer is kept: %v %v", whole.Kind, again.Kind)
+		t.Fatalf("no answer is cached: %v %v", whole.Kind, again.Kind)
 	}
 	dir := filepath.Dir(all[0].setup)
 	holds := func() (l []string) {
@@ -142,38 +142,38 @@
 		return l
 	}
 	if len(holds()) != 3 {
-		t.Fatal("it isn't on disk: ", holds())
+		t.Fatal("the results aren't on disk: ", holds())
 	}
 	all[1].kill()
 	first := all[0].newCustomer().purge("patience", "1000", "tables", "3,9")
 	id := first.About["id"]
-	for end := time.Now().Add(testTimeout); first.About["outstanding"] != "c1" || first.About["stage"] != "unreachable"; { // the one down may have led
+	for end := time.Now().Add(testTimeout); first.About["outstanding"] != "c1" || first.About["stage"] != "unreachable"; { // the stopped controller may have been the leader
 		if first.Kind != client.Finished || first.About["state"] != "not yet" || id == "" || time.Now().After(end) {
-			t.Fatalf("while one is down: %+v", first)
+			t.Fatalf("a purge while a controller is down: %+v", first)
 		}
 		first = all[0].newCustomer().purge("patience", "1000", "id", id)
 	}
 	for i, m := range []*member{all[0], all[2]} {
 		if a := m.newCustomer().readPage(tokens[2*i]); a.Kind != client.Killed {
-			t.Fatalf("%s serves what was purged: %v", m.name, a.Kind)
+			t.Fatalf("%s serves purged data: %v", m.name, a.Kind)
 		}
 	}
 	all[1].start()
 	done := all[2].newCustomer().purge("id", id, "patience", "25000")
 	if n := done.About; n["state"] != "purged" || n["results"] != "3" || n["answers"] != "1" {
-		t.Fatalf("once it is back: %+v", done)
+		t.Fatalf("the purge after the restart: %+v", done)
 	}
 	if l := holds(); len(l) > 0 {
-		t.Fatal("purged is told, and it is in ", l)
+		t.Fatal("the purge is done, but the data is in ", l)
 	}
 	all[1].awaitStatus("a lease", isServing)
 	if a := all[1].newCustomer().readPage(tokens[1]); a.Kind != client.Killed {
-		t.Fatalf("what was purged while it was down is served: %v", a.Kind)
+		t.Fatalf("the restarted controller serves purged data: %v", a.Kind)
 	}
 	if a := all[2].newCustomer().query("00000000000000b2"); a.Kind != client.Finished || bytes.Equal(a.Rows, whole.Rows) {
-		t.Fatalf("a cached answer outlives its purge: %v", a.Kind)
+		t.Fatalf("a cached answer is served after its purge: %v", a.Kind)
 	}
 	if r, status := all[1].fleet("status", "--id", id); status != 0 || r.Outcome != "purged" || r.Counts == nil || *r.Counts == (fleet.InvalidationCounts{}) {
-		t.Fatalf("the operator hears otherwise: %d %+v", status, r)
+		t.Fatalf("the operator gets another outcome: %d %+v", status, r)
 	}
 }
--- a/internal/setup/control_test.go
+++ b/internal/setup/control_test.go
@@ -202,9 +202,9 @@
 	}{
 		{"unknown set-up rules are replaced", bare, "", "placement: " + inLinz, all, false},
 		{"known set-up rules are replaced", placing(inLinz), "", "placement: " + inLinz, all, false},
-		{"tighter rules", bare, "placement: " + inBoth, "placement: " + inLinz, all, false},
+		{"narrower", bare, "placement: " + inBoth, "placement: " + inLinz, all, false},
 		{"same rules", bare, "placement: " + inLinz, "placement: " + inLinz, nil, false},
-		{"looser rules", bare, "placement: " + inLinz, "placement: " + inBoth, nil, false},
+		{"wider", bare, "placement: " + inLinz, "placement: " + inBoth, nil, false},
 		{"rules removed", bare, "placement: " + inLinz, "placement: []", nil, false},
 		{"rules added", bare, "placement: []", "placement: " + inBoth, both, false},
 		{"set-up rules before and after", bare, "", "groups: [{name: g, target: 2s}]", nil, false},
