--- a/cmd/railrelay-bench/datapath.go
+++ b/cmd/railrelay-bench/datapath.go
@@ -15,7 +15,8 @@
 func datapathCommand() *cobra.Command {
 	path := bench.UsualDatapath()
 	file := ""
-	c := &cobra.Command{Use: "datapath", Short: "what engines, clients and queries cost one controller", Args: cobra.NoArgs,
+	c := &cobra.Command{Use: "datapath", Short: "what engines, clients and queries cost one controller",
+		Args: cobra.NoArgs,
 		Long: "One controller's process before emulated engines, clients and a discovery service: idle before engines of each size, with idle\n" +
 			"clients of each size, with queries at each rate, and once the engine of a chain is lost. About five minutes.",
 		RunE: func(c *cobra.Command, _ []string) error {
@@ -23,8 +24,10 @@
 		}}
 	flags := c.Flags()
 	flags.StringVar(&path.Program, "program", path.Program, "the controller")
-	flags.IntVar(&path.Controllers, "controllers", path.Controllers, "number of controllers that share the engines, in the set-up")
-	flags.IntSliceVar(&path.Engines, "engines", path.Engines, "numbers of engines to idle with; the largest is used in all other steps")
+	flags.IntVar(&path.Controllers, "controllers", path.Controllers,
+		"number of controllers that share the engines, in the set-up")
+	flags.IntSliceVar(&path.Engines, "engines", path.Engines,
+		"numbers of engines to idle with; the largest is used in all other steps")
 	flags.IntSliceVar(&path.Rates, "rates", path.Rates, "queries a second")
 	flags.IntSliceVar(&path.Clients, "clients", path.Clients, "numbers of idle clients, one for each step")
 	flags.DurationVar(&path.Rest, "rest", path.Rest, "duration of each step")
@@ -62,7 +65,8 @@
 			continue
 		}
 		told[f] = true
-		fmt.Fprintf(out, "%s %s: %.4g + %.4g each, residual %.3g %s, %d points\n", f.role, f.what, line.Intercept, line.Slope,
+		fmt.Fprintf(out, "%s %s: %.4g + %.4g each, residual %.3g %s, %d points\n", f.role, f.what, line.Intercept,
+			line.Slope,
 			line.Residual, f.unit, line.Points)
 	}
 }
--- a/cmd/railrelay-bench/figures.go
+++ b/cmd/railrelay-bench/figures.go
@@ -22,7 +22,8 @@
 	return func(figures []bench.ScaleRow) error {
 		rows := make([]capacity.Row, len(figures))
 		for i, figure := range figures {
-			rows[i] = capacity.Row{Role: figure.Role, What: variant + figure.What, Size: figure.Size, Seed: figure.Seed,
+			rows[i] = capacity.Row{Role: figure.Role, What: variant + figure.What, Size: figure.Size,
+				Seed:  figure.Seed,
 				Value: figure.Value, Unit: figure.Unit, Machine: machine, Commit: commit}
 		}
 		return capacity.Append(path, rows)
--- a/cmd/railrelay-bench/fleets.go
+++ b/cmd/railrelay-bench/fleets.go
@@ -12,10 +12,12 @@
 func fleetsCommand() *cobra.Command {
 	var from uint64
 	var plays int
-	c := &cobra.Command{Use: "fleets", Short: "play drawn fleets in virtual time, and say how the first broke a rule", Args: cobra.NoArgs}
+	c := &cobra.Command{Use: "fleets",
+		Short: "play drawn fleets in virtual time, and say how the first broke a rule", Args: cobra.NoArgs}
 	c.RunE = func(c *cobra.Command, _ []string) error {
 		runs, ordered, late, broken, first := bench.Hunt(c.Context(), from, plays, time.Hour)
-		fmt.Fprintf(c.OutOrStdout(), "runs=%d rules_broken=%d order_checked=%d late_deliveries=%d\n", runs, broken, ordered, late)
+		fmt.Fprintf(c.OutOrStdout(), "runs=%d rules_broken=%d order_checked=%d late_deliveries=%d\n", runs, broken,
+			ordered, late)
 		if first == nil {
 			return nil
 		}
--- a/cmd/railrelay-bench/large.go
+++ b/cmd/railrelay-bench/large.go
@@ -9,7 +9,8 @@
 func largeCommand() *cobra.Command {
 	var program string
 	var results, size int
-	c := &cobra.Command{Use: "large", Short: "large results through a program of 64 MB, on the disk of this machine", Args: cobra.NoArgs}
+	c := &cobra.Command{Use: "large",
+		Short: "large results through a program of 64 MB, on the disk of this machine", Args: cobra.NoArgs}
 	c.RunE = func(c *cobra.Command, _ []string) error {
 		return bench.Large(c.Context(), c.OutOrStdout(), program, results, size)
 	}
--- a/cmd/railrelay-bench/many.go
+++ b/cmd/railrelay-bench/many.go
@@ -10,7 +10,9 @@
 
 func manyCommand() *cobra.Command {
 	play := bench.Many{Lease: 2 * time.Second, Changes: 5, Entries: 100_000}
-	c := &cobra.Command{Use: "many", Short: "a fleet of many processes: what each costs, how soon a change is in force on all", Args: cobra.NoArgs}
+	c := &cobra.Command{Use: "many",
+		Short: "a fleet of many processes: what each costs, how soon a change is in force on all",
+		Args:  cobra.NoArgs}
 	c.RunE = func(c *cobra.Command, _ []string) error {
 		cost, err := play.Measure(c.Context())
 		if err == nil {
--- a/cmd/railrelay-bench/measure.go
+++ b/cmd/railrelay-bench/measure.go
@@ -31,7 +31,8 @@
 	}
 	c.Flags().Uint64Var(&seed, "seed", 1, seedUsage)
 	c.Flags().StringVar(&program, "program", defaultProgram, "the controller")
-	c.Flags().StringVar(&planted, "planted", defaultPlantedDirectory, "directory of the tests with planted faults")
+	c.Flags().StringVar(&planted, "planted", defaultPlantedDirectory,
+		"directory of the tests with planted faults")
 	c.Flags().BoolVar(&detail, "detail", false, "print details of each part")
 	return c
 }
--- a/cmd/railrelay-bench/page.go
+++ b/cmd/railrelay-bench/page.go
@@ -12,7 +12,8 @@
 // pageCommand fills the tables of the capacity page with the measured results.
 func pageCommand() *cobra.Command {
 	path, file := "docs/CAPACITY.md", "docs/capacity.csv"
-	c := &cobra.Command{Use: "page", Short: "fill the tables of the capacity page from the measured figures", Args: cobra.NoArgs,
+	c := &cobra.Command{Use: "page", Short: "fill the tables of the capacity page from the measured figures",
+		Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
 			text, err := os.ReadFile(path)
 			if err != nil {
@@ -26,7 +27,8 @@
 			if err != nil {
 				return err
 			}
-			fmt.Fprintf(c.OutOrStdout(), "%d figures, %d formulas not measured yet, %d lines changed\n", filled.Figures, filled.Open, len(filled.Changed))
+			fmt.Fprintf(c.OutOrStdout(), "%d figures, %d formulas not measured yet, %d lines changed\n",
+				filled.Figures, filled.Open, len(filled.Changed))
 			unlisted, within := capacity.Missing(filled.Text)
 			for _, line := range unlisted {
 				fmt.Fprintln(c.OutOrStdout(), "over its allowance, to be listed as missing:", line)
--- a/cmd/railrelay-bench/planted.go
+++ b/cmd/railrelay-bench/planted.go
@@ -9,7 +9,8 @@
 func plantedCommand() *cobra.Command {
 	var directory string
 	var build bool
-	c := &cobra.Command{Use: "planted", Short: "play the tests that have one planted fault each", Args: cobra.NoArgs}
+	c := &cobra.Command{Use: "planted", Short: "play the tests that have one planted fault each",
+		Args: cobra.NoArgs}
 	c.RunE = func(c *cobra.Command, _ []string) error {
 		if build {
 			return bench.BuildPlanted(c.Context(), ".", directory)
--- a/cmd/railrelay-bench/scale.go
+++ b/cmd/railrelay-bench/scale.go
@@ -13,7 +13,8 @@
 
 func scaleCommand() *cobra.Command {
 	s := bench.UsualScale(defaultProgram, 580)
-	c := &cobra.Command{Use: "scale", Args: cobra.NoArgs, Short: "a fleet of real and hollow controllers: what each role costs, how soon a change is in force, in faults too",
+	c := &cobra.Command{Use: "scale", Args: cobra.NoArgs,
+		Short: "a fleet of real and hollow controllers: what each role costs, how soon a change is in force, in faults too",
 		Long: "Starts real controllers and hollow ones (the real core and wire, a record in memory, no queries)\n" +
 			"before idle engines, looks at them at rest, changes the policy, and changes it during faults:\n\n  " +
 			strings.Join(bench.ScaleFaults(), "\n  ")}
@@ -35,16 +36,21 @@
 	}
 	f := c.Flags()
 	f.StringVar(&csv, "csv", "", "the file that the results are appended to")
-	f.BoolVar(&grow, "growth", false, "measure a log that has grown over time instead of a fleet of a given size")
+	f.BoolVar(&grow, "growth", false,
+		"measure a log that has grown over time instead of a fleet of a given size")
 	f.IntVar(&growth.Members, "growth-members", growth.Members, "number of members that joined and left")
 	f.IntVar(&growth.Changes, "growth-changes", growth.Changes, "number of policy changes")
-	f.IntVar(&growth.Steps, "growth-steps", growth.Steps, "number of log sizes at which a voter is started from the log")
+	f.IntVar(&growth.Steps, "growth-steps", growth.Steps,
+		"number of log sizes at which a voter is started from the log")
 	f.StringVar(&s.Program, "program", s.Program, "the controller")
 	f.IntVar(&s.Controllers, "controllers", s.Controllers, "controllers in the fleet, 2 to 1200")
-	f.IntVar(&s.Real, "real", s.Real, "controllers that are real processes with all engines, at most 1024; the others are hollow")
+	f.IntVar(&s.Real, "real", s.Real,
+		"controllers that are real processes with all engines, at most 1024; the others are hollow")
 	f.IntVar(&s.Voters, "voters", s.Voters, "real controllers that vote: 1, 3, 5 or 7")
-	f.IntVar(&s.Relays, "relays", s.Relays, "non-voting real controllers that relay the lease renewals of others; 0: none")
-	f.BoolVar(&s.SetAside, "set-aside", s.SetAside, "voters have the role control, on machines set aside for it; relays always do")
+	f.IntVar(&s.Relays, "relays", s.Relays,
+		"non-voting real controllers that relay the lease renewals of others; 0: none")
+	f.BoolVar(&s.SetAside, "set-aside", s.SetAside,
+		"voters have the role control, on machines set aside for it; relays always do")
 	f.IntVar(&s.Engines, "engines", s.Engines, "engines in the discovery list")
 	f.Uint64Var(&s.Seed, "seed", s.Seed, seedUsage)
 	f.DurationVar(&s.Lease, "lease", s.Lease, "lease of the fleet")
@@ -55,14 +61,16 @@
 	f.IntVar(&s.PolicyBytes, "policy-bytes", s.PolicyBytes, "size of a policy")
 	f.IntVar(&s.LargeBytes, "large-bytes", s.LargeBytes, "size of a large policy")
 	f.StringSliceVar(&s.Faults, "faults", s.Faults, "faults to inject, in this order")
-	f.IntVar(&s.Compare, "compare", s.Compare, "controllers in the comparison of hollow with real ones; 0: no comparison")
+	f.IntVar(&s.Compare, "compare", s.Compare,
+		"controllers in the comparison of hollow with real ones; 0: no comparison")
 	f.BoolVar(&s.Linked, "links", s.Linked, "add the delays between zones and regions to links")
 	return c
 }
 
 // hollowCommand runs the hollow controllers of a scale run, which starts it as a process.
 func hollowCommand() *cobra.Command {
-	return &cobra.Command{Use: "hollow", Hidden: true, Short: "run hollow controllers, as told on standard input", Args: cobra.NoArgs,
+	return &cobra.Command{Use: "hollow", Hidden: true,
+		Short: "run hollow controllers, as told on standard input", Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
 			return hollow.Run(c.Context(), c.InOrStdin(), c.OutOrStdout())
 		}}
--- a/cmd/railrelay-bench/speed.go
+++ b/cmd/railrelay-bench/speed.go
@@ -11,7 +11,8 @@
 func speedCommand() *cobra.Command {
 	var program string
 	var turns int
-	c := &cobra.Command{Use: "speed", Short: "queries a second with fairness on and off, on sockets", Args: cobra.NoArgs}
+	c := &cobra.Command{Use: "speed", Short: "queries a second with fairness on and off, on sockets",
+		Args: cobra.NoArgs}
 	c.RunE = func(c *cobra.Command, _ []string) error {
 		_, err := bench.SpeedOnSockets(c.Context(), c.OutOrStdout(), program, 3*time.Second, turns)
 		return err
--- a/cmd/railrelay-bench/try.go
+++ b/cmd/railrelay-bench/try.go
@@ -12,9 +12,12 @@
 
 func tryCommand() *cobra.Command {
 	trial := &bench.Trial{Engines: 6, Log: os.Stderr}
-	c := &cobra.Command{Use: "try", Short: "start stand-in engines, a feed and a controller with teams, and look", Args: cobra.NoArgs}
+	c := &cobra.Command{Use: "try",
+		Short: "start stand-in engines, a feed and a controller with teams, and look", Args: cobra.NoArgs}
 	c.RunE = func(c *cobra.Command, _ []string) error {
-		fmt.Fprintf(c.OutOrStdout(), "%d stand-in engines, a feed and a controller with teams; %v of queries, the last team floods\n", trial.Engines, trial.Long)
+		fmt.Fprintf(c.OutOrStdout(),
+			"%d stand-in engines, a feed and a controller with teams; %v of queries, the last team floods\n",
+			trial.Engines, trial.Long)
 		rows, err := trial.Run(c.Context())
 		if err == nil {
 			bench.PrintRows(c.OutOrStdout(), rows)
--- a/cmd/railrelay-fleet/command.go
+++ b/cmd/railrelay-fleet/command.go
@@ -38,24 +38,30 @@
 		Long: "See and change what the fleet has decided. --setup names a controller's set-up, or --control and --keys its control\n" +
 			"address and the key file. Exit status: 0 done, 3 failed for good, 4 not known yet: repeat the command with the same id,\n" +
 			"on any controller; 1 and 2: no request was sent."}
-	root.PersistentFlags().StringVar(&d.setupFile, "setup", "", "the set-up of the controller that receives the request")
-	root.PersistentFlags().StringVar(&d.controlAddress, "control", "", "its control address, instead of the one in the set-up")
+	root.PersistentFlags().StringVar(&d.setupFile, "setup", "",
+		"the set-up of the controller that receives the request")
+	root.PersistentFlags().StringVar(&d.controlAddress, "control", "",
+		"its control address, instead of the one in the set-up")
 	root.PersistentFlags().StringVar(&d.keyFile, "keys", "", "the key file, instead of the one in the set-up")
 	root.PersistentFlags().BoolVar(&d.printAsJSON, "json", false, "print the answer as one JSON object")
-	root.AddCommand(d.statusCommand(), d.applyCommand(), d.purgeCommand(), d.forgetCommand(), d.policyCommand(), d.planCommand())
+	root.AddCommand(d.statusCommand(), d.applyCommand(), d.purgeCommand(), d.forgetCommand(), d.policyCommand(),
+		d.planCommand())
 	return root
 }
 
 func (d *controlClient) statusCommand() *cobra.Command {
 	var id, until string
-	c := &cobra.Command{Use: "status", Short: "Tell how a controller sees the fleet, or with --id what became of a run", Args: cobra.NoArgs,
+	c := &cobra.Command{Use: "status",
+		Short: "Tell how a controller sees the fleet, or with --id what became of a run", Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
 			if err := checkUntil(until, "", "unreachable", "settled"); err != nil {
 				return err
 			}
-			return d.sendAndPrint(c, &fleet.Request{Kind: "status", ID: id, AwaitedStage: until, WaitMs: d.timeout.Milliseconds()})
+			return d.sendAndPrint(c, &fleet.Request{Kind: "status", ID: id, AwaitedStage: until,
+				WaitMs: d.timeout.Milliseconds()})
 		}}
-	c.Flags().StringVar(&until, "until", "", "with --id: unreachable for a purge, settled for a change (erased, in force)")
+	c.Flags().StringVar(&until, "until", "",
+		"with --id: unreachable for a purge, settled for a change (erased, in force)")
 	c.Flags().StringVar(&id, "id", "", "id of a change or purge, whose outcome is awaited")
 	c.Flags().DurationVar(&d.timeout, "at-most", 10*time.Second, "time to wait")
 	return c
@@ -65,7 +71,8 @@
 	var id, until string
 	var base uint64
 	var wait time.Duration
-	c := &cobra.Command{Use: "apply FILE --base N", Short: "Change the policy everywhere or nowhere", Args: cobra.ExactArgs(1),
+	c := &cobra.Command{Use: "apply FILE --base N", Short: "Change the policy everywhere or nowhere",
+		Args: cobra.ExactArgs(1),
 		Long: "Change the policy everywhere or nowhere. FILE is the whole policy, made against version N, which status tells. A change\n" +
 			"that isn't in force after --at-most is withdrawn. Asked again with the same id it is the same change, not a second one.",
 		RunE: func(c *cobra.Command, args []string) error {
@@ -79,7 +86,8 @@
 			if err := checkUntil(until, "", "settled"); err != nil {
 				return err
 			}
-			a := &fleet.Request{Kind: "apply", ID: id, BaseVersion: base, Policy: text, AwaitedStage: until, AbortAfterMs: d.timeout.Milliseconds(), WaitMs: wait.Milliseconds()}
+			a := &fleet.Request{Kind: "apply", ID: id, BaseVersion: base, Policy: text, AwaitedStage: until,
+				AbortAfterMs: d.timeout.Milliseconds(), WaitMs: wait.Milliseconds()}
 			if wait == 0 {
 				a.WaitMs = (d.timeout + 5*time.Second).Milliseconds()
 			}
@@ -87,8 +95,10 @@
 		}}
 	c.Flags().StringVar(&id, "id", "", "id of the change, for repeating the command (random)")
 	c.Flags().Uint64Var(&base, "base", 0, "the version that the file was made against")
-	c.Flags().DurationVar(&d.timeout, "at-most", 30*time.Second, "time after which a change that isn't in force is withdrawn; 0: never")
-	c.Flags().StringVar(&until, "until", "", "settled: wait also for the purge of data outside tighter placement rules (in force)")
+	c.Flags().DurationVar(&d.timeout, "at-most", 30*time.Second,
+		"time after which a change that isn't in force is withdrawn; 0: never")
+	c.Flags().StringVar(&until, "until", "",
+		"settled: wait also for the purge of data outside tighter placement rules (in force)")
 	c.Flags().DurationVar(&wait, "wait", 0, "time to wait for the outcome (--at-most and five seconds)")
 	return c
 }
@@ -96,7 +106,8 @@
 func (d *controlClient) purgeCommand() *cobra.Command {
 	var id, team, before, until string
 	var tables []int64
-	c := &cobra.Command{Use: "purge --team T", Short: "Have what is kept of a team go, on every controller", Args: cobra.NoArgs,
+	c := &cobra.Command{Use: "purge --team T", Short: "Have what is kept of a team go, on every controller",
+		Args: cobra.NoArgs,
 		Long: "Have what is kept of a team go: results and cached answers, on every controller, those that are down included. Done is\n" +
 			"erased: gone from every memory and disk. --until unreachable is done once no controller serves any of it.",
 		RunE: func(c *cobra.Command, _ []string) error {
@@ -106,7 +117,8 @@
 			if err := checkUntil(until, "", "unreachable", "erased"); err != nil {
 				return err
 			}
-			a := &fleet.Request{Kind: "purge", ID: id, Scope: &fleet.Scope{Team: team, Tables: tables}, AwaitedStage: until, WaitMs: d.timeout.Milliseconds()}
+			a := &fleet.Request{Kind: "purge", ID: id, Scope: &fleet.Scope{Team: team, Tables: tables},
+				AwaitedStage: until, WaitMs: d.timeout.Milliseconds()}
 			if until == "erased" {
 				a.AwaitedStage = ""
 			}
@@ -122,7 +134,8 @@
 	c.Flags().StringVar(&id, "id", "", "id of the purge, for repeating the command (random)")
 	c.Flags().StringVar(&team, "team", "", "whose")
 	c.Flags().Int64SliceVar(&tables, "tables", nil, "purge only data of these table groups (all)")
-	c.Flags().StringVar(&before, "before", "", "purge only data kept before a time, as 2026-11-30T18:00:00Z, or for longer than a duration, as 2h (no limit)")
+	c.Flags().StringVar(&before, "before", "",
+		"purge only data kept before a time, as 2026-11-30T18:00:00Z, or for longer than a duration, as 2h (no limit)")
 	c.Flags().StringVar(&until, "until", "", "unreachable or erased (erased)")
 	c.Flags().DurationVar(&d.timeout, "at-most", time.Minute, "time to wait; the purge continues after it")
 	return c
@@ -130,7 +143,8 @@
 
 func (d *controlClient) forgetCommand() *cobra.Command {
 	id, anyway := "", false
-	c := &cobra.Command{Use: "forget NAME", Short: "Say that a controller's disk is destroyed: it never serves again", Args: cobra.ExactArgs(1),
+	c := &cobra.Command{Use: "forget NAME",
+		Short: "Say that a controller's disk is destroyed: it never serves again", Args: cobra.ExactArgs(1),
 		Long: "Say that a controller's disk is destroyed. Nothing waits for it any more, purges least of all, and that name and that disk\n" +
 			"never serve again. It can't be taken back: a controller that only stands still is not to be forgotten.",
 		RunE: func(c *cobra.Command, args []string) error {
@@ -138,11 +152,14 @@
 			if err != nil {
 				return err
 			}
-			known := r.Status != nil && slices.ContainsFunc(r.Status.Members, func(m fleet.MemberStatus) bool { return m.Name == args[0] })
+			known := r.Status != nil && slices.ContainsFunc(r.Status.Members,
+				func(m fleet.MemberStatus) bool { return m.Name == args[0] })
 			if !known && !anyway { // a typing error would bar a name permanently
-				return fmt.Errorf("no controller named %q is known to the fleet; --anyway bars the name nevertheless", args[0])
+				return fmt.Errorf("no controller named %q is known to the fleet; --anyway bars the name nevertheless",
+					args[0])
 			}
-			return d.sendAndPrint(c, &fleet.Request{Kind: "forget", ID: id, Name: args[0], WaitMs: d.timeout.Milliseconds()})
+			return d.sendAndPrint(c, &fleet.Request{Kind: "forget", ID: id, Name: args[0],
+				WaitMs: d.timeout.Milliseconds()})
 		}}
 	c.Flags().StringVar(&id, "id", "", "id for repeating the command (random)")
 	c.Flags().BoolVar(&anyway, "anyway", false, "accept a name that isn't known")
@@ -151,7 +168,8 @@
 }
 
 func (d *controlClient) policyCommand() *cobra.Command {
-	return &cobra.Command{Use: "policy", Short: "Print the policy in force, to be changed and applied again", Args: cobra.NoArgs,
+	return &cobra.Command{Use: "policy", Short: "Print the policy in force, to be changed and applied again",
+		Args: cobra.NoArgs,
 		Long: "Print the text of the policy in force, and to standard error its version, which is apply's --base. There is none while the\n" +
 			"fleet decides by each controller's own set-up.",
 		RunE: func(c *cobra.Command, _ []string) error {
@@ -192,17 +210,18 @@
 func (d *controlClient) endpoint() (address string, keys transport.Keys, err error) {
 	address, file := d.controlAddress, d.keyFile
 	if d.setupFile != "" {
-		have, err := setup.Load(d.setupFile)
+		config, err := setup.Load(d.setupFile)
 		if err != nil {
 			return "", nil, err
 		}
-		if have.Fleet == nil {
+		if config.Fleet == nil {
 			return "", nil, fmt.Errorf("%s has no fleet part", d.setupFile)
 		}
-		address, file = cmp.Or(address, have.Fleet.ControlAddress), cmp.Or(file, have.Fleet.KeyFile)
+		address, file = cmp.Or(address, config.Fleet.ControlAddress), cmp.Or(file, config.Fleet.KeyFile)
 	}
 	if address == "" || file == "" {
-		return "", nil, errors.New("no controller to send the request to: give --setup FILE, or --control ADDRESS and --keys FILE")
+		return "", nil,
+			errors.New("no controller to send the request to: give --setup FILE, or --control ADDRESS and --keys FILE")
 	}
 	keys, err = transport.ReadKeys(file)
 	return address, keys, err
@@ -244,12 +263,13 @@
 	if host, err := os.Hostname(); err == nil {
 		a.RequestedBy = cmp.Or(os.Getenv("USER"), "operator") + "@" + host
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), time.Duration(a.WaitMs)*time.Millisecond+responseMargin)
+	ctx, cancel := context.WithTimeout(context.Background(),
+		time.Duration(a.WaitMs)*time.Millisecond+responseMargin)
 	defer cancel()
 	r, err := transport.SendControlRequest(ctx, address, keys, a)
-	var away *transport.UnreachableError
-	if errors.As(err, &away) && away.Sent && a.ID != "" {
-		return &fleet.Response{ID: a.ID, Outcome: "unknown", Reason: away.Error(), Remedy: away.Remedy()}, nil
+	var unreachable *transport.UnreachableError
+	if errors.As(err, &unreachable) && unreachable.Sent && a.ID != "" {
+		return &fleet.Response{ID: a.ID, Outcome: "unknown", Reason: unreachable.Error(), Remedy: unreachable.Remedy()}, nil
 	}
 	return r, withRemedy(err)
 }
@@ -318,7 +338,8 @@
 			if m.AppliedIndex > 0 {
 				applied = strconv.FormatUint(m.AppliedIndex, 10)
 			}
-			fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%s\t%s\n", m.Name, cmp.Or(m.Site, "-"), yesNo(m.IsVoter), holds, cmp.Or(applied, "-"), m.PeerAddress, cmp.Or(m.ClientAddress, "-"))
+			fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%s\t%s\n", m.Name, cmp.Or(m.Site, "-"), yesNo(m.IsVoter), holds,
+				cmp.Or(applied, "-"), m.PeerAddress, cmp.Or(m.ClientAddress, "-"))
 		}
 	}
 	return w.Flush()
--- a/cmd/railrelay-fleet/join.go
+++ b/cmd/railrelay-fleet/join.go
@@ -18,89 +18,99 @@
 )
 
 // nodeConfig converts a set-up into the configuration of the fleet's node.
-func nodeConfig(have *setup.Setup) node.Config {
-	part, terms := have.Fleet, have.Fleet.Parameters()
-	b := node.Config{Self: have.Member(), Lease: terms.Lease, ConfinedLease: terms.ConfinedLease, ClockDrift: terms.ClockDrift,
-		ElectionTimeout: terms.ElectionTimeout, HeartbeatInterval: terms.HeartbeatInterval, SnapshotAfterEntries: terms.SnapshotAfterEntries, IsRelay: part.IsRelay}
-	for _, voter := range part.Voters {
-		b.Voters = append(b.Voters, consensus.Voter{Name: voter.Name, Address: voter.Address})
+func nodeConfig(own *setup.Setup) node.Config {
+	fleetPart, parameters := own.Fleet, own.Fleet.Parameters()
+	config := node.Config{Self: own.Member(), Lease: parameters.Lease, ConfinedLease: parameters.ConfinedLease,
+		ClockDrift:      parameters.ClockDrift,
+		ElectionTimeout: parameters.ElectionTimeout, HeartbeatInterval: parameters.HeartbeatInterval,
+		SnapshotAfterEntries: parameters.SnapshotAfterEntries, IsRelay: fleetPart.IsRelay}
+	for _, voter := range fleetPart.Voters {
+		config.Voters = append(config.Voters, consensus.Voter{Name: voter.Name, Address: voter.Address})
 	}
-	for _, relay := range part.Relays {
-		b.Relays = append(b.Relays, node.Upstream{Name: relay.Name, Address: relay.Address})
+	for _, relay := range fleetPart.Relays {
+		config.Relays = append(config.Relays, node.Upstream{Name: relay.Name, Address: relay.Address})
 	}
-	return b
+	return config
 }
 
 // join opens this process's node and returns it for the controller to use.
-func join(have *setup.Setup, means *controller.Config, log zerolog.Logger) (cli.Joined, error) {
-	f := have.Fleet
-	judge := checkPolicy
-	if have.IsControlProcess() {
-		judge = checkControlPolicy
+func join(own *setup.Setup, config *controller.Config, log zerolog.Logger) (cli.Joined, error) {
+	f := own.Fleet
+	check := checkPolicy
+	if own.IsControlProcess() {
+		check = checkControlPolicy
 	}
-	e, err := driver.Open(driver.Options{Node: nodeConfig(have), Fleet: f.Name, PeerAddress: f.ListenAddress, ControlAddress: f.ControlAddress, Directory: f.Directory, KeyFile: f.KeyFile,
-		StartTime: means.StartedAt, Log: log, CheckPolicy: func(change string, text []byte, now driver.PolicyContext) driver.PolicyVerdict {
-			return judge(have, change, text, now)
+	member, err := driver.Open(driver.Options{Node: nodeConfig(own), Fleet: f.Name, PeerAddress: f.ListenAddress,
+		ControlAddress: f.ControlAddress, Directory: f.Directory, KeyFile: f.KeyFile,
+		StartTime: config.StartedAt, Log: log,
+		CheckPolicy: func(change string, text []byte, now driver.PolicyContext) driver.PolicyVerdict {
+			return check(own, change, text, now)
 		}})
 	if err != nil {
 		return cli.Joined{}, withRemedy(err)
 	}
-	means.Fleet = &controller.FleetConfig{ServingState: &fleet.ServingState{}, MaxHold: f.Parameters().MaxHold}
-	status := func(ctx context.Context) *fleet.Status { return e.Request(ctx, &fleet.Request{Kind: "status"}).Status }
-	return cli.Joined{Peers: eventloop.FleetChannels{Orders: e.Orders(), Reports: e.Reports()}, Serve: e.Serve, Again: e.ReloadKeys, Status: status}, nil
+	config.Fleet = &controller.FleetConfig{ServingState: &fleet.ServingState{}, MaxHold: f.Parameters().MaxHold}
+	status := func(ctx context.Context) *fleet.Status {
+		return member.Request(ctx, &fleet.Request{Kind: "status"}).Status
+	}
+	return cli.Joined{Peers: eventloop.FleetChannels{Orders: member.Orders(), Reports: member.Reports()}, Serve: member.Serve,
+		Again: member.ReloadKeys, Status: status}, nil
 }
 
 // checkPolicy parses a policy for a controller and determines the purges for placement rules that
 // are tighter than those in force.
-func checkPolicy(own *setup.Setup, change string, text []byte, have driver.PolicyContext) driver.PolicyVerdict {
+func checkPolicy(own *setup.Setup, change string, text []byte,
+	inForce driver.PolicyContext) driver.PolicyVerdict {
 	policy, watched, voters, err := setup.ParsePolicy("policy "+change, text, own)
 	if err != nil {
 		return rejectPolicy(err)
 	}
-	c := driver.PolicyVerdict{Policy: policy, WatchedRules: watched, Voters: voters}
-	before, _ := have.Policy.(*controller.Policy)
+	verdict := driver.PolicyVerdict{Policy: policy, WatchedRules: watched, Voters: voters}
+	before, _ := inForce.Policy.(*controller.Policy)
 	if before == nil {
 		before, _ = own.BasePolicy()
 	}
-	was, _ := before.Rules.([]residency.Rule)
-	next, _ := policy.Rules.([]residency.Rule)
-	for _, t := range residency.Tightened(was, next, have.Bindings) {
-		if t.Purge != nil {
-			c.PurgeScopes = append(c.PurgeScopes, *t.Purge)
+	oldRules, _ := before.Rules.([]residency.Rule)
+	newRules, _ := policy.Rules.([]residency.Rule)
+	for _, tightened := range residency.Tightened(oldRules, newRules, inForce.Bindings) {
+		if tightened.Purge != nil {
+			verdict.PurgeScopes = append(verdict.PurgeScopes, *tightened.Purge)
 		}
 	}
-	return c
+	return verdict
 }
 
 // checkControlPolicy parses a policy for a control process and determines the purges that it
 // requires. A control process knows no teams, groups or engines. It checks everything else, and
 // each controller checks those names.
-func checkControlPolicy(own *setup.Setup, change string, text []byte, have driver.PolicyContext) driver.PolicyVerdict {
+func checkControlPolicy(own *setup.Setup, change string, text []byte,
+	inForce driver.PolicyContext) driver.PolicyVerdict {
 	file := "policy " + change
 	policy, err := setup.ParseControlPolicy(file, text, own)
 	if err != nil {
 		return rejectPolicy(err)
 	}
-	c := driver.PolicyVerdict{Policy: policy, WatchedRules: policy.WatchedRules, Voters: policy.Voters, ResidencyRulesUnknown: !policy.RulesKnown}
-	if have.Committed { // the purges were determined before the policy was committed
-		return c
+	verdict := driver.PolicyVerdict{Policy: policy, WatchedRules: policy.WatchedRules, Voters: policy.Voters,
+		ResidencyRulesUnknown: !policy.RulesKnown}
+	if inForce.Committed { // the purges were determined before the policy was committed
+		return verdict
 	}
-	before, known := have.Policy.(*setup.ControlPolicy)
+	before, known := inForce.Policy.(*setup.ControlPolicy)
 	if !known {
 		before = own.BaseControlPolicy()
 	}
-	if c.PurgeScopes, err = policy.PurgeScopes(file, before, have.Bindings); err != nil {
+	if verdict.PurgeScopes, err = policy.PurgeScopes(file, before, inForce.Bindings); err != nil {
 		return rejectPolicy(err)
 	}
-	return c
+	return verdict
 }
 
 // rejectPolicy returns the verdict on a policy that can't be applied.
 func rejectPolicy(err error) driver.PolicyVerdict {
-	why := err.Error()
+	reason := err.Error()
 	var r fleet.ErrorWithRemedy
 	if errors.As(err, &r) {
-		why += "; " + r.Remedy()
+		reason += "; " + r.Remedy()
 	}
-	return driver.PolicyVerdict{Reason: why}
+	return driver.PolicyVerdict{Reason: reason}
 }
--- a/cmd/railrelay-fleet/plan.go
+++ b/cmd/railrelay-fleet/plan.go
@@ -22,7 +22,8 @@
 // planCommand prints the effects of a policy without applying it.
 func (d *controlClient) planCommand() *cobra.Command {
 	alone := false
-	c := &cobra.Command{Use: "plan FILE --setup SETUP", Short: "Tell what a policy would do before it is applied", Args: cobra.ExactArgs(1),
+	c := &cobra.Command{Use: "plan FILE --setup SETUP",
+		Short: "Tell what a policy would do before it is applied", Args: cobra.ExactArgs(1),
 		Long: "Check a policy against a controller's set-up and tell what its placement rules would do: which engines and controllers are\n" +
 			"outside then, where something kept would go, which teams keep how much of the engines' threads and which would have none.\n" +
 			"The policy in force, the controllers and bindings are asked of the fleet, the engines of the feed. Exit status 3: it can't\n" +
@@ -77,7 +78,8 @@
 }
 
 // fleetState requests the policy in force, the controllers, the bindings and the engines.
-func (d *controlClient) fleetState(c *cobra.Command, own *setup.Setup) (now *controller.Policy, w residency.World, err error) {
+func (d *controlClient) fleetState(c *cobra.Command, own *setup.Setup) (now *controller.Policy,
+	w residency.World, err error) {
 	policy, err := d.send(c, &fleet.Request{Kind: "policy"})
 	if err != nil {
 		return nil, w, err
--- a/internal/cli/program.go
+++ b/internal/cli/program.go
@@ -265,7 +265,8 @@
 			if err != nil {
 				return controller.Event{}, err
 			}
-			return controller.Event{Kind: controller.ConfigurationReloaded, DiscoveryAddress: next.DiscoveryAddress, Tenants: next.FairQueueConfig()}, nil
+			return controller.Event{Kind: controller.ConfigurationReloaded, DiscoveryAddress: next.DiscoveryAddress,
+				Tenants: next.FairQueueConfig()}, nil
 		}, log)
 	}, joined, log)
 }
--- a/internal/setup/check.go
+++ b/internal/setup/check.go
@@ -235,7 +235,8 @@
 		c.checkOneOf(fmt.Sprintf("engines.tells[%d]", i), t, "notes", "costs")
 	}
 	if e.QueryReports != nil && !slices.Contains(e.QueryReports, "notes") && e.NotePeriod > 0 {
-		c.addError("engines.notes", "%v between notes, but engines.tells contains no notes", time.Duration(e.NotePeriod))
+		c.addError("engines.notes", "%v between notes, but engines.tells contains no notes",
+			time.Duration(e.NotePeriod))
 	}
 	if e.Location != "" && !slices.Contains(e.Locations, e.Location) {
 		c.addError("engines.location", "no location is named %q", e.Location)
@@ -244,7 +245,8 @@
 		c.optionalNumber("shares.over", x.OverQuotaWeight, 0, 1)
 		switch {
 		case s.Fairness != nil:
-			c.addError("shares", "can't be combined with fairness, which orders queries by team: remove one of the two")
+			c.addError("shares",
+				"can't be combined with fairness, which orders queries by team: remove one of the two")
 		case x.Field == "":
 			c.addError("shares.field", "is missing: no customer could be identified")
 		case len(x.Customers) == 0:
@@ -271,7 +273,8 @@
 
 // settingPaths maps settings that can conflict, although each is valid by itself, to their paths in
 // the file.
-var settingPaths = map[string]string{"report.how": "engines.report", "report.figures": "engines.figures", "budget.span": "engines.budget.span"}
+var settingPaths = map[string]string{"report.how": "engines.report", "report.figures": "engines.figures",
+	"budget.span": "engines.budget.span"}
 
 // findOverlap returns the owner of a prefix in the table that overlaps p.
 func findOverlap(t *bart.Table[addressOwner], p netip.Prefix) (addressOwner, bool) {
--- a/internal/setup/control.go
+++ b/internal/setup/control.go
@@ -27,7 +27,8 @@
 	c.checkProcess(x)
 	for _, part := range c.topLevelKeys() {
 		if !slices.Contains(controlProcessKeys, part) {
-			c.addError(part, "is for controllers only, but a process with fleet.role: control serves no queries: remove this key or the role")
+			c.addError(part,
+				"is for controllers only, but a process with fleet.role: control serves no queries: remove this key or the role")
 		}
 	}
 	if x.Fleet.ClientAddress != "" {
@@ -97,19 +98,21 @@
 //     nothing is found where nothing was kept.
 //   - If the rules in the controllers' files replace those of a policy, they must be known to
 //     this process. Otherwise the error is an *Unfit, and the policy is rejected.
-func (p *ControlPolicy) PurgeScopes(file string, before *ControlPolicy, bindings []fleet.Binding) ([]fleet.Scope, error) {
-	var was []residency.Rule
+func (p *ControlPolicy) PurgeScopes(file string, before *ControlPolicy,
+	bindings []fleet.Binding) ([]fleet.Scope, error) {
+	var previousRules []residency.Rule
 	switch {
 	case !p.HasPlacement && !before.HasPlacement:
 		return nil, nil // both use the rules in the controllers' files
 	case !p.RulesKnown:
-		return nil, &Unfit{file, []error{&FieldError{File: file, Field: "placement", Reason: "is missing: the rules in the controllers' set-ups would replace " +
-			"those of the policy, and this control process doesn't know which data to purge for them. " +
-			"Write the rules into the policy (placement: [] for none), or copy the controllers' placement into the set-ups of control processes"}}}
+		return nil, &Unfit{file, []error{&FieldError{File: file, Field: "placement",
+			Reason: "is missing: the rules in the controllers' set-ups would replace " +
+				"those of the policy, and this control process doesn't know which data to purge for them. " +
+				"Write the rules into the policy (placement: [] for none), or copy the controllers' placement into the set-ups of control processes"}}}
 	case before.HasPlacement:
-		was = before.Rules
+		previousRules = before.Rules
 	}
-	return residency.Scopes(was, p.Rules, bindings), nil
+	return residency.Scopes(previousRules, p.Rules, bindings), nil
 }
 
 // withNamesFrom returns a copy with the customers and groups that a policy names, and with an
--- a/internal/setup/control_test.go
+++ b/internal/setup/control_test.go
@@ -101,11 +101,11 @@
 		{"relayed.yaml", "127.0.0.1:7621", "127.0.0.1:7611", "fleet.relays[1].address", "fleet.voters lists v1 with the address 127.0.0.1:7611"},
 	} {
 		text := readExample(t, c.example)
-		spoilt := strings.Replace(text, c.old, c.new, 1)
-		if spoilt == text {
+		broken := strings.Replace(text, c.old, c.new, 1)
+		if broken == text {
 			t.Fatalf("%q is not in %s", c.old, c.example)
 		}
-		_, err := Parse("x.yaml", []byte(spoilt))
+		_, err := Parse("x.yaml", []byte(broken))
 		if f := fieldErrorAt(err, c.field); f == nil || f.Line == 0 || f.File != "x.yaml" || !strings.Contains(f.Reason, c.why) {
 			t.Errorf("%s with %q: %v", c.example, c.new, err)
 		}
--- a/internal/setup/means.go
+++ b/internal/setup/controller_config.go
@@ -17,33 +17,38 @@
 	var walk func(l []Team) []fairqueue.Tenant
 	walk = func(l []Team) (all []fairqueue.Tenant) {
 		for _, t := range l {
-			all = append(all, fairqueue.Tenant{Name: t.Name, Weight: t.Weight, Quota: t.Budget, Burst: t.Burst, MaxWaiting: t.MaxWaiting,
-				Addresses: prefixes(t.Addresses), Children: walk(t.Teams)})
+			all = append(all, fairqueue.Tenant{Name: t.Name, Weight: t.Weight, Quota: t.Budget, Burst: t.Burst,
+				MaxWaiting: t.MaxWaiting,
+				Addresses:  prefixes(t.Addresses), Children: walk(t.Teams)})
 		}
 		return all
 	}
-	return &fairqueue.Config{Tenants: walk(f.Teams), DefaultTenant: f.Default, AgeingLimit: time.Duration(f.AgeingLimit), MaxWaiting: f.MaxWaiting, TrustedAddresses: prefixes(f.Trusted),
+	return &fairqueue.Config{Tenants: walk(f.Teams), DefaultTenant: f.Default,
+		AgeingLimit: time.Duration(f.AgeingLimit), MaxWaiting: f.MaxWaiting, TrustedAddresses: prefixes(f.Trusted),
 		OverrunFactor: f.OverrunFactor, NotifyThreshold: f.NotifyThreshold}
 }
 
 // ControllerConfig returns the configuration of a controller that starts at a time.
 func (x *Setup) ControllerConfig(started time.Time) controller.Config {
 	seed, _ := strconv.ParseUint(x.Seed, 16, 64)
-	m := controller.Config{Seed: seed, MemoryMB: x.MemoryMB(), MaxDescriptors: cmp.Or(x.Limits.Sockets, 4096), DiscoveryAddress: x.DiscoveryAddress,
-		Settings: x.settings(), StartedAt: started, CacheLimits: x.Answers.limits(), NewUniqueID: randomID}
+	config := controller.Config{Seed: seed, MemoryMB: x.MemoryMB(), MaxDescriptors: cmp.Or(x.Limits.Sockets, 4096),
+		DiscoveryAddress: x.DiscoveryAddress,
+		Settings:         x.settings(), StartedAt: started, CacheLimits: x.Answers.limits(), NewUniqueID: randomID}
 	for _, set := range x.Clients {
-		m.ClientLimits = append(m.ClientLimits, controller.ClientLimits{Prefixes: prefixes(set.Addresses), MaxOpenQueries: set.MaxOpenQueries, MaxMessagesPerSweep: set.MaxMessages,
+		config.ClientLimits = append(config.ClientLimits, controller.ClientLimits{Prefixes: prefixes(set.Addresses),
+			MaxOpenQueries: set.MaxOpenQueries, MaxMessagesPerSweep: set.MaxMessages,
 			IdleTimeout: time.Duration(set.IdleTimeout), MessageTimeout: time.Duration(set.MessageTimeout)})
 	}
 	if f := x.Fairness; f != nil {
-		m.Tenants = fairQueueConfig(f)
-		m.FieldNames = controller.FieldNames{Tenant: f.Fields.Team, NotifyWait: f.Fields.NotifyWait, RepeatOf: f.Fields.RepeatOf}
+		config.Tenants = fairQueueConfig(f)
+		config.FieldNames = controller.FieldNames{Tenant: f.Fields.Team, NotifyWait: f.Fields.NotifyWait,
+			RepeatOf: f.Fields.RepeatOf}
 	}
-	m.FieldNames.EstimatedWork, m.FieldNames.EstimatedMemory = x.Estimates.Work, x.Estimates.Memory
+	config.FieldNames.EstimatedWork, config.FieldNames.EstimatedMemory = x.Estimates.Work, x.Estimates.Memory
 	if x.Shares != nil {
-		m.FieldNames.Customer = x.Shares.Field
+		config.FieldNames.Customer = x.Shares.Field
 	}
-	return m
+	return config
 }
 
 // FairQueueConfig returns the teams, which a reload replaces. It is nil without fairness.
@@ -81,39 +86,44 @@
 	default:
 		report = "probed"
 	}
-	f := map[string]string{"gateways": num(float64(e.Controllers), 1), "own.number": "0", "groups": strconv.Itoa(len(x.Groups)),
+	result := map[string]string{"gateways": num(float64(e.Controllers), 1), "own.number": "0",
+		"groups":    strconv.Itoa(len(x.Groups)),
 		"locations": strings.Join(locations, ","), "tick": "5", "list.how": "pushed",
 		"submissions.most": num(float64(e.MaxAttempts), 3), "return.most": ms(e.MaxRetryAfter, time.Minute),
-		"connect.timeout": ms(e.ConnectTimeout, 250*time.Millisecond), "idle.most": ms(e.IdleTimeout, 15*time.Second),
-		"note.period": ms(e.NotePeriod, 2*time.Second), "drain.grace": ms(e.DrainGrace, time.Second),
+		"connect.timeout": ms(e.ConnectTimeout, 250*time.Millisecond),
+		"idle.most":       ms(e.IdleTimeout, 15*time.Second),
+		"note.period":     ms(e.NotePeriod, 2*time.Second), "drain.grace": ms(e.DrainGrace, time.Second),
 		"key.rest": ms(e.KeyCooldown, 300*time.Millisecond), "report.how": report,
-		"memory.short": cmp.Or(e.WhenMemoryShort, "swap"), "grant.most": num(e.MaxGrantFraction, 0.4), "cold.from": num(e.SlowStart.InitialCapacity, 0.33),
+		"memory.short": cmp.Or(e.WhenMemoryShort, "swap"), "grant.most": num(e.MaxGrantFraction, 0.4),
+		"cold.from": num(e.SlowStart.InitialCapacity, 0.33),
 		"cold.span": ms(e.SlowStart.Duration, 15*time.Second), "cold.multiple": num(e.SlowStart.WorkFactor, 3),
 		"cold.window": ms(e.SlowStart.Window, time.Second), "budget.least": num(e.RetryBudget.Minimum, 0),
 		"budget.share": num(e.RetryBudget.Ratio, 0), "budget.span": ms(e.RetryBudget.Window, 0)}
 	if e.Location != "" {
-		f["own.location"] = strconv.Itoa(slices.Index(locations, e.Location))
+		result["own.location"] = strconv.Itoa(slices.Index(locations, e.Location))
 	}
 	if e.ReportFields != nil {
-		f["report.figures"] = strings.Join(e.ReportFields, ",")
+		result["report.figures"] = strings.Join(e.ReportFields, ",")
 	}
-	f["answers.cost"] = strconv.FormatBool(e.QueryReports == nil || slices.Contains(e.QueryReports, "costs"))
+	result["answers.cost"] = strconv.FormatBool(e.QueryReports == nil || slices.Contains(e.QueryReports, "costs"))
 	if e.QueryReports != nil && !slices.Contains(e.QueryReports, "notes") {
-		f["note.period"] = "0"
+		result["note.period"] = "0"
 	}
 	if x.Shares != nil {
-		f["teams"], f["over.worth"] = strconv.Itoa(len(x.Shares.Customers)), strconv.FormatFloat(x.Shares.OverQuotaWeight, 'f', -1, 64)
+		result["teams"], result["over.worth"] = strconv.Itoa(len(x.Shares.Customers)),
+			strconv.FormatFloat(x.Shares.OverQuotaWeight, 'f', -1, 64)
 		for i, who := range x.Shares.Customers {
 			at := "team." + strconv.Itoa(i) + "."
-			f[at+"name"], f[at+"quota"] = who.Name, num(who.Rate, 0)
+			result[at+"name"], result[at+"quota"] = who.Name, num(who.Rate, 0)
 		}
 	}
 	for _, m := range engineActions {
-		f["may."+m] = strconv.FormatBool(e.AllowedActions == nil || slices.Contains(e.AllowedActions, m))
+		result["may."+m] = strconv.FormatBool(e.AllowedActions == nil || slices.Contains(e.AllowedActions, m))
 	}
 	var kinds, cores, memory, threads, loads, waits []string
 	for _, k := range e.Kinds {
-		kinds, cores, memory = append(kinds, k.Name), append(cores, num(k.Cores, 1)), append(memory, num(k.MemoryMB, 0))
+		kinds, cores, memory = append(kinds, k.Name), append(cores, num(k.Cores, 1)),
+			append(memory, num(k.MemoryMB, 0))
 	}
 	places := func(l, all []string) string {
 		var at []string
@@ -129,43 +139,49 @@
 	for i, g := range x.Groups {
 		at := "group." + strconv.Itoa(i) + "."
 		threads = append(threads, num(g.Threads, 1))
-		loads, waits = append(loads, strconv.FormatBool(g.IsLoad)), append(waits, strconv.FormatBool(g.WaitsForLoads))
-		f[at+"name"], f[at+"value"], f[at+"stretch"] = g.Name, num(g.PriorityWeight, 1), num(g.ObjectiveStretch, 0)
-		f[at+"effect"], f[at+"scope"] = g.Effect, cmp.Or(g.Scope, "all")
-		f[at+"target"], f[at+"timeout"] = ms(g.Objective, time.Second), ms(g.Timeout, 30*time.Second)
-		f[at+"window"], f[at+"in-order"] = ms(g.KeyWindow, 5*time.Second), strconv.FormatBool(g.FIFOByKey)
+		loads, waits = append(loads, strconv.FormatBool(g.IsLoad)),
+			append(waits, strconv.FormatBool(g.WaitsForLoads))
+		result[at+"name"], result[at+"value"], result[at+"stretch"] = g.Name, num(g.PriorityWeight, 1), num(g.ObjectiveStretch, 0)
+		result[at+"effect"], result[at+"scope"] = g.Effect, cmp.Or(g.Scope, "all")
+		result[at+"target"], result[at+"timeout"] = ms(g.Objective, time.Second), ms(g.Timeout, 30*time.Second)
+		result[at+"window"], result[at+"in-order"] = ms(g.KeyWindow, 5*time.Second), strconv.FormatBool(g.FIFOByKey)
 		if g.LateValueShare != nil {
-			f[at+"late-share"] = strconv.FormatFloat(*g.LateValueShare, 'f', -1, 64)
+			result[at+"late-share"] = strconv.FormatFloat(*g.LateValueShare, 'f', -1, 64)
 		}
 		if len(g.Locations) > 0 {
-			f[at+"locations"] = places(g.Locations, locations)
+			result[at+"locations"] = places(g.Locations, locations)
 		}
 		if len(g.Kinds) > 0 {
-			f[at+"kinds"] = places(g.Kinds, kinds)
+			result[at+"kinds"] = places(g.Kinds, kinds)
 		}
 	}
-	f["kinds"], f["kind.cores"], f["kind.memory"] = strings.Join(kinds, ","), strings.Join(cores, ","), strings.Join(memory, ",")
-	f["threads"], f["loads"], f["waits"] = strings.Join(threads, ","), strings.Join(loads, ","), strings.Join(waits, ",")
-	return f
+	result["kinds"], result["kind.cores"], result["kind.memory"] = strings.Join(kinds, ","), strings.Join(cores, ","),
+		strings.Join(memory, ",")
+	result["threads"], result["loads"], result["waits"] = strings.Join(threads, ","), strings.Join(loads, ","),
+		strings.Join(waits, ",")
+	return result
 }
 
 // PartsNeedingRestart lists the parts of next that differ and that a reload can't change: all
 // but the address of the discovery service and the teams.
-func (x *Setup) PartsNeedingRestart(next *Setup) (what []string) {
+func (x *Setup) PartsNeedingRestart(next *Setup) (parts []string) {
 	for name, same := range map[string]bool{
-		"name": x.Name == next.Name, "listen": x.Listen == next.Listen, "seed": x.Seed == next.Seed, "log": x.LogLevel == next.LogLevel,
+		"name": x.Name == next.Name, "listen": x.Listen == next.Listen, "seed": x.Seed == next.Seed,
+		"log":    x.LogLevel == next.LogLevel,
 		"limits": x.Limits == next.Limits, "engines": reflect.DeepEqual(x.Engines, next.Engines),
 		"groups": reflect.DeepEqual(x.Groups, next.Groups), "clients": reflect.DeepEqual(x.Clients, next.Clients),
 		"shares": reflect.DeepEqual(x.Shares, next.Shares), "estimates": x.Estimates == next.Estimates,
-		"spool": reflect.DeepEqual(x.Spool, next.Spool), "answers": reflect.DeepEqual(x.Answers, next.Answers), "fleet": reflect.DeepEqual(x.Fleet, next.Fleet),
-		"placement": reflect.DeepEqual(x.Placement, next.Placement), "fairness.fields": x.fields() == next.fields(), "fairness (added or removed)": (x.Fairness == nil) == (next.Fairness == nil),
+		"spool": reflect.DeepEqual(x.Spool, next.Spool), "answers": reflect.DeepEqual(x.Answers, next.Answers),
+		"fleet":     reflect.DeepEqual(x.Fleet, next.Fleet),
+		"placement": reflect.DeepEqual(x.Placement, next.Placement), "fairness.fields": x.fields() == next.fields(),
+		"fairness (added or removed)": (x.Fairness == nil) == (next.Fairness == nil),
 	} {
 		if !same {
-			what = append(what, name)
+			parts = append(parts, name)
 		}
 	}
-	slices.Sort(what)
-	return what
+	slices.Sort(parts)
+	return parts
 }
 
 func (x *Setup) fields() Fields {
--- a/internal/setup/fault.go
+++ b/internal/setup/field_error.go
@@ -108,7 +108,8 @@
 	case x == "":
 		c.addError(path, "is missing")
 	case len(x) > maxNameLength || strings.ContainsAny(x, ", \t\n"):
-		c.addError(path, "%.40q is not a valid name: use up to %d characters without blanks and commas", x, maxNameLength)
+		c.addError(path, "%.40q is not a valid name: use up to %d characters without blanks and commas", x,
+			maxNameLength)
 	}
 }
 
--- a/internal/setup/fleet.go
+++ b/internal/setup/fleet.go
@@ -13,15 +13,18 @@
 
 // Fleet makes the process a member of a fleet. The member's name is Setup.Name.
 type Fleet struct {
-	Role              string  `yaml:"role"`      // RoleController or RoleControl; default controller
-	Name              string  `yaml:"name"`      // name of the fleet; messages of other fleets are rejected
-	ListenAddress     string  `yaml:"listen"`    // address on which the process listens for its peers
-	AdvertisedAddress string  `yaml:"address"`   // address under which peers reach the process; default listen
-	ControlAddress    string  `yaml:"control"`   // address for operators' commands; without a host, reachable from this machine only
-	Directory         string  `yaml:"directory"` // directory of the replicated log; not shared with other parts
-	KeyFile           string  `yaml:"keys"`      // file with one or two keys, the same on all members
-	ClientAddress     string  `yaml:"clients"`   // address that clients are redirected to; default Setup.Listen
-	Voters            []Voter `yaml:"voters"`    // 1, 3, 5 or 7, the same on all members; other members are non-voting
+	Role              string `yaml:"role"`    // RoleController or RoleControl; default controller
+	Name              string `yaml:"name"`    // name of the fleet; messages of other fleets are rejected
+	ListenAddress     string `yaml:"listen"`  // address on which the process listens for its peers
+	AdvertisedAddress string `yaml:"address"` // address under which peers reach the process; default listen
+	// ControlAddress receives operators' commands. Without a host, it accepts them from this
+	// machine only.
+	ControlAddress string `yaml:"control"`
+	Directory      string `yaml:"directory"` // directory of the replicated log; not shared with other parts
+	KeyFile        string `yaml:"keys"`      // file with one or two keys, the same on all members
+	ClientAddress  string `yaml:"clients"`   // address that clients are redirected to; default Setup.Listen
+	// Voters lists 1, 3, 5 or 7 members, the same on all members. Other members are non-voting.
+	Voters []Voter `yaml:"voters"`
 	// IsRelay makes a control process forward the controllers' lease renewals to the leader,
 	// and grants and log entries back.
 	IsRelay bool `yaml:"relay"`
@@ -32,12 +35,17 @@
 	// may have to wait so long for that controller. The value is a duration or unbounded.
 	Lease Lease `yaml:"lease"` // default 5s
 	// ConfinedLease is the lease for queries of teams that placement rules confine to sites.
-	ConfinedLease        Lease    `yaml:"lease_bound"` // default lease
-	ClockDrift           float64  `yaml:"drift"`       // largest relative error between two clocks; default 0.01
-	ElectionTimeout      Duration `yaml:"election"`    // an election starts after one to two timeouts without a message of a leader; default 500ms
-	HeartbeatInterval    Duration `yaml:"heartbeat"`   // default 100ms
-	MaxHold              Duration `yaml:"hold"`        // time for which queries wait for a lease or a policy switch before they are deferred; default 5s
-	SnapshotAfterEntries int      `yaml:"keep"`        // log entries after which a snapshot replaces them; default 4096
+	ConfinedLease Lease   `yaml:"lease_bound"` // default lease
+	ClockDrift    float64 `yaml:"drift"`       // largest relative error between two clocks; default 0.01
+	// ElectionTimeout is the time without a message of a leader after which an election starts,
+	// plus a random time up to the same length; default 500ms.
+	ElectionTimeout   Duration `yaml:"election"`
+	HeartbeatInterval Duration `yaml:"heartbeat"` // default 100ms
+	// MaxHold is the time for which queries wait for a lease or a policy switch before they are
+	// deferred; default 5s.
+	MaxHold Duration `yaml:"hold"`
+	// SnapshotAfterEntries is the number of log entries that a snapshot replaces; default 4096.
+	SnapshotAfterEntries int `yaml:"keep"`
 }
 
 // Voter is a member that votes on entries of the replicated log.
@@ -149,7 +157,8 @@
 		c.addError("fleet.relay", "only a process with role: control can be a relay: set that role or remove relay")
 	}
 	if f.IsRelay && len(f.Voters) == 0 {
-		c.addError("fleet.relay", "this relay knows no leader to forward renewals to: list the fleet's voters under fleet.voters")
+		c.addError("fleet.relay",
+			"this relay knows no leader to forward renewals to: list the fleet's voters under fleet.voters")
 	}
 	if f.IsRelay && len(f.Relays) > 0 {
 		c.addError("fleet.relays", "this process is a relay, and relays ask the leader directly: remove relays")
@@ -159,7 +168,9 @@
 	}
 	controllers := max(1, x.Engines.Controllers)
 	if n := len(f.Relays); !x.IsControlProcess() && n > controllers {
-		c.addError("fleet.relays", "%d relays for %d controllers (engines.controllers): remove relays, the leader can be asked directly", n, controllers)
+		c.addError("fleet.relays",
+			"%d relays for %d controllers (engines.controllers): remove relays, the leader can be asked directly", n,
+			controllers)
 	}
 	for i := range f.Relays {
 		c.checkRelay(x, i)
@@ -188,7 +199,8 @@
 	}
 	for _, voter := range f.Voters {
 		if (voter.Name == relay.Name) != (voter.Address == relay.Address) {
-			c.addError(at+"address", "relay %s has the address %s, but fleet.voters lists %s with the address %s", relay.Name, relay.Address, voter.Name, voter.Address)
+			c.addError(at+"address", "relay %s has the address %s, but fleet.voters lists %s with the address %s",
+				relay.Name, relay.Address, voter.Name, voter.Address)
 		}
 	}
 }
@@ -197,12 +209,15 @@
 func (c *checker) checkTimings(f *Fleet) {
 	c.optionalNumber("fleet.drift", f.ClockDrift, 0.0001, 0.2)
 	c.optionalNumber("fleet.keep", float64(f.SnapshotAfterEntries), 16, 1_000_000)
-	election, heartbeat := f.ElectionTimeout.orDefault(defaultElectionTimeout), f.HeartbeatInterval.orDefault(defaultHeartbeatInterval)
+	election, heartbeat := f.ElectionTimeout.orDefault(defaultElectionTimeout),
+		f.HeartbeatInterval.orDefault(defaultHeartbeatInterval)
 	if f.ElectionTimeout > 0 && election < 50*time.Millisecond || election > time.Minute {
 		c.addError("fleet.election", "%v is not between 50ms and 1m", election)
 	}
 	if heartbeat > election/3 {
-		c.addError("fleet.heartbeat", "%v is more than a third of fleet.election, %v: a lost heartbeat could start an election", heartbeat, election)
+		c.addError("fleet.heartbeat",
+			"%v is more than a third of fleet.election, %v: a lost heartbeat could start an election", heartbeat,
+			election)
 	}
 	for _, l := range []struct {
 		path string
@@ -212,12 +227,15 @@
 		switch {
 		case span == 0:
 		case span < 2*heartbeat:
-			c.addError(l.path, "%v is shorter than two heartbeat intervals of %v: the lease would expire between renewals", span, heartbeat)
+			c.addError(l.path,
+				"%v is shorter than two heartbeat intervals of %v: the lease would expire between renewals", span,
+				heartbeat)
 		case span > maxLease:
 			c.addError(l.path, "%v is longer than %v: write unbounded for a lease that never expires", span, maxLease)
 		}
 	}
-	if all, bound := f.Lease.DurationOr(defaultLease), f.ConfinedLease.DurationOr(f.Lease.DurationOr(defaultLease)); all > 0 && (bound == 0 || bound > all) {
+	if all, bound := f.Lease.DurationOr(defaultLease),
+		f.ConfinedLease.DurationOr(f.Lease.DurationOr(defaultLease)); all > 0 && (bound == 0 || bound > all) {
 		c.addError("fleet.lease_bound", "is longer than fleet.lease, %v: it may only be shorter", all)
 	}
 	if hold := f.MaxHold.orDefault(defaultMaxHold); hold > 5*time.Minute {
@@ -237,15 +255,21 @@
 // Parameters returns the numeric fields, with defaults in place of missing values.
 func (f *Fleet) Parameters() FleetParameters {
 	lease := f.Lease.DurationOr(defaultLease)
-	return FleetParameters{Lease: lease, ConfinedLease: f.ConfinedLease.DurationOr(lease), ClockDrift: cmp.Or(f.ClockDrift, defaultClockDrift), ElectionTimeout: f.ElectionTimeout.orDefault(defaultElectionTimeout),
-		HeartbeatInterval: f.HeartbeatInterval.orDefault(defaultHeartbeatInterval), MaxHold: f.MaxHold.orDefault(defaultMaxHold), SnapshotAfterEntries: cmp.Or(f.SnapshotAfterEntries, defaultSnapshotAfterEntries)}
+	return FleetParameters{Lease: lease, ConfinedLease: f.ConfinedLease.DurationOr(lease),
+		ClockDrift:           cmp.Or(f.ClockDrift, defaultClockDrift),
+		ElectionTimeout:      f.ElectionTimeout.orDefault(defaultElectionTimeout),
+		HeartbeatInterval:    f.HeartbeatInterval.orDefault(defaultHeartbeatInterval),
+		MaxHold:              f.MaxHold.orDefault(defaultMaxHold),
+		SnapshotAfterEntries: cmp.Or(f.SnapshotAfterEntries, defaultSnapshotAfterEntries)}
 }
 
 // Member returns this process as a member of its fleet, without the ID of its disk. A control
 // process has neither a site nor an address for clients.
 func (x *Setup) Member() fleet.Member {
 	f := x.Fleet
-	m := fleet.Member{Name: x.Name, Site: x.Engines.Location, PeerAddress: cmp.Or(f.AdvertisedAddress, f.ListenAddress), ClientAddress: cmp.Or(f.ClientAddress, x.Listen), ControlOnly: x.IsControlProcess()}
+	m := fleet.Member{Name: x.Name, Site: x.Engines.Location,
+		PeerAddress: cmp.Or(f.AdvertisedAddress, f.ListenAddress), ClientAddress: cmp.Or(f.ClientAddress, x.Listen),
+		ControlOnly: x.IsControlProcess()}
 	for _, v := range f.Voters {
 		if v.Name == x.Name {
 			m.PeerAddress = v.Address
--- a/internal/setup/fleet_test.go
+++ b/internal/setup/fleet_test.go
@@ -88,12 +88,12 @@
 		{"    - {name: c2, address: \"127.0.0.1:7602\"}\n", "", "fleet.voters"},
 		{"keep: 4096", "keeps: 4096", "keeps"},
 	} {
-		spoilt := strings.Replace(string(text), c.old, c.new, 1)
-		if spoilt == string(text) {
+		broken := strings.Replace(string(text), c.old, c.new, 1)
+		if broken == string(text) {
 			t.Fatalf("%q is not in the example", c.old)
 		}
 		var f *FieldError
-		if _, err := Parse("x.yaml", []byte(spoilt)); !errors.As(err, &f) || f.Field != c.field || f.Line == 0 {
+		if _, err := Parse("x.yaml", []byte(broken)); !errors.As(err, &f) || f.Field != c.field || f.Line == 0 {
 			t.Errorf("%q: %v", c.new, err)
 		}
 	}
--- a/internal/setup/placement.go
+++ b/internal/setup/placement.go
@@ -21,12 +21,14 @@
 // PlacementRule confines tables of a team to some of the engines' locations. The team is one of
 // Fairness or a customer of Shares.
 type PlacementRule struct {
-	Name        string   `yaml:"name"`
-	Team        string   `yaml:"team"`
-	Tables      []int64  `yaml:"tables"`      // table groups; default all of the team
-	Engines     []string `yaml:"engines"`     // sites whose engines may process the tables; default all
-	Controllers []string `yaml:"controllers"` // sites whose controllers may accept queries on the tables; default as engines
-	// Keep lists the sites that may keep results and cached answers; default as controllers,
+	Name    string   `yaml:"name"`
+	Team    string   `yaml:"team"`
+	Tables  []int64  `yaml:"tables"`  // table groups; default all of the team
+	Engines []string `yaml:"engines"` // sites whose engines may process the tables; default all
+	// Controllers lists the sites whose controllers may accept queries on the tables; default as
+	// Engines.
+	Controllers []string `yaml:"controllers"`
+	// Keep lists the sites that may keep results and cached answers; default as Controllers,
 	// [] for none.
 	Keep      []string           `yaml:"keep"`
 	Follows   bool               `yaml:"follows"` // a load from the tables into other tables confines those, too
@@ -36,13 +38,16 @@
 // PlacementEmergency allows the engines of further sites in an emergency.
 type PlacementEmergency struct {
 	Sites []string `yaml:"sites"`
-	After Duration `yaml:"after"` // time without any engine at the allowed sites after which the emergency begins
+	// After is the time without any engine at the allowed sites after which the emergency begins.
+	After Duration `yaml:"after"`
 }
 
 func (x *Setup) placementRules() (l []residency.Rule) {
 	for _, p := range x.Placement {
-		l = append(l, residency.Rule{Name: p.Name, Team: p.Team, Tables: p.Tables, Engines: p.Engines, Controllers: p.Controllers,
-			Keep: p.Keep, Follows: p.Follows, Emergency: residency.Emergency{Sites: p.Emergency.Sites, After: time.Duration(p.Emergency.After)}})
+		l = append(l, residency.Rule{Name: p.Name, Team: p.Team, Tables: p.Tables, Engines: p.Engines,
+			Controllers: p.Controllers,
+			Keep:        p.Keep, Follows: p.Follows, Emergency: residency.Emergency{Sites: p.Emergency.Sites,
+				After: time.Duration(p.Emergency.After)}})
 	}
 	return l
 }
@@ -75,7 +80,8 @@
 		return
 	}
 	if x.Fleet == nil {
-		c.addError("placement", "there is no fleet part, whose log records the tables that loads confine and the start of emergencies")
+		c.addError("placement",
+			"there is no fleet part, whose log records the tables that loads confine and the start of emergencies")
 	}
 	for i, p := range x.Placement {
 		if p.Name != "" {
@@ -148,19 +154,23 @@
 
 // Errors returns an example of each error of this package that an operator of a fleet may see.
 func Errors() []fleet.ErrorWithRemedy {
-	return []fleet.ErrorWithRemedy{&Unfit{"policy.yaml", []error{&FieldError{File: "policy.yaml", Line: 3, Field: "groups[0].name", Reason: `no group is named "lookup"`}}}}
+	return []fleet.ErrorWithRemedy{&Unfit{"policy.yaml",
+		[]error{&FieldError{File: "policy.yaml", Line: 3, Field: "groups[0].name",
+			Reason: `no group is named "lookup"`}}}}
 }
 
 // BasePolicy returns the policy in the process's own file, version 0, which applies before any change.
 func (x *Setup) BasePolicy() (*controller.Policy, []fleet.EmergencyRule) {
 	rules := x.placementRules()
-	return &controller.Policy{Tenants: x.FairQueueConfig(), Settings: x.settings(), Rules: rules}, residency.Watches(rules)
+	return &controller.Policy{Tenants: x.FairQueueConfig(), Settings: x.settings(), Rules: rules},
+		residency.Watches(rules)
 }
 
 // ParsePolicy reads a policy strictly and checks it against a controller's own configuration,
 // which it doesn't change. An invalid policy is an *Unfit. The third result lists the voters as
 // name=address; it is empty if they are unchanged.
-func ParsePolicy(file string, text []byte, own *Setup) (*controller.Policy, []fleet.EmergencyRule, []string, error) {
+func ParsePolicy(file string, text []byte, own *Setup) (*controller.Policy, []fleet.EmergencyRule, []string,
+	error) {
 	x, p, err := own.mergePolicy(file, text)
 	if err != nil {
 		return nil, nil, nil, err
@@ -184,7 +194,8 @@
 		return nil, nil, &Unfit{file, []error{yamlError(file, err)}}
 	}
 	p := &Policy{}
-	if err := yaml.UnmarshalWithOptions(text, p, yaml.Strict()); err != nil && !(errors.Is(err, io.EOF) && len(bytes.TrimSpace(text)) == 0) {
+	if err := yaml.UnmarshalWithOptions(text, p, yaml.Strict()); err != nil &&
+		!(errors.Is(err, io.EOF) && len(bytes.TrimSpace(text)) == 0) {
 		return nil, nil, &Unfit{file, []error{yamlError(file, err)}}
 	}
 	own := x
@@ -208,7 +219,8 @@
 		c.addError("fairness", "this controller has no teams, because its set-up has no fairness part")
 	default:
 		next := *own.Fairness
-		next.Teams, next.Default, next.AgeingLimit = f.Teams, cmp.Or(f.Default, next.Default), cmp.Or(f.AgeingLimit, next.AgeingLimit)
+		next.Teams, next.Default, next.AgeingLimit = f.Teams, cmp.Or(f.Default, next.Default),
+			cmp.Or(f.AgeingLimit, next.AgeingLimit)
 		s.Fairness = &next
 		if len(next.Teams) == 0 {
 			c.addError("fairness.teams", "is missing: a policy must list all teams")
@@ -276,7 +288,8 @@
 			continue
 		}
 		x := &s.Groups[j]
-		x.Threads, x.Objective, x.Timeout = cmp.Or(g.Threads, x.Threads), cmp.Or(g.Objective, x.Objective), cmp.Or(g.Timeout, x.Timeout)
+		x.Threads, x.Objective, x.Timeout = cmp.Or(g.Threads, x.Threads), cmp.Or(g.Objective, x.Objective),
+			cmp.Or(g.Timeout, x.Timeout)
 		c.optionalNumber(at+"threads", x.Threads, 1, 1024)
 		x.PriorityWeight = cmp.Or(g.PriorityWeight, x.PriorityWeight)
 		c.optionalNumber(at+"value", x.PriorityWeight, 0, 1e9)
--- a/internal/setup/answers.go
+++ b/internal/setup/result_cache.go
@@ -12,12 +12,17 @@
 
 // ResultCache configures the cache of answers to read-only queries.
 type ResultCache struct {
-	MaxAge     Duration `yaml:"fresh"`      // age up to which an answer is served, from the start of its run on an engine
-	MemoryMB   float64  `yaml:"memory_mb"`  // of all answers; default 16
-	MaxEntries int      `yaml:"count"`      // default 10000
-	MaxEntryKB float64  `yaml:"answer_kb"`  // a larger answer is not cached; default 1024, at most MemoryMB
-	TeamShare  float64  `yaml:"team_share"` // fraction of the memory above which a team's answers are evicted first; default 0.25
-	Groups     []string `yaml:"groups"`     // groups whose answers are cached; default all read-only groups that keep no order
+	// MaxAge is the age up to which an answer is served, from the start of its run on an engine
+	MaxAge     Duration `yaml:"fresh"`
+	MemoryMB   float64  `yaml:"memory_mb"` // of all answers; default 16
+	MaxEntries int      `yaml:"count"`     // default 10000
+	MaxEntryKB float64  `yaml:"answer_kb"` // a larger answer is not cached; default 1024, at most MemoryMB
+	// TeamShare is the fraction of the memory above which a team's answers are evicted first;
+	// default 0.25.
+	TeamShare float64 `yaml:"team_share"`
+	// Groups lists the groups whose answers are cached; default all read-only groups that keep no
+	// order.
+	Groups []string `yaml:"groups"`
 }
 
 // maxResultAge is the upper limit of ResultCache.MaxAge.
@@ -27,7 +32,8 @@
 	a := x.Answers
 	switch d := time.Duration(a.MaxAge); {
 	case d == 0:
-		c.addError("answers.fresh", "is missing: it has no default, because only the operator knows how old an answer may be")
+		c.addError("answers.fresh",
+			"is missing: it has no default, because only the operator knows how old an answer may be")
 	case d > maxResultAge:
 		c.addError("answers.fresh", "%v is longer than %v", d, maxResultAge)
 	}
@@ -39,7 +45,8 @@
 		c.addError("answers.memory_mb", "is more than half of limits.memory_mb")
 	}
 	if x.Fairness == nil && x.Shares == nil {
-		c.addError("answers", "neither fairness nor shares is configured: the team that an answer belongs to would be unknown")
+		c.addError("answers",
+			"neither fairness nor shares is configured: the team that an answer belongs to would be unknown")
 	}
 	for i, name := range a.Groups {
 		at := fmt.Sprintf("answers.groups[%d]", i)
--- a/internal/setup/setup.go
+++ b/internal/setup/setup.go
@@ -68,9 +68,10 @@
 	ReportFields []string `yaml:"figures"`
 	// QueryReports lists what engines report of a query: notes (progress while it runs) and
 	// costs (the work, with the answer). Default both.
-	QueryReports     []string    `yaml:"tells"`
-	WhenMemoryShort  string      `yaml:"memory_short"` // default swap
-	MaxGrantFraction float64     `yaml:"grant"`        // of an engine's memory, granted to one query; default 0.4
+	QueryReports    []string `yaml:"tells"`
+	WhenMemoryShort string   `yaml:"memory_short"` // default swap
+	// MaxGrantFraction limits the fraction of an engine's memory granted to one query; default 0.4.
+	MaxGrantFraction float64     `yaml:"grant"`
 	SlowStart        SlowStart   `yaml:"cold"`
 	RetryBudget      RetryBudget `yaml:"budget"`
 }
@@ -104,10 +105,13 @@
 
 // SlowStart limits the load on an engine that has just started.
 type SlowStart struct {
-	InitialCapacity float64  `yaml:"from"`     // fraction of its cores that a new engine starts with; default 0.33
-	Duration        Duration `yaml:"span"`     // time until an engine has its full capacity; default 15s
-	WorkFactor      float64  `yaml:"multiple"` // of a warming engine's capacity, sent to it in a window; default 3
-	Window          Duration `yaml:"window"`   // default 1s
+	// InitialCapacity is the fraction of its cores that a new engine starts with; default 0.33.
+	InitialCapacity float64  `yaml:"from"`
+	Duration        Duration `yaml:"span"` // time until an engine has its full capacity; default 15s
+	// WorkFactor limits the work sent to a warming engine in a window, as a multiple of its capacity;
+	// default 3.
+	WorkFactor float64  `yaml:"multiple"`
+	Window     Duration `yaml:"window"` // default 1s
 }
 
 // RetryBudget bounds the retries in a window: Minimum, plus Ratio per query that arrived in it.
@@ -150,14 +154,18 @@
 
 // Fairness configures the fair queue, which decides whose query starts next.
 type Fairness struct {
-	Fields          Fields   `yaml:"fields"`
-	Trusted         []Prefix `yaml:"trusted"`     // clients whose calls may name a team; default none
-	Default         string   `yaml:"default"`     // team of all other clients; default a further team of weight 1
-	AgeingLimit     Duration `yaml:"age"`         // wait after which a query starts before younger ones; default 10s
-	MaxWaiting      int      `yaml:"waiting"`     // queries of all teams; default 100000
-	OverrunFactor   float64  `yaml:"overrun"`     // multiple of the usual work after which a query loses priority; default 4
-	NotifyThreshold float64  `yaml:"tell_change"` // relative change of an estimate after which it is sent again; default 0.25
-	Teams           []Team   `yaml:"teams"`
+	Fields  Fields   `yaml:"fields"`
+	Trusted []Prefix `yaml:"trusted"` // clients whose calls may name a team; default none
+	// Default is the team of all other clients; default a further team of weight 1.
+	Default string `yaml:"default"`
+	// wait after which a query starts before younger ones; default 10s
+	AgeingLimit Duration `yaml:"age"`
+	MaxWaiting  int      `yaml:"waiting"` // queries of all teams; default 100000
+	// multiple of the usual work after which a query loses priority; default 4
+	OverrunFactor float64 `yaml:"overrun"`
+	// relative change of an estimate after which it is sent again; default 0.25
+	NotifyThreshold float64 `yaml:"tell_change"`
+	Teams           []Team  `yaml:"teams"`
 }
 
 // Fields are the names of the call fields that the fair queue reads. An empty name disables the field.
--- a/internal/setup/setup_test.go
+++ b/internal/setup/setup_test.go
@@ -57,12 +57,12 @@
 		{"seed: 8c1f30d27a5be964", "seed: xyz", "seed", ""},
 		{"fairness:\n  fields:", "fairness:\n   fields:", "", ""},
 	} {
-		spoilt := strings.Replace(string(text), c.old, c.new, 1)
-		if spoilt == string(text) {
+		broken := strings.Replace(string(text), c.old, c.new, 1)
+		if broken == string(text) {
 			t.Fatalf("%q is not in the example", c.old)
 		}
 		line := 1 + strings.Count(string(text)[:strings.Index(string(text), c.old)], "\n")
-		_, err := Parse("x.yaml", []byte(spoilt))
+		_, err := Parse("x.yaml", []byte(broken))
 		if err == nil {
 			t.Errorf("%q was accepted", c.new)
 			continue
@@ -107,16 +107,16 @@
 	}
 	before, _, _ := strings.Cut(string(text), "# Customers' shares")
 	shares := "shares: {field: customer, over: 0.05, customers: [{name: hogares, rate: 133}, {name: obras, rate: 110}]}\nestimates: {work: weight, memory: ram}\n"
-	was, err := Parse("x.yaml", []byte(before))
+	defaults, err := Parse("x.yaml", []byte(before))
 	if err != nil {
 		t.Fatal(err)
 	}
 	for _, name := range []string{"own.location", "report.figures", "teams"} {
-		if x, there := was.settings()[name]; there {
+		if x, there := defaults.settings()[name]; there {
 			t.Errorf("%s is missing in the file, but set to %q", name, x)
 		}
 	}
-	if f := was.settings(); f["answers.cost"] != "true" || f["note.period"] != "2000" || f["report.how"] != "probed" {
+	if f := defaults.settings(); f["answers.cost"] != "true" || f["note.period"] != "2000" || f["report.how"] != "probed" {
 		t.Errorf("wrong defaults: %v", f)
 	}
 	for _, late := range []string{"", "    late_share: 0\n"} {
@@ -130,9 +130,9 @@
 			t.Errorf("%q: late share %q, %v", late, x, there)
 		}
 	}
-	cores := strings.Replace(before, "report: probed ", "location: here\n  figures: [cores]\n  tells: [costs]\n  report: probed ", 1)
-	cores = strings.Replace(cores, "  notes: 2s ", "  # notes ", 1) + shares
-	s, err := Parse("x.yaml", []byte(cores))
+	withCoreReports := strings.Replace(before, "report: probed ", "location: here\n  figures: [cores]\n  tells: [costs]\n  report: probed ", 1)
+	withCoreReports = strings.Replace(withCoreReports, "  notes: 2s ", "  # notes ", 1) + shares
+	s, err := Parse("x.yaml", []byte(withCoreReports))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -142,31 +142,31 @@
 		m.FieldNames.EstimatedWork != "weight" || m.FieldNames.EstimatedMemory != "ram" {
 		t.Fatalf("%+v", m)
 	}
-	blind := strings.Replace(before, "may: [probe, ", "may: [", 1)
-	blind = strings.Replace(blind, "report: probed ", "tells: [notes]\n  report: off ", 1)
-	if s, err = Parse("x.yaml", []byte(blind)); err != nil || s.settings()["report.how"] != "off" || s.settings()["answers.cost"] != "false" {
+	withoutHealthChecks := strings.Replace(before, "may: [probe, ", "may: [", 1)
+	withoutHealthChecks = strings.Replace(withoutHealthChecks, "report: probed ", "tells: [notes]\n  report: off ", 1)
+	if s, err = Parse("x.yaml", []byte(withoutHealthChecks)); err != nil || s.settings()["report.how"] != "off" || s.settings()["answers.cost"] != "false" {
 		t.Fatal(err, s)
 	}
 	for _, c := range []struct{ in, old, new, field string }{
-		{blind, "report: off ", "report: probed ", "engines.report"},
-		{blind, "report: off ", "figures: [cores]\n  report: off ", "engines.figures"},
-		{cores, "figures: [cores]", "figures: [cors]", "engines.figures[0]"},
-		{cores, "figures: [cores]", "figures: []", "engines.figures"},
-		{cores, "  # notes ", "  notes: 2s ", "engines.notes"},
-		{cores, "location: here", "location: there", "engines.location"},
-		{cores, "rate: 110", "rate: 0", "shares.customers[1].rate"},
-		{cores, "name: obras", "name: hogares", "shares.customers[1].name"},
-		{cores, "over: 0.05", "over: 5", "shares.over"},
-		{cores, "field: customer, ", "", "shares.field"},
-		{cores, "budget: {least: 10, share: 0.2, span: 10s}", "budget: {least: 10, share: 0.2}", "engines.budget.span"},
+		{withoutHealthChecks, "report: off ", "report: probed ", "engines.report"},
+		{withoutHealthChecks, "report: off ", "figures: [cores]\n  report: off ", "engines.figures"},
+		{withCoreReports, "figures: [cores]", "figures: [cors]", "engines.figures[0]"},
+		{withCoreReports, "figures: [cores]", "figures: []", "engines.figures"},
+		{withCoreReports, "  # notes ", "  notes: 2s ", "engines.notes"},
+		{withCoreReports, "location: here", "location: there", "engines.location"},
+		{withCoreReports, "rate: 110", "rate: 0", "shares.customers[1].rate"},
+		{withCoreReports, "name: obras", "name: hogares", "shares.customers[1].name"},
+		{withCoreReports, "over: 0.05", "over: 5", "shares.over"},
+		{withCoreReports, "field: customer, ", "", "shares.field"},
+		{withCoreReports, "budget: {least: 10, share: 0.2, span: 10s}", "budget: {least: 10, share: 0.2}", "engines.budget.span"},
 		{string(text) + shares, "", "", "shares"},
 	} {
-		spoilt := strings.Replace(c.in, c.old, c.new, 1)
-		if spoilt == c.in && c.old != "" {
+		broken := strings.Replace(c.in, c.old, c.new, 1)
+		if broken == c.in && c.old != "" {
 			t.Fatalf("%q is not there", c.old)
 		}
 		var f *FieldError
-		if _, err := Parse("x.yaml", []byte(spoilt)); !errors.As(err, &f) || f.Field != c.field || f.Line == 0 {
+		if _, err := Parse("x.yaml", []byte(broken)); !errors.As(err, &f) || f.Field != c.field || f.Line == 0 {
 			t.Errorf("%q: %v", c.new, err)
 		}
 	}
--- a/internal/setup/spool.go
+++ b/internal/setup/spool.go
@@ -14,13 +14,16 @@
 
 // Spool configures the store of results that clients read page by page.
 type Spool struct {
-	Field       string   `yaml:"field"`        // call field that asks for a result in pages
-	Directory   string   `yaml:"directory"`    // empty: results are kept in memory and lost at the end of the process
-	MemoryMB    float64  `yaml:"memory_mb"`    // pages in memory; default 16
-	DiskMB      float64  `yaml:"disk_mb"`      // pages on disk; default 1024
-	ResultMB    float64  `yaml:"result_mb"`    // one result; default 1024, at most the space in memory and on disk
-	Results     int      `yaml:"results"`      // at once; default 10000
-	TeamShare   float64  `yaml:"team_share"`   // fraction of the space above which a team's results are evicted first; default 0.25
+	Field string `yaml:"field"` // call field that asks for a result in pages
+	// empty: results are kept in memory and lost at the end of the process
+	Directory string  `yaml:"directory"`
+	MemoryMB  float64 `yaml:"memory_mb"` // pages in memory; default 16
+	DiskMB    float64 `yaml:"disk_mb"`   // pages on disk; default 1024
+	// one result; default 1024, at most the space in memory and on disk
+	ResultMB float64 `yaml:"result_mb"`
+	Results  int     `yaml:"results"` // at once; default 10000
+	// fraction of the space above which a team's results are evicted first; default 0.25
+	TeamShare   float64  `yaml:"team_share"`
 	TeamResults int      `yaml:"team_results"` // of one team at once; default 1000
 	TeamMB      float64  `yaml:"team_mb"`      // of one team; default unlimited
 	Idle        Duration `yaml:"idle"`         // time from its last read until a result expires; default 15m
@@ -32,7 +35,8 @@
 	Keys        Duration `yaml:"keys"`         // time for which a key signs new tokens; default 24h
 }
 
-var syncPolicies = map[string]resultstore.SyncPolicy{"": resultstore.SyncOnCommit, "promise": resultstore.SyncOnCommit, "ticks": resultstore.SyncOnTick, "never": resultstore.SyncNever}
+var syncPolicies = map[string]resultstore.SyncPolicy{"": resultstore.SyncOnCommit,
+	"promise": resultstore.SyncOnCommit, "ticks": resultstore.SyncOnTick, "never": resultstore.SyncNever}
 
 func (c *checker) checkSpool(s *Spool, l Limits) {
 	if s.Field == "" {
@@ -77,56 +81,59 @@
 	l.Result = int64(cmp.Or(s.ResultMB, 1024) * mb)
 	l.Results, l.TeamResults = cmp.Or(s.Results, l.Results), cmp.Or(s.TeamResults, l.TeamResults)
 	l.Team, l.Idle, l.Life = cmp.Or(s.TeamShare, l.Team), s.Idle.orDefault(l.Idle), s.Life.orDefault(l.Life)
-	l.Page, l.Flight, l.Reads = int(cmp.Or(s.PageKB, 32)*1024), int64(cmp.Or(s.FlightMB, 4)*mb), cmp.Or(s.Reads, l.Reads)
+	l.Page, l.Flight, l.Reads = int(cmp.Or(s.PageKB, 32)*1024), int64(cmp.Or(s.FlightMB, 4)*mb),
+		cmp.Or(s.Reads, l.Reads)
 	return l
 }
 
 // OpenSpool opens the configured spool and adds it to a controller's configuration. Without a
 // spool it returns nil.
-func (x *Setup) OpenSpool(means *controller.Config, log zerolog.Logger) (*resultstore.SpoolStore, error) {
+func (x *Setup) OpenSpool(config *controller.Config, log zerolog.Logger) (*resultstore.SpoolStore, error) {
 	s := x.Spool
 	if s == nil {
 		return nil, nil
 	}
-	fresh := func() []byte {
+	newKey := func() []byte {
 		p := make([]byte, 32)
 		rand.Read(p)
 		return p
 	}
-	part := &controller.SpoolConfig{Limits: s.Limits()}
-	means.FieldNames.Paged = s.Field
-	means.Spool = part
-	wall := means.StartedAt.UnixMilli()
-	var disk *resultstore.SpoolStore
-	var text []byte
+	spoolConfig := &controller.SpoolConfig{Limits: s.Limits()}
+	config.FieldNames.Paged = s.Field
+	config.Spool = spoolConfig
+	nowMs := config.StartedAt.UnixMilli()
+	var store *resultstore.SpoolStore
+	var savedKeys []byte
 	if s.Directory != "" {
 		var err error
-		if disk, err = resultstore.OpenSpoolStore(s.Directory, resultstore.Options{Sync: syncPolicies[s.Sync]}); err != nil {
+		if store, err = resultstore.OpenSpoolStore(s.Directory,
+			resultstore.Options{Sync: syncPolicies[s.Sync]}); err != nil {
 			return nil, err
 		}
-		f := &disk.Recovery
-		line := log.Info()
-		if len(f.Lost) > 0 || f.CorruptBytes > 0 {
-			line = log.Log()
+		recovery := &store.Recovery
+		event := log.Info()
+		if len(recovery.Lost) > 0 || recovery.CorruptBytes > 0 {
+			event = log.Log()
 		}
-		line.Int("results", f.Results).Int("segments", f.Segments).Int("half_written", f.Incomplete).Int64("torn_bytes", f.CorruptBytes).
-			Int("lost", len(f.Lost)).Bool("index_rebuilt", f.IndexRebuilt).Msg("opened the spool")
-		if text, err = disk.Keys(); err != nil {
-			disk.Close()
+		event.Int("results", recovery.Results).Int("segments", recovery.Segments).Int("half_written",
+			recovery.Incomplete).Int64("torn_bytes", recovery.CorruptBytes).
+			Int("lost", len(recovery.Lost)).Bool("index_rebuilt", recovery.IndexRebuilt).Msg("opened the spool")
+		if savedKeys, err = store.Keys(); err != nil {
+			store.Close()
 			return nil, err
 		}
-		part.FirstResultID, part.Restore = disk.FirstResultID(), disk.Restore
+		spoolConfig.FirstResultID, spoolConfig.Restore = store.FirstResultID(), store.Restore
 	}
-	keys, err := spool.NewKeyring(text, s.Keys.orDefault(24*time.Hour), wall, fresh)
-	if err == nil && disk != nil {
-		err = disk.SaveKeys(keys.Text())
+	keys, err := spool.NewKeyring(savedKeys, s.Keys.orDefault(24*time.Hour), nowMs, newKey)
+	if err == nil && store != nil {
+		err = store.SaveKeys(keys.Text())
 	}
 	if err != nil {
-		if disk != nil {
-			disk.Close()
+		if store != nil {
+			store.Close()
 		}
 		return nil, err
 	}
-	part.Keys = keys
-	return disk, nil
+	spoolConfig.Keys = keys
+	return store, nil
 }
