--- a/cmd/railrelay-bench/scale_test.go
+++ b/cmd/railrelay-bench/scale_test.go
@@ -16,7 +16,8 @@
 // An interrupted run leaves no process and no directory behind, and a killed run no process.
 func TestInterruptedScaleRunLeavesNoProcesses(t *testing.T) {
 	bin := t.TempDir()
-	if out, err := exec.Command("go", "build", "-o", bin+"/", "../railrelay", "../railrelay-fleet", ".").CombinedOutput(); err != nil {
+	if out, err := exec.Command("go", "build", "-o", bin+"/", "../railrelay", "../railrelay-fleet",
+		".").CombinedOutput(); err != nil {
 		t.Fatal(string(out))
 	}
 	for name, test := range map[string]struct {
@@ -31,7 +32,8 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			directory := t.TempDir()
-			run := exec.Command(filepath.Join(bin, "railrelay-bench"), "scale", "--program", filepath.Join(bin, "railrelay"), "--controllers", "12", "--real", "4",
+			run := exec.Command(filepath.Join(bin, "railrelay-bench"), "scale", "--program",
+				filepath.Join(bin, "railrelay"), "--controllers", "12", "--real", "4",
 				"--engines", "4", "--compare", "0", "--settle", "1m")
 			run.Env = append(os.Environ(), "TMPDIR="+directory)
 			out, err := run.StdoutPipe()
@@ -87,7 +89,8 @@
 		if err != nil {
 			continue
 		}
-		environment, _ := os.ReadFile(filepath.Join("/proc", e.Name(), "environ")) // a process that has exited has none
+		// a process that has exited has none
+		environment, _ := os.ReadFile(filepath.Join("/proc", e.Name(), "environ"))
 		if bytes.Contains(environment, []byte("TMPDIR="+directory+"\x00")) {
 			l = append(l, id)
 		}
--- a/cmd/railrelay-fleet/command.go
+++ b/cmd/railrelay-fleet/command.go
@@ -269,7 +269,8 @@
 	r, err := transport.SendControlRequest(ctx, address, keys, a)
 	var unreachable *transport.UnreachableError
 	if errors.As(err, &unreachable) && unreachable.Sent && a.ID != "" {
-		return &fleet.Response{ID: a.ID, Outcome: "unknown", Reason: unreachable.Error(), Remedy: unreachable.Remedy()}, nil
+		return &fleet.Response{ID: a.ID, Outcome: "unknown", Reason: unreachable.Error(),
+			Remedy: unreachable.Remedy()}, nil
 	}
 	return r, withRemedy(err)
 }
--- a/cmd/railrelay-fleet/control_test.go
+++ b/cmd/railrelay-fleet/control_test.go
@@ -66,7 +66,8 @@
 		voters += fmt.Sprintf("    - {name: %s, address: %q}\n", name, peers[name])
 	}
 	begin := func(name, peer, parts, part string) *member {
-		return process{name: name, directory: dir, peerAddress: peer, controlAddress: next(), topLevelLines: parts, fleetLines: part, voterLines: "  voters:\n" + voters}.start(t)
+		return process{name: name, directory: dir, peerAddress: peer, controlAddress: next(), topLevelLines: parts,
+			fleetLines: part, voterLines: "  voters:\n" + voters}.start(t)
 	}
 	for i := range controlVoters {
 		name, part := fmt.Sprintf("v%d", i), controlRole
@@ -100,7 +101,9 @@
 	isVoter := func(name string) bool {
 		return slices.ContainsFunc(voting, func(m *member) bool { return m.name == name })
 	}
-	s := serving[0].awaitStatus("all members", func(s *fleet.Status) bool { return isServing(s) && len(s.Members) == len(all) })
+	s := serving[0].awaitStatus("all members", func(s *fleet.Status) bool {
+		return isServing(s) && len(s.Members) == len(all)
+	})
 	if !isVoter(s.Leader) {
 		t.Fatalf("%s leads", s.Leader)
 	}
@@ -120,16 +123,19 @@
 	}
 	const first = "placement: [{name: a-linz, team: a, engines: [linz]}]\n"
 	checkPlanExcludesControlProcesses(t, serving[0], first)
-	if r, status := apply(serving[0], "first", "1", first); status != 0 || r.Outcome != "settled" || r.Version != 2 {
+	if r, status := apply(serving[0], "first", "1", first); status != 0 || r.Outcome != "settled" ||
+		r.Version != 2 {
 		t.Fatalf("%d %+v", status, r)
 	}
 	if r, status := serving[1].fleet("status", "--id", "first.outside.0"); status != 0 || r.Outcome != "purged" {
 		t.Fatalf("data outside the first rules isn't purged: %d %+v", status, r)
 	}
-	if r, status := apply(serving[0], "second", "2", "groups: [{name: nothing, target: 2s}]\nplacement: []\n"); status != 3 || r.Outcome != "withdrawn" || !strings.Contains(r.Reason, "no group is named") {
+	if r, status := apply(serving[0], "second", "2",
+		"groups: [{name: nothing, target: 2s}]\nplacement: []\n"); status != 3 || r.Outcome != "withdrawn" || !strings.Contains(r.Reason, "no group is named") {
 		t.Fatalf("a policy that no controller can apply: %d %+v", status, r)
 	}
-	if r, status := apply(serving[0], "third", "2", "groups: [{name: lookup, target: 2s}]\n"); status != 3 || r.Outcome != "withdrawn" || !strings.Contains(r.Reason, "placement: is missing") {
+	if r, status := apply(serving[0], "third", "2", "groups: [{name: lookup, target: 2s}]\n"); status != 3 ||
+		r.Outcome != "withdrawn" || !strings.Contains(r.Reason, "placement: is missing") {
 		t.Fatalf("a policy whose rules no voter knows: %d %+v", status, r)
 	}
 
@@ -138,16 +144,20 @@
 	voting[i].kill()
 	rest := slices.Delete(slices.Clone(voting), i, i+1)
 	for _, m := range slices.Concat(rest, serving) {
-		m.awaitStatus("another leader", func(now *fleet.Status) bool { return isServing(now) && now.Leader != s.Leader })
+		m.awaitStatus("another leader", func(now *fleet.Status) bool {
+			return isServing(now) && now.Leader != s.Leader
+		})
 	}
-	if r, status := apply(rest[0], "fourth", "2", "placement: []\n"); status != 0 || r.Outcome != "settled" || r.Version != 3 {
+	if r, status := apply(rest[0], "fourth", "2", "placement: []\n"); status != 0 || r.Outcome != "settled" ||
+		r.Version != 3 {
 		t.Fatalf("after the leader was killed: %d %+v", status, r)
 	}
 	for _, m := range slices.Concat(rest, serving) {
 		m.awaitStatus("the last version", func(s *fleet.Status) bool { return isServing(s) && s.Version == 3 })
 	}
 	checkSignals(t, rest[0])
-	if out, errs, status := railrelay(t, "fleet", "plan", policy, "--alone", "--setup", rest[1].setup); status != 1 || !strings.Contains(errs, "name a controller's set-up") {
+	if out, errs, status := railrelay(t, "fleet", "plan", policy, "--alone", "--setup",
+		rest[1].setup); status != 1 || !strings.Contains(errs, "name a controller's set-up") {
 		t.Errorf("a plan with the set-up of a control process: %d %s%s", status, out, errs)
 	}
 }
@@ -164,24 +174,30 @@
 	var voting []*member
 	policy := "voters:\n"
 	for i := range controlVoters {
-		p := process{name: fmt.Sprintf("v%d", i), directory: dir, peerAddress: at[2*i], controlAddress: at[2*i+1], fleetLines: controlRole, voterLines: old}
+		p := process{name: fmt.Sprintf("v%d", i), directory: dir, peerAddress: at[2*i], controlAddress: at[2*i+1],
+			fleetLines: controlRole, voterLines: old}
 		policy += fmt.Sprintf("  - {name: %s, address: %q}\n", p.name, p.peerAddress)
 		voting = append(voting, p.start(t))
 	}
 	all := slices.Concat(serving, voting)
-	serving[0].awaitStatus("all members", func(s *fleet.Status) bool { return isServing(s) && len(s.Members) == len(all) })
+	serving[0].awaitStatus("all members", func(s *fleet.Status) bool {
+		return isServing(s) && len(s.Members) == len(all)
+	})
 	file := filepath.Join(t.TempDir(), "policy.yaml")
 	if err := os.WriteFile(file, []byte(policy), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if r, status := voting[0].fleet("apply", file, "--base", "1", "--id", "votes"); status != 0 || r.Outcome != "in force" {
+	if r, status := voting[0].fleet("apply", file, "--base", "1", "--id", "votes"); status != 0 ||
+		r.Outcome != "in force" {
 		t.Fatalf("%d %+v", status, r)
 	}
 	for _, m := range all {
-		m.awaitStatus("a control process as leader", func(s *fleet.Status) bool { return isServing(s) && s.Version == 2 && strings.HasPrefix(s.Leader, "v") })
+		m.awaitStatus("a control process as leader",
+			func(s *fleet.Status) bool { return isServing(s) && s.Version == 2 && strings.HasPrefix(s.Leader, "v") })
 	}
 	voting[0].awaitStatus("the votes with control processes only", func(s *fleet.Status) bool {
-		return !slices.ContainsFunc(s.Members, func(m fleet.MemberStatus) bool { return m.IsVoter != strings.HasPrefix(m.Name, "v") })
+		return !slices.ContainsFunc(s.Members,
+			func(m fleet.MemberStatus) bool { return m.IsVoter != strings.HasPrefix(m.Name, "v") })
 	})
 }
 
@@ -194,7 +210,8 @@
 		t.Fatal(err)
 	}
 	out, errs, status := railrelay(t, "fleet", "plan", policy, "--setup", by.setup)
-	if status != 3 || !strings.Contains(out, "c0,c1") || strings.Contains(out, "v0") || strings.Contains(out, "r0") {
+	if status != 3 || !strings.Contains(out, "c0,c1") || strings.Contains(out, "v0") ||
+		strings.Contains(out, "r0") {
 		t.Errorf("%d %s%s", status, out, errs)
 	}
 }
@@ -211,7 +228,8 @@
 			t.Fatal(err)
 		}
 		b := nodeConfig(have)
-		if b.IsRelay != want.IsRelay || !slices.Equal(b.Relays, want.Relays) || len(b.Voters) != 3 || b.Self.Name != have.Name {
+		if b.IsRelay != want.IsRelay || !slices.Equal(b.Relays, want.Relays) || len(b.Voters) != 3 ||
+			b.Self.Name != have.Name {
 			t.Errorf("%s: %+v", name, b)
 		}
 	}
@@ -221,7 +239,8 @@
 func checkSignals(t *testing.T, m *member) {
 	t.Helper()
 	m.cmd.Process.Signal(syscall.SIGUSR1)
-	if line := m.awaitLog(`"message":"counters"`); !strings.Contains(line, `"version":3`) || !strings.Contains(line, `"holds_lease":true`) {
+	if line := m.awaitLog(`"message":"counters"`); !strings.Contains(line, `"version":3`) ||
+		!strings.Contains(line, `"holds_lease":true`) {
 		t.Error(line)
 	}
 	m.cmd.Process.Signal(syscall.SIGHUP)
@@ -244,18 +263,25 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	before := checkControlPolicy(own, "first", []byte("placement: [{name: a, team: x, engines: [linz]}]"), driver.PolicyContext{})
-	if before.Reason != "" || before.ResidencyRulesUnknown || len(before.PurgeScopes) != 1 || before.PurgeScopes[0].Team != "x" {
+	before := checkControlPolicy(own, "first", []byte("placement: [{name: a, team: x, engines: [linz]}]"),
+		driver.PolicyContext{})
+	if before.Reason != "" || before.ResidencyRulesUnknown || len(before.PurgeScopes) != 1 ||
+		before.PurgeScopes[0].Team != "x" {
 		t.Fatalf("%+v", before)
 	}
 	unstated := []byte("groups: [{name: lookup, target: 2s}]")
-	if c := checkControlPolicy(own, "second", unstated, driver.PolicyContext{Policy: before.Policy}); !strings.Contains(c.Reason, "placement: is missing") || !strings.Contains(c.Reason, "apply it again") {
+	if c := checkControlPolicy(own, "second", unstated,
+		driver.PolicyContext{Policy: before.Policy}); !strings.Contains(c.Reason, "placement: is missing") ||
+		!strings.Contains(c.Reason, "apply it again") {
 		t.Errorf("%+v", c)
 	}
-	if c := checkControlPolicy(own, "in force 3", unstated, driver.PolicyContext{Policy: before.Policy, Committed: true}); c.Reason != "" || c.Policy == nil || !c.ResidencyRulesUnknown {
+	if c := checkControlPolicy(own, "in force 3", unstated,
+		driver.PolicyContext{Policy: before.Policy, Committed: true}); c.Reason != "" || c.Policy == nil ||
+		!c.ResidencyRulesUnknown {
 		t.Errorf("%+v", c)
 	}
-	if c := checkControlPolicy(own, "third", []byte("placement: 3"), driver.PolicyContext{Committed: true}); c.Reason == "" {
+	if c := checkControlPolicy(own, "third", []byte("placement: 3"),
+		driver.PolicyContext{Committed: true}); c.Reason == "" {
 		t.Errorf("an invalid policy is accepted: %+v", c)
 	}
 }
--- a/cmd/railrelay-fleet/fleet_test.go
+++ b/cmd/railrelay-fleet/fleet_test.go
@@ -31,7 +31,8 @@
 		panic(err)
 	}
 	binaries = dir
-	if out, err := exec.Command("go", "build", "-race=false", "-tags", "debug", "-o", dir+"/", ".", "../railrelay").CombinedOutput(); err != nil {
+	if out, err := exec.Command("go", "build", "-race=false", "-tags", "debug", "-o", dir+"/", ".",
+		"../railrelay").CombinedOutput(); err != nil {
 		panic(string(out))
 	}
 	code := m.Run()
@@ -82,7 +83,8 @@
 				if _, err := bufio.NewReader(c).ReadString('\n'); err != nil {
 					return
 				}
-				fmt.Fprintln(c, strings.ReplaceAll(`{"n":1,"members":{"revision":1,"complete":true,"members":[{"id":"e1","host_port":"127.0.0.1:9","locality":"linz","flavor":"std","cell":1,"phase":"SERVING","size":1,"up_since_ms":0},{"id":"e2","host_port":"127.0.0.1:9","locality":"steyr","flavor":"std","cell":1,"phase":"SERVING","size":1,"up_since_ms":0}]}}`, "127.0.0.1:9", engine))
+				fmt.Fprintln(c,
+					strings.ReplaceAll(`{"n":1,"members":{"revision":1,"complete":true,"members":[{"id":"e1","host_port":"127.0.0.1:9","locality":"linz","flavor":"std","cell":1,"phase":"SERVING","size":1,"up_since_ms":0},{"id":"e2","host_port":"127.0.0.1:9","locality":"steyr","flavor":"std","cell":1,"phase":"SERVING","size":1,"up_since_ms":0}]}}`, "127.0.0.1:9", engine))
 				io.Copy(io.Discard, c)
 			}()
 		}
@@ -229,7 +231,8 @@
 	for _, m := range all {
 		m.awaitStatus("its lease and a leader", isServing)
 	}
-	leader := all[0].awaitStatus("three members", func(s *fleet.Status) bool { return isServing(s) && len(s.Members) == 3 }).Leader
+	leader := all[0].awaitStatus("three members",
+		func(s *fleet.Status) bool { return isServing(s) && len(s.Members) == 3 }).Leader
 	i := slices.IndexFunc(all, func(m *member) bool { return m.name == leader })
 	lost := all[i]
 	rest := slices.Delete(slices.Clone(all), i, i+1)
@@ -252,29 +255,36 @@
 	if r, status := rest[1].fleet("status", "--id", "first"); status != 0 || r.Outcome != "in force" {
 		t.Fatalf("the outcome on another controller: %d %+v", status, r)
 	}
-	if r, status := rest[1].fleet("apply", policy, "--base", "1", "--id", "second"); status != 3 || r.Outcome != "refused" || r.Remedy == "" {
+	if r, status := rest[1].fleet("apply", policy, "--base", "1", "--id", "second"); status != 3 ||
+		r.Outcome != "refused" || r.Remedy == "" {
 		t.Fatalf("a change against an old version: %d %+v", status, r)
 	}
 	write("fairness: {teams: [{name: a, weight: 3}, {name: b, weight: 1}]}\ngroups: [{name: nothing, target: 2s}]\n")
-	if r, status := rest[1].fleet("apply", policy, "--base", "2", "--id", "third"); status != 3 || r.Outcome != "withdrawn" || !strings.Contains(r.Reason, "nothing") {
+	if r, status := rest[1].fleet("apply", policy, "--base", "2", "--id", "third"); status != 3 ||
+		r.Outcome != "withdrawn" || !strings.Contains(r.Reason, "nothing") {
 		t.Fatalf("a change that can't be applied: %d %+v", status, r)
 	}
 	if r, _ := rest[0].fleet("policy"); r.Version != 2 || !strings.Contains(string(r.Policy), "a-linz") {
 		t.Fatalf("%+v", r)
 	}
 
-	if r, status := rest[0].fleet("purge", "--team", "a", "--id", "p1", "--at-most", "20s", "--until", "unreachable"); status != 0 || r.Outcome != "unreachable" {
+	if r, status := rest[0].fleet("purge", "--team", "a", "--id", "p1", "--at-most", "20s", "--until",
+		"unreachable"); status != 0 || r.Outcome != "unreachable" {
 		t.Fatalf("purge while one is down: %d %+v", status, r)
 	}
-	if r, status := rest[1].fleet("status", "--id", "p1", "--at-most", "200ms"); status != 4 || r.Outcome != "unknown" || !slices.Contains(r.Outstanding, lost.name) {
+	if r, status := rest[1].fleet("status", "--id", "p1", "--at-most", "200ms"); status != 4 ||
+		r.Outcome != "unknown" || !slices.Contains(r.Outstanding, lost.name) {
 		t.Fatalf("the purge doesn't wait for the stopped controller: %d %+v", status, r)
 	}
 	lost.start()
-	if r, status := rest[1].fleet("purge", "--team", "a", "--id", "p1", "--at-most", "20s"); status != 0 || r.Outcome != "purged" || r.Counts == nil {
+	if r, status := rest[1].fleet("purge", "--team", "a", "--id", "p1", "--at-most", "20s"); status != 0 ||
+		r.Outcome != "purged" || r.Counts == nil {
 		t.Fatalf("purge with all controllers: %d %+v", status, r)
 	}
-	lost.awaitStatus("the policy it has missed", func(s *fleet.Status) bool { return isServing(s) && s.Version == 2 })
-	if r, status := lost.fleet("status", "--id", "first", "--until", "settled", "--at-most", "20s"); status != 0 || r.Outcome != "settled" {
+	lost.awaitStatus("the policy it has missed",
+		func(s *fleet.Status) bool { return isServing(s) && s.Version == 2 })
+	if r, status := lost.fleet("status", "--id", "first", "--until", "settled", "--at-most",
+		"20s"); status != 0 || r.Outcome != "settled" {
 		t.Fatalf("the change isn't settled: %d %+v", status, r)
 	}
 	if r, status := lost.fleet("status", "--id", "first"); status != 0 || r.Outcome != "in force" {
@@ -294,7 +304,8 @@
 		name   string
 		status int
 	}{{"c9", 1}, {"c9 --anyway", 0}} {
-		if _, errs, status := railrelay(t, append([]string{"fleet", "forget", "--setup", lost.setup}, strings.Fields(c.name)...)...); status != c.status {
+		if _, errs, status := railrelay(t, append([]string{"fleet", "forget", "--setup", lost.setup},
+			strings.Fields(c.name)...)...); status != c.status {
 			t.Errorf("forget %s: %d %s", c.name, status, errs)
 		}
 	}
@@ -351,7 +362,8 @@
 	if err := os.WriteFile(old, []byte(was+"\n"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if _, errs, status := railrelay(t, "fleet", "purge", "--team", "a", "--setup", all[0].setup, "--keys", old); status != 1 || !strings.Contains(errs, "signed") {
+	if _, errs, status := railrelay(t, "fleet", "purge", "--team", "a", "--setup", all[0].setup, "--keys",
+		old); status != 1 || !strings.Contains(errs, "signed") {
 		t.Errorf("a request with the old key: %d %s", status, errs)
 	}
 	for _, m := range all { // each lease is renewed with the new key before it expires
--- a/cmd/railrelay-fleet/join.go
+++ b/cmd/railrelay-fleet/join.go
@@ -53,7 +53,8 @@
 	status := func(ctx context.Context) *fleet.Status {
 		return member.Request(ctx, &fleet.Request{Kind: "status"}).Status
 	}
-	return cli.Joined{Peers: eventloop.FleetChannels{Orders: member.Orders(), Reports: member.Reports()}, Serve: member.Serve,
+	return cli.Joined{Peers: eventloop.FleetChannels{Orders: member.Orders(), Reports: member.Reports()},
+		Serve: member.Serve,
 		Again: member.ReloadKeys, Status: status}, nil
 }
 
--- a/cmd/railrelay-fleet/purge_test.go
+++ b/cmd/railrelay-fleet/purge_test.go
@@ -69,7 +69,8 @@
 func (c *customer) query(id string, fields ...string) client.Answer {
 	c.t.Helper()
 	return c.call(func(dst []byte, msg uint32) []byte {
-		return client.Call(dst, msg, "lookup", engine.Statement(engine.Work{Threads: 1, CPU: 5 * time.Millisecond, MemoryMB: 1, Rows: 6000, Tables: 3}),
+		return client.Call(dst, msg, "lookup", engine.Statement(engine.Work{Threads: 1, CPU: 5 * time.Millisecond,
+			MemoryMB: 1, Rows: 6000, Tables: 3}),
 			append([]string{"trace", id, "patience", "20000", "team", "a"}, fields...)...)
 	})
 }
@@ -107,8 +108,10 @@
 		}
 		before, rest, _ := strings.Cut(string(text), "feed: ")
 		_, rest, _ = strings.Cut(rest, "\n")
-		more := fmt.Sprintf("spool: {field: pages, directory: %q, memory_mb: 1}\nanswers: {fresh: 1h}\n", filepath.Join(filepath.Dir(m.setup), "spool-"+m.name))
-		if err := os.WriteFile(m.setup, []byte(before+"feed: "+startFeedWithEngine(t, e.Addr().String())+"\n"+more+rest), 0o600); err != nil {
+		more := fmt.Sprintf("spool: {field: pages, directory: %q, memory_mb: 1}\nanswers: {fresh: 1h}\n",
+			filepath.Join(filepath.Dir(m.setup), "spool-"+m.name))
+		if err := os.WriteFile(m.setup, []byte(before+"feed: "+startFeedWithEngine(t,
+			e.Addr().String())+"\n"+more+rest), 0o600); err != nil {
 			t.Fatal(err)
 		}
 		m.start()
@@ -121,7 +124,8 @@
 			t.Fatalf("no result is kept: %+v", a)
 		}
 	}
-	whole, again := all[2].newCustomer().query("00000000000000b0"), all[2].newCustomer().query("00000000000000b1")
+	whole, again := all[2].newCustomer().query("00000000000000b0"),
+		all[2].newCustomer().query("00000000000000b1")
 	if whole.Kind != client.Finished || !bytes.Equal(whole.Rows, again.Rows) {
 		t.Fatalf("no answer is cached: %v %v", whole.Kind, again.Kind)
 	}
@@ -147,7 +151,8 @@
 	all[1].kill()
 	first := all[0].newCustomer().purge("patience", "1000", "tables", "3,9")
 	id := first.About["id"]
-	for end := time.Now().Add(testTimeout); first.About["outstanding"] != "c1" || first.About["stage"] != "unreachable"; { // the stopped controller may have been the leader
+	// the stopped controller may have been the leader
+	for end := time.Now().Add(testTimeout); first.About["outstanding"] != "c1" || first.About["stage"] != "unreachable"; {
 		if first.Kind != client.Finished || first.About["state"] != "not yet" || id == "" || time.Now().After(end) {
 			t.Fatalf("a purge while a controller is down: %+v", first)
 		}
@@ -170,10 +175,12 @@
 	if a := all[1].newCustomer().readPage(tokens[1]); a.Kind != client.Killed {
 		t.Fatalf("the restarted controller serves purged data: %v", a.Kind)
 	}
-	if a := all[2].newCustomer().query("00000000000000b2"); a.Kind != client.Finished || bytes.Equal(a.Rows, whole.Rows) {
+	if a := all[2].newCustomer().query("00000000000000b2"); a.Kind != client.Finished ||
+		bytes.Equal(a.Rows, whole.Rows) {
 		t.Fatalf("a cached answer is served after its purge: %v", a.Kind)
 	}
-	if r, status := all[1].fleet("status", "--id", id); status != 0 || r.Outcome != "purged" || r.Counts == nil || *r.Counts == (fleet.InvalidationCounts{}) {
+	if r, status := all[1].fleet("status", "--id", id); status != 0 || r.Outcome != "purged" ||
+		r.Counts == nil || *r.Counts == (fleet.InvalidationCounts{}) {
 		t.Fatalf("the operator gets another outcome: %d %+v", status, r)
 	}
 }
--- a/internal/setup/check.go
+++ b/internal/setup/check.go
@@ -52,7 +52,30 @@
 	if _, err := strconv.ParseUint(s.Seed, 16, 64); s.Seed != "" && err != nil {
 		c.addError("seed", "%q is not a hexadecimal number of up to 16 digits", s.Seed)
 	}
-	e := &s.Engines
+	c.checkEngineValues(&s.Engines)
+	c.checkGroupValues(s.Groups)
+	for i, x := range s.Clients {
+		at := fmt.Sprintf("clients[%d].", i)
+		c.checkName(at+"name", x.Name)
+		if len(x.Addresses) == 0 {
+			c.addError(at+"addresses", "is missing: the set applies to no client")
+		}
+		c.optionalNumber(at+"open", float64(x.MaxOpenQueries), 1, 100_000)
+		c.optionalNumber(at+"messages", float64(x.MaxMessages), 1, 1_000_000)
+	}
+	if f := s.Fairness; f != nil {
+		c.optionalNumber("fairness.waiting", float64(f.MaxWaiting), 1, 10_000_000)
+		c.optionalNumber("fairness.overrun", f.OverrunFactor, 1.01, 1000)
+		c.optionalNumber("fairness.tell_change", f.NotifyThreshold, 0.01, 1)
+		if len(f.Teams) == 0 {
+			c.addError("fairness.teams", "is missing: remove fairness if there are no teams")
+		}
+		c.checkTeams(f.Teams, "fairness.teams")
+	}
+}
+
+// checkEngineValues checks each value in the engines part by itself.
+func (c *checker) checkEngineValues(e *Engines) {
 	c.optionalNumber("engines.controllers", float64(e.Controllers), 1, 100_000)
 	c.optionalNumber("engines.submissions", float64(e.MaxAttempts), 1, 20)
 	c.optionalNumber("engines.grant", e.MaxGrantFraction, 0, 1)
@@ -77,10 +100,14 @@
 	for i, l := range e.Locations {
 		c.checkName(fmt.Sprintf("engines.locations[%d]", i), l)
 	}
-	if n := len(s.Groups); n == 0 || n > maxGroups {
+}
+
+// checkGroupValues checks each value of the resource groups by itself.
+func (c *checker) checkGroupValues(groups []Group) {
+	if n := len(groups); n == 0 || n > maxGroups {
 		c.addError("groups", "%d groups: 1 to %d are allowed", n, maxGroups)
 	}
-	for i, g := range s.Groups {
+	for i, g := range groups {
 		at := fmt.Sprintf("groups[%d].", i)
 		c.checkName(at+"name", g.Name)
 		c.optionalNumber(at+"threads", g.Threads, 1, 1024)
@@ -95,24 +122,6 @@
 		c.checkOneOf(at+"effect", g.Effect, "read-only", "tokened", "mutating")
 		c.checkOneOf(at+"scope", g.Scope, "all", "location", "cell")
 	}
-	for i, x := range s.Clients {
-		at := fmt.Sprintf("clients[%d].", i)
-		c.checkName(at+"name", x.Name)
-		if len(x.Addresses) == 0 {
-			c.addError(at+"addresses", "is missing: the set applies to no client")
-		}
-		c.optionalNumber(at+"open", float64(x.MaxOpenQueries), 1, 100_000)
-		c.optionalNumber(at+"messages", float64(x.MaxMessages), 1, 1_000_000)
-	}
-	if f := s.Fairness; f != nil {
-		c.optionalNumber("fairness.waiting", float64(f.MaxWaiting), 1, 10_000_000)
-		c.optionalNumber("fairness.overrun", f.OverrunFactor, 1.01, 1000)
-		c.optionalNumber("fairness.tell_change", f.NotifyThreshold, 0.01, 1)
-		if len(f.Teams) == 0 {
-			c.addError("fairness.teams", "is missing: remove fairness if there are no teams")
-		}
-		c.checkTeams(f.Teams, "fairness.teams")
-	}
 }
 
 const maxGroups = 64
--- a/internal/setup/control_test.go
+++ b/internal/setup/control_test.go
@@ -45,7 +45,8 @@
 		t.Errorf("%+v", s.Fleet)
 	}
 	s = mustParse(t, readExample(t, "relayed.yaml"))
-	if want := []Upstream{{"r0", "127.0.0.1:7620"}, {"r1", "127.0.0.1:7621"}}; s.IsControlProcess() || !slices.Equal(s.Fleet.Relays, want) {
+	if want := []Upstream{{"r0", "127.0.0.1:7620"}, {"r1", "127.0.0.1:7621"}}; s.IsControlProcess() ||
+		!slices.Equal(s.Fleet.Relays, want) {
 		t.Errorf("%+v", s.Fleet)
 	}
 }
@@ -53,9 +54,11 @@
 // A voter may be a relay. A control process that is neither is a standby, which a policy may make
 // a voter.
 func TestRelayMayVote(t *testing.T) {
-	mustParse(t, strings.Replace(readExample(t, "control.yaml"), "role: control", "role: control\n  relay: true", 1))
+	mustParse(t, strings.Replace(readExample(t, "control.yaml"), "role: control",
+		"role: control\n  relay: true", 1))
 	mustParse(t, strings.Replace(readExample(t, "control.yaml"), "name: v0\nlog", "name: v9\nlog", 1))
-	voting := strings.ReplaceAll(readExample(t, "relayed.yaml"), `{name: r0, address: "127.0.0.1:7620"}`, `{name: v0, address: "127.0.0.1:7610"}`)
+	voting := strings.ReplaceAll(readExample(t, "relayed.yaml"), `{name: r0, address: "127.0.0.1:7620"}`,
+		`{name: v0, address: "127.0.0.1:7610"}`)
 	mustParse(t, voting)
 }
 
@@ -106,7 +109,8 @@
 			t.Fatalf("%q is not in %s", c.old, c.example)
 		}
 		_, err := Parse("x.yaml", []byte(broken))
-		if f := fieldErrorAt(err, c.field); f == nil || f.Line == 0 || f.File != "x.yaml" || !strings.Contains(f.Reason, c.why) {
+		if f := fieldErrorAt(err, c.field); f == nil || f.Line == 0 || f.File != "x.yaml" ||
+			!strings.Contains(f.Reason, c.why) {
 			t.Errorf("%s with %q: %v", c.example, c.new, err)
 		}
 	}
@@ -149,13 +153,15 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if !p.HasPlacement || !p.RulesKnown || len(p.Rules) != 1 || len(p.WatchedRules) != 1 || p.WatchedRules[0].After != 3*time.Second || !slices.Equal(p.Voters, []string{"v0=h:1"}) {
+	if !p.HasPlacement || !p.RulesKnown || len(p.Rules) != 1 || len(p.WatchedRules) != 1 ||
+		p.WatchedRules[0].After != 3*time.Second || !slices.Equal(p.Voters, []string{"v0=h:1"}) {
 		t.Errorf("%+v", p)
 	}
 	if own.Fairness != nil || own.Shares != nil || own.Groups != nil || own.Placement != nil {
 		t.Error("ParseControlPolicy changed the set-up")
 	}
-	if p, err = ParseControlPolicy("p.yaml", nil, own); err != nil || p.HasPlacement || p.RulesKnown || len(p.Rules) > 0 {
+	if p, err = ParseControlPolicy("p.yaml", nil, own); err != nil || p.HasPlacement || p.RulesKnown ||
+		len(p.Rules) > 0 {
 		t.Errorf("%+v %v", p, err)
 	}
 	for text, want := range map[string]string{
@@ -188,7 +194,8 @@
 func TestPurgeScopesOfAControlLeader(t *testing.T) {
 	bare := mustParse(t, readExample(t, "control.yaml"))
 	placing := func(rules string) *Setup {
-		return mustParse(t, strings.Replace(readExample(t, "control.yaml"), "# placement:", "placement: "+rules+" #", 1))
+		return mustParse(t, strings.Replace(readExample(t, "control.yaml"), "# placement:",
+			"placement: "+rules+" #", 1))
 	}
 	inLinz, inBoth := "[{name: a, team: x, engines: [linz]}]", "[{name: a, team: x, engines: [linz, steyr]}]"
 	all := []fleet.Scope{{Team: "x", OutsideSites: []string{"linz"}}}
@@ -222,15 +229,20 @@
 		}
 		scopes, err := next.PurgeScopes("next", before, nil)
 		var unfit *Unfit
-		if errors.As(err, &unfit) != c.refused || c.refused && !strings.Contains(err.Error(), "placement: is missing") {
+		if errors.As(err, &unfit) != c.refused || c.refused &&
+			!strings.Contains(err.Error(), "placement: is missing") {
 			t.Errorf("%s: %v", c.name, err)
 		}
-		if !slices.EqualFunc(scopes, c.want, func(a, b fleet.Scope) bool { return a.Team == b.Team && slices.Equal(a.OutsideSites, b.OutsideSites) }) {
+		if !slices.EqualFunc(scopes, c.want, func(a, b fleet.Scope) bool {
+			return a.Team == b.Team && slices.Equal(a.OutsideSites, b.OutsideSites)
+		}) {
 			t.Errorf("%s: %+v, want %+v", c.name, scopes, c.want)
 		}
 	}
-	tables := mustParseControlPolicy(t, bare, "placement: [{name: a, team: x, tables: [3], engines: [linz], follows: true}]")
-	scopes, err := tables.PurgeScopes("next", bare.BaseControlPolicy(), []fleet.Binding{{Team: "x", Tables: []int64{7}, SourceTables: []int64{3}}})
+	tables := mustParseControlPolicy(t, bare,
+		"placement: [{name: a, team: x, tables: [3], engines: [linz], follows: true}]")
+	scopes, err := tables.PurgeScopes("next", bare.BaseControlPolicy(),
+		[]fleet.Binding{{Team: "x", Tables: []int64{7}, SourceTables: []int64{3}}})
 	if err != nil || len(scopes) != 1 || !slices.Equal(scopes[0].Tables, []int64{3, 7}) {
 		t.Errorf("tables that a load confined are not purged: %+v %v", scopes, err)
 	}
--- a/internal/setup/controller_config.go
+++ b/internal/setup/controller_config.go
@@ -31,7 +31,8 @@
 // ControllerConfig returns the configuration of a controller that starts at a time.
 func (x *Setup) ControllerConfig(started time.Time) controller.Config {
 	seed, _ := strconv.ParseUint(x.Seed, 16, 64)
-	config := controller.Config{Seed: seed, MemoryMB: x.MemoryMB(), MaxDescriptors: cmp.Or(x.Limits.Sockets, 4096),
+	config := controller.Config{Seed: seed, MemoryMB: x.MemoryMB(),
+		MaxDescriptors:   cmp.Or(x.Limits.Sockets, 4096),
 		DiscoveryAddress: x.DiscoveryAddress,
 		Settings:         x.settings(), StartedAt: started, CacheLimits: x.Answers.limits(), NewUniqueID: randomID}
 	for _, set := range x.Clients {
@@ -70,10 +71,6 @@
 // settings returns the scheduler's settings by their internal names.
 func (x *Setup) settings() map[string]string {
 	e := x.Engines
-	ms := func(t Duration, absent time.Duration) string {
-		return strconv.FormatFloat(float64(t.orDefault(absent))/float64(time.Millisecond), 'f', -1, 64)
-	}
-	num := func(a, absent float64) string { return strconv.FormatFloat(cmp.Or(a, absent), 'f', -1, 64) }
 	locations := e.Locations
 	if len(locations) == 0 {
 		locations = []string{"here"}
@@ -86,26 +83,27 @@
 	default:
 		report = "probed"
 	}
-	result := map[string]string{"gateways": num(float64(e.Controllers), 1), "own.number": "0",
+	result := map[string]string{"gateways": decimal(float64(e.Controllers), 1), "own.number": "0",
 		"groups":    strconv.Itoa(len(x.Groups)),
 		"locations": strings.Join(locations, ","), "tick": "5", "list.how": "pushed",
-		"submissions.most": num(float64(e.MaxAttempts), 3), "return.most": ms(e.MaxRetryAfter, time.Minute),
-		"connect.timeout": ms(e.ConnectTimeout, 250*time.Millisecond),
-		"idle.most":       ms(e.IdleTimeout, 15*time.Second),
-		"note.period":     ms(e.NotePeriod, 2*time.Second), "drain.grace": ms(e.DrainGrace, time.Second),
-		"key.rest": ms(e.KeyCooldown, 300*time.Millisecond), "report.how": report,
-		"memory.short": cmp.Or(e.WhenMemoryShort, "swap"), "grant.most": num(e.MaxGrantFraction, 0.4),
-		"cold.from": num(e.SlowStart.InitialCapacity, 0.33),
-		"cold.span": ms(e.SlowStart.Duration, 15*time.Second), "cold.multiple": num(e.SlowStart.WorkFactor, 3),
-		"cold.window": ms(e.SlowStart.Window, time.Second), "budget.least": num(e.RetryBudget.Minimum, 0),
-		"budget.share": num(e.RetryBudget.Ratio, 0), "budget.span": ms(e.RetryBudget.Window, 0)}
+		"submissions.most": decimal(float64(e.MaxAttempts), 3), "return.most": milliseconds(e.MaxRetryAfter, time.Minute),
+		"connect.timeout": milliseconds(e.ConnectTimeout, 250*time.Millisecond),
+		"idle.most":       milliseconds(e.IdleTimeout, 15*time.Second),
+		"note.period":     milliseconds(e.NotePeriod, 2*time.Second), "drain.grace": milliseconds(e.DrainGrace, time.Second),
+		"key.rest": milliseconds(e.KeyCooldown, 300*time.Millisecond), "report.how": report,
+		"memory.short": cmp.Or(e.WhenMemoryShort, "swap"), "grant.most": decimal(e.MaxGrantFraction, 0.4),
+		"cold.from": decimal(e.SlowStart.InitialCapacity, 0.33),
+		"cold.span": milliseconds(e.SlowStart.Duration, 15*time.Second), "cold.multiple": decimal(e.SlowStart.WorkFactor, 3),
+		"cold.window": milliseconds(e.SlowStart.Window, time.Second), "budget.least": decimal(e.RetryBudget.Minimum, 0),
+		"budget.share": decimal(e.RetryBudget.Ratio, 0), "budget.span": milliseconds(e.RetryBudget.Window, 0)}
 	if e.Location != "" {
 		result["own.location"] = strconv.Itoa(slices.Index(locations, e.Location))
 	}
 	if e.ReportFields != nil {
 		result["report.figures"] = strings.Join(e.ReportFields, ",")
 	}
-	result["answers.cost"] = strconv.FormatBool(e.QueryReports == nil || slices.Contains(e.QueryReports, "costs"))
+	result["answers.cost"] = strconv.FormatBool(e.QueryReports == nil ||
+		slices.Contains(e.QueryReports, "costs"))
 	if e.QueryReports != nil && !slices.Contains(e.QueryReports, "notes") {
 		result["note.period"] = "0"
 	}
@@ -114,54 +112,75 @@
 			strconv.FormatFloat(x.Shares.OverQuotaWeight, 'f', -1, 64)
 		for i, who := range x.Shares.Customers {
 			at := "team." + strconv.Itoa(i) + "."
-			result[at+"name"], result[at+"quota"] = who.Name, num(who.Rate, 0)
+			result[at+"name"], result[at+"quota"] = who.Name, decimal(who.Rate, 0)
 		}
 	}
 	for _, m := range engineActions {
 		result["may."+m] = strconv.FormatBool(e.AllowedActions == nil || slices.Contains(e.AllowedActions, m))
 	}
-	var kinds, cores, memory, threads, loads, waits []string
+	var kinds, cores, memory []string
 	for _, k := range e.Kinds {
-		kinds, cores, memory = append(kinds, k.Name), append(cores, num(k.Cores, 1)),
-			append(memory, num(k.MemoryMB, 0))
-	}
-	places := func(l, all []string) string {
-		var at []string
-		for _, name := range l {
-			for i, x := range all {
-				if x == name {
-					at = append(at, strconv.Itoa(i))
-				}
-			}
-		}
-		return strings.Join(at, ",")
+		kinds, cores, memory = append(kinds, k.Name), append(cores, decimal(k.Cores, 1)),
+			append(memory, decimal(k.MemoryMB, 0))
 	}
+	result["kinds"], result["kind.cores"], result["kind.memory"] = strings.Join(kinds, ","),
+		strings.Join(cores, ","),
+		strings.Join(memory, ",")
+	x.addGroupSettings(result, locations, kinds)
+	return result
+}
+
+// addGroupSettings adds the settings of the resource groups. Lists of locations and kinds contain
+// indexes of locations and kinds.
+func (x *Setup) addGroupSettings(result map[string]string, locations, kinds []string) {
+	var threads, loads, waits []string
 	for i, g := range x.Groups {
 		at := "group." + strconv.Itoa(i) + "."
-		threads = append(threads, num(g.Threads, 1))
+		threads = append(threads, decimal(g.Threads, 1))
 		loads, waits = append(loads, strconv.FormatBool(g.IsLoad)),
 			append(waits, strconv.FormatBool(g.WaitsForLoads))
-		result[at+"name"], result[at+"value"], result[at+"stretch"] = g.Name, num(g.PriorityWeight, 1), num(g.ObjectiveStretch, 0)
+		result[at+"name"] = g.Name
+		result[at+"value"], result[at+"stretch"] = decimal(g.PriorityWeight, 1), decimal(g.ObjectiveStretch, 0)
 		result[at+"effect"], result[at+"scope"] = g.Effect, cmp.Or(g.Scope, "all")
-		result[at+"target"], result[at+"timeout"] = ms(g.Objective, time.Second), ms(g.Timeout, 30*time.Second)
-		result[at+"window"], result[at+"in-order"] = ms(g.KeyWindow, 5*time.Second), strconv.FormatBool(g.FIFOByKey)
+		result[at+"target"], result[at+"timeout"] = milliseconds(g.Objective, time.Second),
+			milliseconds(g.Timeout, 30*time.Second)
+		result[at+"window"], result[at+"in-order"] = milliseconds(g.KeyWindow, 5*time.Second),
+			strconv.FormatBool(g.FIFOByKey)
 		if g.LateValueShare != nil {
 			result[at+"late-share"] = strconv.FormatFloat(*g.LateValueShare, 'f', -1, 64)
 		}
 		if len(g.Locations) > 0 {
-			result[at+"locations"] = places(g.Locations, locations)
+			result[at+"locations"] = indexes(g.Locations, locations)
 		}
 		if len(g.Kinds) > 0 {
-			result[at+"kinds"] = places(g.Kinds, kinds)
+			result[at+"kinds"] = indexes(g.Kinds, kinds)
 		}
 	}
-	result["kinds"], result["kind.cores"], result["kind.memory"] = strings.Join(kinds, ","), strings.Join(cores, ","),
-		strings.Join(memory, ",")
 	result["threads"], result["loads"], result["waits"] = strings.Join(threads, ","), strings.Join(loads, ","),
 		strings.Join(waits, ",")
-	return result
 }
 
+// indexes returns the indexes of names in all, separated by commas.
+func indexes(names, all []string) string {
+	var at []string
+	for _, name := range names {
+		for i, x := range all {
+			if x == name {
+				at = append(at, strconv.Itoa(i))
+			}
+		}
+	}
+	return strings.Join(at, ",")
+}
+
+// ms formats a duration in milliseconds, absent if it is missing.
+func milliseconds(t Duration, absent time.Duration) string {
+	return strconv.FormatFloat(float64(t.orDefault(absent))/float64(time.Millisecond), 'f', -1, 64)
+}
+
+// num formats a number, absent if it is missing.
+func decimal(a, absent float64) string { return strconv.FormatFloat(cmp.Or(a, absent), 'f', -1, 64) }
+
 // PartsNeedingRestart lists the parts of next that differ and that a reload can't change: all
 // but the address of the discovery service and the teams.
 func (x *Setup) PartsNeedingRestart(next *Setup) (parts []string) {
--- a/internal/setup/fleet_test.go
+++ b/internal/setup/fleet_test.go
@@ -46,12 +46,14 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	want := FleetParameters{Lease: 5 * time.Second, ConfinedLease: 5 * time.Second, ClockDrift: 0.01, ElectionTimeout: 500 * time.Millisecond, HeartbeatInterval: 100 * time.Millisecond,
+	want := FleetParameters{Lease: 5 * time.Second, ConfinedLease: 5 * time.Second, ClockDrift: 0.01,
+		ElectionTimeout: 500 * time.Millisecond, HeartbeatInterval: 100 * time.Millisecond,
 		MaxHold: 5 * time.Second, SnapshotAfterEntries: 4096}
 	if got := s.Fleet.Parameters(); got != want {
 		t.Fatalf("%+v", got)
 	}
-	if m := s.Member(); m.Name != "c1" || m.Site != "here" || m.PeerAddress != "127.0.0.1:7601" || m.ClientAddress != "127.0.0.1:6561" {
+	if m := s.Member(); m.Name != "c1" || m.Site != "here" || m.PeerAddress != "127.0.0.1:7601" ||
+		m.ClientAddress != "127.0.0.1:6561" {
 		t.Fatalf("%+v", m)
 	}
 	text, _ := os.ReadFile("../../deploy/fleet/c0.yaml")
--- a/internal/setup/placement.go
+++ b/internal/setup/placement.go
@@ -228,7 +228,18 @@
 		c.checkTeams(next.Teams, "fairness.teams")
 		c.checkFairness(&next)
 	}
-	switch x := p.Shares; {
+	c.mergeShares(p.Shares, own, s)
+	c.mergeGroupLimits(p.Groups, s)
+	if p.Placement != nil {
+		s.Placement = p.Placement
+	}
+	c.checkPlacement(s) // rules that the policy omits may name teams that it removes
+	c.checkPolicyVoters(p.Voters)
+}
+
+// mergeShares checks the quotas in a policy and writes them to s.
+func (c *checker) mergeShares(x *PolicyShares, own, s *Setup) {
+	switch {
 	case x == nil:
 	case own.Shares == nil:
 		c.addError("shares", "this controller has no customers, because its set-up has no shares part")
@@ -251,16 +262,15 @@
 			next.Customers[j].Rate = who.Rate
 		}
 	}
-	c.mergeGroupLimits(p.Groups, s)
-	if p.Placement != nil {
-		s.Placement = p.Placement
-	}
-	c.checkPlacement(s) // rules that the policy omits may name teams that it removes
-	if n := len(p.Voters); n > 0 && (n%2 == 0 || n > maxVoters) {
+}
+
+// checkPolicyVoters checks the voters in a policy.
+func (c *checker) checkPolicyVoters(voters []Voter) {
+	if n := len(voters); n > 0 && (n%2 == 0 || n > maxVoters) {
 		c.addError("voters", "%d voters: use 3, 5 or 7, or 1 for a trial", n)
 	}
 	names := map[string]bool{}
-	for i, v := range p.Voters {
+	for i, v := range voters {
 		at := fmt.Sprintf("voters[%d].", i)
 		c.checkName(at+"name", v.Name)
 		c.checkAddress(at+"address", v.Address)
--- a/internal/setup/placement_test.go
+++ b/internal/setup/placement_test.go
@@ -21,7 +21,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	return Parse("c0.yaml", []byte(strings.Replace(string(text), "locations: [here]", "locations: [here, there]", 1)+more))
+	return Parse("c0.yaml", []byte(strings.Replace(string(text), "locations: [here]",
+		"locations: [here, there]", 1)+more))
 }
 
 func TestPlacementIsParsedAndChecked(t *testing.T) {
@@ -31,7 +32,8 @@
 	}
 	policy, watched := s.BasePolicy()
 	rules := policy.Rules.([]residency.Rule)
-	if a := rules[0]; a.Keep == nil || rules[1].Keep != nil || !a.Follows || len(watched) != 1 || watched[0].After != 30*time.Second {
+	if a := rules[0]; a.Keep == nil || rules[1].Keep != nil || !a.Follows || len(watched) != 1 ||
+		watched[0].After != 30*time.Second {
 		t.Fatalf("%+v %+v", rules, watched)
 	}
 	for _, c := range []struct{ old, new, field, why string }{
@@ -44,7 +46,8 @@
 	} {
 		_, err := parseWithPlacement(t, strings.Replace(placementText, c.old, c.new, 1))
 		var f *FieldError
-		if !errors.As(err, &f) || f.Field != c.field || !strings.Contains(f.Reason, c.why) || f.Line == 0 || f.File != "c0.yaml" || f.Excerpt == "" {
+		if !errors.As(err, &f) || f.Field != c.field || !strings.Contains(f.Reason, c.why) || f.Line == 0 ||
+			f.File != "c0.yaml" || f.Excerpt == "" {
 			t.Errorf("%s: %v", c.new, err)
 		}
 	}
@@ -52,7 +55,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, err := Parse("alone", append(alone, placementText...)); err == nil || !strings.Contains(err.Error(), "no fleet part") {
+	if _, err := Parse("alone", append(alone, placementText...)); err == nil ||
+		!strings.Contains(err.Error(), "no fleet part") {
 		t.Error(err)
 	}
 }
@@ -66,23 +70,28 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	text = append(text, "fairness: {teams: [{name: linz, weight: 5}, {name: others, weight: 1}]}\nvoters: [{name: c0, address: 'h:1'}]\n"...)
+	text = append(text,
+		"fairness: {teams: [{name: linz, weight: 5}, {name: others, weight: 1}]}\nvoters: [{name: c0, address: 'h:1'}]\n"...)
 	p, watched, voters, err := ParsePolicy("p.yaml", text, own)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if rules := p.Rules.([]residency.Rule); len(rules) != 1 || rules[0].Name != "valley-only" || len(watched) > 0 ||
-		p.Settings["group.0.target"] != "2000" || len(p.Tenants.Tenants) != 2 || p.Tenants.Tenants[0].Weight != 5 || voters[0] != "c0=h:1" {
+	if rules := p.Rules.([]residency.Rule); len(rules) != 1 || rules[0].Name != "valley-only" ||
+		len(watched) > 0 ||
+		p.Settings["group.0.target"] != "2000" || len(p.Tenants.Tenants) != 2 || p.Tenants.Tenants[0].Weight != 5 ||
+		voters[0] != "c0=h:1" {
 		t.Fatalf("%+v %v", p, voters)
 	}
-	if own.Groups[0].Objective != Duration(time.Second) || len(own.Placement) != 2 || len(own.Fairness.Teams) != 3 {
+	if own.Groups[0].Objective != Duration(time.Second) || len(own.Placement) != 2 ||
+		len(own.Fairness.Teams) != 3 {
 		t.Fatal("ParsePolicy changed the set-up")
 	}
 	p, watched, _, err = ParsePolicy("p.yaml", nil, own)
 	if err != nil || len(p.Rules.([]residency.Rule)) != 2 || len(watched) != 1 {
 		t.Fatal("an omitted setting doesn't have the value in the set-up", err)
 	}
-	if p, _, _, err := ParsePolicy("p.yaml", []byte("placement: []"), own); err != nil || len(p.Rules.([]residency.Rule)) > 0 {
+	if p, _, _, err := ParsePolicy("p.yaml", []byte("placement: []"), own); err != nil ||
+		len(p.Rules.([]residency.Rule)) > 0 {
 		t.Fatal("an empty list doesn't remove all rules", err)
 	}
 	for text, want := range map[string]string{
--- a/internal/setup/setup_test.go
+++ b/internal/setup/setup_test.go
@@ -18,8 +18,10 @@
 		t.Fatal(err)
 	}
 	m := s.ControllerConfig(time.Now())
-	if m.Seed != 0x8c1f30d27a5be964 || m.Tenants == nil || len(m.ClientLimits) != 1 || m.Settings["group.2.in-order"] != "true" ||
-		m.Settings["loads"] != "false,false,true" || m.Settings["threads"] != "1,3,2" || m.Settings["return.most"] != "60000" {
+	if m.Seed != 0x8c1f30d27a5be964 || m.Tenants == nil || len(m.ClientLimits) != 1 ||
+		m.Settings["group.2.in-order"] != "true" ||
+		m.Settings["loads"] != "false,false,true" || m.Settings["threads"] != "1,3,2" ||
+		m.Settings["return.most"] != "60000" {
 		t.Fatalf("%+v", m)
 	}
 	m.Tenants.Lanes = make([]fairqueue.Lane, 3)
@@ -72,8 +74,10 @@
 			t.Errorf("%q: the error is no FieldError: %v", c.new, err)
 			continue
 		}
-		if c.field != "" && (f.Field != c.field || f.Line != line && c.field != "fairness.trusted") || !strings.Contains(f.Reason, c.why) ||
-			f.File != "x.yaml" || f.Line == 0 || !strings.Contains(f.Excerpt, strings.TrimSpace(strings.Split(c.new, "\n")[0])) && c.field != "fairness.trusted" && c.field != "" {
+		if c.field != "" && (f.Field != c.field || f.Line != line && c.field != "fairness.trusted") ||
+			!strings.Contains(f.Reason, c.why) ||
+			f.File != "x.yaml" || f.Line == 0 || !strings.Contains(f.Excerpt,
+			strings.TrimSpace(strings.Split(c.new, "\n")[0])) && c.field != "fairness.trusted" && c.field != "" {
 			t.Errorf("%q at line %d: %d %q %q\n%s", c.new, line, f.Line, f.Field, f.Reason, f.Excerpt)
 		}
 	}
@@ -116,7 +120,8 @@
 			t.Errorf("%s is missing in the file, but set to %q", name, x)
 		}
 	}
-	if f := defaults.settings(); f["answers.cost"] != "true" || f["note.period"] != "2000" || f["report.how"] != "probed" {
+	if f := defaults.settings(); f["answers.cost"] != "true" || f["note.period"] != "2000" ||
+		f["report.how"] != "probed" {
 		t.Errorf("wrong defaults: %v", f)
 	}
 	for _, late := range []string{"", "    late_share: 0\n"} {
@@ -130,21 +135,26 @@
 			t.Errorf("%q: late share %q, %v", late, x, there)
 		}
 	}
-	withCoreReports := strings.Replace(before, "report: probed ", "location: here\n  figures: [cores]\n  tells: [costs]\n  report: probed ", 1)
+	withCoreReports := strings.Replace(before, "report: probed ",
+		"location: here\n  figures: [cores]\n  tells: [costs]\n  report: probed ", 1)
 	withCoreReports = strings.Replace(withCoreReports, "  notes: 2s ", "  # notes ", 1) + shares
 	s, err := Parse("x.yaml", []byte(withCoreReports))
 	if err != nil {
 		t.Fatal(err)
 	}
 	m := s.ControllerConfig(time.Now())
-	if f := m.Settings; f["report.figures"] != "cores" || f["note.period"] != "0" || f["own.location"] != "0" || f["teams"] != "2" ||
-		f["team.1.quota"] != "110" || f["team.0.name"] != "hogares" || f["over.worth"] != "0.05" || m.FieldNames.Customer != "customer" ||
+	if f := m.Settings; f["report.figures"] != "cores" || f["note.period"] != "0" || f["own.location"] != "0" ||
+		f["teams"] != "2" ||
+		f["team.1.quota"] != "110" || f["team.0.name"] != "hogares" || f["over.worth"] != "0.05" ||
+		m.FieldNames.Customer != "customer" ||
 		m.FieldNames.EstimatedWork != "weight" || m.FieldNames.EstimatedMemory != "ram" {
 		t.Fatalf("%+v", m)
 	}
 	withoutHealthChecks := strings.Replace(before, "may: [probe, ", "may: [", 1)
-	withoutHealthChecks = strings.Replace(withoutHealthChecks, "report: probed ", "tells: [notes]\n  report: off ", 1)
-	if s, err = Parse("x.yaml", []byte(withoutHealthChecks)); err != nil || s.settings()["report.how"] != "off" || s.settings()["answers.cost"] != "false" {
+	withoutHealthChecks = strings.Replace(withoutHealthChecks, "report: probed ",
+		"tells: [notes]\n  report: off ", 1)
+	if s, err = Parse("x.yaml", []byte(withoutHealthChecks)); err != nil ||
+		s.settings()["report.how"] != "off" || s.settings()["answers.cost"] != "false" {
 		t.Fatal(err, s)
 	}
 	for _, c := range []struct{ in, old, new, field string }{
