--- a/cmd/railrelay-bench/datapath.go
+++ b/cmd/railrelay-bench/datapath.go
@@ -17,8 +17,9 @@
 	file := ""
 	c := &cobra.Command{Use: "datapath", Short: "what engines, clients and queries cost one controller",
 		Args: cobra.NoArgs,
-		Long: "One controller's process before emulated engines, clients and a discovery service: idle before engines of each size, with idle\n" +
-			"clients of each size, with queries at each rate, and once the engine of a chain is lost. About five minutes.",
+		Long: "Measures the process of one controller with emulated engines, clients and a discovery service: idle\n" +
+			"with each number of engines, with each number of idle clients, with queries at each rate, and\n" +
+			"after the loss of an engine that runs a chain. Takes about five minutes.",
 		RunE: func(c *cobra.Command, _ []string) error {
 			return measureDatapath(c.Context(), c.OutOrStdout(), path, file)
 		}}
--- a/cmd/railrelay-bench/scale.go
+++ b/cmd/railrelay-bench/scale.go
@@ -15,8 +15,9 @@
 	s := bench.UsualScale(defaultProgram, 580)
 	c := &cobra.Command{Use: "scale", Args: cobra.NoArgs,
 		Short: "a fleet of real and hollow controllers: what each role costs, how soon a change is in force, in faults too",
-		Long: "Starts real controllers and hollow ones (the real core and wire, a record in memory, no queries)\n" +
-			"before idle engines, looks at them at rest, changes the policy, and changes it during faults:\n\n  " +
+		Long: "Starts real controllers and hollow ones, which run the fleet's node and transport with a log in memory\n" +
+			"and serve no queries, with idle engines. Measures them at rest, during policy changes, and during\n" +
+			"policy changes with faults:\n\n  " +
 			strings.Join(bench.ScaleFaults(), "\n  ")}
 	growth := bench.Growth{Members: 73_000, Changes: 365_000, Steps: 4, Lease: 2 * time.Second}
 	var grow bool
--- a/cmd/railrelay-fleet/command.go
+++ b/cmd/railrelay-fleet/command.go
@@ -35,9 +35,9 @@
 func command() *cobra.Command {
 	d := &controlClient{}
 	root := &cobra.Command{Use: "fleet", Short: "See and change what the fleet has decided",
-		Long: "See and change what the fleet has decided. --setup names a controller's set-up, or --control and --keys its control\n" +
-			"address and the key file. Exit status: 0 done, 3 failed for good, 4 not known yet: repeat the command with the same id,\n" +
-			"on any controller; 1 and 2: no request was sent."}
+		Long: "See and change what the fleet has decided. --setup names a controller's set-up, or --control\n" +
+			"and --keys its control address and the key file. Exit status: 0 done, 3 failed for good, 4 not\n" +
+			"known yet: repeat the command with the same id, on any controller; 1 and 2: no request was made."}
 	root.PersistentFlags().StringVar(&d.setupFile, "setup", "",
 		"the set-up of the controller that receives the request")
 	root.PersistentFlags().StringVar(&d.controlAddress, "control", "",
@@ -73,8 +73,9 @@
 	var wait time.Duration
 	c := &cobra.Command{Use: "apply FILE --base N", Short: "Change the policy everywhere or nowhere",
 		Args: cobra.ExactArgs(1),
-		Long: "Change the policy everywhere or nowhere. FILE is the whole policy, made against version N, which status tells. A change\n" +
-			"that isn't in force after --at-most is withdrawn. Asked again with the same id it is the same change, not a second one.",
+		Long: "Change the policy everywhere or nowhere. FILE is the whole policy, made against version N, as\n" +
+			"printed by status. A change that isn't in force after --at-most is withdrawn. A command that is\n" +
+			"repeated with the same id refers to the same change and makes no second one.",
 		RunE: func(c *cobra.Command, args []string) error {
 			text, err := os.ReadFile(args[0])
 			if err != nil {
@@ -108,8 +109,9 @@
 	var tables []int64
 	c := &cobra.Command{Use: "purge --team T", Short: "Have what is kept of a team go, on every controller",
 		Args: cobra.NoArgs,
-		Long: "Have what is kept of a team go: results and cached answers, on every controller, those that are down included. Done is\n" +
-			"erased: gone from every memory and disk. --until unreachable is done once no controller serves any of it.",
+		Long: "Have what is kept of a team go: results and cached answers, on every controller, including those\n" +
+			"that are down. The purge is done when the data is erased from every memory and disk. With\n" +
+			"--until unreachable the command ends once no controller serves any of the data.",
 		RunE: func(c *cobra.Command, _ []string) error {
 			if team == "" {
 				return errors.New("--team is missing")
@@ -145,8 +147,9 @@
 	id, anyway := "", false
 	c := &cobra.Command{Use: "forget NAME",
 		Short: "Say that a controller's disk is destroyed: it never serves again", Args: cobra.ExactArgs(1),
-		Long: "Say that a controller's disk is destroyed. Nothing waits for it any more, purges least of all, and that name and that disk\n" +
-			"never serve again. It can't be taken back: a controller that only stands still is not to be forgotten.",
+		Long: "Say that a controller's disk is destroyed. Nothing, not even a purge, waits for the controller any\n" +
+			"more, and its name and its disk never serve again. The command can't be undone: don't use it\n" +
+			"for a controller that is only stopped.",
 		RunE: func(c *cobra.Command, args []string) error {
 			r, err := d.send(c, &fleet.Request{Kind: "status"})
 			if err != nil {
@@ -170,8 +173,8 @@
 func (d *controlClient) policyCommand() *cobra.Command {
 	return &cobra.Command{Use: "policy", Short: "Print the policy in force, to be changed and applied again",
 		Args: cobra.NoArgs,
-		Long: "Print the text of the policy in force, and to standard error its version, which is apply's --base. There is none while the\n" +
-			"fleet decides by each controller's own set-up.",
+		Long: "Print the text of the policy in force, and to standard error its version, for apply --base. There\n" +
+			"is no text while every controller uses the policy in its own set-up.",
 		RunE: func(c *cobra.Command, _ []string) error {
 			r, err := d.send(c, &fleet.Request{Kind: "policy"})
 			if err != nil {
--- a/cmd/railrelay-fleet/fleet_test.go
+++ b/cmd/railrelay-fleet/fleet_test.go
@@ -158,11 +158,11 @@
 		cmd.Wait()
 		close(ended)
 	}()
-	m.t.Cleanup(func() { m.kill(); m.told() })
+	m.t.Cleanup(func() { m.kill(); m.logOutput() })
 }
 
-// told shows what a failed test's member has said.
-func (m *member) told() {
+// logOutput logs the member's output if the test failed.
+func (m *member) logOutput() {
 	for m.t.Failed() {
 		select {
 		case line := <-m.logLines:
--- a/cmd/railrelay-fleet/plan.go
+++ b/cmd/railrelay-fleet/plan.go
@@ -24,10 +24,12 @@
 	alone := false
 	c := &cobra.Command{Use: "plan FILE --setup SETUP",
 		Short: "Tell what a policy would do before it is applied", Args: cobra.ExactArgs(1),
-		Long: "Check a policy against a controller's set-up and tell what its placement rules would do: which engines and controllers are\n" +
-			"outside then, where something kept would go, which teams keep how much of the engines' threads and which would have none.\n" +
-			"The policy in force, the controllers and bindings are asked of the fleet, the engines of the feed. Exit status 3: it can't\n" +
-			"be taken, or a team would have no engine or controller.",
+		Long: "Check a policy against a controller's set-up and tell what its placement rules would do: which\n" +
+			"engines and controllers would be outside, where kept data would be purged, how many of the\n" +
+			"engines' threads each team would have and which team would have none. The command requests the\n" +
+			"policy in force, the controllers and the bindings from the fleet, and the engines from the\n" +
+			"discovery service. Exit status 3: the policy can't be applied, or a team would have no engine\n" +
+			"or controller.",
 		RunE: func(c *cobra.Command, args []string) error {
 			if d.setupFile == "" {
 				return errors.New("--setup is missing: give the set-up to check the policy against")
@@ -37,7 +39,8 @@
 				return err
 			}
 			if own.IsControlProcess() {
-				return fmt.Errorf("%s is the set-up of a control process, which has no teams or engines to check a policy against: name a controller's set-up", d.setupFile)
+				return fmt.Errorf("%s is the set-up of a control process, which has no teams or engines to check "+
+					"a policy against: name a controller's set-up", d.setupFile)
 			}
 			text, err := os.ReadFile(args[0])
 			if err != nil {
@@ -73,7 +76,7 @@
 			}
 			return err
 		}}
-	c.Flags().BoolVar(&alone, "alone", false, "only check the file: ask neither the fleet nor the feed")
+	c.Flags().BoolVar(&alone, "alone", false, "only check the file, without requests to the fleet and the discovery service")
 	return c
 }
 
--- a/internal/setup/control.go
+++ b/internal/setup/control.go
@@ -28,7 +28,8 @@
 	for _, part := range c.topLevelKeys() {
 		if !slices.Contains(controlProcessKeys, part) {
 			c.addError(part,
-				"is for controllers only, but a process with fleet.role: control serves no queries: remove this key or the role")
+				"is for controllers only, but a process with fleet.role: control serves no queries: "+
+					"remove this key or the role")
 		}
 	}
 	if x.Fleet.ClientAddress != "" {
@@ -62,7 +63,7 @@
 // no queries, but as leader it decides which data a change purges and watches for emergencies.
 type ControlPolicy struct {
 	Rules []residency.Rule
-	// HasPlacement tells that the policy contains the rules. Otherwise the rules in the
+	// HasPlacement is true if the policy contains the rules. Otherwise the rules in the
 	// controllers' own files apply, and Rules are those in this process's file.
 	HasPlacement bool
 	RulesKnown   bool // the policy or this process's file contains the placement rules
--- a/internal/setup/setup.go
+++ b/internal/setup/setup.go
@@ -60,7 +60,7 @@
 	ConnectTimeout Duration `yaml:"connect"`     // default 250ms
 	IdleTimeout    Duration `yaml:"idle"`        // engines close connections that were idle so long; default 15s
 	NotePeriod     Duration `yaml:"notes"`       // between an engine's progress notes on a query; default 2s
-	DrainGrace     Duration `yaml:"grace"`       // after an engine announced that it drains; default 1s
+	DrainGrace     Duration `yaml:"grace"`       // time for which a draining engine accepts queries; default 1s
 	KeyCooldown    Duration `yaml:"key_rest"`    // of a key after an attempt that may still run; default 300ms
 	Report         string   `yaml:"report"`
 	// ReportFields lists the fields of an engine's load report: held (number of queries on the
@@ -149,7 +149,7 @@
 	MaxOpenQueries int      `yaml:"open"`     // on a connection; default 32
 	MaxMessages    int      `yaml:"messages"` // on a connection in 250ms; default 128
 	IdleTimeout    Duration `yaml:"idle"`     // of a connection without an open query; default 6s
-	MessageTimeout Duration `yaml:"message"`  // time within which a message must be complete; default 2s
+	MessageTimeout Duration `yaml:"message"`  // time in which a message must arrive completely; default 2s
 }
 
 // Fairness configures the fair queue, which decides whose query starts next.
--- a/internal/setup/spool.go
+++ b/internal/setup/spool.go
@@ -27,7 +27,7 @@
 	TeamResults int      `yaml:"team_results"` // of one team at once; default 1000
 	TeamMB      float64  `yaml:"team_mb"`      // of one team; default unlimited
 	Idle        Duration `yaml:"idle"`         // time from its last read until a result expires; default 15m
-	Life        Duration `yaml:"life"`         // time from its start until a result expires; default 2h
+	Life        Duration `yaml:"life"`         // time from its creation until a result expires, even if it is read; default 2h
 	PageKB      float64  `yaml:"page_kb"`      // size up to which engines' pages are joined; default 32
 	FlightMB    float64  `yaml:"flight_mb"`    // being written at once; default 4
 	Reads       int      `yaml:"reads"`        // pages being read from disk at once; default 64
