--- a/internal/setup/check.go
+++ b/internal/setup/check.go
@@ -214,7 +214,7 @@
 				owned.Insert(a.Masked(), addressOwner{t.Name, at})
 			}
 			if len(t.Teams) > 0 {
-				delete(seen, t.Name) // a team may have the same name as its only subteam
+				delete(seen, t.Name) // a team may have the same name as one of its subteams
 				walk(t.Teams, at+".teams")
 			}
 		}
@@ -262,13 +262,13 @@
 			c.addError("shares.customers", "is missing: remove shares if there are no customers")
 		}
 		seen := map[string]bool{}
-		for i, who := range x.Customers {
+		for i, customer := range x.Customers {
 			at := fmt.Sprintf("shares.customers[%d].", i)
-			if c.checkName(at+"name", who.Name); seen[who.Name] {
-				c.addError(at+"name", "a second customer is named %q", who.Name)
+			if c.checkName(at+"name", customer.Name); seen[customer.Name] {
+				c.addError(at+"name", "a second customer is named %q", customer.Name)
 			}
-			seen[who.Name] = true
-			c.requiredNumber(at+"rate", who.Rate, 1e-9, 1e9)
+			seen[customer.Name] = true
+			c.requiredNumber(at+"rate", customer.Rate, 1e-9, 1e9)
 		}
 	}
 	if len(c.errors) > 0 {
--- a/internal/setup/spool.go
+++ b/internal/setup/spool.go
@@ -115,8 +115,8 @@
 		if len(recovery.Lost) > 0 || recovery.CorruptBytes > 0 {
 			event = log.Log()
 		}
-		event.Int("results", recovery.Results).Int("segments", recovery.Segments).Int("half_written",
-			recovery.Incomplete).Int64("torn_bytes", recovery.CorruptBytes).
+		event.Int("results", recovery.Results).Int("segments", recovery.Segments).
+			Int("half_written", recovery.Incomplete).Int64("torn_bytes", recovery.CorruptBytes).
 			Int("lost", len(recovery.Lost)).Bool("index_rebuilt", recovery.IndexRebuilt).Msg("opened the spool")
 		if savedKeys, err = store.Keys(); err != nil {
 			store.Close()
