--- a/cmd/railrelay-fleet/command.go
+++ b/cmd/railrelay-fleet/command.go
@@ -251,7 +251,7 @@
 		err = printResponse(c.OutOrStdout(), r)
 	}
 	if status := r.ExitStatus(); status != 0 && err == nil {
-		return cli.Status{Code: status}
+		return cli.ExitError{Code: status}
 	}
 	return err
 }
@@ -288,7 +288,7 @@
 func withRemedy(err error) error {
 	var r fleet.ErrorWithRemedy
 	if errors.As(err, &r) {
-		return cli.Failed(1, fmt.Errorf("%w\n%s", err, r.Remedy()))
+		return cli.WithExitCode(1, fmt.Errorf("%w\n%s", err, r.Remedy()))
 	}
 	return err
 }
--- a/cmd/railrelay-fleet/fleet_test.go
+++ b/cmd/railrelay-fleet/fleet_test.go
@@ -54,7 +54,7 @@
 func freeAddresses(t *testing.T, n int) (l []string) {
 	t.Helper()
 	for range n {
-		address, err := loopback.Address()
+		address, err := loopback.FreeAddress()
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/cmd/railrelay-fleet/join.go
+++ b/cmd/railrelay-fleet/join.go
@@ -34,7 +34,7 @@
 }
 
 // join opens this process's node and returns it for the controller to use.
-func join(own *setup.Setup, config *controller.Config, log zerolog.Logger) (cli.Joined, error) {
+func join(own *setup.Setup, config *controller.Config, log zerolog.Logger) (cli.FleetMembership, error) {
 	f := own.Fleet
 	check := checkPolicy
 	if own.IsControlProcess() {
@@ -47,15 +47,15 @@
 			return check(own, change, text, now)
 		}})
 	if err != nil {
-		return cli.Joined{}, withRemedy(err)
+		return cli.FleetMembership{}, withRemedy(err)
 	}
 	config.Fleet = &controller.FleetConfig{ServingState: &fleet.ServingState{}, MaxHold: f.Parameters().MaxHold}
 	status := func(ctx context.Context) *fleet.Status {
 		return member.Request(ctx, &fleet.Request{Kind: "status"}).Status
 	}
-	return cli.Joined{Peers: eventloop.FleetChannels{Orders: member.Orders(), Reports: member.Reports()},
-		Serve: member.Serve,
-		Again: member.ReloadKeys, Status: status}, nil
+	return cli.FleetMembership{
+		Channels: eventloop.FleetChannels{Orders: member.Orders(), Reports: member.Reports()},
+		Serve:    member.Serve, ReloadKeys: member.ReloadKeys, Status: status}, nil
 }
 
 // checkPolicy parses a policy for a controller and determines the purges for placement rules that
@@ -73,9 +73,9 @@
 	}
 	oldRules, _ := before.Rules.([]residency.Rule)
 	newRules, _ := policy.Rules.([]residency.Rule)
-	for _, tightened := range residency.Tightened(oldRules, newRules, inForce.Bindings) {
-		if tightened.Purge != nil {
-			verdict.PurgeScopes = append(verdict.PurgeScopes, *tightened.Purge)
+	for _, tightened := range residency.FindTightenings(oldRules, newRules, inForce.Bindings) {
+		if tightened.PurgeScope != nil {
+			verdict.PurgeScopes = append(verdict.PurgeScopes, *tightened.PurgeScope)
 		}
 	}
 	return verdict
--- a/cmd/railrelay-fleet/plan.go
+++ b/cmd/railrelay-fleet/plan.go
@@ -48,7 +48,7 @@
 			}
 			next, _, _, err := setup.ParsePolicy(args[0], text, own)
 			if err != nil {
-				return cli.Failed(3, withRemedy(err))
+				return cli.WithExitCode(3, withRemedy(err))
 			}
 			if alone {
 				if d.printAsJSON {
@@ -63,7 +63,7 @@
 			}
 			was, _ := now.Rules.([]residency.Rule)
 			rules, _ := next.Rules.([]residency.Rule)
-			o := residency.Plan(was, rules, world)
+			o := residency.PlanChange(was, rules, world)
 			if d.printAsJSON {
 				err = printJSON(c, o)
 			} else if len(o.Rows) == 0 {
@@ -71,8 +71,8 @@
 			} else {
 				_, err = fmt.Fprint(c.OutOrStdout(), args[0]+": good\n"+o.Table())
 			}
-			if len(o.None) > 0 && err == nil {
-				return cli.Status{Code: 3}
+			if len(o.TeamsWithoutSite) > 0 && err == nil {
+				return cli.ExitError{Code: 3}
 			}
 			return err
 		}}
@@ -82,7 +82,7 @@
 
 // fleetState requests the policy in force, the controllers, the bindings and the engines.
 func (d *controlClient) fleetState(c *cobra.Command, own *setup.Setup) (now *controller.Policy,
-	w residency.World, err error) {
+	w residency.PlanInput, err error) {
 	policy, err := d.send(c, &fleet.Request{Kind: "policy"})
 	if err != nil {
 		return nil, w, err
@@ -118,7 +118,7 @@
 	}
 	defer conn.Close()
 	conn.SetDeadline(time.Now().Add(within))
-	if _, err := conn.Write(discovery.Since(nil, 0)); err != nil {
+	if _, err := conn.Write(discovery.AppendSubscribe(nil, 0)); err != nil {
 		return nil, fmt.Errorf("discovery service: %w", err)
 	}
 	h := &engineCollector{coresByKind: map[string]float64{}, engines: map[string]residency.Engine{}}
@@ -149,7 +149,7 @@
 	complete      bool
 }
 
-func (h *engineCollector) Event(number int64, whole bool) bool {
+func (h *engineCollector) BeginEvent(number int64, whole bool) bool {
 	if whole {
 		h.complete = true
 		clear(h.engines)
@@ -164,6 +164,6 @@
 	}
 }
 
-func (h *engineCollector) EventEnds()        {}
-func (h *engineCollector) Last(number int64) { h.last = number }
-func (h *engineCollector) Odd(string)        {}
+func (h *engineCollector) EndEvent()                {}
+func (h *engineCollector) LatestEvent(number int64) { h.last = number }
+func (h *engineCollector) InvalidEntry(string)      {}
--- a/cmd/railrelay-fleet/purge_test.go
+++ b/cmd/railrelay-fleet/purge_test.go
@@ -69,21 +69,23 @@
 func (c *customer) query(id string, fields ...string) client.Answer {
 	c.t.Helper()
 	return c.call(func(dst []byte, msg uint32) []byte {
-		return client.Call(dst, msg, "lookup", engine.Statement(engine.Work{Threads: 1, CPU: 5 * time.Millisecond,
-			MemoryMB: 1, Rows: 6000, Tables: 3}),
+		return client.AppendQuery(dst, msg, "lookup", engine.Statement(engine.Work{Threads: 1, CPU: 5 * time.Millisecond,
+			MemoryMB: 1, Rows: 6000, TableGroup: 3}),
 			append([]string{"trace", id, "patience", "20000", "team", "a"}, fields...)...)
 	})
 }
 
 func (c *customer) readPage(token string) client.Answer {
 	c.t.Helper()
-	return c.call(func(dst []byte, msg uint32) []byte { return client.Page(dst, msg, token, "1", "team", "a") })
+	return c.call(func(dst []byte, msg uint32) []byte {
+		return client.AppendPageRequest(dst, msg, token, "1", "team", "a")
+	})
 }
 
 func (c *customer) purge(fields ...string) client.Answer {
 	c.t.Helper()
 	return c.call(func(dst []byte, msg uint32) []byte {
-		return client.Purge(dst, msg, append([]string{"team", "a"}, fields...)...)
+		return client.AppendPurgeRequest(dst, msg, append([]string{"team", "a"}, fields...)...)
 	})
 }
 
@@ -93,7 +95,7 @@
 func TestCustomerPurge(t *testing.T) {
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
-	figures := engine.Usual()
+	figures := engine.DefaultConfig()
 	e, err := engine.Listen(ctx, "127.0.0.1:0", figures, false)
 	if err != nil {
 		t.Fatal(err)
@@ -120,7 +122,7 @@
 	for i, m := range all {
 		m.awaitStatus("a lease", isServing)
 		a := m.newCustomer().query(ids[i], "pages", "1")
-		if tokens[i] = a.About["token"]; tokens[i] == "" {
+		if tokens[i] = a.Fields["token"]; tokens[i] == "" {
 			t.Fatalf("no result is kept: %+v", a)
 		}
 	}
@@ -150,10 +152,10 @@
 	}
 	all[1].kill()
 	first := all[0].newCustomer().purge("patience", "1000", "tables", "3,9")
-	id := first.About["id"]
+	id := first.Fields["id"]
 	// the stopped controller may have been the leader
-	for end := time.Now().Add(testTimeout); first.About["outstanding"] != "c1" || first.About["stage"] != "unreachable"; {
-		if first.Kind != client.Finished || first.About["state"] != "not yet" || id == "" || time.Now().After(end) {
+	for end := time.Now().Add(testTimeout); first.Fields["outstanding"] != "c1" || first.Fields["stage"] != "unreachable"; {
+		if first.Kind != client.Finished || first.Fields["state"] != "not yet" || id == "" || time.Now().After(end) {
 			t.Fatalf("a purge while a controller is down: %+v", first)
 		}
 		first = all[0].newCustomer().purge("patience", "1000", "id", id)
@@ -165,7 +167,7 @@
 	}
 	all[1].start()
 	done := all[2].newCustomer().purge("id", id, "patience", "25000")
-	if n := done.About; n["state"] != "purged" || n["results"] != "3" || n["answers"] != "1" {
+	if n := done.Fields; n["state"] != "purged" || n["results"] != "3" || n["answers"] != "1" {
 		t.Fatalf("the purge after the restart: %+v", done)
 	}
 	if l := holds(); len(l) > 0 {
--- a/internal/controller/counters.go
+++ b/internal/controller/counters.go
@@ -81,7 +81,7 @@
 		b.WriteString(c.paging.countersText())
 	}
 	if c.caching != nil {
-		b.WriteString(c.caching.core.Text())
+		b.WriteString(c.caching.core.CountersText())
 	}
 	if c.invalidation != nil {
 		b.WriteString(c.invalidation.countersText())
--- a/internal/controller/residency.go
+++ b/internal/controller/residency.go
@@ -59,7 +59,7 @@
 	tablesKnown   bool
 
 	// the latest verdict, and the stamp of the rules that led to it
-	verdict residency.Verdict
+	verdict residency.Decision
 	stamp   uint64
 
 	attemptsRecorded int // number of attempts when one was last recorded as sent
@@ -77,7 +77,7 @@
 		ownSite = r.siteName(location)
 	}
 	r.core = residency.New(ownSite)
-	r.evaluatedStamp = r.core.Stamp()
+	r.evaluatedStamp = r.core.Generation()
 	return r
 }
 
@@ -98,23 +98,23 @@
 }
 
 // verdict returns the verdict on a query by the current rules.
-func (r *residencyState) verdict(q *query) *residency.Verdict {
+func (r *residencyState) verdict(q *query) *residency.Decision {
 	x := q.residency
-	if x.stamp == r.core.Stamp() {
+	if x.stamp == r.core.Generation() {
 		return &x.verdict
 	}
-	if !x.inspected && r.core.Bound(x.tenant) {
+	if !x.inspected && r.core.HasRules(x.tenant) {
 		x.inspect(q)
 	}
-	x.stamp = r.core.Stamp()
-	x.verdict = r.core.Judge(x.tenant, x.tables, x.tablesKnown)
+	x.stamp = r.core.Generation()
+	x.verdict = r.core.Decide(x.tenant, x.tables, x.tablesKnown)
 	return &x.verdict
 }
 
 // inspect reads the tables from the query's statement, which is dropped when the query is over.
 func (x *queryResidency) inspect(q *query) {
 	x.inspected = true
-	x.readTables, x.writtenTables, x.tablesKnown = msgpackrpc.AllTables(q.statement)
+	x.readTables, x.writtenTables, x.tablesKnown = msgpackrpc.TableGroups(q.statement)
 	x.tables = slices.Concat(x.readTables, x.writtenTables)
 	if len(q.statement) == 0 || q.group.isLoad && len(x.writtenTables) == 0 {
 		// the statement was dropped, or the load's target tables are unknown: the strictest rules apply
@@ -126,14 +126,14 @@
 // confined tenants. It must run before checkAdmission.
 func (r *residencyState) attachResidency(q *query, from CallOrigin) bool {
 	q.residency = &queryResidency{tenant: r.residencyTenantOf(q, from), tablesKnown: true}
-	return r.verdict(q).Bound
+	return r.verdict(q).RuleApplies
 }
 
 // checkAdmission reports whether a query is admitted: this controller may serve it and the log has
 // its bindings. Otherwise it answers the query, or holds the query until the log has the bindings.
 func (r *residencyState) checkAdmission(q *query, from CallOrigin) bool {
 	v := r.verdict(q)
-	if !v.Bound {
+	if !v.RuleApplies {
 		return true
 	}
 	r.boundQueries++
@@ -164,12 +164,12 @@
 
 // ensureServable reports whether this controller may serve a query. If not, it answers the query, no
 // attempt of which may have been sent.
-func (r *residencyState) ensureServable(q *query, v *residency.Verdict) bool {
+func (r *residencyState) ensureServable(q *query, v *residency.Decision) bool {
 	switch {
 	case v.Conflict != nil:
 		r.conflicts++
 		r.answerKilled(q, v.Conflict.Error())
-	case !v.Take:
+	case !v.MayServe:
 		r.redirect(q, v)
 	}
 	return !q.answered
@@ -183,22 +183,22 @@
 	if !q.group.isLoad && len(x.writtenTables) == 0 && (x.tablesKnown || readOnly) {
 		return nil, nil
 	}
-	return r.core.Needs(x.tenant, x.readTables, x.writtenTables, x.tablesKnown)
+	return r.core.MissingBinding(x.tenant, x.readTables, x.writtenTables, x.tablesKnown)
 }
 
 // redirect defers a query and tells its client which controllers may serve the query.
-func (r *residencyState) redirect(q *query, v *residency.Verdict) {
+func (r *residencyState) redirect(q *query, v *residency.Decision) {
 	r.redirectedQueries++
 	var controllers []string
 	for _, m := range r.fleetView.Members {
-		if !m.Forgotten && m.ClientAddress != "" && slices.Contains(v.Takers, m.Site) {
+		if !m.Forgotten && m.ClientAddress != "" && slices.Contains(v.ControllerSites, m.Site) {
 			controllers = append(controllers, m.ClientAddress)
 		}
 	}
 	outside := &residency.Outside{
 		Team:        q.residency.tenant,
 		Site:        r.core.Site(),
-		Rules:       v.Rules,
+		Rules:       v.RuleNames,
 		Controllers: controllers,
 	}
 	r.logWithFields(q.logFields(), outside.Error())
@@ -256,7 +256,7 @@
 	switch reply.Outcome {
 	case "bound":
 		delete(r.pendingBindings, id)
-		r.core.Recorded(*b.binding)
+		r.core.AddRecordedBinding(*b.binding)
 		r.reevaluate()
 		r.enqueueCallback(r.servingLease.releaseHeld)
 	case "unknown":
@@ -270,29 +270,29 @@
 	default:
 		delete(r.pendingBindings, id)
 		why := cmp.Or(reply.Reason, reply.Outcome)
-		r.logMessage(true, (&residency.Unbound{Team: b.binding.Team, Tables: b.binding.Tables, Why: why}).Error())
+		r.logMessage(true, (&residency.Unbound{Team: b.binding.Team, Tables: b.binding.Tables, Reason: why}).Error())
 	}
 	return true
 }
 
 func (r *residencyState) policyOpened(policy *Policy) {
 	rules, _ := policy.Rules.([]residency.Rule)
-	r.core.Rules(rules)
+	r.core.SetRules(rules)
 	r.reevaluate()
 }
 
 func (r *residencyState) viewChanged(view *fleet.View) {
-	r.core.Pictured(view)
+	r.core.SetFleetView(view)
 	r.reevaluate()
 }
 
 // reevaluate applies changed rules to all queries. Running attempts go on to their ends, and retained
 // data is invalidated through the log, but no new attempt is sent outside.
 func (r *residencyState) reevaluate() {
-	if r.evaluatedStamp == r.core.Stamp() {
+	if r.evaluatedStamp == r.core.Generation() {
 		return
 	}
-	r.evaluatedStamp = r.core.Stamp()
+	r.evaluatedStamp = r.core.Generation()
 	confined := r.findQueries(func(q *query) bool { return q.residency != nil && !q.answered && !q.held })
 	for _, q := range confined {
 		r.reevaluateQuery(q)
@@ -301,7 +301,7 @@
 
 func (r *residencyState) reevaluateQuery(q *query) {
 	v := r.verdict(q)
-	q.confined = v.Bound
+	q.confined = v.RuleApplies
 	if !q.mayHaveRun() {
 		required, err := r.requiredBinding(q)
 		if required != nil || err != nil { // the binding is requested when the client retries
@@ -325,12 +325,12 @@
 // or nil if all are allowed.
 func (r *residencyState) allowedLocations(q *query) []string {
 	v := r.verdict(q)
-	if v.Conflict == nil && v.Take && v.Engines == nil {
+	if v.Conflict == nil && v.MayServe && v.EngineSites == nil {
 		return nil
 	}
 	allowed := []string{}
 	for i, name := range r.siteNames {
-		if v.Take && v.May(name) {
+		if v.MayServe && v.AllowsEngineSite(name) {
 			allowed = append(allowed, strconv.Itoa(i))
 		}
 	}
@@ -357,11 +357,11 @@
 		return true
 	}
 	v := r.verdict(q)
-	if !v.Bound {
+	if !v.RuleApplies {
 		return true
 	}
 	site := r.siteName(e.location)
-	if !v.Take || !v.May(site) {
+	if !v.MayServe || !v.AllowsEngineSite(site) {
 		r.barredSends++
 		return false
 	}
@@ -371,7 +371,7 @@
 	}
 	if q.residency.attemptsRecorded != len(q.attempts) {
 		q.residency.attemptsRecorded = len(q.attempts)
-		if r.core.Sent(q.id, q.residency.tenant, v, site) {
+		if r.core.RecordAttempt(q.id, q.residency.tenant, v, site) {
 			r.logWithFields(q.logFields(), "sent to site "+site+" under an emergency of its residency rules")
 		}
 	}
@@ -379,11 +379,13 @@
 }
 
 // mayRetain reports whether this controller may spool a query's result or cache its answer.
-func (r *residencyState) mayRetain(q *query) bool { return q.residency == nil || r.verdict(q).Keep }
+func (r *residencyState) mayRetain(q *query) bool {
+	return q.residency == nil || r.verdict(q).MayRetain
+}
 
 // mayServe reports whether a retained result over these tables may be served by this controller.
 func (r *residencyState) mayServe(tenant string, tables []int64) bool {
-	return r.core.Judge(tenant, tables, len(tables) > 0).Keep
+	return r.core.Decide(tenant, tables, len(tables) > 0).MayRetain
 }
 
 // countOutside returns the number of attempts that run, or may still run, at engines where the current
@@ -408,17 +410,17 @@
 
 func (r *residencyState) isOutside(a *attempt) bool {
 	x := a.query.residency
-	if x == nil || !r.core.Bound(x.tenant) {
+	if x == nil || !r.core.HasRules(x.tenant) {
 		return false
 	}
 	if !x.inspected {
 		x.inspect(a.query)
 	}
-	return r.core.Outside(x.tenant, x.tables, x.tablesKnown, r.siteName(a.engine.location))
+	return r.core.IsOutsideRules(x.tenant, x.tables, x.tablesKnown, r.siteName(a.engine.location))
 }
 
 func (r *residencyState) countersText() string {
-	_, crossed := r.core.Crossed()
+	_, crossed := r.core.RecentCrossings()
 	return fmt.Sprintf("; placement bound %d, outside here %d, in conflict %d, barred %d,"+
 		" bindings %d, crossed %d",
 		r.boundQueries, r.redirectedQueries, r.conflicts, r.barredSends,
@@ -427,9 +429,9 @@
 
 // EmergencyCrossings returns the latest queries that an emergency allowed to leave their sites, and the
 // number of all of them. It must not be called during a Step.
-func (c *Controller) EmergencyCrossings() ([]residency.Crossing, int) {
+func (c *Controller) EmergencyCrossings() ([]residency.EmergencyCrossing, int) {
 	if c.servingLease == nil || c.servingLease.residency == nil {
 		return nil, 0
 	}
-	return c.servingLease.residency.core.Crossed()
+	return c.servingLease.residency.core.RecentCrossings()
 }
--- a/internal/setup/control.go
+++ b/internal/setup/control.go
@@ -74,7 +74,7 @@
 // BaseControlPolicy returns the policy in this process's file, which applies before any change.
 func (x *Setup) BaseControlPolicy() *ControlPolicy {
 	rules := x.placementRules()
-	return &ControlPolicy{Rules: rules, RulesKnown: x.Placement != nil, WatchedRules: residency.Watches(rules)}
+	return &ControlPolicy{Rules: rules, RulesKnown: x.Placement != nil, WatchedRules: residency.EmergencyRules(rules)}
 }
 
 // ParseControlPolicy reads a policy for a control process and checks everything but the names of
@@ -113,7 +113,7 @@
 	case before.HasPlacement:
 		previousRules = before.Rules
 	}
-	return residency.Scopes(previousRules, p.Rules, bindings), nil
+	return residency.PurgeScopes(previousRules, p.Rules, bindings), nil
 }
 
 // withNamesFrom returns a copy with the customers and groups that a policy names, and with an
--- a/internal/setup/placement.go
+++ b/internal/setup/placement.go
@@ -96,8 +96,8 @@
 	if x.IsControlProcess() { // only controllers know which exist
 		sites, teams = nil, nil
 	}
-	for _, f := range residency.Check(x.placementRules(), sites, teams) {
-		c.addError(fmt.Sprintf("placement[%d].%s", f.Rule, f.Field), "%s", f.Why)
+	for _, f := range residency.ValidateRules(x.placementRules(), sites, teams) {
+		c.addError(fmt.Sprintf("placement[%d].%s", f.RuleIndex, f.Field), "%s", f.Reason)
 	}
 }
 
@@ -163,7 +163,7 @@
 func (x *Setup) BasePolicy() (*controller.Policy, []fleet.EmergencyRule) {
 	rules := x.placementRules()
 	return &controller.Policy{Tenants: x.FairQueueConfig(), Settings: x.settings(), Rules: rules},
-		residency.Watches(rules)
+		residency.EmergencyRules(rules)
 }
 
 // ParsePolicy reads a policy strictly and checks it against a controller's own configuration,
--- a/internal/setup/spool.go
+++ b/internal/setup/spool.go
@@ -61,7 +61,7 @@
 	if s.MemoryMB > cmp.Or(l.MemoryMB, 512)/2 {
 		c.addError("spool.memory_mb", "is more than half of limits.memory_mb")
 	}
-	if idle, life := s.Idle.orDefault(spool.Usual().Idle), s.Life.orDefault(spool.Usual().Life); idle > life {
+	if idle, life := s.Idle.orDefault(spool.DefaultLimits().IdleTimeout), s.Life.orDefault(spool.DefaultLimits().MaxAge); idle > life {
 		c.addError("spool.idle", "%v is longer than spool.life, %v", idle, life)
 	}
 	if k := time.Duration(s.Keys); k > 0 && k < time.Minute {
@@ -72,17 +72,17 @@
 // Limits returns the limits of the spool, with defaults in place of missing values.
 func (s *Spool) Limits() spool.Limits {
 	const mb = 1 << 20
-	l := spool.Usual()
-	l.Memory = int64(cmp.Or(s.MemoryMB, 16) * mb)
+	l := spool.DefaultLimits()
+	l.MaxMemoryBytes = int64(cmp.Or(s.MemoryMB, 16) * mb)
 	if s.Directory != "" {
-		l.Disk = int64(cmp.Or(s.DiskMB, 1024) * mb)
+		l.MaxDiskBytes = int64(cmp.Or(s.DiskMB, 1024) * mb)
 	}
-	l.TeamBytes = int64(s.TeamMB * mb)
-	l.Result = int64(cmp.Or(s.ResultMB, 1024) * mb)
-	l.Results, l.TeamResults = cmp.Or(s.Results, l.Results), cmp.Or(s.TeamResults, l.TeamResults)
-	l.Team, l.Idle, l.Life = cmp.Or(s.TeamShare, l.Team), s.Idle.orDefault(l.Idle), s.Life.orDefault(l.Life)
-	l.Page, l.Flight, l.Reads = int(cmp.Or(s.PageKB, 32)*1024), int64(cmp.Or(s.FlightMB, 4)*mb),
-		cmp.Or(s.Reads, l.Reads)
+	l.MaxTeamBytes = int64(s.TeamMB * mb)
+	l.MaxResultBytes = int64(cmp.Or(s.ResultMB, 1024) * mb)
+	l.MaxResults, l.MaxTeamResults = cmp.Or(s.Results, l.MaxResults), cmp.Or(s.TeamResults, l.MaxTeamResults)
+	l.TeamShare, l.IdleTimeout, l.MaxAge = cmp.Or(s.TeamShare, l.TeamShare), s.Idle.orDefault(l.IdleTimeout), s.Life.orDefault(l.MaxAge)
+	l.PageBytes, l.MaxWritingBytes, l.MaxReads = int(cmp.Or(s.PageKB, 32)*1024), int64(cmp.Or(s.FlightMB, 4)*mb),
+		cmp.Or(s.Reads, l.MaxReads)
 	return l
 }
 
@@ -126,7 +126,7 @@
 	}
 	keys, err := spool.NewKeyring(savedKeys, s.Keys.orDefault(24*time.Hour), nowMs, newKey)
 	if err == nil && store != nil {
-		err = store.SaveKeys(keys.Text())
+		err = store.SaveKeys(keys.Encode())
 	}
 	if err != nil {
 		if store != nil {
