--- a/cmd/railrelay-bench/figures.go
+++ b/cmd/railrelay-bench/figures.go
@@ -7,10 +7,10 @@
 	"railrelay.dev/railrelay/internal/capacity"
 )
 
-// keepScale adds a scale run's figures to a file. Those of a fleet with relays, or with
-// machines set aside alone, have names of their own: they begin with "4 relays: " or
-// "set aside: ", so that runs without and with them stand side by side.
-func keepScale(path string, s bench.Scale) func([]bench.ScaleRow) error {
+// scaleRecorder returns a function that appends the results of a scale run to a file. The names of
+// results with relays begin with "4 relays: ", and those with only machines set aside for control
+// begin with "set aside: ". So the file can hold the results of all variants.
+func scaleRecorder(path string, s bench.Scale) func([]bench.ScaleRow) error {
 	variant := ""
 	switch {
 	case s.Relays > 0:
@@ -22,7 +22,8 @@
 	return func(figures []bench.ScaleRow) error {
 		rows := make([]capacity.Row, len(figures))
 		for i, figure := range figures {
-			rows[i] = capacity.Row{Role: figure.Role, What: variant + figure.What, Size: figure.Size, Seed: figure.Seed,
+			rows[i] = capacity.Row{Role: figure.Role, What: variant + figure.What, Size: figure.Size,
+				Seed:  figure.Seed,
 				Value: figure.Value, Unit: figure.Unit, Machine: machine, Commit: commit}
 		}
 		return capacity.Append(path, rows)
--- a/cmd/railrelay-bench/main.go
+++ b/cmd/railrelay-bench/main.go
@@ -1,5 +1,5 @@
-// Command railrelay-bench is the laboratory: it plays the product against stand-ins and
-// measures what it does.
+// Command railrelay-bench runs railrelay against emulated engines and clients, and measures its
+// performance and behaviour.
 package main
 
 import (
@@ -11,22 +11,23 @@
 	"github.com/spf13/cobra"
 )
 
-// What several commands say alike.
+// Defaults and usage texts that several commands share.
 const (
-	programDefault = "bin/railrelay"
-	plantedDefault = "bin/planted"
-	seedAbout      = "what is drawn at random follows from"
+	defaultProgram          = "bin/railrelay"
+	defaultPlantedDirectory = "bin/planted"
+	seedUsage               = "seed of the random numbers"
 )
 
 func main() {
-	// a play that is interrupted ends what it has started
+	// an interrupted run ends the processes that it started
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	root := &cobra.Command{Use: "railrelay-bench", Short: "railrelay's laboratory", SilenceUsage: true}
-	root.AddCommand(fleets(), many(), planted(), measure(), try(), speed(), large(), scale(), hollowProcess(), datapath(), page())
+	root.AddCommand(fleetsCommand(), manyCommand(), plantedCommand(), measureCommand(), tryCommand(),
+		speedCommand(), largeCommand(), scaleCommand(), hollowCommand(), datapathCommand(), pageCommand())
 	err := root.ExecuteContext(ctx)
 	stop()
 	if err != nil {
-		remedy(root.ErrOrStderr(), err)
+		printRemedy(root.ErrOrStderr(), err)
 		os.Exit(1)
 	}
 }
--- a/cmd/railrelay-fleet/fleet_test.go
+++ b/cmd/railrelay-fleet/fleet_test.go
@@ -21,17 +21,18 @@
 	"railrelay.dev/railrelay/internal/fleet"
 )
 
-const patienceMost = 30 * time.Second // for what has to come; only a fault makes a test wait so long
+const testTimeout = 30 * time.Second // for expected events; only a failing test waits so long
 
-var bin string // where both programs are
+var binaries string // directory of both programs
 
 func TestMain(m *testing.M) {
 	dir, err := os.MkdirTemp("", "railrelay")
 	if err != nil {
 		panic(err)
 	}
-	bin = dir
-	if out, err := exec.Command("go", "build", "-race=false", "-tags", "debug", "-o", dir+"/", ".", "../railrelay").CombinedOutput(); err != nil {
+	binaries = dir
+	if out, err := exec.Command("go", "build", "-race=false", "-tags", "debug", "-o", dir+"/", ".",
+		"../railrelay").CombinedOutput(); err != nil {
 		panic(string(out))
 	}
 	code := m.Run()
@@ -39,18 +40,18 @@
 	os.Exit(code)
 }
 
-// member is one controller of a fleet: the lean program, which becomes the other one.
+// member is one process of a fleet, started as railrelay, which executes railrelay-fleet.
 type member struct {
-	t     *testing.T
-	name  string
-	setup string
-	cmd   *exec.Cmd
-	said  chan string
-	ended chan struct{}
+	t        *testing.T
+	name     string
+	setup    string
+	cmd      *exec.Cmd
+	logLines chan string
+	exited   chan struct{}
 }
 
-// free gives addresses that nobody listens on.
-func free(t *testing.T, n int) (l []string) {
+// freeAddresses returns unused addresses.
+func freeAddresses(t *testing.T, n int) (l []string) {
 	t.Helper()
 	for range n {
 		address, err := loopback.FreeAddress()
@@ -62,10 +63,10 @@
 	return l
 }
 
-// feed names one engine and goes on telling that there is nothing new.
-func feed(t *testing.T) string { return feedOf(t, "127.0.0.1:9") }
+// startFeed starts a discovery service that lists two engines and then sends nothing.
+func startFeed(t *testing.T) string { return startFeedWithEngine(t, "127.0.0.1:9") }
 
-func feedOf(t *testing.T, engine string) string {
+func startFeedWithEngine(t *testing.T, engine string) string {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -82,7 +83,8 @@
 				if _, err := bufio.NewReader(c).ReadString('\n'); err != nil {
 					return
 				}
-				fmt.Fprintln(c, strings.ReplaceAll(`{"n":1,"members":{"revision":1,"complete":true,"members":[{"id":"e1","host_port":"127.0.0.1:9","locality":"linz","flavor":"std","cell":1,"phase":"SERVING","size":1,"up_since_ms":0},{"id":"e2","host_port":"127.0.0.1:9","locality":"steyr","flavor":"std","cell":1,"phase":"SERVING","size":1,"up_since_ms":0}]}}`, "127.0.0.1:9", engine))
+				fmt.Fprintln(c,
+					strings.ReplaceAll(`{"n":1,"members":{"revision":1,"complete":true,"members":[{"id":"e1","host_port":"127.0.0.1:9","locality":"linz","flavor":"std","cell":1,"phase":"SERVING","size":1,"up_since_ms":0},{"id":"e2","host_port":"127.0.0.1:9","locality":"steyr","flavor":"std","cell":1,"phase":"SERVING","size":1,"up_since_ms":0}]}}`, "127.0.0.1:9", engine))
 				io.Copy(io.Discard, c)
 			}()
 		}
@@ -90,15 +92,15 @@
 	return l.Addr().String()
 }
 
-// band starts a fleet of controllers of which all vote.
-func band(t *testing.T, n int, more string) []*member {
+// startControllers starts a fleet of controllers that are all voters.
+func startControllers(t *testing.T, n int, more string) []*member {
 	t.Helper()
-	dir, from := t.TempDir(), feed(t)
+	dir, from := t.TempDir(), startFeed(t)
 	keys := filepath.Join(dir, "keys")
 	if err := os.WriteFile(keys, []byte(strings.Repeat("5a", 32)+"\n"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	at := free(t, 3*n)
+	at := freeAddresses(t, 3*n)
 	voters := ""
 	for i := range n {
 		voters += fmt.Sprintf("    - {name: c%d, address: %q}\n", i, at[3*i])
@@ -127,15 +129,15 @@
 		if err := os.WriteFile(m.setup, []byte(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
-		m.begin()
+		m.start()
 		all = append(all, m)
 	}
 	return all
 }
 
-func (m *member) begin() {
+func (m *member) start() {
 	m.t.Helper()
-	m.cmd = exec.Command(filepath.Join(bin, "railrelay"), "serve", "--setup", m.setup)
+	m.cmd = exec.Command(filepath.Join(binaries, "railrelay"), "serve", "--setup", m.setup)
 	m.cmd.Env = append(os.Environ(), "RAILRELAY_LOG=info")
 	out, err := m.cmd.StderrPipe()
 	if err != nil {
@@ -145,7 +147,7 @@
 		m.t.Fatal(err)
 	}
 	said, ended, cmd := make(chan string, 4096), make(chan struct{}), m.cmd
-	m.said, m.ended = said, ended
+	m.logLines, m.exited = said, ended
 	go func() {
 		for s := bufio.NewScanner(out); s.Scan(); {
 			select {
@@ -156,14 +158,14 @@
 		cmd.Wait()
 		close(ended)
 	}()
-	m.t.Cleanup(func() { m.kill(); m.told() })
+	m.t.Cleanup(func() { m.kill(); m.logOutput() })
 }
 
-// told shows what a failed test's member has said.
-func (m *member) told() {
+// logOutput logs the member's output if the test failed.
+func (m *member) logOutput() {
 	for m.t.Failed() {
 		select {
-		case line := <-m.said:
+		case line := <-m.logLines:
 			m.t.Log(m.name, line)
 		default:
 			return
@@ -173,10 +175,10 @@
 
 func (m *member) kill() {
 	m.cmd.Process.Kill()
-	<-m.ended
+	<-m.exited
 }
 
-// fleet runs a command and gives its answer and exit status.
+// fleet runs a fleet command and returns its response and exit status.
 func (m *member) fleet(args ...string) (*fleet.Response, int) {
 	m.t.Helper()
 	out, errs, status := railrelay(m.t, append([]string{"fleet", "--json", "--setup", m.setup}, args...)...)
@@ -190,7 +192,7 @@
 func railrelay(t *testing.T, args ...string) (out, errs string, status int) {
 	t.Helper()
 	var o, e bytes.Buffer
-	cmd := exec.Command(filepath.Join(bin, "railrelay"), args...)
+	cmd := exec.Command(filepath.Join(binaries, "railrelay"), args...)
 	cmd.Stdout, cmd.Stderr = &o, &e
 	err := cmd.Run()
 	var exit *exec.ExitError
@@ -203,11 +205,11 @@
 	return o.String(), e.String(), 0
 }
 
-// until asks a member for its status until it is as wanted.
-func (m *member) until(what string, good func(s *fleet.Status) bool) *fleet.Status {
+// awaitStatus polls the status of a member until good accepts it.
+func (m *member) awaitStatus(what string, good func(s *fleet.Status) bool) *fleet.Status {
 	m.t.Helper()
 	var last string
-	for end := time.Now().Add(patienceMost); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
+	for end := time.Now().Add(testTimeout); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
 		r, _ := m.fleet("status")
 		if r.Status != nil && good(r.Status) {
 			return r.Status
@@ -215,28 +217,28 @@
 		text, _ := json.Marshal(r)
 		last = string(text)
 	}
-	m.t.Fatalf("%s never saw %s: %s", m.name, what, last)
+	m.t.Fatalf("%s never reported %s: %s", m.name, what, last)
 	return nil
 }
 
-func serves(s *fleet.Status) bool { return s.Serves && s.Leader != "" }
+func isServing(s *fleet.Status) bool { return s.Serves && s.Leader != "" }
 
-// Three processes: one leads and all serve. The leader is killed and another leads. A
-// change is in force, a second one against the same version is refused, a team's purge
-// is unreachable while one is down and done once that is back; each word is the same
-// when it is asked for again of another one.
-func TestThreeControllersDecideTogether(t *testing.T) {
-	all := band(t, 3, "")
+// Three controllers elect a new leader after the leader is killed. A change comes into force, and a
+// second change against the same version is refused. A purge is unreachable while a controller is
+// down, and done once it is back. Every controller reports the same outcomes.
+func TestThreeControllersAgreeOnChanges(t *testing.T) {
+	all := startControllers(t, 3, "")
 	for _, m := range all {
-		m.until("its lease and a leader", serves)
+		m.awaitStatus("its lease and a leader", isServing)
 	}
-	leader := all[0].until("three members", func(s *fleet.Status) bool { return serves(s) && len(s.Members) == 3 }).Leader
+	leader := all[0].awaitStatus("three members",
+		func(s *fleet.Status) bool { return isServing(s) && len(s.Members) == 3 }).Leader
 	i := slices.IndexFunc(all, func(m *member) bool { return m.name == leader })
 	lost := all[i]
 	rest := slices.Delete(slices.Clone(all), i, i+1)
 	lost.kill()
 	for _, m := range rest {
-		m.until("another leader", func(s *fleet.Status) bool { return serves(s) && s.Leader != leader })
+		m.awaitStatus("another leader", func(s *fleet.Status) bool { return isServing(s) && s.Leader != leader })
 	}
 
 	policy := filepath.Join(t.TempDir(), "policy.yaml")
@@ -251,35 +253,42 @@
 		t.Fatalf("%d %+v", status, r)
 	}
 	if r, status := rest[1].fleet("status", "--id", "first"); status != 0 || r.Outcome != "in force" {
-		t.Fatalf("asked again: %d %+v", status, r)
+		t.Fatalf("the outcome on another controller: %d %+v", status, r)
 	}
-	if r, status := rest[1].fleet("apply", policy, "--base", "1", "--id", "second"); status != 3 || r.Outcome != "refused" || r.Remedy == "" {
-		t.Fatalf("against an old version: %d %+v", status, r)
+	if r, status := rest[1].fleet("apply", policy, "--base", "1", "--id", "second"); status != 3 ||
+		r.Outcome != "refused" || r.Remedy == "" {
+		t.Fatalf("a change against an old version: %d %+v", status, r)
 	}
 	write("fairness: {teams: [{name: a, weight: 3}, {name: b, weight: 1}]}\ngroups: [{name: nothing, target: 2s}]\n")
-	if r, status := rest[1].fleet("apply", policy, "--base", "2", "--id", "third"); status != 3 || r.Outcome != "withdrawn" || !strings.Contains(r.Reason, "nothing") {
-		t.Fatalf("that can't be taken: %d %+v", status, r)
+	if r, status := rest[1].fleet("apply", policy, "--base", "2", "--id", "third"); status != 3 ||
+		r.Outcome != "withdrawn" || !strings.Contains(r.Reason, "nothing") {
+		t.Fatalf("a change that can't be applied: %d %+v", status, r)
 	}
 	if r, _ := rest[0].fleet("policy"); r.Version != 2 || !strings.Contains(string(r.Policy), "a-linz") {
 		t.Fatalf("%+v", r)
 	}
 
-	if r, status := rest[0].fleet("purge", "--team", "a", "--id", "p1", "--at-most", "20s", "--until", "unreachable"); status != 0 || r.Outcome != "unreachable" {
+	if r, status := rest[0].fleet("purge", "--team", "a", "--id", "p1", "--at-most", "20s", "--until",
+		"unreachable"); status != 0 || r.Outcome != "unreachable" {
 		t.Fatalf("purge while one is down: %d %+v", status, r)
 	}
-	if r, status := rest[1].fleet("status", "--id", "p1", "--at-most", "200ms"); status != 4 || r.Outcome != "unknown" || !slices.Contains(r.Outstanding, lost.name) {
-		t.Fatalf("it waits for nobody: %d %+v", status, r)
+	if r, status := rest[1].fleet("status", "--id", "p1", "--at-most", "200ms"); status != 4 ||
+		r.Outcome != "unknown" || !slices.Contains(r.Outstanding, lost.name) {
+		t.Fatalf("the purge doesn't wait for the stopped controller: %d %+v", status, r)
 	}
-	lost.begin()
-	if r, status := rest[1].fleet("purge", "--team", "a", "--id", "p1", "--at-most", "20s"); status != 0 || r.Outcome != "purged" || r.Counts == nil {
-		t.Fatalf("purge with all there: %d %+v", status, r)
+	lost.start()
+	if r, status := rest[1].fleet("purge", "--team", "a", "--id", "p1", "--at-most", "20s"); status != 0 ||
+		r.Outcome != "purged" || r.Counts == nil {
+		t.Fatalf("purge with all controllers: %d %+v", status, r)
 	}
-	lost.until("the policy it has missed", func(s *fleet.Status) bool { return serves(s) && s.Version == 2 })
-	if r, status := lost.fleet("status", "--id", "first", "--until", "settled", "--at-most", "20s"); status != 0 || r.Outcome != "settled" {
-		t.Fatalf("nothing is left outside: %d %+v", status, r)
+	lost.awaitStatus("the policy it has missed",
+		func(s *fleet.Status) bool { return isServing(s) && s.Version == 2 })
+	if r, status := lost.fleet("status", "--id", "first", "--until", "settled", "--at-most",
+		"20s"); status != 0 || r.Outcome != "settled" {
+		t.Fatalf("the change isn't settled: %d %+v", status, r)
 	}
 	if r, status := lost.fleet("status", "--id", "first"); status != 0 || r.Outcome != "in force" {
-		t.Fatalf("asked of who was down: %d %+v", status, r)
+		t.Fatalf("the outcome on the restarted controller: %d %+v", status, r)
 	}
 
 	out, errs, status := railrelay(t, "fleet", "status", "--setup", lost.setup)
@@ -295,7 +304,8 @@
 		name   string
 		status int
 	}{{"c9", 1}, {"c9 --anyway", 0}} {
-		if _, errs, status := railrelay(t, append([]string{"fleet", "forget", "--setup", lost.setup}, strings.Fields(c.name)...)...); status != c.status {
+		if _, errs, status := railrelay(t, append([]string{"fleet", "forget", "--setup", lost.setup},
+			strings.Fields(c.name)...)...); status != c.status {
 			t.Errorf("forget %s: %d %s", c.name, status, errs)
 		}
 	}
@@ -303,36 +313,36 @@
 		t.Fatal(err)
 	}
 	select {
-	case <-lost.ended:
-	case <-time.After(patienceMost):
-		t.Error("it doesn't end")
+	case <-lost.exited:
+	case <-time.After(testTimeout):
+		t.Error("the process doesn't exit")
 	}
 	if !lost.cmd.ProcessState.Success() {
 		t.Error(lost.cmd.ProcessState)
 	}
 }
 
-// hears waits for a line of its log.
-func (m *member) hears(what string) string {
+// awaitLog waits for a log line that contains a text.
+func (m *member) awaitLog(what string) string {
 	m.t.Helper()
-	for wait := time.After(patienceMost); ; {
+	for wait := time.After(testTimeout); ; {
 		select {
-		case line := <-m.said:
+		case line := <-m.logLines:
 			if strings.Contains(line, what) {
 				return line
 			}
 		case <-wait:
-			m.t.Fatalf("%s never said %q", m.name, what)
+			m.t.Fatalf("%s never logged %q", m.name, what)
 		}
 	}
 }
 
-// The key is replaced while all serve: second line everywhere, first line, alone. Who
-// has only the old one gets nowhere after that.
-func TestTheKeyIsReplaced(t *testing.T) {
-	all := band(t, 3, "")
+// The key is rotated while all controllers serve: the new key is added as the second line of the
+// key file, becomes the first and then the only line. The old key is rejected after that.
+func TestKeyRotation(t *testing.T) {
+	all := startControllers(t, 3, "")
 	for _, m := range all {
-		m.until("its lease", serves)
+		m.awaitStatus("its lease", isServing)
 	}
 	was, next := strings.Repeat("5a", 32), strings.Repeat("a5", 32)
 	keys := filepath.Join(filepath.Dir(all[0].setup), "keys")
@@ -342,8 +352,8 @@
 		}
 		for _, m := range all {
 			m.cmd.Process.Signal(syscall.SIGHUP)
-			m.hears("the configuration was read again")
-			if s := m.until("its lease", func(s *fleet.Status) bool { return s.Leader != "" }); !s.Serves {
+			m.awaitLog("the configuration was read again")
+			if s := m.awaitStatus("its lease", func(s *fleet.Status) bool { return s.Leader != "" }); !s.Serves {
 				t.Errorf("%s stopped serving", m.name)
 			}
 		}
@@ -352,24 +362,26 @@
 	if err := os.WriteFile(old, []byte(was+"\n"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if _, errs, status := railrelay(t, "fleet", "purge", "--team", "a", "--setup", all[0].setup, "--keys", old); status != 1 || !strings.Contains(errs, "signed") {
-		t.Errorf("by the old key: %d %s", status, errs)
+	if _, errs, status := railrelay(t, "fleet", "purge", "--team", "a", "--setup", all[0].setup, "--keys",
+		old); status != 1 || !strings.Contains(errs, "signed") {
+		t.Errorf("a request with the old key: %d %s", status, errs)
 	}
-	for _, m := range all { // each asks for its lease anew within the time it has: by the new key
-		m.until("its lease", serves)
+	for _, m := range all { // each lease is renewed with the new key before it expires
+		m.awaitStatus("its lease", isServing)
 	}
 	if r, status := all[1].fleet("purge", "--team", "a"); status != 0 || r.Outcome != "purged" {
-		t.Errorf("by the new key: %d %+v", status, r)
+		t.Errorf("a request with the new key: %d %+v", status, r)
 	}
 }
 
-// What can't be asked says why and what to do, and the exit status tells it from a refusal.
-func TestCommandsThatReachNobody(t *testing.T) {
+// A command that can't send its request reports the reason and a remedy, and its exit status differs
+// from that of a rejected request.
+func TestCommandErrors(t *testing.T) {
 	dir := t.TempDir()
 	keys, open := filepath.Join(dir, "keys"), filepath.Join(dir, "open")
 	os.WriteFile(keys, []byte(strings.Repeat("5a", 32)+"\n"), 0o600)
 	os.WriteFile(open, []byte(strings.Repeat("5a", 32)+"\n"), 0o644)
-	at := free(t, 1)[0]
+	at := freeAddresses(t, 1)[0]
 	for _, c := range []struct {
 		args   []string
 		status int
@@ -377,10 +389,10 @@
 	}{
 		{[]string{"status", "--control", at, "--keys", keys}, 1, []string{"can't be reached", "ask another controller"}},
 		{[]string{"status", "--control", at, "--keys", open}, 1, []string{"give other users access", "chmod 600"}},
-		{[]string{"status"}, 1, []string{"whom to ask"}},
+		{[]string{"status"}, 1, []string{"no controller to send the request to"}},
 		{[]string{"apply", keys, "--control", at, "--keys", keys}, 1, []string{"--base is missing"}},
 		{[]string{"purge", "--control", at, "--keys", keys}, 1, []string{"--team is missing"}},
-		{[]string{"purge", "--team", "a", "--before", "noon", "--control", at, "--keys", keys}, 1, []string{"no time"}},
+		{[]string{"purge", "--team", "a", "--before", "noon", "--control", at, "--keys", keys}, 1, []string{"neither a time"}},
 	} {
 		out, errs, status := railrelay(t, append([]string{"fleet"}, c.args...)...)
 		if status != c.status {
@@ -394,12 +406,12 @@
 	}
 }
 
-func TestMoments(t *testing.T) {
+func TestParseTime(t *testing.T) {
 	now := time.Date(2026, 11, 30, 18, 0, 0, 0, time.UTC)
-	if at, err := moment("2h", now); err != nil || !at.Equal(now.Add(-2*time.Hour)) {
+	if at, err := parseTime("2h", now); err != nil || !at.Equal(now.Add(-2*time.Hour)) {
 		t.Error(at, err)
 	}
-	if at, err := moment("2026-11-30T17:00:00Z", now); err != nil || !at.Equal(now.Add(-time.Hour)) {
+	if at, err := parseTime("2026-11-30T17:00:00Z", now); err != nil || !at.Equal(now.Add(-time.Hour)) {
 		t.Error(at, err)
 	}
 }
--- a/cmd/railrelay-fleet/plan.go
+++ b/cmd/railrelay-fleet/plan.go
@@ -19,24 +19,28 @@
 	"railrelay.dev/railrelay/internal/setup"
 )
 
-// plan tells what a policy would do, and asks nobody to do anything.
-func (d *desk) plan() *cobra.Command {
+// planCommand prints the effects of a policy without applying it.
+func (d *controlClient) planCommand() *cobra.Command {
 	alone := false
-	c := &cobra.Command{Use: "plan FILE --setup SETUP", Short: "Tell what a policy would do before it is applied", Args: cobra.ExactArgs(1),
-		Long: "Check a policy against a controller's set-up and tell what its placement rules would do: which engines and controllers are\n" +
-			"outside then, where something kept would go, which teams keep how much of the engines' threads and which would have none.\n" +
-			"The policy in force, the controllers and bindings are asked of the fleet, the engines of the feed. Exit status 3: it can't\n" +
-			"be taken, or a team would have no engine or controller.",
+	c := &cobra.Command{Use: "plan FILE --setup SETUP",
+		Short: "Tell what a policy would do before it is applied", Args: cobra.ExactArgs(1),
+		Long: "Check a policy against a controller's set-up and tell what its placement rules would do: which\n" +
+			"engines and controllers would be outside, where kept data would be purged, how many of the\n" +
+			"engines' threads each team would have and which team would have none. The command requests the\n" +
+			"policy in force, the controllers and the bindings from the fleet, and the engines from the\n" +
+			"discovery service. Exit status 3: the policy can't be applied, or a team would have no engine\n" +
+			"or controller.",
 		RunE: func(c *cobra.Command, args []string) error {
-			if d.setup == "" {
-				return errors.New("--setup is missing: the policy is checked against it")
+			if d.setupFile == "" {
+				return errors.New("--setup is missing: give the set-up to check the policy against")
 			}
-			own, err := setup.Load(d.setup)
+			own, err := setup.Load(d.setupFile)
 			if err != nil {
 				return err
 			}
 			if own.IsControlProcess() {
-				return fmt.Errorf("%s is of a control process, which has no teams or engines to check a policy against: name a controller's set-up", d.setup)
+				return fmt.Errorf("%s is the set-up of a control process, which has no teams or engines to check "+
+					"a policy against: name a controller's set-up", d.setupFile)
 			}
 			text, err := os.ReadFile(args[0])
 			if err != nil {
@@ -44,24 +48,24 @@
 			}
 			next, _, _, err := setup.ParsePolicy(args[0], text, own)
 			if err != nil {
-				return cli.WithExitCode(3, remedied(err))
+				return cli.WithExitCode(3, withRemedy(err))
 			}
 			if alone {
-				if d.json {
-					return printed(c, map[string]bool{"good": true})
+				if d.printAsJSON {
+					return printJSON(c, map[string]bool{"good": true})
 				}
 				_, err = fmt.Fprintln(c.OutOrStdout(), args[0]+": good")
 				return err
 			}
-			now, world, err := d.world(c, own)
+			now, world, err := d.fleetState(c, own)
 			if err != nil {
 				return err
 			}
 			was, _ := now.Rules.([]residency.Rule)
 			rules, _ := next.Rules.([]residency.Rule)
 			o := residency.PlanChange(was, rules, world)
-			if d.json {
-				err = printed(c, o)
+			if d.printAsJSON {
+				err = printJSON(c, o)
 			} else if len(o.Rows) == 0 {
 				_, err = fmt.Fprintln(c.OutOrStdout(), args[0]+": good; it binds no team to any site")
 			} else {
@@ -72,93 +76,94 @@
 			}
 			return err
 		}}
-	c.Flags().BoolVar(&alone, "alone", false, "only check the file: ask neither the fleet nor the feed")
+	c.Flags().BoolVar(&alone, "alone", false, "only check the file, without requests to the fleet and the discovery service")
 	return c
 }
 
-// world asks for what there is: the policy in force, controllers, bindings, engines.
-func (d *desk) world(c *cobra.Command, own *setup.Setup) (now *controller.Policy, w residency.PlanInput, err error) {
-	policy, err := d.reply(c, &fleet.Request{Kind: "policy"})
+// fleetState requests the policy in force, the controllers, the bindings and the engines.
+func (d *controlClient) fleetState(c *cobra.Command, own *setup.Setup) (now *controller.Policy,
+	w residency.PlanInput, err error) {
+	policy, err := d.send(c, &fleet.Request{Kind: "policy"})
 	if err != nil {
 		return nil, w, err
 	}
 	if now, _, _, err = setup.ParsePolicy("the policy in force", policy.Policy, own); err != nil {
-		return nil, w, remedied(err)
+		return nil, w, withRemedy(err)
 	}
-	status, err := d.reply(c, &fleet.Request{Kind: "status"})
+	status, err := d.send(c, &fleet.Request{Kind: "status"})
 	if err != nil {
 		return nil, w, err
 	}
 	if status.Status == nil {
-		return nil, w, fmt.Errorf("the controller tells no status: %s", status.Reason)
+		return nil, w, fmt.Errorf("the controller returned no status: %s", status.Reason)
 	}
 	for _, m := range status.Status.Members {
-		if m.ClientAddress != "" { // one of the control role takes no queries
+		if m.ClientAddress != "" { // a control process has none and serves no queries
 			w.Controllers = append(w.Controllers, m.Member)
 		}
 	}
 	w.Bindings = status.Status.Bindings
-	w.Engines, err = engines(own, listed)
+	w.Engines, err = activeEngines(own, discoveryTimeout)
 	return now, w, err
 }
 
-// listed is how long the feed has to name all engines.
-const listed = 5 * time.Second
+// discoveryTimeout bounds the time until the discovery service has listed all engines.
+const discoveryTimeout = 5 * time.Second
 
-// engines are those that serve, by the feed's whole list.
-func engines(own *setup.Setup, within time.Duration) ([]residency.Engine, error) {
+// activeEngines returns the engines that the discovery service lists as active.
+func activeEngines(own *setup.Setup, within time.Duration) ([]residency.Engine, error) {
 	conn, err := net.DialTimeout("tcp", own.DiscoveryAddress, within)
 	if err != nil {
-		return nil, fmt.Errorf("the feed of engines: %w", err)
+		return nil, fmt.Errorf("discovery service: %w", err)
 	}
 	defer conn.Close()
 	conn.SetDeadline(time.Now().Add(within))
 	if _, err := conn.Write(discovery.AppendSubscribe(nil, 0)); err != nil {
-		return nil, fmt.Errorf("the feed of engines: %w", err)
+		return nil, fmt.Errorf("discovery service: %w", err)
 	}
-	h := &hearer{cores: map[string]float64{}, all: map[string]residency.Engine{}}
+	h := &engineCollector{coresByKind: map[string]float64{}, engines: map[string]residency.Engine{}}
 	for _, k := range own.Engines.Kinds {
-		h.cores[k.Name] = k.Cores
+		h.coresByKind[k.Name] = k.Cores
 	}
-	for in := bufio.NewReader(conn); !h.whole || h.had < h.last; {
+	for in := bufio.NewReader(conn); !h.complete || h.current < h.last; {
 		line, err := in.ReadBytes('\n')
 		if err != nil {
-			return nil, fmt.Errorf("the feed of engines: %w", err)
+			return nil, fmt.Errorf("discovery service: %w", err)
 		}
 		if _, err := discovery.Read(line, len(line), h); err != nil {
-			return nil, fmt.Errorf("the feed of engines: %w", err)
+			return nil, fmt.Errorf("discovery service: %w", err)
 		}
 	}
 	var l []residency.Engine
-	for _, e := range h.all {
+	for _, e := range h.engines {
 		l = append(l, e)
 	}
 	return l, nil
 }
 
-// hearer gathers the engines that serve.
-type hearer struct {
-	cores     map[string]float64
-	all       map[string]residency.Engine
-	had, last int64
-	whole     bool
+// engineCollector collects the active engines from discovery messages.
+type engineCollector struct {
+	coresByKind   map[string]float64
+	engines       map[string]residency.Engine
+	current, last int64
+	complete      bool
 }
 
-func (h *hearer) BeginEvent(number int64, whole bool) bool {
+func (h *engineCollector) BeginEvent(number int64, whole bool) bool {
 	if whole {
-		h.whole = true
-		clear(h.all)
+		h.complete = true
+		clear(h.engines)
 	}
-	h.had = number
+	h.current = number
 	return true
 }
 
-func (h *hearer) Engine(id, _, location, kind string, _ int, state scheduler.EngineState, _ int64) {
-	if delete(h.all, id); state == scheduler.EngineActive {
-		h.all[id] = residency.Engine{Name: id, Site: location, Threads: h.cores[kind]}
+func (h *engineCollector) Engine(id, _, location, kind string, _ int, state scheduler.EngineState, _ int64) {
+	if delete(h.engines, id); state == scheduler.EngineActive {
+		h.engines[id] = residency.Engine{Name: id, Site: location, Threads: h.coresByKind[kind]}
 	}
 }
 
-func (h *hearer) EndEvent()                {}
-func (h *hearer) LatestEvent(number int64) { h.last = number }
-func (h *hearer) InvalidEntry(string)      {}
+func (h *engineCollector) EndEvent()                {}
+func (h *engineCollector) LatestEvent(number int64) { h.last = number }
+func (h *engineCollector) InvalidEntry(string)      {}
--- a/internal/cli/program.go
+++ b/internal/cli/program.go
@@ -276,7 +276,8 @@
 					return controller.Event{}, err
 				}
 				return controller.Event{Kind: controller.ConfigurationReloaded,
-					DiscoveryAddress: next.DiscoveryAddress, Tenants: next.FairQueueConfig()}, nil
+					DiscoveryAddress: next.DiscoveryAddress,
+				Tenants: next.FairQueueConfig()}, nil
 			}, log)
 		}, membership, log)
 }
--- a/internal/setup/fleet_test.go
+++ b/internal/setup/fleet_test.go
@@ -17,7 +17,7 @@
 			return err
 		}
 		seen++
-		if strings.HasPrefix(d.Name(), "policy") { // checked against a controller's own
+		if strings.HasPrefix(d.Name(), "policy") { // needs a controller's set-up
 			own, err := Load(filepath.Join(filepath.Dir(path), "c0.yaml"))
 			if err != nil {
 				return err
@@ -46,12 +46,14 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	want := FleetParameters{Lease: 5 * time.Second, ConfinedLease: 5 * time.Second, ClockDrift: 0.01, ElectionTimeout: 500 * time.Millisecond, HeartbeatInterval: 100 * time.Millisecond,
+	want := FleetParameters{Lease: 5 * time.Second, ConfinedLease: 5 * time.Second, ClockDrift: 0.01,
+		ElectionTimeout: 500 * time.Millisecond, HeartbeatInterval: 100 * time.Millisecond,
 		MaxHold: 5 * time.Second, SnapshotAfterEntries: 4096}
 	if got := s.Fleet.Parameters(); got != want {
 		t.Fatalf("%+v", got)
 	}
-	if m := s.Member(); m.Name != "c1" || m.Site != "here" || m.PeerAddress != "127.0.0.1:7601" || m.ClientAddress != "127.0.0.1:6561" {
+	if m := s.Member(); m.Name != "c1" || m.Site != "here" || m.PeerAddress != "127.0.0.1:7601" ||
+		m.ClientAddress != "127.0.0.1:6561" {
 		t.Fatalf("%+v", m)
 	}
 	text, _ := os.ReadFile("../../deploy/fleet/c0.yaml")
@@ -61,7 +63,7 @@
 	}
 }
 
-// Each case spoils one line of the example; the error must name the field and its line.
+// Each case breaks one line of the example. The error must name the field and its line.
 func TestFleetErrorsNameTheField(t *testing.T) {
 	text, err := os.ReadFile("../../deploy/fleet/c0.yaml")
 	if err != nil {
@@ -88,12 +90,12 @@
 		{"    - {name: c2, address: \"127.0.0.1:7602\"}\n", "", "fleet.voters"},
 		{"keep: 4096", "keeps: 4096", "keeps"},
 	} {
-		spoilt := strings.Replace(string(text), c.old, c.new, 1)
-		if spoilt == string(text) {
+		broken := strings.Replace(string(text), c.old, c.new, 1)
+		if broken == string(text) {
 			t.Fatalf("%q is not in the example", c.old)
 		}
 		var f *FieldError
-		if _, err := Parse("x.yaml", []byte(spoilt)); !errors.As(err, &f) || f.Field != c.field || f.Line == 0 {
+		if _, err := Parse("x.yaml", []byte(broken)); !errors.As(err, &f) || f.Field != c.field || f.Line == 0 {
 			t.Errorf("%q: %v", c.new, err)
 		}
 	}
