--- a/cmd/railrelay-bench/planted.go
+++ b/cmd/railrelay-bench/planted.go
@@ -6,17 +6,18 @@
 	"railrelay.dev/railrelay/internal/bench"
 )
 
-func planted() *cobra.Command {
+func plantedCommand() *cobra.Command {
 	var directory string
 	var build bool
-	c := &cobra.Command{Use: "planted", Short: "play the tests that have one planted fault each", Args: cobra.NoArgs}
+	c := &cobra.Command{Use: "planted", Short: "play the tests that have one planted fault each",
+		Args: cobra.NoArgs}
 	c.RunE = func(c *cobra.Command, _ []string) error {
 		if build {
 			return bench.BuildPlanted(c.Context(), ".", directory)
 		}
 		return bench.FindPlanted(c.Context(), c.OutOrStdout(), directory)
 	}
-	c.Flags().StringVar(&directory, "planted", plantedDefault, "where they are")
+	c.Flags().StringVar(&directory, "planted", defaultPlantedDirectory, "directory of the tests")
 	c.Flags().BoolVar(&build, "build", false, "only build them, from the root of the tree")
 	return c
 }
--- a/cmd/railrelay-bench/remedy.go
+++ b/cmd/railrelay-bench/remedy.go
@@ -8,8 +8,8 @@
 	"railrelay.dev/railrelay/internal/fleet"
 )
 
-// remedy says what can be done about an error, where it knows.
-func remedy(out io.Writer, err error) {
+// printRemedy prints the remedy of an error that has one.
+func printRemedy(out io.Writer, err error) {
 	var remedied fleet.ErrorWithRemedy
 	if errors.As(err, &remedied) {
 		fmt.Fprintln(out, "Remedy:", remedied.Remedy())
