--- a/cmd/railrelay-fleet/purge_test.go
+++ b/cmd/railrelay-fleet/purge_test.go
@@ -69,7 +69,8 @@
 func (c *customer) asks(id string, fields ...string) client.Answer {
 	c.t.Helper()
 	return c.hears(func(dst []byte, msg uint32) []byte {
-		return client.AppendQuery(dst, msg, "lookup", engine.Statement(engine.Work{Threads: 1, CPU: 5 * time.Millisecond, MemoryMB: 1, Rows: 6000, TableGroup: 3}),
+		work := engine.Work{Threads: 1, CPU: 5 * time.Millisecond, MemoryMB: 1, Rows: 6000, TableGroup: 3}
+		return client.AppendQuery(dst, msg, "lookup", engine.Statement(work),
 			append([]string{"trace", id, "patience", "20000", "team", "a"}, fields...)...)
 	})
 }
--- a/internal/bench/datapath_test.go
+++ b/internal/bench/datapath_test.go
@@ -87,7 +87,8 @@
 	first.traffic.BytesIn[engine.Probes] = 100
 	last.traffic.BytesIn[engine.Probes], last.traffic.BytesOut[engine.Probes], last.traffic.Requests[engine.Probes] = 300, 500, 20
 	last.traffic.BytesIn[engine.Polls], last.traffic.BytesOut[engine.Polls] = 70, 30
-	last.traffic.BytesIn[engine.ControlCalls], last.traffic.BytesOut[engine.Queries], last.traffic.Opened = 40, 900, 5
+	last.traffic.BytesIn[engine.ControlCalls] = 40
+	last.traffic.BytesOut[engine.Queries], last.traffic.Opened = 900, 5
 	x := between(first, last)
 	for name, pair := range map[string][2]float64{
 		"cpu": {x.cpuMs, 200}, "sent": {x.controlSent, 27}, "received": {x.controlReceived, 55}, "looks": {x.probes, 2},
--- a/internal/bench/fairness_test.go
+++ b/internal/bench/fairness_test.go
@@ -279,7 +279,8 @@
 	}
 	n.RunUntil(n.Now + 2*time.Second)
 	c := n.conns[first.Team]
-	c.Submit("00000000000000ff", first.Group, "", 12*time.Second, first.Work, "team", first.Team, "first", first.ID)
+	c.Submit("00000000000000ff", first.Group, "", 12*time.Second, first.Work,
+		"team", first.Team, "first", first.ID)
 	repeats := 0
 	n.Controller.EachTenant(func(_ string, _ int, x fairqueue.Counts) { repeats += x.Repeated })
 	if repeats != 1 {
--- a/internal/bench/fleet_controllers.go
+++ b/internal/bench/fleet_controllers.go
@@ -112,7 +112,8 @@
 		}
 		m := msg
 		c.fleetRun.at(at, func() {
-			a := &world.Query{ID: id, Group: k.Name, Msg: m, SubmittedAt: c.now, Deadline: c.now + patience, Work: work}
+			a := &world.Query{ID: id, Group: k.Name, Msg: m, SubmittedAt: c.now, Deadline: c.now + patience,
+				Work: work}
 			c.open[m], c.byID[id] = a, c
 			c.out.Asked++
 			c.connects()
--- a/internal/bench/relays_faults_test.go
+++ b/internal/bench/relays_faults_test.go
@@ -247,7 +247,8 @@
 func grantsLate(f *relayed) {
 	const late = 400 * time.Millisecond
 	p := f.controllers[0]
-	f.mesh.SetFault("", p.name, faultproxy.Fault{Kind: faultproxy.Delay, Direction: faultproxy.ToTarget, Latency: late})
+	delay := faultproxy.Fault{Kind: faultproxy.Delay, Direction: faultproxy.ToTarget, Latency: late}
+	f.mesh.SetFault("", p.name, delay)
 	begin := time.Now()
 	f.pastLease() // what was granted before is over
 	f.changes(f.asker())
--- a/internal/bench/storm.go
+++ b/internal/bench/storm.go
@@ -91,7 +91,8 @@
 			g.note(p, "cut off")
 			g.mesh.Isolate(p.name)
 		}, func(g *gathering) { g.mesh.Heal() }, past, true},
-		links("one way", faultproxy.Fault{Kind: faultproxy.OneWay, Direction: faultproxy.ToTarget}, toFollower, false, past),
+		links("one way", faultproxy.Fault{Kind: faultproxy.OneWay, Direction: faultproxy.ToTarget},
+			toFollower, false, past),
 		links("slow", faultproxy.Fault{Kind: faultproxy.Slow, Rate: 30_000}, ofLeader, false, short),
 		links("jitter", faultproxy.Fault{Kind: faultproxy.Delay, Latency: 2 * time.Millisecond, Jitter: 60 * time.Millisecond}, (*gathering).all, true, short),
 		links("reset", faultproxy.Fault{Kind: faultproxy.Reset}, (*gathering).all, false, short),
--- a/internal/controller/invalidation_test.go
+++ b/internal/controller/invalidation_test.go
@@ -149,7 +149,9 @@
 	s := newRetainingWorld(t, state)
 	c := s.client()
 	s.SendOrder(fleet.Order{Kind: fleet.ActivatePolicy, Version: 1})
-	s.SendOrder(fleet.Order{Kind: fleet.LeaseRenewed, LeaseEnd: fleet.Forever, ConfinedLeaseEnd: 4 * time.Second})
+	s.SendOrder(fleet.Order{
+		Kind: fleet.LeaseRenewed, LeaseEnd: fleet.Forever, ConfinedLeaseEnd: 4 * time.Second,
+	})
 	a := s.sendAs(c, "linz", 3, "pages", "1")
 	whole := s.sendAs(c, "linz", 3)
 	s.RunUntil(3 * time.Second)
@@ -326,7 +328,8 @@
 	}
 	a := next.purge(next.client(), "patience", "1000", "team", "linz")
 	next.RunUntil(next.Now + time.Second)
-	if n, _, _ := next.Controller.SpoolUsage(); a.Fields["state"] != "purged" || a.Fields["results"] != "1" || n != 0 {
+	n, _, _ := next.Controller.SpoolUsage()
+	if a.Fields["state"] != "purged" || a.Fields["results"] != "1" || n != 0 {
 		t.Errorf("%+v, %d results left", a.Fields, n)
 	}
 }
--- a/internal/fleet/transport/faults_test.go
+++ b/internal/fleet/transport/faults_test.go
@@ -40,7 +40,8 @@
 
 func TestStalledFrameTimesOutAndNextOneArrives(t *testing.T) {
 	a, b, link := newFaultyPair(t, Options{Timeout: 50 * time.Millisecond})
-	link.SetFault(faultproxy.Fault{Kind: faultproxy.Stall, Direction: faultproxy.ToTarget, AfterBytes: 2000}) // lets a hello pass
+	// lets a hello pass
+	link.SetFault(faultproxy.Fault{Kind: faultproxy.Stall, Direction: faultproxy.ToTarget, AfterBytes: 2000})
 	a.Send("b", link.Address(), &node.Message{Consensus: make([]byte, 5000)})
 	a.waitForCount(t, "lost", 1)
 	b.waitForCount(t, "cut", 1)
@@ -96,7 +97,8 @@
 		if err != nil {
 			t.Skip("this system can't listen on all addresses in 127/8:", err)
 		}
-		return Options{Listener: listener, LocalIP: net.ParseIP(mesh.SourceAddress(name)), Timeout: 50 * time.Millisecond}
+		return Options{Listener: listener, LocalIP: net.ParseIP(mesh.SourceAddress(name)),
+			Timeout: 50 * time.Millisecond}
 	}
 	a, b := newPeerPair(t, options("a"), options("b"))
 	t.Cleanup(mesh.Close)
--- a/internal/resultstore/erase_test.go
+++ b/internal/resultstore/erase_test.go
@@ -96,7 +96,8 @@
 	}
 	clean := func(d *disk.Disk, k *resultstore.SpoolStore, when string) {
 		t.Helper()
-		if l := append(d.FilesContaining(marker(purgedTeam)), d.FilesContaining([]byte(purgedTeam))...); len(l) > 0 {
+		l := append(d.FilesContaining(marker(purgedTeam)), d.FilesContaining([]byte(purgedTeam))...)
+		if len(l) > 0 {
 			t.Fatalf("%s: wiped is told, and it is in %v", when, l)
 		}
 		if l, others := theirs(t, k); len(l) > 0 || others != kept {
