--- a/internal/bench/datapath_stage.go
+++ b/internal/bench/datapath_stage.go
@@ -304,7 +304,7 @@
 		probes:     rate(last.traffic.Requests[engine.Probes], first.traffic.Requests[engine.Probes]),
 		probesSent: in(engine.Probes), probesReceived: out(engine.Probes),
 		newsSent: in(engine.Polls), newsReceived: out(engine.Polls),
-		queriesSent: in(engine.Queries) + in(engine.ControlCalls),
+		queriesSent:     in(engine.Queries) + in(engine.ControlCalls),
 		queriesReceived: out(engine.Queries) + out(engine.ControlCalls)}
 	x.controlSent = rate(last.list.In, first.list.In) + x.probesSent + x.newsSent
 	x.controlReceived = rate(last.list.Out, first.list.Out) + x.probesReceived + x.newsReceived
--- a/internal/emulator/disk/disk.go
+++ b/internal/emulator/disk/disk.go
@@ -27,15 +27,15 @@
 }
 
 type file struct {
-	d    *Disk
-	name string
-	p    []byte
+	disk     *Disk
+	name     string
+	contents []byte
 }
 
 type step struct {
 	verb, name string
 	offset     int64
-	p          []byte
+	data       []byte
 }
 
 // New makes an empty one.
@@ -43,9 +43,9 @@
 
 var errClosed = errors.New("no such open file")
 
-func (d *Disk) did(s step) { d.steps = append(d.steps, s) }
+func (d *Disk) record(s step) { d.steps = append(d.steps, s) }
 
-func (d *Disk) fails(verb, name string) error {
+func (d *Disk) injectedError(verb, name string) error {
 	if d.InjectError == nil {
 		return nil
 	}
@@ -63,15 +63,15 @@
 func (d *Disk) Create(name string) (resultstore.File, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if err := d.fails("create", name); err != nil {
+	if err := d.injectedError("create", name); err != nil {
 		return nil, err
 	}
 	if d.files[name] != nil {
 		return nil, os.ErrExist
 	}
-	f := &file{d: d, name: name}
+	f := &file{disk: d, name: name}
 	d.files[name] = f
-	d.did(step{verb: "create", name: name})
+	d.record(step{verb: "create", name: name})
 	return f, nil
 }
 
@@ -90,7 +90,7 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if f := d.files[name]; f != nil {
-		return slices.Clone(f.p), nil
+		return slices.Clone(f.contents), nil
 	}
 	return nil, os.ErrNotExist
 }
@@ -99,11 +99,11 @@
 func (d *Disk) Replace(name string, p []byte) error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if err := d.fails("replace", name); err != nil {
+	if err := d.injectedError("replace", name); err != nil {
 		return err
 	}
-	d.files[name] = &file{d: d, name: name, p: slices.Clone(p)}
-	d.did(step{verb: "replace", name: name, p: slices.Clone(p)})
+	d.files[name] = &file{disk: d, name: name, contents: slices.Clone(p)}
+	d.record(step{verb: "replace", name: name, data: slices.Clone(p)})
 	return nil
 }
 
@@ -111,14 +111,14 @@
 func (d *Disk) Remove(name string) error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if err := d.fails("remove", name); err != nil {
+	if err := d.injectedError("remove", name); err != nil {
 		return err
 	}
 	if d.files[name] == nil {
 		return os.ErrNotExist
 	}
 	delete(d.files, name)
-	d.did(step{verb: "remove", name: name})
+	d.record(step{verb: "remove", name: name})
 	return nil
 }
 
@@ -133,10 +133,10 @@
 func (d *Disk) SyncDir() error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if err := d.fails("syncdir", ""); err != nil {
+	if err := d.injectedError("syncdir", ""); err != nil {
 		return err
 	}
-	d.did(step{verb: "syncdir"})
+	d.record(step{verb: "syncdir"})
 	return nil
 }
 
@@ -145,7 +145,7 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	for _, f := range d.files {
-		sum += int64(len(f.p))
+		sum += int64(len(f.contents))
 	}
 	return sum
 }
@@ -155,7 +155,7 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	for _, name := range slices.Sorted(maps.Keys(d.files)) {
-		if bytes.Contains(d.files[name].p, p) {
+		if bytes.Contains(d.files[name].contents, p) {
 			names = append(names, name)
 		}
 	}
@@ -166,16 +166,16 @@
 func (d *Disk) FlipBit(name string, offset int64, bit uint) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.files[name].p[offset] ^= 1 << bit
+	d.files[name].contents[offset] ^= 1 << bit
 }
 
 func (f *file) ReadAt(p []byte, at int64) (int, error) {
-	f.d.mu.Lock()
-	defer f.d.mu.Unlock()
-	if at >= int64(len(f.p)) {
+	f.disk.mu.Lock()
+	defer f.disk.mu.Unlock()
+	if at >= int64(len(f.contents)) {
 		return 0, io.EOF
 	}
-	n := copy(p, f.p[at:])
+	n := copy(p, f.contents[at:])
 	if n < len(p) {
 		return n, io.EOF
 	}
@@ -183,27 +183,27 @@
 }
 
 func (f *file) WriteAt(p []byte, at int64) (int, error) {
-	f.d.mu.Lock()
-	defer f.d.mu.Unlock()
-	if f.d.files[f.name] != f {
+	f.disk.mu.Lock()
+	defer f.disk.mu.Unlock()
+	if f.disk.files[f.name] != f {
 		return 0, errClosed
 	}
-	if err := f.d.fails("write", f.name); err != nil {
-		if f.d.PartialWrites {
-			f.put(p[:len(p)/2], at)
+	if err := f.disk.injectedError("write", f.name); err != nil {
+		if f.disk.PartialWrites {
+			f.apply(p[:len(p)/2], at)
 		}
 		return 0, err
 	}
-	f.put(p, at)
+	f.apply(p, at)
 	return len(p), nil
 }
 
-func (f *file) put(p []byte, at int64) {
-	f.p = write(f.p, p, at)
-	f.d.did(step{verb: "write", name: f.name, offset: at, p: slices.Clone(p)})
+func (f *file) apply(p []byte, at int64) {
+	f.contents = writeAt(f.contents, p, at)
+	f.disk.record(step{verb: "write", name: f.name, offset: at, data: slices.Clone(p)})
 }
 
-func write(dst, p []byte, at int64) []byte {
+func writeAt(dst, p []byte, at int64) []byte {
 	if need := at + int64(len(p)); need > int64(len(dst)) {
 		dst = append(dst, make([]byte, need-int64(len(dst)))...)
 	}
@@ -212,32 +212,32 @@
 }
 
 func (f *file) Sync() error {
-	f.d.mu.Lock()
-	defer f.d.mu.Unlock()
-	if err := f.d.fails("sync", f.name); err != nil {
+	f.disk.mu.Lock()
+	defer f.disk.mu.Unlock()
+	if err := f.disk.injectedError("sync", f.name); err != nil {
 		return err
 	}
-	f.d.did(step{verb: "sync", name: f.name})
+	f.disk.record(step{verb: "sync", name: f.name})
 	return nil
 }
 
 func (f *file) Truncate(size int64) error {
-	f.d.mu.Lock()
-	defer f.d.mu.Unlock()
-	if err := f.d.fails("truncate", f.name); err != nil {
+	f.disk.mu.Lock()
+	defer f.disk.mu.Unlock()
+	if err := f.disk.injectedError("truncate", f.name); err != nil {
 		return err
 	}
-	if size < int64(len(f.p)) {
-		f.p = f.p[:size:size]
+	if size < int64(len(f.contents)) {
+		f.contents = f.contents[:size:size]
 	}
-	f.d.did(step{verb: "truncate", name: f.name, offset: size})
+	f.disk.record(step{verb: "truncate", name: f.name, offset: size})
 	return nil
 }
 
 func (f *file) Size() (int64, error) {
-	f.d.mu.Lock()
-	defer f.d.mu.Unlock()
-	return int64(len(f.p)), nil
+	f.disk.mu.Lock()
+	defer f.disk.mu.Unlock()
+	return int64(len(f.contents)), nil
 }
 
 func (f *file) Close() error { return nil }
@@ -252,62 +252,62 @@
 )
 
 // After is the directory that a crash after so many steps leaves behind.
-func (d *Disk) AfterCrash(steps int, how Crash) *Disk {
+func (d *Disk) AfterCrash(steps int, crash Crash) *Disk {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	x := New()
-	kept := map[string][]byte{} // as of the last sync
-	named := map[string]bool{}  // files whose names were synced
-	back := map[string][]byte{} // removed, and that not synced
+	crashed := New()
+	synced := map[string][]byte{}          // as of the last sync
+	namesSynced := map[string]bool{}       // files whose names were synced
+	removedUnsynced := map[string][]byte{} // removed, and that not synced
 	for i := range min(len(d.steps), steps+1) {
 		s := d.steps[i]
 		if i == steps { // the step it was in
-			if how != TornWrite || s.verb != "write" {
+			if crash != TornWrite || s.verb != "write" {
 				break
 			}
-			s.p = s.p[:len(s.p)/2]
+			s.data = s.data[:len(s.data)/2]
 		}
 		switch s.verb {
 		case "create":
-			x.files[s.name] = &file{d: x, name: s.name}
+			crashed.files[s.name] = &file{disk: crashed, name: s.name}
 		case "write":
-			f := x.files[s.name]
-			f.p = write(f.p, s.p, s.offset)
+			f := crashed.files[s.name]
+			f.contents = writeAt(f.contents, s.data, s.offset)
 		case "truncate":
-			f := x.files[s.name]
-			f.p = f.p[:min(s.offset, int64(len(f.p)))]
+			f := crashed.files[s.name]
+			f.contents = f.contents[:min(s.offset, int64(len(f.contents)))]
 		case "sync":
-			kept[s.name] = slices.Clone(x.files[s.name].p)
+			synced[s.name] = slices.Clone(crashed.files[s.name].contents)
 		case "replace":
-			x.files[s.name] = &file{d: x, name: s.name, p: slices.Clone(s.p)}
-			kept[s.name], named[s.name] = slices.Clone(s.p), true
-			for name := range x.files { // it syncs the directory
-				named[name] = true
+			crashed.files[s.name] = &file{disk: crashed, name: s.name, contents: slices.Clone(s.data)}
+			synced[s.name], namesSynced[s.name] = slices.Clone(s.data), true
+			for name := range crashed.files { // it syncs the directory
+				namesSynced[name] = true
 			}
-			clear(back)
+			clear(removedUnsynced)
 		case "remove":
-			if named[s.name] {
-				back[s.name] = kept[s.name]
+			if namesSynced[s.name] {
+				removedUnsynced[s.name] = synced[s.name]
 			}
-			delete(x.files, s.name)
-			delete(kept, s.name)
-			delete(named, s.name)
+			delete(crashed.files, s.name)
+			delete(synced, s.name)
+			delete(namesSynced, s.name)
 		case "syncdir":
-			for name := range x.files {
-				named[name] = true
+			for name := range crashed.files {
+				namesSynced[name] = true
 			}
-			clear(back)
+			clear(removedUnsynced)
 		}
 	}
-	if how == PowerLoss {
-		for name, f := range x.files {
-			if f.p = slices.Clone(kept[name]); !named[name] {
-				delete(x.files, name)
+	if crash == PowerLoss {
+		for name, f := range crashed.files {
+			if f.contents = slices.Clone(synced[name]); !namesSynced[name] {
+				delete(crashed.files, name)
 			}
 		}
-		for name, p := range back {
-			x.files[name] = &file{d: x, name: name, p: p}
+		for name, p := range removedUnsynced {
+			crashed.files[name] = &file{disk: crashed, name: name, contents: p}
 		}
 	}
-	return x
+	return crashed
 }
--- a/internal/emulator/disk/index.go
+++ b/internal/emulator/disk/index.go
@@ -10,12 +10,12 @@
 
 // Index is an index in memory that remembers what it held after each step of a disk.
 type Index struct {
-	mu   sync.Mutex
-	disk *Disk
-	held []held
+	mu     sync.Mutex
+	disk   *Disk
+	states []indexState
 }
 
-type held struct {
+type indexState struct {
 	step    int
 	results map[uint64]*resultstore.Meta
 	segment uint64
@@ -23,36 +23,36 @@
 }
 
 // NewIndex makes an empty one beside a disk.
-func NewIndex(d *Disk) *Index { return &Index{disk: d, held: []held{{}}} }
+func NewIndex(d *Disk) *Index { return &Index{disk: d, states: []indexState{{}}} }
 
-func (x *Index) last() *held { return &x.held[len(x.held)-1] }
+func (x *Index) current() *indexState { return &x.states[len(x.states)-1] }
 
 // After is the index as a crash after so many steps of the disk leaves it.
 func (x *Index) AfterCrash(steps int, d *Disk) *Index {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	at := held{}
-	for _, h := range x.held {
+	at := indexState{}
+	for _, h := range x.states {
 		if h.step <= steps {
 			at = h
 		}
 	}
 	at.step = 0
-	return &Index{disk: d, held: []held{at}}
+	return &Index{disk: d, states: []indexState{at}}
 }
 
 // Position is the place up to which it is.
 func (x *Index) Position() (uint64, int64, error) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	return x.last().segment, x.last().offset, nil
+	return x.current().segment, x.current().offset, nil
 }
 
 // Commit changes it at once.
 func (x *Index) Commit(put []*resultstore.Meta, gone []uint64, segment uint64, offset int64) error {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	next := maps.Clone(x.last().results)
+	next := maps.Clone(x.current().results)
 	if next == nil {
 		next = map[uint64]*resultstore.Meta{}
 	}
@@ -62,7 +62,7 @@
 	for _, id := range gone {
 		delete(next, id)
 	}
-	x.held = append(x.held, held{x.disk.StepCount(), next, segment, offset})
+	x.states = append(x.states, indexState{x.disk.StepCount(), next, segment, offset})
 	return nil
 }
 
@@ -70,7 +70,7 @@
 func (x *Index) Get(id uint64) (*resultstore.Meta, error) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	if m := x.last().results[id]; m != nil {
+	if m := x.current().results[id]; m != nil {
 		return m, nil
 	}
 	return nil, resultstore.ErrNotFound
@@ -79,7 +79,7 @@
 // Each hands over all, by number.
 func (x *Index) Each(do func(m *resultstore.Meta) error) error {
 	x.mu.Lock()
-	all := x.last().results
+	all := x.current().results
 	x.mu.Unlock()
 	for _, id := range slices.Sorted(maps.Keys(all)) {
 		if err := do(all[id]); err != nil {
@@ -96,7 +96,7 @@
 func (x *Index) Reset() error {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	x.held = append(x.held, held{step: x.disk.StepCount()})
+	x.states = append(x.states, indexState{step: x.disk.StepCount()})
 	return nil
 }
 
--- a/internal/emulator/engine/engine_test.go
+++ b/internal/emulator/engine/engine_test.go
@@ -51,7 +51,7 @@
 		m.Submit(0, fmt.Sprint(rank), work(2, 10*time.Second), rank, 0, time.Hour)
 		if i == 3 {
 			for k, want := range []float64{2. / 29, 8. / 29, 16. / 29, 32. / 29} {
-				got := m.sessions[fmt.Sprint(k)].rate * 2 // of two threads
+				got := m.sessions[fmt.Sprint(k)].progressRate * 2 // of two threads
 				near(t, fmt.Sprint("cores of rank ", k), got, want, 1e-9)
 			}
 		}
@@ -65,7 +65,7 @@
 	near(t, "low ends", at["low"], 1.875, 0.01)
 	m.Submit(10*time.Second, "a", work(1, 2*time.Second), 1, 0, time.Hour)
 	m.SetPriority(10*time.Second, "a", 3)
-	if m.sessions["a"].rank != 3 {
+	if m.sessions["a"].priority != 3 {
 		t.Error("its priority stays")
 	}
 }
@@ -97,7 +97,7 @@
 
 func (m *Model) noteNow(t *testing.T, id, want string) {
 	t.Helper()
-	m.sessions[id].noteAt = m.now - m.NoteInterval
+	m.sessions[id].lastNoteAt = m.now - m.NoteInterval
 	if _, n := m.Poll(m.now, id); n.Kind != want {
 		t.Errorf("%s: a note of %q, not %q", id, n.Kind, want)
 	}
@@ -144,7 +144,7 @@
 	near(t, "after the pause", ends(m, 8*time.Second)["a"], 5.5, 0.01)
 	m.Submit(8*time.Second, "b", work(1, time.Second), 1, 0, time.Hour)
 	m.Restart(8100 * time.Millisecond)
-	if o, _ := m.Poll(8100*time.Millisecond, "b"); o != Failed || m.able() > m.ColdCapacity+0.01 {
+	if o, _ := m.Poll(8100*time.Millisecond, "b"); o != Failed || m.warmFraction() > m.ColdCapacity+0.01 {
 		t.Fatal("it remembers, or is warm")
 	}
 }
@@ -235,7 +235,7 @@
 	}
 	closed := false
 	c.Close = func() { closed = true }
-	if s.Reset(2*time.Second, true); !closed || len(s.conns) > 0 {
+	if s.Reset(2*time.Second, true); !closed || len(s.connections) > 0 {
 		t.Fatal("its connections outlive it")
 	}
 }
--- a/internal/emulator/engine/listen.go
+++ b/internal/emulator/engine/listen.go
@@ -10,36 +10,36 @@
 // Listener runs a Server on sockets, in real time from when it was made.
 type Listener struct {
 	net.Listener
-	mu     sync.Mutex
-	server *Server
-	start  time.Time
-	timer  *time.Timer
-	wg     sync.WaitGroup
-	open   map[net.Conn]bool
-	done   bool
+	mu          sync.Mutex
+	server      *Server
+	start       time.Time
+	timer       *time.Timer
+	goroutines  sync.WaitGroup
+	connections map[net.Conn]bool
+	closed      bool
 }
 
 // Listen starts an engine on an address ("127.0.0.1:0" for a port of the
 // system's); Close ends it and all it holds.
-func Listen(ctx context.Context, address string, f Config, cold bool) (*Listener, error) {
-	var lc net.ListenConfig
-	l, err := lc.Listen(ctx, "tcp", address)
+func Listen(ctx context.Context, address string, config Config, cold bool) (*Listener, error) {
+	var listenConfig net.ListenConfig
+	inner, err := listenConfig.Listen(ctx, "tcp", address)
 	if err != nil {
 		return nil, err
 	}
-	x := &Listener{Listener: l, server: NewServer(NewModel(f, 0, cold)), start: time.Now(), open: map[net.Conn]bool{}}
-	x.timer = time.AfterFunc(time.Hour, x.due)
-	x.wg.Add(1)
-	go x.accept()
-	return x, nil
+	listener := &Listener{Listener: inner, server: NewServer(NewModel(config, 0, cold)), start: time.Now(), connections: map[net.Conn]bool{}}
+	listener.timer = time.AfterFunc(time.Hour, listener.processDue)
+	listener.goroutines.Add(1)
+	go listener.accept()
+	return listener, nil
 }
 
 // Do runs something on the server at the present time, alone.
-func (l *Listener) WithServer(what func(now time.Duration, s *Server)) {
+func (l *Listener) WithServer(do func(now time.Duration, s *Server)) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	what(time.Since(l.start), l.server)
-	l.arm()
+	do(time.Since(l.start), l.server)
+	l.armTimer()
 }
 
 // Traffic is what its connections have carried so far.
@@ -49,35 +49,35 @@
 	return l.server.Traffic()
 }
 
-func (l *Listener) due() {
+func (l *Listener) processDue() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if !l.done {
+	if !l.closed {
 		l.server.ProcessDue(time.Since(l.start))
-		l.arm()
+		l.armTimer()
 	}
 }
 
-func (l *Listener) arm() {
-	if at, ok := l.server.NextDue(); ok && !l.done {
+func (l *Listener) armTimer() {
+	if at, ok := l.server.NextDue(); ok && !l.closed {
 		l.timer.Reset(max(0, at-time.Since(l.start)))
 	}
 }
 
 func (l *Listener) accept() {
-	defer l.wg.Done()
+	defer l.goroutines.Done()
 	for {
 		c, err := l.Listener.Accept()
 		if err != nil {
 			return
 		}
-		l.wg.Add(1)
+		l.goroutines.Add(1)
 		go l.serve(c)
 	}
 }
 
 func (l *Listener) serve(c net.Conn) {
-	defer l.wg.Done()
+	defer l.goroutines.Done()
 	defer c.Close()
 	// answers are small against a socket's buffer; who doesn't read them loses the connection
 	conn := &Conn{Write: func(p []byte) {
@@ -87,24 +87,24 @@
 		}
 	}, Close: func() { c.Close() }}
 	l.mu.Lock()
-	if l.done {
+	if l.closed {
 		l.mu.Unlock()
 		return
 	}
-	l.open[c] = true
+	l.connections[c] = true
 	l.server.Accept(conn)
 	l.mu.Unlock()
 	p := make([]byte, 16<<10)
 	for {
 		n, err := c.Read(p)
 		l.mu.Lock()
-		if n > 0 && !l.done {
+		if n > 0 && !l.closed {
 			l.server.Receive(time.Since(l.start), conn, p[:n])
-			l.arm()
+			l.armTimer()
 		}
 		if err != nil {
 			l.server.Disconnected(conn)
-			delete(l.open, c)
+			delete(l.connections, c)
 		}
 		l.mu.Unlock()
 		if err != nil {
@@ -117,12 +117,12 @@
 func (l *Listener) Close() error {
 	err := l.Listener.Close()
 	l.mu.Lock()
-	l.done = true
+	l.closed = true
 	l.timer.Stop()
-	for c := range l.open {
+	for c := range l.connections {
 		c.Close()
 	}
 	l.mu.Unlock()
-	l.wg.Wait()
+	l.goroutines.Wait()
 	return err
 }
--- a/internal/emulator/engine/model.go
+++ b/internal/emulator/engine/model.go
@@ -43,17 +43,17 @@
 		SwapPenalty: 4, PageBytes: 6000, MaxQueries: 1000}
 }
 
-func (f Config) orUsual() Config {
-	u := DefaultConfig()
-	f.Cores, f.MemoryMB, f.DiskParallelism = cmp.Or(f.Cores, u.Cores), cmp.Or(f.MemoryMB, u.MemoryMB), cmp.Or(f.DiskParallelism, u.DiskParallelism)
-	if f.PriorityWeights == [4]float64{} {
-		f.PriorityWeights = u.PriorityWeights
-	}
-	f.ColdCapacity, f.WarmUp, f.NoteInterval = cmp.Or(f.ColdCapacity, u.ColdCapacity), cmp.Or(f.WarmUp, u.WarmUp), cmp.Or(f.NoteInterval, u.NoteInterval)
-	f.PollTimeout, f.AbandonAfter, f.TableCacheTTL = cmp.Or(f.PollTimeout, u.PollTimeout), cmp.Or(f.AbandonAfter, u.AbandonAfter), cmp.Or(f.TableCacheTTL, u.TableCacheTTL)
-	f.ColdTableFactor, f.SwapPenalty = cmp.Or(f.ColdTableFactor, u.ColdTableFactor), cmp.Or(f.SwapPenalty, u.SwapPenalty)
-	f.PageBytes, f.MaxQueries = cmp.Or(f.PageBytes, u.PageBytes), cmp.Or(f.MaxQueries, u.MaxQueries)
-	return f
+func (c Config) withDefaults() Config {
+	defaults := DefaultConfig()
+	c.Cores, c.MemoryMB, c.DiskParallelism = cmp.Or(c.Cores, defaults.Cores), cmp.Or(c.MemoryMB, defaults.MemoryMB), cmp.Or(c.DiskParallelism, defaults.DiskParallelism)
+	if c.PriorityWeights == [4]float64{} {
+		c.PriorityWeights = defaults.PriorityWeights
+	}
+	c.ColdCapacity, c.WarmUp, c.NoteInterval = cmp.Or(c.ColdCapacity, defaults.ColdCapacity), cmp.Or(c.WarmUp, defaults.WarmUp), cmp.Or(c.NoteInterval, defaults.NoteInterval)
+	c.PollTimeout, c.AbandonAfter, c.TableCacheTTL = cmp.Or(c.PollTimeout, defaults.PollTimeout), cmp.Or(c.AbandonAfter, defaults.AbandonAfter), cmp.Or(c.TableCacheTTL, defaults.TableCacheTTL)
+	c.ColdTableFactor, c.SwapPenalty = cmp.Or(c.ColdTableFactor, defaults.ColdTableFactor), cmp.Or(c.SwapPenalty, defaults.SwapPenalty)
+	c.PageBytes, c.MaxQueries = cmp.Or(c.PageBytes, defaults.PageBytes), cmp.Or(c.MaxQueries, defaults.MaxQueries)
+	return c
 }
 
 // Work is what a statement takes.
@@ -87,46 +87,46 @@
 
 // session is one query.
 type session struct {
-	id       string
-	work     Work
-	rank     int
-	grantMB  float64
-	alone    float64 // seconds it takes on an idle engine
-	left     float64 // of those
-	rate     float64 // of those a second, now
-	standing bool    // waits for a load
-	outcome  Outcome
-	at       time.Duration
-	overAt   time.Duration
-	askedAt  time.Duration
-	noteAt   time.Duration
-	until    time.Duration
-	seq      uint64
-	made     [][]byte // its result, once it was asked for
+	id               string
+	work             Work
+	priority         int
+	grantMB          float64
+	idleSeconds      float64 // seconds it takes on an idle engine
+	remainingSeconds float64 // of those
+	progressRate     float64 // of those a second, now
+	blockedByLoad    bool    // waits for a load
+	outcome          Outcome
+	startedAt        time.Duration
+	endedAt          time.Duration
+	polledAt         time.Duration
+	lastNoteAt       time.Duration
+	deadline         time.Duration
+	seq              uint64
+	pages            [][]byte // its result, once it was asked for
 }
 
 // Model is one engine's insides. Times never run backwards.
 type Model struct {
 	Config
-	now      time.Duration
-	started  time.Duration // for how warm it is
-	sessions map[string]*session
-	active   []*session // by seq
-	touched  map[int64]time.Duration
-	seq      uint64
-	stopped  bool // a pause: nothing moves
+	now              time.Duration
+	started          time.Duration // for how warm it is
+	sessions         map[string]*session
+	active           []*session // by seq
+	tableGroupUsedAt map[int64]time.Duration
+	seq              uint64
+	paused           bool // a pause: nothing moves
 	// Ended is told of each query that is over, if it is set.
 	OnEnd func(id string, outcome Outcome, at time.Duration)
 	// Peak is the most queries that ran at once.
 	PeakQueries int
 	// Busy is the core time that was used, in seconds.
 	BusyCoreSeconds float64
-	used            float64 // cores in use
+	coresInUse      float64 // cores in use
 }
 
 // NewModel makes an engine; one that is cold has just started.
-func NewModel(f Config, now time.Duration, cold bool) *Model {
-	m := &Model{Config: f.orUsual(), now: now, sessions: map[string]*session{}, touched: map[int64]time.Duration{}}
+func NewModel(config Config, now time.Duration, cold bool) *Model {
+	m := &Model{Config: config.withDefaults(), now: now, sessions: map[string]*session{}, tableGroupUsedAt: map[int64]time.Duration{}}
 	if m.started = now; !cold {
 		m.started = now - m.WarmUp
 	}
@@ -134,13 +134,13 @@
 }
 
 // able is the part of its cores that it has, by how warm it is.
-func (m *Model) able() float64 {
+func (m *Model) warmFraction() float64 {
 	age := float64(m.now-m.started) / float64(m.WarmUp)
 	return m.ColdCapacity + (1-m.ColdCapacity)*min(1, max(0, age))
 }
 
 // Post starts a query; false if it is turned away unseen.
-func (m *Model) Submit(now time.Duration, id string, w Work, rank int, grantMB float64, within time.Duration) bool {
+func (m *Model) Submit(now time.Duration, id string, work Work, priority int, grantMB float64, timeout time.Duration) bool {
 	m.Advance(now)
 	if s := m.sessions[id]; s != nil && s.outcome == Running {
 		return false
@@ -148,81 +148,81 @@
 	if len(m.active) >= m.MaxQueries {
 		return false
 	}
-	w.Threads = max(1, w.Threads)
-	plan := max(1, w.PlanFactor)
-	disk := w.Disk.Seconds()
-	if t, warm := m.touched[w.TableGroup]; !warm || now-t > m.TableCacheTTL {
+	work.Threads = max(1, work.Threads)
+	plan := max(1, work.PlanFactor)
+	disk := work.Disk.Seconds()
+	if t, warm := m.tableGroupUsedAt[work.TableGroup]; !warm || now-t > m.TableCacheTTL {
 		disk *= m.ColdTableFactor
 	}
-	if grantMB > 0 && grantMB < w.MemoryMB { // what doesn't fit goes to disk and back
-		disk += w.CPU.Seconds() * 0.5 * (1 - grantMB/w.MemoryMB)
+	if grantMB > 0 && grantMB < work.MemoryMB { // what doesn't fit goes to disk and back
+		disk += work.CPU.Seconds() * 0.5 * (1 - grantMB/work.MemoryMB)
 	}
 	m.seq++
-	s := &session{id: id, work: w, rank: min(max(rank, 0), 3), grantMB: grantMB, seq: m.seq, at: now, askedAt: now, noteAt: now,
-		until: now + within}
-	if s.grantMB = w.MemoryMB; grantMB > 0 { // what is granted and not needed is not used
-		s.grantMB = min(grantMB, w.MemoryMB)
+	s := &session{id: id, work: work, priority: min(max(priority, 0), 3), grantMB: grantMB, seq: m.seq, startedAt: now, polledAt: now, lastNoteAt: now,
+		deadline: now + timeout}
+	if s.grantMB = work.MemoryMB; grantMB > 0 { // what is granted and not needed is not used
+		s.grantMB = min(grantMB, work.MemoryMB)
 	}
 	s.work.Disk = time.Duration(disk * plan * float64(time.Second))
-	s.work.CPU = time.Duration(float64(w.CPU) * plan)
-	s.alone = max(1e-5, s.work.CPU.Seconds()/w.Threads, s.work.Disk.Seconds())
-	s.left = s.alone
-	m.touched[w.TableGroup] = now
+	s.work.CPU = time.Duration(float64(work.CPU) * plan)
+	s.idleSeconds = max(1e-5, s.work.CPU.Seconds()/work.Threads, s.work.Disk.Seconds())
+	s.remainingSeconds = s.idleSeconds
+	m.tableGroupUsedAt[work.TableGroup] = now
 	m.sessions[id] = s
 	m.active = append(m.active, s)
 	m.PeakQueries = max(m.PeakQueries, len(m.active))
-	m.share()
+	m.allocate()
 	return true
 }
 
 // Advance brings all to a time: progress, ends and what was forgotten.
 func (m *Model) Advance(now time.Duration) {
 	for m.now < now {
-		next := min(now, m.change())
-		if !m.stopped {
+		next := min(now, m.nextChange())
+		if !m.paused {
 			span := (next - m.now).Seconds()
-			m.BusyCoreSeconds += span * m.used
+			m.BusyCoreSeconds += span * m.coresInUse
 			for _, s := range m.active {
-				s.left -= s.rate * span
+				s.remainingSeconds -= s.progressRate * span
 			}
 		}
 		m.now = next
 		ended := false
 		for _, s := range slices.Clone(m.active) {
 			switch {
-			case m.stopped:
-			case s.left <= 1e-9:
-				m.over(s, Succeeded)
+			case m.paused:
+			case s.remainingSeconds <= 1e-9:
+				m.end(s, Succeeded)
 				ended = true
-			case m.now >= s.askedAt+m.AbandonAfter, m.now >= s.until:
-				m.over(s, Failed)
+			case m.now >= s.polledAt+m.AbandonAfter, m.now >= s.deadline:
+				m.end(s, Failed)
 				ended = true
 			}
 		}
-		if ended || m.able() < 1 {
-			m.share()
+		if ended || m.warmFraction() < 1 {
+			m.allocate()
 		}
 	}
 	for id, s := range m.sessions { // its pages stay as long as somebody asks
-		if s.outcome != Running && m.now > max(s.overAt, s.askedAt)+m.AbandonAfter {
+		if s.outcome != Running && m.now > max(s.endedAt, s.polledAt)+m.AbandonAfter {
 			delete(m.sessions, id)
 		}
 	}
 }
 
 // change is when something changes by itself, never before now.
-func (m *Model) change() time.Duration {
+func (m *Model) nextChange() time.Duration {
 	next := time.Duration(math.MaxInt64)
-	if m.stopped {
+	if m.paused {
 		return next
 	}
 	for _, s := range m.active {
-		if s.rate > 0 {
-			next = min(next, m.now+time.Duration(math.Ceil(s.left/s.rate*1e9)))
+		if s.progressRate > 0 {
+			next = min(next, m.now+time.Duration(math.Ceil(s.remainingSeconds/s.progressRate*1e9)))
 		}
-		next = min(next, s.askedAt+m.AbandonAfter, s.until)
+		next = min(next, s.polledAt+m.AbandonAfter, s.deadline)
 	}
-	if m.able() < 1 && len(m.active) > 0 {
+	if m.warmFraction() < 1 && len(m.active) > 0 {
 		next = min(next, m.now+100*time.Millisecond)
 	}
 	return max(next, m.now+1)
@@ -230,50 +230,50 @@
 
 // Next is when something ends by itself; false if nothing runs.
 func (m *Model) NextEvent() (time.Duration, bool) {
-	if len(m.active) == 0 || m.stopped {
+	if len(m.active) == 0 || m.paused {
 		return 0, false
 	}
-	return m.change(), true
+	return m.nextChange(), true
 }
 
-func (m *Model) over(s *session, as Outcome) {
+func (m *Model) end(s *session, outcome Outcome) {
 	if s.outcome != Running {
 		return
 	}
-	s.outcome, s.overAt = as, m.now
+	s.outcome, s.endedAt = outcome, m.now
 	m.active = slices.DeleteFunc(m.active, func(x *session) bool { return x == s })
-	m.touched[s.work.TableGroup] = m.now
+	m.tableGroupUsedAt[s.work.TableGroup] = m.now
 	if m.OnEnd != nil {
-		m.OnEnd(s.id, as, m.now)
+		m.OnEnd(s.id, outcome, m.now)
 	}
 }
 
 // share sets every session's rate: cores and disks go round by priority, nobody
 // gets more than it can use, and what is left over goes to the others.
-func (m *Model) share() {
+func (m *Model) allocate() {
 	memory := 0.0
 	for _, s := range m.active {
 		memory += s.grantMB
-		s.standing = (s.work.Load || s.work.WaitsForLoad) && m.lockedFor(s)
+		s.blockedByLoad = (s.work.Load || s.work.WaitsForLoad) && m.isLockedFor(s)
 	}
-	slower := 1 + m.SwapPenalty*max(0, memory/m.MemoryMB-1)
-	var going []*session
+	slowdown := 1 + m.SwapPenalty*max(0, memory/m.MemoryMB-1)
+	var runnable []*session
 	for _, s := range m.active {
-		if s.rate = 0; !s.standing {
-			going = append(going, s)
+		if s.progressRate = 0; !s.blockedByLoad {
+			runnable = append(runnable, s)
 		}
 	}
-	cpu := fill(going, m.Cores*m.able(), m.PriorityWeights, func(s *session) float64 { return s.work.CPU.Seconds() / s.alone })
-	disk := fill(going, m.DiskParallelism, m.PriorityWeights, func(s *session) float64 { return s.work.Disk.Seconds() / s.alone })
-	m.used = 0
-	for i, s := range going {
-		s.rate = min(cpu[i], disk[i]) / slower
-		m.used += s.rate * s.work.CPU.Seconds() / s.alone
+	cpu := allocateShares(runnable, m.Cores*m.warmFraction(), m.PriorityWeights, func(s *session) float64 { return s.work.CPU.Seconds() / s.idleSeconds })
+	disk := allocateShares(runnable, m.DiskParallelism, m.PriorityWeights, func(s *session) float64 { return s.work.Disk.Seconds() / s.idleSeconds })
+	m.coresInUse = 0
+	for i, s := range runnable {
+		s.progressRate = min(cpu[i], disk[i]) / slowdown
+		m.coresInUse += s.progressRate * s.work.CPU.Seconds() / s.idleSeconds
 	}
 }
 
 // lockedFor: a load of its tables that came before it runs here.
-func (m *Model) lockedFor(s *session) bool {
+func (m *Model) isLockedFor(s *session) bool {
 	for _, x := range m.active {
 		if x != s && x.work.Load && x.work.TableGroup == s.work.TableGroup && (!s.work.Load || x.seq < s.seq) {
 			return true
@@ -283,30 +283,30 @@
 }
 
 // fill gives each the part of its demand that it gets, 0 to 1.
-func fill(l []*session, room float64, ranks [4]float64, demand func(*session) float64) []float64 {
-	got := make([]float64, len(l))
-	order := make([]int, 0, len(l))
+func allocateShares(sessions []*session, capacity float64, ranks [4]float64, demand func(*session) float64) []float64 {
+	shares := make([]float64, len(sessions))
+	order := make([]int, 0, len(sessions))
 	weights := 0.0
-	for i, s := range l {
+	for i, s := range sessions {
 		if demand(s) <= 0 {
-			got[i] = 1
+			shares[i] = 1
 			continue
 		}
 		order = append(order, i)
-		weights += ranks[s.rank] * s.work.Threads
+		weights += ranks[s.priority] * s.work.Threads
 	}
-	weight := func(i int) float64 { return ranks[l[i].rank] * l[i].work.Threads }
+	weight := func(i int) float64 { return ranks[sessions[i].priority] * sessions[i].work.Threads }
 	slices.SortFunc(order, func(a, b int) int {
-		return cmp.Or(cmp.Compare(demand(l[a])/weight(a), demand(l[b])/weight(b)), cmp.Compare(l[a].seq, l[b].seq))
+		return cmp.Or(cmp.Compare(demand(sessions[a])/weight(a), demand(sessions[b])/weight(b)), cmp.Compare(sessions[a].seq, sessions[b].seq))
 	})
 	for _, i := range order {
-		d := demand(l[i])
-		x := min(d, room*weight(i)/weights)
-		got[i] = x / d
-		room -= x
+		want := demand(sessions[i])
+		share := min(want, capacity*weight(i)/weights)
+		shares[i] = share / want
+		capacity -= share
 		weights -= weight(i)
 	}
-	return got
+	return shares
 }
 
 // Ask is what there is to say of a query now: how it stands and a note, if one is
@@ -317,26 +317,26 @@
 	if s == nil {
 		return Failed, ProgressNote{}
 	}
-	s.askedAt = now
+	s.polledAt = now
 	if s.outcome != Running {
 		return s.outcome, ProgressNote{}
 	}
-	return Running, m.note(s)
+	return Running, m.progressNote(s)
 }
 
 // note tells how far a query is, once each period.
-func (m *Model) note(s *session) ProgressNote {
-	if m.now < s.noteAt+m.NoteInterval {
+func (m *Model) progressNote(s *session) ProgressNote {
+	if m.now < s.lastNoteAt+m.NoteInterval {
 		return ProgressNote{}
 	}
-	s.noteAt = m.now
+	s.lastNoteAt = m.now
 	switch {
-	case s.standing:
+	case s.blockedByLoad:
 		return ProgressNote{"stall", 2}
-	case s.grantMB < s.work.MemoryMB && m.now < s.at+2*m.NoteInterval:
+	case s.grantMB < s.work.MemoryMB && m.now < s.startedAt+2*m.NoteInterval:
 		return ProgressNote{"disk", s.work.MemoryMB - s.grantMB}
 	}
-	return ProgressNote{"advance", 1 - s.left/s.alone}
+	return ProgressNote{"advance", 1 - s.remainingSeconds/s.idleSeconds}
 }
 
 // NoteAt is when the next note on a query is due.
@@ -345,7 +345,7 @@
 	if s == nil || s.outcome != Running {
 		return 0, false
 	}
-	return s.noteAt + m.NoteInterval, true
+	return s.lastNoteAt + m.NoteInterval, true
 }
 
 // Result is what a query that ended well told: its work and its rows.
@@ -358,48 +358,48 @@
 }
 
 // Rank changes a query's priority, GiveUp ends it.
-func (m *Model) SetPriority(now time.Duration, id string, rank int) {
+func (m *Model) SetPriority(now time.Duration, id string, priority int) {
 	m.Advance(now)
 	if s := m.sessions[id]; s != nil && s.outcome == Running {
-		s.rank = min(max(rank, 0), 3)
-		m.share()
+		s.priority = min(max(priority, 0), 3)
+		m.allocate()
 	}
 }
 
 func (m *Model) Cancel(now time.Duration, id string) {
 	m.Advance(now)
 	if s := m.sessions[id]; s != nil && s.outcome == Running {
-		m.over(s, Failed)
-		m.share()
+		m.end(s, Failed)
+		m.allocate()
 	}
 }
 
 // Pause stops everything, Resume goes on from there: what ran has not moved.
 func (m *Model) Pause(now time.Duration) {
 	m.Advance(now)
-	m.stopped = true
+	m.paused = true
 }
 
 func (m *Model) Resume(now time.Duration) {
-	if !m.stopped {
+	if !m.paused {
 		return
 	}
-	m.now, m.stopped = max(now, m.now), false
+	m.now, m.paused = max(now, m.now), false
 	for _, s := range m.active { // nobody could ask
-		s.askedAt = m.now
+		s.polledAt = m.now
 	}
-	m.share()
+	m.allocate()
 }
 
 // Restart makes the process a new and cold one, which knows nothing of what ran.
 func (m *Model) Restart(now time.Duration) {
 	m.Advance(now)
 	for _, s := range slices.Clone(m.active) {
-		m.over(s, Failed)
+		m.end(s, Failed)
 	}
 	clear(m.sessions)
-	clear(m.touched)
-	m.started, m.stopped = now, false
+	clear(m.tableGroupUsedAt)
+	m.started, m.paused = now, false
 }
 
 // Load is the engine's report of itself.
@@ -408,7 +408,7 @@
 	used := 0.0
 	for _, s := range m.active {
 		memory += s.grantMB / m.MemoryMB
-		used += s.rate * s.work.Disk.Seconds() / s.alone
+		used += s.progressRate * s.work.Disk.Seconds() / s.idleSeconds
 	}
-	return len(m.active), m.used / m.Cores, memory, min(1, used/m.DiskParallelism)
+	return len(m.active), m.coresInUse / m.Cores, memory, min(1, used/m.DiskParallelism)
 }
--- a/internal/emulator/engine/server.go
+++ b/internal/emulator/engine/server.go
@@ -24,8 +24,8 @@
 	ExternalLoad func() (held int, cores float64)
 	// Spoil is how many of the next pages are spoilt on their way.
 	TruncatedPages int
-	conns          []*Conn
-	holding        []*Conn // those with a call that is held for news, in turn
+	connections    []*Conn
+	waiting        []*Conn // those with a call that is held for news, in turn
 	silent         bool
 	// Calls counts what came, by method.
 	RequestCounts map[string]int
@@ -35,15 +35,15 @@
 // Conn is one connection. Write is called with whole answers, Close if the
 // engine ends it.
 type Conn struct {
-	Write func(p []byte)
-	Close func()
-	in    []byte
-	id    string        // of the call that is held
-	since time.Duration // when it came
-	held  bool
-	gone  bool
-	call  TrafficKind // the one answered next
-	count *Traffic    // of its engine
+	Write        func(p []byte)
+	Close        func()
+	input        []byte
+	waitingID    string        // of the call that is held
+	waitingSince time.Duration // when it came
+	waiting      bool
+	closed       bool
+	requestKind  TrafficKind // the one answered next
+	traffic      *Traffic    // of its engine
 }
 
 // NewServer puts the protocol round a model.
@@ -53,30 +53,30 @@
 
 // Accept adds a connection.
 func (s *Server) Accept(c *Conn) {
-	c.count = &s.traffic
+	c.traffic = &s.traffic
 	s.traffic.Opened++
-	s.conns = append(s.conns, c)
+	s.connections = append(s.connections, c)
 }
 
 // Gone takes one away that ended.
 func (s *Server) Disconnected(c *Conn) {
-	c.gone = true
+	c.closed = true
 	is := func(x *Conn) bool { return x == c }
-	s.conns, s.holding = slices.DeleteFunc(s.conns, is), slices.DeleteFunc(s.holding, is)
+	s.connections, s.waiting = slices.DeleteFunc(s.connections, is), slices.DeleteFunc(s.waiting, is)
 }
 
 // Got takes bytes that came on a connection.
 func (s *Server) Receive(now time.Duration, c *Conn, p []byte) {
-	if s.silent || c.gone {
+	if s.silent || c.closed {
 		return // they lie in a buffer for ever
 	}
-	c.in = append(c.in, p...)
-	for !c.gone && !c.held {
-		head, rest, ok := bytes.Cut(c.in, []byte("\r\n\r\n"))
+	c.input = append(c.input, p...)
+	for !c.closed && !c.waiting {
+		head, rest, ok := bytes.Cut(c.input, []byte("\r\n\r\n"))
 		if !ok {
 			return
 		}
-		field := func(name string) string { return lookup(head, name) }
+		field := func(name string) string { return headerValue(head, name) }
 		length, _ := strconv.Atoi(field("Content-Length"))
 		if len(rest) < length {
 			return
@@ -84,20 +84,20 @@
 		line, _, _ := bytes.Cut(head, []byte("\r\n"))
 		words := strings.Fields(string(line))
 		if len(words) < 2 || length < 0 {
-			s.end(c)
+			s.closeConnection(c)
 			return
 		}
 		body := bytes.Clone(rest[:length])
-		c.call = kindOfCall(words[0], words[1])
-		s.traffic.Requests[c.call]++
-		s.traffic.BytesIn[c.call] += len(c.in) - len(rest) + length
-		c.in = append([]byte{}, rest[length:]...)
-		s.call(now, c, words[0], words[1], field, body)
+		c.requestKind = requestKind(words[0], words[1])
+		s.traffic.Requests[c.requestKind]++
+		s.traffic.BytesIn[c.requestKind] += len(c.input) - len(rest) + length
+		c.input = append([]byte{}, rest[length:]...)
+		s.handle(now, c, words[0], words[1], field, body)
 	}
 	s.ProcessDue(now)
 }
 
-func lookup(head []byte, name string) string {
+func headerValue(head []byte, name string) string {
 	for l := range bytes.SplitSeq(head, []byte("\r\n")) {
 		if n, v, ok := bytes.Cut(l, []byte(":")); ok && strings.EqualFold(string(n), name) {
 			return strings.TrimSpace(string(v))
@@ -106,26 +106,26 @@
 	return ""
 }
 
-func (s *Server) end(c *Conn) {
+func (s *Server) closeConnection(c *Conn) {
 	s.Disconnected(c)
 	if c.Close != nil {
 		c.Close()
 	}
 }
 
-func (s *Server) call(now time.Duration, c *Conn, method, path string, field func(string) string, body []byte) {
+func (s *Server) handle(now time.Duration, c *Conn, method, path string, field func(string) string, body []byte) {
 	s.RequestCounts[method]++
 	parts := strings.Split(strings.Trim(path, "/"), "/")
 	switch {
 	case path == "/ping":
-		c.answer(200, "", nil)
+		c.respond(200, "", nil)
 	case path == "/stats":
 		held, cores, memory, disks := s.LoadReport(now)
 		if s.ExternalLoad != nil {
 			others, busy := s.ExternalLoad()
 			held, cores = held+others, min(1, cores+busy)
 		}
-		c.answer(200, fmt.Sprintf("X-Load: outstanding:%d;utilization:%.4f;x0:%.4f;x1:%.4f\r\n", held, cores, memory, disks), nil)
+		c.respond(200, fmt.Sprintf("X-Load: outstanding:%d;utilization:%.4f;x0:%.4f;x1:%.4f\r\n", held, cores, memory, disks), nil)
 	case method == "POST" && path == "/o":
 		id, group := field("X-Req"), field("X-Class")
 		wait, _ := strconv.Atoi(field("X-Wait-Ms"))
@@ -135,79 +135,79 @@
 			rank = 1
 		}
 		if id == "" || wait <= 0 {
-			c.answer(504, "X-Not-Run: 1\r\n", nil)
+			c.respond(504, "X-Not-Run: 1\r\n", nil)
 			return
 		}
 		if !s.Submit(now, id, s.ParseWork(group, body), rank, grant, time.Duration(wait)*time.Millisecond) {
-			c.answer(503, "X-Not-Run: 1\r\n", nil)
+			c.respond(503, "X-Not-Run: 1\r\n", nil)
 			return
 		}
 		if s.OnSubmit != nil {
 			s.OnSubmit(id, group, rank, now)
 		}
-		s.hold(now, c, id)
+		s.awaitProgress(now, c, id)
 	case method == "GET" && len(parts) == 3 && parts[0] == "o":
 		if page, _ := strconv.Atoi(parts[2]); page > 0 {
-			s.page(now, c, parts[1], page)
+			s.sendPage(now, c, parts[1], page)
 			return
 		}
-		s.hold(now, c, parts[1])
+		s.awaitProgress(now, c, parts[1])
 	case method == "PUT" && len(parts) == 2:
 		rank, _ := strconv.Atoi(string(body))
 		s.SetPriority(now, parts[1], rank)
-		c.answer(204, "", nil)
+		c.respond(204, "", nil)
 	case method == "DELETE" && len(parts) == 2:
 		s.Cancel(now, parts[1])
 		if s.OnRelease != nil {
 			s.OnRelease(parts[1], now)
 		}
-		c.answer(204, "", nil)
+		c.respond(204, "", nil)
 	default:
-		c.answer(500, "", nil)
+		c.respond(500, "", nil)
 	}
 }
 
 // hold keeps a call until there is news of its query.
-func (s *Server) hold(now time.Duration, c *Conn, id string) {
-	c.held, c.id, c.since = true, id, now
+func (s *Server) awaitProgress(now time.Duration, c *Conn, id string) {
+	c.waiting, c.waitingID, c.waitingSince = true, id, now
 	s.Poll(now, id)
-	s.holding = append(s.holding, c)
+	s.waiting = append(s.waiting, c)
 }
 
 // Due brings the engine to a time and answers what is due by then.
 func (s *Server) ProcessDue(now time.Duration) {
 	s.Advance(now)
-	if s.silent || s.stopped {
+	if s.silent || s.paused {
 		return
 	}
-	for _, c := range slices.Clone(s.holding) {
+	for _, c := range slices.Clone(s.waiting) {
 		outcome := Failed
-		x := s.sessions[c.id]
+		x := s.sessions[c.waitingID]
 		if x != nil {
 			outcome = x.outcome
 		}
-		if outcome == Running && now < c.since+s.PollTimeout && now < x.noteAt+s.NoteInterval {
+		if outcome == Running && now < c.waitingSince+s.PollTimeout && now < x.lastNoteAt+s.NoteInterval {
 			continue
 		}
-		s.holding = slices.DeleteFunc(s.holding, func(y *Conn) bool { return y == c })
-		c.held = false
+		s.waiting = slices.DeleteFunc(s.waiting, func(y *Conn) bool { return y == c })
+		c.waiting = false
 		switch outcome {
 		case Running:
-			x.askedAt = now
-			if n := s.note(x); n.Kind != "" {
-				c.answer(202, fmt.Sprintf("X-Cache: %s\r\nReading: %g\r\n", n.Kind, n.Value), nil)
+			x.polledAt = now
+			if n := s.progressNote(x); n.Kind != "" {
+				c.respond(202, fmt.Sprintf("X-Cache: %s\r\nReading: %g\r\n", n.Kind, n.Value), nil)
 			} else {
-				c.answer(202, "", nil)
+				c.respond(202, "", nil)
 			}
 		case Succeeded:
-			x.askedAt = now
-			pages := s.pages(x)
-			c.answer(200, fmt.Sprintf("Chunks: %d\r\nElapsed-Work: %.3f\r\nHigh-Water: %g\r\n", len(pages),
+			x.polledAt = now
+			pages := s.resultPages(x)
+			c.respond(200, fmt.Sprintf("Chunks: %d\r\nElapsed-Work: %.3f\r\nHigh-Water: %g\r\n", len(pages),
 				float64(x.work.CPU)/float64(time.Millisecond), x.work.MemoryMB), pages[0])
 		default:
-			c.answer(500, "", nil)
+			c.respond(500, "", nil)
 		}
-		if len(c.in) > 0 && !c.gone { // a call that came behind it
+		if len(c.input) > 0 && !c.closed { // a call that came behind it
 			s.Receive(now, c, nil)
 		}
 	}
@@ -216,13 +216,13 @@
 // Next is when something is due by itself.
 func (s *Server) NextDue() (time.Duration, bool) {
 	next, any := s.Model.NextEvent()
-	if s.silent || s.stopped {
+	if s.silent || s.paused {
 		return 0, false
 	}
-	for _, c := range s.holding {
-		at := c.since + s.PollTimeout
-		if x := s.sessions[c.id]; x != nil {
-			at = min(at, x.noteAt+s.NoteInterval)
+	for _, c := range s.waiting {
+		at := c.waitingSince + s.PollTimeout
+		if x := s.sessions[c.waitingID]; x != nil {
+			at = min(at, x.lastNoteAt+s.NoteInterval)
 		}
 		if !any || at < next {
 			next, any = at, true
@@ -231,20 +231,20 @@
 	return next, any
 }
 
-func (s *Server) page(now time.Duration, c *Conn, id string, page int) {
+func (s *Server) sendPage(now time.Duration, c *Conn, id string, page int) {
 	s.Poll(now, id)
 	if x := s.sessions[id]; x != nil && x.outcome == Succeeded {
-		if pages := s.pages(x); page < len(pages) {
+		if pages := s.resultPages(x); page < len(pages) {
 			if s.TruncatedPages > 0 {
 				s.TruncatedPages--
-				c.answer(200, fmt.Sprintf("Chunk: %d\r\n", page), pages[page][:len(pages[page])-3])
+				c.respond(200, fmt.Sprintf("Chunk: %d\r\n", page), pages[page][:len(pages[page])-3])
 				return
 			}
-			c.answer(200, fmt.Sprintf("Chunk: %d\r\n", page), pages[page])
+			c.respond(200, fmt.Sprintf("Chunk: %d\r\n", page), pages[page])
 			return
 		}
 	}
-	c.answer(500, "", nil)
+	c.respond(500, "", nil)
 }
 
 // Row is the text of a result's row: anybody can tell whether it is right.
@@ -258,9 +258,9 @@
 	return id + "\trow" + strings.Repeat("-", wide) + "\t" + strconv.Itoa(i) + "\n"
 }
 
-func (s *Server) pages(x *session) [][]byte {
-	if x.made != nil {
-		return x.made
+func (s *Server) resultPages(x *session) [][]byte {
+	if x.pages != nil {
+		return x.pages
 	}
 	pages := [][]byte{nil}
 	for i := range x.work.Rows {
@@ -270,7 +270,7 @@
 		}
 		pages[len(pages)-1] = append(pages[len(pages)-1], row...)
 	}
-	x.made = pages
+	x.pages = pages
 	return pages
 }
 
@@ -286,21 +286,21 @@
 	if s.silent = false; cold {
 		s.Restart(now)
 	}
-	for _, c := range slices.Clone(s.conns) {
-		s.end(c)
+	for _, c := range slices.Clone(s.connections) {
+		s.closeConnection(c)
 	}
 }
 
-var texts = map[int]string{200: "OK", 202: "Accepted", 204: "No Content", 500: "Internal Server Error", 503: "Service Unavailable",
+var statusTexts = map[int]string{200: "OK", 202: "Accepted", 204: "No Content", 500: "Internal Server Error", 503: "Service Unavailable",
 	504: "Gateway Timeout"}
 
-func (c *Conn) answer(status int, fields string, body []byte) {
-	p := fmt.Appendf(nil, "HTTP/1.1 %d %s\r\n%s", status, texts[status], fields)
+func (c *Conn) respond(status int, fields string, body []byte) {
+	p := fmt.Appendf(nil, "HTTP/1.1 %d %s\r\n%s", status, statusTexts[status], fields)
 	if status != 204 {
 		p = fmt.Appendf(p, "Content-Length: %d\r\n", len(body))
 	}
 	p = append(append(p, "\r\n"...), body...)
-	c.count.BytesOut[kindOfAnswer(c.call, status)] += len(p)
+	c.traffic.BytesOut[responseKind(c.requestKind, status)] += len(p)
 	c.Write(p)
 }
 
@@ -312,10 +312,10 @@
 		verb = "INSERT INTO"
 	}
 	return fmt.Appendf(nil, "%s sales_%d.orders -- takes threads=%g cpu_ms=%g disk_ms=%g memory_mb=%g rows=%d plan=%g load=%t waits=%t",
-		verb, w.TableGroup, w.Threads, ms(w.CPU), ms(w.Disk), w.MemoryMB, w.Rows, w.PlanFactor, w.Load, w.WaitsForLoad)
+		verb, w.TableGroup, w.Threads, milliseconds(w.CPU), milliseconds(w.Disk), w.MemoryMB, w.Rows, w.PlanFactor, w.Load, w.WaitsForLoad)
 }
 
-func ms(t time.Duration) float64 { return float64(t) / float64(time.Millisecond) }
+func milliseconds(t time.Duration) float64 { return float64(t) / float64(time.Millisecond) }
 
 // ParseCost reads what Statement wrote. What says nothing takes next to nothing.
 func ParseStatement(_ string, statement []byte) Work {
--- a/internal/emulator/engine/traffic.go
+++ b/internal/emulator/engine/traffic.go
@@ -14,22 +14,22 @@
 	Polls
 	// Orders are a query's end (DELETE) or other priority (PUT), and their answers.
 	ControlCalls
-	kinds
+	trafficKinds
 )
 
 // Traffic is what one engine's connections have carried. Bytes are of HTTP alone,
 // without the headers of TCP and IP.
 type Traffic struct {
-	Opened, Open      int        // connections, in all and now
-	Requests          [kinds]int // by what was called
-	BytesIn, BytesOut [kinds]int // bytes that came and that went out
+	Opened, Open      int               // connections, in all and now
+	Requests          [trafficKinds]int // by what was called
+	BytesIn, BytesOut [trafficKinds]int // bytes that came and that went out
 }
 
 // Plus is the sum with another engine's.
 func (t Traffic) Add(other Traffic) Traffic {
 	t.Opened += other.Opened
 	t.Open += other.Open
-	for kind := range kinds {
+	for kind := range trafficKinds {
 		t.Requests[kind] += other.Requests[kind]
 		t.BytesIn[kind] += other.BytesIn[kind]
 		t.BytesOut[kind] += other.BytesOut[kind]
@@ -40,12 +40,12 @@
 // Traffic is what there was so far.
 func (s *Server) Traffic() Traffic {
 	t := s.traffic
-	t.Open = len(s.conns)
+	t.Open = len(s.connections)
 	return t
 }
 
 // kindOfCall is what a call is for.
-func kindOfCall(method, path string) TrafficKind {
+func requestKind(method, path string) TrafficKind {
 	switch {
 	case path == "/ping" || path == "/stats":
 		return Probes
@@ -61,12 +61,12 @@
 
 // kindOfAnswer is what an answer to a call is for: one that says that the query runs is
 // news, whatever was called, and one to a call for news that brings the end is the query's.
-func kindOfAnswer(call TrafficKind, status int) TrafficKind {
+func responseKind(request TrafficKind, status int) TrafficKind {
 	switch {
 	case status == 202:
 		return Polls
-	case call == Polls:
+	case request == Polls:
 		return Queries
 	}
-	return call
+	return request
 }
--- a/internal/emulator/faultproxy/fault.go
+++ b/internal/emulator/faultproxy/fault.go
@@ -46,44 +46,44 @@
 }
 
 // verdict is what happens to bytes that wait.
-type verdict struct {
-	take int           // so many pass now; none and no wait: hold until another fault is set
-	drop bool          // they are lost
-	wait time.Duration // before they pass
-	hit  bool          // the fault really did something
+type decision struct {
+	passNow int           // so many pass now; none and no wait: hold until another fault is set
+	drop    bool          // they are lost
+	wait    time.Duration // before they pass
+	applied bool          // the fault really did something
 }
 
 // over says what a fault does to n waiting bytes of a connection that has passed
 // some since the fault was set. late is what Delay drew for them, age since they came.
-func (f Fault) over(way Direction, n int, passed int64, late, age time.Duration) verdict {
-	if f.Direction != Both && f.Direction != way {
-		return verdict{take: n}
+func (f Fault) decide(direction Direction, n int, passed int64, delay, age time.Duration) decision {
+	if f.Direction != Both && f.Direction != direction {
+		return decision{passNow: n}
 	}
 	switch f.Kind {
 	case Cut:
-		return verdict{hit: true}
+		return decision{applied: true}
 	case OneWay:
-		return verdict{drop: !f.Hold, hit: true}
+		return decision{drop: !f.Hold, applied: true}
 	case Slow:
 		rate := max(f.Rate, 1)
 		n = min(n, max(rate/50, 1))
-		return verdict{take: n, wait: time.Duration(n) * time.Second / time.Duration(rate), hit: true}
+		return decision{passNow: n, wait: time.Duration(n) * time.Second / time.Duration(rate), applied: true}
 	case Delay:
-		return verdict{take: n, wait: max(late-age, 0), hit: late > 0}
+		return decision{passNow: n, wait: max(delay-age, 0), applied: delay > 0}
 	case Stall:
 		left := max(f.AfterBytes-passed, 0)
-		return verdict{take: int(min(int64(n), left)), hit: int64(n) > left}
+		return decision{passNow: int(min(int64(n), left)), applied: int64(n) > left}
 	}
-	return verdict{take: n}
+	return decision{passNow: n}
 }
 
 // blocks says whether nothing of a way passes at all, so that no connection comes about.
-func (f Fault) blocks(way Direction) bool {
-	return f.Kind == Cut || f.Kind == OneWay && (f.Direction == Both || f.Direction == way)
+func (f Fault) blocks(direction Direction) bool {
+	return f.Kind == Cut || f.Kind == OneWay && (f.Direction == Both || f.Direction == direction)
 }
 
 // late draws what Delay adds to some bytes.
-func (f Fault) late(r *rand.Rand) time.Duration {
+func (f Fault) drawDelay(r *rand.Rand) time.Duration {
 	if f.Jitter <= 0 {
 		return f.Latency
 	}
--- a/internal/emulator/faultproxy/link.go
+++ b/internal/emulator/faultproxy/link.go
@@ -11,11 +11,11 @@
 )
 
 const (
-	chunk        = 16 << 10 // bytes read at once
-	queued       = 64       // chunks that wait in each direction; over it the sender isn't read from
-	connsAtMost  = 1024     // of a link; over it new ones are closed
-	doubleAtMost = 4 << 20  // bytes remembered for Double between two answers; over it they aren't doubled
-	patience     = 5 * time.Second
+	readSize          = 16 << 10 // bytes read at once
+	maxQueuedPieces   = 64       // chunks that wait in each direction; over it the sender isn't read from
+	maxConnections    = 1024     // of a link; over it new ones are closed
+	maxDuplicateBytes = 4 << 20  // bytes remembered for Double between two answers; over it they aren't doubled
+	ioTimeout         = 5 * time.Second
 )
 
 // Link takes connections at Address and passes them on to its target. Who connects to
@@ -26,35 +26,35 @@
 	cancel   context.CancelFunc
 	wg       sync.WaitGroup
 
-	mu      sync.Mutex
-	target  string
-	fault   Fault
-	round   int           // counts Sets
-	changed chan struct{} // closed by the next Set
-	rand    *rand.Rand
-	conns   map[*conn]struct{}
-	struck  map[string]int
-	closed  bool
+	mu          sync.Mutex
+	target      string
+	fault       Fault
+	generation  int           // counts Sets
+	changed     chan struct{} // closed by the next Set
+	rand        *rand.Rand
+	connections map[*connection]struct{}
+	hitCounts   map[string]int
+	closed      bool
 }
 
 // New makes a link to a target. With "" it closes all connections until Target.
 func New(target string) (*Link, error) {
-	l := bare(target)
+	l := newLink(target)
 	var err error
 	if l.listener, err = net.Listen("tcp", "127.0.0.1:0"); err != nil {
 		return nil, err
 	}
-	l.wg.Go(func() { accept(l.listener, l.carry) })
+	l.wg.Go(func() { acceptAll(l.listener, l.accept) })
 	return l, nil
 }
 
-func bare(target string) *Link {
-	l := &Link{target: target, changed: make(chan struct{}), conns: map[*conn]struct{}{}, struck: map[string]int{}}
+func newLink(target string) *Link {
+	l := &Link{target: target, changed: make(chan struct{}), connections: map[*connection]struct{}{}, hitCounts: map[string]int{}}
 	l.ctx, l.cancel = context.WithCancel(context.Background())
 	return l
 }
 
-func accept(from net.Listener, carry func(*net.TCPConn)) {
+func acceptAll(from net.Listener, carry func(*net.TCPConn)) {
 	for {
 		c, err := from.Accept()
 		if err != nil {
@@ -77,24 +77,24 @@
 // Set puts a fault on the link instead of the one before it.
 func (l *Link) SetFault(f Fault) {
 	l.mu.Lock()
-	l.fault, l.round = f, l.round+1
+	l.fault, l.generation = f, l.generation+1
 	l.rand = rand.New(rand.NewPCG(f.Seed, 1))
 	close(l.changed)
 	l.changed = make(chan struct{})
-	var ends []*conn
-	for c := range l.conns {
+	var ends []*connection
+	for c := range l.connections {
 		all := f.Kind == Reset || f.Kind == Cut && !f.Silent
 		if all {
-			l.struck[string(f.Kind)]++
+			l.hitCounts[string(f.Kind)]++
 		}
-		if all || c.spoilt {
+		if all || c.lostBytes {
 			ends = append(ends, c)
 		}
 		c.passed = [3]int64{}
 	}
 	l.mu.Unlock()
 	for _, c := range ends {
-		c.end(f.Kind != Cut)
+		c.close(f.Kind != Cut)
 	}
 }
 
@@ -110,7 +110,7 @@
 func (l *Link) HitCounts() map[string]int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return maps.Clone(l.struck)
+	return maps.Clone(l.hitCounts)
 }
 
 // Close closes all connections and waits for all goroutines.
@@ -122,68 +122,68 @@
 	l.cancel()
 	l.mu.Lock()
 	l.closed = true
-	ends := make([]*conn, 0, len(l.conns))
-	for c := range l.conns {
+	ends := make([]*connection, 0, len(l.connections))
+	for c := range l.connections {
 		ends = append(ends, c)
 	}
 	l.mu.Unlock()
 	for _, c := range ends {
-		c.end(false)
+		c.close(false)
 	}
 	l.wg.Wait()
 	return err
 }
 
-func (l *Link) hit(what string) {
+func (l *Link) countHit(what string) {
 	l.mu.Lock()
-	l.struck[what]++
+	l.hitCounts[what]++
 	l.mu.Unlock()
 }
 
 // conn is one connection through the link.
-type conn struct {
-	l       *Link
-	in      *net.TCPConn // of who connected
-	ctx     context.Context
-	cancel  context.CancelFunc // it ended
-	passed  [3]int64           // bytes by Way since the last Set; by the link's mutex
-	spoilt  bool               // bytes of it were lost, it can't be healed; by the link's mutex
-	pending []byte             // to be doubled; by the link's mutex
-	skip    bool               // pending was too much; by the link's mutex
+type connection struct {
+	link        *Link
+	source      *net.TCPConn // of who connected
+	ctx         context.Context
+	cancel      context.CancelFunc // it ended
+	passed      [3]int64           // bytes by Way since the last Set; by the link's mutex
+	lostBytes   bool               // bytes of it were lost, it can't be healed; by the link's mutex
+	pending     []byte             // to be doubled; by the link's mutex
+	skipPending bool               // pending was too much; by the link's mutex
 
 	mu        sync.Mutex
-	out       *net.TCPConn // to the target, nil: not yet
-	twin      *net.TCPConn // of Double, nil: none
+	target    *net.TCPConn // to the target, nil: not yet
+	duplicate *net.TCPConn // of Double, nil: none
 	ended     bool
 	discarded sync.WaitGroup // what the twin is answered
 }
 
 // carry takes a connection over; it returns at once.
-func (l *Link) carry(in *net.TCPConn) {
+func (l *Link) accept(in *net.TCPConn) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	cut := l.fault.Kind == Cut && !l.fault.Silent
 	if cut {
-		l.struck[string(Cut)]++
+		l.hitCounts[string(Cut)]++
 	}
-	if cut || l.closed || l.target == "" || len(l.conns) >= connsAtMost {
+	if cut || l.closed || l.target == "" || len(l.connections) >= maxConnections {
 		in.SetLinger(0)
 		in.Close()
 		return
 	}
-	c := &conn{l: l, in: in}
+	c := &connection{link: l, source: in}
 	c.ctx, c.cancel = context.WithCancel(l.ctx)
-	l.conns[c] = struct{}{}
+	l.connections[c] = struct{}{}
 	target := l.target
 	l.wg.Go(func() { c.run(target) })
 }
 
 // end closes both sides, by a reset if it is to be one.
-func (c *conn) end(reset bool) {
+func (c *connection) close(reset bool) {
 	c.cancel()
 	c.mu.Lock()
 	c.ended = true
-	for _, s := range []*net.TCPConn{c.in, c.out, c.twin} {
+	for _, s := range []*net.TCPConn{c.source, c.target, c.duplicate} {
 		if s != nil {
 			if reset {
 				s.SetLinger(0)
@@ -195,9 +195,9 @@
 }
 
 // dial connects to the target, for *to; false if that can't be, or it has ended.
-func (c *conn) dial(target string, to **net.TCPConn) bool {
-	d := net.Dialer{Timeout: patience}
-	s, err := d.DialContext(c.l.ctx, "tcp", target)
+func (c *connection) dial(target string, to **net.TCPConn) bool {
+	d := net.Dialer{Timeout: ioTimeout}
+	s, err := d.DialContext(c.link.ctx, "tcp", target)
 	if err != nil {
 		return false
 	}
@@ -211,41 +211,41 @@
 	return true
 }
 
-func (c *conn) run(target string) {
+func (c *connection) run(target string) {
 	var wg sync.WaitGroup
-	there := c.read(&wg, c.in)
-	if c.open() && c.dial(target, &c.out) {
-		back := c.read(&wg, c.out)
-		var pumps sync.WaitGroup
-		pumps.Go(func() { c.pump(ToTarget, there, c.out, target) })
-		pumps.Go(func() { c.pump(FromTarget, back, c.in, target) })
-		pumps.Wait()
-		c.double(target)
+	fromSource := c.readPieces(&wg, c.source)
+	if c.waitUntilOpen() && c.dial(target, &c.target) {
+		fromTarget := c.readPieces(&wg, c.target)
+		var forwarders sync.WaitGroup
+		forwarders.Go(func() { c.forward(ToTarget, fromSource, c.target, target) })
+		forwarders.Go(func() { c.forward(FromTarget, fromTarget, c.source, target) })
+		forwarders.Wait()
+		c.sendDuplicate(target)
 		c.mu.Lock()
-		if c.twin != nil {
-			c.twin.CloseWrite()
-			c.twin.SetReadDeadline(time.Now().Add(patience))
+		if c.duplicate != nil {
+			c.duplicate.CloseWrite()
+			c.duplicate.SetReadDeadline(time.Now().Add(ioTimeout))
 		}
 		c.mu.Unlock()
 		c.discarded.Wait()
-		c.end(false)
+		c.close(false)
 	} else {
-		c.end(true)
+		c.close(true)
 	}
 	wg.Wait()
-	c.l.mu.Lock()
-	delete(c.l.conns, c)
-	c.l.mu.Unlock()
+	c.link.mu.Lock()
+	delete(c.link.connections, c)
+	c.link.mu.Unlock()
 }
 
 // open waits until something would pass to the target.
-func (c *conn) open() bool {
+func (c *connection) waitUntilOpen() bool {
 	for {
-		f, _, changed := c.l.look()
+		f, _, changed := c.link.currentFault()
 		if !f.blocks(ToTarget) {
 			return c.ctx.Err() == nil
 		}
-		c.l.hit(string(f.Kind))
+		c.link.countHit(string(f.Kind))
 		select {
 		case <-changed:
 		case <-c.ctx.Done():
@@ -254,24 +254,24 @@
 	}
 }
 
-func (l *Link) look() (Fault, int, chan struct{}) {
+func (l *Link) currentFault() (Fault, int, chan struct{}) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.fault, l.round, l.changed
+	return l.fault, l.generation, l.changed
 }
 
 type piece struct {
-	bytes []byte
-	came  time.Time
+	bytes      []byte
+	receivedAt time.Time
 }
 
 // read queues what comes. The queue ends where the stream does; a reset ends both ways.
-func (c *conn) read(wg *sync.WaitGroup, from *net.TCPConn) chan piece {
-	queue := make(chan piece, queued)
+func (c *connection) readPieces(wg *sync.WaitGroup, from *net.TCPConn) chan piece {
+	queue := make(chan piece, maxQueuedPieces)
 	wg.Go(func() {
 		defer close(queue)
 		for {
-			b := make([]byte, chunk)
+			b := make([]byte, readSize)
 			n, err := from.Read(b)
 			if n > 0 {
 				select {
@@ -284,7 +284,7 @@
 				return
 			}
 			if err != nil {
-				c.end(true)
+				c.close(true)
 				return
 			}
 		}
@@ -293,19 +293,19 @@
 }
 
 // pump writes what is queued, through the faults, and then the stream's end.
-func (c *conn) pump(way Direction, queue chan piece, to *net.TCPConn, target string) {
+func (c *connection) forward(direction Direction, queue chan piece, to *net.TCPConn, target string) {
 	for p := range queue {
-		if !c.pass(way, p, to) {
-			c.end(true)
+		if !c.passPiece(direction, p, to) {
+			c.close(true)
 			return
 		}
-		if way == FromTarget {
-			c.double(target) // who connected has the answer: a twin's comes second
+		if direction == FromTarget {
+			c.sendDuplicate(target) // who connected has the answer: a twin's comes second
 		}
 	}
 	for { // the end of a stream is held up like its bytes
-		f, _, changed := c.l.look()
-		if !f.blocks(way) {
+		f, _, changed := c.link.currentFault()
+		if !f.blocks(direction) {
 			break
 		}
 		select {
@@ -318,31 +318,31 @@
 }
 
 // pass brings one piece through the fault of now, and those set while it waits.
-func (c *conn) pass(way Direction, p piece, to *net.TCPConn) bool {
-	round, late, b := -1, time.Duration(0), p.bytes
-	for len(b) > 0 {
-		c.l.mu.Lock()
-		f, changed := c.l.fault, c.l.changed
-		fresh := round != c.l.round
-		if fresh && f.Kind == Delay {
-			late = f.late(c.l.rand)
+func (c *connection) passPiece(direction Direction, p piece, to *net.TCPConn) bool {
+	generation, delay, remaining := -1, time.Duration(0), p.bytes
+	for len(remaining) > 0 {
+		c.link.mu.Lock()
+		f, changed := c.link.fault, c.link.changed
+		isNewFault := generation != c.link.generation
+		if isNewFault && f.Kind == Delay {
+			delay = f.drawDelay(c.link.rand)
 		}
-		round = c.l.round
-		v := f.over(way, len(b), c.passed[way], late, time.Since(p.came))
-		if v.hit && fresh {
-			c.l.struck[string(f.Kind)]++
+		generation = c.link.generation
+		decision := f.decide(direction, len(remaining), c.passed[direction], delay, time.Since(p.receivedAt))
+		if decision.applied && isNewFault {
+			c.link.hitCounts[string(f.Kind)]++
 		}
-		if v.drop {
-			c.spoilt = true
+		if decision.drop {
+			c.lostBytes = true
 		}
-		c.l.mu.Unlock()
-		if v.drop {
+		c.link.mu.Unlock()
+		if decision.drop {
 			return true
 		}
-		if v.take == 0 || v.wait > 0 {
+		if decision.passNow == 0 || decision.wait > 0 {
 			var timer <-chan time.Time
-			if v.take > 0 {
-				timer = time.After(v.wait)
+			if decision.passNow > 0 {
+				timer = time.After(decision.wait)
 			}
 			select {
 			case <-timer:
@@ -352,58 +352,58 @@
 				return false
 			}
 		}
-		if way == ToTarget && f.Kind == Duplicate {
-			c.remember(b[:v.take]) // before it is written: the answer may be there before Write returns
+		if direction == ToTarget && f.Kind == Duplicate {
+			c.recordForDuplicate(remaining[:decision.passNow]) // before it is written: the answer may be there before Write returns
 		}
-		n, err := to.Write(b[:v.take])
-		c.l.mu.Lock()
-		if c.l.round == round {
-			c.passed[way] += int64(n)
+		n, err := to.Write(remaining[:decision.passNow])
+		c.link.mu.Lock()
+		if c.link.generation == generation {
+			c.passed[direction] += int64(n)
 		}
 		if err != nil {
 			c.pending = nil
 		}
-		c.l.mu.Unlock()
+		c.link.mu.Unlock()
 		if err != nil {
 			return false
 		}
-		b = b[n:]
+		remaining = remaining[n:]
 	}
 	return true
 }
 
 // remember keeps what is to be doubled.
-func (c *conn) remember(b []byte) {
-	c.l.mu.Lock()
-	defer c.l.mu.Unlock()
+func (c *connection) recordForDuplicate(b []byte) {
+	c.link.mu.Lock()
+	defer c.link.mu.Unlock()
 	switch {
-	case c.skip:
-	case len(c.pending)+len(b) > doubleAtMost:
-		c.pending, c.skip = nil, true
-		c.l.struck["double_left_out"]++
+	case c.skipPending:
+	case len(c.pending)+len(b) > maxDuplicateBytes:
+		c.pending, c.skipPending = nil, true
+		c.link.hitCounts["double_left_out"]++
 	default:
 		c.pending = append(c.pending, b...)
 	}
 }
 
 // double sends what went to the target since the last time once more, by the twin.
-func (c *conn) double(target string) {
-	c.l.mu.Lock()
+func (c *connection) sendDuplicate(target string) {
+	c.link.mu.Lock()
 	b := c.pending
-	c.pending, c.skip = nil, false
-	c.l.mu.Unlock()
+	c.pending, c.skipPending = nil, false
+	c.link.mu.Unlock()
 	if len(b) == 0 {
 		return
 	}
-	if c.twin == nil {
-		if !c.dial(target, &c.twin) {
+	if c.duplicate == nil {
+		if !c.dial(target, &c.duplicate) {
 			return
 		}
-		twin := c.twin
+		twin := c.duplicate
 		c.discarded.Go(func() { io.Copy(io.Discard, twin) })
 	}
-	c.twin.SetWriteDeadline(time.Now().Add(patience))
-	if _, err := c.twin.Write(b); err == nil {
-		c.l.hit(string(Duplicate))
+	c.duplicate.SetWriteDeadline(time.Now().Add(ioTimeout))
+	if _, err := c.duplicate.Write(b); err == nil {
+		c.link.countHit(string(Duplicate))
 	}
 }
--- a/internal/emulator/faultproxy/link_test.go
+++ b/internal/emulator/faultproxy/link_test.go
@@ -40,7 +40,7 @@
 			}
 			go func() {
 				defer c.Close()
-				b := make([]byte, chunk)
+				b := make([]byte, readSize)
 				for {
 					n, err := c.Read(b)
 					if err != nil {
@@ -377,17 +377,17 @@
 		r := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 1))
 		f := RandomFault(r)
 		kinds[f.Kind] = true
-		n := rapid.IntRange(1, chunk).Draw(t, "n")
+		n := rapid.IntRange(1, readSize).Draw(t, "n")
 		passed := rapid.Int64Range(0, 5000).Draw(t, "passed")
 		for _, way := range []Direction{ToTarget, FromTarget} {
-			v := f.over(way, n, passed, f.late(r), 0)
+			v := f.decide(way, n, passed, f.drawDelay(r), 0)
 			switch {
-			case v.take < 0 || v.take > n || v.wait < 0 || v.drop && v.take > 0:
+			case v.passNow < 0 || v.passNow > n || v.wait < 0 || v.drop && v.passNow > 0:
 				t.Fatalf("%+v: %+v of %d", f, v, n)
-			case f.Direction != Both && f.Direction != way && v != verdict{take: n}:
+			case f.Direction != Both && f.Direction != way && v != decision{passNow: n}:
 				t.Fatalf("%+v strikes the other way: %+v", f, v)
-			case f.Kind == Stall && v.take > 0 && passed+int64(v.take) > f.AfterBytes && (f.Direction == Both || f.Direction == way):
-				t.Fatalf("%+v lets %d pass after %d", f, v.take, passed)
+			case f.Kind == Stall && v.passNow > 0 && passed+int64(v.passNow) > f.AfterBytes && (f.Direction == Both || f.Direction == way):
+				t.Fatalf("%+v lets %d pass after %d", f, v.passNow, passed)
 			}
 		}
 	})
--- a/internal/emulator/faultproxy/mesh.go
+++ b/internal/emulator/faultproxy/mesh.go
@@ -16,20 +16,20 @@
 // as on Linux.
 type Mesh struct {
 	names []string
-	pairs map[[2]string]*Link
+	links map[[2]string]*Link
 	wg    sync.WaitGroup
 
-	mu     sync.Mutex
-	fronts map[string]net.Listener
+	mu        sync.Mutex
+	listeners map[string]net.Listener
 }
 
 // NewMesh makes the links. Targets come later.
 func NewMesh(names ...string) *Mesh {
-	m := &Mesh{names: names, pairs: map[[2]string]*Link{}, fronts: map[string]net.Listener{}}
+	m := &Mesh{names: names, links: map[[2]string]*Link{}, listeners: map[string]net.Listener{}}
 	for _, a := range names {
 		for _, b := range names {
 			if a != b {
-				m.pairs[[2]string{a, b}] = bare("")
+				m.links[[2]string{a, b}] = newLink("")
 			}
 		}
 	}
@@ -38,7 +38,7 @@
 
 // Target says where a process listens. Until then, connections to it are closed.
 func (m *Mesh) SetTarget(name, address string) {
-	for pair, l := range m.pairs {
+	for pair, l := range m.links {
 		if pair[1] == name {
 			l.SetTarget(address)
 		}
@@ -46,11 +46,11 @@
 }
 
 // Link is that of a pair, nil if there is none.
-func (m *Mesh) Link(from, to string) *Link { return m.pairs[[2]string{from, to}] }
+func (m *Mesh) Link(from, to string) *Link { return m.links[[2]string{from, to}] }
 
 // Address is where one process reaches another by a listener of the pair's own.
 func (m *Mesh) Address(from, to string) (string, error) {
-	return m.listen(from+" to "+to, m.Link(from, to).carry)
+	return m.listen(from+" to "+to, m.Link(from, to).accept)
 }
 
 // Front is where all reach a process, each from its own Source. Who comes from no
@@ -60,7 +60,7 @@
 		host, _, _ := net.SplitHostPort(c.RemoteAddr().String())
 		for _, from := range m.names {
 			if l := m.Link(from, to); l != nil && m.SourceAddress(from) == host {
-				l.carry(c)
+				l.accept(c)
 				return
 			}
 		}
@@ -71,14 +71,14 @@
 func (m *Mesh) listen(name string, carry func(*net.TCPConn)) (string, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	l := m.fronts[name]
+	l := m.listeners[name]
 	if l == nil {
 		var err error
 		if l, err = net.Listen("tcp", "127.0.0.1:0"); err != nil {
 			return "", err
 		}
-		m.fronts[name] = l
-		m.wg.Go(func() { accept(l, carry) })
+		m.listeners[name] = l
+		m.wg.Go(func() { acceptAll(l, carry) })
 	}
 	return l.Addr().String(), nil
 }
@@ -129,7 +129,7 @@
 // Struck is the sum over all links.
 func (m *Mesh) HitCounts() map[string]int {
 	sum := map[string]int{}
-	for _, l := range m.pairs {
+	for _, l := range m.links {
 		for kind, n := range l.HitCounts() {
 			sum[kind] += n
 		}
@@ -140,12 +140,12 @@
 // Close closes all links and waits for their goroutines.
 func (m *Mesh) Close() {
 	m.mu.Lock()
-	for _, l := range m.fronts {
+	for _, l := range m.listeners {
 		l.Close()
 	}
 	m.mu.Unlock()
 	m.wg.Wait()
-	for _, l := range m.pairs {
+	for _, l := range m.links {
 		l.Close()
 	}
 }
--- a/internal/emulator/feed/feed.go
+++ b/internal/emulator/feed/feed.go
@@ -28,21 +28,21 @@
 // Log is the feed's events from the first, each a line. The first lists all.
 type Log struct{ lines [][]byte }
 
-type members struct {
+type memberList struct {
 	Revision int      `json:"revision"`
 	Complete bool     `json:"complete"`
 	Members  []Engine `json:"members"`
 }
 
 type event struct {
-	N       int     `json:"n"`
-	Members members `json:"members"`
+	N       int        `json:"n"`
+	Members memberList `json:"members"`
 }
 
 // Tell adds an event: of all engines with whole, else of those that changed.
-func (l *Log) Append(whole bool, engines ...Engine) {
+func (l *Log) Append(complete bool, engines ...Engine) {
 	n := len(l.lines) + 1
-	line, err := json.Marshal(event{n, members{n, whole, engines}})
+	line, err := json.Marshal(event{n, memberList{n, complete, engines}})
 	if err != nil {
 		panic(err) // nothing in it can fail
 	}
@@ -82,13 +82,13 @@
 // Listener serves a Log on sockets.
 type Listener struct {
 	net.Listener
-	mu    sync.Mutex
-	log   *Log
-	open  map[net.Conn]bool
-	conns map[net.Conn]int // the last event each was told
-	stop  context.CancelFunc
-	wg    sync.WaitGroup
-	bytes Traffic
+	mu          sync.Mutex
+	log         *Log
+	connections map[net.Conn]bool
+	lastSent    map[net.Conn]int // the last event each was told
+	stop        context.CancelFunc
+	goroutines  sync.WaitGroup
+	traffic     Traffic
 }
 
 // Bytes is what a feed's connections have carried, without the headers of TCP and IP.
@@ -101,47 +101,47 @@
 func (l *Listener) Traffic() Traffic {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.bytes
+	return l.traffic
 }
 
 // Listen starts a feed on an address; Close ends it.
 func Listen(ctx context.Context, address string, log *Log) (*Listener, error) {
-	var lc net.ListenConfig
-	nl, err := lc.Listen(ctx, "tcp", address)
+	var listenConfig net.ListenConfig
+	inner, err := listenConfig.Listen(ctx, "tcp", address)
 	if err != nil {
 		return nil, err
 	}
 	ctx, stop := context.WithCancel(ctx)
-	l := &Listener{Listener: nl, log: log, open: map[net.Conn]bool{}, conns: map[net.Conn]int{}, stop: stop}
-	l.wg.Add(2)
+	l := &Listener{Listener: inner, log: log, connections: map[net.Conn]bool{}, lastSent: map[net.Conn]int{}, stop: stop}
+	l.goroutines.Add(2)
 	go l.accept()
-	go l.beat(ctx)
+	go l.sendHeartbeats(ctx)
 	return l, nil
 }
 
 // Tell adds an event and passes it on to all.
-func (l *Listener) Publish(whole bool, engines ...Engine) {
+func (l *Listener) Publish(complete bool, engines ...Engine) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.log.Append(whole, engines...)
-	for c := range l.conns {
-		l.pass(c)
+	l.log.Append(complete, engines...)
+	for c := range l.lastSent {
+		l.sendNew(c)
 	}
 }
 
-func (l *Listener) pass(c net.Conn) {
+func (l *Listener) sendNew(c net.Conn) {
 	c.SetWriteDeadline(time.Now().Add(time.Second))
-	text := l.log.EventsSince(l.conns[c])
-	l.bytes.Out += len(text)
-	l.bytes.Events += len(text)
+	text := l.log.EventsSince(l.lastSent[c])
+	l.traffic.Out += len(text)
+	l.traffic.Events += len(text)
 	if _, err := c.Write(text); err != nil {
 		c.Close()
 	}
-	l.conns[c] = l.log.LastEvent()
+	l.lastSent[c] = l.log.LastEvent()
 }
 
-func (l *Listener) beat(ctx context.Context) {
-	defer l.wg.Done()
+func (l *Listener) sendHeartbeats(ctx context.Context) {
+	defer l.goroutines.Done()
 	every := time.NewTicker(time.Second)
 	defer every.Stop()
 	for {
@@ -150,10 +150,10 @@
 			return
 		case <-every.C:
 			l.mu.Lock()
-			for c := range l.conns {
+			for c := range l.lastSent {
 				c.SetWriteDeadline(time.Now().Add(time.Second))
 				n, _ := c.Write(l.log.Heartbeat())
-				l.bytes.Out += n
+				l.traffic.Out += n
 			}
 			l.mu.Unlock()
 		}
@@ -161,43 +161,43 @@
 }
 
 func (l *Listener) accept() {
-	defer l.wg.Done()
+	defer l.goroutines.Done()
 	for {
 		c, err := l.Listener.Accept()
 		if err != nil {
 			return
 		}
-		l.wg.Add(1)
+		l.goroutines.Add(1)
 		go l.serve(c)
 	}
 }
 
 func (l *Listener) serve(c net.Conn) {
-	defer l.wg.Done()
+	defer l.goroutines.Done()
 	defer c.Close()
 	l.mu.Lock()
-	l.open[c] = true
+	l.connections[c] = true
 	l.mu.Unlock()
 	var line []byte
 	p := make([]byte, 256)
-	for known := false; ; {
+	for subscribed := false; ; {
 		n, err := c.Read(p)
-		if line = append(line, p[:n]...); !known && bytes.IndexByte(line, '\n') >= 0 {
+		if line = append(line, p[:n]...); !subscribed && bytes.IndexByte(line, '\n') >= 0 {
 			last, ok := ParseSubscription(line)
 			if !ok {
 				return
 			}
-			known = true
+			subscribed = true
 			l.mu.Lock()
-			l.bytes.In += len(line)
-			l.conns[c] = last
-			l.pass(c)
+			l.traffic.In += len(line)
+			l.lastSent[c] = last
+			l.sendNew(c)
 			l.mu.Unlock()
 		}
 		if err != nil || len(line) > 1024 {
 			l.mu.Lock()
-			delete(l.conns, c)
-			delete(l.open, c)
+			delete(l.lastSent, c)
+			delete(l.connections, c)
 			l.mu.Unlock()
 			return
 		}
@@ -209,10 +209,10 @@
 	err := l.Listener.Close()
 	l.stop()
 	l.mu.Lock()
-	for c := range l.open {
+	for c := range l.connections {
 		c.Close()
 	}
 	l.mu.Unlock()
-	l.wg.Wait()
+	l.goroutines.Wait()
 	return err
 }
--- a/internal/emulator/hollow/controller.go
+++ b/internal/emulator/hollow/controller.go
@@ -20,9 +20,9 @@
 )
 
 const (
-	drift      = 0.01
-	keepAtMost = 4096 // entries, as a set-up has it unless it says another number
-	offsetMost = time.Hour
+	drift                = 0.01
+	snapshotAfterEntries = 4096 // entries, as a set-up has it unless it says another number
+	maxClockOffset       = time.Hour
 )
 
 // controller is one hollow controller, started or not. Its methods are called by one
@@ -32,7 +32,7 @@
 	member Member
 	store  *Store
 	gate   *gate
-	tell   func(Event)
+	emit   func(Event)
 
 	running *driver.Driver
 	stop    context.CancelFunc
@@ -40,7 +40,7 @@
 }
 
 func newController(config *Config, member Member, tell func(Event)) *controller {
-	return &controller{config: config, member: member, store: NewStore("disk of "+member.Name, config.WriteDelay), gate: newGate(), tell: tell}
+	return &controller{config: config, member: member, store: NewStore("disk of "+member.Name, config.WriteDelay), gate: newGate(), emit: tell}
 }
 
 // start begins from what the store holds.
@@ -49,17 +49,17 @@
 		return nil
 	}
 	c.gate.set(func(g *gate) { g.paused = false })
-	if !c.spread(ctx) {
+	if !c.delayStart(ctx) {
 		return nil
 	}
 	listener, err := net.Listen("tcp", c.member.ListenAddress)
 	if err != nil {
 		return &driver.ListenError{Purpose: "peers", Address: c.member.ListenAddress, Err: err}
 	}
-	started := time.Now().Add(-c.offset())
+	started := time.Now().Add(-c.clockOffset())
 	shape := c.shaper(listener.Addr())
-	dialer := &dialer{local: hostOf(listener.Addr()), direct: c.config.DirectAddresses, shape: shape, gate: c.gate, abroad: c.abroad}
-	opened, err := driver.Open(driver.Options{Node: c.begin(), Fleet: c.config.Fleet, KeyFile: c.config.Keys, ControlAddress: c.member.ControlAddress, StartTime: started, Log: zerolog.Nop(), CheckPolicy: check,
+	dialer := &dialer{local: hostOf(listener.Addr()), directAddresses: c.config.DirectAddresses, shape: shape, gate: c.gate, isOtherRegion: c.isOtherRegion}
+	opened, err := driver.Open(driver.Options{Node: c.nodeConfig(), Fleet: c.config.Fleet, KeyFile: c.config.Keys, ControlAddress: c.member.ControlAddress, StartTime: started, Log: zerolog.Nop(), CheckPolicy: acceptPolicy,
 		OpenStore: func() (driver.Store, storage.Contents, error) { return c.store, c.store.Contents(), nil },
 		Listener:  &shapedListener{listener, shape}, Dial: dialer.dial})
 	if err != nil {
@@ -67,22 +67,22 @@
 	}
 	running, stop := context.WithCancel(ctx)
 	c.running, c.stop, c.done = opened, stop, make(chan struct{})
-	watch := newObserver(c.member.Name, started, c.gate, c.tell)
+	watch := newObserver(c.member.Name, started, c.gate, c.emit)
 	go func() {
 		defer close(c.done)
 		group, ctx := errgroup.WithContext(running)
 		group.Go(func() error { return opened.Serve(ctx) })
-		group.Go(func() error { return c.tellSites(ctx, opened) })
+		group.Go(func() error { return c.reportSites(ctx, opened) })
 		group.Go(func() error { return watch.serve(ctx, opened.Orders(), opened.Reports()) })
 		if err := group.Wait(); err != nil && running.Err() == nil {
-			c.tell(Event{Kind: Failed, Name: c.member.Name, At: time.Now().UnixNano(), Reason: err.Error()})
+			c.emit(Event{Kind: Failed, Name: c.member.Name, At: time.Now().UnixNano(), Reason: err.Error()})
 		}
 	}()
 	return nil
 }
 
 // spread waits a part of Config.StartWithin; false if ctx ended.
-func (c *controller) spread(ctx context.Context) bool {
+func (c *controller) delayStart(ctx context.Context) bool {
 	wait := time.Duration(c.random().Float64() * float64(c.config.StartWithin))
 	select {
 	case <-time.After(wait):
@@ -93,7 +93,7 @@
 }
 
 // tellSites reports, once, the sites that a real controller would see engines in.
-func (c *controller) tellSites(ctx context.Context, opened *driver.Driver) error {
+func (c *controller) reportSites(ctx context.Context, opened *driver.Driver) error {
 	if len(c.config.Sites) == 0 {
 		return nil
 	}
@@ -105,7 +105,7 @@
 }
 
 // kill ends it at once. Its store stays.
-func (c *controller) kill() {
+func (c *controller) stopNow() {
 	if c.running == nil {
 		return
 	}
@@ -130,11 +130,11 @@
 		FailedPosts: at("failed"), Dropped: at("dropped")}
 }
 
-func (c *controller) begin() node.Config {
+func (c *controller) nodeConfig() node.Config {
 	b := node.Config{Self: fleet.Member{Name: c.member.Name, Site: c.member.Place.Zone,
 		PeerAddress:   c.member.ListenAddress,
 		ClientAddress: c.member.ClientAddress}, Lease: c.config.Lease,
-		ConfinedLease: c.config.Lease, ClockDrift: drift, ElectionTimeout: c.config.Election, HeartbeatInterval: c.config.Heartbeat, SnapshotAfterEntries: keepAtMost}
+		ConfinedLease: c.config.Lease, ClockDrift: drift, ElectionTimeout: c.config.Election, HeartbeatInterval: c.config.Heartbeat, SnapshotAfterEntries: snapshotAfterEntries}
 	for _, v := range c.config.Voters {
 		b.Voters = append(b.Voters, consensus.Voter{Name: v.Name, Address: v.Address})
 	}
@@ -145,8 +145,8 @@
 }
 
 // offset is by how much its clock is ahead: the same for a seed and a name.
-func (c *controller) offset() time.Duration {
-	return time.Duration(c.random().Int64N(int64(offsetMost)))
+func (c *controller) clockOffset() time.Duration {
+	return time.Duration(c.random().Int64N(int64(maxClockOffset)))
 }
 
 func (c *controller) random() *rand.Rand {
@@ -166,7 +166,7 @@
 			defer mu.Unlock()
 			return span + time.Duration(float64(span)*c.config.Links.Jitter*jitter.Float64())
 		}
-		return &shapedConn{Conn: plain, gate: c.gate, abroad: there.Region != c.member.Place.Region, delay: delay, ended: make(chan struct{})}
+		return &shapedConn{Conn: plain, gate: c.gate, otherRegion: there.Region != c.member.Place.Region, delay: delay, ended: make(chan struct{})}
 	}
 }
 
@@ -179,7 +179,7 @@
 	return c.member.Place
 }
 
-func (c *controller) abroad(address string) bool {
+func (c *controller) isOtherRegion(address string) bool {
 	return c.placeOf(address).Region != c.member.Place.Region
 }
 
@@ -191,19 +191,19 @@
 }
 
 // check takes every policy: there is no set-up to hold it against.
-func check(_ string, text []byte, _ driver.PolicyContext) driver.PolicyVerdict {
+func acceptPolicy(_ string, text []byte, _ driver.PolicyContext) driver.PolicyVerdict {
 	return driver.PolicyVerdict{Policy: append([]byte{}, text...)}
 }
 
 // do carries a command out.
-func (c *controller) do(ctx context.Context, command Command) {
+func (c *controller) execute(ctx context.Context, command Command) {
 	switch command.Do {
 	case Start:
 		if err := c.start(ctx); err != nil {
-			c.tell(Event{Kind: Failed, Name: c.member.Name, At: time.Now().UnixNano(), Reason: err.Error()})
+			c.emit(Event{Kind: Failed, Name: c.member.Name, At: time.Now().UnixNano(), Reason: err.Error()})
 		}
 	case Stop:
-		c.kill()
+		c.stopNow()
 	case Pause, Resume:
 		c.gate.set(func(g *gate) { g.paused = command.Do == Pause })
 	case Cut, Heal:
@@ -211,8 +211,8 @@
 	case Delay:
 		c.store.SetDelay(command.Delay)
 	case Report:
-		c.tell(Event{Kind: Counted, Name: c.member.Name, At: time.Now().UnixNano(), Round: command.Round, Counts: c.counts()})
+		c.emit(Event{Kind: Counted, Name: c.member.Name, At: time.Now().UnixNano(), Round: command.Round, Counts: c.counts()})
 	default:
-		c.tell(Event{Kind: Failed, Name: c.member.Name, At: time.Now().UnixNano(), Reason: fmt.Sprintf("no command is called %q", command.Do)})
+		c.emit(Event{Kind: Failed, Name: c.member.Name, At: time.Now().UnixNano(), Reason: fmt.Sprintf("no command is called %q", command.Do)})
 	}
 }
--- a/internal/emulator/hollow/path.go
+++ b/internal/emulator/hollow/path.go
@@ -52,10 +52,10 @@
 }
 
 // pass waits until bytes may pass; false if ended came first.
-func (g *gate) pass(abroad bool, ended <-chan struct{}) bool {
+func (g *gate) pass(otherRegion bool, ended <-chan struct{}) bool {
 	for {
 		g.mu.Lock()
-		held, changed := g.paused || g.cut && abroad, g.changed
+		held, changed := g.paused || g.cut && otherRegion, g.changed
 		g.mu.Unlock()
 		if !held {
 			return true
@@ -69,18 +69,18 @@
 }
 
 // burst is how soon after each other pieces of one message are read or written.
-const burst = 300 * time.Microsecond
+const burstGap = 300 * time.Microsecond
 
 // shapedConn is a connection through the gate and a link that takes its time. Pieces that
 // come in one burst are one message: the link's time passes once for all of them.
 type shapedConn struct {
 	net.Conn
-	gate    *gate
-	abroad  bool
-	delay   func() time.Duration
-	once    sync.Once
-	ended   chan struct{}
-	written time.Time // of the goroutine that writes: when the last piece was
+	gate        *gate
+	otherRegion bool
+	delay       func() time.Duration
+	once        sync.Once
+	ended       chan struct{}
+	written     time.Time // of the goroutine that writes: when the last piece was
 }
 
 // Read waits for the link's time unless the bytes lay there already: then they came with
@@ -89,20 +89,20 @@
 	began := time.Now()
 	n, err := c.Conn.Read(p)
 	if n > 0 {
-		c.wait(time.Since(began) > burst)
+		c.delayPiece(time.Since(began) > burstGap)
 	}
 	return n, err
 }
 
 func (c *shapedConn) Write(p []byte) (int, error) {
-	c.wait(time.Since(c.written) > burst)
+	c.delayPiece(time.Since(c.written) > burstGap)
 	n, err := c.Conn.Write(p)
 	c.written = time.Now()
 	return n, err
 }
 
-func (c *shapedConn) wait(delayed bool) {
-	if c.gate.pass(c.abroad, c.ended) && delayed {
+func (c *shapedConn) delayPiece(delayed bool) {
+	if c.gate.pass(c.otherRegion, c.ended) && delayed {
 		time.Sleep(c.delay())
 	}
 }
@@ -128,20 +128,20 @@
 
 // dialer connects from an address through links.
 type dialer struct {
-	local  net.IP
-	direct map[string]string // where an address leads in truth, past a proxy for others
-	shape  func(net.Conn) net.Conn
-	gate   *gate
-	abroad func(address string) bool
+	local           net.IP
+	directAddresses map[string]string // where an address leads in truth, past a proxy for others
+	shape           func(net.Conn) net.Conn
+	gate            *gate
+	isOtherRegion   func(address string) bool
 }
 
 const dialTimeout = time.Second
 
 func (d *dialer) dial(ctx context.Context, network, address string) (net.Conn, error) {
-	if to := d.direct[address]; to != "" {
+	if to := d.directAddresses[address]; to != "" {
 		address = to
 	}
-	if !d.gate.pass(d.abroad(address), ctx.Done()) {
+	if !d.gate.pass(d.isOtherRegion(address), ctx.Done()) {
 		return nil, ctx.Err()
 	}
 	plain := &net.Dialer{Timeout: dialTimeout, LocalAddr: &net.TCPAddr{IP: d.local}}
--- a/internal/emulator/hollow/process.go
+++ b/internal/emulator/hollow/process.go
@@ -18,7 +18,7 @@
 	"sync"
 )
 
-const lineAtMost = 16 << 20 // bytes of a line of input
+const maxLineBytes = 16 << 20 // bytes of a line of input
 
 // Run is a process of hollow controllers: it reads a Config and then Commands, and writes
 // Events. It ends when the input does or ctx is over; no controller runs on then. A
@@ -28,7 +28,7 @@
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
 	lines := bufio.NewScanner(in)
-	lines.Buffer(make([]byte, 64<<10), lineAtMost)
+	lines.Buffer(make([]byte, 64<<10), maxLineBytes)
 	if !lines.Scan() {
 		return fmt.Errorf("no configuration came: %w", lines.Err())
 	}
@@ -37,20 +37,20 @@
 		return fmt.Errorf("the configuration can't be read: %w", err)
 	}
 	p := newProcess(ctx, config, out)
-	defer p.end()
+	defer p.close()
 	defer stop()
 	for lines.Scan() {
 		command := Command{}
 		if err := json.Unmarshal(lines.Bytes(), &command); err != nil {
 			return fmt.Errorf("a command can't be read: %w", err)
 		}
-		p.do(command)
+		p.dispatch(command)
 	}
 	return lines.Err()
 }
 
 // commandsAtMost wait for a controller that is still at an earlier one.
-const commandsAtMost = 64
+const maxQueuedCommands = 64
 
 // process has a goroutine for each controller, which carries out its commands.
 type process struct {
@@ -60,23 +60,23 @@
 }
 
 func newProcess(ctx context.Context, config *Config, out io.Writer) *process {
-	tell := teller(out)
+	tell := eventWriter(out)
 	p := &process{queues: map[string]chan Command{}}
 	for _, member := range config.Controllers {
-		queue := make(chan Command, commandsAtMost)
+		queue := make(chan Command, maxQueuedCommands)
 		p.names, p.queues[member.Name] = append(p.names, member.Name), queue
 		c := newController(config, member, tell)
 		p.group.Go(func() {
-			defer c.kill()
+			defer c.stopNow()
 			for command := range queue {
-				c.do(ctx, command)
+				c.execute(ctx, command)
 			}
 		})
 	}
 	return p
 }
 
-func (p *process) do(command Command) {
+func (p *process) dispatch(command Command) {
 	names := command.Names
 	if len(names) == 0 {
 		names = p.names
@@ -89,7 +89,7 @@
 }
 
 // end lets all controllers go and waits for them.
-func (p *process) end() {
+func (p *process) close() {
 	for _, queue := range p.queues {
 		close(queue)
 	}
@@ -97,7 +97,7 @@
 }
 
 // teller writes events, one at a time, each a line.
-func teller(out io.Writer) func(Event) {
+func eventWriter(out io.Writer) func(Event) {
 	encoder, mu := json.NewEncoder(out), &sync.Mutex{}
 	return func(e Event) {
 		mu.Lock()
--- a/internal/emulator/hollow/reducer.go
+++ b/internal/emulator/hollow/reducer.go
@@ -17,18 +17,18 @@
 	name    string
 	started time.Time // the controller's clock counts from it
 	gate    *gate
-	tell    func(Event)
+	emit    func(Event)
 
-	mu      sync.Mutex
-	version uint64 // that it is open by, 0: shut
-	policy  uint64
-	until   time.Duration // its lease holds
-	serving bool
-	lapse   *time.Timer
+	mu            sync.Mutex
+	activeVersion uint64 // that it is open by, 0: shut
+	policy        uint64
+	leaseEnd      time.Duration // its lease holds
+	serving       bool
+	leaseTimer    *time.Timer
 }
 
 func newObserver(name string, started time.Time, gate *gate, tell func(Event)) *observer {
-	return &observer{name: name, started: started, gate: gate, tell: tell}
+	return &observer{name: name, started: started, gate: gate, emit: tell}
 }
 
 // serve carries orders out until ctx ends.
@@ -44,7 +44,7 @@
 				if !o.gate.pass(false, ctx.Done()) {
 					return
 				}
-				o.take(order)
+				o.observe(order)
 				select {
 				case passed <- order:
 				case <-ctx.Done():
@@ -57,84 +57,84 @@
 	}()
 	err := noop.Controller{}.Serve(ctx, passed, reports)
 	<-done
-	o.end("stopped")
+	o.close("stopped")
 	return err
 }
 
 // take looks at an order before it is carried out. A version's end is told before the
 // report of it leaves this controller, its beginning when nothing by it was done yet.
-func (o *observer) take(order fleet.Order) {
+func (o *observer) observe(order fleet.Order) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	now := time.Since(o.started)
 	switch order.Kind {
 	case fleet.FencePolicy:
-		o.stop(now, "shut")
-		o.version = 0
+		o.stopServing(now, "shut")
+		o.activeVersion = 0
 	case fleet.ActivatePolicy:
-		o.stop(now, "shut")
-		o.version, o.policy = order.Version, digest(order.Policy)
-		o.begin(now)
+		o.stopServing(now, "shut")
+		o.activeVersion, o.policy = order.Version, digest(order.Policy)
+		o.startServing(now)
 	case fleet.LeaseRenewed:
-		o.stopLapsed(now)
-		o.until = order.LeaseEnd
-		if o.until <= now {
-			o.stop(now, "lease")
+		o.stopIfLeaseExpired(now)
+		o.leaseEnd = order.LeaseEnd
+		if o.leaseEnd <= now {
+			o.stopServing(now, "lease")
 		}
-		o.begin(now)
+		o.startServing(now)
 	}
 }
 
 // begin has it serve where it is open and has a lease.
-func (o *observer) begin(now time.Duration) {
-	if o.version == 0 || now >= o.until {
+func (o *observer) startServing(now time.Duration) {
+	if o.activeVersion == 0 || now >= o.leaseEnd {
 		return
 	}
 	if !o.serving {
 		o.serving = true
-		o.tell(Event{Kind: Serving, Name: o.name, At: o.wall(now), Version: o.version, Policy: o.policy})
+		o.emit(Event{Kind: Serving, Name: o.name, At: o.wallTime(now), Version: o.activeVersion, Policy: o.policy})
 	}
-	if o.lapse != nil {
-		o.lapse.Stop()
+	if o.leaseTimer != nil {
+		o.leaseTimer.Stop()
 	}
-	o.lapse = time.AfterFunc(o.until-now, o.lapsed)
+	o.leaseTimer = time.AfterFunc(o.leaseEnd-now, o.leaseExpired)
 }
 
 // stop ends serving, at the end of the lease if that was earlier.
-func (o *observer) stop(now time.Duration, why string) {
+func (o *observer) stopServing(now time.Duration, why string) {
 	if !o.serving {
 		return
 	}
-	if o.until < now {
-		now, why = o.until, "lease"
+	if o.leaseEnd < now {
+		now, why = o.leaseEnd, "lease"
 	}
 	o.serving = false
-	o.tell(Event{Kind: Ended, Name: o.name, At: o.wall(now), Version: o.version, Reason: why})
+	o.emit(Event{Kind: Ended, Name: o.name, At: o.wallTime(now), Version: o.activeVersion, Reason: why})
 }
 
-func (o *observer) stopLapsed(now time.Duration) {
-	if o.until <= now {
-		o.stop(now, "lease")
+func (o *observer) stopIfLeaseExpired(now time.Duration) {
+	if o.leaseEnd <= now {
+		o.stopServing(now, "lease")
 	}
 }
 
 // lapsed is called when the lease should be over.
-func (o *observer) lapsed() {
+func (o *observer) leaseExpired() {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	o.stopLapsed(time.Since(o.started))
+	o.stopIfLeaseExpired(time.Since(o.started))
 }
 
-func (o *observer) end(why string) {
+func (o *observer) close(why string) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	if o.lapse != nil {
-		o.lapse.Stop()
+	if o.leaseTimer != nil {
+		o.leaseTimer.Stop()
 	}
-	o.stop(time.Since(o.started), why)
+	o.stopServing(time.Since(o.started), why)
 }
 
-func (o *observer) wall(at time.Duration) int64 { return o.started.Add(at).UnixNano() }
+func (o *observer) wallTime(at time.Duration) int64 { return o.started.Add(at).UnixNano() }
 
 // digest names a policy's text; a policy that isn't one is the set-up's own, 0.
 func digest(policy any) uint64 {
--- a/internal/emulator/hollow/store.go
+++ b/internal/emulator/hollow/store.go
@@ -14,9 +14,9 @@
 type Store struct {
 	name string // of the disk that it stands for
 
-	mu    sync.Mutex
-	kept  consensus.PersistentState
-	delay time.Duration
+	mu         sync.Mutex
+	persistent consensus.PersistentState
+	delay      time.Duration
 }
 
 // NewStore makes an empty one under a disk's name.
@@ -33,9 +33,9 @@
 func (s *Store) Contents() storage.Contents {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	kept := s.kept
-	kept.Entries = append([]consensus.LogEntry(nil), kept.Entries...)
-	return storage.Contents{DiskID: s.name, Persistent: kept}
+	persistent := s.persistent
+	persistent.Entries = append([]consensus.LogEntry(nil), persistent.Entries...)
+	return storage.Contents{DiskID: s.name, Persistent: persistent}
 }
 
 // Write keeps what a disk would, after the delay.
@@ -46,7 +46,7 @@
 	time.Sleep(delay)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.kept = Merge(s.kept, k)
+	s.persistent = Merge(s.persistent, k)
 	return nil
 }
 
@@ -54,8 +54,8 @@
 func (s *Store) Close() error { return nil }
 
 // Merge gives what is kept once next has been written over before, as consensus.PersistentState says.
-func Merge(before, next consensus.PersistentState) consensus.PersistentState {
-	merged := before
+func Merge(current, next consensus.PersistentState) consensus.PersistentState {
+	merged := current
 	if next.HardState != nil {
 		merged.HardState = next.HardState
 	}
@@ -65,12 +65,12 @@
 	if len(next.Entries) == 0 {
 		return merged
 	}
-	stay := len(merged.Entries)
-	for stay > 0 && merged.Entries[stay-1].Index >= next.Entries[0].Index {
-		stay--
+	keep := len(merged.Entries)
+	for keep > 0 && merged.Entries[keep-1].Index >= next.Entries[0].Index {
+		keep--
 	}
-	if stay < len(merged.Entries) { // before keeps what is replaced here
-		merged.Entries = merged.Entries[:stay:stay]
+	if keep < len(merged.Entries) { // before keeps what is replaced here
+		merged.Entries = merged.Entries[:keep:keep]
 	}
 	merged.Entries = append(merged.Entries, next.Entries...)
 	return merged
--- a/internal/emulator/loopback/loopback.go
+++ b/internal/emulator/loopback/loopback.go
@@ -19,16 +19,16 @@
 	lastPort  = 32_000
 )
 
-var given atomic.Int64
+var portsIssued atomic.Int64
 
 // ErrNone is the error where a process has had all addresses that there are for it.
 var ErrNoAddress = errors.New("no address is left on the loopback network for this process")
 
 // Address is one that nobody listens on, a different one each time.
 func FreeAddress() (string, error) {
-	ip := ipOf(os.Getpid())
+	ip := processIP(os.Getpid())
 	for {
-		port := firstPort + int(given.Add(1)) - 1
+		port := firstPort + int(portsIssued.Add(1)) - 1
 		if port > lastPort {
 			return "", ErrNoAddress
 		}
@@ -45,6 +45,6 @@
 }
 
 // ipOf is an address in 127.128.0.0/9 of a process's own, by its number's lower 21 bits.
-func ipOf(process int) net.IP {
+func processIP(process int) net.IP {
 	return net.IPv4(127, byte(128+process>>14&127), byte(process>>6), byte(1+process&63))
 }
--- a/internal/emulator/loopback/loopback_test.go
+++ b/internal/emulator/loopback/loopback_test.go
@@ -27,7 +27,7 @@
 func TestProcessesHaveAddressesOfTheirOwn(t *testing.T) {
 	seen := map[string]int{}
 	for process := range 1 << 16 {
-		ip := ipOf(process)
+		ip := processIP(process)
 		if other, had := seen[ip.String()]; had || !ip.IsLoopback() || ip.To4()[3] == 0 || ip.To4()[3] == 255 {
 			t.Fatalf("process %d has %v, as %d", process, ip, other)
 		}
--- a/internal/emulator/world/world.go
+++ b/internal/emulator/world/world.go
@@ -38,49 +38,49 @@
 	Reports     []fleet.Report
 	LogLines    []string // what the controller logged aloud, and its counters
 
-	delay  time.Duration
-	events timerqueue.Queue
-	ends   map[*controller.Connection]*end
-	byAddr map[string]*Engine
-	feeds  []*end
-	woken  uint64
-	still  int // events without time passing
+	linkDelay        time.Duration
+	events           timerqueue.Queue
+	connections      map[*controller.Connection]*connection
+	engineByAddress  map[string]*Engine
+	feedConnections  []*connection
+	timerGeneration  uint64
+	eventsAtSameTime int // events without time passing
 }
 
-const stillMost = 1_000_000
+const maxEventsAtSameTime = 1_000_000
 
 // Engine is one stand-in with its place in the list.
 type Engine struct {
 	*engine.Server
 	feed.Engine
-	w      *World
-	down   bool // refuses connections
-	wakeAt time.Duration
+	world              *World
+	refusesConnections bool // refuses connections
+	wakeAt             time.Duration
 }
 
 // end is a connection of the controller's as the world sees it.
-type end struct {
-	link  *controller.Connection
-	conn  *engine.Conn
-	to    *Engine
-	from  *Client
-	gone  bool
-	feed  bool
-	known bool
-	in    []byte
+type connection struct {
+	remote     *controller.Connection
+	engineConn *engine.Conn
+	engine     *Engine
+	client     *Client
+	closed     bool
+	isFeed     bool
+	subscribed bool
+	input      []byte
 }
 
 // Client is one client's connection. Heard is called with each answer.
 type Client struct {
-	w        *World
-	Name     string
-	end      *end
-	in       []byte
-	next     uint32
-	open     map[uint32]*Query
-	pages    map[uint32]func(ans client.Answer)
-	Closed   bool
-	OnAnswer func(a *Query, ans client.Answer)
+	world      *World
+	Name       string
+	connection *connection
+	input      []byte
+	lastMsg    uint32
+	queries    map[uint32]*Query
+	pending    map[uint32]func(ans client.Answer)
+	Closed     bool
+	OnAnswer   func(a *Query, ans client.Answer)
 }
 
 // Asked is a query that a client asked for.
@@ -103,43 +103,43 @@
 
 // New makes a world with engines of these figures and a controller of these
 // means, whose feed and list are the world's.
-func New(seed uint64, engines []engine.Config, means controller.Config) *World {
-	w := &World{Rand: rand.New(rand.NewPCG(seed, 1)), ends: map[*controller.Connection]*end{}, byAddr: map[string]*Engine{},
-		delay: 100 * time.Microsecond}
+func New(seed uint64, engines []engine.Config, controllerConfig controller.Config) *World {
+	w := &World{Rand: rand.New(rand.NewPCG(seed, 1)), connections: map[*controller.Connection]*connection{}, engineByAddress: map[string]*Engine{},
+		linkDelay: 100 * time.Microsecond}
 	var all []feed.Engine
-	for i, f := range engines {
-		e := w.add(i, f, false)
+	for i, config := range engines {
+		e := w.addEngine(i, config, false)
 		all = append(all, e.Engine)
 	}
 	w.Feed.Append(true, all...)
-	means.Seed, means.DiscoveryAddress, means.InitialEndpoints = seed, "feed", w.Feed.ConfigurationJSON()
-	w.History.KeyRest = time.Duration(number(means.Settings["key.rest"])) * time.Millisecond
-	w.History.Grace = time.Duration(number(means.Settings["drain.grace"])) * time.Millisecond
-	w.History.Most = int(number(means.Settings["submissions.most"]))
-	for i := range int(number(means.Settings["groups"])) {
+	controllerConfig.Seed, controllerConfig.DiscoveryAddress, controllerConfig.InitialEndpoints = seed, "feed", w.Feed.ConfigurationJSON()
+	w.History.KeyRest = time.Duration(parseNumber(controllerConfig.Settings["key.rest"])) * time.Millisecond
+	w.History.Grace = time.Duration(parseNumber(controllerConfig.Settings["drain.grace"])) * time.Millisecond
+	w.History.Most = int(parseNumber(controllerConfig.Settings["submissions.most"]))
+	for i := range int(parseNumber(controllerConfig.Settings["groups"])) {
 		at := fmt.Sprintf("group.%d.", i)
-		w.History.Group(means.Settings[at+"name"], means.Settings[at+"effect"], means.Settings[at+"in-order"] == "true")
+		w.History.Group(controllerConfig.Settings[at+"name"], controllerConfig.Settings[at+"effect"], controllerConfig.Settings[at+"in-order"] == "true")
 	}
-	r, effects := controller.New(means)
+	r, effects := controller.New(controllerConfig)
 	w.Controller = r
 	w.perform(effects)
 	return w
 }
 
-func number(text string) float64 {
+func parseNumber(text string) float64 {
 	var x float64
 	fmt.Sscanf(text, "%g", &x)
 	return x
 }
 
-func (w *World) add(i int, f engine.Config, cold bool) *Engine {
-	e := &Engine{Server: engine.NewServer(engine.NewModel(f, w.Now, cold)), w: w, wakeAt: -1}
+func (w *World) addEngine(i int, f engine.Config, cold bool) *Engine {
+	e := &Engine{Server: engine.NewServer(engine.NewModel(f, w.Now, cold)), world: w, wakeAt: -1}
 	e.Engine = feed.Engine{ID: fmt.Sprintf("e%d", i), HostPort: fmt.Sprintf("10.0.0.%d:6565", i+1), Locality: "here",
 		Flavor: "std", Cell: 1, Phase: "SERVING", Size: 1}
 	e.OnSubmit = func(id, group string, rank int, at time.Duration) {
 		w.History.Submitted(at, id, e.ID, e.Phase == "SERVING")
 		for _, c := range w.Clients {
-			for _, a := range c.open {
+			for _, a := range c.queries {
 				if a.ID == id && a.StartedAt < 0 {
 					a.StartedAt, a.Priority = at, rank
 				}
@@ -150,7 +150,7 @@
 		w.History.Ended(at, id, e.ID, outcome == engine.Succeeded)
 	}
 	w.Engines = append(w.Engines, e)
-	w.byAddr[e.HostPort] = e
+	w.engineByAddress[e.HostPort] = e
 	return e
 }
 
@@ -166,8 +166,8 @@
 func (w *World) RunUntil(end time.Duration) {
 	for at, ok := w.events.NextDue(); ok && at <= end; at, ok = w.events.NextDue() {
 		if at > w.Now {
-			w.still = 0
-		} else if w.still++; w.still > stillMost {
+			w.eventsAtSameTime = 0
+		} else if w.eventsAtSameTime++; w.eventsAtSameTime > maxEventsAtSameTime {
 			panic("the world stands still at " + w.Now.String())
 		}
 		w.Now = at
@@ -185,34 +185,34 @@
 
 func (w *World) perform(effects []controller.Effect) {
 	for _, f := range effects {
-		e := w.ends[f.Connection]
+		e := w.connections[f.Connection]
 		switch f.Kind {
 		case controller.Dial:
 			w.dial(f.Connection, f.Address, f.Timeout)
 		case controller.Write:
-			if e == nil || e.gone {
+			if e == nil || e.closed {
 				break
 			}
 			p := append([]byte{}, f.Bytes...)
 			w.ScheduleAfter(0, func() {
-				if !e.gone {
-					w.step(controller.Event{Kind: controller.BytesWritten, Connection: e.link, ByteCount: len(p)})
+				if !e.closed {
+					w.step(controller.Event{Kind: controller.BytesWritten, Connection: e.remote, ByteCount: len(p)})
 				}
 			})
-			w.ScheduleAfter(w.delay, func() { w.arrived(e, p) })
+			w.ScheduleAfter(w.linkDelay, func() { w.deliver(e, p) })
 		case controller.Close:
 			if e != nil {
 				at := time.Duration(0)
 				if f.Graceful { // what was written before comes first
-					at = w.delay
+					at = w.linkDelay
 				}
-				w.ScheduleAfter(at, func() { w.lose(e) })
+				w.ScheduleAfter(at, func() { w.closeConnection(e) })
 			}
 		case controller.SetTimer:
-			w.woken++
-			mine := w.woken
+			w.timerGeneration++
+			mine := w.timerGeneration
 			w.ScheduleAfter(f.Timeout, func() {
-				if mine == w.woken {
+				if mine == w.timerGeneration {
 					w.step(controller.Event{Kind: controller.TimerFired})
 				}
 			})
@@ -227,7 +227,7 @@
 					w.SpoolStore.Read(work)
 				} else {
 					w.SpoolStore.Write([]*spool.Work{work})
-					if w.erase(); work.Erase {
+					if w.runErase(); work.Erase {
 						return
 					}
 				}
@@ -242,128 +242,128 @@
 }
 
 // erase steps the disk, on and on while anything is to be erased.
-func (w *World) erase() {
+func (w *World) runErase() {
 	w.SpoolStore.Tick()
 	for _, work := range w.SpoolStore.TakeErased() {
 		w.step(controller.Event{Kind: controller.SpoolWorkDone, SpoolWork: work})
 	}
 	if w.SpoolStore.ErasePending() {
-		w.ScheduleAfter(w.DiskLatency, w.erase)
+		w.ScheduleAfter(w.DiskLatency, w.runErase)
 	}
 }
 
 func (w *World) dial(link *controller.Connection, address string, within time.Duration) {
-	e := &end{link: link}
-	w.ends[link] = e
+	e := &connection{remote: link}
+	w.connections[link] = e
 	if address == "feed" {
-		e.feed = true
-		w.feeds = append(w.feeds, e)
-		w.ScheduleAfter(2*w.delay, func() { w.step(controller.Event{Kind: controller.Connected, Connection: link}) })
+		e.isFeed = true
+		w.feedConnections = append(w.feedConnections, e)
+		w.ScheduleAfter(2*w.linkDelay, func() { w.step(controller.Event{Kind: controller.Connected, Connection: link}) })
 		return
 	}
-	to := w.byAddr[address]
+	to := w.engineByAddress[address]
 	switch {
-	case to != nil && to.down:
-		w.ScheduleAfter(2*w.delay, func() {
-			delete(w.ends, link)
+	case to != nil && to.refusesConnections:
+		w.ScheduleAfter(2*w.linkDelay, func() {
+			delete(w.connections, link)
 			w.step(controller.Event{Kind: controller.ConnectRefused, Connection: link})
 		})
 		return
 	case to == nil || to.Unreachable():
 		w.ScheduleAfter(within, func() {
-			delete(w.ends, link)
+			delete(w.connections, link)
 			w.step(controller.Event{Kind: controller.ConnectTimedOut, Connection: link})
 		})
 		return
 	}
-	e.to = to
-	e.conn = &engine.Conn{
+	e.engine = to
+	e.engineConn = &engine.Conn{
 		Write: func(p []byte) {
 			p = append([]byte{}, p...)
-			w.ScheduleAfter(w.delay, func() { w.feedBytes(e, p) })
+			w.ScheduleAfter(w.linkDelay, func() { w.deliverToController(e, p) })
 		},
-		Close: func() { w.ScheduleAfter(w.delay, func() { w.lose(e) }) },
+		Close: func() { w.ScheduleAfter(w.linkDelay, func() { w.closeConnection(e) }) },
 	}
-	w.ScheduleAfter(2*w.delay, func() {
-		if !e.gone {
-			to.Accept(e.conn)
+	w.ScheduleAfter(2*w.linkDelay, func() {
+		if !e.closed {
+			to.Accept(e.engineConn)
 			w.step(controller.Event{Kind: controller.Connected, Connection: link})
 		}
 	})
 }
 
 // arrived brings what the controller wrote to whoever it is for.
-func (w *World) arrived(e *end, p []byte) {
+func (w *World) deliver(e *connection, p []byte) {
 	switch {
-	case e.gone:
-	case e.to != nil:
-		e.to.Receive(w.Now, e.conn, p)
-		e.to.wake()
-	case e.from != nil:
-		e.from.got(p)
-	case e.feed:
-		if e.in = append(e.in, p...); !e.known && strings.Contains(string(e.in), "\n") {
-			e.known = true
-			n, _ := feed.ParseSubscription(e.in)
+	case e.closed:
+	case e.engine != nil:
+		e.engine.Receive(w.Now, e.engineConn, p)
+		e.engine.scheduleWake()
+	case e.client != nil:
+		e.client.receive(p)
+	case e.isFeed:
+		if e.input = append(e.input, p...); !e.subscribed && strings.Contains(string(e.input), "\n") {
+			e.subscribed = true
+			n, _ := feed.ParseSubscription(e.input)
 			lines := w.Feed.EventsSince(n)
-			w.ScheduleAfter(w.delay, func() { w.feedBytes(e, lines) })
-			w.beat(e)
+			w.ScheduleAfter(w.linkDelay, func() { w.deliverToController(e, lines) })
+			w.scheduleHeartbeat(e)
 		}
 	}
 }
 
-func (w *World) beat(e *end) {
+func (w *World) scheduleHeartbeat(e *connection) {
 	w.ScheduleAfter(time.Second, func() {
-		if !e.gone {
-			w.feedBytes(e, w.Feed.Heartbeat())
-			w.beat(e)
+		if !e.closed {
+			w.deliverToController(e, w.Feed.Heartbeat())
+			w.scheduleHeartbeat(e)
 		}
 	})
 }
 
 // feedBytes brings bytes to the controller.
-func (w *World) feedBytes(e *end, p []byte) {
-	for len(p) > 0 && !e.gone {
-		n := copy(e.link.Received.FreeSpace(), p)
+func (w *World) deliverToController(e *connection, p []byte) {
+	for len(p) > 0 && !e.closed {
+		n := copy(e.remote.Received.FreeSpace(), p)
 		p = p[n:]
-		w.step(controller.Event{Kind: controller.BytesReceived, Connection: e.link, ByteCount: n})
+		w.step(controller.Event{Kind: controller.BytesReceived, Connection: e.remote, ByteCount: n})
 	}
 }
 
-func (w *World) lose(e *end) {
-	if e.gone {
+func (w *World) closeConnection(e *connection) {
+	if e.closed {
 		return
 	}
-	e.gone = true
-	delete(w.ends, e.link)
-	if e.to != nil {
-		e.to.Server.Disconnected(e.conn)
+	e.closed = true
+	delete(w.connections, e.remote)
+	if e.engine != nil {
+		e.engine.Server.Disconnected(e.engineConn)
 	}
-	if e.from != nil {
-		e.from.Closed = true
-		for _, a := range e.from.open {
+	if e.client != nil {
+		e.client.Closed = true
+		for _, a := range e.client.queries {
 			if !a.Answered {
 				a.Cancelled = true
 				w.History.Left(w.Now, a.ID)
 			}
 		}
-		clear(e.from.open)
+		clear(e.client.queries)
 	}
-	w.step(controller.Event{Kind: controller.ConnectionClosed, Connection: e.link})
+	w.step(controller.Event{Kind: controller.ConnectionClosed, Connection: e.remote})
 }
 
 // wake asks for the engine's next due time.
-func (e *Engine) wake() {
+func (e *Engine) scheduleWake() {
 	at, ok := e.NextDue()
 	if !ok || e.wakeAt >= 0 && e.wakeAt <= at {
 		return
 	}
 	e.wakeAt = at
-	e.w.Schedule(at, func() {
+	e.world.Schedule(at, func() {
 		if e.wakeAt == at {
 			e.wakeAt = -1
-			e.ProcessDue(e.w.Now)
-			e.wake()
+			e.ProcessDue(e.world.Now)
+			e.scheduleWake()
 		}
 	})
 }
@@ -374,76 +374,76 @@
 	e.Phase = phase
 	w.Feed.Append(false, e.Engine)
 	lines := w.Feed.EventsSince(from)
-	for _, f := range w.feeds {
-		if f.known && !f.gone {
-			w.ScheduleAfter(w.delay, func() { w.feedBytes(f, lines) })
+	for _, f := range w.feedConnections {
+		if f.subscribed && !f.closed {
+			w.ScheduleAfter(w.linkDelay, func() { w.deliverToController(f, lines) })
 		}
 	}
-	w.History.State(w.Now+w.delay, e.ID, phase == "SERVING")
+	w.History.State(w.Now+w.linkDelay, e.ID, phase == "SERVING")
 }
 
 // Vanish has a machine say nothing any more; Crash ends its process, which comes
 // back cold after a span.
-func (e *Engine) MakeUnreachable() { e.SetUnreachable(e.w.Now, true) }
+func (e *Engine) MakeUnreachable() { e.SetUnreachable(e.world.Now, true) }
 
 func (e *Engine) Crash(back time.Duration) {
-	e.down = true
-	e.Reset(e.w.Now, true)
-	e.w.ScheduleAfter(back, func() {
-		e.down = false
-		e.Restart(e.w.Now)
-		e.UpSinceMs = int64((e.w.Now) / time.Millisecond)
-		e.w.SetPhase(e, "SERVING")
+	e.refusesConnections = true
+	e.Reset(e.world.Now, true)
+	e.world.ScheduleAfter(back, func() {
+		e.refusesConnections = false
+		e.Restart(e.world.Now)
+		e.UpSinceMs = int64((e.world.Now) / time.Millisecond)
+		e.world.SetPhase(e, "SERVING")
 	})
 }
 
 // Stall stops an engine for a span.
 func (e *Engine) Stall(span time.Duration) {
-	e.Pause(e.w.Now)
-	e.w.ScheduleAfter(span, func() {
-		e.Resume(e.w.Now)
-		e.ProcessDue(e.w.Now)
-		e.wake()
+	e.Pause(e.world.Now)
+	e.world.ScheduleAfter(span, func() {
+		e.Resume(e.world.Now)
+		e.ProcessDue(e.world.Now)
+		e.scheduleWake()
 	})
 }
 
 // Connect makes a client's connection from an address.
 func (w *World) Connect(name string, from netip.Addr) *Client {
-	c := &Client{w: w, Name: name, open: map[uint32]*Query{}, pages: map[uint32]func(ans client.Answer){}}
-	c.end = &end{link: &controller.Connection{RemoteAddress: from}, from: c}
-	w.ends[c.end.link] = c.end
+	c := &Client{world: w, Name: name, queries: map[uint32]*Query{}, pending: map[uint32]func(ans client.Answer){}}
+	c.connection = &connection{remote: &controller.Connection{RemoteAddress: from}, client: c}
+	w.connections[c.connection.remote] = c.connection
 	w.Clients = append(w.Clients, c)
-	w.step(controller.Event{Kind: controller.ClientAccepted, Connection: c.end.link})
+	w.step(controller.Event{Kind: controller.ClientAccepted, Connection: c.connection.remote})
 	return c
 }
 
 // Ask sends a query; more are further fields.
 func (c *Client) Submit(id, group, key string, patience time.Duration, work engine.Work, more ...string) *Query {
-	w := c.w
-	c.next++
-	a := &Query{ID: id, Group: group, Team: c.Name, Msg: c.next, SubmittedAt: w.Now, Deadline: w.Now + patience, FirstWait: -1, StartedAt: -1, Work: work}
+	w := c.world
+	c.lastMsg++
+	a := &Query{ID: id, Group: group, Team: c.Name, Msg: c.lastMsg, SubmittedAt: w.Now, Deadline: w.Now + patience, FirstWait: -1, StartedAt: -1, Work: work}
 	fields := append([]string{"trace", id, "patience", fmt.Sprint(patience.Milliseconds())}, more...)
 	if key != "" {
 		fields = append(fields, "entity", key)
 	}
-	c.open[a.Msg] = a
+	c.queries[a.Msg] = a
 	w.History.Asked(w.Now, id, group, key, a.Deadline)
-	w.feedBytes(c.end, client.AppendQuery(nil, a.Msg, group, engine.Statement(work), fields...))
+	w.deliverToController(c.connection, client.AppendQuery(nil, a.Msg, group, engine.Statement(work), fields...))
 	return a
 }
 
 // Page asks for a page of a result; then is called with the answer.
 func (c *Client) Page(token string, page int, then func(ans client.Answer), fields ...string) {
-	c.next++
-	c.pages[c.next] = then
-	c.w.feedBytes(c.end, client.AppendPageRequest(nil, c.next, token, strconv.Itoa(page), fields...))
+	c.lastMsg++
+	c.pending[c.lastMsg] = then
+	c.world.deliverToController(c.connection, client.AppendPageRequest(nil, c.lastMsg, token, strconv.Itoa(page), fields...))
 }
 
 // Purge asks for what is kept of its team to go; then is called with the answer.
 func (c *Client) Purge(then func(ans client.Answer), fields ...string) {
-	c.next++
-	c.pages[c.next] = then
-	c.w.feedBytes(c.end, client.AppendPurgeRequest(nil, c.next, fields...))
+	c.lastMsg++
+	c.pending[c.lastMsg] = then
+	c.world.deliverToController(c.connection, client.AppendPurgeRequest(nil, c.lastMsg, fields...))
 }
 
 // Order has the controller do what a fleet orders; Reports has what it told in turn.
@@ -455,57 +455,57 @@
 func (c *Client) Cancel(a *Query) {
 	if !a.Answered && !a.Cancelled && !c.Closed {
 		a.Cancelled = true
-		c.w.History.Left(c.w.Now, a.ID)
-		c.w.feedBytes(c.end, client.AppendCancel(nil, a.Msg))
+		c.world.History.Left(c.world.Now, a.ID)
+		c.world.deliverToController(c.connection, client.AppendCancel(nil, a.Msg))
 	}
 }
 
 // Drop ends the client's connection.
-func (c *Client) Disconnect() { c.w.lose(c.end) }
+func (c *Client) Disconnect() { c.world.closeConnection(c.connection) }
 
-func (c *Client) got(p []byte) {
-	c.in = append(c.in, p...)
+func (c *Client) receive(p []byte) {
+	c.input = append(c.input, p...)
 	for {
-		ans, n, err := client.Read(c.in)
+		answer, n, err := client.Read(c.input)
 		if err != nil {
-			c.w.History.Broken(c.w.Now, c.Name+": "+err.Error())
+			c.world.History.Broken(c.world.Now, c.Name+": "+err.Error())
 			c.Disconnect()
 			return
 		}
 		if n == 0 {
 			return
 		}
-		c.in = append([]byte{}, c.in[n:]...)
-		a := c.open[ans.Msg]
-		if then := c.pages[ans.Msg]; then != nil {
-			delete(c.pages, ans.Msg)
-			then(ans)
+		c.input = append([]byte{}, c.input[n:]...)
+		a := c.queries[answer.Msg]
+		if then := c.pending[answer.Msg]; then != nil {
+			delete(c.pending, answer.Msg)
+			then(answer)
 			continue
 		}
 		if a == nil {
-			if ans.Kind != client.WaitNotice && ans.Kind != client.Ready && !(ans.Kind == client.Killed && ans.Msg > c.next) {
-				c.w.History.Broken(c.w.Now, fmt.Sprintf("%s: an answer to %d that nobody waits for", c.Name, ans.Msg))
+			if answer.Kind != client.WaitNotice && answer.Kind != client.Ready && !(answer.Kind == client.Killed && answer.Msg > c.lastMsg) {
+				c.world.History.Broken(c.world.Now, fmt.Sprintf("%s: an answer to %d that nobody waits for", c.Name, answer.Msg))
 			}
 			continue
 		}
-		if ans.Kind == client.WaitNotice {
+		if answer.Kind == client.WaitNotice {
 			if a.WaitNotices++; a.FirstWait < 0 {
-				a.FirstWait = ans.Wait
+				a.FirstWait = answer.Wait
 			}
 		} else {
-			a.Answered, a.Answer, a.EndedAt, a.RetryAfter = true, ans.Kind, c.w.Now, ans.Wait
-			delete(c.open, a.Msg)
+			a.Answered, a.Answer, a.EndedAt, a.RetryAfter = true, answer.Kind, c.world.Now, answer.Wait
+			delete(c.queries, a.Msg)
 			if !a.Cancelled {
-				a.Rows, a.Paging = ans.Rows, ans.Fields
+				a.Rows, a.Paging = answer.Rows, answer.Fields
 				made := ExpectedRows(a)
 				if a.Paging["token"] != "" { // whoever asks for the other pages compares them
-					made = made[:min(len(made), len(ans.Rows))]
+					made = made[:min(len(made), len(answer.Rows))]
 				}
-				c.w.History.Answered(c.w.Now, a.ID, historycheck.Answer(ans.Kind), ans.Rows, made)
+				c.world.History.Answered(c.world.Now, a.ID, historycheck.Answer(answer.Kind), answer.Rows, made)
 			}
 		}
 		if c.OnAnswer != nil {
-			c.OnAnswer(a, ans)
+			c.OnAnswer(a, answer)
 		}
 	}
 }
