--- a/internal/emulator/client/caller.go
+++ b/internal/emulator/client/caller.go
@@ -1,5 +1,5 @@
-// Package client is a stand-in client's side of MessagePack-RPC, over bytes only:
-// it writes calls and reads what comes back.
+// Package client encodes the MessagePack-RPC requests of a client and decodes the responses.
+// It works on byte slices and opens no connections.
 package client
 
 import (
@@ -11,7 +11,7 @@
 	"time"
 )
 
-// Call writes a query. Fields are pairs of names and values.
+// AppendQuery appends a query request to dst. Fields are pairs of names and values.
 func AppendQuery(dst []byte, id uint32, group string, statement []byte, fields ...string) []byte {
 	dst = appendString(appendUint32(append(dst, 0x94, 0), id), group)
 	dst = append(dst, 0x92, 0xde, 0, byte(len(fields)/2))
@@ -22,7 +22,8 @@
 	return append(dst, statement...)
 }
 
-// Page asks for a page of a result.
+// AppendPageRequest appends a request for one page of a result to dst. Fields are pairs of
+// names and values.
 func AppendPageRequest(dst []byte, msg uint32, token, page string, fields ...string) []byte {
 	dst = append(appendString(appendUint32(append(dst, 0x94, 0), msg), "page"), 0x91)
 	fields = append([]string{"token", token, "page", page}, fields...)
@@ -33,8 +34,9 @@
 	return dst
 }
 
-// Purge asks for what is kept of its team to go, or with an id how far that is. Fields
-// are pairs of names and values.
+// AppendPurgeRequest appends a request to purge the stored results of the client's team. With
+// an id field, it asks for the progress of that purge instead. Fields are pairs of names and
+// values.
 func AppendPurgeRequest(dst []byte, msg uint32, fields ...string) []byte {
 	dst = append(appendString(appendUint32(append(dst, 0x94, 0), msg), "purge"), 0x91, 0x80|byte(len(fields)/2))
 	for _, f := range fields {
@@ -43,12 +45,12 @@
 	return dst
 }
 
-// Alive asks whether a controller is ready.
+// AppendAliveRequest appends a request that asks whether a controller is ready.
 func AppendAliveRequest(dst []byte, msg uint32) []byte {
 	return append(appendString(appendUint32(append(dst, 0x94, 0), msg), "alive"), 0x91, 0x80)
 }
 
-// Cancel takes a query back.
+// AppendCancel appends a notification that cancels the query with a message ID.
 func AppendCancel(dst []byte, msg uint32) []byte {
 	return appendUint32(append(appendString(append(dst, 0x93, 2), "cancelRequest"), 0x91), msg)
 }
@@ -61,36 +63,37 @@
 	return append(binary.BigEndian.AppendUint16(append(dst, 0xda), uint16(len(s))), s...)
 }
 
-// Kind is what an Answer is.
+// Kind tells the messages from a controller apart.
 type Kind int
 
+// The kinds of messages from a controller.
 const (
 	Finished Kind = iota
 	Deferred
 	Killed
-	WaitNotice // a notice of how long it waits
-	Ready      // an answer to alive
+	WaitNotice // the expected wait of a queued query
+	Ready      // the response to an alive request
 )
 
-// Answer is one message that came.
+// Answer is one message from a controller.
 type Answer struct {
 	Kind   Kind
 	Msg    uint32
 	Rows   []byte
-	Wait   time.Duration // Told: until it starts; Deferred: the pause, 0 if none is named
-	Reason string        // Killed
+	Wait   time.Duration // WaitNotice: expected time to the start; Deferred: time before a retry, 0 if not given
+	Reason string        // set for Killed and Deferred
 	Ready  bool
-	Fields map[string]string // what else an answer told
+	Fields map[string]string // the other fields of the response
 }
 
-var errMalformed = errors.New("not an answer")
-var errIncompleteMessage = errors.New("not all there")
+var errMalformed = errors.New("malformed response")
+var errIncompleteMessage = errors.New("incomplete message: more bytes are needed")
 
-// readAtOnce is how much ReadAll reads at a time, in bytes.
+// readSize is the buffer size of ReadAll in bytes.
 const readSize = 4 << 10
 
-// ReadAll hands each answer that comes on a connection to take, until the connection
-// ends or what comes is no answer: the error says which.
+// ReadAll calls handle with each response on a connection. It returns the read error when the
+// connection ends, or a decoding error for a malformed response.
 func ReadAll(connection io.Reader, handle func(Answer)) error {
 	var pending []byte
 	for buffer := make([]byte, readSize); ; {
@@ -113,8 +116,8 @@
 	}
 }
 
-// Read reads the first message if it is all there: how many bytes it took, 0
-// while it isn't.
+// Read decodes the first message in data and returns its length in bytes. The length is 0 if
+// the message is incomplete.
 func Read(data []byte) (a Answer, n int, err error) {
 	r := &decoder{data: data}
 	a = r.answer()
@@ -156,7 +159,7 @@
 	return x
 }
 
-// value reads any value that answers have: numbers, strings, bytes, lists, maps.
+// value decodes a value of any type that responses use: number, string, bytes, array or map.
 func (r *decoder) value() any {
 	b := r.byte()
 	switch {
--- a/internal/emulator/client/caller_test.go
+++ b/internal/emulator/client/caller_test.go
@@ -9,8 +9,8 @@
 	"testing/iotest"
 )
 
-// answered is the bytes of the answer that a controller is ready: response, number, no
-// fault, true and no fields.
+// answered encodes the response that a controller is ready: message type, message ID, no
+// error, true and no fields.
 func answered(msg byte) []byte {
 	return []byte{0x94, 1, 0xce, 0, 0, 0, msg, 0xc0, 0x92, 0xc3, 0x80}
 }
--- a/internal/emulator/disk/disk.go
+++ b/internal/emulator/disk/disk.go
@@ -1,6 +1,5 @@
-// Package disk is a stand-in for a directory: files in memory that remember what was
-// written, synced and renamed, step by step, so that a test can see what a crash at
-// any step leaves behind, and that refuse writes or syncs when told.
+// Package disk emulates a directory in memory. It records each operation on its files, so that a
+// test can construct the state after a crash at any step, and it can inject errors.
 package disk
 
 import (
@@ -15,13 +14,13 @@
 	"railrelay.dev/railrelay/internal/resultstore"
 )
 
-// Disk is a directory. It is safe for use by several goroutines.
+// Disk is an emulated directory. It is safe for concurrent use.
 type Disk struct {
 	mu    sync.Mutex
 	files map[string]*file
 	steps []step
-	// Fail is asked before each step, if it is set; what it gives is the step's error.
-	// A write it refuses is done in part if Half is set, as a full disk does.
+	// InjectError, if set, is called before each operation; its result is the operation's error.
+	// If PartialWrites is set, half of the bytes of a failed write are written, as on a full disk.
 	InjectError   func(verb, name string) error
 	PartialWrites bool
 }
@@ -38,10 +37,10 @@
 	data       []byte
 }
 
-// New makes an empty one.
+// New creates an empty directory.
 func New() *Disk { return &Disk{files: map[string]*file{}} }
 
-var errClosed = errors.New("no such open file")
+var errClosed = errors.New("file was removed or replaced")
 
 func (d *Disk) record(s step) { d.steps = append(d.steps, s) }
 
@@ -52,14 +51,14 @@
 	return d.InjectError(verb, name)
 }
 
-// Steps is how many there were.
+// StepCount returns the number of operations so far.
 func (d *Disk) StepCount() int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return len(d.steps)
 }
 
-// Create makes a file.
+// Create creates a file. It returns os.ErrExist if the file exists.
 func (d *Disk) Create(name string) (resultstore.File, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -75,7 +74,7 @@
 	return f, nil
 }
 
-// Open opens one that is there.
+// Open opens an existing file.
 func (d *Disk) Open(name string) (resultstore.File, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -85,7 +84,7 @@
 	return nil, os.ErrNotExist
 }
 
-// ReadFile gives a copy of all of it.
+// ReadFile returns a copy of a file's contents.
 func (d *Disk) ReadFile(name string) ([]byte, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -95,7 +94,7 @@
 	return nil, os.ErrNotExist
 }
 
-// Replace puts a whole file in place, at once and for good.
+// Replace atomically and durably replaces a file's contents.
 func (d *Disk) Replace(name string, p []byte) error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -107,7 +106,7 @@
 	return nil
 }
 
-// Remove takes one away.
+// Remove deletes a file.
 func (d *Disk) Remove(name string) error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -122,14 +121,14 @@
 	return nil
 }
 
-// List names all files.
+// List returns the names of all files in order.
 func (d *Disk) List() ([]string, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return slices.Sorted(maps.Keys(d.files)), nil
 }
 
-// SyncDir keeps the names for good.
+// SyncDir makes file creations and removals durable.
 func (d *Disk) SyncDir() error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -140,7 +139,7 @@
 	return nil
 }
 
-// Bytes is what all files hold.
+// TotalBytes returns the total size of all files.
 func (d *Disk) TotalBytes() (sum int64) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -150,7 +149,7 @@
 	return sum
 }
 
-// Holds names the files that hold some bytes.
+// FilesContaining returns the names of the files that contain a byte sequence.
 func (d *Disk) FilesContaining(p []byte) (names []string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -162,7 +161,7 @@
 	return names
 }
 
-// Flip turns a bit of a file over.
+// FlipBit inverts one bit of a file.
 func (d *Disk) FlipBit(name string, offset int64, bit uint) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -242,26 +241,27 @@
 
 func (f *file) Close() error { return nil }
 
-// Crash is how what was not synced comes out.
+// Crash is a kind of crash. Kinds differ in what happens to unsynced data.
 type Crash int
 
+// The kinds of crashes.
 const (
-	ProcessKilled Crash = iota // the program ended: the system writes what it was given
-	TornWrite                  // and of the step it was in, half
-	PowerLoss                  // the power went: what was not synced is lost
+	ProcessKilled Crash = iota // the process ends; the operating system keeps all completed writes
+	TornWrite                  // as ProcessKilled, and half of the write in progress is kept
+	PowerLoss                  // all unsynced data is lost
 )
 
-// After is the directory that a crash after so many steps leaves behind.
+// AfterCrash returns the directory as a crash after so many operations leaves it.
 func (d *Disk) AfterCrash(steps int, crash Crash) *Disk {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	crashed := New()
-	synced := map[string][]byte{}          // as of the last sync
-	namesSynced := map[string]bool{}       // files whose names were synced
-	removedUnsynced := map[string][]byte{} // removed, and that not synced
+	synced := map[string][]byte{}          // contents at the last sync
+	namesSynced := map[string]bool{}       // files whose creation is durable
+	removedUnsynced := map[string][]byte{} // removed files whose removal isn't durable
 	for i := range min(len(d.steps), steps+1) {
 		s := d.steps[i]
-		if i == steps { // the step it was in
+		if i == steps { // the operation in progress at the crash
 			if crash != TornWrite || s.verb != "write" {
 				break
 			}
@@ -281,7 +281,7 @@
 		case "replace":
 			crashed.files[s.name] = &file{disk: crashed, name: s.name, contents: slices.Clone(s.data)}
 			synced[s.name], namesSynced[s.name] = slices.Clone(s.data), true
-			for name := range crashed.files { // it syncs the directory
+			for name := range crashed.files { // Replace also syncs the directory
 				namesSynced[name] = true
 			}
 			clear(removedUnsynced)
--- a/internal/emulator/disk/index.go
+++ b/internal/emulator/disk/index.go
@@ -8,7 +8,8 @@
 	"railrelay.dev/railrelay/internal/resultstore"
 )
 
-// Index is an index in memory that remembers what it held after each step of a disk.
+// Index is an in-memory result index. It records its state at each commit together with the
+// disk's operation count, so that AfterCrash can return to it.
 type Index struct {
 	mu     sync.Mutex
 	disk   *Disk
@@ -22,12 +23,12 @@
 	offset  int64
 }
 
-// NewIndex makes an empty one beside a disk.
+// NewIndex creates an empty index that belongs to a disk.
 func NewIndex(d *Disk) *Index { return &Index{disk: d, states: []indexState{{}}} }
 
 func (x *Index) current() *indexState { return &x.states[len(x.states)-1] }
 
-// After is the index as a crash after so many steps of the disk leaves it.
+// AfterCrash returns the index as a crash after so many operations of the disk leaves it.
 func (x *Index) AfterCrash(steps int, d *Disk) *Index {
 	x.mu.Lock()
 	defer x.mu.Unlock()
@@ -41,14 +42,14 @@
 	return &Index{disk: d, states: []indexState{at}}
 }
 
-// Position is the place up to which it is.
+// Position returns the segment and offset up to which the index is current.
 func (x *Index) Position() (uint64, int64, error) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	return x.current().segment, x.current().offset, nil
 }
 
-// Commit changes it at once.
+// Commit atomically applies additions and removals and sets the position.
 func (x *Index) Commit(put []*resultstore.Meta, gone []uint64, segment uint64, offset int64) error {
 	x.mu.Lock()
 	defer x.mu.Unlock()
@@ -66,7 +67,7 @@
 	return nil
 }
 
-// Get is one result.
+// Get returns the metadata of one result, or resultstore.ErrNotFound.
 func (x *Index) Get(id uint64) (*resultstore.Meta, error) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
@@ -76,7 +77,7 @@
 	return nil, resultstore.ErrNotFound
 }
 
-// Each hands over all, by number.
+// Each calls do with the metadata of each result in order of its ID.
 func (x *Index) Each(do func(m *resultstore.Meta) error) error {
 	x.mu.Lock()
 	all := x.current().results
@@ -89,10 +90,10 @@
 	return nil
 }
 
-// Scrub has nothing to do: what is deleted leaves nothing.
+// Scrub does nothing: deleted entries leave no data behind.
 func (x *Index) Scrub() error { return nil }
 
-// Reset empties it.
+// Reset removes all entries.
 func (x *Index) Reset() error {
 	x.mu.Lock()
 	defer x.mu.Unlock()
--- a/internal/emulator/engine/listen.go
+++ b/internal/emulator/engine/listen.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// Listener runs a Server on sockets, in real time from when it was made.
+// Listener runs a Server on TCP connections in real time, counted from the Listener's creation.
 type Listener struct {
 	net.Listener
 	mu          sync.Mutex
@@ -19,22 +19,23 @@
 	closed      bool
 }
 
-// Listen starts an engine on an address ("127.0.0.1:0" for a port of the
-// system's); Close ends it and all it holds.
+// Listen starts an engine on an address. With "127.0.0.1:0" the system chooses the port. Close
+// stops the engine and closes its connections.
 func Listen(ctx context.Context, address string, config Config, cold bool) (*Listener, error) {
 	var listenConfig net.ListenConfig
 	inner, err := listenConfig.Listen(ctx, "tcp", address)
 	if err != nil {
 		return nil, err
 	}
-	listener := &Listener{Listener: inner, server: NewServer(NewModel(config, 0, cold)), start: time.Now(), connections: map[net.Conn]bool{}}
+	listener := &Listener{Listener: inner, server: NewServer(NewModel(config, 0, cold)), start: time.Now(),
+		connections: map[net.Conn]bool{}}
 	listener.timer = time.AfterFunc(time.Hour, listener.processDue)
 	listener.goroutines.Add(1)
 	go listener.accept()
 	return listener, nil
 }
 
-// Do runs something on the server at the present time, alone.
+// WithServer calls do with the current time and exclusive access to the server.
 func (l *Listener) WithServer(do func(now time.Duration, s *Server)) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -42,7 +43,7 @@
 	l.armTimer()
 }
 
-// Traffic is what its connections have carried so far.
+// Traffic returns the traffic of all connections so far.
 func (l *Listener) Traffic() Traffic {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -79,7 +80,8 @@
 func (l *Listener) serve(c net.Conn) {
 	defer l.goroutines.Done()
 	defer c.Close()
-	// answers are small against a socket's buffer; who doesn't read them loses the connection
+	// Responses are small compared with a socket's buffer. A client that doesn't read them for a
+	// second loses its connection.
 	conn := &Conn{Write: func(p []byte) {
 		c.SetWriteDeadline(time.Now().Add(time.Second))
 		if _, err := c.Write(p); err != nil {
@@ -113,7 +115,7 @@
 	}
 }
 
-// Close ends the engine with all its connections.
+// Close stops the engine and closes all its connections.
 func (l *Listener) Close() error {
 	err := l.Listener.Close()
 	l.mu.Lock()
--- a/internal/emulator/engine/traffic.go
+++ b/internal/emulator/engine/traffic.go
@@ -2,30 +2,30 @@
 
 import "strings"
 
-// Kind is what bytes on an engine's connections are for.
+// TrafficKind classifies requests and responses by their purpose.
 type TrafficKind int
 
 const (
-	// Probes are looks at the engine and their answers (/ping, /stats).
+	// Probes are health checks and load reports (/ping, /stats).
 	Probes TrafficKind = iota
-	// Queries are statements, results and refusals.
+	// Queries are statements, results and rejections.
 	Queries
-	// News are calls that ask how a query stands, and answers that it runs.
+	// Polls are requests for a query's state, and responses that the query is running.
 	Polls
-	// Orders are a query's end (DELETE) or other priority (PUT), and their answers.
+	// ControlCalls cancel a query (DELETE) or change its priority (PUT).
 	ControlCalls
 	trafficKinds
 )
 
-// Traffic is what one engine's connections have carried. Bytes are of HTTP alone,
-// without the headers of TCP and IP.
+// Traffic counts what one engine's connections have carried. Bytes are those of HTTP, without
+// TCP and IP headers.
 type Traffic struct {
-	Opened, Open      int               // connections, in all and now
-	Requests          [trafficKinds]int // by what was called
-	BytesIn, BytesOut [trafficKinds]int // bytes that came and that went out
+	Opened, Open      int               // connections: total and currently open
+	Requests          [trafficKinds]int // by request kind
+	BytesIn, BytesOut [trafficKinds]int // by request kind and by response kind
 }
 
-// Plus is the sum with another engine's.
+// Add returns the sum of t and another engine's traffic.
 func (t Traffic) Add(other Traffic) Traffic {
 	t.Opened += other.Opened
 	t.Open += other.Open
@@ -37,14 +37,14 @@
 	return t
 }
 
-// Traffic is what there was so far.
+// Traffic returns the traffic so far.
 func (s *Server) Traffic() Traffic {
 	t := s.traffic
 	t.Open = len(s.connections)
 	return t
 }
 
-// kindOfCall is what a call is for.
+// requestKind classifies a request.
 func requestKind(method, path string) TrafficKind {
 	switch {
 	case path == "/ping" || path == "/stats":
@@ -53,14 +53,15 @@
 		return Queries
 	case method == "GET" && strings.HasSuffix(path, "/0"):
 		return Polls
-	case method == "GET": // a further page
+	case method == "GET": // a page after the first
 		return Queries
 	}
 	return ControlCalls
 }
 
-// kindOfAnswer is what an answer to a call is for: one that says that the query runs is
-// news, whatever was called, and one to a call for news that brings the end is the query's.
+// responseKind classifies the response to a request. A response that the query is running
+// counts as a poll, whatever the request was; a poll's response with the final result counts as
+// a query.
 func responseKind(request TrafficKind, status int) TrafficKind {
 	switch {
 	case status == 202:
