--- a/internal/emulator/engine/engine_test.go
+++ b/internal/emulator/engine/engine_test.go
@@ -17,11 +17,12 @@
 func near(t *testing.T, what string, got, want, within float64) {
 	t.Helper()
 	if math.Abs(got-want) > within {
-		t.Errorf("%s: %v, not %v", what, got, want)
+		t.Errorf("%s: got %v, want %v", what, got, want)
 	}
 }
 
-// ends plays a model on and tells when each query ended well.
+// ends advances a model up to a time, polling every query, and returns when each query succeeded,
+// in seconds.
 func ends(m *Model, until time.Duration) map[string]float64 {
 	at := map[string]float64{}
 	m.OnEnd = func(id string, as Outcome, now time.Duration) {
@@ -47,11 +48,11 @@
 
 func TestSessionsShareCoresByPriority(t *testing.T) {
 	m := NewModel(figures(), 0, false)
-	for i, rank := range []int{0, 1, 2, 3} { // 1 : 4 : 8 : 16 of two cores, nobody over one thread's worth
+	for i, rank := range []int{0, 1, 2, 3} { // weights 1 : 4 : 8 : 16 on two cores; no query exceeds its threads
 		m.Submit(0, fmt.Sprint(rank), work(2, 10*time.Second), rank, 0, time.Hour)
 		if i == 3 {
 			for k, want := range []float64{2. / 29, 8. / 29, 16. / 29, 32. / 29} {
-				got := m.sessions[fmt.Sprint(k)].progressRate * 2 // of two threads
+				got := m.sessions[fmt.Sprint(k)].progressRate * 2 // two threads each
 				near(t, fmt.Sprint("cores of rank ", k), got, want, 1e-9)
 			}
 		}
@@ -61,12 +62,12 @@
 	m.Submit(0, "two", work(1, time.Second), 1, 0, time.Hour)
 	m.Submit(0, "low", work(1, time.Second), 0, 0, time.Hour)
 	at := ends(m, 4*time.Second)
-	near(t, "one ends", at["one"], 1.125, 0.01) // 8/9 of a core each, the low one 2/9
+	near(t, "one ends", at["one"], 1.125, 0.01) // 8/9 of a core for each of these, 2/9 for low
 	near(t, "low ends", at["low"], 1.875, 0.01)
 	m.Submit(10*time.Second, "a", work(1, 2*time.Second), 1, 0, time.Hour)
 	m.SetPriority(10*time.Second, "a", 3)
 	if m.sessions["a"].priority != 3 {
-		t.Error("its priority stays")
+		t.Error("SetPriority had no effect")
 	}
 }
 
@@ -78,7 +79,8 @@
 	load("l1", 7)
 	load("l2", 7)
 	load("l3", 8)
-	m.Submit(0, "reader", Work{Threads: 1, CPU: 100 * time.Millisecond, TableGroup: 7, WaitsForLoad: true}, 1, 0, time.Hour)
+	reader := Work{Threads: 1, CPU: 100 * time.Millisecond, TableGroup: 7, WaitsForLoad: true}
+	m.Submit(0, "reader", reader, 1, 0, time.Hour)
 	m.Submit(0, "other", Work{Threads: 1, CPU: 100 * time.Millisecond, TableGroup: 7}, 1, 0, time.Hour)
 	at := ends(m, 6*time.Second)
 	if at["l2"] < at["l1"]+0.99 || at["reader"] < at["l2"] || at["other"] > 0.5 || at["l3"] > 1.2 {
@@ -86,7 +88,7 @@
 	}
 	_, n := m.Poll(m.now, "none")
 	if n.Kind != "" {
-		t.Fatal("a note on nothing")
+		t.Fatal("an unknown query has a progress note")
 	}
 	load("l4", 9)
 	load("l5", 9)
@@ -99,39 +101,39 @@
 	t.Helper()
 	m.sessions[id].lastNoteAt = m.now - m.NoteInterval
 	if _, n := m.Poll(m.now, id); n.Kind != want {
-		t.Errorf("%s: a note of %q, not %q", id, n.Kind, want)
+		t.Errorf("%s: progress note %q, want %q", id, n.Kind, want)
 	}
 }
 
-func TestColdCrowdedBadAndForgotten(t *testing.T) {
+func TestColdStartSwappingBadPlanAndAbandonment(t *testing.T) {
 	m := NewModel(figures(), 0, true)
 	m.Submit(0, "cold", work(2, 2*time.Second), 1, 0, time.Hour)
-	near(t, "a cold one ends", ends(m, 10*time.Second)["cold"], 2.7, 0.2) // from a third of its cores, rising
+	near(t, "end on a cold engine", ends(m, 10*time.Second)["cold"], 2.7, 0.2) // starts with a third of the cores
 	m = NewModel(figures(), 0, false)
 	m.Submit(0, "big", Work{Threads: 2, CPU: 2 * time.Second, MemoryMB: 1.5 * m.MemoryMB}, 1, 0, time.Hour)
-	near(t, "swapping", ends(m, 10*time.Second)["big"], 3, 0.01) // 1 + 4 x 0.5 times slower
+	near(t, "end while swapping", ends(m, 10*time.Second)["big"], 3, 0.01) // slowed down by 1 + 4 x 0.5
 	m = NewModel(figures(), 0, false)
 	m.Submit(0, "bad", Work{Threads: 1, CPU: 100 * time.Millisecond, PlanFactor: 20}, 1, 0, time.Hour)
-	near(t, "a bad plan", ends(m, 5*time.Second)["bad"], 2, 0.01)
+	near(t, "end with a bad plan", ends(m, 5*time.Second)["bad"], 2, 0.01)
 	m.Submit(m.now, "alone", work(1, time.Hour), 1, 0, time.Hour)
 	m.Advance(m.now + m.AbandonAfter - time.Millisecond)
 	if o, _ := m.Poll(m.now, "alone"); o != Running {
-		t.Fatal("forgotten too soon")
+		t.Fatal("the query was abandoned before AbandonAfter")
 	}
 	m.Advance(m.now + m.AbandonAfter + time.Millisecond)
 	if len(m.active) != 0 {
-		t.Fatal("it runs on for nobody")
+		t.Fatal("the query still runs after AbandonAfter without a poll")
 	}
 	m.Submit(m.now, "late", work(1, time.Hour), 1, 0, time.Second)
 	m.Advance(m.now + 1100*time.Millisecond)
 	if o, _ := m.Poll(m.now, "late"); o != Failed {
-		t.Fatal("it outlives its client")
+		t.Fatal("the query still runs after its deadline")
 	}
 	for i := range m.MaxQueries {
 		m.Submit(m.now, fmt.Sprint("n", i), work(1, time.Hour), 1, 0, time.Hour)
 	}
 	if m.Submit(m.now, "more", work(1, time.Hour), 1, 0, time.Hour) {
-		t.Fatal("it has room without end")
+		t.Fatal("more than MaxQueries were accepted")
 	}
 }
 
@@ -141,15 +143,15 @@
 	m.Advance(500 * time.Millisecond)
 	m.Pause(500 * time.Millisecond)
 	m.Resume(5 * time.Second)
-	near(t, "after the pause", ends(m, 8*time.Second)["a"], 5.5, 0.01)
+	near(t, "end after the pause", ends(m, 8*time.Second)["a"], 5.5, 0.01)
 	m.Submit(8*time.Second, "b", work(1, time.Second), 1, 0, time.Hour)
 	m.Restart(8100 * time.Millisecond)
 	if o, _ := m.Poll(8100*time.Millisecond, "b"); o != Failed || m.warmFraction() > m.ColdCapacity+0.01 {
-		t.Fatal("it remembers, or is warm")
+		t.Fatal("after a restart the query is known or the engine is warm")
 	}
 }
 
-// wire is a connection with what came out of it.
+// wire opens a connection and returns it with a buffer that collects the responses.
 func wire(s *Server) (*Conn, *bytes.Buffer) {
 	var out bytes.Buffer
 	c := &Conn{Write: func(p []byte) { out.Write(p) }}
@@ -165,23 +167,23 @@
 	return append(fmt.Appendf(nil, "%sContent-Length: %d\r\n\r\n", text, len(body)), body...)
 }
 
-func TestTheProtocolOverBytes(t *testing.T) {
+func TestServerImplementsTheProtocol(t *testing.T) {
 	s := NewServer(NewModel(figures(), 0, false))
 	c, out := wire(s)
 	w := Work{Threads: 1, CPU: 300 * time.Millisecond, MemoryMB: 64, TableGroup: 3, Rows: 1000, PlanFactor: 1}
 	if got := ParseStatement("", Statement(w)); got != w {
-		t.Fatalf("a statement tells %+v of %+v", got, w)
+		t.Fatalf("ParseStatement returned %+v, want %+v", got, w)
 	}
 	post := call("POST", "/o", map[string]string{"X-Req": "aa", "X-Class": "g", "X-Wait-Ms": "5000", "Pool-Rank": "2"}, Statement(w))
 	for _, b := range post { // byte by byte
 		s.Receive(0, c, []byte{b})
 	}
 	if out.Len() > 0 {
-		t.Fatal("answered at once: ", out.String())
+		t.Fatal("the submission was answered before PollTimeout: ", out.String())
 	}
 	at, ok := s.NextDue()
 	if !ok || at > 250*time.Millisecond {
-		t.Fatal("news are due after ", at)
+		t.Fatal("the first response is due only at ", at)
 	}
 	s.ProcessDue(250 * time.Millisecond)
 	if !strings.HasPrefix(out.String(), "HTTP/1.1 202") {
@@ -228,15 +230,15 @@
 	s.SetUnreachable(time.Second, true)
 	out.Reset()
 	if s.Receive(time.Second, c, call("GET", "/ping", nil, nil)); out.Len() > 0 {
-		t.Fatal("it speaks though it is cut off")
+		t.Fatal("an unreachable engine sent a response")
 	}
 	if _, due := s.NextDue(); due {
-		t.Fatal("it has something due though it is cut off")
+		t.Fatal("an unreachable engine has a response due")
 	}
 	closed := false
 	c.Close = func() { closed = true }
 	if s.Reset(2*time.Second, true); !closed || len(s.connections) > 0 {
-		t.Fatal("its connections outlive it")
+		t.Fatal("a connection is open after a reset")
 	}
 }
 
@@ -257,18 +259,18 @@
 	w := Work{Threads: 1, CPU: 300 * time.Millisecond, Rows: 2}
 	ask(0, call("POST", "/o", map[string]string{"X-Req": "aa", "X-Wait-Ms": "5000"}, Statement(w)))
 	posted, before := length, out.Len()
-	s.ProcessDue(250 * time.Millisecond) // it runs on: news
+	s.ProcessDue(250 * time.Millisecond) // the query still runs
 	told := out.Len() - before
 	ask(260*time.Millisecond, call("GET", "/o/aa/0", nil, nil))
 	asked, before := length, out.Len()
-	s.ProcessDue(time.Second) // the result, as an answer to a call for news
+	s.ProcessDue(time.Second) // the result, as the response to a poll
 	result := out.Len() - before
 	done := ask(time.Second, call("DELETE", "/o/aa", nil, nil))
 	ended := length
 	got := s.Traffic()
 	if got.BytesIn[Queries] != posted || got.BytesOut[Polls] != told || got.BytesIn[Polls] != asked || got.BytesOut[Queries] != result ||
 		got.BytesIn[ControlCalls] != ended || got.BytesOut[ControlCalls] != done || got.Requests[Queries] != 1 || got.Requests[Polls] != 1 || got.Requests[ControlCalls] != 1 {
-		t.Errorf("%+v: not queries %d %d, news %d %d, orders %d %d", got, posted, result, asked, told, ended, done)
+		t.Errorf("%+v, want queries %d %d, polls %d %d, control calls %d %d", got, posted, result, asked, told, ended, done)
 	}
 	s.Reset(2*time.Second, false)
 	s.Accept(&Conn{})
@@ -277,7 +279,7 @@
 	}
 }
 
-func TestOnSockets(t *testing.T) {
+func TestListenerServesQueriesOverTCP(t *testing.T) {
 	defer goleak.VerifyNone(t, goleak.IgnoreCurrent())
 	l, err := Listen(context.Background(), "127.0.0.1:0", figures(), false)
 	if err != nil {
--- a/internal/emulator/engine/model.go
+++ b/internal/emulator/engine/model.go
@@ -1,7 +1,6 @@
-// Package engine is a stand-in for a query engine: a pure model in virtual time
-// (model.go), the engines' protocol round it over bytes (server.go), and sockets
-// round that (listen.go). All figures are parameters; nothing in it is measured
-// off a real engine.
+// Package engine emulates a query engine. Model computes the progress of queries in virtual time,
+// Server adds the engines' HTTP protocol on byte slices, and Listener serves it on TCP. All
+// characteristics are parameters; none was measured on a real engine.
 package engine
 
 import (
@@ -11,89 +10,104 @@
 	"time"
 )
 
-// Figures are what an engine is like. Zero values take those of Usual.
+// Config describes an engine. Zero values are replaced by those of DefaultConfig.
 type Config struct {
 	Cores           float64
 	MemoryMB        float64
-	DiskParallelism float64 // disk seconds a second
-	// Ranks are the weights of the priorities 0 to 3 when cores and disks are short.
+	DiskParallelism float64 // seconds of disk work done per second
+	// PriorityWeights are the weights of priorities 0 to 3 when queries compete for cores or disks.
 	PriorityWeights [4]float64
-	// ColdFrom is the part of its cores that a cold engine has, rising to all of
-	// them over Warms.
+	// ColdCapacity is the fraction of its cores that an engine can use right after its start. The
+	// fraction rises linearly to 1 during WarmUp.
 	ColdCapacity float64
 	WarmUp       time.Duration
-	// Notes is the time between notes of progress, News how long a call for news
-	// is held at the most, Forgets how long a query lives that nobody asks for.
+	// NoteInterval is the time between progress notes of a query. PollTimeout is the longest time
+	// that a poll is held open. AbandonAfter is the time without a poll after which a running query
+	// fails and a finished one is deleted.
 	NoteInterval, PollTimeout, AbandonAfter time.Duration
-	// TablesStay is how long a table group stays warm after its last query; a cold
-	// one costs ColdTables times the disk time.
+	// TableCacheTTL is how long a table group stays cached after its last use. A query on a table
+	// group that isn't cached takes ColdTableFactor times the disk time.
 	TableCacheTTL   time.Duration
 	ColdTableFactor float64
-	// Swapping is how much slower all gets for each part of memory granted too much.
+	// SwapPenalty is the slowdown of all queries per unit of overcommitted memory: they run
+	// 1 + SwapPenalty*(granted/MemoryMB - 1) times slower.
 	SwapPenalty float64
 	PageBytes   int
-	RowPadding  int // bytes that rows have beyond those of Row
-	MaxQueries  int // queries at once; more are turned away
+	RowPadding  int // bytes added to each row, see PaddedRow
+	MaxQueries  int // limit of running queries; more are rejected
 }
 
-// Usual are the figures used where none are given.
+// DefaultConfig returns the values that replace zero values of a Config.
 func DefaultConfig() Config {
-	return Config{Cores: 8, MemoryMB: 16384, DiskParallelism: 4, PriorityWeights: [4]float64{1, 4, 8, 16}, ColdCapacity: 0.33, WarmUp: 15 * time.Second,
-		NoteInterval: 2 * time.Second, PollTimeout: 250 * time.Millisecond, AbandonAfter: 2 * time.Second, TableCacheTTL: time.Minute, ColdTableFactor: 1,
-		SwapPenalty: 4, PageBytes: 6000, MaxQueries: 1000}
+	return Config{
+		Cores: 8, MemoryMB: 16384, DiskParallelism: 4, PriorityWeights: [4]float64{1, 4, 8, 16},
+		ColdCapacity: 0.33, WarmUp: 15 * time.Second,
+		NoteInterval: 2 * time.Second, PollTimeout: 250 * time.Millisecond, AbandonAfter: 2 * time.Second,
+		TableCacheTTL: time.Minute, ColdTableFactor: 1,
+		SwapPenalty: 4, PageBytes: 6000, MaxQueries: 1000,
+	}
 }
 
 func (c Config) withDefaults() Config {
 	defaults := DefaultConfig()
-	c.Cores, c.MemoryMB, c.DiskParallelism = cmp.Or(c.Cores, defaults.Cores), cmp.Or(c.MemoryMB, defaults.MemoryMB), cmp.Or(c.DiskParallelism, defaults.DiskParallelism)
+	c.Cores = cmp.Or(c.Cores, defaults.Cores)
+	c.MemoryMB = cmp.Or(c.MemoryMB, defaults.MemoryMB)
+	c.DiskParallelism = cmp.Or(c.DiskParallelism, defaults.DiskParallelism)
 	if c.PriorityWeights == [4]float64{} {
 		c.PriorityWeights = defaults.PriorityWeights
 	}
-	c.ColdCapacity, c.WarmUp, c.NoteInterval = cmp.Or(c.ColdCapacity, defaults.ColdCapacity), cmp.Or(c.WarmUp, defaults.WarmUp), cmp.Or(c.NoteInterval, defaults.NoteInterval)
-	c.PollTimeout, c.AbandonAfter, c.TableCacheTTL = cmp.Or(c.PollTimeout, defaults.PollTimeout), cmp.Or(c.AbandonAfter, defaults.AbandonAfter), cmp.Or(c.TableCacheTTL, defaults.TableCacheTTL)
-	c.ColdTableFactor, c.SwapPenalty = cmp.Or(c.ColdTableFactor, defaults.ColdTableFactor), cmp.Or(c.SwapPenalty, defaults.SwapPenalty)
-	c.PageBytes, c.MaxQueries = cmp.Or(c.PageBytes, defaults.PageBytes), cmp.Or(c.MaxQueries, defaults.MaxQueries)
+	c.ColdCapacity = cmp.Or(c.ColdCapacity, defaults.ColdCapacity)
+	c.WarmUp = cmp.Or(c.WarmUp, defaults.WarmUp)
+	c.NoteInterval = cmp.Or(c.NoteInterval, defaults.NoteInterval)
+	c.PollTimeout = cmp.Or(c.PollTimeout, defaults.PollTimeout)
+	c.AbandonAfter = cmp.Or(c.AbandonAfter, defaults.AbandonAfter)
+	c.TableCacheTTL = cmp.Or(c.TableCacheTTL, defaults.TableCacheTTL)
+	c.ColdTableFactor = cmp.Or(c.ColdTableFactor, defaults.ColdTableFactor)
+	c.SwapPenalty = cmp.Or(c.SwapPenalty, defaults.SwapPenalty)
+	c.PageBytes = cmp.Or(c.PageBytes, defaults.PageBytes)
+	c.MaxQueries = cmp.Or(c.MaxQueries, defaults.MaxQueries)
 	return c
 }
 
-// Work is what a statement takes.
+// Work is the resources that a statement needs.
 type Work struct {
 	Threads      float64
-	CPU          time.Duration // of all threads
+	CPU          time.Duration // sum over all threads
 	Disk         time.Duration
 	MemoryMB     float64
 	TableGroup   int64
 	Load         bool    // locks its table group
-	WaitsForLoad bool    // stands still while a load holds its table group
-	PlanFactor   float64 // times the work a good plan takes; 0 or 1: it is good
+	WaitsForLoad bool    // makes no progress while a load holds its table group
+	PlanFactor   float64 // multiplies CPU and disk time, for a bad query plan; 0 counts as 1
 	Rows         int
 }
 
-// Outcome is how a query stands at its engine.
+// Outcome is the state of a query at its engine.
 type Outcome int
 
+// The states of a query.
 const (
 	Running Outcome = iota
 	Succeeded
-	Failed  // ended with an error, or given up, or forgotten
+	Failed  // returned an error, was cancelled, passed its deadline or was abandoned
 	Refused // never ran
 )
 
-// Note is what an engine tells of a running query.
+// ProgressNote is a progress report on a running query. The zero value is no report.
 type ProgressNote struct {
-	Kind  string // advance, disk, stall
+	Kind  string // advance, disk or stall
 	Value float64
 }
 
-// session is one query.
+// session is one query at the engine.
 type session struct {
 	id               string
 	work             Work
 	priority         int
 	grantMB          float64
-	idleSeconds      float64 // seconds it takes on an idle engine
-	remainingSeconds float64 // of those
-	progressRate     float64 // of those a second, now
+	idleSeconds      float64 // run time on an idle engine
+	remainingSeconds float64 // part of idleSeconds still to do
+	progressRate     float64 // decrease of remainingSeconds per second
 	blockedByLoad    bool    // waits for a load
 	outcome          Outcome
 	startedAt        time.Duration
@@ -102,45 +116,48 @@
 	lastNoteAt       time.Duration
 	deadline         time.Duration
 	seq              uint64
-	pages            [][]byte // its result, once it was asked for
+	pages            [][]byte // the result, once it was requested
 }
 
-// Model is one engine's insides. Times never run backwards.
+// Model computes the progress of queries at one engine. The times passed to it must not decrease.
 type Model struct {
 	Config
 	now              time.Duration
-	started          time.Duration // for how warm it is
+	started          time.Duration // start of the warm-up
 	sessions         map[string]*session
-	active           []*session // by seq
+	active           []*session // running queries, in order of seq
 	tableGroupUsedAt map[int64]time.Duration
 	seq              uint64
-	paused           bool // a pause: nothing moves
-	// Ended is told of each query that is over, if it is set.
+	paused           bool // no query makes progress
+	// OnEnd, if set, is called when a query ends.
 	OnEnd func(id string, outcome Outcome, at time.Duration)
-	// Peak is the most queries that ran at once.
+	// PeakQueries is the largest number of queries that ran at the same time.
 	PeakQueries int
-	// Busy is the core time that was used, in seconds.
+	// BusyCoreSeconds is the total core time used.
 	BusyCoreSeconds float64
-	coresInUse      float64 // cores in use
+	coresInUse      float64
 }
 
-// NewModel makes an engine; one that is cold has just started.
+// NewModel creates an engine. A cold engine starts its warm-up now.
 func NewModel(config Config, now time.Duration, cold bool) *Model {
-	m := &Model{Config: config.withDefaults(), now: now, sessions: map[string]*session{}, tableGroupUsedAt: map[int64]time.Duration{}}
+	m := &Model{Config: config.withDefaults(), now: now, sessions: map[string]*session{},
+		tableGroupUsedAt: map[int64]time.Duration{}}
 	if m.started = now; !cold {
 		m.started = now - m.WarmUp
 	}
 	return m
 }
 
-// able is the part of its cores that it has, by how warm it is.
+// warmFraction returns the fraction of the cores that the engine can use during its warm-up.
 func (m *Model) warmFraction() float64 {
 	age := float64(m.now-m.started) / float64(m.WarmUp)
 	return m.ColdCapacity + (1-m.ColdCapacity)*min(1, max(0, age))
 }
 
-// Post starts a query; false if it is turned away unseen.
-func (m *Model) Submit(now time.Duration, id string, work Work, priority int, grantMB float64, timeout time.Duration) bool {
+// Submit starts a query. It returns false if the query was rejected.
+func (m *Model) Submit(
+	now time.Duration, id string, work Work, priority int, grantMB float64, timeout time.Duration,
+) bool {
 	m.Advance(now)
 	if s := m.sessions[id]; s != nil && s.outcome == Running {
 		return false
@@ -154,13 +171,13 @@
 	if t, warm := m.tableGroupUsedAt[work.TableGroup]; !warm || now-t > m.TableCacheTTL {
 		disk *= m.ColdTableFactor
 	}
-	if grantMB > 0 && grantMB < work.MemoryMB { // what doesn't fit goes to disk and back
+	if grantMB > 0 && grantMB < work.MemoryMB { // data that exceeds the grant is spilled to disk
 		disk += work.CPU.Seconds() * 0.5 * (1 - grantMB/work.MemoryMB)
 	}
 	m.seq++
-	s := &session{id: id, work: work, priority: min(max(priority, 0), 3), grantMB: grantMB, seq: m.seq, startedAt: now, polledAt: now, lastNoteAt: now,
-		deadline: now + timeout}
-	if s.grantMB = work.MemoryMB; grantMB > 0 { // what is granted and not needed is not used
+	s := &session{id: id, work: work, priority: min(max(priority, 0), 3), grantMB: grantMB, seq: m.seq,
+		startedAt: now, polledAt: now, lastNoteAt: now, deadline: now + timeout}
+	if s.grantMB = work.MemoryMB; grantMB > 0 { // an unneeded part of the grant isn't used
 		s.grantMB = min(grantMB, work.MemoryMB)
 	}
 	s.work.Disk = time.Duration(disk * plan * float64(time.Second))
@@ -175,7 +192,7 @@
 	return true
 }
 
-// Advance brings all to a time: progress, ends and what was forgotten.
+// Advance moves the model to a time: queries make progress, end, and are deleted when abandoned.
 func (m *Model) Advance(now time.Duration) {
 	for m.now < now {
 		next := min(now, m.nextChange())
@@ -203,14 +220,14 @@
 			m.allocate()
 		}
 	}
-	for id, s := range m.sessions { // its pages stay as long as somebody asks
+	for id, s := range m.sessions { // the pages of a result stay as long as the query is polled
 		if s.outcome != Running && m.now > max(s.endedAt, s.polledAt)+m.AbandonAfter {
 			delete(m.sessions, id)
 		}
 	}
 }
 
-// change is when something changes by itself, never before now.
+// nextChange returns the time of the next change without a call, always after the current time.
 func (m *Model) nextChange() time.Duration {
 	next := time.Duration(math.MaxInt64)
 	if m.paused {
@@ -228,7 +245,7 @@
 	return max(next, m.now+1)
 }
 
-// Next is when something ends by itself; false if nothing runs.
+// NextEvent returns when the model has to be advanced next. It returns false if no query runs.
 func (m *Model) NextEvent() (time.Duration, bool) {
 	if len(m.active) == 0 || m.paused {
 		return 0, false
@@ -248,8 +265,8 @@
 	}
 }
 
-// share sets every session's rate: cores and disks go round by priority, nobody
-// gets more than it can use, and what is left over goes to the others.
+// allocate sets the progress rate of each session. Cores and disks are shared by priority weight;
+// the part of a share that a session can't use goes to the other sessions.
 func (m *Model) allocate() {
 	memory := 0.0
 	for _, s := range m.active {
@@ -263,8 +280,10 @@
 			runnable = append(runnable, s)
 		}
 	}
-	cpu := allocateShares(runnable, m.Cores*m.warmFraction(), m.PriorityWeights, func(s *session) float64 { return s.work.CPU.Seconds() / s.idleSeconds })
-	disk := allocateShares(runnable, m.DiskParallelism, m.PriorityWeights, func(s *session) float64 { return s.work.Disk.Seconds() / s.idleSeconds })
+	cpuDemand := func(s *session) float64 { return s.work.CPU.Seconds() / s.idleSeconds }
+	diskDemand := func(s *session) float64 { return s.work.Disk.Seconds() / s.idleSeconds }
+	cpu := allocateShares(runnable, m.Cores*m.warmFraction(), m.PriorityWeights, cpuDemand)
+	disk := allocateShares(runnable, m.DiskParallelism, m.PriorityWeights, diskDemand)
 	m.coresInUse = 0
 	for i, s := range runnable {
 		s.progressRate = min(cpu[i], disk[i]) / slowdown
@@ -272,7 +291,8 @@
 	}
 }
 
-// lockedFor: a load of its tables that came before it runs here.
+// isLockedFor reports whether a load holds the lock on the session's table group. Loads get the
+// lock in order of submission; other queries wait for all loads.
 func (m *Model) isLockedFor(s *session) bool {
 	for _, x := range m.active {
 		if x != s && x.work.Load && x.work.TableGroup == s.work.TableGroup && (!s.work.Load || x.seq < s.seq) {
@@ -282,8 +302,11 @@
 	return false
 }
 
-// fill gives each the part of its demand that it gets, 0 to 1.
-func allocateShares(sessions []*session, capacity float64, ranks [4]float64, demand func(*session) float64) []float64 {
+// allocateShares divides a capacity among sessions by weight and returns the fraction of its
+// demand that each session gets.
+func allocateShares(
+	sessions []*session, capacity float64, priorityWeights [4]float64, demand func(*session) float64,
+) []float64 {
 	shares := make([]float64, len(sessions))
 	order := make([]int, 0, len(sessions))
 	weights := 0.0
@@ -293,11 +316,12 @@
 			continue
 		}
 		order = append(order, i)
-		weights += ranks[s.priority] * s.work.Threads
+		weights += priorityWeights[s.priority] * s.work.Threads
 	}
-	weight := func(i int) float64 { return ranks[sessions[i].priority] * sessions[i].work.Threads }
+	weight := func(i int) float64 { return priorityWeights[sessions[i].priority] * sessions[i].work.Threads }
 	slices.SortFunc(order, func(a, b int) int {
-		return cmp.Or(cmp.Compare(demand(sessions[a])/weight(a), demand(sessions[b])/weight(b)), cmp.Compare(sessions[a].seq, sessions[b].seq))
+		return cmp.Or(cmp.Compare(demand(sessions[a])/weight(a), demand(sessions[b])/weight(b)),
+			cmp.Compare(sessions[a].seq, sessions[b].seq))
 	})
 	for _, i := range order {
 		want := demand(sessions[i])
@@ -309,8 +333,8 @@
 	return shares
 }
 
-// Ask is what there is to say of a query now: how it stands and a note, if one is
-// due. It lives on as long as it is asked for.
+// Poll returns a query's state, and a progress note if one is due. A poll keeps the query from
+// being abandoned.
 func (m *Model) Poll(now time.Duration, id string) (Outcome, ProgressNote) {
 	m.Advance(now)
 	s := m.sessions[id]
@@ -324,7 +348,7 @@
 	return Running, m.progressNote(s)
 }
 
-// note tells how far a query is, once each period.
+// progressNote returns a note on a query's progress if NoteInterval has passed since the last one.
 func (m *Model) progressNote(s *session) ProgressNote {
 	if m.now < s.lastNoteAt+m.NoteInterval {
 		return ProgressNote{}
@@ -339,7 +363,7 @@
 	return ProgressNote{"advance", 1 - s.remainingSeconds/s.idleSeconds}
 }
 
-// NoteAt is when the next note on a query is due.
+// NextNote returns when the next progress note on a query is due.
 func (m *Model) NextNote(id string) (time.Duration, bool) {
 	s := m.sessions[id]
 	if s == nil || s.outcome != Running {
@@ -348,7 +372,7 @@
 	return s.lastNoteAt + m.NoteInterval, true
 }
 
-// Result is what a query that ended well told: its work and its rows.
+// Result returns the CPU time, memory and number of rows of a query that succeeded.
 func (m *Model) Result(id string) (work time.Duration, memoryMB float64, rows int, ok bool) {
 	s := m.sessions[id]
 	if s == nil || s.outcome != Succeeded {
@@ -357,7 +381,7 @@
 	return s.work.CPU, s.work.MemoryMB, s.work.Rows, true
 }
 
-// Rank changes a query's priority, GiveUp ends it.
+// SetPriority changes a running query's priority.
 func (m *Model) SetPriority(now time.Duration, id string, priority int) {
 	m.Advance(now)
 	if s := m.sessions[id]; s != nil && s.outcome == Running {
@@ -366,6 +390,7 @@
 	}
 }
 
+// Cancel ends a running query as failed.
 func (m *Model) Cancel(now time.Duration, id string) {
 	m.Advance(now)
 	if s := m.sessions[id]; s != nil && s.outcome == Running {
@@ -374,24 +399,26 @@
 	}
 }
 
-// Pause stops everything, Resume goes on from there: what ran has not moved.
+// Pause stops the progress of all queries until Resume.
 func (m *Model) Pause(now time.Duration) {
 	m.Advance(now)
 	m.paused = true
 }
 
+// Resume ends a pause. Queries continue from where they were at the pause.
 func (m *Model) Resume(now time.Duration) {
 	if !m.paused {
 		return
 	}
 	m.now, m.paused = max(now, m.now), false
-	for _, s := range m.active { // nobody could ask
+	for _, s := range m.active { // no poll was possible during the pause
 		s.polledAt = m.now
 	}
 	m.allocate()
 }
 
-// Restart makes the process a new and cold one, which knows nothing of what ran.
+// Restart emulates a restart of the process: all queries fail, their results are lost, and the
+// engine is cold.
 func (m *Model) Restart(now time.Duration) {
 	m.Advance(now)
 	for _, s := range slices.Clone(m.active) {
@@ -402,7 +429,8 @@
 	m.started, m.paused = now, false
 }
 
-// Load is the engine's report of itself.
+// LoadReport returns the number of running queries and the utilization of cores, memory and disks.
+// Memory may exceed 1 when it is overcommitted.
 func (m *Model) LoadReport(now time.Duration) (held int, cores, memory, disks float64) {
 	m.Advance(now)
 	used := 0.0
--- a/internal/emulator/engine/server.go
+++ b/internal/emulator/engine/server.go
@@ -9,44 +9,45 @@
 	"time"
 )
 
-// Server speaks the engines' protocol on any number of connections, over bytes
-// and in virtual time. What it answers goes through the connection's Write.
+// Server implements the engines' HTTP protocol for any number of connections in virtual time. It
+// sends responses by the connection's Write.
 type Server struct {
 	*Model
-	// Cost tells what a statement takes; ParseCost unless set.
+	// ParseWork returns the resources that a statement needs; NewServer sets it to ParseStatement.
 	ParseWork func(group string, statement []byte) Work
-	// Posted is told of each query that comes to run here, if it is set.
+	// OnSubmit, if set, is called for each query that the engine accepts.
 	OnSubmit func(id, group string, rank int, at time.Duration)
-	// Released is told of each query that it was told to end or to forget, if it is set.
+	// OnRelease, if set, is called for each DELETE request, which cancels a running query or
+	// releases the result of a finished one.
 	OnRelease func(id string, at time.Duration)
-	// Others is what it runs for controllers that aren't there: its reports have these
-	// queries and this part of its cores beside its own, if it is set.
+	// ExternalLoad, if set, returns the queries and the fraction of cores that controllers outside
+	// the emulation use. Load reports include them.
 	ExternalLoad func() (held int, cores float64)
-	// Spoil is how many of the next pages are spoilt on their way.
+	// TruncatedPages is the number of further pages to truncate, to emulate corruption.
 	TruncatedPages int
 	connections    []*Conn
-	waiting        []*Conn // those with a call that is held for news, in turn
+	waiting        []*Conn // connections with an open poll, in order
 	silent         bool
-	// Calls counts what came, by method.
+	// RequestCounts counts requests by HTTP method.
 	RequestCounts map[string]int
 	traffic       Traffic
 }
 
-// Conn is one connection. Write is called with whole answers, Close if the
-// engine ends it.
+// Conn is one connection. Write is called with complete responses, Close when the engine closes
+// the connection.
 type Conn struct {
 	Write        func(p []byte)
 	Close        func()
 	input        []byte
-	waitingID    string        // of the call that is held
-	waitingSince time.Duration // when it came
+	waitingID    string        // query of the open poll
+	waitingSince time.Duration // start of the open poll
 	waiting      bool
 	closed       bool
-	requestKind  TrafficKind // the one answered next
-	traffic      *Traffic    // of its engine
+	requestKind  TrafficKind // kind of the request in progress
+	traffic      *Traffic    // of the connection's engine
 }
 
-// NewServer puts the protocol round a model.
+// NewServer creates a server for a model.
 func NewServer(m *Model) *Server {
 	return &Server{Model: m, ParseWork: ParseStatement, RequestCounts: map[string]int{}}
 }
@@ -58,17 +59,17 @@
 	s.connections = append(s.connections, c)
 }
 
-// Gone takes one away that ended.
+// Disconnected removes a closed connection.
 func (s *Server) Disconnected(c *Conn) {
 	c.closed = true
 	is := func(x *Conn) bool { return x == c }
 	s.connections, s.waiting = slices.DeleteFunc(s.connections, is), slices.DeleteFunc(s.waiting, is)
 }
 
-// Got takes bytes that came on a connection.
+// Receive processes bytes received on a connection.
 func (s *Server) Receive(now time.Duration, c *Conn, p []byte) {
 	if s.silent || c.closed {
-		return // they lie in a buffer for ever
+		return // an unreachable engine never handles them
 	}
 	c.input = append(c.input, p...)
 	for !c.closed && !c.waiting {
@@ -167,14 +168,14 @@
 	}
 }
 
-// hold keeps a call until there is news of its query.
+// awaitProgress holds a request open until its query ends, a note is due or PollTimeout has passed.
 func (s *Server) awaitProgress(now time.Duration, c *Conn, id string) {
 	c.waiting, c.waitingID, c.waitingSince = true, id, now
 	s.Poll(now, id)
 	s.waiting = append(s.waiting, c)
 }
 
-// Due brings the engine to a time and answers what is due by then.
+// ProcessDue advances the engine to a time and sends the responses that are due.
 func (s *Server) ProcessDue(now time.Duration) {
 	s.Advance(now)
 	if s.silent || s.paused {
@@ -207,13 +208,13 @@
 		default:
 			c.respond(500, "", nil)
 		}
-		if len(c.input) > 0 && !c.closed { // a call that came behind it
+		if len(c.input) > 0 && !c.closed { // a pipelined request
 			s.Receive(now, c, nil)
 		}
 	}
 }
 
-// Next is when something is due by itself.
+// NextDue returns when ProcessDue has to be called next.
 func (s *Server) NextDue() (time.Duration, bool) {
 	next, any := s.Model.NextEvent()
 	if s.silent || s.paused {
@@ -247,15 +248,16 @@
 	c.respond(500, "", nil)
 }
 
-// Row is the text of a result's row: anybody can tell whether it is right.
+// Row returns the text of a result's row. The text follows from its arguments, so that a test can
+// verify a result.
 func Row(id string, i int) string { return id + "\trow\t" + strconv.Itoa(i) + "\n" }
 
-// WideRow is a row with so many bytes more.
-func PaddedRow(id string, i, wide int) string {
-	if wide == 0 {
+// PaddedRow returns a row with padding bytes added; without padding it returns Row.
+func PaddedRow(id string, i, padding int) string {
+	if padding == 0 {
 		return Row(id, i)
 	}
-	return id + "\trow" + strings.Repeat("-", wide) + "\t" + strconv.Itoa(i) + "\n"
+	return id + "\trow" + strings.Repeat("-", padding) + "\t" + strconv.Itoa(i) + "\n"
 }
 
 func (s *Server) resultPages(x *session) [][]byte {
@@ -274,14 +276,14 @@
 	return pages
 }
 
-// Silence has it say and hear nothing, with its connections left open, as a
-// machine that is cut off; what runs, runs on.
+// SetUnreachable emulates a machine without network: connections stay open, but requests aren't
+// handled and no response is sent. Running queries continue.
 func (s *Server) SetUnreachable(now time.Duration, silent bool) {
 	s.Advance(now)
 	s.silent = silent
 }
 
-// Reset ends all connections, and with cold its process: what ran is lost.
+// Reset closes all connections. With cold it also restarts the process, which loses all queries.
 func (s *Server) Reset(now time.Duration, cold bool) {
 	if s.silent = false; cold {
 		s.Restart(now)
@@ -304,8 +306,7 @@
 	c.Write(p)
 }
 
-// Statement writes a statement on a table group that tells a stand-in engine
-// what it takes; ParseCost reads it.
+// Statement encodes work as the text of a statement, which ParseStatement decodes.
 func Statement(w Work) []byte {
 	verb := "SELECT * FROM"
 	if w.Load {
@@ -317,7 +318,8 @@
 
 func milliseconds(t time.Duration) float64 { return float64(t) / float64(time.Millisecond) }
 
-// ParseCost reads what Statement wrote. What says nothing takes next to nothing.
+// ParseStatement decodes the text of a statement made by Statement. Any other statement needs one
+// thread, takes almost no time and returns one row.
 func ParseStatement(_ string, statement []byte) Work {
 	w := Work{Threads: 1, Rows: 1}
 	text := string(statement)
@@ -352,5 +354,5 @@
 	return w
 }
 
-// Silent tells whether it was cut off.
+// Unreachable reports whether SetUnreachable is in force.
 func (s *Server) Unreachable() bool { return s.silent }
