--- a/internal/codestyle/codestyle_test.go
+++ b/internal/codestyle/codestyle_test.go
@@ -1,5 +1,5 @@
-// Package codestyle holds the tree to limits that the linters don't check: the length of
-// functions, files and lines, and doc comments on exported items. It has tests only.
+// Package codestyle has tests that enforce limits which the linters don't check: the length of
+// functions, files and lines, and doc comments on exported items.
 package codestyle
 
 import (
@@ -27,16 +27,16 @@
 	allowanceFile    = "testdata/unfinished.txt"
 )
 
-var update = flag.Bool("update", false, "write the allowances anew from what is found")
+var update = flag.Bool("update", false, "rewrite the allowances to match the violations found")
 
-// violations counts what goes past a limit in one package.
+// violations counts the violations of each limit in one package.
 type violations struct {
 	longFunctions, longFiles, longLines, undocumented int
 }
 
-// Each package stays at or under its allowance in testdata/unfinished.txt; one that isn't
-// listed there is finished and has none. The allowances only shrink: one that is larger
-// than what was found fails, too.
+// TestPackagesKeepTheirLimits fails for each package whose violations differ from its allowance in
+// testdata/unfinished.txt; a package that isn't listed there has none. An allowance that is larger
+// than the violations fails too, so that allowances only shrink.
 func TestPackagesKeepTheirLimits(t *testing.T) {
 	allowed := readAllowances(t)
 	found := map[string]violations{}
@@ -68,8 +68,8 @@
 	}
 }
 
-// writeAllowances makes what was found the new allowances: go test ./internal/codestyle
-// -update, after a clean-up. The diff of the file shows what shrank.
+// writeAllowances replaces the allowances by the violations found. Run go test ./internal/codestyle
+// -update after a cleanup and check that the file's diff only shrinks allowances.
 func writeAllowances(t *testing.T, found map[string]violations) {
 	var text strings.Builder
 	text.WriteString("# package, functions over 60 lines, files over 600, lines over 110 characters,\n" +
@@ -89,7 +89,7 @@
 		have.longLines > want.longLines || have.undocumented > want.undocumented
 }
 
-// goFiles lists the tree's Go files outside testdata, tests among them.
+// goFiles lists the repository's Go files outside testdata, including tests.
 func goFiles(t *testing.T) []string {
 	var files []string
 	err := filepath.WalkDir(repository, func(path string, entry fs.DirEntry, err error) error {
@@ -114,8 +114,8 @@
 	return files
 }
 
-// inspect adds a file's violations to counts and describes each. The limits of functions
-// and doc comments are for production code, those of files and lines for tests as well.
+// inspect adds a file's violations to counts and returns a description of each. The limits on
+// functions and doc comments apply to production code only, those on files and lines to tests too.
 func inspect(t *testing.T, file string, counts *violations) (details []string) {
 	text, err := os.ReadFile(filepath.Join(repository, file))
 	if err != nil {
@@ -156,12 +156,11 @@
 	return details
 }
 
-// selfExplaining are methods of the standard library's interfaces: what they do is known by
-// their names.
+// selfExplaining lists methods of the standard library's interfaces, which need no doc comment.
 var selfExplaining = []string{"Error", "String", "Unwrap"}
 
-// undocumented lists the exported items of a declaration that have no comment of their own.
-// A comment on a group of constants or variables, or behind one on its line, counts for it.
+// undocumented lists the exported items of a declaration that have no doc comment. A comment on a
+// group of constants or variables, or at the end of an item's line, counts as one.
 func undocumented(declaration ast.Decl) (names []string) {
 	switch d := declaration.(type) {
 	case *ast.FuncDecl:
@@ -191,7 +190,7 @@
 	return names
 }
 
-// receiverIsExported reports whether a function is no method or is one of an exported type.
+// receiverIsExported reports whether a function has no receiver or one of an exported type.
 func receiverIsExported(function *ast.FuncDecl) bool {
 	if function.Recv == nil {
 		return true
@@ -210,7 +209,7 @@
 	return is && name.IsExported()
 }
 
-// readAllowances reads what each unfinished package may still have.
+// readAllowances reads the violations that each listed package may have.
 func readAllowances(t *testing.T) map[string]violations {
 	file, err := os.Open(allowanceFile)
 	if err != nil {
--- a/internal/codestyle/glossary_test.go
+++ b/internal/codestyle/glossary_test.go
@@ -10,8 +10,8 @@
 
 const glossaryFile = "docs/glossary.md"
 
-// Each row of the glossary that names a file in its last column names it by an existing
-// path, and the identifiers in the column before are declared there.
+// TestGlossaryNamesWhatExists checks that the files in the glossary's last column exist, and that
+// they declare the identifiers in the column before.
 func TestGlossaryNamesWhatExists(t *testing.T) {
 	text, err := os.ReadFile(filepath.Join(repository, glossaryFile))
 	if err != nil {
@@ -41,7 +41,7 @@
 	}
 }
 
-// readGoFiles reads a file, or all Go files of a folder.
+// readGoFiles returns the contents of a file, or of all Go files in a folder.
 func readGoFiles(t *testing.T, path string) string {
 	path = filepath.Join(repository, path)
 	info, err := os.Stat(path)
@@ -66,8 +66,8 @@
 	return contents.String()
 }
 
-// declares reports whether a name, as Name or Type.Member, is declared in a text of Go: as a
-// type, function, method, field, constant or variable.
+// declares reports whether Go source text declares a name, given as Name or Type.Member, as a type,
+// function, method, field, constant or variable.
 func declares(text, name string) bool {
 	if _, member, isMember := strings.Cut(name, "."); isMember {
 		name = member
@@ -77,8 +77,8 @@
 	return regexp.MustCompile(declaration).MatchString(text)
 }
 
-// Paths of the tree in backticks on the engineers' pages exist, and what stands behind a
-// path and a colon is declared there.
+// TestPagesNameWhatExists checks that repository paths in backticks on the engineers' pages exist,
+// and that the identifier after a path and a colon is declared at that path.
 func TestPagesNameWhatExists(t *testing.T) {
 	reference := regexp.MustCompile("`((?:internal|cmd)/[\\w./-]+)(?::([\\w.]+))?`")
 	for _, page := range []string{"README.md", "docs/architecture.md", "docs/oncall.md", "docs/design.md", glossaryFile} {
--- a/internal/emulator/faultproxy/fault.go
+++ b/internal/emulator/faultproxy/fault.go
@@ -1,7 +1,6 @@
-// Package faultproxy is a stand-in for the network between processes of a test: a TCP proxy
-// on loopback that puts faults on what passes. fault.go is the pure part: what a fault
-// does to some bytes, and scripts of faults. link.go has the sockets, mesh.go one link
-// for every ordered pair of processes.
+// Package faultproxy is a TCP proxy on loopback that injects network faults between the processes
+// of a test. fault.go defines faults, their effect on bytes, and scripts of faults, without I/O.
+// link.go forwards connections, and mesh.go has one link for each ordered pair of processes.
 package faultproxy
 
 import (
@@ -9,31 +8,33 @@
 	"time"
 )
 
-// Kind is what a fault does.
+// Kind is the kind of a fault.
 type Kind string
 
+// The kinds of faults.
 const (
-	Heal      Kind = ""       // nothing: what was held passes, and connections that lost bytes are reset
-	Cut       Kind = "cut"    // nothing passes either way: connections are closed, with Silent they stay and all is held
-	OneWay    Kind = "oneway" // bytes of one Way are lost, with Hold they wait
-	Slow      Kind = "slow"   // Rate bytes a second pass
-	Delay     Kind = "delay"  // bytes come By later, and up to Jitter more, in their order
-	Reset     Kind = "reset"  // connections that stand are reset, once; new ones are fine
-	Stall     Kind = "stall"  // each connection stops once After bytes have passed since it was set
-	Duplicate Kind = "double" // what goes to the target goes there once more by another connection, after its answer began
+	Heal      Kind = ""       // no fault: held bytes pass, connections that lost bytes are reset
+	Cut       Kind = "cut"    // closes connections; with Silent they stay open and bytes are held
+	OneWay    Kind = "oneway" // drops bytes in one Direction, or with Hold holds them
+	Slow      Kind = "slow"   // limits the throughput to Rate
+	Delay     Kind = "delay"  // delays bytes by Latency plus up to Jitter and keeps their order
+	Reset     Kind = "reset"  // resets the open connections once; new ones work
+	Stall     Kind = "stall"  // stops each connection AfterBytes bytes after the fault was set
+	Duplicate Kind = "double" // sends bytes again on a second connection, after the response has begun
 )
 
-// Way is a direction, seen from who connects.
+// Direction is a direction of bytes, as seen by the process that connects.
 type Direction int
 
+// The directions.
 const (
 	Both       Direction = iota
 	ToTarget             // to the target
-	FromTarget           // from it
+	FromTarget           // from the target
 )
 
-// Fault is what a link does to all of its connections until another one is set. Way
-// counts for OneWay, Slow, Delay and Stall.
+// Fault applies to all connections of a link until another fault is set. Direction applies to
+// OneWay, Slow, Delay and Stall.
 type Fault struct {
 	Kind            Kind
 	Direction       Direction
@@ -41,20 +42,20 @@
 	Hold            bool // OneWay
 	Rate            int  // Slow: bytes a second, at least 1
 	Latency, Jitter time.Duration
-	Seed            uint64 // of the jitter
+	Seed            uint64 // seed of the jitter
 	AfterBytes      int64  // Stall: bytes
 }
 
-// verdict is what happens to bytes that wait.
+// decision is what a fault does to waiting bytes.
 type decision struct {
-	passNow int           // so many pass now; none and no wait: hold until another fault is set
-	drop    bool          // they are lost
-	wait    time.Duration // before they pass
-	applied bool          // the fault really did something
+	passNow int           // bytes that pass; if 0 without drop, all are held until the next fault
+	drop    bool          // the bytes are discarded
+	wait    time.Duration // delay before the bytes pass
+	applied bool          // the fault had an effect
 }
 
-// over says what a fault does to n waiting bytes of a connection that has passed
-// some since the fault was set. late is what Delay drew for them, age since they came.
+// decide returns what a fault does to n waiting bytes of a connection that has passed some bytes
+// since the fault was set. delay is the delay drawn for the bytes, age the time since their receipt.
 func (f Fault) decide(direction Direction, n int, passed int64, delay, age time.Duration) decision {
 	if f.Direction != Both && f.Direction != direction {
 		return decision{passNow: n}
@@ -77,12 +78,12 @@
 	return decision{passNow: n}
 }
 
-// blocks says whether nothing of a way passes at all, so that no connection comes about.
+// blocks reports whether no bytes pass in a direction, so that no connection is established.
 func (f Fault) blocks(direction Direction) bool {
 	return f.Kind == Cut || f.Kind == OneWay && (f.Direction == Both || f.Direction == direction)
 }
 
-// late draws what Delay adds to some bytes.
+// drawDelay draws the delay that a Delay fault adds to some bytes.
 func (f Fault) drawDelay(r *rand.Rand) time.Duration {
 	if f.Jitter <= 0 {
 		return f.Latency
@@ -90,8 +91,8 @@
 	return f.Latency + time.Duration(r.Int64N(int64(f.Jitter)))
 }
 
-// Draw makes a fault by chance: any kind but Heal, with figures that a test of some
-// seconds can bear.
+// RandomFault draws a fault of any kind except Heal, with parameters that suit a test of a few
+// seconds.
 func RandomFault(r *rand.Rand) Fault {
 	kinds := []Kind{Cut, OneWay, Slow, Delay, Reset, Stall, Duplicate}
 	f := Fault{Kind: kinds[r.IntN(len(kinds))], Silent: r.IntN(2) == 0, Hold: r.IntN(2) == 0, Seed: r.Uint64()}
@@ -101,16 +102,17 @@
 	case Slow:
 		f.Rate = 1000 << r.IntN(8)
 	case Delay:
-		f.Latency, f.Jitter = time.Duration(r.IntN(50))*time.Millisecond, time.Duration(1+r.IntN(50))*time.Millisecond
+		f.Latency = time.Duration(r.IntN(50)) * time.Millisecond
+		f.Jitter = time.Duration(1+r.IntN(50)) * time.Millisecond
 	case Stall:
 		f.Direction, f.AfterBytes = ToTarget+Direction(r.IntN(2)), int64(r.IntN(2000))
 	}
 	return f
 }
 
-// Step sets a fault once an event has happened Nth times (0 is 1) since the step before
-// it. Without an event it goes together with the step before it. From and To say which
-// links of a Mesh, "" any.
+// Step sets a fault when Event has happened Nth times since the previous step; an Nth of 0 counts
+// as 1. A step without an event takes effect together with the previous step. From and To select
+// links of a Mesh; "" selects any.
 type Step struct {
 	Event    string
 	Nth      int
@@ -118,13 +120,13 @@
 	Fault    Fault
 }
 
-// Script plays steps in their order, by events that the test tells of.
+// Script performs steps in order, driven by events that the test reports.
 type Script struct {
 	Steps []Step
-	seen  int // events that the next step waits for
+	seen  int // occurrences of the next step's event so far
 }
 
-// Happened tells of an event and gives the steps that are due by it.
+// OnEvent records an event and returns the steps that are due.
 func (s *Script) OnEvent(event string) (due []Step) {
 	for len(s.Steps) > 0 {
 		next := s.Steps[0]
--- a/internal/emulator/faultproxy/link.go
+++ b/internal/emulator/faultproxy/link.go
@@ -11,17 +11,17 @@
 )
 
 const (
-	readSize          = 16 << 10 // bytes read at once
-	maxQueuedPieces   = 64       // chunks that wait in each direction; over it the sender isn't read from
-	maxConnections    = 1024     // of a link; over it new ones are closed
-	maxDuplicateBytes = 4 << 20  // bytes remembered for Double between two answers; over it they aren't doubled
+	readSize          = 16 << 10 // bytes of a read buffer
+	maxQueuedPieces   = 64       // pieces queued per direction; when full, the sender isn't read from
+	maxConnections    = 1024     // connections per link; further ones are closed
+	maxDuplicateBytes = 4 << 20  // bytes kept for Duplicate between two responses; more aren't sent again
 	ioTimeout         = 5 * time.Second
 )
 
-// Link takes connections at Address and passes them on to its target. Who connects to
-// one that is cut is taken and then closed or left waiting: loopback has no lost SYN.
+// Link accepts connections at Address and forwards them to its target. During a Cut it still accepts
+// connections, and then closes them or leaves them waiting, because loopback can't drop a SYN.
 type Link struct {
-	listener net.Listener // nil: connections come from a Mesh's front
+	listener net.Listener // nil if a Mesh accepts the connections
 	ctx      context.Context
 	cancel   context.CancelFunc
 	wg       sync.WaitGroup
@@ -29,15 +29,15 @@
 	mu          sync.Mutex
 	target      string
 	fault       Fault
-	generation  int           // counts Sets
-	changed     chan struct{} // closed by the next Set
+	generation  int           // number of calls of SetFault
+	changed     chan struct{} // closed by the next SetFault
 	rand        *rand.Rand
 	connections map[*connection]struct{}
 	hitCounts   map[string]int
 	closed      bool
 }
 
-// New makes a link to a target. With "" it closes all connections until Target.
+// New creates a link to a target. If target is "", the link closes all connections until SetTarget.
 func New(target string) (*Link, error) {
 	l := newLink(target)
 	var err error
@@ -49,7 +49,8 @@
 }
 
 func newLink(target string) *Link {
-	l := &Link{target: target, changed: make(chan struct{}), connections: map[*connection]struct{}{}, hitCounts: map[string]int{}}
+	l := &Link{target: target, changed: make(chan struct{}), connections: map[*connection]struct{}{},
+		hitCounts: map[string]int{}}
 	l.ctx, l.cancel = context.WithCancel(context.Background())
 	return l
 }
@@ -64,17 +65,17 @@
 	}
 }
 
-// Address is where to connect to.
+// Address returns the address to connect to.
 func (l *Link) Address() string { return l.listener.Addr().String() }
 
-// Target says where new connections lead from now on.
+// SetTarget sets the target of new connections.
 func (l *Link) SetTarget(address string) {
 	l.mu.Lock()
 	l.target = address
 	l.mu.Unlock()
 }
 
-// Set puts a fault on the link instead of the one before it.
+// SetFault replaces the link's fault.
 func (l *Link) SetFault(f Fault) {
 	l.mu.Lock()
 	l.fault, l.generation = f, l.generation+1
@@ -98,22 +99,22 @@
 	}
 }
 
-// Play tells a script of an event and sets what is due by it.
+// Play reports an event to a script and sets the faults that are due.
 func (l *Link) Play(s *Script, event string) {
 	for _, step := range s.OnEvent(event) {
 		l.SetFault(step.Fault)
 	}
 }
 
-// Struck counts by kind how often a fault really did something: to some bytes, or for
-// Cut and Reset to a connection. double_left_out: what was too much to be doubled.
+// HitCounts returns for each kind how often a fault affected bytes, or for Cut and Reset a
+// connection. The key double_left_out counts how often bytes were too many to be sent again.
 func (l *Link) HitCounts() map[string]int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return maps.Clone(l.hitCounts)
 }
 
-// Close closes all connections and waits for all goroutines.
+// Close closes all connections and waits for the link's goroutines.
 func (l *Link) Close() error {
 	var err error
 	if l.listener != nil {
@@ -140,25 +141,25 @@
 	l.mu.Unlock()
 }
 
-// conn is one connection through the link.
+// connection is one connection through the link.
 type connection struct {
 	link        *Link
-	source      *net.TCPConn // of who connected
+	source      *net.TCPConn // from the process that connected
 	ctx         context.Context
-	cancel      context.CancelFunc // it ended
-	passed      [3]int64           // bytes by Way since the last Set; by the link's mutex
-	lostBytes   bool               // bytes of it were lost, it can't be healed; by the link's mutex
-	pending     []byte             // to be doubled; by the link's mutex
-	skipPending bool               // pending was too much; by the link's mutex
+	cancel      context.CancelFunc // called when the connection ends
+	passed      [3]int64           // bytes by Direction since the last SetFault; guarded by link.mu
+	lostBytes   bool               // bytes were dropped, so that Heal has to reset it; guarded by link.mu
+	pending     []byte             // bytes to send again; guarded by link.mu
+	skipPending bool               // pending exceeded its limit; guarded by link.mu
 
 	mu        sync.Mutex
-	target    *net.TCPConn // to the target, nil: not yet
-	duplicate *net.TCPConn // of Double, nil: none
+	target    *net.TCPConn // to the target; nil until connected
+	duplicate *net.TCPConn // second connection of Duplicate; nil if none
 	ended     bool
-	discarded sync.WaitGroup // what the twin is answered
+	discarded sync.WaitGroup // reads responses on the duplicate connection
 }
 
-// carry takes a connection over; it returns at once.
+// accept takes over a connection and returns without waiting.
 func (l *Link) accept(in *net.TCPConn) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -178,7 +179,7 @@
 	l.wg.Go(func() { c.run(target) })
 }
 
-// end closes both sides, by a reset if it is to be one.
+// close closes both sides, with a TCP reset if reset is true.
 func (c *connection) close(reset bool) {
 	c.cancel()
 	c.mu.Lock()
@@ -194,7 +195,8 @@
 	c.mu.Unlock()
 }
 
-// dial connects to the target, for *to; false if that can't be, or it has ended.
+// dial connects to the target and stores the connection in *to. It returns false if the dial fails
+// or the connection has ended.
 func (c *connection) dial(target string, to **net.TCPConn) bool {
 	d := net.Dialer{Timeout: ioTimeout}
 	s, err := d.DialContext(c.link.ctx, "tcp", target)
@@ -238,7 +240,8 @@
 	c.link.mu.Unlock()
 }
 
-// open waits until something would pass to the target.
+// waitUntilOpen waits until the fault lets bytes pass to the target. It returns false if the
+// connection ends first.
 func (c *connection) waitUntilOpen() bool {
 	for {
 		f, _, changed := c.link.currentFault()
@@ -265,7 +268,8 @@
 	receivedAt time.Time
 }
 
-// read queues what comes. The queue ends where the stream does; a reset ends both ways.
+// readPieces queues received bytes. The queue is closed at the end of the stream; a read error
+// resets both sides.
 func (c *connection) readPieces(wg *sync.WaitGroup, from *net.TCPConn) chan piece {
 	queue := make(chan piece, maxQueuedPieces)
 	wg.Go(func() {
@@ -292,7 +296,7 @@
 	return queue
 }
 
-// pump writes what is queued, through the faults, and then the stream's end.
+// forward applies faults to the queued bytes, writes them, and then closes the stream.
 func (c *connection) forward(direction Direction, queue chan piece, to *net.TCPConn, target string) {
 	for p := range queue {
 		if !c.passPiece(direction, p, to) {
@@ -300,10 +304,10 @@
 			return
 		}
 		if direction == FromTarget {
-			c.sendDuplicate(target) // who connected has the answer: a twin's comes second
+			c.sendDuplicate(target) // the response was delivered: bytes may be sent again
 		}
 	}
-	for { // the end of a stream is held up like its bytes
+	for { // a fault holds the end of a stream like its bytes
 		f, _, changed := c.link.currentFault()
 		if !f.blocks(direction) {
 			break
@@ -317,7 +321,7 @@
 	to.CloseWrite()
 }
 
-// pass brings one piece through the fault of now, and those set while it waits.
+// passPiece applies the current fault to one piece, and any fault that is set while it waits.
 func (c *connection) passPiece(direction Direction, p piece, to *net.TCPConn) bool {
 	generation, delay, remaining := -1, time.Duration(0), p.bytes
 	for len(remaining) > 0 {
@@ -353,7 +357,8 @@
 			}
 		}
 		if direction == ToTarget && f.Kind == Duplicate {
-			c.recordForDuplicate(remaining[:decision.passNow]) // before it is written: the answer may be there before Write returns
+			// before the write: the response may arrive before Write returns
+			c.recordForDuplicate(remaining[:decision.passNow])
 		}
 		n, err := to.Write(remaining[:decision.passNow])
 		c.link.mu.Lock()
@@ -372,7 +377,7 @@
 	return true
 }
 
-// remember keeps what is to be doubled.
+// recordForDuplicate keeps bytes that are to be sent again.
 func (c *connection) recordForDuplicate(b []byte) {
 	c.link.mu.Lock()
 	defer c.link.mu.Unlock()
@@ -386,7 +391,7 @@
 	}
 }
 
-// double sends what went to the target since the last time once more, by the twin.
+// sendDuplicate sends the bytes recorded since its last call again, on the duplicate connection.
 func (c *connection) sendDuplicate(target string) {
 	c.link.mu.Lock()
 	b := c.pending
--- a/internal/emulator/faultproxy/link_test.go
+++ b/internal/emulator/faultproxy/link_test.go
@@ -17,10 +17,10 @@
 
 const soon = 10 * time.Second
 
-// target takes connections and tells of what each sent; it sends back what it gets.
+// target is a server that echoes received bytes and records them.
 type target struct {
 	net.Listener
-	took chan string // each piece that came, by any connection
+	took chan string // bytes of each read, from any connection
 }
 
 func echo(t *testing.T, address string) *target {
@@ -93,7 +93,7 @@
 	}
 }
 
-// takes reads from all connections together until so much came.
+// takes fails unless the target receives a text, on all connections together.
 func (e *target) takes(t *testing.T, text string) {
 	t.Helper()
 	var b string
@@ -110,12 +110,12 @@
 	}
 }
 
-// struck waits for a count: it has no event.
+// struck polls until a hit count reaches n, because no event reports it.
 func struck(t *testing.T, of func() map[string]int, kind Kind, n int) {
 	t.Helper()
 	for end := time.Now().Add(soon); of()[string(kind)] < n; time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("%s struck %d times, want %d", kind, of()[string(kind)], n)
+			t.Fatalf("%s has hit count %d, want %d", kind, of()[string(kind)], n)
 		}
 	}
 }
@@ -123,11 +123,11 @@
 func closed(t *testing.T, c net.Conn) {
 	t.Helper()
 	if n, err := c.Read(make([]byte, 1)); n > 0 || err != io.EOF && !errors.Is(err, syscall.ECONNRESET) {
-		t.Fatalf("%d bytes, %v: it isn't closed", n, err)
+		t.Fatalf("read %d bytes, %v: the connection isn't closed", n, err)
 	}
 }
 
-func TestWhatPassesWithoutFault(t *testing.T) {
+func TestBytesPassWithoutFault(t *testing.T) {
 	l, _ := links(t)
 	c := dial(t, l.Address())
 	data := bytes.Repeat([]byte("0123456789abcdef"), 1<<16)
@@ -140,7 +140,7 @@
 	}
 }
 
-func TestCutClosesWhatStandsAndWhatComes(t *testing.T) {
+func TestCutClosesOpenAndNewConnections(t *testing.T) {
 	l, _ := links(t)
 	c := dial(t, l.Address())
 	write(t, c, "a")
@@ -161,7 +161,7 @@
 	reads(t, c, "b")
 }
 
-func TestASilentCutHoldsAllUntilItHeals(t *testing.T) {
+func TestSilentCutHoldsBytesUntilHealed(t *testing.T) {
 	l, e := links(t)
 	c := dial(t, l.Address())
 	write(t, c, "a")
@@ -173,7 +173,7 @@
 	write(t, late, "c")
 	struck(t, l.HitCounts, Cut, 2)
 	if len(e.took) > 0 {
-		t.Error("something passed")
+		t.Error("bytes passed a silent cut")
 	}
 	l.SetFault(Fault{})
 	reads(t, c, "b")
@@ -189,7 +189,7 @@
 	struck(t, l.HitCounts, OneWay, 1)
 	l.SetFault(Fault{})
 	reads(t, c, "a")
-	l.SetFault(Fault{Kind: OneWay, Direction: FromTarget}) // lost, not held
+	l.SetFault(Fault{Kind: OneWay, Direction: FromTarget}) // dropped, not held
 	write(t, c, "b")
 	e.takes(t, "b")
 	struck(t, l.HitCounts, OneWay, 2)
@@ -203,11 +203,11 @@
 	write(t, c, "d")
 	struck(t, l.HitCounts, OneWay, 3)
 	if len(e.took) > 0 {
-		t.Error("it passed")
+		t.Error("bytes passed in the dropped direction")
 	}
 }
 
-func TestSlowAndDelayTakeTheirTime(t *testing.T) {
+func TestSlowAndDelayAddLatency(t *testing.T) {
 	l, _ := links(t)
 	c := dial(t, l.Address())
 	for _, f := range []Fault{
@@ -226,11 +226,11 @@
 	l.SetFault(Fault{Kind: Delay, Latency: time.Hour})
 	write(t, c, "x")
 	struck(t, l.HitCounts, Delay, 2)
-	l.SetFault(Fault{}) // what waits waits no more
+	l.SetFault(Fault{}) // delayed bytes pass at once
 	reads(t, c, "x")
 }
 
-func TestResetStrikesWhatStands(t *testing.T) {
+func TestResetClosesOnlyOpenConnections(t *testing.T) {
 	l, _ := links(t)
 	c := dial(t, l.Address())
 	write(t, c, "a")
@@ -245,7 +245,7 @@
 	struck(t, l.HitCounts, Reset, 1)
 }
 
-func TestStallStopsInTheMiddle(t *testing.T) {
+func TestStallStopsAfterAfterBytes(t *testing.T) {
 	l, e := links(t)
 	c := dial(t, l.Address())
 	l.SetFault(Fault{Kind: Stall, Direction: ToTarget, AfterBytes: 3})
@@ -254,13 +254,13 @@
 	e.takes(t, "abc")
 	struck(t, l.HitCounts, Stall, 1)
 	other := dial(t, l.Address())
-	write(t, other, "xyz") // up to there each passes
+	write(t, other, "xyz") // each connection has its own limit
 	reads(t, other, "xyz")
 	l.SetFault(Fault{})
 	reads(t, c, "def")
 }
 
-func TestDoubleComesOnceMoreAfterTheAnswer(t *testing.T) {
+func TestDuplicateSendsAgainAfterTheResponse(t *testing.T) {
 	l, e := links(t)
 	l.SetFault(Fault{Kind: Duplicate})
 	c := dial(t, l.Address())
@@ -272,17 +272,17 @@
 	e.takes(t, "moremore")
 	struck(t, l.HitCounts, Duplicate, 2)
 	c.CloseWrite()
-	closed(t, c) // of the twin's answers none came
+	closed(t, c) // no response of the duplicate connection was forwarded
 }
 
-func TestCloseWithAllHeld(t *testing.T) {
+func TestCloseWithHeldConnections(t *testing.T) {
 	l, _ := links(t)
 	l.SetFault(Fault{Kind: Cut, Silent: true})
 	for range 3 {
 		write(t, dial(t, l.Address()), "held")
 	}
 	struck(t, l.HitCounts, Cut, 3)
-} // the clean-up closes the link and looks for goroutines
+} // the cleanup closes the link and checks for leaked goroutines
 
 func TestMeshCutsPairs(t *testing.T) {
 	names := []string{"a", "b", "c"}
@@ -299,7 +299,7 @@
 				continue
 			}
 			address, err := m.Address(from, to)
-			if (i+j)%2 == 0 { // the other way to be told apart: by where it comes from
+			if (i+j)%2 == 0 { // selects the link by the source address
 				address, err = m.SharedAddress(to)
 			}
 			if err != nil {
@@ -350,10 +350,10 @@
 		t.Error(m.HitCounts())
 	}
 	front, _ := m.SharedAddress("a")
-	closed(t, dial(t, front)) // from no process
+	closed(t, dial(t, front)) // from an unknown source address
 }
 
-func TestAScriptGoesByEvents(t *testing.T) {
+func TestScriptStepsFollowEvents(t *testing.T) {
 	s := Script{Steps: []Step{
 		{Event: "decided", Nth: 2, Fault: Fault{Kind: Cut}}, {To: "b", Fault: Fault{Kind: Slow}},
 		{Event: "decided", Fault: Fault{Kind: Reset}}, {Event: "led", Fault: Fault{}},
@@ -371,7 +371,7 @@
 	}
 }
 
-func TestAFaultNeverTakesMoreThanThereIs(t *testing.T) {
+func TestDecisionPassesNoMoreBytesThanWait(t *testing.T) {
 	kinds := map[Kind]bool{}
 	rapid.Check(t, func(t *rapid.T) {
 		r := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 1))
@@ -383,15 +383,16 @@
 			v := f.decide(way, n, passed, f.drawDelay(r), 0)
 			switch {
 			case v.passNow < 0 || v.passNow > n || v.wait < 0 || v.drop && v.passNow > 0:
-				t.Fatalf("%+v: %+v of %d", f, v, n)
+				t.Fatalf("%+v: decision %+v for %d bytes", f, v, n)
 			case f.Direction != Both && f.Direction != way && v != decision{passNow: n}:
-				t.Fatalf("%+v strikes the other way: %+v", f, v)
-			case f.Kind == Stall && v.passNow > 0 && passed+int64(v.passNow) > f.AfterBytes && (f.Direction == Both || f.Direction == way):
+				t.Fatalf("%+v affects the other direction: %+v", f, v)
+			case f.Kind == Stall && v.passNow > 0 && passed+int64(v.passNow) > f.AfterBytes &&
+				(f.Direction == Both || f.Direction == way):
 				t.Fatalf("%+v lets %d pass after %d", f, v.passNow, passed)
 			}
 		}
 	})
 	if len(kinds) != 7 {
-		t.Error("not all kinds are drawn:", kinds)
+		t.Error("RandomFault didn't draw all kinds:", kinds)
 	}
 }
--- a/internal/emulator/faultproxy/mesh.go
+++ b/internal/emulator/faultproxy/mesh.go
@@ -6,14 +6,13 @@
 	"sync"
 )
 
-// Mesh has a link for every ordered pair of named processes: the one from a to b carries
-// the connections that a makes.
+// Mesh has a link for each ordered pair of named processes. The link from a to b forwards the
+// connections that a opens.
 //
-// A process may be told of another by Address, which is the pair's own. Where all have to
-// name b by the same address (the fleet's record has one for each member), they use
-// Front(b), and each connects from its own loopback address Source(a): the front tells
-// by it whose link a connection goes through. Source works where all of 127/8 is local,
-// as on Linux.
+// Address returns an address for one pair. Where all processes need the same address for b (the
+// fleet's record has one for each member), they use SharedAddress(b), and each connects from its
+// own loopback address SourceAddress(a), by which the mesh selects the link. SourceAddress requires
+// that all of 127/8 is local, as on Linux.
 type Mesh struct {
 	names []string
 	links map[[2]string]*Link
@@ -23,7 +22,7 @@
 	listeners map[string]net.Listener
 }
 
-// NewMesh makes the links. Targets come later.
+// NewMesh creates the links between processes. SetTarget sets their targets.
 func NewMesh(names ...string) *Mesh {
 	m := &Mesh{names: names, links: map[[2]string]*Link{}, listeners: map[string]net.Listener{}}
 	for _, a := range names {
@@ -36,7 +35,7 @@
 	return m
 }
 
-// Target says where a process listens. Until then, connections to it are closed.
+// SetTarget sets the address of a process. Until then, connections to the process are closed.
 func (m *Mesh) SetTarget(name, address string) {
 	for pair, l := range m.links {
 		if pair[1] == name {
@@ -45,16 +44,16 @@
 	}
 }
 
-// Link is that of a pair, nil if there is none.
+// Link returns the link of a pair, or nil.
 func (m *Mesh) Link(from, to string) *Link { return m.links[[2]string{from, to}] }
 
-// Address is where one process reaches another by a listener of the pair's own.
+// Address returns the address at which one process reaches another by their own listener.
 func (m *Mesh) Address(from, to string) (string, error) {
 	return m.listen(from+" to "+to, m.Link(from, to).accept)
 }
 
-// Front is where all reach a process, each from its own Source. Who comes from no
-// process's source is closed.
+// SharedAddress returns the address at which all processes reach a process, each from its own
+// SourceAddress. Connections from other addresses are closed.
 func (m *Mesh) SharedAddress(to string) (string, error) {
 	return m.listen("to "+to, func(c *net.TCPConn) {
 		host, _, _ := net.SplitHostPort(c.RemoteAddr().String())
@@ -83,7 +82,7 @@
 	return l.Addr().String(), nil
 }
 
-// Source is the address that a process listens on and connects from.
+// SourceAddress returns the loopback IP address that a process listens on and connects from.
 func (m *Mesh) SourceAddress(name string) string {
 	for i, n := range m.names {
 		if n == name {
@@ -93,9 +92,9 @@
 	return ""
 }
 
-// Set puts a fault on the links from one process to another, "" is any.
+// SetFault sets a fault on the links from one process to another; "" selects any process.
 func (m *Mesh) SetFault(from, to string, f Fault) {
-	for _, a := range m.names { // in order, so that a seeded test is the same each time
+	for _, a := range m.names { // in order, so that a seeded test is reproducible
 		for _, b := range m.names {
 			if l := m.Link(a, b); l != nil && (from == "" || from == a) && (to == "" || to == b) {
 				l.SetFault(f)
@@ -104,29 +103,29 @@
 	}
 }
 
-// Cut lets nothing pass between two processes; connections stay and hear nothing.
+// Cut holds all bytes between two processes; their connections stay open.
 func (m *Mesh) Cut(a, b string) {
 	m.SetFault(a, b, Fault{Kind: Cut, Silent: true})
 	m.SetFault(b, a, Fault{Kind: Cut, Silent: true})
 }
 
-// Isolate cuts one process off from all others.
+// Isolate cuts one process off from all others, in both directions.
 func (m *Mesh) Isolate(a string) {
 	m.SetFault(a, "", Fault{Kind: Cut, Silent: true})
 	m.SetFault("", a, Fault{Kind: Cut, Silent: true})
 }
 
-// Heal ends all faults.
+// Heal removes all faults.
 func (m *Mesh) Heal() { m.SetFault("", "", Fault{}) }
 
-// Play tells a script of an event and sets what is due by it.
+// Play reports an event to a script and sets the faults that are due.
 func (m *Mesh) Play(s *Script, event string) {
 	for _, step := range s.OnEvent(event) {
 		m.SetFault(step.From, step.To, step.Fault)
 	}
 }
 
-// Struck is the sum over all links.
+// HitCounts returns the sum of HitCounts over all links.
 func (m *Mesh) HitCounts() map[string]int {
 	sum := map[string]int{}
 	for _, l := range m.links {
@@ -137,7 +136,7 @@
 	return sum
 }
 
-// Close closes all links and waits for their goroutines.
+// Close closes all listeners and links and waits for their goroutines.
 func (m *Mesh) Close() {
 	m.mu.Lock()
 	for _, l := range m.listeners {
--- a/internal/emulator/feed/feed.go
+++ b/internal/emulator/feed/feed.go
@@ -1,5 +1,5 @@
-// Package feed is a stand-in for the control feed that lists the engines: events
-// by number over bytes, and sockets round them.
+// Package feed emulates the control feed that lists the engines. Log holds the numbered events and
+// Listener serves them on TCP.
 package feed
 
 import (
@@ -13,7 +13,7 @@
 	"time"
 )
 
-// Engine is one entry of the list, under the feed's names.
+// Engine is one entry of the list, with the feed's keys.
 type Engine struct {
 	ID        string `json:"id"`
 	HostPort  string `json:"host_port"`
@@ -25,7 +25,7 @@
 	UpSinceMs int64  `json:"up_since_ms"`
 }
 
-// Log is the feed's events from the first, each a line. The first lists all.
+// Log holds all events of the feed, one line each. The first event lists all engines.
 type Log struct{ lines [][]byte }
 
 type memberList struct {
@@ -39,20 +39,20 @@
 	Members memberList `json:"members"`
 }
 
-// Tell adds an event: of all engines with whole, else of those that changed.
+// Append adds an event that lists all engines if complete is true, else those that changed.
 func (l *Log) Append(complete bool, engines ...Engine) {
 	n := len(l.lines) + 1
 	line, err := json.Marshal(event{n, memberList{n, complete, engines}})
 	if err != nil {
-		panic(err) // nothing in it can fail
+		panic(err) // unreachable: all fields can be encoded
 	}
 	l.lines = append(l.lines, line)
 }
 
-// Last is the number of the newest event.
+// LastEvent returns the number of the newest event.
 func (l *Log) LastEvent() int { return len(l.lines) }
 
-// Since is all events after one, a line each.
+// EventsSince returns all events after event n, one line each.
 func (l *Log) EventsSince(n int) []byte {
 	var b bytes.Buffer
 	for _, line := range l.lines[min(max(n, 0), len(l.lines)):] {
@@ -62,49 +62,49 @@
 	return b.Bytes()
 }
 
-// Known is the form that a configuration holds all events in.
+// ConfigurationJSON returns all events in the form that a controller's configuration holds them.
 func (l *Log) ConfigurationJSON() []byte {
 	return append(append([]byte(`{"n":`+strconv.Itoa(l.LastEvent())+`,"events":[`), bytes.Join(l.lines, []byte(","))...), "]}"...)
 }
 
-// Beat is the line that comes every second.
+// Heartbeat returns the line that is sent every second: the number of the newest event.
 func (l *Log) Heartbeat() []byte {
 	return append(strconv.AppendInt(nil, int64(l.LastEvent()), 10), '\n')
 }
 
-// Asked reads what a controller writes, SUB N; false if it is no such line.
+// ParseSubscription parses a controller's subscription line, "SUB N", and returns N.
 func ParseSubscription(line []byte) (n int, ok bool) {
 	word, number, found := strings.Cut(strings.TrimSpace(string(line)), " ")
 	n, err := strconv.Atoi(number)
 	return n, found && word == "SUB" && err == nil && n >= 0
 }
 
-// Listener serves a Log on sockets.
+// Listener serves a Log on TCP connections.
 type Listener struct {
 	net.Listener
 	mu          sync.Mutex
 	log         *Log
 	connections map[net.Conn]bool
-	lastSent    map[net.Conn]int // the last event each was told
+	lastSent    map[net.Conn]int // last event sent to each subscriber
 	stop        context.CancelFunc
 	goroutines  sync.WaitGroup
 	traffic     Traffic
 }
 
-// Bytes is what a feed's connections have carried, without the headers of TCP and IP.
+// Traffic counts the bytes that a feed's connections have carried, without TCP and IP headers.
 type Traffic struct {
 	In, Out int
-	Events  int // of Out, those that are not the number of each second
+	Events  int // part of Out that isn't heartbeats
 }
 
-// Bytes is what there was so far.
+// Traffic returns the traffic so far.
 func (l *Listener) Traffic() Traffic {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.traffic
 }
 
-// Listen starts a feed on an address; Close ends it.
+// Listen serves a log on an address until Close.
 func Listen(ctx context.Context, address string, log *Log) (*Listener, error) {
 	var listenConfig net.ListenConfig
 	inner, err := listenConfig.Listen(ctx, "tcp", address)
@@ -119,7 +119,7 @@
 	return l, nil
 }
 
-// Tell adds an event and passes it on to all.
+// Publish adds an event and sends it to all subscribers.
 func (l *Listener) Publish(complete bool, engines ...Engine) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -204,7 +204,7 @@
 	}
 }
 
-// Close ends the feed and all its connections.
+// Close stops the feed and closes all its connections.
 func (l *Listener) Close() error {
 	err := l.Listener.Close()
 	l.stop()
--- a/internal/emulator/loopback/loopback.go
+++ b/internal/emulator/loopback/loopback.go
@@ -1,7 +1,7 @@
-// Package loopback gives addresses of this machine to listen on later, for processes that
-// a test or a measurement starts. A port that the system names as free may be some
-// connection's own by the time it is used; these ports are none that the system gives to
-// connections, at an IP address that no other process of this package has.
+// Package loopback issues loopback addresses for the processes that a test or a benchmark starts
+// later. A port that the system reports as free may belong to a connection by the time it is used.
+// The ports issued here lie outside the system's range for connections, at an IP address that no
+// other process that uses this package has.
 package loopback
 
 import (
@@ -12,8 +12,7 @@
 	"sync/atomic"
 )
 
-// Ports that are given lie below those that the system gives to connections: from 32768
-// on, unless it was configured otherwise.
+// Issued ports lie below the system's ephemeral port range, which begins at 32768 by default.
 const (
 	firstPort = 20_000
 	lastPort  = 32_000
@@ -21,10 +20,10 @@
 
 var portsIssued atomic.Int64
 
-// ErrNone is the error where a process has had all addresses that there are for it.
-var ErrNoAddress = errors.New("no address is left on the loopback network for this process")
+// ErrNoAddress is returned when all addresses of the process have been issued.
+var ErrNoAddress = errors.New("all loopback addresses of this process have been issued")
 
-// Address is one that nobody listens on, a different one each time.
+// FreeAddress returns an address on which no process listens. It returns each address once.
 func FreeAddress() (string, error) {
 	ip := processIP(os.Getpid())
 	for {
@@ -34,7 +33,7 @@
 		}
 		address := net.JoinHostPort(ip.String(), strconv.Itoa(port))
 		listener, err := net.Listen("tcp", address)
-		if err != nil { // left behind by a process that had the same number
+		if err != nil { // in use by a process left behind under the same process ID
 			continue
 		}
 		if err := listener.Close(); err != nil {
@@ -44,7 +43,7 @@
 	}
 }
 
-// ipOf is an address in 127.128.0.0/9 of a process's own, by its number's lower 21 bits.
+// processIP returns a process's own address in 127.128.0.0/9, from the lower 21 bits of its ID.
 func processIP(process int) net.IP {
 	return net.IPv4(127, byte(128+process>>14&127), byte(process>>6), byte(1+process&63))
 }
--- a/internal/emulator/loopback/loopback_test.go
+++ b/internal/emulator/loopback/loopback_test.go
@@ -13,7 +13,7 @@
 			t.Fatal(err)
 		}
 		if seen[address] {
-			t.Fatal(address, " is given twice")
+			t.Fatal(address, " was issued twice")
 		}
 		seen[address] = true
 		listener, err := net.Listen("tcp", address)
@@ -24,12 +24,12 @@
 	}
 }
 
-func TestProcessesHaveAddressesOfTheirOwn(t *testing.T) {
+func TestEachProcessHasItsOwnIP(t *testing.T) {
 	seen := map[string]int{}
 	for process := range 1 << 16 {
 		ip := processIP(process)
 		if other, had := seen[ip.String()]; had || !ip.IsLoopback() || ip.To4()[3] == 0 || ip.To4()[3] == 255 {
-			t.Fatalf("process %d has %v, as %d", process, ip, other)
+			t.Fatalf("process %d has address %v, as process %d", process, ip, other)
 		}
 		seen[ip.String()] = process
 	}
--- a/internal/goldentest/keys.go
+++ b/internal/goldentest/keys.go
@@ -1,6 +1,5 @@
-// Package goldentest holds the checks that tests of encoded types share: each field states
-// its key, and what an earlier program wrote is still read and written the same way. It is
-// for tests only.
+// Package goldentest has checks for tests of encoded types: each field has an explicit key, and the
+// encoding of an earlier version is still read and written the same way. Only tests use it.
 package goldentest
 
 import (
@@ -14,25 +13,25 @@
 	"github.com/goccy/go-yaml"
 )
 
-// Format is an encoding, named by the struct tag that it reads.
+// Format is an encoding, named after its struct tag.
 type Format string
 
-// The encodings in use.
+// The encodings.
 const (
 	CBOR Format = "cbor"
 	JSON Format = "json"
 	YAML Format = "yaml"
 )
 
-// tagNames are the struct tags that a format looks for, in its order.
+// tagNames lists the struct tags that a format reads, in order of precedence.
 var tagNames = map[Format][]string{
-	CBOR: {"cbor", "json"}, // the library takes a json tag where there is no cbor tag
+	CBOR: {"cbor", "json"}, // the library falls back to the json tag
 	JSON: {"json"},
 	YAML: {"yaml"},
 }
 
-// codecs are the interfaces by which a type encodes or decodes itself: its fields have no
-// keys then.
+// codecs lists the interfaces by which a type defines its own encoding. The fields of such a type
+// have no keys.
 var codecs = map[Format][]reflect.Type{
 	CBOR: {reflect.TypeFor[cbor.Marshaler](), reflect.TypeFor[cbor.Unmarshaler](), reflect.TypeFor[encoding.BinaryMarshaler]()},
 	JSON: {reflect.TypeFor[json.Marshaler](), reflect.TypeFor[json.Unmarshaler](), reflect.TypeFor[encoding.TextMarshaler]()},
@@ -40,9 +39,9 @@
 		reflect.TypeFor[yaml.InterfaceUnmarshaler](), reflect.TypeFor[encoding.TextUnmarshaler]()},
 }
 
-// ExplicitKeys fails for each exported field that encodes under its Go name, which a rename
-// would change, and for a key that two fields of a struct have. It looks at the types of
-// the roots and at all types that these reach.
+// ExplicitKeys fails the test for each exported field without an explicit key, because a rename of
+// the field would change its encoding, and for each key that two fields of a struct share. It checks
+// the types of the roots and all types that they contain.
 func ExplicitKeys(t testing.TB, format Format, roots ...any) {
 	t.Helper()
 	structs := 0
@@ -64,17 +63,17 @@
 		}
 	})
 	if structs == 0 {
-		t.Errorf("no struct was looked at: the roots are %T", roots)
+		t.Errorf("no struct was checked: the roots are %T", roots)
 	}
 }
 
-// EveryFieldSet fails for each encoded field that is zero in all of the values: what they
-// show would say nothing of it.
+// EveryFieldSet fails the test for each encoded field that is zero in all values, because a golden
+// file of the values wouldn't cover the field.
 func EveryFieldSet(t testing.TB, format Format, values ...any) {
 	t.Helper()
 	set := map[reflect.Type]map[string]bool{}
 	for _, value := range values {
-		noteSet(reflect.ValueOf(value), set)
+		recordNonZero(reflect.ValueOf(value), set)
 	}
 	walk(format, values, func(s reflect.Type) {
 		for field := range s.Fields() {
@@ -85,23 +84,23 @@
 	})
 }
 
-// noteSet notes the fields that aren't zero in a value and in all that it holds.
-func noteSet(v reflect.Value, set map[reflect.Type]map[string]bool) {
+// recordNonZero records the fields that aren't zero in a value and in the values it contains.
+func recordNonZero(v reflect.Value, set map[reflect.Type]map[string]bool) {
 	switch v.Kind() {
 	case reflect.Pointer, reflect.Interface:
 		if !v.IsNil() {
-			noteSet(v.Elem(), set)
+			recordNonZero(v.Elem(), set)
 		}
 	case reflect.Slice, reflect.Array:
 		if v.Type().Elem().Kind() == reflect.Uint8 {
 			return
 		}
 		for i := range v.Len() {
-			noteSet(v.Index(i), set)
+			recordNonZero(v.Index(i), set)
 		}
 	case reflect.Map:
 		for entries := v.MapRange(); entries.Next(); {
-			noteSet(entries.Value(), set)
+			recordNonZero(entries.Value(), set)
 		}
 	case reflect.Struct:
 		if set[v.Type()] == nil {
@@ -110,35 +109,35 @@
 		for field, value := range v.Fields() {
 			if field.IsExported() && !value.IsZero() {
 				set[v.Type()][field.Name] = true
-				noteSet(value, set)
+				recordNonZero(value, set)
 			}
 		}
 	}
 }
 
-// walk visits each struct type that the roots reach and whose fields have keys.
+// walk visits each struct type that the roots contain and whose fields have keys.
 func walk(format Format, roots []any, visit func(s reflect.Type)) {
 	seen := map[reflect.Type]bool{}
-	var look func(t reflect.Type)
-	look = func(t reflect.Type) {
+	var visitType func(t reflect.Type)
+	visitType = func(t reflect.Type) {
 		if seen[t] || encodesItself(format, t) {
 			return
 		}
 		seen[t] = true
 		switch t.Kind() {
 		case reflect.Pointer, reflect.Slice, reflect.Array, reflect.Map:
-			look(t.Elem())
+			visitType(t.Elem())
 		case reflect.Struct:
 			visit(t)
 			for field := range t.Fields() {
 				if (field.IsExported() || field.Anonymous) && keyOf(format, field) != "-" {
-					look(field.Type)
+					visitType(field.Type)
 				}
 			}
 		}
 	}
 	for _, root := range roots {
-		look(reflect.TypeOf(root))
+		visitType(reflect.TypeOf(root))
 	}
 }
 
@@ -151,12 +150,12 @@
 	return false
 }
 
-// isFlattened reports whether a field is an embedded struct whose fields count as the outer one's.
+// isFlattened reports whether a field is an embedded struct whose fields are encoded in the outer one.
 func isFlattened(format Format, field reflect.StructField) bool {
 	return field.Anonymous && format != YAML && keyOf(format, field) == ""
 }
 
-// keyOf is the key that a field's tag states, "" if it states none.
+// keyOf returns the key in a field's tag, or "" if there is none.
 func keyOf(format Format, field reflect.StructField) string {
 	for _, name := range tagNames[format] {
 		tag, isThere := field.Tag.Lookup(name)
--- a/internal/goldentest/keys_test.go
+++ b/internal/goldentest/keys_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// recorder is a test that notes its errors.
+// recorder is a testing.TB that records errors.
 type recorder struct {
 	testing.TB
 	errors []string
@@ -38,7 +38,7 @@
 	Hidden leaf               `json:"-" cbor:"-"`
 }
 
-func TestExplicitKeysTellsWhatHasNone(t *testing.T) {
+func TestExplicitKeysReportsFieldsWithoutKey(t *testing.T) {
 	for _, c := range []struct {
 		format Format
 		want   []string
@@ -64,7 +64,7 @@
 	}
 }
 
-func TestEveryFieldSetTellsWhatIsZero(t *testing.T) {
+func TestEveryFieldSetReportsZeroFields(t *testing.T) {
 	r := &recorder{}
 	one := tree{Leaves: map[string][]*leaf{"a": {{Bare: 1, held: 1}}}}
 	two := tree{Leaves: map[string][]*leaf{"b": {{Only: 2}}}, Same: 3, Empty: 4}
--- a/internal/goldentest/paths.go
+++ b/internal/goldentest/paths.go
@@ -6,46 +6,46 @@
 	"strings"
 )
 
-// KeyPaths are all keys that a value of the root's type can have, each with those of what
-// it stands in and with the kind of its value, sorted, a line each: what a format
-// promises to who writes or reads it by hand.
+// KeyPaths returns the paths of all keys in the encoding of the root's type, each with the kind of
+// its value, sorted, one per line. They are what people who write or read the format by hand rely
+// on.
 func KeyPaths(format Format, root any) []byte {
 	var lines []string
-	var within []reflect.Type // the structs on the way, so that one that holds itself ends
-	var look func(path string, t reflect.Type)
-	look = func(path string, t reflect.Type) {
+	var enclosing []reflect.Type // the enclosing structs, to stop at a recursive type
+	var addPaths func(path string, t reflect.Type)
+	addPaths = func(path string, t reflect.Type) {
 		if encodesItself(format, t) {
 			lines = append(lines, path+" itself")
 			return
 		}
 		switch t.Kind() {
 		case reflect.Pointer:
-			look(path, t.Elem())
+			addPaths(path, t.Elem())
 		case reflect.Slice, reflect.Array:
-			look(path+"[]", t.Elem())
+			addPaths(path+"[]", t.Elem())
 		case reflect.Map:
-			look(path+"{}", t.Elem())
+			addPaths(path+"{}", t.Elem())
 		case reflect.Struct:
-			if slices.Contains(within, t) {
+			if slices.Contains(enclosing, t) {
 				lines = append(lines, path+" again")
 				return
 			}
-			within = append(within, t)
+			enclosing = append(enclosing, t)
 			for field := range t.Fields() {
 				key := keyOf(format, field)
 				switch {
 				case isFlattened(format, field):
-					look(path, field.Type)
+					addPaths(path, field.Type)
 				case field.IsExported() && key != "-":
-					look(path+"."+key, field.Type)
+					addPaths(path+"."+key, field.Type)
 				}
 			}
-			within = within[:len(within)-1]
+			enclosing = enclosing[:len(enclosing)-1]
 		default:
 			lines = append(lines, path+" "+t.Kind().String())
 		}
 	}
-	look("", reflect.TypeOf(root))
+	addPaths("", reflect.TypeOf(root))
 	slices.Sort(lines)
 	return []byte(strings.Join(lines, "\n") + "\n")
 }
--- a/internal/rapidtest/rapidtest.go
+++ b/internal/rapidtest/rapidtest.go
@@ -1,5 +1,5 @@
-// Package rapidtest is for tests only: it runs a package's tests so that drawn cases are the
-// same every time.
+// Package rapidtest runs a package's tests so that the property tests of pgregory.net/rapid draw the
+// same cases each time. Only tests use it.
 package rapidtest
 
 import (
@@ -10,15 +10,15 @@
 	"time"
 )
 
-// Config says how pgregory.net/rapid draws.
+// Config configures pgregory.net/rapid.
 type Config struct {
-	Seed   uint64        // of all draws
-	Checks int           // cases of each property
-	Shrink time.Duration // at the most, to make a failing case smaller; 0: rapid's default
+	Seed   uint64        // seed of all draws
+	Checks int           // number of cases per property
+	Shrink time.Duration // time limit for shrinking a failing case; 0 means rapid's default
 }
 
-// Main runs the tests and exits. A TestMain calls it. It writes no files for failing cases:
-// the seed draws them again.
+// Main runs the tests and exits; call it from TestMain. It writes no files for failing cases,
+// because the seed reproduces them.
 func Main(m *testing.M, c Config) {
 	flag.Parse()
 	set("rapid.seed", strconv.FormatUint(c.Seed, 10))
@@ -30,7 +30,7 @@
 	os.Exit(m.Run())
 }
 
-// set sets a flag of rapid, which the package under test links.
+// set sets a flag that rapid registers in the test binary.
 func set(name, value string) {
 	if err := flag.Set(name, value); err != nil {
 		panic(err)
