--- a/internal/emulator/feed/feed.go
+++ b/internal/emulator/feed/feed.go
@@ -64,7 +64,8 @@
 
 // ConfigurationJSON returns all events in the form that a controller's configuration holds them.
 func (l *Log) ConfigurationJSON() []byte {
-	return append(append([]byte(`{"n":`+strconv.Itoa(l.LastEvent())+`,"events":[`), bytes.Join(l.lines, []byte(","))...), "]}"...)
+	head := `{"n":` + strconv.Itoa(l.LastEvent()) + `,"events":[`
+	return append(append([]byte(head), bytes.Join(l.lines, []byte(","))...), "]}"...)
 }
 
 // Heartbeat returns the line that is sent every second: the number of the newest event.
@@ -112,7 +113,8 @@
 		return nil, err
 	}
 	ctx, stop := context.WithCancel(ctx)
-	l := &Listener{Listener: inner, log: log, connections: map[net.Conn]bool{}, lastSent: map[net.Conn]int{}, stop: stop}
+	l := &Listener{Listener: inner, log: log, stop: stop,
+		connections: map[net.Conn]bool{}, lastSent: map[net.Conn]int{}}
 	l.goroutines.Add(2)
 	go l.accept()
 	go l.sendHeartbeats(ctx)
--- a/internal/emulator/hollow/controller.go
+++ b/internal/emulator/hollow/controller.go
@@ -21,12 +21,12 @@
 
 const (
 	drift                = 0.01
-	snapshotAfterEntries = 4096 // entries, as a set-up has it unless it says another number
+	snapshotAfterEntries = 4096 // log entries; the default of a controller's configuration
 	maxClockOffset       = time.Hour
 )
 
-// controller is one hollow controller, started or not. Its methods are called by one
-// goroutine.
+// controller is one simulated controller, running or not. Its methods must be called by one
+// goroutine at a time.
 type controller struct {
 	config *Config
 	member Member
@@ -40,10 +40,11 @@
 }
 
 func newController(config *Config, member Member, tell func(Event)) *controller {
-	return &controller{config: config, member: member, store: NewStore("disk of "+member.Name, config.WriteDelay), gate: newGate(), emit: tell}
+	return &controller{config: config, member: member, store: NewStore("disk of "+member.Name, config.WriteDelay), gate: newGate(),
+		emit: tell}
 }
 
-// start begins from what the store holds.
+// start starts the controller from the contents of its store.
 func (c *controller) start(ctx context.Context) error {
 	if c.running != nil {
 		return nil
@@ -81,7 +82,7 @@
 	return nil
 }
 
-// spread waits a part of Config.StartWithin; false if ctx ended.
+// delayStart waits a random part of Config.StartWithin. It returns false if ctx ended first.
 func (c *controller) delayStart(ctx context.Context) bool {
 	wait := time.Duration(c.random().Float64() * float64(c.config.StartWithin))
 	select {
@@ -92,7 +93,7 @@
 	}
 }
 
-// tellSites reports, once, the sites that a real controller would see engines in.
+// reportSites reports once the sites in which a real controller would find engines.
 func (c *controller) reportSites(ctx context.Context, opened *driver.Driver) error {
 	if len(c.config.Sites) == 0 {
 		return nil
@@ -104,7 +105,7 @@
 	return nil
 }
 
-// kill ends it at once. Its store stays.
+// stopNow stops the controller without a shutdown. Its store stays.
 func (c *controller) stopNow() {
 	if c.running == nil {
 		return
@@ -114,7 +115,7 @@
 	c.running = nil
 }
 
-// counts are its wire's sums, zero while it isn't running.
+// counts returns the transport's counters, all zero while the controller isn't running.
 func (c *controller) counts() *Counts {
 	if c.running == nil {
 		return &Counts{}
@@ -122,7 +123,7 @@
 	return ParseCounts(c.running.Counts(), "")
 }
 
-// CountsOf reads the sums of a wire, whose names may have a prefix, as in a status.
+// ParseCounts reads a transport's counters. Their names may have a prefix, as in a status.
 func ParseCounts(all map[string]int, prefix string) *Counts {
 	at := func(name string) int { return all[prefix+name] }
 	return &Counts{BytesOut: at("conn_bytes_out"), BytesIn: at("conn_bytes_in"), FramesOut: at("bytes_out"), FramesIn: at("bytes_in"),
@@ -144,7 +145,7 @@
 	return b
 }
 
-// offset is by how much its clock is ahead: the same for a seed and a name.
+// clockOffset returns by how much the clock is ahead. It depends only on the seed and the name.
 func (c *controller) clockOffset() time.Duration {
 	return time.Duration(c.random().Int64N(int64(maxClockOffset)))
 }
@@ -155,7 +156,8 @@
 	return rand.New(rand.NewPCG(c.config.Seed, h.Sum64()))
 }
 
-// shaper puts the gate and a link's time on connections, by the address at the other end.
+// shaper returns a function that adds the gate and the link's latency to a connection, by the
+// connection's remote address.
 func (c *controller) shaper(own net.Addr) func(net.Conn) net.Conn {
 	jitter, mu := c.random(), &sync.Mutex{}
 	return func(plain net.Conn) net.Conn {
@@ -170,7 +172,7 @@
 	}
 }
 
-// placeOf is where a controller stands, by its address; who isn't known stands here.
+// placeOf returns the place of a controller by its address, or the own place if it is unknown.
 func (c *controller) placeOf(address string) Place {
 	host, _, _ := net.SplitHostPort(address)
 	if place, known := c.config.Places[host]; known {
@@ -190,12 +192,12 @@
 	return nil
 }
 
-// check takes every policy: there is no set-up to hold it against.
+// acceptPolicy accepts every policy, because there is no configuration to check it against.
 func acceptPolicy(_ string, text []byte, _ driver.PolicyContext) driver.PolicyVerdict {
 	return driver.PolicyVerdict{Policy: append([]byte{}, text...)}
 }
 
-// do carries a command out.
+// execute executes a command.
 func (c *controller) execute(ctx context.Context, command Command) {
 	switch command.Do {
 	case Start:
@@ -213,6 +215,6 @@
 	case Report:
 		c.emit(Event{Kind: Counted, Name: c.member.Name, At: time.Now().UnixNano(), Round: command.Round, Counts: c.counts()})
 	default:
-		c.emit(Event{Kind: Failed, Name: c.member.Name, At: time.Now().UnixNano(), Reason: fmt.Sprintf("no command is called %q", command.Do)})
+		c.emit(Event{Kind: Failed, Name: c.member.Name, At: time.Now().UnixNano(), Reason: fmt.Sprintf("unknown command %q", command.Do)})
 	}
 }
--- a/internal/emulator/hollow/hollow_test.go
+++ b/internal/emulator/hollow/hollow_test.go
@@ -24,17 +24,17 @@
 
 const patience = 20 * time.Second
 
-// play is a process of hollow controllers inside the test.
+// play is a process of simulated controllers inside the test.
 type play struct {
 	t        *testing.T
 	commands *json.Encoder
 	events   chan Event
 	keys     transport.Keys
 	control  string
-	serving  map[string]uint64 // by which version, as far as events were read
+	serving  map[string]uint64 // version by controller, from the events read so far
 }
 
-// begin starts five controllers, three of which vote; the first has an operators' listener.
+// begin starts five controllers, three of them voters; the first listens for operators.
 func begin(t *testing.T, block int) *play {
 	file := filepath.Join(t.TempDir(), "keys")
 	if err := os.WriteFile(file, []byte(strings.Repeat("5e", 32)), 0o600); err != nil {
@@ -105,7 +105,7 @@
 	}
 }
 
-// until reads events until one after which so is true.
+// until reads events until so returns true for one, and returns that event.
 func (p *play) until(so func(Event) bool) Event {
 	p.t.Helper()
 	for wait := time.After(patience); ; {
@@ -123,12 +123,12 @@
 				return e
 			}
 		case <-wait:
-			p.t.Fatalf("it never came; serving are %v", p.serving)
+			p.t.Fatalf("timed out waiting for an event; serving: %v", p.serving)
 		}
 	}
 }
 
-// apply changes the policy and gives the version.
+// apply changes the policy and returns the response.
 func (p *play) apply(id string, base uint64) *fleet.Response {
 	p.t.Helper()
 	ctx, stop := context.WithTimeout(p.t.Context(), patience)
@@ -152,7 +152,7 @@
 	}
 }
 
-func TestAChangeIsInForceOnAll(t *testing.T) {
+func TestPolicyChangeReachesAllControllers(t *testing.T) {
 	t.Parallel()
 	p := begin(t, 1)
 	if r := p.apply("first", 1); r.Outcome != "in force" || r.Version != 2 {
@@ -160,7 +160,7 @@
 	}
 	e := p.until(p.allBy(2, 5))
 	if e.Policy != digest([]byte("# first")) {
-		t.Errorf("it serves by the policy %x", e.Policy)
+		t.Errorf("it serves under policy %x", e.Policy)
 	}
 	p.do(Command{Do: Report, Round: 3, Names: []string{"h4"}})
 	e = p.until(func(e Event) bool { return e.Kind == Counted })
@@ -169,14 +169,14 @@
 	}
 }
 
-func TestAPausedControllerServesNoLongerThanItsLease(t *testing.T) {
+func TestPausedControllerStopsServingAtLeaseEnd(t *testing.T) {
 	t.Parallel()
 	p := begin(t, 2)
 	at := time.Now()
 	p.do(Command{Do: Pause, Names: []string{"h4"}})
 	e := p.until(func(e Event) bool { return e.Name == "h4" && e.Kind == Ended })
 	if over := time.Unix(0, e.At).Sub(at); e.Reason != "lease" || over > 1100*time.Millisecond {
-		t.Errorf("it served for %v more: %+v", over, e)
+		t.Errorf("it served for %v after the pause: %+v", over, e)
 	}
 	if r := p.apply("without it", 1); r.Outcome != "in force" {
 		t.Fatalf("%+v", r)
@@ -184,11 +184,11 @@
 	p.do(Command{Do: Resume, Names: []string{"h4"}})
 	e = p.until(func(e Event) bool { return e.Name == "h4" && e.Kind == Serving })
 	if e.Version != 2 {
-		t.Errorf("it serves by version %d after the change", e.Version)
+		t.Errorf("it serves under version %d after the change", e.Version)
 	}
 }
 
-func TestAStoppedControllerStartsFromItsStore(t *testing.T) {
+func TestStoppedControllerRestartsFromItsStore(t *testing.T) {
 	t.Parallel()
 	p := begin(t, 3)
 	p.do(Command{Do: Stop, Names: []string{"h1", "h3"}})
@@ -200,7 +200,7 @@
 	p.until(p.allBy(2, 5))
 }
 
-func TestRegionsThatAreCutHearNothingOfEachOther(t *testing.T) {
+func TestCutIsolatesRegions(t *testing.T) {
 	t.Parallel()
 	p := begin(t, 4)
 	p.do(Command{Do: Cut})
@@ -212,12 +212,12 @@
 	p.until(p.allBy(1, 5))
 }
 
-func TestWhatIsKeptIsWhatADiskWouldKeep(t *testing.T) {
+func TestMergeKeepsWhatADiskWouldKeep(t *testing.T) {
 	record := func(index, term uint64) consensus.LogEntry { return consensus.LogEntry{Index: index, Term: term} }
 	kept := Merge(consensus.PersistentState{}, consensus.PersistentState{HardState: []byte("a"), Entries: []consensus.LogEntry{record(1, 1), record(2, 1), record(3, 1)}})
 	next := Merge(kept, consensus.PersistentState{Entries: []consensus.LogEntry{record(2, 2)}})
 	if len(next.Entries) != 2 || next.Entries[1].Term != 2 || string(next.HardState) != "a" || kept.Entries[1].Term != 1 {
-		t.Errorf("%+v, and before it %+v", next, kept)
+		t.Errorf("merged state %+v, previous state %+v", next, kept)
 	}
 	next = Merge(next, consensus.PersistentState{HardState: []byte("b"), Snapshot: &consensus.Snapshot{Index: 2}, Entries: []consensus.LogEntry{record(2, 2), record(3, 2)}})
 	if len(next.Entries) != 2 || next.Snapshot.Index != 2 || string(next.HardState) != "b" {
--- a/internal/emulator/hollow/message.go
+++ b/internal/emulator/hollow/message.go
@@ -2,89 +2,89 @@
 
 import "time"
 
-// Config is what a process of hollow controllers is started with: the first line of its
-// standard input, as JSON.
+// Config configures a process of simulated controllers. It is the first line of standard input, as
+// JSON.
 type Config struct {
 	Fleet      string        `json:"fleet"`
-	Keys       string        `json:"keys"` // the key file
+	Keys       string        `json:"keys"` // path of the key file
 	Voters     []Peer        `json:"voters"`
 	Lease      time.Duration `json:"lease"`
 	Election   time.Duration `json:"election"`
 	Heartbeat  time.Duration `json:"heartbeat"`
 	WriteDelay time.Duration `json:"write_delay"`
-	// StartWithin is the time over which starts are spread, by the seed: all at
-	// once would ask for their leases in one moment ever after, which processes that start
-	// together don't, and spare the leader confirmations.
+	// StartWithin is the time over which starts are spread, by the seed. Controllers that start at the
+	// same moment would always request their leases at the same moment. Real processes that start
+	// together don't, and simultaneous requests would save the leader confirmations.
 	StartWithin     time.Duration     `json:"start_within"`
-	Seed            uint64            `json:"seed"` // of clock offsets and of the links' jitter
+	Seed            uint64            `json:"seed"` // for clock offsets and the jitter of links
 	Links           Links             `json:"links"`
 	Places          map[string]Place  `json:"places"` // of all controllers, by host address
-	DirectAddresses map[string]string `json:"direct"` // where the address of a peer leads, past a proxy
-	Sites           []string          `json:"sites"`  // that all tell to have engines, as real ones do
+	DirectAddresses map[string]string `json:"direct"` // by a peer's address, the address behind its proxy
+	Sites           []string          `json:"sites"`  // sites that every controller reports as having engines
 	Controllers     []Member          `json:"controllers"`
 }
 
-// Peer is a controller as others reach it.
+// Peer is the name and address of another controller.
 type Peer struct {
 	Name    string `json:"name"`
 	Address string `json:"address"`
 }
 
-// Member is one hollow controller.
+// Member is one simulated controller.
 type Member struct {
 	Name           string `json:"name"`
-	ListenAddress  string `json:"listen"`            // an IP address of its own, and a port
-	ClientAddress  string `json:"clients,omitempty"` // where its clients would reach it
+	ListenAddress  string `json:"listen"`            // the controller's own IP address, and a port
+	ClientAddress  string `json:"clients,omitempty"` // the address for clients
 	Place          Place  `json:"place"`
-	Relays         []Peer `json:"relays,omitempty"`  // that it asks in place of the leader
-	ControlAddress string `json:"control,omitempty"` // where operators come in; none: they don't
+	Relays         []Peer `json:"relays,omitempty"`  // controllers that it contacts instead of the leader
+	ControlAddress string `json:"control,omitempty"` // the address for operators; empty for none
 }
 
-// What a Command has controllers do.
+// The actions of a Command.
 const (
-	Start  = "start"  // from what its store holds
-	Stop   = "stop"   // at once, as a kill: nothing more is sent
-	Pause  = "pause"  // as SIGSTOP: nothing goes in or out
-	Resume = "resume" // as SIGCONT
-	Cut    = "cut"    // nothing passes to or from other regions
+	Start  = "start"  // starts from the contents of the store
+	Stop   = "stop"   // stops at once, as a kill does: nothing more is sent
+	Pause  = "pause"  // holds all input and output, like SIGSTOP
+	Resume = "resume" // ends a pause, like SIGCONT
+	Cut    = "cut"    // holds all bytes to and from other regions
 	Heal   = "heal"   // ends a cut
-	Report = "report" // answered by a Counted each
-	Delay  = "delay"  // each write of the record takes Delay from now on
+	Report = "report" // makes each controller emit a Counted event
+	Delay  = "delay"  // sets the duration of each write of the record
 )
 
 // Command is a line of standard input after the first, as JSON.
 type Command struct {
 	Do    string        `json:"do"`
-	Names []string      `json:"names,omitempty"` // none: all
+	Names []string      `json:"names,omitempty"` // empty means all controllers
 	Delay time.Duration `json:"delay,omitempty"`
-	Round int           `json:"round,omitempty"` // given back by a Counted
+	Round int           `json:"round,omitempty"` // repeated in the Counted event
 }
 
-// What an Event tells.
+// The kinds of an Event.
 const (
-	Serving = "serving" // it serves by Version from At on
-	Ended   = "ended"   // it served until At: Why is shut, lease, or stopped
-	Counted = "counted" // the answer to Report
-	Failed  = "failed"  // a controller can't go on: Why
+	Serving = "serving" // the controller serves under Version since At
+	Ended   = "ended"   // the controller served until At; Reason is shut, lease or stopped
+	Counted = "counted" // the response to Report
+	Failed  = "failed"  // the controller can't continue, because of Reason
 )
 
 // Event is a line of standard output, as JSON.
 type Event struct {
 	Kind    string  `json:"kind"`
 	Name    string  `json:"name"`
-	At      int64   `json:"at"` // nanoseconds since 1970
+	At      int64   `json:"at"` // nanoseconds since the Unix epoch
 	Version uint64  `json:"version,omitempty"`
-	Policy  uint64  `json:"policy,omitempty"` // xxhash of the text that it serves by
+	Policy  uint64  `json:"policy,omitempty"` // xxhash of the policy's text
 	Reason  string  `json:"why,omitempty"`
 	Round   int     `json:"round,omitempty"`
 	Counts  *Counts `json:"counts,omitempty"`
 }
 
-// Counts are sums since a controller was last started.
+// Counts are counters since a controller's last start.
 type Counts struct {
-	BytesOut    int `json:"bytes_out"` // of connections, with HTTP's headers and answers
+	BytesOut    int `json:"bytes_out"` // on connections, including HTTP headers and responses
 	BytesIn     int `json:"bytes_in"`
-	FramesOut   int `json:"frames_out"` // bytes of frames alone
+	FramesOut   int `json:"frames_out"` // bytes of frames only
 	FramesIn    int `json:"frames_in"`
 	MessagesOut int `json:"messages_out"`
 	MessagesIn  int `json:"messages_in"`
--- a/internal/emulator/hollow/path.go
+++ b/internal/emulator/hollow/path.go
@@ -7,21 +7,21 @@
 	"time"
 )
 
-// Place is where a controller stands.
+// Place is the location of a controller.
 type Place struct {
 	Region string `json:"region"`
 	Zone   string `json:"zone"`
 }
 
-// Links are the times that links take one way, and by how much a time varies.
+// Links are the one-way latencies of links and their jitter.
 type Links struct {
-	Zone    time.Duration `json:"zone"`    // between two in one zone
-	Region  time.Duration `json:"region"`  // between two zones of a region
-	Regions time.Duration `json:"regions"` // between two regions
-	Jitter  float64       `json:"jitter"`  // the part of a time by which it may be longer
+	Zone    time.Duration `json:"zone"`    // within a zone
+	Region  time.Duration `json:"region"`  // between zones of a region
+	Regions time.Duration `json:"regions"` // between regions
+	Jitter  float64       `json:"jitter"`  // largest increase, as a fraction of the latency
 }
 
-// OneWay is the time between two places, without jitter.
+// OneWay returns the latency between two places, without jitter.
 func (l Links) OneWay(a, b Place) time.Duration {
 	switch {
 	case a.Region != b.Region:
@@ -32,8 +32,8 @@
 	return l.Zone
 }
 
-// gate holds up all of a controller's connections while it is paused, and those to the
-// other regions while these are cut off.
+// gate blocks all of a controller's connections while it is paused, and those to other regions
+// during a cut.
 type gate struct {
 	mu      sync.Mutex
 	paused  bool
@@ -51,7 +51,7 @@
 	g.changed = make(chan struct{})
 }
 
-// pass waits until bytes may pass; false if ended came first.
+// pass waits until bytes may pass. It returns false if ended is closed first.
 func (g *gate) pass(otherRegion bool, ended <-chan struct{}) bool {
 	for {
 		g.mu.Lock()
@@ -68,11 +68,11 @@
 	}
 }
 
-// burst is how soon after each other pieces of one message are read or written.
+// burstGap is the largest gap between reads or writes of one message.
 const burstGap = 300 * time.Microsecond
 
-// shapedConn is a connection through the gate and a link that takes its time. Pieces that
-// come in one burst are one message: the link's time passes once for all of them.
+// shapedConn is a connection with a gate and a link latency. Pieces within one burst count as one
+// message and are delayed once.
 type shapedConn struct {
 	net.Conn
 	gate        *gate
@@ -80,11 +80,11 @@
 	delay       func() time.Duration
 	once        sync.Once
 	ended       chan struct{}
-	written     time.Time // of the goroutine that writes: when the last piece was
+	written     time.Time // time of the last write; used by the writing goroutine only
 }
 
-// Read waits for the link's time unless the bytes lay there already: then they came with
-// those before them.
+// Read delays received bytes by the link's latency. Bytes that were already waiting belong to the
+// previous burst and aren't delayed.
 func (c *shapedConn) Read(p []byte) (int, error) {
 	began := time.Now()
 	n, err := c.Conn.Read(p)
@@ -112,7 +112,7 @@
 	return c.Conn.Close()
 }
 
-// shapedListener shapes the connections that it accepts.
+// shapedListener applies shape to accepted connections.
 type shapedListener struct {
 	net.Listener
 	shape func(net.Conn) net.Conn
@@ -126,10 +126,10 @@
 	return l.shape(c), nil
 }
 
-// dialer connects from an address through links.
+// dialer dials from a local address and applies shape to the connections.
 type dialer struct {
 	local           net.IP
-	directAddresses map[string]string // where an address leads in truth, past a proxy for others
+	directAddresses map[string]string // by address, the address behind a proxy
 	shape           func(net.Conn) net.Conn
 	gate            *gate
 	isOtherRegion   func(address string) bool
--- a/internal/emulator/hollow/process.go
+++ b/internal/emulator/hollow/process.go
@@ -1,11 +1,11 @@
-// Package hollow is a stand-in for controllers of a fleet, hundreds in one process: the
-// real core, edge and peers' wire with real frames and MACs on TCP connections, each with
-// an address, a clock offset, timers and connections of its own. In place of the rest it
-// has a record kept in memory (Store, each write takes a delay), package noop for the
-// reducer, and no clients, engines or feed; a policy isn't held against any set-up.
+// Package hollow runs hundreds of simulated controllers of a fleet in one process. They use the real
+// consensus, driver and peer transport, with real frames and MACs on TCP connections; each has its
+// own address, clock offset, timers and connections. The rest is replaced: the record is kept in
+// memory (Store, which delays each write), package noop is the reducer, there are no clients,
+// engines or feed, and policies aren't checked against a configuration.
 //
-// A paused one differs from a stopped process in one thing: its timers go on, and what
-// they led to is sent when it is resumed, some late renewals more than a process would.
+// A paused controller differs from a stopped process in one way: its timers continue, and the
+// messages that they cause are sent on resume, so that it sends some late lease renewals more.
 package hollow
 
 import (
@@ -18,23 +18,22 @@
 	"sync"
 )
 
-const maxLineBytes = 16 << 20 // bytes of a line of input
+const maxLineBytes = 16 << 20 // limit of an input line
 
-// Run is a process of hollow controllers: it reads a Config and then Commands, and writes
-// Events. It ends when the input does or ctx is over; no controller runs on then. A
-// controller's commands are carried out in their order, those of different ones beside
-// each other.
+// Run runs a process of simulated controllers. It reads a Config and then Commands, and writes
+// Events. It stops all controllers and returns when the input ends or ctx is done. The commands of
+// one controller are executed in order, those of different controllers concurrently.
 func Run(ctx context.Context, in io.Reader, out io.Writer) error {
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
 	lines := bufio.NewScanner(in)
 	lines.Buffer(make([]byte, 64<<10), maxLineBytes)
 	if !lines.Scan() {
-		return fmt.Errorf("no configuration came: %w", lines.Err())
+		return fmt.Errorf("no configuration on the input: %w", lines.Err())
 	}
 	config := &Config{}
 	if err := json.Unmarshal(lines.Bytes(), config); err != nil {
-		return fmt.Errorf("the configuration can't be read: %w", err)
+		return fmt.Errorf("invalid configuration: %w", err)
 	}
 	p := newProcess(ctx, config, out)
 	defer p.close()
@@ -42,17 +41,17 @@
 	for lines.Scan() {
 		command := Command{}
 		if err := json.Unmarshal(lines.Bytes(), &command); err != nil {
-			return fmt.Errorf("a command can't be read: %w", err)
+			return fmt.Errorf("invalid command: %w", err)
 		}
 		p.dispatch(command)
 	}
 	return lines.Err()
 }
 
-// commandsAtMost wait for a controller that is still at an earlier one.
+// maxQueuedCommands limits the commands queued for one controller.
 const maxQueuedCommands = 64
 
-// process has a goroutine for each controller, which carries out its commands.
+// process has a goroutine for each controller, which executes the controller's commands.
 type process struct {
 	names  []string
 	queues map[string]chan Command
@@ -88,7 +87,7 @@
 	}
 }
 
-// end lets all controllers go and waits for them.
+// close stops all controllers and waits for them.
 func (p *process) close() {
 	for _, queue := range p.queues {
 		close(queue)
@@ -96,13 +95,13 @@
 	p.group.Wait()
 }
 
-// teller writes events, one at a time, each a line.
+// eventWriter returns a function that writes events, one line each.
 func eventWriter(out io.Writer) func(Event) {
 	encoder, mu := json.NewEncoder(out), &sync.Mutex{}
 	return func(e Event) {
 		mu.Lock()
 		defer mu.Unlock()
-		// who started this process is gone where it can't be written: the input ends, too
+		// A write fails only if the parent process has ended; then the input ends, too.
 		_ = encoder.Encode(e)
 	}
 }
--- a/internal/emulator/hollow/reducer.go
+++ b/internal/emulator/hollow/reducer.go
@@ -11,18 +11,18 @@
 	"railrelay.dev/railrelay/internal/fleet/noop"
 )
 
-// observer stands between the edge and the idle reducer: it passes orders and reports on,
-// and tells from when to when the controller serves, and by which version.
+// observer sits between the driver and the no-op reducer. It forwards orders and reports, and emits
+// events when the controller starts and stops serving, with the policy version.
 type observer struct {
 	name    string
-	started time.Time // the controller's clock counts from it
+	started time.Time // zero of the controller's clock
 	gate    *gate
 	emit    func(Event)
 
 	mu            sync.Mutex
-	activeVersion uint64 // that it is open by, 0: shut
+	activeVersion uint64 // 0 if fenced
 	policy        uint64
-	leaseEnd      time.Duration // its lease holds
+	leaseEnd      time.Duration // end of the lease
 	serving       bool
 	leaseTimer    *time.Timer
 }
@@ -31,7 +31,7 @@
 	return &observer{name: name, started: started, gate: gate, emit: tell}
 }
 
-// serve carries orders out until ctx ends.
+// serve executes orders until ctx is done.
 func (o *observer) serve(ctx context.Context, orders <-chan fleet.Order, reports chan<- fleet.Report) error {
 	passed := make(chan fleet.Order)
 	done := make(chan struct{})
@@ -61,8 +61,8 @@
 	return err
 }
 
-// take looks at an order before it is carried out. A version's end is told before the
-// report of it leaves this controller, its beginning when nothing by it was done yet.
+// observe inspects an order before it is executed. The end of serving under a version is emitted
+// before the controller reports it, the start before any work under the version is done.
 func (o *observer) observe(order fleet.Order) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -85,7 +85,7 @@
 	}
 }
 
-// begin has it serve where it is open and has a lease.
+// startServing starts serving if a version is active and the lease holds.
 func (o *observer) startServing(now time.Duration) {
 	if o.activeVersion == 0 || now >= o.leaseEnd {
 		return
@@ -100,7 +100,7 @@
 	o.leaseTimer = time.AfterFunc(o.leaseEnd-now, o.leaseExpired)
 }
 
-// stop ends serving, at the end of the lease if that was earlier.
+// stopServing ends serving, at the end of the lease if that is earlier.
 func (o *observer) stopServing(now time.Duration, why string) {
 	if !o.serving {
 		return
@@ -118,7 +118,7 @@
 	}
 }
 
-// lapsed is called when the lease should be over.
+// leaseExpired is the timer callback at the end of the lease.
 func (o *observer) leaseExpired() {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -136,7 +136,7 @@
 
 func (o *observer) wallTime(at time.Duration) int64 { return o.started.Add(at).UnixNano() }
 
-// digest names a policy's text; a policy that isn't one is the set-up's own, 0.
+// digest returns the hash of a policy's text, or 0 for the initial configuration, which has no text.
 func digest(policy any) uint64 {
 	text, _ := policy.([]byte)
 	if len(text) == 0 {
--- a/internal/emulator/hollow/store.go
+++ b/internal/emulator/hollow/store.go
@@ -8,28 +8,27 @@
 	"railrelay.dev/railrelay/internal/fleet/storage"
 )
 
-// Store keeps a controller's record in memory, over its restarts. Each write takes a
-// delay, so that memory isn't quicker than a synced disk would be. It may be used by
-// several goroutines.
+// Store keeps a controller's record in memory across restarts. Each write is delayed, so that it
+// isn't faster than a synced write to disk. Store is safe for concurrent use.
 type Store struct {
-	name string // of the disk that it stands for
+	name string // name of the emulated disk
 
 	mu         sync.Mutex
 	persistent consensus.PersistentState
 	delay      time.Duration
 }
 
-// NewStore makes an empty one under a disk's name.
+// NewStore creates an empty store with the name of its emulated disk.
 func NewStore(name string, delay time.Duration) *Store { return &Store{name: name, delay: delay} }
 
-// SetDelay has each later write take so long.
+// SetDelay sets the delay of further writes.
 func (s *Store) SetDelay(delay time.Duration) {
 	s.mu.Lock()
 	s.delay = delay
 	s.mu.Unlock()
 }
 
-// Found is what a disk would hold at a start.
+// Contents returns the state that a disk would hold at a start.
 func (s *Store) Contents() storage.Contents {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -38,7 +37,7 @@
 	return storage.Contents{DiskID: s.name, Persistent: persistent}
 }
 
-// Write keeps what a disk would, after the delay.
+// Write stores a state after the delay.
 func (s *Store) Write(k consensus.PersistentState) error {
 	s.mu.Lock()
 	delay := s.delay
@@ -50,10 +49,11 @@
 	return nil
 }
 
-// Close does nothing: what is kept stays for the next start.
+// Close does nothing: the state stays for the next start.
 func (s *Store) Close() error { return nil }
 
-// Merge gives what is kept once next has been written over before, as consensus.PersistentState says.
+// Merge returns the state after next is written over current, as defined by
+// consensus.PersistentState.
 func Merge(current, next consensus.PersistentState) consensus.PersistentState {
 	merged := current
 	if next.HardState != nil {
@@ -69,7 +69,7 @@
 	for keep > 0 && merged.Entries[keep-1].Index >= next.Entries[0].Index {
 		keep--
 	}
-	if keep < len(merged.Entries) { // before keeps what is replaced here
+	if keep < len(merged.Entries) { // don't overwrite entries that current still refers to
 		merged.Entries = merged.Entries[:keep:keep]
 	}
 	merged.Entries = append(merged.Entries, next.Entries...)
--- a/internal/emulator/world/world.go
+++ b/internal/emulator/world/world.go
@@ -1,6 +1,6 @@
-// Package world plays a controller's reducer, unchanged, against stand-in engines,
-// feed and clients in virtual time, on one event queue: same script and seed, same
-// history. Bytes go through the real parsers on both sides.
+// Package world runs the production code of a controller's reducer against emulated engines, a feed
+// and clients in virtual time, on one event queue. The same script and seed give the same history.
+// Bytes pass through the real parsers on both sides.
 package world
 
 import (
@@ -23,7 +23,7 @@
 	"railrelay.dev/railrelay/internal/timerqueue"
 )
 
-// World is one run.
+// World is one simulation run.
 type World struct {
 	Now         time.Duration
 	Controller  *controller.Controller
@@ -33,10 +33,10 @@
 	History     historycheck.History
 	Rand        *rand.Rand
 	Exited      bool
-	SpoolStore  *resultstore.SpoolStore // of the spool's disk, nil: none
-	DiskLatency time.Duration           // what work on it takes
+	SpoolStore  *resultstore.SpoolStore // store of the spool; nil if there is none
+	DiskLatency time.Duration           // duration of each spool operation
 	Reports     []fleet.Report
-	LogLines    []string // what the controller logged aloud, and its counters
+	LogLines    []string // the controller's warnings and counters
 
 	linkDelay        time.Duration
 	events           timerqueue.Queue
@@ -44,21 +44,22 @@
 	engineByAddress  map[string]*Engine
 	feedConnections  []*connection
 	timerGeneration  uint64
-	eventsAtSameTime int // events without time passing
+	eventsAtSameTime int // events since the time last advanced
 }
 
+// maxEventsAtSameTime is how many events may occur at one time before RunUntil panics.
 const maxEventsAtSameTime = 1_000_000
 
-// Engine is one stand-in with its place in the list.
+// Engine is an emulated engine with its entry in the feed.
 type Engine struct {
 	*engine.Server
 	feed.Engine
 	world              *World
-	refusesConnections bool // refuses connections
+	refusesConnections bool
 	wakeAt             time.Duration
 }
 
-// end is a connection of the controller's as the world sees it.
+// connection is a connection between the controller and an engine, a client or the feed.
 type connection struct {
 	remote     *controller.Connection
 	engineConn *engine.Conn
@@ -70,7 +71,7 @@
 	input      []byte
 }
 
-// Client is one client's connection. Heard is called with each answer.
+// Client is one client's connection. OnAnswer, if set, is called with each response to a query.
 type Client struct {
 	world      *World
 	Name       string
@@ -83,42 +84,44 @@
 	OnAnswer   func(a *Query, ans client.Answer)
 }
 
-// Asked is a query that a client asked for.
+// Query is a query that a client submitted.
 type Query struct {
 	ID, Group, Team       string
 	Msg                   uint32
 	SubmittedAt, Deadline time.Duration
-	FirstWait             time.Duration // the first wait told, -1: none
+	FirstWait             time.Duration // wait in the first wait notice; -1 if none
 	WaitNotices           int
-	StartedAt             time.Duration // when an engine first got it, -1: never
+	StartedAt             time.Duration // when an engine first received it; -1 if never
 	EndedAt               time.Duration
 	Answer                client.Kind
-	Answered, Cancelled   bool
+	Answered, Cancelled   bool // Cancelled is also set when the client's connection closes
 	RetryAfter            time.Duration
 	Work                  engine.Work
-	Priority              int               // at the engine, when it came
-	Paging                map[string]string // what an answer told of further pages
-	Rows                  []byte            // that the answer had
+	Priority              int               // at the engine, at submission
+	Paging                map[string]string // fields of the response, for requests of further pages
+	Rows                  []byte            // rows of the response
 }
 
-// New makes a world with engines of these figures and a controller of these
-// means, whose feed and list are the world's.
+// New creates a world with one engine per element of engines and a controller with a configuration.
+// The feed and the initial list of engines are set by New.
 func New(seed uint64, engines []engine.Config, controllerConfig controller.Config) *World {
-	w := &World{Rand: rand.New(rand.NewPCG(seed, 1)), connections: map[*controller.Connection]*connection{}, engineByAddress: map[string]*Engine{},
-		linkDelay: 100 * time.Microsecond}
+	w := &World{Rand: rand.New(rand.NewPCG(seed, 1)), connections: map[*controller.Connection]*connection{},
+		engineByAddress: map[string]*Engine{}, linkDelay: 100 * time.Microsecond}
 	var all []feed.Engine
 	for i, config := range engines {
 		e := w.addEngine(i, config, false)
 		all = append(all, e.Engine)
 	}
 	w.Feed.Append(true, all...)
-	controllerConfig.Seed, controllerConfig.DiscoveryAddress, controllerConfig.InitialEndpoints = seed, "feed", w.Feed.ConfigurationJSON()
-	w.History.KeyRest = time.Duration(parseNumber(controllerConfig.Settings["key.rest"])) * time.Millisecond
-	w.History.Grace = time.Duration(parseNumber(controllerConfig.Settings["drain.grace"])) * time.Millisecond
-	w.History.Most = int(parseNumber(controllerConfig.Settings["submissions.most"]))
-	for i := range int(parseNumber(controllerConfig.Settings["groups"])) {
+	controllerConfig.Seed, controllerConfig.DiscoveryAddress = seed, "feed"
+	controllerConfig.InitialEndpoints = w.Feed.ConfigurationJSON()
+	settings := controllerConfig.Settings
+	w.History.KeyRest = time.Duration(parseNumber(settings["key.rest"])) * time.Millisecond
+	w.History.Grace = time.Duration(parseNumber(settings["drain.grace"])) * time.Millisecond
+	w.History.Most = int(parseNumber(settings["submissions.most"]))
+	for i := range int(parseNumber(settings["groups"])) {
 		at := fmt.Sprintf("group.%d.", i)
-		w.History.Group(controllerConfig.Settings[at+"name"], controllerConfig.Settings[at+"effect"], controllerConfig.Settings[at+"in-order"] == "true")
+		w.History.Group(settings[at+"name"], settings[at+"effect"], settings[at+"in-order"] == "true")
 	}
 	r, effects := controller.New(controllerConfig)
 	w.Controller = r
@@ -134,8 +137,8 @@
 
 func (w *World) addEngine(i int, f engine.Config, cold bool) *Engine {
 	e := &Engine{Server: engine.NewServer(engine.NewModel(f, w.Now, cold)), world: w, wakeAt: -1}
-	e.Engine = feed.Engine{ID: fmt.Sprintf("e%d", i), HostPort: fmt.Sprintf("10.0.0.%d:6565", i+1), Locality: "here",
-		Flavor: "std", Cell: 1, Phase: "SERVING", Size: 1}
+	e.Engine = feed.Engine{ID: fmt.Sprintf("e%d", i), HostPort: fmt.Sprintf("10.0.0.%d:6565", i+1),
+		Locality: "here", Flavor: "std", Cell: 1, Phase: "SERVING", Size: 1}
 	e.OnSubmit = func(id, group string, rank int, at time.Duration) {
 		w.History.Submitted(at, id, e.ID, e.Phase == "SERVING")
 		for _, c := range w.Clients {
@@ -154,21 +157,21 @@
 	return e
 }
 
-// At has something done at a time.
+// Schedule runs do at a time, or now if the time has passed.
 func (w *World) Schedule(at time.Duration, do func()) {
 	w.events.Add(max(at, w.Now), do)
 }
 
-// After has something done after a span.
+// ScheduleAfter runs do after a span.
 func (w *World) ScheduleAfter(span time.Duration, do func()) { w.Schedule(w.Now+span, do) }
 
-// Until plays up to a time.
+// RunUntil processes all events up to a time. It panics if the time stops advancing.
 func (w *World) RunUntil(end time.Duration) {
 	for at, ok := w.events.NextDue(); ok && at <= end; at, ok = w.events.NextDue() {
 		if at > w.Now {
 			w.eventsAtSameTime = 0
 		} else if w.eventsAtSameTime++; w.eventsAtSameTime > maxEventsAtSameTime {
-			panic("the world stands still at " + w.Now.String())
+			panic("too many events without progress at " + w.Now.String())
 		}
 		w.Now = at
 		do, _ := w.events.PopDue(at)
@@ -178,7 +181,7 @@
 }
 
 func (w *World) step(ev controller.Event) {
-	if !w.Exited { // what it wrote before is on its way still
+	if !w.Exited { // bytes written before the exit are still delivered
 		w.perform(w.Controller.Step(w.Now, ev))
 	}
 }
@@ -203,7 +206,7 @@
 		case controller.Close:
 			if e != nil {
 				at := time.Duration(0)
-				if f.Graceful { // what was written before comes first
+				if f.Graceful { // deliver the bytes written before
 					at = w.linkDelay
 				}
 				w.ScheduleAfter(at, func() { w.closeConnection(e) })
@@ -241,7 +244,7 @@
 	}
 }
 
-// erase steps the disk, on and on while anything is to be erased.
+// runErase advances the spool store's erasure, and schedules itself while any remains.
 func (w *World) runErase() {
 	w.SpoolStore.Tick()
 	for _, work := range w.SpoolStore.TakeErased() {
@@ -252,13 +255,15 @@
 	}
 }
 
-func (w *World) dial(link *controller.Connection, address string, within time.Duration) {
+func (w *World) dial(link *controller.Connection, address string, timeout time.Duration) {
 	e := &connection{remote: link}
 	w.connections[link] = e
 	if address == "feed" {
 		e.isFeed = true
 		w.feedConnections = append(w.feedConnections, e)
-		w.ScheduleAfter(2*w.linkDelay, func() { w.step(controller.Event{Kind: controller.Connected, Connection: link}) })
+		w.ScheduleAfter(2*w.linkDelay, func() {
+			w.step(controller.Event{Kind: controller.Connected, Connection: link})
+		})
 		return
 	}
 	to := w.engineByAddress[address]
@@ -270,7 +275,7 @@
 		})
 		return
 	case to == nil || to.Unreachable():
-		w.ScheduleAfter(within, func() {
+		w.ScheduleAfter(timeout, func() {
 			delete(w.connections, link)
 			w.step(controller.Event{Kind: controller.ConnectTimedOut, Connection: link})
 		})
@@ -292,7 +297,7 @@
 	})
 }
 
-// arrived brings what the controller wrote to whoever it is for.
+// deliver passes bytes written by the controller to the other end of the connection.
 func (w *World) deliver(e *connection, p []byte) {
 	switch {
 	case e.closed:
@@ -321,7 +326,7 @@
 	})
 }
 
-// feedBytes brings bytes to the controller.
+// deliverToController passes bytes to the controller.
 func (w *World) deliverToController(e *connection, p []byte) {
 	for len(p) > 0 && !e.closed {
 		n := copy(e.remote.Received.FreeSpace(), p)
@@ -352,7 +357,7 @@
 	w.step(controller.Event{Kind: controller.ConnectionClosed, Connection: e.remote})
 }
 
-// wake asks for the engine's next due time.
+// scheduleWake schedules the engine's next due time.
 func (e *Engine) scheduleWake() {
 	at, ok := e.NextDue()
 	if !ok || e.wakeAt >= 0 && e.wakeAt <= at {
@@ -368,7 +373,7 @@
 	})
 }
 
-// Tell changes an engine's state in the list and tells all that follow it.
+// SetPhase changes an engine's phase in the feed and sends the event to all subscribers.
 func (w *World) SetPhase(e *Engine, phase string) {
 	from := w.Feed.LastEvent()
 	e.Phase = phase
@@ -382,10 +387,10 @@
 	w.History.State(w.Now+w.linkDelay, e.ID, phase == "SERVING")
 }
 
-// Vanish has a machine say nothing any more; Crash ends its process, which comes
-// back cold after a span.
+// MakeUnreachable cuts the engine's machine off from the network.
 func (e *Engine) MakeUnreachable() { e.SetUnreachable(e.world.Now, true) }
 
+// Crash ends the engine's process, which restarts cold after a span.
 func (e *Engine) Crash(back time.Duration) {
 	e.refusesConnections = true
 	e.Reset(e.world.Now, true)
@@ -397,7 +402,7 @@
 	})
 }
 
-// Stall stops an engine for a span.
+// Stall pauses an engine for a span.
 func (e *Engine) Stall(span time.Duration) {
 	e.Pause(e.world.Now)
 	e.world.ScheduleAfter(span, func() {
@@ -407,9 +412,10 @@
 	})
 }
 
-// Connect makes a client's connection from an address.
+// Connect opens a client's connection from an address.
 func (w *World) Connect(name string, from netip.Addr) *Client {
-	c := &Client{world: w, Name: name, queries: map[uint32]*Query{}, pending: map[uint32]func(ans client.Answer){}}
+	c := &Client{world: w, Name: name, queries: map[uint32]*Query{},
+		pending: map[uint32]func(ans client.Answer){}}
 	c.connection = &connection{remote: &controller.Connection{RemoteAddress: from}, client: c}
 	w.connections[c.connection.remote] = c.connection
 	w.Clients = append(w.Clients, c)
@@ -417,11 +423,14 @@
 	return c
 }
 
-// Ask sends a query; more are further fields.
-func (c *Client) Submit(id, group, key string, patience time.Duration, work engine.Work, more ...string) *Query {
+// Submit sends a query. more holds the names and values of additional fields.
+func (c *Client) Submit(
+	id, group, key string, patience time.Duration, work engine.Work, more ...string,
+) *Query {
 	w := c.world
 	c.lastMsg++
-	a := &Query{ID: id, Group: group, Team: c.Name, Msg: c.lastMsg, SubmittedAt: w.Now, Deadline: w.Now + patience, FirstWait: -1, StartedAt: -1, Work: work}
+	a := &Query{ID: id, Group: group, Team: c.Name, Msg: c.lastMsg,
+		SubmittedAt: w.Now, Deadline: w.Now + patience, FirstWait: -1, StartedAt: -1, Work: work}
 	fields := append([]string{"trace", id, "patience", fmt.Sprint(patience.Milliseconds())}, more...)
 	if key != "" {
 		fields = append(fields, "entity", key)
@@ -432,26 +441,27 @@
 	return a
 }
 
-// Page asks for a page of a result; then is called with the answer.
+// Page requests a page of a result and calls then with the response.
 func (c *Client) Page(token string, page int, then func(ans client.Answer), fields ...string) {
 	c.lastMsg++
 	c.pending[c.lastMsg] = then
-	c.world.deliverToController(c.connection, client.AppendPageRequest(nil, c.lastMsg, token, strconv.Itoa(page), fields...))
+	request := client.AppendPageRequest(nil, c.lastMsg, token, strconv.Itoa(page), fields...)
+	c.world.deliverToController(c.connection, request)
 }
 
-// Purge asks for what is kept of its team to go; then is called with the answer.
+// Purge requests a purge of the team's stored results and calls then with the response.
 func (c *Client) Purge(then func(ans client.Answer), fields ...string) {
 	c.lastMsg++
 	c.pending[c.lastMsg] = then
 	c.world.deliverToController(c.connection, client.AppendPurgeRequest(nil, c.lastMsg, fields...))
 }
 
-// Order has the controller do what a fleet orders; Reports has what it told in turn.
+// SendOrder delivers a fleet's order to the controller, whose reports are added to Reports.
 func (w *World) SendOrder(o fleet.Order) {
 	w.step(controller.Event{Kind: controller.FleetOrderReceived, Order: &o})
 }
 
-// Leave takes a query back.
+// Cancel cancels a query unless it has ended.
 func (c *Client) Cancel(a *Query) {
 	if !a.Answered && !a.Cancelled && !c.Closed {
 		a.Cancelled = true
@@ -460,7 +470,7 @@
 	}
 }
 
-// Drop ends the client's connection.
+// Disconnect closes the client's connection.
 func (c *Client) Disconnect() { c.world.closeConnection(c.connection) }
 
 func (c *Client) receive(p []byte) {
@@ -483,8 +493,10 @@
 			continue
 		}
 		if a == nil {
-			if answer.Kind != client.WaitNotice && answer.Kind != client.Ready && !(answer.Kind == client.Killed && answer.Msg > c.lastMsg) {
-				c.world.History.Broken(c.world.Now, fmt.Sprintf("%s: an answer to %d that nobody waits for", c.Name, answer.Msg))
+			if answer.Kind != client.WaitNotice && answer.Kind != client.Ready &&
+				!(answer.Kind == client.Killed && answer.Msg > c.lastMsg) {
+				text := fmt.Sprintf("%s: unexpected response to message %d", c.Name, answer.Msg)
+				c.world.History.Broken(c.world.Now, text)
 			}
 			continue
 		}
@@ -497,11 +509,12 @@
 			delete(c.queries, a.Msg)
 			if !a.Cancelled {
 				a.Rows, a.Paging = answer.Rows, answer.Fields
-				made := ExpectedRows(a)
-				if a.Paging["token"] != "" { // whoever asks for the other pages compares them
-					made = made[:min(len(made), len(answer.Rows))]
+				expected := ExpectedRows(a)
+				if a.Paging["token"] != "" { // further pages are compared by the caller that requests them
+					expected = expected[:min(len(expected), len(answer.Rows))]
 				}
-				c.world.History.Answered(c.world.Now, a.ID, historycheck.Answer(answer.Kind), answer.Rows, made)
+				kind := historycheck.Answer(answer.Kind)
+				c.world.History.Answered(c.world.Now, a.ID, kind, answer.Rows, expected)
 			}
 		}
 		if c.OnAnswer != nil {
@@ -510,7 +523,7 @@
 	}
 }
 
-// Rows is the result that engines make of a query.
+// ExpectedRows returns the result that the engines produce for a query.
 func ExpectedRows(a *Query) []byte {
 	var b []byte
 	for i := range a.Work.Rows {
@@ -519,9 +532,10 @@
 	return b
 }
 
-// Stop tells the controller to end, Reload to follow other teams.
+// Stop requests a shutdown of the controller.
 func (w *World) Stop() { w.step(controller.Event{Kind: controller.ShutdownRequested}) }
 
-func (w *World) Reload(shape *fairqueue.Config) {
-	w.step(controller.Event{Kind: controller.ConfigurationReloaded, DiscoveryAddress: "feed", Tenants: shape})
+// Reload gives the controller a new configuration of tenants.
+func (w *World) Reload(tenants *fairqueue.Config) {
+	w.step(controller.Event{Kind: controller.ConfigurationReloaded, DiscoveryAddress: "feed", Tenants: tenants})
 }
