--- a/internal/emulator/client/caller_test.go
+++ b/internal/emulator/client/caller_test.go
@@ -9,19 +9,19 @@
 	"testing/iotest"
 )
 
-// answered encodes the response that a controller is ready: message type, message ID, no
+// readyResponse encodes the response that a controller is ready: message type, message ID, no
 // error, true and no fields.
-func answered(msg byte) []byte {
+func readyResponse(msg byte) []byte {
 	return []byte{0x94, 1, 0xce, 0, 0, 0, msg, 0xc0, 0x92, 0xc3, 0x80}
 }
 
-func TestReadAllTakesEachAnswerOnce(t *testing.T) {
+func TestReadAllHandlesEachResponseOnce(t *testing.T) {
 	var whole []byte
 	var want []uint32
 	for msg := range byte(5) {
-		whole = append(whole, answered(msg)...)
-		if answer, took, err := Read(answered(msg)); err != nil || took != len(answered(msg)) || answer.Msg != uint32(msg) {
-			t.Fatal(answer, took, err)
+		whole = append(whole, readyResponse(msg)...)
+		if answer, consumed, err := Read(readyResponse(msg)); err != nil || consumed != len(readyResponse(msg)) || answer.Msg != uint32(msg) {
+			t.Fatal(answer, consumed, err)
 		}
 		want = append(want, uint32(msg))
 	}
@@ -34,9 +34,9 @@
 	}
 }
 
-func TestReadAllEndsAtWhatIsNoAnswer(t *testing.T) {
+func TestReadAllFailsOnMalformedResponse(t *testing.T) {
 	var got int
-	err := ReadAll(bytes.NewReader(append(answered(1), "no answer"...)), func(Answer) { got++ })
+	err := ReadAll(bytes.NewReader(append(readyResponse(1), "no answer"...)), func(Answer) { got++ })
 	if got != 1 || err == nil || errors.Is(err, io.EOF) {
 		t.Errorf("%d answers, %v", got, err)
 	}
--- a/internal/emulator/engine/server.go
+++ b/internal/emulator/engine/server.go
@@ -114,7 +114,9 @@
 	}
 }
 
-func (s *Server) handle(now time.Duration, c *Conn, method, path string, field func(string) string, body []byte) {
+func (s *Server) handle(
+	now time.Duration, c *Conn, method, path string, field func(string) string, body []byte,
+) {
 	s.RequestCounts[method]++
 	parts := strings.Split(strings.Trim(path, "/"), "/")
 	switch {
@@ -126,7 +128,8 @@
 			others, busy := s.ExternalLoad()
 			held, cores = held+others, min(1, cores+busy)
 		}
-		c.respond(200, fmt.Sprintf("X-Load: outstanding:%d;utilization:%.4f;x0:%.4f;x1:%.4f\r\n", held, cores, memory, disks), nil)
+		c.respond(200, fmt.Sprintf("X-Load: outstanding:%d;utilization:%.4f;x0:%.4f;x1:%.4f\r\n",
+			held, cores, memory, disks), nil)
 	case method == "POST" && path == "/o":
 		id, group := field("X-Req"), field("X-Class")
 		wait, _ := strconv.Atoi(field("X-Wait-Ms"))
@@ -293,8 +296,10 @@
 	}
 }
 
-var statusTexts = map[int]string{200: "OK", 202: "Accepted", 204: "No Content", 500: "Internal Server Error", 503: "Service Unavailable",
-	504: "Gateway Timeout"}
+var statusTexts = map[int]string{
+	200: "OK", 202: "Accepted", 204: "No Content",
+	500: "Internal Server Error", 503: "Service Unavailable", 504: "Gateway Timeout",
+}
 
 func (c *Conn) respond(status int, fields string, body []byte) {
 	p := fmt.Appendf(nil, "HTTP/1.1 %d %s\r\n%s", status, statusTexts[status], fields)
@@ -312,8 +317,10 @@
 	if w.Load {
 		verb = "INSERT INTO"
 	}
-	return fmt.Appendf(nil, "%s sales_%d.orders -- takes threads=%g cpu_ms=%g disk_ms=%g memory_mb=%g rows=%d plan=%g load=%t waits=%t",
-		verb, w.TableGroup, w.Threads, milliseconds(w.CPU), milliseconds(w.Disk), w.MemoryMB, w.Rows, w.PlanFactor, w.Load, w.WaitsForLoad)
+	return fmt.Appendf(nil, "%s sales_%d.orders -- takes "+
+		"threads=%g cpu_ms=%g disk_ms=%g memory_mb=%g rows=%d plan=%g load=%t waits=%t",
+		verb, w.TableGroup, w.Threads, milliseconds(w.CPU), milliseconds(w.Disk), w.MemoryMB, w.Rows,
+		w.PlanFactor, w.Load, w.WaitsForLoad)
 }
 
 func milliseconds(t time.Duration) float64 { return float64(t) / float64(time.Millisecond) }
--- a/internal/emulator/faultproxy/link_test.go
+++ b/internal/emulator/faultproxy/link_test.go
@@ -15,15 +15,15 @@
 	"pgregory.net/rapid"
 )
 
-const soon = 10 * time.Second
+const testTimeout = 10 * time.Second
 
 // target is a server that echoes received bytes and records them.
 type target struct {
 	net.Listener
-	took chan string // bytes of each read, from any connection
+	received chan string // bytes of each read, from any connection
 }
 
-func echo(t *testing.T, address string) *target {
+func startEchoServer(t *testing.T, address string) *target {
 	t.Helper()
 	now := goleak.IgnoreCurrent()
 	t.Cleanup(func() { goleak.VerifyNone(t, now) })
@@ -46,7 +46,7 @@
 					if err != nil {
 						return
 					}
-					e.took <- string(b[:n])
+					e.received <- string(b[:n])
 					c.Write(b[:n])
 				}
 			}()
@@ -56,9 +56,9 @@
 	return e
 }
 
-func links(t *testing.T) (*Link, *target) {
+func newLinkToEcho(t *testing.T) (*Link, *target) {
 	t.Helper()
-	e := echo(t, "127.0.0.1:0")
+	e := startEchoServer(t, "127.0.0.1:0")
 	l, err := New(e.Addr().String())
 	if err != nil {
 		t.Fatal(err)
@@ -67,25 +67,25 @@
 	return l, e
 }
 
-func dial(t *testing.T, address string) *net.TCPConn {
+func mustDial(t *testing.T, address string) *net.TCPConn {
 	t.Helper()
 	c, err := net.Dial("tcp", address)
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { c.Close() })
-	c.SetDeadline(time.Now().Add(soon))
+	c.SetDeadline(time.Now().Add(testTimeout))
 	return c.(*net.TCPConn)
 }
 
-func write(t *testing.T, c net.Conn, text string) {
+func mustWrite(t *testing.T, c net.Conn, text string) {
 	t.Helper()
 	if _, err := io.WriteString(c, text); err != nil {
 		t.Fatal(err)
 	}
 }
 
-func reads(t *testing.T, c net.Conn, text string) {
+func expectRead(t *testing.T, c net.Conn, text string) {
 	t.Helper()
 	b := make([]byte, len(text))
 	if n, err := io.ReadFull(c, b); err != nil || string(b) != text {
@@ -93,15 +93,15 @@
 	}
 }
 
-// takes fails unless the target receives a text, on all connections together.
-func (e *target) takes(t *testing.T, text string) {
+// expectReceived fails unless the target receives a text, on all connections together.
+func (e *target) expectReceived(t *testing.T, text string) {
 	t.Helper()
 	var b string
 	for len(b) < len(text) {
 		select {
-		case s := <-e.took:
+		case s := <-e.received:
 			b += s
-		case <-time.After(soon):
+		case <-time.After(testTimeout):
 			t.Fatalf("%q came, want %q", b, text)
 		}
 	}
@@ -110,17 +110,17 @@
 	}
 }
 
-// struck polls until a hit count reaches n, because no event reports it.
-func struck(t *testing.T, of func() map[string]int, kind Kind, n int) {
+// waitForHits polls until a hit count reaches n, because no event reports it.
+func waitForHits(t *testing.T, of func() map[string]int, kind Kind, n int) {
 	t.Helper()
-	for end := time.Now().Add(soon); of()[string(kind)] < n; time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(testTimeout); of()[string(kind)] < n; time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatalf("%s has hit count %d, want %d", kind, of()[string(kind)], n)
 		}
 	}
 }
 
-func closed(t *testing.T, c net.Conn) {
+func expectClosed(t *testing.T, c net.Conn) {
 	t.Helper()
 	if n, err := c.Read(make([]byte, 1)); n > 0 || err != io.EOF && !errors.Is(err, syscall.ECONNRESET) {
 		t.Fatalf("read %d bytes, %v: the connection isn't closed", n, err)
@@ -128,12 +128,12 @@
 }
 
 func TestBytesPassWithoutFault(t *testing.T) {
-	l, _ := links(t)
-	c := dial(t, l.Address())
+	l, _ := newLinkToEcho(t)
+	c := mustDial(t, l.Address())
 	data := bytes.Repeat([]byte("0123456789abcdef"), 1<<16)
 	go func() { c.Write(data); c.CloseWrite() }()
-	if back, err := io.ReadAll(c); err != nil || !bytes.Equal(back, data) {
-		t.Errorf("%d bytes of %d came back: %v", len(back), len(data), err)
+	if echoed, err := io.ReadAll(c); err != nil || !bytes.Equal(echoed, data) {
+		t.Errorf("%d bytes of %d came back: %v", len(echoed), len(data), err)
 	}
 	if n := len(l.HitCounts()); n > 0 {
 		t.Error(l.HitCounts())
@@ -141,154 +141,154 @@
 }
 
 func TestCutClosesOpenAndNewConnections(t *testing.T) {
-	l, _ := links(t)
-	c := dial(t, l.Address())
-	write(t, c, "a")
-	reads(t, c, "a")
+	l, _ := newLinkToEcho(t)
+	c := mustDial(t, l.Address())
+	mustWrite(t, c, "a")
+	expectRead(t, c, "a")
 	l.SetFault(Fault{Kind: Cut})
-	closed(t, c)
+	expectClosed(t, c)
 	if late, err := net.Dial("tcp", l.Address()); err == nil { // the reset may come before or after
-		late.SetDeadline(time.Now().Add(soon))
-		closed(t, late)
+		late.SetDeadline(time.Now().Add(testTimeout))
+		expectClosed(t, late)
 		late.Close()
 	} else if !errors.Is(err, syscall.ECONNRESET) {
 		t.Error(err)
 	}
-	struck(t, l.HitCounts, Cut, 2)
+	waitForHits(t, l.HitCounts, Cut, 2)
 	l.SetFault(Fault{})
-	c = dial(t, l.Address())
-	write(t, c, "b")
-	reads(t, c, "b")
+	c = mustDial(t, l.Address())
+	mustWrite(t, c, "b")
+	expectRead(t, c, "b")
 }
 
 func TestSilentCutHoldsBytesUntilHealed(t *testing.T) {
-	l, e := links(t)
-	c := dial(t, l.Address())
-	write(t, c, "a")
-	reads(t, c, "a")
-	e.takes(t, "a")
+	l, e := newLinkToEcho(t)
+	c := mustDial(t, l.Address())
+	mustWrite(t, c, "a")
+	expectRead(t, c, "a")
+	e.expectReceived(t, "a")
 	l.SetFault(Fault{Kind: Cut, Silent: true})
-	write(t, c, "b")
-	late := dial(t, l.Address())
-	write(t, late, "c")
-	struck(t, l.HitCounts, Cut, 2)
-	if len(e.took) > 0 {
+	mustWrite(t, c, "b")
+	late := mustDial(t, l.Address())
+	mustWrite(t, late, "c")
+	waitForHits(t, l.HitCounts, Cut, 2)
+	if len(e.received) > 0 {
 		t.Error("bytes passed a silent cut")
 	}
 	l.SetFault(Fault{})
-	reads(t, c, "b")
-	reads(t, late, "c")
+	expectRead(t, c, "b")
+	expectRead(t, late, "c")
 }
 
 func TestOneWay(t *testing.T) {
-	l, e := links(t)
-	c := dial(t, l.Address())
+	l, e := newLinkToEcho(t)
+	c := mustDial(t, l.Address())
 	l.SetFault(Fault{Kind: OneWay, Direction: FromTarget, Hold: true})
-	write(t, c, "a")
-	e.takes(t, "a")
-	struck(t, l.HitCounts, OneWay, 1)
+	mustWrite(t, c, "a")
+	e.expectReceived(t, "a")
+	waitForHits(t, l.HitCounts, OneWay, 1)
 	l.SetFault(Fault{})
-	reads(t, c, "a")
+	expectRead(t, c, "a")
 	l.SetFault(Fault{Kind: OneWay, Direction: FromTarget}) // dropped, not held
-	write(t, c, "b")
-	e.takes(t, "b")
-	struck(t, l.HitCounts, OneWay, 2)
+	mustWrite(t, c, "b")
+	e.expectReceived(t, "b")
+	waitForHits(t, l.HitCounts, OneWay, 2)
 	l.SetFault(Fault{})
-	closed(t, c)
-	c = dial(t, l.Address())
-	write(t, c, "c")
-	reads(t, c, "c")
-	e.takes(t, "c")
+	expectClosed(t, c)
+	c = mustDial(t, l.Address())
+	mustWrite(t, c, "c")
+	expectRead(t, c, "c")
+	e.expectReceived(t, "c")
 	l.SetFault(Fault{Kind: OneWay, Direction: ToTarget})
-	write(t, c, "d")
-	struck(t, l.HitCounts, OneWay, 3)
-	if len(e.took) > 0 {
+	mustWrite(t, c, "d")
+	waitForHits(t, l.HitCounts, OneWay, 3)
+	if len(e.received) > 0 {
 		t.Error("bytes passed in the dropped direction")
 	}
 }
 
 func TestSlowAndDelayAddLatency(t *testing.T) {
-	l, _ := links(t)
-	c := dial(t, l.Address())
+	l, _ := newLinkToEcho(t)
+	c := mustDial(t, l.Address())
 	for _, f := range []Fault{
 		{Kind: Slow, Direction: ToTarget, Rate: 10000},
 		{Kind: Delay, Direction: FromTarget, Latency: 100 * time.Millisecond, Jitter: time.Millisecond},
 	} {
 		l.SetFault(f)
 		began := time.Now()
-		write(t, c, string(make([]byte, 1000)))
-		reads(t, c, string(make([]byte, 1000)))
+		mustWrite(t, c, string(make([]byte, 1000)))
+		expectRead(t, c, string(make([]byte, 1000)))
 		if took := time.Since(began); took < 100*time.Millisecond {
 			t.Errorf("%s: %v", f.Kind, took)
 		}
-		struck(t, l.HitCounts, f.Kind, 1)
+		waitForHits(t, l.HitCounts, f.Kind, 1)
 	}
 	l.SetFault(Fault{Kind: Delay, Latency: time.Hour})
-	write(t, c, "x")
-	struck(t, l.HitCounts, Delay, 2)
+	mustWrite(t, c, "x")
+	waitForHits(t, l.HitCounts, Delay, 2)
 	l.SetFault(Fault{}) // delayed bytes pass at once
-	reads(t, c, "x")
+	expectRead(t, c, "x")
 }
 
 func TestResetClosesOnlyOpenConnections(t *testing.T) {
-	l, _ := links(t)
-	c := dial(t, l.Address())
-	write(t, c, "a")
-	reads(t, c, "a")
+	l, _ := newLinkToEcho(t)
+	c := mustDial(t, l.Address())
+	mustWrite(t, c, "a")
+	expectRead(t, c, "a")
 	l.SetFault(Fault{Kind: Reset})
 	if _, err := c.Read(make([]byte, 1)); !errors.Is(err, syscall.ECONNRESET) {
 		t.Error(err)
 	}
-	c = dial(t, l.Address())
-	write(t, c, "b")
-	reads(t, c, "b")
-	struck(t, l.HitCounts, Reset, 1)
+	c = mustDial(t, l.Address())
+	mustWrite(t, c, "b")
+	expectRead(t, c, "b")
+	waitForHits(t, l.HitCounts, Reset, 1)
 }
 
 func TestStallStopsAfterAfterBytes(t *testing.T) {
-	l, e := links(t)
-	c := dial(t, l.Address())
+	l, e := newLinkToEcho(t)
+	c := mustDial(t, l.Address())
 	l.SetFault(Fault{Kind: Stall, Direction: ToTarget, AfterBytes: 3})
-	write(t, c, "abcdef")
-	reads(t, c, "abc")
-	e.takes(t, "abc")
-	struck(t, l.HitCounts, Stall, 1)
-	other := dial(t, l.Address())
-	write(t, other, "xyz") // each connection has its own limit
-	reads(t, other, "xyz")
+	mustWrite(t, c, "abcdef")
+	expectRead(t, c, "abc")
+	e.expectReceived(t, "abc")
+	waitForHits(t, l.HitCounts, Stall, 1)
+	other := mustDial(t, l.Address())
+	mustWrite(t, other, "xyz") // each connection has its own limit
+	expectRead(t, other, "xyz")
 	l.SetFault(Fault{})
-	reads(t, c, "def")
+	expectRead(t, c, "def")
 }
 
 func TestDuplicateSendsAgainAfterTheResponse(t *testing.T) {
-	l, e := links(t)
+	l, e := newLinkToEcho(t)
 	l.SetFault(Fault{Kind: Duplicate})
-	c := dial(t, l.Address())
-	write(t, c, "once")
-	reads(t, c, "once")
-	e.takes(t, "onceonce")
-	write(t, c, "more")
-	reads(t, c, "more")
-	e.takes(t, "moremore")
-	struck(t, l.HitCounts, Duplicate, 2)
+	c := mustDial(t, l.Address())
+	mustWrite(t, c, "once")
+	expectRead(t, c, "once")
+	e.expectReceived(t, "onceonce")
+	mustWrite(t, c, "more")
+	expectRead(t, c, "more")
+	e.expectReceived(t, "moremore")
+	waitForHits(t, l.HitCounts, Duplicate, 2)
 	c.CloseWrite()
-	closed(t, c) // no response of the duplicate connection was forwarded
+	expectClosed(t, c) // no response of the duplicate connection was forwarded
 }
 
 func TestCloseWithHeldConnections(t *testing.T) {
-	l, _ := links(t)
+	l, _ := newLinkToEcho(t)
 	l.SetFault(Fault{Kind: Cut, Silent: true})
 	for range 3 {
-		write(t, dial(t, l.Address()), "held")
+		mustWrite(t, mustDial(t, l.Address()), "held")
 	}
-	struck(t, l.HitCounts, Cut, 3)
+	waitForHits(t, l.HitCounts, Cut, 3)
 } // the cleanup closes the link and checks for leaked goroutines
 
 func TestMeshCutsPairs(t *testing.T) {
 	names := []string{"a", "b", "c"}
 	m := NewMesh(names...)
 	for _, n := range names {
-		m.SetTarget(n, echo(t, "127.0.0.1:0").Addr().String())
+		m.SetTarget(n, startEchoServer(t, "127.0.0.1:0").Addr().String())
 	}
 	t.Cleanup(m.Close)
 	type pair struct{ from, to string }
@@ -311,7 +311,7 @@
 				t.Fatal(err)
 			}
 			t.Cleanup(func() { c.Close() })
-			c.SetDeadline(time.Now().Add(soon))
+			c.SetDeadline(time.Now().Add(testTimeout))
 			conns[pair{from, to}] = c
 		}
 	}
@@ -319,20 +319,20 @@
 		n, before := 0, map[pair]int{}
 		for p, c := range conns {
 			before[p] = m.Link(p.from, p.to).HitCounts()[string(Cut)]
-			write(t, c, step)
+			mustWrite(t, c, step)
 		}
 		for p, c := range conns {
 			if cut(p) {
-				struck(t, m.Link(p.from, p.to).HitCounts, Cut, before[p]+1)
+				waitForHits(t, m.Link(p.from, p.to).HitCounts, Cut, before[p]+1)
 				n++
 			} else {
-				reads(t, c, step)
+				expectRead(t, c, step)
 			}
 		}
 		m.Heal()
 		for p, c := range conns {
 			if cut(p) {
-				reads(t, c, step)
+				expectRead(t, c, step)
 			}
 		}
 		if n == 0 != (step == "none") {
@@ -350,7 +350,7 @@
 		t.Error(m.HitCounts())
 	}
 	front, _ := m.SharedAddress("a")
-	closed(t, dial(t, front)) // from an unknown source address
+	expectClosed(t, mustDial(t, front)) // from an unknown source address
 }
 
 func TestScriptStepsFollowEvents(t *testing.T) {
--- a/internal/emulator/hollow/controller.go
+++ b/internal/emulator/hollow/controller.go
@@ -39,9 +39,9 @@
 	done    chan struct{}
 }
 
-func newController(config *Config, member Member, tell func(Event)) *controller {
+func newController(config *Config, member Member, emit func(Event)) *controller {
 	return &controller{config: config, member: member, store: NewStore("disk of "+member.Name, config.WriteDelay), gate: newGate(),
-		emit: tell}
+		emit: emit}
 }
 
 // start starts the controller from the contents of its store.
@@ -158,17 +158,17 @@
 
 // shaper returns a function that adds the gate and the link's latency to a connection, by the
 // connection's remote address.
-func (c *controller) shaper(own net.Addr) func(net.Conn) net.Conn {
+func (c *controller) shaper(localAddress net.Addr) func(net.Conn) net.Conn {
 	jitter, mu := c.random(), &sync.Mutex{}
-	return func(plain net.Conn) net.Conn {
-		there := c.placeOf(plain.RemoteAddr().String())
-		span := c.config.Links.OneWay(c.member.Place, there)
+	return func(conn net.Conn) net.Conn {
+		remotePlace := c.placeOf(conn.RemoteAddr().String())
+		latency := c.config.Links.OneWay(c.member.Place, remotePlace)
 		delay := func() time.Duration {
 			mu.Lock()
 			defer mu.Unlock()
-			return span + time.Duration(float64(span)*c.config.Links.Jitter*jitter.Float64())
+			return latency + time.Duration(float64(latency)*c.config.Links.Jitter*jitter.Float64())
 		}
-		return &shapedConn{Conn: plain, gate: c.gate, otherRegion: there.Region != c.member.Place.Region, delay: delay, ended: make(chan struct{})}
+		return &shapedConn{Conn: conn, gate: c.gate, otherRegion: remotePlace.Region != c.member.Place.Region, delay: delay, ended: make(chan struct{})}
 	}
 }
 
--- a/internal/emulator/hollow/hollow_test.go
+++ b/internal/emulator/hollow/hollow_test.go
@@ -22,10 +22,10 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-const patience = 20 * time.Second
+const testTimeout = 20 * time.Second
 
-// play is a process of simulated controllers inside the test.
-type play struct {
+// testProcess is a process of simulated controllers inside the test.
+type testProcess struct {
 	t        *testing.T
 	commands *json.Encoder
 	events   chan Event
@@ -34,8 +34,8 @@
 	serving  map[string]uint64 // version by controller, from the events read so far
 }
 
-// begin starts five controllers, three of them voters; the first listens for operators.
-func begin(t *testing.T, block int) *play {
+// startTestProcess starts five controllers, three of them voters; the first listens for operators.
+func startTestProcess(t *testing.T, block int) *testProcess {
 	file := filepath.Join(t.TempDir(), "keys")
 	if err := os.WriteFile(file, []byte(strings.Repeat("5e", 32)), 0o600); err != nil {
 		t.Fatal(err)
@@ -60,7 +60,7 @@
 	}
 	in, commands := io.Pipe()
 	events, out := io.Pipe()
-	p := &play{t: t, commands: json.NewEncoder(commands), events: make(chan Event, 1000), keys: keys, control: config.Controllers[0].ControlAddress, serving: map[string]uint64{}}
+	p := &testProcess{t: t, commands: json.NewEncoder(commands), events: make(chan Event, 1000), keys: keys, control: config.Controllers[0].ControlAddress, serving: map[string]uint64{}}
 	done := make(chan error, 1)
 	go func() { done <- Run(t.Context(), in, out); out.Close() }()
 	read := make(chan struct{})
@@ -84,7 +84,7 @@
 	if err := p.commands.Encode(config); err != nil {
 		t.Fatal(err)
 	}
-	p.do(Command{Do: Start})
+	p.send(Command{Do: Start})
 	p.until(func(Event) bool { return len(p.serving) == 5 })
 	return p
 }
@@ -98,7 +98,7 @@
 	return l.Addr().String()
 }
 
-func (p *play) do(c Command) {
+func (p *testProcess) send(c Command) {
 	p.t.Helper()
 	if err := p.commands.Encode(c); err != nil {
 		p.t.Fatal(err)
@@ -106,9 +106,9 @@
 }
 
 // until reads events until so returns true for one, and returns that event.
-func (p *play) until(so func(Event) bool) Event {
+func (p *testProcess) until(so func(Event) bool) Event {
 	p.t.Helper()
-	for wait := time.After(patience); ; {
+	for wait := time.After(testTimeout); ; {
 		select {
 		case e := <-p.events:
 			switch e.Kind {
@@ -129,9 +129,9 @@
 }
 
 // apply changes the policy and returns the response.
-func (p *play) apply(id string, base uint64) *fleet.Response {
+func (p *testProcess) apply(id string, base uint64) *fleet.Response {
 	p.t.Helper()
-	ctx, stop := context.WithTimeout(p.t.Context(), patience)
+	ctx, stop := context.WithTimeout(p.t.Context(), testTimeout)
 	defer stop()
 	r, err := transport.SendControlRequest(ctx, p.control, p.keys, &fleet.Request{Kind: "apply", ID: id, BaseVersion: base, Policy: []byte("# " + id), WaitMs: 15000})
 	if err != nil {
@@ -140,7 +140,7 @@
 	return r
 }
 
-func (p *play) allBy(version uint64, names int) func(Event) bool {
+func (p *testProcess) allServe(version uint64, names int) func(Event) bool {
 	return func(Event) bool {
 		n := 0
 		for _, v := range p.serving {
@@ -154,15 +154,15 @@
 
 func TestPolicyChangeReachesAllControllers(t *testing.T) {
 	t.Parallel()
-	p := begin(t, 1)
+	p := startTestProcess(t, 1)
 	if r := p.apply("first", 1); r.Outcome != "in force" || r.Version != 2 {
 		t.Fatalf("%+v", r)
 	}
-	e := p.until(p.allBy(2, 5))
+	e := p.until(p.allServe(2, 5))
 	if e.Policy != digest([]byte("# first")) {
 		t.Errorf("it serves under policy %x", e.Policy)
 	}
-	p.do(Command{Do: Report, Round: 3, Names: []string{"h4"}})
+	p.send(Command{Do: Report, Round: 3, Names: []string{"h4"}})
 	e = p.until(func(e Event) bool { return e.Kind == Counted })
 	if c := e.Counts; e.Name != "h4" || e.Round != 3 || c.BytesOut < 500 || c.BytesIn < 500 || c.MessagesOut < 3 || c.MessagesIn < 3 {
 		t.Errorf("%+v %+v", e, c)
@@ -171,9 +171,9 @@
 
 func TestPausedControllerStopsServingAtLeaseEnd(t *testing.T) {
 	t.Parallel()
-	p := begin(t, 2)
+	p := startTestProcess(t, 2)
 	at := time.Now()
-	p.do(Command{Do: Pause, Names: []string{"h4"}})
+	p.send(Command{Do: Pause, Names: []string{"h4"}})
 	e := p.until(func(e Event) bool { return e.Name == "h4" && e.Kind == Ended })
 	if over := time.Unix(0, e.At).Sub(at); e.Reason != "lease" || over > 1100*time.Millisecond {
 		t.Errorf("it served for %v after the pause: %+v", over, e)
@@ -181,7 +181,7 @@
 	if r := p.apply("without it", 1); r.Outcome != "in force" {
 		t.Fatalf("%+v", r)
 	}
-	p.do(Command{Do: Resume, Names: []string{"h4"}})
+	p.send(Command{Do: Resume, Names: []string{"h4"}})
 	e = p.until(func(e Event) bool { return e.Name == "h4" && e.Kind == Serving })
 	if e.Version != 2 {
 		t.Errorf("it serves under version %d after the change", e.Version)
@@ -190,26 +190,26 @@
 
 func TestStoppedControllerRestartsFromItsStore(t *testing.T) {
 	t.Parallel()
-	p := begin(t, 3)
-	p.do(Command{Do: Stop, Names: []string{"h1", "h3"}})
+	p := startTestProcess(t, 3)
+	p.send(Command{Do: Stop, Names: []string{"h1", "h3"}})
 	p.until(func(Event) bool { return len(p.serving) == 3 })
 	if r := p.apply("while two are down", 1); r.Outcome != "in force" {
 		t.Fatalf("%+v", r)
 	}
-	p.do(Command{Do: Start})
-	p.until(p.allBy(2, 5))
+	p.send(Command{Do: Start})
+	p.until(p.allServe(2, 5))
 }
 
 func TestCutIsolatesRegions(t *testing.T) {
 	t.Parallel()
-	p := begin(t, 4)
-	p.do(Command{Do: Cut})
+	p := startTestProcess(t, 4)
+	p.send(Command{Do: Cut})
 	p.until(func(Event) bool { return len(p.serving) == 3 })
 	if p.serving["h3"] != 0 || p.serving["h4"] != 0 {
 		t.Errorf("serving: %v", p.serving)
 	}
-	p.do(Command{Do: Heal})
-	p.until(p.allBy(1, 5))
+	p.send(Command{Do: Heal})
+	p.until(p.allServe(1, 5))
 }
 
 func TestMergeKeepsWhatADiskWouldKeep(t *testing.T) {
--- a/internal/emulator/hollow/process.go
+++ b/internal/emulator/hollow/process.go
@@ -59,12 +59,12 @@
 }
 
 func newProcess(ctx context.Context, config *Config, out io.Writer) *process {
-	tell := eventWriter(out)
+	emit := eventWriter(out)
 	p := &process{queues: map[string]chan Command{}}
 	for _, member := range config.Controllers {
 		queue := make(chan Command, maxQueuedCommands)
 		p.names, p.queues[member.Name] = append(p.names, member.Name), queue
-		c := newController(config, member, tell)
+		c := newController(config, member, emit)
 		p.group.Go(func() {
 			defer c.stopNow()
 			for command := range queue {
--- a/internal/emulator/hollow/reducer.go
+++ b/internal/emulator/hollow/reducer.go
@@ -27,8 +27,8 @@
 	leaseTimer    *time.Timer
 }
 
-func newObserver(name string, started time.Time, gate *gate, tell func(Event)) *observer {
-	return &observer{name: name, started: started, gate: gate, emit: tell}
+func newObserver(name string, started time.Time, gate *gate, emit func(Event)) *observer {
+	return &observer{name: name, started: started, gate: gate, emit: emit}
 }
 
 // serve executes orders until ctx is done.
--- a/internal/emulator/world/world.go
+++ b/internal/emulator/world/world.go
@@ -187,16 +187,16 @@
 }
 
 func (w *World) perform(effects []controller.Effect) {
-	for _, f := range effects {
-		e := w.connections[f.Connection]
-		switch f.Kind {
+	for _, effect := range effects {
+		e := w.connections[effect.Connection]
+		switch effect.Kind {
 		case controller.Dial:
-			w.dial(f.Connection, f.Address, f.Timeout)
+			w.dial(effect.Connection, effect.Address, effect.Timeout)
 		case controller.Write:
 			if e == nil || e.closed {
 				break
 			}
-			p := append([]byte{}, f.Bytes...)
+			p := append([]byte{}, effect.Bytes...)
 			w.ScheduleAfter(0, func() {
 				if !e.closed {
 					w.step(controller.Event{Kind: controller.BytesWritten, Connection: e.remote, ByteCount: len(p)})
@@ -206,25 +206,25 @@
 		case controller.Close:
 			if e != nil {
 				at := time.Duration(0)
-				if f.Graceful { // deliver the bytes written before
+				if effect.Graceful { // deliver the bytes written before
 					at = w.linkDelay
 				}
 				w.ScheduleAfter(at, func() { w.closeConnection(e) })
 			}
 		case controller.SetTimer:
 			w.timerGeneration++
-			mine := w.timerGeneration
-			w.ScheduleAfter(f.Timeout, func() {
-				if mine == w.timerGeneration {
+			generation := w.timerGeneration
+			w.ScheduleAfter(effect.Timeout, func() {
+				if generation == w.timerGeneration {
 					w.step(controller.Event{Kind: controller.TimerFired})
 				}
 			})
 		case controller.LogMessage, controller.LogCounters:
-			if f.Warning || f.Kind == controller.LogCounters {
-				w.LogLines = append(w.LogLines, f.Text)
+			if effect.Warning || effect.Kind == controller.LogCounters {
+				w.LogLines = append(w.LogLines, effect.Text)
 			}
 		case controller.SubmitSpoolWork:
-			work := f.SpoolWork
+			work := effect.SpoolWork
 			w.ScheduleAfter(w.DiskLatency, func() {
 				if work.Fetch != nil {
 					w.SpoolStore.Read(work)
@@ -237,7 +237,7 @@
 				w.step(controller.Event{Kind: controller.SpoolWorkDone, SpoolWork: work})
 			})
 		case controller.ReportToFleet:
-			w.Reports = append(w.Reports, *f.Report)
+			w.Reports = append(w.Reports, *effect.Report)
 		case controller.Exit:
 			w.Exited = true
 		}
@@ -375,10 +375,10 @@
 
 // SetPhase changes an engine's phase in the feed and sends the event to all subscribers.
 func (w *World) SetPhase(e *Engine, phase string) {
-	from := w.Feed.LastEvent()
+	lastEvent := w.Feed.LastEvent()
 	e.Phase = phase
 	w.Feed.Append(false, e.Engine)
-	lines := w.Feed.EventsSince(from)
+	lines := w.Feed.EventsSince(lastEvent)
 	for _, f := range w.feedConnections {
 		if f.subscribed && !f.closed {
 			w.ScheduleAfter(w.linkDelay, func() { w.deliverToController(f, lines) })
@@ -391,10 +391,10 @@
 func (e *Engine) MakeUnreachable() { e.SetUnreachable(e.world.Now, true) }
 
 // Crash ends the engine's process, which restarts cold after a span.
-func (e *Engine) Crash(back time.Duration) {
+func (e *Engine) Crash(downtime time.Duration) {
 	e.refusesConnections = true
 	e.Reset(e.world.Now, true)
-	e.world.ScheduleAfter(back, func() {
+	e.world.ScheduleAfter(downtime, func() {
 		e.refusesConnections = false
 		e.Restart(e.world.Now)
 		e.UpSinceMs = int64((e.world.Now) / time.Millisecond)
@@ -429,16 +429,17 @@
 ) *Query {
 	w := c.world
 	c.lastMsg++
-	a := &Query{ID: id, Group: group, Team: c.Name, Msg: c.lastMsg,
+	query := &Query{ID: id, Group: group, Team: c.Name, Msg: c.lastMsg,
 		SubmittedAt: w.Now, Deadline: w.Now + patience, FirstWait: -1, StartedAt: -1, Work: work}
 	fields := append([]string{"trace", id, "patience", fmt.Sprint(patience.Milliseconds())}, more...)
 	if key != "" {
 		fields = append(fields, "entity", key)
 	}
-	c.queries[a.Msg] = a
-	w.History.Asked(w.Now, id, group, key, a.Deadline)
-	w.deliverToController(c.connection, client.AppendQuery(nil, a.Msg, group, engine.Statement(work), fields...))
-	return a
+	c.queries[query.Msg] = query
+	w.History.Asked(w.Now, id, group, key, query.Deadline)
+	request := client.AppendQuery(nil, query.Msg, group, engine.Statement(work), fields...)
+	w.deliverToController(c.connection, request)
+	return query
 }
 
 // Page requests a page of a result and calls then with the response.
@@ -462,11 +463,11 @@
 }
 
 // Cancel cancels a query unless it has ended.
-func (c *Client) Cancel(a *Query) {
-	if !a.Answered && !a.Cancelled && !c.Closed {
-		a.Cancelled = true
-		c.world.History.Left(c.world.Now, a.ID)
-		c.world.deliverToController(c.connection, client.AppendCancel(nil, a.Msg))
+func (c *Client) Cancel(query *Query) {
+	if !query.Answered && !query.Cancelled && !c.Closed {
+		query.Cancelled = true
+		c.world.History.Left(c.world.Now, query.ID)
+		c.world.deliverToController(c.connection, client.AppendCancel(nil, query.Msg))
 	}
 }
 
@@ -486,13 +487,13 @@
 			return
 		}
 		c.input = append([]byte{}, c.input[n:]...)
-		a := c.queries[answer.Msg]
+		query := c.queries[answer.Msg]
 		if then := c.pending[answer.Msg]; then != nil {
 			delete(c.pending, answer.Msg)
 			then(answer)
 			continue
 		}
-		if a == nil {
+		if query == nil {
 			if answer.Kind != client.WaitNotice && answer.Kind != client.Ready &&
 				!(answer.Kind == client.Killed && answer.Msg > c.lastMsg) {
 				text := fmt.Sprintf("%s: unexpected response to message %d", c.Name, answer.Msg)
@@ -501,33 +502,33 @@
 			continue
 		}
 		if answer.Kind == client.WaitNotice {
-			if a.WaitNotices++; a.FirstWait < 0 {
-				a.FirstWait = answer.Wait
+			if query.WaitNotices++; query.FirstWait < 0 {
+				query.FirstWait = answer.Wait
 			}
 		} else {
-			a.Answered, a.Answer, a.EndedAt, a.RetryAfter = true, answer.Kind, c.world.Now, answer.Wait
-			delete(c.queries, a.Msg)
-			if !a.Cancelled {
-				a.Rows, a.Paging = answer.Rows, answer.Fields
-				expected := ExpectedRows(a)
-				if a.Paging["token"] != "" { // further pages are compared by the caller that requests them
+			query.Answered, query.Answer, query.EndedAt, query.RetryAfter = true, answer.Kind, c.world.Now, answer.Wait
+			delete(c.queries, query.Msg)
+			if !query.Cancelled {
+				query.Rows, query.Paging = answer.Rows, answer.Fields
+				expected := ExpectedRows(query)
+				if query.Paging["token"] != "" { // further pages are compared by the caller that requests them
 					expected = expected[:min(len(expected), len(answer.Rows))]
 				}
 				kind := historycheck.Answer(answer.Kind)
-				c.world.History.Answered(c.world.Now, a.ID, kind, answer.Rows, expected)
+				c.world.History.Answered(c.world.Now, query.ID, kind, answer.Rows, expected)
 			}
 		}
 		if c.OnAnswer != nil {
-			c.OnAnswer(a, answer)
+			c.OnAnswer(query, answer)
 		}
 	}
 }
 
 // ExpectedRows returns the result that the engines produce for a query.
-func ExpectedRows(a *Query) []byte {
+func ExpectedRows(query *Query) []byte {
 	var b []byte
-	for i := range a.Work.Rows {
-		b = append(b, engine.Row(a.ID, i)...)
+	for i := range query.Work.Rows {
+		b = append(b, engine.Row(query.ID, i)...)
 	}
 	return b
 }
