--- a/internal/emulator/faultproxy/link_test.go
+++ b/internal/emulator/faultproxy/link_test.go
@@ -15,15 +15,15 @@
 	"pgregory.net/rapid"
 )
 
-const soon = 10 * time.Second
+const testTimeout = 10 * time.Second
 
-// target takes connections and tells of what each sent; it sends back what it gets.
+// target is a server that echoes received bytes and records them.
 type target struct {
 	net.Listener
-	took chan string // each piece that came, by any connection
+	received chan string // bytes of each read, from any connection
 }
 
-func echo(t *testing.T, address string) *target {
+func startEchoServer(t *testing.T, address string) *target {
 	t.Helper()
 	now := goleak.IgnoreCurrent()
 	t.Cleanup(func() { goleak.VerifyNone(t, now) })
@@ -40,13 +40,13 @@
 			}
 			go func() {
 				defer c.Close()
-				b := make([]byte, chunk)
+				b := make([]byte, readSize)
 				for {
 					n, err := c.Read(b)
 					if err != nil {
 						return
 					}
-					e.took <- string(b[:n])
+					e.received <- string(b[:n])
 					c.Write(b[:n])
 				}
 			}()
@@ -56,9 +56,9 @@
 	return e
 }
 
-func links(t *testing.T) (*Link, *target) {
+func newLinkToEcho(t *testing.T) (*Link, *target) {
 	t.Helper()
-	e := echo(t, "127.0.0.1:0")
+	e := startEchoServer(t, "127.0.0.1:0")
 	l, err := New(e.Addr().String())
 	if err != nil {
 		t.Fatal(err)
@@ -67,25 +67,25 @@
 	return l, e
 }
 
-func dial(t *testing.T, address string) *net.TCPConn {
+func mustDial(t *testing.T, address string) *net.TCPConn {
 	t.Helper()
 	c, err := net.Dial("tcp", address)
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { c.Close() })
-	c.SetDeadline(time.Now().Add(soon))
+	c.SetDeadline(time.Now().Add(testTimeout))
 	return c.(*net.TCPConn)
 }
 
-func write(t *testing.T, c net.Conn, text string) {
+func mustWrite(t *testing.T, c net.Conn, text string) {
 	t.Helper()
 	if _, err := io.WriteString(c, text); err != nil {
 		t.Fatal(err)
 	}
 }
 
-func reads(t *testing.T, c net.Conn, text string) {
+func expectRead(t *testing.T, c net.Conn, text string) {
 	t.Helper()
 	b := make([]byte, len(text))
 	if n, err := io.ReadFull(c, b); err != nil || string(b) != text {
@@ -93,15 +93,15 @@
 	}
 }
 
-// takes reads from all connections together until so much came.
-func (e *target) takes(t *testing.T, text string) {
+// expectReceived fails unless the target receives a text, on all connections together.
+func (e *target) expectReceived(t *testing.T, text string) {
 	t.Helper()
 	var b string
 	for len(b) < len(text) {
 		select {
-		case s := <-e.took:
+		case s := <-e.received:
 			b += s
-		case <-time.After(soon):
+		case <-time.After(testTimeout):
 			t.Fatalf("%q came, want %q", b, text)
 		}
 	}
@@ -110,185 +110,185 @@
 	}
 }
 
-// struck waits for a count: it has no event.
-func struck(t *testing.T, of func() map[string]int, kind Kind, n int) {
+// waitForHits polls until a hit count reaches n, because no event reports it.
+func waitForHits(t *testing.T, of func() map[string]int, kind Kind, n int) {
 	t.Helper()
-	for end := time.Now().Add(soon); of()[string(kind)] < n; time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(testTimeout); of()[string(kind)] < n; time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("%s struck %d times, want %d", kind, of()[string(kind)], n)
+			t.Fatalf("%s has hit count %d, want %d", kind, of()[string(kind)], n)
 		}
 	}
 }
 
-func closed(t *testing.T, c net.Conn) {
+func expectClosed(t *testing.T, c net.Conn) {
 	t.Helper()
 	if n, err := c.Read(make([]byte, 1)); n > 0 || err != io.EOF && !errors.Is(err, syscall.ECONNRESET) {
-		t.Fatalf("%d bytes, %v: it isn't closed", n, err)
+		t.Fatalf("read %d bytes, %v: the connection isn't closed", n, err)
 	}
 }
 
-func TestWhatPassesWithoutFault(t *testing.T) {
-	l, _ := links(t)
-	c := dial(t, l.Address())
+func TestBytesPassWithoutFault(t *testing.T) {
+	l, _ := newLinkToEcho(t)
+	c := mustDial(t, l.Address())
 	data := bytes.Repeat([]byte("0123456789abcdef"), 1<<16)
 	go func() { c.Write(data); c.CloseWrite() }()
-	if back, err := io.ReadAll(c); err != nil || !bytes.Equal(back, data) {
-		t.Errorf("%d bytes of %d came back: %v", len(back), len(data), err)
+	if echoed, err := io.ReadAll(c); err != nil || !bytes.Equal(echoed, data) {
+		t.Errorf("%d bytes of %d came back: %v", len(echoed), len(data), err)
 	}
 	if n := len(l.HitCounts()); n > 0 {
 		t.Error(l.HitCounts())
 	}
 }
 
-func TestCutClosesWhatStandsAndWhatComes(t *testing.T) {
-	l, _ := links(t)
-	c := dial(t, l.Address())
-	write(t, c, "a")
-	reads(t, c, "a")
+func TestCutClosesOpenAndNewConnections(t *testing.T) {
+	l, _ := newLinkToEcho(t)
+	c := mustDial(t, l.Address())
+	mustWrite(t, c, "a")
+	expectRead(t, c, "a")
 	l.SetFault(Fault{Kind: Cut})
-	closed(t, c)
+	expectClosed(t, c)
 	if late, err := net.Dial("tcp", l.Address()); err == nil { // the reset may come before or after
-		late.SetDeadline(time.Now().Add(soon))
-		closed(t, late)
+		late.SetDeadline(time.Now().Add(testTimeout))
+		expectClosed(t, late)
 		late.Close()
 	} else if !errors.Is(err, syscall.ECONNRESET) {
 		t.Error(err)
 	}
-	struck(t, l.HitCounts, Cut, 2)
+	waitForHits(t, l.HitCounts, Cut, 2)
 	l.SetFault(Fault{})
-	c = dial(t, l.Address())
-	write(t, c, "b")
-	reads(t, c, "b")
+	c = mustDial(t, l.Address())
+	mustWrite(t, c, "b")
+	expectRead(t, c, "b")
 }
 
-func TestASilentCutHoldsAllUntilItHeals(t *testing.T) {
-	l, e := links(t)
-	c := dial(t, l.Address())
-	write(t, c, "a")
-	reads(t, c, "a")
-	e.takes(t, "a")
+func TestSilentCutHoldsBytesUntilHealed(t *testing.T) {
+	l, e := newLinkToEcho(t)
+	c := mustDial(t, l.Address())
+	mustWrite(t, c, "a")
+	expectRead(t, c, "a")
+	e.expectReceived(t, "a")
 	l.SetFault(Fault{Kind: Cut, Silent: true})
-	write(t, c, "b")
-	late := dial(t, l.Address())
-	write(t, late, "c")
-	struck(t, l.HitCounts, Cut, 2)
-	if len(e.took) > 0 {
-		t.Error("something passed")
+	mustWrite(t, c, "b")
+	late := mustDial(t, l.Address())
+	mustWrite(t, late, "c")
+	waitForHits(t, l.HitCounts, Cut, 2)
+	if len(e.received) > 0 {
+		t.Error("bytes passed a silent cut")
 	}
 	l.SetFault(Fault{})
-	reads(t, c, "b")
-	reads(t, late, "c")
+	expectRead(t, c, "b")
+	expectRead(t, late, "c")
 }
 
 func TestOneWay(t *testing.T) {
-	l, e := links(t)
-	c := dial(t, l.Address())
+	l, e := newLinkToEcho(t)
+	c := mustDial(t, l.Address())
 	l.SetFault(Fault{Kind: OneWay, Direction: FromTarget, Hold: true})
-	write(t, c, "a")
-	e.takes(t, "a")
-	struck(t, l.HitCounts, OneWay, 1)
+	mustWrite(t, c, "a")
+	e.expectReceived(t, "a")
+	waitForHits(t, l.HitCounts, OneWay, 1)
 	l.SetFault(Fault{})
-	reads(t, c, "a")
-	l.SetFault(Fault{Kind: OneWay, Direction: FromTarget}) // lost, not held
-	write(t, c, "b")
-	e.takes(t, "b")
-	struck(t, l.HitCounts, OneWay, 2)
+	expectRead(t, c, "a")
+	l.SetFault(Fault{Kind: OneWay, Direction: FromTarget}) // dropped, not held
+	mustWrite(t, c, "b")
+	e.expectReceived(t, "b")
+	waitForHits(t, l.HitCounts, OneWay, 2)
 	l.SetFault(Fault{})
-	closed(t, c)
-	c = dial(t, l.Address())
-	write(t, c, "c")
-	reads(t, c, "c")
-	e.takes(t, "c")
+	expectClosed(t, c)
+	c = mustDial(t, l.Address())
+	mustWrite(t, c, "c")
+	expectRead(t, c, "c")
+	e.expectReceived(t, "c")
 	l.SetFault(Fault{Kind: OneWay, Direction: ToTarget})
-	write(t, c, "d")
-	struck(t, l.HitCounts, OneWay, 3)
-	if len(e.took) > 0 {
-		t.Error("it passed")
+	mustWrite(t, c, "d")
+	waitForHits(t, l.HitCounts, OneWay, 3)
+	if len(e.received) > 0 {
+		t.Error("bytes passed in the dropped direction")
 	}
 }
 
-func TestSlowAndDelayTakeTheirTime(t *testing.T) {
-	l, _ := links(t)
-	c := dial(t, l.Address())
+func TestSlowAndDelayAddLatency(t *testing.T) {
+	l, _ := newLinkToEcho(t)
+	c := mustDial(t, l.Address())
 	for _, f := range []Fault{
 		{Kind: Slow, Direction: ToTarget, Rate: 10000},
 		{Kind: Delay, Direction: FromTarget, Latency: 100 * time.Millisecond, Jitter: time.Millisecond},
 	} {
 		l.SetFault(f)
 		began := time.Now()
-		write(t, c, string(make([]byte, 1000)))
-		reads(t, c, string(make([]byte, 1000)))
+		mustWrite(t, c, string(make([]byte, 1000)))
+		expectRead(t, c, string(make([]byte, 1000)))
 		if took := time.Since(began); took < 100*time.Millisecond {
 			t.Errorf("%s: %v", f.Kind, took)
 		}
-		struck(t, l.HitCounts, f.Kind, 1)
+		waitForHits(t, l.HitCounts, f.Kind, 1)
 	}
 	l.SetFault(Fault{Kind: Delay, Latency: time.Hour})
-	write(t, c, "x")
-	struck(t, l.HitCounts, Delay, 2)
-	l.SetFault(Fault{}) // what waits waits no more
-	reads(t, c, "x")
+	mustWrite(t, c, "x")
+	waitForHits(t, l.HitCounts, Delay, 2)
+	l.SetFault(Fault{}) // delayed bytes pass at once
+	expectRead(t, c, "x")
 }
 
-func TestResetStrikesWhatStands(t *testing.T) {
-	l, _ := links(t)
-	c := dial(t, l.Address())
-	write(t, c, "a")
-	reads(t, c, "a")
+func TestResetClosesOnlyOpenConnections(t *testing.T) {
+	l, _ := newLinkToEcho(t)
+	c := mustDial(t, l.Address())
+	mustWrite(t, c, "a")
+	expectRead(t, c, "a")
 	l.SetFault(Fault{Kind: Reset})
 	if _, err := c.Read(make([]byte, 1)); !errors.Is(err, syscall.ECONNRESET) {
 		t.Error(err)
 	}
-	c = dial(t, l.Address())
-	write(t, c, "b")
-	reads(t, c, "b")
-	struck(t, l.HitCounts, Reset, 1)
+	c = mustDial(t, l.Address())
+	mustWrite(t, c, "b")
+	expectRead(t, c, "b")
+	waitForHits(t, l.HitCounts, Reset, 1)
 }
 
-func TestStallStopsInTheMiddle(t *testing.T) {
-	l, e := links(t)
-	c := dial(t, l.Address())
+func TestStallStopsAfterAfterBytes(t *testing.T) {
+	l, e := newLinkToEcho(t)
+	c := mustDial(t, l.Address())
 	l.SetFault(Fault{Kind: Stall, Direction: ToTarget, AfterBytes: 3})
-	write(t, c, "abcdef")
-	reads(t, c, "abc")
-	e.takes(t, "abc")
-	struck(t, l.HitCounts, Stall, 1)
-	other := dial(t, l.Address())
-	write(t, other, "xyz") // up to there each passes
-	reads(t, other, "xyz")
+	mustWrite(t, c, "abcdef")
+	expectRead(t, c, "abc")
+	e.expectReceived(t, "abc")
+	waitForHits(t, l.HitCounts, Stall, 1)
+	other := mustDial(t, l.Address())
+	mustWrite(t, other, "xyz") // each connection has its own limit
+	expectRead(t, other, "xyz")
 	l.SetFault(Fault{})
-	reads(t, c, "def")
+	expectRead(t, c, "def")
 }
 
-func TestDoubleComesOnceMoreAfterTheAnswer(t *testing.T) {
-	l, e := links(t)
+func TestDuplicateSendsAgainAfterTheResponse(t *testing.T) {
+	l, e := newLinkToEcho(t)
 	l.SetFault(Fault{Kind: Duplicate})
-	c := dial(t, l.Address())
-	write(t, c, "once")
-	reads(t, c, "once")
-	e.takes(t, "onceonce")
-	write(t, c, "more")
-	reads(t, c, "more")
-	e.takes(t, "moremore")
-	struck(t, l.HitCounts, Duplicate, 2)
+	c := mustDial(t, l.Address())
+	mustWrite(t, c, "once")
+	expectRead(t, c, "once")
+	e.expectReceived(t, "onceonce")
+	mustWrite(t, c, "more")
+	expectRead(t, c, "more")
+	e.expectReceived(t, "moremore")
+	waitForHits(t, l.HitCounts, Duplicate, 2)
 	c.CloseWrite()
-	closed(t, c) // of the twin's answers none came
+	expectClosed(t, c) // no response of the duplicate connection was forwarded
 }
 
-func TestCloseWithAllHeld(t *testing.T) {
-	l, _ := links(t)
+func TestCloseWithHeldConnections(t *testing.T) {
+	l, _ := newLinkToEcho(t)
 	l.SetFault(Fault{Kind: Cut, Silent: true})
 	for range 3 {
-		write(t, dial(t, l.Address()), "held")
+		mustWrite(t, mustDial(t, l.Address()), "held")
 	}
-	struck(t, l.HitCounts, Cut, 3)
-} // the clean-up closes the link and looks for goroutines
+	waitForHits(t, l.HitCounts, Cut, 3)
+} // the cleanup closes the link and checks for leaked goroutines
 
 func TestMeshCutsPairs(t *testing.T) {
 	names := []string{"a", "b", "c"}
 	m := NewMesh(names...)
 	for _, n := range names {
-		m.SetTarget(n, echo(t, "127.0.0.1:0").Addr().String())
+		m.SetTarget(n, startEchoServer(t, "127.0.0.1:0").Addr().String())
 	}
 	t.Cleanup(m.Close)
 	type pair struct{ from, to string }
@@ -299,7 +299,7 @@
 				continue
 			}
 			address, err := m.Address(from, to)
-			if (i+j)%2 == 0 { // the other way to be told apart: by where it comes from
+			if (i+j)%2 == 0 { // selects the link by the source address
 				address, err = m.SharedAddress(to)
 			}
 			if err != nil {
@@ -311,7 +311,7 @@
 				t.Fatal(err)
 			}
 			t.Cleanup(func() { c.Close() })
-			c.SetDeadline(time.Now().Add(soon))
+			c.SetDeadline(time.Now().Add(testTimeout))
 			conns[pair{from, to}] = c
 		}
 	}
@@ -319,20 +319,20 @@
 		n, before := 0, map[pair]int{}
 		for p, c := range conns {
 			before[p] = m.Link(p.from, p.to).HitCounts()[string(Cut)]
-			write(t, c, step)
+			mustWrite(t, c, step)
 		}
 		for p, c := range conns {
 			if cut(p) {
-				struck(t, m.Link(p.from, p.to).HitCounts, Cut, before[p]+1)
+				waitForHits(t, m.Link(p.from, p.to).HitCounts, Cut, before[p]+1)
 				n++
 			} else {
-				reads(t, c, step)
+				expectRead(t, c, step)
 			}
 		}
 		m.Heal()
 		for p, c := range conns {
 			if cut(p) {
-				reads(t, c, step)
+				expectRead(t, c, step)
 			}
 		}
 		if n == 0 != (step == "none") {
@@ -350,10 +350,10 @@
 		t.Error(m.HitCounts())
 	}
 	front, _ := m.SharedAddress("a")
-	closed(t, dial(t, front)) // from no process
+	expectClosed(t, mustDial(t, front)) // from an unknown source address
 }
 
-func TestAScriptGoesByEvents(t *testing.T) {
+func TestScriptStepsFollowEvents(t *testing.T) {
 	s := Script{Steps: []Step{
 		{Event: "decided", Nth: 2, Fault: Fault{Kind: Cut}}, {To: "b", Fault: Fault{Kind: Slow}},
 		{Event: "decided", Fault: Fault{Kind: Reset}}, {Event: "led", Fault: Fault{}},
@@ -371,27 +371,28 @@
 	}
 }
 
-func TestAFaultNeverTakesMoreThanThereIs(t *testing.T) {
+func TestDecisionPassesNoMoreBytesThanWait(t *testing.T) {
 	kinds := map[Kind]bool{}
 	rapid.Check(t, func(t *rapid.T) {
 		r := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 1))
 		f := RandomFault(r)
 		kinds[f.Kind] = true
-		n := rapid.IntRange(1, chunk).Draw(t, "n")
+		n := rapid.IntRange(1, readSize).Draw(t, "n")
 		passed := rapid.Int64Range(0, 5000).Draw(t, "passed")
 		for _, way := range []Direction{ToTarget, FromTarget} {
-			v := f.over(way, n, passed, f.late(r), 0)
+			v := f.decide(way, n, passed, f.drawDelay(r), 0)
 			switch {
-			case v.take < 0 || v.take > n || v.wait < 0 || v.drop && v.take > 0:
-				t.Fatalf("%+v: %+v of %d", f, v, n)
-			case f.Direction != Both && f.Direction != way && v != verdict{take: n}:
-				t.Fatalf("%+v strikes the other way: %+v", f, v)
-			case f.Kind == Stall && v.take > 0 && passed+int64(v.take) > f.AfterBytes && (f.Direction == Both || f.Direction == way):
-				t.Fatalf("%+v lets %d pass after %d", f, v.take, passed)
+			case v.passNow < 0 || v.passNow > n || v.wait < 0 || v.drop && v.passNow > 0:
+				t.Fatalf("%+v: decision %+v for %d bytes", f, v, n)
+			case f.Direction != Both && f.Direction != way && v != decision{passNow: n}:
+				t.Fatalf("%+v affects the other direction: %+v", f, v)
+			case f.Kind == Stall && v.passNow > 0 && passed+int64(v.passNow) > f.AfterBytes &&
+				(f.Direction == Both || f.Direction == way):
+				t.Fatalf("%+v lets %d pass after %d", f, v.passNow, passed)
 			}
 		}
 	})
 	if len(kinds) != 7 {
-		t.Error("not all kinds are drawn:", kinds)
+		t.Error("RandomFault didn't draw all kinds:", kinds)
 	}
 }
--- a/internal/emulator/faultproxy/mesh.go
+++ b/internal/emulator/faultproxy/mesh.go
@@ -6,61 +6,60 @@
 	"sync"
 )
 
-// Mesh has a link for every ordered pair of named processes: the one from a to b carries
-// the connections that a makes.
+// Mesh has a link for each ordered pair of named processes. The link from a to b forwards the
+// connections that a opens.
 //
-// A process may be told of another by Address, which is the pair's own. Where all have to
-// name b by the same address (the fleet's record has one for each member), they use
-// Front(b), and each connects from its own loopback address Source(a): the front tells
-// by it whose link a connection goes through. Source works where all of 127/8 is local,
-// as on Linux.
+// Address returns an address for one pair. Where all processes need the same address for b (the
+// fleet's record has one for each member), they use SharedAddress(b), and each connects from its
+// own loopback address SourceAddress(a), by which the mesh selects the link. SourceAddress requires
+// that all of 127/8 is local, as on Linux.
 type Mesh struct {
 	names []string
-	pairs map[[2]string]*Link
+	links map[[2]string]*Link
 	wg    sync.WaitGroup
 
-	mu     sync.Mutex
-	fronts map[string]net.Listener
+	mu        sync.Mutex
+	listeners map[string]net.Listener
 }
 
-// NewMesh makes the links. Targets come later.
+// NewMesh creates the links between processes. SetTarget sets their targets.
 func NewMesh(names ...string) *Mesh {
-	m := &Mesh{names: names, pairs: map[[2]string]*Link{}, fronts: map[string]net.Listener{}}
+	m := &Mesh{names: names, links: map[[2]string]*Link{}, listeners: map[string]net.Listener{}}
 	for _, a := range names {
 		for _, b := range names {
 			if a != b {
-				m.pairs[[2]string{a, b}] = bare("")
+				m.links[[2]string{a, b}] = newLink("")
 			}
 		}
 	}
 	return m
 }
 
-// Target says where a process listens. Until then, connections to it are closed.
+// SetTarget sets the address of a process. Until then, connections to the process are closed.
 func (m *Mesh) SetTarget(name, address string) {
-	for pair, l := range m.pairs {
+	for pair, l := range m.links {
 		if pair[1] == name {
 			l.SetTarget(address)
 		}
 	}
 }
 
-// Link is that of a pair, nil if there is none.
-func (m *Mesh) Link(from, to string) *Link { return m.pairs[[2]string{from, to}] }
+// Link returns the link of a pair, or nil.
+func (m *Mesh) Link(from, to string) *Link { return m.links[[2]string{from, to}] }
 
-// Address is where one process reaches another by a listener of the pair's own.
+// Address returns the address at which one process reaches another by their own listener.
 func (m *Mesh) Address(from, to string) (string, error) {
-	return m.listen(from+" to "+to, m.Link(from, to).carry)
+	return m.listen(from+" to "+to, m.Link(from, to).accept)
 }
 
-// Front is where all reach a process, each from its own Source. Who comes from no
-// process's source is closed.
+// SharedAddress returns the address at which all processes reach a process, each from its own
+// SourceAddress. Connections from other addresses are closed.
 func (m *Mesh) SharedAddress(to string) (string, error) {
 	return m.listen("to "+to, func(c *net.TCPConn) {
 		host, _, _ := net.SplitHostPort(c.RemoteAddr().String())
 		for _, from := range m.names {
 			if l := m.Link(from, to); l != nil && m.SourceAddress(from) == host {
-				l.carry(c)
+				l.accept(c)
 				return
 			}
 		}
@@ -71,19 +70,19 @@
 func (m *Mesh) listen(name string, carry func(*net.TCPConn)) (string, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	l := m.fronts[name]
+	l := m.listeners[name]
 	if l == nil {
 		var err error
 		if l, err = net.Listen("tcp", "127.0.0.1:0"); err != nil {
 			return "", err
 		}
-		m.fronts[name] = l
-		m.wg.Go(func() { accept(l, carry) })
+		m.listeners[name] = l
+		m.wg.Go(func() { acceptAll(l, carry) })
 	}
 	return l.Addr().String(), nil
 }
 
-// Source is the address that a process listens on and connects from.
+// SourceAddress returns the loopback IP address that a process listens on and connects from.
 func (m *Mesh) SourceAddress(name string) string {
 	for i, n := range m.names {
 		if n == name {
@@ -93,9 +92,9 @@
 	return ""
 }
 
-// Set puts a fault on the links from one process to another, "" is any.
+// SetFault sets a fault on the links from one process to another; "" selects any process.
 func (m *Mesh) SetFault(from, to string, f Fault) {
-	for _, a := range m.names { // in order, so that a seeded test is the same each time
+	for _, a := range m.names { // in order, so that a seeded test is reproducible
 		for _, b := range m.names {
 			if l := m.Link(a, b); l != nil && (from == "" || from == a) && (to == "" || to == b) {
 				l.SetFault(f)
@@ -104,32 +103,32 @@
 	}
 }
 
-// Cut lets nothing pass between two processes; connections stay and hear nothing.
+// Cut holds all bytes between two processes; their connections stay open.
 func (m *Mesh) Cut(a, b string) {
 	m.SetFault(a, b, Fault{Kind: Cut, Silent: true})
 	m.SetFault(b, a, Fault{Kind: Cut, Silent: true})
 }
 
-// Isolate cuts one process off from all others.
+// Isolate cuts one process off from all others, in both directions.
 func (m *Mesh) Isolate(a string) {
 	m.SetFault(a, "", Fault{Kind: Cut, Silent: true})
 	m.SetFault("", a, Fault{Kind: Cut, Silent: true})
 }
 
-// Heal ends all faults.
+// Heal removes all faults.
 func (m *Mesh) Heal() { m.SetFault("", "", Fault{}) }
 
-// Play tells a script of an event and sets what is due by it.
+// Play reports an event to a script and sets the faults that are due.
 func (m *Mesh) Play(s *Script, event string) {
 	for _, step := range s.OnEvent(event) {
 		m.SetFault(step.From, step.To, step.Fault)
 	}
 }
 
-// Struck is the sum over all links.
+// HitCounts returns the sum of HitCounts over all links.
 func (m *Mesh) HitCounts() map[string]int {
 	sum := map[string]int{}
-	for _, l := range m.pairs {
+	for _, l := range m.links {
 		for kind, n := range l.HitCounts() {
 			sum[kind] += n
 		}
@@ -137,15 +136,15 @@
 	return sum
 }
 
-// Close closes all links and waits for their goroutines.
+// Close closes all listeners and links and waits for their goroutines.
 func (m *Mesh) Close() {
 	m.mu.Lock()
-	for _, l := range m.fronts {
+	for _, l := range m.listeners {
 		l.Close()
 	}
 	m.mu.Unlock()
 	m.wg.Wait()
-	for _, l := range m.pairs {
+	for _, l := range m.links {
 		l.Close()
 	}
 }
--- a/internal/emulator/world/world.go
+++ b/internal/emulator/world/world.go
@@ -1,6 +1,6 @@
-// Package world plays a controller's reducer, unchanged, against stand-in engines,
-// feed and clients in virtual time, on one event queue: same script and seed, same
-// history. Bytes go through the real parsers on both sides.
+// Package world runs the production code of a controller's reducer against emulated engines, a feed
+// and clients in virtual time, on one event queue. The same script and seed give the same history.
+// Bytes pass through the real parsers on both sides.
 package world
 
 import (
@@ -23,7 +23,7 @@
 	"railrelay.dev/railrelay/internal/timerqueue"
 )
 
-// World is one run.
+// World is one simulation run.
 type World struct {
 	Now         time.Duration
 	Controller  *controller.Controller
@@ -33,113 +33,116 @@
 	History     historycheck.History
 	Rand        *rand.Rand
 	Exited      bool
-	SpoolStore  *resultstore.SpoolStore // of the spool's disk, nil: none
-	DiskLatency time.Duration           // what work on it takes
+	SpoolStore  *resultstore.SpoolStore // store of the spool; nil if there is none
+	DiskLatency time.Duration           // duration of each spool operation
 	Reports     []fleet.Report
-	LogLines    []string // what the controller logged aloud, and its counters
-
-	delay  time.Duration
-	events timerqueue.Queue
-	ends   map[*controller.Connection]*end
-	byAddr map[string]*Engine
-	feeds  []*end
-	woken  uint64
-	still  int // events without time passing
+	LogLines    []string // the controller's warnings and counters
+
+	linkDelay        time.Duration
+	events           timerqueue.Queue
+	connections      map[*controller.Connection]*connection
+	engineByAddress  map[string]*Engine
+	feedConnections  []*connection
+	timerGeneration  uint64
+	eventsAtSameTime int // events since the time last advanced
 }
 
-const stillMost = 1_000_000
+// maxEventsAtSameTime is how many events may occur at one time before RunUntil panics.
+const maxEventsAtSameTime = 1_000_000
 
-// Engine is one stand-in with its place in the list.
+// Engine is an emulated engine with its entry in the feed.
 type Engine struct {
 	*engine.Server
 	feed.Engine
-	w      *World
-	down   bool // refuses connections
-	wakeAt time.Duration
+	world              *World
+	refusesConnections bool
+	wakeAt             time.Duration
 }
 
-// end is a connection of the controller's as the world sees it.
-type end struct {
-	link  *controller.Connection
-	conn  *engine.Conn
-	to    *Engine
-	from  *Client
-	gone  bool
-	feed  bool
-	known bool
-	in    []byte
+// connection is a connection between the controller and an engine, a client or the feed.
+type connection struct {
+	remote     *controller.Connection
+	engineConn *engine.Conn
+	engine     *Engine
+	client     *Client
+	closed     bool
+	isFeed     bool
+	subscribed bool
+	input      []byte
 }
 
-// Client is one client's connection. Heard is called with each answer.
+// Client is one client's connection. OnAnswer, if set, is called with each response to a query.
 type Client struct {
-	w        *World
-	Name     string
-	end      *end
-	in       []byte
-	next     uint32
-	open     map[uint32]*Query
-	pages    map[uint32]func(ans client.Answer)
-	Closed   bool
-	OnAnswer func(a *Query, ans client.Answer)
+	world      *World
+	Name       string
+	connection *connection
+	input      []byte
+	lastMsg    uint32
+	queries    map[uint32]*Query
+	pending    map[uint32]func(ans client.Answer)
+	Closed     bool
+	OnAnswer   func(a *Query, ans client.Answer)
 }
 
-// Asked is a query that a client asked for.
+// Query is a query that a client submitted.
 type Query struct {
 	ID, Group, Team       string
 	Msg                   uint32
 	SubmittedAt, Deadline time.Duration
-	FirstWait             time.Duration // the first wait told, -1: none
+	FirstWait             time.Duration // wait in the first wait notice; -1 if none
 	WaitNotices           int
-	StartedAt             time.Duration // when an engine first got it, -1: never
+	StartedAt             time.Duration // when an engine first received it; -1 if never
 	EndedAt               time.Duration
 	Answer                client.Kind
-	Answered, Cancelled   bool
+	Answered, Cancelled   bool // Cancelled is also set when the client's connection closes
 	RetryAfter            time.Duration
 	Work                  engine.Work
-	Priority              int               // at the engine, when it came
-	Paging                map[string]string // what an answer told of further pages
-	Rows                  []byte            // that the answer had
+	Priority              int               // at the engine, at submission
+	Paging                map[string]string // fields of the response, for requests of further pages
+	Rows                  []byte            // rows of the response
 }
 
-// New makes a world with engines of these figures and a controller of these
-// means, whose feed and list are the world's.
-func New(seed uint64, engines []engine.Config, means controller.Config) *World {
-	w := &World{Rand: rand.New(rand.NewPCG(seed, 1)), ends: map[*controller.Connection]*end{}, byAddr: map[string]*Engine{},
-		delay: 100 * time.Microsecond}
+// New creates a world with one engine per element of engines and a controller with a configuration.
+// The feed and the initial list of engines are set by New.
+func New(seed uint64, engines []engine.Config, controllerConfig controller.Config) *World {
+	w := &World{Rand: rand.New(rand.NewPCG(seed, 1)), connections: map[*controller.Connection]*connection{},
+		engineByAddress: map[string]*Engine{}, linkDelay: 100 * time.Microsecond}
 	var all []feed.Engine
-	for i, f := range engines {
-		e := w.add(i, f, false)
+	for i, config := range engines {
+		e := w.addEngine(i, config, false)
 		all = append(all, e.Engine)
 	}
 	w.Feed.Append(true, all...)
-	means.Seed, means.DiscoveryAddress, means.InitialEndpoints = seed, "feed", w.Feed.ConfigurationJSON()
-	w.History.KeyRest = time.Duration(number(means.Settings["key.rest"])) * time.Millisecond
-	w.History.Grace = time.Duration(number(means.Settings["drain.grace"])) * time.Millisecond
-	w.History.Most = int(number(means.Settings["submissions.most"]))
-	for i := range int(number(means.Settings["groups"])) {
+	controllerConfig.Seed, controllerConfig.DiscoveryAddress = seed, "feed"
+	controllerConfig.InitialEndpoints = w.Feed.ConfigurationJSON()
+	settings := controllerConfig.Settings
+	w.History.KeyRest = time.Duration(parseNumber(settings["key.rest"])) * time.Millisecond
+	w.History.Grace = time.Duration(parseNumber(settings["drain.grace"])) * time.Millisecond
+	w.History.Most = int(parseNumber(settings["submissions.most"]))
+	for i := range int(parseNumber(settings["groups"])) {
 		at := fmt.Sprintf("group.%d.", i)
-		w.History.Group(means.Settings[at+"name"], means.Settings[at+"effect"], means.Settings[at+"in-order"] == "true")
+		w.History.Group(settings[at+"name"], settings[at+"effect"], settings[at+"in-order"] == "true")
 	}
-	r, effects := controller.New(means)
+	r, effects := controller.New(controllerConfig)
 	w.Controller = r
 	w.perform(effects)
 	return w
 }
 
-func number(text string) float64 {
+func parseNumber(text string) float64 {
 	var x float64
 	fmt.Sscanf(text, "%g", &x)
 	return x
 }
 
-func (w *World) add(i int, f engine.Config, cold bool) *Engine {
-	e := &Engine{Server: engine.NewServer(engine.NewModel(f, w.Now, cold)), w: w, wakeAt: -1}
-	e.Engine = feed.Engine{ID: fmt.Sprintf("e%d", i), HostPort: fmt.Sprintf("10.0.0.%d:6565", i+1), Locality: "here",
-		Flavor: "std", Cell: 1, Phase: "SERVING", Size: 1}
+func (w *World) addEngine(i int, f engine.Config, cold bool) *Engine {
+	e := &Engine{Server: engine.NewServer(engine.NewModel(f, w.Now, cold)), world: w, wakeAt: -1}
+	e.Engine = feed.Engine{ID: fmt.Sprintf("e%d", i), HostPort: fmt.Sprintf("10.0.0.%d:6565", i+1),
+		Locality: "here", Flavor: "std", Cell: 1, Phase: "SERVING", Size: 1}
 	e.OnSubmit = func(id, group string, rank int, at time.Duration) {
 		w.History.Submitted(at, id, e.ID, e.Phase == "SERVING")
 		for _, c := range w.Clients {
-			for _, a := range c.open {
+			for _, a := range c.queries {
 				if a.ID == id && a.StartedAt < 0 {
 					a.StartedAt, a.Priority = at, rank
 				}
@@ -150,25 +153,25 @@
 		w.History.Ended(at, id, e.ID, outcome == engine.Succeeded)
 	}
 	w.Engines = append(w.Engines, e)
-	w.byAddr[e.HostPort] = e
+	w.engineByAddress[e.HostPort] = e
 	return e
 }
 
-// At has something done at a time.
+// Schedule runs do at a time, or now if the time has passed.
 func (w *World) Schedule(at time.Duration, do func()) {
 	w.events.Add(max(at, w.Now), do)
 }
 
-// After has something done after a span.
+// ScheduleAfter runs do after a span.
 func (w *World) ScheduleAfter(span time.Duration, do func()) { w.Schedule(w.Now+span, do) }
 
-// Until plays up to a time.
+// RunUntil processes all events up to a time. It panics if the time stops advancing.
 func (w *World) RunUntil(end time.Duration) {
 	for at, ok := w.events.NextDue(); ok && at <= end; at, ok = w.events.NextDue() {
 		if at > w.Now {
-			w.still = 0
-		} else if w.still++; w.still > stillMost {
-			panic("the world stands still at " + w.Now.String())
+			w.eventsAtSameTime = 0
+		} else if w.eventsAtSameTime++; w.eventsAtSameTime > maxEventsAtSameTime {
+			panic("too many events without progress at " + w.Now.String())
 		}
 		w.Now = at
 		do, _ := w.events.PopDue(at)
@@ -178,350 +181,362 @@
 }
 
 func (w *World) step(ev controller.Event) {
-	if !w.Exited { // what it wrote before is on its way still
+	if !w.Exited { // bytes written before the exit are still delivered
 		w.perform(w.Controller.Step(w.Now, ev))
 	}
 }
 
 func (w *World) perform(effects []controller.Effect) {
-	for _, f := range effects {
-		e := w.ends[f.Connection]
-		switch f.Kind {
+	for _, effect := range effects {
+		e := w.connections[effect.Connection]
+		switch effect.Kind {
 		case controller.Dial:
-			w.dial(f.Connection, f.Address, f.Timeout)
+			w.dial(effect.Connection, effect.Address, effect.Timeout)
 		case controller.Write:
-			if e == nil || e.gone {
+			if e == nil || e.closed {
 				break
 			}
-			p := append([]byte{}, f.Bytes...)
+			p := append([]byte{}, effect.Bytes...)
 			w.ScheduleAfter(0, func() {
-				if !e.gone {
-					w.step(controller.Event{Kind: controller.BytesWritten, Connection: e.link, ByteCount: len(p)})
+				if !e.closed {
+					w.step(controller.Event{Kind: controller.BytesWritten, Connection: e.remote, ByteCount: len(p)})
 				}
 			})
-			w.ScheduleAfter(w.delay, func() { w.arrived(e, p) })
+			w.ScheduleAfter(w.linkDelay, func() { w.deliver(e, p) })
 		case controller.Close:
 			if e != nil {
 				at := time.Duration(0)
-				if f.Graceful { // what was written before comes first
-					at = w.delay
+				if effect.Graceful { // deliver the bytes written before
+					at = w.linkDelay
 				}
-				w.ScheduleAfter(at, func() { w.lose(e) })
+				w.ScheduleAfter(at, func() { w.closeConnection(e) })
 			}
 		case controller.SetTimer:
-			w.woken++
-			mine := w.woken
-			w.ScheduleAfter(f.Timeout, func() {
-				if mine == w.woken {
+			w.timerGeneration++
+			generation := w.timerGeneration
+			w.ScheduleAfter(effect.Timeout, func() {
+				if generation == w.timerGeneration {
 					w.step(controller.Event{Kind: controller.TimerFired})
 				}
 			})
 		case controller.LogMessage, controller.LogCounters:
-			if f.Warning || f.Kind == controller.LogCounters {
-				w.LogLines = append(w.LogLines, f.Text)
+			if effect.Warning || effect.Kind == controller.LogCounters {
+				w.LogLines = append(w.LogLines, effect.Text)
 			}
 		case controller.SubmitSpoolWork:
-			work := f.SpoolWork
+			work := effect.SpoolWork
 			w.ScheduleAfter(w.DiskLatency, func() {
 				if work.Fetch != nil {
 					w.SpoolStore.Read(work)
 				} else {
 					w.SpoolStore.Write([]*spool.DiskTask{work})
-					if w.erase(); work.Erase {
+					if w.runErase(); work.Erase {
 						return
 					}
 				}
 				w.step(controller.Event{Kind: controller.SpoolWorkDone, SpoolWork: work})
 			})
 		case controller.ReportToFleet:
-			w.Reports = append(w.Reports, *f.Report)
+			w.Reports = append(w.Reports, *effect.Report)
 		case controller.Exit:
 			w.Exited = true
 		}
 	}
 }
 
-// erase steps the disk, on and on while anything is to be erased.
-func (w *World) erase() {
+// runErase advances the spool store's erasure, and schedules itself while any remains.
+func (w *World) runErase() {
 	w.SpoolStore.Tick()
 	for _, work := range w.SpoolStore.TakeErased() {
 		w.step(controller.Event{Kind: controller.SpoolWorkDone, SpoolWork: work})
 	}
 	if w.SpoolStore.ErasePending() {
-		w.ScheduleAfter(w.DiskLatency, w.erase)
+		w.ScheduleAfter(w.DiskLatency, w.runErase)
 	}
 }
 
-func (w *World) dial(link *controller.Connection, address string, within time.Duration) {
-	e := &end{link: link}
-	w.ends[link] = e
+func (w *World) dial(link *controller.Connection, address string, timeout time.Duration) {
+	e := &connection{remote: link}
+	w.connections[link] = e
 	if address == "feed" {
-		e.feed = true
-		w.feeds = append(w.feeds, e)
-		w.ScheduleAfter(2*w.delay, func() { w.step(controller.Event{Kind: controller.Connected, Connection: link}) })
+		e.isFeed = true
+		w.feedConnections = append(w.feedConnections, e)
+		w.ScheduleAfter(2*w.linkDelay, func() {
+			w.step(controller.Event{Kind: controller.Connected, Connection: link})
+		})
 		return
 	}
-	to := w.byAddr[address]
+	to := w.engineByAddress[address]
 	switch {
-	case to != nil && to.down:
-		w.ScheduleAfter(2*w.delay, func() {
-			delete(w.ends, link)
+	case to != nil && to.refusesConnections:
+		w.ScheduleAfter(2*w.linkDelay, func() {
+			delete(w.connections, link)
 			w.step(controller.Event{Kind: controller.ConnectRefused, Connection: link})
 		})
 		return
 	case to == nil || to.Unreachable():
-		w.ScheduleAfter(within, func() {
-			delete(w.ends, link)
+		w.ScheduleAfter(timeout, func() {
+			delete(w.connections, link)
 			w.step(controller.Event{Kind: controller.ConnectTimedOut, Connection: link})
 		})
 		return
 	}
-	e.to = to
-	e.conn = &engine.Conn{
+	e.engine = to
+	e.engineConn = &engine.Conn{
 		Write: func(p []byte) {
 			p = append([]byte{}, p...)
-			w.ScheduleAfter(w.delay, func() { w.feedBytes(e, p) })
+			w.ScheduleAfter(w.linkDelay, func() { w.deliverToController(e, p) })
 		},
-		Close: func() { w.ScheduleAfter(w.delay, func() { w.lose(e) }) },
+		Close: func() { w.ScheduleAfter(w.linkDelay, func() { w.closeConnection(e) }) },
 	}
-	w.ScheduleAfter(2*w.delay, func() {
-		if !e.gone {
-			to.Accept(e.conn)
+	w.ScheduleAfter(2*w.linkDelay, func() {
+		if !e.closed {
+			to.Accept(e.engineConn)
 			w.step(controller.Event{Kind: controller.Connected, Connection: link})
 		}
 	})
 }
 
-// arrived brings what the controller wrote to whoever it is for.
-func (w *World) arrived(e *end, p []byte) {
+// deliver passes bytes written by the controller to the other end of the connection.
+func (w *World) deliver(e *connection, p []byte) {
 	switch {
-	case e.gone:
-	case e.to != nil:
-		e.to.Receive(w.Now, e.conn, p)
-		e.to.wake()
-	case e.from != nil:
-		e.from.got(p)
-	case e.feed:
-		if e.in = append(e.in, p...); !e.known && strings.Contains(string(e.in), "\n") {
-			e.known = true
-			n, _ := feed.ParseSubscription(e.in)
+	case e.closed:
+	case e.engine != nil:
+		e.engine.Receive(w.Now, e.engineConn, p)
+		e.engine.scheduleWake()
+	case e.client != nil:
+		e.client.receive(p)
+	case e.isFeed:
+		if e.input = append(e.input, p...); !e.subscribed && strings.Contains(string(e.input), "\n") {
+			e.subscribed = true
+			n, _ := feed.ParseSubscription(e.input)
 			lines := w.Feed.EventsSince(n)
-			w.ScheduleAfter(w.delay, func() { w.feedBytes(e, lines) })
-			w.beat(e)
+			w.ScheduleAfter(w.linkDelay, func() { w.deliverToController(e, lines) })
+			w.scheduleHeartbeat(e)
 		}
 	}
 }
 
-func (w *World) beat(e *end) {
+func (w *World) scheduleHeartbeat(e *connection) {
 	w.ScheduleAfter(time.Second, func() {
-		if !e.gone {
-			w.feedBytes(e, w.Feed.Heartbeat())
-			w.beat(e)
+		if !e.closed {
+			w.deliverToController(e, w.Feed.Heartbeat())
+			w.scheduleHeartbeat(e)
 		}
 	})
 }
 
-// feedBytes brings bytes to the controller.
-func (w *World) feedBytes(e *end, p []byte) {
-	for len(p) > 0 && !e.gone {
-		n := copy(e.link.Received.FreeSpace(), p)
+// deliverToController passes bytes to the controller.
+func (w *World) deliverToController(e *connection, p []byte) {
+	for len(p) > 0 && !e.closed {
+		n := copy(e.remote.Received.FreeSpace(), p)
 		p = p[n:]
-		w.step(controller.Event{Kind: controller.BytesReceived, Connection: e.link, ByteCount: n})
+		w.step(controller.Event{Kind: controller.BytesReceived, Connection: e.remote, ByteCount: n})
 	}
 }
 
-func (w *World) lose(e *end) {
-	if e.gone {
+func (w *World) closeConnection(e *connection) {
+	if e.closed {
 		return
 	}
-	e.gone = true
-	delete(w.ends, e.link)
-	if e.to != nil {
-		e.to.Server.Disconnected(e.conn)
+	e.closed = true
+	delete(w.connections, e.remote)
+	if e.engine != nil {
+		e.engine.Server.Disconnected(e.engineConn)
 	}
-	if e.from != nil {
-		e.from.Closed = true
-		for _, a := range e.from.open {
+	if e.client != nil {
+		e.client.Closed = true
+		for _, a := range e.client.queries {
 			if !a.Answered {
 				a.Cancelled = true
 				w.History.Left(w.Now, a.ID)
 			}
 		}
-		clear(e.from.open)
+		clear(e.client.queries)
 	}
-	w.step(controller.Event{Kind: controller.ConnectionClosed, Connection: e.link})
+	w.step(controller.Event{Kind: controller.ConnectionClosed, Connection: e.remote})
 }
 
-// wake asks for the engine's next due time.
-func (e *Engine) wake() {
+// scheduleWake schedules the engine's next due time.
+func (e *Engine) scheduleWake() {
 	at, ok := e.NextDue()
 	if !ok || e.wakeAt >= 0 && e.wakeAt <= at {
 		return
 	}
 	e.wakeAt = at
-	e.w.Schedule(at, func() {
+	e.world.Schedule(at, func() {
 		if e.wakeAt == at {
 			e.wakeAt = -1
-			e.ProcessDue(e.w.Now)
-			e.wake()
+			e.ProcessDue(e.world.Now)
+			e.scheduleWake()
 		}
 	})
 }
 
-// Tell changes an engine's state in the list and tells all that follow it.
+// SetPhase changes an engine's phase in the feed and sends the event to all subscribers.
 func (w *World) SetPhase(e *Engine, phase string) {
-	from := w.Feed.LastEvent()
+	lastEvent := w.Feed.LastEvent()
 	e.Phase = phase
 	w.Feed.Append(false, e.Engine)
-	lines := w.Feed.EventsSince(from)
-	for _, f := range w.feeds {
-		if f.known && !f.gone {
-			w.ScheduleAfter(w.delay, func() { w.feedBytes(f, lines) })
+	lines := w.Feed.EventsSince(lastEvent)
+	for _, f := range w.feedConnections {
+		if f.subscribed && !f.closed {
+			w.ScheduleAfter(w.linkDelay, func() { w.deliverToController(f, lines) })
 		}
 	}
-	w.History.State(w.Now+w.delay, e.ID, phase == "SERVING")
+	w.History.State(w.Now+w.linkDelay, e.ID, phase == "SERVING")
 }
 
-// Vanish has a machine say nothing any more; Crash ends its process, which comes
-// back cold after a span.
-func (e *Engine) MakeUnreachable() { e.SetUnreachable(e.w.Now, true) }
-
-func (e *Engine) Crash(back time.Duration) {
-	e.down = true
-	e.Reset(e.w.Now, true)
-	e.w.ScheduleAfter(back, func() {
-		e.down = false
-		e.Restart(e.w.Now)
-		e.UpSinceMs = int64((e.w.Now) / time.Millisecond)
-		e.w.SetPhase(e, "SERVING")
+// MakeUnreachable cuts the engine's machine off from the network.
+func (e *Engine) MakeUnreachable() { e.SetUnreachable(e.world.Now, true) }
+
+// Crash ends the engine's process, which restarts cold after a span.
+func (e *Engine) Crash(downtime time.Duration) {
+	e.refusesConnections = true
+	e.Reset(e.world.Now, true)
+	e.world.ScheduleAfter(downtime, func() {
+		e.refusesConnections = false
+		e.Restart(e.world.Now)
+		e.UpSinceMs = int64((e.world.Now) / time.Millisecond)
+		e.world.SetPhase(e, "SERVING")
 	})
 }
 
-// Stall stops an engine for a span.
+// Stall pauses an engine for a span.
 func (e *Engine) Stall(span time.Duration) {
-	e.Pause(e.w.Now)
-	e.w.ScheduleAfter(span, func() {
-		e.Resume(e.w.Now)
-		e.ProcessDue(e.w.Now)
-		e.wake()
+	e.Pause(e.world.Now)
+	e.world.ScheduleAfter(span, func() {
+		e.Resume(e.world.Now)
+		e.ProcessDue(e.world.Now)
+		e.scheduleWake()
 	})
 }
 
-// Connect makes a client's connection from an address.
+// Connect opens a client's connection from an address.
 func (w *World) Connect(name string, from netip.Addr) *Client {
-	c := &Client{w: w, Name: name, open: map[uint32]*Query{}, pages: map[uint32]func(ans client.Answer){}}
-	c.end = &end{link: &controller.Connection{RemoteAddress: from}, from: c}
-	w.ends[c.end.link] = c.end
+	c := &Client{world: w, Name: name, queries: map[uint32]*Query{},
+		pending: map[uint32]func(ans client.Answer){}}
+	c.connection = &connection{remote: &controller.Connection{RemoteAddress: from}, client: c}
+	w.connections[c.connection.remote] = c.connection
 	w.Clients = append(w.Clients, c)
-	w.step(controller.Event{Kind: controller.ClientAccepted, Connection: c.end.link})
+	w.step(controller.Event{Kind: controller.ClientAccepted, Connection: c.connection.remote})
 	return c
 }
 
-// Ask sends a query; more are further fields.
-func (c *Client) Submit(id, group, key string, patience time.Duration, work engine.Work, more ...string) *Query {
-	w := c.w
-	c.next++
-	a := &Query{ID: id, Group: group, Team: c.Name, Msg: c.next, SubmittedAt: w.Now, Deadline: w.Now + patience, FirstWait: -1, StartedAt: -1, Work: work}
+// Submit sends a query. more holds the names and values of additional fields.
+func (c *Client) Submit(
+	id, group, key string, patience time.Duration, work engine.Work, more ...string,
+) *Query {
+	w := c.world
+	c.lastMsg++
+	query := &Query{ID: id, Group: group, Team: c.Name, Msg: c.lastMsg,
+		SubmittedAt: w.Now, Deadline: w.Now + patience, FirstWait: -1, StartedAt: -1, Work: work}
 	fields := append([]string{"trace", id, "patience", fmt.Sprint(patience.Milliseconds())}, more...)
 	if key != "" {
 		fields = append(fields, "entity", key)
 	}
-	c.open[a.Msg] = a
-	w.History.Asked(w.Now, id, group, key, a.Deadline)
-	w.feedBytes(c.end, client.AppendQuery(nil, a.Msg, group, engine.Statement(work), fields...))
-	return a
+	c.queries[query.Msg] = query
+	w.History.Asked(w.Now, id, group, key, query.Deadline)
+	request := client.AppendQuery(nil, query.Msg, group, engine.Statement(work), fields...)
+	w.deliverToController(c.connection, request)
+	return query
 }
 
-// Page asks for a page of a result; then is called with the answer.
+// Page requests a page of a result and calls then with the response.
 func (c *Client) Page(token string, page int, then func(ans client.Answer), fields ...string) {
-	c.next++
-	c.pages[c.next] = then
-	c.w.feedBytes(c.end, client.AppendPageRequest(nil, c.next, token, strconv.Itoa(page), fields...))
+	c.lastMsg++
+	c.pending[c.lastMsg] = then
+	request := client.AppendPageRequest(nil, c.lastMsg, token, strconv.Itoa(page), fields...)
+	c.world.deliverToController(c.connection, request)
 }
 
-// Purge asks for what is kept of its team to go; then is called with the answer.
+// Purge requests a purge of the team's stored results and calls then with the response.
 func (c *Client) Purge(then func(ans client.Answer), fields ...string) {
-	c.next++
-	c.pages[c.next] = then
-	c.w.feedBytes(c.end, client.AppendPurgeRequest(nil, c.next, fields...))
+	c.lastMsg++
+	c.pending[c.lastMsg] = then
+	c.world.deliverToController(c.connection, client.AppendPurgeRequest(nil, c.lastMsg, fields...))
 }
 
-// Order has the controller do what a fleet orders; Reports has what it told in turn.
+// SendOrder delivers a fleet's order to the controller, whose reports are added to Reports.
 func (w *World) SendOrder(o fleet.Order) {
 	w.step(controller.Event{Kind: controller.FleetOrderReceived, Order: &o})
 }
 
-// Leave takes a query back.
-func (c *Client) Cancel(a *Query) {
-	if !a.Answered && !a.Cancelled && !c.Closed {
-		a.Cancelled = true
-		c.w.History.Left(c.w.Now, a.ID)
-		c.w.feedBytes(c.end, client.AppendCancel(nil, a.Msg))
+// Cancel cancels a query unless it has ended.
+func (c *Client) Cancel(query *Query) {
+	if !query.Answered && !query.Cancelled && !c.Closed {
+		query.Cancelled = true
+		c.world.History.Left(c.world.Now, query.ID)
+		c.world.deliverToController(c.connection, client.AppendCancel(nil, query.Msg))
 	}
 }
 
-// Drop ends the client's connection.
-func (c *Client) Disconnect() { c.w.lose(c.end) }
+// Disconnect closes the client's connection.
+func (c *Client) Disconnect() { c.world.closeConnection(c.connection) }
 
-func (c *Client) got(p []byte) {
-	c.in = append(c.in, p...)
+func (c *Client) receive(p []byte) {
+	c.input = append(c.input, p...)
 	for {
-		ans, n, err := client.Read(c.in)
+		answer, n, err := client.Read(c.input)
 		if err != nil {
-			c.w.History.Broken(c.w.Now, c.Name+": "+err.Error())
+			c.world.History.Broken(c.world.Now, c.Name+": "+err.Error())
 			c.Disconnect()
 			return
 		}
 		if n == 0 {
 			return
 		}
-		c.in = append([]byte{}, c.in[n:]...)
-		a := c.open[ans.Msg]
-		if then := c.pages[ans.Msg]; then != nil {
-			delete(c.pages, ans.Msg)
-			then(ans)
+		c.input = append([]byte{}, c.input[n:]...)
+		query := c.queries[answer.Msg]
+		if then := c.pending[answer.Msg]; then != nil {
+			delete(c.pending, answer.Msg)
+			then(answer)
 			continue
 		}
-		if a == nil {
-			if ans.Kind != client.WaitNotice && ans.Kind != client.Ready && !(ans.Kind == client.Killed && ans.Msg > c.next) {
-				c.w.History.Broken(c.w.Now, fmt.Sprintf("%s: an answer to %d that nobody waits for", c.Name, ans.Msg))
+		if query == nil {
+			if answer.Kind != client.WaitNotice && answer.Kind != client.Ready &&
+				!(answer.Kind == client.Killed && answer.Msg > c.lastMsg) {
+				text := fmt.Sprintf("%s: unexpected response to message %d", c.Name, answer.Msg)
+				c.world.History.Broken(c.world.Now, text)
 			}
 			continue
 		}
-		if ans.Kind == client.WaitNotice {
-			if a.WaitNotices++; a.FirstWait < 0 {
-				a.FirstWait = ans.Wait
+		if answer.Kind == client.WaitNotice {
+			if query.WaitNotices++; query.FirstWait < 0 {
+				query.FirstWait = answer.Wait
 			}
 		} else {
-			a.Answered, a.Answer, a.EndedAt, a.RetryAfter = true, ans.Kind, c.w.Now, ans.Wait
-			delete(c.open, a.Msg)
-			if !a.Cancelled {
-				a.Rows, a.Paging = ans.Rows, ans.Fields
-				made := ExpectedRows(a)
-				if a.Paging["token"] != "" { // whoever asks for the other pages compares them
-					made = made[:min(len(made), len(ans.Rows))]
+			query.Answered, query.Answer, query.EndedAt, query.RetryAfter = true, answer.Kind, c.world.Now, answer.Wait
+			delete(c.queries, query.Msg)
+			if !query.Cancelled {
+				query.Rows, query.Paging = answer.Rows, answer.Fields
+				expected := ExpectedRows(query)
+				if query.Paging["token"] != "" { // further pages are compared by the caller that requests them
+					expected = expected[:min(len(expected), len(answer.Rows))]
 				}
-				c.w.History.Answered(c.w.Now, a.ID, historycheck.Answer(ans.Kind), ans.Rows, made)
+				kind := historycheck.Answer(answer.Kind)
+				c.world.History.Answered(c.world.Now, query.ID, kind, answer.Rows, expected)
 			}
 		}
 		if c.OnAnswer != nil {
-			c.OnAnswer(a, ans)
+			c.OnAnswer(query, answer)
 		}
 	}
 }
 
-// Rows is the result that engines make of a query.
-func ExpectedRows(a *Query) []byte {
+// ExpectedRows returns the result that the engines produce for a query.
+func ExpectedRows(query *Query) []byte {
 	var b []byte
-	for i := range a.Work.Rows {
-		b = append(b, engine.Row(a.ID, i)...)
+	for i := range query.Work.Rows {
+		b = append(b, engine.Row(query.ID, i)...)
 	}
 	return b
 }
 
-// Stop tells the controller to end, Reload to follow other teams.
+// Stop requests a shutdown of the controller.
 func (w *World) Stop() { w.step(controller.Event{Kind: controller.ShutdownRequested}) }
 
-func (w *World) Reload(shape *fairqueue.Config) {
-	w.step(controller.Event{Kind: controller.ConfigurationReloaded, DiscoveryAddress: "feed", Tenants: shape})
+// Reload gives the controller a new configuration of tenants.
+func (w *World) Reload(tenants *fairqueue.Config) {
+	w.step(controller.Event{Kind: controller.ConfigurationReloaded, DiscoveryAddress: "feed", Tenants: tenants})
 }
