--- a/internal/residency/change.go
+++ b/internal/residency/change.go
@@ -67,8 +67,8 @@
 		return flaws // what is wrong by itself needn't be told as a clash, too
 	}
 	for team, l := range bindTables(rules, nil) {
-		for _, tables := range classes(l) {
-			v := evaluate(l, tables, true, nil)
+		for _, tables := range tableClasses(l) {
+			v := evaluateRules(l, tables, true, nil)
 			if v.Conflict == nil {
 				continue
 			}
@@ -76,7 +76,7 @@
 			i := slices.IndexFunc(rules, func(r Rule) bool { return r.Name == last })
 			if !slices.ContainsFunc(flaws, func(f *Flaw) bool { return f.RuleIndex == i }) {
 				wrong(i, v.Conflict.Role+"s", "rules %s leave team %q no %s for %s", strings.Join(v.Conflict.Rules, " and "), team,
-					v.Conflict.Role, tablesText(tables))
+					v.Conflict.Role, describeTables(tables))
 			}
 		}
 	}
@@ -86,7 +86,7 @@
 
 // classes are the tables that rules may treat unlike each other: each that is named
 // alone, and all others together, as none.
-func classes(rules ...[]*boundRule) [][]int64 {
+func tableClasses(rules ...[]*boundRule) [][]int64 {
 	var named []int64
 	for _, l := range rules {
 		for _, b := range l {
@@ -116,7 +116,7 @@
 }
 
 // narrower: something of a is not in b; nil is everywhere.
-func narrower(a, b []string) bool {
+func isNarrower(a, b []string) bool {
 	if b == nil {
 		return false
 	}
@@ -128,17 +128,17 @@
 // team's purges.
 func FindTightenings(old, next []Rule, bindings []fleet.Binding) (l []Tightening) {
 	before, after := bindTables(old, bindings), bindTables(next, bindings)
-	for _, team := range teams(next) { // a team without rules from now on is narrower nowhere
-		for _, tables := range classes(before[team], after[team]) {
-			a, b := evaluate(before[team], tables, true, nil), evaluate(after[team], tables, true, nil)
-			t := Tightening{Team: team, Rules: b.RuleNames, Tables: tables, EngineSites: b.EngineSites, EndsRunningQueries: narrower(a.EngineSites, b.EngineSites)}
-			if narrower(a.RetentionSites, b.RetentionSites) {
+	for _, team := range teamNames(next) { // a team without rules from now on is narrower nowhere
+		for _, tables := range tableClasses(before[team], after[team]) {
+			a, b := evaluateRules(before[team], tables, true, nil), evaluateRules(after[team], tables, true, nil)
+			t := Tightening{Team: team, Rules: b.RuleNames, Tables: tables, EngineSites: b.EngineSites, EndsRunningQueries: isNarrower(a.EngineSites, b.EngineSites)}
+			if isNarrower(a.RetentionSites, b.RetentionSites) {
 				t.PurgeScope = &fleet.Scope{Team: team, Tables: tables, OutsideSites: b.RetentionSites}
 			}
-			if !t.EndsRunningQueries && t.PurgeScope == nil && !narrower(a.ControllerSites, b.ControllerSites) {
+			if !t.EndsRunningQueries && t.PurgeScope == nil && !isNarrower(a.ControllerSites, b.ControllerSites) {
 				continue
 			}
-			if i := slices.IndexFunc(l, func(x Tightening) bool { return len(tables) > 0 && len(x.Tables) > 0 && t.alike(x) }); i >= 0 {
+			if i := slices.IndexFunc(l, func(x Tightening) bool { return len(tables) > 0 && len(x.Tables) > 0 && t.canMerge(x) }); i >= 0 {
 				l[i].Tables = append(l[i].Tables, tables...)
 				if l[i].PurgeScope != nil {
 					l[i].PurgeScope.Tables = l[i].Tables
@@ -161,7 +161,7 @@
 	return l
 }
 
-func (t Tightening) alike(x Tightening) bool {
+func (t Tightening) canMerge(x Tightening) bool {
 	same := t.Team == x.Team && t.EndsRunningQueries == x.EndsRunningQueries && slices.Equal(t.Rules, x.Rules) && slices.Equal(t.EngineSites, x.EngineSites)
 	if !same || t.PurgeScope == nil || x.PurgeScope == nil {
 		return same && t.PurgeScope == nil && x.PurgeScope == nil
@@ -169,7 +169,7 @@
 	return slices.Equal(t.PurgeScope.OutsideSites, x.PurgeScope.OutsideSites)
 }
 
-func teams(rules []Rule) (l []string) {
+func teamNames(rules []Rule) (l []string) {
 	for _, r := range rules {
 		if !slices.Contains(l, r.Team) {
 			l = append(l, r.Team)
@@ -227,9 +227,9 @@
 		total += e.Threads
 	}
 	total = max(total, 1e-9)
-	for _, team := range teams(slices.Concat(old, next)) {
-		for _, tables := range classes(before[team], after[team]) {
-			a, b := evaluate(before[team], tables, true, nil), evaluate(after[team], tables, true, nil)
+	for _, team := range teamNames(slices.Concat(old, next)) {
+		for _, tables := range tableClasses(before[team], after[team]) {
+			a, b := evaluateRules(before[team], tables, true, nil), evaluateRules(after[team], tables, true, nil)
 			if !a.RuleApplies && !b.RuleApplies {
 				continue
 			}
@@ -275,7 +275,7 @@
 	return o
 }
 
-func tablesText(tables []int64) string {
+func describeTables(tables []int64) string {
 	if len(tables) == 0 {
 		return "tables that no rule names"
 	}
--- a/internal/residency/residency.go
+++ b/internal/residency/residency.go
@@ -140,7 +140,7 @@
 }
 
 // evaluate applies all rules of a tenant. emergencies has the rules whose emergency is on; nil: none.
-func evaluate(
+func evaluateRules(
 	rules []*boundRule, tables []int64, known bool, emergencies map[string]uint64,
 ) (v Decision) {
 	var applying []*boundRule
@@ -202,30 +202,32 @@
 	fleetView      fleet.View
 	unseenBindings []fleet.Binding // in the log, and not in fleetView yet
 
-	stamp    uint64                  // changes with all of the above
-	verdicts map[verdictKey]Decision // of queries on one table, until anything changes
+	generation uint64                   // changes with all of the above
+	decisions  map[decisionKey]Decision // of queries on one table, until anything changes
 
 	crossings     []EmergencyCrossing // the latest
 	crossingCount int
 }
 
 // verdictKey is what a remembered verdict is of.
-type verdictKey struct {
+type decisionKey struct {
 	team    string
 	table   int64
 	noTable bool
 }
 
 // maxVerdicts bounds what is remembered: clients choose the numbers in their statements.
-const maxVerdicts = 4096
+const maxDecisions = 4096
 
 // New makes the Core of a controller at a site; "" is at none, and inside no boundary.
-func New(site string) *Core { return &Core{site: site, stamp: 1, verdicts: map[verdictKey]Decision{}} }
+func New(site string) *Core {
+	return &Core{site: site, generation: 1, decisions: map[decisionKey]Decision{}}
+}
 
 // SetRules replaces the rules: from now on all is judged by them.
 func (c *Core) SetRules(rules []Rule) {
 	c.rules = slices.Clone(rules)
-	c.rebind()
+	c.rebuild()
 }
 
 // SetFleetView takes what the log says: what loads bound, and which emergencies are on.
@@ -237,7 +239,7 @@
 		return covers(p.Bindings, b)
 	})
 	if !same { // most pictures only tell of other controllers
-		c.rebind()
+		c.rebuild()
 	}
 }
 
@@ -257,7 +259,7 @@
 func (c *Core) AddRecordedBinding(b fleet.Binding) {
 	if !covers(c.fleetView.Bindings, b) && !covers(c.unseenBindings, b) {
 		c.unseenBindings = append(c.unseenBindings, b)
-		c.rebind()
+		c.rebuild()
 	}
 }
 
@@ -265,14 +267,14 @@
 func (c *Core) Site() string { return c.site }
 
 // rebind works out anew what the rules bind, and forgets all verdicts.
-func (c *Core) rebind() {
+func (c *Core) rebuild() {
 	c.rulesByTeam = bindTables(c.rules, slices.Concat(c.fleetView.Bindings, c.unseenBindings))
-	c.stamp++
-	clear(c.verdicts)
+	c.generation++
+	clear(c.decisions)
 }
 
 // Generation changes with all that verdicts depend on: an older verdict must be asked for anew.
-func (c *Core) Generation() uint64 { return c.stamp }
+func (c *Core) Generation() uint64 { return c.generation }
 
 // HasRules reports whether a tenant has a rule at all. Of others nothing need be found out.
 func (c *Core) HasRules(team string) bool { return len(c.rulesByTeam[team]) > 0 }
@@ -284,19 +286,19 @@
 	if len(rules) == 0 {
 		return Decision{MayServe: true, MayRetain: true}
 	}
-	k := verdictKey{team: team, noTable: len(tables) == 0}
+	k := decisionKey{team: team, noTable: len(tables) == 0}
 	if !k.noTable {
 		k.table = tables[0]
 	}
 	remember := known && len(tables) <= 1
-	if v, ok := c.verdicts[k]; ok && remember {
+	if v, ok := c.decisions[k]; ok && remember {
 		return v
 	}
-	v := evaluate(rules, tables, known, c.fleetView.Emergencies)
+	v := evaluateRules(rules, tables, known, c.fleetView.Emergencies)
 	v.MayServe = v.Conflict == nil && includes(v.ControllerSites, c.site)
 	v.MayRetain = v.Conflict == nil && includes(v.RetentionSites, c.site)
-	if remember && len(c.verdicts) < maxVerdicts {
-		c.verdicts[k] = v
+	if remember && len(c.decisions) < maxDecisions {
+		c.decisions[k] = v
 	}
 	return v
 }
@@ -378,7 +380,7 @@
 	if len(rules) == 0 {
 		return false
 	}
-	v := evaluate(rules, tables, known, nil)
+	v := evaluateRules(rules, tables, known, nil)
 	return !v.AllowsEngineSite(site)
 }
 
@@ -400,13 +402,13 @@
 func ScopeAfterEmergency(rules []Rule, name string) *fleet.Scope {
 	for _, r := range rules {
 		if r.Name == name {
-			return scope(r.Team, r.Tables, r.retentionSites(), r.Keep == nil && len(r.retentionSites()) == 0)
+			return retentionScope(r.Team, r.Tables, r.retentionSites(), r.Keep == nil && len(r.retentionSites()) == 0)
 		}
 	}
 	return nil
 }
 
-func scope(team string, tables []int64, keepers []string, anywhere bool) *fleet.Scope {
+func retentionScope(team string, tables []int64, keepers []string, anywhere bool) *fleet.Scope {
 	if anywhere {
 		return nil
 	}
--- a/internal/residency/residency_test.go
+++ b/internal/residency/residency_test.go
@@ -14,14 +14,14 @@
 	"railrelay.dev/railrelay/internal/fleet"
 )
 
-func core(site string, rules ...Rule) *Core {
+func newCore(site string, rules ...Rule) *Core {
 	c := New(site)
 	c.SetRules(rules)
 	return c
 }
 
 func TestIntersection(t *testing.T) {
-	c := core("linz",
+	c := newCore("linz",
 		Rule{Name: "a", Team: "bank", Tables: []int64{1}, Engines: []string{"linz", "wien"}, Keep: []string{"linz"}},
 		Rule{Name: "b", Team: "bank", Tables: []int64{2}, Engines: []string{"wien", "graz"}},
 		Rule{Name: "c", Team: "bank", Tables: []int64{3}, Engines: []string{"graz"}})
@@ -45,8 +45,8 @@
 	}
 }
 
-func TestFollowed(t *testing.T) {
-	c := core("linz", Rule{Name: "a", Team: "bank", Tables: []int64{1}, Engines: []string{"linz"}, Follows: true},
+func TestLoadBindsDerivedTables(t *testing.T) {
+	c := newCore("linz", Rule{Name: "a", Team: "bank", Tables: []int64{1}, Engines: []string{"linz"}, Follows: true},
 		Rule{Name: "b", Team: "bank", Tables: []int64{7}, Engines: []string{"wien"}})
 	need, err := c.MissingBinding("bank", []int64{1, 5}, []int64{2, 1}, true)
 	if want := (&fleet.Binding{Team: "bank", Tables: []int64{2}, SourceTables: []int64{1}}); err != nil || !cmp.Equal(need, want) {
@@ -81,8 +81,8 @@
 	}
 }
 
-func TestEmergency(t *testing.T) {
-	c := core("linz", Rule{Name: "a", Team: "bank", Engines: []string{"linz"},
+func TestEmergencyWidensEngineSitesOnly(t *testing.T) {
+	c := newCore("linz", Rule{Name: "a", Team: "bank", Engines: []string{"linz"},
 		Emergency: Emergency{Sites: []string{"wien"}, After: time.Minute}})
 	want := []fleet.EmergencyRule{{Name: "a", Team: "bank", Sites: []string{"linz"}, After: time.Minute}}
 	if got := c.EmergencyRules(); !cmp.Equal(got, want) {
@@ -110,7 +110,7 @@
 	}
 }
 
-func TestTightened(t *testing.T) {
+func TestFindTighteningsAndPlanChange(t *testing.T) {
 	old := []Rule{{Name: "a", Team: "bank", Tables: []int64{1}, Engines: []string{"linz", "wien"}, Follows: true}}
 	next := []Rule{{Name: "a", Team: "bank", Tables: []int64{1}, Engines: []string{"wien"}, Keep: []string{}, Follows: true}}
 	bindings := []fleet.Binding{{Team: "bank", Tables: []int64{4}, SourceTables: []int64{1}}}
@@ -133,7 +133,7 @@
 	}
 }
 
-func TestFlaws(t *testing.T) {
+func TestValidateRulesReportsEachFlaw(t *testing.T) {
 	sites, teams := []string{"linz", "wien"}, []string{"bank"}
 	for want, rules := range map[string][]Rule{
 		`no location is called "graz"`: {{Name: "a", Team: "bank", Engines: []string{"linz", "graz"}}},
@@ -157,7 +157,7 @@
 
 // Whatever the rules, no verdict lets a query to where a rule that it touches forbids,
 // and what isn't reported as tightened was as narrow before.
-func TestNeverWider(t *testing.T) {
+func TestDecisionsNeverLeaveRuleSites(t *testing.T) {
 	sites := []string{"a", "b", "c"}
 	some := rapid.SliceOfDistinct(rapid.SampledFrom(sites), rapid.ID[string])
 	rule := rapid.Custom(func(t *rapid.T) Rule {
@@ -177,7 +177,7 @@
 	}
 	rapid.Check(t, func(t *rapid.T) {
 		old, next := drawn(t, "old"), drawn(t, "new")
-		a, b := core("a", old...), core("a", next...)
+		a, b := newCore("a", old...), newCore("a", next...)
 		tables := rapid.SliceOfNDistinct(rapid.Int64Range(0, 4), 0, 3, rapid.ID[int64]).Draw(t, "on")
 		known := rapid.Bool().Draw(t, "known")
 		site := rapid.SampledFrom(sites).Draw(t, "site")
@@ -205,7 +205,7 @@
 	m.Run()
 }
 
-func TestErrorsSayWhatToDo(t *testing.T) {
+func TestErrorsHaveRemedies(t *testing.T) {
 	for _, err := range Errors() {
 		if err.Error() == "" || err.Remedy() == "" || err.Error() == err.Remedy() {
 			t.Errorf("%T", err)
--- a/internal/resultcache/result_cache_test.go
+++ b/internal/resultcache/result_cache_test.go
@@ -19,81 +19,81 @@
 
 // asker is one query as the model knows it: which changes of its tables and which purges
 // were over when it was asked.
-type asker struct {
+type modelRequest struct {
 	*Request
-	asked time.Duration
-	leads bool
+	receivedAt time.Duration
+	leading    bool
 	// what the engine that runs it read
-	began time.Duration
-	index uint64
-	loads [4]int
+	startedAt time.Duration
+	index     uint64
+	mutations [4]int
 }
 
 // world is all that really happened.
-type world struct {
-	t      *rapid.T
-	c      *Cache
-	now    time.Duration
-	index  uint64
-	loads  [4]int // begun and ended, by table group
-	inHand []int64
-	drops  []drop
-	out    []*asker // neither answered nor left
-	served int
+type model struct {
+	t                 *rapid.T
+	c                 *Cache
+	now               time.Duration
+	index             uint64
+	mutations         [4]int // begun and ended, by table group
+	mutationsInFlight []int64
+	invalidations     []invalidation
+	outstanding       []*modelRequest // neither answered nor left
+	served            int
 }
 
-type drop struct {
+type invalidation struct {
 	index uint64
 	scope fleet.Scope
 }
 
 // page is what an engine tells: who asked, and when it read what.
-type page struct {
+type answerPage struct {
 	team, statement string
-	began           time.Duration
+	startedAt       time.Duration
 	index           uint64
-	loads           [4]int
+	mutations       [4]int
 }
 
-func (w *world) begin(x *asker) {
-	x.leads, x.began, x.index, x.loads = true, w.now, w.index, w.loads
+func (w *model) startFlight(x *modelRequest) {
+	x.leading, x.startedAt, x.index, x.mutations = true, w.now, w.index, w.mutations
 }
 
-func (w *world) told(x *asker) [][]byte {
-	return [][]byte{fmt.Appendf(nil, "%s|%s|%d|%d|%v", x.Team, x.Statement, x.began, x.index, x.loads[:])}
+func (w *model) answerPages(x *modelRequest) [][]byte {
+	return [][]byte{fmt.Appendf(nil, "%s|%s|%d|%d|%v", x.Team, x.Statement, x.startedAt, x.index, x.mutations[:])}
 }
 
 // sees judges an answer that the cache gave to somebody who didn't run it.
-func (w *world) sees(x *asker, pages [][]byte) {
+func (w *model) checkAnswer(x *modelRequest, pages [][]byte) {
 	w.served++
-	var p page
+	var p answerPage
 	var l string
-	parts := splitted(string(pages[0]))
+	parts := splitPage(string(pages[0]))
 	p.team, p.statement, l = parts[0], parts[1], parts[4]
-	fmt.Sscan(parts[2], (*int64)(&p.began))
+	fmt.Sscan(parts[2], (*int64)(&p.startedAt))
 	fmt.Sscan(parts[3], &p.index)
-	fmt.Sscanf(l, "[%d %d %d %d]", &p.loads[0], &p.loads[1], &p.loads[2], &p.loads[3])
+	fmt.Sscanf(l, "[%d %d %d %d]", &p.mutations[0], &p.mutations[1], &p.mutations[2], &p.mutations[3])
 	if p.team != x.Team || p.statement != string(x.Statement) {
 		w.t.Fatalf("%s asked %s and was answered what %s asked, %s", x.Team, x.Statement, p.team, p.statement)
 	}
-	if x.asked >= p.began+w.c.Freshness {
-		w.t.Fatalf("asked at %v and answered from %v", x.asked, p.began)
+	if x.receivedAt >= p.startedAt+w.c.Freshness {
+		w.t.Fatalf("asked at %v and answered from %v", x.receivedAt, p.startedAt)
 	}
 	for i := range 4 { // every load taken before it was asked
-		if (len(x.Tables) == 0 || slices.Contains(x.Tables, int64(i))) && p.loads[i] < x.before()[i] {
-			w.t.Fatalf("answered past a load of %d: %v of %v", i, p.loads, x.before())
+		if (len(x.Tables) == 0 || slices.Contains(x.Tables, int64(i))) && p.mutations[i] < x.mutationsBefore()[i] {
+			w.t.Fatalf("answered past a load of %d: %v of %v", i, p.mutations, x.mutationsBefore())
 		}
 	}
-	for _, d := range w.drops {
-		if p.index < d.index && d.scope.Matches(x.Team, x.Tables, p.began.Milliseconds()) {
+	for _, d := range w.invalidations {
+		if p.index < d.index && d.scope.Matches(x.Team, x.Tables, p.startedAt.Milliseconds()) {
 			w.t.Fatalf("answered with what was drawn before a purge: %d, %d", p.index, d.index)
 		}
 	}
 }
 
-func (x *asker) before() [4]int { return x.CallerData.([4]int) }
+func (x *modelRequest) mutationsBefore() [4]int { return x.CallerData.([4]int) }
 
-func splitted(s string) (l []string) {
+func splitPage(s string) (l []string) {
 	for len(l) < 4 {
 		i := slices.Index([]byte(s), '|')
 		l, s = append(l, s[:i]), s[i+1:]
@@ -101,28 +101,28 @@
 	return append(l, s)
 }
 
-func (w *world) of(a *Request) *asker {
-	i := slices.IndexFunc(w.out, func(x *asker) bool { return x.Request == a })
-	if i < 0 || w.out[i].leads && a.flight == nil {
+func (w *model) find(a *Request) *modelRequest {
+	i := slices.IndexFunc(w.outstanding, func(x *modelRequest) bool { return x.Request == a })
+	if i < 0 || w.outstanding[i].leading && a.flight == nil {
 		w.t.Fatal("one is named that doesn't follow")
 	}
-	return w.out[i]
+	return w.outstanding[i]
 }
 
 // changed: a load of a table group, or of any, began or ended.
-func (w *world) changed(n int64) {
-	for i := range w.loads {
+func (w *model) countMutation(n int64) {
+	for i := range w.mutations {
 		if n < 0 || int64(i) == n {
-			w.loads[i]++
+			w.mutations[i]++
 		}
 	}
 }
 
-func (w *world) goes(x *asker) {
-	w.out = slices.DeleteFunc(w.out, func(y *asker) bool { return x == y })
+func (w *model) removeOutstanding(x *modelRequest) {
+	w.outstanding = slices.DeleteFunc(w.outstanding, func(y *modelRequest) bool { return x == y })
 }
 
-func (w *world) check() {
+func (w *model) check() {
 	count, size := 0, int64(0)
 	for _, l := range w.c.entries {
 		for _, k := range l {
@@ -139,8 +139,8 @@
 	if c, b, _ := w.c.Usage(); c != count || b != size || byTeam != size || n != count || c > w.c.MaxEntries || b > w.c.MaxBytes {
 		w.t.Fatalf("%d answers of %d bytes, told %d of %d, by team %d of %d", count, size, c, b, n, byTeam)
 	}
-	for _, x := range w.out {
-		if !x.leads && x.flight == nil && w.now < x.Deadline {
+	for _, x := range w.outstanding {
+		if !x.leading && x.flight == nil && w.now < x.Deadline {
 			w.t.Fatal("one follows nobody and was not told")
 		}
 	}
@@ -153,11 +153,11 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		w := &world{t: t, c: c}
+		w := &model{t: t, c: c}
 		lead := func(l ...*Request) {
 			for _, a := range l {
 				if a != nil {
-					w.begin(w.of(a))
+					w.startFlight(w.find(a))
 				}
 			}
 		}
@@ -166,8 +166,8 @@
 			switch what := rapid.IntRange(0, 19).Draw(t, "what"); {
 			case what < 9:
 				n := rapid.IntRange(0, 5).Draw(t, "statement")
-				x := &asker{asked: w.now, Request: &Request{Team: rapid.SampledFrom([]string{"linz", "steyr"}).Draw(t, "team"), Group: n % 2, LogIndex: w.index,
-					Statement: fmt.Appendf(nil, "select %d", n), Deadline: w.now + 2*time.Second, CallerData: w.loads}}
+				x := &modelRequest{receivedAt: w.now, Request: &Request{Team: rapid.SampledFrom([]string{"linz", "steyr"}).Draw(t, "team"), Group: n % 2, LogIndex: w.index,
+					Statement: fmt.Appendf(nil, "select %d", n), Deadline: w.now + 2*time.Second, CallerData: w.mutations}}
 				if n < 4 {
 					x.Tables = []int64{int64(n), int64((n + 1) % 4)}
 				}
@@ -175,46 +175,46 @@
 				switch v {
 				case Hit:
 					hits++
-					w.sees(x, pages)
+					w.checkAnswer(x, pages)
 				case Lead:
-					w.begin(x)
+					w.startFlight(x)
 					fallthrough
 				case Follow:
-					w.out = append(w.out, x)
+					w.outstanding = append(w.outstanding, x)
 				case Bypass:
-					if len(w.inHand) == 0 {
+					if len(w.mutationsInFlight) == 0 {
 						t.Fatal("passed, and nothing is being loaded")
 					}
 				}
-			case what < 15 && len(w.out) > 0:
-				x := w.out[rapid.IntRange(0, len(w.out)-1).Draw(t, "one")]
-				w.goes(x)
-				if !x.leads || what == 14 || w.now >= x.Deadline {
+			case what < 15 && len(w.outstanding) > 0:
+				x := w.outstanding[rapid.IntRange(0, len(w.outstanding)-1).Draw(t, "one")]
+				w.removeOutstanding(x)
+				if !x.leading || what == 14 || w.now >= x.Deadline {
 					lead(c.Abandon(w.now, x.Request))
 					break
 				}
-				pages := w.told(x)
+				pages := w.answerPages(x)
 				for _, o := range c.Complete(w.now, x.Request, pages) {
-					f := w.of(o)
-					w.goes(f)
-					w.sees(f, pages)
+					f := w.find(o)
+					w.removeOutstanding(f)
+					w.checkAnswer(f, pages)
 				}
 			case what < 16:
 				n := int64(rapid.IntRange(-1, 3).Draw(t, "table"))
-				w.inHand = append(w.inHand, n)
-				w.changed(n)
-				c.MutationStarted(w.now, tables(n))
-			case what < 18 && len(w.inHand) > 0:
-				c.MutationEnded(w.now, tables(w.inHand[0]))
-				w.changed(w.inHand[0])
-				w.inHand = w.inHand[1:]
+				w.mutationsInFlight = append(w.mutationsInFlight, n)
+				w.countMutation(n)
+				c.MutationStarted(w.now, tableList(n))
+			case what < 18 && len(w.mutationsInFlight) > 0:
+				c.MutationEnded(w.now, tableList(w.mutationsInFlight[0]))
+				w.countMutation(w.mutationsInFlight[0])
+				w.mutationsInFlight = w.mutationsInFlight[1:]
 			case what < 19:
-				s := fleet.Scope{Team: "linz", Tables: tables(int64(rapid.IntRange(-1, 3).Draw(t, "table")))}
+				s := fleet.Scope{Team: "linz", Tables: tableList(int64(rapid.IntRange(-1, 3).Draw(t, "table")))}
 				if rapid.Bool().Draw(t, "before") {
 					s.RetainedBeforeMs = max(1, (w.now - time.Second).Milliseconds())
 				}
 				w.index++
-				w.drops = append(w.drops, drop{index: w.index, scope: s})
+				w.invalidations = append(w.invalidations, invalidation{index: w.index, scope: s})
 				_, next := c.Invalidate(w.now, &s, w.index)
 				lead(next...)
 			default:
@@ -231,7 +231,7 @@
 	}
 }
 
-func tables(n int64) []int64 {
+func tableList(n int64) []int64 {
 	if n < 0 {
 		return nil
 	}
@@ -240,7 +240,7 @@
 
 // An answer drawn before a purge and ready after it is kept by nobody, and who followed
 // it is answered anew.
-func TestDrawnOverAPurge(t *testing.T) {
+func TestInvalidationDuringFlight(t *testing.T) {
 	c, _ := New(DefaultLimits(), 0)
 	ask := func() *Request {
 		return &Request{Team: "linz", Statement: []byte("select 1"), Tables: []int64{3}, Deadline: time.Minute}
@@ -267,7 +267,7 @@
 }
 
 // A team beyond its share loses its own least used answers first.
-func TestShare(t *testing.T) {
+func TestEvictionPrefersTenantOverShare(t *testing.T) {
 	l := Limits{Freshness: time.Minute, MaxBytes: 4 * (entryOverheadBytes + 24 + 10 + 100), MaxEntries: 100, MaxAnswerBytes: 1000, TenantShare: 0.5}
 	c, _ := New(l, 0)
 	put := func(team string, n int) LookupResult {
@@ -285,7 +285,7 @@
 	}
 }
 
-func TestErrors(t *testing.T) {
+func TestInvalidLimitsAreRejected(t *testing.T) {
 	for _, l := range []Limits{{}, {Freshness: 1}, {Freshness: 1, MaxBytes: 1}, {Freshness: 1, MaxBytes: 1, MaxEntries: 1}, {Freshness: 1, MaxBytes: 1, MaxEntries: 1, MaxAnswerBytes: 1, TenantShare: 2}} {
 		_, err := New(l, 0)
 		var u *Unusable
--- a/internal/spool/golden_test.go
+++ b/internal/spool/golden_test.go
@@ -30,11 +30,11 @@
 		t.Fatal(err)
 	}
 	c := goldenCore(keys)
-	r := c.opened(goldentest.File(t, "token"), goldenFound.Team)
-	if r == nil || r.id != goldenFound.ResultID {
+	r := c.openToken(goldentest.File(t, "token"), goldenStoredResult.Team)
+	if r == nil || r.id != goldenStoredResult.ResultID {
 		t.Fatalf("the token opens %+v", r)
 	}
-	if c.opened(goldentest.File(t, "token"), "team-b") != nil {
+	if c.openToken(goldentest.File(t, "token"), "team-b") != nil {
 		t.Error("it opens the result for another team")
 	}
 	goldentest.Same(t, "token", []byte(c.Token(r)))
--- a/internal/spool/golden_values_test.go
+++ b/internal/spool/golden_values_test.go
@@ -11,7 +11,7 @@
 }
 
 // goldenFound is the result that the golden token opens.
-var goldenFound = StoredResult{
+var goldenStoredResult = StoredResult{
 	Metadata:  Metadata{ResultID: 1<<32 + 5, Query: "query-1", Team: "team-a", CreatedWall: 1_700_000_000_003, ExpiresWall: 1_700_000_600_004, PageRows: []uint32{10, 11}},
 	PageBytes: []uint32{300, 400},
 }
@@ -19,6 +19,6 @@
 // goldenCore is a spool that found the golden result at its start.
 func goldenCore(keys *Keyring) *Core {
 	c := New(Limits{MaxAge: time.Hour, IdleTimeout: time.Hour}, keys, 1_700_000_000_005, 2<<32, func(*DiskTask) {})
-	c.Restore(&goldenFound)
+	c.Restore(&goldenStoredResult)
 	return c
 }
--- a/internal/spool/purge.go
+++ b/internal/spool/purge.go
@@ -20,14 +20,14 @@
 // at once, wiped when no byte of it is on disk any more, with what was found. A program
 // that ends before is to be given the same purge again, before it serves.
 func (c *Core) Purge(now time.Duration, s *fleet.Scope, index uint64, unreached func(), wiped func(fleet.InvalidationCounts)) {
-	c.at(now)
+	c.advance(now)
 	var l []*Result
 	means := func(r *Result) {
-		if r.tag.LogIndex < index && s.Matches(r.owner(), r.tag.Tables, r.wall) {
+		if r.tag.LogIndex < index && s.Matches(r.owner(), r.tag.Tables, r.createdWall) {
 			l = append(l, r)
 		}
 	}
-	for r := range c.taking {
+	for r := range c.receiving {
 		means(r)
 	}
 	for _, r := range c.results {
@@ -37,8 +37,8 @@
 	slices.SortFunc(l, func(a, b *Result) int { return cmp.Or(cmp.Compare(a.id, b.id), cmp.Compare(a.serial, b.serial)) })
 	var found fleet.InvalidationCounts
 	for _, r := range l {
-		if r.purged = true; r.failed == nil {
-			r.failed = ErrPurged
+		if r.purged = true; r.failure == nil {
+			r.failure = ErrPurged
 		}
 		if r.bytes > 0 {
 			found.Results++
@@ -54,17 +54,17 @@
 	}
 	w := &DiskTask{Erase: true}
 	w.OnDone = func(now time.Duration) {
-		c.at(now)
-		c.dead = max(0, w.BytesOnDisk-c.disk)
+		c.advance(now)
+		c.deadBytes = max(0, w.BytesOnDisk-c.diskBytes)
 		wiped(found)
-		c.wake()
+		c.notifySpaceWaiters()
 	}
-	c.do(w)
+	c.submit(w)
 }
 
 // TagOf is what a token's result is found by; none where it opens nothing.
 func (c *Core) TagOf(token []byte, teamName string) InvalidationTag {
-	if r := c.opened(token, teamName); r != nil {
+	if r := c.openToken(token, teamName); r != nil {
 		return r.tag
 	}
 	return InvalidationTag{}
--- a/internal/spool/reading.go
+++ b/internal/spool/reading.go
@@ -7,7 +7,7 @@
 
 // ReadFirstPage hands out a whole result's first page, now or once it was read from disk.
 func (c *Core) ReadFirstPage(now time.Duration, r *Result, tell func(body []byte, err error)) {
-	c.at(now)
+	c.advance(now)
 	if len(r.pages) > 0 && r.pages[0].body != nil {
 		tell(r.pages[0].body, nil)
 		return
@@ -24,28 +24,28 @@
 // ReadPage hands out a page to whoever holds its result's token, now or once it was read
 // from disk. It tells one reason for refusing from another in nothing.
 func (c *Core) ReadPage(now time.Duration, token []byte, teamName string, number int, tell func(body []byte, err error)) {
-	c.at(now)
-	r := c.opened(token, teamName)
-	if r == nil || number < 0 || number >= r.count || !c.serves(r) {
+	c.advance(now)
+	r := c.openToken(token, teamName)
+	if r == nil || number < 0 || number >= r.pageCount || !c.mayServe(r) {
 		c.Counts.BadTokens++
 		tell(nil, ErrPageNotFound)
 		return
 	}
-	r.readAt, r.begun = c.now, true
-	if r.inMemory > 0 && c.MaxDiskBytes > 0 && r.listed {
-		c.list(r)
+	r.lastReadAt, r.readPastFirst = c.now, true
+	if r.inMemory > 0 && c.MaxDiskBytes > 0 && r.inLRU {
+		c.addToLRU(r)
 	}
 	if number < len(r.pages) && r.pages[number].body != nil {
-		c.handed(r, number)
+		c.pageServed(r, number)
 		tell(r.pages[number].body, nil)
 		return
 	}
-	if c.reads >= c.MaxReads {
+	if c.activeReads >= c.MaxReads {
 		tell(nil, ErrTooManyReads)
 		return
 	}
 	c.fetch(r, number, func(body []byte, err error) {
-		if err == ErrPurged || err == nil && !c.serves(r) { // which is nobody's to know
+		if err == ErrPurged || err == nil && !c.mayServe(r) { // which is nobody's to know
 			c.Counts.BadTokens++
 			body, err = nil, ErrPageNotFound
 		}
@@ -53,7 +53,7 @@
 	})
 }
 
-func (c *Core) serves(r *Result) bool {
+func (c *Core) mayServe(r *Result) bool {
 	return c.MayServe == nil || c.MayServe(r.owner(), r.tag.Tables)
 }
 
@@ -61,14 +61,14 @@
 func (r *Result) owner() string { return cmp.Or(r.tag.Owner, r.team.name) }
 
 func (c *Core) fetch(r *Result, number int, tell func(body []byte, err error)) {
-	c.reads++
-	r.reading++
+	c.activeReads++
+	r.pendingReads++
 	c.Counts.PagesFromDisk++
 	w := &DiskTask{Fetch: &Fetch{r.id, number}}
 	w.OnDone = func(now time.Duration) {
-		c.at(now)
-		c.reads--
-		r.reading--
+		c.advance(now)
+		c.activeReads--
+		r.pendingReads--
 		switch {
 		case r.purged: // whatever was read comes too late
 			tell(nil, ErrPurged)
@@ -76,27 +76,27 @@
 			c.Counts.FailedReads++
 			tell(nil, w.Err)
 		default:
-			r.readAt = c.now
-			c.handed(r, number)
+			r.lastReadAt = c.now
+			c.pageServed(r, number)
 			tell(w.FetchedPage, nil)
 		}
 	}
-	c.do(w)
+	c.submit(w)
 }
 
 // handed marks a page as read.
-func (c *Core) handed(r *Result, number int) {
+func (c *Core) pageServed(r *Result, number int) {
 	c.Counts.PagesServed++
-	if number == 0 || r.unread == 0 {
+	if number == 0 || r.unreadCount == 0 {
 		return
 	}
-	if r.read == nil {
-		r.read = make([]uint64, (r.count+63)/64)
+	if r.readPages == nil {
+		r.readPages = make([]uint64, (r.pageCount+63)/64)
 	}
-	if bit := uint64(1) << (number % 64); r.read[number/64]&bit == 0 {
-		r.read[number/64] |= bit
-		if r.unread--; r.unread == 0 {
-			r.read, c.none = nil, false
+	if bit := uint64(1) << (number % 64); r.readPages[number/64]&bit == 0 {
+		r.readPages[number/64] |= bit
+		if r.unreadCount--; r.unreadCount == 0 {
+			r.readPages, c.nothingEvictable = nil, false
 		}
 	}
 }
--- a/internal/spool/room.go
+++ b/internal/spool/room.go
@@ -4,16 +4,16 @@
 
 // comes: room may come by a time, because something is being written or compacted,
 // or a result's life ends.
-func (c *Core) comes(until time.Duration, of *Result) bool {
-	own := c.teamFull(of, 1) // then only room of its own team's helps
-	if !own && (c.flight > 0 || c.dead > 0) {
+func (c *Core) spaceMayCome(until time.Duration, of *Result) bool {
+	own := c.exceedsTeamLimit(of, 1) // then only room of its own team's helps
+	if !own && (c.writingBytes > 0 || c.deadBytes > 0) {
 		return true
 	}
 	for _, r := range c.results {
 		if own && r.team != of.team {
 			continue
 		}
-		if r.life(c) <= until || r.reading > 0 || r.writing > 0 {
+		if r.expiry(c) <= until || r.pendingReads > 0 || r.pendingWrites > 0 {
 			return true
 		}
 	}
@@ -21,12 +21,12 @@
 }
 
 // teamFull: with so much more a result's team would have more than any may.
-func (c *Core) teamFull(r *Result, size int64) bool {
+func (c *Core) exceedsTeamLimit(r *Result, size int64) bool {
 	return c.MaxTeamBytes > 0 && r.team.bytes+size > c.MaxTeamBytes
 }
 
 // most is what any result may have at all.
-func (c *Core) most() int64 {
+func (c *Core) sizeLimit() int64 {
 	most := min(c.MaxResultBytes, c.MaxMemoryBytes)
 	if c.MaxDiskBytes > 0 {
 		most = min(c.MaxResultBytes, c.MaxDiskBytes-c.MaxDiskBytes/16)
@@ -38,49 +38,49 @@
 }
 
 // makeRoom finds room for a page, by giving up what may be.
-func (c *Core) makeRoom(r *Result, size int64) bool {
-	for c.teamFull(r, size) {
-		if !c.evictOne(r.team, readOut|pastLife) {
+func (c *Core) makeSpace(r *Result, size int64) bool {
+	for c.exceedsTeamLimit(r, size) {
+		if !c.evictOne(r.team, afterRead|expired) {
 			return false
 		}
 	}
-	for c.memory+size > c.MaxMemoryBytes {
-		if c.uncache() {
+	for c.memoryBytes+size > c.MaxMemoryBytes {
+		if c.releaseLeastRecentlyRead() {
 			continue
 		}
 		if c.MaxDiskBytes > 0 {
 			c.flush()
 			return false
 		}
-		if !c.evictOne(nil, readOut|pastLife|overShare) {
+		if !c.evictOne(nil, afterRead|expired|overShare) {
 			return false
 		}
 	}
 	if c.MaxDiskBytes == 0 {
 		return true
 	}
-	if c.flight > c.MaxWritingBytes {
+	if c.writingBytes > c.MaxWritingBytes {
 		return false
 	}
-	for c.disk+r.unwritten()+size+recordCost > c.MaxDiskBytes {
-		if !c.evictOne(nil, readOut|pastLife|overShare) {
+	for c.diskBytes+r.unwrittenBytes()+size+recordOverheadBytes > c.MaxDiskBytes {
+		if !c.evictOne(nil, afterRead|expired|overShare) {
 			return false
 		}
 	}
 	// the dead are still there until they are compacted
-	return c.disk+c.dead+r.unwritten()+size+recordCost <= c.MaxDiskBytes+c.MaxDiskBytes/8
+	return c.diskBytes+c.deadBytes+r.unwrittenBytes()+size+recordOverheadBytes <= c.MaxDiskBytes+c.MaxDiskBytes/8
 }
 
 // share is what pages being taken in may have of the memory before they go to disk.
-func (c *Core) share() int64 { return c.MaxMemoryBytes / 2 }
+func (c *Core) spillThreshold() int64 { return c.MaxMemoryBytes / 2 }
 
 // OnSpace has do called once, when there may be room again.
-func (c *Core) OnSpace(do func()) { c.room = append(c.room, do) }
+func (c *Core) OnSpace(do func()) { c.spaceWaiters = append(c.spaceWaiters, do) }
 
 // wake tells all that wait, in the order in which they came; who finds none waits anew.
-func (c *Core) wake() {
-	l := c.room
-	c.room = nil
+func (c *Core) notifySpaceWaiters() {
+	l := c.spaceWaiters
+	c.spaceWaiters = nil
 	for _, do := range l {
 		do()
 	}
@@ -88,44 +88,46 @@
 
 // Why results are evicted.
 const (
-	readOut = 1 << iota
-	pastLife
+	afterRead = 1 << iota
+	expired
 	overShare
 )
 
 // noneFor is how long it isn't looked again for what may be evicted where there was
 // nothing, unless a result went or was read to its end.
-const noneFor = 100 * time.Millisecond
+const evictionRetryInterval = 100 * time.Millisecond
 
 // life is when a result's life is over unless it is read before.
-func (r *Result) life(c *Core) time.Duration { return min(r.readAt+c.IdleTimeout, r.ends) }
+func (r *Result) expiry(c *Core) time.Duration { return min(r.lastReadAt+c.IdleTimeout, r.expiresAt) }
 
 // mayGo: nothing of it is being read, or written.
-func (r *Result) mayGo() bool { return r.whole && r.reading == 0 && r.writing == 0 }
+func (r *Result) isIdle() bool { return r.complete && r.pendingReads == 0 && r.pendingWrites == 0 }
 
 // beingRead: its client is between its first and last page, within its life.
-func (r *Result) beingRead(c *Core) bool { return r.begun && r.unread > 0 && c.now < r.life(c) }
+func (r *Result) isBeingRead(c *Core) bool {
+	return r.readPastFirst && r.unreadCount > 0 && c.now < r.expiry(c)
+}
 
 // evictOne gives a result up for room, of one team or of any: first one that was read
 // to its end, then one past its life, then the largest of a team over its share. One
 // that is being read within its life is never given up.
 func (c *Core) evictOne(of *team, why int) bool {
-	if c.none && c.now-c.noneAt < noneFor {
+	if c.nothingEvictable && c.now-c.nothingEvictableAt < evictionRetryInterval {
 		return false
 	}
 	var best *Result
 	bestRank := 0
 	for _, r := range c.results {
-		if !r.mayGo() || of != nil && r.team != of || r.beingRead(c) {
+		if !r.isIdle() || of != nil && r.team != of || r.isBeingRead(c) {
 			continue
 		}
 		rank := 0
 		switch {
-		case why&readOut != 0 && r.unread == 0:
+		case why&afterRead != 0 && r.unreadCount == 0:
 			rank = 3
-		case why&pastLife != 0 && c.now >= r.life(c):
+		case why&expired != 0 && c.now >= r.expiry(c):
 			rank = 2
-		case why&overShare != 0 && c.over(r.team):
+		case why&overShare != 0 && c.isOverShare(r.team):
 			rank = 1
 		default:
 			continue
@@ -135,8 +137,8 @@
 		}
 	}
 	if best == nil {
-		if of == nil && why == readOut|pastLife|overShare {
-			c.none, c.noneAt = true, c.now
+		if of == nil && why == afterRead|expired|overShare {
+			c.nothingEvictable, c.nothingEvictableAt = true, c.now
 		}
 		return false
 	}
@@ -153,7 +155,7 @@
 }
 
 // over: a team has more than its share of the room.
-func (c *Core) over(t *team) bool {
+func (c *Core) isOverShare(t *team) bool {
 	all := c.MaxDiskBytes
 	if all == 0 {
 		all = c.MaxMemoryBytes
@@ -162,26 +164,26 @@
 }
 
 // uncache frees memory of the page set longest unread that is on disk too.
-func (c *Core) uncache() bool {
-	first := c.byRead.First()
+func (c *Core) releaseLeastRecentlyRead() bool {
+	first := c.cachedLRU.First()
 	if first == nil {
 		return false
 	}
-	c.forget(first.Value)
+	c.releaseMemory(first.Value)
 	return true
 }
 
 // list has a result's pages in memory go last of all.
-func (c *Core) list(r *Result) {
-	c.unlist(r)
-	r.listed = true
-	c.byRead.Append(&r.inRead, r)
+func (c *Core) addToLRU(r *Result) {
+	c.removeFromLRU(r)
+	r.inLRU = true
+	c.cachedLRU.Append(&r.lruElement, r)
 }
 
-func (c *Core) unlist(r *Result) {
-	if !r.listed {
+func (c *Core) removeFromLRU(r *Result) {
+	if !r.inLRU {
 		return
 	}
-	c.byRead.Remove(&r.inRead)
-	r.listed = false
+	c.cachedLRU.Remove(&r.lruElement)
+	r.inLRU = false
 }
--- a/internal/spool/spool.go
+++ b/internal/spool/spool.go
@@ -100,31 +100,31 @@
 func (r RefusalError) Error() string { return string(r) }
 
 // recordCost is what a page takes on disk beyond what it holds.
-const recordCost = 32
+const recordOverheadBytes = 32
 
 // Core is one controller's spool.
 type Core struct {
 	Limits
-	keys    *Keyring
-	wall    int64 // milliseconds since 1970 at the start
-	next    uint64
-	now     time.Duration
-	do      func(*DiskTask)
-	results map[uint64]*Result
-	taking  map[*Result]bool
-	serial  uint64
-	noneAt  time.Duration // when nothing was found to evict
-	none    bool
-	teams   map[string]*team
-	count   int // results and those let in to become one
-	memory  int64
-	disk    int64
-	dead    int64 // on disk, as last told
-	flight  int64
-	reads   int
-	byRead  intrusivelist.List[Result] // with pages in memory that are on disk too, the longest unread first
-	room    []func()                   // wait for room, in turn
-	sweepAt time.Duration
+	keys               *Keyring
+	startWall          int64 // milliseconds since 1970 at the start
+	lastID             uint64
+	now                time.Duration
+	submit             func(*DiskTask)
+	results            map[uint64]*Result
+	receiving          map[*Result]bool
+	serial             uint64
+	nothingEvictableAt time.Duration // when nothing was found to evict
+	nothingEvictable   bool
+	teams              map[string]*team
+	count              int // results and those let in to become one
+	memoryBytes        int64
+	diskBytes          int64
+	deadBytes          int64 // on disk, as last told
+	writingBytes       int64
+	activeReads        int
+	cachedLRU          intrusivelist.List[Result] // with pages in memory that are on disk too, the longest unread first
+	spaceWaiters       []func()                   // wait for room, in turn
+	lastSweep          time.Duration
 
 	// MayServe is asked before a page is handed out, and again once it was read from disk:
 	// what is kept of these tables may be served here. nil: all may.
@@ -151,35 +151,35 @@
 
 // Result is one that is being taken in or was promised.
 type Result struct {
-	id       uint64
-	serial   uint64 // in which they came
-	query    string
-	team     *team
-	tag      InvalidationTag
-	wall     int64 // when its taking in began, or it was promised, in milliseconds since 1970
-	purged   bool
-	pages    []page // while taken in, and as long as any is in memory
-	sizes    uint64
-	bytes    int64
-	rows     int64
-	onDisk   int64 // what it takes there
-	inMemory int64
-	count    int
-	whole    bool
-	gone     bool
-	writing  int // pages on their way to disk
-	failed   error
-	promised func(error)
-	reading  int // pages being read from disk
-	read     []uint64
-	unread   int
-	made     time.Duration
-	readAt   time.Duration
-	ends     time.Duration
-	endsWall int64
-	inRead   intrusivelist.Element[Result] // of the core's byRead
-	listed   bool
-	begun    bool // it was asked for pages beyond the first
+	id            uint64
+	serial        uint64 // in which they came
+	query         string
+	team          *team
+	tag           InvalidationTag
+	createdWall   int64 // when its taking in began, or it was promised, in milliseconds since 1970
+	purged        bool
+	pages         []page // while taken in, and as long as any is in memory
+	pageChecksum  uint64
+	bytes         int64
+	rows          int64
+	onDisk        int64 // what it takes there
+	inMemory      int64
+	pageCount     int
+	complete      bool
+	dropped       bool
+	pendingWrites int // pages on their way to disk
+	failure       error
+	onCommitted   func(error)
+	pendingReads  int // pages being read from disk
+	readPages     []uint64
+	unreadCount   int
+	createdAt     time.Duration
+	lastReadAt    time.Duration
+	expiresAt     time.Duration
+	expiresWall   int64
+	lruElement    intrusivelist.Element[Result] // of the core's byRead
+	inLRU         bool
+	readPastFirst bool // it was asked for pages beyond the first
 }
 
 type page struct {
@@ -193,12 +193,12 @@
 
 const (
 	inMemory pageState = iota
-	toDisk
+	writing
 	onDisk
 )
 
 // sums is a sum of what pages hold, for the token.
-func sums(bytes, rows func(i int) uint32, count int) uint64 {
+func checksumPages(bytes, rows func(i int) uint32, count int) uint64 {
 	d := xxhash.New()
 	var p []byte
 	for i := range count {
@@ -211,28 +211,28 @@
 // New makes a spool. wall is the start in milliseconds since 1970, first the first
 // number for its results, do where work goes.
 func New(l Limits, keys *Keyring, wall int64, first uint64, do func(*DiskTask)) *Core {
-	return &Core{Limits: l, keys: keys, wall: wall, next: first, do: do, results: map[uint64]*Result{}, taking: map[*Result]bool{}, teams: map[string]*team{}}
+	return &Core{Limits: l, keys: keys, startWall: wall, lastID: first, submit: do, results: map[uint64]*Result{}, receiving: map[*Result]bool{}, teams: map[string]*team{}}
 }
 
-func (c *Core) at(now time.Duration) { c.now = max(c.now, now) }
+func (c *Core) advance(now time.Duration) { c.now = max(c.now, now) }
 
 // Restore takes in what the disk held at the start. Its life goes on as the clock on
 // the wall has it, but lasts no longer than a new one's, whatever that clock says.
 func (c *Core) Restore(f *StoredResult) {
-	r := &Result{id: f.ResultID, query: f.Query, team: c.teamOf(f.Team), count: len(f.PageRows), whole: true, tag: f.InvalidationTag, wall: f.CreatedWall}
-	r.sizes = sums(func(i int) uint32 { return f.PageBytes[i] }, func(i int) uint32 { return f.PageRows[i] }, r.count)
+	r := &Result{id: f.ResultID, query: f.Query, team: c.teamOf(f.Team), pageCount: len(f.PageRows), complete: true, tag: f.InvalidationTag, createdWall: f.CreatedWall}
+	r.pageChecksum = checksumPages(func(i int) uint32 { return f.PageBytes[i] }, func(i int) uint32 { return f.PageRows[i] }, r.pageCount)
 	for i, rows := range f.PageRows {
 		r.bytes += int64(f.PageBytes[i])
 		r.rows += int64(rows)
-		r.onDisk += int64(f.PageBytes[i]) + recordCost
+		r.onDisk += int64(f.PageBytes[i]) + recordOverheadBytes
 	}
-	r.unread = max(0, r.count-1)
-	r.endsWall = f.ExpiresWall
-	r.ends = min(time.Duration(f.ExpiresWall-c.wall)*time.Millisecond, c.MaxAge)
-	r.readAt = 0
+	r.unreadCount = max(0, r.pageCount-1)
+	r.expiresWall = f.ExpiresWall
+	r.expiresAt = min(time.Duration(f.ExpiresWall-c.startWall)*time.Millisecond, c.MaxAge)
+	r.lastReadAt = 0
 	c.results[r.id] = r
 	c.count++
-	c.disk += r.onDisk
+	c.diskBytes += r.onDisk
 	r.team.results++
 	r.team.bytes += r.bytes
 }
@@ -253,18 +253,18 @@
 }
 
 // Usage is what the spool holds, for the log and for tests.
-func (c *Core) Usage() (results int, memory, disk int64) { return c.count, c.memory, c.disk }
+func (c *Core) Usage() (results int, memory, disk int64) { return c.count, c.memoryBytes, c.diskBytes }
 
 // Admit lets a call for pages in, before anything of it is sent, or says why not.
 func (c *Core) Admit(now time.Duration, query, teamName string, tag InvalidationTag) (*Result, error) {
-	c.at(now)
+	c.advance(now)
 	t := c.teamOf(teamName)
-	if t.results >= c.MaxTeamResults && !c.evictOne(t, readOut|pastLife) {
+	if t.results >= c.MaxTeamResults && !c.evictOne(t, afterRead|expired) {
 		c.Counts.Refused++
 		c.forgetTeam(t)
 		return nil, RefusalError("too many results of its team are kept")
 	}
-	if c.count >= c.MaxResults && !c.evictOne(nil, readOut|pastLife|overShare) {
+	if c.count >= c.MaxResults && !c.evictOne(nil, afterRead|expired|overShare) {
 		c.Counts.Refused++
 		c.forgetTeam(t)
 		return nil, RefusalError("too many results are kept")
@@ -275,10 +275,10 @@
 
 // AdmitAgain begins the same result for another submission that hands it out.
 func (c *Core) AdmitAgain(now time.Duration, r *Result) *Result {
-	c.at(now)
+	c.advance(now)
 	again := c.begin(r.query, r.team, r.tag)
 	if r.purged {
-		again.purged, again.failed = true, ErrPurged
+		again.purged, again.failure = true, ErrPurged
 	}
 	return again
 }
@@ -288,8 +288,8 @@
 	t.results++
 	c.teams[t.name] = t
 	c.serial++
-	r := &Result{query: query, team: t, serial: c.serial, tag: tag, wall: c.wall + c.now.Milliseconds()}
-	c.taking[r] = true
+	r := &Result{query: query, team: t, serial: c.serial, tag: tag, createdWall: c.startWall + c.now.Milliseconds()}
+	c.receiving[r] = true
 	return r
 }
 
@@ -306,19 +306,19 @@
 // time by which none can come is refused at once: the room it holds may be what
 // another needs.
 func (c *Core) AddPage(now time.Duration, r *Result, body []byte, rows uint32, until time.Duration) (AddOutcome, error) {
-	c.at(now)
-	if r.failed != nil {
-		return PageRefused, r.failed
+	c.advance(now)
+	if r.failure != nil {
+		return PageRefused, r.failure
 	}
 	size := int64(len(body))
-	if total := r.bytes + size; total > c.most() {
+	if total := r.bytes + size; total > c.sizeLimit() {
 		c.Counts.TooLarge++
-		return PageRefused, RefusalError(fmt.Sprintf("the result is too large: over %d bytes, more than the %d that one may have", total, c.most()))
+		return PageRefused, RefusalError(fmt.Sprintf("the result is too large: over %d bytes, more than the %d that one may have", total, c.sizeLimit()))
 	}
-	if !c.makeRoom(r, size) {
-		if !c.comes(until, r) {
+	if !c.makeSpace(r, size) {
+		if !c.spaceMayCome(until, r) {
 			c.Counts.NoRoom++
-			return PageRefused, RefusalError(fmt.Sprintf("there is no room for more than %d bytes of the result: %d are held by results that are read", r.bytes, c.disk-r.onDisk))
+			return PageRefused, RefusalError(fmt.Sprintf("there is no room for more than %d bytes of the result: %d are held by results that are read", r.bytes, c.diskBytes-r.onDisk))
 		}
 		c.Counts.Waited++
 		return WaitForSpace, nil
@@ -327,7 +327,7 @@
 	r.bytes += size
 	r.rows += int64(rows)
 	r.team.bytes += size
-	c.memory += size
+	c.memoryBytes += size
 	r.inMemory += size
 	if n := len(r.pages); n > 0 && r.pages[n-1].state == inMemory && len(r.pages[n-1].body)+len(body) <= c.PageBytes {
 		p := &r.pages[n-1]
@@ -346,60 +346,60 @@
 // Commit tells that the last page of a result was taken. tell hears whether it is promised,
 // perhaps at once.
 func (c *Core) Commit(now time.Duration, r *Result, tell func(error)) {
-	c.at(now)
-	r.promised = tell
-	r.number(c)
-	r.made, r.ends, r.wall = c.now, c.now+c.MaxAge, c.wall+c.now.Milliseconds()
-	r.endsWall = c.wall + r.ends.Milliseconds()
-	r.count = len(r.pages)
-	r.sizes = sums(func(i int) uint32 { return r.pages[i].size }, func(i int) uint32 { return r.pages[i].rows }, r.count)
-	if c.MaxDiskBytes == 0 || r.count == 1 { // one page is all handed out with the answer
-		c.settled(r)
+	c.advance(now)
+	r.onCommitted = tell
+	r.assignID(c)
+	r.createdAt, r.expiresAt, r.createdWall = c.now, c.now+c.MaxAge, c.startWall+c.now.Milliseconds()
+	r.expiresWall = c.startWall + r.expiresAt.Milliseconds()
+	r.pageCount = len(r.pages)
+	r.pageChecksum = checksumPages(func(i int) uint32 { return r.pages[i].size }, func(i int) uint32 { return r.pages[i].rows }, r.pageCount)
+	if c.MaxDiskBytes == 0 || r.pageCount == 1 { // one page is all handed out with the answer
+		c.finishWrites(r)
 		return
 	}
-	rows := make([]uint32, r.count)
+	rows := make([]uint32, r.pageCount)
 	for i := range r.pages {
 		rows[i] = r.pages[i].rows
 	}
-	c.write(r, r.count, &Metadata{ResultID: r.id, Query: r.query, Team: r.team.name, CreatedWall: c.wall + c.now.Milliseconds(), ExpiresWall: r.endsWall, PageRows: rows, InvalidationTag: r.tag})
+	c.write(r, r.pageCount, &Metadata{ResultID: r.id, Query: r.query, Team: r.team.name, CreatedWall: c.startWall + c.now.Milliseconds(), ExpiresWall: r.expiresWall, PageRows: rows, InvalidationTag: r.tag})
 }
 
 // number gives it the number that it has on disk.
-func (r *Result) number(c *Core) {
+func (r *Result) assignID(c *Core) {
 	if r.id == 0 {
-		c.next++
-		r.id = c.next
+		c.lastID++
+		r.id = c.lastID
 	}
 }
 
 // forget frees the memory of a result that is on disk.
-func (c *Core) forget(r *Result) {
-	c.unlist(r)
+func (c *Core) releaseMemory(r *Result) {
+	c.removeFromLRU(r)
 	for i := range r.pages {
-		c.uncachePage(r, &r.pages[i])
+		c.releasePage(r, &r.pages[i])
 	}
 	r.pages = nil
 }
 
 // Pages is how many pages a result holds, beside its Bytes and Rows; Kept is how long it
 // lasts unless it is read.
-func (r *Result) Pages() int   { return max(r.count, len(r.pages)) }
+func (r *Result) Pages() int   { return max(r.pageCount, len(r.pages)) }
 func (r *Result) Bytes() int64 { return r.bytes }
 func (r *Result) Rows() int64  { return r.rows }
 
 // TimeToLive is for how long a result can be asked for, from its last read.
-func (c *Core) TimeToLive(r *Result) time.Duration { return min(c.IdleTimeout, r.ends-c.now) }
+func (c *Core) TimeToLive(r *Result) time.Duration { return min(c.IdleTimeout, r.expiresAt-c.now) }
 
 // Drop gives a result up, whether it is whole or not.
 func (c *Core) Drop(now time.Duration, r *Result) {
-	c.at(now)
-	if r.gone {
+	c.advance(now)
+	if r.dropped {
 		return
 	}
-	r.gone = true
-	delete(c.taking, r)
-	c.forget(r)
-	c.none = false
+	r.dropped = true
+	delete(c.receiving, r)
+	c.releaseMemory(r)
+	c.nothingEvictable = false
 	r.team.bytes -= r.bytes
 	r.team.results--
 	c.forgetTeam(r.team)
@@ -408,31 +408,31 @@
 		delete(c.results, r.id)
 	}
 	if r.onDisk > 0 {
-		c.disk -= r.onDisk
-		c.dead += r.onDisk
+		c.diskBytes -= r.onDisk
+		c.deadBytes += r.onDisk
 		r.onDisk = 0
 		w := &DiskTask{Drop: []uint64{r.id}}
 		w.OnDone = func(now time.Duration) {
-			c.at(now)
-			c.dead = max(0, w.BytesOnDisk-c.disk)
-			c.wake()
+			c.advance(now)
+			c.deadBytes = max(0, w.BytesOnDisk-c.diskBytes)
+			c.notifySpaceWaiters()
 		}
-		c.do(w)
+		c.submit(w)
 	}
-	r.promised = nil
-	c.wake()
+	r.onCommitted = nil
+	c.notifySpaceWaiters()
 }
 
 // Sweep is due now and then: what is past its life goes, and keys are renewed.
 func (c *Core) Sweep(now time.Duration) {
-	c.at(now)
-	if c.now-c.sweepAt < time.Second {
+	c.advance(now)
+	if c.now-c.lastSweep < time.Second {
 		return
 	}
-	c.sweepAt = c.now
+	c.lastSweep = c.now
 	var past []*Result
 	for _, r := range c.results {
-		if r.mayGo() && c.now >= r.life(c) {
+		if r.isIdle() && c.now >= r.expiry(c) {
 			past = append(past, r)
 		}
 	}
@@ -441,8 +441,8 @@
 		c.Counts.Expired++
 		c.Drop(c.now, r)
 	}
-	c.renew()
-	if len(c.room) > 0 {
-		c.wake()
+	c.rotateKeys()
+	if len(c.spaceWaiters) > 0 {
+		c.notifySpaceWaiters()
 	}
 }
--- a/internal/spool/spool_test.go
+++ b/internal/spool/spool_test.go
@@ -30,7 +30,7 @@
 	}
 }
 
-func keys(t interface{ Fatal(...any) }) *Keyring {
+func newKeyring(t interface{ Fatal(...any) }) *Keyring {
 	k, err := NewKeyring(nil, time.Hour, 1_700_000_000_000, secrets(1))
 	if err != nil {
 		t.Fatal(err)
@@ -39,7 +39,7 @@
 }
 
 // held is a whole result as the test knows it.
-type held struct {
+type committedResult struct {
 	r      *Result
 	token  string
 	team   string
@@ -50,41 +50,41 @@
 }
 
 // bench plays a spool at random against a disk that takes its time.
-type bench struct {
-	t      *rapid.T
-	c      *Core
-	now    time.Duration
-	work   []*DiskTask
-	disk   map[uint64]map[int][]byte
-	takes  []*take
-	wholes map[uint64]*held
-	fails  bool
-	index  uint64 // of purges
-	purged int
+type model struct {
+	t          *rapid.T
+	c          *Core
+	now        time.Duration
+	work       []*DiskTask
+	disk       map[uint64]map[int][]byte
+	incoming   []*incomingResult
+	committed  map[uint64]*committedResult
+	writesFail bool
+	index      uint64 // of purges
+	purged     int
 }
 
-type take struct {
-	r     *Result
-	team  string
-	bytes []byte
-	wait  bool
-	over  bool // asked to be promised
+type incomingResult struct {
+	r               *Result
+	team            string
+	bytes           []byte
+	waiting         bool
+	commitRequested bool // asked to be promised
 }
 
-func (b *bench) perform(w *DiskTask) {
+func (b *model) perform(w *DiskTask) {
 	for _, p := range w.Pages {
 		if b.disk[p.ResultID] == nil {
 			b.disk[p.ResultID] = map[int][]byte{}
 		}
 		b.disk[p.ResultID][int(p.Number)] = bytes.Clone(p.Body)
 	}
-	if b.fails && len(w.Pages) > 0 {
+	if b.writesFail && len(w.Pages) > 0 {
 		w.Err = errors.New("no space")
 	}
 	for _, id := range w.Drop {
-		if h := b.wholes[id]; h != nil {
-			b.mayGo(h)
-			delete(b.wholes, id)
+		if h := b.committed[id]; h != nil {
+			b.checkEvictable(h)
+			delete(b.committed, id)
 		}
 		delete(b.disk, id)
 	}
@@ -97,14 +97,14 @@
 	}
 	for _, l := range b.disk {
 		for _, p := range l {
-			w.BytesOnDisk += int64(len(p)) + recordCost
+			w.BytesOnDisk += int64(len(p)) + recordOverheadBytes
 		}
 	}
 	w.OnDone(b.now)
 }
 
 // purge has no more of a scope be found at once, and none be on disk once that is told.
-func (b *bench) purge(s *fleet.Scope) {
+func (b *model) purge(s *fleet.Scope) {
 	b.index++
 	var gone []uint64
 	told := false
@@ -119,10 +119,10 @@
 	if !told {
 		b.t.Fatal("unreached isn't told")
 	}
-	for id, h := range b.wholes {
+	for id, h := range b.committed {
 		if h.r.purged {
 			gone = append(gone, id)
-			delete(b.wholes, id)
+			delete(b.committed, id)
 			b.c.ReadPage(b.now, []byte(h.token), h.team, 0, func(_ []byte, err error) {
 				if err != ErrPageNotFound {
 					b.t.Fatal("a token opens what was purged: ", err)
@@ -132,7 +132,7 @@
 	}
 	for _, l := range []map[uint64]*Result{b.c.results} {
 		for _, r := range l {
-			if s.Matches(r.team.name, r.tag.Tables, r.wall) {
+			if s.Matches(r.team.name, r.tag.Tables, r.createdWall) {
 				b.t.Fatal("some is left after a purge")
 			}
 		}
@@ -140,14 +140,14 @@
 }
 
 // mayGo: what was given up was read to its end, past its life, or not being read.
-func (b *bench) mayGo(h *held) {
+func (b *model) checkEvictable(h *committedResult) {
 	within := b.now < min(h.readAt+b.c.IdleTimeout, h.made+b.c.MaxAge)
 	if !h.r.purged && within && len(h.read) > 0 && len(h.read) < len(h.pages)-1 {
 		b.t.Fatalf("given up while it was being read: %d of %d pages", len(h.read), len(h.pages))
 	}
 }
 
-func (b *bench) check() {
+func (b *model) check() {
 	memory, disk, count := int64(0), int64(0), 0
 	see := func(r *Result) {
 		for _, p := range r.pages {
@@ -158,7 +158,7 @@
 		disk += r.onDisk
 		count++
 	}
-	for r := range b.c.taking {
+	for r := range b.c.receiving {
 		see(r)
 	}
 	for _, r := range b.c.results {
@@ -168,12 +168,12 @@
 	if results != count || m != memory || d != disk {
 		b.t.Fatalf("it holds %d results, %d and %d bytes, and says %d, %d, %d", count, memory, disk, results, m, d)
 	}
-	if m > b.c.MaxMemoryBytes || d > b.c.MaxDiskBytes || count > b.c.MaxResults+len(b.c.taking) {
+	if m > b.c.MaxMemoryBytes || d > b.c.MaxDiskBytes || count > b.c.MaxResults+len(b.c.receiving) {
 		b.t.Fatalf("beyond its bounds: %d results, %d of %d in memory, %d of %d on disk", count, m, b.c.MaxMemoryBytes, d, b.c.MaxDiskBytes)
 	}
 	for name, team := range b.c.teams {
 		n, size := 0, int64(0)
-		for _, l := range []map[*Result]bool{b.c.taking} {
+		for _, l := range []map[*Result]bool{b.c.receiving} {
 			for r := range l {
 				if r.team == team {
 					n, size = n+1, size+r.bytes
@@ -194,7 +194,7 @@
 	}
 }
 
-func TestSeeded(t *testing.T) {
+func TestModel(t *testing.T) {
 	promised, evicted, waited, served, purged := 0, 0, 0, 0, 0
 	rapid.Check(t, func(t *rapid.T) {
 		l := Limits{MaxMemoryBytes: 4000, MaxDiskBytes: 20_000, MaxResults: 12, MaxResultBytes: 9000, TeamShare: 0.3, MaxTeamResults: 6, MaxTeamBytes: 14_000, IdleTimeout: 20 * time.Second,
@@ -202,9 +202,9 @@
 		if rapid.Bool().Draw(t, "no disk") {
 			l.MaxDiskBytes = 0
 		}
-		b := &bench{t: t, disk: map[uint64]map[int][]byte{}, wholes: map[uint64]*held{}}
-		b.c = New(l, keys(t), 1_700_000_000_000, 1<<32, func(w *DiskTask) { b.work = append(b.work, w) })
-		add := func(k *take) {
+		b := &model{t: t, disk: map[uint64]map[int][]byte{}, committed: map[uint64]*committedResult{}}
+		b.c = New(l, newKeyring(t), 1_700_000_000_000, 1<<32, func(w *DiskTask) { b.work = append(b.work, w) })
+		add := func(k *incomingResult) {
 			p := bytes.Repeat([]byte{byte('a' + len(k.bytes)%26)}, rapid.IntRange(1, 400).Draw(t, "size"))
 			v, err := b.c.AddPage(b.now, k.r, p, 1, b.now+rapid.SampledFrom([]time.Duration{time.Second, 15 * time.Second}).Draw(t, "until"))
 			if err != nil != (v == PageRefused) {
@@ -214,8 +214,8 @@
 			case PageAccepted:
 				k.bytes = append(k.bytes, p...)
 			case WaitForSpace:
-				k.wait = true
-				b.c.OnSpace(func() { k.wait = false })
+				k.waiting = true
+				b.c.OnSpace(func() { k.waiting = false })
 			case PageRefused:
 				b.c.Drop(b.now, k.r)
 				k.r = nil
@@ -223,35 +223,35 @@
 		}
 		for range 250 {
 			b.now += time.Duration(rapid.IntRange(0, 800).Draw(t, "ms")) * time.Millisecond
-			b.fails = rapid.IntRange(0, 30).Draw(t, "fails") == 0
+			b.writesFail = rapid.IntRange(0, 30).Draw(t, "fails") == 0
 			switch x := rapid.IntRange(0, 12).Draw(t, "what"); {
 			case x == 0:
 				team := []string{"linz", "steyr", "enns"}[rapid.IntRange(0, 2).Draw(t, "team")]
-				if r, err := b.c.Admit(b.now, fmt.Sprint("q", len(b.takes)), team, InvalidationTag{LogIndex: b.index, Tables: []int64{int64(len(b.takes) % 3)}}); err == nil {
-					b.takes = append(b.takes, &take{r: r, team: team})
+				if r, err := b.c.Admit(b.now, fmt.Sprint("q", len(b.incoming)), team, InvalidationTag{LogIndex: b.index, Tables: []int64{int64(len(b.incoming) % 3)}}); err == nil {
+					b.incoming = append(b.incoming, &incomingResult{r: r, team: team})
 				}
-			case x < 6 && len(b.takes) > 0:
-				k := b.takes[rapid.IntRange(0, len(b.takes)-1).Draw(t, "take")]
-				if k.r != nil && k.r.purged && !k.over {
+			case x < 6 && len(b.incoming) > 0:
+				k := b.incoming[rapid.IntRange(0, len(b.incoming)-1).Draw(t, "take")]
+				if k.r != nil && k.r.purged && !k.commitRequested {
 					if v, err := b.c.AddPage(b.now, k.r, []byte("x"), 1, b.now); v != PageRefused || err != ErrPurged {
 						t.Fatal("what was purged is taken in on: ", v, err)
 					}
 					k.r = nil
-				} else if k.r != nil && !k.wait && !k.over {
+				} else if k.r != nil && !k.waiting && !k.commitRequested {
 					add(k)
 				}
-			case x == 6 && len(b.takes) > 0:
-				k := b.takes[rapid.IntRange(0, len(b.takes)-1).Draw(t, "take")]
-				if k.r == nil || k.r.purged || k.over || len(k.bytes) == 0 {
+			case x == 6 && len(b.incoming) > 0:
+				k := b.incoming[rapid.IntRange(0, len(b.incoming)-1).Draw(t, "take")]
+				if k.r == nil || k.r.purged || k.commitRequested || len(k.bytes) == 0 {
 					break
 				}
-				k.over = true
+				k.commitRequested = true
 				b.c.Commit(b.now, k.r, func(err error) {
 					if err != nil {
 						return
 					}
 					promised++
-					h := &held{r: k.r, token: b.c.Token(k.r), team: k.team, read: map[int]bool{}, readAt: b.now, made: k.r.made}
+					h := &committedResult{r: k.r, token: b.c.Token(k.r), team: k.team, read: map[int]bool{}, readAt: b.now, made: k.r.createdAt}
 					from := 0
 					for i := range k.r.pages {
 						h.pages = append(h.pages, k.bytes[from:from+int(k.r.pages[i].size)])
@@ -261,26 +261,26 @@
 						t.Fatal("bytes are lost")
 					}
 					if len(h.pages) > 1 {
-						b.wholes[k.r.id] = h
+						b.committed[k.r.id] = h
 					}
 				})
-			case x == 7 && len(b.takes) > 0:
-				if k := b.takes[rapid.IntRange(0, len(b.takes)-1).Draw(t, "take")]; k.r != nil && !k.over {
+			case x == 7 && len(b.incoming) > 0:
+				if k := b.incoming[rapid.IntRange(0, len(b.incoming)-1).Draw(t, "take")]; k.r != nil && !k.commitRequested {
 					b.c.Drop(b.now, k.r)
 					k.r = nil
 				}
-			case x < 10 && len(b.wholes) > 0:
-				var h *held
-				n := rapid.IntRange(0, len(b.wholes)-1).Draw(t, "whole")
+			case x < 10 && len(b.committed) > 0:
+				var h *committedResult
+				n := rapid.IntRange(0, len(b.committed)-1).Draw(t, "whole")
 				for id := uint64(0); id < 1<<40 && h == nil; id++ { // the n-th by number
-					if x := b.wholes[1<<32+id]; x != nil {
+					if x := b.committed[1<<32+id]; x != nil {
 						if n--; n < 0 {
 							h = x
 						}
 					}
 				}
 				i := rapid.IntRange(0, len(h.pages)-1).Draw(t, "page")
-				live := !h.r.gone && b.now < min(h.readAt+l.IdleTimeout, h.made+l.MaxAge)
+				live := !h.r.dropped && b.now < min(h.readAt+l.IdleTimeout, h.made+l.MaxAge)
 				told := false
 				b.c.ReadPage(b.now, []byte(h.token), h.team, i, func(p []byte, err error) {
 					told = true
@@ -323,8 +323,8 @@
 		purged += b.purged
 		evicted += b.c.Counts.Evicted + b.c.Counts.EvictedAfterRead
 		waited += b.c.Counts.Waited
-		for _, k := range b.takes { // all is given back
-			if k.r != nil && !k.r.whole {
+		for _, k := range b.incoming { // all is given back
+			if k.r != nil && !k.r.complete {
 				b.c.Drop(b.now, k.r)
 			}
 		}
@@ -341,7 +341,7 @@
 }
 
 // whole makes a promised result of two pages.
-func whole(t testing.TB, c *Core, team string) (*Result, string) {
+func commitTwoPages(t testing.TB, c *Core, team string) (*Result, string) {
 	r, err := c.Admit(c.now, "q", team, InvalidationTag{})
 	if err != nil {
 		t.Fatal(err)
@@ -361,25 +361,25 @@
 	return r, token
 }
 
-func usualCore(t testing.TB) *Core {
+func newDiskCore(t testing.TB) *Core {
 	l := DefaultLimits()
 	l.PageBytes = 100
-	return New(l, keys(t), 1_700_000_000_000, 1<<32, func(w *DiskTask) { t.Fatal("work without a disk") })
+	return New(l, newKeyring(t), 1_700_000_000_000, 1<<32, func(w *DiskTask) { t.Fatal("work without a disk") })
 }
 
 // Whatever is wrong with a token it opens nothing, is told the same, and costs the same.
-func TestTokens(t *testing.T) {
-	c := usualCore(t)
-	r, good := whole(t, c, "linz")
+func TestInvalidTokensAreIndistinguishable(t *testing.T) {
+	c := newDiskCore(t)
+	r, good := commitTwoPages(t, c, "linz")
 	read := func(token, team string, page int) (macs int, err error) {
-		before := c.keys.macs
+		before := c.keys.macCount
 		c.ReadPage(c.now, []byte(token), team, page, func(_ []byte, e error) { err = e })
-		return c.keys.macs - before, err
+		return c.keys.macCount - before, err
 	}
 	if _, err := read(good, "linz", 1); err != nil {
 		t.Fatal(err)
 	}
-	_, other := whole(t, c, "steyr")
+	_, other := commitTwoPages(t, c, "steyr")
 	raw, _ := base64.RawURLEncoding.DecodeString(good)
 	bad := map[string][2]string{"another team's": {good, "steyr"}, "of no team": {good, ""}, "another's": {other, "linz"}, "nothing": {"", "linz"},
 		"half": {good[:20], "linz"}, "longer": {good + "A", "linz"}, "no base64": {"!" + good[1:], "linz"}}
@@ -399,15 +399,15 @@
 		}
 	}
 	c.now += c.IdleTimeout // past its life, and not swept yet
-	if macs, err := read(good, "linz", 1); err != ErrPageNotFound || macs != 1 || r.gone {
+	if macs, err := read(good, "linz", 1); err != ErrPageNotFound || macs != 1 || r.dropped {
 		t.Error("past its life: ", err)
 	}
 }
 
-func TestKeysRotate(t *testing.T) {
-	c := usualCore(t)
+func TestKeysRotateWhileTokensStayValid(t *testing.T) {
+	c := newDiskCore(t)
 	c.MaxAge, c.IdleTimeout = 3*time.Hour, 3*time.Hour
-	_, first := whole(t, c, "linz")
+	_, first := commitTwoPages(t, c, "linz")
 	for h := range 40 {
 		c.Sweep(time.Duration(h) * time.Hour / 4)
 		ok := false
@@ -431,12 +431,12 @@
 }
 
 // A clock set back or forward makes a result that was found live no longer than a new one.
-func TestClockSetBack(t *testing.T) {
+func TestClockChangeDoesNotExtendResultLife(t *testing.T) {
 	for _, off := range []time.Duration{-48 * time.Hour, -time.Minute, 0, time.Hour, 48 * time.Hour} {
 		l := DefaultLimits()
 		l.MaxDiskBytes = 1 << 30
 		wall := int64(1_700_000_000_000)
-		c := New(l, keys(t), wall+off.Milliseconds(), 2<<32, func(w *DiskTask) { w.OnDone(0) })
+		c := New(l, newKeyring(t), wall+off.Milliseconds(), 2<<32, func(w *DiskTask) { w.OnDone(0) })
 		c.Restore(&StoredResult{Metadata{ResultID: 1, Query: "q", Team: "linz", CreatedWall: wall, ExpiresWall: wall + l.MaxAge.Milliseconds(), PageRows: []uint32{1, 1}}, []uint32{10, 10}})
 		r := c.results[1]
 		left := c.TimeToLive(r)
@@ -447,21 +447,21 @@
 }
 
 func FuzzToken(f *testing.F) {
-	c := usualCore(f)
-	_, good := whole(f, c, "linz")
+	c := newDiskCore(f)
+	_, good := commitTwoPages(f, c, "linz")
 	f.Add([]byte(good), "linz")
 	f.Add([]byte(good), "")
 	f.Add([]byte("AQAAAAEAAAABAAAAAQ"), "linz")
 	f.Fuzz(func(t *testing.T, token []byte, team string) {
-		if r := c.opened(token, team); (r != nil) != (string(token) == good && team == "linz") {
+		if r := c.openToken(token, team); (r != nil) != (string(token) == good && team == "linz") {
 			t.Fatalf("%q opens %v for %q", token, r, team)
 		}
 	})
 }
 
 func BenchmarkRead(b *testing.B) {
-	c := usualCore(b)
-	_, good := whole(b, c, "linz")
+	c := newDiskCore(b)
+	_, good := commitTwoPages(b, c, "linz")
 	token := []byte(good)
 	for b.Loop() {
 		c.ReadPage(c.now, token, "linz", 1, func([]byte, error) {})
@@ -470,11 +470,11 @@
 
 // Results being drawn that fill the disk between them don't wait for each other for
 // good: who can't have room in its time is refused, and the rest goes on.
-func TestNobodyWaitsForEachOther(t *testing.T) {
+func TestFullDiskRefusesInsteadOfDeadlock(t *testing.T) {
 	l := Limits{MaxMemoryBytes: 20_000, MaxDiskBytes: 40_000, MaxResults: 100, MaxResultBytes: 30_000, TeamShare: 1, MaxTeamResults: 100, IdleTimeout: time.Hour, MaxAge: time.Hour,
 		PageBytes: 1000, MaxWritingBytes: 10_000, MaxReads: 4}
 	var work []*DiskTask
-	c := New(l, keys(t), 0, 1<<32, func(w *DiskTask) { work = append(work, w) })
+	c := New(l, newKeyring(t), 0, 1<<32, func(w *DiskTask) { work = append(work, w) })
 	perform := func() {
 		for len(work) > 0 {
 			w := work[0]
@@ -523,10 +523,10 @@
 
 // What is evicted for room, and in which order: read to the end, past its life, the
 // largest of a team over its share; what is being read within its life never is.
-func TestEvictionOrder(t *testing.T) {
+func TestEvictionOrderSparesResultsBeingRead(t *testing.T) {
 	l := Limits{MaxMemoryBytes: 100_000, MaxDiskBytes: 0, MaxResults: 100, MaxResultBytes: 50_000, TeamShare: 0.3, MaxTeamResults: 100, IdleTimeout: time.Minute, MaxAge: time.Hour,
 		PageBytes: 1000, MaxWritingBytes: 10_000, MaxReads: 4}
-	c := New(l, keys(t), 1_700_000_000_000, 1<<32, func(*DiskTask) { t.Fatal("work without a disk") })
+	c := New(l, newKeyring(t), 1_700_000_000_000, 1<<32, func(*DiskTask) { t.Fatal("work without a disk") })
 	type kept struct {
 		r     *Result
 		token string
@@ -569,17 +569,17 @@
 			t.Fatal("there is no room: ", v)
 		}
 		for i, k := range all {
-			if k.r.gone != (i <= n) {
-				t.Fatalf("after %d more, the %d. of the order is gone: %v", n+1, i+1, k.r.gone)
+			if k.r.dropped != (i <= n) {
+				t.Fatalf("after %d more, the %d. of the order is gone: %v", n+1, i+1, k.r.dropped)
 			}
 		}
-		if reading.r.gone || small.r.gone {
+		if reading.r.dropped || small.r.dropped {
 			t.Fatal("one that is being read is gone, or a smaller one before the largest")
 		}
 	}
 	c.now += 2 * time.Minute // its client is gone for longer than its life
 	c.Sweep(c.now)
-	if !reading.r.gone {
+	if !reading.r.dropped {
 		t.Fatal("it outlives its life")
 	}
 }
--- a/internal/spool/token.go
+++ b/internal/spool/token.go
@@ -19,10 +19,10 @@
 // the mac being the first half of HMAC-SHA-256 (RFC 2104) under that key over what
 // stands before it, a sum of the sizes of all pages, the query and the team.
 const (
-	tokenVersion = 1
-	tokenHead    = 1 + 4 + 8 + 8
-	macSize      = 16
-	tokenSize    = tokenHead + macSize
+	tokenVersion  = 1
+	tokenHeadSize = 1 + 4 + 8 + 8
+	macSize       = 16
+	tokenSize     = tokenHeadSize + macSize
 )
 
 // Key is one of the keys that tokens are made with.
@@ -35,18 +35,18 @@
 // Keyring makes tokens with its newest key and takes those of older ones, for as long
 // as any of their results may live.
 type Keyring struct {
-	keys   []Key // the newest last
-	rotate time.Duration
-	fresh  func() []byte
-	renews bool
-	dummy  Key
-	macs   int // computed so far
+	keys             []Key // the newest last
+	rotationInterval time.Duration
+	newSecret        func() []byte
+	rotating         bool
+	dummyKey         Key
+	macCount         int // computed so far
 }
 
 // NewKeyring makes one whose keys are renewed now and then. fresh gives 32 bytes that
 // nobody can guess. text is what Text gave before, nil for none.
 func NewKeyring(text []byte, rotate time.Duration, wall int64, fresh func() []byte) (*Keyring, error) {
-	k := &Keyring{rotate: rotate, fresh: fresh, dummy: Key{Secret: make([]byte, 32)}}
+	k := &Keyring{rotationInterval: rotate, newSecret: fresh, dummyKey: Key{Secret: make([]byte, 32)}}
 	if len(text) > 0 {
 		if err := json.Unmarshal(text, &k.keys); err != nil {
 			return nil, fmt.Errorf("the keys can't be read: %w", err)
@@ -68,7 +68,7 @@
 	if n := len(k.keys); n > 0 {
 		id = k.keys[n-1].ID + 1
 	}
-	k.keys = append(k.keys, Key{id, wall, k.fresh()})
+	k.keys = append(k.keys, Key{id, wall, k.newSecret()})
 }
 
 // Encode is the keys as they are to be kept, readable by nobody else.
@@ -81,10 +81,10 @@
 }
 
 func (k *Keyring) mac(x *Key, head []byte, r *Result) []byte {
-	k.macs++
+	k.macCount++
 	h := hmac.New(sha256.New, x.Secret)
 	h.Write(head)
-	p := binary.BigEndian.AppendUint64(nil, r.sizes)
+	p := binary.BigEndian.AppendUint64(nil, r.pageChecksum)
 	p = binary.BigEndian.AppendUint32(p, uint32(len(r.query)))
 	h.Write(append(append(p, r.query...), r.team.name...))
 	return h.Sum(nil)[:macSize]
@@ -95,15 +95,15 @@
 	x := &c.keys.keys[len(c.keys.keys)-1]
 	p := binary.BigEndian.AppendUint32([]byte{tokenVersion}, x.ID)
 	p = binary.BigEndian.AppendUint64(p, r.id)
-	p = binary.BigEndian.AppendUint64(p, uint64(r.endsWall))
+	p = binary.BigEndian.AppendUint64(p, uint64(r.expiresWall))
 	return base64.RawURLEncoding.EncodeToString(append(p, c.keys.mac(x, p, r)...))
 }
 
-var nobody = &team{}
+var noTeam = &team{}
 
 // opened is the result that a token opens for a team, nil if it opens none. All
 // that can be wrong costs the same: one look-up of each kind and one mac.
-func (c *Core) opened(text []byte, teamName string) *Result {
+func (c *Core) openToken(text []byte, teamName string) *Result {
 	good := 1
 	need := func(ok bool) {
 		if !ok {
@@ -118,7 +118,7 @@
 		need(false)
 	}
 	need(p[0] == tokenVersion)
-	x := &c.keys.dummy
+	x := &c.keys.dummyKey
 	id := binary.BigEndian.Uint32(p[1:])
 	if i := slices.IndexFunc(c.keys.keys, func(y Key) bool { return y.ID == id }); i >= 0 {
 		x = &c.keys.keys[i]
@@ -128,12 +128,12 @@
 	r := c.results[binary.BigEndian.Uint64(p[5:])]
 	if r == nil {
 		need(false)
-		r = &Result{team: nobody}
+		r = &Result{team: noTeam}
 	}
-	good &= subtle.ConstantTimeCompare(c.keys.mac(x, p[:tokenHead], r), p[tokenHead:])
+	good &= subtle.ConstantTimeCompare(c.keys.mac(x, p[:tokenHeadSize], r), p[tokenHeadSize:])
 	good &= subtle.ConstantTimeCompare([]byte(r.team.name), []byte(teamName))
-	need(int64(binary.BigEndian.Uint64(p[13:])) == r.endsWall)
-	need(c.now < r.life(c) && !r.gone)
+	need(int64(binary.BigEndian.Uint64(p[13:])) == r.expiresWall)
+	need(c.now < r.expiry(c) && !r.dropped)
 	if good != 1 {
 		return nil
 	}
@@ -141,33 +141,33 @@
 }
 
 // keysMost bounds the keys, however often the clock is set.
-const keysMost = 64
+const maxKeys = 64
 
 // renew makes a new key where the newest is old, to be used once it is kept, and
 // drops those whose tokens have all ended.
-func (c *Core) renew() {
+func (c *Core) rotateKeys() {
 	k := c.keys
-	wall := c.wall + c.now.Milliseconds()
+	wall := c.startWall + c.now.Milliseconds()
 	newest := k.keys[len(k.keys)-1]
-	if k.renews || k.rotate <= 0 || time.Duration(wall-newest.CreatedWall)*time.Millisecond < k.rotate && wall >= newest.CreatedWall {
+	if k.rotating || k.rotationInterval <= 0 || time.Duration(wall-newest.CreatedWall)*time.Millisecond < k.rotationInterval && wall >= newest.CreatedWall {
 		return
 	}
 	next := *k
 	next.keys = slices.DeleteFunc(slices.Clone(k.keys), func(x Key) bool {
-		return x.ID != newest.ID && time.Duration(wall-x.CreatedWall)*time.Millisecond > 2*k.rotate+c.MaxAge
+		return x.ID != newest.ID && time.Duration(wall-x.CreatedWall)*time.Millisecond > 2*k.rotationInterval+c.MaxAge
 	})
-	next.keys = next.keys[max(0, len(next.keys)-keysMost+1):]
+	next.keys = next.keys[max(0, len(next.keys)-maxKeys+1):]
 	next.add(wall)
 	if c.MaxDiskBytes == 0 {
 		k.keys = next.keys
 		return
 	}
-	k.renews = true
+	k.rotating = true
 	w := &DiskTask{Keys: next.Encode()}
 	w.OnDone = func(time.Duration) {
-		if k.renews = false; w.Err == nil {
+		if k.rotating = false; w.Err == nil {
 			k.keys = next.keys
 		}
 	}
-	c.do(w)
+	c.submit(w)
 }
