--- a/internal/controller/serving_lease.go
+++ b/internal/controller/serving_lease.go
@@ -120,7 +120,7 @@
 		l.orderInvalidation(o)
 	case fleet.ViewChanged:
 		if l.paging != nil && l.fleetView.Index == 0 { // the first of this run
-			l.paging.core.LogReplaced(o.View.Index)
+			l.paging.core.ReconcileLogIndex(o.View.Index)
 		}
 		l.fleetView = o.View
 		l.residency.viewChanged(o.View)
--- a/internal/spool/purge.go
+++ b/internal/spool/purge.go
@@ -8,35 +8,35 @@
 	"railrelay.dev/railrelay/internal/fleet"
 )
 
-// ErrPurged tells that a result was purged while it was taken in, or while its first page was read.
-var ErrPurged = RefusalError("what is kept of its team was purged before its result was whole")
+// ErrPurged means that a result was purged while it was received, or while its first page was read.
+var ErrPurged = RefusalError("retained data of its team was purged before the result was complete")
 
-// Purged reports whether a purge took the result.
+// Purged reports whether a purge removed the result.
 func (r *Result) Purged() bool { return r.purged }
 
-// Purge gives up what is kept of a scope and was asked for before a place in the record.
-// From this moment no token opens it, a page that is being read from disk is handed out
-// to nobody, and what is being taken in is refused with ErrPurged. unreached is called
-// at once, wiped when no byte of it is on disk any more, with what was found. A program
-// that ends before is to be given the same purge again, before it serves.
+// Purge drops all results that match a scope and whose query was received before an index in the
+// fleet's log. From the call on, no token opens them, a page that is being read from disk is not
+// served, and results that are being received fail with ErrPurged. Purge calls unreached before it
+// returns, and wiped with the counts once the disk holds no byte of these results. If the process
+// ends before that, the caller must run the same purge after the restart, before it serves pages.
 func (c *Core) Purge(now time.Duration, s *fleet.Scope, index uint64, unreached func(), wiped func(fleet.InvalidationCounts)) {
 	c.advance(now)
-	var l []*Result
-	means := func(r *Result) {
+	var matching []*Result
+	collect := func(r *Result) {
 		if r.tag.LogIndex < index && s.Matches(r.owner(), r.tag.Tables, r.createdWall) {
-			l = append(l, r)
+			matching = append(matching, r)
 		}
 	}
 	for r := range c.receiving {
-		means(r)
+		collect(r)
 	}
 	for _, r := range c.results {
-		means(r)
+		collect(r)
 	}
-	// the order of a map must not show
-	slices.SortFunc(l, func(a, b *Result) int { return cmp.Or(cmp.Compare(a.id, b.id), cmp.Compare(a.serial, b.serial)) })
+	// sorted so that the order of the effects doesn't depend on the map
+	slices.SortFunc(matching, func(a, b *Result) int { return cmp.Or(cmp.Compare(a.id, b.id), cmp.Compare(a.serial, b.serial)) })
 	var found fleet.InvalidationCounts
-	for _, r := range l {
+	for _, r := range matching {
 		if r.purged = true; r.failure == nil {
 			r.failure = ErrPurged
 		}
@@ -62,7 +62,7 @@
 	c.submit(w)
 }
 
-// TagOf is what a token's result is found by; none where it opens nothing.
+// TagOf returns the tag of the result that a token opens for a team, or an empty tag if it opens none.
 func (c *Core) TagOf(token []byte, teamName string) InvalidationTag {
 	if r := c.openToken(token, teamName); r != nil {
 		return r.tag
@@ -70,10 +70,10 @@
 	return InvalidationTag{}
 }
 
-// LogReplaced tells the place of the record that is gone by from now on. What is kept by a
-// later one is so by the places of another record, or of a controller alone: it comes
-// before all of this one's.
-func (c *Core) LogReplaced(index uint64) {
+// ReconcileLogIndex takes the current index of the fleet's log after a start. A result with a later
+// index was tagged with the index of another log, or by a controller without a fleet. Such a result
+// counts as older than all entries of this log, so that every purge of the log applies to it.
+func (c *Core) ReconcileLogIndex(index uint64) {
 	for _, r := range c.results {
 		if r.tag.LogIndex > index {
 			r.tag.LogIndex = 0
--- a/internal/spool/reading.go
+++ b/internal/spool/reading.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// ReadFirstPage hands out a whole result's first page, now or once it was read from disk.
+// ReadFirstPage passes the first page of a committed result to tell, at once or after a disk read.
 func (c *Core) ReadFirstPage(now time.Duration, r *Result, tell func(body []byte, err error)) {
 	c.advance(now)
 	if len(r.pages) > 0 && r.pages[0].body != nil {
@@ -15,14 +15,16 @@
 	c.fetch(r, 0, tell)
 }
 
-// ErrPageNotFound is all that is told of a token or page that opens nothing.
+// ErrPageNotFound is the error for every invalid token or page number, so that a client can't learn
+// which part was wrong.
 var ErrPageNotFound = RefusalError("no such page")
 
-// ErrTooManyReads tells that too many pages are being read from disk.
+// ErrTooManyReads means that MaxReads pages are being read from disk.
 var ErrTooManyReads = RefusalError("too many pages are being read")
 
-// ReadPage hands out a page to whoever holds its result's token, now or once it was read
-// from disk. It tells one reason for refusing from another in nothing.
+// ReadPage passes a page of the result that a token opens to tell, at once or after a disk read. The
+// error is ErrPageNotFound for every token or page number that is not valid, ErrTooManyReads, or the
+// error of the disk.
 func (c *Core) ReadPage(now time.Duration, token []byte, teamName string, number int, tell func(body []byte, err error)) {
 	c.advance(now)
 	r := c.openToken(token, teamName)
@@ -45,7 +47,7 @@
 		return
 	}
 	c.fetch(r, number, func(body []byte, err error) {
-		if err == ErrPurged || err == nil && !c.mayServe(r) { // which is nobody's to know
+		if err == ErrPurged || err == nil && !c.mayServe(r) { // the client must not learn the reason
 			c.Counts.BadTokens++
 			body, err = nil, ErrPageNotFound
 		}
@@ -57,7 +59,7 @@
 	return c.MayServe == nil || c.MayServe(r.owner(), r.tag.Tables)
 }
 
-// owner is whose it is.
+// owner returns the data owner that purges and residency rules name.
 func (r *Result) owner() string { return cmp.Or(r.tag.Owner, r.team.name) }
 
 func (c *Core) fetch(r *Result, number int, tell func(body []byte, err error)) {
@@ -70,7 +72,7 @@
 		c.activeReads--
 		r.pendingReads--
 		switch {
-		case r.purged: // whatever was read comes too late
+		case r.purged: // a page read before the purge must not be served
 			tell(nil, ErrPurged)
 		case w.Err != nil:
 			c.Counts.FailedReads++
@@ -84,7 +86,7 @@
 	c.submit(w)
 }
 
-// handed marks a page as read.
+// pageServed counts a page and marks it as read.
 func (c *Core) pageServed(r *Result, number int) {
 	c.Counts.PagesServed++
 	if number == 0 || r.unreadCount == 0 {
--- a/internal/spool/room.go
+++ b/internal/spool/room.go
@@ -2,15 +2,15 @@
 
 import "time"
 
-// comes: room may come by a time, because something is being written or compacted,
-// or a result's life ends.
-func (c *Core) spaceMayCome(until time.Duration, of *Result) bool {
-	own := c.exceedsTeamLimit(of, 1) // then only room of its own team's helps
-	if !own && (c.writingBytes > 0 || c.deadBytes > 0) {
+// spaceMayCome reports whether space for a result may become free before a time, because pages are
+// being written, dropped results are not compacted yet, or another result expires or is in use.
+func (c *Core) spaceMayCome(until time.Duration, waiting *Result) bool {
+	teamIsFull := c.exceedsTeamLimit(waiting, 1) // then only space of the same team helps
+	if !teamIsFull && (c.writingBytes > 0 || c.deadBytes > 0) {
 		return true
 	}
 	for _, r := range c.results {
-		if own && r.team != of.team {
+		if teamIsFull && r.team != waiting.team {
 			continue
 		}
 		if r.expiry(c) <= until || r.pendingReads > 0 || r.pendingWrites > 0 {
@@ -20,12 +20,12 @@
 	return false
 }
 
-// teamFull: with so much more a result's team would have more than any may.
+// exceedsTeamLimit reports whether size more bytes of a result would exceed the limit of its team.
 func (c *Core) exceedsTeamLimit(r *Result, size int64) bool {
 	return c.MaxTeamBytes > 0 && r.team.bytes+size > c.MaxTeamBytes
 }
 
-// most is what any result may have at all.
+// sizeLimit returns the largest size that a result can ever have.
 func (c *Core) sizeLimit() int64 {
 	most := min(c.MaxResultBytes, c.MaxMemoryBytes)
 	if c.MaxDiskBytes > 0 {
@@ -37,7 +37,7 @@
 	return most
 }
 
-// makeRoom finds room for a page, by giving up what may be.
+// makeSpace reports whether a page of a result fits, and evicts other results to make it fit.
 func (c *Core) makeSpace(r *Result, size int64) bool {
 	for c.exceedsTeamLimit(r, size) {
 		if !c.evictOne(r.team, afterRead|expired) {
@@ -67,51 +67,53 @@
 			return false
 		}
 	}
-	// the dead are still there until they are compacted
+	// dropped results take disk space until they are compacted
 	return c.diskBytes+c.deadBytes+r.unwrittenBytes()+size+recordOverheadBytes <= c.MaxDiskBytes+c.MaxDiskBytes/8
 }
 
-// share is what pages being taken in may have of the memory before they go to disk.
+// spillThreshold returns the memory use beyond which pages of results being received go to disk.
 func (c *Core) spillThreshold() int64 { return c.MaxMemoryBytes / 2 }
 
-// OnSpace has do called once, when there may be room again.
-func (c *Core) OnSpace(do func()) { c.spaceWaiters = append(c.spaceWaiters, do) }
+// OnSpace calls notify once, when there may be space again.
+func (c *Core) OnSpace(notify func()) { c.spaceWaiters = append(c.spaceWaiters, notify) }
 
-// wake tells all that wait, in the order in which they came; who finds none waits anew.
+// notifySpaceWaiters calls all waiters in the order in which they registered. A waiter that still
+// finds no space registers again.
 func (c *Core) notifySpaceWaiters() {
-	l := c.spaceWaiters
+	waiters := c.spaceWaiters
 	c.spaceWaiters = nil
-	for _, do := range l {
-		do()
+	for _, notify := range waiters {
+		notify()
 	}
 }
 
-// Why results are evicted.
+// Reasons to evict a result, as bits.
 const (
 	afterRead = 1 << iota
 	expired
 	overShare
 )
 
-// noneFor is how long it isn't looked again for what may be evicted where there was
-// nothing, unless a result went or was read to its end.
+// evictionRetryInterval passes after a scan found nothing to evict, before the next scan. A result
+// that is dropped or read to its end allows the next scan at once.
 const evictionRetryInterval = 100 * time.Millisecond
 
-// life is when a result's life is over unless it is read before.
+// expiry returns when a result expires unless it is read before.
 func (r *Result) expiry(c *Core) time.Duration { return min(r.lastReadAt+c.IdleTimeout, r.expiresAt) }
 
-// mayGo: nothing of it is being read, or written.
+// isIdle reports whether a complete result has no read or write task in progress.
 func (r *Result) isIdle() bool { return r.complete && r.pendingReads == 0 && r.pendingWrites == 0 }
 
-// beingRead: its client is between its first and last page, within its life.
+// isBeingRead reports whether a client has begun to read the result, has not read all of its pages,
+// and the result has not expired.
 func (r *Result) isBeingRead(c *Core) bool {
 	return r.readPastFirst && r.unreadCount > 0 && c.now < r.expiry(c)
 }
 
-// evictOne gives a result up for room, of one team or of any: first one that was read
-// to its end, then one past its life, then the largest of a team over its share. One
-// that is being read within its life is never given up.
-func (c *Core) evictOne(of *team, why int) bool {
+// evictOne drops one result of a team (nil: of any team), for one of the given reasons: a result that
+// was read to its end before one that has expired, before one of a team over its share; of equal
+// results the largest. It never drops a result that is being read and has not expired.
+func (c *Core) evictOne(of *team, reasons int) bool {
 	if c.nothingEvictable && c.now-c.nothingEvictableAt < evictionRetryInterval {
 		return false
 	}
@@ -123,11 +125,11 @@
 		}
 		rank := 0
 		switch {
-		case why&afterRead != 0 && r.unreadCount == 0:
+		case reasons&afterRead != 0 && r.unreadCount == 0:
 			rank = 3
-		case why&expired != 0 && c.now >= r.expiry(c):
+		case reasons&expired != 0 && c.now >= r.expiry(c):
 			rank = 2
-		case why&overShare != 0 && c.isOverShare(r.team):
+		case reasons&overShare != 0 && c.isOverShare(r.team):
 			rank = 1
 		default:
 			continue
@@ -137,7 +139,7 @@
 		}
 	}
 	if best == nil {
-		if of == nil && why == afterRead|expired|overShare {
+		if of == nil && reasons == afterRead|expired|overShare {
 			c.nothingEvictable, c.nothingEvictableAt = true, c.now
 		}
 		return false
@@ -154,16 +156,18 @@
 	return true
 }
 
-// over: a team has more than its share of the room.
+// isOverShare reports whether a team holds more than its share of the disk, or of the memory without
+// a disk.
 func (c *Core) isOverShare(t *team) bool {
-	all := c.MaxDiskBytes
-	if all == 0 {
-		all = c.MaxMemoryBytes
+	capacity := c.MaxDiskBytes
+	if capacity == 0 {
+		capacity = c.MaxMemoryBytes
 	}
-	return float64(t.bytes) > c.TeamShare*float64(all)
+	return float64(t.bytes) > c.TeamShare*float64(capacity)
 }
 
-// uncache frees memory of the page set longest unread that is on disk too.
+// releaseLeastRecentlyRead releases the cached pages of the least recently read result that is on
+// disk. It reports whether there was one.
 func (c *Core) releaseLeastRecentlyRead() bool {
 	first := c.cachedLRU.First()
 	if first == nil {
@@ -173,7 +177,7 @@
 	return true
 }
 
-// list has a result's pages in memory go last of all.
+// addToLRU makes a result the last whose cached pages are released.
 func (c *Core) addToLRU(r *Result) {
 	c.removeFromLRU(r)
 	r.inLRU = true
--- a/internal/spool/spool.go
+++ b/internal/spool/spool.go
@@ -1,11 +1,12 @@
-// Package spool decides what becomes of results that clients read page by page:
-// which are let in, what of them stays in memory and what goes to disk, when drawing
-// a result from its engine has to wait, which are given up for room, and whose token
-// opens what. It is a pure core: no I/O, no clock, no goroutine. What is to be done to
-// the disk it hands out as Work, and hears of when it is done.
+// Package spool manages the results that clients read page by page. It decides which results are
+// admitted, which of their pages stay in memory and which go to disk, when fetching a result from
+// its engine has to wait for space, which results are evicted, and which result a token opens. The
+// package is a pure core: no I/O, clock or goroutine. It submits disk operations as DiskTasks and
+// is called back when they are done.
 //
-// Times are spans since the start, sizes bytes. A result is taken in while its engine
-// hands out its pages, then promised (on disk whole, where there is one), then read.
+// A result is received page by page from its engine, then committed, then read by its client. With
+// a disk, a result of more than one page is committed once the disk holds all of its pages. Times
+// are durations since the start unless a name says wall (milliseconds since 1970); sizes are bytes.
 package spool
 
 import (
@@ -20,53 +21,54 @@
 	"railrelay.dev/railrelay/internal/intrusivelist"
 )
 
-// Limits are the spool's figures. All must be set but Disk.
+// Limits bounds the spool. All fields must be set except MaxDiskBytes and MaxTeamBytes.
 type Limits struct {
-	MaxMemoryBytes  int64         // pages in memory, those on their way to disk too
-	MaxDiskBytes    int64         // pages on disk, 0: there is no disk, and no result outlives the program
-	MaxResults      int           // at once
-	MaxResultBytes  int64         // one result
-	TeamShare       float64       // part of the room that a team may have before it is the first to lose some
-	MaxTeamResults  int           // of one team at once
-	MaxTeamBytes    int64         // of one team, 0: only its share counts, and that where room is short
-	IdleTimeout     time.Duration // a result lives since it was last read
-	MaxAge          time.Duration // and no longer than this from when it was promised
-	PageBytes       int           // pages from the engine are joined up to this size
-	MaxWritingBytes int64         // being written at once
-	MaxReads        int           // pages being read from disk at once
+	MaxMemoryBytes  int64         // pages in memory, including those being written to disk
+	MaxDiskBytes    int64         // pages on disk; 0: no disk, and results are lost when the process ends
+	MaxResults      int           // results at the same time
+	MaxResultBytes  int64         // size of one result
+	TeamShare       float64       // fraction of the space beyond which a team's results are evicted first
+	MaxTeamResults  int           // results of one team at the same time
+	MaxTeamBytes    int64         // all results of one team; 0: no limit but TeamShare, when space is short
+	IdleTimeout     time.Duration // a result expires this long after its last read
+	MaxAge          time.Duration // and at the latest this long after its commit
+	PageBytes       int           // pages from the engine are merged up to this size
+	MaxWritingBytes int64         // page bytes being written to disk at the same time
+	MaxReads        int           // pages being read from disk at the same time
 }
 
-// DefaultLimits are the figures where the set-up says nothing.
+// DefaultLimits returns the limits for settings that are not given.
 func DefaultLimits() Limits {
 	return Limits{MaxMemoryBytes: 16 << 20, MaxResults: 10_000, MaxResultBytes: 1 << 30, TeamShare: 0.25, MaxTeamResults: 1000, IdleTimeout: 15 * time.Minute,
 		MaxAge: 2 * time.Hour, PageBytes: 32 << 10, MaxWritingBytes: 4 << 20, MaxReads: 64}
 }
 
-// DiskTask is one thing for the edge to do to the disk. Done is to be called once with
-// what came of it, whatever that is.
+// DiskTask is an operation that the caller performs on the disk. The caller fills in the outcome
+// and calls OnDone exactly once, also after a failure.
 type DiskTask struct {
 	Pages    []Page
-	Metadata *Metadata
-	Drop     []uint64
-	// Erase is done once no byte of what was dropped before is on disk any more.
+	Metadata *Metadata // of a result that is complete with Pages; nil: none
+	Drop     []uint64  // IDs of results to delete
+	// Erase is done once the disk holds no byte of the results that were dropped before.
 	Erase bool
 	Fetch *Fetch
-	Keys  []byte // the keyring's text, to be kept
+	Keys  []byte // the encoded keyring to store
 
+	// The outcome, filled in by the caller.
 	Err         error
-	FetchedPage []byte // fetched
-	BytesOnDisk int64  // on disk, all that is dead counted
+	FetchedPage []byte // the body of the page that Fetch names
+	BytesOnDisk int64  // including dropped results that are not compacted yet
 	OnDone      func(now time.Duration)
 }
 
-// Page is one to be written.
+// Page is a page to write.
 type Page struct {
 	ResultID uint64
 	Number   uint32
 	Body     []byte
 }
 
-// Metadata is a result that is whole.
+// Metadata describes a complete result.
 type Metadata struct {
 	ResultID                 uint64
 	Query, Team              string
@@ -75,65 +77,65 @@
 	InvalidationTag
 }
 
-// InvalidationTag is what a purge finds a result by.
+// InvalidationTag holds what a purge matches a result by.
 type InvalidationTag struct {
-	Owner    string  // whose it is, where its team doesn't tell
-	LogIndex uint64  // of the record when its query was taken
-	Tables   []int64 // groups of tables that it reads, none: it can't be told
+	Owner    string  // the data owner, if the team doesn't identify it
+	LogIndex uint64  // index in the fleet's log when the query was received
+	Tables   []int64 // table groups that the query reads; empty: unknown
 }
 
-// Fetch is a page to be read.
+// Fetch names a page to read from disk.
 type Fetch struct {
 	ResultID uint64
 	Page     int
 }
 
-// StoredResult is a result that the disk held at the start.
+// StoredResult is a result that was on disk at the start.
 type StoredResult struct {
 	Metadata
-	PageBytes []uint32 // by page
+	PageBytes []uint32 // size of each page
 }
 
-// RefusalError is why a call for pages isn't taken, or a result is killed.
+// RefusalError is the reason why a paged query is not admitted, or why its result is rejected.
 type RefusalError string
 
 func (r RefusalError) Error() string { return string(r) }
 
-// recordCost is what a page takes on disk beyond what it holds.
+// recordOverheadBytes is the space that a page takes on disk beside its body.
 const recordOverheadBytes = 32
 
-// Core is one controller's spool.
+// Core is the spool of one controller. It is used by one goroutine.
 type Core struct {
 	Limits
 	keys               *Keyring
-	startWall          int64 // milliseconds since 1970 at the start
+	startWall          int64 // the start, in milliseconds since 1970
 	lastID             uint64
 	now                time.Duration
 	submit             func(*DiskTask)
 	results            map[uint64]*Result
 	receiving          map[*Result]bool
 	serial             uint64
-	nothingEvictableAt time.Duration // when nothing was found to evict
+	nothingEvictableAt time.Duration // when the last scan found nothing to evict
 	nothingEvictable   bool
 	teams              map[string]*team
-	count              int // results and those let in to become one
+	count              int // results, including those being received
 	memoryBytes        int64
 	diskBytes          int64
-	deadBytes          int64 // on disk, as last told
+	deadBytes          int64 // dropped but not compacted yet, as of the last disk task
 	writingBytes       int64
 	activeReads        int
-	cachedLRU          intrusivelist.List[Result] // with pages in memory that are on disk too, the longest unread first
-	spaceWaiters       []func()                   // wait for room, in turn
+	cachedLRU          intrusivelist.List[Result] // pages both in memory and on disk; least recently read first
+	spaceWaiters       []func()                   // called in this order
 	lastSweep          time.Duration
 
-	// MayServe is asked before a page is handed out, and again once it was read from disk:
-	// what is kept of these tables may be served here. nil: all may.
+	// MayServe reports whether an owner's data of these tables may be served here. It is called
+	// before a page is served, and again once the page was read from disk, since the rules may have
+	// changed meanwhile. nil: all data may be served.
 	MayServe func(owner string, tables []int64) bool
-	// Counts is what happened so far.
-	Counts Counts
+	Counts   Counts
 }
 
-// Counts are counted since the start.
+// Counts holds event counters since the start.
 type Counts struct {
 	Admitted, Committed, Refused, TooLarge, Failed     int
 	NoRoom                                             int
@@ -149,37 +151,37 @@
 	bytes   int64
 }
 
-// Result is one that is being taken in or was promised.
+// Result is a result that is being received or was committed.
 type Result struct {
 	id            uint64
-	serial        uint64 // in which they came
+	serial        uint64 // order of admission
 	query         string
 	team          *team
 	tag           InvalidationTag
-	createdWall   int64 // when its taking in began, or it was promised, in milliseconds since 1970
+	createdWall   int64 // time of the admission, then of the commit, in milliseconds since 1970
 	purged        bool
-	pages         []page // while taken in, and as long as any is in memory
+	pages         []page // while it is received, and as long as any page is in memory
 	pageChecksum  uint64
 	bytes         int64
 	rows          int64
-	onDisk        int64 // what it takes there
+	onDisk        int64 // bytes on disk, with the overhead of records
 	inMemory      int64
 	pageCount     int
 	complete      bool
 	dropped       bool
-	pendingWrites int // pages on their way to disk
+	pendingWrites int // write tasks that are not done
 	failure       error
 	onCommitted   func(error)
-	pendingReads  int // pages being read from disk
+	pendingReads  int // read tasks that are not done
 	readPages     []uint64
 	unreadCount   int
 	createdAt     time.Duration
 	lastReadAt    time.Duration
 	expiresAt     time.Duration
 	expiresWall   int64
-	lruElement    intrusivelist.Element[Result] // of the core's byRead
+	lruElement    intrusivelist.Element[Result] // in Core.cachedLRU
 	inLRU         bool
-	readPastFirst bool // it was asked for pages beyond the first
+	readPastFirst bool // its client has asked for a page by token
 }
 
 type page struct {
@@ -197,7 +199,7 @@
 	onDisk
 )
 
-// sums is a sum of what pages hold, for the token.
+// checksumPages is a checksum of the sizes and row counts of all pages. Tokens contain it.
 func checksumPages(bytes, rows func(i int) uint32, count int) uint64 {
 	d := xxhash.New()
 	var p []byte
@@ -208,16 +210,16 @@
 	return d.Sum64()
 }
 
-// New makes a spool. wall is the start in milliseconds since 1970, first the first
-// number for its results, do where work goes.
-func New(l Limits, keys *Keyring, wall int64, first uint64, do func(*DiskTask)) *Core {
-	return &Core{Limits: l, keys: keys, startWall: wall, lastID: first, submit: do, results: map[uint64]*Result{}, receiving: map[*Result]bool{}, teams: map[string]*team{}}
+// New returns an empty spool. wall is the start in milliseconds since 1970, the IDs of results
+// follow first, and submit receives the disk tasks.
+func New(l Limits, keys *Keyring, wall int64, first uint64, submit func(*DiskTask)) *Core {
+	return &Core{Limits: l, keys: keys, startWall: wall, lastID: first, submit: submit, results: map[uint64]*Result{}, receiving: map[*Result]bool{}, teams: map[string]*team{}}
 }
 
 func (c *Core) advance(now time.Duration) { c.now = max(c.now, now) }
 
-// Restore takes in what the disk held at the start. Its life goes on as the clock on
-// the wall has it, but lasts no longer than a new one's, whatever that clock says.
+// Restore adds a result that was on disk at the start. It expires at the stored wall clock time, but
+// no later than a new result would, so that a changed clock can't extend its life.
 func (c *Core) Restore(f *StoredResult) {
 	r := &Result{id: f.ResultID, query: f.Query, team: c.teamOf(f.Team), pageCount: len(f.PageRows), complete: true, tag: f.InvalidationTag, createdWall: f.CreatedWall}
 	r.pageChecksum = checksumPages(func(i int) uint32 { return f.PageBytes[i] }, func(i int) uint32 { return f.PageRows[i] }, r.pageCount)
@@ -252,28 +254,29 @@
 	}
 }
 
-// Usage is what the spool holds, for the log and for tests.
+// Usage returns the number of results and their bytes in memory and on disk.
 func (c *Core) Usage() (results int, memory, disk int64) { return c.count, c.memoryBytes, c.diskBytes }
 
-// Admit lets a call for pages in, before anything of it is sent, or says why not.
+// Admit begins the result of a paged query before the query is sent to an engine. The error is a
+// RefusalError if there are too many results.
 func (c *Core) Admit(now time.Duration, query, teamName string, tag InvalidationTag) (*Result, error) {
 	c.advance(now)
 	t := c.teamOf(teamName)
 	if t.results >= c.MaxTeamResults && !c.evictOne(t, afterRead|expired) {
 		c.Counts.Refused++
 		c.forgetTeam(t)
-		return nil, RefusalError("too many results of its team are kept")
+		return nil, RefusalError("too many results of this team are retained")
 	}
 	if c.count >= c.MaxResults && !c.evictOne(nil, afterRead|expired|overShare) {
 		c.Counts.Refused++
 		c.forgetTeam(t)
-		return nil, RefusalError("too many results are kept")
+		return nil, RefusalError("too many results are retained")
 	}
 	c.Counts.Admitted++
 	return c.begin(query, t, tag), nil
 }
 
-// AdmitAgain begins the same result for another submission that hands it out.
+// AdmitAgain begins another result for the same query, for a further attempt that returns pages.
 func (c *Core) AdmitAgain(now time.Duration, r *Result) *Result {
 	c.advance(now)
 	again := c.begin(r.query, r.team, r.tag)
@@ -293,18 +296,18 @@
 	return r
 }
 
-// AddOutcome is what becomes of a page that came from an engine.
+// AddOutcome tells what happened to a page from an engine.
 type AddOutcome int
 
 const (
-	PageAccepted AddOutcome = iota // ask for the next
-	WaitForSpace                   // there is no room yet: hand it over again when told
-	PageRefused                    // there can't be: Killed has why
+	PageAccepted AddOutcome = iota // the next page may be fetched
+	WaitForSpace                   // add the page again once OnSpace calls back
+	PageRefused                    // the error says why; the result can't be completed
 )
 
-// AddPage takes a page from the engine. The body is copied. Who waits for room until a
-// time by which none can come is refused at once: the room it holds may be what
-// another needs.
+// AddPage adds a page from the engine and copies its body. If there is no space, and none can become
+// free before until, AddPage refuses the page at once: the space that this result holds may be what
+// another result waits for.
 func (c *Core) AddPage(now time.Duration, r *Result, body []byte, rows uint32, until time.Duration) (AddOutcome, error) {
 	c.advance(now)
 	if r.failure != nil {
@@ -313,12 +316,12 @@
 	size := int64(len(body))
 	if total := r.bytes + size; total > c.sizeLimit() {
 		c.Counts.TooLarge++
-		return PageRefused, RefusalError(fmt.Sprintf("the result is too large: over %d bytes, more than the %d that one may have", total, c.sizeLimit()))
+		return PageRefused, RefusalError(fmt.Sprintf("the result is too large: over %d bytes, and at most %d are allowed", total, c.sizeLimit()))
 	}
 	if !c.makeSpace(r, size) {
 		if !c.spaceMayCome(until, r) {
 			c.Counts.NoRoom++
-			return PageRefused, RefusalError(fmt.Sprintf("there is no room for more than %d bytes of the result: %d are held by results that are read", r.bytes, c.diskBytes-r.onDisk))
+			return PageRefused, RefusalError(fmt.Sprintf("there is no room for more than %d bytes of the result: other results hold %d bytes", r.bytes, c.diskBytes-r.onDisk))
 		}
 		c.Counts.Waited++
 		return WaitForSpace, nil
@@ -343,8 +346,8 @@
 	return PageAccepted, nil
 }
 
-// Commit tells that the last page of a result was taken. tell hears whether it is promised,
-// perhaps at once.
+// Commit completes a result whose last page was added. It calls tell once the result can be read by
+// token, with nil, or once writing it to disk has failed. tell may be called before Commit returns.
 func (c *Core) Commit(now time.Duration, r *Result, tell func(error)) {
 	c.advance(now)
 	r.onCommitted = tell
@@ -353,7 +356,7 @@
 	r.expiresWall = c.startWall + r.expiresAt.Milliseconds()
 	r.pageCount = len(r.pages)
 	r.pageChecksum = checksumPages(func(i int) uint32 { return r.pages[i].size }, func(i int) uint32 { return r.pages[i].rows }, r.pageCount)
-	if c.MaxDiskBytes == 0 || r.pageCount == 1 { // one page is all handed out with the answer
+	if c.MaxDiskBytes == 0 || r.pageCount == 1 { // the answer holds the only page
 		c.finishWrites(r)
 		return
 	}
@@ -364,7 +367,7 @@
 	c.write(r, r.pageCount, &Metadata{ResultID: r.id, Query: r.query, Team: r.team.name, CreatedWall: c.startWall + c.now.Milliseconds(), ExpiresWall: r.expiresWall, PageRows: rows, InvalidationTag: r.tag})
 }
 
-// number gives it the number that it has on disk.
+// assignID gives the result its ID, unless it has one.
 func (r *Result) assignID(c *Core) {
 	if r.id == 0 {
 		c.lastID++
@@ -372,7 +375,7 @@
 	}
 }
 
-// forget frees the memory of a result that is on disk.
+// releaseMemory releases all pages of a result from memory.
 func (c *Core) releaseMemory(r *Result) {
 	c.removeFromLRU(r)
 	for i := range r.pages {
@@ -381,16 +384,19 @@
 	r.pages = nil
 }
 
-// Pages is how many pages a result holds, beside its Bytes and Rows; Kept is how long it
-// lasts unless it is read.
-func (r *Result) Pages() int   { return max(r.pageCount, len(r.pages)) }
+// Pages returns the number of pages.
+func (r *Result) Pages() int { return max(r.pageCount, len(r.pages)) }
+
+// Bytes returns the size of all pages.
 func (r *Result) Bytes() int64 { return r.bytes }
-func (r *Result) Rows() int64  { return r.rows }
 
-// TimeToLive is for how long a result can be asked for, from its last read.
+// Rows returns the number of rows.
+func (r *Result) Rows() int64 { return r.rows }
+
+// TimeToLive returns for how long after a read a result can be read again.
 func (c *Core) TimeToLive(r *Result) time.Duration { return min(c.IdleTimeout, r.expiresAt-c.now) }
 
-// Drop gives a result up, whether it is whole or not.
+// Drop deletes a result, complete or not, from memory and from disk.
 func (c *Core) Drop(now time.Duration, r *Result) {
 	c.advance(now)
 	if r.dropped {
@@ -423,21 +429,22 @@
 	c.notifySpaceWaiters()
 }
 
-// Sweep is due now and then: what is past its life goes, and keys are renewed.
+// Sweep drops expired results and rotates the token keys, at most once a second. The caller runs it
+// periodically.
 func (c *Core) Sweep(now time.Duration) {
 	c.advance(now)
 	if c.now-c.lastSweep < time.Second {
 		return
 	}
 	c.lastSweep = c.now
-	var past []*Result
+	var expiredResults []*Result
 	for _, r := range c.results {
 		if r.isIdle() && c.now >= r.expiry(c) {
-			past = append(past, r)
+			expiredResults = append(expiredResults, r)
 		}
 	}
-	slices.SortFunc(past, func(a, b *Result) int { return cmp.Compare(a.id, b.id) })
-	for _, r := range past {
+	slices.SortFunc(expiredResults, func(a, b *Result) int { return cmp.Compare(a.id, b.id) })
+	for _, r := range expiredResults {
 		c.Counts.Expired++
 		c.Drop(c.now, r)
 	}
--- a/internal/spool/token.go
+++ b/internal/spool/token.go
@@ -12,12 +12,12 @@
 	"time"
 )
 
-// A token is, in base64 (RFC 4648, section 5, without padding):
+// A token is the unpadded URL-safe base64 (RFC 4648, section 5) of these fields, with their bytes:
 //
-//	version (1), key (4), result (8), end of life (8, milliseconds since 1970), mac (16)
+//	version (1), key ID (4), result ID (8), expiry (8, milliseconds since 1970), MAC (16)
 //
-// the mac being the first half of HMAC-SHA-256 (RFC 2104) under that key over what
-// stands before it, a sum of the sizes of all pages, the query and the team.
+// The MAC is the first half of HMAC-SHA-256 (RFC 2104) with that key. It covers the fields before it,
+// the checksum of the sizes and row counts of all pages, the query and the team.
 const (
 	tokenVersion  = 1
 	tokenHeadSize = 1 + 4 + 8 + 8
@@ -25,35 +25,36 @@
 	tokenSize     = tokenHeadSize + macSize
 )
 
-// Key is one of the keys that tokens are made with.
+// Key signs tokens.
 type Key struct {
 	ID          uint32 `json:"ID"`
 	CreatedWall int64  `json:"Made"`   // milliseconds since 1970
 	Secret      []byte `json:"Secret"` // 32 bytes
 }
 
-// Keyring makes tokens with its newest key and takes those of older ones, for as long
-// as any of their results may live.
+// Keyring signs tokens with its newest key. It accepts tokens of older keys for as long as a result
+// that they open may live.
 type Keyring struct {
-	keys             []Key // the newest last
+	keys             []Key // ordered by age, newest last
 	rotationInterval time.Duration
 	newSecret        func() []byte
 	rotating         bool
 	dummyKey         Key
-	macCount         int // computed so far
+	macCount         int // MACs computed so far
 }
 
-// NewKeyring makes one whose keys are renewed now and then. fresh gives 32 bytes that
-// nobody can guess. text is what Text gave before, nil for none.
-func NewKeyring(text []byte, rotate time.Duration, wall int64, fresh func() []byte) (*Keyring, error) {
-	k := &Keyring{rotationInterval: rotate, newSecret: fresh, dummyKey: Key{Secret: make([]byte, 32)}}
+// NewKeyring decodes a keyring from the text that Encode returned before; with no text it makes the
+// first key. A new key follows after each rotation interval; 0: never. newSecret returns 32 random
+// bytes that can't be guessed.
+func NewKeyring(text []byte, rotate time.Duration, wall int64, newSecret func() []byte) (*Keyring, error) {
+	k := &Keyring{rotationInterval: rotate, newSecret: newSecret, dummyKey: Key{Secret: make([]byte, 32)}}
 	if len(text) > 0 {
 		if err := json.Unmarshal(text, &k.keys); err != nil {
-			return nil, fmt.Errorf("the keys can't be read: %w", err)
+			return nil, fmt.Errorf("token keys can't be parsed: %w", err)
 		}
 		for _, x := range k.keys {
 			if len(x.Secret) != 32 {
-				return nil, fmt.Errorf("key %d has %d bytes, not 32", x.ID, len(x.Secret))
+				return nil, fmt.Errorf("token key %d has %d bytes, not 32", x.ID, len(x.Secret))
 			}
 		}
 	}
@@ -71,11 +72,12 @@
 	k.keys = append(k.keys, Key{id, wall, k.newSecret()})
 }
 
-// Encode is the keys as they are to be kept, readable by nobody else.
+// Encode returns the keys as JSON. The text holds the secrets: it must be stored where nobody else
+// can read it.
 func (k *Keyring) Encode() []byte {
 	text, err := json.Marshal(k.keys)
 	if err != nil {
-		panic(err) // numbers and bytes
+		panic(err) // numbers and bytes can always be encoded
 	}
 	return text
 }
@@ -90,7 +92,7 @@
 	return h.Sum(nil)[:macSize]
 }
 
-// Token is what opens a whole result.
+// Token returns the token that opens a committed result.
 func (c *Core) Token(r *Result) string {
 	x := &c.keys.keys[len(c.keys.keys)-1]
 	p := binary.BigEndian.AppendUint32([]byte{tokenVersion}, x.ID)
@@ -99,52 +101,54 @@
 	return base64.RawURLEncoding.EncodeToString(append(p, c.keys.mac(x, p, r)...))
 }
 
+// noTeam stands in for the team of a result that doesn't exist.
 var noTeam = &team{}
 
-// opened is the result that a token opens for a team, nil if it opens none. All
-// that can be wrong costs the same: one look-up of each kind and one mac.
+// openToken returns the result that a token opens for a team, nil if it opens none. Every token,
+// valid or not, costs one lookup of the key, one of the result and one MAC, so that a client can't
+// learn from the time taken which part was wrong.
 func (c *Core) openToken(text []byte, teamName string) *Result {
-	good := 1
-	need := func(ok bool) {
+	valid := 1
+	require := func(ok bool) {
 		if !ok {
-			good = 0
+			valid = 0
 		}
 	}
 	var p [tokenSize]byte
 	if len(text) == base64.RawURLEncoding.EncodedLen(tokenSize) {
 		n, err := base64.RawURLEncoding.Strict().Decode(p[:], text)
-		need(err == nil && n == tokenSize)
+		require(err == nil && n == tokenSize)
 	} else {
-		need(false)
+		require(false)
 	}
-	need(p[0] == tokenVersion)
+	require(p[0] == tokenVersion)
 	x := &c.keys.dummyKey
 	id := binary.BigEndian.Uint32(p[1:])
 	if i := slices.IndexFunc(c.keys.keys, func(y Key) bool { return y.ID == id }); i >= 0 {
 		x = &c.keys.keys[i]
 	} else {
-		need(false)
+		require(false)
 	}
 	r := c.results[binary.BigEndian.Uint64(p[5:])]
 	if r == nil {
-		need(false)
+		require(false)
 		r = &Result{team: noTeam}
 	}
-	good &= subtle.ConstantTimeCompare(c.keys.mac(x, p[:tokenHeadSize], r), p[tokenHeadSize:])
-	good &= subtle.ConstantTimeCompare([]byte(r.team.name), []byte(teamName))
-	need(int64(binary.BigEndian.Uint64(p[13:])) == r.expiresWall)
-	need(c.now < r.expiry(c) && !r.dropped)
-	if good != 1 {
+	valid &= subtle.ConstantTimeCompare(c.keys.mac(x, p[:tokenHeadSize], r), p[tokenHeadSize:])
+	valid &= subtle.ConstantTimeCompare([]byte(r.team.name), []byte(teamName))
+	require(int64(binary.BigEndian.Uint64(p[13:])) == r.expiresWall)
+	require(c.now < r.expiry(c) && !r.dropped)
+	if valid != 1 {
 		return nil
 	}
 	return r
 }
 
-// keysMost bounds the keys, however often the clock is set.
+// maxKeys bounds the number of keys, since a clock that is set often can cause many rotations.
 const maxKeys = 64
 
-// renew makes a new key where the newest is old, to be used once it is kept, and
-// drops those whose tokens have all ended.
+// rotateKeys adds a key if the newest one has reached the rotation interval, and deletes keys whose
+// tokens have all expired. The new keys are used once the disk has stored them.
 func (c *Core) rotateKeys() {
 	k := c.keys
 	wall := c.startWall + c.now.Milliseconds()
--- a/internal/spool/writing.go
+++ b/internal/spool/writing.go
@@ -4,21 +4,21 @@
 	"time"
 )
 
-// flush sends what has most in memory to disk, its last page too: else all memory may
-// be held by pages that wait for more to come.
+// flush writes the result with the most unwritten memory to disk, including its last, partly filled
+// page. Otherwise the partly filled pages of many results could use up the memory limit.
 func (c *Core) flush() {
-	var most *Result
+	var largest *Result
 	for r := range c.receiving {
-		if r.writtenPages() < len(r.pages) && (most == nil || r.inMemory > most.inMemory || r.inMemory == most.inMemory && r.serial < most.serial) {
-			most = r
+		if r.writtenPages() < len(r.pages) && (largest == nil || r.inMemory > largest.inMemory || r.inMemory == largest.inMemory && r.serial < largest.serial) {
+			largest = r
 		}
 	}
-	if most != nil {
-		c.write(most, len(most.pages), nil)
+	if largest != nil {
+		c.write(largest, len(largest.pages), nil)
 	}
 }
 
-// unwritten is what of a result still has to go to disk.
+// unwrittenBytes returns the disk space that the pages not yet submitted for writing will take.
 func (r *Result) unwrittenBytes() int64 {
 	if r.complete {
 		return 0
@@ -26,8 +26,8 @@
 	return r.bytes + int64(len(r.pages))*recordOverheadBytes - r.onDisk
 }
 
-// spill writes full pages of a result once memory is used beyond its share: all but
-// the last, which may still grow.
+// spill writes the pages of a result to disk once memory use exceeds the spill threshold. The last
+// page stays in memory, since the next page may be merged into it.
 func (c *Core) spill(r *Result) {
 	if c.memoryBytes <= c.spillThreshold() {
 		return
@@ -35,8 +35,9 @@
 	c.write(r, len(r.pages)-1, nil)
 }
 
-// write sends pages that are in memory only to disk, up to one of them.
-func (c *Core) write(r *Result, to int, promise *Metadata) {
+// write submits the pages before index to that are only in memory, and the metadata of a result to
+// commit, as one disk task. Without pages and metadata it does nothing.
+func (c *Core) write(r *Result, to int, metadata *Metadata) {
 	r.assignID(c)
 	w := &DiskTask{}
 	var sent []int
@@ -53,10 +54,10 @@
 		r.onDisk += int64(p.size) + recordOverheadBytes
 		c.diskBytes += int64(p.size) + recordOverheadBytes
 	}
-	if len(sent) == 0 && promise == nil {
+	if len(sent) == 0 && metadata == nil {
 		return
 	}
-	w.Metadata = promise
+	w.Metadata = metadata
 	c.writingBytes += size
 	r.pendingWrites++
 	w.OnDone = func(now time.Duration) {
@@ -69,7 +70,7 @@
 				break
 			}
 			p := &r.pages[i]
-			if p.state = onDisk; promise == nil {
+			if p.state = onDisk; metadata == nil {
 				c.releasePage(r, p)
 			}
 		}
@@ -83,7 +84,7 @@
 	c.submit(w)
 }
 
-// written is how many of its first pages need no writing any more.
+// writtenPages returns how many of the first pages are on disk or being written.
 func (r *Result) writtenPages() int {
 	n := 0
 	for n < len(r.pages) && r.pages[n].state != inMemory {
@@ -100,7 +101,7 @@
 	}
 }
 
-// settled goes on once nothing of a result is on its way to disk.
+// finishWrites ends the commit of a result once none of its pages is being written.
 func (c *Core) finishWrites(r *Result) {
 	if r.pendingWrites > 0 || r.onCommitted == nil {
 		return
@@ -127,7 +128,7 @@
 	delete(c.receiving, r)
 	tell(nil)
 	switch {
-	case r.pageCount == 1: // nothing is left to ask for
+	case r.pageCount == 1: // the answer held the only page
 		c.Drop(c.now, r)
 	case c.MaxDiskBytes == 0 || r.dropped:
 	case c.memoryBytes > c.spillThreshold() || r.inMemory == 0:
