--- a/internal/residency/change.go
+++ b/internal/residency/change.go
@@ -9,32 +9,32 @@
 	"railrelay.dev/railrelay/internal/fleet"
 )
 
-// ValidateRules finds what is wrong with rules: names, sites and teams that there are not, and
-// rules for the same tables that leave nothing. nil for sites or teams: any will do.
+// ValidateRules returns the flaws of rules: missing or duplicate names, unknown sites and teams, and
+// rules for the same tables that leave no site. nil for sites or teams allows any name.
 func ValidateRules(rules []Rule, sites, teams []string) (flaws []*Flaw) {
-	wrong := func(i int, field, form string, args ...any) {
-		flaws = append(flaws, &Flaw{i, field, fmt.Sprintf(form, args...)})
+	addFlaw := func(i int, field, format string, args ...any) {
+		flaws = append(flaws, &Flaw{i, field, fmt.Sprintf(format, args...)})
 	}
 	names := map[string]bool{}
 	for i, r := range rules {
 		switch {
 		case r.Name == "":
-			wrong(i, "name", "is missing")
+			addFlaw(i, "name", "is missing")
 		case names[r.Name]:
-			wrong(i, "name", "a second rule is called %q", r.Name)
+			addFlaw(i, "name", "a second rule is called %q", r.Name)
 		}
 		names[r.Name] = true
 		switch {
 		case r.Team == "":
-			wrong(i, "team", "is missing: a rule binds one team")
+			addFlaw(i, "team", "is missing: a rule binds one team")
 		case teams != nil && !slices.Contains(teams, r.Team):
-			wrong(i, "team", "no team is called %q", r.Team)
+			addFlaw(i, "team", "no team is called %q", r.Team)
 		}
 		if len(r.Engines) == 0 && r.Controllers == nil && r.Keep == nil {
-			wrong(i, "engines", "is missing: the rule binds nothing to a site")
+			addFlaw(i, "engines", "is missing: the rule binds nothing to a site")
 		}
 		if r.Controllers != nil && len(r.Controllers) == 0 {
-			wrong(i, "controllers", "is empty: no controller could take a query")
+			addFlaw(i, "controllers", "is empty: no controller could take a query")
 		}
 		for _, l := range []struct {
 			field string
@@ -42,29 +42,29 @@
 		}{{"engines", r.Engines}, {"controllers", r.Controllers}, {"keep", r.Keep}, {"emergency.sites", r.Emergency.Sites}} {
 			for j, s := range l.sites {
 				if sites != nil && !slices.Contains(sites, s) {
-					wrong(i, fmt.Sprintf("%s[%d]", l.field, j), "no location is called %q", s)
+					addFlaw(i, fmt.Sprintf("%s[%d]", l.field, j), "no location is called %q", s)
 				}
 				if l.field == "emergency.sites" && slices.Contains(r.Engines, s) {
-					wrong(i, fmt.Sprintf("%s[%d]", l.field, j), "%q is inside anyway", s)
+					addFlaw(i, fmt.Sprintf("%s[%d]", l.field, j), "%q is one of the rule's engine sites already", s)
 				}
 			}
 		}
 		for j, t := range r.Tables {
 			if t < 0 {
-				wrong(i, fmt.Sprintf("tables[%d]", j), "%d is no table group", t)
+				addFlaw(i, fmt.Sprintf("tables[%d]", j), "%d is not a table group", t)
 			}
 		}
 		switch e := r.Emergency; {
 		case len(e.Sites) > 0 && e.After <= 0:
-			wrong(i, "emergency.after", "is missing: how long must all inside be lost")
+			addFlaw(i, "emergency.after", "is missing: how long must all engine sites be lost")
 		case len(e.Sites) == 0 && e.After > 0:
-			wrong(i, "emergency.sites", "is missing: which further sites are allowed")
+			addFlaw(i, "emergency.sites", "is missing: which additional sites are allowed")
 		case len(e.Sites) > 0 && len(r.Engines) == 0:
-			wrong(i, "emergency", "widens nothing: the rule names no engines")
+			addFlaw(i, "emergency", "has no effect: the rule names no engines")
 		}
 	}
 	if len(flaws) > 0 {
-		return flaws // what is wrong by itself needn't be told as a clash, too
+		return flaws // a flawed rule would be reported again as a conflict
 	}
 	for team, l := range bindTables(rules, nil) {
 		for _, tables := range tableClasses(l) {
@@ -75,7 +75,7 @@
 			last := v.Conflict.Rules[len(v.Conflict.Rules)-1]
 			i := slices.IndexFunc(rules, func(r Rule) bool { return r.Name == last })
 			if !slices.ContainsFunc(flaws, func(f *Flaw) bool { return f.RuleIndex == i }) {
-				wrong(i, v.Conflict.Role+"s", "rules %s leave team %q no %s for %s", strings.Join(v.Conflict.Rules, " and "), team,
+				addFlaw(i, v.Conflict.Role+"s", "rules %s leave team %q no %s for %s", strings.Join(v.Conflict.Rules, " and "), team,
 					v.Conflict.Role, describeTables(tables))
 			}
 		}
@@ -84,8 +84,8 @@
 	return flaws
 }
 
-// classes are the tables that rules may treat unlike each other: each that is named
-// alone, and all others together, as none.
+// tableClasses splits the tables into classes that all rules treat alike: one class for each table
+// that a rule names, and an empty list for all other tables.
 func tableClasses(rules ...[]*boundRule) [][]int64 {
 	var named []int64
 	for _, l := range rules {
@@ -105,30 +105,29 @@
 // Tightening is a boundary that a change makes narrower.
 type Tightening struct {
 	Team   string   `json:"team"`
-	Rules  []string `json:"rules"`            // that draw it from now on
-	Tables []int64  `json:"tables,omitempty"` // none: all that no rule names
-	// EngineSites are the sites inside from now on; nil: all. What runs elsewhere must
-	// have ended before the change is settled, if Ends.
+	Rules  []string `json:"rules"`            // the new rules that apply
+	Tables []int64  `json:"tables,omitempty"` // empty: all tables that no rule names
+	// EngineSites are the sites whose engines may run queries after the change; nil: all. With
+	// EndsRunningQueries, queries at other sites must have ended before the change is complete.
 	EngineSites        []string `json:"engines"`
 	EndsRunningQueries bool     `json:"ends"`
-	// PurgeScope is what has to go: what is kept outside. nil: nothing can be kept there.
+	// PurgeScope matches the data retained outside the new boundary; nil: there can be none.
 	PurgeScope *fleet.Scope `json:"purge,omitempty"`
 }
 
-// narrower: something of a is not in b; nil is everywhere.
-func isNarrower(a, b []string) bool {
-	if b == nil {
+// isNarrower reports whether a site of before is missing in after; nil stands for all sites.
+func isNarrower(before, after []string) bool {
+	if after == nil {
 		return false
 	}
-	return a == nil || slices.ContainsFunc(a, func(s string) bool { return !slices.Contains(b, s) })
+	return before == nil || slices.ContainsFunc(before, func(s string) bool { return !slices.Contains(after, s) })
 }
 
-// FindTightenings tells which boundaries other rules make narrower. Wider ones need nothing:
-// they are left out. Results of which the tables can't be told belong to each of a
-// team's purges.
+// FindTightenings returns the boundaries that new rules make narrower. Boundaries that become wider
+// need no action and are left out. A result whose tables are unknown matches each purge of its team.
 func FindTightenings(old, next []Rule, bindings []fleet.Binding) (l []Tightening) {
 	before, after := bindTables(old, bindings), bindTables(next, bindings)
-	for _, team := range teamNames(next) { // a team without rules from now on is narrower nowhere
+	for _, team := range teamNames(next) { // a team without new rules has no boundary that could be narrower
 		for _, tables := range tableClasses(before[team], after[team]) {
 			a, b := evaluateRules(before[team], tables, true, nil), evaluateRules(after[team], tables, true, nil)
 			t := Tightening{Team: team, Rules: b.RuleNames, Tables: tables, EngineSites: b.EngineSites, EndsRunningQueries: isNarrower(a.EngineSites, b.EngineSites)}
@@ -151,7 +150,7 @@
 	return l
 }
 
-// PurgeScopes is what of a change of rules has to be purged before it is settled.
+// PurgeScopes returns the scopes that must be purged before a change of the rules is complete.
 func PurgeScopes(old, next []Rule, bindings []fleet.Binding) (l []fleet.Scope) {
 	for _, t := range FindTightenings(old, next, bindings) {
 		if t.PurgeScope != nil {
@@ -161,6 +160,7 @@
 	return l
 }
 
+// canMerge reports whether two tightenings differ only in their tables.
 func (t Tightening) canMerge(x Tightening) bool {
 	same := t.Team == x.Team && t.EndsRunningQueries == x.EndsRunningQueries && slices.Equal(t.Rules, x.Rules) && slices.Equal(t.EngineSites, x.EngineSites)
 	if !same || t.PurgeScope == nil || x.PurgeScope == nil {
@@ -169,6 +169,7 @@
 	return slices.Equal(t.PurgeScope.OutsideSites, x.PurgeScope.OutsideSites)
 }
 
+// teamNames returns the names of the teams that have rules, without duplicates.
 func teamNames(rules []Rule) (l []string) {
 	for _, r := range rules {
 		if !slices.Contains(l, r.Team) {
@@ -178,50 +179,51 @@
 	return l
 }
 
-// PlanInput is what a plan is made against.
+// PlanInput is the state of the fleet that a plan is based on.
 type PlanInput struct {
 	Engines     []Engine
 	Controllers []fleet.Member
 	Bindings    []fleet.Binding
-	Retained    []RetainedData // as far as known
+	Retained    []RetainedData // may be incomplete
 }
 
-// Engine is one of the list's, with the threads that it has.
+// Engine is an engine of the discovery list, with its number of threads.
 type Engine struct {
 	Name, Site string
 	Threads    float64
 }
 
-// RetainedData is what a controller keeps of a team.
+// RetainedData counts the data of a team that a controller retains.
 type RetainedData struct {
 	Controller, Team string
 	Counts           fleet.InvalidationCounts
 }
 
-// ChangePlan is what a change of rules would do. Shares are of all engines' threads, 0 to 1.
+// ChangePlan describes the effects of a change of the rules. Shares are fractions of all engines'
+// threads, from 0 to 1.
 type ChangePlan struct {
 	Rows             []PlanRow `json:"rows"`
-	TeamsWithoutSite []string  `json:"none"` // teams that would have no engine for some of their tables
+	TeamsWithoutSite []string  `json:"none"` // teams that would have no engine or controller for some of their tables
 }
 
-// PlanRow is one team's tables that are treated alike.
+// PlanRow describes the effects on tables of one team that all rules treat alike.
 type PlanRow struct {
 	Team               string                   `json:"team"`
-	Tables             []int64                  `json:"tables,omitempty"` // none: all that no rule names
+	Tables             []int64                  `json:"tables,omitempty"` // empty: all tables that no rule names
 	Rules              []string                 `json:"rules"`
 	ShareBefore        float64                  `json:"share_before"`
 	ShareAfter         float64                  `json:"share_after"`
-	EnginesOutside     []string                 `json:"engines_outside"`     // that it has now and would lose
-	ControllersOutside []string                 `json:"controllers_outside"` // that may take it now and could no longer
-	PurgeOn            []string                 `json:"purge_on"`            // controllers on which what is kept would go
-	RetainedOutside    fleet.InvalidationCounts `json:"kept_outside"`        // of the whole team, on those
+	EnginesOutside     []string                 `json:"engines_outside"`     // engines that the team would lose
+	ControllersOutside []string                 `json:"controllers_outside"` // controllers that could no longer serve its queries
+	PurgeOn            []string                 `json:"purge_on"`            // controllers whose retained data would be purged
+	RetainedOutside    fleet.InvalidationCounts `json:"kept_outside"`        // retained data of the whole team on the controllers of PurgeOn
 	Conflict           string                   `json:"conflict,omitempty"`
 }
 
-// PlanChange tells what other rules would do, before they are applied.
+// PlanChange returns the effects that new rules would have.
 func PlanChange(old, next []Rule, w PlanInput) *ChangePlan {
 	before, after := bindTables(old, w.Bindings), bindTables(next, w.Bindings)
-	o := &ChangePlan{Rows: []PlanRow{}, TeamsWithoutSite: []string{}}
+	plan := &ChangePlan{Rows: []PlanRow{}, TeamsWithoutSite: []string{}}
 	total := 0.0
 	for _, e := range w.Engines {
 		total += e.Threads
@@ -247,13 +249,13 @@
 					row.EnginesOutside = append(row.EnginesOutside, e.Name)
 				}
 			}
-			takers := 0
+			servingControllers := 0
 			for _, m := range w.Controllers {
 				if m.Forgotten {
 					continue
 				}
 				if includes(b.ControllerSites, m.Site) {
-					takers++
+					servingControllers++
 				} else if includes(a.ControllerSites, m.Site) {
 					row.ControllersOutside = append(row.ControllersOutside, m.Name)
 				}
@@ -266,15 +268,16 @@
 					}
 				}
 			}
-			if none := row.ShareAfter == 0 || takers == 0; none && !slices.Contains(o.TeamsWithoutSite, team) {
-				o.TeamsWithoutSite = append(o.TeamsWithoutSite, team)
+			if none := row.ShareAfter == 0 || servingControllers == 0; none && !slices.Contains(plan.TeamsWithoutSite, team) {
+				plan.TeamsWithoutSite = append(plan.TeamsWithoutSite, team)
 			}
-			o.Rows = append(o.Rows, row)
+			plan.Rows = append(plan.Rows, row)
 		}
 	}
-	return o
+	return plan
 }
 
+// describeTables names the tables of a class in an error message.
 func describeTables(tables []int64) string {
 	if len(tables) == 0 {
 		return "tables that no rule names"
@@ -282,7 +285,7 @@
 	return "table group " + strings.Trim(fmt.Sprint(tables), "[]")
 }
 
-// Table is the outlook for people.
+// Table formats the plan as a text table.
 func (o *ChangePlan) Table() string {
 	var text strings.Builder
 	w := tabwriter.NewWriter(&text, 0, 0, 2, ' ', 0)
--- a/internal/residency/errors.go
+++ b/internal/residency/errors.go
@@ -7,7 +7,7 @@
 	"railrelay.dev/railrelay/internal/fleet"
 )
 
-// Conflict tells that rules leave no site for a query.
+// Conflict means that the rules for a query have no engine site, or no controller site, in common.
 type Conflict struct {
 	Role  string // engine or controller
 	Team  string
@@ -18,45 +18,45 @@
 	return fmt.Sprintf("rules %s of team %q have no %s site in common", strings.Join(c.Rules, " and "), c.Team, c.Role)
 }
 
-// Remedy says what an operator can do.
+// Remedy tells an operator how to resolve the error.
 func (c *Conflict) Remedy() string {
 	return "split the query, or give these rules a site in common with `fleet apply`"
 }
 
-// Outside tells that this controller is outside the boundary of a query.
+// Outside means that a rule doesn't allow this controller to serve a query.
 type Outside struct {
 	Team, Site string
 	Rules      []string
-	// Controllers are the addresses of those that may take it.
+	// Controllers are the addresses of controllers that may serve the query.
 	Controllers []string
 }
 
 func (o *Outside) Error() string {
-	return fmt.Sprintf("a controller at site %q is outside rule %s of team %q", o.Site, strings.Join(o.Rules, ", "), o.Team)
+	return fmt.Sprintf("a controller at site %q is not allowed by rule %s of team %q", o.Site, strings.Join(o.Rules, ", "), o.Team)
 }
 
-// Remedy says what an operator can do.
+// Remedy tells an operator how to resolve the error.
 func (o *Outside) Remedy() string {
 	if len(o.Controllers) == 0 {
-		return "start a controller inside: none is known that may take this team's queries"
+		return "start a controller at an allowed site: no known controller may serve this team's queries"
 	}
 	return "send this team's queries to " + strings.Join(o.Controllers, ", ")
 }
 
-// Untold tells that the tables of a load can't be found out, and a rule follows what it
-// would take along.
+// Untold means that the tables of a load can't be determined although a rule follows loads, so that
+// it is unknown which tables the rule would have to bind.
 type Untold struct{ Team, Rule string }
 
 func (u *Untold) Error() string {
-	return fmt.Sprintf("which tables this load reads and writes can't be told, and rule %s of team %q follows data", u.Rule, u.Team)
+	return fmt.Sprintf("the tables that this load reads and writes can't be determined, and rule %s of team %q follows loads", u.Rule, u.Team)
 }
 
-// Remedy says what an operator can do.
+// Remedy tells an operator how to resolve the error.
 func (u *Untold) Remedy() string {
 	return "write each table with its schema's name, as in sales_3.orders, or bind all tables of the team"
 }
 
-// Unbound tells that what a load binds could not be recorded before it had to be sent.
+// Unbound means that the binding of a load could not be logged before the load had to be sent.
 type Unbound struct {
 	Team   string
 	Tables []int64
@@ -64,18 +64,18 @@
 }
 
 func (u *Unbound) Error() string {
-	return fmt.Sprintf("that tables %v of team %q are bound is not in the record: %s", u.Tables, u.Team, u.Reason)
+	return fmt.Sprintf("the log has no binding of tables %v of team %q: %s", u.Tables, u.Team, u.Reason)
 }
 
-// Remedy says what an operator can do.
+// Remedy tells an operator how to resolve the error.
 func (u *Unbound) Remedy() string {
 	return "see `fleet status`: without a majority of the voters nothing can be recorded"
 }
 
-// Flaw is what is wrong with a rule by itself or beside the others.
+// Flaw is an error in a rule, or a conflict of a rule with others.
 type Flaw struct {
-	RuleIndex int    // its place
-	Field     string // in the set-up's words, with a place in a list
+	RuleIndex int    // index in the list of rules
+	Field     string // as the settings name it, with the index in a list
 	Reason    string
 }
 
@@ -83,10 +83,12 @@
 	return fmt.Sprintf("placement[%d].%s: %s", f.RuleIndex, f.Field, f.Reason)
 }
 
-// Remedy says what an operator can do.
-func (f *Flaw) Remedy() string { return "mend the rule in the file: nothing of it was taken over" }
+// Remedy tells an operator how to resolve the error.
+func (f *Flaw) Remedy() string {
+	return "correct the rule in the file: no part of the file was applied"
+}
 
-// Errors is one sample of each error of this package.
+// Errors returns one sample of each error type of this package.
 func Errors() []fleet.ErrorWithRemedy {
 	return []fleet.ErrorWithRemedy{
 		&Conflict{"engine", "bank", []string{"swiss", "austrian"}},
--- a/internal/residency/golden_test.go
+++ b/internal/residency/golden_test.go
@@ -6,7 +6,7 @@
 	"railrelay.dev/railrelay/internal/goldentest"
 )
 
-// Scripts read what the commands print as JSON.
+// Scripts parse the JSON output of the commands, so its keys must not change.
 func TestGoldenKeysOfPlans(t *testing.T) {
 	goldentest.Same(t, "outlook_keys", goldentest.KeyPaths(goldentest.JSON, ChangePlan{}))
 	goldentest.Same(t, "tightening_keys", goldentest.KeyPaths(goldentest.JSON, Tightening{}))
--- a/internal/residency/residency.go
+++ b/internal/residency/residency.go
@@ -1,10 +1,10 @@
 // Package residency decides where a tenant's data may be: on which engines its queries run,
 // which controllers serve them, and where results and cached answers are retained. A rule binds
-// all tables of a tenant or some, to sites that the set-up names. The package is pure: no I/O,
-// clock or goroutine. It never widens what the scheduler may choose from.
+// all or some tables of a tenant to sites that the setup names. The package is a pure core: no I/O,
+// clock or goroutine. It only narrows the scheduler's choice of engines.
 //
-// A query that touches several rules stays inside all of them. One whose tables can't be
-// told, of a tenant that has rules, is taken as touching all of these.
+// A query to which several rules apply must comply with all of them. If the tables of a query are
+// unknown, all rules of its tenant apply.
 package residency
 
 import (
@@ -15,30 +15,31 @@
 	"railrelay.dev/railrelay/internal/fleet"
 )
 
-// Rule binds tables of a tenant to sites. Names of rules are unique.
+// Rule binds tables of a tenant to sites. The name of a rule is unique.
 type Rule struct {
 	Name   string
 	Team   string
-	Tables []int64 // none: all that the tenant has
-	// Engines are the sites whose engines may run its queries; none: all.
+	Tables []int64 // empty: all tables of the tenant
+	// Engines are the sites whose engines may run its queries; empty: all sites.
 	Engines []string
-	// Controllers are the sites whose controllers may serve them; nil: as Engines.
+	// Controllers are the sites whose controllers may serve its queries; nil: as Engines.
 	Controllers []string
 	// Keep are the sites where results and cached answers may be retained; nil: as
-	// Controllers, empty but not nil: nowhere.
+	// Controllers, empty but not nil: none.
 	Keep []string
-	// Follows: a load that reads these tables into others binds those, too.
+	// Follows extends the rule to every table that a load fills from one of its tables.
 	Follows   bool
 	Emergency Emergency
 }
 
-// Emergency names further sites whose engines are allowed once all inside are lost for After.
+// Emergency names additional sites whose engines are allowed once all engine sites of the rule have
+// been lost for the duration After.
 type Emergency struct {
 	Sites []string
 	After time.Duration
 }
 
-// controllerSites is empty for everywhere.
+// controllerSites returns the sites whose controllers the rule allows; empty: all sites.
 func (r *Rule) controllerSites() []string {
 	if r.Controllers != nil {
 		return r.Controllers
@@ -46,7 +47,8 @@
 	return r.Engines
 }
 
-// retentionSites is nil for everywhere.
+// retentionSites returns the sites where the rule allows retained data. Without Keep, an empty list
+// means all sites.
 func (r *Rule) retentionSites() []string {
 	if r.Keep != nil {
 		return r.Keep
@@ -54,21 +56,21 @@
 	return r.controllerSites()
 }
 
-// boundRule is a rule with all tables that it came to bind.
+// boundRule is a rule with all tables that it binds, including those that loads filled.
 type boundRule struct {
 	Rule
 	allTables bool
 	tables    map[int64]bool
 }
 
-// appliesTo reports whether the rule binds one of these tables; where they aren't known it may.
+// appliesTo reports whether the rule binds one of these tables. It applies if the tables are unknown.
 func (b *boundRule) appliesTo(tables []int64, known bool) bool {
 	return !known || b.allTables || slices.ContainsFunc(tables, func(t int64) bool { return b.tables[t] })
 }
 
-// bindTables works out what each rule binds, by tenant. A table that a load filled from a bound one
-// is bound, too, in whichever order the loads were logged. That may bind more than the data
-// did, and never less.
+// bindTables determines which tables each rule binds, by tenant. A rule that follows loads also binds
+// each table that a load filled from a bound table, regardless of the order in which the loads were
+// logged. The result may contain tables that hold no bound data, but it misses none that does.
 func bindTables(rules []Rule, bindings []fleet.Binding) map[string][]*boundRule {
 	teams := map[string][]*boundRule{}
 	for _, r := range rules {
@@ -76,15 +78,15 @@
 		for _, t := range r.Tables {
 			b.tables[t] = true
 		}
-		for more := r.Follows && !b.allTables; more; {
-			more = false
+		for changed := r.Follows && !b.allTables; changed; {
+			changed = false
 			for _, x := range bindings {
 				if x.Team != r.Team || !slices.ContainsFunc(x.SourceTables, func(t int64) bool { return b.tables[t] }) {
 					continue
 				}
 				for _, t := range x.Tables {
 					if !b.tables[t] {
-						b.tables[t], more = true, true
+						b.tables[t], changed = true, true
 					}
 				}
 			}
@@ -94,16 +96,16 @@
 	return teams
 }
 
-// Decision is what the rules say of one query. Its lists are shared: they must not be changed.
+// Decision holds what the rules allow for one query. Its slices are shared and must not be modified.
 type Decision struct {
-	RuleApplies     bool      // a rule applies
-	RuleNames       []string  // the names of those that do
-	EngineSites     []string  // sites whose engines may run it; nil: all
-	ControllerSites []string  // sites whose controllers may serve it; nil: all
-	RetentionSites  []string  // sites where its result may be retained; nil: all, empty: nowhere
-	MayServe        bool      // this controller may serve it
-	MayRetain       bool      // this controller may retain its result or answer
-	Conflict        *Conflict // the rules leave no site; nil: they leave some
+	RuleApplies     bool      // at least one rule applies
+	RuleNames       []string  // names of the rules that apply
+	EngineSites     []string  // sites whose engines may run the query; nil: all
+	ControllerSites []string  // sites whose controllers may serve the query; nil: all
+	RetentionSites  []string  // sites where its result may be retained; nil: all, empty: none
+	MayServe        bool      // this controller may serve the query
+	MayRetain       bool      // this controller may retain the result or answer
+	Conflict        *Conflict // the rules leave no engine or controller site; nil: no conflict
 }
 
 // AllowsEngineSite reports whether an engine of this site may run the query.
@@ -111,10 +113,10 @@
 	return v.Conflict == nil && includes(v.EngineSites, site)
 }
 
-// includes reports whether a list has a site; nil is everywhere.
+// includes reports whether a list contains a site; nil stands for all sites.
 func includes(sites []string, site string) bool { return sites == nil || slices.Contains(sites, site) }
 
-// intersect is what two lists have in common; nil is everywhere.
+// intersect returns the sites that are in both lists; nil stands for all sites.
 func intersect(a, b []string) []string {
 	if a == nil || b == nil {
 		if a == nil {
@@ -131,7 +133,7 @@
 	return both
 }
 
-// emptyAsAll makes an empty list nil, as a rule means it: everywhere.
+// emptyAsAll turns an empty list of a rule, which stands for all sites, into nil.
 func emptyAsAll(sites []string) []string {
 	if len(sites) == 0 {
 		return nil
@@ -139,11 +141,12 @@
 	return sites
 }
 
-// evaluate applies all rules of a tenant. emergencies has the rules whose emergency is on; nil: none.
+// evaluateRules applies all rules of a tenant to a query. emergencies has the names of the rules with
+// a declared emergency; nil: none.
 func evaluateRules(
 	rules []*boundRule, tables []int64, known bool, emergencies map[string]uint64,
 ) (v Decision) {
-	var applying []*boundRule
+	var applicable []*boundRule
 	allowed := func(b *boundRule) []string {
 		if _, on := emergencies[b.Name]; on && len(b.Engines) > 0 {
 			return append(slices.Clone(b.Engines), b.Emergency.Sites...)
@@ -154,91 +157,93 @@
 		if !b.appliesTo(tables, known) {
 			continue
 		}
-		applying = append(applying, b)
+		applicable = append(applicable, b)
 		v.RuleApplies = true
 		v.RuleNames = append(v.RuleNames, b.Name)
 		v.EngineSites = intersect(v.EngineSites, allowed(b))
 		v.ControllerSites = intersect(v.ControllerSites, emptyAsAll(b.controllerSites()))
 		if b.Keep != nil {
-			v.RetentionSites = intersect(v.RetentionSites, b.Keep) // an empty one is nowhere
+			v.RetentionSites = intersect(v.RetentionSites, b.Keep) // an empty Keep allows no site
 		} else {
 			v.RetentionSites = intersect(v.RetentionSites, emptyAsAll(b.retentionSites()))
 		}
 	}
 	switch {
 	case v.EngineSites != nil && len(v.EngineSites) == 0:
-		v.Conflict = findConflict(applying, "engine", allowed)
+		v.Conflict = findConflict(applicable, "engine", allowed)
 	case v.ControllerSites != nil && len(v.ControllerSites) == 0:
 		controllers := func(b *boundRule) []string { return emptyAsAll(b.controllerSites()) }
-		v.Conflict = findConflict(applying, "controller", controllers)
+		v.Conflict = findConflict(applicable, "controller", controllers)
 	}
 	return v
 }
 
-// findConflict names two rules that have no site in common, or all if only all together have none.
-func findConflict(applying []*boundRule, what string, of func(*boundRule) []string) *Conflict {
-	c := &Conflict{Role: what, Team: applying[0].Team}
-	for i, a := range applying {
-		for _, b := range applying[i+1:] {
-			if l := intersect(of(a), of(b)); l != nil && len(l) == 0 {
+// findConflict names two rules that have no site in common, or, if each two have one, all rules that
+// restrict the sites.
+func findConflict(applicable []*boundRule, role string, sitesOf func(*boundRule) []string) *Conflict {
+	c := &Conflict{Role: role, Team: applicable[0].Team}
+	for i, a := range applicable {
+		for _, b := range applicable[i+1:] {
+			if common := intersect(sitesOf(a), sitesOf(b)); common != nil && len(common) == 0 {
 				c.Rules = []string{a.Name, b.Name}
 				return c
 			}
 		}
 	}
-	for _, b := range applying {
-		if of(b) != nil {
+	for _, b := range applicable {
+		if sitesOf(b) != nil {
 			c.Rules = append(c.Rules, b.Name)
 		}
 	}
 	return c
 }
 
-// Core is what one controller knows of the rules in force. It is used by one goroutine.
+// Core evaluates the rules in force at one controller. It is used by one goroutine.
 type Core struct {
-	site           string // where the controller is
+	site           string // of this controller
 	rules          []Rule
-	rulesByTeam    map[string][]*boundRule // worked out of rules, fleetView and unseenBindings
+	rulesByTeam    map[string][]*boundRule // derived from rules, fleetView and unseenBindings
 	fleetView      fleet.View
-	unseenBindings []fleet.Binding // in the log, and not in fleetView yet
+	unseenBindings []fleet.Binding // logged, but not in fleetView yet
 
-	generation uint64                   // changes with all of the above
-	decisions  map[decisionKey]Decision // of queries on one table, until anything changes
+	generation uint64                   // increases with each change of the fields above
+	decisions  map[decisionKey]Decision // cached for queries on at most one table, of this generation
 
-	crossings     []EmergencyCrossing // the latest
-	crossingCount int
+	crossings     []EmergencyCrossing // the most recent, at most maxCrossings
+	crossingCount int                 // since the start
 }
 
-// verdictKey is what a remembered verdict is of.
+// decisionKey identifies a cached decision.
 type decisionKey struct {
 	team    string
 	table   int64
 	noTable bool
 }
 
-// maxVerdicts bounds what is remembered: clients choose the numbers in their statements.
+// maxDecisions bounds the cache, since clients choose the table numbers in their statements.
 const maxDecisions = 4096
 
-// New makes the Core of a controller at a site; "" is at none, and inside no boundary.
+// New returns the Core of a controller at a site. A controller without a site ("") is allowed by no
+// rule that names sites.
 func New(site string) *Core {
 	return &Core{site: site, generation: 1, decisions: map[decisionKey]Decision{}}
 }
 
-// SetRules replaces the rules: from now on all is judged by them.
+// SetRules replaces the rules.
 func (c *Core) SetRules(rules []Rule) {
 	c.rules = slices.Clone(rules)
 	c.rebuild()
 }
 
-// SetFleetView takes what the log says: what loads bound, and which emergencies are on.
-func (c *Core) SetFleetView(p *fleet.View) {
-	same := slices.EqualFunc(p.Bindings, c.fleetView.Bindings, equalBindings) &&
-		maps.Equal(p.Emergencies, c.fleetView.Emergencies)
-	c.fleetView = *p
+// SetFleetView replaces the bindings of loads and the declared emergencies by those of a view.
+func (c *Core) SetFleetView(view *fleet.View) {
+	same := slices.EqualFunc(view.Bindings, c.fleetView.Bindings, equalBindings) &&
+		maps.Equal(view.Emergencies, c.fleetView.Emergencies)
+	c.fleetView = *view
 	c.unseenBindings = slices.DeleteFunc(c.unseenBindings, func(b fleet.Binding) bool {
-		return covers(p.Bindings, b)
+		return covers(view.Bindings, b)
 	})
-	if !same { // most pictures only tell of other controllers
+	if !same { // most views change only the state of other controllers
 		c.rebuild()
 	}
 }
@@ -247,7 +252,8 @@
 	return a.Team == b.Team && slices.Equal(a.Tables, b.Tables) && slices.Equal(a.SourceTables, b.SourceTables)
 }
 
-// covers reports whether one of the bindings binds as much. The log joins those that follow the same.
+// covers reports whether one of the bindings has the same source tables as b and binds at least the
+// same tables. The log merges bindings with the same source tables.
 func covers(l []fleet.Binding, b fleet.Binding) bool {
 	return slices.ContainsFunc(l, func(x fleet.Binding) bool {
 		return x.Team == b.Team && slices.Equal(x.SourceTables, b.SourceTables) &&
@@ -255,7 +261,7 @@
 	})
 }
 
-// AddRecordedBinding tells that the log has a binding, though no view of the fleet has shown it yet.
+// AddRecordedBinding applies a binding that the log has, before a view of the fleet contains it.
 func (c *Core) AddRecordedBinding(b fleet.Binding) {
 	if !covers(c.fleetView.Bindings, b) && !covers(c.unseenBindings, b) {
 		c.unseenBindings = append(c.unseenBindings, b)
@@ -263,55 +269,56 @@
 	}
 }
 
-// Site is where this controller is.
+// Site returns the site of this controller.
 func (c *Core) Site() string { return c.site }
 
-// rebind works out anew what the rules bind, and forgets all verdicts.
+// rebuild derives the bound tables again and clears the cached decisions.
 func (c *Core) rebuild() {
 	c.rulesByTeam = bindTables(c.rules, slices.Concat(c.fleetView.Bindings, c.unseenBindings))
 	c.generation++
 	clear(c.decisions)
 }
 
-// Generation changes with all that verdicts depend on: an older verdict must be asked for anew.
+// Generation increases with each change that decisions depend on. A decision of an older generation
+// is outdated.
 func (c *Core) Generation() uint64 { return c.generation }
 
-// HasRules reports whether a tenant has a rule at all. Of others nothing need be found out.
+// HasRules reports whether a tenant has any rule. Without one, the tables of its queries don't matter.
 func (c *Core) HasRules(team string) bool { return len(c.rulesByTeam[team]) > 0 }
 
-// Decide says where a tenant's query on some tables may be. known: these are all the
-// tables that it touches.
+// Decide returns where a tenant's query on these tables may run, be served and be retained. known
+// says that the query uses no other tables.
 func (c *Core) Decide(team string, tables []int64, known bool) Decision {
 	rules := c.rulesByTeam[team]
 	if len(rules) == 0 {
 		return Decision{MayServe: true, MayRetain: true}
 	}
-	k := decisionKey{team: team, noTable: len(tables) == 0}
-	if !k.noTable {
-		k.table = tables[0]
+	key := decisionKey{team: team, noTable: len(tables) == 0}
+	if !key.noTable {
+		key.table = tables[0]
 	}
-	remember := known && len(tables) <= 1
-	if v, ok := c.decisions[k]; ok && remember {
+	cacheable := known && len(tables) <= 1
+	if v, ok := c.decisions[key]; ok && cacheable {
 		return v
 	}
 	v := evaluateRules(rules, tables, known, c.fleetView.Emergencies)
 	v.MayServe = v.Conflict == nil && includes(v.ControllerSites, c.site)
 	v.MayRetain = v.Conflict == nil && includes(v.RetentionSites, c.site)
-	if remember && len(c.decisions) < maxDecisions {
-		c.decisions[k] = v
+	if cacheable && len(c.decisions) < maxDecisions {
+		c.decisions[key] = v
 	}
 	return v
 }
 
-// MissingBinding is what must be in the log before a load may be sent: nil if nothing is missing
-// there. read and written are the tables of its statement. A load of which these aren't known
-// can't be followed: the error is an *Untold where a rule follows data.
+// MissingBinding returns the binding that the log must have before a load may be sent; nil: none is
+// missing. read and written are the tables of the load's statement. If they are unknown and a rule
+// follows loads, the error is an *Untold.
 func (c *Core) MissingBinding(team string, read, written []int64, known bool) (*fleet.Binding, error) {
 	need := &fleet.Binding{Team: team}
 	for _, b := range c.rulesByTeam[team] {
 		switch {
 		case !b.Follows || b.allTables:
-			continue // what has all tables bound already follows none
+			continue // a rule that binds all tables has no further tables to bind
 		case !known:
 			return nil, &Untold{Team: team, Rule: b.Name}
 		case !b.appliesTo(read, true):
@@ -340,7 +347,7 @@
 	return slices.Compact(l)
 }
 
-// EmergencyCrossing is a query that an emergency let go to an engine outside its rule's own sites.
+// EmergencyCrossing records an attempt that an emergency allowed at an engine outside the sites of its rule.
 type EmergencyCrossing struct {
 	Query string `json:"query"`
 	Team  string `json:"team"`
@@ -348,11 +355,11 @@
 	Site  string `json:"site"`
 }
 
-// maxCrossings bounds the list: the latest are listed, all are counted.
+// maxCrossings bounds the list of recent crossings; the count includes all of them.
 const maxCrossings = 1000
 
-// RecordAttempt notes an attempt at an engine of a site, and reports whether it left a rule's own sites in an
-// emergency.
+// RecordAttempt records an attempt at an engine of a site. It reports whether the site is outside the
+// sites of a rule, which only an emergency allows.
 func (c *Core) RecordAttempt(query, team string, v *Decision, site string) (outside bool) {
 	for _, b := range c.rulesByTeam[team] {
 		if !slices.Contains(v.RuleNames, b.Name) || includes(emptyAsAll(b.Engines), site) {
@@ -368,13 +375,12 @@
 	return outside
 }
 
-// RecentCrossings lists the latest crossings, and how many there were in all.
+// RecentCrossings returns the most recent crossings, and the number of all since the start.
 func (c *Core) RecentCrossings() ([]EmergencyCrossing, int) {
 	return slices.Clone(c.crossings), c.crossingCount
 }
 
-// IsOutsideRules reports whether a query runs at a site that its rules themselves, without any emergency,
-// forbid.
+// IsOutsideRules reports whether the rules forbid a query at a site when no emergency is declared.
 func (c *Core) IsOutsideRules(team string, tables []int64, known bool, site string) bool {
 	rules := c.rulesByTeam[team]
 	if len(rules) == 0 {
@@ -384,7 +390,8 @@
 	return !v.AllowsEngineSite(site)
 }
 
-// EmergencyRules are the rules that name further sites: the fleet watches whether all inside is lost.
+// EmergencyRules returns the rules with emergency sites. The fleet declares an emergency when it has
+// lost all engine sites of one of them.
 func EmergencyRules(rules []Rule) (l []fleet.EmergencyRule) {
 	for _, r := range rules {
 		if len(r.Emergency.Sites) > 0 && len(r.Engines) > 0 {
@@ -394,11 +401,11 @@
 	return l
 }
 
-// EmergencyRules are those of the rules in force.
+// EmergencyRules returns the rules in force with emergency sites.
 func (c *Core) EmergencyRules() []fleet.EmergencyRule { return EmergencyRules(c.rules) }
 
-// ScopeAfterEmergency is what has to be invalidated once a rule's emergency has ended: what was retained
-// where the rule forbids it. nil: nothing can be, its results may be anywhere.
+// ScopeAfterEmergency returns the scope to purge once the emergency of a rule has ended: the data
+// retained at sites that the rule forbids. nil: the rule allows retained data at all sites.
 func ScopeAfterEmergency(rules []Rule, name string) *fleet.Scope {
 	for _, r := range rules {
 		if r.Name == name {
@@ -408,9 +415,9 @@
 	return nil
 }
 
-func retentionScope(team string, tables []int64, keepers []string, anywhere bool) *fleet.Scope {
+func retentionScope(team string, tables []int64, sites []string, anywhere bool) *fleet.Scope {
 	if anywhere {
 		return nil
 	}
-	return &fleet.Scope{Team: team, Tables: tables, OutsideSites: keepers}
+	return &fleet.Scope{Team: team, Tables: tables, OutsideSites: sites}
 }
--- a/internal/residency/residency_test.go
+++ b/internal/residency/residency_test.go
@@ -35,13 +35,13 @@
 		t.Fatalf("%+v", v)
 	}
 	if v := c.Decide("bank", nil, false); v.Conflict == nil {
-		t.Fatalf("what can't be told is taken as all: %+v", v)
+		t.Fatalf("unknown tables must count as all tables: %+v", v)
 	}
 	if v := c.Decide("bank", []int64{9}, true); v.RuleApplies || !v.MayServe || !v.AllowsEngineSite("anywhere") {
 		t.Fatalf("%+v", v)
 	}
 	if c.HasRules("other") || !c.Decide("other", []int64{1}, true).MayServe {
-		t.Fatal("a rule binds its own team")
+		t.Fatal("a rule applies to another team")
 	}
 }
 
@@ -56,17 +56,17 @@
 		t.Fatal(need, err)
 	}
 	if _, err := c.MissingBinding("bank", nil, nil, false); err == nil {
-		t.Fatal("a load that can't be told can't be followed")
+		t.Fatal("a load with unknown tables needs no binding")
 	}
 	old := c.Generation()
-	// recorded in an order in which the second follows what only the third binds
+	// the source of the second binding is bound only by the third
 	c.SetFleetView(&fleet.View{Bindings: []fleet.Binding{
 		{Team: "bank", Tables: []int64{2}, SourceTables: []int64{1}},
 		{Team: "bank", Tables: []int64{4}, SourceTables: []int64{3}},
 		{Team: "bank", Tables: []int64{3}, SourceTables: []int64{2}},
 		{Team: "other", Tables: []int64{8}, SourceTables: []int64{1}}}})
 	if c.Generation() == old {
-		t.Fatal("verdicts from before would hold on")
+		t.Fatal("outdated decisions stay valid: the generation is the same")
 	}
 	for _, n := range []int64{2, 3, 4} {
 		if v := c.Decide("bank", []int64{n}, true); v.AllowsEngineSite("wien") || !v.AllowsEngineSite("linz") {
@@ -74,10 +74,10 @@
 		}
 	}
 	if v := c.Decide("bank", []int64{8}, true); v.RuleApplies {
-		t.Fatal("another team's load bound it")
+		t.Fatal("a load of another team binds the table")
 	}
 	if need, _ := c.MissingBinding("bank", []int64{2}, []int64{3}, true); need != nil {
-		t.Fatal("bound already", need)
+		t.Fatal("the table is bound already", need)
 	}
 }
 
@@ -95,7 +95,7 @@
 	}
 	for i := range maxCrossings + 5 {
 		if !c.RecordAttempt(fmt.Sprint(i), "bank", &v, "wien") || c.RecordAttempt(fmt.Sprint(i), "bank", &v, "linz") {
-			t.Fatal("what crosses is told apart")
+			t.Fatal("only an attempt outside the rule's sites is a crossing")
 		}
 	}
 	if l, n := c.RecentCrossings(); len(l) != maxCrossings || n != maxCrossings+5 || l[0].Query != "5" {
@@ -120,7 +120,7 @@
 		t.Fatalf("%+v", got)
 	}
 	if got := FindTightenings(next, old, bindings); len(got) > 0 {
-		t.Fatalf("widening needs nothing: %+v", got)
+		t.Fatalf("wider rules are reported as tightened: %+v", got)
 	}
 	o := PlanChange(old, []Rule{{Name: "a", Team: "bank", Tables: []int64{1}, Engines: []string{"graz"}}}, PlanInput{Bindings: bindings,
 		Engines:     []Engine{{"e1", "linz", 30}, {"e2", "ulm", 10}},
@@ -140,9 +140,9 @@
 		`no team is called "shop"`:     {{Name: "a", Team: "shop", Engines: []string{"linz"}}},
 		"rules a and b leave": {{Name: "a", Team: "bank", Engines: []string{"linz"}},
 			{Name: "b", Team: "bank", Tables: []int64{1}, Engines: []string{"wien"}}},
-		"binds nothing":   {{Name: "a", Team: "bank"}},
-		"inside anyway":   {{Name: "a", Team: "bank", Engines: []string{"linz"}, Emergency: Emergency{[]string{"linz"}, 1}}},
-		"must all inside": {{Name: "a", Team: "bank", Engines: []string{"linz"}, Emergency: Emergency{Sites: []string{"wien"}}}},
+		"binds nothing":         {{Name: "a", Team: "bank"}},
+		"engine sites already":  {{Name: "a", Team: "bank", Engines: []string{"linz"}, Emergency: Emergency{[]string{"linz"}, 1}}},
+		"must all engine sites": {{Name: "a", Team: "bank", Engines: []string{"linz"}, Emergency: Emergency{Sites: []string{"wien"}}}},
 	} {
 		if flaws := ValidateRules(rules, sites, teams); len(flaws) != 1 || !strings.Contains(flaws[0].Error(), want) {
 			t.Errorf("%q: %v", want, flaws)
@@ -151,12 +151,12 @@
 	apart := []Rule{{Name: "a", Team: "bank", Tables: []int64{1}, Engines: []string{"linz"}},
 		{Name: "b", Team: "bank", Tables: []int64{2}, Engines: []string{"wien"}}}
 	if flaws := ValidateRules(apart, sites, teams); len(flaws) > 0 {
-		t.Error("only a query on both has no site", flaws)
+		t.Error("rules for different tables are reported as a conflict", flaws)
 	}
 }
 
-// Whatever the rules, no verdict lets a query to where a rule that it touches forbids,
-// and what isn't reported as tightened was as narrow before.
+// For any rules, no decision allows an engine site that an applicable rule forbids, and a boundary
+// that is not reported as tightened is not narrower than before.
 func TestDecisionsNeverLeaveRuleSites(t *testing.T) {
 	sites := []string{"a", "b", "c"}
 	some := rapid.SliceOfDistinct(rapid.SampledFrom(sites), rapid.ID[string])
@@ -183,25 +183,25 @@
 		site := rapid.SampledFrom(sites).Draw(t, "site")
 		v := b.Decide("t", tables, known)
 		for _, r := range next {
-			says := !known || len(r.Tables) == 0 || slices.ContainsFunc(tables, func(n int64) bool { return slices.Contains(r.Tables, n) })
-			if says && len(r.Engines) > 0 && !slices.Contains(r.Engines, site) && v.AllowsEngineSite(site) {
+			applies := !known || len(r.Tables) == 0 || slices.ContainsFunc(tables, func(n int64) bool { return slices.Contains(r.Tables, n) })
+			if applies && len(r.Engines) > 0 && !slices.Contains(r.Engines, site) && v.AllowsEngineSite(site) {
 				t.Fatalf("%+v forbids %s: %+v", r, site, v)
 			}
 		}
 		if len(tables) != 1 || !known {
 			return
 		}
-		told := slices.ContainsFunc(FindTightenings(old, next, nil), func(x Tightening) bool {
+		reported := slices.ContainsFunc(FindTightenings(old, next, nil), func(x Tightening) bool {
 			return slices.Equal(x.Tables, tables) || slices.Contains(x.Tables, tables[0]) || len(x.Tables) == 0
 		})
-		if was := a.Decide("t", tables, true); !told && was.AllowsEngineSite(site) && !v.AllowsEngineSite(site) {
-			t.Fatalf("not told: %v to %v", was, v)
+		if was := a.Decide("t", tables, true); !reported && was.AllowsEngineSite(site) && !v.AllowsEngineSite(site) {
+			t.Fatalf("a tightening is not reported: %v to %v", was, v)
 		}
 	})
 }
 
 func TestMain(m *testing.M) {
-	flag.Set("rapid.seed", "20261202") // the same verdict every time
+	flag.Set("rapid.seed", "20261202") // the same cases in each run
 	m.Run()
 }
 
--- a/internal/spool/room.go
+++ b/internal/spool/room.go
@@ -3,7 +3,8 @@
 import "time"
 
 // spaceMayCome reports whether space for a result may become free before a time, because pages are
-// being written, dropped results are not compacted yet, or another result expires or is in use.
+// being written, dropped results are not compacted yet, or another result expires, is being read or
+// is being written.
 func (c *Core) spaceMayCome(until time.Duration, waiting *Result) bool {
 	teamIsFull := c.exceedsTeamLimit(waiting, 1) // then only space of the same team helps
 	if !teamIsFull && (c.writingBytes > 0 || c.deadBytes > 0) {
