--- a/internal/resultcache/entries.go
+++ b/internal/resultcache/entries.go
@@ -6,13 +6,13 @@
 )
 
 const (
-	// entryOverheadBytes is what an entry takes beside its pages and statement.
+	// entryOverheadBytes approximates the memory of an entry beside its pages and statement.
 	entryOverheadBytes = 256
-	pageOverheadBytes  = 24 // a slice's header
+	pageOverheadBytes  = 24 // the size of a slice header
 )
 
-// insert caches the answer of a flight, and evicts others for it; one that is too large or
-// too old already is not cached.
+// insert caches the answer of a flight and evicts other entries to make space. It doesn't cache an
+// answer that is too large or has expired already.
 func (c *Cache) insert(f *flight, r *Request, pages [][]byte) {
 	size := int64(entryOverheadBytes + len(r.Statement) + pageOverheadBytes*len(pages))
 	for _, p := range pages {
@@ -56,7 +56,8 @@
 	c.appendToLRU(e)
 }
 
-// evictionCandidate is the longest unused entry of tenants over their share, or else of all.
+// evictionCandidate returns the least recently used entry of all tenants over their share, or of all
+// tenants if none is over its share.
 func (c *Cache) evictionCandidate() (candidate *entry) {
 	candidateIsOver := false
 	for _, t := range c.tenants {
@@ -79,7 +80,7 @@
 	e.tenant.lru.Append(&e.lruElement, e)
 }
 
-// touch notes that an entry was used.
+// touch makes an entry the most recently used one of its tenant.
 func (c *Cache) touch(e *entry) {
 	e.tenant.lru.Remove(&e.lruElement)
 	c.appendToLRU(e)
@@ -102,7 +103,7 @@
 	}
 }
 
-// entriesWhere are the entries for which a condition holds, in the order of their last use.
+// entriesWhere returns the entries that satisfy a condition, least recently used first.
 func (c *Cache) entriesWhere(holds func(e *entry) bool) (entries []*entry) {
 	for _, t := range c.tenants {
 		for element := t.lru.First(); element != nil; element = element.Next() {
--- a/internal/resultcache/invalidation.go
+++ b/internal/resultcache/invalidation.go
@@ -8,9 +8,10 @@
 	"railrelay.dev/railrelay/internal/fleet"
 )
 
-// Invalidate removes the entries of a scope, and sees to it that no answer asked for before an index
-// of the log is cached, or served to who follows it or comes later. Those that it names followed
-// such a flight, and have to go their way now.
+// Invalidate removes the entries that match a scope and were requested before an index in the fleet's
+// log. Matching flights that began before that index still answer their leaders, but their answers
+// are neither cached nor served to other requests. next are followers of such flights that now lead
+// flights of their own: the caller must send them to engines.
 func (c *Cache) Invalidate(
 	now time.Duration, scope *fleet.Scope, index uint64,
 ) (found fleet.InvalidationCounts, next []*Request) {
@@ -36,8 +37,8 @@
 	return found, next
 }
 
-// invalidateFlights sees to it that flights for which a condition holds are not cached, and
-// followed by nobody else. It gives them in the order in which they began.
+// invalidateFlights prevents flights that satisfy a condition from being cached and from gaining
+// followers. It returns these flights in the order in which they began.
 func (c *Cache) invalidateFlights(holds func(f *flight) bool) (flights []*flight) {
 	for f := range c.flights {
 		if holds(f) {
@@ -50,9 +51,10 @@
 	return flights
 }
 
-// MutationStarted tells that a query that changes tables was received; none: it isn't known which.
-// Until MutationEnded nothing of these tables is served or cached. Who leads or follows a
-// flight over them asked before, and is answered by it.
+// MutationStarted records that a query that changes tables was received; without tables, it may
+// change any. Until MutationEnded, no answer over these tables is served or cached. Requests that
+// lead or follow a flight over these tables came before the mutation, so the flight still answers
+// them.
 func (c *Cache) MutationStarted(now time.Duration, tables []int64) {
 	c.advance(now)
 	c.countMutation(tables, 1)
@@ -63,7 +65,7 @@
 	c.invalidateFlights(func(f *flight) bool { return mayOverlap(f.leader.Tables, tables) })
 }
 
-// MutationEnded tells that nothing of a query that changes tables is in flight any more.
+// MutationEnded records that no attempt of a query that changes tables is in flight any more.
 func (c *Cache) MutationEnded(now time.Duration, tables []int64) {
 	c.advance(now)
 	c.countMutation(tables, -1)
@@ -81,16 +83,17 @@
 	}
 }
 
-// isChanging reports whether a query in flight changes some of these tables, or may.
+// isChanging reports whether a query in flight changes, or may change, one of these tables.
 func (c *Cache) isChanging(tables []int64) bool {
 	switch {
 	case c.unknownMutations > 0:
 		return true
-	case len(tables) == 0: // they can't be told
+	case len(tables) == 0: // unknown
 		return len(c.mutations) > 0
 	}
 	return slices.ContainsFunc(tables, func(t int64) bool { return c.mutations[t] > 0 })
 }
 
-// mayOverlap reports whether two lists have a table in common; where one can't be told they may.
+// mayOverlap reports whether two lists of tables may have one in common. An empty list is unknown
+// tables, which overlap with any.
 func mayOverlap(a, b []int64) bool { return len(a) == 0 || len(b) == 0 || fleet.TablesOverlap(a, b) }
--- a/internal/resultcache/result_cache.go
+++ b/internal/resultcache/result_cache.go
@@ -1,17 +1,15 @@
-// Package resultcache is a bounded cache of finished answers of read-only queries. An entry is
-// found by tenant, resource group and statement, byte for byte, and is fresh for as long as the
-// set-up says. Of many equal requests at once one leads and the others follow: one run at an
-// engine, a flight, answers them all. The package is a pure core: no I/O, no clock, no
-// goroutine. Times are spans since the start unless a name says wall (milliseconds since
-// 1970), sizes bytes.
+// Package resultcache is a bounded cache of complete answers to read-only queries. The key of an
+// entry is its tenant, resource group and exact statement, and the entry is fresh for a configured
+// time. Of equal requests at the same time, one leads and the others follow: one execution at an
+// engine, called a flight, answers all of them. The package is a pure core: no I/O, clock or
+// goroutine. Times are durations since the start unless a name says wall (milliseconds since 1970);
+// sizes are bytes.
 //
-// Two things end entries and flights alike: a mutation of their tables, from when it was received
-// until nothing of it is in flight any more, and an invalidation. A flight that either struck
-// still answers its leader, whose request came before; it is not cached, and no later
-// request is answered from it.
+// Entries and flights are invalidated by a mutation of their tables, from when it was received until
+// no attempt of it is in flight any more, and by an invalidation. An invalidated flight still answers
+// its leader, whose request came before; its answer is not cached, and no later request gets it.
 //
-// The caller sees to it that only read-only queries come here, without an idempotency key and
-// without an order by key.
+// The caller must pass only read-only queries, without an idempotency key and without ordering by key.
 package resultcache
 
 import (
@@ -26,32 +24,32 @@
 	"railrelay.dev/railrelay/internal/intrusivelist"
 )
 
-// Request is one query that asks for an answer. What is in it must not change while it follows or
-// leads.
+// Request is one query's request for an answer. Its fields must not change while it leads or follows a
+// flight.
 type Request struct {
 	Team         string
 	Group        int
 	Statement    []byte
-	Tables       []int64       // all that it reads; none: they can't be told
-	LogIndex     uint64        // of the log when its query was received
-	ReceivedWall int64         // and when that was
-	Deadline     time.Duration // its deadline: from then on it leads no flight
-	CallerData   any           // the caller's
+	Tables       []int64       // all tables that the query reads; empty: unknown
+	LogIndex     uint64        // index in the fleet's log when the query was received
+	ReceivedWall int64         // time when the query was received
+	Deadline     time.Duration // from then on the request can't become a leader
+	CallerData   any           // not used by the cache
 
-	flight *flight // that it leads or follows; nil: none
+	flight *flight // that the request leads or follows; nil: none
 }
 
-// flight is one run at an engine, and the requests that wait for it.
+// flight is one execution at an engine and the requests that wait for it.
 type flight struct {
 	hash      uint64
-	serial    uint64 // in the order in which flights began
+	serial    uint64 // order in which flights began
 	leader    *Request
 	followers []*Request
 
 	startedAt   time.Duration
 	startedWall int64
-	logIndex    uint64 // of the log when it began
-	invalidated bool   // by a mutation or an invalidation: not to be cached, and nobody else follows it
+	logIndex    uint64 // index in the fleet's log when the flight began
+	invalidated bool   // by a mutation or an invalidation: the answer is not cached or shared
 }
 
 // entry is one cached answer.
@@ -60,58 +58,58 @@
 	tenant    *tenant
 	group     int
 	statement []byte
-	tables    []int64 // none: they can't be told
+	tables    []int64 // empty: unknown
 	pages     [][]byte
 	size      int64
 
 	expiresAt   time.Duration
 	startedWall int64  // when its flight began
-	logIndex    uint64 // of the log then
+	logIndex    uint64 // index in the fleet's log when its flight began
 
-	lastUse    uint64 // the higher the later
+	lastUse    uint64 // value of Cache.serial at the last use
 	lruElement intrusivelist.Element[entry]
 }
 
 type tenant struct {
 	name  string
 	bytes int64
-	lru   intrusivelist.List[entry] // the longest unused first; never empty
+	lru   intrusivelist.List[entry] // least recently used first; never empty
 }
 
-// Counts are counted since the start.
+// Counts holds event counters since the start.
 type Counts struct {
-	Hits, Followed, Led, Bypassed       int // what became of those who asked
-	Cached, TooLarge, Invalidated       int // what became of runs that finished
-	Evicted, Expired, RemovedByMutation int // what became of answers that were kept
+	Hits, Followed, Led, Bypassed       int // results of Lookup
+	Cached, TooLarge, Invalidated       int // answers of completed flights
+	Evicted, Expired, RemovedByMutation int // entries that were removed, by reason
 	Purged                              int
 }
 
-// Cache is one controller's. It is used by one goroutine.
+// Cache is the result cache of one controller. It is used by one goroutine.
 type Cache struct {
 	Limits
 	Counts Counts
 
-	now       time.Duration // the latest that it was told
+	now       time.Duration // latest time passed in by the caller
 	startWall int64
-	logIndex  uint64 // the latest that it was told
-	serial    uint64 // of flights and uses
+	logIndex  uint64 // latest index passed in by the caller
+	serial    uint64 // last number given to a flight or a use
 
 	// Cached answers.
 	entries map[uint64][]*entry // by hash
-	tenants map[string]*tenant  // that have entries
+	tenants map[string]*tenant  // with entries, by name
 	bytes   int64
 	count   int
 
-	// Runs at engines.
-	joinable map[uint64][]*flight // that may be followed, by hash
-	flights  map[*flight]bool     // those and the others
+	// Executions at engines.
+	joinable map[uint64][]*flight // flights that accept followers, by hash
+	flights  map[*flight]bool     // all flights
 
-	// Queries in flight that change tables.
-	mutations        map[int64]int // by table group
-	unknownMutations int           // whose tables can't be told
+	// Mutations in flight.
+	mutations        map[int64]int // number by table group
+	unknownMutations int           // number with unknown tables
 }
 
-// New makes one. wall is the start in milliseconds since 1970. Its error is an Unusable.
+// New returns an empty cache. wall is the start in milliseconds since 1970. The error is an *Unusable.
 func New(l Limits, wall int64) (*Cache, error) {
 	if err := l.Check(); err != nil {
 		return nil, err
@@ -127,34 +125,37 @@
 	}, nil
 }
 
-// Usage is what is cached, and how many flights there are.
-func (c *Cache) Usage() (count int, bytes int64, runs int) { return c.count, c.bytes, len(c.flights) }
+// Usage returns the number and size of the cached answers, and the number of flights.
+func (c *Cache) Usage() (count int, bytes int64, flights int) {
+	return c.count, c.bytes, len(c.flights)
+}
 
 func (c *Cache) advance(now time.Duration) { c.now = max(c.now, now) }
 
-func hashOf(a *Request) uint64 {
+// hashOf returns the hash of the key of a request: tenant, resource group and statement.
+func hashOf(r *Request) uint64 {
 	var d xxhash.Digest
 	d.Reset()
-	var p [16]byte
-	binary.LittleEndian.PutUint64(p[:], uint64(a.Group))
-	binary.LittleEndian.PutUint64(p[8:], uint64(len(a.Team)))
-	d.Write(p[:])
-	d.WriteString(a.Team)
-	d.Write(a.Statement)
+	var head [16]byte
+	binary.LittleEndian.PutUint64(head[:], uint64(r.Group))
+	binary.LittleEndian.PutUint64(head[8:], uint64(len(r.Team)))
+	d.Write(head[:])
+	d.WriteString(r.Team)
+	d.Write(r.Statement)
 	return d.Sum64()
 }
 
-// LookupResult is what becomes of who asks.
+// LookupResult tells how a request gets its answer.
 type LookupResult int
 
 const (
-	Bypass LookupResult = iota // it goes its way: nothing here is for it, and it owes nothing
-	Hit                        // answered
-	Lead                       // it goes its way, and what comes of it is to be told by Complete or Leave
-	Follow                     // it waits until another's Complete or Leave names it, or leaves by Leave
+	Bypass LookupResult = iota // from an engine, without the cache
+	Hit                        // from the cache, at once
+	Lead                       // from an engine; the caller must end the flight by Complete or Abandon
+	Follow                     // from the leader: wait until Complete, Abandon or Invalidate returns the request
 )
 
-// Lookup takes a request. With Hit come the pages, which must not be changed.
+// Lookup looks up the answer to a request. With Hit it returns the pages, which must not be modified.
 func (c *Cache) Lookup(now time.Duration, r *Request) (LookupResult, [][]byte) {
 	c.advance(now)
 	c.logIndex = max(c.logIndex, r.LogIndex)
@@ -169,7 +170,7 @@
 		return Hit, e.pages
 	}
 	for _, f := range c.joinable[hash] {
-		tooOld := c.now-f.startedAt >= c.Freshness // its answer will be older than answers may be
+		tooOld := c.now-f.startedAt >= c.Freshness // its answer would have expired already
 		if !tooOld && f.leader.equal(r) {
 			c.Counts.Followed++
 			r.flight = f
@@ -181,7 +182,7 @@
 	return Lead, nil
 }
 
-// freshEntry finds the answer to a request; nil: there is none. One that has expired is removed.
+// freshEntry returns the entry of a request, nil if there is none. It removes an expired entry.
 func (c *Cache) freshEntry(hash uint64, r *Request) *entry {
 	for _, e := range c.entries[hash] {
 		if e.tenant.name != r.Team || e.group != r.Group || !bytes.Equal(e.statement, r.Statement) {
@@ -197,7 +198,7 @@
 	return nil
 }
 
-// equal reports whether two requests have the same answer.
+// equal reports whether two requests have the same key.
 func (r *Request) equal(o *Request) bool {
 	return r.Team == o.Team && r.Group == o.Group && bytes.Equal(r.Statement, o.Statement)
 }
@@ -221,8 +222,9 @@
 	}
 }
 
-// Complete tells that a request that leads has its answer, which must not be changed any more. It
-// names all that followed and are answered by it, too.
+// Complete ends the flight of a leader with its answer, which must not be modified any more, and
+// caches the answer unless the flight was invalidated. It returns the followers, which the caller
+// must answer with the same pages.
 func (c *Cache) Complete(now time.Duration, r *Request, pages [][]byte) (followers []*Request) {
 	c.advance(now)
 	f := r.flight
@@ -244,8 +246,9 @@
 	return followers
 }
 
-// Abandon tells that a request wants no answer any more, or got another than a finished one. If it
-// led, the next that follows leads: that one is named and has to go its way now.
+// Abandon ends a request that no longer wants an answer or got no complete one. If the request led a
+// flight, its next follower leads a new one: Abandon returns this follower, which the caller must
+// send to an engine.
 func (c *Cache) Abandon(now time.Duration, r *Request) (next *Request) {
 	c.advance(now)
 	f := r.flight
@@ -261,9 +264,9 @@
 	return c.promote(f)
 }
 
-// promote has the first follower whose deadline isn't over lead a new flight. The others follow
-// it; those whose deadline is over stay until they leave. It gives the new leader, nil if
-// there is none.
+// promote makes the first follower whose deadline has not passed the leader of a new flight, and
+// returns it. The other followers follow the new flight, also those whose deadline has passed, until
+// they are abandoned. Without a follower that can lead it returns nil, and no follower has a flight.
 func (c *Cache) promote(f *flight) (leader *Request) {
 	i := slices.IndexFunc(f.followers, func(o *Request) bool { return c.now < o.Deadline })
 	if i < 0 {
@@ -288,7 +291,7 @@
 	c.closeToFollowers(f)
 }
 
-// closeToFollowers has no further request follow a flight.
+// closeToFollowers prevents further requests from following a flight.
 func (c *Cache) closeToFollowers(f *flight) {
 	rest := slices.DeleteFunc(c.joinable[f.hash], func(x *flight) bool { return x == f })
 	if len(rest) == 0 {
@@ -298,7 +301,7 @@
 	}
 }
 
-// Sweep is to be called now and then: it removes what has expired.
+// Sweep removes the expired entries. The caller runs it periodically.
 func (c *Cache) Sweep(now time.Duration) {
 	c.advance(now)
 	for _, e := range c.entriesWhere(func(e *entry) bool { return c.now >= e.expiresAt }) {
@@ -307,7 +310,7 @@
 	}
 }
 
-// CountersText tells the counters.
+// CountersText returns usage and counters as they are logged.
 func (c *Cache) CountersText() string {
 	n := &c.Counts
 	count, size, flights := c.Usage()
--- a/internal/resultcache/result_cache_test.go
+++ b/internal/resultcache/result_cache_test.go
@@ -17,28 +17,27 @@
 	rapidtest.Main(m, rapidtest.Config{Seed: 20261202, Checks: 400})
 }
 
-// asker is one query as the model knows it: which changes of its tables and which purges
-// were over when it was asked.
+// modelRequest is a request with the state of the model when it was received.
 type modelRequest struct {
 	*Request
 	receivedAt time.Duration
 	leading    bool
-	// what the engine that runs it read
+	// the state that the engine read
 	startedAt time.Duration
 	index     uint64
 	mutations [4]int
 }
 
-// world is all that really happened.
+// model records the true order of requests, mutations and invalidations.
 type model struct {
 	t                 *rapid.T
 	c                 *Cache
 	now               time.Duration
 	index             uint64
-	mutations         [4]int // begun and ended, by table group
+	mutations         [4]int // starts and ends of mutations, by table group
 	mutationsInFlight []int64
 	invalidations     []invalidation
-	outstanding       []*modelRequest // neither answered nor left
+	outstanding       []*modelRequest // neither answered nor abandoned
 	served            int
 }
 
@@ -47,7 +46,7 @@
 	scope fleet.Scope
 }
 
-// page is what an engine tells: who asked, and when it read what.
+// answerPage is the content of an answer: the request, and the state that the engine read.
 type answerPage struct {
 	team, statement string
 	startedAt       time.Duration
@@ -63,7 +62,7 @@
 	return [][]byte{fmt.Appendf(nil, "%s|%s|%d|%d|%v", x.Team, x.Statement, x.startedAt, x.index, x.mutations[:])}
 }
 
-// sees judges an answer that the cache gave to somebody who didn't run it.
+// checkAnswer checks an answer that came from the cache or from another request's flight.
 func (w *model) checkAnswer(x *modelRequest, pages [][]byte) {
 	w.served++
 	var p answerPage
@@ -74,19 +73,19 @@
 	fmt.Sscan(parts[3], &p.index)
 	fmt.Sscanf(l, "[%d %d %d %d]", &p.mutations[0], &p.mutations[1], &p.mutations[2], &p.mutations[3])
 	if p.team != x.Team || p.statement != string(x.Statement) {
-		w.t.Fatalf("%s asked %s and was answered what %s asked, %s", x.Team, x.Statement, p.team, p.statement)
+		w.t.Fatalf("%s requested %s and got the answer of %s to %s", x.Team, x.Statement, p.team, p.statement)
 	}
 	if x.receivedAt >= p.startedAt+w.c.Freshness {
-		w.t.Fatalf("asked at %v and answered from %v", x.receivedAt, p.startedAt)
+		w.t.Fatalf("requested at %v and answered with the state of %v", x.receivedAt, p.startedAt)
 	}
-	for i := range 4 { // every load taken before it was asked
+	for i := range 4 { // mutations before the request must be visible
 		if (len(x.Tables) == 0 || slices.Contains(x.Tables, int64(i))) && p.mutations[i] < x.mutationsBefore()[i] {
-			w.t.Fatalf("answered past a load of %d: %v of %v", i, p.mutations, x.mutationsBefore())
+			w.t.Fatalf("the answer misses a mutation of table %d: %v of %v", i, p.mutations, x.mutationsBefore())
 		}
 	}
 	for _, d := range w.invalidations {
 		if p.index < d.index && d.scope.Matches(x.Team, x.Tables, p.startedAt.Milliseconds()) {
-			w.t.Fatalf("answered with what was drawn before a purge: %d, %d", p.index, d.index)
+			w.t.Fatalf("the answer was read before an invalidation: %d, %d", p.index, d.index)
 		}
 	}
 }
@@ -104,12 +103,12 @@
 func (w *model) find(a *Request) *modelRequest {
 	i := slices.IndexFunc(w.outstanding, func(x *modelRequest) bool { return x.Request == a })
 	if i < 0 || w.outstanding[i].leading && a.flight == nil {
-		w.t.Fatal("one is named that doesn't follow")
+		w.t.Fatal("a request is returned that doesn't follow a flight")
 	}
 	return w.outstanding[i]
 }
 
-// changed: a load of a table group, or of any, began or ended.
+// countMutation counts a start or end of a mutation of a table group; negative: of all groups.
 func (w *model) countMutation(n int64) {
 	for i := range w.mutations {
 		if n < 0 || int64(i) == n {
@@ -137,11 +136,11 @@
 		}
 	}
 	if c, b, _ := w.c.Usage(); c != count || b != size || byTeam != size || n != count || c > w.c.MaxEntries || b > w.c.MaxBytes {
-		w.t.Fatalf("%d answers of %d bytes, told %d of %d, by team %d of %d", count, size, c, b, n, byTeam)
+		w.t.Fatalf("the cache has %d answers of %d bytes, but reports %d of %d, and by tenant %d of %d", count, size, c, b, n, byTeam)
 	}
 	for _, x := range w.outstanding {
 		if !x.leading && x.flight == nil && w.now < x.Deadline {
-			w.t.Fatal("one follows nobody and was not told")
+			w.t.Fatal("a follower lost its flight and was not returned")
 		}
 	}
 }
@@ -183,7 +182,7 @@
 					w.outstanding = append(w.outstanding, x)
 				case Bypass:
 					if len(w.mutationsInFlight) == 0 {
-						t.Fatal("passed, and nothing is being loaded")
+						t.Fatal("Bypass without a mutation in flight")
 					}
 				}
 			case what < 15 && len(w.outstanding) > 0:
@@ -225,9 +224,9 @@
 		total += w.served
 		struck, purged = struck+c.Counts.Invalidated, purged+c.Counts.Purged
 	})
-	t.Logf("served %d, of them %d kept; struck %d, purged %d", total, hits, struck, purged)
+	t.Logf("served %d, of them %d cached; invalidated flights %d, purged entries %d", total, hits, struck, purged)
 	if hits < 500 || total-hits < 200 || struck < 100 || purged < 100 {
-		t.Fatalf("too little arose: %d served, %d of them kept, %d struck, %d purged", total, hits, struck, purged)
+		t.Fatalf("the random steps reached too few cases: %d served, %d of them cached, %d invalidated, %d purged", total, hits, struck, purged)
 	}
 }
 
@@ -238,8 +237,8 @@
 	return []int64{n}
 }
 
-// An answer drawn before a purge and ready after it is kept by nobody, and who followed
-// it is answered anew.
+// An answer that an engine read before an invalidation and that completes after it is not cached,
+// and its follower gets a new flight.
 func TestInvalidationDuringFlight(t *testing.T) {
 	c, _ := New(DefaultLimits(), 0)
 	ask := func() *Request {
@@ -253,20 +252,20 @@
 	}
 	_, next := c.Invalidate(1, &fleet.Scope{Team: "linz", Tables: []int64{3}}, 1)
 	if others := c.Complete(2, first, [][]byte{[]byte("old")}); len(others) > 0 {
-		t.Error("a drawn answer is served over a purge")
+		t.Error("a follower got an answer from before the invalidation")
 	}
 	if n, _, _ := c.Usage(); n > 0 {
-		t.Error("a drawn answer is kept over a purge")
+		t.Error("an answer from before the invalidation is cached")
 	}
 	if len(next) != 1 || next[0] != second {
-		t.Error("who followed doesn't go its way")
+		t.Error("the follower is not returned as a new leader")
 	}
 	if v, _ := c.Lookup(3, ask()); v == Hit {
-		t.Error("what was drawn before a purge is served after it")
+		t.Error("an answer from before the invalidation is served after it")
 	}
 }
 
-// A team beyond its share loses its own least used answers first.
+// A tenant over its share loses its own least recently used answers first.
 func TestEvictionPrefersTenantOverShare(t *testing.T) {
 	l := Limits{Freshness: time.Minute, MaxBytes: 4 * (entryOverheadBytes + 24 + 10 + 100), MaxEntries: 100, MaxAnswerBytes: 1000, TenantShare: 0.5}
 	c, _ := New(l, 0)
@@ -281,7 +280,7 @@
 		put("linz", n)
 	}
 	if put("steyr", 0) != Hit || put("linz", 5) != Hit || put("linz", 0) != Lead {
-		t.Error("not the least used of the team over its share went")
+		t.Error("the evicted answer is not the least recently used one of the tenant over its share")
 	}
 }
 
--- a/internal/spool/golden_test.go
+++ b/internal/spool/golden_test.go
@@ -16,14 +16,15 @@
 		t.Fatal(err)
 	}
 	if diff := cmp.Diff(goldenKeys(), got); diff != "" {
-		t.Errorf("the keys (-want +got):\n%s", diff)
+		t.Errorf("decoded keys (-want +got):\n%s", diff)
 	}
 	goldentest.EveryFieldSet(t, goldentest.JSON, got)
 	ring := &Keyring{keys: goldenKeys()}
 	goldentest.Same(t, "keys.json", ring.Encode())
 }
 
-// TestGoldenTokenOpensItsResult: clients hold tokens that an earlier program gave.
+// TestGoldenTokenOpensItsResult holds that tokens of an earlier version stay valid, since clients
+// still have them after an upgrade.
 func TestGoldenTokenOpensItsResult(t *testing.T) {
 	keys, err := NewKeyring(goldentest.File(t, "keys.json"), 0, 0, nil)
 	if err != nil {
@@ -35,7 +36,7 @@
 		t.Fatalf("the token opens %+v", r)
 	}
 	if c.openToken(goldentest.File(t, "token"), "team-b") != nil {
-		t.Error("it opens the result for another team")
+		t.Error("the token opens the result for another team")
 	}
 	goldentest.Same(t, "token", []byte(c.Token(r)))
 }
--- a/internal/spool/golden_values_test.go
+++ b/internal/spool/golden_values_test.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// goldenKeys are the keys of the golden key file.
+// goldenKeys returns the keys of the golden key file.
 func goldenKeys() []Key {
 	return []Key{
 		{ID: 7, CreatedWall: 1_700_000_000_001, Secret: []byte("0123456789abcdef0123456789abcdef")},
@@ -10,13 +10,13 @@
 	}
 }
 
-// goldenFound is the result that the golden token opens.
+// goldenStoredResult is the result that the golden token opens.
 var goldenStoredResult = StoredResult{
 	Metadata:  Metadata{ResultID: 1<<32 + 5, Query: "query-1", Team: "team-a", CreatedWall: 1_700_000_000_003, ExpiresWall: 1_700_000_600_004, PageRows: []uint32{10, 11}},
 	PageBytes: []uint32{300, 400},
 }
 
-// goldenCore is a spool that found the golden result at its start.
+// goldenCore returns a spool that restored the golden result at its start.
 func goldenCore(keys *Keyring) *Core {
 	c := New(Limits{MaxAge: time.Hour, IdleTimeout: time.Hour}, keys, 1_700_000_000_005, 2<<32, func(*DiskTask) {})
 	c.Restore(&goldenStoredResult)
--- a/internal/spool/spool_test.go
+++ b/internal/spool/spool_test.go
@@ -38,7 +38,7 @@
 	return k
 }
 
-// held is a whole result as the test knows it.
+// committedResult is the model's record of a committed result.
 type committedResult struct {
 	r      *Result
 	token  string
@@ -49,7 +49,7 @@
 	made   time.Duration
 }
 
-// bench plays a spool at random against a disk that takes its time.
+// model runs random operations on a spool whose disk tasks complete later, and checks its limits.
 type model struct {
 	t          *rapid.T
 	c          *Core
@@ -59,7 +59,7 @@
 	incoming   []*incomingResult
 	committed  map[uint64]*committedResult
 	writesFail bool
-	index      uint64 // of purges
+	index      uint64 // of the last purge
 	purged     int
 }
 
@@ -68,7 +68,7 @@
 	team            string
 	bytes           []byte
 	waiting         bool
-	commitRequested bool // asked to be promised
+	commitRequested bool // Commit was called
 }
 
 func (b *model) perform(w *DiskTask) {
@@ -91,7 +91,7 @@
 	if f := w.Fetch; f != nil {
 		p, ok := b.disk[f.ResultID][f.Page]
 		if !ok {
-			b.t.Fatal("a page is read that isn't on disk")
+			b.t.Fatal("a page is read that is not on disk")
 		}
 		w.FetchedPage = p
 	}
@@ -103,21 +103,22 @@
 	w.OnDone(b.now)
 }
 
-// purge has no more of a scope be found at once, and none be on disk once that is told.
+// purge checks that no result of a scope is found from the call on, and that the disk holds none once
+// wiped is called.
 func (b *model) purge(s *fleet.Scope) {
 	b.index++
 	var gone []uint64
-	told := false
-	b.c.Purge(b.now, s, b.index, func() { told = true }, func(n fleet.InvalidationCounts) {
+	unreached := false
+	b.c.Purge(b.now, s, b.index, func() { unreached = true }, func(n fleet.InvalidationCounts) {
 		b.purged += int(n.Results)
 		for _, id := range gone {
 			if b.disk[id] != nil {
-				b.t.Fatal("wiped is told, and there is some left on disk")
+				b.t.Fatal("wiped was called with a purged result left on disk")
 			}
 		}
 	})
-	if !told {
-		b.t.Fatal("unreached isn't told")
+	if !unreached {
+		b.t.Fatal("Purge returned without calling unreached")
 	}
 	for id, h := range b.committed {
 		if h.r.purged {
@@ -125,7 +126,7 @@
 			delete(b.committed, id)
 			b.c.ReadPage(b.now, []byte(h.token), h.team, 0, func(_ []byte, err error) {
 				if err != ErrPageNotFound {
-					b.t.Fatal("a token opens what was purged: ", err)
+					b.t.Fatal("a token opens a purged result: ", err)
 				}
 			})
 		}
@@ -133,17 +134,17 @@
 	for _, l := range []map[uint64]*Result{b.c.results} {
 		for _, r := range l {
 			if s.Matches(r.team.name, r.tag.Tables, r.createdWall) {
-				b.t.Fatal("some is left after a purge")
+				b.t.Fatal("a result in the scope is left after the purge")
 			}
 		}
 	}
 }
 
-// mayGo: what was given up was read to its end, past its life, or not being read.
+// checkEvictable checks that a dropped result was purged, read to its end, expired or not being read.
 func (b *model) checkEvictable(h *committedResult) {
 	within := b.now < min(h.readAt+b.c.IdleTimeout, h.made+b.c.MaxAge)
 	if !h.r.purged && within && len(h.read) > 0 && len(h.read) < len(h.pages)-1 {
-		b.t.Fatalf("given up while it was being read: %d of %d pages", len(h.read), len(h.pages))
+		b.t.Fatalf("dropped while it was being read: %d of %d pages", len(h.read), len(h.pages))
 	}
 }
 
@@ -166,10 +167,10 @@
 	}
 	results, m, d := b.c.Usage()
 	if results != count || m != memory || d != disk {
-		b.t.Fatalf("it holds %d results, %d and %d bytes, and says %d, %d, %d", count, memory, disk, results, m, d)
+		b.t.Fatalf("the spool holds %d results, %d and %d bytes, and reports %d, %d, %d", count, memory, disk, results, m, d)
 	}
 	if m > b.c.MaxMemoryBytes || d > b.c.MaxDiskBytes || count > b.c.MaxResults+len(b.c.receiving) {
-		b.t.Fatalf("beyond its bounds: %d results, %d of %d in memory, %d of %d on disk", count, m, b.c.MaxMemoryBytes, d, b.c.MaxDiskBytes)
+		b.t.Fatalf("over a limit: %d results, %d of %d in memory, %d of %d on disk", count, m, b.c.MaxMemoryBytes, d, b.c.MaxDiskBytes)
 	}
 	for name, team := range b.c.teams {
 		n, size := 0, int64(0)
@@ -208,7 +209,7 @@
 			p := bytes.Repeat([]byte{byte('a' + len(k.bytes)%26)}, rapid.IntRange(1, 400).Draw(t, "size"))
 			v, err := b.c.AddPage(b.now, k.r, p, 1, b.now+rapid.SampledFrom([]time.Duration{time.Second, 15 * time.Second}).Draw(t, "until"))
 			if err != nil != (v == PageRefused) {
-				t.Fatal("a verdict without its reason")
+				t.Fatal("AddPage must return an error exactly if it refuses the page")
 			}
 			switch v {
 			case PageAccepted:
@@ -234,7 +235,7 @@
 				k := b.incoming[rapid.IntRange(0, len(b.incoming)-1).Draw(t, "take")]
 				if k.r != nil && k.r.purged && !k.commitRequested {
 					if v, err := b.c.AddPage(b.now, k.r, []byte("x"), 1, b.now); v != PageRefused || err != ErrPurged {
-						t.Fatal("what was purged is taken in on: ", v, err)
+						t.Fatal("AddPage accepts a page of a purged result: ", v, err)
 					}
 					k.r = nil
 				} else if k.r != nil && !k.waiting && !k.commitRequested {
@@ -272,7 +273,7 @@
 			case x < 10 && len(b.committed) > 0:
 				var h *committedResult
 				n := rapid.IntRange(0, len(b.committed)-1).Draw(t, "whole")
-				for id := uint64(0); id < 1<<40 && h == nil; id++ { // the n-th by number
+				for id := uint64(0); id < 1<<40 && h == nil; id++ { // the n-th by ID
 					if x := b.committed[1<<32+id]; x != nil {
 						if n--; n < 0 {
 							h = x
@@ -286,22 +287,22 @@
 					told = true
 					switch {
 					case err == nil && h.r.purged:
-						t.Fatal("a page is handed out after its purge")
+						t.Fatal("a page is served after its result was purged")
 					case err == nil && !bytes.Equal(p, h.pages[i]):
-						t.Fatalf("page %d is not what it was", i)
+						t.Fatalf("page %d differs from the page that was added", i)
 					case err == nil:
 						served++
 						if h.readAt = b.now; i > 0 {
 							h.read[i] = true
 						}
 					case err == ErrPageNotFound && live && !h.r.purged:
-						t.Fatal("a result within its life isn't found")
+						t.Fatal("a result that has not expired is not found")
 					}
 				})
 				if live {
 					h.readAt = b.now
 				} else if !told {
-					t.Fatal("what is past its life is read")
+					t.Fatal("an expired result is read")
 				}
 			case x == 12 && rapid.IntRange(0, 3).Draw(t, "purge") == 0:
 				b.purge(&fleet.Scope{Team: "linz", Tables: []int64{int64(rapid.IntRange(0, 2).Draw(t, "table"))}})
@@ -323,7 +324,7 @@
 		purged += b.purged
 		evicted += b.c.Counts.Evicted + b.c.Counts.EvictedAfterRead
 		waited += b.c.Counts.Waited
-		for _, k := range b.incoming { // all is given back
+		for _, k := range b.incoming { // drop what was never committed
 			if k.r != nil && !k.r.complete {
 				b.c.Drop(b.now, k.r)
 			}
@@ -332,15 +333,15 @@
 		b.c.Sweep(b.now)
 		b.check()
 		if n, m, d := b.c.Usage(); n != 0 || m != 0 || d != 0 {
-			t.Fatalf("left behind: %d results, %d and %d bytes", n, m, d)
+			t.Fatalf("left after all results expired: %d results, %d and %d bytes", n, m, d)
 		}
 	})
 	if purged < 20 || promised < 50 || evicted < 20 || waited < 20 || served < 50 {
-		t.Fatalf("the runs say nothing: purged %d promised %d evicted %d waited %d served %d", purged, promised, evicted, waited, served)
+		t.Fatalf("the random steps reached too few cases: purged %d promised %d evicted %d waited %d served %d", purged, promised, evicted, waited, served)
 	}
 }
 
-// whole makes a promised result of two pages.
+// commitTwoPages adds and commits a result of two pages.
 func commitTwoPages(t testing.TB, c *Core, team string) (*Result, string) {
 	r, err := c.Admit(c.now, "q", team, InvalidationTag{})
 	if err != nil {
@@ -361,15 +362,15 @@
 	return r, token
 }
 
-func newDiskCore(t testing.TB) *Core {
+func newMemoryCore(t testing.TB) *Core {
 	l := DefaultLimits()
 	l.PageBytes = 100
-	return New(l, newKeyring(t), 1_700_000_000_000, 1<<32, func(w *DiskTask) { t.Fatal("work without a disk") })
+	return New(l, newKeyring(t), 1_700_000_000_000, 1<<32, func(w *DiskTask) { t.Fatal("a disk task without a disk") })
 }
 
-// Whatever is wrong with a token it opens nothing, is told the same, and costs the same.
+// Every invalid token gets the same error at the same cost, so that a client learns nothing from either.
 func TestInvalidTokensAreIndistinguishable(t *testing.T) {
-	c := newDiskCore(t)
+	c := newMemoryCore(t)
 	r, good := commitTwoPages(t, c, "linz")
 	read := func(token, team string, page int) (macs int, err error) {
 		before := c.keys.macCount
@@ -398,14 +399,14 @@
 			t.Errorf("page %d: %v", page, err)
 		}
 	}
-	c.now += c.IdleTimeout // past its life, and not swept yet
+	c.now += c.IdleTimeout // expired, but not swept yet
 	if macs, err := read(good, "linz", 1); err != ErrPageNotFound || macs != 1 || r.dropped {
-		t.Error("past its life: ", err)
+		t.Error("expired: ", err)
 	}
 }
 
 func TestKeysRotateWhileTokensStayValid(t *testing.T) {
-	c := newDiskCore(t)
+	c := newMemoryCore(t)
 	c.MaxAge, c.IdleTimeout = 3*time.Hour, 3*time.Hour
 	_, first := commitTwoPages(t, c, "linz")
 	for h := range 40 {
@@ -413,24 +414,24 @@
 		ok := false
 		c.ReadPage(c.now, []byte(first), "linz", 1, func(_ []byte, err error) { ok = err == nil })
 		if want := c.now < c.MaxAge; ok != want {
-			t.Fatalf("after %v it opens: %v", c.now, ok)
+			t.Fatalf("after %v the token is valid: %v", c.now, ok)
 		}
 	}
 	if n := len(c.keys.keys); n < 3 || n > 8 {
-		t.Fatalf("%d keys after ten hours of one an hour", n)
+		t.Fatalf("%d keys after ten hours of a rotation each hour", n)
 	}
 	k, err := NewKeyring(c.keys.Encode(), time.Hour, 0, secrets(2))
 	if err != nil || string(k.Encode()) != string(c.keys.Encode()) {
-		t.Fatal("keys don't survive: ", err)
+		t.Fatal("the keys differ after encoding and decoding: ", err)
 	}
 	for _, text := range []string{"{", `[{"ID":1,"Secret":"AAAA"}]`} {
 		if _, err := NewKeyring([]byte(text), time.Hour, 0, secrets(2)); err == nil {
-			t.Error("taken for keys: ", text)
+			t.Error("accepted as keys: ", text)
 		}
 	}
 }
 
-// A clock set back or forward makes a result that was found live no longer than a new one.
+// A wall clock that was set back or forward doesn't make a restored result live longer than a new one.
 func TestClockChangeDoesNotExtendResultLife(t *testing.T) {
 	for _, off := range []time.Duration{-48 * time.Hour, -time.Minute, 0, time.Hour, 48 * time.Hour} {
 		l := DefaultLimits()
@@ -441,13 +442,13 @@
 		r := c.results[1]
 		left := c.TimeToLive(r)
 		if want := min(l.IdleTimeout, max(0, l.MaxAge-max(0, off))); left > l.IdleTimeout || off <= 0 && left != want || off > l.MaxAge && left > 0 {
-			t.Errorf("clock off by %v: it lives on for %v", off, left)
+			t.Errorf("clock off by %v: the result lives for another %v", off, left)
 		}
 	}
 }
 
 func FuzzToken(f *testing.F) {
-	c := newDiskCore(f)
+	c := newMemoryCore(f)
 	_, good := commitTwoPages(f, c, "linz")
 	f.Add([]byte(good), "linz")
 	f.Add([]byte(good), "")
@@ -460,7 +461,7 @@
 }
 
 func BenchmarkRead(b *testing.B) {
-	c := newDiskCore(b)
+	c := newMemoryCore(b)
 	_, good := commitTwoPages(b, c, "linz")
 	token := []byte(good)
 	for b.Loop() {
@@ -468,8 +469,8 @@
 	}
 }
 
-// Results being drawn that fill the disk between them don't wait for each other for
-// good: who can't have room in its time is refused, and the rest goes on.
+// Results that are being received and together fill the disk must not wait for each other forever: a
+// result that can't get space before its deadline is refused, so that the others can complete.
 func TestFullDiskRefusesInsteadOfDeadlock(t *testing.T) {
 	l := Limits{MaxMemoryBytes: 20_000, MaxDiskBytes: 40_000, MaxResults: 100, MaxResultBytes: 30_000, TeamShare: 1, MaxTeamResults: 100, IdleTimeout: time.Hour, MaxAge: time.Hour,
 		PageBytes: 1000, MaxWritingBytes: 10_000, MaxReads: 4}
@@ -521,12 +522,12 @@
 	}
 }
 
-// What is evicted for room, and in which order: read to the end, past its life, the
-// largest of a team over its share; what is being read within its life never is.
+// The order of eviction: results read to the end, expired results, the largest results of a team
+// over its share. A result that is being read and has not expired is never evicted.
 func TestEvictionOrderSparesResultsBeingRead(t *testing.T) {
 	l := Limits{MaxMemoryBytes: 100_000, MaxDiskBytes: 0, MaxResults: 100, MaxResultBytes: 50_000, TeamShare: 0.3, MaxTeamResults: 100, IdleTimeout: time.Minute, MaxAge: time.Hour,
 		PageBytes: 1000, MaxWritingBytes: 10_000, MaxReads: 4}
-	c := New(l, newKeyring(t), 1_700_000_000_000, 1<<32, func(*DiskTask) { t.Fatal("work without a disk") })
+	c := New(l, newKeyring(t), 1_700_000_000_000, 1<<32, func(*DiskTask) { t.Fatal("a disk task without a disk") })
 	type kept struct {
 		r     *Result
 		token string
@@ -554,9 +555,9 @@
 			})
 		}
 	}
-	old, _ := keep("enns", 20) // is past its life when room is short
+	old, _ := keep("enns", 20) // has expired when space is short
 	c.now += 50 * time.Second
-	reading, _ := keep("linz", 25) // the largest of a team over its share, and being read
+	reading, _ := keep("linz", 25) // the largest of a team over its share, but being read
 	unread, _ := keep("linz", 20)
 	small, _ := keep("linz", 5)
 	done, _ := keep("steyr", 25)
@@ -566,20 +567,20 @@
 	all := []kept{done, old, unread}
 	for n := range all {
 		if _, v := keep(fmt.Sprint("wels ", n), 22); v != PageAccepted {
-			t.Fatal("there is no room: ", v)
+			t.Fatal("there is no space: ", v)
 		}
 		for i, k := range all {
 			if k.r.dropped != (i <= n) {
-				t.Fatalf("after %d more, the %d. of the order is gone: %v", n+1, i+1, k.r.dropped)
+				t.Fatalf("after %d more results, number %d of the order is dropped: %v", n+1, i+1, k.r.dropped)
 			}
 		}
 		if reading.r.dropped || small.r.dropped {
-			t.Fatal("one that is being read is gone, or a smaller one before the largest")
+			t.Fatal("a result being read, or a smaller one before the largest, was evicted")
 		}
 	}
-	c.now += 2 * time.Minute // its client is gone for longer than its life
+	c.now += 2 * time.Minute // its client stopped reading and the result has expired
 	c.Sweep(c.now)
 	if !reading.r.dropped {
-		t.Fatal("it outlives its life")
+		t.Fatal("an expired result is kept")
 	}
 }
