--- a/cmd/railrelay-fleet/command.go
+++ b/cmd/railrelay-fleet/command.go
@@ -229,7 +229,7 @@
 		err = show(c.OutOrStdout(), r)
 	}
 	if status := r.ExitStatus(); status != 0 && err == nil {
-		return cli.Status{Code: status}
+		return cli.ExitError{Code: status}
 	}
 	return err
 }
@@ -245,7 +245,7 @@
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), time.Duration(a.WaitMs)*time.Millisecond+asksAfter)
 	defer cancel()
-	r, err := transport.AskControl(ctx, address, keys, a)
+	r, err := transport.SendControlRequest(ctx, address, keys, a)
 	var away *transport.UnreachableError
 	if errors.As(err, &away) && away.Sent && a.ID != "" {
 		return &fleet.Response{ID: a.ID, Outcome: "unknown", Reason: away.Error(), Remedy: away.Remedy()}, nil
@@ -263,7 +263,7 @@
 func remedied(err error) error {
 	var r fleet.ErrorWithRemedy
 	if errors.As(err, &r) {
-		return cli.Failed(1, fmt.Errorf("%w\n%s", err, r.Remedy()))
+		return cli.WithExitCode(1, fmt.Errorf("%w\n%s", err, r.Remedy()))
 	}
 	return err
 }
--- a/cmd/railrelay-fleet/join.go
+++ b/cmd/railrelay-fleet/join.go
@@ -32,22 +32,22 @@
 }
 
 // join opens the set-up's part in its fleet.
-func join(have *setup.Setup, means *controller.Config, log zerolog.Logger) (cli.Joined, error) {
+func join(have *setup.Setup, means *controller.Config, log zerolog.Logger) (cli.FleetMembership, error) {
 	f := have.Fleet
 	judge := check
 	if have.Control() {
 		judge = checkControl
 	}
-	e, err := driver.Open(driver.Options{Node: begin(have), Fleet: f.Name, Listen: f.Listen, Control: f.Control, Directory: f.Directory, Keys: f.Keys,
-		Started: means.StartedAt, Log: log, CheckPolicy: func(change string, text []byte, now driver.PolicyContext) driver.PolicyVerdict {
+	e, err := driver.Open(driver.Options{Node: begin(have), Fleet: f.Name, PeerAddress: f.Listen, ControlAddress: f.Control, Directory: f.Directory, KeyFile: f.Keys,
+		StartTime: means.StartedAt, Log: log, CheckPolicy: func(change string, text []byte, now driver.PolicyContext) driver.PolicyVerdict {
 			return judge(have, change, text, now)
 		}})
 	if err != nil {
-		return cli.Joined{}, remedied(err)
+		return cli.FleetMembership{}, remedied(err)
 	}
 	means.Fleet = &controller.FleetConfig{ServingState: &fleet.ServingState{}, MaxHold: f.Terms().Hold}
 	status := func(ctx context.Context) *fleet.Status { return e.Request(ctx, &fleet.Request{Kind: "status"}).Status }
-	return cli.Joined{Peers: eventloop.FleetChannels{Orders: e.Orders(), Reports: e.Reports()}, Serve: e.Serve, Again: e.ReloadKeys, Status: status}, nil
+	return cli.FleetMembership{Channels: eventloop.FleetChannels{Orders: e.Orders(), Reports: e.Reports()}, Serve: e.Serve, ReloadKeys: e.ReloadKeys, Status: status}, nil
 }
 
 // check makes of a policy's text what the reducer decides by, and tells what of it is
--- a/internal/fleet/consensus/ready.go
+++ b/internal/fleet/consensus/ready.go
@@ -10,16 +10,17 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// receive gives a valid message to the library, which trusts what it is given and panics
-// about what can't be.
-func (c *Core) receive(ev Event) {
+// receive passes a valid message to the library, which trusts its input and panics on an impossible
+// message.
+func (c *Core) receive(event Event) {
 	m := &pb.Message{}
-	isMeant := proto.Unmarshal(ev.Bytes, m) == nil && m.GetTo() == c.id && m.GetFrom() == VoterNumber(ev.From) && ev.From != c.self
-	if !isMeant || !c.isValid(m) {
+	isAddressedHere := proto.Unmarshal(event.Bytes, m) == nil && m.GetTo() == c.id &&
+		m.GetFrom() == VoterID(event.From) && event.From != c.self
+	if !isAddressedHere || !c.isValid(m) {
 		c.IgnoredMessages++
 		return
 	}
-	c.names[m.GetFrom()] = ev.From
+	c.names[m.GetFrom()] = event.From
 	before := c.raft.BasicStatus()
 	if c.raft.Step(m) != nil {
 		c.IgnoredMessages++
@@ -32,7 +33,8 @@
 			c.leaderHeardAt, c.electionTimerStart = c.now, c.now
 		}
 	case pb.MsgVote:
-		if after.GetVote() == m.GetFrom() && (before.GetVote() != after.GetVote() || before.GetTerm() != after.GetTerm()) {
+		if after.GetVote() == m.GetFrom() &&
+			(before.GetVote() != after.GetVote() || before.GetTerm() != after.GetTerm()) {
 			c.electionTimerStart = c.now
 			c.drawElectionDelay()
 		}
@@ -41,6 +43,7 @@
 	}
 }
 
+// isValid reports whether a correct voter could have sent the message to this one.
 func (c *Core) isValid(m *pb.Message) bool {
 	switch m.GetType() {
 	case pb.MsgVote, pb.MsgVoteResp, pb.MsgPreVote, pb.MsgPreVoteResp:
@@ -49,19 +52,21 @@
 		last, _ := c.storage.LastIndex()
 		return m.GetTerm() > 0 && (m.GetTerm() < c.raft.BasicStatus().GetTerm() || m.GetCommit() <= last)
 	case pb.MsgHeartbeatResp:
-		x := m.GetContext()
-		return m.GetTerm() > 0 && (len(x) == 0 || len(x) == 8 && binary.LittleEndian.Uint64(x) <= c.confirmsAsked)
+		context := m.GetContext()
+		return m.GetTerm() > 0 && (len(context) == 0 ||
+			len(context) == 8 && binary.LittleEndian.Uint64(context) <= c.confirmRequests)
 	case pb.MsgAppResp:
-		return m.GetTerm() > 0 && (m.GetReject() || m.GetIndex() <= c.lastIndex || m.GetTerm() != c.raft.BasicStatus().GetTerm())
+		return m.GetTerm() > 0 && (m.GetReject() || m.GetIndex() <= c.lastIndex ||
+			m.GetTerm() != c.raft.BasicStatus().GetTerm())
 	case pb.MsgApp:
-		for i, e := range m.GetEntries() {
-			if e.GetIndex() != m.GetIndex()+1+uint64(i) || e.GetTerm() > m.GetTerm() || e.GetTerm() == 0 {
+		for i, entry := range m.GetEntries() {
+			if entry.GetIndex() != m.GetIndex()+1+uint64(i) || entry.GetTerm() > m.GetTerm() || entry.GetTerm() == 0 {
 				return false
 			}
-			switch e.GetType() {
+			switch entry.GetType() {
 			case pb.EntryNormal:
 			case pb.EntryConfChangeV2:
-				if proto.Unmarshal(e.GetData(), &pb.ConfChangeV2{}) != nil {
+				if proto.Unmarshal(entry.GetData(), &pb.ConfChangeV2{}) != nil {
 					return false
 				}
 			default:
@@ -70,15 +75,16 @@
 		}
 		return m.GetTerm() > 0
 	case pb.MsgSnap:
-		s := m.GetSnapshot()
-		var p snapshotPayload
-		return m.GetTerm() > 0 && s.GetMetadata().GetIndex() > 0 && s.GetMetadata().GetTerm() > 0 &&
-			len(s.GetMetadata().GetConfState().GetVoters()) > 0 && cbor.Unmarshal(s.GetData(), &p) == nil
+		snapshot := m.GetSnapshot()
+		var payload snapshotPayload
+		return m.GetTerm() > 0 && snapshot.GetMetadata().GetIndex() > 0 && snapshot.GetMetadata().GetTerm() > 0 &&
+			len(snapshot.GetMetadata().GetConfState().GetVoters()) > 0 &&
+			cbor.Unmarshal(snapshot.GetData(), &payload) == nil
 	}
 	return false
 }
 
-// handleReady hands out what the library has ready, until something must be persisted first.
+// handleReady emits the effects of the library's Readys, up to the first one that must be persisted.
 func (c *Core) handleReady() {
 	for !c.persisting {
 		if c.pendingSnapshot != nil {
@@ -89,40 +95,41 @@
 			break
 		}
 		rd := c.raft.Ready()
-		if !rd.MustSync && raft.IsEmptySnap(rd.Snapshot) && !slices.ContainsFunc(rd.CommittedEntries, isVoterChange) {
-			// Who votes is kept at once: a fleet at rest that starts anew would otherwise
-			// need those who were let go, since the log's end alone doesn't say what holds.
-			// At most the commit index has grown: that goes with the next Persist; who
-			// loses it learns it again from the leader.
+		if !rd.MustSync && raft.IsEmptySnap(rd.Snapshot) &&
+			!slices.ContainsFunc(rd.CommittedEntries, isVoterChange) {
+			// This Ready advances the commit index at most, which the next Persist writes; a
+			// voter that loses it learns it again from the leader. A committed change of the
+			// voters, however, is persisted at once: a log alone doesn't tell which entries are
+			// committed, so an idle fleet that restarts would need the removed voters.
 			c.finishReady(&rd)
 			continue
 		}
-		// A leader's disk works at the same time as those of the others: its vote counts
-		// for the majority only when its Persist is done.
+		// A leader sends new entries before its own Persist, so that the disks of all voters
+		// write at the same time. It counts toward the majority only after its Persist.
 		if c.raft.BasicStatus().RaftState == raft.StateLeader {
 			rd.Messages = slices.DeleteFunc(slices.Clone(rd.Messages), func(m *pb.Message) bool {
-				early := m.GetType() == pb.MsgApp || m.GetType() == pb.MsgHeartbeat
-				if early {
+				canPrecedePersist := m.GetType() == pb.MsgApp || m.GetType() == pb.MsgHeartbeat
+				if canPrecedePersist {
 					c.send(m)
 				}
-				return early
+				return canPrecedePersist
 			})
 		}
-		k := &PersistentState{Entries: fromRaftEntries(rd.Entries)}
+		persistent := &PersistentState{Entries: fromRaftEntries(rd.Entries)}
 		if !raft.IsEmptyHardState(rd.HardState) {
 			c.hardState = rd.HardState
 		}
-		k.HardState = encodeProto(c.hardState)
+		persistent.HardState = encodeProto(c.hardState)
 		if !raft.IsEmptySnap(rd.Snapshot) {
-			k.Snapshot = fromRaftSnapshot(rd.Snapshot)
+			persistent.Snapshot = fromRaftSnapshot(rd.Snapshot)
 		}
 		if n := len(rd.Entries); n > 0 {
 			c.lastIndex = rd.Entries[n-1].GetIndex()
-		} else if k.Snapshot != nil {
-			c.lastIndex = k.Snapshot.Index
+		} else if persistent.Snapshot != nil {
+			c.lastIndex = persistent.Snapshot.Index
 		}
 		c.pendingReady, c.persisting = &rd, true
-		c.emit(Effect{Kind: Persist, Persistent: k})
+		c.emit(Effect{Kind: Persist, Persistent: persistent})
 	}
 	if c.votersChanged {
 		c.votersChanged = false
@@ -130,6 +137,7 @@
 	}
 }
 
+// persisted finishes the Ready whose write is now on disk.
 func (c *Core) persisted() {
 	if !c.persisting {
 		c.IgnoredMessages++
@@ -142,16 +150,17 @@
 	}
 }
 
-// finishReady does what may be done once a Ready is persisted.
+// finishReady performs the rest of a Ready once it is persisted: it stores the entries in memory,
+// sends the messages, and emits the committed entries and the confirmations.
 func (c *Core) finishReady(rd *raft.Ready) {
 	if !raft.IsEmptySnap(rd.Snapshot) {
 		_ = c.storage.ApplySnapshot(rd.Snapshot)
-		s := fromRaftSnapshot(rd.Snapshot)
-		var p snapshotPayload
-		_ = cbor.Unmarshal(rd.Snapshot.GetData(), &p) // it was looked at when it came
-		c.applied, c.appliedTerm = s.Index, s.Term
-		c.setVoterConfig(s.Index, rd.Snapshot.GetMetadata().GetConfState(), p.Voters)
-		c.emit(Effect{Kind: SnapshotRestored, Snapshot: s})
+		snapshot := fromRaftSnapshot(rd.Snapshot)
+		var payload snapshotPayload
+		_ = cbor.Unmarshal(rd.Snapshot.GetData(), &payload) // isValid checked it on receipt
+		c.applied, c.appliedTerm = snapshot.Index, snapshot.Term
+		c.setVoterConfig(snapshot.Index, rd.Snapshot.GetMetadata().GetConfState(), payload.Voters)
+		c.emit(Effect{Kind: SnapshotRestored, Snapshot: snapshot})
 	}
 	_ = c.storage.Append(rd.Entries)
 	if !raft.IsEmptyHardState(rd.HardState) {
@@ -163,11 +172,11 @@
 	}
 	for _, e := range rd.CommittedEntries {
 		c.applied, c.appliedTerm = e.GetIndex(), e.GetTerm()
-		r := fromRaftEntry(e)
-		if r.IsVoterChange {
+		entry := fromRaftEntry(e)
+		if entry.IsVoterChange {
 			c.applyVoterChange(e)
 		}
-		c.emit(Effect{Kind: Committed, Entry: r})
+		c.emit(Effect{Kind: Committed, Entry: entry})
 	}
 	for _, rs := range rd.ReadStates {
 		seq, term := binary.LittleEndian.Uint64(rs.RequestCtx), binary.LittleEndian.Uint64(rs.RequestCtx[8:])
@@ -178,57 +187,59 @@
 		}
 	}
 	c.raft.Advance(*rd)
-	c.pendingConfirms = slices.DeleteFunc(c.pendingConfirms, func(a pendingConfirm) bool {
-		known := a.index > 0 && a.index <= c.applied
-		if known {
-			c.emit(Effect{Kind: LeadershipConfirmed, Handle: a.handle, Index: a.index})
+	c.pendingConfirms = slices.DeleteFunc(c.pendingConfirms, func(pending pendingConfirm) bool {
+		isConfirmed := pending.index > 0 && pending.index <= c.applied
+		if isConfirmed {
+			c.emit(Effect{Kind: LeadershipConfirmed, Handle: pending.handle, Index: pending.index})
 		}
-		return known
+		return isConfirmed
 	})
 	c.updateLeader()
 }
 
+// send emits a message, unless it can't reach its voter or would be of no use there.
 func (c *Core) send(m *pb.Message) {
-	to, ok := c.names[m.GetTo()]
+	name, ok := c.names[m.GetTo()]
 	if !ok {
-		return // it voted once, and nobody knows its name any more
+		return // a former voter whose name is no longer known
 	}
 	if m.GetType() == pb.MsgSnap {
-		conf := m.GetSnapshot().GetMetadata().GetConfState()
-		if !slices.Contains(conf.GetVoters(), m.GetTo()) && !slices.Contains(conf.GetVotersOutgoing(), m.GetTo()) {
-			// It is from before this one votes, who would pass it over in silence. A
-			// newer one will be there when it is tried again.
+		config := m.GetSnapshot().GetMetadata().GetConfState()
+		if !slices.Contains(config.GetVoters(), m.GetTo()) &&
+			!slices.Contains(config.GetVotersOutgoing(), m.GetTo()) {
+			// The snapshot precedes the change that added this voter, which would silently
+			// ignore it. The library retries, and finds a newer snapshot then.
 			c.raft.ReportSnapshot(m.GetTo(), raft.SnapshotFailure)
 			return
 		}
 		c.snapshotsInFlight[m.GetTo()] = c.now
 	}
-	c.emit(Effect{Kind: SendMessage, To: to, Bytes: encodeProto(m)})
+	c.emit(Effect{Kind: SendMessage, To: name, Bytes: encodeProto(m)})
 }
 
-// applyVoterChange applies a committed change of voters.
-func (c *Core) applyVoterChange(e *pb.Entry) {
-	cc := &pb.ConfChangeV2{}
-	_ = proto.Unmarshal(e.GetData(), cc) // it was looked at when it came
-	var named []Voter
-	if len(cc.GetContext()) > 0 {
-		_ = cbor.Unmarshal(cc.GetContext(), &named)
+// applyVoterChange applies a committed change of the voters.
+func (c *Core) applyVoterChange(entry *pb.Entry) {
+	change := &pb.ConfChangeV2{}
+	_ = proto.Unmarshal(entry.GetData(), change) // isValid checked it on receipt
+	var newVoters []Voter
+	if len(change.GetContext()) > 0 {
+		_ = cbor.Unmarshal(change.GetContext(), &newVoters)
 	}
 	c.proposedVoterChange = false
-	c.setVoterConfig(e.GetIndex(), c.raft.ApplyConfChange(cc), append(c.Voters(), named...))
+	c.setVoterConfig(entry.GetIndex(), c.raft.ApplyConfChange(change), append(c.Voters(), newVoters...))
 }
 
-// setVoterConfig notes who votes from an index on. Of several voters of one name in named the
-// last one counts.
-func (c *Core) setVoterConfig(index uint64, conf *pb.ConfState, named []Voter) {
-	c.voterConfig = proto.Clone(conf).(*pb.ConfState)
+// setVoterConfig sets the voters from an index on. knownVoters has their names and addresses; of
+// several with one name, the last one counts.
+func (c *Core) setVoterConfig(index uint64, config *pb.ConfState, knownVoters []Voter) {
+	c.voterConfig = proto.Clone(config).(*pb.ConfState)
 	clear(c.voters)
-	in := map[uint64]bool{}
-	for _, id := range append(slices.Clone(conf.GetVoters()), conf.GetVotersOutgoing()...) {
-		in[id] = true
+	isVoter := map[uint64]bool{}
+	for _, id := range append(slices.Clone(config.GetVoters()), config.GetVotersOutgoing()...) {
+		isVoter[id] = true
 	}
-	for _, v := range named {
-		if id := VoterNumber(v.Name); in[id] {
+	for _, v := range knownVoters {
+		if id := VoterID(v.Name); isVoter[id] {
 			c.voters[id], c.names[id] = v, v.Name
 		}
 	}
@@ -236,30 +247,34 @@
 	c.configHistory = append(c.configHistory, configAt{index, c.voterConfig, c.Voters()})
 }
 
-// compactLog puts the pending snapshot in the place of the log up to there.
+// compactLog replaces the log up to the index of the pending snapshot by the snapshot, and emits a
+// Persist. The trailingEntries before the snapshot stay in the log.
 func (c *Core) compactLog() {
-	s := c.pendingSnapshot
+	pending := c.pendingSnapshot
 	c.pendingSnapshot = nil
-	old, _ := c.storage.Snapshot()
-	if s.Index <= old.GetMetadata().GetIndex() {
+	previous, _ := c.storage.Snapshot()
+	if pending.Index <= previous.GetMetadata().GetIndex() {
 		return
 	}
-	for len(c.configHistory) > 1 && c.configHistory[1].index <= s.Index {
+	for len(c.configHistory) > 1 && c.configHistory[1].index <= pending.Index {
 		c.configHistory = c.configHistory[1:]
 	}
-	if len(c.configHistory) == 0 || c.configHistory[0].index > s.Index {
+	if len(c.configHistory) == 0 || c.configHistory[0].index > pending.Index {
 		return
 	}
-	at := c.configHistory[0]
-	whole, err := c.storage.CreateSnapshot(s.Index, at.config, encodeCBOR(snapshotPayload{at.voters, s.Data}))
+	atSnapshot := c.configHistory[0]
+	snapshot, err := c.storage.CreateSnapshot(pending.Index, atSnapshot.config,
+		encodeCBOR(snapshotPayload{atSnapshot.voters, pending.Data}))
 	if err != nil {
 		return
 	}
-	if first, _ := c.storage.FirstIndex(); s.Index > trailingEntries && s.Index-trailingEntries >= first {
-		_ = c.storage.Compact(s.Index - trailingEntries)
+	if first, _ := c.storage.FirstIndex(); pending.Index > trailingEntries &&
+		pending.Index-trailingEntries >= first {
+		_ = c.storage.Compact(pending.Index - trailingEntries)
 	}
 	first, _ := c.storage.FirstIndex()
-	all, _ := c.storage.Entries(first, c.lastIndex+1, 1<<63)
+	entries, _ := c.storage.Entries(first, c.lastIndex+1, 1<<63)
 	c.persisting = true
-	c.emit(Effect{Kind: Persist, Persistent: &PersistentState{HardState: encodeProto(c.hardState), Entries: fromRaftEntries(all), Snapshot: fromRaftSnapshot(whole)}})
+	c.emit(Effect{Kind: Persist, Persistent: &PersistentState{HardState: encodeProto(c.hardState),
+		Entries: fromRaftEntries(entries), Snapshot: fromRaftSnapshot(snapshot)}})
 }
--- a/internal/fleet/consensus/start.go
+++ b/internal/fleet/consensus/start.go
@@ -10,8 +10,8 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// New begins a voter. The effects are those of a Step: what the disk held comes as
-// SnapshotRestored and Committed, as far as it is known to be committed.
+// New starts a voter. The caller performs the effects like those of a Step. Among them is the
+// persistent state, as SnapshotRestored and Committed, as far as it is known to be committed.
 func New(config Config) (*Core, []Effect, error) {
 	if config.HeartbeatInterval <= 0 || config.ElectionTimeout < 2*config.HeartbeatInterval {
 		return nil, nil, &TimeoutError{config.ElectionTimeout, config.HeartbeatInterval}
@@ -19,14 +19,14 @@
 	if err := checkVoterNames(config.Self, config.Voters); err != nil {
 		return nil, nil, err
 	}
-	number := VoterNumber(config.Self)
+	id := VoterID(config.Self)
 	c := &Core{
-		id:                number,
+		id:                id,
 		self:              config.Self,
-		rand:              rand.New(rand.NewPCG(config.Seed, number)),
+		rand:              rand.New(rand.NewPCG(config.Seed, id)),
 		electionTimeout:   config.ElectionTimeout,
 		heartbeatInterval: config.HeartbeatInterval,
-		names:             map[uint64]string{number: config.Self},
+		names:             map[uint64]string{id: config.Self},
 		voters:            map[uint64]Voter{},
 		voterConfig:       &pb.ConfState{},
 		snapshotsInFlight: map[uint64]time.Duration{},
@@ -45,10 +45,10 @@
 		ID:      c.id,
 		Storage: c.storage,
 		Applied: c.applied,
-		Logger:  quiet{},
+		Logger:  discardLogger{},
 
-		// Only a leader is ever ticked, once a heartbeat: after so many ticks without
-		// a majority it gives up. Elections are called here, by the Core's own times.
+		// Only a leader ticks the library, once per heartbeat; it steps down after
+		// ElectionTick ticks without a majority. The Core's own timers start elections.
 		ElectionTick:  max(2, int(config.ElectionTimeout/config.HeartbeatInterval)),
 		HeartbeatTick: 1,
 
@@ -70,28 +70,28 @@
 	return c, c.takeEffects(), nil
 }
 
-// load puts what the disk held where the library reads it.
-func (c *Core) load(p PersistentState) error {
+// load copies the persistent state to the storage that the library reads.
+func (c *Core) load(persistent PersistentState) error {
 	c.storage = raft.NewMemoryStorage()
 	c.hardState = &pb.HardState{}
-	if err := proto.Unmarshal(p.HardState, c.hardState); err != nil {
-		return &PersistentStateError{"term and vote can't be read"}
+	if err := proto.Unmarshal(persistent.HardState, c.hardState); err != nil {
+		return &PersistentStateError{"hard state can't be decoded"}
 	}
-	for i, entry := range p.Entries {
-		if entry.Index != p.Entries[0].Index+uint64(i) || entry.Index == 0 {
+	for i, entry := range persistent.Entries {
+		if entry.Index != persistent.Entries[0].Index+uint64(i) || entry.Index == 0 {
 			return &LogGapError{entry.Index}
 		}
 	}
-	if p.Snapshot != nil {
-		if err := c.loadSnapshot(p.Snapshot, p.Entries); err != nil {
+	if persistent.Snapshot != nil {
+		if err := c.loadSnapshot(persistent.Snapshot, persistent.Entries); err != nil {
 			return err
 		}
-		c.emit(Effect{Kind: SnapshotRestored, Snapshot: p.Snapshot})
+		c.emit(Effect{Kind: SnapshotRestored, Snapshot: persistent.Snapshot})
 	} else {
-		if len(p.Entries) > 0 && p.Entries[0].Index != 1 {
-			return &LogGapError{p.Entries[0].Index}
+		if len(persistent.Entries) > 0 && persistent.Entries[0].Index != 1 {
+			return &LogGapError{persistent.Entries[0].Index}
 		}
-		_ = c.storage.Append(toRaftEntries(p.Entries))
+		_ = c.storage.Append(toRaftEntries(persistent.Entries))
 	}
 	c.lastIndex, _ = c.storage.LastIndex()
 	if c.hardState.GetCommit() > c.lastIndex {
@@ -100,30 +100,31 @@
 	if c.hardState.GetCommit() < c.applied {
 		c.hardState.Commit = new(c.applied)
 	}
-	if p.HardState != nil || p.Snapshot != nil {
+	if persistent.HardState != nil || persistent.Snapshot != nil {
 		_ = c.storage.SetHardState(proto.Clone(c.hardState).(*pb.HardState))
 	}
 	return nil
 }
 
-// loadSnapshot begins with a snapshot, and with the entries after it. Entries up to it stay
-// in the log for voters that lag, where they reach up to it.
+// loadSnapshot loads a snapshot and the entries after it. Entries before the snapshot stay in the
+// log for voters that lag, if the entries reach at least up to the snapshot.
 func (c *Core) loadSnapshot(snapshot *Snapshot, entries []LogEntry) error {
 	var config voterConfig
 	state := &pb.ConfState{}
 	if cbor.Unmarshal(snapshot.VoterConfig, &config) != nil || proto.Unmarshal(config.State, state) != nil {
-		return &PersistentStateError{"the snapshot doesn't tell who votes"}
+		return &PersistentStateError{"voters of the snapshot can't be decoded"}
 	}
 	c.applied = snapshot.Index
 	c.appliedTerm = snapshot.Term
 	c.setVoterConfig(snapshot.Index, state, config.Voters)
 	data := encodeCBOR(snapshotPayload{config.Voters, snapshot.Data})
-	at := func(index, term uint64) *pb.SnapshotMetadata {
+	metadata := func(index, term uint64) *pb.SnapshotMetadata {
 		return &pb.SnapshotMetadata{Index: new(index), Term: new(term), ConfState: state}
 	}
 	if len(entries) > 0 && entries[0].Index < snapshot.Index && entries[len(entries)-1].Index >= snapshot.Index {
-		// The library wants a log to begin after something: the first entry is given up for that.
-		_ = c.storage.ApplySnapshot(&pb.Snapshot{Metadata: at(entries[0].Index, entries[0].Term)})
+		// The library's log must begin after an entry that it only knows by index and term: the
+		// first entry becomes that one.
+		_ = c.storage.ApplySnapshot(&pb.Snapshot{Metadata: metadata(entries[0].Index, entries[0].Term)})
 		_ = c.storage.Append(toRaftEntries(entries[1:]))
 		_, _ = c.storage.CreateSnapshot(snapshot.Index, state, data)
 		return nil
@@ -134,7 +135,7 @@
 	if len(entries) > 0 && entries[0].Index != snapshot.Index+1 {
 		return &LogGapError{entries[0].Index}
 	}
-	_ = c.storage.ApplySnapshot(&pb.Snapshot{Data: data, Metadata: at(snapshot.Index, snapshot.Term)})
+	_ = c.storage.ApplySnapshot(&pb.Snapshot{Data: data, Metadata: metadata(snapshot.Index, snapshot.Term)})
 	_ = c.storage.Append(toRaftEntries(entries))
 	return nil
 }
--- a/internal/fleet/driver/open.go
+++ b/internal/fleet/driver/open.go
@@ -16,78 +16,78 @@
 	"railrelay.dev/railrelay/internal/fleet/transport"
 )
 
-// Options are what a controller's part in the fleet is opened with.
+// Options configure a Driver.
 type Options struct {
-	Node        node.Config // without Self.Disk, Seed, Boot and Kept, which are drawn and read here
-	Fleet       string
-	Listen      string // where peers come in
-	Control     string // where operators come in; "": they don't
-	Directory   string
-	Keys        string    // the key file
-	Started     time.Time // what all spans count from: the reducer's own
-	CheckPolicy func(change string, text []byte, have PolicyContext) PolicyVerdict
-	Log         zerolog.Logger
-
-	// OpenStore opens what keeps the record in place of the disk at Directory; nil: that disk.
+	Node           node.Config // without Self.DiskID, Seed, Incarnation and Persisted, which Open sets
+	Fleet          string
+	PeerAddress    string // listen address for peers
+	ControlAddress string // listen address for operators; "": none
+	Directory      string
+	KeyFile        string
+	StartTime      time.Time // origin of the node's time, the same as the controller's
+	CheckPolicy    func(changeID string, text []byte, context PolicyContext) PolicyVerdict
+	Log            zerolog.Logger
+
+	// OpenStore opens a store that replaces the one at Directory. May be nil.
 	OpenStore func() (Store, storage.Contents, error)
-	// Listener is where peers come in, in place of Listen, which is not used then; nil: none.
-	// It is closed with the edge, and where Open fails.
+	// Listener accepts peers in place of a listener on PeerAddress. It is closed with the Driver, or
+	// if Open fails. May be nil.
 	Listener net.Listener
-	// Dial connects to peers in place of the network's own; nil: that.
+	// Dial replaces net.Dialer for connections to peers. May be nil.
 	Dial func(ctx context.Context, network, address string) (net.Conn, error)
 }
 
-// Store keeps a controller's part of the record. Write returns once it is synced; after
-// an error nothing more is written.
+// Store keeps the persistent state of a controller's fleet node. Write returns once the state is
+// synced to disk; after an error nothing more is written.
 type Store interface {
 	Write(consensus.PersistentState) error
 	Close() error
 }
 
-// ListenError is an address that can't be listened on.
+// ListenError says that listening on an address failed.
 type ListenError struct {
-	What, Address string
-	Err           error
+	Purpose, Address string
+	Err              error
 }
 
 func (e *ListenError) Error() string {
-	return fmt.Sprintf("can't listen for %s on %s: %v", e.What, e.Address, e.Err)
+	return fmt.Sprintf("can't listen for %s on %s: %v", e.Purpose, e.Address, e.Err)
 }
 
-// Remedy says what to do.
+// Remedy returns what an operator can do about the error.
 func (e *ListenError) Remedy() string {
-	return "see that no other process has the address and that this machine has it; " +
-		"fleet.listen and fleet.control of the set-up name them"
+	return "check that no other process uses the address and that it belongs to this machine; " +
+		"fleet.listen and fleet.control set the addresses"
 }
 
-// Unwrap gives the cause.
+// Unwrap returns the cause.
 func (e *ListenError) Unwrap() error { return e.Err }
 
-// Open opens the store and both listeners. Errors are of the key file, the store, what it
-// held, or the listeners; nothing is left open then.
+// Open reads the key file, opens the store and both listeners, and creates the core. If it fails, it
+// closes everything that it opened.
 func Open(o Options) (d *Driver, err error) {
-	opened := &openedParts{options: &o}
+	parts := &openedParts{options: &o}
 	if o.Listener != nil {
-		opened.closers = append(opened.closers, o.Listener.Close)
+		parts.closers = append(parts.closers, o.Listener.Close)
 	}
 	defer func() {
 		if err != nil {
-			opened.close()
+			parts.close()
 		}
 	}()
-	keys, err := transport.ReadKeys(o.Keys)
+	keys, err := transport.ReadKeys(o.KeyFile)
 	if err != nil {
 		return nil, err
 	}
-	found, err := opened.openStore()
+	contents, err := parts.openStore()
 	if err != nil {
 		return nil, err
 	}
-	if err := opened.listen(); err != nil {
+	if err := parts.listen(); err != nil {
 		return nil, err
 	}
 	config := o.Node
-	config.Self.DiskID, config.Persisted = found.DiskID, found.Persistent
+	config.Self.DiskID, config.Persisted = contents.DiskID, contents.Persistent
 	config.Seed = transport.RandomID()
 	config.Incarnation = transport.RandomID()
 	core, initialEffects, err := node.New(config)
@@ -95,86 +95,88 @@
 		return nil, err
 	}
 	d = newDriver(core, initialEffects, &o)
-	d.store = opened.store
-	if err := opened.serve(d, &config, keys); err != nil {
+	d.store = parts.store
+	if err := parts.serve(d, &config, keys); err != nil {
 		return nil, err
 	}
-	line := o.Log.Info().Str("peers", opened.peers.Addr().String()).Str("disk", config.Self.DiskID)
-	if opened.operators != nil {
-		line = line.Str("operators", opened.operators.Addr().String())
+	event := o.Log.Info().Str("peers", parts.peers.Addr().String()).Str("disk", config.Self.DiskID)
+	if parts.operators != nil {
+		event = event.Str("operators", parts.operators.Addr().String())
 	}
-	line.Msg("fleet: listening")
+	event.Msg("fleet: listening")
 	return d, nil
 }
 
-// openedParts are what Open has opened so far.
+// openedParts holds the resources that Open has opened so far.
 type openedParts struct {
 	options   *Options
 	store     Store
 	peers     net.Listener
-	operators net.Listener // nil: operators don't come in
+	operators net.Listener // nil: no listener for operators
 	closers   []func() error
 }
 
-// close closes what was opened, where Open fails.
+// close closes the resources when Open fails.
 func (p *openedParts) close() {
-	for _, do := range p.closers {
-		do()
+	for _, closePart := range p.closers {
+		closePart()
 	}
 }
 
-func (p *openedParts) openStore() (found storage.Contents, err error) {
+// openStore opens the store and returns its contents.
+func (p *openedParts) openStore() (contents storage.Contents, err error) {
 	open := p.options.OpenStore
 	if open == nil {
 		open = p.options.openDisk
 	}
-	if p.store, found, err = open(); err != nil {
+	if p.store, contents, err = open(); err != nil {
 		return storage.Contents{}, err
 	}
 	p.closers = append(p.closers, p.store.Close)
-	return found, nil
+	return contents, nil
 }
 
-// listen opens the listeners that the options name.
+// listen opens the listeners that the options specify.
 func (p *openedParts) listen() (err error) {
 	p.peers = p.options.Listener
 	if p.peers == nil {
-		if p.peers, err = p.listenOn("peers", p.options.Listen); err != nil {
+		if p.peers, err = p.listenOn("peers", p.options.PeerAddress); err != nil {
 			return err
 		}
 	}
-	if p.options.Control != "" {
-		p.operators, err = p.listenOn("operators", p.options.Control)
+	if p.options.ControlAddress != "" {
+		p.operators, err = p.listenOn("operators", p.options.ControlAddress)
 	}
 	return err
 }
 
-func (p *openedParts) listenOn(what, address string) (net.Listener, error) {
+// listenOn opens a TCP listener; purpose is for the error.
+func (p *openedParts) listenOn(purpose, address string) (net.Listener, error) {
 	l, err := net.Listen("tcp", address)
 	if err != nil {
-		return nil, &ListenError{what, address, err}
+		return nil, &ListenError{purpose, address, err}
 	}
 	p.closers = append(p.closers, l.Close)
 	return l, nil
 }
 
-// serve begins to take in peers and operators for the driver.
+// serve starts to serve peers and operators on behalf of the driver.
 func (p *openedParts) serve(d *Driver, config *node.Config, keys transport.Keys) error {
 	o := p.options
 	onRefused := func(err fleet.ErrorWithRemedy, from string) {
-		o.Log.Log().Str("from", from).Str("error", err.Error()).Str("remedy", err.Remedy()).Msg("fleet: refused")
+		o.Log.Log().Str("from", from).Str("error", err.Error()).Str("remedy", err.Remedy()).Msg("fleet: rejected")
 	}
 	peers, err := transport.Open(transport.Options{
-		Local:     localAddress(p.peers),
-		Fleet:     o.Fleet,
-		Self:      config.Self.Name,
-		Boot:      config.Incarnation,
-		Keys:      keys,
-		Listener:  p.peers,
-		OnMessage: d.receiveMessage,
-		OnRefused: onRefused,
-		Seed:      transport.RandomID(),
-		Dial:      o.Dial,
+		LocalIP:     localAddress(p.peers),
+		Fleet:       o.Fleet,
+		Self:        config.Self.Name,
+		Incarnation: config.Incarnation,
+		Keys:        keys,
+		Listener:    p.peers,
+		OnMessage:   d.receiveMessage,
+		OnRejected:  onRefused,
+		Seed:        transport.RandomID(),
+		Dial:        o.Dial,
 	})
 	if err != nil {
 		return err
@@ -196,7 +198,7 @@
 	}
 	d.closeAll = func() error { return runAll(closers) }
 	d.reloadKeys = func() error {
-		keys, err := transport.ReadKeys(o.Keys)
+		keys, err := transport.ReadKeys(o.KeyFile)
 		if err != nil {
 			return err
 		}
@@ -208,20 +210,20 @@
 	return nil
 }
 
-// localAddress is the address that peers reach this controller at, from which it connects
-// to them; nil where the listener takes any.
+// localAddress returns the IP address of the listener, which is also the source address of
+// connections to peers, or nil if the listener accepts connections on all addresses.
 func localAddress(l net.Listener) net.IP {
-	at, isTCP := l.Addr().(*net.TCPAddr)
-	if !isTCP || at.IP.IsUnspecified() {
+	tcpAddress, isTCP := l.Addr().(*net.TCPAddr)
+	if !isTCP || tcpAddress.IP.IsUnspecified() {
 		return nil
 	}
-	return at.IP
+	return tcpAddress.IP
 }
 
-// openDisk opens the disk at Directory and claims it for this controller's name.
+// openDisk opens the store at Directory and claims it for this controller's name.
 func (o *Options) openDisk() (Store, storage.Contents, error) {
 	newDiskID := func() string { return fmt.Sprintf("%016x", transport.RandomID()) }
-	store, found, err := storage.Open(o.Directory, newDiskID)
+	store, contents, err := storage.Open(o.Directory, newDiskID)
 	if err != nil {
 		return nil, storage.Contents{}, err
 	}
@@ -229,24 +231,24 @@
 		store.Close()
 		return nil, storage.Contents{}, err
 	}
-	return store, found, nil
+	return store, contents, nil
 }
 
 // runAll runs all functions and joins their errors.
 func runAll(list []func() error) (err error) {
-	for _, do := range list {
-		err = errors.Join(err, do())
+	for _, run := range list {
+		err = errors.Join(err, run())
 	}
 	return err
 }
 
-// Counts are what the peers' wire has counted since the start, by name.
+// Counts returns the counters of the connections with peers since the start, by name.
 func (d *Driver) Counts() map[string]int { return d.peers.Counts() }
 
-// ReloadKeys reads the key file anew.
+// ReloadKeys rereads the key file and uses its keys from then on.
 func (d *Driver) ReloadKeys() error { return d.reloadKeys() }
 
-// Serve takes part in the fleet until ctx ends, and closes all that was opened.
+// Serve runs the fleet node until ctx ends, then closes the listeners and the store.
 func (d *Driver) Serve(ctx context.Context) error {
 	err := d.run(ctx)
 	return errors.Join(err, d.closeAll())
--- a/internal/fleet/transport/keys.go
+++ b/internal/fleet/transport/keys.go
@@ -10,41 +10,43 @@
 	"strings"
 )
 
-// Keys are what the fleet's controllers and operators share. The first one signs, all
-// are accepted. To replace one without a break: the new one as second line everywhere,
-// then as first line everywhere, then the old one goes.
+// Keys are the shared secrets of the fleet's controllers and operators. The first key signs;
+// signatures by any of the keys are accepted. To replace a key without an interruption, add the
+// new key as the second line everywhere, then make it the first line everywhere, then remove the
+// old key.
 type Keys [][]byte
 
 const (
-	keyAtLeast = 32 // bytes
-	keysAtMost = 2
+	minKeyBytes = 32
+	maxKeys     = 2
 )
 
-// ReadKeys reads a key file: one key a line in hex or base64, # begins a comment. What
-// can be read as hex is hex. It refuses, by a KeyFileError, a file that others than its owner can
-// read or write: who has the key may change every team's policy.
+// ReadKeys reads a key file: one key per line in hex or base64; # begins a comment. A line that is
+// valid hex is decoded as hex. ReadKeys returns a KeyFileError for a file that users other than
+// its owner can read or write, because anyone who has a key can change every team's policy.
 func ReadKeys(path string) (Keys, error) {
 	f, err := os.Open(path)
 	if err != nil {
-		return nil, &KeyFileError{Path: path, Why: err.Error()}
+		return nil, &KeyFileError{Path: path, Reason: err.Error()}
 	}
 	defer f.Close()
-	about, err := f.Stat() // of what is read, not of what may be at the path by then
+	info, err := f.Stat() // not os.Stat: the file at the path may have been replaced since it was opened
 	if err != nil {
-		return nil, &KeyFileError{Path: path, Why: err.Error()}
+		return nil, &KeyFileError{Path: path, Reason: err.Error()}
 	}
 	switch {
-	case !about.Mode().IsRegular():
-		return nil, &KeyFileError{Path: path, Why: "it is no regular file"}
-	case about.Mode().Perm()&0o077 != 0:
-		return nil, &KeyFileError{Path: path, Why: fmt.Sprintf("its rights are %#o, others can get at it", about.Mode().Perm())}
-	case about.Size() > 1<<16:
-		return nil, &KeyFileError{Path: path, Why: "it is over 64 KiB"}
+	case !info.Mode().IsRegular():
+		return nil, &KeyFileError{Path: path, Reason: "not a regular file"}
+	case info.Mode().Perm()&0o077 != 0:
+		return nil, &KeyFileError{Path: path,
+			Reason: fmt.Sprintf("permissions %#o give other users access", info.Mode().Perm())}
+	case info.Size() > 1<<16:
+		return nil, &KeyFileError{Path: path, Reason: "file is larger than 64 KiB"}
 	}
-	text := make([]byte, about.Size())
+	text := make([]byte, info.Size())
 	n, err := f.Read(text)
 	if err != nil && n < len(text) {
-		return nil, &KeyFileError{Path: path, Why: err.Error()}
+		return nil, &KeyFileError{Path: path, Reason: err.Error()}
 	}
 	var keys Keys
 	for i, line := range strings.Split(string(text[:n]), "\n") {
@@ -59,49 +61,51 @@
 		switch {
 		case err != nil:
 			return nil, &KeyFileError{path, i + 1, "neither hex nor base64"}
-		case len(key) < keyAtLeast:
-			return nil, &KeyFileError{path, i + 1, fmt.Sprintf("%d bytes, %d at least are needed", len(key), keyAtLeast)}
-		case len(keys) == keysAtMost:
-			return nil, &KeyFileError{path, i + 1, "a third key"}
+		case len(key) < minKeyBytes:
+			return nil, &KeyFileError{path, i + 1, fmt.Sprintf("%d bytes, need at least %d", len(key), minKeyBytes)}
+		case len(keys) == maxKeys:
+			return nil, &KeyFileError{path, i + 1, "more than two keys"}
 		}
 		keys = append(keys, key)
 	}
 	if len(keys) == 0 {
-		return nil, &KeyFileError{Path: path, Why: "it has no key"}
+		return nil, &KeyFileError{Path: path, Reason: "file contains no key"}
 	}
 	return keys, nil
 }
 
-// good says whether keys that didn't come from a file can be used.
+// validate checks keys that weren't read by ReadKeys.
 func (k Keys) validate() error {
 	for _, key := range k {
-		if len(key) < keyAtLeast {
-			return &KeyFileError{Why: "a key that is too short"}
+		if len(key) < minKeyBytes {
+			return &KeyFileError{Reason: "key is too short"}
 		}
 	}
 	if len(k) == 0 {
-		return &KeyFileError{Why: "no key"}
+		return &KeyFileError{Reason: "no key was given"}
 	}
 	return nil
 }
 
-// sign gives the MAC by the first key. What keeps a MAC made for one purpose from
-// counting for another; it has no byte 0, so that it and the bytes can't be cut elsewhere.
-func (k Keys) sign(what string, body []byte) []byte { return mac(k[0], what, body) }
+// sign returns the MAC of body by the first key. A MAC made for one purpose doesn't verify for
+// another. The purpose contains no zero byte, so that the zero byte that mac writes after the
+// purpose is an unambiguous separator.
+func (k Keys) sign(purpose string, body []byte) []byte { return mac(k[0], purpose, body) }
 
-func mac(key []byte, what string, body []byte) []byte {
+func mac(key []byte, purpose string, body []byte) []byte {
 	h := hmac.New(sha256.New, key)
-	h.Write([]byte("railrelay " + what + "\x00"))
+	h.Write([]byte("railrelay " + purpose + "\x00"))
 	h.Write(body)
 	return h.Sum(nil)
 }
 
-// verify reports whether sum is the MAC of body for this purpose by any of the keys. It
-// takes the same time whichever key fits: all of them are compared, each in constant time.
-func (k Keys) verify(what string, body, sum []byte) bool {
+// verify reports whether sum is the MAC of body for the purpose by any of the keys. It compares
+// sum with the MAC of every key, each in constant time, so that its duration doesn't tell which
+// key matched.
+func (k Keys) verify(purpose string, body, sum []byte) bool {
 	ok := false
 	for _, key := range k {
-		ok = hmac.Equal(mac(key, what, body), sum) || ok
+		ok = hmac.Equal(mac(key, purpose, body), sum) || ok
 	}
 	return ok
 }
--- a/internal/resultstore/keeper.go
+++ b/internal/resultstore/keeper.go
@@ -13,28 +13,28 @@
 	indexName = "index.db"
 )
 
-// Keeper does a spool's work on a store. Fetches may be done by any goroutine, all
+// SpoolStore does a spool's work on a store. Fetches may be done by any goroutine, all
 // else by one.
-type Keeper struct {
+type SpoolStore struct {
 	*Store
-	Found  Recovered
-	files  Files
-	dir    *Dir
-	erased []*spool.DiskTask // done, and not told yet
+	Recovery Recovery
+	files    Files
+	dir      *Dir
+	erased   []*spool.DiskTask // done, and not told yet
 }
 
-// OpenKeeper holds a directory and opens what it has. ErrInUse if another program does.
-func OpenKeeper(path string, terms Terms) (*Keeper, error) {
-	d, err := Hold(path)
+// OpenSpoolStore holds a directory and opens what it has. ErrInUse if another program does.
+func OpenSpoolStore(path string, terms Options) (*SpoolStore, error) {
+	d, err := LockDir(path)
 	if err != nil {
 		return nil, err
 	}
-	x, err := OpenBolt(d.Path(indexName))
+	x, err := OpenBoltIndex(d.Path(indexName))
 	if err != nil {
 		d.Close()
 		return nil, err
 	}
-	k, err := NewKeeper(d, x, terms)
+	k, err := NewSpoolStore(d, x, terms)
 	if err != nil {
 		x.Close()
 		d.Close()
@@ -44,17 +44,17 @@
 	return k, nil
 }
 
-// NewKeeper is the same over any files and index.
-func NewKeeper(files Files, index Index, terms Terms) (*Keeper, error) {
+// NewSpoolStore is the same over any files and index.
+func NewSpoolStore(files Files, index Index, terms Options) (*SpoolStore, error) {
 	s, found, err := Open(files, index, terms)
 	if err != nil {
 		return nil, err
 	}
-	return &Keeper{Store: s, Found: found, files: files}, nil
+	return &SpoolStore{Store: s, Recovery: found, files: files}, nil
 }
 
 // Keys is the keyring's text as it was kept, nil if there is none.
-func (k *Keeper) Keys() ([]byte, error) {
+func (k *SpoolStore) Keys() ([]byte, error) {
 	text, err := k.files.ReadFile(keysName)
 	if errors.Is(err, os.ErrNotExist) {
 		return nil, nil
@@ -62,41 +62,41 @@
 	return text, err
 }
 
-// KeepKeys keeps a keyring's text.
-func (k *Keeper) KeepKeys(text []byte) error { return k.files.Replace(keysName, text) }
+// SaveKeys keeps a keyring's text.
+func (k *SpoolStore) SaveKeys(text []byte) error { return k.files.Replace(keysName, text) }
 
 // Restore hands over what the disk held.
-func (k *Keeper) Restore(each func(f *spool.StoredResult)) error {
+func (k *SpoolStore) Restore(each func(f *spool.StoredResult)) error {
 	return k.Each(func(m *Meta) error {
-		each(&spool.StoredResult{Metadata: spool.Metadata{ResultID: m.Result, Query: m.Query, Team: m.Team, CreatedWall: m.Made, ExpiresWall: m.Ends, PageRows: m.Rows,
-			InvalidationTag: spool.InvalidationTag{LogIndex: m.Index, Tables: m.Tables, Owner: m.Owner}}, PageBytes: m.Bytes})
+		each(&spool.StoredResult{Metadata: spool.Metadata{ResultID: m.Result, Query: m.QueryID, Team: m.Tenant, CreatedWall: m.CreatedMillis, ExpiresWall: m.ExpiresMillis, PageRows: m.PageRows,
+			InvalidationTag: spool.InvalidationTag{LogIndex: m.FleetIndex, Tables: m.TableGroups, Owner: m.Owner}}, PageBytes: m.PageBytes})
 		return nil
 	})
 }
 
 // Read does a fetch.
-func (k *Keeper) Read(w *spool.DiskTask) {
+func (k *SpoolStore) Read(w *spool.DiskTask) {
 	w.FetchedPage, w.Err = k.Fetch(w.Fetch.ResultID, w.Fetch.Page)
 }
 
 // Write does all other work, in order, with one sync for all. Work that erases is only
-// begun: Erased names it once it is done.
-func (k *Keeper) Write(l []*spool.DiskTask) {
+// begun: TakeErased names it once it is done.
+func (k *SpoolStore) Write(l []*spool.DiskTask) {
 	jobs := make([]*Job, 0, len(l))
 	for _, w := range l {
 		j := &Job{Drop: w.Drop}
 		for _, p := range w.Pages {
-			j.Pages = append(j.Pages, Record{Kind: Page, Result: p.ResultID, Page: p.Number, Body: p.Body})
+			j.Pages = append(j.Pages, Record{Kind: PageRecord, Result: p.ResultID, Page: p.Number, Body: p.Body})
 		}
 		if p := w.Metadata; p != nil {
-			j.Promise = &Meta{Result: p.ResultID, Query: p.Query, Team: p.Team, Made: p.CreatedWall, Ends: p.ExpiresWall, Rows: p.PageRows, Index: p.LogIndex, Tables: p.Tables, Owner: p.Owner}
+			j.Commit = &Meta{Result: p.ResultID, QueryID: p.Query, Tenant: p.Team, CreatedMillis: p.CreatedWall, ExpiresMillis: p.ExpiresWall, PageRows: p.PageRows, FleetIndex: p.LogIndex, TableGroups: p.Tables, Owner: p.Owner}
 		}
 		jobs = append(jobs, j)
 	}
 	k.Do(jobs)
 	for i, w := range l {
 		if w.Err, w.BytesOnDisk = jobs[i].Err, jobs[i].Total; w.Keys != nil {
-			w.Err = k.KeepKeys(w.Keys)
+			w.Err = k.SaveKeys(w.Keys)
 		}
 		if w.Erase {
 			k.Erase(func() { k.erased = append(k.erased, w) })
@@ -104,18 +104,18 @@
 	}
 }
 
-// Erased is the work that erases and was done since it was last asked for.
-func (k *Keeper) Erased() []*spool.DiskTask {
+// TakeErased is the work that erases and was done since it was last asked for.
+func (k *SpoolStore) TakeErased() []*spool.DiskTask {
 	l := k.erased
 	k.erased = nil
 	for _, w := range l {
-		w.BytesOnDisk = k.Total()
+		w.BytesOnDisk = k.TotalBytes()
 	}
 	return l
 }
 
 // Serve does work as it comes until there is no more. done is told of each.
-func (k *Keeper) Serve(work <-chan *spool.DiskTask, done func(w *spool.DiskTask), fault func(err error)) {
+func (k *SpoolStore) Serve(work <-chan *spool.DiskTask, done func(w *spool.DiskTask), fault func(err error)) {
 	const batch = 64
 	tick := time.NewTicker(time.Second)
 	defer tick.Stop()
@@ -126,7 +126,7 @@
 			more = false
 			fault(err)
 		}
-		for _, w := range k.Erased() {
+		for _, w := range k.TakeErased() {
 			done(w)
 		}
 	}
@@ -173,14 +173,14 @@
 				done(w)
 			}
 		}
-		if k.Behind() || k.Erases() {
+		if k.NeedsCheckpoint() || k.ErasePending() {
 			step()
 		}
 	}
 }
 
 // Close ends it and lets the directory go.
-func (k *Keeper) Close() error {
+func (k *SpoolStore) Close() error {
 	err := k.Store.Close()
 	if k.dir != nil {
 		err = errors.Join(err, k.dir.Close())
