--- a/internal/controller/residency_test.go
+++ b/internal/controller/residency_test.go
@@ -228,7 +228,8 @@
 					sent++
 					c := residency.New("a")
 					c.SetRules(current)
-					if v := c.Decide("bank", []int64{int64(x.query.messageID % 3)}, true); !v.AllowsEngineSite(x.engine.site) {
+					if v := c.Decide("bank", []int64{int64(x.query.messageID % 3)},
+						true); !v.AllowsEngineSite(x.engine.site) {
 						t.Fatalf("query %s sent to site %s by rules %+v", a.id, x.engine.site, current)
 					}
 				}
--- a/internal/spool/spool.go
+++ b/internal/spool/spool.go
@@ -113,8 +113,8 @@
 	lastID             uint64
 	now                time.Duration
 	submit             func(*DiskTask)
-	results            map[uint64]*Result
-	receiving          map[*Result]bool
+	results            map[uint64]*Result // committed, by ID
+	receiving          map[*Result]bool   // not committed yet
 	serial             uint64
 	nothingEvictableAt time.Duration // when the last scan found nothing to evict
 	nothingEvictable   bool
@@ -122,7 +122,7 @@
 	count              int // results, including those being received
 	memoryBytes        int64
 	diskBytes          int64
-	deadBytes          int64 // dropped but not compacted yet, as of the last disk task
+	deadBytes          int64 // on disk, of dropped results that are not compacted yet
 	writingBytes       int64
 	activeReads        int
 	cachedLRU          intrusivelist.List[Result] // pages both in memory and on disk; least recently read first
@@ -172,10 +172,10 @@
 	dropped       bool
 	pendingWrites int // write tasks that are not done
 	failure       error
-	onCommitted   func(error)
-	pendingReads  int // read tasks that are not done
-	readPages     []uint64
-	unreadCount   int
+	onCommitted   func(error) // set while a commit is in progress
+	pendingReads  int         // read tasks that are not done
+	readPages     []uint64    // bitmap of the pages that were read, except the first
+	unreadCount   int         // pages after the first that were never read
 	createdAt     time.Duration
 	lastReadAt    time.Duration
 	expiresAt     time.Duration
