--- a/internal/resultstore/golden_values_test.go
+++ b/internal/resultstore/golden_values_test.go
@@ -17,7 +17,8 @@
 	return []*spool.StoredResult{
 		{
 			Metadata: spool.Metadata{ResultID: first, Query: "query-1", Team: "team-a", CreatedWall: 1_700_000_000_001, ExpiresWall: 1_700_000_900_002,
-				PageRows: []uint32{10, 11, 12}, InvalidationTag: spool.InvalidationTag{Owner: "customer-1", LogIndex: 21, Tables: []int64{31, -32}}},
+				PageRows: []uint32{10, 11, 12}, InvalidationTag: spool.InvalidationTag{Owner: "customer-1", LogIndex: 21,
+					Tables: []int64{31, -32}}},
 			PageBytes: []uint32{300, 300, 300},
 		},
 		{
--- a/internal/resultstore/keeper.go
+++ b/internal/resultstore/keeper.go
@@ -69,7 +69,8 @@
 func (k *SpoolStore) Restore(each func(f *spool.StoredResult)) error {
 	return k.Each(func(m *Meta) error {
 		each(&spool.StoredResult{Metadata: spool.Metadata{ResultID: m.Result, Query: m.QueryID, Team: m.Tenant, CreatedWall: m.CreatedMillis, ExpiresWall: m.ExpiresMillis, PageRows: m.PageRows,
-			InvalidationTag: spool.InvalidationTag{LogIndex: m.FleetIndex, Tables: m.TableGroups, Owner: m.Owner}}, PageBytes: m.PageBytes})
+			InvalidationTag: spool.InvalidationTag{LogIndex: m.FleetIndex, Tables: m.TableGroups, Owner: m.Owner}},
+			PageBytes: m.PageBytes})
 		return nil
 	})
 }
--- a/internal/setup/placement.go
+++ b/internal/setup/placement.go
@@ -151,7 +151,8 @@
 // Base is the policy that the set-up itself holds: version 0, before any change.
 func (x *Setup) Base() (*controller.Policy, []fleet.EmergencyRule) {
 	rules := x.rules()
-	return &controller.Policy{Tenants: x.Shape(), Settings: x.facts(), Rules: rules}, residency.EmergencyRules(rules)
+	return &controller.Policy{Tenants: x.Shape(), Settings: x.facts(), Rules: rules},
+		residency.EmergencyRules(rules)
 }
 
 // ParsePolicy reads a policy's text, strictly, and checks it against a controller's own
--- a/internal/setup/spool.go
+++ b/internal/setup/spool.go
@@ -57,7 +57,8 @@
 	if s.MemoryMB > cmp.Or(l.MemoryMB, 512)/2 {
 		c.wrong("spool.memory_mb", "is over half of limits.memory_mb")
 	}
-	if idle, life := s.Idle.or(spool.DefaultLimits().IdleTimeout), s.Life.or(spool.DefaultLimits().MaxAge); idle > life {
+	if idle, life := s.Idle.or(spool.DefaultLimits().IdleTimeout),
+		s.Life.or(spool.DefaultLimits().MaxAge); idle > life {
 		c.wrong("spool.idle", "%v is longer than the life of %v", idle, life)
 	}
 	if k := time.Duration(s.Keys); k > 0 && k < time.Minute {
@@ -76,8 +77,10 @@
 	l.MaxTeamBytes = int64(s.TeamMB * mb)
 	l.MaxResultBytes = int64(cmp.Or(s.ResultMB, 1024) * mb)
 	l.MaxResults, l.MaxTeamResults = cmp.Or(s.Results, l.MaxResults), cmp.Or(s.TeamResults, l.MaxTeamResults)
-	l.TeamShare, l.IdleTimeout, l.MaxAge = cmp.Or(s.TeamShare, l.TeamShare), s.Idle.or(l.IdleTimeout), s.Life.or(l.MaxAge)
-	l.PageBytes, l.MaxWritingBytes, l.MaxReads = int(cmp.Or(s.PageKB, 32)*1024), int64(cmp.Or(s.FlightMB, 4)*mb), cmp.Or(s.Reads, l.MaxReads)
+	l.TeamShare, l.IdleTimeout, l.MaxAge = cmp.Or(s.TeamShare, l.TeamShare), s.Idle.or(l.IdleTimeout),
+		s.Life.or(l.MaxAge)
+	l.PageBytes, l.MaxWritingBytes, l.MaxReads = int(cmp.Or(s.PageKB, 32)*1024), int64(cmp.Or(s.FlightMB, 4)*mb),
+		cmp.Or(s.Reads, l.MaxReads)
 	return l
 }
 
