--- a/internal/residency/residency.go
+++ b/internal/residency/residency.go
@@ -1,6 +1,6 @@
 // Package residency decides where a tenant's data may be: on which engines its queries run,
 // which controllers serve them, and where results and cached answers are retained. A rule binds
-// all or some tables of a tenant to sites that the setup names. The package is a pure core: no I/O,
+// all or some tables of a tenant to sites that the settings name. The package is a pure core: no I/O,
 // clock or goroutine. It only narrows the scheduler's choice of engines.
 //
 // A query to which several rules apply must comply with all of them. If the tables of a query are
--- a/internal/residency/residency_test.go
+++ b/internal/residency/residency_test.go
@@ -184,12 +184,12 @@
 		r := Rule{Team: "t",
 			Tables:  rapid.SliceOfDistinct(rapid.Int64Range(0, 3), rapid.ID[int64]).Draw(t, "tables"),
 			Engines: some.Draw(t, "engines"), Follows: rapid.Bool().Draw(t, "follows")}
-		if rapid.Bool().Draw(t, "keeps") {
+		if rapid.Bool().Draw(t, "sets keep") {
 			r.Keep = some.Draw(t, "keep")
 		}
 		return r
 	})
-	drawn := func(t *rapid.T, name string) (l []Rule) {
+	drawRules := func(t *rapid.T, name string) (l []Rule) {
 		l = rapid.SliceOfN(rule, 0, 4).Draw(t, name)
 		for i := range l {
 			l[i].Name = fmt.Sprint(name, i)
@@ -197,7 +197,7 @@
 		return l
 	}
 	rapid.Check(t, func(t *rapid.T) {
-		old, next := drawn(t, "old"), drawn(t, "new")
+		old, next := drawRules(t, "old"), drawRules(t, "new")
 		a, b := newCore("a", old...), newCore("a", next...)
 		tables := rapid.SliceOfNDistinct(rapid.Int64Range(0, 4), 0, 3, rapid.ID[int64]).Draw(t, "on")
 		known := rapid.Bool().Draw(t, "known")
--- a/internal/resultcache/result_cache_test.go
+++ b/internal/resultcache/result_cache_test.go
@@ -149,7 +149,7 @@
 }
 
 func TestModel(t *testing.T) {
-	total, hits, struck, purged := 0, 0, 0, 0
+	total, hits, invalidated, purged := 0, 0, 0, 0
 	rapid.Check(t, func(t *rapid.T) {
 		c, err := New(Limits{Freshness: 3 * time.Second, MaxBytes: 4000, MaxEntries: 8, MaxAnswerBytes: 600,
 			TenantShare: 0.4}, 0)
@@ -227,13 +227,13 @@
 			w.check()
 		}
 		total += w.served
-		struck, purged = struck+c.Counts.Invalidated, purged+c.Counts.Purged
+		invalidated, purged = invalidated+c.Counts.Invalidated, purged+c.Counts.Purged
 	})
-	t.Logf("served %d, of them %d cached; invalidated flights %d, purged entries %d", total, hits, struck,
+	t.Logf("served %d, of them %d cached; invalidated flights %d, purged entries %d", total, hits, invalidated,
 		purged)
-	if hits < 500 || total-hits < 200 || struck < 100 || purged < 100 {
+	if hits < 500 || total-hits < 200 || invalidated < 100 || purged < 100 {
 		t.Fatalf("the random steps reached too few cases: %d served, %d of them cached, %d invalidated, %d purged",
-			total, hits, struck, purged)
+			total, hits, invalidated, purged)
 	}
 }
 
@@ -258,7 +258,7 @@
 		t.Fatal(v1, v2)
 	}
 	_, next := c.Invalidate(1, &fleet.Scope{Team: "linz", Tables: []int64{3}}, 1)
-	if others := c.Complete(2, first, [][]byte{[]byte("old")}); len(others) > 0 {
+	if followers := c.Complete(2, first, [][]byte{[]byte("old")}); len(followers) > 0 {
 		t.Error("a follower got an answer from before the invalidation")
 	}
 	if n, _, _ := c.Usage(); n > 0 {
--- a/internal/spool/spool_test.go
+++ b/internal/spool/spool_test.go
@@ -106,11 +106,11 @@
 // wiped is called.
 func (b *model) purge(s *fleet.Scope) {
 	b.index++
-	var gone []uint64
+	var purgedIDs []uint64
 	unreached := false
 	b.c.Purge(b.now, s, b.index, func() { unreached = true }, func(n fleet.InvalidationCounts) {
 		b.purged += int(n.Results)
-		for _, id := range gone {
+		for _, id := range purgedIDs {
 			if b.disk[id] != nil {
 				b.t.Fatal("wiped was called with a purged result left on disk")
 			}
@@ -121,7 +121,7 @@
 	}
 	for id, h := range b.committed {
 		if h.r.purged {
-			gone = append(gone, id)
+			purgedIDs = append(purgedIDs, id)
 			delete(b.committed, id)
 			b.c.ReadPage(b.now, []byte(h.token), h.team, 0, func(_ []byte, err error) {
 				if err != ErrPageNotFound {
@@ -197,7 +197,7 @@
 }
 
 func TestModel(t *testing.T) {
-	promised, evicted, waited, served, purged := 0, 0, 0, 0, 0
+	committed, evicted, waited, served, purged := 0, 0, 0, 0, 0
 	rapid.Check(t, func(t *rapid.T) {
 		l := Limits{MaxMemoryBytes: 4000, MaxDiskBytes: 20_000, MaxResults: 12, MaxResultBytes: 9000,
 			TeamShare: 0.3, MaxTeamResults: 6, MaxTeamBytes: 14_000, IdleTimeout: 20 * time.Second,
@@ -255,7 +255,7 @@
 					if err != nil {
 						return
 					}
-					promised++
+					committed++
 					h := &committedResult{r: k.r, token: b.c.Token(k.r), team: k.team, read: map[int]bool{}, readAt: b.now,
 						made: k.r.createdAt}
 					from := 0
@@ -288,9 +288,9 @@
 				}
 				i := rapid.IntRange(0, len(h.pages)-1).Draw(t, "page")
 				live := !h.r.dropped && b.now < min(h.readAt+l.IdleTimeout, h.made+l.MaxAge)
-				told := false
+				called := false
 				b.c.ReadPage(b.now, []byte(h.token), h.team, i, func(p []byte, err error) {
-					told = true
+					called = true
 					switch {
 					case err == nil && h.r.purged:
 						t.Fatal("a page is served after its result was purged")
@@ -307,7 +307,7 @@
 				})
 				if live {
 					h.readAt = b.now
-				} else if !told {
+				} else if !called {
 					t.Fatal("an expired result is read")
 				}
 			case x == 12 && rapid.IntRange(0, 3).Draw(t, "purge") == 0:
@@ -342,9 +342,9 @@
 			t.Fatalf("left after all results expired: %d results, %d and %d bytes", n, m, d)
 		}
 	})
-	if purged < 20 || promised < 50 || evicted < 20 || waited < 20 || served < 50 {
-		t.Fatalf("the random steps reached too few cases: purged %d promised %d evicted %d waited %d served %d",
-			purged, promised, evicted, waited, served)
+	if purged < 20 || committed < 50 || evicted < 20 || waited < 20 || served < 50 {
+		t.Fatalf("the random steps reached too few cases: purged %d committed %d evicted %d waited %d served %d",
+			purged, committed, evicted, waited, served)
 	}
 }
 
@@ -466,11 +466,11 @@
 		PageBytes: 1000, MaxWritingBytes: 10_000, MaxReads: 4}
 	c := New(l, newKeyring(t), 1_700_000_000_000, 1<<32,
 		func(*DiskTask) { t.Fatal("a disk task without a disk") })
-	type kept struct {
+	type retained struct {
 		r     *Result
 		token string
 	}
-	keep := func(team string, pages int) (k kept, v AddOutcome) {
+	keep := func(team string, pages int) (k retained, v AddOutcome) {
 		r, err := c.Admit(c.now, "q", team, InvalidationTag{})
 		if err != nil {
 			t.Fatal(err)
@@ -478,13 +478,13 @@
 		for range pages {
 			if v, _ = c.AddPage(c.now, r, bytes.Repeat([]byte("y"), 1000), 1, c.now+time.Second); v != PageAccepted {
 				c.Drop(c.now, r)
-				return kept{}, v
+				return retained{}, v
 			}
 		}
 		c.Commit(c.now, r, func(error) {})
-		return kept{r, c.Token(r)}, PageAccepted
+		return retained{r, c.Token(r)}, PageAccepted
 	}
-	read := func(k kept, pages ...int) {
+	read := func(k retained, pages ...int) {
 		for _, i := range pages {
 			c.ReadPage(c.now, []byte(k.token), k.r.team.name, i, func(_ []byte, err error) {
 				if err != nil {
@@ -502,7 +502,7 @@
 	read(reading, 1, 2)
 	read(done, 1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 13, 14, 15, 16, 17, 18, 19, 20, 21, 22, 23, 24)
 	c.now += 15 * time.Second
-	all := []kept{done, old, unread}
+	all := []retained{done, old, unread}
 	for n := range all {
 		if _, v := keep(fmt.Sprint("wels ", n), 22); v != PageAccepted {
 			t.Fatal("there is no space: ", v)
