--- a/internal/residency/residency_test.go
+++ b/internal/residency/residency_test.go
@@ -14,59 +14,65 @@
 	"railrelay.dev/railrelay/internal/fleet"
 )
 
-func core(site string, rules ...Rule) *Core {
+func newCore(site string, rules ...Rule) *Core {
 	c := New(site)
 	c.SetRules(rules)
 	return c
 }
 
 func TestIntersection(t *testing.T) {
-	c := core("linz",
-		Rule{Name: "a", Team: "bank", Tables: []int64{1}, Engines: []string{"linz", "wien"}, Keep: []string{"linz"}},
+	c := newCore("linz",
+		Rule{Name: "a", Team: "bank", Tables: []int64{1}, Engines: []string{"linz", "wien"},
+			Keep: []string{"linz"}},
 		Rule{Name: "b", Team: "bank", Tables: []int64{2}, Engines: []string{"wien", "graz"}},
 		Rule{Name: "c", Team: "bank", Tables: []int64{3}, Engines: []string{"graz"}})
-	if v := c.Decide("bank", []int64{1}, true); !v.MayServe || !v.MayRetain || !slices.Equal(v.EngineSites, []string{"linz", "wien"}) {
+	if v := c.Decide("bank", []int64{1}, true); !v.MayServe || !v.MayRetain ||
+		!slices.Equal(v.EngineSites, []string{"linz", "wien"}) {
 		t.Fatalf("%+v", v)
 	}
-	if v := c.Decide("bank", []int64{1, 2}, true); v.MayServe || v.MayRetain || !v.AllowsEngineSite("wien") || v.AllowsEngineSite("linz") {
+	if v := c.Decide("bank", []int64{1, 2}, true); v.MayServe || v.MayRetain || !v.AllowsEngineSite("wien") ||
+		v.AllowsEngineSite("linz") {
 		t.Fatalf("%+v", v)
 	}
-	if v := c.Decide("bank", []int64{1, 3}, true); v.Conflict == nil || !slices.Equal(v.Conflict.Rules, []string{"a", "c"}) || v.AllowsEngineSite("graz") {
+	if v := c.Decide("bank", []int64{1, 3}, true); v.Conflict == nil ||
+		!slices.Equal(v.Conflict.Rules, []string{"a", "c"}) || v.AllowsEngineSite("graz") {
 		t.Fatalf("%+v", v)
 	}
 	if v := c.Decide("bank", nil, false); v.Conflict == nil {
-		t.Fatalf("what can't be told is taken as all: %+v", v)
+		t.Fatalf("unknown tables must count as all tables: %+v", v)
 	}
 	if v := c.Decide("bank", []int64{9}, true); v.RuleApplies || !v.MayServe || !v.AllowsEngineSite("anywhere") {
 		t.Fatalf("%+v", v)
 	}
 	if c.HasRules("other") || !c.Decide("other", []int64{1}, true).MayServe {
-		t.Fatal("a rule binds its own team")
+		t.Fatal("a rule applies to another team")
 	}
 }
 
-func TestFollowed(t *testing.T) {
-	c := core("linz", Rule{Name: "a", Team: "bank", Tables: []int64{1}, Engines: []string{"linz"}, Follows: true},
+func TestLoadBindsDerivedTables(t *testing.T) {
+	c := newCore("linz", Rule{Name: "a", Team: "bank", Tables: []int64{1}, Engines: []string{"linz"},
+		Follows: true},
 		Rule{Name: "b", Team: "bank", Tables: []int64{7}, Engines: []string{"wien"}})
 	need, err := c.MissingBinding("bank", []int64{1, 5}, []int64{2, 1}, true)
-	if want := (&fleet.Binding{Team: "bank", Tables: []int64{2}, SourceTables: []int64{1}}); err != nil || !cmp.Equal(need, want) {
+	if want := (&fleet.Binding{Team: "bank", Tables: []int64{2}, SourceTables: []int64{1}}); err != nil ||
+		!cmp.Equal(need, want) {
 		t.Fatal(cmp.Diff(need, want), err)
 	}
 	if need, err := c.MissingBinding("bank", []int64{7}, []int64{2}, true); need != nil || err != nil {
 		t.Fatal(need, err)
 	}
 	if _, err := c.MissingBinding("bank", nil, nil, false); err == nil {
-		t.Fatal("a load that can't be told can't be followed")
+		t.Fatal("a load with unknown tables needs no binding")
 	}
 	old := c.Generation()
-	// recorded in an order in which the second follows what only the third binds
+	// the source of the second binding is bound only by the third
 	c.SetFleetView(&fleet.View{Bindings: []fleet.Binding{
 		{Team: "bank", Tables: []int64{2}, SourceTables: []int64{1}},
 		{Team: "bank", Tables: []int64{4}, SourceTables: []int64{3}},
 		{Team: "bank", Tables: []int64{3}, SourceTables: []int64{2}},
 		{Team: "other", Tables: []int64{8}, SourceTables: []int64{1}}}})
 	if c.Generation() == old {
-		t.Fatal("verdicts from before would hold on")
+		t.Fatal("outdated decisions stay valid: the generation is the same")
 	}
 	for _, n := range []int64{2, 3, 4} {
 		if v := c.Decide("bank", []int64{n}, true); v.AllowsEngineSite("wien") || !v.AllowsEngineSite("linz") {
@@ -74,15 +80,15 @@
 		}
 	}
 	if v := c.Decide("bank", []int64{8}, true); v.RuleApplies {
-		t.Fatal("another team's load bound it")
+		t.Fatal("a load of another team binds the table")
 	}
 	if need, _ := c.MissingBinding("bank", []int64{2}, []int64{3}, true); need != nil {
-		t.Fatal("bound already", need)
+		t.Fatal("the table is bound already", need)
 	}
 }
 
-func TestEmergency(t *testing.T) {
-	c := core("linz", Rule{Name: "a", Team: "bank", Engines: []string{"linz"},
+func TestEmergencyWidensEngineSitesOnly(t *testing.T) {
+	c := newCore("linz", Rule{Name: "a", Team: "bank", Engines: []string{"linz"},
 		Emergency: Emergency{Sites: []string{"wien"}, After: time.Minute}})
 	want := []fleet.EmergencyRule{{Name: "a", Team: "bank", Sites: []string{"linz"}, After: time.Minute}}
 	if got := c.EmergencyRules(); !cmp.Equal(got, want) {
@@ -90,85 +96,100 @@
 	}
 	c.SetFleetView(&fleet.View{Emergencies: map[string]uint64{"a": 7}})
 	v := c.Decide("bank", nil, true)
-	if !v.AllowsEngineSite("wien") || v.AllowsEngineSite("graz") || slices.Contains(v.ControllerSites, "wien") || slices.Contains(v.RetentionSites, "wien") {
+	if !v.AllowsEngineSite("wien") || v.AllowsEngineSite("graz") || slices.Contains(v.ControllerSites, "wien") ||
+		slices.Contains(v.RetentionSites, "wien") {
 		t.Fatalf("%+v", v)
 	}
 	for i := range maxCrossings + 5 {
-		if !c.RecordAttempt(fmt.Sprint(i), "bank", &v, "wien") || c.RecordAttempt(fmt.Sprint(i), "bank", &v, "linz") {
-			t.Fatal("what crosses is told apart")
+		if !c.RecordAttempt(fmt.Sprint(i), "bank", &v, "wien") ||
+			c.RecordAttempt(fmt.Sprint(i), "bank", &v, "linz") {
+			t.Fatal("only an attempt outside the rule's sites is a crossing")
 		}
 	}
 	if l, n := c.RecentCrossings(); len(l) != maxCrossings || n != maxCrossings+5 || l[0].Query != "5" {
 		t.Fatal(len(l), n, l[0])
 	}
 	c.SetFleetView(&fleet.View{})
-	if v := c.Decide("bank", nil, true); v.AllowsEngineSite("wien") || !c.IsOutsideRules("bank", nil, true, "wien") {
+	if v := c.Decide("bank", nil, true); v.AllowsEngineSite("wien") ||
+		!c.IsOutsideRules("bank", nil, true, "wien") {
 		t.Fatalf("%+v", v)
 	}
-	if s := ScopeAfterEmergency(c.rules, "a"); s == nil || s.Team != "bank" || !slices.Equal(s.OutsideSites, []string{"linz"}) {
+	if s := ScopeAfterEmergency(c.rules, "a"); s == nil || s.Team != "bank" ||
+		!slices.Equal(s.OutsideSites, []string{"linz"}) {
 		t.Fatalf("%+v", s)
 	}
 }
 
-func TestTightened(t *testing.T) {
-	old := []Rule{{Name: "a", Team: "bank", Tables: []int64{1}, Engines: []string{"linz", "wien"}, Follows: true}}
-	next := []Rule{{Name: "a", Team: "bank", Tables: []int64{1}, Engines: []string{"wien"}, Keep: []string{}, Follows: true}}
+func TestFindTighteningsAndPlanChange(t *testing.T) {
+	old := []Rule{{Name: "a", Team: "bank", Tables: []int64{1}, Engines: []string{"linz", "wien"},
+		Follows: true}}
+	next := []Rule{{Name: "a", Team: "bank", Tables: []int64{1}, Engines: []string{"wien"}, Keep: []string{},
+		Follows: true}}
 	bindings := []fleet.Binding{{Team: "bank", Tables: []int64{4}, SourceTables: []int64{1}}}
 	got := FindTightenings(old, next, bindings)
-	if len(got) != 1 || !slices.Equal(got[0].Tables, []int64{1, 4}) || !got[0].EndsRunningQueries || got[0].PurgeScope == nil ||
+	if len(got) != 1 || !slices.Equal(got[0].Tables, []int64{1, 4}) || !got[0].EndsRunningQueries ||
+		got[0].PurgeScope == nil ||
 		len(got[0].PurgeScope.OutsideSites) > 0 || !slices.Equal(got[0].PurgeScope.Tables, []int64{1, 4}) {
 		t.Fatalf("%+v", got)
 	}
 	if got := FindTightenings(next, old, bindings); len(got) > 0 {
-		t.Fatalf("widening needs nothing: %+v", got)
-	}
-	o := PlanChange(old, []Rule{{Name: "a", Team: "bank", Tables: []int64{1}, Engines: []string{"graz"}}}, PlanInput{Bindings: bindings,
-		Engines:     []Engine{{"e1", "linz", 30}, {"e2", "ulm", 10}},
-		Controllers: []fleet.Member{{Name: "c1", Site: "linz"}, {Name: "c2", Site: "graz"}},
-		Retained:    []RetainedData{{"c1", "bank", fleet.InvalidationCounts{Results: 3}}, {"c2", "bank", fleet.InvalidationCounts{Results: 4}}}})
+		t.Fatalf("wider rules are reported as tightened: %+v", got)
+	}
+	o := PlanChange(old, []Rule{{Name: "a", Team: "bank", Tables: []int64{1}, Engines: []string{"graz"}}},
+		PlanInput{Bindings: bindings,
+			Engines:     []Engine{{"e1", "linz", 30}, {"e2", "ulm", 10}},
+			Controllers: []fleet.Member{{Name: "c1", Site: "linz"}, {Name: "c2", Site: "graz"}},
+			Retained: []RetainedData{{"c1", "bank", fleet.InvalidationCounts{Results: 3}},
+				{"c2", "bank", fleet.InvalidationCounts{Results: 4}}}})
 	row := o.Rows[0]
-	if !slices.Equal(o.TeamsWithoutSite, []string{"bank"}) || row.ShareBefore != 0.75 || row.ShareAfter != 0 || !slices.Equal(row.EnginesOutside, []string{"e1"}) ||
-		!slices.Equal(row.PurgeOn, []string{"c1"}) || row.RetainedOutside.Results != 3 || !strings.Contains(o.Table(), "75.0 %") {
+	if !slices.Equal(o.TeamsWithoutSite, []string{"bank"}) || row.ShareBefore != 0.75 || row.ShareAfter != 0 ||
+		!slices.Equal(row.EnginesOutside, []string{"e1"}) ||
+		!slices.Equal(row.PurgeOn, []string{"c1"}) || row.RetainedOutside.Results != 3 ||
+		!strings.Contains(o.Table(), "75.0 %") {
 		t.Fatalf("%+v\n%s", o, o.Table())
 	}
 }
 
-func TestFlaws(t *testing.T) {
+func TestValidateRulesReportsEachFlaw(t *testing.T) {
 	sites, teams := []string{"linz", "wien"}, []string{"bank"}
 	for want, rules := range map[string][]Rule{
 		`no location is called "graz"`: {{Name: "a", Team: "bank", Engines: []string{"linz", "graz"}}},
 		`no team is called "shop"`:     {{Name: "a", Team: "shop", Engines: []string{"linz"}}},
 		"rules a and b leave": {{Name: "a", Team: "bank", Engines: []string{"linz"}},
 			{Name: "b", Team: "bank", Tables: []int64{1}, Engines: []string{"wien"}}},
-		"binds nothing":   {{Name: "a", Team: "bank"}},
-		"inside anyway":   {{Name: "a", Team: "bank", Engines: []string{"linz"}, Emergency: Emergency{[]string{"linz"}, 1}}},
-		"must all inside": {{Name: "a", Team: "bank", Engines: []string{"linz"}, Emergency: Emergency{Sites: []string{"wien"}}}},
+		"binds nothing": {{Name: "a", Team: "bank"}},
+		"engine sites already": {{Name: "a", Team: "bank", Engines: []string{"linz"},
+			Emergency: Emergency{[]string{"linz"}, 1}}},
+		"must all engine sites": {{Name: "a", Team: "bank", Engines: []string{"linz"},
+			Emergency: Emergency{Sites: []string{"wien"}}}},
 	} {
-		if flaws := ValidateRules(rules, sites, teams); len(flaws) != 1 || !strings.Contains(flaws[0].Error(), want) {
+		if flaws := ValidateRules(rules, sites, teams); len(flaws) != 1 ||
+			!strings.Contains(flaws[0].Error(), want) {
 			t.Errorf("%q: %v", want, flaws)
 		}
 	}
 	apart := []Rule{{Name: "a", Team: "bank", Tables: []int64{1}, Engines: []string{"linz"}},
 		{Name: "b", Team: "bank", Tables: []int64{2}, Engines: []string{"wien"}}}
 	if flaws := ValidateRules(apart, sites, teams); len(flaws) > 0 {
-		t.Error("only a query on both has no site", flaws)
+		t.Error("rules for different tables are reported as a conflict", flaws)
 	}
 }
 
-// Whatever the rules, no verdict lets a query to where a rule that it touches forbids,
-// and what isn't reported as tightened was as narrow before.
-func TestNeverWider(t *testing.T) {
+// For any rules, no decision allows an engine site that an applicable rule forbids, and a boundary
+// that is not reported as tightened is not narrower than before.
+func TestDecisionsNeverLeaveRuleSites(t *testing.T) {
 	sites := []string{"a", "b", "c"}
 	some := rapid.SliceOfDistinct(rapid.SampledFrom(sites), rapid.ID[string])
 	rule := rapid.Custom(func(t *rapid.T) Rule {
-		r := Rule{Team: "t", Tables: rapid.SliceOfDistinct(rapid.Int64Range(0, 3), rapid.ID[int64]).Draw(t, "tables"),
+		r := Rule{Team: "t",
+			Tables:  rapid.SliceOfDistinct(rapid.Int64Range(0, 3), rapid.ID[int64]).Draw(t, "tables"),
 			Engines: some.Draw(t, "engines"), Follows: rapid.Bool().Draw(t, "follows")}
-		if rapid.Bool().Draw(t, "keeps") {
+		if rapid.Bool().Draw(t, "sets keep") {
 			r.Keep = some.Draw(t, "keep")
 		}
 		return r
 	})
-	drawn := func(t *rapid.T, name string) (l []Rule) {
+	drawRules := func(t *rapid.T, name string) (l []Rule) {
 		l = rapid.SliceOfN(rule, 0, 4).Draw(t, name)
 		for i := range l {
 			l[i].Name = fmt.Sprint(name, i)
@@ -176,36 +197,38 @@
 		return l
 	}
 	rapid.Check(t, func(t *rapid.T) {
-		old, next := drawn(t, "old"), drawn(t, "new")
-		a, b := core("a", old...), core("a", next...)
+		old, next := drawRules(t, "old"), drawRules(t, "new")
+		a, b := newCore("a", old...), newCore("a", next...)
 		tables := rapid.SliceOfNDistinct(rapid.Int64Range(0, 4), 0, 3, rapid.ID[int64]).Draw(t, "on")
 		known := rapid.Bool().Draw(t, "known")
 		site := rapid.SampledFrom(sites).Draw(t, "site")
 		v := b.Decide("t", tables, known)
 		for _, r := range next {
-			says := !known || len(r.Tables) == 0 || slices.ContainsFunc(tables, func(n int64) bool { return slices.Contains(r.Tables, n) })
-			if says && len(r.Engines) > 0 && !slices.Contains(r.Engines, site) && v.AllowsEngineSite(site) {
+			applies := !known || len(r.Tables) == 0 ||
+				slices.ContainsFunc(tables, func(n int64) bool { return slices.Contains(r.Tables, n) })
+			if applies && len(r.Engines) > 0 && !slices.Contains(r.Engines, site) && v.AllowsEngineSite(site) {
 				t.Fatalf("%+v forbids %s: %+v", r, site, v)
 			}
 		}
 		if len(tables) != 1 || !known {
 			return
 		}
-		told := slices.ContainsFunc(FindTightenings(old, next, nil), func(x Tightening) bool {
+		reported := slices.ContainsFunc(FindTightenings(old, next, nil), func(x Tightening) bool {
 			return slices.Equal(x.Tables, tables) || slices.Contains(x.Tables, tables[0]) || len(x.Tables) == 0
 		})
-		if was := a.Decide("t", tables, true); !told && was.AllowsEngineSite(site) && !v.AllowsEngineSite(site) {
-			t.Fatalf("not told: %v to %v", was, v)
+		if was := a.Decide("t", tables, true); !reported && was.AllowsEngineSite(site) &&
+			!v.AllowsEngineSite(site) {
+			t.Fatalf("a tightening is not reported: %v to %v", was, v)
 		}
 	})
 }
 
 func TestMain(m *testing.M) {
-	flag.Set("rapid.seed", "20261202") // the same verdict every time
+	flag.Set("rapid.seed", "20261202") // the same cases in each run
 	m.Run()
 }
 
-func TestErrorsSayWhatToDo(t *testing.T) {
+func TestErrorsHaveRemedies(t *testing.T) {
 	for _, err := range Errors() {
 		if err.Error() == "" || err.Remedy() == "" || err.Error() == err.Remedy() {
 			t.Errorf("%T", err)
--- a/internal/setup/spool.go
+++ b/internal/setup/spool.go
@@ -61,7 +61,8 @@
 	if s.MemoryMB > cmp.Or(l.MemoryMB, 512)/2 {
 		c.addError("spool.memory_mb", "is more than half of limits.memory_mb")
 	}
-	if idle, life := s.Idle.orDefault(spool.DefaultLimits().IdleTimeout), s.Life.orDefault(spool.DefaultLimits().MaxAge); idle > life {
+	if idle, life := s.Idle.orDefault(spool.DefaultLimits().IdleTimeout),
+		s.Life.orDefault(spool.DefaultLimits().MaxAge); idle > life {
 		c.addError("spool.idle", "%v is longer than spool.life, %v", idle, life)
 	}
 	if k := time.Duration(s.Keys); k > 0 && k < time.Minute {
@@ -80,7 +81,8 @@
 	l.MaxTeamBytes = int64(s.TeamMB * mb)
 	l.MaxResultBytes = int64(cmp.Or(s.ResultMB, 1024) * mb)
 	l.MaxResults, l.MaxTeamResults = cmp.Or(s.Results, l.MaxResults), cmp.Or(s.TeamResults, l.MaxTeamResults)
-	l.TeamShare, l.IdleTimeout, l.MaxAge = cmp.Or(s.TeamShare, l.TeamShare), s.Idle.orDefault(l.IdleTimeout), s.Life.orDefault(l.MaxAge)
+	l.TeamShare, l.IdleTimeout, l.MaxAge = cmp.Or(s.TeamShare, l.TeamShare), s.Idle.orDefault(l.IdleTimeout),
+		s.Life.orDefault(l.MaxAge)
 	l.PageBytes, l.MaxWritingBytes, l.MaxReads = int(cmp.Or(s.PageKB, 32)*1024), int64(cmp.Or(s.FlightMB, 4)*mb),
 		cmp.Or(s.Reads, l.MaxReads)
 	return l
