--- a/cmd/railrelay-fleet/plan.go
+++ b/cmd/railrelay-fleet/plan.go
@@ -76,7 +76,8 @@
 			}
 			return err
 		}}
-	c.Flags().BoolVar(&alone, "alone", false, "only check the file, without requests to the fleet and the discovery service")
+	c.Flags().BoolVar(&alone, "alone", false,
+		"only check the file, without requests to the fleet and the discovery service")
 	return c
 }
 
--- a/cmd/railrelay-fleet/purge_test.go
+++ b/cmd/railrelay-fleet/purge_test.go
@@ -69,8 +69,9 @@
 func (c *customer) query(id string, fields ...string) client.Answer {
 	c.t.Helper()
 	return c.call(func(dst []byte, msg uint32) []byte {
-		return client.AppendQuery(dst, msg, "lookup", engine.Statement(engine.Work{Threads: 1, CPU: 5 * time.Millisecond,
-			MemoryMB: 1, Rows: 6000, TableGroup: 3}),
+		return client.AppendQuery(dst, msg, "lookup",
+			engine.Statement(engine.Work{Threads: 1, CPU: 5 * time.Millisecond,
+				MemoryMB: 1, Rows: 6000, TableGroup: 3}),
 			append([]string{"trace", id, "patience", "20000", "team", "a"}, fields...)...)
 	})
 }
@@ -155,7 +156,8 @@
 	id := first.Fields["id"]
 	// the stopped controller may have been the leader
 	for end := time.Now().Add(testTimeout); first.Fields["outstanding"] != "c1" || first.Fields["stage"] != "unreachable"; {
-		if first.Kind != client.Finished || first.Fields["state"] != "not yet" || id == "" || time.Now().After(end) {
+		if first.Kind != client.Finished || first.Fields["state"] != "not yet" || id == "" ||
+			time.Now().After(end) {
 			t.Fatalf("a purge while a controller is down: %+v", first)
 		}
 		first = all[0].newCustomer().purge("patience", "1000", "id", id)
--- a/internal/setup/control.go
+++ b/internal/setup/control.go
@@ -74,7 +74,8 @@
 // BaseControlPolicy returns the policy in this process's file, which applies before any change.
 func (x *Setup) BaseControlPolicy() *ControlPolicy {
 	rules := x.placementRules()
-	return &ControlPolicy{Rules: rules, RulesKnown: x.Placement != nil, WatchedRules: residency.EmergencyRules(rules)}
+	return &ControlPolicy{Rules: rules, RulesKnown: x.Placement != nil,
+		WatchedRules: residency.EmergencyRules(rules)}
 }
 
 // ParseControlPolicy reads a policy for a control process and checks everything but the names of
--- a/internal/setup/result_cache.go
+++ b/internal/setup/result_cache.go
@@ -12,11 +12,11 @@
 
 // ResultCache configures the cache of answers to read-only queries.
 type ResultCache struct {
-	// MaxAge is the age up to which an answer is served, from the start of its run on an engine
-	MaxAge     Duration `yaml:"fresh"`
-	MemoryMB   float64  `yaml:"memory_mb"` // of all answers; default 16
-	MaxEntries int      `yaml:"count"`     // default 10000
-	MaxEntryKB float64  `yaml:"answer_kb"` // a larger answer is not cached; default 1024, at most MemoryMB
+	// Freshness is the age up to which an answer is served, from the start of its run on an engine
+	Freshness   Duration `yaml:"fresh"`
+	MemoryMB    float64  `yaml:"memory_mb"` // of all answers; default 16
+	MaxEntries  int      `yaml:"count"`     // default 10000
+	MaxAnswerKB float64  `yaml:"answer_kb"` // a larger answer is not cached; default 1024, at most MemoryMB
 	// TeamShare is the fraction of the memory above which a team's answers are evicted first;
 	// default 0.25.
 	TeamShare float64 `yaml:"team_share"`
@@ -25,12 +25,12 @@
 	Groups []string `yaml:"groups"`
 }
 
-// maxResultAge is the upper limit of ResultCache.MaxAge.
+// maxResultAge is the upper limit of ResultCache.Freshness.
 const maxResultAge = 24 * time.Hour
 
 func (c *checker) checkResultCache(x *Setup) {
 	a := x.Answers
-	switch d := time.Duration(a.MaxAge); {
+	switch d := time.Duration(a.Freshness); {
 	case d == 0:
 		c.addError("answers.fresh",
 			"is missing: it has no default, because only the operator knows how old an answer may be")
@@ -39,7 +39,7 @@
 	}
 	c.optionalNumber("answers.memory_mb", a.MemoryMB, 0.1, 1<<20)
 	c.optionalNumber("answers.count", float64(a.MaxEntries), 1, 10_000_000)
-	c.optionalNumber("answers.answer_kb", a.MaxEntryKB, 1, 1<<20)
+	c.optionalNumber("answers.answer_kb", a.MaxAnswerKB, 1, 1<<20)
 	c.optionalNumber("answers.team_share", a.TeamShare, 0.001, 1)
 	if a.MemoryMB > cmp.Or(x.Limits.MemoryMB, 512)/2 {
 		c.addError("answers.memory_mb", "is more than half of limits.memory_mb")
@@ -71,10 +71,10 @@
 		return nil
 	}
 	l := resultcache.DefaultLimits()
-	l.Freshness = time.Duration(a.MaxAge)
+	l.Freshness = time.Duration(a.Freshness)
 	l.MaxBytes = int64(cmp.Or(a.MemoryMB, 16) * (1 << 20))
 	l.MaxEntries, l.TenantShare = cmp.Or(a.MaxEntries, l.MaxEntries), cmp.Or(a.TeamShare, l.TenantShare)
-	l.MaxAnswerBytes = min(l.MaxBytes, int64(cmp.Or(a.MaxEntryKB, 1024)*1024))
+	l.MaxAnswerBytes = min(l.MaxBytes, int64(cmp.Or(a.MaxAnswerKB, 1024)*1024))
 	l.Groups = a.Groups
 	return &l
 }
--- a/internal/setup/setup.go
+++ b/internal/setup/setup.go
@@ -158,12 +158,14 @@
 	Trusted []Prefix `yaml:"trusted"` // clients whose calls may name a team; default none
 	// Default is the team of all other clients; default a further team of weight 1.
 	Default string `yaml:"default"`
-	// wait after which a query starts before younger ones; default 10s
+	// AgeingLimit is the wait after which a query starts before all younger ones; default 10s.
 	AgeingLimit Duration `yaml:"age"`
 	MaxWaiting  int      `yaml:"waiting"` // queries of all teams; default 100000
-	// multiple of the usual work after which a query loses priority; default 4
+	// OverrunFactor is the multiple of its estimated work that a query may use before its priority
+	// is lowered; default 4.
 	OverrunFactor float64 `yaml:"overrun"`
-	// relative change of an estimate after which it is sent again; default 0.25
+	// NotifyThreshold is the relative change of an estimated wait above which the client is notified
+	// again; default 0.25.
 	NotifyThreshold float64 `yaml:"tell_change"`
 	Teams           []Team  `yaml:"teams"`
 }
--- a/internal/setup/spool.go
+++ b/internal/setup/spool.go
@@ -15,24 +15,27 @@
 // Spool configures the store of results that clients read page by page.
 type Spool struct {
 	Field string `yaml:"field"` // call field that asks for a result in pages
-	// empty: results are kept in memory and lost at the end of the process
+	// Directory is where results are stored. If it is empty, results are kept in memory and lost
+	// at the end of the process.
 	Directory string  `yaml:"directory"`
 	MemoryMB  float64 `yaml:"memory_mb"` // pages in memory; default 16
 	DiskMB    float64 `yaml:"disk_mb"`   // pages on disk; default 1024
-	// one result; default 1024, at most the space in memory and on disk
-	ResultMB float64 `yaml:"result_mb"`
-	Results  int     `yaml:"results"` // at once; default 10000
-	// fraction of the space above which a team's results are evicted first; default 0.25
-	TeamShare   float64  `yaml:"team_share"`
-	TeamResults int      `yaml:"team_results"` // of one team at once; default 1000
-	TeamMB      float64  `yaml:"team_mb"`      // of one team; default unlimited
-	Idle        Duration `yaml:"idle"`         // time from its last read until a result expires; default 15m
-	Life        Duration `yaml:"life"`         // time from its creation until a result expires, even if it is read; default 2h
-	PageKB      float64  `yaml:"page_kb"`      // size up to which engines' pages are joined; default 32
-	FlightMB    float64  `yaml:"flight_mb"`    // being written at once; default 4
-	Reads       int      `yaml:"reads"`        // pages being read from disk at once; default 64
-	Sync        string   `yaml:"sync"`         // promise, ticks or never; default promise
-	Keys        Duration `yaml:"keys"`         // time for which a key signs new tokens; default 24h
+	// MaxResultMB limits one result; default 1024, at most the space in memory and on disk.
+	MaxResultMB float64 `yaml:"result_mb"`
+	MaxResults  int     `yaml:"results"` // at once; default 10000
+	// TeamShare is the fraction of the space above which a team's results are evicted first;
+	// default 0.25.
+	TeamShare      float64  `yaml:"team_share"`
+	MaxTeamResults int      `yaml:"team_results"` // of one team at once; default 1000
+	MaxTeamMB      float64  `yaml:"team_mb"`      // of one team; default unlimited
+	IdleTimeout    Duration `yaml:"idle"`         // time from its last read until a result expires; default 15m
+	// MaxAge is the time from its creation until a result expires, even if it is read; default 2h.
+	MaxAge       Duration `yaml:"life"`
+	PageKB       float64  `yaml:"page_kb"`   // size up to which engines' pages are joined; default 32
+	MaxWritingMB float64  `yaml:"flight_mb"` // being written at once; default 4
+	MaxReads     int      `yaml:"reads"`     // pages being read from disk at once; default 64
+	SyncPolicy   string   `yaml:"sync"`      // promise, ticks or never; default promise
+	KeyLifetime  Duration `yaml:"keys"`      // time for which a key signs new tokens; default 24h
 }
 
 var syncPolicies = map[string]resultstore.SyncPolicy{"": resultstore.SyncOnCommit,
@@ -44,16 +47,16 @@
 	}
 	c.optionalNumber("spool.memory_mb", s.MemoryMB, 1, 1<<20)
 	c.optionalNumber("spool.disk_mb", s.DiskMB, 1, 1<<30)
-	c.optionalNumber("spool.result_mb", s.ResultMB, 0.001, 1<<20)
-	c.optionalNumber("spool.results", float64(s.Results), 1, 10_000_000)
+	c.optionalNumber("spool.result_mb", s.MaxResultMB, 0.001, 1<<20)
+	c.optionalNumber("spool.results", float64(s.MaxResults), 1, 10_000_000)
 	c.optionalNumber("spool.team_share", s.TeamShare, 0.001, 1)
-	c.optionalNumber("spool.team_results", float64(s.TeamResults), 1, 10_000_000)
-	c.optionalNumber("spool.team_mb", s.TeamMB, 0.001, 1<<30)
+	c.optionalNumber("spool.team_results", float64(s.MaxTeamResults), 1, 10_000_000)
+	c.optionalNumber("spool.team_mb", s.MaxTeamMB, 0.001, 1<<30)
 	c.optionalNumber("spool.page_kb", s.PageKB, 1, 1024)
-	c.optionalNumber("spool.flight_mb", s.FlightMB, 0.1, 1024)
-	c.optionalNumber("spool.reads", float64(s.Reads), 1, 10_000)
-	if _, ok := syncPolicies[s.Sync]; !ok {
-		c.addError("spool.sync", "%q is not one of: promise, ticks, never", s.Sync)
+	c.optionalNumber("spool.flight_mb", s.MaxWritingMB, 0.1, 1024)
+	c.optionalNumber("spool.reads", float64(s.MaxReads), 1, 10_000)
+	if _, ok := syncPolicies[s.SyncPolicy]; !ok {
+		c.addError("spool.sync", "%q is not one of: promise, ticks, never", s.SyncPolicy)
 	}
 	if s.Directory == "" && s.DiskMB > 0 {
 		c.addError("spool.disk_mb", "is set, but spool.directory is missing")
@@ -61,10 +64,11 @@
 	if s.MemoryMB > cmp.Or(l.MemoryMB, 512)/2 {
 		c.addError("spool.memory_mb", "is more than half of limits.memory_mb")
 	}
-	if idle, life := s.Idle.orDefault(spool.DefaultLimits().IdleTimeout), s.Life.orDefault(spool.DefaultLimits().MaxAge); idle > life {
+	if idle, life := s.IdleTimeout.orDefault(spool.DefaultLimits().IdleTimeout),
+		s.MaxAge.orDefault(spool.DefaultLimits().MaxAge); idle > life {
 		c.addError("spool.idle", "%v is longer than spool.life, %v", idle, life)
 	}
-	if k := time.Duration(s.Keys); k > 0 && k < time.Minute {
+	if k := time.Duration(s.KeyLifetime); k > 0 && k < time.Minute {
 		c.addError("spool.keys", "%v is shorter than a minute", k)
 	}
 }
@@ -77,12 +81,16 @@
 	if s.Directory != "" {
 		l.MaxDiskBytes = int64(cmp.Or(s.DiskMB, 1024) * mb)
 	}
-	l.MaxTeamBytes = int64(s.TeamMB * mb)
-	l.MaxResultBytes = int64(cmp.Or(s.ResultMB, 1024) * mb)
-	l.MaxResults, l.MaxTeamResults = cmp.Or(s.Results, l.MaxResults), cmp.Or(s.TeamResults, l.MaxTeamResults)
-	l.TeamShare, l.IdleTimeout, l.MaxAge = cmp.Or(s.TeamShare, l.TeamShare), s.Idle.orDefault(l.IdleTimeout), s.Life.orDefault(l.MaxAge)
-	l.PageBytes, l.MaxWritingBytes, l.MaxReads = int(cmp.Or(s.PageKB, 32)*1024), int64(cmp.Or(s.FlightMB, 4)*mb),
-		cmp.Or(s.Reads, l.MaxReads)
+	l.MaxTeamBytes = int64(s.MaxTeamMB * mb)
+	l.MaxResultBytes = int64(cmp.Or(s.MaxResultMB, 1024) * mb)
+	l.MaxResults = cmp.Or(s.MaxResults, l.MaxResults)
+	l.MaxTeamResults = cmp.Or(s.MaxTeamResults, l.MaxTeamResults)
+	l.TeamShare = cmp.Or(s.TeamShare, l.TeamShare)
+	l.IdleTimeout = s.IdleTimeout.orDefault(l.IdleTimeout)
+	l.MaxAge = s.MaxAge.orDefault(l.MaxAge)
+	l.PageBytes = int(cmp.Or(s.PageKB, 32) * 1024)
+	l.MaxWritingBytes = int64(cmp.Or(s.MaxWritingMB, 4) * mb)
+	l.MaxReads = cmp.Or(s.MaxReads, l.MaxReads)
 	return l
 }
 
@@ -107,7 +115,7 @@
 	if s.Directory != "" {
 		var err error
 		if store, err = resultstore.OpenSpoolStore(s.Directory,
-			resultstore.Options{Sync: syncPolicies[s.Sync]}); err != nil {
+			resultstore.Options{Sync: syncPolicies[s.SyncPolicy]}); err != nil {
 			return nil, err
 		}
 		recovery := &store.Recovery
@@ -124,7 +132,7 @@
 		}
 		spoolConfig.FirstResultID, spoolConfig.Restore = store.FirstResultID(), store.Restore
 	}
-	keys, err := spool.NewKeyring(savedKeys, s.Keys.orDefault(24*time.Hour), nowMs, newKey)
+	keys, err := spool.NewKeyring(savedKeys, s.KeyLifetime.orDefault(24*time.Hour), nowMs, newKey)
 	if err == nil && store != nil {
 		err = store.SaveKeys(keys.Encode())
 	}
