--- a/internal/cli/program.go
+++ b/internal/cli/program.go
@@ -277,7 +277,7 @@
 				}
 				return controller.Event{Kind: controller.ConfigurationReloaded,
 					DiscoveryAddress: next.DiscoveryAddress,
-				Tenants: next.FairQueueConfig()}, nil
+					Tenants:          next.FairQueueConfig()}, nil
 			}, log)
 		}, membership, log)
 }
