--- a/internal/emulator/disk/index.go
+++ b/internal/emulator/disk/index.go
@@ -8,51 +8,52 @@
 	"railrelay.dev/railrelay/internal/resultstore"
 )
 
-// Index is an index in memory that remembers what it held after each step of a disk.
+// Index is an in-memory result index. It records its state at each commit together with the
+// disk's operation count, so that AfterCrash can return to it.
 type Index struct {
-	mu   sync.Mutex
-	disk *Disk
-	held []held
+	mu     sync.Mutex
+	disk   *Disk
+	states []indexState
 }
 
-type held struct {
+type indexState struct {
 	step    int
 	results map[uint64]*resultstore.Meta
 	segment uint64
 	offset  int64
 }
 
-// NewIndex makes an empty one beside a disk.
-func NewIndex(d *Disk) *Index { return &Index{disk: d, held: []held{{}}} }
+// NewIndex creates an empty index that belongs to a disk.
+func NewIndex(d *Disk) *Index { return &Index{disk: d, states: []indexState{{}}} }
 
-func (x *Index) last() *held { return &x.held[len(x.held)-1] }
+func (x *Index) current() *indexState { return &x.states[len(x.states)-1] }
 
-// After is the index as a crash after so many steps of the disk leaves it.
+// AfterCrash returns the index as a crash after so many operations of the disk leaves it.
 func (x *Index) AfterCrash(steps int, d *Disk) *Index {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	at := held{}
-	for _, h := range x.held {
+	at := indexState{}
+	for _, h := range x.states {
 		if h.step <= steps {
 			at = h
 		}
 	}
 	at.step = 0
-	return &Index{disk: d, held: []held{at}}
+	return &Index{disk: d, states: []indexState{at}}
 }
 
-// Position is the place up to which it is.
+// Position returns the segment and offset up to which the index is current.
 func (x *Index) Position() (uint64, int64, error) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	return x.last().segment, x.last().offset, nil
+	return x.current().segment, x.current().offset, nil
 }
 
-// Commit changes it at once.
+// Commit atomically applies additions and removals and sets the position.
 func (x *Index) Commit(put []*resultstore.Meta, gone []uint64, segment uint64, offset int64) error {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	next := maps.Clone(x.last().results)
+	next := maps.Clone(x.current().results)
 	if next == nil {
 		next = map[uint64]*resultstore.Meta{}
 	}
@@ -62,24 +63,24 @@
 	for _, id := range gone {
 		delete(next, id)
 	}
-	x.held = append(x.held, held{x.disk.StepCount(), next, segment, offset})
+	x.states = append(x.states, indexState{x.disk.StepCount(), next, segment, offset})
 	return nil
 }
 
-// Get is one result.
+// Get returns the metadata of one result, or resultstore.ErrNotFound.
 func (x *Index) Get(id uint64) (*resultstore.Meta, error) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	if m := x.last().results[id]; m != nil {
+	if m := x.current().results[id]; m != nil {
 		return m, nil
 	}
 	return nil, resultstore.ErrNotFound
 }
 
-// Each hands over all, by number.
+// Each calls do with the metadata of each result in order of its ID.
 func (x *Index) Each(do func(m *resultstore.Meta) error) error {
 	x.mu.Lock()
-	all := x.last().results
+	all := x.current().results
 	x.mu.Unlock()
 	for _, id := range slices.Sorted(maps.Keys(all)) {
 		if err := do(all[id]); err != nil {
@@ -89,14 +90,14 @@
 	return nil
 }
 
-// Scrub has nothing to do: what is deleted leaves nothing.
+// Scrub does nothing: deleted entries leave no data behind.
 func (x *Index) Scrub() error { return nil }
 
-// Reset empties it.
+// Reset removes all entries.
 func (x *Index) Reset() error {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	x.held = append(x.held, held{step: x.disk.StepCount()})
+	x.states = append(x.states, indexState{step: x.disk.StepCount()})
 	return nil
 }
 
--- a/internal/emulator/feed/feed.go
+++ b/internal/emulator/feed/feed.go
@@ -1,5 +1,5 @@
-// Package feed is a stand-in for the control feed that lists the engines: events
-// by number over bytes, and sockets round them.
+// Package feed emulates the control feed that lists the engines. Log holds the numbered events and
+// Listener serves them on TCP.
 package feed
 
 import (
@@ -13,7 +13,7 @@
 	"time"
 )
 
-// Engine is one entry of the list, under the feed's names.
+// Engine is one entry of the list, with the feed's keys.
 type Engine struct {
 	ID        string `json:"id"`
 	HostPort  string `json:"host_port"`
@@ -25,34 +25,34 @@
 	UpSinceMs int64  `json:"up_since_ms"`
 }
 
-// Log is the feed's events from the first, each a line. The first lists all.
+// Log holds all events of the feed, one line each. The first event lists all engines.
 type Log struct{ lines [][]byte }
 
-type members struct {
+type memberList struct {
 	Revision int      `json:"revision"`
 	Complete bool     `json:"complete"`
 	Members  []Engine `json:"members"`
 }
 
 type event struct {
-	N       int     `json:"n"`
-	Members members `json:"members"`
+	N       int        `json:"n"`
+	Members memberList `json:"members"`
 }
 
-// Tell adds an event: of all engines with whole, else of those that changed.
-func (l *Log) Append(whole bool, engines ...Engine) {
+// Append adds an event that lists all engines if complete is true, else those that changed.
+func (l *Log) Append(complete bool, engines ...Engine) {
 	n := len(l.lines) + 1
-	line, err := json.Marshal(event{n, members{n, whole, engines}})
+	line, err := json.Marshal(event{n, memberList{n, complete, engines}})
 	if err != nil {
-		panic(err) // nothing in it can fail
+		panic(err) // unreachable: all fields can be encoded
 	}
 	l.lines = append(l.lines, line)
 }
 
-// Last is the number of the newest event.
+// LastEvent returns the number of the newest event.
 func (l *Log) LastEvent() int { return len(l.lines) }
 
-// Since is all events after one, a line each.
+// EventsSince returns all events after event n, one line each.
 func (l *Log) EventsSince(n int) []byte {
 	var b bytes.Buffer
 	for _, line := range l.lines[min(max(n, 0), len(l.lines)):] {
@@ -62,86 +62,88 @@
 	return b.Bytes()
 }
 
-// Known is the form that a configuration holds all events in.
+// ConfigurationJSON returns all events in the form that a controller's configuration holds them.
 func (l *Log) ConfigurationJSON() []byte {
-	return append(append([]byte(`{"n":`+strconv.Itoa(l.LastEvent())+`,"events":[`), bytes.Join(l.lines, []byte(","))...), "]}"...)
+	head := `{"n":` + strconv.Itoa(l.LastEvent()) + `,"events":[`
+	return append(append([]byte(head), bytes.Join(l.lines, []byte(","))...), "]}"...)
 }
 
-// Beat is the line that comes every second.
+// Heartbeat returns the line that is sent every second: the number of the newest event.
 func (l *Log) Heartbeat() []byte {
 	return append(strconv.AppendInt(nil, int64(l.LastEvent()), 10), '\n')
 }
 
-// Asked reads what a controller writes, SUB N; false if it is no such line.
+// ParseSubscription parses a controller's subscription line, "SUB N", and returns N.
 func ParseSubscription(line []byte) (n int, ok bool) {
 	word, number, found := strings.Cut(strings.TrimSpace(string(line)), " ")
 	n, err := strconv.Atoi(number)
 	return n, found && word == "SUB" && err == nil && n >= 0
 }
 
-// Listener serves a Log on sockets.
+// Listener serves a Log on TCP connections.
 type Listener struct {
 	net.Listener
-	mu    sync.Mutex
-	log   *Log
-	open  map[net.Conn]bool
-	conns map[net.Conn]int // the last event each was told
-	stop  context.CancelFunc
-	wg    sync.WaitGroup
-	bytes Traffic
+	mu          sync.Mutex
+	log         *Log
+	connections map[net.Conn]bool
+	lastSent    map[net.Conn]int // last event sent to each subscriber
+	stop        context.CancelFunc
+	goroutines  sync.WaitGroup
+	traffic     Traffic
 }
 
-// Bytes is what a feed's connections have carried, without the headers of TCP and IP.
+// Traffic counts the bytes that a feed's connections have carried, without TCP and IP headers.
 type Traffic struct {
 	In, Out int
-	Events  int // of Out, those that are not the number of each second
+	Events  int // part of Out that isn't heartbeats
 }
 
-// Bytes is what there was so far.
+// Traffic returns the traffic so far.
 func (l *Listener) Traffic() Traffic {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.bytes
+	return l.traffic
 }
 
-// Listen starts a feed on an address; Close ends it.
+// Listen serves a log on an address until Close.
 func Listen(ctx context.Context, address string, log *Log) (*Listener, error) {
-	var lc net.ListenConfig
-	nl, err := lc.Listen(ctx, "tcp", address)
+	var listenConfig net.ListenConfig
+	inner, err := listenConfig.Listen(ctx, "tcp", address)
 	if err != nil {
 		return nil, err
 	}
 	ctx, stop := context.WithCancel(ctx)
-	l := &Listener{Listener: nl, log: log, open: map[net.Conn]bool{}, conns: map[net.Conn]int{}, stop: stop}
-	l.wg.Add(2)
+	l := &Listener{Listener: inner, log: log, stop: stop,
+		connections: map[net.Conn]bool{}, lastSent: map[net.Conn]int{}}
+	l.goroutines.Add(2)
 	go l.accept()
-	go l.beat(ctx)
+	go l.sendHeartbeats(ctx)
 	return l, nil
 }
 
-// Tell adds an event and passes it on to all.
-func (l *Listener) Publish(whole bool, engines ...Engine) {
+// Publish adds an event and sends it to all subscribers.
+func (l *Listener) Publish(complete bool, engines ...Engine) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.log.Append(whole, engines...)
-	for c := range l.conns {
-		l.pass(c)
+	l.log.Append(complete, engines...)
+	for c := range l.lastSent {
+		l.sendNew(c)
 	}
 }
 
-func (l *Listener) pass(c net.Conn) {
+func (l *Listener) sendNew(c net.Conn) {
 	c.SetWriteDeadline(time.Now().Add(time.Second))
-	text := l.log.EventsSince(l.conns[c])
-	l.bytes.Out += len(text)
-	l.bytes.Events += len(text)
+	text := l.log.EventsSince(l.lastSent[c])
+	l.traffic.Out += len(text)
+	l.traffic.Events += len(text)
 	if _, err := c.Write(text); err != nil {
 		c.Close()
 	}
-	l.conns[c] = l.log.LastEvent()
+	l.lastSent[c] = l.log.LastEvent()
 }
 
-func (l *Listener) beat(ctx context.Context) {
-	defer l.wg.Done()
+func (l *Listener) sendHeartbeats(ctx context.Context) {
+	defer l.goroutines.Done()
 	every := time.NewTicker(time.Second)
 	defer every.Stop()
 	for {
@@ -150,10 +152,10 @@
 			return
 		case <-every.C:
 			l.mu.Lock()
-			for c := range l.conns {
+			for c := range l.lastSent {
 				c.SetWriteDeadline(time.Now().Add(time.Second))
 				n, _ := c.Write(l.log.Heartbeat())
-				l.bytes.Out += n
+				l.traffic.Out += n
 			}
 			l.mu.Unlock()
 		}
@@ -161,58 +163,58 @@
 }
 
 func (l *Listener) accept() {
-	defer l.wg.Done()
+	defer l.goroutines.Done()
 	for {
 		c, err := l.Listener.Accept()
 		if err != nil {
 			return
 		}
-		l.wg.Add(1)
+		l.goroutines.Add(1)
 		go l.serve(c)
 	}
 }
 
 func (l *Listener) serve(c net.Conn) {
-	defer l.wg.Done()
+	defer l.goroutines.Done()
 	defer c.Close()
 	l.mu.Lock()
-	l.open[c] = true
+	l.connections[c] = true
 	l.mu.Unlock()
 	var line []byte
 	p := make([]byte, 256)
-	for known := false; ; {
+	for subscribed := false; ; {
 		n, err := c.Read(p)
-		if line = append(line, p[:n]...); !known && bytes.IndexByte(line, '\n') >= 0 {
+		if line = append(line, p[:n]...); !subscribed && bytes.IndexByte(line, '\n') >= 0 {
 			last, ok := ParseSubscription(line)
 			if !ok {
 				return
 			}
-			known = true
+			subscribed = true
 			l.mu.Lock()
-			l.bytes.In += len(line)
-			l.conns[c] = last
-			l.pass(c)
+			l.traffic.In += len(line)
+			l.lastSent[c] = last
+			l.sendNew(c)
 			l.mu.Unlock()
 		}
 		if err != nil || len(line) > 1024 {
 			l.mu.Lock()
-			delete(l.conns, c)
-			delete(l.open, c)
+			delete(l.lastSent, c)
+			delete(l.connections, c)
 			l.mu.Unlock()
 			return
 		}
 	}
 }
 
-// Close ends the feed and all its connections.
+// Close stops the feed and closes all its connections.
 func (l *Listener) Close() error {
 	err := l.Listener.Close()
 	l.stop()
 	l.mu.Lock()
-	for c := range l.open {
+	for c := range l.connections {
 		c.Close()
 	}
 	l.mu.Unlock()
-	l.wg.Wait()
+	l.goroutines.Wait()
 	return err
 }
--- a/internal/emulator/hollow/controller.go
+++ b/internal/emulator/hollow/controller.go
@@ -20,46 +20,47 @@
 )
 
 const (
-	drift      = 0.01
-	keepAtMost = 4096 // entries, as a set-up has it unless it says another number
-	offsetMost = time.Hour
+	drift                = 0.01
+	snapshotAfterEntries = 4096 // log entries; the default of a controller's configuration
+	maxClockOffset       = time.Hour
 )
 
-// controller is one hollow controller, started or not. Its methods are called by one
-// goroutine.
+// controller is one simulated controller, running or not. Its methods must be called by one
+// goroutine at a time.
 type controller struct {
 	config *Config
 	member Member
 	store  *Store
 	gate   *gate
-	tell   func(Event)
+	emit   func(Event)
 
 	running *driver.Driver
 	stop    context.CancelFunc
 	done    chan struct{}
 }
 
-func newController(config *Config, member Member, tell func(Event)) *controller {
-	return &controller{config: config, member: member, store: NewStore("disk of "+member.Name, config.WriteDelay), gate: newGate(), tell: tell}
+func newController(config *Config, member Member, emit func(Event)) *controller {
+	return &controller{config: config, member: member, store: NewStore("disk of "+member.Name, config.WriteDelay), gate: newGate(),
+		emit: emit}
 }
 
-// start begins from what the store holds.
+// start starts the controller from the contents of its store.
 func (c *controller) start(ctx context.Context) error {
 	if c.running != nil {
 		return nil
 	}
 	c.gate.set(func(g *gate) { g.paused = false })
-	if !c.spread(ctx) {
+	if !c.delayStart(ctx) {
 		return nil
 	}
 	listener, err := net.Listen("tcp", c.member.ListenAddress)
 	if err != nil {
 		return &driver.ListenError{Purpose: "peers", Address: c.member.ListenAddress, Err: err}
 	}
-	started := time.Now().Add(-c.offset())
+	started := time.Now().Add(-c.clockOffset())
 	shape := c.shaper(listener.Addr())
-	dialer := &dialer{local: hostOf(listener.Addr()), direct: c.config.DirectAddresses, shape: shape, gate: c.gate, abroad: c.abroad}
-	opened, err := driver.Open(driver.Options{Node: c.begin(), Fleet: c.config.Fleet, KeyFile: c.config.Keys, ControlAddress: c.member.ControlAddress, StartTime: started, Log: zerolog.Nop(), CheckPolicy: check,
+	dialer := &dialer{local: hostOf(listener.Addr()), directAddresses: c.config.DirectAddresses, shape: shape, gate: c.gate, isOtherRegion: c.isOtherRegion}
+	opened, err := driver.Open(driver.Options{Node: c.nodeConfig(), Fleet: c.config.Fleet, KeyFile: c.config.Keys, ControlAddress: c.member.ControlAddress, StartTime: started, Log: zerolog.Nop(), CheckPolicy: acceptPolicy,
 		OpenStore: func() (driver.Store, storage.Contents, error) { return c.store, c.store.Contents(), nil },
 		Listener:  &shapedListener{listener, shape}, Dial: dialer.dial})
 	if err != nil {
@@ -67,22 +68,22 @@
 	}
 	running, stop := context.WithCancel(ctx)
 	c.running, c.stop, c.done = opened, stop, make(chan struct{})
-	watch := newObserver(c.member.Name, started, c.gate, c.tell)
+	watch := newObserver(c.member.Name, started, c.gate, c.emit)
 	go func() {
 		defer close(c.done)
 		group, ctx := errgroup.WithContext(running)
 		group.Go(func() error { return opened.Serve(ctx) })
-		group.Go(func() error { return c.tellSites(ctx, opened) })
+		group.Go(func() error { return c.reportSites(ctx, opened) })
 		group.Go(func() error { return watch.serve(ctx, opened.Orders(), opened.Reports()) })
 		if err := group.Wait(); err != nil && running.Err() == nil {
-			c.tell(Event{Kind: Failed, Name: c.member.Name, At: time.Now().UnixNano(), Reason: err.Error()})
+			c.emit(Event{Kind: Failed, Name: c.member.Name, At: time.Now().UnixNano(), Reason: err.Error()})
 		}
 	}()
 	return nil
 }
 
-// spread waits a part of Config.StartWithin; false if ctx ended.
-func (c *controller) spread(ctx context.Context) bool {
+// delayStart waits a random part of Config.StartWithin. It returns false if ctx ended first.
+func (c *controller) delayStart(ctx context.Context) bool {
 	wait := time.Duration(c.random().Float64() * float64(c.config.StartWithin))
 	select {
 	case <-time.After(wait):
@@ -92,8 +93,8 @@
 	}
 }
 
-// tellSites reports, once, the sites that a real controller would see engines in.
-func (c *controller) tellSites(ctx context.Context, opened *driver.Driver) error {
+// reportSites reports once the sites in which a real controller would find engines.
+func (c *controller) reportSites(ctx context.Context, opened *driver.Driver) error {
 	if len(c.config.Sites) == 0 {
 		return nil
 	}
@@ -104,8 +105,8 @@
 	return nil
 }
 
-// kill ends it at once. Its store stays.
-func (c *controller) kill() {
+// stopNow stops the controller without a shutdown. Its store stays.
+func (c *controller) stopNow() {
 	if c.running == nil {
 		return
 	}
@@ -114,7 +115,7 @@
 	c.running = nil
 }
 
-// counts are its wire's sums, zero while it isn't running.
+// counts returns the transport's counters, all zero while the controller isn't running.
 func (c *controller) counts() *Counts {
 	if c.running == nil {
 		return &Counts{}
@@ -122,7 +123,7 @@
 	return ParseCounts(c.running.Counts(), "")
 }
 
-// CountsOf reads the sums of a wire, whose names may have a prefix, as in a status.
+// ParseCounts reads a transport's counters. Their names may have a prefix, as in a status.
 func ParseCounts(all map[string]int, prefix string) *Counts {
 	at := func(name string) int { return all[prefix+name] }
 	return &Counts{BytesOut: at("conn_bytes_out"), BytesIn: at("conn_bytes_in"), FramesOut: at("bytes_out"), FramesIn: at("bytes_in"),
@@ -130,11 +131,11 @@
 		FailedPosts: at("failed"), Dropped: at("dropped")}
 }
 
-func (c *controller) begin() node.Config {
+func (c *controller) nodeConfig() node.Config {
 	b := node.Config{Self: fleet.Member{Name: c.member.Name, Site: c.member.Place.Zone,
 		PeerAddress:   c.member.ListenAddress,
 		ClientAddress: c.member.ClientAddress}, Lease: c.config.Lease,
-		ConfinedLease: c.config.Lease, ClockDrift: drift, ElectionTimeout: c.config.Election, HeartbeatInterval: c.config.Heartbeat, SnapshotAfterEntries: keepAtMost}
+		ConfinedLease: c.config.Lease, ClockDrift: drift, ElectionTimeout: c.config.Election, HeartbeatInterval: c.config.Heartbeat, SnapshotAfterEntries: snapshotAfterEntries}
 	for _, v := range c.config.Voters {
 		b.Voters = append(b.Voters, consensus.Voter{Name: v.Name, Address: v.Address})
 	}
@@ -144,9 +145,9 @@
 	return b
 }
 
-// offset is by how much its clock is ahead: the same for a seed and a name.
-func (c *controller) offset() time.Duration {
-	return time.Duration(c.random().Int64N(int64(offsetMost)))
+// clockOffset returns by how much the clock is ahead. It depends only on the seed and the name.
+func (c *controller) clockOffset() time.Duration {
+	return time.Duration(c.random().Int64N(int64(maxClockOffset)))
 }
 
 func (c *controller) random() *rand.Rand {
@@ -155,22 +156,23 @@
 	return rand.New(rand.NewPCG(c.config.Seed, h.Sum64()))
 }
 
-// shaper puts the gate and a link's time on connections, by the address at the other end.
-func (c *controller) shaper(own net.Addr) func(net.Conn) net.Conn {
+// shaper returns a function that adds the gate and the link's latency to a connection, by the
+// connection's remote address.
+func (c *controller) shaper(localAddress net.Addr) func(net.Conn) net.Conn {
 	jitter, mu := c.random(), &sync.Mutex{}
-	return func(plain net.Conn) net.Conn {
-		there := c.placeOf(plain.RemoteAddr().String())
-		span := c.config.Links.OneWay(c.member.Place, there)
+	return func(conn net.Conn) net.Conn {
+		remotePlace := c.placeOf(conn.RemoteAddr().String())
+		latency := c.config.Links.OneWay(c.member.Place, remotePlace)
 		delay := func() time.Duration {
 			mu.Lock()
 			defer mu.Unlock()
-			return span + time.Duration(float64(span)*c.config.Links.Jitter*jitter.Float64())
+			return latency + time.Duration(float64(latency)*c.config.Links.Jitter*jitter.Float64())
 		}
-		return &shapedConn{Conn: plain, gate: c.gate, abroad: there.Region != c.member.Place.Region, delay: delay, ended: make(chan struct{})}
+		return &shapedConn{Conn: conn, gate: c.gate, otherRegion: remotePlace.Region != c.member.Place.Region, delay: delay, ended: make(chan struct{})}
 	}
 }
 
-// placeOf is where a controller stands, by its address; who isn't known stands here.
+// placeOf returns the place of a controller by its address, or the own place if it is unknown.
 func (c *controller) placeOf(address string) Place {
 	host, _, _ := net.SplitHostPort(address)
 	if place, known := c.config.Places[host]; known {
@@ -179,7 +181,7 @@
 	return c.member.Place
 }
 
-func (c *controller) abroad(address string) bool {
+func (c *controller) isOtherRegion(address string) bool {
 	return c.placeOf(address).Region != c.member.Place.Region
 }
 
@@ -190,20 +192,20 @@
 	return nil
 }
 
-// check takes every policy: there is no set-up to hold it against.
-func check(_ string, text []byte, _ driver.PolicyContext) driver.PolicyVerdict {
+// acceptPolicy accepts every policy, because there is no configuration to check it against.
+func acceptPolicy(_ string, text []byte, _ driver.PolicyContext) driver.PolicyVerdict {
 	return driver.PolicyVerdict{Policy: append([]byte{}, text...)}
 }
 
-// do carries a command out.
-func (c *controller) do(ctx context.Context, command Command) {
+// execute executes a command.
+func (c *controller) execute(ctx context.Context, command Command) {
 	switch command.Do {
 	case Start:
 		if err := c.start(ctx); err != nil {
-			c.tell(Event{Kind: Failed, Name: c.member.Name, At: time.Now().UnixNano(), Reason: err.Error()})
+			c.emit(Event{Kind: Failed, Name: c.member.Name, At: time.Now().UnixNano(), Reason: err.Error()})
 		}
 	case Stop:
-		c.kill()
+		c.stopNow()
 	case Pause, Resume:
 		c.gate.set(func(g *gate) { g.paused = command.Do == Pause })
 	case Cut, Heal:
@@ -211,8 +213,8 @@
 	case Delay:
 		c.store.SetDelay(command.Delay)
 	case Report:
-		c.tell(Event{Kind: Counted, Name: c.member.Name, At: time.Now().UnixNano(), Round: command.Round, Counts: c.counts()})
+		c.emit(Event{Kind: Counted, Name: c.member.Name, At: time.Now().UnixNano(), Round: command.Round, Counts: c.counts()})
 	default:
-		c.tell(Event{Kind: Failed, Name: c.member.Name, At: time.Now().UnixNano(), Reason: fmt.Sprintf("no command is called %q", command.Do)})
+		c.emit(Event{Kind: Failed, Name: c.member.Name, At: time.Now().UnixNano(), Reason: fmt.Sprintf("unknown command %q", command.Do)})
 	}
 }
--- a/internal/emulator/hollow/store.go
+++ b/internal/emulator/hollow/store.go
@@ -8,37 +8,36 @@
 	"railrelay.dev/railrelay/internal/fleet/storage"
 )
 
-// Store keeps a controller's record in memory, over its restarts. Each write takes a
-// delay, so that memory isn't quicker than a synced disk would be. It may be used by
-// several goroutines.
+// Store keeps a controller's record in memory across restarts. Each write is delayed, so that it
+// isn't faster than a synced write to disk. Store is safe for concurrent use.
 type Store struct {
-	name string // of the disk that it stands for
+	name string // name of the emulated disk
 
-	mu    sync.Mutex
-	kept  consensus.PersistentState
-	delay time.Duration
+	mu         sync.Mutex
+	persistent consensus.PersistentState
+	delay      time.Duration
 }
 
-// NewStore makes an empty one under a disk's name.
+// NewStore creates an empty store with the name of its emulated disk.
 func NewStore(name string, delay time.Duration) *Store { return &Store{name: name, delay: delay} }
 
-// SetDelay has each later write take so long.
+// SetDelay sets the delay of further writes.
 func (s *Store) SetDelay(delay time.Duration) {
 	s.mu.Lock()
 	s.delay = delay
 	s.mu.Unlock()
 }
 
-// Found is what a disk would hold at a start.
+// Contents returns the state that a disk would hold at a start.
 func (s *Store) Contents() storage.Contents {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	kept := s.kept
-	kept.Entries = append([]consensus.LogEntry(nil), kept.Entries...)
-	return storage.Contents{DiskID: s.name, Persistent: kept}
+	persistent := s.persistent
+	persistent.Entries = append([]consensus.LogEntry(nil), persistent.Entries...)
+	return storage.Contents{DiskID: s.name, Persistent: persistent}
 }
 
-// Write keeps what a disk would, after the delay.
+// Write stores a state after the delay.
 func (s *Store) Write(k consensus.PersistentState) error {
 	s.mu.Lock()
 	delay := s.delay
@@ -46,16 +45,17 @@
 	time.Sleep(delay)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.kept = Merge(s.kept, k)
+	s.persistent = Merge(s.persistent, k)
 	return nil
 }
 
-// Close does nothing: what is kept stays for the next start.
+// Close does nothing: the state stays for the next start.
 func (s *Store) Close() error { return nil }
 
-// Merge gives what is kept once next has been written over before, as consensus.PersistentState says.
-func Merge(before, next consensus.PersistentState) consensus.PersistentState {
-	merged := before
+// Merge returns the state after next is written over current, as defined by
+// consensus.PersistentState.
+func Merge(current, next consensus.PersistentState) consensus.PersistentState {
+	merged := current
 	if next.HardState != nil {
 		merged.HardState = next.HardState
 	}
@@ -65,12 +65,12 @@
 	if len(next.Entries) == 0 {
 		return merged
 	}
-	stay := len(merged.Entries)
-	for stay > 0 && merged.Entries[stay-1].Index >= next.Entries[0].Index {
-		stay--
+	keep := len(merged.Entries)
+	for keep > 0 && merged.Entries[keep-1].Index >= next.Entries[0].Index {
+		keep--
 	}
-	if stay < len(merged.Entries) { // before keeps what is replaced here
-		merged.Entries = merged.Entries[:stay:stay]
+	if keep < len(merged.Entries) { // don't overwrite entries that current still refers to
+		merged.Entries = merged.Entries[:keep:keep]
 	}
 	merged.Entries = append(merged.Entries, next.Entries...)
 	return merged
