--- a/internal/bench/planted.go
+++ b/internal/bench/planted.go
@@ -35,7 +35,7 @@
 	{"force", "in force before all closed", "internal/fleet/node", "./internal/bench", "^TestBriefSchedules$", "mixed:"},
 	{"down", "purge confirmed without those down", "internal/fleet/node", "./internal/bench", "^TestBriefSchedules$", "confirmed_wrongly:"},
 	{"write", "lease not looked at before writing", "internal/eventloop", "./internal/eventloop", "^TestServingStateIsAskedRightBeforeAWrite$", `: "free by 7 free too", [`},
-	{"draw", "drawn answer kept over a purge", "internal/resultcache", "./internal/resultcache", "^TestDrawnOverAPurge$", "what was drawn before a purge is served after it"},
+	{"draw", "drawn answer kept over a purge", "internal/resultcache", "./internal/resultcache", "^TestInvalidationDuringFlight$", "an answer from before the invalidation is served after it"},
 	{"copy", "a copy past the boundary", "internal/scheduler", "./internal/scheduler", "^TestConfinedQueryStaysInAllowedLocations$", "and it may be at ["},
 	{"follow", "followed binding not recorded first", "internal/controller", "./internal/controller", "^TestLoadIsSentOnceItsBindingIsLogged$", "sent before the record has it"},
 	{"relay", "a relay that answers a renewal by itself", "internal/fleet/node", "./internal/bench", "^TestBriefSchedulesWithRelays$", "mixed:"},
--- a/internal/bench/spool_test.go
+++ b/internal/bench/spool_test.go
@@ -125,7 +125,7 @@
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	for _, want := range []string{"often", "3h0m0s is longer than the life", fmt.Sprint(path, ":")} {
+	for _, want := range []string{"often", "3h0m0s is longer than spool.life", fmt.Sprint(path, ":")} {
 		run(want, true, "check", path)
 	}
 }
