--- a/internal/controller/attempt_cancel.go
+++ b/internal/controller/attempt_cancel.go
@@ -11,10 +11,13 @@
 // can still run: a query of the same key or a second attempt must not overlap with it.
 func (a *attempt) mustProveEnd() bool { return a.query.group.inOrder || !a.mayHedge }
 
-// provenOver reports whether the engine certainly no longer runs the query, even without a response, because
-// the query was not polled for as long as engines retain one. A call may arrive for as long as its
-// connection is open, and counts as arrived no earlier than its response timeout: judged by this process's
-// clock alone, the retention would seem over too soon after the process stalled.
+// provenOver reports whether the engine certainly no longer runs the query, even if no response says so. An
+// engine drops a query that was not polled for engineRetention, counted from the end of the last poll, which
+// the engine may hold for longPollTimeout. A call without a response may arrive for as long as its connection
+// is open.
+//
+// A call counts as arrived no earlier than its response timeout after it was written. Otherwise, after a
+// stall of this process, the retention would seem to be over too soon.
 //
 // An engine that takes no cancellations may run a query whether it is polled or not. With ordered queries
 // such an attempt is over only after the deadline that the engine was given.
@@ -63,8 +66,7 @@
 
 // withdrawAttempt gives an attempt up and cancels it at its engine. The scheduler is told at once if the
 // attempt may overlap with its successor. With mustProveEnd, the scheduler is told when the attempt is over
-// at the engine: the cancellation was confirmed, the engine's process is gone, or the query was not polled
-// for as long as engines retain one.
+// at the engine: the cancellation was confirmed, the engine's process is gone, or provenOver holds.
 func (c *Controller) withdrawAttempt(a *attempt, outcome scheduler.Outcome) {
 	if a.ended {
 		return
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -113,7 +113,8 @@
 	c.mayCancel = c.Settings["may.cancel"] == settingTrue
 
 	c.clientLimits = newClientLimitTable(c.ClientLimits)
-	// slightly more than the clients' third: a connection that is closing may overlap with the client's next
+	// slightly more than the descriptors set aside for clients, because a client's new connection may be
+	// accepted while its previous connection is still closing
 	c.maxClients = c.clientDescriptors() + c.reservedDescriptors()/4
 	c.pool.limit = max(minEngineConnections,
 		c.MaxDescriptors-c.MaxDescriptors/clientDescriptorsDivisor-c.reservedDescriptors())
--- a/internal/controller/discovery.go
+++ b/internal/controller/discovery.go
@@ -158,8 +158,8 @@
 	})
 }
 
-// Event begins an event. It returns false if the event must not be applied, because it was applied before
-// or an earlier event is missing.
+// BeginEvent begins an event. It returns false if the event must not be applied, because it was applied
+// before or an earlier event is missing.
 func (c *Controller) BeginEvent(number int64, complete bool) bool {
 	d := &c.discovery
 	switch {
--- a/internal/controller/harness_test.go
+++ b/internal/controller/harness_test.go
@@ -218,7 +218,8 @@
 	}
 }
 
-// closeConnection ends a connection, closed by either side.
+// closeConnection closes a connection for either side. It drops the calls in flight on the connection and
+// queues a ConnectionClosed event.
 func (h *harness) closeConnection(conn *fakeConnection) {
 	if !conn.closed {
 		conn.closed = true
--- a/internal/controller/serving_lease.go
+++ b/internal/controller/serving_lease.go
@@ -28,8 +28,8 @@
 const (
 	defaultMaxHold    = 2 * time.Second
 	defaultRetryAfter = time.Second
-	// writesIdlePollInterval is the interval at which a fenced controller checks whether the writes
-	// under way are finished.
+	// writesIdlePollInterval is the interval at which a fenced controller checks whether attempts are
+	// still being written to engines.
 	writesIdlePollInterval = time.Millisecond
 )
 
@@ -37,13 +37,14 @@
 const notPaused time.Duration = -1
 
 // servingLease applies the fleet's policy version and serving lease to this controller's queries.
-// Queries, and attempts not yet sent, wait while the controller is paused. It is nil without peers.
+// Queries, and attempts not yet sent, wait while the controller is paused. A controller without peers
+// has no servingLease.
 //
 // Confined tenants (those under data residency rules) have a shorter lease of their own. There are
 // therefore two states, one for all queries and one for theirs, each with these transitions:
 //
 //	serving -> paused   a FencePolicy order fences the version, or the lease ends
-//	paused  -> serving  an open version and a valid lease, after an OpenPolicy or LeaseRenewed order
+//	paused  -> serving  an open version and a valid lease, after an ActivatePolicy or LeaseRenewed order
 //
 // Only the controller goroutine accesses its fields, except ServingState.
 type servingLease struct {
@@ -82,6 +83,9 @@
 	longestHold    time.Duration
 }
 
+// newServingLease returns the servingLease of a controller with peers. The controller starts paused unless
+// ServingState has an open version and a valid lease. newServingLease also starts the periodic reports of the
+// locations with active engines.
 func newServingLease(c *Controller, f *FleetConfig) *servingLease {
 	l := &servingLease{
 		Controller:          c,
@@ -98,12 +102,15 @@
 	return l
 }
 
-// servingVersion returns the policy version by which queries are decided, or 0 while paused.
+// servingVersion returns the policy version by which queries are decided, or 0 while paused: for confined
+// tenants' queries if confined is set, otherwise for all others.
 func (l *servingLease) servingVersion(confined bool) uint64 {
 	return l.ServingState.ServingVersion(l.now, confined)
 }
 
-// handleFleetOrder carries out an order of the fleet. Orders arrive in the order of the log.
+// handleFleetOrder carries out an order of the fleet. Orders arrive in the order of the log. A fence pauses
+// queries at once and is reported once no attempt is being written. ViewChanged and RequestAnswered only
+// deliver the latest view and the reply to a request.
 func (l *servingLease) handleFleetOrder(o *fleet.Order) {
 	switch o.Kind {
 	case fleet.FencePolicy:
@@ -118,7 +125,7 @@
 		l.scheduleLeaseCheck()
 		l.updateServing()
 	case fleet.InvalidateData:
-		l.orderInvalidation(o)
+		l.handleInvalidation(o)
 	case fleet.ViewChanged:
 		if l.paging != nil && l.fleetView.Index == 0 { // the first view since the start
 			l.paging.core.ReconcileLogIndex(o.View.Index)
@@ -134,7 +141,9 @@
 	}
 }
 
-func (l *servingLease) orderInvalidation(o *fleet.Order) {
+// handleInvalidation carries out an order to invalidate data. A controller that retains no data reports at
+// once that the data is tombstoned and erased.
+func (l *servingLease) handleInvalidation(o *fleet.Order) {
 	if l.invalidator != nil {
 		l.invalidator.invalidate(o.ID, o.Scope, o.Index)
 		return
@@ -143,8 +152,11 @@
 	l.report(fleet.Report{Kind: fleet.DataErased, ID: o.ID})
 }
 
-// reportFencedOnceIdle reports that the old version is fenced once no write is under way. Later
-// writes that were decided by the old version are rejected by ServingState.
+// reportFencedOnceIdle reports that the old version is fenced once no attempt is being written to an engine,
+// and checks that every writesIdlePollInterval. ServingState rejects later writes of attempts that were
+// decided by the old version.
+//
+// It reports the change of the latest fence, and nothing if a version was opened in the meantime.
 func (l *servingLease) reportFencedOnceIdle() {
 	switch {
 	case l.fencingChange == "":
@@ -156,7 +168,9 @@
 	}
 }
 
-// scheduleLeaseCheck sets the timer that updates the serving state at the end of a lease.
+// scheduleLeaseCheck replaces the timer that updates the serving states at the end of a lease. The timer is
+// set for the end of the lease, or of the confined tenants' lease if that has not ended and ends earlier.
+// There is none if the lease has ended or never ends.
 func (l *servingLease) scheduleLeaseCheck() {
 	l.timers.Cancel(l.leaseTimer)
 	l.leaseTimer = nil
@@ -181,8 +195,12 @@
 	servingResumed
 )
 
-// updateServing updates both serving states, and pauses or resumes queries accordingly. It runs before
-// every event, because no event announces the end of a lease.
+// updateServing updates both serving states. When the state for all queries becomes paused, it pauses the
+// scheduler. When confined queries alone are paused, the scheduler goes on; permitSend blocks their attempts.
+// When either state is serving again, releaseHeld releases the waiting work and resumes the scheduler.
+//
+// updateServing runs before every event, because the timer of scheduleLeaseCheck runs only after an event
+// that arrives when the lease has already ended.
 func (l *servingLease) updateServing() {
 	all := l.updatePausedSince(&l.pausedSince, l.servingVersion(false) != 0)
 	if all == servingPaused {
@@ -197,6 +215,8 @@
 	}
 }
 
+// updatePausedSince sets the start of a pause to now or to notPaused when its serving state changes, and
+// returns the transition.
 func (l *servingLease) updatePausedSince(pausedSince *time.Duration, serving bool) servingChange {
 	switch {
 	case !serving && *pausedSince == notPaused:
@@ -209,16 +229,20 @@
 	return servingUnchanged
 }
 
-// paused reports whether the queries of all tenants are paused.
+// paused reports whether the queries of all tenants are paused, not only those of confined tenants.
 func (l *servingLease) paused() bool { return l.pausedSince != notPaused }
 
-// acceptsQueries reports to health checks whether clients should send queries here. A change of policy
-// takes only a moment, so clients should stay during one, but not after the loss of the lease.
+// acceptsQueries reports whether clients should send queries here, for the response to their health checks.
+// A paused controller still accepts queries for up to MaxHold while it has a valid lease, because a change of
+// policy takes only a moment. It accepts none after the loss of the lease or before the first version is
+// opened.
 func (l *servingLease) acceptsQueries() bool {
 	until, _ := l.ServingState.LeaseEnds()
 	return !l.paused() || l.policyVersion != 0 && l.now < until && l.now-l.pausedSince < l.MaxHold
 }
 
+// countersText returns the part of the counters line on the fleet. "fleet version" is the version by which
+// queries of tenants that are not confined are decided, 0 while paused.
 func (l *servingLease) countersText() string {
 	return fmt.Sprintf("; fleet version %d switches %d, held %d in all %d longest s %.3f"+
 		" deferred for want of a lease %d, writes refused %d",
--- a/internal/fairqueue/wait_estimate.go
+++ b/internal/fairqueue/wait_estimate.go
@@ -175,8 +175,9 @@
 	return fraction
 }
 
-// capacity returns the work done per second while queries wait. It is the measured part of the cores
-// less the work of overrunning queries, which no estimate includes.
+// capacity estimates the work done per second while queries wait, in thread seconds: the cores, times
+// the measured fraction of the cores that was used while queries waited, less the rate of overrunning
+// queries. Their work isn't part of the work estimates of queries.
 func (fq *Queue) capacity() float64 {
 	usedFraction, observedSeconds := fq.workDone.perSecond()
 	measuredWeight := observedSeconds / (observedSeconds + 1)
--- a/internal/fleet/node/lease.go
+++ b/internal/fleet/node/lease.go
@@ -39,8 +39,8 @@
 
 	// The lease.
 	pendingLeases      []pendingLease
-	leaseUntil         time.Duration
-	confinedLeaseUntil time.Duration // the same for confined tenants and kept results
+	leaseUntil         time.Duration // end of the lease
+	confinedLeaseUntil time.Duration // end of the lease for confined tenants and retained results
 	caughtUp           bool          // a lease was active in this incarnation: earlier entries are applied
 	refusedReason      string        // why this controller is refused for good, "": it isn't
 
