--- a/internal/scheduler/engine.go
+++ b/internal/scheduler/engine.go
@@ -37,7 +37,7 @@
 	rejectedAt           time.Duration // when the engine last rejected a query
 	ejectedUntil         time.Duration // the engine gets no query until then
 	consecutiveEjections int           // since the last answer
-	slowdown             float64       // of its answers, relative to the best of their groups
+	slowdown             float64       // average of its answers' slowdown over their group's best slowdown
 	lastFinishAt         time.Duration
 	lastFinishByTables   map[int64]time.Duration // end of the last query on a table group
 	loadRunningUntil     map[int64]time.Duration // by table group, which is avoided until then
--- a/internal/scheduler/health_check.go
+++ b/internal/scheduler/health_check.go
@@ -38,7 +38,9 @@
 
 // awaitHealthChecks returns whether a query waits for load reports, and requests them if too few
 // engines are known to have capacity. Among many controllers, a controller's own attempts don't
-// show how full an engine is. Without tokens a few engines are tried without a report.
+// show how full an engine is. Each health check uses up a token, and arriving queries add tokens. If
+// no token is left and no engine is known to have capacity, the utilization of a few engines without
+// a report is estimated instead.
 func (s *Scheduler) awaitHealthChecks(q *query, c *candidates) bool {
 	wanted := wantedCandidates
 	if s.isLight(q.group) {
--- a/internal/scheduler/learning.go
+++ b/internal/scheduler/learning.go
@@ -13,8 +13,8 @@
 	bestSlowdownOldWeight      = 0.8 // of the old best in a new best slowdown
 	bestSlowdownNewWeight      = 0.2 // of the sample
 	bestSlowdownRiseRate       = 0.01
-	minEngineSlowdown          = 0.3 // of an answer over the best of its group
-	slowdownSampleWeight       = 0.1 // of an answer in its engine's slowdown
+	minEngineSlowdown          = 0.3 // lower bound for an answer's slowdown over its group's best slowdown
+	slowdownSampleWeight       = 0.1 // weight of an answer in its engine's slowdown
 	slowdownRecoveryRate       = 0.01
 	utilizationSamples         = 20 // reports, for the mean utilization
 	reportedQueriesSamples     = 60 // reports, for the mean number of queries
--- a/internal/scheduler/query.go
+++ b/internal/scheduler/query.go
@@ -31,8 +31,8 @@
 	// Routing.
 	allowedLocations []string // nil: all
 	confined         bool     // to fewer locations than its group
-	eligibilityKey   int64    // of tables and locations; equal keys are eligible for the same engines
-	lastEngine       *engine  // of the last ended attempt; other engines are preferred
+	eligibilityKey   int64    // queries of a group with equal keys are eligible for the same engines
+	lastEngine       *engine  // engine of the last ended attempt; other engines are preferred
 	checkedEngines   []*engine
 	checkedAt        time.Duration
 
--- a/internal/scheduler/retry.go
+++ b/internal/scheduler/retry.go
@@ -12,13 +12,15 @@
 	unreachableCooldown = time.Second            // of an engine that couldn't be connected to
 	resetCooldown       = 500 * time.Millisecond // of an engine whose connection was lost
 
-	// An attempt is moved to another engine if its remaining time is at least this multiple of the
-	// time for a new one. Without an estimate, a large query can't be told from a slow one, so that
-	// the factor is higher.
+	// An attempt is moved to another engine if its remaining run time is at least this multiple of
+	// the expected run time of a new attempt. Without an estimate, a large query can't be told from a
+	// slow one, so that the factor is higher.
 	moveFactor            = 3.0
 	moveFactorUnestimated = 6.0
-	hopelessFactor        = 1.5 // of the time left: with more time remaining, an attempt can't end in time
-	minRemainingSeconds   = 1
+	// An attempt is given up if its remaining run time is more than this multiple of the time until
+	// the query's deadline.
+	hopelessFactor      = 1.5
+	minRemainingSeconds = 1
 )
 
 // neverFinishes is the remaining time of an attempt that makes no progress.
--- a/internal/scheduler/routing.go
+++ b/internal/scheduler/routing.go
@@ -2,22 +2,33 @@
 
 import "slices"
 
-const minFreeFraction = 0.02 // lower bound in a routing weight, so that a full engine can still be drawn
+const minFreeFraction = 0.02 // lower bound for the free fraction, so that a full engine can still be drawn
 
 // candidates are the engines that a query may be sent to.
 type candidates struct {
-	withCapacity []*engine // known to have capacity
-	preferred    []*engine // warming up and selected for this query by slow start
-	avoided      []*engine // with capacity, but a load of its tables is running or the last attempt ended there
-	unreported   []*engine // without a valid load report
+	withCapacity []*engine // engines known to have capacity
+	preferred    []*engine // warming engines that slow start selected for this query
+	avoided      []*engine // engines with capacity that run a load of the query's tables or its last attempt
+	// unreported are the active engines without a valid load report that aren't ejected, from which
+	// awaitHealthChecks selects engines to check. The rules of maySendTo aren't applied yet, and an
+	// engine may be in preferred, too.
+	unreported []*engine
 
 	noneAllowed bool // no engine with a known utilization is eligible, whatever its capacity
-	fullCount   int  // engines without capacity on which no load of the tables runs
+	// fullCount is the number of engines that are available and allowed but have no capacity. For a
+	// load, or a group that waits for loads, it leaves out engines that run a load of the tables.
+	fullCount int
 }
 
-// route draws an engine for a query, with a probability proportional to its free capacity. If it
-// returns none, ineligible is true if the reason isn't a lack of capacity, so that other queries
-// may go first.
+// route draws an engine for a query from the first of these pools that isn't empty: warming engines
+// that slow start selected, engines with capacity, and engines to avoid. Engines at the controller's
+// location displace the others of the pool. The probability of an engine is proportional to its
+// routingWeight.
+//
+// route returns nil while the query waits for load reports, if no engine has capacity, or if the
+// rules allow none. If it returns nil, ineligible tells whether queries behind this one may go first:
+// the rules allow no attempt or no engine, or the query waits for an engine on which its tables
+// aren't being loaded and its last attempt didn't end.
 func (s *Scheduler) route(q *query) (picked *engine, ineligible bool) {
 	if !s.maySend(q) {
 		return nil, true
@@ -33,13 +44,15 @@
 		pool = c.preferred
 	case len(c.withCapacity) > 0:
 	case len(c.avoided) > 0 && c.fullCount >= len(c.avoided):
-		return nil, true // waits for an engine without the load
+		return nil, true // one of the full engines is likely to have capacity soon
 	default:
 		pool = c.avoided
 	}
 	return s.rng.pickWeighted(s.preferLocal(q, pool), s.routingWeight), c.noneAllowed && len(c.unreported) == 0
 }
 
+// collectCandidates classifies the engines with a known utilization, and lists the others in
+// unreported. A warming engine without a report is also preferred if slow start selects it.
 func (s *Scheduler) collectCandidates(q *query, c *candidates) {
 	for _, e := range s.activeEngines() {
 		if s.utilizationKnown(e) {
@@ -49,16 +62,18 @@
 		if e.state != EngineActive || s.now < e.ejectedUntil {
 			continue
 		}
-		// An unresponsive engine is included: a health check finds out when it is back.
+		// Unresponsive engines are included, so that a health check can detect their recovery.
 		c.unreported = append(c.unreported, e)
 		if s.prefersWarmingEngine(q, e) && s.available(e) && !s.rejectedRecently(e) &&
 			!s.loadRunning(e, q.tables) && s.maySendTo(q, e) {
-			c.preferred = append(c.preferred, e) // limited by slow start, so that no health check is needed
+			c.preferred = append(c.preferred, e) // slow start limits its load without a health check
 		}
 	}
 }
 
-// classify adds an engine, whose utilization is known or estimated, to the candidates.
+// classify adds an engine with a known or estimated utilization to the candidates. An engine that
+// the rules forbid is dropped; one without capacity is only counted. An engine that is to be avoided
+// isn't preferred, even if slow start selects it.
 func (s *Scheduler) classify(q *query, e *engine, c *candidates) {
 	if !s.maySendTo(q, e) {
 		return
@@ -77,8 +92,8 @@
 	}
 }
 
-// preferLocal removes engines at other locations if one at the controller's location is among the
-// candidates.
+// preferLocal removes engines with a distance above 0 from the pool, in place, if the pool has one
+// with distance 0. It removes nothing for a heavy query, which has distance 0 to every engine.
 func (s *Scheduler) preferLocal(q *query, pool []*engine) []*engine {
 	if !slices.ContainsFunc(pool, func(e *engine) bool { return s.distance(q, e) == 0 }) {
 		return pool
@@ -86,8 +101,8 @@
 	return slices.DeleteFunc(pool, func(e *engine) bool { return s.distance(q, e) > 0 })
 }
 
-// distance returns 1 for an engine at another location, otherwise 0. For heavy queries it is 0
-// everywhere, as they are few and even out the load.
+// distance returns 1 for a light query and an engine at another location, otherwise 0. Heavy queries
+// have no preferred location: they are few, and sending them to any location balances the load.
 func (s *Scheduler) distance(q *query, e *engine) int {
 	if e.isLocal || !s.isLight(q.group) {
 		return 0
@@ -95,17 +110,21 @@
 	return 1
 }
 
-// available returns whether the engine's health allows sending to it.
+// available returns whether an engine is active, isn't ejected and isn't unresponsive. Where health
+// checks report no load, an unresponsive engine still counts as available. Recent rejections and
+// capacity aren't considered.
 func (s *Scheduler) available(e *engine) bool {
 	return e.state == EngineActive && !(e.unresponsive && s.healthChecksReportLoad) && s.now >= e.ejectedUntil
 }
 
-// routingWeight returns an engine's free capacity, in cores, adjusted by its slowdown.
+// routingWeight returns an engine's free cores divided by its slowdown. The free cores are its cores
+// times its warm-up capacity times its unused fraction, which is at least minFreeFraction.
 func (s *Scheduler) routingWeight(e *engine) float64 {
 	return e.cores * s.warmupCapacity(e) * max(minFreeFraction, 1-s.utilization(e)) / e.slowdown
 }
 
-// loadRunning returns whether a load of a table group is known or suspected to run on an engine.
+// loadRunning returns whether a load of a table group runs on an engine: one of this controller's
+// own attempts, or another load for which markLoadRunning has set a time limit.
 func (s *Scheduler) loadRunning(e *engine, tables int64) bool {
 	if s.now < e.loadRunningUntil[tables] {
 		return true
--- a/internal/scheduler/slow_start.go
+++ b/internal/scheduler/slow_start.go
@@ -64,7 +64,7 @@
 		window.Seconds()
 	controllerFraction, chanceFraction := s.slowStartFractions(q.group)
 	work := s.typicalWorkSeconds(q.group)
-	// All controllers send at most the work of the active cores, of which this fraction is the group's.
+	// The active cores limit the work that all controllers send. groupFraction is the group's part of it.
 	groupFraction := work * q.group.recentArrivals / max(minRecentWorkSeconds, s.recentWorkSeconds)
 	chance := chanceFraction * limit / window.Seconds() / (max(1, s.activeCores) * groupFraction)
 	draw := float64((uint32(q.sequence)*queryHashMultiplier^e.hash)*drawHashMultiplier>>8) / (1 << 24)
--- a/internal/scheduler/slow_start_test.go
+++ b/internal/scheduler/slow_start_test.go
@@ -8,7 +8,7 @@
 	h := newLargeFleet(t, 30)
 	h.advance(sec)
 	h.restartEngine("e0")
-	// a fifth of the work is this group's
+	// group 0 has a fifth of the work: 4 arrivals of 0.5 s each, of 10 s
 	h.s.recentWorkSeconds, h.s.groups[0].recentArrivals, h.s.meanWorkSeconds.value = 10, 4, 1
 	n := 0
 	for i := range 3000 {
@@ -16,7 +16,9 @@
 			n++
 		}
 	}
-	// 30 engines do 240 s of work per second, a fifth of it this group's; the limit is 6.7.
+	// 30 engines of 8 cores do 240 s of work per second, a fifth of it this group's. The limit for
+	// e0 in the window of 1 s is 3 x 0.33 x 0.85 x 8 = 6.7 s of work, of which the chances of light
+	// queries may use three tenths, 2 s. The test accepts 1 to 3.5 s.
 	if sum := 240 * 0.2 * float64(n) / 3000; sum < 1 || sum > 3.5 {
 		t.Fatalf("chances allow %.1f s of work per second", sum)
 	}
@@ -62,7 +64,7 @@
 func TestSlowStartChanceIsByAllCores(t *testing.T) {
 	h := newHarness(t, 12, map[string]string{"gateways": "300", "kind.cores": "4,28", "cold.span": "9000"})
 	h.advance(sec)
-	h.restartEngine("e0") // has 4 cores; the others have as many as 12 engines of 16
+	h.restartEngine("e0") // 4 cores; all 12 engines have 192
 	h.s.recentWorkSeconds, h.s.groups[0].recentArrivals, h.s.meanWorkSeconds.value = 10, 4, 1
 	n := 0
 	for i := range 3000 {
@@ -70,8 +72,9 @@
 			n++
 		}
 	}
-	// 192 cores do as much work per second, a fifth of it this group's. The limit is 3.4, of which
-	// light queries' chances may use three tenths.
+	// 192 cores do 192 s of work per second, a fifth of it this group's. The limit for e0 in the
+	// window of 1 s is 3 x 0.33 x 0.85 x 4 = 3.4 s of work, of which the chances of light queries
+	// may use three tenths, 1 s.
 	if sum := 192 * 0.2 * float64(n) / 3000; sum > 1.5 {
 		t.Fatalf("chances allow %.1f s of work per second", sum)
 	}
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -41,7 +41,7 @@
 
 	FIFOByKey     bool // queries with the same key run one after the other
 	IsLoad        bool // writes tables
-	WaitsForLoads bool // reads tables, and waits on the engine while one of them is loaded
+	WaitsForLoads bool // queries wait on the engine while a load of the tables that they read runs
 	Locations     []string
 	Kinds         []string // of engines, nil: all
 }
