--- a/internal/scheduler/admission.go
+++ b/internal/scheduler/admission.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-const deadlineMarginQuanta = 2 // quanta before its deadline at which a query without an answer is rejected
+const deadlineMarginQuanta = 2 // a query is rejected this many quanta before its deadline
 
 // admit queues a query that has arrived, or rejects it if it can't be answered in time. A draining
 // controller rejects every query at once, so that its client can go to another controller.
--- a/internal/scheduler/capacity.go
+++ b/internal/scheduler/capacity.go
@@ -7,8 +7,8 @@
 )
 
 const (
-	maxThreadsPerCore       = 2.0 // of all controllers together
-	reservedFractionPerRank = 0.1 // of the thread limit, left free for each group ranked higher
+	maxThreadsPerCore       = 2.0 // limit for the attempts of all controllers together
+	reservedFractionPerRank = 0.1 // fraction of the thread limit that is left free for each group ranked higher
 
 	// An engine is under pressure above this slowdown, or above a threshold of utilization that falls
 	// from its maximum to its minimum as the controller's own share grows.
@@ -16,11 +16,11 @@
 	minPressureUtilization      = 0.7
 	maxPressureUtilization      = 0.85
 	pressureUtilizationPerShare = 0.5
-	estimateTolerance           = 2    // on the threshold, for the cheapest group and an estimated utilization
-	highUtilization             = 0.75 // from which on engines count as mostly full
+	estimateTolerance           = 2    // factor on the threshold, see underPressure
+	highUtilization             = 0.75 // mean utilization from which on engines count as mostly full
 	recentRejectionWindow       = 2 * time.Second
 
-	minShareDivisor = 4 // a controller's share is at least an even share divided by this
+	minShareDivisor = 4 // a controller's share is at least an even share divided by this number
 )
 
 // hasCapacity returns whether an engine has capacity for a query: within the controller's share of
@@ -93,9 +93,9 @@
 
 // underPressure returns whether an engine gets no more than the controller's share: it rejected a
 // query, is slow, or is full. The threshold of utilization is higher for a controller with a small
-// share, whose limit allows next to nothing. An estimated utilization, or a reported number of
-// queries, which may be old, doesn't hold back the cheapest group for its weight; reported busy
-// cores do.
+// share, whose limit allows next to nothing. It is multiplied by estimateTolerance for light queries
+// of the group ranked first, if the utilization is estimated or follows from a reported number of
+// queries, which may be outdated. Reported busy cores count in full.
 func (s *Scheduler) underPressure(e *engine, q *query) bool {
 	limit := max(minPressureUtilization, maxPressureUtilization-pressureUtilizationPerShare*s.ownShare)
 	estimated := !s.healthChecksReportLoad &&
--- a/internal/scheduler/chain.go
+++ b/internal/scheduler/chain.go
@@ -3,17 +3,17 @@
 import "time"
 
 const (
-	chainAffinityDuration     = 10 * time.Second // after a write, for the next one to prefer its engine
-	maxChainWait              = time.Second      // for the running write
-	chainWaitObjectiveDivisor = 3                // a write waits at most its group's objective divided by this
+	chainAffinityDuration     = 10 * time.Second // after a write, the next one prefers its engine for so long
+	maxChainWait              = time.Second      // longest wait of a write for the running one
+	chainWaitObjectiveDivisor = 3                // limits the wait to the group's objective divided by it
 )
 
 // chain serializes the writes of one table group at this controller. One write runs while others
 // wait, and the next one goes to the same engine, which has the tables in memory.
 type chain struct {
 	running          *query  // queued or in flight
-	engine           *engine // of the last write
-	lastWriteEnded   bool    // whether the last write has ended
+	engine           *engine // engine of the last write
+	lastWriteEnded   bool    // the last write has ended
 	lastWriteEndedAt time.Duration
 	waiting          []*query
 }
--- a/internal/scheduler/deadline.go
+++ b/internal/scheduler/deadline.go
@@ -7,12 +7,12 @@
 )
 
 const (
-	startMarginFactor      = 1.25 // of the expected run time, left at the latest start
-	patienceAbandonRate    = 0.05 // of clients that leave early: above it, their patience limits the wait
-	minSoloTimeFraction    = 0.5  // of the estimated run time alone that must be left for a query to be kept
-	abandonRateSamples     = 100  // queries over which the fraction of clients that leave is averaged
-	patienceSamples        = 30   // early leavers over which the patience is averaged
-	noteTimeoutHalfPeriods = 3    // half periods without a note, after which one is missing
+	startMarginFactor      = 1.25 // multiple of the expected run time that is left at the latest start
+	patienceAbandonRate    = 0.05 // fraction of clients leaving early above which their patience limits the wait
+	minSoloTimeFraction    = 0.5  // fraction of the estimated run time alone that must be left to keep a query
+	abandonRateSamples     = 100  // number of queries over which the fraction of clients that leave is averaged
+	patienceSamples        = 30   // number of clients that left early over which their patience is averaged
+	noteTimeoutHalfPeriods = 3    // number of half note periods after which a note is missing
 	noteDeliveryDelay      = 300 * time.Millisecond
 )
 
--- a/internal/scheduler/engine.go
+++ b/internal/scheduler/engine.go
@@ -6,11 +6,11 @@
 // alone.
 type engine struct {
 	id   string
-	hash uint32 // of the id, so that random choices are the same after a restart
+	hash uint32 // hash of id, which makes random choices repeatable after a restart
 
 	// From the endpoint list.
 	location, kind, cell int
-	isLocal              bool // at the controller's location
+	isLocal              bool // the engine is at the controller's location
 	state                EngineState
 	removedAt            time.Duration
 	startedAt            time.Duration
@@ -36,11 +36,11 @@
 	healthCheckSentAt    time.Duration
 	rejectedAt           time.Duration // when the engine last rejected a query
 	ejectedUntil         time.Duration // the engine gets no query until then
-	consecutiveEjections int           // since the last answer
+	consecutiveEjections int           // number of ejections since the last answer
 	slowdown             float64       // average of its answers' slowdown over their group's best slowdown
 	lastFinishAt         time.Duration
-	lastFinishByTables   map[int64]time.Duration // end of the last query on a table group
-	loadRunningUntil     map[int64]time.Duration // by table group, which is avoided until then
+	lastFinishByTables   map[int64]time.Duration // when the last query on each table group finished
+	loadRunningUntil     map[int64]time.Duration // until when queries on each table group avoid the engine
 
 	// Slow start.
 	warmupStartedAt time.Duration
@@ -99,7 +99,7 @@
 	threads  float64
 	memoryMB float64
 	attempts float64
-	cores    float64 // of those engines
+	cores    float64 // cores of those engines
 }
 
 // activeEngines returns the engines that are active in the endpoint list.
--- a/internal/scheduler/group.go
+++ b/internal/scheduler/group.go
@@ -9,15 +9,15 @@
 
 // resourceGroup is a kind of query with its settings, its queue and what was learned about it.
 type resourceGroup struct {
-	index int // in the settings
+	index int // index in the settings
 
 	// Settings that may change at run time.
 	priorityWeight   float64 // value of an answer within the objective
 	lateValueShare   float64 // fraction of priorityWeight that a late answer is worth
 	objective        time.Duration
 	objectiveStretch float64       // added to the objective, as a multiple of the estimated run time
-	timeout          time.Duration // of the group's clients, 0: unknown
-	threads          float64       // used by a query
+	timeout          time.Duration // timeout of the group's clients; 0 if unknown
+	threads          float64       // threads used by a query
 
 	// Settings that don't change.
 	effect        settings.Effect
@@ -26,25 +26,25 @@
 	fifoByKey     bool
 	isLoad        bool
 	waitsForLoads bool
-	locations     []string // nil: all
-	kinds         []string // of engines, empty: all
+	locations     []string // nil allows all locations
+	kinds         []string // kinds of engines; empty allows all
 
 	queue   []*query // in order of arrival
 	blocked bool     // a query was queued for lack of capacity at the last dispatch
 
 	// Recent activity.
 	recentArrivals      float64 // queries, decays over 20 s
-	recentThreadSeconds float64 // sent, decays over rateWindow
+	recentThreadSeconds float64 // work sent to engines, decays over rateWindow
 
 	// Learned.
-	workSeconds        movingAverage // of all threads, as reported by answers or as estimated
+	workSeconds        movingAverage // work of all threads of a query, as reported by answers or as estimated
 	memoryMB           movingAverage
-	estimateCorrection movingAverage // reported over estimated work
-	threadSecondsUsed  movingAverage // by a query that finished
+	estimateCorrection movingAverage // reported work over estimated work
+	threadSecondsUsed  movingAverage // run time of a finished query times its threads
 	slowdown           movingAverage // run time over run time alone
-	bestSlowdown       float64
+	bestSlowdown       float64       // close to the smallest recent slowdown of an answer
 	abandonRate        movingAverage // fraction of clients that leave before their answer
-	patience           movingAverage // seconds after which those clients leave
+	patience           movingAverage // time in seconds after which clients that leave early do so
 }
 
 func newGroup(index int, config settings.Group) *resourceGroup {
@@ -95,19 +95,19 @@
 	return i >= 0
 }
 
-// tenant has a quota of all queries.
+// tenant has a quota, and the arrivals that count against it.
 type tenant struct {
-	quota          float64 // this controller's even part in queries per second, infinite: no quota
+	quota          float64 // this controller's even part in queries per second; infinite if there is no quota
 	recentArrivals float64 // queries, decays over rateWindow
 }
 
 // movingAverage is an exponential moving average in which the first samples have equal weights.
 type movingAverage struct {
 	value float64
-	count float64 // of samples, at most the window
+	count float64 // number of samples, at most the window
 }
 
-// add adds a sample to an average over a window of that many samples.
+// add adds a sample to an average over a window, given as a number of samples.
 func (m *movingAverage) add(sample, window float64) {
 	m.count = min(m.count+1, window)
 	m.value += (sample - m.value) / m.count
--- a/internal/scheduler/health_check.go
+++ b/internal/scheduler/health_check.go
@@ -8,32 +8,32 @@
 )
 
 const (
-	healthCheckTokensPerArrival = 1.5 // added by an arrival
+	healthCheckTokensPerArrival = 1.5 // tokens added by an arriving query
 	maxHealthCheckTokens        = 6
-	maxHealthCheckWait          = 50 * time.Millisecond  // of a query, for the load reports that it requested
-	healthCheckRetryDelay       = 250 * time.Millisecond // for one query, at most its timeout / timeoutDivisor
+	maxHealthCheckWait          = 50 * time.Millisecond  // longest wait of a query for load reports
+	healthCheckRetryDelay       = 250 * time.Millisecond // of a query; at most its timeout / timeoutDivisor
 	timeoutDivisor              = 6
 	healthCheckLostTimeout      = 300 * time.Millisecond // after which another health check may be sent
-	failedHealthCheckCooldown   = 2 * time.Second        // of an engine that didn't answer
-	wantedCandidates            = 2                      // engines with capacity from which one is drawn
-	wantedCandidatesForLight    = 1
-	maxUnreportedTried          = 4 // engines without a report that may be tried if no tokens are left
+	failedHealthCheckCooldown   = 2 * time.Second        // ejection time of an engine that didn't answer
+	wantedCandidates            = 2                      // known engines with capacity that suffice
+	wantedCandidatesForLight    = 1                      // the same for a light query
+	maxUnreportedTried          = 4                      // engines without a report, tried without tokens
 
-	// Time in seconds within which something should be heard of an attempt: a fixed part and a
-	// multiple of the attempt's expected run time.
+	// The silence limit of an attempt's engine: a fixed part, in seconds, and a multiple of the
+	// attempt's expected run time.
 	silenceBaseSeconds    = 0.6
 	silenceExpectedFactor = 3
-	unresponsiveGrace     = 500 * time.Millisecond // after the silence limit, until the engine is unresponsive
+	unresponsiveGrace     = 500 * time.Millisecond // from the silence limit until an engine is unresponsive
 	unresponsiveCooldown  = 2 * time.Second
 
 	// Without notes, an attempt is late after its expected run time and a grace period, and stalled
-	// after a multiple of that time and the same grace period.
+	// after a multiple of its expected run time and the same grace period.
 	lateGraceSeconds         = 0.3
 	stalledExpectedFactor    = 4
-	idleUtilizationFraction  = 0.5 // of the mean utilization: below it, an engine with a late attempt is stalled
-	missedNoteSlowdownWeight = 0.1 // of maxEngineSlowdown in an engine's new slowdown
-	missedNoteAvoidance      = 10 * time.Second
-	assumedRestartAfter      = 4 * time.Second // unresponsive for longer, an engine may be a new process
+	idleUtilizationFraction  = 0.5              // of the mean utilization: an engine below it is idle
+	missedNoteSlowdownWeight = 0.1              // weight of maxEngineSlowdown in an engine's new slowdown
+	missedNoteAvoidance      = 10 * time.Second // time for which queries on the same tables avoid the engine
+	assumedRestartAfter      = 4 * time.Second  // silence after which an engine may be a new process
 )
 
 // awaitHealthChecks returns whether a query waits for load reports, and requests them if too few
@@ -71,8 +71,8 @@
 	return false
 }
 
-// checkUnreported sends health checks to engines without a report, as many as are wanted and as
-// there are tokens for.
+// checkUnreported sends health checks to engines without a report until the wanted number of engines
+// is known to have capacity or is checked, or no token is left.
 func (s *Scheduler) checkUnreported(q *query, c *candidates, wanted int) {
 	q.checkedEngines = nil
 	q.checkedAt = s.now
@@ -103,8 +103,8 @@
 	s.actions.CheckHealth(e.id)
 }
 
-// handleFailedHealthCheck ejects an engine that crashed, hangs or is disconnected. The endpoint
-// list may show that late or never.
+// handleFailedHealthCheck ejects an engine that crashed, hangs or is disconnected. The endpoint list
+// may show such a failure late or never.
 func (s *Scheduler) handleFailedHealthCheck(e *engine) {
 	e.report = nil
 	e.ejectedUntil = max(e.ejectedUntil, s.now+failedHealthCheckCooldown)
@@ -149,9 +149,9 @@
 	}
 }
 
-// silenceLimit returns how long the engine of an attempt may be silent. Within that time the
-// attempt should have ended, or a note should arrive if that is sooner or health checks aren't
-// allowed.
+// silenceLimit returns how long the engine of an attempt may be silent: the time in which the attempt
+// should have ended, or the time in which a note should arrive if that is shorter or if health checks
+// aren't allowed.
 func (s *Scheduler) silenceLimit(a *attempt) time.Duration {
 	limit := seconds(silenceBaseSeconds + silenceExpectedFactor*s.expectedSeconds(a.query))
 	period := s.settings.NotePeriod
@@ -164,8 +164,8 @@
 	return limit
 }
 
-// checkIdleEngine requests the load of the engine of a late attempt. An engine that is idle while
-// others are busy has stalled.
+// checkIdleEngine requests a load report from the engine of a late attempt. If the engine is idle
+// while other engines are busy, the attempt has stalled.
 func (s *Scheduler) checkIdleEngine(e *engine, a *attempt) {
 	if !s.utilizationKnown(e) || e.reportAt < a.sentAt {
 		s.sendHealthCheck(e)
--- a/internal/scheduler/outlier.go
+++ b/internal/scheduler/outlier.go
@@ -3,13 +3,13 @@
 import "time"
 
 const (
-	baseEjectionTime     = 2 * time.Second // doubles with each consecutive ejection
-	maxEjectionDoublings = 3               // of the ejection time
-	maxEjectionTimeouts  = 2               // limits the time before doubling, in timeouts of the group
+	baseEjectionTime     = 2 * time.Second // first ejection time, which doubles with each consecutive ejection
+	maxEjectionDoublings = 3               // number of times that the ejection time doubles at most
+	maxEjectionTimeouts  = 2               // limits the time before doubling, as a multiple of the timeout
 
-	maxEngineSlowdown     = 10  // relative to the best
-	stalledSlowdownWeight = 0.3 // of maxEngineSlowdown in an engine's new slowdown
-	stalledAvoidance      = 2 * time.Second
+	maxEngineSlowdown     = 10              // upper bound for an engine's slowdown
+	stalledSlowdownWeight = 0.3             // weight of maxEngineSlowdown in the new slowdown of an engine
+	stalledAvoidance      = 2 * time.Second // time for which queries on the same tables avoid the engine
 )
 
 // attemptStalled handles an attempt that is late without a note that explains the delay. If another
--- a/internal/scheduler/query.go
+++ b/internal/scheduler/query.go
@@ -13,10 +13,10 @@
 	id       string
 	sequence uint64 // in order of arrival
 	group    *resourceGroup
-	tenant   *tenant // to whose quota the query counts
-	tables   int64   // table group
-	key      int64   // negative: none
-	chain    *chain  // of writes, nil for other queries
+	tenant   *tenant // tenant whose quota counts the query
+	tables   int64   // number of the table group
+	key      int64   // negative if the query has none
+	chain    *chain  // chain of the table group for a load, nil for other queries
 
 	// Times since the start.
 	arrivedAt   time.Duration
@@ -24,13 +24,13 @@
 	deadline    time.Duration
 
 	// Expected cost.
-	workSeconds  float64 // of all threads, 0: no estimate
-	workMeasured bool    // as reported by an answer
-	memoryMB     float64 // 0: no estimate
+	workSeconds  float64 // work of all threads; 0 if there is no estimate
+	workMeasured bool    // an answer reported workSeconds
+	memoryMB     float64 // 0 if there is no estimate
 
 	// Routing.
-	allowedLocations []string // nil: all
-	confined         bool     // to fewer locations than its group
+	allowedLocations []string // nil allows all locations
+	confined         bool     // only some locations of the group may be allowed
 	eligibilityKey   int64    // queries of a group with equal keys are eligible for the same engines
 	lastEngine       *engine  // engine of the last ended attempt; other engines are preferred
 	checkedEngines   []*engine
@@ -38,13 +38,13 @@
 
 	// Progress.
 	attempts         []*attempt
-	inFlight         int // attempts
+	inFlight         int // number of attempts in flight
 	movedForSlowness bool
 	ended            bool // answered, rejected or abandoned by its client
 	answerStarted    bool
 	timers           []*timerqueue.Timer
 
-	// As last passed to the adapter.
+	// Limits that were last passed to the adapter.
 	priority int
 	grantMB  int
 }
@@ -53,20 +53,20 @@
 type attempt struct {
 	query   *query
 	engine  *engine
-	number  int // of the query's attempts, from 0
+	number  int // index in the attempts of the query
 	sentAt  time.Duration
 	ended   bool
 	outcome Outcome
 
-	threads  float64 // used on the engine
+	threads  float64 // threads used on the engine
 	memoryMB float64
 
 	// From progress notes.
 	lastNoteAt time.Duration
-	progress   float64 // 0 to 1
+	progress   float64 // fraction done, 0 to 1
 	progressAt time.Duration
-	blocked    bool // by a load
-	moving     bool // cancelled so that another engine can run the query
+	blocked    bool // waits for a load, or is assumed to
+	moving     bool // was cancelled so that another engine can run the query
 }
 
 // attemptsThatMayHaveRun returns the attempts that aren't proven never to have run.
@@ -101,7 +101,7 @@
 	q.eligibilityKey ^= int64(hash.Sum64() | 1<<62) // far from any table group's number
 }
 
-// openAttempt returns an attempt that hasn't ended, nil if there is none with the number.
+// openAttempt returns the attempt of a query with a number, or nil if it has ended or doesn't exist.
 func (s *Scheduler) openAttempt(id string, number int) *attempt {
 	q := s.queries[id]
 	if q == nil || number < 0 || number >= len(q.attempts) || q.attempts[number].ended {
--- a/internal/scheduler/queue.go
+++ b/internal/scheduler/queue.go
@@ -7,10 +7,10 @@
 )
 
 const (
-	rateWindow        = 5 * time.Second // for recent rates
-	minRateWindow     = time.Second     // used shortly after the start
-	queuedWorkDivisor = 4               // of the work started in an objective, for the limit of queued work
-	minRate           = 0.01            // queries per second, avoids a division by 0
+	rateWindow        = 5 * time.Second // window of recent rates
+	minRateWindow     = time.Second     // window of recent rates shortly after the start
+	queuedWorkDivisor = 4               // divides the work started in an objective, for the limit of queued work
+	minRate           = 0.01            // rate in queries per second that avoids a division by 0
 )
 
 func (s *Scheduler) enqueue(q *query) { q.group.insert(q) }
@@ -39,7 +39,7 @@
 			switch {
 			case e != nil && s.submit(q, e):
 				rg.remove(q)
-			case e == nil && !ineligible && !q.confined: // a confined query blocks only queries like itself
+			case e == nil && !ineligible && !q.confined: // a confined query blocks only those with its eligibility key
 				s.shedCostliest(rg)
 				rg.blocked = true
 				i = len(rg.queue)
--- a/internal/scheduler/retry.go
+++ b/internal/scheduler/retry.go
@@ -8,9 +8,9 @@
 )
 
 const (
-	rejectedCooldown    = 250 * time.Millisecond // of an engine that rejected a query
-	unreachableCooldown = time.Second            // of an engine that couldn't be connected to
-	resetCooldown       = 500 * time.Millisecond // of an engine whose connection was lost
+	rejectedCooldown    = 250 * time.Millisecond // ejection time of an engine that rejected a query
+	unreachableCooldown = time.Second            // ejection time of an engine that couldn't be connected to
+	resetCooldown       = 500 * time.Millisecond // ejection time of an engine whose connection was lost
 
 	// An attempt is moved to another engine if its remaining run time is at least this multiple of
 	// the expected run time of a new attempt. Without an estimate, a large query can't be told from a
@@ -70,8 +70,8 @@
 		len(q.attemptsThatMayHaveRun()) == 0)
 }
 
-// handleNote handles a progress note on a running attempt. Progress far behind a new attempt's is
-// due to a bad plan, or to a slow or crowded engine. In each case the query is moved.
+// handleNote handles a progress note on a running attempt. An attempt that would take far longer than
+// a new one has a bad plan, or a slow or crowded engine. In each case the query is moved.
 func (s *Scheduler) handleNote(a *attempt, kind NoteKind, value float64) {
 	s.engineResponded(a.engine)
 	a.lastNoteAt = s.now
@@ -92,8 +92,8 @@
 	s.moveOrReject(a, neverFinishes)
 }
 
-// remainingSeconds returns the time that an attempt should still take, by its last note or by its
-// expected run time.
+// remainingSeconds estimates the remaining run time of an attempt from the progress in its last note
+// or, without any progress, from its expected run time.
 func (s *Scheduler) remainingSeconds(a *attempt) float64 {
 	if a.progress <= 0 {
 		return max(minRemainingSeconds, s.expectedSeconds(a.query)-(s.now-a.sentAt).Seconds())
@@ -102,8 +102,8 @@
 }
 
 // moveOrReject cancels an attempt in favour of one on another engine, if its remaining time is long
-// compared with the time for a new one. An attempt that can't end in its client's time is rejected,
-// so that it doesn't hold capacity.
+// compared with the time for a new one. The query of an attempt that would end
+// long after the deadline is rejected, so that it doesn't hold capacity.
 func (s *Scheduler) moveOrReject(a *attempt, remainingSeconds float64) {
 	q := a.query
 	if a.moving || q.ended || q.group.effect != settings.ReadOnly || !s.settings.CancelAllowed {
--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -33,21 +33,21 @@
 	enginesByID  map[string]*engine
 	queries      map[string]*query
 	groups       []*resourceGroup
-	ranked       []*resourceGroup // in order of service
+	ranked       []*resourceGroup // groups in order of service
 	tenants      []*tenant
 	noTenant     tenant // counts queries without a tenant, and of tenants without a quota
 	chains       map[int64]*chain
 	keyQueues    map[int64]*keyQueue
-	lastSequence uint64 // of queries
+	lastSequence uint64 // sequence number of the last query
 
 	// Timers and eviction.
 	timers         timerqueue.Queue
-	timerAt        time.Duration // of the earliest timer that is set, negative: none
+	timerAt        time.Duration // when the earliest timer that is set fires; negative if none is set
 	nextEvictionAt time.Duration
 	retention      time.Duration // time for which removed entries may still matter
 
 	// The endpoint list.
-	listedEngines   map[*engine]bool // of the list that is being received
+	listedEngines   map[*engine]bool // engines of the list that is being received
 	listComplete    bool             // an engine that isn't in the list is removed
 	subscribed      bool
 	subscribeSentAt time.Duration
@@ -55,7 +55,7 @@
 	// State set by the adapter.
 	draining   bool          // nothing is admitted
 	paused     bool          // nothing is dispatched
-	retryAfter time.Duration // passed with a deferral, 0: none
+	retryAfter time.Duration // retry delay passed with a deferral; 0 if none is allowed
 
 	// Sums over active engines, recomputed when outdated.
 	totalsOutdated bool
@@ -65,27 +65,27 @@
 	activeCores    float64 // of all active engines
 
 	// The controller's own attempts in flight.
-	ownShare        float64       // of all work, 0 to 1
+	ownShare        float64       // this controller's share of the work of all controllers, 0 to 1
 	meanThreads     movingAverage // over 30 s
 	meanMemoryMB    movingAverage
 	meanAttempts    movingAverage
 	recentThreads   movingAverage // over rateWindow
-	maxQueryThreads float64       // of any group
+	maxQueryThreads float64       // largest number of threads of a query in any group
 
 	// Load reports.
 	healthChecksReportLoad bool          // health checks are allowed and return reports
-	reportedUtilization    movingAverage // of engines, 1: full
-	reportedQueries        movingAverage // on an engine
+	reportedUtilization    movingAverage // mean utilization of engines, 1 if they are full
+	reportedQueries        movingAverage // number of queries on an engine
 	lastReportAt           time.Duration
 	healthCheckTokens      float64
-	recentHealthChecks     float64 // decays over rateWindow
+	recentHealthChecks     float64 // number of health checks sent, decays over rateWindow
 
 	// Arrivals.
-	meanWorkSeconds   movingAverage // of a query
-	recentWorkSeconds float64       // admitted, decays over 20 s
-	tenantLoad        movingAverage // arrivals over this controller's part of the quotas
+	meanWorkSeconds   movingAverage // work of a query
+	recentWorkSeconds float64       // work of admitted queries, decays over 20 s
+	tenantLoad        movingAverage // arrivals over this controller's part of the tenants' quotas
 	arrivals          []time.Duration
-	retries           []time.Duration // with arrivals, for the retry budget
+	retries           []time.Duration // times of retries; together with arrivals, for the retry budget
 }
 
 // New returns a Scheduler with the settings of a map that settings.FromPairs or settings.FromJSON
--- a/internal/scheduler/slow_start_test.go
+++ b/internal/scheduler/slow_start_test.go
@@ -64,7 +64,7 @@
 func TestSlowStartChanceIsByAllCores(t *testing.T) {
 	h := newHarness(t, 12, map[string]string{"gateways": "300", "kind.cores": "4,28", "cold.span": "9000"})
 	h.advance(sec)
-	h.restartEngine("e0") // 4 cores; all 12 engines have 192
+	h.restartEngine("e0") // 4 cores; all 12 engines together have 12 x 16
 	h.s.recentWorkSeconds, h.s.groups[0].recentArrivals, h.s.meanWorkSeconds.value = 10, 4, 1
 	n := 0
 	for i := range 3000 {
--- a/internal/scheduler/timers.go
+++ b/internal/scheduler/timers.go
@@ -10,9 +10,9 @@
 	tickInterval  = 100 * time.Millisecond
 	evictInterval = time.Second
 
-	inFlightSamples   = 300   // ticks over which the controller's attempts in flight are averaged
-	tenantLoadSamples = 600   // ticks over which the tenants' load is averaged
-	arrivalDecay      = 0.995 // per tick, for arrivals and their work
+	inFlightSamples   = 300   // number of ticks over which the controller's attempts in flight are averaged
+	tenantLoadSamples = 600   // number of ticks over which the load of the tenants is averaged
+	arrivalDecay      = 0.995 // factor per tick for arrivals and their work
 
 	// A request for the list is repeated after this time, or, if that is shorter, after the time in
 	// which the list must be requested divided by subscribeDivisor.
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -16,8 +16,8 @@
 	NonIdempotent Effect = "mutating"  // may run at most once
 )
 
-// KeyScope tells which engines share the idempotency keys that they keep. With any other value each
-// engine knows only its own keys.
+// KeyScope tells which engines share the idempotency keys that they keep. With a value other than
+// these constants, each engine knows only its own keys.
 type KeyScope string
 
 const (
@@ -32,39 +32,39 @@
 	LateValueShare   float64 // fraction of PriorityWeight that a late answer is worth; default 1
 	Objective        time.Duration
 	ObjectiveStretch float64       // added to the objective, as a multiple of the estimated run time; default 0
-	Timeout          time.Duration // of the group's clients, 0: unknown
-	Threads          float64       // used by a query on an engine, at least 1
+	Timeout          time.Duration // timeout of the group's clients; 0 if unknown
+	Threads          float64       // threads that a query uses on an engine, at least 1
 
 	Effect    Effect
 	KeyScope  KeyScope
 	KeyWindow time.Duration // time for which engines keep an idempotency key
 
-	FIFOByKey     bool // queries with the same key run one after the other
-	IsLoad        bool // writes tables
-	WaitsForLoads bool // queries wait on the engine while a load of the tables that they read runs
-	Locations     []string
-	Kinds         []string // of engines, nil: all
+	FIFOByKey     bool     // queries with the same key run one after the other
+	IsLoad        bool     // queries write tables
+	WaitsForLoads bool     // queries wait on the engine while a load of the tables that they read runs
+	Locations     []string // nil allows all
+	Kinds         []string // kinds of engines; nil allows all
 }
 
 // Tenant holds the settings of a tenant.
 type Tenant struct {
 	Name           string
-	QuotaPerSecond float64 // queries over all controllers
+	QuotaPerSecond float64 // queries per second, over all controllers
 }
 
-// Settings holds what the scheduler's decisions depend on. A number that is missing or malformed
-// has its default.
+// Settings holds the settings on which the scheduler's decisions depend. A number that is missing or
+// malformed has its default.
 type Settings struct {
 	ControllerCount    float64 // default 1
-	ControllerIndex    float64 // of this controller, from 0
+	ControllerIndex    float64 // index of this controller, from 0
 	ControllerLocation string
 	Groups             []Group
 	Tenants            []Tenant
 	OverQuotaWeight    float64       // value of a query beyond its tenant's quota, 0 to 1; default 1
 	Quantum            time.Duration // resolution of the clock; default 5 ms
 
-	KindCores    []float64 // by the index of an engine's kind
-	KindMemoryMB []float64
+	KindCores    []float64 // cores of an engine, by the index of its kind
+	KindMemoryMB []float64 // memory of an engine, by the index of its kind
 
 	CancelAllowed         bool
 	HealthChecksAllowed   bool
@@ -73,12 +73,12 @@
 	PrioritiesSupported   bool
 	RetryAfterAllowed     bool
 	MaxRetryAfter         time.Duration
-	MaxAttempts           int           // of one query; default 1
-	NotePeriod            time.Duration // between an engine's progress notes on a query, 0: engines send none
+	MaxAttempts           int           // attempts of one query; default 1
+	NotePeriod            time.Duration // time between an engine's progress notes on a query; 0 if none are sent
 	AssumedNotePeriod     time.Duration // NotePeriod, or 1 s if it is missing
 	AnswersReportWork     bool          // answers carry the work that was done
 	EnginesSwap           bool          // an engine that is out of memory swaps
-	MaxGrantFraction      float64       // of an engine's memory, granted to one query; default 0
+	MaxGrantFraction      float64       // fraction of an engine's memory granted to one query; default 0
 
 	LoadReports         bool // engines report their load
 	ReportsCountQueries bool // load reports contain the number of queries on the engine
@@ -88,11 +88,11 @@
 
 	SlowStartInitialCapacity float64       // fraction of its capacity that a new engine starts with; default 0.2
 	SlowStartDuration        time.Duration // time until a new engine has its full capacity; default 0
-	SlowStartWorkFactor      float64       // of a warming engine's capacity, sent to it in a window; default 1
+	SlowStartWorkFactor      float64       // multiple of a warming engine's capacity, sent per window; default 1
 	SlowStartWindow          time.Duration // default 1 s
 
-	KeyCooldown       time.Duration // between queries of a key, after an attempt that may still run
-	RetryBudgetWindow time.Duration // 0: retries are unlimited
+	KeyCooldown       time.Duration // time between queries of a key after an attempt that may still run
+	RetryBudgetWindow time.Duration // 0 if retries are unlimited
 	MinRetryBudget    float64       // retries allowed in a window, whatever the number of queries
 	RetryBudgetRatio  float64       // further retries allowed per query that arrived in the window
 }
