--- a/internal/scheduler/admission.go
+++ b/internal/scheduler/admission.go
@@ -14,7 +14,7 @@
 	s.learnFromArrival(q)
 	s.addHealthCheckTokens()
 	q.objectiveAt = s.objectiveTime(q)
-	// However the query fares, its client is answered before the deadline.
+	// Whatever happens to the query, its client gets an answer before the deadline.
 	s.runAt(q, q.deadline-deadlineMarginQuanta*s.settings.Quantum, func() { s.reject(q) })
 	s.runAt(q, q.objectiveAt, func() { s.handleObjectivePassed(q) })
 	if queue := s.keyQueueOf(q); queue != nil {
@@ -41,7 +41,7 @@
 	}
 }
 
-// reject answers a query at once: with a deferral if its client can't run it twice by retrying,
+// reject answers a query at once: with a deferral if a retry by its client can't have a second effect,
 // otherwise with an error.
 func (s *Scheduler) reject(q *query) {
 	if q.ended || q.answerStarted {
--- a/internal/scheduler/capacity.go
+++ b/internal/scheduler/capacity.go
@@ -58,8 +58,8 @@
 // withinTotalLimit returns whether a heavy query keeps the controller within its share of all
 // engines together. Among many controllers the share of one engine is less than one query, so that
 // only the total can be limited. Without a limit the queries of all controllers would go to the few
-// engines with capacity. Light queries and a controller's only attempt aren't limited; if reports
-// count queries, nothing is until most engines are full.
+// engines with capacity. Light queries and a controller's only attempt aren't limited. If reports
+// count queries, no query is limited while the mean utilization is below highUtilization.
 func (s *Scheduler) withinTotalLimit(q *query, fraction float64) bool {
 	threads, _, attempts, cores := s.totalsInFlight()
 	switch {
--- a/internal/scheduler/capacity_test.go
+++ b/internal/scheduler/capacity_test.go
@@ -150,8 +150,8 @@
 	}
 }
 
-// The same holds if engines report with answers only: the mean of some engines is an estimate for
-// the others.
+// If engines report with answers only, the mean of the engines that reported is an estimate for the
+// others. It doesn't hold back light queries of the cheapest group either.
 func TestEstimatedUtilizationAdmitsCheapestGroup(t *testing.T) {
 	h := newHarness(t, 4, map[string]string{"gateways": "300", "may.probe": "false", "report.how": "answers",
 		"report.figures": "held"})
--- a/internal/scheduler/deadline.go
+++ b/internal/scheduler/deadline.go
@@ -22,8 +22,8 @@
 	return q.arrivedAt + q.group.objective + seconds(q.group.objectiveStretch*s.estimatedSoloSeconds(q))
 }
 
-// latestStart returns when a query has to start to end by its objective and by its deadline, which
-// may come first. If many clients of its group leave early, the query also has to end within their
+// latestStart returns when a query has to start to end by its objective or its deadline, whichever
+// comes first. If many clients of its group leave early, the query also has to end within their
 // average patience.
 func (s *Scheduler) latestStart(q *query) time.Duration {
 	deadline := min(q.objectiveAt, q.deadline)
--- a/internal/scheduler/events.go
+++ b/internal/scheduler/events.go
@@ -70,7 +70,8 @@
 	s.finishEvent()
 }
 
-// ListRefused records that the requested endpoint list won't be sent. It is requested again later.
+// ListRefused records that the requested endpoint list won't be sent. A later tick requests the list
+// again.
 func (s *Scheduler) ListRefused(now time.Duration) {
 	s.now = now
 	s.subscribed = false
@@ -126,7 +127,7 @@
 	}
 }
 
-// AttemptEnded records the end of an attempt. answered is whether the query's client has an answer.
+// AttemptEnded records the end of an attempt. answered tells whether the query's client has an answer.
 func (s *Scheduler) AttemptEnded(now time.Duration, id string, number int, outcome Outcome,
 	took time.Duration,
 	answered bool, work time.Duration, memoryMB float64, report map[string]float64) {
@@ -236,7 +237,7 @@
 	s.finishEvent()
 }
 
-// LoadReported stores a load report that the engine sent on its own.
+// LoadReported stores a load report that came with neither an answer nor a health check.
 func (s *Scheduler) LoadReported(now time.Duration, id string, report map[string]float64) {
 	s.now = now
 	if e := s.enginesByID[id]; e != nil {
--- a/internal/scheduler/interface.go
+++ b/internal/scheduler/interface.go
@@ -5,8 +5,8 @@
 // Actions are the operations that the scheduler calls. An adapter implements them for one instance.
 // The ids are those that the adapter passed with events.
 type Actions interface {
-	// SendAttempt sends an attempt, whose answer has to arrive within a time, 0: until the client
-	// leaves.
+	// SendAttempt sends an attempt. Its answer has to arrive within a time, or before the client
+	// leaves if that time is 0.
 	SendAttempt(query, engine string, within time.Duration)
 	// CancelAttempt cancels an attempt by its number. AttemptEnded still reports its end.
 	CancelAttempt(query string, number int)
@@ -21,7 +21,7 @@
 	CheckHealth(engine string)
 	// RequestEndpoints requests the endpoint list.
 	RequestEndpoints()
-	// SetTimer has TimerFired called with the tag after a delay.
+	// SetTimer requests a call of TimerFired with the tag after a delay.
 	SetTimer(delay time.Duration, tag int)
 	// Log writes a line to the operators' log.
 	Log(line string)
--- a/internal/scheduler/key_order.go
+++ b/internal/scheduler/key_order.go
@@ -26,7 +26,7 @@
 }
 
 // startQuery adds a query that is first in its key's queue, or isn't ordered by key, to its chain
-// or its group's queue. While the key cools down, that is delayed.
+// or its group's queue. During the cooldown of its key, the query waits.
 func (s *Scheduler) startQuery(q *query) {
 	if q.ended {
 		return
--- a/internal/scheduler/limits.go
+++ b/internal/scheduler/limits.go
@@ -24,8 +24,8 @@
 	}
 }
 
-// priority returns a query's priority by the rank of its group. It is the lowest after the
-// objective.
+// priority returns a query's priority by the rank of its group. After the objective, the query has the
+// lowest priority.
 func (s *Scheduler) priority(q *query) int {
 	switch {
 	case s.now >= q.objectiveAt:
@@ -39,8 +39,8 @@
 }
 
 // memoryGrantMB returns the memory granted to a query, 0 if the engine decides. Where engines swap
-// when they are out of memory, it is the largest grant, because a large grant costs nothing there.
-// Otherwise it follows the estimate.
+// when they are out of memory, a large grant costs nothing, so that every query gets the largest one.
+// Otherwise the grant follows the estimate of the query's memory.
 func (s *Scheduler) memoryGrantMB(q *query) int {
 	switch {
 	case !s.settings.MemoryGrantsSupported:
--- a/internal/scheduler/queue.go
+++ b/internal/scheduler/queue.go
@@ -85,8 +85,8 @@
 }
 
 // costPerWeight returns a query's run time alone, in seconds, over its weight, which is lower for a
-// tenant over its quota. A query that was sent before costs nothing, because its work would be
-// lost.
+// tenant over its quota. A query that was sent before costs nothing, because a rejection would lose
+// the work of its attempts.
 func (s *Scheduler) costPerWeight(q *query) float64 {
 	if len(q.attempts) > 0 {
 		return 0
--- a/internal/scheduler/queue_test.go
+++ b/internal/scheduler/queue_test.go
@@ -56,7 +56,7 @@
 	}
 }
 
-// If clients leave early, a queue in which queries wait longer than that would answer none of them.
+// If clients leave early, a queue in which queries wait longer than clients do would answer none of them.
 func TestQueueRejectsByObservedPatience(t *testing.T) {
 	h := newHarness(t, 1, nil)
 	h.setState("e0", EngineDraining)
@@ -131,7 +131,7 @@
 	}
 }
 
-// A paused scheduler sends nothing, and sends the queued queries in order once it is resumed.
+// A paused scheduler sends nothing. After its resumption it sends the queued queries in order.
 func TestPausedSchedulerDispatchesNothing(t *testing.T) {
 	a := &recordingActions{}
 	s := New(a, 7, testSettings(map[string]string{"report.how": "off", "may.probe": ""}))
--- a/internal/scheduler/simulated_fleet_test.go
+++ b/internal/scheduler/simulated_fleet_test.go
@@ -28,12 +28,12 @@
 	servedValue     float64
 	measureFrom     time.Duration
 	warmingWork     float64 // sent to warming engines
-	warmingCapacity float64 // work that they could do meanwhile
+	warmingCapacity float64 // work that warming engines could do in the same time
 	worstLimitRatio float64 // relative to rule 4's limit, in any window
 	overLimit       int     // attempts beyond the limit
 
 	workFactor      float64       // of a warming engine's capacity, in a window
-	window          time.Duration // for that limit
+	window          time.Duration // window of the limit by workFactor
 	lateFraction    float64       // of attempts whose connection takes up to 1 s
 	worstCountRatio float64       // relative to N + 2 x root of N + 2 queries of mean work
 }
--- a/internal/scheduler/timers.go
+++ b/internal/scheduler/timers.go
@@ -80,7 +80,7 @@
 	}
 }
 
-// subscribe requests the endpoint list if it is sent only on request.
+// subscribe requests the endpoint list if the list is sent only on request.
 func (s *Scheduler) subscribe() {
 	interval := min(maxSubscribeInterval, s.settings.ListRequestWithin/subscribeDivisor)
 	if s.settings.ListOnRequest && !s.subscribed && s.now-s.subscribeSentAt > interval {
@@ -125,7 +125,8 @@
 }
 
 // evictStale removes state that no longer matters: removed engines, and unused chains, key queues
-// and table groups. Otherwise it would stay until the instance stops.
+// and table groups. That state would otherwise stay in
+// memory until the instance stops.
 func (s *Scheduler) evictStale() {
 	if s.now < s.nextEvictionAt {
 		return
--- a/internal/scheduler/utilization.go
+++ b/internal/scheduler/utilization.go
@@ -13,16 +13,16 @@
 	reportBusyCores = "cores" // fraction of its cores that is busy
 )
 
-// utilizationKnown returns whether an engine has a valid load report. If health checks return none,
-// it is always true.
+// utilizationKnown returns whether an engine has a valid load report. If health checks return no
+// reports, utilizationKnown always returns true, as no check can replace an estimate by a report.
 func (s *Scheduler) utilizationKnown(e *engine) bool {
 	return !s.healthChecksReportLoad || e.report != nil && s.now-e.reportAt < reportValidity
 }
 
-// utilization estimates how full an engine is with the work of all controllers, 1 being full. With
-// a report it is the larger of threads and memory, including what was sent since. Otherwise it is
-// the mean of recently reporting engines, or, if there are none, the load that results if all
-// controllers send as this one does.
+// utilization estimates how full an engine is with the work of all controllers, 1 being full. With a
+// report, the result is the larger of threads and memory, including the attempts sent since the
+// report. Otherwise it is the mean of recently reporting engines, or, if there are none, the load that
+// results if all controllers send as this one does.
 func (s *Scheduler) utilization(e *engine) float64 {
 	limit := maxThreadsPerCore * e.cores * s.warmupCapacity(e)
 	if e.report != nil && s.now-e.reportAt < reportValidity {
@@ -60,9 +60,9 @@
 	return (memoryMB + s.sentSinceReport(e.memoryInFlightMB-e.memoryInFlightAtReportMB)) / e.memoryCapacityMB
 }
 
-// sentSinceReport estimates what all controllers have sent to an engine since its report, from what
-// this one has sent. Other controllers check as often, and each that did so while the report is
-// valid saw the same capacity.
+// sentSinceReport estimates the threads or memory that all controllers have sent to an engine since
+// its report, from the controller's own. Other controllers are assumed to check engines as often as
+// this one, and each that checked the engine while the report is valid saw the same capacity.
 func (s *Scheduler) sentSinceReport(own float64) float64 {
 	checks := s.perSecond(s.recentHealthChecks) * reportValidity.Seconds()
 	sharedFraction := min(1, checks/max(1, float64(len(s.activeEngines()))))
--- a/internal/settings/conflicts.go
+++ b/internal/settings/conflicts.go
@@ -9,11 +9,11 @@
 // Conflicts returns the settings that contradict each other, each with its internal name and the
 // reason.
 //
-// Deployments differ in what engines report, in what a controller is allowed to do and in how
-// tenants are configured. A file merged from two of them would be served by guesses. Settings that
-// no interpretation satisfies are invalid: a controller that started with them would follow its
-// rules only by chance. Suspicious settings can be interpreted, but probably not as intended.
-// Missing and unknown settings are in neither list.
+// Deployments differ in what engines report, in what a controller is allowed to do and in how tenants
+// are configured. A configuration merged from two deployments could only be interpreted by guessing.
+// Settings that no interpretation satisfies are invalid: a controller that started with them would
+// follow its rules only by chance. Suspicious settings can be interpreted, but probably not as
+// intended. Missing and unknown settings are in neither list.
 func Conflicts(facts map[string]string) (invalid, suspicious [][2]string) {
 	add := func(to *[][2]string, name, why string, args ...any) {
 		*to = append(*to, [2]string{name, fmt.Sprintf(why, args...)})
@@ -76,7 +76,7 @@
 }
 
 // ExternalName returns the external name of a setting for its internal one, with indexes as in
-// customers[0].name. A name without an external one is returned as it is.
+// customers[0].name. A name without an external one is returned unchanged.
 func ExternalName(name string) string {
 	parts, index := strings.Split(name, "."), ""
 	for i, p := range parts {
