--- a/internal/scheduler/deadline.go
+++ b/internal/scheduler/deadline.go
@@ -7,12 +7,12 @@
 )
 
 const (
-	startMarginFactor      = 1.25 // of the expected run time, left at the latest start
-	patienceAbandonRate    = 0.05 // of clients that leave early: above it, their patience limits the wait
-	minSoloTimeFraction    = 0.5  // of the estimated run time alone that must be left for a query to be kept
-	abandonRateSamples     = 100  // queries over which the fraction of clients that leave is averaged
-	patienceSamples        = 30   // early leavers over which the patience is averaged
-	noteTimeoutHalfPeriods = 3    // half periods without a note, after which one is missing
+	startMarginFactor      = 1.25 // multiple of the expected run time that is left at the latest start
+	patienceAbandonRate    = 0.05 // fraction of clients leaving early above which their patience limits the wait
+	minSoloTimeFraction    = 0.5  // fraction of the estimated run time alone that must be left to keep a query
+	abandonRateSamples     = 100  // number of queries over which the fraction of clients that leave is averaged
+	patienceSamples        = 30   // number of clients that left early over which their patience is averaged
+	noteTimeoutHalfPeriods = 3    // number of half note periods after which a note is missing
 	noteDeliveryDelay      = 300 * time.Millisecond
 )
 
@@ -22,8 +22,8 @@
 	return q.arrivedAt + q.group.objective + seconds(q.group.objectiveStretch*s.estimatedSoloSeconds(q))
 }
 
-// latestStart returns when a query has to start to end by its objective and by its deadline, which
-// may come first. If many clients of its group leave early, the query also has to end within their
+// latestStart returns when a query has to start to end by its objective or its deadline, whichever
+// comes first. If many clients of its group leave early, the query also has to end within their
 // average patience.
 func (s *Scheduler) latestStart(q *query) time.Duration {
 	deadline := min(q.objectiveAt, q.deadline)
--- a/internal/scheduler/timers.go
+++ b/internal/scheduler/timers.go
@@ -10,9 +10,9 @@
 	tickInterval  = 100 * time.Millisecond
 	evictInterval = time.Second
 
-	inFlightSamples   = 300   // ticks over which the controller's attempts in flight are averaged
-	tenantLoadSamples = 600   // ticks over which the tenants' load is averaged
-	arrivalDecay      = 0.995 // per tick, for arrivals and their work
+	inFlightSamples   = 300   // number of ticks over which the controller's attempts in flight are averaged
+	tenantLoadSamples = 600   // number of ticks over which the load of the tenants is averaged
+	arrivalDecay      = 0.995 // factor per tick for arrivals and their work
 
 	// A request for the list is repeated after this time, or, if that is shorter, after the time in
 	// which the list must be requested divided by subscribeDivisor.
@@ -80,7 +80,7 @@
 	}
 }
 
-// subscribe requests the endpoint list if it is sent only on request.
+// subscribe requests the endpoint list if the list is sent only on request.
 func (s *Scheduler) subscribe() {
 	interval := min(maxSubscribeInterval, s.settings.ListRequestWithin/subscribeDivisor)
 	if s.settings.ListOnRequest && !s.subscribed && s.now-s.subscribeSentAt > interval {
@@ -125,7 +125,8 @@
 }
 
 // evictStale removes state that no longer matters: removed engines, and unused chains, key queues
-// and table groups. Otherwise it would stay until the instance stops.
+// and table groups. That state would otherwise stay in
+// memory until the instance stops.
 func (s *Scheduler) evictStale() {
 	if s.now < s.nextEvictionAt {
 		return
