--- a/cmd/railrelay-bench/datapath.go
+++ b/cmd/railrelay-bench/datapath.go
@@ -61,7 +61,7 @@
 	told := map[figure]bool{}
 	for _, row := range rows {
 		f := figure{row.Role, row.What, row.Unit}
-		line := capacity.Slope(capacity.Select(rows, f.role, f.what))
+		line := capacity.FitLine(capacity.Select(rows, f.role, f.what))
 		if told[f] || line.Slope != line.Slope {
 			continue
 		}
--- a/cmd/railrelay-bench/page.go
+++ b/cmd/railrelay-bench/page.go
@@ -23,12 +23,12 @@
 			if err != nil {
 				return err
 			}
-			filled, err := capacity.Fill(string(text), rows)
+			filled, err := capacity.FillPage(string(text), rows)
 			if err != nil {
 				return err
 			}
 			fmt.Fprintf(c.OutOrStdout(), "%d figures, %d formulas not measured yet, %d lines changed\n",
-				filled.Figures, filled.Open, len(filled.Changed))
+				filled.Figures, filled.Unmeasured, len(filled.Changed))
 			unlisted, within := capacity.Missing(filled.Text)
 			for _, line := range unlisted {
 				fmt.Fprintln(c.OutOrStdout(), "over its allowance, to be listed as missing:", line)
--- a/internal/bench/fairness.go
+++ b/internal/bench/fairness.go
@@ -401,7 +401,7 @@
 		n := NewNight(seed, engines, Usual(), Teams(), shape(), nil)
 		p.play(n)
 		n.RunUntil(nightLong + 20*time.Second)
-		faults = append(faults, n.History.Done(n.Now)...)
+		faults = append(faults, n.History.Finish(n.Now)...)
 		t := n.Estimates(nil)
 		fmt.Fprintf(out, "%-11s started %5d within20 %.3f finished %5d deferred %5d killed %d wait p99 %.2fs gap %.2fs idle while waiting %.4f\n",
 			p.name, t.Of, t.Share(), t.Finished, t.Deferred, t.Killed, t.P99.Seconds(), n.MaxGap.Seconds(), ratio(n.IdleTime, n.WaitTime))
@@ -427,7 +427,7 @@
 			n.Stream(name, 4.0/float64(len(n.Names)), 0, 45*time.Second, nil)
 		}
 		n.RunUntil(60 * time.Second)
-		faults = append(faults, n.History.Done(n.Now)...)
+		faults = append(faults, n.History.Finish(n.Now)...)
 		jain[i] = n.Jain(10*time.Second, 45*time.Second)
 	}
 	fmt.Fprintf(out, "jain over weighted shares: teams %.4f, first in first out (the program before) %.4f\n", jain[0], jain[1])
@@ -443,7 +443,7 @@
 				n.Schedule(at, func() { n.Ask(n.Names[0], n.Kinds[1], plan) })
 			}
 			n.RunUntil(45 * time.Second)
-			faults = append(faults, n.History.Done(n.Now)...)
+			faults = append(faults, n.History.Finish(n.Now)...)
 			for _, a := range n.All {
 				if a.StartedAt >= 0 && a.Team != n.Names[0] {
 					waits = append(waits, a.StartedAt-a.SubmittedAt)
--- a/internal/bench/fairness_test.go
+++ b/internal/bench/fairness_test.go
@@ -31,7 +31,7 @@
 
 func (n *Night) over(t interface{ Fatalf(string, ...any) }, end time.Duration) {
 	n.RunUntil(end)
-	if faults := n.History.Done(n.Now); len(faults) > 0 {
+	if faults := n.History.Finish(n.Now); len(faults) > 0 {
 		t.Fatalf("%d rules broken, first: %s", len(faults), faults[0])
 	}
 }
--- a/internal/bench/fleet.go
+++ b/internal/bench/fleet.go
@@ -146,10 +146,10 @@
 	f.until(d.Long + 40*time.Second)
 	for _, c := range f.all {
 		if len(c.waiting) == 0 {
-			c.history.Done(f.now)
+			c.history.Finish(f.now)
 		}
 		f.out.Broken = append(f.out.Broken, c.history.Faults...)
-		f.out.Ordered += c.history.Ordered
+		f.out.Ordered += c.history.OrderChecks
 		f.out.Served += c.history.Answers[historycheck.Finished]
 	}
 	f.coldUse()
--- a/internal/bench/fleet_controllers.go
+++ b/internal/bench/fleet_controllers.go
@@ -49,11 +49,13 @@
 	}
 	facts["own.number"] = strconv.Itoa(n)
 	ms := func(name string) time.Duration { return time.Duration(number(facts[name])) * time.Millisecond }
-	c.history = historycheck.History{KeyRest: ms("key.rest"), Rests: true, Grace: ms("drain.grace"), Most: int(number(facts["submissions.most"])),
-		Alone: facts["may.copy"] != "true"}
+	c.history = historycheck.History{KeyRest: ms("key.rest"), RestAfterFailure: true,
+		DrainGrace:         ms("drain.grace"),
+		MaxSubmissions:     int(number(facts["submissions.most"])),
+		ForbidSecondCopies: facts["may.copy"] != "true"}
 	for i := range int(number(facts["groups"])) {
 		at := fmt.Sprintf("group.%d.", i)
-		c.history.Group(facts[at+"name"], facts[at+"effect"], facts[at+"in-order"] == "true")
+		c.history.AddGroup(facts[at+"name"], facts[at+"effect"], facts[at+"in-order"] == "true")
 	}
 	for range f.Engines {
 		c.ways = append(c.ways, &fleetWay{delay: time.Duration(100+f.rng.IntN(2000)) * time.Microsecond})
@@ -121,7 +123,7 @@
 			p := client.AppendQuery(nil, m, k.Name, engine.Statement(work), fields...)
 			c.deliver(func() {
 				// taken once it is read: a patience that passed while it stood still is the client's
-				c.history.Asked(c.now, id, k.Name, key, max(a.Deadline, c.now)+c.stood(a.SubmittedAt))
+				c.history.Received(c.now, id, k.Name, key, max(a.Deadline, c.now)+c.stood(a.SubmittedAt))
 				began := time.Now()
 				c.gets(end, p)
 				c.out.Arrivals += time.Since(began)
@@ -206,7 +208,7 @@
 	for {
 		ans, n, err := client.Read(c.in)
 		if err != nil {
-			c.history.Broken(c.now, err.Error())
+			c.history.AddFault(c.now, err.Error())
 			return
 		}
 		if n == 0 {
@@ -218,7 +220,7 @@
 		}
 		a := c.open[ans.Msg]
 		if a == nil {
-			c.history.Broken(c.now, fmt.Sprintf("rule 1: an answer to %d that nobody waits for", ans.Msg))
+			c.history.AddFault(c.now, fmt.Sprintf("rule 1: an answer to %d that nobody waits for", ans.Msg))
 			continue
 		}
 		c.say("%s answered: %d", a.ID, ans.Kind)
--- a/internal/bench/fleet_engines.go
+++ b/internal/bench/fleet_engines.go
@@ -42,9 +42,9 @@
 	e.OnSubmit = func(id, _ string, _ int, at time.Duration) {
 		f.say("%s begins at %s", id, e.ID)
 		if c := f.byID[id]; c != nil {
-			c.history.Began(at, id, e.ID)
+			c.history.Started(at, id, e.ID)
 			if a := c.asked(id); a != nil && f.facts["group.0.locations"] != "" && a.Group == "lookup" && e.Locality != "here" {
-				c.history.Broken(at, "rule 6: "+id+" at "+e.Locality)
+				c.history.AddFault(at, "rule 6: "+id+" at "+e.Locality)
 			}
 		}
 	}
@@ -141,7 +141,7 @@
 			f.out.ColdOver++
 		}
 		if part > 1+coldSlack {
-			c.history.Broken(f.now, fmt.Sprintf("rule 4: %s was sent %.2f times what it stands", e.ID, part))
+			c.history.AddFault(f.now, fmt.Sprintf("rule 4: %s was sent %.2f times what it stands", e.ID, part))
 		}
 	}
 }
--- a/internal/bench/fleet_network.go
+++ b/internal/bench/fleet_network.go
@@ -129,7 +129,7 @@
 	if words[0] == "POST" {
 		_, rest, _ := strings.Cut(string(p), "X-Req: ")
 		id, _, _ = strings.Cut(rest, "\r\n")
-		c.history.Written(c.now, id, e.e.ID)
+		c.history.Sent(c.now, id, e.e.ID)
 	} else if parts := strings.Split(words[1], "/"); len(parts) > 2 {
 		id = parts[2]
 	}
@@ -193,7 +193,7 @@
 		c.deliver(func() {
 			for n := since; n < last; n++ {
 				if t := c.told[n]; t.e != nil {
-					c.history.State(c.now, t.e.ID, t.on)
+					c.history.SetServing(c.now, t.e.ID, t.on)
 					if t.up == t.e.UpSinceMs && t.on {
 						t.e.toldTo[c.n] = true
 					}
--- a/internal/bench/relays_fleet_test.go
+++ b/internal/bench/relays_fleet_test.go
@@ -85,12 +85,13 @@
 	g := &gathering{Together: Together{Program: both(t), Seed: 1, Lease: relayedLease}, ctx: ctx, stop: stop, start: time.Now(), dir: t.TempDir(),
 		rng: rand.New(rand.NewPCG(1, 0x7e1a)), quit: make(chan struct{}), asked: map[string]*askedFor{},
 		marks: map[int]marked{0: {"the set-up's", 1}}, next: 1, version: 1, faults: map[string]int{}, known: map[string]string{}}
-	g.rules = historycheck.History{KeyRest: 300 * time.Millisecond, Grace: time.Second, Most: 3, Slack: relayedSlack}
-	g.rules.Group("lookup", "read-only", false)
-	g.rules.Group("report", "read-only", false)
-	g.rules.Group("load", "mutating", true)
+	g.rules = historycheck.History{KeyRest: 300 * time.Millisecond, DrainGrace: time.Second, MaxSubmissions: 3,
+		Slack: relayedSlack}
+	g.rules.AddGroup("lookup", "read-only", false)
+	g.rules.AddGroup("report", "read-only", false)
+	g.rules.AddGroup("load", "mutating", true)
 	g.fleet.Slack = relayedSlack
-	g.fleet.Rules(0, "the set-up's", g.bound())
+	g.fleet.AddRules(0, "the set-up's", g.bound())
 	return &relayed{gathering: g, t: t, leaseBound: plan.leaseBound, watch: &watch{}}
 }
 
--- a/internal/bench/relays_test.go
+++ b/internal/bench/relays_test.go
@@ -110,7 +110,7 @@
 	broken = append(broken, f.watch.broken(f)...)
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if agreed, why := historycheck.Agreed(f.words, relayedSlack); !agreed {
+	if agreed, why := historycheck.Linearizable(f.words, relayedSlack); !agreed {
 		broken = append(broken, "there is no order of these words:\n"+why)
 	}
 	if len(broken) > 0 {
--- a/internal/bench/schedule_actors.go
+++ b/internal/bench/schedule_actors.go
@@ -285,7 +285,7 @@
 				return
 			}
 			p.acted(a, id, version, policy)
-			p.check.Drawn(p.now, id, x.team, x.table)
+			p.check.ResultStarted(p.now, id, x.team, x.table)
 			p.in(p.span(0, 200*time.Microsecond), a, a.word.EndWrite)
 			p.in(p.span(0, 500*time.Millisecond), a, func() { // the answer is there
 				for _, o := range a.drops {
@@ -315,7 +315,7 @@
 	p.check.Acted(p.now, p.now, a.name, query, version)
 	if rest, ok := strings.CutPrefix(policy, "policy of "); ok {
 		id, _, _ := strings.Cut(rest, " ")
-		p.check.ActedFor(p.now, a.name, query, id)
+		p.check.ActedByChange(p.now, a.name, query, id)
 	}
 	if a.gone && !a.seen { // once: it would hide what else is broken
 		a.seen = true
--- a/internal/bench/schedule_operators.go
+++ b/internal/bench/schedule_operators.go
@@ -77,7 +77,7 @@
 			o.ask.AwaitedStage = "unreachable"
 		}
 		p.ops = append(p.ops, o)
-		p.check.PurgeAsked(p.now, o.ask.ID, *o.ask.Scope)
+		p.check.PurgeRequested(p.now, o.ask.ID, *o.ask.Scope)
 		p.ask(o, false)
 	case x == 7 && !p.Apart && p.Controllers > p.Voters && !p.revoted && p.rng.IntN(4) == 0: // a follower's disk is destroyed
 		a := p.all[p.Voters+p.rng.IntN(p.Controllers-p.Voters)]
@@ -131,16 +131,16 @@
 	}
 	switch o.ask.Kind {
 	case "apply":
-		p.check.Changed(p.now, x.at.name, o.ask.ID, r.Outcome, r.Version)
-		p.words = append(p.words, historycheck.Word{Client: len(p.words) % 7, From: x.from, To: p.now + 1, ID: o.ask.ID, Base: o.ask.BaseVersion, Proposes: true,
-			Word: r.Outcome, Version: r.Version})
+		p.check.ChangeReported(p.now, x.at.name, o.ask.ID, r.Outcome, r.Version)
+		p.words = append(p.words, historycheck.ChangeReport{Client: len(p.words) % 7, From: x.from, To: p.now + 1,
+			ID: o.ask.ID, Base: o.ask.BaseVersion, Proposes: true, Outcome: r.Outcome, Version: r.Version})
 	case "purge":
-		p.check.PurgeTold(p.now, x.at.name, o.ask.ID, r.Outcome, r.Counts)
+		p.check.PurgeReported(p.now, x.at.name, o.ask.ID, r.Outcome, r.Counts)
 		if r.Outcome == "purged" {
 			for _, a := range p.all {
 				for _, id := range slices.Sorted(maps.Keys(a.items)) {
 					if !a.gone {
-						p.check.Held(p.now+1, a.name, id)
+						p.check.FoundOnDisk(p.now+1, a.name, id)
 					}
 				}
 			}
--- a/internal/bench/schedules.go
+++ b/internal/bench/schedules.go
@@ -85,12 +85,12 @@
 	cuts     map[[2]string]time.Duration // from, to: until
 	lossy    time.Duration               // until when messages are lost, late and doubled
 	leader   string
-	check    historycheck.Fleet
+	check    historycheck.FleetHistory
 	out      *Played
 	asks     map[uint64]*asking
 	handles  uint64
 	ops      []*operation
-	words    []historycheck.Word
+	words    []historycheck.ChangeReport
 	settling bool
 	revoted  bool // who votes was to be changed
 	counting bool // messages are counted for the strike
@@ -216,7 +216,8 @@
 	for _, h := range slices.Sorted(maps.Keys(p.asks)) {
 		x := p.asks[h]
 		if x.op.ask.Kind == "apply" { // who was asked is gone; it may have passed it on before
-			p.words = append(p.words, historycheck.Word{Client: len(p.words) % 7, From: x.from, ID: x.op.ask.ID, Base: x.op.ask.BaseVersion, Proposes: true, Word: "unknown"})
+			p.words = append(p.words, historycheck.ChangeReport{Client: len(p.words) % 7, From: x.from,
+				ID: x.op.ask.ID, Base: x.op.ask.BaseVersion, Proposes: true, Outcome: "unknown"})
 		}
 		if x.last {
 			p.broken("false_word: %s was asked for %s after all was healed and says nothing", x.at.name, x.op.ask.ID)
@@ -225,7 +226,7 @@
 	for _, f := range p.check.Faults {
 		p.broken("%v", f)
 	}
-	if ok, why := historycheck.Agreed(p.words, 2*time.Second); !ok {
+	if ok, why := historycheck.Linearizable(p.words, 2*time.Second); !ok {
 		p.broken("false_word: there is no order of these words:\n%s", why)
 	}
 	p.out.Changes, p.out.Withdrawn, p.out.Purges, p.out.Acts = p.check.Changes, p.check.Withdrawn, p.check.Purges, p.check.Acts
--- a/internal/bench/storm.go
+++ b/internal/bench/storm.go
@@ -71,7 +71,7 @@
 func (g *gathering) wrong(err error) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.rules.Broken(g.since(), err.Error())
+	g.rules.AddFault(g.since(), err.Error())
 }
 
 // rounds are all faults that a measurement plays; the order follows from the seed.
@@ -242,14 +242,14 @@
 		}
 		g.mu.Lock()
 		for _, e := range l {
-			g.rules.State(g.since(), e.ID, phase == "SERVING")
+			g.rules.SetServing(g.since(), e.ID, phase == "SERVING")
 		}
 		g.mu.Unlock()
 		g.feed.Publish(false, l...)
 	}
 	g.mu.Lock()
 	from := g.further
-	g.fleet.Loosed(g.since()+time.Second-g.fleet.Slack, "linz", "west")
+	g.fleet.AllowSites(g.since()+time.Second-g.fleet.Slack, "linz", "west")
 	g.faults["all engines of a site lost"]++
 	g.mu.Unlock()
 	tell("DRAINING")
@@ -271,7 +271,7 @@
 		return true
 	})
 	g.mu.Lock()
-	g.fleet.Fastened(g.since(), "linz")
+	g.fleet.RevokeSites(g.since(), "linz")
 	g.emergencies++
 	g.mu.Unlock()
 	return err
@@ -315,19 +315,21 @@
 		return !slices.ContainsFunc(g.acts, func(l []mark) bool { return len(l) == 0 || l[len(l)-1].version != g.version })
 	}); err != nil {
 		g.mu.Lock()
-		g.fleet.Faults = append(g.fleet.Faults, historycheck.Fault{Kind: historycheck.Half, What: err.Error()})
+		g.fleet.Faults = append(g.fleet.Faults,
+			historycheck.Fault{Kind: historycheck.PartialChange, Description: err.Error()})
 		g.mu.Unlock()
 	}
 	close(g.quit)
 	g.clients.Wait()
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	broken := slices.Clone(g.rules.Done(g.since()))
+	broken := slices.Clone(g.rules.Finish(g.since()))
 	for _, f := range g.fleet.Faults {
 		broken = append(broken, f.String())
 	}
-	if ok, why := historycheck.Agreed(g.words, 2*time.Second); !ok {
-		f := historycheck.Fault{Kind: historycheck.FalseWord, What: "there is no order of these words:\n" + why}
+	if ok, why := historycheck.Linearizable(g.words, 2*time.Second); !ok {
+		f := historycheck.Fault{Kind: historycheck.Contradiction,
+			Description: "there is no order of these words:\n" + why}
 		g.fleet.Faults = append(g.fleet.Faults, f)
 		broken = append(broken, f.String())
 	}
@@ -527,8 +529,11 @@
 	}
 	fmt.Fprintf(out, "measured controllers=%d faults=%d changes=%d withdrawn=%d mixed=%d half=%d false_word=%d purges=%d served_after=%d confirmed_wrongly=%d "+
 		"bound_queries=%d crossed=%d emergencies=%d rules_broken=%d switch_hold_ms=%.1f round_trip_ms=%.2f sync_ms=%.2f purge_ms=%.0f on_off=%.3f "+
-		"faults_found=%d/%d schedules=%d\n", len(g.members), faults, f.Changes, f.Withdrawn, f.Count(historycheck.Mixed), f.Count(historycheck.Half),
-		f.Count(historycheck.FalseWord), f.Purges, f.Count(historycheck.ServedAfter), f.Count(historycheck.ConfirmedWrongly), f.Bound, f.Count(historycheck.Crossed), g.emergencies,
+		"faults_found=%d/%d schedules=%d\n", len(g.members), faults, f.Changes, f.Withdrawn,
+		f.Count(historycheck.StaleVersion), f.Count(historycheck.PartialChange),
+		f.Count(historycheck.Contradiction), f.Purges, f.Count(historycheck.ServedAfterPurge),
+		f.Count(historycheck.FalsePurge),
+		f.Bound, f.Count(historycheck.PlacementFault), g.emergencies,
 		len(g.rules.Faults), inMS(hold), inMS(trip), inMS(sync1), inMS(purge), ratio, found, planted, schedules.Schedules)
 	switch {
 	case len(broken) > 0:
--- a/internal/bench/together.go
+++ b/internal/bench/together.go
@@ -51,8 +51,8 @@
 
 	mu          sync.Mutex
 	rules       historycheck.History
-	fleet       historycheck.Fleet
-	words       []historycheck.Word
+	fleet       historycheck.FleetHistory
+	words       []historycheck.ChangeReport
 	asked       map[string]*askedFor
 	serial      int
 	kept        []keptAt
@@ -89,12 +89,13 @@
 	if g.dir, err = os.MkdirTemp("", "railrelay-together"); err != nil {
 		return g, err
 	}
-	g.rules = historycheck.History{KeyRest: 300 * time.Millisecond, Grace: time.Second, Most: 3, Slack: 50 * time.Millisecond}
-	g.rules.Group("lookup", "read-only", false)
-	g.rules.Group("report", "read-only", false)
-	g.rules.Group("load", "mutating", true)
+	g.rules = historycheck.History{KeyRest: 300 * time.Millisecond, DrainGrace: time.Second, MaxSubmissions: 3,
+		Slack: 50 * time.Millisecond}
+	g.rules.AddGroup("lookup", "read-only", false)
+	g.rules.AddGroup("report", "read-only", false)
+	g.rules.AddGroup("load", "mutating", true)
 	g.fleet.Slack = 50 * time.Millisecond
-	g.fleet.Rules(0, "the set-up's", g.bound())
+	g.fleet.AddRules(0, "the set-up's", g.bound())
 	if err = g.engines(); err != nil {
 		return g, err
 	}
@@ -192,7 +193,7 @@
 		return
 	}
 	who := g.members[q.controller].name
-	g.fleet.Drawn(now, id, q.team, q.table)
+	g.fleet.ResultStarted(now, id, q.team, q.table)
 	if q.team == "linz" && site == "west" {
 		g.further++
 	}
@@ -203,11 +204,11 @@
 	k, err := strconv.Atoi(strings.TrimPrefix(site, "m"))
 	m, had := g.marks[k]
 	if err != nil || !had {
-		g.rules.Broken(now, "a query of mark at "+site+", where no policy has put it")
+		g.rules.AddFault(now, "a query of mark at "+site+", where no policy has put it")
 		return
 	}
 	g.fleet.Acted(now, q.at, who, id, m.version)
-	g.fleet.ActedFor(now, who, id, m.change)
+	g.fleet.ActedByChange(now, who, id, m.change)
 	g.acts[q.controller] = append(g.acts[q.controller], mark{now, m.version})
 }
 
--- a/internal/bench/together_clients.go
+++ b/internal/bench/together_clients.go
@@ -77,7 +77,7 @@
 	defer g.mu.Unlock()
 	if a.Kind == client.Finished {
 		if !strings.Contains(string(a.Rows), k.id) {
-			g.rules.Broken(g.since(), "a page of "+k.id+" that is another's")
+			g.rules.AddFault(g.since(), "a page of "+k.id+" that is another's")
 		}
 		g.fleet.Served(g.since(), asked, g.members[k.controller].name, k.id)
 	}
@@ -110,7 +110,7 @@
 		g.mu.Lock()
 		for _, k := range g.kept {
 			if found[k.id] {
-				g.fleet.Held(g.since(), p.name, k.id)
+				g.fleet.FoundOnDisk(g.since(), p.name, k.id)
 			}
 		}
 		g.mu.Unlock()
@@ -166,7 +166,7 @@
 		id := fmt.Sprintf("%016x", 0x70000000+g.serial)
 		now := g.since()
 		g.asked[id] = &askedFor{now, team, w.TableGroup, n}
-		g.rules.Asked(now, id, group, entity, now+patienceTogether)
+		g.rules.Received(now, id, group, entity, now+patienceTogether)
 		g.mu.Unlock()
 		r.msg++
 		r.SetDeadline(time.Now().Add(patienceTogether))
@@ -177,7 +177,7 @@
 		}
 		g.mu.Lock()
 		if err != nil { // it was killed, or the client has waited long enough
-			g.rules.Left(g.since(), id)
+			g.rules.ClientLeft(g.since(), id)
 			r.Close()
 			r = nil
 			g.mu.Unlock()
--- a/internal/bench/together_operators.go
+++ b/internal/bench/together_operators.go
@@ -36,10 +36,11 @@
 	r, err := g.ask(p, a)
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	w := historycheck.Word{Client: len(g.words) % 11, From: from, To: g.since(), ID: a.ID, Base: a.BaseVersion, Proposes: true, Word: "unknown"}
+	w := historycheck.ChangeReport{Client: len(g.words) % 11, From: from, To: g.since(),
+		ID: a.ID, Base: a.BaseVersion, Proposes: true, Outcome: "unknown"}
 	if err == nil {
-		w.Word, w.Version = r.Outcome, r.Version
-		g.fleet.Changed(g.since(), p.name, a.ID, r.Outcome, r.Version)
+		w.Outcome, w.Version = r.Outcome, r.Version
+		g.fleet.ChangeReported(g.since(), p.name, a.ID, r.Outcome, r.Version)
 		if r.Outcome == "in force" {
 			g.version = max(g.version, r.Version)
 		}
@@ -48,7 +49,7 @@
 		}
 	}
 	g.words = append(g.words, w)
-	return w.Word
+	return w.Outcome
 }
 
 // settled asks again and again, here and there, until there is a word.
@@ -73,7 +74,7 @@
 	g.mu.Lock()
 	g.serial++
 	a := &fleet.Request{Kind: "purge", ID: fmt.Sprintf("purge-%d", g.serial), RequestedBy: "the laboratory", Scope: &fleet.Scope{Team: team}, WaitMs: 1500, AwaitedStage: "unreachable"}
-	g.fleet.PurgeAsked(g.since(), a.ID, *a.Scope)
+	g.fleet.PurgeRequested(g.since(), a.ID, *a.Scope)
 	g.mu.Unlock()
 	stage, begin, looked := "", time.Now(), time.Duration(0)
 	err = g.eventually(within, a.ID+" purged", func() bool {
@@ -87,7 +88,7 @@
 			return false
 		}
 		g.mu.Lock()
-		g.fleet.PurgeTold(g.since(), p.name, a.ID, r.Outcome, r.Counts)
+		g.fleet.PurgeReported(g.since(), p.name, a.ID, r.Outcome, r.Counts)
 		g.mu.Unlock()
 		if r.Outcome == "unreachable" && stage == "" {
 			stage, a.AwaitedStage = r.Outcome, ""
--- a/internal/capacity/capacity.go
+++ b/internal/capacity/capacity.go
@@ -156,7 +156,7 @@
 	if row.Value, err = strconv.ParseFloat(fields[columnValue], 64); err != nil {
 		return row, &RowError{Field: "value", Why: fmt.Sprintf("%q is no number", fields[columnValue])}
 	}
-	return row, row.fault()
+	return row, row.validate()
 }
 
 func (r Row) fields() []string {
@@ -166,14 +166,14 @@
 
 // check is fault as an error.
 func (r Row) check() error {
-	if fault := r.fault(); fault != nil {
+	if fault := r.validate(); fault != nil {
 		return fault
 	}
 	return nil
 }
 
 // fault tells why the file can't have a row, nil if it can.
-func (r Row) fault() *RowError {
+func (r Row) validate() *RowError {
 	texts := []struct{ field, text string }{{"role", r.Role}, {"what", r.What}, {"unit", r.Unit},
 		{"machine", r.Machine}, {"commit", r.Commit}}
 	for _, x := range texts {
--- a/internal/capacity/capacity_test.go
+++ b/internal/capacity/capacity_test.go
@@ -118,7 +118,7 @@
 }
 
 func TestSlope(t *testing.T) {
-	line := Slope([]Row{figure(1, 13), figure(2, 15), figure(10, 31)})
+	line := FitLine([]Row{figure(1, 13), figure(2, 15), figure(10, 31)})
 	near(t, "intercept", line.Intercept, 11)
 	near(t, "slope", line.Slope, 2)
 	near(t, "residual", line.Residual, 0)
@@ -127,26 +127,26 @@
 		t.Error(line.Points, "points")
 	}
 	// by hand: slope 5/2, mean 13/3, left 1/6, -1/3, 1/6
-	line = Slope([]Row{figure(0, 2), figure(1, 4), figure(2, 7)})
+	line = FitLine([]Row{figure(0, 2), figure(1, 4), figure(2, 7)})
 	near(t, "slope", line.Slope, 2.5)
 	near(t, "intercept", line.Intercept, 11./6)
 	near(t, "residual", line.Residual, math.Sqrt(1./18))
 	for _, rows := range [][]Row{nil, {figure(3, 4)}, {figure(3, 4), figure(3, 5)}} {
-		if line := Slope(rows); !math.IsNaN(line.Slope) || line.Points != len(rows) {
+		if line := FitLine(rows); !math.IsNaN(line.Slope) || line.Points != len(rows) {
 			t.Errorf("%d rows of one size give %+v", len(rows), line)
 		}
 	}
 }
 
 func TestExponent(t *testing.T) {
-	power := Exponent([]Row{figure(0, 5), figure(1, 3), figure(10, 300), figure(100, 30000), figure(7, 0)})
+	power := FitPower([]Row{figure(0, 5), figure(1, 3), figure(10, 300), figure(100, 30000), figure(7, 0)})
 	near(t, "exponent", power.Exponent, 2)
 	near(t, "factor", power.Factor, 3)
 	near(t, "residual", power.Residual, 0)
 	if power.Points != 3 {
 		t.Error(power.Points, "points")
 	}
-	if power := Exponent([]Row{figure(0, 5), figure(4, 5)}); !math.IsNaN(power.Exponent) || power.Points != 1 {
+	if power := FitPower([]Row{figure(0, 5), figure(4, 5)}); !math.IsNaN(power.Exponent) || power.Points != 1 {
 		t.Errorf("one point gives %+v", power)
 	}
 }
@@ -161,7 +161,7 @@
 		"0123456789ab":         {revision, {Key: "vcs.modified", Value: "false"}},
 		"0123456789ab+changes": {revision, {Key: "vcs.modified", Value: "true"}},
 	} {
-		if got := commitOf(settings); got != want {
+		if got := commitFromBuild(settings); got != want {
 			t.Errorf("%q, not %q", got, want)
 		}
 	}
--- a/internal/capacity/fill_test.go
+++ b/internal/capacity/fill_test.go
@@ -11,12 +11,12 @@
 	rows := []Row{figure(10, 1000), figure(20, 2000)}
 	low, high := "| 1,000 | 500 | 2 | `\"leader/bytes_sent/10\"` |", "| 2,000 | 500 | 4 | `\"leader/bytes_sent/20\"` |"
 	open, same := "| not measured | 500 | - | `\"leader/bytes_sent/30\"` |", "| 2,000 | 1,000 | 2 | `\"leader/bytes_sent/20\"` |"
-	filled, err := Fill(head+strings.Join([]string{open, low, high, same}, "\n")+"\n\nend", rows)
+	filled, err := FillPage(head+strings.Join([]string{open, low, high, same}, "\n")+"\n\nend", rows)
 	if want := head + strings.Join([]string{high, low, same, open}, "\n") + "\n\nend"; err != nil || filled.Text != want {
 		t.Errorf("%v, %s", err, filled.Text)
 	}
 	for _, page := range []string{MissingHeading, MissingHeading + "\n\nno table", MissingHeading + "\n| Ratio |"} {
-		if filled, err := Fill(page, rows); err != nil || filled.Text != page {
+		if filled, err := FillPage(page, rows); err != nil || filled.Text != page {
 			t.Errorf("%q becomes %q, %v", page, filled.Text, err)
 		}
 	}
@@ -45,7 +45,7 @@
 	const head = "text\n| Figure | Needed | Allowed | Ratio | Source |\n| --- | --- | --- | --- | --- |\n"
 	fill := func(line string) string {
 		t.Helper()
-		filled, err := Fill(head+line+"\nmore", rows)
+		filled, err := FillPage(head+line+"\nmore", rows)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -68,15 +68,15 @@
 		"| a | 1 | 5 | - | `\"a/b\"` |", "| a | 1 | 5 | - | `\"a/b/c\"` |", "| a | 1 | 5 | - | `1 / 0` |", "| a | 1 | 5 | - | `x` |",
 		"| a | 1 | 5 | - | `line(\"leader/bytes_sent\")` |", "| a | 1 | 5 | - | `5 % 2` |", "| a | 1 | 5 | - | `slope(3)` |"} {
 		var fault *PageError
-		if _, err := Fill(head+line, rows); !errors.As(err, &fault) || fault.Line != 4 || fault.Remedy() == "" {
+		if _, err := FillPage(head+line, rows); !errors.As(err, &fault) || fault.Line != 4 || fault.Remedy() == "" {
 			t.Errorf("%s gives %v", line, err)
 		}
 	}
-	if _, err := Fill("| Source |\n| --- |\n| `1` |", rows); err == nil {
+	if _, err := FillPage("| Source |\n| --- |\n| `1` |", rows); err == nil {
 		t.Error("a table without what is needed is taken")
 	}
 	plain := "| a | Source of b |\n| --- | --- |\n| 1 | 2 |"
-	if filled, err := Fill(plain, rows); err != nil || filled.Text != plain || filled.Figures != 0 {
+	if filled, err := FillPage(plain, rows); err != nil || filled.Text != plain || filled.Figures != 0 {
 		t.Errorf("%+v, %v", filled, err)
 	}
 }
@@ -108,7 +108,7 @@
 func TestPrinted(t *testing.T) {
 	for value, want := range map[float64]string{0: "0", 0.00012345: "0.000123", 0.9996: "1", 1.5: "1.5", 12.34: "12.3", 123.4: "123",
 		999.9: "1,000", 12345: "12,300", 2278912: "2,280,000", -45678: "-45,700", 100: "100"} {
-		if got := printed(value); got != want {
+		if got := formatFigure(value); got != want {
 			t.Errorf("%v is shown as %s, not %s", value, got, want)
 		}
 	}
--- a/internal/capacity/fit.go
+++ b/internal/capacity/fit.go
@@ -31,7 +31,7 @@
 
 // Slope fits a line by least squares. Rows of fewer than two sizes have none: all but
 // Points is NaN then.
-func Slope(rows []Row) Line {
+func FitLine(rows []Row) Line {
 	sizes, values := make([]float64, len(rows)), make([]float64, len(rows))
 	for i, row := range rows {
 		sizes[i], values[i] = float64(row.Size), row.Value
@@ -60,7 +60,7 @@
 // Exponent fits a power of the size, as a line through the logarithms. Rows without
 // one, of a size or value that isn't above 0, are left out. Fewer than two sizes have
 // no curve: all but Points is NaN then.
-func Exponent(rows []Row) Power {
+func FitPower(rows []Row) Power {
 	var sizes, values []float64
 	for _, row := range rows {
 		if row.Size > 0 && row.Value > 0 {
--- a/internal/capacity/formula.go
+++ b/internal/capacity/formula.go
@@ -39,7 +39,7 @@
 		return 0, &FormulaError{formula, err.Error()}
 	}
 	f := evaluation{formula: formula, rows: rows}
-	value, err := f.of(tree)
+	value, err := f.evaluate(tree)
 	if err == nil && (math.IsNaN(value) || math.IsInf(value, 0)) {
 		return 0, &FormulaError{formula, "the value is not finite"}
 	}
@@ -52,12 +52,12 @@
 	rows    []Row
 }
 
-func (f *evaluation) wrong(why string) error { return &FormulaError{f.formula, why} }
+func (f *evaluation) formulaError(why string) error { return &FormulaError{f.formula, why} }
 
-func (f *evaluation) of(node ast.Expr) (float64, error) {
+func (f *evaluation) evaluate(node ast.Expr) (float64, error) {
 	switch x := node.(type) {
 	case *ast.ParenExpr:
-		return f.of(x.X)
+		return f.evaluate(x.X)
 	case *ast.BinaryExpr:
 		return f.binary(x)
 	case *ast.CallExpr:
@@ -72,23 +72,23 @@
 		}
 		return f.number(x)
 	}
-	return 0, f.wrong("it has something else than figures, numbers, functions and + - * /")
+	return 0, f.formulaError("it has something else than figures, numbers, functions and + - * /")
 }
 
 func (f *evaluation) number(x ast.Expr) (float64, error) {
 	literal, ok := x.(*ast.BasicLit)
 	if !ok || literal.Kind != token.INT && literal.Kind != token.FLOAT {
-		return 0, f.wrong("a number is missing")
+		return 0, f.formulaError("a number is missing")
 	}
 	return strconv.ParseFloat(literal.Value, 64)
 }
 
 func (f *evaluation) binary(x *ast.BinaryExpr) (float64, error) {
-	left, err := f.of(x.X)
+	left, err := f.evaluate(x.X)
 	if err != nil {
 		return 0, err
 	}
-	right, err := f.of(x.Y)
+	right, err := f.evaluate(x.Y)
 	if err != nil {
 		return 0, err
 	}
@@ -102,13 +102,13 @@
 	case token.QUO:
 		return left / right, nil
 	}
-	return 0, f.wrong("there is no " + x.Op.String())
+	return 0, f.formulaError("there is no " + x.Op.String())
 }
 
 func (f *evaluation) call(x *ast.CallExpr) (float64, error) {
 	name, ok := x.Fun.(*ast.Ident)
 	if !ok || len(x.Args) == 0 {
-		return 0, f.wrong("a function without a name or a figure")
+		return 0, f.formulaError("a function without a name or a figure")
 	}
 	switch name.Name {
 	case "most", "least":
@@ -122,52 +122,52 @@
 		return slices.Min(values), nil
 	case "line":
 		if len(x.Args) < 2 {
-			return 0, f.wrong("line wants a figure and a size")
+			return 0, f.formulaError("line wants a figure and a size")
 		}
 		size, err := f.number(x.Args[1])
 		if err != nil {
 			return 0, err
 		}
 		rows, err := f.curve(x.Args[0], x.Args[2:])
-		return Slope(rows).At(int(size)), err
+		return FitLine(rows).At(int(size)), err
 	case "slope", "intercept", "residual", "exponent":
 		rows, err := f.curve(x.Args[0], x.Args[1:])
 		if err != nil {
 			return 0, err
 		}
-		line := Slope(rows)
+		line := FitLine(rows)
 		return map[string]float64{"slope": line.Slope, "intercept": line.Intercept, "residual": line.Residual,
-			"exponent": Exponent(rows).Exponent}[name.Name], nil
+			"exponent": FitPower(rows).Exponent}[name.Name], nil
 	}
-	return 0, f.wrong("there is no function " + name.Name)
+	return 0, f.formulaError("there is no function " + name.Name)
 }
 
 // parts splits a string literal, a key of so many parts.
-func (f *evaluation) parts(x ast.Expr, n int) ([]string, error) {
+func (f *evaluation) keyParts(x ast.Expr, n int) ([]string, error) {
 	literal, ok := x.(*ast.BasicLit)
 	if !ok || literal.Kind != token.STRING {
-		return nil, f.wrong("a figure in quotes is missing")
+		return nil, f.formulaError("a figure in quotes is missing")
 	}
 	key, err := strconv.Unquote(literal.Value)
 	if err != nil {
-		return nil, f.wrong(err.Error())
+		return nil, f.formulaError(err.Error())
 	}
 	parts := strings.Split(key, "/")
 	if len(parts) != n {
-		return nil, f.wrong(fmt.Sprintf("%q has %d parts, not %d", key, len(parts), n))
+		return nil, f.formulaError(fmt.Sprintf("%q has %d parts, not %d", key, len(parts), n))
 	}
 	return parts, nil
 }
 
 // figure is the values of "role/what/size", in order.
 func (f *evaluation) figure(x ast.Expr) ([]float64, error) {
-	parts, err := f.parts(x, 3)
+	parts, err := f.keyParts(x, 3)
 	if err != nil {
 		return nil, err
 	}
 	size, err := strconv.Atoi(parts[2])
 	if err != nil {
-		return nil, f.wrong(fmt.Sprintf("%q is no size", parts[2]))
+		return nil, f.formulaError(fmt.Sprintf("%q is no size", parts[2]))
 	}
 	var values []float64
 	for _, row := range Select(f.rows, parts[0], parts[1]) {
@@ -185,7 +185,7 @@
 // curve is the rows of "role/what", only those of some sizes if any are named; there
 // must be two sizes.
 func (f *evaluation) curve(x ast.Expr, sizes []ast.Expr) ([]Row, error) {
-	parts, err := f.parts(x, 2)
+	parts, err := f.keyParts(x, 2)
 	if err != nil {
 		return nil, err
 	}
@@ -201,7 +201,7 @@
 	if len(only) > 0 {
 		rows = slices.DeleteFunc(rows, func(row Row) bool { return !slices.Contains(only, row.Size) })
 	}
-	if line := Slope(rows); math.IsNaN(line.Slope) {
+	if line := FitLine(rows); math.IsNaN(line.Slope) {
 		return nil, &NotMeasuredError{strings.Join(parts, "/") + " at two sizes"}
 	}
 	return rows, nil
--- a/internal/capacity/origin.go
+++ b/internal/capacity/origin.go
@@ -31,15 +31,15 @@
 // it is what git says of the current directory, docs/ apart; else "unknown".
 func Commit() string {
 	if info, ok := debug.ReadBuildInfo(); ok {
-		if commit := commitOf(info.Settings); commit != unknown {
+		if commit := commitFromBuild(info.Settings); commit != unknown {
 			return commit
 		}
 	}
-	return checkedOut()
+	return commitFromGit()
 }
 
 // checkedOut is the commit of the current directory.
-func checkedOut() string {
+func commitFromGit() string {
 	revision, err := exec.Command("git", "rev-parse", "HEAD").Output()
 	if err != nil {
 		return unknown
@@ -53,7 +53,7 @@
 	return commit
 }
 
-func commitOf(settings []debug.BuildSetting) string {
+func commitFromBuild(settings []debug.BuildSetting) string {
 	revision, changes := unknown, ""
 	for _, setting := range settings {
 		switch setting.Key {
--- a/internal/capacity/page.go
+++ b/internal/capacity/page.go
@@ -46,20 +46,20 @@
 }
 
 // Filled is a page with its figures as the rows give them.
-type Filled struct {
+type FilledPage struct {
 	Text string
 	// Figures is how many cells under Needed and Ratio were worked out, Open how many
 	// formulas name figures that are not measured yet.
-	Figures, Open int
+	Figures, Unmeasured int
 	// Changed are the lines, from 1, in which something else stood.
 	Changed []int
 }
 
 // Fill works out the figures of a page's tables, and puts the one under MissingHeading in
 // order. What stands behind the number of a cell stays as it is. The error is a *PageError.
-func Fill(page string, rows []Row) (Filled, error) {
+func FillPage(page string, rows []Row) (FilledPage, error) {
 	lines := strings.Split(page, "\n")
-	filled := Filled{}
+	filled := FilledPage{}
 	var columns []string // of the table that the line is in
 	for i, line := range lines {
 		cells, is := cellsOf(line)
@@ -73,7 +73,7 @@
 		case !slices.Contains(columns, sourceColumn) || isRule(cells):
 			continue
 		}
-		next, err := filled.row(columns, cells, rows)
+		next, err := filled.fillRow(columns, cells, rows)
 		if err != nil {
 			return filled, &PageError{i + 1, err}
 		}
@@ -107,7 +107,7 @@
 }
 
 // row fills one row of a table.
-func (f *Filled) row(columns, cells []string, rows []Row) ([]string, error) {
+func (f *FilledPage) fillRow(columns, cells []string, rows []Row) ([]string, error) {
 	if len(cells) != len(columns) {
 		return nil, fmt.Errorf("%d cells in a table of %d columns", len(cells), len(columns))
 	}
@@ -131,19 +131,19 @@
 	var open *NotMeasuredError
 	switch {
 	case errors.As(err, &open):
-		f.Open++
+		f.Unmeasured++
 		*needed = replaceNumber(*needed, notMeasured)
 	case err != nil:
 		return nil, err
 	default:
 		f.Figures++
-		*needed = replaceNumber(*needed, printed(value))
+		*needed = replaceNumber(*needed, formatFigure(value))
 	}
 	if ratio := cell(ratioColumn); ratio != nil && cell(allowedColumn) != nil {
 		*ratio = noRatio
 		if allowed, is := numberOf(*cell(allowedColumn)); is && open == nil {
 			f.Figures++
-			*ratio = printed(value / allowed)
+			*ratio = formatFigure(value / allowed)
 		}
 	}
 	return cells, nil
@@ -170,17 +170,17 @@
 }
 
 // printedDigits is how many digits of a figure the page shows.
-const printedDigits = 3
+const significantDigits = 3
 
 // printed is a figure as the page shows it: three digits, and commas between thousands.
-func printed(value float64) string {
+func formatFigure(value float64) string {
 	if value == 0 {
 		return "0"
 	}
 	magnitude := int(math.Floor(math.Log10(math.Abs(value))))
-	scale := math.Pow(10, float64(printedDigits-1-magnitude))
+	scale := math.Pow(10, float64(significantDigits-1-magnitude))
 	value = math.Round(value*scale) / scale
-	text := strconv.FormatFloat(value, 'f', max(0, printedDigits-1-magnitude), 64)
+	text := strconv.FormatFloat(value, 'f', max(0, significantDigits-1-magnitude), 64)
 	whole, part, _ := strings.Cut(text, ".")
 	sign := ""
 	if whole[0] == '-' {
--- a/internal/capacity/page_test.go
+++ b/internal/capacity/page_test.go
@@ -29,7 +29,7 @@
 // anew: bin/railrelay-bench page.
 func TestThePageAgreesWithTheFigures(t *testing.T) {
 	page, rows := readPage(t)
-	filled, err := Fill(page, rows)
+	filled, err := FillPage(page, rows)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -41,7 +41,7 @@
 	if filled.Figures < least {
 		t.Errorf("only %d figures were checked", filled.Figures)
 	}
-	t.Logf("%d figures, %d formulas not measured yet", filled.Figures, filled.Open)
+	t.Logf("%d figures, %d formulas not measured yet", filled.Figures, filled.Unmeasured)
 }
 
 // Each figure of the page, spoilt in a copy, is found on its line; so is a figure of the
@@ -71,7 +71,7 @@
 			copied := append([]string{}, lines...)
 			copied[i] = "| " + strings.Join(bad, " | ") + " |"
 			spoilt++
-			filled, err := Fill(strings.Join(copied, "\n"), rows)
+			filled, err := FillPage(strings.Join(copied, "\n"), rows)
 			if err != nil || !reflect.DeepEqual(filled.Changed, []int{i + 1}) || filled.Text != page {
 				t.Errorf("line %d, %s spoilt to %q: lines %v found, %v", i+1, column, bad[at], filled.Changed, err)
 			}
@@ -83,7 +83,7 @@
 	for i := range rows {
 		rows[i].Value *= 2
 	}
-	if filled, err := Fill(page, rows); err != nil || len(filled.Changed) < 20 {
+	if filled, err := FillPage(page, rows); err != nil || len(filled.Changed) < 20 {
 		t.Errorf("with all figures doubled %d lines differ, %v", len(filled.Changed), err)
 	}
 }
--- a/internal/controller/result_paging_test.go
+++ b/internal/controller/result_paging_test.go
@@ -157,7 +157,7 @@
 // checkEnd checks the history of all queries, and that engines were told in time to drop finished results.
 func (s *spoolWorld) checkEnd() {
 	s.t.Helper()
-	for _, f := range s.History.Done(s.Now) {
+	for _, f := range s.History.Finish(s.Now) {
 		s.t.Error("invariant violated: ", f)
 	}
 	for id, at := range s.finished {
@@ -291,7 +291,7 @@
 			if held, _, _ := s.Controller.SpoolUsage(); held != 0 || s.keeper.LiveBytes() != 0 {
 				t.Errorf("%d results and %d bytes are left behind", held, s.keeper.LiveBytes())
 			}
-			for _, f := range s.History.Done(s.Now) {
+			for _, f := range s.History.Finish(s.Now) {
 				t.Error("invariant violated: ", f)
 			}
 			c = s.client() // the controller goes on serving
@@ -391,8 +391,8 @@
 		return nil
 	}
 	s.RunUntil(20 * time.Second)
-	if !a.Answered || a.Answer != client.Killed || s.History.Sent != 1 {
-		t.Error(a.Answered, a.Answer, s.History.Sent)
+	if !a.Answered || a.Answer != client.Killed || s.History.StartedRuns != 1 {
+		t.Error(a.Answered, a.Answer, s.History.StartedRuns)
 	}
 	s.checkEnd()
 }
--- a/internal/emulator/world/world.go
+++ b/internal/emulator/world/world.go
@@ -117,11 +117,11 @@
 	controllerConfig.InitialEndpoints = w.Feed.ConfigurationJSON()
 	settings := controllerConfig.Settings
 	w.History.KeyRest = time.Duration(parseNumber(settings["key.rest"])) * time.Millisecond
-	w.History.Grace = time.Duration(parseNumber(settings["drain.grace"])) * time.Millisecond
-	w.History.Most = int(parseNumber(settings["submissions.most"]))
+	w.History.DrainGrace = time.Duration(parseNumber(settings["drain.grace"])) * time.Millisecond
+	w.History.MaxSubmissions = int(parseNumber(settings["submissions.most"]))
 	for i := range int(parseNumber(settings["groups"])) {
 		at := fmt.Sprintf("group.%d.", i)
-		w.History.Group(settings[at+"name"], settings[at+"effect"], settings[at+"in-order"] == "true")
+		w.History.AddGroup(settings[at+"name"], settings[at+"effect"], settings[at+"in-order"] == "true")
 	}
 	r, effects := controller.New(controllerConfig)
 	w.Controller = r
@@ -349,7 +349,7 @@
 		for _, a := range e.client.queries {
 			if !a.Answered {
 				a.Cancelled = true
-				w.History.Left(w.Now, a.ID)
+				w.History.ClientLeft(w.Now, a.ID)
 			}
 		}
 		clear(e.client.queries)
@@ -384,7 +384,7 @@
 			w.ScheduleAfter(w.linkDelay, func() { w.deliverToController(f, lines) })
 		}
 	}
-	w.History.State(w.Now+w.linkDelay, e.ID, phase == "SERVING")
+	w.History.SetServing(w.Now+w.linkDelay, e.ID, phase == "SERVING")
 }
 
 // MakeUnreachable cuts the engine's machine off from the network.
@@ -436,7 +436,7 @@
 		fields = append(fields, "entity", key)
 	}
 	c.queries[query.Msg] = query
-	w.History.Asked(w.Now, id, group, key, query.Deadline)
+	w.History.Received(w.Now, id, group, key, query.Deadline)
 	request := client.AppendQuery(nil, query.Msg, group, engine.Statement(work), fields...)
 	w.deliverToController(c.connection, request)
 	return query
@@ -466,7 +466,7 @@
 func (c *Client) Cancel(query *Query) {
 	if !query.Answered && !query.Cancelled && !c.Closed {
 		query.Cancelled = true
-		c.world.History.Left(c.world.Now, query.ID)
+		c.world.History.ClientLeft(c.world.Now, query.ID)
 		c.world.deliverToController(c.connection, client.AppendCancel(nil, query.Msg))
 	}
 }
@@ -479,7 +479,7 @@
 	for {
 		answer, n, err := client.Read(c.input)
 		if err != nil {
-			c.world.History.Broken(c.world.Now, c.Name+": "+err.Error())
+			c.world.History.AddFault(c.world.Now, c.Name+": "+err.Error())
 			c.Disconnect()
 			return
 		}
@@ -497,7 +497,7 @@
 			if answer.Kind != client.WaitNotice && answer.Kind != client.Ready &&
 				!(answer.Kind == client.Killed && answer.Msg > c.lastMsg) {
 				text := fmt.Sprintf("%s: unexpected response to message %d", c.Name, answer.Msg)
-				c.world.History.Broken(c.world.Now, text)
+				c.world.History.AddFault(c.world.Now, text)
 			}
 			continue
 		}
--- a/internal/historycheck/check.go
+++ b/internal/historycheck/check.go
@@ -24,82 +24,82 @@
 // History records a run and checks each step as it comes. Faults are kept as
 // text, so that a run can end and show them all.
 type History struct {
-	KeyRest time.Duration // after an end that isn't certain
-	Rests   bool          // every end that is no good one is such
-	Alone   bool          // no second copy may be out
-	Grace   time.Duration // for sends after a drain was told
-	Most    int           // submissions of a query, 0: any number
+	KeyRest            time.Duration // after an end that isn't certain
+	RestAfterFailure   bool          // every end that is no good one is such
+	ForbidSecondCopies bool          // no second copy may be out
+	DrainGrace         time.Duration // for sends after a drain was told
+	MaxSubmissions     int           // submissions of a query, 0: any number
 	// Slack is how far apart two sights of one moment can lie: 0 in virtual time. On a
 	// machine an engine may see a copy after a client has seen the answer.
 	Slack  time.Duration
 	Faults []string
 
-	groups  map[string]group
+	groups  map[string]resourceGroup
 	queries map[string]*query
 	keys    map[string][]*query
-	states  map[string]state
+	states  map[string]servingState
 	// Answers counts what was told, by Answer.
-	Answers [3]int
-	Sent    int
+	Answers     [3]int
+	StartedRuns int
 	// Ordered counts the runs of earlier ones that a later one of their key was held against.
-	Ordered int
+	OrderChecks int
 }
 
-type group struct {
-	mutating, tokened, ordered bool
+type resourceGroup struct {
+	mutating, hasToken, ordered bool
 }
 
-type state struct {
-	on    bool
-	since time.Duration
+type servingState struct {
+	serving bool
+	since   time.Duration
 }
 
 type query struct {
-	id, key  string
-	group    group
-	at       time.Duration
-	until    time.Duration
-	over     time.Duration // when it was answered
-	answered bool
-	left     bool
-	runs     []*run
+	id, key    string
+	group      resourceGroup
+	received   time.Duration
+	deadline   time.Duration
+	answeredAt time.Duration // when it was answered
+	answered   bool
+	clientLeft bool
+	runs       []*run
 }
 
 type run struct {
-	engine    string
-	at, over  time.Duration
-	ended, ok bool
+	engine             string
+	startedAt, endedAt time.Duration
+	ended, ok          bool
 }
 
-const faultsMost = 50
+const maxFaults = 50
 
 // Broken notes a fault seen elsewhere.
-func (h *History) Broken(now time.Duration, what string) {
-	if len(h.Faults) < faultsMost {
+func (h *History) AddFault(now time.Duration, what string) {
+	if len(h.Faults) < maxFaults {
 		h.Faults = append(h.Faults, fmt.Sprintf("%v: %s", now, what))
 	}
 }
 
 // Group tells a resource group's effect (read-only, tokened, mutating) and whether
 // it keeps order by key.
-func (h *History) Group(name, effect string, ordered bool) {
+func (h *History) AddGroup(name, effect string, ordered bool) {
 	if h.groups == nil {
-		h.groups, h.queries = map[string]group{}, map[string]*query{}
-		h.keys, h.states = map[string][]*query{}, map[string]state{}
+		h.groups, h.queries = map[string]resourceGroup{}, map[string]*query{}
+		h.keys, h.states = map[string][]*query{}, map[string]servingState{}
 	}
-	h.groups[name] = group{effect == "mutating", effect == "tokened", ordered}
+	h.groups[name] = resourceGroup{effect == "mutating", effect == "tokened", ordered}
 }
 
 // State tells that the list has an engine serving or not.
-func (h *History) State(now time.Duration, engine string, on bool) {
-	h.states[engine] = state{on, now}
+func (h *History) SetServing(now time.Duration, engine string, on bool) {
+	h.states[engine] = servingState{on, now}
 }
 
 // Asked tells of a query that reached the controller.
-func (h *History) Asked(now time.Duration, id, groupName, key string, until time.Duration) {
-	q := &query{id: id, key: key, group: h.groups[groupName], at: now, until: until}
+func (h *History) Received(now time.Duration, id, groupName, key string, until time.Duration) {
+	q := &query{id: id, key: key, group: h.groups[groupName], received: now, deadline: until}
 	if h.queries[id] != nil {
-		h.Broken(now, "the same query asked for twice: "+id)
+		h.AddFault(now, "the same query asked for twice: "+id)
 	}
 	h.queries[id] = q
 	if q.group.ordered && key != "" {
@@ -108,82 +108,82 @@
 }
 
 // Left notes that the client of a query takes no answer any more.
-func (h *History) Left(now time.Duration, id string) {
+func (h *History) ClientLeft(now time.Duration, id string) {
 	if q := h.queries[id]; q != nil {
-		q.left = true
+		q.clientLeft = true
 	}
 }
 
 // Submitted notes that a query was sent to an engine, which began to run it at once.
 func (h *History) Submitted(now time.Duration, id, engine string, _ bool) {
-	h.Written(now, id, engine)
-	h.Began(now, id, engine)
+	h.Sent(now, id, engine)
+	h.Started(now, id, engine)
 }
 
 // Written notes that a query left for an engine, where it may come later or never.
-func (h *History) Written(now time.Duration, id, engine string) {
+func (h *History) Sent(now time.Duration, id, engine string) {
 	q := h.queries[id]
 	if q == nil {
-		h.Broken(now, "sent, and nobody asked for it: "+id)
+		h.AddFault(now, "sent, and nobody asked for it: "+id)
 		return
 	}
-	if q.answered && now >= q.over+h.Slack {
-		h.Broken(now, "rule 1: sent after its answer: "+id)
+	if q.answered && now >= q.answeredAt+h.Slack {
+		h.AddFault(now, "rule 1: sent after its answer: "+id)
 	}
-	if s, told := h.states[engine]; told && !s.on && now > s.since+h.Grace {
-		h.Broken(now, fmt.Sprintf("rule 3: %s sent to %s %v after it left", id, engine, now-s.since))
+	if s, told := h.states[engine]; told && !s.serving && now > s.since+h.DrainGrace {
+		h.AddFault(now, fmt.Sprintf("rule 3: %s sent to %s %v after it left", id, engine, now-s.since))
 	}
 }
 
 // Began notes that an engine began to run a query, however long after it was sent.
-func (h *History) Began(now time.Duration, id, engine string) {
-	h.Sent++
+func (h *History) Started(now time.Duration, id, engine string) {
+	h.StartedRuns++
 	q := h.queries[id]
 	if q == nil {
-		h.Broken(now, "an engine runs what nobody asked for: "+id)
+		h.AddFault(now, "an engine runs what nobody asked for: "+id)
 		return
 	}
 	for _, r := range q.runs {
 		if q.group.mutating {
-			h.Broken(now, fmt.Sprintf("rule 2: %s ran at %s and again at %s", id, r.engine, engine))
+			h.AddFault(now, fmt.Sprintf("rule 2: %s ran at %s and again at %s", id, r.engine, engine))
 		}
 		if r.engine == engine && !r.ended {
-			h.Broken(now, "two of one query at one engine: "+id)
+			h.AddFault(now, "two of one query at one engine: "+id)
 		}
-		if h.Alone && !r.ended {
-			h.Broken(now, fmt.Sprintf("rule 2: %s runs at %s and at %s", id, r.engine, engine))
+		if h.ForbidSecondCopies && !r.ended {
+			h.AddFault(now, fmt.Sprintf("rule 2: %s runs at %s and at %s", id, r.engine, engine))
 		}
 	}
-	if h.Most > 0 && len(q.runs) >= h.Most {
-		h.Broken(now, "rule 7: too many submissions of "+id)
+	if h.MaxSubmissions > 0 && len(q.runs) >= h.MaxSubmissions {
+		h.AddFault(now, "rule 7: too many submissions of "+id)
 	}
 	if q.group.ordered {
-		h.inTurn(now, q)
+		h.checkKeyOrder(now, q)
 	}
-	q.runs = append(q.runs, &run{engine: engine, at: now})
+	q.runs = append(q.runs, &run{engine: engine, startedAt: now})
 }
 
 // inTurn: none of its key that came before it is open or runs, nor did any that came later.
-func (h *History) inTurn(now time.Duration, q *query) {
+func (h *History) checkKeyOrder(now time.Duration, q *query) {
 	before := true
 	for _, x := range h.keys[q.key] {
 		switch {
 		case x == q:
 			before = false
-		case before && !x.answered && !x.left:
-			h.Broken(now, fmt.Sprintf("rule 5: %s sent before %s of its key is over", q.id, x.id))
+		case before && !x.answered && !x.clientLeft:
+			h.AddFault(now, fmt.Sprintf("rule 5: %s sent before %s of its key is over", q.id, x.id))
 		case before:
 			for _, r := range x.runs {
-				h.Ordered++
+				h.OrderChecks++
 				switch {
 				case !r.ended:
-					h.Broken(now, fmt.Sprintf("rule 5: %s sent while %s of its key runs", q.id, x.id))
-				case h.Rests && !r.ok && now < r.over+h.KeyRest:
-					h.Broken(now, fmt.Sprintf("rule 5: %s begins %v after %s of its key was given up", q.id, now-r.over, x.id))
+					h.AddFault(now, fmt.Sprintf("rule 5: %s sent while %s of its key runs", q.id, x.id))
+				case h.RestAfterFailure && !r.ok && now < r.endedAt+h.KeyRest:
+					h.AddFault(now, fmt.Sprintf("rule 5: %s begins %v after %s of its key was given up", q.id, now-r.endedAt, x.id))
 				}
 			}
 		case len(x.runs) > 0:
-			h.Broken(now, fmt.Sprintf("rule 5: %s begins after %s of its key, which came later", q.id, x.id))
+			h.AddFault(now, fmt.Sprintf("rule 5: %s begins after %s of its key, which came later", q.id, x.id))
 		}
 	}
 }
@@ -193,7 +193,7 @@
 	if q := h.queries[id]; q != nil {
 		for _, r := range q.runs {
 			if r.engine == engine && !r.ended {
-				r.ended, r.over, r.ok = true, now, ok
+				r.ended, r.endedAt, r.ok = true, now, ok
 			}
 		}
 	}
@@ -204,14 +204,14 @@
 	q := h.queries[id]
 	switch {
 	case q == nil:
-		h.Broken(now, "an answer to what nobody asked: "+id)
+		h.AddFault(now, "an answer to what nobody asked: "+id)
 		return
 	case q.answered:
-		h.Broken(now, "rule 1: a second answer to "+id)
-	case q.left:
-		h.Broken(now, "an answer to "+id+", whose client left")
+		h.AddFault(now, "rule 1: a second answer to "+id)
+	case q.clientLeft:
+		h.AddFault(now, "an answer to "+id+", whose client left")
 	}
-	q.answered, q.over = true, now
+	q.answered, q.answeredAt = true, now
 	h.Answers[as]++
 	good := false
 	for _, r := range q.runs {
@@ -220,28 +220,28 @@
 	switch as {
 	case Finished:
 		if !good {
-			h.Broken(now, "finished, and no engine did it: "+id)
+			h.AddFault(now, "finished, and no engine did it: "+id)
 		}
 		if !bytes.Equal(rows, made) {
-			h.Broken(now, fmt.Sprintf("%s finished with %d bytes, not the %d that engines make", id, len(rows), len(made)))
+			h.AddFault(now, fmt.Sprintf("%s finished with %d bytes, not the %d that engines make", id, len(rows), len(made)))
 		}
-		if now > q.until+50*time.Millisecond {
-			h.Broken(now, fmt.Sprintf("rule 1: %s finished %v after its client left", id, now-q.until))
+		if now > q.deadline+50*time.Millisecond {
+			h.AddFault(now, fmt.Sprintf("rule 1: %s finished %v after its client left", id, now-q.deadline))
 		}
 	case Deferred:
 		if q.group.mutating && len(q.runs) > 0 {
-			h.Broken(now, "rule 2: deferred, and it ran: "+id)
+			h.AddFault(now, "rule 2: deferred, and it ran: "+id)
 		}
 	}
 }
 
 // Done checks what must hold once all is over: every query that was not left by
 // its client and whose time has passed has its answer.
-func (h *History) Done(now time.Duration) []string {
+func (h *History) Finish(now time.Duration) []string {
 	for _, id := range slices.Sorted(maps.Keys(h.queries)) {
 		q := h.queries[id]
-		if !q.answered && !q.left && now > q.until+50*time.Millisecond {
-			h.Broken(now, "rule 1: no answer to "+q.id)
+		if !q.answered && !q.clientLeft && now > q.deadline+50*time.Millisecond {
+			h.AddFault(now, "rule 1: no answer to "+q.id)
 		}
 	}
 	return h.Faults
--- a/internal/historycheck/check_test.go
+++ b/internal/historycheck/check_test.go
@@ -9,12 +9,12 @@
 // Each case breaks one rule; a checker that can't fail would be none.
 func TestEachRuleCanBreak(t *testing.T) {
 	fresh := func() *History {
-		h := &History{KeyRest: 300 * time.Millisecond, Grace: time.Second, Most: 3}
-		h.Group("read", "read-only", false)
-		h.Group("load", "mutating", true)
-		h.Asked(0, "a", "read", "", time.Minute)
-		h.Asked(0, "l1", "load", "k", time.Minute)
-		h.Asked(1, "l2", "load", "k", time.Minute)
+		h := &History{KeyRest: 300 * time.Millisecond, DrainGrace: time.Second, MaxSubmissions: 3}
+		h.AddGroup("read", "read-only", false)
+		h.AddGroup("load", "mutating", true)
+		h.Received(0, "a", "read", "", time.Minute)
+		h.Received(0, "l1", "load", "k", time.Minute)
+		h.Received(1, "l2", "load", "k", time.Minute)
 		return h
 	}
 	for want, do := range map[string]func(h *History){
@@ -26,7 +26,7 @@
 			h.Answered(2, "a", Deferred, nil, nil)
 			h.Submitted(3, "a", "e", true)
 		},
-		"rule 1: no answer": func(h *History) { h.Done(2 * time.Minute) },
+		"rule 1: no answer": func(h *History) { h.Finish(2 * time.Minute) },
 		"rule 2: l1 ran at": func(h *History) {
 			h.Submitted(2, "l1", "e", true)
 			h.Ended(3, "l1", "e", false)
@@ -38,7 +38,7 @@
 			h.Answered(4, "l1", Deferred, nil, nil)
 		},
 		"rule 3: a sent to e": func(h *History) {
-			h.State(2, "e", false)
+			h.SetServing(2, "e", false)
 			h.Submitted(2*time.Second, "a", "e", false)
 		},
 		"rule 5: l2 sent before l1": func(h *History) { h.Submitted(2, "l2", "e", true) },
@@ -50,17 +50,17 @@
 		"rule 5: l1 begins after l2": func(h *History) {
 			h.Answered(2, "l1", Killed, nil, nil)
 			h.Submitted(3, "l2", "e", true)
-			h.Began(4, "l1", "f")
+			h.Started(4, "l1", "f")
 		},
 		"rule 5: l2 begins 100ms after l1": func(h *History) {
-			h.Rests = true
+			h.RestAfterFailure = true
 			h.Submitted(2, "l1", "e", true)
 			h.Answered(3, "l1", Killed, nil, nil)
 			h.Ended(4, "l1", "e", false)
 			h.Submitted(4+100*time.Millisecond, "l2", "e", true)
 		},
 		"rule 2: a runs at e and at f": func(h *History) {
-			h.Alone = true
+			h.ForbidSecondCopies = true
 			h.Submitted(2, "a", "e", true)
 			h.Submitted(3, "a", "f", true)
 		},
@@ -76,8 +76,8 @@
 			h.Answered(4, "a", Finished, nil, []byte("x"))
 		},
 		"nobody asked":      func(h *History) { h.Submitted(2, "z", "e", true) },
-		"whose client left": func(h *History) { h.Left(2, "a"); h.Answered(3, "a", Deferred, nil, nil) },
-		"asked for twice":   func(h *History) { h.Asked(2, "a", "read", "", time.Minute) },
+		"whose client left": func(h *History) { h.ClientLeft(2, "a"); h.Answered(3, "a", Deferred, nil, nil) },
+		"asked for twice":   func(h *History) { h.Received(2, "a", "read", "", time.Minute) },
 		"two of one query":  func(h *History) { h.Submitted(2, "a", "e", true); h.Submitted(3, "a", "e", true) },
 		"after its client lef": func(h *History) {
 			h.Submitted(2, "a", "e", true)
@@ -98,8 +98,8 @@
 	h.Submitted(5, "l2", "e", true)
 	h.Ended(6, "l2", "e", true)
 	h.Answered(7, "l2", Finished, nil, nil)
-	h.Left(8, "a")
-	if faults := h.Done(2 * time.Minute); len(faults) > 0 {
+	h.ClientLeft(8, "a")
+	if faults := h.Finish(2 * time.Minute); len(faults) > 0 {
 		t.Errorf("a good run: %q", faults)
 	}
 }
