--- a/internal/historycheck/check.go
+++ b/internal/historycheck/check.go
@@ -1,6 +1,6 @@
-// Package historycheck holds the rules over a recorded history: one checker for tests,
-// rehearsals and fuzzing. It knows nothing of how the controller works, only what
-// was asked, sent, run and answered, and when.
+// Package historycheck checks recorded histories of controllers against the delivery rules. Tests,
+// simulations and fuzzing share the checker. It sees only the queries received, sent, run and
+// answered, with their times, and nothing of the controller's internals.
 package historycheck
 
 import (
@@ -11,26 +11,26 @@
 	"time"
 )
 
-// Answer is what a client was told at the end; the numbers are those of the
-// stand-in clients.
+// Answer is the final outcome that a client received. The values equal those of the emulated clients.
 type Answer int
 
+// The final outcomes of a query.
 const (
 	Finished Answer = iota
 	Deferred
 	Killed
 )
 
-// History records a run and checks each step as it comes. Faults are kept as
-// text, so that a run can end and show them all.
+// History records the events of one run and checks each event as it is added. It collects the
+// faults as text, so that a run can continue to its end and report all of them.
 type History struct {
-	KeyRest            time.Duration // after an end that isn't certain
-	RestAfterFailure   bool          // every end that is no good one is such
-	ForbidSecondCopies bool          // no second copy may be out
-	DrainGrace         time.Duration // for sends after a drain was told
-	MaxSubmissions     int           // submissions of a query, 0: any number
-	// Slack is how far apart two sights of one moment can lie: 0 in virtual time. On a
-	// machine an engine may see a copy after a client has seen the answer.
+	KeyRest            time.Duration // delay before the next query of a key after an uncertain end
+	RestAfterFailure   bool          // treat every failed run as an uncertain end
+	ForbidSecondCopies bool          // a query may run on one engine at a time only
+	DrainGrace         time.Duration // time during which a draining engine may still be sent queries
+	MaxSubmissions     int           // most submissions of one query; 0 means no limit
+	// Slack is the largest difference between two observers' times of one event: 0 in virtual time.
+	// In real time an engine may receive a copy after the client has received the answer.
 	Slack  time.Duration
 	Faults []string
 
@@ -38,10 +38,10 @@
 	queries map[string]*query
 	keys    map[string][]*query
 	states  map[string]servingState
-	// Answers counts what was told, by Answer.
+	// Answers counts the answers to clients, indexed by Answer.
 	Answers     [3]int
-	StartedRuns int
-	// Ordered counts the runs of earlier ones that a later one of their key was held against.
+	StartedRuns int // runs that engines started
+	// OrderChecks counts the runs of earlier queries that a later query of the same key was compared with.
 	OrderChecks int
 }
 
@@ -59,7 +59,7 @@
 	group      resourceGroup
 	received   time.Duration
 	deadline   time.Duration
-	answeredAt time.Duration // when it was answered
+	answeredAt time.Duration
 	answered   bool
 	clientLeft bool
 	runs       []*run
@@ -71,17 +71,21 @@
 	ended, ok          bool
 }
 
+// maxFaults bounds the faults that are recorded for one run.
 const maxFaults = 50
 
-// Broken notes a fault seen elsewhere.
+// answerTolerance is how long after its deadline a query may be answered.
+const answerTolerance = 50 * time.Millisecond
+
+// AddFault records a fault, with the time and a description. It drops faults beyond maxFaults.
 func (h *History) AddFault(now time.Duration, what string) {
 	if len(h.Faults) < maxFaults {
 		h.Faults = append(h.Faults, fmt.Sprintf("%v: %s", now, what))
 	}
 }
 
-// Group tells a resource group's effect (read-only, tokened, mutating) and whether
-// it keeps order by key.
+// AddGroup declares a resource group with its effect (read-only, tokened or mutating). The queries
+// of an ordered group run in the order of their arrival within each key.
 func (h *History) AddGroup(name, effect string, ordered bool) {
 	if h.groups == nil {
 		h.groups, h.queries = map[string]resourceGroup{}, map[string]*query{}
@@ -90,16 +94,16 @@
 	h.groups[name] = resourceGroup{effect == "mutating", effect == "tokened", ordered}
 }
 
-// State tells that the list has an engine serving or not.
+// SetServing records whether discovery lists an engine as serving.
 func (h *History) SetServing(now time.Duration, engine string, on bool) {
 	h.states[engine] = servingState{on, now}
 }
 
-// Asked tells of a query that reached the controller.
-func (h *History) Received(now time.Duration, id, groupName, key string, until time.Duration) {
-	q := &query{id: id, key: key, group: h.groups[groupName], received: now, deadline: until}
+// Received records a query that reached the controller, with its deadline.
+func (h *History) Received(now time.Duration, id, groupName, key string, deadline time.Duration) {
+	q := &query{id: id, key: key, group: h.groups[groupName], received: now, deadline: deadline}
 	if h.queries[id] != nil {
-		h.AddFault(now, "the same query asked for twice: "+id)
+		h.AddFault(now, "query received twice: "+id)
 	}
 	h.queries[id] = q
 	if q.group.ordered && key != "" {
@@ -107,40 +111,41 @@
 	}
 }
 
-// Left notes that the client of a query takes no answer any more.
+// ClientLeft records that the client of a query accepts no answer any more.
 func (h *History) ClientLeft(now time.Duration, id string) {
 	if q := h.queries[id]; q != nil {
 		q.clientLeft = true
 	}
 }
 
-// Submitted notes that a query was sent to an engine, which began to run it at once.
+// Submitted records that a query was sent to an engine, which started it at once.
 func (h *History) Submitted(now time.Duration, id, engine string, _ bool) {
 	h.Sent(now, id, engine)
 	h.Started(now, id, engine)
 }
 
-// Written notes that a query left for an engine, where it may come later or never.
+// Sent records that a query was sent to an engine. The query may arrive later or never.
 func (h *History) Sent(now time.Duration, id, engine string) {
 	q := h.queries[id]
 	if q == nil {
-		h.AddFault(now, "sent, and nobody asked for it: "+id)
+		h.AddFault(now, "sent a query that was never received: "+id)
 		return
 	}
 	if q.answered && now >= q.answeredAt+h.Slack {
-		h.AddFault(now, "rule 1: sent after its answer: "+id)
+		h.AddFault(now, "rule 1: query sent after its answer: "+id)
 	}
-	if s, told := h.states[engine]; told && !s.serving && now > s.since+h.DrainGrace {
-		h.AddFault(now, fmt.Sprintf("rule 3: %s sent to %s %v after it left", id, engine, now-s.since))
+	if s, known := h.states[engine]; known && !s.serving && now > s.since+h.DrainGrace {
+		h.AddFault(now, fmt.Sprintf("rule 3: %s sent to %s %v after the engine stopped serving",
+			id, engine, now-s.since))
 	}
 }
 
-// Began notes that an engine began to run a query, however long after it was sent.
+// Started records that an engine started a query, however long ago the query was sent.
 func (h *History) Started(now time.Duration, id, engine string) {
 	h.StartedRuns++
 	q := h.queries[id]
 	if q == nil {
-		h.AddFault(now, "an engine runs what nobody asked for: "+id)
+		h.AddFault(now, "an engine runs a query that was never received: "+id)
 		return
 	}
 	for _, r := range q.runs {
@@ -148,7 +153,7 @@
 			h.AddFault(now, fmt.Sprintf("rule 2: %s ran at %s and again at %s", id, r.engine, engine))
 		}
 		if r.engine == engine && !r.ended {
-			h.AddFault(now, "two of one query at one engine: "+id)
+			h.AddFault(now, "query runs twice at one engine: "+id)
 		}
 		if h.ForbidSecondCopies && !r.ended {
 			h.AddFault(now, fmt.Sprintf("rule 2: %s runs at %s and at %s", id, r.engine, engine))
@@ -163,7 +168,8 @@
 	q.runs = append(q.runs, &run{engine: engine, startedAt: now})
 }
 
-// inTurn: none of its key that came before it is open or runs, nor did any that came later.
+// checkKeyOrder adds a fault if an earlier query with the same key is unanswered or running, or if
+// a later one has already run.
 func (h *History) checkKeyOrder(now time.Duration, q *query) {
 	before := true
 	for _, x := range h.keys[q.key] {
@@ -171,24 +177,26 @@
 		case x == q:
 			before = false
 		case before && !x.answered && !x.clientLeft:
-			h.AddFault(now, fmt.Sprintf("rule 5: %s sent before %s of its key is over", q.id, x.id))
+			h.AddFault(now, fmt.Sprintf("rule 5: %s sent before %s of the same key was answered", q.id, x.id))
 		case before:
 			for _, r := range x.runs {
 				h.OrderChecks++
 				switch {
 				case !r.ended:
-					h.AddFault(now, fmt.Sprintf("rule 5: %s sent while %s of its key runs", q.id, x.id))
+					h.AddFault(now, fmt.Sprintf("rule 5: %s sent while %s of the same key runs", q.id, x.id))
 				case h.RestAfterFailure && !r.ok && now < r.endedAt+h.KeyRest:
-					h.AddFault(now, fmt.Sprintf("rule 5: %s begins %v after %s of its key was given up", q.id, now-r.endedAt, x.id))
+					h.AddFault(now, fmt.Sprintf("rule 5: %s started %v after %s of the same key failed",
+						q.id, now-r.endedAt, x.id))
 				}
 			}
 		case len(x.runs) > 0:
-			h.AddFault(now, fmt.Sprintf("rule 5: %s begins after %s of its key, which came later", q.id, x.id))
+			h.AddFault(now, fmt.Sprintf("rule 5: %s started after %s of the same key, which arrived later",
+				q.id, x.id))
 		}
 	}
 }
 
-// Ended notes that an engine has a query no more; ok if it came to a good end.
+// Ended records that a query's run at an engine has ended; ok means that the run succeeded.
 func (h *History) Ended(now time.Duration, id, engine string, ok bool) {
 	if q := h.queries[id]; q != nil {
 		for _, r := range q.runs {
@@ -199,17 +207,18 @@
 	}
 }
 
-// Answered notes what a client was told. rows is what it got, made what engines make of it.
+// Answered records the answer to a client. rows are the bytes that the client received, made the
+// bytes that engines produce for the query.
 func (h *History) Answered(now time.Duration, id string, as Answer, rows, made []byte) {
 	q := h.queries[id]
 	switch {
 	case q == nil:
-		h.AddFault(now, "an answer to what nobody asked: "+id)
+		h.AddFault(now, "answer to a query that was never received: "+id)
 		return
 	case q.answered:
-		h.AddFault(now, "rule 1: a second answer to "+id)
+		h.AddFault(now, "rule 1: second answer to "+id)
 	case q.clientLeft:
-		h.AddFault(now, "an answer to "+id+", whose client left")
+		h.AddFault(now, "answer to "+id+", whose client left")
 	}
 	q.answered, q.answeredAt = true, now
 	h.Answers[as]++
@@ -220,27 +229,27 @@
 	switch as {
 	case Finished:
 		if !good {
-			h.AddFault(now, "finished, and no engine did it: "+id)
+			h.AddFault(now, "query answered as finished, but no engine completed it: "+id)
 		}
 		if !bytes.Equal(rows, made) {
-			h.AddFault(now, fmt.Sprintf("%s finished with %d bytes, not the %d that engines make", id, len(rows), len(made)))
+			h.AddFault(now, fmt.Sprintf("%s finished with %d bytes, but engines produce %d", id, len(rows), len(made)))
 		}
-		if now > q.deadline+50*time.Millisecond {
-			h.AddFault(now, fmt.Sprintf("rule 1: %s finished %v after its client left", id, now-q.deadline))
+		if now > q.deadline+answerTolerance {
+			h.AddFault(now, fmt.Sprintf("rule 1: %s finished %v after its deadline", id, now-q.deadline))
 		}
 	case Deferred:
 		if q.group.mutating && len(q.runs) > 0 {
-			h.AddFault(now, "rule 2: deferred, and it ran: "+id)
+			h.AddFault(now, "rule 2: query deferred after it ran: "+id)
 		}
 	}
 }
 
-// Done checks what must hold once all is over: every query that was not left by
-// its client and whose time has passed has its answer.
+// Finish checks the completed run and returns all faults: every query past its deadline must have an
+// answer, unless its client left.
 func (h *History) Finish(now time.Duration) []string {
 	for _, id := range slices.Sorted(maps.Keys(h.queries)) {
 		q := h.queries[id]
-		if !q.answered && !q.clientLeft && now > q.deadline+50*time.Millisecond {
+		if !q.answered && !q.clientLeft && now > q.deadline+answerTolerance {
 			h.AddFault(now, "rule 1: no answer to "+q.id)
 		}
 	}
--- a/internal/historycheck/check_test.go
+++ b/internal/historycheck/check_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// Each case breaks one rule; a checker that can't fail would be none.
-func TestEachRuleCanBreak(t *testing.T) {
+// Each case violates one rule, and the checker must report the violation.
+func TestEachRuleViolationIsReported(t *testing.T) {
 	fresh := func() *History {
 		h := &History{KeyRest: 300 * time.Millisecond, DrainGrace: time.Second, MaxSubmissions: 3}
 		h.AddGroup("read", "read-only", false)
@@ -18,11 +18,11 @@
 		return h
 	}
 	for want, do := range map[string]func(h *History){
-		"rule 1: a second answer": func(h *History) {
+		"rule 1: second answer to a": func(h *History) {
 			h.Answered(2, "a", Deferred, nil, nil)
 			h.Answered(3, "a", Deferred, nil, nil)
 		},
-		"rule 1: sent after its answer": func(h *History) {
+		"rule 1: query sent after its answer": func(h *History) {
 			h.Answered(2, "a", Deferred, nil, nil)
 			h.Submitted(3, "a", "e", true)
 		},
@@ -32,7 +32,7 @@
 			h.Ended(3, "l1", "e", false)
 			h.Submitted(4, "l1", "f", true)
 		},
-		"rule 2: deferred, and it ran": func(h *History) {
+		"rule 2: query deferred after it ran": func(h *History) {
 			h.Submitted(2, "l1", "e", true)
 			h.Ended(3, "l1", "e", false)
 			h.Answered(4, "l1", Deferred, nil, nil)
@@ -47,12 +47,12 @@
 			h.Answered(3, "l1", Killed, nil, nil)
 			h.Submitted(4, "l2", "e", true)
 		},
-		"rule 5: l1 begins after l2": func(h *History) {
+		"rule 5: l1 started after l2": func(h *History) {
 			h.Answered(2, "l1", Killed, nil, nil)
 			h.Submitted(3, "l2", "e", true)
 			h.Started(4, "l1", "f")
 		},
-		"rule 5: l2 begins 100ms after l1": func(h *History) {
+		"rule 5: l2 started 100ms after l1": func(h *History) {
 			h.RestAfterFailure = true
 			h.Submitted(2, "l1", "e", true)
 			h.Answered(3, "l1", Killed, nil, nil)
@@ -69,17 +69,17 @@
 				h.Submitted(time.Duration(2+i), "a", e, true)
 			}
 		},
-		"finished, and no engine": func(h *History) { h.Answered(2, "a", Finished, nil, nil) },
-		"not the 1 that engines": func(h *History) {
+		"answered as finished, but no engine": func(h *History) { h.Answered(2, "a", Finished, nil, nil) },
+		"0 bytes, but engines produce 1": func(h *History) {
 			h.Submitted(2, "a", "e", true)
 			h.Ended(3, "a", "e", true)
 			h.Answered(4, "a", Finished, nil, []byte("x"))
 		},
-		"nobody asked":      func(h *History) { h.Submitted(2, "z", "e", true) },
-		"whose client left": func(h *History) { h.ClientLeft(2, "a"); h.Answered(3, "a", Deferred, nil, nil) },
-		"asked for twice":   func(h *History) { h.Received(2, "a", "read", "", time.Minute) },
-		"two of one query":  func(h *History) { h.Submitted(2, "a", "e", true); h.Submitted(3, "a", "e", true) },
-		"after its client lef": func(h *History) {
+		"sent a query that was never received": func(h *History) { h.Submitted(2, "z", "e", true) },
+		"whose client left":                    func(h *History) { h.ClientLeft(2, "a"); h.Answered(3, "a", Deferred, nil, nil) },
+		"query received twice":                 func(h *History) { h.Received(2, "a", "read", "", time.Minute) },
+		"query runs twice at one engine":       func(h *History) { h.Submitted(2, "a", "e", true); h.Submitted(3, "a", "e", true) },
+		"after its deadline": func(h *History) {
 			h.Submitted(2, "a", "e", true)
 			h.Ended(3, "a", "e", true)
 			h.Answered(2*time.Minute, "a", Finished, nil, nil)
@@ -100,6 +100,6 @@
 	h.Answered(7, "l2", Finished, nil, nil)
 	h.ClientLeft(8, "a")
 	if faults := h.Finish(2 * time.Minute); len(faults) > 0 {
-		t.Errorf("a good run: %q", faults)
+		t.Errorf("faults in a run without violations: %q", faults)
 	}
 }
--- a/internal/historycheck/fleet.go
+++ b/internal/historycheck/fleet.go
@@ -9,30 +9,32 @@
 	"railrelay.dev/railrelay/internal/fleet"
 )
 
-// What a fleet's history can be found to break.
+// The kinds of faults in a fleet's history. The values are those of the bench's reports.
 const (
-	StaleVersion     = "mixed"             // something was done by a version after something was by a later one
-	PartialChange    = "half"              // what was withdrawn acted, or what was in force didn't
-	Contradiction    = "false_word"        // the word on a change or purge was another one later
-	ServedAfterPurge = "served_after"      // what a purge had made unreachable came out
-	FalsePurge       = "confirmed_wrongly" // a disk held what was told to be purged
-	PlacementFault   = "crossed"           // a bound team's query ran outside its sites
+	StaleVersion     = "mixed"             // an act on an older policy version after an act on a newer one
+	PartialChange    = "half"              // a withdrawn change took effect, or a change in force did not
+	Contradiction    = "false_word"        // a later report on a change or purge contradicts an earlier one
+	ServedAfterPurge = "served_after"      // a result was served after its purge was reported
+	FalsePurge       = "confirmed_wrongly" // a disk held a result after its purge was reported as complete
+	PlacementFault   = "crossed"           // a query ran outside the sites that its team is bound to
 )
 
-// Kinds are all of them.
-var Kinds = []string{StaleVersion, PartialChange, Contradiction, ServedAfterPurge, FalsePurge, PlacementFault}
+// Kinds lists all kinds of faults.
+var Kinds = []string{
+	StaleVersion, PartialChange, Contradiction, ServedAfterPurge, FalsePurge, PlacementFault,
+}
 
-// Step is one thing that happened: what it was about is what it's found again by.
+// Step is one event of a history. Steps with a common subject are related.
 type Step struct {
 	At          time.Duration
 	Description string
 	Subjects    []string
-	frequent    bool // one of very many: only shown where it is an end
+	frequent    bool // excerpts show a frequent step only as their first or last one
 }
 
 func (s Step) String() string { return fmt.Sprintf("%12v  %s", s.At, s.Description) }
 
-// Fault is one invariant broken, with the shortest stretch of the history that shows it.
+// Fault is the violation of one invariant, with an excerpt of the history that shows the violation.
 type Fault struct {
 	Kind        string
 	Description string
@@ -48,29 +50,30 @@
 	return b.String()
 }
 
-// Fleet is the joint history of many controllers on one clock, as engines, clients and
-// operators saw it; each step is checked as it comes. Steps of one kind come in the
-// order of their times.
+// FleetHistory is the joint history of several controllers on one clock, as engines, clients and
+// operators observed them. It checks each step as it is added. Steps of one kind must be added in
+// the order of their times.
 type FleetHistory struct {
-	// Slack is how far apart two sights of one moment can lie: 0 in virtual time, on a
-	// machine what a reader may sleep. What was asked for after a sight is judged by it
-	// without any.
+	// Slack is the largest difference between two observers' times of one event: 0 in virtual time,
+	// and the longest sleep of a reader in real time. A query received after an observation is
+	// checked against the observation without slack.
 	Slack  time.Duration
 	Faults []Fault
-	// Counts of what arose: a run in which nothing did shows nothing.
+	// Counts of the checked events: a run without any proves nothing.
 	Acts, Changes, Withdrawn, Purges, Bound int
 
 	steps            []Step
-	firstByVersion   map[uint64]observation // the first act by each version
+	firstByVersion   map[uint64]observation // first act on each version
 	changes          map[string]*change
-	changeByVersion  map[uint64]string // the change that made a version
-	firstActByChange map[string]int    // the first act by a change
+	changeByVersion  map[uint64]string // ID of the change that created a version
+	firstActByChange map[string]int    // index of the first step that acted on a change
 	purges           map[string]*purge
 	results          map[string]resultStart
 	ruleSets         []ruleSet
 	siteAllowances   []siteAllowance
 }
 
+// observation is the time of an event and the index of its step.
 type observation struct {
 	at   time.Duration
 	step int
@@ -98,71 +101,78 @@
 	tables []int64
 }
 
-// Rule is what binds a team's tables to sites; none of the tables: all of the team's.
+// Rule binds a team's queries on some tables to sites. A rule without tables covers all of them.
 type Rule struct {
 	Team   string
 	Tables []int64
 	Sites  []string
 }
 
-// ruled is a set of rules that could be in force in a span.
+// ruleSet is the placement rules of one change, with the period in which they may be in force.
 type ruleSet struct {
 	change   string
 	rules    []Rule
-	from, to time.Duration // to: once the next one was told to be in force
+	from, to time.Duration // to is when a later change was reported as in force
 }
 
-// loosed is a span in which a team's queries may run at further sites.
+// siteAllowance is a period in which a team's queries may run at further sites.
 type siteAllowance struct {
 	team     string
 	sites    []string
 	from, to time.Duration
 }
 
+// never is the time of an event that has not happened.
 const never = time.Duration(1<<63 - 1)
+
+// maxSteps bounds the steps that are kept.
 const maxSteps = 400_000
 
-// Note keeps a step that nothing is judged by, for the stretch that is shown.
-func (f *FleetHistory) Note(now time.Duration, what string, about ...string) int {
-	if len(f.steps) > maxSteps { // a long schedule: what is old is not shown any more
+// maxExcerptSteps bounds the steps between the first and last of an excerpt.
+const maxExcerptSteps = 12
+
+// Note adds a step that no check uses but that excerpts show. It returns the step's index.
+func (f *FleetHistory) Note(now time.Duration, description string, subjects ...string) int {
+	if len(f.steps) > maxSteps { // long runs drop later steps, which excerpts then miss
 		return len(f.steps) - 1
 	}
-	f.steps = append(f.steps, Step{now, what, about, false})
+	f.steps = append(f.steps, Step{now, description, subjects, false})
 	return len(f.steps) - 1
 }
 
-// act is Note of what happens very often.
-func (f *FleetHistory) noteFrequent(now time.Duration, what string, about ...string) int {
-	i := f.Note(now, what, about...)
+// noteFrequent is Note for a frequent event.
+func (f *FleetHistory) noteFrequent(now time.Duration, description string, subjects ...string) int {
+	i := f.Note(now, description, subjects...)
 	f.steps[i].frequent = true
 	return i
 }
 
-// broken notes a fault between two steps, with what lies between them and is about the
-// same things.
-func (f *FleetHistory) addFault(kind, what string, from, to int) {
+// addFault records a fault between two steps. Its excerpt holds both steps and the steps between
+// them that share a subject with the last one. A negative from means that there is no first step.
+func (f *FleetHistory) addFault(kind, description string, from, to int) {
 	if len(f.Faults) >= maxFaults {
 		return
 	}
-	x := Fault{Kind: kind, Description: what}
+	x := Fault{Kind: kind, Description: description}
 	if from >= 0 && from < len(f.steps) {
 		x.Excerpt = append(x.Excerpt, f.steps[from])
 	}
-	about := f.steps[to].Subjects
+	subjects := f.steps[to].Subjects
+	related := func(subject string) bool { return slices.Contains(subjects, subject) }
 	var between []Step
 	for i := max(from, 0) + 1; i < to; i++ {
-		if s := f.steps[i]; !s.frequent && slices.ContainsFunc(s.Subjects, func(a string) bool { return slices.Contains(about, a) }) {
+		if s := f.steps[i]; !s.frequent && slices.ContainsFunc(s.Subjects, related) {
 			between = append(between, s)
 		}
 	}
-	if len(between) > 12 {
-		between = between[len(between)-12:]
+	if len(between) > maxExcerptSteps {
+		between = between[len(between)-maxExcerptSteps:]
 	}
 	x.Excerpt = append(append(x.Excerpt, between...), f.steps[to])
 	f.Faults = append(f.Faults, x)
 }
 
-// Count is how often a kind was broken.
+// Count returns the number of recorded faults of a kind.
 func (f *FleetHistory) Count(kind string) (n int) {
 	for _, x := range f.Faults {
 		if x.Kind == kind {
@@ -174,173 +184,200 @@
 
 func (f *FleetHistory) initMaps() {
 	if f.firstByVersion == nil {
-		f.firstByVersion, f.changes, f.changeByVersion = map[uint64]observation{}, map[string]*change{}, map[uint64]string{}
+		f.firstByVersion, f.changes = map[uint64]observation{}, map[string]*change{}
+		f.changeByVersion = map[uint64]string{}
 		f.firstActByChange = map[string]int{}
 		f.purges, f.results = map[string]*purge{}, map[string]resultStart{}
 	}
 }
 
-// Acted notes that a controller took, released or submitted a query by a version. asked is
-// when its client asked; what was asked for after a later version was seen is judged
-// without slack.
+// Acted records that a controller accepted, released or submitted a query under a policy version.
+// asked is when the client sent the query. A query sent after a later version was observed is
+// checked without slack.
 func (f *FleetHistory) Acted(now, asked time.Duration, controller, query string, version uint64) {
 	f.initMaps()
 	f.Acts++
-	step := f.noteFrequent(now, fmt.Sprintf("act of %s on %s by version %d", controller, query, version), controller, "version "+fmt.Sprint(version))
+	step := f.noteFrequent(now, fmt.Sprintf("%s acted on %s by version %d", controller, query, version),
+		controller, "version "+fmt.Sprint(version))
 	if _, had := f.firstByVersion[version]; !had {
 		f.firstByVersion[version] = observation{now, step}
 	}
 	for v, s := range f.firstByVersion {
 		if v > version && (asked > s.at || now > s.at+f.Slack) {
-			f.addFault(StaleVersion, fmt.Sprintf("%s acted by version %d, and version %d had acted %v before", controller, version, v, now-s.at), s.step, step)
+			f.addFault(StaleVersion, fmt.Sprintf("%s acted by version %d, %v after an act by version %d",
+				controller, version, now-s.at, v), s.step, step)
 			return
 		}
 	}
 	for id, c := range f.changes {
 		if c.outcome == "in force" && c.version > version && asked > c.at {
-			f.addFault(PartialChange, fmt.Sprintf("%s acted by version %d on what was asked for %v after %s (version %d) was told to be in force",
+			f.addFault(PartialChange, fmt.Sprintf(
+				"%s acted by version %d on a query sent %v after %s (version %d) was reported as in force",
 				controller, version, asked-c.at, id, c.version), c.step, step)
 			return
 		}
 	}
 }
 
-// ActedFor is Acted where only the change can be told that made the policy: one that
-// was withdrawn never acts.
+// ActedByChange is Acted for observers that see only the ID of the change behind the policy. A
+// withdrawn or refused change must never take effect.
 func (f *FleetHistory) ActedByChange(now time.Duration, controller, query, id string) {
 	f.initMaps()
-	step := f.noteFrequent(now, fmt.Sprintf("act of %s on %s by change %s", controller, query, id), controller, id)
+	step := f.noteFrequent(now, fmt.Sprintf("%s acted on %s by change %s", controller, query, id),
+		controller, id)
 	if _, had := f.firstActByChange[id]; !had {
 		f.firstActByChange[id] = step
 	}
 	if c := f.changes[id]; c != nil && isFinal(c.outcome) && c.outcome != "in force" {
-		f.addFault(PartialChange, fmt.Sprintf("%s acted by %s, which was %s", controller, id, c.outcome), c.step, step)
+		f.addFault(PartialChange,
+			fmt.Sprintf("%s acted by change %s, which was %s", controller, id, c.outcome), c.step, step)
 	}
 }
 
-func isFinal(word string) bool { return word == "in force" || word == "withdrawn" || word == "refused" }
+func isFinal(outcome string) bool {
+	return outcome == "in force" || outcome == "withdrawn" || outcome == "refused"
+}
 
-// Changed notes that an operator got a word on a change, at the first asking or a later
-// one. "unknown" is no word, and a change that is settled has been in force.
-func (f *FleetHistory) ChangeReported(now time.Duration, by, id, word string, version uint64) {
+// ChangeReported records the outcome of a change that an operator received, from the first request
+// or a later one. The outcome "unknown" is not checked; "settled" counts as "in force".
+func (f *FleetHistory) ChangeReported(now time.Duration, by, id, outcome string, version uint64) {
 	f.initMaps()
-	step := f.Note(now, fmt.Sprintf("%s tells of %s: %s, version %d", by, id, word, version), id, by)
-	if word == "settled" {
-		word = "in force"
+	step := f.Note(now, fmt.Sprintf("%s reports change %s: %s, version %d", by, id, outcome, version), id, by)
+	if outcome == "settled" {
+		outcome = "in force"
 	}
-	if !isFinal(word) {
+	if !isFinal(outcome) {
 		return
 	}
 	c := f.changes[id]
 	if c == nil {
-		c = &change{outcome: word, version: version, at: now, step: step}
+		c = &change{outcome: outcome, version: version, at: now, step: step}
 		f.changes[id] = c
-		switch word {
+		switch outcome {
 		case "in force":
 			f.Changes++
 			if other, had := f.changeByVersion[version]; had {
-				f.addFault(Contradiction, fmt.Sprintf("version %d was told to be %s and to be %s", version, other, id), f.changes[other].step, step)
+				f.addFault(Contradiction,
+					fmt.Sprintf("version %d was reported for changes %s and %s", version, other, id),
+					f.changes[other].step, step)
 			}
 			f.changeByVersion[version] = id
 		case "withdrawn":
 			f.Withdrawn++
 		}
-		if first, had := f.firstActByChange[id]; had && word != "in force" {
-			f.addFault(PartialChange, fmt.Sprintf("%s was %s, and had been acted by", id, word), first, step)
+		if first, had := f.firstActByChange[id]; had && outcome != "in force" {
+			f.addFault(PartialChange,
+				fmt.Sprintf("change %s was %s after a controller had acted by it", id, outcome), first, step)
 		}
 		return
 	}
-	if (c.outcome == "in force") != (word == "in force") || word == "in force" && c.version != version {
-		f.addFault(Contradiction, fmt.Sprintf("%s was told to be %s (version %d), and now %s (version %d)", id, c.outcome, c.version, word, version), c.step, step)
+	if (c.outcome == "in force") != (outcome == "in force") || outcome == "in force" && c.version != version {
+		f.addFault(Contradiction, fmt.Sprintf(
+			"change %s was reported as %s (version %d) and later as %s (version %d)",
+			id, c.outcome, c.version, outcome, version), c.step, step)
 	}
 }
 
-// PurgeAsked notes that a purge was asked for; what was drawn before is its.
+// PurgeRequested records the request for a purge, which covers the results started before it.
 func (f *FleetHistory) PurgeRequested(now time.Duration, id string, scope fleet.Scope) {
 	f.initMaps()
-	f.Note(now, "purge "+id+" of "+scope.Team+" asked for", id)
-	f.purges[id] = &purge{scope: scope, requested: now, unreachable: observation{at: never}, purged: observation{at: never}}
+	f.Note(now, "purge "+id+" of "+scope.Team+" requested", id)
+	f.purges[id] = &purge{scope: scope, requested: now,
+		unreachable: observation{at: never}, purged: observation{at: never}}
 }
 
-// PurgeTold notes that who asked was told unreachable or purged; other words are none.
-func (f *FleetHistory) PurgeReported(now time.Duration, by, id, word string, counts *fleet.InvalidationCounts) {
+// PurgeReported records the outcome of a purge that an operator received. Only "unreachable", "purged"
+// and "refused" are checked.
+func (f *FleetHistory) PurgeReported(now time.Duration, by, id, outcome string,
+	counts *fleet.InvalidationCounts) {
 	f.initMaps()
-	step := f.Note(now, fmt.Sprintf("%s tells of purge %s: %s", by, id, word), id, by)
+	step := f.Note(now, fmt.Sprintf("%s reports purge %s: %s", by, id, outcome), id, by)
 	p := f.purges[id]
 	if p == nil {
 		return
 	}
-	if word == "unreachable" || word == "purged" {
+	if outcome == "unreachable" || outcome == "purged" {
 		if p.unreachable.at == never {
 			p.unreachable = observation{now, step}
 		}
 	}
-	if word != "purged" && word != "refused" {
+	if outcome != "purged" && outcome != "refused" {
 		return
 	}
-	if word == "refused" && p.unreachable.at != never {
-		f.addFault(Contradiction, "purge "+id+" was told to be done, and now refused", p.unreachable.step, step)
+	if outcome == "refused" && p.unreachable.at != never {
+		f.addFault(Contradiction, "purge "+id+" was reported as done and later as refused",
+			p.unreachable.step, step)
 		return
 	}
-	if word == "purged" && p.purged.at == never {
+	if outcome == "purged" && p.purged.at == never {
 		f.Purges++
 		p.purged = observation{now, step}
 	}
 	if counts != nil {
 		if p.counted && p.counts != *counts {
-			f.addFault(Contradiction, fmt.Sprintf("purge %s found %+v, and now %+v", id, p.counts, *counts), p.purged.step, step)
+			f.addFault(Contradiction,
+				fmt.Sprintf("purge %s was reported with counts %+v and later %+v", id, p.counts, *counts),
+				p.purged.step, step)
 		}
 		p.counts, p.counted = *counts, true
 	}
 }
 
-// Drawn notes that an engine began to make an answer, whose bytes bear the query's name.
+// ResultStarted records that an engine started to produce a result, whose bytes contain the query's ID.
 func (f *FleetHistory) ResultStarted(now time.Duration, query, team string, tables ...int64) {
 	f.initMaps()
-	f.noteFrequent(now, "an engine begins "+query, query)
+	f.noteFrequent(now, "an engine starts "+query, query)
 	if _, had := f.results[query]; !had {
 		f.results[query] = resultStart{now, team, tables}
 	}
 }
 
+// covers reports whether the purge must remove a result.
 func (p *purge) covers(d resultStart) bool {
-	if p.scope.Team != d.team || d.at >= p.requested || p.scope.RetainedBeforeMs > 0 || len(p.scope.OutsideSites) > 0 {
-		return false // by the wall or by places: judged where these are known
+	if p.scope.Team != d.team || d.at >= p.requested ||
+		p.scope.RetainedBeforeMs > 0 || len(p.scope.OutsideSites) > 0 {
+		return false // scopes by retention time or site are checked where these are known
 	}
-	return len(p.scope.Tables) == 0 || slices.ContainsFunc(p.scope.Tables, func(t int64) bool { return slices.Contains(d.tables, t) })
+	usesTable := func(table int64) bool { return slices.Contains(d.tables, table) }
+	return len(p.scope.Tables) == 0 || slices.ContainsFunc(p.scope.Tables, usesTable)
 }
 
-// Served notes that bytes drawn by source came out of a controller's keeping, for what was
-// asked at a time: a page, or an answer that bears another query's name.
+// Served records that a controller served stored bytes of the query source, as a page or as the answer
+// to another query. asked is when the client requested them.
 func (f *FleetHistory) Served(now, asked time.Duration, controller, source string) {
 	f.initMaps()
-	step := f.noteFrequent(now, controller+" serves what was drawn by "+source, controller, source)
+	step := f.noteFrequent(now, controller+" serves the result of "+source, controller, source)
 	for id, p := range f.purges {
-		if p.covers(f.results[source]) && (asked > p.unreachable.at || p.unreachable.at != never && now > p.unreachable.at+f.Slack && f.Slack == 0) {
-			f.addFault(ServedAfterPurge, fmt.Sprintf("%s served %s, asked for %v after purge %s was told to be unreachable", controller, source, asked-p.unreachable.at, id),
+		if p.covers(f.results[source]) && (asked > p.unreachable.at ||
+			p.unreachable.at != never && now > p.unreachable.at+f.Slack && f.Slack == 0) {
+			f.addFault(ServedAfterPurge, fmt.Sprintf(
+				"%s served %s, requested %v after purge %s was reported as unreachable",
+				controller, source, asked-p.unreachable.at, id),
 				p.unreachable.step, step)
 		}
 	}
 }
 
-// Held notes that a controller's disk was looked at and holds bytes drawn by source.
+// FoundOnDisk records that a controller's disk holds bytes of the query source.
 func (f *FleetHistory) FoundOnDisk(now time.Duration, controller, source string) {
 	f.initMaps()
 	for id, p := range f.purges {
 		if p.covers(f.results[source]) && now > p.purged.at {
 			step := f.noteFrequent(now, "the disk of "+controller+" holds "+source, controller, source)
-			f.addFault(FalsePurge, fmt.Sprintf("%s holds %s, and purge %s was told to be done", controller, source, id), p.purged.step, step)
+			f.addFault(FalsePurge,
+				fmt.Sprintf("%s holds %s after purge %s was reported as done", controller, source, id),
+				p.purged.step, step)
 		}
 	}
 }
 
-// Rules notes that by a change these could be in force from now on.
+// AddRules records that the rules of a change may be in force from now on.
 func (f *FleetHistory) AddRules(now time.Duration, change string, rules ...Rule) {
 	f.ruleSets = append(f.ruleSets, ruleSet{change, rules, now, never})
 }
 
-// RulesAre notes that a change was told to be in force; the rules before it hold no more
-// for what is asked from now on. One that was withdrawn never did.
+// SettleRules records that a change was reported as in force, which ends the earlier rules for queries
+// sent from now on. If the change is not in force, SettleRules removes its rules.
 func (f *FleetHistory) SettleRules(now time.Duration, change string, inForce bool) {
 	i := slices.IndexFunc(f.ruleSets, func(r ruleSet) bool { return r.change == change })
 	if i < 0 {
@@ -357,12 +394,12 @@
 	}
 }
 
-// Loosed notes that a team's queries may run at further sites from now on, until Fastened.
+// AllowSites records that a team's queries may run at further sites from now on, until RevokeSites.
 func (f *FleetHistory) AllowSites(now time.Duration, team string, sites ...string) {
 	f.siteAllowances = append(f.siteAllowances, siteAllowance{team, sites, now, never})
 }
 
-// Fastened ends what Loosed began, for what is asked from now on.
+// RevokeSites ends the effect of AllowSites for queries sent from now on.
 func (f *FleetHistory) RevokeSites(now time.Duration, team string) {
 	for i := range f.siteAllowances {
 		if f.siteAllowances[i].team == team {
@@ -371,10 +408,17 @@
 	}
 }
 
-// Ran notes that an engine at a site runs a team's query on tables, asked for at a time.
-// Any set of rules that could be in force from then to now may allow it.
+// covers reports whether the rule binds a team's query on tables.
+func (r Rule) covers(team string, tables []int64) bool {
+	bound := func(table int64) bool { return slices.Contains(tables, table) }
+	return r.Team == team && (len(r.Tables) == 0 || slices.ContainsFunc(r.Tables, bound))
+}
+
+// Ran records that an engine at a site runs a team's query on tables. asked is when the client sent the
+// query. The run is valid if any set of rules that could be in force between asked and now allows it.
 func (f *FleetHistory) Ran(now, asked time.Duration, controller, query, team, site string, tables ...int64) {
-	step := f.noteFrequent(now, fmt.Sprintf("%s of %s runs at %s, by %s", query, team, site, controller), query, team)
+	step := f.noteFrequent(now, fmt.Sprintf("%s of %s runs at %s, by %s", query, team, site, controller),
+		query, team)
 	bound, allowed, any := false, false, false
 	for _, set := range f.ruleSets {
 		if set.from > now || set.to < asked {
@@ -383,7 +427,7 @@
 		any = true
 		ok := true
 		for _, r := range set.rules {
-			if r.Team == team && (len(r.Tables) == 0 || slices.ContainsFunc(r.Tables, func(t int64) bool { return slices.Contains(tables, t) })) {
+			if r.covers(team, tables) {
 				bound = true
 				ok = ok && slices.Contains(r.Sites, site)
 			}
@@ -401,5 +445,5 @@
 	}
 }
 
-// Steps are all that were kept, in turn.
+// Steps returns all kept steps, in the order in which they were added.
 func (f *FleetHistory) Steps() []Step { return f.steps }
--- a/internal/historycheck/fleet_test.go
+++ b/internal/historycheck/fleet_test.go
@@ -8,8 +8,9 @@
 	"railrelay.dev/railrelay/internal/fleet"
 )
 
-// Each case breaks one invariant of the fleet; the stretch shows both ends of it.
-func TestEachInvariantCanBreak(t *testing.T) {
+// Each case violates one invariant of the fleet, and the checker must report the violation with an
+// excerpt.
+func TestEachInvariantViolationIsReported(t *testing.T) {
 	fresh := func() *FleetHistory {
 		f := &FleetHistory{}
 		f.ChangeReported(1, "a", "c2", "in force", 2)
@@ -26,44 +27,53 @@
 		kind string
 		do   func(f *FleetHistory)
 	}{
-		"an act by the version before":      {StaleVersion, func(f *FleetHistory) { f.Acted(3, 3, "b", "q3", 1) }},
-		"an act by one nobody else has yet": {PartialChange, func(f *FleetHistory) { f.ChangeReported(3, "a", "c3", "in force", 3); f.Acted(9, 8, "b", "q3", 2) }},
-		"an act by what was withdrawn": {PartialChange, func(f *FleetHistory) {
+		"act by an older version": {StaleVersion, func(f *FleetHistory) { f.Acted(3, 3, "b", "q3", 1) }},
+		"act by an older version after a change in force": {PartialChange, func(f *FleetHistory) {
+			f.ChangeReported(3, "a", "c3", "in force", 3)
+			f.Acted(9, 8, "b", "q3", 2)
+		}},
+		"act by a withdrawn change": {PartialChange, func(f *FleetHistory) {
 			f.ChangeReported(3, "a", "c3", "withdrawn", 0)
 			f.ActedByChange(4, "b", "q3", "c3")
 		}},
-		"what was acted by is withdrawn": {PartialChange, func(f *FleetHistory) {
+		"withdrawn after an act": {PartialChange, func(f *FleetHistory) {
 			f.ActedByChange(3, "b", "q3", "c3")
 			f.ChangeReported(4, "a", "c3", "withdrawn", 0)
 		}},
-		"withdrawn after in force":    {Contradiction, func(f *FleetHistory) { f.ChangeReported(3, "b", "c2", "withdrawn", 0) }},
-		"in force by another version": {Contradiction, func(f *FleetHistory) { f.ChangeReported(3, "b", "c2", "in force", 3) }},
-		"two changes of one version":  {Contradiction, func(f *FleetHistory) { f.ChangeReported(3, "b", "c9", "in force", 2) }},
-		"a page after unreachable":    {ServedAfterPurge, func(f *FleetHistory) { purged(f, "unreachable"); f.Served(8, 7, "b", "q2") }},
-		"a page after purged":         {ServedAfterPurge, func(f *FleetHistory) { purged(f, "purged"); f.Served(8, 7, "b", "q2") }},
-		"a disk that holds it":        {FalsePurge, func(f *FleetHistory) { purged(f, "purged"); f.FoundOnDisk(8, "b", "q2") }},
-		"another count": {Contradiction, func(f *FleetHistory) {
+		"withdrawn after in force":      {Contradiction, func(f *FleetHistory) { f.ChangeReported(3, "b", "c2", "withdrawn", 0) }},
+		"in force by another version":   {Contradiction, func(f *FleetHistory) { f.ChangeReported(3, "b", "c2", "in force", 3) }},
+		"two changes of one version":    {Contradiction, func(f *FleetHistory) { f.ChangeReported(3, "b", "c9", "in force", 2) }},
+		"page served after unreachable": {ServedAfterPurge, func(f *FleetHistory) { purged(f, "unreachable"); f.Served(8, 7, "b", "q2") }},
+		"page served after purged":      {ServedAfterPurge, func(f *FleetHistory) { purged(f, "purged"); f.Served(8, 7, "b", "q2") }},
+		"result on disk after purged":   {FalsePurge, func(f *FleetHistory) { purged(f, "purged"); f.FoundOnDisk(8, "b", "q2") }},
+		"different counts": {Contradiction, func(f *FleetHistory) {
 			purged(f, "purged")
 			f.PurgeReported(8, "b", "p", "purged", &fleet.InvalidationCounts{})
 		}},
-		"refused once it was done":  {Contradiction, func(f *FleetHistory) { purged(f, "purged"); f.PurgeReported(8, "b", "p", "refused", nil) }},
-		"a bound query in the west": {PlacementFault, func(f *FleetHistory) { f.Ran(4, 4, "a", "q2", "linz", "west", 7) }},
-		"once it may not be there any more": {PlacementFault, func(f *FleetHistory) {
+		"refused after purged": {Contradiction, func(f *FleetHistory) {
+			purged(f, "purged")
+			f.PurgeReported(8, "b", "p", "refused", nil)
+		}},
+		"run outside the bound sites": {PlacementFault, func(f *FleetHistory) { f.Ran(4, 4, "a", "q2", "linz", "west", 7) }},
+		"run after the allowance was revoked": {PlacementFault, func(f *FleetHistory) {
 			f.AllowSites(4, "linz", "west")
 			f.RevokeSites(5, "linz")
 			f.Ran(7, 6, "a", "q2", "linz", "west", 7)
 		}},
-		"by rules that hold no more": {PlacementFault, func(f *FleetHistory) {
+		"run under superseded rules": {PlacementFault, func(f *FleetHistory) {
 			f.AddRules(4, "c3", Rule{"linz", nil, []string{"west"}})
 			f.SettleRules(5, "c3", true)
 			f.Ran(8, 6, "a", "q2", "linz", "east", 7)
 		}},
-		"by rules that were withdrawn": {PlacementFault, func(f *FleetHistory) {
+		"run under withdrawn rules": {PlacementFault, func(f *FleetHistory) {
 			f.AddRules(4, "c3", Rule{"linz", nil, []string{"west"}})
 			f.SettleRules(5, "c3", false)
 			f.Ran(8, 6, "a", "q2", "linz", "west", 7)
 		}},
-		"an act with slack, asked for after it": {StaleVersion, func(f *FleetHistory) { f.Slack = time.Second; f.Acted(4, 3, "b", "q3", 1) }},
+		"act within the slack for a query sent later": {StaleVersion, func(f *FleetHistory) {
+			f.Slack = time.Second
+			f.Acted(4, 3, "b", "q3", 1)
+		}},
 	} {
 		f := fresh()
 		if x.do(f); len(f.Faults) != 1 || f.Count(x.kind) != 1 || len(f.Faults[0].Excerpt) == 0 {
@@ -72,7 +82,7 @@
 	}
 	f := fresh()
 	f.Slack = 5
-	f.Acted(3, 1, "b", "q0", 1) // it was seen late
+	f.Acted(3, 1, "b", "q0", 1) // within the slack
 	f.ChangeReported(4, "b", "c2", "settled", 2)
 	f.ChangeReported(4, "b", "c2", "unknown", 0)
 	f.Served(4, 4, "b", "q2")
@@ -86,25 +96,25 @@
 	f.AllowSites(12, "linz", "west")
 	f.Ran(13, 13, "b", "q7", "linz", "west", 7)
 	if len(f.Faults) > 0 || f.Bound != 2 || f.Changes != 1 || f.Acts != 2 {
-		t.Errorf("a good run: %v, %+v", f.Faults, f)
+		t.Errorf("faults in a run without violations: %v, %+v", f.Faults, f)
 	}
 }
 
-func TestWordsHaveOneOrder(t *testing.T) {
+func TestLinearizable(t *testing.T) {
 	w := func(from, to time.Duration, id string, base uint64, word string, version uint64) ChangeReport {
 		return ChangeReport{Client: int(from) % 3, From: from, To: to, ID: id, Base: base, Proposes: true, Outcome: word, Version: version}
 	}
 	good := []ChangeReport{w(1, 5, "a", 1, "in force", 2), w(2, 6, "b", 1, "refused", 0), w(7, 9, "c", 2, "unknown", 0),
-		w(10, 12, "d", 3, "in force", 4), // c has come into force after all
+		w(10, 12, "d", 3, "in force", 4), // c took effect, although its outcome was unknown
 		{From: 13, To: 14, ID: "a", Outcome: "in force", Version: 2, Base: 1}, {From: 13, To: 14, VersionRead: true, Version: 3}}
 	if ok, why := Linearizable(good, time.Second); !ok {
 		t.Error(why)
 	}
 	for what, bad := range map[string][]ChangeReport{
-		"two win against one version":  {w(1, 5, "a", 1, "in force", 2), w(2, 6, "b", 1, "in force", 2)},
-		"a version nobody could see":   {w(1, 5, "a", 1, "in force", 2), {From: 6, To: 7, VersionRead: true, Version: 3}},
-		"another word later":           {w(1, 5, "a", 1, "in force", 2), {From: 6, To: 7, ID: "a", Outcome: "withdrawn"}},
-		"in force, and gone once more": {w(1, 5, "a", 1, "in force", 2), w(6, 7, "b", 1, "in force", 2)},
+		"two changes of one base version":      {w(1, 5, "a", 1, "in force", 2), w(2, 6, "b", 1, "in force", 2)},
+		"read of a version that never existed": {w(1, 5, "a", 1, "in force", 2), {From: 6, To: 7, VersionRead: true, Version: 3}},
+		"different outcome later":              {w(1, 5, "a", 1, "in force", 2), {From: 6, To: 7, ID: "a", Outcome: "withdrawn"}},
+		"base version that was replaced":       {w(1, 5, "a", 1, "in force", 2), w(6, 7, "b", 1, "in force", 2)},
 	} {
 		ok, why := Linearizable(bad, time.Second)
 		if ok || !strings.Contains(why, "against") {
--- a/internal/historycheck/record.go
+++ b/internal/historycheck/record.go
@@ -10,32 +10,34 @@
 	"github.com/anishathalye/porcupine"
 )
 
-// Word is one asking about a change and what came of it: the first asking proposes it,
-// later ones only ask again.
+// ChangeReport is one request about a policy change with its outcome. The first request proposes
+// the change; later requests query its outcome.
 type ChangeReport struct {
 	Client      int
 	From, To    time.Duration
 	ID          string
 	Base        uint64
 	Proposes    bool
-	Outcome     string // in force, withdrawn, refused; unknown: it may come yet, or never
-	Version     uint64 // in force
-	VersionRead bool   // no change is meant: a controller's own version was read, which may lag behind
+	Outcome     string // in force, withdrawn, refused; unknown: may still take effect
+	Version     uint64 // of the policy, if in force
+	VersionRead bool   // reads a controller's version, which may lag behind
 }
 
-// Agreed says whether there is one order of the changes that all words agree with, each
-// somewhere between its asking and its answer; it gives the words that have none.
+// Linearizable reports whether one order of the changes explains all reports, with each report taking
+// effect between its request and its answer. If there is none, Linearizable also returns the last
+// reports of the shortest history without an order. A check that runs out of time passes.
 func Linearizable(words []ChangeReport, within time.Duration) (bool, string) {
 	var ops []porcupine.Operation
 	for _, w := range words {
 		to := int64(w.To)
 		if w.Outcome == "unknown" {
 			if !w.Proposes {
-				continue // it tells nothing
+				continue // an unanswered query adds no constraint
 			}
-			to = noReturn // it may come into force at any time from now on
+			to = noReturn // the change may take effect at any later time
 		}
-		ops = append(ops, porcupine.Operation{ClientId: w.Client, Input: w, Output: w, Call: int64(w.From), Return: to})
+		ops = append(ops, porcupine.Operation{ClientId: w.Client, Input: w, Output: w,
+			Call: int64(w.From), Return: to})
 	}
 	model := porcupine.NondeterministicModel{
 		Init: func() []any { return []any{policyState{}} },
@@ -48,10 +50,10 @@
 	plain := model.ToModel()
 	result := porcupine.CheckOperationsTimeout(plain, ops, within)
 	if result != porcupine.Illegal {
-		return true, "" // Unknown: it had no time to find out, and found nothing wrong
+		return true, "" // includes Unknown: the check ran out of time without finding a violation
 	}
-	// the shortest beginning that has no order, by when the words came; what may come
-	// into force at any time belongs to each
+	// Find the shortest prefix without a valid order, sorted by the times of the answers. Changes that
+	// may take effect at any time belong to every prefix.
 	open := func(o porcupine.Operation) bool { return o.Return == noReturn }
 	slices.SortFunc(ops, func(a, b porcupine.Operation) int {
 		if open(a) != open(b) {
@@ -77,12 +79,13 @@
 	return false, b.String()
 }
 
+// noReturn is the return time of an operation that may take effect at any time.
 const noReturn = int64(1) << 62
 
-// record is the state words are about: the version, and what became of each change.
+// policyState is the state of the model: the policy version and the outcome of each change.
 type policyState struct {
 	version  uint64
-	outcomes string // ";id=word", in turn
+	outcomes string // ";id=outcome" of each change, in the order of the outcomes
 }
 
 func (r policyState) outcomeOf(id string) string {
@@ -109,7 +112,8 @@
 	switch {
 	case w.Outcome == "in force" && had == force:
 		return []any{r}
-	case w.Outcome == "in force" && had == "" && (r.version == w.Base || r.version == 0) && w.Version == w.Base+1:
+	case w.Outcome == "in force" && had == "" && (r.version == w.Base || r.version == 0) &&
+		w.Version == w.Base+1:
 		return []any{with(force, w.Version)}
 	case w.Outcome == "in force":
 		return nil
