--- a/internal/capacity/capacity.go
+++ b/internal/capacity/capacity.go
@@ -1,5 +1,5 @@
-// Package capacity keeps the measured figures that docs/CAPACITY.md is worked
-// out from: rows of a CSV file, and the lines fitted through them.
+// Package capacity stores measured figures as rows of a CSV file, fits curves to them, and computes the
+// figures of docs/CAPACITY.md from them.
 package capacity
 
 import (
@@ -19,17 +19,17 @@
 	Role string
 	// What names the figure within its role, such as "memory_idle_engines".
 	What string
-	// Size is the number of things that the figure was measured at; What says of which.
+	// Size is the number of objects in the measurement, such as engines; What names their kind.
 	Size int
-	// Seed is what the run's random numbers followed from.
+	// Seed is the seed of the run's random numbers.
 	Seed uint64
 	// Value is the figure, in Unit. It is finite.
 	Value float64
 	// Unit is the unit of Value, such as "MB" or "bytes/s".
 	Unit string
-	// Machine is the machine of the run, as Machine tells it.
+	// Machine is the machine of the run, as the function Machine describes it.
 	Machine string
-	// Commit is the source that was measured, as Commit tells it.
+	// Commit is the source that was measured, as the function Commit names it.
 	Commit string
 }
 
@@ -48,9 +48,9 @@
 	columnCommit
 )
 
-// Append adds rows to the file at path, which it starts with a header if there is
-// none. It reads what is there first: nothing is added to a damaged file (*FileError),
-// nor a row that Read would refuse (*RowError). All rows go out in one write.
+// Append adds rows to the file at path, and creates the file with a header if there is none. It reads
+// the existing file first, and adds nothing to a damaged file (*FileError) and no row that Read would
+// reject (*RowError). All rows are added in one write.
 func Append(path string, rows []Row) error {
 	for _, row := range rows {
 		if err := row.check(); err != nil {
@@ -85,8 +85,8 @@
 	return file.Close()
 }
 
-// Read returns all rows of the file at path, in their order. A damaged or cut file is
-// a *FileError that names the line; a file that isn't there is os.ErrNotExist.
+// Read returns all rows of the file at path, in file order. For a damaged or truncated file the error is
+// a *FileError with the line; for a missing file it wraps os.ErrNotExist.
 func Read(path string) ([]Row, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -100,10 +100,10 @@
 		return &FileError{Path: path, Line: line, Field: field, Why: why}
 	}
 	if len(text) == 0 {
-		return nil, damage(1, "", "the file is empty: even its header is missing")
+		return nil, damage(1, "", "the file is empty: its header is missing")
 	}
 	if text[len(text)-1] != '\n' {
-		return nil, damage(bytes.Count(text, []byte("\n"))+1, "", "the line is cut: it has no end")
+		return nil, damage(bytes.Count(text, []byte("\n"))+1, "", "the line is truncated: its newline is missing")
 	}
 	reader := csv.NewReader(bytes.NewReader(text))
 	reader.FieldsPerRecord = len(columns)
@@ -113,7 +113,7 @@
 	}
 	for i, column := range columns {
 		if header[i] != column {
-			return nil, damage(1, column, fmt.Sprintf("the header says %q", header[i]))
+			return nil, damage(1, column, fmt.Sprintf("the header has %q instead", header[i]))
 		}
 	}
 	var rows []Row
@@ -134,7 +134,7 @@
 	}
 }
 
-// lineOf is the line that a parser's error names.
+// lineOf returns the line number in a CSV parser's error, or 0 if it has none.
 func lineOf(err error) int {
 	var parsing *csv.ParseError
 	if errors.As(err, &parsing) {
@@ -148,13 +148,13 @@
 		Machine: fields[columnMachine], Commit: fields[columnCommit]}
 	var err error
 	if row.Size, err = strconv.Atoi(fields[columnSize]); err != nil {
-		return row, &RowError{Field: "size", Why: fmt.Sprintf("%q is no whole number", fields[columnSize])}
+		return row, &RowError{Field: "size", Why: fmt.Sprintf("%q is not an integer", fields[columnSize])}
 	}
 	if row.Seed, err = strconv.ParseUint(fields[columnSeed], 10, 64); err != nil {
-		return row, &RowError{Field: "seed", Why: fmt.Sprintf("%q is no whole number from 0", fields[columnSeed])}
+		return row, &RowError{Field: "seed", Why: fmt.Sprintf("%q is not an unsigned integer", fields[columnSeed])}
 	}
 	if row.Value, err = strconv.ParseFloat(fields[columnValue], 64); err != nil {
-		return row, &RowError{Field: "value", Why: fmt.Sprintf("%q is no number", fields[columnValue])}
+		return row, &RowError{Field: "value", Why: fmt.Sprintf("%q is not a number", fields[columnValue])}
 	}
 	return row, row.validate()
 }
@@ -164,7 +164,7 @@
 		strconv.FormatFloat(r.Value, 'g', -1, 64), r.Unit, r.Machine, r.Commit}
 }
 
-// check is fault as an error.
+// check returns the result of validate as an error.
 func (r Row) check() error {
 	if fault := r.validate(); fault != nil {
 		return fault
@@ -172,20 +172,20 @@
 	return nil
 }
 
-// fault tells why the file can't have a row, nil if it can.
+// validate returns why the file can't hold the row, or nil if it can.
 func (r Row) validate() *RowError {
 	texts := []struct{ field, text string }{{"role", r.Role}, {"what", r.What}, {"unit", r.Unit},
 		{"machine", r.Machine}, {"commit", r.Commit}}
 	for _, x := range texts {
 		if x.text == "" {
-			return &RowError{Field: x.field, Why: "it is empty"}
+			return &RowError{Field: x.field, Why: "empty"}
 		}
 	}
 	if r.Size < 0 {
-		return &RowError{Field: "size", Why: "it is below 0"}
+		return &RowError{Field: "size", Why: "below 0"}
 	}
 	if math.IsNaN(r.Value) || math.IsInf(r.Value, 0) {
-		return &RowError{Field: "value", Why: "it is not finite"}
+		return &RowError{Field: "value", Why: "not finite"}
 	}
 	return nil
 }
--- a/internal/capacity/capacity_test.go
+++ b/internal/capacity/capacity_test.go
@@ -17,10 +17,10 @@
 		Machine: "8 cores 24 GB", Commit: "0123456789ab"}
 }
 
-func TestRowsComeBackAsTheyWereAdded(t *testing.T) {
+func TestReadReturnsAppendedRows(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "capacity.csv")
 	if _, err := Read(path); !errors.Is(err, fs.ErrNotExist) {
-		t.Fatalf("a file that isn't there gives %v", err)
+		t.Fatalf("reading a missing file returns %v", err)
 	}
 	first, second := figure(40, 18591.25), figure(580, 1e-7)
 	second.What, second.Seed = "a comma, a \"quote\"", math.MaxUint64
@@ -38,7 +38,7 @@
 	}
 }
 
-func TestADamagedFileIsNamedAndLeftAlone(t *testing.T) {
+func TestDamagedFileIsReportedAndNotChanged(t *testing.T) {
 	const header = "role,what,size,seed,value,unit,machine,commit\n"
 	const good = "leader,bytes_sent,40,1,18591,bytes/s,8 cores 24 GB,0123456789ab\n"
 	cases := []struct {
@@ -47,22 +47,22 @@
 		field, says string
 	}{
 		{"empty", "", 1, "", "empty"},
-		{"cut in its header", "role,what,si", 1, "", "cut"},
+		{"truncated header", "role,what,si", 1, "", "truncated"},
 		{"no header", good, 1, "role", `"leader"`},
-		{"header of another order", "what,role,size,seed,value,unit,machine,commit\n", 1, "role", `"what"`},
-		{"header short of a column", "role,what,size,seed,value,unit,machine\n", 1, "", "number of fields"},
-		{"cut at the end", header + good + strings.TrimSuffix(good, "\n"), 3, "", "cut"},
-		{"cut in a line", header + good + "leader,bytes_s\n", 3, "", "number of fields"},
-		{"a column too many", header + "x," + good, 2, "", "number of fields"},
-		{"a size that is none", header + strings.Replace(good, ",40,", ",forty,", 1), 2, "size", `"forty"`},
-		{"a size below 0", header + strings.Replace(good, ",40,", ",-1,", 1), 2, "size", "below 0"},
-		{"a seed that is none", header + good + strings.Replace(good, ",1,", ",-1,", 1), 3, "seed", `"-1"`},
-		{"a value that is none", header + strings.Replace(good, "18591", "18,591", 1), 2, "", "number of fields"},
-		{"a value that can't be read", header + strings.Replace(good, "18591", "185x1", 1), 2, "value", `"185x1"`},
-		{"a value that isn't finite", header + strings.Replace(good, "18591", "NaN", 1), 2, "value", "finite"},
+		{"header in another order", "what,role,size,seed,value,unit,machine,commit\n", 1, "role", `"what"`},
+		{"header without its last column", "role,what,size,seed,value,unit,machine\n", 1, "", "number of fields"},
+		{"truncated last line", header + good + strings.TrimSuffix(good, "\n"), 3, "", "truncated"},
+		{"line without its last columns", header + good + "leader,bytes_s\n", 3, "", "number of fields"},
+		{"additional column", header + "x," + good, 2, "", "number of fields"},
+		{"size that is not a number", header + strings.Replace(good, ",40,", ",forty,", 1), 2, "size", `"forty"`},
+		{"size below 0", header + strings.Replace(good, ",40,", ",-1,", 1), 2, "size", "below 0"},
+		{"negative seed", header + good + strings.Replace(good, ",1,", ",-1,", 1), 3, "seed", `"-1"`},
+		{"value with an unquoted comma", header + strings.Replace(good, "18591", "18,591", 1), 2, "", "number of fields"},
+		{"value that is not a number", header + strings.Replace(good, "18591", "185x1", 1), 2, "value", `"185x1"`},
+		{"value that is not finite", header + strings.Replace(good, "18591", "NaN", 1), 2, "value", "finite"},
 		{"no unit", header + strings.Replace(good, "bytes/s", "", 1), 2, "unit", "empty"},
-		{"a quote that doesn't end", header + `"leader,` + good, 2, "", "quote"},
-		{"bytes of nothing", header + "\x00\x00\x00\n" + good, 2, "", "number of fields"},
+		{"unterminated quote", header + `"leader,` + good, 2, "", "quote"},
+		{"zero bytes", header + "\x00\x00\x00\n" + good, 2, "", "number of fields"},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -73,7 +73,7 @@
 			_, err := Read(path)
 			var damage *FileError
 			if !errors.As(err, &damage) {
-				t.Fatalf("%v is no FileError", err)
+				t.Fatalf("%v is not a FileError", err)
 			}
 			if damage.Path != path || damage.Line != c.line || damage.Field != c.field || !strings.Contains(damage.Why, c.says) {
 				t.Errorf("%+v: not line %d, field %q, %q", damage, c.line, c.field, c.says)
@@ -82,7 +82,7 @@
 				t.Errorf("%q, remedy %q", damage, damage.Remedy())
 			}
 			if err := Append(path, []Row{figure(40, 1)}); !errors.As(err, &damage) {
-				t.Errorf("adding to it gives %v", err)
+				t.Errorf("appending returns %v", err)
 			}
 			if after, _ := os.ReadFile(path); string(after) != c.text {
 				t.Errorf("the file was changed to %q", after)
@@ -91,7 +91,7 @@
 	}
 }
 
-func TestARowThatCantBeReadIsNotWritten(t *testing.T) {
+func TestInvalidRowIsNotWritten(t *testing.T) {
 	for field, spoil := range map[string]func(*Row){
 		"role": func(r *Row) { r.Role = "" }, "what": func(r *Row) { r.What = "" }, "size": func(r *Row) { r.Size = -1 },
 		"value": func(r *Row) { r.Value = math.Inf(1) }, "unit": func(r *Row) { r.Unit = "" },
@@ -102,10 +102,10 @@
 		spoil(&bad)
 		var fault *RowError
 		if err := Append(path, []Row{figure(40, 1), bad}); !errors.As(err, &fault) || fault.Field != field {
-			t.Errorf("a bad %s gives %v", field, err)
+			t.Errorf("appending a row with an invalid %s returns %v", field, err)
 		}
 		if _, err := os.Stat(path); !errors.Is(err, fs.ErrNotExist) {
-			t.Errorf("a bad %s left a file: %v", field, err)
+			t.Errorf("appending a row with an invalid %s left a file: %v", field, err)
 		}
 	}
 }
@@ -117,7 +117,7 @@
 	}
 }
 
-func TestSlope(t *testing.T) {
+func TestFitLine(t *testing.T) {
 	line := FitLine([]Row{figure(1, 13), figure(2, 15), figure(10, 31)})
 	near(t, "intercept", line.Intercept, 11)
 	near(t, "slope", line.Slope, 2)
@@ -126,7 +126,7 @@
 	if line.Points != 3 {
 		t.Error(line.Points, "points")
 	}
-	// by hand: slope 5/2, mean 13/3, left 1/6, -1/3, 1/6
+	// Computed by hand: slope 5/2, mean 13/3, residuals 1/6, -1/3, 1/6.
 	line = FitLine([]Row{figure(0, 2), figure(1, 4), figure(2, 7)})
 	near(t, "slope", line.Slope, 2.5)
 	near(t, "intercept", line.Intercept, 11./6)
@@ -138,7 +138,7 @@
 	}
 }
 
-func TestExponent(t *testing.T) {
+func TestFitPower(t *testing.T) {
 	power := FitPower([]Row{figure(0, 5), figure(1, 3), figure(10, 300), figure(100, 30000), figure(7, 0)})
 	near(t, "exponent", power.Exponent, 2)
 	near(t, "factor", power.Factor, 3)
@@ -151,7 +151,7 @@
 	}
 }
 
-func TestOrigin(t *testing.T) {
+func TestMachineAndCommit(t *testing.T) {
 	if machine := Machine(); !strings.Contains(machine, "cores") || !strings.HasSuffix(machine, "GB") {
 		t.Errorf("%q", machine)
 	}
@@ -170,7 +170,7 @@
 	}
 }
 
-func TestTooLittleRoomIsToldWithARemedy(t *testing.T) {
+func TestExceededResourcesAreReportedWithARemedy(t *testing.T) {
 	if err := errors.Join(CheckDescriptors(3), CheckMemory(1, 0.5)); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/capacity/errors.go
+++ b/internal/capacity/errors.go
@@ -6,11 +6,11 @@
 	"railrelay.dev/railrelay/internal/fleet"
 )
 
-// FileError is a line of the file of figures that can't be read.
+// FileError reports a line of the figures file that can't be read.
 type FileError struct {
 	Path  string
 	Line  int    // from 1
-	Field string // the column, empty if it is the line as a whole
+	Field string // the column, or empty for the line as a whole
 	Why   string
 }
 
@@ -21,31 +21,32 @@
 	return fmt.Sprintf("%s, line %d, %s: %s", e.Path, e.Line, e.Field, e.Why)
 }
 
-// Remedy says what to do.
+// Remedy tells the operator how to resolve the error.
 func (e *FileError) Remedy() string {
-	return "take the file's last whole version from git (git checkout -- FILE) and run the measurement again that added the line; " +
-		"figures are added by the program and not by hand"
+	return "restore the file's last intact version from git (git checkout -- FILE) and " +
+		"repeat the measurement that added the line; only the program adds figures, never by hand"
 }
 
-// RowError is a figure that the file can't hold.
+// RowError reports a figure that the file can't hold.
 type RowError struct {
 	Field string // the column
 	Why   string
 }
 
-func (e *RowError) Error() string { return fmt.Sprintf("a figure's %s: %s", e.Field, e.Why) }
+func (e *RowError) Error() string { return fmt.Sprintf("invalid %s of a figure: %s", e.Field, e.Why) }
 
-// Remedy says what to do.
+// Remedy tells the operator how to resolve the error.
 func (e *RowError) Remedy() string {
-	return "nothing was written: the measurement gave no such figure, so run it again; if that stays, its code is at fault"
+	return "nothing was written: the measurement produced an invalid figure; repeat it, " +
+		"and if the error persists, fix the measurement's code"
 }
 
-// RoomError is a size that this machine can't play, found before anything starts.
+// RoomError reports a size that exceeds this machine's resources, before the measurement starts.
 type RoomError struct {
-	What      string  // what there is too little of, such as "descriptors"
+	What      string  // the resource, such as "descriptors"
 	Need, Has float64 // in Unit
-	Unit      string  // empty for a plain count
-	Raise     string  // how more is had
+	Unit      string  // empty for a count
+	Raise     string  // how to raise the limit
 }
 
 func (e *RoomError) Error() string {
@@ -53,23 +54,24 @@
 	if unit != "" {
 		unit = " " + unit
 	}
-	return fmt.Sprintf("the size asked for takes %.0f%s of %s, and here there are %.0f%s", e.Need, unit, e.What, e.Has, unit)
+	return fmt.Sprintf("the requested size needs %.0f%s of %s, but this machine has %.0f%s",
+		e.Need, unit, e.What, e.Has, unit)
 }
 
-// Remedy says what to do.
-func (e *RoomError) Remedy() string { return "ask for a smaller size, or " + e.Raise }
+// Remedy tells the operator how to resolve the error.
+func (e *RoomError) Remedy() string { return "request a smaller size, or " + e.Raise }
 
-// SizeError is a size that can't be measured.
+// SizeError reports a size outside the limits of a measurement.
 type SizeError struct{ What, Why string }
 
-func (e *SizeError) Error() string { return fmt.Sprintf("the %s: %s", e.What, e.Why) }
+func (e *SizeError) Error() string { return fmt.Sprintf("invalid %s: %s", e.What, e.Why) }
 
-// Remedy says what to do.
-func (e *SizeError) Remedy() string { return "ask for one within its bounds; nothing was started" }
+// Remedy tells the operator how to resolve the error.
+func (e *SizeError) Remedy() string { return "request a size within the limits; nothing was started" }
 
-// Errors is one of each, for the test that walks all of them.
+// Errors returns one error of each type, for the test of all remedies.
 func Errors() []fleet.ErrorWithRemedy {
-	return []fleet.ErrorWithRemedy{&FileError{"capacity.csv", 2, "size", "some reason"}, &RowError{"unit", "it is empty"},
+	return []fleet.ErrorWithRemedy{&FileError{"capacity.csv", 2, "size", "some reason"}, &RowError{"unit", "empty"},
 		&RoomError{What: "descriptors", Need: 30000, Has: 20000, Raise: "raise it"}, &SizeError{"engines", "0 is under 1"},
 		&FormulaError{"slope(1)", "a figure is missing"}, &PageError{4, fmt.Errorf("two cells in a table of three columns")}}
 }
--- a/internal/capacity/fill_test.go
+++ b/internal/capacity/fill_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-func TestWhatIsMissingIsPutInOrder(t *testing.T) {
+func TestMissingTableIsSortedByRatio(t *testing.T) {
 	const head = MissingHeading + "\n\ntext\n\n| Needed | Allowed | Ratio | Source |\n| --- | --- | --- | --- |\n"
 	rows := []Row{figure(10, 1000), figure(20, 2000)}
 	low, high := "| 1,000 | 500 | 2 | `\"leader/bytes_sent/10\"` |", "| 2,000 | 500 | 4 | `\"leader/bytes_sent/20\"` |"
@@ -40,7 +40,7 @@
 	}
 }
 
-func TestFill(t *testing.T) {
+func TestFillPage(t *testing.T) {
 	rows := []Row{figure(10, 1000), figure(20, 2000), figure(20, 2600), figure(20, 2100)}
 	const head = "text\n| Figure | Needed | Allowed | Ratio | Source |\n| --- | --- | --- | --- | --- |\n"
 	fill := func(line string) string {
@@ -73,7 +73,7 @@
 		}
 	}
 	if _, err := FillPage("| Source |\n| --- |\n| `1` |", rows); err == nil {
-		t.Error("a table without what is needed is taken")
+		t.Error("a table without the column Needed is accepted")
 	}
 	plain := "| a | Source of b |\n| --- | --- |\n| 1 | 2 |"
 	if filled, err := FillPage(plain, rows); err != nil || filled.Text != plain || filled.Figures != 0 {
@@ -81,7 +81,7 @@
 	}
 }
 
-func TestFormulasOfCurves(t *testing.T) {
+func TestCurveFormulas(t *testing.T) {
 	rows := []Row{figure(10, 100), figure(20, 200), figure(40, 390), figure(40, 410)}
 	for formula, want := range map[string]float64{
 		`slope("leader/bytes_sent")`: 10, `intercept("leader/bytes_sent")`: 0, `line("leader/bytes_sent", 580)`: 5800,
@@ -105,11 +105,11 @@
 	}
 }
 
-func TestPrinted(t *testing.T) {
+func TestFormatFigure(t *testing.T) {
 	for value, want := range map[float64]string{0: "0", 0.00012345: "0.000123", 0.9996: "1", 1.5: "1.5", 12.34: "12.3", 123.4: "123",
 		999.9: "1,000", 12345: "12,300", 2278912: "2,280,000", -45678: "-45,700", 100: "100"} {
 		if got := formatFigure(value); got != want {
-			t.Errorf("%v is shown as %s, not %s", value, got, want)
+			t.Errorf("%v is formatted as %s, not %s", value, got, want)
 		}
 	}
 }
--- a/internal/capacity/fit.go
+++ b/internal/capacity/fit.go
@@ -6,7 +6,7 @@
 	"gonum.org/v1/gonum/stat"
 )
 
-// Select returns the rows of a role's figure, of all sizes, in their order.
+// Select returns the rows of one figure of a role, of all sizes, in their order.
 func Select(rows []Row, role, what string) []Row {
 	var found []Row
 	for _, row := range rows {
@@ -21,16 +21,16 @@
 type Line struct {
 	// Intercept is the value at size 0, in the rows' unit.
 	Intercept float64
-	// Slope is the value for each further one of the size, in the rows' unit.
+	// Slope is the increase of the value per unit of size, in the rows' unit.
 	Slope float64
-	// Residual is the root of the mean square of what the line leaves, in the rows' unit.
+	// Residual is the root mean square of the residuals, in the rows' unit.
 	Residual float64
 	// Points is the number of rows.
 	Points int
 }
 
-// Slope fits a line by least squares. Rows of fewer than two sizes have none: all but
-// Points is NaN then.
+// FitLine fits a line to rows by least squares. For rows of fewer than two sizes all fields but Points
+// are NaN.
 func FitLine(rows []Row) Line {
 	sizes, values := make([]float64, len(rows)), make([]float64, len(rows))
 	for i, row := range rows {
@@ -41,25 +41,24 @@
 	return line
 }
 
-// At is the line's value at a size.
+// At returns the line's value at a size.
 func (l Line) At(size int) float64 { return l.Intercept + l.Slope*float64(size) }
 
-// Power is a curve Factor x size^Exponent through a figure's values.
+// Power is a power law, Factor * size^Exponent, through a figure's values.
 type Power struct {
 	// Factor is the value at size 1, in the rows' unit.
 	Factor float64
-	// Exponent is 1 where the value grows with the size, 0 where it doesn't depend on it.
+	// Exponent is 1 if the value is proportional to the size, and 0 if it is independent of the size.
 	Exponent float64
-	// Residual is the root of the mean square of what the curve leaves of the natural
-	// logarithms: 0.1 is about a tenth of the value.
+	// Residual is the root mean square of the residuals of the natural logarithms: 0.1 is about a
+	// tenth of the value.
 	Residual float64
 	// Points is the number of rows that the curve was fitted to.
 	Points int
 }
 
-// Exponent fits a power of the size, as a line through the logarithms. Rows without
-// one, of a size or value that isn't above 0, are left out. Fewer than two sizes have
-// no curve: all but Points is NaN then.
+// FitPower fits a power law to rows, as a line through the logarithms. It skips rows whose size or value
+// isn't above 0, since they have no logarithm. For fewer than two sizes all fields but Points are NaN.
 func FitPower(rows []Row) Power {
 	var sizes, values []float64
 	for _, row := range rows {
@@ -74,7 +73,8 @@
 	return power
 }
 
-// leastSquares is a line through points and what it leaves, all NaN where x never changes.
+// leastSquares returns the least-squares line through points and the root mean square of its residuals.
+// All three are NaN if all x are equal.
 func leastSquares(x, y []float64) (intercept, slope, residual float64) {
 	if !changes(x) {
 		return math.NaN(), math.NaN(), math.NaN()
@@ -88,6 +88,7 @@
 	return intercept, slope, math.Sqrt(squares / float64(len(x)))
 }
 
+// changes reports whether not all values of x are equal.
 func changes(x []float64) bool {
 	for _, value := range x {
 		if value != x[0] {
--- a/internal/capacity/formula.go
+++ b/internal/capacity/formula.go
@@ -13,26 +13,26 @@
 	"gonum.org/v1/gonum/stat"
 )
 
-// NotMeasuredError is a formula that names a figure of which there is no row yet.
+// NotMeasuredError reports a formula that names a figure without rows.
 type NotMeasuredError struct{ Key string }
 
 func (e *NotMeasuredError) Error() string { return e.Key + " has no row" }
 
-// FormulaError is a formula that can't be worked out, measured or not.
+// FormulaError reports an invalid formula.
 type FormulaError struct{ Formula, Why string }
 
 func (e *FormulaError) Error() string { return fmt.Sprintf("%s: %s", e.Formula, e.Why) }
 
-// Remedy says what to do.
+// Remedy tells the operator how to resolve the error.
 func (e *FormulaError) Remedy() string {
 	return `write figures as "role/what/size", with + - * / and numbers, or as slope("role/what"), intercept("role/what"), ` +
 		`residual("role/what"), exponent("role/what"), line("role/what", size), most("role/what/size"), least("role/what/size")`
 }
 
-// Evaluate works out a formula over rows. A figure, "role/what/size", is the median of
-// its rows; most and least give the largest and smallest of them. slope, intercept,
-// residual, exponent and line fit all rows of "role/what" over their sizes; only those of
-// the sizes that follow, if any do. The error is an *NotMeasuredError or a *FormulaError.
+// Evaluate computes a formula over rows. A figure, "role/what/size", is the median of its rows; most and
+// least return the largest and smallest of them. slope, intercept, residual, exponent and line fit the
+// rows of "role/what" over their sizes: all rows, or only those of the sizes that follow as further
+// arguments. The error is a *NotMeasuredError or a *FormulaError.
 func Evaluate(formula string, rows []Row) (float64, error) {
 	tree, err := parser.ParseExpr(formula)
 	if err != nil {
@@ -46,7 +46,7 @@
 	return value, err
 }
 
-// evaluation is one formula being worked out.
+// evaluation is the evaluation of one formula.
 type evaluation struct {
 	formula string
 	rows    []Row
@@ -72,7 +72,7 @@
 		}
 		return f.number(x)
 	}
-	return 0, f.formulaError("it has something else than figures, numbers, functions and + - * /")
+	return 0, f.formulaError("only figures, numbers, functions and + - * / are allowed")
 }
 
 func (f *evaluation) number(x ast.Expr) (float64, error) {
@@ -102,13 +102,13 @@
 	case token.QUO:
 		return left / right, nil
 	}
-	return 0, f.formulaError("there is no " + x.Op.String())
+	return 0, f.formulaError("unknown operator " + x.Op.String())
 }
 
 func (f *evaluation) call(x *ast.CallExpr) (float64, error) {
 	name, ok := x.Fun.(*ast.Ident)
 	if !ok || len(x.Args) == 0 {
-		return 0, f.formulaError("a function without a name or a figure")
+		return 0, f.formulaError("a function needs a name and a figure")
 	}
 	switch name.Name {
 	case "most", "least":
@@ -122,7 +122,7 @@
 		return slices.Min(values), nil
 	case "line":
 		if len(x.Args) < 2 {
-			return 0, f.formulaError("line wants a figure and a size")
+			return 0, f.formulaError("line needs a figure and a size")
 		}
 		size, err := f.number(x.Args[1])
 		if err != nil {
@@ -139,10 +139,10 @@
 		return map[string]float64{"slope": line.Slope, "intercept": line.Intercept, "residual": line.Residual,
 			"exponent": FitPower(rows).Exponent}[name.Name], nil
 	}
-	return 0, f.formulaError("there is no function " + name.Name)
+	return 0, f.formulaError("unknown function " + name.Name)
 }
 
-// parts splits a string literal, a key of so many parts.
+// keyParts splits a key, a string literal, into its n parts.
 func (f *evaluation) keyParts(x ast.Expr, n int) ([]string, error) {
 	literal, ok := x.(*ast.BasicLit)
 	if !ok || literal.Kind != token.STRING {
@@ -159,7 +159,7 @@
 	return parts, nil
 }
 
-// figure is the values of "role/what/size", in order.
+// figure returns the values of "role/what/size" in ascending order.
 func (f *evaluation) figure(x ast.Expr) ([]float64, error) {
 	parts, err := f.keyParts(x, 3)
 	if err != nil {
@@ -167,7 +167,7 @@
 	}
 	size, err := strconv.Atoi(parts[2])
 	if err != nil {
-		return nil, f.formulaError(fmt.Sprintf("%q is no size", parts[2]))
+		return nil, f.formulaError(fmt.Sprintf("%q is not a size", parts[2]))
 	}
 	var values []float64
 	for _, row := range Select(f.rows, parts[0], parts[1]) {
@@ -182,8 +182,8 @@
 	return values, nil
 }
 
-// curve is the rows of "role/what", only those of some sizes if any are named; there
-// must be two sizes.
+// curve returns the rows of "role/what", limited to the given sizes if there are any. The rows must
+// have at least two sizes.
 func (f *evaluation) curve(x ast.Expr, sizes []ast.Expr) ([]Row, error) {
 	parts, err := f.keyParts(x, 2)
 	if err != nil {
--- a/internal/capacity/missing.go
+++ b/internal/capacity/missing.go
@@ -6,11 +6,11 @@
 	"strings"
 )
 
-// MissingHeading stands before the table that is kept in order, the worst ratio first and
-// rows without a ratio last.
+// MissingHeading is the heading of the table that FillPage sorts by ratio, the highest first and rows
+// without a ratio last.
 const MissingHeading = "## What is missing, in order"
 
-// sortMissing puts the rows of the table under MissingHeading in order.
+// sortMissing sorts the rows of the table under MissingHeading by their ratios.
 func sortMissing(lines []string) {
 	heading := slices.Index(lines, MissingHeading)
 	if heading < 0 {
@@ -23,7 +23,7 @@
 	}
 	columns, _ := cellsOf(lines[header])
 	ratio := slices.Index(columns, ratioColumn)
-	first := min(header+2, len(lines)) // behind the rule
+	first := min(header+2, len(lines)) // after the delimiter row
 	last := first
 	for last < len(lines) && isRow(lines[last]) {
 		last++
@@ -39,9 +39,9 @@
 	slices.SortStableFunc(lines[first:last], func(a, b string) int { return cmp.Compare(ratioOf(b), ratioOf(a)) })
 }
 
-// Missing holds the table under MissingHeading against all others of a filled page, by
-// their formulas: unlisted are rows over their allowance that it lacks, within are rows
-// of it that are measured and over their allowance nowhere else.
+// Missing compares the table under MissingHeading with all other tables of a filled page, by the rows'
+// formulas. unlisted are the rows over their allowance that the table lacks; within are its measured
+// rows that exceed their allowance in no other table.
 func Missing(page string) (unlisted, within []string) {
 	before, after, _ := strings.Cut(page, MissingHeading)
 	others, listed := ratiosOf(before), ratiosOf(after)
@@ -62,13 +62,13 @@
 	return unlisted, within
 }
 
-// ratioRow is a row of a table with a ratio; 0: there is none yet.
+// ratioRow is a table row with its ratio, which is 0 if the figure is not measured.
 type ratioRow struct {
 	line, source string
 	ratio        float64
 }
 
-// ratiosOf are all rows of a text's tables that have columns for a ratio and a source.
+// ratiosOf returns the rows of all tables in text that have the columns Ratio and Source.
 func ratiosOf(text string) (rows []ratioRow) {
 	var columns []string
 	for line := range strings.SplitSeq(text, "\n") {
--- a/internal/capacity/origin.go
+++ b/internal/capacity/origin.go
@@ -9,14 +9,14 @@
 	"syscall"
 )
 
-// commitLength is how many letters of a commit's name are kept.
+// commitLength is the number of characters of a commit hash that are kept.
 const commitLength = 12
 
-// unknown stands where a machine or commit can't be told.
+// unknown stands for a commit that can't be determined.
 const unknown = "unknown"
 
-// Machine names this machine by what matters to a figure: the cores that this process
-// may use, and the memory in GB of 2^30 bytes, such as "8 cores 24 GB".
+// Machine describes this machine by the cores that this process may use and the memory in GB of 2^30
+// bytes, such as "8 cores 24 GB".
 func Machine() string {
 	var info syscall.Sysinfo_t
 	if syscall.Sysinfo(&info) != nil {
@@ -26,9 +26,9 @@
 	return fmt.Sprintf("%d cores %.0f GB", runtime.NumCPU(), bytes/(1<<30))
 }
 
-// Commit names the source that this program was built from, with "+changes" where it
-// had changes that were not committed. Where the build doesn't tell (-buildvcs=false),
-// it is what git says of the current directory, docs/ apart; else "unknown".
+// Commit returns the commit that this program was built from, with "+changes" if the source had
+// uncommitted changes. If the build has no such information (-buildvcs=false), Commit asks git about the
+// current directory without docs/. If that fails too, it returns "unknown".
 func Commit() string {
 	if info, ok := debug.ReadBuildInfo(); ok {
 		if commit := commitFromBuild(info.Settings); commit != unknown {
@@ -38,7 +38,7 @@
 	return commitFromGit()
 }
 
-// checkedOut is the commit of the current directory.
+// commitFromGit returns the commit that is checked out in the current directory.
 func commitFromGit() string {
 	revision, err := exec.Command("git", "rev-parse", "HEAD").Output()
 	if err != nil {
@@ -46,13 +46,15 @@
 	}
 	commit := strings.TrimSpace(string(revision))
 	commit = commit[:min(len(commit), commitLength)]
-	changed, err := exec.Command("git", "status", "--porcelain", "--untracked-files=no", "--", ":/", ":(exclude,top)docs").Output()
+	changed, err := exec.Command("git", "status", "--porcelain", "--untracked-files=no",
+		"--", ":/", ":(exclude,top)docs").Output()
 	if err != nil || len(changed) > 0 {
 		commit += "+changes"
 	}
 	return commit
 }
 
+// commitFromBuild returns the commit in the build settings, or unknown.
 func commitFromBuild(settings []debug.BuildSetting) string {
 	revision, changes := unknown, ""
 	for _, setting := range settings {
--- a/internal/capacity/page.go
+++ b/internal/capacity/page.go
@@ -9,9 +9,8 @@
 	"strings"
 )
 
-// Columns of the page's tables that are filled from the file of figures. A table with a
-// column Source has its column Needed worked out by the formula there, which stands in
-// backticks, and its column Ratio as Needed over Allowed.
+// Columns of the page's tables that are filled from the figures file. In a table with a column Source,
+// the formula there, in backticks, gives the column Needed, and Ratio is Needed divided by Allowed.
 const (
 	neededColumn  = "Needed"
 	allowedColumn = "Allowed"
@@ -19,13 +18,13 @@
 	sourceColumn  = "Source"
 )
 
-// What stands where there is no figure.
+// Contents of a cell without a figure.
 const (
 	notMeasured = "not measured"
 	noRatio     = "-"
 )
 
-// PageError is a row of a table that can't be filled.
+// PageError reports a table row that can't be filled.
 type PageError struct {
 	Line int // from 1
 	Err  error
@@ -33,10 +32,10 @@
 
 func (e *PageError) Error() string { return fmt.Sprintf("line %d: %v", e.Line, e.Err) }
 
-// Unwrap gives what is wrong.
+// Unwrap returns the cause.
 func (e *PageError) Unwrap() error { return e.Err }
 
-// Remedy says what to do.
+// Remedy tells the operator how to resolve the error.
 func (e *PageError) Remedy() string {
 	var formula *FormulaError
 	if errors.As(e.Err, &formula) {
@@ -45,22 +44,22 @@
 	return "give the row as many cells as its table has columns, with a formula in backticks under " + sourceColumn
 }
 
-// Filled is a page with its figures as the rows give them.
+// FilledPage is a page whose figures were computed from the rows.
 type FilledPage struct {
 	Text string
-	// Figures is how many cells under Needed and Ratio were worked out, Open how many
-	// formulas name figures that are not measured yet.
+	// Figures is the number of computed cells under Needed and Ratio. Unmeasured is the number of
+	// formulas that name figures without rows.
 	Figures, Unmeasured int
-	// Changed are the lines, from 1, in which something else stood.
+	// Changed lists the lines, from 1, that differ from the given page.
 	Changed []int
 }
 
-// Fill works out the figures of a page's tables, and puts the one under MissingHeading in
-// order. What stands behind the number of a cell stays as it is. The error is a *PageError.
+// FillPage computes the figures of a page's tables, and sorts the table under MissingHeading. It keeps
+// the text after the number of a cell, such as a unit. The error is a *PageError.
 func FillPage(page string, rows []Row) (FilledPage, error) {
 	lines := strings.Split(page, "\n")
 	filled := FilledPage{}
-	var columns []string // of the table that the line is in
+	var columns []string // of the current table
 	for i, line := range lines {
 		cells, is := cellsOf(line)
 		switch {
@@ -89,7 +88,7 @@
 	return filled, nil
 }
 
-// cellsOf splits a table's line; false if it is none.
+// cellsOf splits a table row into its cells. It returns false for a line outside a table.
 func cellsOf(line string) ([]string, bool) {
 	if !strings.HasPrefix(line, "|") || !strings.HasSuffix(line, "|") || len(line) < 2 {
 		return nil, false
@@ -101,12 +100,12 @@
 	return cells, true
 }
 
-// isRule tells the line under a table's header.
+// isRule reports whether cells form the delimiter row under a table's header.
 func isRule(cells []string) bool {
 	return !slices.ContainsFunc(cells, func(cell string) bool { return strings.Trim(cell, "-: ") != "" || cell == "" })
 }
 
-// row fills one row of a table.
+// fillRow returns the cells of one table row with its figures filled in.
 func (f *FilledPage) fillRow(columns, cells []string, rows []Row) ([]string, error) {
 	if len(cells) != len(columns) {
 		return nil, fmt.Errorf("%d cells in a table of %d columns", len(cells), len(columns))
@@ -120,12 +119,12 @@
 	}
 	needed := cell(neededColumn)
 	if needed == nil {
-		return nil, fmt.Errorf("a table with a column %s has no column %s", sourceColumn, neededColumn)
+		return nil, fmt.Errorf("the table has a column %s but no column %s", sourceColumn, neededColumn)
 	}
 	formula, ok := strings.CutPrefix(*cell(sourceColumn), "`")
 	formula, closed := strings.CutSuffix(formula, "`")
 	if !ok || !closed {
-		return nil, fmt.Errorf("%q is no formula in backticks", *cell(sourceColumn))
+		return nil, fmt.Errorf("%q is not a formula in backticks", *cell(sourceColumn))
 	}
 	value, err := Evaluate(formula, rows)
 	var open *NotMeasuredError
@@ -149,8 +148,7 @@
 	return cells, nil
 }
 
-// replaceNumber puts another text for the number, or the word that there is none, that a
-// cell begins with.
+// replaceNumber replaces the number, or notMeasured, at the start of a cell with text.
 func replaceNumber(cell, text string) string {
 	rest, was := strings.CutPrefix(cell, notMeasured)
 	if !was {
@@ -162,17 +160,17 @@
 	return text + rest
 }
 
-// numberOf reads the number that a cell begins with.
+// numberOf parses the number at the start of a cell. It returns false unless the number is above 0.
 func numberOf(cell string) (float64, bool) {
 	word, _, _ := strings.Cut(cell, " ")
 	value, err := strconv.ParseFloat(strings.ReplaceAll(word, ",", ""), 64)
 	return value, err == nil && value > 0
 }
 
-// printedDigits is how many digits of a figure the page shows.
+// significantDigits is the number of significant digits of a figure on the page.
 const significantDigits = 3
 
-// printed is a figure as the page shows it: three digits, and commas between thousands.
+// formatFigure formats a figure with significantDigits digits and commas between thousands.
 func formatFigure(value float64) string {
 	if value == 0 {
 		return "0"
--- a/internal/capacity/page_test.go
+++ b/internal/capacity/page_test.go
@@ -25,9 +25,9 @@
 	return string(page), rows
 }
 
-// The page's tables are what the file of figures gives. One who adds rows fills the page
-// anew: bin/railrelay-bench page.
-func TestThePageAgreesWithTheFigures(t *testing.T) {
+// The tables of the page must equal those computed from the figures file. After adding rows, run
+// bin/railrelay-bench page to update the page.
+func TestPageAgreesWithFigures(t *testing.T) {
 	page, rows := readPage(t)
 	filled, err := FillPage(page, rows)
 	if err != nil {
@@ -37,19 +37,19 @@
 	for _, line := range filled.Changed {
 		t.Errorf("line %d says\n%s\nand %s gives\n%s", line, was[line-1], filePath, is[line-1])
 	}
-	const least = 40 // a page without tables would agree with anything
+	const least = 40 // a page without tables would pass any comparison
 	if filled.Figures < least {
 		t.Errorf("only %d figures were checked", filled.Figures)
 	}
 	t.Logf("%d figures, %d formulas not measured yet", filled.Figures, filled.Unmeasured)
 }
 
-// Each figure of the page, spoilt in a copy, is found on its line; so is a figure of the
-// file that is another.
-func TestAWrongFigureOnThePageIsFound(t *testing.T) {
+// A wrong figure in a copy of the page must be found on its line, for each figure. Changed values in
+// the figures file must be found too.
+func TestWrongFigureOnPageIsFound(t *testing.T) {
 	page, rows := readPage(t)
 	lines := strings.Split(page, "\n")
-	spoilt := 0
+	changed := 0
 	var columns []string
 	for i, line := range lines {
 		cells, is := cellsOf(line)
@@ -70,15 +70,15 @@
 			bad[at] = "9" + bad[at] // 1.05 becomes 91.05
 			copied := append([]string{}, lines...)
 			copied[i] = "| " + strings.Join(bad, " | ") + " |"
-			spoilt++
+			changed++
 			filled, err := FillPage(strings.Join(copied, "\n"), rows)
 			if err != nil || !reflect.DeepEqual(filled.Changed, []int{i + 1}) || filled.Text != page {
-				t.Errorf("line %d, %s spoilt to %q: lines %v found, %v", i+1, column, bad[at], filled.Changed, err)
+				t.Errorf("line %d, %s changed to %q: lines %v found, %v", i+1, column, bad[at], filled.Changed, err)
 			}
 		}
 	}
-	if spoilt < 40 {
-		t.Errorf("only %d figures were spoilt", spoilt)
+	if changed < 40 {
+		t.Errorf("only %d figures were changed", changed)
 	}
 	for i := range rows {
 		rows[i].Value *= 2
@@ -88,15 +88,15 @@
 	}
 }
 
-// What is over its allowance anywhere on the page stands in the table of what is missing,
-// and nothing else does.
-func TestAllThatIsMissingIsListed(t *testing.T) {
+// The table under MissingHeading must list exactly the rows that exceed their allowance elsewhere on
+// the page.
+func TestMissingTableListsRowsOverAllowance(t *testing.T) {
 	page, _ := readPage(t)
 	unlisted, within := Missing(page)
 	for _, line := range unlisted {
-		t.Errorf("over its allowance, and not listed under %q:\n%s", MissingHeading, line)
+		t.Errorf("over its allowance but not listed under %q:\n%s", MissingHeading, line)
 	}
 	for _, line := range within {
-		t.Errorf("listed as missing, and over its allowance in no other table:\n%s", line)
+		t.Errorf("listed as missing but over its allowance in no other table:\n%s", line)
 	}
 }
--- a/internal/capacity/room.go
+++ b/internal/capacity/room.go
@@ -2,9 +2,8 @@
 
 import "syscall"
 
-// CheckDescriptors tells whether one process of this user may hold so many files and
-// connections at once: nil, or a *RoomError. The soft limit is what counts, since a Go
-// program raises it to the hard one as it starts.
+// CheckDescriptors returns a *RoomError if this process may not open as many files and connections at
+// once. It compares with the soft limit, which a Go program raises to the hard limit when it starts.
 func CheckDescriptors(need int) error {
 	var limit syscall.Rlimit
 	if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &limit); err != nil {
@@ -17,16 +16,16 @@
 		Raise: "raise the limit of open files (ulimit -Hn, LimitNOFILE of a systemd unit)"}
 }
 
-// CheckMemory tells whether so many MB are under a part of this machine's memory: nil,
-// or a *RoomError. part is from 0 to 1.
-func CheckMemory(needMB, part float64) error {
+// CheckMemory returns a *RoomError if needMB exceeds a fraction, from 0 to 1, of this machine's memory.
+func CheckMemory(needMB, fraction float64) error {
 	var info syscall.Sysinfo_t
 	if err := syscall.Sysinfo(&info); err != nil {
 		return err
 	}
-	has := float64(info.Totalram) * float64(info.Unit) * part / (1 << 20)
+	has := float64(info.Totalram) * float64(info.Unit) * fraction / (1 << 20)
 	if needMB <= has {
 		return nil
 	}
-	return &RoomError{What: "memory", Need: needMB, Has: has, Unit: "MB", Raise: "run it on a machine with more memory"}
+	return &RoomError{What: "memory", Need: needMB, Has: has, Unit: "MB",
+		Raise: "run it on a machine with more memory"}
 }
