--- a/internal/historycheck/check.go
+++ b/internal/historycheck/check.go
@@ -172,26 +172,26 @@
 // a later one has already run.
 func (h *History) checkKeyOrder(now time.Duration, q *query) {
 	before := true
-	for _, x := range h.keys[q.key] {
+	for _, other := range h.keys[q.key] {
 		switch {
-		case x == q:
+		case other == q:
 			before = false
-		case before && !x.answered && !x.clientLeft:
-			h.AddFault(now, fmt.Sprintf("rule 5: %s sent before %s of the same key was answered", q.id, x.id))
+		case before && !other.answered && !other.clientLeft:
+			h.AddFault(now, fmt.Sprintf("rule 5: %s sent before %s of the same key was answered", q.id, other.id))
 		case before:
-			for _, r := range x.runs {
+			for _, r := range other.runs {
 				h.OrderChecks++
 				switch {
 				case !r.ended:
-					h.AddFault(now, fmt.Sprintf("rule 5: %s sent while %s of the same key runs", q.id, x.id))
+					h.AddFault(now, fmt.Sprintf("rule 5: %s sent while %s of the same key runs", q.id, other.id))
 				case h.RestAfterFailure && !r.ok && now < r.endedAt+h.KeyRest:
 					h.AddFault(now, fmt.Sprintf("rule 5: %s started %v after %s of the same key failed",
-						q.id, now-r.endedAt, x.id))
+						q.id, now-r.endedAt, other.id))
 				}
 			}
-		case len(x.runs) > 0:
+		case len(other.runs) > 0:
 			h.AddFault(now, fmt.Sprintf("rule 5: %s started after %s of the same key, which arrived later",
-				q.id, x.id))
+				q.id, other.id))
 		}
 	}
 }
@@ -207,9 +207,9 @@
 	}
 }
 
-// Answered records the answer to a client. rows are the bytes that the client received, made the
+// Answered records the answer to a client. rows are the bytes that the client received, expected the
 // bytes that engines produce for the query.
-func (h *History) Answered(now time.Duration, id string, as Answer, rows, made []byte) {
+func (h *History) Answered(now time.Duration, id string, outcome Answer, rows, expected []byte) {
 	q := h.queries[id]
 	switch {
 	case q == nil:
@@ -221,18 +221,19 @@
 		h.AddFault(now, "answer to "+id+", whose client left")
 	}
 	q.answered, q.answeredAt = true, now
-	h.Answers[as]++
+	h.Answers[outcome]++
 	good := false
 	for _, r := range q.runs {
 		good = good || r.ok
 	}
-	switch as {
+	switch outcome {
 	case Finished:
 		if !good {
 			h.AddFault(now, "query answered as finished, but no engine completed it: "+id)
 		}
-		if !bytes.Equal(rows, made) {
-			h.AddFault(now, fmt.Sprintf("%s finished with %d bytes, but engines produce %d", id, len(rows), len(made)))
+		if !bytes.Equal(rows, expected) {
+			h.AddFault(now, fmt.Sprintf("%s finished with %d bytes, but engines produce %d",
+				id, len(rows), len(expected)))
 		}
 		if now > q.deadline+answerTolerance {
 			h.AddFault(now, fmt.Sprintf("rule 1: %s finished %v after its deadline", id, now-q.deadline))
--- a/internal/historycheck/fleet.go
+++ b/internal/historycheck/fleet.go
@@ -153,9 +153,9 @@
 	if len(f.Faults) >= maxFaults {
 		return
 	}
-	x := Fault{Kind: kind, Description: description}
+	fault := Fault{Kind: kind, Description: description}
 	if from >= 0 && from < len(f.steps) {
-		x.Excerpt = append(x.Excerpt, f.steps[from])
+		fault.Excerpt = append(fault.Excerpt, f.steps[from])
 	}
 	subjects := f.steps[to].Subjects
 	related := func(subject string) bool { return slices.Contains(subjects, subject) }
@@ -168,8 +168,8 @@
 	if len(between) > maxExcerptSteps {
 		between = between[len(between)-maxExcerptSteps:]
 	}
-	x.Excerpt = append(append(x.Excerpt, between...), f.steps[to])
-	f.Faults = append(f.Faults, x)
+	fault.Excerpt = append(append(fault.Excerpt, between...), f.steps[to])
+	f.Faults = append(f.Faults, fault)
 }
 
 // Count returns the number of recorded faults of a kind.
@@ -192,9 +192,9 @@
 }
 
 // Acted records that a controller accepted, released or submitted a query under a policy version.
-// asked is when the client sent the query. A query sent after a later version was observed is
+// sent is when the client sent the query. A query sent after a later version was observed is
 // checked without slack.
-func (f *FleetHistory) Acted(now, asked time.Duration, controller, query string, version uint64) {
+func (f *FleetHistory) Acted(now, sent time.Duration, controller, query string, version uint64) {
 	f.initMaps()
 	f.Acts++
 	step := f.noteFrequent(now, fmt.Sprintf("%s acted on %s by version %d", controller, query, version),
@@ -203,17 +203,17 @@
 		f.firstByVersion[version] = observation{now, step}
 	}
 	for v, s := range f.firstByVersion {
-		if v > version && (asked > s.at || now > s.at+f.Slack) {
+		if v > version && (sent > s.at || now > s.at+f.Slack) {
 			f.addFault(StaleVersion, fmt.Sprintf("%s acted by version %d, %v after an act by version %d",
 				controller, version, now-s.at, v), s.step, step)
 			return
 		}
 	}
 	for id, c := range f.changes {
-		if c.outcome == "in force" && c.version > version && asked > c.at {
+		if c.outcome == "in force" && c.version > version && sent > c.at {
 			f.addFault(PartialChange, fmt.Sprintf(
 				"%s acted by version %d on a query sent %v after %s (version %d) was reported as in force",
-				controller, version, asked-c.at, id, c.version), c.step, step)
+				controller, version, sent-c.at, id, c.version), c.step, step)
 			return
 		}
 	}
@@ -333,27 +333,27 @@
 }
 
 // covers reports whether the purge must remove a result.
-func (p *purge) covers(d resultStart) bool {
-	if p.scope.Team != d.team || d.at >= p.requested ||
+func (p *purge) covers(result resultStart) bool {
+	if p.scope.Team != result.team || result.at >= p.requested ||
 		p.scope.RetainedBeforeMs > 0 || len(p.scope.OutsideSites) > 0 {
 		return false // scopes by retention time or site are checked where these are known
 	}
-	usesTable := func(table int64) bool { return slices.Contains(d.tables, table) }
+	usesTable := func(table int64) bool { return slices.Contains(result.tables, table) }
 	return len(p.scope.Tables) == 0 || slices.ContainsFunc(p.scope.Tables, usesTable)
 }
 
 // Served records that a controller served stored bytes of the query source, as a page or as the answer
-// to another query. asked is when the client requested them.
-func (f *FleetHistory) Served(now, asked time.Duration, controller, source string) {
+// to another query. requested is when the client asked for them.
+func (f *FleetHistory) Served(now, requested time.Duration, controller, source string) {
 	f.initMaps()
 	step := f.noteFrequent(now, controller+" serves the result of "+source, controller, source)
-	for id, p := range f.purges {
-		if p.covers(f.results[source]) && (asked > p.unreachable.at ||
-			p.unreachable.at != never && now > p.unreachable.at+f.Slack && f.Slack == 0) {
+	for id, purge := range f.purges {
+		if purge.covers(f.results[source]) && (requested > purge.unreachable.at ||
+			purge.unreachable.at != never && now > purge.unreachable.at+f.Slack && f.Slack == 0) {
 			f.addFault(ServedAfterPurge, fmt.Sprintf(
 				"%s served %s, requested %v after purge %s was reported as unreachable",
-				controller, source, asked-p.unreachable.at, id),
-				p.unreachable.step, step)
+				controller, source, requested-purge.unreachable.at, id),
+				purge.unreachable.step, step)
 		}
 	}
 }
@@ -414,14 +414,14 @@
 	return r.Team == team && (len(r.Tables) == 0 || slices.ContainsFunc(r.Tables, bound))
 }
 
-// Ran records that an engine at a site runs a team's query on tables. asked is when the client sent the
-// query. The run is valid if any set of rules that could be in force between asked and now allows it.
-func (f *FleetHistory) Ran(now, asked time.Duration, controller, query, team, site string, tables ...int64) {
+// Ran records that an engine at a site runs a team's query on tables. sent is when the client sent the
+// query. The run is valid if any set of rules that could be in force between sent and now allows it.
+func (f *FleetHistory) Ran(now, sent time.Duration, controller, query, team, site string, tables ...int64) {
 	step := f.noteFrequent(now, fmt.Sprintf("%s of %s runs at %s, by %s", query, team, site, controller),
 		query, team)
 	bound, allowed, any := false, false, false
 	for _, set := range f.ruleSets {
-		if set.from > now || set.to < asked {
+		if set.from > now || set.to < sent {
 			continue
 		}
 		any = true
@@ -438,7 +438,7 @@
 		f.Bound++
 	}
 	for _, l := range f.siteAllowances {
-		allowed = allowed || l.team == team && l.from <= now && asked <= l.to && slices.Contains(l.sites, site)
+		allowed = allowed || l.team == team && l.from <= now && sent <= l.to && slices.Contains(l.sites, site)
 	}
 	if any && !allowed {
 		f.addFault(PlacementFault, fmt.Sprintf("%s sent %s of %s to %s", controller, query, team, site), -1, step)
--- a/internal/historycheck/record.go
+++ b/internal/historycheck/record.go
@@ -26,9 +26,9 @@
 // Linearizable reports whether one order of the changes explains all reports, with each report taking
 // effect between its request and its answer. If there is none, Linearizable also returns the last
 // reports of the shortest history without an order. A check that runs out of time passes.
-func Linearizable(words []ChangeReport, within time.Duration) (bool, string) {
+func Linearizable(reports []ChangeReport, within time.Duration) (bool, string) {
 	var ops []porcupine.Operation
-	for _, w := range words {
+	for _, w := range reports {
 		to := int64(w.To)
 		if w.Outcome == "unknown" {
 			if !w.Proposes {
@@ -64,15 +64,15 @@
 		}
 		return cmp.Compare(a.Return, b.Return)
 	})
-	least := len(ops)
+	shortest := len(ops)
 	for n := 1; n < len(ops); n++ {
 		if porcupine.CheckOperationsTimeout(plain, ops[:n], within/4) == porcupine.Illegal {
-			least = n
+			shortest = n
 			break
 		}
 	}
 	var b strings.Builder
-	for _, o := range ops[max(0, least-8):least] {
+	for _, o := range ops[max(0, shortest-8):shortest] {
 		w := o.Input.(ChangeReport)
 		fmt.Fprintf(&b, "  %v to %v: %s\n", w.From, w.To, model.DescribeOperation(w, w))
 	}
