--- a/internal/scheduler/routing.go
+++ b/internal/scheduler/routing.go
@@ -8,13 +8,13 @@
 type candidates struct {
 	withCapacity []*engine // engines known to have capacity
 	preferred    []*engine // warming engines that slow start selected for this query
-	avoided      []*engine // engines with capacity that run a load of the query's tables or its last attempt
+	avoided      []*engine // engines with capacity that run a load of the tables or ended the last attempt
 	// unreported are the active engines without a valid load report that aren't ejected, from which
 	// awaitHealthChecks selects engines to check. The rules of maySendTo aren't applied yet, and an
 	// engine may be in preferred, too.
 	unreported []*engine
 
-	noneAllowed bool // no engine with a known utilization is eligible, whatever its capacity
+	noneAllowed bool // the rules allow no engine that was classified, whatever its capacity
 	// fullCount is the number of engines that are available and allowed but have no capacity. For a
 	// load, or a group that waits for loads, it leaves out engines that run a load of the tables.
 	fullCount int
@@ -27,8 +27,8 @@
 //
 // route returns nil while the query waits for load reports, if no engine has capacity, or if the
 // rules allow none. If it returns nil, ineligible tells whether queries behind this one may go first:
-// the rules allow no attempt or no engine, or the query waits for an engine on which its tables
-// aren't being loaded and its last attempt didn't end.
+// the rules allow no attempt or no engine, or only avoided engines have capacity and the query waits
+// for a full engine instead.
 func (s *Scheduler) route(q *query) (picked *engine, ineligible bool) {
 	if !s.maySend(q) {
 		return nil, true
@@ -44,7 +44,7 @@
 		pool = c.preferred
 	case len(c.withCapacity) > 0:
 	case len(c.avoided) > 0 && c.fullCount >= len(c.avoided):
-		return nil, true // one of the full engines is likely to have capacity soon
+		return nil, true // waits for one of the full engines instead
 	default:
 		pool = c.avoided
 	}
@@ -71,9 +71,9 @@
 	}
 }
 
-// classify adds an engine with a known or estimated utilization to the candidates. An engine that
-// the rules forbid is dropped; one without capacity is only counted. An engine that is to be avoided
-// isn't preferred, even if slow start selects it.
+// classify adds an engine with a known or estimated utilization to the candidates. An engine that the
+// rules forbid is dropped; any other clears noneAllowed. An engine without capacity is only counted
+// in fullCount. An engine that is to be avoided isn't preferred, even if slow start selects it.
 func (s *Scheduler) classify(q *query, e *engine, c *candidates) {
 	if !s.maySendTo(q, e) {
 		return
--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -61,15 +61,15 @@
 	totalsOutdated bool
 	activeList     []*engine
 	totals         totals
-	warmEngines    float64 // active engines that aren't warming up
-	activeCores    float64 // of all active engines
+	warmEngines    float64 // number of active engines that aren't warming up
+	activeCores    float64 // cores of all active engines
 
 	// The controller's own attempts in flight.
 	ownShare        float64       // this controller's share of the work of all controllers, 0 to 1
-	meanThreads     movingAverage // over 30 s
+	meanThreads     movingAverage // threads of the attempts, over 30 s
 	meanMemoryMB    movingAverage
 	meanAttempts    movingAverage
-	recentThreads   movingAverage // over rateWindow
+	recentThreads   movingAverage // threads of the attempts, over rateWindow
 	maxQueryThreads float64       // largest number of threads of a query in any group
 
 	// Load reports.
@@ -77,7 +77,7 @@
 	reportedUtilization    movingAverage // mean utilization of engines, 1 if they are full
 	reportedQueries        movingAverage // number of queries on an engine
 	lastReportAt           time.Duration
-	healthCheckTokens      float64
+	healthCheckTokens      float64 // number of health checks that may be sent now
 	recentHealthChecks     float64 // number of health checks sent, decays over rateWindow
 
 	// Arrivals.
