--- a/internal/scheduler/routing.go
+++ b/internal/scheduler/routing.go
@@ -8,7 +8,9 @@
 type candidates struct {
 	withCapacity []*engine // engines known to have capacity
 	preferred    []*engine // warming engines that slow start selected for this query
-	avoided      []*engine // engines with capacity that run a load of the tables or ended the last attempt
+	// avoided are engines with capacity that ended the query's last attempt or, if the query is a load
+	// or its group waits for loads, that run a load of the tables.
+	avoided []*engine
 	// unreported are the active engines without a valid load report that aren't ejected, from which
 	// awaitHealthChecks selects engines to check. The rules of maySendTo aren't applied yet, and an
 	// engine may be in preferred, too.
@@ -21,14 +23,15 @@
 }
 
 // route draws an engine for a query from the first of these pools that isn't empty: warming engines
-// that slow start selected, engines with capacity, and engines to avoid. Engines at the controller's
-// location displace the others of the pool. The probability of an engine is proportional to its
-// routingWeight.
+// that slow start selected, engines with capacity, and engines to avoid. The avoided engines are used
+// only if they outnumber the full ones, otherwise the query waits for a full engine. Engines at the
+// controller's location displace the others of the pool. The probability of an engine is proportional
+// to its routingWeight.
 //
-// route returns nil while the query waits for load reports, if no engine has capacity, or if the
-// rules allow none. If it returns nil, ineligible tells whether queries behind this one may go first:
-// the rules allow no attempt or no engine, or only avoided engines have capacity and the query waits
-// for a full engine instead.
+// route returns nil while the query waits for load reports or for a full engine, if no engine has
+// capacity, or if the rules allow none. If it returns nil, ineligible tells whether queries behind
+// this one may go first: the rules allow no attempt, the rules allow no engine and no engine is
+// unreported, or only avoided engines have capacity and the query waits for a full engine instead.
 func (s *Scheduler) route(q *query) (picked *engine, ineligible bool) {
 	if !s.maySend(q) {
 		return nil, true
@@ -51,8 +54,10 @@
 	return s.rng.pickWeighted(s.preferLocal(q, pool), s.routingWeight), c.noneAllowed && len(c.unreported) == 0
 }
 
-// collectCandidates classifies the engines with a known utilization, and lists the others in
-// unreported. A warming engine without a report is also preferred if slow start selects it.
+// collectCandidates classifies the engines with a known utilization, and lists the other engines in
+// unreported unless they are inactive or ejected. A warming engine without a report is also preferred
+// if slow start selects it, the rules allow it, it is available, it rejected no query recently and it
+// runs no load of the tables. Unlike in classify, such a load counts for queries of every group.
 func (s *Scheduler) collectCandidates(q *query, c *candidates) {
 	for _, e := range s.activeEngines() {
 		if s.utilizationKnown(e) {
@@ -73,7 +78,8 @@
 
 // classify adds an engine with a known or estimated utilization to the candidates. An engine that the
 // rules forbid is dropped; any other clears noneAllowed. An engine without capacity is only counted
-// in fullCount. An engine that is to be avoided isn't preferred, even if slow start selects it.
+// in fullCount. An engine that is to be avoided isn't preferred, even if slow start selects it. A
+// running load of the tables matters only to loads and to groups that wait for loads.
 func (s *Scheduler) classify(q *query, e *engine, c *candidates) {
 	if !s.maySendTo(q, e) {
 		return
--- a/internal/spool/writing.go
+++ b/internal/spool/writing.go
@@ -4,8 +4,10 @@
 	"time"
 )
 
-// flush writes the result with the most unwritten memory to disk, including its last, partly filled
-// page. Otherwise the partly filled pages of many results could use up the memory limit.
+// flush writes a result to disk, including its last, partly filled page. Otherwise the partly filled
+// pages of many results could use up the memory limit. It selects the receiving result that uses the
+// most memory, among those with a page that no write was submitted for. Pages being written count
+// towards the memory of a result, because they stay in memory until releasePage.
 func (c *Core) flush() {
 	var largest *Result
 	for r := range c.receiving {
@@ -36,8 +38,15 @@
 	c.write(r, len(r.pages)-1, nil)
 }
 
-// write submits the pages before index to that are only in memory, and the metadata of a result to
-// commit, as one disk task. Without pages and metadata it does nothing.
+// write submits one disk task with the pages before index to that are only in memory, and with the
+// metadata if the result is to be committed. The result gets its ID first, even if there is nothing
+// to submit.
+//
+// When the task ends, its pages count as on disk, unless the result was dropped meanwhile. Their memory
+// is released only if the task carried
+// no metadata. An error instead fails the whole result, and the first error of a result is counted in
+// Failed. In both cases the commit finishes if no other write of the result is pending, and results
+// that wait for space are notified.
 func (c *Core) write(r *Result, to int, metadata *Metadata) {
 	r.assignID(c)
 	w := &DiskTask{}
@@ -102,7 +111,9 @@
 	}
 }
 
-// finishWrites ends the commit of a result once none of its pages is being written.
+// finishWrites finishes the commit of a result once no write of it is pending. If a write failed, it
+// calls the callback with the error and drops the result. If the result was dropped before, it
+// discards the callback without a call. If no commit is under way, it does nothing.
 func (c *Core) finishWrites(r *Result) {
 	if r.pendingWrites > 0 || r.onCommitted == nil {
 		return
@@ -121,6 +132,11 @@
 	c.markCommitted(r, tell)
 }
 
+// markCommitted registers a complete result under its ID, counts it, removes it from the results being
+// received and calls the callback. It then drops a result of one page, since the answer held that
+// page. A longer result has its memory released if memory use exceeds the spill threshold or no page
+// is in memory, and is otherwise added to the LRU list. Without a disk, or if the callback dropped
+// the result, its memory stays as it is.
 func (c *Core) markCommitted(r *Result, tell func(error)) {
 	r.complete, r.lastReadAt = true, c.now
 	r.unreadCount = r.pageCount - 1
