--- a/cmd/railrelay/shape_test.go
+++ b/cmd/railrelay/shape_test.go
@@ -71,8 +71,8 @@
 	}
 }
 
-// Settings with one sensible interpretation are served with a warning, since an unknown deployment must
-// start.
+// Contradictory settings that have one sensible interpretation cause a warning, and the controller
+// starts. Otherwise it could refuse to start in a deployment that its developers didn't foresee.
 func TestWarnsOfAmbiguousSettings(t *testing.T) {
 	for _, c := range []struct{ old, new, key string }{
 		{`"may_probe":true`, `"may_probe":false`, "settings.report.how:"},
--- a/internal/emulator/hollow/path.go
+++ b/internal/emulator/hollow/path.go
@@ -15,9 +15,9 @@
 
 // Links are the one-way latencies of links and their jitter.
 type Links struct {
-	Zone    time.Duration `json:"zone"`    // within a zone
-	Region  time.Duration `json:"region"`  // between zones of a region
-	Regions time.Duration `json:"regions"` // between regions
+	Zone    time.Duration `json:"zone"`    // one-way latency within a zone
+	Region  time.Duration `json:"region"`  // one-way latency between zones of a region
+	Regions time.Duration `json:"regions"` // one-way latency between regions
 	Jitter  float64       `json:"jitter"`  // largest increase, as a fraction of the latency
 }
 
--- a/internal/fleet/consensus/consensus.go
+++ b/internal/fleet/consensus/consensus.go
@@ -57,7 +57,7 @@
 // The kinds of events that Step takes.
 const (
 	Tick              EventKind = iota // only the time has advanced
-	MessageReceived                    // From sent Bytes
+	MessageReceived                    // Bytes is an encoded message, From the name of its sender
 	Persisted                          // the write of the last Persist is on disk and synced
 	Propose                            // append Data to the log; the caller repeats a lost proposal
 	ConfirmLeadership                  // ask whether this voter leads now; the answer carries Handle
--- a/internal/fleet/consensus/core.go
+++ b/internal/fleet/consensus/core.go
@@ -42,8 +42,8 @@
 	heartbeatInterval time.Duration
 	names             map[uint64]string // by voter ID, of the voters and of all senders of messages, for replies
 
-	// The voters. configHistory has the voters since earlier indexes: the caller may take a
-	// snapshot at an index before applied.
+	// The voters. configHistory has each set of voters with the log index from which it applies, since
+	// a snapshot contains the voters at its index, which may be lower than applied.
 	voterConfig         *pb.ConfState
 	voters              map[uint64]Voter
 	configHistory       []configAt
--- a/internal/fleet/transport/frame.go
+++ b/internal/fleet/transport/frame.go
@@ -37,7 +37,7 @@
 	From                string            `cbor:"2,keyasint"`
 	To                  string            `cbor:"3,keyasint"`
 	SenderIncarnation   uint64            `cbor:"4,keyasint"`
-	ReceiverIncarnation uint64            `cbor:"5,keyasint"` // 0: a hello, which asks for it
+	ReceiverIncarnation uint64            `cbor:"5,keyasint"` // 0 in a hello, which asks for the value
 	Seq                 uint64            `cbor:"6,keyasint"` // from 1, per sender incarnation and receiver
 	Messages            []cbor.RawMessage `cbor:"7,keyasint,omitempty"`
 }
--- a/internal/fleet/transport/peer_transport_test.go
+++ b/internal/fleet/transport/peer_transport_test.go
@@ -203,7 +203,8 @@
 	}
 	expectRejection[*ReplayError](t, b.rejections)
 	for seq, want := range map[uint64]int{3000: 204, 3000 - replayWindowSize: 403} {
-		f.Seq = max(seq, 3000) // the newest first, whatever the map's order
+		// Both numbers are at most 3000, so that 3000 arrives first in any order of the map.
+		f.Seq = max(seq, 3000)
 		postFrame(t, b, Keys{keyA}, f)
 		f.Seq = seq - 1
 		if response := postFrame(t, b, Keys{keyA}, f); seq != 3000 && response.StatusCode != want {
--- a/internal/historycheck/fleet.go
+++ b/internal/historycheck/fleet.go
@@ -140,7 +140,8 @@
 	return len(f.steps) - 1
 }
 
-// noteFrequent is Note for a frequent event.
+// noteFrequent adds a step like Note, for an event that is too frequent for excerpts: an excerpt shows
+// the step only as its first or last one.
 func (f *FleetHistory) noteFrequent(now time.Duration, description string, subjects ...string) int {
 	i := f.Note(now, description, subjects...)
 	f.steps[i].frequent = true
--- a/internal/msgpackrpc/msgpack.go
+++ b/internal/msgpackrpc/msgpack.go
@@ -65,8 +65,9 @@
 	return n
 }
 
-// length reads a length in any encoding of a type. The length is part of the type byte (short, under mask)
-// or in the 1, 2 or 4 bytes after it. A type byte of 0 stands for an encoding that the type lacks.
+// length reads a length in any encoding of a type. In the shortest encoding, the type byte is short with the
+// length in the bits of mask. The type bytes one, two and four are followed by a length of 1, 2 or 4 bytes.
+// A caller passes 0 for short or one if the type lacks that encoding.
 func (c *cursor) length(short, mask, one, two, four byte) uint64 {
 	switch b := c.readByte(); {
 	case c.err != nil:
--- a/internal/msgpackrpc/statement.go
+++ b/internal/msgpackrpc/statement.go
@@ -25,7 +25,9 @@
 				return n
 			}
 			if candidate == NoTableGroup {
-				candidate = n // may be an alias of the same form: used only if no table follows
+				// The name may be a table alias that also ends in an underscore and a number. The number
+				// is used only if the statement has no such name after a keyword like FROM.
+				candidate = n
 			}
 		}
 		if kind != 'a' && kind != '"' {
--- a/internal/scheduler/capacity.go
+++ b/internal/scheduler/capacity.go
@@ -91,11 +91,13 @@
 	return e.rejectedAt > 0 && s.now-e.rejectedAt < recentRejectionWindow
 }
 
-// underPressure returns whether an engine gets no more than the controller's share: it rejected a
-// query, is slow, or is full. The threshold of utilization is higher for a controller with a small
-// share, whose limit allows next to nothing. It is multiplied by estimateTolerance for light queries
-// of the group ranked first, if the utilization is estimated or follows from a reported number of
-// queries, which may be outdated. Reported busy cores count in full.
+// underPressure returns whether an engine rejected a query recently, is slow or exceeds a threshold of
+// utilization. hasCapacity then lets the controller use no more than its share of the engine.
+//
+// The threshold is higher for a controller with a small share, whose limit allows next to nothing. For
+// light queries of the group ranked first it is multiplied by estimateTolerance if the utilization may
+// be outdated, because it is estimated or follows from a reported number of queries. The threshold
+// isn't raised for a utilization that follows from reported busy cores.
 func (s *Scheduler) underPressure(e *engine, q *query) bool {
 	limit := max(minPressureUtilization, maxPressureUtilization-pressureUtilizationPerShare*s.ownShare)
 	estimated := !s.healthChecksReportLoad &&
--- a/internal/scheduler/learning.go
+++ b/internal/scheduler/learning.go
@@ -17,7 +17,7 @@
 	slowdownSampleWeight       = 0.1 // weight of an answer in its engine's slowdown
 	slowdownRecoveryRate       = 0.01
 	utilizationSamples         = 20 // reports, for the mean utilization
-	reportedQueriesSamples     = 60 // reports, for the mean number of queries
+	reportedQueriesSamples     = 60 // load reports, for the mean number of queries on an engine
 	unreportedUtilizationDecay = 0.93
 )
 
--- a/internal/scheduler/query.go
+++ b/internal/scheduler/query.go
@@ -30,7 +30,7 @@
 
 	// Routing.
 	allowedLocations []string // nil allows all locations
-	confined         bool     // only some locations of the group may be allowed
+	confined         bool     // confine limited the locations to which the query may be sent
 	eligibilityKey   int64    // queries of a group with equal keys are eligible for the same engines
 	lastEngine       *engine  // engine of the last ended attempt; other engines are preferred
 	checkedEngines   []*engine
--- a/internal/scheduler/simulated_fleet_test.go
+++ b/internal/scheduler/simulated_fleet_test.go
@@ -475,7 +475,9 @@
 			for i := range shape.replaced {
 				f.replaceEngines(5*sec+time.Duration(i*5/shape.replaced)*sec, fmt.Sprint("e", i))
 			}
-			f.schedule(11*sec, f.restartMost) // while engines warm up; they know only the endpoint list
+			// The controllers restart while engines warm up. A restarted controller knows the engines
+			// only from the endpoint list.
+			f.schedule(11*sec, f.restartMost)
 			f.runUntil(26 * sec)
 			capacity := 0.0
 			for _, id := range f.engineIDs {
--- a/internal/setup/controller_config.go
+++ b/internal/setup/controller_config.go
@@ -173,12 +173,12 @@
 	return strings.Join(at, ",")
 }
 
-// ms formats a duration in milliseconds, absent if it is missing.
+// milliseconds formats a duration in milliseconds. A missing duration has the value of absent.
 func milliseconds(t Duration, absent time.Duration) string {
 	return strconv.FormatFloat(float64(t.orDefault(absent))/float64(time.Millisecond), 'f', -1, 64)
 }
 
-// num formats a number, absent if it is missing.
+// decimal formats a number. A missing number, which is 0, has the value of absent.
 func decimal(a, absent float64) string { return strconv.FormatFloat(cmp.Or(a, absent), 'f', -1, 64) }
 
 // PartsNeedingRestart lists the parts of next that differ and that a reload can't change: all
--- a/internal/spool/spool.go
+++ b/internal/spool/spool.go
@@ -211,8 +211,8 @@
 	return d.Sum64()
 }
 
-// New returns an empty spool. wall is the start in milliseconds since 1970, the IDs of results
-// follow first, and submit receives the disk tasks.
+// New returns an empty spool. wall is the start in milliseconds since 1970, first+1 is the ID of the
+// first new result, and submit receives the disk tasks.
 func New(l Limits, keys *Keyring, wall int64, first uint64, submit func(*DiskTask)) *Core {
 	return &Core{Limits: l, keys: keys, startWall: wall, lastID: first, submit: submit,
 		results: map[uint64]*Result{}, receiving: map[*Result]bool{}, teams: map[string]*team{}}
@@ -310,9 +310,9 @@
 	PageRefused                    // the error says why; the result can't be completed
 )
 
-// AddPage adds a page from the engine and copies its body. If there is no space, and none can become
-// free before until, AddPage refuses the page at once: the space that this result holds may be what
-// another result waits for.
+// AddPage adds a page from the engine and copies its body. If there is no space for the page, AddPage
+// returns WaitForSpace, or PageRefused if no space can become free by the time given in until. It
+// refuses such a page at once, since another result may wait for the space that this result holds.
 func (c *Core) AddPage(now time.Duration, r *Result, body []byte, rows uint32,
 	until time.Duration) (AddOutcome, error) {
 	c.advance(now)
--- a/internal/spool/spool_test.go
+++ b/internal/spool/spool_test.go
@@ -495,7 +495,7 @@
 	}
 	old, _ := keep("enns", 20) // has expired when space is short
 	c.now += 50 * time.Second
-	reading, _ := keep("linz", 25) // the largest of a team over its share, but being read
+	reading, _ := keep("linz", 25) // the largest result of a team over its share, but being read
 	unread, _ := keep("linz", 20)
 	small, _ := keep("linz", 5)
 	done, _ := keep("steyr", 25)
--- a/internal/spool/writing.go
+++ b/internal/spool/writing.go
@@ -42,11 +42,10 @@
 // metadata if the result is to be committed. The result gets its ID first, even if there is nothing
 // to submit.
 //
-// When the task ends, its pages count as on disk, unless the result was dropped meanwhile. Their memory
-// is released only if the task carried
-// no metadata. An error instead fails the whole result, and the first error of a result is counted in
-// Failed. In both cases the commit finishes if no other write of the result is pending, and results
-// that wait for space are notified.
+// When the task ends without an error, its pages count as on disk, unless the result was dropped
+// meanwhile. Their memory is released only if the task carried no metadata. An error fails the whole
+// result, and the first error of a result is counted in Failed. In both cases OnDone calls finishWrites
+// and notifies the results that wait for space.
 func (c *Core) write(r *Result, to int, metadata *Metadata) {
 	r.assignID(c)
 	w := &DiskTask{}
