--- a/cmd/railrelay/endings_test.go
+++ b/cmd/railrelay/endings_test.go
@@ -23,15 +23,20 @@
 	mu        sync.Mutex
 	submitted []*http.Request
 	finished  map[string]bool
-	written   chan string // the trace of each result that was written
+	heldPolls map[string]int // polls that wait for the result, by trace
+	written   chan string    // the trace of each result that was written
 }
 
+// pollHold is how long controlledEngine holds a poll of a query that still runs.
+const pollHold = 250 * time.Millisecond
+
 func newControlledEngine(t *testing.T) *controlledEngine {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := &controlledEngine{Listener: l, finished: map[string]bool{}, written: make(chan string, 4096)}
+	s := &controlledEngine{Listener: l, finished: map[string]bool{}, heldPolls: map[string]int{},
+		written: make(chan string, 4096)}
 	t.Cleanup(func() { l.Close() })
 	go func() {
 		for {
@@ -68,10 +73,7 @@
 		case r.Method == "DELETE" || r.Method == "PUT":
 			answer = "HTTP/1.1 204 x\r\n\r\n"
 		default:
-			for wait := time.Now(); !s.isFinished(id) && time.Since(wait) < 250*time.Millisecond; {
-				time.Sleep(time.Millisecond)
-			}
-			if s.isFinished(id) {
+			if s.holdPoll(id) {
 				answer = fmt.Sprintf("HTTP/1.1 200 x\r\nChunks: 1\r\nElapsed-Work: 5\r\nHigh-Water: 5\r\nContent-Length: %d\r\n\r\n%s\ta\tb\n",
 					len(id)+5, id)
 			}
@@ -86,12 +88,47 @@
 	}
 }
 
-func (s *controlledEngine) isFinished(id string) bool {
+// holdPoll waits until the query is finished or pollHold has passed, and reports whether it is finished.
+func (s *controlledEngine) holdPoll(id string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
+	s.heldPolls[id]++
+	defer func() { s.heldPolls[id]-- }()
+	for heldSince := time.Now(); !s.finished[id] && time.Since(heldSince) < pollHold; {
+		s.mu.Unlock()
+		time.Sleep(time.Millisecond)
+		s.mu.Lock()
+	}
 	return s.finished[id]
 }
 
+// finishHeld finishes a query if a poll of it is held, so that the result is written without a further
+// request. It reports whether it did.
+func (s *controlledEngine) finishHeld(id string) bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.heldPolls[tracePrefix+id] == 0 {
+		return false
+	}
+	s.finished[tracePrefix+id] = true
+	return true
+}
+
+// waitForResult returns once the query's result was written to the controller's connection.
+func (s *controlledEngine) waitForResult(t *testing.T, id string) {
+	t.Helper()
+	for wait := time.After(waitLimit); ; {
+		select {
+		case written := <-s.written:
+			if written == tracePrefix+id {
+				return
+			}
+		case <-wait:
+			t.Fatalf("the engine did not write the result of query %s", id)
+		}
+	}
+}
+
 func (s *controlledEngine) finish(ids ...string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -136,6 +173,23 @@
 	}
 }
 
+// pauseAndFinish stops the process like pause, with a poll of the query held by the engine, and then finishes
+// the query. A process that is stopped between two polls sends no request that the result could answer, so it is
+// resumed and stopped again.
+func (c *controller) pauseAndFinish(e *controlledEngine, id string) (resume func()) {
+	c.t.Helper()
+	for wait := time.Now(); ; time.Sleep(time.Millisecond) {
+		resume = c.pause()
+		if e.finishHeld(id) {
+			return resume
+		}
+		resume()
+		if time.Since(wait) > waitLimit {
+			c.t.Fatalf("the process was never stopped during a poll of query %s", id)
+		}
+	}
+}
+
 // ready reports whether the controller answers an alive call with true.
 func (c *client) ready() bool {
 	c.lastMessage++
@@ -172,13 +226,8 @@
 		if !b.ready() { // the response shows that the earlier call was read
 			t.Fatal("not ready")
 		}
-		resume := c.pause()
-		e.finish(runs)
-		for id := range e.written { // the result is in the socket buffer before the other client disconnects
-			if id == tracePrefix+runs {
-				break
-			}
-		}
+		resume := c.pauseAndFinish(e, runs)
+		e.waitForResult(t, runs) // the result is in the socket buffer before the other client disconnects
 		b.Close()
 		time.Sleep(150 * time.Millisecond) // the pause under test
 		resume()
