--- a/cmd/railrelay-bench/measure.go
+++ b/cmd/railrelay-bench/measure.go
@@ -17,7 +17,7 @@
 	c.RunE = func(c *cobra.Command, args []string) error {
 		switch args[0] {
 		case "fair":
-			return bench.MeasureFair(c.OutOrStdout(), seed, detail)
+			return bench.MeasureFairness(c.OutOrStdout(), seed, detail)
 		case "spool":
 			return bench.MeasureSpool(c.Context(), c.OutOrStdout(), program, seed)
 		case "together":
--- a/cmd/railrelay-bench/speed.go
+++ b/cmd/railrelay-bench/speed.go
@@ -14,7 +14,7 @@
 	c := &cobra.Command{Use: "speed", Short: "queries a second with fairness on and off, on sockets",
 		Args: cobra.NoArgs}
 	c.RunE = func(c *cobra.Command, _ []string) error {
-		_, err := bench.SpeedOnSockets(c.Context(), c.OutOrStdout(), program, 3*time.Second, turns)
+		_, err := bench.CompareFairnessThroughput(c.Context(), c.OutOrStdout(), program, 3*time.Second, turns)
 		return err
 	}
 	c.Flags().StringVar(&program, "program", defaultProgram, "the controller")
--- a/internal/bench/datapath_test.go
+++ b/internal/bench/datapath_test.go
@@ -131,7 +131,7 @@
 // A small play with the built program.
 func TestDatapathInSmall(t *testing.T) {
 	d := UsualDatapath()
-	d.Program, d.Log = built(t), io.Discard
+	d.Program, d.Log = buildDebugController(t), io.Discard
 	d.Engines, d.Rest = []int{3}, time.Second
 	var told bytes.Buffer
 	b := &book{seed: 1, machine: "here", commit: "test", out: &told}
--- a/internal/bench/fleet.go
+++ b/internal/bench/fleet.go
@@ -111,10 +111,10 @@
 func (d FleetDay) Play() *FleetPlayed {
 	f := &fleetRun{FleetDay: d, rng: rand.New(rand.NewPCG(d.Seed, 22)), byAddr: map[string]*fleetEngine{}, byID: map[string]*fleetController{}}
 	f.out.Took = map[string]int{}
-	kinds := Usual()
+	kinds := DefaultWorkload()
 	figures := engine.DefaultConfig()
 	figures.DiskParallelism = 16
-	f.facts = Facts(kinds, figures)
+	f.facts = ControllerSettings(kinds, figures)
 	f.facts["gateways"] = strconv.Itoa(d.Controllers)
 	for k, v := range d.Facts {
 		f.facts[k] = v
--- a/internal/bench/fleet_controllers.go
+++ b/internal/bench/fleet_controllers.go
@@ -62,7 +62,7 @@
 	}
 	f.all = append(f.all, c)
 	r, effects := controller.New(controller.Config{Seed: f.rng.Uint64(), MemoryMB: 256, MaxDescriptors: 512, DiscoveryAddress: "feed", InitialEndpoints: f.log.ConfigurationJSON(), Settings: facts,
-		StartedAt: time.UnixMilli(fleetEpoch), ClientLimits: []controller.ClientLimits{{Prefixes: Homes, MaxOpenQueries: 100_000, MaxMessagesPerSweep: 100_000, IdleTimeout: time.Minute}}})
+		StartedAt: time.UnixMilli(fleetEpoch), ClientLimits: []controller.ClientLimits{{Prefixes: ClientPrefixes, MaxOpenQueries: 100_000, MaxMessagesPerSweep: 100_000, IdleTimeout: time.Minute}}})
 	c.r = r
 	c.perform(effects)
 }
@@ -70,7 +70,7 @@
 // connects has the clients' connection stand: one that says nothing is ended.
 func (c *fleetController) connects() {
 	if c.client == nil || c.client.gone {
-		c.client = &fleetEnd{link: &controller.Connection{RemoteAddress: Home}, client: true}
+		c.client = &fleetEnd{link: &controller.Connection{RemoteAddress: ClientAddress}, client: true}
 		c.ends[c.client.link] = c.client
 		end := c.client
 		c.deliver(func() { c.step(controller.Event{Kind: controller.ClientAccepted, Connection: end.link}) })
@@ -83,7 +83,7 @@
 }
 
 // asks has clients ask at a rate. Queries of one key come 60 ms apart at the least.
-func (c *fleetController) asks(kinds []Kind, rate float64) {
+func (c *fleetController) asks(kinds []WorkloadGroup, rate float64) {
 	var next func()
 	msg := uint32(0)
 	last := map[string]time.Duration{}
@@ -101,8 +101,8 @@
 		msg++
 		id := fmt.Sprintf("%04x%012x", c.n, msg)
 		work := engine.Work{Threads: k.Threads, MemoryMB: k.MemoryMB, TableGroup: int64(c.rng.IntN(20)), Load: k.Load, Rows: k.Rows}
-		work.CPU = time.Duration(float64(k.CPU) * math.Exp(c.rng.NormFloat64()*k.Spread-k.Spread*k.Spread/2))
-		work.Disk = time.Duration(float64(work.CPU) / k.Threads * k.Disk)
+		work.CPU = time.Duration(float64(k.CPU) * math.Exp(c.rng.NormFloat64()*k.CPUSigma-k.CPUSigma*k.CPUSigma/2))
+		work.Disk = time.Duration(float64(work.CPU) / k.Threads * k.DiskPerCPU)
 		patience := k.Patience/2 + time.Duration(c.rng.Int64N(int64(k.Patience/2)))
 		fields := []string{"trace", id, "patience", fmt.Sprint(patience.Milliseconds())}
 		key, at := "", c.now
--- a/internal/bench/schedule_operators.go
+++ b/internal/bench/schedule_operators.go
@@ -12,158 +12,158 @@
 	"railrelay.dev/railrelay/internal/historycheck"
 )
 
-// operation is one change or purge, asked for at one place and again at others.
-type operation struct {
-	ask   fleet.Request
-	done  bool
-	unfit string
+// scheduleOperation is one change or purge, asked for at one place and again at others.
+type scheduleOperation struct {
+	request  fleet.Request
+	done     bool
+	unfitFor string
 }
 
-type asking struct {
-	op   *operation
-	at   *actor
-	boot uint64
-	from time.Duration
-	last bool
+type scheduleRequest struct {
+	operation   *scheduleOperation
+	controller  *simulatedController
+	incarnation uint64
+	requestedAt time.Duration
+	final       bool
 }
 
-// operate lets operators and customers ask.
-func (p *play) operate() {
+// issueOperations lets operators and customers ask.
+func (p *scheduleRun) issueOperations() {
 	if p.settling {
 		return
 	}
-	p.in(p.span(50*time.Millisecond, 900*time.Millisecond), nil, p.operate)
+	p.scheduleAfter(p.randomDuration(50*time.Millisecond, 900*time.Millisecond), nil, p.issueOperations)
 	base := uint64(1)
-	for _, a := range p.all { // what an operator would have read somewhere
+	for _, a := range p.fleet { // what an operator would have read somewhere
 		base = max(base, a.version)
 	}
-	n := len(p.ops)
-	change := func(i int) *operation {
-		o := &operation{ask: fleet.Request{Kind: "apply", ID: fmt.Sprintf("change-%d", i), RequestedBy: "op", BaseVersion: base, WaitMs: 2000}}
-		text := "policy of " + o.ask.ID
-		if p.Revote && p.Controllers > p.Voters && p.rng.IntN(6) == 0 && !slices.ContainsFunc(p.all, func(a *actor) bool { return a.gone }) {
-			p.revoted = true // others vote from now on, if it comes into force
-			from, names := p.rng.IntN(len(p.all)), []string{}
+	n := len(p.operations)
+	change := func(i int) *scheduleOperation {
+		o := &scheduleOperation{request: fleet.Request{Kind: "apply", ID: fmt.Sprintf("change-%d", i), RequestedBy: "op", BaseVersion: base, WaitMs: 2000}}
+		text := "policy of " + o.request.ID
+		if p.ChangeVoters && p.Controllers > p.Voters && p.rng.IntN(6) == 0 && !slices.ContainsFunc(p.fleet, func(a *simulatedController) bool { return a.forgotten }) {
+			p.votersChanged = true // others vote from now on, if it comes into force
+			from, names := p.rng.IntN(len(p.fleet)), []string{}
 			for i := range p.Voters {
-				names = append(names, p.all[(from+i)%len(p.all)].name)
+				names = append(names, p.fleet[(from+i)%len(p.fleet)].name)
 			}
 			text += " voters " + strings.Join(names, ",")
 		}
 		if p.rng.IntN(5) == 0 {
-			o.unfit = p.all[p.rng.IntN(len(p.all))].name
-			text += " unfit for " + o.unfit
+			o.unfitFor = p.fleet[p.rng.IntN(len(p.fleet))].name
+			text += " unfit for " + o.unfitFor
 		}
-		o.ask.Policy = []byte(text)
+		o.request.Policy = []byte(text)
 		if p.rng.IntN(2) == 0 {
-			o.ask.AbortAfterMs = p.span(100*time.Millisecond, 4*p.Lease).Milliseconds()
+			o.request.AbortAfterMs = p.randomDuration(100*time.Millisecond, 4*p.Lease).Milliseconds()
 		}
 		return o
 	}
 	switch x := p.rng.IntN(10); {
 	case x < 3 || n == 0:
-		p.ops = append(p.ops, change(n))
-		p.ask(p.ops[n], false)
+		p.operations = append(p.operations, change(n))
+		p.sendRequest(p.operations[n], false)
 	case x < 5: // two at once
-		p.ops = append(p.ops, change(n), change(n+1))
-		p.ask(p.ops[n], false)
-		p.ask(p.ops[n+1], false)
+		p.operations = append(p.operations, change(n), change(n+1))
+		p.sendRequest(p.operations[n], false)
+		p.sendRequest(p.operations[n+1], false)
 	case x < 7:
-		o := &operation{ask: fleet.Request{Kind: "purge", ID: fmt.Sprintf("purge-%d", n), RequestedBy: "op", WaitMs: 2000,
-			Scope: &fleet.Scope{Team: teamsPlayed[p.rng.IntN(2)]}}}
+		o := &scheduleOperation{request: fleet.Request{Kind: "purge", ID: fmt.Sprintf("purge-%d", n), RequestedBy: "op", WaitMs: 2000,
+			Scope: &fleet.Scope{Team: scheduleTeams[p.rng.IntN(2)]}}}
 		if p.rng.IntN(2) == 0 {
-			o.ask.Scope.Tables = []int64{int64(p.rng.IntN(3))}
+			o.request.Scope.Tables = []int64{int64(p.rng.IntN(3))}
 		}
 		if p.rng.IntN(2) == 0 {
-			o.ask.AwaitedStage = "unreachable"
+			o.request.AwaitedStage = "unreachable"
 		}
-		p.ops = append(p.ops, o)
-		p.check.PurgeRequested(p.now, o.ask.ID, *o.ask.Scope)
-		p.ask(o, false)
-	case x == 7 && !p.Apart && p.Controllers > p.Voters && !p.revoted && p.rng.IntN(4) == 0: // a follower's disk is destroyed
-		a := p.all[p.Voters+p.rng.IntN(p.Controllers-p.Voters)]
-		if a.gone {
+		p.operations = append(p.operations, o)
+		p.history.PurgeRequested(p.now, o.request.ID, *o.request.Scope)
+		p.sendRequest(o, false)
+	case x == 7 && !p.RestartIsolated && p.Controllers > p.Voters && !p.votersChanged && p.rng.IntN(4) == 0: // a follower's disk is destroyed
+		a := p.fleet[p.Voters+p.rng.IntN(p.Controllers-p.Voters)]
+		if a.forgotten {
 			return
 		}
-		a.gone = true
+		a.forgotten = true
 		p.kill(a)
-		o := &operation{ask: fleet.Request{Kind: "forget", ID: "forget-" + a.name, RequestedBy: "op", Name: a.name, WaitMs: 2000}}
-		p.ops = append(p.ops, o)
-		p.ask(o, false)
+		o := &scheduleOperation{request: fleet.Request{Kind: "forget", ID: "forget-" + a.name, RequestedBy: "op", Name: a.name, WaitMs: 2000}}
+		p.operations = append(p.operations, o)
+		p.sendRequest(o, false)
 	default:
-		p.ask(p.ops[p.rng.IntN(n)], false)
+		p.sendRequest(p.operations[p.rng.IntN(n)], false)
 	}
-	p.counting = true
+	p.countMessages = true
 }
 
-var teamsPlayed = []string{"linz", "steyr"}
+var scheduleTeams = []string{"linz", "steyr"}
 
-// ask puts an operation to some controller that runs.
-func (p *play) ask(o *operation, last bool) {
+// sendRequest puts an operation to some controller that runs.
+func (p *scheduleRun) sendRequest(o *scheduleOperation, last bool) {
 	for range 8 {
-		a := p.all[p.rng.IntN(len(p.all))]
-		if a.down || a.gone {
+		a := p.fleet[p.rng.IntN(len(p.fleet))]
+		if a.down || a.forgotten {
 			continue
 		}
-		p.handles++
-		h := p.handles
-		p.asks[h] = &asking{op: o, at: a, boot: a.boot, from: p.now, last: last}
-		ask := o.ask
-		if o.ask.Kind == "purge" && last {
+		p.lastHandle++
+		h := p.lastHandle
+		p.pendingRequests[h] = &scheduleRequest{operation: o, controller: a, incarnation: a.incarnation, requestedAt: p.now, final: last}
+		ask := o.request
+		if o.request.Kind == "purge" && last {
 			ask.AwaitedStage = ""
 		}
-		p.in(p.span(0, time.Millisecond), a, func() {
+		p.scheduleAfter(p.randomDuration(0, time.Millisecond), a, func() {
 			p.step(a, node.Event{Kind: node.OperatorRequested, Request: &ask, Handle: h})
 		})
 		return
 	}
 }
 
-func (p *play) told(handle uint64, r *fleet.Response) {
-	x := p.asks[handle]
+func (p *scheduleRun) receiveResponse(handle uint64, r *fleet.Response) {
+	x := p.pendingRequests[handle]
 	if x == nil {
-		p.broken("an answer to what nobody asks: %+v", *r)
+		p.addViolation("an answer to what nobody asks: %+v", *r)
 		return
 	}
-	delete(p.asks, handle)
-	o := x.op
+	delete(p.pendingRequests, handle)
+	o := x.operation
 	if r.Outcome != "unknown" {
 		o.done = true
 	}
-	switch o.ask.Kind {
+	switch o.request.Kind {
 	case "apply":
-		p.check.ChangeReported(p.now, x.at.name, o.ask.ID, r.Outcome, r.Version)
-		p.words = append(p.words, historycheck.ChangeReport{Client: len(p.words) % 7, From: x.from, To: p.now + 1,
-			ID: o.ask.ID, Base: o.ask.BaseVersion, Proposes: true, Outcome: r.Outcome, Version: r.Version})
+		p.history.ChangeReported(p.now, x.controller.name, o.request.ID, r.Outcome, r.Version)
+		p.changeReports = append(p.changeReports, historycheck.ChangeReport{Client: len(p.changeReports) % 7, From: x.requestedAt, To: p.now + 1,
+			ID: o.request.ID, Base: o.request.BaseVersion, Proposes: true, Outcome: r.Outcome, Version: r.Version})
 	case "purge":
-		p.check.PurgeReported(p.now, x.at.name, o.ask.ID, r.Outcome, r.Counts)
+		p.history.PurgeReported(p.now, x.controller.name, o.request.ID, r.Outcome, r.Counts)
 		if r.Outcome == "purged" {
-			for _, a := range p.all {
-				for _, id := range slices.Sorted(maps.Keys(a.items)) {
-					if !a.gone {
-						p.check.FoundOnDisk(p.now+1, a.name, id)
+			for _, a := range p.fleet {
+				for _, id := range slices.Sorted(maps.Keys(a.results)) {
+					if !a.forgotten {
+						p.history.FoundOnDisk(p.now+1, a.name, id)
 					}
 				}
 			}
 		}
 	case "forget":
 		if r.Outcome == "forgotten" {
-			p.out.Forgotten++
-			if a := p.byName[o.ask.Name]; a.down { // somebody finds it and starts it once more
-				p.in(p.span(0, p.Lease), nil, func() {
+			p.result.Forgotten++
+			if a := p.byName[o.request.Name]; a.down { // somebody finds it and starts it once more
+				p.scheduleAfter(p.randomDuration(0, p.Lease), nil, func() {
 					if a.down {
-						p.start(a)
+						p.startController(a)
 					}
 				})
 			}
 		}
 	}
-	if x.last && r.Outcome == "unknown" {
-		p.broken("%s asked for %s after all was healed: unknown, %s, outstanding %v", x.at.name, o.ask.ID, r.Stage, r.Outstanding)
+	if x.final && r.Outcome == "unknown" {
+		p.addViolation("%s asked for %s after all was healed: unknown, %s, outstanding %v", x.controller.name, o.request.ID, r.Stage, r.Outstanding)
 	}
 }
 
-func (p *play) askAll() {
-	for _, o := range p.ops {
-		p.ask(o, true)
+func (p *scheduleRun) repeatAllRequests() {
+	for _, o := range p.operations {
+		p.sendRequest(o, true)
 	}
 }
--- a/internal/bench/speed.go
+++ b/internal/bench/speed.go
@@ -15,10 +15,10 @@
 	"railrelay.dev/railrelay/internal/emulator/engine"
 )
 
-// SpeedOnSockets compares the queries a second of a controller on one core with
+// CompareFairnessThroughput compares the queries a second of a controller on one core with
 // fairness on and off: eight stand-in engines that answer at once, 64 open on four
 // connections, in turns of so long each. It prints both and their ratio.
-func SpeedOnSockets(ctx context.Context, out io.Writer, program string, turn time.Duration, turns int) (float64, error) {
+func CompareFairnessThroughput(ctx context.Context, out io.Writer, program string, turn time.Duration, turns int) (float64, error) {
 	rates := [2][]float64{}
 	for range turns {
 		for on := range 2 {
@@ -40,7 +40,7 @@
 					wg.Add(1)
 					go func() {
 						defer wg.Done()
-						faults[i] = hammer(ctx, address, i, 16, &done)
+						faults[i] = keepQueriesOpen(ctx, address, i, 16, &done)
 					}()
 				}
 				wg.Wait()
@@ -58,8 +58,8 @@
 	return ratio, nil
 }
 
-// hammer keeps so many lookups open on a connection until ctx ends.
-func hammer(ctx context.Context, address string, n, open int, done *int64) error {
+// keepQueriesOpen keeps so many lookups open on a connection until ctx ends.
+func keepQueriesOpen(ctx context.Context, address string, n, open int, done *int64) error {
 	c, err := net.Dial("tcp", address)
 	if err != nil {
 		return err
--- a/internal/bench/speed_test.go
+++ b/internal/bench/speed_test.go
@@ -2,4 +2,4 @@
 
 import "testing"
 
-func BenchmarkFair(b *testing.B) { SpeedFair(10_000, 100_000, b.N) }
+func BenchmarkFairQueue(b *testing.B) { TimeFairQueue(10_000, 100_000, b.N) }
--- a/internal/bench/spool_test.go
+++ b/internal/bench/spool_test.go
@@ -18,7 +18,7 @@
 
 // The program is killed while it promises results, on sockets and real files.
 func TestSpoolThroughKills(t *testing.T) {
-	k, err := kills(t.Context(), &Trial{Program: built(t), Engines: 2, Seed: 3, Log: io.Discard}, 4)
+	k, err := kills(t.Context(), &Trial{Program: buildDebugController(t), Engines: 2, Seed: 3, Log: io.Discard}, 4)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -29,7 +29,7 @@
 
 func TestSpoolDirectory(t *testing.T) {
 	var log strings.Builder
-	program := built(t)
+	program := buildDebugController(t)
 	trial := &Trial{Program: program, Engines: 2, Seed: 3, Log: &log}
 	s, err := newStage(t.Context(), program, 2, trialEngine(), &log, func(int, *engine.Server) {})
 	if err != nil {
--- a/internal/bench/storm.go
+++ b/internal/bench/storm.go
@@ -409,7 +409,7 @@
 		var wg sync.WaitGroup
 		faults := make([]error, 4)
 		for i := range faults {
-			wg.Go(func() { faults[i] = hammer(within, address, i, 16, &done) })
+			wg.Go(func() { faults[i] = keepQueriesOpen(within, address, i, 16, &done) })
 		}
 		wg.Wait()
 		return done, errors.Join(faults...)
@@ -472,13 +472,13 @@
 		return err
 	}
 	var others sync.WaitGroup
-	var schedules *Played
+	var schedules *ScheduleResult
 	others.Go(func() {
-		l := &Plan{}
-		l.Random(seed*1000, 100, 5, 3, 6*time.Second, 2)
-		l.Random(seed*1000+500, 1, 100, 5, 3*time.Second, 6)
-		l.Struck(seed, 1+int(seed%7), 120, 11)
-		schedules = l.Play(1, time.Now().Add(18*time.Second))
+		l := &SchedulePlan{}
+		l.AddRandom(seed*1000, 100, 5, 3, 6*time.Second, 2)
+		l.AddRandom(seed*1000+500, 1, 100, 5, 3*time.Second, 6)
+		l.AddMessageFaults(seed, 1+int(seed%7), 120, 11)
+		schedules = l.Run(1, time.Now().Add(18*time.Second))
 	})
 	var found, planted int
 	var lines []string
@@ -521,8 +521,8 @@
 	fmt.Fprintln(out)
 	fmt.Fprintln(out, strings.Join(lines, "\n"))
 	fmt.Fprintf(out, "schedules in virtual time: %d of up to 100 controllers, struck in %d states, %d changes, %d withdrawn, %d purges\n", schedules.Schedules,
-		schedules.Struck(), schedules.Changes, schedules.Withdrawn, schedules.Purges)
-	broken = append(broken, schedules.Broken...)
+		schedules.DistinctFaultStates(), schedules.Changes, schedules.Withdrawn, schedules.Purges)
+	broken = append(broken, schedules.Violations...)
 	f := &g.fleet
 	for _, b := range broken {
 		fmt.Fprintf(out, "seed %d: %s\n", seed, b)
@@ -540,7 +540,7 @@
 		return fmt.Errorf("%d things that must hold did not", len(broken))
 	case found < planted:
 		return errors.New("a planted fault was not found")
-	case faults == 0 || f.Changes == 0 || f.Withdrawn == 0 || f.Purges == 0 || f.Bound == 0 || g.emergencies == 0 || schedules.Struck() == 0:
+	case faults == 0 || f.Changes == 0 || f.Withdrawn == 0 || f.Purges == 0 || f.Bound == 0 || g.emergencies == 0 || schedules.DistinctFaultStates() == 0:
 		return errors.New("something that must arise did not")
 	}
 	return nil
--- a/internal/bench/try.go
+++ b/internal/bench/try.go
@@ -66,7 +66,7 @@
 	fmt.Fprintf(&b, "name: try\nlisten: %s\nfeed: %s\nseed: %x\nlog: warn\nlimits: {cores: 1, memory_mb: 256, sockets: 1024}\n", listen, feedAddress, t.Seed)
 	f := trialEngine()
 	fmt.Fprintf(&b, "engines:\n  kinds: [{name: std, cores: %g, memory_mb: %g}]\ngroups:\n", f.Cores, f.MemoryMB)
-	for _, k := range Usual() {
+	for _, k := range DefaultWorkload() {
 		effect := "read-only"
 		if k.Load {
 			effect = "mutating"
@@ -283,7 +283,7 @@
 	}
 	defer c.Close()
 	rng := rand.New(rand.NewPCG(t.Seed, uint64(team)+100))
-	kinds, mean := Usual(), 0.0
+	kinds, mean := DefaultWorkload(), 0.0
 	for _, k := range kinds {
 		mean += k.Share * k.CPU.Seconds()
 	}
@@ -356,7 +356,7 @@
 			}
 		}
 		w := engine.Work{Threads: k.Threads, MemoryMB: k.MemoryMB, TableGroup: int64(rng.IntN(100)), Load: k.Load, Rows: k.Rows,
-			CPU: time.Duration(float64(k.CPU) * math.Exp(rng.NormFloat64()*k.Spread-k.Spread*k.Spread/2))}
+			CPU: time.Duration(float64(k.CPU) * math.Exp(rng.NormFloat64()*k.CPUSigma-k.CPUSigma*k.CPUSigma/2))}
 		q := &trialQuery{team: team, id: fmt.Sprintf("%08x%08x", team+1, msg), work: w, at: time.Now(), told: -1}
 		fields := []string{"trace", q.id, "patience", fmt.Sprint(k.Patience.Milliseconds()), "team", trialTeams[team].name, "tell", "1"}
 		if k.Load {
@@ -415,7 +415,7 @@
 		of[q.team]++
 		r.Told += told
 		r.Had += had
-		if holds(told, had) {
+		if isEstimateAccurate(told, had) {
 			within[q.team]++
 		}
 	}
