--- a/internal/bench/schedule_actors.go
+++ b/internal/bench/schedule_actors.go
@@ -12,7 +12,8 @@
 	"railrelay.dev/railrelay/internal/fleet/node"
 )
 
-// simulatedController is one controller: a core, what its disk holds, and a model of its reducer.
+// simulatedController is a controller in virtual time: the real core of its fleet side, the content of its
+// disk, and a model of its reducer.
 type simulatedController struct {
 	name                 string
 	diskID               string
@@ -20,305 +21,344 @@
 	core                 *node.Core
 	incarnation          uint64
 	startedAt            time.Duration
-	clockRate            float64 // its clock's
+	clockRate            float64 // speed of its clock relative to virtual time
 	persisted            consensus.PersistentState
-	pendingWrites        *consensus.PersistentState
-	slowDiskUntil        time.Duration // its disk is, until
-	lastTimer            int
-	pausedUntil          time.Duration // it does nothing until then
+	pendingWrites        *consensus.PersistentState // writes that are not synced yet, nil: none
+	slowDiskUntil        time.Duration
+	lastTimer            int           // number of the current timer; earlier timers are void
+	pausedUntil          time.Duration // its events wait until then
 	down                 bool
-	forgotten            bool // its name was forgotten
-	reportedForgottenAct bool // and that it acted all the same was told
+	forgotten            bool // an operator asked the fleet to forget its name
+	reportedForgottenAct bool // its first act after it was forgotten was added to the violations
 
+	// The state of its reducer.
 	servingState    *fleet.ServingState
 	version         uint64
 	policy          string
 	orders          []fleet.Order
 	processingOrder bool
 	viewIndex       uint64
-	fencedChange    string // a change to be reported closed once nothing is written
+	fencedChange    string // change whose fence is reported once no write is in progress, "": none
 	invalidations   map[string]fleet.Order
-	results         map[string]simulatedResult // what it keeps, on its disk
+	results         map[string]simulatedResult // stored results by query, on its disk
 }
 
+// simulatedResult is the result of a query.
 type simulatedResult struct {
 	team      string
 	table     int64
-	viewIndex uint64
+	viewIndex uint64 // log index of the view with which the query was admitted
 	startedAt time.Duration
 }
 
-// startController begins a controller from what its disk holds.
-func (p *scheduleRun) startController(a *simulatedController) {
-	a.incarnation = p.rng.Uint64() | 1
-	a.startedAt, a.down, a.pausedUntil, a.pendingWrites = p.now, false, 0, nil
-	a.servingState = new(fleet.ServingState)
-	a.version, a.policy, a.orders, a.processingOrder, a.viewIndex, a.fencedChange = 0, "", nil, false, 0, ""
-	a.invalidations = map[string]fleet.Order{}
+// startController starts a controller's process with the content of its disk.
+func (run *scheduleRun) startController(controller *simulatedController) {
+	controller.incarnation = run.rng.Uint64() | 1
+	controller.startedAt, controller.down, controller.pausedUntil, controller.pendingWrites =
+		run.now, false, 0, nil
+	controller.servingState = new(fleet.ServingState)
+	controller.version, controller.policy, controller.orders, controller.processingOrder,
+		controller.viewIndex, controller.fencedChange = 0, "", nil, false, 0, ""
+	controller.invalidations = map[string]fleet.Order{}
 	var voters []consensus.Voter
-	for _, v := range p.fleet[:p.Voters] {
-		voters = append(voters, consensus.Voter{Name: v.name, Address: v.member.PeerAddress})
+	for _, voter := range run.fleet[:run.Voters] {
+		voters = append(voters, consensus.Voter{Name: voter.name, Address: voter.member.PeerAddress})
 	}
-	p.history.Note(p.now, a.name+" starts", a.name)
-	begin := node.Config{Self: a.member, Voters: voters, Lease: p.Lease, ConfinedLease: p.Lease / 2, ClockDrift: 0.01,
-		ElectionTimeout: 300 * time.Millisecond, HeartbeatInterval: 60 * time.Millisecond, Seed: p.rng.Uint64(), Incarnation: a.incarnation, Persisted: clonePersistentState(a.persisted), SnapshotAfterEntries: 3 + int(p.Seed%30)}
-	begin.IsRelay, begin.Relays = p.upstreamsOf(a)
-	core, effects, err := node.New(begin)
+	run.history.Note(run.now, controller.name+" starts", controller.name)
+	config := node.Config{
+		Self:                 controller.member,
+		Voters:               voters,
+		Lease:                run.Lease,
+		ConfinedLease:        run.Lease / 2,
+		ClockDrift:           0.01,
+		ElectionTimeout:      300 * time.Millisecond,
+		HeartbeatInterval:    60 * time.Millisecond,
+		Seed:                 run.rng.Uint64(),
+		Incarnation:          controller.incarnation,
+		Persisted:            clonePersistentState(controller.persisted),
+		SnapshotAfterEntries: 3 + int(run.Seed%30),
+	}
+	config.IsRelay, config.Relays = run.upstreamsOf(controller)
+	core, effects, err := node.New(config)
 	if err != nil {
-		p.addViolation("%s can't start: %v", a.name, err)
-		a.down = true
+		run.addViolation("%s can't start: %v", controller.name, err)
+		controller.down = true
 		return
 	}
-	a.core = core
-	p.perform(a, effects)
-	if !a.member.ControlOnly {
-		p.scheduleAfter(p.randomDuration(0, 20*time.Millisecond), a, func() { p.receiveQueries(a) })
+	controller.core = core
+	run.perform(controller, effects)
+	if !controller.member.ControlOnly {
+		run.scheduleAfter(run.randomDuration(0, 20*time.Millisecond), controller,
+			func() { run.receiveQueries(controller) })
 	}
 }
 
-// upstreamsOf tells whether a controller is a relay, and otherwise which two it asks
-// through, if any.
-func (p *scheduleRun) upstreamsOf(a *simulatedController) (relay bool, upstreams []node.Upstream) {
-	place := slices.Index(p.fleet, a) - p.Voters
-	if p.Relays == 0 || place < 0 || place < p.Relays {
-		return place >= 0 && p.Relays > 0, nil
+// upstreamsOf reports whether a controller is a relay. If it is not, upstreamsOf returns the relays, at most
+// two, through which the controller renews its lease. Voters have none.
+func (run *scheduleRun) upstreamsOf(
+	controller *simulatedController,
+) (isRelay bool, upstreams []node.Upstream) {
+	place := slices.Index(run.fleet, controller) - run.Voters
+	if run.Relays == 0 || place < 0 || place < run.Relays {
+		return place >= 0 && run.Relays > 0, nil
 	}
-	for i := range min(2, p.Relays) {
-		via := p.fleet[p.Voters+(place+i)%p.Relays]
-		upstreams = append(upstreams, node.Upstream{Name: via.name, Address: via.member.PeerAddress})
+	for i := range min(2, run.Relays) {
+		relay := run.fleet[run.Voters+(place+i)%run.Relays]
+		upstreams = append(upstreams, node.Upstream{Name: relay.name, Address: relay.member.PeerAddress})
 	}
 	return false, upstreams
 }
 
-func clonePersistentState(k consensus.PersistentState) consensus.PersistentState {
-	k.HardState, k.Entries = slices.Clone(k.HardState), slices.Clone(k.Entries)
-	return k
+func clonePersistentState(state consensus.PersistentState) consensus.PersistentState {
+	state.HardState, state.Entries = slices.Clone(state.HardState), slices.Clone(state.Entries)
+	return state
 }
 
-func (a *simulatedController) localTime(p *scheduleRun) time.Duration {
-	return time.Duration(float64(p.now-a.startedAt) * a.clockRate)
+// localTime returns the time since the controller's start by its own clock.
+func (c *simulatedController) localTime(run *scheduleRun) time.Duration {
+	return time.Duration(float64(run.now-c.startedAt) * c.clockRate)
 }
 
-func (p *scheduleRun) step(a *simulatedController, ev node.Event) {
-	p.perform(a, a.core.Step(a.localTime(p), ev))
+// step passes an event to the controller's core and performs the effects.
+func (run *scheduleRun) step(controller *simulatedController, event node.Event) {
+	run.perform(controller, controller.core.Step(controller.localTime(run), event))
 }
 
-func (p *scheduleRun) perform(a *simulatedController, l []node.Effect) {
-	for _, e := range l {
-		switch e.Kind {
+func (run *scheduleRun) perform(controller *simulatedController, effects []node.Effect) {
+	for _, effect := range effects {
+		switch effect.Kind {
 		case node.Send:
-			p.send(a, e)
+			run.send(controller, effect)
 		case node.Persist:
-			if a.pendingWrites != nil {
-				p.addViolation("%s stores while it stores", a.name)
+			if controller.pendingWrites != nil {
+				run.addViolation("%s requested a write to disk before the previous one was synced",
+					controller.name)
 			}
-			k := *e.Writes
-			a.pendingWrites = &k
-			took := p.randomDuration(100*time.Microsecond, 3*time.Millisecond)
-			if p.now < a.slowDiskUntil {
-				took += p.randomDuration(20*time.Millisecond, 300*time.Millisecond)
+			writes := *effect.Writes
+			controller.pendingWrites = &writes
+			latency := run.randomDuration(100*time.Microsecond, 3*time.Millisecond)
+			if run.now < controller.slowDiskUntil {
+				latency += run.randomDuration(20*time.Millisecond, 300*time.Millisecond)
 			}
-			p.scheduleAfter(took, a, func() {
-				a.persist(k, len(k.Entries))
-				a.pendingWrites = nil
-				p.step(a, node.Event{Kind: node.WritesPersisted})
+			run.scheduleAfter(latency, controller, func() {
+				controller.persist(writes, len(writes.Entries))
+				controller.pendingWrites = nil
+				run.step(controller, node.Event{Kind: node.WritesPersisted})
 			})
 		case node.ValidatePolicy:
-			change, text := e.ChangeID, string(e.PolicyText)
-			p.scheduleAfter(p.randomDuration(0, 5*time.Millisecond), a, func() {
-				ev := node.Event{Kind: node.PolicyValidated, ChangeID: change, Policy: text}
+			change, text := effect.ChangeID, string(effect.PolicyText)
+			run.scheduleAfter(run.randomDuration(0, 5*time.Millisecond), controller, func() {
+				validated := node.Event{Kind: node.PolicyValidated, ChangeID: change, Policy: text}
 				if text == "" {
-					ev.Policy = "the set-up's"
+					validated.Policy = "the configured policy"
 				}
-				if _, rest, had := strings.Cut(text, " voters "); had {
+				if _, rest, found := strings.Cut(text, " voters "); found {
 					names, _, _ := strings.Cut(rest, " unfit")
 					for name := range strings.SplitSeq(names, ",") {
-						ev.Voters = append(ev.Voters, name+"="+p.byName[name].member.PeerAddress)
+						validated.Voters = append(validated.Voters, name+"="+run.byName[name].member.PeerAddress)
 					}
 				}
-				if strings.HasSuffix(text, " unfit for "+a.name) {
-					ev.Reason = "no team is called so here"
+				if strings.HasSuffix(text, " unfit for "+controller.name) {
+					validated.Reason = "the policy names a team that this controller doesn't have"
 				}
-				p.step(a, ev)
+				run.step(controller, validated)
 			})
 		case node.OrderController:
-			a.orders = append(a.orders, e.Order)
-			p.processNextOrder(a)
+			controller.orders = append(controller.orders, effect.Order)
+			run.processNextOrder(controller)
 		case node.Respond:
-			p.receiveResponse(e.Handle, e.Response)
+			run.receiveResponse(effect.Handle, effect.Response)
 		case node.SetTimer:
-			a.lastTimer++
-			n := a.lastTimer
-			p.scheduleAfter(time.Duration(float64(max(0, e.Delay))/a.clockRate)+1, a, func() {
-				if n == a.lastTimer {
-					p.step(a, node.Event{Kind: node.TimerFired})
+			controller.lastTimer++
+			timer := controller.lastTimer
+			run.scheduleAfter(time.Duration(float64(max(0, effect.Delay))/controller.clockRate)+1, controller, func() {
+				if timer == controller.lastTimer {
+					run.step(controller, node.Event{Kind: node.TimerFired})
 				}
 			})
 		case node.LogMessage:
-			if e.LogAlways {
-				p.history.Note(p.now, a.name+" says: "+e.LogText, a.name)
+			if effect.LogAlways {
+				run.history.Note(run.now, controller.name+" logs: "+effect.LogText, controller.name)
 			}
 		}
 	}
 }
 
-// persist takes so many of a store's records to disk, and with all of them the rest.
-func (a *simulatedController) persist(k consensus.PersistentState, records int) {
-	if s := k.Snapshot; s != nil {
-		a.persisted.Snapshot = s
-		a.persisted.Entries = slices.DeleteFunc(slices.Clone(a.persisted.Entries), func(r consensus.LogEntry) bool { return r.Index <= s.Index })
+// persist writes the snapshot and the first entryCount log entries of writes to the controller's disk. The
+// hard state is written only together with all entries.
+func (c *simulatedController) persist(writes consensus.PersistentState, entryCount int) {
+	if snapshot := writes.Snapshot; snapshot != nil {
+		c.persisted.Snapshot = snapshot
+		c.persisted.Entries = slices.DeleteFunc(slices.Clone(c.persisted.Entries),
+			func(entry consensus.LogEntry) bool { return entry.Index <= snapshot.Index })
 	}
-	for _, r := range k.Entries[:records] {
-		if i := slices.IndexFunc(a.persisted.Entries, func(x consensus.LogEntry) bool { return x.Index >= r.Index }); i >= 0 {
-			a.persisted.Entries = slices.Clone(a.persisted.Entries[:i])
+	for _, entry := range writes.Entries[:entryCount] {
+		if i := slices.IndexFunc(c.persisted.Entries,
+			func(old consensus.LogEntry) bool { return old.Index >= entry.Index }); i >= 0 {
+			c.persisted.Entries = slices.Clone(c.persisted.Entries[:i])
 		}
-		a.persisted.Entries = append(a.persisted.Entries, r)
+		c.persisted.Entries = append(c.persisted.Entries, entry)
 	}
-	if k.HardState != nil && records == len(k.Entries) {
-		a.persisted.HardState = k.HardState
+	if writes.HardState != nil && entryCount == len(writes.Entries) {
+		c.persisted.HardState = writes.HardState
 	}
 }
 
-// kill ends a controller; what it was storing is on its disk or not.
-func (p *scheduleRun) kill(a *simulatedController) {
-	if a.down {
+// kill ends a controller's process. Writes in progress reach the disk with a probability of one half.
+func (run *scheduleRun) kill(controller *simulatedController) {
+	if controller.down {
 		return
 	}
-	if k := a.pendingWrites; k != nil && p.rng.IntN(2) == 0 {
-		a.persist(*k, len(k.Entries))
+	if writes := controller.pendingWrites; writes != nil && run.rng.IntN(2) == 0 {
+		controller.persist(*writes, len(writes.Entries))
 	}
-	a.down, a.pendingWrites = true, nil
-	p.history.Note(p.now, a.name+" is killed", a.name)
+	controller.down, controller.pendingWrites = true, nil
+	run.history.Note(run.now, controller.name+" is killed", controller.name)
 }
 
-// processNextOrder has a reducer take its next order.
-func (p *scheduleRun) processNextOrder(a *simulatedController) {
-	if a.processingOrder || len(a.orders) == 0 {
+// processNextOrder schedules the reducer's processing of its oldest order, unless an order is in progress.
+func (run *scheduleRun) processNextOrder(controller *simulatedController) {
+	if controller.processingOrder || len(controller.orders) == 0 {
 		return
 	}
-	a.processingOrder = true
-	took := p.randomDuration(0, 300*time.Microsecond)
-	if p.rng.IntN(50) == 0 {
-		took += p.randomDuration(0, 40*time.Millisecond)
+	controller.processingOrder = true
+	latency := run.randomDuration(0, 300*time.Microsecond)
+	if run.rng.IntN(50) == 0 {
+		latency += run.randomDuration(0, 40*time.Millisecond)
 	}
-	p.scheduleAfter(took, a, func() {
-		o := a.orders[0]
-		a.orders = a.orders[1:]
-		a.processingOrder = false
-		p.performOrder(a, o)
-		p.processNextOrder(a)
+	run.scheduleAfter(latency, controller, func() {
+		order := controller.orders[0]
+		controller.orders = controller.orders[1:]
+		controller.processingOrder = false
+		run.performOrder(controller, order)
+		run.processNextOrder(controller)
 	})
 }
 
-func (p *scheduleRun) report(a *simulatedController, r fleet.Report) {
-	p.scheduleAfter(p.randomDuration(0, 300*time.Microsecond), a, func() { p.step(a, node.Event{Kind: node.ControllerReported, Report: r}) })
+// report passes a report of the reducer to the controller's core after a short delay.
+func (run *scheduleRun) report(controller *simulatedController, report fleet.Report) {
+	run.scheduleAfter(run.randomDuration(0, 300*time.Microsecond), controller,
+		func() { run.step(controller, node.Event{Kind: node.ControllerReported, Report: report}) })
 }
 
-func (p *scheduleRun) performOrder(a *simulatedController, o fleet.Order) {
-	switch o.Kind {
+func (run *scheduleRun) performOrder(controller *simulatedController, order fleet.Order) {
+	switch order.Kind {
 	case fleet.FencePolicy:
-		a.servingState.SetVersion(0)
-		a.version, a.fencedChange = 0, o.ChangeID
-		p.history.Note(p.now, a.name+" is shut for "+o.ChangeID, a.name, o.ChangeID)
-		p.reportWhenFenced(a)
+		controller.servingState.SetVersion(0)
+		controller.version, controller.fencedChange = 0, order.ChangeID
+		run.history.Note(run.now, controller.name+" is fenced for "+order.ChangeID, controller.name, order.ChangeID)
+		run.reportWhenFenced(controller)
 	case fleet.ActivatePolicy:
-		a.version, a.fencedChange = o.Version, ""
-		a.policy, _ = o.Policy.(string)
-		a.servingState.SetVersion(o.Version)
-		p.history.Note(p.now, fmt.Sprintf("%s opens by version %d", a.name, o.Version), a.name, fmt.Sprint("version ", o.Version))
-		p.report(a, fleet.Report{Kind: fleet.PolicyActivated, Version: o.Version})
+		controller.version, controller.fencedChange = order.Version, ""
+		controller.policy, _ = order.Policy.(string)
+		controller.servingState.SetVersion(order.Version)
+		run.history.Note(run.now, fmt.Sprintf("%s activates version %d", controller.name, order.Version),
+			controller.name, fmt.Sprint("version ", order.Version))
+		run.report(controller, fleet.Report{Kind: fleet.PolicyActivated, Version: order.Version})
 	case fleet.LeaseRenewed:
-		a.servingState.SetLease(o.LeaseEnd, o.ConfinedLeaseEnd)
+		controller.servingState.SetLease(order.LeaseEnd, order.ConfinedLeaseEnd)
 	case fleet.ViewChanged:
-		a.viewIndex = o.View.Index
+		controller.viewIndex = order.View.Index
 	case fleet.InvalidateData:
-		a.invalidations[o.ID] = o
-		p.report(a, fleet.Report{Kind: fleet.DataTombstoned, ID: o.ID})
-		p.scheduleAfter(p.randomDuration(0, 100*time.Millisecond), a, func() {
-			var c fleet.InvalidationCounts
-			for id, x := range a.results {
-				if invalidates(o, x) {
-					delete(a.results, id)
-					c.Results++
+		controller.invalidations[order.ID] = order
+		run.report(controller, fleet.Report{Kind: fleet.DataTombstoned, ID: order.ID})
+		run.scheduleAfter(run.randomDuration(0, 100*time.Millisecond), controller, func() {
+			var counts fleet.InvalidationCounts
+			for id, result := range controller.results {
+				if invalidates(order, result) {
+					delete(controller.results, id)
+					counts.Results++
 				}
 			}
-			p.report(a, fleet.Report{Kind: fleet.DataErased, ID: o.ID, Counts: c})
+			run.report(controller, fleet.Report{Kind: fleet.DataErased, ID: order.ID, Counts: counts})
 		})
 	}
 }
 
-func invalidates(o fleet.Order, x simulatedResult) bool {
-	return o.Scope.Team == x.team && x.viewIndex < o.Index && (len(o.Scope.Tables) == 0 || slices.Contains(o.Scope.Tables, x.table))
+// invalidates reports whether an InvalidateData order covers a result.
+func invalidates(order fleet.Order, result simulatedResult) bool {
+	return order.Scope.Team == result.team && result.viewIndex < order.Index &&
+		(len(order.Scope.Tables) == 0 || slices.Contains(order.Scope.Tables, result.table))
 }
 
-// reportWhenFenced reports once nothing is being written any more.
-func (p *scheduleRun) reportWhenFenced(a *simulatedController) {
-	if a.fencedChange == "" {
+// reportWhenFenced reports the controller's fence as soon as no write is in progress.
+func (run *scheduleRun) reportWhenFenced(controller *simulatedController) {
+	if controller.fencedChange == "" {
 		return
 	}
-	if a.servingState.WritesFinished() {
-		p.report(a, fleet.Report{Kind: fleet.PolicyFenced, ChangeID: a.fencedChange})
+	if controller.servingState.WritesFinished() {
+		run.report(controller, fleet.Report{Kind: fleet.PolicyFenced, ChangeID: controller.fencedChange})
 		return
 	}
-	change := a.fencedChange
-	p.scheduleAfter(100*time.Microsecond, a, func() {
-		if a.fencedChange == change {
-			p.reportWhenFenced(a)
+	change := controller.fencedChange
+	run.scheduleAfter(100*time.Microsecond, controller, func() {
+		if controller.fencedChange == change {
+			run.reportWhenFenced(controller)
 		}
 	})
 }
 
-// receiveQueries has a controller take a query, submit it a while later and keep what came of
-// it, and serve something that it keeps.
-func (p *scheduleRun) receiveQueries(a *simulatedController) {
-	p.scheduleAfter(p.randomDuration(5*time.Millisecond, 60*time.Millisecond), a, func() { p.receiveQueries(a) })
-	bound := p.rng.IntN(2) == 0
-	version := a.servingState.ServingVersion(a.localTime(p), bound)
-	p.lastQuery++
-	id := fmt.Sprintf("q%d", p.lastQuery)
-	policy := a.policy
+// receiveQueries lets a controller accept a query, which it later submits and whose result it stores, and
+// serve a stored result. receiveQueries then schedules itself.
+func (run *scheduleRun) receiveQueries(controller *simulatedController) {
+	run.scheduleAfter(run.randomDuration(5*time.Millisecond, 60*time.Millisecond), controller,
+		func() { run.receiveQueries(controller) })
+	confined := run.rng.IntN(2) == 0
+	version := controller.servingState.ServingVersion(controller.localTime(run), confined)
+	run.lastQuery++
+	id := fmt.Sprintf("q%d", run.lastQuery)
+	policy := controller.policy
 	if version != 0 {
-		p.recordAct(a, id, version, policy)
-		x := simulatedResult{team: scheduleTeams[p.rng.IntN(2)], table: int64(p.rng.IntN(3)), viewIndex: a.viewIndex, startedAt: p.now}
-		p.scheduleAfter(p.randomDuration(0, 30*time.Millisecond), a, func() {
-			if !a.servingState.BeginWrite(a.localTime(p), version, bound) {
+		run.recordAct(controller, id, version, policy)
+		result := simulatedResult{team: scheduleTeams[run.rng.IntN(2)], table: int64(run.rng.IntN(3)),
+			viewIndex: controller.viewIndex, startedAt: run.now}
+		run.scheduleAfter(run.randomDuration(0, 30*time.Millisecond), controller, func() {
+			if !controller.servingState.BeginWrite(controller.localTime(run), version, confined) {
 				return
 			}
-			p.recordAct(a, id, version, policy)
-			p.history.ResultStarted(p.now, id, x.team, x.table)
-			p.scheduleAfter(p.randomDuration(0, 200*time.Microsecond), a, a.servingState.EndWrite)
-			p.scheduleAfter(p.randomDuration(0, 500*time.Millisecond), a, func() { // the answer is there
-				for _, o := range a.invalidations {
-					if invalidates(o, x) {
+			run.recordAct(controller, id, version, policy)
+			run.history.ResultStarted(run.now, id, result.team, result.table)
+			run.scheduleAfter(run.randomDuration(0, 200*time.Microsecond), controller,
+				controller.servingState.EndWrite)
+			// The engine's response arrives.
+			run.scheduleAfter(run.randomDuration(0, 500*time.Millisecond), controller, func() {
+				for _, order := range controller.invalidations {
+					if invalidates(order, result) {
 						return
 					}
 				}
-				if len(a.results) < 40 {
-					a.results[id] = x
+				if len(controller.results) < 40 {
+					controller.results[id] = result
 				}
 			})
 		})
 	}
-	if a.servingState.ServingVersion(a.localTime(p), true) != 0 && len(a.results) > 0 {
-		ids := slices.Sorted(maps.Keys(a.results))
-		id := ids[p.rng.IntN(len(ids))]
-		for _, o := range a.invalidations {
-			if invalidates(o, a.results[id]) {
+	if controller.servingState.ServingVersion(controller.localTime(run), true) != 0 &&
+		len(controller.results) > 0 {
+		ids := slices.Sorted(maps.Keys(controller.results))
+		id := ids[run.rng.IntN(len(ids))]
+		for _, order := range controller.invalidations {
+			if invalidates(order, controller.results[id]) {
 				return
 			}
 		}
-		p.history.Served(p.now, p.now, a.name, id)
+		run.history.Served(run.now, run.now, controller.name, id)
 	}
 }
 
-func (p *scheduleRun) recordAct(a *simulatedController, query string, version uint64, policy string) {
-	p.history.Acted(p.now, p.now, a.name, query, version)
-	if rest, ok := strings.CutPrefix(policy, "policy of "); ok {
+// recordAct adds a controller's act on a query to the history. An act of a forgotten controller is a
+// violation.
+func (run *scheduleRun) recordAct(
+	controller *simulatedController, query string, version uint64, policy string,
+) {
+	run.history.Acted(run.now, run.now, controller.name, query, version)
+	if rest, found := strings.CutPrefix(policy, "policy of "); found {
 		id, _, _ := strings.Cut(rest, " ")
-		p.history.ActedByChange(p.now, a.name, query, id)
+		run.history.ActedByChange(run.now, controller.name, query, id)
 	}
-	if a.forgotten && !a.reportedForgottenAct { // once: it would hide what else is broken
-		a.reportedForgottenAct = true
-		p.addViolation("%s was forgotten, and acts on %s", a.name, query)
+	// Only the first act is a violation: further ones would crowd out violations of other kinds.
+	if controller.forgotten && !controller.reportedForgottenAct {
+		controller.reportedForgottenAct = true
+		run.addViolation("%s acts on %s although it was forgotten", controller.name, query)
 	}
 }
--- a/internal/bench/schedule_faults.go
+++ b/internal/bench/schedule_faults.go
@@ -12,244 +12,259 @@
 	"railrelay.dev/railrelay/internal/fleet/node"
 )
 
-func (p *scheduleRun) send(a *simulatedController, e node.Effect) {
-	to := p.byName[e.To]
-	if to == nil {
-		p.addViolation("%s sends to %s, whom nobody knows", a.name, e.To)
+// send delivers a message to another controller. Faults may drop, delay or duplicate the message; a
+// MessageFault may hit its sender or receiver.
+func (run *scheduleRun) send(sender *simulatedController, effect node.Effect) {
+	receiver := run.byName[effect.To]
+	if receiver == nil {
+		run.addViolation("%s sends a message to the unknown controller %s", sender.name, effect.To)
 		return
 	}
-	p.result.Messages++
-	m := e.Message
-	if m.Grant != nil && m.Grant.Granted {
-		p.leader = a.name
+	run.result.Messages++
+	message := effect.Message
+	if message.Grant != nil && message.Grant.Granted {
+		run.leader = sender.name
 	}
-	if p.EncodeMessages {
-		text, err := cbor.Marshal(m)
-		m = &node.Message{}
+	if run.EncodeMessages {
+		encoded, err := cbor.Marshal(message)
+		message = &node.Message{}
 		if err == nil {
-			err = cbor.Unmarshal(text, m)
+			err = cbor.Unmarshal(encoded, message)
 		}
 		if err != nil {
-			p.addViolation("a message can't be encoded: %v", err)
+			run.addViolation("a message can't be encoded and decoded: %v", err)
 			return
 		}
 	}
-	late, times := p.randomDuration(100*time.Microsecond, 2*time.Millisecond), 1
-	if p.now < p.lossyUntil {
-		switch x := p.rng.IntN(10); {
-		case x == 0:
-			p.countFault("lost", a.name, to.name)
+	latency, copies := run.randomDuration(100*time.Microsecond, 2*time.Millisecond), 1
+	if run.now < run.lossyUntil {
+		switch choice := run.rng.IntN(10); {
+		case choice == 0:
+			run.countFault("lost", sender.name, receiver.name)
 			return
-		case x == 1:
-			times = 2
-			p.countFault("doubled", a.name, to.name)
-		case x <= 3:
-			late += p.randomDuration(0, 400*time.Millisecond)
-			p.countFault("late", a.name, to.name)
-		}
-	}
-	if p.countMessages && p.MessageFault != nil {
-		if p.countedMessages++; p.countedMessages == p.MessageFault.MessageNumber {
-			how := p.MessageFault.Kind
-			p.history.Note(p.now, fmt.Sprintf("message %d, from %s to %s: %s", p.countedMessages, a.name, to.name, how), a.name, to.name)
-			p.countFault(how, a.name, to.name)
-			back := p.randomDuration(20*time.Millisecond, 3*p.Lease)
-			switch how {
+		case choice == 1:
+			copies = 2
+			run.countFault("doubled", sender.name, receiver.name)
+		case choice <= 3:
+			latency += run.randomDuration(0, 400*time.Millisecond)
+			run.countFault("late", sender.name, receiver.name)
+		}
+	}
+	if run.countMessages && run.MessageFault != nil {
+		if run.countedMessages++; run.countedMessages == run.MessageFault.MessageNumber {
+			kind := run.MessageFault.Kind
+			run.history.Note(run.now,
+				fmt.Sprintf("message %d, from %s to %s: %s", run.countedMessages, sender.name, receiver.name, kind),
+				sender.name, receiver.name)
+			run.countFault(kind, sender.name, receiver.name)
+			duration := run.randomDuration(20*time.Millisecond, 3*run.Lease)
+			switch kind {
 			case "lost":
 				return
 			case "doubled":
-				times = 2
+				copies = 2
 			case "late":
-				late += p.randomDuration(50*time.Millisecond, 2*p.Lease)
+				latency += run.randomDuration(50*time.Millisecond, 2*run.Lease)
 			case "sender", "receiver":
-				x := a
-				if how == "receiver" {
-					x = to
+				victim := sender
+				if kind == "receiver" {
+					victim = receiver
 				}
-				p.scheduleAfter(0, nil, func() { p.kill(x) })
-				p.scheduleAfter(back, nil, func() {
-					if x.down {
-						p.startController(x)
+				run.scheduleAfter(0, nil, func() { run.kill(victim) })
+				run.scheduleAfter(duration, nil, func() {
+					if victim.down {
+						run.startController(victim)
 					}
 				})
 			case "stopped":
-				to.pausedUntil = p.now + back
+				receiver.pausedUntil = run.now + duration
 			case "cut":
-				p.cutUntil[[2]string{a.name, to.name}] = p.now + back
+				run.cutUntil[[2]string{sender.name, receiver.name}] = run.now + duration
 				return
 			}
 		}
 	}
-	for range times {
-		p.scheduleAfter(late, nil, func() {
-			if p.now < p.cutUntil[[2]string{a.name, to.name}] || to.down {
+	for range copies {
+		run.scheduleAfter(latency, nil, func() {
+			if run.now < run.cutUntil[[2]string{sender.name, receiver.name}] || receiver.down {
 				return
 			}
-			p.scheduleAfter(0, to, func() { p.step(to, node.Event{Kind: node.MessageReceived, Message: m}) })
+			run.scheduleAfter(0, receiver,
+				func() { run.step(receiver, node.Event{Kind: node.MessageReceived, Message: message}) })
 		})
 	}
 }
 
-// describeState is how far what is under way has come, as far as the operators were told.
-func (p *scheduleRun) describeState() string {
+// describeState returns the kinds of the operations whose outcome no operator has received, and how many
+// controllers are fenced, for example "apply+purge, some fenced, 2 versions".
+func (run *scheduleRun) describeState() string {
 	kinds := map[string]bool{}
-	for _, o := range p.operations {
-		if !o.done {
-			kinds[o.request.Kind] = true
+	for _, operation := range run.operations {
+		if !operation.done {
+			kinds[operation.request.Kind] = true
 		}
 	}
-	closed, opened := 0, map[uint64]bool{}
-	for _, a := range p.fleet {
-		if !a.down && a.fencedChange != "" || a.version == 0 {
-			closed++
+	fenced, versions := 0, map[uint64]bool{}
+	for _, controller := range run.fleet {
+		if !controller.down && controller.fencedChange != "" || controller.version == 0 {
+			fenced++
 		}
-		opened[a.version] = true
+		versions[controller.version] = true
 	}
-	at := "all open"
+	fences := "none fenced"
 	switch {
-	case closed == len(p.fleet):
-		at = "all shut"
-	case closed > 0:
-		at = "some shut"
+	case fenced == len(run.fleet):
+		fences = "all fenced"
+	case fenced > 0:
+		fences = "some fenced"
 	}
-	return strings.Join(slices.Sorted(maps.Keys(kinds)), "+") + ", " + at + fmt.Sprintf(", %d versions", len(opened))
+	return strings.Join(slices.Sorted(maps.Keys(kinds)), "+") + ", " + fences +
+		fmt.Sprintf(", %d versions", len(versions))
 }
 
-func (p *scheduleRun) countFault(how string, who ...string) {
-	p.result.FaultsByKind[how]++
+// countFault counts a fault that hits the named controllers, by its kind and by the state in which it occurs.
+func (run *scheduleRun) countFault(kind string, names ...string) {
+	run.result.FaultsByKind[kind]++
 	role := "followers"
-	for _, w := range who {
-		switch i := slices.Index(p.fleet, p.byName[w]); {
-		case w == p.leader:
+	for _, name := range names {
+		switch i := slices.Index(run.fleet, run.byName[name]); {
+		case name == run.leader:
 			role = "leader"
-		case i < p.Voters && role != "leader":
+		case i < run.Voters && role != "leader":
 			role = "voter"
 		}
 	}
-	p.result.FaultStates[how+" of "+role+": "+p.describeState()]++
+	run.result.FaultStates[kind+" of "+role+": "+run.describeState()]++
 }
 
-// injectFaults lets one come and calls for the next.
-func (p *scheduleRun) injectFaults() {
-	if p.settling || p.FaultsPerSecond <= 0 {
+// injectFaults injects a random fault and schedules the next one. With a probability of one half the fault
+// hits the leader, if there is one.
+func (run *scheduleRun) injectFaults() {
+	if run.settling || run.FaultsPerSecond <= 0 {
 		return
 	}
-	p.scheduleAfter(time.Duration(p.rng.ExpFloat64()/p.FaultsPerSecond*float64(time.Second)), nil, p.injectFaults)
-	a := p.fleet[p.rng.IntN(len(p.fleet))]
-	if l := p.byName[p.leader]; l != nil && p.rng.IntN(2) == 0 {
-		a = l
+	run.scheduleAfter(time.Duration(run.rng.ExpFloat64()/run.FaultsPerSecond*float64(time.Second)), nil,
+		run.injectFaults)
+	target := run.fleet[run.rng.IntN(len(run.fleet))]
+	if leader := run.byName[run.leader]; leader != nil && run.rng.IntN(2) == 0 {
+		target = leader
 	}
-	if a.forgotten {
+	if target.forgotten {
 		return
 	}
-	back := p.randomDuration(20*time.Millisecond, 3*p.Lease)
-	again := func(x *simulatedController) func() {
+	duration := run.randomDuration(20*time.Millisecond, 3*run.Lease)
+	restart := func(controller *simulatedController) func() {
 		return func() {
-			if x.down && !x.forgotten {
-				p.startController(x)
+			if controller.down && !controller.forgotten {
+				run.startController(controller)
 			}
 		}
 	}
-	switch p.rng.IntN(11) {
+	switch run.rng.IntN(11) {
 	case 0, 1:
-		if !a.down {
-			p.countFault("killed", a.name)
-			p.kill(a)
-			p.scheduleAfter(back, nil, again(a))
+		if !target.down {
+			run.countFault("killed", target.name)
+			run.kill(target)
+			run.scheduleAfter(duration, nil, restart(target))
 		}
 	case 2, 3:
-		if !a.down && p.now >= a.pausedUntil {
-			p.countFault("stopped", a.name)
-			a.pausedUntil = p.now + back
-			p.history.Note(p.now, fmt.Sprintf("%s is stopped for %v", a.name, back), a.name)
-		}
-	case 4: // cut off from all
-		p.countFault("cut off", a.name)
-		for _, x := range p.fleet {
-			p.cutUntil[[2]string{a.name, x.name}], p.cutUntil[[2]string{x.name, a.name}] = p.now+back, p.now+back
-		}
-		p.history.Note(p.now, fmt.Sprintf("%s is cut off for %v", a.name, back), a.name)
-	case 5: // it hears and isn't heard, or the other way round
-		p.countFault("one way", a.name)
-		heard := p.rng.IntN(2) == 0
-		for _, x := range p.fleet {
-			if key := [2]string{a.name, x.name}; heard {
-				p.cutUntil[[2]string{x.name, a.name}] = p.now + back
+		if !target.down && run.now >= target.pausedUntil {
+			run.countFault("stopped", target.name)
+			target.pausedUntil = run.now + duration
+			run.history.Note(run.now, fmt.Sprintf("%s is paused for %v", target.name, duration), target.name)
+		}
+	case 4: // cut off from all controllers
+		run.countFault("cut off", target.name)
+		for _, other := range run.fleet {
+			run.cutUntil[[2]string{target.name, other.name}], run.cutUntil[[2]string{other.name, target.name}] =
+				run.now+duration, run.now+duration
+		}
+		run.history.Note(run.now, fmt.Sprintf("%s is cut off for %v", target.name, duration), target.name)
+	case 5: // only sends or only receives
+		run.countFault("one way", target.name)
+		onlySends := run.rng.IntN(2) == 0
+		for _, other := range run.fleet {
+			if outgoing := [2]string{target.name, other.name}; onlySends {
+				run.cutUntil[[2]string{other.name, target.name}] = run.now + duration
 			} else {
-				p.cutUntil[key] = p.now + back
+				run.cutUntil[outgoing] = run.now + duration
 			}
 		}
-	case 6: // in two halves
-		p.countFault("halved", a.name)
-		side := make([]bool, len(p.fleet))
-		for i := range side {
-			side[i] = p.rng.IntN(2) == 0
+	case 6: // the fleet is partitioned in two
+		run.countFault("halved", target.name)
+		partition := make([]bool, len(run.fleet))
+		for i := range partition {
+			partition[i] = run.rng.IntN(2) == 0
 		}
-		for i, x := range p.fleet {
-			for j, y := range p.fleet {
-				if side[i] != side[j] {
-					p.cutUntil[[2]string{x.name, y.name}] = p.now + back
+		for i, from := range run.fleet {
+			for j, to := range run.fleet {
+				if partition[i] != partition[j] {
+					run.cutUntil[[2]string{from.name, to.name}] = run.now + duration
 				}
 			}
 		}
 	case 7:
-		p.lossyUntil = p.now + back
+		run.lossyUntil = run.now + duration
 	case 8:
-		p.countFault("slow disk", a.name)
-		a.slowDiskUntil = p.now + back
-	case 10: // killed, and started while it is cut off from all: it knows no more than its disk does
-		if a.down {
+		run.countFault("slow disk", target.name)
+		target.slowDiskUntil = run.now + duration
+	case 10: // killed and restarted while it is cut off: it knows only what is on its disk
+		if target.down {
 			return
 		}
-		p.countFault("started cut off", a.name)
-		p.kill(a)
-		p.scheduleAfter(back, nil, again(a))
-		apart := p.now + back + p.randomDuration(p.Lease/2, 3*p.Lease)
-		for _, x := range p.fleet {
-			p.cutUntil[[2]string{a.name, x.name}], p.cutUntil[[2]string{x.name, a.name}] = apart, apart
+		run.countFault("started cut off", target.name)
+		run.kill(target)
+		run.scheduleAfter(duration, nil, restart(target))
+		end := run.now + duration + run.randomDuration(run.Lease/2, 3*run.Lease)
+		for _, other := range run.fleet {
+			run.cutUntil[[2]string{target.name, other.name}], run.cutUntil[[2]string{other.name, target.name}] =
+				end, end
 		}
 	case 9:
-		if p.rng.IntN(3) > 0 {
+		if run.rng.IntN(3) > 0 {
 			return
 		}
-		p.countFault("all killed", a.name)
-		for _, x := range p.fleet {
-			if !x.down {
-				p.kill(x)
-				p.scheduleAfter(p.randomDuration(10*time.Millisecond, back), nil, again(x))
+		run.countFault("all killed", target.name)
+		for _, controller := range run.fleet {
+			if !controller.down {
+				run.kill(controller)
+				run.scheduleAfter(run.randomDuration(10*time.Millisecond, duration), nil, restart(controller))
 			}
 		}
 	}
 }
 
-// restartIsolated kills a follower for longer than its lease, in which the rest goes on, and
-// starts it while it is cut off from all: it knows no more than its disk does.
-func (p *scheduleRun) restartIsolated() {
-	if p.settling {
+// restartIsolated kills a follower and restarts it after more than two leases, in which the fleet may decide
+// changes. The follower is cut off until two leases after its restart: it knows only what is on its disk.
+// restartIsolated then schedules itself.
+func (run *scheduleRun) restartIsolated() {
+	if run.settling {
 		return
 	}
-	a := p.fleet[p.Voters+p.rng.IntN(p.Controllers-p.Voters)]
-	p.countFault("started cut off", a.name)
-	p.kill(a)
-	back := 2*p.Lease + p.randomDuration(0, p.Lease)
-	p.scheduleAfter(back, nil, func() {
-		if a.down {
-			p.startController(a)
+	follower := run.fleet[run.Voters+run.rng.IntN(run.Controllers-run.Voters)]
+	run.countFault("started cut off", follower.name)
+	run.kill(follower)
+	downtime := 2*run.Lease + run.randomDuration(0, run.Lease)
+	run.scheduleAfter(downtime, nil, func() {
+		if follower.down {
+			run.startController(follower)
 		}
 	})
-	for _, x := range p.fleet {
-		p.cutUntil[[2]string{a.name, x.name}], p.cutUntil[[2]string{x.name, a.name}] = p.now+back+2*p.Lease, p.now+back+2*p.Lease
+	for _, other := range run.fleet {
+		run.cutUntil[[2]string{follower.name, other.name}], run.cutUntil[[2]string{other.name, follower.name}] =
+			run.now+downtime+2*run.Lease, run.now+downtime+2*run.Lease
 	}
-	p.scheduleAfter(back+3*p.Lease, nil, p.restartIsolated)
+	run.scheduleAfter(downtime+3*run.Lease, nil, run.restartIsolated)
 }
 
-func (p *scheduleRun) heal() {
-	clear(p.cutUntil)
-	p.lossyUntil = 0
-	for _, a := range p.fleet {
-		a.slowDiskUntil, a.pausedUntil = 0, min(a.pausedUntil, p.now)
-		if a.down && !a.forgotten {
-			p.startController(a)
+// heal ends all faults and restarts the controllers that are down, except forgotten ones.
+func (run *scheduleRun) heal() {
+	clear(run.cutUntil)
+	run.lossyUntil = 0
+	for _, controller := range run.fleet {
+		controller.slowDiskUntil, controller.pausedUntil = 0, min(controller.pausedUntil, run.now)
+		if controller.down && !controller.forgotten {
+			run.startController(controller)
 		}
 	}
 }
--- a/internal/bench/schedule_operators.go
+++ b/internal/bench/schedule_operators.go
@@ -12,158 +12,199 @@
 	"railrelay.dev/railrelay/internal/historycheck"
 )
 
-// scheduleOperation is one change or purge, asked for at one place and again at others.
+// scheduleOperation is a change, a purge or the forgetting of a member. Its request may be sent to several
+// controllers.
 type scheduleOperation struct {
 	request  fleet.Request
-	done     bool
-	unfitFor string
+	done     bool   // an operator received its outcome
+	unfitFor string // controller that can't serve by the change's policy, "": none
 }
 
+// scheduleRequest is a request for an operation that a controller has not answered.
 type scheduleRequest struct {
 	operation   *scheduleOperation
 	controller  *simulatedController
 	incarnation uint64
 	requestedAt time.Duration
-	final       bool
+	final       bool // sent after all faults ended: it must get an outcome
 }
 
-// issueOperations lets operators and customers ask.
-func (p *scheduleRun) issueOperations() {
-	if p.settling {
+// issueOperations sends a random request of an operator or a customer, and schedules itself until the period
+// with faults is over. The text of a change's policy is "policy of ID", optionally followed by
+// " voters NAME,NAME,..." (the new voters) and by " unfit for NAME" (a controller that rejects the policy).
+func (run *scheduleRun) issueOperations() {
+	if run.settling {
 		return
 	}
-	p.scheduleAfter(p.randomDuration(50*time.Millisecond, 900*time.Millisecond), nil, p.issueOperations)
+	run.scheduleAfter(run.randomDuration(50*time.Millisecond, 900*time.Millisecond), nil, run.issueOperations)
 	base := uint64(1)
-	for _, a := range p.fleet { // what an operator would have read somewhere
-		base = max(base, a.version)
+	for _, controller := range run.fleet { // the latest version, as an operator reads it from a controller
+		base = max(base, controller.version)
 	}
-	n := len(p.operations)
-	change := func(i int) *scheduleOperation {
-		o := &scheduleOperation{request: fleet.Request{Kind: "apply", ID: fmt.Sprintf("change-%d", i), RequestedBy: "op", BaseVersion: base, WaitMs: 2000}}
-		text := "policy of " + o.request.ID
-		if p.ChangeVoters && p.Controllers > p.Voters && p.rng.IntN(6) == 0 && !slices.ContainsFunc(p.fleet, func(a *simulatedController) bool { return a.forgotten }) {
-			p.votersChanged = true // others vote from now on, if it comes into force
-			from, names := p.rng.IntN(len(p.fleet)), []string{}
-			for i := range p.Voters {
-				names = append(names, p.fleet[(from+i)%len(p.fleet)].name)
+	count := len(run.operations)
+	newChange := func(number int) *scheduleOperation {
+		operation := &scheduleOperation{request: fleet.Request{
+			Kind:        "apply",
+			ID:          fmt.Sprintf("change-%d", number),
+			RequestedBy: "op",
+			BaseVersion: base,
+			WaitMs:      2000,
+		}}
+		text := "policy of " + operation.request.ID
+		if run.ChangeVoters && run.Controllers > run.Voters && run.rng.IntN(6) == 0 &&
+			!slices.ContainsFunc(run.fleet, func(c *simulatedController) bool { return c.forgotten }) {
+			run.votersChanged = true // if the change comes into force
+			first, names := run.rng.IntN(len(run.fleet)), []string{}
+			for i := range run.Voters {
+				names = append(names, run.fleet[(first+i)%len(run.fleet)].name)
 			}
 			text += " voters " + strings.Join(names, ",")
 		}
-		if p.rng.IntN(5) == 0 {
-			o.unfitFor = p.fleet[p.rng.IntN(len(p.fleet))].name
-			text += " unfit for " + o.unfitFor
+		if run.rng.IntN(5) == 0 {
+			operation.unfitFor = run.fleet[run.rng.IntN(len(run.fleet))].name
+			text += " unfit for " + operation.unfitFor
 		}
-		o.request.Policy = []byte(text)
-		if p.rng.IntN(2) == 0 {
-			o.request.AbortAfterMs = p.randomDuration(100*time.Millisecond, 4*p.Lease).Milliseconds()
+		operation.request.Policy = []byte(text)
+		if run.rng.IntN(2) == 0 {
+			operation.request.AbortAfterMs = run.randomDuration(100*time.Millisecond, 4*run.Lease).Milliseconds()
 		}
-		return o
+		return operation
 	}
-	switch x := p.rng.IntN(10); {
-	case x < 3 || n == 0:
-		p.operations = append(p.operations, change(n))
-		p.sendRequest(p.operations[n], false)
-	case x < 5: // two at once
-		p.operations = append(p.operations, change(n), change(n+1))
-		p.sendRequest(p.operations[n], false)
-		p.sendRequest(p.operations[n+1], false)
-	case x < 7:
-		o := &scheduleOperation{request: fleet.Request{Kind: "purge", ID: fmt.Sprintf("purge-%d", n), RequestedBy: "op", WaitMs: 2000,
-			Scope: &fleet.Scope{Team: scheduleTeams[p.rng.IntN(2)]}}}
-		if p.rng.IntN(2) == 0 {
-			o.request.Scope.Tables = []int64{int64(p.rng.IntN(3))}
+	switch choice := run.rng.IntN(10); {
+	case choice < 3 || count == 0:
+		run.operations = append(run.operations, newChange(count))
+		run.sendRequest(run.operations[count], false)
+	case choice < 5: // two concurrent changes
+		run.operations = append(run.operations, newChange(count), newChange(count+1))
+		run.sendRequest(run.operations[count], false)
+		run.sendRequest(run.operations[count+1], false)
+	case choice < 7:
+		purge := &scheduleOperation{request: fleet.Request{
+			Kind:        "purge",
+			ID:          fmt.Sprintf("purge-%d", count),
+			RequestedBy: "op",
+			WaitMs:      2000,
+			Scope:       &fleet.Scope{Team: scheduleTeams[run.rng.IntN(2)]},
+		}}
+		if run.rng.IntN(2) == 0 {
+			purge.request.Scope.Tables = []int64{int64(run.rng.IntN(3))}
 		}
-		if p.rng.IntN(2) == 0 {
-			o.request.AwaitedStage = "unreachable"
+		if run.rng.IntN(2) == 0 {
+			purge.request.AwaitedStage = "unreachable"
 		}
-		p.operations = append(p.operations, o)
-		p.history.PurgeRequested(p.now, o.request.ID, *o.request.Scope)
-		p.sendRequest(o, false)
-	case x == 7 && !p.RestartIsolated && p.Controllers > p.Voters && !p.votersChanged && p.rng.IntN(4) == 0: // a follower's disk is destroyed
-		a := p.fleet[p.Voters+p.rng.IntN(p.Controllers-p.Voters)]
-		if a.forgotten {
+		run.operations = append(run.operations, purge)
+		run.history.PurgeRequested(run.now, purge.request.ID, *purge.request.Scope)
+		run.sendRequest(purge, false)
+	// A follower's disk is lost, and an operator has the fleet forget the follower.
+	case choice == 7 && !run.RestartIsolated && run.Controllers > run.Voters && !run.votersChanged &&
+		run.rng.IntN(4) == 0:
+		follower := run.fleet[run.Voters+run.rng.IntN(run.Controllers-run.Voters)]
+		if follower.forgotten {
 			return
 		}
-		a.forgotten = true
-		p.kill(a)
-		o := &scheduleOperation{request: fleet.Request{Kind: "forget", ID: "forget-" + a.name, RequestedBy: "op", Name: a.name, WaitMs: 2000}}
-		p.operations = append(p.operations, o)
-		p.sendRequest(o, false)
+		follower.forgotten = true
+		run.kill(follower)
+		forget := &scheduleOperation{request: fleet.Request{
+			Kind:        "forget",
+			ID:          "forget-" + follower.name,
+			RequestedBy: "op",
+			Name:        follower.name,
+			WaitMs:      2000,
+		}}
+		run.operations = append(run.operations, forget)
+		run.sendRequest(forget, false)
 	default:
-		p.sendRequest(p.operations[p.rng.IntN(n)], false)
+		run.sendRequest(run.operations[run.rng.IntN(count)], false)
 	}
-	p.countMessages = true
+	run.countMessages = true
 }
 
+// scheduleTeams are the owners of the simulated queries and results.
 var scheduleTeams = []string{"linz", "steyr"}
 
-// sendRequest puts an operation to some controller that runs.
-func (p *scheduleRun) sendRequest(o *scheduleOperation, last bool) {
+// sendRequest sends the request for an operation to a random running controller, if one is found in 8 draws.
+func (run *scheduleRun) sendRequest(operation *scheduleOperation, final bool) {
 	for range 8 {
-		a := p.fleet[p.rng.IntN(len(p.fleet))]
-		if a.down || a.forgotten {
+		controller := run.fleet[run.rng.IntN(len(run.fleet))]
+		if controller.down || controller.forgotten {
 			continue
 		}
-		p.lastHandle++
-		h := p.lastHandle
-		p.pendingRequests[h] = &scheduleRequest{operation: o, controller: a, incarnation: a.incarnation, requestedAt: p.now, final: last}
-		ask := o.request
-		if o.request.Kind == "purge" && last {
-			ask.AwaitedStage = ""
+		run.lastHandle++
+		handle := run.lastHandle
+		run.pendingRequests[handle] = &scheduleRequest{operation: operation, controller: controller,
+			incarnation: controller.incarnation, requestedAt: run.now, final: final}
+		request := operation.request
+		if operation.request.Kind == "purge" && final {
+			request.AwaitedStage = ""
 		}
-		p.scheduleAfter(p.randomDuration(0, time.Millisecond), a, func() {
-			p.step(a, node.Event{Kind: node.OperatorRequested, Request: &ask, Handle: h})
+		run.scheduleAfter(run.randomDuration(0, time.Millisecond), controller, func() {
+			run.step(controller, node.Event{Kind: node.OperatorRequested, Request: &request, Handle: handle})
 		})
 		return
 	}
 }
 
-func (p *scheduleRun) receiveResponse(handle uint64, r *fleet.Response) {
-	x := p.pendingRequests[handle]
-	if x == nil {
-		p.addViolation("an answer to what nobody asks: %+v", *r)
+// receiveResponse adds a response to the history. When a purge is reported as done, receiveResponse also adds
+// the results that are still on the disks.
+func (run *scheduleRun) receiveResponse(handle uint64, response *fleet.Response) {
+	pending := run.pendingRequests[handle]
+	if pending == nil {
+		run.addViolation("response to a request that is not pending: %+v", *response)
 		return
 	}
-	delete(p.pendingRequests, handle)
-	o := x.operation
-	if r.Outcome != "unknown" {
-		o.done = true
+	delete(run.pendingRequests, handle)
+	operation := pending.operation
+	if response.Outcome != "unknown" {
+		operation.done = true
 	}
-	switch o.request.Kind {
+	switch operation.request.Kind {
 	case "apply":
-		p.history.ChangeReported(p.now, x.controller.name, o.request.ID, r.Outcome, r.Version)
-		p.changeReports = append(p.changeReports, historycheck.ChangeReport{Client: len(p.changeReports) % 7, From: x.requestedAt, To: p.now + 1,
-			ID: o.request.ID, Base: o.request.BaseVersion, Proposes: true, Outcome: r.Outcome, Version: r.Version})
+		run.history.ChangeReported(run.now, pending.controller.name, operation.request.ID,
+			response.Outcome, response.Version)
+		run.changeReports = append(run.changeReports, historycheck.ChangeReport{
+			Client:   len(run.changeReports) % 7,
+			From:     pending.requestedAt,
+			To:       run.now + 1,
+			ID:       operation.request.ID,
+			Base:     operation.request.BaseVersion,
+			Proposes: true,
+			Outcome:  response.Outcome,
+			Version:  response.Version,
+		})
 	case "purge":
-		p.history.PurgeReported(p.now, x.controller.name, o.request.ID, r.Outcome, r.Counts)
-		if r.Outcome == "purged" {
-			for _, a := range p.fleet {
-				for _, id := range slices.Sorted(maps.Keys(a.results)) {
-					if !a.forgotten {
-						p.history.FoundOnDisk(p.now+1, a.name, id)
+		run.history.PurgeReported(run.now, pending.controller.name, operation.request.ID,
+			response.Outcome, response.Counts)
+		if response.Outcome == "purged" {
+			for _, controller := range run.fleet {
+				for _, query := range slices.Sorted(maps.Keys(controller.results)) {
+					if !controller.forgotten {
+						run.history.FoundOnDisk(run.now+1, controller.name, query)
 					}
 				}
 			}
 		}
 	case "forget":
-		if r.Outcome == "forgotten" {
-			p.result.Forgotten++
-			if a := p.byName[o.request.Name]; a.down { // somebody finds it and starts it once more
-				p.scheduleAfter(p.randomDuration(0, p.Lease), nil, func() {
-					if a.down {
-						p.startController(a)
+		if response.Outcome == "forgotten" {
+			run.result.Forgotten++
+			// The forgotten controller is started again by mistake, and must not act.
+			if controller := run.byName[operation.request.Name]; controller.down {
+				run.scheduleAfter(run.randomDuration(0, run.Lease), nil, func() {
+					if controller.down {
+						run.startController(controller)
 					}
 				})
 			}
 		}
 	}
-	if x.final && r.Outcome == "unknown" {
-		p.addViolation("%s asked for %s after all was healed: unknown, %s, outstanding %v", x.controller.name, o.request.ID, r.Stage, r.Outstanding)
+	if pending.final && response.Outcome == "unknown" {
+		run.addViolation("%s doesn't know the outcome of %s after all faults ended: stage %s, outstanding %v",
+			pending.controller.name, operation.request.ID, response.Stage, response.Outstanding)
 	}
 }
 
-func (p *scheduleRun) repeatAllRequests() {
-	for _, o := range p.operations {
-		p.sendRequest(o, true)
+// repeatAllRequests sends the requests of all operations again.
+func (run *scheduleRun) repeatAllRequests() {
+	for _, operation := range run.operations {
+		run.sendRequest(operation, true)
 	}
 }
--- a/internal/bench/schedules.go
+++ b/internal/bench/schedules.go
@@ -15,65 +15,69 @@
 	"railrelay.dev/railrelay/internal/historycheck"
 )
 
-// Schedule is one play of many controllers' cores in virtual time: what is sent, lost,
-// late and doubled, who stops, is killed and comes back, and when, follows from the seed.
+// Schedule is a simulation of a fleet in virtual time, with the real cores of the controllers. The seed
+// determines the operators' requests and all faults: messages that are lost, delayed or duplicated, links
+// that are cut, and controllers that are paused, killed and restarted.
 type Schedule struct {
 	Seed            uint64
-	Controllers     int // the first Voters of them vote
+	Controllers     int // voters, relays and followers, in this order
 	Voters          int
 	ControlOnly     bool          // voters and relays take no queries
-	Relays          int           // the next so many pass on the renewals of those after them, 0: none do
-	Duration        time.Duration // in which faults come; after it all is healed and must come right
+	Relays          int           // relays that aggregate the followers' renewals, 0: none
+	Duration        time.Duration // of the period with faults; afterwards the fleet must recover
 	Lease           time.Duration
-	FaultsPerSecond float64       // a second
-	MessageFault    *MessageFault // a fault at one step, in place of those
-	ChangeVoters    bool          // changes may name others who vote
-	EncodeMessages  bool          // messages go through the encoding
-	RestartIsolated bool          // in place of those: followers go, and start cut off after a change or so
+	FaultsPerSecond float64
+	MessageFault    *MessageFault // a single fault, which replaces the random ones
+	ChangeVoters    bool          // some changes replace the voters
+	EncodeMessages  bool          // messages are encoded and decoded on their way
+	RestartIsolated bool          // the only faults are restarts of followers that are cut off
 }
 
-// MessageFault is a fault at the nth message between controllers once the first change or
-// purge was asked for.
+// MessageFault is a fault at one message between controllers. The messages are counted from the first
+// operator's request on, beginning with 1.
 type MessageFault struct {
 	MessageNumber int
-	Kind          string // lost, doubled, late, sender, receiver (killed), stopped, cut
+	Kind          string // one of MessageFaultKinds
 }
 
-// MessageFaultKinds are the ways of a Strike.
+// MessageFaultKinds lists the kinds of a MessageFault. "sender" and "receiver" kill that controller,
+// "stopped" pauses the receiver, and "cut" cuts the link from the sender to the receiver.
 var MessageFaultKinds = []string{"lost", "doubled", "late", "sender", "receiver", "stopped", "cut"}
 
-// ScheduleResult is what schedules showed.
+// ScheduleResult is the result of one or several schedules.
 type ScheduleResult struct {
 	Schedules, Events, Messages int
-	FaultsByKind                map[string]int // that struck, by kind
-	FaultStates                 map[string]int // how far a change or purge was, and who was struck how
+	FaultsByKind                map[string]int // number of faults of each kind
+	FaultStates                 map[string]int // number of faults by kind, role and state of the operations
 	Changes, Withdrawn, Purges  int
 	Acts, Forgotten             int
-	Violations                  []string
-	TraceHash                   uint64 // of all that happened: the same seed gives the same
+	Violations                  []string // violated invariants
+	TraceHash                   uint64   // hash of the times of all events, equal for equal seeds
 }
 
-// Add joins another play.
-func (p *ScheduleResult) Add(o *ScheduleResult) {
-	p.Schedules, p.Events, p.Messages = p.Schedules+o.Schedules, p.Events+o.Events, p.Messages+o.Messages
-	p.Changes, p.Withdrawn, p.Purges, p.Acts = p.Changes+o.Changes, p.Withdrawn+o.Withdrawn, p.Purges+o.Purges, p.Acts+o.Acts
-	p.Forgotten += o.Forgotten
-	if p.FaultsByKind == nil {
-		p.FaultsByKind, p.FaultStates = map[string]int{}, map[string]int{}
+// Add adds the result of other schedules.
+func (r *ScheduleResult) Add(o *ScheduleResult) {
+	r.Schedules, r.Events, r.Messages = r.Schedules+o.Schedules, r.Events+o.Events, r.Messages+o.Messages
+	r.Changes, r.Withdrawn, r.Purges, r.Acts =
+		r.Changes+o.Changes, r.Withdrawn+o.Withdrawn, r.Purges+o.Purges, r.Acts+o.Acts
+	r.Forgotten += o.Forgotten
+	if r.FaultsByKind == nil {
+		r.FaultsByKind, r.FaultStates = map[string]int{}, map[string]int{}
 	}
-	for k, n := range o.FaultsByKind {
-		p.FaultsByKind[k] += n
+	for kind, n := range o.FaultsByKind {
+		r.FaultsByKind[kind] += n
 	}
-	for k, n := range o.FaultStates {
-		p.FaultStates[k] += n
+	for state, n := range o.FaultStates {
+		r.FaultStates[state] += n
 	}
-	p.Violations = append(p.Violations, o.Violations...)
-	p.TraceHash = p.TraceHash*31 + o.TraceHash
+	r.Violations = append(r.Violations, o.Violations...)
+	r.TraceHash = r.TraceHash*31 + o.TraceHash
 }
 
-// DistinctFaultStates is in how many different states a fault really struck.
-func (p *ScheduleResult) DistinctFaultStates() int { return len(p.FaultStates) }
+// DistinctFaultStates returns the number of different states in which faults occurred.
+func (r *ScheduleResult) DistinctFaultStates() int { return len(r.FaultStates) }
 
+// scheduleRun is the state of a running Schedule.
 type scheduleRun struct {
 	Schedule
 	rng             *rand.Rand
@@ -82,18 +86,18 @@
 	lastSequence    int
 	fleet           []*simulatedController
 	byName          map[string]*simulatedController
-	cutUntil        map[[2]string]time.Duration // from, to: until
-	lossyUntil      time.Duration               // until when messages are lost, late and doubled
-	leader          string
+	cutUntil        map[[2]string]time.Duration // end of the cut of the link from one controller to another
+	lossyUntil      time.Duration               // end of the period with lost, delayed and duplicated messages
+	leader          string                      // name of the controller that last granted a lease
 	history         historycheck.FleetHistory
 	result          *ScheduleResult
-	pendingRequests map[uint64]*scheduleRequest
+	pendingRequests map[uint64]*scheduleRequest // by handle
 	lastHandle      uint64
 	operations      []*scheduleOperation
 	changeReports   []historycheck.ChangeReport
-	settling        bool
-	votersChanged   bool // who votes was to be changed
-	countMessages   bool // messages are counted for the strike
+	settling        bool // the period with faults is over
+	votersChanged   bool // a change that replaces the voters was requested
+	countMessages   bool // messages are counted for MessageFault
 	countedMessages int
 	lastQuery       int
 }
@@ -101,184 +105,246 @@
 type scheduleEvent struct {
 	at          time.Duration
 	sequence    int
-	controller  *simulatedController // nil: the world
-	incarnation uint64               // of who; 0: whichever
-	run         func()
+	controller  *simulatedController // controller whose process the event belongs to; nil: none
+	incarnation uint64               // the event is dropped if the controller has another one
+	action      func()
 }
 
+// scheduleEventQueue is a heap of events by time, and by the order of scheduling for equal times.
 type scheduleEventQueue []*scheduleEvent
 
-func (h scheduleEventQueue) Len() int { return len(h) }
-func (h scheduleEventQueue) Less(i, j int) bool {
-	return h[i].at < h[j].at || h[i].at == h[j].at && h[i].sequence < h[j].sequence
+func (q scheduleEventQueue) Len() int { return len(q) }
+func (q scheduleEventQueue) Less(i, j int) bool {
+	return q[i].at < q[j].at || q[i].at == q[j].at && q[i].sequence < q[j].sequence
 }
-func (h scheduleEventQueue) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
-func (h *scheduleEventQueue) Push(x any)   { *h = append(*h, x.(*scheduleEvent)) }
-func (h *scheduleEventQueue) Pop() any {
-	l := *h
-	x := l[len(l)-1]
-	*h = l[:len(l)-1]
-	return x
+func (q scheduleEventQueue) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
+func (q *scheduleEventQueue) Push(x any)   { *q = append(*q, x.(*scheduleEvent)) }
+func (q *scheduleEventQueue) Pop() any {
+	events := *q
+	last := events[len(events)-1]
+	*q = events[:len(events)-1]
+	return last
 }
 
-func (p *scheduleRun) scheduleAfter(within time.Duration, who *simulatedController, what func()) {
-	p.lastSequence++
-	x := &scheduleEvent{at: p.now + within, sequence: p.lastSequence, controller: who, run: what}
-	if who != nil {
-		x.incarnation = who.incarnation
+// scheduleAfter schedules an action after a delay. If the controller isn't nil, the action is dropped when
+// the controller's process ends, and delayed while it is paused.
+func (run *scheduleRun) scheduleAfter(delay time.Duration, controller *simulatedController, action func()) {
+	run.lastSequence++
+	event := &scheduleEvent{at: run.now + delay, sequence: run.lastSequence, controller: controller,
+		action: action}
+	if controller != nil {
+		event.incarnation = controller.incarnation
 	}
-	heap.Push(&p.events, x)
+	heap.Push(&run.events, event)
 }
 
-func (p *scheduleRun) randomDuration(least, most time.Duration) time.Duration {
-	return least + time.Duration(p.rng.Int64N(int64(most-least)+1))
+// randomDuration returns a random duration between two bounds, both included.
+func (run *scheduleRun) randomDuration(shortest, longest time.Duration) time.Duration {
+	return shortest + time.Duration(run.rng.Int64N(int64(longest-shortest)+1))
 }
 
-// Run plays it to its end.
+// Run runs the schedule and returns its result. After the period with faults all links are restored and all
+// controllers restarted. Then the fleet gets time to recover, all operations are requested again, and the
+// final state is checked.
 func (s Schedule) Run() *ScheduleResult {
-	p := &scheduleRun{Schedule: s, rng: rand.New(rand.NewPCG(s.Seed, 0x5c4ed)), byName: map[string]*simulatedController{}, cutUntil: map[[2]string]time.Duration{},
-		result: &ScheduleResult{Schedules: 1, FaultsByKind: map[string]int{}, FaultStates: map[string]int{}}, pendingRequests: map[uint64]*scheduleRequest{}}
+	run := &scheduleRun{
+		Schedule: s,
+		rng:      rand.New(rand.NewPCG(s.Seed, 0x5c4ed)),
+		byName:   map[string]*simulatedController{},
+		cutUntil: map[[2]string]time.Duration{},
+		result: &ScheduleResult{
+			Schedules: 1, FaultsByKind: map[string]int{}, FaultStates: map[string]int{},
+		},
+		pendingRequests: map[uint64]*scheduleRequest{},
+	}
 	for i := range s.Controllers {
 		name := fmt.Sprintf("c%d", i)
-		a := &simulatedController{name: name, diskID: "disk-" + name, clockRate: 1 + (p.rng.Float64()-0.5)*0.009, invalidations: map[string]fleet.Order{}, results: map[string]simulatedResult{}}
-		a.member = fleet.Member{Name: name, DiskID: a.diskID, Site: []string{"east", "west"}[i%2], PeerAddress: name + ":1", ClientAddress: name + ":2",
-			ControlOnly: s.ControlOnly && i < s.Voters+s.Relays}
-		p.fleet = append(p.fleet, a)
-		p.byName[name] = a
+		controller := &simulatedController{
+			name:          name,
+			diskID:        "disk-" + name,
+			clockRate:     1 + (run.rng.Float64()-0.5)*0.009,
+			invalidations: map[string]fleet.Order{},
+			results:       map[string]simulatedResult{},
+		}
+		controller.member = fleet.Member{
+			Name:          name,
+			DiskID:        controller.diskID,
+			Site:          []string{"east", "west"}[i%2],
+			PeerAddress:   name + ":1",
+			ClientAddress: name + ":2",
+			ControlOnly:   s.ControlOnly && i < s.Voters+s.Relays,
+		}
+		run.fleet = append(run.fleet, controller)
+		run.byName[name] = controller
 	}
-	for _, a := range p.fleet {
-		p.startController(a)
+	for _, controller := range run.fleet {
+		run.startController(controller)
 	}
-	p.scheduleAfter(p.randomDuration(800*time.Millisecond, 1500*time.Millisecond), nil, p.issueOperations)
+	run.scheduleAfter(run.randomDuration(800*time.Millisecond, 1500*time.Millisecond), nil, run.issueOperations)
 	switch {
 	case s.RestartIsolated:
-		p.scheduleAfter(time.Second, nil, p.restartIsolated)
+		run.scheduleAfter(time.Second, nil, run.restartIsolated)
 	case s.MessageFault == nil:
-		p.scheduleAfter(500*time.Millisecond, nil, p.injectFaults)
+		run.scheduleAfter(500*time.Millisecond, nil, run.injectFaults)
 	}
-	p.runUntil(s.Duration)
-	p.heal()
-	p.settling = true
-	p.runUntil(p.now + 4*s.Lease + 8*time.Second) // elections, leases, and what was under way
-	p.repeatAllRequests()
-	p.runUntil(p.now + 3*s.Lease + 6*time.Second)
-	p.checkFinalState()
-	return p.result
+	run.runUntil(s.Duration)
+	run.heal()
+	run.settling = true
+	// Time for elections, the expiry of leases and the operations in progress.
+	run.runUntil(run.now + 4*s.Lease + 8*time.Second)
+	run.repeatAllRequests()
+	run.runUntil(run.now + 3*s.Lease + 6*time.Second)
+	run.checkFinalState()
+	return run.result
 }
 
-func (p *scheduleRun) runUntil(end time.Duration) {
-	for len(p.events) > 0 && p.events[0].at <= end {
-		x := heap.Pop(&p.events).(*scheduleEvent)
-		p.now = x.at
-		if a := x.controller; a != nil {
-			if a.down || x.incarnation != a.incarnation {
+// runUntil runs all events up to a time.
+func (run *scheduleRun) runUntil(end time.Duration) {
+	for len(run.events) > 0 && run.events[0].at <= end {
+		event := heap.Pop(&run.events).(*scheduleEvent)
+		run.now = event.at
+		if controller := event.controller; controller != nil {
+			if controller.down || event.incarnation != controller.incarnation {
 				continue
 			}
-			if p.now < a.pausedUntil { // in turn, once it goes on
-				p.lastSequence++
-				x.at, x.sequence = a.pausedUntil, p.lastSequence
-				heap.Push(&p.events, x)
+			// The events of a paused controller keep their order when it resumes.
+			if run.now < controller.pausedUntil {
+				run.lastSequence++
+				event.at, event.sequence = controller.pausedUntil, run.lastSequence
+				heap.Push(&run.events, event)
 				continue
 			}
 		}
-		p.result.Events++
-		p.result.TraceHash = p.result.TraceHash*1099511628211 + uint64(x.at)
-		x.run()
+		run.result.Events++
+		run.result.TraceHash = run.result.TraceHash*1099511628211 + uint64(event.at)
+		event.action()
 	}
-	p.now = end
+	run.now = end
 }
 
-func (p *scheduleRun) addViolation(form string, args ...any) {
-	if len(p.result.Violations) < 20 {
-		p.result.Violations = append(p.result.Violations, fmt.Sprintf("seed %d at %v: ", p.Seed, p.now)+fmt.Sprintf(form, args...))
+// addViolation adds a violation to the result, which keeps at most 20.
+func (run *scheduleRun) addViolation(format string, args ...any) {
+	if len(run.result.Violations) < 20 {
+		run.result.Violations = append(run.result.Violations,
+			fmt.Sprintf("seed %d at %v: ", run.Seed, run.now)+fmt.Sprintf(format, args...))
 	}
 }
 
-func (p *scheduleRun) checkFinalState() {
+// checkFinalState checks that all controllers serve by the latest version, that all repeated requests were
+// answered, and that the operators' reports agree with each other. It adds the history's faults to the
+// violations.
+func (run *scheduleRun) checkFinalState() {
 	version := uint64(0)
-	for _, a := range p.fleet {
-		version = max(version, a.version)
+	for _, controller := range run.fleet {
+		version = max(version, controller.version)
 	}
 	policy := ""
-	for _, a := range p.fleet {
-		if a.version == version {
-			policy = a.policy
+	for _, controller := range run.fleet {
+		if controller.version == version {
+			policy = controller.policy
 		}
 	}
-	for _, a := range p.fleet {
-		if strings.HasSuffix(policy, " unfit for "+a.name) { // it was down when that was decided, and can't serve by it
+	for _, controller := range run.fleet {
+		// The controller was down when the change was decided, and can't serve by this policy.
+		if strings.HasSuffix(policy, " unfit for "+controller.name) {
 			continue
 		}
-		if !a.forgotten && a.servingState.ServingVersion(a.localTime(p), false) != version {
-			p.addViolation("half: %s acts by version %d after all was healed, not %d", a.name, a.servingState.ServingVersion(a.localTime(p), false), version)
+		if !controller.forgotten &&
+			controller.servingState.ServingVersion(controller.localTime(run), false) != version {
+			run.addViolation("half: %s serves by version %d after all faults ended, not by version %d",
+				controller.name, controller.servingState.ServingVersion(controller.localTime(run), false), version)
 		}
 	}
-	for _, h := range slices.Sorted(maps.Keys(p.pendingRequests)) {
-		x := p.pendingRequests[h]
-		if x.operation.request.Kind == "apply" { // who was asked is gone; it may have passed it on before
-			p.changeReports = append(p.changeReports, historycheck.ChangeReport{Client: len(p.changeReports) % 7, From: x.requestedAt,
-				ID: x.operation.request.ID, Base: x.operation.request.BaseVersion, Proposes: true, Outcome: "unknown"})
+	for _, handle := range slices.Sorted(maps.Keys(run.pendingRequests)) {
+		pending := run.pendingRequests[handle]
+		// The controller's process has ended. It may have forwarded the change before.
+		if pending.operation.request.Kind == "apply" {
+			run.changeReports = append(run.changeReports, historycheck.ChangeReport{
+				Client:   len(run.changeReports) % 7,
+				From:     pending.requestedAt,
+				ID:       pending.operation.request.ID,
+				Base:     pending.operation.request.BaseVersion,
+				Proposes: true,
+				Outcome:  "unknown",
+			})
 		}
-		if x.final {
-			p.addViolation("false_word: %s was asked for %s after all was healed and says nothing", x.controller.name, x.operation.request.ID)
+		if pending.final {
+			run.addViolation("false_word: %s did not answer the request %s after all faults ended",
+				pending.controller.name, pending.operation.request.ID)
 		}
 	}
-	for _, f := range p.history.Faults {
-		p.addViolation("%v", f)
+	for _, fault := range run.history.Faults {
+		run.addViolation("%v", fault)
 	}
-	if ok, why := historycheck.Linearizable(p.changeReports, 2*time.Second); !ok {
-		p.addViolation("false_word: there is no order of these words:\n%s", why)
+	if linearizable, excerpt := historycheck.Linearizable(run.changeReports, 2*time.Second); !linearizable {
+		run.addViolation("false_word: no order of the changes explains the operators' reports:\n%s", excerpt)
 	}
-	p.result.Changes, p.result.Withdrawn, p.result.Purges, p.result.Acts = p.history.Changes, p.history.Withdrawn, p.history.Purges, p.history.Acts
+	run.result.Changes, run.result.Withdrawn, run.result.Purges, run.result.Acts =
+		run.history.Changes, run.history.Withdrawn, run.history.Purges, run.history.Acts
 }
 
-// SchedulePlan is a set of schedules: each seed alone, or the strikes at each of so many
-// messages.
+// SchedulePlan is a list of schedules to run.
 type SchedulePlan struct {
 	Schedules []Schedule
 }
 
-// AddRandom are so many schedules of a size, from a seed on.
-func (l *SchedulePlan) AddRandom(seed uint64, n, controllers, voters int, long time.Duration, faults float64) {
+// AddRandom adds n schedules with random faults and consecutive seeds.
+func (plan *SchedulePlan) AddRandom(
+	seed uint64, n, controllers, voters int, duration time.Duration, faultsPerSecond float64,
+) {
 	for i := range n {
-		l.Schedules = append(l.Schedules, Schedule{Seed: seed + uint64(i), Controllers: controllers, Voters: voters, Duration: long,
-			Lease: 800 * time.Millisecond, FaultsPerSecond: faults, EncodeMessages: i%8 == 0})
+		plan.Schedules = append(plan.Schedules, Schedule{
+			Seed:            seed + uint64(i),
+			Controllers:     controllers,
+			Voters:          voters,
+			Duration:        duration,
+			Lease:           800 * time.Millisecond,
+			FaultsPerSecond: faultsPerSecond,
+			EncodeMessages:  i%8 == 0,
+		})
 	}
 }
 
-// AddMessageFaults are one schedule with a strike of each way at each of its messages from one to
-// another, step apart.
-func (l *SchedulePlan) AddMessageFaults(seed uint64, from, to, step int) {
-	for at := from; at <= to; at += step {
-		for _, how := range MessageFaultKinds {
-			l.Schedules = append(l.Schedules, Schedule{Seed: seed, Controllers: 5, Voters: 3, Duration: 4 * time.Second, Lease: 500 * time.Millisecond,
-				MessageFault: &MessageFault{MessageNumber: at, Kind: how}})
+// AddMessageFaults adds schedules of one seed that differ in their MessageFault: one for each kind of fault
+// at each step-th message from first to last.
+func (plan *SchedulePlan) AddMessageFaults(seed uint64, first, last, step int) {
+	for number := first; number <= last; number += step {
+		for _, kind := range MessageFaultKinds {
+			plan.Schedules = append(plan.Schedules, Schedule{
+				Seed:         seed,
+				Controllers:  5,
+				Voters:       3,
+				Duration:     4 * time.Second,
+				Lease:        500 * time.Millisecond,
+				MessageFault: &MessageFault{MessageNumber: number, Kind: kind},
+			})
 		}
 	}
 }
 
-// Run plays all on so many threads until a time is over, and says how many were played.
-func (l *SchedulePlan) Run(threads int, until time.Time) *ScheduleResult {
-	out := make([]*ScheduleResult, len(l.Schedules))
+// Run runs the schedules in threads goroutines and returns the sum of their results. After the time until,
+// unless it is zero, no further schedule is started; ScheduleResult.Schedules counts those that were run.
+func (plan *SchedulePlan) Run(threads int, until time.Time) *ScheduleResult {
+	results := make([]*ScheduleResult, len(plan.Schedules))
 	var next atomic.Int64
 	var wg sync.WaitGroup
 	for range threads {
 		wg.Go(func() {
 			for {
 				i := int(next.Add(1)) - 1
-				if i >= len(l.Schedules) || !until.IsZero() && time.Now().After(until) {
+				if i >= len(plan.Schedules) || !until.IsZero() && time.Now().After(until) {
 					return
 				}
-				out[i] = l.Schedules[i].Run()
+				results[i] = plan.Schedules[i].Run()
 			}
 		})
 	}
 	wg.Wait()
-	all := &ScheduleResult{}
-	for _, p := range out {
-		if p != nil {
-			all.Add(p)
+	total := &ScheduleResult{}
+	for _, result := range results {
+		if result != nil {
+			total.Add(result)
 		}
 	}
-	return all
+	return total
 }
--- a/internal/bench/schedules_test.go
+++ b/internal/bench/schedules_test.go
@@ -6,111 +6,121 @@
 	"time"
 )
 
-func requireNoViolations(t *testing.T, p *ScheduleResult) {
+func requireNoViolations(t *testing.T, result *ScheduleResult) {
 	t.Helper()
-	if len(p.Violations) > 0 {
-		t.Fatal(strings.Join(p.Violations, "\n"))
+	if len(result.Violations) > 0 {
+		t.Fatal(strings.Join(result.Violations, "\n"))
 	}
-	t.Logf("%d schedules, %d events, %d messages, %d acts; %d changes, %d withdrawn, %d purges; struck in %d states: %v", p.Schedules, p.Events,
-		p.Messages, p.Acts, p.Changes, p.Withdrawn, p.Purges, p.DistinctFaultStates(), p.FaultsByKind)
+	t.Logf("%d schedules, %d events, %d messages, %d acts; %d changes, %d withdrawn, %d purges; "+
+		"faults in %d states: %v", result.Schedules, result.Events,
+		result.Messages, result.Acts, result.Changes, result.Withdrawn, result.Purges,
+		result.DistinctFaultStates(), result.FaultsByKind)
 }
 
-// Five controllers, faults at random.
+// Random faults in a fleet of five controllers violate no invariant.
 func TestSchedules(t *testing.T) {
-	l := &SchedulePlan{}
-	l.AddRandom(1, 80, 5, 3, 6*time.Second, 2)
-	p := l.Run(3, time.Time{})
-	if requireNoViolations(t, p); p.Changes < 80 || p.Withdrawn < 20 || p.Purges < 60 || p.DistinctFaultStates() < 80 || p.Forgotten == 0 {
-		t.Fatal("too little arose")
+	plan := &SchedulePlan{}
+	plan.AddRandom(1, 80, 5, 3, 6*time.Second, 2)
+	result := plan.Run(3, time.Time{})
+	if requireNoViolations(t, result); result.Changes < 80 || result.Withdrawn < 20 || result.Purges < 60 ||
+		result.DistinctFaultStates() < 80 || result.Forgotten == 0 {
+		t.Fatal("too few changes, purges, forgotten controllers or fault states")
 	}
-	again := l.Schedules[7].Run()
-	if once := l.Schedules[7].Run(); once.TraceHash != again.TraceHash || once.Messages != again.Messages {
-		t.Error("the same seed plays another way")
+	second := plan.Schedules[7].Run()
+	if first := plan.Schedules[7].Run(); first.TraceHash != second.TraceHash ||
+		first.Messages != second.Messages {
+		t.Error("two runs of one seed differ")
 	}
 }
 
-// Followers ask through relays, which fail as all others do.
+// Random faults violate no invariant while followers renew their leases through relays, which fail as other
+// controllers do.
 func TestSchedulesWithRelays(t *testing.T) {
-	l := &SchedulePlan{}
-	l.AddRandom(2000, 80, 9, 3, 6*time.Second, 2)
-	for i := range l.Schedules {
-		l.Schedules[i].Relays, l.Schedules[i].ControlOnly = 2, i%2 == 0
+	plan := &SchedulePlan{}
+	plan.AddRandom(2000, 80, 9, 3, 6*time.Second, 2)
+	for i := range plan.Schedules {
+		plan.Schedules[i].Relays, plan.Schedules[i].ControlOnly = 2, i%2 == 0
 	}
-	p := l.Run(3, time.Time{})
-	if requireNoViolations(t, p); p.Changes < 80 || p.Withdrawn < 15 || p.Purges < 60 || p.DistinctFaultStates() < 80 || p.Forgotten == 0 {
-		t.Fatal("too little arose")
+	result := plan.Run(3, time.Time{})
+	if requireNoViolations(t, result); result.Changes < 80 || result.Withdrawn < 15 || result.Purges < 60 ||
+		result.DistinctFaultStates() < 80 || result.Forgotten == 0 {
+		t.Fatal("too few changes, purges, forgotten controllers or fault states")
 	}
-	large := &SchedulePlan{}
-	for seed := range uint64(4) {
-		large.Schedules = append(large.Schedules, Schedule{Seed: 6 + seed, Controllers: 120, Voters: 3, Relays: 4, ControlOnly: seed%2 == 0, Duration: 3 * time.Second,
+	largePlan := &SchedulePlan{}
+	for i := range uint64(4) {
+		largePlan.Schedules = append(largePlan.Schedules, Schedule{Seed: 6 + i, Controllers: 120, Voters: 3,
+			Relays: 4, ControlOnly: i%2 == 0, Duration: 3 * time.Second,
 			Lease: time.Second, FaultsPerSecond: 6})
 	}
-	many := large.Run(3, time.Time{})
-	if requireNoViolations(t, many); many.Changes < 2 || many.DistinctFaultStates() < 40 {
-		t.Fatal("too little arose among many")
+	largeResult := largePlan.Run(3, time.Time{})
+	if requireNoViolations(t, largeResult); largeResult.Changes < 2 || largeResult.DistinctFaultStates() < 40 {
+		t.Fatal("too few changes or fault states in the large fleets")
 	}
 }
 
-// Others vote from now on, again and again, with faults between.
+// Changes that replace the voters, with random faults between them, violate no invariant.
 func TestSchedulesWithVoterChanges(t *testing.T) {
-	l := &SchedulePlan{}
-	l.AddRandom(1, 40, 5, 3, 6*time.Second, 2)
-	for i := range l.Schedules {
-		l.Schedules[i].ChangeVoters = true
+	plan := &SchedulePlan{}
+	plan.AddRandom(1, 40, 5, 3, 6*time.Second, 2)
+	for i := range plan.Schedules {
+		plan.Schedules[i].ChangeVoters = true
 	}
-	requireNoViolations(t, l.Run(3, time.Time{}))
+	requireNoViolations(t, plan.Run(3, time.Time{}))
 }
 
-// One fault of each kind at messages of a change's or purge's way.
+// A single fault of any kind at a message of a change or purge violates no invariant.
 func TestMessageFaults(t *testing.T) {
-	l := &SchedulePlan{}
-	l.AddMessageFaults(3, 1, 150, 15)
-	p := l.Run(3, time.Time{})
-	if requireNoViolations(t, p); p.DistinctFaultStates() < 8 || p.Changes == 0 {
-		t.Fatal("too little arose")
+	plan := &SchedulePlan{}
+	plan.AddMessageFaults(3, 1, 150, 15)
+	result := plan.Run(3, time.Time{})
+	if requireNoViolations(t, result); result.DistinctFaultStates() < 8 || result.Changes == 0 {
+		t.Fatal("too few changes or fault states")
 	}
 }
 
-// Many controllers on one record.
+// Random faults in a fleet of 200 controllers violate no invariant.
 func TestSchedulesWithManyControllers(t *testing.T) {
-	p := Schedule{Seed: 5, Controllers: 200, Voters: 5, Duration: 3 * time.Second, Lease: time.Second, FaultsPerSecond: 6}.Run()
-	if requireNoViolations(t, p); p.Changes == 0 || p.DistinctFaultStates() == 0 {
-		t.Fatal("too little arose")
+	result := Schedule{Seed: 5, Controllers: 200, Voters: 5, Duration: 3 * time.Second, Lease: time.Second,
+		FaultsPerSecond: 6}.Run()
+	if requireNoViolations(t, result); result.Changes == 0 || result.DistinctFaultStates() == 0 {
+		t.Fatal("no change or no fault occurred")
 	}
 }
 
-// Few of them and with more faults: what the builds with a planted fault are played by.
+// Short schedules with more faults. They must find the planted faults "force" and "down" of planted.go.
 func TestBriefSchedules(t *testing.T) {
-	l := &SchedulePlan{}
-	l.AddRandom(900, 24, 5, 3, 5*time.Second, 3)
-	p := l.Run(3, time.Time{})
-	if requireNoViolations(t, p); p.Changes < 10 || p.Purges < 10 || p.FaultsByKind["started cut off"] == 0 {
-		t.Fatal("too little arose")
+	plan := &SchedulePlan{}
+	plan.AddRandom(900, 24, 5, 3, 5*time.Second, 3)
+	result := plan.Run(3, time.Time{})
+	if requireNoViolations(t, result); result.Changes < 10 || result.Purges < 10 ||
+		result.FaultsByKind["started cut off"] == 0 {
+		t.Fatal("too few changes, purges or isolated restarts")
 	}
 }
 
-// The same with relays.
+// Short schedules with relays. They must find the planted fault "relay" of planted.go.
 func TestBriefSchedulesWithRelays(t *testing.T) {
-	l := &SchedulePlan{}
-	l.AddRandom(2900, 16, 8, 3, 5*time.Second, 3)
-	for i := range l.Schedules {
-		l.Schedules[i].Relays = 2
+	plan := &SchedulePlan{}
+	plan.AddRandom(2900, 16, 8, 3, 5*time.Second, 3)
+	for i := range plan.Schedules {
+		plan.Schedules[i].Relays = 2
 	}
-	p := l.Run(3, time.Time{})
-	if requireNoViolations(t, p); p.Changes < 10 || p.Purges < 10 {
-		t.Fatal("too little arose")
+	result := plan.Run(3, time.Time{})
+	if requireNoViolations(t, result); result.Changes < 10 || result.Purges < 10 {
+		t.Fatal("too few changes or purges")
 	}
 }
 
-// Followers that were away for changes and start while they are cut off decide nothing
-// by what they knew.
+// Followers that miss changes while they are down, and are cut off when they restart, must not serve by the
+// state on their disks. These schedules must find the planted fault "fence" of planted.go.
 func TestStartedCutOff(t *testing.T) {
-	l := &SchedulePlan{}
-	for seed := range uint64(12) {
-		l.Schedules = append(l.Schedules, Schedule{Seed: 300 + seed, Controllers: 5, Voters: 3, Duration: 8 * time.Second, Lease: 500 * time.Millisecond, RestartIsolated: true})
+	plan := &SchedulePlan{}
+	for i := range uint64(12) {
+		plan.Schedules = append(plan.Schedules, Schedule{Seed: 300 + i, Controllers: 5, Voters: 3,
+			Duration: 8 * time.Second, Lease: 500 * time.Millisecond, RestartIsolated: true})
 	}
-	p := l.Run(3, time.Time{})
-	if requireNoViolations(t, p); p.Changes < 12 || p.FaultsByKind["started cut off"] < 24 {
-		t.Fatal("too little arose")
+	result := plan.Run(3, time.Time{})
+	if requireNoViolations(t, result); result.Changes < 12 || result.FaultsByKind["started cut off"] < 24 {
+		t.Fatal("too few changes or isolated restarts")
 	}
 }
