--- a/internal/bench/fairness.go
+++ b/internal/bench/fairness.go
@@ -1,4 +1,5 @@
-// Package bench plays the product against stand-ins and measures what it does.
+// Package bench runs the controller against emulated engines and clients, and measures its performance and
+// behaviour.
 package bench
 
 import (
@@ -20,97 +21,135 @@
 	"railrelay.dev/railrelay/internal/fairqueue"
 )
 
-// ClientPrefixes are the addresses of the laboratory's clients, Home one of them.
+// ClientPrefixes contains the addresses of all emulated clients. ClientAddress is one of them.
 var (
 	ClientPrefixes = []netip.Prefix{netip.MustParsePrefix("10.0.0.0/8")}
 	ClientAddress  = netip.MustParseAddr("10.1.2.3")
 )
 
-// WorkloadGroup is a resource group as the laboratory's clients use it.
+// WorkloadGroup is a resource group and the queries that the emulated clients submit to it.
 type WorkloadGroup struct {
 	Name       string
-	Share      float64 // of the queries
+	Share      float64 // fraction of all queries
 	Threads    float64
-	CPU        time.Duration // mean of all threads
-	CPUSigma   float64       // sigma of the logarithm
-	DiskPerCPU float64       // of the CPU
+	CPU        time.Duration // mean CPU time of a query, sum over all threads
+	CPUSigma   float64       // standard deviation of the logarithm of the CPU time
+	DiskPerCPU float64       // disk time as a fraction of a thread's CPU time
 	MemoryMB   float64
-	Patience   time.Duration
+	Patience   time.Duration // time after which the client stops waiting
 	Target     time.Duration
 	Value      float64
 	Load       bool
 	Rows       int
 }
 
-// DefaultWorkload is a mix of small lookups, heavy reports and loads in order.
+// DefaultWorkload returns a mix of small lookups, heavy reports, and loads that run in order.
 func DefaultWorkload() []WorkloadGroup {
 	return []WorkloadGroup{
-		{Name: "lookup", Share: 0.60, Threads: 1, CPU: 60 * time.Millisecond, CPUSigma: 0.5, DiskPerCPU: 0.1, MemoryMB: 32,
+		{Name: "lookup", Share: 0.60, Threads: 1, CPU: 60 * time.Millisecond, CPUSigma: 0.5,
+			DiskPerCPU: 0.1, MemoryMB: 32,
 			Patience: 5 * time.Second, Target: time.Second, Value: 2, Rows: 3},
-		{Name: "report", Share: 0.25, Threads: 3, CPU: 900 * time.Millisecond, CPUSigma: 0.5, DiskPerCPU: 0.1, MemoryMB: 300,
+		{Name: "report", Share: 0.25, Threads: 3, CPU: 900 * time.Millisecond, CPUSigma: 0.5,
+			DiskPerCPU: 0.1, MemoryMB: 300,
 			Patience: 12 * time.Second, Target: 2 * time.Second, Value: 10, Rows: 40},
-		{Name: "load", Share: 0.15, Threads: 2, CPU: 300 * time.Millisecond, CPUSigma: 0.4, DiskPerCPU: 0.2, MemoryMB: 200,
+		{Name: "load", Share: 0.15, Threads: 2, CPU: 300 * time.Millisecond, CPUSigma: 0.4,
+			DiskPerCPU: 0.2, MemoryMB: 200,
 			Patience: 12 * time.Second, Target: 3 * time.Second, Value: 6, Load: true, Rows: 1},
 	}
 }
 
-// ControllerSettings are the settings, in our words, that a mix and engines of these figures give.
-func ControllerSettings(kinds []WorkloadGroup, f engine.Config) map[string]string {
-	m := map[string]string{
-		"gateways": "1", "own.number": "0", "groups": strconv.Itoa(len(kinds)), "kinds": "std", "locations": "here",
-		"kind.cores": fmt.Sprint(f.Cores), "kind.memory": fmt.Sprint(f.MemoryMB), "grant.most": "0.4",
-		"may.grant": "true", "may.prioritise": "true", "may.cancel": "true", "may.probe": "true", "may.copy": "true",
-		"may.name-return": "true", "return.most": "60000", "submissions.most": "3", "note.period": "2000", "tick": "5",
-		"memory.short": "swap", "drain.grace": "1000", "report.how": "probed", "cold.from": "0.33", "answers.cost": "true",
-		"cold.span": "15000", "cold.multiple": "3", "cold.window": "1000", "key.rest": "300", "list.how": "pushed",
-		"connect.timeout": "250", "idle.most": "15000",
+// ControllerSettings returns the controller's settings for a workload and for engines of one configuration.
+func ControllerSettings(groups []WorkloadGroup, engineConfig engine.Config) map[string]string {
+	settings := map[string]string{
+		"gateways":         "1",
+		"own.number":       "0",
+		"groups":           strconv.Itoa(len(groups)),
+		"kinds":            "std",
+		"locations":        "here",
+		"kind.cores":       fmt.Sprint(engineConfig.Cores),
+		"kind.memory":      fmt.Sprint(engineConfig.MemoryMB),
+		"grant.most":       "0.4",
+		"may.grant":        "true",
+		"may.prioritise":   "true",
+		"may.cancel":       "true",
+		"may.probe":        "true",
+		"may.copy":         "true",
+		"may.name-return":  "true",
+		"return.most":      "60000",
+		"submissions.most": "3",
+		"note.period":      "2000",
+		"tick":             "5",
+		"memory.short":     "swap",
+		"drain.grace":      "1000",
+		"report.how":       "probed",
+		"cold.from":        "0.33",
+		"answers.cost":     "true",
+		"cold.span":        "15000",
+		"cold.multiple":    "3",
+		"cold.window":      "1000",
+		"key.rest":         "300",
+		"list.how":         "pushed",
+		"connect.timeout":  "250",
+		"idle.most":        "15000",
 	}
 	var threads, loads, waits string
-	for i, k := range kinds {
+	for i, group := range groups {
 		if i > 0 {
 			threads, loads, waits = threads+",", loads+",", waits+","
 		}
-		threads, loads, waits = threads+fmt.Sprint(k.Threads), loads+fmt.Sprint(k.Load), waits+fmt.Sprint(i == 0)
-		at := "group." + strconv.Itoa(i) + "."
-		maps.Copy(m, map[string]string{at + "name": k.Name, at + "value": fmt.Sprint(k.Value),
-			at + "target": fmt.Sprint(k.Target.Milliseconds()), at + "timeout": "30000", at + "stretch": "2",
-			at + "effect": "read-only", at + "scope": "all", at + "window": "5000", at + "late-share": "0.4"})
-		if k.Load {
-			m[at+"effect"], m[at+"in-order"] = "mutating", "true"
+		threads, loads, waits =
+			threads+fmt.Sprint(group.Threads), loads+fmt.Sprint(group.Load), waits+fmt.Sprint(i == 0)
+		prefix := "group." + strconv.Itoa(i) + "."
+		maps.Copy(settings, map[string]string{
+			prefix + "name":       group.Name,
+			prefix + "value":      fmt.Sprint(group.Value),
+			prefix + "target":     fmt.Sprint(group.Target.Milliseconds()),
+			prefix + "timeout":    "30000",
+			prefix + "stretch":    "2",
+			prefix + "effect":     "read-only",
+			prefix + "scope":      "all",
+			prefix + "window":     "5000",
+			prefix + "late-share": "0.4",
+		})
+		if group.Load {
+			settings[prefix+"effect"], settings[prefix+"in-order"] = "mutating", "true"
 		}
 	}
-	m["threads"], m["loads"], m["waits"] = threads, loads, waits
-	return m
+	settings["threads"], settings["loads"], settings["waits"] = threads, loads, waits
+	return settings
 }
 
-// DefaultTenants is a tree of three kinds with four teams each, of unequal weights.
+// DefaultTenants returns a tree of three groups with four tenants each. The weights differ in both levels.
 func DefaultTenants() []fairqueue.Tenant {
-	var l []fairqueue.Tenant
-	for i, kind := range []string{"municipalities", "brigades", "gauges"} {
-		k := fairqueue.Tenant{Name: kind, Weight: float64(3 - i)}
+	var groups []fairqueue.Tenant
+	for i, name := range []string{"municipalities", "brigades", "gauges"} {
+		group := fairqueue.Tenant{Name: name, Weight: float64(3 - i)}
 		for j := range 4 {
-			k.Children = append(k.Children, fairqueue.Tenant{Name: fmt.Sprintf("%s-%d", kind, j+1), Weight: float64(1 + j%2)})
+			group.Children = append(group.Children,
+				fairqueue.Tenant{Name: fmt.Sprintf("%s-%d", name, j+1), Weight: float64(1 + j%2)})
 		}
-		l = append(l, k)
+		groups = append(groups, group)
 	}
-	return l
+	return groups
 }
 
-func eachLeafTenant(l []fairqueue.Tenant, share float64, each func(name string, share float64)) {
-	sum := 0.0
-	for _, t := range l {
-		sum += t.Weight
-	}
-	for _, t := range l {
-		if len(t.Children) == 0 {
-			each(t.Name, share*t.Weight/sum)
+// eachLeafTenant calls visit for each tenant without children, with the tenant's weighted share of the whole.
+// share is that of all tenants together.
+func eachLeafTenant(tenants []fairqueue.Tenant, share float64, visit func(name string, share float64)) {
+	totalWeight := 0.0
+	for _, tenant := range tenants {
+		totalWeight += tenant.Weight
+	}
+	for _, tenant := range tenants {
+		if len(tenant.Children) == 0 {
+			visit(tenant.Name, share*tenant.Weight/totalWeight)
 		} else {
-			eachLeafTenant(t.Children, share*t.Weight/sum, each)
+			eachLeafTenant(tenant.Children, share*tenant.Weight/totalWeight, visit)
 		}
 	}
 }
 
-// FairnessRun is a run of teams' queries against a controller.
+// FairnessRun is a run of a controller in virtual time with the queries of several tenants.
 type FairnessRun struct {
 	*world.World
 	Groups       []WorkloadGroup
@@ -119,416 +158,475 @@
 	Queries      []*world.Query
 	rng          *rand.Rand
 	clients      map[string]*world.Client
-	capacity     float64 // core seconds a second of all engines
-	serial       int
+	capacity     float64 // core seconds per second of all engines
+	serial       int     // number of the last query
 	hasFairQueue bool
 
-	// IdleTime is for how long an engine had a free core while a query waited,
-	// WaitTime for how long any waited.
+	// WaitTime is how long any query waited, except loads. IdleTime is the part of it in which an engine had a
+	// free core.
 	IdleTime, WaitTime time.Duration
-	waitingSince       map[string]time.Duration
-	waitingQueries     map[string]int
-	lastStart          map[string]time.Duration
-	firstOpen          int // those before are over
-	MaxStartGap        time.Duration
+	waitingSince       map[string]time.Duration // by tenant; restarts when one of its queries starts
+	waitingQueries     map[string]int           // by tenant
+	lastStart          map[string]time.Duration // by tenant
+	firstOpen          int                      // index in Queries; all earlier ones are answered or cancelled
+	// MaxStartGap is the longest time for which a tenant's queries waited and none started.
+	MaxStartGap time.Duration
 }
 
-// NewFairnessRun makes one. shape nil: the program without teams.
-func NewFairnessRun(seed uint64, engines int, kinds []WorkloadGroup, teams []fairqueue.Tenant, shape *fairqueue.Config, facts map[string]string) *FairnessRun {
-	f := engine.DefaultConfig()
-	f.DiskParallelism = 16
-	figures := make([]engine.Config, engines)
-	for i := range figures {
-		figures[i] = f
-	}
-	all := ControllerSettings(kinds, f)
-	maps.Copy(all, facts)
-	if shape != nil {
-		shape.Tenants, shape.TrustedAddresses = teams, ClientPrefixes
-	}
-	n := &FairnessRun{Groups: kinds, rng: rand.New(rand.NewPCG(seed, 2)), clients: map[string]*world.Client{}, capacity: float64(engines) * f.Cores,
-		hasFairQueue: shape != nil, waitingSince: map[string]time.Duration{}, waitingQueries: map[string]int{}, lastStart: map[string]time.Duration{}}
-	eachLeafTenant(teams, 1, func(name string, share float64) {
-		n.TenantNames, n.TenantShares = append(n.TenantNames, name), append(n.TenantShares, share)
+// NewFairnessRun creates a run with equal engines. If queueConfig is nil, the controller has no fair queue.
+// settings override those of ControllerSettings.
+func NewFairnessRun(
+	seed uint64, engines int, groups []WorkloadGroup, tenants []fairqueue.Tenant,
+	queueConfig *fairqueue.Config, settings map[string]string,
+) *FairnessRun {
+	engineConfig := engine.DefaultConfig()
+	engineConfig.DiskParallelism = 16
+	engineConfigs := make([]engine.Config, engines)
+	for i := range engineConfigs {
+		engineConfigs[i] = engineConfig
+	}
+	allSettings := ControllerSettings(groups, engineConfig)
+	maps.Copy(allSettings, settings)
+	if queueConfig != nil {
+		queueConfig.Tenants, queueConfig.TrustedAddresses = tenants, ClientPrefixes
+	}
+	run := &FairnessRun{
+		Groups:         groups,
+		rng:            rand.New(rand.NewPCG(seed, 2)),
+		clients:        map[string]*world.Client{},
+		capacity:       float64(engines) * engineConfig.Cores,
+		hasFairQueue:   queueConfig != nil,
+		waitingSince:   map[string]time.Duration{},
+		waitingQueries: map[string]int{},
+		lastStart:      map[string]time.Duration{},
+	}
+	eachLeafTenant(tenants, 1, func(name string, share float64) {
+		run.TenantNames, run.TenantShares = append(run.TenantNames, name), append(run.TenantShares, share)
 	})
-	n.World = world.New(seed, figures, controller.Config{MemoryMB: 512, MaxDescriptors: 8192, Settings: all, Tenants: shape,
-		FieldNames:   controller.FieldNames{Tenant: "team", NotifyWait: "tell", RepeatOf: "first"},
-		ClientLimits: []controller.ClientLimits{{Prefixes: ClientPrefixes, MaxOpenQueries: 100_000, MaxMessagesPerSweep: 100_000}}})
-	n.sampleWaits()
-	return n
+	run.World = world.New(seed, engineConfigs, controller.Config{
+		MemoryMB:       512,
+		MaxDescriptors: 8192,
+		Settings:       allSettings,
+		Tenants:        queueConfig,
+		FieldNames:     controller.FieldNames{Tenant: "team", NotifyWait: "tell", RepeatOf: "first"},
+		ClientLimits: []controller.ClientLimits{
+			{Prefixes: ClientPrefixes, MaxOpenQueries: 100_000, MaxMessagesPerSweep: 100_000},
+		},
+	})
+	run.sampleWaits()
+	return run
 }
 
-// sampleWaits looks every 2 ms whether somebody waits while an engine idles, and how
-// long teams go without a start.
-func (n *FairnessRun) sampleWaits() {
-	const every = 2 * time.Millisecond
-	n.ScheduleAfter(every, n.sampleWaits)
-	clear(n.waitingQueries)
-	waits := false
-	for _, a := range n.Queries[n.firstOpen:] {
-		if a.StartedAt > n.lastStart[a.Team] {
-			n.lastStart[a.Team] = a.StartedAt
+// sampleWaits updates IdleTime, WaitTime and MaxStartGap, and schedules itself every 2 ms.
+func (run *FairnessRun) sampleWaits() {
+	const interval = 2 * time.Millisecond
+	run.ScheduleAfter(interval, run.sampleWaits)
+	clear(run.waitingQueries)
+	isAnyWaiting := false
+	for _, query := range run.Queries[run.firstOpen:] {
+		if query.StartedAt > run.lastStart[query.Team] {
+			run.lastStart[query.Team] = query.StartedAt
 		}
-		if a.StartedAt < 0 && !a.Answered && !a.Cancelled && n.Now-a.SubmittedAt > every {
-			n.waitingQueries[a.Team]++
-			waits = waits || a.Group != "load" // loads wait for their order too
+		if query.StartedAt < 0 && !query.Answered && !query.Cancelled && run.Now-query.SubmittedAt > interval {
+			run.waitingQueries[query.Team]++
+			isAnyWaiting = isAnyWaiting || query.Group != "load" // loads also wait for earlier loads
 		}
 	}
-	for n.firstOpen < len(n.Queries) && (n.Queries[n.firstOpen].Answered || n.Queries[n.firstOpen].Cancelled) {
-		n.firstOpen++
+	for run.firstOpen < len(run.Queries) &&
+		(run.Queries[run.firstOpen].Answered || run.Queries[run.firstOpen].Cancelled) {
+		run.firstOpen++
 	}
-	for _, name := range n.TenantNames {
-		if n.waitingQueries[name] == 0 {
-			delete(n.waitingSince, name)
+	for _, name := range run.TenantNames {
+		if run.waitingQueries[name] == 0 {
+			delete(run.waitingSince, name)
 			continue
 		}
-		since, had := n.waitingSince[name]
-		if !had || n.lastStart[name] > since {
-			since = max(n.lastStart[name], since)
-			if !had {
-				since = n.Now
+		since, found := run.waitingSince[name]
+		if !found || run.lastStart[name] > since {
+			since = max(run.lastStart[name], since)
+			if !found {
+				since = run.Now
 			}
-			n.waitingSince[name] = since
+			run.waitingSince[name] = since
 		}
-		n.MaxStartGap = max(n.MaxStartGap, n.Now-since)
+		run.MaxStartGap = max(run.MaxStartGap, run.Now-since)
 	}
-	if !waits {
+	if !isAnyWaiting {
 		return
 	}
-	n.WaitTime += every
-	for _, e := range n.Engines {
-		if e.Phase != "SERVING" || e.Unreachable() {
+	run.WaitTime += interval
+	for _, emulated := range run.Engines {
+		if emulated.Phase != "SERVING" || emulated.Unreachable() {
 			continue
 		}
-		if _, cores, _, _ := e.LoadReport(n.Now); cores < 1-1.0/e.Cores {
-			n.IdleTime += every
+		if _, cores, _, _ := emulated.LoadReport(run.Now); cores < 1-1.0/emulated.Cores {
+			run.IdleTime += interval
 			break
 		}
 	}
 }
 
-// SubmitQuery has a team ask for one query of a kind.
-func (n *FairnessRun) SubmitQuery(team string, k WorkloadGroup, plan float64) *world.Query {
-	c := n.clients[team]
-	if c == nil || c.Closed {
-		c = n.Connect(team, ClientAddress)
-		n.clients[team] = c
-	}
-	n.serial++
-	id := fmt.Sprintf("%016x", uint64(n.serial)<<20|n.rng.Uint64()&0xfffff)
-	w := engine.Work{Threads: k.Threads, MemoryMB: k.MemoryMB, TableGroup: int64(n.rng.IntN(200)), Load: k.Load, Rows: k.Rows, PlanFactor: plan}
-	w.CPU = time.Duration(float64(k.CPU) * math.Exp(n.rng.NormFloat64()*k.CPUSigma-k.CPUSigma*k.CPUSigma/2))
-	w.Disk = time.Duration(float64(w.CPU) / k.Threads * k.DiskPerCPU)
+// SubmitQuery submits a query of a tenant. planFactor multiplies the query's work, for a bad query plan.
+func (run *FairnessRun) SubmitQuery(tenant string, group WorkloadGroup, planFactor float64) *world.Query {
+	connection := run.clients[tenant]
+	if connection == nil || connection.Closed {
+		connection = run.Connect(tenant, ClientAddress)
+		run.clients[tenant] = connection
+	}
+	run.serial++
+	id := fmt.Sprintf("%016x", uint64(run.serial)<<20|run.rng.Uint64()&0xfffff)
+	work := engine.Work{
+		Threads:    group.Threads,
+		MemoryMB:   group.MemoryMB,
+		TableGroup: int64(run.rng.IntN(200)),
+		Load:       group.Load,
+		Rows:       group.Rows,
+		PlanFactor: planFactor,
+	}
+	work.CPU = time.Duration(float64(group.CPU) *
+		math.Exp(run.rng.NormFloat64()*group.CPUSigma-group.CPUSigma*group.CPUSigma/2))
+	work.Disk = time.Duration(float64(work.CPU) / group.Threads * group.DiskPerCPU)
 	key := ""
-	if k.Load {
-		key = fmt.Sprintf("k%d", n.rng.IntN(4000))
+	if group.Load {
+		key = fmt.Sprintf("k%d", run.rng.IntN(4000))
 	}
-	more := []string{"team", team}
-	if n.hasFairQueue {
-		more = append(more, "tell", "1")
+	fields := []string{"team", tenant}
+	if run.hasFairQueue {
+		fields = append(fields, "tell", "1")
 	}
-	a := c.Submit(id, k.Name, key, k.Patience, w, more...)
-	n.Queries = append(n.Queries, a)
-	return a
+	query := connection.Submit(id, group.Name, key, group.Patience, work, fields...)
+	run.Queries = append(run.Queries, query)
+	return query
 }
 
-// randomGroup draws one of the mix.
-func (n *FairnessRun) randomGroup() WorkloadGroup {
-	x := n.rng.Float64()
-	for _, k := range n.Groups {
-		if x -= k.Share; x < 0 {
-			return k
+// randomGroup draws a group by the groups' shares of the queries.
+func (run *FairnessRun) randomGroup() WorkloadGroup {
+	x := run.rng.Float64()
+	for _, group := range run.Groups {
+		if x -= group.Share; x < 0 {
+			return group
 		}
 	}
-	return n.Groups[0]
+	return run.Groups[0]
 }
 
-// meanCPUSeconds is the core time of a query of the mix, in seconds.
-func (n *FairnessRun) meanCPUSeconds() (sum float64) {
-	for _, k := range n.Groups {
-		sum += k.Share * k.CPU.Seconds()
+// meanCPUSeconds returns the mean CPU time of a query, in seconds.
+func (run *FairnessRun) meanCPUSeconds() (sum float64) {
+	for _, group := range run.Groups {
+		sum += group.Share * group.CPU.Seconds()
 	}
 	return sum
 }
 
-// SubmitAtRate has a team ask at a rate of its own, a part of all engines' capacity,
-// from one time to another; arrivals don't wait for answers.
-func (n *FairnessRun) SubmitAtRate(team string, part float64, from, to time.Duration, plan func() float64) {
-	if part < 1e-6 {
+// SubmitAtRate submits a tenant's queries between two times, as a Poisson process that doesn't wait for
+// answers. load is the queries' CPU time as a fraction of the capacity of all engines. planFactor draws the
+// argument of SubmitQuery for each query; nil means 1.
+func (run *FairnessRun) SubmitAtRate(
+	tenant string, load float64, from, to time.Duration, planFactor func() float64,
+) {
+	if load < 1e-6 {
 		return
 	}
-	mean := n.meanCPUSeconds() / (part * n.capacity)
-	var next func()
-	next = func() {
-		if n.Now >= to {
+	meanInterval := run.meanCPUSeconds() / (load * run.capacity)
+	var submitNext func()
+	submitNext = func() {
+		if run.Now >= to {
 			return
 		}
-		p := 1.0
-		if plan != nil {
-			p = plan()
+		factor := 1.0
+		if planFactor != nil {
+			factor = planFactor()
 		}
-		n.SubmitQuery(team, n.randomGroup(), p)
-		n.ScheduleAfter(time.Duration(n.rng.ExpFloat64()*mean*float64(time.Second)), next)
+		run.SubmitQuery(tenant, run.randomGroup(), factor)
+		run.ScheduleAfter(time.Duration(run.rng.ExpFloat64()*meanInterval*float64(time.Second)), submitNext)
 	}
-	n.Schedule(from+time.Duration(n.rng.ExpFloat64()*mean*float64(time.Second)), next)
+	run.Schedule(from+time.Duration(run.rng.ExpFloat64()*meanInterval*float64(time.Second)), submitNext)
 }
 
-// isEstimateAccurate: an estimate is within a fifth of the wait, or 25 ms of a short one.
-func isEstimateAccurate(told, had time.Duration) bool {
-	return (told - had).Abs() <= max(25*time.Millisecond, had/5)
+// isEstimateAccurate reports whether an estimate differs from the actual wait by at most a fifth of the
+// wait, or by at most 25 ms.
+func isEstimateAccurate(estimate, wait time.Duration) bool {
+	return (estimate - wait).Abs() <= max(25*time.Millisecond, wait/5)
 }
 
-// EstimateSummary is how well first estimates held.
+// EstimateSummary summarizes the accuracy of the first wait estimates, and the answers.
 type EstimateSummary struct {
-	Accurate, Started int
-	WorstRatio        float64 // the largest wait had over the one told
-	P99               time.Duration
+	Accurate, Started int           // queries with an accurate estimate, and queries that started
+	WorstRatio        float64       // largest ratio of the wait to its estimate
+	P99               time.Duration // of the waits
 	Finished          int
 	Deferred          int
 	Killed            int
 }
 
-func (t EstimateSummary) AccurateShare() float64 {
-	return float64(t.Accurate) / float64(max(1, t.Started))
+// AccurateShare returns the fraction of the started queries that had an accurate estimate.
+func (s EstimateSummary) AccurateShare() float64 {
+	return float64(s.Accurate) / float64(max(1, s.Started))
 }
 
-// EvaluateEstimates compares first estimates with waits had, of those that started.
-func (n *FairnessRun) EvaluateEstimates(of func(a *world.Query) bool) (t EstimateSummary) {
+// EvaluateEstimates compares the first wait estimates with the actual waits. It counts the queries that
+// filter accepts; nil accepts all. Queries submitted after fairnessLoadDuration are not counted: they only
+// keep up the load until the earlier ones have started.
+func (run *FairnessRun) EvaluateEstimates(filter func(query *world.Query) bool) (summary EstimateSummary) {
 	var waits []time.Duration
-	for _, a := range n.Queries {
-		if a.SubmittedAt >= fairnessLoadDuration || of != nil && !of(a) { // load goes on until those counted have started
+	for _, query := range run.Queries {
+		if query.SubmittedAt >= fairnessLoadDuration || filter != nil && !filter(query) {
 			continue
 		}
-		if a.Answered {
-			switch a.Answer {
+		if query.Answered {
+			switch query.Answer {
 			case client.Finished:
-				t.Finished++
+				summary.Finished++
 			case client.Deferred:
-				t.Deferred++
+				summary.Deferred++
 			case client.Killed:
-				t.Killed++
+				summary.Killed++
 			}
 		}
-		if a.StartedAt < 0 {
+		if query.StartedAt < 0 {
 			continue
 		}
-		had, told := a.StartedAt-a.SubmittedAt, max(0, a.FirstWait)
-		waits = append(waits, had)
-		t.Started++
-		if isEstimateAccurate(told, had) {
-			t.Accurate++
+		wait, estimate := query.StartedAt-query.SubmittedAt, max(0, query.FirstWait)
+		waits = append(waits, wait)
+		summary.Started++
+		if isEstimateAccurate(estimate, wait) {
+			summary.Accurate++
 		}
-		if had < 125*time.Millisecond {
+		if wait < 125*time.Millisecond {
 			continue
 		}
-		t.WorstRatio = max(t.WorstRatio, had.Seconds()/max(told.Seconds(), 0.025))
+		summary.WorstRatio = max(summary.WorstRatio, wait.Seconds()/max(estimate.Seconds(), 0.025))
 	}
 	slices.Sort(waits)
 	if len(waits) > 0 {
-		t.P99 = waits[len(waits)*99/100]
+		summary.P99 = waits[len(waits)*99/100]
 	}
-	return t
+	return summary
 }
 
-// JainIndex is the fairness index of what teams used against their weights, from one
-// time to another: 1 is exactly by weight.
-func (n *FairnessRun) JainIndex(from, to time.Duration) float64 {
-	used := map[string]float64{}
-	for _, a := range n.Queries {
-		if a.StartedAt >= from && a.StartedAt < to {
-			used[a.Team] += a.Work.CPU.Seconds()
+// JainIndex returns Jain's fairness index of the tenants' CPU time relative to their shares, for the
+// queries that started between two times. It is 1 if the CPU time is exactly proportional to the shares.
+func (run *FairnessRun) JainIndex(from, to time.Duration) float64 {
+	cpuSeconds := map[string]float64{}
+	for _, query := range run.Queries {
+		if query.StartedAt >= from && query.StartedAt < to {
+			cpuSeconds[query.Team] += query.Work.CPU.Seconds()
 		}
 	}
 	sum, squares := 0.0, 0.0
-	for i, name := range n.TenantNames {
-		x := used[name] / n.TenantShares[i]
+	for i, name := range run.TenantNames {
+		x := cpuSeconds[name] / run.TenantShares[i]
 		sum += x
 		squares += x * x
 	}
-	return sum * sum / (float64(len(n.TenantNames)) * squares)
+	return sum * sum / (float64(len(run.TenantNames)) * squares)
 }
 
-// loadPattern is one way of load.
+// loadPattern is one way in which the tenants submit queries.
 type loadPattern struct {
 	name       string
-	reportOnly bool // printed beside, not counted
-	submit     func(n *FairnessRun)
+	reportOnly bool // printed, but not part of the totals
+	submit     func(run *FairnessRun)
 }
 
+// fairnessLoadDuration is the period whose queries EvaluateEstimates counts.
 const fairnessLoadDuration = 40 * time.Second
 
 func loadPatterns() []loadPattern {
-	each := func(n *FairnessRun, part float64, from, to time.Duration, plan func() float64) {
-		for i, name := range n.TenantNames {
-			n.SubmitAtRate(name, part*n.TenantShares[i], from, to, plan)
+	submitAll := func(run *FairnessRun, load float64, from, to time.Duration, planFactor func() float64) {
+		for i, name := range run.TenantNames {
+			run.SubmitAtRate(name, load*run.TenantShares[i], from, to, planFactor)
 		}
 	}
 	return []loadPattern{
-		{name: "steady", submit: func(n *FairnessRun) { each(n, 1.3, 0, fairnessLoadDuration+fairqueue.DefaultAgeingLimit, nil) }},
-		{name: "alert", submit: func(n *FairnessRun) {
-			each(n, 0.5, 0, fairnessLoadDuration, nil)
+		{name: "steady", submit: func(run *FairnessRun) {
+			submitAll(run, 1.3, 0, fairnessLoadDuration+fairqueue.DefaultAgeingLimit, nil)
+		}},
+		{name: "alert", submit: func(run *FairnessRun) {
+			submitAll(run, 0.5, 0, fairnessLoadDuration, nil)
 			for at := 5 * time.Second; at < fairnessLoadDuration; at += 12 * time.Second {
-				n.Schedule(at, func() {
-					for i, name := range n.TenantNames { // all at once, over a third of a second
-						n.SubmitAtRate(name, 9*n.TenantShares[i], n.Now, n.Now+time.Second/3, nil)
+				run.Schedule(at, func() {
+					for i, name := range run.TenantNames { // a burst of all tenants within a third of a second
+						run.SubmitAtRate(name, 9*run.TenantShares[i], run.Now, run.Now+time.Second/3, nil)
 					}
 				})
 			}
 		}},
-		{name: "badplans", submit: func(n *FairnessRun) {
-			each(n, 1.1, 0, fairnessLoadDuration+fairqueue.DefaultAgeingLimit, func() float64 {
-				if n.rng.Float64() < 0.005 {
+		{name: "badplans", submit: func(run *FairnessRun) {
+			submitAll(run, 1.1, 0, fairnessLoadDuration+fairqueue.DefaultAgeingLimit, func() float64 {
+				if run.rng.Float64() < 0.005 {
 					return 20
 				}
 				return 1
 			})
 		}},
-		{name: "enginelost", reportOnly: true, submit: func(n *FairnessRun) {
-			each(n, 1.1, 0, fairnessLoadDuration+fairqueue.DefaultAgeingLimit, nil)
-			n.Schedule(15*time.Second, func() { n.Engines[0].Crash(30 * time.Second) })
+		{name: "enginelost", reportOnly: true, submit: func(run *FairnessRun) {
+			submitAll(run, 1.1, 0, fairnessLoadDuration+fairqueue.DefaultAgeingLimit, nil)
+			run.Schedule(15*time.Second, func() { run.Engines[0].Crash(30 * time.Second) })
 		}},
 	}
 }
 
 func emptyQueueConfig() *fairqueue.Config { return &fairqueue.Config{} }
 
-// MeasureFairness is the measurement of fair queues: patterns of load in virtual time
-// against stand-in engines, printed one by one, and a last line of all.
+// MeasureFairness measures the fair queue in virtual time against emulated engines, and its speed. It
+// prints the results of each load pattern, and a last line with the totals.
 func MeasureFairness(out io.Writer, seed uint64, detail bool) error {
 	const engines = 6
-	counted := EstimateSummary{}
-	worst, gap, idle, wait := 0.0, time.Duration(0), time.Duration(0), time.Duration(0)
-	var faults []string
-	for _, p := range loadPatterns() {
-		n := NewFairnessRun(seed, engines, DefaultWorkload(), DefaultTenants(), emptyQueueConfig(), nil)
-		p.submit(n)
-		n.RunUntil(fairnessLoadDuration + 20*time.Second)
-		faults = append(faults, n.History.Finish(n.Now)...)
-		t := n.EvaluateEstimates(nil)
-		fmt.Fprintf(out, "%-11s started %5d within20 %.3f finished %5d deferred %5d killed %d wait p99 %.2fs gap %.2fs idle while waiting %.4f\n",
-			p.name, t.Started, t.AccurateShare(), t.Finished, t.Deferred, t.Killed, t.P99.Seconds(), n.MaxStartGap.Seconds(), durationRatio(n.IdleTime, n.WaitTime))
-		for _, k := range n.Groups {
-			t := n.EvaluateEstimates(func(a *world.Query) bool { return a.Group == k.Name })
-			fmt.Fprintf(out, "  %-9s started %5d within20 %.3f deferred %5d wait p99 %.2fs\n", k.Name, t.Started, t.AccurateShare(), t.Deferred, t.P99.Seconds())
+	total := EstimateSummary{}
+	worstRatio, maxGap, idleTime, waitTime := 0.0, time.Duration(0), time.Duration(0), time.Duration(0)
+	var violations []string
+	for _, pattern := range loadPatterns() {
+		run := NewFairnessRun(seed, engines, DefaultWorkload(), DefaultTenants(), emptyQueueConfig(), nil)
+		pattern.submit(run)
+		run.RunUntil(fairnessLoadDuration + 20*time.Second)
+		violations = append(violations, run.History.Finish(run.Now)...)
+		summary := run.EvaluateEstimates(nil)
+		fmt.Fprintf(out, "%-11s started %5d within20 %.3f finished %5d deferred %5d killed %d "+
+			"wait p99 %.2fs gap %.2fs idle while waiting %.4f\n",
+			pattern.name, summary.Started, summary.AccurateShare(), summary.Finished, summary.Deferred,
+			summary.Killed, summary.P99.Seconds(), run.MaxStartGap.Seconds(),
+			durationRatio(run.IdleTime, run.WaitTime))
+		for _, group := range run.Groups {
+			summary := run.EvaluateEstimates(func(query *world.Query) bool { return query.Group == group.Name })
+			fmt.Fprintf(out, "  %-9s started %5d within20 %.3f deferred %5d wait p99 %.2fs\n", group.Name,
+				summary.Started, summary.AccurateShare(), summary.Deferred, summary.P99.Seconds())
 		}
 		if detail {
-			n.printEstimateErrors(out)
+			run.printEstimateErrors(out)
 		}
-		gap = max(gap, n.MaxStartGap)
-		if p.reportOnly {
+		maxGap = max(maxGap, run.MaxStartGap)
+		if pattern.reportOnly {
 			continue
 		}
-		counted.Started, counted.Accurate = counted.Started+t.Started, counted.Accurate+t.Accurate
-		worst = max(worst, t.WorstRatio)
-		idle, wait = idle+n.IdleTime, wait+n.WaitTime
+		total.Started, total.Accurate = total.Started+summary.Started, total.Accurate+summary.Accurate
+		worstRatio = max(worstRatio, summary.WorstRatio)
+		idleTime, waitTime = idleTime+run.IdleTime, waitTime+run.WaitTime
 	}
 	jain := [2]float64{}
-	for i, s := range []*fairqueue.Config{emptyQueueConfig(), nil} {
-		n := NewFairnessRun(seed, engines, DefaultWorkload(), DefaultTenants(), s, nil)
-		for _, name := range n.TenantNames { // all alike, whatever their weights: far more than any share
-			n.SubmitAtRate(name, 4.0/float64(len(n.TenantNames)), 0, 45*time.Second, nil)
+	for i, queueConfig := range []*fairqueue.Config{emptyQueueConfig(), nil} {
+		run := NewFairnessRun(seed, engines, DefaultWorkload(), DefaultTenants(), queueConfig, nil)
+		// All tenants submit at one rate, which is far above every tenant's share.
+		for _, name := range run.TenantNames {
+			run.SubmitAtRate(name, 4.0/float64(len(run.TenantNames)), 0, 45*time.Second, nil)
 		}
-		n.RunUntil(60 * time.Second)
-		faults = append(faults, n.History.Finish(n.Now)...)
-		jain[i] = n.JainIndex(10*time.Second, 45*time.Second)
+		run.RunUntil(60 * time.Second)
+		violations = append(violations, run.History.Finish(run.Now)...)
+		jain[i] = run.JainIndex(10*time.Second, 45*time.Second)
 	}
-	fmt.Fprintf(out, "jain over weighted shares: teams %.4f, first in first out (the program before) %.4f\n", jain[0], jain[1])
+	fmt.Fprintf(out, "Jain's index over weighted shares: %.4f with the fair queue, %.4f without it (FIFO)\n",
+		jain[0], jain[1])
 	p99 := [2]time.Duration{}
-	for i, plan := range []float64{1, 20} {
+	for i, planFactor := range []float64{1, 20} {
 		var waits []time.Duration
-		for part := range uint64(3) { // three nights: one's slowest hundredth is a matter of a few queries
-			n := NewFairnessRun(seed+part<<32, engines, DefaultWorkload(), DefaultTenants(), emptyQueueConfig(), nil)
-			for k, name := range n.TenantNames {
-				n.SubmitAtRate(name, 0.9*n.TenantShares[k], 0, 30*time.Second, nil)
+		for part := range uint64(3) { // three runs, since the p99 of one depends on only a few queries
+			run := NewFairnessRun(seed+part<<32, engines, DefaultWorkload(), DefaultTenants(), emptyQueueConfig(), nil)
+			for k, name := range run.TenantNames {
+				run.SubmitAtRate(name, 0.9*run.TenantShares[k], 0, 30*time.Second, nil)
 			}
-			for at := 2 * time.Second; at < 30*time.Second; at += 12 * time.Second { // one at a time
-				n.Schedule(at, func() { n.SubmitQuery(n.TenantNames[0], n.Groups[1], plan) })
+			for at := 2 * time.Second; at < 30*time.Second; at += 12 * time.Second { // single queries
+				run.Schedule(at, func() { run.SubmitQuery(run.TenantNames[0], run.Groups[1], planFactor) })
 			}
-			n.RunUntil(45 * time.Second)
-			faults = append(faults, n.History.Finish(n.Now)...)
-			for _, a := range n.Queries {
-				if a.StartedAt >= 0 && a.Team != n.TenantNames[0] {
-					waits = append(waits, a.StartedAt-a.SubmittedAt)
+			run.RunUntil(45 * time.Second)
+			violations = append(violations, run.History.Finish(run.Now)...)
+			for _, query := range run.Queries {
+				if query.StartedAt >= 0 && query.Team != run.TenantNames[0] {
+					waits = append(waits, query.StartedAt-query.SubmittedAt)
 				}
 			}
 		}
 		slices.Sort(waits)
 		p99[i] = waits[len(waits)*99/100]
 	}
-	bad := max(p99[1].Seconds(), 0.001) / max(p99[0].Seconds(), 0.001)
-	fmt.Fprintf(out, "p99 wait of the others: %v without bad plans, %v with, ratio %.3f\n", p99[0], p99[1], bad)
-	us := TimeFairQueue(10_000, 100_000, 300_000)
-	for _, f := range faults {
-		fmt.Fprintln(out, "broken:", f)
-	}
-	fmt.Fprintf(out, "measured within20=%.4f worst_wait_ratio=%.3f idle_while_waiting=%.5f max_start_gap_s=%.3f bound_s=%.3f jain=%.4f jain_before=%.4f bad_plan_ratio=%.3f us_per_query=%.3f broken=%d\n",
-		counted.AccurateShare(), worst, durationRatio(idle, wait), gap.Seconds(), fairqueue.DefaultAgeingLimit.Seconds()*1.25, jain[0], jain[1], bad, us, len(faults))
-	if len(faults) > 0 {
-		return fmt.Errorf("%d rules broken", len(faults))
+	badPlanRatio := max(p99[1].Seconds(), 0.001) / max(p99[0].Seconds(), 0.001)
+	fmt.Fprintf(out, "p99 wait of the other tenants: %v without bad plans, %v with, ratio %.3f\n",
+		p99[0], p99[1], badPlanRatio)
+	microseconds := TimeFairQueue(10_000, 100_000, 300_000)
+	for _, violation := range violations {
+		fmt.Fprintln(out, "broken:", violation)
+	}
+	fmt.Fprintf(out, "measured within20=%.4f worst_wait_ratio=%.3f idle_while_waiting=%.5f "+
+		"max_start_gap_s=%.3f bound_s=%.3f jain=%.4f jain_before=%.4f bad_plan_ratio=%.3f "+
+		"us_per_query=%.3f broken=%d\n",
+		total.AccurateShare(), worstRatio, durationRatio(idleTime, waitTime), maxGap.Seconds(),
+		fairqueue.DefaultAgeingLimit.Seconds()*1.25, jain[0], jain[1], badPlanRatio, microseconds, len(violations))
+	if len(violations) > 0 {
+		return fmt.Errorf("%d invariants violated", len(violations))
 	}
 	return nil
 }
 
-// printEstimateErrors tells by kind where first estimates were off: of waits that are short,
-// under 125 ms, and long ones told too short or too long, by when they came.
-func (n *FairnessRun) printEstimateErrors(out io.Writer) {
-	for _, k := range n.Groups {
-		var shortOK, shortOff, longOK, under, over int
-		when := map[string]int{}
-		for _, a := range n.Queries {
-			if a.Group != k.Name || a.StartedAt < 0 || a.SubmittedAt >= fairnessLoadDuration {
+// printEstimateErrors prints, for each group, the number of accurate and inaccurate first estimates of
+// short waits (under 125 ms) and of long ones. Inaccurate estimates of long waits are also counted by the
+// time of submission, in steps of 2 s.
+func (run *FairnessRun) printEstimateErrors(out io.Writer) {
+	for _, group := range run.Groups {
+		var shortAccurate, shortInaccurate, longAccurate, underestimated, overestimated int
+		byTime := map[string]int{}
+		for _, query := range run.Queries {
+			if query.Group != group.Name || query.StartedAt < 0 || query.SubmittedAt >= fairnessLoadDuration {
 				continue
 			}
-			had, told := a.StartedAt-a.SubmittedAt, max(0, a.FirstWait)
-			at := int(a.SubmittedAt/(2*time.Second)) * 2
-			switch off := had - told; {
-			case had < 125*time.Millisecond && off.Abs() <= 25*time.Millisecond:
-				shortOK++
-			case had < 125*time.Millisecond:
-				shortOff++
-			case off > had/5:
-				under++
-				when[fmt.Sprintf("short@%02d", at)]++
-			case -off > had/5:
-				over++
-				when[fmt.Sprintf("long@%02d", at)]++
+			wait, estimate := query.StartedAt-query.SubmittedAt, max(0, query.FirstWait)
+			second := int(query.SubmittedAt/(2*time.Second)) * 2
+			switch difference := wait - estimate; {
+			case wait < 125*time.Millisecond && difference.Abs() <= 25*time.Millisecond:
+				shortAccurate++
+			case wait < 125*time.Millisecond:
+				shortInaccurate++
+			case difference > wait/5:
+				underestimated++
+				byTime[fmt.Sprintf("under@%02d", second)]++
+			case -difference > wait/5:
+				overestimated++
+				byTime[fmt.Sprintf("over@%02d", second)]++
 			default:
-				longOK++
+				longAccurate++
 			}
 		}
-		fmt.Fprintf(out, "  %-9s short waits: good %d off %d, long waits: good %d told short %d told long %d %v\n", k.Name,
-			shortOK, shortOff, longOK, under, over, when)
+		fmt.Fprintf(out, "  %-9s short waits: accurate %d inaccurate %d, "+
+			"long waits: accurate %d underestimated %d overestimated %d %v\n", group.Name,
+			shortAccurate, shortInaccurate, longAccurate, underestimated, overestimated, byTime)
 	}
 }
 
 func durationRatio(a, b time.Duration) float64 { return a.Seconds() / max(b.Seconds(), 1e-9) }
 
-// TimeFairQueue is the time of one in and one out, in microseconds, with so many
-// teams and queries waiting.
-func TimeFairQueue(teams, waiting, rounds int) float64 {
-	s := fairqueue.Config{Lanes: []fairqueue.Lane{{Name: "a", Threads: 1, PriorityWeight: 1, InitialWorkEstimate: 50 * time.Millisecond},
-		{Name: "b", Threads: 3, PriorityWeight: 5, InitialWorkEstimate: 500 * time.Millisecond}}, AgeingLimit: time.Hour, MaxWaiting: 2 * waiting}
+// TimeFairQueue returns the time of adding a query to the fair queue and taking one out, in microseconds,
+// with many tenants and waiting queries. tenants must be 10,000, see tenantNumber.
+func TimeFairQueue(tenants, waiting, rounds int) float64 {
+	config := fairqueue.Config{
+		Lanes: []fairqueue.Lane{
+			{Name: "a", Threads: 1, PriorityWeight: 1, InitialWorkEstimate: 50 * time.Millisecond},
+			{Name: "b", Threads: 3, PriorityWeight: 5, InitialWorkEstimate: 500 * time.Millisecond},
+		},
+		AgeingLimit: time.Hour,
+		MaxWaiting:  2 * waiting,
+	}
 	for i := range 100 {
-		k := fairqueue.Tenant{Name: "k" + strconv.Itoa(i), Weight: 1 + float64(i%7)}
-		for j := range teams / 100 {
-			k.Children = append(k.Children, fairqueue.Tenant{Name: fmt.Sprintf("t%d-%d", i, j), Weight: 1 + float64(j%5)})
+		group := fairqueue.Tenant{Name: "k" + strconv.Itoa(i), Weight: 1 + float64(i%7)}
+		for j := range tenants / 100 {
+			group.Children = append(group.Children,
+				fairqueue.Tenant{Name: fmt.Sprintf("t%d-%d", i, j), Weight: 1 + float64(j%5)})
 		}
-		s.Tenants = append(s.Tenants, k)
+		config.Tenants = append(config.Tenants, group)
 	}
-	c := fairqueue.New(s)
-	all := make([]fairqueue.Query, waiting+1)
+	queue := fairqueue.New(config)
+	queries := make([]fairqueue.Query, waiting+1)
 	rng := rand.New(rand.NewPCG(1, 1))
 	now := time.Duration(1)
-	enter := func(w *fairqueue.Query) {
-		*w = fairqueue.Query{Lane: rng.IntN(2), Tenant: tenantNumber(rng.IntN(teams)), Key: -1, Chain: -1, Deadline: time.Hour}
-		c.Enqueue(now, w)
+	enqueue := func(query *fairqueue.Query) {
+		*query = fairqueue.Query{
+			Lane: rng.IntN(2), Tenant: tenantNumber(rng.IntN(tenants)), Key: -1, Chain: -1, Deadline: time.Hour,
+		}
+		queue.Enqueue(now, query)
 	}
-	c.SetLaneFull(now, 0, true)
-	c.SetLaneFull(now, 1, true)
+	queue.SetLaneFull(now, 0, true)
+	queue.SetLaneFull(now, 1, true)
 	for i := range waiting {
-		enter(&all[i])
+		enqueue(&queries[i])
 	}
-	free := []*fairqueue.Query{&all[waiting]} // one goes out for each that comes in, or nearly
+	free := []*fairqueue.Query{&queries[waiting]} // a round takes out at most one query for the one that it adds
 	runtime.GC()
 	start := time.Now()
 	for i := range rounds {
@@ -537,18 +635,19 @@
 			free = append(free, &fairqueue.Query{})
 		}
 		last := len(free) - 1
-		enter(free[last])
+		enqueue(free[last])
 		free = free[:last]
-		if w := c.Next(now, i%2); w != nil {
-			c.Started(now, w)
-			c.Ended(now, w, fairqueue.Finished, 0, 0)
-			free = append(free, w)
+		if query := queue.Next(now, i%2); query != nil {
+			queue.Started(now, query)
+			queue.Ended(now, query, fairqueue.Finished, 0, 0)
+			free = append(free, query)
 		}
 	}
 	return float64(time.Since(start).Microseconds()) / float64(rounds)
 }
 
-// tenantNumber is the number of the n-th team of SpeedFair's tree: kinds stand between.
+// tenantNumber returns the queue's index of the n-th leaf tenant of TimeFairQueue. Each of its 100 groups
+// has an index, followed by those of the group's 100 tenants.
 func tenantNumber(n int) int {
 	return n/100*101 + n%100 + 1
 }
--- a/internal/bench/speed.go
+++ b/internal/bench/speed.go
@@ -15,92 +15,98 @@
 	"railrelay.dev/railrelay/internal/emulator/engine"
 )
 
-// CompareFairnessThroughput compares the queries a second of a controller on one core with
-// fairness on and off: eight stand-in engines that answer at once, 64 open on four
-// connections, in turns of so long each. It prints both and their ratio.
-func CompareFairnessThroughput(ctx context.Context, out io.Writer, program string, turn time.Duration, turns int) (float64, error) {
+// CompareFairnessThroughput returns the ratio of a controller's queries per second with fairness on to that
+// with fairness off, and prints both. The controller has one core and eight emulated engines that answer at
+// once; the clients keep 64 queries open on four connections. Turns of a fixed duration with fairness off
+// and on alternate, and the medians count.
+func CompareFairnessThroughput(
+	ctx context.Context, out io.Writer, program string, duration time.Duration, turns int,
+) (float64, error) {
 	rates := [2][]float64{}
 	for range turns {
 		for on := range 2 {
-			t := &Trial{Program: program, Engines: 8, Seed: 1, Log: io.Discard}
-			setup := t.setup
+			trial := &Trial{Program: program, Engines: 8, Seed: 1, Log: io.Discard}
+			setup := trial.setup
 			if on == 0 {
-				setup = func(f, l string) string {
-					text, _, _ := strings.Cut(t.setup(f, l), "fairness:")
+				setup = func(feedAddress, listen string) string {
+					text, _, _ := strings.Cut(trial.setup(feedAddress, listen), "fairness:")
 					return text
 				}
 			}
-			done := int64(0)
-			err := t.with(ctx, setup, nil, func(ctx context.Context, address string) error {
-				ctx, stop := context.WithTimeout(ctx, turn)
+			finished := int64(0)
+			err := trial.with(ctx, setup, nil, func(ctx context.Context, address string) error {
+				ctx, stop := context.WithTimeout(ctx, duration)
 				defer stop()
 				var wg sync.WaitGroup
-				faults := make([]error, 4)
-				for i := range faults {
+				errs := make([]error, 4)
+				for i := range errs {
 					wg.Add(1)
 					go func() {
 						defer wg.Done()
-						faults[i] = keepQueriesOpen(ctx, address, i, 16, &done)
+						errs[i] = keepQueriesOpen(ctx, address, i, 16, &finished)
 					}()
 				}
 				wg.Wait()
-				return faults[0]
+				return errs[0]
 			})
 			if err != nil {
 				return 0, err
 			}
-			rates[on] = append(rates[on], float64(done)/turn.Seconds())
+			rates[on] = append(rates[on], float64(finished)/duration.Seconds())
 		}
 	}
-	mid := func(l []float64) float64 { return slices.Sorted(slices.Values(l))[len(l)/2] }
-	ratio := mid(rates[1]) / mid(rates[0])
-	fmt.Fprintf(out, "queries/s off %.0f on %.0f (medians of %d turns)\nmeasured on_over_off=%.3f\n", mid(rates[0]), mid(rates[1]), turns, ratio)
+	medianRate := func(rates []float64) float64 { return slices.Sorted(slices.Values(rates))[len(rates)/2] }
+	ratio := medianRate(rates[1]) / medianRate(rates[0])
+	fmt.Fprintf(out, "queries/s off %.0f on %.0f (medians of %d turns)\nmeasured on_over_off=%.3f\n",
+		medianRate(rates[0]), medianRate(rates[1]), turns, ratio)
 	return ratio, nil
 }
 
-// keepQueriesOpen keeps so many lookups open on a connection until ctx ends.
-func keepQueriesOpen(ctx context.Context, address string, n, open int, done *int64) error {
-	c, err := net.Dial("tcp", address)
+// keepQueriesOpen keeps a number of lookups open on one connection until ctx ends, and adds the finished
+// ones to finished. connection distinguishes the query IDs of concurrent calls.
+func keepQueriesOpen(ctx context.Context, address string, connection, open int, finished *int64) error {
+	conn, err := net.Dial("tcp", address)
 	if err != nil {
 		return err
 	}
-	defer c.Close()
+	defer conn.Close()
 	statement := engine.Statement(engine.Work{Threads: 1, Rows: 1})
 	msg := uint32(0)
-	ask := func() error {
+	submit := func() error {
 		msg++
 		team := trialTeams[int(msg)%len(trialTeams)].name
-		_, err := c.Write(client.AppendQuery(nil, msg, "lookup", statement, "trace", fmt.Sprintf("%08x%08x", n+1, msg), "patience", "5000",
+		_, err := conn.Write(client.AppendQuery(nil, msg, "lookup", statement,
+			"trace", fmt.Sprintf("%08x%08x", connection+1, msg), "patience", "5000",
 			"team", team))
 		return err
 	}
 	for range open {
-		if err := ask(); err != nil {
+		if err := submit(); err != nil {
 			return err
 		}
 	}
-	var in []byte
-	p := make([]byte, 64<<10)
+	var received []byte
+	buffer := make([]byte, 64<<10)
 	for ctx.Err() == nil {
-		c.SetReadDeadline(time.Now().Add(2 * time.Second))
-		k, err := c.Read(p)
+		conn.SetReadDeadline(time.Now().Add(2 * time.Second))
+		n, err := conn.Read(buffer)
 		if err != nil {
 			return err
 		}
-		in = append(in, p[:k]...)
+		received = append(received, buffer[:n]...)
 		for {
-			a, took, err := client.Read(in)
+			answer, length, err := client.Read(received)
 			if err != nil {
 				return err
 			}
-			if took == 0 {
+			if length == 0 {
 				break
 			}
-			in = in[took:]
-			if a.Kind == client.Finished {
-				atomic.AddInt64(done, 1)
+			received = received[length:]
+			if answer.Kind == client.Finished {
+				atomic.AddInt64(finished, 1)
 			}
-			if err := ask(); err != nil {
+			if err := submit(); err != nil {
 				return err
 			}
 		}
