--- a/cmd/railrelay/endings_test.go
+++ b/cmd/railrelay/endings_test.go
@@ -173,9 +173,9 @@
 	}
 }
 
-// pauseAndFinish stops the process like pause, with a poll of the query held by the engine, and then finishes
-// the query. A process that is stopped between two polls sends no request that the result could answer, so it is
-// resumed and stopped again.
+// pauseAndFinish stops the process like pause, while the engine holds a poll of the query, and then finishes
+// the query. A process that is stopped between two polls sends no request that the result could answer, so
+// it is resumed and stopped again.
 func (c *controller) pauseAndFinish(e *controlledEngine, id string) (resume func()) {
 	c.t.Helper()
 	for wait := time.Now(); ; time.Sleep(time.Millisecond) {
