--- a/cmd/railrelay-bench/many.go
+++ b/cmd/railrelay-bench/many.go
@@ -9,7 +9,7 @@
 )
 
 func manyCommand() *cobra.Command {
-	play := bench.Many{Lease: 2 * time.Second, Changes: 5, Entries: 100_000}
+	play := bench.IdleFleet{Lease: 2 * time.Second, Changes: 5, RecordEntries: 100_000}
 	c := &cobra.Command{Use: "many",
 		Short: "a fleet of many processes: what each costs, how soon a change is in force on all",
 		Args:  cobra.NoArgs}
@@ -22,6 +22,6 @@
 	}
 	c.Flags().StringVar(&play.Program, "program", defaultProgram, "the controller")
 	c.Flags().IntVar(&play.Controllers, "controllers", 50, "processes")
-	c.Flags().DurationVar(&play.Rest, "rest", 10*time.Second, "duration of the measurement at rest")
+	c.Flags().DurationVar(&play.IdleTime, "rest", 10*time.Second, "duration of the measurement at rest")
 	return c
 }
--- a/cmd/railrelay-bench/measure.go
+++ b/cmd/railrelay-bench/measure.go
@@ -21,7 +21,7 @@
 		case "spool":
 			return bench.MeasureSpool(c.Context(), c.OutOrStdout(), program, seed)
 		case "together":
-			return bench.MeasureTogether(c.Context(), c.OutOrStdout(), program, planted, seed, detail)
+			return bench.MeasureFaultFleet(c.Context(), c.OutOrStdout(), program, planted, seed, detail)
 		case "fleet":
 			return bench.MeasureFleet(c.Context(), c.OutOrStdout(), program, seed)
 		case "scale":
--- a/cmd/railrelay-bench/planted.go
+++ b/cmd/railrelay-bench/planted.go
@@ -13,9 +13,9 @@
 		Args: cobra.NoArgs}
 	c.RunE = func(c *cobra.Command, _ []string) error {
 		if build {
-			return bench.BuildPlanted(c.Context(), ".", directory)
+			return bench.BuildPlantedFaults(c.Context(), ".", directory)
 		}
-		return bench.FindPlanted(c.Context(), c.OutOrStdout(), directory)
+		return bench.DetectPlantedFaults(c.Context(), c.OutOrStdout(), directory)
 	}
 	c.Flags().StringVar(&directory, "planted", defaultPlantedDirectory, "directory of the tests")
 	c.Flags().BoolVar(&build, "build", false, "only build them, from the root of the tree")
--- a/internal/bench/datapath_stage.go
+++ b/internal/bench/datapath_stage.go
@@ -198,7 +198,7 @@
 		now.traffic = now.traffic.Add(e.Traffic())
 	}
 	var err error
-	now.used, err = usageOf(s.running.Process.Pid)
+	now.used, err = readProcessUsage(s.running.Process.Pid)
 	return now, err
 }
 
@@ -267,7 +267,7 @@
 		if last, err = s.look(); err != nil {
 			return spend{}, err
 		}
-		memory, connections = append(memory, last.used.Resident), append(connections, float64(last.traffic.Open))
+		memory, connections = append(memory, last.used.ResidentMB), append(connections, float64(last.traffic.Open))
 		if len(memory)%looksASecond == 0 {
 			now := s.queriesByEngine()
 			engines, most := spread(counted, now)
--- a/internal/bench/golden_test.go
+++ b/internal/bench/golden_test.go
@@ -17,12 +17,12 @@
 // TestGoldenMeasuredLines compares the forms of all lines that begin with "measured": scripts
 // read their names, and their numbers as they are printed.
 func TestGoldenMeasuredLines(t *testing.T) {
-	goldentest.Same(t, "measured_lines", measuredLines(t))
+	goldentest.Same(t, "measured_lines", measuredStrings(t))
 }
 
-// measuredLines are the strings of the package's source that begin with "measured ", each
+// measuredStrings are the strings of the package's source that begin with "measured ", each
 // quoted and on a line, in order. Strings that are joined by + count as one.
-func measuredLines(t *testing.T) []byte {
+func measuredStrings(t *testing.T) []byte {
 	t.Helper()
 	files, err := filepath.Glob("*.go")
 	if err != nil {
@@ -42,7 +42,7 @@
 			if !isExpression {
 				return true
 			}
-			text, isText := joined(expression)
+			text, isText := stringValue(expression)
 			if isText && strings.HasPrefix(text, "measured ") {
 				lines = append(lines, strconv.Quote(text))
 			}
@@ -53,15 +53,15 @@
 	return bytes.TrimLeft([]byte(strings.Join(lines, "\n")+"\n"), "\n")
 }
 
-// joined is the value of a string, or of strings joined by +.
-func joined(e ast.Expr) (text string, isText bool) {
+// stringValue is the value of a string, or of strings joined by +.
+func stringValue(e ast.Expr) (text string, isText bool) {
 	switch e := e.(type) {
 	case *ast.BasicLit:
 		text, err := strconv.Unquote(e.Value)
 		return text, err == nil && e.Kind == token.STRING
 	case *ast.BinaryExpr:
-		left, isLeft := joined(e.X)
-		right, isRight := joined(e.Y)
+		left, isLeft := stringValue(e.X)
+		right, isRight := stringValue(e.Y)
 		return left + right, isLeft && isRight && e.Op == token.ADD
 	}
 	return "", false
--- a/internal/bench/many_process.go
+++ b/internal/bench/many_process.go
@@ -21,62 +21,62 @@
 
 // controllerSetup is what the set-up file of a controller in a fleet of many is made of.
 type controllerSetup struct {
-	Name        string
-	Clients     string // where clients come in
-	Feed        string
-	Controllers int // of the whole fleet
-	Zones       []string
-	Zone        string // its own
-	MemoryMB    int
-	Sockets     int
-	Fleet       string // the fleet's name
-	Listen      string // where peers come in
-	Address     string // what peers are told in its place; "": Listen
-	Operators   string // where operators come in
-	Directory   string
-	Keys        string
-	Lease       time.Duration
-	Voters      []hollow.Peer
-	Control     bool // it has the role control: no clients, engines or feed
-	Relay       bool
-	Relays      []hollow.Peer // that it asks in place of the leader
+	Name              string
+	ClientAddress     string // where clients come in
+	FeedAddress       string
+	Controllers       int // of the whole fleet
+	Zones             []string
+	Zone              string // its own
+	MemoryMB          int
+	Sockets           int
+	FleetName         string // the fleet's name
+	PeerListenAddress string // where peers come in
+	PeerAddress       string // what peers are told in its place; "": Listen
+	ControlAddress    string // where operators come in
+	Directory         string
+	KeyFile           string
+	Lease             time.Duration
+	Voters            []hollow.Peer
+	ControlOnly       bool // it has the role control: no clients, engines or feed
+	IsRelay           bool
+	Relays            []hollow.Peer // that it asks in place of the leader
 }
 
-// text is the set-up as YAML.
-func (s controllerSetup) text() string {
+// yaml is the set-up as YAML.
+func (s controllerSetup) yaml() string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "name: %s\nlog: info\nlimits: {cores: 1, memory_mb: %d, sockets: %d}\n", s.Name, s.MemoryMB, s.Sockets)
-	if !s.Control {
-		s.writeData(&b)
+	if !s.ControlOnly {
+		s.writeDataPlane(&b)
 	}
 	fmt.Fprintf(&b, "fleet:\n  name: %s\n  listen: %s\n  control: %s\n  directory: %q\n  keys: %q\n  lease: %v\n",
-		s.Fleet, s.Listen, s.Operators, s.Directory, s.Keys, s.Lease)
-	if s.Address != "" {
-		fmt.Fprintf(&b, "  address: %s\n", s.Address)
+		s.FleetName, s.PeerListenAddress, s.ControlAddress, s.Directory, s.KeyFile, s.Lease)
+	if s.PeerAddress != "" {
+		fmt.Fprintf(&b, "  address: %s\n", s.PeerAddress)
 	}
-	if s.Control {
+	if s.ControlOnly {
 		b.WriteString("  role: control\n")
 	}
-	if s.Relay {
+	if s.IsRelay {
 		b.WriteString("  relay: true\n")
 	}
-	writePeers(&b, "voters", s.Voters)
-	writePeers(&b, "relays", s.Relays)
+	writePeerList(&b, "voters", s.Voters)
+	writePeerList(&b, "relays", s.Relays)
 	return b.String()
 }
 
-// writeData writes what only a controller with clients and engines has.
-func (s controllerSetup) writeData(b *strings.Builder) {
+// writeDataPlane writes what only a controller with clients and engines has.
+func (s controllerSetup) writeDataPlane(b *strings.Builder) {
 	kind := trialEngine()
-	fmt.Fprintf(b, "listen: %s\nfeed: %s\n", s.Clients, s.Feed)
+	fmt.Fprintf(b, "listen: %s\nfeed: %s\n", s.ClientAddress, s.FeedAddress)
 	fmt.Fprintf(b, "engines: {controllers: %d, kinds: [{name: std, cores: %g, memory_mb: %g}], locations: [%s], location: %s}\n",
 		s.Controllers, kind.Cores, kind.MemoryMB, strings.Join(s.Zones, ", "), s.Zone)
 	b.WriteString("groups: [{name: lookup, target: 1s, timeout: 30s, effect: read-only}]\n")
 	b.WriteString("fairness: {fields: {team: team}, trusted: [127.0.0.0/8], teams: [{name: a, weight: 1}, {name: b, weight: 1}]}\n")
 }
 
-// writePeers writes a list of the fleet part, unless it is empty.
-func writePeers(b *strings.Builder, field string, list []hollow.Peer) {
+// writePeerList writes a list of the fleet part, unless it is empty.
+func writePeerList(b *strings.Builder, field string, list []hollow.Peer) {
 	if len(list) == 0 {
 		return
 	}
@@ -86,15 +86,15 @@
 	}
 }
 
-// workplace is a directory for a fleet's set-ups, records and key file.
-type workplace struct {
+// fleetFiles is a directory for a fleet's set-ups, records and key file.
+type fleetFiles struct {
 	directory string
 	keyFile   string
 	keys      transport.Keys
 }
 
-func newWorkplace(pattern string) (w *workplace, err error) {
-	w = &workplace{}
+func newFleetFiles(pattern string) (w *fleetFiles, err error) {
+	w = &fleetFiles{}
 	if w.directory, err = os.MkdirTemp("", pattern); err != nil {
 		return nil, err
 	}
@@ -109,12 +109,12 @@
 	return w, nil
 }
 
-func (w *workplace) path(name string) string { return filepath.Join(w.directory, name) }
+func (w *fleetFiles) path(name string) string { return filepath.Join(w.directory, name) }
 
-func (w *workplace) remove() { os.RemoveAll(w.directory) }
+func (w *fleetFiles) remove() { os.RemoveAll(w.directory) }
 
-// applied is a line of a controller's log: its record has a version in force.
-type applied struct {
+// appliedVersion is a line of a controller's log: its record has a version in force.
+type appliedVersion struct {
 	Controller string
 	Version    uint64
 	At         time.Time
@@ -126,23 +126,23 @@
 	program   string
 	setupFile string
 	directory string // of its record
-	operator
-	onApplied func(applied) // may be nil
+	operatorClient
+	onApplied func(appliedVersion) // may be nil
 
-	command  *exec.Cmd
-	ended    chan struct{}
-	lastLine string // of its log; once it has ended
-	paused   bool
+	command     *exec.Cmd
+	exited      chan struct{}
+	lastLogLine string // of its log; once it has ended
+	paused      bool
 }
 
-// fleetSuffix makes of the controller's program that which takes part in fleets.
-const fleetSuffix = "-fleet"
+// fleetProgramSuffix makes of the controller's program that which takes part in fleets.
+const fleetProgramSuffix = "-fleet"
 
 // start begins the process from what its directory holds. It is killed with ctx, and
 // with this process: therefore the program for fleets is started itself. The lean one
 // would replace itself by it, and the kernel forgets then what it ends with.
 func (p *controllerProcess) start(ctx context.Context) error {
-	command := exec.CommandContext(ctx, p.program+fleetSuffix, "serve", "--setup", p.setupFile)
+	command := exec.CommandContext(ctx, p.program+fleetProgramSuffix, "serve", "--setup", p.setupFile)
 	command.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
 	log, err := command.StderrPipe()
 	if err != nil {
@@ -152,13 +152,13 @@
 		return err
 	}
 	ended := make(chan struct{})
-	p.command, p.ended, p.paused = command, ended, false
+	p.command, p.exited, p.paused = command, ended, false
 	go func() {
 		defer close(ended)
 		for lines := bufio.NewScanner(log); lines.Scan(); {
-			p.lastLine = lines.Text()
-			if version, is := versionInForce(p.lastLine); is && p.onApplied != nil {
-				p.onApplied(applied{p.name, version, time.Now()})
+			p.lastLogLine = lines.Text()
+			if version, is := parseVersionInForce(p.lastLogLine); is && p.onApplied != nil {
+				p.onApplied(appliedVersion{p.name, version, time.Now()})
 			}
 		}
 		command.Wait()
@@ -166,8 +166,8 @@
 	return nil
 }
 
-// versionInForce reads the line that a controller's log has for each version.
-func versionInForce(line string) (version uint64, is bool) {
+// parseVersionInForce reads the line that a controller's log has for each version.
+func parseVersionInForce(line string) (version uint64, is bool) {
 	_, after, is := strings.Cut(line, "policy: version ")
 	if !is || !strings.Contains(after, "is in force") {
 		return 0, false
@@ -182,7 +182,7 @@
 		return
 	}
 	p.command.Process.Kill()
-	<-p.ended
+	<-p.exited
 	p.command = nil
 }
 
@@ -196,25 +196,25 @@
 	return p.command.Process.Signal(syscall.SIGCONT)
 }
 
-// answers says whether it can be asked anything.
-func (p *controllerProcess) answers() bool { return p.command != nil && !p.paused }
+// isResponsive says whether it can be asked anything.
+func (p *controllerProcess) isResponsive() bool { return p.command != nil && !p.paused }
 
-// operator asks one controller as its operators do. It may be used by several goroutines.
-type operator struct {
-	control string // the controller's address for operators
+// operatorClient asks one controller as its operators do. It may be used by several goroutines.
+type operatorClient struct {
+	address string // the controller's address for operators
 	keys    transport.Keys
 }
 
-// ask puts something to the controller.
-func (o operator) ask(ctx context.Context, a *fleet.Request) (*fleet.Response, error) {
+// sendRequest puts something to the controller.
+func (o operatorClient) sendRequest(ctx context.Context, a *fleet.Request) (*fleet.Response, error) {
 	ctx, stop := context.WithTimeout(ctx, time.Duration(a.WaitMs)*time.Millisecond+2*time.Second)
 	defer stop()
-	return transport.SendControlRequest(ctx, o.control, o.keys, a)
+	return transport.SendControlRequest(ctx, o.address, o.keys, a)
 }
 
 // status is how it sees the fleet; an empty one if it can't be asked.
-func (o operator) status(ctx context.Context) *fleet.Status {
-	if r, err := o.ask(ctx, &fleet.Request{Kind: "status", WaitMs: 500}); err == nil && r.Status != nil {
+func (o operatorClient) status(ctx context.Context) *fleet.Status {
+	if r, err := o.sendRequest(ctx, &fleet.Request{Kind: "status", WaitMs: 500}); err == nil && r.Status != nil {
 		return r.Status
 	}
 	return &fleet.Status{}
@@ -227,8 +227,8 @@
 			return nil
 		}
 		select {
-		case <-p.ended:
-			return fmt.Errorf("%s has ended, and last said %q", p.name, p.lastLine)
+		case <-p.exited:
+			return fmt.Errorf("%s has ended, and last said %q", p.name, p.lastLogLine)
 		default:
 		}
 	}
@@ -237,14 +237,14 @@
 
 // processUsage is what the kernel says that a process has used.
 type processUsage struct {
-	CPU      time.Duration // since its start
-	Resident float64       // MB
+	CPU        time.Duration // since its start
+	ResidentMB float64       // MB
 }
 
 const clockTick = 10 * time.Millisecond // of the kernel's figures of processor time
 
-// usageOf reads a process's figures.
-func usageOf(pid int) (processUsage, error) {
+// readProcessUsage reads a process's figures.
+func readProcessUsage(pid int) (processUsage, error) {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 	if err != nil {
 		return processUsage{}, err
--- a/internal/bench/many_record.go
+++ b/internal/bench/many_record.go
@@ -14,13 +14,13 @@
 // recordBuilder makes what the disk of a fleet's only voter holds, by way of its own
 // agreement in virtual time.
 type recordBuilder struct {
-	name   string
-	core   *consensus.Core
-	state  *statemachine.State
-	now    time.Duration
-	kept   consensus.PersistentState
-	leads  bool
-	stores int // under way
+	name          string
+	core          *consensus.Core
+	state         *statemachine.State
+	now           time.Duration
+	persisted     consensus.PersistentState
+	isLeader      bool
+	pendingWrites int // under way
 }
 
 // newRecordBuilder gives one whose voter leads.
@@ -34,7 +34,7 @@
 	if err := b.perform(effects); err != nil {
 		return nil, err
 	}
-	for !b.leads {
+	for !b.isLeader {
 		if b.now = max(b.now+time.Millisecond, core.NextTick()); b.now > time.Minute {
 			return nil, errors.New("a voter that is alone doesn't lead")
 		}
@@ -51,20 +51,20 @@
 }
 
 func (b *recordBuilder) perform(effects []consensus.Effect) error {
-	err := b.take(effects)
-	for err == nil && b.stores > 0 {
-		b.stores--
-		err = b.take(b.core.Step(b.now, consensus.Event{Kind: consensus.Persisted}))
+	err := b.handleEffects(effects)
+	for err == nil && b.pendingWrites > 0 {
+		b.pendingWrites--
+		err = b.handleEffects(b.core.Step(b.now, consensus.Event{Kind: consensus.Persisted}))
 	}
 	return err
 }
 
-func (b *recordBuilder) take(effects []consensus.Effect) error {
+func (b *recordBuilder) handleEffects(effects []consensus.Effect) error {
 	for _, e := range effects {
 		switch e.Kind {
 		case consensus.Persist:
-			b.kept = hollow.Merge(b.kept, *e.Persistent)
-			b.stores++
+			b.persisted = hollow.Merge(b.persisted, *e.Persistent)
+			b.pendingWrites++
 		case consensus.Committed:
 			data := e.Entry.Data
 			if e.Entry.IsVoterChange {
@@ -74,14 +74,14 @@
 				return err
 			}
 		case consensus.LeaderChanged:
-			b.leads = e.Leader == b.name
+			b.isLeader = e.Leader == b.name
 		}
 	}
 	return nil
 }
 
-// decide puts entries into the record, one after the other.
-func (b *recordBuilder) decide(entries ...*fleet.Entry) error {
+// commit puts entries into the record, one after the other.
+func (b *recordBuilder) commit(entries ...*fleet.Entry) error {
 	for _, e := range entries {
 		if err := b.step(consensus.Event{Kind: consensus.Propose, Data: statemachine.EncodeEntry(e)}); err != nil {
 			return err
@@ -90,23 +90,23 @@
 	return nil
 }
 
-// entriesOfChange are those that a change of policy leads to.
-const entriesOfChange = 5
+// entriesPerChange are those that a change of policy leads to.
+const entriesPerChange = 5
 
-// change puts a whole change of policy into the record.
-func (b *recordBuilder) change() error {
+// commitPolicyChange puts a whole change of policy into the record.
+func (b *recordBuilder) commitPolicyChange() error {
 	id := fmt.Sprint("change-", b.state.Index)
 	policy := fmt.Appendf(nil, "fairness: {teams: [{name: a, weight: %d}, {name: b, weight: 1}]}\n", b.state.Version%9+1)
-	return b.decide(&fleet.Entry{Kind: fleet.EntryPropose, ID: id, RequestedBy: "operator", BaseVersion: b.state.Version, Policy: policy},
+	return b.commit(&fleet.Entry{Kind: fleet.EntryPropose, ID: id, RequestedBy: "operator", BaseVersion: b.state.Version, Policy: policy},
 		&fleet.Entry{Kind: fleet.EntryFence, ID: id}, &fleet.Entry{Kind: fleet.EntryCommit, ID: id}, &fleet.Entry{Kind: fleet.EntryEnterForce, ID: id},
 		&fleet.Entry{Kind: fleet.EntryFinishCleanup, ID: id})
 }
 
-// comeAndGo puts a controller into the record that joins and whose disk is forgotten.
-func (b *recordBuilder) comeAndGo() error {
+// joinAndForget puts a controller into the record that joins and whose disk is forgotten.
+func (b *recordBuilder) joinAndForget() error {
 	name := fmt.Sprint("gone-", b.state.Index)
 	member := &fleet.Member{Name: name, DiskID: fmt.Sprintf("%016x", b.state.Index), Site: "here", PeerAddress: "10.0.0.1:7600", ClientAddress: "10.0.0.1:7602"}
-	return b.decide(&fleet.Entry{Kind: fleet.EntryJoin, ID: name, Name: name, Member: member}, &fleet.Entry{Kind: fleet.EntryForget, ID: name, Name: name})
+	return b.commit(&fleet.Entry{Kind: fleet.EntryJoin, ID: name, Name: name, Member: member}, &fleet.Entry{Kind: fleet.EntryForget, ID: name, Name: name})
 }
 
 // compact has a snapshot replace the log so far.
@@ -114,9 +114,9 @@
 	return b.step(consensus.Event{Kind: consensus.SnapshotTaken, Snapshot: &consensus.Snapshot{Index: b.state.Index, Data: b.state.Encode()}})
 }
 
-// compactEvery compacts once the log has so many entries.
-func (b *recordBuilder) compactEvery(entries int) error {
-	if len(b.kept.Entries) < entries {
+// compactAfter compacts once the log has so many entries.
+func (b *recordBuilder) compactAfter(entries int) error {
+	if len(b.persisted.Entries) < entries {
 		return nil
 	}
 	return b.compact()
@@ -124,22 +124,22 @@
 
 const entriesAfterSnapshot = 2000 // that a long record has in its log
 
-// longRecord is what the disk of a fleet's only voter holds after so many entries of
+// buildLongRecord is what the disk of a fleet's only voter holds after so many entries of
 // changes of policy, all but the last in a snapshot.
-func longRecord(name string, entries int) (consensus.PersistentState, error) {
+func buildLongRecord(name string, entries int) (consensus.PersistentState, error) {
 	b, err := newRecordBuilder(name)
 	if err != nil {
 		return consensus.PersistentState{}, err
 	}
 	for b.state.Index < uint64(entries) {
-		if err := b.change(); err != nil {
+		if err := b.commitPolicyChange(); err != nil {
 			return consensus.PersistentState{}, err
 		}
-		if b.state.Index >= uint64(entries-entriesAfterSnapshot) && b.kept.Snapshot == nil {
+		if b.state.Index >= uint64(entries-entriesAfterSnapshot) && b.persisted.Snapshot == nil {
 			if err := b.compact(); err != nil {
 				return consensus.PersistentState{}, err
 			}
 		}
 	}
-	return b.kept, nil
+	return b.persisted, nil
 }
--- a/internal/bench/planted.go
+++ b/internal/bench/planted.go
@@ -15,22 +15,22 @@
 	"time"
 )
 
-// Plant is a fault, where it is planted, the tests that must find it, and how they name
+// PlantedFault is a fault, where it is planted, the tests that must find it, and how they name
 // it. Its files are in Dir/testdata/planted/Name: each is a copy, with the fault, of the
 // file of that name in Dir, which it replaces in a build (go test -overlay), or, as
 // FILE.replace, says which lines of a large FILE the fault replaces. The same tests pass in
 // a build without it.
-type Plant struct {
-	Name    string // of its build, and of its directory of files
-	Fault   string // in words
-	Dir     string // of the package that has the fault, from the root of the tree
-	Package string // of the tests, as the go command takes it
-	Run     string // the tests, as -test.run takes them
-	Named   string // what the failing test says
+type PlantedFault struct {
+	Name           string // of its build, and of its directory of files
+	Description    string // in words
+	Dir            string // of the package that has the fault, from the root of the tree
+	TestPackage    string // of the tests, as the go command takes it
+	TestPattern    string // the tests, as -test.run takes them
+	ExpectedOutput string // what the failing test says
 }
 
-// Planted are all of them. `make planted` builds and plays them.
-var Planted = []Plant{
+// PlantedFaults are all of them. `make planted` builds and plays them.
+var PlantedFaults = []PlantedFault{
 	{"fence", "no fence on restart", "internal/fleet/node", "./internal/bench", "^TestStartedCutOff$", "mixed:"},
 	{"force", "in force before all closed", "internal/fleet/node", "./internal/bench", "^TestBriefSchedules$", "mixed:"},
 	{"down", "purge confirmed without those down", "internal/fleet/node", "./internal/bench", "^TestBriefSchedules$", "confirmed_wrongly:"},
@@ -42,49 +42,49 @@
 	{"mac", "MAC not checked", "internal/fleet/transport", "./internal/fleet/transport", "^(TestUnauthenticatedRequestIsRejected|TestMACIsBoundToPurposeAndBody)$", "a wrong MAC was accepted"},
 }
 
-// sound is the name of the build of its tests without a fault.
-func (x Plant) sound() string { return "sound_" + path.Base(x.Package) }
+// baselineName is the name of the build of its tests without a fault.
+func (x PlantedFault) baselineName() string { return "sound_" + path.Base(x.TestPackage) }
 
-// play plays a plant's tests as a build of that name has them.
-func (x Plant) play(ctx context.Context, dir, build string) (string, error) {
+// runTests plays a plant's tests as a build of that name has them.
+func (x PlantedFault) runTests(ctx context.Context, dir, build string) (string, error) {
 	file, err := filepath.Abs(filepath.Join(dir, build+".test"))
 	if err != nil {
 		return "", err
 	}
-	cmd := exec.CommandContext(ctx, file, "-test.run", x.Run, "-test.timeout", "60s", "-test.v")
+	cmd := exec.CommandContext(ctx, file, "-test.run", x.TestPattern, "-test.timeout", "60s", "-test.v")
 	cmd.Dir = dir
 	out, err := cmd.CombinedOutput()
 	return string(out), err
 }
 
-// passes plays them as built without it.
-func (x Plant) passes(ctx context.Context, dir string) error {
-	out, err := x.play(ctx, dir, x.sound())
+// checkBaseline plays them as built without it.
+func (x PlantedFault) checkBaseline(ctx context.Context, dir string) error {
+	out, err := x.runTests(ctx, dir, x.baselineName())
 	if err != nil || !strings.Contains(out, "--- PASS") {
 		return fmt.Errorf("its tests fail without it, or none was run: %v: %.300s", err, out)
 	}
 	return nil
 }
 
-// find plays them as built with it, and gives the line that names the fault.
-func (x Plant) find(ctx context.Context, dir string) (named string, err error) {
-	out, err := x.play(ctx, dir, x.Name)
+// detect plays them as built with it, and gives the line that names the fault.
+func (x PlantedFault) detect(ctx context.Context, dir string) (named string, err error) {
+	out, err := x.runTests(ctx, dir, x.Name)
 	var ended *exec.ExitError
 	if !errors.As(err, &ended) {
 		return "", fmt.Errorf("its tests pass, or can't be run: %v: %.300s", err, out)
 	}
-	i := strings.Index(out, x.Named)
+	i := strings.Index(out, x.ExpectedOutput)
 	if i < 0 || !strings.Contains(out, "--- FAIL") {
-		return "", fmt.Errorf("it isn't named %q: %.300s", x.Named, out)
+		return "", fmt.Errorf("it isn't named %q: %.300s", x.ExpectedOutput, out)
 	}
 	from := strings.LastIndexByte(out[:i], '\n') + 1
 	named, _, _ = strings.Cut(out[from:], "\n")
 	return strings.TrimSpace(named), nil
 }
 
-// findPlanted plays all; the lines are a table of what was found.
-func findPlanted(ctx context.Context, dir string) (found, of int, lines []string) {
-	named, errs, took := make([]string, len(Planted)), make([]error, len(Planted)), make([]time.Duration, len(Planted))
+// detectPlantedFaults plays all; the lines are a table of what was found.
+func detectPlantedFaults(ctx context.Context, dir string) (found, of int, lines []string) {
+	named, errs, took := make([]string, len(PlantedFaults)), make([]error, len(PlantedFaults)), make([]time.Duration, len(PlantedFaults))
 	var wg sync.WaitGroup
 	slots := make(chan struct{}, max(2, runtime.NumCPU()/2))
 	sound := map[string]func() error{} // some have their tests in common
@@ -95,41 +95,41 @@
 			do()
 		})
 	}
-	for i, x := range Planted {
+	for i, x := range PlantedFaults {
 		in(func() {
 			begin := time.Now()
-			named[i], errs[i] = x.find(ctx, dir)
+			named[i], errs[i] = x.detect(ctx, dir)
 			took[i] = time.Since(begin)
 		})
-		if key := x.Package + x.Run; sound[key] == nil {
-			passes := sync.OnceValue(func() error { return x.passes(ctx, dir) })
+		if key := x.TestPackage + x.TestPattern; sound[key] == nil {
+			passes := sync.OnceValue(func() error { return x.checkBaseline(ctx, dir) })
 			sound[key] = passes
 			in(func() { passes() })
 		}
 	}
 	wg.Wait()
-	for i, x := range Planted {
-		errs[i] = errors.Join(errs[i], sound[x.Package+x.Run]())
+	for i, x := range PlantedFaults {
+		errs[i] = errors.Join(errs[i], sound[x.TestPackage+x.TestPattern]())
 	}
 	var text strings.Builder
 	t := tabwriter.NewWriter(&text, 0, 0, 2, ' ', 0)
-	for i, x := range Planted {
+	for i, x := range PlantedFaults {
 		what := named[i]
 		if errs[i] == nil {
 			found++
 		} else {
 			what = "NOT FOUND: " + strings.ReplaceAll(errs[i].Error(), "\n", " ")
 		}
-		fmt.Fprintf(t, "%s\t%s\t%.1f s\t%.160s\n", x.Name, x.Fault, took[i].Seconds(), what)
+		fmt.Fprintf(t, "%s\t%s\t%.1f s\t%.160s\n", x.Name, x.Description, took[i].Seconds(), what)
 	}
 	t.Flush()
-	return found, len(Planted), strings.Split(strings.TrimRight(text.String(), "\n"), "\n")
+	return found, len(PlantedFaults), strings.Split(strings.TrimRight(text.String(), "\n"), "\n")
 }
 
-// FindPlanted plays all that BuildPlanted has put into dir, and tells what was found; an error
+// DetectPlantedFaults plays all that BuildPlanted has put into dir, and tells what was found; an error
 // if one was not.
-func FindPlanted(ctx context.Context, out io.Writer, dir string) error {
-	found, of, lines := findPlanted(ctx, dir)
+func DetectPlantedFaults(ctx context.Context, out io.Writer, dir string) error {
+	found, of, lines := detectPlantedFaults(ctx, dir)
 	fmt.Fprintf(out, "%s\nfound %d of %d\n", strings.Join(lines, "\n"), found, of)
 	if found < of {
 		return errors.New("a planted fault was not found")
--- a/internal/bench/planted_build.go
+++ b/internal/bench/planted_build.go
@@ -12,21 +12,21 @@
 	"golang.org/x/sync/errgroup"
 )
 
-// buildsAtOnce bounds how many test programs are built at the same time.
-const buildsAtOnce = 4
+// maxConcurrentBuilds bounds how many test programs are built at the same time.
+const maxConcurrentBuilds = 4
 
 // overlay is what the go command reads for -overlay: files that stand for others in a build.
 type overlay struct {
 	Replace map[string]string `json:"Replace"` // by the path of what is replaced, both absolute
 }
 
-// BuildPlanted builds, into dir, the tests of each planted fault with it, as NAME.test, and
+// BuildPlantedFaults builds, into dir, the tests of each planted fault with it, as NAME.test, and
 // once for each package without any. root is the root of the tree.
-func BuildPlanted(ctx context.Context, root, dir string) error {
-	return buildPlants(ctx, root, dir, Planted)
+func BuildPlantedFaults(ctx context.Context, root, dir string) error {
+	return buildPlantedFaults(ctx, root, dir, PlantedFaults)
 }
 
-func buildPlants(ctx context.Context, root, dir string, plants []Plant) error {
+func buildPlantedFaults(ctx context.Context, root, dir string, plants []PlantedFault) error {
 	dir, err := filepath.Abs(dir)
 	if err != nil {
 		return err
@@ -35,21 +35,21 @@
 		return err
 	}
 	group, ctx := errgroup.WithContext(ctx)
-	group.SetLimit(buildsAtOnce)
+	group.SetLimit(maxConcurrentBuilds)
 	isBuilt := map[string]bool{}
 	for _, plant := range plants {
 		group.Go(func() error { return plant.build(ctx, root, dir) })
-		if sound := plant.sound(); !isBuilt[sound] {
+		if sound := plant.baselineName(); !isBuilt[sound] {
 			isBuilt[sound] = true
-			group.Go(func() error { return buildTests(ctx, root, dir, sound, plant.Package) })
+			group.Go(func() error { return buildTests(ctx, root, dir, sound, plant.TestPackage) })
 		}
 	}
 	return group.Wait()
 }
 
 // build builds its tests with the fault.
-func (x Plant) build(ctx context.Context, root, dir string) error {
-	replaced, err := x.overlay(root, dir)
+func (x PlantedFault) build(ctx context.Context, root, dir string) error {
+	replaced, err := x.newOverlay(root, dir)
 	if err != nil {
 		return err
 	}
@@ -61,12 +61,12 @@
 	if err := os.WriteFile(file, text, 0o666); err != nil {
 		return err
 	}
-	return buildTests(ctx, root, dir, x.Name, x.Package, "-overlay", file)
+	return buildTests(ctx, root, dir, x.Name, x.TestPackage, "-overlay", file)
 }
 
-// overlay tells which files stand for which of the tree; those that are made for it are
+// newOverlay tells which files stand for which of the tree; those that are made for it are
 // written into dir.
-func (x Plant) overlay(root, dir string) (*overlay, error) {
+func (x PlantedFault) newOverlay(root, dir string) (*overlay, error) {
 	root, err := filepath.Abs(root)
 	if err != nil {
 		return nil, err
@@ -77,9 +77,9 @@
 	}
 	replaced := &overlay{Replace: map[string]string{}}
 	for _, file := range files {
-		production := x.replaces(root, file)
+		production := x.productionPath(root, file)
 		if strings.HasSuffix(file, replacementSuffix) {
-			if file, err = replaceLines(production, file, filepath.Join(dir, x.Name+madeSuffix)); err != nil {
+			if file, err = replaceLines(production, file, filepath.Join(dir, x.Name+generatedSuffix)); err != nil {
 				return nil, err
 			}
 		}
@@ -91,11 +91,11 @@
 // A replacement is a file of lines, a line of replacementMark, and the lines that stand for
 // them in a build with the fault.
 const (
-	replacementSuffix = ".go.replace"
-	replacementMark   = "\n----\n"
-	// madeSuffix ends the files that are made: with .go they would be a package of the tree
+	replacementSuffix    = ".go.replace"
+	replacementSeparator = "\n----\n"
+	// generatedSuffix ends the files that are made: with .go they would be a package of the tree
 	// for who builds into a directory of it.
-	madeSuffix = ".overlay"
+	generatedSuffix = ".overlay"
 )
 
 // replaceLines writes a production file with a replacement's lines in it, and gives the
@@ -109,7 +109,7 @@
 	if err != nil {
 		return "", err
 	}
-	was, is, both := strings.Cut(string(text), replacementMark)
+	was, is, both := strings.Cut(string(text), replacementSeparator)
 	if n := strings.Count(string(good), was+"\n"); !both || n != 1 {
 		return "", fmt.Errorf("the lines that %s replaces stand %d times in %s, and must stand there once", replacement, n, production)
 	}
@@ -117,7 +117,7 @@
 }
 
 // files are the paths of its files below root, in order: at least one.
-func (x Plant) files(root string) ([]string, error) {
+func (x PlantedFault) files(root string) ([]string, error) {
 	files, err := filepath.Glob(filepath.Join(root, x.Dir, "testdata", "planted", x.Name, "*.go*"))
 	if err == nil && len(files) == 0 {
 		err = fmt.Errorf("the planted fault %s has no file in %s", x.Name, x.Dir)
@@ -125,8 +125,8 @@
 	return files, err
 }
 
-// replaces is the path of the production file that one of its files is a copy of.
-func (x Plant) replaces(root, file string) string {
+// productionPath is the path of the production file that one of its files is a copy of.
+func (x PlantedFault) productionPath(root, file string) string {
 	return filepath.Join(root, x.Dir, strings.TrimSuffix(filepath.Base(file), ".replace"))
 }
 
--- a/internal/bench/planted_test.go
+++ b/internal/bench/planted_test.go
@@ -15,8 +15,8 @@
 
 const (
 	repository         = "../.."
-	plantedAtMostLines = 40 // of a file that a fault replaces
-	changedAtMostLines = 6  // removed by the fault, and as many added
+	maxProductionLines = 40 // of a file that a fault replaces
+	maxChangedLines    = 6  // removed by the fault, and as many added
 )
 
 // Every fault that the tree has is in the table and has its files, and no other; and
@@ -52,7 +52,7 @@
 	for fault := range ofTree {
 		tree = append(tree, fault)
 	}
-	for _, x := range Planted {
+	for _, x := range PlantedFaults {
 		table = append(table, x.Dir+" "+x.Name)
 	}
 	slices.Sort(table)
@@ -65,13 +65,13 @@
 // What a fault replaces is small, and but for a few lines it is the same: a change of the
 // one that leaves out the other is told here.
 func TestPlantsFollowWhatTheyReplace(t *testing.T) {
-	for _, x := range Planted {
+	for _, x := range PlantedFaults {
 		files, err := x.files(repository)
 		if err != nil {
 			t.Error(err)
 		}
 		for _, file := range files {
-			production, atMost := x.replaces(repository, file), plantedAtMostLines
+			production, atMost := x.productionPath(repository, file), maxProductionLines
 			if strings.HasSuffix(file, replacementSuffix) { // which follows the file by itself, however long that is
 				if file, err = replaceLines(production, file, filepath.Join(t.TempDir(), "planted.go")); err != nil {
 					t.Error(err)
@@ -79,15 +79,15 @@
 				}
 				atMost = math.MaxInt
 			}
-			if err := followsProduction(file, production, atMost); err != nil {
+			if err := checkPlantedFile(file, production, atMost); err != nil {
 				t.Errorf("%s: %v", x.Name, err)
 			}
 		}
 	}
 }
 
-// followsProduction compares a planted file with the one that it replaces.
-func followsProduction(planted, production string, atMost int) error {
+// checkPlantedFile compares a planted file with the one that it replaces.
+func checkPlantedFile(planted, production string, atMost int) error {
 	faulty, err := os.ReadFile(planted)
 	if err != nil {
 		return err
@@ -104,7 +104,7 @@
 	switch {
 	case removed+added == 0:
 		return fmt.Errorf("%s has no fault", planted)
-	case removed > changedAtMostLines || added > changedAtMostLines:
+	case removed > maxChangedLines || added > maxChangedLines:
 		return fmt.Errorf("%s removes %[3]d lines of %[2]s and adds %[4]d: it doesn't follow a change there", planted, production, removed, added)
 	case !strings.Contains(string(faulty), "planted fault: "):
 		return fmt.Errorf("%s doesn't say what its fault is", planted)
@@ -154,21 +154,21 @@
 // Those that are quickly built and played.
 func TestPlantedAreFound(t *testing.T) {
 	dir := t.TempDir()
-	for _, x := range Planted {
+	for _, x := range PlantedFaults {
 		if x.Name != "draw" && x.Name != "mac" {
 			continue
 		}
-		if err := buildPlants(t.Context(), repository, dir, []Plant{x}); err != nil {
+		if err := buildPlantedFaults(t.Context(), repository, dir, []PlantedFault{x}); err != nil {
 			t.Fatal(err)
 		}
-		named, err := x.find(t.Context(), dir)
-		if err := errors.Join(err, x.passes(t.Context(), dir)); err != nil {
+		named, err := x.detect(t.Context(), dir)
+		if err := errors.Join(err, x.checkBaseline(t.Context(), dir)); err != nil {
 			t.Errorf("%s: %v", x.Name, err)
 		}
 		t.Log(x.Name, named)
-		x.Name = x.sound() // which has no fault, and must not count as found
-		if _, err := x.find(t.Context(), dir); err == nil {
-			t.Errorf("%s is found where it isn't", x.Package)
+		x.Name = x.baselineName() // which has no fault, and must not count as found
+		if _, err := x.detect(t.Context(), dir); err == nil {
+			t.Errorf("%s is found where it isn't", x.TestPackage)
 		}
 	}
 }
@@ -182,7 +182,7 @@
 		if err := os.WriteFile(production, []byte(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
-		if err := os.WriteFile(replacement, []byte("two"+replacementMark+"three\n"), 0o600); err != nil {
+		if err := os.WriteFile(replacement, []byte("two"+replacementSeparator+"three\n"), 0o600); err != nil {
 			t.Fatal(err)
 		}
 		made, err := replaceLines(production, replacement, filepath.Join(dir, "made.go"))
--- a/internal/bench/relays_faults_test.go
+++ b/internal/bench/relays_faults_test.go
@@ -44,10 +44,10 @@
 func (f *relayed) asks() {
 	for i := range f.controllers {
 		f.clients.Add(4)
-		go f.client(i, "mark", "lookup", 5*time.Millisecond, false)
-		go f.client(i, "linz", "lookup", 40*time.Millisecond, false)
-		go f.client(i, "linz", "report", 120*time.Millisecond, true)
-		go f.client(i, "steyr", "load", 80*time.Millisecond, false)
+		go f.runClient(i, "mark", "lookup", 5*time.Millisecond, false)
+		go f.runClient(i, "linz", "lookup", 40*time.Millisecond, false)
+		go f.runClient(i, "linz", "report", 120*time.Millisecond, true)
+		go f.runClient(i, "steyr", "load", 80*time.Millisecond, false)
 	}
 }
 
@@ -55,23 +55,23 @@
 func (f *relayed) pastLease() { time.Sleep(f.Lease + f.Lease/4) }
 
 // cut has nothing pass between two processes.
-func (f *relayed) cut(a, b *process) {
+func (f *relayed) cut(a, b *fleetProcess) {
 	f.mu.Lock()
-	f.faults["link cut"]++
-	f.fleet.Note(f.since(), a.name+" is cut from "+b.name, a.name, b.name)
+	f.faultCounts["link cut"]++
+	f.fleetHistory.Note(f.elapsed(), a.name+" is cut from "+b.name, a.name, b.name)
 	f.mu.Unlock()
 	f.mesh.Cut(a.name, b.name)
 }
 
 // cutFromVoters leaves a controller the relays alone.
-func (f *relayed) cutFromVoters(p *process) {
+func (f *relayed) cutFromVoters(p *fleetProcess) {
 	for _, v := range f.voters {
 		f.cut(p, v)
 	}
 }
 
 // restart starts a process that was killed.
-func (f *relayed) restart(p *process) { f.must(f.begin(p)) }
+func (f *relayed) restart(p *fleetProcess) { f.must(f.startProcess(p)) }
 
 // relayKilled kills the first relay of half of the controllers while a change waits.
 func relayKilled(f *relayed) {
@@ -87,11 +87,11 @@
 func relayKilledAnywhere(f *relayed) {
 	for i, after := range []time.Duration{0, 3 * time.Millisecond, 8 * time.Millisecond, 15 * time.Millisecond} {
 		relay, by, atOnce := f.relays[1], f.asker(), i%2 == 1
-		a := f.change(f.inForce(), 0, false)
+		a := f.newChange(f.inForce(), 0, false)
 		asked := make(chan struct{})
 		go func() {
 			defer close(asked)
-			f.apply(by, a)
+			f.applyChange(by, a)
 		}()
 		time.Sleep(after)
 		f.kill(relay)
@@ -189,7 +189,7 @@
 	f.cutFromVoters(lost)
 	f.pastLease()
 	f.serveAll()
-	f.note(lost, "cut off")
+	f.recordFault(lost, "cut off")
 	f.mesh.Isolate(lost.name)
 	f.changes(f.asker())
 	f.serveAll(lost)
@@ -309,13 +309,13 @@
 	f.kill(relay)
 	f.changes(f.asker())
 	f.restart(relay)
-	took, err := f.purge(f.asker(), "linz", comesWithin)
+	took, err := f.purgeTeam(f.asker(), "linz", comesWithin)
 	f.must(err)
 	f.t.Logf("purged after %d ms", took.Milliseconds())
 }
 
 // each does something with some processes, one after another.
-func (f *relayed) each(some []*process, do func(p *process)) {
+func (f *relayed) each(some []*fleetProcess, do func(p *fleetProcess)) {
 	for _, p := range some {
 		do(p)
 	}
@@ -331,9 +331,9 @@
 
 	again := f.anotherRun(old, secondRun)
 	f.must(os.CopyFS(f.path(again.name+"-fleet"), os.DirFS(f.path(old.name+"-fleet"))))
-	f.mesh.SetTarget(old.name, again.listen)
+	f.mesh.SetTarget(old.name, again.listenAddress)
 	f.mesh.SetFault("", old.name, faultproxy.Fault{Kind: faultproxy.Reset}) // what is connected goes to the new run from now on
-	f.must(f.begin(again))
+	f.must(f.startProcess(again))
 	f.relays[0] = again
 	f.serveAll()
 	f.changes(f.asker())
@@ -346,32 +346,32 @@
 }
 
 // anotherRun is one more process under the name and peers' address of another one.
-func (f *relayed) anotherRun(of *process, run int) *process {
+func (f *relayed) anotherRun(of *fleetProcess, run int) *fleetProcess {
 	f.t.Helper()
-	p := &process{name: fmt.Sprintf("%s-run%d", of.name, run), site: of.site, peer: of.peer}
+	p := &fleetProcess{name: fmt.Sprintf("%s-run%d", of.name, run), site: of.site, peerAddress: of.peerAddress}
 	f.place(p, of.name, run)
 	var err error
-	p.log, err = os.Create(f.path(p.name + ".log"))
+	p.logFile, err = os.Create(f.path(p.name + ".log"))
 	f.must(err)
-	f.closers = append(f.closers, func() { p.log.Close() })
+	f.cleanups = append(f.cleanups, func() { p.logFile.Close() })
 	f.must(f.write(p, strings.Replace(f.controlSetup(p, relayFleetPart), "name: "+p.name, "name: "+of.name, 1)))
 	return p
 }
 
 // refusesDirectoryInUse starts a second run with the directory of one that is there, which
 // must end by itself and say why.
-func (f *relayed) refusesDirectoryInUse(first *process) {
+func (f *relayed) refusesDirectoryInUse(first *fleetProcess) {
 	f.t.Helper()
 	second := f.anotherRun(first, refusedRun)
 	directory := f.path(first.name + "-fleet")
 	setup, err := os.ReadFile(f.path(second.name + ".yaml"))
 	f.must(err)
 	f.must(f.write(second, strings.Replace(string(setup), f.path(second.name+"-fleet"), directory, 1)))
-	f.must(f.begin(second))
+	f.must(f.startProcess(second))
 	select {
-	case <-second.ended:
+	case <-second.exited:
 	case <-time.After(comesWithin):
-		second.running.Process.Kill()
+		second.command.Process.Kill()
 		f.t.Fatal("a second run has the first one's directory")
 	}
 	said, err := os.ReadFile(f.path(second.name + ".log"))
--- a/internal/bench/relays_fleet_test.go
+++ b/internal/bench/relays_fleet_test.go
@@ -42,12 +42,12 @@
 // link between every two of them. members of the gathering are the controllers, then the
 // voters, the relays, and those that a test starts later.
 type relayed struct {
-	*gathering
+	*faultFleet
 	t           *testing.T
-	controllers []*process // which clients ask
-	voters      []*process
-	relays      []*process
-	later       []*process // which a test sets up and starts by itself
+	controllers []*fleetProcess // which clients ask
+	voters      []*fleetProcess
+	relays      []*fleetProcess
+	later       []*fleetProcess // which a test sets up and starts by itself
 	watch       *watch
 	leaseBound  time.Duration
 }
@@ -64,7 +64,7 @@
 	t.Helper()
 	f := newRelayed(t, plan)
 	t.Cleanup(f.cleanUp)
-	f.must(f.engines())
+	f.must(f.startEngines())
 	f.must(f.writeKeys("keys", keyOfFleet))
 	var err error
 	f.keys, err = transport.ReadKeys(f.path("keys"))
@@ -72,7 +72,7 @@
 	f.populate(plan)
 	for i, p := range f.members[:len(f.members)-len(f.later)] {
 		f.must(f.write(p, f.setupOf(i, p)))
-		f.must(f.begin(p))
+		f.must(f.startProcess(p))
 		f.watch.follow(f, p)
 	}
 	f.serveAll()
@@ -82,17 +82,17 @@
 // newRelayed is a fleet without processes, and what it is judged by.
 func newRelayed(t *testing.T, plan relayedPlan) *relayed {
 	ctx, stop := context.WithCancel(context.Background()) // the test's own ends before logs are shown
-	g := &gathering{Together: Together{Program: both(t), Seed: 1, Lease: relayedLease}, ctx: ctx, stop: stop, start: time.Now(), dir: t.TempDir(),
-		rng: rand.New(rand.NewPCG(1, 0x7e1a)), quit: make(chan struct{}), asked: map[string]*askedFor{},
-		marks: map[int]marked{0: {"the set-up's", 1}}, next: 1, version: 1, faults: map[string]int{}, known: map[string]string{}}
-	g.rules = historycheck.History{KeyRest: 300 * time.Millisecond, DrainGrace: time.Second, MaxSubmissions: 3,
+	g := &faultFleet{FaultFleetConfig: FaultFleetConfig{Program: buildPrograms(t), Seed: 1, Lease: relayedLease}, ctx: ctx, cancel: stop, startedAt: time.Now(), dir: t.TempDir(),
+		rng: rand.New(rand.NewPCG(1, 0x7e1a)), stopClients: make(chan struct{}), sentQueries: map[string]*fleetSentQuery{},
+		markerVersions: map[int]markerVersion{0: {"the set-up's", 1}}, nextMarker: 1, latestVersion: 1, faultCounts: map[string]int{}, knownOutcomes: map[string]string{}}
+	g.queryHistory = historycheck.History{KeyRest: 300 * time.Millisecond, DrainGrace: time.Second, MaxSubmissions: 3,
 		Slack: relayedSlack}
-	g.rules.AddGroup("lookup", "read-only", false)
-	g.rules.AddGroup("report", "read-only", false)
-	g.rules.AddGroup("load", "mutating", true)
-	g.fleet.Slack = relayedSlack
-	g.fleet.AddRules(0, "the set-up's", g.bound())
-	return &relayed{gathering: g, t: t, leaseBound: plan.leaseBound, watch: &watch{}}
+	g.queryHistory.AddGroup("lookup", "read-only", false)
+	g.queryHistory.AddGroup("report", "read-only", false)
+	g.queryHistory.AddGroup("load", "mutating", true)
+	g.fleetHistory.Slack = relayedSlack
+	g.fleetHistory.AddRules(0, "the set-up's", g.placementRule())
+	return &relayed{faultFleet: g, t: t, leaseBound: plan.leaseBound, watch: &watch{}}
 }
 
 // populate makes the mesh and all processes of a plan; none is started.
@@ -100,7 +100,7 @@
 	f.t.Helper()
 	names := slices.Concat(numbered("c", plan.controllers), numbered("v", relayedVoters), numbered("r", relayedRelays), plan.later)
 	f.mesh = faultproxy.NewMesh(names...)
-	f.closers = append(f.closers, f.mesh.Close)
+	f.cleanups = append(f.cleanups, f.mesh.Close)
 	for _, name := range names {
 		f.add(name)
 	}
@@ -108,7 +108,7 @@
 	firstLater := firstRelay + relayedRelays
 	f.controllers, f.voters = f.members[:firstVoter], f.members[firstVoter:firstRelay]
 	f.relays, f.later = f.members[firstRelay:firstLater], f.members[firstLater:]
-	f.acts = make([][]mark, plan.controllers)
+	f.observedVersions = make([][]versionObservation, plan.controllers)
 }
 
 // numbered are n names with a prefix.
@@ -122,7 +122,7 @@
 // cleanUp ends all processes, whatever the test came to, and shows their logs if it failed.
 func (f *relayed) cleanUp() {
 	if f.t.Failed() {
-		f.t.Log(f.last())
+		f.t.Log(f.diagnostics())
 	}
 	f.close()
 }
@@ -140,22 +140,22 @@
 	return os.WriteFile(f.path(file), []byte(strings.Repeat(oneByte, keyBytes)), 0o600)
 }
 
-func (f *relayed) write(p *process, setup string) error {
+func (f *relayed) write(p *fleetProcess, setup string) error {
 	return os.WriteFile(f.path(p.name+".yaml"), []byte(setup), 0o600)
 }
 
 // add makes a process that isn't started yet, with its addresses and its place in the mesh.
 func (f *relayed) add(name string) {
 	f.t.Helper()
-	p := &process{name: name, site: "east"}
+	p := &fleetProcess{name: name, site: "east"}
 	f.place(p, name, firstRun)
-	f.mesh.SetTarget(name, p.listen)
+	f.mesh.SetTarget(name, p.listenAddress)
 	var err error
-	p.peer, err = f.mesh.SharedAddress(name)
+	p.peerAddress, err = f.mesh.SharedAddress(name)
 	f.must(err)
-	p.log, err = os.Create(f.path(name + ".log"))
+	p.logFile, err = os.Create(f.path(name + ".log"))
 	f.must(err)
-	f.closers = append(f.closers, func() { p.log.Close() })
+	f.cleanups = append(f.cleanups, func() { p.logFile.Close() })
 	f.members = append(f.members, p)
 }
 
@@ -176,14 +176,14 @@
 )
 
 // place gives a run of a process its addresses, where the mesh knows it by its name.
-func (f *relayed) place(p *process, name string, run int) {
+func (f *relayed) place(p *fleetProcess, name string, run int) {
 	ports := portsFrom + os.Getpid()%portBlocks*portBlock + run*portsOfARun
 	at := func(port int) string { return net.JoinHostPort(f.mesh.SourceAddress(name), strconv.Itoa(ports+port)) }
-	p.listen, p.address, p.control = at(peersPort), at(clientsPort), at(operatorPort)
+	p.listenAddress, p.clientAddress, p.controlAddress = at(peersPort), at(clientsPort), at(operatorPort)
 }
 
 // setupOf is the set-up of the process at a place of members.
-func (f *relayed) setupOf(i int, p *process) string {
+func (f *relayed) setupOf(i int, p *fleetProcess) string {
 	switch {
 	case slices.Contains(f.controllers, p):
 		return f.controllerSetup(p, f.relaysOf(i)...)
@@ -201,22 +201,24 @@
 }
 
 // namedAt is a process as set-ups name it.
-func namedAt(p *process) string { return fmt.Sprintf("{name: %s, address: %q}", p.name, p.peer) }
+func namedAt(p *fleetProcess) string {
+	return fmt.Sprintf("{name: %s, address: %q}", p.name, p.peerAddress)
+}
 
 // controllerSetup is the set-up of a controller that asks through two relays.
-func (f *relayed) controllerSetup(p *process, relays ...string) string {
+func (f *relayed) controllerSetup(p *fleetProcess, relays ...string) string {
 	const noVoters = "  voters:\n"
 	relaysAndVoters := fmt.Sprintf("  relays: [%s]\n%s", strings.Join(relays, ", "), f.voterLines())
-	setup := strings.Replace(f.setup(p), noVoters, relaysAndVoters, 1)
+	setup := strings.Replace(f.setupYAML(p), noVoters, relaysAndVoters, 1)
 	return strings.Replace(setup, boundLine(f.Lease/2), boundLine(f.leaseBound), 1)
 }
 
 // controlSetup is the set-up of a process of the control role; role are lines of its fleet part.
-func (f *relayed) controlSetup(p *process, role string) string {
+func (f *relayed) controlSetup(p *fleetProcess, role string) string {
 	return fmt.Sprintf("name: %s\nlog: info\nlimits: {cores: 1, memory_mb: 128}\nfleet:\n  name: together\n%s  listen: %s\n  address: %s\n"+
 		"  control: %s\n  directory: %q\n  keys: %q\n  lease: %v\n%s  election: %v\n  heartbeat: %v\n  keep: 256\n%s%s",
-		p.name, role, p.listen, p.peer, p.control, f.path(p.name+"-fleet"), f.path("keys"), f.Lease, boundLine(f.leaseBound), relayedElection,
-		relayedHeartbeat, f.voterLines(), placementText(0))
+		p.name, role, p.listenAddress, p.peerAddress, p.controlAddress, f.path(p.name+"-fleet"), f.path("keys"), f.Lease, boundLine(f.leaseBound), relayedElection,
+		relayedHeartbeat, f.voterLines(), placementYAML(0))
 }
 
 // boundLine is the line of a set-up that says how long the lease of bound teams is.
@@ -234,16 +236,16 @@
 }
 
 // runs tells whether a process is there and not stopped.
-func runs(p *process) bool { return p.running != nil && !p.stopped }
+func runs(p *fleetProcess) bool { return p.command != nil && !p.paused }
 
 // awaits waits until something has come true.
 func (f *relayed) awaits(what string, so func() bool) {
 	f.t.Helper()
-	f.must(f.eventually(comesWithin, what, so))
+	f.must(f.waitFor(comesWithin, what, so))
 }
 
 // leading waits for a voter that says of itself that it leads.
-func (f *relayed) leading() (leader *process) {
+func (f *relayed) leading() (leader *fleetProcess) {
 	f.t.Helper()
 	f.awaits("a leader", func() bool {
 		for _, p := range f.voters {
@@ -258,7 +260,7 @@
 }
 
 // asker is a voter that is there and, where another one is, doesn't lead.
-func (f *relayed) asker() *process {
+func (f *relayed) asker() *fleetProcess {
 	f.t.Helper()
 	leader := f.leading()
 	for _, p := range f.voters {
@@ -271,10 +273,10 @@
 
 // serveAll waits until all processes that run, but for some, hold a lease and decide by
 // the last version that was told to be in force.
-func (f *relayed) serveAll(but ...*process) {
+func (f *relayed) serveAll(but ...*fleetProcess) {
 	f.t.Helper()
 	for _, p := range f.members {
-		if p.running == nil || slices.Contains(but, p) {
+		if p.command == nil || slices.Contains(but, p) {
 			continue
 		}
 		f.awaits(p.name+" serves", func() bool {
@@ -288,22 +290,22 @@
 func (f *relayed) inForce() uint64 {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.version
+	return f.latestVersion
 }
 
 // changes has a policy come into force, asked of a process that the leader hears of.
-func (f *relayed) changes(by *process) {
+func (f *relayed) changes(by *fleetProcess) {
 	f.t.Helper()
-	a := f.change(f.inForce(), 0, false)
+	a := f.newChange(f.inForce(), 0, false)
 	f.comesInForce(by, a)
 }
 
 // comesInForce asks until there is a word on a change, which must be that it is in force.
-func (f *relayed) comesInForce(by *process, a *fleet.Request) {
+func (f *relayed) comesInForce(by *fleetProcess, a *fleet.Request) {
 	f.t.Helper()
 	word := ""
 	f.awaits("a word on "+a.ID, func() bool {
-		word = f.apply(by, a)
+		word = f.applyChange(by, a)
 		return word != "unknown"
 	})
 	if word != "in force" {
@@ -333,16 +335,16 @@
 	f.t.Helper()
 	held := f.held()
 	by, leader := f.asker(), f.leading()
-	a := f.change(f.inForce(), 0, false)
+	a := f.newChange(f.inForce(), 0, false)
 	f.mesh.Isolate(held.name)
 	asked := make(chan struct{})
 	go func() {
 		defer close(asked)
-		f.apply(by, a)
+		f.applyChange(by, a)
 	}()
 	f.awaits(a.ID+" under way", func() bool { return f.heldBy(leader, a.ID, held.name) || f.hasWord(a.ID) })
 	strike()
-	struck = slices.ContainsFunc(f.voters, func(p *process) bool { return f.isUnderWay(p, a.ID) })
+	struck = slices.ContainsFunc(f.voters, func(p *fleetProcess) bool { return f.isUnderWay(p, a.ID) })
 	f.mesh.SetFault(held.name, "", faultproxy.Fault{})
 	f.mesh.SetFault("", held.name, faultproxy.Fault{})
 	<-asked
@@ -351,16 +353,16 @@
 }
 
 // held is the controller that changes are made to wait for.
-func (f *relayed) held() *process { return f.controllers[len(f.controllers)-1] }
+func (f *relayed) held() *fleetProcess { return f.controllers[len(f.controllers)-1] }
 
 // heldBy tells whether a change waits for a controller, by what the leader says.
-func (f *relayed) heldBy(leader *process, change, held string) bool {
+func (f *relayed) heldBy(leader *fleetProcess, change, held string) bool {
 	c := f.status(leader).Change
 	return c != nil && c.ID == change && slices.Contains(c.Outstanding, held)
 }
 
 // isUnderWay tells whether a process knows of a change that has no word yet.
-func (f *relayed) isUnderWay(p *process, change string) bool {
+func (f *relayed) isUnderWay(p *fleetProcess, change string) bool {
 	if !runs(p) {
 		return false
 	}
@@ -372,5 +374,5 @@
 func (f *relayed) hasWord(change string) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.known[change] != ""
+	return f.knownOutcomes[change] != ""
 }
--- a/internal/bench/relays_hollow_test.go
+++ b/internal/bench/relays_hollow_test.go
@@ -73,12 +73,12 @@
 	config := hollow.Config{Fleet: "together", Keys: f.path("keys"), Lease: f.Lease, Election: relayedElection, Heartbeat: relayedHeartbeat,
 		WriteDelay: hollowWriteDelay, Seed: f.Seed}
 	for _, v := range f.voters {
-		config.Voters = append(config.Voters, hollow.Peer{Name: v.name, Address: v.peer})
+		config.Voters = append(config.Voters, hollow.Peer{Name: v.name, Address: v.peerAddress})
 	}
 	for i, p := range f.later {
 		first, second := f.relays[i%relayedRelays], f.relays[(i+1)%relayedRelays]
-		config.Controllers = append(config.Controllers, hollow.Member{Name: p.name, ListenAddress: p.listen,
-			Relays: []hollow.Peer{{Name: first.name, Address: first.peer}, {Name: second.name, Address: second.peer}}})
+		config.Controllers = append(config.Controllers, hollow.Member{Name: p.name, ListenAddress: p.listenAddress,
+			Relays: []hollow.Peer{{Name: first.name, Address: first.peerAddress}, {Name: second.name, Address: second.peerAddress}}})
 	}
 	input, commands := io.Pipe()
 	output, events := io.Pipe()
@@ -145,7 +145,7 @@
 // changes has a policy come into force while guests are there, and tells how long it took.
 func (g *hollowGuests) changes() time.Duration {
 	g.f.t.Helper()
-	a := g.f.change(g.f.inForce(), 0, false)
+	a := g.f.newChange(g.f.inForce(), 0, false)
 	g.judge.asked(a.ID, xxhash.Sum64(a.Policy))
 	begin, by := time.Now(), g.f.asker()
 	g.f.awaits("a word on "+a.ID, func() bool { return g.wordOn(a, by) })
@@ -153,8 +153,8 @@
 }
 
 // wordOn asks for a change and hands the word to both judges.
-func (g *hollowGuests) wordOn(a *fleet.Request, by *process) bool {
-	word := g.f.apply(by, a)
+func (g *hollowGuests) wordOn(a *fleet.Request, by *fleetProcess) bool {
+	word := g.f.applyChange(by, a)
 	if word == "in force" {
 		g.judge.told(toldWord{id: a.ID, by: by.name, word: word, version: a.BaseVersion + 1, at: time.Now()})
 	}
--- a/internal/bench/relays_strangers_test.go
+++ b/internal/bench/relays_strangers_test.go
@@ -52,7 +52,7 @@
 func joinerNames() []string { return numbered("j", joiners) }
 
 // named is the member of a name.
-func (f *relayed) named(name string) *process {
+func (f *relayed) named(name string) *fleetProcess {
 	for _, p := range f.members {
 		if p.name == name {
 			return p
@@ -101,7 +101,7 @@
 		setup = strings.Replace(setup, old, replacement, 1)
 	}
 	f.must(f.write(relay, setup))
-	f.must(f.begin(relay))
+	f.must(f.startProcess(relay))
 }
 
 // startMisled starts the controller that names a foreign relay, once that leads its fleet.
@@ -109,9 +109,9 @@
 	f.t.Helper()
 	relay, controller := f.named(x.relay), f.named(x.controller)
 	f.awaits(relay.name+" leads its own fleet", func() bool { return f.foreignStatus(x).Leader == relay.name })
-	first := fmt.Sprintf("{name: %s, address: %q}", x.named, relay.peer)
+	first := fmt.Sprintf("{name: %s, address: %q}", x.named, relay.peerAddress)
 	f.must(f.write(controller, f.controllerSetup(controller, first, namedAt(f.relays[1]))))
-	f.must(f.begin(controller))
+	f.must(f.startProcess(controller))
 	f.watch.follow(f, controller)
 	f.awaits(controller.name+" serves", func() bool { return f.status(controller).Serves })
 }
@@ -122,7 +122,7 @@
 	f.must(err)
 	ctx, stop := context.WithTimeout(f.ctx, comesWithin)
 	defer stop()
-	reply, err := transport.SendControlRequest(ctx, f.named(x.relay).control, keys,
+	reply, err := transport.SendControlRequest(ctx, f.named(x.relay).controlAddress, keys,
 		&fleet.Request{Kind: "status"})
 	if err != nil || reply.Status == nil {
 		return &fleet.Status{}
@@ -163,7 +163,7 @@
 	for i, name := range joinerNames() {
 		p := f.named(name)
 		f.must(f.write(p, f.controllerSetup(p, f.relaysOf(i)...)))
-		f.must(f.begin(p))
+		f.must(f.startProcess(p))
 		f.watch.follow(f, p)
 		time.Sleep(joinWithin / joiners)
 	}
@@ -177,10 +177,10 @@
 }
 
 // keepChanging has one change after another come into force until quit, and counts them.
-func (f *relayed) keepChanging(by *process, quit chan struct{}) (changed int) {
+func (f *relayed) keepChanging(by *fleetProcess, quit chan struct{}) (changed int) {
 	for {
-		a := f.change(f.inForce(), 0, false)
-		for word := "unknown"; word == "unknown"; word = f.apply(by, a) {
+		a := f.newChange(f.inForce(), 0, false)
+		for word := "unknown"; word == "unknown"; word = f.applyChange(by, a) {
 			if f.ctx.Err() != nil {
 				return changed
 			}
--- a/internal/bench/relays_test.go
+++ b/internal/bench/relays_test.go
@@ -52,7 +52,7 @@
 	f.asks()
 	f.awaits("acts of every controller", f.allActed)
 	f.playAll(relayRounds())
-	broken, err := f.end()
+	broken, err := f.finish()
 	f.must(err)
 	f.judge(broken)
 }
@@ -94,7 +94,7 @@
 	for i, p := range f.controllers {
 		lapse := withoutLease(seen, p.name)
 		text += fmt.Sprintf("; %s without a lease %d ms", p.name, lapse.Milliseconds())
-		if pause := f.pauseOf(i, begin.Sub(f.start)); pause > 0 {
+		if pause := f.pauseOf(i, begin.Sub(f.startedAt)); pause > 0 {
 			text += fmt.Sprintf(", an act %d ms", pause.Milliseconds())
 		}
 		if alone && lapse > aloneMost {
@@ -110,13 +110,13 @@
 	broken = append(broken, f.watch.broken(f)...)
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if agreed, why := historycheck.Linearizable(f.words, relayedSlack); !agreed {
+	if agreed, why := historycheck.Linearizable(f.changeReports, relayedSlack); !agreed {
 		broken = append(broken, "there is no order of these words:\n"+why)
 	}
 	if len(broken) > 0 {
 		f.t.Fatalf("%d things are wrong:\n%s", len(broken), strings.Join(broken[:min(len(broken), brokenMost)], "\n"))
 	}
-	history := &f.fleet
+	history := &f.fleetHistory
 	f.t.Logf("%d sightings, %d acts, %d changes, %d purges; faults %v", len(f.watch.since(time.Time{})), history.Acts, history.Changes,
-		history.Purges, f.faults)
+		history.Purges, f.faultCounts)
 }
--- a/internal/bench/relays_watch_test.go
+++ b/internal/bench/relays_watch_test.go
@@ -110,7 +110,7 @@
 }
 
 // follow watches a process until the fleet's end.
-func (w *watch) follow(f *relayed, p *process) {
+func (w *watch) follow(f *relayed, p *fleetProcess) {
 	control := slices.Contains(f.voters, p) || slices.Contains(f.relays, p)
 	f.clients.Go(func() {
 		for f.ctx.Err() == nil {
@@ -121,7 +121,7 @@
 				w.mu.Unlock()
 			}
 			select {
-			case <-f.quit:
+			case <-f.stopClients:
 				return
 			case <-f.ctx.Done():
 			case <-time.After(lookEvery):
@@ -131,7 +131,7 @@
 }
 
 // look asks a process once; it isn't seen where it is down or stopped.
-func look(f *relayed, p *process) (s sighting, seen bool) {
+func look(f *relayed, p *fleetProcess) (s sighting, seen bool) {
 	s = sighting{process: p.name, asked: time.Now()}
 	status := f.status(p)
 	s.told = time.Now()
@@ -202,7 +202,7 @@
 func (f *relayed) allActed() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return !slices.ContainsFunc(f.acts, func(acts []mark) bool { return len(acts) == 0 })
+	return !slices.ContainsFunc(f.observedVersions, func(acts []versionObservation) bool { return len(acts) == 0 })
 }
 
 // pauseOf is the longest time between two acts of a controller since a moment; 0 without any.
@@ -210,7 +210,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	last := since
-	for _, act := range f.acts[controller] {
+	for _, act := range f.observedVersions[controller] {
 		if act.at >= since {
 			longest, last = max(longest, act.at-last), act.at
 		}
--- a/internal/bench/scale_changes.go
+++ b/internal/bench/scale_changes.go
@@ -91,7 +91,7 @@
 	for time.Since(begin) < scaleWordWithin && f.ctx.Err() == nil {
 		m := f.nextAsker()
 		c.Asks++
-		r, err := m.process.ask(f.ctx, a)
+		r, err := m.process.sendRequest(f.ctx, a)
 		if err != nil {
 			sleep(f.ctx, askPause)
 			continue
@@ -120,7 +120,7 @@
 	defer f.mu.Unlock()
 	for range f.real {
 		f.asker++
-		if m := f.real[f.asker%len(f.real)]; m.process.answers() {
+		if m := f.real[f.asker%len(f.real)]; m.process.isResponsive() {
 			return m
 		}
 	}
@@ -130,16 +130,16 @@
 // sampleReal sees once how each real one serves.
 func (f *scaleFleet) sampleReal() {
 	for _, m := range f.real {
-		if m.process.answers() {
-			f.sample(f.ctx, m.name, m.process.operator)
+		if m.process.isResponsive() {
+			f.sample(f.ctx, m.name, m.process.operatorClient)
 		}
 	}
 }
 
 // sample sees how one serves, if it can be asked.
-func (f *scaleFleet) sample(ctx context.Context, name string, asks operator) {
+func (f *scaleFleet) sample(ctx context.Context, name string, asks operatorClient) {
 	asked := time.Now()
-	r, err := asks.ask(ctx, &fleet.Request{Kind: "status", WaitMs: 500})
+	r, err := asks.sendRequest(ctx, &fleet.Request{Kind: "status", WaitMs: 500})
 	if err != nil || r.Status == nil {
 		return
 	}
@@ -221,7 +221,7 @@
 	for _, a := range f.asked {
 		for range askedAgainAt {
 			m := f.nextAsker()
-			r, err := m.process.ask(f.ctx, &fleet.Request{Kind: "status", ID: a.ID, WaitMs: 1000})
+			r, err := m.process.sendRequest(f.ctx, &fleet.Request{Kind: "status", ID: a.ID, WaitMs: 1000})
 			if err != nil {
 				return fmt.Errorf("%s can't be asked again for %s: %w", m.name, a.ID, err)
 			}
@@ -229,7 +229,7 @@
 		}
 	}
 	for _, m := range f.real {
-		r, err := m.process.ask(f.ctx, &fleet.Request{Kind: "policy", WaitMs: 1000})
+		r, err := m.process.sendRequest(f.ctx, &fleet.Request{Kind: "policy", WaitMs: 1000})
 		if err != nil {
 			return fmt.Errorf("%s can't be asked for the policy: %w", m.name, err)
 		}
@@ -260,8 +260,8 @@
 
 func (p scalePhase) print(out io.Writer) {
 	l := p.tolds()
-	fmt.Fprintf(out, "%s: %d changes, asked until told in force %.0f ms median, %.0f p99, %.0f most", p.Name, len(l), inMS(quantile(l, 0.5)),
-		inMS(quantile(l, 0.99)), inMS(quantile(l, 1)))
+	fmt.Fprintf(out, "%s: %d changes, asked until told in force %.0f ms median, %.0f p99, %.0f most", p.Name, len(l), toMilliseconds(quantile(l, 0.5)),
+		toMilliseconds(quantile(l, 0.99)), toMilliseconds(quantile(l, 1)))
 	if p.Fault {
 		fmt.Fprintf(out, "; all serve again after %.1f s; share of hollow ones that served, each second:", p.Back.Seconds())
 		for _, share := range p.Serving {
--- a/internal/bench/scale_faults.go
+++ b/internal/bench/scale_faults.go
@@ -87,7 +87,7 @@
 	for _, m := range f.real {
 		f.running.Go(func() {
 			for ctx.Err() == nil { // one that is stopped or down is asked in vain
-				f.sample(ctx, m.name, m.process.operator)
+				f.sample(ctx, m.name, m.process.operatorClient)
 				sleep(ctx, samplePause)
 			}
 		})
--- a/internal/bench/scale_fleet.go
+++ b/internal/bench/scale_fleet.go
@@ -53,7 +53,7 @@
 // scaleFleet is a run's fleet.
 type scaleFleet struct {
 	Scale
-	*workplace
+	*fleetFiles
 	ctx     context.Context
 	stop    context.CancelFunc
 	number  int64
@@ -79,12 +79,12 @@
 
 // begin starts a fleet and waits until every controller serves.
 func (s Scale) begin(ctx context.Context, number int64) (*scaleFleet, error) {
-	place, err := newWorkplace("railrelay-scale")
+	place, err := newFleetFiles("railrelay-scale")
 	if err != nil {
 		return nil, err
 	}
 	ctx, stop := context.WithCancel(ctx)
-	f := &scaleFleet{Scale: s, workplace: place, ctx: ctx, stop: stop, number: number, byName: map[string]*scaleMember{}, judge: newScaleJudge(), version: 1}
+	f := &scaleFleet{Scale: s, fleetFiles: place, ctx: ctx, stop: stop, number: number, byName: map[string]*scaleMember{}, judge: newScaleJudge(), version: 1}
 	for _, step := range []func() error{f.startEngines, f.plan, f.startReal, f.startHollow, f.awaitAll} {
 		if err := step(); err != nil {
 			f.close()
@@ -175,7 +175,7 @@
 		f.delayLinks()
 	}
 	for _, m := range f.real {
-		if err := os.WriteFile(m.process.setupFile, []byte(f.setupOf(m).text()), 0o600); err != nil {
+		if err := os.WriteFile(m.process.setupFile, []byte(f.setupOf(m).yaml()), 0o600); err != nil {
 			return err
 		}
 	}
@@ -206,7 +206,7 @@
 		return err
 	}
 	m.process = &controllerProcess{name: m.name, program: f.Program, setupFile: f.path(m.name + ".yaml"), directory: f.path(m.name),
-		operator: operator{control, f.keys}}
+		operatorClient: operatorClient{control, f.keys}}
 	return nil
 }
 
@@ -262,12 +262,12 @@
 
 // setupOf is a process's set-up.
 func (f *scaleFleet) setupOf(m *scaleMember) controllerSetup {
-	s := controllerSetup{Name: m.name, Clients: m.clients, Feed: f.feed.Addr().String(), Controllers: f.Controllers,
-		Zones: zonesWithEngines(zonesOfScale), Zone: m.place.Zone, MemoryMB: realMemoryMB, Sockets: realSockets + 2*f.Engines, Fleet: "scale", Listen: m.listen, Operators: m.process.control,
-		Directory: m.process.directory, Keys: f.keyFile, Lease: f.Lease, Voters: f.voters(), Control: f.setAside(m),
-		Relay: m.relay, Relays: f.relaysOf(m)}
+	s := controllerSetup{Name: m.name, ClientAddress: m.clients, FeedAddress: f.feed.Addr().String(), Controllers: f.Controllers,
+		Zones: zonesWithEngines(zonesOfScale), Zone: m.place.Zone, MemoryMB: realMemoryMB, Sockets: realSockets + 2*f.Engines, FleetName: "scale", PeerListenAddress: m.listen, ControlAddress: m.process.address,
+		Directory: m.process.directory, KeyFile: f.keyFile, Lease: f.Lease, Voters: f.voters(), ControlOnly: f.setAside(m),
+		IsRelay: m.relay, Relays: f.relaysOf(m)}
 	if m.address != m.listen {
-		s.Address = m.address
+		s.PeerAddress = m.address
 	}
 	return s
 }
@@ -372,7 +372,7 @@
 func (f *scaleFleet) leader() (*scaleMember, error) {
 	for end := time.Now().Add(scaleReturnWithin); time.Now().Before(end) && f.ctx.Err() == nil; sleep(f.ctx, scalePollPause) {
 		for _, m := range f.real {
-			if !m.process.answers() {
+			if !m.process.isResponsive() {
 				continue
 			}
 			l := f.byName[m.process.status(f.ctx).Leader]
@@ -380,7 +380,7 @@
 				if err := f.depose(l); err != nil {
 					return nil, err
 				}
-			} else if l != nil && l.process.answers() && l.process.status(f.ctx).Leader == l.name {
+			} else if l != nil && l.process.isResponsive() && l.process.status(f.ctx).Leader == l.name {
 				return l, nil
 			}
 		}
--- a/internal/bench/scale_growth.go
+++ b/internal/bench/scale_growth.go
@@ -41,12 +41,12 @@
 	if g.Steps < 1 || g.Members < 0 || g.Changes < 0 {
 		return &ScaleSizeError{"growth steps", g.Steps, "is under 1, or members or changes are under 0"}
 	}
-	address, end, err := oneEngine(ctx)
+	address, end, err := listenIdleEngine(ctx)
 	if err != nil {
 		return err
 	}
 	defer end()
-	b, err := newRecordBuilder(onlyVoter)
+	b, err := newRecordBuilder(soleVoter)
 	if err != nil {
 		return err
 	}
@@ -54,18 +54,18 @@
 	members, changes := 0, 0
 	for step := 0; step <= g.Steps; step++ {
 		for goal := g.Members * step / g.Steps; members < goal; members++ {
-			if err := b.comeAndGo(); err != nil {
+			if err := b.joinAndForget(); err != nil {
 				return err
 			}
-			if err := b.compactEvery(entriesBetweenSnapshots); err != nil {
+			if err := b.compactAfter(entriesBetweenSnapshots); err != nil {
 				return err
 			}
 		}
 		for goal := g.Changes * step / g.Steps; changes < goal; changes++ {
-			if err := b.change(); err != nil {
+			if err := b.commitPolicyChange(); err != nil {
 				return err
 			}
-			if err := b.compactEvery(entriesBetweenSnapshots); err != nil {
+			if err := b.compactAfter(entriesBetweenSnapshots); err != nil {
 				return err
 			}
 		}
@@ -75,7 +75,7 @@
 		}
 		grown.Members, grown.Changes = members, changes
 		fmt.Fprintf(out, "%d members that came and went, %d changes: %d entries, snapshot %d bytes, file %d bytes, serves after %.2f s, %.1f MB, a change in %.0f ms\n",
-			members, changes, grown.Entries, grown.SnapshotBytes, grown.FileBytes, grown.Start.Seconds(), grown.MB, inMS(grown.InForce))
+			members, changes, grown.Entries, grown.SnapshotBytes, grown.FileBytes, grown.Start.Seconds(), grown.MB, toMilliseconds(grown.InForce))
 		rows = append(rows, g.rows(grown)...)
 	}
 	if g.Record != nil {
@@ -89,21 +89,21 @@
 	if err := b.compact(); err != nil {
 		return grown, err
 	}
-	grown.Entries, grown.SnapshotBytes = int(b.state.Index), len(b.kept.Snapshot.Data)
-	f, took, err := Many{Program: g.Program, Lease: g.Lease}.startFrom(ctx, feedAddress, b.kept)
+	grown.Entries, grown.SnapshotBytes = int(b.state.Index), len(b.persisted.Snapshot.Data)
+	f, took, err := IdleFleet{Program: g.Program, Lease: g.Lease}.startFromRecord(ctx, feedAddress, b.persisted)
 	if err != nil {
 		return grown, err
 	}
 	defer f.close()
 	p := f.controllers[0]
 	grown.Start = took
-	used, err := usageOf(p.command.Process.Pid)
+	used, err := readProcessUsage(p.command.Process.Pid)
 	if err != nil {
 		return grown, err
 	}
-	grown.MB = used.Resident
+	grown.MB = used.ResidentMB
 	asked := time.Now()
-	r, err := p.ask(ctx, &fleet.Request{Kind: "apply", ID: "grown", BaseVersion: b.state.Version, Policy: policyText(1, 1000), WaitMs: inForceWithin.Milliseconds()})
+	r, err := p.sendRequest(ctx, &fleet.Request{Kind: "apply", ID: "grown", BaseVersion: b.state.Version, Policy: policyText(1, 1000), WaitMs: idleFleetChangeTimeout.Milliseconds()})
 	if err != nil {
 		return grown, err
 	}
@@ -135,8 +135,8 @@
 	}
 	add("snapshot", float64(x.SnapshotBytes), "bytes")
 	add("record file", float64(x.FileBytes), "bytes")
-	add("start until it serves", inMS(x.Start), "ms")
+	add("start until it serves", toMilliseconds(x.Start), "ms")
 	add("memory", x.MB, "MB")
-	add("a change told in force", inMS(x.InForce), "ms")
+	add("a change told in force", toMilliseconds(x.InForce), "ms")
 	return rows
 }
--- a/internal/bench/scale_report.go
+++ b/internal/bench/scale_report.go
@@ -53,7 +53,7 @@
 	fmt.Fprintf(out, "judged %d spans, %d samples of real ones, %d words; took %.1f s\n", v.Spans, v.Samples, v.Words, r.Took.Seconds())
 	fmt.Fprintf(out, "measured controllers=%d real=%d hollow=%d engines=%d processes=%d memory_mb=%.0f changes=%d faults=%d in_force_p99_ms=%.0f in_force_worst_ms=%.0f "+
 		"controller_bytes=%.0f controller_cpu_ms=%.1f controller_mb=%.1f leader_bytes=%.0f leader_cpu_ms=%.1f hollow_real=%.3f mixed=%d half=%d false_word=%d served_after=%d\n",
-		r.Controllers, r.Real, r.Controllers-r.Real, r.Engines, r.Processes, r.MemoryMB, len(l), r.faults(), inMS(quantile(l, 0.99)), inMS(quantile(l, 1)),
+		r.Controllers, r.Real, r.Controllers-r.Real, r.Engines, r.Processes, r.MemoryMB, len(l), r.faults(), toMilliseconds(quantile(l, 0.99)), toMilliseconds(quantile(l, 1)),
 		r.Whole.Worst.bytes(), r.Whole.Worst.CPU, r.Whole.Worst.MB, r.Whole.Leader.bytes(), r.Whole.Leader.CPU, r.HollowReal,
 		v.Mixed, v.Half, v.FalseWord, v.ServedAfter)
 }
@@ -95,9 +95,9 @@
 		if len(l) == 0 {
 			continue
 		}
-		add("operator", p.Name+", told in force, median", inMS(quantile(l, 0.5)), "ms")
-		add("operator", p.Name+", told in force, p99", inMS(quantile(l, 0.99)), "ms")
-		add("operator", p.Name+", told in force, most", inMS(quantile(l, 1)), "ms")
+		add("operator", p.Name+", told in force, median", toMilliseconds(quantile(l, 0.5)), "ms")
+		add("operator", p.Name+", told in force, p99", toMilliseconds(quantile(l, 0.99)), "ms")
+		add("operator", p.Name+", told in force, most", toMilliseconds(quantile(l, 1)), "ms")
 		if !p.Fault {
 			for _, role := range []struct {
 				name string
@@ -116,13 +116,13 @@
 			add("leader", p.Name+", lost meanwhile", 1, "1")
 		}
 		if p.Fault {
-			add("controller", p.Name+", all serve again", inMS(p.Back), "ms")
+			add("controller", p.Name+", all serve again", toMilliseconds(p.Back), "ms")
 		}
 		if len(p.Serving) > 0 {
 			add("controller", p.Name+", least share that served in a second", slices.Min(p.Serving), "1")
 		}
 	}
-	add("fleet", "all serve after the first start", inMS(r.Serve), "ms")
+	add("fleet", "all serve after the first start", toMilliseconds(r.Serve), "ms")
 	if r.HollowReal > 0 {
 		add("hollow", "worst ratio of hollow to real", r.HollowReal, "1")
 	}
--- a/internal/bench/scale_test.go
+++ b/internal/bench/scale_test.go
@@ -15,7 +15,7 @@
 
 // laboratory builds railrelay-bench beside the programs.
 func laboratory(t *testing.T) (program, benchProgram string) {
-	program = both(t)
+	program = buildPrograms(t)
 	benchProgram = filepath.Join(filepath.Dir(program), "railrelay-bench")
 	if out, err := exec.Command("go", "build", "-o", benchProgram, "../../cmd/railrelay-bench").CombinedOutput(); err != nil {
 		t.Fatal(string(out))
@@ -161,7 +161,7 @@
 func TestARecordThatGrows(t *testing.T) {
 	var rows []ScaleRow
 	var out bytes.Buffer
-	g := Growth{Program: both(t), Members: 200, Changes: 300, Steps: 1, Lease: time.Second, Record: func(l []ScaleRow) error { rows = l; return nil }}
+	g := Growth{Program: buildPrograms(t), Members: 200, Changes: 300, Steps: 1, Lease: time.Second, Record: func(l []ScaleRow) error { rows = l; return nil }}
 	if err := g.Run(t.Context(), &out); err != nil {
 		t.Fatal(err, out.String())
 	}
--- a/internal/bench/scale_usage.go
+++ b/internal/bench/scale_usage.go
@@ -32,14 +32,14 @@
 	}
 	sight.at, sight.leader = time.Now(), leader.name
 	for _, m := range f.real {
-		if !m.process.answers() {
+		if !m.process.isResponsive() {
 			continue
 		}
 		status := m.process.status(f.ctx)
 		if status.Name == "" {
 			continue
 		}
-		used, err := usageOf(m.process.command.Process.Pid)
+		used, err := readProcessUsage(m.process.command.Process.Pid)
 		if err != nil {
 			return sight, err
 		}
@@ -51,12 +51,12 @@
 		if err != nil {
 			return sight, err
 		}
-		used, err := usageOf(p.command.Process.Pid)
+		used, err := readProcessUsage(p.command.Process.Pid)
 		if err != nil {
 			return sight, err
 		}
 		n := len(p.names)
-		share := processUsage{used.CPU / time.Duration(n), used.Resident / float64(n)}
+		share := processUsage{used.CPU / time.Duration(n), used.ResidentMB / float64(n)}
 		for name, c := range counts {
 			sight.used[name] = scaleUse{processUsage: share, run: p.command.Process.Pid, counts: *c}
 		}
@@ -187,7 +187,7 @@
 		BytesOut: each(a.counts.BytesOut, b.counts.BytesOut), BytesIn: each(a.counts.BytesIn, b.counts.BytesIn),
 		FramesOut: each(a.counts.FramesOut, b.counts.FramesOut), FramesIn: each(a.counts.FramesIn, b.counts.FramesIn),
 		MessagesOut: each(a.counts.MessagesOut, b.counts.MessagesOut), MessagesIn: each(a.counts.MessagesIn, b.counts.MessagesIn),
-		CPU: inMS(b.CPU-a.CPU) / seconds, MB: b.Resident}
+		CPU: toMilliseconds(b.CPU-a.CPU) / seconds, MB: b.ResidentMB}
 }
 
 // fields are all figures, for sums and the like.
@@ -235,8 +235,8 @@
 // processes counts the run's processes with this one, and the memory of all.
 func (f *scaleFleet) processes() (n int, memoryMB float64) {
 	add := func(pid int) {
-		if used, err := usageOf(pid); err == nil {
-			n, memoryMB = n+1, memoryMB+used.Resident
+		if used, err := readProcessUsage(pid); err == nil {
+			n, memoryMB = n+1, memoryMB+used.ResidentMB
 		}
 	}
 	add(ownProcess())
--- a/internal/bench/storm.go
+++ b/internal/bench/storm.go
@@ -22,112 +22,112 @@
 	"railrelay.dev/railrelay/internal/historycheck"
 )
 
-// round is one fault while a change is under way, and its end.
-type round struct {
-	name   string
-	strike func(g *gathering)
-	heal   func(g *gathering)
-	lasts  func(g *gathering) time.Duration
-	purges bool // a purge is under way, too
+// faultRound is one fault while a change is under way, and its end.
+type faultRound struct {
+	name      string
+	inject    func(g *faultFleet)
+	heal      func(g *faultFleet)
+	duration  func(g *faultFleet) time.Duration
+	withPurge bool // a purge is under way, too
 }
 
-// past is longer than a lease that was just renewed.
-func past(g *gathering) time.Duration { return g.Lease*3/2 + 200*time.Millisecond }
+// pastLease is longer than a lease that was just renewed.
+func pastLease(g *faultFleet) time.Duration { return g.Lease*3/2 + 200*time.Millisecond }
 
-func short(*gathering) time.Duration { return 500 * time.Millisecond }
+func shortFault(*faultFleet) time.Duration { return 500 * time.Millisecond }
 
-// links is a round of a fault on the links from and to whom pick says, "" is any.
-func links(name string, f faultproxy.Fault, pick func(g *gathering) (from, to string), purges bool, lasts func(*gathering) time.Duration) round {
-	return round{name, func(g *gathering) {
+// linkFaultRound is a round of a fault on the links from and to whom pick says, "" is any.
+func linkFaultRound(name string, f faultproxy.Fault, pick func(g *faultFleet) (from, to string), purges bool, lasts func(*faultFleet) time.Duration) faultRound {
+	return faultRound{name, func(g *faultFleet) {
 		from, to := pick(g)
 		g.mu.Lock()
-		g.fleet.Note(g.since(), fmt.Sprintf("links from %q to %q: %s", from, to, name), from, to)
+		g.fleetHistory.Note(g.elapsed(), fmt.Sprintf("links from %q to %q: %s", from, to, name), from, to)
 		g.mu.Unlock()
 		f.Seed = g.Seed
 		g.mesh.SetFault(from, to, f)
-	}, func(g *gathering) { g.mesh.Heal() }, lasts, purges}
+	}, func(g *faultFleet) { g.mesh.Heal() }, lasts, purges}
 }
 
-func (g *gathering) all() (from, to string) { return "", "" }
+func (g *faultFleet) anyLink() (from, to string) { return "", "" }
 
-// ofOne has one process that a round means, and brings it back.
-func ofOne(name string, pick func(g *gathering) *process, stop bool, lasts func(*gathering) time.Duration, purges bool) round {
-	var p *process
-	return round{name, func(g *gathering) {
+// processFaultRound has one process that a round means, and brings it back.
+func processFaultRound(name string, pick func(g *faultFleet) *fleetProcess, stop bool, lasts func(*faultFleet) time.Duration, purges bool) faultRound {
+	var p *fleetProcess
+	return faultRound{name, func(g *faultFleet) {
 		if p = pick(g); stop {
 			g.pause(p)
 		} else {
 			g.kill(p)
 		}
-	}, func(g *gathering) {
+	}, func(g *faultFleet) {
 		if stop {
 			g.resume(p)
-		} else if err := g.begin(p); err != nil {
-			g.wrong(err)
+		} else if err := g.startProcess(p); err != nil {
+			g.addFault(err)
 		}
 	}, lasts, purges}
 }
 
-func (g *gathering) wrong(err error) {
+func (g *faultFleet) addFault(err error) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.rules.AddFault(g.since(), err.Error())
+	g.queryHistory.AddFault(g.elapsed(), err.Error())
 }
 
-// rounds are all faults that a measurement plays; the order follows from the seed.
-func rounds() []round {
-	leader := func(g *gathering) *process { return g.leader() }
-	follower := func(g *gathering) *process { return g.follower() }
-	ofLeader := func(g *gathering) (from, to string) { return g.leader().name, "" }
-	toFollower := func(g *gathering) (from, to string) { return "", g.follower().name }
-	var two []*process
-	return []round{
-		ofOne("the leader killed", leader, false, short, false),
-		ofOne("the leader stopped past its lease", leader, true, past, true),
-		ofOne("a follower stopped past its lease", follower, true, past, false),
-		ofOne("a follower killed", follower, false, past, true),
-		{"cut", func(g *gathering) {
-			p := g.follower()
-			g.note(p, "cut off")
+// faultRounds are all faults that a measurement plays; the order follows from the seed.
+func faultRounds() []faultRound {
+	leader := func(g *faultFleet) *fleetProcess { return g.leader() }
+	follower := func(g *faultFleet) *fleetProcess { return g.randomFollower() }
+	ofLeader := func(g *faultFleet) (from, to string) { return g.leader().name, "" }
+	toFollower := func(g *faultFleet) (from, to string) { return "", g.randomFollower().name }
+	var two []*fleetProcess
+	return []faultRound{
+		processFaultRound("the leader killed", leader, false, shortFault, false),
+		processFaultRound("the leader stopped past its lease", leader, true, pastLease, true),
+		processFaultRound("a follower stopped past its lease", follower, true, pastLease, false),
+		processFaultRound("a follower killed", follower, false, pastLease, true),
+		{"cut", func(g *faultFleet) {
+			p := g.randomFollower()
+			g.recordFault(p, "cut off")
 			g.mesh.Isolate(p.name)
-		}, func(g *gathering) { g.mesh.Heal() }, past, true},
-		links("one way", faultproxy.Fault{Kind: faultproxy.OneWay, Direction: faultproxy.ToTarget},
-			toFollower, false, past),
-		links("slow", faultproxy.Fault{Kind: faultproxy.Slow, Rate: 30_000}, ofLeader, false, short),
-		links("jitter", faultproxy.Fault{Kind: faultproxy.Delay, Latency: 2 * time.Millisecond, Jitter: 60 * time.Millisecond}, (*gathering).all, true, short),
-		links("reset", faultproxy.Fault{Kind: faultproxy.Reset}, (*gathering).all, false, short),
-		links("stall", faultproxy.Fault{Kind: faultproxy.Stall, AfterBytes: 1500}, ofLeader, false, short),
-		links("double", faultproxy.Fault{Kind: faultproxy.Duplicate}, (*gathering).all, true, short),
-		{"the majority lost", func(g *gathering) {
+		}, func(g *faultFleet) { g.mesh.Heal() }, pastLease, true},
+		linkFaultRound("one way", faultproxy.Fault{Kind: faultproxy.OneWay, Direction: faultproxy.ToTarget},
+			toFollower, false, pastLease),
+		linkFaultRound("slow", faultproxy.Fault{Kind: faultproxy.Slow, Rate: 30_000}, ofLeader, false, shortFault),
+		linkFaultRound("jitter", faultproxy.Fault{Kind: faultproxy.Delay, Latency: 2 * time.Millisecond, Jitter: 60 * time.Millisecond}, (*faultFleet).anyLink, true, shortFault),
+		linkFaultRound("reset", faultproxy.Fault{Kind: faultproxy.Reset}, (*faultFleet).anyLink, false, shortFault),
+		linkFaultRound("stall", faultproxy.Fault{Kind: faultproxy.Stall, AfterBytes: 1500}, ofLeader, false, shortFault),
+		linkFaultRound("double", faultproxy.Fault{Kind: faultproxy.Duplicate}, (*faultFleet).anyLink, true, shortFault),
+		{"the majority lost", func(g *faultFleet) {
 			two = g.members[:g.Voters/2+1]
 			for _, p := range two {
 				g.pause(p)
 			}
-		}, func(g *gathering) {
+		}, func(g *faultFleet) {
 			for _, p := range two {
 				g.resume(p)
 			}
-		}, past, false},
-		{"all killed", func(g *gathering) {
+		}, pastLease, false},
+		{"all killed", func(g *faultFleet) {
 			for _, p := range g.members {
 				g.kill(p)
 			}
-		}, func(g *gathering) {
+		}, func(g *faultFleet) {
 			for _, p := range g.members {
-				if err := g.begin(p); err != nil {
-					g.wrong(err)
+				if err := g.startProcess(p); err != nil {
+					g.addFault(err)
 				}
 			}
-		}, short, true},
+		}, shortFault, true},
 	}
 }
 
-// play has a change, a second operator's at the same version and perhaps a purge under
+// runRound has a change, a second operator's at the same version and perhaps a purge under
 // way while a fault strikes, and waits until all of them have come to their end.
-func (g *gathering) play(r round) error {
+func (g *faultFleet) runRound(r faultRound) error {
 	before := g.mesh.HitCounts()
-	base := g.version
-	mine, other := g.change(base, 0, false), g.change(base, 0, false)
+	base := g.latestVersion
+	mine, other := g.newChange(base, 0, false), g.newChange(base, 0, false)
 	at := g.members[g.rng.IntN(len(g.members))]
 	too := g.members[g.rng.IntN(len(g.members))]
 	wait := time.Duration(g.rng.IntN(25)) * time.Millisecond
@@ -135,55 +135,55 @@
 	var wg sync.WaitGroup
 	var purged error
 	if early { // the fault is there first
-		r.strike(g)
+		r.inject(g)
 	}
 	for _, x := range []struct {
-		p *process
+		p *fleetProcess
 		a *fleet.Request
 	}{{at, mine}, {too, other}} {
 		wg.Go(func() {
-			if x.p.running != nil && !x.p.stopped {
-				g.apply(x.p, x.a)
+			if x.p.command != nil && !x.p.paused {
+				g.applyChange(x.p, x.a)
 			}
 		})
 	}
 	team := []string{"linz", "steyr"}[g.rng.IntN(2)]
-	if r.purges {
-		wg.Go(func() { _, purged = g.purge(g.members[0], team, 15*time.Second) })
+	if r.withPurge {
+		wg.Go(func() { _, purged = g.purgeTeam(g.members[0], team, 15*time.Second) })
 	}
 	if !early {
 		time.Sleep(wait) // somewhere in the middle of it
-		r.strike(g)
+		r.inject(g)
 	}
-	time.Sleep(r.lasts(g))
+	time.Sleep(r.duration(g))
 	r.heal(g)
 	wg.Wait()
 	if purged != nil {
 		return fmt.Errorf("%s: %w", r.name, purged)
 	}
 	for _, a := range []*fleet.Request{mine, other} {
-		if _, err := g.settled(a, 15*time.Second); err != nil {
+		if _, err := g.awaitOutcome(a, 15*time.Second); err != nil {
 			return fmt.Errorf("%s: %w", r.name, err)
 		}
 	}
-	if err := g.allServe(15 * time.Second); err != nil {
+	if err := g.awaitAllServing(15 * time.Second); err != nil {
 		return fmt.Errorf("%s: %w", r.name, err)
 	}
 	after := g.mesh.HitCounts()
 	for kind, n := range after {
 		if n > before[kind] {
 			g.mu.Lock()
-			g.faults["link "+kind]++
+			g.faultCounts["link "+kind]++
 			g.mu.Unlock()
 		}
 	}
 	return nil
 }
 
-// torn has a follower start from a file that was cut short, which it must refuse by
+// startFromDamagedRecord has a follower start from a file that was cut short, which it must refuse by
 // itself, and then from what was there.
-func (g *gathering) torn() error {
-	p := g.follower()
+func (g *faultFleet) startFromDamagedRecord() error {
+	p := g.randomFollower()
 	g.kill(p)
 	file := filepath.Join(g.path(p.name+"-fleet"), "record")
 	whole, err := os.ReadFile(file)
@@ -198,20 +198,20 @@
 		if err := os.WriteFile(file, text, 0o600); err != nil {
 			return err
 		}
-		g.note(p, "given a file that is "+what)
-		size, err := p.log.Seek(0, io.SeekEnd)
+		g.recordFault(p, "given a file that is "+what)
+		size, err := p.logFile.Seek(0, io.SeekEnd)
 		if err != nil {
 			return err
 		}
-		if err := g.begin(p); err != nil {
+		if err := g.startProcess(p); err != nil {
 			return err
 		}
 		select {
-		case <-p.ended:
+		case <-p.exited:
 		case <-time.After(10 * time.Second):
 			return fmt.Errorf("%s serves from a file that is %s", p.name, what)
 		}
-		p.running = nil
+		p.command = nil
 		said, err := os.ReadFile(g.path(p.name + ".log"))
 		if err != nil {
 			return err
@@ -223,18 +223,18 @@
 	if err := os.WriteFile(file, whole, 0o600); err != nil {
 		return err
 	}
-	if err := g.begin(p); err != nil {
+	if err := g.startProcess(p); err != nil {
 		return err
 	}
-	return g.allServe(15 * time.Second)
+	return g.awaitAllServing(15 * time.Second)
 }
 
-// emergency takes all engines inside away for longer than the rule says, sees the
+// runEmergency takes all engines inside away for longer than the rule says, sees the
 // bound team's queries run at the further site, and gives them back.
-func (g *gathering) emergency() error {
+func (g *faultFleet) runEmergency() error {
 	tell := func(phase string) {
 		var l []feed.Engine
-		for _, e := range g.list {
+		for _, e := range g.feedEngines {
 			if e.Locality == "east" {
 				e.Phase = phase
 				l = append(l, e)
@@ -242,27 +242,27 @@
 		}
 		g.mu.Lock()
 		for _, e := range l {
-			g.rules.SetServing(g.since(), e.ID, phase == "SERVING")
+			g.queryHistory.SetServing(g.elapsed(), e.ID, phase == "SERVING")
 		}
 		g.mu.Unlock()
 		g.feed.Publish(false, l...)
 	}
 	g.mu.Lock()
-	from := g.further
-	g.fleet.AllowSites(g.since()+time.Second-g.fleet.Slack, "linz", "west")
-	g.faults["all engines of a site lost"]++
+	from := g.emergencyQueries
+	g.fleetHistory.AllowSites(g.elapsed()+time.Second-g.fleetHistory.Slack, "linz", "west")
+	g.faultCounts["all engines of a site lost"]++
 	g.mu.Unlock()
 	tell("DRAINING")
-	err := g.eventually(10*time.Second, "a bound team's queries at the further site", func() bool {
+	err := g.waitFor(10*time.Second, "a bound team's queries at the further site", func() bool {
 		g.mu.Lock()
 		defer g.mu.Unlock()
-		return g.further > from+5
+		return g.emergencyQueries > from+5
 	})
 	tell("SERVING")
 	if err != nil {
 		return err
 	}
-	err = g.eventually(15*time.Second, "an end of the emergency", func() bool {
+	err = g.waitFor(15*time.Second, "an end of the emergency", func() bool {
 		for _, p := range g.members {
 			if s := g.status(p); len(s.Emergencies) > 0 || !s.Serves {
 				return false
@@ -271,25 +271,25 @@
 		return true
 	})
 	g.mu.Lock()
-	g.fleet.RevokeSites(g.since(), "linz")
+	g.fleetHistory.RevokeSites(g.elapsed(), "linz")
 	g.emergencies++
 	g.mu.Unlock()
 	return err
 }
 
 // voters has another controller vote in place of one that did, while clients ask.
-func (g *gathering) replaceVoter() error {
-	a := g.change(g.version, 0, false)
+func (g *faultFleet) replaceVoter() error {
+	a := g.newChange(g.latestVersion, 0, false)
 	text := string(a.Policy) + "voters:\n"
 	for _, p := range append(slices.Clone(g.members[1:g.Voters]), g.members[g.Voters]) {
-		text += fmt.Sprintf("  - {name: %s, address: %q}\n", p.name, p.peer)
+		text += fmt.Sprintf("  - {name: %s, address: %q}\n", p.name, p.peerAddress)
 	}
 	a.Policy = []byte(text)
-	if word, err := g.settled(a, 10*time.Second); err != nil || word != "in force" {
+	if word, err := g.awaitOutcome(a, 10*time.Second); err != nil || word != "in force" {
 		return fmt.Errorf("the change of voters: %s %w", word, err)
 	}
 	voter := g.members[g.Voters]
-	return g.eventually(10*time.Second, voter.name+" votes", func() bool {
+	return g.waitFor(10*time.Second, voter.name+" votes", func() bool {
 		for _, m := range g.status(g.leader()).Members {
 			if m.Name == voter.name {
 				return m.IsVoter
@@ -299,38 +299,38 @@
 	})
 }
 
-// end makes a last change, sees all act by it, has all words told once more and clients
+// finish makes a last change, sees all act by it, has all words told once more and clients
 // end, and says what was found broken.
-func (g *gathering) end() ([]string, error) {
-	a := g.change(g.version, 0, false)
-	if word, err := g.settled(a, 10*time.Second); err != nil || word != "in force" {
+func (g *faultFleet) finish() ([]string, error) {
+	a := g.newChange(g.latestVersion, 0, false)
+	if word, err := g.awaitOutcome(a, 10*time.Second); err != nil || word != "in force" {
 		return nil, fmt.Errorf("the last change: %s %w", word, err)
 	}
-	for _, b := range g.changes { // asking again by id gives the same word
-		g.apply(g.members[g.rng.IntN(len(g.members))], &fleet.Request{Kind: "status", ID: b.ID, BaseVersion: b.BaseVersion, WaitMs: 300})
+	for _, b := range g.changeRequests { // asking again by id gives the same word
+		g.applyChange(g.members[g.rng.IntN(len(g.members))], &fleet.Request{Kind: "status", ID: b.ID, BaseVersion: b.BaseVersion, WaitMs: 300})
 	}
-	if err := g.eventually(10*time.Second, "acts by the last version everywhere", func() bool {
+	if err := g.waitFor(10*time.Second, "acts by the last version everywhere", func() bool {
 		g.mu.Lock()
 		defer g.mu.Unlock()
-		return !slices.ContainsFunc(g.acts, func(l []mark) bool { return len(l) == 0 || l[len(l)-1].version != g.version })
+		return !slices.ContainsFunc(g.observedVersions, func(l []versionObservation) bool { return len(l) == 0 || l[len(l)-1].version != g.latestVersion })
 	}); err != nil {
 		g.mu.Lock()
-		g.fleet.Faults = append(g.fleet.Faults,
+		g.fleetHistory.Faults = append(g.fleetHistory.Faults,
 			historycheck.Fault{Kind: historycheck.PartialChange, Description: err.Error()})
 		g.mu.Unlock()
 	}
-	close(g.quit)
+	close(g.stopClients)
 	g.clients.Wait()
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	broken := slices.Clone(g.rules.Finish(g.since()))
-	for _, f := range g.fleet.Faults {
+	broken := slices.Clone(g.queryHistory.Finish(g.elapsed()))
+	for _, f := range g.fleetHistory.Faults {
 		broken = append(broken, f.String())
 	}
-	if ok, why := historycheck.Linearizable(g.words, 2*time.Second); !ok {
+	if ok, why := historycheck.Linearizable(g.changeReports, 2*time.Second); !ok {
 		f := historycheck.Fault{Kind: historycheck.Contradiction,
 			Description: "there is no order of these words:\n" + why}
-		g.fleet.Faults = append(g.fleet.Faults, f)
+		g.fleetHistory.Faults = append(g.fleetHistory.Faults, f)
 		broken = append(broken, f.String())
 	}
 	return broken, nil
@@ -344,35 +344,35 @@
 	return l[len(l)/2]
 }
 
-func inMS(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
+func toMilliseconds(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
 
-// healthy has changes and a purge with nothing else going on, and gives what they cost.
-func (g *gathering) healthy(n int) (hold, trip, sync, purge time.Duration, err error) {
+// measureWithoutFaults has changes and a purge with nothing else going on, and gives what they cost.
+func (g *faultFleet) measureWithoutFaults(n int) (hold, trip, sync, purge time.Duration, err error) {
 	var holds, trips, syncs, purges []time.Duration
-	if err := g.eventually(5*time.Second, "asked everywhere", func() bool {
+	if err := g.waitFor(5*time.Second, "asked everywhere", func() bool {
 		g.mu.Lock()
 		defer g.mu.Unlock()
-		return !slices.ContainsFunc(g.acts, func(l []mark) bool { return len(l) == 0 })
+		return !slices.ContainsFunc(g.observedVersions, func(l []versionObservation) bool { return len(l) == 0 })
 	}); err != nil {
 		return 0, 0, 0, 0, err
 	}
 	for range n {
-		a := g.change(g.version, 0, false)
-		if word, err := g.settled(a, 15*time.Second); err != nil || word != "in force" {
+		a := g.newChange(g.latestVersion, 0, false)
+		if word, err := g.awaitOutcome(a, 15*time.Second); err != nil || word != "in force" {
 			return 0, 0, 0, 0, fmt.Errorf("%s: %s %w", a.ID, word, err)
 		}
-		version := g.version
-		if err := g.eventually(5*time.Second, "acts by it everywhere", func() bool { return len(g.holds(version)) == len(g.members) }); err != nil {
+		version := g.latestVersion
+		if err := g.waitFor(5*time.Second, "acts by it everywhere", func() bool { return len(g.switchHolds(version)) == len(g.members) }); err != nil {
 			return 0, 0, 0, 0, err
 		}
-		holds = append(holds, g.holds(version)...)
+		holds = append(holds, g.switchHolds(version)...)
 	}
-	a := g.change(g.version, 0, true)
-	if word, err := g.settled(a, 15*time.Second); err != nil || word != "withdrawn" {
+	a := g.newChange(g.latestVersion, 0, true)
+	if word, err := g.awaitOutcome(a, 15*time.Second); err != nil || word != "withdrawn" {
 		return 0, 0, 0, 0, fmt.Errorf("what nobody can take is %s %w", word, err)
 	}
 	for _, team := range []string{"linz", "steyr"} {
-		took, err := g.purge(g.leader(), team, 10*time.Second)
+		took, err := g.purgeTeam(g.leader(), team, 10*time.Second)
 		if err != nil {
 			return 0, 0, 0, 0, err
 		}
@@ -397,9 +397,9 @@
 	return median(holds), median(trips), median(syncs), median(purges), nil
 }
 
-// onOff is the queries a second of a controller in a fleet of its own, beside one
+// fleetThroughputRatio is the queries a second of a controller in a fleet of its own, beside one
 // without, in short turns by turns.
-func onOff(ctx context.Context, program string, turns int, turn time.Duration) (float64, error) {
+func fleetThroughputRatio(ctx context.Context, program string, turns int, turn time.Duration) (float64, error) {
 	t := &Trial{Program: program, Engines: 8, Seed: 1, Log: io.Discard}
 	var rates [2]float64
 	run := func(ctx context.Context, address string) (int64, error) {
@@ -457,17 +457,17 @@
 	return rates[1] / max(rates[0], 1), nil
 }
 
-// MeasureTogether is the measurement of a fleet, on real processes.
-func MeasureTogether(ctx context.Context, out io.Writer, program, plantedDir string, seed uint64, detail bool) error {
-	t := Together{Program: program, Voters: 3, Followers: 6, Seed: seed, Lease: time.Second}
-	g, err := t.gather(ctx)
+// MeasureFaultFleet is the measurement of a fleet, on real processes.
+func MeasureFaultFleet(ctx context.Context, out io.Writer, program, plantedDir string, seed uint64, detail bool) error {
+	t := FaultFleetConfig{Program: program, Voters: 3, Followers: 6, Seed: seed, Lease: time.Second}
+	g, err := t.start(ctx)
 	if err != nil {
 		return err
 	}
 	defer g.close()
-	fmt.Fprintf(out, "%d controllers serve after %.2f s\n", len(g.members), g.since().Seconds())
-	g.busy()
-	hold, trip, sync1, purge, err := g.healthy(6)
+	fmt.Fprintf(out, "%d controllers serve after %.2f s\n", len(g.members), g.elapsed().Seconds())
+	g.startAllClients()
+	hold, trip, sync1, purge, err := g.measureWithoutFaults(6)
 	if err != nil {
 		return err
 	}
@@ -482,48 +482,48 @@
 	})
 	var found, planted int
 	var lines []string
-	others.Go(func() { found, planted, lines = findPlanted(ctx, plantedDir) })
-	list := rounds()
+	others.Go(func() { found, planted, lines = detectPlantedFaults(ctx, plantedDir) })
+	list := faultRounds()
 	g.rng.Shuffle(len(list), func(i, j int) { list[i], list[j] = list[j], list[i] })
 	for _, r := range list {
-		if g.since() > 29*time.Second {
+		if g.elapsed() > 29*time.Second {
 			fmt.Fprintf(out, "no time for: %s\n", r.name)
 			continue
 		}
 		begin := time.Now()
-		if err := g.play(r); err != nil {
+		if err := g.runRound(r); err != nil {
 			return err
 		}
 		if detail {
 			fmt.Fprintf(out, "%s: %.2f s\n", r.name, time.Since(begin).Seconds())
 		}
 	}
-	for _, do := range []func() error{g.emergency, g.torn, g.replaceVoter} {
+	for _, do := range []func() error{g.runEmergency, g.startFromDamagedRecord, g.replaceVoter} {
 		if err := do(); err != nil {
 			return err
 		}
 	}
-	broken, err := g.end()
+	broken, err := g.finish()
 	if err != nil {
 		return err
 	}
 	others.Wait()
 	g.close()
-	ratio, err := onOff(ctx, program, 5, 300*time.Millisecond)
+	ratio, err := fleetThroughputRatio(ctx, program, 5, 300*time.Millisecond)
 	if err != nil {
 		return err
 	}
 	faults := 0
-	for _, kind := range slices.Sorted(maps.Keys(g.faults)) {
-		faults += g.faults[kind]
-		fmt.Fprintf(out, "%s: %d; ", kind, g.faults[kind])
+	for _, kind := range slices.Sorted(maps.Keys(g.faultCounts)) {
+		faults += g.faultCounts[kind]
+		fmt.Fprintf(out, "%s: %d; ", kind, g.faultCounts[kind])
 	}
 	fmt.Fprintln(out)
 	fmt.Fprintln(out, strings.Join(lines, "\n"))
 	fmt.Fprintf(out, "schedules in virtual time: %d of up to 100 controllers, struck in %d states, %d changes, %d withdrawn, %d purges\n", schedules.Schedules,
 		schedules.Struck(), schedules.Changes, schedules.Withdrawn, schedules.Purges)
 	broken = append(broken, schedules.Broken...)
-	f := &g.fleet
+	f := &g.fleetHistory
 	for _, b := range broken {
 		fmt.Fprintf(out, "seed %d: %s\n", seed, b)
 	}
@@ -534,7 +534,7 @@
 		f.Count(historycheck.Contradiction), f.Purges, f.Count(historycheck.ServedAfterPurge),
 		f.Count(historycheck.FalsePurge),
 		f.Bound, f.Count(historycheck.PlacementFault), g.emergencies,
-		len(g.rules.Faults), inMS(hold), inMS(trip), inMS(sync1), inMS(purge), ratio, found, planted, schedules.Schedules)
+		len(g.queryHistory.Faults), toMilliseconds(hold), toMilliseconds(trip), toMilliseconds(sync1), toMilliseconds(purge), ratio, found, planted, schedules.Schedules)
 	switch {
 	case len(broken) > 0:
 		return fmt.Errorf("%d things that must hold did not", len(broken))
--- a/internal/bench/together_clients.go
+++ b/internal/bench/together_clients.go
@@ -17,56 +17,56 @@
 	"railrelay.dev/railrelay/internal/historycheck"
 )
 
-// marks are sites of their own: each policy binds the team mark to another one, so that
+// markerSites are sites of their own: each policy binds the team mark to another one, so that
 // engines see by which version it was that a query came.
-const marks = 12
+const markerSites = 12
 
-type keptAt struct {
+type fleetStoredResult struct {
 	id, team, token string
 	controller      int
 }
 
-type marked struct {
+type markerVersion struct {
 	change  string
 	version uint64
 }
 
-// mark is one act: when, and by which version.
-type mark struct {
+// versionObservation is one act: when, and by which version.
+type versionObservation struct {
 	at      time.Duration
 	version uint64
 }
 
-// readAll asks for all that was kept, at every controller that serves.
-func (g *gathering) readAll() {
+// readStoredResults asks for all that was kept, at every controller that serves.
+func (g *faultFleet) readStoredResults() {
 	g.mu.Lock()
-	l := slices.Clone(g.kept)
+	l := slices.Clone(g.storedResults)
 	g.mu.Unlock()
 	l = l[max(0, len(l)-60):]
 	end := time.Now().Add(time.Second)
 	readers := map[int]*reader{}
 	for _, k := range l {
-		if p := g.members[k.controller]; p.running == nil || p.stopped || time.Now().After(end) {
+		if p := g.members[k.controller]; p.command == nil || p.paused || time.Now().After(end) {
 			continue
 		}
 		r := readers[k.controller]
 		if r == nil {
 			var err error
-			if r, err = dial(g.members[k.controller].address, 0); err != nil {
+			if r, err = dial(g.members[k.controller].clientAddress, 0); err != nil {
 				continue
 			}
 			defer r.Close()
 			readers[k.controller] = r
 		}
-		if !g.read(r, k) {
+		if !g.readStoredResult(r, k) {
 			delete(readers, k.controller)
 		}
 	}
 }
 
-// read asks for a page of what was kept; false if the connection is of no use any more.
-func (g *gathering) read(r *reader, k keptAt) bool {
-	asked := g.since()
+// readStoredResult asks for a page of what was kept; false if the connection is of no use any more.
+func (g *faultFleet) readStoredResult(r *reader, k fleetStoredResult) bool {
+	asked := g.elapsed()
 	r.SetDeadline(time.Now().Add(2 * time.Second))
 	a, err := r.page(g.ctx, k.token, 1)
 	if err != nil {
@@ -77,15 +77,15 @@
 	defer g.mu.Unlock()
 	if a.Kind == client.Finished {
 		if !strings.Contains(string(a.Rows), k.id) {
-			g.rules.AddFault(g.since(), "a page of "+k.id+" that is another's")
+			g.queryHistory.AddFault(g.elapsed(), "a page of "+k.id+" that is another's")
 		}
-		g.fleet.Served(g.since(), asked, g.members[k.controller].name, k.id)
+		g.fleetHistory.Served(g.elapsed(), asked, g.members[k.controller].name, k.id)
 	}
 	return true
 }
 
-// disks looks for what was kept in all that controllers have on disk.
-func (g *gathering) disks() error {
+// scanSpools looks for what was kept in all that controllers have on disk.
+func (g *faultFleet) scanSpools() error {
 	for _, p := range g.members {
 		files, err := filepath.Glob(g.path(p.name + "-spool/*"))
 		if err != nil {
@@ -97,8 +97,8 @@
 			if err != nil && !errors.Is(err, os.ErrNotExist) {
 				return err
 			}
-			for at := 0; ; at += len(rowMark) {
-				i := bytes.Index(text[at:], rowMark)
+			for at := 0; ; at += len(engineRowMarker) {
+				i := bytes.Index(text[at:], engineRowMarker)
 				if i < 0 {
 					break
 				}
@@ -108,9 +108,9 @@
 			}
 		}
 		g.mu.Lock()
-		for _, k := range g.kept {
+		for _, k := range g.storedResults {
 			if found[k.id] {
-				g.fleet.FoundOnDisk(g.since(), p.name, k.id)
+				g.fleetHistory.FoundOnDisk(g.elapsed(), p.name, k.id)
 			}
 		}
 		g.mu.Unlock()
@@ -118,11 +118,11 @@
 	return nil
 }
 
-// rowMark follows the query's name in each row that engines make.
-var rowMark = []byte("\trow\t")
+// engineRowMarker follows the query's name in each row that engines make.
+var engineRowMarker = []byte("\trow\t")
 
-// client asks one controller for one thing at a time until the end.
-func (g *gathering) client(n int, team, group string, every time.Duration, paged bool) {
+// runClient asks one controller for one thing at a time until the end.
+func (g *faultFleet) runClient(n int, team, group string, every time.Duration, paged bool) {
 	defer g.clients.Done()
 	rng := rand.New(rand.NewPCG(g.Seed, uint64(n)<<8|uint64(len(team))))
 	var r *reader
@@ -134,7 +134,7 @@
 	key := 0
 	for {
 		select {
-		case <-g.quit:
+		case <-g.stopClients:
 			return
 		case <-g.ctx.Done():
 			return
@@ -142,7 +142,7 @@
 		}
 		if r == nil {
 			var err error
-			if r, err = dial(g.members[n].address, 0); err != nil {
+			if r, err = dial(g.members[n].clientAddress, 0); err != nil {
 				r = nil
 				continue
 			}
@@ -152,7 +152,7 @@
 		if paged {
 			w.Rows = 3000
 		}
-		fields := []string{"patience", fmt.Sprint(patienceTogether.Milliseconds()), "team", team}
+		fields := []string{"patience", fmt.Sprint(faultFleetClientTimeout.Milliseconds()), "team", team}
 		if paged {
 			fields = append(fields, "pages", "1")
 		}
@@ -164,12 +164,12 @@
 		g.mu.Lock()
 		g.serial++
 		id := fmt.Sprintf("%016x", 0x70000000+g.serial)
-		now := g.since()
-		g.asked[id] = &askedFor{now, team, w.TableGroup, n}
-		g.rules.Received(now, id, group, entity, now+patienceTogether)
+		now := g.elapsed()
+		g.sentQueries[id] = &fleetSentQuery{now, team, w.TableGroup, n}
+		g.queryHistory.Received(now, id, group, entity, now+faultFleetClientTimeout)
 		g.mu.Unlock()
 		r.msg++
-		r.SetDeadline(time.Now().Add(patienceTogether))
+		r.SetDeadline(time.Now().Add(faultFleetClientTimeout))
 		_, err := r.Write(client.AppendQuery(nil, r.msg, group, engine.Statement(w), append([]string{"trace", id}, fields...)...))
 		var a client.Answer
 		if err == nil {
@@ -177,7 +177,7 @@
 		}
 		g.mu.Lock()
 		if err != nil { // it was killed, or the client has waited long enough
-			g.rules.ClientLeft(g.since(), id)
+			g.queryHistory.ClientLeft(g.elapsed(), id)
 			r.Close()
 			r = nil
 			g.mu.Unlock()
@@ -187,31 +187,31 @@
 		if paged && len(a.Rows) > 0 && bytes.HasPrefix(made, a.Rows) {
 			made = a.Rows
 		}
-		g.rules.Answered(g.since(), id, historycheck.Answer(a.Kind), a.Rows, made)
+		g.queryHistory.Answered(g.elapsed(), id, historycheck.Answer(a.Kind), a.Rows, made)
 		if a.Kind == client.Finished && a.Fields["token"] != "" {
-			g.kept = append(g.kept, keptAt{id, team, a.Fields["token"], n})
+			g.storedResults = append(g.storedResults, fleetStoredResult{id, team, a.Fields["token"], n})
 		}
-		var k *keptAt
-		if paged && len(g.kept) > 0 {
-			if x := g.kept[max(0, len(g.kept)-60)+rng.IntN(min(60, len(g.kept)))]; x.controller == n {
+		var k *fleetStoredResult
+		if paged && len(g.storedResults) > 0 {
+			if x := g.storedResults[max(0, len(g.storedResults)-60)+rng.IntN(min(60, len(g.storedResults)))]; x.controller == n {
 				k = &x
 			}
 		}
 		g.mu.Unlock()
-		if k != nil && !g.read(r, *k) {
+		if k != nil && !g.readStoredResult(r, *k) {
 			r = nil
 		}
 	}
 }
 
-// busy has clients ask at every controller.
-func (g *gathering) busy() {
+// startAllClients has clients ask at every controller.
+func (g *faultFleet) startAllClients() {
 	for i := range g.members {
 		g.clients.Add(5)
-		go g.client(i, "mark", "lookup", 2*time.Millisecond, false)
-		go g.client(i, "linz", "lookup", 40*time.Millisecond, false)
-		go g.client(i, "linz", "report", 120*time.Millisecond, true)
-		go g.client(i, "steyr", "report", 120*time.Millisecond, true)
-		go g.client(i, "steyr", "load", 80*time.Millisecond, false)
+		go g.runClient(i, "mark", "lookup", 2*time.Millisecond, false)
+		go g.runClient(i, "linz", "lookup", 40*time.Millisecond, false)
+		go g.runClient(i, "linz", "report", 120*time.Millisecond, true)
+		go g.runClient(i, "steyr", "report", 120*time.Millisecond, true)
+		go g.runClient(i, "steyr", "load", 80*time.Millisecond, false)
 	}
 }
--- a/internal/bench/together_processes.go
+++ b/internal/bench/together_processes.go
@@ -14,24 +14,24 @@
 	"railrelay.dev/railrelay/internal/fleet/transport"
 )
 
-// process is one controller.
-type process struct {
-	name, site               string
-	address, listen, control string
-	peer                     string
-	running                  *exec.Cmd
-	stopped                  bool
-	ended                    chan struct{}
-	log                      *os.File
+// fleetProcess is one controller.
+type fleetProcess struct {
+	name, site                                   string
+	clientAddress, listenAddress, controlAddress string
+	peerAddress                                  string
+	command                                      *exec.Cmd
+	paused                                       bool
+	exited                                       chan struct{}
+	logFile                                      *os.File
 }
 
-func (g *gathering) setup(p *process) string {
+func (g *faultFleet) setupYAML(p *fleetProcess) string {
 	var b strings.Builder
-	fmt.Fprintf(&b, "name: %s\nlisten: %s\nfeed: %s\nseed: %x\nlog: info\nlimits: {cores: 1, memory_mb: 128, sockets: 1024}\n", p.name, p.address,
+	fmt.Fprintf(&b, "name: %s\nlisten: %s\nfeed: %s\nseed: %x\nlog: info\nlimits: {cores: 1, memory_mb: 128, sockets: 1024}\n", p.name, p.clientAddress,
 		g.feed.Addr(), g.Seed)
 	f := trialEngine()
 	sites := []string{"east", "west"}
-	for k := range marks {
+	for k := range markerSites {
 		sites = append(sites, fmt.Sprint("m", k))
 	}
 	fmt.Fprintf(&b, "engines:\n  controllers: %d\n  kinds: [{name: std, cores: %g, memory_mb: %g}]\n  locations: [%s]\n  location: %s\n", len(g.members),
@@ -50,19 +50,19 @@
 `)
 	fmt.Fprintf(&b, "spool: {field: pages, directory: %q, memory_mb: 8, disk_mb: 512, team_share: 1, team_results: 10000}\n", g.path(p.name+"-spool"))
 	fmt.Fprintf(&b, "fleet:\n  name: together\n  listen: %s\n  address: %s\n  control: %s\n  directory: %q\n  keys: %q\n  lease: %v\n  lease_bound: %v\n"+
-		"  election: 300ms\n  heartbeat: 60ms\n  hold: 4s\n  keep: 256\n  voters:\n", p.listen, p.peer, p.control, g.path(p.name+"-fleet"), g.path("keys"),
+		"  election: 300ms\n  heartbeat: 60ms\n  hold: 4s\n  keep: 256\n  voters:\n", p.listenAddress, p.peerAddress, p.controlAddress, g.path(p.name+"-fleet"), g.path("keys"),
 		g.Lease, g.Lease/2)
 	for _, v := range g.members[:min(g.Voters, len(g.members))] {
-		fmt.Fprintf(&b, "    - {name: %s, address: %q}\n", v.name, v.peer)
+		fmt.Fprintf(&b, "    - {name: %s, address: %q}\n", v.name, v.peerAddress)
 	}
-	b.WriteString(placementText(0))
+	b.WriteString(placementYAML(0))
 	return b.String()
 }
 
-// begin starts a controller from what its directories hold.
-func (g *gathering) begin(p *process) error {
+// startProcess starts a controller from what its directories hold.
+func (g *faultFleet) startProcess(p *fleetProcess) error {
 	cmd := exec.CommandContext(g.ctx, g.Program, "serve", "--setup", g.path(p.name+".yaml"))
-	cmd.Stderr = p.log
+	cmd.Stderr = p.logFile
 	if err := cmd.Start(); err != nil {
 		return err
 	}
@@ -72,75 +72,75 @@
 		close(ended)
 	}()
 	g.mu.Lock()
-	g.fleet.Note(g.since(), p.name+" starts", p.name)
-	p.running, p.ended, p.stopped = cmd, ended, false
+	g.fleetHistory.Note(g.elapsed(), p.name+" starts", p.name)
+	p.command, p.exited, p.paused = cmd, ended, false
 	g.mu.Unlock()
 	return nil
 }
 
-func (g *gathering) note(p *process, what string) {
+func (g *faultFleet) recordFault(p *fleetProcess, what string) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.faults[what]++
-	g.fleet.Note(g.since(), p.name+" is "+what, p.name)
+	g.faultCounts[what]++
+	g.fleetHistory.Note(g.elapsed(), p.name+" is "+what, p.name)
 }
 
-func (g *gathering) kill(p *process) {
-	if p.running == nil {
+func (g *faultFleet) kill(p *fleetProcess) {
+	if p.command == nil {
 		return
 	}
-	g.note(p, "killed")
-	p.running.Process.Kill()
-	<-p.ended
-	p.running = nil
+	g.recordFault(p, "killed")
+	p.command.Process.Kill()
+	<-p.exited
+	p.command = nil
 }
 
-func (g *gathering) pause(p *process) {
-	g.note(p, "stopped")
-	p.running.Process.Signal(syscall.SIGSTOP)
-	p.stopped = true
+func (g *faultFleet) pause(p *fleetProcess) {
+	g.recordFault(p, "stopped")
+	p.command.Process.Signal(syscall.SIGSTOP)
+	p.paused = true
 }
 
-func (g *gathering) resume(p *process) {
-	p.running.Process.Signal(syscall.SIGCONT)
-	p.stopped = false
+func (g *faultFleet) resume(p *fleetProcess) {
+	p.command.Process.Signal(syscall.SIGCONT)
+	p.paused = false
 }
 
-// ask puts something to a controller's operators' listener.
-func (g *gathering) ask(p *process, a *fleet.Request) (*fleet.Response, error) {
+// sendRequest puts something to a controller's operators' listener.
+func (g *faultFleet) sendRequest(p *fleetProcess, a *fleet.Request) (*fleet.Response, error) {
 	ctx, stop := context.WithTimeout(g.ctx, time.Duration(a.WaitMs)*time.Millisecond+2*time.Second)
 	defer stop()
-	return transport.SendControlRequest(ctx, p.control, g.keys, a)
+	return transport.SendControlRequest(ctx, p.controlAddress, g.keys, a)
 }
 
-func (g *gathering) status(p *process) *fleet.Status {
-	r, err := g.ask(p, &fleet.Request{Kind: "status", WaitMs: 500})
+func (g *faultFleet) status(p *fleetProcess) *fleet.Status {
+	r, err := g.sendRequest(p, &fleet.Request{Kind: "status", WaitMs: 500})
 	if err != nil || r.Status == nil {
 		return &fleet.Status{}
 	}
 	return r.Status
 }
 
-// eventually waits for something to come true.
-func (g *gathering) eventually(within time.Duration, what string, so func() bool) error {
+// waitFor waits for something to come true.
+func (g *faultFleet) waitFor(within time.Duration, what string, so func() bool) error {
 	for end := time.Now().Add(within); ; time.Sleep(20 * time.Millisecond) {
 		if so() {
 			return nil
 		}
 		if time.Now().After(end) || g.ctx.Err() != nil {
-			return fmt.Errorf("after %v: not %s; %s", within, what, g.last())
+			return fmt.Errorf("after %v: not %s; %s", within, what, g.diagnostics())
 		}
 	}
 }
 
-// last is how all controllers see the fleet, and the end of their logs: why something
+// diagnostics is how all controllers see the fleet, and the end of their logs: why something
 // has not come.
-func (g *gathering) last() string {
+func (g *faultFleet) diagnostics() string {
 	var b strings.Builder
 	for _, p := range g.members {
 		s := g.status(p)
 		if s.Name == "" {
-			_, err := g.ask(p, &fleet.Request{Kind: "status", WaitMs: 500})
+			_, err := g.sendRequest(p, &fleet.Request{Kind: "status", WaitMs: 500})
 			fmt.Fprintf(&b, "\n%s can't be asked: %v", p.name, err)
 		}
 		fmt.Fprintf(&b, "\n%s: leader %s, index %d, version %d, serves %v, lease %d ms, change %+v", p.name, s.Leader, s.Index, s.Version, s.Serves, s.LeaseRemainingMs, s.Change)
@@ -154,9 +154,9 @@
 	return b.String()
 }
 
-func (g *gathering) allServe(within time.Duration) error {
+func (g *faultFleet) awaitAllServing(within time.Duration) error {
 	for _, p := range g.members {
-		if err := g.eventually(within, p.name+" serves", func() bool { return g.status(p).Serves }); err != nil {
+		if err := g.waitFor(within, p.name+" serves", func() bool { return g.status(p).Serves }); err != nil {
 			return err
 		}
 	}
@@ -164,15 +164,15 @@
 }
 
 // leader is who leads by what most say.
-func (g *gathering) leader() *process {
+func (g *faultFleet) leader() *fleetProcess {
 	for range 100 {
 		for _, p := range g.members {
-			if p.running == nil || p.stopped {
+			if p.command == nil || p.paused {
 				continue
 			}
 			s := g.status(p)
 			for _, l := range g.members {
-				if l.name == s.Leader && l.running != nil && !l.stopped {
+				if l.name == s.Leader && l.command != nil && !l.paused {
 					return l
 				}
 			}
@@ -182,7 +182,7 @@
 	return g.members[0]
 }
 
-// follower is one that doesn't vote.
-func (g *gathering) follower() *process {
+// randomFollower is one that doesn't vote.
+func (g *faultFleet) randomFollower() *fleetProcess {
 	return g.members[g.Voters+g.rng.IntN(g.Followers)]
 }
