--- a/cmd/railrelay-bench/scale.go
+++ b/cmd/railrelay-bench/scale.go
@@ -12,7 +12,7 @@
 )
 
 func scaleCommand() *cobra.Command {
-	s := bench.UsualScale(defaultProgram, 580)
+	s := bench.DefaultScale(defaultProgram, 580)
 	c := &cobra.Command{Use: "scale", Args: cobra.NoArgs,
 		Short: "a fleet of real and hollow controllers: what each role costs, how soon a change is in force, in faults too",
 		Long: "Starts real controllers and hollow ones, which run the fleet's node and transport with a log in memory\n" +
@@ -58,13 +58,13 @@
 	f.DurationVar(&s.Settle, "settle", s.Settle, "time to wait before the first measurement")
 	f.DurationVar(&s.Rest, "rest", s.Rest, "duration of the measurement at rest")
 	f.IntVar(&s.Changes, "changes", s.Changes, "policy changes at rest")
-	f.IntVar(&s.Large, "large", s.Large, "policy changes with a large policy")
+	f.IntVar(&s.LargeChanges, "large", s.LargeChanges, "policy changes with a large policy")
 	f.IntVar(&s.PolicyBytes, "policy-bytes", s.PolicyBytes, "size of a policy")
 	f.IntVar(&s.LargeBytes, "large-bytes", s.LargeBytes, "size of a large policy")
 	f.StringSliceVar(&s.Faults, "faults", s.Faults, "faults to inject, in this order")
 	f.IntVar(&s.Compare, "compare", s.Compare,
 		"controllers in the comparison of hollow with real ones; 0: no comparison")
-	f.BoolVar(&s.Linked, "links", s.Linked, "add the delays between zones and regions to links")
+	f.BoolVar(&s.LinkDelays, "links", s.LinkDelays, "add the delays between zones and regions to links")
 	return c
 }
 
--- a/internal/bench/relays_hollow_test.go
+++ b/internal/bench/relays_hollow_test.go
@@ -25,7 +25,7 @@
 // hollowGuests are hollow controllers that join a fleet of processes through its relays.
 type hollowGuests struct {
 	f        *relayed
-	judge    *scaleJudge
+	judge    *scaleChecker
 	commands *json.Encoder
 
 	mu     sync.Mutex
@@ -69,7 +69,7 @@
 // prepareGuests makes hollow controllers, of which none is started.
 func prepareGuests(f *relayed) *hollowGuests {
 	f.t.Helper()
-	g := &hollowGuests{f: f, judge: newScaleJudge()}
+	g := &hollowGuests{f: f, judge: newScaleChecker()}
 	config := hollow.Config{Fleet: "together", Keys: f.path("keys"), Lease: f.Lease, Election: relayedElection, Heartbeat: relayedHeartbeat,
 		WriteDelay: hollowWriteDelay, Seed: f.Seed}
 	for _, v := range f.voters {
@@ -111,9 +111,9 @@
 func (g *hollowGuests) saw(e hollow.Event) {
 	switch at := time.Unix(0, e.At); e.Kind {
 	case hollow.Serving:
-		g.judge.serving(e.Name, e.Version, e.Policy, at)
+		g.judge.beginSpan(e.Name, e.Version, e.Policy, at)
 	case hollow.Ended:
-		g.judge.ended(e.Name, at)
+		g.judge.endSpan(e.Name, at)
 	case hollow.Failed:
 		g.mu.Lock()
 		defer g.mu.Unlock()
@@ -139,14 +139,14 @@
 // allServe waits until all guests serve.
 func (g *hollowGuests) allServe() {
 	g.f.t.Helper()
-	g.f.awaits("all hollow controllers serve", func() bool { return g.judge.servingNow() == hollowJoiners })
+	g.f.awaits("all hollow controllers serve", func() bool { return g.judge.countServing() == hollowJoiners })
 }
 
 // changes has a policy come into force while guests are there, and tells how long it took.
 func (g *hollowGuests) changes() time.Duration {
 	g.f.t.Helper()
 	a := g.f.change(g.f.inForce(), 0, false)
-	g.judge.asked(a.ID, xxhash.Sum64(a.Policy))
+	g.judge.addChange(a.ID, xxhash.Sum64(a.Policy))
 	begin, by := time.Now(), g.f.asker()
 	g.f.awaits("a word on "+a.ID, func() bool { return g.wordOn(a, by) })
 	return time.Since(begin)
@@ -156,7 +156,7 @@
 func (g *hollowGuests) wordOn(a *fleet.Request, by *process) bool {
 	word := g.f.apply(by, a)
 	if word == "in force" {
-		g.judge.told(toldWord{id: a.ID, by: by.name, word: word, version: a.BaseVersion + 1, at: time.Now()})
+		g.judge.addOutcome(observedOutcome{changeID: a.ID, controller: by.name, outcome: word, version: a.BaseVersion + 1, at: time.Now()})
 	}
 	return word == "in force"
 }
@@ -174,14 +174,14 @@
 		if s.control { // changes don't wait for it
 			continue
 		}
-		g.judge.sampled(servingSample{controller: s.process, asked: s.asked, answered: s.told, serves: s.serves, version: s.version,
-			leaseMS: max(1, s.lease.Milliseconds())}) // the rest of a lease may be less than a millisecond
+		g.judge.addSample(servingSample{controller: s.process, requestedAt: s.asked, answeredAt: s.told, serves: s.serves, version: s.version,
+			leaseRemainingMS: max(1, s.lease.Milliseconds())}) // the rest of a lease may be less than a millisecond
 	}
-	verdict := g.judge.verdict()
-	broken = append(broken, verdict.Broken...)
+	verdict := g.judge.findViolations()
+	broken = append(broken, verdict.Descriptions...)
 	if verdict.Spans < hollowJoiners {
 		broken = append(broken, fmt.Sprintf("too little was told: %d spans", verdict.Spans))
 	}
-	g.f.t.Logf("%d spans, %d samples, %d words; %s", verdict.Spans, verdict.Samples, verdict.Words, strings.Join(broken, "; "))
+	g.f.t.Logf("%d spans, %d samples, %d words; %s", verdict.Spans, verdict.Samples, verdict.Outcomes, strings.Join(broken, "; "))
 	g.f.judge(broken)
 }
--- a/internal/bench/scale.go
+++ b/internal/bench/scale.go
@@ -20,26 +20,26 @@
 // and what passes between controllers and engines. Bytes are those of connections between
 // peers, with HTTP's headers and without TCP's.
 type Scale struct {
-	Program     string // railrelay-fleet must stand beside it
-	Laboratory  string // this program, which runs hollow controllers; "": as it was started
-	Controllers int
-	Real        int // of them, voters among these
-	Voters      int
-	Relays      int // real ones that gather the renewals of others; 0: all ask the leader
-	Engines     int
-	Seed        uint64
-	Lease       time.Duration
-	Settle      time.Duration // waited after all serve, before anything is measured
-	Rest        time.Duration // looked at while nothing happens
-	Changes     int           // asked for at rest
-	Large       int           // of these, with LargeBytes
-	PolicyBytes int
-	LargeBytes  int
-	Faults      []string // names of scaleFaults, in this order
-	Compare     int      // controllers by which hollow ones are held against real ones; 0: they aren't
-	Linked      bool     // links take the times of regions and zones
-	SetAside    bool     // voters have the role control, on machines set aside for it; relays always do
-	Detail      bool     // say more of each part
+	Program      string // railrelay-fleet must stand beside it
+	BenchProgram string // this program, which runs hollow controllers; "": as it was started
+	Controllers  int
+	Real         int // of them, voters among these
+	Voters       int
+	Relays       int // real ones that gather the renewals of others; 0: all ask the leader
+	Engines      int
+	Seed         uint64
+	Lease        time.Duration
+	Settle       time.Duration // waited after all serve, before anything is measured
+	Rest         time.Duration // looked at while nothing happens
+	Changes      int           // asked for at rest
+	LargeChanges int           // of these, with LargeBytes
+	PolicyBytes  int
+	LargeBytes   int
+	Faults       []string // names of scaleFaults, in this order
+	Compare      int      // controllers by which hollow ones are held against real ones; 0: they aren't
+	LinkDelays   bool     // links take the times of regions and zones
+	SetAside     bool     // voters have the role control, on machines set aside for it; relays always do
+	Detail       bool     // say more of each part
 	// Record is given the figures; may be nil.
 	Record func([]ScaleRow) error
 }
@@ -56,26 +56,26 @@
 
 // Times that scale runs wait at the most.
 const (
-	scaleServeWithin  = 90 * time.Second
-	scaleWordWithin   = 60 * time.Second
-	scaleReturnWithin = 60 * time.Second
-	scalePollPause    = 50 * time.Millisecond
+	scaleServeTimeout   = 90 * time.Second
+	scaleOutcomeTimeout = 60 * time.Second
+	scaleLeaderTimeout  = 60 * time.Second
+	scalePollInterval   = 50 * time.Millisecond
 )
 
 // Run plays it and prints what was seen; the last line begins with measured.
 func (s Scale) Run(ctx context.Context, out io.Writer) error {
-	if err := s.check(); err != nil {
+	if err := s.validate(); err != nil {
 		return err
 	}
 	result := &scaleResult{Scale: s}
 	if s.Compare > 0 {
-		ratio, err := s.compare(ctx, out)
+		ratio, err := s.compareHollowWithReal(ctx, out)
 		if err != nil {
 			return fmt.Errorf("hollow against real: %w", err)
 		}
-		result.HollowReal = ratio
+		result.HollowRatio = ratio
 	}
-	if err := s.play(ctx, out, result); err != nil {
+	if err := s.runPhases(ctx, out, result); err != nil {
 		return err
 	}
 	result.print(out)
@@ -84,42 +84,42 @@
 			return err
 		}
 	}
-	return result.broken()
+	return result.violationError()
 }
 
-// play starts the fleet, goes through all phases and ends it.
-func (s Scale) play(ctx context.Context, out io.Writer, result *scaleResult) error {
+// runPhases starts the fleet, goes through all phases and ends it.
+func (s Scale) runPhases(ctx context.Context, out io.Writer, result *scaleResult) error {
 	began := time.Now()
-	f, err := s.begin(ctx, scaleFleets.Add(1))
+	f, err := s.startFleet(ctx, scaleFleetCount.Add(1))
 	if err != nil {
 		return err
 	}
 	defer f.close()
-	result.Serve = time.Since(began)
+	result.StartTime = time.Since(began)
 	fmt.Fprintf(out, "%d controllers (%d real, %d hollow, %d vote), %d engines, lease %v: all serve %.1f s after the first was started\n",
-		s.Controllers, s.Real, s.Controllers-s.Real, s.Voters, s.Engines, s.Lease, result.Serve.Seconds())
+		s.Controllers, s.Real, s.Controllers-s.Real, s.Voters, s.Engines, s.Lease, result.StartTime.Seconds())
 	sleep(ctx, s.Settle)
-	sights := make([]scaleSight, 0, len(s.Faults)+3)
+	sights := make([]scaleSnapshot, 0, len(s.Faults)+3)
 	see := func() error {
-		sight, err := f.look()
+		sight, err := f.takeSnapshot()
 		sights = append(sights, sight)
 		return err
 	}
 	if err := see(); err != nil {
 		return err
 	}
-	if result.Rest, err = f.restFor(s.Rest); err != nil {
+	if result.Rest, err = f.measureRest(s.Rest); err != nil {
 		return err
 	}
 	result.Rest.print(out, "at rest")
-	if result.Phases, err = f.changesAtRest(out, result.Rest); err != nil {
+	if result.Phases, err = f.measureChangesAtRest(out, result.Rest); err != nil {
 		return err
 	}
 	for _, name := range s.Faults {
 		if err := see(); err != nil {
 			return err
 		}
-		phase, err := f.playFault(name)
+		phase, err := f.runFaultPhase(name)
 		if err != nil {
 			return fmt.Errorf("%s: %w", name, err)
 		}
@@ -129,14 +129,14 @@
 	if err := see(); err != nil {
 		return err
 	}
-	result.Whole = f.spentOver(sights...)
-	result.Whole.print(out, "over the whole run")
-	result.Processes, result.MemoryMB = f.processes()
-	if err := f.askAgain(); err != nil {
+	result.WholeRun = f.usageOver(sights...)
+	result.WholeRun.print(out, "over the whole run")
+	result.Processes, result.MemoryMB = f.processTotals()
+	if err := f.recheckOutcomes(); err != nil {
 		return err
 	}
-	result.Verdict = f.judge.verdict()
-	result.Took = time.Since(began)
+	result.Violations = f.checker.findViolations()
+	result.Duration = time.Since(began)
 	return nil
 }
 
@@ -148,24 +148,24 @@
 	}
 }
 
-// slowDisk: a voter's disk is slowed down, which only a hollow one's can be.
-func (s Scale) slowDisk() bool { return slices.Contains(s.Faults, slowDiskFault) }
+// hasSlowDisk: a voter's disk is slowed down, which only a hollow one's can be.
+func (s Scale) hasSlowDisk() bool { return slices.Contains(s.Faults, slowDiskFault) }
 
 // isReal: the controller at an index is a process. With a slow disk the last voter is
 // hollow, and the next controller is a process in its place.
 func (s Scale) isReal(i int) bool {
-	if !s.slowDisk() {
+	if !s.hasSlowDisk() {
 		return i < s.Real
 	}
 	return i <= s.Real && i != s.Voters-1
 }
 
-// laboratory is the program that runs hollow controllers.
-func (s Scale) laboratory() (string, error) {
-	if s.Laboratory != "" {
-		return s.Laboratory, nil
+// benchProgram is the program that runs hollow controllers.
+func (s Scale) benchProgram() (string, error) {
+	if s.BenchProgram != "" {
+		return s.BenchProgram, nil
 	}
 	return os.Executable()
 }
 
-func (s Scale) random(stream uint64) *rand.Rand { return rand.New(rand.NewPCG(s.Seed, stream)) }
+func (s Scale) newRand(stream uint64) *rand.Rand { return rand.New(rand.NewPCG(s.Seed, stream)) }
--- a/internal/bench/scale_changes.go
+++ b/internal/bench/scale_changes.go
@@ -15,22 +15,22 @@
 
 // scalePhase is a stretch of a run with changes of policy in it.
 type scalePhase struct {
-	Name    string
-	Fault   bool
-	Changes []scaleChange
-	Serving []float64     // share of hollow controllers that serve, each second from its begin
-	Back    time.Duration // from its begin until all serve again; 0: none was away
-	Cost    changeCost    // of one change; only where nothing else went on
+	Name          string
+	IsFault       bool
+	Changes       []scaleChange
+	ServingShares []float64     // share of hollow controllers that serve, each second from its begin
+	RecoveryTime  time.Duration // from its begin until all serve again; 0: none was away
+	CostPerChange changeCost    // of one change; only where nothing else went on
 }
 
 // scaleChange is one change that was asked for.
 type scaleChange struct {
-	ID    string
-	Bytes int
-	Word  string
-	Told  time.Duration // from being asked for until the word, asking again included
-	Begun time.Duration // until the last hollow one that serves had begun by it
-	Asks  int           // it took
+	ID           string
+	PolicyBytes  int
+	Outcome      string
+	OutcomeAfter time.Duration // from being asked for until the word, asking again included
+	ServedAfter  time.Duration // until the last hollow one that serves had begun by it
+	Requests     int           // it took
 }
 
 // policyText makes a policy of about so many bytes; the serial keeps each different.
@@ -43,141 +43,141 @@
 	return b.Bytes()
 }
 
-// spoiltText is a policy that no real controller can take.
-func spoiltText(serial int) []byte {
+// invalidPolicyText is a policy that no real controller can take.
+func invalidPolicyText(serial int) []byte {
 	return fmt.Appendf(nil, "groups: [{name: nobody-%d, value: 2}]\n", serial)
 }
 
 const (
-	askPatience = 2 * time.Second // of one ask for a change
-	askPause    = 20 * time.Millisecond
+	scaleChangeWait    = 2 * time.Second // of one ask for a change
+	scaleRetryInterval = 20 * time.Millisecond
 )
 
-// apply makes an ask of a policy's text.
-func (f *scaleFleet) apply(text []byte) *fleet.Request {
+// newChangeRequest makes an ask of a policy's text.
+func (f *scaleFleet) newChangeRequest(text []byte) *fleet.Request {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.serial++
-	a := &fleet.Request{Kind: "apply", ID: fmt.Sprintf("change-%d-%d", f.Seed, f.serial), RequestedBy: "the laboratory", BaseVersion: f.version, Policy: text,
-		WaitMs: askPatience.Milliseconds()}
-	f.asked = append(f.asked, a)
-	f.judge.asked(a.ID, xxhash.Sum64(text))
+	f.changeCount++
+	a := &fleet.Request{Kind: "apply", ID: fmt.Sprintf("change-%d-%d", f.Seed, f.changeCount), RequestedBy: "the laboratory", BaseVersion: f.version, Policy: text,
+		WaitMs: scaleChangeWait.Milliseconds()}
+	f.changeRequests = append(f.changeRequests, a)
+	f.checker.addChange(a.ID, xxhash.Sum64(text))
 	return a
 }
 
-// change asks for a policy of a size and waits until it is in force, asking again here
+// changePolicy asks for a policy of a size and waits until it is in force, asking again here
 // and there where no word comes.
-func (f *scaleFleet) change(size int) (scaleChange, error) {
-	text := policyText(f.serial, size)
-	a := f.apply(text)
-	c, version, err := f.settle(a)
+func (f *scaleFleet) changePolicy(size int) (scaleChange, error) {
+	text := policyText(f.changeCount, size)
+	a := f.newChangeRequest(text)
+	c, version, err := f.requestUntilOutcome(a)
 	if err != nil {
 		return c, err
 	}
-	if c.Word != "in force" {
-		return c, fmt.Errorf("%s is %s", a.ID, c.Word)
+	if c.Outcome != "in force" {
+		return c, fmt.Errorf("%s is %s", a.ID, c.Outcome)
 	}
 	f.mu.Lock()
 	f.version, f.policy = version, text
 	f.mu.Unlock()
-	f.sampleReal()
+	f.sampleAllReal()
 	return c, nil
 }
 
-// settle asks until there is a word.
-func (f *scaleFleet) settle(a *fleet.Request) (c scaleChange, version uint64, err error) {
-	c = scaleChange{ID: a.ID, Bytes: len(a.Policy)}
+// requestUntilOutcome asks until there is a word.
+func (f *scaleFleet) requestUntilOutcome(a *fleet.Request) (c scaleChange, version uint64, err error) {
+	c = scaleChange{ID: a.ID, PolicyBytes: len(a.Policy)}
 	begin := time.Now()
-	for time.Since(begin) < scaleWordWithin && f.ctx.Err() == nil {
-		m := f.nextAsker()
-		c.Asks++
+	for time.Since(begin) < scaleOutcomeTimeout && f.ctx.Err() == nil {
+		m := f.nextReal()
+		c.Requests++
 		r, err := m.process.ask(f.ctx, a)
 		if err != nil {
-			sleep(f.ctx, askPause)
+			sleep(f.ctx, scaleRetryInterval)
 			continue
 		}
 		if r.Outcome == "unknown" {
 			continue
 		}
 		now := time.Now()
-		f.judge.told(toldWord{a.ID, m.name, r.Outcome, r.Version, now})
-		c.Word, c.Told = r.Outcome, now.Sub(begin)
+		f.checker.addOutcome(observedOutcome{a.ID, m.name, r.Outcome, r.Version, now})
+		c.Outcome, c.OutcomeAfter = r.Outcome, now.Sub(begin)
 		if r.Outcome != "in force" && r.Outcome != "settled" {
 			return c, 0, nil
 		}
-		c.Word = "in force"
-		if last := f.judge.lastBegin(r.Version); !last.IsZero() {
-			c.Begun = last.Sub(begin)
+		c.Outcome = "in force"
+		if last := f.checker.lastStart(r.Version); !last.IsZero() {
+			c.ServedAfter = last.Sub(begin)
 		}
 		return c, r.Version, nil
 	}
-	return c, 0, fmt.Errorf("no word on %s came within %v, of %d asks", a.ID, scaleWordWithin, c.Asks)
+	return c, 0, fmt.Errorf("no word on %s came within %v, of %d asks", a.ID, scaleOutcomeTimeout, c.Requests)
 }
 
-// nextAsker takes turns among the real ones that can be asked.
-func (f *scaleFleet) nextAsker() *scaleMember {
+// nextReal takes turns among the real ones that can be asked.
+func (f *scaleFleet) nextReal() *scaleMember {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for range f.real {
-		f.asker++
-		if m := f.real[f.asker%len(f.real)]; m.process.answers() {
+		f.requestCount++
+		if m := f.real[f.requestCount%len(f.real)]; m.process.answers() {
 			return m
 		}
 	}
 	return f.real[0]
 }
 
-// sampleReal sees once how each real one serves.
-func (f *scaleFleet) sampleReal() {
+// sampleAllReal sees once how each real one serves.
+func (f *scaleFleet) sampleAllReal() {
 	for _, m := range f.real {
 		if m.process.answers() {
-			f.sample(f.ctx, m.name, m.process.operator)
+			f.sampleStatus(f.ctx, m.name, m.process.operator)
 		}
 	}
 }
 
-// sample sees how one serves, if it can be asked.
-func (f *scaleFleet) sample(ctx context.Context, name string, asks operator) {
+// sampleStatus sees how one serves, if it can be asked.
+func (f *scaleFleet) sampleStatus(ctx context.Context, name string, asks operator) {
 	asked := time.Now()
 	r, err := asks.ask(ctx, &fleet.Request{Kind: "status", WaitMs: 500})
 	if err != nil || r.Status == nil {
 		return
 	}
 	s := r.Status
-	f.judge.sampled(servingSample{name, asked, time.Now(), s.Serves, s.Version, s.LeaseRemainingMs})
+	f.checker.addSample(servingSample{name, asked, time.Now(), s.Serves, s.Version, s.LeaseRemainingMs})
 }
 
-// changesAtRest asks for changes one after the other, some of them large, and for one
+// measureChangesAtRest asks for changes one after the other, some of them large, and for one
 // that must be withdrawn.
-func (f *scaleFleet) changesAtRest(out io.Writer, rest scaleSpent) (phases []scalePhase, err error) {
+func (f *scaleFleet) measureChangesAtRest(out io.Writer, rest scaleUsage) (phases []scalePhase, err error) {
 	for _, part := range []struct {
 		name     string
 		n, bytes int
-	}{{"changes at rest", f.Changes - f.Large, f.PolicyBytes}, {"large changes at rest", f.Large, f.LargeBytes}} {
+	}{{"changes at rest", f.Changes - f.LargeChanges, f.PolicyBytes}, {"large changes at rest", f.LargeChanges, f.LargeBytes}} {
 		if part.n == 0 {
 			continue
 		}
 		phase := scalePhase{Name: part.name}
-		before, err := f.look()
+		before, err := f.takeSnapshot()
 		if err != nil {
 			return phases, err
 		}
 		for range part.n {
-			c, err := f.change(part.bytes)
+			c, err := f.changePolicy(part.bytes)
 			if err != nil {
 				return phases, err
 			}
 			phase.Changes = append(phase.Changes, c)
 		}
-		after, err := f.look()
+		after, err := f.takeSnapshot()
 		if err != nil {
 			return phases, err
 		}
-		phase.Cost = costOfChange(f.spentOver(before, after), rest, part.n)
+		phase.CostPerChange = costOfChange(f.usageOver(before, after), rest, part.n)
 		phase.print(out)
 		phases = append(phases, phase)
 	}
-	return phases, f.spoiltChange()
+	return phases, f.checkInvalidPolicyWithdrawn()
 }
 
 // changeCost is what one change takes of a controller, beyond what it spends at rest. Its
@@ -185,47 +185,47 @@
 type changeCost struct {
 	Leader, Voter scaleRate // none where another one led at the end than at the begin
 	Controller    scaleRate // the mean of those without a role
-	LeaderLost    bool
+	LeaderChanged bool
 }
 
 // costOfChange takes what was spent at rest from what was spent while so many changes went on.
-func costOfChange(spent, rest scaleSpent, changes int) changeCost {
+func costOfChange(spent, rest scaleUsage, changes int) changeCost {
 	each := func(busy, idle scaleRate) (cost scaleRate) {
 		for i, x := range busy.fields() {
-			*cost.fields()[i] = (*x - *idle.fields()[i]) * spent.Span.Seconds() / float64(changes)
+			*cost.fields()[i] = (*x - *idle.fields()[i]) * spent.Duration.Seconds() / float64(changes)
 		}
-		cost.MB = busy.MB
+		cost.MemoryMB = busy.MemoryMB
 		return cost
 	}
-	cost := changeCost{Controller: each(spent.Mean, rest.Mean), LeaderLost: spent.Leader == scaleRate{}}
-	if !cost.LeaderLost {
+	cost := changeCost{Controller: each(spent.Mean, rest.Mean), LeaderChanged: spent.Leader == scaleRate{}}
+	if !cost.LeaderChanged {
 		cost.Leader, cost.Voter = each(spent.Leader, rest.Leader), each(spent.Voter, rest.Voter)
 	}
 	return cost
 }
 
-// spoiltChange asks for a policy that real controllers can't take: it must be withdrawn.
-func (f *scaleFleet) spoiltChange() error {
-	c, _, err := f.settle(f.apply(spoiltText(f.serial)))
-	if err == nil && c.Word == "in force" {
+// checkInvalidPolicyWithdrawn asks for a policy that real controllers can't take: it must be withdrawn.
+func (f *scaleFleet) checkInvalidPolicyWithdrawn() error {
+	c, _, err := f.requestUntilOutcome(f.newChangeRequest(invalidPolicyText(f.changeCount)))
+	if err == nil && c.Outcome == "in force" {
 		err = fmt.Errorf("%s is in force though nobody real can take it", c.ID)
 	}
 	return err
 }
 
-const askedAgainAt = 3 // real controllers
+const outcomeRechecks = 3 // real controllers
 
-// askAgain asks some real ones for the words on all changes once more, and all for the
+// recheckOutcomes asks some real ones for the words on all changes once more, and all for the
 // policy that is in force.
-func (f *scaleFleet) askAgain() error {
-	for _, a := range f.asked {
-		for range askedAgainAt {
-			m := f.nextAsker()
+func (f *scaleFleet) recheckOutcomes() error {
+	for _, a := range f.changeRequests {
+		for range outcomeRechecks {
+			m := f.nextReal()
 			r, err := m.process.ask(f.ctx, &fleet.Request{Kind: "status", ID: a.ID, WaitMs: 1000})
 			if err != nil {
 				return fmt.Errorf("%s can't be asked again for %s: %w", m.name, a.ID, err)
 			}
-			f.judge.told(toldWord{a.ID, m.name, r.Outcome, r.Version, time.Now()})
+			f.checker.addOutcome(observedOutcome{a.ID, m.name, r.Outcome, r.Version, time.Now()})
 		}
 	}
 	for _, m := range f.real {
@@ -240,10 +240,10 @@
 	return nil
 }
 
-// tolds are the times until the word, in order.
-func (p scalePhase) tolds() (l []time.Duration) {
+// outcomeTimes are the times until the word, in order.
+func (p scalePhase) outcomeTimes() (l []time.Duration) {
 	for _, c := range p.Changes {
-		l = append(l, c.Told)
+		l = append(l, c.OutcomeAfter)
 	}
 	slices.Sort(l)
 	return l
@@ -259,24 +259,24 @@
 }
 
 func (p scalePhase) print(out io.Writer) {
-	l := p.tolds()
+	l := p.outcomeTimes()
 	fmt.Fprintf(out, "%s: %d changes, asked until told in force %.0f ms median, %.0f p99, %.0f most", p.Name, len(l), inMS(quantile(l, 0.5)),
 		inMS(quantile(l, 0.99)), inMS(quantile(l, 1)))
-	if p.Fault {
-		fmt.Fprintf(out, "; all serve again after %.1f s; share of hollow ones that served, each second:", p.Back.Seconds())
-		for _, share := range p.Serving {
+	if p.IsFault {
+		fmt.Fprintf(out, "; all serve again after %.1f s; share of hollow ones that served, each second:", p.RecoveryTime.Seconds())
+		for _, share := range p.ServingShares {
 			fmt.Fprintf(out, " %.3f", share)
 		}
 	}
-	if c := p.Cost; !p.Fault {
+	if c := p.CostPerChange; !p.IsFault {
 		line := func(r scaleRate) string {
 			return fmt.Sprintf("%.0f bytes out, %.0f in, %.1f ms of CPU", r.BytesOut, r.BytesIn, r.CPU)
 		}
 		leader := line(c.Leader)
-		if c.LeaderLost {
+		if c.LeaderChanged {
 			leader = "can't be told, another one leads by now"
 		}
-		fmt.Fprintf(out, "\n  one costs, beyond rest: the leader %s; a controller in the mean %s, %.1f MB by then", leader, line(c.Controller), c.Controller.MB)
+		fmt.Fprintf(out, "\n  one costs, beyond rest: the leader %s; a controller in the mean %s, %.1f MB by then", leader, line(c.Controller), c.Controller.MemoryMB)
 	}
 	fmt.Fprintln(out)
 }
--- a/internal/bench/scale_compare.go
+++ b/internal/bench/scale_compare.go
@@ -14,22 +14,22 @@
 	compareSettle  = 2 * time.Second
 )
 
-// compare holds a fleet that is half hollow against one of processes alone, of s.Compare
+// compareHollowWithReal holds a fleet that is half hollow against one of processes alone, of s.Compare
 // controllers each, both at the same time and at rest. It gives the ratio, hollow by
 // real, that is the furthest from 1: of the leader's bytes and messages, sent and
 // received, and processor time, and of the bytes and messages of the others.
-func (s Scale) compare(ctx context.Context, out io.Writer) (worst float64, err error) {
+func (s Scale) compareHollowWithReal(ctx context.Context, out io.Writer) (worst float64, err error) {
 	half := s
 	half.Controllers, half.Real, half.Relays, half.SetAside = s.Compare, (s.Compare+1)/2, 0, false
-	half.Engines, half.Linked, half.Faults = compareEngines, false, nil
+	half.Engines, half.LinkDelays, half.Faults = compareEngines, false, nil
 	whole := half
 	whole.Real = s.Compare
 	runs := []Scale{whole, half}
-	spent, errs := make([]scaleSpent, len(runs)), make([]error, len(runs))
+	spent, errs := make([]scaleUsage, len(runs)), make([]error, len(runs))
 	var group, ready sync.WaitGroup
 	ready.Add(len(runs))
 	for i, run := range runs {
-		group.Go(func() { spent[i], errs[i] = run.restOnly(ctx, &ready) })
+		group.Go(func() { spent[i], errs[i] = run.measureRestOnly(ctx, &ready) })
 	}
 	group.Wait()
 	for _, err := range errs {
@@ -44,21 +44,21 @@
 	return worst, nil
 }
 
-// restOnly starts a fleet and looks at it at rest, once all of them are ready.
-func (s Scale) restOnly(ctx context.Context, ready *sync.WaitGroup) (scaleSpent, error) {
-	f, err := s.begin(ctx, scaleFleets.Add(1))
+// measureRestOnly starts a fleet and looks at it at rest, once all of them are ready.
+func (s Scale) measureRestOnly(ctx context.Context, ready *sync.WaitGroup) (scaleUsage, error) {
+	f, err := s.startFleet(ctx, scaleFleetCount.Add(1))
 	ready.Done()
 	if err != nil {
-		return scaleSpent{}, err
+		return scaleUsage{}, err
 	}
 	defer f.close()
 	ready.Wait()
 	sleep(ctx, max(compareSettle, s.Lease))
-	return f.restFor(s.Rest)
+	return f.measureRest(s.Rest)
 }
 
 // worstRatio is that of b to a which is the furthest from 1.
-func worstRatio(a, b scaleSpent) float64 {
+func worstRatio(a, b scaleUsage) float64 {
 	worst := 1.0
 	hold := func(x, y float64) {
 		if x > 0 && y > 0 && math.Abs(math.Log(y/x)) > math.Abs(math.Log(worst)) {
--- a/internal/bench/scale_faults.go
+++ b/internal/bench/scale_faults.go
@@ -13,101 +13,101 @@
 
 // scaleFault is something that befalls the fleet while the policy changes.
 type scaleFault struct {
-	about string
-	play  func(*scaleFleet, *scalePhase) error
+	description string
+	inject      func(*scaleFleet, *scalePhase) error
 }
 
 var scaleFaults map[string]*scaleFault
 
 func init() { // the plays look the table up
 	scaleFaults = map[string]*scaleFault{
-		"killed":      {"a controller is killed", (*scaleFleet).controllerKilled},
-		"paused":      {"a controller is stopped by SIGSTOP past its lease", (*scaleFleet).controllerPaused},
-		"leader":      {"the leader is killed", (*scaleFleet).leaderKilled},
-		"relay":       {"a relay is killed", (*scaleFleet).relayKilled},
-		"zone":        {"a zone's controllers are stopped at once and come back together", (*scaleFleet).zoneStopped},
-		"restart":     {"100 controllers, or a sixth, are restarted within 10 s", (*scaleFleet).manyRestarted},
-		slowDiskFault: {fmt.Sprintf("the disk of one voter, a hollow one, takes %v for each write", slowWrite), (*scaleFleet).diskSlowed},
-		"regions":     {"the regions hear nothing of each other for two leases", (*scaleFleet).regionsCut},
+		"killed":      {"a controller is killed", (*scaleFleet).killController},
+		"paused":      {"a controller is stopped by SIGSTOP past its lease", (*scaleFleet).pauseController},
+		"leader":      {"the leader is killed", (*scaleFleet).killLeader},
+		"relay":       {"a relay is killed", (*scaleFleet).killRelay},
+		"zone":        {"a zone's controllers are stopped at once and come back together", (*scaleFleet).restartZone},
+		"restart":     {"100 controllers, or a sixth, are restarted within 10 s", (*scaleFleet).restartMany},
+		slowDiskFault: {fmt.Sprintf("the disk of one voter, a hollow one, takes %v for each write", slowDiskWriteDelay), (*scaleFleet).slowVoterDisk},
+		"regions":     {"the regions hear nothing of each other for two leases", (*scaleFleet).cutRegionsTemporarily},
 	}
 }
 
 // ScaleFaults are the names of all faults with what they are, in order.
 func ScaleFaults() (l []string) {
 	for _, name := range slices.Sorted(maps.Keys(scaleFaults)) {
-		l = append(l, name+": "+scaleFaults[name].about)
+		l = append(l, name+": "+scaleFaults[name].description)
 	}
 	return l
 }
 
-// ScaleFaultError is a fault that there is none of.
-type ScaleFaultError struct{ Name string }
+// UnknownScaleFaultError is a fault that there is none of.
+type UnknownScaleFaultError struct{ Name string }
 
-func (e *ScaleFaultError) Error() string { return fmt.Sprintf("no fault is called %q", e.Name) }
+func (e *UnknownScaleFaultError) Error() string { return fmt.Sprintf("no fault is called %q", e.Name) }
 
 // Remedy says what to do.
-func (e *ScaleFaultError) Remedy() string {
+func (e *UnknownScaleFaultError) Remedy() string {
 	return "name some of " + fmt.Sprint(slices.Sorted(maps.Keys(scaleFaults)))
 }
 
 const (
-	samplePause   = time.Second // between two looks at each real one during a fault
-	restartWithin = 10 * time.Second
-	restartMost   = 100
+	scaleSampleInterval  = time.Second // between two looks at each real one during a fault
+	scaleRestartDuration = 10 * time.Second
+	maxScaleRestarts     = 100
 
-	slowDiskFault = "disk"
-	slowWrite     = 200 * time.Millisecond
-	slowChanges   = 5
+	slowDiskFault      = "disk"
+	slowDiskWriteDelay = 200 * time.Millisecond
+	slowDiskChanges    = 5
 )
 
-// playFault has it befall the fleet, and waits until all serve again.
-func (f *scaleFleet) playFault(name string) (phase scalePhase, err error) {
+// runFaultPhase has it befall the fleet, and waits until all serve again.
+func (f *scaleFleet) runFaultPhase(name string) (phase scalePhase, err error) {
 	fault := scaleFaults[name]
-	phase = scalePhase{Name: fault.about, Fault: true}
+	phase = scalePhase{Name: fault.description, IsFault: true}
 	ctx, stop := context.WithCancel(f.ctx)
-	f.sampleDuring(ctx)
+	f.startSampling(ctx)
 	begin := time.Now()
-	err = fault.play(f, &phase)
+	err = fault.inject(f, &phase)
 	if err == nil {
-		err = f.awaitAll()
+		err = f.awaitAllServing()
 	}
-	phase.Back = time.Since(begin)
+	phase.RecoveryTime = time.Since(begin)
 	stop()
-	f.running.Wait()
+	f.samplers.Wait()
 	if n := len(f.hollow); n > 0 {
 		for at := begin.Add(time.Second); at.Before(time.Now()); at = at.Add(time.Second) {
-			phase.Serving = append(phase.Serving, float64(f.judge.servingAt(at))/float64(n))
+			phase.ServingShares = append(phase.ServingShares, float64(f.checker.countServingAt(at))/float64(n))
 		}
 	}
 	return phase, err
 }
 
-// sampleDuring sees how each real one serves again and again.
-func (f *scaleFleet) sampleDuring(ctx context.Context) {
+// startSampling sees how each real one serves again and again.
+func (f *scaleFleet) startSampling(ctx context.Context) {
 	for _, m := range f.real {
-		f.running.Go(func() {
+		f.samplers.Go(func() {
 			for ctx.Err() == nil { // one that is stopped or down is asked in vain
-				f.sample(ctx, m.name, m.process.operator)
-				sleep(ctx, samplePause)
+				f.sampleStatus(ctx, m.name, m.process.operator)
+				sleep(ctx, scaleSampleInterval)
 			}
 		})
 	}
 }
 
-// changeDuring asks for a change of the usual size and keeps what came of it.
-func (f *scaleFleet) changeDuring(phase *scalePhase) error {
-	c, err := f.change(f.PolicyBytes)
+// changePolicyInPhase asks for a change of the usual size and keeps what came of it.
+func (f *scaleFleet) changePolicyInPhase(phase *scalePhase) error {
+	c, err := f.changePolicy(f.PolicyBytes)
 	if err == nil {
 		phase.Changes = append(phase.Changes, c)
 	}
 	return err
 }
 
-// plainReal are the real controllers that neither vote nor relay; voters that don't lead
+// realWithoutRole are the real controllers that neither vote nor relay; voters that don't lead
 // where there are none.
-func (f *scaleFleet) plainReal(leader *scaleMember) (l []*scaleMember) {
+func (f *scaleFleet) realWithoutRole(leader *scaleMember) (l []*scaleMember) {
 	for _, m := range f.real {
-		if !m.votes && !m.relay {
+		if !m.isVoter && !m.isRelay {
 			l = append(l, m)
 		}
 	}
@@ -117,73 +117,73 @@
 	return slices.DeleteFunc(slices.Clone(f.real), func(m *scaleMember) bool { return m == leader })
 }
 
-// anyPlain draws a real controller that does nothing but follow.
-func (f *scaleFleet) anyPlain() (*scaleMember, error) {
-	leader, err := f.leader()
+// pickRealWithoutRole draws a real controller that does nothing but follow.
+func (f *scaleFleet) pickRealWithoutRole() (*scaleMember, error) {
+	leader, err := f.findLeader()
 	if err != nil {
 		return nil, err
 	}
-	l := f.plainReal(leader)
-	return l[f.random(uint64(f.serial)+2).IntN(len(l))], nil
+	l := f.realWithoutRole(leader)
+	return l[f.newRand(uint64(f.changeCount)+2).IntN(len(l))], nil
 }
 
-func (f *scaleFleet) controllerKilled(phase *scalePhase) error {
-	m, err := f.anyPlain()
+func (f *scaleFleet) killController(phase *scalePhase) error {
+	m, err := f.pickRealWithoutRole()
 	if err != nil {
 		return err
 	}
-	return f.killedDuring(phase, m)
+	return f.changePolicyWhileDown(phase, m)
 }
 
-// killedDuring kills a process, changes the policy at once, and starts it again.
-func (f *scaleFleet) killedDuring(phase *scalePhase, m *scaleMember) error {
+// changePolicyWhileDown kills a process, changes the policy at once, and starts it again.
+func (f *scaleFleet) changePolicyWhileDown(phase *scalePhase, m *scaleMember) error {
 	m.process.kill()
-	if err := f.changeDuring(phase); err != nil {
+	if err := f.changePolicyInPhase(phase); err != nil {
 		return err
 	}
 	return m.process.start(f.ctx)
 }
 
-func (f *scaleFleet) leaderKilled(phase *scalePhase) error {
-	leader, err := f.leader()
+func (f *scaleFleet) killLeader(phase *scalePhase) error {
+	leader, err := f.findLeader()
 	if err != nil {
 		return err
 	}
-	return f.killedDuring(phase, leader)
+	return f.changePolicyWhileDown(phase, leader)
 }
 
-func (f *scaleFleet) relayKilled(phase *scalePhase) error {
+func (f *scaleFleet) killRelay(phase *scalePhase) error {
 	for _, m := range f.real {
-		if m.relay {
-			return f.killedDuring(phase, m)
+		if m.isRelay {
+			return f.changePolicyWhileDown(phase, m)
 		}
 	}
 	return nil // there is none: nothing is changed, and the phase shows no change
 }
 
-func (f *scaleFleet) controllerPaused(phase *scalePhase) error {
-	m, err := f.anyPlain()
+func (f *scaleFleet) pauseController(phase *scalePhase) error {
+	m, err := f.pickRealWithoutRole()
 	if err != nil {
 		return err
 	}
 	if err := m.process.pause(); err != nil {
 		return err
 	}
-	err = f.changeDuring(phase)
+	err = f.changePolicyInPhase(phase)
 	if resumed := m.process.resume(); err == nil {
 		err = resumed
 	}
 	return err
 }
 
-// zoneStopped ends all of a zone that don't vote or relay, and starts them together.
-func (f *scaleFleet) zoneStopped(phase *scalePhase) error {
+// restartZone ends all of a zone that don't vote or relay, and starts them together.
+func (f *scaleFleet) restartZone(phase *scalePhase) error {
 	zone := f.real[len(f.real)-1].place.Zone
 	var hollows []string
 	var processes []*scaleMember
 	for _, m := range f.members {
 		switch {
-		case m.place.Zone != zone || m.votes || m.relay:
+		case m.place.Zone != zone || m.isVoter || m.isRelay:
 		case m.process != nil:
 			processes = append(processes, m)
 		default:
@@ -193,10 +193,10 @@
 	for _, m := range processes {
 		m.process.kill()
 	}
-	if err := f.commandHollow(hollow.Stop, hollows); err != nil {
+	if err := f.sendHollowAction(hollow.Stop, hollows); err != nil {
 		return err
 	}
-	if err := f.changeDuring(phase); err != nil {
+	if err := f.changePolicyInPhase(phase); err != nil {
 		return err
 	}
 	for _, m := range processes {
@@ -204,30 +204,30 @@
 			return err
 		}
 	}
-	if err := f.commandHollow(hollow.Start, hollows); err != nil {
+	if err := f.sendHollowAction(hollow.Start, hollows); err != nil {
 		return err
 	}
-	return f.changeDuring(phase) // while they come back
+	return f.changePolicyInPhase(phase) // while they come back
 }
 
-// commandHollow has some hollow controllers do something; none: nobody.
-func (f *scaleFleet) commandHollow(do string, names []string) error {
+// sendHollowAction has some hollow controllers do something; none: nobody.
+func (f *scaleFleet) sendHollowAction(do string, names []string) error {
 	if len(names) == 0 {
 		return nil
 	}
-	return f.tellHollow(hollow.Command{Do: do, Names: names})
+	return f.sendHollowCommand(hollow.Command{Do: do, Names: names})
 }
 
-// manyRestarted stops and starts 100, or a sixth of all, evenly over 10 s, with changes
+// restartMany stops and starts 100, or a sixth of all, evenly over 10 s, with changes
 // all the while.
-func (f *scaleFleet) manyRestarted(phase *scalePhase) error {
+func (f *scaleFleet) restartMany(phase *scalePhase) error {
 	var names []string
 	for _, m := range f.hollow {
-		if !m.votes {
+		if !m.isVoter {
 			names = append(names, m.name)
 		}
 	}
-	names = names[:min(len(names), restartMost, f.Controllers/6)]
+	names = names[:min(len(names), maxScaleRestarts, f.Controllers/6)]
 	if len(names) == 0 {
 		return nil
 	}
@@ -235,13 +235,13 @@
 	go func() {
 		var err error
 		for _, name := range names {
-			if err = f.commandHollow(hollow.Stop, []string{name}); err == nil {
-				err = f.commandHollow(hollow.Start, []string{name})
+			if err = f.sendHollowAction(hollow.Stop, []string{name}); err == nil {
+				err = f.sendHollowAction(hollow.Start, []string{name})
 			}
 			if err != nil {
 				break
 			}
-			sleep(f.ctx, restartWithin/time.Duration(len(names)))
+			sleep(f.ctx, scaleRestartDuration/time.Duration(len(names)))
 		}
 		done <- err
 	}()
@@ -251,39 +251,39 @@
 			return err
 		default:
 		}
-		if err := f.changeDuring(phase); err != nil {
+		if err := f.changePolicyInPhase(phase); err != nil {
 			<-done
 			return err
 		}
-		sleep(f.ctx, samplePause)
+		sleep(f.ctx, scaleSampleInterval)
 	}
 }
 
-// regionsCut lets nothing pass between the regions for two leases, changes the policy
+// cutRegionsTemporarily lets nothing pass between the regions for two leases, changes the policy
 // meanwhile, and again once they hear each other.
-func (f *scaleFleet) regionsCut(phase *scalePhase) error {
-	if !f.Linked {
+func (f *scaleFleet) cutRegionsTemporarily(phase *scalePhase) error {
+	if !f.LinkDelays {
 		return &ScaleSizeError{"links", 0, "are none that could be cut"}
 	}
-	f.cutRegions(true)
-	if err := f.tellHollow(hollow.Command{Do: hollow.Cut}); err != nil {
+	f.setRegionCut(true)
+	if err := f.sendHollowCommand(hollow.Command{Do: hollow.Cut}); err != nil {
 		return err
 	}
 	begin := time.Now()
-	err := f.changeDuring(phase)
+	err := f.changePolicyInPhase(phase)
 	sleep(f.ctx, 2*f.Lease-time.Since(begin))
-	f.cutRegions(false)
-	if healed := f.tellHollow(hollow.Command{Do: hollow.Heal}); err == nil {
+	f.setRegionCut(false)
+	if healed := f.sendHollowCommand(hollow.Command{Do: hollow.Heal}); err == nil {
 		err = healed
 	}
 	if err != nil {
 		return err
 	}
-	return f.changeDuring(phase)
+	return f.changePolicyInPhase(phase)
 }
 
-// cutRegions holds all up between processes of two regions, or lets it pass in its time.
-func (f *scaleFleet) cutRegions(cut bool) {
+// setRegionCut holds all up between processes of two regions, or lets it pass in its time.
+func (f *scaleFleet) setRegionCut(cut bool) {
 	if !cut {
 		f.delayLinks()
 		return
@@ -297,17 +297,17 @@
 	}
 }
 
-// diskSlowed has each write of a voter's record take long, changes the policy some times,
+// slowVoterDisk has each write of a voter's record take long, changes the policy some times,
 // and lets it go as before.
-func (f *scaleFleet) diskSlowed(phase *scalePhase) error {
+func (f *scaleFleet) slowVoterDisk(phase *scalePhase) error {
 	voter := f.members[f.Voters-1].name
-	if err := f.tellHollow(hollow.Command{Do: hollow.Delay, Names: []string{voter}, Delay: slowWrite}); err != nil {
+	if err := f.sendHollowCommand(hollow.Command{Do: hollow.Delay, Names: []string{voter}, Delay: slowDiskWriteDelay}); err != nil {
 		return err
 	}
-	for range slowChanges {
-		if err := f.changeDuring(phase); err != nil {
+	for range slowDiskChanges {
+		if err := f.changePolicyInPhase(phase); err != nil {
 			return err
 		}
 	}
-	return f.tellHollow(hollow.Command{Do: hollow.Delay, Names: []string{voter}, Delay: storeDelay})
+	return f.sendHollowCommand(hollow.Command{Do: hollow.Delay, Names: []string{voter}, Delay: scaleWriteDelay})
 }
--- a/internal/bench/scale_growth.go
+++ b/internal/bench/scale_growth.go
@@ -23,15 +23,15 @@
 	Record  func([]ScaleRow) error
 }
 
-// Grown is what a voter with a record is like.
-type Grown struct {
+// GrowthResult is what a voter with a record is like.
+type GrowthResult struct {
 	Members, Changes int
-	Entries          int
+	LogEntries       int
 	SnapshotBytes    int
 	FileBytes        int64         // of the record on disk, once it serves
-	Start            time.Duration // from being started until it serves
-	MB               float64       // resident once it serves
-	InForce          time.Duration // a change, from being asked for until the word
+	StartTime        time.Duration // from being started until it serves
+	MemoryMB         float64       // resident once it serves
+	ChangeTime       time.Duration // a change, from being asked for until the word
 }
 
 const entriesBetweenSnapshots = 50_000
@@ -69,13 +69,13 @@
 				return err
 			}
 		}
-		grown, err := g.look(ctx, address, b)
+		grown, err := g.measure(ctx, address, b)
 		if err != nil {
 			return err
 		}
 		grown.Members, grown.Changes = members, changes
 		fmt.Fprintf(out, "%d members that came and went, %d changes: %d entries, snapshot %d bytes, file %d bytes, serves after %.2f s, %.1f MB, a change in %.0f ms\n",
-			members, changes, grown.Entries, grown.SnapshotBytes, grown.FileBytes, grown.Start.Seconds(), grown.MB, inMS(grown.InForce))
+			members, changes, grown.LogEntries, grown.SnapshotBytes, grown.FileBytes, grown.StartTime.Seconds(), grown.MemoryMB, inMS(grown.ChangeTime))
 		rows = append(rows, g.rows(grown)...)
 	}
 	if g.Record != nil {
@@ -84,24 +84,24 @@
 	return nil
 }
 
-// look starts a voter from the record as it is.
-func (g Growth) look(ctx context.Context, feedAddress string, b *recordBuilder) (grown Grown, err error) {
+// measure starts a voter from the record as it is.
+func (g Growth) measure(ctx context.Context, feedAddress string, b *recordBuilder) (grown GrowthResult, err error) {
 	if err := b.compact(); err != nil {
 		return grown, err
 	}
-	grown.Entries, grown.SnapshotBytes = int(b.state.Index), len(b.kept.Snapshot.Data)
+	grown.LogEntries, grown.SnapshotBytes = int(b.state.Index), len(b.kept.Snapshot.Data)
 	f, took, err := Many{Program: g.Program, Lease: g.Lease}.startFrom(ctx, feedAddress, b.kept)
 	if err != nil {
 		return grown, err
 	}
 	defer f.close()
 	p := f.controllers[0]
-	grown.Start = took
+	grown.StartTime = took
 	used, err := usageOf(p.command.Process.Pid)
 	if err != nil {
 		return grown, err
 	}
-	grown.MB = used.Resident
+	grown.MemoryMB = used.Resident
 	asked := time.Now()
 	r, err := p.ask(ctx, &fleet.Request{Kind: "apply", ID: "grown", BaseVersion: b.state.Version, Policy: policyText(1, 1000), WaitMs: inForceWithin.Milliseconds()})
 	if err != nil {
@@ -110,13 +110,13 @@
 	if r.Outcome != "in force" {
 		return grown, fmt.Errorf("a change is %s: %s", r.Outcome, r.Reason)
 	}
-	grown.InForce = time.Since(asked)
-	grown.FileBytes, err = sizeOf(p.directory)
+	grown.ChangeTime = time.Since(asked)
+	grown.FileBytes, err = directorySize(p.directory)
 	return grown, err
 }
 
-// sizeOf is what a directory's files have together.
-func sizeOf(directory string) (sum int64, err error) {
+// directorySize is what a directory's files have together.
+func directorySize(directory string) (sum int64, err error) {
 	entries, err := os.ReadDir(directory)
 	for _, e := range entries {
 		about, statErr := os.Stat(filepath.Join(directory, e.Name()))
@@ -129,14 +129,14 @@
 }
 
 // rows are its figures; their size is the number of members that came and went.
-func (g Growth) rows(x Grown) (rows []ScaleRow) {
+func (g Growth) rows(x GrowthResult) (rows []ScaleRow) {
 	add := func(what string, value float64, unit string) {
 		rows = append(rows, ScaleRow{"voter", fmt.Sprintf("grown by %d changes, %s", x.Changes, what), x.Members, g.Seed, value, unit})
 	}
 	add("snapshot", float64(x.SnapshotBytes), "bytes")
 	add("record file", float64(x.FileBytes), "bytes")
-	add("start until it serves", inMS(x.Start), "ms")
-	add("memory", x.MB, "MB")
-	add("a change told in force", inMS(x.InForce), "ms")
+	add("start until it serves", inMS(x.StartTime), "ms")
+	add("memory", x.MemoryMB, "MB")
+	add("a change told in force", inMS(x.ChangeTime), "ms")
 	return rows
 }
--- a/internal/bench/scale_measure.go
+++ b/internal/bench/scale_measure.go
@@ -6,29 +6,29 @@
 	"time"
 )
 
-// UsualScale is a scale run as the capacity page has them, of a size.
-func UsualScale(program string, controllers int) Scale {
+// DefaultScale is a scale run as the capacity page has them, of a size.
+func DefaultScale(program string, controllers int) Scale {
 	return Scale{Program: program, Controllers: controllers, Real: min(controllers, 12), Voters: 3, Engines: 740, Seed: 1, Lease: 2 * time.Second,
-		Settle: 5 * time.Second, Rest: 20 * time.Second, Changes: 24, Large: 4, PolicyBytes: 1000, LargeBytes: 100_000,
-		Faults: []string{"killed", "paused", "leader", "zone", "restart", "regions"}, Compare: 40, Linked: true}
+		Settle: 5 * time.Second, Rest: 20 * time.Second, Changes: 24, LargeChanges: 4, PolicyBytes: 1000, LargeBytes: 100_000,
+		Faults: []string{"killed", "paused", "leader", "zone", "restart", "regions"}, Compare: 40, LinkDelays: true}
 }
 
-// relaysOfScale are as many as the capacity page recommends for 580 controllers.
-const relaysOfScale = 4
+// recommendedRelays are as many as the capacity page recommends for 580 controllers.
+const recommendedRelays = 4
 
 // WithRelays has voters and relays on machines set aside for control, the relays as
 // processes beside the others, and one of them killed, too.
 func (s Scale) WithRelays() Scale {
-	s.SetAside, s.Relays = true, relaysOfScale
-	s.Real = min(s.Controllers, s.Real+relaysOfScale)
+	s.SetAside, s.Relays = true, recommendedRelays
+	s.Real = min(s.Controllers, s.Real+recommendedRelays)
 	s.Faults = append([]string{"relay"}, s.Faults...)
 	return s
 }
 
 // MeasureScale plays the run at full size, with relays, in short form: under 50 s.
 func MeasureScale(ctx context.Context, out io.Writer, program string, seed uint64) error {
-	s := UsualScale(program, 580)
-	s.Seed, s.Settle, s.Rest, s.Changes, s.Large = seed, time.Second, 3*time.Second, 15, 2
+	s := DefaultScale(program, 580)
+	s.Seed, s.Settle, s.Rest, s.Changes, s.LargeChanges = seed, time.Second, 3*time.Second, 15, 2
 	s.Faults = []string{"killed", "leader", "zone"}
 	return s.WithRelays().Run(ctx, out)
 }
--- a/internal/bench/scale_test.go
+++ b/internal/bench/scale_test.go
@@ -13,8 +13,8 @@
 	"railrelay.dev/railrelay/internal/fleet"
 )
 
-// laboratory builds railrelay-bench beside the programs.
-func laboratory(t *testing.T) (program, benchProgram string) {
+// buildPrograms builds railrelay-bench beside the programs.
+func buildPrograms(t *testing.T) (program, benchProgram string) {
 	program = both(t)
 	benchProgram = filepath.Join(filepath.Dir(program), "railrelay-bench")
 	if out, err := exec.Command("go", "build", "-o", benchProgram, "../../cmd/railrelay-bench").CombinedOutput(); err != nil {
@@ -23,11 +23,11 @@
 	return program, benchProgram
 }
 
-func TestASmallScaleRun(t *testing.T) {
-	program, benchProgram := laboratory(t)
+func TestScaleRunWithFaultsFindsNoViolations(t *testing.T) {
+	program, benchProgram := buildPrograms(t)
 	var rows []ScaleRow
-	s := Scale{Program: program, Laboratory: benchProgram, Controllers: 14, Real: 4, Voters: 3, Engines: 5, Seed: 3, Lease: time.Second, Rest: time.Second,
-		Changes: 3, Large: 1, PolicyBytes: 1000, LargeBytes: 20_000, Faults: []string{"killed", "regions"}, Linked: true,
+	s := Scale{Program: program, BenchProgram: benchProgram, Controllers: 14, Real: 4, Voters: 3, Engines: 5, Seed: 3, Lease: time.Second, Rest: time.Second,
+		Changes: 3, LargeChanges: 1, PolicyBytes: 1000, LargeBytes: 20_000, Faults: []string{"killed", "regions"}, LinkDelays: true,
 		Record: func(l []ScaleRow) error { rows = l; return nil }}
 	var out bytes.Buffer
 	if err := s.Run(t.Context(), &out); err != nil {
@@ -50,8 +50,8 @@
 	}
 }
 
-func TestASizeThatCantBePlayedIsRefused(t *testing.T) {
-	good := UsualScale("none", 40)
+func TestScaleRunRefusesImpossibleSettings(t *testing.T) {
+	good := DefaultScale("none", 40)
 	for name, spoil := range map[string]func(*Scale){
 		"controllers: 0":    func(s *Scale) { s.Controllers, s.Real = 0, 0 },
 		"controllers: 1 ":   func(s *Scale) { s.Controllers, s.Real = 1, 1 },
@@ -64,7 +64,7 @@
 		"relays: 10":        func(s *Scale) { s.Relays = 10 },
 		"relays: 1":         func(s *Scale) { s.Relays = 1 },
 		"engines: 0":        func(s *Scale) { s.Engines = 0 },
-		"large: 25":         func(s *Scale) { s.Large = 25 },
+		"large: 25":         func(s *Scale) { s.LargeChanges = 25 },
 		"compare: 2":        func(s *Scale) { s.Compare = 2 },
 		"file descriptors":  func(s *Scale) { s.Controllers, s.Real, s.Engines = 1000, 1000, 9000 },
 		"memory":            func(s *Scale) { s.Controllers, s.Real, s.Engines = 1000, 1000, 1 },
@@ -72,7 +72,7 @@
 	} {
 		s := good
 		spoil(&s)
-		err := s.check()
+		err := s.validate()
 		var remedied fleet.ErrorWithRemedy
 		if !errors.As(err, &remedied) || remedied.Remedy() == "" || !strings.Contains(err.Error(), name) {
 			t.Errorf("%s: %v", name, err)
@@ -83,20 +83,20 @@
 	}
 }
 
-func TestRoomThatAMachineLacks(t *testing.T) {
-	s := UsualScale("none", 580)
-	if err := roomFor("memory", 500, 499, "MB", "free some"); err == nil || !strings.Contains(err.Error(), "500 MB") {
+func TestScaleRunRefusesMissingResources(t *testing.T) {
+	s := DefaultScale("none", 580)
+	if err := checkAvailable("memory", 500, 499, "MB", "free some"); err == nil || !strings.Contains(err.Error(), "500 MB") {
 		t.Error(err)
 	}
-	if err := roomFor("memory", 500, 500, "MB", "free some"); err != nil {
+	if err := checkAvailable("memory", 500, 500, "MB", "free some"); err != nil {
 		t.Error(err)
 	}
-	if n, mb := s.descriptors(), s.memoryMB(); n < 740*12 || n > 20_000 || mb < 500 || mb > 8000 {
+	if n, mb := s.requiredDescriptors(), s.requiredMemoryMB(); n < 740*12 || n > 20_000 || mb < 500 || mb > 8000 {
 		t.Errorf("%d descriptors, %d MB", n, mb)
 	}
 }
 
-func TestScaleErrorsHaveRemedies(t *testing.T) {
+func TestScaleErrorsHaveDistinctRemedies(t *testing.T) {
 	texts := map[string]bool{}
 	for _, e := range Errors() {
 		if e.Error() == "" || e.Remedy() == "" || texts[e.Remedy()] {
@@ -106,7 +106,7 @@
 	}
 }
 
-func TestQuantiles(t *testing.T) {
+func TestQuantileUsesNearestRank(t *testing.T) {
 	l := []time.Duration{1, 2, 3, 4}
 	for q, want := range map[float64]time.Duration{0: 1, 0.25: 1, 0.5: 2, 0.51: 3, 0.99: 4, 1: 4} {
 		if x := quantile(l, q); x != want {
@@ -118,7 +118,7 @@
 	}
 }
 
-func TestAPolicyHasTheSizeAskedFor(t *testing.T) {
+func TestPolicyTextHasRequestedSize(t *testing.T) {
 	for _, size := range []int{0, 1000, 100_000} {
 		if n := len(policyText(3, size)); n < size || n > size+100 {
 			t.Errorf("%d bytes, not %d", n, size)
@@ -129,36 +129,36 @@
 	}
 }
 
-func TestTheFurthestRatioIsTold(t *testing.T) {
-	a := scaleSpent{Leader: scaleRate{BytesOut: 100, BytesIn: 100, CPU: 10}, Mean: scaleRate{BytesOut: 10}}
-	b := scaleSpent{Leader: scaleRate{BytesOut: 104, BytesIn: 90, CPU: 10.5}, Mean: scaleRate{BytesOut: 10.2}}
+func TestWorstRatioIsFurthestFromOne(t *testing.T) {
+	a := scaleUsage{Leader: scaleRate{BytesOut: 100, BytesIn: 100, CPU: 10}, Mean: scaleRate{BytesOut: 10}}
+	b := scaleUsage{Leader: scaleRate{BytesOut: 104, BytesIn: 90, CPU: 10.5}, Mean: scaleRate{BytesOut: 10.2}}
 	if r := worstRatio(a, b); r != 0.9 {
 		t.Error(r)
 	}
 }
 
-func TestSpentOverStretches(t *testing.T) {
-	f := &scaleFleet{members: []*scaleMember{{name: "a", votes: true, process: &controllerProcess{}}, {name: "b", process: &controllerProcess{}}}}
+func TestUsageOverSkipsRestartedControllers(t *testing.T) {
+	f := &scaleFleet{members: []*scaleMember{{name: "a", isVoter: true, process: &controllerProcess{}}, {name: "b", process: &controllerProcess{}}}}
 	zero := time.Now()
-	sight := func(second, run, bytesA, bytesB int, leader string) scaleSight {
-		use := func(run, n int) scaleUse {
-			u := scaleUse{run: run}
+	sight := func(second, run, bytesA, bytesB int, leader string) scaleSnapshot {
+		use := func(run, n int) scaleControllerUsage {
+			u := scaleControllerUsage{pid: run}
 			u.counts.BytesOut = n
 			return u
 		}
-		return scaleSight{at: zero.Add(time.Duration(second) * time.Second), leader: leader, used: map[string]scaleUse{"a": use(run, bytesA), "b": use(1, bytesB)}}
+		return scaleSnapshot{at: zero.Add(time.Duration(second) * time.Second), leader: leader, usage: map[string]scaleControllerUsage{"a": use(run, bytesA), "b": use(1, bytesB)}}
 	}
 	// a leads for 10 s, is killed, and begins to count anew
-	s := f.spentOver(sight(0, 1, 0, 0, "a"), sight(10, 1, 1000, 100, "a"), sight(12, 2, 10, 120, "b"), sight(22, 2, 110, 220, "b"))
+	s := f.usageOver(sight(0, 1, 0, 0, "a"), sight(10, 1, 1000, 100, "a"), sight(12, 2, 10, 120, "b"), sight(22, 2, 110, 220, "b"))
 	if s.Leader.BytesOut != (1000+100)/20. { // of a's and of b's turn
 		t.Errorf("the leader sent %v a second", s.Leader.BytesOut)
 	}
-	if s.Worst.BytesOut != 1100/20. || s.Mean.BytesOut != 10 || s.Seen != 2 {
+	if s.Worst.BytesOut != 1100/20. || s.Mean.BytesOut != 10 || s.Controllers != 2 {
 		t.Errorf("%+v", s)
 	}
 }
 
-func TestARecordThatGrows(t *testing.T) {
+func TestGrowthRunMeasuresLargerLog(t *testing.T) {
 	var rows []ScaleRow
 	var out bytes.Buffer
 	g := Growth{Program: both(t), Members: 200, Changes: 300, Steps: 1, Lease: time.Second, Record: func(l []ScaleRow) error { rows = l; return nil }}
@@ -171,15 +171,15 @@
 	}
 }
 
-func TestTheCostOfAChange(t *testing.T) {
-	rest := scaleSpent{Leader: scaleRate{BytesOut: 100}, Mean: scaleRate{BytesOut: 10, MB: 20}}
-	busy := scaleSpent{Span: 10 * time.Second, Leader: scaleRate{BytesOut: 160}, Mean: scaleRate{BytesOut: 13, MB: 50}}
+func TestCostOfChangeSubtractsRest(t *testing.T) {
+	rest := scaleUsage{Leader: scaleRate{BytesOut: 100}, Mean: scaleRate{BytesOut: 10, MemoryMB: 20}}
+	busy := scaleUsage{Duration: 10 * time.Second, Leader: scaleRate{BytesOut: 160}, Mean: scaleRate{BytesOut: 13, MemoryMB: 50}}
 	c := costOfChange(busy, rest, 5)
-	if c.Leader.BytesOut != 120 || c.Controller.BytesOut != 6 || c.Controller.MB != 50 || c.LeaderLost {
+	if c.Leader.BytesOut != 120 || c.Controller.BytesOut != 6 || c.Controller.MemoryMB != 50 || c.LeaderChanged {
 		t.Errorf("%+v", c)
 	}
 	busy.Leader = scaleRate{} // nobody led from begin to end
-	if c = costOfChange(busy, rest, 5); !c.LeaderLost || c.Leader != (scaleRate{}) || c.Controller.BytesOut != 6 {
+	if c = costOfChange(busy, rest, 5); !c.LeaderChanged || c.Leader != (scaleRate{}) || c.Controller.BytesOut != 6 {
 		t.Errorf("%+v", c)
 	}
 }
--- a/internal/bench/scale_usage.go
+++ b/internal/bench/scale_usage.go
@@ -8,25 +8,25 @@
 	"railrelay.dev/railrelay/internal/emulator/hollow"
 )
 
-// scaleSight is what every controller has used up to a moment.
-type scaleSight struct {
+// scaleSnapshot is what every controller has used up to a moment.
+type scaleSnapshot struct {
 	at     time.Time
 	leader string
-	used   map[string]scaleUse
+	usage  map[string]scaleControllerUsage
 }
 
-// scaleUse is what one controller has used since it was started. A hollow one has an
+// scaleControllerUsage is what one controller has used since it was started. A hollow one has an
 // equal part of its process.
-type scaleUse struct {
+type scaleControllerUsage struct {
 	processUsage
-	run    int // its process's id: another one has begun to count anew
+	pid    int // its process's id: another one has begun to count anew
 	counts hollow.Counts
 }
 
-// look sees what all have used. Who can't be asked is left out.
-func (f *scaleFleet) look() (sight scaleSight, err error) {
-	sight = scaleSight{used: map[string]scaleUse{}}
-	leader, err := f.leader()
+// takeSnapshot sees what all have used. Who can't be asked is left out.
+func (f *scaleFleet) takeSnapshot() (sight scaleSnapshot, err error) {
+	sight = scaleSnapshot{usage: map[string]scaleControllerUsage{}}
+	leader, err := f.findLeader()
 	if err != nil {
 		return sight, err
 	}
@@ -43,11 +43,11 @@
 		if err != nil {
 			return sight, err
 		}
-		sight.used[m.name] = scaleUse{processUsage: used, run: m.process.command.Process.Pid, counts: *hollow.ParseCounts(status.Counts, "wire_")}
+		sight.usage[m.name] = scaleControllerUsage{processUsage: used, pid: m.process.command.Process.Pid, counts: *hollow.ParseCounts(status.Counts, "wire_")}
 	}
-	f.round++
-	for _, p := range f.hollows {
-		counts, err := p.counts(f.round)
+	f.countRound++
+	for _, p := range f.hollowProcesses {
+		counts, err := p.collectCounts(f.countRound)
 		if err != nil {
 			return sight, err
 		}
@@ -58,7 +58,7 @@
 		n := len(p.names)
 		share := processUsage{used.CPU / time.Duration(n), used.Resident / float64(n)}
 		for name, c := range counts {
-			sight.used[name] = scaleUse{processUsage: share, run: p.command.Process.Pid, counts: *c}
+			sight.usage[name] = scaleControllerUsage{processUsage: share, pid: p.command.Process.Pid, counts: *c}
 		}
 	}
 	return sight, nil
@@ -70,75 +70,75 @@
 	FramesOut, FramesIn     float64 // bytes of frames alone
 	MessagesOut, MessagesIn float64
 	CPU                     float64 // milliseconds
-	MB                      float64 // resident at the end
+	MemoryMB                float64 // resident at the end
 }
 
 // bytes are sent and received ones together.
 func (r scaleRate) bytes() float64 { return r.BytesOut + r.BytesIn }
 
-// scaleSpent is what controllers spent in a span, by roles.
-type scaleSpent struct {
-	Span       time.Duration
-	Seen       int       // controllers that ran for at least one stretch of it
-	Leader     scaleRate // whoever led, over the stretches that it led
-	LeaderName string
-	Voter      scaleRate // the mean of those that don't lead
-	Relay      scaleRate // the worst, by each figure
-	Mean       scaleRate // of controllers without another role; CPU and MB of real ones
-	Worst      scaleRate // of all that aren't on machines set aside, by each figure; CPU and MB of real ones
+// scaleUsage is what controllers spent in a span, by roles.
+type scaleUsage struct {
+	Duration    time.Duration
+	Controllers int       // controllers that ran for at least one stretch of it
+	Leader      scaleRate // whoever led, over the stretches that it led
+	LeaderName  string
+	Voter       scaleRate // the mean of those that don't lead
+	Relay       scaleRate // the worst, by each figure
+	Mean        scaleRate // of controllers without another role; CPU and MB of real ones
+	Worst       scaleRate // of all that aren't on machines set aside, by each figure; CPU and MB of real ones
 }
 
-// scaleTotal sums what one controller spent over the stretches in which it was seen.
-type scaleTotal struct {
+// scaleRateTotal sums what one controller spent over the stretches in which it was seen.
+type scaleRateTotal struct {
 	seconds float64
 	sum     scaleRate // not divided by the seconds yet; MB is the most
 }
 
-func (t *scaleTotal) add(rate scaleRate, seconds float64) {
+func (t *scaleRateTotal) add(rate scaleRate, seconds float64) {
 	t.seconds += seconds
-	most := max(t.sum.MB, rate.MB)
+	most := max(t.sum.MemoryMB, rate.MemoryMB)
 	for i, x := range rate.fields() {
 		*t.sum.fields()[i] += *x * seconds
 	}
-	t.sum.MB = most
+	t.sum.MemoryMB = most
 }
 
 // rate is the mean over the stretches.
-func (t *scaleTotal) rate() scaleRate {
+func (t *scaleRateTotal) rate() scaleRate {
 	if t.seconds == 0 {
 		return scaleRate{}
 	}
-	mean, most := t.sum, t.sum.MB
+	mean, most := t.sum, t.sum.MemoryMB
 	for _, x := range mean.fields() {
 		*x /= t.seconds
 	}
-	mean.MB = most
+	mean.MemoryMB = most
 	return mean
 }
 
-// stretch is what a member spent between two sights; false if it wasn't seen at both or
+// rateBetween is what a member spent between two sights; false if it wasn't seen at both or
 // was started anew in between.
-func (m *scaleMember) stretch(a, b scaleSight) (rate scaleRate, seen bool) {
-	x, was := a.used[m.name]
-	y, is := b.used[m.name]
-	if !was || !is || x.run != y.run || y.counts.BytesOut < x.counts.BytesOut {
+func (m *scaleMember) rateBetween(a, b scaleSnapshot) (rate scaleRate, seen bool) {
+	x, was := a.usage[m.name]
+	y, is := b.usage[m.name]
+	if !was || !is || x.pid != y.pid || y.counts.BytesOut < x.counts.BytesOut {
 		return rate, false
 	}
 	return rateOf(x, y, b.at.Sub(a.at)), true
 }
 
-// spentOver holds each sight against the next. A controller's figures are over the
+// usageOver holds each sight against the next. A controller's figures are over the
 // stretches in which it ran from begin to end, the leader's over those that it led.
-func (f *scaleFleet) spentOver(sights ...scaleSight) scaleSpent {
+func (f *scaleFleet) usageOver(sights ...scaleSnapshot) scaleUsage {
 	last := sights[len(sights)-1]
-	spent := scaleSpent{Span: last.at.Sub(sights[0].at), LeaderName: last.leader}
-	var leading scaleTotal
+	spent := scaleUsage{Duration: last.at.Sub(sights[0].at), LeaderName: last.leader}
+	var leading scaleRateTotal
 	var voters, plain, plainReal []scaleRate
 	for _, m := range f.members {
-		var total scaleTotal
+		var total scaleRateTotal
 		for i := 1; i < len(sights); i++ {
 			a, b := sights[i-1], sights[i]
-			rate, seen := m.stretch(a, b)
+			rate, seen := m.rateBetween(a, b)
 			if !seen {
 				continue
 			}
@@ -150,53 +150,53 @@
 		if total.seconds == 0 {
 			continue
 		}
-		spent.Seen++
+		spent.Controllers++
 		rate := total.rate()
 		switch {
-		case m.votes && m.name == last.leader:
-		case m.votes && m.process != nil: // a hollow one has no CPU and memory of its own
+		case m.isVoter && m.name == last.leader:
+		case m.isVoter && m.process != nil: // a hollow one has no CPU and memory of its own
 			voters = append(voters, rate)
-		case m.votes:
-		case m.relay:
-			spent.Relay = worse(spent.Relay, rate)
+		case m.isVoter:
+		case m.isRelay:
+			spent.Relay = maxRate(spent.Relay, rate)
 		default:
 			plain = append(plain, rate)
 			if m.process != nil {
 				plainReal = append(plainReal, rate)
 			}
 		}
-		if f.setAside(m) {
+		if f.isSetAside(m) {
 			continue
 		}
 		if m.process == nil { // its part of a process that has many is no figure of one
-			rate.CPU, rate.MB = 0, 0
+			rate.CPU, rate.MemoryMB = 0, 0
 		}
-		spent.Worst = worse(spent.Worst, rate)
+		spent.Worst = maxRate(spent.Worst, rate)
 	}
 	spent.Leader = leading.rate()
-	spent.Voter, spent.Mean = meanOf(voters), meanOf(plain)
-	realMean := meanOf(plainReal)
-	spent.Mean.CPU, spent.Mean.MB = realMean.CPU, realMean.MB
+	spent.Voter, spent.Mean = meanRate(voters), meanRate(plain)
+	realMean := meanRate(plainReal)
+	spent.Mean.CPU, spent.Mean.MemoryMB = realMean.CPU, realMean.MemoryMB
 	return spent
 }
 
-func rateOf(a, b scaleUse, span time.Duration) scaleRate {
+func rateOf(a, b scaleControllerUsage, span time.Duration) scaleRate {
 	seconds := span.Seconds()
 	each := func(x, y int) float64 { return float64(y-x) / seconds }
 	return scaleRate{
 		BytesOut: each(a.counts.BytesOut, b.counts.BytesOut), BytesIn: each(a.counts.BytesIn, b.counts.BytesIn),
 		FramesOut: each(a.counts.FramesOut, b.counts.FramesOut), FramesIn: each(a.counts.FramesIn, b.counts.FramesIn),
 		MessagesOut: each(a.counts.MessagesOut, b.counts.MessagesOut), MessagesIn: each(a.counts.MessagesIn, b.counts.MessagesIn),
-		CPU: inMS(b.CPU-a.CPU) / seconds, MB: b.Resident}
+		CPU: inMS(b.CPU-a.CPU) / seconds, MemoryMB: b.Resident}
 }
 
 // fields are all figures, for sums and the like.
 func (r *scaleRate) fields() []*float64 {
-	return []*float64{&r.BytesOut, &r.BytesIn, &r.FramesOut, &r.FramesIn, &r.MessagesOut, &r.MessagesIn, &r.CPU, &r.MB}
+	return []*float64{&r.BytesOut, &r.BytesIn, &r.FramesOut, &r.FramesIn, &r.MessagesOut, &r.MessagesIn, &r.CPU, &r.MemoryMB}
 }
 
-// worse takes the greater of each figure; bytes out and in are those of the greater sum.
-func worse(a, b scaleRate) scaleRate {
+// maxRate takes the greater of each figure; bytes out and in are those of the greater sum.
+func maxRate(a, b scaleRate) scaleRate {
 	most := a
 	for i, x := range b.fields() {
 		own := most.fields()[i]
@@ -209,7 +209,7 @@
 	return most
 }
 
-func meanOf(l []scaleRate) (mean scaleRate) {
+func meanRate(l []scaleRate) (mean scaleRate) {
 	for _, r := range l {
 		for i, x := range r.fields() {
 			*mean.fields()[i] += *x / float64(len(l))
@@ -218,47 +218,47 @@
 	return mean
 }
 
-// restFor looks at the fleet while nothing happens.
-func (f *scaleFleet) restFor(span time.Duration) (scaleSpent, error) {
-	before, err := f.look()
+// measureRest looks at the fleet while nothing happens.
+func (f *scaleFleet) measureRest(span time.Duration) (scaleUsage, error) {
+	before, err := f.takeSnapshot()
 	if err != nil {
-		return scaleSpent{}, err
+		return scaleUsage{}, err
 	}
 	sleep(f.ctx, span)
-	after, err := f.look()
+	after, err := f.takeSnapshot()
 	if err != nil {
-		return scaleSpent{}, err
+		return scaleUsage{}, err
 	}
-	return f.spentOver(before, after), f.ctx.Err()
+	return f.usageOver(before, after), f.ctx.Err()
 }
 
-// processes counts the run's processes with this one, and the memory of all.
-func (f *scaleFleet) processes() (n int, memoryMB float64) {
+// processTotals counts the run's processes with this one, and the memory of all.
+func (f *scaleFleet) processTotals() (n int, memoryMB float64) {
 	add := func(pid int) {
 		if used, err := usageOf(pid); err == nil {
 			n, memoryMB = n+1, memoryMB+used.Resident
 		}
 	}
-	add(ownProcess())
+	add(ownPID())
 	for _, m := range f.real {
 		if m.process.command != nil {
 			add(m.process.command.Process.Pid)
 		}
 	}
-	for _, p := range f.hollows {
+	for _, p := range f.hollowProcesses {
 		add(p.command.Process.Pid)
 	}
 	return n, memoryMB
 }
 
-func (s scaleSpent) print(out io.Writer, when string) {
-	fmt.Fprintf(out, "%s, %.1f s, %d controllers seen, a second:\n", when, s.Span.Seconds(), s.Seen)
+func (s scaleUsage) print(out io.Writer, when string) {
+	fmt.Fprintf(out, "%s, %.1f s, %d controllers seen, a second:\n", when, s.Duration.Seconds(), s.Controllers)
 	line := func(role string, r scaleRate) {
 		if r == (scaleRate{}) {
 			return
 		}
 		fmt.Fprintf(out, "  %-18s %8.0f bytes out %8.0f in (frames %8.0f %8.0f), %7.1f messages out %7.1f in, %6.1f ms of CPU, %5.1f MB\n", role,
-			r.BytesOut, r.BytesIn, r.FramesOut, r.FramesIn, r.MessagesOut, r.MessagesIn, r.CPU, r.MB)
+			r.BytesOut, r.BytesIn, r.FramesOut, r.FramesIn, r.MessagesOut, r.MessagesIn, r.CPU, r.MemoryMB)
 	}
 	line("leader "+s.LeaderName, s.Leader)
 	line("voters, mean", s.Voter)
