--- a/internal/bench/scale_test.go
+++ b/internal/bench/scale_test.go
@@ -13,8 +13,8 @@
 	"railrelay.dev/railrelay/internal/fleet"
 )
 
-// buildPrograms builds railrelay-bench beside the programs.
-func buildPrograms(t *testing.T) (program, benchProgram string) {
+// buildScalePrograms builds railrelay-bench beside the programs.
+func buildScalePrograms(t *testing.T) (program, benchProgram string) {
 	program = both(t)
 	benchProgram = filepath.Join(filepath.Dir(program), "railrelay-bench")
 	if out, err := exec.Command("go", "build", "-o", benchProgram, "../../cmd/railrelay-bench").CombinedOutput(); err != nil {
@@ -24,7 +24,7 @@
 }
 
 func TestScaleRunWithFaultsFindsNoViolations(t *testing.T) {
-	program, benchProgram := buildPrograms(t)
+	program, benchProgram := buildScalePrograms(t)
 	var rows []ScaleRow
 	s := Scale{Program: program, BenchProgram: benchProgram, Controllers: 14, Real: 4, Voters: 3, Engines: 5, Seed: 3, Lease: time.Second, Rest: time.Second,
 		Changes: 3, LargeChanges: 1, PolicyBytes: 1000, LargeBytes: 20_000, Faults: []string{"killed", "regions"}, LinkDelays: true,
