--- a/cmd/railrelay-bench/fleets.go
+++ b/cmd/railrelay-bench/fleets.go
@@ -15,7 +15,7 @@
 	c := &cobra.Command{Use: "fleets",
 		Short: "play drawn fleets in virtual time, and say how the first broke a rule", Args: cobra.NoArgs}
 	c.RunE = func(c *cobra.Command, _ []string) error {
-		runs, ordered, late, broken, first := bench.Hunt(c.Context(), from, plays, time.Hour)
+		runs, ordered, late, broken, first := bench.SearchFleetScenarios(c.Context(), from, plays, time.Hour)
 		fmt.Fprintf(c.OutOrStdout(), "runs=%d rules_broken=%d order_checked=%d late_deliveries=%d\n", runs, broken,
 			ordered, late)
 		if first == nil {
--- a/internal/bench/fleet_faults.go
+++ b/internal/bench/fleet_faults.go
@@ -4,27 +4,27 @@
 	"time"
 )
 
-// befalls has an ill come over the fleet.
-func (f *fleetRun) befalls(i Ill) {
-	f.say("%v", i)
-	f.out.Took[i.Kind]++
+// injectFault has an ill come over the fleet.
+func (f *fleetRun) injectFault(i FleetFault) {
+	f.tracef("%v", i)
+	f.result.FaultCounts[i.Kind]++
 	var e *fleetEngine
 	for _, x := range f.engines {
-		if x.place == i.Engine && !x.dead {
+		if x.slot == i.Engine && !x.removed {
 			e = x
 		}
 	}
 	switch i.Kind {
 	case "cut":
 		for _, n := range i.Controllers {
-			w := f.all[n].ways[i.Engine]
-			w.cut++
-			f.after(i.For, func() {
-				if w.cut--; w.cut > 0 {
+			w := f.controllers[n].links[i.Engine]
+			w.cuts++
+			f.scheduleAfter(i.Duration, func() {
+				if w.cuts--; w.cuts > 0 {
 					return
 				}
-				lying := w.lying
-				w.lying = nil
+				lying := w.held
+				w.held = nil
 				for _, do := range lying {
 					do()
 				}
@@ -32,16 +32,16 @@
 		}
 	case "stall":
 		for _, n := range i.Controllers {
-			c := f.all[n]
-			c.stalled = max(c.stalled, f.now+i.For)
-			f.at(c.stalled, c.goesOn)
+			c := f.controllers[n]
+			c.stalledUntil = max(c.stalledUntil, f.now+i.Duration)
+			f.scheduleAt(c.stalledUntil, c.resume)
 		}
 	case "sluggish":
-		e.sluggish = f.now + i.For
+		e.slowUntil = f.now + i.Duration
 	case "storm":
-		for range 1 + int(i.For/(200*time.Millisecond)) {
-			f.after(time.Duration(f.rng.Int64N(int64(i.For))), func() {
-				if !e.down && !e.Unreachable() && !e.dead {
+		for range 1 + int(i.Duration/(200*time.Millisecond)) {
+			f.scheduleAfter(time.Duration(f.rng.Int64N(int64(i.Duration))), func() {
+				if !e.down && !e.Unreachable() && !e.removed {
 					e.Reset(f.now, false)
 				}
 			})
@@ -52,51 +52,51 @@
 			var goes func()
 			goes = func() { // what it has runs on, and is forgotten unasked
 				if e.Advance(f.now); e.Unreachable() {
-					f.after(20*time.Millisecond, goes)
+					f.scheduleAfter(20*time.Millisecond, goes)
 				}
 			}
 			goes()
-			f.after(i.For, func() {
-				if !e.dead && !e.down {
+			f.scheduleAfter(i.Duration, func() {
+				if !e.removed && !e.down {
 					e.SetUnreachable(f.now, false)
 					e.ProcessDue(f.now)
-					e.wake()
+					e.scheduleWakeup()
 				}
 			})
 		}
 	case "crash":
 		if !e.down {
-			e.dies()
-			f.after(i.For/2, func() {
-				if !e.dead {
-					e.back()
+			e.crash()
+			f.scheduleAfter(i.Duration/2, func() {
+				if !e.removed {
+					e.restart()
 				}
 			})
 		}
 	case "drain":
 		if e.Phase == "SERVING" {
-			f.tell(e, "DRAINING")
-			f.after(i.For, func() {
-				if !e.dead {
-					f.tell(e, "SERVING")
+			f.publish(e, "DRAINING")
+			f.scheduleAfter(i.Duration, func() {
+				if !e.removed {
+					f.publish(e, "SERVING")
 				}
 			})
 		}
 	case "replace", "takenover":
 		wait := time.Duration(0)
 		if i.Kind == "replace" {
-			f.tell(e, "DRAINING")
-			wait = min(i.For, 3*time.Second)
+			f.publish(e, "DRAINING")
+			wait = min(i.Duration, 3*time.Second)
 		}
-		f.after(wait, func() {
-			if e.dead {
+		f.scheduleAfter(wait, func() {
+			if e.removed {
 				return
 			}
-			e.dies()
-			e.dead = true
-			next := f.add(e.place, true)
-			f.tell(e, "DELETED")
-			f.tell(next, "SERVING")
+			e.crash()
+			e.removed = true
+			next := f.addEngine(e.slot, true)
+			f.publish(e, "DELETED")
+			f.publish(next, "SERVING")
 		})
 	}
 }
--- a/internal/bench/fleet_measure.go
+++ b/internal/bench/fleet_measure.go
@@ -9,9 +9,9 @@
 	"time"
 )
 
-// Hunt plays drawn fleets, from a seed on, until a time has passed or so many were played,
+// SearchFleetScenarios plays drawn fleets, from a seed on, until a time has passed or so many were played,
 // on three threads. It gives what was played, and the day of the first seed that broke a rule.
-func Hunt(ctx context.Context, seed uint64, most int, long time.Duration) (runs, ordered, late, broken int, first *FleetDay) {
+func SearchFleetScenarios(ctx context.Context, seed uint64, most int, long time.Duration) (runs, ordered, late, broken int, first *FleetScenario) {
 	var mu sync.Mutex
 	var wg sync.WaitGroup
 	next, end := 0, time.Now().Add(long)
@@ -25,11 +25,11 @@
 					return
 				}
 				mu.Unlock()
-				d := DrawFleet(mine)
-				p := d.Play()
+				d := RandomFleetScenario(mine)
+				p := d.Run()
 				mu.Lock()
-				runs, ordered, late, broken = runs+1, ordered+p.Ordered, late+p.Late, broken+len(p.Broken)
-				if len(p.Broken) > 0 && (first == nil || d.Seed < first.Seed) {
+				runs, ordered, late, broken = runs+1, ordered+p.OrderChecks, late+p.LateDeliveries, broken+len(p.Violations)
+				if len(p.Violations) > 0 && (first == nil || d.Seed < first.Seed) {
 					first = &d
 				}
 				mu.Unlock()
@@ -41,21 +41,21 @@
 }
 
 // Explain says how a day breaks a rule, by the shortest of its stretches that does.
-func (d FleetDay) Explain(out io.Writer) {
-	d = d.Shortest()
-	d.Traced = true
-	p := d.Play()
-	fmt.Fprintf(out, "seed %d, %d controllers, %d engines, load %.2f for %v, list late by up to %v, %v\n", d.Seed, d.Controllers, d.Engines,
-		d.Load, d.Long, d.Lag, d.Facts)
-	for _, i := range d.Ills {
+func (d FleetScenario) Explain(out io.Writer) {
+	d = d.Shrink()
+	d.KeepTrace = true
+	p := d.Run()
+	fmt.Fprintf(out, "seed %d, %d controllers, %d engines, load %.2f for %v, list late by up to %v, %v\n", d.Seed, d.ControllerCount, d.EngineCount,
+		d.Utilization, d.LoadDuration, d.MaxDiscoveryLag, d.SettingOverrides)
+	for _, i := range d.Faults {
 		fmt.Fprintln(out, " ", i)
 	}
-	if len(p.Broken) == 0 {
+	if len(p.Violations) == 0 {
 		return
 	}
-	fmt.Fprintln(out, p.Broken[0])
+	fmt.Fprintln(out, p.Violations[0])
 	ids := []string{}
-	for w := range strings.FieldsSeq(p.Broken[0]) {
+	for w := range strings.FieldsSeq(p.Violations[0]) {
 		if len(w) == 16 {
 			ids = append(ids, w)
 		}
@@ -70,16 +70,16 @@
 	}
 }
 
-// arrival is what a controller takes for a query as it comes, with so many engines, in us.
-func arrival(seed uint64, engines int) float64 {
+// fleetArrivalMicros is what a controller takes for a query as it comes, with so many engines, in us.
+func fleetArrivalMicros(seed uint64, engines int) float64 {
 	const rate, work = 200, 0.306
-	p := FleetDay{Seed: seed, Controllers: 1, Engines: engines, Load: rate * work / float64(engines*8), Long: 8 * time.Second}.Play()
-	return float64(p.Arrivals.Nanoseconds()) / 1e3 / float64(max(1, p.Asked))
+	p := FleetScenario{Seed: seed, ControllerCount: 1, EngineCount: engines, Utilization: rate * work / float64(engines*8), LoadDuration: 8 * time.Second}.Run()
+	return float64(p.ArrivalTime.Nanoseconds()) / 1e3 / float64(max(1, p.Queries))
 }
 
-// memoryAt is what a controller with the least limits has resident with so many engines
+// fleetMemoryMB is what a controller with the least limits has resident with so many engines
 // listed, after a few queries, in MB.
-func memoryAt(ctx context.Context, program string, seed uint64, engines int) (float64, error) {
+func fleetMemoryMB(ctx context.Context, program string, seed uint64, engines int) (float64, error) {
 	t := &Trial{Program: program, Engines: engines, Seed: seed}
 	s, err := newStage(ctx, program, engines, trialEngine(), io.Discard, (&rid{done: map[string]time.Time{}, released: map[string]time.Time{}}).hear)
 	if err != nil {
@@ -109,16 +109,16 @@
 // anew, and says what an arrival takes and what memory 1,024 engines do.
 func MeasureFleet(ctx context.Context, out io.Writer, program string, seed uint64) error {
 	const hunted = 15 * time.Second
-	runs, ordered, late, broken, first := Hunt(ctx, seed*10_000, 2000, hunted)
+	runs, ordered, late, broken, first := SearchFleetScenarios(ctx, seed*10_000, 2000, hunted)
 	if first != nil {
 		first.Explain(out)
 	}
-	mass := MassRestart(seed, 350, 24).Play()
-	broken += len(mass.Broken)
-	for _, what := range mass.Broken[:min(3, len(mass.Broken))] {
+	mass := MassRestartScenario(seed, 350, 24).Run()
+	broken += len(mass.Violations)
+	for _, what := range mass.Violations[:min(3, len(mass.Violations))] {
 		fmt.Fprintln(out, what)
 	}
-	rss, err := memoryAt(ctx, program, seed, 1024)
+	rss, err := fleetMemoryMB(ctx, program, seed, 1024)
 	if err != nil {
 		return err
 	}
@@ -126,7 +126,7 @@
 		return fmt.Errorf("nothing was judged: order_checked=%d late_deliveries=%d", ordered, late)
 	}
 	_, err = fmt.Fprintf(out, "measured runs=%d rules_broken=%d order_checked=%d late_deliveries=%d cold_worst=%.2f cold_use=%.2f service=%.3f "+
-		"us_arrival_8=%.1f us_arrival_1024=%.1f rss_mb_1024=%.1f\n", runs+1, broken, ordered+mass.Ordered, late+mass.Late, mass.ColdWorst,
-		mass.ColdWork/mass.ColdAble, float64(mass.Served)/float64(mass.Asked), arrival(seed, 8), arrival(seed, 1024), rss)
+		"us_arrival_8=%.1f us_arrival_1024=%.1f rss_mb_1024=%.1f\n", runs+1, broken, ordered+mass.OrderChecks, late+mass.LateDeliveries, mass.MaxColdBudgetUse,
+		mass.ColdWork/mass.ColdCapacity, float64(mass.Finished)/float64(mass.Queries), fleetArrivalMicros(seed, 8), fleetArrivalMicros(seed, 1024), rss)
 	return err
 }
--- a/internal/bench/fleet_network.go
+++ b/internal/bench/fleet_network.go
@@ -10,57 +10,57 @@
 	"railrelay.dev/railrelay/internal/emulator/engine"
 )
 
-// fleetWay is the network between a controller and an engine's place. What is written into
+// fleetLink is the network between a controller and an engine's place. What is written into
 // a cut lies there until it heals, or its line is aborted.
-type fleetWay struct {
-	cut   int
-	lying []func()
-	delay time.Duration
+type fleetLink struct {
+	cuts    int
+	held    []func()
+	latency time.Duration
 }
 
-type fleetSent struct {
-	at   time.Duration
-	work float64
-	told bool
+type fleetSubmission struct {
+	at         time.Duration
+	work       float64
+	startKnown bool
 }
 
-type fleetEnd struct {
-	link     *controller.Connection
-	e        *fleetEngine
-	way      *fleetWay
-	conn     *engine.Conn
-	gone     bool // for the controller
-	aborted  bool
-	mute     bool // the next answer is lost
-	feed, up bool
-	client   bool
+type fleetConn struct {
+	connection              *controller.Connection
+	engine                  *fleetEngine
+	link                    *fleetLink
+	engineConn              *engine.Conn
+	closed                  bool // for the controller
+	aborted                 bool
+	dropNextAnswer          bool // the next answer is lost
+	isDiscovery, subscribed bool
+	isClient                bool
 }
 
-func (c *fleetController) wrote(e *fleetEnd, n int) {
-	if !e.gone {
-		c.event(controller.Event{Kind: controller.BytesWritten, Connection: e.link, ByteCount: n})
+func (c *fleetController) reportWritten(e *fleetConn, n int) {
+	if !e.closed {
+		c.deliverEvent(controller.Event{Kind: controller.BytesWritten, Connection: e.connection, ByteCount: n})
 	}
 }
 
-func (c *fleetController) lose(e *fleetEnd) {
-	if e.gone {
+func (c *fleetController) closeConn(e *fleetConn) {
+	if e.closed {
 		return
 	}
-	e.gone = true
-	delete(c.ends, e.link)
-	if e.conn != nil {
-		e.way.pass(func() bool { return true }, func() { e.e.Server.Disconnected(e.conn) })
+	e.closed = true
+	delete(c.conns, e.connection)
+	if e.engineConn != nil {
+		e.link.transmit(func() bool { return true }, func() { e.engine.Server.Disconnected(e.engineConn) })
 	}
-	c.event(controller.Event{Kind: controller.ConnectionClosed, Connection: e.link})
+	c.deliverEvent(controller.Event{Kind: controller.ConnectionClosed, Connection: e.connection})
 }
 
-// pass has something cross, or lie until the cut heals, if it is still wanted then.
-func (w *fleetWay) pass(wanted func() bool, do func()) {
-	if w.cut == 0 {
+// transmit has something cross, or lie until the cut heals, if it is still wanted then.
+func (w *fleetLink) transmit(wanted func() bool, do func()) {
+	if w.cuts == 0 {
 		do()
 		return
 	}
-	w.lying = append(w.lying, func() {
+	w.held = append(w.held, func() {
 		if wanted() {
 			do()
 		}
@@ -68,148 +68,148 @@
 }
 
 func (c *fleetController) dial(link *controller.Connection, address string, within time.Duration) {
-	e := &fleetEnd{link: link}
-	c.ends[link] = e
+	e := &fleetConn{connection: link}
+	c.conns[link] = e
 	if address == "feed" {
-		e.feed = true
-		c.after(time.Millisecond, func() { c.event(controller.Event{Kind: controller.Connected, Connection: link}) })
+		e.isDiscovery = true
+		c.scheduleAfter(time.Millisecond, func() { c.deliverEvent(controller.Event{Kind: controller.Connected, Connection: link}) })
 		return
 	}
-	to := c.byAddr[address]
+	to := c.enginesByAddress[address]
 	fail := func(kind controller.EventKind, at time.Duration) {
-		c.after(at, func() {
-			if e.gone { // it was closed before
+		c.scheduleAfter(at, func() {
+			if e.closed { // it was closed before
 				return
 			}
-			delete(c.ends, link)
-			e.gone = true
-			c.event(controller.Event{Kind: kind, Connection: link})
+			delete(c.conns, link)
+			e.closed = true
+			c.deliverEvent(controller.Event{Kind: kind, Connection: link})
 		})
 	}
-	way := c.ways[to.place]
+	way := c.links[to.slot]
 	switch {
-	case to.Unreachable() || way.cut > 0:
+	case to.Unreachable() || way.cuts > 0:
 		fail(controller.ConnectTimedOut, within)
 		return
 	case to.down:
-		fail(controller.ConnectRefused, 2*way.delay)
+		fail(controller.ConnectRefused, 2*way.latency)
 		return
 	}
-	e.e, e.way = to, way
-	e.conn = &engine.Conn{
+	e.engine, e.link = to, way
+	e.engineConn = &engine.Conn{
 		Write: func(p []byte) {
 			p = bytes.Clone(p)
-			if e.mute {
-				e.mute = false
+			if e.dropNextAnswer {
+				e.dropNextAnswer = false
 				return
 			}
-			c.after(way.delay, func() {
-				way.pass(func() bool { return !e.gone }, func() {
-					c.deliver(func() { c.gets(e, p) })
+			c.scheduleAfter(way.latency, func() {
+				way.transmit(func() bool { return !e.closed }, func() {
+					c.deliver(func() { c.receive(e, p) })
 				})
 			})
 		},
 		Close: func() {
-			c.after(way.delay, func() { way.pass(func() bool { return !e.gone }, func() { c.lose(e) }) })
+			c.scheduleAfter(way.latency, func() { way.transmit(func() bool { return !e.closed }, func() { c.closeConn(e) }) })
 		},
 	}
-	c.after(2*way.delay, func() {
-		if !e.gone {
-			to.Accept(e.conn)
-			c.event(controller.Event{Kind: controller.Connected, Connection: link})
+	c.scheduleAfter(2*way.latency, func() {
+		if !e.closed {
+			to.Accept(e.engineConn)
+			c.deliverEvent(controller.Event{Kind: controller.Connected, Connection: link})
 		}
 	})
 }
 
-// writes brings a call to an engine, unless something befalls it.
-func (c *fleetController) writes(e *fleetEnd, p []byte) {
+// sendRequest brings a call to an engine, unless something befalls it.
+func (c *fleetController) sendRequest(e *fleetConn, p []byte) {
 	head, _, _ := strings.Cut(string(p), "\r\n")
 	words := strings.Fields(head)
 	id := ""
 	if words[0] == "POST" {
 		_, rest, _ := strings.Cut(string(p), "X-Req: ")
 		id, _, _ = strings.Cut(rest, "\r\n")
-		c.history.Sent(c.now, id, e.e.ID)
+		c.history.Sent(c.now, id, e.engine.ID)
 	} else if parts := strings.Split(words[1], "/"); len(parts) > 2 {
 		id = parts[2]
 	}
-	c.say("controller %d writes %s %s to %s", c.n, words[0], id, e.e.ID)
-	wrote := func() { c.after(0, func() { c.wrote(e, len(p)) }) }
+	c.tracef("controller %d writes %s %s to %s", c.number, words[0], id, e.engine.ID)
+	wrote := func() { c.scheduleAfter(0, func() { c.reportWritten(e, len(p)) }) }
 	ill := ""
-	if c.rng.Float64() < c.Calls && c.now < c.Long {
+	if c.rng.Float64() < c.RequestFaultRate && c.now < c.LoadDuration {
 		ill = []string{"before", "under", "after", "lost", "garbled"}[c.rng.IntN(5)]
-		c.out.Took[ill]++
-		c.say("%s befalls it", ill)
+		c.result.FaultCounts[ill]++
+		c.tracef("%s befalls it", ill)
 	}
 	reset := func() { // whatever is still on its way is not sent again
 		e.aborted = true
-		c.lose(e)
+		c.closeConn(e)
 	}
 	switch ill {
 	case "before":
-		c.after(0, reset)
+		c.scheduleAfter(0, reset)
 		return
 	case "under":
 		p = p[:len(p)/2]
 		wrote()
-		c.after(2*e.way.delay, reset)
+		c.scheduleAfter(2*e.link.latency, reset)
 	case "after":
 		wrote()
-		c.after(e.way.delay+time.Microsecond, reset)
+		c.scheduleAfter(e.link.latency+time.Microsecond, reset)
 	case "lost":
-		e.mute = true
+		e.dropNextAnswer = true
 		wrote()
 	case "garbled":
 		wrote()
-		c.after(e.way.delay*2, func() {
-			e.way.pass(func() bool { return !e.gone }, func() { c.deliver(func() { c.gets(e, []byte("HTTP/1.1 2x0 what\r\n\r\n")) }) })
+		c.scheduleAfter(e.link.latency*2, func() {
+			e.link.transmit(func() bool { return !e.closed }, func() { c.deliver(func() { c.receive(e, []byte("HTTP/1.1 2x0 what\r\n\r\n")) }) })
 		})
 	default:
 		wrote()
 	}
-	c.after(e.way.delay, func() {
-		lay := e.way.cut > 0
-		e.way.pass(func() bool { return !e.aborted }, func() {
-			if lay && e.gone && words[0] == "POST" {
-				c.out.Late++
+	c.scheduleAfter(e.link.latency, func() {
+		lay := e.link.cuts > 0
+		e.link.transmit(func() bool { return !e.aborted }, func() {
+			if lay && e.closed && words[0] == "POST" {
+				c.result.LateDeliveries++
 			}
-			e.e.comes(c, e, words[0], id, p)
+			e.engine.handleRequest(c, e, words[0], id, p)
 		})
 	})
 }
 
-func (c *fleetController) follows(e *fleetEnd, in time.Duration) {
-	c.after(in, func() {
-		if e.gone {
+func (c *fleetController) sendDiscoveryEvents(e *fleetConn, in time.Duration) {
+	c.scheduleAfter(in, func() {
+		if e.closed {
 			return
 		}
-		from := c.fed
+		from := c.lastEvent
 		if from > 0 && c.rng.IntN(3) == 0 {
 			from-- // doubled
 		}
-		lines, since := c.log.EventsSince(from), c.fed
-		c.fed = c.log.LastEvent()
-		last := c.fed
+		lines, since := c.discoveryLog.EventsSince(from), c.lastEvent
+		c.lastEvent = c.discoveryLog.LastEvent()
+		last := c.lastEvent
 		c.deliver(func() {
 			for n := since; n < last; n++ {
-				if t := c.told[n]; t.e != nil {
-					c.history.SetServing(c.now, t.e.ID, t.on)
-					if t.up == t.e.UpSinceMs && t.on {
-						t.e.toldTo[c.n] = true
+				if t := c.logEvents[n]; t.engine != nil {
+					c.history.SetServing(c.now, t.engine.ID, t.serving)
+					if t.upSinceMs == t.engine.UpSinceMs && t.serving {
+						t.engine.startKnownBy[c.number] = true
 					}
 				}
 			}
-			c.gets(e, lines)
+			c.receive(e, lines)
 		})
 	})
 }
 
-func (c *fleetController) beat(e *fleetEnd) {
-	c.after(time.Second, func() {
-		if !e.gone {
-			p := append(strconv.AppendInt(nil, int64(c.fed), 10), '\n')
-			c.deliver(func() { c.gets(e, p) })
-			c.beat(e)
+func (c *fleetController) scheduleHeartbeat(e *fleetConn) {
+	c.scheduleAfter(time.Second, func() {
+		if !e.closed {
+			p := append(strconv.AppendInt(nil, int64(c.lastEvent), 10), '\n')
+			c.deliver(func() { c.receive(e, p) })
+			c.scheduleHeartbeat(e)
 		}
 	})
 }
--- a/internal/bench/relays_faults_test.go
+++ b/internal/bench/relays_faults_test.go
@@ -10,38 +10,38 @@
 	"railrelay.dev/railrelay/internal/fleet/storage"
 )
 
-// relayRound is one way in which relays fail. After play there is one more change.
-type relayRound struct {
-	name  string
-	play  func(f *relayed)
-	alone bool // only one relay fails, and controllers go on serving meanwhile
+// relayCase is one way in which relays fail. After play there is one more change.
+type relayCase struct {
+	name           string
+	run            func(f *relayFleet)
+	onlyRelayFails bool // only one relay fails, and controllers go on serving meanwhile
 }
 
-// relayRounds are played on one fleet, one after another.
-func relayRounds() []relayRound {
-	return []relayRound{
-		{"a relay killed while a change waits", relayKilled, true},
-		{"a relay killed anywhere in a change", relayKilledAnywhere, true},
-		{"a relay stopped past its lease and woken", relayStopped, true},
-		{"a relay cut from the leader", relayCutFromLeader, true},
-		{"a relay cut from its controllers", relayCutFromControllers, true},
-		{"both relays killed", bothRelaysKilled, false},
-		{"only relays reach the leader", onlyRelaysReachLeader, false},
-		{"a controller cut off while its relay goes on", controllerCutOff, false},
-		{"answers come late to a relay, then it is cut off", answersLate, false},
-		{"a relay and its controller cut off together", relayAndControllerCutOff, false},
-		{"grants come late", grantsLate, false},
-		{"grants come twice", grantsTwice, true},
-		{"the leader killed while a change waits", leaderKilled, false},
-		{"a relay and the leader killed while a change waits", relayAndLeaderKilled, false},
-		{"a purge while a relay is down", purgeWithoutRelay, true},
-		{"an old run of a relay beside a new one", oldRunBesideNew, true},
+// relayFaultCases are played on one fleet, one after another.
+func relayFaultCases() []relayCase {
+	return []relayCase{
+		{"a relay killed while a change waits", testRelayKilled, true},
+		{"a relay killed anywhere in a change", testRelayKilledAtAnyPoint, true},
+		{"a relay stopped past its lease and woken", testRelayStoppedPastLease, true},
+		{"a relay cut from the leader", testRelayCutFromLeader, true},
+		{"a relay cut from its controllers", testRelayCutFromControllers, true},
+		{"both relays killed", testBothRelaysKilled, false},
+		{"only relays reach the leader", testOnlyRelaysReachLeader, false},
+		{"a controller cut off while its relay goes on", testControllerCutOffFromRelays, false},
+		{"answers come late to a relay, then it is cut off", testLateAnswersToRelay, false},
+		{"a relay and its controller cut off together", testRelayAndControllerCutOff, false},
+		{"grants come late", testLateGrants, false},
+		{"grants come twice", testDuplicateGrants, true},
+		{"the leader killed while a change waits", testLeaderKilledDuringChange, false},
+		{"a relay and the leader killed while a change waits", testRelayAndLeaderKilled, false},
+		{"a purge while a relay is down", testPurgeWithoutRelay, true},
+		{"an old run of a relay beside a new one", testOldRelayRunBesideNew, true},
 	}
 }
 
-// asks has clients ask every controller: most for queries whose site tells the policy
+// startClients has clients ask every controller: most for queries whose site tells the policy
 // that they were sent by.
-func (f *relayed) asks() {
+func (f *relayFleet) startClients() {
 	for i := range f.controllers {
 		f.clients.Add(4)
 		go f.client(i, "mark", "lookup", 5*time.Millisecond, false)
@@ -51,11 +51,11 @@
 	}
 }
 
-// pastLease waits until leases that were asked for by now are over.
-func (f *relayed) pastLease() { time.Sleep(f.Lease + f.Lease/4) }
+// waitPastLease waits until leases that were asked for by now are over.
+func (f *relayFleet) waitPastLease() { time.Sleep(f.Lease + f.Lease/4) }
 
 // cut has nothing pass between two processes.
-func (f *relayed) cut(a, b *process) {
+func (f *relayFleet) cut(a, b *process) {
 	f.mu.Lock()
 	f.faults["link cut"]++
 	f.fleet.Note(f.since(), a.name+" is cut from "+b.name, a.name, b.name)
@@ -64,30 +64,30 @@
 }
 
 // cutFromVoters leaves a controller the relays alone.
-func (f *relayed) cutFromVoters(p *process) {
+func (f *relayFleet) cutFromVoters(p *process) {
 	for _, v := range f.voters {
 		f.cut(p, v)
 	}
 }
 
 // restart starts a process that was killed.
-func (f *relayed) restart(p *process) { f.must(f.begin(p)) }
+func (f *relayFleet) restart(p *process) { f.must(f.begin(p)) }
 
-// relayKilled kills the first relay of half of the controllers while a change waits.
-func relayKilled(f *relayed) {
+// testRelayKilled kills the first relay of half of the controllers while a change waits.
+func testRelayKilled(f *relayFleet) {
 	relay := f.relays[0]
-	f.midChange(func() { f.kill(relay) }, func() { f.restart(relay) })
-	f.serveAll()
-	f.changes(f.asker())
+	f.injectDuringChange(func() { f.kill(relay) }, func() { f.restart(relay) })
+	f.requireServing()
+	f.requireChange(f.requestTarget())
 	f.restart(relay)
 }
 
-// relayKilledAnywhere kills a relay at several moments after a change was asked for, and
+// testRelayKilledAtAnyPoint kills a relay at several moments after a change was asked for, and
 // every other time has the next run begin at once, within the leases of the last one.
-func relayKilledAnywhere(f *relayed) {
+func testRelayKilledAtAnyPoint(f *relayFleet) {
 	for i, after := range []time.Duration{0, 3 * time.Millisecond, 8 * time.Millisecond, 15 * time.Millisecond} {
-		relay, by, atOnce := f.relays[1], f.asker(), i%2 == 1
-		a := f.change(f.inForce(), 0, false)
+		relay, by, atOnce := f.relays[1], f.requestTarget(), i%2 == 1
+		a := f.change(f.versionInForce(), 0, false)
 		asked := make(chan struct{})
 		go func() {
 			defer close(asked)
@@ -99,165 +99,165 @@
 			f.restart(relay)
 		}
 		<-asked
-		f.comesInForce(by, a)
+		f.requireInForce(by, a)
 		if !atOnce {
 			f.restart(relay)
 		}
-		f.serveAll()
+		f.requireServing()
 	}
 }
 
-// relayStopped has a relay sleep longer than any lease. What it holds then is old: asks of
+// testRelayStoppedPastLease has a relay sleep longer than any lease. What it holds then is old: asks of
 // controllers, answers of the leader, the record.
-func relayStopped(f *relayed) {
+func testRelayStoppedPastLease(f *relayFleet) {
 	relay := f.relays[0]
-	f.midChange(func() { f.pause(relay) }, func() { f.resume(relay) })
-	f.pastLease()
-	f.changes(f.asker())
+	f.injectDuringChange(func() { f.pause(relay) }, func() { f.resume(relay) })
+	f.waitPastLease()
+	f.requireChange(f.requestTarget())
 	f.resume(relay)
-	f.changes(f.asker())
+	f.requireChange(f.requestTarget())
 }
 
-// relayCutFromLeader has a relay hear its controllers, and not the leader.
-func relayCutFromLeader(f *relayed) {
-	f.cut(f.relays[0], f.leading())
-	f.pastLease()
-	f.serveAll(f.relays[0])
-	f.changes(f.asker())
+// testRelayCutFromLeader has a relay hear its controllers, and not the leader.
+func testRelayCutFromLeader(f *relayFleet) {
+	f.cut(f.relays[0], f.requireLeader())
+	f.waitPastLease()
+	f.requireServing(f.relays[0])
+	f.requireChange(f.requestTarget())
 	f.mesh.Heal()
 }
 
-// relayCutFromControllers has a relay hear the leader, and none of its controllers.
-func relayCutFromControllers(f *relayed) {
+// testRelayCutFromControllers has a relay hear the leader, and none of its controllers.
+func testRelayCutFromControllers(f *relayFleet) {
 	for _, p := range f.controllers {
 		f.cut(f.relays[0], p)
 	}
-	f.pastLease()
-	f.serveAll()
-	f.changes(f.asker())
+	f.waitPastLease()
+	f.requireServing()
+	f.requireChange(f.requestTarget())
 	f.mesh.Heal()
 }
 
-// bothRelaysKilled leaves controllers the leader itself, and then gives them the relays back.
-func bothRelaysKilled(f *relayed) {
-	f.midChange(func() { f.each(f.relays, f.kill) }, func() { f.each(f.relays, f.restart) })
-	f.serveAll()
-	f.pastLease()
-	f.serveAll()
-	f.changes(f.asker())
-	f.each(f.relays, f.restart)
+// testBothRelaysKilled leaves controllers the leader itself, and then gives them the relays back.
+func testBothRelaysKilled(f *relayFleet) {
+	f.injectDuringChange(func() { f.forEach(f.relays, f.kill) }, func() { f.forEach(f.relays, f.restart) })
+	f.requireServing()
+	f.waitPastLease()
+	f.requireServing()
+	f.requireChange(f.requestTarget())
+	f.forEach(f.relays, f.restart)
 }
 
-// onlyRelaysReachLeader cuts controllers from all voters: that they serve shows that
+// testOnlyRelaysReachLeader cuts controllers from all voters: that they serve shows that
 // leases and the record come by the relays. Without these none serves past its lease.
-func onlyRelaysReachLeader(f *relayed) {
+func testOnlyRelaysReachLeader(f *relayFleet) {
 	for _, p := range f.controllers {
 		f.cutFromVoters(p)
 	}
-	f.pastLease()
-	f.serveAll()
-	f.changes(f.asker())
-	f.each(f.relays, f.kill)
+	f.waitPastLease()
+	f.requireServing()
+	f.requireChange(f.requestTarget())
+	f.forEach(f.relays, f.kill)
 	killed := time.Now()
 	time.Sleep(f.Lease)
-	f.lapsed(killed.Add(f.Lease))
-	f.changes(f.asker())
-	f.each(f.relays, f.restart)
-	f.serveAll()
-	f.changes(f.asker())
+	f.checkLeasesEnded(killed.Add(f.Lease))
+	f.requireChange(f.requestTarget())
+	f.forEach(f.relays, f.restart)
+	f.requireServing()
+	f.requireChange(f.requestTarget())
 	f.mesh.Heal()
 }
 
-// lapsed fails the test where a controller held a lease after a moment.
-func (f *relayed) lapsed(after time.Time) {
+// checkLeasesEnded fails the test where a controller held a lease after a moment.
+func (f *relayFleet) checkLeasesEnded(after time.Time) {
 	f.t.Helper()
 	const looks = 3
 	for range looks {
 		for _, p := range f.controllers {
-			if s, seen := look(f, p); seen && s.asked.After(after) && (s.serves || s.lease > 0) {
-				f.t.Errorf("%s serves (%v), %v after the end of its lease, of which it has %v left", p.name, s.serves, s.asked.Sub(after), s.lease)
+			if s, seen := sampleStatus(f, p); seen && s.requested.After(after) && (s.serving || s.leaseRemaining > 0) {
+				f.t.Errorf("%s serves (%v), %v after the end of its lease, of which it has %v left", p.name, s.serving, s.requested.Sub(after), s.leaseRemaining)
 			}
 		}
 	}
 }
 
-// controllerCutOff cuts a controller from all others while its relays go on asking for
+// testControllerCutOffFromRelays cuts a controller from all others while its relays go on asking for
 // leases for those they cover. The change doesn't come into force before its lease ends,
 // though the leader never gave it one by itself and the relays soon cover it no more.
-func controllerCutOff(f *relayed) {
+func testControllerCutOffFromRelays(f *relayFleet) {
 	lost := f.controllers[0]
 	f.cutFromVoters(lost)
-	f.pastLease()
-	f.serveAll()
+	f.waitPastLease()
+	f.requireServing()
 	f.note(lost, "cut off")
 	f.mesh.Isolate(lost.name)
-	f.changes(f.asker())
-	f.serveAll(lost)
-	f.changes(f.asker())
+	f.requireChange(f.requestTarget())
+	f.requireServing(lost)
+	f.requireChange(f.requestTarget())
 	f.mesh.Heal()
 }
 
-// answersLate has the leader's answers come late to a relay that then can't send gathers
+// testLateAnswersToRelay has the leader's answers come late to a relay that then can't send gathers
 // any more. An answer counts for those asks only that its gather told of, so the leader
 // knows when the last lease ends that the relay passes on.
-func answersLate(f *relayed) {
+func testLateAnswersToRelay(f *relayFleet) {
 	const late = 300 * time.Millisecond
-	relay, other, leader, p := f.relays[0], f.relays[1], f.leading(), f.controllers[0]
+	relay, other, leader, p := f.relays[0], f.relays[1], f.requireLeader(), f.controllers[0]
 	f.cutFromVoters(p)
 	f.cut(p, other)
 	f.mesh.SetFault(leader.name, relay.name, faultproxy.Fault{Kind: faultproxy.Delay, Direction: faultproxy.ToTarget, Latency: late})
-	f.pastLease()
+	f.waitPastLease()
 	f.mesh.SetFault(relay.name, leader.name, faultproxy.Fault{Kind: faultproxy.Cut, Silent: true})
 	time.Sleep(2 * late) // one answer may have waited for the one before it
 	f.cut(relay, leader)
-	f.changes(f.asker())
+	f.requireChange(f.requestTarget())
 	time.Sleep(late) // who serves on by the version before is seen
 	f.mesh.Heal()
 }
 
-// relayAndControllerCutOff cuts a relay and a controller that reaches nobody else off from
+// testRelayAndControllerCutOff cuts a relay and a controller that reaches nobody else off from
 // the rest. When the relay is back it may have a lease for the controller before either has
 // the record that the lease counts by.
-func relayAndControllerCutOff(f *relayed) {
+func testRelayAndControllerCutOff(f *relayFleet) {
 	relay, other, p := f.relays[0], f.relays[1], f.controllers[0]
 	f.cutFromVoters(p)
 	f.cut(p, other)
-	f.pastLease()
-	f.serveAll()
+	f.waitPastLease()
+	f.requireServing()
 	for _, m := range f.members {
 		if m != p && m != relay {
 			f.cut(relay, m)
 		}
 	}
-	f.changes(f.asker())     // once their leases are over
-	time.Sleep(relayedSlack) // queries that the controller holds must not be sent by the version before
+	f.requireChange(f.requestTarget()) // once their leases are over
+	time.Sleep(relayFleetSlack)        // queries that the controller holds must not be sent by the version before
 	for _, m := range f.members {
 		if m != p {
 			f.mesh.SetFault(relay.name, m.name, faultproxy.Fault{})
 			f.mesh.SetFault(m.name, relay.name, faultproxy.Fault{})
 		}
 	}
-	f.serveAll()
-	f.changes(f.asker())
+	f.requireServing()
+	f.requireChange(f.requestTarget())
 	f.mesh.Heal()
 }
 
-// grantsLate has all that comes to a controller come late. A lease counts from when it was
+// testLateGrants has all that comes to a controller come late. A lease counts from when it was
 // asked for, so no more than the rest of it is ever left.
-func grantsLate(f *relayed) {
+func testLateGrants(f *relayFleet) {
 	const late = 400 * time.Millisecond
 	p := f.controllers[0]
 	delay := faultproxy.Fault{Kind: faultproxy.Delay, Direction: faultproxy.ToTarget, Latency: late}
 	f.mesh.SetFault("", p.name, delay)
 	begin := time.Now()
-	f.pastLease() // what was granted before is over
-	f.changes(f.asker())
+	f.waitPastLease() // what was granted before is over
+	f.requireChange(f.requestTarget())
 	end := time.Now()
 	f.mesh.Heal()
 	var longest time.Duration
-	for _, s := range f.watch.since(begin.Add(f.Lease)) {
-		if s.process == p.name && s.told.Before(end) {
-			longest = max(longest, s.lease)
+	for _, s := range f.monitor.samplesSince(begin.Add(f.Lease)) {
+		if s.process == p.name && s.answered.Before(end) {
+			longest = max(longest, s.leaseRemaining)
 		}
 	}
 	if longest == 0 || longest > f.Lease-late {
@@ -265,9 +265,9 @@
 	}
 }
 
-// grantsTwice has all that relays send come to its receiver a second time, by another
+// testDuplicateGrants has all that relays send come to its receiver a second time, by another
 // connection, which the wire refuses.
-func grantsTwice(f *relayed) {
+func testDuplicateGrants(f *relayFleet) {
 	refused := func() (sum int) {
 		for _, p := range f.controllers {
 			sum += f.status(p).Counts["wire_refused_replay"]
@@ -278,99 +278,99 @@
 	for _, relay := range f.relays {
 		f.mesh.SetFault(relay.name, "", faultproxy.Fault{Kind: faultproxy.Duplicate})
 	}
-	f.awaits("replays of grants that are refused", func() bool { return refused() > before })
-	f.changes(f.asker())
-	f.pastLease()
-	f.serveAll()
+	f.requireEventually("replays of grants that are refused", func() bool { return refused() > before })
+	f.requireChange(f.requestTarget())
+	f.waitPastLease()
+	f.requireServing()
 	f.mesh.Heal()
 }
 
-// leaderKilled has another voter lead a change on, of which relays must tell it all anew.
-func leaderKilled(f *relayed) {
-	leader := f.leading()
-	f.midChange(func() { leader = f.leading(); f.kill(leader) }, func() { f.restart(leader) })
-	f.serveAll()
-	f.changes(f.asker())
+// testLeaderKilledDuringChange has another voter lead a change on, of which relays must tell it all anew.
+func testLeaderKilledDuringChange(f *relayFleet) {
+	leader := f.requireLeader()
+	f.injectDuringChange(func() { leader = f.requireLeader(); f.kill(leader) }, func() { f.restart(leader) })
+	f.requireServing()
+	f.requireChange(f.requestTarget())
 	f.restart(leader)
 }
 
-func relayAndLeaderKilled(f *relayed) {
-	leader, relay := f.leading(), f.relays[1]
-	f.midChange(func() { leader = f.leading(); f.kill(relay); f.kill(leader) }, func() { f.restart(relay); f.restart(leader) })
-	f.serveAll()
-	f.changes(f.asker())
+func testRelayAndLeaderKilled(f *relayFleet) {
+	leader, relay := f.requireLeader(), f.relays[1]
+	f.injectDuringChange(func() { leader = f.requireLeader(); f.kill(relay); f.kill(leader) }, func() { f.restart(relay); f.restart(leader) })
+	f.requireServing()
+	f.requireChange(f.requestTarget())
 	f.restart(relay)
 	f.restart(leader)
 }
 
-// purgeWithoutRelay has a team's results go while a relay is down: nobody serves them after.
-func purgeWithoutRelay(f *relayed) {
+// testPurgeWithoutRelay has a team's results go while a relay is down: nobody serves them after.
+func testPurgeWithoutRelay(f *relayFleet) {
 	relay := f.relays[0]
 	f.kill(relay)
-	f.changes(f.asker())
+	f.requireChange(f.requestTarget())
 	f.restart(relay)
-	took, err := f.purge(f.asker(), "linz", comesWithin)
+	took, err := f.purge(f.requestTarget(), "linz", relayFleetWaitLimit)
 	f.must(err)
 	f.t.Logf("purged after %d ms", took.Milliseconds())
 }
 
-// each does something with some processes, one after another.
-func (f *relayed) each(some []*process, do func(p *process)) {
+// forEach does something with some processes, one after another.
+func (f *relayFleet) forEach(some []*process, do func(p *process)) {
 	for _, p := range some {
 		do(p)
 	}
 }
 
-// oldRunBesideNew starts a relay anew while its last run sleeps. The same directory is
+// testOldRelayRunBesideNew starts a relay anew while its last run sleeps. The same directory is
 // refused to the new run; by a copy it runs, at the old one's address, until the old one
 // wakes and both gather for the leader under one name.
-func oldRunBesideNew(f *relayed) {
+func testOldRelayRunBesideNew(f *relayFleet) {
 	old := f.relays[0]
 	f.pause(old)
-	f.refusesDirectoryInUse(old)
+	f.checkDirectoryInUseRefused(old)
 
-	again := f.anotherRun(old, secondRun)
+	again := f.newRun(old, relaySecondRun)
 	f.must(os.CopyFS(f.path(again.name+"-fleet"), os.DirFS(f.path(old.name+"-fleet"))))
 	f.mesh.SetTarget(old.name, again.listen)
 	f.mesh.SetFault("", old.name, faultproxy.Fault{Kind: faultproxy.Reset}) // what is connected goes to the new run from now on
 	f.must(f.begin(again))
 	f.relays[0] = again
-	f.serveAll()
-	f.changes(f.asker())
+	f.requireServing()
+	f.requireChange(f.requestTarget())
 	f.resume(old)
 	for range 3 {
-		f.changes(f.asker())
-		f.serveAll()
+		f.requireChange(f.requestTarget())
+		f.requireServing()
 	}
 	f.kill(old)
 }
 
-// anotherRun is one more process under the name and peers' address of another one.
-func (f *relayed) anotherRun(of *process, run int) *process {
+// newRun is one more process under the name and peers' address of another one.
+func (f *relayFleet) newRun(of *process, run int) *process {
 	f.t.Helper()
 	p := &process{name: fmt.Sprintf("%s-run%d", of.name, run), site: of.site, peer: of.peer}
-	f.place(p, of.name, run)
+	f.assignAddresses(p, of.name, run)
 	var err error
 	p.log, err = os.Create(f.path(p.name + ".log"))
 	f.must(err)
 	f.closers = append(f.closers, func() { p.log.Close() })
-	f.must(f.write(p, strings.Replace(f.controlSetup(p, relayFleetPart), "name: "+p.name, "name: "+of.name, 1)))
+	f.must(f.writeSetup(p, strings.Replace(f.controlSetup(p, relayRoleSettings), "name: "+p.name, "name: "+of.name, 1)))
 	return p
 }
 
-// refusesDirectoryInUse starts a second run with the directory of one that is there, which
+// checkDirectoryInUseRefused starts a second run with the directory of one that is there, which
 // must end by itself and say why.
-func (f *relayed) refusesDirectoryInUse(first *process) {
+func (f *relayFleet) checkDirectoryInUseRefused(first *process) {
 	f.t.Helper()
-	second := f.anotherRun(first, refusedRun)
+	second := f.newRun(first, relayRefusedRun)
 	directory := f.path(first.name + "-fleet")
 	setup, err := os.ReadFile(f.path(second.name + ".yaml"))
 	f.must(err)
-	f.must(f.write(second, strings.Replace(string(setup), f.path(second.name+"-fleet"), directory, 1)))
+	f.must(f.writeSetup(second, strings.Replace(string(setup), f.path(second.name+"-fleet"), directory, 1)))
 	f.must(f.begin(second))
 	select {
 	case <-second.ended:
-	case <-time.After(comesWithin):
+	case <-time.After(relayFleetWaitLimit):
 		second.running.Process.Kill()
 		f.t.Fatal("a second run has the first one's directory")
 	}
--- a/internal/bench/relays_fleet_test.go
+++ b/internal/bench/relays_fleet_test.go
@@ -19,100 +19,100 @@
 )
 
 const (
-	relayedLease  = time.Second
-	relayedVoters = 3
-	relayedRelays = 2
-	// relayedElection and relayedHeartbeat are those of Together's controllers.
-	relayedElection  = 300 * time.Millisecond
-	relayedHeartbeat = 60 * time.Millisecond
-	// relayedSlack is how much later than an act an engine of the test may see it: a busy
+	relayFleetLease  = time.Second
+	relayFleetVoters = 3
+	relayFleetRelays = 2
+	// relayFleetElectionTimeout and relayedHeartbeat are those of Together's controllers.
+	relayFleetElectionTimeout = 300 * time.Millisecond
+	relayFleetHeartbeat       = 60 * time.Millisecond
+	// relayFleetSlack is how much later than an act an engine of the test may see it: a busy
 	// machine must not look like a broken fleet. What a client asked for after a later
 	// version was seen is judged without it.
-	relayedSlack = time.Second
-	// comesWithin bounds what has to come: only a fault makes a test wait so long.
-	comesWithin = 40 * time.Second
-	keyOfFleet  = "5e" // a byte of the fleet's key, in hex
+	relayFleetSlack = time.Second
+	// relayFleetWaitLimit bounds what has to come: only a fault makes a test wait so long.
+	relayFleetWaitLimit = 40 * time.Second
+	relayFleetKeyByte   = "5e" // a byte of the fleet's key, in hex
 
-	controlFleetPart = "  role: control\n"
-	relayFleetPart   = "  role: control\n  relay: true\n"
+	controlRoleSettings = "  role: control\n"
+	relayRoleSettings   = "  role: control\n  relay: true\n"
 )
 
-// relayed is a fleet of processes of the program: controllers that take queries and ask
+// relayFleet is a fleet of processes of the program: controllers that take queries and ask
 // for their leases through relays, and relays and voters of the control role. There is a
 // link between every two of them. members of the gathering are the controllers, then the
 // voters, the relays, and those that a test starts later.
-type relayed struct {
+type relayFleet struct {
 	*gathering
 	t           *testing.T
 	controllers []*process // which clients ask
 	voters      []*process
 	relays      []*process
-	later       []*process // which a test sets up and starts by itself
-	watch       *watch
+	lateMembers []*process // which a test sets up and starts by itself
+	monitor     *relayStatusMonitor
 	leaseBound  time.Duration
 }
 
-// relayedPlan is what a fleet is started with.
-type relayedPlan struct {
+// relayFleetConfig is what a fleet is started with.
+type relayFleetConfig struct {
 	controllers int
 	leaseBound  time.Duration // of bound teams
-	later       []string      // processes that the test starts by itself
+	lateMembers []string      // processes that the test starts by itself
 }
 
-// startRelayed starts a fleet and waits until all of it holds leases.
-func startRelayed(t *testing.T, plan relayedPlan) *relayed {
+// startRelayFleet starts a fleet and waits until all of it holds leases.
+func startRelayFleet(t *testing.T, plan relayFleetConfig) *relayFleet {
 	t.Helper()
-	f := newRelayed(t, plan)
+	f := newRelayFleet(t, plan)
 	t.Cleanup(f.cleanUp)
 	f.must(f.engines())
-	f.must(f.writeKeys("keys", keyOfFleet))
+	f.must(f.writeKeys("keys", relayFleetKeyByte))
 	var err error
 	f.keys, err = transport.ReadKeys(f.path("keys"))
 	f.must(err)
-	f.populate(plan)
-	for i, p := range f.members[:len(f.members)-len(f.later)] {
-		f.must(f.write(p, f.setupOf(i, p)))
+	f.addProcesses(plan)
+	for i, p := range f.members[:len(f.members)-len(f.lateMembers)] {
+		f.must(f.writeSetup(p, f.setupFor(i, p)))
 		f.must(f.begin(p))
-		f.watch.follow(f, p)
+		f.monitor.poll(f, p)
 	}
-	f.serveAll()
+	f.requireServing()
 	return f
 }
 
-// newRelayed is a fleet without processes, and what it is judged by.
-func newRelayed(t *testing.T, plan relayedPlan) *relayed {
+// newRelayFleet is a fleet without processes, and what it is judged by.
+func newRelayFleet(t *testing.T, plan relayFleetConfig) *relayFleet {
 	ctx, stop := context.WithCancel(context.Background()) // the test's own ends before logs are shown
-	g := &gathering{Together: Together{Program: both(t), Seed: 1, Lease: relayedLease}, ctx: ctx, stop: stop, start: time.Now(), dir: t.TempDir(),
+	g := &gathering{Together: Together{Program: both(t), Seed: 1, Lease: relayFleetLease}, ctx: ctx, stop: stop, start: time.Now(), dir: t.TempDir(),
 		rng: rand.New(rand.NewPCG(1, 0x7e1a)), quit: make(chan struct{}), asked: map[string]*askedFor{},
 		marks: map[int]marked{0: {"the set-up's", 1}}, next: 1, version: 1, faults: map[string]int{}, known: map[string]string{}}
 	g.rules = historycheck.History{KeyRest: 300 * time.Millisecond, DrainGrace: time.Second, MaxSubmissions: 3,
-		Slack: relayedSlack}
+		Slack: relayFleetSlack}
 	g.rules.AddGroup("lookup", "read-only", false)
 	g.rules.AddGroup("report", "read-only", false)
 	g.rules.AddGroup("load", "mutating", true)
-	g.fleet.Slack = relayedSlack
+	g.fleet.Slack = relayFleetSlack
 	g.fleet.AddRules(0, "the set-up's", g.bound())
-	return &relayed{gathering: g, t: t, leaseBound: plan.leaseBound, watch: &watch{}}
+	return &relayFleet{gathering: g, t: t, leaseBound: plan.leaseBound, monitor: &relayStatusMonitor{}}
 }
 
-// populate makes the mesh and all processes of a plan; none is started.
-func (f *relayed) populate(plan relayedPlan) {
+// addProcesses makes the mesh and all processes of a plan; none is started.
+func (f *relayFleet) addProcesses(plan relayFleetConfig) {
 	f.t.Helper()
-	names := slices.Concat(numbered("c", plan.controllers), numbered("v", relayedVoters), numbered("r", relayedRelays), plan.later)
+	names := slices.Concat(numberedNames("c", plan.controllers), numberedNames("v", relayFleetVoters), numberedNames("r", relayFleetRelays), plan.lateMembers)
 	f.mesh = faultproxy.NewMesh(names...)
 	f.closers = append(f.closers, f.mesh.Close)
 	for _, name := range names {
-		f.add(name)
+		f.addProcess(name)
 	}
-	firstVoter, firstRelay := plan.controllers, plan.controllers+relayedVoters
-	firstLater := firstRelay + relayedRelays
+	firstVoter, firstRelay := plan.controllers, plan.controllers+relayFleetVoters
+	firstLater := firstRelay + relayFleetRelays
 	f.controllers, f.voters = f.members[:firstVoter], f.members[firstVoter:firstRelay]
-	f.relays, f.later = f.members[firstRelay:firstLater], f.members[firstLater:]
+	f.relays, f.lateMembers = f.members[firstRelay:firstLater], f.members[firstLater:]
 	f.acts = make([][]mark, plan.controllers)
 }
 
-// numbered are n names with a prefix.
-func numbered(prefix string, n int) (names []string) {
+// numberedNames are n names with a prefix.
+func numberedNames(prefix string, n int) (names []string) {
 	for i := range n {
 		names = append(names, fmt.Sprint(prefix, i))
 	}
@@ -120,7 +120,7 @@
 }
 
 // cleanUp ends all processes, whatever the test came to, and shows their logs if it failed.
-func (f *relayed) cleanUp() {
+func (f *relayFleet) cleanUp() {
 	if f.t.Failed() {
 		f.t.Log(f.last())
 	}
@@ -128,27 +128,27 @@
 }
 
 // must fails the test for an error.
-func (f *relayed) must(err error) {
+func (f *relayFleet) must(err error) {
 	f.t.Helper()
 	if err != nil {
 		f.t.Fatal(err)
 	}
 }
 
-func (f *relayed) writeKeys(file, oneByte string) error {
+func (f *relayFleet) writeKeys(file, oneByte string) error {
 	const keyBytes = 32
 	return os.WriteFile(f.path(file), []byte(strings.Repeat(oneByte, keyBytes)), 0o600)
 }
 
-func (f *relayed) write(p *process, setup string) error {
+func (f *relayFleet) writeSetup(p *process, setup string) error {
 	return os.WriteFile(f.path(p.name+".yaml"), []byte(setup), 0o600)
 }
 
-// add makes a process that isn't started yet, with its addresses and its place in the mesh.
-func (f *relayed) add(name string) {
+// addProcess makes a process that isn't started yet, with its addresses and its place in the mesh.
+func (f *relayFleet) addProcess(name string) {
 	f.t.Helper()
 	p := &process{name: name, site: "east"}
-	f.place(p, name, firstRun)
+	f.assignAddresses(p, name, relayFirstRun)
 	f.mesh.SetTarget(name, p.listen)
 	var err error
 	p.peer, err = f.mesh.SharedAddress(name)
@@ -160,94 +160,94 @@
 }
 
 const (
-	firstRun = iota // of a process
-	secondRun
-	refusedRun
+	relayFirstRun = iota // of a process
+	relaySecondRun
+	relayRefusedRun
 
 	// Ports are below those that the system gives to connections: one that was free when
 	// it was drawn could be taken when a process is started, or started anew.
-	portsFrom    = 10_000
-	portBlock    = 16 // of a test's process, at each address
-	portBlocks   = 1_300
-	portsOfARun  = 3
-	peersPort    = 0
-	clientsPort  = 1
-	operatorPort = 2
+	relayBasePort        = 10_000
+	relayPortsPerProcess = 16 // of a test's process, at each address
+	relayPortBlocks      = 1_300
+	relayPortsPerRun     = 3
+	relayPeerPort        = 0
+	relayClientPort      = 1
+	relayOperatorPort    = 2
 )
 
-// place gives a run of a process its addresses, where the mesh knows it by its name.
-func (f *relayed) place(p *process, name string, run int) {
-	ports := portsFrom + os.Getpid()%portBlocks*portBlock + run*portsOfARun
+// assignAddresses gives a run of a process its addresses, where the mesh knows it by its name.
+func (f *relayFleet) assignAddresses(p *process, name string, run int) {
+	ports := relayBasePort + os.Getpid()%relayPortBlocks*relayPortsPerProcess + run*relayPortsPerRun
 	at := func(port int) string { return net.JoinHostPort(f.mesh.SourceAddress(name), strconv.Itoa(ports+port)) }
-	p.listen, p.address, p.control = at(peersPort), at(clientsPort), at(operatorPort)
+	p.listen, p.address, p.control = at(relayPeerPort), at(relayClientPort), at(relayOperatorPort)
 }
 
-// setupOf is the set-up of the process at a place of members.
-func (f *relayed) setupOf(i int, p *process) string {
+// setupFor is the set-up of the process at a place of members.
+func (f *relayFleet) setupFor(i int, p *process) string {
 	switch {
 	case slices.Contains(f.controllers, p):
-		return f.controllerSetup(p, f.relaysOf(i)...)
+		return f.controllerSetup(p, f.relaysFor(i)...)
 	case slices.Contains(f.relays, p):
-		return f.controlSetup(p, relayFleetPart)
+		return f.controlSetup(p, relayRoleSettings)
 	}
-	return f.controlSetup(p, controlFleetPart)
+	return f.controlSetup(p, controlRoleSettings)
 }
 
-// relaysOf are the relays of the controller of a number: half of all name the one first,
+// relaysFor are the relays of the controller of a number: half of all name the one first,
 // half the other one.
-func (f *relayed) relaysOf(number int) []string {
-	first, second := f.relays[number%relayedRelays], f.relays[(number+1)%relayedRelays]
-	return []string{namedAt(first), namedAt(second)}
+func (f *relayFleet) relaysFor(number int) []string {
+	first, second := f.relays[number%relayFleetRelays], f.relays[(number+1)%relayFleetRelays]
+	return []string{peerSettings(first), peerSettings(second)}
 }
 
-// namedAt is a process as set-ups name it.
-func namedAt(p *process) string { return fmt.Sprintf("{name: %s, address: %q}", p.name, p.peer) }
+// peerSettings is a process as set-ups name it.
+func peerSettings(p *process) string { return fmt.Sprintf("{name: %s, address: %q}", p.name, p.peer) }
 
 // controllerSetup is the set-up of a controller that asks through two relays.
-func (f *relayed) controllerSetup(p *process, relays ...string) string {
+func (f *relayFleet) controllerSetup(p *process, relays ...string) string {
 	const noVoters = "  voters:\n"
-	relaysAndVoters := fmt.Sprintf("  relays: [%s]\n%s", strings.Join(relays, ", "), f.voterLines())
+	relaysAndVoters := fmt.Sprintf("  relays: [%s]\n%s", strings.Join(relays, ", "), f.voterSettings())
 	setup := strings.Replace(f.setup(p), noVoters, relaysAndVoters, 1)
-	return strings.Replace(setup, boundLine(f.Lease/2), boundLine(f.leaseBound), 1)
+	return strings.Replace(setup, leaseBoundSetting(f.Lease/2), leaseBoundSetting(f.leaseBound), 1)
 }
 
 // controlSetup is the set-up of a process of the control role; role are lines of its fleet part.
-func (f *relayed) controlSetup(p *process, role string) string {
+func (f *relayFleet) controlSetup(p *process, role string) string {
 	return fmt.Sprintf("name: %s\nlog: info\nlimits: {cores: 1, memory_mb: 128}\nfleet:\n  name: together\n%s  listen: %s\n  address: %s\n"+
 		"  control: %s\n  directory: %q\n  keys: %q\n  lease: %v\n%s  election: %v\n  heartbeat: %v\n  keep: 256\n%s%s",
-		p.name, role, p.listen, p.peer, p.control, f.path(p.name+"-fleet"), f.path("keys"), f.Lease, boundLine(f.leaseBound), relayedElection,
-		relayedHeartbeat, f.voterLines(), placementText(0))
+		p.name, role, p.listen, p.peer, p.control, f.path(p.name+"-fleet"), f.path("keys"), f.Lease, leaseBoundSetting(f.leaseBound), relayFleetElectionTimeout,
+		relayFleetHeartbeat, f.voterSettings(), placementText(0))
 }
 
-// boundLine is the line of a set-up that says how long the lease of bound teams is.
-func boundLine(leaseBound time.Duration) string {
+// leaseBoundSetting is the line of a set-up that says how long the lease of bound teams is.
+func leaseBoundSetting(leaseBound time.Duration) string {
 	return fmt.Sprintf("  lease_bound: %v\n", leaseBound)
 }
 
-// voterLines are the lines of a set-up that name the voters.
-func (f *relayed) voterLines() string {
+// voterSettings are the lines of a set-up that name the voters.
+func (f *relayFleet) voterSettings() string {
 	lines := "  voters:\n"
 	for _, v := range f.voters {
-		lines += fmt.Sprintf("    - %s\n", namedAt(v))
+		lines += fmt.Sprintf("    - %s\n", peerSettings(v))
 	}
 	return lines
 }
 
-// runs tells whether a process is there and not stopped.
-func runs(p *process) bool { return p.running != nil && !p.stopped }
+// isProcessRunning tells whether a process is there and not stopped.
+func isProcessRunning(p *process) bool { return p.running != nil && !p.stopped }
 
-// awaits waits until something has come true.
-func (f *relayed) awaits(what string, so func() bool) {
+// requireEventually waits until something has come true.
+func (f *relayFleet) requireEventually(what string, so func() bool) {
 	f.t.Helper()
-	f.must(f.eventually(comesWithin, what, so))
+	f.must(f.eventually(relayFleetWaitLimit, what, so))
 }
 
-// leading waits for a voter that says of itself that it leads.
-func (f *relayed) leading() (leader *process) {
+// requireLeader waits for a voter that says of itself that it leads.
+func (f *relayFleet) requireLeader() (leader *process) {
 	f.t.Helper()
-	f.awaits("a leader", func() bool {
+	f.requireEventually("a leader", func() bool {
 		for _, p := range f.voters {
-			if runs(p) && f.status(p).Leader == p.name {
+			if isProcessRunning(p) && f.status(p).Leader == p.name {
 				leader = p
 				return true
 			}
@@ -257,52 +257,52 @@
 	return leader
 }
 
-// asker is a voter that is there and, where another one is, doesn't lead.
-func (f *relayed) asker() *process {
+// requestTarget is a voter that is there and, where another one is, doesn't lead.
+func (f *relayFleet) requestTarget() *process {
 	f.t.Helper()
-	leader := f.leading()
+	leader := f.requireLeader()
 	for _, p := range f.voters {
-		if p != leader && runs(p) {
+		if p != leader && isProcessRunning(p) {
 			return p
 		}
 	}
 	return leader
 }
 
-// serveAll waits until all processes that run, but for some, hold a lease and decide by
+// requireServing waits until all processes that run, but for some, hold a lease and decide by
 // the last version that was told to be in force.
-func (f *relayed) serveAll(but ...*process) {
+func (f *relayFleet) requireServing(but ...*process) {
 	f.t.Helper()
 	for _, p := range f.members {
 		if p.running == nil || slices.Contains(but, p) {
 			continue
 		}
-		f.awaits(p.name+" serves", func() bool {
+		f.requireEventually(p.name+" serves", func() bool {
 			s := f.status(p)
-			return s.Serves && s.Version >= f.inForce()
+			return s.Serves && s.Version >= f.versionInForce()
 		})
 	}
 }
 
-// inForce is the last version that was told to be in force.
-func (f *relayed) inForce() uint64 {
+// versionInForce is the last version that was told to be in force.
+func (f *relayFleet) versionInForce() uint64 {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.version
 }
 
-// changes has a policy come into force, asked of a process that the leader hears of.
-func (f *relayed) changes(by *process) {
+// requireChange has a policy come into force, asked of a process that the leader hears of.
+func (f *relayFleet) requireChange(by *process) {
 	f.t.Helper()
-	a := f.change(f.inForce(), 0, false)
-	f.comesInForce(by, a)
+	a := f.change(f.versionInForce(), 0, false)
+	f.requireInForce(by, a)
 }
 
-// comesInForce asks until there is a word on a change, which must be that it is in force.
-func (f *relayed) comesInForce(by *process, a *fleet.Request) {
+// requireInForce asks until there is a word on a change, which must be that it is in force.
+func (f *relayFleet) requireInForce(by *process, a *fleet.Request) {
 	f.t.Helper()
 	word := ""
-	f.awaits("a word on "+a.ID, func() bool {
+	f.requireEventually("a word on "+a.ID, func() bool {
 		word = f.apply(by, a)
 		return word != "unknown"
 	})
@@ -311,65 +311,65 @@
 	}
 }
 
-// midChange calls strike while a change waits for a controller, which is cut off until
+// injectDuringChange calls strike while a change waits for a controller, which is cut off until
 // then, and has the change come to its word. Where the change has had its word before,
 // undo is called and all is done once more.
-func (f *relayed) midChange(strike, undo func()) {
+func (f *relayFleet) injectDuringChange(strike, undo func()) {
 	f.t.Helper()
 	const triesMost = 5
 	for range triesMost {
-		if f.struckInChange(strike) {
+		if f.tryInjectDuringChange(strike) {
 			return
 		}
 		undo()
-		f.serveAll()
+		f.requireServing()
 	}
-	f.t.Fatalf("no change waited for %s, which had a lease when it was cut off, until the fault struck", f.held().name)
+	f.t.Fatalf("no change waited for %s, which had a lease when it was cut off, until the fault struck", f.heldController().name)
 }
 
-// struckInChange has a change wait for the controller that is held and calls strike. It
+// tryInjectDuringChange has a change wait for the controller that is held and calls strike. It
 // tells whether the change had no word yet once that was done.
-func (f *relayed) struckInChange(strike func()) (struck bool) {
+func (f *relayFleet) tryInjectDuringChange(strike func()) (struck bool) {
 	f.t.Helper()
-	held := f.held()
-	by, leader := f.asker(), f.leading()
-	a := f.change(f.inForce(), 0, false)
+	held := f.heldController()
+	by, leader := f.requestTarget(), f.requireLeader()
+	a := f.change(f.versionInForce(), 0, false)
 	f.mesh.Isolate(held.name)
 	asked := make(chan struct{})
 	go func() {
 		defer close(asked)
 		f.apply(by, a)
 	}()
-	f.awaits(a.ID+" under way", func() bool { return f.heldBy(leader, a.ID, held.name) || f.hasWord(a.ID) })
+	f.requireEventually(a.ID+" under way", func() bool { return f.changeWaitsFor(leader, a.ID, held.name) || f.hasOutcome(a.ID) })
 	strike()
-	struck = slices.ContainsFunc(f.voters, func(p *process) bool { return f.isUnderWay(p, a.ID) })
+	struck = slices.ContainsFunc(f.voters, func(p *process) bool { return f.hasPendingChange(p, a.ID) })
 	f.mesh.SetFault(held.name, "", faultproxy.Fault{})
 	f.mesh.SetFault("", held.name, faultproxy.Fault{})
 	<-asked
-	f.comesInForce(f.asker(), a)
+	f.requireInForce(f.requestTarget(), a)
 	return struck
 }
 
-// held is the controller that changes are made to wait for.
-func (f *relayed) held() *process { return f.controllers[len(f.controllers)-1] }
+// heldController is the controller that changes are made to wait for.
+func (f *relayFleet) heldController() *process { return f.controllers[len(f.controllers)-1] }
 
-// heldBy tells whether a change waits for a controller, by what the leader says.
-func (f *relayed) heldBy(leader *process, change, held string) bool {
+// changeWaitsFor tells whether a change waits for a controller, by what the leader says.
+func (f *relayFleet) changeWaitsFor(leader *process, change, held string) bool {
 	c := f.status(leader).Change
 	return c != nil && c.ID == change && slices.Contains(c.Outstanding, held)
 }
 
-// isUnderWay tells whether a process knows of a change that has no word yet.
-func (f *relayed) isUnderWay(p *process, change string) bool {
-	if !runs(p) {
+// hasPendingChange tells whether a process knows of a change that has no word yet.
+func (f *relayFleet) hasPendingChange(p *process, change string) bool {
+	if !isProcessRunning(p) {
 		return false
 	}
 	c := f.status(p).Change
 	return c != nil && c.ID == change && c.Outcome == "unknown"
 }
 
-// hasWord tells whether there is a last word on a change.
-func (f *relayed) hasWord(change string) bool {
+// hasOutcome tells whether there is a last word on a change.
+func (f *relayFleet) hasOutcome(change string) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.known[change] != ""
--- a/internal/bench/relays_hollow_test.go
+++ b/internal/bench/relays_hollow_test.go
@@ -17,32 +17,32 @@
 )
 
 const (
-	hollowJoiners    = 97
-	hollowPortions   = 10 // in which they are started
-	hollowWriteDelay = time.Millisecond
+	relayHollowCount      = 97
+	relayHollowBatches    = 10 // in which they are started
+	relayHollowWriteDelay = time.Millisecond
 )
 
-// hollowGuests are hollow controllers that join a fleet of processes through its relays.
-type hollowGuests struct {
-	f        *relayed
+// relayHollowControllers are hollow controllers that join a fleet of processes through its relays.
+type relayHollowControllers struct {
+	fleet    *relayFleet
 	judge    *scaleJudge
 	commands *json.Encoder
 
-	mu     sync.Mutex
-	failed []hollow.Event
+	mu       sync.Mutex
+	failures []hollow.Event
 }
 
 // Ninety-seven controllers join within a second while changes are under way, through two
 // relays. Then one relay is killed and a change follows, and the leader and another one.
-func TestNinetySevenJoinByRelays(t *testing.T) {
-	f := startRelayed(t, relayedPlan{controllers: relayedRelays, leaseBound: relayedLease, later: numbered("h", hollowJoiners)})
-	f.members = f.members[:len(f.members)-len(f.later)] // hollow ones are no processes
-	g := prepareGuests(f)
+func TestManyControllersJoinThroughRelays(t *testing.T) {
+	f := startRelayFleet(t, relayFleetConfig{controllers: relayFleetRelays, leaseBound: relayFleetLease, lateMembers: numberedNames("h", relayHollowCount)})
+	f.members = f.members[:len(f.members)-len(f.lateMembers)] // hollow ones are no processes
+	g := newRelayHollowControllers(f)
 	begin, started := time.Now(), make(chan error)
 	go func() { started <- g.startAll() }()
 	during := 0
 	for begun := false; !begun; during++ {
-		g.changes()
+		g.requireChange()
 		select {
 		case err := <-started:
 			f.must(err)
@@ -50,33 +50,33 @@
 		default:
 		}
 	}
-	g.allServe()
-	t.Logf("%d joined, all serve %d ms after the first was started, with %d changes meanwhile", hollowJoiners, time.Since(begin).Milliseconds(), during)
-	g.changes()
+	g.requireServing()
+	t.Logf("%d joined, all serve %d ms after the first was started, with %d changes meanwhile", relayHollowCount, time.Since(begin).Milliseconds(), during)
+	g.requireChange()
 
 	f.kill(f.relays[0])
-	t.Logf("with a relay killed a change took %d ms", g.changes().Milliseconds())
+	t.Logf("with a relay killed a change took %d ms", g.requireChange().Milliseconds())
 	f.restart(f.relays[0])
-	leader := f.leading()
+	leader := f.requireLeader()
 	f.kill(leader)
-	t.Logf("with the leader killed a change took %d ms", g.changes().Milliseconds())
+	t.Logf("with the leader killed a change took %d ms", g.requireChange().Milliseconds())
 	f.restart(leader)
-	f.serveAll()
-	g.allServe()
-	g.end()
+	f.requireServing()
+	g.requireServing()
+	g.checkResults()
 }
 
-// prepareGuests makes hollow controllers, of which none is started.
-func prepareGuests(f *relayed) *hollowGuests {
+// newRelayHollowControllers makes hollow controllers, of which none is started.
+func newRelayHollowControllers(f *relayFleet) *relayHollowControllers {
 	f.t.Helper()
-	g := &hollowGuests{f: f, judge: newScaleJudge()}
-	config := hollow.Config{Fleet: "together", Keys: f.path("keys"), Lease: f.Lease, Election: relayedElection, Heartbeat: relayedHeartbeat,
-		WriteDelay: hollowWriteDelay, Seed: f.Seed}
+	g := &relayHollowControllers{fleet: f, judge: newScaleJudge()}
+	config := hollow.Config{Fleet: "together", Keys: f.path("keys"), Lease: f.Lease, Election: relayFleetElectionTimeout, Heartbeat: relayFleetHeartbeat,
+		WriteDelay: relayHollowWriteDelay, Seed: f.Seed}
 	for _, v := range f.voters {
 		config.Voters = append(config.Voters, hollow.Peer{Name: v.name, Address: v.peer})
 	}
-	for i, p := range f.later {
-		first, second := f.relays[i%relayedRelays], f.relays[(i+1)%relayedRelays]
+	for i, p := range f.lateMembers {
+		first, second := f.relays[i%relayFleetRelays], f.relays[(i+1)%relayFleetRelays]
 		config.Controllers = append(config.Controllers, hollow.Member{Name: p.name, ListenAddress: p.listen,
 			Relays: []hollow.Peer{{Name: first.name, Address: first.peer}, {Name: second.name, Address: second.peer}}})
 	}
@@ -85,30 +85,30 @@
 	var ended sync.WaitGroup
 	ended.Go(func() {
 		if err := hollow.Run(f.ctx, input, events); err != nil {
-			g.saw(hollow.Event{Kind: hollow.Failed, Reason: err.Error()})
+			g.handleEvent(hollow.Event{Kind: hollow.Failed, Reason: err.Error()})
 		}
 		input.Close()
 		events.Close()
 	})
-	ended.Go(func() { g.read(output) })
+	ended.Go(func() { g.readEvents(output) })
 	f.t.Cleanup(func() { commands.Close(); ended.Wait() })
 	g.commands = json.NewEncoder(commands)
 	f.must(g.commands.Encode(config))
 	return g
 }
 
-// read takes all that hollow controllers tell.
-func (g *hollowGuests) read(output io.Reader) {
+// readEvents takes all that hollow controllers tell.
+func (g *relayHollowControllers) readEvents(output io.Reader) {
 	for lines := bufio.NewScanner(output); lines.Scan(); {
 		var e hollow.Event
 		if err := json.Unmarshal(lines.Bytes(), &e); err != nil {
 			e = hollow.Event{Kind: hollow.Failed, Reason: err.Error()}
 		}
-		g.saw(e)
+		g.handleEvent(e)
 	}
 }
 
-func (g *hollowGuests) saw(e hollow.Event) {
+func (g *relayHollowControllers) handleEvent(e hollow.Event) {
 	switch at := time.Unix(0, e.At); e.Kind {
 	case hollow.Serving:
 		g.judge.serving(e.Name, e.Version, e.Policy, at)
@@ -117,71 +117,71 @@
 	case hollow.Failed:
 		g.mu.Lock()
 		defer g.mu.Unlock()
-		g.failed = append(g.failed, e)
+		g.failures = append(g.failures, e)
 	}
 }
 
 // startAll starts all within a second, in portions.
-func (g *hollowGuests) startAll() error {
-	for portion := range hollowPortions {
+func (g *relayHollowControllers) startAll() error {
+	for portion := range relayHollowBatches {
 		var names []string
-		for i := portion; i < hollowJoiners; i += hollowPortions {
-			names = append(names, g.f.later[i].name)
+		for i := portion; i < relayHollowCount; i += relayHollowBatches {
+			names = append(names, g.fleet.lateMembers[i].name)
 		}
 		if err := g.commands.Encode(hollow.Command{Do: hollow.Start, Names: names}); err != nil {
 			return err
 		}
-		time.Sleep(time.Second / hollowPortions)
+		time.Sleep(time.Second / relayHollowBatches)
 	}
 	return nil
 }
 
-// allServe waits until all guests serve.
-func (g *hollowGuests) allServe() {
-	g.f.t.Helper()
-	g.f.awaits("all hollow controllers serve", func() bool { return g.judge.servingNow() == hollowJoiners })
+// requireServing waits until all guests serve.
+func (g *relayHollowControllers) requireServing() {
+	g.fleet.t.Helper()
+	g.fleet.requireEventually("all hollow controllers serve", func() bool { return g.judge.servingNow() == relayHollowCount })
 }
 
-// changes has a policy come into force while guests are there, and tells how long it took.
-func (g *hollowGuests) changes() time.Duration {
-	g.f.t.Helper()
-	a := g.f.change(g.f.inForce(), 0, false)
+// requireChange has a policy come into force while guests are there, and tells how long it took.
+func (g *relayHollowControllers) requireChange() time.Duration {
+	g.fleet.t.Helper()
+	a := g.fleet.change(g.fleet.versionInForce(), 0, false)
 	g.judge.asked(a.ID, xxhash.Sum64(a.Policy))
-	begin, by := time.Now(), g.f.asker()
-	g.f.awaits("a word on "+a.ID, func() bool { return g.wordOn(a, by) })
+	begin, by := time.Now(), g.fleet.requestTarget()
+	g.fleet.requireEventually("a word on "+a.ID, func() bool { return g.applyInForce(a, by) })
 	return time.Since(begin)
 }
 
-// wordOn asks for a change and hands the word to both judges.
-func (g *hollowGuests) wordOn(a *fleet.Request, by *process) bool {
-	word := g.f.apply(by, a)
+// applyInForce asks for a change and hands the word to both judges.
+func (g *relayHollowControllers) applyInForce(a *fleet.Request, by *process) bool {
+	word := g.fleet.apply(by, a)
 	if word == "in force" {
 		g.judge.told(toldWord{id: a.ID, by: by.name, word: word, version: a.BaseVersion + 1, at: time.Now()})
 	}
 	return word == "in force"
 }
 
-// end judges all that guests and processes have told.
-func (g *hollowGuests) end() {
-	g.f.t.Helper()
+// checkResults judges all that guests and processes have told.
+func (g *relayHollowControllers) checkResults() {
+	g.fleet.t.Helper()
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	var broken []string
-	for _, e := range g.failed {
+	for _, e := range g.failures {
 		broken = append(broken, fmt.Sprintf("%s failed: %s", e.Name, e.Reason))
 	}
-	for _, s := range g.f.watch.since(time.Time{}) {
-		if s.control { // changes don't wait for it
+	for _, s := range g.fleet.monitor.samplesSince(time.Time{}) {
+		if s.controlRole { // changes don't wait for it
 			continue
 		}
-		g.judge.sampled(servingSample{controller: s.process, asked: s.asked, answered: s.told, serves: s.serves, version: s.version,
-			leaseMS: max(1, s.lease.Milliseconds())}) // the rest of a lease may be less than a millisecond
+		g.judge.sampled(servingSample{controller: s.process, asked: s.requested, answered: s.answered, serves: s.serving, version: s.version,
+			leaseMS: max(1, s.leaseRemaining.Milliseconds())}) // the rest of a lease may be less than a millisecond
 	}
 	verdict := g.judge.verdict()
 	broken = append(broken, verdict.Broken...)
-	if verdict.Spans < hollowJoiners {
+	if verdict.Spans < relayHollowCount {
 		broken = append(broken, fmt.Sprintf("too little was told: %d spans", verdict.Spans))
 	}
-	g.f.t.Logf("%d spans, %d samples, %d words; %s", verdict.Spans, verdict.Samples, verdict.Words, strings.Join(broken, "; "))
-	g.f.judge(broken)
+	g.fleet.t.Logf("%d spans, %d samples, %d words; %s", verdict.Spans, verdict.Samples, verdict.Words, strings.Join(broken, "; "))
+	g.fleet.checkHistory(broken)
 }
--- a/internal/bench/relays_strangers_test.go
+++ b/internal/bench/relays_strangers_test.go
@@ -11,48 +11,48 @@
 	"railrelay.dev/railrelay/internal/fleet/transport"
 )
 
-// strangerRounds are played on one fleet without clients.
-func strangerRounds() []relayRound {
-	return []relayRound{
-		{"relays of other fleets", foreignRelays, false},
-		{"controllers join within a second", manyJoin, false},
+// foreignRelayCases are played on one fleet without clients.
+func foreignRelayCases() []relayCase {
+	return []relayCase{
+		{"relays of other fleets", testForeignRelays, false},
+		{"controllers join within a second", testControllersJoinDuringChanges, false},
 	}
 }
 
-// foreign is a relay that isn't of the fleet and leads one of its own, and the controller
+// foreignRelay is a relay that isn't of the fleet and leads one of its own, and the controller
 // that names it as its first one.
-type foreign struct {
-	relay, controller string // names
-	named             string // what the controller takes the relay to be called
-	fleet, key        string // of the relay
-	refused           transport.RejectionError
+type foreignRelay struct {
+	relayName, controllerName string // names
+	expectedName              string // what the controller takes the relay to be called
+	fleet, key                string // of the relay
+	rejection                 transport.RejectionError
 }
 
 const (
-	keyOfStranger = "e5" // a byte of another fleet's key, in hex
-	joiners       = 20
-	joinWithin    = time.Second
+	foreignRelayKeyByte = "e5" // a byte of another fleet's key, in hex
+	relayJoinerCount    = 20
+	relayJoinDuration   = time.Second
 )
 
-func foreigners() []foreign {
-	return []foreign{
-		{"x0", "n0", "x0", "another", keyOfFleet, &transport.OtherFleetError{From: "n0", Fleet: "together", Own: "another"}},
-		{"x1", "n1", "x1", "together", keyOfStranger, &transport.UnauthenticatedError{What: "a frame"}},
-		{"x2", "n2", "r0", "together", keyOfFleet, &transport.WrongRecipientError{From: "n2", To: "r0", Own: "x2"}},
+func foreignRelaySpecs() []foreignRelay {
+	return []foreignRelay{
+		{"x0", "n0", "x0", "another", relayFleetKeyByte, &transport.OtherFleetError{From: "n0", Fleet: "together", Own: "another"}},
+		{"x1", "n1", "x1", "together", foreignRelayKeyByte, &transport.UnauthenticatedError{What: "a frame"}},
+		{"x2", "n2", "r0", "together", relayFleetKeyByte, &transport.WrongRecipientError{From: "n2", To: "r0", Own: "x2"}},
 	}
 }
 
-func foreignNames() (names []string) {
-	for _, x := range foreigners() {
-		names = append(names, x.relay, x.controller)
+func foreignRelayNames() (names []string) {
+	for _, x := range foreignRelaySpecs() {
+		names = append(names, x.relayName, x.controllerName)
 	}
 	return names
 }
 
-func joinerNames() []string { return numbered("j", joiners) }
+func relayJoinerNames() []string { return numberedNames("j", relayJoinerCount) }
 
-// named is the member of a name.
-func (f *relayed) named(name string) *process {
+// memberNamed is the member of a name.
+func (f *relayFleet) memberNamed(name string) *process {
 	for _, p := range f.members {
 		if p.name == name {
 			return p
@@ -62,67 +62,67 @@
 	return nil
 }
 
-// foreignRelays has controllers name a relay that belongs to another fleet, has another
+// testForeignRelays has controllers name a relay that belongs to another fleet, has another
 // key or is another one than it is taken for. It refuses them by a typed error, and they
 // are served by their second relay alone.
-func foreignRelays(f *relayed) {
-	for _, x := range foreigners() {
+func testForeignRelays(f *relayFleet) {
+	for _, x := range foreignRelaySpecs() {
 		f.startForeignRelay(x)
 	}
-	for _, x := range foreigners() {
-		f.startMisled(x)
+	for _, x := range foreignRelaySpecs() {
+		f.startMisledController(x)
 	}
-	for _, x := range foreigners() {
-		f.cutFromVoters(f.named(x.controller)) // so that the leader itself can't serve it
+	for _, x := range foreignRelaySpecs() {
+		f.cutFromVoters(f.memberNamed(x.controllerName)) // so that the leader itself can't serve it
 	}
-	f.pastLease()
-	for _, x := range foreigners() {
-		p := f.named(x.controller)
-		f.awaits(p.name+" serves by its second relay", func() bool { return f.status(p).Serves })
-		f.refusedBy(x)
+	f.waitPastLease()
+	for _, x := range foreignRelaySpecs() {
+		p := f.memberNamed(x.controllerName)
+		f.requireEventually(p.name+" serves by its second relay", func() bool { return f.status(p).Serves })
+		f.checkRejectedBy(x)
 	}
-	f.changes(f.asker())
-	for _, x := range foreigners() {
-		f.kill(f.named(x.controller))
-		f.kill(f.named(x.relay))
+	f.requireChange(f.requestTarget())
+	for _, x := range foreignRelaySpecs() {
+		f.kill(f.memberNamed(x.controllerName))
+		f.kill(f.memberNamed(x.relayName))
 	}
 	f.mesh.Heal()
 }
 
 // startForeignRelay starts a foreign relay, the only voter of its own fleet.
-func (f *relayed) startForeignRelay(x foreign) {
+func (f *relayFleet) startForeignRelay(x foreignRelay) {
 	f.t.Helper()
-	relay, keyFile := f.named(x.relay), "keys-"+x.relay
+	relay, keyFile := f.memberNamed(x.relayName), "keys-"+x.relayName
 	f.must(f.writeKeys(keyFile, x.key))
-	own := fmt.Sprintf("  voters: [%s]\n", namedAt(relay))
-	setup := f.controlSetup(relay, relayFleetPart)
-	for old, replacement := range map[string]string{f.voterLines(): own, "  name: together\n": "  name: " + x.fleet + "\n",
+	own := fmt.Sprintf("  voters: [%s]\n", peerSettings(relay))
+	setup := f.controlSetup(relay, relayRoleSettings)
+	for old, replacement := range map[string]string{f.voterSettings(): own, "  name: together\n": "  name: " + x.fleet + "\n",
 		f.path("keys"): f.path(keyFile)} {
 		setup = strings.Replace(setup, old, replacement, 1)
 	}
-	f.must(f.write(relay, setup))
+	f.must(f.writeSetup(relay, setup))
 	f.must(f.begin(relay))
 }
 
-// startMisled starts the controller that names a foreign relay, once that leads its fleet.
-func (f *relayed) startMisled(x foreign) {
+// startMisledController starts the controller that names a foreign relay, once that leads its fleet.
+func (f *relayFleet) startMisledController(x foreignRelay) {
 	f.t.Helper()
-	relay, controller := f.named(x.relay), f.named(x.controller)
-	f.awaits(relay.name+" leads its own fleet", func() bool { return f.foreignStatus(x).Leader == relay.name })
-	first := fmt.Sprintf("{name: %s, address: %q}", x.named, relay.peer)
-	f.must(f.write(controller, f.controllerSetup(controller, first, namedAt(f.relays[1]))))
+	relay, controller := f.memberNamed(x.relayName), f.memberNamed(x.controllerName)
+	f.requireEventually(relay.name+" leads its own fleet", func() bool { return f.foreignStatus(x).Leader == relay.name })
+	first := fmt.Sprintf("{name: %s, address: %q}", x.expectedName, relay.peer)
+	f.must(f.writeSetup(controller, f.controllerSetup(controller, first, peerSettings(f.relays[1]))))
 	f.must(f.begin(controller))
-	f.watch.follow(f, controller)
-	f.awaits(controller.name+" serves", func() bool { return f.status(controller).Serves })
+	f.monitor.poll(f, controller)
+	f.requireEventually(controller.name+" serves", func() bool { return f.status(controller).Serves })
 }
 
 // foreignStatus is how a foreign relay sees its own fleet.
-func (f *relayed) foreignStatus(x foreign) *fleet.Status {
-	keys, err := transport.ReadKeys(f.path("keys-" + x.relay))
+func (f *relayFleet) foreignStatus(x foreignRelay) *fleet.Status {
+	keys, err := transport.ReadKeys(f.path("keys-" + x.relayName))
 	f.must(err)
-	ctx, stop := context.WithTimeout(f.ctx, comesWithin)
+	ctx, stop := context.WithTimeout(f.ctx, relayFleetWaitLimit)
 	defer stop()
-	reply, err := transport.SendControlRequest(ctx, f.named(x.relay).control, keys,
+	reply, err := transport.SendControlRequest(ctx, f.memberNamed(x.relayName).control, keys,
 		&fleet.Request{Kind: "status"})
 	if err != nil || reply.Status == nil {
 		return &fleet.Status{}
@@ -130,56 +130,56 @@
 	return reply.Status
 }
 
-// refusedBy checks that a foreign relay has counted and named what it refused, that its
+// checkRejectedBy checks that a foreign relay has counted and named what it refused, that its
 // controller was told, and that the controller isn't known to it.
-func (f *relayed) refusedBy(x foreign) {
+func (f *relayFleet) checkRejectedBy(x foreignRelay) {
 	f.t.Helper()
 	status := f.foreignStatus(x)
-	if status.Counts["wire_refused_"+x.refused.Reason()] == 0 {
-		f.t.Errorf("%s has refused nothing as %s: %v", x.relay, x.refused.Reason(), status.Counts)
+	if status.Counts["wire_refused_"+x.rejection.Reason()] == 0 {
+		f.t.Errorf("%s has refused nothing as %s: %v", x.relayName, x.rejection.Reason(), status.Counts)
 	}
 	for _, m := range status.Members {
-		if m.Name == x.controller {
-			f.t.Errorf("%s has taken %s in", x.relay, x.controller)
+		if m.Name == x.controllerName {
+			f.t.Errorf("%s has taken %s in", x.relayName, x.controllerName)
 		}
 	}
-	said, err := os.ReadFile(f.path(x.relay + ".log"))
+	said, err := os.ReadFile(f.path(x.relayName + ".log"))
 	f.must(err)
-	if !strings.Contains(string(said), x.refused.Remedy()) {
-		f.t.Errorf("%s doesn't say what to do about %q: %s", x.relay, x.refused, said)
+	if !strings.Contains(string(said), x.rejection.Remedy()) {
+		f.t.Errorf("%s doesn't say what to do about %q: %s", x.relayName, x.rejection, said)
 	}
-	if counts := f.status(f.named(x.controller)).Counts; counts["wire_refused_turned_away"] == 0 {
-		f.t.Errorf("%s wasn't told that it is refused: %v", x.controller, counts)
+	if counts := f.status(f.memberNamed(x.controllerName)).Counts; counts["wire_refused_turned_away"] == 0 {
+		f.t.Errorf("%s wasn't told that it is refused: %v", x.controllerName, counts)
 	}
 }
 
-// manyJoin starts controllers one after another within a second, while one change follows
+// testControllersJoinDuringChanges starts controllers one after another within a second, while one change follows
 // another.
-func manyJoin(f *relayed) {
+func testControllersJoinDuringChanges(f *relayFleet) {
 	begin := time.Now()
 	quit, changed := make(chan struct{}), make(chan int)
-	by := f.asker()
-	go func() { changed <- f.keepChanging(by, quit) }()
-	for i, name := range joinerNames() {
-		p := f.named(name)
-		f.must(f.write(p, f.controllerSetup(p, f.relaysOf(i)...)))
+	by := f.requestTarget()
+	go func() { changed <- f.applyChangesUntil(by, quit) }()
+	for i, name := range relayJoinerNames() {
+		p := f.memberNamed(name)
+		f.must(f.writeSetup(p, f.controllerSetup(p, f.relaysFor(i)...)))
 		f.must(f.begin(p))
-		f.watch.follow(f, p)
-		time.Sleep(joinWithin / joiners)
+		f.monitor.poll(f, p)
+		time.Sleep(relayJoinDuration / relayJoinerCount)
 	}
 	started := time.Since(begin)
-	f.serveAll()
+	f.requireServing()
 	served := time.Since(begin)
 	close(quit)
-	f.t.Logf("%d started within %d ms, serve after %d ms, with %d changes meanwhile", joiners, started.Milliseconds(), served.Milliseconds(), <-changed)
-	f.changes(f.asker())
-	f.serveAll()
+	f.t.Logf("%d started within %d ms, serve after %d ms, with %d changes meanwhile", relayJoinerCount, started.Milliseconds(), served.Milliseconds(), <-changed)
+	f.requireChange(f.requestTarget())
+	f.requireServing()
 }
 
-// keepChanging has one change after another come into force until quit, and counts them.
-func (f *relayed) keepChanging(by *process, quit chan struct{}) (changed int) {
+// applyChangesUntil has one change after another come into force until quit, and counts them.
+func (f *relayFleet) applyChangesUntil(by *process, quit chan struct{}) (changed int) {
 	for {
-		a := f.change(f.inForce(), 0, false)
+		a := f.change(f.versionInForce(), 0, false)
 		for word := "unknown"; word == "unknown"; word = f.apply(by, a) {
 			if f.ctx.Err() != nil {
 				return changed
--- a/internal/bench/relays_watch_test.go
+++ b/internal/bench/relays_watch_test.go
@@ -13,158 +13,158 @@
 )
 
 const (
-	lookEvery  = 25 * time.Millisecond // how often each process is asked for its status
-	brokenMost = 10                    // lines that a failed test shows
+	relayStatusInterval = 25 * time.Millisecond // how often each process is asked for its status
+	relayFailuresShown  = 10                    // lines that a failed test shows
 )
 
-// sighting is a process's answer to one ask for its status: what it says was so at some
+// relayStatusSample is a process's answer to one ask for its status: what it says was so at some
 // moment between asked and told.
-type sighting struct {
-	process     string
-	control     bool // it is set apart for control: it decides nothing by a version
-	asked, told time.Time
-	serves      bool
-	version     uint64
-	lease       time.Duration // what is left of it
+type relayStatusSample struct {
+	process             string
+	controlRole         bool // it is set apart for control: it decides nothing by a version
+	requested, answered time.Time
+	serving             bool
+	version             uint64
+	leaseRemaining      time.Duration // what is left of it
 }
 
-// announced is a line of a process's log by which a version is in force.
-type announced struct {
+// relayAnnouncement is a line of a process's log by which a version is in force.
+type relayAnnouncement struct {
 	process string
 	at      time.Time
 	version uint64
 }
 
-// mixed gives the sightings of a controller that served by a version after another one had
+// findMixedVersions gives the sightings of a controller that served by a version after another one had
 // served by a later version, or any process had announced it. It needs no bound: only what
 // was asked for after the other was seen is judged. Changes don't wait for processes set
 // apart for control, which take no queries.
-func mixed(sightings []sighting, lines []announced) (broken []string) {
-	sightings = slices.DeleteFunc(slices.Clone(sightings), func(s sighting) bool { return s.control || !s.serves })
-	later := map[uint64]sighting{} // by version: the first one told that serves by it
+func findMixedVersions(sightings []relayStatusSample, lines []relayAnnouncement) (broken []string) {
+	sightings = slices.DeleteFunc(slices.Clone(sightings), func(s relayStatusSample) bool { return s.controlRole || !s.serving })
+	later := map[uint64]relayStatusSample{} // by version: the first one told that serves by it
 	for _, s := range sightings {
 		first, had := later[s.version]
-		if !had || s.told.Before(first.told) {
+		if !had || s.answered.Before(first.answered) {
 			later[s.version] = s
 		}
 	}
 	for _, s := range sightings {
-		if why := outdated(s, later, lines); why != "" {
+		if why := laterVersionSeen(s, later, lines); why != "" {
 			broken = append(broken, fmt.Sprintf("%s served by version %d, asked %s", s.process, s.version, why))
 		}
 	}
 	return broken
 }
 
-// outdated tells what was seen of a later version before a sighting was asked for, "" if
+// laterVersionSeen tells what was seen of a later version before a sighting was asked for, "" if
 // nothing was.
-func outdated(s sighting, later map[uint64]sighting, lines []announced) string {
+func laterVersionSeen(s relayStatusSample, later map[uint64]relayStatusSample, lines []relayAnnouncement) string {
 	for version, first := range later {
-		if version > s.version && s.asked.After(first.told) {
-			return fmt.Sprintf("%v after %s had served by version %d", s.asked.Sub(first.told), first.process, version)
+		if version > s.version && s.requested.After(first.answered) {
+			return fmt.Sprintf("%v after %s had served by version %d", s.requested.Sub(first.answered), first.process, version)
 		}
 	}
 	for _, line := range lines {
-		if line.version > s.version && s.asked.After(line.at) {
-			return fmt.Sprintf("%v after %s had announced version %d", s.asked.Sub(line.at), line.process, line.version)
+		if line.version > s.version && s.requested.After(line.at) {
+			return fmt.Sprintf("%v after %s had announced version %d", s.requested.Sub(line.at), line.process, line.version)
 		}
 	}
 	return ""
 }
 
-// overlong gives the sightings of leases that are longer than any that is granted.
-func overlong(sightings []sighting, lease time.Duration) (broken []string) {
+// findOverlongLeases gives the sightings of leases that are longer than any that is granted.
+func findOverlongLeases(sightings []relayStatusSample, lease time.Duration) (broken []string) {
 	for _, s := range sightings {
-		if s.lease > lease {
-			broken = append(broken, fmt.Sprintf("%s has %v left of a lease of %v", s.process, s.lease, lease))
+		if s.leaseRemaining > lease {
+			broken = append(broken, fmt.Sprintf("%s has %v left of a lease of %v", s.process, s.leaseRemaining, lease))
 		}
 	}
 	return broken
 }
 
-// withoutLease is the longest stretch within which a process had no lease, from the last
+// longestLeaseGap is the longest stretch within which a process had no lease, from the last
 // sight of one before it to the first one after it.
-func withoutLease(sightings []sighting, process string) (longest time.Duration) {
+func longestLeaseGap(sightings []relayStatusSample, process string) (longest time.Duration) {
 	var held time.Time
 	lapsed := false
 	for _, s := range sightings {
 		if s.process != process {
 			continue
 		}
-		if s.lease <= 0 {
+		if s.leaseRemaining <= 0 {
 			lapsed = true
 			continue
 		}
 		if lapsed && !held.IsZero() {
-			longest = max(longest, s.told.Sub(held))
+			longest = max(longest, s.answered.Sub(held))
 		}
-		held, lapsed = s.asked, false
+		held, lapsed = s.requested, false
 	}
 	return longest
 }
 
-// watch asks all processes of a fleet for their status again and again.
-type watch struct {
-	mu        sync.Mutex
-	sightings []sighting // of each process in turn
+// relayStatusMonitor asks all processes of a fleet for their status again and again.
+type relayStatusMonitor struct {
+	mu      sync.Mutex
+	samples []relayStatusSample // of each process in turn
 }
 
-// follow watches a process until the fleet's end.
-func (w *watch) follow(f *relayed, p *process) {
+// poll watches a process until the fleet's end.
+func (w *relayStatusMonitor) poll(f *relayFleet, p *process) {
 	control := slices.Contains(f.voters, p) || slices.Contains(f.relays, p)
 	f.clients.Go(func() {
 		for f.ctx.Err() == nil {
-			if s, seen := look(f, p); seen {
-				s.control = control
+			if s, seen := sampleStatus(f, p); seen {
+				s.controlRole = control
 				w.mu.Lock()
-				w.sightings = append(w.sightings, s)
+				w.samples = append(w.samples, s)
 				w.mu.Unlock()
 			}
 			select {
 			case <-f.quit:
 				return
 			case <-f.ctx.Done():
-			case <-time.After(lookEvery):
+			case <-time.After(relayStatusInterval):
 			}
 		}
 	})
 }
 
-// look asks a process once; it isn't seen where it is down or stopped.
-func look(f *relayed, p *process) (s sighting, seen bool) {
-	s = sighting{process: p.name, asked: time.Now()}
+// sampleStatus asks a process once; it isn't seen where it is down or stopped.
+func sampleStatus(f *relayFleet, p *process) (s relayStatusSample, seen bool) {
+	s = relayStatusSample{process: p.name, requested: time.Now()}
 	status := f.status(p)
-	s.told = time.Now()
-	s.serves, s.version, s.lease = status.Serves, status.Version,
+	s.answered = time.Now()
+	s.serving, s.version, s.leaseRemaining = status.Serves, status.Version,
 		time.Duration(status.LeaseRemainingMs)*time.Millisecond
 	return s, status.Name != ""
 }
 
-// since are the sightings that were asked for after a moment.
-func (w *watch) since(at time.Time) (l []sighting) {
+// samplesSince are the sightings that were asked for after a moment.
+func (w *relayStatusMonitor) samplesSince(at time.Time) (l []relayStatusSample) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	for _, s := range w.sightings {
-		if s.asked.After(at) {
+	for _, s := range w.samples {
+		if s.requested.After(at) {
 			l = append(l, s)
 		}
 	}
 	return l
 }
 
-// broken is what all sightings and logs of a fleet show to be wrong.
-func (w *watch) broken(f *relayed) []string {
-	lines, err := announcements(f)
+// violations is what all sightings and logs of a fleet show to be wrong.
+func (w *relayStatusMonitor) violations(f *relayFleet) []string {
+	lines, err := readAnnouncements(f)
 	f.must(err)
-	seen := w.since(time.Time{})
+	seen := w.samplesSince(time.Time{})
 	if len(seen) == 0 || len(lines) == 0 {
 		return []string{fmt.Sprintf("too little was seen: %d sightings, %d lines", len(seen), len(lines))}
 	}
-	return slices.Concat(mixed(seen, lines), overlong(seen, f.Lease))
+	return slices.Concat(findMixedVersions(seen, lines), findOverlongLeases(seen, f.Lease))
 }
 
-// announcements are the lines of all logs by which versions are in force.
-func announcements(f *relayed) (lines []announced, err error) {
+// readAnnouncements are the lines of all logs by which versions are in force.
+func readAnnouncements(f *relayFleet) (lines []relayAnnouncement, err error) {
 	files, err := filepath.Glob(f.path("*.log"))
 	if err != nil {
 		return nil, err
@@ -174,14 +174,14 @@
 		if err != nil {
 			return nil, err
 		}
-		lines = append(lines, announcedIn(strings.TrimSuffix(filepath.Base(file), ".log"), text)...)
+		lines = append(lines, parseAnnouncements(strings.TrimSuffix(filepath.Base(file), ".log"), text)...)
 	}
 	return lines, nil
 }
 
-// announcedIn are such lines of one log. Their times are cut to a microsecond, so each
+// parseAnnouncements are such lines of one log. Their times are cut to a microsecond, so each
 // counts from the next one.
-func announcedIn(process string, text []byte) (lines []announced) {
+func parseAnnouncements(process string, text []byte) (lines []relayAnnouncement) {
 	for _, line := range bytes.Split(text, []byte("\n")) {
 		var said struct {
 			Time    time.Time
@@ -192,21 +192,21 @@
 		}
 		var version uint64
 		if n, _ := fmt.Sscanf(said.Message, "fleet: policy: version %d is in force", &version); n == 1 {
-			lines = append(lines, announced{process, said.Time.Add(time.Microsecond), version})
+			lines = append(lines, relayAnnouncement{process, said.Time.Add(time.Microsecond), version})
 		}
 	}
 	return lines
 }
 
-// allActed tells whether engines have seen each controller act.
-func (f *relayed) allActed() bool {
+// allControllersActed tells whether engines have seen each controller act.
+func (f *relayFleet) allControllersActed() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return !slices.ContainsFunc(f.acts, func(acts []mark) bool { return len(acts) == 0 })
 }
 
-// pauseOf is the longest time between two acts of a controller since a moment; 0 without any.
-func (f *relayed) pauseOf(controller int, since time.Duration) (longest time.Duration) {
+// longestPause is the longest time between two acts of a controller since a moment; 0 without any.
+func (f *relayFleet) longestPause(controller int, since time.Duration) (longest time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	last := since
