--- a/internal/bench/fleet.go
+++ b/internal/bench/fleet.go
@@ -111,10 +111,10 @@
 func (d FleetScenario) Run() *FleetResult {
 	f := &fleetRun{FleetScenario: d, rng: rand.New(rand.NewPCG(d.Seed, 22)), enginesByAddress: map[string]*fleetEngine{}, controllersByQuery: map[string]*fleetController{}}
 	f.result.FaultCounts = map[string]int{}
-	kinds := Usual()
+	kinds := DefaultWorkload()
 	figures := engine.DefaultConfig()
 	figures.DiskParallelism = 16
-	f.settings = Facts(kinds, figures)
+	f.settings = ControllerSettings(kinds, figures)
 	f.settings["gateways"] = strconv.Itoa(d.ControllerCount)
 	for k, v := range d.SettingOverrides {
 		f.settings[k] = v
--- a/internal/bench/fleet_controllers.go
+++ b/internal/bench/fleet_controllers.go
@@ -62,7 +62,7 @@
 	}
 	f.controllers = append(f.controllers, c)
 	r, effects := controller.New(controller.Config{Seed: f.rng.Uint64(), MemoryMB: 256, MaxDescriptors: 512, DiscoveryAddress: "feed", InitialEndpoints: f.discoveryLog.ConfigurationJSON(), Settings: facts,
-		StartedAt: time.UnixMilli(fleetEpochMs), ClientLimits: []controller.ClientLimits{{Prefixes: Homes, MaxOpenQueries: 100_000, MaxMessagesPerSweep: 100_000, IdleTimeout: time.Minute}}})
+		StartedAt: time.UnixMilli(fleetEpochMs), ClientLimits: []controller.ClientLimits{{Prefixes: ClientPrefixes, MaxOpenQueries: 100_000, MaxMessagesPerSweep: 100_000, IdleTimeout: time.Minute}}})
 	c.controller = r
 	c.perform(effects)
 }
@@ -70,7 +70,7 @@
 // ensureClientConnected has the clients' connection stand: one that says nothing is ended.
 func (c *fleetController) ensureClientConnected() {
 	if c.clientConn == nil || c.clientConn.closed {
-		c.clientConn = &fleetConn{connection: &controller.Connection{RemoteAddress: Home}, isClient: true}
+		c.clientConn = &fleetConn{connection: &controller.Connection{RemoteAddress: ClientAddress}, isClient: true}
 		c.conns[c.clientConn.connection] = c.clientConn
 		end := c.clientConn
 		c.deliver(func() { c.step(controller.Event{Kind: controller.ClientAccepted, Connection: end.connection}) })
@@ -83,7 +83,7 @@
 }
 
 // scheduleQueries has clients ask at a rate. Queries of one key come 60 ms apart at the least.
-func (c *fleetController) scheduleQueries(kinds []Kind, rate float64) {
+func (c *fleetController) scheduleQueries(kinds []WorkloadGroup, rate float64) {
 	var next func()
 	msg := uint32(0)
 	last := map[string]time.Duration{}
@@ -101,8 +101,8 @@
 		msg++
 		id := fmt.Sprintf("%04x%012x", c.number, msg)
 		work := engine.Work{Threads: k.Threads, MemoryMB: k.MemoryMB, TableGroup: int64(c.rng.IntN(20)), Load: k.Load, Rows: k.Rows}
-		work.CPU = time.Duration(float64(k.CPU) * math.Exp(c.rng.NormFloat64()*k.Spread-k.Spread*k.Spread/2))
-		work.Disk = time.Duration(float64(work.CPU) / k.Threads * k.Disk)
+		work.CPU = time.Duration(float64(k.CPU) * math.Exp(c.rng.NormFloat64()*k.CPUSigma-k.CPUSigma*k.CPUSigma/2))
+		work.Disk = time.Duration(float64(work.CPU) / k.Threads * k.DiskPerCPU)
 		patience := k.Patience/2 + time.Duration(c.rng.Int64N(int64(k.Patience/2)))
 		fields := []string{"trace", id, "patience", fmt.Sprint(patience.Milliseconds())}
 		key, at := "", c.now
