--- a/cmd/railrelay-bench/datapath.go
+++ b/cmd/railrelay-bench/datapath.go
@@ -13,7 +13,7 @@
 
 // datapathCommand measures the cost of engines, clients and queries on one controller.
 func datapathCommand() *cobra.Command {
-	path := bench.UsualDatapath()
+	path := bench.DefaultDatapath()
 	file := ""
 	c := &cobra.Command{Use: "datapath", Short: "what engines, clients and queries cost one controller",
 		Args: cobra.NoArgs,
@@ -27,11 +27,11 @@
 	flags.StringVar(&path.Program, "program", path.Program, "the controller")
 	flags.IntVar(&path.Controllers, "controllers", path.Controllers,
 		"number of controllers that share the engines, in the set-up")
-	flags.IntSliceVar(&path.Engines, "engines", path.Engines,
+	flags.IntSliceVar(&path.EngineCounts, "engines", path.EngineCounts,
 		"numbers of engines to idle with; the largest is used in all other steps")
-	flags.IntSliceVar(&path.Rates, "rates", path.Rates, "queries a second")
-	flags.IntSliceVar(&path.Clients, "clients", path.Clients, "numbers of idle clients, one for each step")
-	flags.DurationVar(&path.Rest, "rest", path.Rest, "duration of each step")
+	flags.IntSliceVar(&path.QueryRates, "rates", path.QueryRates, "queries a second")
+	flags.IntSliceVar(&path.ClientCounts, "clients", path.ClientCounts, "numbers of idle clients, one for each step")
+	flags.DurationVar(&path.StepDuration, "rest", path.StepDuration, "duration of each step")
 	flags.Uint64Var(&path.Seed, "seed", path.Seed, seedUsage)
 	flags.StringVar(&file, "csv", "", "the file that the results are appended to")
 	return c
--- a/cmd/railrelay-bench/large.go
+++ b/cmd/railrelay-bench/large.go
@@ -12,7 +12,7 @@
 	c := &cobra.Command{Use: "large",
 		Short: "large results through a program of 64 MB, on the disk of this machine", Args: cobra.NoArgs}
 	c.RunE = func(c *cobra.Command, _ []string) error {
-		return bench.Large(c.Context(), c.OutOrStdout(), program, results, size)
+		return bench.MeasureLargeResults(c.Context(), c.OutOrStdout(), program, results, size)
 	}
 	c.Flags().StringVar(&program, "program", defaultProgram, "the controller")
 	c.Flags().IntVar(&results, "results", 1, "number of results, which are all kept on disk")
--- a/cmd/railrelay-bench/try.go
+++ b/cmd/railrelay-bench/try.go
@@ -11,21 +11,21 @@
 )
 
 func tryCommand() *cobra.Command {
-	trial := &bench.Trial{Engines: 6, Log: os.Stderr}
+	trial := &bench.Trial{Engines: 6, ControllerLog: os.Stderr}
 	c := &cobra.Command{Use: "try",
 		Short: "start stand-in engines, a feed and a controller with teams, and look", Args: cobra.NoArgs}
 	c.RunE = func(c *cobra.Command, _ []string) error {
 		fmt.Fprintf(c.OutOrStdout(),
 			"%d stand-in engines, a feed and a controller with teams; %v of queries, the last team floods\n",
-			trial.Engines, trial.Long)
+			trial.Engines, trial.Duration)
 		rows, err := trial.Run(c.Context())
 		if err == nil {
-			bench.PrintRows(c.OutOrStdout(), rows)
+			bench.PrintTrialResults(c.OutOrStdout(), rows)
 		}
 		return err
 	}
 	c.Flags().StringVar(&trial.Program, "program", defaultProgram, "the controller")
-	c.Flags().DurationVar(&trial.Long, "for", 20*time.Second, "time for which queries are sent")
+	c.Flags().DurationVar(&trial.Duration, "for", 20*time.Second, "time for which queries are sent")
 	c.Flags().Uint64Var(&trial.Seed, "seed", 1, seedUsage)
 	return c
 }
--- a/internal/bench/datapath.go
+++ b/internal/bench/datapath.go
@@ -15,46 +15,46 @@
 // Datapath measures what one controller's work for engines, clients and queries costs:
 // one real process before stand-in engines, clients and a feed that share another.
 type Datapath struct {
-	Program     string // the built railrelay
-	Controllers int    // that its set-up says share the engines
-	Engines     []int  // sizes that it idles before; the last is used for all else
-	Rates       []int  // queries a second
-	Clients     []int  // sizes of the steps of idle connections
-	Rest        time.Duration
-	Seed        uint64
-	Log         io.Writer // of the controller
+	Program       string // the built railrelay
+	Controllers   int    // that its set-up says share the engines
+	EngineCounts  []int  // sizes that it idles before; the last is used for all else
+	QueryRates    []int  // queries a second
+	ClientCounts  []int  // sizes of the steps of idle connections
+	StepDuration  time.Duration
+	Seed          uint64
+	ControllerLog io.Writer // of the controller
 }
 
-// UsualDatapath are the sizes of docs/CAPACITY.md.
-func UsualDatapath() Datapath {
-	return Datapath{Program: "bin/railrelay", Controllers: 580, Engines: []int{1, 10, 100, 740},
-		Rates: []int{740, 1897, 3700, 7400, 74000}, Clients: []int{200, 1000, 2000, 4000, 7414}, Rest: 10 * time.Second, Seed: 1, Log: os.Stderr}
+// DefaultDatapath are the sizes of docs/CAPACITY.md.
+func DefaultDatapath() Datapath {
+	return Datapath{Program: "bin/railrelay", Controllers: 580, EngineCounts: []int{1, 10, 100, 740},
+		QueryRates: []int{740, 1897, 3700, 7400, 74000}, ClientCounts: []int{200, 1000, 2000, 4000, 7414}, StepDuration: 10 * time.Second, Seed: 1, ControllerLog: os.Stderr}
 }
 
 const (
-	// controllerRole is the role of all rows.
-	controllerRole = "controller"
-	// askingClients is how many connections queries are asked on.
-	askingClients = 200
-	// letterRate is the queries a second that a controller has in the mean.
-	letterRate = 1897
-	// letterRateAnEngine is the queries a second that an engine has of all controllers.
-	letterRateAnEngine = 1486
-	// linesMost bounds the connections to one engine that room is kept for.
-	linesMost = 4
-	// spareDescriptors are for the feed, the runtime and the like.
-	spareDescriptors = 128
-	// settles is what a change of load is given before it is looked at.
-	settles = 3 * time.Second
-	// clientMB and engineMB are the memory that a client's and an engine's stand-in are
+	// datapathRole is the role of all rows.
+	datapathRole = "controller"
+	// datapathQueryClients is how many connections queries are asked on.
+	datapathQueryClients = 200
+	// specifiedControllerRate is the queries a second that a controller has in the mean.
+	specifiedControllerRate = 1897
+	// specifiedEngineRate is the queries a second that an engine has of all controllers.
+	specifiedEngineRate = 1486
+	// maxConnectionsPerEngine bounds the connections to one engine that room is kept for.
+	maxConnectionsPerEngine = 4
+	// datapathSpareDescriptors are for the feed, the runtime and the like.
+	datapathSpareDescriptors = 128
+	// datapathSettleTime is what a change of load is given before it is looked at.
+	datapathSettleTime = 3 * time.Second
+	// datapathClientMB and engineMB are the memory that a client's and an engine's stand-in are
 	// reckoned with before anything starts.
-	clientMB, engineMB = 0.05, 0.5
-	// memoryPart is the part of the machine's memory that a measurement may take.
-	memoryPart = 0.5
+	datapathClientMB, datapathEngineMB = 0.05, 0.5
+	// datapathMemoryFraction is the part of the machine's memory that a measurement may take.
+	datapathMemoryFraction = 0.5
 )
 
-// sizes tells whether each is 1 or more, and there is one.
-func sizes(what string, all []int) error {
+// checkDatapathSizes tells whether each is 1 or more, and there is one.
+func checkDatapathSizes(what string, all []int) error {
 	if len(all) == 0 {
 		return &capacity.SizeError{What: what, Why: "none is named"}
 	}
@@ -69,19 +69,19 @@
 // Check tells before anything starts whether the sizes can be measured on this machine:
 // nil, a *capacity.SizeError or a *capacity.RoomError.
 func (d Datapath) Check() error {
-	if d.Rest < time.Second {
-		return &capacity.SizeError{What: "rest", Why: fmt.Sprintf("%v is under a second", d.Rest)}
+	if d.StepDuration < time.Second {
+		return &capacity.SizeError{What: "rest", Why: fmt.Sprintf("%v is under a second", d.StepDuration)}
 	}
-	for what, all := range map[string][]int{"engines": d.Engines, "rates": d.Rates, "clients": d.Clients} {
-		if err := sizes(what, all); err != nil {
+	for what, all := range map[string][]int{"engines": d.EngineCounts, "rates": d.QueryRates, "clients": d.ClientCounts} {
+		if err := checkDatapathSizes(what, all); err != nil {
 			return err
 		}
 	}
-	engines, clients := slices.Max(d.Engines), max(slices.Max(d.Clients), askingClients)
-	if err := capacity.CheckDescriptors(clients + engines*(1+linesMost) + spareDescriptors); err != nil {
+	engines, clients := slices.Max(d.EngineCounts), max(slices.Max(d.ClientCounts), datapathQueryClients)
+	if err := capacity.CheckDescriptors(clients + engines*(1+maxConnectionsPerEngine) + datapathSpareDescriptors); err != nil {
 		return err
 	}
-	return capacity.CheckMemory(float64(clients)*clientMB+float64(engines)*engineMB, memoryPart)
+	return capacity.CheckMemory(float64(clients)*datapathClientMB+float64(engines)*datapathEngineMB, datapathMemoryFraction)
 }
 
 // Measure plays all parts and gives their figures; a part is told to out as it ends.
@@ -89,8 +89,8 @@
 	if err := d.Check(); err != nil {
 		return nil, err
 	}
-	b := &book{seed: d.Seed, machine: capacity.Machine(), commit: capacity.Commit(), out: out}
-	parts := []func(context.Context, *book) error{d.idle, d.quiet, d.idleClients, d.queries, d.letter, d.takeover}
+	b := &datapathRecorder{seed: d.Seed, machine: capacity.Machine(), commit: capacity.Commit(), out: out}
+	parts := []func(context.Context, *datapathRecorder) error{d.measureIdle, d.measureIdleTimeout, d.measureIdleClients, d.measureQueries, d.measureSpecifiedLoad, d.measureTakeovers}
 	for _, part := range parts {
 		if err := part(ctx, b); err != nil {
 			return b.rows, err
@@ -99,180 +99,180 @@
 	return b.rows, nil
 }
 
-// book gathers the rows of a run.
-type book struct {
+// datapathRecorder gathers the rows of a run.
+type datapathRecorder struct {
 	seed            uint64
 	machine, commit string
 	rows            []capacity.Row
 	out             io.Writer
 }
 
-// add keeps a figure and tells it.
-func (b *book) add(what string, size int, value float64, unit string) {
-	b.addSeed(what, size, b.seed, value, unit)
+// record keeps a figure and tells it.
+func (b *datapathRecorder) record(what string, size int, value float64, unit string) {
+	b.recordWithSeed(what, size, b.seed, value, unit)
 }
 
-func (b *book) addSeed(what string, size int, seed uint64, value float64, unit string) {
-	b.rows = append(b.rows, capacity.Row{Role: controllerRole, What: what, Size: size, Seed: seed, Value: value, Unit: unit,
+func (b *datapathRecorder) recordWithSeed(what string, size int, seed uint64, value float64, unit string) {
+	b.rows = append(b.rows, capacity.Row{Role: datapathRole, What: what, Size: size, Seed: seed, Value: value, Unit: unit,
 		Machine: b.machine, Commit: b.commit})
 	fmt.Fprintf(b.out, "%-34s %6d %14.3f %s\n", what, size, value, unit)
 }
 
-// addSpend keeps what a watch saw, its names begun alike.
-func (b *book) addSpend(begin string, size int, x spend) {
-	b.add(begin+" memory", size, x.memory, "MB")
-	b.add(begin+" cpu", size, x.cpuMs, "ms/s")
-	b.add(begin+" control sent", size, x.controlSent, "bytes/s")
-	b.add(begin+" control received", size, x.controlReceived, "bytes/s")
-	b.add(begin+" engine connections", size, x.connections, "connections")
-	b.add(begin+" engine connections opened", size, x.opened, "connections/s")
+// recordUsage keeps what a watch saw, its names begun alike.
+func (b *datapathRecorder) recordUsage(begin string, size int, x datapathUsage) {
+	b.record(begin+" memory", size, x.residentMB, "MB")
+	b.record(begin+" cpu", size, x.cpuMilliseconds, "ms/s")
+	b.record(begin+" control sent", size, x.controlSent, "bytes/s")
+	b.record(begin+" control received", size, x.controlReceived, "bytes/s")
+	b.record(begin+" engine connections", size, x.openConnections, "connections")
+	b.record(begin+" engine connections opened", size, x.connectionsOpened, "connections/s")
 }
 
-// idle is a controller with nothing to do before engines of each size.
-func (d Datapath) idle(ctx context.Context, b *book) error {
-	for _, engines := range d.Engines {
-		if err := d.idleBefore(ctx, b, engines); err != nil {
+// measureIdle is a controller with nothing to do before engines of each size.
+func (d Datapath) measureIdle(ctx context.Context, b *datapathRecorder) error {
+	for _, engines := range d.EngineCounts {
+		if err := d.measureIdleWithEngines(ctx, b, engines); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func (d Datapath) idleBefore(ctx context.Context, b *book, engines int) (err error) {
-	s, err := d.begin(ctx, engines, keptIdle)
+func (d Datapath) measureIdleWithEngines(ctx context.Context, b *datapathRecorder, engines int) (err error) {
+	s, err := d.start(ctx, engines, longIdleTimeout)
 	if err != nil {
 		return err
 	}
 	defer s.close()
-	b.add("start time", engines, float64(s.started)/float64(time.Millisecond), "ms")
-	b.add("start list", engines, float64(s.list.Traffic().Events), "bytes")
-	if err := s.pause(settles); err != nil {
+	b.record("start time", engines, float64(s.startDuration)/float64(time.Millisecond), "ms")
+	b.record("start list", engines, float64(s.feedListener.Traffic().Events), "bytes")
+	if err := s.sleep(datapathSettleTime); err != nil {
 		return err
 	}
-	x, err := s.watch(d.Rest)
+	x, err := s.sample(d.StepDuration)
 	if err != nil {
 		return err
 	}
-	b.addSpend("idle", engines, x)
-	return s.end()
+	b.recordUsage("idle", engines, x)
+	return s.stopController()
 }
 
-// quiet is how long clients that say nothing are kept by the platform's figures.
-func (d Datapath) quiet(ctx context.Context, b *book) error {
-	s, err := d.begin(ctx, 1, "")
+// measureIdleTimeout is how long clients that say nothing are kept by the platform's figures.
+func (d Datapath) measureIdleTimeout(ctx context.Context, b *datapathRecorder) error {
+	s, err := d.start(ctx, 1, "")
 	if err != nil {
 		return err
 	}
 	defer s.close()
-	clients, err := connectIdle(ctx, s.address, askingClients)
+	clients, err := openIdleConnections(ctx, s.controllerAddress, datapathQueryClients)
 	if err != nil {
 		return err
 	}
 	defer clients.close()
 	const patience = 15 * time.Second
-	closed := clients.closedAfter(patience)
-	b.add("quiet closed", askingClients, float64(len(closed)), "connections")
+	closed := clients.secondsUntilClosed(patience)
+	b.record("quiet closed", datapathQueryClients, float64(len(closed)), "connections")
 	if len(closed) > 0 {
-		b.add("quiet first closed", askingClients, slices.Min(closed), "s")
-		b.add("quiet last closed", askingClients, slices.Max(closed), "s")
+		b.record("quiet first closed", datapathQueryClients, slices.Min(closed), "s")
+		b.record("quiet last closed", datapathQueryClients, slices.Max(closed), "s")
 	}
-	return s.end()
+	return s.stopController()
 }
 
-// idleClients is a controller before all engines with clients that ask nothing, each size
+// measureIdleClients is a controller before all engines with clients that ask nothing, each size
 // on a process of its own.
-func (d Datapath) idleClients(ctx context.Context, b *book) error {
-	for _, n := range d.Clients {
-		if err := d.idleWith(ctx, b, n); err != nil {
+func (d Datapath) measureIdleClients(ctx context.Context, b *datapathRecorder) error {
+	for _, n := range d.ClientCounts {
+		if err := d.measureIdleWithClients(ctx, b, n); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func (d Datapath) idleWith(ctx context.Context, b *book, n int) error {
-	s, err := d.begin(ctx, d.allEngines(), keptIdle)
+func (d Datapath) measureIdleWithClients(ctx context.Context, b *datapathRecorder, n int) error {
+	s, err := d.start(ctx, d.maxEngines(), longIdleTimeout)
 	if err != nil {
 		return err
 	}
 	defer s.close()
-	before, err := s.look()
+	before, err := s.snapshot()
 	if err != nil {
 		return err
 	}
-	clients, err := connectIdle(ctx, s.address, n)
+	clients, err := openIdleConnections(ctx, s.controllerAddress, n)
 	if err != nil {
 		return err
 	}
 	defer clients.close()
-	after, err := s.look()
+	after, err := s.snapshot()
 	if err != nil {
 		return err
 	}
-	b.add("clients step time", n, float64(clients.took)/float64(time.Millisecond), "ms")
-	b.add("clients step cpu", n, float64(after.used.CPU-before.used.CPU)/float64(time.Millisecond), "ms")
-	if err := s.pause(settles); err != nil {
+	b.record("clients step time", n, float64(clients.openDuration)/float64(time.Millisecond), "ms")
+	b.record("clients step cpu", n, float64(after.process.CPU-before.process.CPU)/float64(time.Millisecond), "ms")
+	if err := s.sleep(datapathSettleTime); err != nil {
 		return err
 	}
-	x, err := s.watch(d.Rest)
+	x, err := s.sample(d.StepDuration)
 	if err != nil {
 		return err
 	}
-	b.add("clients memory", n, x.memory, "MB")
-	b.add("clients cpu", n, x.cpuMs, "ms/s")
-	return s.end()
+	b.record("clients memory", n, x.residentMB, "MB")
+	b.record("clients cpu", n, x.cpuMilliseconds, "ms/s")
+	return s.stopController()
 }
 
-func (d Datapath) allEngines() int { return slices.Max(d.Engines) }
+func (d Datapath) maxEngines() int { return slices.Max(d.EngineCounts) }
 
-// queries is a controller before all engines at each rate.
-func (d Datapath) queries(ctx context.Context, b *book) error {
-	for _, rate := range d.Rates {
-		if err := d.queriesAt(ctx, b, "queries", rate, rate, askingClients); err != nil {
+// measureQueries is a controller before all engines at each rate.
+func (d Datapath) measureQueries(ctx context.Context, b *datapathRecorder) error {
+	for _, rate := range d.QueryRates {
+		if err := d.measureQueryRate(ctx, b, "queries", rate, rate, datapathQueryClients); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// letter is the letter's point: its rate over as many clients as the largest step.
-func (d Datapath) letter(ctx context.Context, b *book) error {
-	n := slices.Max(d.Clients)
-	return d.queriesAt(ctx, b, "letter", n, letterRate, n)
+// measureSpecifiedLoad is the letter's point: its rate over as many clients as the largest step.
+func (d Datapath) measureSpecifiedLoad(ctx context.Context, b *datapathRecorder) error {
+	n := slices.Max(d.ClientCounts)
+	return d.measureQueryRate(ctx, b, "letter", n, specifiedControllerRate, n)
 }
 
-func (d Datapath) queriesAt(ctx context.Context, b *book, begin string, size, rate, clients int) error {
-	s, err := d.begin(ctx, d.allEngines(), keptIdle)
+func (d Datapath) measureQueryRate(ctx context.Context, b *datapathRecorder, begin string, size, rate, clients int) error {
+	s, err := d.start(ctx, d.maxEngines(), longIdleTimeout)
 	if err != nil {
 		return err
 	}
 	defer s.close()
-	open, err := connectIdle(ctx, s.address, clients)
+	open, err := openIdleConnections(ctx, s.controllerAddress, clients)
 	if err != nil {
 		return err
 	}
 	defer open.close()
-	var seen offered
-	x, err := s.watchQueries(open.all, float64(rate), d.Seed, d.Rest, &seen)
+	var seen datapathQueryCounts
+	x, err := s.sampleUnderQueries(open.connections, float64(rate), d.Seed, d.StepDuration, &seen)
 	if err != nil {
 		return err
 	}
-	b.addSpend(begin, size, x)
-	d.addQueries(b, begin, size, x, &seen)
-	return s.end()
+	b.recordUsage(begin, size, x)
+	d.recordQueries(b, begin, size, x, &seen)
+	return s.stopController()
 }
 
-// watchQueries offers queries, and watches once they have settled.
-func (s *datapathStage) watchQueries(clients []net.Conn, rate float64, seed uint64, long time.Duration, seen *offered) (spend, error) {
+// sampleUnderQueries offers queries, and watches once they have settled.
+func (s *datapathTestbed) sampleUnderQueries(clients []net.Conn, rate float64, seed uint64, long time.Duration, seen *datapathQueryCounts) (datapathUsage, error) {
 	ctx, stop := context.WithCancel(s.ctx)
 	defer stop()
 	ended := make(chan error, 1)
-	go func() { ended <- offer(ctx, clients, rate, seed, seen) }()
-	if err := s.pause(settles); err != nil {
-		return spend{}, err
+	go func() { ended <- submitQueriesAtRate(ctx, clients, rate, seed, seen) }()
+	if err := s.sleep(datapathSettleTime); err != nil {
+		return datapathUsage{}, err
 	}
-	seen.restart()
-	x, err := s.watch(long)
+	seen.reset()
+	x, err := s.sample(long)
 	stop()
 	if fault := <-ended; fault != nil {
 		return x, fault
@@ -280,28 +280,28 @@
 	return x, err
 }
 
-func (d Datapath) addQueries(b *book, begin string, size int, x spend, seen *offered) {
+func (d Datapath) recordQueries(b *datapathRecorder, begin string, size int, x datapathUsage, seen *datapathQueryCounts) {
 	seen.mu.Lock()
 	defer seen.mu.Unlock()
 	finished := float64(seen.finished) / x.seconds
-	b.add(begin+" asked", size, float64(seen.asked)/x.seconds, "queries/s")
-	b.add(begin+" finished", size, finished, "queries/s")
-	b.add(begin+" deferred", size, float64(seen.deferred)/x.seconds, "queries/s")
-	b.add(begin+" killed", size, float64(seen.killed)/x.seconds, "queries/s")
+	b.record(begin+" asked", size, float64(seen.submitted)/x.seconds, "queries/s")
+	b.record(begin+" finished", size, finished, "queries/s")
+	b.record(begin+" deferred", size, float64(seen.deferred)/x.seconds, "queries/s")
+	b.record(begin+" killed", size, float64(seen.killed)/x.seconds, "queries/s")
 	if seen.finished > 0 {
-		b.add(begin+" p50", size, quantileOf(0.5, seen.latencies), "ms")
-		b.add(begin+" p99", size, quantileOf(0.99, seen.latencies), "ms")
-		b.add(begin+" cpu each", size, x.cpuMs*1000/finished, "us")
-		b.add(begin+" looks each", size, x.probes/finished, "looks/query")
+		b.record(begin+" p50", size, quantileOrZero(0.5, seen.latencies), "ms")
+		b.record(begin+" p99", size, quantileOrZero(0.99, seen.latencies), "ms")
+		b.record(begin+" cpu each", size, x.cpuMilliseconds*1000/finished, "us")
+		b.record(begin+" looks each", size, x.probes/finished, "looks/query")
 	}
-	b.add(begin+" looks", size, x.probes, "looks/s")
-	b.add(begin+" looks an engine", size, x.probes/float64(d.allEngines()), "looks/s")
-	b.add(begin+" engines reached", size, x.reached, "engines in 1 s")
-	b.add(begin+" engine most", size, x.crowded, "queries in 1 s")
-	b.add(begin+" looks sent", size, x.probesSent, "bytes/s")
-	b.add(begin+" looks received", size, x.probesReceived, "bytes/s")
-	b.add(begin+" news sent", size, x.newsSent, "bytes/s")
-	b.add(begin+" news received", size, x.newsReceived, "bytes/s")
-	b.add(begin+" own sent", size, x.queriesSent, "bytes/s")
-	b.add(begin+" own received", size, x.queriesReceived, "bytes/s")
+	b.record(begin+" looks", size, x.probes, "looks/s")
+	b.record(begin+" looks an engine", size, x.probes/float64(d.maxEngines()), "looks/s")
+	b.record(begin+" engines reached", size, x.enginesReached, "engines in 1 s")
+	b.record(begin+" engine most", size, x.busiestEngineQueries, "queries in 1 s")
+	b.record(begin+" looks sent", size, x.probesSent, "bytes/s")
+	b.record(begin+" looks received", size, x.probesReceived, "bytes/s")
+	b.record(begin+" news sent", size, x.pollsSent, "bytes/s")
+	b.record(begin+" news received", size, x.pollsReceived, "bytes/s")
+	b.record(begin+" own sent", size, x.queriesSent, "bytes/s")
+	b.record(begin+" own received", size, x.queriesReceived, "bytes/s")
 }
--- a/internal/bench/datapath_stage.go
+++ b/internal/bench/datapath_stage.go
@@ -21,14 +21,14 @@
 	"railrelay.dev/railrelay/internal/emulator/loopback"
 )
 
-// datapathStage is one controller before engines and a feed that count what they carry.
-type datapathStage struct {
-	stage
-	engines []*engine.Listener
-	list    *feed.Listener
+// datapathTestbed is one controller before engines and a feed that count what they carry.
+type datapathTestbed struct {
+	controllerTestbed
+	engines      []*engine.Listener
+	feedListener *feed.Listener
 	// started is from the start of the controller's process until it said that it had
 	// the list of engines.
-	started time.Duration
+	startDuration time.Duration
 }
 
 // datapathLimits are what the controller's set-up allows it. A third of its descriptors
@@ -39,7 +39,7 @@
 // idle is what it says of clients' connections, empty for the platform's figures.
 func datapathSetup(feedAddress, listen, idle string, controllers int, seed uint64) string {
 	var b strings.Builder
-	f := trialEngine()
+	f := trialEngineConfig()
 	fmt.Fprintf(&b, "name: datapath\nlisten: %s\nfeed: %s\nseed: %x\nlog: warn\n%s\n", listen, feedAddress, seed, datapathLimits)
 	fmt.Fprintf(&b, "engines: {controllers: %d, kinds: [{name: std, cores: %g, memory_mb: %g}]}\n", controllers, f.Cores, f.MemoryMB)
 	b.WriteString("groups:\n")
@@ -52,56 +52,56 @@
 	return b.String()
 }
 
-// keptIdle is the set-up's word for connections that are kept though nothing is asked.
-const keptIdle = "10m"
+// longIdleTimeout is the set-up's word for connections that are kept though nothing is asked.
+const longIdleTimeout = "10m"
 
-// begin starts engines, a feed that lists them and a controller, and waits until it is ready.
-func (d Datapath) begin(ctx context.Context, engines int, idle string) (s *datapathStage, err error) {
+// start starts engines, a feed that lists them and a controller, and waits until it is ready.
+func (d Datapath) start(ctx context.Context, engines int, idle string) (s *datapathTestbed, err error) {
 	ctx, stop := context.WithCancel(ctx)
-	s = &datapathStage{stage: stage{ctx: ctx, program: d.Program, log: d.Log, closers: []func(){stop}}}
+	s = &datapathTestbed{controllerTestbed: controllerTestbed{ctx: ctx, program: d.Program, controllerLog: d.ControllerLog, cleanups: []func(){stop}}}
 	defer func() {
 		if err != nil {
 			s.close()
 			s = nil
 		}
 	}()
-	if err := s.listen(ctx, engines, d.Seed); err != nil {
+	if err := s.startEmulators(ctx, engines, d.Seed); err != nil {
 		return s, err
 	}
-	if s.address, err = loopback.FreeAddress(); err != nil {
+	if s.controllerAddress, err = loopback.FreeAddress(); err != nil {
 		return s, err
 	}
 	if s.dir, err = os.MkdirTemp("", "railrelay-datapath"); err != nil {
 		return s, err
 	}
-	s.closers = append(s.closers, func() { os.RemoveAll(s.dir) })
-	return s, s.run(datapathSetup(s.feed, s.address, idle, d.Controllers, d.Seed))
+	s.cleanups = append(s.cleanups, func() { os.RemoveAll(s.dir) })
+	return s, s.startControllerTimed(datapathSetup(s.feedAddress, s.controllerAddress, idle, d.Controllers, d.Seed))
 }
 
-// othersLoad is what an engine reports of the other controllers' queries: 1,486 a second of
+// externalEngineLoad is what an engine reports of the other controllers' queries: 1,486 a second of
 // 2.5 ms are 3.7 at a time in the mean, spread as arrivals are that know nothing of each other.
-func othersLoad(rng *rand.Rand) (held int, cores float64) {
-	const inTheMean = letterRateAnEngine * float64(lookupTakes) / float64(time.Second)
+func externalEngineLoad(rng *rand.Rand) (held int, cores float64) {
+	const inTheMean = specifiedEngineRate * float64(lookupCPUTime) / float64(time.Second)
 	for gap := rng.ExpFloat64(); gap < inTheMean; gap += rng.ExpFloat64() {
 		held++
 	}
-	return held, min(1, float64(held)/trialEngine().Cores)
+	return held, min(1, float64(held)/trialEngineConfig().Cores)
 }
 
-// listen starts the engines and the feed.
-func (s *datapathStage) listen(ctx context.Context, engines int, seed uint64) error {
+// startEmulators starts the engines and the feed.
+func (s *datapathTestbed) startEmulators(ctx context.Context, engines int, seed uint64) error {
 	var log feed.Log
 	var entries []feed.Engine
 	for i := range engines {
-		e, err := engine.Listen(ctx, "127.0.0.1:0", trialEngine(), false)
+		e, err := engine.Listen(ctx, "127.0.0.1:0", trialEngineConfig(), false)
 		if err != nil {
 			return err
 		}
-		s.closers = append(s.closers, func() { e.Close() })
+		s.cleanups = append(s.cleanups, func() { e.Close() })
 		s.engines = append(s.engines, e)
 		rng := rand.New(rand.NewPCG(seed, uint64(i)))
 		e.WithServer(func(_ time.Duration, x *engine.Server) {
-			x.ExternalLoad = func() (int, float64) { return othersLoad(rng) }
+			x.ExternalLoad = func() (int, float64) { return externalEngineLoad(rng) }
 		})
 		entries = append(entries, feed.Engine{ID: fmt.Sprintf("engine-%04d", i), HostPort: e.Addr().String(), Locality: "here",
 			Flavor: "std", Cell: 1, Phase: "SERVING", Size: 1})
@@ -111,22 +111,22 @@
 	if err != nil {
 		return err
 	}
-	s.closers = append(s.closers, func() { list.Close() })
-	s.list, s.feed = list, list.Addr().String()
+	s.cleanups = append(s.cleanups, func() { list.Close() })
+	s.feedListener, s.feedAddress = list, list.Addr().String()
 	return nil
 }
 
-// run starts the controller's process on a set-up and waits until it has the list.
-func (s *datapathStage) run(setup string) error {
+// startControllerTimed starts the controller's process on a set-up and waits until it has the list.
+func (s *datapathTestbed) startControllerTimed(setup string) error {
 	path := filepath.Join(s.dir, "datapath.yaml")
 	if err := os.WriteFile(path, []byte(setup), 0o600); err != nil {
 		return err
 	}
-	s.running = exec.CommandContext(s.ctx, s.program, "serve", "--setup", path)
-	s.running.Stderr = s.stage.log
+	s.command = exec.CommandContext(s.ctx, s.program, "serve", "--setup", path)
+	s.command.Stderr = s.controllerTestbed.controllerLog
 	begun := time.Now()
-	if err := s.running.Start(); err != nil {
-		s.running = nil
+	if err := s.command.Start(); err != nil {
+		s.command = nil
 		return err
 	}
 	const within, every = 20 * time.Second, 2 * time.Millisecond
@@ -134,29 +134,29 @@
 		if err := s.ctx.Err(); err != nil {
 			return err
 		}
-		if isReady(s.address) {
-			s.started = time.Since(begun)
+		if isControllerReady(s.controllerAddress) {
+			s.startDuration = time.Since(begun)
 			return nil
 		}
 	}
 	return fmt.Errorf("the controller isn't ready after %v", within)
 }
 
-// isReady asks a controller whether it is.
-func isReady(address string) bool {
+// isControllerReady asks a controller whether it is.
+func isControllerReady(address string) bool {
 	c, err := net.Dial("tcp", address)
 	if err != nil {
 		return false
 	}
 	defer c.Close()
-	return askAlive(c) == nil
+	return requestReadiness(c) == nil
 }
 
-var errNotReady = errors.New("the controller says that it isn't ready")
+var errControllerNotReady = errors.New("the controller says that it isn't ready")
 
-// askAlive asks on a connection whether a controller is ready, and reads the answer.
-func askAlive(c net.Conn) error {
-	c.SetDeadline(time.Now().Add(aliveMost))
+// requestReadiness asks on a connection whether a controller is ready, and reads the answer.
+func requestReadiness(c net.Conn) error {
+	c.SetDeadline(time.Now().Add(readinessTimeout))
 	defer c.SetDeadline(time.Time{})
 	if _, err := c.Write(client.AppendAliveRequest(nil, 1)); err != nil {
 		return err
@@ -173,55 +173,55 @@
 		case err != nil:
 			return err
 		case took > 0 && !answer.Ready:
-			return errNotReady
+			return errControllerNotReady
 		case took > 0:
 			return nil
 		}
 	}
 }
 
-// aliveMost is how long an answer to whether a controller is ready may take: thousands
+// readinessTimeout is how long an answer to whether a controller is ready may take: thousands
 // ask in one step.
-const aliveMost = 20 * time.Second
+const readinessTimeout = 20 * time.Second
 
-// sight is what was counted and spent up to a moment.
-type sight struct {
+// datapathSnapshot is what was counted and spent up to a moment.
+type datapathSnapshot struct {
 	at      time.Time
-	used    processUsage
-	traffic engine.Traffic
-	list    feed.Traffic
+	process processUsage
+	engines engine.Traffic
+	feed    feed.Traffic
 }
 
-func (s *datapathStage) look() (sight, error) {
-	now := sight{at: time.Now(), list: s.list.Traffic()}
+func (s *datapathTestbed) snapshot() (datapathSnapshot, error) {
+	now := datapathSnapshot{at: time.Now(), feed: s.feedListener.Traffic()}
 	for _, e := range s.engines {
-		now.traffic = now.traffic.Add(e.Traffic())
+		now.engines = now.engines.Add(e.Traffic())
 	}
 	var err error
-	now.used, err = usageOf(s.running.Process.Pid)
+	now.process, err = usageOf(s.command.Process.Pid)
 	return now, err
 }
 
-// spend is what happened between two looks.
-type spend struct {
-	seconds     float64
-	cpuMs       float64 // of processor time a second
-	memory      float64 // MB resident, the median of the looks
-	connections float64 // to engines, the median of the looks
-	opened      float64 // connections to engines a second
-	probes      float64 // looks at engines a second
-	reached     float64 // engines that queries came to in a second, the median
-	crowded     float64 // queries that the engine with the most of them had in a second, the median
+// datapathUsage is what happened between two looks.
+type datapathUsage struct {
+	seconds              float64
+	cpuMilliseconds      float64 // of processor time a second
+	residentMB           float64 // MB resident, the median of the looks
+	openConnections      float64 // to engines, the median of the looks
+	connectionsOpened    float64 // connections to engines a second
+	probes               float64 // looks at engines a second
+	enginesReached       float64 // engines that queries came to in a second, the median
+	busiestEngineQueries float64 // queries that the engine with the most of them had in a second, the median
 	// Bytes a second as the controller sent and received them, without TCP and IP.
 	// Control belongs to no query: list, looks and news of running queries.
 	controlSent, controlReceived float64
 	probesSent, probesReceived   float64
-	newsSent, newsReceived       float64
+	pollsSent, pollsReceived     float64
 	queriesSent, queriesReceived float64
 }
 
-// queriesByEngine is how many queries each engine was sent so far.
-func (s *datapathStage) queriesByEngine() []int {
+// queriesPerEngine is how many queries each engine was sent so far.
+func (s *datapathTestbed) queriesPerEngine() []int {
 	calls := make([]int, len(s.engines))
 	for i, e := range s.engines {
 		calls[i] = e.Traffic().Requests[engine.Queries]
@@ -229,8 +229,8 @@
 	return calls
 }
 
-// spread is how many engines had queries between two counts, and the most that one had.
-func spread(before, after []int) (reached, most float64) {
+// queryDistribution is how many engines had queries between two counts, and the most that one had.
+func queryDistribution(before, after []int) (reached, most float64) {
 	for i := range after {
 		if n := after[i] - before[i]; n > 0 {
 			reached++
@@ -240,8 +240,8 @@
 	return reached, most
 }
 
-// pause waits, but not once all is to end.
-func (s *datapathStage) pause(long time.Duration) error {
+// sleep waits, but not once all is to end.
+func (s *datapathTestbed) sleep(long time.Duration) error {
 	select {
 	case <-s.ctx.Done():
 		return s.ctx.Err()
@@ -250,63 +250,63 @@
 	}
 }
 
-// watch looks four times a second for a while.
-func (s *datapathStage) watch(long time.Duration) (spend, error) {
+// sample looks four times a second for a while.
+func (s *datapathTestbed) sample(long time.Duration) (datapathUsage, error) {
 	const looksASecond = 4
 	const every = time.Second / looksASecond
-	first, err := s.look()
+	first, err := s.snapshot()
 	if err != nil {
-		return spend{}, err
+		return datapathUsage{}, err
 	}
-	last, counted := first, s.queriesByEngine()
+	last, counted := first, s.queriesPerEngine()
 	var memory, connections, reached, crowded []float64
 	for end := first.at.Add(long); time.Now().Before(end); {
-		if err := s.pause(every); err != nil {
-			return spend{}, err
+		if err := s.sleep(every); err != nil {
+			return datapathUsage{}, err
 		}
-		if last, err = s.look(); err != nil {
-			return spend{}, err
+		if last, err = s.snapshot(); err != nil {
+			return datapathUsage{}, err
 		}
-		memory, connections = append(memory, last.used.Resident), append(connections, float64(last.traffic.Open))
+		memory, connections = append(memory, last.process.Resident), append(connections, float64(last.engines.Open))
 		if len(memory)%looksASecond == 0 {
-			now := s.queriesByEngine()
-			engines, most := spread(counted, now)
+			now := s.queriesPerEngine()
+			engines, most := queryDistribution(counted, now)
 			reached, crowded, counted = append(reached, engines), append(crowded, most), now
 		}
 	}
-	x := between(first, last)
-	x.memory, x.connections = quantileOf(0.5, memory), quantileOf(0.5, connections)
-	x.reached, x.crowded = quantileOf(0.5, reached), quantileOf(0.5, crowded)
+	x := usageBetween(first, last)
+	x.residentMB, x.openConnections = quantileOrZero(0.5, memory), quantileOrZero(0.5, connections)
+	x.enginesReached, x.busiestEngineQueries = quantileOrZero(0.5, reached), quantileOrZero(0.5, crowded)
 	return x, nil
 }
 
-// quantileOf is a figure that a part of the values are not above, 0 of none.
-func quantileOf(part float64, values []float64) float64 {
+// quantileOrZero is a figure that a part of the values are not above, 0 of none.
+func quantileOrZero(part float64, values []float64) float64 {
 	if len(values) == 0 {
 		return 0
 	}
 	return stat.Quantile(part, stat.Empirical, slices.Sorted(slices.Values(values)), nil)
 }
 
-// between is what two looks differ by.
-func between(first, last sight) spend {
+// usageBetween is what two looks differ by.
+func usageBetween(first, last datapathSnapshot) datapathUsage {
 	seconds := last.at.Sub(first.at).Seconds()
 	rate := func(now, before int) float64 { return float64(now-before) / seconds }
 	in := func(kind engine.TrafficKind) float64 {
-		return rate(last.traffic.BytesIn[kind], first.traffic.BytesIn[kind])
+		return rate(last.engines.BytesIn[kind], first.engines.BytesIn[kind])
 	}
 	out := func(kind engine.TrafficKind) float64 {
-		return rate(last.traffic.BytesOut[kind], first.traffic.BytesOut[kind])
+		return rate(last.engines.BytesOut[kind], first.engines.BytesOut[kind])
 	}
-	x := spend{seconds: seconds,
-		cpuMs:      float64(last.used.CPU-first.used.CPU) / float64(time.Millisecond) / seconds,
-		opened:     rate(last.traffic.Opened, first.traffic.Opened),
-		probes:     rate(last.traffic.Requests[engine.Probes], first.traffic.Requests[engine.Probes]),
-		probesSent: in(engine.Probes), probesReceived: out(engine.Probes),
-		newsSent: in(engine.Polls), newsReceived: out(engine.Polls),
+	x := datapathUsage{seconds: seconds,
+		cpuMilliseconds:   float64(last.process.CPU-first.process.CPU) / float64(time.Millisecond) / seconds,
+		connectionsOpened: rate(last.engines.Opened, first.engines.Opened),
+		probes:            rate(last.engines.Requests[engine.Probes], first.engines.Requests[engine.Probes]),
+		probesSent:        in(engine.Probes), probesReceived: out(engine.Probes),
+		pollsSent: in(engine.Polls), pollsReceived: out(engine.Polls),
 		queriesSent:     in(engine.Queries) + in(engine.ControlCalls),
 		queriesReceived: out(engine.Queries) + out(engine.ControlCalls)}
-	x.controlSent = rate(last.list.In, first.list.In) + x.probesSent + x.newsSent
-	x.controlReceived = rate(last.list.Out, first.list.Out) + x.probesReceived + x.newsReceived
+	x.controlSent = rate(last.feed.In, first.feed.In) + x.probesSent + x.pollsSent
+	x.controlReceived = rate(last.feed.Out, first.feed.Out) + x.probesReceived + x.pollsReceived
 	return x
 }
--- a/internal/bench/datapath_takeover.go
+++ b/internal/bench/datapath_takeover.go
@@ -16,13 +16,13 @@
 // soon another engine has the chain once that one is lost. The list of engines says
 // nothing of it, so the controller has to find out by itself.
 
-// loss is a way of losing an engine.
-type loss struct {
+// engineFailure is a way of losing an engine.
+type engineFailure struct {
 	name string
-	lose func(*engine.Listener)
+	fail func(*engine.Listener)
 }
 
-var losses = []loss{
+var engineFailures = []engineFailure{
 	// its process ends: connections are closed, new ones refused
 	{"killed", func(e *engine.Listener) { e.Close() }},
 	// its machine is cut off: connections stay open, nothing answers
@@ -34,42 +34,42 @@
 const (
 	// takeoverRounds is how many engines are lost in each way.
 	takeoverRounds = 3
-	// loadEvery is how often a load is asked for.
-	loadEvery = 100 * time.Millisecond
-	// loadTakes is how long one runs.
-	loadTakes = 50 * time.Millisecond
-	// chainLength is how many loads one after the other at one engine make its chain.
-	chainLength = 5
-	// takeoverMost is how long a chain may be without an engine.
-	takeoverMost = 30 * time.Second
+	// loadInterval is how often a load is asked for.
+	loadInterval = 100 * time.Millisecond
+	// loadCPUTime is how long one runs.
+	loadCPUTime = 50 * time.Millisecond
+	// minChainLength is how many loads one after the other at one engine make its chain.
+	minChainLength = 5
+	// takeoverTimeout is how long a chain may be without an engine.
+	takeoverTimeout = 30 * time.Second
 )
 
-var errNoChain = errors.New("no engine took the table group's loads over")
+var errNoTakeover = errors.New("no engine took the table group's loads over")
 
-// posted is a load that came to run at an engine.
-type posted struct {
-	engine int
-	at     time.Time
+// submittedLoad is a load that came to run at an engine.
+type submittedLoad struct {
+	engine      int
+	submittedAt time.Time
 }
 
-// loads asks for loads of one table group, one after the other.
-type loads struct {
+// loadClient asks for loads of one table group, one after the other.
+type loadClient struct {
 	net.Conn
-	mu    sync.Mutex
-	asked map[uint32]time.Time
-	ended []endedLoad
+	mu        sync.Mutex
+	submitted map[uint32]time.Time
+	answered  []answeredLoad
 }
 
-// endedLoad is a load's answer.
-type endedLoad struct {
-	asked time.Time
-	took  time.Duration
-	kind  client.Kind
+// answeredLoad is a load's answer.
+type answeredLoad struct {
+	submittedAt time.Time
+	latency     time.Duration
+	kind        client.Kind
 }
 
-func (l *loads) ask(ctx context.Context) {
-	statement := engine.Statement(engine.Work{Threads: 1, CPU: loadTakes, MemoryMB: 1, TableGroup: 7, Load: true, Rows: 1, PlanFactor: 1})
-	every := time.NewTicker(loadEvery)
+func (l *loadClient) submitUntilDone(ctx context.Context) {
+	statement := engine.Statement(engine.Work{Threads: 1, CPU: loadCPUTime, MemoryMB: 1, TableGroup: 7, Load: true, Rows: 1, PlanFactor: 1})
+	every := time.NewTicker(loadInterval)
 	defer every.Stop()
 	for number := uint32(1); ; number++ {
 		select {
@@ -77,7 +77,7 @@
 			return
 		case now := <-every.C:
 			l.mu.Lock()
-			l.asked[number] = now
+			l.submitted[number] = now
 			l.mu.Unlock()
 		}
 		trace := fmt.Sprintf("%016x", number)
@@ -85,29 +85,29 @@
 	}
 }
 
-func (l *loads) take(answer client.Answer) {
+func (l *loadClient) handleAnswer(answer client.Answer) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if asked, is := l.asked[answer.Msg]; is {
-		delete(l.asked, answer.Msg)
-		l.ended = append(l.ended, endedLoad{asked, time.Since(asked), answer.Kind})
+	if asked, is := l.submitted[answer.Msg]; is {
+		delete(l.submitted, answer.Msg)
+		l.answered = append(l.answered, answeredLoad{asked, time.Since(asked), answer.Kind})
 	}
 }
 
-// between is the longest that a load asked for between two moments took to its answer, and
+// latencyBetween is the longest that a load asked for between two moments took to its answer, and
 // how many were not carried out; false while one of them has none.
-func (l *loads) between(from, to time.Time) (worst time.Duration, failed int, all bool) {
+func (l *loadClient) latencyBetween(from, to time.Time) (worst time.Duration, failed int, all bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	within := func(at time.Time) bool { return !at.Before(from) && !at.After(to) }
-	for _, at := range l.asked {
+	for _, at := range l.submitted {
 		if within(at) {
 			return 0, 0, false
 		}
 	}
-	for _, x := range l.ended {
-		if within(x.asked) {
-			worst = max(worst, x.took)
+	for _, x := range l.answered {
+		if within(x.submittedAt) {
+			worst = max(worst, x.latency)
 			if x.kind != client.Finished {
 				failed++
 			}
@@ -116,82 +116,82 @@
 	return worst, failed, true
 }
 
-// takeover loses the engine of a chain in each way, and keeps how soon another had it.
-func (d Datapath) takeover(ctx context.Context, b *book) error {
-	for _, way := range losses {
-		if err := d.takeoverBy(ctx, b, way); err != nil {
+// measureTakeovers loses the engine of a chain in each way, and keeps how soon another had it.
+func (d Datapath) measureTakeovers(ctx context.Context, b *datapathRecorder) error {
+	for _, way := range engineFailures {
+		if err := d.measureTakeoverAfter(ctx, b, way); err != nil {
 			return fmt.Errorf("an engine that is %s: %w", way.name, err)
 		}
 	}
 	return nil
 }
 
-func (d Datapath) takeoverBy(ctx context.Context, b *book, way loss) error {
-	s, err := d.begin(ctx, d.allEngines(), keptIdle)
+func (d Datapath) measureTakeoverAfter(ctx context.Context, b *datapathRecorder, way engineFailure) error {
+	s, err := d.start(ctx, d.maxEngines(), longIdleTimeout)
 	if err != nil {
 		return err
 	}
 	defer s.close()
-	came := make(chan posted, 1024)
+	came := make(chan submittedLoad, 1024)
 	for i, e := range s.engines {
 		e.WithServer(func(_ time.Duration, x *engine.Server) {
 			x.OnSubmit = func(string, string, int, time.Duration) {
 				select {
-				case came <- posted{i, time.Now()}:
+				case came <- submittedLoad{i, time.Now()}:
 				default: // nobody waits for it
 				}
 			}
 		})
 	}
-	c, err := net.Dial("tcp", s.address)
+	c, err := net.Dial("tcp", s.controllerAddress)
 	if err != nil {
 		return err
 	}
 	defer c.Close()
-	l := &loads{Conn: c, asked: map[uint32]time.Time{}}
+	l := &loadClient{Conn: c, submitted: map[uint32]time.Time{}}
 	asking, stop := context.WithCancel(ctx)
 	defer stop()
-	go client.ReadAll(l, l.take)
-	go l.ask(asking)
+	go client.ReadAll(l, l.handleAnswer)
+	go l.submitUntilDone(asking)
 	for round := range uint64(takeoverRounds) {
-		if err := d.takeoverOnce(b, way, s, l, came, round); err != nil {
+		if err := d.measureTakeoverRound(b, way, s, l, came, round); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func (d Datapath) takeoverOnce(b *book, way loss, s *datapathStage, l *loads, came <-chan posted, round uint64) error {
-	lost, err := chainOf(s.ctx, came)
+func (d Datapath) measureTakeoverRound(b *datapathRecorder, way engineFailure, s *datapathTestbed, l *loadClient, came <-chan submittedLoad, round uint64) error {
+	lost, err := waitForChain(s.ctx, came)
 	if err != nil {
 		return err
 	}
 	begun := time.Now()
-	way.lose(s.engines[lost])
-	next, err := nextElsewhere(s.ctx, came, lost, begun)
+	way.fail(s.engines[lost])
+	next, err := waitForTakeover(s.ctx, came, lost, begun)
 	if err != nil {
 		return err
 	}
-	b.addSeed("takeover "+way.name, d.allEngines(), d.Seed+round, float64(next.Sub(begun))/float64(time.Millisecond), "ms")
-	for end := time.Now().Add(takeoverMost); time.Now().Before(end); {
-		if err := s.pause(loadEvery); err != nil {
+	b.recordWithSeed("takeover "+way.name, d.maxEngines(), d.Seed+round, float64(next.Sub(begun))/float64(time.Millisecond), "ms")
+	for end := time.Now().Add(takeoverTimeout); time.Now().Before(end); {
+		if err := s.sleep(loadInterval); err != nil {
 			return err
 		}
-		worst, failed, all := l.between(begun.Add(-loadEvery), next)
+		worst, failed, all := l.latencyBetween(begun.Add(-loadInterval), next)
 		if all {
-			b.addSeed("takeover "+way.name+" answer", d.allEngines(), d.Seed+round, float64(worst)/float64(time.Millisecond), "ms")
-			b.addSeed("takeover "+way.name+" failed", d.allEngines(), d.Seed+round, float64(failed), "loads")
+			b.recordWithSeed("takeover "+way.name+" answer", d.maxEngines(), d.Seed+round, float64(worst)/float64(time.Millisecond), "ms")
+			b.recordWithSeed("takeover "+way.name+" failed", d.maxEngines(), d.Seed+round, float64(failed), "loads")
 			return nil
 		}
 	}
-	return errNoChain
+	return errNoTakeover
 }
 
-// chainOf waits until some loads one after the other came to one engine.
-func chainOf(ctx context.Context, came <-chan posted) (int, error) {
-	most := time.After(takeoverMost)
+// waitForChain waits until some loads one after the other came to one engine.
+func waitForChain(ctx context.Context, came <-chan submittedLoad) (int, error) {
+	most := time.After(takeoverTimeout)
 	last, length := -1, 0
-	for length < chainLength {
+	for length < minChainLength {
 		select {
 		case p := <-came:
 			if p.engine != last {
@@ -201,25 +201,25 @@
 		case <-ctx.Done():
 			return 0, ctx.Err()
 		case <-most:
-			return 0, errNoChain
+			return 0, errNoTakeover
 		}
 	}
 	return last, nil
 }
 
-// nextElsewhere waits for the first load after a moment at another engine.
-func nextElsewhere(ctx context.Context, came <-chan posted, lost int, after time.Time) (time.Time, error) {
-	most := time.After(takeoverMost)
+// waitForTakeover waits for the first load after a moment at another engine.
+func waitForTakeover(ctx context.Context, came <-chan submittedLoad, lost int, after time.Time) (time.Time, error) {
+	most := time.After(takeoverTimeout)
 	for {
 		select {
 		case p := <-came:
-			if p.engine != lost && p.at.After(after) {
-				return p.at, nil
+			if p.engine != lost && p.submittedAt.After(after) {
+				return p.submittedAt, nil
 			}
 		case <-ctx.Done():
 			return time.Time{}, ctx.Err()
 		case <-most:
-			return time.Time{}, errNoChain
+			return time.Time{}, errNoTakeover
 		}
 	}
 }
--- a/internal/bench/datapath_test.go
+++ b/internal/bench/datapath_test.go
@@ -16,7 +16,7 @@
 )
 
 func TestDatapathSetupIsAccepted(t *testing.T) {
-	for _, idle := range []string{"", keptIdle} {
+	for _, idle := range []string{"", longIdleTimeout} {
 		text := datapathSetup("127.0.0.1:1", "127.0.0.1:2", idle, 580, 7)
 		have, err := setup.Parse("datapath.yaml", []byte(text))
 		if err != nil {
@@ -29,12 +29,12 @@
 	}
 }
 
-func TestDatapathTooLargeStartsNothing(t *testing.T) {
+func TestDatapathRejectsSizesBeyondMachineBeforeStart(t *testing.T) {
 	for _, spoil := range []func(*Datapath){
-		func(d *Datapath) { d.Clients = []int{10_000_000} },
-		func(d *Datapath) { d.Engines = []int{1, 10_000_000} },
+		func(d *Datapath) { d.ClientCounts = []int{10_000_000} },
+		func(d *Datapath) { d.EngineCounts = []int{1, 10_000_000} },
 	} {
-		d := UsualDatapath()
+		d := DefaultDatapath()
 		d.Program = "/nowhere" // would be another error, were it started
 		spoil(&d)
 		var room *capacity.RoomError
@@ -45,21 +45,21 @@
 	}
 }
 
-func TestDatapathSizes(t *testing.T) {
+func TestDatapathRejectsInvalidSizes(t *testing.T) {
 	for _, spoil := range []func(*Datapath){
-		func(d *Datapath) { d.Engines = nil },
-		func(d *Datapath) { d.Clients = []int{0} },
-		func(d *Datapath) { d.Rates = []int{-1} },
-		func(d *Datapath) { d.Rest = 0 },
+		func(d *Datapath) { d.EngineCounts = nil },
+		func(d *Datapath) { d.ClientCounts = []int{0} },
+		func(d *Datapath) { d.QueryRates = []int{-1} },
+		func(d *Datapath) { d.StepDuration = 0 },
 	} {
-		d := UsualDatapath()
+		d := DefaultDatapath()
 		spoil(&d)
 		var wrong *capacity.SizeError
 		if err := d.Check(); !errors.As(err, &wrong) || wrong.Remedy() == "" {
 			t.Errorf("%v is no SizeError", err)
 		}
 	}
-	if err := UsualDatapath().Check(); err != nil {
+	if err := DefaultDatapath().Check(); err != nil {
 		var room *capacity.RoomError
 		if !errors.As(err, &room) { // a small machine
 			t.Error(err)
@@ -67,32 +67,32 @@
 	}
 }
 
-func TestSpreadOfQueries(t *testing.T) {
-	if reached, most := spread([]int{1, 2, 3, 0}, []int{1, 5, 4, 0}); reached != 2 || most != 3 {
+func TestQueryDistributionAndQuantile(t *testing.T) {
+	if reached, most := queryDistribution([]int{1, 2, 3, 0}, []int{1, 5, 4, 0}); reached != 2 || most != 3 {
 		t.Errorf("%v engines, %v at most", reached, most)
 	}
-	if got := quantileOf(0.5, []float64{3, 1, 2}); got != 2 {
+	if got := quantileOrZero(0.5, []float64{3, 1, 2}); got != 2 {
 		t.Error(got)
 	}
-	if got := quantileOf(0.99, nil); got != 0 {
+	if got := quantileOrZero(0.99, nil); got != 0 {
 		t.Error(got)
 	}
 }
 
-func TestBetweenLooks(t *testing.T) {
-	first := sight{at: time.Unix(100, 0), used: processUsage{CPU: time.Second}}
-	last := sight{at: time.Unix(110, 0), used: processUsage{CPU: 3 * time.Second}}
-	first.list.In, first.list.Out = 6, 1000
-	last.list.In, last.list.Out = 6, 1020
-	first.traffic.BytesIn[engine.Probes] = 100
-	last.traffic.BytesIn[engine.Probes], last.traffic.BytesOut[engine.Probes], last.traffic.Requests[engine.Probes] = 300, 500, 20
-	last.traffic.BytesIn[engine.Polls], last.traffic.BytesOut[engine.Polls] = 70, 30
-	last.traffic.BytesIn[engine.ControlCalls] = 40
-	last.traffic.BytesOut[engine.Queries], last.traffic.Opened = 900, 5
-	x := between(first, last)
+func TestUsageBetweenSnapshots(t *testing.T) {
+	first := datapathSnapshot{at: time.Unix(100, 0), process: processUsage{CPU: time.Second}}
+	last := datapathSnapshot{at: time.Unix(110, 0), process: processUsage{CPU: 3 * time.Second}}
+	first.feed.In, first.feed.Out = 6, 1000
+	last.feed.In, last.feed.Out = 6, 1020
+	first.engines.BytesIn[engine.Probes] = 100
+	last.engines.BytesIn[engine.Probes], last.engines.BytesOut[engine.Probes], last.engines.Requests[engine.Probes] = 300, 500, 20
+	last.engines.BytesIn[engine.Polls], last.engines.BytesOut[engine.Polls] = 70, 30
+	last.engines.BytesIn[engine.ControlCalls] = 40
+	last.engines.BytesOut[engine.Queries], last.engines.Opened = 900, 5
+	x := usageBetween(first, last)
 	for name, pair := range map[string][2]float64{
-		"cpu": {x.cpuMs, 200}, "sent": {x.controlSent, 27}, "received": {x.controlReceived, 55}, "looks": {x.probes, 2},
-		"opened": {x.opened, 0.5}, "queries sent": {x.queriesSent, 4}, "queries received": {x.queriesReceived, 90},
+		"cpu": {x.cpuMilliseconds, 200}, "sent": {x.controlSent, 27}, "received": {x.controlReceived, 55}, "looks": {x.probes, 2},
+		"opened": {x.connectionsOpened, 0.5}, "queries sent": {x.queriesSent, 4}, "queries received": {x.queriesReceived, 90},
 	} {
 		if math.Abs(pair[0]-pair[1]) > 1e-9 {
 			t.Errorf("%s: %v, not %v", name, pair[0], pair[1])
@@ -100,46 +100,46 @@
 	}
 }
 
-func TestChainsAreFollowed(t *testing.T) {
-	came := make(chan posted, 100)
+func TestTakeoverIsDetected(t *testing.T) {
+	came := make(chan submittedLoad, 100)
 	at := time.Unix(100, 0)
 	for _, e := range []int{1, 2, 2, 2, 3, 3, 3, 3, 3, 3, 4} {
 		at = at.Add(time.Second)
-		came <- posted{e, at}
+		came <- submittedLoad{e, at}
 	}
-	lost, err := chainOf(t.Context(), came)
+	lost, err := waitForChain(t.Context(), came)
 	if lost != 3 || err != nil {
 		t.Fatal(lost, err)
 	}
-	if next, err := nextElsewhere(t.Context(), came, lost, at.Add(-time.Second)); err != nil || !next.Equal(at) {
+	if next, err := waitForTakeover(t.Context(), came, lost, at.Add(-time.Second)); err != nil || !next.Equal(at) {
 		t.Error(next, err)
 	}
-	l := &loads{asked: map[uint32]time.Time{}}
+	l := &loadClient{submitted: map[uint32]time.Time{}}
 	begun := time.Now().Add(-time.Second)
-	l.asked[1], l.asked[2], l.asked[3] = begun, begun, begun.Add(time.Hour)
-	l.take(client.Answer{Msg: 1, Kind: client.Finished})
-	if _, _, all := l.between(begun, begun); all {
+	l.submitted[1], l.submitted[2], l.submitted[3] = begun, begun, begun.Add(time.Hour)
+	l.handleAnswer(client.Answer{Msg: 1, Kind: client.Finished})
+	if _, _, all := l.latencyBetween(begun, begun); all {
 		t.Error("one is not answered yet")
 	}
-	l.take(client.Answer{Msg: 2, Kind: client.Killed})
-	l.take(client.Answer{Msg: 2, Kind: client.Killed}) // a second answer is none
-	if worst, failed, all := l.between(begun, begun); !all || failed != 1 || worst < time.Second {
+	l.handleAnswer(client.Answer{Msg: 2, Kind: client.Killed})
+	l.handleAnswer(client.Answer{Msg: 2, Kind: client.Killed}) // a second answer is none
+	if worst, failed, all := l.latencyBetween(begun, begun); !all || failed != 1 || worst < time.Second {
 		t.Error(worst, failed, all)
 	}
 }
 
 // A small play with the built program.
-func TestDatapathInSmall(t *testing.T) {
-	d := UsualDatapath()
-	d.Program, d.Log = built(t), io.Discard
-	d.Engines, d.Rest = []int{3}, time.Second
+func TestDatapathMeasuresIdleAndQueries(t *testing.T) {
+	d := DefaultDatapath()
+	d.Program, d.ControllerLog = built(t), io.Discard
+	d.EngineCounts, d.StepDuration = []int{3}, time.Second
 	var told bytes.Buffer
-	b := &book{seed: 1, machine: "here", commit: "test", out: &told}
+	b := &datapathRecorder{seed: 1, machine: "here", commit: "test", out: &told}
 	ctx := context.Background()
-	if err := d.idle(ctx, b); err != nil {
+	if err := d.measureIdle(ctx, b); err != nil {
 		t.Fatal(err)
 	}
-	if err := d.queriesAt(ctx, b, "queries", 200, 200, 20); err != nil {
+	if err := d.measureQueryRate(ctx, b, "queries", 200, 200, 20); err != nil {
 		t.Fatal(err)
 	}
 	values := map[string]float64{}
--- a/internal/bench/fairness_test.go
+++ b/internal/bench/fairness_test.go
@@ -316,20 +316,20 @@
 func TestTryOnSockets(t *testing.T) {
 	program := built(t)
 	var log bytes.Buffer
-	trial := &Trial{Program: program, Engines: 2, Long: 2 * time.Second, Seed: 3, Log: &log}
+	trial := &Trial{Program: program, Engines: 2, Duration: 2 * time.Second, Seed: 3, ControllerLog: &log}
 	rows, err := trial.Run(context.Background())
 	if err != nil {
 		t.Fatal(err, log.String())
 	}
 	asked, answered := 0, 0
 	for _, r := range rows {
-		asked, answered = asked+r.Asked, answered+r.Finished+r.Deferred+r.Killed
+		asked, answered = asked+r.Submitted, answered+r.Finished+r.Deferred+r.Killed
 	}
 	if asked < 100 || answered != asked || rows[0].Finished == 0 {
 		t.Fatalf("%d asked, %d answered: %+v", asked, answered, rows)
 	}
 	var table bytes.Buffer
-	if PrintRows(&table, rows); bytes.Count(table.Bytes(), []byte("\n")) != len(rows)+1 {
+	if PrintTrialResults(&table, rows); bytes.Count(table.Bytes(), []byte("\n")) != len(rows)+1 {
 		t.Fatal(table.String())
 	}
 }
--- a/internal/bench/fleet_measure.go
+++ b/internal/bench/fleet_measure.go
@@ -81,28 +81,28 @@
 // listed, after a few queries, in MB.
 func memoryAt(ctx context.Context, program string, seed uint64, engines int) (float64, error) {
 	t := &Trial{Program: program, Engines: engines, Seed: seed}
-	s, err := newStage(ctx, program, engines, trialEngine(), io.Discard, (&rid{done: map[string]time.Time{}, released: map[string]time.Time{}}).hear)
+	s, err := newControllerTestbed(ctx, program, engines, trialEngineConfig(), io.Discard, (&releaseRecorder{finishedAt: map[string]time.Time{}, releasedAt: map[string]time.Time{}}).observe)
 	if err != nil {
 		return 0, err
 	}
 	defer s.close()
-	if err := s.begin(strings.Replace(t.setup(s.feed, s.address), "memory_mb: 256, sockets: 1024", "memory_mb: 32, sockets: 256", 1)); err != nil {
+	if err := s.startController(strings.Replace(t.setupText(s.feedAddress, s.controllerAddress), "memory_mb: 256, sockets: 1024", "memory_mb: 32, sockets: 256", 1)); err != nil {
 		return 0, err
 	}
-	r, err := dial(s.address, 0)
+	r, err := dialController(s.controllerAddress, 0)
 	if err != nil {
 		return 0, err
 	}
 	defer r.Close()
 	for i := range 200 {
-		if err := r.ask(fmt.Sprintf("%016x", i+1), 3, false, 5*time.Second); err != nil {
+		if err := r.submitQuery(fmt.Sprintf("%016x", i+1), 3, false, 5*time.Second); err != nil {
 			return 0, err
 		}
-		if _, err := r.answer(ctx); err != nil {
+		if _, err := r.readAnswer(ctx); err != nil {
 			return 0, err
 		}
 	}
-	return resident(s.running.Process.Pid), s.end()
+	return processResidentMB(s.command.Process.Pid), s.stopController()
 }
 
 // MeasureFleet plays drawn fleets and one of 350 controllers half of whose engines start
--- a/internal/bench/many.go
+++ b/internal/bench/many.go
@@ -122,7 +122,7 @@
 
 // oneEngine listens as one idle engine and as the feed that lists it.
 func oneEngine(ctx context.Context) (address string, end func(), err error) {
-	e, err := engine.Listen(ctx, "127.0.0.1:0", trialEngine(), false)
+	e, err := engine.Listen(ctx, "127.0.0.1:0", trialEngineConfig(), false)
 	if err != nil {
 		return "", nil, err
 	}
--- a/internal/bench/many_process.go
+++ b/internal/bench/many_process.go
@@ -67,7 +67,7 @@
 
 // writeData writes what only a controller with clients and engines has.
 func (s controllerSetup) writeData(b *strings.Builder) {
-	kind := trialEngine()
+	kind := trialEngineConfig()
 	fmt.Fprintf(b, "listen: %s\nfeed: %s\n", s.Clients, s.Feed)
 	fmt.Fprintf(b, "engines: {controllers: %d, kinds: [{name: std, cores: %g, memory_mb: %g}], locations: [%s], location: %s}\n",
 		s.Controllers, kind.Cores, kind.MemoryMB, strings.Join(s.Zones, ", "), s.Zone)
--- a/internal/bench/scale_fleet.go
+++ b/internal/bench/scale_fleet.go
@@ -110,7 +110,7 @@
 func (f *scaleFleet) startEngines() error {
 	var list []feed.Engine
 	for i := range f.Engines {
-		e, err := engine.Listen(f.ctx, fmt.Sprintf("%s:%d", f.host(engineBlock, i), enginePort), trialEngine(), false)
+		e, err := engine.Listen(f.ctx, fmt.Sprintf("%s:%d", f.host(engineBlock, i), enginePort), trialEngineConfig(), false)
 		if err != nil {
 			return err
 		}
--- a/internal/bench/speed.go
+++ b/internal/bench/speed.go
@@ -22,16 +22,16 @@
 	rates := [2][]float64{}
 	for range turns {
 		for on := range 2 {
-			t := &Trial{Program: program, Engines: 8, Seed: 1, Log: io.Discard}
-			setup := t.setup
+			t := &Trial{Program: program, Engines: 8, Seed: 1, ControllerLog: io.Discard}
+			setup := t.setupText
 			if on == 0 {
 				setup = func(f, l string) string {
-					text, _, _ := strings.Cut(t.setup(f, l), "fairness:")
+					text, _, _ := strings.Cut(t.setupText(f, l), "fairness:")
 					return text
 				}
 			}
 			done := int64(0)
-			err := t.with(ctx, setup, nil, func(ctx context.Context, address string) error {
+			err := t.withController(ctx, setup, nil, func(ctx context.Context, address string) error {
 				ctx, stop := context.WithTimeout(ctx, turn)
 				defer stop()
 				var wg sync.WaitGroup
--- a/internal/bench/spool_client.go
+++ b/internal/bench/spool_client.go
@@ -14,18 +14,18 @@
 	"railrelay.dev/railrelay/internal/emulator/world"
 )
 
-// patience is what clients wait for an answer.
-const patience = 12 * time.Second
+// spoolPatience is what clients wait for an answer.
+const spoolPatience = 12 * time.Second
 
-// reader is a client's connection that takes one answer at a time.
-type reader struct {
+// resultReader is a client's connection that takes one answer at a time.
+type resultReader struct {
 	net.Conn
-	in   []byte
-	msg  uint32
-	pace int // bytes a second, 0: as fast as they come
+	received       []byte
+	lastMessage    uint32
+	bytesPerSecond int // bytes a second, 0: as fast as they come
 }
 
-func dial(address string, pace int) (*reader, error) {
+func dialController(address string, pace int) (*resultReader, error) {
 	c, err := net.Dial("tcp", address)
 	if err != nil {
 		return nil, err
@@ -33,20 +33,20 @@
 	if pace > 0 {
 		c.(*net.TCPConn).SetReadBuffer(4096)
 	}
-	return &reader{Conn: c, pace: pace}, nil
+	return &resultReader{Conn: c, bytesPerSecond: pace}, nil
 }
 
-func (r *reader) answer(ctx context.Context) (client.Answer, error) {
+func (r *resultReader) readAnswer(ctx context.Context) (client.Answer, error) {
 	p := make([]byte, 64<<10)
-	if r.pace > 0 {
-		p = p[:r.pace/4]
+	if r.bytesPerSecond > 0 {
+		p = p[:r.bytesPerSecond/4]
 	}
 	for {
-		if a, n, err := client.Read(r.in); err != nil || n > 0 {
-			r.in = slices.Clone(r.in[n:])
+		if a, n, err := client.Read(r.received); err != nil || n > 0 {
+			r.received = slices.Clone(r.received[n:])
 			return a, err
 		}
-		if r.pace > 0 {
+		if r.bytesPerSecond > 0 {
 			select {
 			case <-ctx.Done():
 				return client.Answer{}, ctx.Err()
@@ -54,45 +54,45 @@
 			}
 		}
 		n, err := r.Read(p)
-		if r.in = append(r.in, p[:n]...); err != nil {
+		if r.received = append(r.received, p[:n]...); err != nil {
 			return client.Answer{}, err
 		}
 	}
 }
 
-// ask asks for a result of so many rows, by pages or whole.
-func (r *reader) ask(id string, rows int, paged bool, patience time.Duration) error {
-	r.msg++
+// submitQuery asks for a result of so many rows, by pages or whole.
+func (r *resultReader) submitQuery(id string, rows int, paged bool, patience time.Duration) error {
+	r.lastMessage++
 	fields := []string{"trace", id, "patience", strconv.FormatInt(patience.Milliseconds(), 10)}
 	if paged {
 		fields = append(fields, "pages", "1")
 	}
-	_, err := r.Write(client.AppendQuery(nil, r.msg, "report", engine.Statement(engine.Work{Threads: 1, CPU: 2 * time.Millisecond, MemoryMB: 10, Rows: rows}), fields...))
+	_, err := r.Write(client.AppendQuery(nil, r.lastMessage, "report", engine.Statement(engine.Work{Threads: 1, CPU: 2 * time.Millisecond, MemoryMB: 10, Rows: rows}), fields...))
 	return err
 }
 
-func (r *reader) page(ctx context.Context, token string, page int) (client.Answer, error) {
-	r.msg++
-	if _, err := r.Write(client.AppendPageRequest(nil, r.msg, token, strconv.Itoa(page))); err != nil {
+func (r *resultReader) requestPage(ctx context.Context, token string, page int) (client.Answer, error) {
+	r.lastMessage++
+	if _, err := r.Write(client.AppendPageRequest(nil, r.lastMessage, token, strconv.Itoa(page))); err != nil {
 		return client.Answer{}, err
 	}
-	return r.answer(ctx)
+	return r.readAnswer(ctx)
 }
 
-// promised is a result that a client was told it has.
-type promised struct {
-	id    string
-	rows  int
-	first []byte
-	about map[string]string
+// acknowledgedResult is a result that a client was told it has.
+type acknowledgedResult struct {
+	id        string
+	rows      int
+	firstPage []byte
+	fields    map[string]string
 }
 
-// whole reads a promised result's other pages and compares all with what engines make.
-func (p *promised) whole(ctx context.Context, r *reader) (lost, corrupt bool) {
-	n, _ := strconv.Atoi(p.about["pages"])
-	got := slices.Clone(p.first)
+// verify reads a promised result's other pages and compares all with what engines make.
+func (p *acknowledgedResult) verify(ctx context.Context, r *resultReader) (lost, corrupt bool) {
+	n, _ := strconv.Atoi(p.fields["pages"])
+	got := slices.Clone(p.firstPage)
 	for i := 1; i < n; i++ {
-		a, err := r.page(ctx, p.about["token"], i)
+		a, err := r.requestPage(ctx, p.fields["token"], i)
 		if err != nil || a.Kind != client.Finished {
 			return true, false
 		}
@@ -101,38 +101,38 @@
 	return false, !bytes.Equal(got, world.ExpectedRows(&world.Query{ID: p.id, Work: engine.Work{Rows: p.rows}}))
 }
 
-// rid keeps when engines had done a query and when they were rid of it.
-type rid struct {
-	mu       sync.Mutex
-	done     map[string]time.Time
-	released map[string]time.Time
+// releaseRecorder keeps when engines had done a query and when they were rid of it.
+type releaseRecorder struct {
+	mu         sync.Mutex
+	finishedAt map[string]time.Time
+	releasedAt map[string]time.Time
 }
 
-func (x *rid) hear(_ int, s *engine.Server) {
+func (x *releaseRecorder) observe(_ int, s *engine.Server) {
 	s.Model.OnEnd = func(id string, how engine.Outcome, _ time.Duration) {
 		x.mu.Lock()
 		defer x.mu.Unlock()
 		if how == engine.Succeeded {
-			x.done[id] = time.Now()
+			x.finishedAt[id] = time.Now()
 		}
 	}
 	s.OnRelease = func(id string, _ time.Duration) {
 		x.mu.Lock()
 		defer x.mu.Unlock()
-		if _, again := x.released[id]; !again {
-			x.released[id] = time.Now()
+		if _, again := x.releasedAt[id]; !again {
+			x.releasedAt[id] = time.Now()
 		}
 	}
 }
 
-// p99 is how long engines kept what they had done; what they were not told to forget
+// p99HoldSeconds is how long engines kept what they had done; what they were not told to forget
 // they keep until they forget it by themselves.
-func (x *rid) p99(forgets time.Duration) float64 {
+func (x *releaseRecorder) p99HoldSeconds(forgets time.Duration) float64 {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	var l []time.Duration
-	for id, at := range x.done {
-		if r, ok := x.released[id]; ok {
+	for id, at := range x.finishedAt {
+		if r, ok := x.releasedAt[id]; ok {
 			l = append(l, r.Sub(at))
 		} else {
 			l = append(l, forgets)
--- a/internal/bench/spool_test.go
+++ b/internal/bench/spool_test.go
@@ -17,28 +17,28 @@
 )
 
 // The program is killed while it promises results, on sockets and real files.
-func TestSpoolThroughKills(t *testing.T) {
-	k, err := kills(t.Context(), &Trial{Program: built(t), Engines: 2, Seed: 3, Log: io.Discard}, 4)
+func TestSpooledResultsSurviveKills(t *testing.T) {
+	k, err := countLostAfterKills(t.Context(), &Trial{Program: built(t), Engines: 2, Seed: 3, ControllerLog: io.Discard}, 4)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if k.promised < 15 || k.resumed != k.promised {
+	if k.readAttempts < 15 || k.intact != k.readAttempts {
 		t.Fatalf("%+v", k)
 	}
 }
 
-func TestSpoolDirectory(t *testing.T) {
+func TestSpoolCommandsAndCorruptPage(t *testing.T) {
 	var log strings.Builder
 	program := built(t)
-	trial := &Trial{Program: program, Engines: 2, Seed: 3, Log: &log}
-	s, err := newStage(t.Context(), program, 2, trialEngine(), &log, func(int, *engine.Server) {})
+	trial := &Trial{Program: program, Engines: 2, Seed: 3, ControllerLog: &log}
+	s, err := newControllerTestbed(t.Context(), program, 2, trialEngineConfig(), &log, func(int, *engine.Server) {})
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer s.close()
 	dir := filepath.Join(s.dir, "spool")
-	setup := spoolSetup(trial, s, dir)
-	if err := s.begin(setup); err != nil {
+	setup := spoolSetupText(trial, s, dir)
+	if err := s.startController(setup); err != nil {
 		t.Fatal(err)
 	}
 	run := func(want string, fails bool, args ...string) {
@@ -50,16 +50,16 @@
 			t.Errorf("%v: %v\n%s", args, err, out)
 		}
 	}
-	r, err := dial(s.address, 0)
+	r, err := dialController(s.controllerAddress, 0)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer r.Close()
 	const id = "00000000000000f1"
-	if err := r.ask(id, 5000, true, patience); err != nil {
+	if err := r.submitQuery(id, 5000, true, spoolPatience); err != nil {
 		t.Fatal(err)
 	}
-	a, err := r.answer(t.Context())
+	a, err := r.readAnswer(t.Context())
 	if err != nil || a.Kind != client.Finished || a.Fields["token"] == "" {
 		t.Fatal(err, a.Kind, a.Fields)
 	}
@@ -67,7 +67,7 @@
 		run("in use by another program", true, "spool", what, dir)
 	}
 	run("in use by another program", true, "serve", "--setup", filepath.Join(s.dir, "stage.yaml"))
-	if err := s.end(); err != nil {
+	if err := s.stopController(); err != nil {
 		t.Fatal(err)
 	}
 	run(id, false, "spool", "ls", dir)
@@ -91,21 +91,21 @@
 		t.Fatal("nothing to flip: ", segments)
 	}
 	run("page 1 of 5: the page is spoilt", true, "spool", "verify", dir)
-	if err := s.begin(setup); err != nil {
+	if err := s.startController(setup); err != nil {
 		t.Fatal(err)
 	}
-	if r, err = dial(s.address, 0); err != nil {
+	if r, err = dialController(s.controllerAddress, 0); err != nil {
 		t.Fatal(err)
 	}
 	defer r.Close()
 	want := world.ExpectedRows(&world.Query{ID: id, Work: engine.Work{Rows: 5000}})
 	for i := range 5 { // the others are served
-		b, err := r.page(t.Context(), a.Fields["token"], i)
+		b, err := r.requestPage(t.Context(), a.Fields["token"], i)
 		if err != nil || (b.Kind == client.Finished) != (i != 1) || !strings.Contains(string(want), string(b.Rows)) {
 			t.Errorf("page %d: %v %v", i, err, b.Kind)
 		}
 	}
-	if err := s.end(); err != nil {
+	if err := s.stopController(); err != nil {
 		t.Fatal(err)
 	}
 	if !strings.Contains(log.String(), "the page is spoilt") {
@@ -117,11 +117,11 @@
 		t.Fatal(err)
 	}
 	path := filepath.Join(s.dir, "bad.yaml")
-	if err := os.WriteFile(path, []byte(spoolSetup(trial, s, filepath.Join(file, "spool"))), 0o600); err != nil {
+	if err := os.WriteFile(path, []byte(spoolSetupText(trial, s, filepath.Join(file, "spool"))), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	run("not a directory", true, "serve", "--setup", path)
-	text := strings.Replace(spoolSetup(trial, s, dir), "memory_mb: 8,", "memory_mb: 8, sync: often, idle: 3h,", 1)
+	text := strings.Replace(spoolSetupText(trial, s, dir), "memory_mb: 8,", "memory_mb: 8, sync: often, idle: 3h,", 1)
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/bench/storm.go
+++ b/internal/bench/storm.go
@@ -400,7 +400,7 @@
 // onOff is the queries a second of a controller in a fleet of its own, beside one
 // without, in short turns by turns.
 func onOff(ctx context.Context, program string, turns int, turn time.Duration) (float64, error) {
-	t := &Trial{Program: program, Engines: 8, Seed: 1, Log: io.Discard}
+	t := &Trial{Program: program, Engines: 8, Seed: 1, ControllerLog: io.Discard}
 	var rates [2]float64
 	run := func(ctx context.Context, address string) (int64, error) {
 		within, stop := context.WithTimeout(ctx, turn)
@@ -414,15 +414,15 @@
 		wg.Wait()
 		return done, errors.Join(faults...)
 	}
-	var stages [2]*stage
+	var stages [2]*controllerTestbed
 	for on := range stages {
-		s, err := newStage(ctx, program, t.Engines, trialEngine(), t.Log, func(int, *engine.Server) {})
+		s, err := newControllerTestbed(ctx, program, t.Engines, trialEngineConfig(), t.ControllerLog, func(int, *engine.Server) {})
 		if err != nil {
 			return 0, err
 		}
 		defer s.close()
 		stages[on] = s
-		text := t.setup(s.feed, s.address)
+		text := t.setupText(s.feedAddress, s.controllerAddress)
 		if on == 1 {
 			peer, err := loopback.FreeAddress()
 			if err != nil {
@@ -439,13 +439,13 @@
 			text += fmt.Sprintf("fleet: {name: alone, listen: %q, control: %q, directory: %q, keys: %q, voters: [{name: try, address: %q}]}\n", peer, control,
 				filepath.Join(s.dir, "fleet"), keys, peer)
 		}
-		if err := s.begin(text); err != nil {
+		if err := s.startController(text); err != nil {
 			return 0, err
 		}
 	}
 	for i := range turns + 1 {
 		for on, s := range stages {
-			n, err := run(ctx, s.address)
+			n, err := run(ctx, s.controllerAddress)
 			if err != nil {
 				return 0, err
 			}
--- a/internal/bench/together.go
+++ b/internal/bench/together.go
@@ -156,7 +156,7 @@
 	}
 	var list feed.Log
 	for i, site := range sites {
-		e, err := engine.Listen(g.ctx, "127.0.0.1:0", trialEngine(), false)
+		e, err := engine.Listen(g.ctx, "127.0.0.1:0", trialEngineConfig(), false)
 		if err != nil {
 			return err
 		}
--- a/internal/bench/together_clients.go
+++ b/internal/bench/together_clients.go
@@ -44,7 +44,7 @@
 	g.mu.Unlock()
 	l = l[max(0, len(l)-60):]
 	end := time.Now().Add(time.Second)
-	readers := map[int]*reader{}
+	readers := map[int]*resultReader{}
 	for _, k := range l {
 		if p := g.members[k.controller]; p.running == nil || p.stopped || time.Now().After(end) {
 			continue
@@ -52,7 +52,7 @@
 		r := readers[k.controller]
 		if r == nil {
 			var err error
-			if r, err = dial(g.members[k.controller].address, 0); err != nil {
+			if r, err = dialController(g.members[k.controller].address, 0); err != nil {
 				continue
 			}
 			defer r.Close()
@@ -65,10 +65,10 @@
 }
 
 // read asks for a page of what was kept; false if the connection is of no use any more.
-func (g *gathering) read(r *reader, k keptAt) bool {
+func (g *gathering) read(r *resultReader, k keptAt) bool {
 	asked := g.since()
 	r.SetDeadline(time.Now().Add(2 * time.Second))
-	a, err := r.page(g.ctx, k.token, 1)
+	a, err := r.requestPage(g.ctx, k.token, 1)
 	if err != nil {
 		r.Close()
 		return false
@@ -125,7 +125,7 @@
 func (g *gathering) client(n int, team, group string, every time.Duration, paged bool) {
 	defer g.clients.Done()
 	rng := rand.New(rand.NewPCG(g.Seed, uint64(n)<<8|uint64(len(team))))
-	var r *reader
+	var r *resultReader
 	defer func() {
 		if r != nil {
 			r.Close()
@@ -142,7 +142,7 @@
 		}
 		if r == nil {
 			var err error
-			if r, err = dial(g.members[n].address, 0); err != nil {
+			if r, err = dialController(g.members[n].address, 0); err != nil {
 				r = nil
 				continue
 			}
@@ -168,12 +168,12 @@
 		g.asked[id] = &askedFor{now, team, w.TableGroup, n}
 		g.rules.Received(now, id, group, entity, now+patienceTogether)
 		g.mu.Unlock()
-		r.msg++
+		r.lastMessage++
 		r.SetDeadline(time.Now().Add(patienceTogether))
-		_, err := r.Write(client.AppendQuery(nil, r.msg, group, engine.Statement(w), append([]string{"trace", id}, fields...)...))
+		_, err := r.Write(client.AppendQuery(nil, r.lastMessage, group, engine.Statement(w), append([]string{"trace", id}, fields...)...))
 		var a client.Answer
 		if err == nil {
-			a, err = r.answer(g.ctx)
+			a, err = r.readAnswer(g.ctx)
 		}
 		g.mu.Lock()
 		if err != nil { // it was killed, or the client has waited long enough
--- a/internal/bench/together_processes.go
+++ b/internal/bench/together_processes.go
@@ -29,7 +29,7 @@
 	var b strings.Builder
 	fmt.Fprintf(&b, "name: %s\nlisten: %s\nfeed: %s\nseed: %x\nlog: info\nlimits: {cores: 1, memory_mb: 128, sockets: 1024}\n", p.name, p.address,
 		g.feed.Addr(), g.Seed)
-	f := trialEngine()
+	f := trialEngineConfig()
 	sites := []string{"east", "west"}
 	for k := range marks {
 		sites = append(sites, fmt.Sprint("m", k))
--- a/internal/bench/try.go
+++ b/internal/bench/try.go
@@ -26,45 +26,45 @@
 
 // Trial is a short look at a controller with teams, on sockets of this machine.
 type Trial struct {
-	Program string // the built railrelay
-	Engines int
-	Long    time.Duration
-	Seed    uint64
-	Log     io.Writer // what the controller logs
+	Program       string // the built railrelay
+	Engines       int
+	Duration      time.Duration
+	Seed          uint64
+	ControllerLog io.Writer // what the controller logs
 }
 
 // trialTeams are its teams; the last floods.
 var trialTeams = []struct {
 	kind, name   string
-	share, asks  float64 // of the engines: by weight, and asked for
-	kindW, teamW int
+	share, demand  float64 // of the engines: by weight, and asked for
+	kindWeight, teamWeight int
 }{
 	{"municipalities", "linz", 0.30, 0.28, 5, 3}, {"municipalities", "steyr", 0.20, 0.15, 5, 2},
 	{"brigades", "fire-north", 0.15, 0.10, 3, 1}, {"brigades", "fire-south", 0.15, 0.10, 3, 1},
 	{"gauges", "upper", 0.10, 0.05, 2, 1}, {"gauges", "flood", 0.10, 3.0, 2, 1},
 }
 
-// Row is what a trial saw of a team.
-type Row struct {
-	Team                              string
-	Asked, Finished, Deferred, Killed int
-	Share, Weight                     float64 // of the work done, and by weight
-	Told, Had                         time.Duration
-	Within                            float64 // of first estimates
+// TrialTeamResult is what a trial saw of a team.
+type TrialTeamResult struct {
+	Team                                  string
+	Submitted, Finished, Deferred, Killed int
+	WorkShare, WeightShare                float64 // of the work done, and by weight
+	MeanEstimate, MeanWait                time.Duration
+	AccurateEstimates                     float64 // of first estimates
 }
 
-// trialEngine is its engines' figures. They only reckon: six of them take a small
+// trialEngineConfig is its engines' figures. They only reckon: six of them take a small
 // part of one core.
-func trialEngine() engine.Config {
+func trialEngineConfig() engine.Config {
 	f := engine.DefaultConfig()
 	f.Cores, f.DiskParallelism, f.MemoryMB = 8, 16, 16384
 	return f
 }
 
-func (t *Trial) setup(feedAddress, listen string) string {
+func (t *Trial) setupText(feedAddress, listen string) string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "name: try\nlisten: %s\nfeed: %s\nseed: %x\nlog: warn\nlimits: {cores: 1, memory_mb: 256, sockets: 1024}\n", listen, feedAddress, t.Seed)
-	f := trialEngine()
+	f := trialEngineConfig()
 	fmt.Fprintf(&b, "engines:\n  kinds: [{name: std, cores: %g, memory_mb: %g}]\ngroups:\n", f.Cores, f.MemoryMB)
 	for _, k := range Usual() {
 		effect := "read-only"
@@ -80,38 +80,38 @@
 	for _, x := range trialTeams {
 		if x.kind != kind {
 			kind = x.kind
-			fmt.Fprintf(&b, "    - name: %s\n      weight: %d\n      teams:\n", kind, x.kindW)
+			fmt.Fprintf(&b, "    - name: %s\n      weight: %d\n      teams:\n", kind, x.kindWeight)
 		}
-		fmt.Fprintf(&b, "        - {name: %s, weight: %d}\n", x.name, x.teamW)
+		fmt.Fprintf(&b, "        - {name: %s, weight: %d}\n", x.name, x.teamWeight)
 	}
 	return b.String()
 }
 
 // trialQuery is one query of a trial.
 type trialQuery struct {
-	team          int
-	id            string
-	work          engine.Work
-	at            time.Time
-	told          time.Duration
-	started, over time.Time
-	answer        client.Kind
+	team                  int
+	id                    string
+	work                  engine.Work
+	sentAt                time.Time
+	firstEstimate         time.Duration
+	startedAt, answeredAt time.Time
+	outcome               client.Kind
 }
 
-// trialLog keeps what the clients and engines saw.
-type trialLog struct {
-	mu   sync.Mutex
-	byID map[string]*trialQuery
-	all  []*trialQuery
+// trialRecorder keeps what the clients and engines saw.
+type trialRecorder struct {
+	mu        sync.Mutex
+	queryByID map[string]*trialQuery
+	queries   []*trialQuery
 }
 
 // Run plays it and gives what was seen of each team.
-func (t *Trial) Run(ctx context.Context) (rows []Row, err error) {
-	seen := &trialLog{byID: map[string]*trialQuery{}}
-	err = t.with(ctx, t.setup, func(id string) {
+func (t *Trial) Run(ctx context.Context) (rows []TrialTeamResult, err error) {
+	seen := &trialRecorder{queryByID: map[string]*trialQuery{}}
+	err = t.withController(ctx, t.setupText, func(id string) {
 		seen.mu.Lock()
-		if q := seen.byID[id]; q != nil && q.started.IsZero() {
-			q.started = time.Now()
+		if q := seen.queryByID[id]; q != nil && q.startedAt.IsZero() {
+			q.startedAt = time.Now()
 		}
 		seen.mu.Unlock()
 	}, func(ctx context.Context, address string) error {
@@ -121,7 +121,7 @@
 			wg.Add(1)
 			go func() {
 				defer wg.Done()
-				faults[i] = t.client(ctx, address, i, seen)
+				faults[i] = t.runClient(ctx, address, i, seen)
 			}()
 		}
 		wg.Wait()
@@ -130,14 +130,14 @@
 	if err != nil {
 		return nil, err
 	}
-	return t.rows(seen), nil
+	return t.teamResults(seen), nil
 }
 
-// with has something done with engines, a feed and a controller of a set-up, which
+// withController has something done with engines, a feed and a controller of a set-up, which
 // setup writes for the feed's address and the one to listen on.
-func (t *Trial) with(ctx context.Context, setup func(feedAddress, listen string) string, posted func(id string),
+func (t *Trial) withController(ctx context.Context, setup func(feedAddress, listen string) string, posted func(id string),
 	do func(ctx context.Context, address string) error) (err error) {
-	s, err := newStage(ctx, t.Program, t.Engines, trialEngine(), t.Log, func(_ int, s *engine.Server) {
+	s, err := newControllerTestbed(ctx, t.Program, t.Engines, trialEngineConfig(), t.ControllerLog, func(_ int, s *engine.Server) {
 		if posted != nil {
 			s.OnSubmit = func(id, _ string, _ int, _ time.Duration) { posted(id) }
 		}
@@ -146,28 +146,28 @@
 		return err
 	}
 	defer s.close()
-	if err := s.begin(setup(s.feed, s.address)); err != nil {
+	if err := s.startController(setup(s.feedAddress, s.controllerAddress)); err != nil {
 		return err
 	}
-	defer func() { err = errors.Join(err, s.end()) }()
-	return do(ctx, s.address)
+	defer func() { err = errors.Join(err, s.stopController()) }()
+	return do(ctx, s.controllerAddress)
 }
 
-// stage is engines, a feed and a controller that may be killed and begun again.
-type stage struct {
-	ctx           context.Context
-	program       string
-	log           io.Writer
-	feed, address string
-	dir           string
-	running       *exec.Cmd
-	closers       []func()
+// controllerTestbed is engines, a feed and a controller that may be killed and begun again.
+type controllerTestbed struct {
+	ctx                            context.Context
+	program                        string
+	controllerLog                  io.Writer
+	feedAddress, controllerAddress string
+	dir                            string
+	command                        *exec.Cmd
+	cleanups                       []func()
 }
 
-// newStage starts engines and a feed; each is told of each engine.
-func newStage(ctx context.Context, program string, engines int, figures engine.Config, log io.Writer, each func(i int, s *engine.Server)) (s *stage, err error) {
+// newControllerTestbed starts engines and a feed; each is told of each engine.
+func newControllerTestbed(ctx context.Context, program string, engines int, figures engine.Config, log io.Writer, each func(i int, s *engine.Server)) (s *controllerTestbed, err error) {
 	ctx, stop := context.WithCancel(ctx)
-	s = &stage{ctx: ctx, program: program, log: log, closers: []func(){stop}}
+	s = &controllerTestbed{ctx: ctx, program: program, controllerLog: log, cleanups: []func(){stop}}
 	defer func() {
 		if err != nil {
 			s.close()
@@ -180,7 +180,7 @@
 		if err != nil {
 			return s, err
 		}
-		s.closers = append(s.closers, func() { e.Close() })
+		s.cleanups = append(s.cleanups, func() { e.Close() })
 		e.WithServer(func(_ time.Duration, x *engine.Server) { each(i, x) })
 		entries = append(entries, feed.Engine{ID: fmt.Sprintf("e%d", i), HostPort: e.Addr().String(), Locality: "here", Flavor: "std",
 			Cell: 1, Phase: "SERVING", Size: 1})
@@ -190,52 +190,52 @@
 	if err != nil {
 		return s, err
 	}
-	s.closers = append(s.closers, func() { f.Close() })
-	s.feed = f.Addr().String()
-	if s.address, err = loopback.FreeAddress(); err != nil {
+	s.cleanups = append(s.cleanups, func() { f.Close() })
+	s.feedAddress = f.Addr().String()
+	if s.controllerAddress, err = loopback.FreeAddress(); err != nil {
 		return s, err
 	}
 	if s.dir, err = os.MkdirTemp("", "railrelay-stage"); err == nil {
-		s.closers = append(s.closers, func() { os.RemoveAll(s.dir) })
+		s.cleanups = append(s.cleanups, func() { os.RemoveAll(s.dir) })
 	}
 	return s, err
 }
 
-func (s *stage) close() {
-	if s.running != nil {
-		s.kill()
+func (s *controllerTestbed) close() {
+	if s.command != nil {
+		s.killController()
 	}
-	for _, do := range slices.Backward(s.closers) {
+	for _, do := range slices.Backward(s.cleanups) {
 		do()
 	}
 }
 
-// begin starts the controller on a set-up and waits until it is ready.
-func (s *stage) begin(setup string) error {
+// startController starts the controller on a set-up and waits until it is ready.
+func (s *controllerTestbed) startController(setup string) error {
 	path := filepath.Join(s.dir, "stage.yaml")
 	if err := os.WriteFile(path, []byte(setup), 0o600); err != nil {
 		return err
 	}
-	s.running = exec.CommandContext(s.ctx, s.program, "serve", "--setup", path)
-	s.running.Stderr = s.log
-	if err := s.running.Start(); err != nil {
-		s.running = nil
+	s.command = exec.CommandContext(s.ctx, s.program, "serve", "--setup", path)
+	s.command.Stderr = s.controllerLog
+	if err := s.command.Start(); err != nil {
+		s.command = nil
 		return err
 	}
-	return ready(s.ctx, s.address)
+	return waitUntilControllerReady(s.ctx, s.controllerAddress)
 }
 
-// kill ends it as a power cut to the program alone would.
-func (s *stage) kill() {
-	s.running.Process.Kill()
-	s.running.Wait()
-	s.running = nil
+// killController ends it as a power cut to the program alone would.
+func (s *controllerTestbed) killController() {
+	s.command.Process.Kill()
+	s.command.Wait()
+	s.command = nil
 }
 
-// end has it end by itself.
-func (s *stage) end() error {
-	p := s.running
-	s.running = nil
+// stopController has it end by itself.
+func (s *controllerTestbed) stopController() error {
+	p := s.command
+	s.command = nil
 	p.Process.Signal(syscall.SIGTERM)
 	ended := make(chan error, 1)
 	go func() { ended <- p.Wait() }()
@@ -251,8 +251,8 @@
 	}
 }
 
-// ready waits until a controller says that it is.
-func ready(ctx context.Context, address string) error {
+// waitUntilControllerReady waits until a controller says that it is.
+func waitUntilControllerReady(ctx context.Context, address string) error {
 	for end := time.Now().Add(20 * time.Second); time.Now().Before(end); {
 		c, err := net.Dial("tcp", address)
 		if err == nil {
@@ -274,9 +274,9 @@
 	return errors.New("the controller isn't ready after 20 s")
 }
 
-// client asks for one team's queries at its rate, whatever the answers, and reads
+// runClient asks for one team's queries at its rate, whatever the answers, and reads
 // these until all are there.
-func (t *Trial) client(ctx context.Context, address string, team int, seen *trialLog) error {
+func (t *Trial) runClient(ctx context.Context, address string, team int, seen *trialRecorder) error {
 	c, err := net.Dial("tcp", address)
 	if err != nil {
 		return err
@@ -287,7 +287,7 @@
 	for _, k := range kinds {
 		mean += k.Share * k.CPU.Seconds()
 	}
-	rate := trialTeams[team].asks * float64(t.Engines) * trialEngine().Cores / mean
+	rate := trialTeams[team].demand * float64(t.Engines) * trialEngineConfig().Cores / mean
 	var mu sync.Mutex
 	open := map[uint32]*trialQuery{}
 	asking := true
@@ -313,11 +313,11 @@
 				if q != nil {
 					seen.mu.Lock()
 					if a.Kind == client.WaitNotice {
-						if q.told < 0 {
-							q.told = a.Wait
+						if q.firstEstimate < 0 {
+							q.firstEstimate = a.Wait
 						}
 					} else {
-						q.answer, q.over = a.Kind, time.Now()
+						q.outcome, q.answeredAt = a.Kind, time.Now()
 						delete(open, a.Msg)
 					}
 					seen.mu.Unlock()
@@ -339,7 +339,7 @@
 	next := start
 	for msg := uint32(1); ; msg++ {
 		next = next.Add(time.Duration(rng.ExpFloat64() / rate * 1e9))
-		if next.Sub(start) > t.Long {
+		if next.Sub(start) > t.Duration {
 			break
 		}
 		select {
@@ -357,13 +357,13 @@
 		}
 		w := engine.Work{Threads: k.Threads, MemoryMB: k.MemoryMB, TableGroup: int64(rng.IntN(100)), Load: k.Load, Rows: k.Rows,
 			CPU: time.Duration(float64(k.CPU) * math.Exp(rng.NormFloat64()*k.Spread-k.Spread*k.Spread/2))}
-		q := &trialQuery{team: team, id: fmt.Sprintf("%08x%08x", team+1, msg), work: w, at: time.Now(), told: -1}
+		q := &trialQuery{team: team, id: fmt.Sprintf("%08x%08x", team+1, msg), work: w, sentAt: time.Now(), firstEstimate: -1}
 		fields := []string{"trace", q.id, "patience", fmt.Sprint(k.Patience.Milliseconds()), "team", trialTeams[team].name, "tell", "1"}
 		if k.Load {
 			fields = append(fields, "entity", fmt.Sprintf("k%d", rng.IntN(1000)))
 		}
 		seen.mu.Lock()
-		seen.byID[q.id], seen.all = q, append(seen.all, q)
+		seen.queryByID[q.id], seen.queries = q, append(seen.queries, q)
 		seen.mu.Unlock()
 		mu.Lock()
 		open[msg] = q
@@ -387,56 +387,56 @@
 	}
 }
 
-func (t *Trial) rows(seen *trialLog) []Row {
-	rows := make([]Row, len(trialTeams))
+func (t *Trial) teamResults(seen *trialRecorder) []TrialTeamResult {
+	rows := make([]TrialTeamResult, len(trialTeams))
 	all := 0.0
 	weights := 0.0
 	for _, x := range trialTeams {
 		weights += x.share
 	}
 	within, of := make([]int, len(rows)), make([]int, len(rows))
-	for _, q := range seen.all {
+	for _, q := range seen.queries {
 		r := &rows[q.team]
-		r.Asked++
-		switch q.answer {
+		r.Submitted++
+		switch q.outcome {
 		case client.Finished:
 			r.Finished++
-			r.Share += q.work.CPU.Seconds()
+			r.WorkShare += q.work.CPU.Seconds()
 			all += q.work.CPU.Seconds()
 		case client.Deferred:
 			r.Deferred++
 		case client.Killed:
 			r.Killed++
 		}
-		if q.started.IsZero() {
+		if q.startedAt.IsZero() {
 			continue
 		}
-		told, had := max(0, q.told), q.started.Sub(q.at)
+		told, had := max(0, q.firstEstimate), q.startedAt.Sub(q.sentAt)
 		of[q.team]++
-		r.Told += told
-		r.Had += had
+		r.MeanEstimate += told
+		r.MeanWait += had
 		if holds(told, had) {
 			within[q.team]++
 		}
 	}
 	for i := range rows {
 		n := max(1, of[i])
-		rows[i].Team, rows[i].Weight = trialTeams[i].name, trialTeams[i].share/weights
-		rows[i].Share /= max(all, 1e-9)
-		rows[i].Told /= time.Duration(n)
-		rows[i].Had /= time.Duration(n)
-		rows[i].Within = float64(within[i]) / float64(n)
+		rows[i].Team, rows[i].WeightShare = trialTeams[i].name, trialTeams[i].share/weights
+		rows[i].WorkShare /= max(all, 1e-9)
+		rows[i].MeanEstimate /= time.Duration(n)
+		rows[i].MeanWait /= time.Duration(n)
+		rows[i].AccurateEstimates = float64(within[i]) / float64(n)
 	}
 	return rows
 }
 
-// PrintRows writes a table by team.
-func PrintRows(out io.Writer, rows []Row) {
+// PrintTrialResults writes a table by team.
+func PrintTrialResults(out io.Writer, rows []TrialTeamResult) {
 	w := tabwriter.NewWriter(out, 0, 4, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(w, "team\tasked\tfinished\tdeferred\tkilled\tshare\tby weight\twait told\twait had\twithin 20%\t")
 	for _, r := range rows {
-		fmt.Fprintf(w, "%s\t%d\t%d\t%d\t%d\t%.3f\t%.3f\t%.3fs\t%.3fs\t%.2f\t\n", r.Team, r.Asked, r.Finished, r.Deferred, r.Killed,
-			r.Share, r.Weight, r.Told.Seconds(), r.Had.Seconds(), r.Within)
+		fmt.Fprintf(w, "%s\t%d\t%d\t%d\t%d\t%.3f\t%.3f\t%.3fs\t%.3fs\t%.2f\t\n", r.Team, r.Submitted, r.Finished, r.Deferred, r.Killed,
+			r.WorkShare, r.WeightShare, r.MeanEstimate.Seconds(), r.MeanWait.Seconds(), r.AccurateEstimates)
 	}
 	w.Flush()
 }
