--- a/internal/bench/many.go
+++ b/internal/bench/many.go
@@ -122,7 +122,7 @@
 
 // listenIdleEngine listens as one idle engine and as the feed that lists it.
 func listenIdleEngine(ctx context.Context) (address string, end func(), err error) {
-	e, err := engine.Listen(ctx, "127.0.0.1:0", trialEngine(), false)
+	e, err := engine.Listen(ctx, "127.0.0.1:0", trialEngineConfig(), false)
 	if err != nil {
 		return "", nil, err
 	}
--- a/internal/bench/many_process.go
+++ b/internal/bench/many_process.go
@@ -67,7 +67,7 @@
 
 // writeDataPlane writes what only a controller with clients and engines has.
 func (s controllerSetup) writeDataPlane(b *strings.Builder) {
-	kind := trialEngine()
+	kind := trialEngineConfig()
 	fmt.Fprintf(b, "listen: %s\nfeed: %s\n", s.ClientAddress, s.FeedAddress)
 	fmt.Fprintf(b, "engines: {controllers: %d, kinds: [{name: std, cores: %g, memory_mb: %g}], locations: [%s], location: %s}\n",
 		s.Controllers, kind.Cores, kind.MemoryMB, strings.Join(s.Zones, ", "), s.Zone)
--- a/internal/bench/scale_fleet.go
+++ b/internal/bench/scale_fleet.go
@@ -110,7 +110,7 @@
 func (f *scaleFleet) startEngines() error {
 	var list []feed.Engine
 	for i := range f.Engines {
-		e, err := engine.Listen(f.ctx, fmt.Sprintf("%s:%d", f.hostAddress(engineBlock, i), scaleEnginePort), trialEngine(), false)
+		e, err := engine.Listen(f.ctx, fmt.Sprintf("%s:%d", f.hostAddress(engineBlock, i), scaleEnginePort), trialEngineConfig(), false)
 		if err != nil {
 			return err
 		}
