--- a/internal/bench/try.go
+++ b/internal/bench/try.go
@@ -35,8 +35,8 @@
 
 // trialTeams are its teams; the last floods.
 var trialTeams = []struct {
-	kind, name   string
-	share, demand  float64 // of the engines: by weight, and asked for
+	kind, name             string
+	share, demand          float64 // of the engines: by weight, and asked for
 	kindWeight, teamWeight int
 }{
 	{"municipalities", "linz", 0.30, 0.28, 5, 3}, {"municipalities", "steyr", 0.20, 0.15, 5, 2},
