--- a/internal/bench/fairness_test.go
+++ b/internal/bench/fairness_test.go
@@ -325,20 +325,20 @@
 func TestTrialAnswersAllQueries(t *testing.T) {
 	program := buildDebugController(t)
 	var log bytes.Buffer
-	trial := &Trial{Program: program, Engines: 2, Long: 2 * time.Second, Seed: 3, Log: &log}
+	trial := &Trial{Program: program, Engines: 2, Duration: 2 * time.Second, Seed: 3, ControllerLog: &log}
 	rows, err := trial.Run(context.Background())
 	if err != nil {
 		t.Fatal(err, log.String())
 	}
 	submitted, answered := 0, 0
 	for _, row := range rows {
-		submitted, answered = submitted+row.Asked, answered+row.Finished+row.Deferred+row.Killed
+		submitted, answered = submitted+row.Submitted, answered+row.Finished+row.Deferred+row.Killed
 	}
 	if submitted < 100 || answered != submitted || rows[0].Finished == 0 {
 		t.Fatalf("%d queries submitted, %d answered: %+v", submitted, answered, rows)
 	}
 	var table bytes.Buffer
-	if PrintRows(&table, rows); bytes.Count(table.Bytes(), []byte("\n")) != len(rows)+1 {
+	if PrintTrialResults(&table, rows); bytes.Count(table.Bytes(), []byte("\n")) != len(rows)+1 {
 		t.Fatal(table.String())
 	}
 }
--- a/internal/bench/speed.go
+++ b/internal/bench/speed.go
@@ -25,16 +25,16 @@
 	rates := [2][]float64{}
 	for range turns {
 		for on := range 2 {
-			trial := &Trial{Program: program, Engines: 8, Seed: 1, Log: io.Discard}
-			setup := trial.setup
+			trial := &Trial{Program: program, Engines: 8, Seed: 1, ControllerLog: io.Discard}
+			setup := trial.setupText
 			if on == 0 {
 				setup = func(feedAddress, listen string) string {
-					text, _, _ := strings.Cut(trial.setup(feedAddress, listen), "fairness:")
+					text, _, _ := strings.Cut(trial.setupText(feedAddress, listen), "fairness:")
 					return text
 				}
 			}
 			finished := int64(0)
-			err := trial.with(ctx, setup, nil, func(ctx context.Context, address string) error {
+			err := trial.withController(ctx, setup, nil, func(ctx context.Context, address string) error {
 				ctx, stop := context.WithTimeout(ctx, duration)
 				defer stop()
 				var wg sync.WaitGroup
