--- a/internal/bench/fairness.go
+++ b/internal/bench/fairness.go
@@ -162,8 +162,8 @@
 	serial       int     // number of the last query
 	hasFairQueue bool
 
-	// WaitTime is how long any query waited, except loads. IdleTime is the part of it in which an engine had a
-	// free core.
+	// WaitTime is the time in which at least one query that isn't a load waited. IdleTime is the part of
+	// WaitTime in which an engine had a free core.
 	IdleTime, WaitTime time.Duration
 	waitingSince       map[string]time.Duration // by tenant; restarts when one of its queries starts
 	waitingQueries     map[string]int           // by tenant
@@ -266,7 +266,8 @@
 	}
 }
 
-// SubmitQuery submits a query of a tenant. planFactor multiplies the query's work, for a bad query plan.
+// SubmitQuery submits a query of a tenant. planFactor multiplies the query's CPU and disk
+// time, for a bad query plan.
 func (run *FairnessRun) SubmitQuery(tenant string, group WorkloadGroup, planFactor float64) *world.Query {
 	connection := run.clients[tenant]
 	if connection == nil || connection.Closed {
@@ -592,8 +593,8 @@
 
 func durationRatio(a, b time.Duration) float64 { return a.Seconds() / max(b.Seconds(), 1e-9) }
 
-// TimeFairQueue returns the time of adding a query to the fair queue and taking one out, in microseconds,
-// with many tenants and waiting queries. tenants must be 10,000, see tenantNumber.
+// TimeFairQueue returns the mean time of adding a query to the fair queue and taking one out, in
+// microseconds, with many tenants and waiting queries. tenants must be 10,000, see tenantNumber.
 func TimeFairQueue(tenants, waiting, rounds int) float64 {
 	config := fairqueue.Config{
 		Lanes: []fairqueue.Lane{
--- a/internal/bench/fairness_test.go
+++ b/internal/bench/fairness_test.go
@@ -186,7 +186,8 @@
 	}
 }
 
-// newCrowdedRun returns a run with one engine in which count reports were just submitted at once.
+// newCrowdedRun returns a run with one engine, in which count queries of the group "report" have just been
+// submitted.
 func newCrowdedRun(t *testing.T, seed uint64, count int) *FairnessRun {
 	run := NewFairnessRun(seed, 1, DefaultWorkload(), equalTenants("a", "b"), emptyQueueConfig(), nil)
 	run.RunUntil(100 * time.Millisecond)
--- a/internal/bench/schedule_actors.go
+++ b/internal/bench/schedule_actors.go
@@ -93,8 +93,8 @@
 	}
 }
 
-// upstreamsOf reports whether a controller is a relay. If it is not, upstreamsOf returns the relays, at most
-// two, through which the controller renews its lease. Voters have none.
+// upstreamsOf reports whether a controller is a relay. For a follower, upstreamsOf returns the relays, at
+// most two, through which the follower renews its lease. Voters and relays have none.
 func (run *scheduleRun) upstreamsOf(
 	controller *simulatedController,
 ) (isRelay bool, upstreams []node.Upstream) {
--- a/internal/bench/schedule_operators.go
+++ b/internal/bench/schedule_operators.go
@@ -29,7 +29,7 @@
 	final       bool // sent after all faults ended: it must get an outcome
 }
 
-// issueOperations sends a random request of an operator or a customer, and schedules itself until the period
+// issueOperations sends a random request of an operator, and schedules itself until the period
 // with faults is over. The text of a change's policy is "policy of ID", optionally followed by
 // " voters NAME,NAME,..." (the new voters) and by " unfit for NAME" (a controller that rejects the policy).
 func (run *scheduleRun) issueOperations() {
--- a/internal/bench/schedules.go
+++ b/internal/bench/schedules.go
@@ -322,8 +322,8 @@
 	}
 }
 
-// Run runs the schedules in threads goroutines and returns the sum of their results. After the time until,
-// unless it is zero, no further schedule is started; ScheduleResult.Schedules counts those that were run.
+// Run runs the schedules on a number of threads and returns the sum of their results. Run starts no schedule
+// after the time until, unless until is zero; ScheduleResult.Schedules counts the schedules that were run.
 func (plan *SchedulePlan) Run(threads int, until time.Time) *ScheduleResult {
 	results := make([]*ScheduleResult, len(plan.Schedules))
 	var next atomic.Int64
--- a/internal/bench/speed.go
+++ b/internal/bench/speed.go
@@ -26,15 +26,15 @@
 	for range turns {
 		for on := range 2 {
 			trial := &Trial{Program: program, Engines: 8, Seed: 1, ControllerLog: io.Discard}
-			setup := trial.setupText
+			setupText := trial.setupText
 			if on == 0 {
-				setup = func(feedAddress, listen string) string {
+				setupText = func(feedAddress, listen string) string {
 					text, _, _ := strings.Cut(trial.setupText(feedAddress, listen), "fairness:")
 					return text
 				}
 			}
 			finished := int64(0)
-			err := trial.withController(ctx, setup, nil, func(ctx context.Context, address string) error {
+			err := trial.withController(ctx, setupText, nil, func(ctx context.Context, address string) error {
 				ctx, stop := context.WithTimeout(ctx, duration)
 				defer stop()
 				var wg sync.WaitGroup
