--- a/internal/bench/fairness.go
+++ b/internal/bench/fairness.go
@@ -9,7 +9,6 @@
 	"math"
 	"math/rand/v2"
 	"net/netip"
-	"runtime"
 	"slices"
 	"strconv"
 	"time"
@@ -61,36 +60,14 @@
 // ControllerSettings returns the controller's settings for a workload and for engines of one configuration.
 func ControllerSettings(groups []WorkloadGroup, engineConfig engine.Config) map[string]string {
 	settings := map[string]string{
-		"gateways":         "1",
-		"own.number":       "0",
-		"groups":           strconv.Itoa(len(groups)),
-		"kinds":            "std",
-		"locations":        "here",
-		"kind.cores":       fmt.Sprint(engineConfig.Cores),
-		"kind.memory":      fmt.Sprint(engineConfig.MemoryMB),
-		"grant.most":       "0.4",
-		"may.grant":        "true",
-		"may.prioritise":   "true",
-		"may.cancel":       "true",
-		"may.probe":        "true",
-		"may.copy":         "true",
-		"may.name-return":  "true",
-		"return.most":      "60000",
-		"submissions.most": "3",
-		"note.period":      "2000",
-		"tick":             "5",
-		"memory.short":     "swap",
-		"drain.grace":      "1000",
-		"report.how":       "probed",
-		"cold.from":        "0.33",
-		"answers.cost":     "true",
-		"cold.span":        "15000",
-		"cold.multiple":    "3",
-		"cold.window":      "1000",
-		"key.rest":         "300",
-		"list.how":         "pushed",
-		"connect.timeout":  "250",
-		"idle.most":        "15000",
+		"gateways": "1", "own.number": "0", "groups": strconv.Itoa(len(groups)), "kinds": "std",
+		"locations": "here", "kind.cores": fmt.Sprint(engineConfig.Cores),
+		"kind.memory": fmt.Sprint(engineConfig.MemoryMB), "grant.most": "0.4", "may.grant": "true",
+		"may.prioritise": "true", "may.cancel": "true", "may.probe": "true", "may.copy": "true",
+		"may.name-return": "true", "return.most": "60000", "submissions.most": "3", "note.period": "2000",
+		"tick": "5", "memory.short": "swap", "drain.grace": "1000", "report.how": "probed", "cold.from": "0.33",
+		"answers.cost": "true", "cold.span": "15000", "cold.multiple": "3", "cold.window": "1000",
+		"key.rest": "300", "list.how": "pushed", "connect.timeout": "250", "idle.most": "15000",
 	}
 	var threads, loads, waits string
 	for i, group := range groups {
@@ -592,63 +569,3 @@
 }
 
 func durationRatio(a, b time.Duration) float64 { return a.Seconds() / max(b.Seconds(), 1e-9) }
-
-// TimeFairQueue returns the mean time of adding a query to the fair queue and taking one out, in
-// microseconds, with many tenants and waiting queries. tenants must be 10,000, see tenantNumber.
-func TimeFairQueue(tenants, waiting, rounds int) float64 {
-	config := fairqueue.Config{
-		Lanes: []fairqueue.Lane{
-			{Name: "a", Threads: 1, PriorityWeight: 1, InitialWorkEstimate: 50 * time.Millisecond},
-			{Name: "b", Threads: 3, PriorityWeight: 5, InitialWorkEstimate: 500 * time.Millisecond},
-		},
-		AgeingLimit: time.Hour,
-		MaxWaiting:  2 * waiting,
-	}
-	for i := range 100 {
-		group := fairqueue.Tenant{Name: "k" + strconv.Itoa(i), Weight: 1 + float64(i%7)}
-		for j := range tenants / 100 {
-			group.Children = append(group.Children,
-				fairqueue.Tenant{Name: fmt.Sprintf("t%d-%d", i, j), Weight: 1 + float64(j%5)})
-		}
-		config.Tenants = append(config.Tenants, group)
-	}
-	queue := fairqueue.New(config)
-	queries := make([]fairqueue.Query, waiting+1)
-	rng := rand.New(rand.NewPCG(1, 1))
-	now := time.Duration(1)
-	enqueue := func(query *fairqueue.Query) {
-		*query = fairqueue.Query{
-			Lane: rng.IntN(2), Tenant: tenantNumber(rng.IntN(tenants)), Key: -1, Chain: -1, Deadline: time.Hour,
-		}
-		queue.Enqueue(now, query)
-	}
-	queue.SetLaneFull(now, 0, true)
-	queue.SetLaneFull(now, 1, true)
-	for i := range waiting {
-		enqueue(&queries[i])
-	}
-	free := []*fairqueue.Query{&queries[waiting]} // a round takes out at most one query for the one that it adds
-	runtime.GC()
-	start := time.Now()
-	for i := range rounds {
-		now += 10 * time.Microsecond
-		if len(free) == 0 {
-			free = append(free, &fairqueue.Query{})
-		}
-		last := len(free) - 1
-		enqueue(free[last])
-		free = free[:last]
-		if query := queue.Next(now, i%2); query != nil {
-			queue.Started(now, query)
-			queue.Ended(now, query, fairqueue.Finished, 0, 0)
-			free = append(free, query)
-		}
-	}
-	return float64(time.Since(start).Microseconds()) / float64(rounds)
-}
-
-// tenantNumber returns the queue's index of the n-th leaf tenant of TimeFairQueue. Each of its 100 groups
-// has an index, followed by those of the group's 100 tenants.
-func tenantNumber(n int) int {
-	return n/100*101 + n%100 + 1
-}
--- a/internal/bench/speed.go
+++ b/internal/bench/speed.go
@@ -4,8 +4,11 @@
 	"context"
 	"fmt"
 	"io"
+	"math/rand/v2"
 	"net"
+	"runtime"
 	"slices"
+	"strconv"
 	"strings"
 	"sync"
 	"sync/atomic"
@@ -13,6 +16,7 @@
 
 	"railrelay.dev/railrelay/internal/emulator/client"
 	"railrelay.dev/railrelay/internal/emulator/engine"
+	"railrelay.dev/railrelay/internal/fairqueue"
 )
 
 // CompareFairnessThroughput returns the ratio of a controller's queries per second with fairness on to that
@@ -113,3 +117,63 @@
 	}
 	return nil
 }
+
+// TimeFairQueue returns the mean time of adding a query to the fair queue and taking one out, in
+// microseconds, with many tenants and waiting queries. tenants must be 10,000, see tenantNumber.
+func TimeFairQueue(tenants, waiting, rounds int) float64 {
+	config := fairqueue.Config{
+		Lanes: []fairqueue.Lane{
+			{Name: "a", Threads: 1, PriorityWeight: 1, InitialWorkEstimate: 50 * time.Millisecond},
+			{Name: "b", Threads: 3, PriorityWeight: 5, InitialWorkEstimate: 500 * time.Millisecond},
+		},
+		AgeingLimit: time.Hour,
+		MaxWaiting:  2 * waiting,
+	}
+	for i := range 100 {
+		group := fairqueue.Tenant{Name: "k" + strconv.Itoa(i), Weight: 1 + float64(i%7)}
+		for j := range tenants / 100 {
+			group.Children = append(group.Children,
+				fairqueue.Tenant{Name: fmt.Sprintf("t%d-%d", i, j), Weight: 1 + float64(j%5)})
+		}
+		config.Tenants = append(config.Tenants, group)
+	}
+	queue := fairqueue.New(config)
+	queries := make([]fairqueue.Query, waiting+1)
+	rng := rand.New(rand.NewPCG(1, 1))
+	now := time.Duration(1)
+	enqueue := func(query *fairqueue.Query) {
+		*query = fairqueue.Query{
+			Lane: rng.IntN(2), Tenant: tenantNumber(rng.IntN(tenants)), Key: -1, Chain: -1, Deadline: time.Hour,
+		}
+		queue.Enqueue(now, query)
+	}
+	queue.SetLaneFull(now, 0, true)
+	queue.SetLaneFull(now, 1, true)
+	for i := range waiting {
+		enqueue(&queries[i])
+	}
+	free := []*fairqueue.Query{&queries[waiting]} // a round takes out at most one query for the one that it adds
+	runtime.GC()
+	start := time.Now()
+	for i := range rounds {
+		now += 10 * time.Microsecond
+		if len(free) == 0 {
+			free = append(free, &fairqueue.Query{})
+		}
+		last := len(free) - 1
+		enqueue(free[last])
+		free = free[:last]
+		if query := queue.Next(now, i%2); query != nil {
+			queue.Started(now, query)
+			queue.Ended(now, query, fairqueue.Finished, 0, 0)
+			free = append(free, query)
+		}
+	}
+	return float64(time.Since(start).Microseconds()) / float64(rounds)
+}
+
+// tenantNumber returns the queue's index of the n-th leaf tenant of TimeFairQueue. Each of its 100 groups
+// has an index, followed by those of the group's 100 tenants.
+func tenantNumber(n int) int {
+	return n/100*101 + n%100 + 1
+}
