--- a/internal/bench/speed.go
+++ b/internal/bench/speed.go
@@ -4,8 +4,11 @@
 	"context"
 	"fmt"
 	"io"
+	"math/rand/v2"
 	"net"
+	"runtime"
 	"slices"
+	"strconv"
 	"strings"
 	"sync"
 	"sync/atomic"
@@ -13,97 +16,164 @@
 
 	"railrelay.dev/railrelay/internal/emulator/client"
 	"railrelay.dev/railrelay/internal/emulator/engine"
+	"railrelay.dev/railrelay/internal/fairqueue"
 )
 
-// CompareFairnessThroughput compares the queries a second of a controller on one core with
-// fairness on and off: eight stand-in engines that answer at once, 64 open on four
-// connections, in turns of so long each. It prints both and their ratio.
-func CompareFairnessThroughput(ctx context.Context, out io.Writer, program string, turn time.Duration, turns int) (float64, error) {
+// CompareFairnessThroughput returns the ratio of a controller's queries per second with fairness on to that
+// with fairness off, and prints both. The controller has one core and eight emulated engines that answer at
+// once; the clients keep 64 queries open on four connections. Turns of a fixed duration with fairness off
+// and on alternate, and the medians count.
+func CompareFairnessThroughput(
+	ctx context.Context, out io.Writer, program string, duration time.Duration, turns int,
+) (float64, error) {
 	rates := [2][]float64{}
 	for range turns {
 		for on := range 2 {
-			t := &Trial{Program: program, Engines: 8, Seed: 1, ControllerLog: io.Discard}
-			setup := t.setupText
+			trial := &Trial{Program: program, Engines: 8, Seed: 1, ControllerLog: io.Discard}
+			setupText := trial.setupText
 			if on == 0 {
-				setup = func(f, l string) string {
-					text, _, _ := strings.Cut(t.setupText(f, l), "fairness:")
+				setupText = func(feedAddress, listen string) string {
+					text, _, _ := strings.Cut(trial.setupText(feedAddress, listen), "fairness:")
 					return text
 				}
 			}
-			done := int64(0)
-			err := t.withController(ctx, setup, nil, func(ctx context.Context, address string) error {
-				ctx, stop := context.WithTimeout(ctx, turn)
+			finished := int64(0)
+			err := trial.withController(ctx, setupText, nil, func(ctx context.Context, address string) error {
+				ctx, stop := context.WithTimeout(ctx, duration)
 				defer stop()
 				var wg sync.WaitGroup
-				faults := make([]error, 4)
-				for i := range faults {
+				errs := make([]error, 4)
+				for i := range errs {
 					wg.Add(1)
 					go func() {
 						defer wg.Done()
-						faults[i] = keepQueriesOpen(ctx, address, i, 16, &done)
+						errs[i] = keepQueriesOpen(ctx, address, i, 16, &finished)
 					}()
 				}
 				wg.Wait()
-				return faults[0]
+				return errs[0]
 			})
 			if err != nil {
 				return 0, err
 			}
-			rates[on] = append(rates[on], float64(done)/turn.Seconds())
+			rates[on] = append(rates[on], float64(finished)/duration.Seconds())
 		}
 	}
-	mid := func(l []float64) float64 { return slices.Sorted(slices.Values(l))[len(l)/2] }
-	ratio := mid(rates[1]) / mid(rates[0])
-	fmt.Fprintf(out, "queries/s off %.0f on %.0f (medians of %d turns)\nmeasured on_over_off=%.3f\n", mid(rates[0]), mid(rates[1]), turns, ratio)
+	medianRate := func(rates []float64) float64 { return slices.Sorted(slices.Values(rates))[len(rates)/2] }
+	ratio := medianRate(rates[1]) / medianRate(rates[0])
+	fmt.Fprintf(out, "queries/s off %.0f on %.0f (medians of %d turns)\nmeasured on_over_off=%.3f\n",
+		medianRate(rates[0]), medianRate(rates[1]), turns, ratio)
 	return ratio, nil
 }
 
-// keepQueriesOpen keeps so many lookups open on a connection until ctx ends.
-func keepQueriesOpen(ctx context.Context, address string, n, open int, done *int64) error {
-	c, err := net.Dial("tcp", address)
+// keepQueriesOpen keeps a number of lookups open on one connection until ctx ends, and adds the finished
+// ones to finished. connection distinguishes the query IDs of concurrent calls.
+func keepQueriesOpen(ctx context.Context, address string, connection, open int, finished *int64) error {
+	conn, err := net.Dial("tcp", address)
 	if err != nil {
 		return err
 	}
-	defer c.Close()
+	defer conn.Close()
 	statement := engine.Statement(engine.Work{Threads: 1, Rows: 1})
 	msg := uint32(0)
-	ask := func() error {
+	submit := func() error {
 		msg++
 		team := trialTeams[int(msg)%len(trialTeams)].name
-		_, err := c.Write(client.AppendQuery(nil, msg, "lookup", statement, "trace", fmt.Sprintf("%08x%08x", n+1, msg), "patience", "5000",
+		_, err := conn.Write(client.AppendQuery(nil, msg, "lookup", statement,
+			"trace", fmt.Sprintf("%08x%08x", connection+1, msg), "patience", "5000",
 			"team", team))
 		return err
 	}
 	for range open {
-		if err := ask(); err != nil {
+		if err := submit(); err != nil {
 			return err
 		}
 	}
-	var in []byte
-	p := make([]byte, 64<<10)
+	var received []byte
+	buffer := make([]byte, 64<<10)
 	for ctx.Err() == nil {
-		c.SetReadDeadline(time.Now().Add(2 * time.Second))
-		k, err := c.Read(p)
+		conn.SetReadDeadline(time.Now().Add(2 * time.Second))
+		n, err := conn.Read(buffer)
 		if err != nil {
 			return err
 		}
-		in = append(in, p[:k]...)
+		received = append(received, buffer[:n]...)
 		for {
-			a, took, err := client.Read(in)
+			answer, length, err := client.Read(received)
 			if err != nil {
 				return err
 			}
-			if took == 0 {
+			if length == 0 {
 				break
 			}
-			in = in[took:]
-			if a.Kind == client.Finished {
-				atomic.AddInt64(done, 1)
+			received = received[length:]
+			if answer.Kind == client.Finished {
+				atomic.AddInt64(finished, 1)
 			}
-			if err := ask(); err != nil {
+			if err := submit(); err != nil {
 				return err
 			}
 		}
 	}
 	return nil
 }
+
+// TimeFairQueue returns the mean time of adding a query to the fair queue and taking one out, in
+// microseconds, with many tenants and waiting queries. tenants must be 10,000, see tenantNumber.
+func TimeFairQueue(tenants, waiting, rounds int) float64 {
+	config := fairqueue.Config{
+		Lanes: []fairqueue.Lane{
+			{Name: "a", Threads: 1, PriorityWeight: 1, InitialWorkEstimate: 50 * time.Millisecond},
+			{Name: "b", Threads: 3, PriorityWeight: 5, InitialWorkEstimate: 500 * time.Millisecond},
+		},
+		AgeingLimit: time.Hour,
+		MaxWaiting:  2 * waiting,
+	}
+	for i := range 100 {
+		group := fairqueue.Tenant{Name: "k" + strconv.Itoa(i), Weight: 1 + float64(i%7)}
+		for j := range tenants / 100 {
+			group.Children = append(group.Children,
+				fairqueue.Tenant{Name: fmt.Sprintf("t%d-%d", i, j), Weight: 1 + float64(j%5)})
+		}
+		config.Tenants = append(config.Tenants, group)
+	}
+	queue := fairqueue.New(config)
+	queries := make([]fairqueue.Query, waiting+1)
+	rng := rand.New(rand.NewPCG(1, 1))
+	now := time.Duration(1)
+	enqueue := func(query *fairqueue.Query) {
+		*query = fairqueue.Query{
+			Lane: rng.IntN(2), Tenant: tenantNumber(rng.IntN(tenants)), Key: -1, Chain: -1, Deadline: time.Hour,
+		}
+		queue.Enqueue(now, query)
+	}
+	queue.SetLaneFull(now, 0, true)
+	queue.SetLaneFull(now, 1, true)
+	for i := range waiting {
+		enqueue(&queries[i])
+	}
+	free := []*fairqueue.Query{&queries[waiting]} // a round takes out at most one query for the one that it adds
+	runtime.GC()
+	start := time.Now()
+	for i := range rounds {
+		now += 10 * time.Microsecond
+		if len(free) == 0 {
+			free = append(free, &fairqueue.Query{})
+		}
+		last := len(free) - 1
+		enqueue(free[last])
+		free = free[:last]
+		if query := queue.Next(now, i%2); query != nil {
+			queue.Started(now, query)
+			queue.Ended(now, query, fairqueue.Finished, 0, 0)
+			free = append(free, query)
+		}
+	}
+	return float64(time.Since(start).Microseconds()) / float64(rounds)
+}
+
+// tenantNumber returns the queue's index of the n-th leaf tenant of TimeFairQueue. Each of its 100 groups
+// has an index, followed by those of the group's 100 tenants.
+func tenantNumber(n int) int {
+	return n/100*101 + n%100 + 1
+}
