--- a/cmd/railrelay-bench/measure.go
+++ b/cmd/railrelay-bench/measure.go
@@ -17,11 +17,11 @@
 	c.RunE = func(c *cobra.Command, args []string) error {
 		switch args[0] {
 		case "fair":
-			return bench.MeasureFair(c.OutOrStdout(), seed, detail)
+			return bench.MeasureFairness(c.OutOrStdout(), seed, detail)
 		case "spool":
 			return bench.MeasureSpool(c.Context(), c.OutOrStdout(), program, seed)
 		case "together":
-			return bench.MeasureTogether(c.Context(), c.OutOrStdout(), program, planted, seed, detail)
+			return bench.MeasureFaultFleet(c.Context(), c.OutOrStdout(), program, planted, seed, detail)
 		case "fleet":
 			return bench.MeasureFleet(c.Context(), c.OutOrStdout(), program, seed)
 		case "scale":
--- a/internal/bench/fleet.go
+++ b/internal/bench/fleet.go
@@ -166,10 +166,10 @@
 		controllersByQuery: map[string]*fleetController{},
 	}
 	f.result.FaultCounts = map[string]int{}
-	kinds := Usual()
+	groups := DefaultWorkload()
 	engineConfig := engine.DefaultConfig()
 	engineConfig.DiskParallelism = 16
-	f.settings = Facts(kinds, engineConfig)
+	f.settings = ControllerSettings(groups, engineConfig)
 	f.settings["gateways"] = strconv.Itoa(s.ControllerCount)
 	for name, value := range s.SettingOverrides {
 		f.settings[name] = value
@@ -187,13 +187,13 @@
 		f.startController(number)
 	}
 	meanWork := 0.0 // core-seconds per query
-	for _, k := range kinds {
-		meanWork += k.Share * k.CPU.Seconds()
+	for _, group := range groups {
+		meanWork += group.Share * group.CPU.Seconds()
 	}
 	totalWork := s.Utilization * float64(s.EngineCount) * engineConfig.Cores // core-seconds per second
 	rate := totalWork / meanWork / float64(s.ControllerCount)
 	for _, c := range f.controllers {
-		c.scheduleQueries(kinds, rate)
+		c.scheduleQueries(groups, rate)
 	}
 	for _, fault := range s.Faults {
 		f.scheduleAt(fault.At, func() { f.injectFault(fault) })
--- a/internal/bench/fleet_controllers.go
+++ b/internal/bench/fleet_controllers.go
@@ -79,7 +79,7 @@
 	}
 	f.controllers = append(f.controllers, c)
 	limits := controller.ClientLimits{
-		Prefixes:            Homes,
+		Prefixes:            ClientPrefixes,
 		MaxOpenQueries:      100_000,
 		MaxMessagesPerSweep: 100_000,
 		IdleTimeout:         time.Minute,
@@ -101,7 +101,7 @@
 // ensureClientConnected opens the clients' connection if there is none. The controller closes an idle one.
 func (c *fleetController) ensureClientConnected() {
 	if c.clientConn == nil || c.clientConn.closed {
-		conn := &fleetConn{connection: &controller.Connection{RemoteAddress: Home}, isClient: true}
+		conn := &fleetConn{connection: &controller.Connection{RemoteAddress: ClientAddress}, isClient: true}
 		c.clientConn = conn
 		c.conns[conn.connection] = conn
 		c.deliverEvent(controller.Event{Kind: controller.ClientAccepted, Connection: conn.connection})
@@ -118,7 +118,7 @@
 const fleetKeySpacing = 60 * time.Millisecond
 
 // scheduleQueries makes the clients send queries at a rate, in queries per second.
-func (c *fleetController) scheduleQueries(kinds []Kind, rate float64) {
+func (c *fleetController) scheduleQueries(groups []WorkloadGroup, rate float64) {
 	var sendNext func()
 	lastMsg := uint32(0)
 	lastSent := map[string]time.Duration{} // by key
@@ -126,9 +126,9 @@
 		if c.now >= c.LoadDuration {
 			return
 		}
-		x, k := c.rng.Float64(), kinds[0]
-		for _, candidate := range kinds {
-			if k = candidate; x < candidate.Share {
+		x, group := c.rng.Float64(), groups[0]
+		for _, candidate := range groups {
+			if group = candidate; x < candidate.Share {
 				break
 			}
 			x -= candidate.Share
@@ -137,18 +137,19 @@
 		msg := lastMsg
 		id := fmt.Sprintf("%04x%012x", c.number, msg)
 		work := engine.Work{
-			Threads:    k.Threads,
-			MemoryMB:   k.MemoryMB,
+			Threads:    group.Threads,
+			MemoryMB:   group.MemoryMB,
 			TableGroup: int64(c.rng.IntN(20)),
-			Load:       k.Load,
-			Rows:       k.Rows,
+			Load:       group.Load,
+			Rows:       group.Rows,
 		}
-		work.CPU = time.Duration(float64(k.CPU) * math.Exp(c.rng.NormFloat64()*k.Spread-k.Spread*k.Spread/2))
-		work.Disk = time.Duration(float64(work.CPU) / k.Threads * k.Disk)
-		patience := k.Patience/2 + time.Duration(c.rng.Int64N(int64(k.Patience/2)))
+		logCPU := c.rng.NormFloat64()*group.CPUSigma - group.CPUSigma*group.CPUSigma/2
+		work.CPU = time.Duration(float64(group.CPU) * math.Exp(logCPU))
+		work.Disk = time.Duration(float64(work.CPU) / group.Threads * group.DiskPerCPU)
+		patience := group.Patience/2 + time.Duration(c.rng.Int64N(int64(group.Patience/2)))
 		fields := []string{"trace", id, "patience", fmt.Sprint(patience.Milliseconds())}
 		key, at := "", c.now
-		if k.Load {
+		if group.Load {
 			key = fmt.Sprintf("k%d", c.rng.IntN(4))
 			fields = append(fields, "entity", key)
 			at = max(c.now, lastSent[key]+fleetKeySpacing)
@@ -157,7 +158,7 @@
 		c.scheduleAt(at, func() {
 			q := &world.Query{
 				ID:          id,
-				Group:       k.Name,
+				Group:       group.Name,
 				Msg:         msg,
 				SubmittedAt: c.now,
 				Deadline:    c.now + patience,
@@ -167,12 +168,12 @@
 			c.result.Queries++
 			c.ensureClientConnected()
 			conn := c.clientConn
-			message := client.AppendQuery(nil, msg, k.Name, engine.Statement(work), fields...)
+			message := client.AppendQuery(nil, msg, group.Name, engine.Statement(work), fields...)
 			c.deliver(func() {
 				// The controller counts the patience from when it reads the query, so a stall
 				// before that moves the deadline.
 				deadline := max(q.Deadline, c.now) + c.readDelay(q.SubmittedAt)
-				c.history.Received(c.now, id, k.Name, key, deadline)
+				c.history.Received(c.now, id, group.Name, key, deadline)
 				began := time.Now()
 				c.receive(conn, message)
 				c.result.ArrivalTime += time.Since(began)
--- a/internal/bench/fleet_engines.go
+++ b/internal/bench/fleet_engines.go
@@ -30,7 +30,8 @@
 // The rule allows a small excess by chance and gives no figure.
 const fleetColdBudgetTolerance = 0.15
 
-// fleetNominalUtilization is the fraction of its cores that an engine is assumed to use, as in the scheduler.
+// fleetNominalUtilization is the fraction of its cores that an engine is assumed to use, as in the
+// scheduler.
 const fleetNominalUtilization = 0.85
 
 // addEngine adds an engine to a slot.
--- a/internal/bench/fleet_measure.go
+++ b/internal/bench/fleet_measure.go
@@ -96,29 +96,33 @@
 // fleetMemoryMB starts a controller with the lowest limits and the given number of engines listed, sends it
 // a few queries and returns its resident memory in MB.
 func fleetMemoryMB(ctx context.Context, program string, seed uint64, engines int) (float64, error) {
-	t := &Trial{Program: program, Engines: engines, Seed: seed}
-	s, err := newStage(ctx, program, engines, trialEngine(), io.Discard, (&rid{done: map[string]time.Time{}, released: map[string]time.Time{}}).hear)
+	trial := &Trial{Program: program, Engines: engines, Seed: seed}
+	recorder := &releaseRecorder{finishedAt: map[string]time.Time{}, releasedAt: map[string]time.Time{}}
+	testbed, err := newControllerTestbed(
+		ctx, program, engines, trialEngineConfig(), io.Discard, recorder.observe)
 	if err != nil {
 		return 0, err
 	}
-	defer s.close()
-	if err := s.begin(strings.Replace(t.setup(s.feed, s.address), "memory_mb: 256, sockets: 1024", "memory_mb: 32, sockets: 256", 1)); err != nil {
+	defer testbed.close()
+	setup := trial.setupText(testbed.feedAddress, testbed.controllerAddress)
+	const trialLimits, lowestLimits = "memory_mb: 256, sockets: 1024", "memory_mb: 32, sockets: 256"
+	if err := testbed.startController(strings.Replace(setup, trialLimits, lowestLimits, 1)); err != nil {
 		return 0, err
 	}
-	r, err := dial(s.address, 0)
+	reader, err := dialController(testbed.controllerAddress, 0)
 	if err != nil {
 		return 0, err
 	}
-	defer r.Close()
+	defer reader.Close()
 	for i := range 200 {
-		if err := r.ask(fmt.Sprintf("%016x", i+1), 3, false, 5*time.Second); err != nil {
+		if err := reader.submitQuery(fmt.Sprintf("%016x", i+1), 3, false, 5*time.Second); err != nil {
 			return 0, err
 		}
-		if _, err := r.answer(ctx); err != nil {
+		if _, err := reader.readAnswer(ctx); err != nil {
 			return 0, err
 		}
 	}
-	return resident(s.running.Process.Pid), s.end()
+	return processResidentMB(testbed.command.Process.Pid), testbed.stopController()
 }
 
 // MeasureFleet runs random scenarios, and one with 350 controllers in which half of the engines restart. It
@@ -126,7 +130,8 @@
 func MeasureFleet(ctx context.Context, out io.Writer, program string, seed uint64) error {
 	const maxRuns, searchTime = 2000, 15 * time.Second
 	firstSeed := seed * 10_000
-	runs, orderChecks, lateDeliveries, violations, failed := SearchFleetScenarios(ctx, firstSeed, maxRuns, searchTime)
+	runs, orderChecks, lateDeliveries, violations, failed :=
+		SearchFleetScenarios(ctx, firstSeed, maxRuns, searchTime)
 	if failed != nil {
 		failed.Explain(out)
 	}
--- a/internal/bench/fleet_network.go
+++ b/internal/bench/fleet_network.go
@@ -53,7 +53,8 @@
 	conn.closed = true
 	delete(c.conns, conn.connection)
 	if conn.engineConn != nil {
-		conn.link.transmit(func() bool { return true }, func() { conn.engine.Server.Disconnected(conn.engineConn) })
+		always := func() bool { return true }
+		conn.link.transmit(always, func() { conn.engine.Server.Disconnected(conn.engineConn) })
 	}
 	c.deliverEvent(controller.Event{Kind: controller.ConnectionClosed, Connection: conn.connection})
 }
--- a/internal/bench/relays_hollow_test.go
+++ b/internal/bench/relays_hollow_test.go
@@ -25,7 +25,7 @@
 // relayHollowControllers are hollow controllers that join a fleet of processes through its relays.
 type relayHollowControllers struct {
 	fleet    *relayFleet
-	judge    *scaleJudge
+	judge    *scaleChecker
 	commands *json.Encoder
 
 	mu       sync.Mutex
@@ -69,16 +69,16 @@
 // newRelayHollowControllers makes hollow controllers, of which none is started.
 func newRelayHollowControllers(f *relayFleet) *relayHollowControllers {
 	f.t.Helper()
-	g := &relayHollowControllers{fleet: f, judge: newScaleJudge()}
+	g := &relayHollowControllers{fleet: f, judge: newScaleChecker()}
 	config := hollow.Config{Fleet: "together", Keys: f.path("keys"), Lease: f.Lease, Election: relayFleetElectionTimeout, Heartbeat: relayFleetHeartbeat,
 		WriteDelay: relayHollowWriteDelay, Seed: f.Seed}
 	for _, v := range f.voters {
-		config.Voters = append(config.Voters, hollow.Peer{Name: v.name, Address: v.peer})
+		config.Voters = append(config.Voters, hollow.Peer{Name: v.name, Address: v.peerAddress})
 	}
 	for i, p := range f.lateMembers {
 		first, second := f.relays[i%relayFleetRelays], f.relays[(i+1)%relayFleetRelays]
-		config.Controllers = append(config.Controllers, hollow.Member{Name: p.name, ListenAddress: p.listen,
-			Relays: []hollow.Peer{{Name: first.name, Address: first.peer}, {Name: second.name, Address: second.peer}}})
+		config.Controllers = append(config.Controllers, hollow.Member{Name: p.name, ListenAddress: p.listenAddress,
+			Relays: []hollow.Peer{{Name: first.name, Address: first.peerAddress}, {Name: second.name, Address: second.peerAddress}}})
 	}
 	input, commands := io.Pipe()
 	output, events := io.Pipe()
@@ -111,9 +111,9 @@
 func (g *relayHollowControllers) handleEvent(e hollow.Event) {
 	switch at := time.Unix(0, e.At); e.Kind {
 	case hollow.Serving:
-		g.judge.serving(e.Name, e.Version, e.Policy, at)
+		g.judge.beginSpan(e.Name, e.Version, e.Policy, at)
 	case hollow.Ended:
-		g.judge.ended(e.Name, at)
+		g.judge.endSpan(e.Name, at)
 	case hollow.Failed:
 		g.mu.Lock()
 		defer g.mu.Unlock()
@@ -139,24 +139,24 @@
 // requireServing waits until all guests serve.
 func (g *relayHollowControllers) requireServing() {
 	g.fleet.t.Helper()
-	g.fleet.requireEventually("all hollow controllers serve", func() bool { return g.judge.servingNow() == relayHollowCount })
+	g.fleet.requireEventually("all hollow controllers serve", func() bool { return g.judge.countServing() == relayHollowCount })
 }
 
 // requireChange has a policy come into force while guests are there, and tells how long it took.
 func (g *relayHollowControllers) requireChange() time.Duration {
 	g.fleet.t.Helper()
-	a := g.fleet.change(g.fleet.versionInForce(), 0, false)
-	g.judge.asked(a.ID, xxhash.Sum64(a.Policy))
+	a := g.fleet.newChange(g.fleet.versionInForce(), 0, false)
+	g.judge.addChange(a.ID, xxhash.Sum64(a.Policy))
 	begin, by := time.Now(), g.fleet.requestTarget()
 	g.fleet.requireEventually("a word on "+a.ID, func() bool { return g.applyInForce(a, by) })
 	return time.Since(begin)
 }
 
 // applyInForce asks for a change and hands the word to both judges.
-func (g *relayHollowControllers) applyInForce(a *fleet.Request, by *process) bool {
-	word := g.fleet.apply(by, a)
+func (g *relayHollowControllers) applyInForce(a *fleet.Request, by *fleetProcess) bool {
+	word := g.fleet.applyChange(by, a)
 	if word == "in force" {
-		g.judge.told(toldWord{id: a.ID, by: by.name, word: word, version: a.BaseVersion + 1, at: time.Now()})
+		g.judge.addOutcome(observedOutcome{changeID: a.ID, controller: by.name, outcome: word, version: a.BaseVersion + 1, at: time.Now()})
 	}
 	return word == "in force"
 }
@@ -174,14 +174,14 @@
 		if s.controlRole { // changes don't wait for it
 			continue
 		}
-		g.judge.sampled(servingSample{controller: s.process, asked: s.requested, answered: s.answered, serves: s.serving, version: s.version,
-			leaseMS: max(1, s.leaseRemaining.Milliseconds())}) // the rest of a lease may be less than a millisecond
+		g.judge.addSample(servingSample{controller: s.process, requestedAt: s.requested, answeredAt: s.answered, serves: s.serving, version: s.version,
+			leaseRemainingMS: max(1, s.leaseRemaining.Milliseconds())}) // the rest of a lease may be less than a millisecond
 	}
-	verdict := g.judge.verdict()
-	broken = append(broken, verdict.Broken...)
+	verdict := g.judge.findViolations()
+	broken = append(broken, verdict.Descriptions...)
 	if verdict.Spans < relayHollowCount {
 		broken = append(broken, fmt.Sprintf("too little was told: %d spans", verdict.Spans))
 	}
-	g.fleet.t.Logf("%d spans, %d samples, %d words; %s", verdict.Spans, verdict.Samples, verdict.Words, strings.Join(broken, "; "))
+	g.fleet.t.Logf("%d spans, %d samples, %d words; %s", verdict.Spans, verdict.Samples, verdict.Outcomes, strings.Join(broken, "; "))
 	g.fleet.checkHistory(broken)
 }
--- a/internal/bench/relays_strangers_test.go
+++ b/internal/bench/relays_strangers_test.go
@@ -52,7 +52,7 @@
 func relayJoinerNames() []string { return numberedNames("j", relayJoinerCount) }
 
 // memberNamed is the member of a name.
-func (f *relayFleet) memberNamed(name string) *process {
+func (f *relayFleet) memberNamed(name string) *fleetProcess {
 	for _, p := range f.members {
 		if p.name == name {
 			return p
@@ -101,7 +101,7 @@
 		setup = strings.Replace(setup, old, replacement, 1)
 	}
 	f.must(f.writeSetup(relay, setup))
-	f.must(f.begin(relay))
+	f.must(f.startProcess(relay))
 }
 
 // startMisledController starts the controller that names a foreign relay, once that leads its fleet.
@@ -109,9 +109,9 @@
 	f.t.Helper()
 	relay, controller := f.memberNamed(x.relayName), f.memberNamed(x.controllerName)
 	f.requireEventually(relay.name+" leads its own fleet", func() bool { return f.foreignStatus(x).Leader == relay.name })
-	first := fmt.Sprintf("{name: %s, address: %q}", x.expectedName, relay.peer)
+	first := fmt.Sprintf("{name: %s, address: %q}", x.expectedName, relay.peerAddress)
 	f.must(f.writeSetup(controller, f.controllerSetup(controller, first, peerSettings(f.relays[1]))))
-	f.must(f.begin(controller))
+	f.must(f.startProcess(controller))
 	f.monitor.poll(f, controller)
 	f.requireEventually(controller.name+" serves", func() bool { return f.status(controller).Serves })
 }
@@ -122,7 +122,7 @@
 	f.must(err)
 	ctx, stop := context.WithTimeout(f.ctx, relayFleetWaitLimit)
 	defer stop()
-	reply, err := transport.SendControlRequest(ctx, f.memberNamed(x.relayName).control, keys,
+	reply, err := transport.SendControlRequest(ctx, f.memberNamed(x.relayName).controlAddress, keys,
 		&fleet.Request{Kind: "status"})
 	if err != nil || reply.Status == nil {
 		return &fleet.Status{}
@@ -163,7 +163,7 @@
 	for i, name := range relayJoinerNames() {
 		p := f.memberNamed(name)
 		f.must(f.writeSetup(p, f.controllerSetup(p, f.relaysFor(i)...)))
-		f.must(f.begin(p))
+		f.must(f.startProcess(p))
 		f.monitor.poll(f, p)
 		time.Sleep(relayJoinDuration / relayJoinerCount)
 	}
@@ -177,10 +177,10 @@
 }
 
 // applyChangesUntil has one change after another come into force until quit, and counts them.
-func (f *relayFleet) applyChangesUntil(by *process, quit chan struct{}) (changed int) {
+func (f *relayFleet) applyChangesUntil(by *fleetProcess, quit chan struct{}) (changed int) {
 	for {
-		a := f.change(f.versionInForce(), 0, false)
-		for word := "unknown"; word == "unknown"; word = f.apply(by, a) {
+		a := f.newChange(f.versionInForce(), 0, false)
+		for word := "unknown"; word == "unknown"; word = f.applyChange(by, a) {
 			if f.ctx.Err() != nil {
 				return changed
 			}
--- a/internal/bench/relays_test.go
+++ b/internal/bench/relays_test.go
@@ -52,7 +52,7 @@
 	f.startClients()
 	f.requireEventually("acts of every controller", f.allControllersActed)
 	f.runCases(relayFaultCases())
-	broken, err := f.end()
+	broken, err := f.finish()
 	f.must(err)
 	f.checkHistory(broken)
 }
@@ -94,7 +94,7 @@
 	for i, p := range f.controllers {
 		lapse := longestLeaseGap(seen, p.name)
 		text += fmt.Sprintf("; %s without a lease %d ms", p.name, lapse.Milliseconds())
-		if pause := f.longestPause(i, begin.Sub(f.start)); pause > 0 {
+		if pause := f.longestPause(i, begin.Sub(f.startedAt)); pause > 0 {
 			text += fmt.Sprintf(", an act %d ms", pause.Milliseconds())
 		}
 		if alone && lapse > aloneMost {
@@ -110,13 +110,13 @@
 	broken = append(broken, f.monitor.violations(f)...)
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if agreed, why := historycheck.Linearizable(f.words, relayFleetSlack); !agreed {
+	if agreed, why := historycheck.Linearizable(f.changeReports, relayFleetSlack); !agreed {
 		broken = append(broken, "there is no order of these words:\n"+why)
 	}
 	if len(broken) > 0 {
 		f.t.Fatalf("%d things are wrong:\n%s", len(broken), strings.Join(broken[:min(len(broken), relayFailuresShown)], "\n"))
 	}
-	history := &f.fleet
+	history := &f.fleetHistory
 	f.t.Logf("%d sightings, %d acts, %d changes, %d purges; faults %v", len(f.monitor.samplesSince(time.Time{})), history.Acts, history.Changes,
-		history.Purges, f.faults)
+		history.Purges, f.faultCounts)
 }
--- a/internal/bench/relays_watch_test.go
+++ b/internal/bench/relays_watch_test.go
@@ -110,7 +110,7 @@
 }
 
 // poll watches a process until the fleet's end.
-func (w *relayStatusMonitor) poll(f *relayFleet, p *process) {
+func (w *relayStatusMonitor) poll(f *relayFleet, p *fleetProcess) {
 	control := slices.Contains(f.voters, p) || slices.Contains(f.relays, p)
 	f.clients.Go(func() {
 		for f.ctx.Err() == nil {
@@ -121,7 +121,7 @@
 				w.mu.Unlock()
 			}
 			select {
-			case <-f.quit:
+			case <-f.stopClients:
 				return
 			case <-f.ctx.Done():
 			case <-time.After(relayStatusInterval):
@@ -131,7 +131,7 @@
 }
 
 // sampleStatus asks a process once; it isn't seen where it is down or stopped.
-func sampleStatus(f *relayFleet, p *process) (s relayStatusSample, seen bool) {
+func sampleStatus(f *relayFleet, p *fleetProcess) (s relayStatusSample, seen bool) {
 	s = relayStatusSample{process: p.name, requested: time.Now()}
 	status := f.status(p)
 	s.answered = time.Now()
@@ -202,7 +202,7 @@
 func (f *relayFleet) allControllersActed() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return !slices.ContainsFunc(f.acts, func(acts []mark) bool { return len(acts) == 0 })
+	return !slices.ContainsFunc(f.observedVersions, func(acts []versionObservation) bool { return len(acts) == 0 })
 }
 
 // longestPause is the longest time between two acts of a controller since a moment; 0 without any.
@@ -210,7 +210,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	last := since
-	for _, act := range f.acts[controller] {
+	for _, act := range f.observedVersions[controller] {
 		if act.at >= since {
 			longest, last = max(longest, act.at-last), act.at
 		}
