--- a/internal/bench/relays_faults_test.go
+++ b/internal/bench/relays_faults_test.go
@@ -174,8 +174,8 @@
 	const looks = 3
 	for range looks {
 		for _, p := range f.controllers {
-			if s, seen := sampleStatus(f, p); seen && s.requested.After(after) && (s.serving || s.leaseRemaining > 0) {
-				f.t.Errorf("%s serves (%v), %v after the end of its lease, of which it has %v left", p.name, s.serving, s.requested.Sub(after), s.leaseRemaining)
+			if s, seen := sampleStatus(f, p); seen && s.requestedAt.After(after) && (s.serves || s.leaseRemaining > 0) {
+				f.t.Errorf("%s serves (%v), %v after the end of its lease, of which it has %v left", p.name, s.serves, s.requestedAt.Sub(after), s.leaseRemaining)
 			}
 		}
 	}
@@ -256,7 +256,7 @@
 	f.mesh.Heal()
 	var longest time.Duration
 	for _, s := range f.monitor.samplesSince(begin.Add(f.Lease)) {
-		if s.process == p.name && s.answered.Before(end) {
+		if s.process == p.name && s.answeredAt.Before(end) {
 			longest = max(longest, s.leaseRemaining)
 		}
 	}
--- a/internal/bench/relays_fleet_test.go
+++ b/internal/bench/relays_fleet_test.go
@@ -22,54 +22,55 @@
 	relayFleetLease  = time.Second
 	relayFleetVoters = 3
 	relayFleetRelays = 2
-	// relayFleetElectionTimeout and relayedHeartbeat are those of Together's controllers.
+
+	// The intervals equal those in the settings of a faultFleet's controllers.
 	relayFleetElectionTimeout = 300 * time.Millisecond
 	relayFleetHeartbeat       = 60 * time.Millisecond
-	// relayFleetSlack is how much later than an act an engine of the test may see it: a busy
-	// machine must not look like a broken fleet. What a client asked for after a later
-	// version was seen is judged without it.
+
+	// relayFleetSlack is how much later than a controller's action a test's engine may observe the
+	// action, so that a busy machine isn't reported as a fault. Queries that a client sent after a
+	// later version was observed are checked without slack.
 	relayFleetSlack = time.Second
-	// relayFleetWaitLimit bounds what has to come: only a fault makes a test wait so long.
+	// relayFleetWaitLimit is the longest wait for a condition. Only a fault makes a test wait so long.
 	relayFleetWaitLimit = 40 * time.Second
-	relayFleetKeyByte   = "5e" // a byte of the fleet's key, in hex
+	relayFleetKeyByte   = "5e" // the fleet's key repeats this byte, which is in hex
 
 	controlRoleSettings = "  role: control\n"
 	relayRoleSettings   = "  role: control\n  relay: true\n"
 )
 
-// relayFleet is a fleet of processes of the program: controllers that take queries and ask
-// for their leases through relays, and relays and voters of the control role. There is a
-// link between every two of them. members of the gathering are the controllers, then the
-// voters, the relays, and those that a test starts later.
+// relayFleet is a fleet of processes of the program: controllers that take queries and renew their leases
+// through relays, and voters and relays of the control role. Every two processes are connected by a link of
+// the mesh. The members are the controllers, the voters, the relays and the late members, in this order.
 type relayFleet struct {
 	*faultFleet
-	t           *testing.T
-	controllers []*fleetProcess // which clients ask
-	voters      []*fleetProcess
-	relays      []*fleetProcess
-	lateMembers []*fleetProcess // which a test sets up and starts by itself
-	monitor     *relayStatusMonitor
-	leaseBound  time.Duration
+	t             *testing.T
+	controllers   []*fleetProcess // clients send them queries
+	voters        []*fleetProcess
+	relays        []*fleetProcess
+	lateMembers   []*fleetProcess // a test configures and starts them itself
+	monitor       *relayStatusMonitor
+	confinedLease time.Duration
 }
 
-// relayFleetConfig is what a fleet is started with.
+// relayFleetConfig is the configuration of a relayFleet.
 type relayFleetConfig struct {
-	controllers int
-	leaseBound  time.Duration // of bound teams
-	lateMembers []string      // processes that the test starts by itself
+	controllers   int
+	confinedLease time.Duration // lease for queries of teams that are confined to sites
+	lateMembers   []string      // names of the processes that the test starts itself
 }
 
-// startRelayFleet starts a fleet and waits until all of it holds leases.
-func startRelayFleet(t *testing.T, plan relayFleetConfig) *relayFleet {
+// startRelayFleet starts a fleet and waits until its processes hold leases.
+func startRelayFleet(t *testing.T, config relayFleetConfig) *relayFleet {
 	t.Helper()
-	f := newRelayFleet(t, plan)
+	f := newRelayFleet(t, config)
 	t.Cleanup(f.cleanUp)
 	f.must(f.startEngines())
 	f.must(f.writeKeys("keys", relayFleetKeyByte))
 	var err error
 	f.keys, err = transport.ReadKeys(f.path("keys"))
 	f.must(err)
-	f.addProcesses(plan)
+	f.addProcesses(config)
 	for i, p := range f.members[:len(f.members)-len(f.lateMembers)] {
 		f.must(f.writeSetup(p, f.setupFor(i, p)))
 		f.must(f.startProcess(p))
@@ -79,39 +80,66 @@
 	return f
 }
 
-// newRelayFleet is a fleet without processes, and what it is judged by.
-func newRelayFleet(t *testing.T, plan relayFleetConfig) *relayFleet {
-	ctx, stop := context.WithCancel(context.Background()) // the test's own ends before logs are shown
-	g := &faultFleet{FaultFleetConfig: FaultFleetConfig{Program: buildPrograms(t), Seed: 1, Lease: relayFleetLease}, ctx: ctx, cancel: stop, startedAt: time.Now(), dir: t.TempDir(),
-		rng: rand.New(rand.NewPCG(1, 0x7e1a)), stopClients: make(chan struct{}), sentQueries: map[string]*fleetSentQuery{},
-		markerVersions: map[int]markerVersion{0: {"the set-up's", 1}}, nextMarker: 1, latestVersion: 1, faultCounts: map[string]int{}, knownOutcomes: map[string]string{}}
-	g.queryHistory = historycheck.History{KeyRest: 300 * time.Millisecond, DrainGrace: time.Second, MaxSubmissions: 3,
-		Slack: relayFleetSlack}
+// newRelayFleet returns a fleet without processes, with the histories that check it.
+func newRelayFleet(t *testing.T, config relayFleetConfig) *relayFleet {
+	// The test's own context would be cancelled before cleanUp can query the processes.
+	ctx, cancel := context.WithCancel(context.Background())
+	g := &faultFleet{
+		FaultFleetConfig: FaultFleetConfig{Program: buildPrograms(t), Seed: 1, Lease: relayFleetLease},
+		ctx:              ctx,
+		cancel:           cancel,
+		startedAt:        time.Now(),
+		dir:              t.TempDir(),
+		rng:              rand.New(rand.NewPCG(1, 0x7e1a)),
+		stopClients:      make(chan struct{}),
+		sentQueries:      map[string]*fleetSentQuery{},
+		markerVersions:   map[int]markerVersion{0: {"the set-up's", 1}},
+		nextMarker:       1,
+		latestVersion:    1,
+		faultCounts:      map[string]int{},
+		knownOutcomes:    map[string]string{},
+	}
+	g.queryHistory = historycheck.History{
+		KeyRest:        300 * time.Millisecond,
+		DrainGrace:     time.Second,
+		MaxSubmissions: 3,
+		Slack:          relayFleetSlack,
+	}
 	g.queryHistory.AddGroup("lookup", "read-only", false)
 	g.queryHistory.AddGroup("report", "read-only", false)
 	g.queryHistory.AddGroup("load", "mutating", true)
 	g.fleetHistory.Slack = relayFleetSlack
 	g.fleetHistory.AddRules(0, "the set-up's", g.placementRule())
-	return &relayFleet{faultFleet: g, t: t, leaseBound: plan.leaseBound, monitor: &relayStatusMonitor{}}
+	return &relayFleet{
+		faultFleet:    g,
+		t:             t,
+		confinedLease: config.confinedLease,
+		monitor:       &relayStatusMonitor{},
+	}
 }
 
-// addProcesses makes the mesh and all processes of a plan; none is started.
-func (f *relayFleet) addProcesses(plan relayFleetConfig) {
+// addProcesses creates the mesh and adds all processes of the configuration, without starting them.
+func (f *relayFleet) addProcesses(config relayFleetConfig) {
 	f.t.Helper()
-	names := slices.Concat(numberedNames("c", plan.controllers), numberedNames("v", relayFleetVoters), numberedNames("r", relayFleetRelays), plan.lateMembers)
+	names := slices.Concat(
+		numberedNames("c", config.controllers),
+		numberedNames("v", relayFleetVoters),
+		numberedNames("r", relayFleetRelays),
+		config.lateMembers,
+	)
 	f.mesh = faultproxy.NewMesh(names...)
 	f.cleanups = append(f.cleanups, f.mesh.Close)
 	for _, name := range names {
 		f.addProcess(name)
 	}
-	firstVoter, firstRelay := plan.controllers, plan.controllers+relayFleetVoters
-	firstLater := firstRelay + relayFleetRelays
+	firstVoter, firstRelay := config.controllers, config.controllers+relayFleetVoters
+	firstLate := firstRelay + relayFleetRelays
 	f.controllers, f.voters = f.members[:firstVoter], f.members[firstVoter:firstRelay]
-	f.relays, f.lateMembers = f.members[firstRelay:firstLater], f.members[firstLater:]
-	f.observedVersions = make([][]versionObservation, plan.controllers)
+	f.relays, f.lateMembers = f.members[firstRelay:firstLate], f.members[firstLate:]
+	f.observedVersions = make([][]versionObservation, config.controllers)
 }
 
-// numberedNames are n names with a prefix.
+// numberedNames returns n names with a prefix.
 func numberedNames(prefix string, n int) (names []string) {
 	for i := range n {
 		names = append(names, fmt.Sprint(prefix, i))
@@ -119,7 +147,7 @@
 	return names
 }
 
-// cleanUp ends all processes, whatever the test came to, and shows their logs if it failed.
+// cleanUp logs the state of the processes if the test failed, and ends them.
 func (f *relayFleet) cleanUp() {
 	if f.t.Failed() {
 		f.t.Log(f.diagnostics())
@@ -127,7 +155,7 @@
 	f.close()
 }
 
-// must fails the test for an error.
+// must ends the test with a failure if err isn't nil.
 func (f *relayFleet) must(err error) {
 	f.t.Helper()
 	if err != nil {
@@ -135,16 +163,17 @@
 	}
 }
 
-func (f *relayFleet) writeKeys(file, oneByte string) error {
+// writeKeys writes a key file with one key, which repeats a byte.
+func (f *relayFleet) writeKeys(file, hexByte string) error {
 	const keyBytes = 32
-	return os.WriteFile(f.path(file), []byte(strings.Repeat(oneByte, keyBytes)), 0o600)
+	return os.WriteFile(f.path(file), []byte(strings.Repeat(hexByte, keyBytes)), 0o600)
 }
 
 func (f *relayFleet) writeSetup(p *fleetProcess, setup string) error {
 	return os.WriteFile(f.path(p.name+".yaml"), []byte(setup), 0o600)
 }
 
-// addProcess makes a process that isn't started yet, with its addresses and its place in the mesh.
+// addProcess adds a process with its addresses and links, without starting it.
 func (f *relayFleet) addProcess(name string) {
 	f.t.Helper()
 	p := &fleetProcess{name: name, site: "east"}
@@ -160,14 +189,15 @@
 }
 
 const (
-	relayFirstRun = iota // of a process
+	// The runs of a process; each has ports of its own.
+	relayFirstRun = iota
 	relaySecondRun
 	relayRefusedRun
 
-	// Ports are below those that the system gives to connections: one that was free when
-	// it was drawn could be taken when a process is started, or started anew.
+	// The ports lie below the system's ephemeral ports. Otherwise the system could give a port to a
+	// connection before its process is started or restarted.
 	relayBasePort        = 10_000
-	relayPortsPerProcess = 16 // of a test's process, at each address
+	relayPortsPerProcess = 16 // per test process, at each IP address
 	relayPortBlocks      = 1_300
 	relayPortsPerRun     = 3
 	relayPeerPort        = 0
@@ -175,14 +205,18 @@
 	relayOperatorPort    = 2
 )
 
-// assignAddresses gives a run of a process its addresses, where the mesh knows it by its name.
+// assignAddresses sets the addresses of one run of a process. name is the name of the process in the mesh.
 func (f *relayFleet) assignAddresses(p *fleetProcess, name string, run int) {
-	ports := relayBasePort + os.Getpid()%relayPortBlocks*relayPortsPerProcess + run*relayPortsPerRun
-	at := func(port int) string { return net.JoinHostPort(f.mesh.SourceAddress(name), strconv.Itoa(ports+port)) }
-	p.listenAddress, p.clientAddress, p.controlAddress = at(relayPeerPort), at(relayClientPort), at(relayOperatorPort)
+	firstPort := relayBasePort + os.Getpid()%relayPortBlocks*relayPortsPerProcess + run*relayPortsPerRun
+	at := func(port int) string {
+		return net.JoinHostPort(f.mesh.SourceAddress(name), strconv.Itoa(firstPort+port))
+	}
+	p.listenAddress = at(relayPeerPort)
+	p.clientAddress = at(relayClientPort)
+	p.controlAddress = at(relayOperatorPort)
 }
 
-// setupFor is the set-up of the process at a place of members.
+// setupFor returns the set-up of the member with an index.
 func (f *relayFleet) setupFor(i int, p *fleetProcess) string {
 	switch {
 	case slices.Contains(f.controllers, p):
@@ -193,40 +227,43 @@
 	return f.controlSetup(p, controlRoleSettings)
 }
 
-// relaysFor are the relays of the controller of a number: half of all name the one first,
-// half the other one.
+// relaysFor returns the settings of a controller's relays. One half of the controllers have the one relay
+// first, the other half the other one.
 func (f *relayFleet) relaysFor(number int) []string {
 	first, second := f.relays[number%relayFleetRelays], f.relays[(number+1)%relayFleetRelays]
 	return []string{peerSettings(first), peerSettings(second)}
 }
 
-// peerSettings is a process as set-ups name it.
+// peerSettings returns a process's entry in the set-ups of its peers.
 func peerSettings(p *fleetProcess) string {
 	return fmt.Sprintf("{name: %s, address: %q}", p.name, p.peerAddress)
 }
 
-// controllerSetup is the set-up of a controller that asks through two relays.
+// controllerSetup returns the set-up of a controller that renews its lease through relays.
 func (f *relayFleet) controllerSetup(p *fleetProcess, relays ...string) string {
 	const noVoters = "  voters:\n"
 	relaysAndVoters := fmt.Sprintf("  relays: [%s]\n%s", strings.Join(relays, ", "), f.voterSettings())
 	setup := strings.Replace(f.setupYAML(p), noVoters, relaysAndVoters, 1)
-	return strings.Replace(setup, leaseBoundSetting(f.Lease/2), leaseBoundSetting(f.leaseBound), 1)
+	return strings.Replace(setup, confinedLeaseSetting(f.Lease/2), confinedLeaseSetting(f.confinedLease), 1)
 }
 
-// controlSetup is the set-up of a process of the control role; role are lines of its fleet part.
-func (f *relayFleet) controlSetup(p *fleetProcess, role string) string {
-	return fmt.Sprintf("name: %s\nlog: info\nlimits: {cores: 1, memory_mb: 128}\nfleet:\n  name: together\n%s  listen: %s\n  address: %s\n"+
-		"  control: %s\n  directory: %q\n  keys: %q\n  lease: %v\n%s  election: %v\n  heartbeat: %v\n  keep: 256\n%s%s",
-		p.name, role, p.listenAddress, p.peerAddress, p.controlAddress, f.path(p.name+"-fleet"), f.path("keys"), f.Lease, leaseBoundSetting(f.leaseBound), relayFleetElectionTimeout,
+// controlSetup returns the set-up of a process of the control role. roleSettings are lines of the fleet
+// section.
+func (f *relayFleet) controlSetup(p *fleetProcess, roleSettings string) string {
+	return fmt.Sprintf("name: %s\nlog: info\nlimits: {cores: 1, memory_mb: 128}\nfleet:\n"+
+		"  name: together\n%s  listen: %s\n  address: %s\n  control: %s\n  directory: %q\n  keys: %q\n"+
+		"  lease: %v\n%s  election: %v\n  heartbeat: %v\n  keep: 256\n%s%s",
+		p.name, roleSettings, p.listenAddress, p.peerAddress, p.controlAddress, f.path(p.name+"-fleet"),
+		f.path("keys"), f.Lease, confinedLeaseSetting(f.confinedLease), relayFleetElectionTimeout,
 		relayFleetHeartbeat, f.voterSettings(), placementYAML(0))
 }
 
-// leaseBoundSetting is the line of a set-up that says how long the lease of bound teams is.
-func leaseBoundSetting(leaseBound time.Duration) string {
-	return fmt.Sprintf("  lease_bound: %v\n", leaseBound)
+// confinedLeaseSetting returns the line of a set-up with the lease for confined teams.
+func confinedLeaseSetting(lease time.Duration) string {
+	return fmt.Sprintf("  lease_bound: %v\n", lease)
 }
 
-// voterSettings are the lines of a set-up that name the voters.
+// voterSettings returns the lines of a set-up that list the voters.
 func (f *relayFleet) voterSettings() string {
 	lines := "  voters:\n"
 	for _, v := range f.voters {
@@ -235,16 +272,16 @@
 	return lines
 }
 
-// isProcessRunning tells whether a process is there and not stopped.
+// isProcessRunning reports whether a process was started and isn't paused.
 func isProcessRunning(p *fleetProcess) bool { return p.command != nil && !p.paused }
 
-// requireEventually waits until something has come true.
-func (f *relayFleet) requireEventually(what string, so func() bool) {
+// requireEventually waits until a condition holds, and fails the test if it doesn't in time.
+func (f *relayFleet) requireEventually(description string, condition func() bool) {
 	f.t.Helper()
-	f.must(f.waitFor(relayFleetWaitLimit, what, so))
+	f.must(f.waitFor(relayFleetWaitLimit, description, condition))
 }
 
-// requireLeader waits for a voter that says of itself that it leads.
+// requireLeader waits until a voter reports that it is the leader.
 func (f *relayFleet) requireLeader() (leader *fleetProcess) {
 	f.t.Helper()
 	f.requireEventually("a leader", func() bool {
@@ -259,7 +296,7 @@
 	return leader
 }
 
-// requestTarget is a voter that is there and, where another one is, doesn't lead.
+// requestTarget returns a running voter for an operator's requests: the leader only if no other one runs.
 func (f *relayFleet) requestTarget() *fleetProcess {
 	f.t.Helper()
 	leader := f.requireLeader()
@@ -271,12 +308,12 @@
 	return leader
 }
 
-// requireServing waits until all processes that run, but for some, hold a lease and decide by
-// the last version that was told to be in force.
-func (f *relayFleet) requireServing(but ...*fleetProcess) {
+// requireServing waits until all started processes, without the excluded ones, hold a lease and have the
+// latest version that was reported as in force.
+func (f *relayFleet) requireServing(excluded ...*fleetProcess) {
 	f.t.Helper()
 	for _, p := range f.members {
-		if p.command == nil || slices.Contains(but, p) {
+		if p.command == nil || slices.Contains(excluded, p) {
 			continue
 		}
 		f.requireEventually(p.name+" serves", func() bool {
@@ -286,93 +323,98 @@
 	}
 }
 
-// versionInForce is the last version that was told to be in force.
+// versionInForce returns the latest version that was reported as in force.
 func (f *relayFleet) versionInForce() uint64 {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.latestVersion
 }
 
-// requireChange has a policy come into force, asked of a process that the leader hears of.
-func (f *relayFleet) requireChange(by *fleetProcess) {
+// requireChange requests a policy change from a process and waits until the change is in force.
+func (f *relayFleet) requireChange(target *fleetProcess) {
 	f.t.Helper()
-	a := f.newChange(f.versionInForce(), 0, false)
-	f.requireInForce(by, a)
+	change := f.newChange(f.versionInForce(), 0, false)
+	f.requireInForce(target, change)
 }
 
-// requireInForce asks until there is a word on a change, which must be that it is in force.
-func (f *relayFleet) requireInForce(by *fleetProcess, a *fleet.Request) {
+// requireInForce repeats the request for a change until it has an outcome, which must be "in force".
+func (f *relayFleet) requireInForce(target *fleetProcess, change *fleet.Request) {
 	f.t.Helper()
-	word := ""
-	f.requireEventually("a word on "+a.ID, func() bool {
-		word = f.applyChange(by, a)
-		return word != "unknown"
+	outcome := ""
+	f.requireEventually("an outcome of "+change.ID, func() bool {
+		outcome = f.applyChange(target, change)
+		return outcome != "unknown"
 	})
-	if word != "in force" {
-		f.t.Fatalf("%s is %s", a.ID, word)
+	if outcome != "in force" {
+		f.t.Fatalf("outcome of %s is %q, want \"in force\"", change.ID, outcome)
 	}
 }
 
-// injectDuringChange calls strike while a change waits for a controller, which is cut off until
-// then, and has the change come to its word. Where the change has had its word before,
-// undo is called and all is done once more.
-func (f *relayFleet) injectDuringChange(strike, undo func()) {
+// injectDuringChange calls inject while a change waits for an isolated controller, reconnects the controller
+// and waits until the change is in force. If the change had its outcome before inject returned,
+// injectDuringChange calls undo and tries again.
+func (f *relayFleet) injectDuringChange(inject, undo func()) {
 	f.t.Helper()
-	const triesMost = 5
-	for range triesMost {
-		if f.tryInjectDuringChange(strike) {
+	const maxTries = 5
+	for range maxTries {
+		if f.tryInjectDuringChange(inject) {
 			return
 		}
 		undo()
 		f.requireServing()
 	}
-	f.t.Fatalf("no change waited for %s, which had a lease when it was cut off, until the fault struck", f.heldController().name)
+	f.t.Fatalf("in %d tries, no change waited for the isolated controller %s until the fault was injected",
+		maxTries, f.heldController().name)
 }
 
-// tryInjectDuringChange has a change wait for the controller that is held and calls strike. It
-// tells whether the change had no word yet once that was done.
-func (f *relayFleet) tryInjectDuringChange(strike func()) (struck bool) {
+// tryInjectDuringChange makes a change wait for heldController and calls inject. It reports whether the
+// change still had no outcome after that.
+func (f *relayFleet) tryInjectDuringChange(inject func()) (pending bool) {
 	f.t.Helper()
 	held := f.heldController()
-	by, leader := f.requestTarget(), f.requireLeader()
-	a := f.newChange(f.versionInForce(), 0, false)
+	target, leader := f.requestTarget(), f.requireLeader()
+	change := f.newChange(f.versionInForce(), 0, false)
 	f.mesh.Isolate(held.name)
-	asked := make(chan struct{})
+	requestDone := make(chan struct{})
 	go func() {
-		defer close(asked)
-		f.applyChange(by, a)
+		defer close(requestDone)
+		f.applyChange(target, change)
 	}()
-	f.requireEventually(a.ID+" under way", func() bool { return f.changeWaitsFor(leader, a.ID, held.name) || f.hasOutcome(a.ID) })
-	strike()
-	struck = slices.ContainsFunc(f.voters, func(p *fleetProcess) bool { return f.hasPendingChange(p, a.ID) })
+	f.requireEventually(change.ID+" is under way", func() bool {
+		return f.changeWaitsFor(leader, change.ID, held.name) || f.hasOutcome(change.ID)
+	})
+	inject()
+	pending = slices.ContainsFunc(f.voters, func(p *fleetProcess) bool {
+		return f.hasPendingChange(p, change.ID)
+	})
 	f.mesh.SetFault(held.name, "", faultproxy.Fault{})
 	f.mesh.SetFault("", held.name, faultproxy.Fault{})
-	<-asked
-	f.requireInForce(f.requestTarget(), a)
-	return struck
+	<-requestDone
+	f.requireInForce(f.requestTarget(), change)
+	return pending
 }
 
-// heldController is the controller that changes are made to wait for.
+// heldController returns the controller that tryInjectDuringChange isolates.
 func (f *relayFleet) heldController() *fleetProcess { return f.controllers[len(f.controllers)-1] }
 
-// changeWaitsFor tells whether a change waits for a controller, by what the leader says.
-func (f *relayFleet) changeWaitsFor(leader *fleetProcess, change, held string) bool {
+// changeWaitsFor reports whether the leader's status shows that a change waits for a controller.
+func (f *relayFleet) changeWaitsFor(leader *fleetProcess, changeID, controller string) bool {
 	c := f.status(leader).Change
-	return c != nil && c.ID == change && slices.Contains(c.Outstanding, held)
+	return c != nil && c.ID == changeID && slices.Contains(c.Outstanding, controller)
 }
 
-// hasPendingChange tells whether a process knows of a change that has no word yet.
-func (f *relayFleet) hasPendingChange(p *fleetProcess, change string) bool {
+// hasPendingChange reports whether a process knows of a change that has no outcome yet.
+func (f *relayFleet) hasPendingChange(p *fleetProcess, changeID string) bool {
 	if !isProcessRunning(p) {
 		return false
 	}
 	c := f.status(p).Change
-	return c != nil && c.ID == change && c.Outcome == "unknown"
+	return c != nil && c.ID == changeID && c.Outcome == "unknown"
 }
 
-// hasOutcome tells whether there is a last word on a change.
-func (f *relayFleet) hasOutcome(change string) bool {
+// hasOutcome reports whether an operator received the outcome of a change.
+func (f *relayFleet) hasOutcome(changeID string) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.knownOutcomes[change] != ""
+	return f.knownOutcomes[changeID] != ""
 }
--- a/internal/bench/relays_hollow_test.go
+++ b/internal/bench/relays_hollow_test.go
@@ -25,7 +25,7 @@
 // relayHollowControllers are hollow controllers that join a fleet of processes through its relays.
 type relayHollowControllers struct {
 	fleet    *relayFleet
-	judge    *scaleChecker
+	checker  *scaleChecker
 	commands *json.Encoder
 
 	mu       sync.Mutex
@@ -35,7 +35,7 @@
 // Ninety-seven controllers join within a second while changes are under way, through two
 // relays. Then one relay is killed and a change follows, and the leader and another one.
 func TestManyControllersJoinThroughRelays(t *testing.T) {
-	f := startRelayFleet(t, relayFleetConfig{controllers: relayFleetRelays, leaseBound: relayFleetLease, lateMembers: numberedNames("h", relayHollowCount)})
+	f := startRelayFleet(t, relayFleetConfig{controllers: relayFleetRelays, confinedLease: relayFleetLease, lateMembers: numberedNames("h", relayHollowCount)})
 	f.members = f.members[:len(f.members)-len(f.lateMembers)] // hollow ones are no processes
 	g := newRelayHollowControllers(f)
 	begin, started := time.Now(), make(chan error)
@@ -69,7 +69,7 @@
 // newRelayHollowControllers makes hollow controllers, of which none is started.
 func newRelayHollowControllers(f *relayFleet) *relayHollowControllers {
 	f.t.Helper()
-	g := &relayHollowControllers{fleet: f, judge: newScaleChecker()}
+	g := &relayHollowControllers{fleet: f, checker: newScaleChecker()}
 	config := hollow.Config{Fleet: "together", Keys: f.path("keys"), Lease: f.Lease, Election: relayFleetElectionTimeout, Heartbeat: relayFleetHeartbeat,
 		WriteDelay: relayHollowWriteDelay, Seed: f.Seed}
 	for _, v := range f.voters {
@@ -111,9 +111,9 @@
 func (g *relayHollowControllers) handleEvent(e hollow.Event) {
 	switch at := time.Unix(0, e.At); e.Kind {
 	case hollow.Serving:
-		g.judge.beginSpan(e.Name, e.Version, e.Policy, at)
+		g.checker.beginSpan(e.Name, e.Version, e.Policy, at)
 	case hollow.Ended:
-		g.judge.endSpan(e.Name, at)
+		g.checker.endSpan(e.Name, at)
 	case hollow.Failed:
 		g.mu.Lock()
 		defer g.mu.Unlock()
@@ -139,14 +139,14 @@
 // requireServing waits until all guests serve.
 func (g *relayHollowControllers) requireServing() {
 	g.fleet.t.Helper()
-	g.fleet.requireEventually("all hollow controllers serve", func() bool { return g.judge.countServing() == relayHollowCount })
+	g.fleet.requireEventually("all hollow controllers serve", func() bool { return g.checker.countServing() == relayHollowCount })
 }
 
 // requireChange has a policy come into force while guests are there, and tells how long it took.
 func (g *relayHollowControllers) requireChange() time.Duration {
 	g.fleet.t.Helper()
 	a := g.fleet.newChange(g.fleet.versionInForce(), 0, false)
-	g.judge.addChange(a.ID, xxhash.Sum64(a.Policy))
+	g.checker.addChange(a.ID, xxhash.Sum64(a.Policy))
 	begin, by := time.Now(), g.fleet.requestTarget()
 	g.fleet.requireEventually("a word on "+a.ID, func() bool { return g.applyInForce(a, by) })
 	return time.Since(begin)
@@ -156,7 +156,7 @@
 func (g *relayHollowControllers) applyInForce(a *fleet.Request, by *fleetProcess) bool {
 	word := g.fleet.applyChange(by, a)
 	if word == "in force" {
-		g.judge.addOutcome(observedOutcome{changeID: a.ID, controller: by.name, outcome: word, version: a.BaseVersion + 1, at: time.Now()})
+		g.checker.addOutcome(observedOutcome{changeID: a.ID, controller: by.name, outcome: word, version: a.BaseVersion + 1, at: time.Now()})
 	}
 	return word == "in force"
 }
@@ -174,10 +174,10 @@
 		if s.controlRole { // changes don't wait for it
 			continue
 		}
-		g.judge.addSample(servingSample{controller: s.process, requestedAt: s.requested, answeredAt: s.answered, serves: s.serving, version: s.version,
+		g.checker.addSample(servingSample{controller: s.process, requestedAt: s.requestedAt, answeredAt: s.answeredAt, serves: s.serves, version: s.version,
 			leaseRemainingMS: max(1, s.leaseRemaining.Milliseconds())}) // the rest of a lease may be less than a millisecond
 	}
-	verdict := g.judge.findViolations()
+	verdict := g.checker.findViolations()
 	broken = append(broken, verdict.Descriptions...)
 	if verdict.Spans < relayHollowCount {
 		broken = append(broken, fmt.Sprintf("too little was told: %d spans", verdict.Spans))
--- a/internal/bench/relays_test.go
+++ b/internal/bench/relays_test.go
@@ -12,111 +12,143 @@
 
 const relayFleetControllers = 4
 
-// The judgement of sightings finds what it is there for.
 func TestMixedVersionsAreFound(t *testing.T) {
 	at := func(ms int) time.Time { return time.Unix(1000, 0).Add(time.Duration(ms) * time.Millisecond) }
-	serving := func(process string, asked, told int, version uint64) relayStatusSample {
-		return relayStatusSample{process: process, requested: at(asked), answered: at(told), serving: true, version: version}
+	serving := func(process string, requestedMs, answeredMs int, version uint64) relayStatusSample {
+		return relayStatusSample{process: process, requestedAt: at(requestedMs), answeredAt: at(answeredMs),
+			serves: true, version: version}
 	}
-	closed := serving("b", 20, 21, 1)
-	closed.serving = false
-	control := serving("r", 5, 6, 1)
-	control.controlRole = true
-	for what, c := range map[string]struct {
-		seen  []relayStatusSample
-		lines []relayAnnouncement
-		want  int
+	oldNotServing := serving("b", 20, 21, 1)
+	oldNotServing.serves = false
+	oldControlRole := serving("r", 5, 6, 1)
+	oldControlRole.controlRole = true
+	for name, c := range map[string]struct {
+		samples       []relayStatusSample
+		announcements []relayAnnouncement
+		want          int
 	}{
-		"one after the other":         {[]relayStatusSample{serving("a", 1, 2, 1), serving("b", 3, 4, 2)}, nil, 0},
-		"at one moment, perhaps":      {[]relayStatusSample{serving("a", 1, 9, 1), serving("b", 3, 4, 2)}, nil, 0},
-		"by the old one, later":       {[]relayStatusSample{serving("b", 3, 4, 2), serving("a", 5, 6, 1)}, nil, 1},
-		"by the old one, not serving": {[]relayStatusSample{serving("a", 3, 4, 2), closed}, nil, 0},
-		"by the old one, for control": {[]relayStatusSample{serving("a", 3, 4, 2), control}, nil, 0},
-		"after it was announced":      {[]relayStatusSample{serving("a", 5, 6, 1)}, []relayAnnouncement{{"b", at(4), 2}}, 1},
-		"before it was announced":     {[]relayStatusSample{serving("a", 5, 6, 1)}, []relayAnnouncement{{"b", at(5), 2}}, 0},
+		"new version after the old one": {
+			samples: []relayStatusSample{serving("a", 1, 2, 1), serving("b", 3, 4, 2)},
+		},
+		"overlapping requests": {
+			samples: []relayStatusSample{serving("a", 1, 9, 1), serving("b", 3, 4, 2)},
+		},
+		"old version after the new one": {
+			samples: []relayStatusSample{serving("b", 3, 4, 2), serving("a", 5, 6, 1)},
+			want:    1,
+		},
+		"old version, not serving": {
+			samples: []relayStatusSample{serving("a", 3, 4, 2), oldNotServing},
+		},
+		"old version, control role": {
+			samples: []relayStatusSample{serving("a", 3, 4, 2), oldControlRole},
+		},
+		"old version after the announcement": {
+			samples:       []relayStatusSample{serving("a", 5, 6, 1)},
+			announcements: []relayAnnouncement{{"b", at(4), 2}},
+			want:          1,
+		},
+		"old version up to the announcement": {
+			samples:       []relayStatusSample{serving("a", 5, 6, 1)},
+			announcements: []relayAnnouncement{{"b", at(5), 2}},
+		},
 	} {
-		if broken := findMixedVersions(c.seen, c.lines); len(broken) != c.want {
-			t.Errorf("%s: %v", what, broken)
+		if violations := findMixedVersions(c.samples, c.announcements); len(violations) != c.want {
+			t.Errorf("%s: %d violations, want %d: %v", name, len(violations), c.want, violations)
 		}
 	}
-	line := `{"level":"info","time":"2026-12-02T05:00:00.000001Z","message":"fleet: policy: version 7 is in force"}`
-	if lines := parseAnnouncements("a", []byte("no JSON\n"+line+"\n")); len(lines) != 1 || lines[0].version != 7 {
-		t.Error(lines)
+	line := `{"level":"info","time":"2026-12-02T05:00:00.000001Z",` +
+		`"message":"fleet: policy: version 7 is in force"}`
+	announcements := parseAnnouncements("a", []byte("no JSON\n"+line+"\n"))
+	if len(announcements) != 1 || announcements[0].version != 7 {
+		t.Errorf("announcements in the log: %v, want one of version 7", announcements)
 	}
 }
 
-// Relays fail in each way that processes and links can fail, while a change of policy is
-// under way or right before one.
+// Relays fail in each way in which processes and links can fail, during a policy change or right before it.
+// The fleet must keep its rules, and each change must come into force.
 func TestFleetToleratesRelayFaults(t *testing.T) {
-	f := startRelayFleet(t, relayFleetConfig{controllers: relayFleetControllers, leaseBound: relayFleetLease / 2})
+	f := startRelayFleet(t, relayFleetConfig{
+		controllers:   relayFleetControllers,
+		confinedLease: relayFleetLease / 2,
+	})
 	f.startClients()
-	f.requireEventually("acts of every controller", f.allControllersActed)
+	f.requireEventually("an action of each controller", f.allControllersActed)
 	f.runCases(relayFaultCases())
-	broken, err := f.finish()
+	violations, err := f.finish()
 	f.must(err)
-	f.checkHistory(broken)
+	f.checkHistory(violations)
 }
 
-// Relays of other fleets are named by mistake, controllers join while a change is under
-// way, and no client asks.
+// Controllers with a wrong relay in their settings are refused by the relay and served through their other
+// one. Other controllers join while changes are under way. There are no clients.
 func TestForeignRelaysAreRefusedAndControllersJoin(t *testing.T) {
-	f := startRelayFleet(t, relayFleetConfig{controllers: relayFleetControllers, leaseBound: relayFleetLease / 2, lateMembers: slices.Concat(foreignRelayNames(), relayJoinerNames())})
+	f := startRelayFleet(t, relayFleetConfig{
+		controllers:   relayFleetControllers,
+		confinedLease: relayFleetLease / 2,
+		lateMembers:   slices.Concat(foreignRelayNames(), relayJoinerNames()),
+	})
 	f.runCases(foreignRelayCases())
 	f.checkHistory(nil)
 }
 
-// runCases plays rounds one after another, each with a change at its end.
-func (f *relayFleet) runCases(rounds []relayCase) {
+// runCases runs cases on the fleet, one after another. At the end of each case all processes must serve and
+// a change must come into force.
+func (f *relayFleet) runCases(cases []relayCase) {
 	t := f.t
-	for _, round := range rounds {
+	for _, c := range cases {
 		begin := time.Now()
-		done := t.Run(round.name, func(t *testing.T) {
+		passed := t.Run(c.name, func(t *testing.T) {
 			f.t = t
-			round.run(f)
+			c.run(f)
 			f.requireServing()
 			f.requireChange(f.requestTarget())
-			f.reportCase(begin, round.onlyRelayFails)
+			f.reportCase(begin, c.onlyRelayFails)
 		})
 		f.t = t
-		if !done {
+		if !passed {
 			t.FailNow()
 		}
 	}
 }
 
-// reportCase logs how long controllers were without a lease and without an act in a round. Where
-// a relay alone has failed, they must not be without a lease for long.
-func (f *relayFleet) reportCase(begin time.Time, alone bool) {
+// reportCase logs for how long each controller was without a lease and without an action in a case. If only
+// a relay failed, a long time without a lease is an error.
+func (f *relayFleet) reportCase(begin time.Time, onlyRelayFailed bool) {
 	f.t.Helper()
-	const aloneMost = 5 * time.Second // with a lease of 1 s there is no gap, but on a machine that is very busy
-	seen := f.monitor.samplesSince(begin)
+	// On a machine that isn't very busy, a controller with a lease of 1 s is never without one.
+	const maxLeaseGap = 5 * time.Second
+	samples := f.monitor.samplesSince(begin)
 	text := fmt.Sprintf("%d ms", time.Since(begin).Milliseconds())
 	for i, p := range f.controllers {
-		lapse := longestLeaseGap(seen, p.name)
-		text += fmt.Sprintf("; %s without a lease %d ms", p.name, lapse.Milliseconds())
+		gap := longestLeaseGap(samples, p.name)
+		text += fmt.Sprintf("; %s: %d ms without a lease", p.name, gap.Milliseconds())
 		if pause := f.longestPause(i, begin.Sub(f.startedAt)); pause > 0 {
-			text += fmt.Sprintf(", an act %d ms", pause.Milliseconds())
+			text += fmt.Sprintf(", %d ms without an action", pause.Milliseconds())
 		}
-		if alone && lapse > aloneMost {
-			f.t.Errorf("%s had no lease for %v, though only a relay has failed", p.name, lapse)
+		if onlyRelayFailed && gap > maxLeaseGap {
+			f.t.Errorf("%s had no lease for %v after the fault of one relay, want at most %v",
+				p.name, gap, maxLeaseGap)
 		}
 	}
 	f.t.Log(text)
 }
 
-// checkHistory fails the test for all that was found to be wrong.
-func (f *relayFleet) checkHistory(broken []string) {
+// checkHistory fails the test if there are violations: the given ones, those that the monitor observed, or
+// reports to operators that no order of the changes explains.
+func (f *relayFleet) checkHistory(violations []string) {
 	f.t.Helper()
-	broken = append(broken, f.monitor.violations(f)...)
+	violations = append(violations, f.monitor.violations(f)...)
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if agreed, why := historycheck.Linearizable(f.changeReports, relayFleetSlack); !agreed {
-		broken = append(broken, "there is no order of these words:\n"+why)
+	if ok, why := historycheck.Linearizable(f.changeReports, relayFleetSlack); !ok {
+		violations = append(violations, "no order of the changes explains these reports:\n"+why)
 	}
-	if len(broken) > 0 {
-		f.t.Fatalf("%d things are wrong:\n%s", len(broken), strings.Join(broken[:min(len(broken), relayFailuresShown)], "\n"))
+	if len(violations) > 0 {
+		shown := violations[:min(len(violations), relayFailuresShown)]
+		f.t.Fatalf("%d violations, of which the first are:\n%s", len(violations), strings.Join(shown, "\n"))
 	}
 	history := &f.fleetHistory
-	f.t.Logf("%d sightings, %d acts, %d changes, %d purges; faults %v", len(f.monitor.samplesSince(time.Time{})), history.Acts, history.Changes,
-		history.Purges, f.faultCounts)
+	f.t.Logf("%d status samples, %d actions, %d changes, %d purges; faults %v",
+		len(f.monitor.samplesSince(time.Time{})), history.Acts, history.Changes, history.Purges, f.faultCounts)
 }
--- a/internal/bench/relays_watch_test.go
+++ b/internal/bench/relays_watch_test.go
@@ -20,19 +20,19 @@
 // relayStatusSample is a process's answer to one ask for its status: what it says was so at some
 // moment between asked and told.
 type relayStatusSample struct {
-	process             string
-	controlRole         bool // it is set apart for control: it decides nothing by a version
-	requested, answered time.Time
-	serving             bool
-	version             uint64
-	leaseRemaining      time.Duration // what is left of it
+	process                 string
+	controlRole             bool // it is set apart for control: it decides nothing by a version
+	requestedAt, answeredAt time.Time
+	serves                  bool
+	version                 uint64
+	leaseRemaining          time.Duration // what is left of it
 }
 
 // relayAnnouncement is a line of a process's log by which a version is in force.
 type relayAnnouncement struct {
-	process string
-	at      time.Time
-	version uint64
+	process  string
+	loggedAt time.Time
+	version  uint64
 }
 
 // findMixedVersions gives the sightings of a controller that served by a version after another one had
@@ -40,11 +40,11 @@
 // was asked for after the other was seen is judged. Changes don't wait for processes set
 // apart for control, which take no queries.
 func findMixedVersions(sightings []relayStatusSample, lines []relayAnnouncement) (broken []string) {
-	sightings = slices.DeleteFunc(slices.Clone(sightings), func(s relayStatusSample) bool { return s.controlRole || !s.serving })
+	sightings = slices.DeleteFunc(slices.Clone(sightings), func(s relayStatusSample) bool { return s.controlRole || !s.serves })
 	later := map[uint64]relayStatusSample{} // by version: the first one told that serves by it
 	for _, s := range sightings {
 		first, had := later[s.version]
-		if !had || s.answered.Before(first.answered) {
+		if !had || s.answeredAt.Before(first.answeredAt) {
 			later[s.version] = s
 		}
 	}
@@ -60,13 +60,13 @@
 // nothing was.
 func laterVersionSeen(s relayStatusSample, later map[uint64]relayStatusSample, lines []relayAnnouncement) string {
 	for version, first := range later {
-		if version > s.version && s.requested.After(first.answered) {
-			return fmt.Sprintf("%v after %s had served by version %d", s.requested.Sub(first.answered), first.process, version)
+		if version > s.version && s.requestedAt.After(first.answeredAt) {
+			return fmt.Sprintf("%v after %s had served by version %d", s.requestedAt.Sub(first.answeredAt), first.process, version)
 		}
 	}
 	for _, line := range lines {
-		if line.version > s.version && s.requested.After(line.at) {
-			return fmt.Sprintf("%v after %s had announced version %d", s.requested.Sub(line.at), line.process, line.version)
+		if line.version > s.version && s.requestedAt.After(line.loggedAt) {
+			return fmt.Sprintf("%v after %s had announced version %d", s.requestedAt.Sub(line.loggedAt), line.process, line.version)
 		}
 	}
 	return ""
@@ -96,9 +96,9 @@
 			continue
 		}
 		if lapsed && !held.IsZero() {
-			longest = max(longest, s.answered.Sub(held))
+			longest = max(longest, s.answeredAt.Sub(held))
 		}
-		held, lapsed = s.requested, false
+		held, lapsed = s.requestedAt, false
 	}
 	return longest
 }
@@ -132,10 +132,10 @@
 
 // sampleStatus asks a process once; it isn't seen where it is down or stopped.
 func sampleStatus(f *relayFleet, p *fleetProcess) (s relayStatusSample, seen bool) {
-	s = relayStatusSample{process: p.name, requested: time.Now()}
+	s = relayStatusSample{process: p.name, requestedAt: time.Now()}
 	status := f.status(p)
-	s.answered = time.Now()
-	s.serving, s.version, s.leaseRemaining = status.Serves, status.Version,
+	s.answeredAt = time.Now()
+	s.serves, s.version, s.leaseRemaining = status.Serves, status.Version,
 		time.Duration(status.LeaseRemainingMs)*time.Millisecond
 	return s, status.Name != ""
 }
@@ -145,7 +145,7 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for _, s := range w.samples {
-		if s.requested.After(at) {
+		if s.requestedAt.After(at) {
 			l = append(l, s)
 		}
 	}
