--- a/internal/bench/relays_faults_test.go
+++ b/internal/bench/relays_faults_test.go
@@ -10,37 +10,38 @@
 	"railrelay.dev/railrelay/internal/fleet/storage"
 )
 
-// relayCase is one way in which relays fail. After play there is one more change.
+// relayCase is a way in which relays fail. After run, all processes must serve and a change must come into
+// force.
 type relayCase struct {
 	name           string
 	run            func(f *relayFleet)
-	onlyRelayFails bool // only one relay fails, and controllers go on serving meanwhile
+	onlyRelayFails bool // only one relay fails, and controllers continue to serve
 }
 
-// relayFaultCases are played on one fleet, one after another.
+// relayFaultCases returns the cases that run on one fleet, one after another.
 func relayFaultCases() []relayCase {
 	return []relayCase{
 		{"a relay killed while a change waits", testRelayKilled, true},
-		{"a relay killed anywhere in a change", testRelayKilledAtAnyPoint, true},
-		{"a relay stopped past its lease and woken", testRelayStoppedPastLease, true},
+		{"a relay killed at any point of a change", testRelayKilledAtAnyPoint, true},
+		{"a relay stopped past its lease and continued", testRelayStoppedPastLease, true},
 		{"a relay cut from the leader", testRelayCutFromLeader, true},
 		{"a relay cut from its controllers", testRelayCutFromControllers, true},
 		{"both relays killed", testBothRelaysKilled, false},
 		{"only relays reach the leader", testOnlyRelaysReachLeader, false},
-		{"a controller cut off while its relay goes on", testControllerCutOffFromRelays, false},
-		{"answers come late to a relay, then it is cut off", testLateAnswersToRelay, false},
+		{"a controller cut off while its relays run on", testControllerCutOffFromRelays, false},
+		{"a relay receives late answers, then it is cut off", testLateAnswersToRelay, false},
 		{"a relay and its controller cut off together", testRelayAndControllerCutOff, false},
-		{"grants come late", testLateGrants, false},
-		{"grants come twice", testDuplicateGrants, true},
+		{"late grants", testLateGrants, false},
+		{"duplicate grants", testDuplicateGrants, true},
 		{"the leader killed while a change waits", testLeaderKilledDuringChange, false},
 		{"a relay and the leader killed while a change waits", testRelayAndLeaderKilled, false},
-		{"a purge while a relay is down", testPurgeWithoutRelay, true},
+		{"a purge while a relay restarts", testPurgeDuringRelayRestart, true},
 		{"an old run of a relay beside a new one", testOldRelayRunBesideNew, true},
 	}
 }
 
-// startClients has clients ask every controller: most for queries whose site tells the policy
-// that they were sent by.
+// startClients starts clients at every controller. Most queries are those of the team "mark", whose site
+// shows under which policy version a controller sent the query.
 func (f *relayFleet) startClients() {
 	for i := range f.controllers {
 		f.clients.Add(4)
@@ -51,10 +52,10 @@
 	}
 }
 
-// waitPastLease waits until leases that were asked for by now are over.
+// waitPastLease waits until all leases that were requested before have ended.
 func (f *relayFleet) waitPastLease() { time.Sleep(f.Lease + f.Lease/4) }
 
-// cut has nothing pass between two processes.
+// cut cuts the links between two processes, in both directions.
 func (f *relayFleet) cut(a, b *fleetProcess) {
 	f.mu.Lock()
 	f.faultCounts["link cut"]++
@@ -63,7 +64,7 @@
 	f.mesh.Cut(a.name, b.name)
 }
 
-// cutFromVoters leaves a controller the relays alone.
+// cutFromVoters cuts a controller from all voters. It still reaches its relays.
 func (f *relayFleet) cutFromVoters(p *fleetProcess) {
 	for _, v := range f.voters {
 		f.cut(p, v)
@@ -82,33 +83,34 @@
 	f.restart(relay)
 }
 
-// testRelayKilledAtAnyPoint kills a relay at several moments after a change was asked for, and
-// every other time has the next run begin at once, within the leases of the last one.
+// testRelayKilledAtAnyPoint kills a relay after different delays from the request for a change. Every other
+// time the relay's next run starts at once, while leases from the last run are still valid.
 func testRelayKilledAtAnyPoint(f *relayFleet) {
-	for i, after := range []time.Duration{0, 3 * time.Millisecond, 8 * time.Millisecond, 15 * time.Millisecond} {
-		relay, by, atOnce := f.relays[1], f.requestTarget(), i%2 == 1
-		a := f.newChange(f.versionInForce(), 0, false)
-		asked := make(chan struct{})
+	delays := []time.Duration{0, 3 * time.Millisecond, 8 * time.Millisecond, 15 * time.Millisecond}
+	for i, delay := range delays {
+		relay, target, restartAtOnce := f.relays[1], f.requestTarget(), i%2 == 1
+		change := f.newChange(f.versionInForce(), 0, false)
+		requestDone := make(chan struct{})
 		go func() {
-			defer close(asked)
-			f.applyChange(by, a)
+			defer close(requestDone)
+			f.applyChange(target, change)
 		}()
-		time.Sleep(after)
+		time.Sleep(delay)
 		f.kill(relay)
-		if atOnce {
+		if restartAtOnce {
 			f.restart(relay)
 		}
-		<-asked
-		f.requireInForce(by, a)
-		if !atOnce {
+		<-requestDone
+		f.requireInForce(target, change)
+		if !restartAtOnce {
 			f.restart(relay)
 		}
 		f.requireServing()
 	}
 }
 
-// testRelayStoppedPastLease has a relay sleep longer than any lease. What it holds then is old: asks of
-// controllers, answers of the leader, the record.
+// testRelayStoppedPastLease stops a relay for longer than any lease. When it continues, the renewals, the
+// leader's answers and the log that it holds are out of date.
 func testRelayStoppedPastLease(f *relayFleet) {
 	relay := f.relays[0]
 	f.injectDuringChange(func() { f.pause(relay) }, func() { f.resume(relay) })
@@ -118,7 +120,7 @@
 	f.requireChange(f.requestTarget())
 }
 
-// testRelayCutFromLeader has a relay hear its controllers, and not the leader.
+// testRelayCutFromLeader cuts a relay from the leader. The relay still receives renewals of its controllers.
 func testRelayCutFromLeader(f *relayFleet) {
 	f.cut(f.relays[0], f.requireLeader())
 	f.waitPastLease()
@@ -127,7 +129,7 @@
 	f.mesh.Heal()
 }
 
-// testRelayCutFromControllers has a relay hear the leader, and none of its controllers.
+// testRelayCutFromControllers cuts a relay from all controllers. The relay still reaches the leader.
 func testRelayCutFromControllers(f *relayFleet) {
 	for _, p := range f.controllers {
 		f.cut(f.relays[0], p)
@@ -138,9 +140,13 @@
 	f.mesh.Heal()
 }
 
-// testBothRelaysKilled leaves controllers the leader itself, and then gives them the relays back.
+// testBothRelaysKilled kills both relays, so that the controllers renew their leases at the leader, and
+// restarts the relays.
 func testBothRelaysKilled(f *relayFleet) {
-	f.injectDuringChange(func() { f.forEach(f.relays, f.kill) }, func() { f.forEach(f.relays, f.restart) })
+	f.injectDuringChange(
+		func() { f.forEach(f.relays, f.kill) },
+		func() { f.forEach(f.relays, f.restart) },
+	)
 	f.requireServing()
 	f.waitPastLease()
 	f.requireServing()
@@ -148,8 +154,8 @@
 	f.forEach(f.relays, f.restart)
 }
 
-// testOnlyRelaysReachLeader cuts controllers from all voters: that they serve shows that
-// leases and the record come by the relays. Without these none serves past its lease.
+// testOnlyRelaysReachLeader cuts the controllers from all voters. They must serve, since leases and log
+// entries come through the relays, and must stop when their leases end after both relays are killed.
 func testOnlyRelaysReachLeader(f *relayFleet) {
 	for _, p := range f.controllers {
 		f.cutFromVoters(p)
@@ -158,9 +164,9 @@
 	f.requireServing()
 	f.requireChange(f.requestTarget())
 	f.forEach(f.relays, f.kill)
-	killed := time.Now()
+	killedAt := time.Now()
 	time.Sleep(f.Lease)
-	f.checkLeasesEnded(killed.Add(f.Lease))
+	f.checkLeasesEnded(killedAt.Add(f.Lease))
 	f.requireChange(f.requestTarget())
 	f.forEach(f.relays, f.restart)
 	f.requireServing()
@@ -168,56 +174,59 @@
 	f.mesh.Heal()
 }
 
-// checkLeasesEnded fails the test where a controller held a lease after a moment.
-func (f *relayFleet) checkLeasesEnded(after time.Time) {
+// checkLeasesEnded reports an error if a controller holds a lease or serves after the given end.
+func (f *relayFleet) checkLeasesEnded(end time.Time) {
 	f.t.Helper()
-	const looks = 3
-	for range looks {
+	const rounds = 3
+	for range rounds {
 		for _, p := range f.controllers {
-			if s, seen := sampleStatus(f, p); seen && s.requestedAt.After(after) && (s.serves || s.leaseRemaining > 0) {
-				f.t.Errorf("%s serves (%v), %v after the end of its lease, of which it has %v left", p.name, s.serves, s.requestedAt.Sub(after), s.leaseRemaining)
+			s, ok := sampleStatus(f, p)
+			if ok && s.requestedAt.After(end) && (s.serves || s.leaseRemaining > 0) {
+				f.t.Errorf("%v after the end of its lease, %s reports serves=%v and a remaining lease of %v",
+					s.requestedAt.Sub(end), p.name, s.serves, s.leaseRemaining)
 			}
 		}
 	}
 }
 
-// testControllerCutOffFromRelays cuts a controller from all others while its relays go on asking for
-// leases for those they cover. The change doesn't come into force before its lease ends,
-// though the leader never gave it one by itself and the relays soon cover it no more.
+// testControllerCutOffFromRelays isolates a controller that held its lease only through relays. The relays
+// first still renew the leases of all controllers that they cover, and soon cover this one no more. The
+// change must not come into force before the controller's lease ends.
 func testControllerCutOffFromRelays(f *relayFleet) {
-	lost := f.controllers[0]
-	f.cutFromVoters(lost)
+	isolated := f.controllers[0]
+	f.cutFromVoters(isolated)
 	f.waitPastLease()
 	f.requireServing()
-	f.recordFault(lost, "cut off")
-	f.mesh.Isolate(lost.name)
+	f.recordFault(isolated, "cut off")
+	f.mesh.Isolate(isolated.name)
 	f.requireChange(f.requestTarget())
-	f.requireServing(lost)
+	f.requireServing(isolated)
 	f.requireChange(f.requestTarget())
 	f.mesh.Heal()
 }
 
-// testLateAnswersToRelay has the leader's answers come late to a relay that then can't send gathers
-// any more. An answer counts for those asks only that its gather told of, so the leader
-// knows when the last lease ends that the relay passes on.
+// testLateAnswersToRelay delays the leader's answers to a relay, and then stops the relay's messages to the
+// leader. An answer covers only the lease requests that the relay made before the answered message, so the
+// leader knows when the last lease ends that the relay forwards.
 func testLateAnswersToRelay(f *relayFleet) {
-	const late = 300 * time.Millisecond
+	const latency = 300 * time.Millisecond
 	relay, other, leader, p := f.relays[0], f.relays[1], f.requireLeader(), f.controllers[0]
 	f.cutFromVoters(p)
 	f.cut(p, other)
-	f.mesh.SetFault(leader.name, relay.name, faultproxy.Fault{Kind: faultproxy.Delay, Direction: faultproxy.ToTarget, Latency: late})
+	lateAnswers := faultproxy.Fault{Kind: faultproxy.Delay, Direction: faultproxy.ToTarget, Latency: latency}
+	f.mesh.SetFault(leader.name, relay.name, lateAnswers)
 	f.waitPastLease()
 	f.mesh.SetFault(relay.name, leader.name, faultproxy.Fault{Kind: faultproxy.Cut, Silent: true})
-	time.Sleep(2 * late) // one answer may have waited for the one before it
+	time.Sleep(2 * latency) // an answer may have waited for the one before it
 	f.cut(relay, leader)
 	f.requireChange(f.requestTarget())
-	time.Sleep(late) // who serves on by the version before is seen
+	time.Sleep(latency) // time to observe a controller that still serves under the old version
 	f.mesh.Heal()
 }
 
-// testRelayAndControllerCutOff cuts a relay and a controller that reaches nobody else off from
-// the rest. When the relay is back it may have a lease for the controller before either has
-// the record that the lease counts by.
+// testRelayAndControllerCutOff isolates a relay together with a controller that reaches only this relay.
+// After the relay is reconnected, it may forward a lease to the controller before either of them has the log
+// entries that the lease requires.
 func testRelayAndControllerCutOff(f *relayFleet) {
 	relay, other, p := f.relays[0], f.relays[1], f.controllers[0]
 	f.cutFromVoters(p)
@@ -229,8 +238,9 @@
 			f.cut(relay, m)
 		}
 	}
-	f.requireChange(f.requestTarget()) // once their leases are over
-	time.Sleep(relayFleetSlack)        // queries that the controller holds must not be sent by the version before
+	f.requireChange(f.requestTarget()) // comes into force once their leases have ended
+	// After the slack, a held query that the controller sends under the old version is a violation.
+	time.Sleep(relayFleetSlack)
 	for _, m := range f.members {
 		if m != p {
 			f.mesh.SetFault(relay.name, m.name, faultproxy.Fault{})
@@ -242,15 +252,15 @@
 	f.mesh.Heal()
 }
 
-// testLateGrants has all that comes to a controller come late. A lease counts from when it was
-// asked for, so no more than the rest of it is ever left.
+// testLateGrants delays all messages to a controller. A lease counts from the time of its request, so a
+// delayed grant must leave only the rest of the lease.
 func testLateGrants(f *relayFleet) {
-	const late = 400 * time.Millisecond
+	const latency = 400 * time.Millisecond
 	p := f.controllers[0]
-	delay := faultproxy.Fault{Kind: faultproxy.Delay, Direction: faultproxy.ToTarget, Latency: late}
+	delay := faultproxy.Fault{Kind: faultproxy.Delay, Direction: faultproxy.ToTarget, Latency: latency}
 	f.mesh.SetFault("", p.name, delay)
 	begin := time.Now()
-	f.waitPastLease() // what was granted before is over
+	f.waitPastLease() // until the leases granted before have ended
 	f.requireChange(f.requestTarget())
 	end := time.Now()
 	f.mesh.Heal()
@@ -260,35 +270,40 @@
 			longest = max(longest, s.leaseRemaining)
 		}
 	}
-	if longest == 0 || longest > f.Lease-late {
-		f.t.Errorf("%s had %v left of a lease of %v, and every grant was %v late", p.name, longest, f.Lease, late)
+	if longest == 0 || longest > f.Lease-latency {
+		f.t.Errorf("%s had up to %v left of a lease of %v though each grant was delayed by %v, want up to %v",
+			p.name, longest, f.Lease, latency, f.Lease-latency)
 	}
 }
 
-// testDuplicateGrants has all that relays send come to its receiver a second time, by another
-// connection, which the wire refuses.
+// testDuplicateGrants duplicates all data that relays send, on a second connection. The receiver's transport
+// must reject the duplicates.
 func testDuplicateGrants(f *relayFleet) {
-	refused := func() (sum int) {
+	countRejected := func() (sum int) {
 		for _, p := range f.controllers {
 			sum += f.status(p).Counts["wire_refused_replay"]
 		}
 		return sum
 	}
-	before := refused()
+	before := countRejected()
 	for _, relay := range f.relays {
 		f.mesh.SetFault(relay.name, "", faultproxy.Fault{Kind: faultproxy.Duplicate})
 	}
-	f.requireEventually("replays of grants that are refused", func() bool { return refused() > before })
+	f.requireEventually("rejected replays of grants", func() bool { return countRejected() > before })
 	f.requireChange(f.requestTarget())
 	f.waitPastLease()
 	f.requireServing()
 	f.mesh.Heal()
 }
 
-// testLeaderKilledDuringChange has another voter lead a change on, of which relays must tell it all anew.
+// testLeaderKilledDuringChange kills the leader while a change waits. The relays must report all their
+// controllers to the next leader, which completes the change.
 func testLeaderKilledDuringChange(f *relayFleet) {
 	leader := f.requireLeader()
-	f.injectDuringChange(func() { leader = f.requireLeader(); f.kill(leader) }, func() { f.restart(leader) })
+	f.injectDuringChange(
+		func() { leader = f.requireLeader(); f.kill(leader) },
+		func() { f.restart(leader) },
+	)
 	f.requireServing()
 	f.requireChange(f.requestTarget())
 	f.restart(leader)
@@ -296,15 +311,19 @@
 
 func testRelayAndLeaderKilled(f *relayFleet) {
 	leader, relay := f.requireLeader(), f.relays[1]
-	f.injectDuringChange(func() { leader = f.requireLeader(); f.kill(relay); f.kill(leader) }, func() { f.restart(relay); f.restart(leader) })
+	f.injectDuringChange(
+		func() { leader = f.requireLeader(); f.kill(relay); f.kill(leader) },
+		func() { f.restart(relay); f.restart(leader) },
+	)
 	f.requireServing()
 	f.requireChange(f.requestTarget())
 	f.restart(relay)
 	f.restart(leader)
 }
 
-// testPurgeWithoutRelay has a team's results go while a relay is down: nobody serves them after.
-func testPurgeWithoutRelay(f *relayFleet) {
+// testPurgeDuringRelayRestart purges a team's results while a relay restarts. No controller may serve them
+// afterwards.
+func testPurgeDuringRelayRestart(f *relayFleet) {
 	relay := f.relays[0]
 	f.kill(relay)
 	f.requireChange(f.requestTarget())
@@ -314,38 +333,40 @@
 	f.t.Logf("purged after %d ms", took.Milliseconds())
 }
 
-// forEach does something with some processes, one after another.
-func (f *relayFleet) forEach(some []*fleetProcess, do func(p *fleetProcess)) {
-	for _, p := range some {
+// forEach calls do with each process, in order.
+func (f *relayFleet) forEach(processes []*fleetProcess, do func(p *fleetProcess)) {
+	for _, p := range processes {
 		do(p)
 	}
 }
 
-// testOldRelayRunBesideNew starts a relay anew while its last run sleeps. The same directory is
-// refused to the new run; by a copy it runs, at the old one's address, until the old one
-// wakes and both gather for the leader under one name.
+// testOldRelayRunBesideNew starts a second run of a relay while the first one is stopped. The second run may
+// not use the directory of the first one, so it gets a copy. It runs at the first one's peer address. When
+// the first run continues, both send the leader renewals under one name.
 func testOldRelayRunBesideNew(f *relayFleet) {
-	old := f.relays[0]
-	f.pause(old)
-	f.checkDirectoryInUseRefused(old)
+	first := f.relays[0]
+	f.pause(first)
+	f.checkDirectoryInUseRefused(first)
 
-	again := f.newRun(old, relaySecondRun)
-	f.must(os.CopyFS(f.path(again.name+"-fleet"), os.DirFS(f.path(old.name+"-fleet"))))
-	f.mesh.SetTarget(old.name, again.listenAddress)
-	f.mesh.SetFault("", old.name, faultproxy.Fault{Kind: faultproxy.Reset}) // what is connected goes to the new run from now on
-	f.must(f.startProcess(again))
-	f.relays[0] = again
+	second := f.newRun(first, relaySecondRun)
+	f.must(os.CopyFS(f.path(second.name+"-fleet"), os.DirFS(f.path(first.name+"-fleet"))))
+	f.mesh.SetTarget(first.name, second.listenAddress)
+	// Resets the open connections, so that the peers connect to the second run.
+	f.mesh.SetFault("", first.name, faultproxy.Fault{Kind: faultproxy.Reset})
+	f.must(f.startProcess(second))
+	f.relays[0] = second
 	f.requireServing()
 	f.requireChange(f.requestTarget())
-	f.resume(old)
+	f.resume(first)
 	for range 3 {
 		f.requireChange(f.requestTarget())
 		f.requireServing()
 	}
-	f.kill(old)
+	f.kill(first)
 }
 
-// newRun is one more process under the name and peers' address of another one.
+// newRun returns a further run of a process, which isn't started. It has the name and the peer address of
+// the first run.
 func (f *relayFleet) newRun(of *fleetProcess, run int) *fleetProcess {
 	f.t.Helper()
 	p := &fleetProcess{name: fmt.Sprintf("%s-run%d", of.name, run), site: of.site, peerAddress: of.peerAddress}
@@ -354,30 +375,32 @@
 	p.logFile, err = os.Create(f.path(p.name + ".log"))
 	f.must(err)
 	f.cleanups = append(f.cleanups, func() { p.logFile.Close() })
-	f.must(f.writeSetup(p, strings.Replace(f.controlSetup(p, relayRoleSettings), "name: "+p.name, "name: "+of.name, 1)))
+	setup := f.controlSetup(p, relayRoleSettings)
+	f.must(f.writeSetup(p, strings.Replace(setup, "name: "+p.name, "name: "+of.name, 1)))
 	return p
 }
 
-// checkDirectoryInUseRefused starts a second run with the directory of one that is there, which
-// must end by itself and say why.
+// checkDirectoryInUseRefused starts a second run with the directory of a running process. The second run
+// must exit and log the reason.
 func (f *relayFleet) checkDirectoryInUseRefused(first *fleetProcess) {
 	f.t.Helper()
 	second := f.newRun(first, relayRefusedRun)
 	directory := f.path(first.name + "-fleet")
 	setup, err := os.ReadFile(f.path(second.name + ".yaml"))
 	f.must(err)
-	f.must(f.writeSetup(second, strings.Replace(string(setup), f.path(second.name+"-fleet"), directory, 1)))
+	setupInUse := strings.Replace(string(setup), f.path(second.name+"-fleet"), directory, 1)
+	f.must(f.writeSetup(second, setupInUse))
 	f.must(f.startProcess(second))
 	select {
 	case <-second.exited:
 	case <-time.After(relayFleetWaitLimit):
 		second.command.Process.Kill()
-		f.t.Fatal("a second run has the first one's directory")
+		f.t.Fatalf("a second run with the directory of %s did not exit within %v", first.name, relayFleetWaitLimit)
 	}
-	said, err := os.ReadFile(f.path(second.name + ".log"))
+	text, err := os.ReadFile(f.path(second.name + ".log"))
 	f.must(err)
-	held := &storage.LockedError{Dir: directory}
-	if !strings.Contains(string(said), held.Error()) || !strings.Contains(string(said), held.Remedy()) {
-		f.t.Errorf("a second run says why it ended: %s", said)
+	locked := &storage.LockedError{Dir: directory}
+	if !strings.Contains(string(text), locked.Error()) || !strings.Contains(string(text), locked.Remedy()) {
+		f.t.Errorf("the log of the refused run lacks %q or its remedy: %s", locked, text)
 	}
 }
--- a/internal/bench/relays_hollow_test.go
+++ b/internal/bench/relays_hollow_test.go
@@ -18,7 +18,7 @@
 
 const (
 	relayHollowCount      = 97
-	relayHollowBatches    = 10 // in which they are started
+	relayHollowBatches    = 10 // the controllers are started in so many batches within a second
 	relayHollowWriteDelay = time.Millisecond
 )
 
@@ -32,72 +32,91 @@
 	failures []hollow.Event
 }
 
-// Ninety-seven controllers join within a second while changes are under way, through two
-// relays. Then one relay is killed and a change follows, and the leader and another one.
+// 97 controllers join through two relays within a second, while changes are under way. Then a change must
+// come into force after a relay was killed, and another one after the leader was killed.
 func TestManyControllersJoinThroughRelays(t *testing.T) {
-	f := startRelayFleet(t, relayFleetConfig{controllers: relayFleetRelays, confinedLease: relayFleetLease, lateMembers: numberedNames("h", relayHollowCount)})
-	f.members = f.members[:len(f.members)-len(f.lateMembers)] // hollow ones are no processes
+	f := startRelayFleet(t, relayFleetConfig{
+		controllers:   relayFleetRelays,
+		confinedLease: relayFleetLease,
+		lateMembers:   numberedNames("h", relayHollowCount),
+	})
+	f.members = f.members[:len(f.members)-len(f.lateMembers)] // hollow controllers have no processes
 	g := newRelayHollowControllers(f)
-	begin, started := time.Now(), make(chan error)
-	go func() { started <- g.startAll() }()
-	during := 0
-	for begun := false; !begun; during++ {
+	begin, startResult := time.Now(), make(chan error)
+	go func() { startResult <- g.startAll() }()
+	changes := 0
+	for started := false; !started; changes++ {
 		g.requireChange()
 		select {
-		case err := <-started:
+		case err := <-startResult:
 			f.must(err)
-			begun = true
+			started = true
 		default:
 		}
 	}
 	g.requireServing()
-	t.Logf("%d joined, all serve %d ms after the first was started, with %d changes meanwhile", relayHollowCount, time.Since(begin).Milliseconds(), during)
+	t.Logf("%d controllers serve %d ms after the first one was started, with %d changes meanwhile",
+		relayHollowCount, time.Since(begin).Milliseconds(), changes)
 	g.requireChange()
 
 	f.kill(f.relays[0])
-	t.Logf("with a relay killed a change took %d ms", g.requireChange().Milliseconds())
+	t.Logf("with a relay killed, a change took %d ms", g.requireChange().Milliseconds())
 	f.restart(f.relays[0])
 	leader := f.requireLeader()
 	f.kill(leader)
-	t.Logf("with the leader killed a change took %d ms", g.requireChange().Milliseconds())
+	t.Logf("with the leader killed, a change took %d ms", g.requireChange().Milliseconds())
 	f.restart(leader)
 	f.requireServing()
 	g.requireServing()
 	g.checkResults()
 }
 
-// newRelayHollowControllers makes hollow controllers, of which none is started.
+// newRelayHollowControllers configures a hollow controller for each late member of the fleet, without
+// starting it.
 func newRelayHollowControllers(f *relayFleet) *relayHollowControllers {
 	f.t.Helper()
 	g := &relayHollowControllers{fleet: f, checker: newScaleChecker()}
-	config := hollow.Config{Fleet: "together", Keys: f.path("keys"), Lease: f.Lease, Election: relayFleetElectionTimeout, Heartbeat: relayFleetHeartbeat,
-		WriteDelay: relayHollowWriteDelay, Seed: f.Seed}
+	config := hollow.Config{
+		Fleet:      "together",
+		Keys:       f.path("keys"),
+		Lease:      f.Lease,
+		Election:   relayFleetElectionTimeout,
+		Heartbeat:  relayFleetHeartbeat,
+		WriteDelay: relayHollowWriteDelay,
+		Seed:       f.Seed,
+	}
 	for _, v := range f.voters {
 		config.Voters = append(config.Voters, hollow.Peer{Name: v.name, Address: v.peerAddress})
 	}
 	for i, p := range f.lateMembers {
 		first, second := f.relays[i%relayFleetRelays], f.relays[(i+1)%relayFleetRelays]
-		config.Controllers = append(config.Controllers, hollow.Member{Name: p.name, ListenAddress: p.listenAddress,
-			Relays: []hollow.Peer{{Name: first.name, Address: first.peerAddress}, {Name: second.name, Address: second.peerAddress}}})
+		config.Controllers = append(config.Controllers, hollow.Member{
+			Name:          p.name,
+			ListenAddress: p.listenAddress,
+			Relays: []hollow.Peer{
+				{Name: first.name, Address: first.peerAddress},
+				{Name: second.name, Address: second.peerAddress},
+			},
+		})
 	}
 	input, commands := io.Pipe()
 	output, events := io.Pipe()
-	var ended sync.WaitGroup
-	ended.Go(func() {
+	var goroutines sync.WaitGroup
+	goroutines.Go(func() {
 		if err := hollow.Run(f.ctx, input, events); err != nil {
 			g.handleEvent(hollow.Event{Kind: hollow.Failed, Reason: err.Error()})
 		}
 		input.Close()
 		events.Close()
 	})
-	ended.Go(func() { g.readEvents(output) })
-	f.t.Cleanup(func() { commands.Close(); ended.Wait() })
+	goroutines.Go(func() { g.readEvents(output) })
+	f.t.Cleanup(func() { commands.Close(); goroutines.Wait() })
 	g.commands = json.NewEncoder(commands)
 	f.must(g.commands.Encode(config))
 	return g
 }
 
-// readEvents takes all that hollow controllers tell.
+// readEvents handles the events of the hollow controllers until their output ends.
 func (g *relayHollowControllers) readEvents(output io.Reader) {
 	for lines := bufio.NewScanner(output); lines.Scan(); {
 		var e hollow.Event
@@ -121,11 +140,11 @@
 	}
 }
 
-// startAll starts all within a second, in portions.
+// startAll starts the hollow controllers in batches, within a second.
 func (g *relayHollowControllers) startAll() error {
-	for portion := range relayHollowBatches {
+	for batch := range relayHollowBatches {
 		var names []string
-		for i := portion; i < relayHollowCount; i += relayHollowBatches {
+		for i := batch; i < relayHollowCount; i += relayHollowBatches {
 			names = append(names, g.fleet.lateMembers[i].name)
 		}
 		if err := g.commands.Encode(hollow.Command{Do: hollow.Start, Names: names}); err != nil {
@@ -136,52 +155,70 @@
 	return nil
 }
 
-// requireServing waits until all guests serve.
+// requireServing waits until all hollow controllers serve.
 func (g *relayHollowControllers) requireServing() {
 	g.fleet.t.Helper()
-	g.fleet.requireEventually("all hollow controllers serve", func() bool { return g.checker.countServing() == relayHollowCount })
+	g.fleet.requireEventually("all hollow controllers serve", func() bool {
+		return g.checker.countServing() == relayHollowCount
+	})
 }
 
-// requireChange has a policy come into force while guests are there, and tells how long it took.
+// requireChange requests a policy change, waits until it is in force and returns the time that this took.
 func (g *relayHollowControllers) requireChange() time.Duration {
 	g.fleet.t.Helper()
-	a := g.fleet.newChange(g.fleet.versionInForce(), 0, false)
-	g.checker.addChange(a.ID, xxhash.Sum64(a.Policy))
-	begin, by := time.Now(), g.fleet.requestTarget()
-	g.fleet.requireEventually("a word on "+a.ID, func() bool { return g.applyInForce(a, by) })
+	change := g.fleet.newChange(g.fleet.versionInForce(), 0, false)
+	g.checker.addChange(change.ID, xxhash.Sum64(change.Policy))
+	begin, target := time.Now(), g.fleet.requestTarget()
+	g.fleet.requireEventually(change.ID+" is in force", func() bool { return g.applyInForce(change, target) })
 	return time.Since(begin)
 }
 
-// applyInForce asks for a change and hands the word to both judges.
-func (g *relayHollowControllers) applyInForce(a *fleet.Request, by *fleetProcess) bool {
-	word := g.fleet.applyChange(by, a)
-	if word == "in force" {
-		g.checker.addOutcome(observedOutcome{changeID: a.ID, controller: by.name, outcome: word, version: a.BaseVersion + 1, at: time.Now()})
+// applyInForce requests a change and reports whether it is in force. Both checkers record the outcome.
+func (g *relayHollowControllers) applyInForce(change *fleet.Request, target *fleetProcess) bool {
+	outcome := g.fleet.applyChange(target, change)
+	if outcome == "in force" {
+		g.checker.addOutcome(observedOutcome{
+			changeID:   change.ID,
+			controller: target.name,
+			outcome:    outcome,
+			version:    change.BaseVersion + 1,
+			at:         time.Now(),
+		})
 	}
-	return word == "in force"
+	return outcome == "in force"
 }
 
-// checkResults judges all that guests and processes have told.
+// checkResults fails the test if a hollow controller failed, or if the observations of the hollow controllers
+// and of the processes show a violation.
 func (g *relayHollowControllers) checkResults() {
 	g.fleet.t.Helper()
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	var broken []string
+	var violations []string
 	for _, e := range g.failures {
-		broken = append(broken, fmt.Sprintf("%s failed: %s", e.Name, e.Reason))
+		violations = append(violations, fmt.Sprintf("%s failed: %s", e.Name, e.Reason))
 	}
 	for _, s := range g.fleet.monitor.samplesSince(time.Time{}) {
 		if s.controlRole { // changes don't wait for it
 			continue
 		}
-		g.checker.addSample(servingSample{controller: s.process, requestedAt: s.requestedAt, answeredAt: s.answeredAt, serves: s.serves, version: s.version,
-			leaseRemainingMS: max(1, s.leaseRemaining.Milliseconds())}) // the rest of a lease may be less than a millisecond
+		g.checker.addSample(servingSample{
+			controller:  s.process,
+			requestedAt: s.requestedAt,
+			answeredAt:  s.answeredAt,
+			serves:      s.serves,
+			version:     s.version,
+			// Less than a millisecond may remain of a valid lease.
+			leaseRemainingMS: max(1, s.leaseRemaining.Milliseconds()),
+		})
 	}
-	verdict := g.checker.findViolations()
-	broken = append(broken, verdict.Descriptions...)
-	if verdict.Spans < relayHollowCount {
-		broken = append(broken, fmt.Sprintf("too little was told: %d spans", verdict.Spans))
+	found := g.checker.findViolations()
+	violations = append(violations, found.Descriptions...)
+	if found.Spans < relayHollowCount {
+		violations = append(violations, fmt.Sprintf(
+			"the hollow controllers reported %d serving spans, want at least %d", found.Spans, relayHollowCount))
 	}
-	g.fleet.t.Logf("%d spans, %d samples, %d words; %s", verdict.Spans, verdict.Samples, verdict.Outcomes, strings.Join(broken, "; "))
-	g.fleet.checkHistory(broken)
+	g.fleet.t.Logf("%d spans, %d samples, %d outcomes; %s",
+		found.Spans, found.Samples, found.Outcomes, strings.Join(violations, "; "))
+	g.fleet.checkHistory(violations)
 }
--- a/internal/bench/relays_strangers_test.go
+++ b/internal/bench/relays_strangers_test.go
@@ -11,7 +11,7 @@
 	"railrelay.dev/railrelay/internal/fleet/transport"
 )
 
-// foreignRelayCases are played on one fleet without clients.
+// foreignRelayCases returns the cases that run on one fleet without clients.
 func foreignRelayCases() []relayCase {
 	return []relayCase{
 		{"relays of other fleets", testForeignRelays, false},
@@ -19,29 +19,44 @@
 	}
 }
 
-// foreignRelay is a relay that isn't of the fleet and leads one of its own, and the controller
-// that names it as its first one.
+// foreignRelay is a relay that leads a fleet of its own. A controller of the tested fleet has it as its first
+// relay, by a wrong setting.
 type foreignRelay struct {
-	relayName, controllerName string // names
-	expectedName              string // what the controller takes the relay to be called
-	fleet, key                string // of the relay
+	relayName, controllerName string
+	expectedName              string // name of the relay in the controller's settings
+	fleet, keyByte            string // of the relay
 	rejection                 transport.RejectionError
 }
 
 const (
-	foreignRelayKeyByte = "e5" // a byte of another fleet's key, in hex
+	foreignRelayKeyByte = "e5" // the key of another fleet repeats this byte, which is in hex
 	relayJoinerCount    = 20
 	relayJoinDuration   = time.Second
 )
 
+// foreignRelaySpecs returns a relay of another fleet, one with another key, and one whose name is another one
+// than in the settings.
 func foreignRelaySpecs() []foreignRelay {
 	return []foreignRelay{
-		{"x0", "n0", "x0", "another", relayFleetKeyByte, &transport.OtherFleetError{From: "n0", Fleet: "together", Own: "another"}},
-		{"x1", "n1", "x1", "together", foreignRelayKeyByte, &transport.UnauthenticatedError{What: "a frame"}},
-		{"x2", "n2", "r0", "together", relayFleetKeyByte, &transport.WrongRecipientError{From: "n2", To: "r0", Own: "x2"}},
+		{
+			relayName: "x0", controllerName: "n0", expectedName: "x0",
+			fleet: "another", keyByte: relayFleetKeyByte,
+			rejection: &transport.OtherFleetError{From: "n0", Fleet: "together", Own: "another"},
+		},
+		{
+			relayName: "x1", controllerName: "n1", expectedName: "x1",
+			fleet: "together", keyByte: foreignRelayKeyByte,
+			rejection: &transport.UnauthenticatedError{What: "a frame"},
+		},
+		{
+			relayName: "x2", controllerName: "n2", expectedName: "r0",
+			fleet: "together", keyByte: relayFleetKeyByte,
+			rejection: &transport.WrongRecipientError{From: "n2", To: "r0", Own: "x2"},
+		},
 	}
 }
 
+// foreignRelayNames returns the names of the foreign relays and of their controllers.
 func foreignRelayNames() (names []string) {
 	for _, x := range foreignRelaySpecs() {
 		names = append(names, x.relayName, x.controllerName)
@@ -51,20 +66,19 @@
 
 func relayJoinerNames() []string { return numberedNames("j", relayJoinerCount) }
 
-// memberNamed is the member of a name.
+// memberNamed returns the member with a name, or fails the test.
 func (f *relayFleet) memberNamed(name string) *fleetProcess {
 	for _, p := range f.members {
 		if p.name == name {
 			return p
 		}
 	}
-	f.t.Fatal("nobody is called ", name)
+	f.t.Fatalf("the fleet has no member %q", name)
 	return nil
 }
 
-// testForeignRelays has controllers name a relay that belongs to another fleet, has another
-// key or is another one than it is taken for. It refuses them by a typed error, and they
-// are served by their second relay alone.
+// testForeignRelays starts controllers whose first relay is a foreign one. The foreign relay must reject them
+// with the expected error, and their second relay must serve them.
 func testForeignRelays(f *relayFleet) {
 	for _, x := range foreignRelaySpecs() {
 		f.startForeignRelay(x)
@@ -73,12 +87,12 @@
 		f.startMisledController(x)
 	}
 	for _, x := range foreignRelaySpecs() {
-		f.cutFromVoters(f.memberNamed(x.controllerName)) // so that the leader itself can't serve it
+		f.cutFromVoters(f.memberNamed(x.controllerName)) // so that it can't renew its lease at the leader
 	}
 	f.waitPastLease()
 	for _, x := range foreignRelaySpecs() {
 		p := f.memberNamed(x.controllerName)
-		f.requireEventually(p.name+" serves by its second relay", func() bool { return f.status(p).Serves })
+		f.requireEventually(p.name+" serves through its second relay", func() bool { return f.status(p).Serves })
 		f.checkRejectedBy(x)
 	}
 	f.requireChange(f.requestTarget())
@@ -89,77 +103,84 @@
 	f.mesh.Heal()
 }
 
-// startForeignRelay starts a foreign relay, the only voter of its own fleet.
+// startForeignRelay starts a foreign relay as the only voter of its own fleet.
 func (f *relayFleet) startForeignRelay(x foreignRelay) {
 	f.t.Helper()
 	relay, keyFile := f.memberNamed(x.relayName), "keys-"+x.relayName
-	f.must(f.writeKeys(keyFile, x.key))
-	own := fmt.Sprintf("  voters: [%s]\n", peerSettings(relay))
+	f.must(f.writeKeys(keyFile, x.keyByte))
 	setup := f.controlSetup(relay, relayRoleSettings)
-	for old, replacement := range map[string]string{f.voterSettings(): own, "  name: together\n": "  name: " + x.fleet + "\n",
-		f.path("keys"): f.path(keyFile)} {
+	for old, replacement := range map[string]string{
+		f.voterSettings():    fmt.Sprintf("  voters: [%s]\n", peerSettings(relay)),
+		"  name: together\n": "  name: " + x.fleet + "\n",
+		f.path("keys"):       f.path(keyFile),
+	} {
 		setup = strings.Replace(setup, old, replacement, 1)
 	}
 	f.must(f.writeSetup(relay, setup))
 	f.must(f.startProcess(relay))
 }
 
-// startMisledController starts the controller that names a foreign relay, once that leads its fleet.
+// startMisledController waits until a foreign relay leads its fleet, and starts its controller.
 func (f *relayFleet) startMisledController(x foreignRelay) {
 	f.t.Helper()
 	relay, controller := f.memberNamed(x.relayName), f.memberNamed(x.controllerName)
-	f.requireEventually(relay.name+" leads its own fleet", func() bool { return f.foreignStatus(x).Leader == relay.name })
-	first := fmt.Sprintf("{name: %s, address: %q}", x.expectedName, relay.peerAddress)
-	f.must(f.writeSetup(controller, f.controllerSetup(controller, first, peerSettings(f.relays[1]))))
+	f.requireEventually(relay.name+" leads its own fleet", func() bool {
+		return f.foreignStatus(x).Leader == relay.name
+	})
+	firstRelay := fmt.Sprintf("{name: %s, address: %q}", x.expectedName, relay.peerAddress)
+	secondRelay := peerSettings(f.relays[1])
+	f.must(f.writeSetup(controller, f.controllerSetup(controller, firstRelay, secondRelay)))
 	f.must(f.startProcess(controller))
 	f.monitor.poll(f, controller)
 	f.requireEventually(controller.name+" serves", func() bool { return f.status(controller).Serves })
 }
 
-// foreignStatus is how a foreign relay sees its own fleet.
+// foreignStatus returns a foreign relay's status, which is empty if the relay doesn't answer.
 func (f *relayFleet) foreignStatus(x foreignRelay) *fleet.Status {
 	keys, err := transport.ReadKeys(f.path("keys-" + x.relayName))
 	f.must(err)
-	ctx, stop := context.WithTimeout(f.ctx, relayFleetWaitLimit)
-	defer stop()
-	reply, err := transport.SendControlRequest(ctx, f.memberNamed(x.relayName).controlAddress, keys,
-		&fleet.Request{Kind: "status"})
-	if err != nil || reply.Status == nil {
+	ctx, cancel := context.WithTimeout(f.ctx, relayFleetWaitLimit)
+	defer cancel()
+	address := f.memberNamed(x.relayName).controlAddress
+	response, err := transport.SendControlRequest(ctx, address, keys, &fleet.Request{Kind: "status"})
+	if err != nil || response.Status == nil {
 		return &fleet.Status{}
 	}
-	return reply.Status
+	return response.Status
 }
 
-// checkRejectedBy checks that a foreign relay has counted and named what it refused, that its
-// controller was told, and that the controller isn't known to it.
+// checkRejectedBy checks that a foreign relay counted and logged the rejection of its controller and didn't
+// add the controller to its fleet, and that the controller was told of the rejection.
 func (f *relayFleet) checkRejectedBy(x foreignRelay) {
 	f.t.Helper()
 	status := f.foreignStatus(x)
 	if status.Counts["wire_refused_"+x.rejection.Reason()] == 0 {
-		f.t.Errorf("%s has refused nothing as %s: %v", x.relayName, x.rejection.Reason(), status.Counts)
+		f.t.Errorf("%s has counted no rejection with the reason %q: %v",
+			x.relayName, x.rejection.Reason(), status.Counts)
 	}
 	for _, m := range status.Members {
 		if m.Name == x.controllerName {
-			f.t.Errorf("%s has taken %s in", x.relayName, x.controllerName)
+			f.t.Errorf("%s has added %s to the members of its fleet", x.relayName, x.controllerName)
 		}
 	}
-	said, err := os.ReadFile(f.path(x.relayName + ".log"))
+	text, err := os.ReadFile(f.path(x.relayName + ".log"))
 	f.must(err)
-	if !strings.Contains(string(said), x.rejection.Remedy()) {
-		f.t.Errorf("%s doesn't say what to do about %q: %s", x.relayName, x.rejection, said)
+	if !strings.Contains(string(text), x.rejection.Remedy()) {
+		f.t.Errorf("the log of %s lacks the remedy for %q: %s", x.relayName, x.rejection, text)
 	}
-	if counts := f.status(f.memberNamed(x.controllerName)).Counts; counts["wire_refused_turned_away"] == 0 {
-		f.t.Errorf("%s wasn't told that it is refused: %v", x.controllerName, counts)
+	counts := f.status(f.memberNamed(x.controllerName)).Counts
+	if counts["wire_refused_turned_away"] == 0 {
+		f.t.Errorf("%s has counted no rejection by its peer: %v", x.controllerName, counts)
 	}
 }
 
-// testControllersJoinDuringChanges starts controllers one after another within a second, while one change follows
+// testControllersJoinDuringChanges starts controllers within a second, while policy changes follow one
 // another.
 func testControllersJoinDuringChanges(f *relayFleet) {
 	begin := time.Now()
-	quit, changed := make(chan struct{}), make(chan int)
-	by := f.requestTarget()
-	go func() { changed <- f.applyChangesUntil(by, quit) }()
+	stop, changeCount := make(chan struct{}), make(chan int)
+	target := f.requestTarget()
+	go func() { changeCount <- f.applyChangesUntil(target, stop) }()
 	for i, name := range relayJoinerNames() {
 		p := f.memberNamed(name)
 		f.must(f.writeSetup(p, f.controllerSetup(p, f.relaysFor(i)...)))
@@ -167,28 +188,30 @@
 		f.monitor.poll(f, p)
 		time.Sleep(relayJoinDuration / relayJoinerCount)
 	}
-	started := time.Since(begin)
+	startTime := time.Since(begin)
 	f.requireServing()
-	served := time.Since(begin)
-	close(quit)
-	f.t.Logf("%d started within %d ms, serve after %d ms, with %d changes meanwhile", relayJoinerCount, started.Milliseconds(), served.Milliseconds(), <-changed)
+	servingTime := time.Since(begin)
+	close(stop)
+	f.t.Logf("%d controllers were started within %d ms and served after %d ms, with %d changes meanwhile",
+		relayJoinerCount, startTime.Milliseconds(), servingTime.Milliseconds(), <-changeCount)
 	f.requireChange(f.requestTarget())
 	f.requireServing()
 }
 
-// applyChangesUntil has one change after another come into force until quit, and counts them.
-func (f *relayFleet) applyChangesUntil(by *fleetProcess, quit chan struct{}) (changed int) {
+// applyChangesUntil requests one policy change after another until stop is closed, and returns the number of
+// changes that have an outcome.
+func (f *relayFleet) applyChangesUntil(target *fleetProcess, stop chan struct{}) (count int) {
 	for {
-		a := f.newChange(f.versionInForce(), 0, false)
-		for word := "unknown"; word == "unknown"; word = f.applyChange(by, a) {
+		change := f.newChange(f.versionInForce(), 0, false)
+		for outcome := "unknown"; outcome == "unknown"; outcome = f.applyChange(target, change) {
 			if f.ctx.Err() != nil {
-				return changed
+				return count
 			}
 		}
-		changed++
+		count++
 		select {
-		case <-quit:
-			return changed
+		case <-stop:
+			return count
 		default:
 		}
 	}
--- a/internal/bench/relays_watch_test.go
+++ b/internal/bench/relays_watch_test.go
@@ -13,112 +13,120 @@
 )
 
 const (
-	relayStatusInterval = 25 * time.Millisecond // how often each process is asked for its status
-	relayFailuresShown  = 10                    // lines that a failed test shows
+	relayStatusInterval = 25 * time.Millisecond // between two status requests to one process
+	relayFailuresShown  = 10                    // most violations that a failed test prints
 )
 
-// relayStatusSample is a process's answer to one ask for its status: what it says was so at some
-// moment between asked and told.
+// relayStatusSample is a process's answer to a status request. What it reports held at some time between
+// requestedAt and answeredAt.
 type relayStatusSample struct {
 	process                 string
-	controlRole             bool // it is set apart for control: it decides nothing by a version
+	controlRole             bool // the process takes no queries
 	requestedAt, answeredAt time.Time
 	serves                  bool
 	version                 uint64
-	leaseRemaining          time.Duration // what is left of it
+	leaseRemaining          time.Duration
 }
 
-// relayAnnouncement is a line of a process's log by which a version is in force.
+// relayAnnouncement is a line in a process's log that says that a version is in force.
 type relayAnnouncement struct {
 	process  string
 	loggedAt time.Time
 	version  uint64
 }
 
-// findMixedVersions gives the sightings of a controller that served by a version after another one had
-// served by a later version, or any process had announced it. It needs no bound: only what
-// was asked for after the other was seen is judged. Changes don't wait for processes set
-// apart for control, which take no queries.
-func findMixedVersions(sightings []relayStatusSample, lines []relayAnnouncement) (broken []string) {
-	sightings = slices.DeleteFunc(slices.Clone(sightings), func(s relayStatusSample) bool { return s.controlRole || !s.serves })
-	later := map[uint64]relayStatusSample{} // by version: the first one told that serves by it
-	for _, s := range sightings {
-		first, had := later[s.version]
-		if !had || s.answeredAt.Before(first.answeredAt) {
-			later[s.version] = s
+// findMixedVersions returns a violation for each sample of a controller that served under a version after a
+// controller had served under a later version, or after a process had logged that a later version is in
+// force. Only samples that were requested after that observation count, so no tolerance is needed. Processes
+// of the control role are left out: they take no queries, and changes don't wait for them.
+func findMixedVersions(samples []relayStatusSample, announcements []relayAnnouncement) (violations []string) {
+	samples = slices.DeleteFunc(slices.Clone(samples), func(s relayStatusSample) bool {
+		return s.controlRole || !s.serves
+	})
+	firstByVersion := map[uint64]relayStatusSample{} // the sample that was answered first
+	for _, s := range samples {
+		first, ok := firstByVersion[s.version]
+		if !ok || s.answeredAt.Before(first.answeredAt) {
+			firstByVersion[s.version] = s
 		}
 	}
-	for _, s := range sightings {
-		if why := laterVersionSeen(s, later, lines); why != "" {
-			broken = append(broken, fmt.Sprintf("%s served by version %d, asked %s", s.process, s.version, why))
+	for _, s := range samples {
+		if evidence := laterVersionSeen(s, firstByVersion, announcements); evidence != "" {
+			violations = append(violations, fmt.Sprintf("%s served under version %d, requested %s",
+				s.process, s.version, evidence))
 		}
 	}
-	return broken
+	return violations
 }
 
-// laterVersionSeen tells what was seen of a later version before a sighting was asked for, "" if
-// nothing was.
-func laterVersionSeen(s relayStatusSample, later map[uint64]relayStatusSample, lines []relayAnnouncement) string {
-	for version, first := range later {
+// laterVersionSeen describes the evidence that a later version was in force before a sample was requested.
+// It returns "" if there is none.
+func laterVersionSeen(
+	s relayStatusSample, firstByVersion map[uint64]relayStatusSample, announcements []relayAnnouncement,
+) string {
+	for version, first := range firstByVersion {
 		if version > s.version && s.requestedAt.After(first.answeredAt) {
-			return fmt.Sprintf("%v after %s had served by version %d", s.requestedAt.Sub(first.answeredAt), first.process, version)
+			return fmt.Sprintf("%v after %s had served under version %d",
+				s.requestedAt.Sub(first.answeredAt), first.process, version)
 		}
 	}
-	for _, line := range lines {
-		if line.version > s.version && s.requestedAt.After(line.loggedAt) {
-			return fmt.Sprintf("%v after %s had announced version %d", s.requestedAt.Sub(line.loggedAt), line.process, line.version)
+	for _, a := range announcements {
+		if a.version > s.version && s.requestedAt.After(a.loggedAt) {
+			return fmt.Sprintf("%v after %s had announced version %d",
+				s.requestedAt.Sub(a.loggedAt), a.process, a.version)
 		}
 	}
 	return ""
 }
 
-// findOverlongLeases gives the sightings of leases that are longer than any that is granted.
-func findOverlongLeases(sightings []relayStatusSample, lease time.Duration) (broken []string) {
-	for _, s := range sightings {
+// findOverlongLeases returns a violation for each sample whose remaining lease is longer than a full one.
+func findOverlongLeases(samples []relayStatusSample, lease time.Duration) (violations []string) {
+	for _, s := range samples {
 		if s.leaseRemaining > lease {
-			broken = append(broken, fmt.Sprintf("%s has %v left of a lease of %v", s.process, s.leaseRemaining, lease))
+			violations = append(violations, fmt.Sprintf("%s has %v left of a lease of %v",
+				s.process, s.leaseRemaining, lease))
 		}
 	}
-	return broken
+	return violations
 }
 
-// longestLeaseGap is the longest stretch within which a process had no lease, from the last
-// sight of one before it to the first one after it.
-func longestLeaseGap(sightings []relayStatusSample, process string) (longest time.Duration) {
-	var held time.Time
-	lapsed := false
-	for _, s := range sightings {
+// longestLeaseGap returns the longest time that a process was without a lease, from the last sample with a
+// lease before the gap to the first one after it. A gap without a sample on both sides doesn't count.
+func longestLeaseGap(samples []relayStatusSample, process string) (longest time.Duration) {
+	var lastHeld time.Time
+	inGap := false
+	for _, s := range samples {
 		if s.process != process {
 			continue
 		}
 		if s.leaseRemaining <= 0 {
-			lapsed = true
+			inGap = true
 			continue
 		}
-		if lapsed && !held.IsZero() {
-			longest = max(longest, s.answeredAt.Sub(held))
+		if inGap && !lastHeld.IsZero() {
+			longest = max(longest, s.answeredAt.Sub(lastHeld))
 		}
-		held, lapsed = s.requestedAt, false
+		lastHeld, inGap = s.requestedAt, false
 	}
 	return longest
 }
 
-// relayStatusMonitor asks all processes of a fleet for their status again and again.
+// relayStatusMonitor polls the status of the processes of a fleet and collects the samples.
 type relayStatusMonitor struct {
 	mu      sync.Mutex
-	samples []relayStatusSample // of each process in turn
+	samples []relayStatusSample // those of each process are in order
 }
 
-// poll watches a process until the fleet's end.
-func (w *relayStatusMonitor) poll(f *relayFleet, p *fleetProcess) {
-	control := slices.Contains(f.voters, p) || slices.Contains(f.relays, p)
+// poll polls a process in the background until the clients of the fleet stop.
+func (m *relayStatusMonitor) poll(f *relayFleet, p *fleetProcess) {
+	controlRole := slices.Contains(f.voters, p) || slices.Contains(f.relays, p)
 	f.clients.Go(func() {
 		for f.ctx.Err() == nil {
-			if s, seen := sampleStatus(f, p); seen {
-				s.controlRole = control
-				w.mu.Lock()
-				w.samples = append(w.samples, s)
-				w.mu.Unlock()
+			if s, ok := sampleStatus(f, p); ok {
+				s.controlRole = controlRole
+				m.mu.Lock()
+				m.samples = append(m.samples, s)
+				m.mu.Unlock()
 			}
 			select {
 			case <-f.stopClients:
@@ -130,41 +138,43 @@
 	})
 }
 
-// sampleStatus asks a process once; it isn't seen where it is down or stopped.
-func sampleStatus(f *relayFleet, p *fleetProcess) (s relayStatusSample, seen bool) {
+// sampleStatus requests a process's status once. ok is false if the process is down or stopped.
+func sampleStatus(f *relayFleet, p *fleetProcess) (s relayStatusSample, ok bool) {
 	s = relayStatusSample{process: p.name, requestedAt: time.Now()}
 	status := f.status(p)
 	s.answeredAt = time.Now()
-	s.serves, s.version, s.leaseRemaining = status.Serves, status.Version,
-		time.Duration(status.LeaseRemainingMs)*time.Millisecond
+	s.serves, s.version = status.Serves, status.Version
+	s.leaseRemaining = time.Duration(status.LeaseRemainingMs) * time.Millisecond
 	return s, status.Name != ""
 }
 
-// samplesSince are the sightings that were asked for after a moment.
-func (w *relayStatusMonitor) samplesSince(at time.Time) (l []relayStatusSample) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	for _, s := range w.samples {
-		if s.requestedAt.After(at) {
-			l = append(l, s)
+// samplesSince returns the samples that were requested after a time.
+func (m *relayStatusMonitor) samplesSince(start time.Time) (samples []relayStatusSample) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	for _, s := range m.samples {
+		if s.requestedAt.After(start) {
+			samples = append(samples, s)
 		}
 	}
-	return l
+	return samples
 }
 
-// violations is what all sightings and logs of a fleet show to be wrong.
-func (w *relayStatusMonitor) violations(f *relayFleet) []string {
-	lines, err := readAnnouncements(f)
+// violations returns the violations that the samples and the logs of a fleet show. Too few observations
+// count as a violation.
+func (m *relayStatusMonitor) violations(f *relayFleet) []string {
+	announcements, err := readAnnouncements(f)
 	f.must(err)
-	seen := w.samplesSince(time.Time{})
-	if len(seen) == 0 || len(lines) == 0 {
-		return []string{fmt.Sprintf("too little was seen: %d sightings, %d lines", len(seen), len(lines))}
+	samples := m.samplesSince(time.Time{})
+	if len(samples) == 0 || len(announcements) == 0 {
+		return []string{fmt.Sprintf("too few observations: %d status samples, %d announcements",
+			len(samples), len(announcements))}
 	}
-	return slices.Concat(findMixedVersions(seen, lines), findOverlongLeases(seen, f.Lease))
+	return slices.Concat(findMixedVersions(samples, announcements), findOverlongLeases(samples, f.Lease))
 }
 
-// readAnnouncements are the lines of all logs by which versions are in force.
-func readAnnouncements(f *relayFleet) (lines []relayAnnouncement, err error) {
+// readAnnouncements returns the announcements in the logs of all processes.
+func readAnnouncements(f *relayFleet) (announcements []relayAnnouncement, err error) {
 	files, err := filepath.Glob(f.path("*.log"))
 	if err != nil {
 		return nil, err
@@ -174,45 +184,49 @@
 		if err != nil {
 			return nil, err
 		}
-		lines = append(lines, parseAnnouncements(strings.TrimSuffix(filepath.Base(file), ".log"), text)...)
+		process := strings.TrimSuffix(filepath.Base(file), ".log")
+		announcements = append(announcements, parseAnnouncements(process, text)...)
 	}
-	return lines, nil
+	return announcements, nil
 }
 
-// parseAnnouncements are such lines of one log. Their times are cut to a microsecond, so each
-// counts from the next one.
-func parseAnnouncements(process string, text []byte) (lines []relayAnnouncement) {
+// parseAnnouncements returns the announcements in one log. The log truncates times to microseconds, so
+// parseAnnouncements adds one.
+func parseAnnouncements(process string, text []byte) (announcements []relayAnnouncement) {
 	for _, line := range bytes.Split(text, []byte("\n")) {
-		var said struct {
+		var entry struct {
 			Time    time.Time
 			Message string
 		}
-		if json.Unmarshal(line, &said) != nil {
+		if json.Unmarshal(line, &entry) != nil {
 			continue
 		}
 		var version uint64
-		if n, _ := fmt.Sscanf(said.Message, "fleet: policy: version %d is in force", &version); n == 1 {
-			lines = append(lines, relayAnnouncement{process, said.Time.Add(time.Microsecond), version})
+		n, _ := fmt.Sscanf(entry.Message, "fleet: policy: version %d is in force", &version)
+		if n == 1 {
+			a := relayAnnouncement{process, entry.Time.Add(time.Microsecond), version}
+			announcements = append(announcements, a)
 		}
 	}
-	return lines
+	return announcements
 }
 
-// allControllersActed tells whether engines have seen each controller act.
+// allControllersActed reports whether the engines have observed an action of each controller.
 func (f *relayFleet) allControllersActed() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return !slices.ContainsFunc(f.observedVersions, func(acts []versionObservation) bool { return len(acts) == 0 })
+	return !slices.ContainsFunc(f.observedVersions, func(l []versionObservation) bool { return len(l) == 0 })
 }
 
-// longestPause is the longest time between two acts of a controller since a moment; 0 without any.
+// longestPause returns the longest time between two observed actions of a controller, since a start time. It
+// returns 0 if there was no action.
 func (f *relayFleet) longestPause(controller int, since time.Duration) (longest time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	last := since
-	for _, act := range f.observedVersions[controller] {
-		if act.at >= since {
-			longest, last = max(longest, act.at-last), act.at
+	for _, observation := range f.observedVersions[controller] {
+		if observation.at >= since {
+			longest, last = max(longest, observation.at-last), observation.at
 		}
 	}
 	return longest
