--- a/internal/bench/fleet.go
+++ b/internal/bench/fleet.go
@@ -15,8 +15,8 @@
 
 // The kinds of faults in a simulated fleet.
 const (
-	// fleetLinkCut cuts the links between some controllers and an engine. Requests and responses that are
-	// sent meanwhile arrive once the links are restored, unless their connection was closed.
+	// fleetLinkCut cuts the links between some controllers and an engine. Data that is sent meanwhile
+	// arrives once the links are restored.
 	fleetLinkCut = "cut"
 	// fleetControllerStall stops some controllers, which process nothing until the fault ends.
 	fleetControllerStall = "stall"
@@ -57,7 +57,7 @@
 	EngineCount      int
 	SettingOverrides map[string]string
 	Utilization      float64       // load as a fraction of the capacity of all engines
-	LoadDuration     time.Duration // how long clients send queries; the run goes on until all have ended
+	LoadDuration     time.Duration // how long clients send queries; the run lasts 40 s longer
 	RequestFaultRate float64       // fraction of the requests to engines that a fault hits on their way
 	MaxDiscoveryLag  time.Duration // longest delay until a controller is sent a discovery event
 	Faults           []FleetFault
--- a/internal/bench/fleet_controllers.go
+++ b/internal/bench/fleet_controllers.go
@@ -25,7 +25,7 @@
 	conns             map[*controller.Connection]*fleetConn
 	stalledUntil      time.Duration
 	pendingDeliveries []func() // held back while the controller is stalled
-	timerSerial       int      // of the latest SetTimer, which replaces those before
+	timerGeneration   int      // number of SetTimer effects; each one replaces the timer before it
 	discoveryConn     *fleetConn
 	lastEvent         int // number of the latest discovery event that was sent
 	clientConn        *fleetConn
@@ -187,7 +187,8 @@
 // readDelay returns the time since a message arrived.
 func (c *fleetController) readDelay(arrived time.Duration) time.Duration { return c.now - arrived }
 
-// deliver calls do, which hands something to the controller: at once, or after the controller's stall.
+// deliver calls do, which hands an event or data to the controller. If the controller is stalled, deliver
+// calls do at the end of the stall.
 func (c *fleetController) deliver(do func()) {
 	if c.now < c.stalledUntil {
 		c.pendingDeliveries = append(c.pendingDeliveries, do)
@@ -246,11 +247,11 @@
 				c.scheduleAfter(0, func() { c.closeConn(conn) })
 			}
 		case controller.SetTimer:
-			c.timerSerial++
-			serial := c.timerSerial
+			c.timerGeneration++
+			generation := c.timerGeneration
 			c.scheduleAfter(effect.Timeout, func() {
 				c.deliver(func() {
-					if serial == c.timerSerial {
+					if generation == c.timerGeneration {
 						c.step(controller.Event{Kind: controller.TimerFired})
 					}
 				})
--- a/internal/bench/fleet_network.go
+++ b/internal/bench/fleet_network.go
@@ -11,9 +11,10 @@
 )
 
 // fleetLink is the network between a controller and an engine slot. Data that is sent while the link is cut
-// is held until the link is restored, and dropped if its connection was closed or aborted meanwhile.
+// is held until the link is restored. Then requests arrive unless their connection was aborted, and responses
+// arrive unless their connection was closed.
 type fleetLink struct {
-	cuts    int // the cuts that last; they may overlap
+	cuts    int // number of cuts in force, which may overlap
 	held    []func()
 	latency time.Duration
 }
