--- a/internal/bench/fleet_controllers.go
+++ b/internal/bench/fleet_controllers.go
@@ -136,13 +136,8 @@
 		lastMsg++
 		msg := lastMsg
 		id := fmt.Sprintf("%04x%012x", c.number, msg)
-		work := engine.Work{
-			Threads:    group.Threads,
-			MemoryMB:   group.MemoryMB,
-			TableGroup: int64(c.rng.IntN(20)),
-			Load:       group.Load,
-			Rows:       group.Rows,
-		}
+		work := engine.Work{Threads: group.Threads, MemoryMB: group.MemoryMB,
+			TableGroup: int64(c.rng.IntN(20)), Load: group.Load, Rows: group.Rows}
 		logCPU := c.rng.NormFloat64()*group.CPUSigma - group.CPUSigma*group.CPUSigma/2
 		work.CPU = time.Duration(float64(group.CPU) * math.Exp(logCPU))
 		work.Disk = time.Duration(float64(work.CPU) / group.Threads * group.DiskPerCPU)
@@ -156,14 +151,8 @@
 			lastSent[key] = at
 		}
 		c.scheduleAt(at, func() {
-			q := &world.Query{
-				ID:          id,
-				Group:       group.Name,
-				Msg:         msg,
-				SubmittedAt: c.now,
-				Deadline:    c.now + patience,
-				Work:        work,
-			}
+			q := &world.Query{ID: id, Group: group.Name, Msg: msg, SubmittedAt: c.now,
+				Deadline: c.now + patience, Work: work}
 			c.openQueries[msg], c.controllersByQuery[id] = q, c
 			c.result.Queries++
 			c.ensureClientConnected()
