--- a/internal/bench/datapath.go
+++ b/internal/bench/datapath.go
@@ -12,94 +12,104 @@
 	"railrelay.dev/railrelay/internal/capacity"
 )
 
-// Datapath measures what one controller's work for engines, clients and queries costs:
-// one real process before stand-in engines, clients and a feed that share another.
+// Datapath measures the cost of engines, clients and queries on one controller process. The emulated engines,
+// clients and feed all run in the process of the benchmark.
 type Datapath struct {
-	Program       string // the built railrelay
-	Controllers   int    // that its set-up says share the engines
-	EngineCounts  []int  // sizes that it idles before; the last is used for all else
-	QueryRates    []int  // queries a second
-	ClientCounts  []int  // sizes of the steps of idle connections
+	Program       string // path of the railrelay executable
+	Controllers   int    // number of controllers that share the engines, according to the set-up
+	EngineCounts  []int  // numbers of engines to idle with; the largest is used in all other steps
+	QueryRates    []int  // in queries/s
+	ClientCounts  []int  // numbers of idle clients, one for each step
 	StepDuration  time.Duration
 	Seed          uint64
-	ControllerLog io.Writer // of the controller
+	ControllerLog io.Writer // receives the controller's log
 }
 
-// DefaultDatapath are the sizes of docs/CAPACITY.md.
+// DefaultDatapath returns the sizes that docs/CAPACITY.md reports on.
 func DefaultDatapath() Datapath {
 	return Datapath{Program: "bin/railrelay", Controllers: 580, EngineCounts: []int{1, 10, 100, 740},
-		QueryRates: []int{740, 1897, 3700, 7400, 74000}, ClientCounts: []int{200, 1000, 2000, 4000, 7414}, StepDuration: 10 * time.Second, Seed: 1, ControllerLog: os.Stderr}
+		QueryRates: []int{740, 1897, 3700, 7400, 74000}, ClientCounts: []int{200, 1000, 2000, 4000, 7414},
+		StepDuration: 10 * time.Second, Seed: 1, ControllerLog: os.Stderr}
 }
 
 const (
-	// datapathRole is the role of all rows.
+	// datapathRole is the role in all rows of the measurement.
 	datapathRole = "controller"
-	// datapathQueryClients is how many connections queries are asked on.
+	// datapathQueryClients is the number of connections that queries are submitted on.
 	datapathQueryClients = 200
-	// specifiedControllerRate is the queries a second that a controller has in the mean.
+	// specifiedControllerRate is the mean rate of queries at one controller under the specified load, in
+	// queries/s.
 	specifiedControllerRate = 1897
-	// specifiedEngineRate is the queries a second that an engine has of all controllers.
+	// specifiedEngineRate is the mean rate of queries from all controllers at one engine under the specified
+	// load, in queries/s.
 	specifiedEngineRate = 1486
-	// maxConnectionsPerEngine bounds the connections to one engine that room is kept for.
+	// maxConnectionsPerEngine is the number of connections to one engine that Check reserves descriptors for.
 	maxConnectionsPerEngine = 4
-	// datapathSpareDescriptors are for the feed, the runtime and the like.
+	// datapathSpareDescriptors is the number of descriptors that Check reserves for the feed, the Go runtime
+	// and other uses.
 	datapathSpareDescriptors = 128
-	// datapathSettleTime is what a change of load is given before it is looked at.
+	// datapathSettleTime is the time from a change of the load to the start of sampling.
 	datapathSettleTime = 3 * time.Second
-	// datapathClientMB and engineMB are the memory that a client's and an engine's stand-in are
-	// reckoned with before anything starts.
+	// datapathClientMB and datapathEngineMB are estimates of the memory of one emulated client and of one
+	// emulated engine, by which Check rejects sizes before the start.
 	datapathClientMB, datapathEngineMB = 0.05, 0.5
-	// datapathMemoryFraction is the part of the machine's memory that a measurement may take.
+	// datapathMemoryFraction is the fraction of the machine's memory that a measurement may use.
 	datapathMemoryFraction = 0.5
 )
 
-// checkDatapathSizes tells whether each is 1 or more, and there is one.
-func checkDatapathSizes(what string, all []int) error {
-	if len(all) == 0 {
-		return &capacity.SizeError{What: what, Why: "none is named"}
+// checkDatapathSizes returns a *capacity.SizeError if counts is empty or contains a number below 1.
+func checkDatapathSizes(what string, counts []int) error {
+	if len(counts) == 0 {
+		return &capacity.SizeError{What: what, Why: "the list is empty"}
 	}
-	for _, size := range all {
+	for _, size := range counts {
 		if size < 1 {
-			return &capacity.SizeError{What: what, Why: fmt.Sprintf("%d is under 1", size)}
+			return &capacity.SizeError{What: what, Why: fmt.Sprintf("%d is below 1", size)}
 		}
 	}
 	return nil
 }
 
-// Check tells before anything starts whether the sizes can be measured on this machine:
-// nil, a *capacity.SizeError or a *capacity.RoomError.
+// Check reports before the start whether this machine can run the measurement. The error is a
+// *capacity.SizeError for an invalid size, or a *capacity.RoomError for a size that exceeds the machine's
+// resources.
 func (d Datapath) Check() error {
 	if d.StepDuration < time.Second {
-		return &capacity.SizeError{What: "rest", Why: fmt.Sprintf("%v is under a second", d.StepDuration)}
+		return &capacity.SizeError{What: "rest", Why: fmt.Sprintf("%v is below 1 s", d.StepDuration)}
 	}
-	for what, all := range map[string][]int{"engines": d.EngineCounts, "rates": d.QueryRates, "clients": d.ClientCounts} {
-		if err := checkDatapathSizes(what, all); err != nil {
+	for what, counts := range map[string][]int{"engines": d.EngineCounts, "rates": d.QueryRates,
+		"clients": d.ClientCounts} {
+		if err := checkDatapathSizes(what, counts); err != nil {
 			return err
 		}
 	}
 	engines, clients := slices.Max(d.EngineCounts), max(slices.Max(d.ClientCounts), datapathQueryClients)
-	if err := capacity.CheckDescriptors(clients + engines*(1+maxConnectionsPerEngine) + datapathSpareDescriptors); err != nil {
+	if err := capacity.CheckDescriptors(clients + engines*(1+maxConnectionsPerEngine) +
+		datapathSpareDescriptors); err != nil {
 		return err
 	}
-	return capacity.CheckMemory(float64(clients)*datapathClientMB+float64(engines)*datapathEngineMB, datapathMemoryFraction)
+	return capacity.CheckMemory(float64(clients)*datapathClientMB+float64(engines)*datapathEngineMB,
+		datapathMemoryFraction)
 }
 
-// Measure plays all parts and gives their figures; a part is told to out as it ends.
+// Measure runs all steps and returns their figures. It prints each figure to out when it is measured, and
+// returns the figures so far with an error.
 func (d Datapath) Measure(ctx context.Context, out io.Writer) ([]capacity.Row, error) {
 	if err := d.Check(); err != nil {
 		return nil, err
 	}
-	b := &datapathRecorder{seed: d.Seed, machine: capacity.Machine(), commit: capacity.Commit(), out: out}
-	parts := []func(context.Context, *datapathRecorder) error{d.measureIdle, d.measureIdleTimeout, d.measureIdleClients, d.measureQueries, d.measureSpecifiedLoad, d.measureTakeovers}
-	for _, part := range parts {
-		if err := part(ctx, b); err != nil {
-			return b.rows, err
+	recorder := &datapathRecorder{seed: d.Seed, machine: capacity.Machine(), commit: capacity.Commit(), out: out}
+	steps := []func(context.Context, *datapathRecorder) error{d.measureIdle, d.measureIdleTimeout,
+		d.measureIdleClients, d.measureQueries, d.measureSpecifiedLoad, d.measureTakeovers}
+	for _, step := range steps {
+		if err := step(ctx, recorder); err != nil {
+			return recorder.rows, err
 		}
 	}
-	return b.rows, nil
+	return recorder.rows, nil
 }
 
-// datapathRecorder gathers the rows of a run.
+// datapathRecorder collects the rows of a run and prints them to out.
 type datapathRecorder struct {
 	seed            uint64
 	machine, commit string
@@ -107,58 +117,61 @@
 	out             io.Writer
 }
 
-// record keeps a figure and tells it.
-func (b *datapathRecorder) record(what string, size int, value float64, unit string) {
-	b.recordWithSeed(what, size, b.seed, value, unit)
+// record adds a figure of the run's seed.
+func (r *datapathRecorder) record(what string, size int, value float64, unit string) {
+	r.recordWithSeed(what, size, r.seed, value, unit)
 }
 
-func (b *datapathRecorder) recordWithSeed(what string, size int, seed uint64, value float64, unit string) {
-	b.rows = append(b.rows, capacity.Row{Role: datapathRole, What: what, Size: size, Seed: seed, Value: value, Unit: unit,
-		Machine: b.machine, Commit: b.commit})
-	fmt.Fprintf(b.out, "%-34s %6d %14.3f %s\n", what, size, value, unit)
+// recordWithSeed adds a figure of another seed.
+func (r *datapathRecorder) recordWithSeed(what string, size int, seed uint64, value float64, unit string) {
+	r.rows = append(r.rows, capacity.Row{Role: datapathRole, What: what, Size: size, Seed: seed, Value: value,
+		Unit: unit, Machine: r.machine, Commit: r.commit})
+	fmt.Fprintf(r.out, "%-34s %6d %14.3f %s\n", what, size, value, unit)
 }
 
-// recordUsage keeps what a watch saw, its names begun alike.
-func (b *datapathRecorder) recordUsage(begin string, size int, x datapathUsage) {
-	b.record(begin+" memory", size, x.residentMB, "MB")
-	b.record(begin+" cpu", size, x.cpuMilliseconds, "ms/s")
-	b.record(begin+" control sent", size, x.controlSent, "bytes/s")
-	b.record(begin+" control received", size, x.controlReceived, "bytes/s")
-	b.record(begin+" engine connections", size, x.openConnections, "connections")
-	b.record(begin+" engine connections opened", size, x.connectionsOpened, "connections/s")
+// recordUsage adds the controller's usage. The figures' names begin with prefix.
+func (r *datapathRecorder) recordUsage(prefix string, size int, usage datapathUsage) {
+	r.record(prefix+" memory", size, usage.residentMB, "MB")
+	r.record(prefix+" cpu", size, usage.cpuMilliseconds, "ms/s")
+	r.record(prefix+" control sent", size, usage.controlSent, "bytes/s")
+	r.record(prefix+" control received", size, usage.controlReceived, "bytes/s")
+	r.record(prefix+" engine connections", size, usage.openConnections, "connections")
+	r.record(prefix+" engine connections opened", size, usage.connectionsOpened, "connections/s")
 }
 
-// measureIdle is a controller with nothing to do before engines of each size.
-func (d Datapath) measureIdle(ctx context.Context, b *datapathRecorder) error {
+// measureIdle measures a controller without clients with each number of engines.
+func (d Datapath) measureIdle(ctx context.Context, recorder *datapathRecorder) error {
 	for _, engines := range d.EngineCounts {
-		if err := d.measureIdleWithEngines(ctx, b, engines); err != nil {
+		if err := d.measureIdleWithEngines(ctx, recorder, engines); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func (d Datapath) measureIdleWithEngines(ctx context.Context, b *datapathRecorder, engines int) (err error) {
+func (d Datapath) measureIdleWithEngines(ctx context.Context, recorder *datapathRecorder,
+	engines int) (err error) {
 	s, err := d.start(ctx, engines, longIdleTimeout)
 	if err != nil {
 		return err
 	}
 	defer s.close()
-	b.record("start time", engines, float64(s.startDuration)/float64(time.Millisecond), "ms")
-	b.record("start list", engines, float64(s.feedListener.Traffic().Events), "bytes")
+	recorder.record("start time", engines, float64(s.startDuration)/float64(time.Millisecond), "ms")
+	recorder.record("start list", engines, float64(s.feedListener.Traffic().Events), "bytes")
 	if err := s.sleep(datapathSettleTime); err != nil {
 		return err
 	}
-	x, err := s.sample(d.StepDuration)
+	usage, err := s.sample(d.StepDuration)
 	if err != nil {
 		return err
 	}
-	b.recordUsage("idle", engines, x)
+	recorder.recordUsage("idle", engines, usage)
 	return s.stopController()
 }
 
-// measureIdleTimeout is how long clients that say nothing are kept by the platform's figures.
-func (d Datapath) measureIdleTimeout(ctx context.Context, b *datapathRecorder) error {
+// measureIdleTimeout measures after what time the controller closes idle client connections under the default
+// limits.
+func (d Datapath) measureIdleTimeout(ctx context.Context, recorder *datapathRecorder) error {
 	s, err := d.start(ctx, 1, "")
 	if err != nil {
 		return err
@@ -169,28 +182,28 @@
 		return err
 	}
 	defer clients.close()
-	const patience = 15 * time.Second
-	closed := clients.secondsUntilClosed(patience)
-	b.record("quiet closed", datapathQueryClients, float64(len(closed)), "connections")
+	const timeout = 15 * time.Second
+	closed := clients.secondsUntilClosed(timeout)
+	recorder.record("quiet closed", datapathQueryClients, float64(len(closed)), "connections")
 	if len(closed) > 0 {
-		b.record("quiet first closed", datapathQueryClients, slices.Min(closed), "s")
-		b.record("quiet last closed", datapathQueryClients, slices.Max(closed), "s")
+		recorder.record("quiet first closed", datapathQueryClients, slices.Min(closed), "s")
+		recorder.record("quiet last closed", datapathQueryClients, slices.Max(closed), "s")
 	}
 	return s.stopController()
 }
 
-// measureIdleClients is a controller before all engines with clients that ask nothing, each size
-// on a process of its own.
-func (d Datapath) measureIdleClients(ctx context.Context, b *datapathRecorder) error {
-	for _, n := range d.ClientCounts {
-		if err := d.measureIdleWithClients(ctx, b, n); err != nil {
+// measureIdleClients measures a controller with the largest number of engines and each number of idle
+// clients. Each step starts its own controller process.
+func (d Datapath) measureIdleClients(ctx context.Context, recorder *datapathRecorder) error {
+	for _, count := range d.ClientCounts {
+		if err := d.measureIdleWithClients(ctx, recorder, count); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func (d Datapath) measureIdleWithClients(ctx context.Context, b *datapathRecorder, n int) error {
+func (d Datapath) measureIdleWithClients(ctx context.Context, recorder *datapathRecorder, count int) error {
 	s, err := d.start(ctx, d.maxEngines(), longIdleTimeout)
 	if err != nil {
 		return err
@@ -200,7 +213,7 @@
 	if err != nil {
 		return err
 	}
-	clients, err := openIdleConnections(ctx, s.controllerAddress, n)
+	clients, err := openIdleConnections(ctx, s.controllerAddress, count)
 	if err != nil {
 		return err
 	}
@@ -209,99 +222,108 @@
 	if err != nil {
 		return err
 	}
-	b.record("clients step time", n, float64(clients.openDuration)/float64(time.Millisecond), "ms")
-	b.record("clients step cpu", n, float64(after.process.CPU-before.process.CPU)/float64(time.Millisecond), "ms")
+	recorder.record("clients step time", count, float64(clients.openDuration)/float64(time.Millisecond), "ms")
+	recorder.record("clients step cpu", count,
+		float64(after.process.CPU-before.process.CPU)/float64(time.Millisecond), "ms")
 	if err := s.sleep(datapathSettleTime); err != nil {
 		return err
 	}
-	x, err := s.sample(d.StepDuration)
+	usage, err := s.sample(d.StepDuration)
 	if err != nil {
 		return err
 	}
-	b.record("clients memory", n, x.residentMB, "MB")
-	b.record("clients cpu", n, x.cpuMilliseconds, "ms/s")
+	recorder.record("clients memory", count, usage.residentMB, "MB")
+	recorder.record("clients cpu", count, usage.cpuMilliseconds, "ms/s")
 	return s.stopController()
 }
 
 func (d Datapath) maxEngines() int { return slices.Max(d.EngineCounts) }
 
-// measureQueries is a controller before all engines at each rate.
-func (d Datapath) measureQueries(ctx context.Context, b *datapathRecorder) error {
+// measureQueries measures a controller with the largest number of engines at each query rate.
+func (d Datapath) measureQueries(ctx context.Context, recorder *datapathRecorder) error {
 	for _, rate := range d.QueryRates {
-		if err := d.measureQueryRate(ctx, b, "queries", rate, rate, datapathQueryClients); err != nil {
+		if err := d.measureQueryRate(ctx, recorder, "queries", rate, rate, datapathQueryClients); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// measureSpecifiedLoad is the letter's point: its rate over as many clients as the largest step.
-func (d Datapath) measureSpecifiedLoad(ctx context.Context, b *datapathRecorder) error {
-	n := slices.Max(d.ClientCounts)
-	return d.measureQueryRate(ctx, b, "letter", n, specifiedControllerRate, n)
+// measureSpecifiedLoad measures the specified load of one controller: specifiedControllerRate, over the
+// largest number of clients.
+func (d Datapath) measureSpecifiedLoad(ctx context.Context, recorder *datapathRecorder) error {
+	clients := slices.Max(d.ClientCounts)
+	return d.measureQueryRate(ctx, recorder, "letter", clients, specifiedControllerRate, clients)
 }
 
-func (d Datapath) measureQueryRate(ctx context.Context, b *datapathRecorder, begin string, size, rate, clients int) error {
+// measureQueryRate measures a controller at a rate, in queries/s, from a number of clients. The rows have the
+// given size, and names that begin with prefix.
+func (d Datapath) measureQueryRate(ctx context.Context, recorder *datapathRecorder, prefix string,
+	size, rate, clientCount int) error {
 	s, err := d.start(ctx, d.maxEngines(), longIdleTimeout)
 	if err != nil {
 		return err
 	}
 	defer s.close()
-	open, err := openIdleConnections(ctx, s.controllerAddress, clients)
+	clients, err := openIdleConnections(ctx, s.controllerAddress, clientCount)
 	if err != nil {
 		return err
 	}
-	defer open.close()
-	var seen datapathQueryCounts
-	x, err := s.sampleUnderQueries(open.connections, float64(rate), d.Seed, d.StepDuration, &seen)
+	defer clients.close()
+	var counts datapathQueryCounts
+	usage, err := s.sampleUnderQueries(clients.connections, float64(rate), d.Seed, d.StepDuration, &counts)
 	if err != nil {
 		return err
 	}
-	b.recordUsage(begin, size, x)
-	d.recordQueries(b, begin, size, x, &seen)
+	recorder.recordUsage(prefix, size, usage)
+	d.recordQueries(recorder, prefix, size, usage, &counts)
 	return s.stopController()
 }
 
-// sampleUnderQueries offers queries, and watches once they have settled.
-func (s *datapathTestbed) sampleUnderQueries(clients []net.Conn, rate float64, seed uint64, long time.Duration, seen *datapathQueryCounts) (datapathUsage, error) {
+// sampleUnderQueries submits queries at a rate and samples the controller's usage once the load has settled.
+// counts then holds the queries of the sampled time.
+func (s *datapathTestbed) sampleUnderQueries(clients []net.Conn, rate float64, seed uint64,
+	duration time.Duration, counts *datapathQueryCounts) (datapathUsage, error) {
 	ctx, stop := context.WithCancel(s.ctx)
 	defer stop()
-	ended := make(chan error, 1)
-	go func() { ended <- submitQueriesAtRate(ctx, clients, rate, seed, seen) }()
+	submitDone := make(chan error, 1)
+	go func() { submitDone <- submitQueriesAtRate(ctx, clients, rate, seed, counts) }()
 	if err := s.sleep(datapathSettleTime); err != nil {
 		return datapathUsage{}, err
 	}
-	seen.reset()
-	x, err := s.sample(long)
+	counts.reset()
+	usage, err := s.sample(duration)
 	stop()
-	if fault := <-ended; fault != nil {
-		return x, fault
+	if submitErr := <-submitDone; submitErr != nil {
+		return usage, submitErr
 	}
-	return x, err
+	return usage, err
 }
 
-func (d Datapath) recordQueries(b *datapathRecorder, begin string, size int, x datapathUsage, seen *datapathQueryCounts) {
-	seen.mu.Lock()
-	defer seen.mu.Unlock()
-	finished := float64(seen.finished) / x.seconds
-	b.record(begin+" asked", size, float64(seen.submitted)/x.seconds, "queries/s")
-	b.record(begin+" finished", size, finished, "queries/s")
-	b.record(begin+" deferred", size, float64(seen.deferred)/x.seconds, "queries/s")
-	b.record(begin+" killed", size, float64(seen.killed)/x.seconds, "queries/s")
-	if seen.finished > 0 {
-		b.record(begin+" p50", size, quantileOrZero(0.5, seen.latencies), "ms")
-		b.record(begin+" p99", size, quantileOrZero(0.99, seen.latencies), "ms")
-		b.record(begin+" cpu each", size, x.cpuMilliseconds*1000/finished, "us")
-		b.record(begin+" looks each", size, x.probes/finished, "looks/query")
+// recordQueries adds the figures of queries and of the traffic that they cause.
+func (d Datapath) recordQueries(recorder *datapathRecorder, prefix string, size int, usage datapathUsage,
+	counts *datapathQueryCounts) {
+	counts.mu.Lock()
+	defer counts.mu.Unlock()
+	finished := float64(counts.finished) / usage.seconds
+	recorder.record(prefix+" asked", size, float64(counts.submitted)/usage.seconds, "queries/s")
+	recorder.record(prefix+" finished", size, finished, "queries/s")
+	recorder.record(prefix+" deferred", size, float64(counts.deferred)/usage.seconds, "queries/s")
+	recorder.record(prefix+" killed", size, float64(counts.killed)/usage.seconds, "queries/s")
+	if counts.finished > 0 {
+		recorder.record(prefix+" p50", size, quantileOrZero(0.5, counts.latencies), "ms")
+		recorder.record(prefix+" p99", size, quantileOrZero(0.99, counts.latencies), "ms")
+		recorder.record(prefix+" cpu each", size, usage.cpuMilliseconds*1000/finished, "us")
+		recorder.record(prefix+" looks each", size, usage.probes/finished, "looks/query")
 	}
-	b.record(begin+" looks", size, x.probes, "looks/s")
-	b.record(begin+" looks an engine", size, x.probes/float64(d.maxEngines()), "looks/s")
-	b.record(begin+" engines reached", size, x.enginesReached, "engines in 1 s")
-	b.record(begin+" engine most", size, x.busiestEngineQueries, "queries in 1 s")
-	b.record(begin+" looks sent", size, x.probesSent, "bytes/s")
-	b.record(begin+" looks received", size, x.probesReceived, "bytes/s")
-	b.record(begin+" news sent", size, x.pollsSent, "bytes/s")
-	b.record(begin+" news received", size, x.pollsReceived, "bytes/s")
-	b.record(begin+" own sent", size, x.queriesSent, "bytes/s")
-	b.record(begin+" own received", size, x.queriesReceived, "bytes/s")
+	recorder.record(prefix+" looks", size, usage.probes, "looks/s")
+	recorder.record(prefix+" looks an engine", size, usage.probes/float64(d.maxEngines()), "looks/s")
+	recorder.record(prefix+" engines reached", size, usage.enginesReached, "engines in 1 s")
+	recorder.record(prefix+" engine most", size, usage.busiestEngineQueries, "queries in 1 s")
+	recorder.record(prefix+" looks sent", size, usage.probesSent, "bytes/s")
+	recorder.record(prefix+" looks received", size, usage.probesReceived, "bytes/s")
+	recorder.record(prefix+" news sent", size, usage.pollsSent, "bytes/s")
+	recorder.record(prefix+" news received", size, usage.pollsReceived, "bytes/s")
+	recorder.record(prefix+" own sent", size, usage.queriesSent, "bytes/s")
+	recorder.record(prefix+" own received", size, usage.queriesReceived, "bytes/s")
 }
--- a/internal/bench/datapath_clients.go
+++ b/internal/bench/datapath_clients.go
@@ -14,176 +14,183 @@
 	"railrelay.dev/railrelay/internal/emulator/engine"
 )
 
-// idleConnections are connections that have asked whether the controller is ready, and no more.
+// idleConnections are client connections that have sent one readiness request and nothing else.
 type idleConnections struct {
 	connections  []net.Conn
-	openDuration time.Duration // from the first dial until the last had its answer
+	openDuration time.Duration // from the first dial until the last connection had its answer
 }
 
 func (c *idleConnections) close() {
-	for _, x := range c.connections {
-		x.Close()
+	for _, connection := range c.connections {
+		connection.Close()
 	}
 }
 
-// openIdleConnections opens so many connections in one step, of which dialsAtOnce come up at a time.
+// openIdleConnections opens n connections to the controller, up to dialsAtOnce at a time.
 func openIdleConnections(ctx context.Context, address string, n int) (*idleConnections, error) {
 	const dialsAtOnce = 256
-	begun := time.Now()
+	start := time.Now()
 	clients := &idleConnections{connections: make([]net.Conn, 0, n)}
 	var mu sync.Mutex
-	var faults []error
-	turns := make(chan struct{}, dialsAtOnce)
-	var all sync.WaitGroup
+	var errs []error
+	slots := make(chan struct{}, dialsAtOnce)
+	var dials sync.WaitGroup
 	for range n {
-		turns <- struct{}{}
-		all.Go(func() {
-			defer func() { <-turns }()
+		slots <- struct{}{}
+		dials.Go(func() {
+			defer func() { <-slots }()
 			var dialer net.Dialer
-			c, err := dialer.DialContext(ctx, "tcp", address)
+			connection, err := dialer.DialContext(ctx, "tcp", address)
 			if err == nil {
-				err = requestReadiness(c)
+				err = requestReadiness(connection)
 			}
 			mu.Lock()
 			defer mu.Unlock()
-			if c != nil {
-				clients.connections = append(clients.connections, c)
+			if connection != nil {
+				clients.connections = append(clients.connections, connection)
 			}
 			if err != nil {
-				faults = append(faults, err)
+				errs = append(errs, err)
 			}
 		})
 	}
-	all.Wait()
-	clients.openDuration = time.Since(begun)
-	if len(faults) > 0 {
+	dials.Wait()
+	clients.openDuration = time.Since(start)
+	if len(errs) > 0 {
 		clients.close()
-		return nil, fmt.Errorf("%d of %d clients found no controller, the first: %w", len(faults), n, faults[0])
+		return nil, fmt.Errorf("%d of %d connections failed, the first with: %w", len(errs), n, errs[0])
 	}
 	return clients, nil
 }
 
-// secondsUntilClosed waits for the controller to close the connections, and gives when it closed
-// each, from now on; those still open after most are left out.
-func (c *idleConnections) secondsUntilClosed(most time.Duration) []float64 {
-	begun := time.Now()
+// secondsUntilClosed waits until the controller has closed all connections or the timeout has passed. It
+// returns the time from the call to the close of each connection, and omits the connections that are still
+// open.
+func (c *idleConnections) secondsUntilClosed(timeout time.Duration) []float64 {
+	start := time.Now()
 	var mu sync.Mutex
 	var seconds []float64
-	var all sync.WaitGroup
-	for _, x := range c.connections {
-		all.Go(func() {
-			x.SetReadDeadline(begun.Add(most))
-			_, err := x.Read(make([]byte, 16))
-			var late net.Error
-			if errors.As(err, &late) && late.Timeout() {
+	var reads sync.WaitGroup
+	for _, connection := range c.connections {
+		reads.Go(func() {
+			connection.SetReadDeadline(start.Add(timeout))
+			_, err := connection.Read(make([]byte, 16))
+			var netErr net.Error
+			if errors.As(err, &netErr) && netErr.Timeout() {
 				return
 			}
 			mu.Lock()
-			seconds = append(seconds, time.Since(begun).Seconds())
+			seconds = append(seconds, time.Since(start).Seconds())
 			mu.Unlock()
 		})
 	}
-	all.Wait()
+	reads.Wait()
 	return seconds
 }
 
-// datapathQueryCounts is queries sent at a rate whatever comes of them, and what came.
+// datapathQueryCounts counts submitted queries and their outcomes.
 type datapathQueryCounts struct {
 	mu                         sync.Mutex
 	submitted                  int
 	finished, deferred, killed int
-	latencies                  []float64 // of those finished, ms from when each was due to be sent
+	latencies                  []float64 // of finished queries, in ms from the time at which the query was due
 }
 
-// reset forgets what has come so far.
-func (o *datapathQueryCounts) reset() {
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	o.submitted, o.finished, o.deferred, o.killed, o.latencies = 0, 0, 0, 0, nil
+// reset sets all counts to zero.
+func (c *datapathQueryCounts) reset() {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.submitted, c.finished, c.deferred, c.killed, c.latencies = 0, 0, 0, 0, nil
 }
 
-// datapathClient is one connection that queries are sent on.
+// datapathClient submits queries on one connection.
 type datapathClient struct {
 	net.Conn
 	index       int
 	counts      *datapathQueryCounts
 	mu          sync.Mutex
 	lastMessage uint32
-	dueTimes    map[uint32]time.Time // when each was due to be sent
+	dueTimes    map[uint32]time.Time // of the open queries, by message id
 }
 
-// maxOpenQueries bounds the queries open on one connection: the protocol allows 32.
+// maxOpenQueries is the limit of open queries on one connection, which the protocol sets to 32.
 const maxOpenQueries = 32
 
-// submit sends a query that was due at a time. false: too many are open here.
-func (a *datapathClient) submit(due time.Time, statement []byte) (bool, error) {
-	a.mu.Lock()
-	if len(a.dueTimes) >= maxOpenQueries {
-		a.mu.Unlock()
+// submit sends a query whose latency counts from due. It returns false and sends nothing if the connection
+// already has maxOpenQueries open queries.
+func (c *datapathClient) submit(due time.Time, statement []byte) (bool, error) {
+	c.mu.Lock()
+	if len(c.dueTimes) >= maxOpenQueries {
+		c.mu.Unlock()
 		return false, nil
 	}
-	a.lastMessage++
-	number := a.lastMessage
-	a.dueTimes[number] = due
-	a.mu.Unlock()
-	trace := fmt.Sprintf("%08x%08x", a.index+1, number)
-	_, err := a.Write(client.AppendQuery(nil, number, "lookup", statement, "trace", trace, "patience", "5000", "team", "a"))
+	c.lastMessage++
+	message := c.lastMessage
+	c.dueTimes[message] = due
+	c.mu.Unlock()
+	trace := fmt.Sprintf("%08x%08x", c.index+1, message)
+	_, err := c.Write(client.AppendQuery(nil, message, "lookup", statement,
+		"trace", trace, "patience", "5000", "team", "a"))
 	return true, err
 }
 
-func (a *datapathClient) handleAnswer(answer client.Answer) {
-	a.mu.Lock()
-	due, is := a.dueTimes[answer.Msg]
-	delete(a.dueTimes, answer.Msg)
-	a.mu.Unlock()
-	if !is {
+// handleAnswer counts the answer to an open query and ignores all other answers.
+func (c *datapathClient) handleAnswer(answer client.Answer) {
+	c.mu.Lock()
+	due, known := c.dueTimes[answer.Msg]
+	delete(c.dueTimes, answer.Msg)
+	c.mu.Unlock()
+	if !known {
 		return
 	}
-	a.counts.mu.Lock()
-	defer a.counts.mu.Unlock()
+	c.counts.mu.Lock()
+	defer c.counts.mu.Unlock()
 	switch answer.Kind {
 	case client.Finished:
-		a.counts.finished++
-		a.counts.latencies = append(a.counts.latencies, float64(time.Since(due))/float64(time.Millisecond))
+		c.counts.finished++
+		c.counts.latencies = append(c.counts.latencies, float64(time.Since(due))/float64(time.Millisecond))
 	case client.Deferred:
-		a.counts.deferred++
+		c.counts.deferred++
 	default:
-		a.counts.killed++
+		c.counts.killed++
 	}
 }
 
-// lookupCPUTime is a query's time on one thread: 1,486 a second keep an engine of 8 cores a
-// little under half busy.
+// lookupCPUTime is the CPU time of a query, which runs on one thread. At 1,486 queries/s, the
+// specifiedEngineRate, an engine of 8 cores is slightly less than half busy.
 const lookupCPUTime = 2500 * time.Microsecond
 
-func lookupWork(tables int64) engine.Work {
-	return engine.Work{Threads: 1, CPU: lookupCPUTime, MemoryMB: 1, TableGroup: tables, Rows: 1, PlanFactor: 1}
+func lookupWork(tableGroup int64) engine.Work {
+	return engine.Work{Threads: 1, CPU: lookupCPUTime, MemoryMB: 1, TableGroup: tableGroup, Rows: 1,
+		PlanFactor: 1}
 }
 
-// submitQueriesAtRate sends queries at a rate a second over connections in turn, with exponential gaps
-// drawn from a seed, until ctx ends. One that finds its connection with too many open
-// isn't sent, and is counted as asked.
-func submitQueriesAtRate(ctx context.Context, clients []net.Conn, rate float64, seed uint64, seen *datapathQueryCounts) error {
-	askers := make([]*datapathClient, len(clients))
-	for i, c := range clients {
-		askers[i] = &datapathClient{Conn: c, index: i, counts: seen, dueTimes: map[uint32]time.Time{}}
-		go client.ReadAll(askers[i], askers[i].handleAnswer)
+// submitQueriesAtRate submits queries at a rate, in queries/s, until ctx ends. It uses the connections in
+// turn, with exponentially distributed gaps between queries that follow from the seed. A query whose
+// connection already has maxOpenQueries open queries is counted as submitted but not sent.
+func submitQueriesAtRate(ctx context.Context, connections []net.Conn, rate float64, seed uint64,
+	counts *datapathQueryCounts) error {
+	clients := make([]*datapathClient, len(connections))
+	for i, connection := range connections {
+		clients[i] = &datapathClient{Conn: connection, index: i, counts: counts, dueTimes: map[uint32]time.Time{}}
+		go client.ReadAll(clients[i], clients[i].handleAnswer)
 	}
 	rng := rand.New(rand.NewPCG(seed, 1))
 	due := time.Now()
-	for next := 0; ctx.Err() == nil; {
+	for nextClient := 0; ctx.Err() == nil; {
 		gap := -math.Log(1-rng.Float64()) / rate
 		due = due.Add(time.Duration(gap * float64(time.Second)))
 		if wait := time.Until(due); wait > time.Millisecond {
 			time.Sleep(wait)
 		}
-		seen.mu.Lock()
-		seen.submitted++
-		seen.mu.Unlock()
-		if _, err := askers[next].submit(due, engine.Statement(lookupWork(int64(rng.IntN(1000))))); err != nil {
-			return fmt.Errorf("the controller closed a connection that was asked on: %w", err)
+		counts.mu.Lock()
+		counts.submitted++
+		counts.mu.Unlock()
+		if _, err := clients[nextClient].submit(due,
+			engine.Statement(lookupWork(int64(rng.IntN(1000))))); err != nil {
+			return fmt.Errorf("sending a query to the controller: %w", err)
 		}
-		next = (next + 1) % len(askers)
+		nextClient = (nextClient + 1) % len(clients)
 	}
 	return nil
 }
--- a/internal/bench/datapath_takeover.go
+++ b/internal/bench/datapath_takeover.go
@@ -12,103 +12,107 @@
 	"railrelay.dev/railrelay/internal/emulator/engine"
 )
 
-// A table group's loads follow one another at one engine, their chain's. takeover is how
-// soon another engine has the chain once that one is lost. The list of engines says
-// nothing of it, so the controller has to find out by itself.
+// The loads of a table group form a chain, which runs at one engine. The takeover time is the time from
+// the failure of that engine until another engine receives a load of the chain. The feed doesn't report
+// the failure, so the controller has to detect it by itself.
 
-// engineFailure is a way of losing an engine.
+// engineFailure is a way in which an engine fails.
 type engineFailure struct {
 	name string
 	fail func(*engine.Listener)
 }
 
 var engineFailures = []engineFailure{
-	// its process ends: connections are closed, new ones refused
+	// The engine's process ends: its connections are closed, and new ones are refused.
 	{"killed", func(e *engine.Listener) { e.Close() }},
-	// its machine is cut off: connections stay open, nothing answers
+	// The engine's machine loses its network: connections stay open, but no request is answered.
 	{"silent", func(e *engine.Listener) {
 		e.WithServer(func(now time.Duration, s *engine.Server) { s.SetUnreachable(now, true) })
 	}},
 }
 
 const (
-	// takeoverRounds is how many engines are lost in each way.
+	// takeoverRounds is the number of engines that fail in each way.
 	takeoverRounds = 3
-	// loadInterval is how often a load is asked for.
+	// loadInterval is the time between two loads.
 	loadInterval = 100 * time.Millisecond
-	// loadCPUTime is how long one runs.
+	// loadCPUTime is the CPU time of one load.
 	loadCPUTime = 50 * time.Millisecond
-	// minChainLength is how many loads one after the other at one engine make its chain.
+	// minChainLength is the number of successive loads at one engine that identifies the chain's engine.
 	minChainLength = 5
-	// takeoverTimeout is how long a chain may be without an engine.
+	// takeoverTimeout is the time limit of each wait for the chain.
 	takeoverTimeout = 30 * time.Second
 )
 
-var errNoTakeover = errors.New("no engine took the table group's loads over")
+var errNoTakeover = errors.New("no engine took over the chain of the table group in time")
 
-// submittedLoad is a load that came to run at an engine.
+// submittedLoad is a load that an engine accepted.
 type submittedLoad struct {
 	engine      int
 	submittedAt time.Time
 }
 
-// loadClient asks for loads of one table group, one after the other.
+// loadClient submits loads of one table group on one connection.
 type loadClient struct {
 	net.Conn
-	mu        sync.Mutex
-	submitted map[uint32]time.Time
-	answered  []answeredLoad
+	mu         sync.Mutex
+	unanswered map[uint32]time.Time // time of submission, by message id
+	answered   []answeredLoad
 }
 
-// answeredLoad is a load's answer.
+// answeredLoad is a load with its answer.
 type answeredLoad struct {
 	submittedAt time.Time
 	latency     time.Duration
 	kind        client.Kind
 }
 
+// submitUntilDone submits a load each loadInterval until ctx ends.
 func (l *loadClient) submitUntilDone(ctx context.Context) {
-	statement := engine.Statement(engine.Work{Threads: 1, CPU: loadCPUTime, MemoryMB: 1, TableGroup: 7, Load: true, Rows: 1, PlanFactor: 1})
-	every := time.NewTicker(loadInterval)
-	defer every.Stop()
-	for number := uint32(1); ; number++ {
+	statement := engine.Statement(engine.Work{Threads: 1, CPU: loadCPUTime, MemoryMB: 1, TableGroup: 7,
+		Load: true, Rows: 1, PlanFactor: 1})
+	ticker := time.NewTicker(loadInterval)
+	defer ticker.Stop()
+	for message := uint32(1); ; message++ {
 		select {
 		case <-ctx.Done():
 			return
-		case now := <-every.C:
+		case now := <-ticker.C:
 			l.mu.Lock()
-			l.submitted[number] = now
+			l.unanswered[message] = now
 			l.mu.Unlock()
 		}
-		trace := fmt.Sprintf("%016x", number)
-		l.Write(client.AppendQuery(nil, number, "load", statement, "trace", trace, "patience", "20000", "entity", trace, "team", "a"))
+		trace := fmt.Sprintf("%016x", message)
+		l.Write(client.AppendQuery(nil, message, "load", statement,
+			"trace", trace, "patience", "20000", "entity", trace, "team", "a"))
 	}
 }
 
+// handleAnswer records the answer to a load and ignores all other answers.
 func (l *loadClient) handleAnswer(answer client.Answer) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if asked, is := l.submitted[answer.Msg]; is {
-		delete(l.submitted, answer.Msg)
-		l.answered = append(l.answered, answeredLoad{asked, time.Since(asked), answer.Kind})
+	if submittedAt, known := l.unanswered[answer.Msg]; known {
+		delete(l.unanswered, answer.Msg)
+		l.answered = append(l.answered, answeredLoad{submittedAt, time.Since(submittedAt), answer.Kind})
 	}
 }
 
-// latencyBetween is the longest that a load asked for between two moments took to its answer, and
-// how many were not carried out; false while one of them has none.
-func (l *loadClient) latencyBetween(from, to time.Time) (worst time.Duration, failed int, all bool) {
+// latencyBetween returns the longest latency of the loads submitted in a period, and how many of them did not
+// finish. complete is false while any of them is unanswered.
+func (l *loadClient) latencyBetween(from, to time.Time) (worst time.Duration, failed int, complete bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	within := func(at time.Time) bool { return !at.Before(from) && !at.After(to) }
-	for _, at := range l.submitted {
-		if within(at) {
+	inRange := func(at time.Time) bool { return !at.Before(from) && !at.After(to) }
+	for _, at := range l.unanswered {
+		if inRange(at) {
 			return 0, 0, false
 		}
 	}
-	for _, x := range l.answered {
-		if within(x.submittedAt) {
-			worst = max(worst, x.latency)
-			if x.kind != client.Finished {
+	for _, load := range l.answered {
+		if inRange(load.submittedAt) {
+			worst = max(worst, load.latency)
+			if load.kind != client.Finished {
 				failed++
 			}
 		}
@@ -116,109 +120,118 @@
 	return worst, failed, true
 }
 
-// measureTakeovers loses the engine of a chain in each way, and keeps how soon another had it.
-func (d Datapath) measureTakeovers(ctx context.Context, b *datapathRecorder) error {
-	for _, way := range engineFailures {
-		if err := d.measureTakeoverAfter(ctx, b, way); err != nil {
-			return fmt.Errorf("an engine that is %s: %w", way.name, err)
+// measureTakeovers measures the takeover time after each kind of engine failure.
+func (d Datapath) measureTakeovers(ctx context.Context, recorder *datapathRecorder) error {
+	for _, failure := range engineFailures {
+		if err := d.measureTakeoverAfter(ctx, recorder, failure); err != nil {
+			return fmt.Errorf("takeover from an engine that is %s: %w", failure.name, err)
 		}
 	}
 	return nil
 }
 
-func (d Datapath) measureTakeoverAfter(ctx context.Context, b *datapathRecorder, way engineFailure) error {
+func (d Datapath) measureTakeoverAfter(ctx context.Context, recorder *datapathRecorder,
+	failure engineFailure) error {
 	s, err := d.start(ctx, d.maxEngines(), longIdleTimeout)
 	if err != nil {
 		return err
 	}
 	defer s.close()
-	came := make(chan submittedLoad, 1024)
+	submissions := make(chan submittedLoad, 1024)
 	for i, e := range s.engines {
-		e.WithServer(func(_ time.Duration, x *engine.Server) {
-			x.OnSubmit = func(string, string, int, time.Duration) {
+		e.WithServer(func(_ time.Duration, server *engine.Server) {
+			server.OnSubmit = func(string, string, int, time.Duration) {
 				select {
-				case came <- submittedLoad{i, time.Now()}:
-				default: // nobody waits for it
+				case submissions <- submittedLoad{i, time.Now()}:
+				default: // no round is waiting for loads
 				}
 			}
 		})
 	}
-	c, err := net.Dial("tcp", s.controllerAddress)
+	connection, err := net.Dial("tcp", s.controllerAddress)
 	if err != nil {
 		return err
 	}
-	defer c.Close()
-	l := &loadClient{Conn: c, submitted: map[uint32]time.Time{}}
-	asking, stop := context.WithCancel(ctx)
+	defer connection.Close()
+	loads := &loadClient{Conn: connection, unanswered: map[uint32]time.Time{}}
+	submitting, stop := context.WithCancel(ctx)
 	defer stop()
-	go client.ReadAll(l, l.handleAnswer)
-	go l.submitUntilDone(asking)
+	go client.ReadAll(loads, loads.handleAnswer)
+	go loads.submitUntilDone(submitting)
 	for round := range uint64(takeoverRounds) {
-		if err := d.measureTakeoverRound(b, way, s, l, came, round); err != nil {
+		if err := d.measureTakeoverRound(recorder, failure, s, loads, submissions, round); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func (d Datapath) measureTakeoverRound(b *datapathRecorder, way engineFailure, s *datapathTestbed, l *loadClient, came <-chan submittedLoad, round uint64) error {
-	lost, err := waitForChain(s.ctx, came)
+// measureTakeoverRound lets the chain's engine fail once. It records the takeover time, the longest
+// latency of the loads submitted before the takeover, and how many of these failed.
+func (d Datapath) measureTakeoverRound(recorder *datapathRecorder, failure engineFailure, s *datapathTestbed,
+	loads *loadClient, submissions <-chan submittedLoad, round uint64) error {
+	failedEngine, err := waitForChain(s.ctx, submissions)
 	if err != nil {
 		return err
 	}
-	begun := time.Now()
-	way.fail(s.engines[lost])
-	next, err := waitForTakeover(s.ctx, came, lost, begun)
+	failedAt := time.Now()
+	failure.fail(s.engines[failedEngine])
+	takenOverAt, err := waitForTakeover(s.ctx, submissions, failedEngine, failedAt)
 	if err != nil {
 		return err
 	}
-	b.recordWithSeed("takeover "+way.name, d.maxEngines(), d.Seed+round, float64(next.Sub(begun))/float64(time.Millisecond), "ms")
-	for end := time.Now().Add(takeoverTimeout); time.Now().Before(end); {
+	recorder.recordWithSeed("takeover "+failure.name, d.maxEngines(), d.Seed+round,
+		float64(takenOverAt.Sub(failedAt))/float64(time.Millisecond), "ms")
+	for deadline := time.Now().Add(takeoverTimeout); time.Now().Before(deadline); {
 		if err := s.sleep(loadInterval); err != nil {
 			return err
 		}
-		worst, failed, all := l.latencyBetween(begun.Add(-loadInterval), next)
-		if all {
-			b.recordWithSeed("takeover "+way.name+" answer", d.maxEngines(), d.Seed+round, float64(worst)/float64(time.Millisecond), "ms")
-			b.recordWithSeed("takeover "+way.name+" failed", d.maxEngines(), d.Seed+round, float64(failed), "loads")
+		worst, failed, complete := loads.latencyBetween(failedAt.Add(-loadInterval), takenOverAt)
+		if complete {
+			recorder.recordWithSeed("takeover "+failure.name+" answer", d.maxEngines(), d.Seed+round,
+				float64(worst)/float64(time.Millisecond), "ms")
+			recorder.recordWithSeed("takeover "+failure.name+" failed", d.maxEngines(), d.Seed+round,
+				float64(failed), "loads")
 			return nil
 		}
 	}
 	return errNoTakeover
 }
 
-// waitForChain waits until some loads one after the other came to one engine.
-func waitForChain(ctx context.Context, came <-chan submittedLoad) (int, error) {
-	most := time.After(takeoverTimeout)
+// waitForChain waits until minChainLength successive loads ran at the same engine, and returns that engine.
+func waitForChain(ctx context.Context, submissions <-chan submittedLoad) (int, error) {
+	timeout := time.After(takeoverTimeout)
 	last, length := -1, 0
 	for length < minChainLength {
 		select {
-		case p := <-came:
-			if p.engine != last {
-				last, length = p.engine, 0
+		case load := <-submissions:
+			if load.engine != last {
+				last, length = load.engine, 0
 			}
 			length++
 		case <-ctx.Done():
 			return 0, ctx.Err()
-		case <-most:
+		case <-timeout:
 			return 0, errNoTakeover
 		}
 	}
 	return last, nil
 }
 
-// waitForTakeover waits for the first load after a moment at another engine.
-func waitForTakeover(ctx context.Context, came <-chan submittedLoad, lost int, after time.Time) (time.Time, error) {
-	most := time.After(takeoverTimeout)
+// waitForTakeover waits for the first load after a time at an engine other than failedEngine, and returns
+// the time of its submission.
+func waitForTakeover(ctx context.Context, submissions <-chan submittedLoad, failedEngine int,
+	after time.Time) (time.Time, error) {
+	timeout := time.After(takeoverTimeout)
 	for {
 		select {
-		case p := <-came:
-			if p.engine != lost && p.submittedAt.After(after) {
-				return p.submittedAt, nil
+		case load := <-submissions:
+			if load.engine != failedEngine && load.submittedAt.After(after) {
+				return load.submittedAt, nil
 			}
 		case <-ctx.Done():
 			return time.Time{}, ctx.Err()
-		case <-most:
+		case <-timeout:
 			return time.Time{}, errNoTakeover
 		}
 	}
--- a/internal/bench/try.go
+++ b/internal/bench/try.go
@@ -24,19 +24,20 @@
 	"railrelay.dev/railrelay/internal/emulator/loopback"
 )
 
-// Trial is a short look at a controller with teams, on sockets of this machine.
+// Trial runs a controller process for a short time with emulated engines and clients of several teams,
+// which it connects to over sockets of this machine.
 type Trial struct {
-	Program       string // the built railrelay
+	Program       string // path of the railrelay executable
 	Engines       int
-	Duration      time.Duration
+	Duration      time.Duration // for which queries are submitted
 	Seed          uint64
-	ControllerLog io.Writer // what the controller logs
+	ControllerLog io.Writer // receives the controller's log
 }
 
-// trialTeams are its teams; the last floods.
+// trialTeams lists the teams of a trial. The last team submits far more queries than its share allows.
 var trialTeams = []struct {
-	kind, name   string
-	share, demand  float64 // of the engines: by weight, and asked for
+	kind, name             string
+	share, demand          float64 // fractions of the engines' cores: by weight, and requested
 	kindWeight, teamWeight int
 }{
 	{"municipalities", "linz", 0.30, 0.28, 5, 3}, {"municipalities", "steyr", 0.20, 0.15, 5, 2},
@@ -44,104 +45,111 @@
 	{"gauges", "upper", 0.10, 0.05, 2, 1}, {"gauges", "flood", 0.10, 3.0, 2, 1},
 }
 
-// TrialTeamResult is what a trial saw of a team.
+// TrialTeamResult summarizes one team's queries in a trial.
 type TrialTeamResult struct {
 	Team                                  string
 	Submitted, Finished, Deferred, Killed int
-	WorkShare, WeightShare                float64 // of the work done, and by weight
-	MeanEstimate, MeanWait                time.Duration
-	AccurateEstimates                     float64 // of first estimates
+	WorkShare, WeightShare                float64       // fractions: of the finished work, and by weight
+	MeanEstimate, MeanWait                time.Duration // time to the start: first estimate, and actual
+	AccurateEstimates                     float64       // fraction of the first estimates
 }
 
-// trialEngineConfig is its engines' figures. They only reckon: six of them take a small
-// part of one core.
+// trialEngineConfig returns the configuration of the emulated engines. An emulated engine only computes
+// the progress of its queries, so that six engines use a small part of one core.
 func trialEngineConfig() engine.Config {
-	f := engine.DefaultConfig()
-	f.Cores, f.DiskParallelism, f.MemoryMB = 8, 16, 16384
-	return f
+	config := engine.DefaultConfig()
+	config.Cores, config.DiskParallelism, config.MemoryMB = 8, 16, 16384
+	return config
 }
 
+// setupText returns the set-up file of a controller for the feed and the listening address.
 func (t *Trial) setupText(feedAddress, listen string) string {
 	var b strings.Builder
-	fmt.Fprintf(&b, "name: try\nlisten: %s\nfeed: %s\nseed: %x\nlog: warn\nlimits: {cores: 1, memory_mb: 256, sockets: 1024}\n", listen, feedAddress, t.Seed)
-	f := trialEngineConfig()
-	fmt.Fprintf(&b, "engines:\n  kinds: [{name: std, cores: %g, memory_mb: %g}]\ngroups:\n", f.Cores, f.MemoryMB)
+	fmt.Fprintf(&b, "name: try\nlisten: %s\nfeed: %s\nseed: %x\nlog: warn\n"+
+		"limits: {cores: 1, memory_mb: 256, sockets: 1024}\n", listen, feedAddress, t.Seed)
+	engineConfig := trialEngineConfig()
+	fmt.Fprintf(&b, "engines:\n  kinds: [{name: std, cores: %g, memory_mb: %g}]\ngroups:\n",
+		engineConfig.Cores, engineConfig.MemoryMB)
 	for _, k := range Usual() {
 		effect := "read-only"
 		if k.Load {
 			effect = "mutating"
 		}
-		fmt.Fprintf(&b, "  - {name: %s, threads: %g, value: %g, target: %v, stretch: 2, effect: %s, in_order: %t, load: %t}\n",
+		fmt.Fprintf(&b,
+			"  - {name: %s, threads: %g, value: %g, target: %v, stretch: 2, effect: %s, in_order: %t, load: %t}\n",
 			k.Name, k.Threads, k.Value, k.Target, effect, k.Load, k.Load)
 	}
 	b.WriteString("clients:\n  - {name: all, addresses: [127.0.0.0/8], open: 4096, messages: 20000, idle: 1m}\n")
-	b.WriteString("fairness:\n  fields: {team: team, tell: tell, again: first}\n  trusted: [127.0.0.0/8]\n  teams:\n")
+	b.WriteString("fairness:\n  fields: {team: team, tell: tell, again: first}\n  trusted: [127.0.0.0/8]\n" +
+		"  teams:\n")
 	kind := ""
-	for _, x := range trialTeams {
-		if x.kind != kind {
-			kind = x.kind
-			fmt.Fprintf(&b, "    - name: %s\n      weight: %d\n      teams:\n", kind, x.kindWeight)
+	for _, team := range trialTeams {
+		if team.kind != kind {
+			kind = team.kind
+			fmt.Fprintf(&b, "    - name: %s\n      weight: %d\n      teams:\n", kind, team.kindWeight)
 		}
-		fmt.Fprintf(&b, "        - {name: %s, weight: %d}\n", x.name, x.teamWeight)
+		fmt.Fprintf(&b, "        - {name: %s, weight: %d}\n", team.name, team.teamWeight)
 	}
 	return b.String()
 }
 
-// trialQuery is one query of a trial.
+// trialQuery records one query of a trial.
 type trialQuery struct {
 	team                  int
 	id                    string
 	work                  engine.Work
 	sentAt                time.Time
-	firstEstimate         time.Duration
-	startedAt, answeredAt time.Time
+	firstEstimate         time.Duration // of the time to the start; negative without an estimate
+	startedAt, answeredAt time.Time     // startedAt is zero if no engine received the query
 	outcome               client.Kind
 }
 
-// trialRecorder keeps what the clients and engines saw.
+// trialRecorder collects the queries of a trial. The clients and the engines update it.
 type trialRecorder struct {
 	mu        sync.Mutex
 	queryByID map[string]*trialQuery
 	queries   []*trialQuery
 }
 
-// Run plays it and gives what was seen of each team.
-func (t *Trial) Run(ctx context.Context) (rows []TrialTeamResult, err error) {
-	seen := &trialRecorder{queryByID: map[string]*trialQuery{}}
+// Run runs the trial and returns one result for each team.
+func (t *Trial) Run(ctx context.Context) (results []TrialTeamResult, err error) {
+	recorder := &trialRecorder{queryByID: map[string]*trialQuery{}}
 	err = t.withController(ctx, t.setupText, func(id string) {
-		seen.mu.Lock()
-		if q := seen.queryByID[id]; q != nil && q.startedAt.IsZero() {
+		recorder.mu.Lock()
+		if q := recorder.queryByID[id]; q != nil && q.startedAt.IsZero() {
 			q.startedAt = time.Now()
 		}
-		seen.mu.Unlock()
+		recorder.mu.Unlock()
 	}, func(ctx context.Context, address string) error {
 		var wg sync.WaitGroup
-		faults := make([]error, len(trialTeams))
+		errs := make([]error, len(trialTeams))
 		for i := range trialTeams {
 			wg.Add(1)
 			go func() {
 				defer wg.Done()
-				faults[i] = t.runClient(ctx, address, i, seen)
+				errs[i] = t.runClient(ctx, address, i, recorder)
 			}()
 		}
 		wg.Wait()
-		return errors.Join(faults...)
+		return errors.Join(errs...)
 	})
 	if err != nil {
 		return nil, err
 	}
-	return t.teamResults(seen), nil
+	return t.teamResults(recorder), nil
 }
 
-// withController has something done with engines, a feed and a controller of a set-up, which
-// setup writes for the feed's address and the one to listen on.
-func (t *Trial) withController(ctx context.Context, setup func(feedAddress, listen string) string, posted func(id string),
-	do func(ctx context.Context, address string) error) (err error) {
-	s, err := newControllerTestbed(ctx, t.Program, t.Engines, trialEngineConfig(), t.ControllerLog, func(_ int, s *engine.Server) {
-		if posted != nil {
-			s.OnSubmit = func(id, _ string, _ int, _ time.Duration) { posted(id) }
-		}
-	})
+// withController starts engines, a feed and a controller, calls run with the controller's address, and stops
+// all of them. setup returns the controller's set-up file for the feed's and the controller's address.
+// onSubmit, if not nil, is called with the id of each query that an engine accepts.
+func (t *Trial) withController(ctx context.Context, setup func(feedAddress, listen string) string,
+	onSubmit func(id string), run func(ctx context.Context, address string) error) (err error) {
+	s, err := newControllerTestbed(ctx, t.Program, t.Engines, trialEngineConfig(), t.ControllerLog,
+		func(_ int, s *engine.Server) {
+			if onSubmit != nil {
+				s.OnSubmit = func(id, _ string, _ int, _ time.Duration) { onSubmit(id) }
+			}
+		})
 	if err != nil {
 		return err
 	}
@@ -150,48 +158,51 @@
 		return err
 	}
 	defer func() { err = errors.Join(err, s.stopController()) }()
-	return do(ctx, s.controllerAddress)
+	return run(ctx, s.controllerAddress)
 }
 
-// controllerTestbed is engines, a feed and a controller that may be killed and begun again.
+// controllerTestbed consists of emulated engines, a feed, and a controller process that can be killed and
+// restarted.
 type controllerTestbed struct {
 	ctx                            context.Context
 	program                        string
 	controllerLog                  io.Writer
 	feedAddress, controllerAddress string
 	dir                            string
-	command                        *exec.Cmd
-	cleanups                       []func()
+	command                        *exec.Cmd // the running controller, or nil
+	cleanups                       []func()  // called in reverse order by close
 }
 
-// newControllerTestbed starts engines and a feed; each is told of each engine.
-func newControllerTestbed(ctx context.Context, program string, engines int, figures engine.Config, log io.Writer, each func(i int, s *engine.Server)) (s *controllerTestbed, err error) {
+// newControllerTestbed starts engines and a feed that lists them, but no controller. It calls configure with
+// the index and the server of each engine.
+func newControllerTestbed(ctx context.Context, program string, engines int, engineConfig engine.Config,
+	controllerLog io.Writer, configure func(i int, s *engine.Server)) (s *controllerTestbed, err error) {
 	ctx, stop := context.WithCancel(ctx)
-	s = &controllerTestbed{ctx: ctx, program: program, controllerLog: log, cleanups: []func(){stop}}
+	s = &controllerTestbed{ctx: ctx, program: program, controllerLog: controllerLog, cleanups: []func(){stop}}
 	defer func() {
 		if err != nil {
 			s.close()
 		}
 	}()
-	var list feed.Log
+	var feedLog feed.Log
 	var entries []feed.Engine
 	for i := range engines {
-		e, err := engine.Listen(ctx, "127.0.0.1:0", figures, false)
+		e, err := engine.Listen(ctx, "127.0.0.1:0", engineConfig, false)
 		if err != nil {
 			return s, err
 		}
 		s.cleanups = append(s.cleanups, func() { e.Close() })
-		e.WithServer(func(_ time.Duration, x *engine.Server) { each(i, x) })
-		entries = append(entries, feed.Engine{ID: fmt.Sprintf("e%d", i), HostPort: e.Addr().String(), Locality: "here", Flavor: "std",
-			Cell: 1, Phase: "SERVING", Size: 1})
+		e.WithServer(func(_ time.Duration, server *engine.Server) { configure(i, server) })
+		entries = append(entries, feed.Engine{ID: fmt.Sprintf("e%d", i), HostPort: e.Addr().String(),
+			Locality: "here", Flavor: "std", Cell: 1, Phase: "SERVING", Size: 1})
 	}
-	list.Append(true, entries...)
-	f, err := feed.Listen(ctx, "127.0.0.1:0", &list)
+	feedLog.Append(true, entries...)
+	feedListener, err := feed.Listen(ctx, "127.0.0.1:0", &feedLog)
 	if err != nil {
 		return s, err
 	}
-	s.cleanups = append(s.cleanups, func() { f.Close() })
-	s.feedAddress = f.Addr().String()
+	s.cleanups = append(s.cleanups, func() { feedListener.Close() })
+	s.feedAddress = feedListener.Addr().String()
 	if s.controllerAddress, err = loopback.FreeAddress(); err != nil {
 		return s, err
 	}
@@ -201,16 +212,18 @@
 	return s, err
 }
 
+// close kills the controller, if it runs, and stops the feed and the engines.
 func (s *controllerTestbed) close() {
 	if s.command != nil {
 		s.killController()
 	}
-	for _, do := range slices.Backward(s.cleanups) {
-		do()
+	for _, cleanup := range slices.Backward(s.cleanups) {
+		cleanup()
 	}
 }
 
-// startController starts the controller on a set-up and waits until it is ready.
+// startController writes the set-up file, starts the controller with it and waits until the controller is
+// ready.
 func (s *controllerTestbed) startController(setup string) error {
 	path := filepath.Join(s.dir, "stage.yaml")
 	if err := os.WriteFile(path, []byte(setup), 0o600); err != nil {
@@ -225,43 +238,44 @@
 	return waitUntilControllerReady(s.ctx, s.controllerAddress)
 }
 
-// killController ends it as a power cut to the program alone would.
+// killController kills the controller with SIGKILL, so that it can't clean up.
 func (s *controllerTestbed) killController() {
 	s.command.Process.Kill()
 	s.command.Wait()
 	s.command = nil
 }
 
-// stopController has it end by itself.
+// stopController sends SIGTERM to the controller and waits for its regular exit. It kills a controller that
+// doesn't exit in time.
 func (s *controllerTestbed) stopController() error {
-	p := s.command
+	command := s.command
 	s.command = nil
-	p.Process.Signal(syscall.SIGTERM)
-	ended := make(chan error, 1)
-	go func() { ended <- p.Wait() }()
+	command.Process.Signal(syscall.SIGTERM)
+	exited := make(chan error, 1)
+	go func() { exited <- command.Wait() }()
 	select {
-	case err := <-ended:
+	case err := <-exited:
 		if err != nil {
-			return fmt.Errorf("the controller ended badly: %w", err)
+			return fmt.Errorf("controller exited with an error: %w", err)
 		}
 		return nil
 	case <-time.After(40 * time.Second):
-		p.Process.Kill()
-		return errors.New("the controller didn't end")
+		command.Process.Kill()
+		return errors.New("controller did not exit within 40 s of SIGTERM")
 	}
 }
 
-// waitUntilControllerReady waits until a controller says that it is.
+// waitUntilControllerReady polls the controller at an address until it reports that it is ready.
 func waitUntilControllerReady(ctx context.Context, address string) error {
-	for end := time.Now().Add(20 * time.Second); time.Now().Before(end); {
+	for deadline := time.Now().Add(20 * time.Second); time.Now().Before(deadline); {
 		c, err := net.Dial("tcp", address)
 		if err == nil {
 			c.SetDeadline(time.Now().Add(time.Second))
 			c.Write(client.AppendAliveRequest(nil, 1))
-			p := make([]byte, 64)
-			n, _ := c.Read(p)
+			buffer := make([]byte, 64)
+			n, _ := c.Read(buffer)
 			c.Close()
-			if a, _, err := client.Read(p[:n]); err == nil && a.Ready {
+			if answer, _, err := client.Read(buffer[:n]); err == nil && answer.Ready {
 				return nil
 			}
 		}
@@ -271,60 +285,60 @@
 		case <-time.After(50 * time.Millisecond):
 		}
 	}
-	return errors.New("the controller isn't ready after 20 s")
+	return errors.New("controller was not ready within 20 s")
 }
 
-// runClient asks for one team's queries at its rate, whatever the answers, and reads
-// these until all are there.
-func (t *Trial) runClient(ctx context.Context, address string, team int, seen *trialRecorder) error {
+// runClient submits one team's queries at the team's rate, independent of the answers, and reads the answers
+// until all queries are answered.
+func (t *Trial) runClient(ctx context.Context, address string, team int, recorder *trialRecorder) error {
 	c, err := net.Dial("tcp", address)
 	if err != nil {
 		return err
 	}
 	defer c.Close()
 	rng := rand.New(rand.NewPCG(t.Seed, uint64(team)+100))
-	kinds, mean := Usual(), 0.0
+	kinds, meanCPUSeconds := Usual(), 0.0
 	for _, k := range kinds {
-		mean += k.Share * k.CPU.Seconds()
+		meanCPUSeconds += k.Share * k.CPU.Seconds()
 	}
-	rate := trialTeams[team].demand * float64(t.Engines) * trialEngineConfig().Cores / mean
+	rate := trialTeams[team].demand * float64(t.Engines) * trialEngineConfig().Cores / meanCPUSeconds
 	var mu sync.Mutex
-	open := map[uint32]*trialQuery{}
-	asking := true
+	openQueries := map[uint32]*trialQuery{}
+	submitting := true
 	done := make(chan error, 1)
 	go func() {
-		var in []byte
-		p := make([]byte, 64<<10)
+		var received []byte
+		buffer := make([]byte, 64<<10)
 		for {
-			n, err := c.Read(p)
-			in = append(in, p[:n]...)
+			n, err := c.Read(buffer)
+			received = append(received, buffer[:n]...)
 			for {
-				a, took, bad := client.Read(in)
-				if bad != nil {
-					done <- fmt.Errorf("team %s: %w", trialTeams[team].name, bad)
+				answer, length, decodeErr := client.Read(received)
+				if decodeErr != nil {
+					done <- fmt.Errorf("team %s: %w", trialTeams[team].name, decodeErr)
 					return
 				}
-				if took == 0 {
+				if length == 0 {
 					break
 				}
-				in = append([]byte{}, in[took:]...)
+				received = append([]byte{}, received[length:]...)
 				mu.Lock()
-				q := open[a.Msg]
+				q := openQueries[answer.Msg]
 				if q != nil {
-					seen.mu.Lock()
-					if a.Kind == client.WaitNotice {
+					recorder.mu.Lock()
+					if answer.Kind == client.WaitNotice {
 						if q.firstEstimate < 0 {
-							q.firstEstimate = a.Wait
+							q.firstEstimate = answer.Wait
 						}
 					} else {
-						q.outcome, q.answeredAt = a.Kind, time.Now()
-						delete(open, a.Msg)
+						q.outcome, q.answeredAt = answer.Kind, time.Now()
+						delete(openQueries, answer.Msg)
 					}
-					seen.mu.Unlock()
+					recorder.mu.Unlock()
 				}
-				over := !asking && len(open) == 0
+				complete := !submitting && len(openQueries) == 0
 				mu.Unlock()
-				if over {
+				if complete {
 					done <- nil
 					return
 				}
@@ -336,10 +350,10 @@
 		}
 	}()
 	start := time.Now()
-	next := start
+	sendAt := start
 	for msg := uint32(1); ; msg++ {
-		next = next.Add(time.Duration(rng.ExpFloat64() / rate * 1e9))
-		if next.Sub(start) > t.Duration {
+		sendAt = sendAt.Add(time.Duration(rng.ExpFloat64() / rate * 1e9))
+		if sendAt.Sub(start) > t.Duration {
 			break
 		}
 		select {
@@ -347,96 +361,103 @@
 			return ctx.Err()
 		case err := <-done:
 			return err
-		case <-time.After(time.Until(next)):
+		case <-time.After(time.Until(sendAt)):
 		}
-		x, k := rng.Float64(), kinds[0]
-		for _, k = range kinds {
-			if x -= k.Share; x < 0 {
+		draw, kind := rng.Float64(), kinds[0]
+		for _, kind = range kinds {
+			if draw -= kind.Share; draw < 0 {
 				break
 			}
 		}
-		w := engine.Work{Threads: k.Threads, MemoryMB: k.MemoryMB, TableGroup: int64(rng.IntN(100)), Load: k.Load, Rows: k.Rows,
-			CPU: time.Duration(float64(k.CPU) * math.Exp(rng.NormFloat64()*k.Spread-k.Spread*k.Spread/2))}
-		q := &trialQuery{team: team, id: fmt.Sprintf("%08x%08x", team+1, msg), work: w, sentAt: time.Now(), firstEstimate: -1}
-		fields := []string{"trace", q.id, "patience", fmt.Sprint(k.Patience.Milliseconds()), "team", trialTeams[team].name, "tell", "1"}
-		if k.Load {
+		work := engine.Work{Threads: kind.Threads, MemoryMB: kind.MemoryMB, TableGroup: int64(rng.IntN(100)),
+			Load: kind.Load, Rows: kind.Rows,
+			CPU: time.Duration(float64(kind.CPU) * math.Exp(rng.NormFloat64()*kind.Spread-kind.Spread*kind.Spread/2))}
+		q := &trialQuery{team: team, id: fmt.Sprintf("%08x%08x", team+1, msg), work: work, sentAt: time.Now(),
+			firstEstimate: -1}
+		fields := []string{"trace", q.id, "patience", fmt.Sprint(kind.Patience.Milliseconds()),
+			"team", trialTeams[team].name, "tell", "1"}
+		if kind.Load {
 			fields = append(fields, "entity", fmt.Sprintf("k%d", rng.IntN(1000)))
 		}
-		seen.mu.Lock()
-		seen.queryByID[q.id], seen.queries = q, append(seen.queries, q)
-		seen.mu.Unlock()
+		recorder.mu.Lock()
+		recorder.queryByID[q.id], recorder.queries = q, append(recorder.queries, q)
+		recorder.mu.Unlock()
 		mu.Lock()
-		open[msg] = q
+		openQueries[msg] = q
 		mu.Unlock()
-		if _, err := c.Write(client.AppendQuery(nil, msg, k.Name, engine.Statement(w), fields...)); err != nil {
+		if _, err := c.Write(client.AppendQuery(nil, msg, kind.Name, engine.Statement(work),
+			fields...)); err != nil {
 			return err
 		}
 	}
 	mu.Lock()
-	asking = false
-	none := len(open) == 0
+	submitting = false
+	allAnswered := len(openQueries) == 0
 	mu.Unlock()
-	if none {
+	if allAnswered {
 		return nil
 	}
 	select {
 	case err := <-done:
 		return err
 	case <-time.After(30 * time.Second):
-		return fmt.Errorf("team %s: answers are missing", trialTeams[team].name)
+		return fmt.Errorf("team %s: some queries were not answered within 30 s", trialTeams[team].name)
 	}
 }
 
-func (t *Trial) teamResults(seen *trialRecorder) []TrialTeamResult {
-	rows := make([]TrialTeamResult, len(trialTeams))
-	all := 0.0
-	weights := 0.0
-	for _, x := range trialTeams {
-		weights += x.share
+// teamResults summarizes the recorded queries by team.
+func (t *Trial) teamResults(recorder *trialRecorder) []TrialTeamResult {
+	results := make([]TrialTeamResult, len(trialTeams))
+	totalWork := 0.0
+	totalShare := 0.0
+	for _, team := range trialTeams {
+		totalShare += team.share
 	}
-	within, of := make([]int, len(rows)), make([]int, len(rows))
-	for _, q := range seen.queries {
-		r := &rows[q.team]
-		r.Submitted++
+	accurate, started := make([]int, len(results)), make([]int, len(results))
+	for _, q := range recorder.queries {
+		result := &results[q.team]
+		result.Submitted++
 		switch q.outcome {
 		case client.Finished:
-			r.Finished++
-			r.WorkShare += q.work.CPU.Seconds()
-			all += q.work.CPU.Seconds()
+			result.Finished++
+			result.WorkShare += q.work.CPU.Seconds()
+			totalWork += q.work.CPU.Seconds()
 		case client.Deferred:
-			r.Deferred++
+			result.Deferred++
 		case client.Killed:
-			r.Killed++
+			result.Killed++
 		}
 		if q.startedAt.IsZero() {
 			continue
 		}
-		told, had := max(0, q.firstEstimate), q.startedAt.Sub(q.sentAt)
-		of[q.team]++
-		r.MeanEstimate += told
-		r.MeanWait += had
-		if holds(told, had) {
-			within[q.team]++
+		estimate, wait := max(0, q.firstEstimate), q.startedAt.Sub(q.sentAt)
+		started[q.team]++
+		result.MeanEstimate += estimate
+		result.MeanWait += wait
+		if holds(estimate, wait) {
+			accurate[q.team]++
 		}
 	}
-	for i := range rows {
-		n := max(1, of[i])
-		rows[i].Team, rows[i].WeightShare = trialTeams[i].name, trialTeams[i].share/weights
-		rows[i].WorkShare /= max(all, 1e-9)
-		rows[i].MeanEstimate /= time.Duration(n)
-		rows[i].MeanWait /= time.Duration(n)
-		rows[i].AccurateEstimates = float64(within[i]) / float64(n)
+	for i := range results {
+		count := max(1, started[i])
+		results[i].Team, results[i].WeightShare = trialTeams[i].name, trialTeams[i].share/totalShare
+		results[i].WorkShare /= max(totalWork, 1e-9)
+		results[i].MeanEstimate /= time.Duration(count)
+		results[i].MeanWait /= time.Duration(count)
+		results[i].AccurateEstimates = float64(accurate[i]) / float64(count)
 	}
-	return rows
+	return results
 }
 
-// PrintTrialResults writes a table by team.
-func PrintTrialResults(out io.Writer, rows []TrialTeamResult) {
+// PrintTrialResults writes the results as a table with one row for each team.
+func PrintTrialResults(out io.Writer, results []TrialTeamResult) {
 	w := tabwriter.NewWriter(out, 0, 4, 2, ' ', tabwriter.AlignRight)
-	fmt.Fprintln(w, "team\tasked\tfinished\tdeferred\tkilled\tshare\tby weight\twait told\twait had\twithin 20%\t")
-	for _, r := range rows {
-		fmt.Fprintf(w, "%s\t%d\t%d\t%d\t%d\t%.3f\t%.3f\t%.3fs\t%.3fs\t%.2f\t\n", r.Team, r.Submitted, r.Finished, r.Deferred, r.Killed,
-			r.WorkShare, r.WeightShare, r.MeanEstimate.Seconds(), r.MeanWait.Seconds(), r.AccurateEstimates)
+	fmt.Fprintln(w, "team\tsubmitted\tfinished\tdeferred\tkilled\tshare of work\tshare by weight\t"+
+		"estimated wait\tactual wait\twithin 20%\t")
+	for _, r := range results {
+		fmt.Fprintf(w, "%s\t%d\t%d\t%d\t%d\t%.3f\t%.3f\t%.3fs\t%.3fs\t%.2f\t\n", r.Team, r.Submitted, r.Finished,
+			r.Deferred, r.Killed, r.WorkShare, r.WeightShare, r.MeanEstimate.Seconds(), r.MeanWait.Seconds(),
+			r.AccurateEstimates)
 	}
 	w.Flush()
 }
