--- a/cmd/railrelay-bench/datapath.go
+++ b/cmd/railrelay-bench/datapath.go
@@ -17,8 +17,8 @@
 	file := ""
 	c := &cobra.Command{Use: "datapath", Short: "what engines, clients and queries cost one controller",
 		Args: cobra.NoArgs,
-		Long: "Measures the process of one controller with emulated engines, clients and a discovery service: idle\n" +
-			"with each number of engines, with each number of idle clients, with queries at each rate, and\n" +
+		Long: "Measures the process of one controller with emulated engines, clients and a discovery service:\n" +
+			"idle with each number of engines, with each number of idle clients, with queries at each rate, and\n" +
 			"after the loss of an engine that runs a chain. Takes about five minutes.",
 		RunE: func(c *cobra.Command, _ []string) error {
 			return measureDatapath(c.Context(), c.OutOrStdout(), path, file)
@@ -30,7 +30,8 @@
 	flags.IntSliceVar(&path.EngineCounts, "engines", path.EngineCounts,
 		"numbers of engines to idle with; the largest is used in all other steps")
 	flags.IntSliceVar(&path.QueryRates, "rates", path.QueryRates, "queries a second")
-	flags.IntSliceVar(&path.ClientCounts, "clients", path.ClientCounts, "numbers of idle clients, one for each step")
+	flags.IntSliceVar(&path.ClientCounts, "clients", path.ClientCounts,
+		"numbers of idle clients, one for each step")
 	flags.DurationVar(&path.StepDuration, "rest", path.StepDuration, "duration of each step")
 	flags.Uint64Var(&path.Seed, "seed", path.Seed, seedUsage)
 	flags.StringVar(&file, "csv", "", "the file that the results are appended to")
--- a/internal/bench/spool.go
+++ b/internal/bench/spool.go
@@ -20,18 +20,19 @@
 	"railrelay.dev/railrelay/internal/resultstore"
 )
 
-// spoolSetupText is a controller that keeps results in a directory; without one it is the
-// program as it was.
+// spoolSetupText returns the set-up file of a controller that spools results to a directory, or of one
+// without a spool if directory is empty.
 func spoolSetupText(t *Trial, s *controllerTestbed, directory string) string {
 	text, _, _ := strings.Cut(t.setupText(s.feedAddress, s.controllerAddress), "fairness:")
 	text = strings.Replace(text, "memory_mb: 256", "memory_mb: 64", 1)
 	if directory != "" {
-		text += fmt.Sprintf("spool: {field: pages, directory: %q, memory_mb: 8, disk_mb: 2048, team_share: 1, team_results: 10000}\n", directory)
+		text += fmt.Sprintf("spool: {field: pages, directory: %q, memory_mb: 8, disk_mb: 2048, "+
+			"team_share: 1, team_results: 10000}\n", directory)
 	}
 	return text
 }
 
-// processResidentMB is a program's memory in MB.
+// processResidentMB returns the resident memory of a process, or 0 if it can't be read.
 func processResidentMB(pid int) float64 {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", pid))
 	if err != nil {
@@ -42,11 +43,14 @@
 	return kb / 1024
 }
 
-// measureSlowReaders has so many clients read at 1 KB/s for a time, and says how long engines were
-// held and what memory the controller had at the most.
-func measureSlowReaders(ctx context.Context, t *Trial, out io.Writer, readers int, paged bool, long time.Duration) (p99, rss float64, err error) {
-	x := &releaseRecorder{finishedAt: map[string]time.Time{}, releasedAt: map[string]time.Time{}}
-	s, err := newControllerTestbed(ctx, t.Program, t.Engines, trialEngineConfig(), t.ControllerLog, x.observe)
+// measureSlowReaders lets clients read results at 1 KB/s, in pages or whole. It returns the 99th
+// percentile of the time in seconds for which engines held finished queries, and the controller's peak
+// resident memory in MB.
+func measureSlowReaders(ctx context.Context, t *Trial, out io.Writer, readers int, paged bool,
+	duration time.Duration) (p99, rss float64, err error) {
+	releases := &releaseRecorder{finishedAt: map[string]time.Time{}, releasedAt: map[string]time.Time{}}
+	s, err := newControllerTestbed(ctx, t.Program, t.Engines, trialEngineConfig(), t.ControllerLog,
+		releases.observe)
 	if err != nil {
 		return 0, 0, err
 	}
@@ -58,7 +62,7 @@
 	if err := s.startController(spoolSetupText(t, s, directory)); err != nil {
 		return 0, 0, err
 	}
-	within, stop := context.WithTimeout(ctx, long)
+	readCtx, stop := context.WithTimeout(ctx, duration)
 	defer stop()
 	var wg sync.WaitGroup
 	for i := range readers {
@@ -70,68 +74,73 @@
 				return
 			}
 			defer r.Close()
-			context.AfterFunc(within, func() { r.Close() })
+			context.AfterFunc(readCtx, func() { r.Close() })
 			if r.submitQuery(fmt.Sprintf("%016x", 0xa0000+i), 8000, paged, spoolPatience) != nil {
 				return
 			}
-			a, err := r.readAnswer(within)
-			for page := 1; err == nil && a.Fields["token"] != ""; page++ {
-				_, err = r.requestPage(within, a.Fields["token"], page)
+			answer, err := r.readAnswer(readCtx)
+			for page := 1; err == nil && answer.Fields["token"] != ""; page++ {
+				_, err = r.requestPage(readCtx, answer.Fields["token"], page)
 			}
 		}()
 	}
 	tick := time.NewTicker(100 * time.Millisecond)
 	defer tick.Stop()
-	for end := time.Now().Add(long); time.Now().Before(end); <-tick.C {
+	for deadline := time.Now().Add(duration); time.Now().Before(deadline); <-tick.C {
 		rss = max(rss, processResidentMB(s.command.Process.Pid))
 	}
 	wg.Wait()
-	p99 = x.p99HoldSeconds(engine.DefaultConfig().AbandonAfter)
-	fmt.Fprintf(out, "slow readers, pages %v: %d at 1 KB/s, results of %d KB, %d done by engines, held for %.3f s (p99), %.1f MB resident at the most\n",
-		paged, readers, len(world.ExpectedRows(&world.Query{ID: fmt.Sprintf("%016x", 1), Work: engine.Work{Rows: 8000}}))>>10, len(x.finishedAt), p99, rss)
+	p99 = releases.p99HoldSeconds(engine.DefaultConfig().AbandonAfter)
+	fmt.Fprintf(out,
+		"slow readers, paged %v: %d at 1 KB/s, %d KB each, %d finished, held %.3f s (p99), peak %.1f MB resident\n",
+		paged, readers,
+		len(world.ExpectedRows(&world.Query{ID: fmt.Sprintf("%016x", 1), Work: engine.Work{Rows: 8000}}))>>10,
+		len(releases.finishedAt), p99, rss)
 	return p99, rss, s.stopController()
 }
 
-// spoolKillCounts is what kills and new starts left of what was promised.
+// spoolKillCounts counts kills of the controller, and the outcomes of reads of acknowledged results after a
+// restart.
 type spoolKillCounts struct{ readAttempts, intact, lost, corrupt, kills int }
 
-// countLostAfterKills has clients ask while the controller is killed at random, again and again, and
-// reads after each start all that was promised before it.
-func countLostAfterKills(ctx context.Context, t *Trial, rounds int) (k spoolKillCounts, err error) {
-	s, err := newControllerTestbed(ctx, t.Program, t.Engines, trialEngineConfig(), t.ControllerLog, func(int, *engine.Server) {})
+// countLostAfterKills kills the controller at a random time in each round while clients submit queries. After
+// each restart it reads the results that were acknowledged before.
+func countLostAfterKills(ctx context.Context, t *Trial, rounds int) (counts spoolKillCounts, err error) {
+	s, err := newControllerTestbed(ctx, t.Program, t.Engines, trialEngineConfig(), t.ControllerLog,
+		func(int, *engine.Server) {})
 	if err != nil {
-		return k, err
+		return counts, err
 	}
 	defer s.close()
 	rng := rand.New(rand.NewPCG(t.Seed, 77))
 	directory := filepath.Join(s.dir, "spool")
 	var mu sync.Mutex
-	var all []*acknowledgedResult
+	var results []*acknowledgedResult
 	id := 0
 	for range rounds {
 		if err := s.startController(spoolSetupText(t, s, directory)); err != nil {
-			return k, err
+			return counts, err
 		}
 		r, err := dialController(s.controllerAddress, 0)
 		if err != nil {
-			return k, err
+			return counts, err
 		}
-		for _, p := range all {
-			switch lost, corrupt := p.verify(ctx, r); {
+		for _, result := range results {
+			switch lost, corrupt := result.verify(ctx, r); {
 			case lost:
-				k.lost++
+				counts.lost++
 				r.Close()
 				if r, err = dialController(s.controllerAddress, 0); err != nil {
-					return k, err
+					return counts, err
 				}
 			case corrupt:
-				k.corrupt++
+				counts.corrupt++
 			default:
-				k.intact++
+				counts.intact++
 			}
 		}
 		r.Close()
-		k.readAttempts += len(all)
+		counts.readAttempts += len(results)
 		var wg sync.WaitGroup
 		for range 6 {
 			wg.Add(1)
@@ -145,33 +154,33 @@
 				for {
 					mu.Lock()
 					id++
-					p := &acknowledgedResult{id: fmt.Sprintf("%016x", 0xb000000+id), rows: 1500 + rng.IntN(6000)}
+					result := &acknowledgedResult{id: fmt.Sprintf("%016x", 0xb000000+id), rows: 1500 + rng.IntN(6000)}
 					mu.Unlock()
-					if r.submitQuery(p.id, p.rows, true, spoolPatience) != nil {
+					if r.submitQuery(result.id, result.rows, true, spoolPatience) != nil {
 						return
 					}
-					a, err := r.readAnswer(ctx)
+					answer, err := r.readAnswer(ctx)
 					if err != nil {
 						return
 					}
-					if a.Kind != client.Finished || a.Fields["token"] == "" {
+					if answer.Kind != client.Finished || answer.Fields["token"] == "" {
 						continue
 					}
-					p.firstPage, p.fields = a.Rows, a.Fields
+					result.firstPage, result.fields = answer.Rows, answer.Fields
 					mu.Lock()
-					all = append(all, p)
+					results = append(results, result)
 					mu.Unlock()
 				}
 			}()
 		}
 		mu.Lock()
-		enough := len(all) + 5
+		target := len(results) + 5
 		mu.Unlock()
 		for end := time.Now().Add(10 * time.Second); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
 			mu.Lock()
-			got := len(all) >= enough
+			reached := len(results) >= target
 			mu.Unlock()
-			if got {
+			if reached {
 				break
 			}
 		}
@@ -180,71 +189,76 @@
 		mu.Unlock()
 		time.Sleep(wait)
 		s.killController()
-		k.kills++
+		counts.kills++
 		wg.Wait()
-		if len(all) > 60 { // the latest are the ones at stake
-			all = all[len(all)-60:]
+		if len(results) > 60 { // a kill mainly endangers the latest results
+			results = results[len(results)-60:]
 		}
 	}
-	return k, nil
+	return counts, nil
 }
 
-// measureSpoolWriteRates is what the store takes in a second beside what plain writes to one file
-// take with the same syncs.
-func measureSpoolWriteRates(dir string, sync resultstore.SyncPolicy) (ours, plain float64, err error) {
+// measureSpoolWriteRates returns the write rate of the result store, and the rate of plain writes to one file
+// with the same number of syncs, both in MB/s.
+func measureSpoolWriteRates(dir string, policy resultstore.SyncPolicy) (storeRate, plainRate float64,
+	err error) {
 	const results, pages, size = 60, 32, 32 << 10
-	const segment = 16 // results of 1 MB: one that was filled is synced, whatever the setting but never
+	const resultsPerSegment = 16 // results of 1 MB; a full segment is synced under all policies but SyncNever
 	body := bytes.Repeat([]byte("0123456789abcde\n"), size/16)
-	begin := time.Now()
-	f, err := os.Create(filepath.Join(dir, "plain"))
+	start := time.Now()
+	file, err := os.Create(filepath.Join(dir, "plain"))
 	if err != nil {
 		return 0, 0, err
 	}
 	for n := range results {
 		for range pages {
-			if _, err := f.Write(body); err != nil {
+			if _, err := file.Write(body); err != nil {
 				return 0, 0, err
 			}
 		}
-		if sync == resultstore.SyncNever || sync == resultstore.SyncOnTick && n%segment != segment-1 {
+		if policy == resultstore.SyncNever ||
+			policy == resultstore.SyncOnTick && n%resultsPerSegment != resultsPerSegment-1 {
 			continue
 		}
-		if err := f.Sync(); err != nil {
+		if err := file.Sync(); err != nil {
 			return 0, 0, err
 		}
 	}
-	f.Close()
-	os.Remove(f.Name())
+	file.Close()
+	os.Remove(file.Name())
 	total := float64(results*pages*size) / (1 << 20)
-	plain = total / time.Since(begin).Seconds()
-	k, err := resultstore.OpenSpoolStore(filepath.Join(dir, fmt.Sprint("ours", sync)),
-		resultstore.Options{Sync: sync})
+	plainRate = total / time.Since(start).Seconds()
+	store, err := resultstore.OpenSpoolStore(filepath.Join(dir, fmt.Sprint("ours", policy)),
+		resultstore.Options{Sync: policy})
 	if err != nil {
 		return 0, 0, err
 	}
-	defer k.Close()
-	begin = time.Now()
+	defer store.Close()
+	start = time.Now()
 	for i := range results {
-		id := k.FirstResultID() + uint64(i) + 1
+		id := store.FirstResultID() + uint64(i) + 1
 		rows := make([]uint32, pages)
 		for n := range pages {
-			j := &resultstore.Job{Pages: []resultstore.Record{{Kind: resultstore.PageRecord, Result: id, Page: uint32(n), Body: body}}}
+			job := &resultstore.Job{Pages: []resultstore.Record{{Kind: resultstore.PageRecord, Result: id,
+				Page: uint32(n), Body: body}}}
 			if n == pages-1 {
-				j.Commit = &resultstore.Meta{Result: id, PageRows: rows}
+				job.Commit = &resultstore.Meta{Result: id, PageRows: rows}
 			}
-			if k.Do([]*resultstore.Job{j}); j.Err != nil {
-				return 0, 0, j.Err
+			if store.Do([]*resultstore.Job{job}); job.Err != nil {
+				return 0, 0, job.Err
 			}
 		}
 	}
-	ours = total / time.Since(begin).Seconds()
-	return ours, plain, nil
+	storeRate = total / time.Since(start).Seconds()
+	return storeRate, plainRate, nil
 }
 
-// measurePageCPUTime is the controller's processor time, in microseconds, for a page that is in
-// memory, and for an answer of the same size to a query that engines do at once.
-func measurePageCPUTime(ctx context.Context, t *Trial) (page, answer float64, err error) {
-	s, err := newControllerTestbed(ctx, t.Program, t.Engines, trialEngineConfig(), t.ControllerLog, func(int, *engine.Server) {})
+// measurePageCPUTime returns the controller's CPU time for a page that it has in memory, and for an unpaged
+// answer of the same size to a query that engines run at once.
+func measurePageCPUTime(ctx context.Context, t *Trial) (pageMicroseconds, answerMicroseconds float64,
+	err error) {
+	s, err := newControllerTestbed(ctx, t.Program, t.Engines, trialEngineConfig(), t.ControllerLog,
+		func(int, *engine.Server) {})
 	if err != nil {
 		return 0, 0, err
 	}
@@ -258,86 +272,92 @@
 	}
 	defer r.Close()
 	const calls = 400
-	used := func() float64 { return processCPUSeconds(s.command.Process.Pid) }
-	before := used()
-	size := 0
+	cpuSeconds := func() float64 { return processCPUSeconds(s.command.Process.Pid) }
+	before := cpuSeconds()
+	answerBytes := 0
 	for i := range calls {
 		if err := r.submitQuery(fmt.Sprintf("%016x", 0xd0000+i), 1150, false, spoolPatience); err != nil {
 			return 0, 0, err
 		}
-		a, err := r.readAnswer(ctx)
-		if err != nil || a.Kind != client.Finished {
-			return 0, 0, fmt.Errorf("an answer: %v %v", err, a.Kind)
+		answer, err := r.readAnswer(ctx)
+		if err != nil || answer.Kind != client.Finished {
+			return 0, 0, fmt.Errorf("unpaged query: error %v, answer kind %v", err, answer.Kind)
 		}
-		size = len(a.Rows)
+		answerBytes = len(answer.Rows)
 	}
-	answer = (used() - before) / calls * 1e6
+	answerMicroseconds = (cpuSeconds() - before) / calls * 1e6
 	if err := r.submitQuery(fmt.Sprintf("%016x", 0xe0000), 4000, true, spoolPatience); err != nil {
 		return 0, 0, err
 	}
-	a, err := r.readAnswer(ctx)
-	if err != nil || a.Fields["token"] == "" {
-		return 0, 0, fmt.Errorf("no pages: %v %v", err, a.Fields)
+	answer, err := r.readAnswer(ctx)
+	if err != nil || answer.Fields["token"] == "" {
+		return 0, 0, fmt.Errorf("paged query: no page token, error %v, fields %v", err, answer.Fields)
 	}
-	before = used()
+	before = cpuSeconds()
 	for range 5 * calls {
-		b, err := r.requestPage(ctx, a.Fields["token"], 1)
-		if err != nil || b.Kind != client.Finished || len(b.Rows) < size*4/5 {
-			return 0, 0, fmt.Errorf("a page: %v %v, %d bytes of %d", err, b.Kind, len(b.Rows), size)
+		page, err := r.requestPage(ctx, answer.Fields["token"], 1)
+		if err != nil || page.Kind != client.Finished || len(page.Rows) < answerBytes*4/5 {
+			return 0, 0, fmt.Errorf("page request: error %v, answer kind %v, %d bytes beside an answer of %d",
+				err, page.Kind, len(page.Rows), answerBytes)
 		}
 	}
-	return (used() - before) / (5 * calls) * 1e6, answer, s.stopController()
+	return (cpuSeconds() - before) / (5 * calls) * 1e6, answerMicroseconds, s.stopController()
 }
 
-// processCPUSeconds is the time a program has had of processors, in seconds.
+// processCPUSeconds returns the user and system CPU time of a process, or 0 if it can't be read.
 func processCPUSeconds(pid int) float64 {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 	if err != nil {
 		return 0
 	}
 	_, rest, _ := strings.Cut(string(text), ") ")
-	f := strings.Fields(rest)
-	user, _ := strconv.ParseFloat(f[11], 64)
-	system, _ := strconv.ParseFloat(f[12], 64)
-	return (user + system) / 100 // ticks of the system's, a hundredth of a second each
+	fields := strings.Fields(rest)
+	user, _ := strconv.ParseFloat(fields[11], 64)
+	system, _ := strconv.ParseFloat(fields[12], 64)
+	return (user + system) / 100 // clock ticks of 10 ms
 }
 
-// measureSpoolReopen is how long it takes to open so many results.
+// measureSpoolReopen returns the time that opening a store with a number of results takes.
 func measureSpoolReopen(dir string, results int) (time.Duration, error) {
 	path := filepath.Join(dir, "many")
-	k, err := resultstore.OpenSpoolStore(path,
+	store, err := resultstore.OpenSpoolStore(path,
 		resultstore.Options{Sync: resultstore.SyncNever, MaxIndexLag: 20_000})
 	if err != nil {
 		return 0, err
 	}
 	for i := range results {
-		id := k.FirstResultID() + uint64(i) + 1
-		j := &resultstore.Job{Pages: []resultstore.Record{{Kind: resultstore.PageRecord, Result: id, Body: []byte("a\tb\tc\n")}, {Kind: resultstore.PageRecord, Result: id, Page: 1, Body: []byte("d\te\tf\n")}},
-			Commit: &resultstore.Meta{Result: id, QueryID: fmt.Sprintf("%016x", i), Tenant: "linz", ExpiresMillis: 1 << 60, PageRows: []uint32{1, 1}}}
-		if k.Do([]*resultstore.Job{j}); j.Err != nil {
-			return 0, j.Err
+		id := store.FirstResultID() + uint64(i) + 1
+		job := &resultstore.Job{
+			Pages: []resultstore.Record{{Kind: resultstore.PageRecord, Result: id, Body: []byte("a\tb\tc\n")},
+				{Kind: resultstore.PageRecord, Result: id, Page: 1, Body: []byte("d\te\tf\n")}},
+			Commit: &resultstore.Meta{Result: id, QueryID: fmt.Sprintf("%016x", i), Tenant: "linz",
+				ExpiresMillis: 1 << 60, PageRows: []uint32{1, 1}}}
+		if store.Do([]*resultstore.Job{job}); job.Err != nil {
+			return 0, job.Err
 		}
-		if k.NeedsCheckpoint() {
-			if _, err := k.Tick(); err != nil {
+		if store.NeedsCheckpoint() {
+			if _, err := store.Tick(); err != nil {
 				return 0, err
 			}
 		}
 	}
-	if err := k.Close(); err != nil {
+	if err := store.Close(); err != nil {
 		return 0, err
 	}
-	begin := time.Now()
-	if k, err = resultstore.OpenSpoolStore(path, resultstore.Options{}); err != nil {
+	start := time.Now()
+	if store, err = resultstore.OpenSpoolStore(path, resultstore.Options{}); err != nil {
 		return 0, err
 	}
-	took := time.Since(begin)
-	if k.Recovery.Results != results {
-		err = fmt.Errorf("%d results of %d", k.Recovery.Results, results)
+	duration := time.Since(start)
+	if store.Recovery.Results != results {
+		err = fmt.Errorf("the reopened store has %d results, want %d", store.Recovery.Results, results)
 	}
-	return took, errors.Join(err, k.Close())
+	return duration, errors.Join(err, store.Close())
 }
 
-// MeasureSpool is the measurement of spooled results, on sockets and real files.
+// MeasureSpool measures spooled results with a controller process and the file system: slow readers, kills,
+// write rates, the CPU time of a page and the time to reopen a store. It returns an error if an acknowledged
+// result was lost or corrupted.
 func MeasureSpool(ctx context.Context, out io.Writer, program string, seed uint64) error {
 	t := &Trial{Program: program, Engines: 4, Seed: seed, ControllerLog: io.Discard}
 	const readers = 200
@@ -349,11 +369,12 @@
 	if err != nil {
 		return err
 	}
-	k, err := countLostAfterKills(ctx, t, 10)
+	counts, err := countLostAfterKills(ctx, t, 10)
 	if err != nil {
 		return err
 	}
-	fmt.Fprintf(out, "kill -9: %d times, %d times a promised result was asked for after it, %d whole, %d lost, %d corrupt\n", k.kills, k.readAttempts, k.intact, k.lost, k.corrupt)
+	fmt.Fprintf(out, "kill -9: %d kills, %d reads of acknowledged results: %d intact, %d lost, %d corrupt\n",
+		counts.kills, counts.readAttempts, counts.intact, counts.lost, counts.corrupt)
 	dir, err := os.MkdirTemp("", "railrelay-spool")
 	if err != nil {
 		return err
@@ -361,28 +382,32 @@
 	defer os.RemoveAll(dir)
 	ratio := 0.0
 	for i, name := range []string{"promise", "ticks", "never"} {
-		ours, plain, err := measureSpoolWriteRates(dir, resultstore.SyncPolicy(i))
+		storeRate, plainRate, err := measureSpoolWriteRates(dir, resultstore.SyncPolicy(i))
 		if err != nil {
 			return err
 		}
-		if ours/plain < ratio || i == 0 {
-			ratio = ours / plain
+		if storeRate/plainRate < ratio || i == 0 {
+			ratio = storeRate / plainRate
 		}
-		fmt.Fprintf(out, "taking in, sync %s: %.0f MB/s, plain writes with the same syncs: %.0f MB/s\n", name, ours, plain)
+		fmt.Fprintf(out, "spool writes, sync %s: %.0f MB/s; plain writes with the same syncs: %.0f MB/s\n",
+			name, storeRate, plainRate)
 	}
-	page, answer, err := measurePageCPUTime(ctx, t)
+	pageMicroseconds, answerMicroseconds, err := measurePageCPUTime(ctx, t)
 	if err != nil {
 		return err
 	}
-	fmt.Fprintf(out, "processor time of a page from memory: %.1f us, of an answer as before, of the same size: %.1f us\n", page, answer)
-	took, err := measureSpoolReopen(dir, 100_000)
+	fmt.Fprintf(out, "CPU time of a page from memory: %.1f us, of an unpaged answer of the same size: %.1f us\n",
+		pageMicroseconds, answerMicroseconds)
+	reopenTime, err := measureSpoolReopen(dir, 100_000)
 	if err != nil {
 		return err
 	}
 	fmt.Fprintf(out, "measured release_p99_s=%.4f release_p99_before_s=%.4f slow_readers=%d resumed=%.3f promised=%d lost=%d corrupt_served=%d write_ratio=%.3f page_cost=%.3f reopen_s=%.3f rss_mb=%.1f rss_before_mb=%.1f\n",
-		p99, beforeP99, readers, float64(k.intact)/float64(max(1, k.readAttempts)), k.readAttempts, k.lost, k.corrupt, ratio, page/answer, took.Seconds(), rss, beforeRSS)
-	if k.lost+k.corrupt > 0 {
-		return errors.New("what was promised is lost or spoilt")
+		p99, beforeP99, readers, float64(counts.intact)/float64(max(1, counts.readAttempts)),
+		counts.readAttempts, counts.lost, counts.corrupt, ratio, pageMicroseconds/answerMicroseconds,
+		reopenTime.Seconds(), rss, beforeRSS)
+	if counts.lost+counts.corrupt > 0 {
+		return errors.New("acknowledged results were lost or corrupted")
 	}
 	return nil
 }
--- a/internal/bench/spool_client.go
+++ b/internal/bench/spool_client.go
@@ -14,37 +14,40 @@
 	"railrelay.dev/railrelay/internal/emulator/world"
 )
 
-// spoolPatience is what clients wait for an answer.
+// spoolPatience is the time for which clients wait for an answer.
 const spoolPatience = 12 * time.Second
 
-// resultReader is a client's connection that takes one answer at a time.
+// resultReader is a client connection that reads one answer at a time, optionally at a limited rate.
 type resultReader struct {
 	net.Conn
-	received       []byte
+	received       []byte // bytes that readAnswer has not returned yet
 	lastMessage    uint32
-	bytesPerSecond int // bytes a second, 0: as fast as they come
+	bytesPerSecond int // rate limit; 0 for none
 }
 
-func dialController(address string, pace int) (*resultReader, error) {
+// dialController connects to a controller. If bytesPerSecond isn't 0, it limits the rate at which the client
+// reads, and makes the receive buffer small so that the controller notices.
+func dialController(address string, bytesPerSecond int) (*resultReader, error) {
 	c, err := net.Dial("tcp", address)
 	if err != nil {
 		return nil, err
 	}
-	if pace > 0 {
+	if bytesPerSecond > 0 {
 		c.(*net.TCPConn).SetReadBuffer(4096)
 	}
-	return &resultReader{Conn: c, bytesPerSecond: pace}, nil
+	return &resultReader{Conn: c, bytesPerSecond: bytesPerSecond}, nil
 }
 
+// readAnswer returns the next message from the controller.
 func (r *resultReader) readAnswer(ctx context.Context) (client.Answer, error) {
-	p := make([]byte, 64<<10)
+	buffer := make([]byte, 64<<10)
 	if r.bytesPerSecond > 0 {
-		p = p[:r.bytesPerSecond/4]
+		buffer = buffer[:r.bytesPerSecond/4]
 	}
 	for {
-		if a, n, err := client.Read(r.received); err != nil || n > 0 {
+		if answer, n, err := client.Read(r.received); err != nil || n > 0 {
 			r.received = slices.Clone(r.received[n:])
-			return a, err
+			return answer, err
 		}
 		if r.bytesPerSecond > 0 {
 			select {
@@ -53,24 +56,26 @@
 			case <-time.After(time.Second / 4):
 			}
 		}
-		n, err := r.Read(p)
-		if r.received = append(r.received, p[:n]...); err != nil {
+		n, err := r.Read(buffer)
+		if r.received = append(r.received, buffer[:n]...); err != nil {
 			return client.Answer{}, err
 		}
 	}
 }
 
-// submitQuery asks for a result of so many rows, by pages or whole.
+// submitQuery submits a query whose result has a number of rows and is returned in pages or whole.
 func (r *resultReader) submitQuery(id string, rows int, paged bool, patience time.Duration) error {
 	r.lastMessage++
 	fields := []string{"trace", id, "patience", strconv.FormatInt(patience.Milliseconds(), 10)}
 	if paged {
 		fields = append(fields, "pages", "1")
 	}
-	_, err := r.Write(client.AppendQuery(nil, r.lastMessage, "report", engine.Statement(engine.Work{Threads: 1, CPU: 2 * time.Millisecond, MemoryMB: 10, Rows: rows}), fields...))
+	_, err := r.Write(client.AppendQuery(nil, r.lastMessage, "report", engine.Statement(engine.Work{Threads: 1,
+		CPU: 2 * time.Millisecond, MemoryMB: 10, Rows: rows}), fields...))
 	return err
 }
 
+// requestPage requests one page of a spooled result and returns the answer.
 func (r *resultReader) requestPage(ctx context.Context, token string, page int) (client.Answer, error) {
 	r.lastMessage++
 	if _, err := r.Write(client.AppendPageRequest(nil, r.lastMessage, token, strconv.Itoa(page))); err != nil {
@@ -79,68 +84,72 @@
 	return r.readAnswer(ctx)
 }
 
-// acknowledgedResult is a result that a client was told it has.
+// acknowledgedResult is a spooled result whose first page and token a client has received.
 type acknowledgedResult struct {
 	id        string
 	rows      int
 	firstPage []byte
-	fields    map[string]string
+	fields    map[string]string // of the answer: the token and the number of pages
 }
 
-// verify reads a promised result's other pages and compares all with what engines make.
-func (p *acknowledgedResult) verify(ctx context.Context, r *resultReader) (lost, corrupt bool) {
-	n, _ := strconv.Atoi(p.fields["pages"])
-	got := slices.Clone(p.firstPage)
-	for i := 1; i < n; i++ {
-		a, err := r.requestPage(ctx, p.fields["token"], i)
-		if err != nil || a.Kind != client.Finished {
+// verify reads the other pages of a result and compares all pages with the rows that the engines
+// generate. The result is lost if a page can't be read.
+func (result *acknowledgedResult) verify(ctx context.Context, r *resultReader) (lost, corrupt bool) {
+	pages, _ := strconv.Atoi(result.fields["pages"])
+	rows := slices.Clone(result.firstPage)
+	for i := 1; i < pages; i++ {
+		answer, err := r.requestPage(ctx, result.fields["token"], i)
+		if err != nil || answer.Kind != client.Finished {
 			return true, false
 		}
-		got = append(got, a.Rows...)
+		rows = append(rows, answer.Rows...)
 	}
-	return false, !bytes.Equal(got, world.ExpectedRows(&world.Query{ID: p.id, Work: engine.Work{Rows: p.rows}}))
+	return false, !bytes.Equal(rows,
+		world.ExpectedRows(&world.Query{ID: result.id, Work: engine.Work{Rows: result.rows}}))
 }
 
-// releaseRecorder keeps when engines had done a query and when they were rid of it.
+// releaseRecorder records when queries finish at the engines and when the controller releases them there.
 type releaseRecorder struct {
 	mu         sync.Mutex
 	finishedAt map[string]time.Time
 	releasedAt map[string]time.Time
 }
 
-func (x *releaseRecorder) observe(_ int, s *engine.Server) {
-	s.Model.OnEnd = func(id string, how engine.Outcome, _ time.Duration) {
-		x.mu.Lock()
-		defer x.mu.Unlock()
-		if how == engine.Succeeded {
-			x.finishedAt[id] = time.Now()
+// observe registers the recorder's callbacks at an engine.
+func (r *releaseRecorder) observe(_ int, s *engine.Server) {
+	s.Model.OnEnd = func(id string, outcome engine.Outcome, _ time.Duration) {
+		r.mu.Lock()
+		defer r.mu.Unlock()
+		if outcome == engine.Succeeded {
+			r.finishedAt[id] = time.Now()
 		}
 	}
 	s.OnRelease = func(id string, _ time.Duration) {
-		x.mu.Lock()
-		defer x.mu.Unlock()
-		if _, again := x.releasedAt[id]; !again {
-			x.releasedAt[id] = time.Now()
+		r.mu.Lock()
+		defer r.mu.Unlock()
+		if _, released := r.releasedAt[id]; !released {
+			r.releasedAt[id] = time.Now()
 		}
 	}
 }
 
-// p99HoldSeconds is how long engines kept what they had done; what they were not told to forget
-// they keep until they forget it by themselves.
-func (x *releaseRecorder) p99HoldSeconds(forgets time.Duration) float64 {
-	x.mu.Lock()
-	defer x.mu.Unlock()
-	var l []time.Duration
-	for id, at := range x.finishedAt {
-		if r, ok := x.releasedAt[id]; ok {
-			l = append(l, r.Sub(at))
+// p99HoldSeconds returns the 99th percentile of the time for which engines held finished queries. A query
+// that the controller didn't release counts as held for abandonAfter, the time after which the engine
+// deletes it.
+func (r *releaseRecorder) p99HoldSeconds(abandonAfter time.Duration) float64 {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	var holdTimes []time.Duration
+	for id, finishedAt := range r.finishedAt {
+		if releasedAt, ok := r.releasedAt[id]; ok {
+			holdTimes = append(holdTimes, releasedAt.Sub(finishedAt))
 		} else {
-			l = append(l, forgets)
+			holdTimes = append(holdTimes, abandonAfter)
 		}
 	}
-	if len(l) == 0 {
+	if len(holdTimes) == 0 {
 		return 0
 	}
-	slices.Sort(l)
-	return l[len(l)*99/100].Seconds()
+	slices.Sort(holdTimes)
+	return holdTimes[len(holdTimes)*99/100].Seconds()
 }
--- a/internal/bench/spool_test.go
+++ b/internal/bench/spool_test.go
@@ -16,22 +16,28 @@
 	"railrelay.dev/railrelay/internal/emulator/world"
 )
 
-// The program is killed while it promises results, on sockets and real files.
+// Every result that a client has been told of must be readable and unchanged after the controller was
+// killed and restarted. The kills come at random times while results are being written.
 func TestSpooledResultsSurviveKills(t *testing.T) {
-	k, err := countLostAfterKills(t.Context(), &Trial{Program: built(t), Engines: 2, Seed: 3, ControllerLog: io.Discard}, 4)
+	counts, err := countLostAfterKills(t.Context(),
+		&Trial{Program: built(t), Engines: 2, Seed: 3, ControllerLog: io.Discard}, 4)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if k.readAttempts < 15 || k.intact != k.readAttempts {
-		t.Fatalf("%+v", k)
+	if counts.readAttempts < 15 || counts.intact != counts.readAttempts {
+		t.Fatalf("got %+v, want at least 15 reads and all of them intact", counts)
 	}
 }
 
+// The spool's directory is in use by one process at a time. A corrupt page is reported and not served,
+// and the other pages of its result still are. A spool that can't be opened or is invalid prevents the
+// start.
 func TestSpoolCommandsAndCorruptPage(t *testing.T) {
 	var log strings.Builder
 	program := built(t)
 	trial := &Trial{Program: program, Engines: 2, Seed: 3, ControllerLog: &log}
-	s, err := newControllerTestbed(t.Context(), program, 2, trialEngineConfig(), &log, func(int, *engine.Server) {})
+	s, err := newControllerTestbed(t.Context(), program, 2, trialEngineConfig(), &log,
+		func(int, *engine.Server) {})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -59,12 +65,12 @@
 	if err := r.submitQuery(id, 5000, true, spoolPatience); err != nil {
 		t.Fatal(err)
 	}
-	a, err := r.readAnswer(t.Context())
-	if err != nil || a.Kind != client.Finished || a.Fields["token"] == "" {
-		t.Fatal(err, a.Kind, a.Fields)
+	answer, err := r.readAnswer(t.Context())
+	if err != nil || answer.Kind != client.Finished || answer.Fields["token"] == "" {
+		t.Fatal(err, answer.Kind, answer.Fields)
 	}
-	for _, what := range []string{"ls", "verify", "gc"} {
-		run("in use by another program", true, "spool", what, dir)
+	for _, command := range []string{"ls", "verify", "gc"} {
+		run("in use by another program", true, "spool", command, dir)
 	}
 	run("in use by another program", true, "serve", "--setup", filepath.Join(s.dir, "stage.yaml"))
 	if err := s.stopController(); err != nil {
@@ -78,17 +84,17 @@
 	segments, _ := filepath.Glob(filepath.Join(dir, "*.seg"))
 	flipped := false
 	for _, path := range segments {
-		p, err := os.ReadFile(path)
+		data, err := os.ReadFile(path)
 		if err != nil {
 			t.Fatal(err)
 		}
-		if len(p) > 50_000 {
-			p[40_000] ^= 4
-			flipped = os.WriteFile(path, p, 0o600) == nil
+		if len(data) > 50_000 {
+			data[40_000] ^= 4
+			flipped = os.WriteFile(path, data, 0o600) == nil
 		}
 	}
 	if !flipped {
-		t.Fatal("nothing to flip: ", segments)
+		t.Fatal("no segment is large enough to corrupt: ", segments)
 	}
 	run("page 1 of 5: the page is spoilt", true, "spool", "verify", dir)
 	if err := s.startController(setup); err != nil {
@@ -99,29 +105,32 @@
 	}
 	defer r.Close()
 	want := world.ExpectedRows(&world.Query{ID: id, Work: engine.Work{Rows: 5000}})
-	for i := range 5 { // the others are served
-		b, err := r.requestPage(t.Context(), a.Fields["token"], i)
-		if err != nil || (b.Kind == client.Finished) != (i != 1) || !strings.Contains(string(want), string(b.Rows)) {
-			t.Errorf("page %d: %v %v", i, err, b.Kind)
+	for i := range 5 { // all pages but the corrupt one are served
+		page, err := r.requestPage(t.Context(), answer.Fields["token"], i)
+		if err != nil || (page.Kind == client.Finished) != (i != 1) ||
+			!strings.Contains(string(want), string(page.Rows)) {
+			t.Errorf("page %d: error %v, answer kind %v", i, err, page.Kind)
 		}
 	}
 	if err := s.stopController(); err != nil {
 		t.Fatal(err)
 	}
 	if !strings.Contains(log.String(), "the page is spoilt") {
-		t.Error("nothing in the log")
+		t.Error("the controller did not log the corrupt page")
 	}
-	// a directory that can't be written, at the start
+	// The spool's directory can't be created.
 	file := filepath.Join(s.dir, "file")
 	if err := os.WriteFile(file, nil, 0o600); err != nil {
 		t.Fatal(err)
 	}
 	path := filepath.Join(s.dir, "bad.yaml")
-	if err := os.WriteFile(path, []byte(spoolSetupText(trial, s, filepath.Join(file, "spool"))), 0o600); err != nil {
+	if err := os.WriteFile(path, []byte(spoolSetupText(trial, s, filepath.Join(file, "spool"))),
+		0o600); err != nil {
 		t.Fatal(err)
 	}
 	run("not a directory", true, "serve", "--setup", path)
-	text := strings.Replace(spoolSetupText(trial, s, dir), "memory_mb: 8,", "memory_mb: 8, sync: often, idle: 3h,", 1)
+	text := strings.Replace(spoolSetupText(trial, s, dir), "memory_mb: 8,",
+		"memory_mb: 8, sync: often, idle: 3h,", 1)
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 		t.Fatal(err)
 	}
