--- a/internal/bench/datapath_stage.go
+++ b/internal/bench/datapath_stage.go
@@ -208,7 +208,7 @@
 		snapshot.engines = snapshot.engines.Add(e.Traffic())
 	}
 	var err error
-	snapshot.process, err = usageOf(s.command.Process.Pid)
+	snapshot.process, err = readProcessUsage(s.command.Process.Pid)
 	return snapshot, err
 }
 
@@ -278,7 +278,7 @@
 		if last, err = s.snapshot(); err != nil {
 			return datapathUsage{}, err
 		}
-		residentMB, connections = append(residentMB, last.process.Resident),
+		residentMB, connections = append(residentMB, last.process.ResidentMB),
 			append(connections, float64(last.engines.Open))
 		if len(residentMB)%samplesPerSecond == 0 {
 			queries := s.queriesPerEngine()
--- a/internal/bench/datapath_test.go
+++ b/internal/bench/datapath_test.go
@@ -137,7 +137,7 @@
 // recorded and plausible.
 func TestDatapathMeasuresIdleAndQueries(t *testing.T) {
 	d := DefaultDatapath()
-	d.Program, d.ControllerLog = built(t), io.Discard
+	d.Program, d.ControllerLog = buildDebugController(t), io.Discard
 	d.EngineCounts, d.StepDuration = []int{3}, time.Second
 	var output bytes.Buffer
 	recorder := &datapathRecorder{seed: 1, machine: "here", commit: "test", out: &output}
--- a/internal/bench/spool_test.go
+++ b/internal/bench/spool_test.go
@@ -20,7 +20,7 @@
 // killed and restarted. The kills come at random times while results are being written.
 func TestSpooledResultsSurviveKills(t *testing.T) {
 	counts, err := countLostAfterKills(t.Context(),
-		&Trial{Program: built(t), Engines: 2, Seed: 3, ControllerLog: io.Discard}, 4)
+		&Trial{Program: buildDebugController(t), Engines: 2, Seed: 3, ControllerLog: io.Discard}, 4)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -34,7 +34,7 @@
 // start.
 func TestSpoolCommandsAndCorruptPage(t *testing.T) {
 	var log strings.Builder
-	program := built(t)
+	program := buildDebugController(t)
 	trial := &Trial{Program: program, Engines: 2, Seed: 3, ControllerLog: &log}
 	s, err := newControllerTestbed(t.Context(), program, 2, trialEngineConfig(), &log,
 		func(int, *engine.Server) {})
--- a/internal/bench/try.go
+++ b/internal/bench/try.go
@@ -70,7 +70,7 @@
 	engineConfig := trialEngineConfig()
 	fmt.Fprintf(&b, "engines:\n  kinds: [{name: std, cores: %g, memory_mb: %g}]\ngroups:\n",
 		engineConfig.Cores, engineConfig.MemoryMB)
-	for _, k := range Usual() {
+	for _, k := range DefaultWorkload() {
 		effect := "read-only"
 		if k.Load {
 			effect = "mutating"
@@ -297,7 +297,7 @@
 	}
 	defer c.Close()
 	rng := rand.New(rand.NewPCG(t.Seed, uint64(team)+100))
-	kinds, meanCPUSeconds := Usual(), 0.0
+	kinds, meanCPUSeconds := DefaultWorkload(), 0.0
 	for _, k := range kinds {
 		meanCPUSeconds += k.Share * k.CPU.Seconds()
 	}
@@ -371,7 +371,7 @@
 		}
 		work := engine.Work{Threads: kind.Threads, MemoryMB: kind.MemoryMB, TableGroup: int64(rng.IntN(100)),
 			Load: kind.Load, Rows: kind.Rows,
-			CPU: time.Duration(float64(kind.CPU) * math.Exp(rng.NormFloat64()*kind.Spread-kind.Spread*kind.Spread/2))}
+			CPU: time.Duration(float64(kind.CPU) * math.Exp(rng.NormFloat64()*kind.CPUSigma-kind.CPUSigma*kind.CPUSigma/2))}
 		q := &trialQuery{team: team, id: fmt.Sprintf("%08x%08x", team+1, msg), work: work, sentAt: time.Now(),
 			firstEstimate: -1}
 		fields := []string{"trace", q.id, "patience", fmt.Sprint(kind.Patience.Milliseconds()),
@@ -434,7 +434,7 @@
 		started[q.team]++
 		result.MeanEstimate += estimate
 		result.MeanWait += wait
-		if holds(estimate, wait) {
+		if isEstimateAccurate(estimate, wait) {
 			accurate[q.team]++
 		}
 	}
