--- a/internal/bench/datapath.go
+++ b/internal/bench/datapath.go
@@ -37,11 +37,11 @@
 	datapathRole = "controller"
 	// datapathQueryClients is the number of connections that queries are submitted on.
 	datapathQueryClients = 200
-	// specifiedControllerRate is the mean rate of queries at one controller under the specified load, in
-	// queries/s.
+	// specifiedControllerRate is the mean rate of queries at one controller, in queries/s, under the load that
+	// the fleet is specified for.
 	specifiedControllerRate = 1897
-	// specifiedEngineRate is the mean rate of queries from all controllers at one engine under the specified
-	// load, in queries/s.
+	// specifiedEngineRate is the mean rate of queries from all controllers at one engine, in queries/s, under
+	// the same load.
 	specifiedEngineRate = 1486
 	// maxConnectionsPerEngine is the number of connections to one engine that Check reserves descriptors for.
 	maxConnectionsPerEngine = 4
@@ -117,12 +117,12 @@
 	out             io.Writer
 }
 
-// record adds a figure of the run's seed.
+// record adds a figure with the run's seed.
 func (r *datapathRecorder) record(what string, size int, value float64, unit string) {
 	r.recordWithSeed(what, size, r.seed, value, unit)
 }
 
-// recordWithSeed adds a figure of another seed.
+// recordWithSeed adds a figure with another seed.
 func (r *datapathRecorder) recordWithSeed(what string, size int, seed uint64, value float64, unit string) {
 	r.rows = append(r.rows, capacity.Row{Role: datapathRole, What: what, Size: size, Seed: seed, Value: value,
 		Unit: unit, Machine: r.machine, Commit: r.commit})
@@ -169,8 +169,8 @@
 	return s.stopController()
 }
 
-// measureIdleTimeout measures after what time the controller closes idle client connections under the default
-// limits.
+// measureIdleTimeout measures the time after which the controller closes idle client connections under the
+// default limits.
 func (d Datapath) measureIdleTimeout(ctx context.Context, recorder *datapathRecorder) error {
 	s, err := d.start(ctx, 1, "")
 	if err != nil {
--- a/internal/bench/datapath_clients.go
+++ b/internal/bench/datapath_clients.go
@@ -58,7 +58,7 @@
 	clients.openDuration = time.Since(start)
 	if len(errs) > 0 {
 		clients.close()
-		return nil, fmt.Errorf("%d of %d connections failed, the first with: %w", len(errs), n, errs[0])
+		return nil, fmt.Errorf("opening %d of %d connections failed, the first with: %w", len(errs), n, errs[0])
 	}
 	return clients, nil
 }
--- a/internal/bench/datapath_stage.go
+++ b/internal/bench/datapath_stage.go
@@ -21,7 +21,7 @@
 	"railrelay.dev/railrelay/internal/emulator/loopback"
 )
 
-// datapathTestbed is a controllerTestbed whose engines and feed count their traffic.
+// datapathTestbed is a controllerTestbed with access to the traffic counters of its engines and its feed.
 type datapathTestbed struct {
 	controllerTestbed
 	engines      []*engine.Listener
@@ -261,7 +261,7 @@
 	}
 }
 
-// sample takes snapshots for a duration and returns the usage in that time.
+// sample takes snapshots for a duration, samplesPerSecond each second, and returns the usage in that time.
 func (s *datapathTestbed) sample(duration time.Duration) (datapathUsage, error) {
 	const samplesPerSecond = 4
 	const interval = time.Second / samplesPerSecond
--- a/internal/bench/datapath_takeover.go
+++ b/internal/bench/datapath_takeover.go
@@ -34,13 +34,13 @@
 const (
 	// takeoverRounds is the number of engines that fail in each way.
 	takeoverRounds = 3
-	// loadInterval is the time between two loads.
+	// loadInterval is the time between the submissions of two loads.
 	loadInterval = 100 * time.Millisecond
 	// loadCPUTime is the CPU time of one load.
 	loadCPUTime = 50 * time.Millisecond
 	// minChainLength is the number of successive loads at one engine that identifies the chain's engine.
 	minChainLength = 5
-	// takeoverTimeout is the time limit of each wait for the chain.
+	// takeoverTimeout is the time limit of each wait for loads at an engine or for answers.
 	takeoverTimeout = 30 * time.Second
 )
 
@@ -143,7 +143,7 @@
 			server.OnSubmit = func(string, string, int, time.Duration) {
 				select {
 				case submissions <- submittedLoad{i, time.Now()}:
-				default: // no round is waiting for loads
+				default: // the channel is full, since no round is waiting for loads
 				}
 			}
 		})
@@ -166,8 +166,9 @@
 	return nil
 }
 
-// measureTakeoverRound lets the chain's engine fail once. It records the takeover time, the longest
-// latency of the loads submitted before the takeover, and how many of these failed.
+// measureTakeoverRound makes the chain's engine fail once. It records the takeover time and, for the loads
+// submitted from one loadInterval before the failure until the takeover, the longest latency and the number
+// of loads that didn't finish.
 func (d Datapath) measureTakeoverRound(recorder *datapathRecorder, failure engineFailure, s *datapathTestbed,
 	loads *loadClient, submissions <-chan submittedLoad, round uint64) error {
 	failedEngine, err := waitForChain(s.ctx, submissions)
--- a/internal/bench/spool.go
+++ b/internal/bench/spool.go
@@ -253,8 +253,8 @@
 	return storeRate, plainRate, nil
 }
 
-// measurePageCPUTime returns the controller's CPU time for a page that it has in memory, and for an unpaged
-// answer of the same size to a query that engines run at once.
+// measurePageCPUTime returns the controller's CPU time for serving one page from memory, and for an unpaged
+// answer of the same size to a query that an engine starts at once.
 func measurePageCPUTime(ctx context.Context, t *Trial) (pageMicroseconds, answerMicroseconds float64,
 	err error) {
 	s, err := newControllerTestbed(ctx, t.Program, t.Engines, trialEngineConfig(), t.ControllerLog,
--- a/internal/bench/spool_test.go
+++ b/internal/bench/spool_test.go
@@ -16,7 +16,7 @@
 	"railrelay.dev/railrelay/internal/emulator/world"
 )
 
-// Every result that a client has been told of must be readable and unchanged after the controller was
+// Every result that was acknowledged to a client must be readable and unchanged after the controller was
 // killed and restarted. The kills come at random times while results are being written.
 func TestSpooledResultsSurviveKills(t *testing.T) {
 	counts, err := countLostAfterKills(t.Context(),
@@ -29,9 +29,9 @@
 	}
 }
 
-// The spool's directory is in use by one process at a time. A corrupt page is reported and not served,
-// and the other pages of its result still are. A spool that can't be opened or is invalid prevents the
-// start.
+// Only one process at a time can use the spool's directory. The controller and the verify command report a
+// corrupt page, which isn't served, while the other pages of its result are. A spool that can't be opened or
+// is configured with invalid values prevents the start.
 func TestSpoolCommandsAndCorruptPage(t *testing.T) {
 	var log strings.Builder
 	program := buildDebugController(t)
--- a/internal/bench/try.go
+++ b/internal/bench/try.go
@@ -24,8 +24,8 @@
 	"railrelay.dev/railrelay/internal/emulator/loopback"
 )
 
-// Trial runs a controller process for a short time with emulated engines and clients of several teams,
-// which it connects to over sockets of this machine.
+// Trial runs a controller process for a short time, with emulated engines, an emulated feed, and clients of
+// several teams. All of them communicate over sockets of this machine.
 type Trial struct {
 	Program       string // path of the railrelay executable
 	Engines       int
@@ -100,7 +100,7 @@
 	work                  engine.Work
 	sentAt                time.Time
 	firstEstimate         time.Duration // of the time to the start; negative without an estimate
-	startedAt, answeredAt time.Time     // startedAt is zero if no engine received the query
+	startedAt, answeredAt time.Time     // startedAt is zero if no engine accepted the query
 	outcome               client.Kind
 }
 
@@ -238,7 +238,7 @@
 	return waitUntilControllerReady(s.ctx, s.controllerAddress)
 }
 
-// killController kills the controller with SIGKILL, so that it can't clean up.
+// killController kills the controller with SIGKILL, so that the controller can't clean up.
 func (s *controllerTestbed) killController() {
 	s.command.Process.Kill()
 	s.command.Wait()
@@ -371,7 +371,8 @@
 		}
 		work := engine.Work{Threads: kind.Threads, MemoryMB: kind.MemoryMB, TableGroup: int64(rng.IntN(100)),
 			Load: kind.Load, Rows: kind.Rows,
-			CPU: time.Duration(float64(kind.CPU) * math.Exp(rng.NormFloat64()*kind.CPUSigma-kind.CPUSigma*kind.CPUSigma/2))}
+			CPU: time.Duration(float64(kind.CPU) *
+				math.Exp(rng.NormFloat64()*kind.CPUSigma-kind.CPUSigma*kind.CPUSigma/2))}
 		q := &trialQuery{team: team, id: fmt.Sprintf("%08x%08x", team+1, msg), work: work, sentAt: time.Now(),
 			firstEstimate: -1}
 		fields := []string{"trace", q.id, "patience", fmt.Sprint(kind.Patience.Milliseconds()),
