--- a/internal/bench/storm.go
+++ b/internal/bench/storm.go
@@ -22,374 +22,401 @@
 	"railrelay.dev/railrelay/internal/historycheck"
 )
 
-// faultRound is one fault while a change is under way, and its end.
+// faultRound injects one fault while changes are in progress, and heals it after a duration.
 type faultRound struct {
 	name      string
-	inject    func(g *faultFleet)
-	heal      func(g *faultFleet)
-	duration  func(g *faultFleet) time.Duration
-	withPurge bool // a purge is under way, too
+	inject    func(ff *faultFleet)
+	heal      func(ff *faultFleet)
+	duration  func(ff *faultFleet) time.Duration
+	withPurge bool // a purge is in progress as well
 }
 
-// pastLease is longer than a lease that was just renewed.
-func pastLease(g *faultFleet) time.Duration { return g.Lease*3/2 + 200*time.Millisecond }
+// pastLease returns the duration of a fault in which every lease expires, even one that was just renewed.
+func pastLease(ff *faultFleet) time.Duration { return ff.Lease*3/2 + 200*time.Millisecond }
 
+// shortFault returns the duration of a fault in which renewed leases do not expire.
 func shortFault(*faultFleet) time.Duration { return 500 * time.Millisecond }
 
-// linkFaultRound is a round of a fault on the links from and to whom pick says, "" is any.
-func linkFaultRound(name string, f faultproxy.Fault, pick func(g *faultFleet) (from, to string), purges bool, lasts func(*faultFleet) time.Duration) faultRound {
-	return faultRound{name, func(g *faultFleet) {
-		from, to := pick(g)
-		g.mu.Lock()
-		g.fleetHistory.Note(g.elapsed(), fmt.Sprintf("links from %q to %q: %s", from, to, name), from, to)
-		g.mu.Unlock()
-		f.Seed = g.Seed
-		g.mesh.SetFault(from, to, f)
-	}, func(g *faultFleet) { g.mesh.Heal() }, lasts, purges}
+// linkFaultRound returns a round with a fault on the links from one process to another, which pick returns.
+// An empty name selects any process.
+func linkFaultRound(name string, fault faultproxy.Fault, pick func(ff *faultFleet) (from, to string),
+	withPurge bool, duration func(*faultFleet) time.Duration) faultRound {
+	return faultRound{name, func(ff *faultFleet) {
+		from, to := pick(ff)
+		ff.mu.Lock()
+		ff.fleetHistory.Note(ff.elapsed(), fmt.Sprintf("links from %q to %q: %s", from, to, name), from, to)
+		ff.mu.Unlock()
+		fault.Seed = ff.Seed
+		ff.mesh.SetFault(from, to, fault)
+	}, func(ff *faultFleet) { ff.mesh.Heal() }, duration, withPurge}
 }
 
-func (g *faultFleet) anyLink() (from, to string) { return "", "" }
+// anyLink selects all links.
+func (ff *faultFleet) anyLink() (from, to string) { return "", "" }
 
-// processFaultRound has one process that a round means, and brings it back.
-func processFaultRound(name string, pick func(g *faultFleet) *fleetProcess, stop bool, lasts func(*faultFleet) time.Duration, purges bool) faultRound {
+// processFaultRound returns a round that pauses or kills the process that pick returns, and then resumes or
+// restarts it.
+func processFaultRound(name string, pick func(ff *faultFleet) *fleetProcess, pause bool,
+	duration func(*faultFleet) time.Duration, withPurge bool) faultRound {
 	var p *fleetProcess
-	return faultRound{name, func(g *faultFleet) {
-		if p = pick(g); stop {
-			g.pause(p)
+	return faultRound{name, func(ff *faultFleet) {
+		if p = pick(ff); pause {
+			ff.pause(p)
 		} else {
-			g.kill(p)
+			ff.kill(p)
 		}
-	}, func(g *faultFleet) {
-		if stop {
-			g.resume(p)
-		} else if err := g.startProcess(p); err != nil {
-			g.addFault(err)
+	}, func(ff *faultFleet) {
+		if pause {
+			ff.resume(p)
+		} else if err := ff.startProcess(p); err != nil {
+			ff.addFault(err)
 		}
-	}, lasts, purges}
+	}, duration, withPurge}
 }
 
-func (g *faultFleet) addFault(err error) {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	g.queryHistory.AddFault(g.elapsed(), err.Error())
+// addFault adds an error of the run itself to the faults.
+func (ff *faultFleet) addFault(err error) {
+	ff.mu.Lock()
+	defer ff.mu.Unlock()
+	ff.queryHistory.AddFault(ff.elapsed(), err.Error())
 }
 
-// faultRounds are all faults that a measurement plays; the order follows from the seed.
+// faultRounds returns the rounds of a measurement, which runs them in an order that its seed determines.
 func faultRounds() []faultRound {
-	leader := func(g *faultFleet) *fleetProcess { return g.leader() }
-	follower := func(g *faultFleet) *fleetProcess { return g.randomFollower() }
-	ofLeader := func(g *faultFleet) (from, to string) { return g.leader().name, "" }
-	toFollower := func(g *faultFleet) (from, to string) { return "", g.randomFollower().name }
-	var two []*fleetProcess
+	leader := func(ff *faultFleet) *fleetProcess { return ff.leader() }
+	follower := func(ff *faultFleet) *fleetProcess { return ff.randomFollower() }
+	fromLeader := func(ff *faultFleet) (from, to string) { return ff.leader().name, "" }
+	toFollower := func(ff *faultFleet) (from, to string) { return "", ff.randomFollower().name }
+	var majority []*fleetProcess
 	return []faultRound{
 		processFaultRound("the leader killed", leader, false, shortFault, false),
 		processFaultRound("the leader stopped past its lease", leader, true, pastLease, true),
 		processFaultRound("a follower stopped past its lease", follower, true, pastLease, false),
 		processFaultRound("a follower killed", follower, false, pastLease, true),
-		{"cut", func(g *faultFleet) {
-			p := g.randomFollower()
-			g.recordFault(p, "cut off")
-			g.mesh.Isolate(p.name)
-		}, func(g *faultFleet) { g.mesh.Heal() }, pastLease, true},
+		{"cut", func(ff *faultFleet) {
+			p := ff.randomFollower()
+			ff.recordFault(p, "cut off")
+			ff.mesh.Isolate(p.name)
+		}, func(ff *faultFleet) { ff.mesh.Heal() }, pastLease, true},
 		linkFaultRound("one way", faultproxy.Fault{Kind: faultproxy.OneWay, Direction: faultproxy.ToTarget},
 			toFollower, false, pastLease),
-		linkFaultRound("slow", faultproxy.Fault{Kind: faultproxy.Slow, Rate: 30_000}, ofLeader, false, shortFault),
-		linkFaultRound("jitter", faultproxy.Fault{Kind: faultproxy.Delay, Latency: 2 * time.Millisecond, Jitter: 60 * time.Millisecond}, (*faultFleet).anyLink, true, shortFault),
-		linkFaultRound("reset", faultproxy.Fault{Kind: faultproxy.Reset}, (*faultFleet).anyLink, false, shortFault),
-		linkFaultRound("stall", faultproxy.Fault{Kind: faultproxy.Stall, AfterBytes: 1500}, ofLeader, false, shortFault),
-		linkFaultRound("double", faultproxy.Fault{Kind: faultproxy.Duplicate}, (*faultFleet).anyLink, true, shortFault),
-		{"the majority lost", func(g *faultFleet) {
-			two = g.members[:g.Voters/2+1]
-			for _, p := range two {
-				g.pause(p)
+		linkFaultRound("slow", faultproxy.Fault{Kind: faultproxy.Slow, Rate: 30_000},
+			fromLeader, false, shortFault),
+		linkFaultRound("jitter", faultproxy.Fault{Kind: faultproxy.Delay,
+			Latency: 2 * time.Millisecond, Jitter: 60 * time.Millisecond},
+			(*faultFleet).anyLink, true, shortFault),
+		linkFaultRound("reset", faultproxy.Fault{Kind: faultproxy.Reset},
+			(*faultFleet).anyLink, false, shortFault),
+		linkFaultRound("stall", faultproxy.Fault{Kind: faultproxy.Stall, AfterBytes: 1500},
+			fromLeader, false, shortFault),
+		linkFaultRound("double", faultproxy.Fault{Kind: faultproxy.Duplicate},
+			(*faultFleet).anyLink, true, shortFault),
+		{"a majority of the voters stopped past their leases", func(ff *faultFleet) {
+			majority = ff.members[:ff.Voters/2+1]
+			for _, p := range majority {
+				ff.pause(p)
 			}
-		}, func(g *faultFleet) {
-			for _, p := range two {
-				g.resume(p)
+		}, func(ff *faultFleet) {
+			for _, p := range majority {
+				ff.resume(p)
 			}
 		}, pastLease, false},
-		{"all killed", func(g *faultFleet) {
-			for _, p := range g.members {
-				g.kill(p)
+		{"all killed", func(ff *faultFleet) {
+			for _, p := range ff.members {
+				ff.kill(p)
 			}
-		}, func(g *faultFleet) {
-			for _, p := range g.members {
-				if err := g.startProcess(p); err != nil {
-					g.addFault(err)
+		}, func(ff *faultFleet) {
+			for _, p := range ff.members {
+				if err := ff.startProcess(p); err != nil {
+					ff.addFault(err)
 				}
 			}
 		}, shortFault, true},
 	}
 }
 
-// runRound has a change, a second operator's at the same version and perhaps a purge under
-// way while a fault strikes, and waits until all of them have come to their end.
-func (g *faultFleet) runRound(r faultRound) error {
-	before := g.mesh.HitCounts()
-	base := g.latestVersion
-	mine, other := g.newChange(base, 0, false), g.newChange(base, 0, false)
-	at := g.members[g.rng.IntN(len(g.members))]
-	too := g.members[g.rng.IntN(len(g.members))]
-	wait := time.Duration(g.rng.IntN(25)) * time.Millisecond
-	early := g.rng.IntN(2) == 0
+// runRound injects a round's fault before or while two operators apply changes to the same policy version,
+// and, if the round says so, while a purge is in progress. It waits until the changes and the purge have an
+// outcome and all controllers serve.
+func (ff *faultFleet) runRound(r faultRound) error {
+	before := ff.mesh.HitCounts()
+	base := ff.latestVersion
+	first, second := ff.newChange(base, 0, false), ff.newChange(base, 0, false)
+	firstMember := ff.members[ff.rng.IntN(len(ff.members))]
+	secondMember := ff.members[ff.rng.IntN(len(ff.members))]
+	delay := time.Duration(ff.rng.IntN(25)) * time.Millisecond
+	faultFirst := ff.rng.IntN(2) == 0
 	var wg sync.WaitGroup
-	var purged error
-	if early { // the fault is there first
-		r.inject(g)
-	}
-	for _, x := range []struct {
-		p *fleetProcess
-		a *fleet.Request
-	}{{at, mine}, {too, other}} {
+	var purgeErr error
+	if faultFirst {
+		r.inject(ff)
+	}
+	for _, operator := range []struct {
+		p      *fleetProcess
+		change *fleet.Request
+	}{{firstMember, first}, {secondMember, second}} {
 		wg.Go(func() {
-			if x.p.command != nil && !x.p.paused {
-				g.applyChange(x.p, x.a)
+			if operator.p.command != nil && !operator.p.paused {
+				ff.applyChange(operator.p, operator.change)
 			}
 		})
 	}
-	team := []string{"linz", "steyr"}[g.rng.IntN(2)]
+	team := []string{"linz", "steyr"}[ff.rng.IntN(2)]
 	if r.withPurge {
-		wg.Go(func() { _, purged = g.purgeTeam(g.members[0], team, 15*time.Second) })
+		wg.Go(func() { _, purgeErr = ff.purgeTeam(ff.members[0], team, 15*time.Second) })
 	}
-	if !early {
-		time.Sleep(wait) // somewhere in the middle of it
-		r.inject(g)
+	if !faultFirst {
+		time.Sleep(delay) // so that the fault hits any stage of the changes and the purge
+		r.inject(ff)
 	}
-	time.Sleep(r.duration(g))
-	r.heal(g)
+	time.Sleep(r.duration(ff))
+	r.heal(ff)
 	wg.Wait()
-	if purged != nil {
-		return fmt.Errorf("%s: %w", r.name, purged)
+	if purgeErr != nil {
+		return fmt.Errorf("%s: %w", r.name, purgeErr)
 	}
-	for _, a := range []*fleet.Request{mine, other} {
-		if _, err := g.awaitOutcome(a, 15*time.Second); err != nil {
+	for _, change := range []*fleet.Request{first, second} {
+		if _, err := ff.awaitOutcome(change, 15*time.Second); err != nil {
 			return fmt.Errorf("%s: %w", r.name, err)
 		}
 	}
-	if err := g.awaitAllServing(15 * time.Second); err != nil {
+	if err := ff.awaitAllServing(15 * time.Second); err != nil {
 		return fmt.Errorf("%s: %w", r.name, err)
 	}
-	after := g.mesh.HitCounts()
+	after := ff.mesh.HitCounts()
 	for kind, n := range after {
 		if n > before[kind] {
-			g.mu.Lock()
-			g.faultCounts["link "+kind]++
-			g.mu.Unlock()
+			ff.mu.Lock()
+			ff.faultCounts["link "+kind]++
+			ff.mu.Unlock()
 		}
 	}
 	return nil
 }
 
-// startFromDamagedRecord has a follower start from a file that was cut short, which it must refuse by
-// itself, and then from what was there.
-func (g *faultFleet) startFromDamagedRecord() error {
-	p := g.randomFollower()
-	g.kill(p)
-	file := filepath.Join(g.path(p.name+"-fleet"), "record")
-	whole, err := os.ReadFile(file)
+// startFromDamagedRecord starts a follower from a truncated and from a corrupted record file. The follower
+// must exit and log what is wrong. Then startFromDamagedRecord starts the follower from the intact file.
+func (ff *faultFleet) startFromDamagedRecord() error {
+	p := ff.randomFollower()
+	ff.kill(p)
+	file := filepath.Join(ff.path(p.name+"-fleet"), "record")
+	intact, err := os.ReadFile(file)
 	if err != nil {
 		return err
 	}
-	spoilt := slices.Clone(whole)
-	for i := len(spoilt) / 4; i < len(spoilt)*3/4; i += 97 {
-		spoilt[i] ^= 0x55
+	corrupted := slices.Clone(intact)
+	for i := len(corrupted) / 4; i < len(corrupted)*3/4; i += 97 {
+		corrupted[i] ^= 0x55
 	}
-	for what, text := range map[string][]byte{"cut short": whole[:len(whole)/3], "spoilt": spoilt} {
-		if err := os.WriteFile(file, text, 0o600); err != nil {
+	for damage, content := range map[string][]byte{
+		"truncated": intact[:len(intact)/3], "spoilt": corrupted} {
+		if err := os.WriteFile(file, content, 0o600); err != nil {
 			return err
 		}
-		g.recordFault(p, "given a file that is "+what)
+		ff.recordFault(p, "started from a record file that is "+damage)
 		size, err := p.logFile.Seek(0, io.SeekEnd)
 		if err != nil {
 			return err
 		}
-		if err := g.startProcess(p); err != nil {
+		if err := ff.startProcess(p); err != nil {
 			return err
 		}
 		select {
 		case <-p.exited:
 		case <-time.After(10 * time.Second):
-			return fmt.Errorf("%s serves from a file that is %s", p.name, what)
+			return fmt.Errorf("%s keeps running with a record file that is %s", p.name, damage)
 		}
 		p.command = nil
-		said, err := os.ReadFile(g.path(p.name + ".log"))
+		log, err := os.ReadFile(ff.path(p.name + ".log"))
 		if err != nil {
 			return err
 		}
-		if !bytes.Contains(said[size:], []byte("record is ")) || !bytes.Contains(said[size:], []byte("fleet forget")) {
-			return fmt.Errorf("%s doesn't say what is wrong with a file that is %s: %s", p.name, what, said[size:])
+		if !bytes.Contains(log[size:], []byte("record is ")) ||
+			!bytes.Contains(log[size:], []byte("fleet forget")) {
+			return fmt.Errorf("%s does not log what is wrong with a record file that is %s: %s",
+				p.name, damage, log[size:])
 		}
 	}
-	if err := os.WriteFile(file, whole, 0o600); err != nil {
+	if err := os.WriteFile(file, intact, 0o600); err != nil {
 		return err
 	}
-	if err := g.startProcess(p); err != nil {
+	if err := ff.startProcess(p); err != nil {
 		return err
 	}
-	return g.awaitAllServing(15 * time.Second)
+	return ff.awaitAllServing(15 * time.Second)
 }
 
-// runEmergency takes all engines inside away for longer than the rule says, sees the
-// bound team's queries run at the further site, and gives them back.
-func (g *faultFleet) runEmergency() error {
-	tell := func(phase string) {
-		var l []feed.Engine
-		for _, e := range g.feedEngines {
+// runEmergency drains all engines of the site east for longer than the policy's emergency delay, and waits
+// until the team bound to the site runs queries at its emergency site. Then it restores the engines and waits
+// for the end of the emergency.
+func (ff *faultFleet) runEmergency() error {
+	publishPhase := func(phase string) {
+		var engines []feed.Engine
+		for _, e := range ff.feedEngines {
 			if e.Locality == "east" {
 				e.Phase = phase
-				l = append(l, e)
+				engines = append(engines, e)
 			}
 		}
-		g.mu.Lock()
-		for _, e := range l {
-			g.queryHistory.SetServing(g.elapsed(), e.ID, phase == "SERVING")
+		ff.mu.Lock()
+		for _, e := range engines {
+			ff.queryHistory.SetServing(ff.elapsed(), e.ID, phase == "SERVING")
 		}
-		g.mu.Unlock()
-		g.feed.Publish(false, l...)
-	}
-	g.mu.Lock()
-	from := g.emergencyQueries
-	g.fleetHistory.AllowSites(g.elapsed()+time.Second-g.fleetHistory.Slack, "linz", "west")
-	g.faultCounts["all engines of a site lost"]++
-	g.mu.Unlock()
-	tell("DRAINING")
-	err := g.waitFor(10*time.Second, "a bound team's queries at the further site", func() bool {
-		g.mu.Lock()
-		defer g.mu.Unlock()
-		return g.emergencyQueries > from+5
+		ff.mu.Unlock()
+		ff.feed.Publish(false, engines...)
+	}
+	ff.mu.Lock()
+	before := ff.emergencyQueries
+	ff.fleetHistory.AllowSites(ff.elapsed()+time.Second-ff.fleetHistory.Slack, "linz", "west")
+	ff.faultCounts["all engines of a site lost"]++
+	ff.mu.Unlock()
+	publishPhase("DRAINING")
+	err := ff.waitFor(10*time.Second, "the bound team's queries run at the emergency site", func() bool {
+		ff.mu.Lock()
+		defer ff.mu.Unlock()
+		return ff.emergencyQueries > before+5
 	})
-	tell("SERVING")
+	publishPhase("SERVING")
 	if err != nil {
 		return err
 	}
-	err = g.waitFor(15*time.Second, "an end of the emergency", func() bool {
-		for _, p := range g.members {
-			if s := g.status(p); len(s.Emergencies) > 0 || !s.Serves {
+	err = ff.waitFor(15*time.Second, "the emergency has ended and all controllers serve", func() bool {
+		for _, p := range ff.members {
+			if status := ff.status(p); len(status.Emergencies) > 0 || !status.Serves {
 				return false
 			}
 		}
 		return true
 	})
-	g.mu.Lock()
-	g.fleetHistory.RevokeSites(g.elapsed(), "linz")
-	g.emergencies++
-	g.mu.Unlock()
+	ff.mu.Lock()
+	ff.fleetHistory.RevokeSites(ff.elapsed(), "linz")
+	ff.emergencies++
+	ff.mu.Unlock()
 	return err
 }
 
-// voters has another controller vote in place of one that did, while clients ask.
-func (g *faultFleet) replaceVoter() error {
-	a := g.newChange(g.latestVersion, 0, false)
-	text := string(a.Policy) + "voters:\n"
-	for _, p := range append(slices.Clone(g.members[1:g.Voters]), g.members[g.Voters]) {
-		text += fmt.Sprintf("  - {name: %s, address: %q}\n", p.name, p.peerAddress)
-	}
-	a.Policy = []byte(text)
-	if word, err := g.awaitOutcome(a, 10*time.Second); err != nil || word != "in force" {
-		return fmt.Errorf("the change of voters: %s %w", word, err)
-	}
-	voter := g.members[g.Voters]
-	return g.waitFor(10*time.Second, voter.name+" votes", func() bool {
-		for _, m := range g.status(g.leader()).Members {
-			if m.Name == voter.name {
-				return m.IsVoter
+// replaceVoter changes the policy so that the first follower votes in place of the first voter, while clients
+// send queries.
+func (ff *faultFleet) replaceVoter() error {
+	change := ff.newChange(ff.latestVersion, 0, false)
+	policy := string(change.Policy) + "voters:\n"
+	for _, p := range append(slices.Clone(ff.members[1:ff.Voters]), ff.members[ff.Voters]) {
+		policy += fmt.Sprintf("  - {name: %s, address: %q}\n", p.name, p.peerAddress)
+	}
+	change.Policy = []byte(policy)
+	if outcome, err := ff.awaitOutcome(change, 10*time.Second); err != nil || outcome != "in force" {
+		return fmt.Errorf("change of the voters: outcome %s: %w", outcome, err)
+	}
+	voter := ff.members[ff.Voters]
+	return ff.waitFor(10*time.Second, voter.name+" votes", func() bool {
+		for _, member := range ff.status(ff.leader()).Members {
+			if member.Name == voter.name {
+				return member.IsVoter
 			}
 		}
 		return false
 	})
 }
 
-// finish makes a last change, sees all act by it, has all words told once more and clients
-// end, and says what was found broken.
-func (g *faultFleet) finish() ([]string, error) {
-	a := g.newChange(g.latestVersion, 0, false)
-	if word, err := g.awaitOutcome(a, 10*time.Second); err != nil || word != "in force" {
-		return nil, fmt.Errorf("the last change: %s %w", word, err)
-	}
-	for _, b := range g.changeRequests { // asking again by id gives the same word
-		g.applyChange(g.members[g.rng.IntN(len(g.members))], &fleet.Request{Kind: "status", ID: b.ID, BaseVersion: b.BaseVersion, WaitMs: 300})
-	}
-	if err := g.waitFor(10*time.Second, "acts by the last version everywhere", func() bool {
-		g.mu.Lock()
-		defer g.mu.Unlock()
-		return !slices.ContainsFunc(g.observedVersions, func(l []versionObservation) bool { return len(l) == 0 || l[len(l)-1].version != g.latestVersion })
+// finish applies a last change, queries the outcomes of all changes once more, waits until all controllers
+// act on the last version and stops the clients. It returns all violations of the invariants in the run.
+func (ff *faultFleet) finish() ([]string, error) {
+	last := ff.newChange(ff.latestVersion, 0, false)
+	if outcome, err := ff.awaitOutcome(last, 10*time.Second); err != nil || outcome != "in force" {
+		return nil, fmt.Errorf("last change: outcome %s: %w", outcome, err)
+	}
+	for _, change := range ff.changeRequests { // a later request must return the same outcome
+		ff.applyChange(ff.members[ff.rng.IntN(len(ff.members))], &fleet.Request{Kind: "status",
+			ID: change.ID, BaseVersion: change.BaseVersion, WaitMs: 300})
+	}
+	if err := ff.waitFor(10*time.Second, "all controllers act on the last version", func() bool {
+		ff.mu.Lock()
+		defer ff.mu.Unlock()
+		return !slices.ContainsFunc(ff.observedVersions, func(observations []versionObservation) bool {
+			return len(observations) == 0 || observations[len(observations)-1].version != ff.latestVersion
+		})
 	}); err != nil {
-		g.mu.Lock()
-		g.fleetHistory.Faults = append(g.fleetHistory.Faults,
+		ff.mu.Lock()
+		ff.fleetHistory.Faults = append(ff.fleetHistory.Faults,
 			historycheck.Fault{Kind: historycheck.PartialChange, Description: err.Error()})
-		g.mu.Unlock()
-	}
-	close(g.stopClients)
-	g.clients.Wait()
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	broken := slices.Clone(g.queryHistory.Finish(g.elapsed()))
-	for _, f := range g.fleetHistory.Faults {
-		broken = append(broken, f.String())
-	}
-	if ok, why := historycheck.Linearizable(g.changeReports, 2*time.Second); !ok {
-		f := historycheck.Fault{Kind: historycheck.Contradiction,
-			Description: "there is no order of these words:\n" + why}
-		g.fleetHistory.Faults = append(g.fleetHistory.Faults, f)
-		broken = append(broken, f.String())
-	}
-	return broken, nil
+		ff.mu.Unlock()
+	}
+	close(ff.stopClients)
+	ff.clients.Wait()
+	ff.mu.Lock()
+	defer ff.mu.Unlock()
+	violations := slices.Clone(ff.queryHistory.Finish(ff.elapsed()))
+	for _, fault := range ff.fleetHistory.Faults {
+		violations = append(violations, fault.String())
+	}
+	if ok, reports := historycheck.Linearizable(ff.changeReports, 2*time.Second); !ok {
+		fault := historycheck.Fault{Kind: historycheck.Contradiction,
+			Description: "no order of the changes explains these reports:\n" + reports}
+		ff.fleetHistory.Faults = append(ff.fleetHistory.Faults, fault)
+		violations = append(violations, fault.String())
+	}
+	return violations, nil
 }
 
-func median(l []time.Duration) time.Duration {
-	if len(l) == 0 {
+// median sorts the durations and returns their median, or 0 if there are none.
+func median(durations []time.Duration) time.Duration {
+	if len(durations) == 0 {
 		return 0
 	}
-	slices.Sort(l)
-	return l[len(l)/2]
+	slices.Sort(durations)
+	return durations[len(durations)/2]
 }
 
 func toMilliseconds(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
 
-// measureWithoutFaults has changes and a purge with nothing else going on, and gives what they cost.
-func (g *faultFleet) measureWithoutFaults(n int) (hold, trip, sync, purge time.Duration, err error) {
+// measureWithoutFaults applies changes and purges without faults. It returns the medians of the hold of a
+// controller when it switches versions, of a round trip, of the sync of one page to disk and of a purge.
+func (ff *faultFleet) measureWithoutFaults(changes int) (hold, trip, sync, purge time.Duration, err error) {
 	var holds, trips, syncs, purges []time.Duration
-	if err := g.waitFor(5*time.Second, "asked everywhere", func() bool {
-		g.mu.Lock()
-		defer g.mu.Unlock()
-		return !slices.ContainsFunc(g.observedVersions, func(l []versionObservation) bool { return len(l) == 0 })
+	if err := ff.waitFor(5*time.Second, "every controller has acted on a query", func() bool {
+		ff.mu.Lock()
+		defer ff.mu.Unlock()
+		return !slices.ContainsFunc(ff.observedVersions,
+			func(observations []versionObservation) bool { return len(observations) == 0 })
 	}); err != nil {
 		return 0, 0, 0, 0, err
 	}
-	for range n {
-		a := g.newChange(g.latestVersion, 0, false)
-		if word, err := g.awaitOutcome(a, 15*time.Second); err != nil || word != "in force" {
-			return 0, 0, 0, 0, fmt.Errorf("%s: %s %w", a.ID, word, err)
+	for range changes {
+		change := ff.newChange(ff.latestVersion, 0, false)
+		if outcome, err := ff.awaitOutcome(change, 15*time.Second); err != nil || outcome != "in force" {
+			return 0, 0, 0, 0, fmt.Errorf("%s: outcome %s: %w", change.ID, outcome, err)
 		}
-		version := g.latestVersion
-		if err := g.waitFor(5*time.Second, "acts by it everywhere", func() bool { return len(g.switchHolds(version)) == len(g.members) }); err != nil {
+		version := ff.latestVersion
+		if err := ff.waitFor(5*time.Second, "every controller acts on the new version", func() bool {
+			return len(ff.switchHolds(version)) == len(ff.members)
+		}); err != nil {
 			return 0, 0, 0, 0, err
 		}
-		holds = append(holds, g.switchHolds(version)...)
+		holds = append(holds, ff.switchHolds(version)...)
 	}
-	a := g.newChange(g.latestVersion, 0, true)
-	if word, err := g.awaitOutcome(a, 15*time.Second); err != nil || word != "withdrawn" {
-		return 0, 0, 0, 0, fmt.Errorf("what nobody can take is %s %w", word, err)
+	invalid := ff.newChange(ff.latestVersion, 0, true)
+	if outcome, err := ff.awaitOutcome(invalid, 15*time.Second); err != nil || outcome != "withdrawn" {
+		return 0, 0, 0, 0, fmt.Errorf("invalid change: outcome %s: %w", outcome, err)
 	}
 	for _, team := range []string{"linz", "steyr"} {
-		took, err := g.purgeTeam(g.leader(), team, 10*time.Second)
+		took, err := ff.purgeTeam(ff.leader(), team, 10*time.Second)
 		if err != nil {
 			return 0, 0, 0, 0, err
 		}
 		purges = append(purges, took)
 	}
-	f, err := os.Create(g.path("synced"))
+	file, err := os.Create(ff.path("synced"))
 	if err != nil {
 		return 0, 0, 0, 0, err
 	}
-	defer f.Close()
+	defer file.Close()
 	for range 15 {
 		begin := time.Now()
-		g.status(g.members[0])
-		trips = append(trips, time.Since(begin)/2) // a greeting and the ask
+		ff.status(ff.members[0])
+		trips = append(trips, time.Since(begin)/2) // a handshake and the request
 		begin = time.Now()
-		f.Write(make([]byte, 4096))
-		if err := f.Sync(); err != nil {
+		file.Write(make([]byte, 4096))
+		if err := file.Sync(); err != nil {
 			return 0, 0, 0, 0, err
 		}
 		syncs = append(syncs, time.Since(begin))
@@ -397,33 +424,35 @@
 	return median(holds), median(trips), median(syncs), median(purges), nil
 }
 
-// fleetThroughputRatio is the queries a second of a controller in a fleet of its own, beside one
-// without, in short turns by turns.
-func fleetThroughputRatio(ctx context.Context, program string, turns int, turn time.Duration) (float64, error) {
-	t := &Trial{Program: program, Engines: 8, Seed: 1, Log: io.Discard}
-	var rates [2]float64
+// fleetThroughputRatio returns the throughput of a controller that is the only member of a fleet, relative to
+// a controller without a fleet. The two controllers are measured alternately, in short turns.
+func fleetThroughputRatio(ctx context.Context, program string, turns int, turn time.Duration) (
+	float64, error) {
+	trial := &Trial{Program: program, Engines: 8, Seed: 1, Log: io.Discard}
+	var answered [2]float64 // without and with a fleet
 	run := func(ctx context.Context, address string) (int64, error) {
-		within, stop := context.WithTimeout(ctx, turn)
-		defer stop()
+		turnCtx, cancel := context.WithTimeout(ctx, turn)
+		defer cancel()
 		done := int64(0)
 		var wg sync.WaitGroup
-		faults := make([]error, 4)
-		for i := range faults {
-			wg.Go(func() { faults[i] = hammer(within, address, i, 16, &done) })
+		errs := make([]error, 4)
+		for i := range errs {
+			wg.Go(func() { errs[i] = hammer(turnCtx, address, i, 16, &done) })
 		}
 		wg.Wait()
-		return done, errors.Join(faults...)
+		return done, errors.Join(errs...)
 	}
 	var stages [2]*stage
-	for on := range stages {
-		s, err := newStage(ctx, program, t.Engines, trialEngine(), t.Log, func(int, *engine.Server) {})
+	for inFleet := range stages {
+		s, err := newStage(ctx, program, trial.Engines, trialEngine(), trial.Log,
+			func(int, *engine.Server) {})
 		if err != nil {
 			return 0, err
 		}
 		defer s.close()
-		stages[on] = s
-		text := t.setup(s.feed, s.address)
-		if on == 1 {
+		stages[inFleet] = s
+		setup := trial.setup(s.feed, s.address)
+		if inFleet == 1 {
 			peer, err := loopback.FreeAddress()
 			if err != nil {
 				return 0, err
@@ -436,112 +465,122 @@
 			if err := os.WriteFile(keys, []byte(strings.Repeat("5e", 32)), 0o600); err != nil {
 				return 0, err
 			}
-			text += fmt.Sprintf("fleet: {name: alone, listen: %q, control: %q, directory: %q, keys: %q, voters: [{name: try, address: %q}]}\n", peer, control,
-				filepath.Join(s.dir, "fleet"), keys, peer)
+			setup += fmt.Sprintf("fleet: {name: alone, listen: %q, control: %q, directory: %q, "+
+				"keys: %q, voters: [{name: try, address: %q}]}\n",
+				peer, control, filepath.Join(s.dir, "fleet"), keys, peer)
 		}
-		if err := s.begin(text); err != nil {
+		if err := s.begin(setup); err != nil {
 			return 0, err
 		}
 	}
 	for i := range turns + 1 {
-		for on, s := range stages {
-			n, err := run(ctx, s.address)
+		for inFleet, s := range stages {
+			done, err := run(ctx, s.address)
 			if err != nil {
 				return 0, err
 			}
-			if i > 0 { // the first warms them up
-				rates[on] += float64(n)
+			if i > 0 { // the first turn warms the controllers up
+				answered[inFleet] += float64(done)
 			}
 		}
 	}
-	return rates[1] / max(rates[0], 1), nil
+	return answered[1] / max(answered[0], 1), nil
 }
 
-// MeasureFaultFleet is the measurement of a fleet, on real processes.
-func MeasureFaultFleet(ctx context.Context, out io.Writer, program, plantedDir string, seed uint64, detail bool) error {
-	t := FaultFleetConfig{Program: program, Voters: 3, Followers: 6, Seed: seed, Lease: time.Second}
-	g, err := t.start(ctx)
+// MeasureFaultFleet injects all faults into a fleet of real processes, runs schedules in virtual time and the
+// tests of the planted faults beside it, and writes the measurements to out. It returns an error if an
+// invariant was violated, a planted fault was not detected, or an event that the run must contain is missing.
+func MeasureFaultFleet(ctx context.Context, out io.Writer, program, plantedDir string, seed uint64,
+	detail bool) error {
+	config := FaultFleetConfig{Program: program, Voters: 3, Followers: 6, Seed: seed, Lease: time.Second}
+	ff, err := config.start(ctx)
 	if err != nil {
 		return err
 	}
-	defer g.close()
-	fmt.Fprintf(out, "%d controllers serve after %.2f s\n", len(g.members), g.elapsed().Seconds())
-	g.startAllClients()
-	hold, trip, sync1, purge, err := g.measureWithoutFaults(6)
+	defer ff.close()
+	fmt.Fprintf(out, "%d controllers serve after %.2f s\n", len(ff.members), ff.elapsed().Seconds())
+	ff.startAllClients()
+	hold, trip, diskSync, purge, err := ff.measureWithoutFaults(6)
 	if err != nil {
 		return err
 	}
-	var others sync.WaitGroup
+	var background sync.WaitGroup
 	var schedules *Played
-	others.Go(func() {
-		l := &Plan{}
-		l.Random(seed*1000, 100, 5, 3, 6*time.Second, 2)
-		l.Random(seed*1000+500, 1, 100, 5, 3*time.Second, 6)
-		l.Struck(seed, 1+int(seed%7), 120, 11)
-		schedules = l.Play(1, time.Now().Add(18*time.Second))
+	background.Go(func() {
+		plan := &Plan{}
+		plan.Random(seed*1000, 100, 5, 3, 6*time.Second, 2)
+		plan.Random(seed*1000+500, 1, 100, 5, 3*time.Second, 6)
+		plan.Struck(seed, 1+int(seed%7), 120, 11)
+		schedules = plan.Play(1, time.Now().Add(18*time.Second))
 	})
 	var found, planted int
-	var lines []string
-	others.Go(func() { found, planted, lines = detectPlantedFaults(ctx, plantedDir) })
-	list := faultRounds()
-	g.rng.Shuffle(len(list), func(i, j int) { list[i], list[j] = list[j], list[i] })
-	for _, r := range list {
-		if g.elapsed() > 29*time.Second {
-			fmt.Fprintf(out, "no time for: %s\n", r.name)
+	var table []string
+	background.Go(func() { found, planted, table = detectPlantedFaults(ctx, plantedDir) })
+	rounds := faultRounds()
+	ff.rng.Shuffle(len(rounds), func(i, j int) { rounds[i], rounds[j] = rounds[j], rounds[i] })
+	for _, r := range rounds {
+		if ff.elapsed() > 29*time.Second {
+			fmt.Fprintf(out, "no time left for the round: %s\n", r.name)
 			continue
 		}
 		begin := time.Now()
-		if err := g.runRound(r); err != nil {
+		if err := ff.runRound(r); err != nil {
 			return err
 		}
 		if detail {
 			fmt.Fprintf(out, "%s: %.2f s\n", r.name, time.Since(begin).Seconds())
 		}
 	}
-	for _, do := range []func() error{g.runEmergency, g.startFromDamagedRecord, g.replaceVoter} {
-		if err := do(); err != nil {
+	for _, step := range []func() error{ff.runEmergency, ff.startFromDamagedRecord, ff.replaceVoter} {
+		if err := step(); err != nil {
 			return err
 		}
 	}
-	broken, err := g.finish()
+	violations, err := ff.finish()
 	if err != nil {
 		return err
 	}
-	others.Wait()
-	g.close()
+	background.Wait()
+	ff.close()
 	ratio, err := fleetThroughputRatio(ctx, program, 5, 300*time.Millisecond)
 	if err != nil {
 		return err
 	}
 	faults := 0
-	for _, kind := range slices.Sorted(maps.Keys(g.faultCounts)) {
-		faults += g.faultCounts[kind]
-		fmt.Fprintf(out, "%s: %d; ", kind, g.faultCounts[kind])
+	for _, kind := range slices.Sorted(maps.Keys(ff.faultCounts)) {
+		faults += ff.faultCounts[kind]
+		fmt.Fprintf(out, "%s: %d; ", kind, ff.faultCounts[kind])
 	}
 	fmt.Fprintln(out)
-	fmt.Fprintln(out, strings.Join(lines, "\n"))
-	fmt.Fprintf(out, "schedules in virtual time: %d of up to 100 controllers, struck in %d states, %d changes, %d withdrawn, %d purges\n", schedules.Schedules,
+	fmt.Fprintln(out, strings.Join(table, "\n"))
+	fmt.Fprintf(out, "schedules in virtual time: %d of up to 100 controllers, faults injected in %d states, "+
+		"%d changes, %d withdrawn, %d purges\n", schedules.Schedules,
 		schedules.Struck(), schedules.Changes, schedules.Withdrawn, schedules.Purges)
-	broken = append(broken, schedules.Broken...)
-	f := &g.fleetHistory
-	for _, b := range broken {
-		fmt.Fprintf(out, "seed %d: %s\n", seed, b)
-	}
-	fmt.Fprintf(out, "measured controllers=%d faults=%d changes=%d withdrawn=%d mixed=%d half=%d false_word=%d purges=%d served_after=%d confirmed_wrongly=%d "+
-		"bound_queries=%d crossed=%d emergencies=%d rules_broken=%d switch_hold_ms=%.1f round_trip_ms=%.2f sync_ms=%.2f purge_ms=%.0f on_off=%.3f "+
-		"faults_found=%d/%d schedules=%d\n", len(g.members), faults, f.Changes, f.Withdrawn,
-		f.Count(historycheck.StaleVersion), f.Count(historycheck.PartialChange),
-		f.Count(historycheck.Contradiction), f.Purges, f.Count(historycheck.ServedAfterPurge),
-		f.Count(historycheck.FalsePurge),
-		f.Bound, f.Count(historycheck.PlacementFault), g.emergencies,
-		len(g.queryHistory.Faults), toMilliseconds(hold), toMilliseconds(trip), toMilliseconds(sync1), toMilliseconds(purge), ratio, found, planted, schedules.Schedules)
+	violations = append(violations, schedules.Broken...)
+	history := &ff.fleetHistory
+	for _, violation := range violations {
+		fmt.Fprintf(out, "seed %d: %s\n", seed, violation)
+	}
+	fmt.Fprintf(out, "measured controllers=%d faults=%d changes=%d withdrawn=%d mixed=%d half=%d "+
+		"false_word=%d purges=%d served_after=%d confirmed_wrongly=%d "+
+		"bound_queries=%d crossed=%d emergencies=%d rules_broken=%d switch_hold_ms=%.1f "+
+		"round_trip_ms=%.2f sync_ms=%.2f purge_ms=%.0f on_off=%.3f "+
+		"faults_found=%d/%d schedules=%d\n", len(ff.members), faults, history.Changes, history.Withdrawn,
+		history.Count(historycheck.StaleVersion), history.Count(historycheck.PartialChange),
+		history.Count(historycheck.Contradiction), history.Purges,
+		history.Count(historycheck.ServedAfterPurge), history.Count(historycheck.FalsePurge),
+		history.Bound, history.Count(historycheck.PlacementFault), ff.emergencies,
+		len(ff.queryHistory.Faults), toMilliseconds(hold), toMilliseconds(trip),
+		toMilliseconds(diskSync), toMilliseconds(purge), ratio, found, planted, schedules.Schedules)
 	switch {
-	case len(broken) > 0:
-		return fmt.Errorf("%d things that must hold did not", len(broken))
+	case len(violations) > 0:
+		return fmt.Errorf("%d violations of the invariants", len(violations))
 	case found < planted:
-		return errors.New("a planted fault was not found")
-	case faults == 0 || f.Changes == 0 || f.Withdrawn == 0 || f.Purges == 0 || f.Bound == 0 || g.emergencies == 0 || schedules.Struck() == 0:
-		return errors.New("something that must arise did not")
+		return errors.New("a planted fault was not detected")
+	case faults == 0 || history.Changes == 0 || history.Withdrawn == 0 || history.Purges == 0 ||
+		history.Bound == 0 || ff.emergencies == 0 || schedules.Struck() == 0:
+		return errors.New("the run had no fault, change, withdrawn change, purge, bound query, " +
+			"emergency or fault in a schedule")
 	}
 	return nil
 }
--- a/internal/bench/together.go
+++ b/internal/bench/together.go
@@ -23,16 +23,16 @@
 	"railrelay.dev/railrelay/internal/historycheck"
 )
 
-// FaultFleetConfig is many processes of the program, a link with faults between every two of
-// them, engines in several sites, a feed, clients and operators.
+// FaultFleetConfig configures a fleet of real processes for fault injection. The fleet has a faulty link
+// between every two processes, engines in several sites, a discovery feed, clients and operators.
 type FaultFleetConfig struct {
-	Program           string // railrelay-fleet must stand beside it
+	Program           string // path of the program; railrelay-fleet must be in the same directory
 	Voters, Followers int
 	Seed              uint64
-	Lease             time.Duration
+	Lease             time.Duration // duration of a serving lease
 }
 
-// faultFleet is what runs.
+// faultFleet is a running fleet with its engines and clients, and the history that they observed.
 type faultFleet struct {
 	FaultFleetConfig
 	ctx         context.Context
@@ -47,188 +47,216 @@
 	members     []*fleetProcess
 	cleanups    []func()
 	clients     sync.WaitGroup
-	stopClients chan struct{} // closed: clients ask no more
+	stopClients chan struct{} // when closed, clients send no more queries
 
 	mu               sync.Mutex
 	queryHistory     historycheck.History
 	fleetHistory     historycheck.FleetHistory
 	changeReports    []historycheck.ChangeReport
-	sentQueries      map[string]*fleetSentQuery
-	serial           int
+	sentQueries      map[string]*fleetSentQuery // by query ID
+	serial           int                        // of the latest query or purge
 	storedResults    []fleetStoredResult
-	markerVersions   map[int]markerVersion  // by mark: the change that it tells of
-	nextMarker       int                    // the next mark
-	latestVersion    uint64                 // the latest that was told to be in force
-	observedVersions [][]versionObservation // by controller: what engines saw
-	faultCounts      map[string]int
-	emergencyQueries int // bound queries that ran at an emergency's sites
+	markerVersions   map[int]markerVersion  // by number of the marker site
+	nextMarker       int                    // next marker, counted without wrapping at markerSites
+	latestVersion    uint64                 // latest policy version that was reported as in force
+	observedVersions [][]versionObservation // by controller, as the engines observed them
+	faultCounts      map[string]int         // by description of the fault
+	emergencyQueries int                    // queries of the bound team that ran at its emergency site
 	emergencies      int
 	changeRequests   []*fleet.Request
-	knownOutcomes    map[string]string // the last word told on each
+	knownOutcomes    map[string]string // latest reported outcome by ID of the change
 }
 
+// fleetSentQuery is a query that a client sent to a controller.
 type fleetSentQuery struct {
 	sentAt     time.Duration
 	team       string
 	table      int64
-	controller int
+	controller int // index in members
 }
 
-func (g *faultFleet) elapsed() time.Duration { return time.Since(g.startedAt) }
+func (ff *faultFleet) elapsed() time.Duration { return time.Since(ff.startedAt) }
 
-// start starts all and waits until every controller serves.
-func (t FaultFleetConfig) start(ctx context.Context) (g *faultFleet, err error) {
-	ctx, stop := context.WithCancel(ctx)
-	g = &faultFleet{FaultFleetConfig: t, ctx: ctx, cancel: stop, startedAt: time.Now(), rng: rand.New(rand.NewPCG(t.Seed, 0x706)), stopClients: make(chan struct{}),
-		sentQueries: map[string]*fleetSentQuery{}, markerVersions: map[int]markerVersion{0: {"the set-up's", 1}}, nextMarker: 1, latestVersion: 1, faultCounts: map[string]int{}, knownOutcomes: map[string]string{}}
+// start starts the fleet and waits until every controller serves.
+func (config FaultFleetConfig) start(ctx context.Context) (ff *faultFleet, err error) {
+	ctx, cancel := context.WithCancel(ctx)
+	ff = &faultFleet{
+		FaultFleetConfig: config,
+		ctx:              ctx,
+		cancel:           cancel,
+		startedAt:        time.Now(),
+		rng:              rand.New(rand.NewPCG(config.Seed, 0x706)),
+		stopClients:      make(chan struct{}),
+		sentQueries:      map[string]*fleetSentQuery{},
+		markerVersions:   map[int]markerVersion{0: {"initial setup", 1}},
+		nextMarker:       1,
+		latestVersion:    1,
+		faultCounts:      map[string]int{},
+		knownOutcomes:    map[string]string{},
+	}
 	defer func() {
 		if err != nil {
-			g.close()
+			ff.close()
 		}
 	}()
-	if g.dir, err = os.MkdirTemp("", "railrelay-together"); err != nil {
-		return g, err
+	if ff.dir, err = os.MkdirTemp("", "railrelay-together"); err != nil {
+		return ff, err
+	}
+	ff.queryHistory = historycheck.History{
+		KeyRest:        300 * time.Millisecond,
+		DrainGrace:     time.Second,
+		MaxSubmissions: 3,
+		Slack:          50 * time.Millisecond,
 	}
-	g.queryHistory = historycheck.History{KeyRest: 300 * time.Millisecond, DrainGrace: time.Second, MaxSubmissions: 3,
-		Slack: 50 * time.Millisecond}
-	g.queryHistory.AddGroup("lookup", "read-only", false)
-	g.queryHistory.AddGroup("report", "read-only", false)
-	g.queryHistory.AddGroup("load", "mutating", true)
-	g.fleetHistory.Slack = 50 * time.Millisecond
-	g.fleetHistory.AddRules(0, "the set-up's", g.placementRule())
-	if err = g.startEngines(); err != nil {
-		return g, err
+	ff.queryHistory.AddGroup("lookup", "read-only", false)
+	ff.queryHistory.AddGroup("report", "read-only", false)
+	ff.queryHistory.AddGroup("load", "mutating", true)
+	ff.fleetHistory.Slack = 50 * time.Millisecond
+	ff.fleetHistory.AddRules(0, "initial setup", ff.placementRule())
+	if err = ff.startEngines(); err != nil {
+		return ff, err
 	}
-	if err = os.WriteFile(g.path("keys"), []byte(strings.Repeat("5e", 32)), 0o600); err != nil {
-		return g, err
+	if err = os.WriteFile(ff.path("keys"), []byte(strings.Repeat("5e", 32)), 0o600); err != nil {
+		return ff, err
 	}
-	if g.keys, err = transport.ReadKeys(g.path("keys")); err != nil {
-		return g, err
+	if ff.keys, err = transport.ReadKeys(ff.path("keys")); err != nil {
+		return ff, err
 	}
 	var names []string
-	for i := range t.Voters + t.Followers {
+	for i := range config.Voters + config.Followers {
 		names = append(names, fmt.Sprintf("c%d", i))
 	}
-	g.mesh = faultproxy.NewMesh(names...)
-	g.cleanups = append(g.cleanups, g.mesh.Close)
+	ff.mesh = faultproxy.NewMesh(names...)
+	ff.cleanups = append(ff.cleanups, ff.mesh.Close)
 	for i, name := range names {
 		p := &fleetProcess{name: name, site: []string{"east", "west"}[i%2]}
 		if p.clientAddress, err = loopback.FreeAddress(); err != nil {
-			return g, err
+			return ff, err
 		}
 		if p.controlAddress, err = loopback.FreeAddress(); err != nil {
-			return g, err
+			return ff, err
 		}
-		l, err := net.Listen("tcp", g.mesh.SourceAddress(name)+":0")
+		listener, err := net.Listen("tcp", ff.mesh.SourceAddress(name)+":0")
 		if err != nil {
-			return g, err
+			return ff, err
 		}
-		p.listenAddress = l.Addr().String()
-		l.Close()
-		g.mesh.SetTarget(name, p.listenAddress)
-		if p.peerAddress, err = g.mesh.SharedAddress(name); err != nil {
-			return g, err
+		p.listenAddress = listener.Addr().String()
+		listener.Close()
+		ff.mesh.SetTarget(name, p.listenAddress)
+		if p.peerAddress, err = ff.mesh.SharedAddress(name); err != nil {
+			return ff, err
 		}
-		if p.logFile, err = os.Create(g.path(name + ".log")); err != nil {
-			return g, err
+		if p.logFile, err = os.Create(ff.path(name + ".log")); err != nil {
+			return ff, err
 		}
-		g.cleanups = append(g.cleanups, func() { p.logFile.Close() })
-		g.members = append(g.members, p)
-		g.observedVersions = append(g.observedVersions, nil)
+		ff.cleanups = append(ff.cleanups, func() { p.logFile.Close() })
+		ff.members = append(ff.members, p)
+		ff.observedVersions = append(ff.observedVersions, nil)
 	}
-	for _, p := range g.members {
-		if err = os.WriteFile(g.path(p.name+".yaml"), []byte(g.setupYAML(p)), 0o600); err != nil {
-			return g, err
+	for _, p := range ff.members {
+		if err = os.WriteFile(ff.path(p.name+".yaml"), []byte(ff.setupYAML(p)), 0o600); err != nil {
+			return ff, err
 		}
-		if err = g.startProcess(p); err != nil {
-			return g, err
+		if err = ff.startProcess(p); err != nil {
+			return ff, err
 		}
 	}
-	return g, g.awaitAllServing(20 * time.Second)
+	return ff, ff.awaitAllServing(20 * time.Second)
 }
 
-func (g *faultFleet) path(name string) string { return filepath.Join(g.dir, name) }
+func (ff *faultFleet) path(name string) string { return filepath.Join(ff.dir, name) }
 
-func (g *faultFleet) startEngines() error {
+// startEngines starts two engines in each of the sites east and west, one in each marker site, and the
+// feed that lists them.
+func (ff *faultFleet) startEngines() error {
 	sites := []string{"east", "east", "west", "west"}
-	for k := range markerSites {
-		sites = append(sites, fmt.Sprint("m", k))
+	for marker := range markerSites {
+		sites = append(sites, fmt.Sprint("m", marker))
 	}
-	var list feed.Log
+	var feedLog feed.Log
 	for i, site := range sites {
-		e, err := engine.Listen(g.ctx, "127.0.0.1:0", trialEngine(), false)
+		e, err := engine.Listen(ff.ctx, "127.0.0.1:0", trialEngine(), false)
 		if err != nil {
 			return err
 		}
-		g.cleanups = append(g.cleanups, func() { e.Close() })
+		ff.cleanups = append(ff.cleanups, func() { e.Close() })
 		name := fmt.Sprint("e", i)
 		e.WithServer(func(_ time.Duration, s *engine.Server) {
-			s.OnSubmit = func(id, _ string, rank int, _ time.Duration) { g.recordSubmission(id, name, site, rank) }
-			s.Model.OnEnd = func(id string, how engine.Outcome, _ time.Duration) {
-				g.mu.Lock()
-				defer g.mu.Unlock()
-				g.queryHistory.Ended(g.elapsed(), id, name, how == engine.Succeeded)
+			s.OnSubmit = func(id, _ string, rank int, _ time.Duration) {
+				ff.recordSubmission(id, name, site, rank)
+			}
+			s.Model.OnEnd = func(id string, outcome engine.Outcome, _ time.Duration) {
+				ff.mu.Lock()
+				defer ff.mu.Unlock()
+				ff.queryHistory.Ended(ff.elapsed(), id, name, outcome == engine.Succeeded)
 			}
 		})
-		g.feedEngines = append(g.feedEngines, feed.Engine{ID: name, HostPort: e.Addr().String(), Locality: site, Flavor: "std", Cell: 1, Phase: "SERVING", Size: 1})
+		ff.feedEngines = append(ff.feedEngines, feed.Engine{ID: name, HostPort: e.Addr().String(),
+			Locality: site, Flavor: "std", Cell: 1, Phase: "SERVING", Size: 1})
 	}
-	list.Append(true, g.feedEngines...)
-	f, err := feed.Listen(g.ctx, "127.0.0.1:0", &list)
+	feedLog.Append(true, ff.feedEngines...)
+	listener, err := feed.Listen(ff.ctx, "127.0.0.1:0", &feedLog)
 	if err != nil {
 		return err
 	}
-	g.feed = f
-	g.cleanups = append(g.cleanups, func() { f.Close() })
+	ff.feed = listener
+	ff.cleanups = append(ff.cleanups, func() { listener.Close() })
 	return nil
 }
 
-// recordSubmission: an engine has a query.
-func (g *faultFleet) recordSubmission(id, name, site string, _ int) {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	now := g.elapsed()
-	g.queryHistory.Submitted(now, id, name, true)
-	q := g.sentQueries[id]
+// recordSubmission adds the submission of a query to an engine to the histories. For a query of the team
+// mark, the engine's site identifies the policy version that the controller acted on.
+func (ff *faultFleet) recordSubmission(id, engineName, site string, _ int) {
+	ff.mu.Lock()
+	defer ff.mu.Unlock()
+	now := ff.elapsed()
+	ff.queryHistory.Submitted(now, id, engineName, true)
+	q := ff.sentQueries[id]
 	if q == nil {
 		return
 	}
-	who := g.members[q.controller].name
-	g.fleetHistory.ResultStarted(now, id, q.team, q.table)
+	controller := ff.members[q.controller].name
+	ff.fleetHistory.ResultStarted(now, id, q.team, q.table)
 	if q.team == "linz" && site == "west" {
-		g.emergencyQueries++
+		ff.emergencyQueries++
 	}
 	if q.team != "mark" {
-		g.fleetHistory.Ran(now, q.sentAt, who, id, q.team, site, q.table)
+		ff.fleetHistory.Ran(now, q.sentAt, controller, id, q.team, site, q.table)
 		return
 	}
-	k, err := strconv.Atoi(strings.TrimPrefix(site, "m"))
-	m, had := g.markerVersions[k]
-	if err != nil || !had {
-		g.queryHistory.AddFault(now, "a query of mark at "+site+", where no policy has put it")
+	marker, err := strconv.Atoi(strings.TrimPrefix(site, "m"))
+	acted, isKnown := ff.markerVersions[marker]
+	if err != nil || !isKnown {
+		ff.queryHistory.AddFault(now, "a query of team mark ran at "+site+", to which no policy binds the team")
 		return
 	}
-	g.fleetHistory.Acted(now, q.sentAt, who, id, m.version)
-	g.fleetHistory.ActedByChange(now, who, id, m.change)
-	g.observedVersions[q.controller] = append(g.observedVersions[q.controller], versionObservation{now, m.version})
+	ff.fleetHistory.Acted(now, q.sentAt, controller, id, acted.version)
+	ff.fleetHistory.ActedByChange(now, controller, id, acted.change)
+	ff.observedVersions[q.controller] = append(ff.observedVersions[q.controller],
+		versionObservation{now, acted.version})
 }
 
-func (g *faultFleet) placementRule() historycheck.Rule {
+// placementRule returns the rule of placementYAML that binds the team linz to the site east.
+func (ff *faultFleet) placementRule() historycheck.Rule {
 	return historycheck.Rule{Team: "linz", Sites: []string{"east"}}
 }
 
-func placementYAML(k int) string {
+// placementYAML returns the policy that binds the team mark to a marker site. In an emergency, the team linz
+// may also run at the site west.
+func placementYAML(marker int) string {
 	return fmt.Sprintf(`placement:
   - {name: linz-east, team: linz, engines: [east], controllers: [east, west], emergency: {sites: [west], after: 1s}}
   - {name: marks, team: mark, engines: [m%d], controllers: [east, west]}
-`, k)
+`, marker)
 }
 
-func (g *faultFleet) close() {
-	if g.cancel(); g.dir == "" {
+// close kills the processes, waits for the clients and removes the fleet's files.
+func (ff *faultFleet) close() {
+	if ff.cancel(); ff.dir == "" {
 		return
 	}
-	defer func() { g.dir = "" }()
-	for _, p := range g.members {
+	defer func() { ff.dir = "" }()
+	for _, p := range ff.members {
 		if p.command != nil {
 			if p.paused {
 				p.command.Process.Signal(syscall.SIGCONT)
@@ -237,12 +265,12 @@
 			<-p.exited
 		}
 	}
-	g.clients.Wait()
-	for _, do := range slices.Backward(g.cleanups) {
-		do()
+	ff.clients.Wait()
+	for _, cleanup := range slices.Backward(ff.cleanups) {
+		cleanup()
 	}
-	os.RemoveAll(g.dir)
+	os.RemoveAll(ff.dir)
 }
 
-// faultFleetClientTimeout is what its clients wait for an answer.
+// faultFleetClientTimeout is how long clients wait for an answer.
 const faultFleetClientTimeout = 8 * time.Second
--- a/internal/bench/together_clients.go
+++ b/internal/bench/together_clients.go
@@ -17,140 +17,149 @@
 	"railrelay.dev/railrelay/internal/historycheck"
 )
 
-// markerSites are sites of their own: each policy binds the team mark to another one, so that
-// engines see by which version it was that a query came.
+// markerSites is the number of marker sites. Each policy binds the team mark to a different marker site, so
+// that the engine that runs a query identifies the policy version that the controller acted on.
 const markerSites = 12
 
+// storedResultsToRead bounds the stored results, the newest ones, that are read again.
+const storedResultsToRead = 60
+
+// fleetStoredResult is a result that a controller stores, with the token that reads it.
 type fleetStoredResult struct {
 	id, team, token string
-	controller      int
+	controller      int // index in members
 }
 
+// markerVersion is the change that bound the team mark to a marker site, and the version that it creates.
 type markerVersion struct {
 	change  string
 	version uint64
 }
 
-// versionObservation is one act: when, and by which version.
+// versionObservation is a query that an engine received under a policy version.
 type versionObservation struct {
 	at      time.Duration
 	version uint64
 }
 
-// readStoredResults asks for all that was kept, at every controller that serves.
-func (g *faultFleet) readStoredResults() {
-	g.mu.Lock()
-	l := slices.Clone(g.storedResults)
-	g.mu.Unlock()
-	l = l[max(0, len(l)-60):]
+// readStoredResults reads the newest stored results from the running controllers, for up to one second.
+func (ff *faultFleet) readStoredResults() {
+	ff.mu.Lock()
+	results := slices.Clone(ff.storedResults)
+	ff.mu.Unlock()
+	results = results[max(0, len(results)-storedResultsToRead):]
 	end := time.Now().Add(time.Second)
 	readers := map[int]*reader{}
-	for _, k := range l {
-		if p := g.members[k.controller]; p.command == nil || p.paused || time.Now().After(end) {
+	for _, result := range results {
+		if p := ff.members[result.controller]; p.command == nil || p.paused || time.Now().After(end) {
 			continue
 		}
-		r := readers[k.controller]
+		r := readers[result.controller]
 		if r == nil {
 			var err error
-			if r, err = dial(g.members[k.controller].clientAddress, 0); err != nil {
+			if r, err = dial(ff.members[result.controller].clientAddress, 0); err != nil {
 				continue
 			}
 			defer r.Close()
-			readers[k.controller] = r
+			readers[result.controller] = r
 		}
-		if !g.readStoredResult(r, k) {
-			delete(readers, k.controller)
+		if !ff.readStoredResult(r, result) {
+			delete(readers, result.controller)
 		}
 	}
 }
 
-// readStoredResult asks for a page of what was kept; false if the connection is of no use any more.
-func (g *faultFleet) readStoredResult(r *reader, k fleetStoredResult) bool {
-	asked := g.elapsed()
+// readStoredResult reads the first page of a stored result and adds the answer to the history. If the read
+// fails, readStoredResult closes the connection and returns false.
+func (ff *faultFleet) readStoredResult(r *reader, result fleetStoredResult) bool {
+	requested := ff.elapsed()
 	r.SetDeadline(time.Now().Add(2 * time.Second))
-	a, err := r.page(g.ctx, k.token, 1)
+	answer, err := r.page(ff.ctx, result.token, 1)
 	if err != nil {
 		r.Close()
 		return false
 	}
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	if a.Kind == client.Finished {
-		if !strings.Contains(string(a.Rows), k.id) {
-			g.queryHistory.AddFault(g.elapsed(), "a page of "+k.id+" that is another's")
+	ff.mu.Lock()
+	defer ff.mu.Unlock()
+	if answer.Kind == client.Finished {
+		if !strings.Contains(string(answer.Rows), result.id) {
+			ff.queryHistory.AddFault(ff.elapsed(), "a page of query "+result.id+" has another query's rows")
 		}
-		g.fleetHistory.Served(g.elapsed(), asked, g.members[k.controller].name, k.id)
+		ff.fleetHistory.Served(ff.elapsed(), requested, ff.members[result.controller].name, result.id)
 	}
 	return true
 }
 
-// scanSpools looks for what was kept in all that controllers have on disk.
-func (g *faultFleet) scanSpools() error {
-	for _, p := range g.members {
-		files, err := filepath.Glob(g.path(p.name + "-spool/*"))
+// scanSpools searches all spool files for the rows of stored results and adds those found to the history.
+func (ff *faultFleet) scanSpools() error {
+	const queryIDLength = 16 // hexadecimal digits
+	for _, p := range ff.members {
+		files, err := filepath.Glob(ff.path(p.name + "-spool/*"))
 		if err != nil {
 			return err
 		}
 		found := map[string]bool{}
-		for _, f := range files {
-			text, err := os.ReadFile(f)
+		for _, file := range files {
+			content, err := os.ReadFile(file)
 			if err != nil && !errors.Is(err, os.ErrNotExist) {
 				return err
 			}
 			for at := 0; ; at += len(engineRowMarker) {
-				i := bytes.Index(text[at:], engineRowMarker)
+				i := bytes.Index(content[at:], engineRowMarker)
 				if i < 0 {
 					break
 				}
-				if at += i; at >= 16 {
-					found[string(text[at-16:at])] = true
+				if at += i; at >= queryIDLength {
+					found[string(content[at-queryIDLength:at])] = true
 				}
 			}
 		}
-		g.mu.Lock()
-		for _, k := range g.storedResults {
-			if found[k.id] {
-				g.fleetHistory.FoundOnDisk(g.elapsed(), p.name, k.id)
+		ff.mu.Lock()
+		for _, result := range ff.storedResults {
+			if found[result.id] {
+				ff.fleetHistory.FoundOnDisk(ff.elapsed(), p.name, result.id)
 			}
 		}
-		g.mu.Unlock()
+		ff.mu.Unlock()
 	}
 	return nil
 }
 
-// engineRowMarker follows the query's name in each row that engines make.
+// engineRowMarker follows the query's ID in each row that engines produce.
 var engineRowMarker = []byte("\trow\t")
 
-// runClient asks one controller for one thing at a time until the end.
-func (g *faultFleet) runClient(n int, team, group string, every time.Duration, paged bool) {
-	defer g.clients.Done()
-	rng := rand.New(rand.NewPCG(g.Seed, uint64(n)<<8|uint64(len(team))))
+// runClient sends queries to one controller, one at a time, until stopClients is closed. It waits for a pause
+// before each query. A paged client requests stored results and reads one of them after each answer.
+func (ff *faultFleet) runClient(controller int, team, group string, pause time.Duration, paged bool) {
+	defer ff.clients.Done()
+	rng := rand.New(rand.NewPCG(ff.Seed, uint64(controller)<<8|uint64(len(team))))
 	var r *reader
 	defer func() {
 		if r != nil {
 			r.Close()
 		}
 	}()
-	key := 0
+	connections := 0
 	for {
 		select {
-		case <-g.stopClients:
+		case <-ff.stopClients:
 			return
-		case <-g.ctx.Done():
+		case <-ff.ctx.Done():
 			return
-		case <-time.After(every):
+		case <-time.After(pause):
 		}
 		if r == nil {
 			var err error
-			if r, err = dial(g.members[n].clientAddress, 0); err != nil {
+			if r, err = dial(ff.members[controller].clientAddress, 0); err != nil {
 				r = nil
 				continue
 			}
-			key++
+			connections++
 		}
-		w := engine.Work{Threads: 1, CPU: time.Millisecond, MemoryMB: 10, Rows: 1, TableGroup: int64(rng.IntN(3)) + 1, Load: group == "load"}
+		work := engine.Work{Threads: 1, CPU: time.Millisecond, MemoryMB: 10, Rows: 1,
+			TableGroup: int64(rng.IntN(3)) + 1, Load: group == "load"}
 		if paged {
-			w.Rows = 3000
+			work.Rows = 3000
 		}
 		fields := []string{"patience", fmt.Sprint(faultFleetClientTimeout.Milliseconds()), "team", team}
 		if paged {
@@ -158,60 +167,63 @@
 		}
 		entity := ""
 		if group == "load" {
-			entity = fmt.Sprintf("k-%d-%s-%d", n, team, key)
+			entity = fmt.Sprintf("k-%d-%s-%d", controller, team, connections)
 			fields = append(fields, "entity", entity)
 		}
-		g.mu.Lock()
-		g.serial++
-		id := fmt.Sprintf("%016x", 0x70000000+g.serial)
-		now := g.elapsed()
-		g.sentQueries[id] = &fleetSentQuery{now, team, w.TableGroup, n}
-		g.queryHistory.Received(now, id, group, entity, now+faultFleetClientTimeout)
-		g.mu.Unlock()
+		ff.mu.Lock()
+		ff.serial++
+		id := fmt.Sprintf("%016x", 0x70000000+ff.serial)
+		now := ff.elapsed()
+		ff.sentQueries[id] = &fleetSentQuery{now, team, work.TableGroup, controller}
+		ff.queryHistory.Received(now, id, group, entity, now+faultFleetClientTimeout)
+		ff.mu.Unlock()
 		r.msg++
 		r.SetDeadline(time.Now().Add(faultFleetClientTimeout))
-		_, err := r.Write(client.AppendQuery(nil, r.msg, group, engine.Statement(w), append([]string{"trace", id}, fields...)...))
-		var a client.Answer
+		_, err := r.Write(client.AppendQuery(nil, r.msg, group, engine.Statement(work),
+			append([]string{"trace", id}, fields...)...))
+		var answer client.Answer
 		if err == nil {
-			a, err = r.answer(g.ctx)
+			answer, err = r.answer(ff.ctx)
 		}
-		g.mu.Lock()
-		if err != nil { // it was killed, or the client has waited long enough
-			g.queryHistory.ClientLeft(g.elapsed(), id)
+		ff.mu.Lock()
+		if err != nil { // the controller was killed, or the answer is late
+			ff.queryHistory.ClientLeft(ff.elapsed(), id)
 			r.Close()
 			r = nil
-			g.mu.Unlock()
+			ff.mu.Unlock()
 			continue
 		}
-		made := world.ExpectedRows(&world.Query{ID: id, Work: w})
-		if paged && len(a.Rows) > 0 && bytes.HasPrefix(made, a.Rows) {
-			made = a.Rows
+		expected := world.ExpectedRows(&world.Query{ID: id, Work: work})
+		if paged && len(answer.Rows) > 0 && bytes.HasPrefix(expected, answer.Rows) {
+			expected = answer.Rows // the answer has the first page only
 		}
-		g.queryHistory.Answered(g.elapsed(), id, historycheck.Answer(a.Kind), a.Rows, made)
-		if a.Kind == client.Finished && a.Fields["token"] != "" {
-			g.storedResults = append(g.storedResults, fleetStoredResult{id, team, a.Fields["token"], n})
+		ff.queryHistory.Answered(ff.elapsed(), id, historycheck.Answer(answer.Kind), answer.Rows, expected)
+		if answer.Kind == client.Finished && answer.Fields["token"] != "" {
+			ff.storedResults = append(ff.storedResults,
+				fleetStoredResult{id, team, answer.Fields["token"], controller})
 		}
-		var k *fleetStoredResult
-		if paged && len(g.storedResults) > 0 {
-			if x := g.storedResults[max(0, len(g.storedResults)-60)+rng.IntN(min(60, len(g.storedResults)))]; x.controller == n {
-				k = &x
+		var again *fleetStoredResult
+		if paged && len(ff.storedResults) > 0 {
+			if result := ff.storedResults[max(0, len(ff.storedResults)-storedResultsToRead)+
+				rng.IntN(min(storedResultsToRead, len(ff.storedResults)))]; result.controller == controller {
+				again = &result
 			}
 		}
-		g.mu.Unlock()
-		if k != nil && !g.readStoredResult(r, *k) {
+		ff.mu.Unlock()
+		if again != nil && !ff.readStoredResult(r, *again) {
 			r = nil
 		}
 	}
 }
 
-// startAllClients has clients ask at every controller.
-func (g *faultFleet) startAllClients() {
-	for i := range g.members {
-		g.clients.Add(5)
-		go g.runClient(i, "mark", "lookup", 2*time.Millisecond, false)
-		go g.runClient(i, "linz", "lookup", 40*time.Millisecond, false)
-		go g.runClient(i, "linz", "report", 120*time.Millisecond, true)
-		go g.runClient(i, "steyr", "report", 120*time.Millisecond, true)
-		go g.runClient(i, "steyr", "load", 80*time.Millisecond, false)
+// startAllClients starts five clients for each controller.
+func (ff *faultFleet) startAllClients() {
+	for controller := range ff.members {
+		ff.clients.Add(5)
+		go ff.runClient(controller, "mark", "lookup", 2*time.Millisecond, false)
+		go ff.runClient(controller, "linz", "lookup", 40*time.Millisecond, false)
+		go ff.runClient(controller, "linz", "report", 120*time.Millisecond, true)
+		go ff.runClient(controller, "steyr", "report", 120*time.Millisecond, true)
+		go ff.runClient(controller, "steyr", "load", 80*time.Millisecond, false)
 	}
 }
--- a/internal/bench/together_operators.go
+++ b/internal/bench/together_operators.go
@@ -8,113 +8,120 @@
 	"railrelay.dev/railrelay/internal/historycheck"
 )
 
-// newChange makes a policy of its own mark; spoilt ones name what no controller has.
-func (g *faultFleet) newChange(base uint64, atMost time.Duration, spoilt bool) *fleet.Request {
-	g.mu.Lock()
-	defer g.mu.Unlock()
+// newChange creates a request for a policy change that moves the team mark to a marker site that is not in
+// use. An invalid policy has a group that no controller knows, so that the fleet withdraws the change.
+func (ff *faultFleet) newChange(base uint64, abortAfter time.Duration, invalid bool) *fleet.Request {
+	ff.mu.Lock()
+	defer ff.mu.Unlock()
 	for {
-		g.nextMarker++
-		m, had := g.markerVersions[g.nextMarker%markerSites]
-		if word := g.knownOutcomes[m.change]; !had || m.version+2 <= g.latestVersion && word != "" || word == "withdrawn" || word == "refused" {
+		ff.nextMarker++
+		previous, isUsed := ff.markerVersions[ff.nextMarker%markerSites]
+		if outcome := ff.knownOutcomes[previous.change]; !isUsed ||
+			previous.version+2 <= ff.latestVersion && outcome != "" ||
+			outcome == "withdrawn" || outcome == "refused" {
 			break
 		}
 	}
-	k := g.nextMarker % markerSites
-	a := &fleet.Request{Kind: "apply", ID: fmt.Sprintf("change-%d", len(g.changeRequests)), RequestedBy: "the laboratory", BaseVersion: base, Policy: []byte(placementYAML(k)),
-		AbortAfterMs: atMost.Milliseconds(), WaitMs: 3000}
-	if spoilt {
-		a.Policy = []byte(placementYAML(k) + "groups: [{name: nobody, value: 2}]\n")
+	marker := ff.nextMarker % markerSites
+	change := &fleet.Request{Kind: "apply", ID: fmt.Sprintf("change-%d", len(ff.changeRequests)),
+		RequestedBy: "bench", BaseVersion: base, Policy: []byte(placementYAML(marker)),
+		AbortAfterMs: abortAfter.Milliseconds(), WaitMs: 3000}
+	if invalid {
+		change.Policy = []byte(placementYAML(marker) + "groups: [{name: nobody, value: 2}]\n")
 	}
-	g.markerVersions[k] = markerVersion{a.ID, base + 1}
-	g.changeRequests = append(g.changeRequests, a)
-	return a
+	ff.markerVersions[marker] = markerVersion{change.ID, base + 1}
+	ff.changeRequests = append(ff.changeRequests, change)
+	return change
 }
 
-// applyChange asks for a change at a controller and keeps the word.
-func (g *faultFleet) applyChange(p *fleetProcess, a *fleet.Request) string {
-	from := g.elapsed()
-	r, err := g.sendRequest(p, a)
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	w := historycheck.ChangeReport{Client: len(g.changeReports) % 11, From: from, To: g.elapsed(),
-		ID: a.ID, Base: a.BaseVersion, Proposes: true, Outcome: "unknown"}
+// applyChange sends a change to a controller, records the outcome and returns it: "unknown" if there is none.
+func (ff *faultFleet) applyChange(p *fleetProcess, change *fleet.Request) string {
+	from := ff.elapsed()
+	response, err := ff.sendRequest(p, change)
+	ff.mu.Lock()
+	defer ff.mu.Unlock()
+	report := historycheck.ChangeReport{Client: len(ff.changeReports) % 11, From: from, To: ff.elapsed(),
+		ID: change.ID, Base: change.BaseVersion, Proposes: true, Outcome: "unknown"}
 	if err == nil {
-		w.Outcome, w.Version = r.Outcome, r.Version
-		g.fleetHistory.ChangeReported(g.elapsed(), p.name, a.ID, r.Outcome, r.Version)
-		if r.Outcome == "in force" {
-			g.latestVersion = max(g.latestVersion, r.Version)
+		report.Outcome, report.Version = response.Outcome, response.Version
+		ff.fleetHistory.ChangeReported(ff.elapsed(), p.name, change.ID, response.Outcome, response.Version)
+		if response.Outcome == "in force" {
+			ff.latestVersion = max(ff.latestVersion, response.Version)
 		}
-		if r.Outcome != "unknown" {
-			g.knownOutcomes[a.ID] = r.Outcome
+		if response.Outcome != "unknown" {
+			ff.knownOutcomes[change.ID] = response.Outcome
 		}
 	}
-	g.changeReports = append(g.changeReports, w)
-	return w.Outcome
+	ff.changeReports = append(ff.changeReports, report)
+	return report.Outcome
 }
 
-// awaitOutcome asks again and again, here and there, until there is a word.
-func (g *faultFleet) awaitOutcome(a *fleet.Request, within time.Duration) (string, error) {
-	word := "unknown"
-	err := g.waitFor(within, "a word on "+a.ID, func() bool {
-		p := g.members[g.rng.IntN(len(g.members))]
+// awaitOutcome sends a change to random controllers until one reports its outcome.
+func (ff *faultFleet) awaitOutcome(change *fleet.Request, within time.Duration) (string, error) {
+	outcome := "unknown"
+	err := ff.waitFor(within, "there is an outcome of "+change.ID, func() bool {
+		p := ff.members[ff.rng.IntN(len(ff.members))]
 		if p.command == nil || p.paused {
 			return false
 		}
-		b := *a
-		b.WaitMs = 700
-		word = g.applyChange(p, &b)
-		return word != "unknown"
+		retry := *change
+		retry.WaitMs = 700
+		outcome = ff.applyChange(p, &retry)
+		return outcome != "unknown"
 	})
-	return word, err
+	return outcome, err
 }
 
-// purgeTeam has a team's results go, and looks on all disks once it is told that they have,
-// which took so long.
-func (g *faultFleet) purgeTeam(p *fleetProcess, team string, within time.Duration) (took time.Duration, err error) {
-	g.mu.Lock()
-	g.serial++
-	a := &fleet.Request{Kind: "purge", ID: fmt.Sprintf("purge-%d", g.serial), RequestedBy: "the laboratory", Scope: &fleet.Scope{Team: team}, WaitMs: 1500, AwaitedStage: "unreachable"}
-	g.fleetHistory.PurgeRequested(g.elapsed(), a.ID, *a.Scope)
-	g.mu.Unlock()
-	stage, begin, looked := "", time.Now(), time.Duration(0)
-	err = g.waitFor(within, a.ID+" purged", func() bool {
+// purgeTeam purges a team's results. Once the purge is reported as complete, it scans all spools for purged
+// results. It returns how long the purge took, without the time spent on reading results in between.
+func (ff *faultFleet) purgeTeam(p *fleetProcess, team string, within time.Duration) (
+	took time.Duration, err error) {
+	ff.mu.Lock()
+	ff.serial++
+	purge := &fleet.Request{Kind: "purge", ID: fmt.Sprintf("purge-%d", ff.serial), RequestedBy: "bench",
+		Scope: &fleet.Scope{Team: team}, WaitMs: 1500, AwaitedStage: "unreachable"}
+	ff.fleetHistory.PurgeRequested(ff.elapsed(), purge.ID, *purge.Scope)
+	ff.mu.Unlock()
+	stage, begin, reading := "", time.Now(), time.Duration(0)
+	err = ff.waitFor(within, purge.ID+" is complete", func() bool {
 		if p.command == nil || p.paused {
-			p = g.members[g.rng.IntN(len(g.members))]
+			p = ff.members[ff.rng.IntN(len(ff.members))]
 			return false
 		}
-		r, err := g.sendRequest(p, a)
+		response, err := ff.sendRequest(p, purge)
 		if err != nil {
-			p = g.members[g.rng.IntN(len(g.members))]
+			p = ff.members[ff.rng.IntN(len(ff.members))]
 			return false
 		}
-		g.mu.Lock()
-		g.fleetHistory.PurgeReported(g.elapsed(), p.name, a.ID, r.Outcome, r.Counts)
-		g.mu.Unlock()
-		if r.Outcome == "unreachable" && stage == "" {
-			stage, a.AwaitedStage = r.Outcome, ""
-			look := time.Now()
-			g.readStoredResults()
-			looked += time.Since(look)
+		ff.mu.Lock()
+		ff.fleetHistory.PurgeReported(ff.elapsed(), p.name, purge.ID, response.Outcome, response.Counts)
+		ff.mu.Unlock()
+		if response.Outcome == "unreachable" && stage == "" {
+			stage, purge.AwaitedStage = response.Outcome, ""
+			readBegin := time.Now()
+			ff.readStoredResults()
+			reading += time.Since(readBegin)
 		}
-		return r.Outcome == "purged"
+		return response.Outcome == "purged"
 	})
-	if took = time.Since(begin) - looked; err == nil {
-		g.readStoredResults()
-		err = g.scanSpools()
+	if took = time.Since(begin) - reading; err == nil {
+		ff.readStoredResults()
+		err = ff.scanSpools()
 	}
 	return took, err
 }
 
-// switchHolds are how long controllers did nothing between two versions, by what engines saw.
-func (g *faultFleet) switchHolds(version uint64) (l []time.Duration) {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	for _, acts := range g.observedVersions {
-		for i := 1; i < len(acts); i++ {
-			if acts[i].version == version && acts[i-1].version < version {
-				l = append(l, acts[i].at-acts[i-1].at)
+// switchHolds returns for each controller how long the engines received no marker query from it when it
+// switched to a policy version.
+func (ff *faultFleet) switchHolds(version uint64) (holds []time.Duration) {
+	ff.mu.Lock()
+	defer ff.mu.Unlock()
+	for _, observations := range ff.observedVersions {
+		for i := 1; i < len(observations); i++ {
+			if observations[i].version == version && observations[i-1].version < version {
+				holds = append(holds, observations[i].at-observations[i-1].at)
 			}
 		}
 	}
-	return l
+	return holds
 }
--- a/internal/bench/together_test.go
+++ b/internal/bench/together_test.go
@@ -9,45 +9,51 @@
 	"time"
 )
 
-// buildPrograms builds both programs side by side.
+// buildPrograms builds railrelay and railrelay-fleet in one directory and returns the path of railrelay.
 func buildPrograms(t *testing.T) string {
 	dir := t.TempDir()
-	if out, err := exec.Command("go", "build", "-tags", "debug", "-o", dir+"/", "../../cmd/railrelay", "../../cmd/railrelay-fleet").CombinedOutput(); err != nil {
+	if out, err := exec.Command("go", "build", "-tags", "debug", "-o", dir+"/",
+		"../../cmd/railrelay", "../../cmd/railrelay-fleet").CombinedOutput(); err != nil {
 		t.Fatal(string(out))
 	}
 	return filepath.Join(dir, "railrelay")
 }
 
-// Five processes, faults while changes and purges are under way; `make measure
-// IN=together` plays all faults on nine.
-func TestTogether(t *testing.T) {
-	g, err := FaultFleetConfig{Program: buildPrograms(t), Voters: 3, Followers: 2, Seed: 1, Lease: time.Second}.start(t.Context())
+// TestFaultFleetKeepsInvariants injects some faults into a fleet of five processes while changes and purges
+// are in progress. `make measure IN=together` injects all faults into a fleet of nine.
+func TestFaultFleetKeepsInvariants(t *testing.T) {
+	ff, err := FaultFleetConfig{Program: buildPrograms(t), Voters: 3, Followers: 2, Seed: 1,
+		Lease: time.Second}.start(t.Context())
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer g.close()
-	g.startAllClients()
-	if _, _, _, _, err := g.measureWithoutFaults(2); err != nil {
+	defer ff.close()
+	ff.startAllClients()
+	if _, _, _, _, err := ff.measureWithoutFaults(2); err != nil {
 		t.Fatal(err)
 	}
 	for _, name := range []string{"the leader killed", "a follower stopped past its lease", "cut", "double"} {
-		list := faultRounds()
-		if err := g.runRound(list[slices.IndexFunc(list, func(r faultRound) bool { return r.name == name })]); err != nil {
+		rounds := faultRounds()
+		if err := ff.runRound(rounds[slices.IndexFunc(rounds,
+			func(r faultRound) bool { return r.name == name })]); err != nil {
 			t.Fatal(err)
 		}
 	}
-	for _, do := range []func() error{g.runEmergency, g.startFromDamagedRecord, g.replaceVoter} {
-		if err := do(); err != nil {
+	for _, step := range []func() error{ff.runEmergency, ff.startFromDamagedRecord, ff.replaceVoter} {
+		if err := step(); err != nil {
 			t.Fatal(err)
 		}
 	}
-	broken, err := g.finish()
-	if err != nil || len(broken) > 0 {
-		t.Fatal(err, strings.Join(broken, "\n"))
+	violations, err := ff.finish()
+	if err != nil || len(violations) > 0 {
+		t.Fatal(err, strings.Join(violations, "\n"))
 	}
-	f := &g.fleetHistory
-	if f.Changes < 6 || f.Withdrawn == 0 || f.Purges < 3 || f.Bound < 100 || g.emergencies == 0 || g.faultCounts["link double"] == 0 {
-		t.Fatalf("too little arose: %d changes, %d withdrawn, %d purges, %d bound, faults %v", f.Changes, f.Withdrawn, f.Purges, f.Bound, g.faultCounts)
+	history := &ff.fleetHistory
+	if history.Changes < 6 || history.Withdrawn == 0 || history.Purges < 3 || history.Bound < 100 ||
+		ff.emergencies == 0 || ff.faultCounts["link double"] == 0 {
+		t.Fatalf("the run had too few events: %d changes, %d withdrawn, %d purges, %d bound queries, faults %v",
+			history.Changes, history.Withdrawn, history.Purges, history.Bound, ff.faultCounts)
 	}
-	t.Logf("%d acts, %d changes, %d withdrawn, %d purges, %d bound; %v", f.Acts, f.Changes, f.Withdrawn, f.Purges, f.Bound, g.faultCounts)
+	t.Logf("%d acts, %d changes, %d withdrawn, %d purges, %d bound queries; %v", history.Acts,
+		history.Changes, history.Withdrawn, history.Purges, history.Bound, ff.faultCounts)
 }
