--- a/internal/bench/many.go
+++ b/internal/bench/many.go
@@ -17,29 +17,39 @@
 	"railrelay.dev/railrelay/internal/fleet/storage"
 )
 
-// IdleFleet is a fleet of many processes that take no queries: what each costs, and how soon
-// a change is in force on all.
+// IdleFleet configures a fleet of many controller processes without queries. It measures the cost of each
+// controller and how soon a policy change is in force on all controllers.
 type IdleFleet struct {
-	Program       string // railrelay-fleet must stand beside it
-	Controllers   int    // 3 of them vote
+	Program       string // path of the program; railrelay-fleet must be in the same directory
+	Controllers   int    // 3 of them are voters
 	Lease         time.Duration
-	IdleTime      time.Duration // in which they are looked at doing nothing
-	Changes       int
-	RecordEntries int // of the record that one controller starts with
+	IdleTime      time.Duration // duration of the measurement of the idle fleet
+	Changes       int           // policy changes to measure
+	RecordEntries int           // entries in the record of the controller that starts from a long record
 }
 
-// IdleFleetCost is what Many saw.
+// IdleFleetCost is the result of IdleFleet.Measure.
 type IdleFleetCost struct {
-	TimeToServe              time.Duration // from the first start until all serve
-	PeerBytesPerSecond       float64       // of frames sent to peers by a controller a second, at rest; of the leader too
+	// TimeToServe is the time from the first start until all controllers serve.
+	TimeToServe time.Duration
+	// PeerBytesPerSecond counts the frames that an idle controller other than the leader sends to peers, as
+	// a mean over the controllers.
+	PeerBytesPerSecond       float64
 	LeaderPeerBytesPerSecond float64
-	CPUMillisPerSecond       float64 // milliseconds of processor time of a controller a second, at rest
+	// CPUMillisPerSecond is the mean CPU time of an idle controller other than the leader.
+	CPUMillisPerSecond       float64
 	LeaderCPUMillisPerSecond float64
-	ResidentMB               float64         // MB resident of a controller, in the mean
-	InForceSpread            []time.Duration // from the first controller that says so to the last
-	ChangeLatency            []time.Duration // from being asked for until that
-	LongRecordStart          time.Duration   // of one with Entries, until it serves
-	SnapshotBytes            int
+	// ResidentMB is the mean resident memory of a controller.
+	ResidentMB float64
+	// InForceSpread has for each change the time from the first controller that logs the change as in force
+	// to the last one, in ascending order.
+	InForceSpread []time.Duration
+	// ChangeLatency has for each change the time from the request until the change is in force on all
+	// controllers, in ascending order.
+	ChangeLatency []time.Duration
+	// LongRecordStart is the time that a controller with a record of RecordEntries needs until it serves.
+	LongRecordStart time.Duration
+	SnapshotBytes   int // size of the snapshot in the long record
 }
 
 const (
@@ -49,39 +59,42 @@
 	idleFleetPollInterval  = 5 * time.Millisecond
 )
 
-// processFleet is a fleet whose controllers all are processes.
+// processFleet is a fleet in which each controller is a process.
 type processFleet struct {
 	IdleFleet
 	*fleetFiles
 	ctx         context.Context
 	controllers []*controllerProcess
-	logged      chan appliedVersion
+	logged      chan appliedVersion // from the controllers' logs
 }
 
-// prepare writes the set-ups of n controllers, which aren't started yet.
+// prepare writes the setup files of n controllers without starting the controllers.
 func (m IdleFleet) prepare(ctx context.Context, feedAddress string, n int) (*processFleet, error) {
-	place, err := newFleetFiles("railrelay-many")
+	files, err := newFleetFiles("railrelay-many")
 	if err != nil {
 		return nil, err
 	}
-	// more than changes have lines
-	f := &processFleet{IdleFleet: m, fleetFiles: place, ctx: ctx, logged: make(chan appliedVersion, 64*n)}
-	// an address of its own for each, with ports that stay: what is free at 127.0.0.1 now
-	// may be some connection's the next moment
-	at := func(i, port int) string {
+	// The buffer holds more lines than the controllers log about a change.
+	f := &processFleet{IdleFleet: m, fleetFiles: files, ctx: ctx, logged: make(chan appliedVersion, 64*n)}
+	// Each controller has its own loopback address with fixed ports. A free port of 127.0.0.1 could be taken
+	// by an outgoing connection before the controller listens on it.
+	address := func(i, port int) string {
 		return fmt.Sprintf("127.%d.%d.%d:%d", 10+os.Getpid()%240, i/250, i%250+1, port)
 	}
 	var voters []hollow.Peer
 	for i := range min(n, idleFleetVoters) {
-		voters = append(voters, hollow.Peer{Name: fmt.Sprint("c", i), Address: at(i, 7600)})
+		voters = append(voters, hollow.Peer{Name: fmt.Sprint("c", i), Address: address(i, 7600)})
 	}
 	for i := range n {
 		name := fmt.Sprint("c", i)
-		p := &controllerProcess{name: name, program: m.Program, setupFile: f.path(name + ".yaml"), directory: f.path(name),
-			operatorClient: operatorClient{at(i, 7601), place.keys}, onApplied: f.recordApplied}
-		s := controllerSetup{Name: name, ClientAddress: at(i, 7602), FeedAddress: feedAddress, Controllers: n, Zones: []string{"here"}, Zone: "here", MemoryMB: 64,
-			Sockets: 256, FleetName: "many", PeerListenAddress: at(i, 7600), ControlAddress: p.address, Directory: p.directory, KeyFile: place.keyFile, Lease: m.Lease, Voters: voters}
-		if err := os.WriteFile(p.setupFile, []byte(s.yaml()), 0o600); err != nil {
+		p := &controllerProcess{name: name, program: m.Program, setupFile: f.path(name + ".yaml"),
+			directory:      f.path(name),
+			operatorClient: operatorClient{address(i, 7601), files.keys}, onApplied: f.recordApplied}
+		setup := controllerSetup{Name: name, ClientAddress: address(i, 7602), FeedAddress: feedAddress,
+			Controllers: n, Zones: []string{"here"}, Zone: "here", MemoryMB: 64,
+			Sockets: 256, FleetName: "many", PeerListenAddress: address(i, 7600), ControlAddress: p.address,
+			Directory: p.directory, KeyFile: files.keyFile, Lease: m.Lease, Voters: voters}
+		if err := os.WriteFile(p.setupFile, []byte(setup.yaml()), 0o600); err != nil {
 			f.close()
 			return nil, err
 		}
@@ -90,14 +103,16 @@
 	return f, nil
 }
 
-// recordApplied keeps a line of a log; one that there is no room for is of nothing waited for.
-func (f *processFleet) recordApplied(a appliedVersion) {
+// recordApplied queues a version from a controller's log. It drops the version if the queue is full, because
+// then no measurement is waiting for versions.
+func (f *processFleet) recordApplied(applied appliedVersion) {
 	select {
-	case f.logged <- a:
+	case f.logged <- applied:
 	default:
 	}
 }
 
+// close kills all controllers and removes the fleet's files.
 func (f *processFleet) close() {
 	for _, p := range f.controllers {
 		p.kill()
@@ -105,7 +120,7 @@
 	f.remove()
 }
 
-// startAll starts all and waits until they serve.
+// startAll starts all controllers and waits until they serve.
 func (f *processFleet) startAll() error {
 	for _, p := range f.controllers {
 		if err := p.start(f.ctx); err != nil {
@@ -120,15 +135,17 @@
 	return nil
 }
 
-// listenIdleEngine listens as one idle engine and as the feed that lists it.
-func listenIdleEngine(ctx context.Context) (address string, end func(), err error) {
+// listenIdleEngine starts an engine and a feed that lists it. It returns the feed's address and a
+// function that closes both.
+func listenIdleEngine(ctx context.Context) (address string, closeBoth func(), err error) {
 	e, err := engine.Listen(ctx, "127.0.0.1:0", trialEngine(), false)
 	if err != nil {
 		return "", nil, err
 	}
-	var list feed.Log
-	list.Append(true, feed.Engine{ID: "e0", HostPort: e.Addr().String(), Locality: "here", Flavor: "std", Cell: 1, Phase: "SERVING", Size: 1})
-	f, err := feed.Listen(ctx, "127.0.0.1:0", &list)
+	var feedLog feed.Log
+	feedLog.Append(true, feed.Engine{ID: "e0", HostPort: e.Addr().String(), Locality: "here",
+		Flavor: "std", Cell: 1, Phase: "SERVING", Size: 1})
+	f, err := feed.Listen(ctx, "127.0.0.1:0", &feedLog)
 	if err != nil {
 		e.Close()
 		return "", nil, err
@@ -136,22 +153,23 @@
 	return f.Addr().String(), func() { f.Close(); e.Close() }, nil
 }
 
-// Measure starts all, looks at them at rest, changes the policy some times, and starts
-// one with a long record.
+// Measure starts the fleet, measures the idle controllers and a number of policy changes, and measures the
+// start of a controller with a long record.
 func (m IdleFleet) Measure(ctx context.Context) (cost IdleFleetCost, err error) {
-	ctx, stop := context.WithCancel(ctx)
-	defer stop()
-	address, end, err := listenIdleEngine(ctx)
+	ctx, cancel := context.WithCancel(ctx)
+	defer cancel()
+	feedAddress, closeEngine, err := listenIdleEngine(ctx)
 	if err != nil {
 		return cost, err
 	}
-	defer end()
-	if err := m.measureRunningFleet(ctx, address, &cost); err != nil {
+	defer closeEngine()
+	if err := m.measureRunningFleet(ctx, feedAddress, &cost); err != nil {
 		return cost, err
 	}
-	return cost, m.measureLongRecordStart(ctx, address, &cost)
+	return cost, m.measureLongRecordStart(ctx, feedAddress, &cost)
 }
 
+// measureRunningFleet measures the start of the fleet, the idle controllers and the policy changes.
 func (m IdleFleet) measureRunningFleet(ctx context.Context, feedAddress string, cost *IdleFleetCost) error {
 	f, err := m.prepare(ctx, feedAddress, m.Controllers)
 	if err != nil {
@@ -163,7 +181,7 @@
 		return err
 	}
 	cost.TimeToServe = time.Since(begin)
-	time.Sleep(2 * m.Lease) // what joining has led to is over
+	time.Sleep(2 * m.Lease) // so that the traffic of joining has ended
 	if err := f.measureIdle(cost); err != nil {
 		return err
 	}
@@ -177,24 +195,26 @@
 	return nil
 }
 
-// controllerUsage is what a controller has used up to a moment.
+// controllerUsage is what a controller has used since its start.
 type controllerUsage struct {
 	processUsage
-	frameBytes int
+	frameBytes int // sent to peers
 }
 
-func (f *processFleet) usageOfControllers() (all []controllerUsage, err error) {
+// usageOfControllers returns the usage of all controllers, in their order.
+func (f *processFleet) usageOfControllers() (usages []controllerUsage, err error) {
 	for _, p := range f.controllers {
 		sent := p.status(f.ctx).Counts["wire_bytes_out"]
-		used, err := readProcessUsage(p.command.Process.Pid)
+		usage, err := readProcessUsage(p.command.Process.Pid)
 		if err != nil {
 			return nil, err
 		}
-		all = append(all, controllerUsage{used, sent})
+		usages = append(usages, controllerUsage{usage, sent})
 	}
-	return all, nil
+	return usages, nil
 }
 
+// measureIdle measures the controllers for IdleTime while the fleet has no changes.
 func (f *processFleet) measureIdle(cost *IdleFleetCost) error {
 	leader := f.controllers[0].status(f.ctx).Leader
 	before, err := f.usageOfControllers()
@@ -222,60 +242,65 @@
 	return nil
 }
 
-// measureChange asks for the change i, at one controller after the other.
+// measureChange applies change i. The changes go to the controllers in turn.
 func (f *processFleet) measureChange(i int, cost *IdleFleetCost) error {
 	for len(f.logged) > 0 {
 		<-f.logged
 	}
-	base, asked := uint64(i+1), time.Now()
-	a := &fleet.Request{Kind: "apply", ID: fmt.Sprint("change-", i), BaseVersion: base, WaitMs: idleFleetChangeTimeout.Milliseconds(),
+	base, requested := uint64(i+1), time.Now()
+	change := &fleet.Request{Kind: "apply", ID: fmt.Sprint("change-", i), BaseVersion: base,
+		WaitMs: idleFleetChangeTimeout.Milliseconds(),
 		Policy: fmt.Appendf(nil, "fairness: {teams: [{name: a, weight: %d}, {name: b, weight: 1}]}\n", i+2)}
-	r, err := f.controllers[i%len(f.controllers)].sendRequest(f.ctx, a)
+	response, err := f.controllers[i%len(f.controllers)].sendRequest(f.ctx, change)
 	if err != nil {
 		return err
 	}
-	if r.Outcome != "in force" {
-		return fmt.Errorf("change %d: %s %s", i, r.Outcome, r.Reason)
+	if response.Outcome != "in force" {
+		return fmt.Errorf("change %d: outcome %s: %s", i, response.Outcome, response.Reason)
 	}
 	first, last, err := f.awaitApplied(base + 1)
 	if err != nil {
 		return err
 	}
-	cost.InForceSpread, cost.ChangeLatency = append(cost.InForceSpread, last.Sub(first)), append(cost.ChangeLatency, last.Sub(asked))
+	cost.InForceSpread, cost.ChangeLatency = append(cost.InForceSpread, last.Sub(first)),
+		append(cost.ChangeLatency, last.Sub(requested))
 	return nil
 }
 
-// awaitApplied waits until all logs have had a version, and gives the first and last time.
+// awaitApplied waits until all controllers have logged a version as in force, and returns the times of
+// the first and the last log line.
 func (f *processFleet) awaitApplied(version uint64) (first, last time.Time, err error) {
-	for n, wait := 0, time.After(idleFleetChangeTimeout); n < len(f.controllers); {
+	for n, timeout := 0, time.After(idleFleetChangeTimeout); n < len(f.controllers); {
 		select {
-		case a := <-f.logged:
-			if a.Version != version {
+		case applied := <-f.logged:
+			if applied.Version != version {
 				continue
 			}
-			if n++; first.IsZero() || a.At.Before(first) {
-				first = a.At
+			if n++; first.IsZero() || applied.At.Before(first) {
+				first = applied.At
 			}
-			if a.At.After(last) {
-				last = a.At
+			if applied.At.After(last) {
+				last = applied.At
 			}
-		case <-wait:
-			return first, last, fmt.Errorf("version %d is in force on %d of %d", version, n, len(f.controllers))
+		case <-timeout:
+			return first, last, fmt.Errorf("version %d is in force on %d of %d controllers only",
+				version, n, len(f.controllers))
 		}
 	}
 	return first, last, nil
 }
 
-// startFromRecord starts a voter from a record. It is the only one of its fleet, so that it can
-// vote alone: with others' votes missing it would wait for them.
-func (m IdleFleet) startFromRecord(ctx context.Context, feedAddress string, kept consensus.PersistentState) (f *processFleet, took time.Duration, err error) {
+// startFromRecord starts a fleet of one voter from a record and returns how long the voter took to serve.
+// As the only voter it elects itself; with other voters it would wait for their votes.
+func (m IdleFleet) startFromRecord(ctx context.Context, feedAddress string,
+	record consensus.PersistentState) (f *processFleet, took time.Duration, err error) {
 	f, err = m.prepare(ctx, feedAddress, 1)
 	if err != nil {
 		return nil, 0, err
 	}
 	store, _, err := storage.Open(f.controllers[0].directory, func() string { return "long" })
 	if err == nil {
-		err = errors.Join(store.Write(kept), store.Close())
+		err = errors.Join(store.Write(record), store.Close())
 	}
 	begin := time.Now()
 	if err == nil {
@@ -288,41 +313,48 @@
 	return f, time.Since(begin), nil
 }
 
-// soleVoter is the name of the controller that startFrom starts.
+// soleVoter is the name of the controller that startFromRecord starts.
 const soleVoter = "c0"
 
-// measureLongRecordStart starts a voter whose record has Entries, all but the last 2,000 in a
-// snapshot.
-func (m IdleFleet) measureLongRecordStart(ctx context.Context, feedAddress string, cost *IdleFleetCost) error {
-	kept, err := buildLongRecord(soleVoter, m.RecordEntries)
+// measureLongRecordStart measures the start of a voter whose record has RecordEntries entries, all but
+// the last 2,000 in a snapshot.
+func (m IdleFleet) measureLongRecordStart(ctx context.Context, feedAddress string,
+	cost *IdleFleetCost) error {
+	record, err := buildLongRecord(soleVoter, m.RecordEntries)
 	if err != nil {
 		return err
 	}
-	cost.SnapshotBytes = len(kept.Snapshot.Data)
-	f, took, err := m.startFromRecord(ctx, feedAddress, kept)
+	cost.SnapshotBytes = len(record.Snapshot.Data)
+	f, took, err := m.startFromRecord(ctx, feedAddress, record)
 	if err != nil {
 		return err
 	}
 	defer f.close()
 	cost.LongRecordStart = took
-	if s := f.controllers[0].status(ctx); s.Index < uint64(m.RecordEntries) || s.Version < uint64(m.RecordEntries/entriesPerChange) {
-		return fmt.Errorf("it serves by version %d at entry %d of %d", s.Version, s.Index, m.RecordEntries)
+	if status := f.controllers[0].status(ctx); status.Index < uint64(m.RecordEntries) ||
+		status.Version < uint64(m.RecordEntries/entriesPerChange) {
+		return fmt.Errorf("the voter serves with version %d at entry %d of %d",
+			status.Version, status.Index, m.RecordEntries)
 	}
 	return nil
 }
 
-// Print tells it in lines.
-func (m IdleFleet) Print(out io.Writer, c IdleFleetCost) {
-	most := func(l []time.Duration) (mid, last float64) {
-		return toMilliseconds(l[len(l)/2]), toMilliseconds(l[len(l)-1])
-	}
-	force, forceMost := most(c.InForceSpread)
-	asked, askedMost := most(c.ChangeLatency)
-	fmt.Fprintf(out, "%d processes, %d vote, lease %v: all serve %.1f s after the first was started\n", m.Controllers, idleFleetVoters, m.Lease, c.TimeToServe.Seconds())
-	fmt.Fprintf(out, "at rest, a controller a second: %.0f bytes to peers, %.1f ms of processor time; the leader: %.0f bytes, %.1f ms\n", c.PeerBytesPerSecond, c.CPUMillisPerSecond,
-		c.LeaderPeerBytesPerSecond, c.LeaderCPUMillisPerSecond)
-	fmt.Fprintf(out, "memory: %.1f MB resident each\n", c.ResidentMB)
-	fmt.Fprintf(out, "%d changes: decided to in force on all %.1f ms (at most %.1f), asked to in force on all %.0f ms (at most %.0f)\n", len(c.InForceSpread), force,
-		forceMost, asked, askedMost)
-	fmt.Fprintf(out, "start with a record of %d entries, all but 2000 in a snapshot of %d bytes: serves after %.2f s\n", m.RecordEntries, c.SnapshotBytes, c.LongRecordStart.Seconds())
+// Print writes the cost as lines of text.
+func (m IdleFleet) Print(out io.Writer, cost IdleFleetCost) {
+	summary := func(sorted []time.Duration) (median, most float64) {
+		return toMilliseconds(sorted[len(sorted)/2]), toMilliseconds(sorted[len(sorted)-1])
+	}
+	spread, mostSpread := summary(cost.InForceSpread)
+	latency, mostLatency := summary(cost.ChangeLatency)
+	fmt.Fprintf(out, "%d processes, %d vote, lease %v: all serve %.1f s after the first was started\n",
+		m.Controllers, idleFleetVoters, m.Lease, cost.TimeToServe.Seconds())
+	fmt.Fprintf(out, "idle, per controller and second: %.0f bytes to peers, %.1f ms of CPU time; "+
+		"the leader: %.0f bytes, %.1f ms\n", cost.PeerBytesPerSecond, cost.CPUMillisPerSecond,
+		cost.LeaderPeerBytesPerSecond, cost.LeaderCPUMillisPerSecond)
+	fmt.Fprintf(out, "memory: %.1f MB resident each\n", cost.ResidentMB)
+	fmt.Fprintf(out, "%d changes: in force on the first to in force on all controllers %.1f ms (at most %.1f), "+
+		"requested to in force on all %.0f ms (at most %.0f)\n",
+		len(cost.InForceSpread), spread, mostSpread, latency, mostLatency)
+	fmt.Fprintf(out, "start with a record of %d entries, all but 2000 in a snapshot of %d bytes: "+
+		"serves after %.2f s\n", m.RecordEntries, cost.SnapshotBytes, cost.LongRecordStart.Seconds())
 }
--- a/internal/bench/many_process.go
+++ b/internal/bench/many_process.go
@@ -19,37 +19,39 @@
 	"railrelay.dev/railrelay/internal/fleet/transport"
 )
 
-// controllerSetup is what the set-up file of a controller in a fleet of many is made of.
+// controllerSetup has the settings of a controller's setup file.
 type controllerSetup struct {
 	Name              string
-	ClientAddress     string // where clients come in
+	ClientAddress     string // listens for clients
 	FeedAddress       string
-	Controllers       int // of the whole fleet
-	Zones             []string
-	Zone              string // its own
+	Controllers       int      // number of controllers in the fleet
+	Zones             []string // all zones with engines
+	Zone              string   // zone of this controller
 	MemoryMB          int
 	Sockets           int
-	FleetName         string // the fleet's name
-	PeerListenAddress string // where peers come in
-	PeerAddress       string // what peers are told in its place; "": Listen
-	ControlAddress    string // where operators come in
-	Directory         string
+	FleetName         string
+	PeerListenAddress string // listens for peers
+	PeerAddress       string // advertised to peers; if empty, PeerListenAddress is
+	ControlAddress    string // listens for operators
+	Directory         string // of the fleet record
 	KeyFile           string
 	Lease             time.Duration
 	Voters            []hollow.Peer
-	ControlOnly       bool // it has the role control: no clients, engines or feed
+	ControlOnly       bool // sets the role control: no clients, engines or feed
 	IsRelay           bool
-	Relays            []hollow.Peer // that it asks in place of the leader
+	Relays            []hollow.Peer // sends its requests to these relays instead of the leader
 }
 
-// yaml is the set-up as YAML.
+// yaml returns the contents of the setup file.
 func (s controllerSetup) yaml() string {
 	var b strings.Builder
-	fmt.Fprintf(&b, "name: %s\nlog: info\nlimits: {cores: 1, memory_mb: %d, sockets: %d}\n", s.Name, s.MemoryMB, s.Sockets)
+	fmt.Fprintf(&b, "name: %s\nlog: info\nlimits: {cores: 1, memory_mb: %d, sockets: %d}\n",
+		s.Name, s.MemoryMB, s.Sockets)
 	if !s.ControlOnly {
 		s.writeDataPlane(&b)
 	}
-	fmt.Fprintf(&b, "fleet:\n  name: %s\n  listen: %s\n  control: %s\n  directory: %q\n  keys: %q\n  lease: %v\n",
+	fmt.Fprintf(&b, "fleet:\n  name: %s\n  listen: %s\n  control: %s\n"+
+		"  directory: %q\n  keys: %q\n  lease: %v\n",
 		s.FleetName, s.PeerListenAddress, s.ControlAddress, s.Directory, s.KeyFile, s.Lease)
 	if s.PeerAddress != "" {
 		fmt.Fprintf(&b, "  address: %s\n", s.PeerAddress)
@@ -65,99 +67,102 @@
 	return b.String()
 }
 
-// writeDataPlane writes what only a controller with clients and engines has.
+// writeDataPlane writes the settings that only a controller with clients and engines has.
 func (s controllerSetup) writeDataPlane(b *strings.Builder) {
-	kind := trialEngine()
+	engines := trialEngine()
 	fmt.Fprintf(b, "listen: %s\nfeed: %s\n", s.ClientAddress, s.FeedAddress)
-	fmt.Fprintf(b, "engines: {controllers: %d, kinds: [{name: std, cores: %g, memory_mb: %g}], locations: [%s], location: %s}\n",
-		s.Controllers, kind.Cores, kind.MemoryMB, strings.Join(s.Zones, ", "), s.Zone)
+	fmt.Fprintf(b, "engines: {controllers: %d, kinds: [{name: std, cores: %g, memory_mb: %g}], "+
+		"locations: [%s], location: %s}\n",
+		s.Controllers, engines.Cores, engines.MemoryMB, strings.Join(s.Zones, ", "), s.Zone)
 	b.WriteString("groups: [{name: lookup, target: 1s, timeout: 30s, effect: read-only}]\n")
-	b.WriteString("fairness: {fields: {team: team}, trusted: [127.0.0.0/8], teams: [{name: a, weight: 1}, {name: b, weight: 1}]}\n")
+	b.WriteString("fairness: {fields: {team: team}, trusted: [127.0.0.0/8], " +
+		"teams: [{name: a, weight: 1}, {name: b, weight: 1}]}\n")
 }
 
-// writePeerList writes a list of the fleet part, unless it is empty.
-func writePeerList(b *strings.Builder, field string, list []hollow.Peer) {
-	if len(list) == 0 {
+// writePeerList writes a list of peers in the fleet section, unless the list is empty.
+func writePeerList(b *strings.Builder, field string, peers []hollow.Peer) {
+	if len(peers) == 0 {
 		return
 	}
 	fmt.Fprintf(b, "  %s:\n", field)
-	for _, peer := range list {
+	for _, peer := range peers {
 		fmt.Fprintf(b, "    - {name: %s, address: %q}\n", peer.Name, peer.Address)
 	}
 }
 
-// fleetFiles is a directory for a fleet's set-ups, records and key file.
+// fleetFiles is a temporary directory for a fleet's setup files, records and key file.
 type fleetFiles struct {
 	directory string
 	keyFile   string
 	keys      transport.Keys
 }
 
-func newFleetFiles(pattern string) (w *fleetFiles, err error) {
-	w = &fleetFiles{}
-	if w.directory, err = os.MkdirTemp("", pattern); err != nil {
+// newFleetFiles creates a directory with a key file. pattern is that of os.MkdirTemp.
+func newFleetFiles(pattern string) (files *fleetFiles, err error) {
+	files = &fleetFiles{}
+	if files.directory, err = os.MkdirTemp("", pattern); err != nil {
 		return nil, err
 	}
-	w.keyFile = filepath.Join(w.directory, "keys")
-	if err = os.WriteFile(w.keyFile, []byte(strings.Repeat("5e", 32)), 0o600); err == nil {
-		w.keys, err = transport.ReadKeys(w.keyFile)
+	files.keyFile = filepath.Join(files.directory, "keys")
+	if err = os.WriteFile(files.keyFile, []byte(strings.Repeat("5e", 32)), 0o600); err == nil {
+		files.keys, err = transport.ReadKeys(files.keyFile)
 	}
 	if err != nil {
-		os.RemoveAll(w.directory)
+		os.RemoveAll(files.directory)
 		return nil, err
 	}
-	return w, nil
+	return files, nil
 }
 
-func (w *fleetFiles) path(name string) string { return filepath.Join(w.directory, name) }
+func (files *fleetFiles) path(name string) string { return filepath.Join(files.directory, name) }
 
-func (w *fleetFiles) remove() { os.RemoveAll(w.directory) }
+func (files *fleetFiles) remove() { os.RemoveAll(files.directory) }
 
-// appliedVersion is a line of a controller's log: its record has a version in force.
+// appliedVersion is a policy version that a controller has logged as in force.
 type appliedVersion struct {
 	Controller string
 	Version    uint64
 	At         time.Time
 }
 
-// controllerProcess is one controller as a process. Its methods are called by one goroutine.
+// controllerProcess is a controller that runs as a process. Its methods must be called by one goroutine.
 type controllerProcess struct {
 	name      string
 	program   string
 	setupFile string
 	directory string // of its record
 	operatorClient
-	onApplied func(appliedVersion) // may be nil
+	onApplied func(appliedVersion) // called for each version that the log reports as in force; may be nil
 
 	command     *exec.Cmd
 	exited      chan struct{}
-	lastLogLine string // of its log; once it has ended
+	lastLogLine string // may be read once exited is closed
 	paused      bool
 }
 
-// fleetProgramSuffix makes of the controller's program that which takes part in fleets.
+// fleetProgramSuffix follows the program's path in the path of the program with fleet support.
 const fleetProgramSuffix = "-fleet"
 
-// start begins the process from what its directory holds. It is killed with ctx, and
-// with this process: therefore the program for fleets is started itself. The lean one
-// would replace itself by it, and the kernel forgets then what it ends with.
+// start starts the process, which recovers the state that its directory holds. The process is killed when ctx
+// ends and when this process dies. For the latter, start runs the program with fleet support directly: the
+// other program would replace its process image by it, and thereby lose the parent-death signal.
 func (p *controllerProcess) start(ctx context.Context) error {
 	command := exec.CommandContext(ctx, p.program+fleetProgramSuffix, "serve", "--setup", p.setupFile)
 	command.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
-	log, err := command.StderrPipe()
+	stderr, err := command.StderrPipe()
 	if err != nil {
 		return err
 	}
 	if err := command.Start(); err != nil {
 		return err
 	}
-	ended := make(chan struct{})
-	p.command, p.exited, p.paused = command, ended, false
+	exited := make(chan struct{})
+	p.command, p.exited, p.paused = command, exited, false
 	go func() {
-		defer close(ended)
-		for lines := bufio.NewScanner(log); lines.Scan(); {
+		defer close(exited)
+		for lines := bufio.NewScanner(stderr); lines.Scan(); {
 			p.lastLogLine = lines.Text()
-			if version, is := parseVersionInForce(p.lastLogLine); is && p.onApplied != nil {
+			if version, ok := parseVersionInForce(p.lastLogLine); ok && p.onApplied != nil {
 				p.onApplied(appliedVersion{p.name, version, time.Now()})
 			}
 		}
@@ -166,17 +171,17 @@
 	return nil
 }
 
-// parseVersionInForce reads the line that a controller's log has for each version.
-func parseVersionInForce(line string) (version uint64, is bool) {
-	_, after, is := strings.Cut(line, "policy: version ")
-	if !is || !strings.Contains(after, "is in force") {
+// parseVersionInForce returns the policy version that a log line reports as in force.
+func parseVersionInForce(line string) (version uint64, ok bool) {
+	_, after, ok := strings.Cut(line, "policy: version ")
+	if !ok || !strings.Contains(after, "is in force") {
 		return 0, false
 	}
 	version, err := strconv.ParseUint(strings.Fields(after)[0], 10, 64)
 	return version, err == nil
 }
 
-// kill ends the process at once and waits for its end.
+// kill kills the process and waits until it has exited.
 func (p *controllerProcess) kill() {
 	if p.command == nil {
 		return
@@ -196,63 +201,67 @@
 	return p.command.Process.Signal(syscall.SIGCONT)
 }
 
-// isResponsive says whether it can be asked anything.
+// isResponsive reports whether the process was started and is not paused.
 func (p *controllerProcess) isResponsive() bool { return p.command != nil && !p.paused }
 
-// operatorClient asks one controller as its operators do. It may be used by several goroutines.
+// operatorClient sends requests to one controller as its operators do. It is safe for concurrent use.
 type operatorClient struct {
-	address string // the controller's address for operators
+	address string // the controller's control address
 	keys    transport.Keys
 }
 
-// sendRequest puts something to the controller.
-func (o operatorClient) sendRequest(ctx context.Context, a *fleet.Request) (*fleet.Response, error) {
-	ctx, stop := context.WithTimeout(ctx, time.Duration(a.WaitMs)*time.Millisecond+2*time.Second)
-	defer stop()
-	return transport.SendControlRequest(ctx, o.address, o.keys, a)
+// sendRequest sends a request and waits up to two seconds longer than the request's own waiting time.
+func (o operatorClient) sendRequest(ctx context.Context, request *fleet.Request) (*fleet.Response, error) {
+	ctx, cancel := context.WithTimeout(ctx, time.Duration(request.WaitMs)*time.Millisecond+2*time.Second)
+	defer cancel()
+	return transport.SendControlRequest(ctx, o.address, o.keys, request)
 }
 
-// status is how it sees the fleet; an empty one if it can't be asked.
+// status returns the state of the fleet as the controller knows it, or an empty status if the controller does
+// not answer.
 func (o operatorClient) status(ctx context.Context) *fleet.Status {
-	if r, err := o.sendRequest(ctx, &fleet.Request{Kind: "status", WaitMs: 500}); err == nil && r.Status != nil {
-		return r.Status
+	if response, err := o.sendRequest(ctx,
+		&fleet.Request{Kind: "status", WaitMs: 500}); err == nil && response.Status != nil {
+		return response.Status
 	}
 	return &fleet.Status{}
 }
 
-// awaitServing waits until it serves, and looks after each pause.
-func (p *controllerProcess) awaitServing(ctx context.Context, within, pause time.Duration) error {
-	for end := time.Now().Add(within); time.Now().Before(end) && ctx.Err() == nil; time.Sleep(pause) {
+// awaitServing polls the process at an interval until it serves. It fails after a timeout, or if the process
+// exits.
+func (p *controllerProcess) awaitServing(ctx context.Context, timeout, interval time.Duration) error {
+	for end := time.Now().Add(timeout); time.Now().Before(end) && ctx.Err() == nil; time.Sleep(interval) {
 		if p.status(ctx).Serves {
 			return nil
 		}
 		select {
 		case <-p.exited:
-			return fmt.Errorf("%s has ended, and last said %q", p.name, p.lastLogLine)
+			return fmt.Errorf("%s has exited; its last log line was %q", p.name, p.lastLogLine)
 		default:
 		}
 	}
-	return fmt.Errorf("%s doesn't serve within %v", p.name, within)
+	return fmt.Errorf("%s did not serve within %v", p.name, timeout)
 }
 
-// processUsage is what the kernel says that a process has used.
+// processUsage is the resource usage of a process.
 type processUsage struct {
-	CPU        time.Duration // since its start
-	ResidentMB float64       // MB
+	CPU        time.Duration // since the start of the process
+	ResidentMB float64
 }
 
-const clockTick = 10 * time.Millisecond // of the kernel's figures of processor time
+// clockTick is the unit of the CPU times in /proc.
+const clockTick = 10 * time.Millisecond
 
-// readProcessUsage reads a process's figures.
+// readProcessUsage reads the usage of a process from /proc.
 func readProcessUsage(pid int) (processUsage, error) {
-	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
+	stat, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 	if err != nil {
 		return processUsage{}, err
 	}
-	const userTime, systemTime, residentPages = 11, 12, 21 // after the command's name
-	fields := strings.Fields(string(text[bytes.LastIndexByte(text, ')')+1:]))
+	const userTime, systemTime, residentPages = 11, 12, 21 // fields after the command's name
+	fields := strings.Fields(string(stat[bytes.LastIndexByte(stat, ')')+1:]))
 	if len(fields) <= residentPages {
-		return processUsage{}, errors.New("the process's figures can't be read")
+		return processUsage{}, errors.New("too few fields in the /proc stat file of the process")
 	}
 	user, _ := strconv.Atoi(fields[userTime])
 	system, _ := strconv.Atoi(fields[systemTime])
--- a/internal/bench/many_record.go
+++ b/internal/bench/many_record.go
@@ -11,8 +11,8 @@
 	"railrelay.dev/railrelay/internal/fleet/statemachine"
 )
 
-// recordBuilder makes what the disk of a fleet's only voter holds, by way of its own
-// agreement in virtual time.
+// recordBuilder builds the persistent state of a fleet's only voter by running the consensus core in virtual
+// time.
 type recordBuilder struct {
 	name          string
 	core          *consensus.Core
@@ -20,12 +20,13 @@
 	now           time.Duration
 	persisted     consensus.PersistentState
 	isLeader      bool
-	pendingWrites int // under way
+	pendingWrites int // not yet confirmed to the core
 }
 
-// newRecordBuilder gives one whose voter leads.
+// newRecordBuilder returns a builder whose voter is the leader.
 func newRecordBuilder(name string) (*recordBuilder, error) {
-	core, effects, err := consensus.New(consensus.Config{Self: name, Voters: []consensus.Voter{{Name: name, Address: "127.0.0.1:1"}}, Seed: 1,
+	core, effects, err := consensus.New(consensus.Config{Self: name,
+		Voters: []consensus.Voter{{Name: name, Address: "127.0.0.1:1"}}, Seed: 1,
 		ElectionTimeout: time.Second, HeartbeatInterval: 100 * time.Millisecond})
 	if err != nil {
 		return nil, err
@@ -36,7 +37,7 @@
 	}
 	for !b.isLeader {
 		if b.now = max(b.now+time.Millisecond, core.NextTick()); b.now > time.Minute {
-			return nil, errors.New("a voter that is alone doesn't lead")
+			return nil, errors.New("the only voter was not elected within a minute")
 		}
 		if err := b.step(consensus.Event{Kind: consensus.Tick}); err != nil {
 			return nil, err
@@ -45,11 +46,12 @@
 	return b, nil
 }
 
-// step takes an event in, and stores at once what comes of it.
+// step passes an event to the core and performs its effects.
 func (b *recordBuilder) step(event consensus.Event) error {
 	return b.perform(b.core.Step(b.now, event))
 }
 
+// perform handles effects and those that follow from their writes, which it confirms at once.
 func (b *recordBuilder) perform(effects []consensus.Effect) error {
 	err := b.handleEffects(effects)
 	for err == nil && b.pendingWrites > 0 {
@@ -59,62 +61,72 @@
 	return err
 }
 
+// handleEffects merges the writes among the effects into the persistent state, and applies committed entries.
 func (b *recordBuilder) handleEffects(effects []consensus.Effect) error {
-	for _, e := range effects {
-		switch e.Kind {
+	for _, effect := range effects {
+		switch effect.Kind {
 		case consensus.Persist:
-			b.persisted = hollow.Merge(b.persisted, *e.Persistent)
+			b.persisted = hollow.Merge(b.persisted, *effect.Persistent)
 			b.pendingWrites++
 		case consensus.Committed:
-			data := e.Entry.Data
-			if e.Entry.IsVoterChange {
+			data := effect.Entry.Data
+			if effect.Entry.IsVoterChange {
 				data = nil
 			}
-			if err := b.state.Apply(e.Entry.Index, data); err != nil {
+			if err := b.state.Apply(effect.Entry.Index, data); err != nil {
 				return err
 			}
 		case consensus.LeaderChanged:
-			b.isLeader = e.Leader == b.name
+			b.isLeader = effect.Leader == b.name
 		}
 	}
 	return nil
 }
 
-// commit puts entries into the record, one after the other.
+// commit adds entries to the record, one after the other.
 func (b *recordBuilder) commit(entries ...*fleet.Entry) error {
-	for _, e := range entries {
-		if err := b.step(consensus.Event{Kind: consensus.Propose, Data: statemachine.EncodeEntry(e)}); err != nil {
+	for _, entry := range entries {
+		if err := b.step(consensus.Event{Kind: consensus.Propose,
+			Data: statemachine.EncodeEntry(entry)}); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// entriesPerChange are those that a change of policy leads to.
+// entriesPerChange is the number of entries that commitPolicyChange adds to the record.
 const entriesPerChange = 5
 
-// commitPolicyChange puts a whole change of policy into the record.
+// commitPolicyChange adds all entries of a policy change to the record, from its proposal to its cleanup.
 func (b *recordBuilder) commitPolicyChange() error {
 	id := fmt.Sprint("change-", b.state.Index)
-	policy := fmt.Appendf(nil, "fairness: {teams: [{name: a, weight: %d}, {name: b, weight: 1}]}\n", b.state.Version%9+1)
-	return b.commit(&fleet.Entry{Kind: fleet.EntryPropose, ID: id, RequestedBy: "operator", BaseVersion: b.state.Version, Policy: policy},
-		&fleet.Entry{Kind: fleet.EntryFence, ID: id}, &fleet.Entry{Kind: fleet.EntryCommit, ID: id}, &fleet.Entry{Kind: fleet.EntryEnterForce, ID: id},
+	policy := fmt.Appendf(nil, "fairness: {teams: [{name: a, weight: %d}, {name: b, weight: 1}]}\n",
+		b.state.Version%9+1)
+	return b.commit(
+		&fleet.Entry{Kind: fleet.EntryPropose, ID: id, RequestedBy: "operator",
+			BaseVersion: b.state.Version, Policy: policy},
+		&fleet.Entry{Kind: fleet.EntryFence, ID: id},
+		&fleet.Entry{Kind: fleet.EntryCommit, ID: id},
+		&fleet.Entry{Kind: fleet.EntryEnterForce, ID: id},
 		&fleet.Entry{Kind: fleet.EntryFinishCleanup, ID: id})
 }
 
-// joinAndForget puts a controller into the record that joins and whose disk is forgotten.
+// joinAndForget adds a controller that joins the fleet, and whose disk is then forgotten, to the record.
 func (b *recordBuilder) joinAndForget() error {
 	name := fmt.Sprint("gone-", b.state.Index)
-	member := &fleet.Member{Name: name, DiskID: fmt.Sprintf("%016x", b.state.Index), Site: "here", PeerAddress: "10.0.0.1:7600", ClientAddress: "10.0.0.1:7602"}
-	return b.commit(&fleet.Entry{Kind: fleet.EntryJoin, ID: name, Name: name, Member: member}, &fleet.Entry{Kind: fleet.EntryForget, ID: name, Name: name})
+	member := &fleet.Member{Name: name, DiskID: fmt.Sprintf("%016x", b.state.Index), Site: "here",
+		PeerAddress: "10.0.0.1:7600", ClientAddress: "10.0.0.1:7602"}
+	return b.commit(&fleet.Entry{Kind: fleet.EntryJoin, ID: name, Name: name, Member: member},
+		&fleet.Entry{Kind: fleet.EntryForget, ID: name, Name: name})
 }
 
-// compact has a snapshot replace the log so far.
+// compact replaces the log by a snapshot.
 func (b *recordBuilder) compact() error {
-	return b.step(consensus.Event{Kind: consensus.SnapshotTaken, Snapshot: &consensus.Snapshot{Index: b.state.Index, Data: b.state.Encode()}})
+	return b.step(consensus.Event{Kind: consensus.SnapshotTaken,
+		Snapshot: &consensus.Snapshot{Index: b.state.Index, Data: b.state.Encode()}})
 }
 
-// compactAfter compacts once the log has so many entries.
+// compactAfter compacts the log if it has at least a number of entries.
 func (b *recordBuilder) compactAfter(entries int) error {
 	if len(b.persisted.Entries) < entries {
 		return nil
@@ -122,10 +134,11 @@
 	return b.compact()
 }
 
-const entriesAfterSnapshot = 2000 // that a long record has in its log
+// entriesAfterSnapshot is the number of entries in the log of a long record.
+const entriesAfterSnapshot = 2000
 
-// buildLongRecord is what the disk of a fleet's only voter holds after so many entries of
-// changes of policy, all but the last in a snapshot.
+// buildLongRecord returns the persistent state of a fleet's only voter after a number of entries of policy
+// changes, all but the last entriesAfterSnapshot in a snapshot.
 func buildLongRecord(name string, entries int) (consensus.PersistentState, error) {
 	b, err := newRecordBuilder(name)
 	if err != nil {
