--- a/internal/bench/many.go
+++ b/internal/bench/many.go
@@ -138,7 +138,7 @@
 // listenIdleEngine starts an engine and a feed that lists it. It returns the feed's address and a
 // function that closes both.
 func listenIdleEngine(ctx context.Context) (address string, closeBoth func(), err error) {
-	e, err := engine.Listen(ctx, "127.0.0.1:0", trialEngine(), false)
+	e, err := engine.Listen(ctx, "127.0.0.1:0", trialEngineConfig(), false)
 	if err != nil {
 		return "", nil, err
 	}
--- a/internal/bench/many_process.go
+++ b/internal/bench/many_process.go
@@ -69,7 +69,7 @@
 
 // writeDataPlane writes the settings that only a controller with clients and engines has.
 func (s controllerSetup) writeDataPlane(b *strings.Builder) {
-	engines := trialEngine()
+	engines := trialEngineConfig()
 	fmt.Fprintf(b, "listen: %s\nfeed: %s\n", s.ClientAddress, s.FeedAddress)
 	fmt.Fprintf(b, "engines: {controllers: %d, kinds: [{name: std, cores: %g, memory_mb: %g}], "+
 		"locations: [%s], location: %s}\n",
--- a/internal/bench/storm.go
+++ b/internal/bench/storm.go
@@ -428,7 +428,7 @@
 // a controller without a fleet. The two controllers are measured alternately, in short turns.
 func fleetThroughputRatio(ctx context.Context, program string, turns int, turn time.Duration) (
 	float64, error) {
-	trial := &Trial{Program: program, Engines: 8, Seed: 1, Log: io.Discard}
+	trial := &Trial{Program: program, Engines: 8, Seed: 1, ControllerLog: io.Discard}
 	var answered [2]float64 // without and with a fleet
 	run := func(ctx context.Context, address string) (int64, error) {
 		turnCtx, cancel := context.WithTimeout(ctx, turn)
@@ -437,21 +437,21 @@
 		var wg sync.WaitGroup
 		errs := make([]error, 4)
 		for i := range errs {
-			wg.Go(func() { errs[i] = hammer(turnCtx, address, i, 16, &done) })
+			wg.Go(func() { errs[i] = keepQueriesOpen(turnCtx, address, i, 16, &done) })
 		}
 		wg.Wait()
 		return done, errors.Join(errs...)
 	}
-	var stages [2]*stage
+	var stages [2]*controllerTestbed
 	for inFleet := range stages {
-		s, err := newStage(ctx, program, trial.Engines, trialEngine(), trial.Log,
+		s, err := newControllerTestbed(ctx, program, trial.Engines, trialEngineConfig(), trial.ControllerLog,
 			func(int, *engine.Server) {})
 		if err != nil {
 			return 0, err
 		}
 		defer s.close()
 		stages[inFleet] = s
-		setup := trial.setup(s.feed, s.address)
+		setup := trial.setupText(s.feedAddress, s.controllerAddress)
 		if inFleet == 1 {
 			peer, err := loopback.FreeAddress()
 			if err != nil {
@@ -469,13 +469,13 @@
 				"keys: %q, voters: [{name: try, address: %q}]}\n",
 				peer, control, filepath.Join(s.dir, "fleet"), keys, peer)
 		}
-		if err := s.begin(setup); err != nil {
+		if err := s.startController(setup); err != nil {
 			return 0, err
 		}
 	}
 	for i := range turns + 1 {
 		for inFleet, s := range stages {
-			done, err := run(ctx, s.address)
+			done, err := run(ctx, s.controllerAddress)
 			if err != nil {
 				return 0, err
 			}
@@ -505,13 +505,13 @@
 		return err
 	}
 	var background sync.WaitGroup
-	var schedules *Played
+	var schedules *ScheduleResult
 	background.Go(func() {
-		plan := &Plan{}
-		plan.Random(seed*1000, 100, 5, 3, 6*time.Second, 2)
-		plan.Random(seed*1000+500, 1, 100, 5, 3*time.Second, 6)
-		plan.Struck(seed, 1+int(seed%7), 120, 11)
-		schedules = plan.Play(1, time.Now().Add(18*time.Second))
+		plan := &SchedulePlan{}
+		plan.AddRandom(seed*1000, 100, 5, 3, 6*time.Second, 2)
+		plan.AddRandom(seed*1000+500, 1, 100, 5, 3*time.Second, 6)
+		plan.AddMessageFaults(seed, 1+int(seed%7), 120, 11)
+		schedules = plan.Run(1, time.Now().Add(18*time.Second))
 	})
 	var found, planted int
 	var table []string
@@ -555,8 +555,8 @@
 	fmt.Fprintln(out, strings.Join(table, "\n"))
 	fmt.Fprintf(out, "schedules in virtual time: %d of up to 100 controllers, faults injected in %d states, "+
 		"%d changes, %d withdrawn, %d purges\n", schedules.Schedules,
-		schedules.Struck(), schedules.Changes, schedules.Withdrawn, schedules.Purges)
-	violations = append(violations, schedules.Broken...)
+		schedules.DistinctFaultStates(), schedules.Changes, schedules.Withdrawn, schedules.Purges)
+	violations = append(violations, schedules.Violations...)
 	history := &ff.fleetHistory
 	for _, violation := range violations {
 		fmt.Fprintf(out, "seed %d: %s\n", seed, violation)
@@ -578,7 +578,7 @@
 	case found < planted:
 		return errors.New("a planted fault was not detected")
 	case faults == 0 || history.Changes == 0 || history.Withdrawn == 0 || history.Purges == 0 ||
-		history.Bound == 0 || ff.emergencies == 0 || schedules.Struck() == 0:
+		history.Bound == 0 || ff.emergencies == 0 || schedules.DistinctFaultStates() == 0:
 		return errors.New("the run had no fault, change, withdrawn change, purge, bound query, " +
 			"emergency or fault in a schedule")
 	}
--- a/internal/bench/together.go
+++ b/internal/bench/together.go
@@ -175,7 +175,7 @@
 	}
 	var feedLog feed.Log
 	for i, site := range sites {
-		e, err := engine.Listen(ff.ctx, "127.0.0.1:0", trialEngine(), false)
+		e, err := engine.Listen(ff.ctx, "127.0.0.1:0", trialEngineConfig(), false)
 		if err != nil {
 			return err
 		}
--- a/internal/bench/together_clients.go
+++ b/internal/bench/together_clients.go
@@ -49,7 +49,7 @@
 	ff.mu.Unlock()
 	results = results[max(0, len(results)-storedResultsToRead):]
 	end := time.Now().Add(time.Second)
-	readers := map[int]*reader{}
+	readers := map[int]*resultReader{}
 	for _, result := range results {
 		if p := ff.members[result.controller]; p.command == nil || p.paused || time.Now().After(end) {
 			continue
@@ -57,7 +57,7 @@
 		r := readers[result.controller]
 		if r == nil {
 			var err error
-			if r, err = dial(ff.members[result.controller].clientAddress, 0); err != nil {
+			if r, err = dialController(ff.members[result.controller].clientAddress, 0); err != nil {
 				continue
 			}
 			defer r.Close()
@@ -71,10 +71,10 @@
 
 // readStoredResult reads the first page of a stored result and adds the answer to the history. If the read
 // fails, readStoredResult closes the connection and returns false.
-func (ff *faultFleet) readStoredResult(r *reader, result fleetStoredResult) bool {
+func (ff *faultFleet) readStoredResult(r *resultReader, result fleetStoredResult) bool {
 	requested := ff.elapsed()
 	r.SetDeadline(time.Now().Add(2 * time.Second))
-	answer, err := r.page(ff.ctx, result.token, 1)
+	answer, err := r.requestPage(ff.ctx, result.token, 1)
 	if err != nil {
 		r.Close()
 		return false
@@ -133,7 +133,7 @@
 func (ff *faultFleet) runClient(controller int, team, group string, pause time.Duration, paged bool) {
 	defer ff.clients.Done()
 	rng := rand.New(rand.NewPCG(ff.Seed, uint64(controller)<<8|uint64(len(team))))
-	var r *reader
+	var r *resultReader
 	defer func() {
 		if r != nil {
 			r.Close()
@@ -150,7 +150,7 @@
 		}
 		if r == nil {
 			var err error
-			if r, err = dial(ff.members[controller].clientAddress, 0); err != nil {
+			if r, err = dialController(ff.members[controller].clientAddress, 0); err != nil {
 				r = nil
 				continue
 			}
@@ -177,13 +177,13 @@
 		ff.sentQueries[id] = &fleetSentQuery{now, team, work.TableGroup, controller}
 		ff.queryHistory.Received(now, id, group, entity, now+faultFleetClientTimeout)
 		ff.mu.Unlock()
-		r.msg++
+		r.lastMessage++
 		r.SetDeadline(time.Now().Add(faultFleetClientTimeout))
-		_, err := r.Write(client.AppendQuery(nil, r.msg, group, engine.Statement(work),
+		_, err := r.Write(client.AppendQuery(nil, r.lastMessage, group, engine.Statement(work),
 			append([]string{"trace", id}, fields...)...))
 		var answer client.Answer
 		if err == nil {
-			answer, err = r.answer(ff.ctx)
+			answer, err = r.readAnswer(ff.ctx)
 		}
 		ff.mu.Lock()
 		if err != nil { // the controller was killed, or the answer is late
--- a/internal/bench/together_processes.go
+++ b/internal/bench/together_processes.go
@@ -33,7 +33,7 @@
 	fmt.Fprintf(&b, "name: %s\nlisten: %s\nfeed: %s\nseed: %x\nlog: info\n"+
 		"limits: {cores: 1, memory_mb: 128, sockets: 1024}\n",
 		p.name, p.clientAddress, ff.feed.Addr(), ff.Seed)
-	engines := trialEngine()
+	engines := trialEngineConfig()
 	sites := []string{"east", "west"}
 	for marker := range markerSites {
 		sites = append(sites, fmt.Sprint("m", marker))
