--- a/internal/bench/golden_test.go
+++ b/internal/bench/golden_test.go
@@ -14,14 +14,14 @@
 	"railrelay.dev/railrelay/internal/goldentest"
 )
 
-// TestGoldenMeasuredLines compares the forms of all lines that begin with "measured": scripts
-// read their names, and their numbers as they are printed.
+// TestGoldenMeasuredLines compares the formats of all lines that begin with "measured". Scripts parse their
+// names and the formats of their numbers.
 func TestGoldenMeasuredLines(t *testing.T) {
 	goldentest.Same(t, "measured_lines", measuredStrings(t))
 }
 
-// measuredStrings are the strings of the package's source that begin with "measured ", each
-// quoted and on a line, in order. Strings that are joined by + count as one.
+// measuredStrings returns the strings in the package's source that begin with "measured ", sorted, quoted
+// and one to a line. Strings that are joined by + count as one string.
 func measuredStrings(t *testing.T) []byte {
 	t.Helper()
 	files, err := filepath.Glob("*.go")
@@ -42,20 +42,20 @@
 			if !isExpression {
 				return true
 			}
-			text, isText := stringValue(expression)
-			if isText && strings.HasPrefix(text, "measured ") {
+			text, isString := stringValue(expression)
+			if isString && strings.HasPrefix(text, "measured ") {
 				lines = append(lines, strconv.Quote(text))
 			}
-			return !isText
+			return !isString
 		})
 	}
 	slices.Sort(lines)
 	return bytes.TrimLeft([]byte(strings.Join(lines, "\n")+"\n"), "\n")
 }
 
-// stringValue is the value of a string, or of strings joined by +.
-func stringValue(e ast.Expr) (text string, isText bool) {
-	switch e := e.(type) {
+// stringValue returns the value of a string literal, or of string literals that are joined by +.
+func stringValue(expression ast.Expr) (text string, isString bool) {
+	switch e := expression.(type) {
 	case *ast.BasicLit:
 		text, err := strconv.Unquote(e.Value)
 		return text, err == nil && e.Kind == token.STRING
--- a/internal/bench/planted.go
+++ b/internal/bench/planted.go
@@ -15,124 +15,147 @@
 	"time"
 )
 
-// PlantedFault is a fault, where it is planted, the tests that must find it, and how they name
-// it. Its files are in Dir/testdata/planted/Name: each is a copy, with the fault, of the
-// file of that name in Dir, which it replaces in a build (go test -overlay), or, as
-// FILE.replace, says which lines of a large FILE the fault replaces. The same tests pass in
-// a build without it.
+// PlantedFault is a deliberate fault in a package, with the tests that must detect the fault. The same tests
+// must pass in a build without the fault.
+//
+// The files of a fault are in Dir/testdata/planted/Name. A file FILE.go is a copy of FILE.go in Dir with
+// the fault, and replaces the original in a build (go test -overlay). A file FILE.go.replace has only the
+// lines of a large FILE.go that the fault replaces, and their replacement.
 type PlantedFault struct {
-	Name           string // of its build, and of its directory of files
-	Description    string // in words
-	Dir            string // of the package that has the fault, from the root of the tree
-	TestPackage    string // of the tests, as the go command takes it
-	TestPattern    string // the tests, as -test.run takes them
-	ExpectedOutput string // what the failing test says
+	Name           string // names the build and the directory of the fault's files
+	Description    string
+	Dir            string // directory of the package with the fault, relative to the repository root
+	TestPackage    string // package of the tests, as an argument of go test
+	TestPattern    string // selects the tests, as -test.run does
+	ExpectedOutput string // part of the failing test's output
 }
 
-// PlantedFaults are all of them. `make planted` builds and plays them.
+// PlantedFaults lists all planted faults. `make planted` builds them and runs their tests.
 var PlantedFaults = []PlantedFault{
-	{"fence", "no fence on restart", "internal/fleet/node", "./internal/bench", "^TestStartedCutOff$", "mixed:"},
-	{"force", "in force before all closed", "internal/fleet/node", "./internal/bench", "^TestBriefSchedules$", "mixed:"},
-	{"down", "purge confirmed without those down", "internal/fleet/node", "./internal/bench", "^TestBriefSchedules$", "confirmed_wrongly:"},
-	{"write", "lease not looked at before writing", "internal/eventloop", "./internal/eventloop", "^TestServingStateIsAskedRightBeforeAWrite$", `: "free by 7 free too", [`},
-	{"draw", "drawn answer kept over a purge", "internal/resultcache", "./internal/resultcache", "^TestInvalidationDuringFlight$", "an answer from before the invalidation is served after it"},
-	{"copy", "a copy past the boundary", "internal/scheduler", "./internal/scheduler", "^TestConfinedQueryStaysInAllowedLocations$", "and it may be at ["},
-	{"follow", "followed binding not recorded first", "internal/controller", "./internal/controller", "^TestLoadIsSentOnceItsBindingIsLogged$", "sent before the record has it"},
-	{"relay", "a relay that answers a renewal by itself", "internal/fleet/node", "./internal/bench", "^TestBriefSchedulesWithRelays$", "mixed:"},
-	{"mac", "MAC not checked", "internal/fleet/transport", "./internal/fleet/transport", "^(TestUnauthenticatedRequestIsRejected|TestMACIsBoundToPurposeAndBody)$", "a wrong MAC was accepted"},
+	{"fence", "restarted controller serves without a lease",
+		"internal/fleet/node", "./internal/bench",
+		"^TestStartedCutOff$", "mixed:"},
+	{"force", "in force before all controllers are fenced",
+		"internal/fleet/node", "./internal/bench",
+		"^TestBriefSchedules$", "mixed:"},
+	{"down", "purge complete without controllers that are down",
+		"internal/fleet/node", "./internal/bench",
+		"^TestBriefSchedules$", "confirmed_wrongly:"},
+	{"write", "lease not checked before a write",
+		"internal/eventloop", "./internal/eventloop",
+		"^TestServingStateIsAskedRightBeforeAWrite$", `: "free by 7 free too", [`},
+	{"draw", "fetched answer cached over a purge",
+		"internal/resultcache", "./internal/resultcache",
+		"^TestInvalidationDuringFlight$", "an answer from before the invalidation is served after it"},
+	{"copy", "retry outside the allowed locations",
+		"internal/scheduler", "./internal/scheduler",
+		"^TestConfinedQueryStaysInAllowedLocations$", "and it may be at ["},
+	{"follow", "load sent before its binding is logged",
+		"internal/controller", "./internal/controller",
+		"^TestLoadIsSentOnceItsBindingIsLogged$", "sent before the record has it"},
+	{"relay", "relay grants a lease itself",
+		"internal/fleet/node", "./internal/bench",
+		"^TestBriefSchedulesWithRelays$", "mixed:"},
+	{"mac", "MAC not checked",
+		"internal/fleet/transport", "./internal/fleet/transport",
+		"^(TestUnauthenticatedRequestIsRejected|TestMACIsBoundToPurposeAndBody)$", "a wrong MAC was accepted"},
 }
 
-// baselineName is the name of the build of its tests without a fault.
-func (x PlantedFault) baselineName() string { return "sound_" + path.Base(x.TestPackage) }
+// baselineName returns the name of the build of the tests without a fault.
+func (fault PlantedFault) baselineName() string { return "sound_" + path.Base(fault.TestPackage) }
 
-// runTests plays a plant's tests as a build of that name has them.
-func (x PlantedFault) runTests(ctx context.Context, dir, build string) (string, error) {
+// runTests runs the fault's tests in a build and returns their output.
+func (fault PlantedFault) runTests(ctx context.Context, dir, build string) (string, error) {
 	file, err := filepath.Abs(filepath.Join(dir, build+".test"))
 	if err != nil {
 		return "", err
 	}
-	cmd := exec.CommandContext(ctx, file, "-test.run", x.TestPattern, "-test.timeout", "60s", "-test.v")
-	cmd.Dir = dir
-	out, err := cmd.CombinedOutput()
+	command := exec.CommandContext(ctx, file, "-test.run", fault.TestPattern, "-test.timeout", "60s", "-test.v")
+	command.Dir = dir
+	out, err := command.CombinedOutput()
 	return string(out), err
 }
 
-// checkBaseline plays them as built without it.
-func (x PlantedFault) checkBaseline(ctx context.Context, dir string) error {
-	out, err := x.runTests(ctx, dir, x.baselineName())
+// checkBaseline returns an error unless the tests pass in the build without the fault.
+func (fault PlantedFault) checkBaseline(ctx context.Context, dir string) error {
+	out, err := fault.runTests(ctx, dir, fault.baselineName())
 	if err != nil || !strings.Contains(out, "--- PASS") {
-		return fmt.Errorf("its tests fail without it, or none was run: %v: %.300s", err, out)
+		return fmt.Errorf("the tests fail without the fault, or none was run: %v: %.300s", err, out)
 	}
 	return nil
 }
 
-// detect plays them as built with it, and gives the line that names the fault.
-func (x PlantedFault) detect(ctx context.Context, dir string) (named string, err error) {
-	out, err := x.runTests(ctx, dir, x.Name)
-	var ended *exec.ExitError
-	if !errors.As(err, &ended) {
-		return "", fmt.Errorf("its tests pass, or can't be run: %v: %.300s", err, out)
+// detect runs the tests in the build with the fault, and returns the line of their output that has
+// ExpectedOutput. It returns an error if the tests do not fail in this way.
+func (fault PlantedFault) detect(ctx context.Context, dir string) (line string, err error) {
+	out, err := fault.runTests(ctx, dir, fault.Name)
+	var exit *exec.ExitError
+	if !errors.As(err, &exit) {
+		return "", fmt.Errorf("the tests pass with the fault, or cannot be run: %v: %.300s", err, out)
 	}
-	i := strings.Index(out, x.ExpectedOutput)
+	i := strings.Index(out, fault.ExpectedOutput)
 	if i < 0 || !strings.Contains(out, "--- FAIL") {
-		return "", fmt.Errorf("it isn't named %q: %.300s", x.ExpectedOutput, out)
+		return "", fmt.Errorf("the test output has no failure with %q: %.300s", fault.ExpectedOutput, out)
 	}
-	from := strings.LastIndexByte(out[:i], '\n') + 1
-	named, _, _ = strings.Cut(out[from:], "\n")
-	return strings.TrimSpace(named), nil
+	lineStart := strings.LastIndexByte(out[:i], '\n') + 1
+	line, _, _ = strings.Cut(out[lineStart:], "\n")
+	return strings.TrimSpace(line), nil
 }
 
-// detectPlantedFaults plays all; the lines are a table of what was found.
-func detectPlantedFaults(ctx context.Context, dir string) (found, of int, lines []string) {
-	named, errs, took := make([]string, len(PlantedFaults)), make([]error, len(PlantedFaults)), make([]time.Duration, len(PlantedFaults))
+// detectPlantedFaults runs the tests of all planted faults in parallel. It returns how many of the faults
+// were detected, and a table with a line for each fault.
+func detectPlantedFaults(ctx context.Context, dir string) (found, total int, table []string) {
+	failures, errs, took := make([]string, len(PlantedFaults)), make([]error, len(PlantedFaults)),
+		make([]time.Duration, len(PlantedFaults))
 	var wg sync.WaitGroup
 	slots := make(chan struct{}, max(2, runtime.NumCPU()/2))
-	sound := map[string]func() error{} // some have their tests in common
-	in := func(do func()) {
+	baselines := map[string]func() error{} // by tests, which several faults may share
+	runInSlot := func(task func()) {
 		wg.Go(func() {
 			slots <- struct{}{}
 			defer func() { <-slots }()
-			do()
+			task()
 		})
 	}
-	for i, x := range PlantedFaults {
-		in(func() {
+	for i, fault := range PlantedFaults {
+		runInSlot(func() {
 			begin := time.Now()
-			named[i], errs[i] = x.detect(ctx, dir)
+			failures[i], errs[i] = fault.detect(ctx, dir)
 			took[i] = time.Since(begin)
 		})
-		if key := x.TestPackage + x.TestPattern; sound[key] == nil {
-			passes := sync.OnceValue(func() error { return x.checkBaseline(ctx, dir) })
-			sound[key] = passes
-			in(func() { passes() })
+		if tests := fault.TestPackage + fault.TestPattern; baselines[tests] == nil {
+			check := sync.OnceValue(func() error { return fault.checkBaseline(ctx, dir) })
+			baselines[tests] = check
+			runInSlot(func() { check() })
 		}
 	}
 	wg.Wait()
-	for i, x := range PlantedFaults {
-		errs[i] = errors.Join(errs[i], sound[x.TestPackage+x.TestPattern]())
+	for i, fault := range PlantedFaults {
+		errs[i] = errors.Join(errs[i], baselines[fault.TestPackage+fault.TestPattern]())
 	}
 	var text strings.Builder
-	t := tabwriter.NewWriter(&text, 0, 0, 2, ' ', 0)
-	for i, x := range PlantedFaults {
-		what := named[i]
+	writer := tabwriter.NewWriter(&text, 0, 0, 2, ' ', 0)
+	for i, fault := range PlantedFaults {
+		result := failures[i]
 		if errs[i] == nil {
 			found++
 		} else {
-			what = "NOT FOUND: " + strings.ReplaceAll(errs[i].Error(), "\n", " ")
+			result = "NOT FOUND: " + strings.ReplaceAll(errs[i].Error(), "\n", " ")
 		}
-		fmt.Fprintf(t, "%s\t%s\t%.1f s\t%.160s\n", x.Name, x.Description, took[i].Seconds(), what)
+		fmt.Fprintf(writer, "%s\t%s\t%.1f s\t%.160s\n",
+			fault.Name, fault.Description, took[i].Seconds(), result)
 	}
-	t.Flush()
+	writer.Flush()
 	return found, len(PlantedFaults), strings.Split(strings.TrimRight(text.String(), "\n"), "\n")
 }
 
-// DetectPlantedFaults plays all that BuildPlanted has put into dir, and tells what was found; an error
-// if one was not.
+// DetectPlantedFaults runs the tests that BuildPlantedFaults has built in dir, and writes a table of the
+// results to out. It returns an error if a fault was not detected.
 func DetectPlantedFaults(ctx context.Context, out io.Writer, dir string) error {
-	found, of, lines := detectPlantedFaults(ctx, dir)
-	fmt.Fprintf(out, "%s\nfound %d of %d\n", strings.Join(lines, "\n"), found, of)
-	if found < of {
-		return errors.New("a planted fault was not found")
+	found, total, table := detectPlantedFaults(ctx, dir)
+	fmt.Fprintf(out, "%s\nfound %d of %d\n", strings.Join(table, "\n"), found, total)
+	if found < total {
+		return errors.New("a planted fault was not detected")
 	}
 	return nil
 }
--- a/internal/bench/planted_build.go
+++ b/internal/bench/planted_build.go
@@ -15,18 +15,20 @@
 // maxConcurrentBuilds bounds how many test programs are built at the same time.
 const maxConcurrentBuilds = 4
 
-// overlay is what the go command reads for -overlay: files that stand for others in a build.
+// overlay is the file that the go command reads for -overlay.
 type overlay struct {
-	Replace map[string]string `json:"Replace"` // by the path of what is replaced, both absolute
+	// Replace maps the path of an original file to that of its replacement; both are absolute.
+	Replace map[string]string `json:"Replace"`
 }
 
-// BuildPlantedFaults builds, into dir, the tests of each planted fault with it, as NAME.test, and
-// once for each package without any. root is the root of the tree.
+// BuildPlantedFaults builds the tests of each planted fault in dir as NAME.test, and the tests of each test
+// package once without a fault. root is the root of the repository.
 func BuildPlantedFaults(ctx context.Context, root, dir string) error {
 	return buildPlantedFaults(ctx, root, dir, PlantedFaults)
 }
 
-func buildPlantedFaults(ctx context.Context, root, dir string, plants []PlantedFault) error {
+// buildPlantedFaults is BuildPlantedFaults for some of the faults.
+func buildPlantedFaults(ctx context.Context, root, dir string, faults []PlantedFault) error {
 	dir, err := filepath.Abs(dir)
 	if err != nil {
 		return err
@@ -37,71 +39,71 @@
 	group, ctx := errgroup.WithContext(ctx)
 	group.SetLimit(maxConcurrentBuilds)
 	isBuilt := map[string]bool{}
-	for _, plant := range plants {
-		group.Go(func() error { return plant.build(ctx, root, dir) })
-		if sound := plant.baselineName(); !isBuilt[sound] {
-			isBuilt[sound] = true
-			group.Go(func() error { return buildTests(ctx, root, dir, sound, plant.TestPackage) })
+	for _, fault := range faults {
+		group.Go(func() error { return fault.build(ctx, root, dir) })
+		if baseline := fault.baselineName(); !isBuilt[baseline] {
+			isBuilt[baseline] = true
+			group.Go(func() error { return buildTests(ctx, root, dir, baseline, fault.TestPackage) })
 		}
 	}
 	return group.Wait()
 }
 
-// build builds its tests with the fault.
-func (x PlantedFault) build(ctx context.Context, root, dir string) error {
-	replaced, err := x.newOverlay(root, dir)
+// build builds the tests with the fault.
+func (fault PlantedFault) build(ctx context.Context, root, dir string) error {
+	replacements, err := fault.newOverlay(root, dir)
 	if err != nil {
 		return err
 	}
-	text, err := json.Marshal(replaced)
+	content, err := json.Marshal(replacements)
 	if err != nil {
 		return err
 	}
-	file := filepath.Join(dir, x.Name+".json")
-	if err := os.WriteFile(file, text, 0o666); err != nil {
+	file := filepath.Join(dir, fault.Name+".json")
+	if err := os.WriteFile(file, content, 0o666); err != nil {
 		return err
 	}
-	return buildTests(ctx, root, dir, x.Name, x.TestPackage, "-overlay", file)
+	return buildTests(ctx, root, dir, fault.Name, fault.TestPackage, "-overlay", file)
 }
 
-// newOverlay tells which files stand for which of the tree; those that are made for it are
-// written into dir.
-func (x PlantedFault) newOverlay(root, dir string) (*overlay, error) {
+// newOverlay returns the overlay of a build with the fault. It generates files in dir for those of the
+// fault's files that have only some lines.
+func (fault PlantedFault) newOverlay(root, dir string) (*overlay, error) {
 	root, err := filepath.Abs(root)
 	if err != nil {
 		return nil, err
 	}
-	files, err := x.files(root)
+	files, err := fault.files(root)
 	if err != nil {
 		return nil, err
 	}
-	replaced := &overlay{Replace: map[string]string{}}
+	replacements := &overlay{Replace: map[string]string{}}
 	for _, file := range files {
-		production := x.productionPath(root, file)
+		original := fault.originalPath(root, file)
 		if strings.HasSuffix(file, replacementSuffix) {
-			if file, err = replaceLines(production, file, filepath.Join(dir, x.Name+generatedSuffix)); err != nil {
+			if file, err = replaceLines(original, file, filepath.Join(dir, fault.Name+generatedSuffix)); err != nil {
 				return nil, err
 			}
 		}
-		replaced.Replace[production] = file
+		replacements.Replace[original] = file
 	}
-	return replaced, nil
+	return replacements, nil
 }
 
-// A replacement is a file of lines, a line of replacementMark, and the lines that stand for
-// them in a build with the fault.
+// A replacement file has the lines to replace, the separator, and the lines that replace them in a build with
+// the fault.
 const (
 	replacementSuffix    = ".go.replace"
 	replacementSeparator = "\n----\n"
-	// generatedSuffix ends the files that are made: with .go they would be a package of the tree
-	// for who builds into a directory of it.
+	// generatedSuffix is the suffix of generated files. With the suffix .go, a build directory inside the
+	// repository would be a package.
 	generatedSuffix = ".overlay"
 )
 
-// replaceLines writes a production file with a replacement's lines in it, and gives the
-// path. The lines that are replaced must stand there exactly once.
-func replaceLines(production, replacement, to string) (string, error) {
-	good, err := os.ReadFile(production)
+// replaceLines writes a copy of the original file with the lines of a replacement file, and returns the
+// copy's path. The lines to replace must occur exactly once in the original file.
+func replaceLines(original, replacement, to string) (string, error) {
+	content, err := os.ReadFile(original)
 	if err != nil {
 		return "", err
 	}
@@ -109,31 +111,32 @@
 	if err != nil {
 		return "", err
 	}
-	was, is, both := strings.Cut(string(text), replacementSeparator)
-	if n := strings.Count(string(good), was+"\n"); !both || n != 1 {
-		return "", fmt.Errorf("the lines that %s replaces stand %d times in %s, and must stand there once", replacement, n, production)
+	before, after, hasSeparator := strings.Cut(string(text), replacementSeparator)
+	if n := strings.Count(string(content), before+"\n"); !hasSeparator || n != 1 {
+		return "", fmt.Errorf("the lines that %s replaces occur %d times in %s instead of once",
+			replacement, n, original)
 	}
-	return to, os.WriteFile(to, []byte(strings.Replace(string(good), was+"\n", is, 1)), 0o666)
+	return to, os.WriteFile(to, []byte(strings.Replace(string(content), before+"\n", after, 1)), 0o666)
 }
 
-// files are the paths of its files below root, in order: at least one.
-func (x PlantedFault) files(root string) ([]string, error) {
-	files, err := filepath.Glob(filepath.Join(root, x.Dir, "testdata", "planted", x.Name, "*.go*"))
+// files returns the paths of the fault's files below root, in order. It is an error if there are none.
+func (fault PlantedFault) files(root string) ([]string, error) {
+	files, err := filepath.Glob(filepath.Join(root, fault.Dir, "testdata", "planted", fault.Name, "*.go*"))
 	if err == nil && len(files) == 0 {
-		err = fmt.Errorf("the planted fault %s has no file in %s", x.Name, x.Dir)
+		err = fmt.Errorf("the planted fault %s has no files in %s", fault.Name, fault.Dir)
 	}
 	return files, err
 }
 
-// productionPath is the path of the production file that one of its files is a copy of.
-func (x PlantedFault) productionPath(root, file string) string {
-	return filepath.Join(root, x.Dir, strings.TrimSuffix(filepath.Base(file), ".replace"))
+// originalPath returns the path of the production file that one of the fault's files replaces.
+func (fault PlantedFault) originalPath(root, file string) string {
+	return filepath.Join(root, fault.Dir, strings.TrimSuffix(filepath.Base(file), ".replace"))
 }
 
-// buildTests builds a package's tests as NAME.test in dir.
-func buildTests(ctx context.Context, root, dir, name, tests string, flags ...string) error {
+// buildTests builds the tests of a package as NAME.test in dir.
+func buildTests(ctx context.Context, root, dir, name, testPackage string, flags ...string) error {
 	args := append([]string{"test", "-c", "-o", filepath.Join(dir, name+".test")}, flags...)
-	build := exec.CommandContext(ctx, "go", append(args, tests)...)
+	build := exec.CommandContext(ctx, "go", append(args, testPackage)...)
 	build.Dir = root
 	if out, err := build.CombinedOutput(); err != nil {
 		return fmt.Errorf("building %s: %w: %s", name, err, out)
--- a/internal/bench/planted_test.go
+++ b/internal/bench/planted_test.go
@@ -14,25 +14,26 @@
 )
 
 const (
-	repository         = "../.."
-	maxProductionLines = 40 // of a file that a fault replaces
-	maxChangedLines    = 6  // removed by the fault, and as many added
+	repository       = "../.."
+	maxOriginalLines = 40 // in a production file that a fault replaces as a whole
+	maxChangedLines  = 6  // most lines that a fault removes, and most lines that it adds
 )
 
-// Every fault that the tree has is in the table and has its files, and no other; and
-// nothing of them is in what a build has without an overlay.
-func TestEveryPlantIsInTheTable(t *testing.T) {
-	ofTree := map[string]bool{}
+// TestPlantedFaultsMatchFiles checks that PlantedFaults has exactly the faults with files in the
+// repository, and that a build without an overlay has no fault.
+func TestPlantedFaultsMatchFiles(t *testing.T) {
+	faultsWithFiles := map[string]bool{}
 	plantedTag := regexp.MustCompile(`(?m)^//go:build .*planted`)
-	err := filepath.WalkDir(repository, func(name string, e fs.DirEntry, err error) error {
-		if err != nil || e.IsDir() {
+	err := filepath.WalkDir(repository, func(name string, entry fs.DirEntry, err error) error {
+		if err != nil || entry.IsDir() {
 			return err
 		}
-		if dir, file, is := strings.Cut(filepath.ToSlash(name), "/testdata/planted/"); is {
+		if dir, file, isPlanted := strings.Cut(filepath.ToSlash(name), "/testdata/planted/"); isPlanted {
 			fault, _, _ := strings.Cut(file, "/")
-			ofTree[strings.TrimPrefix(dir, repository+"/")+" "+fault] = true
-			if strings.Count(file, "/") != 1 || !strings.HasSuffix(file, ".go") && !strings.HasSuffix(file, replacementSuffix) {
-				t.Errorf("%s is no Go file of one fault's directory", name)
+			faultsWithFiles[strings.TrimPrefix(dir, repository+"/")+" "+fault] = true
+			if strings.Count(file, "/") != 1 ||
+				!strings.HasSuffix(file, ".go") && !strings.HasSuffix(file, replacementSuffix) {
+				t.Errorf("%s is not a .go or .go.replace file in the directory of a fault", name)
 			}
 			return nil
 		}
@@ -41,99 +42,101 @@
 		}
 		text, err := os.ReadFile(name)
 		if plantedTag.Match(text) {
-			t.Errorf("%s has a fault by a build tag", name)
+			t.Errorf("%s has a fault behind a build tag", name)
 		}
 		return err
 	})
 	if err != nil {
 		t.Fatal(err)
 	}
-	var tree, table []string
-	for fault := range ofTree {
-		tree = append(tree, fault)
+	var withFiles, listed []string
+	for fault := range faultsWithFiles {
+		withFiles = append(withFiles, fault)
 	}
-	for _, x := range PlantedFaults {
-		table = append(table, x.Dir+" "+x.Name)
+	for _, fault := range PlantedFaults {
+		listed = append(listed, fault.Dir+" "+fault.Name)
 	}
-	slices.Sort(table)
-	slices.Sort(tree)
-	if !slices.Equal(tree, table) || len(table) < 8 {
-		t.Errorf("in the tree: %v, in the table: %v", tree, table)
+	slices.Sort(listed)
+	slices.Sort(withFiles)
+	if !slices.Equal(withFiles, listed) || len(listed) < 8 {
+		t.Errorf("faults with files: %v, faults in PlantedFaults: %v", withFiles, listed)
 	}
 }
 
-// What a fault replaces is small, and but for a few lines it is the same: a change of the
-// one that leaves out the other is told here.
-func TestPlantsFollowWhatTheyReplace(t *testing.T) {
-	for _, x := range PlantedFaults {
-		files, err := x.files(repository)
+// TestPlantedFilesDifferInFewLines checks that a fault's file has all but a few lines in common with the
+// original file. It fails if the original file was changed without the fault's file.
+func TestPlantedFilesDifferInFewLines(t *testing.T) {
+	for _, fault := range PlantedFaults {
+		files, err := fault.files(repository)
 		if err != nil {
 			t.Error(err)
 		}
 		for _, file := range files {
-			production, atMost := x.productionPath(repository, file), maxProductionLines
-			if strings.HasSuffix(file, replacementSuffix) { // which follows the file by itself, however long that is
-				if file, err = replaceLines(production, file, filepath.Join(t.TempDir(), "planted.go")); err != nil {
+			original, maxLines := fault.originalPath(repository, file), maxOriginalLines
+			if strings.HasSuffix(file, replacementSuffix) { // generated from the original file of any length
+				if file, err = replaceLines(original, file,
+					filepath.Join(t.TempDir(), "planted.go")); err != nil {
 					t.Error(err)
 					continue
 				}
-				atMost = math.MaxInt
+				maxLines = math.MaxInt
 			}
-			if err := checkPlantedFile(file, production, atMost); err != nil {
-				t.Errorf("%s: %v", x.Name, err)
+			if err := checkPlantedFile(file, original, maxLines); err != nil {
+				t.Errorf("%s: %v", fault.Name, err)
 			}
 		}
 	}
 }
 
-// checkPlantedFile compares a planted file with the one that it replaces.
-func checkPlantedFile(planted, production string, atMost int) error {
-	faulty, err := os.ReadFile(planted)
+// checkPlantedFile compares a fault's file with the original file that it replaces.
+func checkPlantedFile(planted, original string, maxLines int) error {
+	plantedText, err := os.ReadFile(planted)
 	if err != nil {
 		return err
 	}
-	good, err := os.ReadFile(production)
+	originalText, err := os.ReadFile(original)
 	if err != nil {
 		return err
 	}
-	was, is := strings.Split(string(good), "\n"), strings.Split(string(faulty), "\n")
-	if len(was) > atMost {
-		return fmt.Errorf("%s has %d lines: move what the fault breaks into a small file", production, len(was))
+	before, after := strings.Split(string(originalText), "\n"), strings.Split(string(plantedText), "\n")
+	if len(before) > maxLines {
+		return fmt.Errorf("%s has %d lines: move the code with the fault to a small file",
+			original, len(before))
 	}
-	removed, added := changedLines(was, is)
+	removed, added := changedLines(before, after)
 	switch {
 	case removed+added == 0:
 		return fmt.Errorf("%s has no fault", planted)
 	case removed > maxChangedLines || added > maxChangedLines:
-		return fmt.Errorf("%s removes %[3]d lines of %[2]s and adds %[4]d: it doesn't follow a change there", planted, production, removed, added)
-	case !strings.Contains(string(faulty), "planted fault: "):
-		return fmt.Errorf("%s doesn't say what its fault is", planted)
+		return fmt.Errorf("%s removes %[3]d lines of %[2]s and adds %[4]d: it lacks a change of the original",
+			planted, original, removed, added)
+	case !strings.Contains(string(plantedText), "planted fault: "):
+		return fmt.Errorf("%s has no comment \"planted fault: \" that describes the fault", planted)
 	}
 	return nil
 }
 
-// changedLines counts the lines of each that are not in the longest sequence of lines that
-// both have in common.
-func changedLines(was, is []string) (removed, added int) {
-	common := make([][]int, len(was)+1) // length of that sequence, of was[i:] and is[j:]
+// changedLines counts the lines on each side that are not in the longest common subsequence of lines.
+func changedLines(before, after []string) (removed, added int) {
+	common := make([][]int, len(before)+1) // length of the subsequence of before[i:] and after[j:]
 	for i := range common {
-		common[i] = make([]int, len(is)+1)
+		common[i] = make([]int, len(after)+1)
 	}
-	for i := len(was) - 1; i >= 0; i-- {
-		for j := len(is) - 1; j >= 0; j-- {
-			if was[i] == is[j] {
+	for i := len(before) - 1; i >= 0; i-- {
+		for j := len(after) - 1; j >= 0; j-- {
+			if before[i] == after[j] {
 				common[i][j] = common[i+1][j+1] + 1
 			} else {
 				common[i][j] = max(common[i+1][j], common[i][j+1])
 			}
 		}
 	}
-	return len(was) - common[0][0], len(is) - common[0][0]
+	return len(before) - common[0][0], len(after) - common[0][0]
 }
 
 func TestChangedLines(t *testing.T) {
-	for _, c := range []struct {
-		was, is        string
+	for _, test := range []struct {
+		before, after  string
 		removed, added int
 	}{
 		{"a b c", "a b c", 0, 0},
@@ -144,54 +147,57 @@
 		{"a a", "a a a", 0, 1},
 		{"", "a b", 0, 2},
 	} {
-		removed, added := changedLines(strings.Fields(c.was), strings.Fields(c.is))
-		if removed != c.removed || added != c.added {
-			t.Errorf("%q, %q: %d removed and %d added, want %d and %d", c.was, c.is, removed, added, c.removed, c.added)
+		removed, added := changedLines(strings.Fields(test.before), strings.Fields(test.after))
+		if removed != test.removed || added != test.added {
+			t.Errorf("%q, %q: %d removed and %d added, want %d and %d",
+				test.before, test.after, removed, added, test.removed, test.added)
 		}
 	}
 }
 
-// Those that are quickly built and played.
-func TestPlantedAreFound(t *testing.T) {
+// TestPlantedFaultsAreDetected builds and runs the tests of the faults for which both are quick. It
+// guards against a fault that no test detects, and against a fault that is reported in a build without
+// it.
+func TestPlantedFaultsAreDetected(t *testing.T) {
 	dir := t.TempDir()
-	for _, x := range PlantedFaults {
-		if x.Name != "draw" && x.Name != "mac" {
+	for _, fault := range PlantedFaults {
+		if fault.Name != "draw" && fault.Name != "mac" {
 			continue
 		}
-		if err := buildPlantedFaults(t.Context(), repository, dir, []PlantedFault{x}); err != nil {
+		if err := buildPlantedFaults(t.Context(), repository, dir, []PlantedFault{fault}); err != nil {
 			t.Fatal(err)
 		}
-		named, err := x.detect(t.Context(), dir)
-		if err := errors.Join(err, x.checkBaseline(t.Context(), dir)); err != nil {
-			t.Errorf("%s: %v", x.Name, err)
+		failure, err := fault.detect(t.Context(), dir)
+		if err := errors.Join(err, fault.checkBaseline(t.Context(), dir)); err != nil {
+			t.Errorf("%s: %v", fault.Name, err)
 		}
-		t.Log(x.Name, named)
-		x.Name = x.baselineName() // which has no fault, and must not count as found
-		if _, err := x.detect(t.Context(), dir); err == nil {
-			t.Errorf("%s is found where it isn't", x.TestPackage)
+		t.Log(fault.Name, failure)
+		fault.Name = fault.baselineName() // a build without the fault
+		if _, err := fault.detect(t.Context(), dir); err == nil {
+			t.Errorf("a fault is detected in the build of %s without a fault", fault.TestPackage)
 		}
 	}
 }
 
-// A replacement whose lines have gone from the production file, or stand there twice, is
-// told and not passed over.
-func TestAReplacementThatDoesntFit(t *testing.T) {
+// TestReplacedLinesMustOccurOnce checks that replaceLines fails if the original file has the lines to replace
+// twice or not at all.
+func TestReplacedLinesMustOccurOnce(t *testing.T) {
 	dir := t.TempDir()
-	production, replacement := filepath.Join(dir, "a.go"), filepath.Join(dir, "a.go.replace")
+	original, replacement := filepath.Join(dir, "a.go"), filepath.Join(dir, "a.go.replace")
 	for text, fits := range map[string]bool{"one\ntwo\n": true, "one\n": false, "two\ntwo\n": false} {
-		if err := os.WriteFile(production, []byte(text), 0o600); err != nil {
+		if err := os.WriteFile(original, []byte(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
 		if err := os.WriteFile(replacement, []byte("two"+replacementSeparator+"three\n"), 0o600); err != nil {
 			t.Fatal(err)
 		}
-		made, err := replaceLines(production, replacement, filepath.Join(dir, "made.go"))
+		generated, err := replaceLines(original, replacement, filepath.Join(dir, "made.go"))
 		if (err == nil) != fits {
 			t.Errorf("%q: %v", text, err)
 		}
 		if fits {
-			if got, err := os.ReadFile(made); err != nil || string(got) != "one\nthree\n" {
-				t.Errorf("%q is made of it, %v", got, err)
+			if got, err := os.ReadFile(generated); err != nil || string(got) != "one\nthree\n" {
+				t.Errorf("the generated file has %q, error %v", got, err)
 			}
 		}
 	}
--- a/internal/bench/together.go
+++ b/internal/bench/together.go
@@ -244,10 +244,10 @@
 // placementYAML returns the policy that binds the team mark to a marker site. In an emergency, the team linz
 // may also run at the site west.
 func placementYAML(marker int) string {
-	return fmt.Sprintf(`placement:
-  - {name: linz-east, team: linz, engines: [east], controllers: [east, west], emergency: {sites: [west], after: 1s}}
-  - {name: marks, team: mark, engines: [m%d], controllers: [east, west]}
-`, marker)
+	return fmt.Sprintf("placement:\n"+
+		"  - {name: linz-east, team: linz, engines: [east], controllers: [east, west], "+
+		"emergency: {sites: [west], after: 1s}}\n"+
+		"  - {name: marks, team: mark, engines: [m%d], controllers: [east, west]}\n", marker)
 }
 
 // close kills the processes, waits for the clients and removes the fleet's files.
--- a/internal/bench/together_processes.go
+++ b/internal/bench/together_processes.go
@@ -51,8 +51,8 @@
   fields: {team: team}
   trusted: [127.0.0.0/8]
   default: others
-  teams: [{name: linz, weight: 2}, {name: steyr, weight: 1}, {name: mark, weight: 1}, {name: others, weight: 1}]
-`)
+  teams: [{name: linz, weight: 2}, {name: steyr, weight: 1}, ` +
+		"{name: mark, weight: 1}, {name: others, weight: 1}]\n")
 	fmt.Fprintf(&b, "spool: {field: pages, directory: %q, memory_mb: 8, disk_mb: 512, "+
 		"team_share: 1, team_results: 10000}\n", ff.path(p.name+"-spool"))
 	fmt.Fprintf(&b, "fleet:\n  name: together\n  listen: %s\n  address: %s\n  control: %s\n"+
