--- a/internal/bench/many.go
+++ b/internal/bench/many.go
@@ -69,13 +69,13 @@
 }
 
 // prepare writes the setup files of n controllers without starting the controllers.
-func (m IdleFleet) prepare(ctx context.Context, feedAddress string, n int) (*processFleet, error) {
+func (config IdleFleet) prepare(ctx context.Context, feedAddress string, n int) (*processFleet, error) {
 	files, err := newFleetFiles("railrelay-many")
 	if err != nil {
 		return nil, err
 	}
 	// The buffer holds more lines than the controllers log about a change.
-	f := &processFleet{IdleFleet: m, fleetFiles: files, ctx: ctx, logged: make(chan appliedVersion, 64*n)}
+	f := &processFleet{IdleFleet: config, fleetFiles: files, ctx: ctx, logged: make(chan appliedVersion, 64*n)}
 	// Each controller has its own loopback address with fixed ports. A free port of 127.0.0.1 could be taken
 	// by an outgoing connection before the controller listens on it.
 	address := func(i, port int) string {
@@ -87,13 +87,13 @@
 	}
 	for i := range n {
 		name := fmt.Sprint("c", i)
-		p := &controllerProcess{name: name, program: m.Program, setupFile: f.path(name + ".yaml"),
+		p := &controllerProcess{name: name, program: config.Program, setupFile: f.path(name + ".yaml"),
 			directory:      f.path(name),
 			operatorClient: operatorClient{address(i, 7601), files.keys}, onApplied: f.recordApplied}
 		setup := controllerSetup{Name: name, ClientAddress: address(i, 7602), FeedAddress: feedAddress,
 			Controllers: n, Zones: []string{"here"}, Zone: "here", MemoryMB: 64,
 			Sockets: 256, FleetName: "many", PeerListenAddress: address(i, 7600), ControlAddress: p.address,
-			Directory: p.directory, KeyFile: files.keyFile, Lease: m.Lease, Voters: voters}
+			Directory: p.directory, KeyFile: files.keyFile, Lease: config.Lease, Voters: voters}
 		if err := os.WriteFile(p.setupFile, []byte(setup.yaml()), 0o600); err != nil {
 			f.close()
 			return nil, err
@@ -155,7 +155,7 @@
 
 // Measure starts the fleet, measures the idle controllers and a number of policy changes, and measures the
 // start of a controller with a long record.
-func (m IdleFleet) Measure(ctx context.Context) (cost IdleFleetCost, err error) {
+func (config IdleFleet) Measure(ctx context.Context) (cost IdleFleetCost, err error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	feedAddress, closeEngine, err := listenIdleEngine(ctx)
@@ -163,15 +163,16 @@
 		return cost, err
 	}
 	defer closeEngine()
-	if err := m.measureRunningFleet(ctx, feedAddress, &cost); err != nil {
+	if err := config.measureRunningFleet(ctx, feedAddress, &cost); err != nil {
 		return cost, err
 	}
-	return cost, m.measureLongRecordStart(ctx, feedAddress, &cost)
+	return cost, config.measureLongRecordStart(ctx, feedAddress, &cost)
 }
 
 // measureRunningFleet measures the start of the fleet, the idle controllers and the policy changes.
-func (m IdleFleet) measureRunningFleet(ctx context.Context, feedAddress string, cost *IdleFleetCost) error {
-	f, err := m.prepare(ctx, feedAddress, m.Controllers)
+func (config IdleFleet) measureRunningFleet(ctx context.Context, feedAddress string,
+	cost *IdleFleetCost) error {
+	f, err := config.prepare(ctx, feedAddress, config.Controllers)
 	if err != nil {
 		return err
 	}
@@ -181,11 +182,11 @@
 		return err
 	}
 	cost.TimeToServe = time.Since(begin)
-	time.Sleep(2 * m.Lease) // so that the traffic of joining has ended
+	time.Sleep(2 * config.Lease) // so that the traffic of joining has ended
 	if err := f.measureIdle(cost); err != nil {
 		return err
 	}
-	for i := range m.Changes {
+	for i := range config.Changes {
 		if err := f.measureChange(i, cost); err != nil {
 			return err
 		}
@@ -292,9 +293,9 @@
 
 // startFromRecord starts a fleet of one voter from a record and returns how long the voter took to serve.
 // As the only voter it elects itself; with other voters it would wait for their votes.
-func (m IdleFleet) startFromRecord(ctx context.Context, feedAddress string,
+func (config IdleFleet) startFromRecord(ctx context.Context, feedAddress string,
 	record consensus.PersistentState) (f *processFleet, took time.Duration, err error) {
-	f, err = m.prepare(ctx, feedAddress, 1)
+	f, err = config.prepare(ctx, feedAddress, 1)
 	if err != nil {
 		return nil, 0, err
 	}
@@ -318,36 +319,36 @@
 
 // measureLongRecordStart measures the start of a voter whose record has RecordEntries entries, all but
 // the last 2,000 in a snapshot.
-func (m IdleFleet) measureLongRecordStart(ctx context.Context, feedAddress string,
+func (config IdleFleet) measureLongRecordStart(ctx context.Context, feedAddress string,
 	cost *IdleFleetCost) error {
-	record, err := buildLongRecord(soleVoter, m.RecordEntries)
+	record, err := buildLongRecord(soleVoter, config.RecordEntries)
 	if err != nil {
 		return err
 	}
 	cost.SnapshotBytes = len(record.Snapshot.Data)
-	f, took, err := m.startFromRecord(ctx, feedAddress, record)
+	f, took, err := config.startFromRecord(ctx, feedAddress, record)
 	if err != nil {
 		return err
 	}
 	defer f.close()
 	cost.LongRecordStart = took
-	if status := f.controllers[0].status(ctx); status.Index < uint64(m.RecordEntries) ||
-		status.Version < uint64(m.RecordEntries/entriesPerChange) {
+	if status := f.controllers[0].status(ctx); status.Index < uint64(config.RecordEntries) ||
+		status.Version < uint64(config.RecordEntries/entriesPerChange) {
 		return fmt.Errorf("the voter serves with version %d at entry %d of %d",
-			status.Version, status.Index, m.RecordEntries)
+			status.Version, status.Index, config.RecordEntries)
 	}
 	return nil
 }
 
 // Print writes the cost as lines of text.
-func (m IdleFleet) Print(out io.Writer, cost IdleFleetCost) {
+func (config IdleFleet) Print(out io.Writer, cost IdleFleetCost) {
 	summary := func(sorted []time.Duration) (median, most float64) {
 		return toMilliseconds(sorted[len(sorted)/2]), toMilliseconds(sorted[len(sorted)-1])
 	}
 	spread, mostSpread := summary(cost.InForceSpread)
 	latency, mostLatency := summary(cost.ChangeLatency)
 	fmt.Fprintf(out, "%d processes, %d vote, lease %v: all serve %.1f s after the first was started\n",
-		m.Controllers, idleFleetVoters, m.Lease, cost.TimeToServe.Seconds())
+		config.Controllers, idleFleetVoters, config.Lease, cost.TimeToServe.Seconds())
 	fmt.Fprintf(out, "idle, per controller and second: %.0f bytes to peers, %.1f ms of CPU time; "+
 		"the leader: %.0f bytes, %.1f ms\n", cost.PeerBytesPerSecond, cost.CPUMillisPerSecond,
 		cost.LeaderPeerBytesPerSecond, cost.LeaderCPUMillisPerSecond)
@@ -356,5 +357,5 @@
 		"requested to in force on all %.0f ms (at most %.0f)\n",
 		len(cost.InForceSpread), spread, mostSpread, latency, mostLatency)
 	fmt.Fprintf(out, "start with a record of %d entries, all but 2000 in a snapshot of %d bytes: "+
-		"serves after %.2f s\n", m.RecordEntries, cost.SnapshotBytes, cost.LongRecordStart.Seconds())
+		"serves after %.2f s\n", config.RecordEntries, cost.SnapshotBytes, cost.LongRecordStart.Seconds())
 }
--- a/internal/bench/many_test.go
+++ b/internal/bench/many_test.go
@@ -8,9 +8,9 @@
 // TestIdleFleetMeasuresAllCosts measures few processes and a short record. `railrelay-bench many`
 // measures more processes and a longer record.
 func TestIdleFleetMeasuresAllCosts(t *testing.T) {
-	m := IdleFleet{Program: buildPrograms(t), Controllers: 5, Lease: time.Second, IdleTime: time.Second,
+	config := IdleFleet{Program: buildPrograms(t), Controllers: 5, Lease: time.Second, IdleTime: time.Second,
 		Changes: 2, RecordEntries: 10_000}
-	cost, err := m.Measure(t.Context())
+	cost, err := config.Measure(t.Context())
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/bench/storm.go
+++ b/internal/bench/storm.go
@@ -34,7 +34,7 @@
 // pastLease returns the duration of a fault in which every lease expires, even one that was just renewed.
 func pastLease(ff *faultFleet) time.Duration { return ff.Lease*3/2 + 200*time.Millisecond }
 
-// shortFault returns the duration of a fault in which renewed leases do not expire.
+// shortFault returns a duration in which a lease of one second that was just renewed does not expire.
 func shortFault(*faultFleet) time.Duration { return 500 * time.Millisecond }
 
 // linkFaultRound returns a round with a fault on the links from one process to another, which pick returns.
@@ -371,7 +371,8 @@
 
 // measureWithoutFaults applies changes and purges without faults. It returns the medians of the hold of a
 // controller when it switches versions, of a round trip, of the sync of one page to disk and of a purge.
-func (ff *faultFleet) measureWithoutFaults(changes int) (hold, trip, sync, purge time.Duration, err error) {
+func (ff *faultFleet) measureWithoutFaults(changes int) (
+	hold, trip, diskSync, purge time.Duration, err error) {
 	var holds, trips, syncs, purges []time.Duration
 	if err := ff.waitFor(5*time.Second, "every controller has acted on a query", func() bool {
 		ff.mu.Lock()
@@ -442,16 +443,16 @@
 		wg.Wait()
 		return done, errors.Join(errs...)
 	}
-	var stages [2]*controllerTestbed
-	for inFleet := range stages {
-		s, err := newControllerTestbed(ctx, program, trial.Engines, trialEngineConfig(), trial.ControllerLog,
+	var testbeds [2]*controllerTestbed
+	for inFleet := range testbeds {
+		testbed, err := newControllerTestbed(ctx, program, trial.Engines, trialEngineConfig(), trial.ControllerLog,
 			func(int, *engine.Server) {})
 		if err != nil {
 			return 0, err
 		}
-		defer s.close()
-		stages[inFleet] = s
-		setup := trial.setupText(s.feedAddress, s.controllerAddress)
+		defer testbed.close()
+		testbeds[inFleet] = testbed
+		setup := trial.setupText(testbed.feedAddress, testbed.controllerAddress)
 		if inFleet == 1 {
 			peer, err := loopback.FreeAddress()
 			if err != nil {
@@ -461,21 +462,21 @@
 			if err != nil {
 				return 0, err
 			}
-			keys := filepath.Join(s.dir, "keys")
+			keys := filepath.Join(testbed.dir, "keys")
 			if err := os.WriteFile(keys, []byte(strings.Repeat("5e", 32)), 0o600); err != nil {
 				return 0, err
 			}
 			setup += fmt.Sprintf("fleet: {name: alone, listen: %q, control: %q, directory: %q, "+
 				"keys: %q, voters: [{name: try, address: %q}]}\n",
-				peer, control, filepath.Join(s.dir, "fleet"), keys, peer)
+				peer, control, filepath.Join(testbed.dir, "fleet"), keys, peer)
 		}
-		if err := s.startController(setup); err != nil {
+		if err := testbed.startController(setup); err != nil {
 			return 0, err
 		}
 	}
 	for i := range turns + 1 {
-		for inFleet, s := range stages {
-			done, err := run(ctx, s.controllerAddress)
+		for inFleet, testbed := range testbeds {
+			done, err := run(ctx, testbed.controllerAddress)
 			if err != nil {
 				return 0, err
 			}
