--- a/internal/bench/together_clients.go
+++ b/internal/bench/together_clients.go
@@ -36,7 +36,7 @@
 	version uint64
 }
 
-// versionObservation is a query that an engine received under a policy version.
+// versionObservation is the time at which an engine received a query under a policy version.
 type versionObservation struct {
 	at      time.Duration
 	version uint64
@@ -69,7 +69,7 @@
 	}
 }
 
-// readStoredResult reads the first page of a stored result and adds the answer to the history. If the read
+// readStoredResult reads the second page of a stored result and adds the answer to the history. If the read
 // fails, readStoredResult closes the connection and returns false.
 func (ff *faultFleet) readStoredResult(r *resultReader, result fleetStoredResult) bool {
 	requested := ff.elapsed()
@@ -83,7 +83,7 @@
 	defer ff.mu.Unlock()
 	if answer.Kind == client.Finished {
 		if !strings.Contains(string(answer.Rows), result.id) {
-			ff.queryHistory.AddFault(ff.elapsed(), "a page of query "+result.id+" has another query's rows")
+			ff.queryHistory.AddFault(ff.elapsed(), "a page of query "+result.id+" lacks the query's rows")
 		}
 		ff.fleetHistory.Served(ff.elapsed(), requested, ff.members[result.controller].name, result.id)
 	}
