--- a/internal/bench/scale.go
+++ b/internal/bench/scale.go
@@ -10,41 +10,41 @@
 	"time"
 )
 
-// Scale is a run of a fleet at a size that one machine couldn't hold as processes: some
-// controllers are real, in front of all engines, the others hollow (package hollow). It is
-// looked at while it rests, while the policy changes, and while it changes during faults.
+// Scale configures a run of a fleet that is too large to run as processes on one machine. Some
+// controllers are real processes that connect to all engines. The others are hollow (package hollow).
+// The run measures the fleet at rest, during policy changes, and during policy changes with faults.
 //
-// With Linked, what two processes say to each other passes proxies (package link) that
-// take the time of the zones and regions between them; what a hollow controller says or is
-// told waits that long in its own process. Connecting takes no time, nor do operators' asks
-// and what passes between controllers and engines. Bytes are those of connections between
-// peers, with HTTP's headers and without TCP's.
+// With LinkDelays, proxies (package faultproxy) between the real controllers add the latency between
+// their zones and regions. A hollow controller delays what it sends and receives in its own process.
+// Opening a connection takes no extra time, nor do operators' requests and the messages between
+// controllers and engines. Byte counts are those of the connections between peers, including HTTP
+// headers and excluding TCP headers.
 type Scale struct {
-	Program      string // railrelay-fleet must stand beside it
-	BenchProgram string // this program, which runs hollow controllers; "": as it was started
+	Program      string // the controller; railrelay-fleet must be in the same directory
+	BenchProgram string // the program that runs hollow controllers; "": the running executable
 	Controllers  int
-	Real         int // of them, voters among these
+	Real         int // real controllers, including the voters
 	Voters       int
-	Relays       int // real ones that gather the renewals of others; 0: all ask the leader
+	Relays       int // real controllers that relay the lease renewals of others; 0: all renew with the leader
 	Engines      int
 	Seed         uint64
 	Lease        time.Duration
-	Settle       time.Duration // waited after all serve, before anything is measured
-	Rest         time.Duration // looked at while nothing happens
-	Changes      int           // asked for at rest
-	LargeChanges int           // of these, with LargeBytes
+	Settle       time.Duration // time between the start of the fleet and the first measurement
+	Rest         time.Duration // duration of the measurement at rest
+	Changes      int           // policy changes at rest
+	LargeChanges int           // those of Changes whose policy has LargeBytes
 	PolicyBytes  int
 	LargeBytes   int
-	Faults       []string // names of scaleFaults, in this order
-	Compare      int      // controllers by which hollow ones are held against real ones; 0: they aren't
-	LinkDelays   bool     // links take the times of regions and zones
+	Faults       []string // keys of scaleFaults, in the order in which they are injected
+	Compare      int      // controllers in each fleet that compares hollow with real ones; 0: no comparison
+	LinkDelays   bool     // add the latencies between regions and zones
 	SetAside     bool     // voters have the role control, on machines set aside for it; relays always do
-	Detail       bool     // say more of each part
-	// Record is given the figures; may be nil.
+	Detail       bool     // has no effect
+	// Record receives the results. It may be nil.
 	Record func([]ScaleRow) error
 }
 
-// ScaleRow is one figure of a run: of a role, at a size.
+// ScaleRow is one result of a run, for one role at one fleet size.
 type ScaleRow struct {
 	Role  string
 	What  string
@@ -54,7 +54,6 @@
 	Unit  string
 }
 
-// Times that scale runs wait at the most.
 const (
 	scaleServeTimeout   = 90 * time.Second
 	scaleOutcomeTimeout = 60 * time.Second
@@ -62,7 +61,8 @@
 	scalePollInterval   = 50 * time.Millisecond
 )
 
-// Run plays it and prints what was seen; the last line begins with measured.
+// Run runs the fleet and prints the results. The last line begins with "measured ". The error says
+// which invariant was violated, if any was.
 func (s Scale) Run(ctx context.Context, out io.Writer) error {
 	if err := s.validate(); err != nil {
 		return err
@@ -71,7 +71,7 @@
 	if s.Compare > 0 {
 		ratio, err := s.compareHollowWithReal(ctx, out)
 		if err != nil {
-			return fmt.Errorf("hollow against real: %w", err)
+			return fmt.Errorf("compare hollow with real controllers: %w", err)
 		}
 		result.HollowRatio = ratio
 	}
@@ -87,25 +87,25 @@
 	return result.violationError()
 }
 
-// runPhases starts the fleet, goes through all phases and ends it.
+// runPhases starts the fleet, runs all phases and stops the fleet.
 func (s Scale) runPhases(ctx context.Context, out io.Writer, result *scaleResult) error {
-	began := time.Now()
+	startedAt := time.Now()
 	f, err := s.startFleet(ctx, scaleFleetCount.Add(1))
 	if err != nil {
 		return err
 	}
 	defer f.close()
-	result.StartTime = time.Since(began)
-	fmt.Fprintf(out, "%d controllers (%d real, %d hollow, %d vote), %d engines, lease %v: all serve %.1f s after the first was started\n",
+	result.StartTime = time.Since(startedAt)
+	fmt.Fprintf(out, "%d controllers (%d real, %d hollow, %d voters), %d engines, lease %v: all serve after %.1f s\n",
 		s.Controllers, s.Real, s.Controllers-s.Real, s.Voters, s.Engines, s.Lease, result.StartTime.Seconds())
 	sleep(ctx, s.Settle)
-	sights := make([]scaleSnapshot, 0, len(s.Faults)+3)
-	see := func() error {
-		sight, err := f.takeSnapshot()
-		sights = append(sights, sight)
+	snapshots := make([]scaleSnapshot, 0, len(s.Faults)+3)
+	addSnapshot := func() error {
+		snapshot, err := f.takeSnapshot()
+		snapshots = append(snapshots, snapshot)
 		return err
 	}
-	if err := see(); err != nil {
+	if err := addSnapshot(); err != nil {
 		return err
 	}
 	if result.Rest, err = f.measureRest(s.Rest); err != nil {
@@ -116,7 +116,7 @@
 		return err
 	}
 	for _, name := range s.Faults {
-		if err := see(); err != nil {
+		if err := addSnapshot(); err != nil {
 			return err
 		}
 		phase, err := f.runFaultPhase(name)
@@ -126,33 +126,33 @@
 		phase.print(out)
 		result.Phases = append(result.Phases, phase)
 	}
-	if err := see(); err != nil {
+	if err := addSnapshot(); err != nil {
 		return err
 	}
-	result.WholeRun = f.usageOver(sights...)
+	result.WholeRun = f.usageOver(snapshots...)
 	result.WholeRun.print(out, "over the whole run")
 	result.Processes, result.MemoryMB = f.processTotals()
 	if err := f.recheckOutcomes(); err != nil {
 		return err
 	}
 	result.Violations = f.checker.findViolations()
-	result.Duration = time.Since(began)
+	result.Duration = time.Since(startedAt)
 	return nil
 }
 
-// sleep waits, or until ctx is over.
-func sleep(ctx context.Context, span time.Duration) {
+// sleep waits for a duration, or until ctx is done.
+func sleep(ctx context.Context, duration time.Duration) {
 	select {
-	case <-time.After(span):
+	case <-time.After(duration):
 	case <-ctx.Done():
 	}
 }
 
-// hasSlowDisk: a voter's disk is slowed down, which only a hollow one's can be.
+// hasSlowDisk returns whether the run slows down a voter's disk. The voter must be hollow for that.
 func (s Scale) hasSlowDisk() bool { return slices.Contains(s.Faults, slowDiskFault) }
 
-// isReal: the controller at an index is a process. With a slow disk the last voter is
-// hollow, and the next controller is a process in its place.
+// isReal returns whether the controller with an index is a real process. With a slow disk the last voter
+// is hollow, and the controller after the real ones is real in its place.
 func (s Scale) isReal(i int) bool {
 	if !s.hasSlowDisk() {
 		return i < s.Real
@@ -160,7 +160,7 @@
 	return i <= s.Real && i != s.Voters-1
 }
 
-// benchProgram is the program that runs hollow controllers.
+// benchProgram returns the program that runs hollow controllers.
 func (s Scale) benchProgram() (string, error) {
 	if s.BenchProgram != "" {
 		return s.BenchProgram, nil
@@ -168,4 +168,5 @@
 	return os.Executable()
 }
 
+// newRand returns a random generator that depends only on the seed and the stream.
 func (s Scale) newRand(stream uint64) *rand.Rand { return rand.New(rand.NewPCG(s.Seed, stream)) }
--- a/internal/bench/scale_changes.go
+++ b/internal/bench/scale_changes.go
@@ -13,27 +13,27 @@
 	"railrelay.dev/railrelay/internal/fleet"
 )
 
-// scalePhase is a stretch of a run with changes of policy in it.
+// scalePhase is a part of a run in which the policy is changed.
 type scalePhase struct {
 	Name          string
 	IsFault       bool
 	Changes       []scaleChange
-	ServingShares []float64     // share of hollow controllers that serve, each second from its begin
-	RecoveryTime  time.Duration // from its begin until all serve again; 0: none was away
-	CostPerChange changeCost    // of one change; only where nothing else went on
+	ServingShares []float64     // share of the hollow controllers that serve, at each full second of the phase
+	RecoveryTime  time.Duration // from the start of the fault until all controllers serve again
+	CostPerChange changeCost    // only in a phase without a fault
 }
 
-// scaleChange is one change that was asked for.
+// scaleChange is the result of one policy change.
 type scaleChange struct {
 	ID           string
 	PolicyBytes  int
 	Outcome      string
-	OutcomeAfter time.Duration // from being asked for until the word, asking again included
-	ServedAfter  time.Duration // until the last hollow one that serves had begun by it
-	Requests     int           // it took
+	OutcomeAfter time.Duration // from the first request until the outcome was reported
+	ServedAfter  time.Duration // from the first request until the last hollow controller served under it
+	Requests     int           // number of requests until the outcome was reported
 }
 
-// policyText makes a policy of about so many bytes; the serial keeps each different.
+// policyText returns a policy of at least size bytes. Policies with different serials differ.
 func policyText(serial, size int) []byte {
 	var b bytes.Buffer
 	fmt.Fprintf(&b, "fairness:\n  teams:\n    - {name: a, weight: %d}\n    - {name: b, weight: 1}\n", serial+1)
@@ -43,78 +43,82 @@
 	return b.Bytes()
 }
 
-// invalidPolicyText is a policy that no real controller can take.
+// invalidPolicyText returns a policy that every real controller rejects.
 func invalidPolicyText(serial int) []byte {
 	return fmt.Appendf(nil, "groups: [{name: nobody-%d, value: 2}]\n", serial)
 }
 
 const (
-	scaleChangeWait    = 2 * time.Second // of one ask for a change
+	scaleChangeWait    = 2 * time.Second // for which a controller waits for an outcome before it answers
 	scaleRetryInterval = 20 * time.Millisecond
 )
 
-// newChangeRequest makes an ask of a policy's text.
+// newChangeRequest returns a request for a policy with a new ID, based on the version in force.
 func (f *scaleFleet) newChangeRequest(text []byte) *fleet.Request {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.changeCount++
-	a := &fleet.Request{Kind: "apply", ID: fmt.Sprintf("change-%d-%d", f.Seed, f.changeCount), RequestedBy: "the laboratory", BaseVersion: f.version, Policy: text,
+	request := &fleet.Request{Kind: "apply", ID: fmt.Sprintf("change-%d-%d", f.Seed, f.changeCount),
+		RequestedBy: "the laboratory", BaseVersion: f.version, Policy: text,
 		WaitMs: scaleChangeWait.Milliseconds()}
-	f.changeRequests = append(f.changeRequests, a)
-	f.checker.addChange(a.ID, xxhash.Sum64(text))
-	return a
+	f.changeRequests = append(f.changeRequests, request)
+	f.checker.addChange(request.ID, xxhash.Sum64(text))
+	return request
 }
 
-// changePolicy asks for a policy of a size and waits until it is in force, asking again here
-// and there where no word comes.
+// changePolicy requests a policy of a size and waits until it is in force.
 func (f *scaleFleet) changePolicy(size int) (scaleChange, error) {
 	text := policyText(f.changeCount, size)
-	a := f.newChangeRequest(text)
-	c, version, err := f.requestUntilOutcome(a)
+	request := f.newChangeRequest(text)
+	change, version, err := f.requestUntilOutcome(request)
 	if err != nil {
-		return c, err
+		return change, err
 	}
-	if c.Outcome != "in force" {
-		return c, fmt.Errorf("%s is %s", a.ID, c.Outcome)
+	if change.Outcome != "in force" {
+		return change, fmt.Errorf("%s is %s", request.ID, change.Outcome)
 	}
 	f.mu.Lock()
 	f.version, f.policy = version, text
 	f.mu.Unlock()
 	f.sampleAllReal()
-	return c, nil
+	return change, nil
 }
 
-// requestUntilOutcome asks until there is a word.
-func (f *scaleFleet) requestUntilOutcome(a *fleet.Request) (c scaleChange, version uint64, err error) {
-	c = scaleChange{ID: a.ID, PolicyBytes: len(a.Policy)}
-	begin := time.Now()
-	for time.Since(begin) < scaleOutcomeTimeout && f.ctx.Err() == nil {
+// requestUntilOutcome sends a request to one real controller after the other, until one of them knows
+// the outcome.
+func (f *scaleFleet) requestUntilOutcome(request *fleet.Request) (
+	change scaleChange, version uint64, err error,
+) {
+	change = scaleChange{ID: request.ID, PolicyBytes: len(request.Policy)}
+	startedAt := time.Now()
+	for time.Since(startedAt) < scaleOutcomeTimeout && f.ctx.Err() == nil {
 		m := f.nextReal()
-		c.Requests++
-		r, err := m.process.ask(f.ctx, a)
+		change.Requests++
+		response, err := m.process.ask(f.ctx, request)
 		if err != nil {
 			sleep(f.ctx, scaleRetryInterval)
 			continue
 		}
-		if r.Outcome == "unknown" {
+		if response.Outcome == "unknown" {
 			continue
 		}
 		now := time.Now()
-		f.checker.addOutcome(observedOutcome{a.ID, m.name, r.Outcome, r.Version, now})
-		c.Outcome, c.OutcomeAfter = r.Outcome, now.Sub(begin)
-		if r.Outcome != "in force" && r.Outcome != "settled" {
-			return c, 0, nil
+		f.checker.addOutcome(observedOutcome{request.ID, m.name, response.Outcome, response.Version, now})
+		change.Outcome, change.OutcomeAfter = response.Outcome, now.Sub(startedAt)
+		if response.Outcome != "in force" && response.Outcome != "settled" {
+			return change, 0, nil
 		}
-		c.Outcome = "in force"
-		if last := f.checker.lastStart(r.Version); !last.IsZero() {
-			c.ServedAfter = last.Sub(begin)
+		change.Outcome = "in force"
+		if last := f.checker.lastStart(response.Version); !last.IsZero() {
+			change.ServedAfter = last.Sub(startedAt)
 		}
-		return c, r.Version, nil
+		return change, response.Version, nil
 	}
-	return c, 0, fmt.Errorf("no word on %s came within %v, of %d asks", a.ID, scaleOutcomeTimeout, c.Requests)
+	return change, 0, fmt.Errorf("no outcome of %s within %v and %d requests", request.ID, scaleOutcomeTimeout,
+		change.Requests)
 }
 
-// nextReal takes turns among the real ones that can be asked.
+// nextReal returns the real controllers that accept requests, in turns.
 func (f *scaleFleet) nextReal() *scaleMember {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -127,7 +131,7 @@
 	return f.real[0]
 }
 
-// sampleAllReal sees once how each real one serves.
+// sampleAllReal samples the status of each real controller once.
 func (f *scaleFleet) sampleAllReal() {
 	for _, m := range f.real {
 		if m.process.answers() {
@@ -136,24 +140,25 @@
 	}
 }
 
-// sampleStatus sees how one serves, if it can be asked.
-func (f *scaleFleet) sampleStatus(ctx context.Context, name string, asks operator) {
-	asked := time.Now()
-	r, err := asks.ask(ctx, &fleet.Request{Kind: "status", WaitMs: 500})
-	if err != nil || r.Status == nil {
+// sampleStatus gives the status of a controller to the checker, if the controller answers.
+func (f *scaleFleet) sampleStatus(ctx context.Context, name string, client operator) {
+	requestedAt := time.Now()
+	response, err := client.ask(ctx, &fleet.Request{Kind: "status", WaitMs: 500})
+	if err != nil || response.Status == nil {
 		return
 	}
-	s := r.Status
-	f.checker.addSample(servingSample{name, asked, time.Now(), s.Serves, s.Version, s.LeaseRemainingMs})
+	s := response.Status
+	f.checker.addSample(servingSample{name, requestedAt, time.Now(), s.Serves, s.Version, s.LeaseRemainingMs})
 }
 
-// measureChangesAtRest asks for changes one after the other, some of them large, and for one
-// that must be withdrawn.
+// measureChangesAtRest changes the policy several times, also to large policies, and checks that an
+// invalid policy is withdrawn.
 func (f *scaleFleet) measureChangesAtRest(out io.Writer, rest scaleUsage) (phases []scalePhase, err error) {
 	for _, part := range []struct {
 		name     string
 		n, bytes int
-	}{{"changes at rest", f.Changes - f.LargeChanges, f.PolicyBytes}, {"large changes at rest", f.LargeChanges, f.LargeBytes}} {
+	}{{"changes at rest", f.Changes - f.LargeChanges, f.PolicyBytes},
+		{"large changes at rest", f.LargeChanges, f.LargeBytes}} {
 		if part.n == 0 {
 			continue
 		}
@@ -163,11 +168,11 @@
 			return phases, err
 		}
 		for range part.n {
-			c, err := f.changePolicy(part.bytes)
+			change, err := f.changePolicy(part.bytes)
 			if err != nil {
 				return phases, err
 			}
-			phase.Changes = append(phase.Changes, c)
+			phase.Changes = append(phase.Changes, change)
 		}
 		after, err := f.takeSnapshot()
 		if err != nil {
@@ -180,76 +185,81 @@
 	return phases, f.checkInvalidPolicyWithdrawn()
 }
 
-// changeCost is what one change takes of a controller, beyond what it spends at rest. Its
-// figures are sums, not rates; none where that can't be told.
+// changeCost is what one change costs a controller in addition to its usage at rest. Its figures are
+// sums, not rates.
 type changeCost struct {
-	Leader, Voter scaleRate // none where another one led at the end than at the begin
-	Controller    scaleRate // the mean of those without a role
-	LeaderChanged bool
+	Leader, Voter scaleRate // zero if LeaderChanged
+	Controller    scaleRate // mean of the controllers without a role
+	LeaderChanged bool      // no controller was the leader at both the start and the end
 }
 
-// costOfChange takes what was spent at rest from what was spent while so many changes went on.
-func costOfChange(spent, rest scaleUsage, changes int) changeCost {
-	each := func(busy, idle scaleRate) (cost scaleRate) {
+// costOfChange returns the cost of one change from the usage during a number of changes and the usage
+// at rest.
+func costOfChange(during, rest scaleUsage, changes int) changeCost {
+	perChange := func(busy, idle scaleRate) (cost scaleRate) {
 		for i, x := range busy.fields() {
-			*cost.fields()[i] = (*x - *idle.fields()[i]) * spent.Duration.Seconds() / float64(changes)
+			*cost.fields()[i] = (*x - *idle.fields()[i]) * during.Duration.Seconds() / float64(changes)
 		}
 		cost.MemoryMB = busy.MemoryMB
 		return cost
 	}
-	cost := changeCost{Controller: each(spent.Mean, rest.Mean), LeaderChanged: spent.Leader == scaleRate{}}
+	cost := changeCost{Controller: perChange(during.Mean, rest.Mean),
+		LeaderChanged: during.Leader == scaleRate{}}
 	if !cost.LeaderChanged {
-		cost.Leader, cost.Voter = each(spent.Leader, rest.Leader), each(spent.Voter, rest.Voter)
+		cost.Leader, cost.Voter = perChange(during.Leader, rest.Leader), perChange(during.Voter, rest.Voter)
 	}
 	return cost
 }
 
-// checkInvalidPolicyWithdrawn asks for a policy that real controllers can't take: it must be withdrawn.
+// checkInvalidPolicyWithdrawn requests a policy that real controllers reject. It returns an error if the
+// policy is in force nevertheless.
 func (f *scaleFleet) checkInvalidPolicyWithdrawn() error {
-	c, _, err := f.requestUntilOutcome(f.newChangeRequest(invalidPolicyText(f.changeCount)))
-	if err == nil && c.Outcome == "in force" {
-		err = fmt.Errorf("%s is in force though nobody real can take it", c.ID)
+	change, _, err := f.requestUntilOutcome(f.newChangeRequest(invalidPolicyText(f.changeCount)))
+	if err == nil && change.Outcome == "in force" {
+		err = fmt.Errorf("%s is in force, although real controllers reject its policy", change.ID)
 	}
 	return err
 }
 
-const outcomeRechecks = 3 // real controllers
+const outcomeRechecks = 3 // real controllers that are asked for the outcome of each change at the end
 
-// recheckOutcomes asks some real ones for the words on all changes once more, and all for the
-// policy that is in force.
+// recheckOutcomes asks several real controllers for the outcome of each change once more, and checks
+// that each real controller has the policy that is in force.
 func (f *scaleFleet) recheckOutcomes() error {
-	for _, a := range f.changeRequests {
+	for _, request := range f.changeRequests {
 		for range outcomeRechecks {
 			m := f.nextReal()
-			r, err := m.process.ask(f.ctx, &fleet.Request{Kind: "status", ID: a.ID, WaitMs: 1000})
+			response, err := m.process.ask(f.ctx, &fleet.Request{Kind: "status", ID: request.ID, WaitMs: 1000})
 			if err != nil {
-				return fmt.Errorf("%s can't be asked again for %s: %w", m.name, a.ID, err)
+				return fmt.Errorf("ask %s for the outcome of %s: %w", m.name, request.ID, err)
 			}
-			f.checker.addOutcome(observedOutcome{a.ID, m.name, r.Outcome, r.Version, time.Now()})
+			f.checker.addOutcome(observedOutcome{request.ID, m.name, response.Outcome, response.Version, time.Now()})
 		}
 	}
 	for _, m := range f.real {
-		r, err := m.process.ask(f.ctx, &fleet.Request{Kind: "policy", WaitMs: 1000})
+		response, err := m.process.ask(f.ctx, &fleet.Request{Kind: "policy", WaitMs: 1000})
 		if err != nil {
-			return fmt.Errorf("%s can't be asked for the policy: %w", m.name, err)
+			return fmt.Errorf("ask %s for the policy: %w", m.name, err)
 		}
-		if r.Version != f.version || !bytes.Equal(r.Policy, f.policy) {
-			return fmt.Errorf("%s has version %d of the policy at the end, and %d is in force", m.name, r.Version, f.version)
+		if response.Version != f.version || !bytes.Equal(response.Policy, f.policy) {
+			return fmt.Errorf("%s has policy version %d at the end; version %d is in force", m.name, response.Version,
+				f.version)
 		}
 	}
 	return nil
 }
 
-// outcomeTimes are the times until the word, in order.
-func (p scalePhase) outcomeTimes() (l []time.Duration) {
-	for _, c := range p.Changes {
-		l = append(l, c.OutcomeAfter)
+// outcomeTimes returns the times until the outcomes of the changes were reported, in ascending order.
+func (p scalePhase) outcomeTimes() (times []time.Duration) {
+	for _, change := range p.Changes {
+		times = append(times, change.OutcomeAfter)
 	}
-	slices.Sort(l)
-	return l
+	slices.Sort(times)
+	return times
 }
 
-// quantile is the value that the part q of a sorted list is at or under.
+// quantile returns the smallest value of a sorted list that at least the fraction q of the values don't
+// exceed; 0 for an empty list.
 func quantile(sorted []time.Duration, q float64) time.Duration {
 	if len(sorted) == 0 {
 		return 0
@@ -259,24 +269,27 @@
 }
 
 func (p scalePhase) print(out io.Writer) {
-	l := p.outcomeTimes()
-	fmt.Fprintf(out, "%s: %d changes, asked until told in force %.0f ms median, %.0f p99, %.0f most", p.Name, len(l), inMS(quantile(l, 0.5)),
-		inMS(quantile(l, 0.99)), inMS(quantile(l, 1)))
+	times := p.outcomeTimes()
+	fmt.Fprintf(out, "%s: %d changes, in force after %.0f ms median, %.0f p99, %.0f maximum", p.Name,
+		len(times), inMS(quantile(times, 0.5)),
+		inMS(quantile(times, 0.99)), inMS(quantile(times, 1)))
 	if p.IsFault {
-		fmt.Fprintf(out, "; all serve again after %.1f s; share of hollow ones that served, each second:", p.RecoveryTime.Seconds())
+		fmt.Fprintf(out, "; all serve again after %.1f s; share of hollow controllers that serve, at each second:",
+			p.RecoveryTime.Seconds())
 		for _, share := range p.ServingShares {
 			fmt.Fprintf(out, " %.3f", share)
 		}
 	}
-	if c := p.CostPerChange; !p.IsFault {
+	if cost := p.CostPerChange; !p.IsFault {
 		line := func(r scaleRate) string {
 			return fmt.Sprintf("%.0f bytes out, %.0f in, %.1f ms of CPU", r.BytesOut, r.BytesIn, r.CPU)
 		}
-		leader := line(c.Leader)
-		if c.LeaderChanged {
-			leader = "can't be told, another one leads by now"
+		leader := line(cost.Leader)
+		if cost.LeaderChanged {
+			leader = "unknown, because the leader has changed"
 		}
-		fmt.Fprintf(out, "\n  one costs, beyond rest: the leader %s; a controller in the mean %s, %.1f MB by then", leader, line(c.Controller), c.Controller.MemoryMB)
+		fmt.Fprintf(out, "\n  cost of one change: leader %s; controller, mean %s, %.1f MB at the end", leader,
+			line(cost.Controller), cost.Controller.MemoryMB)
 	}
 	fmt.Fprintln(out)
 }
--- a/internal/bench/scale_faults.go
+++ b/internal/bench/scale_faults.go
@@ -11,47 +11,52 @@
 	"railrelay.dev/railrelay/internal/emulator/hollow"
 )
 
-// scaleFault is something that befalls the fleet while the policy changes.
+// scaleFault is a fault that is injected while the policy is changed.
 type scaleFault struct {
-	description string
+	description string // also the name of the phase in the results
 	inject      func(*scaleFleet, *scalePhase) error
 }
 
+// scaleFaults has the faults by the names that the flag --faults accepts.
 var scaleFaults map[string]*scaleFault
 
-func init() { // the plays look the table up
+func init() {
 	scaleFaults = map[string]*scaleFault{
-		"killed":      {"a controller is killed", (*scaleFleet).killController},
-		"paused":      {"a controller is stopped by SIGSTOP past its lease", (*scaleFleet).pauseController},
-		"leader":      {"the leader is killed", (*scaleFleet).killLeader},
-		"relay":       {"a relay is killed", (*scaleFleet).killRelay},
-		"zone":        {"a zone's controllers are stopped at once and come back together", (*scaleFleet).restartZone},
-		"restart":     {"100 controllers, or a sixth, are restarted within 10 s", (*scaleFleet).restartMany},
-		slowDiskFault: {fmt.Sprintf("the disk of one voter, a hollow one, takes %v for each write", slowDiskWriteDelay), (*scaleFleet).slowVoterDisk},
-		"regions":     {"the regions hear nothing of each other for two leases", (*scaleFleet).cutRegionsTemporarily},
+		"killed": {"a controller is killed", (*scaleFleet).killController},
+		"paused": {"a controller is stopped by SIGSTOP past its lease", (*scaleFleet).pauseController},
+		"leader": {"the leader is killed", (*scaleFleet).killLeader},
+		"relay":  {"a relay is killed", (*scaleFleet).killRelay},
+		"zone": {"a zone's controllers are stopped at once and come back together",
+			(*scaleFleet).restartZone},
+		"restart": {"100 controllers, or a sixth, are restarted within 10 s", (*scaleFleet).restartMany},
+		slowDiskFault: {
+			fmt.Sprintf("the disk of one voter, a hollow one, takes %v for each write", slowDiskWriteDelay),
+			(*scaleFleet).slowVoterDisk},
+		"regions": {"the regions hear nothing of each other for two leases",
+			(*scaleFleet).cutRegionsTemporarily},
 	}
 }
 
-// ScaleFaults are the names of all faults with what they are, in order.
-func ScaleFaults() (l []string) {
+// ScaleFaults returns the name and description of each fault, sorted by name.
+func ScaleFaults() (lines []string) {
 	for _, name := range slices.Sorted(maps.Keys(scaleFaults)) {
-		l = append(l, name+": "+scaleFaults[name].description)
+		lines = append(lines, name+": "+scaleFaults[name].description)
 	}
-	return l
+	return lines
 }
 
-// UnknownScaleFaultError is a fault that there is none of.
+// UnknownScaleFaultError reports a fault name that isn't in scaleFaults.
 type UnknownScaleFaultError struct{ Name string }
 
-func (e *UnknownScaleFaultError) Error() string { return fmt.Sprintf("no fault is called %q", e.Name) }
+func (e *UnknownScaleFaultError) Error() string { return fmt.Sprintf("unknown fault %q", e.Name) }
 
-// Remedy says what to do.
+// Remedy returns what an operator can do.
 func (e *UnknownScaleFaultError) Remedy() string {
-	return "name some of " + fmt.Sprint(slices.Sorted(maps.Keys(scaleFaults)))
+	return "use names of " + fmt.Sprint(slices.Sorted(maps.Keys(scaleFaults)))
 }
 
 const (
-	scaleSampleInterval  = time.Second // between two looks at each real one during a fault
+	scaleSampleInterval  = time.Second // between two status samples of a real controller during a fault
 	scaleRestartDuration = 10 * time.Second
 	maxScaleRestarts     = 100
 
@@ -60,33 +65,33 @@
 	slowDiskChanges    = 5
 )
 
-// runFaultPhase has it befall the fleet, and waits until all serve again.
+// runFaultPhase injects a fault and waits until all controllers serve again.
 func (f *scaleFleet) runFaultPhase(name string) (phase scalePhase, err error) {
 	fault := scaleFaults[name]
 	phase = scalePhase{Name: fault.description, IsFault: true}
 	ctx, stop := context.WithCancel(f.ctx)
 	f.startSampling(ctx)
-	begin := time.Now()
+	startedAt := time.Now()
 	err = fault.inject(f, &phase)
 	if err == nil {
 		err = f.awaitAllServing()
 	}
-	phase.RecoveryTime = time.Since(begin)
+	phase.RecoveryTime = time.Since(startedAt)
 	stop()
 	f.samplers.Wait()
 	if n := len(f.hollow); n > 0 {
-		for at := begin.Add(time.Second); at.Before(time.Now()); at = at.Add(time.Second) {
+		for at := startedAt.Add(time.Second); at.Before(time.Now()); at = at.Add(time.Second) {
 			phase.ServingShares = append(phase.ServingShares, float64(f.checker.countServingAt(at))/float64(n))
 		}
 	}
 	return phase, err
 }
 
-// startSampling sees how each real one serves again and again.
+// startSampling samples the status of each real controller repeatedly until ctx is done.
 func (f *scaleFleet) startSampling(ctx context.Context) {
 	for _, m := range f.real {
 		f.samplers.Go(func() {
-			for ctx.Err() == nil { // one that is stopped or down is asked in vain
+			for ctx.Err() == nil { // also while the controller is paused or down: the request then fails
 				f.sampleStatus(ctx, m.name, m.process.operator)
 				sleep(ctx, scaleSampleInterval)
 			}
@@ -94,37 +99,37 @@
 	}
 }
 
-// changePolicyInPhase asks for a change of the usual size and keeps what came of it.
+// changePolicyInPhase changes the policy to one of PolicyBytes and adds the result to the phase.
 func (f *scaleFleet) changePolicyInPhase(phase *scalePhase) error {
-	c, err := f.changePolicy(f.PolicyBytes)
+	change, err := f.changePolicy(f.PolicyBytes)
 	if err == nil {
-		phase.Changes = append(phase.Changes, c)
+		phase.Changes = append(phase.Changes, change)
 	}
 	return err
 }
 
-// realWithoutRole are the real controllers that neither vote nor relay; voters that don't lead
-// where there are none.
-func (f *scaleFleet) realWithoutRole(leader *scaleMember) (l []*scaleMember) {
+// realWithoutRole returns the real controllers that are neither voters nor relays. If there are none, it
+// returns all real controllers except the leader.
+func (f *scaleFleet) realWithoutRole(leader *scaleMember) (members []*scaleMember) {
 	for _, m := range f.real {
 		if !m.isVoter && !m.isRelay {
-			l = append(l, m)
+			members = append(members, m)
 		}
 	}
-	if len(l) > 0 {
-		return l
+	if len(members) > 0 {
+		return members
 	}
 	return slices.DeleteFunc(slices.Clone(f.real), func(m *scaleMember) bool { return m == leader })
 }
 
-// pickRealWithoutRole draws a real controller that does nothing but follow.
+// pickRealWithoutRole returns a random controller of realWithoutRole.
 func (f *scaleFleet) pickRealWithoutRole() (*scaleMember, error) {
 	leader, err := f.findLeader()
 	if err != nil {
 		return nil, err
 	}
-	l := f.realWithoutRole(leader)
-	return l[f.newRand(uint64(f.changeCount)+2).IntN(len(l))], nil
+	members := f.realWithoutRole(leader)
+	return members[f.newRand(uint64(f.changeCount)+2).IntN(len(members))], nil
 }
 
 func (f *scaleFleet) killController(phase *scalePhase) error {
@@ -135,7 +140,7 @@
 	return f.changePolicyWhileDown(phase, m)
 }
 
-// changePolicyWhileDown kills a process, changes the policy at once, and starts it again.
+// changePolicyWhileDown kills a controller, changes the policy at once, and starts the controller again.
 func (f *scaleFleet) changePolicyWhileDown(phase *scalePhase, m *scaleMember) error {
 	m.process.kill()
 	if err := f.changePolicyInPhase(phase); err != nil {
@@ -158,7 +163,7 @@
 			return f.changePolicyWhileDown(phase, m)
 		}
 	}
-	return nil // there is none: nothing is changed, and the phase shows no change
+	return nil // the fleet has no relays: the phase has no change, which the results show
 }
 
 func (f *scaleFleet) pauseController(phase *scalePhase) error {
@@ -170,16 +175,17 @@
 		return err
 	}
 	err = f.changePolicyInPhase(phase)
-	if resumed := m.process.resume(); err == nil {
-		err = resumed
+	if resumeErr := m.process.resume(); err == nil {
+		err = resumeErr
 	}
 	return err
 }
 
-// restartZone ends all of a zone that don't vote or relay, and starts them together.
+// restartZone stops all controllers of a zone except voters and relays, changes the policy, and starts
+// these controllers again without a pause between them.
 func (f *scaleFleet) restartZone(phase *scalePhase) error {
 	zone := f.real[len(f.real)-1].place.Zone
-	var hollows []string
+	var hollowNames []string
 	var processes []*scaleMember
 	for _, m := range f.members {
 		switch {
@@ -187,13 +193,13 @@
 		case m.process != nil:
 			processes = append(processes, m)
 		default:
-			hollows = append(hollows, m.name)
+			hollowNames = append(hollowNames, m.name)
 		}
 	}
 	for _, m := range processes {
 		m.process.kill()
 	}
-	if err := f.sendHollowAction(hollow.Stop, hollows); err != nil {
+	if err := f.sendHollowAction(hollow.Stop, hollowNames); err != nil {
 		return err
 	}
 	if err := f.changePolicyInPhase(phase); err != nil {
@@ -204,22 +210,23 @@
 			return err
 		}
 	}
-	if err := f.sendHollowAction(hollow.Start, hollows); err != nil {
+	if err := f.sendHollowAction(hollow.Start, hollowNames); err != nil {
 		return err
 	}
-	return f.changePolicyInPhase(phase) // while they come back
+	return f.changePolicyInPhase(phase) // while the controllers start
 }
 
-// sendHollowAction has some hollow controllers do something; none: nobody.
-func (f *scaleFleet) sendHollowAction(do string, names []string) error {
+// sendHollowAction sends an action to the hollow controllers with some names. Without names it does
+// nothing, because a command without names would go to all hollow controllers.
+func (f *scaleFleet) sendHollowAction(action string, names []string) error {
 	if len(names) == 0 {
 		return nil
 	}
-	return f.sendHollowCommand(hollow.Command{Do: do, Names: names})
+	return f.sendHollowCommand(hollow.Command{Do: action, Names: names})
 }
 
-// restartMany stops and starts 100, or a sixth of all, evenly over 10 s, with changes
-// all the while.
+// restartMany restarts 100 hollow controllers, or a sixth of the fleet if that is fewer, evenly spread
+// over 10 s. Meanwhile it changes the policy again and again. Voters aren't restarted.
 func (f *scaleFleet) restartMany(phase *scalePhase) error {
 	var names []string
 	for _, m := range f.hollow {
@@ -259,22 +266,22 @@
 	}
 }
 
-// cutRegionsTemporarily lets nothing pass between the regions for two leases, changes the policy
-// meanwhile, and again once they hear each other.
+// cutRegionsTemporarily holds all messages between the regions for two leases. It changes the policy
+// during the cut and again afterwards.
 func (f *scaleFleet) cutRegionsTemporarily(phase *scalePhase) error {
 	if !f.LinkDelays {
-		return &ScaleSizeError{"links", 0, "are none that could be cut"}
+		return &ScaleSizeError{"links", 0, "means that there are no links to cut"}
 	}
 	f.setRegionCut(true)
 	if err := f.sendHollowCommand(hollow.Command{Do: hollow.Cut}); err != nil {
 		return err
 	}
-	begin := time.Now()
+	startedAt := time.Now()
 	err := f.changePolicyInPhase(phase)
-	sleep(f.ctx, 2*f.Lease-time.Since(begin))
+	sleep(f.ctx, 2*f.Lease-time.Since(startedAt))
 	f.setRegionCut(false)
-	if healed := f.sendHollowCommand(hollow.Command{Do: hollow.Heal}); err == nil {
-		err = healed
+	if healErr := f.sendHollowCommand(hollow.Command{Do: hollow.Heal}); err == nil {
+		err = healErr
 	}
 	if err != nil {
 		return err
@@ -282,7 +289,8 @@
 	return f.changePolicyInPhase(phase)
 }
 
-// setRegionCut holds all up between processes of two regions, or lets it pass in its time.
+// setRegionCut holds all bytes between real controllers of different regions, or restores the latencies
+// of their links.
 func (f *scaleFleet) setRegionCut(cut bool) {
 	if !cut {
 		f.delayLinks()
@@ -297,11 +305,12 @@
 	}
 }
 
-// slowVoterDisk has each write of a voter's record take long, changes the policy some times,
-// and lets it go as before.
+// slowVoterDisk makes each write to a hollow voter's log take slowDiskWriteDelay, changes the policy
+// slowDiskChanges times, and restores the former delay.
 func (f *scaleFleet) slowVoterDisk(phase *scalePhase) error {
 	voter := f.members[f.Voters-1].name
-	if err := f.sendHollowCommand(hollow.Command{Do: hollow.Delay, Names: []string{voter}, Delay: slowDiskWriteDelay}); err != nil {
+	if err := f.sendHollowCommand(hollow.Command{Do: hollow.Delay, Names: []string{voter},
+		Delay: slowDiskWriteDelay}); err != nil {
 		return err
 	}
 	for range slowDiskChanges {
--- a/internal/bench/scale_fleet.go
+++ b/internal/bench/scale_fleet.go
@@ -22,70 +22,73 @@
 	scaleZones             = 6
 	scaleRegions           = 2
 	hollowPeerPort         = 7600
-	hollowClientPort       = 7602 // nobody listens there
+	hollowClientPort       = 7602 // advertised only: hollow controllers don't listen for clients
 	scaleEnginePort        = 6565
 	realMemoryMB           = 128
 	realClientSockets      = 256
-	scaleElectionTimeout   = 500 * time.Millisecond // as a set-up has them that doesn't say
+	scaleElectionTimeout   = 500 * time.Millisecond // the default of a controller's configuration
 	scaleHeartbeatInterval = 100 * time.Millisecond
-	scaleWriteDelay        = time.Millisecond
+	scaleWriteDelay        = time.Millisecond // of a hollow controller's log
 )
 
-// scaleLinks are half of the round trips in a zone, a region and between regions.
-var scaleLinks = hollow.Links{Zone: 500 * time.Microsecond, Region: time.Millisecond, Regions: 20 * time.Millisecond, Jitter: 0.2}
+// scaleLinks has the one-way latencies within a zone, between zones and between regions.
+var scaleLinks = hollow.Links{Zone: 500 * time.Microsecond, Region: time.Millisecond,
+	Regions: 20 * time.Millisecond, Jitter: 0.2}
 
-// scaleFleetCount counts those of this process, so that each has addresses of its own.
+// scaleFleetCount counts the fleets that this process has started. Each has addresses of its own.
 var scaleFleetCount atomic.Int64
 
 // scaleMember is one controller of a scale run.
 type scaleMember struct {
 	name              string
-	index             int // among all
+	index             int // in scaleFleet.members
 	place             hollow.Place
-	clientAddress     string // where clients come in
-	listenAddress     string // where it really takes peers in
-	advertisedAddress string // what peers are told
+	clientAddress     string // on which the controller accepts clients
+	listenAddress     string // on which the controller accepts peers
+	advertisedAddress string // to which peers connect: listenAddress, or a proxy's address
 	isVoter           bool
 	isRelay           bool
-	process           *controllerProcess // nil: it is hollow
+	process           *controllerProcess // nil for a hollow controller
 }
 
-// scaleFleet is a run's fleet.
+// scaleFleet is the running fleet of a scale run.
 type scaleFleet struct {
 	Scale
 	*workplace
 	ctx             context.Context
 	stop            context.CancelFunc
-	number          int64
+	number          int64 // distinguishes the loopback addresses of the fleets of this process
 	members         []*scaleMember
 	byName          map[string]*scaleMember
 	real            []*scaleMember
 	hollow          []*scaleMember
 	hollowProcesses []*hollowProcess
-	mesh            *faultproxy.Mesh
+	mesh            *faultproxy.Mesh // nil without LinkDelays
 	feed            *feed.Listener
 	checker         *scaleChecker
 	closers         []func()
-	samplers        sync.WaitGroup // samplers
+	samplers        sync.WaitGroup
 
 	mu             sync.Mutex
-	version        uint64 // in force
-	policy         []byte // its text
-	changeCount    int    // of changes
-	countRound     int    // of counting
-	requestCount   int
+	version        uint64 // of the policy in force
+	policy         []byte // text of the policy in force
+	changeCount    int
+	countRound     int // number of the last command hollow.Report
+	requestCount   int // selects the real controller that gets the next request
 	changeRequests []*fleet.Request
 }
 
-// startFleet starts a fleet and waits until every controller serves.
+// startFleet starts a fleet and waits until all controllers serve.
 func (s Scale) startFleet(ctx context.Context, number int64) (*scaleFleet, error) {
 	place, err := newWorkplace("railrelay-scale")
 	if err != nil {
 		return nil, err
 	}
 	ctx, stop := context.WithCancel(ctx)
-	f := &scaleFleet{Scale: s, workplace: place, ctx: ctx, stop: stop, number: number, byName: map[string]*scaleMember{}, checker: newScaleChecker(), version: 1}
-	for _, step := range []func() error{f.startEngines, f.planMembers, f.startRealControllers, f.startHollowControllers, f.awaitAllServing} {
+	f := &scaleFleet{Scale: s, workplace: place, ctx: ctx, stop: stop, number: number,
+		byName: map[string]*scaleMember{}, checker: newScaleChecker(), version: 1}
+	for _, step := range []func() error{f.startEngines, f.planMembers, f.startRealControllers,
+		f.startHollowControllers, f.awaitAllServing} {
 		if err := step(); err != nil {
 			f.close()
 			return nil, err
@@ -94,29 +97,33 @@
 	return f, nil
 }
 
-// hostAddress is a loopback address of this fleet's own.
+// hostAddress returns the loopback IP address of the host with an index in an address block. Each fleet of
+// this process has blocks of its own; the process ID makes those of concurrent runs differ.
 func (f *scaleFleet) hostAddress(block, i int) string {
 	const blocks = 3
-	return fmt.Sprintf("127.%d.%d.%d", 100+(int64(os.Getpid())*7+f.number*blocks+int64(block))%150, i/250, i%250+1)
+	return fmt.Sprintf("127.%d.%d.%d", 100+(int64(os.Getpid())*7+f.number*blocks+int64(block))%150,
+		i/250, i%250+1)
 }
 
+// The address blocks of a fleet.
 const (
 	hollowBlock = iota
 	engineBlock
 	realBlock
 )
 
-// startEngines listens as all engines, in this process, and as the feed that lists them.
+// startEngines starts all engines in this process, and the feed that lists them.
 func (f *scaleFleet) startEngines() error {
 	var list []feed.Engine
 	for i := range f.Engines {
-		e, err := engine.Listen(f.ctx, fmt.Sprintf("%s:%d", f.hostAddress(engineBlock, i), scaleEnginePort), trialEngine(), false)
+		e, err := engine.Listen(f.ctx, fmt.Sprintf("%s:%d", f.hostAddress(engineBlock, i),
+			scaleEnginePort), trialEngine(), false)
 		if err != nil {
 			return err
 		}
 		f.closers = append(f.closers, func() { e.Close() })
-		list = append(list, feed.Engine{ID: fmt.Sprint("e", i), HostPort: e.Addr().String(), Locality: scaleZone(i), Flavor: "std", Cell: i,
-			Phase: "SERVING", Size: 1})
+		list = append(list, feed.Engine{ID: fmt.Sprint("e", i), HostPort: e.Addr().String(),
+			Locality: scaleZone(i), Flavor: "std", Cell: i, Phase: "SERVING", Size: 1})
 	}
 	var log feed.Log
 	log.Append(true, list...)
@@ -129,22 +136,24 @@
 	return nil
 }
 
-// zonesWithEngines are those that have at least one of so many.
-func zonesWithEngines(engines int) (l []string) {
+// zonesWithEngines returns the zones that have at least one engine of a number of engines.
+func zonesWithEngines(engines int) (zones []string) {
 	for i := range min(engines, scaleZones) {
-		l = append(l, scaleZone(i))
+		zones = append(zones, scaleZone(i))
 	}
-	return l
+	return zones
 }
 
+// scaleZone returns the zone of the engine or controller with an index.
 func scaleZone(i int) string { return fmt.Sprint("z", i%scaleZones) }
 
-// scalePlace has controllers take turns in the zones, and these in the two regions.
+// scalePlace distributes the controllers over the zones, and the zones over the regions, in turns.
 func scalePlace(i int) hollow.Place {
 	return hollow.Place{Region: []string{"east", "west"}[i%scaleRegions], Zone: scaleZone(i)}
 }
 
-// planMembers says who there is, and where.
+// planMembers chooses the role, place and addresses of all controllers, and writes the configuration files
+// of the real ones.
 func (f *scaleFleet) planMembers() error {
 	var names []string
 	for i := range f.Controllers {
@@ -157,7 +166,8 @@
 		f.closers = append(f.closers, func() { f.mesh.Close() })
 	}
 	for i := range f.Controllers {
-		m := &scaleMember{name: fmt.Sprint("c", i), index: i, place: scalePlace(i), isVoter: i < f.Voters, isRelay: i >= f.Voters && i < f.Voters+f.Relays}
+		m := &scaleMember{name: fmt.Sprint("c", i), index: i, place: scalePlace(i),
+			isVoter: i < f.Voters, isRelay: i >= f.Voters && i < f.Voters+f.Relays}
 		if f.isReal(i) {
 			if err := f.planRealMember(i, m); err != nil {
 				return err
@@ -165,7 +175,8 @@
 			f.real = append(f.real, m)
 		} else {
 			m.listenAddress = fmt.Sprintf("%s:%d", f.hostAddress(hollowBlock, i), hollowPeerPort)
-			m.advertisedAddress, m.clientAddress = m.listenAddress, fmt.Sprintf("%s:%d", f.hostAddress(hollowBlock, i), hollowClientPort)
+			m.advertisedAddress, m.clientAddress = m.listenAddress,
+				fmt.Sprintf("%s:%d", f.hostAddress(hollowBlock, i), hollowClientPort)
 			f.hollow = append(f.hollow, m)
 		}
 		f.members = append(f.members, m)
@@ -182,7 +193,8 @@
 	return nil
 }
 
-// planRealMember finds addresses for a process, and a front that leads to it through links.
+// planRealMember chooses the addresses of a real controller. With LinkDelays, peers connect to an address
+// of the mesh, which forwards through the links.
 func (f *scaleFleet) planRealMember(i int, m *scaleMember) (err error) {
 	host := f.hostAddress(realBlock, i)
 	if f.LinkDelays {
@@ -205,66 +217,75 @@
 	if m.clientAddress, err = freeAddress(host); err != nil {
 		return err
 	}
-	m.process = &controllerProcess{name: m.name, program: f.Program, setupFile: f.path(m.name + ".yaml"), directory: f.path(m.name),
+	m.process = &controllerProcess{name: m.name, program: f.Program,
+		setupFile: f.path(m.name + ".yaml"), directory: f.path(m.name),
 		operator: operator{control, f.keys}}
 	return nil
 }
 
-// freeAddress finds a port that is free at a loopback address of a controller's own. What
-// it connects from that address comes later.
+// freeAddress returns an address with a port that is free on a controller's own loopback IP address. The
+// port stays free until the controller listens on it, because connections from that IP address, which
+// could take the port, are opened only later.
 func freeAddress(host string) (string, error) {
-	l, err := net.Listen("tcp", host+":0")
+	listener, err := net.Listen("tcp", host+":0")
 	if err != nil {
 		return "", err
 	}
-	defer l.Close()
-	return l.Addr().String(), nil
+	defer listener.Close()
+	return listener.Addr().String(), nil
 }
 
-// delayLinks gives each link between two processes its time.
+// delayLinks sets the latency of each link between two real controllers.
 func (f *scaleFleet) delayLinks() {
 	random := f.newRand(1)
 	for _, a := range f.real {
 		for _, b := range f.real {
 			if a != b {
-				span := scaleLinks.OneWay(a.place, b.place)
-				f.mesh.SetFault(a.name, b.name, faultproxy.Fault{Kind: faultproxy.Delay, Latency: span, Jitter: time.Duration(float64(span) * scaleLinks.Jitter), Seed: random.Uint64()})
+				latency := scaleLinks.OneWay(a.place, b.place)
+				f.mesh.SetFault(a.name, b.name, faultproxy.Fault{Kind: faultproxy.Delay, Latency: latency,
+					Jitter: time.Duration(float64(latency) * scaleLinks.Jitter), Seed: random.Uint64()})
 			}
 		}
 	}
 }
 
-func (f *scaleFleet) voters() (l []hollow.Peer) {
+func (f *scaleFleet) voters() (peers []hollow.Peer) {
 	for _, m := range f.members[:f.Voters] {
-		l = append(l, hollow.Peer{Name: m.name, Address: m.advertisedAddress})
+		peers = append(peers, hollow.Peer{Name: m.name, Address: m.advertisedAddress})
 	}
-	return l
+	return peers
 }
 
-// relaysFor are the two relays that a controller asks, of its own region where there are
-// two; none for those who vote or relay.
-func (f *scaleFleet) relaysFor(m *scaleMember) (l []hollow.Peer) {
+// relaysFor returns the two relays that a controller uses. Both are in the controller's region if the
+// region has two relays. Voters and relays use none.
+func (f *scaleFleet) relaysFor(m *scaleMember) (peers []hollow.Peer) {
 	if f.Relays == 0 || m.isVoter || m.isRelay {
 		return nil
 	}
 	all := f.members[f.Voters : f.Voters+f.Relays]
-	near := slices.DeleteFunc(slices.Clone(all), func(r *scaleMember) bool { return r.place.Region != m.place.Region })
+	near := slices.DeleteFunc(slices.Clone(all), func(relay *scaleMember) bool {
+		return relay.place.Region != m.place.Region
+	})
 	if len(near) < 2 {
 		near = all
 	}
-	turn := m.index / scaleRegions // neighbours by number are in different regions
+	turn := m.index / scaleRegions // consecutive members of a region get consecutive numbers
 	for k := range 2 {
-		r := near[(turn+k)%len(near)]
-		l = append(l, hollow.Peer{Name: r.name, Address: r.advertisedAddress})
+		relay := near[(turn+k)%len(near)]
+		peers = append(peers, hollow.Peer{Name: relay.name, Address: relay.advertisedAddress})
 	}
-	return l
+	return peers
 }
 
-// setupFor is a process's set-up.
+// setupFor returns the configuration of a real controller.
 func (f *scaleFleet) setupFor(m *scaleMember) controllerSetup {
-	s := controllerSetup{Name: m.name, Clients: m.clientAddress, Feed: f.feed.Addr().String(), Controllers: f.Controllers,
-		Zones: zonesWithEngines(scaleZones), Zone: m.place.Zone, MemoryMB: realMemoryMB, Sockets: realClientSockets + 2*f.Engines, Fleet: "scale", Listen: m.listenAddress, Operators: m.process.control,
-		Directory: m.process.directory, Keys: f.keyFile, Lease: f.Lease, Voters: f.voters(), Control: f.isSetAside(m),
+	s := controllerSetup{Name: m.name, Clients: m.clientAddress, Feed: f.feed.Addr().String(),
+		Controllers: f.Controllers, Zones: zonesWithEngines(scaleZones), Zone: m.place.Zone,
+		MemoryMB: realMemoryMB,
+		Sockets: realClientSockets +
+			2*f.Engines, Fleet: "scale", Listen: m.listenAddress, Operators: m.process.control,
+		Directory: m.process.directory, Keys: f.keyFile, Lease: f.Lease,
+		Voters: f.voters(), Control: f.isSetAside(m),
 		Relay: m.isRelay, Relays: f.relaysFor(m)}
 	if m.advertisedAddress != m.listenAddress {
 		s.Address = m.advertisedAddress
@@ -272,8 +293,8 @@
 	return s
 }
 
-// isSetAside: a process stands on a machine set aside for control, and has that role. Relays
-// always do.
+// isSetAside returns whether a member is on a machine set aside for control and has the role control.
+// Relays always are.
 func (f *scaleFleet) isSetAside(m *scaleMember) bool { return m.isRelay || m.isVoter && f.SetAside }
 
 func (f *scaleFleet) startRealControllers() error {
@@ -285,17 +306,20 @@
 	return nil
 }
 
-// startHollowControllers starts the processes of hollow controllers, and these.
+// startHollowControllers starts the processes of hollow controllers, and the controllers in them.
 func (f *scaleFleet) startHollowControllers() error {
 	if len(f.hollow) == 0 {
 		return nil
 	}
-	laboratory, err := f.benchProgram()
+	program, err := f.benchProgram()
 	if err != nil {
 		return err
 	}
-	config := hollow.Config{Fleet: "scale", Keys: f.keyFile, Voters: f.voters(), Sites: zonesWithEngines(f.Engines), Lease: f.Lease, Election: scaleElectionTimeout, Heartbeat: scaleHeartbeatInterval,
-		WriteDelay: scaleWriteDelay, StartWithin: f.Lease / 4, Seed: f.Seed, Places: map[string]hollow.Place{}, DirectAddresses: map[string]string{}}
+	config := hollow.Config{Fleet: "scale", Keys: f.keyFile, Voters: f.voters(),
+		Sites: zonesWithEngines(f.Engines), Lease: f.Lease,
+		Election: scaleElectionTimeout, Heartbeat: scaleHeartbeatInterval, WriteDelay: scaleWriteDelay,
+		StartWithin: f.Lease / 4, Seed: f.Seed,
+		Places: map[string]hollow.Place{}, DirectAddresses: map[string]string{}}
 	if f.LinkDelays {
 		config.Links = scaleLinks
 	}
@@ -309,10 +333,11 @@
 	for part := range slices.Chunk(f.hollow, maxHollowPerProcess) {
 		config.Controllers = nil
 		for _, m := range part {
-			config.Controllers = append(config.Controllers, hollow.Member{Name: m.name, ListenAddress: m.listenAddress, ClientAddress: m.clientAddress, Place: m.place,
+			config.Controllers = append(config.Controllers, hollow.Member{Name: m.name,
+				ListenAddress: m.listenAddress, ClientAddress: m.clientAddress, Place: m.place,
 				Relays: f.relaysFor(m)})
 		}
-		p, err := startHollowProcess(f.ctx, laboratory, config, f.handleHollowEvent)
+		p, err := startHollowProcess(f.ctx, program, config, f.handleHollowEvent)
 		if err != nil {
 			return err
 		}
@@ -321,7 +346,7 @@
 	return f.sendHollowCommand(hollow.Command{Do: hollow.Start})
 }
 
-// handleHollowEvent takes what hollow controllers tell.
+// handleHollowEvent adds an event of a hollow controller to the checker.
 func (f *scaleFleet) handleHollowEvent(e hollow.Event) {
 	switch at := time.Unix(0, e.At); e.Kind {
 	case hollow.Serving:
@@ -331,7 +356,8 @@
 	}
 }
 
-// sendHollowCommand passes a command on to all hollow processes.
+// sendHollowCommand sends a command to all processes of hollow controllers. It also returns their earlier
+// failures.
 func (f *scaleFleet) sendHollowCommand(command hollow.Command) (err error) {
 	for _, p := range f.hollowProcesses {
 		err = errors.Join(err, p.failure(), p.send(command))
@@ -339,7 +365,7 @@
 	return err
 }
 
-// awaitAllServing waits until every controller serves.
+// awaitAllServing waits until all controllers serve.
 func (f *scaleFleet) awaitAllServing() error {
 	for _, m := range f.real {
 		if err := m.process.awaitServing(f.ctx, scaleServeTimeout, scalePollInterval); err != nil {
@@ -349,10 +375,10 @@
 	return f.awaitHollowServing(scaleServeTimeout)
 }
 
-// awaitHollowServing waits until every hollow controller serves.
-func (f *scaleFleet) awaitHollowServing(within time.Duration) error {
+// awaitHollowServing waits until all hollow controllers serve.
+func (f *scaleFleet) awaitHollowServing(timeout time.Duration) error {
 	want := len(f.hollow)
-	for end := time.Now().Add(within); f.checker.countServing() < want; sleep(f.ctx, scalePollInterval) {
+	for end := time.Now().Add(timeout); f.checker.countServing() < want; sleep(f.ctx, scalePollInterval) {
 		for _, p := range f.hollowProcesses {
 			if err := p.failure(); err != nil {
 				return err
@@ -362,40 +388,44 @@
 			return f.ctx.Err()
 		}
 		if time.Now().After(end) {
-			return fmt.Errorf("%d of %d hollow controllers serve after %v", f.checker.countServing(), want, within)
+			return fmt.Errorf("%d of %d hollow controllers serve after %v", f.checker.countServing(), want, timeout)
 		}
 	}
 	return nil
 }
 
-// findLeader is who leads by what most of the real ones say.
+// findLeader returns the leader once it is a real controller that reports itself as the leader. A hollow
+// leader is restarted, so that a real controller is elected.
 func (f *scaleFleet) findLeader() (*scaleMember, error) {
-	for end := time.Now().Add(scaleLeaderTimeout); time.Now().Before(end) && f.ctx.Err() == nil; sleep(f.ctx, scalePollInterval) {
+	for end := time.Now().Add(scaleLeaderTimeout); time.Now().Before(end) &&
+		f.ctx.Err() == nil; sleep(f.ctx, scalePollInterval) {
 		for _, m := range f.real {
 			if !m.process.answers() {
 				continue
 			}
-			l := f.byName[m.process.status(f.ctx).Leader]
-			if l != nil && l.process == nil {
-				if err := f.restartHollowLeader(l); err != nil {
+			leader := f.byName[m.process.status(f.ctx).Leader]
+			if leader != nil && leader.process == nil {
+				if err := f.restartHollowLeader(leader); err != nil {
 					return nil, err
 				}
-			} else if l != nil && l.process.answers() && l.process.status(f.ctx).Leader == l.name {
-				return l, nil
+			} else if leader != nil && leader.process.answers() &&
+				leader.process.status(f.ctx).Leader == leader.name {
+				return leader, nil
 			}
 		}
 	}
-	return nil, errors.New("nobody leads")
+	return nil, errors.New("no real controller became leader")
 }
 
-// restartHollowLeader has a hollow voter that leads be started anew, so that a process leads.
+// restartHollowLeader stops a hollow leader for three election timeouts, in which another voter is
+// elected, and starts it again.
 func (f *scaleFleet) restartHollowLeader(m *scaleMember) error {
 	err := f.sendHollowCommand(hollow.Command{Do: hollow.Stop, Names: []string{m.name}})
 	sleep(f.ctx, 3*scaleElectionTimeout)
 	return errors.Join(err, f.sendHollowCommand(hollow.Command{Do: hollow.Start, Names: []string{m.name}}))
 }
 
-// close ends all processes and listeners. It may be called twice.
+// close stops all processes and listeners. It may be called twice.
 func (f *scaleFleet) close() {
 	f.stop()
 	f.samplers.Wait()
