--- a/internal/bench/scale_growth.go
+++ b/internal/bench/scale_growth.go
@@ -11,42 +11,42 @@
 	"railrelay.dev/railrelay/internal/fleet"
 )
 
-// Growth looks at what time does to a fleet, not size: a record of members that came and
-// went, and of changes of policy.
+// Growth measures how the fleet's log affects a voter as it grows with time: with members that joined and
+// left, and with policy changes.
 type Growth struct {
 	Program string
-	Members int // that came and were forgotten
+	Members int // members that joined and were forgotten
 	Changes int
-	Steps   int // it is looked at so many times on the way
+	Steps   int // number of log sizes, after the empty log, at which a voter is measured
 	Lease   time.Duration
-	Seed    uint64 // only noted with the figures
+	Seed    uint64 // only recorded with the results
 	Record  func([]ScaleRow) error
 }
 
-// GrowthResult is what a voter with a record is like.
+// GrowthResult is the result for a voter that started from a log of one size.
 type GrowthResult struct {
 	Members, Changes int
 	LogEntries       int
 	SnapshotBytes    int
-	FileBytes        int64         // of the record on disk, once it serves
-	StartTime        time.Duration // from being started until it serves
-	MemoryMB         float64       // resident once it serves
-	ChangeTime       time.Duration // a change, from being asked for until the word
+	FileBytes        int64         // of the log's files, after the voter has started
+	StartTime        time.Duration // until the voter serves
+	MemoryMB         float64       // resident, once the voter serves
+	ChangeTime       time.Duration // of a policy change, from the request until it is in force
 }
 
 const entriesBetweenSnapshots = 50_000
 
-// Run builds the record step by step and starts a voter from it at each.
+// Run builds the log in steps. After each step it starts a voter from the log and measures it.
 func (g Growth) Run(ctx context.Context, out io.Writer) error {
 	if g.Steps < 1 || g.Members < 0 || g.Changes < 0 {
-		return &ScaleSizeError{"growth steps", g.Steps, "is under 1, or members or changes are under 0"}
+		return &ScaleSizeError{"growth steps", g.Steps, "is less than 1, or members or changes are negative"}
 	}
-	address, end, err := oneEngine(ctx)
+	feedAddress, closeEngine, err := oneEngine(ctx)
 	if err != nil {
 		return err
 	}
-	defer end()
-	b, err := newRecordBuilder(onlyVoter)
+	defer closeEngine()
+	builder, err := newRecordBuilder(onlyVoter)
 	if err != nil {
 		return err
 	}
@@ -54,29 +54,31 @@
 	members, changes := 0, 0
 	for step := 0; step <= g.Steps; step++ {
 		for goal := g.Members * step / g.Steps; members < goal; members++ {
-			if err := b.comeAndGo(); err != nil {
+			if err := builder.comeAndGo(); err != nil {
 				return err
 			}
-			if err := b.compactEvery(entriesBetweenSnapshots); err != nil {
+			if err := builder.compactEvery(entriesBetweenSnapshots); err != nil {
 				return err
 			}
 		}
 		for goal := g.Changes * step / g.Steps; changes < goal; changes++ {
-			if err := b.change(); err != nil {
+			if err := builder.change(); err != nil {
 				return err
 			}
-			if err := b.compactEvery(entriesBetweenSnapshots); err != nil {
+			if err := builder.compactEvery(entriesBetweenSnapshots); err != nil {
 				return err
 			}
 		}
-		grown, err := g.measure(ctx, address, b)
+		result, err := g.measure(ctx, feedAddress, builder)
 		if err != nil {
 			return err
 		}
-		grown.Members, grown.Changes = members, changes
-		fmt.Fprintf(out, "%d members that came and went, %d changes: %d entries, snapshot %d bytes, file %d bytes, serves after %.2f s, %.1f MB, a change in %.0f ms\n",
-			members, changes, grown.LogEntries, grown.SnapshotBytes, grown.FileBytes, grown.StartTime.Seconds(), grown.MemoryMB, inMS(grown.ChangeTime))
-		rows = append(rows, g.rows(grown)...)
+		result.Members, result.Changes = members, changes
+		fmt.Fprintf(out,
+			"former members %d, changes %d, entries %d, snapshot %d B, file %d B, start %.2fs, %.1f MB, change %.0f ms\n",
+			members, changes, result.LogEntries, result.SnapshotBytes, result.FileBytes,
+			result.StartTime.Seconds(), result.MemoryMB, inMS(result.ChangeTime))
+		rows = append(rows, g.rows(result)...)
 	}
 	if g.Record != nil {
 		return g.Record(rows)
@@ -84,59 +86,63 @@
 	return nil
 }
 
-// measure starts a voter from the record as it is.
-func (g Growth) measure(ctx context.Context, feedAddress string, b *recordBuilder) (grown GrowthResult, err error) {
-	if err := b.compact(); err != nil {
-		return grown, err
+// measure starts a voter from the present log and measures it.
+func (g Growth) measure(ctx context.Context, feedAddress string, builder *recordBuilder) (
+	result GrowthResult, err error,
+) {
+	if err := builder.compact(); err != nil {
+		return result, err
 	}
-	grown.LogEntries, grown.SnapshotBytes = int(b.state.Index), len(b.kept.Snapshot.Data)
-	f, took, err := Many{Program: g.Program, Lease: g.Lease}.startFrom(ctx, feedAddress, b.kept)
+	result.LogEntries, result.SnapshotBytes = int(builder.state.Index), len(builder.kept.Snapshot.Data)
+	f, took, err := Many{Program: g.Program, Lease: g.Lease}.startFrom(ctx, feedAddress, builder.kept)
 	if err != nil {
-		return grown, err
+		return result, err
 	}
 	defer f.close()
 	p := f.controllers[0]
-	grown.StartTime = took
+	result.StartTime = took
 	used, err := usageOf(p.command.Process.Pid)
 	if err != nil {
-		return grown, err
+		return result, err
 	}
-	grown.MemoryMB = used.Resident
-	asked := time.Now()
-	r, err := p.ask(ctx, &fleet.Request{Kind: "apply", ID: "grown", BaseVersion: b.state.Version, Policy: policyText(1, 1000), WaitMs: inForceWithin.Milliseconds()})
+	result.MemoryMB = used.Resident
+	requestedAt := time.Now()
+	response, err := p.ask(ctx, &fleet.Request{Kind: "apply", ID: "grown",
+		BaseVersion: builder.state.Version, Policy: policyText(1, 1000), WaitMs: inForceWithin.Milliseconds()})
 	if err != nil {
-		return grown, err
+		return result, err
 	}
-	if r.Outcome != "in force" {
-		return grown, fmt.Errorf("a change is %s: %s", r.Outcome, r.Reason)
+	if response.Outcome != "in force" {
+		return result, fmt.Errorf("policy change is %s: %s", response.Outcome, response.Reason)
 	}
-	grown.ChangeTime = time.Since(asked)
-	grown.FileBytes, err = directorySize(p.directory)
-	return grown, err
+	result.ChangeTime = time.Since(requestedAt)
+	result.FileBytes, err = directorySize(p.directory)
+	return result, err
 }
 
-// directorySize is what a directory's files have together.
+// directorySize returns the sum of the sizes of a directory's files.
 func directorySize(directory string) (sum int64, err error) {
 	entries, err := os.ReadDir(directory)
 	for _, e := range entries {
-		about, statErr := os.Stat(filepath.Join(directory, e.Name()))
+		info, statErr := os.Stat(filepath.Join(directory, e.Name()))
 		if statErr != nil {
 			return 0, statErr
 		}
-		sum += about.Size()
+		sum += info.Size()
 	}
 	return sum, err
 }
 
-// rows are its figures; their size is the number of members that came and went.
-func (g Growth) rows(x GrowthResult) (rows []ScaleRow) {
+// rows returns the rows of a result. Their size is the number of members that joined and were forgotten.
+func (g Growth) rows(result GrowthResult) (rows []ScaleRow) {
 	add := func(what string, value float64, unit string) {
-		rows = append(rows, ScaleRow{"voter", fmt.Sprintf("grown by %d changes, %s", x.Changes, what), x.Members, g.Seed, value, unit})
+		rows = append(rows, ScaleRow{"voter", fmt.Sprintf("grown by %d changes, %s", result.Changes, what),
+			result.Members, g.Seed, value, unit})
 	}
-	add("snapshot", float64(x.SnapshotBytes), "bytes")
-	add("record file", float64(x.FileBytes), "bytes")
-	add("start until it serves", inMS(x.StartTime), "ms")
-	add("memory", x.MemoryMB, "MB")
-	add("a change told in force", inMS(x.ChangeTime), "ms")
+	add("snapshot", float64(result.SnapshotBytes), "bytes")
+	add("record file", float64(result.FileBytes), "bytes")
+	add("start until it serves", inMS(result.StartTime), "ms")
+	add("memory", result.MemoryMB, "MB")
+	add("a change told in force", inMS(result.ChangeTime), "ms")
 	return rows
 }
--- a/internal/bench/scale_hollow.go
+++ b/internal/bench/scale_hollow.go
@@ -16,9 +16,9 @@
 	"railrelay.dev/railrelay/internal/emulator/hollow"
 )
 
-const maxHollowPerProcess = 200 // controllers in one process
+const maxHollowPerProcess = 200
 
-// hollowProcess is a process of hollow controllers, driven by this one.
+// hollowProcess is a process with hollow controllers, which this process controls.
 type hollowProcess struct {
 	names   []string
 	command *exec.Cmd
@@ -27,13 +27,14 @@
 
 	mu       sync.Mutex
 	failures []hollow.Event
-	reports  map[int]map[string]*hollow.Counts // by round and name
+	reports  map[int]map[string]*hollow.Counts // by round of hollow.Report and by controller
 }
 
-// startHollowProcess starts a process; its controllers are only prepared. onEvent is given what
-// they tell of serving, on one goroutine.
-func startHollowProcess(ctx context.Context, laboratory string, config hollow.Config, onEvent func(hollow.Event)) (*hollowProcess, error) {
-	command := exec.CommandContext(ctx, laboratory, "hollow")
+// startHollowProcess starts a process with hollow controllers, which wait for hollow.Start. One goroutine
+// calls onEvent with the events Serving and Ended.
+func startHollowProcess(ctx context.Context, program string, config hollow.Config,
+	onEvent func(hollow.Event)) (*hollowProcess, error) {
+	command := exec.CommandContext(ctx, program, "hollow")
 	command.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
 	command.Stderr = os.Stderr
 	input, err := command.StdinPipe()
@@ -47,7 +48,8 @@
 	if err := command.Start(); err != nil {
 		return nil, err
 	}
-	p := &hollowProcess{command: command, input: input, exited: make(chan struct{}), reports: map[int]map[string]*hollow.Counts{}}
+	p := &hollowProcess{command: command, input: input, exited: make(chan struct{}),
+		reports: map[int]map[string]*hollow.Counts{}}
 	for _, c := range config.Controllers {
 		p.names = append(p.names, c.Name)
 	}
@@ -59,6 +61,7 @@
 	return p, nil
 }
 
+// readEvents reads the process's events until the process exits.
 func (p *hollowProcess) readEvents(output io.Reader, onEvent func(hollow.Event)) {
 	defer close(p.exited)
 	for lines := bufio.NewScanner(output); lines.Scan(); {
@@ -85,10 +88,13 @@
 	p.command.Wait()
 }
 
-// send sends a command on to those of its names that are in this process; none: all.
+// send sends a command to the controllers that the command names and this process has. A command without
+// names goes to all controllers of the process.
 func (p *hollowProcess) send(command hollow.Command) error {
 	if len(command.Names) > 0 {
-		command.Names = slices.DeleteFunc(slices.Clone(command.Names), func(name string) bool { return !slices.Contains(p.names, name) })
+		command.Names = slices.DeleteFunc(slices.Clone(command.Names), func(name string) bool {
+			return !slices.Contains(p.names, name)
+		})
 		if len(command.Names) == 0 {
 			return nil
 		}
@@ -96,7 +102,7 @@
 	return json.NewEncoder(p.input).Encode(command)
 }
 
-// failure is the first thing that a controller of it couldn't do.
+// failure returns the first failure that a controller of the process reported, or nil.
 func (p *hollowProcess) failure() error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -108,27 +114,27 @@
 
 const hollowCountTimeout = 10 * time.Second
 
-// collectCounts asks all for their sums, under a round that wasn't used before.
+// collectCounts returns the counters of all controllers of the process. The round must be a new number.
 func (p *hollowProcess) collectCounts(round int) (map[string]*hollow.Counts, error) {
 	if err := p.send(hollow.Command{Do: hollow.Report, Round: round}); err != nil {
 		return nil, err
 	}
 	for end := time.Now().Add(hollowCountTimeout); time.Now().Before(end); time.Sleep(time.Millisecond) {
 		p.mu.Lock()
-		all := p.reports[round]
-		whole := len(all) == len(p.names)
-		if whole {
+		counts := p.reports[round]
+		complete := len(counts) == len(p.names)
+		if complete {
 			delete(p.reports, round)
 		}
 		p.mu.Unlock()
-		if whole {
-			return all, nil
+		if complete {
+			return counts, nil
 		}
 	}
-	return nil, fmt.Errorf("hollow controllers didn't tell their sums within %v", hollowCountTimeout)
+	return nil, fmt.Errorf("hollow controllers didn't report their counters within %v", hollowCountTimeout)
 }
 
-// close ends the process and waits for it.
+// close kills the process and waits until it has exited.
 func (p *hollowProcess) close() {
 	p.input.Close()
 	p.command.Process.Kill()
--- a/internal/bench/scale_judge.go
+++ b/internal/bench/scale_judge.go
@@ -8,37 +8,37 @@
 	"time"
 )
 
-// scaleChecker holds what controllers of a scale run served by against the words that
-// operators were told. Hollow controllers tell spans exactly; real ones are seen by
-// samples of their status, each true at some moment between asking and answer. All times
-// are of one machine's clock. It may be used by several goroutines.
+// scaleChecker compares the policy versions that controllers served under with the outcomes of changes
+// that operators received. Hollow controllers report exactly when they serve. Real controllers are
+// sampled: each status was true at some time between the request and the response. All times are from
+// the clock of one machine. A scaleChecker may be used by several goroutines.
 type scaleChecker struct {
 	mu            sync.Mutex
 	activeSpans   map[string]servingSpan // by controller
-	endedSpans    []servingSpan          // that have ended
+	endedSpans    []servingSpan
 	samples       []servingSample
 	outcomes      []observedOutcome
-	policyDigests map[string]uint64 // by id: digest of the policy's text
+	policyDigests map[string]uint64 // by ID of the change
 }
 
-// servingSpan is a time in which a controller served by one version.
+// servingSpan is a time in which a controller served under one version of the policy.
 type servingSpan struct {
 	controller   string
 	version      uint64
-	policyDigest uint64 // digest of its text, 0: the set-up's own
+	policyDigest uint64 // 0 for the policy of the configuration file
 	from, to     time.Time
 }
 
-// servingSample is a status that was asked for.
+// servingSample is the status that a real controller reported.
 type servingSample struct {
 	controller              string
 	requestedAt, answeredAt time.Time
 	serves                  bool
 	version                 uint64
-	leaseRemainingMS        int64 // that it says is left
+	leaseRemainingMS        int64 // -1: the lease has no end
 }
 
-// observedOutcome is a word on a change as an operator got it.
+// observedOutcome is the outcome of a change that a controller reported to an operator.
 type observedOutcome struct {
 	changeID, controller string
 	outcome              string
@@ -46,13 +46,13 @@
 	at                   time.Time
 }
 
-// scaleViolations counts what was broken, and says how in words.
+// scaleViolations counts the violations by kind and describes the first of them.
 type scaleViolations struct {
-	Mixed        int // a controller served by a version after another one served by a later one
-	Half         int // what was withdrawn acted, or what was told to be in force didn't on one that served
-	FalseWord    int // two words on one change contradict each other
-	ServedAfter  int // a controller began to serve by an older version after the word, or served without a lease
-	Spans        int // that were judged
+	Mixed        int // a controller served under a version after another had served under a later one
+	Half         int // a withdrawn policy was served, or one in force wasn't by a controller that served
+	FalseWord    int // two reported outcomes contradict each other
+	ServedAfter  int // a controller served anew under a replaced version, or without a lease
+	Spans        int // number of checked spans
 	Samples      int
 	Outcomes     int
 	Descriptions []string
@@ -62,62 +62,64 @@
 	return &scaleChecker{activeSpans: map[string]servingSpan{}, policyDigests: map[string]uint64{}}
 }
 
-// beginSpan: a controller serves by a version from now on.
-func (j *scaleChecker) beginSpan(controller string, version, policy uint64, at time.Time) {
-	j.mu.Lock()
-	defer j.mu.Unlock()
-	j.activeSpans[controller] = servingSpan{controller: controller, version: version, policyDigest: policy, from: at}
+// beginSpan records that a controller serves under a version from a time on.
+func (c *scaleChecker) beginSpan(controller string, version, policyDigest uint64, at time.Time) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.activeSpans[controller] = servingSpan{controller: controller, version: version, policyDigest: policyDigest,
+		from: at}
 }
 
-// endSpan: it served until a time.
-func (j *scaleChecker) endSpan(controller string, at time.Time) {
-	j.mu.Lock()
-	defer j.mu.Unlock()
-	span, had := j.activeSpans[controller]
-	if !had {
+// endSpan records that a controller served until a time.
+func (c *scaleChecker) endSpan(controller string, at time.Time) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	span, ok := c.activeSpans[controller]
+	if !ok {
 		return
 	}
-	delete(j.activeSpans, controller)
+	delete(c.activeSpans, controller)
 	span.to = at
-	j.endedSpans = append(j.endedSpans, span)
+	c.endedSpans = append(c.endedSpans, span)
 }
 
-func (j *scaleChecker) addSample(s servingSample) {
-	j.mu.Lock()
-	defer j.mu.Unlock()
-	j.samples = append(j.samples, s)
+func (c *scaleChecker) addSample(s servingSample) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.samples = append(c.samples, s)
 }
 
-// addChange: a change with a text of this digest was asked for.
-func (j *scaleChecker) addChange(id string, policy uint64) {
-	j.mu.Lock()
-	defer j.mu.Unlock()
-	j.policyDigests[id] = policy
+// addChange records that a change to a policy with a digest was requested.
+func (c *scaleChecker) addChange(id string, policyDigest uint64) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.policyDigests[id] = policyDigest
 }
 
-// addOutcome: somebody got a word. One that isn't known yet is none.
-func (j *scaleChecker) addOutcome(w observedOutcome) {
-	if w.outcome == "settled" {
-		w.outcome = "in force"
+// addOutcome records a reported outcome of a change. It ignores outcomes that aren't final, such as
+// "unknown", and treats "settled" as "in force".
+func (c *scaleChecker) addOutcome(o observedOutcome) {
+	if o.outcome == "settled" {
+		o.outcome = "in force"
 	}
-	if w.outcome != "in force" && w.outcome != "withdrawn" && w.outcome != "refused" {
+	if o.outcome != "in force" && o.outcome != "withdrawn" && o.outcome != "refused" {
 		return
 	}
-	j.mu.Lock()
-	defer j.mu.Unlock()
-	j.outcomes = append(j.outcomes, w)
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.outcomes = append(c.outcomes, o)
 }
 
-// countServing is how many controllers serve, of those that tell spans.
-func (j *scaleChecker) countServing() int {
-	j.mu.Lock()
-	defer j.mu.Unlock()
-	return len(j.activeSpans)
+// countServing returns the number of controllers with an active span.
+func (c *scaleChecker) countServing() int {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return len(c.activeSpans)
 }
 
-// countServingAt is how many served at a time, of those that tell spans.
-func (j *scaleChecker) countServingAt(at time.Time) (n int) {
-	for _, s := range j.allSpans(time.Now()) {
+// countServingAt returns the number of controllers with a span that includes a time.
+func (c *scaleChecker) countServingAt(at time.Time) (n int) {
+	for _, s := range c.allSpans(time.Now()) {
 		if !s.from.After(at) && s.to.After(at) {
 			n++
 		}
@@ -125,9 +127,9 @@
 	return n
 }
 
-// lastStart is when the last of those that serve now began by a version; zero if none has.
-func (j *scaleChecker) lastStart(version uint64) (last time.Time) {
-	for _, s := range j.allSpans(time.Now()) {
+// lastStart returns when the last span under a version started, or the zero time if there is none.
+func (c *scaleChecker) lastStart(version uint64) (last time.Time) {
+	for _, s := range c.allSpans(time.Now()) {
 		if s.version == version && s.from.After(last) {
 			last = s.from
 		}
@@ -135,83 +137,87 @@
 	return last
 }
 
-// allSpans gives every span; those that go on end now.
-func (j *scaleChecker) allSpans(now time.Time) []servingSpan {
-	j.mu.Lock()
-	defer j.mu.Unlock()
-	all := slices.Clone(j.endedSpans)
-	for _, s := range j.activeSpans {
+// allSpans returns all spans. Active spans end now.
+func (c *scaleChecker) allSpans(now time.Time) []servingSpan {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	spans := slices.Clone(c.endedSpans)
+	for _, s := range c.activeSpans {
 		s.to = now
-		all = append(all, s)
+		spans = append(spans, s)
 	}
-	return all
+	return spans
 }
 
-// findViolations judges all that was told so far.
-func (j *scaleChecker) findViolations() scaleViolations {
-	spans := j.allSpans(time.Now())
-	j.mu.Lock()
-	defer j.mu.Unlock()
+// findViolations checks everything that was recorded so far.
+func (c *scaleChecker) findViolations() scaleViolations {
+	spans := c.allSpans(time.Now())
+	c.mu.Lock()
+	defer c.mu.Unlock()
 	slices.SortFunc(spans, func(a, b servingSpan) int {
 		return cmp.Or(a.from.Compare(b.from), cmp.Compare(a.controller, b.controller))
 	})
-	v := scaleViolations{Spans: len(spans), Samples: len(j.samples), Outcomes: len(j.outcomes)}
-	first := j.firstServed(spans)
+	v := scaleViolations{Spans: len(spans), Samples: len(c.samples), Outcomes: len(c.outcomes)}
+	first := c.firstServed(spans)
 	for _, s := range spans {
 		if later, at := first.laterVersionBefore(s.version, s.to); later != 0 {
-			v.add(&v.Mixed, "mixed: %s served by version %d until %v after version %d was served by", s.controller, s.version, s.to.Sub(at), later)
+			v.add(&v.Mixed, "mixed: %s served under version %d until %v after version %d was first served",
+				s.controller, s.version, s.to.Sub(at), later)
 		}
 	}
-	for _, s := range j.samples {
+	for _, s := range c.samples {
 		if !s.serves {
 			continue
 		}
 		if later, at := first.laterVersionBefore(s.version, s.requestedAt); later != 0 {
-			v.add(&v.Mixed, "mixed: %s said %v after version %d was served by that it serves by version %d", s.controller, s.requestedAt.Sub(at), later, s.version)
+			v.add(&v.Mixed,
+				"mixed: %s reported, %v after version %d was first served, that it serves under version %d",
+				s.controller, s.requestedAt.Sub(at), later, s.version)
 		}
 		if s.leaseRemainingMS == 0 {
-			v.add(&v.ServedAfter, "served_after: %s said that it serves, with no lease left", s.controller)
+			v.add(&v.ServedAfter, "served_after: %s reported that it serves without a lease", s.controller)
 		}
 	}
-	byID := j.checkOutcomesAgree(&v)
-	for _, w := range byID {
-		j.checkServedAsReported(&v, w, spans)
+	firstOutcomes := c.checkOutcomesAgree(&v)
+	for _, o := range firstOutcomes {
+		c.checkServedAsReported(&v, o, spans)
 	}
 	return v
 }
 
-// add counts one fault and keeps the first of them in words.
-func (v *scaleViolations) add(count *int, form string, args ...any) {
+// add counts one violation. It adds the description unless there are enough of them.
+func (v *scaleViolations) add(count *int, format string, args ...any) {
 	*count++
 	if len(v.Descriptions) < maxDescribedViolations {
-		v.Descriptions = append(v.Descriptions, fmt.Sprintf(form, args...))
+		v.Descriptions = append(v.Descriptions, fmt.Sprintf(format, args...))
 	}
 }
 
 const maxDescribedViolations = 20
 
-// firstServedTimes are when versions were first served by.
+// firstServedTimes has the time at which each version was served for the first time.
 type firstServedTimes map[uint64]time.Time
 
-func (j *scaleChecker) firstServed(spans []servingSpan) firstServedTimes {
+func (c *scaleChecker) firstServed(spans []servingSpan) firstServedTimes {
 	first := firstServedTimes{}
-	note := func(version uint64, at time.Time) {
-		if had, is := first[version]; !is || at.Before(had) {
+	add := func(version uint64, at time.Time) {
+		if earliest, ok := first[version]; !ok || at.Before(earliest) {
 			first[version] = at
 		}
 	}
 	for _, s := range spans {
-		note(s.version, s.from)
+		add(s.version, s.from)
 	}
-	for _, s := range j.samples {
+	for _, s := range c.samples {
 		if s.serves {
-			note(s.version, s.answeredAt)
+			add(s.version, s.answeredAt)
 		}
 	}
 	return first
 }
 
-// laterVersionBefore gives a version later than this one that was served by before a time.
+// laterVersionBefore returns a version later than the given one that was served before a time, and when
+// that version was first served. It returns 0 if there is none.
 func (f firstServedTimes) laterVersionBefore(version uint64, end time.Time) (later uint64, at time.Time) {
 	for v, at := range f {
 		if v > version && at.Before(end) {
@@ -221,54 +227,62 @@
 	return 0, time.Time{}
 }
 
-// checkOutcomesAgree holds the words on each change against each other, and those on one version.
-// It gives the first word on each.
-func (j *scaleChecker) checkOutcomesAgree(v *scaleViolations) []observedOutcome {
+// checkOutcomesAgree checks that the outcomes of each change don't contradict each other, and that no two
+// changes are in force as the same version. It returns the first outcome of each change.
+func (c *scaleChecker) checkOutcomesAgree(v *scaleViolations) []observedOutcome {
 	first, byVersion, list := map[string]observedOutcome{}, map[uint64]string{}, []observedOutcome(nil)
-	for _, w := range j.outcomes {
-		had, is := first[w.changeID]
-		if !is {
-			first[w.changeID] = w
-			list = append(list, w)
-		} else if had.outcome != w.outcome && (had.outcome == "in force" || w.outcome == "in force") || w.outcome == "in force" && had.version != w.version {
-			v.add(&v.FalseWord, "false_word: %s told that %s is %s (version %d), %s that it is %s (version %d)",
-				had.controller, w.changeID, had.outcome, had.version, w.controller, w.outcome, w.version)
+	for _, o := range c.outcomes {
+		previous, ok := first[o.changeID]
+		if !ok {
+			first[o.changeID] = o
+			list = append(list, o)
+		} else if previous.outcome != o.outcome && (previous.outcome == "in force" || o.outcome == "in force") ||
+			o.outcome == "in force" && previous.version != o.version {
+			v.add(&v.FalseWord, "false_word: %s reported that %s is %s (version %d), %s that it is %s (version %d)",
+				previous.controller, o.changeID, previous.outcome, previous.version,
+				o.controller, o.outcome, o.version)
 		}
-		if w.outcome != "in force" {
+		if o.outcome != "in force" {
 			continue
 		}
-		if other, is := byVersion[w.version]; is && other != w.changeID {
-			v.add(&v.FalseWord, "false_word: version %d was told to be %s and to be %s", w.version, other, w.changeID)
+		if other, ok := byVersion[o.version]; ok && other != o.changeID {
+			v.add(&v.FalseWord, "false_word: version %d was reported for both %s and %s",
+				o.version, other, o.changeID)
 		}
-		byVersion[w.version] = w.changeID
+		byVersion[o.version] = o.changeID
 	}
 	return list
 }
 
-// checkServedAsReported holds what was served against the first word on a change.
-func (j *scaleChecker) checkServedAsReported(v *scaleViolations, w observedOutcome, spans []servingSpan) {
-	policy := j.policyDigests[w.changeID]
+// checkServedAsReported compares what was served with the first reported outcome of a change.
+func (c *scaleChecker) checkServedAsReported(v *scaleViolations, o observedOutcome, spans []servingSpan) {
+	policyDigest := c.policyDigests[o.changeID]
 	for _, s := range spans {
 		switch {
-		case w.outcome != "in force":
-			if policy != 0 && s.policyDigest == policy {
-				v.add(&v.Half, "half: %s served by %s, which was %s", s.controller, w.changeID, w.outcome)
+		case o.outcome != "in force":
+			if policyDigest != 0 && s.policyDigest == policyDigest {
+				v.add(&v.Half, "half: %s served under %s, which was %s", s.controller, o.changeID, o.outcome)
 			}
-		case s.version == w.version && policy != 0 && s.policyDigest != policy:
-			v.add(&v.Half, "half: %s served by another policy as version %d than %s", s.controller, s.version, w.changeID)
-		case s.version >= w.version || !s.to.After(w.at):
-		case s.from.After(w.at):
-			v.add(&v.ServedAfter, "served_after: %s began to serve by version %d, %v after %s was told to be in force", s.controller, s.version, s.from.Sub(w.at), w.changeID)
+		case s.version == o.version && policyDigest != 0 && s.policyDigest != policyDigest:
+			v.add(&v.Half, "half: %s served under version %d with a policy other than that of %s",
+				s.controller, s.version, o.changeID)
+		case s.version >= o.version || !s.to.After(o.at):
+		case s.from.After(o.at):
+			v.add(&v.ServedAfter,
+				"served_after: %s started to serve under version %d, %v after %s was reported in force",
+				s.controller, s.version, s.from.Sub(o.at), o.changeID)
 		default:
-			v.add(&v.Half, "half: %s served by version %d when %s (version %d) was told to be in force", s.controller, s.version, w.changeID, w.version)
+			v.add(&v.Half, "half: %s still served under version %d when %s (version %d) was reported in force",
+				s.controller, s.version, o.changeID, o.version)
 		}
 	}
-	if w.outcome != "in force" {
+	if o.outcome != "in force" {
 		return
 	}
-	for _, s := range j.samples {
-		if s.serves && s.version < w.version && s.requestedAt.After(w.at) {
-			v.add(&v.ServedAfter, "served_after: %s served by version %d, %v after %s was told to be in force", s.controller, s.version, s.requestedAt.Sub(w.at), w.changeID)
+	for _, s := range c.samples {
+		if s.serves && s.version < o.version && s.requestedAt.After(o.at) {
+			v.add(&v.ServedAfter, "served_after: %s served under version %d, %v after %s was reported in force",
+				s.controller, s.version, s.requestedAt.Sub(o.at), o.changeID)
 		}
 	}
 }
--- a/internal/bench/scale_limits.go
+++ b/internal/bench/scale_limits.go
@@ -13,7 +13,7 @@
 	"railrelay.dev/railrelay/internal/fleet"
 )
 
-// ScaleSizeError is a size that a scale run can't have.
+// ScaleSizeError reports a setting whose value a scale run can't have.
 type ScaleSizeError struct {
 	Setting string
 	Value   int
@@ -24,34 +24,35 @@
 	return fmt.Sprintf("%s: %d %s", e.Setting, e.Value, e.Problem)
 }
 
-// Remedy says what to do.
+// Remedy returns what an operator can do.
 func (e *ScaleSizeError) Remedy() string {
-	return "give another number: railrelay-bench scale --help says which are possible"
+	return "use another number; railrelay-bench scale --help has the possible ones"
 }
 
-// ScaleResourceError is a machine that hasn't enough of something for the size asked for.
+// ScaleResourceError reports that the machine has too little of a resource for the size of a run.
 type ScaleResourceError struct {
 	Resource          string
 	Needed, Available int
 	Unit              string
-	Advice            string // how to have more of it
+	Advice            string // how to make more available
 }
 
 func (e *ScaleResourceError) Error() string {
-	return fmt.Sprintf("%s: about %d %s are needed for this size, %d may be used", e.Resource, e.Needed, e.Unit, e.Available)
+	return fmt.Sprintf("%s: this size needs about %d %s, but only %d are available",
+		e.Resource, e.Needed, e.Unit, e.Available)
 }
 
-// Remedy says what to do.
+// Remedy returns what an operator can do.
 func (e *ScaleResourceError) Remedy() string {
-	return e.Advice + ", or ask for fewer controllers or engines"
+	return e.Advice + ", or use fewer controllers or engines"
 }
 
 const (
 	maxRealControllers  = 1024
-	maxScaleControllers = 1200 // the record is for 1,024 beside its voters; the curve is looked at a little beyond
+	maxScaleControllers = 1200 // a fleet has up to 1,024 members besides its voters; runs go a little beyond
 	maxScaleEngines     = 10_000
 
-	// What one of a kind takes, rounded up from what was seen.
+	// Memory and descriptors of one item of a kind, rounded up.
 	realControllerMB        = 30
 	realMBPerEngine         = 0.02
 	engineConnectionMB      = 0.04
@@ -59,37 +60,40 @@
 	benchProcessMB          = 150
 	hollowDescriptors       = 12
 	benchProcessDescriptors = 500
-	linkDescriptors         = 16 // of a process's connections through links
+	linkDescriptors         = 16 // of the connections of one real controller through links
 )
 
-// validate refuses what can't be played, before anything starts.
+// validate returns an error if the run is impossible with these settings or on this machine.
 func (s Scale) validate() error {
 	switch {
 	case s.Controllers < 2:
-		return &ScaleSizeError{"controllers", s.Controllers, "is under 2: a fleet has more than one"}
+		return &ScaleSizeError{"controllers", s.Controllers, "is less than 2: a fleet has more than one controller"}
 	case s.Real > maxRealControllers:
-		return &ScaleSizeError{"real", s.Real, fmt.Sprintf("is over %d processes", maxRealControllers)}
+		return &ScaleSizeError{"real", s.Real, fmt.Sprintf("is more than %d processes", maxRealControllers)}
 	case s.Controllers > maxScaleControllers:
-		return &ScaleSizeError{"controllers", s.Controllers, fmt.Sprintf("is over %d", maxScaleControllers)}
+		return &ScaleSizeError{"controllers", s.Controllers, fmt.Sprintf("is more than %d", maxScaleControllers)}
 	case s.Real > s.Controllers:
-		return &ScaleSizeError{"real", s.Real, fmt.Sprintf("is over the %d controllers", s.Controllers)}
+		return &ScaleSizeError{"real", s.Real, fmt.Sprintf("is more than the %d controllers", s.Controllers)}
 	case s.hasSlowDisk() && (s.Voters < 3 || s.Real >= s.Controllers):
-		return &ScaleSizeError{"voters", s.Voters, "leave no hollow one among three, whose disk can be slow"}
+		return &ScaleSizeError{"voters", s.Voters, "leave no hollow voter among three, whose disk can be slow"}
 	case !slices.Contains([]int{1, 3, 5, 7}, s.Voters):
 		return &ScaleSizeError{"voters", s.Voters, "isn't 1, 3, 5 or 7"}
 	case s.Voters > s.Real:
-		return &ScaleSizeError{"voters", s.Voters, fmt.Sprintf("is over the %d real controllers: voters are real", s.Real)}
+		return &ScaleSizeError{"voters", s.Voters,
+			fmt.Sprintf("is more than the %d real controllers: voters are real", s.Real)}
 	case s.Relays == 1:
-		return &ScaleSizeError{"relays", s.Relays, "leaves no second one: a controller knows two"}
+		return &ScaleSizeError{"relays", s.Relays, "is too few: a controller uses two relays"}
 	case s.Relays > s.Real-s.Voters:
-		return &ScaleSizeError{"relays", s.Relays, fmt.Sprintf("is over the %d real controllers that don't vote", s.Real-s.Voters)}
+		return &ScaleSizeError{"relays", s.Relays,
+			fmt.Sprintf("is more than the %d real controllers that aren't voters", s.Real-s.Voters)}
 	case s.Engines < 1 || s.Engines > maxScaleEngines:
 		return &ScaleSizeError{"engines", s.Engines, fmt.Sprintf("isn't between 1 and %d", maxScaleEngines)}
 	case s.LargeChanges > s.Changes:
-		return &ScaleSizeError{"large", s.LargeChanges, fmt.Sprintf("is over the %d changes", s.Changes)}
+		return &ScaleSizeError{"large", s.LargeChanges, fmt.Sprintf("is more than the %d changes", s.Changes)}
 	}
 	if s.Compare != 0 && s.Compare < 2*s.Voters {
-		return &ScaleSizeError{"compare", s.Compare, "has fewer real controllers in its half than vote"}
+		return &ScaleSizeError{"compare", s.Compare,
+			"gives the half hollow fleet fewer real controllers than voters"}
 	}
 	for _, name := range s.Faults {
 		if scaleFaults[name] == nil {
@@ -102,8 +106,8 @@
 	return s.checkMemory()
 }
 
-// requiredDescriptors are those of the process that needs the most: this one holds the engines'
-// ends of all connections.
+// requiredDescriptors returns the number of file descriptors of the process that needs the most. This
+// process holds the engines' ends of all connections.
 func (s Scale) requiredDescriptors() int {
 	own := s.Engines + s.Real*s.Engines + benchProcessDescriptors + linkDescriptors*s.Real
 	return max(own, hollowDescriptors*maxHollowPerProcess, 2*s.Controllers+s.Engines+benchProcessDescriptors)
@@ -114,34 +118,36 @@
 	if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &limit); err != nil {
 		return err
 	}
-	have := int(min(limit.Cur, math.MaxInt32)) // it may have no limit
-	return checkAvailable("file descriptors", s.requiredDescriptors(), have, "descriptors a process", "raise ulimit -n")
+	available := int(min(limit.Cur, math.MaxInt32)) // the limit may be infinite
+	return checkAvailable("file descriptors", s.requiredDescriptors(), available, "descriptors per process",
+		"raise ulimit -n")
 }
 
-// checkAvailable is an error where less may be used than is needed.
-func checkAvailable(what string, needed, have int, unit, raise string) error {
-	if needed > have {
-		return &ScaleResourceError{what, needed, have, unit, raise}
+// checkAvailable returns a ScaleResourceError if less of a resource is available than needed.
+func checkAvailable(resource string, needed, available int, unit, advice string) error {
+	if needed > available {
+		return &ScaleResourceError{resource, needed, available, unit, advice}
 	}
 	return nil
 }
 
-// requiredMemoryMB is what the whole run should take.
+// requiredMemoryMB returns an estimate of the memory of all processes of the run.
 func (s Scale) requiredMemoryMB() int {
 	perReal := realControllerMB + float64(s.Engines)*(realMBPerEngine+engineConnectionMB)
 	return benchProcessMB + int(float64(s.Real)*perReal+float64(s.Controllers-s.Real)*hollowControllerMB)
 }
 
-// checkMemory lets a run take what is available, and half of the machine's at the most.
+// checkMemory checks that the run fits into the available memory and into half of the machine's memory.
 func (s Scale) checkMemory() error {
 	total, available, err := machineMemory()
 	if err != nil {
 		return err
 	}
-	return checkAvailable("memory", s.requiredMemoryMB(), min(available, total/2), "MB", "end other programs: half of the machine's memory may be used")
+	return checkAvailable("memory", s.requiredMemoryMB(), min(available, total/2), "MB",
+		"stop other programs (a run uses at most half of the machine's memory)")
 }
 
-// machineMemory is what the machine has, in MB.
+// machineMemory returns the machine's total and available memory in MB.
 func machineMemory() (total, available int, err error) {
 	f, err := os.Open("/proc/meminfo")
 	if err != nil {
@@ -164,10 +170,10 @@
 	return total, available, nil
 }
 
-// Errors is one of each kind that a run at a size ends with, for the test that walks all.
+// Errors returns one error of each kind that a scale run can return, for the test that checks all remedies.
 func Errors() []fleet.ErrorWithRemedy {
 	return []fleet.ErrorWithRemedy{
-		&ScaleSizeError{Setting: "controllers", Value: 1, Problem: "is under 2"},
+		&ScaleSizeError{Setting: "controllers", Value: 1, Problem: "is less than 2"},
 		&ScaleResourceError{Resource: "descriptors", Needed: 5000, Available: 1024, Unit: "of them"},
 		&UnknownScaleFaultError{Name: "flood"},
 	}
--- a/internal/bench/scale_report.go
+++ b/internal/bench/scale_report.go
@@ -9,15 +9,15 @@
 	"time"
 )
 
-// scaleResult is what a run came to.
+// scaleResult has the results of a run.
 type scaleResult struct {
 	Scale
-	StartTime   time.Duration // from the first start until all serve
+	StartTime   time.Duration // from the first start until all controllers serve
 	Rest        scaleUsage
 	WholeRun    scaleUsage
 	Phases      []scalePhase
 	Violations  scaleViolations
-	HollowRatio float64 // 0: not compared
+	HollowRatio float64 // of compareHollowWithReal; 0: not compared
 	Processes   int
 	MemoryMB    float64 // of all processes together
 	Duration    time.Duration
@@ -25,16 +25,16 @@
 
 func ownPID() int { return os.Getpid() }
 
-// outcomeTimes are the times of all changes until their word, in order.
-func (r *scaleResult) outcomeTimes() (l []time.Duration) {
+// outcomeTimes returns the times until the outcomes of all changes were reported, in ascending order.
+func (r *scaleResult) outcomeTimes() (times []time.Duration) {
 	for _, p := range r.Phases {
-		l = append(l, p.outcomeTimes()...)
+		times = append(times, p.outcomeTimes()...)
 	}
-	slices.Sort(l)
-	return l
+	slices.Sort(times)
+	return times
 }
 
-// countFaultPhases counts the phases with a fault in which something was changed.
+// countFaultPhases returns the number of phases with both a fault and a policy change.
 func (r *scaleResult) countFaultPhases() (n int) {
 	for _, p := range r.Phases {
 		if p.IsFault && len(p.Changes) > 0 {
@@ -44,65 +44,71 @@
 	return n
 }
 
-// print says what was broken, and everything in one line.
+// print prints the descriptions of violations and a line with all measurements.
 func (r *scaleResult) print(out io.Writer) {
-	for _, what := range r.Violations.Descriptions {
-		fmt.Fprintln(out, what)
+	for _, description := range r.Violations.Descriptions {
+		fmt.Fprintln(out, description)
 	}
-	v, l := r.Violations, r.outcomeTimes()
-	fmt.Fprintf(out, "judged %d spans, %d samples of real ones, %d words; took %.1f s\n", v.Spans, v.Samples, v.Outcomes, r.Duration.Seconds())
+	v, times := r.Violations, r.outcomeTimes()
+	fmt.Fprintf(out, "checked %d spans, %d samples of real controllers, %d outcomes; took %.1f s\n",
+		v.Spans, v.Samples, v.Outcomes, r.Duration.Seconds())
 	fmt.Fprintf(out, "measured controllers=%d real=%d hollow=%d engines=%d processes=%d memory_mb=%.0f changes=%d faults=%d in_force_p99_ms=%.0f in_force_worst_ms=%.0f "+
 		"controller_bytes=%.0f controller_cpu_ms=%.1f controller_mb=%.1f leader_bytes=%.0f leader_cpu_ms=%.1f hollow_real=%.3f mixed=%d half=%d false_word=%d served_after=%d\n",
-		r.Controllers, r.Real, r.Controllers-r.Real, r.Engines, r.Processes, r.MemoryMB, len(l), r.countFaultPhases(), inMS(quantile(l, 0.99)), inMS(quantile(l, 1)),
-		r.WholeRun.Worst.bytes(), r.WholeRun.Worst.CPU, r.WholeRun.Worst.MemoryMB, r.WholeRun.Leader.bytes(), r.WholeRun.Leader.CPU, r.HollowRatio,
+		r.Controllers, r.Real, r.Controllers-r.Real, r.Engines, r.Processes, r.MemoryMB, len(times),
+		r.countFaultPhases(), inMS(quantile(times, 0.99)), inMS(quantile(times, 1)),
+		r.WholeRun.Worst.bytes(), r.WholeRun.Worst.CPU, r.WholeRun.Worst.MemoryMB,
+		r.WholeRun.Leader.bytes(), r.WholeRun.Leader.CPU, r.HollowRatio,
 		v.Mixed, v.Half, v.FalseWord, v.ServedAfter)
 }
 
-// violationError is an error where anything was.
+// violationError returns an error that describes the first violations, or nil if there are none.
 func (r *scaleResult) violationError() error {
 	if v := r.Violations; v.Mixed+v.Half+v.FalseWord+v.ServedAfter > 0 {
-		return fmt.Errorf("the run broke what must hold: %s", strings.Join(v.Descriptions[:min(3, len(v.Descriptions))], "; "))
+		return fmt.Errorf("the run violated invariants: %s",
+			strings.Join(v.Descriptions[:min(3, len(v.Descriptions))], "; "))
 	}
 	return nil
 }
 
-// rows are the figures for docs/capacity.csv.
+// rows returns the results as rows of docs/capacity.csv.
 func (r *scaleResult) rows() (rows []ScaleRow) {
 	add := func(role, what string, value float64, unit string) {
 		rows = append(rows, ScaleRow{role, what, r.Controllers, r.Seed, value, unit})
 	}
-	for _, when := range []struct {
+	for _, period := range []struct {
 		name  string
-		spent scaleUsage
+		usage scaleUsage
 	}{{"at rest", r.Rest}, {"whole run", r.WholeRun}} {
 		for _, role := range []struct {
 			name string
 			rate scaleRate
-		}{{"leader", when.spent.Leader}, {"voter", when.spent.Voter}, {"relay", when.spent.Relay}, {"controller mean", when.spent.Mean}, {"controller worst", when.spent.Worst}} {
+		}{{"leader", period.usage.Leader}, {"voter", period.usage.Voter}, {"relay", period.usage.Relay},
+			{"controller mean", period.usage.Mean}, {"controller worst", period.usage.Worst}} {
 			if role.rate == (scaleRate{}) {
 				continue
 			}
-			add(role.name, when.name+" sent", role.rate.BytesOut, "bytes/s")
-			add(role.name, when.name+" received", role.rate.BytesIn, "bytes/s")
-			add(role.name, when.name+" messages sent", role.rate.MessagesOut, "1/s")
-			add(role.name, when.name+" messages received", role.rate.MessagesIn, "1/s")
-			add(role.name, when.name+" CPU", role.rate.CPU, "ms/s")
-			add(role.name, when.name+" memory", role.rate.MemoryMB, "MB")
+			add(role.name, period.name+" sent", role.rate.BytesOut, "bytes/s")
+			add(role.name, period.name+" received", role.rate.BytesIn, "bytes/s")
+			add(role.name, period.name+" messages sent", role.rate.MessagesOut, "1/s")
+			add(role.name, period.name+" messages received", role.rate.MessagesIn, "1/s")
+			add(role.name, period.name+" CPU", role.rate.CPU, "ms/s")
+			add(role.name, period.name+" memory", role.rate.MemoryMB, "MB")
 		}
 	}
 	for _, p := range r.Phases {
-		l := p.outcomeTimes()
-		if len(l) == 0 {
+		times := p.outcomeTimes()
+		if len(times) == 0 {
 			continue
 		}
-		add("operator", p.Name+", told in force, median", inMS(quantile(l, 0.5)), "ms")
-		add("operator", p.Name+", told in force, p99", inMS(quantile(l, 0.99)), "ms")
-		add("operator", p.Name+", told in force, most", inMS(quantile(l, 1)), "ms")
+		add("operator", p.Name+", told in force, median", inMS(quantile(times, 0.5)), "ms")
+		add("operator", p.Name+", told in force, p99", inMS(quantile(times, 0.99)), "ms")
+		add("operator", p.Name+", told in force, most", inMS(quantile(times, 1)), "ms")
 		if !p.IsFault {
 			for _, role := range []struct {
 				name string
 				cost scaleRate
-			}{{"leader", p.CostPerChange.Leader}, {"voter", p.CostPerChange.Voter}, {"controller mean", p.CostPerChange.Controller}} {
+			}{{"leader", p.CostPerChange.Leader}, {"voter", p.CostPerChange.Voter},
+				{"controller mean", p.CostPerChange.Controller}} {
 				if role.cost == (scaleRate{}) {
 					continue
 				}
--- a/internal/bench/scale_usage.go
+++ b/internal/bench/scale_usage.go
@@ -8,29 +8,29 @@
 	"railrelay.dev/railrelay/internal/emulator/hollow"
 )
 
-// scaleSnapshot is what every controller has used up to a moment.
+// scaleSnapshot has the usage of the controllers up to a point in time.
 type scaleSnapshot struct {
 	at     time.Time
 	leader string
-	usage  map[string]scaleControllerUsage
+	usage  map[string]scaleControllerUsage // by controller
 }
 
-// scaleControllerUsage is what one controller has used since it was started. A hollow one has an
-// equal part of its process.
+// scaleControllerUsage is the usage of one controller since its start. A hollow controller has an equal
+// share of its process's usage.
 type scaleControllerUsage struct {
 	processUsage
-	pid    int // its process's id: another one has begun to count anew
+	pid    int // of the controller's process; a new process counts from zero
 	counts hollow.Counts
 }
 
-// takeSnapshot sees what all have used. Who can't be asked is left out.
-func (f *scaleFleet) takeSnapshot() (sight scaleSnapshot, err error) {
-	sight = scaleSnapshot{usage: map[string]scaleControllerUsage{}}
+// takeSnapshot returns the usage of all controllers that respond.
+func (f *scaleFleet) takeSnapshot() (snapshot scaleSnapshot, err error) {
+	snapshot = scaleSnapshot{usage: map[string]scaleControllerUsage{}}
 	leader, err := f.findLeader()
 	if err != nil {
-		return sight, err
+		return snapshot, err
 	}
-	sight.at, sight.leader = time.Now(), leader.name
+	snapshot.at, snapshot.leader = time.Now(), leader.name
 	for _, m := range f.real {
 		if !m.process.answers() {
 			continue
@@ -41,105 +41,107 @@
 		}
 		used, err := usageOf(m.process.command.Process.Pid)
 		if err != nil {
-			return sight, err
+			return snapshot, err
 		}
-		sight.usage[m.name] = scaleControllerUsage{processUsage: used, pid: m.process.command.Process.Pid, counts: *hollow.ParseCounts(status.Counts, "wire_")}
+		snapshot.usage[m.name] = scaleControllerUsage{processUsage: used, pid: m.process.command.Process.Pid,
+			counts: *hollow.ParseCounts(status.Counts, "wire_")}
 	}
 	f.countRound++
 	for _, p := range f.hollowProcesses {
 		counts, err := p.collectCounts(f.countRound)
 		if err != nil {
-			return sight, err
+			return snapshot, err
 		}
 		used, err := usageOf(p.command.Process.Pid)
 		if err != nil {
-			return sight, err
+			return snapshot, err
 		}
 		n := len(p.names)
 		share := processUsage{used.CPU / time.Duration(n), used.Resident / float64(n)}
 		for name, c := range counts {
-			sight.usage[name] = scaleControllerUsage{processUsage: share, pid: p.command.Process.Pid, counts: *c}
+			snapshot.usage[name] = scaleControllerUsage{processUsage: share, pid: p.command.Process.Pid, counts: *c}
 		}
 	}
-	return sight, nil
+	return snapshot, nil
 }
 
-// scaleRate is what a controller spends a second.
+// scaleRate is the usage of a controller per second.
 type scaleRate struct {
-	BytesOut, BytesIn       float64 // of connections, with HTTP's headers
-	FramesOut, FramesIn     float64 // bytes of frames alone
+	BytesOut, BytesIn       float64 // of connections, including HTTP headers
+	FramesOut, FramesIn     float64 // bytes of frames only
 	MessagesOut, MessagesIn float64
 	CPU                     float64 // milliseconds
-	MemoryMB                float64 // resident at the end
+	MemoryMB                float64 // resident at the end, not a rate
 }
 
-// bytes are sent and received ones together.
+// bytes returns the sum of the bytes sent and received.
 func (r scaleRate) bytes() float64 { return r.BytesOut + r.BytesIn }
 
-// scaleUsage is what controllers spent in a span, by roles.
+// scaleUsage is the usage of the controllers during an interval, by role.
 type scaleUsage struct {
 	Duration    time.Duration
-	Controllers int       // controllers that ran for at least one stretch of it
-	Leader      scaleRate // whoever led, over the stretches that it led
-	LeaderName  string
-	Voter       scaleRate // the mean of those that don't lead
-	Relay       scaleRate // the worst, by each figure
-	Mean        scaleRate // of controllers without another role; CPU and MB of real ones
-	Worst       scaleRate // of all that aren't on machines set aside, by each figure; CPU and MB of real ones
+	Controllers int       // controllers that ran between at least two consecutive snapshots
+	Leader      scaleRate // over the time between snapshots with the same leader
+	LeaderName  string    // at the end
+	Voter       scaleRate // mean of the real voters except the leader
+	Relay       scaleRate // maximum of each figure
+	Mean        scaleRate // of controllers without a role; CPU and MemoryMB of the real ones
+	Worst       scaleRate // maximum of each figure of controllers not set aside; CPU and MemoryMB of real ones
 }
 
-// scaleRateTotal sums what one controller spent over the stretches in which it was seen.
+// scaleRateTotal sums the usage of one controller over the intervals in which it ran.
 type scaleRateTotal struct {
 	seconds float64
-	sum     scaleRate // not divided by the seconds yet; MB is the most
+	sum     scaleRate // of rates times seconds; MemoryMB is the maximum
 }
 
 func (t *scaleRateTotal) add(rate scaleRate, seconds float64) {
 	t.seconds += seconds
-	most := max(t.sum.MemoryMB, rate.MemoryMB)
+	maxMemoryMB := max(t.sum.MemoryMB, rate.MemoryMB)
 	for i, x := range rate.fields() {
 		*t.sum.fields()[i] += *x * seconds
 	}
-	t.sum.MemoryMB = most
+	t.sum.MemoryMB = maxMemoryMB
 }
 
-// rate is the mean over the stretches.
+// rate returns the mean over the intervals.
 func (t *scaleRateTotal) rate() scaleRate {
 	if t.seconds == 0 {
 		return scaleRate{}
 	}
-	mean, most := t.sum, t.sum.MemoryMB
+	mean, maxMemoryMB := t.sum, t.sum.MemoryMB
 	for _, x := range mean.fields() {
 		*x /= t.seconds
 	}
-	mean.MemoryMB = most
+	mean.MemoryMB = maxMemoryMB
 	return mean
 }
 
-// rateBetween is what a member spent between two sights; false if it wasn't seen at both or
-// was started anew in between.
-func (m *scaleMember) rateBetween(a, b scaleSnapshot) (rate scaleRate, seen bool) {
-	x, was := a.usage[m.name]
-	y, is := b.usage[m.name]
-	if !was || !is || x.pid != y.pid || y.counts.BytesOut < x.counts.BytesOut {
+// rateBetween returns a member's usage between two snapshots. It returns false if the member is missing in
+// one of them or was restarted between them.
+func (m *scaleMember) rateBetween(a, b scaleSnapshot) (rate scaleRate, ok bool) {
+	x, inFirst := a.usage[m.name]
+	y, inSecond := b.usage[m.name]
+	if !inFirst || !inSecond || x.pid != y.pid || y.counts.BytesOut < x.counts.BytesOut {
 		return rate, false
 	}
 	return rateOf(x, y, b.at.Sub(a.at)), true
 }
 
-// usageOver holds each sight against the next. A controller's figures are over the
-// stretches in which it ran from begin to end, the leader's over those that it led.
-func (f *scaleFleet) usageOver(sights ...scaleSnapshot) scaleUsage {
-	last := sights[len(sights)-1]
-	spent := scaleUsage{Duration: last.at.Sub(sights[0].at), LeaderName: last.leader}
+// usageOver returns the usage between the first and the last snapshot. The figures of a controller cover the
+// intervals between consecutive snapshots in which it ran all the time, and those of the leader only the
+// intervals that have the same leader at the start and the end.
+func (f *scaleFleet) usageOver(snapshots ...scaleSnapshot) scaleUsage {
+	last := snapshots[len(snapshots)-1]
+	usage := scaleUsage{Duration: last.at.Sub(snapshots[0].at), LeaderName: last.leader}
 	var leading scaleRateTotal
-	var voters, plain, plainReal []scaleRate
+	var voters, withoutRole, realWithoutRole []scaleRate
 	for _, m := range f.members {
 		var total scaleRateTotal
-		for i := 1; i < len(sights); i++ {
-			a, b := sights[i-1], sights[i]
-			rate, seen := m.rateBetween(a, b)
-			if !seen {
+		for i := 1; i < len(snapshots); i++ {
+			a, b := snapshots[i-1], snapshots[i]
+			rate, ok := m.rateBetween(a, b)
+			if !ok {
 				continue
 			}
 			total.add(rate, b.at.Sub(a.at).Seconds())
@@ -150,81 +152,87 @@
 		if total.seconds == 0 {
 			continue
 		}
-		spent.Controllers++
+		usage.Controllers++
 		rate := total.rate()
 		switch {
 		case m.isVoter && m.name == last.leader:
-		case m.isVoter && m.process != nil: // a hollow one has no CPU and memory of its own
+		case m.isVoter && m.process != nil: // a hollow voter has no CPU time and memory of its own
 			voters = append(voters, rate)
 		case m.isVoter:
 		case m.isRelay:
-			spent.Relay = maxRate(spent.Relay, rate)
+			usage.Relay = maxRate(usage.Relay, rate)
 		default:
-			plain = append(plain, rate)
+			withoutRole = append(withoutRole, rate)
 			if m.process != nil {
-				plainReal = append(plainReal, rate)
+				realWithoutRole = append(realWithoutRole, rate)
 			}
 		}
 		if f.isSetAside(m) {
 			continue
 		}
-		if m.process == nil { // its part of a process that has many is no figure of one
+		if m.process == nil { // a share of a process with many controllers isn't the usage of one
 			rate.CPU, rate.MemoryMB = 0, 0
 		}
-		spent.Worst = maxRate(spent.Worst, rate)
+		usage.Worst = maxRate(usage.Worst, rate)
 	}
-	spent.Leader = leading.rate()
-	spent.Voter, spent.Mean = meanRate(voters), meanRate(plain)
-	realMean := meanRate(plainReal)
-	spent.Mean.CPU, spent.Mean.MemoryMB = realMean.CPU, realMean.MemoryMB
-	return spent
+	usage.Leader = leading.rate()
+	usage.Voter, usage.Mean = meanRate(voters), meanRate(withoutRole)
+	realMean := meanRate(realWithoutRole)
+	usage.Mean.CPU, usage.Mean.MemoryMB = realMean.CPU, realMean.MemoryMB
+	return usage
 }
 
-func rateOf(a, b scaleControllerUsage, span time.Duration) scaleRate {
-	seconds := span.Seconds()
-	each := func(x, y int) float64 { return float64(y-x) / seconds }
+// rateOf returns the usage per second between two readings that are a duration apart.
+func rateOf(a, b scaleControllerUsage, duration time.Duration) scaleRate {
+	seconds := duration.Seconds()
+	perSecond := func(x, y int) float64 { return float64(y-x) / seconds }
 	return scaleRate{
-		BytesOut: each(a.counts.BytesOut, b.counts.BytesOut), BytesIn: each(a.counts.BytesIn, b.counts.BytesIn),
-		FramesOut: each(a.counts.FramesOut, b.counts.FramesOut), FramesIn: each(a.counts.FramesIn, b.counts.FramesIn),
-		MessagesOut: each(a.counts.MessagesOut, b.counts.MessagesOut), MessagesIn: each(a.counts.MessagesIn, b.counts.MessagesIn),
-		CPU: inMS(b.CPU-a.CPU) / seconds, MemoryMB: b.Resident}
+		BytesOut:    perSecond(a.counts.BytesOut, b.counts.BytesOut),
+		BytesIn:     perSecond(a.counts.BytesIn, b.counts.BytesIn),
+		FramesOut:   perSecond(a.counts.FramesOut, b.counts.FramesOut),
+		FramesIn:    perSecond(a.counts.FramesIn, b.counts.FramesIn),
+		MessagesOut: perSecond(a.counts.MessagesOut, b.counts.MessagesOut),
+		MessagesIn:  perSecond(a.counts.MessagesIn, b.counts.MessagesIn),
+		CPU:         inMS(b.CPU-a.CPU) / seconds, MemoryMB: b.Resident}
 }
 
-// fields are all figures, for sums and the like.
+// fields returns pointers to all figures, for operations on each of them.
 func (r *scaleRate) fields() []*float64 {
-	return []*float64{&r.BytesOut, &r.BytesIn, &r.FramesOut, &r.FramesIn, &r.MessagesOut, &r.MessagesIn, &r.CPU, &r.MemoryMB}
+	return []*float64{&r.BytesOut, &r.BytesIn, &r.FramesOut, &r.FramesIn,
+		&r.MessagesOut, &r.MessagesIn, &r.CPU, &r.MemoryMB}
 }
 
-// maxRate takes the greater of each figure; bytes out and in are those of the greater sum.
+// maxRate returns the maximum of each figure. BytesOut and BytesIn are both from the rate that has the
+// greater sum of them.
 func maxRate(a, b scaleRate) scaleRate {
-	most := a
+	result := a
 	for i, x := range b.fields() {
-		own := most.fields()[i]
-		*own = max(*own, *x)
+		field := result.fields()[i]
+		*field = max(*field, *x)
 	}
-	most.BytesOut, most.BytesIn = a.BytesOut, a.BytesIn
+	result.BytesOut, result.BytesIn = a.BytesOut, a.BytesIn
 	if b.bytes() > a.bytes() {
-		most.BytesOut, most.BytesIn = b.BytesOut, b.BytesIn
+		result.BytesOut, result.BytesIn = b.BytesOut, b.BytesIn
 	}
-	return most
+	return result
 }
 
-func meanRate(l []scaleRate) (mean scaleRate) {
-	for _, r := range l {
+func meanRate(rates []scaleRate) (mean scaleRate) {
+	for _, r := range rates {
 		for i, x := range r.fields() {
-			*mean.fields()[i] += *x / float64(len(l))
+			*mean.fields()[i] += *x / float64(len(rates))
 		}
 	}
 	return mean
 }
 
-// measureRest looks at the fleet while nothing happens.
-func (f *scaleFleet) measureRest(span time.Duration) (scaleUsage, error) {
+// measureRest measures the fleet for a duration in which nothing is changed.
+func (f *scaleFleet) measureRest(duration time.Duration) (scaleUsage, error) {
 	before, err := f.takeSnapshot()
 	if err != nil {
 		return scaleUsage{}, err
 	}
-	sleep(f.ctx, span)
+	sleep(f.ctx, duration)
 	after, err := f.takeSnapshot()
 	if err != nil {
 		return scaleUsage{}, err
@@ -232,7 +240,7 @@
 	return f.usageOver(before, after), f.ctx.Err()
 }
 
-// processTotals counts the run's processes with this one, and the memory of all.
+// processTotals returns the number of processes of the run, including this one, and their total memory.
 func (f *scaleFleet) processTotals() (n int, memoryMB float64) {
 	add := func(pid int) {
 		if used, err := usageOf(pid); err == nil {
@@ -251,18 +259,19 @@
 	return n, memoryMB
 }
 
-func (s scaleUsage) print(out io.Writer, when string) {
-	fmt.Fprintf(out, "%s, %.1f s, %d controllers seen, a second:\n", when, s.Duration.Seconds(), s.Controllers)
+func (s scaleUsage) print(out io.Writer, period string) {
+	fmt.Fprintf(out, "%s, %.1f s, %d controllers, per second:\n", period, s.Duration.Seconds(), s.Controllers)
 	line := func(role string, r scaleRate) {
 		if r == (scaleRate{}) {
 			return
 		}
-		fmt.Fprintf(out, "  %-18s %8.0f bytes out %8.0f in (frames %8.0f %8.0f), %7.1f messages out %7.1f in, %6.1f ms of CPU, %5.1f MB\n", role,
-			r.BytesOut, r.BytesIn, r.FramesOut, r.FramesIn, r.MessagesOut, r.MessagesIn, r.CPU, r.MemoryMB)
+		fmt.Fprintf(out,
+			"  %-18s bytes %8.0f out %8.0f in (frames %8.0f %8.0f), messages %7.1f %7.1f, %6.1f ms CPU, %5.1f MB\n",
+			role, r.BytesOut, r.BytesIn, r.FramesOut, r.FramesIn, r.MessagesOut, r.MessagesIn, r.CPU, r.MemoryMB)
 	}
 	line("leader "+s.LeaderName, s.Leader)
 	line("voters, mean", s.Voter)
 	line("relays, worst", s.Relay)
 	line("controllers, mean", s.Mean)
-	line("worst not aside", s.Worst)
+	line("worst, not aside", s.Worst)
 }
