--- a/internal/bench/scale_changes.go
+++ b/internal/bench/scale_changes.go
@@ -94,7 +94,7 @@
 	for time.Since(startedAt) < scaleOutcomeTimeout && f.ctx.Err() == nil {
 		m := f.nextReal()
 		change.Requests++
-		response, err := m.process.ask(f.ctx, request)
+		response, err := m.process.sendRequest(f.ctx, request)
 		if err != nil {
 			sleep(f.ctx, scaleRetryInterval)
 			continue
@@ -124,7 +124,7 @@
 	defer f.mu.Unlock()
 	for range f.real {
 		f.requestCount++
-		if m := f.real[f.requestCount%len(f.real)]; m.process.answers() {
+		if m := f.real[f.requestCount%len(f.real)]; m.process.isResponsive() {
 			return m
 		}
 	}
@@ -134,16 +134,16 @@
 // sampleAllReal samples the status of each real controller once.
 func (f *scaleFleet) sampleAllReal() {
 	for _, m := range f.real {
-		if m.process.answers() {
-			f.sampleStatus(f.ctx, m.name, m.process.operator)
+		if m.process.isResponsive() {
+			f.sampleStatus(f.ctx, m.name, m.process.operatorClient)
 		}
 	}
 }
 
 // sampleStatus gives the status of a controller to the checker, if the controller answers.
-func (f *scaleFleet) sampleStatus(ctx context.Context, name string, client operator) {
+func (f *scaleFleet) sampleStatus(ctx context.Context, name string, client operatorClient) {
 	requestedAt := time.Now()
-	response, err := client.ask(ctx, &fleet.Request{Kind: "status", WaitMs: 500})
+	response, err := client.sendRequest(ctx, &fleet.Request{Kind: "status", WaitMs: 500})
 	if err != nil || response.Status == nil {
 		return
 	}
@@ -229,7 +229,7 @@
 	for _, request := range f.changeRequests {
 		for range outcomeRechecks {
 			m := f.nextReal()
-			response, err := m.process.ask(f.ctx, &fleet.Request{Kind: "status", ID: request.ID, WaitMs: 1000})
+			response, err := m.process.sendRequest(f.ctx, &fleet.Request{Kind: "status", ID: request.ID, WaitMs: 1000})
 			if err != nil {
 				return fmt.Errorf("ask %s for the outcome of %s: %w", m.name, request.ID, err)
 			}
@@ -237,7 +237,7 @@
 		}
 	}
 	for _, m := range f.real {
-		response, err := m.process.ask(f.ctx, &fleet.Request{Kind: "policy", WaitMs: 1000})
+		response, err := m.process.sendRequest(f.ctx, &fleet.Request{Kind: "policy", WaitMs: 1000})
 		if err != nil {
 			return fmt.Errorf("ask %s for the policy: %w", m.name, err)
 		}
@@ -271,8 +271,8 @@
 func (p scalePhase) print(out io.Writer) {
 	times := p.outcomeTimes()
 	fmt.Fprintf(out, "%s: %d changes, in force after %.0f ms median, %.0f p99, %.0f maximum", p.Name,
-		len(times), inMS(quantile(times, 0.5)),
-		inMS(quantile(times, 0.99)), inMS(quantile(times, 1)))
+		len(times), toMilliseconds(quantile(times, 0.5)),
+		toMilliseconds(quantile(times, 0.99)), toMilliseconds(quantile(times, 1)))
 	if p.IsFault {
 		fmt.Fprintf(out, "; all serve again after %.1f s; share of hollow controllers that serve, at each second:",
 			p.RecoveryTime.Seconds())
--- a/internal/bench/scale_faults.go
+++ b/internal/bench/scale_faults.go
@@ -92,7 +92,7 @@
 	for _, m := range f.real {
 		f.samplers.Go(func() {
 			for ctx.Err() == nil { // also while the controller is paused or down: the request then fails
-				f.sampleStatus(ctx, m.name, m.process.operator)
+				f.sampleStatus(ctx, m.name, m.process.operatorClient)
 				sleep(ctx, scaleSampleInterval)
 			}
 		})
--- a/internal/bench/scale_fleet.go
+++ b/internal/bench/scale_fleet.go
@@ -54,7 +54,7 @@
 // scaleFleet is the running fleet of a scale run.
 type scaleFleet struct {
 	Scale
-	*workplace
+	*fleetFiles
 	ctx             context.Context
 	stop            context.CancelFunc
 	number          int64 // distinguishes the loopback addresses of the fleets of this process
@@ -80,12 +80,12 @@
 
 // startFleet starts a fleet and waits until all controllers serve.
 func (s Scale) startFleet(ctx context.Context, number int64) (*scaleFleet, error) {
-	place, err := newWorkplace("railrelay-scale")
+	place, err := newFleetFiles("railrelay-scale")
 	if err != nil {
 		return nil, err
 	}
 	ctx, stop := context.WithCancel(ctx)
-	f := &scaleFleet{Scale: s, workplace: place, ctx: ctx, stop: stop, number: number,
+	f := &scaleFleet{Scale: s, fleetFiles: place, ctx: ctx, stop: stop, number: number,
 		byName: map[string]*scaleMember{}, checker: newScaleChecker(), version: 1}
 	for _, step := range []func() error{f.startEngines, f.planMembers, f.startRealControllers,
 		f.startHollowControllers, f.awaitAllServing} {
@@ -117,7 +117,7 @@
 	var list []feed.Engine
 	for i := range f.Engines {
 		e, err := engine.Listen(f.ctx, fmt.Sprintf("%s:%d", f.hostAddress(engineBlock, i),
-			scaleEnginePort), trialEngine(), false)
+			scaleEnginePort), trialEngineConfig(), false)
 		if err != nil {
 			return err
 		}
@@ -186,7 +186,7 @@
 		f.delayLinks()
 	}
 	for _, m := range f.real {
-		if err := os.WriteFile(m.process.setupFile, []byte(f.setupFor(m).text()), 0o600); err != nil {
+		if err := os.WriteFile(m.process.setupFile, []byte(f.setupFor(m).yaml()), 0o600); err != nil {
 			return err
 		}
 	}
@@ -219,7 +219,7 @@
 	}
 	m.process = &controllerProcess{name: m.name, program: f.Program,
 		setupFile: f.path(m.name + ".yaml"), directory: f.path(m.name),
-		operator: operator{control, f.keys}}
+		operatorClient: operatorClient{control, f.keys}}
 	return nil
 }
 
@@ -279,16 +279,16 @@
 
 // setupFor returns the configuration of a real controller.
 func (f *scaleFleet) setupFor(m *scaleMember) controllerSetup {
-	s := controllerSetup{Name: m.name, Clients: m.clientAddress, Feed: f.feed.Addr().String(),
+	s := controllerSetup{Name: m.name, ClientAddress: m.clientAddress, FeedAddress: f.feed.Addr().String(),
 		Controllers: f.Controllers, Zones: zonesWithEngines(scaleZones), Zone: m.place.Zone,
 		MemoryMB: realMemoryMB,
 		Sockets: realClientSockets +
-			2*f.Engines, Fleet: "scale", Listen: m.listenAddress, Operators: m.process.control,
-		Directory: m.process.directory, Keys: f.keyFile, Lease: f.Lease,
-		Voters: f.voters(), Control: f.isSetAside(m),
-		Relay: m.isRelay, Relays: f.relaysFor(m)}
+			2*f.Engines, FleetName: "scale", PeerListenAddress: m.listenAddress, ControlAddress: m.process.address,
+		Directory: m.process.directory, KeyFile: f.keyFile, Lease: f.Lease,
+		Voters: f.voters(), ControlOnly: f.isSetAside(m),
+		IsRelay: m.isRelay, Relays: f.relaysFor(m)}
 	if m.advertisedAddress != m.listenAddress {
-		s.Address = m.advertisedAddress
+		s.PeerAddress = m.advertisedAddress
 	}
 	return s
 }
@@ -400,7 +400,7 @@
 	for end := time.Now().Add(scaleLeaderTimeout); time.Now().Before(end) &&
 		f.ctx.Err() == nil; sleep(f.ctx, scalePollInterval) {
 		for _, m := range f.real {
-			if !m.process.answers() {
+			if !m.process.isResponsive() {
 				continue
 			}
 			leader := f.byName[m.process.status(f.ctx).Leader]
@@ -408,7 +408,7 @@
 				if err := f.restartHollowLeader(leader); err != nil {
 					return nil, err
 				}
-			} else if leader != nil && leader.process.answers() &&
+			} else if leader != nil && leader.process.isResponsive() &&
 				leader.process.status(f.ctx).Leader == leader.name {
 				return leader, nil
 			}
--- a/internal/bench/scale_growth.go
+++ b/internal/bench/scale_growth.go
@@ -41,12 +41,12 @@
 	if g.Steps < 1 || g.Members < 0 || g.Changes < 0 {
 		return &ScaleSizeError{"growth steps", g.Steps, "is less than 1, or members or changes are negative"}
 	}
-	feedAddress, closeEngine, err := oneEngine(ctx)
+	feedAddress, closeEngine, err := listenIdleEngine(ctx)
 	if err != nil {
 		return err
 	}
 	defer closeEngine()
-	builder, err := newRecordBuilder(onlyVoter)
+	builder, err := newRecordBuilder(soleVoter)
 	if err != nil {
 		return err
 	}
@@ -54,18 +54,18 @@
 	members, changes := 0, 0
 	for step := 0; step <= g.Steps; step++ {
 		for goal := g.Members * step / g.Steps; members < goal; members++ {
-			if err := builder.comeAndGo(); err != nil {
+			if err := builder.joinAndForget(); err != nil {
 				return err
 			}
-			if err := builder.compactEvery(entriesBetweenSnapshots); err != nil {
+			if err := builder.compactAfter(entriesBetweenSnapshots); err != nil {
 				return err
 			}
 		}
 		for goal := g.Changes * step / g.Steps; changes < goal; changes++ {
-			if err := builder.change(); err != nil {
+			if err := builder.commitPolicyChange(); err != nil {
 				return err
 			}
-			if err := builder.compactEvery(entriesBetweenSnapshots); err != nil {
+			if err := builder.compactAfter(entriesBetweenSnapshots); err != nil {
 				return err
 			}
 		}
@@ -77,7 +77,7 @@
 		fmt.Fprintf(out,
 			"former members %d, changes %d, entries %d, snapshot %d B, file %d B, start %.2fs, %.1f MB, change %.0f ms\n",
 			members, changes, result.LogEntries, result.SnapshotBytes, result.FileBytes,
-			result.StartTime.Seconds(), result.MemoryMB, inMS(result.ChangeTime))
+			result.StartTime.Seconds(), result.MemoryMB, toMilliseconds(result.ChangeTime))
 		rows = append(rows, g.rows(result)...)
 	}
 	if g.Record != nil {
@@ -93,22 +93,22 @@
 	if err := builder.compact(); err != nil {
 		return result, err
 	}
-	result.LogEntries, result.SnapshotBytes = int(builder.state.Index), len(builder.kept.Snapshot.Data)
-	f, took, err := Many{Program: g.Program, Lease: g.Lease}.startFrom(ctx, feedAddress, builder.kept)
+	result.LogEntries, result.SnapshotBytes = int(builder.state.Index), len(builder.persisted.Snapshot.Data)
+	f, took, err := IdleFleet{Program: g.Program, Lease: g.Lease}.startFromRecord(ctx, feedAddress, builder.persisted)
 	if err != nil {
 		return result, err
 	}
 	defer f.close()
 	p := f.controllers[0]
 	result.StartTime = took
-	used, err := usageOf(p.command.Process.Pid)
+	used, err := readProcessUsage(p.command.Process.Pid)
 	if err != nil {
 		return result, err
 	}
-	result.MemoryMB = used.Resident
+	result.MemoryMB = used.ResidentMB
 	requestedAt := time.Now()
-	response, err := p.ask(ctx, &fleet.Request{Kind: "apply", ID: "grown",
-		BaseVersion: builder.state.Version, Policy: policyText(1, 1000), WaitMs: inForceWithin.Milliseconds()})
+	response, err := p.sendRequest(ctx, &fleet.Request{Kind: "apply", ID: "grown",
+		BaseVersion: builder.state.Version, Policy: policyText(1, 1000), WaitMs: idleFleetChangeTimeout.Milliseconds()})
 	if err != nil {
 		return result, err
 	}
@@ -141,8 +141,8 @@
 	}
 	add("snapshot", float64(result.SnapshotBytes), "bytes")
 	add("record file", float64(result.FileBytes), "bytes")
-	add("start until it serves", inMS(result.StartTime), "ms")
+	add("start until it serves", toMilliseconds(result.StartTime), "ms")
 	add("memory", result.MemoryMB, "MB")
-	add("a change told in force", inMS(result.ChangeTime), "ms")
+	add("a change told in force", toMilliseconds(result.ChangeTime), "ms")
 	return rows
 }
--- a/internal/bench/scale_report.go
+++ b/internal/bench/scale_report.go
@@ -55,7 +55,7 @@
 	fmt.Fprintf(out, "measured controllers=%d real=%d hollow=%d engines=%d processes=%d memory_mb=%.0f changes=%d faults=%d in_force_p99_ms=%.0f in_force_worst_ms=%.0f "+
 		"controller_bytes=%.0f controller_cpu_ms=%.1f controller_mb=%.1f leader_bytes=%.0f leader_cpu_ms=%.1f hollow_real=%.3f mixed=%d half=%d false_word=%d served_after=%d\n",
 		r.Controllers, r.Real, r.Controllers-r.Real, r.Engines, r.Processes, r.MemoryMB, len(times),
-		r.countFaultPhases(), inMS(quantile(times, 0.99)), inMS(quantile(times, 1)),
+		r.countFaultPhases(), toMilliseconds(quantile(times, 0.99)), toMilliseconds(quantile(times, 1)),
 		r.WholeRun.Worst.bytes(), r.WholeRun.Worst.CPU, r.WholeRun.Worst.MemoryMB,
 		r.WholeRun.Leader.bytes(), r.WholeRun.Leader.CPU, r.HollowRatio,
 		v.Mixed, v.Half, v.FalseWord, v.ServedAfter)
@@ -100,9 +100,9 @@
 		if len(times) == 0 {
 			continue
 		}
-		add("operator", p.Name+", told in force, median", inMS(quantile(times, 0.5)), "ms")
-		add("operator", p.Name+", told in force, p99", inMS(quantile(times, 0.99)), "ms")
-		add("operator", p.Name+", told in force, most", inMS(quantile(times, 1)), "ms")
+		add("operator", p.Name+", told in force, median", toMilliseconds(quantile(times, 0.5)), "ms")
+		add("operator", p.Name+", told in force, p99", toMilliseconds(quantile(times, 0.99)), "ms")
+		add("operator", p.Name+", told in force, most", toMilliseconds(quantile(times, 1)), "ms")
 		if !p.IsFault {
 			for _, role := range []struct {
 				name string
@@ -122,13 +122,13 @@
 			add("leader", p.Name+", lost meanwhile", 1, "1")
 		}
 		if p.IsFault {
-			add("controller", p.Name+", all serve again", inMS(p.RecoveryTime), "ms")
+			add("controller", p.Name+", all serve again", toMilliseconds(p.RecoveryTime), "ms")
 		}
 		if len(p.ServingShares) > 0 {
 			add("controller", p.Name+", least share that served in a second", slices.Min(p.ServingShares), "1")
 		}
 	}
-	add("fleet", "all serve after the first start", inMS(r.StartTime), "ms")
+	add("fleet", "all serve after the first start", toMilliseconds(r.StartTime), "ms")
 	if r.HollowRatio > 0 {
 		add("hollow", "worst ratio of hollow to real", r.HollowRatio, "1")
 	}
--- a/internal/bench/scale_usage.go
+++ b/internal/bench/scale_usage.go
@@ -32,14 +32,14 @@
 	}
 	snapshot.at, snapshot.leader = time.Now(), leader.name
 	for _, m := range f.real {
-		if !m.process.answers() {
+		if !m.process.isResponsive() {
 			continue
 		}
 		status := m.process.status(f.ctx)
 		if status.Name == "" {
 			continue
 		}
-		used, err := usageOf(m.process.command.Process.Pid)
+		used, err := readProcessUsage(m.process.command.Process.Pid)
 		if err != nil {
 			return snapshot, err
 		}
@@ -52,12 +52,12 @@
 		if err != nil {
 			return snapshot, err
 		}
-		used, err := usageOf(p.command.Process.Pid)
+		used, err := readProcessUsage(p.command.Process.Pid)
 		if err != nil {
 			return snapshot, err
 		}
 		n := len(p.names)
-		share := processUsage{used.CPU / time.Duration(n), used.Resident / float64(n)}
+		share := processUsage{used.CPU / time.Duration(n), used.ResidentMB / float64(n)}
 		for name, c := range counts {
 			snapshot.usage[name] = scaleControllerUsage{processUsage: share, pid: p.command.Process.Pid, counts: *c}
 		}
@@ -193,7 +193,7 @@
 		FramesIn:    perSecond(a.counts.FramesIn, b.counts.FramesIn),
 		MessagesOut: perSecond(a.counts.MessagesOut, b.counts.MessagesOut),
 		MessagesIn:  perSecond(a.counts.MessagesIn, b.counts.MessagesIn),
-		CPU:         inMS(b.CPU-a.CPU) / seconds, MemoryMB: b.Resident}
+		CPU:         toMilliseconds(b.CPU-a.CPU) / seconds, MemoryMB: b.ResidentMB}
 }
 
 // fields returns pointers to all figures, for operations on each of them.
@@ -243,8 +243,8 @@
 // processTotals returns the number of processes of the run, including this one, and their total memory.
 func (f *scaleFleet) processTotals() (n int, memoryMB float64) {
 	add := func(pid int) {
-		if used, err := usageOf(pid); err == nil {
-			n, memoryMB = n+1, memoryMB+used.Resident
+		if used, err := readProcessUsage(pid); err == nil {
+			n, memoryMB = n+1, memoryMB+used.ResidentMB
 		}
 	}
 	add(ownPID())
