--- a/cmd/railrelay-bench/scale.go
+++ b/cmd/railrelay-bench/scale.go
@@ -14,10 +14,10 @@
 func scaleCommand() *cobra.Command {
 	s := bench.DefaultScale(defaultProgram, 580)
 	c := &cobra.Command{Use: "scale", Args: cobra.NoArgs,
-		Short: "a fleet of real and hollow controllers: what each role costs, how soon a change is in force, in faults too",
-		Long: "Starts real controllers and hollow ones, which run the fleet's node and transport with a log in memory\n" +
-			"and serve no queries, with idle engines. Measures them at rest, during policy changes, and during\n" +
-			"policy changes with faults:\n\n  " +
+		Short: "measure a fleet of real and hollow controllers: usage by role, time until a change is in force",
+		Long: "Starts real controllers and hollow ones, which run the fleet's node and transport with a log\n" +
+			"in memory and serve no queries, with idle engines. Measures them at rest, during policy\n" +
+			"changes, and during policy changes with faults:\n\n  " +
 			strings.Join(bench.ScaleFaults(), "\n  ")}
 	growth := bench.Growth{Members: 73_000, Changes: 365_000, Steps: 4, Lease: 2 * time.Second}
 	var grow bool
--- a/internal/bench/scale.go
+++ b/internal/bench/scale.go
@@ -96,7 +96,8 @@
 	}
 	defer f.close()
 	result.StartTime = time.Since(startedAt)
-	fmt.Fprintf(out, "%d controllers (%d real, %d hollow, %d voters), %d engines, lease %v: all serve after %.1f s\n",
+	fmt.Fprintf(out,
+		"%d controllers (%d real, %d hollow, %d voters), %d engines, lease %v: all serve after %.1f s\n",
 		s.Controllers, s.Real, s.Controllers-s.Real, s.Voters, s.Engines, s.Lease, result.StartTime.Seconds())
 	sleep(ctx, s.Settle)
 	snapshots := make([]scaleSnapshot, 0, len(s.Faults)+3)
--- a/internal/bench/scale_fleet.go
+++ b/internal/bench/scale_fleet.go
@@ -281,12 +281,10 @@
 func (f *scaleFleet) setupFor(m *scaleMember) controllerSetup {
 	s := controllerSetup{Name: m.name, ClientAddress: m.clientAddress, FeedAddress: f.feed.Addr().String(),
 		Controllers: f.Controllers, Zones: zonesWithEngines(scaleZones), Zone: m.place.Zone,
-		MemoryMB: realMemoryMB,
-		Sockets: realClientSockets +
-			2*f.Engines, FleetName: "scale", PeerListenAddress: m.listenAddress, ControlAddress: m.process.address,
-		Directory: m.process.directory, KeyFile: f.keyFile, Lease: f.Lease,
-		Voters: f.voters(), ControlOnly: f.isSetAside(m),
-		IsRelay: m.isRelay, Relays: f.relaysFor(m)}
+		MemoryMB: realMemoryMB, Sockets: realClientSockets + 2*f.Engines,
+		FleetName: "scale", PeerListenAddress: m.listenAddress, ControlAddress: m.process.address,
+		Directory: m.process.directory, KeyFile: f.keyFile, Lease: f.Lease, Voters: f.voters(),
+		ControlOnly: f.isSetAside(m), IsRelay: m.isRelay, Relays: f.relaysFor(m)}
 	if m.advertisedAddress != m.listenAddress {
 		s.PeerAddress = m.advertisedAddress
 	}
--- a/internal/bench/scale_growth.go
+++ b/internal/bench/scale_growth.go
@@ -75,7 +75,7 @@
 		}
 		result.Members, result.Changes = members, changes
 		fmt.Fprintf(out,
-			"former members %d, changes %d, entries %d, snapshot %d B, file %d B, start %.2fs, %.1f MB, change %.0f ms\n",
+			"members %d, changes %d, entries %d, snapshot %d B, file %d B, start %.2f s, %.1f MB, change %.0f ms\n",
 			members, changes, result.LogEntries, result.SnapshotBytes, result.FileBytes,
 			result.StartTime.Seconds(), result.MemoryMB, toMilliseconds(result.ChangeTime))
 		rows = append(rows, g.rows(result)...)
@@ -94,7 +94,8 @@
 		return result, err
 	}
 	result.LogEntries, result.SnapshotBytes = int(builder.state.Index), len(builder.persisted.Snapshot.Data)
-	f, took, err := IdleFleet{Program: g.Program, Lease: g.Lease}.startFromRecord(ctx, feedAddress, builder.persisted)
+	f, took, err := IdleFleet{Program: g.Program, Lease: g.Lease}.startFromRecord(ctx, feedAddress,
+		builder.persisted)
 	if err != nil {
 		return result, err
 	}
@@ -108,7 +109,8 @@
 	result.MemoryMB = used.ResidentMB
 	requestedAt := time.Now()
 	response, err := p.sendRequest(ctx, &fleet.Request{Kind: "apply", ID: "grown",
-		BaseVersion: builder.state.Version, Policy: policyText(1, 1000), WaitMs: idleFleetChangeTimeout.Milliseconds()})
+		BaseVersion: builder.state.Version, Policy: policyText(1, 1000),
+		WaitMs: idleFleetChangeTimeout.Milliseconds()})
 	if err != nil {
 		return result, err
 	}
--- a/internal/bench/scale_judge_test.go
+++ b/internal/bench/scale_judge_test.go
@@ -6,28 +6,28 @@
 	"time"
 )
 
-// timedChecker is a judge that was told what follows, in seconds from one moment.
+// timedChecker is a checker whose input has times in seconds after a common start.
 type timedChecker struct {
 	*scaleChecker
-	zero time.Time
+	start time.Time
 }
 
 func newTimedChecker() timedChecker {
 	return timedChecker{newScaleChecker(), time.Now().Add(-time.Hour)}
 }
 
-func (j timedChecker) at(second float64) time.Time {
-	return j.zero.Add(time.Duration(second * float64(time.Second)))
+func (c timedChecker) at(second float64) time.Time {
+	return c.start.Add(time.Duration(second * float64(time.Second)))
 }
 
-// span: a controller served by a version in a span.
-func (j timedChecker) span(controller string, version, policy uint64, from, to float64) {
-	j.beginSpan(controller, version, policy, j.at(from))
-	j.endSpan(controller, j.at(to))
+// span records that a controller served under a version between two times.
+func (c timedChecker) span(controller string, version, policyDigest uint64, from, to float64) {
+	c.beginSpan(controller, version, policyDigest, c.at(from))
+	c.endSpan(controller, c.at(to))
 }
 
-func (j timedChecker) outcome(id, word string, version uint64, at float64) {
-	j.addOutcome(observedOutcome{id, "c0", word, version, j.at(at)})
+func (c timedChecker) outcome(changeID, outcome string, version uint64, at float64) {
+	c.addOutcome(observedOutcome{changeID, "c0", outcome, version, c.at(at)})
 }
 
 func TestScaleCheckerFindsViolations(t *testing.T) {
@@ -35,98 +35,105 @@
 		arrange                             func(timedChecker)
 		mixed, half, falseWord, servedAfter int
 	}{
-		"a strict switch": {arrange: func(j timedChecker) {
-			j.span("h1", 1, 0, 0, 1)
-			j.span("h2", 1, 0, 0, 1.1)
-			j.addChange("x", 7)
-			j.span("h1", 2, 7, 1.2, 9)
-			j.span("h2", 2, 7, 1.3, 9)
-			j.outcome("x", "in force", 2, 1.5)
-			j.outcome("x", "settled", 2, 3)
-			j.addSample(servingSample{"c1", j.at(2), j.at(2.1), true, 2, 900})
+		"each controller switches before any serves under the new version": {arrange: func(c timedChecker) {
+			c.span("h1", 1, 0, 0, 1)
+			c.span("h2", 1, 0, 0, 1.1)
+			c.addChange("x", 7)
+			c.span("h1", 2, 7, 1.2, 9)
+			c.span("h2", 2, 7, 1.3, 9)
+			c.outcome("x", "in force", 2, 1.5)
+			c.outcome("x", "settled", 2, 3)
+			c.addSample(servingSample{"c1", c.at(2), c.at(2.1), true, 2, 900})
 		}},
-		"an old version beside a new one": {mixed: 1, arrange: func(j timedChecker) {
-			j.span("h1", 1, 0, 0, 2)
-			j.span("h2", 2, 7, 1.9, 3)
+		"a controller serves under the old version after the new one was served": {mixed: 1,
+			arrange: func(c timedChecker) {
+				c.span("h1", 1, 0, 0, 2)
+				c.span("h2", 2, 7, 1.9, 3)
+			}},
+		"a real controller reports the old version after the new one was served": {mixed: 1,
+			arrange: func(c timedChecker) {
+				c.span("h2", 2, 7, 1, 3)
+				c.addSample(servingSample{"c1", c.at(1.5), c.at(1.6), true, 1, 900})
+			}},
+		"a sample may be from before the new version was served": {arrange: func(c timedChecker) {
+			c.span("h2", 2, 7, 1.5, 3)
+			c.addSample(servingSample{"c1", c.at(1.4), c.at(1.6), true, 1, 900})
 		}},
-		"a real one by an old version after a new one": {mixed: 1, arrange: func(j timedChecker) {
-			j.span("h2", 2, 7, 1, 3)
-			j.addSample(servingSample{"c1", j.at(1.5), j.at(1.6), true, 1, 900})
+		"a real controller is the first under the new version": {mixed: 1, arrange: func(c timedChecker) {
+			c.addSample(servingSample{"c1", c.at(1), c.at(1.1), true, 2, 900})
+			c.span("h1", 1, 0, 0, 1.2)
 		}},
-		"a sample that may be from before": {arrange: func(j timedChecker) {
-			j.span("h2", 2, 7, 1.5, 3)
-			j.addSample(servingSample{"c1", j.at(1.4), j.at(1.6), true, 1, 900})
+		"a controller still serves under the old version at the outcome": {half: 1, arrange: func(c timedChecker) {
+			c.span("h1", 1, 0, 0, 5)
+			c.outcome("x", "in force", 2, 4)
 		}},
-		"a real one that was the first by a new version": {mixed: 1, arrange: func(j timedChecker) {
-			j.addSample(servingSample{"c1", j.at(1), j.at(1.1), true, 2, 900})
-			j.span("h1", 1, 0, 0, 1.2)
+		"a controller starts under the old version after the outcome": {servedAfter: 1,
+			arrange: func(c timedChecker) {
+				c.span("h1", 1, 0, 5, 6)
+				c.outcome("x", "in force", 2, 4)
+			}},
+		"a real controller reports the old version after the outcome": {servedAfter: 1,
+			arrange: func(c timedChecker) {
+				c.outcome("x", "in force", 2, 4)
+				c.addSample(servingSample{"c1", c.at(5), c.at(5.1), true, 1, 900})
+			}},
+		"a controller serves without a lease": {servedAfter: 1, arrange: func(c timedChecker) {
+			c.addSample(servingSample{"c1", c.at(5), c.at(5.1), true, 1, 0})
 		}},
-		"one that still serves by the old version at the word": {half: 1, arrange: func(j timedChecker) {
-			j.span("h1", 1, 0, 0, 5)
-			j.outcome("x", "in force", 2, 4)
+		"a lease has no end": {arrange: func(c timedChecker) {
+			c.addSample(servingSample{"c1", c.at(5), c.at(5.1), true, 1, -1})
 		}},
-		"one that begins by the old version after the word": {servedAfter: 1, arrange: func(j timedChecker) {
-			j.span("h1", 1, 0, 5, 6)
-			j.outcome("x", "in force", 2, 4)
+		"a withdrawn policy is served": {half: 1, arrange: func(c timedChecker) {
+			c.addChange("x", 7)
+			c.span("h1", 2, 7, 1, 2)
+			c.outcome("x", "withdrawn", 0, 4)
 		}},
-		"a real one by the old version after the word": {servedAfter: 1, arrange: func(j timedChecker) {
-			j.outcome("x", "in force", 2, 4)
-			j.addSample(servingSample{"c1", j.at(5), j.at(5.1), true, 1, 900})
+		"a version is served with another policy": {half: 1, arrange: func(c timedChecker) {
+			c.addChange("x", 7)
+			c.span("h1", 2, 8, 1, 2)
+			c.outcome("x", "in force", 2, 4)
 		}},
-		"one that serves without a lease": {servedAfter: 1, arrange: func(j timedChecker) {
-			j.addSample(servingSample{"c1", j.at(5), j.at(5.1), true, 1, 0})
+		"a change is in force and then withdrawn": {falseWord: 1, arrange: func(c timedChecker) {
+			c.outcome("x", "in force", 2, 4)
+			c.outcome("x", "withdrawn", 0, 5)
 		}},
-		"a lease without an end": {arrange: func(j timedChecker) {
-			j.addSample(servingSample{"c1", j.at(5), j.at(5.1), true, 1, -1})
+		"two changes have the same version": {falseWord: 1, arrange: func(c timedChecker) {
+			c.outcome("x", "in force", 2, 4)
+			c.outcome("y", "in force", 2, 5)
 		}},
-		"what was withdrawn acts": {half: 1, arrange: func(j timedChecker) {
-			j.addChange("x", 7)
-			j.span("h1", 2, 7, 1, 2)
-			j.outcome("x", "withdrawn", 0, 4)
-		}},
-		"another text under a version": {half: 1, arrange: func(j timedChecker) {
-			j.addChange("x", 7)
-			j.span("h1", 2, 8, 1, 2)
-			j.outcome("x", "in force", 2, 4)
-		}},
-		"in force and then withdrawn": {falseWord: 1, arrange: func(j timedChecker) {
-			j.outcome("x", "in force", 2, 4)
-			j.outcome("x", "withdrawn", 0, 5)
-		}},
-		"one version for two": {falseWord: 1, arrange: func(j timedChecker) {
-			j.outcome("x", "in force", 2, 4)
-			j.outcome("y", "in force", 2, 5)
-		}},
-		"not known yet is no word": {arrange: func(j timedChecker) {
-			j.outcome("x", "unknown", 0, 3)
-			j.outcome("x", "in force", 2, 4)
+		"unknown is not an outcome": {arrange: func(c timedChecker) {
+			c.outcome("x", "unknown", 0, 3)
+			c.outcome("x", "in force", 2, 4)
 		}},
 	} {
 		t.Run(name, func(t *testing.T) {
-			j := newTimedChecker()
-			test.arrange(j)
-			v := j.findViolations()
-			if v.Mixed != test.mixed || v.Half != test.half || v.FalseWord != test.falseWord || v.ServedAfter != test.servedAfter {
-				t.Errorf("mixed %d, half %d, false_word %d, served_after %d:\n%s", v.Mixed, v.Half, v.FalseWord, v.ServedAfter, strings.Join(v.Descriptions, "\n"))
+			c := newTimedChecker()
+			test.arrange(c)
+			v := c.findViolations()
+			if v.Mixed != test.mixed || v.Half != test.half ||
+				v.FalseWord != test.falseWord || v.ServedAfter != test.servedAfter {
+				t.Errorf("mixed %d, half %d, false_word %d, served_after %d:\n%s",
+					v.Mixed, v.Half, v.FalseWord, v.ServedAfter, strings.Join(v.Descriptions, "\n"))
 			}
 			if n := v.Mixed + v.Half + v.FalseWord + v.ServedAfter; len(v.Descriptions) != n {
-				t.Errorf("%d faults and %d lines", n, len(v.Descriptions))
+				t.Errorf("%d violations, but %d descriptions", n, len(v.Descriptions))
 			}
 		})
 	}
 }
 
 func TestScaleCheckerCountsServingControllers(t *testing.T) {
-	j := newTimedChecker()
-	j.span("h1", 1, 0, 0, 2)
-	j.span("h1", 2, 0, 3, 4)
-	j.beginSpan("h2", 1, 0, j.at(1))
+	c := newTimedChecker()
+	c.span("h1", 1, 0, 0, 2)
+	c.span("h1", 2, 0, 3, 4)
+	c.beginSpan("h2", 1, 0, c.at(1))
 	for second, want := range map[float64]int{0.5: 1, 1.5: 2, 2.5: 1, 3.5: 2, 9: 1} {
-		if n := j.countServingAt(j.at(second)); n != want {
-			t.Errorf("%d serve at %v, not %d", n, second, want)
+		if n := c.countServingAt(c.at(second)); n != want {
+			t.Errorf("%d controllers serve at %v s, want %d", n, second, want)
 		}
 	}
-	if j.countServing() != 1 || !j.lastStart(2).Equal(j.at(3)) || !j.lastStart(3).IsZero() {
-		t.Error(j.countServing(), j.lastStart(2), j.lastStart(3))
+	if c.countServing() != 1 || !c.lastStart(2).Equal(c.at(3)) || !c.lastStart(3).IsZero() {
+		t.Errorf("%d controllers serve; version 2 started at %v, version 3 at %v",
+			c.countServing(), c.lastStart(2), c.lastStart(3))
 	}
 }
--- a/internal/bench/scale_report.go
+++ b/internal/bench/scale_report.go
@@ -53,7 +53,8 @@
 	fmt.Fprintf(out, "checked %d spans, %d samples of real controllers, %d outcomes; took %.1f s\n",
 		v.Spans, v.Samples, v.Outcomes, r.Duration.Seconds())
 	fmt.Fprintf(out, "measured controllers=%d real=%d hollow=%d engines=%d processes=%d memory_mb=%.0f changes=%d faults=%d in_force_p99_ms=%.0f in_force_worst_ms=%.0f "+
-		"controller_bytes=%.0f controller_cpu_ms=%.1f controller_mb=%.1f leader_bytes=%.0f leader_cpu_ms=%.1f hollow_real=%.3f mixed=%d half=%d false_word=%d served_after=%d\n",
+		"controller_bytes=%.0f controller_cpu_ms=%.1f controller_mb=%.1f leader_bytes=%.0f leader_cpu_ms=%.1f "+
+		"hollow_real=%.3f mixed=%d half=%d false_word=%d served_after=%d\n",
 		r.Controllers, r.Real, r.Controllers-r.Real, r.Engines, r.Processes, r.MemoryMB, len(times),
 		r.countFaultPhases(), toMilliseconds(quantile(times, 0.99)), toMilliseconds(quantile(times, 1)),
 		r.WholeRun.Worst.bytes(), r.WholeRun.Worst.CPU, r.WholeRun.Worst.MemoryMB,
--- a/internal/bench/scale_test.go
+++ b/internal/bench/scale_test.go
@@ -13,11 +13,12 @@
 	"railrelay.dev/railrelay/internal/fleet"
 )
 
-// buildScalePrograms builds railrelay-bench beside the programs.
+// buildScalePrograms builds the controller and, in the same directory, railrelay-bench.
 func buildScalePrograms(t *testing.T) (program, benchProgram string) {
 	program = buildPrograms(t)
 	benchProgram = filepath.Join(filepath.Dir(program), "railrelay-bench")
-	if out, err := exec.Command("go", "build", "-o", benchProgram, "../../cmd/railrelay-bench").CombinedOutput(); err != nil {
+	if out, err := exec.Command("go", "build", "-o", benchProgram,
+		"../../cmd/railrelay-bench").CombinedOutput(); err != nil {
 		t.Fatal(string(out))
 	}
 	return program, benchProgram
@@ -26,9 +27,10 @@
 func TestScaleRunWithFaultsFindsNoViolations(t *testing.T) {
 	program, benchProgram := buildScalePrograms(t)
 	var rows []ScaleRow
-	s := Scale{Program: program, BenchProgram: benchProgram, Controllers: 14, Real: 4, Voters: 3, Engines: 5, Seed: 3, Lease: time.Second, Rest: time.Second,
-		Changes: 3, LargeChanges: 1, PolicyBytes: 1000, LargeBytes: 20_000, Faults: []string{"killed", "regions"}, LinkDelays: true,
-		Record: func(l []ScaleRow) error { rows = l; return nil }}
+	s := Scale{Program: program, BenchProgram: benchProgram, Controllers: 14, Real: 4, Voters: 3, Engines: 5,
+		Seed: 3, Lease: time.Second, Rest: time.Second, Changes: 3, LargeChanges: 1,
+		PolicyBytes: 1000, LargeBytes: 20_000, Faults: []string{"killed", "regions"}, LinkDelays: true,
+		Record: func(recorded []ScaleRow) error { rows = recorded; return nil }}
 	var out bytes.Buffer
 	if err := s.Run(t.Context(), &out); err != nil {
 		t.Fatal(err, out.String())
@@ -36,23 +38,25 @@
 	t.Log(out.String())
 	lines := strings.Split(strings.TrimSpace(out.String()), "\n")
 	last := lines[len(lines)-1]
-	for _, part := range []string{"measured controllers=14 real=4 hollow=10 engines=5 processes=6 ", " changes=6 faults=2 ", " mixed=0 half=0 false_word=0 served_after=0"} {
+	for _, part := range []string{"measured controllers=14 real=4 hollow=10 engines=5 processes=6 ",
+		" changes=6 faults=2 ", " mixed=0 half=0 false_word=0 served_after=0"} {
 		if !strings.Contains(last, part) {
-			t.Errorf("%q isn't in %q", part, last)
+			t.Errorf("the last line is %q, without %q", last, part)
 		}
 	}
-	for _, role := range []string{"leader", "voter", "controller mean", "controller worst", "operator", "fleet"} {
+	for _, role := range []string{"leader", "voter", "controller mean", "controller worst",
+		"operator", "fleet"} {
 		if i := slices.IndexFunc(rows, func(r ScaleRow) bool {
 			return r.Role == role && r.Value > 0 && r.Size == 14 && r.Seed == 3 && r.Unit != ""
 		}); i < 0 {
-			t.Errorf("no figure of role %s", role)
+			t.Errorf("no row of role %s", role)
 		}
 	}
 }
 
 func TestScaleRunRefusesImpossibleSettings(t *testing.T) {
-	good := DefaultScale("none", 40)
-	for name, spoil := range map[string]func(*Scale){
+	valid := DefaultScale("none", 40)
+	for part, change := range map[string]func(*Scale){
 		"controllers: 0":    func(s *Scale) { s.Controllers, s.Real = 0, 0 },
 		"controllers: 1 ":   func(s *Scale) { s.Controllers, s.Real = 1, 1 },
 		"controllers: 1201": func(s *Scale) { s.Controllers = 1201 },
@@ -70,29 +74,31 @@
 		"memory":            func(s *Scale) { s.Controllers, s.Real, s.Engines = 1000, 1000, 1 },
 		`"comet"`:           func(s *Scale) { s.Faults = []string{"comet"} },
 	} {
-		s := good
-		spoil(&s)
+		s := valid
+		change(&s)
 		err := s.validate()
-		var remedied fleet.ErrorWithRemedy
-		if !errors.As(err, &remedied) || remedied.Remedy() == "" || !strings.Contains(err.Error(), name) {
-			t.Errorf("%s: %v", name, err)
+		var withRemedy fleet.ErrorWithRemedy
+		if !errors.As(err, &withRemedy) || withRemedy.Remedy() == "" || !strings.Contains(err.Error(), part) {
+			t.Errorf("error is %v, want one with a remedy and %q", err, part)
 		}
-		if err := s.Run(t.Context(), &bytes.Buffer{}); !errors.As(err, &remedied) {
-			t.Errorf("%s was played: %v", name, err)
+		if err := s.Run(t.Context(), &bytes.Buffer{}); !errors.As(err, &withRemedy) {
+			t.Errorf("Run with %q returned %v", part, err)
 		}
 	}
 }
 
 func TestScaleRunRefusesMissingResources(t *testing.T) {
 	s := DefaultScale("none", 580)
-	if err := checkAvailable("memory", 500, 499, "MB", "free some"); err == nil || !strings.Contains(err.Error(), "500 MB") {
-		t.Error(err)
+	if err := checkAvailable("memory", 500, 499, "MB", "free some"); err == nil ||
+		!strings.Contains(err.Error(), "500 MB") {
+		t.Errorf("error is %v, want one with the 500 MB that are needed", err)
 	}
 	if err := checkAvailable("memory", 500, 500, "MB", "free some"); err != nil {
 		t.Error(err)
 	}
-	if n, mb := s.requiredDescriptors(), s.requiredMemoryMB(); n < 740*12 || n > 20_000 || mb < 500 || mb > 8000 {
-		t.Errorf("%d descriptors, %d MB", n, mb)
+	if n, mb := s.requiredDescriptors(), s.requiredMemoryMB(); n < 740*12 || n > 20_000 ||
+		mb < 500 || mb > 8000 {
+		t.Errorf("the run requires %d descriptors and %d MB", n, mb)
 	}
 }
 
@@ -107,51 +113,54 @@
 }
 
 func TestQuantileUsesNearestRank(t *testing.T) {
-	l := []time.Duration{1, 2, 3, 4}
+	sorted := []time.Duration{1, 2, 3, 4}
 	for q, want := range map[float64]time.Duration{0: 1, 0.25: 1, 0.5: 2, 0.51: 3, 0.99: 4, 1: 4} {
-		if x := quantile(l, q); x != want {
-			t.Errorf("%v at %v, not %v", x, q, want)
+		if value := quantile(sorted, q); value != want {
+			t.Errorf("quantile %v is %v, want %v", q, value, want)
 		}
 	}
 	if quantile(nil, 0.5) != 0 {
-		t.Error("of nothing there is one")
+		t.Error("the quantile of an empty list isn't 0")
 	}
 }
 
 func TestPolicyTextHasRequestedSize(t *testing.T) {
 	for _, size := range []int{0, 1000, 100_000} {
 		if n := len(policyText(3, size)); n < size || n > size+100 {
-			t.Errorf("%d bytes, not %d", n, size)
+			t.Errorf("policy has %d bytes, want %d", n, size)
 		}
 	}
 	if bytes.Equal(policyText(1, 1000), policyText(2, 1000)) {
-		t.Error("two changes have one text")
+		t.Error("two serials give the same policy")
 	}
 }
 
 func TestWorstRatioIsFurthestFromOne(t *testing.T) {
 	a := scaleUsage{Leader: scaleRate{BytesOut: 100, BytesIn: 100, CPU: 10}, Mean: scaleRate{BytesOut: 10}}
 	b := scaleUsage{Leader: scaleRate{BytesOut: 104, BytesIn: 90, CPU: 10.5}, Mean: scaleRate{BytesOut: 10.2}}
-	if r := worstRatio(a, b); r != 0.9 {
-		t.Error(r)
+	if ratio := worstRatio(a, b); ratio != 0.9 {
+		t.Errorf("ratio is %v, want 0.9", ratio)
 	}
 }
 
 func TestUsageOverSkipsRestartedControllers(t *testing.T) {
-	f := &scaleFleet{members: []*scaleMember{{name: "a", isVoter: true, process: &controllerProcess{}}, {name: "b", process: &controllerProcess{}}}}
-	zero := time.Now()
-	sight := func(second, run, bytesA, bytesB int, leader string) scaleSnapshot {
-		use := func(run, n int) scaleControllerUsage {
-			u := scaleControllerUsage{pid: run}
-			u.counts.BytesOut = n
+	f := &scaleFleet{members: []*scaleMember{{name: "a", isVoter: true, process: &controllerProcess{}},
+		{name: "b", process: &controllerProcess{}}}}
+	start := time.Now()
+	snapshot := func(second, pidA, bytesA, bytesB int, leader string) scaleSnapshot {
+		usage := func(pid, bytesOut int) scaleControllerUsage {
+			u := scaleControllerUsage{pid: pid}
+			u.counts.BytesOut = bytesOut
 			return u
 		}
-		return scaleSnapshot{at: zero.Add(time.Duration(second) * time.Second), leader: leader, usage: map[string]scaleControllerUsage{"a": use(run, bytesA), "b": use(1, bytesB)}}
+		return scaleSnapshot{at: start.Add(time.Duration(second) * time.Second), leader: leader,
+			usage: map[string]scaleControllerUsage{"a": usage(pidA, bytesA), "b": usage(1, bytesB)}}
 	}
-	// a leads for 10 s, is killed, and begins to count anew
-	s := f.usageOver(sight(0, 1, 0, 0, "a"), sight(10, 1, 1000, 100, "a"), sight(12, 2, 10, 120, "b"), sight(22, 2, 110, 220, "b"))
-	if s.Leader.BytesOut != (1000+100)/20. { // of a's and of b's turn
-		t.Errorf("the leader sent %v a second", s.Leader.BytesOut)
+	// a is the leader for 10 s and is killed. After its restart its counters start at zero and b leads.
+	s := f.usageOver(snapshot(0, 1, 0, 0, "a"), snapshot(10, 1, 1000, 100, "a"),
+		snapshot(12, 2, 10, 120, "b"), snapshot(22, 2, 110, 220, "b"))
+	if s.Leader.BytesOut != (1000+100)/20. { // a's bytes in the first interval and b's in the last
+		t.Errorf("the leaders sent %v bytes/s", s.Leader.BytesOut)
 	}
 	if s.Worst.BytesOut != 1100/20. || s.Mean.BytesOut != 10 || s.Controllers != 2 {
 		t.Errorf("%+v", s)
@@ -161,7 +170,8 @@
 func TestGrowthRunMeasuresLargerLog(t *testing.T) {
 	var rows []ScaleRow
 	var out bytes.Buffer
-	g := Growth{Program: buildPrograms(t), Members: 200, Changes: 300, Steps: 1, Lease: time.Second, Record: func(l []ScaleRow) error { rows = l; return nil }}
+	g := Growth{Program: buildPrograms(t), Members: 200, Changes: 300, Steps: 1, Lease: time.Second,
+		Record: func(recorded []ScaleRow) error { rows = recorded; return nil }}
 	if err := g.Run(t.Context(), &out); err != nil {
 		t.Fatal(err, out.String())
 	}
@@ -173,13 +183,16 @@
 
 func TestCostOfChangeSubtractsRest(t *testing.T) {
 	rest := scaleUsage{Leader: scaleRate{BytesOut: 100}, Mean: scaleRate{BytesOut: 10, MemoryMB: 20}}
-	busy := scaleUsage{Duration: 10 * time.Second, Leader: scaleRate{BytesOut: 160}, Mean: scaleRate{BytesOut: 13, MemoryMB: 50}}
-	c := costOfChange(busy, rest, 5)
-	if c.Leader.BytesOut != 120 || c.Controller.BytesOut != 6 || c.Controller.MemoryMB != 50 || c.LeaderChanged {
-		t.Errorf("%+v", c)
-	}
-	busy.Leader = scaleRate{} // nobody led from begin to end
-	if c = costOfChange(busy, rest, 5); !c.LeaderChanged || c.Leader != (scaleRate{}) || c.Controller.BytesOut != 6 {
-		t.Errorf("%+v", c)
+	during := scaleUsage{Duration: 10 * time.Second, Leader: scaleRate{BytesOut: 160},
+		Mean: scaleRate{BytesOut: 13, MemoryMB: 50}}
+	cost := costOfChange(during, rest, 5)
+	if cost.Leader.BytesOut != 120 || cost.Controller.BytesOut != 6 ||
+		cost.Controller.MemoryMB != 50 || cost.LeaderChanged {
+		t.Errorf("%+v", cost)
+	}
+	during.Leader = scaleRate{} // the leader has changed
+	if cost = costOfChange(during, rest, 5); !cost.LeaderChanged || cost.Leader != (scaleRate{}) ||
+		cost.Controller.BytesOut != 6 {
+		t.Errorf("%+v", cost)
 	}
 }
