--- a/internal/bench/scale_changes.go
+++ b/internal/bench/scale_changes.go
@@ -118,7 +118,8 @@
 		change.Requests)
 }
 
-// nextReal returns the real controllers that accept requests, in turns.
+// nextReal returns the next real controller, in turn, that accepts requests. If none does, it returns the
+// first real controller.
 func (f *scaleFleet) nextReal() *scaleMember {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -140,7 +141,7 @@
 	}
 }
 
-// sampleStatus gives the status of a controller to the checker, if the controller answers.
+// sampleStatus requests a controller's status and adds it to the checker. A failed request adds nothing.
 func (f *scaleFleet) sampleStatus(ctx context.Context, name string, client operatorClient) {
 	requestedAt := time.Now()
 	response, err := client.sendRequest(ctx, &fleet.Request{Kind: "status", WaitMs: 500})
@@ -185,8 +186,8 @@
 	return phases, f.checkInvalidPolicyWithdrawn()
 }
 
-// changeCost is what one change costs a controller in addition to its usage at rest. Its figures are
-// sums, not rates.
+// changeCost is what one change costs a controller in addition to its usage at rest. Its figures are sums,
+// not rates, except MemoryMB, which is the memory after the changes.
 type changeCost struct {
 	Leader, Voter scaleRate // zero if LeaderChanged
 	Controller    scaleRate // mean of the controllers without a role
@@ -258,8 +259,7 @@
 	return times
 }
 
-// quantile returns the smallest value of a sorted list that at least the fraction q of the values don't
-// exceed; 0 for an empty list.
+// quantile returns the nearest-rank quantile of a sorted list, or 0 for an empty list.
 func quantile(sorted []time.Duration, q float64) time.Duration {
 	if len(sorted) == 0 {
 		return 0
--- a/internal/bench/scale_faults.go
+++ b/internal/bench/scale_faults.go
@@ -52,7 +52,7 @@
 
 // Remedy returns what an operator can do.
 func (e *UnknownScaleFaultError) Remedy() string {
-	return "use names of " + fmt.Sprint(slices.Sorted(maps.Keys(scaleFaults)))
+	return "use only the faults " + fmt.Sprint(slices.Sorted(maps.Keys(scaleFaults)))
 }
 
 const (
@@ -181,8 +181,8 @@
 	return err
 }
 
-// restartZone stops all controllers of a zone except voters and relays, changes the policy, and starts
-// these controllers again without a pause between them.
+// restartZone stops all controllers of a zone except voters and relays, changes the policy, and starts all of
+// them again. It changes the policy once more while they start.
 func (f *scaleFleet) restartZone(phase *scalePhase) error {
 	zone := f.real[len(f.real)-1].place.Zone
 	var hollowNames []string
@@ -213,7 +213,7 @@
 	if err := f.sendHollowAction(hollow.Start, hollowNames); err != nil {
 		return err
 	}
-	return f.changePolicyInPhase(phase) // while the controllers start
+	return f.changePolicyInPhase(phase)
 }
 
 // sendHollowAction sends an action to the hollow controllers with some names. Without names it does
--- a/internal/bench/scale_fleet.go
+++ b/internal/bench/scale_fleet.go
@@ -80,12 +80,12 @@
 
 // startFleet starts a fleet and waits until all controllers serve.
 func (s Scale) startFleet(ctx context.Context, number int64) (*scaleFleet, error) {
-	place, err := newFleetFiles("railrelay-scale")
+	files, err := newFleetFiles("railrelay-scale")
 	if err != nil {
 		return nil, err
 	}
 	ctx, stop := context.WithCancel(ctx)
-	f := &scaleFleet{Scale: s, fleetFiles: place, ctx: ctx, stop: stop, number: number,
+	f := &scaleFleet{Scale: s, fleetFiles: files, ctx: ctx, stop: stop, number: number,
 		byName: map[string]*scaleMember{}, checker: newScaleChecker(), version: 1}
 	for _, step := range []func() error{f.startEngines, f.planMembers, f.startRealControllers,
 		f.startHollowControllers, f.awaitAllServing} {
--- a/internal/bench/scale_limits.go
+++ b/internal/bench/scale_limits.go
@@ -113,6 +113,7 @@
 	return max(own, hollowDescriptors*maxHollowPerProcess, 2*s.Controllers+s.Engines+benchProcessDescriptors)
 }
 
+// checkDescriptors checks that a process of the run may open enough file descriptors.
 func (s Scale) checkDescriptors() error {
 	var limit syscall.Rlimit
 	if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &limit); err != nil {
--- a/internal/bench/scale_usage.go
+++ b/internal/bench/scale_usage.go
@@ -217,6 +217,7 @@
 	return result
 }
 
+// meanRate returns the mean of each figure.
 func meanRate(rates []scaleRate) (mean scaleRate) {
 	for _, r := range rates {
 		for i, x := range r.fields() {
