--- a/internal/controller/result_paging_test.go
+++ b/internal/controller/result_paging_test.go
@@ -67,7 +67,8 @@
 	}
 	figures := engine.DefaultConfig()
 	config := controller.Config{MemoryMB: 64, MaxDescriptors: 4096,
-		Settings: bench.Facts(bench.Usual(), figures), Tenants: tenants, StartedAt: time.UnixMilli(0),
+		Settings: bench.ControllerSettings(bench.DefaultWorkload(), figures), Tenants: tenants,
+		StartedAt: time.UnixMilli(0),
 		FieldNames: controller.FieldNames{Tenant: "team", Paged: "pages"},
 		Spool: &controller.SpoolConfig{Limits: l, Keys: keys, FirstResultID: keeper.FirstResultID(),
 			Restore: keeper.Restore}}
@@ -108,7 +109,7 @@
 		append(more, "pages", "1")...)
 }
 
-func (s *spoolWorld) client() *world.Client { return s.Connect("c", bench.Home) }
+func (s *spoolWorld) client() *world.Client { return s.Connect("c", bench.ClientAddress) }
 
 // pageCount returns the number of pages of a result, or 0 if it was answered in one piece.
 func pageCount(a *world.Query) int {
@@ -481,7 +482,7 @@
 // must be charged to its tenant.
 func TestPageTokensAndChargesAreByTenant(t *testing.T) {
 	d := disk.New()
-	tenants := &fairqueue.Config{Tenants: bench.Teams(), TrustedAddresses: bench.Homes}
+	tenants := &fairqueue.Config{Tenants: bench.DefaultTenants(), TrustedAddresses: bench.ClientPrefixes}
 	s := newSpoolWorld(t, d, disk.NewIndex(d), testLimits(), tenants)
 	c := s.client()
 	a := s.ask(c, 3000, "team", "gauges-1")
