--- a/cmd/railrelay-fleet/command.go
+++ b/cmd/railrelay-fleet/command.go
@@ -119,7 +119,7 @@
 			if err := checkUntil(until, "", "unreachable", "erased"); err != nil {
 				return err
 			}
-			a := &fleet.Request{Kind: "purge", ID: id, Scope: &fleet.Scope{Team: team, Tables: tables},
+			a := &fleet.Request{Kind: "purge", ID: id, Scope: &fleet.Scope{Tenant: team, Tables: tables},
 				AwaitedStage: until, WaitMs: d.timeout.Milliseconds()}
 			if until == "erased" {
 				a.AwaitedStage = ""
@@ -328,7 +328,7 @@
 			fmt.Fprintf(w, "emergency by rule %s\n", rule)
 		}
 		for _, b := range s.Bindings {
-			fmt.Fprintf(w, "tables %s of %s follow %s\n", joinNumbers(b.Tables), b.Team, joinNumbers(b.SourceTables))
+			fmt.Fprintf(w, "tables %s of %s follow %s\n", joinNumbers(b.Tables), b.Tenant, joinNumbers(b.SourceTables))
 		}
 		if len(s.Members) > 0 {
 			fmt.Fprintln(w, "\ncontroller\tsite\tvotes\tholds\trecord\tpeers\tclients")
--- a/cmd/railrelay-fleet/control_test.go
+++ b/cmd/railrelay-fleet/control_test.go
@@ -266,7 +266,7 @@
 	before := checkControlPolicy(own, "first", []byte("placement: [{name: a, team: x, engines: [linz]}]"),
 		driver.PolicyContext{})
 	if before.Reason != "" || before.ResidencyRulesUnknown || len(before.PurgeScopes) != 1 ||
-		before.PurgeScopes[0].Team != "x" {
+		before.PurgeScopes[0].Tenant != "x" {
 		t.Fatalf("%+v", before)
 	}
 	unstated := []byte("groups: [{name: lookup, target: 2s}]")
--- a/cmd/railrelay-fleet/plan.go
+++ b/cmd/railrelay-fleet/plan.go
@@ -71,7 +71,7 @@
 			} else {
 				_, err = fmt.Fprint(c.OutOrStdout(), args[0]+": good\n"+o.Table())
 			}
-			if len(o.TeamsWithoutSite) > 0 && err == nil {
+			if len(o.TenantsWithoutSite) > 0 && err == nil {
 				return cli.ExitError{Code: 3}
 			}
 			return err
--- a/internal/bench/fairness.go
+++ b/internal/bench/fairness.go
@@ -201,11 +201,11 @@
 	clear(run.waitingQueries)
 	isAnyWaiting := false
 	for _, query := range run.Queries[run.firstOpen:] {
-		if query.StartedAt > run.lastStart[query.Team] {
-			run.lastStart[query.Team] = query.StartedAt
+		if query.StartedAt > run.lastStart[query.Tenant] {
+			run.lastStart[query.Tenant] = query.StartedAt
 		}
 		if query.StartedAt < 0 && !query.Answered && !query.Cancelled && run.Now-query.SubmittedAt > interval {
-			run.waitingQueries[query.Team]++
+			run.waitingQueries[query.Tenant]++
 			isAnyWaiting = isAnyWaiting || query.Group != "load" // loads also wait for earlier loads
 		}
 	}
@@ -388,7 +388,7 @@
 	cpuSeconds := map[string]float64{}
 	for _, query := range run.Queries {
 		if query.StartedAt >= from && query.StartedAt < to {
-			cpuSeconds[query.Team] += query.Work.CPU.Seconds()
+			cpuSeconds[query.Tenant] += query.Work.CPU.Seconds()
 		}
 	}
 	sum, squares := 0.0, 0.0
@@ -508,7 +508,7 @@
 			run.RunUntil(45 * time.Second)
 			violations = append(violations, run.History.Finish(run.Now)...)
 			for _, query := range run.Queries {
-				if query.StartedAt >= 0 && query.Team != run.TenantNames[0] {
+				if query.StartedAt >= 0 && query.Tenant != run.TenantNames[0] {
 					waits = append(waits, query.StartedAt-query.SubmittedAt)
 				}
 			}
--- a/internal/bench/fairness_test.go
+++ b/internal/bench/fairness_test.go
@@ -79,7 +79,7 @@
 			case 5:
 				run.Schedule(at, func() {
 					for i, query := range run.Queries[max(0, len(run.Queries)-50):] {
-						if connection := run.clients[query.Team]; i%2 == 0 && connection != nil {
+						if connection := run.clients[query.Tenant]; i%2 == 0 && connection != nil {
 							connection.Cancel(query)
 						}
 					}
@@ -133,7 +133,7 @@
 			run.SubmitAtRate("flood", floodLoad, 0, 15*time.Second, nil)
 		}
 		run.runToEnd(t, 40*time.Second)
-		others := run.EvaluateEstimates(func(query *world.Query) bool { return query.Team != "flood" })
+		others := run.EvaluateEstimates(func(query *world.Query) bool { return query.Tenant != "flood" })
 		if others.Deferred+others.Killed > others.Finished/20 {
 			t.Fatalf("of the other tenants' queries %d finished, %d were deferred or killed",
 				others.Finished, others.Deferred+others.Killed)
@@ -219,7 +219,7 @@
 	run := newCrowdedRun(t, 4, 60)
 	cancelled := 0
 	for _, query := range run.Queries {
-		if query.Team == "a" && query.StartedAt < 0 && !query.Answered {
+		if query.Tenant == "a" && query.StartedAt < 0 && !query.Answered {
 			run.clients["a"].Cancel(query)
 			cancelled++
 		}
@@ -261,7 +261,7 @@
 	run := newCrowdedRun(t, 4, 40)
 	run.Schedule(run.Now+200*time.Millisecond, func() {
 		for _, query := range run.Queries {
-			if query.Team == "a" {
+			if query.Tenant == "a" {
 				run.clients["a"].Cancel(query)
 			}
 		}
@@ -269,7 +269,7 @@
 	run.runToEnd(t, 30*time.Second)
 	notifiedAgain := 0
 	for _, query := range run.Queries {
-		if query.Team == "b" && query.WaitNotices > 1 {
+		if query.Tenant == "b" && query.WaitNotices > 1 {
 			notifiedAgain++
 		}
 	}
@@ -287,9 +287,9 @@
 		}
 	}
 	run.RunUntil(run.Now + 2*time.Second)
-	connection := run.clients[deferred.Team]
+	connection := run.clients[deferred.Tenant]
 	connection.Submit("00000000000000ff", deferred.Group, "", 12*time.Second, deferred.Work,
-		"team", deferred.Team, "first", deferred.ID)
+		"team", deferred.Tenant, "first", deferred.ID)
 	repeats := 0
 	run.Controller.EachTenant(func(_ string, _ int, counts fairqueue.Counts) { repeats += counts.Repeated })
 	if repeats != 1 {
--- a/internal/bench/schedule_actors.go
+++ b/internal/bench/schedule_actors.go
@@ -277,7 +277,7 @@
 
 // invalidates reports whether an InvalidateData order covers a result.
 func invalidates(order fleet.Order, result simulatedResult) bool {
-	return order.Scope.Team == result.team && result.viewIndex < order.Index &&
+	return order.Scope.Tenant == result.team && result.viewIndex < order.Index &&
 		(len(order.Scope.Tables) == 0 || slices.Contains(order.Scope.Tables, result.table))
 }
 
--- a/internal/bench/schedule_operators.go
+++ b/internal/bench/schedule_operators.go
@@ -84,7 +84,7 @@
 			ID:          fmt.Sprintf("purge-%d", count),
 			RequestedBy: "op",
 			WaitMs:      2000,
-			Scope:       &fleet.Scope{Team: scheduleTeams[run.rng.IntN(2)]},
+			Scope:       &fleet.Scope{Tenant: scheduleTeams[run.rng.IntN(2)]},
 		}}
 		if run.rng.IntN(2) == 0 {
 			purge.request.Scope.Tables = []int64{int64(run.rng.IntN(3))}
--- a/internal/bench/together.go
+++ b/internal/bench/together.go
@@ -213,7 +213,7 @@
 }
 
 func (g *faultFleet) placementRule() historycheck.Rule {
-	return historycheck.Rule{Team: "linz", Sites: []string{"east"}}
+	return historycheck.Rule{Tenant: "linz", Sites: []string{"east"}}
 }
 
 func placementYAML(k int) string {
--- a/internal/bench/together_operators.go
+++ b/internal/bench/together_operators.go
@@ -73,7 +73,8 @@
 func (g *faultFleet) purgeTeam(p *fleetProcess, team string, within time.Duration) (took time.Duration, err error) {
 	g.mu.Lock()
 	g.serial++
-	a := &fleet.Request{Kind: "purge", ID: fmt.Sprintf("purge-%d", g.serial), RequestedBy: "the laboratory", Scope: &fleet.Scope{Team: team}, WaitMs: 1500, AwaitedStage: "unreachable"}
+	a := &fleet.Request{Kind: "purge", ID: fmt.Sprintf("purge-%d", g.serial), RequestedBy: "the laboratory",
+		Scope: &fleet.Scope{Tenant: team}, WaitMs: 1500, AwaitedStage: "unreachable"}
 	g.fleetHistory.PurgeRequested(g.elapsed(), a.ID, *a.Scope)
 	g.mu.Unlock()
 	stage, begin, looked := "", time.Now(), time.Duration(0)
--- a/internal/controller/invalidation.go
+++ b/internal/controller/invalidation.go
@@ -86,13 +86,13 @@
 // invalidate carries out an invalidation that the fleet ordered.
 func (v *invalidation) invalidate(id string, scope *fleet.Scope, index uint64) {
 	v.started++
-	v.logMessage(false, "purge "+id+" of team "+scope.Team+" started")
+	v.logMessage(false, "purge "+id+" of team "+scope.Tenant+" started")
 	unreachable := func() {
 		v.servingLease.report(fleet.Report{Kind: fleet.DataTombstoned, ID: id})
 	}
 	erased := func(n fleet.InvalidationCounts) {
 		v.completed++
-		v.logCompleted(id, scope.Team, n)
+		v.logCompleted(id, scope.Tenant, n)
 		v.servingLease.report(fleet.Report{Kind: fleet.DataErased, ID: id, Counts: n})
 	}
 	v.apply(scope, index, unreachable, erased)
@@ -116,7 +116,7 @@
 
 // startLocal starts an invalidation on a controller without peers.
 func (v *invalidation) startLocal(id string, scope *fleet.Scope) {
-	entry := &localInvalidation{tenant: scope.Team}
+	entry := &localInvalidation{tenant: scope.Tenant}
 	v.local[id] = entry
 	v.localIDs = append(v.localIDs, id)
 	if len(v.localIDs) > maxLocalInvalidations {
@@ -128,7 +128,7 @@
 		v.completed++
 		entry.done = true
 		entry.counts = n
-		v.logCompleted(id, scope.Team, n)
+		v.logCompleted(id, scope.Tenant, n)
 		v.answerLocalCalls(id)
 	})
 }
@@ -162,7 +162,7 @@
 		}
 	}
 	awaitWrites := func() {
-		v.awaitWritesFlushed(scope.Team, v.now+flushTimeout, func() {
+		v.awaitWritesFlushed(scope.Tenant, v.now+flushTimeout, func() {
 			unreachable()
 			isUnreachable = true
 			finish()
--- a/internal/controller/invalidation_calls.go
+++ b/internal/controller/invalidation_calls.go
@@ -66,7 +66,7 @@
 	v.pendingCalls[call.id] = append(v.pendingCalls[call.id], call)
 	call.answerBy = cl.now + max(0, purge.Timeout-answerMargin)
 	call.timer = cl.timers.Add(call.answerBy, func() { v.answerState(call, statePending, "", nil, nil) })
-	scope := &fleet.Scope{Team: tenant, Tables: purge.TableGroups, RetainedBeforeMs: purge.BeforeMillis}
+	scope := &fleet.Scope{Tenant: tenant, Tables: purge.TableGroups, RetainedBeforeMs: purge.BeforeMillis}
 	switch {
 	case v.servingLease != nil && isNew:
 		request := v.newFleetRequest("purge", call, purge.Timeout)
@@ -87,7 +87,7 @@
 	kind string, call *invalidationCall, patience time.Duration,
 ) *fleet.Request {
 	wait := max(1, (patience - 2*answerMargin).Milliseconds())
-	return &fleet.Request{Kind: kind, ID: call.id, RequestedBy: call.tenant, Team: call.tenant, WaitMs: wait}
+	return &fleet.Request{Kind: kind, ID: call.id, RequestedBy: call.tenant, Tenant: call.tenant, WaitMs: wait}
 }
 
 // tooManyCalls reports whether a further call of the tenant must be deferred.
--- a/internal/controller/invalidation_test.go
+++ b/internal/controller/invalidation_test.go
@@ -80,7 +80,7 @@
 	}
 	page := func(a *world.Query, n int) *client.Answer {
 		ans := &client.Answer{Kind: -1}
-		c.Page(a.Paging["token"], n, func(x client.Answer) { *ans = x }, "team", a.Team)
+		c.Page(a.Paging["token"], n, func(x client.Answer) { *ans = x }, "team", a.Tenant)
 		return ans
 	}
 	s.DiskLatency = 20 * time.Millisecond
@@ -175,12 +175,13 @@
 		return p.Kind == fleet.SitesServing || p.Kind == fleet.PolicyActivated
 	})
 	if len(s.Reports) != 2 || s.Reports[0].Request.Kind != "purge" ||
-		s.Reports[0].Request.Scope.Team != "linz" || s.Reports[1].Request.Kind != "status" ||
-		s.Reports[1].Request.ID != "p1" || s.Reports[1].Request.Team != "linz" {
+		s.Reports[0].Request.Scope.Tenant != "linz" || s.Reports[1].Request.Kind != "status" ||
+		s.Reports[1].Request.ID != "p1" || s.Reports[1].Request.Tenant != "linz" {
 		t.Fatalf("requests to the fleet: %+v", s.Reports)
 	}
 	first := s.Reports[0].Request.ID
-	s.SendOrder(fleet.Order{Kind: fleet.InvalidateData, ID: first, Scope: &fleet.Scope{Team: "linz"}, Index: 7})
+	s.SendOrder(fleet.Order{Kind: fleet.InvalidateData, ID: first, Index: 7,
+		Scope: &fleet.Scope{Tenant: "linz"}})
 	s.RunUntil(4800 * time.Millisecond)
 	reports := slices.DeleteFunc(s.Reports[2:], func(p fleet.Report) bool {
 		return p.Kind == fleet.SitesServing
@@ -238,8 +239,8 @@
 	for i, want := range []client.Kind{client.Finished, client.Killed, client.Finished} {
 		var rules []residency.Rule
 		if i == 1 { // the controller has no site, so it isn't at an allowed one
-			rules = []residency.Rule{{Name: "inside", Team: "linz", Tables: []int64{3}, Engines: []string{"here"},
-				Controllers: []string{"here"}, Keep: []string{"here"}}}
+			rules = []residency.Rule{{Name: "inside", Tenant: "linz", Tables: []int64{3},
+				EngineSites: []string{"here"}, ControllerSites: []string{"here"}, RetentionSites: []string{"here"}}}
 		}
 		s.SendOrder(fleet.Order{Kind: fleet.ActivatePolicy, Version: uint64(i + 2),
 			Policy: &controller.Policy{Version: uint64(i + 2), Rules: rules}})
@@ -352,7 +353,8 @@
 		t.Fatalf("%d results after a restart, want 1", n)
 	}
 	next.SendOrder(fleet.Order{Kind: fleet.ViewChanged, View: &fleet.View{Index: 3}})
-	next.SendOrder(fleet.Order{Kind: fleet.InvalidateData, ID: "p", Index: 3, Scope: &fleet.Scope{Team: "linz"}})
+	next.SendOrder(fleet.Order{Kind: fleet.InvalidateData, ID: "p", Index: 3,
+		Scope: &fleet.Scope{Tenant: "linz"}})
 	next.RunUntil(next.Now + time.Second)
 	if n, _, _ := next.Controller.SpoolUsage(); n != 0 {
 		t.Errorf("%d results left", n)
--- a/internal/controller/residency.go
+++ b/internal/controller/residency.go
@@ -195,11 +195,11 @@
 			controllers = append(controllers, m.ClientAddress)
 		}
 	}
-	outside := &residency.Outside{
-		Team:        q.residency.tenant,
-		Site:        r.core.Site(),
-		Rules:       v.RuleNames,
-		Controllers: controllers,
+	outside := &residency.ControllerNotAllowedError{
+		Tenant:             q.residency.tenant,
+		Site:               r.core.Site(),
+		Rules:              v.RuleNames,
+		AllowedControllers: controllers,
 	}
 	r.logWithFields(q.logFields(), outside.Error())
 	if q.answered || !r.closeQuery(q, fairqueue.Deferred) {
@@ -222,7 +222,7 @@
 func (r *residencyState) requestBinding(required *fleet.Binding) {
 	// The id depends on the binding alone, so that the fleet recognises a request that is repeated
 	// by another controller or after a restart.
-	sum := sha256.Sum256(fmt.Appendf(nil, "%q %v %v", required.Team, required.Tables, required.SourceTables))
+	sum := sha256.Sum256(fmt.Appendf(nil, "%q %v %v", required.Tenant, required.Tables, required.SourceTables))
 	id := fmt.Sprintf("bind-%x", sum[:16])
 	if r.pendingBindings[id] != nil {
 		return
@@ -238,7 +238,7 @@
 		Kind:         "bind",
 		ID:           id,
 		RequestedBy:  r.core.Site(),
-		Team:         b.binding.Team,
+		Tenant:       b.binding.Tenant,
 		Tables:       b.binding.Tables,
 		SourceTables: b.binding.SourceTables,
 		WaitMs:       bindingWait.Milliseconds(),
@@ -270,7 +270,7 @@
 	default:
 		delete(r.pendingBindings, id)
 		why := cmp.Or(reply.Reason, reply.Outcome)
-		r.logMessage(true, (&residency.Unbound{Team: b.binding.Team, Tables: b.binding.Tables,
+		r.logMessage(true, (&residency.BindingNotLoggedError{Tenant: b.binding.Tenant, Tables: b.binding.Tables,
 			Reason: why}).Error())
 	}
 	return true
--- a/internal/controller/residency_retention_test.go
+++ b/internal/controller/residency_retention_test.go
@@ -24,7 +24,7 @@
 			Policy: &controller.Policy{Version: version, Rules: rules}})
 	}
 	s.SendOrder(fleet.Order{Kind: fleet.LeaseRenewed, LeaseEnd: fleet.Forever, ConfinedLeaseEnd: fleet.Forever})
-	open(1, residency.Rule{Name: "r", Team: "linz", Engines: []string{here}})
+	open(1, residency.Rule{Name: "r", Tenant: "linz", EngineSites: []string{here}})
 	c := s.client()
 	page := func(token string) *client.Answer {
 		ans := &client.Answer{Kind: -1}
@@ -41,8 +41,8 @@
 	if s.sendAs(c, "linz", 4); s.advance(time.Second) && s.Controller.ResultCache().Counts.Hits != 1 {
 		t.Fatalf("%+v", s.Controller.ResultCache().Counts)
 	}
-	open(2, residency.Rule{Name: "r", Team: "linz", Tables: []int64{3, 4}, Engines: []string{here},
-		Keep: []string{}})
+	open(2, residency.Rule{Name: "r", Tenant: "linz", Tables: []int64{3, 4}, EngineSites: []string{here},
+		RetentionSites: []string{}})
 	if ans := page(kept.Paging["token"]); ans.Kind != client.Killed {
 		t.Fatalf("a page was served, or the call wasn't answered: kind %v", ans.Kind)
 	}
--- a/internal/controller/residency_test.go
+++ b/internal/controller/residency_test.go
@@ -49,8 +49,8 @@
 
 func TestConfinedQueryStaysInItsSites(t *testing.T) {
 	s := newResidencyHarness(t, 6, "a", nil)
-	s.openRules(1, residency.Rule{Name: "only-b", Team: "bank", Tables: []int64{1}, Engines: []string{"b"},
-		Controllers: []string{"a"}})
+	s.openRules(1, residency.Rule{Name: "only-b", Tenant: "bank", Tables: []int64{1}, EngineSites: []string{"b"},
+		ControllerSites: []string{"a"}})
 	c := s.connect()
 	for i := range 6 {
 		a := s.sendQuery(c, "lookup", "", 5*time.Second, 1, "who", "bank")
@@ -78,8 +78,8 @@
 
 func TestConflictingQueryIsKilledAndForeignQueryRedirected(t *testing.T) {
 	s := newResidencyHarness(t, 3, "a", nil)
-	s.openRules(1, residency.Rule{Name: "in-a", Team: "bank", Tables: []int64{1}, Engines: []string{"a"}},
-		residency.Rule{Name: "in-b", Team: "bank", Tables: []int64{2}, Engines: []string{"b"}})
+	s.openRules(1, residency.Rule{Name: "in-a", Tenant: "bank", Tables: []int64{1}, EngineSites: []string{"a"}},
+		residency.Rule{Name: "in-b", Tenant: "bank", Tables: []int64{2}, EngineSites: []string{"b"}})
 	s.deliverOrder(fleet.Order{Kind: fleet.ViewChanged,
 		View: &fleet.View{Members: []fleet.Member{{Name: "x", Site: "b", ClientAddress: "10.9.9.9:6565"},
 			{Name: "y", Site: "b", ClientAddress: "10.9.9.8:6565", Forgotten: true},
@@ -108,8 +108,8 @@
 // confined from then on.
 func TestLoadIsSentOnceItsBindingIsLogged(t *testing.T) {
 	s := newResidencyHarness(t, 3, "a", nil)
-	s.openRules(1, residency.Rule{Name: "r", Team: "bank", Tables: []int64{1}, Engines: []string{"a"},
-		Follows: true})
+	s.openRules(1, residency.Rule{Name: "r", Tenant: "bank", Tables: []int64{1}, EngineSites: []string{"a"},
+		FollowsLoads: true})
 	c := s.connect()
 	s.statement = "insert into d_5.x select * from d_1.y"
 	first := s.sendQuery(c, "load", "k", 9*time.Second, 0, "who", "bank")
@@ -157,8 +157,8 @@
 	s.statement = "insert into d_5.x select * from d_1.y"
 	a := s.sendQuery(s.connect(), "load", "k", 9*time.Second, 0, "who", "bank")
 	s.respond(s.waitForCall("POST", a.id), "runs")
-	s.openRules(2, residency.Rule{Name: "r", Team: "bank", Tables: []int64{1}, Engines: []string{"a", "b"},
-		Controllers: []string{"a"}, Follows: true})
+	s.openRules(2, residency.Rule{Name: "r", Tenant: "bank", Tables: []int64{1}, EngineSites: []string{"a", "b"},
+		ControllerSites: []string{"a"}, FollowsLoads: true})
 	if requests := s.fleetRequests(); len(requests) != 1 || !slices.Equal(requests[0].Tables, []int64{5}) ||
 		len(a.runs) != 1 || a.answer != "" {
 		t.Fatalf("%+v %q", requests, a.answer)
@@ -167,7 +167,7 @@
 
 func TestEmergencyAllowsMoreSitesAndIsListed(t *testing.T) {
 	s := newResidencyHarness(t, 1, "a", map[string]string{"locations": "b,a", "own.location": "1"})
-	s.openRules(1, residency.Rule{Name: "r", Team: "bank", Engines: []string{"a"},
+	s.openRules(1, residency.Rule{Name: "r", Tenant: "bank", EngineSites: []string{"a"},
 		Emergency: residency.Emergency{Sites: []string{"b"}, After: time.Second}})
 	a := s.sendQuery(s.connect(), "lookup", "", 5*time.Second, 1, "who", "bank")
 	s.runUntil(s.now + 100*time.Millisecond)
@@ -178,7 +178,7 @@
 		View: &fleet.View{Emergencies: map[string]uint64{"r": 9}}})
 	h := s.waitForCall("POST", a.id)
 	if l, n := s.controller.EmergencyCrossings(); n != 1 ||
-		l[0] != (residency.EmergencyCrossing{Query: a.id, Team: "bank", Rule: "r", Site: "b"}) {
+		l[0] != (residency.EmergencyCrossing{Query: a.id, Tenant: "bank", Rule: "r", Site: "b"}) {
 		t.Fatal(l, n)
 	}
 	s.respond(h, "runs")
@@ -206,9 +206,9 @@
 		drawRules := func() (rules []residency.Rule) {
 			for i, tables := range [][]int64{{1}, {2}, nil} {
 				if rapid.Bool().Draw(t, "rule") {
-					rules = append(rules, residency.Rule{Name: fmt.Sprint("r", i), Team: "bank", Tables: tables,
-						Controllers: []string{"a"},
-						Engines:     rapid.SampledFrom([][]string{{"a"}, {"b"}, {"a", "b"}, {"b", "c"}}).Draw(t, "engines")})
+					engineSites := rapid.SampledFrom([][]string{{"a"}, {"b"}, {"a", "b"}, {"b", "c"}}).Draw(t, "engines")
+					rules = append(rules, residency.Rule{Name: fmt.Sprint("r", i), Tenant: "bank", Tables: tables,
+						ControllerSites: []string{"a"}, EngineSites: engineSites})
 				}
 			}
 			return rules
@@ -283,7 +283,8 @@
 	a := s.sendQuery(s.connect(), "lookup", "", 9*time.Second, 1, "who", "bank")
 	at := s.waitForCall("POST", a.id).engine.site
 	within := slices.DeleteFunc([]string{"a", "b", "c"}, func(x string) bool { return x == at })
-	s.openRules(2, residency.Rule{Name: "r", Team: "bank", Engines: within, Controllers: []string{"a"}})
+	s.openRules(2, residency.Rule{Name: "r", Tenant: "bank", EngineSites: within,
+		ControllerSites: []string{"a"}})
 	for _, p := range s.reports {
 		if p.Kind == fleet.PolicyActivated && p.Version == 2 && p.AttemptsOutside != 1 {
 			t.Errorf("%+v", p)
@@ -295,8 +296,8 @@
 // invalidation carries the same id.
 func TestClientCannotConsumeABindingsReply(t *testing.T) {
 	s := newResidencyHarness(t, 3, "a", nil)
-	s.openRules(1, residency.Rule{Name: "r", Team: "bank", Tables: []int64{1}, Engines: []string{"a"},
-		Follows: true})
+	s.openRules(1, residency.Rule{Name: "r", Tenant: "bank", Tables: []int64{1}, EngineSites: []string{"a"},
+		FollowsLoads: true})
 	s.controller.invalidation = newInvalidation(s.controller)
 	s.controller.servingLease.invalidator = s.controller.invalidation
 	c := s.connect()
--- a/internal/controller/result_cache.go
+++ b/internal/controller/result_cache.go
@@ -89,7 +89,7 @@
 		return true
 	}
 	state := &queryCacheState{request: &resultcache.Request{
-		Team:       a.dataOwner(from),
+		Tenant:     a.dataOwner(from),
 		Group:      q.group.index,
 		Statement:  q.statement,
 		Tables:     allTables(q.statement),
--- a/internal/controller/result_paging_test.go
+++ b/internal/controller/result_paging_test.go
@@ -68,7 +68,7 @@
 	figures := engine.DefaultConfig()
 	config := controller.Config{MemoryMB: 64, MaxDescriptors: 4096,
 		Settings: bench.ControllerSettings(bench.DefaultWorkload(), figures), Tenants: tenants,
-		StartedAt: time.UnixMilli(0),
+		StartedAt:  time.UnixMilli(0),
 		FieldNames: controller.FieldNames{Tenant: "team", Paged: "pages"},
 		Spool: &controller.SpoolConfig{Limits: l, Keys: keys, FirstResultID: keeper.FirstResultID(),
 			Restore: keeper.Restore}}
@@ -441,7 +441,7 @@
 func TestThousandSlowPageReaders(t *testing.T) {
 	d := disk.New()
 	l := testLimits()
-	l.MaxDiskBytes, l.TeamShare = 256<<20, 1
+	l.MaxDiskBytes, l.TenantShare = 256<<20, 1
 	s := newSpoolWorld(t, d, disk.NewIndex(d), l, nil)
 	var all []*world.Query
 	maxMemory := int64(0)
--- a/internal/controller/retained_writes.go
+++ b/internal/controller/retained_writes.go
@@ -40,7 +40,7 @@
 	}
 	tenant := ""
 	if q.cacheState != nil && q.cacheState.request != nil {
-		tenant = q.cacheState.request.Team
+		tenant = q.cacheState.request.Tenant
 	}
 	v.trackRetainedWrite(call.client.connection, tenant)
 }
--- a/internal/controller/serving_lease_test.go
+++ b/internal/controller/serving_lease_test.go
@@ -221,7 +221,8 @@
 		other = "b"
 	}
 	s.deliverOrder(fleet.Order{Kind: fleet.ActivatePolicy, Version: 2, Policy: &Policy{Version: 2,
-		Rules: []residency.Rule{{Name: "r", Team: "bank", Engines: []string{other}, Controllers: []string{"a"}}}}})
+		Rules: []residency.Rule{{Name: "r", Tenant: "bank", EngineSites: []string{other},
+			ControllerSites: []string{"a"}}}}})
 	h := s.waitForCall("POST", a.id)
 	if h.engine.id == chosen || h.engine.site != other || !slices.Equal(s.submittedVersions, []uint64{2}) ||
 		s.controller.counters.attemptEnds[7] != 1 {
@@ -272,7 +273,7 @@
 	s.deliverOrder(fleet.Order{Kind: fleet.ActivatePolicy, Version: 2,
 		Policy: &Policy{Version: 2, Tenants: &fairqueue.Config{
 			Tenants: []fairqueue.Tenant{{Name: "b", Weight: 1}}}}})
-	s.deliverOrder(fleet.Order{Kind: fleet.InvalidateData, ID: "p", Scope: &fleet.Scope{Team: "a"}})
+	s.deliverOrder(fleet.Order{Kind: fleet.InvalidateData, ID: "p", Scope: &fleet.Scope{Tenant: "a"}})
 	s.rejectReports, s.reports = false, nil
 	s.runUntil(s.now + 2*reportRetryInterval)
 	var kinds []fleet.ReportKind
--- a/internal/emulator/world/world.go
+++ b/internal/emulator/world/world.go
@@ -86,7 +86,7 @@
 
 // Query is a query that a client submitted.
 type Query struct {
-	ID, Group, Team       string
+	ID, Group, Tenant     string
 	Msg                   uint32
 	SubmittedAt, Deadline time.Duration
 	FirstWait             time.Duration // wait in the first wait notice; -1 if none
@@ -429,7 +429,7 @@
 ) *Query {
 	w := c.world
 	c.lastMsg++
-	query := &Query{ID: id, Group: group, Team: c.Name, Msg: c.lastMsg,
+	query := &Query{ID: id, Group: group, Tenant: c.Name, Msg: c.lastMsg,
 		SubmittedAt: w.Now, Deadline: w.Now + patience, FirstWait: -1, StartedAt: -1, Work: work}
 	fields := append([]string{"trace", id, "patience", fmt.Sprint(patience.Milliseconds())}, more...)
 	if key != "" {
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -54,8 +54,8 @@
 	Reason string `cbor:"9,keyasint,omitempty"`
 	// Scope (EntryInvalidate, EntryEndEmergency) selects the data to purge.
 	Scope *Scope `cbor:"10,keyasint,omitempty"`
-	// Team (EntryBind) owns the tables.
-	Team string `cbor:"11,keyasint,omitempty"`
+	// Tenant (EntryBind) owns the tables.
+	Tenant string `cbor:"11,keyasint,omitempty"`
 	// Tables (EntryBind) are confined from this entry on.
 	Tables []int64 `cbor:"12,keyasint,omitempty"`
 	// SourceTables (EntryBind) are the tables whose boundary Tables follow.
@@ -74,7 +74,7 @@
 
 // Scope selects the data of a team that an invalidation covers.
 type Scope struct {
-	Team string `cbor:"1,keyasint" json:"team"`
+	Tenant string `cbor:"1,keyasint" json:"team"`
 	// Tables are table groups, none: all of the team's.
 	Tables []int64 `cbor:"2,keyasint,omitempty" json:"tables,omitempty"`
 	// RetainedBeforeMs is a wall time: only data retained before it is covered, 0: all data.
@@ -220,7 +220,7 @@
 
 // Binding says that Tables of a team follow the boundary of SourceTables.
 type Binding struct {
-	Team         string  `cbor:"1,keyasint" json:"team"`
+	Tenant       string  `cbor:"1,keyasint" json:"team"`
 	Tables       []int64 `cbor:"2,keyasint" json:"tables"`
 	SourceTables []int64 `cbor:"3,keyasint" json:"from"`
 }
@@ -271,9 +271,9 @@
 	// Name (forget) is the controller to forget.
 	Name  string `json:"name,omitempty"`
 	Scope *Scope `json:"scope,omitempty"`
-	// Team (bind) owns the tables. In a customer's purge or status it restricts the answer to
+	// Tenant (bind) owns the tables. In a customer's purge or status it restricts the answer to
 	// the team's own purges.
-	Team string `json:"team,omitempty"`
+	Tenant string `json:"team,omitempty"`
 	// Tables (bind) follow the boundary of SourceTables.
 	Tables       []int64 `json:"tables,omitempty"`
 	SourceTables []int64 `json:"from,omitempty"`
@@ -353,8 +353,8 @@
 // EmergencyRule is a residency rule that allows further sites while all engines in its own
 // sites are lost.
 type EmergencyRule struct {
-	Name  string
-	Team  string
-	Sites []string
-	After time.Duration // how long all engines in Sites must be lost, or one must serve again
+	Name   string
+	Tenant string
+	Sites  []string
+	After  time.Duration // how long all engines in Sites must be lost, or one must serve again
 }
--- a/internal/fleet/golden_values_test.go
+++ b/internal/fleet/golden_values_test.go
@@ -3,8 +3,10 @@
 // goldenRequest has every field set.
 var goldenRequest = Request{
 	Kind: "apply", ID: "ask-1", RequestedBy: "operator@host", BaseVersion: 1, Policy: []byte("groups: []\n"), Name: "south-1",
-	Scope: &Scope{Team: "team-a", Tables: []int64{1, -2}, RetainedBeforeMs: 2, OutsideSites: []string{"north"}},
-	Team:  "team-b", Tables: []int64{3, 4}, SourceTables: []int64{5}, AbortAfterMs: 6, WaitMs: 7, AwaitedStage: "settled",
+	Scope: &Scope{Tenant: "team-a", Tables: []int64{1, -2}, RetainedBeforeMs: 2,
+		OutsideSites: []string{"north"}},
+	Tenant: "team-b", Tables: []int64{3, 4}, SourceTables: []int64{5}, AbortAfterMs: 6, WaitMs: 7,
+	AwaitedStage: "settled",
 }
 
 // goldenResponse has every field set, including those of nested values.
@@ -25,7 +27,7 @@
 		},
 		Purges:      []Response{{ID: "purge-1", Outcome: "purged", Counts: &InvalidationCounts{Results: 18}}},
 		Emergencies: []string{"rule-1"},
-		Bindings:    []Binding{{Team: "team-b", Tables: []int64{3, 4}, SourceTables: []int64{5}}},
+		Bindings:    []Binding{{Tenant: "team-b", Tables: []int64{3, 4}, SourceTables: []int64{5}}},
 		Counts:      map[string]int{"asks": 19, "refused_replay": 20},
 	},
 	Policy: []byte("voters: []\n"),
--- a/internal/fleet/node/emergency.go
+++ b/internal/fleet/node/emergency.go
@@ -36,7 +36,7 @@
 		return
 	}
 	if serving {
-		scope := &fleet.Scope{Team: rule.Team, OutsideSites: rule.Sites}
+		scope := &fleet.Scope{Tenant: rule.Tenant, OutsideSites: rule.Sites}
 		c.proposeOnce("calm "+rule.Name, &fleet.Entry{Kind: fleet.EntryEndEmergency, Name: rule.Name, Scope: scope})
 	} else {
 		c.proposeOnce("emergency "+rule.Name, &fleet.Entry{Kind: fleet.EntryBeginEmergency, Name: rule.Name})
--- a/internal/fleet/node/node_test.go
+++ b/internal/fleet/node/node_test.go
@@ -52,10 +52,10 @@
 	f.incarnation = 0
 	l := s.leader()
 	l.request(1, &fleet.Request{Kind: "apply", ID: "c1", BaseVersion: 1, Policy: []byte("x")})
-	l.request(2, &fleet.Request{Kind: "purge", ID: "p1", Scope: &fleet.Scope{Team: "a"},
+	l.request(2, &fleet.Request{Kind: "purge", ID: "p1", Scope: &fleet.Scope{Tenant: "a"},
 		AwaitedStage: fleet.EntryTombstone,
 		WaitMs:       30000})
-	l.request(3, &fleet.Request{Kind: "purge", ID: "p1", Scope: &fleet.Scope{Team: "a"}, WaitMs: 30000})
+	l.request(3, &fleet.Request{Kind: "purge", ID: "p1", Scope: &fleet.Scope{Tenant: "a"}, WaitMs: 30000})
 	s.waitFor(5*time.Second, "in force, unreachable", func() bool {
 		return s.responseTo(l, 1) != nil && s.responseTo(l, 2) != nil
 	})
@@ -130,7 +130,7 @@
 	f.incarnation = 0
 	l := s.leader()
 	for i := range 400 {
-		l.request(uint64(i+1), &fleet.Request{Kind: "bind", ID: fmt.Sprintf("b%d", i), Team: "a",
+		l.request(uint64(i+1), &fleet.Request{Kind: "bind", ID: fmt.Sprintf("b%d", i), Tenant: "a",
 			Tables: []int64{int64(i)}})
 		s.waitFor(5*time.Second, "bound", func() bool { return s.responseTo(l, uint64(i+1)) != nil })
 	}
@@ -265,7 +265,7 @@
 		s.cutLinks[n+">f0"], s.cutLinks["f0>"+n] = true, true
 	}
 	l := s.leader()
-	l.request(1, &fleet.Request{Kind: "purge", ID: "p1", Scope: &fleet.Scope{Team: "a"},
+	l.request(1, &fleet.Request{Kind: "purge", ID: "p1", Scope: &fleet.Scope{Tenant: "a"},
 		AwaitedStage: fleet.EntryTombstone,
 		WaitMs:       30000})
 	s.waitFor(5*time.Second, "unreachable", func() bool {
--- a/internal/fleet/node/operator_requests.go
+++ b/internal/fleet/node/operator_requests.go
@@ -138,7 +138,7 @@
 	e := &fleet.Entry{
 		ID:           request.ID,
 		RequestedBy:  request.RequestedBy,
-		Team:         request.Team,
+		Tenant:       request.Tenant,
 		Scope:        request.Scope,
 		Name:         request.Name,
 		BaseVersion:  request.BaseVersion,
--- a/internal/fleet/node/relay_test.go
+++ b/internal/fleet/node/relay_test.go
@@ -501,7 +501,7 @@
 	if took > 1500*time.Millisecond { // time for two elections, one and a half renewals, and the change
 		t.Errorf("in force %v after the leader was lost, with leases of %v", took, lease)
 	}
-	purge := &fleet.Request{Kind: "purge", ID: "p1", Scope: &fleet.Scope{Team: "a"}, WaitMs: 60000}
+	purge := &fleet.Request{Kind: "purge", ID: "p1", Scope: &fleet.Scope{Tenant: "a"}, WaitMs: 60000}
 	s.controllers["f1"].request(2, purge)
 	s.waitFor(3*time.Second, "purged while control processes are down", func() bool {
 		return s.responseTo(s.controllers["f1"], 2) != nil
@@ -582,7 +582,7 @@
 	f := s.controllers["f2"]
 	s.waitFor(3*time.Second, "in force", s.applyPolicy(f, "c1", 1, 1))
 	s.checkInForce(f, 1)
-	f.request(2, &fleet.Request{Kind: "bind", ID: "b1", Team: "a", Tables: []int64{1}})
+	f.request(2, &fleet.Request{Kind: "bind", ID: "b1", Tenant: "a", Tables: []int64{1}})
 	s.waitFor(3*time.Second, "bound", func() bool { return s.responseTo(f, 2) != nil })
 	s.controllers["r0"].incarnation = 0 // its first relay
 	s.waitFor(8*time.Second, "in force by the second", s.applyPolicy(f, "c2", 3, 2))
--- a/internal/fleet/scope.go
+++ b/internal/fleet/scope.go
@@ -6,7 +6,7 @@
 // retained at a wall time, in milliseconds since 1970. Data whose team ("") or tables (none)
 // are unknown is covered too.
 func (s *Scope) Matches(team string, tables []int64, wall int64) bool {
-	return (s.Team == team || team == "") &&
+	return (s.Tenant == team || team == "") &&
 		(len(s.Tables) == 0 || len(tables) == 0 || TablesOverlap(tables, s.Tables)) &&
 		(s.RetainedBeforeMs == 0 || wall < s.RetainedBeforeMs)
 }
--- a/internal/fleet/statemachine/apply.go
+++ b/internal/fleet/statemachine/apply.go
@@ -24,7 +24,7 @@
 		if !s.BindIDs[e.ID] {
 			s.BindIDs[e.ID] = true
 			s.Bindings = append(s.Bindings, fleet.Binding{
-				Team:         e.Team,
+				Tenant:       e.Tenant,
 				Tables:       e.Tables,
 				SourceTables: e.SourceTables,
 			})
@@ -187,7 +187,7 @@
 	var merged []fleet.Binding
 	for _, b := range s.Bindings {
 		i := slices.IndexFunc(merged, func(x fleet.Binding) bool {
-			return x.Team == b.Team && slices.Equal(x.SourceTables, b.SourceTables)
+			return x.Tenant == b.Tenant && slices.Equal(x.SourceTables, b.SourceTables)
 		})
 		if i < 0 {
 			merged = append(merged, b)
--- a/internal/fleet/statemachine/golden_values_test.go
+++ b/internal/fleet/statemachine/golden_values_test.go
@@ -17,16 +17,18 @@
 		Changes: map[string]*PolicyChange{
 			"change-1": {ID: "change-1", RequestedBy: "operator@host", BaseVersion: 103, Version: 104, Policy: []byte("voters: []\n"), Phase: Fencing,
 				Reason: "a reason", AbortAfterMs: 105, LogIndex: 106,
-				OutsideScopes: []fleet.Scope{{Team: "team-a", Tables: []int64{1, -2}, RetainedBeforeMs: 107, OutsideSites: []string{"north"}}},
-				Voters:        []string{"south-1=10.0.0.2:7000"}, Settled: true},
+				OutsideScopes: []fleet.Scope{{Tenant: "team-a", Tables: []int64{1, -2}, RetainedBeforeMs: 107,
+					OutsideSites: []string{"north"}}},
+				Voters: []string{"south-1=10.0.0.2:7000"}, Settled: true},
 			"change-2": {ID: "change-2"},
 		},
 		CurrentChange: "change-1",
 		Purges: map[string]*Purge{
-			"purge-1": {ID: "purge-1", RequestedBy: "team-a", Scope: fleet.Scope{Team: "team-a"}, LogIndex: 108, Stage: fleet.EntryErased,
+			"purge-1": {ID: "purge-1", RequestedBy: "team-a", Scope: fleet.Scope{Tenant: "team-a"}, LogIndex: 108,
+				Stage:  fleet.EntryErased,
 				Counts: fleet.InvalidationCounts{Results: 109, Answers: 110, Bytes: 111}, ParentID: "change-1"},
 		},
-		Bindings:    []fleet.Binding{{Team: "team-b", Tables: []int64{3, 4}, SourceTables: []int64{5}}},
+		Bindings:    []fleet.Binding{{Tenant: "team-b", Tables: []int64{3, 4}, SourceTables: []int64{5}}},
 		BindIDs:     map[string]bool{"bind-1": true},
 		Emergencies: map[string]uint64{"rule-1": 112},
 		ViewIndex:   113,
@@ -37,7 +39,8 @@
 // goldenEntries returns entries of each kind, in an order in which each entry changes the state.
 // The last entry has an unknown kind and every field set.
 func goldenEntries() []fleet.Entry {
-	scope := fleet.Scope{Team: "team-a", Tables: []int64{1, -2}, RetainedBeforeMs: 201, OutsideSites: []string{"north"}}
+	scope := fleet.Scope{Tenant: "team-a", Tables: []int64{1, -2}, RetainedBeforeMs: 201,
+		OutsideSites: []string{"north"}}
 	counts := fleet.InvalidationCounts{Results: 202, Answers: 203, Bytes: 204}
 	member := fleet.Member{Name: "north-1", DiskID: "disk-1", Site: "north", PeerAddress: "10.0.0.1:7000",
 		ClientAddress: "10.0.0.1:6000", Forgotten: true,
@@ -55,13 +58,14 @@
 		{Kind: fleet.EntryInvalidate, ID: "purge-1", RequestedBy: "team-a", Scope: &scope},
 		{Kind: fleet.EntryTombstone, ID: "purge-1"},
 		{Kind: fleet.EntryErased, ID: "purge-1", Counts: &counts},
-		{Kind: fleet.EntryBind, ID: "bind-1", Team: "team-b", Tables: []int64{3, 4}, SourceTables: []int64{5}},
+		{Kind: fleet.EntryBind, ID: "bind-1", Tenant: "team-b", Tables: []int64{3, 4}, SourceTables: []int64{5}},
 		{Kind: fleet.EntryBeginEmergency, Name: "rule-1"},
 		{Kind: fleet.EntryBeginEmergency, Name: "rule-2"},
 		{Kind: fleet.EntryEndEmergency, Name: "rule-1", Scope: &scope},
 		{Kind: "none", ID: "id", RequestedBy: "by", Name: "name", Member: &member, BaseVersion: 207,
 			Policy: []byte("policy"), AbortAfterMs: 208, Reason: "why",
-			Scope: &scope, Team: "team", Tables: []int64{209}, SourceTables: []int64{210}, Counts: &counts, RequestedAtMs: 211,
-			Voters: []string{"a=b"}, Scopes: []fleet.Scope{scope}},
+			Scope: &scope, Tenant: "team", Tables: []int64{209}, SourceTables: []int64{210}, Counts: &counts,
+			RequestedAtMs: 211,
+			Voters:        []string{"a=b"}, Scopes: []fleet.Scope{scope}},
 	}
 }
--- a/internal/fleet/transport/golden_values_test.go
+++ b/internal/fleet/transport/golden_values_test.go
@@ -31,8 +31,10 @@
 
 var goldenAsk = fleet.Request{
 	Kind: "apply", ID: "ask-1", RequestedBy: "operator@host", BaseVersion: 21, Policy: []byte("groups: []\n"), Name: "south-1",
-	Scope: &fleet.Scope{Team: "team-a", Tables: []int64{1, -2}, RetainedBeforeMs: 22, OutsideSites: []string{"north"}},
-	Team:  "team-b", Tables: []int64{3, 4}, SourceTables: []int64{5}, AbortAfterMs: 23, WaitMs: 24, AwaitedStage: "settled",
+	Scope: &fleet.Scope{Tenant: "team-a", Tables: []int64{1, -2}, RetainedBeforeMs: 22,
+		OutsideSites: []string{"north"}},
+	Tenant: "team-b", Tables: []int64{3, 4}, SourceTables: []int64{5}, AbortAfterMs: 23, WaitMs: 24,
+	AwaitedStage: "settled",
 }
 
 // goldenMessages returns one message of each kind, by the name of the kind, and "all" with every kind.
--- a/internal/historycheck/fleet.go
+++ b/internal/historycheck/fleet.go
@@ -103,7 +103,7 @@
 
 // Rule binds a team's queries on some tables to sites. A rule without tables covers all of them.
 type Rule struct {
-	Team   string
+	Tenant string
 	Tables []int64
 	Sites  []string
 }
@@ -282,7 +282,7 @@
 // PurgeRequested records the request for a purge, which covers the results started before it.
 func (f *FleetHistory) PurgeRequested(now time.Duration, id string, scope fleet.Scope) {
 	f.initMaps()
-	f.Note(now, "purge "+id+" of "+scope.Team+" requested", id)
+	f.Note(now, "purge "+id+" of "+scope.Tenant+" requested", id)
 	f.purges[id] = &purge{scope: scope, requested: now,
 		unreachable: observation{at: never}, purged: observation{at: never}}
 }
@@ -335,7 +335,7 @@
 
 // covers reports whether the purge must remove a result.
 func (p *purge) covers(result resultStart) bool {
-	if p.scope.Team != result.team || result.at >= p.requested ||
+	if p.scope.Tenant != result.team || result.at >= p.requested ||
 		p.scope.RetainedBeforeMs > 0 || len(p.scope.OutsideSites) > 0 {
 		return false // scopes by retention time or site are checked where these are known
 	}
@@ -412,7 +412,7 @@
 // covers reports whether the rule binds a team's query on tables.
 func (r Rule) covers(team string, tables []int64) bool {
 	bound := func(table int64) bool { return slices.Contains(tables, table) }
-	return r.Team == team && (len(r.Tables) == 0 || slices.ContainsFunc(r.Tables, bound))
+	return r.Tenant == team && (len(r.Tables) == 0 || slices.ContainsFunc(r.Tables, bound))
 }
 
 // Ran records that an engine at a site runs a team's query on tables. sent is when the client sent the
--- a/internal/historycheck/fleet_test.go
+++ b/internal/historycheck/fleet_test.go
@@ -16,11 +16,11 @@
 		f.ChangeReported(1, "a", "c2", "in force", 2)
 		f.Acted(2, 2, "a", "q1", 2)
 		f.ResultStarted(3, "q2", "linz", 7)
-		f.AddRules(0, "c2", Rule{Team: "linz", Tables: []int64{7}, Sites: []string{"east"}})
+		f.AddRules(0, "c2", Rule{Tenant: "linz", Tables: []int64{7}, Sites: []string{"east"}})
 		return f
 	}
 	purged := func(f *FleetHistory, word string) {
-		f.PurgeRequested(4, "p", fleet.Scope{Team: "linz", Tables: []int64{7}})
+		f.PurgeRequested(4, "p", fleet.Scope{Tenant: "linz", Tables: []int64{7}})
 		f.PurgeReported(5, "a", "p", word, &fleet.InvalidationCounts{Results: 1})
 	}
 	for what, x := range map[string]struct {
--- a/internal/residency/change.go
+++ b/internal/residency/change.go
@@ -11,9 +11,9 @@
 
 // ValidateRules returns the flaws of rules: missing or duplicate names, unknown sites and teams, and
 // rules for the same tables that leave no site. nil for sites or teams allows any name.
-func ValidateRules(rules []Rule, sites, teams []string) (flaws []*Flaw) {
+func ValidateRules(rules []Rule, sites, teams []string) (flaws []*InvalidRuleError) {
 	addFlaw := func(i int, field, format string, args ...any) {
-		flaws = append(flaws, &Flaw{i, field, fmt.Sprintf(format, args...)})
+		flaws = append(flaws, &InvalidRuleError{i, field, fmt.Sprintf(format, args...)})
 	}
 	names := map[string]bool{}
 	for i, r := range rules {
@@ -25,27 +25,27 @@
 		}
 		names[r.Name] = true
 		switch {
-		case r.Team == "":
+		case r.Tenant == "":
 			addFlaw(i, "team", "is missing: a rule binds one team")
-		case teams != nil && !slices.Contains(teams, r.Team):
-			addFlaw(i, "team", "no team is called %q", r.Team)
+		case teams != nil && !slices.Contains(teams, r.Tenant):
+			addFlaw(i, "team", "no team is called %q", r.Tenant)
 		}
-		if len(r.Engines) == 0 && r.Controllers == nil && r.Keep == nil {
+		if len(r.EngineSites) == 0 && r.ControllerSites == nil && r.RetentionSites == nil {
 			addFlaw(i, "engines", "is missing: the rule binds nothing to a site")
 		}
-		if r.Controllers != nil && len(r.Controllers) == 0 {
+		if r.ControllerSites != nil && len(r.ControllerSites) == 0 {
 			addFlaw(i, "controllers", "is empty: no controller could take a query")
 		}
 		for _, l := range []struct {
 			field string
 			sites []string
-		}{{"engines", r.Engines}, {"controllers", r.Controllers}, {"keep", r.Keep},
+		}{{"engines", r.EngineSites}, {"controllers", r.ControllerSites}, {"keep", r.RetentionSites},
 			{"emergency.sites", r.Emergency.Sites}} {
 			for j, s := range l.sites {
 				if sites != nil && !slices.Contains(sites, s) {
 					addFlaw(i, fmt.Sprintf("%s[%d]", l.field, j), "no location is called %q", s)
 				}
-				if l.field == "emergency.sites" && slices.Contains(r.Engines, s) {
+				if l.field == "emergency.sites" && slices.Contains(r.EngineSites, s) {
 					addFlaw(i, fmt.Sprintf("%s[%d]", l.field, j), "%q is one of the rule's engine sites already", s)
 				}
 			}
@@ -60,7 +60,7 @@
 			addFlaw(i, "emergency.after", "is missing: how long must all engine sites be lost")
 		case len(e.Sites) == 0 && e.After > 0:
 			addFlaw(i, "emergency.sites", "is missing: which additional sites are allowed")
-		case len(e.Sites) > 0 && len(r.Engines) == 0:
+		case len(e.Sites) > 0 && len(r.EngineSites) == 0:
 			addFlaw(i, "emergency", "has no effect: the rule names no engines")
 		}
 	}
@@ -75,14 +75,14 @@
 			}
 			last := v.Conflict.Rules[len(v.Conflict.Rules)-1]
 			i := slices.IndexFunc(rules, func(r Rule) bool { return r.Name == last })
-			if !slices.ContainsFunc(flaws, func(f *Flaw) bool { return f.RuleIndex == i }) {
+			if !slices.ContainsFunc(flaws, func(f *InvalidRuleError) bool { return f.RuleIndex == i }) {
 				addFlaw(i, v.Conflict.Role+"s", "rules %s leave team %q no %s for %s",
 					strings.Join(v.Conflict.Rules, " and "), team,
 					v.Conflict.Role, describeTables(tables))
 			}
 		}
 	}
-	slices.SortFunc(flaws, func(a, b *Flaw) int { return a.RuleIndex - b.RuleIndex })
+	slices.SortFunc(flaws, func(a, b *InvalidRuleError) int { return a.RuleIndex - b.RuleIndex })
 	return flaws
 }
 
@@ -106,7 +106,7 @@
 
 // Tightening is a boundary that a change makes narrower.
 type Tightening struct {
-	Team   string   `json:"team"`
+	Tenant string   `json:"team"`
 	Rules  []string `json:"rules"`            // the new rules that apply
 	Tables []int64  `json:"tables,omitempty"` // empty: all tables that no rule names
 	// EngineSites are the sites whose engines may run queries after the change; nil: all. With
@@ -133,10 +133,10 @@
 	for _, team := range teamNames(next) { // a team without new rules has no boundary that could be narrower
 		for _, tables := range tableClasses(before[team], after[team]) {
 			a, b := evaluateRules(before[team], tables, true, nil), evaluateRules(after[team], tables, true, nil)
-			t := Tightening{Team: team, Rules: b.RuleNames, Tables: tables, EngineSites: b.EngineSites,
+			t := Tightening{Tenant: team, Rules: b.RuleNames, Tables: tables, EngineSites: b.EngineSites,
 				EndsRunningQueries: isNarrower(a.EngineSites, b.EngineSites)}
 			if isNarrower(a.RetentionSites, b.RetentionSites) {
-				t.PurgeScope = &fleet.Scope{Team: team, Tables: tables, OutsideSites: b.RetentionSites}
+				t.PurgeScope = &fleet.Scope{Tenant: team, Tables: tables, OutsideSites: b.RetentionSites}
 			}
 			if !t.EndsRunningQueries && t.PurgeScope == nil && !isNarrower(a.ControllerSites, b.ControllerSites) {
 				continue
@@ -168,8 +168,8 @@
 
 // canMerge reports whether two tightenings differ only in their tables.
 func (t Tightening) canMerge(x Tightening) bool {
-	same := t.Team == x.Team && t.EndsRunningQueries == x.EndsRunningQueries && slices.Equal(t.Rules, x.Rules) &&
-		slices.Equal(t.EngineSites, x.EngineSites)
+	same := t.Tenant == x.Tenant && t.EndsRunningQueries == x.EndsRunningQueries &&
+		slices.Equal(t.Rules, x.Rules) && slices.Equal(t.EngineSites, x.EngineSites)
 	if !same || t.PurgeScope == nil || x.PurgeScope == nil {
 		return same && t.PurgeScope == nil && x.PurgeScope == nil
 	}
@@ -179,8 +179,8 @@
 // teamNames returns the names of the teams that have rules, without duplicates.
 func teamNames(rules []Rule) (l []string) {
 	for _, r := range rules {
-		if !slices.Contains(l, r.Team) {
-			l = append(l, r.Team)
+		if !slices.Contains(l, r.Tenant) {
+			l = append(l, r.Tenant)
 		}
 	}
 	return l
@@ -202,8 +202,8 @@
 
 // RetainedData counts the data of a team that a controller retains.
 type RetainedData struct {
-	Controller, Team string
-	Counts           fleet.InvalidationCounts
+	Controller, Tenant string
+	Counts             fleet.InvalidationCounts
 }
 
 // ChangePlan describes the effects of a change of the rules. Shares are fractions of all engines'
@@ -211,12 +211,12 @@
 type ChangePlan struct {
 	Rows []PlanRow `json:"rows"`
 	// teams that would have no engine or controller for some of their tables
-	TeamsWithoutSite []string `json:"none"`
+	TenantsWithoutSite []string `json:"none"`
 }
 
 // PlanRow describes the effects on tables of one team that all rules treat alike.
 type PlanRow struct {
-	Team           string   `json:"team"`
+	Tenant         string   `json:"team"`
 	Tables         []int64  `json:"tables,omitempty"` // empty: all tables that no rule names
 	Rules          []string `json:"rules"`
 	ShareBefore    float64  `json:"share_before"`
@@ -234,7 +234,7 @@
 // PlanChange returns the effects that new rules would have.
 func PlanChange(old, next []Rule, w PlanInput) *ChangePlan {
 	before, after := bindTables(old, w.Bindings), bindTables(next, w.Bindings)
-	plan := &ChangePlan{Rows: []PlanRow{}, TeamsWithoutSite: []string{}}
+	plan := &ChangePlan{Rows: []PlanRow{}, TenantsWithoutSite: []string{}}
 	total := 0.0
 	for _, e := range w.Engines {
 		total += e.Threads
@@ -246,7 +246,7 @@
 			if !a.RuleApplies && !b.RuleApplies {
 				continue
 			}
-			row := PlanRow{Team: team, Tables: tables, Rules: b.RuleNames, EnginesOutside: []string{},
+			row := PlanRow{Tenant: team, Tables: tables, Rules: b.RuleNames, EnginesOutside: []string{},
 				ControllersOutside: []string{}, PurgeOn: []string{}}
 			if b.Conflict != nil {
 				row.Conflict = b.Conflict.Error()
@@ -274,15 +274,15 @@
 				if includes(a.RetentionSites, m.Site) && !includes(b.RetentionSites, m.Site) {
 					row.PurgeOn = append(row.PurgeOn, m.Name)
 					for _, k := range w.Retained {
-						if k.Controller == m.Name && k.Team == team {
+						if k.Controller == m.Name && k.Tenant == team {
 							row.RetainedOutside.Add(k.Counts)
 						}
 					}
 				}
 			}
 			if none := row.ShareAfter == 0 || servingControllers == 0; none &&
-				!slices.Contains(plan.TeamsWithoutSite, team) {
-				plan.TeamsWithoutSite = append(plan.TeamsWithoutSite, team)
+				!slices.Contains(plan.TenantsWithoutSite, team) {
+				plan.TenantsWithoutSite = append(plan.TenantsWithoutSite, team)
 			}
 			plan.Rows = append(plan.Rows, row)
 		}
@@ -315,14 +315,14 @@
 		if len(r.Tables) > 0 {
 			tables = strings.Trim(fmt.Sprint(r.Tables), "[]")
 		}
-		fmt.Fprintf(w, "%s\t%s\t%s\t%.1f %%\t%.1f %%\t%s\t%s\t%s\n", r.Team, tables, list(r.Rules),
+		fmt.Fprintf(w, "%s\t%s\t%s\t%.1f %%\t%.1f %%\t%s\t%s\t%s\n", r.Tenant, tables, list(r.Rules),
 			100*r.ShareBefore, 100*r.ShareAfter,
 			list(r.EnginesOutside), list(r.ControllersOutside), list(r.PurgeOn))
 	}
 	w.Flush()
-	if len(o.TeamsWithoutSite) > 0 {
+	if len(o.TenantsWithoutSite) > 0 {
 		fmt.Fprintf(&text, "no engine or controller would be left for: %s\n",
-			strings.Join(o.TeamsWithoutSite, ", "))
+			strings.Join(o.TenantsWithoutSite, ", "))
 	}
 	return text.String()
 }
--- a/internal/residency/residency.go
+++ b/internal/residency/residency.go
@@ -18,18 +18,19 @@
 // Rule binds tables of a tenant to sites. The name of a rule is unique.
 type Rule struct {
 	Name   string
-	Team   string
+	Tenant string
 	Tables []int64 // empty: all tables of the tenant
-	// Engines are the sites whose engines may run its queries; empty: all sites.
-	Engines []string
-	// Controllers are the sites whose controllers may serve its queries; nil: as Engines.
-	Controllers []string
-	// Keep are the sites where results and cached answers may be retained; nil: as
-	// Controllers, empty but not nil: none.
-	Keep []string
-	// Follows extends the rule to every table that a load fills from one of its tables.
-	Follows   bool
-	Emergency Emergency
+	// EngineSites are the sites whose engines may run the queries on the tables; empty: all sites.
+	EngineSites []string
+	// ControllerSites are the sites whose controllers may serve the queries on the tables; nil: as
+	// EngineSites.
+	ControllerSites []string
+	// RetentionSites are the sites where results and cached answers may be retained; nil: as
+	// ControllerSites, empty but not nil: none.
+	RetentionSites []string
+	// FollowsLoads extends the rule to every table that a load fills from one of its tables.
+	FollowsLoads bool
+	Emergency    Emergency
 }
 
 // Emergency names additional sites whose engines are allowed once all engine sites of the rule have
@@ -39,21 +40,21 @@
 	After time.Duration
 }
 
-// controllerSites returns the sites whose controllers the rule allows; empty: all sites.
-func (r *Rule) controllerSites() []string {
-	if r.Controllers != nil {
-		return r.Controllers
+// effectiveControllerSites returns the sites whose controllers the rule allows; empty: all sites.
+func (r *Rule) effectiveControllerSites() []string {
+	if r.ControllerSites != nil {
+		return r.ControllerSites
 	}
-	return r.Engines
+	return r.EngineSites
 }
 
-// retentionSites returns the sites where the rule allows retained data. Without Keep, an empty list
-// means all sites.
-func (r *Rule) retentionSites() []string {
-	if r.Keep != nil {
-		return r.Keep
+// effectiveRetentionSites returns the sites where the rule allows retained data. If RetentionSites
+// is nil, an empty list means all sites.
+func (r *Rule) effectiveRetentionSites() []string {
+	if r.RetentionSites != nil {
+		return r.RetentionSites
 	}
-	return r.controllerSites()
+	return r.effectiveControllerSites()
 }
 
 // boundRule is a rule with all tables that it binds, including those that loads filled.
@@ -78,10 +79,11 @@
 		for _, t := range r.Tables {
 			b.tables[t] = true
 		}
-		for changed := r.Follows && !b.allTables; changed; {
+		for changed := r.FollowsLoads && !b.allTables; changed; {
 			changed = false
 			for _, x := range bindings {
-				if x.Team != r.Team || !slices.ContainsFunc(x.SourceTables, func(t int64) bool { return b.tables[t] }) {
+				if x.Tenant != r.Tenant || !slices.ContainsFunc(x.SourceTables,
+					func(t int64) bool { return b.tables[t] }) {
 					continue
 				}
 				for _, t := range x.Tables {
@@ -91,21 +93,21 @@
 				}
 			}
 		}
-		teams[r.Team] = append(teams[r.Team], b)
+		teams[r.Tenant] = append(teams[r.Tenant], b)
 	}
 	return teams
 }
 
 // Decision holds what the rules allow for one query. Its slices are shared and must not be modified.
 type Decision struct {
-	RuleApplies     bool      // at least one rule applies
-	RuleNames       []string  // names of the rules that apply
-	EngineSites     []string  // sites whose engines may run the query; nil: all
-	ControllerSites []string  // sites whose controllers may serve the query; nil: all
-	RetentionSites  []string  // sites where its result may be retained; nil: all, empty: none
-	MayServe        bool      // this controller may serve the query
-	MayRetain       bool      // this controller may retain the result or answer
-	Conflict        *Conflict // the rules leave no engine or controller site; nil: no conflict
+	RuleApplies     bool               // at least one rule applies
+	RuleNames       []string           // names of the rules that apply
+	EngineSites     []string           // sites whose engines may run the query; nil: all
+	ControllerSites []string           // sites whose controllers may serve the query; nil: all
+	RetentionSites  []string           // sites where its result may be retained; nil: all, empty: none
+	MayServe        bool               // this controller may serve the query
+	MayRetain       bool               // this controller may retain the result or answer
+	Conflict        *NoCommonSiteError // the rules leave no engine or controller site; nil: no conflict
 }
 
 // AllowsEngineSite reports whether an engine of this site may run the query.
@@ -148,10 +150,10 @@
 ) (v Decision) {
 	var applicable []*boundRule
 	allowed := func(b *boundRule) []string {
-		if _, on := emergencies[b.Name]; on && len(b.Engines) > 0 {
-			return append(slices.Clone(b.Engines), b.Emergency.Sites...)
+		if _, on := emergencies[b.Name]; on && len(b.EngineSites) > 0 {
+			return append(slices.Clone(b.EngineSites), b.Emergency.Sites...)
 		}
-		return emptyAsAll(b.Engines)
+		return emptyAsAll(b.EngineSites)
 	}
 	for _, b := range rules {
 		if !b.appliesTo(tables, known) {
@@ -161,18 +163,18 @@
 		v.RuleApplies = true
 		v.RuleNames = append(v.RuleNames, b.Name)
 		v.EngineSites = intersect(v.EngineSites, allowed(b))
-		v.ControllerSites = intersect(v.ControllerSites, emptyAsAll(b.controllerSites()))
-		if b.Keep != nil {
-			v.RetentionSites = intersect(v.RetentionSites, b.Keep) // an empty Keep allows no site
+		v.ControllerSites = intersect(v.ControllerSites, emptyAsAll(b.effectiveControllerSites()))
+		if b.RetentionSites != nil {
+			v.RetentionSites = intersect(v.RetentionSites, b.RetentionSites) // an empty list allows no site
 		} else {
-			v.RetentionSites = intersect(v.RetentionSites, emptyAsAll(b.retentionSites()))
+			v.RetentionSites = intersect(v.RetentionSites, emptyAsAll(b.effectiveRetentionSites()))
 		}
 	}
 	switch {
 	case v.EngineSites != nil && len(v.EngineSites) == 0:
 		v.Conflict = findConflict(applicable, "engine", allowed)
 	case v.ControllerSites != nil && len(v.ControllerSites) == 0:
-		controllers := func(b *boundRule) []string { return emptyAsAll(b.controllerSites()) }
+		controllers := func(b *boundRule) []string { return emptyAsAll(b.effectiveControllerSites()) }
 		v.Conflict = findConflict(applicable, "controller", controllers)
 	}
 	return v
@@ -180,8 +182,10 @@
 
 // findConflict names two rules that have no site in common, or, if each two have one, all rules that
 // restrict the sites.
-func findConflict(applicable []*boundRule, role string, sitesOf func(*boundRule) []string) *Conflict {
-	c := &Conflict{Role: role, Team: applicable[0].Team}
+func findConflict(
+	applicable []*boundRule, role string, sitesOf func(*boundRule) []string,
+) *NoCommonSiteError {
+	c := &NoCommonSiteError{Role: role, Tenant: applicable[0].Tenant}
 	for i, a := range applicable {
 		for _, b := range applicable[i+1:] {
 			if common := intersect(sitesOf(a), sitesOf(b)); common != nil && len(common) == 0 {
@@ -249,14 +253,15 @@
 }
 
 func equalBindings(a, b fleet.Binding) bool {
-	return a.Team == b.Team && slices.Equal(a.Tables, b.Tables) && slices.Equal(a.SourceTables, b.SourceTables)
+	return a.Tenant == b.Tenant && slices.Equal(a.Tables, b.Tables) &&
+		slices.Equal(a.SourceTables, b.SourceTables)
 }
 
 // covers reports whether one of the bindings has the same source tables as b and binds at least the
 // same tables. The log merges bindings with the same source tables.
 func covers(l []fleet.Binding, b fleet.Binding) bool {
 	return slices.ContainsFunc(l, func(x fleet.Binding) bool {
-		return x.Team == b.Team && slices.Equal(x.SourceTables, b.SourceTables) &&
+		return x.Tenant == b.Tenant && slices.Equal(x.SourceTables, b.SourceTables) &&
 			!slices.ContainsFunc(b.Tables, func(t int64) bool { return !slices.Contains(x.Tables, t) })
 	})
 }
@@ -312,15 +317,15 @@
 
 // MissingBinding returns the binding that the log must have before a load may be sent; nil: none is
 // missing. read and written are the tables of the load's statement. If they are unknown and a rule
-// follows loads, the error is an *Untold.
+// follows loads, the error is an *UnknownTablesError.
 func (c *Core) MissingBinding(team string, read, written []int64, known bool) (*fleet.Binding, error) {
-	need := &fleet.Binding{Team: team}
+	need := &fleet.Binding{Tenant: team}
 	for _, b := range c.rulesByTeam[team] {
 		switch {
-		case !b.Follows || b.allTables:
+		case !b.FollowsLoads || b.allTables:
 			continue // a rule that binds all tables has no further tables to bind
 		case !known:
-			return nil, &Untold{Team: team, Rule: b.Name}
+			return nil, &UnknownTablesError{Tenant: team, Rule: b.Name}
 		case !b.appliesTo(read, true):
 			continue
 		}
@@ -349,10 +354,10 @@
 
 // EmergencyCrossing records an attempt that an emergency allowed at an engine outside the sites of its rule.
 type EmergencyCrossing struct {
-	Query string `json:"query"`
-	Team  string `json:"team"`
-	Rule  string `json:"rule"`
-	Site  string `json:"site"`
+	Query  string `json:"query"`
+	Tenant string `json:"team"`
+	Rule   string `json:"rule"`
+	Site   string `json:"site"`
 }
 
 // maxCrossings bounds the list of recent crossings; the count includes all of them.
@@ -362,7 +367,7 @@
 // sites of a rule, which only an emergency allows.
 func (c *Core) RecordAttempt(query, team string, v *Decision, site string) (outside bool) {
 	for _, b := range c.rulesByTeam[team] {
-		if !slices.Contains(v.RuleNames, b.Name) || includes(emptyAsAll(b.Engines), site) {
+		if !slices.Contains(v.RuleNames, b.Name) || includes(emptyAsAll(b.EngineSites), site) {
 			continue
 		}
 		outside = true
@@ -370,7 +375,7 @@
 		if len(c.crossings) >= maxCrossings {
 			c.crossings = slices.Delete(c.crossings, 0, 1)
 		}
-		c.crossings = append(c.crossings, EmergencyCrossing{Query: query, Team: team, Rule: b.Name, Site: site})
+		c.crossings = append(c.crossings, EmergencyCrossing{Query: query, Tenant: team, Rule: b.Name, Site: site})
 	}
 	return outside
 }
@@ -394,8 +399,9 @@
 // lost all engine sites of one of them.
 func EmergencyRules(rules []Rule) (l []fleet.EmergencyRule) {
 	for _, r := range rules {
-		if len(r.Emergency.Sites) > 0 && len(r.Engines) > 0 {
-			l = append(l, fleet.EmergencyRule{Name: r.Name, Team: r.Team, Sites: r.Engines, After: r.Emergency.After})
+		if len(r.Emergency.Sites) > 0 && len(r.EngineSites) > 0 {
+			l = append(l, fleet.EmergencyRule{Name: r.Name, Tenant: r.Tenant,
+				Sites: r.EngineSites, After: r.Emergency.After})
 		}
 	}
 	return l
@@ -409,7 +415,8 @@
 func ScopeAfterEmergency(rules []Rule, name string) *fleet.Scope {
 	for _, r := range rules {
 		if r.Name == name {
-			return retentionScope(r.Team, r.Tables, r.retentionSites(), r.Keep == nil && len(r.retentionSites()) == 0)
+			sites := r.effectiveRetentionSites()
+			return retentionScope(r.Tenant, r.Tables, sites, r.RetentionSites == nil && len(sites) == 0)
 		}
 	}
 	return nil
@@ -419,5 +426,5 @@
 	if anywhere {
 		return nil
 	}
-	return &fleet.Scope{Team: team, Tables: tables, OutsideSites: sites}
+	return &fleet.Scope{Tenant: team, Tables: tables, OutsideSites: sites}
 }
--- a/internal/residency/residency_test.go
+++ b/internal/residency/residency_test.go
@@ -22,10 +22,10 @@
 
 func TestIntersection(t *testing.T) {
 	c := newCore("linz",
-		Rule{Name: "a", Team: "bank", Tables: []int64{1}, Engines: []string{"linz", "wien"},
-			Keep: []string{"linz"}},
-		Rule{Name: "b", Team: "bank", Tables: []int64{2}, Engines: []string{"wien", "graz"}},
-		Rule{Name: "c", Team: "bank", Tables: []int64{3}, Engines: []string{"graz"}})
+		Rule{Name: "a", Tenant: "bank", Tables: []int64{1}, EngineSites: []string{"linz", "wien"},
+			RetentionSites: []string{"linz"}},
+		Rule{Name: "b", Tenant: "bank", Tables: []int64{2}, EngineSites: []string{"wien", "graz"}},
+		Rule{Name: "c", Tenant: "bank", Tables: []int64{3}, EngineSites: []string{"graz"}})
 	if v := c.Decide("bank", []int64{1}, true); !v.MayServe || !v.MayRetain ||
 		!slices.Equal(v.EngineSites, []string{"linz", "wien"}) {
 		t.Fatalf("%+v", v)
@@ -50,11 +50,11 @@
 }
 
 func TestLoadBindsDerivedTables(t *testing.T) {
-	c := newCore("linz", Rule{Name: "a", Team: "bank", Tables: []int64{1}, Engines: []string{"linz"},
-		Follows: true},
-		Rule{Name: "b", Team: "bank", Tables: []int64{7}, Engines: []string{"wien"}})
+	c := newCore("linz", Rule{Name: "a", Tenant: "bank", Tables: []int64{1}, EngineSites: []string{"linz"},
+		FollowsLoads: true},
+		Rule{Name: "b", Tenant: "bank", Tables: []int64{7}, EngineSites: []string{"wien"}})
 	need, err := c.MissingBinding("bank", []int64{1, 5}, []int64{2, 1}, true)
-	if want := (&fleet.Binding{Team: "bank", Tables: []int64{2}, SourceTables: []int64{1}}); err != nil ||
+	if want := (&fleet.Binding{Tenant: "bank", Tables: []int64{2}, SourceTables: []int64{1}}); err != nil ||
 		!cmp.Equal(need, want) {
 		t.Fatal(cmp.Diff(need, want), err)
 	}
@@ -67,10 +67,10 @@
 	old := c.Generation()
 	// the source of the second binding is bound only by the third
 	c.SetFleetView(&fleet.View{Bindings: []fleet.Binding{
-		{Team: "bank", Tables: []int64{2}, SourceTables: []int64{1}},
-		{Team: "bank", Tables: []int64{4}, SourceTables: []int64{3}},
-		{Team: "bank", Tables: []int64{3}, SourceTables: []int64{2}},
-		{Team: "other", Tables: []int64{8}, SourceTables: []int64{1}}}})
+		{Tenant: "bank", Tables: []int64{2}, SourceTables: []int64{1}},
+		{Tenant: "bank", Tables: []int64{4}, SourceTables: []int64{3}},
+		{Tenant: "bank", Tables: []int64{3}, SourceTables: []int64{2}},
+		{Tenant: "other", Tables: []int64{8}, SourceTables: []int64{1}}}})
 	if c.Generation() == old {
 		t.Fatal("outdated decisions stay valid: the generation is the same")
 	}
@@ -88,9 +88,9 @@
 }
 
 func TestEmergencyWidensEngineSitesOnly(t *testing.T) {
-	c := newCore("linz", Rule{Name: "a", Team: "bank", Engines: []string{"linz"},
+	c := newCore("linz", Rule{Name: "a", Tenant: "bank", EngineSites: []string{"linz"},
 		Emergency: Emergency{Sites: []string{"wien"}, After: time.Minute}})
-	want := []fleet.EmergencyRule{{Name: "a", Team: "bank", Sites: []string{"linz"}, After: time.Minute}}
+	want := []fleet.EmergencyRule{{Name: "a", Tenant: "bank", Sites: []string{"linz"}, After: time.Minute}}
 	if got := c.EmergencyRules(); !cmp.Equal(got, want) {
 		t.Fatal(got)
 	}
@@ -114,18 +114,18 @@
 		!c.IsOutsideRules("bank", nil, true, "wien") {
 		t.Fatalf("%+v", v)
 	}
-	if s := ScopeAfterEmergency(c.rules, "a"); s == nil || s.Team != "bank" ||
+	if s := ScopeAfterEmergency(c.rules, "a"); s == nil || s.Tenant != "bank" ||
 		!slices.Equal(s.OutsideSites, []string{"linz"}) {
 		t.Fatalf("%+v", s)
 	}
 }
 
 func TestFindTighteningsAndPlanChange(t *testing.T) {
-	old := []Rule{{Name: "a", Team: "bank", Tables: []int64{1}, Engines: []string{"linz", "wien"},
-		Follows: true}}
-	next := []Rule{{Name: "a", Team: "bank", Tables: []int64{1}, Engines: []string{"wien"}, Keep: []string{},
-		Follows: true}}
-	bindings := []fleet.Binding{{Team: "bank", Tables: []int64{4}, SourceTables: []int64{1}}}
+	old := []Rule{{Name: "a", Tenant: "bank", Tables: []int64{1}, EngineSites: []string{"linz", "wien"},
+		FollowsLoads: true}}
+	next := []Rule{{Name: "a", Tenant: "bank", Tables: []int64{1}, EngineSites: []string{"wien"},
+		RetentionSites: []string{}, FollowsLoads: true}}
+	bindings := []fleet.Binding{{Tenant: "bank", Tables: []int64{4}, SourceTables: []int64{1}}}
 	got := FindTightenings(old, next, bindings)
 	if len(got) != 1 || !slices.Equal(got[0].Tables, []int64{1, 4}) || !got[0].EndsRunningQueries ||
 		got[0].PurgeScope == nil ||
@@ -135,14 +135,14 @@
 	if got := FindTightenings(next, old, bindings); len(got) > 0 {
 		t.Fatalf("wider rules are reported as tightened: %+v", got)
 	}
-	o := PlanChange(old, []Rule{{Name: "a", Team: "bank", Tables: []int64{1}, Engines: []string{"graz"}}},
+	o := PlanChange(old, []Rule{{Name: "a", Tenant: "bank", Tables: []int64{1}, EngineSites: []string{"graz"}}},
 		PlanInput{Bindings: bindings,
 			Engines:     []Engine{{"e1", "linz", 30}, {"e2", "ulm", 10}},
 			Controllers: []fleet.Member{{Name: "c1", Site: "linz"}, {Name: "c2", Site: "graz"}},
 			Retained: []RetainedData{{"c1", "bank", fleet.InvalidationCounts{Results: 3}},
 				{"c2", "bank", fleet.InvalidationCounts{Results: 4}}}})
 	row := o.Rows[0]
-	if !slices.Equal(o.TeamsWithoutSite, []string{"bank"}) || row.ShareBefore != 0.75 || row.ShareAfter != 0 ||
+	if !slices.Equal(o.TenantsWithoutSite, []string{"bank"}) || row.ShareBefore != 0.75 || row.ShareAfter != 0 ||
 		!slices.Equal(row.EnginesOutside, []string{"e1"}) ||
 		!slices.Equal(row.PurgeOn, []string{"c1"}) || row.RetainedOutside.Results != 3 ||
 		!strings.Contains(o.Table(), "75.0 %") {
@@ -153,14 +153,14 @@
 func TestValidateRulesReportsEachFlaw(t *testing.T) {
 	sites, teams := []string{"linz", "wien"}, []string{"bank"}
 	for want, rules := range map[string][]Rule{
-		`no location is called "graz"`: {{Name: "a", Team: "bank", Engines: []string{"linz", "graz"}}},
-		`no team is called "shop"`:     {{Name: "a", Team: "shop", Engines: []string{"linz"}}},
-		"rules a and b leave": {{Name: "a", Team: "bank", Engines: []string{"linz"}},
-			{Name: "b", Team: "bank", Tables: []int64{1}, Engines: []string{"wien"}}},
-		"binds nothing": {{Name: "a", Team: "bank"}},
-		"engine sites already": {{Name: "a", Team: "bank", Engines: []string{"linz"},
+		`no location is called "graz"`: {{Name: "a", Tenant: "bank", EngineSites: []string{"linz", "graz"}}},
+		`no team is called "shop"`:     {{Name: "a", Tenant: "shop", EngineSites: []string{"linz"}}},
+		"rules a and b leave": {{Name: "a", Tenant: "bank", EngineSites: []string{"linz"}},
+			{Name: "b", Tenant: "bank", Tables: []int64{1}, EngineSites: []string{"wien"}}},
+		"binds nothing": {{Name: "a", Tenant: "bank"}},
+		"engine sites already": {{Name: "a", Tenant: "bank", EngineSites: []string{"linz"},
 			Emergency: Emergency{[]string{"linz"}, 1}}},
-		"must all engine sites": {{Name: "a", Team: "bank", Engines: []string{"linz"},
+		"must all engine sites": {{Name: "a", Tenant: "bank", EngineSites: []string{"linz"},
 			Emergency: Emergency{Sites: []string{"wien"}}}},
 	} {
 		if flaws := ValidateRules(rules, sites, teams); len(flaws) != 1 ||
@@ -168,8 +168,8 @@
 			t.Errorf("%q: %v", want, flaws)
 		}
 	}
-	apart := []Rule{{Name: "a", Team: "bank", Tables: []int64{1}, Engines: []string{"linz"}},
-		{Name: "b", Team: "bank", Tables: []int64{2}, Engines: []string{"wien"}}}
+	apart := []Rule{{Name: "a", Tenant: "bank", Tables: []int64{1}, EngineSites: []string{"linz"}},
+		{Name: "b", Tenant: "bank", Tables: []int64{2}, EngineSites: []string{"wien"}}}
 	if flaws := ValidateRules(apart, sites, teams); len(flaws) > 0 {
 		t.Error("rules for different tables are reported as a conflict", flaws)
 	}
@@ -181,11 +181,11 @@
 	sites := []string{"a", "b", "c"}
 	some := rapid.SliceOfDistinct(rapid.SampledFrom(sites), rapid.ID[string])
 	rule := rapid.Custom(func(t *rapid.T) Rule {
-		r := Rule{Team: "t",
-			Tables:  rapid.SliceOfDistinct(rapid.Int64Range(0, 3), rapid.ID[int64]).Draw(t, "tables"),
-			Engines: some.Draw(t, "engines"), Follows: rapid.Bool().Draw(t, "follows")}
+		r := Rule{Tenant: "t",
+			Tables:      rapid.SliceOfDistinct(rapid.Int64Range(0, 3), rapid.ID[int64]).Draw(t, "tables"),
+			EngineSites: some.Draw(t, "engines"), FollowsLoads: rapid.Bool().Draw(t, "follows")}
 		if rapid.Bool().Draw(t, "sets keep") {
-			r.Keep = some.Draw(t, "keep")
+			r.RetentionSites = some.Draw(t, "keep")
 		}
 		return r
 	})
@@ -206,7 +206,7 @@
 		for _, r := range next {
 			applies := !known || len(r.Tables) == 0 ||
 				slices.ContainsFunc(tables, func(n int64) bool { return slices.Contains(r.Tables, n) })
-			if applies && len(r.Engines) > 0 && !slices.Contains(r.Engines, site) && v.AllowsEngineSite(site) {
+			if applies && len(r.EngineSites) > 0 && !slices.Contains(r.EngineSites, site) && v.AllowsEngineSite(site) {
 				t.Fatalf("%+v forbids %s: %+v", r, site, v)
 			}
 		}
--- a/internal/resultcache/entries.go
+++ b/internal/resultcache/entries.go
@@ -31,10 +31,10 @@
 		c.Counts.Evicted++
 		c.remove(c.evictionCandidate())
 	}
-	t := c.tenants[r.Team]
+	t := c.tenants[r.Tenant]
 	if t == nil {
-		t = &tenant{name: r.Team}
-		c.tenants[r.Team] = t
+		t = &tenant{name: r.Tenant}
+		c.tenants[r.Tenant] = t
 	}
 	e := &entry{
 		hash:        f.hash,
--- a/internal/resultcache/invalidation.go
+++ b/internal/resultcache/invalidation.go
@@ -27,7 +27,7 @@
 		c.remove(e)
 	}
 	askedBefore := func(f *flight) bool {
-		return f.logIndex < index && scope.Matches(f.leader.Team, f.leader.Tables, f.startedWall)
+		return f.logIndex < index && scope.Matches(f.leader.Tenant, f.leader.Tables, f.startedWall)
 	}
 	for _, f := range c.invalidateFlights(askedBefore) {
 		if leader := c.promote(f); leader != nil {
--- a/internal/resultcache/result_cache.go
+++ b/internal/resultcache/result_cache.go
@@ -27,14 +27,14 @@
 // Request is one query's request for an answer. Its fields must not change while it leads or follows a
 // flight.
 type Request struct {
-	Team         string
-	Group        int
-	Statement    []byte
-	Tables       []int64       // all tables that the query reads; empty: unknown
-	LogIndex     uint64        // index in the fleet's log when the query was received
-	ReceivedWall int64         // time when the query was received
-	Deadline     time.Duration // from then on the request can't become a leader
-	CallerData   any           // not used by the cache
+	Tenant             string
+	Group              int
+	Statement          []byte
+	Tables             []int64       // all tables that the query reads; empty: unknown
+	LogIndex           uint64        // index in the fleet's log when the query was received
+	ReceivedUnixMillis int64         // time when the query was received
+	Deadline           time.Duration // from then on the request can't become a leader
+	CallerData         any           // not used by the cache
 
 	flight *flight // that the request leads or follows; nil: none
 }
@@ -138,9 +138,9 @@
 	d.Reset()
 	var head [16]byte
 	binary.LittleEndian.PutUint64(head[:], uint64(r.Group))
-	binary.LittleEndian.PutUint64(head[8:], uint64(len(r.Team)))
+	binary.LittleEndian.PutUint64(head[8:], uint64(len(r.Tenant)))
 	d.Write(head[:])
-	d.WriteString(r.Team)
+	d.WriteString(r.Tenant)
 	d.Write(r.Statement)
 	return d.Sum64()
 }
@@ -185,7 +185,7 @@
 // freshEntry returns the entry of a request, nil if there is none. It removes an expired entry.
 func (c *Cache) freshEntry(hash uint64, r *Request) *entry {
 	for _, e := range c.entries[hash] {
-		if e.tenant.name != r.Team || e.group != r.Group || !bytes.Equal(e.statement, r.Statement) {
+		if e.tenant.name != r.Tenant || e.group != r.Group || !bytes.Equal(e.statement, r.Statement) {
 			continue
 		}
 		if c.now >= e.expiresAt {
@@ -200,7 +200,7 @@
 
 // equal reports whether two requests have the same key.
 func (r *Request) equal(o *Request) bool {
-	return r.Team == o.Team && r.Group == o.Group && bytes.Equal(r.Statement, o.Statement)
+	return r.Tenant == o.Tenant && r.Group == o.Group && bytes.Equal(r.Statement, o.Statement)
 }
 
 func (c *Cache) startFlight(leader *Request, hash uint64) {
--- a/internal/resultcache/result_cache_test.go
+++ b/internal/resultcache/result_cache_test.go
@@ -59,7 +59,7 @@
 }
 
 func (w *model) answerPages(x *modelRequest) [][]byte {
-	return [][]byte{fmt.Appendf(nil, "%s|%s|%d|%d|%v", x.Team, x.Statement, x.startedAt, x.index,
+	return [][]byte{fmt.Appendf(nil, "%s|%s|%d|%d|%v", x.Tenant, x.Statement, x.startedAt, x.index,
 		x.mutations[:])}
 }
 
@@ -73,8 +73,8 @@
 	fmt.Sscan(parts[2], (*int64)(&p.startedAt))
 	fmt.Sscan(parts[3], &p.index)
 	fmt.Sscanf(l, "[%d %d %d %d]", &p.mutations[0], &p.mutations[1], &p.mutations[2], &p.mutations[3])
-	if p.team != x.Team || p.statement != string(x.Statement) {
-		w.t.Fatalf("%s requested %s and got the answer of %s to %s", x.Team, x.Statement, p.team, p.statement)
+	if p.team != x.Tenant || p.statement != string(x.Statement) {
+		w.t.Fatalf("%s requested %s and got the answer of %s to %s", x.Tenant, x.Statement, p.team, p.statement)
 	}
 	if x.receivedAt >= p.startedAt+w.c.Freshness {
 		w.t.Fatalf("requested at %v and answered with the state of %v", x.receivedAt, p.startedAt)
@@ -85,7 +85,7 @@
 		}
 	}
 	for _, d := range w.invalidations {
-		if p.index < d.index && d.scope.Matches(x.Team, x.Tables, p.startedAt.Milliseconds()) {
+		if p.index < d.index && d.scope.Matches(x.Tenant, x.Tables, p.startedAt.Milliseconds()) {
 			w.t.Fatalf("the answer was read before an invalidation: %d, %d", p.index, d.index)
 		}
 	}
@@ -170,7 +170,7 @@
 			case what < 9:
 				n := rapid.IntRange(0, 5).Draw(t, "statement")
 				x := &modelRequest{receivedAt: w.now, Request: &Request{
-					Team: rapid.SampledFrom([]string{"linz", "steyr"}).Draw(t, "team"), Group: n % 2, LogIndex: w.index,
+					Tenant: rapid.SampledFrom([]string{"linz", "steyr"}).Draw(t, "team"), Group: n % 2, LogIndex: w.index,
 					Statement: fmt.Appendf(nil, "select %d", n), Deadline: w.now + 2*time.Second, CallerData: w.mutations}}
 				if n < 4 {
 					x.Tables = []int64{int64(n), int64((n + 1) % 4)}
@@ -213,7 +213,7 @@
 				w.countMutation(w.mutationsInFlight[0])
 				w.mutationsInFlight = w.mutationsInFlight[1:]
 			case what < 19:
-				s := fleet.Scope{Team: "linz", Tables: tableList(int64(rapid.IntRange(-1, 3).Draw(t, "table")))}
+				s := fleet.Scope{Tenant: "linz", Tables: tableList(int64(rapid.IntRange(-1, 3).Draw(t, "table")))}
 				if rapid.Bool().Draw(t, "before") {
 					s.RetainedBeforeMs = max(1, (w.now - time.Second).Milliseconds())
 				}
@@ -249,7 +249,7 @@
 func TestInvalidationDuringFlight(t *testing.T) {
 	c, _ := New(DefaultLimits(), 0)
 	ask := func() *Request {
-		return &Request{Team: "linz", Statement: []byte("select 1"), Tables: []int64{3}, Deadline: time.Minute}
+		return &Request{Tenant: "linz", Statement: []byte("select 1"), Tables: []int64{3}, Deadline: time.Minute}
 	}
 	first, second := ask(), ask()
 	v1, _ := c.Lookup(0, first)
@@ -257,7 +257,7 @@
 	if v1 != Lead || v2 != Follow {
 		t.Fatal(v1, v2)
 	}
-	_, next := c.Invalidate(1, &fleet.Scope{Team: "linz", Tables: []int64{3}}, 1)
+	_, next := c.Invalidate(1, &fleet.Scope{Tenant: "linz", Tables: []int64{3}}, 1)
 	if followers := c.Complete(2, first, [][]byte{[]byte("old")}); len(followers) > 0 {
 		t.Error("a follower got an answer from before the invalidation")
 	}
@@ -278,7 +278,7 @@
 		MaxAnswerBytes: 1000, TenantShare: 0.5}
 	c, _ := New(l, 0)
 	put := func(team string, n int) LookupResult {
-		a := &Request{Team: team, Statement: fmt.Appendf(nil, "select %03d", n), Tables: []int64{1},
+		a := &Request{Tenant: team, Statement: fmt.Appendf(nil, "select %03d", n), Tables: []int64{1},
 			Deadline: time.Hour}
 		v, _ := c.Lookup(0, a)
 		c.Complete(0, a, [][]byte{make([]byte, 100)})
--- a/internal/resultstore/erase_test.go
+++ b/internal/resultstore/erase_test.go
@@ -28,8 +28,8 @@
 		rows = append(rows, 1)
 	}
 	if commit {
-		work.Metadata = &spool.Metadata{ResultID: result, Query: fmt.Sprintf("%016x", result), Team: tenant,
-			CreatedWall: 1, ExpiresWall: 1 << 50, PageRows: rows,
+		work.Metadata = &spool.Metadata{ResultID: result, Query: fmt.Sprintf("%016x", result), Tenant: tenant,
+			CreatedUnixMillis: 1, ExpiresUnixMillis: 1 << 50, PageRows: rows,
 			InvalidationTag: spool.InvalidationTag{LogIndex: result, Tables: []int64{int64(result), -1},
 				Owner: tenant}}
 	}
@@ -57,10 +57,10 @@
 // descriptions it checks.
 func countResults(t testing.TB, store *resultstore.SpoolStore) (purged []uint64, others int) {
 	if err := store.Restore(func(f *spool.StoredResult) {
-		if f.Team == purgedTenant {
+		if f.Tenant == purgedTenant {
 			purged = append(purged, f.ResultID)
 		} else if others++; f.LogIndex != f.ResultID || len(f.Tables) != 2 || f.Tables[0] != int64(f.ResultID) ||
-			f.Tables[1] != -1 || f.Owner != f.Team {
+			f.Tables[1] != -1 || f.Owner != f.Tenant {
 			t.Fatalf("the fields by which a purge selects results are lost: %+v", f.Metadata)
 		}
 	}); err != nil {
--- a/internal/resultstore/golden_values_test.go
+++ b/internal/resultstore/golden_values_test.go
@@ -16,18 +16,19 @@
 	first := uint64(1) << 32 // first result id of the directory's first start
 	return []*spool.StoredResult{
 		{
-			Metadata: spool.Metadata{ResultID: first, Query: "query-1", Team: "team-a", CreatedWall: 1_700_000_000_001,
-				ExpiresWall: 1_700_000_900_002,
-				PageRows:    []uint32{10, 11, 12},
+			Metadata: spool.Metadata{ResultID: first, Query: "query-1", Tenant: "team-a",
+				CreatedUnixMillis: 1_700_000_000_001,
+				ExpiresUnixMillis: 1_700_000_900_002,
+				PageRows:          []uint32{10, 11, 12},
 				InvalidationTag: spool.InvalidationTag{Owner: "customer-1", LogIndex: 21,
 					Tables: []int64{31, -32}}},
 			PageBytes: []uint32{300, 300, 300},
 		},
 		{
-			Metadata: spool.Metadata{ResultID: first + 2, Query: "query-3", Team: "team-b",
-				CreatedWall: 1_700_000_000_003,
-				ExpiresWall: 1_700_000_900_004,
-				PageRows:    []uint32{13, 14}},
+			Metadata: spool.Metadata{ResultID: first + 2, Query: "query-3", Tenant: "team-b",
+				CreatedUnixMillis: 1_700_000_000_003,
+				ExpiresUnixMillis: 1_700_000_900_004,
+				PageRows:          []uint32{13, 14}},
 			PageBytes: []uint32{300, 300},
 		},
 	}
@@ -56,8 +57,8 @@
 		return err
 	}
 	dropped := &spool.StoredResult{Metadata: spool.Metadata{ResultID: goldenDeletedID, Query: "query-2",
-		Team:        "team-a",
-		CreatedWall: 1, ExpiresWall: 2, PageRows: []uint32{1}}}
+		Tenant:            "team-a",
+		CreatedUnixMillis: 1, ExpiresUnixMillis: 2, PageRows: []uint32{1}}}
 	for _, found := range append(goldenResults(), dropped) {
 		work := &spool.DiskTask{Metadata: &found.Metadata}
 		for number := range found.PageRows {
--- a/internal/resultstore/spool_store.go
+++ b/internal/resultstore/spool_store.go
@@ -70,8 +70,8 @@
 func (s *SpoolStore) Restore(visit func(f *spool.StoredResult)) error {
 	return s.Each(func(meta *Meta) error {
 		visit(&spool.StoredResult{Metadata: spool.Metadata{ResultID: meta.Result, Query: meta.QueryID,
-			Team:        meta.Tenant,
-			CreatedWall: meta.CreatedMillis, ExpiresWall: meta.ExpiresMillis, PageRows: meta.PageRows,
+			Tenant:            meta.Tenant,
+			CreatedUnixMillis: meta.CreatedMillis, ExpiresUnixMillis: meta.ExpiresMillis, PageRows: meta.PageRows,
 			InvalidationTag: spool.InvalidationTag{LogIndex: meta.FleetIndex,
 				Tables: meta.TableGroups, Owner: meta.Owner}},
 			PageBytes: meta.PageBytes})
@@ -95,8 +95,9 @@
 				Body: page.Body})
 		}
 		if metadata := work.Metadata; metadata != nil {
-			job.Commit = &Meta{Result: metadata.ResultID, QueryID: metadata.Query, Tenant: metadata.Team,
-				CreatedMillis: metadata.CreatedWall, ExpiresMillis: metadata.ExpiresWall, PageRows: metadata.PageRows,
+			job.Commit = &Meta{Result: metadata.ResultID, QueryID: metadata.Query, Tenant: metadata.Tenant,
+				CreatedMillis: metadata.CreatedUnixMillis, ExpiresMillis: metadata.ExpiresUnixMillis,
+				PageRows:   metadata.PageRows,
 				FleetIndex: metadata.LogIndex, TableGroups: metadata.Tables, Owner: metadata.Owner}
 		}
 		jobs = append(jobs, job)
--- a/internal/setup/check.go
+++ b/internal/setup/check.go
@@ -67,10 +67,10 @@
 		c.optionalNumber("fairness.waiting", float64(f.MaxWaiting), 1, 10_000_000)
 		c.optionalNumber("fairness.overrun", f.OverrunFactor, 1.01, 1000)
 		c.optionalNumber("fairness.tell_change", f.NotifyThreshold, 0.01, 1)
-		if len(f.Teams) == 0 {
+		if len(f.Tenants) == 0 {
 			c.addError("fairness.teams", "is missing: remove fairness if there are no teams")
 		}
-		c.checkTeams(f.Teams, "fairness.teams")
+		c.checkTenants(f.Tenants, "fairness.teams")
 	}
 }
 
@@ -129,7 +129,7 @@
 // engineActions are the values allowed in engines.may.
 var engineActions = []string{"probe", "cancel", "copy", "grant", "prioritise", "name-return"}
 
-func (c *checker) checkTeams(l []Team, path string) {
+func (c *checker) checkTenants(l []Tenant, path string) {
 	for i, t := range l {
 		at := fmt.Sprintf("%s[%d].", path, i)
 		c.checkName(at+"name", t.Name)
@@ -139,7 +139,7 @@
 		c.optionalNumber(at+"budget", t.Budget, 0, 1e9)
 		c.optionalNumber(at+"burst", t.Burst, 0, 1e12)
 		c.optionalNumber(at+"waiting", float64(t.MaxWaiting), 1, 1e8)
-		c.checkTeams(t.Teams, at+"teams")
+		c.checkTenants(t.Tenants, at+"teams")
 	}
 }
 
@@ -192,8 +192,8 @@
 func (c *checker) checkFairness(f *Fairness) {
 	seen := map[string]string{}
 	var owned bart.Table[addressOwner]
-	var walk func(l []Team, path string)
-	walk = func(l []Team, path string) {
+	var walk func(l []Tenant, path string)
+	walk = func(l []Tenant, path string) {
 		for i, t := range l {
 			at := fmt.Sprintf("%s[%d]", path, i)
 			if first, had := seen[t.Name]; had {
@@ -203,7 +203,7 @@
 			if t.Burst > 0 && t.Budget == 0 {
 				c.addError(at+".burst", "is set, but budget is missing")
 			}
-			if len(t.Teams) > 0 && len(t.Addresses) > 0 {
+			if len(t.Tenants) > 0 && len(t.Addresses) > 0 {
 				c.addError(at+".addresses", "must be those of a team without subteams, but %q has some", t.Name)
 			}
 			for j, a := range prefixes(t.Addresses) {
@@ -213,17 +213,17 @@
 				}
 				owned.Insert(a.Masked(), addressOwner{t.Name, at})
 			}
-			if len(t.Teams) > 0 {
+			if len(t.Tenants) > 0 {
 				delete(seen, t.Name) // a team may have the same name as one of its subteams
-				walk(t.Teams, at+".teams")
+				walk(t.Tenants, at+".teams")
 			}
 		}
 	}
-	walk(f.Teams, "fairness.teams")
+	walk(f.Tenants, "fairness.teams")
 	if _, ok := seen[f.Default]; f.Default != "" && !ok {
 		c.addError("fairness.default", "no team is named %q", f.Default)
 	}
-	if len(f.Trusted) > 0 && f.Fields.Team == "" {
+	if len(f.Trusted) > 0 && f.Fields.Tenant == "" {
 		c.addError("fairness.trusted", "has no effect, because fields.team is empty")
 	}
 	if shape := fairQueueConfig(f); len(c.errors) == 0 {
--- a/internal/setup/control_test.go
+++ b/internal/setup/control_test.go
@@ -198,8 +198,8 @@
 			"placement: "+rules+" #", 1))
 	}
 	inLinz, inBoth := "[{name: a, team: x, engines: [linz]}]", "[{name: a, team: x, engines: [linz, steyr]}]"
-	all := []fleet.Scope{{Team: "x", OutsideSites: []string{"linz"}}}
-	both := []fleet.Scope{{Team: "x", OutsideSites: []string{"linz", "steyr"}}}
+	all := []fleet.Scope{{Tenant: "x", OutsideSites: []string{"linz"}}}
+	both := []fleet.Scope{{Tenant: "x", OutsideSites: []string{"linz", "steyr"}}}
 	for _, c := range []struct {
 		name         string
 		own          *Setup
@@ -234,7 +234,7 @@
 			t.Errorf("%s: %v", c.name, err)
 		}
 		if !slices.EqualFunc(scopes, c.want, func(a, b fleet.Scope) bool {
-			return a.Team == b.Team && slices.Equal(a.OutsideSites, b.OutsideSites)
+			return a.Tenant == b.Tenant && slices.Equal(a.OutsideSites, b.OutsideSites)
 		}) {
 			t.Errorf("%s: %+v, want %+v", c.name, scopes, c.want)
 		}
@@ -242,7 +242,7 @@
 	tables := mustParseControlPolicy(t, bare,
 		"placement: [{name: a, team: x, tables: [3], engines: [linz], follows: true}]")
 	scopes, err := tables.PurgeScopes("next", bare.BaseControlPolicy(),
-		[]fleet.Binding{{Team: "x", Tables: []int64{7}, SourceTables: []int64{3}}})
+		[]fleet.Binding{{Tenant: "x", Tables: []int64{7}, SourceTables: []int64{3}}})
 	if err != nil || len(scopes) != 1 || !slices.Equal(scopes[0].Tables, []int64{3, 7}) {
 		t.Errorf("tables that a load confined are not purged: %+v %v", scopes, err)
 	}
--- a/internal/setup/controller_config.go
+++ b/internal/setup/controller_config.go
@@ -14,16 +14,16 @@
 
 // fairQueueConfig converts the settings of the fair queue.
 func fairQueueConfig(f *Fairness) *fairqueue.Config {
-	var walk func(l []Team) []fairqueue.Tenant
-	walk = func(l []Team) (all []fairqueue.Tenant) {
+	var walk func(l []Tenant) []fairqueue.Tenant
+	walk = func(l []Tenant) (all []fairqueue.Tenant) {
 		for _, t := range l {
 			all = append(all, fairqueue.Tenant{Name: t.Name, Weight: t.Weight, Quota: t.Budget, Burst: t.Burst,
 				MaxWaiting: t.MaxWaiting,
-				Addresses:  prefixes(t.Addresses), Children: walk(t.Teams)})
+				Addresses:  prefixes(t.Addresses), Children: walk(t.Tenants)})
 		}
 		return all
 	}
-	return &fairqueue.Config{Tenants: walk(f.Teams), DefaultTenant: f.Default,
+	return &fairqueue.Config{Tenants: walk(f.Tenants), DefaultTenant: f.Default,
 		AgeingLimit: time.Duration(f.AgeingLimit), MaxWaiting: f.MaxWaiting, TrustedAddresses: prefixes(f.Trusted),
 		OverrunFactor: f.OverrunFactor, NotifyThreshold: f.NotifyThreshold}
 }
@@ -42,7 +42,7 @@
 	}
 	if f := x.Fairness; f != nil {
 		config.Tenants = fairQueueConfig(f)
-		config.FieldNames = controller.FieldNames{Tenant: f.Fields.Team, NotifyWait: f.Fields.NotifyWait,
+		config.FieldNames = controller.FieldNames{Tenant: f.Fields.Tenant, NotifyWait: f.Fields.NotifyWait,
 			RepeatOf: f.Fields.RepeatOf}
 	}
 	config.FieldNames.EstimatedWork, config.FieldNames.EstimatedMemory = x.Estimates.Work, x.Estimates.Memory
--- a/internal/setup/placement.go
+++ b/internal/setup/placement.go
@@ -21,18 +21,19 @@
 // PlacementRule confines tables of a team to some of the engines' locations. The team is one of
 // Fairness or a customer of Shares.
 type PlacementRule struct {
-	Name    string   `yaml:"name"`
-	Team    string   `yaml:"team"`
-	Tables  []int64  `yaml:"tables"`  // table groups; default all of the team
-	Engines []string `yaml:"engines"` // sites whose engines may process the tables; default all
-	// Controllers lists the sites whose controllers may accept queries on the tables; default as
-	// Engines.
-	Controllers []string `yaml:"controllers"`
-	// Keep lists the sites that may keep results and cached answers; default as Controllers,
-	// [] for none.
-	Keep      []string           `yaml:"keep"`
-	Follows   bool               `yaml:"follows"` // a load from the tables into other tables confines those, too
-	Emergency PlacementEmergency `yaml:"emergency"`
+	Name        string   `yaml:"name"`
+	Tenant      string   `yaml:"team"`
+	Tables      []int64  `yaml:"tables"`  // table groups; default all of the team
+	EngineSites []string `yaml:"engines"` // sites whose engines may process the tables; default all
+	// ControllerSites lists the sites whose controllers may accept queries on the tables; default as
+	// EngineSites.
+	ControllerSites []string `yaml:"controllers"`
+	// RetentionSites lists the sites that may retain results and cached answers; default as
+	// ControllerSites, [] for none.
+	RetentionSites []string `yaml:"keep"`
+	// FollowsLoads confines also the tables that loads from the rule's tables fill.
+	FollowsLoads bool               `yaml:"follows"`
+	Emergency    PlacementEmergency `yaml:"emergency"`
 }
 
 // PlacementEmergency allows the engines of further sites in an emergency.
@@ -44,10 +45,9 @@
 
 func (x *Setup) placementRules() (l []residency.Rule) {
 	for _, p := range x.Placement {
-		l = append(l, residency.Rule{Name: p.Name, Team: p.Team, Tables: p.Tables, Engines: p.Engines,
-			Controllers: p.Controllers,
-			Keep:        p.Keep, Follows: p.Follows, Emergency: residency.Emergency{Sites: p.Emergency.Sites,
-				After: time.Duration(p.Emergency.After)}})
+		l = append(l, residency.Rule{Name: p.Name, Tenant: p.Tenant, Tables: p.Tables, EngineSites: p.EngineSites,
+			ControllerSites: p.ControllerSites, RetentionSites: p.RetentionSites, FollowsLoads: p.FollowsLoads,
+			Emergency: residency.Emergency{Sites: p.Emergency.Sites, After: time.Duration(p.Emergency.After)}})
 	}
 	return l
 }
@@ -55,17 +55,17 @@
 // teamNames returns the teams and customers that a query can belong to.
 func (x *Setup) teamNames() []string {
 	names := []string{}
-	var walk func(l []Team)
-	walk = func(l []Team) {
+	var walk func(l []Tenant)
+	walk = func(l []Tenant) {
 		for _, t := range l {
-			if len(t.Teams) == 0 {
+			if len(t.Tenants) == 0 {
 				names = append(names, t.Name)
 			}
-			walk(t.Teams)
+			walk(t.Tenants)
 		}
 	}
 	if x.Fairness != nil {
-		walk(x.Fairness.Teams)
+		walk(x.Fairness.Tenants)
 	}
 	if x.Shares != nil {
 		for _, who := range x.Shares.Customers {
@@ -104,18 +104,18 @@
 // Policy contains the settings that the whole fleet shares, as a file for `fleet apply` lists
 // them. A setting that the file omits keeps the value in each controller's own file.
 type Policy struct {
-	Fairness  *PolicyTeams    `yaml:"fairness"`
+	Fairness  *PolicyTenants  `yaml:"fairness"`
 	Shares    *PolicyShares   `yaml:"shares"`
 	Groups    []GroupLimits   `yaml:"groups"`
 	Placement []PlacementRule `yaml:"placement"`
 	Voters    []Voter         `yaml:"voters"` // voters from now on; default unchanged
 }
 
-// PolicyTeams are all teams of the fleet.
-type PolicyTeams struct {
+// PolicyTenants are all teams of the fleet.
+type PolicyTenants struct {
 	Default     string   `yaml:"default"`
 	AgeingLimit Duration `yaml:"age"`
-	Teams       []Team   `yaml:"teams"`
+	Tenants     []Tenant `yaml:"teams"`
 }
 
 // PolicyShares are customers' quotas. A customer that isn't listed keeps its quota.
@@ -219,13 +219,13 @@
 		c.addError("fairness", "this controller has no teams, because its set-up has no fairness part")
 	default:
 		next := *own.Fairness
-		next.Teams, next.Default, next.AgeingLimit = f.Teams, cmp.Or(f.Default, next.Default),
+		next.Tenants, next.Default, next.AgeingLimit = f.Tenants, cmp.Or(f.Default, next.Default),
 			cmp.Or(f.AgeingLimit, next.AgeingLimit)
 		s.Fairness = &next
-		if len(next.Teams) == 0 {
+		if len(next.Tenants) == 0 {
 			c.addError("fairness.teams", "is missing: a policy must list all teams")
 		}
-		c.checkTeams(next.Teams, "fairness.teams")
+		c.checkTenants(next.Tenants, "fairness.teams")
 		c.checkFairness(&next)
 	}
 	c.mergeShares(p.Shares, own, s)
--- a/internal/setup/placement_test.go
+++ b/internal/setup/placement_test.go
@@ -32,8 +32,8 @@
 	}
 	policy, watched := s.BasePolicy()
 	rules := policy.Rules.([]residency.Rule)
-	if a := rules[0]; a.Keep == nil || rules[1].Keep != nil || !a.Follows || len(watched) != 1 ||
-		watched[0].After != 30*time.Second {
+	if a := rules[0]; a.RetentionSites == nil || rules[1].RetentionSites != nil || !a.FollowsLoads ||
+		len(watched) != 1 || watched[0].After != 30*time.Second {
 		t.Fatalf("%+v %+v", rules, watched)
 	}
 	for _, c := range []struct{ old, new, field, why string }{
@@ -83,7 +83,7 @@
 		t.Fatalf("%+v %v", p, voters)
 	}
 	if own.Groups[0].Objective != Duration(time.Second) || len(own.Placement) != 2 ||
-		len(own.Fairness.Teams) != 3 {
+		len(own.Fairness.Tenants) != 3 {
 		t.Fatal("ParsePolicy changed the set-up")
 	}
 	p, watched, _, err = ParsePolicy("p.yaml", nil, own)
--- a/internal/setup/result_cache.go
+++ b/internal/setup/result_cache.go
@@ -17,9 +17,9 @@
 	MemoryMB    float64  `yaml:"memory_mb"` // of all answers; default 16
 	MaxEntries  int      `yaml:"count"`     // default 10000
 	MaxAnswerKB float64  `yaml:"answer_kb"` // a larger answer is not cached; default 1024, at most MemoryMB
-	// TeamShare is the fraction of the memory above which a team's answers are evicted first;
+	// TenantShare is the fraction of the memory above which a team's answers are evicted first;
 	// default 0.25.
-	TeamShare float64 `yaml:"team_share"`
+	TenantShare float64 `yaml:"team_share"`
 	// Groups lists the groups whose answers are cached; default all read-only groups that keep no
 	// order.
 	Groups []string `yaml:"groups"`
@@ -40,7 +40,7 @@
 	c.optionalNumber("answers.memory_mb", a.MemoryMB, 0.1, 1<<20)
 	c.optionalNumber("answers.count", float64(a.MaxEntries), 1, 10_000_000)
 	c.optionalNumber("answers.answer_kb", a.MaxAnswerKB, 1, 1<<20)
-	c.optionalNumber("answers.team_share", a.TeamShare, 0.001, 1)
+	c.optionalNumber("answers.team_share", a.TenantShare, 0.001, 1)
 	if a.MemoryMB > cmp.Or(x.Limits.MemoryMB, 512)/2 {
 		c.addError("answers.memory_mb", "is more than half of limits.memory_mb")
 	}
@@ -73,7 +73,7 @@
 	l := resultcache.DefaultLimits()
 	l.Freshness = time.Duration(a.Freshness)
 	l.MaxBytes = int64(cmp.Or(a.MemoryMB, 16) * (1 << 20))
-	l.MaxEntries, l.TenantShare = cmp.Or(a.MaxEntries, l.MaxEntries), cmp.Or(a.TeamShare, l.TenantShare)
+	l.MaxEntries, l.TenantShare = cmp.Or(a.MaxEntries, l.MaxEntries), cmp.Or(a.TenantShare, l.TenantShare)
 	l.MaxAnswerBytes = min(l.MaxBytes, int64(cmp.Or(a.MaxAnswerKB, 1024)*1024))
 	l.Groups = a.Groups
 	return &l
--- a/internal/setup/setup.go
+++ b/internal/setup/setup.go
@@ -166,26 +166,26 @@
 	OverrunFactor float64 `yaml:"overrun"`
 	// NotifyThreshold is the relative change of an estimated wait above which the client is notified
 	// again; default 0.25.
-	NotifyThreshold float64 `yaml:"tell_change"`
-	Teams           []Team  `yaml:"teams"`
+	NotifyThreshold float64  `yaml:"tell_change"`
+	Tenants         []Tenant `yaml:"teams"`
 }
 
 // Fields are the names of the call fields that the fair queue reads. An empty name disables the field.
 type Fields struct {
-	Team       string `yaml:"team"`  // names the team
+	Tenant     string `yaml:"team"`  // names the team
 	NotifyWait string `yaml:"tell"`  // asks for notifications of the estimated wait
 	RepeatOf   string `yaml:"again"` // trace of the call that this one repeats
 }
 
-// Team is a tenant of the fair queue. A team with Teams groups those.
-type Team struct {
+// Tenant is a tenant of the fair queue, or a group of tenants if Tenants is set.
+type Tenant struct {
 	Name       string   `yaml:"name"`
 	Weight     float64  `yaml:"weight"`
 	Budget     float64  `yaml:"budget"`  // thread seconds a second; default unlimited
 	Burst      float64  `yaml:"burst"`   // thread seconds; default the budget of one second
 	MaxWaiting int      `yaml:"waiting"` // queries; default 10000
 	Addresses  []Prefix `yaml:"addresses"`
-	Teams      []Team   `yaml:"teams"`
+	Tenants    []Tenant `yaml:"teams"`
 }
 
 // Load reads and checks a file. The error joins a FieldError for each mistake in the file.
--- a/internal/setup/spool.go
+++ b/internal/setup/spool.go
@@ -23,12 +23,12 @@
 	// MaxResultMB limits one result; default 1024, at most the space in memory and on disk.
 	MaxResultMB float64 `yaml:"result_mb"`
 	MaxResults  int     `yaml:"results"` // at once; default 10000
-	// TeamShare is the fraction of the space above which a team's results are evicted first;
+	// TenantShare is the fraction of the space above which a team's results are evicted first;
 	// default 0.25.
-	TeamShare      float64  `yaml:"team_share"`
-	MaxTeamResults int      `yaml:"team_results"` // of one team at once; default 1000
-	MaxTeamMB      float64  `yaml:"team_mb"`      // of one team; default unlimited
-	IdleTimeout    Duration `yaml:"idle"`         // time from its last read until a result expires; default 15m
+	TenantShare      float64  `yaml:"team_share"`
+	MaxTenantResults int      `yaml:"team_results"` // of one team at once; default 1000
+	MaxTenantMB      float64  `yaml:"team_mb"`      // of one team; default unlimited
+	IdleTimeout      Duration `yaml:"idle"`         // after its last read, a result expires; default 15m
 	// MaxAge is the time from its creation until a result expires, even if it is read; default 2h.
 	MaxAge       Duration `yaml:"life"`
 	PageKB       float64  `yaml:"page_kb"`   // size up to which engines' pages are joined; default 32
@@ -49,9 +49,9 @@
 	c.optionalNumber("spool.disk_mb", s.DiskMB, 1, 1<<30)
 	c.optionalNumber("spool.result_mb", s.MaxResultMB, 0.001, 1<<20)
 	c.optionalNumber("spool.results", float64(s.MaxResults), 1, 10_000_000)
-	c.optionalNumber("spool.team_share", s.TeamShare, 0.001, 1)
-	c.optionalNumber("spool.team_results", float64(s.MaxTeamResults), 1, 10_000_000)
-	c.optionalNumber("spool.team_mb", s.MaxTeamMB, 0.001, 1<<30)
+	c.optionalNumber("spool.team_share", s.TenantShare, 0.001, 1)
+	c.optionalNumber("spool.team_results", float64(s.MaxTenantResults), 1, 10_000_000)
+	c.optionalNumber("spool.team_mb", s.MaxTenantMB, 0.001, 1<<30)
 	c.optionalNumber("spool.page_kb", s.PageKB, 1, 1024)
 	c.optionalNumber("spool.flight_mb", s.MaxWritingMB, 0.1, 1024)
 	c.optionalNumber("spool.reads", float64(s.MaxReads), 1, 10_000)
@@ -81,11 +81,11 @@
 	if s.Directory != "" {
 		l.MaxDiskBytes = int64(cmp.Or(s.DiskMB, 1024) * mb)
 	}
-	l.MaxTeamBytes = int64(s.MaxTeamMB * mb)
+	l.MaxTenantBytes = int64(s.MaxTenantMB * mb)
 	l.MaxResultBytes = int64(cmp.Or(s.MaxResultMB, 1024) * mb)
 	l.MaxResults = cmp.Or(s.MaxResults, l.MaxResults)
-	l.MaxTeamResults = cmp.Or(s.MaxTeamResults, l.MaxTeamResults)
-	l.TeamShare = cmp.Or(s.TeamShare, l.TeamShare)
+	l.MaxTenantResults = cmp.Or(s.MaxTenantResults, l.MaxTenantResults)
+	l.TenantShare = cmp.Or(s.TenantShare, l.TenantShare)
 	l.IdleTimeout = s.IdleTimeout.orDefault(l.IdleTimeout)
 	l.MaxAge = s.MaxAge.orDefault(l.MaxAge)
 	l.PageBytes = int(cmp.Or(s.PageKB, 32) * 1024)
--- a/internal/spool/golden_test.go
+++ b/internal/spool/golden_test.go
@@ -31,7 +31,7 @@
 		t.Fatal(err)
 	}
 	c := goldenCore(keys)
-	r := c.openToken(goldentest.File(t, "token"), goldenStoredResult.Team)
+	r := c.openToken(goldentest.File(t, "token"), goldenStoredResult.Tenant)
 	if r == nil || r.id != goldenStoredResult.ResultID {
 		t.Fatalf("the token opens %+v", r)
 	}
--- a/internal/spool/room.go
+++ b/internal/spool/room.go
@@ -23,7 +23,7 @@
 
 // exceedsTeamLimit reports whether size more bytes of a result would exceed the limit of its team.
 func (c *Core) exceedsTeamLimit(r *Result, size int64) bool {
-	return c.MaxTeamBytes > 0 && r.team.bytes+size > c.MaxTeamBytes
+	return c.MaxTenantBytes > 0 && r.team.bytes+size > c.MaxTenantBytes
 }
 
 // sizeLimit returns the largest size that a result can ever have.
@@ -32,8 +32,8 @@
 	if c.MaxDiskBytes > 0 {
 		most = min(c.MaxResultBytes, c.MaxDiskBytes-c.MaxDiskBytes/16)
 	}
-	if c.MaxTeamBytes > 0 {
-		most = min(most, c.MaxTeamBytes)
+	if c.MaxTenantBytes > 0 {
+		most = min(most, c.MaxTenantBytes)
 	}
 	return most
 }
@@ -165,7 +165,7 @@
 	if capacity == 0 {
 		capacity = c.MaxMemoryBytes
 	}
-	return float64(t.bytes) > c.TeamShare*float64(capacity)
+	return float64(t.bytes) > c.TenantShare*float64(capacity)
 }
 
 // releaseLeastRecentlyRead releases the cached pages of the least recently read result that is on
--- a/internal/spool/spool.go
+++ b/internal/spool/spool.go
@@ -21,26 +21,26 @@
 	"railrelay.dev/railrelay/internal/intrusivelist"
 )
 
-// Limits bounds the spool. All fields must be set except MaxDiskBytes and MaxTeamBytes.
+// Limits bounds the spool. All fields must be set except MaxDiskBytes and MaxTenantBytes.
 type Limits struct {
-	MaxMemoryBytes  int64         // pages in memory, including those being written to disk
-	MaxDiskBytes    int64         // pages on disk; 0: no disk, and results are lost when the process ends
-	MaxResults      int           // results at the same time
-	MaxResultBytes  int64         // size of one result
-	TeamShare       float64       // fraction of the space beyond which a team's results are evicted first
-	MaxTeamResults  int           // results of one team at the same time
-	MaxTeamBytes    int64         // all results of one team; 0: no limit but TeamShare, when space is short
-	IdleTimeout     time.Duration // a result expires this long after its last read
-	MaxAge          time.Duration // and at the latest this long after its commit
-	PageBytes       int           // pages from the engine are merged up to this size
-	MaxWritingBytes int64         // page bytes being written to disk at the same time
-	MaxReads        int           // pages being read from disk at the same time
+	MaxMemoryBytes   int64         // pages in memory, including those being written to disk
+	MaxDiskBytes     int64         // pages on disk; 0: no disk, and results are lost when the process ends
+	MaxResults       int           // results at the same time
+	MaxResultBytes   int64         // size of one result
+	TenantShare      float64       // fraction of the space beyond which a team's results are evicted first
+	MaxTenantResults int           // results of one team at the same time
+	MaxTenantBytes   int64         // all results of one team; 0: no limit but TenantShare, when space is short
+	IdleTimeout      time.Duration // a result expires this long after its last read
+	MaxAge           time.Duration // and at the latest this long after its commit
+	PageBytes        int           // pages from the engine are merged up to this size
+	MaxWritingBytes  int64         // page bytes being written to disk at the same time
+	MaxReads         int           // pages being read from disk at the same time
 }
 
 // DefaultLimits returns the limits for settings that are not given.
 func DefaultLimits() Limits {
-	return Limits{MaxMemoryBytes: 16 << 20, MaxResults: 10_000, MaxResultBytes: 1 << 30, TeamShare: 0.25,
-		MaxTeamResults: 1000, IdleTimeout: 15 * time.Minute,
+	return Limits{MaxMemoryBytes: 16 << 20, MaxResults: 10_000, MaxResultBytes: 1 << 30, TenantShare: 0.25,
+		MaxTenantResults: 1000, IdleTimeout: 15 * time.Minute,
 		MaxAge: 2 * time.Hour, PageBytes: 32 << 10, MaxWritingBytes: 4 << 20, MaxReads: 64}
 }
 
@@ -71,10 +71,10 @@
 
 // Metadata describes a complete result.
 type Metadata struct {
-	ResultID                 uint64
-	Query, Team              string
-	CreatedWall, ExpiresWall int64 // milliseconds since 1970
-	PageRows                 []uint32
+	ResultID                             uint64
+	Query, Tenant                        string
+	CreatedUnixMillis, ExpiresUnixMillis int64 // milliseconds since 1970
+	PageRows                             []uint32
 	InvalidationTag
 }
 
@@ -223,8 +223,8 @@
 // Restore adds a result that was on disk at the start. It expires at the stored wall clock time, but
 // no later than a new result would, so that a changed clock can't extend its life.
 func (c *Core) Restore(f *StoredResult) {
-	r := &Result{id: f.ResultID, query: f.Query, team: c.teamOf(f.Team), pageCount: len(f.PageRows),
-		complete: true, tag: f.InvalidationTag, createdWall: f.CreatedWall}
+	r := &Result{id: f.ResultID, query: f.Query, team: c.teamOf(f.Tenant), pageCount: len(f.PageRows),
+		complete: true, tag: f.InvalidationTag, createdWall: f.CreatedUnixMillis}
 	r.pageChecksum = checksumPages(func(i int) uint32 { return f.PageBytes[i] },
 		func(i int) uint32 { return f.PageRows[i] }, r.pageCount)
 	for i, rows := range f.PageRows {
@@ -233,8 +233,8 @@
 		r.onDisk += int64(f.PageBytes[i]) + recordOverheadBytes
 	}
 	r.unreadCount = max(0, r.pageCount-1)
-	r.expiresWall = f.ExpiresWall
-	r.expiresAt = min(time.Duration(f.ExpiresWall-c.startWall)*time.Millisecond, c.MaxAge)
+	r.expiresWall = f.ExpiresUnixMillis
+	r.expiresAt = min(time.Duration(f.ExpiresUnixMillis-c.startWall)*time.Millisecond, c.MaxAge)
 	r.lastReadAt = 0
 	c.results[r.id] = r
 	c.count++
@@ -266,7 +266,7 @@
 func (c *Core) Admit(now time.Duration, query, teamName string, tag InvalidationTag) (*Result, error) {
 	c.advance(now)
 	t := c.teamOf(teamName)
-	if t.results >= c.MaxTeamResults && !c.evictOne(t, afterRead|expired) {
+	if t.results >= c.MaxTenantResults && !c.evictOne(t, afterRead|expired) {
 		c.Counts.Refused++
 		c.forgetTeam(t)
 		return nil, RefusalError("too many results of this team are retained")
@@ -377,8 +377,8 @@
 	for i := range r.pages {
 		rows[i] = r.pages[i].rows
 	}
-	c.write(r, r.pageCount, &Metadata{ResultID: r.id, Query: r.query, Team: r.team.name,
-		CreatedWall: c.startWall + c.now.Milliseconds(), ExpiresWall: r.expiresWall, PageRows: rows,
+	c.write(r, r.pageCount, &Metadata{ResultID: r.id, Query: r.query, Tenant: r.team.name,
+		CreatedUnixMillis: c.startWall + c.now.Milliseconds(), ExpiresUnixMillis: r.expiresWall, PageRows: rows,
 		InvalidationTag: r.tag})
 }
 
--- a/internal/spool/spool_test.go
+++ b/internal/spool/spool_test.go
@@ -187,8 +187,8 @@
 				n, size = n+1, size+r.bytes
 			}
 		}
-		if size > b.c.MaxTeamBytes {
-			b.t.Fatalf("team %s has %d bytes of %d", name, size, b.c.MaxTeamBytes)
+		if size > b.c.MaxTenantBytes {
+			b.t.Fatalf("team %s has %d bytes of %d", name, size, b.c.MaxTenantBytes)
 		}
 		if n != team.results || size != team.bytes {
 			b.t.Fatalf("team %s has %d results of %d bytes, not %d of %d", name, n, size, team.results, team.bytes)
@@ -200,7 +200,7 @@
 	committed, evicted, waited, served, purged := 0, 0, 0, 0, 0
 	rapid.Check(t, func(t *rapid.T) {
 		l := Limits{MaxMemoryBytes: 4000, MaxDiskBytes: 20_000, MaxResults: 12, MaxResultBytes: 9000,
-			TeamShare: 0.3, MaxTeamResults: 6, MaxTeamBytes: 14_000, IdleTimeout: 20 * time.Second,
+			TenantShare: 0.3, MaxTenantResults: 6, MaxTenantBytes: 14_000, IdleTimeout: 20 * time.Second,
 			MaxAge: time.Minute, PageBytes: 300, MaxWritingBytes: 400, MaxReads: 4}
 		if rapid.Bool().Draw(t, "no disk") {
 			l.MaxDiskBytes = 0
@@ -311,7 +311,7 @@
 					t.Fatal("an expired result is read")
 				}
 			case x == 12 && rapid.IntRange(0, 3).Draw(t, "purge") == 0:
-				b.purge(&fleet.Scope{Team: "linz", Tables: []int64{int64(rapid.IntRange(0, 2).Draw(t, "table"))}})
+				b.purge(&fleet.Scope{Tenant: "linz", Tables: []int64{int64(rapid.IntRange(0, 2).Draw(t, "table"))}})
 			case len(b.work) > 0:
 				w := b.work[0]
 				b.work = b.work[1:]
@@ -384,8 +384,8 @@
 		l.MaxDiskBytes = 1 << 30
 		wall := int64(1_700_000_000_000)
 		c := New(l, newKeyring(t), wall+off.Milliseconds(), 2<<32, func(w *DiskTask) { w.OnDone(0) })
-		c.Restore(&StoredResult{Metadata{ResultID: 1, Query: "q", Team: "linz", CreatedWall: wall,
-			ExpiresWall: wall + l.MaxAge.Milliseconds(), PageRows: []uint32{1, 1}}, []uint32{10, 10}})
+		c.Restore(&StoredResult{Metadata{ResultID: 1, Query: "q", Tenant: "linz", CreatedUnixMillis: wall,
+			ExpiresUnixMillis: wall + l.MaxAge.Milliseconds(), PageRows: []uint32{1, 1}}, []uint32{10, 10}})
 		r := c.results[1]
 		left := c.TimeToLive(r)
 		if want := min(l.IdleTimeout, max(0, l.MaxAge-max(0, off))); left > l.IdleTimeout ||
@@ -408,7 +408,7 @@
 // result that can't get space before its deadline is refused, so that the others can complete.
 func TestFullDiskRefusesInsteadOfDeadlock(t *testing.T) {
 	l := Limits{MaxMemoryBytes: 20_000, MaxDiskBytes: 40_000, MaxResults: 100, MaxResultBytes: 30_000,
-		TeamShare: 1, MaxTeamResults: 100, IdleTimeout: time.Hour, MaxAge: time.Hour,
+		TenantShare: 1, MaxTenantResults: 100, IdleTimeout: time.Hour, MaxAge: time.Hour,
 		PageBytes: 1000, MaxWritingBytes: 10_000, MaxReads: 4}
 	var work []*DiskTask
 	c := New(l, newKeyring(t), 0, 1<<32, func(w *DiskTask) { work = append(work, w) })
@@ -462,7 +462,7 @@
 // over its share. A result that is being read and has not expired is never evicted.
 func TestEvictionOrderSparesResultsBeingRead(t *testing.T) {
 	l := Limits{MaxMemoryBytes: 100_000, MaxDiskBytes: 0, MaxResults: 100, MaxResultBytes: 50_000,
-		TeamShare: 0.3, MaxTeamResults: 100, IdleTimeout: time.Minute, MaxAge: time.Hour,
+		TenantShare: 0.3, MaxTenantResults: 100, IdleTimeout: time.Minute, MaxAge: time.Hour,
 		PageBytes: 1000, MaxWritingBytes: 10_000, MaxReads: 4}
 	c := New(l, newKeyring(t), 1_700_000_000_000, 1<<32,
 		func(*DiskTask) { t.Fatal("a disk task without a disk") })
--- a/internal/spool/token.go
+++ b/internal/spool/token.go
@@ -27,9 +27,9 @@
 
 // Key signs tokens.
 type Key struct {
-	ID          uint32 `json:"ID"`
-	CreatedWall int64  `json:"Made"`   // milliseconds since 1970
-	Secret      []byte `json:"Secret"` // 32 bytes
+	ID                uint32 `json:"ID"`
+	CreatedUnixMillis int64  `json:"Made"`   // milliseconds since 1970
+	Secret            []byte `json:"Secret"` // 32 bytes
 }
 
 // Keyring signs tokens with its newest key. It accepts tokens of older keys for as long as a result
@@ -154,13 +154,14 @@
 	wall := c.startWall + c.now.Milliseconds()
 	newest := k.keys[len(k.keys)-1]
 	if k.rotating || k.rotationInterval <= 0 ||
-		time.Duration(wall-newest.CreatedWall)*time.Millisecond < k.rotationInterval && wall >= newest.CreatedWall {
+		time.Duration(wall-newest.CreatedUnixMillis)*time.Millisecond < k.rotationInterval &&
+			wall >= newest.CreatedUnixMillis {
 		return
 	}
 	next := *k
 	next.keys = slices.DeleteFunc(slices.Clone(k.keys), func(x Key) bool {
 		return x.ID != newest.ID &&
-			time.Duration(wall-x.CreatedWall)*time.Millisecond > 2*k.rotationInterval+c.MaxAge
+			time.Duration(wall-x.CreatedUnixMillis)*time.Millisecond > 2*k.rotationInterval+c.MaxAge
 	})
 	next.keys = next.keys[max(0, len(next.keys)-maxKeys+1):]
 	next.add(wall)
