--- a/internal/bench/together.go
+++ b/internal/bench/together.go
@@ -238,7 +238,7 @@
 
 // placementRule returns the rule of placementYAML that binds the team linz to the site east.
 func (ff *faultFleet) placementRule() historycheck.Rule {
-	return historycheck.Rule{Team: "linz", Sites: []string{"east"}}
+	return historycheck.Rule{Tenant: "linz", Sites: []string{"east"}}
 }
 
 // placementYAML returns the policy that binds the team mark to a marker site. In an emergency, the team linz
--- a/internal/bench/together_operators.go
+++ b/internal/bench/together_operators.go
@@ -79,7 +79,7 @@
 	ff.mu.Lock()
 	ff.serial++
 	purge := &fleet.Request{Kind: "purge", ID: fmt.Sprintf("purge-%d", ff.serial), RequestedBy: "bench",
-		Scope: &fleet.Scope{Team: team}, WaitMs: 1500, AwaitedStage: "unreachable"}
+		Scope: &fleet.Scope{Tenant: team}, WaitMs: 1500, AwaitedStage: "unreachable"}
 	ff.fleetHistory.PurgeRequested(ff.elapsed(), purge.ID, *purge.Scope)
 	ff.mu.Unlock()
 	stage, begin, reading := "", time.Now(), time.Duration(0)
--- a/internal/controller/result_paging_test.go
+++ b/internal/controller/result_paging_test.go
@@ -441,7 +441,7 @@
 func TestThousandSlowPageReaders(t *testing.T) {
 	d := disk.New()
 	l := testLimits()
-	l.MaxDiskBytes, l.TeamShare = 256<<20, 1
+	l.MaxDiskBytes, l.TenantShare = 256<<20, 1
 	s := newSpoolWorld(t, d, disk.NewIndex(d), l, nil)
 	var all []*world.Query
 	maxMemory := int64(0)
