--- a/internal/eventloop/connection.go
+++ b/internal/eventloop/connection.go
@@ -118,8 +118,8 @@
 	})
 }
 
-// serve reads from the connection until its end. It reports ConnectionClosed last, once the
-// descriptor is free.
+// serve starts the write loop, and passes received bytes to run until the connection ends. It reports
+// ConnectionClosed last, once the descriptor is free.
 func (l *loop) serve(conn *connection) {
 	defer conn.close()
 	writerDone := make(chan struct{})
@@ -160,7 +160,9 @@
 	l.sendEvent(controller.ConnectionClosed, conn, 0)
 }
 
-// writeLoop writes the queue, each time all that has accumulated and is under one condition.
+// writeLoop writes the queue until the connection closes. Each write takes the queued bytes up to the next
+// condition. If the condition of the bytes doesn't hold, the loop reports WriteRejected and closes the
+// connection.
 func (l *loop) writeLoop(conn *connection) {
 	var pending []byte
 	for {
@@ -277,9 +279,9 @@
 	return c.closing
 }
 
-// readAvailable reads, without waiting, what has arrived after the n bytes that were read. It returns
-// the total, and whether the stream has ended: a query need not begin if its client has already left.
-func (c *connection) readAvailable(n int) (total int, last bool) {
+// readAvailable reads, without waiting, the bytes that have arrived after the n bytes already read. It
+// returns the total, and whether the stream has ended: a query need not begin if its client has left.
+func (c *connection) readAvailable(n int) (total int, ended bool) {
 	tcp, ok := c.conn.(*net.TCPConn)
 	if !ok {
 		return n, false
@@ -292,11 +294,11 @@
 		if space := c.handle.Received.FreeSpace()[n:]; len(space) > 0 {
 			read, err := syscall.Read(int(fd), space)
 			n += max(read, 0)
-			last = read == 0 && err == nil || read < 0 && err != syscall.EAGAIN && err != syscall.EINTR
+			ended = read == 0 && err == nil || read < 0 && err != syscall.EAGAIN && err != syscall.EINTR
 		}
 		return true
 	})
-	return n, last
+	return n, ended
 }
 
 // closeGracefully closes the connection once the queue is written and the peer has closed, and in any
--- a/internal/eventloop/run.go
+++ b/internal/eventloop/run.go
@@ -21,12 +21,13 @@
 // loop is the state of an event loop. One goroutine, run, owns the controller; the others read from
 // and write to connections and the disk, and send events to run.
 type loop struct {
-	ctx            context.Context
-	group          *errgroup.Group
-	events         chan event
-	connections    map[*controller.Connection]*connection
-	deferredWrites map[*connection][]func() // by client: writes behind input that isn't processed yet
-	wakeAt         time.Duration            // when the timer is due, since start
+	ctx         context.Context
+	group       *errgroup.Group
+	events      chan event
+	connections map[*controller.Connection]*connection
+	// deferredWrites are the writes held back until a client's pending input is processed, by client.
+	deferredWrites map[*connection][]func()
+	wakeAt         time.Duration // when the timer is due, since start
 	log            zerolog.Logger
 	start          time.Time
 	timer          *time.Timer
@@ -35,14 +36,15 @@
 	spoolWork      spoolWorkQueue
 	servingState   *fleet.ServingState // nil outside a fleet
 	fleetChannels  FleetChannels
-	unsentReports  []*fleet.Report // found the channel full, to be handed back to the controller
+	// rejectedReports are the reports that the channel had no room for, to be handed back to the controller.
+	rejectedReports []*fleet.Report
 }
 
 // FleetChannels connects the controller with the fleet member in the same process. The zero value
 // is for a controller outside a fleet.
 type FleetChannels struct {
 	Orders  <-chan fleet.Order  // sending blocks until the controller takes the order
-	Reports chan<- fleet.Report // never blocks: a report that doesn't fit goes back to the controller
+	Reports chan<- fleet.Report // never blocks: a report that finds it full is rejected
 }
 
 // event is an event for the controller. For ClientAccepted, accepted is the new connection.
@@ -52,8 +54,8 @@
 }
 
 // Serve runs a controller that accepts clients on the listener, until the controller exits or ctx
-// ends. The channel requests delivers events of the operator, such as a shutdown. The store is nil without a
-// spool on disk, and fleetChannels is empty outside a fleet.
+// ends. The channel requests delivers the operator's requests, such as a shutdown, as events. The store is
+// nil without a spool on disk, and fleetChannels is empty outside a fleet.
 func Serve(ctx context.Context, listener net.Listener, config controller.Config,
 	store *resultstore.SpoolStore, fleetChannels FleetChannels, requests <-chan controller.Event,
 	log zerolog.Logger) error {
@@ -94,9 +96,10 @@
 	core, effects := controller.New(config)
 	done := l.perform(effects)
 	for !done {
-		for len(l.unsentReports) > 0 { // the controller keeps a rejected report and doesn't send it again at once
-			report := l.unsentReports[0]
-			l.unsentReports = l.unsentReports[1:]
+		// Hand back the rejected reports. The controller doesn't resend them in the same step, so this loop ends.
+		for len(l.rejectedReports) > 0 {
+			report := l.rejectedReports[0]
+			l.rejectedReports = l.rejectedReports[1:]
 			done = l.perform(core.Step(time.Since(l.start),
 				controller.Event{Kind: controller.FleetReportRejected, Report: report})) || done
 		}
@@ -121,8 +124,10 @@
 	return nil
 }
 
-// step passes an event to the controller and performs the effects. It reports whether the controller
-// exits.
+// step passes an event to the controller and performs the effects. For a client's BytesReceived, it first
+// reads the further bytes that have arrived. Afterwards it makes the writes that waited for the event's
+// connection, and gives the receive buffer back to the reading goroutine. It adds accepted connections to
+// l.connections and removes closed ones. It reports whether the controller exits.
 func (l *loop) step(core *controller.Controller, ev event) (done bool) {
 	if ev.accepted != nil {
 		l.connections[ev.Connection] = ev.accepted
@@ -148,18 +153,20 @@
 	return done
 }
 
-// runDeferredWrites makes the writes that waited until the controller had processed the client's input.
-func (l *loop) runDeferredWrites(conn *connection) {
-	for _, write := range l.deferredWrites[conn] {
+// runDeferredWrites makes the writes, mostly to engines, that waited until the controller had processed this
+// client's input.
+func (l *loop) runDeferredWrites(client *connection) {
+	for _, write := range l.deferredWrites[client] {
 		write()
 	}
-	delete(l.deferredWrites, conn)
+	delete(l.deferredWrites, client)
 }
 
 // processBacklog runs after the process was stopped or starved of processor time. It passes pending
 // input to the controller before the overdue timers: a client may have disconnected long ago, and an
-// answer that would count as late may have arrived unread. The sleep lets the reading goroutines run,
-// which then block with the events that they have.
+// answer that would count as late may have arrived unread. The sleep lets the reading goroutines run
+// until each blocks on sending its event. ev is the event that run has just received, of any kind; the
+// controller gets it first. A TimerFired is dropped, because the caller passes one afterwards.
 func (l *loop) processBacklog(core *controller.Controller, ev event) (done bool) {
 	time.Sleep(time.Millisecond)
 	for n := 0; ; n++ {
@@ -179,12 +186,13 @@
 }
 
 // maxTimerDelay is how late a timer event may be before the process counts as having been stopped.
-// It is a fraction of 0.1 s, the time after which no work may begin for a client that has left.
+// It is a fraction of the 0.1 s after a client's leaving within which work for it may still begin.
 const maxTimerDelay = 25 * time.Millisecond
 
 // closeConnections closes engine and discovery connections at once, and client connections gracefully,
-// because an answer may still be in transit. It doesn't wait for idle clients to close their side. The
-// controller gets no further input.
+// because an answer may still be in transit. It waits until every client connection is closed, by the
+// client or after finalWriteTimeout. The wait ends after twice that time in any case: the second half is
+// for the connections' goroutines to report that they have closed. The controller gets no further input.
 func (l *loop) closeConnections() {
 	remaining := 0
 	for handle, conn := range l.connections {
@@ -247,7 +255,7 @@
 			l.timer.Reset(effect.Timeout)
 			l.wakeAt = time.Since(l.start) + effect.Timeout
 		case controller.LogMessage:
-			if effect.Warning {
+			if effect.Warning { // an entry without a level is written at every configured log level
 				withLogFields(l.log.Log(), effect.Fields).Msg(effect.Text)
 			} else if effect.Trace {
 				withLogFields(l.log.Debug(), effect.Fields).Msg(effect.Text)
@@ -268,20 +276,21 @@
 	return done
 }
 
-// sendReport sends a report to the fleet member. Once a report found the channel full, later ones
-// queue behind it, so that reports stay in order.
+// sendReport sends a report to the fleet member. Once a report found the channel full, later ones aren't
+// tried either but are rejected behind it, so that reports stay in order.
 func (l *loop) sendReport(report *fleet.Report) {
-	if len(l.unsentReports) == 0 {
+	if len(l.rejectedReports) == 0 {
 		select {
 		case l.fleetChannels.Reports <- *report:
 			return
 		default:
 		}
 	}
-	l.unsentReports = append(l.unsentReports, report)
+	l.rejectedReports = append(l.rejectedReports, report)
 }
 
-// withLogFields adds the non-empty fields to a log entry.
+// withLogFields adds the non-empty fields to a log entry. The keys are part of the log's format, so a tenant
+// is still logged as team and an attempt as try.
 func withLogFields(entry *zerolog.Event, fields controller.LogFields) *zerolog.Event {
 	for _, field := range [...][2]string{{"query", fields.Query}, {"group", fields.Group},
 		{"team", fields.Tenant}, {"engine", fields.Engine}} {
--- a/internal/eventloop/spool_worker.go
+++ b/internal/eventloop/spool_worker.go
@@ -12,9 +12,10 @@
 type spoolWorkQueue struct {
 	mu    sync.Mutex
 	items []*spool.DiskTask
-	ready chan struct{}
+	ready chan struct{} // a value wakes the spool writer
 }
 
+// add appends work to the queue and wakes the spool writer.
 func (q *spoolWorkQueue) add(work *spool.DiskTask) {
 	q.mu.Lock()
 	q.items = append(q.items, work)
@@ -25,6 +26,7 @@
 	}
 }
 
+// take empties the queue and returns its work in order.
 func (q *spoolWorkQueue) take() []*spool.DiskTask {
 	q.mu.Lock()
 	defer q.mu.Unlock()
