--- a/internal/emulator/disk/disk.go
+++ b/internal/emulator/disk/disk.go
@@ -95,14 +95,14 @@
 }
 
 // Replace atomically and durably replaces a file's contents.
-func (d *Disk) Replace(name string, p []byte) error {
+func (d *Disk) Replace(name string, content []byte) error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if err := d.injectedError("replace", name); err != nil {
 		return err
 	}
-	d.files[name] = &file{disk: d, name: name, contents: slices.Clone(p)}
-	d.record(step{verb: "replace", name: name, data: slices.Clone(p)})
+	d.files[name] = &file{disk: d, name: name, contents: slices.Clone(content)}
+	d.record(step{verb: "replace", name: name, data: slices.Clone(content)})
 	return nil
 }
 
--- a/internal/emulator/disk/index.go
+++ b/internal/emulator/disk/index.go
@@ -33,9 +33,9 @@
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	at := indexState{}
-	for _, h := range x.states {
-		if h.step <= steps {
-			at = h
+	for _, state := range x.states {
+		if state.step <= steps {
+			at = state
 		}
 	}
 	at.step = 0
@@ -49,8 +49,8 @@
 	return x.current().segment, x.current().offset, nil
 }
 
-// Commit atomically applies additions and removals and sets the position.
-func (x *Index) Commit(put []*resultstore.Meta, gone []uint64, segment uint64, offset int64) error {
+// Commit atomically puts and deletes results and sets the position.
+func (x *Index) Commit(put []*resultstore.Meta, deleted []uint64, segment uint64, offset int64) error {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	next := maps.Clone(x.current().results)
@@ -60,7 +60,7 @@
 	for _, m := range put {
 		next[m.Result] = m
 	}
-	for _, id := range gone {
+	for _, id := range deleted {
 		delete(next, id)
 	}
 	x.states = append(x.states, indexState{x.disk.StepCount(), next, segment, offset})
@@ -77,13 +77,13 @@
 	return nil, resultstore.ErrNotFound
 }
 
-// Each calls do with the metadata of each result in order of its ID.
-func (x *Index) Each(do func(m *resultstore.Meta) error) error {
+// Each calls visit with the metadata of each result in order of its ID, until visit returns an error.
+func (x *Index) Each(visit func(m *resultstore.Meta) error) error {
 	x.mu.Lock()
 	all := x.current().results
 	x.mu.Unlock()
 	for _, id := range slices.Sorted(maps.Keys(all)) {
-		if err := do(all[id]); err != nil {
+		if err := visit(all[id]); err != nil {
 			return err
 		}
 	}
--- a/internal/resultstore/compaction.go
+++ b/internal/resultstore/compaction.go
@@ -14,7 +14,8 @@
 	file       File
 	offset     int64
 	movedPages map[uint64]map[uint32]location // new locations by result and page
-	results    map[uint64]bool                // whose commit record is in the segment
+	// results are the results to relocate, with moved pages or a commit record in the segment.
+	results map[uint64]bool
 }
 
 // selectSegment returns the next segment to compact: one that is to be erased, or else the one with
@@ -128,13 +129,13 @@
 	return true, current.file.Close()
 }
 
-// abortCompaction ends a compaction. The records that were copied are garbage.
+// abortCompaction ends a compaction without a result. The copied records become garbage.
 func (s *Store) abortCompaction() {
 	s.compaction.file.Close()
 	s.compaction = nil
 }
 
-// finishCompaction makes the copied records valid and removes the segment.
+// finishCompaction makes the results refer to the copied records, and removes the segment and its file.
 func (s *Store) finishCompaction(c *compaction) error {
 	for result := range c.movedPages {
 		c.results[result] = true
@@ -158,8 +159,8 @@
 	return s.removeObsoleteFiles()
 }
 
-// removeObsoleteFiles deletes the files of removed segments, including files that couldn't be deleted
-// before.
+// removeObsoleteFiles writes the manifest without the removed segments and then deletes their files,
+// including files that couldn't be deleted before.
 func (s *Store) removeObsoleteFiles() error {
 	if len(s.obsoleteFiles) == 0 {
 		return nil
--- a/internal/resultstore/files.go
+++ b/internal/resultstore/files.go
@@ -17,7 +17,7 @@
 	Open(name string) (File, error)
 	ReadFile(name string) ([]byte, error)
 	// Replace replaces the whole content of a file, atomically and durably.
-	Replace(name string, p []byte) error
+	Replace(name string, content []byte) error
 	Remove(name string) error
 	List() ([]string, error)
 	SyncDir() error
--- a/internal/resultstore/index.go
+++ b/internal/resultstore/index.go
@@ -17,9 +17,11 @@
 	// Position returns the position up to which the index reflects the log.
 	Position() (segment uint64, offset int64, err error)
 	// Commit puts and deletes results and sets the position, atomically.
-	Commit(put []*Meta, gone []uint64, segment uint64, offset int64) error
+	Commit(put []*Meta, deleted []uint64, segment uint64, offset int64) error
+	// Get returns a result, or ErrNotFound.
 	Get(result uint64) (*Meta, error)
-	Each(do func(m *Meta) error) error
+	// Each calls visit for each result, until visit returns an error.
+	Each(visit func(m *Meta) error) error
 	// Reset removes all content.
 	Reset() error
 	// Scrub removes the remains of deleted results from the index's file, durably.
@@ -56,11 +58,13 @@
 	return b, nil
 }
 
+// openBolt opens a database file, which it creates if it doesn't exist.
 func openBolt(path string) (*bbolt.DB, error) {
 	return bbolt.Open(path, 0o600, &bbolt.Options{Timeout: time.Second, NoFreelistSync: true,
 		FreelistType: bbolt.FreelistMapType})
 }
 
+// open opens the index's file and creates its buckets if they don't exist.
 func (b *BoltIndex) open() error {
 	db, err := openBolt(b.path)
 	if err != nil {
--- a/internal/resultstore/meta_cache.go
+++ b/internal/resultstore/meta_cache.go
@@ -13,8 +13,13 @@
 	pageCount int
 }
 
-// maxCachedPages limits the pages of all cached results, which take about 40 bytes each.
-const maxCachedPages = 1 << 16
+const (
+	// maxCachedPages limits how many page locations the cache holds; each takes about 40 bytes. The latest
+	// result is cached even if it has more pages.
+	maxCachedPages = 1 << 16
+	// maxCachedMetas limits the cached results.
+	maxCachedMetas = 64
+)
 
 // get returns the cached Meta of a result, or nil.
 func (c *metaCache) get(id uint64) *Meta {
@@ -29,14 +34,15 @@
 	return nil
 }
 
-// put adds a Meta and evicts the least recently used ones beyond the limits.
+// put adds a Meta and evicts the least recently used ones beyond maxCachedMetas and maxCachedPages. It never
+// evicts the Meta that it adds.
 func (c *metaCache) put(m *Meta) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.removeLocked(m.Result)
 	c.entries = append(c.entries, m)
 	for c.pageCount += len(m.pageLocations); c.pageCount > maxCachedPages && len(c.entries) > 1 ||
-		len(c.entries) > 64; {
+		len(c.entries) > maxCachedMetas; {
 		c.pageCount -= len(c.entries[0].pageLocations)
 		c.entries = slices.Delete(c.entries, 0, 1)
 	}
--- a/internal/resultstore/recovery.go
+++ b/internal/resultstore/recovery.go
@@ -41,8 +41,8 @@
 	return n, hasSuffix && err == nil && len(digits) == 16
 }
 
-// readManifest finds the valid segments, and removes segment files that the manifest doesn't list and
-// unfinished replacement files.
+// readManifest finds the valid segments: those that the manifest lists and that have a file. It removes other
+// segment files and unfinished replacement files, and saves the manifest with the new start count.
 func (s *Store) readManifest(recovery *Recovery) error {
 	names, err := s.files.List()
 	if err != nil {
@@ -158,7 +158,7 @@
 					delete(deleted, meta.Result)
 					delete(unfinished, meta.Result)
 				}
-				if len(put)+len(deleted) >= s.options.MaxIndexLag {
+				if len(put)+len(deleted) >= s.options.MaxIndexLag { // a crash repeats the scan from the old position
 					return flush(from, startOffset)
 				}
 				return nil
@@ -231,7 +231,7 @@
 // walkRecords calls visit for each valid record between two offsets, with a body that is valid during
 // the call only. It calls skipped with the number of bytes that are not part of a valid record.
 func walkRecords(f io.ReaderAt, number uint64, offset, end int64,
-	visit func(record Record, at location) error, skipped func(n int64)) error {
+	visit func(record Record, loc location) error, skipped func(n int64)) error {
 	reader := bufio.NewReaderSize(io.NewSectionReader(f, offset, end-offset), 1<<20)
 	var encoded []byte
 	for offset < end {
--- a/internal/resultstore/spool_store.go
+++ b/internal/resultstore/spool_store.go
@@ -17,10 +17,10 @@
 // methods must be called by one goroutine.
 type SpoolStore struct {
 	*Store
-	Recovery   Recovery
+	Recovery   Recovery // what Open found
 	files      Files
 	dir        *Dir
-	erasedWork []*spool.DiskTask // finished, and not returned by TakeErased yet
+	erasedWork []*spool.DiskTask // finished erasures that TakeErased hasn't returned yet
 }
 
 // OpenSpoolStore locks a directory and opens the store in it. It returns ErrInUse if another process has
@@ -84,8 +84,8 @@
 	work.FetchedPage, work.Err = s.Fetch(work.Fetch.ResultID, work.Fetch.Page)
 }
 
-// Write performs all work other than fetches, in order, with one sync. It only requests erasures;
-// TakeErased returns their work once it is done.
+// Write performs all work other than fetches. It performs the changes to results by one call of Do, then
+// saves the keys. It only requests erasures; TakeErased returns their work once it is done.
 func (s *SpoolStore) Write(works []*spool.DiskTask) {
 	jobs := make([]*Job, 0, len(works))
 	for _, work := range works {
--- a/internal/resultstore/store.go
+++ b/internal/resultstore/store.go
@@ -12,7 +12,8 @@
 //   - a segment is removed from the manifest only after its live records were written to another
 //     segment and synced, and its file is removed after that.
 //
-// Do, Tick and Close must be called by one goroutine; Fetch may be called by others at the same time.
+// Fetch and LiveBytes may be called by any goroutine. All other methods of a Store, also those that only
+// read, such as TotalBytes, must be called by one goroutine.
 package resultstore
 
 import (
@@ -64,7 +65,7 @@
 	file         File // nil unless it is the active segment
 	size         int64
 	liveBytes    int64 // of the page and commit records of pending and committed results
-	tombstones   int   // number of tombstone records
+	tombstones   int   // number of tombstone records that were written or scanned since Open
 	partialWrite bool  // the file is longer than size, because of a failed write
 }
 
@@ -131,10 +132,11 @@
 	}
 }
 
-// Each calls visit for each result that the index holds: after Open, for each committed result.
+// Each calls visit for each result in the index. Right after Open that is every committed result. Later,
+// the index may lack the commits and deletions since the last checkpoint.
 func (s *Store) Each(visit func(m *Meta) error) error { return s.index.Each(visit) }
 
-// TotalBytes returns the size of all segments.
+// TotalBytes returns the size of all segments. Only the goroutine that calls Do may call it.
 func (s *Store) TotalBytes() int64 { return s.totalBytes }
 
 // LiveBytes returns the size of the page and commit records of pending and committed results.
@@ -248,32 +250,36 @@
 	return nil
 }
 
-// Job is a change to the store. Do sets Err and Total.
+// Job is a change to the store. Its parts are performed in the order Drop, Pages, Commit; after an error, the
+// remaining parts are left out. The deletions of Drop take effect even then.
 type Job struct {
+	// Drop names results to delete, committed or not.
+	Drop []uint64
 	// Pages are page records of results that are not committed yet.
 	Pages []Record
 	// Commit commits the result, after Pages are written.
 	Commit *Meta
-	// Drop names results to delete, committed or not.
-	Drop []uint64
 
+	// Err is set by Do. It doesn't report a failure to write the tombstones of Drop, which are kept and
+	// written later.
 	Err   error
-	Total int64 // size of all segments after the job
+	Total int64 // set by Do: size of all segments after all jobs of the call
 }
 
-// Do performs jobs in order, with one sync for all commits.
+// Do performs jobs in order. Under SyncOnCommit, one sync follows for all their commits. If that sync fails,
+// the committed results are deleted again and their jobs get the error.
 func (s *Store) Do(jobs []*Job) {
-	promises := false
+	committed := false
 	for _, job := range jobs {
 		job.Err = s.apply(job)
-		promises = promises || job.Commit != nil && job.Err == nil
+		committed = committed || job.Commit != nil && job.Err == nil
 	}
-	if promises && s.options.Sync == SyncOnCommit {
+	if committed && s.options.Sync == SyncOnCommit {
 		if err := s.syncActive(); err != nil {
 			for _, job := range jobs {
 				if job.Err == nil && job.Commit != nil {
 					job.Err = err
-					// A crash may bring the result back, but no client has a token for it.
+					// A crash may bring the result back, but no client was told of it.
 					s.dropResults([]uint64{job.Commit.Result})
 				}
 			}
@@ -362,8 +368,8 @@
 	s.writeTombstones()
 }
 
-// writeTombstones writes the tombstones of deleted results, or keeps them for later if the disk is
-// full. If the program ends before they are written, the results come back until they expire.
+// writeTombstones writes the tombstones of deleted results. If the write fails, it keeps them for its next
+// call. If the program ends before they are written, the results come back until they expire.
 func (s *Store) writeTombstones() {
 	if _, err := s.appendRecords(s.unwrittenTombstones); err == nil && len(s.unwrittenTombstones) > 0 {
 		s.active.tombstones += len(s.unwrittenTombstones)
@@ -392,7 +398,8 @@
 	return s.finishErase(more)
 }
 
-// checkpoint updates the index to the end of the log.
+// checkpoint updates the index to the end of the log. It does nothing if no result has changed, or if there
+// is no active segment, as after a failed sync.
 func (s *Store) checkpoint() error {
 	if len(s.recent)+len(s.deleted) == 0 || s.active == nil {
 		return nil
@@ -419,7 +426,8 @@
 // NeedsCheckpoint reports whether the index should be updated before the next periodic tick.
 func (s *Store) NeedsCheckpoint() bool { return len(s.recent)+len(s.deleted) >= s.options.MaxIndexLag }
 
-// Close updates the index and closes all files. Omitting Close loses no committed result.
+// Close updates the index, if there is an active segment, and closes all files. Omitting Close loses no
+// committed result.
 func (s *Store) Close() error {
 	err := s.checkpoint()
 	if err == nil {
--- a/internal/resultstore/verify.go
+++ b/internal/resultstore/verify.go
@@ -32,7 +32,7 @@
 		err = walkRecords(f, number, segmentHeaderSize, seg.size, func(Record, location) error {
 			report.Records++
 			return nil
-		}, func(number int64) { corruptBytes += number })
+		}, func(n int64) { corruptBytes += n })
 		f.Close()
 		if err != nil {
 			return report, err
@@ -59,7 +59,8 @@
 }
 
 // GC deletes the results that expire at or before a time, in milliseconds since 1970, and compacts
-// until almost nothing dead is left in the closed segments. It returns the number of deleted results.
+// until almost nothing dead is left in the closed segments. It returns the number of deleted results. It
+// considers the results in the index, and leaves the Store with a low CompactionGarbageRatio.
 func (s *Store) GC(nowMillis int64) (dropped int, err error) {
 	var expired []uint64
 	if err := s.index.Each(func(meta *Meta) error {
