--- a/internal/msgpackrpc/alltables.go
+++ b/internal/msgpackrpc/alltables.go
@@ -7,10 +7,10 @@
 )
 
 // TableGroups returns all table groups that a statement reads and writes, sorted. known is false if the
-// lists may be incomplete: the statement names a table without a schema, a schema without a number or a
-// table function, or it writes to the schema staging. A table read from staging belongs to no table
-// group. A name that only looks like a table's may be included, but no table is left out while known is
-// true.
+// lists may be incomplete: the statement names a table without a schema that it doesn't define itself, a
+// schema without a number or a table function, or it writes to the schema staging. A table read from staging
+// belongs to no table group. A name that only looks like a table's may be included, but no table is left out
+// while known is true.
 func TableGroups(statement []byte) (read, written []int64, known bool) {
 	f := tableFinder{scanner: scanner{text: statement}, known: true}
 	for f.advance(); f.kind != 0; {
@@ -183,7 +183,8 @@
 	return true
 }
 
-// skipBeforeTable reports whether the current word stands between a keyword and the name of a table.
+// skipBeforeTable reports whether the current word stands between a keyword and the name of a table, or
+// shows that no table's name follows the keyword. In the second case it stops expecting one.
 func (f *tableFinder) skipBeforeTable() bool {
 	switch f.lowerWord {
 	case "only", "lateral", "if", "not", "exists", "table", "into", "overwrite", "materialized":
--- a/internal/msgpackrpc/clients.go
+++ b/internal/msgpackrpc/clients.go
@@ -83,7 +83,7 @@
 	return deliver
 }
 
-// readCall reads the method and the parameters of a call.
+// readCall reads the method and the parameters of a call, and returns a function that passes the call to h.
 func readCall(c *cursor, messageID uint32, h Handler) func() {
 	method := c.stringValue()
 	params := c.arrayLength()
@@ -104,7 +104,7 @@
 		return nil
 	}
 	var id, timeoutText, key []byte // nil: not given
-	reason := ""
+	reason := ""                    // for the client: which field is missing or invalid ("no trace"), or was given twice
 	field := func(value *[]byte, name string) {
 		if *value != nil {
 			reason = name + " given twice" // neither value takes precedence
@@ -216,8 +216,9 @@
 	return len(id) == 16
 }
 
-// parseMillis parses a decimal number of milliseconds and returns 0 if the text is invalid. It rejects
-// exponents, hexadecimal numbers and NaN, which strconv accepts but no client means.
+// parseMillis parses a decimal number of milliseconds and returns 0 if the text is invalid or the number is
+// greater than 2562047, about 42 minutes. It rejects exponents, hexadecimal numbers and NaN, which strconv
+// accepts but no client means.
 func parseMillis(text []byte) time.Duration {
 	for _, b := range text {
 		if (b < '0' || b > '9') && b != '.' {
--- a/internal/msgpackrpc/msgpack.go
+++ b/internal/msgpackrpc/msgpack.go
@@ -21,7 +21,7 @@
 	data          []byte
 	pos           int
 	maxValueBytes uint64 // a value with more bytes is an error
-	items         int
+	items         int    // values passed by skip, up to maxItems
 	err           error
 }
 
@@ -114,8 +114,8 @@
 	return 0
 }
 
-// skip skips one value of any type. It rejects deep nesting, which would use a stack frame per received
-// byte.
+// skip skips one value of any type, which is in depth arrays and maps. It rejects deep nesting, which would
+// use a stack frame per received byte.
 func (c *cursor) skip(depth int) {
 	b := c.readByte()
 	if c.err != nil {
@@ -163,6 +163,8 @@
 	}
 }
 
+// appendHeader appends the type and the length n of a value in the shortest encoding. The parameters are as
+// for cursor.length, except that maxShort is the largest length in the type byte short.
 func appendHeader(dst []byte, n int, short, maxShort, one, two, four byte) []byte {
 	switch {
 	case n <= int(maxShort):
--- a/internal/msgpackrpc/purge.go
+++ b/internal/msgpackrpc/purge.go
@@ -7,7 +7,8 @@
 	"time"
 )
 
-// Purge is a call to delete a tenant's retained results. With an ID it asks for the status of that purge.
+// Purge is a call to delete the retained results of the client's tenant. With an ID it asks for the status of
+// the purge with that ID.
 type Purge struct {
 	ID           []byte
 	TableGroups  []int64 // only results of these table groups; nil: all
@@ -20,6 +21,9 @@
 	maxPurgeIDBytes     = 64
 )
 
+// readPurgeCall reads a purge call, whose only parameter is a map of fields. The call is invalid if the
+// timeout is missing or malformed, the list of table groups is malformed or too long, the time isn't a
+// positive number, no purge can have the ID, or an ID comes with table groups or a time.
 func readPurgeCall(c *cursor, messageID uint32, h Handler) func() {
 	count, start := c.mapLength(), c.pos
 	for n := count; n > 0 && c.err == nil; n-- {
@@ -61,7 +65,8 @@
 	return func() { h.Purge(messageID, p, fields) }
 }
 
-// AppendPurgeStatus appends the response to a purge call: at most 15 pairs of a name and a value.
+// AppendPurgeStatus appends the response to a purge call. Its result is an empty binary and a map of at most
+// 15 pairs, each a name and a value.
 func AppendPurgeStatus(dst []byte, messageID uint32, pairs ...string) []byte {
 	dst = append(appendUnsigned(append(dst, 0x94, 1), messageID), 0xc0, 0x92)
 	dst = append(appendBinaryHeader(dst, 0), 0x80|byte(len(pairs)/2))
