--- a/internal/enginehttp/engines.go
+++ b/internal/enginehttp/engines.go
@@ -10,15 +10,15 @@
 	"railrelay.dev/railrelay/internal/settings"
 )
 
-// AppendSubmit appends the request that submits a statement. It sends no idempotency key if token is empty,
+// AppendSubmit appends the request that submits a statement. It sends no idempotency key if the key is empty,
 // no memory grant if grantMB is 0, and no priority if priority is negative.
-func AppendSubmit(dst []byte, host, id, group, token string,
+func AppendSubmit(dst []byte, host, id, group, idempotencyKey string,
 	timeout time.Duration, grantMB, priority int, statement []byte) []byte {
 	dst = appendRequestLine(dst, "POST", "/o", host)
 	dst = appendHeader(dst, "X-Req", id)
 	dst = appendHeader(dst, "X-Class", group)
-	if token != "" {
-		dst = appendHeader(dst, "Idempotency-Key", token)
+	if idempotencyKey != "" {
+		dst = appendHeader(dst, "Idempotency-Key", idempotencyKey)
 	}
 	dst = appendHeader(dst, "X-Wait-Ms", strconv.FormatInt(max(1, timeout.Milliseconds()), 10))
 	if grantMB > 0 {
@@ -73,7 +73,7 @@
 	// Running reports that the query is still running.
 	Running()
 	// Note reports the progress of a running query or the reason why it waits.
-	Note(sign scheduler.NoteKind, x float64)
+	Note(kind scheduler.NoteKind, value float64)
 	// Page delivers a page of the result, which has `of` pages if number is 0.
 	Page(number, of int, rows []byte)
 	// Finished reports the work and the memory that the query needed. It precedes page 0.
@@ -101,8 +101,8 @@
 		(page == 0 && number >= 1 || page > 0 && number == page)
 }
 
-// IsCommandResponse reports whether a response answers a change of priority or a cancellation. Statuses
-// 200 and 202 only answer polls.
+// IsCommandResponse reports whether a response answers a change of priority or a cancellation. Engines never
+// answer these with the status 200 or 202.
 func IsCommandResponse(status int, _ func(string) string, _ []byte) bool {
 	return status != 200 && status != 202
 }
@@ -157,7 +157,7 @@
 	}
 }
 
-// noteKinds maps the values of the X-Cache header.
+// noteKinds maps the values of the X-Cache header. A stall with the reading 2 is a wait for a load.
 var noteKinds = map[string]scheduler.NoteKind{
 	"advance": scheduler.Progress, "disk": scheduler.Spilling, "stall": scheduler.WaitingForMemory,
 }
--- a/internal/enginehttp/http.go
+++ b/internal/enginehttp/http.go
@@ -9,14 +9,18 @@
 	"strings"
 )
 
+// errInvalidResponse is the error for a malformed response, for a body over its limit, and for a body whose
+// length the response doesn't tell.
 var errInvalidResponse = errors.New("invalid HTTP/1.1 response")
 
-// maxHeaderBytes limits the status line and the headers, and a chunk's size line.
+// maxHeaderBytes limits how many bytes may arrive without the end of the headers, or of a chunk's size line.
+// Longer headers are accepted if their end has arrived, too. Trailers have no limit.
 const maxHeaderBytes = 16 << 10
 
 // Read passes the first response in data to handle. It returns the number of bytes of that response, 0 if
-// the response is incomplete, and whether the connection may carry another request. After an error the
-// connection can't be read any further.
+// the response is incomplete, and whether the connection may carry another request. An interim (1xx)
+// response is consumed without being passed on. maxBytes limits the body. After an error the connection
+// can't be read any further.
 func Read(data []byte, maxBytes int,
 	handle func(status int, field func(string) string, body []byte)) (int, bool, error) {
 	end := bytes.Index(data, []byte("\r\n\r\n"))
@@ -129,8 +133,8 @@
 	return appendHeader(dst, "Host", host)
 }
 
-// appendHeader appends a header. It drops control characters, so that a value from outside can't start
-// another header.
+// appendHeader appends a header. It drops control characters other than tabs, so that a value from outside
+// can't start another header.
 func appendHeader(dst []byte, name, value string) []byte {
 	dst = append(append(dst, name...), ": "...)
 	for i := range len(value) {
