--- a/internal/discovery/list.go
+++ b/internal/discovery/list.go
@@ -11,12 +11,13 @@
 	"railrelay.dev/railrelay/internal/scheduler"
 )
 
+// errInvalidLine is the error for a line that is malformed or too long, and for such an event in a snapshot.
 var errInvalidLine = errors.New("invalid line of the engine list feed")
 
 // Handler receives the events of the engine list.
 type Handler interface {
-	// BeginEvent begins an event. A complete event lists all engines. If BeginEvent returns false, the event
-	// is skipped because it is not the next one.
+	// BeginEvent begins an event. A complete event lists all engines. BeginEvent returns false to skip the
+	// event, when the event isn't the next one.
 	BeginEvent(number int64, complete bool) bool
 	// Engine delivers one engine of the event.
 	Engine(id, address, location, kind string, cell int, state scheduler.EngineState, startedMs int64)
@@ -24,7 +25,8 @@
 	EndEvent()
 	// LatestEvent reports the number of the latest event.
 	LatestEvent(number int64)
-	// InvalidEntry reports an invalid entry. The other entries of the event are still delivered.
+	// InvalidEntry reports an invalid entry. Engine isn't called for the entry, unless only its start time is
+	// out of range: then the start time is 0. The other entries of the event are still delivered.
 	InvalidEntry(reason string)
 }
 
@@ -52,9 +54,11 @@
 	return end + 1, nil
 }
 
-// ReadSnapshot passes the events known at the start to h.
+// ReadSnapshot decodes a snapshot, a JSON object with events and the number of the latest one, and passes
+// both to h.
 func ReadSnapshot(snapshot []byte, h Handler) error {
-	var content struct { // keys are matched in any case; errors name them as written here
+	// encoding/json ignores the case of keys. Its error messages use the spelling of these tags.
+	var content struct {
 		N      int64             `json:"N"`
 		Events []json.RawMessage `json:"Events"`
 	}
@@ -70,7 +74,8 @@
 	return nil
 }
 
-// readEvent passes one event, or the bare number of the latest event, to h.
+// readEvent passes one event to h or, for a bare number or an event without members, the number of the
+// latest event.
 func readEvent(line []byte, h Handler) error {
 	if n, err := strconv.ParseInt(string(line), 10, 64); err == nil {
 		h.LatestEvent(n)
@@ -101,7 +106,7 @@
 }
 
 // readEntry passes one engine of an event to h.
-func readEntry(line []byte, h Handler) {
+func readEntry(entry []byte, h Handler) {
 	var e struct {
 		ID       string  `json:"id"`
 		HostPort string  `json:"host_port"`
@@ -111,7 +116,7 @@
 		Phase    string  `json:"phase"`
 		Up       float64 `json:"up_since_ms"`
 	}
-	err := json.Unmarshal(line, &e)
+	err := json.Unmarshal(entry, &e)
 	state, valid := engineStates[e.Phase]
 	switch {
 	case err != nil:
