--- a/internal/emulator/engine/traffic.go
+++ b/internal/emulator/engine/traffic.go
@@ -8,11 +8,12 @@
 const (
 	// Probes are health checks and load reports (/ping, /stats).
 	Probes TrafficKind = iota
-	// Queries are statements, results and rejections.
+	// Queries are submissions of statements and requests for pages after the first, and responses with a
+	// result or an error.
 	Queries
-	// Polls are requests for a query's state, and responses that the query is running.
+	// Polls are requests for a query's state, and responses that say that the query is running.
 	Polls
-	// ControlCalls cancel a query (DELETE) or change its priority (PUT).
+	// ControlCalls cancel a query or release its result (DELETE), or change its priority (PUT).
 	ControlCalls
 	trafficKinds
 )
@@ -22,7 +23,7 @@
 type Traffic struct {
 	Opened, Open      int               // connections: total and currently open
 	Requests          [trafficKinds]int // by request kind
-	BytesIn, BytesOut [trafficKinds]int // by request kind and by response kind
+	BytesIn, BytesOut [trafficKinds]int // in by request kind, out by response kind
 }
 
 // Add returns the sum of t and another engine's traffic.
@@ -44,7 +45,8 @@
 	return t
 }
 
-// requestKind classifies a request.
+// requestKind classifies a request. A GET of page 0 asks for the query's state and is a poll. A GET of
+// a later page fetches a part of the result and counts as a query.
 func requestKind(method, path string) TrafficKind {
 	switch {
 	case path == "/ping" || path == "/stats":
@@ -53,15 +55,15 @@
 		return Queries
 	case method == "GET" && strings.HasSuffix(path, "/0"):
 		return Polls
-	case method == "GET": // a page after the first
+	case method == "GET":
 		return Queries
 	}
 	return ControlCalls
 }
 
-// responseKind classifies the response to a request. A response that the query is running
-// counts as a poll, whatever the request was; a poll's response with the final result counts as
-// a query.
+// responseKind classifies the response to a request. A 202 says that the query is running and counts
+// as a poll, whatever the request was. Any other response to a poll counts as a query, also an error.
+// Otherwise the response has the kind of its request.
 func responseKind(request TrafficKind, status int) TrafficKind {
 	switch {
 	case status == 202:
