--- a/internal/emulator/engine/model.go
+++ b/internal/emulator/engine/model.go
@@ -154,7 +154,8 @@
 	return m.ColdCapacity + (1-m.ColdCapacity)*min(1, max(0, age))
 }
 
-// Submit starts a query. It returns false if the query was rejected.
+// Submit starts a query. It returns false if it rejects the query: a query with the same ID is
+// running, or MaxQueries queries are.
 func (m *Model) Submit(
 	now time.Duration, id string, work Work, priority int, grantMB float64, timeout time.Duration,
 ) bool {
@@ -192,7 +193,8 @@
 	return true
 }
 
-// Advance moves the model to a time: queries make progress, end, and are deleted when abandoned.
+// Advance moves the model to a time: queries make progress, end, and are deleted AbandonAfter after
+// their end and their last poll.
 func (m *Model) Advance(now time.Duration) {
 	for m.now < now {
 		next := min(now, m.nextChange())
@@ -390,7 +392,7 @@
 	}
 }
 
-// Cancel ends a running query as failed.
+// Cancel ends a running query as failed. It doesn't affect a query that has ended.
 func (m *Model) Cancel(now time.Duration, id string) {
 	m.Advance(now)
 	if s := m.sessions[id]; s != nil && s.outcome == Running {
@@ -405,7 +407,7 @@
 	m.paused = true
 }
 
-// Resume ends a pause. Queries continue from where they were at the pause.
+// Resume ends a pause. Queries continue from where they were at the pause, and count as just polled.
 func (m *Model) Resume(now time.Duration) {
 	if !m.paused {
 		return
--- a/internal/emulator/engine/server.go
+++ b/internal/emulator/engine/server.go
@@ -16,9 +16,9 @@
 	// ParseWork returns the resources that a statement needs; NewServer sets it to ParseStatement.
 	ParseWork func(group string, statement []byte) Work
 	// OnSubmit, if set, is called for each query that the engine accepts.
-	OnSubmit func(id, group string, rank int, at time.Duration)
-	// OnRelease, if set, is called for each DELETE request, which cancels a running query or
-	// releases the result of a finished one.
+	OnSubmit func(id, group string, priority int, at time.Duration)
+	// OnRelease, if set, is called for each DELETE request. A DELETE cancels a running query. For a
+	// finished one it means that the result is no longer needed; the emulation ignores that.
 	OnRelease func(id string, at time.Duration)
 	// ExternalLoad, if set, returns the queries and the fraction of cores that controllers outside
 	// the emulation use. Load reports include them.
@@ -27,7 +27,7 @@
 	TruncatedPages int
 	connections    []*Conn
 	waiting        []*Conn // connections with an open poll, in order
-	silent         bool
+	unreachable    bool
 	// RequestCounts counts requests by HTTP method.
 	RequestCounts map[string]int
 	traffic       Traffic
@@ -68,7 +68,7 @@
 
 // Receive processes bytes received on a connection.
 func (s *Server) Receive(now time.Duration, c *Conn, p []byte) {
-	if s.silent || c.closed {
+	if s.unreachable || c.closed {
 		return // an unreachable engine never handles them
 	}
 	c.input = append(c.input, p...)
@@ -114,6 +114,7 @@
 	}
 }
 
+// handle handles one complete request.
 func (s *Server) handle(
 	now time.Duration, c *Conn, method, path string, field func(string) string, body []byte,
 ) {
@@ -134,20 +135,20 @@
 		id, group := field("X-Req"), field("X-Class")
 		wait, _ := strconv.Atoi(field("X-Wait-Ms"))
 		grant, _ := strconv.ParseFloat(field("Pool-Mb"), 64)
-		rank, err := strconv.Atoi(field("Pool-Rank"))
+		priority, err := strconv.Atoi(field("Pool-Rank"))
 		if err != nil {
-			rank = 1
+			priority = 1
 		}
 		if id == "" || wait <= 0 {
 			c.respond(504, "X-Not-Run: 1\r\n", nil)
 			return
 		}
-		if !s.Submit(now, id, s.ParseWork(group, body), rank, grant, time.Duration(wait)*time.Millisecond) {
+		if !s.Submit(now, id, s.ParseWork(group, body), priority, grant, time.Duration(wait)*time.Millisecond) {
 			c.respond(503, "X-Not-Run: 1\r\n", nil)
 			return
 		}
 		if s.OnSubmit != nil {
-			s.OnSubmit(id, group, rank, now)
+			s.OnSubmit(id, group, priority, now)
 		}
 		s.awaitProgress(now, c, id)
 	case method == "GET" && len(parts) == 3 && parts[0] == "o":
@@ -157,8 +158,8 @@
 		}
 		s.awaitProgress(now, c, parts[1])
 	case method == "PUT" && len(parts) == 2:
-		rank, _ := strconv.Atoi(string(body))
-		s.SetPriority(now, parts[1], rank)
+		priority, _ := strconv.Atoi(string(body))
+		s.SetPriority(now, parts[1], priority)
 		c.respond(204, "", nil)
 	case method == "DELETE" && len(parts) == 2:
 		s.Cancel(now, parts[1])
@@ -181,7 +182,7 @@
 // ProcessDue advances the engine to a time and sends the responses that are due.
 func (s *Server) ProcessDue(now time.Duration) {
 	s.Advance(now)
-	if s.silent || s.paused {
+	if s.unreachable || s.paused {
 		return
 	}
 	for _, c := range slices.Clone(s.waiting) {
@@ -220,7 +221,7 @@
 // NextDue returns when ProcessDue has to be called next.
 func (s *Server) NextDue() (time.Duration, bool) {
 	next, any := s.Model.NextEvent()
-	if s.silent || s.paused {
+	if s.unreachable || s.paused {
 		return 0, false
 	}
 	for _, c := range s.waiting {
@@ -235,6 +236,8 @@
 	return next, any
 }
 
+// sendPage sends a page after the first, or status 500 if the query has no such page. A page that
+// TruncatedPages selects lacks its last bytes.
 func (s *Server) sendPage(now time.Duration, c *Conn, id string, page int) {
 	s.Poll(now, id)
 	if x := s.sessions[id]; x != nil && x.outcome == Succeeded {
@@ -279,16 +282,17 @@
 	return pages
 }
 
-// SetUnreachable emulates a machine without network: connections stay open, but requests aren't
-// handled and no response is sent. Running queries continue.
-func (s *Server) SetUnreachable(now time.Duration, silent bool) {
+// SetUnreachable begins or ends the emulation of a machine without network: connections stay open,
+// but requests aren't handled and no response is sent. Running queries continue.
+func (s *Server) SetUnreachable(now time.Duration, unreachable bool) {
 	s.Advance(now)
-	s.silent = silent
+	s.unreachable = unreachable
 }
 
-// Reset closes all connections. With cold it also restarts the process, which loses all queries.
+// Reset closes all connections, and makes the engine reachable again. With cold it also restarts the
+// process, which loses all queries.
 func (s *Server) Reset(now time.Duration, cold bool) {
-	if s.silent = false; cold {
+	if s.unreachable = false; cold {
 		s.Restart(now)
 	}
 	for _, c := range slices.Clone(s.connections) {
@@ -334,8 +338,8 @@
 		digits, _, _ := strings.Cut(rest, ".")
 		w.TableGroup, _ = strconv.ParseInt(digits, 10, 64)
 	}
-	_, said, _ := strings.Cut(text, "-- takes ")
-	for pair := range strings.FieldsSeq(said) {
+	_, parameters, _ := strings.Cut(text, "-- takes ")
+	for pair := range strings.FieldsSeq(parameters) {
 		name, value, _ := strings.Cut(pair, "=")
 		x, _ := strconv.ParseFloat(value, 64)
 		span := time.Duration(x * float64(time.Millisecond))
@@ -362,4 +366,4 @@
 }
 
 // Unreachable reports whether SetUnreachable is in force.
-func (s *Server) Unreachable() bool { return s.silent }
+func (s *Server) Unreachable() bool { return s.unreachable }
--- a/internal/emulator/world/world.go
+++ b/internal/emulator/world/world.go
@@ -79,7 +79,7 @@
 	input      []byte
 	lastMsg    uint32
 	queries    map[uint32]*Query
-	pending    map[uint32]func(ans client.Answer)
+	pending    map[uint32]func(ans client.Answer) // callbacks of Page and Purge, by message ID
 	Closed     bool
 	OnAnswer   func(a *Query, ans client.Answer)
 }
@@ -139,12 +139,12 @@
 	e := &Engine{Server: engine.NewServer(engine.NewModel(f, w.Now, cold)), world: w, wakeAt: -1}
 	e.Engine = feed.Engine{ID: fmt.Sprintf("e%d", i), HostPort: fmt.Sprintf("10.0.0.%d:6565", i+1),
 		Locality: "here", Flavor: "std", Cell: 1, Phase: "SERVING", Size: 1}
-	e.OnSubmit = func(id, group string, rank int, at time.Duration) {
+	e.OnSubmit = func(id, group string, priority int, at time.Duration) {
 		w.History.Submitted(at, id, e.ID, e.Phase == "SERVING")
 		for _, c := range w.Clients {
 			for _, a := range c.queries {
 				if a.ID == id && a.StartedAt < 0 {
-					a.StartedAt, a.Priority = at, rank
+					a.StartedAt, a.Priority = at, priority
 				}
 			}
 		}
@@ -205,11 +205,11 @@
 			w.ScheduleAfter(w.linkDelay, func() { w.deliver(e, p) })
 		case controller.Close:
 			if e != nil {
-				at := time.Duration(0)
+				delay := time.Duration(0)
 				if effect.Graceful { // deliver the bytes written before
-					at = w.linkDelay
+					delay = w.linkDelay
 				}
-				w.ScheduleAfter(at, func() { w.closeConnection(e) })
+				w.ScheduleAfter(delay, func() { w.closeConnection(e) })
 			}
 		case controller.SetTimer:
 			w.timerGeneration++
@@ -244,7 +244,7 @@
 	}
 }
 
-// runErase advances the spool store's erasure, and schedules itself while any remains.
+// runErase advances the spool store's erasures by one step, and schedules the next one while any is pending.
 func (w *World) runErase() {
 	w.SpoolStore.Tick()
 	for _, work := range w.SpoolStore.TakeErased() {
@@ -392,8 +392,9 @@
 
 // Crash ends the engine's process, which restarts cold after a span.
 func (e *Engine) Crash(downtime time.Duration) {
+	const cold = true
 	e.refusesConnections = true
-	e.Reset(e.world.Now, true)
+	e.Reset(e.world.Now, cold)
 	e.world.ScheduleAfter(downtime, func() {
 		e.refusesConnections = false
 		e.Restart(e.world.Now)
