--- a/internal/emulator/faultproxy/link.go
+++ b/internal/emulator/faultproxy/link.go
@@ -75,7 +75,8 @@
 	l.mu.Unlock()
 }
 
-// SetFault replaces the link's fault.
+// SetFault replaces the link's fault. It also ends the connections that the new fault ends at once, and those
+// that have lost bytes.
 func (l *Link) SetFault(f Fault) {
 	l.mu.Lock()
 	l.fault, l.generation = f, l.generation+1
@@ -129,7 +130,7 @@
 	}
 	l.mu.Unlock()
 	for _, c := range ends {
-		c.close(false)
+		c.close(withoutReset)
 	}
 	l.wg.Wait()
 	return err
@@ -148,7 +149,7 @@
 	ctx         context.Context
 	cancel      context.CancelFunc // called when the connection ends
 	passed      [3]int64           // bytes by Direction since the last SetFault; guarded by link.mu
-	lostBytes   bool               // bytes were dropped, so that Heal has to reset it; guarded by link.mu
+	lostBytes   bool               // bytes were dropped: the next SetFault ends it; guarded by link.mu
 	pending     []byte             // bytes to send again; guarded by link.mu
 	skipPending bool               // pending exceeded its limit; guarded by link.mu
 
@@ -159,7 +160,8 @@
 	discarded sync.WaitGroup // reads responses on the duplicate connection
 }
 
-// accept takes over a connection and returns without waiting.
+// accept takes over a connection and returns without waiting. It resets the connection if the link can't
+// forward it.
 func (l *Link) accept(in *net.TCPConn) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -179,6 +181,12 @@
 	l.wg.Go(func() { c.run(target) })
 }
 
+// The arguments of connection.close.
+const (
+	withReset    = true
+	withoutReset = false
+)
+
 // close closes both sides, with a TCP reset if reset is true.
 func (c *connection) close(reset bool) {
 	c.cancel()
@@ -230,9 +238,9 @@
 		}
 		c.mu.Unlock()
 		c.discarded.Wait()
-		c.close(false)
+		c.close(withoutReset)
 	} else {
-		c.close(true)
+		c.close(withReset)
 	}
 	wg.Wait()
 	c.link.mu.Lock()
@@ -288,7 +296,7 @@
 				return
 			}
 			if err != nil {
-				c.close(true)
+				c.close(withReset)
 				return
 			}
 		}
@@ -300,7 +308,7 @@
 func (c *connection) forward(direction Direction, queue chan piece, to *net.TCPConn, target string) {
 	for p := range queue {
 		if !c.passPiece(direction, p, to) {
-			c.close(true)
+			c.close(withReset)
 			return
 		}
 		if direction == FromTarget {
@@ -321,7 +329,8 @@
 	to.CloseWrite()
 }
 
-// passPiece applies the current fault to one piece, and any fault that is set while it waits.
+// passPiece writes one piece under the current fault, and under any fault that is set while the piece waits.
+// It returns false if the connection ends or the write fails, and true also if the fault drops the piece.
 func (c *connection) passPiece(direction Direction, p piece, to *net.TCPConn) bool {
 	generation, delay, remaining := -1, time.Duration(0), p.bytes
 	for len(remaining) > 0 {
