--- a/internal/emulator/disk/disk.go
+++ b/internal/emulator/disk/disk.go
@@ -1,5 +1,5 @@
-// Package disk emulates a directory in memory. It records each operation on its files, so that a
-// test can construct the state after a crash at any step, and it can inject errors.
+// Package disk emulates a directory in memory. It records each change and each sync, so that a test
+// can construct the state after a crash at any step, and it can inject errors.
 package disk
 
 import (
@@ -19,8 +19,9 @@
 	mu    sync.Mutex
 	files map[string]*file
 	steps []step
-	// InjectError, if set, is called before each operation; its result is the operation's error.
-	// If PartialWrites is set, half of the bytes of a failed write are written, as on a full disk.
+	// InjectError, if set, is called before each change and each sync; its result is the operation's
+	// error. verb is create, write, truncate, sync, replace, remove or syncdir. If PartialWrites is
+	// set, half of the bytes of a failed write are written, as on a full disk.
 	InjectError   func(verb, name string) error
 	PartialWrites bool
 }
@@ -40,7 +41,7 @@
 // New creates an empty directory.
 func New() *Disk { return &Disk{files: map[string]*file{}} }
 
-var errClosed = errors.New("file was removed or replaced")
+var errRemoved = errors.New("file was removed or replaced")
 
 func (d *Disk) record(s step) { d.steps = append(d.steps, s) }
 
@@ -51,7 +52,7 @@
 	return d.InjectError(verb, name)
 }
 
-// StepCount returns the number of operations so far.
+// StepCount returns the number of recorded operations: changes, also partial writes, and syncs.
 func (d *Disk) StepCount() int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -185,7 +186,7 @@
 	f.disk.mu.Lock()
 	defer f.disk.mu.Unlock()
 	if f.disk.files[f.name] != f {
-		return 0, errClosed
+		return 0, errRemoved
 	}
 	if err := f.disk.injectedError("write", f.name); err != nil {
 		if f.disk.PartialWrites {
@@ -248,10 +249,10 @@
 const (
 	ProcessKilled Crash = iota // the process ends; the operating system keeps all completed writes
 	TornWrite                  // as ProcessKilled, and half of the write in progress is kept
-	PowerLoss                  // all unsynced data is lost
+	PowerLoss                  // unsynced writes, creations and removals are lost
 )
 
-// AfterCrash returns the directory as a crash after so many operations leaves it.
+// AfterCrash returns the directory as a crash after so many recorded operations leaves it.
 func (d *Disk) AfterCrash(steps int, crash Crash) *Disk {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/emulator/disk/index.go
+++ b/internal/emulator/disk/index.go
@@ -28,7 +28,8 @@
 
 func (x *Index) current() *indexState { return &x.states[len(x.states)-1] }
 
-// AfterCrash returns the index as a crash after so many operations of the disk leaves it.
+// AfterCrash returns the index as a crash after so many recorded operations of the disk leaves it. The
+// index belongs to d, the disk after the crash.
 func (x *Index) AfterCrash(steps int, d *Disk) *Index {
 	x.mu.Lock()
 	defer x.mu.Unlock()
