--- a/internal/emulator/client/caller.go
+++ b/internal/emulator/client/caller.go
@@ -68,11 +68,11 @@
 
 // The kinds of messages from a controller.
 const (
-	Finished Kind = iota
-	Deferred
-	Killed
-	WaitNotice // the expected wait of a queued query
-	Ready      // the response to an alive request
+	Finished   Kind = iota // a result
+	Deferred               // the error that the client may send the query again
+	Killed                 // any other error
+	WaitNotice             // the expected wait of a queued query
+	Ready                  // the response to an alive request
 )
 
 // Answer is one message from a controller.
@@ -149,9 +149,10 @@
 	if b := r.take(1); b != nil {
 		return b[0]
 	}
-	return 0xc1
+	return 0xc1 // not assigned in MessagePack
 }
 
+// size reads a big-endian unsigned integer of n bytes.
 func (r *decoder) size(n int) (x int) {
 	for _, b := range r.take(n) {
 		x = x<<8 | int(b)
@@ -211,6 +212,7 @@
 	return m
 }
 
+// answer decodes one message. A malformed one sets err.
 func (r *decoder) answer() (a Answer) {
 	message, _ := r.value().([]any)
 	if r.err != nil {
--- a/internal/emulator/feed/feed.go
+++ b/internal/emulator/feed/feed.go
@@ -62,7 +62,7 @@
 	return b.Bytes()
 }
 
-// ConfigurationJSON returns all events in the form that a controller's configuration holds them.
+// ConfigurationJSON returns all events as a snapshot, for controller.Config.InitialEndpoints.
 func (l *Log) ConfigurationJSON() []byte {
 	head := `{"n":` + strconv.Itoa(l.LastEvent()) + `,"events":[`
 	return append(append([]byte(head), bytes.Join(l.lines, []byte(","))...), "]}"...)
@@ -94,7 +94,7 @@
 
 // Traffic counts the bytes that a feed's connections have carried, without TCP and IP headers.
 type Traffic struct {
-	In, Out int
+	In, Out int // In counts subscriptions only
 	Events  int // part of Out that isn't heartbeats
 }
 
@@ -131,6 +131,7 @@
 	}
 }
 
+// sendNew sends a subscriber the events after the last one that was sent.
 func (l *Listener) sendNew(c net.Conn) {
 	c.SetWriteDeadline(time.Now().Add(time.Second))
 	text := l.log.EventsSince(l.lastSent[c])
--- a/internal/emulator/hollow/controller.go
+++ b/internal/emulator/hollow/controller.go
@@ -44,7 +44,8 @@
 		emit: emit}
 }
 
-// start starts the controller from the contents of its store.
+// start starts the controller from the contents of its store, after a random delay. It does nothing if the
+// controller is running, or if ctx ends during the delay.
 func (c *controller) start(ctx context.Context) error {
 	if c.running != nil {
 		return nil
--- a/internal/emulator/hollow/path.go
+++ b/internal/emulator/hollow/path.go
@@ -43,6 +43,7 @@
 
 func newGate() *gate { return &gate{changed: make(chan struct{})} }
 
+// set changes the gate's state and wakes all callers of pass.
 func (g *gate) set(change func(*gate)) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -51,7 +52,8 @@
 	g.changed = make(chan struct{})
 }
 
-// pass waits until bytes may pass. It returns false if ended is closed first.
+// pass waits until bytes may pass, to or from another region if otherRegion is set. It returns false if ended
+// is closed first.
 func (g *gate) pass(otherRegion bool, ended <-chan struct{}) bool {
 	for {
 		g.mu.Lock()
--- a/internal/emulator/hollow/process.go
+++ b/internal/emulator/hollow/process.go
@@ -75,6 +75,8 @@
 	return p
 }
 
+// dispatch queues a command for the controllers that it names. It ignores names of other processes'
+// controllers.
 func (p *process) dispatch(command Command) {
 	names := command.Names
 	if len(names) == 0 {
--- a/internal/emulator/hollow/reducer.go
+++ b/internal/emulator/hollow/reducer.go
@@ -31,7 +31,7 @@
 	return &observer{name: name, started: started, gate: gate, emit: emit}
 }
 
-// serve executes orders until ctx is done.
+// serve passes orders to the no-op reducer until ctx is done. A pause of the gate holds them; a cut doesn't.
 func (o *observer) serve(ctx context.Context, orders <-chan fleet.Order, reports chan<- fleet.Report) error {
 	passed := make(chan fleet.Order)
 	done := make(chan struct{})
@@ -41,7 +41,8 @@
 		for {
 			select {
 			case order := <-orders:
-				if !o.gate.pass(false, ctx.Done()) {
+				const otherRegion = false
+				if !o.gate.pass(otherRegion, ctx.Done()) {
 					return
 				}
 				o.observe(order)
