--- a/internal/resultcache/entries.go
+++ b/internal/resultcache/entries.go
@@ -74,6 +74,7 @@
 	return candidate
 }
 
+// appendToLRU adds an entry to its tenant's list as the most recently used one.
 func (c *Cache) appendToLRU(e *entry) {
 	c.serial++
 	e.lastUse = c.serial
--- a/internal/resultcache/invalidation.go
+++ b/internal/resultcache/invalidation.go
@@ -71,6 +71,7 @@
 	c.countMutation(tables, -1)
 }
 
+// countMutation adds n to the number of mutations in flight of each table, or of unknown tables.
 func (c *Cache) countMutation(tables []int64, n int) {
 	if len(tables) == 0 {
 		c.unknownMutations += n
--- a/internal/resultcache/result_cache.go
+++ b/internal/resultcache/result_cache.go
@@ -7,7 +7,8 @@
 //
 // Entries and flights are invalidated by a mutation of their tables, from when it was received until
 // no attempt of it is in flight any more, and by an invalidation. An invalidated flight still answers
-// its leader, whose request came before; its answer is not cached, and no later request gets it.
+// its leader, whose request came before; its answer is not cached, and no later request gets it. The
+// followers of the flight keep following it after a mutation, and leave it after an invalidation.
 //
 // The caller must pass only read-only queries, without an idempotency key and without ordering by key.
 package resultcache
@@ -49,7 +50,7 @@
 	startedAt   time.Duration
 	startedWall int64
 	logIndex    uint64 // index in the fleet's log when the flight began
-	invalidated bool   // by a mutation or an invalidation: the answer is not cached or shared
+	invalidated bool   // by a mutation or an invalidation: the answer is not cached, nor given to later requests
 }
 
 // entry is one cached answer.
@@ -80,8 +81,8 @@
 type Counts struct {
 	Hits, Followed, Led, Bypassed       int // results of Lookup
 	Cached, TooLarge, Invalidated       int // answers of completed flights
-	Evicted, Expired, RemovedByMutation int // entries that were removed, by reason
-	Purged                              int
+	Evicted, Expired, RemovedByMutation int // entries removed, by reason; Expired: also answers not cached
+	Purged                              int // entries removed by Invalidate
 }
 
 // Cache is the result cache of one controller. It is used by one goroutine.
@@ -130,6 +131,7 @@
 	return c.count, c.bytes, len(c.flights)
 }
 
+// advance moves the clock forward to now, and never back.
 func (c *Cache) advance(now time.Duration) { c.now = max(c.now, now) }
 
 // hashOf returns the hash of the key of a request: tenant, resource group and statement.
@@ -223,8 +225,9 @@
 }
 
 // Complete ends the flight of a leader with its answer, which must not be modified any more, and
-// caches the answer unless the flight was invalidated. It returns the followers, which the caller
-// must answer with the same pages.
+// caches the answer unless the flight was invalidated or the answer is too large or too old. It
+// returns the followers, which the caller must answer with the same pages. It does nothing if the
+// request leads no flight.
 func (c *Cache) Complete(now time.Duration, r *Request, pages [][]byte) (followers []*Request) {
 	c.advance(now)
 	f := r.flight
@@ -286,6 +289,7 @@
 	return leader
 }
 
+// endFlight removes a flight. Its followers stay in f.followers.
 func (c *Cache) endFlight(f *flight) {
 	delete(c.flights, f)
 	c.closeToFollowers(f)
