--- a/internal/setup/check.go
+++ b/internal/setup/check.go
@@ -13,6 +13,7 @@
 	"railrelay.dev/railrelay/internal/settings"
 )
 
+// check checks the file of a controller or of a control process.
 func (c *checker) check(s *Setup) {
 	if s.IsControlProcess() {
 		c.checkControlProcess(s)
@@ -129,6 +130,7 @@
 // engineActions are the values allowed in engines.may.
 var engineActions = []string{"probe", "cancel", "copy", "grant", "prioritise", "name-return"}
 
+// checkTeams checks each value of the teams and their subteams by itself.
 func (c *checker) checkTeams(l []Team, path string) {
 	for i, t := range l {
 		at := fmt.Sprintf("%s[%d].", path, i)
@@ -143,6 +145,8 @@
 	}
 }
 
+// checkReferences checks that kinds, groups and client addresses occur once, that the kinds and locations
+// that groups name exist, and that no group's objective is longer than its timeout.
 func (c *checker) checkReferences(s *Setup) {
 	kinds, places := map[string]bool{}, map[string]bool{}
 	for i, k := range s.Engines.Kinds {
@@ -189,6 +193,8 @@
 // addressOwner is the team that an address prefix belongs to, and its path in the file.
 type addressOwner struct{ team, path string }
 
+// checkFairness checks that the teams fit together: their names, their addresses, the default team and the
+// limits of the fair queue.
 func (c *checker) checkFairness(f *Fairness) {
 	seen := map[string]string{}
 	var owned bart.Table[addressOwner]
--- a/internal/setup/field_error.go
+++ b/internal/setup/field_error.go
@@ -92,6 +92,8 @@
 	}
 }
 
+// optionalNumber checks a number from least to most. 0 stands for a missing field and is always
+// allowed.
 func (c *checker) optionalNumber(path string, x, least, most float64) {
 	switch {
 	case x != x:
@@ -103,6 +105,7 @@
 	}
 }
 
+// checkName checks a required name.
 func (c *checker) checkName(path, x string) {
 	switch {
 	case x == "":
@@ -122,6 +125,7 @@
 	}
 }
 
+// checkAddress checks a required address with a port.
 func (c *checker) checkAddress(path, x string) {
 	if x == "" {
 		c.addError(path, "is missing")
--- a/internal/setup/fleet.go
+++ b/internal/setup/fleet.go
@@ -96,6 +96,7 @@
 	maxRelays                   = 2
 )
 
+// checkFleet checks the fleet part, for a process of either role.
 func (c *checker) checkFleet(x *Setup) {
 	f := x.Fleet
 	c.checkOneOf("fleet.role", f.Role, RoleController, RoleControl)
@@ -122,6 +123,7 @@
 	c.checkTimings(f)
 }
 
+// checkVoters checks the list of voters, and that this process, if it is one, is listed under its address.
 func (c *checker) checkVoters(x *Setup) {
 	f := x.Fleet
 	switch n := len(f.Voters); {
--- a/internal/setup/placement.go
+++ b/internal/setup/placement.go
@@ -75,6 +75,7 @@
 	return names
 }
 
+// checkPlacement checks the placement rules. A control process doesn't know which teams and locations exist.
 func (c *checker) checkPlacement(x *Setup) {
 	if len(x.Placement) == 0 {
 		return
@@ -93,7 +94,7 @@
 		sites = []string{"here"}
 	}
 	teams := x.teamNames()
-	if x.IsControlProcess() { // only controllers know which exist
+	if x.IsControlProcess() {
 		sites, teams = nil, nil
 	}
 	for _, f := range residency.ValidateRules(x.placementRules(), sites, teams) {
@@ -159,7 +160,8 @@
 			Reason: `no group is named "lookup"`}}}}
 }
 
-// BasePolicy returns the policy in the process's own file, version 0, which applies before any change.
+// BasePolicy returns the policy in the process's own file, version 0, which applies before any change, and
+// the rules whose emergencies the fleet watches for.
 func (x *Setup) BasePolicy() (*controller.Policy, []fleet.EmergencyRule) {
 	rules := x.placementRules()
 	return &controller.Policy{Tenants: x.FairQueueConfig(), Settings: x.settings(), Rules: rules},
@@ -167,8 +169,8 @@
 }
 
 // ParsePolicy reads a policy strictly and checks it against a controller's own configuration,
-// which it doesn't change. An invalid policy is an *Unfit. The third result lists the voters as
-// name=address; it is empty if they are unchanged.
+// which it doesn't change. An invalid policy is an *Unfit. The first two results are as for BasePolicy. The
+// third lists the voters as name=address; it is empty if they are unchanged.
 func ParsePolicy(file string, text []byte, own *Setup) (*controller.Policy, []fleet.EmergencyRule, []string,
 	error) {
 	x, p, err := own.mergePolicy(file, text)
@@ -284,6 +286,7 @@
 	}
 }
 
+// mergeGroupLimits checks the groups in a policy and writes their limits to s.
 func (c *checker) mergeGroupLimits(l []GroupLimits, s *Setup) {
 	s.Groups = slices.Clone(s.Groups)
 	seen := map[string]bool{}
--- a/internal/setup/result_cache.go
+++ b/internal/setup/result_cache.go
@@ -12,7 +12,8 @@
 
 // ResultCache configures the cache of answers to read-only queries.
 type ResultCache struct {
-	// Freshness is the age up to which an answer is served, from the start of its run on an engine
+	// Freshness is the age up to which an answer is served, from the start of its run on an engine.
+	// It is required.
 	Freshness   Duration `yaml:"fresh"`
 	MemoryMB    float64  `yaml:"memory_mb"` // of all answers; default 16
 	MaxEntries  int      `yaml:"count"`     // default 10000
--- a/internal/setup/setup.go
+++ b/internal/setup/setup.go
@@ -18,7 +18,7 @@
 type Setup struct {
 	Name   string `yaml:"name"`   // name of the process in the log; default empty
 	Listen string `yaml:"listen"` // address on which clients connect
-	Seed   string `yaml:"seed"`
+	Seed   string `yaml:"seed"`   // of the scheduler's random numbers, hexadecimal; default 0
 	// LogLevel is the lowest level that is logged: debug, info, warn or error; default warn.
 	LogLevel         string       `yaml:"log"`
 	DiscoveryAddress string       `yaml:"feed"` // address of the service that lists the engines
@@ -62,14 +62,16 @@
 	NotePeriod     Duration `yaml:"notes"`       // between an engine's progress notes on a query; default 2s
 	DrainGrace     Duration `yaml:"grace"`       // time for which a draining engine accepts queries; default 1s
 	KeyCooldown    Duration `yaml:"key_rest"`    // of a key after an attempt that may still run; default 300ms
-	Report         string   `yaml:"report"`
+	// Report tells how engines send load reports: off (not at all), probed (with health checks) or
+	// answers (with responses). Default probed, or off if AllowedActions lacks probe.
+	Report string `yaml:"report"`
 	// ReportFields lists the fields of an engine's load report: held (number of queries on the
 	// engine), cores (fraction that is busy). Default held.
 	ReportFields []string `yaml:"figures"`
 	// QueryReports lists what engines report of a query: notes (progress while it runs) and
 	// costs (the work, with the answer). Default both.
 	QueryReports    []string `yaml:"tells"`
-	WhenMemoryShort string   `yaml:"memory_short"` // default swap
+	WhenMemoryShort string   `yaml:"memory_short"` // queue, trim or swap; default swap
 	// MaxGrantFraction limits the fraction of an engine's memory granted to one query; default 0.4.
 	MaxGrantFraction float64     `yaml:"grant"`
 	SlowStart        SlowStart   `yaml:"cold"`
@@ -130,14 +132,14 @@
 	Timeout          Duration `yaml:"timeout"`    // longest queue timeout that a call may name; default 30s
 	ObjectiveStretch float64  `yaml:"stretch"`    // added to the objective, as a multiple of the estimated work
 	LateValueShare   *float64 `yaml:"late_share"` // fraction of the value that a late answer is worth; default 1
-	Effect           string   `yaml:"effect"`
-	Scope            string   `yaml:"scope"`     // default all
-	KeyWindow        Duration `yaml:"window"`    // time for which engines keep an idempotency key; default 5s
-	FIFOByKey        bool     `yaml:"in_order"`  // queries with the same key run one after the other
-	IsLoad           bool     `yaml:"load"`      // writes tables, and locks their table group
-	WaitsForLoads    bool     `yaml:"waits"`     // waits on the engine while a load locks the table group
-	Locations        []string `yaml:"locations"` // default all
-	Kinds            []string `yaml:"kinds"`     // default all
+	Effect           string   `yaml:"effect"`     // read-only, tokened or mutating; required
+	Scope            string   `yaml:"scope"`      // all, location or cell; default all
+	KeyWindow        Duration `yaml:"window"`     // time for which engines keep an idempotency key; default 5s
+	FIFOByKey        bool     `yaml:"in_order"`   // queries with the same key run one after the other
+	IsLoad           bool     `yaml:"load"`       // writes tables, and locks their table group
+	WaitsForLoads    bool     `yaml:"waits"`      // waits on the engine while a load locks the table group
+	Locations        []string `yaml:"locations"`  // default all
+	Kinds            []string `yaml:"kinds"`      // default all
 }
 
 // ClientSet limits the connections from some addresses. The longest prefix that contains a
