--- a/internal/emulator/engine/model.go
+++ b/internal/emulator/engine/model.go
@@ -193,8 +193,8 @@
 	return true
 }
 
-// Advance moves the model to a time: queries make progress, end, and are deleted AbandonAfter after
-// their end and their last poll.
+// Advance moves the model to a time: queries make progress and end, and ended ones are deleted if
+// they weren't polled for AbandonAfter.
 func (m *Model) Advance(now time.Duration) {
 	for m.now < now {
 		next := min(now, m.nextChange())
--- a/internal/enginehttp/engines.go
+++ b/internal/enginehttp/engines.go
@@ -157,7 +157,7 @@
 	}
 }
 
-// noteKinds maps the values of the X-Cache header. A stall with the reading 2 is a wait for a load.
+// noteKinds maps the values of the X-Cache header. A stall is a wait for a load if the Reading header is 2.
 var noteKinds = map[string]scheduler.NoteKind{
 	"advance": scheduler.Progress, "disk": scheduler.Spilling, "stall": scheduler.WaitingForMemory,
 }
--- a/internal/msgpackrpc/clients.go
+++ b/internal/msgpackrpc/clients.go
@@ -104,7 +104,8 @@
 		return nil
 	}
 	var id, timeoutText, key []byte // nil: not given
-	reason := ""                    // for the client: which field is missing or invalid ("no trace"), or was given twice
+	// reason is for the client: a field that is missing or invalid ("no trace") or was given twice.
+	reason := ""
 	field := func(value *[]byte, name string) {
 		if *value != nil {
 			reason = name + " given twice" // neither value takes precedence
--- a/internal/setup/fleet.go
+++ b/internal/setup/fleet.go
@@ -123,7 +123,7 @@
 	c.checkTimings(f)
 }
 
-// checkVoters checks the list of voters, and that this process, if it is one, is listed under its address.
+// checkVoters checks the list of voters. If this process is one of them, its advertised address must match.
 func (c *checker) checkVoters(x *Setup) {
 	f := x.Fleet
 	switch n := len(f.Voters); {
