--- a/internal/bench/schedule_actors.go
+++ b/internal/bench/schedule_actors.go
@@ -146,9 +146,9 @@
 				run.step(controller, node.Event{Kind: node.WritesPersisted})
 			})
 		case node.ValidatePolicy:
-			change, text := effect.ChangeID, string(effect.PolicyText)
+			change, text := effect.ValidationKey, string(effect.PolicyText)
 			run.scheduleAfter(run.randomDuration(0, 5*time.Millisecond), controller, func() {
-				validated := node.Event{Kind: node.PolicyValidated, ChangeID: change, Policy: text}
+				validated := node.Event{Kind: node.PolicyValidated, ValidationKey: change, Policy: text}
 				if text == "" {
 					validated.Policy = "the configured policy"
 				}
--- a/internal/fleet/driver/driver.go
+++ b/internal/fleet/driver/driver.go
@@ -41,7 +41,7 @@
 	maxQueuedChecks    = 4    // policy texts to check
 	failureLogInterval = time.Minute
 
-	committedPolicyPrefix = "in force " // of the change ID with which package node validates the policy in force
+	committedKeyPrefix = "in force " // of the validation key of the committed policy, as in package node
 )
 
 // stateMachine is the part of node.Core that Driver uses.
@@ -70,9 +70,9 @@
 
 // policyCheck is a policy text to check.
 type policyCheck struct {
-	changeID string
-	text     []byte
-	context  PolicyContext
+	validationKey string
+	text          []byte
+	context       PolicyContext
 }
 
 // PolicyVerdict is the result of checking a policy text.
@@ -246,10 +246,10 @@
 
 // validate checks a policy text and returns the event with the result.
 func (d *Driver) validate(check policyCheck) node.Event {
-	verdict := d.checkPolicy(check.changeID, check.text, check.context)
+	verdict := d.checkPolicy(check.validationKey, check.text, check.context)
 	return node.Event{
 		Kind:                  node.PolicyValidated,
-		ChangeID:              check.changeID,
+		ValidationKey:         check.validationKey,
 		Reason:                verdict.Reason,
 		Policy:                verdict.Policy,
 		EmergencyRules:        verdict.WatchedRules,
@@ -315,7 +315,7 @@
 	case err := <-written:
 		return d.writeEnded(err)
 	case event = <-checked:
-		if strings.HasPrefix(event.ChangeID, committedPolicyPrefix) && event.Reason == "" {
+		if strings.HasPrefix(event.ValidationKey, committedKeyPrefix) && event.Reason == "" {
 			d.policyContext.Policy = event.Policy
 		}
 		return event, true
@@ -379,8 +379,9 @@
 			d.writes <- effect.Writes // doesn't block: consensus has one write in progress at a time
 		case node.ValidatePolicy:
 			policyContext := d.policyContext
-			policyContext.Committed = strings.HasPrefix(effect.ChangeID, committedPolicyPrefix)
-			d.pendingChecks = append(d.pendingChecks, policyCheck{effect.ChangeID, effect.PolicyText, policyContext})
+			policyContext.Committed = strings.HasPrefix(effect.ValidationKey, committedKeyPrefix)
+			d.pendingChecks = append(d.pendingChecks,
+				policyCheck{effect.ValidationKey, effect.PolicyText, policyContext})
 		case node.OrderController:
 			d.queueOrder(effect.Order)
 		case node.Respond:
--- a/internal/fleet/driver/driver_test.go
+++ b/internal/fleet/driver/driver_test.go
@@ -104,7 +104,11 @@
 	d, core, _ := startDriver(t, func(ev node.Event) []node.Effect {
 		switch ev.Kind {
 		case node.MessageReceived:
-			return []node.Effect{{Kind: node.OrderController, Order: fleet.Order{Kind: fleet.ActivatePolicy, Policy: "now"}}, {Kind: node.Persist, Writes: &consensus.PersistentState{}}, {Kind: node.ValidatePolicy, ChangeID: "c1", PolicyText: []byte("x")}, {Kind: node.SetTimer}}
+			return []node.Effect{
+				{Kind: node.OrderController, Order: fleet.Order{Kind: fleet.ActivatePolicy, Policy: "now"}},
+				{Kind: node.Persist, Writes: &consensus.PersistentState{}},
+				{Kind: node.ValidatePolicy, ValidationKey: "c1", PolicyText: []byte("x")},
+				{Kind: node.SetTimer}}
 		case node.OperatorRequested:
 			if ev.Request.Kind == "status" {
 				return []node.Effect{{Kind: node.Respond, Handle: ev.Handle, Response: &fleet.Response{Outcome: "status", Status: &fleet.Status{}}}}
@@ -229,7 +233,7 @@
 		if ev.Kind == node.MessageReceived {
 			effects = append(effects, node.Effect{Kind: node.OrderController, Order: fleet.Order{Kind: fleet.ActivatePolicy, Policy: "now"}})
 			for range checks {
-				effects = append(effects, node.Effect{Kind: node.ValidatePolicy, ChangeID: "c"})
+				effects = append(effects, node.Effect{Kind: node.ValidatePolicy, ValidationKey: "c"})
 			}
 		}
 		return effects
@@ -247,7 +251,8 @@
 		if ev.Kind != node.MessageReceived {
 			return nil
 		}
-		return []node.Effect{{Kind: node.ValidatePolicy, ChangeID: "in force 3 abc"}, {Kind: node.ValidatePolicy, ChangeID: "c4"}}
+		return []node.Effect{{Kind: node.ValidatePolicy, ValidationKey: "in force 3 abc"},
+			{Kind: node.ValidatePolicy, ValidationKey: "c4"}}
 	}, nil)
 	d.checkPolicy = func(_ string, _ []byte, policyContext PolicyContext) PolicyVerdict {
 		contexts <- policyContext
--- a/internal/fleet/driver/open.go
+++ b/internal/fleet/driver/open.go
@@ -25,7 +25,7 @@
 	Directory      string
 	KeyFile        string
 	StartTime      time.Time // origin of the node's time, the same as the controller's
-	CheckPolicy    func(changeID string, text []byte, context PolicyContext) PolicyVerdict
+	CheckPolicy    func(validationKey string, text []byte, context PolicyContext) PolicyVerdict
 	Log            zerolog.Logger
 
 	// OpenStore opens a store that replaces the one at Directory. May be nil.
--- a/internal/fleet/node/cluster_test.go
+++ b/internal/fleet/node/cluster_test.go
@@ -163,7 +163,8 @@
 				a.step(Event{Kind: WritesPersisted})
 			})
 		case ValidatePolicy:
-			if a.validations = append(a.validations, "asked "+e.ChangeID); e.ChangeID == a.neverValidates {
+			a.validations = append(a.validations, "asked "+e.ValidationKey)
+			if e.ValidationKey == a.neverValidates {
 				continue
 			}
 			a.schedule(time.Millisecond, func() {
@@ -171,12 +172,12 @@
 				if string(e.PolicyText) == "bad for "+a.name {
 					why = "no such group"
 				}
-				ev := Event{Kind: PolicyValidated, ChangeID: e.ChangeID, Reason: why, Policy: string(e.PolicyText),
-					ResidencyRulesUnknown: a.rulesUnknown}
+				ev := Event{Kind: PolicyValidated, ValidationKey: e.ValidationKey, Reason: why,
+					Policy: string(e.PolicyText), ResidencyRulesUnknown: a.rulesUnknown}
 				if voters, ok := strings.CutPrefix(string(e.PolicyText), "voters "); ok {
 					ev.Voters = strings.Fields(voters)
 				}
-				a.validations = append(a.validations, "done "+e.ChangeID)
+				a.validations = append(a.validations, "done "+e.ValidationKey)
 				a.step(ev)
 			})
 		case OrderController:
--- a/internal/fleet/node/effects.go
+++ b/internal/fleet/node/effects.go
@@ -18,9 +18,10 @@
 	// Persist writes Writes to disk and syncs them; a WritesPersisted event follows. At most
 	// one Persist is outstanding.
 	Persist
-	// ValidatePolicy validates PolicyText, the policy of ChangeID, against this controller's
-	// configuration; a PolicyValidated event with the same ChangeID follows. An empty text
-	// stands for the configuration's own policy.
+	// ValidatePolicy validates PolicyText against this controller's configuration; a
+	// PolicyValidated event with the same ValidationKey follows. ValidationKey is the ID of the
+	// policy change, or another key for the committed policy. An empty text stands for the
+	// configuration's own policy.
 	ValidatePolicy
 	// OrderController passes Order to the request side of the process, in the order of the
 	// effects.
@@ -44,8 +45,8 @@
 
 	Writes *consensus.PersistentState
 
-	ChangeID   string
-	PolicyText []byte
+	ValidationKey string
+	PolicyText    []byte
 
 	Order fleet.Order
 
--- a/internal/fleet/node/events.go
+++ b/internal/fleet/node/events.go
@@ -13,9 +13,10 @@
 	MessageReceived
 	// WritesPersisted: the Writes of the oldest outstanding Persist effect are synced to disk.
 	WritesPersisted
-	// PolicyValidated: the policy of ChangeID was validated against this controller's
-	// configuration. Reason says why the controller can't serve by it. If Reason is "", the
-	// result is in Policy, EmergencyRules, ResidencyRulesUnknown, PurgeScopes and Voters.
+	// PolicyValidated: the policy of the ValidatePolicy effect with the same ValidationKey was
+	// validated against this controller's configuration. Reason says why the controller can't
+	// serve by it. If Reason is "", the result is in Policy, EmergencyRules,
+	// ResidencyRulesUnknown, PurgeScopes and Voters.
 	PolicyValidated
 	// ControllerReported: the request side of this process sent Report.
 	ControllerReported
@@ -32,7 +33,7 @@
 	Message *Message
 
 	// The result of a validation.
-	ChangeID       string
+	ValidationKey  string
 	Reason         string
 	Policy         any
 	EmergencyRules []fleet.EmergencyRule
--- a/internal/fleet/node/node_test.go
+++ b/internal/fleet/node/node_test.go
@@ -327,7 +327,7 @@
 		!strings.HasPrefix(l[1], "done in force 2") || l[2] != "asked c2" {
 		t.Errorf("the change wasn't validated after the committed policy: %q", l)
 	}
-	f.step(Event{Kind: PolicyValidated, ChangeID: "c2", Voters: []string{"f0=f0:1"}})
+	f.step(Event{Kind: PolicyValidated, ValidationKey: "c2", Voters: []string{"f0=f0:1"}})
 	s.waitFor(5*time.Second, "closing", func() bool {
 		return f.core.state.Changes["c2"].Phase == statemachine.Fencing
 	})
--- a/internal/fleet/node/policy_validation.go
+++ b/internal/fleet/node/policy_validation.go
@@ -9,9 +9,9 @@
 	"railrelay.dev/railrelay/internal/fleet"
 )
 
-// committedKey is the prefix of the validation key of a committed policy; the rest is the
+// committedKeyPrefix is the prefix of the validation key of a committed policy; the rest is the
 // version and checksum of the policy. The key of any other validation is the change's ID.
-const committedKey = "in force "
+const committedKeyPrefix = "in force "
 
 // validatedPolicy is a policy that this controller can serve by.
 type validatedPolicy struct {
@@ -37,7 +37,7 @@
 // validatePolicy requests the validation of a policy against this controller's configuration.
 func (c *Core) validatePolicy(key string, version uint64, text []byte) {
 	c.validations[key] = &validation{version: version, checksum: xxhash.Sum64(text)}
-	c.emit(Effect{Kind: ValidatePolicy, ChangeID: key, PolicyText: text})
+	c.emit(Effect{Kind: ValidatePolicy, ValidationKey: key, PolicyText: text})
 }
 
 // committedPolicy returns the committed policy after its validation, nil if this controller can't
@@ -49,7 +49,7 @@
 	if c.orderedVersion == c.state.Version || policy != nil && policy.checksum == checksum {
 		return policy, false
 	}
-	key := fmt.Sprintf("%s%d %x", committedKey, c.state.Version, checksum)
+	key := fmt.Sprintf("%s%d %x", committedKeyPrefix, c.state.Version, checksum)
 	if c.validations[key] == nil {
 		c.validatePolicy(key, c.state.Version, c.state.Policy)
 	}
@@ -58,7 +58,7 @@
 
 // policyValidated handles the result of a validation.
 func (c *Core) policyValidated(ev Event) {
-	v := c.validations[ev.ChangeID]
+	v := c.validations[ev.ValidationKey]
 	if v == nil || v.done {
 		return
 	}
@@ -75,7 +75,7 @@
 			emergencyRules:        ev.EmergencyRules,
 			residencyRulesUnknown: ev.ResidencyRulesUnknown,
 		}
-	} else if strings.HasPrefix(ev.ChangeID, committedKey) {
+	} else if strings.HasPrefix(ev.ValidationKey, committedKeyPrefix) {
 		c.logError(&fleet.UnfitError{Version: v.version, Reason: ev.Reason})
 	}
 	c.orderOutstanding()
