--- a/internal/fairqueue/wait_estimate.go
+++ b/internal/fairqueue/wait_estimate.go
@@ -251,7 +251,8 @@
 	return max(0, fq.inFlightWorkLeft()-1.1*fq.typicalInFlight.value)
 }
 
-// estimateWait returns the estimated wait of a query that arrives now.
+// estimateWait returns the estimated wait of a query that arrives now. It also sets q.uncorrectedWait, from
+// which estimateCorrection learns when the query starts.
 func (fq *Queue) estimateWait(q *Query) time.Duration {
 	l := &fq.lanes[q.Lane]
 	waitSeconds := 0.0
@@ -283,10 +284,10 @@
 	// If the tenant will be beyond its quota, the model is solved a second time with the query behind
 	// all tenants within their quotas.
 	tokens, refillRate := fq.tightestQuota(q.leaf)
-	waitSeconds := fq.solveModel(&m, false)
+	waitSeconds := fq.solveModel(&m, inVirtualTimeOrder)
 	if missingTokens := ahead + q.estimatedWork - tokens; missingTokens > 0 {
 		waitSeconds = max(waitSeconds, min(
-			missingTokens/max(refillRate-m.otherChargeRate, refillRate/10), fq.solveModel(&m, true)))
+			missingTokens/max(refillRate-m.otherChargeRate, refillRate/10), fq.solveModel(&m, afterAllCompetitors)))
 	}
 	return waitSeconds
 }
@@ -365,6 +366,12 @@
 	s.refreshed = true
 }
 
+// Values of solveModel's afterAll.
+const (
+	inVirtualTimeOrder  = false
+	afterAllCompetitors = true
+)
+
 // solveModel computes the wait in seconds by fixed-point iteration. afterAll puts the query behind all
 // competitors that have tokens left.
 func (fq *Queue) solveModel(m *waitModel, afterAll bool) float64 {
