--- a/internal/fairqueue/config.go
+++ b/internal/fairqueue/config.go
@@ -91,6 +91,7 @@
 	return nil
 }
 
+// validateTenants checks tenants and their descendants, and adds the names of those without children to seen.
 func validateTenants(tenants []Tenant, parentPath string, seen map[string]bool) error {
 	for _, tenant := range tenants {
 		path := parentPath + tenant.Name
--- a/internal/fairqueue/dispatch.go
+++ b/internal/fairqueue/dispatch.go
@@ -5,7 +5,9 @@
 )
 
 // Next dispatches the lane's next query and returns it, or returns nil if no waiting query may be
-// dispatched. The scheduler must be able to take one more query of the lane.
+// dispatched. The scheduler must be able to take one more query of the lane. The next query is the
+// lane's oldest one if it has reached Config.AgeingLimit and is eligible, otherwise the one that
+// nextByVirtualTime returns, unless that one must yield to another lane.
 //
 // If the selected query is not the first of its chain, Next dispatches the first one instead: it
 // has to run earlier, and its own tenant may not be selected for a long time.
@@ -132,7 +134,8 @@
 // reasons other than capacity, such as locked tables and chains.
 const maxDispatchedPerLane = 256
 
-// SetLaneFull records whether the scheduler accepts no more queries of a lane.
+// SetLaneFull records whether the scheduler accepts no more queries of a lane. Queue.workDone
+// measures the engines' throughput while any lane is at capacity.
 func (fq *Queue) SetLaneFull(now time.Duration, lane int, full bool) {
 	fq.advance(now)
 	l := &fq.lanes[lane]
--- a/internal/fairqueue/lane.go
+++ b/internal/fairqueue/lane.go
@@ -38,6 +38,8 @@
 	l.waitingByAge.InsertAfter(&q.ageElement, q, at)
 }
 
+// removeDispatched removes a query from dispatched and dispatchedWork. It is called when the query's first
+// attempt is sent, or when the query ends before that.
 func (l *laneState) removeDispatched(q *Query) {
 	if l.dispatched--; l.dispatched == 0 {
 		l.dispatchedWork = 0
--- a/internal/fairqueue/query.go
+++ b/internal/fairqueue/query.go
@@ -44,7 +44,7 @@
 	sweptAt           time.Duration
 	runSeconds        float64 // run time counted by Sweep
 	remainingWork     float64 // part of estimatedWork that is left
-	serviceAtDispatch float64 // Queue.servicePerThread at dispatch
+	serviceAtDispatch float64 // Queue.servicePerThread at dispatch, or at the last sweep before the start
 	countedWork       float64 // work already added to Queue.workDone
 	priorityLowered   bool
 
--- a/internal/fairqueue/queue.go
+++ b/internal/fairqueue/queue.go
@@ -44,7 +44,7 @@
 	nodeCount           int    // tenants with state
 	nextNodeSequence    uint64 // for node.sequence
 	deferredChargeNodes []*node
-	idleNodes           intrusivelist.List[node] // in the order in which they became idle
+	idleNodes           intrusivelist.List[node] // by node.idleSince, longest idle first
 	overQuotaNodes      refillHeap
 
 	// now never decreases; sweptAt is the time of the last Sweep.
@@ -136,7 +136,8 @@
 	return l.runSeconds.valueOr(l.InitialWorkEstimate.Seconds() / max(1, l.Threads))
 }
 
-// rememberForRepeat stores a call's arrival time and charge for a call that repeats it.
+// rememberForRepeat stores a call's arrival time and charge for a call that repeats it, if the call can be
+// repeated.
 func (fq *Queue) rememberForRepeat(q *Query) {
 	if q.RepeatID != 0 {
 		fq.repeats.put(q.RepeatID, repeatableCall{
@@ -227,7 +228,9 @@
 
 // Ended records that a query was answered or that its client has gone, and that none of its attempts
 // is running. work is the thread time that engines reported; if it is 0, the charge made while the
-// query ran stands. lost is the run time of attempts for which no work was reported.
+// query ran stands. lost is the run time of attempts for which no work was reported. Ended stores a call
+// that did not finish, so that a repeated call can inherit from it. A query that is not in the queue is
+// ignored.
 func (fq *Queue) Ended(now time.Duration, q *Query, outcome Outcome, work, lost time.Duration) {
 	fq.advance(now)
 	l := &fq.lanes[q.Lane]
@@ -271,7 +274,8 @@
 	fq.runningThreads -= l.Threads
 }
 
-// learnRunTime adds a finished query to its lane's mean run time and slowdown.
+// learnRunTime adds a finished query to its lane's mean run time and, if its work is known, to the lane's
+// mean slowdown.
 func (fq *Queue) learnRunTime(q *Query, l *laneState, work time.Duration) {
 	runSeconds := (fq.now - q.startedAt).Seconds()
 	l.runSeconds.add(runSeconds, 200)
@@ -280,7 +284,8 @@
 	}
 }
 
-// settleWork replaces the charge made while a query ran by the work it actually used.
+// settleWork replaces the charge made while a query ran by the work that it actually used, including that of
+// lost attempts. It adds the reported work to the means of the query's lane and tenant, and to workDone.
 func (fq *Queue) settleWork(q *Query, l *laneState, work, lost time.Duration) {
 	// Limits the effect of a bad query plan on the mean.
 	typicalWork := min(work.Seconds(), fq.config.OverrunFactor*q.estimatedWork)
--- a/internal/fairqueue/quota.go
+++ b/internal/fairqueue/quota.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// spendTokens takes thread seconds from the token buckets of a tenant and its ancestors. Negative work
-// returns tokens.
+// spendTokens takes thread seconds from the token buckets of a tenant and its ancestors, and counts them in
+// the tenant's ChargedThreadSeconds. Negative work returns tokens.
 func (fq *Queue) spendTokens(n *node, work float64) {
 	n.counts.ChargedThreadSeconds += work
 	for ; n.parent != nil; n = n.parent {
@@ -18,7 +18,7 @@
 	}
 }
 
-// refill adds the tokens due since the last call.
+// refill adds the tokens due since the last call, up to the size of the bucket.
 func (fq *Queue) refill(n *node) {
 	n.tokens = min(n.burst, n.tokens+n.quota*(fq.now-n.tokensAt).Seconds())
 	n.tokensAt = fq.now
--- a/internal/fairqueue/rates.go
+++ b/internal/fairqueue/rates.go
@@ -26,9 +26,9 @@
 	return m.value
 }
 
-// arrivalRate measures an amount per second from the totals of whole seconds. A second counts for at
-// most maxRateGrowth times the rate before it plus its largest single amount: most surges end soon,
-// and their queries are counted in the backlog already.
+// arrivalRate measures an amount per second from the totals of whole seconds. From the third second on,
+// a second counts for at most maxRateGrowth times the rate before it plus its largest single amount:
+// most surges end soon, and their queries are counted in the backlog already.
 type arrivalRate struct {
 	value          float64
 	current        float64 // total of the current second
@@ -52,6 +52,8 @@
 	r.largestArrival = max(r.largestArrival, amount)
 }
 
+// advance adds each second that has ended since the last call to the rate. After more than a minute without
+// a call, the measurement restarts.
 func (r *arrivalRate) advance(now time.Duration) {
 	for now-r.secondStart >= time.Second {
 		if now-r.secondStart > time.Minute { // restarts after a long idle time
@@ -90,6 +92,8 @@
 
 const saturatedMemorySeconds = 20.0 // time constant of the moving average
 
+// advance decays the older observations and adds the time since the last call to observedSeconds. While no
+// query waits for capacity, it keeps the observations as they are.
 func (r *saturatedRate) advance(now time.Duration) {
 	elapsed := (now - r.updatedAt).Seconds()
 	if elapsed <= 0 {
--- a/internal/fairqueue/reload.go
+++ b/internal/fairqueue/reload.go
@@ -65,7 +65,8 @@
 
 // Reload replaces the configuration by one with the same lanes. Waiting and running queries
 // keep their age and their tenant, or move to the default tenant if theirs was removed. Tenants keep
-// their charges and the state of their token buckets.
+// their leads over their siblings, their token buckets, counts and measurements. Charges and corrections
+// that are not yet in the virtual start times are dropped.
 func (fq *Queue) Reload(now time.Duration, config Config) {
 	fq.advance(now)
 	var queries []*Query
--- a/internal/fairqueue/sweep.go
+++ b/internal/fairqueue/sweep.go
@@ -7,7 +7,8 @@
 // Sweep must be called every SweepInterval. It charges running queries for the work used so far,
 // calls setLowered for each query whose priority is to be lowered or raised again, and calls
 // notifyWait for each waiting query whose client asked for changes of its estimate and whose estimate
-// changed by more than Config.NotifyThreshold. After a jump of the clock it charges at most maxSweepSpan.
+// changed by more than Config.NotifyThreshold. It also settles deferred charges, and drops the state of idle
+// tenants and expired repeatable calls. After a jump of the clock it charges at most maxSweepSpan.
 func (fq *Queue) Sweep(now time.Duration, setLowered func(q *Query, lowered bool),
 	notifyWait func(q *Query, wait time.Duration)) {
 	fq.advance(now)
@@ -60,8 +61,9 @@
 	return maximum
 }
 
-// chargeRunning charges a running query for a span and returns the thread seconds that it has probably
-// used: its run time times its threads, divided by the mean slowdown of its lane.
+// chargeRunning counts a span as run time of a running query and returns the thread seconds that it has
+// probably used: its run time times its threads, divided by the mean slowdown of its lane, less its credit.
+// It charges the query for what these exceed its charge so far.
 func (fq *Queue) chargeRunning(q *Query, span time.Duration) (work float64) {
 	l := &fq.lanes[q.Lane]
 	q.runSeconds += min(span, fq.now-q.sweptAt).Seconds()
@@ -77,7 +79,7 @@
 }
 
 // recordOverrun records a query that runs far beyond its estimated work, and returns the thread
-// seconds that it uses per second.
+// seconds that it uses per second. It adds to workDone the work of the query that was not added before.
 func (fq *Queue) recordOverrun(q *Query, work float64) (rate float64) {
 	l := &fq.lanes[q.Lane]
 	rate = l.Threads / max(1, l.slowdown.valueOr(1))
--- a/internal/fairqueue/tenant_tree.go
+++ b/internal/fairqueue/tenant_tree.go
@@ -7,11 +7,12 @@
 	"railrelay.dev/railrelay/internal/intrusivelist"
 )
 
-// tenantRecord is a configured tenant. It only has further state while it is active, see node.
+// tenantRecord is a configured tenant. Its further state is a node, which
+// newNode creates when it is needed and dropIdle deletes.
 type tenantRecord struct {
 	Tenant
 	path   string
-	parent int // index in Queue.tenants, -1 for the root
+	parent int // index in Queue.tenants, -1: the parent is Queue.root
 	isLeaf bool
 	state  *node // nil if it has none
 }
@@ -20,12 +21,12 @@
 // idleRetention afterwards. A node is active while it has waiting or running queries.
 //
 // The virtual start time of a node is the charged work divided by the weight. A charge counts at
-// once in the lane of the query and gradually in the other lanes. The order within a lane is thus
-// only as coarse as that lane's queries, and over all lanes tenants get work in proportion to their
-// weights. A node that becomes active starts at least at the virtual time of its parent (as in the
-// lag handling of EEVDF, Stoica and Abdel-Wahab 1995), and ahead of it by at most
-// maxCarriedLeadSeconds: idle time earns no credit, and work done while no other tenant wanted the
-// engines is soon forgiven.
+// once in the lane of the query and gradually in the other lanes, so that a long query of one lane
+// doesn't set back the tenant's short queries in other lanes all at once. Over all lanes, tenants
+// get work in proportion to their weights. A node that becomes active starts at least at the virtual
+// time of its parent (as in the lag handling of EEVDF, Stoica and Abdel-Wahab 1995), and ahead of it
+// by at most maxCarriedLeadSeconds: idle time earns no credit, and work done while no other tenant
+// wanted the engines is soon forgiven.
 type node struct {
 	tenant   int // index in Queue.tenants
 	name     string
@@ -35,7 +36,7 @@
 
 	// Virtual start times by lane; the last element covers all lanes. A leaf also has charges that
 	// are not yet in its virtual start times, in thread seconds: deferredCharges by lane, and
-	// corrections, which apply to every lane.
+	// corrections, which apply to each element of virtualStart.
 	virtualStart       []float64
 	deferredCharges    []float64
 	corrections        float64
@@ -54,9 +55,9 @@
 
 	// Waiting queries. queues holds a leaf's eligible queries by lane, oldest first.
 	queues       []queryList
-	waiting      int
-	maxWaiting   int
-	waitingBelow int
+	waiting      int       // waiting queries of a leaf
+	maxWaiting   int       // limit of waiting
+	waitingBelow int       // waiting queries of the node and its descendants
 	backlog      []float64 // estimated thread seconds of waiting queries, by lane
 	dequeuedWork []float64 // estimated thread seconds of all queries that stopped waiting, by lane
 
@@ -73,7 +74,7 @@
 	overQuota          bool // tokens are below zero
 	refillHeapPosition int  // place in Queue.overQuotaNodes, -1: not in it
 
-	idleSince   time.Duration
+	idleSince   time.Duration // when it became idle, or when dropIdle last kept it; valid while it is idle
 	idleElement intrusivelist.Element[node]
 	counts      Counts
 }
@@ -88,7 +89,8 @@
 // engines.
 const maxCarriedLeadSeconds = 4.0
 
-// newNode creates the state of a tenant and, if needed, of its ancestors.
+// newNode creates the state of a tenant and, if needed, of its ancestors. The node is idle; addActive sets
+// its virtual start times.
 func (fq *Queue) newNode(tenant int) *node {
 	record := &fq.tenants[tenant]
 	lanes := len(fq.lanes)
@@ -210,8 +212,10 @@
 	}
 }
 
-// catchUp advances a node's virtual start time to its parent's virtual time if it is behind. A tenant
-// forfeits a share that it did not ask for, even if some of its queries were running all the time.
+// catchUp advances a node's virtual start time on one clock to its parent's virtual time if it is behind.
+// It is called in a lane when the node gets its first eligible query there, and for all lanes together
+// when the node gets its first waiting query. A tenant thus forfeits a share that it did not ask for,
+// even if some of its queries were running all the time.
 // Otherwise a tenant that asks for less than its share would accumulate an unlimited claim, and a
 // tenant that uses the rest an unlimited debt.
 func (n *node) catchUp(clock int) {
@@ -223,8 +227,8 @@
 	}
 }
 
-// charge adds thread seconds to a tenant and its ancestors: at once in the given lane, gradually in the
-// other lanes.
+// charge adds thread seconds to the virtual start times of a tenant and its ancestors: at once in the given
+// lane and over all lanes, gradually in the other lanes. It also takes them from the token buckets.
 func (fq *Queue) charge(n *node, lane int, work float64) {
 	fq.advanceVirtualStart(n, lane, work)
 	fq.advanceVirtualStart(n, len(fq.lanes), work)
@@ -251,7 +255,7 @@
 	correctionSpan     = 20 * time.Second // time constant of settling corrections
 )
 
-// deferCharge charges a tenant gradually in all lanes except one.
+// deferCharge adds thread seconds to a tenant's deferred charges in all lanes except one.
 func (fq *Queue) deferCharge(n *node, exceptLane int, work float64) {
 	for lane := range n.deferredCharges {
 		if lane != exceptLane {
@@ -269,8 +273,8 @@
 	}
 }
 
-// settleDeferredCharges moves the part of the deferred charges and corrections that is due for a span into
-// the virtual start times.
+// settleDeferredCharges moves into the virtual start times the part of the deferred charges and corrections
+// that is due when the given time has passed since the last settlement.
 func (fq *Queue) settleDeferredCharges(span time.Duration) {
 	duePart := func(pending float64, settlementSpan time.Duration) float64 {
 		if math.Abs(pending) < 1e-4 {
@@ -316,8 +320,8 @@
 	}
 }
 
-// band returns the band of a node in a lane. A group is within its quota only if its own bucket is and
-// one of its tenants with eligible queries is too.
+// band returns the band of a node in a lane. A leaf is in withinQuota unless it is overQuota. For a group,
+// a child with eligible queries in the lane must be in withinQuota too.
 func (n *node) band(lane int) int {
 	if n.overQuota || n.queues == nil && len(n.heaps[withinQuota][lane]) == 0 {
 		return beyondQuota
@@ -343,11 +347,13 @@
 	}
 }
 
+// pushHeap adds a node to its parent's heap of a lane, in the node's current band.
 func (fq *Queue) pushHeap(n *node, lane int) {
 	n.heapBand[lane] = uint8(n.band(lane))
 	n.parent.heaps[n.heapBand[lane]][lane].push(n, lane)
 }
 
+// removeFromHeap removes a node from its parent's heap of a lane.
 func (fq *Queue) removeFromHeap(n *node, lane int) {
 	n.parent.heaps[n.heapBand[lane]][lane].remove(n.heapPosition[lane], lane)
 }
@@ -365,7 +371,7 @@
 }
 
 // addEligible counts a query of a leaf that became eligible in a lane. Each node that gets its first
-// eligible query joins its parent's heap.
+// eligible query there catches up with its parent's virtual time and joins its parent's heap.
 func (fq *Queue) addEligible(n *node, lane int) {
 	for ; n.parent != nil; n = n.parent {
 		if n.eligible[lane]++; n.eligible[lane] > 1 {
@@ -395,11 +401,11 @@
 	fq.updateBands(n)
 }
 
-// idleRetention is how long an idle tenant keeps its state. A tenant whose token bucket is not full
-// keeps the state until the bucket is full.
+// idleRetention is how long an idle tenant keeps its state at least, see dropIdle.
 const idleRetention = time.Minute
 
-// dropIdle deletes the state of nodes that have been idle for idleRetention.
+// dropIdle deletes the state of nodes that have been idle for idleRetention. A node whose token bucket is
+// not full, or that has children with state, is kept for another idleRetention and then checked again.
 func (fq *Queue) dropIdle() {
 	for e := fq.idleNodes.First(); e != nil &&
 		fq.now-e.Value.idleSince >= idleRetention; e = fq.idleNodes.First() {
@@ -421,7 +427,8 @@
 	}
 }
 
-// hasChildState reports whether a child of a group still has state. That state refers to the group's.
+// hasChildState reports whether a child of a group still has state. The child's state points to the group's
+// state (node.parent), which must therefore be kept.
 func (fq *Queue) hasChildState(n *node) bool {
 	for _, i := range fq.children[n.tenant] {
 		if fq.tenants[i].state != nil {
