--- a/internal/fleet/consensus/start.go
+++ b/internal/fleet/consensus/start.go
@@ -70,7 +70,8 @@
 	return c, c.takeEffects(), nil
 }
 
-// load copies the persistent state to the storage that the library reads.
+// load copies the persistent state to the storage that the library reads, and emits SnapshotRestored for its
+// snapshot. It fails if the state can't be decoded or the log has a gap.
 func (c *Core) load(persistent PersistentState) error {
 	c.storage = raft.NewMemoryStorage()
 	c.hardState = &pb.HardState{}
--- a/internal/fleet/consensus/wire.go
+++ b/internal/fleet/consensus/wire.go
@@ -20,8 +20,8 @@
 }
 
 // WithoutCommitIndex returns an encoded hard state with only its term and vote, nil if there is none
-// or it can't be decoded. A controller that becomes a voter with an empty log must still not vote
-// twice in a term.
+// or it can't be decoded. A controller that becomes a voter with an empty log has no committed entries,
+// but it must not vote twice in a term.
 func WithoutCommitIndex(hardState []byte) []byte {
 	if hardState == nil {
 		return nil
@@ -71,6 +71,9 @@
 
 func isVoterChange(e *pb.Entry) bool { return e.GetType() != pb.EntryNormal }
 
+// fromRaftSnapshot converts a snapshot of the library. It splits the payload into the state and the
+// voters, and packs the voters with the library's ConfState into VoterConfig. The payload can always be
+// decoded: this package encoded it, or isValid checked it on receipt.
 func fromRaftSnapshot(snapshot *pb.Snapshot) *Snapshot {
 	var payload snapshotPayload
 	_ = cbor.Unmarshal(snapshot.GetData(), &payload)
@@ -120,7 +123,8 @@
 	return encoded
 }
 
-// encodeCBOR encodes a value deterministically. The types of this package can always be encoded.
+// encodeCBOR encodes a value. The types of this package contain no maps, so the encoding is deterministic,
+// and they can always be encoded.
 func encodeCBOR(v any) []byte {
 	encoded, err := cbor.Marshal(v)
 	if err != nil {
--- a/internal/fleet/driver/driver.go
+++ b/internal/fleet/driver/driver.go
@@ -424,7 +424,7 @@
 }
 
 // copyForCaller copies the parts of a response that the core may still modify, so that the caller's
-// goroutine can read the response.
+// goroutine can read the response. It adds the counters of the driver and its connections to a status.
 func (d *Driver) copyForCaller(r *fleet.Response) *fleet.Response {
 	if r.Status == nil {
 		return r
--- a/internal/fleet/driver/open.go
+++ b/internal/fleet/driver/open.go
@@ -160,7 +160,8 @@
 	return l, nil
 }
 
-// serve starts to serve peers and operators on behalf of the driver.
+// serve starts to serve peers and operators on behalf of the driver. It sets the driver's peers, closeAll
+// and reloadKeys.
 func (p *openedParts) serve(d *Driver, config *node.Config, keys transport.Keys) error {
 	o := p.options
 	onRefused := func(err fleet.ErrorWithRemedy, from string) {
--- a/internal/fleet/node/configuration_change.go
+++ b/internal/fleet/node/configuration_change.go
@@ -41,7 +41,8 @@
 	}
 }
 
-// driveProposed fences a change once every controller has validated its policy.
+// driveProposed fences a change once every controller has validated its policy. It aborts the change if a
+// controller can't serve by the policy, or if the timeout passes.
 func (c *Core) driveProposed(change *statemachine.PolicyChange) {
 	id := change.ID
 	for _, name := range c.memberNames() {
@@ -79,7 +80,8 @@
 	c.setWaitingFor(id, waiting)
 }
 
-// driveFencing commits a change once no controller decides by the previous version.
+// driveFencing commits a change once no controller decides by the previous version. It aborts the change if
+// the timeout passes first.
 func (c *Core) driveFencing(change *statemachine.PolicyChange) {
 	waiting := c.unconfirmedHolders(c.config.Lease, func(r *LeaseRenewal) bool {
 		return r.FencedFor == change.ID
--- a/internal/fleet/node/controller_orders.go
+++ b/internal/fleet/node/controller_orders.go
@@ -22,7 +22,7 @@
 type controllerState struct {
 	// Policies.
 	policies    map[uint64]*validatedPolicy // policies that this controller can serve by, by version
-	validations map[string]*validation      // by change ID; see committedKey for the committed policy
+	validations map[string]*validation      // by change ID; see committedKeyPrefix for the committed policy
 
 	// Fences and versions.
 	fenceOrderedFor   string // the change for which a fence was ordered, "": none
@@ -56,8 +56,8 @@
 }
 
 // orderOutstanding gives the request side every order that follows from the state and that it
-// wasn't given yet. Before the first lease of this incarnation there are no orders, since the
-// state may be out of date.
+// wasn't given yet. It requests the validations of the committed policy and of the change under way.
+// Before the first lease of this incarnation there are neither, since the state may be out of date.
 func (c *Core) orderOutstanding() {
 	if !c.caughtUp || c.stateError != nil {
 		return
@@ -131,7 +131,8 @@
 }
 
 // orderInvalidation orders an invalidation once. If the invalidation excludes this controller's
-// site, it is reported as done, since none of its data is here.
+// site, it is reported as done, since none of its data is here. Once the log has the data as erased
+// everywhere, this controller's reports on the invalidation are deleted.
 func (c *Core) orderInvalidation(purge *statemachine.Purge) {
 	ordered := c.invalidationsOrdered[purge.ID]
 	if purge.Stage == fleet.EntryErased {
--- a/internal/fleet/node/leader.go
+++ b/internal/fleet/node/leader.go
@@ -12,8 +12,8 @@
 )
 
 const (
-	// throttleElections is in election timeouts: for so long the same proposal isn't repeated,
-	// since it may be under way.
+	// throttleElections is in election timeouts: the same proposal isn't repeated for so long,
+	// since the first one may be under way.
 	throttleElections = 2
 	// A leader re-evaluates its work each half of the heartbeat interval, and checks for a
 	// pending confirmation each quarter.
@@ -43,7 +43,7 @@
 	confirming     []unconfirmedRenewal // in the current confirmation
 	toConfirm      []unconfirmedRenewal // in the next one
 
-	// Configuration changes, invalidations and emergencies under way.
+	// Policy changes, invalidations and emergencies under way.
 	reevaluate   bool // an event may have advanced one of them
 	evaluatedAt  time.Duration
 	lastTried    map[string]time.Duration // when each proposal was last made, by its throttle key
@@ -203,7 +203,7 @@
 	c.throttle(key, func() { c.propose(e) })
 }
 
-// setWaitingFor records the controllers that a change or invalidation waits for.
+// setWaitingFor records the controllers that a change or invalidation waits for, if there are any.
 func (c *Core) setWaitingFor(id string, names []string) {
 	if len(names) > 0 {
 		c.waitingFor[id] = names
--- a/internal/fleet/node/lease.go
+++ b/internal/fleet/node/lease.go
@@ -173,7 +173,8 @@
 	c.confinedLeaseUntil = 0
 }
 
-// activateLeases activates the granted leases whose log index is applied.
+// activateLeases activates the granted leases whose log index is applied, and drops the other ones that have
+// already ended.
 func (c *Core) activateLeases() {
 	// The two ends are tracked separately: one lease may have no end while the other is renewed.
 	until := c.leaseUntil
--- a/internal/fleet/node/lease_granting.go
+++ b/internal/fleet/node/lease_granting.go
@@ -98,9 +98,10 @@
 	acceptRepeats repeatRule = true  // sent by a relay, whose messages come in order: it is current again
 )
 
-// admitRenewal records the state that a controller reports, unless a newer report was recorded.
-// known reports whether the log has the controller in its present role; without that it gets no
-// lease. refusal is set if the controller is refused for good.
+// admitRenewal records the state that a controller reports, unless a newer report was recorded, and
+// proposes an entry if the log doesn't have the controller's present Member. known reports whether
+// the log has the controller in its present role; without that it gets no lease. refusal is set if
+// the controller is refused for good.
 func (c *Core) admitRenewal(
 	name, disk string, r *LeaseRenewal, repeats repeatRule,
 ) (refusal string, known bool) {
@@ -202,7 +203,8 @@
 
 // leadershipConfirmed grants the leases that waited for the confirmation. index is the commit
 // index when the confirmation began; a holder must apply the log up to it before its lease is
-// active.
+// active. The leader is ready once it has applied the log up to such an index; until then each
+// confirmation is followed by another.
 func (c *Core) leadershipConfirmed(handle, index uint64) {
 	if handle != c.confirmHandle || !c.isLeader {
 		return
@@ -237,7 +239,8 @@
 	})
 }
 
-// leadershipDenied drops the renewals of a failed confirmation; their senders repeat them.
+// leadershipDenied drops the renewals of a failed confirmation; their senders repeat them. A leader that
+// isn't ready asks for another confirmation.
 func (c *Core) leadershipDenied(handle uint64) {
 	if handle != c.confirmHandle {
 		return
--- a/internal/fleet/node/lease_holders.go
+++ b/internal/fleet/node/lease_holders.go
@@ -8,7 +8,7 @@
 
 // mayHoldLease reports whether a controller may hold a lease of a given duration, to this leader's
 // knowledge. A lease that an earlier leader granted has ended once its duration has passed since
-// this controller became the leader.
+// this controller became the leader. If leases have no end, every member may hold one.
 func (c *Core) mayHoldLease(name string, lease time.Duration) bool {
 	m := c.state.Members[name]
 	switch {
@@ -33,7 +33,8 @@
 	return time.Duration(float64(span) * (1 + 2*c.config.ClockDrift))
 }
 
-// shorterLease returns the duration of the lease for confined tenants and kept results.
+// shorterLease returns the shorter duration of the two leases. Kept results are served only while both leases
+// are valid.
 func (c *Core) shorterLease() time.Duration { return min(c.config.Lease, c.config.ConfinedLease) }
 
 // unconfirmedHolders returns the sorted names of the controllers that may hold a lease and whose
--- a/internal/fleet/node/log_follower.go
+++ b/internal/fleet/node/log_follower.go
@@ -131,7 +131,8 @@
 }
 
 // sendLogTo sends a follower the entries that it lacks, or a snapshot if those entries are no
-// longer in recentEntries.
+// longer in recentEntries. It sends nothing to a voter, which gets the log through consensus, nor to
+// a follower that was silent for followerSilentAfter.
 func (c *Core) sendLogTo(name string, f *follower) {
 	switch {
 	case name == c.config.Self.Name, f.isVoter && c.isVoter(name):
--- a/internal/fleet/node/messages.go
+++ b/internal/fleet/node/messages.go
@@ -9,8 +9,8 @@
 // message is acknowledged. A message that is lost, duplicated, reordered or late does no harm
 // beyond the delay that its type's comment names.
 
-// Message is one message from a controller to another. Exactly one of the fields after
-// Disk is set.
+// Message is one message from a controller to another. Exactly one of the fields after DiskID
+// is set.
 type Message struct {
 	From   string `cbor:"From"`
 	To     string `cbor:"To"`
--- a/internal/fleet/node/node.go
+++ b/internal/fleet/node/node.go
@@ -46,12 +46,12 @@
 	aggregator *renewalAggregator // nil: this controller isn't a relay
 	requests   []*operatorRequest // awaiting a response
 
-	// Counts counts refused and unexpected messages, for the status.
+	// Counts has the number of dropped messages by reason, for the status.
 	Counts map[string]int
 }
 
 // New returns a Core that continues from Config.Persisted, and its first effects. It fails if
-// the persisted state can't be decoded.
+// the persisted state can't be decoded, or if consensus can't start from it.
 func New(config Config) (*Core, []Effect, error) {
 	config.Lease = foreverIfZero(config.Lease)
 	config.ConfinedLease = foreverIfZero(config.ConfinedLease)
@@ -248,6 +248,7 @@
 	c.emit(Effect{Kind: LogMessage, LogAlways: always, LogText: fmt.Sprintf(format, args...)})
 }
 
+// logError logs an error at every log level.
 func (c *Core) logError(err fleet.ErrorWithRemedy) {
 	c.emit(Effect{Kind: LogMessage, LogAlways: true, Err: err, LogText: err.Error()})
 }
--- a/internal/fleet/node/persistence.go
+++ b/internal/fleet/node/persistence.go
@@ -34,7 +34,8 @@
 	done.onPersisted()
 }
 
-// compact replaces the log by a snapshot once it has SnapshotAfterEntries new entries.
+// compact replaces the log by a snapshot once it has SnapshotAfterEntries new entries and no write is
+// pending.
 func (c *Core) compact() {
 	if c.entriesSinceSnapshot < c.config.SnapshotAfterEntries {
 		return
--- a/internal/fleet/node/policy_validation.go
+++ b/internal/fleet/node/policy_validation.go
@@ -29,20 +29,22 @@
 	done     bool
 
 	// The result.
-	reason      string // why this controller can't serve by the policy, "": it can
-	purgeScopes []fleet.Scope
-	voters      []string
+	reason      string        // why this controller can't serve by the policy, "": it can
+	purgeScopes []fleet.Scope // Event.PurgeScopes
+	voters      []string      // Event.Voters
 }
 
-// validatePolicy requests the validation of a policy against this controller's configuration.
+// validatePolicy requests the validation of a policy against this controller's configuration. It
+// replaces an earlier validation with the same key. policyValidated handles the result.
 func (c *Core) validatePolicy(key string, version uint64, text []byte) {
 	c.validations[key] = &validation{version: version, checksum: xxhash.Sum64(text)}
 	c.emit(Effect{Kind: ValidatePolicy, ValidationKey: key, PolicyText: text})
 }
 
 // committedPolicy returns the committed policy after its validation, nil if this controller can't
-// serve by it. It requests the validation if needed and returns pending until that is done. A
-// policy that the request side was already ordered to decide by is returned as it is.
+// serve by it. It requests the validation if needed and returns pending until that is done. If the
+// request side was already ordered to decide by the committed version, committedPolicy returns the
+// policy of that version without comparing its checksum.
 func (c *Core) committedPolicy() (policy *validatedPolicy, pending bool) {
 	policy = c.policies[c.state.Version]
 	checksum := xxhash.Sum64(c.state.Policy)
@@ -56,7 +58,8 @@
 	return nil, !c.validations[key].done
 }
 
-// policyValidated handles the result of a validation.
+// policyValidated stores the result of a requested validation, and the policy if this controller can
+// serve by it. If the controller can't serve by the committed policy, it logs an UnfitError.
 func (c *Core) policyValidated(ev Event) {
 	v := c.validations[ev.ValidationKey]
 	if v == nil || v.done {
@@ -81,7 +84,8 @@
 	c.orderOutstanding()
 }
 
-// emergencyRules returns the committed residency rules that allow further sites in an emergency.
+// emergencyRules returns the residency rules of the committed policy that allow further sites in an
+// emergency. It returns none until the request side was ordered to decide by the committed version.
 func (c *Core) emergencyRules() []fleet.EmergencyRule {
 	policy := c.policies[c.state.Version]
 	if policy == nil || c.orderedVersion != c.state.Version {
@@ -90,8 +94,10 @@
 	return policy.emergencyRules
 }
 
-// residencyRulesUnknown reports whether the committed policy may have residency rules that this
-// process doesn't know.
+// residencyRulesUnknown reports whether the validated policy of the committed version leaves the
+// residency rules to the controllers' configurations, which this process doesn't know. It returns
+// false while no policy of that version is validated. The caller must check that the request side
+// was ordered to decide by the committed version.
 func (c *Core) residencyRulesUnknown() bool {
 	policy := c.policies[c.state.Version]
 	return policy != nil && policy.residencyRulesUnknown
--- a/internal/fleet/node/roster.go
+++ b/internal/fleet/node/roster.go
@@ -7,12 +7,12 @@
 	"railrelay.dev/railrelay/internal/fleet"
 )
 
-// roster caches the member names of the log without the forgotten ones. Over the years most
-// names in the log become forgotten ones; with the roster they cost no time per step.
+// roster caches the names of the members in the state without the forgotten ones. Over the years
+// most names in the state become forgotten ones; with the roster they cost no time per step.
 type roster struct {
 	members []string // names that aren't forgotten, sorted; nil: to be rebuilt
-	// forgottenAt is when this process learned that a name is forgotten. A name is removed once
-	// its last lease must have ended.
+	// forgottenAt is when this process learned that a name is forgotten. expireForgotten removes
+	// a name once its last lease must have ended.
 	forgottenAt map[string]time.Duration
 	// stateTakenAt is when this process loaded a whole state. Its forgotten names may have been
 	// forgotten a moment before.
@@ -36,7 +36,7 @@
 	c.roster = roster{forgottenAt: map[string]time.Duration{}, stateTakenAt: c.now}
 }
 
-// memberNames returns the sorted names in the log that aren't forgotten.
+// memberNames returns the sorted names in the state that aren't forgotten.
 func (c *Core) memberNames() []string {
 	if c.roster.members == nil {
 		c.roster.members = make([]string, 0, len(c.state.Members))
@@ -50,11 +50,13 @@
 	return c.roster.members
 }
 
-// possibleHolders returns the sorted names of all controllers that may hold a lease.
+// possibleHolders returns the sorted names of all controllers that may hold a lease. Until
+// longestLease has passed since a whole state was loaded, these are all names in the state, because
+// the state doesn't tell when a name was forgotten.
 func (c *Core) possibleHolders() []string {
 	span := c.longestLease()
 	if c.now < c.roster.stateTakenAt+span {
-		return sorted(c.state.Members) // a name that is forgotten in the state may still hold a lease
+		return sorted(c.state.Members)
 	}
 	c.expireForgotten(span)
 	if len(c.roster.forgottenAt) == 0 {
--- a/internal/fleet/node/route.go
+++ b/internal/fleet/node/route.go
@@ -49,6 +49,8 @@
 
 // upstreams returns where the next renewal is sent: by the current route, by one more route while
 // the current one doesn't answer, and at times by the first relay if it isn't the current route.
+// Voters, leaders and controllers without relays send their renewals directly, as does a relay
+// whose renewal is overdue, which also sends it to a voter.
 func (c *Core) upstreams() (to []Upstream) {
 	switch {
 	case c.consensus != nil || c.isLeader:
--- a/internal/fleet/scope.go
+++ b/internal/fleet/scope.go
@@ -4,7 +4,7 @@
 
 // Matches reports whether the scope covers data of a team and its table groups that was
 // retained at a wall time, in milliseconds since 1970. Data whose team ("") or tables (none)
-// are unknown is covered too.
+// are unknown is covered too. Matches ignores OutsideSites.
 func (s *Scope) Matches(team string, tables []int64, wall int64) bool {
 	return (s.Team == team || team == "") &&
 		(len(s.Tables) == 0 || len(tables) == 0 || TablesOverlap(tables, s.Tables)) &&
--- a/internal/fleet/statemachine/apply.go
+++ b/internal/fleet/statemachine/apply.go
@@ -36,7 +36,8 @@
 	}
 }
 
-// applyMembership adds or forgets a member. A forgotten name or disk never joins again.
+// applyMembership adds or forgets a member. A name never joins again once it is forgotten, nor with another
+// disk.
 func (s *State) applyMembership(e *fleet.Entry) {
 	have := s.Members[e.Name]
 	switch {
@@ -168,7 +169,7 @@
 	s.markEnded(id)
 }
 
-// markEnded records an ended change or purge, and forgets the oldest one past maxEndedIDs.
+// markEnded records an ended change or purge. Beyond maxEndedIDs it deletes the oldest one from the state.
 func (s *State) markEnded(id string) {
 	if slices.Contains(s.EndedIDs, id) {
 		return
--- a/internal/fleet/statemachine/outcome.go
+++ b/internal/fleet/statemachine/outcome.go
@@ -2,8 +2,11 @@
 
 import "railrelay.dev/railrelay/internal/fleet"
 
-// Outcome returns what the state says of a request. The response's Outcome is "unknown" until
-// the outcome is final; a final outcome never changes.
+// Outcome returns what the state says of an apply, purge, forget or bind request. The response's
+// Outcome is "unknown" until the request is applied and its change or purge, if any, has reached the
+// awaited stage or was refused or aborted. Any other outcome is final, with two exceptions:
+// "unreachable" becomes "purged" once the data is erased, and the outcome is "unknown" again once
+// the state has forgotten an old change or purge (maxEndedIDs).
 func (s *State) Outcome(a *fleet.Request) *fleet.Response {
 	r := &fleet.Response{ID: a.ID, Outcome: "unknown"}
 	switch a.Kind {
@@ -23,6 +26,8 @@
 	return r
 }
 
+// changeOutcome sets the outcome of an apply request. It leaves the outcome unknown while the change is
+// under way and, if "settled" is awaited, until nothing is left outside the sites of the policy.
 func (s *State) changeOutcome(a *fleet.Request, r *fleet.Response) {
 	c := s.Changes[a.ID]
 	if c == nil {
@@ -46,12 +51,17 @@
 	}
 }
 
+// purgeOutcome sets the outcome of a purge request: "refused" if the request is of a team that doesn't
+// own the purge, "purged" once the data is erased, and "unreachable" before that if the request awaits
+// this stage. The stages are named like the kinds of the log entries that begin them.
 func (s *State) purgeOutcome(a *fleet.Request, r *fleet.Response) {
 	purge := s.Purges[a.ID]
 	if purge == nil {
 		return
 	}
-	if a.Team != "" && purge.Scope.Team != a.Team { // other teams must not learn whether the purge exists
+	// The refusal tells nothing of another team's purge but that the ID is taken: for an ID without a
+	// purge the outcome is unknown.
+	if a.Team != "" && purge.Scope.Team != a.Team {
 		r.Outcome, r.Reason = Refused, "no purge of this team has this id"
 		return
 	}
--- a/internal/fleet/transport/keys.go
+++ b/internal/fleet/transport/keys.go
@@ -22,8 +22,9 @@
 )
 
 // ReadKeys reads a key file: one key per line in hex or base64; # begins a comment. A line that is
-// valid hex is decoded as hex. ReadKeys returns a KeyFileError for a file that users other than
-// its owner can read or write, because anyone who has a key can change every team's policy.
+// valid hex is decoded as hex. Every error is a *KeyFileError. The file must be a regular file of at
+// most 64 KiB with one or two keys. Users other than its owner must have no access to it, because
+// anyone who has a key can change every team's policy.
 func ReadKeys(path string) (Keys, error) {
 	f, err := os.Open(path)
 	if err != nil {
@@ -74,7 +75,8 @@
 	return keys, nil
 }
 
-// validate checks keys that weren't read by ReadKeys.
+// validate checks that there is a key and that no key is too short, since the keys may not come from
+// ReadKeys. Unlike ReadKeys, it doesn't limit the number of keys.
 func (k Keys) validate() error {
 	for _, key := range k {
 		if len(key) < minKeyBytes {
@@ -92,6 +94,7 @@
 // purpose is an unambiguous separator.
 func (k Keys) sign(purpose string, body []byte) []byte { return mac(k[0], purpose, body) }
 
+// mac returns the MAC of body for a purpose.
 func mac(key []byte, purpose string, body []byte) []byte {
 	h := hmac.New(sha256.New, key)
 	h.Write([]byte("railrelay " + purpose + "\x00"))
