--- a/internal/fleet/consensus/core.go
+++ b/internal/fleet/consensus/core.go
@@ -228,7 +228,7 @@
 		clear(c.snapshotsInFlight)
 		c.electionTimerStart, c.nextHeartbeat = c.now, c.now
 		c.drawElectionDelay()
-		c.denyConfirms(true)
+		c.denyConfirms(allConfirms)
 	}
 	name := c.names[status.Lead]
 	if name != c.leader || name != "" && status.GetTerm() != c.leaderTerm {
@@ -252,7 +252,7 @@
 				}
 			}
 		}
-		c.denyConfirms(false)
+		c.denyConfirms(overdueConfirms)
 	case c.isVoter() && c.now >= c.electionTimerStart+c.electionDelay:
 		c.electionTimerStart = c.now
 		c.drawElectionDelay()
@@ -278,6 +278,12 @@
 	c.raft.ReadIndex(request)
 }
 
+// Values of denyConfirms's all.
+const (
+	overdueConfirms = false
+	allConfirms     = true
+)
+
 // denyConfirms denies the pending confirmations past their deadline, or all of them.
 func (c *Core) denyConfirms(all bool) {
 	c.pendingConfirms = slices.DeleteFunc(c.pendingConfirms, func(pending pendingConfirm) bool {
--- a/internal/fleet/node/leader.go
+++ b/internal/fleet/node/leader.go
@@ -92,7 +92,7 @@
 		foundSince:    map[string]time.Duration{},
 	}
 	c.resetAggregator()
-	c.logf(true, "this controller is the leader: %v", leads)
+	c.logf(atEveryLevel, "this controller is the leader: %v", leads)
 	c.renewAt = c.now
 	c.reevaluate = true
 	c.followersBehind = true
--- a/internal/fleet/node/lease.go
+++ b/internal/fleet/node/lease.go
@@ -193,7 +193,7 @@
 	}
 	if !c.caughtUp {
 		c.caughtUp = true
-		c.logf(false, "caught up with the replicated log, at index %d", c.state.Index)
+		c.logf(atInfoLevel, "caught up with the replicated log, at index %d", c.state.Index)
 	}
 	c.leaseUntil = until
 	c.confinedLeaseUntil = confinedUntil
--- a/internal/fleet/node/log_follower.go
+++ b/internal/fleet/node/log_follower.go
@@ -62,7 +62,7 @@
 	c.leader = update.Leader
 	c.votedOut = true
 	c.persistIndex = c.state.Index
-	c.logf(true, "this controller is no longer a voter: the other voters removed it")
+	c.logf(atEveryLevel, "this controller is no longer a voter: the other voters removed it")
 }
 
 // receiveLogRequest has the log sent to a follower from the first entry that it lacks.
--- a/internal/fleet/node/node.go
+++ b/internal/fleet/node/node.go
@@ -100,7 +100,7 @@
 	snapshotAsFollower := persisted.Snapshot != nil && len(persisted.Snapshot.VoterConfig) == 0
 	switch {
 	case snapshotAsFollower && hasVoted:
-		c.logf(false, "requesting the log entries after %d again: the persisted ones may not be committed",
+		c.logf(atInfoLevel, "requesting the log entries after %d again: the persisted ones may not be committed",
 			c.state.Index)
 		return nil
 	case (named || hasVoted) && !snapshotAsFollower:
@@ -243,6 +243,12 @@
 
 func (c *Core) emit(e Effect) { c.effects = append(c.effects, e) }
 
+// Values of logf's always.
+const (
+	atInfoLevel  = false
+	atEveryLevel = true
+)
+
 // logf logs a line; with always it is written at every log level.
 func (c *Core) logf(always bool, format string, args ...any) {
 	c.emit(Effect{Kind: LogMessage, LogAlways: always, LogText: fmt.Sprintf(format, args...)})
--- a/internal/fleet/node/replicated_log.go
+++ b/internal/fleet/node/replicated_log.go
@@ -28,7 +28,7 @@
 	c.recentEntries = append(c.recentEntries, r)
 	c.entriesSinceSnapshot++
 	if c.state.Version != versionBefore {
-		c.logf(true, "policy: version %d is in force", c.state.Version)
+		c.logf(atEveryLevel, "policy: version %d is in force", c.state.Version)
 	}
 	c.stateChanged()
 }
--- a/internal/fleet/node/voting.go
+++ b/internal/fleet/node/voting.go
@@ -120,10 +120,10 @@
 	if c.consensus != nil || c.votedOut || !c.namedToVote() || len(c.pendingWrites) > 0 || c.stateError != nil {
 		return
 	}
-	c.logf(true, "this controller is now a voter")
+	c.logf(atEveryLevel, "this controller is now a voter")
 	persisted := consensus.PersistentState{HardState: consensus.WithoutCommitIndex(c.hardState)}
 	if err := c.startConsensus(persisted, nil); err != nil {
-		c.logf(true, "can't become a voter: %v", err)
+		c.logf(atEveryLevel, "can't become a voter: %v", err)
 	}
 }
 
@@ -135,6 +135,6 @@
 		c.consensus = nil
 		c.leader = ""
 		c.persistIndex = c.state.Index
-		c.logf(true, "this controller is no longer a voter")
+		c.logf(atEveryLevel, "this controller is no longer a voter")
 	}
 }
--- a/internal/fleet/transport/peer_transport.go
+++ b/internal/fleet/transport/peer_transport.go
@@ -340,7 +340,7 @@
 		}
 		if time.Since(lastSuccess) > t.options.IdleTimeout {
 			t.count("dropped", p.dropAll())
-			if p.stopUnlessQueued(false) {
+			if p.stopUnlessQueued(onlyIfEmpty) {
 				return
 			}
 			lastSuccess = time.Now()
@@ -350,12 +350,18 @@
 		select {
 		case <-timer.C:
 		case <-t.ctx.Done():
-			p.stopUnlessQueued(true)
+			p.stopUnlessQueued(evenIfQueued)
 			return
 		}
 	}
 }
 
+// Values of stopUnlessQueued's force.
+const (
+	onlyIfEmpty  = false
+	evenIfQueued = true
+)
+
 // stopUnlessQueued marks the goroutine as ended, and reports true, unless messages are queued and
 // force is false.
 func (p *peer) stopUnlessQueued(force bool) bool {
