--- a/internal/fairqueue/admission.go
+++ b/internal/fairqueue/admission.go
@@ -83,8 +83,9 @@
 	estimate := fq.estimateWait(q)
 	wait = estimate
 	// A query behind others of its tenant is rejected if its age at the start would exceed three
-	// fifths of the ageing limit. For the first query of a tenant, ageing bounds the wait whatever
-	// the tenant's weight, so the estimate is capped instead.
+	// fifths of the ageing limit, unless its wait is at most a fifth of the limit. For the first query
+	// of a tenant, ageing bounds the wait whatever the tenant's weight, so the estimate is capped
+	// instead.
 	limit := fq.config.AgeingLimit*3/5 - (q.enqueuedAt - q.ArrivedAt)
 	if leaf.queues[q.Lane].First() == nil {
 		wait = min(estimate, fq.config.AgeingLimit)
--- a/internal/fairqueue/config.go
+++ b/internal/fairqueue/config.go
@@ -20,8 +20,8 @@
 
 	// AgeingLimit is the wait after which a query is dispatched before all younger queries of
 	// its lane, regardless of tenant. A query that has queries of its own tenant ahead is only
-	// admitted if its estimated wait is at most three fifths of this limit. The zero value
-	// means DefaultAgeingLimit.
+	// admitted if its estimated age at the start is at most three fifths of this limit, or its
+	// estimated wait at most a fifth. The zero value means DefaultAgeingLimit.
 	AgeingLimit time.Duration
 	// MaxWaiting limits the waiting queries of all tenants together. The zero value means
 	// DefaultMaxWaiting.
--- a/internal/fairqueue/dispatch.go
+++ b/internal/fairqueue/dispatch.go
@@ -108,7 +108,7 @@
 }
 
 // dequeue removes a query from its lane, its tenant's queue, its chain's order and the backlogs.
-// It stays in the order of its key.
+// The query stays in the order of its key.
 func (fq *Queue) dequeue(q *Query, l *laneState) {
 	fq.makeIneligible(q)
 	l.waitingByAge.Remove(&q.ageElement)
--- a/internal/fairqueue/wait_estimate.go
+++ b/internal/fairqueue/wait_estimate.go
@@ -483,9 +483,9 @@
 const maxChainHold = time.Second
 
 // FirstEstimate returns the first wait estimate of an admitted query. The owner calls it after it has
-// dispatched all queries that Next returns. The result is 0 if the query has started, the estimate of
-// Enqueue if it waits, and the expected time until the lane's next start if the query was dispatched but
-// not sent.
+// dispatched all queries that Next returns. The result is 0 if the query has started, and the estimate of
+// Enqueue if the query waits. If the query was dispatched but not sent, the result is the longer one of
+// that estimate and the expected time until the lane's next start, which counts for at most a second.
 func (fq *Queue) FirstEstimate(now time.Duration, q *Query) time.Duration {
 	fq.advance(now)
 	switch {
--- a/internal/fleet/node/emergency.go
+++ b/internal/fleet/node/emergency.go
@@ -62,8 +62,8 @@
 
 // endObsoleteEmergencies ends emergencies whose rule is no longer in the committed policy.
 // Otherwise nothing would end them, and a later rule of the same name would start with its
-// further sites allowed. A control process that doesn't know the controllers' own rules leaves
-// the emergencies to a leader that does.
+// further sites allowed. No data is purged, since the entry has no Scope. A control process that
+// doesn't know the controllers' own rules leaves the emergencies to a leader that does.
 func (c *Core) endObsoleteEmergencies() {
 	if c.orderedVersion != c.state.Version || c.residencyRulesUnknown() {
 		return
--- a/internal/fleet/statemachine/apply.go
+++ b/internal/fleet/statemachine/apply.go
@@ -110,8 +110,8 @@
 	}
 }
 
-// applyEmergency begins or ends a rule's emergency. At its end the data outside the rule's own
-// sites is purged.
+// applyEmergency begins or ends a rule's emergency. At its end the data in the entry's Scope is purged,
+// if it has one.
 func (s *State) applyEmergency(e *fleet.Entry) {
 	beganAt, active := s.Emergencies[e.Name]
 	switch {
--- a/internal/fleet/storage/disk.go
+++ b/internal/fleet/storage/disk.go
@@ -53,7 +53,7 @@
 type Disk struct {
 	mu         sync.Mutex
 	db         *bbolt.DB
-	err        error // of the first failed write, after which the disk's content is unknown
+	err        error // of the first failed write, after which the disk's content is unknown; Close sets it too
 	contents   Contents
 	logRange   logRange
 	writeFault func() error // Options.WriteFault
