--- a/internal/fleet/driver/open.go
+++ b/internal/fleet/driver/open.go
@@ -25,7 +25,7 @@
 	Directory      string
 	KeyFile        string
 	StartTime      time.Time // origin of the node's time, the same as the controller's
-	CheckPolicy    func(changeID string, text []byte, context PolicyContext) PolicyVerdict
+	CheckPolicy    func(validationKey string, text []byte, context PolicyContext) PolicyVerdict
 	Log            zerolog.Logger
 
 	// OpenStore opens a store that replaces the one at Directory. May be nil.
@@ -160,7 +160,8 @@
 	return l, nil
 }
 
-// serve starts to serve peers and operators on behalf of the driver.
+// serve starts to serve peers and operators on behalf of the driver. It sets the driver's peers, closeAll
+// and reloadKeys.
 func (p *openedParts) serve(d *Driver, config *node.Config, keys transport.Keys) error {
 	o := p.options
 	onRefused := func(err fleet.ErrorWithRemedy, from string) {
--- a/internal/fleet/node/node.go
+++ b/internal/fleet/node/node.go
@@ -46,12 +46,12 @@
 	aggregator *renewalAggregator // nil: this controller isn't a relay
 	requests   []*operatorRequest // awaiting a response
 
-	// Counts counts refused and unexpected messages, for the status.
+	// Counts has the number of dropped messages by reason, for the status.
 	Counts map[string]int
 }
 
 // New returns a Core that continues from Config.Persisted, and its first effects. It fails if
-// the persisted state can't be decoded.
+// the persisted state can't be decoded, or if consensus can't start from it.
 func New(config Config) (*Core, []Effect, error) {
 	config.Lease = foreverIfZero(config.Lease)
 	config.ConfinedLease = foreverIfZero(config.ConfinedLease)
@@ -100,7 +100,7 @@
 	snapshotAsFollower := persisted.Snapshot != nil && len(persisted.Snapshot.VoterConfig) == 0
 	switch {
 	case snapshotAsFollower && hasVoted:
-		c.logf(false, "requesting the log entries after %d again: the persisted ones may not be committed",
+		c.logf(atInfoLevel, "requesting the log entries after %d again: the persisted ones may not be committed",
 			c.state.Index)
 		return nil
 	case (named || hasVoted) && !snapshotAsFollower:
@@ -243,11 +243,18 @@
 
 func (c *Core) emit(e Effect) { c.effects = append(c.effects, e) }
 
+// Values of logf's always.
+const (
+	atInfoLevel  = false
+	atEveryLevel = true
+)
+
 // logf logs a line; with always it is written at every log level.
 func (c *Core) logf(always bool, format string, args ...any) {
 	c.emit(Effect{Kind: LogMessage, LogAlways: always, LogText: fmt.Sprintf(format, args...)})
 }
 
+// logError logs an error at every log level.
 func (c *Core) logError(err fleet.ErrorWithRemedy) {
 	c.emit(Effect{Kind: LogMessage, LogAlways: true, Err: err, LogText: err.Error()})
 }
