--- a/internal/bench/datapath.go
+++ b/internal/bench/datapath.go
@@ -17,8 +17,8 @@
 type Datapath struct {
 	Program       string // path of the railrelay executable
 	Controllers   int    // number of controllers that share the engines, according to the set-up
-	EngineCounts  []int  // numbers of engines to idle with; the largest is used in all other steps
-	QueryRates    []int  // in queries/s
+	EngineCounts  []int  // numbers of engines of the idle steps; all other steps use the largest
+	QueryRates    []int  // rates of queries in queries/s, one for each step
 	ClientCounts  []int  // numbers of idle clients, one for each step
 	StepDuration  time.Duration
 	Seed          uint64
@@ -50,8 +50,8 @@
 	datapathSpareDescriptors = 128
 	// datapathSettleTime is the time from a change of the load to the start of sampling.
 	datapathSettleTime = 3 * time.Second
-	// datapathClientMB and datapathEngineMB are estimates of the memory of one emulated client and of one
-	// emulated engine, by which Check rejects sizes before the start.
+	// datapathClientMB and datapathEngineMB are estimates, in MB, of the memory of one emulated client and of
+	// one emulated engine. Check uses them to reject sizes that need too much memory.
 	datapathClientMB, datapathEngineMB = 0.05, 0.5
 	// datapathMemoryFraction is the fraction of the machine's memory that a measurement may use.
 	datapathMemoryFraction = 0.5
@@ -70,9 +70,8 @@
 	return nil
 }
 
-// Check reports before the start whether this machine can run the measurement. The error is a
-// *capacity.SizeError for an invalid size, or a *capacity.RoomError for a size that exceeds the machine's
-// resources.
+// Check returns an error if the measurement can't run on this machine: a *capacity.SizeError for an invalid
+// size, or a *capacity.RoomError for a size that exceeds the machine's resources.
 func (d Datapath) Check() error {
 	if d.StepDuration < time.Second {
 		return &capacity.SizeError{What: "rest", Why: fmt.Sprintf("%v is below 1 s", d.StepDuration)}
@@ -92,8 +91,8 @@
 		datapathMemoryFraction)
 }
 
-// Measure runs all steps and returns their figures. It prints each figure to out when it is measured, and
-// returns the figures so far with an error.
+// Measure runs all steps and returns their figures. It prints each figure to out as soon as the figure is
+// measured. If a step fails, Measure returns the error and the figures that were measured before.
 func (d Datapath) Measure(ctx context.Context, out io.Writer) ([]capacity.Row, error) {
 	if err := d.Check(); err != nil {
 		return nil, err
@@ -122,7 +121,7 @@
 	r.recordWithSeed(what, size, r.seed, value, unit)
 }
 
-// recordWithSeed adds a figure with another seed.
+// recordWithSeed adds a figure with the given seed.
 func (r *datapathRecorder) recordWithSeed(what string, size int, seed uint64, value float64, unit string) {
 	r.rows = append(r.rows, capacity.Row{Role: datapathRole, What: what, Size: size, Seed: seed, Value: value,
 		Unit: unit, Machine: r.machine, Commit: r.commit})
@@ -256,8 +255,8 @@
 	return d.measureQueryRate(ctx, recorder, "letter", clients, specifiedControllerRate, clients)
 }
 
-// measureQueryRate measures a controller at a rate, in queries/s, from a number of clients. The rows have the
-// given size, and names that begin with prefix.
+// measureQueryRate measures a controller with the largest number of engines while clientCount clients submit
+// queries at a rate, in queries/s. The rows get the given size, and names that begin with prefix.
 func (d Datapath) measureQueryRate(ctx context.Context, recorder *datapathRecorder, prefix string,
 	size, rate, clientCount int) error {
 	s, err := d.start(ctx, d.maxEngines(), longIdleTimeout)
@@ -280,8 +279,8 @@
 	return s.stopController()
 }
 
-// sampleUnderQueries submits queries at a rate and samples the controller's usage once the load has settled.
-// counts then holds the queries of the sampled time.
+// sampleUnderQueries submits queries at a rate, and samples the controller's usage once datapathSettleTime
+// has passed. On return, counts has the queries of the sampled period.
 func (s *datapathTestbed) sampleUnderQueries(clients []net.Conn, rate float64, seed uint64,
 	duration time.Duration, counts *datapathQueryCounts) (datapathUsage, error) {
 	ctx, stop := context.WithCancel(s.ctx)
@@ -300,7 +299,7 @@
 	return usage, err
 }
 
-// recordQueries adds the figures of queries and of the traffic that they cause.
+// recordQueries adds the figures of the queries and of the traffic that the queries cause.
 func (d Datapath) recordQueries(recorder *datapathRecorder, prefix string, size int, usage datapathUsage,
 	counts *datapathQueryCounts) {
 	counts.mu.Lock()
--- a/internal/bench/datapath_clients.go
+++ b/internal/bench/datapath_clients.go
@@ -17,7 +17,7 @@
 // idleConnections are client connections that have sent one readiness request and nothing else.
 type idleConnections struct {
 	connections  []net.Conn
-	openDuration time.Duration // from the first dial until the last connection had its answer
+	openDuration time.Duration // from the first dial to the answer on the last connection
 }
 
 func (c *idleConnections) close() {
@@ -26,7 +26,8 @@
 	}
 }
 
-// openIdleConnections opens n connections to the controller, up to dialsAtOnce at a time.
+// openIdleConnections opens n connections to the controller, up to dialsAtOnce at a time, and sends a
+// readiness request on each connection.
 func openIdleConnections(ctx context.Context, address string, n int) (*idleConnections, error) {
 	const dialsAtOnce = 256
 	start := time.Now()
@@ -64,8 +65,8 @@
 }
 
 // secondsUntilClosed waits until the controller has closed all connections or the timeout has passed. It
-// returns the time from the call to the close of each connection, and omits the connections that are still
-// open.
+// returns the time from the call to the close of each connection, in seconds, and omits the connections that
+// are still open.
 func (c *idleConnections) secondsUntilClosed(timeout time.Duration) []float64 {
 	start := time.Now()
 	var mu sync.Mutex
@@ -110,14 +111,14 @@
 	counts      *datapathQueryCounts
 	mu          sync.Mutex
 	lastMessage uint32
-	dueTimes    map[uint32]time.Time // of the open queries, by message id
+	dueTimes    map[uint32]time.Time // due time of each open query, by message ID
 }
 
-// maxOpenQueries is the limit of open queries on one connection, which the protocol sets to 32.
+// maxOpenQueries is the protocol's limit on the number of open queries of one connection.
 const maxOpenQueries = 32
 
-// submit sends a query whose latency counts from due. It returns false and sends nothing if the connection
-// already has maxOpenQueries open queries.
+// submit sends a query whose latency is measured from due. It returns false and sends nothing if the
+// connection already has maxOpenQueries open queries.
 func (c *datapathClient) submit(due time.Time, statement []byte) (bool, error) {
 	c.mu.Lock()
 	if len(c.dueTimes) >= maxOpenQueries {
@@ -156,17 +157,18 @@
 	}
 }
 
-// lookupCPUTime is the CPU time of a query, which runs on one thread. At 1,486 queries/s, the
-// specifiedEngineRate, an engine of 8 cores is slightly less than half busy.
+// lookupCPUTime is the CPU time of a query. At specifiedEngineRate, which is 1,486 queries/s, an engine with
+// 8 cores is slightly less than half busy.
 const lookupCPUTime = 2500 * time.Microsecond
 
+// lookupWork returns the work of a query that runs on one thread.
 func lookupWork(tableGroup int64) engine.Work {
 	return engine.Work{Threads: 1, CPU: lookupCPUTime, MemoryMB: 1, TableGroup: tableGroup, Rows: 1,
 		PlanFactor: 1}
 }
 
 // submitQueriesAtRate submits queries at a rate, in queries/s, until ctx ends. It uses the connections in
-// turn, with exponentially distributed gaps between queries that follow from the seed. A query whose
+// turn. The gaps between queries are exponentially distributed and follow from the seed. A query whose
 // connection already has maxOpenQueries open queries is counted as submitted but not sent.
 func submitQueriesAtRate(ctx context.Context, connections []net.Conn, rate float64, seed uint64,
 	counts *datapathQueryCounts) error {
--- a/internal/bench/datapath_stage.go
+++ b/internal/bench/datapath_stage.go
@@ -26,8 +26,8 @@
 	controllerTestbed
 	engines      []*engine.Listener
 	feedListener *feed.Listener
-	// startDuration is the time from the start of the controller's process until the controller was ready,
-	// which includes that it had the list of engines.
+	// startDuration is the time from the start of the controller's process until the controller was ready. A
+	// controller is ready only if it has the list of engines.
 	startDuration time.Duration
 }
 
@@ -35,8 +35,8 @@
 // clients, so 7,414 clients need more than 22,242 descriptors.
 const datapathLimits = "limits: {cores: 1, memory_mb: 512, sockets: 24000}"
 
-// datapathSetup returns the controller's set-up file, with two resource groups and two teams. idle is the
-// idle timeout of client connections; if it is empty, the default limits apply to clients.
+// datapathSetup returns the controller's set-up file, with two resource groups and two tenants. idle is the
+// idle timeout of client connections. If idle is empty, the default limits apply to clients.
 func datapathSetup(feedAddress, listen, idle string, controllers int, seed uint64) string {
 	var b strings.Builder
 	engineConfig := trialEngineConfig()
@@ -59,7 +59,7 @@
 const longIdleTimeout = "10m"
 
 // start starts engines, a feed that lists them and a controller, and waits until the controller is ready.
-// idle is the parameter of datapathSetup.
+// idle has the same meaning as in datapathSetup.
 func (d Datapath) start(ctx context.Context, engines int, idle string) (s *datapathTestbed, err error) {
 	ctx, stop := context.WithCancel(ctx)
 	s = &datapathTestbed{controllerTestbed: controllerTestbed{ctx: ctx, program: d.Program,
@@ -85,14 +85,14 @@
 }
 
 // externalEngineLoad returns the load that the other controllers cause at one engine: the number of
-// queries and the fraction of cores in use. 1,486 queries/s of 2.5 ms are 3.7 concurrent queries on
-// average; the number has a Poisson distribution, as for independent arrivals.
-func externalEngineLoad(rng *rand.Rand) (held int, cores float64) {
+// queries and the fraction of cores in use. The mean number is 3.7 queries, from 1,486 queries/s that run for
+// 2.5 ms each. The number has a Poisson distribution because the queries arrive independently.
+func externalEngineLoad(rng *rand.Rand) (queries int, cores float64) {
 	const meanQueries = specifiedEngineRate * float64(lookupCPUTime) / float64(time.Second)
 	for elapsed := rng.ExpFloat64(); elapsed < meanQueries; elapsed += rng.ExpFloat64() {
-		held++
+		queries++
 	}
-	return held, min(1, float64(held)/trialEngineConfig().Cores)
+	return queries, min(1, float64(queries)/trialEngineConfig().Cores)
 }
 
 // startEmulators starts the engines and a feed that lists them.
@@ -220,10 +220,10 @@
 	openConnections      float64 // connections to engines, median of the snapshots
 	connectionsOpened    float64 // rate of new connections to engines
 	probes               float64 // rate of health checks and load reports of engines
-	enginesReached       float64 // engines that received queries within a second, median
-	busiestEngineQueries float64 // queries of the engine with the most queries within a second, median
-	// Bytes that the controller sent and received per second, without TCP and IP headers. Control traffic
-	// is not caused by a single query: the feed, probes, and polls of running queries.
+	enginesReached       float64 // engines that received queries, median of all seconds
+	busiestEngineQueries float64 // queries of the engine with the most queries, median of all seconds
+	// The fields below count the bytes that the controller sent and received per second, without TCP and IP
+	// headers. The control traffic consists of the feed, the probes, and the polls of running queries.
 	controlSent, controlReceived float64
 	probesSent, probesReceived   float64
 	pollsSent, pollsReceived     float64
@@ -240,7 +240,7 @@
 }
 
 // queryDistribution compares the queries per engine at two times. It returns the number of engines that
-// received queries in between, and the largest number of queries of one engine.
+// received queries between the two times, and the largest number of queries that one engine received.
 func queryDistribution(before, after []int) (reached, most float64) {
 	for i := range after {
 		if n := after[i] - before[i]; n > 0 {
@@ -251,7 +251,7 @@
 	return reached, most
 }
 
-// sleep waits for a duration, or until the testbed's context ends, whose error it returns.
+// sleep waits for a duration. If the testbed's context ends earlier, sleep returns the context's error.
 func (s *datapathTestbed) sleep(duration time.Duration) error {
 	select {
 	case <-s.ctx.Done():
@@ -261,7 +261,8 @@
 	}
 }
 
-// sample takes snapshots for a duration, samplesPerSecond each second, and returns the usage in that time.
+// sample takes samplesPerSecond snapshots per second for a duration, and returns the usage between the first
+// snapshot and the last.
 func (s *datapathTestbed) sample(duration time.Duration) (datapathUsage, error) {
 	const samplesPerSecond = 4
 	const interval = time.Second / samplesPerSecond
@@ -300,7 +301,7 @@
 	return stat.Quantile(q, stat.Empirical, slices.Sorted(slices.Values(values)), nil)
 }
 
-// usageBetween computes the rates between two snapshots. It leaves the medians at 0.
+// usageBetween returns the usage between two snapshots, in which all fields for medians are 0.
 func usageBetween(first, last datapathSnapshot) datapathUsage {
 	seconds := last.at.Sub(first.at).Seconds()
 	rate := func(now, before int) float64 { return float64(now-before) / seconds }
--- a/internal/bench/datapath_takeover.go
+++ b/internal/bench/datapath_takeover.go
@@ -40,7 +40,7 @@
 	loadCPUTime = 50 * time.Millisecond
 	// minChainLength is the number of successive loads at one engine that identifies the chain's engine.
 	minChainLength = 5
-	// takeoverTimeout is the time limit of each wait for loads at an engine or for answers.
+	// takeoverTimeout limits each wait for loads at an engine, and each wait for the answers to loads.
 	takeoverTimeout = 30 * time.Second
 )
 
@@ -56,7 +56,7 @@
 type loadClient struct {
 	net.Conn
 	mu         sync.Mutex
-	unanswered map[uint32]time.Time // time of submission, by message id
+	unanswered map[uint32]time.Time // time of submission, by message ID
 	answered   []answeredLoad
 }
 
@@ -98,8 +98,8 @@
 	}
 }
 
-// latencyBetween returns the longest latency of the loads submitted in a period, and how many of them did not
-// finish. complete is false while any of them is unanswered.
+// latencyBetween returns the longest latency of the loads that were submitted in a period, and the number of
+// these loads that did not finish. complete is false while any of these loads is unanswered.
 func (l *loadClient) latencyBetween(from, to time.Time) (worst time.Duration, failed int, complete bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -220,7 +220,7 @@
 }
 
 // waitForTakeover waits for the first load after a time at an engine other than failedEngine, and returns
-// the time of its submission.
+// the time at which this load was submitted.
 func waitForTakeover(ctx context.Context, submissions <-chan submittedLoad, failedEngine int,
 	after time.Time) (time.Time, error) {
 	timeout := time.After(takeoverTimeout)
--- a/internal/bench/datapath_test.go
+++ b/internal/bench/datapath_test.go
@@ -35,7 +35,7 @@
 		func(d *Datapath) { d.EngineCounts = []int{1, 10_000_000} },
 	} {
 		d := DefaultDatapath()
-		d.Program = "/nowhere" // starting it would return another error
+		d.Program = "/nowhere" // starting this program would return another error
 		modify(&d)
 		var roomErr *capacity.RoomError
 		rows, err := d.Measure(context.Background(), io.Discard)
@@ -133,8 +133,8 @@
 	}
 }
 
-// Measures a built controller with three engines, idle and under queries, and checks that the figures are
-// recorded and plausible.
+// TestDatapathMeasuresIdleAndQueries measures a controller process with three engines, first idle and then
+// under queries, and checks that the figures are recorded and plausible.
 func TestDatapathMeasuresIdleAndQueries(t *testing.T) {
 	d := DefaultDatapath()
 	d.Program, d.ControllerLog = buildDebugController(t), io.Discard
