--- a/internal/bench/fairness.go
+++ b/internal/bench/fairness.go
@@ -20,7 +20,7 @@
 	"railrelay.dev/railrelay/internal/fairqueue"
 )
 
-// ClientPrefixes contains the addresses of all emulated clients. ClientAddress is one of them.
+// ClientPrefixes contains the addresses of all emulated clients. ClientAddress is the address of one client.
 var (
 	ClientPrefixes = []netip.Prefix{netip.MustParsePrefix("10.0.0.0/8")}
 	ClientAddress  = netip.MustParseAddr("10.1.2.3")
@@ -96,7 +96,7 @@
 	return settings
 }
 
-// DefaultTenants returns a tree of three groups with four tenants each. The weights differ in both levels.
+// DefaultTenants returns a tree of three groups with four tenants each. The weights differ at both levels.
 func DefaultTenants() []fairqueue.Tenant {
 	var groups []fairqueue.Tenant
 	for i, name := range []string{"municipalities", "brigades", "gauges"} {
@@ -110,8 +110,8 @@
 	return groups
 }
 
-// eachLeafTenant calls visit for each tenant without children, with the tenant's weighted share of the whole.
-// share is that of all tenants together.
+// eachLeafTenant calls visit for each tenant without children, with the tenant's part of share. At each level
+// of the tree, the share is divided in proportion to the weights.
 func eachLeafTenant(tenants []fairqueue.Tenant, share float64, visit func(name string, share float64)) {
 	totalWeight := 0.0
 	for _, tenant := range tenants {
@@ -142,16 +142,16 @@
 	// WaitTime is the time in which at least one query that isn't a load waited. IdleTime is the part of
 	// WaitTime in which an engine had a free core.
 	IdleTime, WaitTime time.Duration
-	waitingSince       map[string]time.Duration // by tenant; restarts when one of its queries starts
-	waitingQueries     map[string]int           // by tenant
-	lastStart          map[string]time.Duration // by tenant
-	firstOpen          int                      // index in Queries; all earlier ones are answered or cancelled
-	// MaxStartGap is the longest time for which a tenant's queries waited and none started.
+	waitingSince       map[string]time.Duration // by tenant: time since which queries wait and none has started
+	waitingQueries     map[string]int           // by tenant: number of waiting queries
+	lastStart          map[string]time.Duration // by tenant: start of the latest started query
+	firstOpen          int                      // index in Queries; earlier queries are answered or cancelled
+	// MaxStartGap is the longest time for which queries of a tenant waited while none of them started.
 	MaxStartGap time.Duration
 }
 
 // NewFairnessRun creates a run with equal engines. If queueConfig is nil, the controller has no fair queue.
-// settings override those of ControllerSettings.
+// settings overrides entries of ControllerSettings.
 func NewFairnessRun(
 	seed uint64, engines int, groups []WorkloadGroup, tenants []fairqueue.Tenant,
 	queueConfig *fairqueue.Config, settings map[string]string,
@@ -206,7 +206,7 @@
 		}
 		if query.StartedAt < 0 && !query.Answered && !query.Cancelled && run.Now-query.SubmittedAt > interval {
 			run.waitingQueries[query.Tenant]++
-			isAnyWaiting = isAnyWaiting || query.Group != "load" // loads also wait for earlier loads
+			isAnyWaiting = isAnyWaiting || query.Group != "load" // a load may also wait for earlier loads
 		}
 	}
 	for run.firstOpen < len(run.Queries) &&
@@ -243,8 +243,8 @@
 	}
 }
 
-// SubmitQuery submits a query of a tenant. planFactor multiplies the query's CPU and disk
-// time, for a bad query plan.
+// SubmitQuery submits a query of a tenant. planFactor multiplies the query's CPU and disk time, so a factor
+// above 1 stands for a bad query plan.
 func (run *FairnessRun) SubmitQuery(tenant string, group WorkloadGroup, planFactor float64) *world.Query {
 	connection := run.clients[tenant]
 	if connection == nil || connection.Closed {
@@ -277,7 +277,7 @@
 	return query
 }
 
-// randomGroup draws a group by the groups' shares of the queries.
+// randomGroup draws a group. A group's probability is its share of the queries.
 func (run *FairnessRun) randomGroup() WorkloadGroup {
 	x := run.rng.Float64()
 	for _, group := range run.Groups {
@@ -297,8 +297,8 @@
 }
 
 // SubmitAtRate submits a tenant's queries between two times, as a Poisson process that doesn't wait for
-// answers. load is the queries' CPU time as a fraction of the capacity of all engines. planFactor draws the
-// argument of SubmitQuery for each query; nil means 1.
+// answers. load is the queries' CPU time as a fraction of the capacity of all engines. planFactor is called
+// for the planFactor of each query. If planFactor is nil, each query has the factor 1.
 func (run *FairnessRun) SubmitAtRate(
 	tenant string, load float64, from, to time.Duration, planFactor func() float64,
 ) {
@@ -327,11 +327,11 @@
 	return (estimate - wait).Abs() <= max(25*time.Millisecond, wait/5)
 }
 
-// EstimateSummary summarizes the accuracy of the first wait estimates, and the answers.
+// EstimateSummary is a summary of how accurate the queries' first wait estimates were, and of the answers.
 type EstimateSummary struct {
 	Accurate, Started int           // queries with an accurate estimate, and queries that started
-	WorstRatio        float64       // largest ratio of the wait to its estimate
-	P99               time.Duration // of the waits
+	WorstRatio        float64       // largest ratio of a wait of at least 125 ms to its estimate
+	P99               time.Duration // 99th percentile of the waits
 	Finished          int
 	Deferred          int
 	Killed            int
@@ -342,9 +342,9 @@
 	return float64(s.Accurate) / float64(max(1, s.Started))
 }
 
-// EvaluateEstimates compares the first wait estimates with the actual waits. It counts the queries that
-// filter accepts; nil accepts all. Queries submitted after fairnessLoadDuration are not counted: they only
-// keep up the load until the earlier ones have started.
+// EvaluateEstimates compares the queries' first wait estimates with the actual waits. It counts the queries
+// that filter accepts, or all queries if filter is nil. Queries submitted after fairnessLoadDuration are not
+// counted: they only keep up the load until the earlier queries have started.
 func (run *FairnessRun) EvaluateEstimates(filter func(query *world.Query) bool) (summary EstimateSummary) {
 	var waits []time.Duration
 	for _, query := range run.Queries {
@@ -407,7 +407,8 @@
 	submit     func(run *FairnessRun)
 }
 
-// fairnessLoadDuration is the period whose queries EvaluateEstimates counts.
+// fairnessLoadDuration is the time from the start of a run during which EvaluateEstimates counts the
+// submitted queries.
 const fairnessLoadDuration = 40 * time.Second
 
 func loadPatterns() []loadPattern {
@@ -447,8 +448,9 @@
 
 func emptyQueueConfig() *fairqueue.Config { return &fairqueue.Config{} }
 
-// MeasureFairness measures the fair queue in virtual time against emulated engines, and its speed. It
-// prints the results of each load pattern, and a last line with the totals.
+// MeasureFairness measures the waits under the fair queue in virtual time with emulated engines, and the real
+// time that the fair queue takes per query. It prints the results of each load pattern, and a last line with
+// the totals.
 func MeasureFairness(out io.Writer, seed uint64, detail bool) error {
 	const engines = 6
 	total := EstimateSummary{}
@@ -484,7 +486,7 @@
 	jain := [2]float64{}
 	for i, queueConfig := range []*fairqueue.Config{emptyQueueConfig(), nil} {
 		run := NewFairnessRun(seed, engines, DefaultWorkload(), DefaultTenants(), queueConfig, nil)
-		// All tenants submit at one rate, which is far above every tenant's share.
+		// All tenants submit at the same rate, which is far above every tenant's share.
 		for _, name := range run.TenantNames {
 			run.SubmitAtRate(name, 4.0/float64(len(run.TenantNames)), 0, 45*time.Second, nil)
 		}
@@ -497,12 +499,12 @@
 	p99 := [2]time.Duration{}
 	for i, planFactor := range []float64{1, 20} {
 		var waits []time.Duration
-		for part := range uint64(3) { // three runs, since the p99 of one depends on only a few queries
+		for part := range uint64(3) { // three runs, since the p99 of one run depends on only a few queries
 			run := NewFairnessRun(seed+part<<32, engines, DefaultWorkload(), DefaultTenants(), emptyQueueConfig(), nil)
 			for k, name := range run.TenantNames {
 				run.SubmitAtRate(name, 0.9*run.TenantShares[k], 0, 30*time.Second, nil)
 			}
-			for at := 2 * time.Second; at < 30*time.Second; at += 12 * time.Second { // single queries
+			for at := 2 * time.Second; at < 30*time.Second; at += 12 * time.Second { // the queries with planFactor
 				run.Schedule(at, func() { run.SubmitQuery(run.TenantNames[0], run.Groups[1], planFactor) })
 			}
 			run.RunUntil(45 * time.Second)
--- a/internal/bench/fairness_test.go
+++ b/internal/bench/fairness_test.go
@@ -37,7 +37,8 @@
 	}
 }
 
-// Random combinations of faults of engines, clients and configuration reloads violate no invariant.
+// TestInvariantsHoldUnderRandomFaults combines faults of engines, disconnects and cancellations of clients,
+// and configuration reloads at random. No combination may violate an invariant.
 func TestInvariantsHoldUnderRandomFaults(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		run := NewFairnessRun(rapid.Uint64Range(1, 1000).Draw(t, "seed"), 3,
@@ -298,8 +299,8 @@
 	run.runToEnd(t, 40*time.Second)
 }
 
-// Without a configuration of tenants there is no fair queue: the scheduler gets all queries at once, and
-// clients get no wait notices.
+// Without a configuration of tenants, the controller has no fair queue: the scheduler gets all queries at
+// once, and clients get no wait notices.
 func TestNoWaitNoticeWithoutTenants(t *testing.T) {
 	run := NewFairnessRun(4, 1, DefaultWorkload(), equalTenants("a"), nil, nil)
 	for range 60 {
--- a/internal/bench/golden_test.go
+++ b/internal/bench/golden_test.go
@@ -14,8 +14,8 @@
 	"railrelay.dev/railrelay/internal/goldentest"
 )
 
-// TestGoldenMeasuredLines compares the formats of all lines that begin with "measured". Scripts parse their
-// names and the formats of their numbers.
+// TestGoldenMeasuredLines compares the formats of all printed lines that begin with "measured" with a golden
+// file. Scripts parse the names and the numbers in these lines.
 func TestGoldenMeasuredLines(t *testing.T) {
 	goldentest.Same(t, "measured_lines", measuredStrings(t))
 }
