--- a/internal/bench/fleet.go
+++ b/internal/bench/fleet.go
@@ -13,9 +13,9 @@
 	"railrelay.dev/railrelay/internal/timerqueue"
 )
 
-// The kinds of faults in a simulated fleet.
+// These are the kinds of faults in a simulated fleet.
 const (
-	// fleetLinkCut cuts the links between some controllers and an engine. Data that is sent meanwhile
+	// fleetLinkCut cuts the links between some controllers and an engine. Data that is sent during the cut
 	// arrives once the links are restored.
 	fleetLinkCut = "cut"
 	// fleetControllerStall stops some controllers, which process nothing until the fault ends.
@@ -28,7 +28,7 @@
 	fleetEngineUnreachable = "vanish"
 	// fleetEngineReplace drains an engine, then replaces it by a cold one with another ID.
 	fleetEngineReplace = "replace"
-	// fleetEngineTakeover replaces an engine like fleetEngineReplace, but without draining it.
+	// fleetEngineTakeover replaces an engine like fleetEngineReplace, but without draining the engine.
 	fleetEngineTakeover = "takenover"
 	// fleetEngineDrain lists an engine as draining, then as serving again.
 	fleetEngineDrain = "drain"
@@ -38,10 +38,10 @@
 
 // FleetFault is one fault in a simulated fleet.
 type FleetFault struct {
-	Kind         string // one of the kinds above
+	Kind         string // one of the constants above
 	At, Duration time.Duration
 	Engine       int   // the engine's slot
-	Controllers  []int // the controllers that are stalled or whose links are cut
+	Controllers  []int // numbers of the controllers that are stalled or whose links are cut
 }
 
 func (f FleetFault) String() string {
@@ -57,11 +57,11 @@
 	EngineCount      int
 	SettingOverrides map[string]string
 	Utilization      float64       // load as a fraction of the capacity of all engines
-	LoadDuration     time.Duration // how long clients send queries; the run lasts 40 s longer
-	RequestFaultRate float64       // fraction of the requests to engines that a fault hits on their way
-	MaxDiscoveryLag  time.Duration // longest delay until a controller is sent a discovery event
+	LoadDuration     time.Duration // time in which clients send queries; the run lasts 40 s longer
+	RequestFaultRate float64       // fraction of the requests to engines that have a fault on their way
+	MaxDiscoveryLag  time.Duration // longest delay until a discovery event is sent to a controller
 	Faults           []FleetFault
-	KeepTrace        bool
+	KeepTrace        bool // fills Trace in the result
 }
 
 // RandomFleetScenario derives a scenario from a seed.
@@ -118,11 +118,11 @@
 // FleetResult is the result of a simulated run.
 type FleetResult struct {
 	Violations         []string // broken delivery rules
-	OrderChecks        int      // runs that were compared with the run of a later query of the same key
-	LateDeliveries     int      // queries that an engine started after their connection was closed
+	OrderChecks        int      // executions whose order was compared with that of a later query of the same key
+	LateDeliveries     int      // query submissions that reached an engine after their connection was closed
 	Queries, Finished  int
-	MaxColdBudgetUse   float64  // highest ratio of the work sent to a cold engine to its limit
-	ColdBudgetExceeded int      // how often that ratio was above 1
+	MaxColdBudgetUse   float64  // highest ratio of the work that a cold engine was sent to the engine's limit
+	ColdBudgetExceeded int      // submissions after which the work sent to a cold engine exceeded its limit
 	ColdWork           float64  // core-seconds that were sent to cold engines
 	ColdCapacity       float64  // core-seconds that the cold engines could have run while there was load
 	Trace              []string // the latest steps, up to the first violation
@@ -130,6 +130,7 @@
 	ArrivalTime        time.Duration // real time that controllers spent on receiving queries
 }
 
+// fleetRun is a run of a FleetScenario in virtual time.
 type fleetRun struct {
 	FleetScenario
 	now                time.Duration
@@ -139,15 +140,15 @@
 	engines            []*fleetEngine
 	enginesByAddress   map[string]*fleetEngine
 	discoveryLog       feed.Log
-	logEvents          []fleetLogEvent // of discoveryLog, in its order
+	logEvents          []fleetLogEvent // one for each event of discoveryLog, in the order of the log
 	result             FleetResult
 	settings           map[string]string
 	traceEnded         bool
 	controllersByQuery map[string]*fleetController
 }
 
-// fleetLogEvent is the change that an event of the discovery log reports. It is empty for the first
-// event, which lists all engines.
+// fleetLogEvent is the change that an event of the discovery log reports. The first event of the log lists
+// all engines and has an empty fleetLogEvent.
 type fleetLogEvent struct {
 	engine    *fleetEngine
 	serving   bool
@@ -211,7 +212,8 @@
 	return &f.result
 }
 
-// tracef adds a step to the trace, until the first violation. A long trace loses its oldest steps.
+// tracef adds a step to the trace, and ends the trace after the first violation. A long trace loses its
+// oldest steps.
 func (f *fleetRun) tracef(format string, args ...any) {
 	if !f.KeepTrace || f.traceEnded {
 		return
@@ -237,8 +239,8 @@
 	f.now = end
 }
 
-// Shrink returns a smaller scenario that still breaks a rule: with a shorter load, and without the
-// faults that the violation doesn't need.
+// Shrink returns a smaller scenario that still breaks a rule. The smaller scenario has a shorter load, and
+// lacks the faults that the violation doesn't need.
 func (s FleetScenario) Shrink() FleetScenario {
 	violatesRule := func(x FleetScenario) bool { return len(x.Run().Violations) > 0 }
 	for _, duration := range []time.Duration{s.LoadDuration / 4, s.LoadDuration / 2, s.LoadDuration * 3 / 4} {
--- a/internal/bench/fleet_controllers.go
+++ b/internal/bench/fleet_controllers.go
@@ -15,8 +15,8 @@
 	"railrelay.dev/railrelay/internal/historycheck"
 )
 
-// fleetController is a controller of a simulated fleet, with its connections, its clients and the history
-// that is checked.
+// fleetController is a controller of a simulated fleet, with its connections and its clients. history checks
+// the controller's behaviour.
 type fleetController struct {
 	*fleetRun
 	number            int
@@ -27,14 +27,14 @@
 	pendingDeliveries []func() // held back while the controller is stalled
 	timerGeneration   int      // number of SetTimer effects; each one replaces the timer before it
 	discoveryConn     *fleetConn
-	lastEvent         int // number of the latest discovery event that was sent
+	lastEvent         int // number of the latest discovery event that was sent to the controller
 	clientConn        *fleetConn
 	clientInput       []byte
 	openQueries       map[uint32]*world.Query // by message number
 	links             []*fleetLink            // by engine slot
 }
 
-// queryByID returns an unanswered query, or nil.
+// queryByID returns the unanswered query with an ID, or nil if there is none.
 func (c *fleetController) queryByID(id string) *world.Query {
 	for _, q := range c.openQueries {
 		if q.ID == id {
@@ -98,7 +98,8 @@
 	c.perform(effects)
 }
 
-// ensureClientConnected opens the clients' connection if there is none. The controller closes an idle one.
+// ensureClientConnected opens the clients' connection if none is open. The controller closes the connection
+// when it has been idle for long.
 func (c *fleetController) ensureClientConnected() {
 	if c.clientConn == nil || c.clientConn.closed {
 		conn := &fleetConn{connection: &controller.Connection{RemoteAddress: ClientAddress}, isClient: true}
@@ -108,7 +109,7 @@
 	}
 }
 
-// settingNumber returns the number in a setting, or 0.
+// settingNumber returns the number in the text of a setting, or 0 if the text is not a number.
 func settingNumber(text string) float64 {
 	x, _ := strconv.ParseFloat(text, 64)
 	return x
@@ -159,8 +160,8 @@
 			conn := c.clientConn
 			message := client.AppendQuery(nil, msg, group.Name, engine.Statement(work), fields...)
 			c.deliver(func() {
-				// The controller counts the patience from when it reads the query, so a stall
-				// before that moves the deadline.
+				// The controller measures the patience from the time at which it reads the query, so
+				// a stall before that time moves the deadline.
 				deadline := max(q.Deadline, c.now) + c.readDelay(q.SubmittedAt)
 				c.history.Received(c.now, id, group.Name, key, deadline)
 				began := time.Now()
@@ -249,10 +250,10 @@
 	}
 }
 
-// fleetStallGrace is how long after a stall an answer counts as sent by its deadline.
+// fleetStallGrace is the time after a stall in which an answer still counts as sent by its deadline.
 const fleetStallGrace = 50 * time.Millisecond
 
-// readAnswers decodes what the controller writes to its clients and checks the answers.
+// readAnswers decodes the bytes that the controller writes to its clients, and checks the answers.
 func (c *fleetController) readAnswers(data []byte) {
 	c.clientInput = append(c.clientInput, data...)
 	for {
@@ -283,7 +284,8 @@
 	}
 }
 
-// resume makes the deliveries that a stall held back, unless another stall goes on.
+// resume makes the deliveries that were held back during a stall. It does nothing if a longer stall of the
+// controller still lasts.
 func (c *fleetController) resume() {
 	if c.now < c.stalledUntil {
 		return
--- a/internal/bench/fleet_engines.go
+++ b/internal/bench/fleet_engines.go
@@ -15,23 +15,23 @@
 	*engine.Server
 	feed.Engine
 	run             *fleetRun
-	slot            int // shared with the engine that it replaces
+	slot            int // same as that of the engine that this one replaces
 	down            bool
-	removed         bool // another engine has its slot
+	removed         bool // another engine has the slot
 	slowUntil       time.Duration
-	delayedRequests map[string]*bool // by query: requests that were received and not processed yet
-	nextWakeup      time.Duration    // -1: none is scheduled
-	coldSince       time.Duration    // -1: warm from the start of the run
-	startKnownBy    map[int]bool     // controllers that were sent the discovery event of its last start
+	delayedRequests map[string]*bool // submissions that were received and not processed yet, by query ID
+	nextWakeup      time.Duration    // -1 if no wakeup is scheduled
+	coldSince       time.Duration    // -1 if the engine was warm at the start of the run and has not restarted
+	startKnownBy    map[int]bool     // controllers that were sent the discovery event of the engine's last start
 	submissions     []fleetSubmission
 }
 
-// fleetColdBudgetTolerance is the fraction by which the work sent to a cold engine may exceed its limit.
-// The rule allows a small excess by chance and gives no figure.
+// fleetColdBudgetTolerance is the fraction by which the work sent to a cold engine may exceed the engine's
+// limit. Delivery rule 4 allows a small excess by chance and gives no figure.
 const fleetColdBudgetTolerance = 0.15
 
-// fleetNominalUtilization is the fraction of its cores that an engine is assumed to use, as in the
-// scheduler.
+// fleetNominalUtilization is the fraction of its cores that an engine is assumed to use. The scheduler
+// assumes the same fraction.
 const fleetNominalUtilization = 0.85
 
 // addEngine adds an engine to a slot.
@@ -82,9 +82,9 @@
 	return e
 }
 
-// handleRequest processes a request of which all bytes have arrived. A slow engine processes the
-// submission of a query later, even if its connection is closed by then, unless the query is cancelled
-// before.
+// handleRequest processes a request that has arrived at the engine. A slow engine delays the submission of a
+// query. It processes a delayed submission even if the connection was closed meanwhile, but not if the query
+// was cancelled meanwhile.
 func (e *fleetEngine) handleRequest(
 	c *fleetController, from *fleetConn, method, id string, request []byte,
 ) {
@@ -119,7 +119,7 @@
 	e.scheduleWakeup()
 }
 
-// processRequest processes the submission of a query, also after its connection was closed.
+// processRequest processes the submission of a query, even if the connection of the submission is closed.
 func (e *fleetEngine) processRequest(c *fleetController, from *fleetConn, id string, request []byte) {
 	conn, f := from.engineConn, e.run
 	if from.closed {
@@ -138,8 +138,9 @@
 	e.scheduleWakeup()
 }
 
-// checkColdBudget compares the work sent to a cold engine within the window with its limit. It does so
-// only if at least two thirds of the work came from controllers that know of the engine's start.
+// checkColdBudget compares the work that was sent to a cold engine within the window with the engine's limit.
+// The check counts only if at least two thirds of the work came from controllers that know of the engine's
+// start.
 func (e *fleetEngine) checkColdBudget(c *fleetController, request []byte) {
 	f := e.run
 	window := time.Duration(settingNumber(f.settings["cold.window"])) * time.Millisecond
@@ -154,7 +155,7 @@
 	for e.submissions[0].at <= f.now-window {
 		e.submissions = e.submissions[1:]
 	}
-	total, informed := 0.0, 0.0 // core-seconds; informed is from controllers that know of the start
+	total, informed := 0.0, 0.0 // core-seconds; informed is the work from controllers that know of the start
 	for _, s := range e.submissions {
 		if total += s.work; s.startKnown {
 			informed += s.work
@@ -206,8 +207,8 @@
 	})
 }
 
-// publish appends an engine's phase to the discovery log. Each controller is sent the event after a delay
-// of its own, and sometimes twice.
+// publish appends an engine's phase to the discovery log. Each controller is sent the event after a random
+// delay, and sometimes twice.
 func (f *fleetRun) publish(e *fleetEngine, phase string) {
 	e.Phase = phase
 	f.discoveryLog.Append(false, e.Engine)
@@ -222,14 +223,14 @@
 	}
 }
 
-// crash ends the engine's process, which loses all queries.
+// crash ends the engine's process, so that all queries at the engine are lost.
 func (e *fleetEngine) crash() {
 	e.down = true
 	clear(e.delayedRequests)
 	e.Reset(e.run.now, true)
 }
 
-// restart starts a new process with a cold cache. Controllers hear of it with a delay.
+// restart starts a new process with a cold cache. Controllers learn of the start with a delay.
 func (e *fleetEngine) restart() {
 	e.down, e.coldSince, e.UpSinceMs = false, e.run.now, fleetEpochMs+e.run.now.Milliseconds()
 	e.startKnownBy, e.submissions = map[int]bool{}, nil
--- a/internal/bench/fleet_faults.go
+++ b/internal/bench/fleet_faults.go
@@ -50,7 +50,8 @@
 		if !e.down && !e.Unreachable() {
 			e.SetUnreachable(f.now, true)
 			var advance func()
-			advance = func() { // its queries run on and are abandoned, since nothing polls them
+			// The queries of the engine continue to run, and the engine abandons them since nothing polls them.
+			advance = func() {
 				if e.Advance(f.now); e.Unreachable() {
 					f.scheduleAfter(20*time.Millisecond, advance)
 				}
--- a/internal/bench/fleet_measure.go
+++ b/internal/bench/fleet_measure.go
@@ -10,8 +10,8 @@
 )
 
 // SearchFleetScenarios runs the random scenarios of successive seeds, three at a time, until maxRuns have
-// run or the time limit has passed. It returns the totals, and the scenario with the lowest seed that broke
-// a rule, or nil.
+// run or the time limit has passed. It returns the totals of all runs. failed is the scenario with the lowest
+// seed among the scenarios that broke a rule, or nil if no rule was broken.
 func SearchFleetScenarios(
 	ctx context.Context, firstSeed uint64, maxRuns int, timeLimit time.Duration,
 ) (runs, orderChecks, lateDeliveries, violations int, failed *FleetScenario) {
@@ -46,8 +46,8 @@
 	return runs, orderChecks, lateDeliveries, violations, failed
 }
 
-// Explain writes the smallest scenario found that still breaks a rule, its first violation, and the steps
-// of the queries that the violation names.
+// Explain shrinks a scenario that breaks a rule, and writes the smaller scenario, its first violation, and
+// the steps of the queries that the violation names.
 func (s FleetScenario) Explain(out io.Writer) {
 	const queryIDLength = 16
 	s = s.Shrink()
@@ -93,8 +93,8 @@
 	return float64(result.ArrivalTime.Nanoseconds()) / 1e3 / float64(max(1, result.Queries))
 }
 
-// fleetMemoryMB starts a controller with the lowest limits and the given number of engines listed, sends it
-// a few queries and returns its resident memory in MB.
+// fleetMemoryMB starts a controller with the lowest limits and a list of the given number of engines, sends
+// the controller a few queries and returns its resident memory in MB.
 func fleetMemoryMB(ctx context.Context, program string, seed uint64, engines int) (float64, error) {
 	trial := &Trial{Program: program, Engines: engines, Seed: seed}
 	recorder := &releaseRecorder{finishedAt: map[string]time.Time{}, releasedAt: map[string]time.Time{}}
@@ -125,8 +125,9 @@
 	return processResidentMB(testbed.command.Process.Pid), testbed.stopController()
 }
 
-// MeasureFleet runs random scenarios, and one with 350 controllers in which half of the engines restart. It
-// also measures the time that a controller spends on receiving a query, and its memory with 1,024 engines.
+// MeasureFleet runs random scenarios, and a scenario with 350 controllers in which half of the engines
+// restart. It also measures the time that a controller spends on receiving a query, and a controller's memory
+// with 1,024 engines. It prints the violations, and a last line with the results.
 func MeasureFleet(ctx context.Context, out io.Writer, program string, seed uint64) error {
 	const maxRuns, searchTime = 2000, 15 * time.Second
 	firstSeed := seed * 10_000
--- a/internal/bench/fleet_network.go
+++ b/internal/bench/fleet_network.go
@@ -11,19 +11,19 @@
 )
 
 // fleetLink is the network between a controller and an engine slot. Data that is sent while the link is cut
-// is held until the link is restored. Then requests arrive unless their connection was aborted, and responses
-// arrive unless their connection was closed.
+// is held until the link is restored. After a cut, a held request arrives unless its connection was aborted,
+// and a held response arrives unless its connection was closed.
 type fleetLink struct {
 	cuts    int // number of cuts in force, which may overlap
 	held    []func()
 	latency time.Duration
 }
 
-// fleetSubmission is a query that a cold engine was sent.
+// fleetSubmission is the submission of a query to a cold engine.
 type fleetSubmission struct {
 	at         time.Duration
 	work       float64 // core-seconds
-	startKnown bool    // the controller knew of the engine's start
+	startKnown bool    // the controller had been told of the engine's start
 }
 
 // fleetConn is a connection of a controller to an engine, the discovery service or the clients.
@@ -32,7 +32,7 @@
 	engine         *fleetEngine
 	link           *fleetLink
 	engineConn     *engine.Conn
-	closed         bool // at the controller's end
+	closed         bool // the controller's end of the connection is closed
 	aborted        bool // requests that haven't arrived yet are lost
 	dropNextAnswer bool
 	isDiscovery    bool
@@ -60,8 +60,8 @@
 	c.deliverEvent(controller.Event{Kind: controller.ConnectionClosed, Connection: conn.connection})
 }
 
-// transmit calls deliver at once. While the link is cut, deliver waits until the link is restored and is
-// called only if it is still wanted then.
+// transmit calls deliver at once if the link is not cut. Otherwise it waits until the link is restored, and
+// then calls deliver if wanted returns true.
 func (l *fleetLink) transmit(wanted func() bool, deliver func()) {
 	if l.cuts == 0 {
 		deliver()
@@ -87,7 +87,7 @@
 	target := c.enginesByAddress[address]
 	fail := func(kind controller.EventKind, delay time.Duration) {
 		c.scheduleAfter(delay, func() {
-			if conn.closed { // by the controller, before the dial failed
+			if conn.closed { // the controller closed it before the dial failed
 				return
 			}
 			delete(c.conns, connection)
@@ -131,7 +131,7 @@
 	})
 }
 
-// The faults of single requests.
+// These are the faults of single requests to engines.
 const (
 	fleetResetBeforeRequest = "before"  // the connection is reset before the request is sent
 	fleetResetDuringRequest = "under"   // the connection is reset after half of the request
@@ -162,7 +162,7 @@
 		c.result.FaultCounts[fault]++
 		c.tracef("fault of the request: %s", fault)
 	}
-	reset := func() { // also drops what has not arrived yet
+	reset := func() { // also drops the requests that have not arrived yet
 		conn.aborted = true
 		c.closeConn(conn)
 	}
@@ -201,8 +201,8 @@
 	})
 }
 
-// sendDiscoveryEvents sends, after a delay, the discovery events that the controller hasn't been sent yet.
-// One time in three it also repeats the event before them.
+// sendDiscoveryEvents sends, after a delay, the discovery events that the controller hasn't been sent yet. In
+// one of three cases, at random, it also repeats the latest event that the controller was sent.
 func (c *fleetController) sendDiscoveryEvents(conn *fleetConn, delay time.Duration) {
 	c.scheduleAfter(delay, func() {
 		if conn.closed {
@@ -210,7 +210,7 @@
 		}
 		from := c.lastEvent
 		if from > 0 && c.rng.IntN(3) == 0 {
-			from-- // repeats the latest event
+			from-- // repeats the latest event that was sent
 		}
 		lines, first := c.discoveryLog.EventsSince(from), c.lastEvent
 		c.lastEvent = c.discoveryLog.LastEvent()
