--- a/internal/bench/many.go
+++ b/internal/bench/many.go
@@ -21,10 +21,10 @@
 // controller and how soon a policy change is in force on all controllers.
 type IdleFleet struct {
 	Program       string // path of the program; railrelay-fleet must be in the same directory
-	Controllers   int    // 3 of them are voters
+	Controllers   int    // number of controllers, of which 3 are voters
 	Lease         time.Duration
-	IdleTime      time.Duration // duration of the measurement of the idle fleet
-	Changes       int           // policy changes to measure
+	IdleTime      time.Duration // duration of the measurement without changes
+	Changes       int           // number of policy changes to measure
 	RecordEntries int           // entries in the record of the controller that starts from a long record
 }
 
@@ -32,8 +32,8 @@
 type IdleFleetCost struct {
 	// TimeToServe is the time from the first start until all controllers serve.
 	TimeToServe time.Duration
-	// PeerBytesPerSecond counts the frames that an idle controller other than the leader sends to peers, as
-	// a mean over the controllers.
+	// PeerBytesPerSecond is the mean number of bytes per second that an idle controller other than the
+	// leader sends to its peers in frames.
 	PeerBytesPerSecond       float64
 	LeaderPeerBytesPerSecond float64
 	// CPUMillisPerSecond is the mean CPU time of an idle controller other than the leader.
@@ -41,15 +41,16 @@
 	LeaderCPUMillisPerSecond float64
 	// ResidentMB is the mean resident memory of a controller.
 	ResidentMB float64
-	// InForceSpread has for each change the time from the first controller that logs the change as in force
-	// to the last one, in ascending order.
+	// InForceSpread has, for each change, the time from the first to the last controller's log line that the
+	// change is in force. The times are in ascending order.
 	InForceSpread []time.Duration
-	// ChangeLatency has for each change the time from the request until the change is in force on all
-	// controllers, in ascending order.
+	// ChangeLatency has, for each change, the time from the request until the change is in force on all
+	// controllers. The times are in ascending order.
 	ChangeLatency []time.Duration
-	// LongRecordStart is the time that a controller with a record of RecordEntries needs until it serves.
+	// LongRecordStart is the time from the start of a controller with a record of RecordEntries entries until
+	// this controller serves.
 	LongRecordStart time.Duration
-	SnapshotBytes   int // size of the snapshot in the long record
+	SnapshotBytes   int // size of the snapshot in the record of RecordEntries entries
 }
 
 const (
@@ -65,7 +66,7 @@
 	*fleetFiles
 	ctx         context.Context
 	controllers []*controllerProcess
-	logged      chan appliedVersion // from the controllers' logs
+	logged      chan appliedVersion // versions that the controllers logged as in force
 }
 
 // prepare writes the setup files of n controllers without starting the controllers.
@@ -74,7 +75,7 @@
 	if err != nil {
 		return nil, err
 	}
-	// The buffer holds more lines than the controllers log about a change.
+	// The buffer of logged holds more lines than the controllers log about a change.
 	f := &processFleet{IdleFleet: config, fleetFiles: files, ctx: ctx, logged: make(chan appliedVersion, 64*n)}
 	// Each controller has its own loopback address with fixed ports. A free port of 127.0.0.1 could be taken
 	// by an outgoing connection before the controller listens on it.
@@ -135,8 +136,8 @@
 	return nil
 }
 
-// listenIdleEngine starts an engine and a feed that lists it. It returns the feed's address and a
-// function that closes both.
+// listenIdleEngine starts an engine, and a feed that lists the engine. It returns the feed's address, and a
+// function that closes the engine and the feed.
 func listenIdleEngine(ctx context.Context) (address string, closeBoth func(), err error) {
 	e, err := engine.Listen(ctx, "127.0.0.1:0", trialEngineConfig(), false)
 	if err != nil {
@@ -182,7 +183,7 @@
 		return err
 	}
 	cost.TimeToServe = time.Since(begin)
-	time.Sleep(2 * config.Lease) // so that the traffic of joining has ended
+	time.Sleep(2 * config.Lease) // until the traffic of joining has ended
 	if err := f.measureIdle(cost); err != nil {
 		return err
 	}
@@ -196,10 +197,10 @@
 	return nil
 }
 
-// controllerUsage is what a controller has used since its start.
+// controllerUsage is the resource usage of a controller since its start.
 type controllerUsage struct {
 	processUsage
-	frameBytes int // sent to peers
+	frameBytes int // bytes of the frames that were sent to peers
 }
 
 // usageOfControllers returns the usage of all controllers, in their order.
@@ -243,7 +244,8 @@
 	return nil
 }
 
-// measureChange applies change i. The changes go to the controllers in turn.
+// measureChange requests change i, and waits until the change is in force on all controllers. Successive
+// changes are requested from the controllers in turn.
 func (f *processFleet) measureChange(i int, cost *IdleFleetCost) error {
 	for len(f.logged) > 0 {
 		<-f.logged
@@ -291,8 +293,8 @@
 	return first, last, nil
 }
 
-// startFromRecord starts a fleet of one voter from a record and returns how long the voter took to serve.
-// As the only voter it elects itself; with other voters it would wait for their votes.
+// startFromRecord starts a fleet of one voter from a record, and returns the time from the start until the
+// voter serves. The only voter of a fleet elects itself, without a wait for the votes of other voters.
 func (config IdleFleet) startFromRecord(ctx context.Context, feedAddress string,
 	record consensus.PersistentState) (f *processFleet, took time.Duration, err error) {
 	f, err = config.prepare(ctx, feedAddress, 1)
--- a/internal/bench/many_process.go
+++ b/internal/bench/many_process.go
@@ -22,7 +22,7 @@
 // controllerSetup has the settings of a controller's setup file.
 type controllerSetup struct {
 	Name              string
-	ClientAddress     string // listens for clients
+	ClientAddress     string // listen address for clients
 	FeedAddress       string
 	Controllers       int      // number of controllers in the fleet
 	Zones             []string // all zones with engines
@@ -30,16 +30,16 @@
 	MemoryMB          int
 	Sockets           int
 	FleetName         string
-	PeerListenAddress string // listens for peers
-	PeerAddress       string // advertised to peers; if empty, PeerListenAddress is
-	ControlAddress    string // listens for operators
-	Directory         string // of the fleet record
+	PeerListenAddress string // listen address for peers
+	PeerAddress       string // address that peers connect to; if empty, PeerListenAddress
+	ControlAddress    string // listen address for operators
+	Directory         string // directory of the fleet record
 	KeyFile           string
 	Lease             time.Duration
 	Voters            []hollow.Peer
-	ControlOnly       bool // sets the role control: no clients, engines or feed
+	ControlOnly       bool // sets the role control, without clients, engines and feed
 	IsRelay           bool
-	Relays            []hollow.Peer // sends its requests to these relays instead of the leader
+	Relays            []hollow.Peer // relays that the controller sends its requests to, instead of the leader
 }
 
 // yaml returns the contents of the setup file.
@@ -97,7 +97,7 @@
 	keys      transport.Keys
 }
 
-// newFleetFiles creates a directory with a key file. pattern is that of os.MkdirTemp.
+// newFleetFiles creates a directory with a key file. pattern has the same meaning as in os.MkdirTemp.
 func newFleetFiles(pattern string) (files *fleetFiles, err error) {
 	files = &fleetFiles{}
 	if files.directory, err = os.MkdirTemp("", pattern); err != nil {
@@ -130,9 +130,9 @@
 	name      string
 	program   string
 	setupFile string
-	directory string // of its record
+	directory string // directory of the fleet record
 	operatorClient
-	onApplied func(appliedVersion) // called for each version that the log reports as in force; may be nil
+	onApplied func(appliedVersion) // called for each version that the log reports as in force, or nil
 
 	command     *exec.Cmd
 	exited      chan struct{}
@@ -140,12 +140,13 @@
 	paused      bool
 }
 
-// fleetProgramSuffix follows the program's path in the path of the program with fleet support.
+// fleetProgramSuffix is appended to the program's path to get the path of the program with fleet support.
 const fleetProgramSuffix = "-fleet"
 
-// start starts the process, which recovers the state that its directory holds. The process is killed when ctx
-// ends and when this process dies. For the latter, start runs the program with fleet support directly: the
-// other program would replace its process image by it, and thereby lose the parent-death signal.
+// start starts the controller's process, which recovers its state from its directory. The process is killed
+// when ctx ends, and by the parent-death signal when the calling process dies. start runs the program with
+// fleet support directly. If start ran p.program, that process would replace its image by the program with
+// fleet support, and the parent-death signal would be lost.
 func (p *controllerProcess) start(ctx context.Context) error {
 	command := exec.CommandContext(ctx, p.program+fleetProgramSuffix, "serve", "--setup", p.setupFile)
 	command.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
@@ -210,7 +211,8 @@
 	keys    transport.Keys
 }
 
-// sendRequest sends a request and waits up to two seconds longer than the request's own waiting time.
+// sendRequest sends a request, and waits for the response for up to two seconds longer than the request's
+// WaitMs.
 func (o operatorClient) sendRequest(ctx context.Context, request *fleet.Request) (*fleet.Response, error) {
 	ctx, cancel := context.WithTimeout(ctx, time.Duration(request.WaitMs)*time.Millisecond+2*time.Second)
 	defer cancel()
@@ -227,8 +229,8 @@
 	return &fleet.Status{}
 }
 
-// awaitServing polls the process at an interval until it serves. It fails after a timeout, or if the process
-// exits.
+// awaitServing polls the controller at an interval until the controller serves. It returns an error after a
+// timeout, or if the process exits.
 func (p *controllerProcess) awaitServing(ctx context.Context, timeout, interval time.Duration) error {
 	for end := time.Now().Add(timeout); time.Now().Before(end) && ctx.Err() == nil; time.Sleep(interval) {
 		if p.status(ctx).Serves {
@@ -245,7 +247,7 @@
 
 // processUsage is the resource usage of a process.
 type processUsage struct {
-	CPU        time.Duration // since the start of the process
+	CPU        time.Duration // CPU time since the start of the process
 	ResidentMB float64
 }
 
--- a/internal/bench/many_record.go
+++ b/internal/bench/many_record.go
@@ -20,7 +20,7 @@
 	now           time.Duration
 	persisted     consensus.PersistentState
 	isLeader      bool
-	pendingWrites int // not yet confirmed to the core
+	pendingWrites int // writes that are not yet confirmed to the core
 }
 
 // newRecordBuilder returns a builder whose voter is the leader.
@@ -51,7 +51,8 @@
 	return b.perform(b.core.Step(b.now, event))
 }
 
-// perform handles effects and those that follow from their writes, which it confirms at once.
+// perform handles effects, confirms their writes to the core at once, and handles the effects that result
+// from the confirmations.
 func (b *recordBuilder) perform(effects []consensus.Effect) error {
 	err := b.handleEffects(effects)
 	for err == nil && b.pendingWrites > 0 {
@@ -111,7 +112,7 @@
 		&fleet.Entry{Kind: fleet.EntryFinishCleanup, ID: id})
 }
 
-// joinAndForget adds a controller that joins the fleet, and whose disk is then forgotten, to the record.
+// joinAndForget adds two entries to the record: a controller joins the fleet, and its disk is forgotten.
 func (b *recordBuilder) joinAndForget() error {
 	name := fmt.Sprint("gone-", b.state.Index)
 	member := &fleet.Member{Name: name, DiskID: fmt.Sprintf("%016x", b.state.Index), Site: "here",
@@ -126,7 +127,7 @@
 		Snapshot: &consensus.Snapshot{Index: b.state.Index, Data: b.state.Encode()}})
 }
 
-// compactAfter compacts the log if it has at least a number of entries.
+// compactAfter compacts the log if the log has at least the given number of entries.
 func (b *recordBuilder) compactAfter(entries int) error {
 	if len(b.persisted.Entries) < entries {
 		return nil
@@ -138,7 +139,7 @@
 const entriesAfterSnapshot = 2000
 
 // buildLongRecord returns the persistent state of a fleet's only voter after a number of entries of policy
-// changes, all but the last entriesAfterSnapshot in a snapshot.
+// changes. The snapshot contains all entries but the last entriesAfterSnapshot.
 func buildLongRecord(name string, entries int) (consensus.PersistentState, error) {
 	b, err := newRecordBuilder(name)
 	if err != nil {
