--- a/internal/bench/planted.go
+++ b/internal/bench/planted.go
@@ -61,7 +61,7 @@
 		"^(TestUnauthenticatedRequestIsRejected|TestMACIsBoundToPurposeAndBody)$", "a wrong MAC was accepted"},
 }
 
-// baselineName returns the name of the build of the tests without a fault.
+// baselineName returns the name of the build of the test package without a fault.
 func (fault PlantedFault) baselineName() string { return "sound_" + path.Base(fault.TestPackage) }
 
 // runTests runs the fault's tests in a build and returns their output.
@@ -109,7 +109,7 @@
 		make([]time.Duration, len(PlantedFaults))
 	var wg sync.WaitGroup
 	slots := make(chan struct{}, max(2, runtime.NumCPU()/2))
-	baselines := map[string]func() error{} // by tests, which several faults may share
+	baselines := map[string]func() error{} // by test package and pattern, which several faults may share
 	runInSlot := func(task func()) {
 		wg.Go(func() {
 			slots <- struct{}{}
--- a/internal/bench/planted_build.go
+++ b/internal/bench/planted_build.go
@@ -17,7 +17,7 @@
 
 // overlay is the file that the go command reads for -overlay.
 type overlay struct {
-	// Replace maps the path of an original file to that of its replacement; both are absolute.
+	// Replace maps the absolute path of an original file to the absolute path of its replacement.
 	Replace map[string]string `json:"Replace"`
 }
 
@@ -27,7 +27,7 @@
 	return buildPlantedFaults(ctx, root, dir, PlantedFaults)
 }
 
-// buildPlantedFaults is BuildPlantedFaults for some of the faults.
+// buildPlantedFaults builds the tests of the given faults, as BuildPlantedFaults does for all faults.
 func buildPlantedFaults(ctx context.Context, root, dir string, faults []PlantedFault) error {
 	dir, err := filepath.Abs(dir)
 	if err != nil {
@@ -66,8 +66,8 @@
 	return buildTests(ctx, root, dir, fault.Name, fault.TestPackage, "-overlay", file)
 }
 
-// newOverlay returns the overlay of a build with the fault. It generates files in dir for those of the
-// fault's files that have only some lines.
+// newOverlay returns the overlay of a build with the fault. For each of the fault's files that has only the
+// replaced lines, it generates the complete file in dir.
 func (fault PlantedFault) newOverlay(root, dir string) (*overlay, error) {
 	root, err := filepath.Abs(root)
 	if err != nil {
@@ -90,7 +90,7 @@
 	return replacements, nil
 }
 
-// A replacement file has the lines to replace, the separator, and the lines that replace them in a build with
+// A replacement file has the original lines, the separator, and the lines that replace them in a build with
 // the fault.
 const (
 	replacementSuffix    = ".go.replace"
@@ -100,8 +100,8 @@
 	generatedSuffix = ".overlay"
 )
 
-// replaceLines writes a copy of the original file with the lines of a replacement file, and returns the
-// copy's path. The lines to replace must occur exactly once in the original file.
+// replaceLines writes a copy of the original file to the path "to", with the replacement of a replacement
+// file, and returns this path. The lines to replace must occur exactly once in the original file.
 func replaceLines(original, replacement, to string) (string, error) {
 	content, err := os.ReadFile(original)
 	if err != nil {
@@ -119,7 +119,7 @@
 	return to, os.WriteFile(to, []byte(strings.Replace(string(content), before+"\n", after, 1)), 0o666)
 }
 
-// files returns the paths of the fault's files below root, in order. It is an error if there are none.
+// files returns the sorted paths of the fault's files below root, or an error if the fault has no files.
 func (fault PlantedFault) files(root string) ([]string, error) {
 	files, err := filepath.Glob(filepath.Join(root, fault.Dir, "testdata", "planted", fault.Name, "*.go*"))
 	if err == nil && len(files) == 0 {
--- a/internal/bench/planted_test.go
+++ b/internal/bench/planted_test.go
@@ -15,7 +15,7 @@
 
 const (
 	repository       = "../.."
-	maxOriginalLines = 40 // in a production file that a fault replaces as a whole
+	maxOriginalLines = 40 // most lines of a production file that a fault replaces as a whole
 	maxChangedLines  = 6  // most lines that a fault removes, and most lines that it adds
 )
 
@@ -73,7 +73,7 @@
 		}
 		for _, file := range files {
 			original, maxLines := fault.originalPath(repository, file), maxOriginalLines
-			if strings.HasSuffix(file, replacementSuffix) { // generated from the original file of any length
+			if strings.HasSuffix(file, replacementSuffix) { // the original file may have any length
 				if file, err = replaceLines(original, file,
 					filepath.Join(t.TempDir(), "planted.go")); err != nil {
 					t.Error(err)
@@ -118,7 +118,7 @@
 
 // changedLines counts the lines on each side that are not in the longest common subsequence of lines.
 func changedLines(before, after []string) (removed, added int) {
-	common := make([][]int, len(before)+1) // length of the subsequence of before[i:] and after[j:]
+	common := make([][]int, len(before)+1) // length of the common subsequence of before[i:] and after[j:]
 	for i := range common {
 		common[i] = make([]int, len(after)+1)
 	}
@@ -155,9 +155,9 @@
 	}
 }
 
-// TestPlantedFaultsAreDetected builds and runs the tests of the faults for which both are quick. It
-// guards against a fault that no test detects, and against a fault that is reported in a build without
-// it.
+// TestPlantedFaultsAreDetected builds and runs the tests of those faults whose tests are quick to build and
+// to run. It guards against a fault that no test detects, and against a fault that is detected in a build
+// without the fault.
 func TestPlantedFaultsAreDetected(t *testing.T) {
 	dir := t.TempDir()
 	for _, fault := range PlantedFaults {
