--- a/internal/bench/relays_faults_test.go
+++ b/internal/bench/relays_faults_test.go
@@ -40,8 +40,8 @@
 	}
 }
 
-// startClients starts clients at every controller. Most queries are those of the team "mark", whose site
-// shows under which policy version a controller sent the query.
+// startClients starts clients at every controller. Most queries belong to the tenant "mark". The site at
+// which such a query runs shows under which policy version the controller sent the query.
 func (f *relayFleet) startClients() {
 	for i := range f.controllers {
 		f.clients.Add(4)
@@ -52,7 +52,7 @@
 	}
 }
 
-// waitPastLease waits until all leases that were requested before have ended.
+// waitPastLease waits until all leases that were requested before the call have ended.
 func (f *relayFleet) waitPastLease() { time.Sleep(f.Lease + f.Lease/4) }
 
 // cut cuts the links between two processes, in both directions.
@@ -64,7 +64,7 @@
 	f.mesh.Cut(a.name, b.name)
 }
 
-// cutFromVoters cuts a controller from all voters. It still reaches its relays.
+// cutFromVoters cuts a controller from all voters. The controller still reaches its relays.
 func (f *relayFleet) cutFromVoters(p *fleetProcess) {
 	for _, v := range f.voters {
 		f.cut(p, v)
@@ -84,7 +84,7 @@
 }
 
 // testRelayKilledAtAnyPoint kills a relay after different delays from the request for a change. Every other
-// time the relay's next run starts at once, while leases from the last run are still valid.
+// time the relay is restarted at once, while leases from its previous run are still valid.
 func testRelayKilledAtAnyPoint(f *relayFleet) {
 	delays := []time.Duration{0, 3 * time.Millisecond, 8 * time.Millisecond, 15 * time.Millisecond}
 	for i, delay := range delays {
@@ -109,8 +109,8 @@
 	}
 }
 
-// testRelayStoppedPastLease stops a relay for longer than any lease. When it continues, the renewals, the
-// leader's answers and the log that it holds are out of date.
+// testRelayStoppedPastLease stops a relay for longer than any lease. When the relay continues, its lease
+// renewals, its answers from the leader and its log are out of date.
 func testRelayStoppedPastLease(f *relayFleet) {
 	relay := f.relays[0]
 	f.injectDuringChange(func() { f.pause(relay) }, func() { f.resume(relay) })
@@ -120,7 +120,8 @@
 	f.requireChange(f.requestTarget())
 }
 
-// testRelayCutFromLeader cuts a relay from the leader. The relay still receives renewals of its controllers.
+// testRelayCutFromLeader cuts a relay from the leader. The relay still receives the lease renewals of its
+// controllers.
 func testRelayCutFromLeader(f *relayFleet) {
 	f.cut(f.relays[0], f.requireLeader())
 	f.waitPastLease()
@@ -154,8 +155,9 @@
 	f.forEach(f.relays, f.restart)
 }
 
-// testOnlyRelaysReachLeader cuts the controllers from all voters. They must serve, since leases and log
-// entries come through the relays, and must stop when their leases end after both relays are killed.
+// testOnlyRelaysReachLeader cuts the controllers from all voters. The controllers must serve, since leases
+// and log entries come through the relays. After both relays are killed, the controllers must stop when their
+// leases end.
 func testOnlyRelaysReachLeader(f *relayFleet) {
 	for _, p := range f.controllers {
 		f.cutFromVoters(p)
@@ -174,7 +176,7 @@
 	f.mesh.Heal()
 }
 
-// checkLeasesEnded reports an error if a controller holds a lease or serves after the given end.
+// checkLeasesEnded reports an error if a controller holds a lease or serves after the time end.
 func (f *relayFleet) checkLeasesEnded(end time.Time) {
 	f.t.Helper()
 	const rounds = 3
@@ -189,9 +191,9 @@
 	}
 }
 
-// testControllerCutOffFromRelays isolates a controller that held its lease only through relays. The relays
-// first still renew the leases of all controllers that they cover, and soon cover this one no more. The
-// change must not come into force before the controller's lease ends.
+// testControllerCutOffFromRelays isolates a controller that held its lease only through relays. For a short
+// time, the relays still renew the lease of the isolated controller along with the leases of their other
+// controllers. The change must not come into force before the isolated controller's lease ends.
 func testControllerCutOffFromRelays(f *relayFleet) {
 	isolated := f.controllers[0]
 	f.cutFromVoters(isolated)
@@ -206,8 +208,8 @@
 }
 
 // testLateAnswersToRelay delays the leader's answers to a relay, and then stops the relay's messages to the
-// leader. An answer covers only the lease requests that the relay made before the answered message, so the
-// leader knows when the last lease ends that the relay forwards.
+// leader. An answer covers only the lease requests that the relay made before the answered message. The
+// leader therefore knows the end of the last lease that the relay can forward.
 func testLateAnswersToRelay(f *relayFleet) {
 	const latency = 300 * time.Millisecond
 	relay, other, leader, p := f.relays[0], f.relays[1], f.requireLeader(), f.controllers[0]
@@ -217,7 +219,7 @@
 	f.mesh.SetFault(leader.name, relay.name, lateAnswers)
 	f.waitPastLease()
 	f.mesh.SetFault(relay.name, leader.name, faultproxy.Fault{Kind: faultproxy.Cut, Silent: true})
-	time.Sleep(2 * latency) // an answer may have waited for the one before it
+	time.Sleep(2 * latency) // an answer may have waited for the previous answer
 	f.cut(relay, leader)
 	f.requireChange(f.requestTarget())
 	time.Sleep(latency) // time to observe a controller that still serves under the old version
@@ -238,8 +240,9 @@
 			f.cut(relay, m)
 		}
 	}
-	f.requireChange(f.requestTarget()) // comes into force once their leases have ended
-	// After the slack, a held query that the controller sends under the old version is a violation.
+	f.requireChange(f.requestTarget()) // the change comes into force once the leases of both have ended
+	// If the controller holds a query and sends it under the old version, this counts as a violation only
+	// after the slack.
 	time.Sleep(relayFleetSlack)
 	for _, m := range f.members {
 		if m != p {
@@ -260,7 +263,7 @@
 	delay := faultproxy.Fault{Kind: faultproxy.Delay, Direction: faultproxy.ToTarget, Latency: latency}
 	f.mesh.SetFault("", p.name, delay)
 	begin := time.Now()
-	f.waitPastLease() // until the leases granted before have ended
+	f.waitPastLease() // until the leases that were granted without delay have ended
 	f.requireChange(f.requestTarget())
 	end := time.Now()
 	f.mesh.Heal()
@@ -321,8 +324,8 @@
 	f.restart(leader)
 }
 
-// testPurgeDuringRelayRestart purges a team's results while a relay restarts. No controller may serve them
-// afterwards.
+// testPurgeDuringRelayRestart purges a tenant's results while a relay restarts. No controller may serve these
+// results after the purge.
 func testPurgeDuringRelayRestart(f *relayFleet) {
 	relay := f.relays[0]
 	f.kill(relay)
@@ -340,9 +343,9 @@
 	}
 }
 
-// testOldRelayRunBesideNew starts a second run of a relay while the first one is stopped. The second run may
-// not use the directory of the first one, so it gets a copy. It runs at the first one's peer address. When
-// the first run continues, both send the leader renewals under one name.
+// testOldRelayRunBesideNew starts a second run of a relay while the first run is stopped. The second run may
+// not use the directory of the first run, so it gets a copy. It has the peer address of the first run. When
+// the first run continues, both runs send lease renewals to the leader under the same name.
 func testOldRelayRunBesideNew(f *relayFleet) {
 	first := f.relays[0]
 	f.pause(first)
@@ -351,7 +354,7 @@
 	second := f.newRun(first, relaySecondRun)
 	f.must(os.CopyFS(f.path(second.name+"-fleet"), os.DirFS(f.path(first.name+"-fleet"))))
 	f.mesh.SetTarget(first.name, second.listenAddress)
-	// Resets the open connections, so that the peers connect to the second run.
+	// A reset of the open connections makes the peers connect to the second run.
 	f.mesh.SetFault("", first.name, faultproxy.Fault{Kind: faultproxy.Reset})
 	f.must(f.startProcess(second))
 	f.relays[0] = second
@@ -365,8 +368,8 @@
 	f.kill(first)
 }
 
-// newRun returns a further run of a process, which isn't started. It has the name and the peer address of
-// the first run.
+// newRun returns a further run of a process, without starting it. The run has the name and the peer address
+// of the first run.
 func (f *relayFleet) newRun(of *fleetProcess, run int) *fleetProcess {
 	f.t.Helper()
 	p := &fleetProcess{name: fmt.Sprintf("%s-run%d", of.name, run), site: of.site, peerAddress: of.peerAddress}
--- a/internal/bench/relays_fleet_test.go
+++ b/internal/bench/relays_fleet_test.go
@@ -27,13 +27,13 @@
 	relayFleetElectionTimeout = 300 * time.Millisecond
 	relayFleetHeartbeat       = 60 * time.Millisecond
 
-	// relayFleetSlack is how much later than a controller's action a test's engine may observe the
-	// action, so that a busy machine isn't reported as a fault. Queries that a client sent after a
-	// later version was observed are checked without slack.
+	// relayFleetSlack is the longest time by which an engine of a test may observe a controller's action
+	// late. Without the slack, delays on a busy machine would be reported as violations. Queries that a
+	// client sent after a later version was observed are checked without slack.
 	relayFleetSlack = time.Second
 	// relayFleetWaitLimit is the longest wait for a condition. Only a fault makes a test wait so long.
 	relayFleetWaitLimit = 40 * time.Second
-	relayFleetKeyByte   = "5e" // the fleet's key repeats this byte, which is in hex
+	relayFleetKeyByte   = "5e" // the fleet's key repeats this byte, given in hex
 
 	controlRoleSettings = "  role: control\n"
 	relayRoleSettings   = "  role: control\n  relay: true\n"
@@ -45,10 +45,10 @@
 type relayFleet struct {
 	*faultFleet
 	t             *testing.T
-	controllers   []*fleetProcess // clients send them queries
+	controllers   []*fleetProcess // processes that clients send queries to
 	voters        []*fleetProcess
 	relays        []*fleetProcess
-	lateMembers   []*fleetProcess // a test configures and starts them itself
+	lateMembers   []*fleetProcess // processes that a test configures and starts itself
 	monitor       *relayStatusMonitor
 	confinedLease time.Duration
 }
@@ -56,7 +56,7 @@
 // relayFleetConfig is the configuration of a relayFleet.
 type relayFleetConfig struct {
 	controllers   int
-	confinedLease time.Duration // lease for queries of teams that are confined to sites
+	confinedLease time.Duration // lease for queries of tenants that are confined to sites
 	lateMembers   []string      // names of the processes that the test starts itself
 }
 
@@ -80,7 +80,7 @@
 	return f
 }
 
-// newRelayFleet returns a fleet without processes, with the histories that check it.
+// newRelayFleet returns a fleet without processes, with the histories that check its behaviour.
 func newRelayFleet(t *testing.T, config relayFleetConfig) *relayFleet {
 	// The test's own context would be cancelled before cleanUp can query the processes.
 	ctx, cancel := context.WithCancel(context.Background())
@@ -189,15 +189,15 @@
 }
 
 const (
-	// The runs of a process; each has ports of its own.
+	// These constants are the numbers of the runs of a process. Each run has ports of its own.
 	relayFirstRun = iota
 	relaySecondRun
 	relayRefusedRun
 
-	// The ports lie below the system's ephemeral ports. Otherwise the system could give a port to a
-	// connection before its process is started or restarted.
+	// The ports are below the system's ephemeral ports. Otherwise the system could give a port to an
+	// outgoing connection before the process that listens on the port is started or restarted.
 	relayBasePort        = 10_000
-	relayPortsPerProcess = 16 // per test process, at each IP address
+	relayPortsPerProcess = 16 // ports of each test process, at each IP address
 	relayPortBlocks      = 1_300
 	relayPortsPerRun     = 3
 	relayPeerPort        = 0
@@ -216,7 +216,7 @@
 	p.controlAddress = at(relayOperatorPort)
 }
 
-// setupFor returns the set-up of the member with an index.
+// setupFor returns the set-up of p, which is member i.
 func (f *relayFleet) setupFor(i int, p *fleetProcess) string {
 	switch {
 	case slices.Contains(f.controllers, p):
@@ -227,8 +227,8 @@
 	return f.controlSetup(p, controlRoleSettings)
 }
 
-// relaysFor returns the settings of a controller's relays. One half of the controllers have the one relay
-// first, the other half the other one.
+// relaysFor returns the settings of a controller's relays. Successive controllers list the relays in
+// alternating order, so that each relay is the first relay of half of the controllers.
 func (f *relayFleet) relaysFor(number int) []string {
 	first, second := f.relays[number%relayFleetRelays], f.relays[(number+1)%relayFleetRelays]
 	return []string{peerSettings(first), peerSettings(second)}
@@ -258,7 +258,7 @@
 		relayFleetHeartbeat, f.voterSettings(), placementYAML(0))
 }
 
-// confinedLeaseSetting returns the line of a set-up with the lease for confined teams.
+// confinedLeaseSetting returns the set-up's line with the lease of confined tenants.
 func confinedLeaseSetting(lease time.Duration) string {
 	return fmt.Sprintf("  lease_bound: %v\n", lease)
 }
@@ -275,7 +275,7 @@
 // isProcessRunning reports whether a process was started and isn't paused.
 func isProcessRunning(p *fleetProcess) bool { return p.command != nil && !p.paused }
 
-// requireEventually waits until a condition holds, and fails the test if it doesn't in time.
+// requireEventually waits until a condition holds, and fails the test after relayFleetWaitLimit.
 func (f *relayFleet) requireEventually(description string, condition func() bool) {
 	f.t.Helper()
 	f.must(f.waitFor(relayFleetWaitLimit, description, condition))
@@ -296,7 +296,8 @@
 	return leader
 }
 
-// requestTarget returns a running voter for an operator's requests: the leader only if no other one runs.
+// requestTarget returns a running voter for an operator's requests. It returns the leader only if no other
+// voter is running.
 func (f *relayFleet) requestTarget() *fleetProcess {
 	f.t.Helper()
 	leader := f.requireLeader()
@@ -308,8 +309,8 @@
 	return leader
 }
 
-// requireServing waits until all started processes, without the excluded ones, hold a lease and have the
-// latest version that was reported as in force.
+// requireServing waits until all started processes except the excluded ones hold a lease and have the latest
+// version that was reported as in force.
 func (f *relayFleet) requireServing(excluded ...*fleetProcess) {
 	f.t.Helper()
 	for _, p := range f.members {
@@ -368,7 +369,7 @@
 }
 
 // tryInjectDuringChange makes a change wait for heldController and calls inject. It reports whether the
-// change still had no outcome after that.
+// change still had no outcome when inject returned.
 func (f *relayFleet) tryInjectDuringChange(inject func()) (pending bool) {
 	f.t.Helper()
 	held := f.heldController()
--- a/internal/bench/relays_hollow_test.go
+++ b/internal/bench/relays_hollow_test.go
@@ -18,11 +18,13 @@
 
 const (
 	relayHollowCount      = 97
-	relayHollowBatches    = 10 // the controllers are started in so many batches within a second
+	relayHollowBatches    = 10 // the controllers are started in this many batches within a second
 	relayHollowWriteDelay = time.Millisecond
 )
 
-// relayHollowControllers are hollow controllers that join a fleet of processes through its relays.
+// relayHollowControllers are hollow controllers that join a fleet of processes through its relays. Hollow
+// controllers are simulated controllers that run in the test's process. They use the real consensus and peer
+// transport, but have no clients, engines or feed and keep the record in memory.
 type relayHollowControllers struct {
 	fleet    *relayFleet
 	checker  *scaleChecker
@@ -32,15 +34,15 @@
 	failures []hollow.Event
 }
 
-// 97 controllers join through two relays within a second, while changes are under way. Then a change must
-// come into force after a relay was killed, and another one after the leader was killed.
+// 97 hollow controllers join through two relays within a second, while changes are under way. Then a change
+// must come into force after a relay was killed, and another change after the leader was killed.
 func TestManyControllersJoinThroughRelays(t *testing.T) {
 	f := startRelayFleet(t, relayFleetConfig{
 		controllers:   relayFleetRelays,
 		confinedLease: relayFleetLease,
 		lateMembers:   numberedNames("h", relayHollowCount),
 	})
-	f.members = f.members[:len(f.members)-len(f.lateMembers)] // hollow controllers have no processes
+	f.members = f.members[:len(f.members)-len(f.lateMembers)] // hollow controllers aren't processes
 	g := newRelayHollowControllers(f)
 	begin, startResult := time.Now(), make(chan error)
 	go func() { startResult <- g.startAll() }()
@@ -72,7 +74,7 @@
 }
 
 // newRelayHollowControllers configures a hollow controller for each late member of the fleet, without
-// starting it.
+// starting the controller.
 func newRelayHollowControllers(f *relayFleet) *relayHollowControllers {
 	f.t.Helper()
 	g := &relayHollowControllers{fleet: f, checker: newScaleChecker()}
@@ -163,7 +165,8 @@
 	})
 }
 
-// requireChange requests a policy change, waits until it is in force and returns the time that this took.
+// requireChange requests a policy change, waits until the change is in force, and returns the time from the
+// request until then.
 func (g *relayHollowControllers) requireChange() time.Duration {
 	g.fleet.t.Helper()
 	change := g.fleet.newChange(g.fleet.versionInForce(), 0, false)
@@ -173,7 +176,8 @@
 	return time.Since(begin)
 }
 
-// applyInForce requests a change and reports whether it is in force. Both checkers record the outcome.
+// applyInForce requests a change and reports whether the change is in force. The history of the fleet of
+// processes and the checker of the hollow controllers record this outcome.
 func (g *relayHollowControllers) applyInForce(change *fleet.Request, target *fleetProcess) bool {
 	outcome := g.fleet.applyChange(target, change)
 	if outcome == "in force" {
@@ -199,7 +203,7 @@
 		violations = append(violations, fmt.Sprintf("%s failed: %s", e.Name, e.Reason))
 	}
 	for _, s := range g.fleet.monitor.samplesSince(time.Time{}) {
-		if s.controlRole { // changes don't wait for it
+		if s.controlRole { // changes don't wait for processes of the control role
 			continue
 		}
 		g.checker.addSample(servingSample{
@@ -208,7 +212,7 @@
 			answeredAt:  s.answeredAt,
 			serves:      s.serves,
 			version:     s.version,
-			// Less than a millisecond may remain of a valid lease.
+			// A valid lease may have less than a millisecond left.
 			leaseRemainingMS: max(1, s.leaseRemaining.Milliseconds()),
 		})
 	}
--- a/internal/bench/relays_strangers_test.go
+++ b/internal/bench/relays_strangers_test.go
@@ -19,23 +19,23 @@
 	}
 }
 
-// foreignRelay is a relay that leads a fleet of its own. A controller of the tested fleet has it as its first
-// relay, by a wrong setting.
+// foreignRelay is a relay that leads a fleet of its own. A wrong setting makes it the first relay of a
+// controller of the tested fleet.
 type foreignRelay struct {
 	relayName, controllerName string
 	expectedName              string // name of the relay in the controller's settings
-	fleet, keyByte            string // of the relay
+	fleet, keyByte            string // fleet name and key byte in the relay's settings
 	rejection                 transport.RejectionError
 }
 
 const (
-	foreignRelayKeyByte = "e5" // the key of another fleet repeats this byte, which is in hex
+	foreignRelayKeyByte = "e5" // the key of another fleet repeats this byte, given in hex
 	relayJoinerCount    = 20
 	relayJoinDuration   = time.Second
 )
 
-// foreignRelaySpecs returns a relay of another fleet, one with another key, and one whose name is another one
-// than in the settings.
+// foreignRelaySpecs returns a relay of another fleet, a relay with another key, and a relay whose name
+// differs from its name in the controller's settings.
 func foreignRelaySpecs() []foreignRelay {
 	return []foreignRelay{
 		{
@@ -77,8 +77,8 @@
 	return nil
 }
 
-// testForeignRelays starts controllers whose first relay is a foreign one. The foreign relay must reject them
-// with the expected error, and their second relay must serve them.
+// testForeignRelays starts controllers whose first relay is a foreign relay. The foreign relay must reject
+// the controllers with the expected error. The controllers must then serve through their second relay.
 func testForeignRelays(f *relayFleet) {
 	for _, x := range foreignRelaySpecs() {
 		f.startForeignRelay(x)
@@ -87,7 +87,8 @@
 		f.startMisledController(x)
 	}
 	for _, x := range foreignRelaySpecs() {
-		f.cutFromVoters(f.memberNamed(x.controllerName)) // so that it can't renew its lease at the leader
+		// Without a link to the voters, the controller can't renew its lease at the leader.
+		f.cutFromVoters(f.memberNamed(x.controllerName))
 	}
 	f.waitPastLease()
 	for _, x := range foreignRelaySpecs() {
@@ -120,7 +121,8 @@
 	f.must(f.startProcess(relay))
 }
 
-// startMisledController waits until a foreign relay leads its fleet, and starts its controller.
+// startMisledController waits until a foreign relay leads its fleet, and then starts the controller whose
+// settings have this relay.
 func (f *relayFleet) startMisledController(x foreignRelay) {
 	f.t.Helper()
 	relay, controller := f.memberNamed(x.relayName), f.memberNamed(x.controllerName)
@@ -149,8 +151,8 @@
 	return response.Status
 }
 
-// checkRejectedBy checks that a foreign relay counted and logged the rejection of its controller and didn't
-// add the controller to its fleet, and that the controller was told of the rejection.
+// checkRejectedBy checks that a foreign relay counted and logged the rejection of its controller, and didn't
+// add the controller to its fleet. It also checks that the controller counted the rejection.
 func (f *relayFleet) checkRejectedBy(x foreignRelay) {
 	f.t.Helper()
 	status := f.foreignStatus(x)
--- a/internal/bench/relays_test.go
+++ b/internal/bench/relays_test.go
@@ -80,8 +80,8 @@
 	f.checkHistory(violations)
 }
 
-// Controllers with a wrong relay in their settings are refused by the relay and served through their other
-// one. Other controllers join while changes are under way. There are no clients.
+// Controllers with a wrong relay in their settings are rejected by this relay, and served through their other
+// relay. Further controllers join while changes are under way. The fleet has no clients.
 func TestForeignRelaysAreRefusedAndControllersJoin(t *testing.T) {
 	f := startRelayFleet(t, relayFleetConfig{
 		controllers:   relayFleetControllers,
@@ -112,11 +112,11 @@
 	}
 }
 
-// reportCase logs for how long each controller was without a lease and without an action in a case. If only
+// reportCase logs how long each controller was without a lease, and without an action, in a case. If only
 // a relay failed, a long time without a lease is an error.
 func (f *relayFleet) reportCase(begin time.Time, onlyRelayFailed bool) {
 	f.t.Helper()
-	// On a machine that isn't very busy, a controller with a lease of 1 s is never without one.
+	// On a machine that isn't very busy, a controller always holds its lease of 1 s.
 	const maxLeaseGap = 5 * time.Second
 	samples := f.monitor.samplesSince(begin)
 	text := fmt.Sprintf("%d ms", time.Since(begin).Milliseconds())
@@ -134,8 +134,8 @@
 	f.t.Log(text)
 }
 
-// checkHistory fails the test if there are violations: the given ones, those that the monitor observed, or
-// reports to operators that no order of the changes explains.
+// checkHistory fails the test if there are violations. Besides the given violations, it checks for violations
+// that the monitor observed, and for reports to operators that no order of the changes explains.
 func (f *relayFleet) checkHistory(violations []string) {
 	f.t.Helper()
 	violations = append(violations, f.monitor.violations(f)...)
--- a/internal/bench/relays_watch_test.go
+++ b/internal/bench/relays_watch_test.go
@@ -17,8 +17,8 @@
 	relayFailuresShown  = 10                    // most violations that a failed test prints
 )
 
-// relayStatusSample is a process's answer to a status request. What it reports held at some time between
-// requestedAt and answeredAt.
+// relayStatusSample is a process's answer to a status request. The reported state was the process's state at
+// some time between requestedAt and answeredAt.
 type relayStatusSample struct {
 	process                 string
 	controlRole             bool // the process takes no queries
@@ -37,8 +37,9 @@
 
 // findMixedVersions returns a violation for each sample of a controller that served under a version after a
 // controller had served under a later version, or after a process had logged that a later version is in
-// force. Only samples that were requested after that observation count, so no tolerance is needed. Processes
-// of the control role are left out: they take no queries, and changes don't wait for them.
+// force. The check needs no tolerance, because it covers only samples that were requested after the later
+// version had been observed. It leaves out processes of the control role, which take no queries and which
+// changes don't wait for.
 func findMixedVersions(samples []relayStatusSample, announcements []relayAnnouncement) (violations []string) {
 	samples = slices.DeleteFunc(slices.Clone(samples), func(s relayStatusSample) bool {
 		return s.controlRole || !s.serves
@@ -60,7 +61,7 @@
 }
 
 // laterVersionSeen describes the evidence that a later version was in force before a sample was requested.
-// It returns "" if there is none.
+// It returns "" if no evidence exists.
 func laterVersionSeen(
 	s relayStatusSample, firstByVersion map[uint64]relayStatusSample, announcements []relayAnnouncement,
 ) string {
@@ -79,7 +80,7 @@
 	return ""
 }
 
-// findOverlongLeases returns a violation for each sample whose remaining lease is longer than a full one.
+// findOverlongLeases returns a violation for each sample whose remaining lease is longer than a full lease.
 func findOverlongLeases(samples []relayStatusSample, lease time.Duration) (violations []string) {
 	for _, s := range samples {
 		if s.leaseRemaining > lease {
@@ -90,8 +91,9 @@
 	return violations
 }
 
-// longestLeaseGap returns the longest time that a process was without a lease, from the last sample with a
-// lease before the gap to the first one after it. A gap without a sample on both sides doesn't count.
+// longestLeaseGap returns the longest time for which a process was without a lease. A gap lasts from the last
+// sample with a lease before the gap to the first sample with a lease after the gap. A gap counts only if
+// both of these samples exist.
 func longestLeaseGap(samples []relayStatusSample, process string) (longest time.Duration) {
 	var lastHeld time.Time
 	inGap := false
@@ -114,7 +116,7 @@
 // relayStatusMonitor polls the status of the processes of a fleet and collects the samples.
 type relayStatusMonitor struct {
 	mu      sync.Mutex
-	samples []relayStatusSample // those of each process are in order
+	samples []relayStatusSample // the samples of each process are in order of time
 }
 
 // poll polls a process in the background until the clients of the fleet stop.
@@ -190,8 +192,8 @@
 	return announcements, nil
 }
 
-// parseAnnouncements returns the announcements in one log. The log truncates times to microseconds, so
-// parseAnnouncements adds one.
+// parseAnnouncements returns the announcements in the log of one process. The log truncates times to
+// microseconds, so parseAnnouncements adds a microsecond to each time.
 func parseAnnouncements(process string, text []byte) (announcements []relayAnnouncement) {
 	for _, line := range bytes.Split(text, []byte("\n")) {
 		var entry struct {
