--- a/internal/scheduler/interface.go
+++ b/internal/scheduler/interface.go
@@ -5,8 +5,8 @@
 // Actions are the operations that the scheduler calls. An adapter implements them for one instance.
 // The ids are those that the adapter passed with events.
 type Actions interface {
-	// SendAttempt sends an attempt. Its answer has to arrive within a time, or before the client
-	// leaves if that time is 0.
+	// SendAttempt sends an attempt of a query to an engine. The answer has to arrive within the given
+	// time, or by the query's deadline if that time is 0.
 	SendAttempt(query, engine string, within time.Duration)
 	// CancelAttempt cancels an attempt by its number. AttemptEnded still reports its end.
 	CancelAttempt(query string, number int)
--- a/internal/scheduler/queue.go
+++ b/internal/scheduler/queue.go
@@ -7,20 +7,28 @@
 )
 
 const (
-	rateWindow        = 5 * time.Second // window of recent rates
-	minRateWindow     = time.Second     // window of recent rates shortly after the start
-	queuedWorkDivisor = 4               // divides the work started in an objective, for the limit of queued work
-	minRate           = 0.01            // rate in queries per second that avoids a division by 0
+	rateWindow    = 5 * time.Second // window of recent rates
+	minRateWindow = time.Second     // window of recent rates shortly after the start
+	minRate       = 0.01            // rate in queries per second that avoids a division by 0
+
+	// The queued work of a group is limited to the work that the group starts within its objective,
+	// divided by queuedWorkDivisor.
+	queuedWorkDivisor = 4
 )
 
 func (s *Scheduler) enqueue(q *query) { q.group.insert(q) }
 
-// dispatchQueued sends the queued queries that can be sent, in order of the groups' ranks and then
-// of arrival. A query that no engine is eligible for is skipped, and so are the queries with the
-// same eligibility key, so that a long queue needs few routing decisions.
+// dispatchQueued sends queued queries, in order of the groups' ranks and then of arrival, and rejects
+// those that are too late to start. At the first query that waits for capacity or for load reports,
+// the group's costly queries are shed if its queue holds too much work, and the dispatch goes on with
+// the next group.
+//
+// Three kinds of query don't stop their queue: a query that no engine is eligible for, a confined
+// query, and a query that submit refuses. After such a query, the later unsent queries with the same
+// eligibility key are skipped, so that a long queue needs few routing decisions.
 func (s *Scheduler) dispatchQueued() {
 	for _, rg := range s.ranked {
-		var ineligibleKeys []int64
+		var skippedKeys []int64 // eligibility keys
 		rg.blocked = false
 		for i := 0; i < len(rg.queue); {
 			q := rg.queue[i]
@@ -31,7 +39,7 @@
 				rg.remove(q)
 				continue
 			}
-			if len(q.attempts) == 0 && slices.Contains(ineligibleKeys, q.eligibilityKey) {
+			if len(q.attempts) == 0 && slices.Contains(skippedKeys, q.eligibilityKey) {
 				i++
 				continue
 			}
@@ -39,12 +47,12 @@
 			switch {
 			case e != nil && s.submit(q, e):
 				rg.remove(q)
-			case e == nil && !ineligible && !q.confined: // a confined query blocks only those with its eligibility key
+			case e == nil && !ineligible && !q.confined:
 				s.shedCostliest(rg)
 				rg.blocked = true
 				i = len(rg.queue)
 			default:
-				ineligibleKeys = append(ineligibleKeys, q.eligibilityKey)
+				skippedKeys = append(skippedKeys, q.eligibilityKey)
 				i++
 			}
 		}
@@ -62,10 +70,10 @@
 	})
 }
 
-// shedCostliest rejects queries of a queue with more work than can be started in time, those with
-// the highest cost for their weight first. In order of arrival alone, a long query would take the
-// capacity of several shorter ones of equal value. A queue of queries that cost the same keeps its
-// order.
+// shedCostliest rejects queries of a group whose queued work exceeds the limit, those with the highest
+// costPerWeight first. In order of arrival alone, a long query would take the capacity of several
+// shorter ones of equal value. Queries that cost no more than the group's typical query and the last
+// query in the queue are kept, even if the queued work stays above the limit.
 func (s *Scheduler) shedCostliest(rg *resourceGroup) {
 	work := 0.0
 	for _, q := range rg.queue {
@@ -95,8 +103,9 @@
 }
 
 // overQuotaFraction returns the fraction of a tenant's queries at this controller beyond its quota.
-// The quota is the controller's even part, and grows with the controller's long-term load, as
-// traffic isn't even.
+// The quota is the tenant's quota divided evenly among the controllers. Because traffic isn't even,
+// the quota is raised in proportion if the tenants' arrivals at this controller exceed the
+// controller's part of all quotas in the long term.
 func (s *Scheduler) overQuotaFraction(t *tenant) float64 {
 	return max(0, 1-t.quota*max(1, s.tenantLoad.valueOr(1))/max(minRate, s.perSecond(t.recentArrivals)))
 }
