--- a/internal/scheduler/capacity.go
+++ b/internal/scheduler/capacity.go
@@ -23,9 +23,11 @@
 	minShareDivisor = 4 // a controller's share is at least an even share divided by this number
 )
 
-// hasCapacity returns whether an engine has capacity for a query: within the controller's share of
-// its threads and memory, or beyond that share while the engine isn't under pressure. An engine
-// that was ejected gets one light query at a time until it answers.
+// hasCapacity returns whether an engine has capacity for a query: within the controller's share of its
+// threads and memory, or beyond that share while the engine isn't under pressure and withinTotalLimit
+// holds. An engine without an attempt of this controller also has capacity if the share allows a
+// thread and assignedByIndex selects this controller. An engine that was ejected gets one light query
+// at a time until it answers.
 func (s *Scheduler) hasCapacity(e *engine, q *query) bool {
 	if !s.available(e) {
 		return false
@@ -71,10 +73,10 @@
 	return threads+q.group.threads <= maxThreadsPerCore*cores*s.ownShare*fraction
 }
 
-// assignedByIndex returns whether this controller may send a query to an idle engine of which each
-// controller's share is queriesPerController. If that is less than 1 and every controller sent a
-// query, the engine would get several times its limit. So the engine's hash and the controller's
-// index select as many controllers as there may be queries.
+// assignedByIndex returns whether this controller may send a query to an engine without attempts, if
+// the share of each controller is queriesPerController queries. If that is less than 1 and every
+// controller sent a query, the engine would get several times its limit. Therefore the engine's hash
+// and the controller's index select as many controllers as there may be queries.
 func (s *Scheduler) assignedByIndex(e *engine, queriesPerController float64) bool {
 	controllers := max(1, s.settings.ControllerCount)
 	return math.Mod(float64(e.hash)+s.settings.ControllerIndex, controllers) <
@@ -108,11 +110,14 @@
 	return s.rejectedRecently(e) || e.slowdown > pressureSlowdown || s.utilization(e) > limit
 }
 
-// estimateOwnShare returns the controller's share of all work, 0 to 1, from its recent attempts in
-// flight and the load that engines report. If engines report nothing, each controller has an even
-// share on average. A controller that recently used less than that gets the unused part added. The
-// addition is larger if a single query takes much of the share, because a few queries vary far more
-// than many.
+// estimateOwnShare returns the controller's share of all work, 0 to 1. If engines report numbers of
+// queries, the share is the controller's mean number of attempts on an engine over the mean number
+// that engines report, and at least an even share divided by minShareDivisor. If they report load
+// without numbers of queries, the share is even.
+//
+// If engines report nothing, a controller that recently used less than an even share has up to
+// rateWindow.Seconds() even shares added. The addition grows with the unused part, and with the part
+// of the share that a single query takes, because a few queries vary far more than many.
 func (s *Scheduler) estimateOwnShare() float64 {
 	controllers := max(1, s.settings.ControllerCount)
 	threads, _, _, cores := s.totalsInFlight()
--- a/internal/scheduler/chain.go
+++ b/internal/scheduler/chain.go
@@ -9,7 +9,8 @@
 )
 
 // chain serializes the writes of one table group at this controller. One write runs while others
-// wait, and the next one goes to the same engine, which has the tables in memory.
+// wait, for at most maxChainWait. The next one goes to the same engine if it has capacity, because it
+// has the tables in memory.
 type chain struct {
 	running          *query  // queued or in flight
 	engine           *engine // engine of the last write
@@ -20,8 +21,8 @@
 
 func (c *chain) remove(q *query) bool { return removeFrom(&c.waiting, q) }
 
-// joinChain starts a write, or has it wait for the running one. A write that has waited too long is
-// started beside the running one.
+// joinChain starts a write, or has the write wait for the running one. A write that has waited too
+// long is queued for any engine beside the running one.
 func (s *Scheduler) joinChain(q *query) {
 	c := s.chains[q.tables]
 	if c == nil {
@@ -52,7 +53,8 @@
 	}
 }
 
-// writeEnded starts the next write of the chain when the running one has ended.
+// writeEnded removes an ended write from its chain, and starts the next write if the ended one was
+// running.
 func (s *Scheduler) writeEnded(q *query) {
 	c := q.chain
 	if c == nil || c.remove(q) || c.running != q {
--- a/internal/scheduler/deadline.go
+++ b/internal/scheduler/deadline.go
@@ -33,9 +33,10 @@
 	return deadline - seconds(startMarginFactor*s.expectedSeconds(q))
 }
 
-// tooLateToStart returns whether a queued query should be rejected before it takes capacity: it
-// can't be done by its deadline, or it would be late and either other queries wait behind it or
-// late answers of its group have no value.
+// tooLateToStart returns whether a queued query should be rejected before it takes capacity: less than
+// minSoloTimeFraction of its estimated run time alone is left before its deadline, its latestStart has
+// passed and other queries wait behind it (backlog), or it can't end by its objective and late answers
+// of its group have no value.
 func (s *Scheduler) tooLateToStart(q *query, backlog bool) bool {
 	solo := s.estimatedSoloSeconds(q)
 	switch {
@@ -64,9 +65,10 @@
 	return period*noteTimeoutHalfPeriods/2 + noteDeliveryDelay
 }
 
-// sendDeadline returns the time until which the first byte of an attempt may be sent, as an attempt
-// may wait for a connection. The limit is the query's deadline, and for a keyed query with an
-// earlier attempt also the end of the time for which engines keep its key.
+// sendDeadline returns the time until which the first byte of an attempt may be sent, because an
+// attempt may wait for a connection. The limit is the query's deadline, and for a keyed query with an
+// earlier attempt that may have run also the end of the time for which engines keep its key. If the
+// query has ended or the engine isn't active, sendDeadline returns 0.
 func (s *Scheduler) sendDeadline(a *attempt) time.Duration {
 	attempts, rg := a.query.attemptsThatMayHaveRun(), a.query.group
 	switch {
--- a/internal/scheduler/engine.go
+++ b/internal/scheduler/engine.go
@@ -22,8 +22,8 @@
 	threadsInFlight  float64
 	memoryInFlightMB float64
 
-	// The last load report, nil if it is no longer valid, and the amounts in flight when it
-	// arrived.
+	// The last load report, and the amounts in flight when the report arrived. The report is nil after
+	// a failed health check or a restart of the engine. It expires after reportValidity.
 	report                   map[string]float64
 	reportAt                 time.Duration
 	threadsInFlightAtReport  float64
@@ -54,7 +54,8 @@
 	work float64
 }
 
-// slowStartWorkSince returns the work that was sent to a warming engine since a time.
+// slowStartWorkSince returns the work that was sent to a warming engine after a time, and drops the
+// records of work that was sent earlier.
 func (e *engine) slowStartWorkSince(since time.Duration) (sum float64) {
 	for len(e.slowStartSends) > 0 && e.slowStartSends[0].at <= since {
 		e.slowStartSends = e.slowStartSends[1:]
@@ -82,7 +83,8 @@
 	e.lastResponseAt = now
 }
 
-// storeReport stores an engine's load report with the current amounts in flight.
+// storeReport stores an engine's load report with the current amounts in flight, and updates the mean
+// utilization. An empty report is ignored.
 func (s *Scheduler) storeReport(e *engine, report map[string]float64) {
 	if len(report) == 0 {
 		return
@@ -102,7 +104,8 @@
 	cores    float64 // cores of those engines
 }
 
-// activeEngines returns the engines that are active in the endpoint list.
+// activeEngines returns the engines that are active in the endpoint list. If totalsOutdated is set, it
+// first updates that list, the totals, warmEngines and activeCores.
 func (s *Scheduler) activeEngines() []*engine {
 	if !s.totalsOutdated {
 		return s.activeList
--- a/internal/scheduler/events.go
+++ b/internal/scheduler/events.go
@@ -18,8 +18,8 @@
 	s.subscribed = s.subscribeSentAt >= 0
 }
 
-// EngineListed adds or updates an engine of the endpoint list. The start of its process is used
-// only if startKnown is set.
+// EngineListed adds or updates an engine of the endpoint list. The start of its process is used only
+// if startKnown is set; a changed start begins a slow start.
 func (s *Scheduler) EngineListed(id string, location, kind, cell int, state EngineState,
 	started time.Duration, startKnown bool) {
 	e := s.enginesByID[id]
@@ -146,7 +146,8 @@
 	s.finishEvent()
 }
 
-// handleAttemptEnd learns from the end of an attempt, and ends, retries or rejects its query.
+// handleAttemptEnd learns from the end of an attempt, and ends, retries or rejects its query. Every
+// outcome except Cancelled, TimedOut and NeverSent counts as a response of the engine.
 func (s *Scheduler) handleAttemptEnd(a *attempt, took time.Duration, answered bool, work, memoryMB float64) {
 	q := a.query
 	if a.outcome != Cancelled && a.outcome != TimedOut && a.outcome != NeverSent {
--- a/internal/scheduler/group.go
+++ b/internal/scheduler/group.go
@@ -73,7 +73,7 @@
 	rg.threads = config.Threads
 }
 
-// insert adds a query to the queue, which stays in order of arrival.
+// insert adds a query to the queue, which stays in order of arrival, unless the queue contains it.
 func (rg *resourceGroup) insert(q *query) {
 	i := len(rg.queue)
 	for i > 0 && rg.queue[i-1].sequence > q.sequence {
--- a/internal/scheduler/health_check.go
+++ b/internal/scheduler/health_check.go
@@ -11,8 +11,8 @@
 	healthCheckTokensPerArrival = 1.5 // tokens added by an arriving query
 	maxHealthCheckTokens        = 6
 	maxHealthCheckWait          = 50 * time.Millisecond  // longest wait of a query for load reports
-	healthCheckRetryDelay       = 250 * time.Millisecond // of a query; at most its timeout / timeoutDivisor
-	timeoutDivisor              = 6
+	healthCheckRetryDelay       = 250 * time.Millisecond // until a query without capacity sends checks again
+	timeoutDivisor              = 6                      // limits delays to the group's timeout divided by it
 	healthCheckLostTimeout      = 300 * time.Millisecond // after which another health check may be sent
 	failedHealthCheckCooldown   = 2 * time.Second        // ejection time of an engine that didn't answer
 	wantedCandidates            = 2                      // known engines with capacity that suffice
@@ -38,9 +38,12 @@
 
 // awaitHealthChecks returns whether a query waits for load reports, and requests them if too few
 // engines are known to have capacity. Among many controllers, a controller's own attempts don't
-// show how full an engine is. Each health check uses up a token, and arriving queries add tokens. If
-// no token is left and no engine is known to have capacity, the utilization of a few engines without
-// a report is estimated instead.
+// show how full an engine is. A query waits for at most maxHealthCheckWait. It requests reports once,
+// and again after healthCheckRetryDelay if no engine has capacity.
+//
+// Each health check uses up a token, and arriving queries add tokens. If no token is left and no
+// engine is known to have capacity, the utilization of a few engines without a report is estimated
+// instead, and they are added to the candidates.
 func (s *Scheduler) awaitHealthChecks(q *query, c *candidates) bool {
 	wanted := wantedCandidates
 	if s.isLight(q.group) {
@@ -72,7 +75,7 @@
 }
 
 // checkUnreported sends health checks to engines without a report until the wanted number of engines
-// is known to have capacity or is checked, or no token is left.
+// is known to have capacity or is being checked, or no token is left.
 func (s *Scheduler) checkUnreported(q *query, c *candidates, wanted int) {
 	q.checkedEngines = nil
 	q.checkedAt = s.now
@@ -90,6 +93,8 @@
 	s.healthCheckTokens = min(s.healthCheckTokens+healthCheckTokensPerArrival, maxHealthCheckTokens)
 }
 
+// sendHealthCheck sends a health check to an engine if health checks are allowed. It does nothing while
+// an earlier check is in flight, unless that one is old enough to be lost.
 func (s *Scheduler) sendHealthCheck(e *engine) {
 	if !s.settings.HealthChecksAllowed {
 		return
@@ -122,9 +127,10 @@
 	e.lastResponseAt = s.now
 }
 
-// checkAttempt detects that an attempt in flight is lost: by an unresponsive engine, a stalled
-// attempt, a missed note or a silent engine. The causes are lost machines, broken connections and
-// long stalls.
+// checkAttempt looks for a sign that an attempt in flight is lost: an unresponsive engine, a run time far
+// above the expected one, an idle engine or a missing note. It then moves or rejects the query. An
+// engine that is silent for too long gets health checks first, and counts as unresponsive after
+// unresponsiveGrace. The causes are lost machines, broken connections and long stalls.
 func (s *Scheduler) checkAttempt(e *engine, a *attempt) {
 	period := s.settings.NotePeriod
 	running := (s.now - a.sentAt).Seconds()
@@ -174,9 +180,9 @@
 	}
 }
 
-// handleMissedNote moves an attempt whose note is missing although the engine answers. The attempt
-// was lost, or, if no other query on the same tables has finished since it was sent, its tables are
-// blocked.
+// handleMissedNote moves an attempt whose note is missing, and raises the engine's slowdown. If no query
+// on the same tables has finished on the engine since the attempt was sent, a load is assumed to block
+// the tables. Otherwise the attempt was lost.
 func (s *Scheduler) handleMissedNote(e *engine, a *attempt) {
 	a.blocked = true
 	e.slowdown += (maxEngineSlowdown - e.slowdown) * missedNoteSlowdownWeight
--- a/internal/scheduler/learning.go
+++ b/internal/scheduler/learning.go
@@ -21,7 +21,8 @@
 	unreportedUtilizationDecay = 0.93
 )
 
-// learnFromArrival counts an admitted query for its group, its tenant and the total.
+// learnFromArrival counts a query that has arrived for its group, its tenant and the total. If answers
+// don't report work, it adds the estimate of the query's work to the group's average.
 func (s *Scheduler) learnFromArrival(q *query) {
 	rg := q.group
 	if q.workSeconds > 0 && !s.settings.AnswersReportWork {
@@ -33,8 +34,10 @@
 	s.meanWorkSeconds.add(s.typicalWorkSeconds(rg), meanWorkSamples)
 }
 
-// learnFromAnswer updates the averages with an answer's run time, and with its work and memory if
-// the answer reports them.
+// learnFromAnswer records that an attempt's engine has answered, and updates the averages with the run
+// time, and with the work and memory if the answer reports work. The run time of a blocked attempt
+// says nothing about the slowdown. Without reported or estimated work, the slowdown is unknown too,
+// unless answers never report work.
 func (s *Scheduler) learnFromAnswer(a *attempt, took time.Duration, work, memoryMB float64) {
 	q := a.query
 	a.engine.recordAnswer(q.tables, s.now)
@@ -53,8 +56,9 @@
 	}
 }
 
-// learnSlowdown adds the ratio of an answer's run time to its run time alone. The best slowdown
-// falls quickly and rises slowly, so that it stays near the smallest ratio.
+// learnSlowdown adds the ratio of an answer's run time to its estimated run time alone to the slowdown
+// of the group, and that ratio over the group's best slowdown to the slowdown of the engine. The best
+// slowdown falls quickly and rises slowly, so that it stays near the smallest ratio.
 func (s *Scheduler) learnSlowdown(a *attempt, ratio float64) {
 	rg := a.query.group
 	rg.slowdown.add(min(ratio, maxSlowdownSample), slowdownSamples)
@@ -67,12 +71,13 @@
 	a.engine.learnSlowdown(ratio / rg.bestSlowdown)
 }
 
-// learnSlowdown adds an answer's slowdown relative to the best of its group.
+// learnSlowdown adds the slowdown of an answer, relative to its group's best slowdown, to the engine's
+// slowdown.
 func (e *engine) learnSlowdown(ratio float64) {
 	e.slowdown += (min(maxEngineSlowdown, max(minEngineSlowdown, ratio)) - e.slowdown) * slowdownSampleWeight
 }
 
-// recoverSlowdown moves an engine's slowdown towards 1 as time passes.
+// recoverSlowdown moves an engine's slowdown towards 1. Each tick calls it.
 func (e *engine) recoverSlowdown() { e.slowdown += (1 - e.slowdown) * slowdownRecoveryRate }
 
 // learnFromReport updates the averages with a load report. Warming engines are left out: they are
--- a/internal/scheduler/limits.go
+++ b/internal/scheduler/limits.go
@@ -40,7 +40,7 @@
 
 // memoryGrantMB returns the memory granted to a query, 0 if the engine decides. Where engines swap
 // when they are out of memory, a large grant costs nothing, so that every query gets the largest one.
-// Otherwise the grant follows the estimate of the query's memory.
+// Otherwise the grant follows the client's estimate of the query's memory.
 func (s *Scheduler) memoryGrantMB(q *query) int {
 	switch {
 	case !s.settings.MemoryGrantsSupported:
--- a/internal/scheduler/outlier.go
+++ b/internal/scheduler/outlier.go
@@ -13,9 +13,10 @@
 )
 
 // attemptStalled handles an attempt that is late without a note that explains the delay. If another
-// query finished on its engine since it was sent, the attempt is assumed to wait for a load.
-// Otherwise the engine is an outlier and is ejected. An engine that has run out of memory makes
-// almost no progress and shows idle cores, so that every controller would prefer it.
+// query finished on its engine since it was sent, the attempt is assumed to wait for a load, and later
+// queries on the same tables avoid the engine. Otherwise the engine is an outlier and is ejected, and
+// the query is moved. An engine that has run out of memory makes almost no progress and shows idle
+// cores, so that every controller would prefer it.
 func (s *Scheduler) attemptStalled(a *attempt) {
 	e := a.engine
 	if e.lastFinishAt > a.sentAt {
--- a/internal/scheduler/query.go
+++ b/internal/scheduler/query.go
@@ -30,7 +30,7 @@
 
 	// Routing.
 	allowedLocations []string // nil allows all locations
-	confined         bool     // confine limited the locations to which the query may be sent
+	confined         bool     // the adapter has limited the locations to which the query may be sent
 	eligibilityKey   int64    // queries of a group with equal keys are eligible for the same engines
 	lastEngine       *engine  // engine of the last ended attempt; other engines are preferred
 	checkedEngines   []*engine
@@ -79,7 +79,8 @@
 	return attempts
 }
 
-// confine limits a query to some of its group's locations; nil allows all of them.
+// confine limits a query to some of its group's locations, and sets its eligibility key. With nil, the
+// query may be sent to all locations of the group, and isn't confined.
 func (q *query) confine(locations []string) {
 	q.allowedLocations = q.group.locations
 	q.confined = locations != nil
@@ -110,7 +111,8 @@
 	return q.attempts[number]
 }
 
-// recordAttempt adds an attempt that is sent to an engine.
+// recordAttempt adds an attempt that is sent to an engine to the records of the query, the engine, the
+// retry budget, slow start and the query's chain.
 func (s *Scheduler) recordAttempt(q *query, e *engine) {
 	a := &attempt{
 		query:    q,
--- a/internal/scheduler/retry.go
+++ b/internal/scheduler/retry.go
@@ -71,7 +71,8 @@
 }
 
 // handleNote handles a progress note on a running attempt. An attempt that would take far longer than
-// a new one has a bad plan, or a slow or crowded engine. In each case the query is moved.
+// a new one has a bad plan, or a slow or crowded engine. In each case the query is moved. A note of
+// another kind only shows that the attempt and its engine are alive.
 func (s *Scheduler) handleNote(a *attempt, kind NoteKind, value float64) {
 	s.engineResponded(a.engine)
 	a.lastNoteAt = s.now
@@ -84,8 +85,8 @@
 	}
 }
 
-// handleBlockedByLoad marks an attempt as blocked by a load of its tables, which other queries then
-// avoid on this engine.
+// handleBlockedByLoad moves an attempt that is blocked by a load of its tables. Other queries on these
+// tables avoid the engine for a duration.
 func (s *Scheduler) handleBlockedByLoad(a *attempt, duration time.Duration) {
 	a.blocked = true
 	a.engine.markLoadRunning(a.query.tables, s.now+duration)
@@ -102,8 +103,9 @@
 }
 
 // moveOrReject cancels an attempt in favour of one on another engine, if its remaining time is long
-// compared with the time for a new one. The query of an attempt that would end
-// long after the deadline is rejected, so that it doesn't hold capacity.
+// compared with the time for a new one. The query of an attempt that would end long after the deadline
+// is rejected, so that it doesn't hold capacity. moveOrReject does nothing for an attempt that is being
+// moved, a query that has ended or isn't read-only, or if engines support no cancellation.
 func (s *Scheduler) moveOrReject(a *attempt, remainingSeconds float64) {
 	q := a.query
 	if a.moving || q.ended || q.group.effect != settings.ReadOnly || !s.settings.CancelAllowed {
--- a/internal/scheduler/retry_budget.go
+++ b/internal/scheduler/retry_budget.go
@@ -6,7 +6,7 @@
 )
 
 // retryBudgetLeft returns whether the controller may send another retry. In a window it may send a
-// fixed number and a ratio of the queries that arrived.
+// fixed number and a ratio of the queries that arrived. Without a window there is no limit.
 func (s *Scheduler) retryBudgetLeft() bool {
 	window := s.settings.RetryBudgetWindow
 	since := s.now - window
--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -8,7 +8,7 @@
 // (chain.go), other queries into a queue per resource group (queue.go). dispatchQueued sends them
 // in order of arrival, and route (routing.go) draws an engine. Only submit (invariants.go) sends an
 // attempt, after maySend and maySendTo have checked the rules. Only reject (admission.go) answers a
-// query.
+// query of a known group.
 package scheduler
 
 import (
@@ -132,7 +132,7 @@
 // UpdateSettings applies the settings that may change at run time: weights, objectives, timeouts,
 // late values and threads of groups, and tenants with their quotas. Queued queries keep their
 // place, and those not sent yet get the new objective. Tenants keep their state by name. The
-// queries of a tenant that was removed count to no quota.
+// queries of a tenant that was removed count against no quota.
 func (s *Scheduler) UpdateSettings(now time.Duration, given map[string]string) {
 	s.now = now
 	before := s.settings.Tenants
@@ -182,8 +182,8 @@
 	return queries
 }
 
-// tenantByIndex returns the tenant with an index in the settings, or noTenant, which is never over
-// its quota.
+// tenantByIndex returns the tenant with an index in the settings. For an unknown index or a tenant
+// without a quota it returns noTenant, which is never over its quota.
 func (s *Scheduler) tenantByIndex(index int) *tenant {
 	if index < 0 || index >= len(s.tenants) || s.tenants[index].quota <= 0 {
 		return &s.noTenant
--- a/internal/scheduler/timers.go
+++ b/internal/scheduler/timers.go
@@ -26,7 +26,8 @@
 	tickTag
 )
 
-// tick does the periodic work.
+// tick does the work that is due every tickInterval: it updates ranks, averages and slowdowns, checks
+// the attempts in flight, and requests the endpoint list again if needed.
 func (s *Scheduler) tick() {
 	s.actions.SetTimer(tickInterval, tickTag)
 	s.rankGroups()
@@ -89,8 +90,8 @@
 	}
 }
 
-// finishEvent ends every event: due callbacks run, queries are dispatched, and a timer is set for
-// the next callback.
+// finishEvent ends an event: due callbacks run, queries are dispatched unless the scheduler is paused,
+// and a timer is set for the next callback. Events that only record something don't call it.
 func (s *Scheduler) finishEvent() {
 	for callback, ok := s.timers.PopDue(s.now); ok; callback, ok = s.timers.PopDue(s.now) {
 		callback()
@@ -124,9 +125,9 @@
 	s.startNextInKeyQueue(q)
 }
 
-// evictStale removes state that no longer matters: removed engines, and unused chains, key queues
-// and table groups. That state would otherwise stay in
-// memory until the instance stops.
+// evictStale removes state that no longer matters and would otherwise stay in memory: engines that were
+// removed long ago, engines' records of table groups and of slow start, unused chains and key queues,
+// and the arrivals and retries before the window of the retry budget. It runs every evictInterval.
 func (s *Scheduler) evictStale() {
 	if s.now < s.nextEvictionAt {
 		return
@@ -161,8 +162,8 @@
 	countSince(&s.retries, since)
 }
 
-// EntryCount returns the number of engines, chains, key queues, table groups, queries and timers in
-// memory.
+// EntryCount returns the number of entries in memory: engines, chains, key queues, queries, timers, and
+// the engines' records of table groups and of slow start. Tests detect leaks by it.
 func (s *Scheduler) EntryCount() int {
 	n := s.timers.Len() + len(s.engines) + len(s.enginesByID) + len(s.chains) + len(s.keyQueues) + len(s.queries)
 	for _, e := range s.engines {
--- a/internal/scheduler/utilization.go
+++ b/internal/scheduler/utilization.go
@@ -20,9 +20,10 @@
 }
 
 // utilization estimates how full an engine is with the work of all controllers, 1 being full. With a
-// report, the result is the larger of threads and memory, including the attempts sent since the
-// report. Otherwise it is the mean of recently reporting engines, or, if there are none, the load that
-// results if all controllers send as this one does.
+// valid report, the result is the larger of threads and memory, including the attempts sent since the
+// report. Otherwise it is the mean utilization of engines that reported, plus this controller's threads
+// on the engine. If no engine has reported, it is the load that results if all controllers send as this
+// one does.
 func (s *Scheduler) utilization(e *engine) float64 {
 	limit := maxThreadsPerCore * e.cores * s.warmupCapacity(e)
 	if e.report != nil && s.now-e.reportAt < reportValidity {
