--- a/internal/controller/attempt.go
+++ b/internal/controller/attempt.go
@@ -153,6 +153,6 @@
 		a.engine.unreportedAttempts--
 		q := a.query
 		a.scheduler.AttemptEnded(a.now, q.id, a.number, outcome, took, q.answered, a.work, a.memoryMB, nil)
-		a.forgetQuery(q)
+		a.releaseIfOver(q)
 	})
 }
--- a/internal/controller/client.go
+++ b/internal/controller/client.go
@@ -57,7 +57,7 @@
 		n, err := msgpackrpc.Read(cl.connection.Received.Bytes(), cl.maxMessageBytes, cl.messageHandler())
 		if err != nil {
 			cl.counters.malformed++
-			cl.disconnect(true)
+			cl.disconnect(gracefully)
 			return
 		}
 		if n == 0 {
@@ -71,7 +71,7 @@
 		cl.messagesSinceSweep++
 		if cl.messagesSinceSweep > cl.limits.MaxMessagesPerSweep {
 			cl.counters.disconnected++
-			cl.disconnect(true)
+			cl.disconnect(gracefully)
 		}
 	}
 }
--- a/internal/controller/client_bounds.go
+++ b/internal/controller/client_bounds.go
@@ -67,7 +67,7 @@
 	if open > c.maxClients {
 		c.counters.disconnected++
 		// gracefully: the client may just have been answered, and its next query may be in flight
-		c.closeConnectionWithin(victim.connection, true, maxNetworkDelay)
+		c.closeConnectionWithin(victim.connection, gracefully, maxNetworkDelay)
 	}
 }
 
@@ -93,14 +93,14 @@
 			cl.disconnect(cl.stalledSince < 0) // no grace for a client that reads nothing
 		case cl.isIdle():
 			c.counters.idleClosed++
-			cl.disconnect(true)
+			cl.disconnect(gracefully)
 		case worst == nil || unread > worst.connection.unwrittenBytes:
 			worst = cl
 		}
 	}
 	if c.unreadBytes > c.maxUnreadBytes && worst != nil {
 		c.counters.disconnected++
-		worst.disconnect(false)
+		worst.disconnect(immediately)
 	}
 }
 
@@ -164,7 +164,7 @@
 	}
 	if worst != nil {
 		c.counters.disconnected++
-		worst.disconnect(false)
+		worst.disconnect(immediately)
 		return
 	}
 	var largest *engineConnection
--- a/internal/controller/client_calls.go
+++ b/internal/controller/client_calls.go
@@ -18,7 +18,7 @@
 	if cl.findCall(messageID) != nil {
 		// the answers to the two calls could not be told apart
 		cl.counters.malformed++
-		cl.disconnect(true)
+		cl.disconnect(gracefully)
 		return
 	}
 	call := &queryCall{
@@ -37,7 +37,7 @@
 			return
 		}
 		cl.Invalid(messageID, "too many are open")
-		cl.disconnect(true)
+		cl.disconnect(gracefully)
 		return
 	}
 	rc := &rpcCall{client: cl, messageID: messageID}
@@ -76,13 +76,13 @@
 func (cl *client) Invalid(messageID uint32, reason string) {
 	cl.counters.malformed++
 	if cl.findCall(messageID) != nil {
-		cl.disconnect(true)
+		cl.disconnect(gracefully)
 		return
 	}
 	cl.reply(msgpackrpc.AppendFailure(nil, messageID, reason))
 	cl.badCalls++
 	if cl.badCalls > maxBadCalls {
-		cl.disconnect(true)
+		cl.disconnect(gracefully)
 	}
 }
 
--- a/internal/controller/connection.go
+++ b/internal/controller/connection.go
@@ -55,6 +55,12 @@
 	conn.bufferBytes = bytes
 }
 
+// Values of the parameter graceful of closeConnection, closeConnectionWithin and client.disconnect.
+const (
+	gracefully  = true
+	immediately = false
+)
+
 // closeConnection closes a connection; ConnectionClosed follows once its descriptor is free.
 func (c *Controller) closeConnection(conn *Connection, graceful bool) {
 	c.closeConnectionWithin(conn, graceful, messageTimeout)
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -90,14 +90,15 @@
 	if len(config.InitialEndpoints) > 0 {
 		err := discovery.ReadSnapshot(config.InitialEndpoints, c)
 		if err != nil {
-			c.logMessage(true, "cannot read the initial endpoint list: "+err.Error())
+			c.logMessage(warningLevel, "cannot read the initial endpoint list: "+err.Error())
 		}
 	}
 	c.initOptionalComponents()
 	c.discovery.unreadableAfter = -1
 	c.connectDiscovery()
 	c.sweep()
-	c.runPending(false)
+	const backlogged = false // no event has arrived yet
+	c.runPending(backlogged)
 	return c, c.effects
 }
 
@@ -245,9 +246,9 @@
 		return
 	}
 	invariant.Check(false, "a step does not panic")
-	c.logMessage(true, fmt.Sprintf("panic in a step: %v at %s", fault, debug.Stack()))
+	c.logMessage(warningLevel, fmt.Sprintf("panic in a step: %v at %s", fault, debug.Stack()))
 	if conn != nil {
-		c.closeConnection(conn, false)
+		c.closeConnection(conn, immediately)
 	}
 	if c.timerAt < 0 { // the next step runs the callbacks that this one did not
 		c.timerAt = c.now + time.Millisecond
--- a/internal/controller/discovery.go
+++ b/internal/controller/discovery.go
@@ -103,10 +103,10 @@
 		}
 		if err != nil {
 			c.counters.discoveryFaults++
-			c.logMessage(true, "unreadable event from discovery: "+err.Error()+
+			c.logMessage(warningLevel, "unreadable event from discovery: "+err.Error()+
 				"; requested once more, then skipped")
 			d.unreadableAfter = d.lastEvent
-			c.closeConnection(conn, false)
+			c.closeConnection(conn, immediately)
 			c.reconnectDiscovery(conn)
 			return
 		}
@@ -130,7 +130,7 @@
 	c.DiscoveryAddress = address
 	d.retryDelay = 0
 	if d.connection != nil {
-		c.closeConnection(d.connection, false)
+		c.closeConnection(d.connection, immediately)
 		d.connection = nil
 	}
 	c.connectDiscovery()
@@ -152,7 +152,7 @@
 			c.watchHeartbeat(conn)
 		default:
 			c.counters.discoveryFaults++
-			c.closeConnection(conn, false)
+			c.closeConnection(conn, immediately)
 			c.reconnectDiscovery(conn)
 		}
 	})
@@ -196,7 +196,7 @@
 	conn := c.discovery.connection
 	if conn != nil {
 		c.counters.discoveryFaults++
-		c.closeConnection(conn, false)
+		c.closeConnection(conn, immediately)
 	}
 }
 
@@ -284,5 +284,5 @@
 // InvalidEntry counts and logs an entry of an event that was skipped as invalid.
 func (c *Controller) InvalidEntry(why string) {
 	c.counters.unexpectedMessages++
-	c.logMessage(true, "skipped an invalid entry of the endpoint list: "+why)
+	c.logMessage(warningLevel, "skipped an invalid entry of the endpoint list: "+why)
 }
--- a/internal/controller/fair_queue.go
+++ b/internal/controller/fair_queue.go
@@ -26,9 +26,9 @@
 	if c.Settings["may.name-return"] == settingTrue {
 		f.maxRetryAfter = c.durationSetting("return.most")
 	}
-	shape := *tenants
-	shape.Lanes = f.lanes()
-	f.queue = fairqueue.New(shape)
+	config := *tenants
+	config.Lanes = f.lanes()
+	f.queue = fairqueue.New(config)
 	f.updateCores()
 	f.sweep()
 	return f
@@ -37,10 +37,10 @@
 // reload applies a changed configuration of tenants and the current limits of the groups.
 func (f *fairQueue) reload(tenants *fairqueue.Config) {
 	f.tenants = tenants
-	shape := *tenants
-	shape.Lanes = f.lanes()
-	f.queue.Reload(f.now, shape)
-	f.logMessage(true, fmt.Sprintf("configuration of teams reloaded, %d queries are waiting",
+	config := *tenants
+	config.Lanes = f.lanes()
+	f.queue.Reload(f.now, config)
+	f.logMessage(warningLevel, fmt.Sprintf("configuration of teams reloaded, %d queries are waiting",
 		f.queue.WaitingCount()))
 }
 
@@ -85,8 +85,8 @@
 	if lowered {
 		f.logWithFields(f.entryLogFields(q, w), "priority lowered by fair queueing")
 	}
-	for _, s := range q.attempts {
-		f.sendPriority(s)
+	for _, a := range q.attempts {
+		f.sendPriority(a)
 	}
 }
 
@@ -106,13 +106,13 @@
 	if !verdict.Admitted {
 		f.logWithFields(f.entryLogFields(q, w),
 			"deferred: "+verdict.Reason.String()+", "+verdict.WaitEstimate.String())
-		f.answerDeferred(q, f.retryAfter(verdict.WaitEstimate))
+		f.answerDeferred(q, f.limitRetryAfter(verdict.WaitEstimate))
 		return
 	}
 	q.fairEntry = w
 	q.waitTimer = f.timers.Add(f.queue.LatestStart(w), func() {
 		if w.Waiting() && !q.answered {
-			f.answerDeferred(q, f.retryAfter(f.queue.RetryAfter(f.now, w)))
+			f.answerDeferred(q, f.limitRetryAfter(f.queue.RetryAfter(f.now, w)))
 		}
 	})
 	for f.dispatchNext() {
@@ -147,8 +147,10 @@
 // idHash returns the hash by which the fair queue identifies a query. It is never 0.
 func idHash(id string) uint64 { return xxhash.Sum64String(strings.ToLower(id)) | 1 }
 
-// retryAfter returns the part of an estimated wait that a client may be told to wait before it retries.
-func (f *fairQueue) retryAfter(wait time.Duration) time.Duration { return min(wait, f.maxRetryAfter) }
+// limitRetryAfter returns the part of an estimated wait that a client may be told to wait before it retries.
+func (f *fairQueue) limitRetryAfter(wait time.Duration) time.Duration {
+	return min(wait, f.maxRetryAfter)
+}
 
 // dispatchNext submits one query to the scheduler, from the first group whose queue in the scheduler has
 // room. It returns false if there is no such query.
@@ -194,11 +196,11 @@
 		return
 	}
 	var work, unreported time.Duration // unreported: elapsed time of attempts without a work report
-	for _, s := range q.attempts {
-		if s.work > 0 {
-			work += s.work
-		} else if s.sent {
-			unreported += max(0, s.endedAt-s.startedAt)
+	for _, a := range q.attempts {
+		if a.work > 0 {
+			work += a.work
+		} else if a.sent {
+			unreported += max(0, a.endedAt-a.startedAt)
 		}
 	}
 	f.queue.Ended(f.now, q.fairEntry, q.fairOutcome, work, unreported)
@@ -207,7 +209,7 @@
 // deferAll defers all waiting queries because the controller shuts down.
 func (f *fairQueue) deferAll() {
 	f.queue.EachWaiting(func(w *fairqueue.Query) {
-		f.answerDeferred(w.Owner.(*query), f.retryAfter(f.queue.RetryAfter(f.now, w)))
+		f.answerDeferred(w.Owner.(*query), f.limitRetryAfter(f.queue.RetryAfter(f.now, w)))
 	})
 }
 
--- a/internal/controller/held_queries.go
+++ b/internal/controller/held_queries.go
@@ -118,7 +118,7 @@
 	l.endHold(q)
 	q.customer = l.customerIndex(h.from)
 	if q.group.timeout > 0 && q.deadline-q.receivedAt > q.group.timeout {
-		l.answerKilled(q, "no such patience")
+		l.answerKilled(q, timeoutTooLong)
 		return
 	}
 	l.dispatch(q, h.from)
@@ -224,7 +224,7 @@
 
 // retryAfter returns the retry delay for deferred clients; 0 if the platform does not allow one.
 func (l *servingLease) retryAfter() time.Duration {
-	if l.Settings["may.name-return"] != "true" {
+	if l.Settings["may.name-return"] != settingTrue {
 		return 0
 	}
 	return min(l.RetryAfter, l.durationSetting("return.most"))
--- a/internal/controller/invalidation.go
+++ b/internal/controller/invalidation.go
@@ -70,7 +70,7 @@
 // servingBarred reports whether no retained data may be served now. Without a lease other
 // controllers may complete an invalidation without waiting for this one.
 func (v *invalidation) servingBarred() bool {
-	return v.servingLease != nil && v.servingLease.servingVersion(true) == 0
+	return v.servingLease != nil && v.servingLease.servingVersion(confinedQueries) == 0
 }
 
 // dataOwner returns the tenant whose data a call reads, or the customer if no tenants are configured.
@@ -86,7 +86,7 @@
 // invalidate carries out an invalidation that the fleet ordered.
 func (v *invalidation) invalidate(id string, scope *fleet.Scope, index uint64) {
 	v.started++
-	v.logMessage(false, "purge "+id+" of team "+scope.Team+" started")
+	v.logMessage(infoLevel, "purge "+id+" of team "+scope.Team+" started")
 	unreachable := func() {
 		v.servingLease.report(fleet.Report{Kind: fleet.DataTombstoned, ID: id})
 	}
--- a/internal/controller/invalidation_calls.go
+++ b/internal/controller/invalidation_calls.go
@@ -110,7 +110,7 @@
 	for _, call := range v.pendingCallsFor(id) {
 		switch {
 		case entry == nil || entry.tenant != call.tenant:
-			v.finishCall(call, msgpackrpc.AppendFailure(nil, call.msg, unknownInvalidationText))
+			v.sendAnswer(call, msgpackrpc.AppendFailure(nil, call.msg, unknownInvalidationText))
 		case entry.done:
 			v.answerState(call, "purged", "", &entry.counts, nil)
 		}
@@ -152,9 +152,9 @@
 			v.answerState(call, statePending, stageNames[r.Stage], nil, r.Outstanding)
 		}
 	case r.Outcome == "refused" && r.Reason != "":
-		v.finishCall(call, msgpackrpc.AppendFailure(nil, call.msg, r.Reason))
+		v.sendAnswer(call, msgpackrpc.AppendFailure(nil, call.msg, r.Reason))
 	default:
-		v.finishCall(call, msgpackrpc.AppendFailure(nil, call.msg, unknownInvalidationText))
+		v.sendAnswer(call, msgpackrpc.AppendFailure(nil, call.msg, unknownInvalidationText))
 	}
 }
 
@@ -174,11 +174,11 @@
 	if len(outstanding) > 0 {
 		fields = append(fields, "outstanding", strings.Join(outstanding, ","))
 	}
-	v.finishCall(call, msgpackrpc.AppendPurgeStatus(nil, call.msg, fields...))
+	v.sendAnswer(call, msgpackrpc.AppendPurgeStatus(nil, call.msg, fields...))
 }
 
-// finishCall answers a call unless it was answered before.
-func (v *invalidation) finishCall(call *invalidationCall, answer []byte) {
+// sendAnswer answers a call unless it was answered before.
+func (v *invalidation) sendAnswer(call *invalidationCall, answer []byte) {
 	if call.answered {
 		return
 	}
--- a/internal/controller/logging.go
+++ b/internal/controller/logging.go
@@ -2,9 +2,17 @@
 
 import "fmt"
 
-// logMessage logs a line about the controller as a whole, as a warning or at info level.
-func (c *Controller) logMessage(warning bool, text string) {
-	c.emit(Effect{Kind: LogMessage, Warning: warning, Text: text})
+// logLevel is the level of a line that logMessage logs.
+type logLevel int
+
+const (
+	infoLevel logLevel = iota
+	warningLevel
+)
+
+// logMessage logs a line about the controller as a whole.
+func (c *Controller) logMessage(level logLevel, text string) {
+	c.emit(Effect{Kind: LogMessage, Warning: level == warningLevel, Text: text})
 }
 
 // logWithFields logs a line about the subject that fields identify, at info level.
--- a/internal/controller/query.go
+++ b/internal/controller/query.go
@@ -172,7 +172,7 @@
 	if c.caching != nil {
 		c.caching.queryAnswered(q)
 	}
-	c.forgetQuery(q)
+	c.releaseIfOver(q)
 	return true
 }
 
@@ -205,8 +205,8 @@
 	}
 }
 
-// forgetQuery releases a query once it is answered and all of its attempts are reported.
-func (c *Controller) forgetQuery(q *query) {
+// releaseIfOver releases a query once it is answered and all of its attempts are reported.
+func (c *Controller) releaseIfOver(q *query) {
 	if !q.answered || c.queries[q.id] != q {
 		return
 	}
--- a/internal/controller/residency.go
+++ b/internal/controller/residency.go
@@ -270,7 +270,7 @@
 	default:
 		delete(r.pendingBindings, id)
 		why := cmp.Or(reply.Reason, reply.Outcome)
-		r.logMessage(true, (&residency.Unbound{Team: b.binding.Team, Tables: b.binding.Tables,
+		r.logMessage(warningLevel, (&residency.Unbound{Team: b.binding.Team, Tables: b.binding.Tables,
 			Reason: why}).Error())
 	}
 	return true
@@ -294,8 +294,8 @@
 		return
 	}
 	r.evaluatedStamp = r.core.Generation()
-	confined := r.findQueries(func(q *query) bool { return q.residency != nil && !q.answered && !q.held })
-	for _, q := range confined {
+	open := r.findQueries(func(q *query) bool { return q.residency != nil && !q.answered && !q.held })
+	for _, q := range open {
 		r.reevaluateQuery(q)
 	}
 }
--- a/internal/controller/result_cache.go
+++ b/internal/controller/result_cache.go
@@ -39,7 +39,7 @@
 func newResultCaching(c *Controller, limits *resultcache.Limits) *resultCaching {
 	core, err := resultcache.New(*limits, c.StartedAt.UnixMilli())
 	if err != nil {
-		c.logMessage(true, err.Error())
+		c.logMessage(warningLevel, err.Error())
 		return nil
 	}
 	a := &resultCaching{Controller: c, core: core, cachedGroups: map[string]bool{}}
--- a/internal/controller/result_paging.go
+++ b/internal/controller/result_paging.go
@@ -54,7 +54,7 @@
 		p.core.Restore(f)
 	})
 	if err != nil {
-		p.logMessage(true, "can't restore spooled results: "+err.Error())
+		p.logMessage(warningLevel, "can't restore spooled results: "+err.Error())
 	}
 }
 
@@ -228,9 +228,9 @@
 	switch {
 	case w.Err == nil:
 	case w.Fetch == nil:
-		p.logMessage(true, "spool disk: "+w.Err.Error())
+		p.logMessage(warningLevel, "spool disk: "+w.Err.Error())
 	default:
-		p.logMessage(true, fmt.Sprintf("spool disk: page %d of result %016x: %v",
+		p.logMessage(warningLevel, fmt.Sprintf("spool disk: page %d of result %016x: %v",
 			w.Fetch.Page, w.Fetch.ResultID, w.Err))
 	}
 	w.OnDone(p.now)
--- a/internal/controller/retained_writes.go
+++ b/internal/controller/retained_writes.go
@@ -94,7 +94,7 @@
 	for w := range v.retainedWrites {
 		if w.mayBelongTo(tenant) {
 			v.counters.disconnected++
-			v.closeConnection(w.connection, false)
+			v.closeConnection(w.connection, immediately)
 			delete(v.retainedWrites, w)
 		}
 	}
--- a/internal/controller/scheduler_actions.go
+++ b/internal/controller/scheduler_actions.go
@@ -56,7 +56,8 @@
 		return
 	}
 	if c.fairQueue != nil && q.fairEntry != nil {
-		retryAfter = max(retryAfter, c.fairQueue.retryAfter(c.fairQueue.queue.RetryAfter(c.now, q.fairEntry)))
+		estimate := c.fairQueue.queue.RetryAfter(c.now, q.fairEntry)
+		retryAfter = max(retryAfter, c.fairQueue.limitRetryAfter(estimate))
 	}
 	c.answerDeferred(q, retryAfter)
 }
@@ -86,7 +87,7 @@
 }
 
 // Log logs a line at info level.
-func (c *Controller) Log(line string) { c.logMessage(false, line) }
+func (c *Controller) Log(line string) { c.logMessage(infoLevel, line) }
 
 // settingIndex returns the index of a name in a comma-separated setting, by which the scheduler knows the
 // name; -1 if the list does not contain it.
--- a/internal/controller/serving_lease.go
+++ b/internal/controller/serving_lease.go
@@ -102,8 +102,14 @@
 	return l
 }
 
+// Values of the parameter of servingVersion.
+const (
+	confinedQueries   = true
+	unconfinedQueries = false
+)
+
 // servingVersion returns the policy version by which queries are decided, or 0 while paused: for confined
-// tenants' queries if confined is set, otherwise for all others.
+// queries if confined is set, otherwise for all others.
 func (l *servingLease) servingVersion(confined bool) uint64 {
 	return l.ServingState.ServingVersion(l.now, confined)
 }
@@ -202,11 +208,11 @@
 // updateServing runs before every event, because the timer of scheduleLeaseCheck runs only after an event
 // that arrives when the lease has already ended.
 func (l *servingLease) updateServing() {
-	all := l.updatePausedSince(&l.pausedSince, l.servingVersion(false) != 0)
+	all := l.updatePausedSince(&l.pausedSince, l.servingVersion(unconfinedQueries) != 0)
 	if all == servingPaused {
 		l.scheduler.SetPaused(l.now, true)
 	}
-	confined := l.updatePausedSince(&l.confinedPausedSince, l.servingVersion(true) != 0)
+	confined := l.updatePausedSince(&l.confinedPausedSince, l.servingVersion(confinedQueries) != 0)
 	if all != servingUnchanged || confined != servingUnchanged {
 		l.scheduleHoldExpiry()
 	}
@@ -246,6 +252,6 @@
 func (l *servingLease) countersText() string {
 	return fmt.Sprintf("; fleet version %d switches %d, held %d in all %d longest s %.3f"+
 		" deferred for want of a lease %d, writes refused %d",
-		l.servingVersion(false), l.policySwitches, l.heldCount, l.heldTotal, l.longestHold.Seconds(),
+		l.servingVersion(unconfinedQueries), l.policySwitches, l.heldCount, l.heldTotal, l.longestHold.Seconds(),
 		l.deferredHeld, l.rejectedWrites) + l.residency.countersText()
 }
--- a/internal/controller/shutdown.go
+++ b/internal/controller/shutdown.go
@@ -35,7 +35,7 @@
 	}
 	c.shutdown = gracePeriod
 	c.shutdownRequestedAt = c.now
-	c.logMessage(false, "stopping once all queries are answered")
+	c.logMessage(infoLevel, "stopping once all queries are answered")
 	// continueShutdown runs at the end of every step; these timers cause the steps
 	c.runAfter(shutdownGrace, func() {})
 	c.runAfter(shutdownMinimum, func() {})
