--- a/internal/controller/attempt.go
+++ b/internal/controller/attempt.go
@@ -91,8 +91,9 @@
 	maxPollRetryDelay = engineRetention / 4
 )
 
-// startAttempt submits a query to an engine, as the scheduler decided. The attempt is withdrawn after
-// the time within, or at the query's deadline if within is 0.
+// startAttempt submits a query to an engine, as the scheduler decided. While an earlier attempt of the query
+// is being cancelled at that engine, the new attempt waits. It is withdrawn after the time within, or at the
+// query's deadline if within is 0.
 func (c *Controller) startAttempt(q *query, e *engine, within time.Duration) {
 	deadline := q.deadline
 	if within != 0 {
@@ -130,7 +131,8 @@
 	}
 }
 
-// report records the outcome and tells the scheduler before the step ends.
+// report records the outcome, discards the pages of a result that was not promised to the client, and tells
+// the scheduler before the step ends.
 func (a *attempt) report(outcome scheduler.Outcome) {
 	a.pages = nil
 	if a.paging != nil {
--- a/internal/controller/attempt_calls.go
+++ b/internal/controller/attempt_calls.go
@@ -8,7 +8,8 @@
 	"railrelay.dev/railrelay/internal/scheduler"
 )
 
-// send submits the query to the attempt's engine, unless the serving lease does not permit it now.
+// send submits the query to the attempt's engine, unless the attempt has ended or the serving lease does not
+// permit it now.
 func (a *attempt) send() {
 	if a.ended || a.servingLease != nil && !a.servingLease.permitSend(a) {
 		return
@@ -31,7 +32,7 @@
 }
 
 // maySubmitNow repeats the checks that the attempt was decided on, right before the request is written: the
-// attempt may have waited for a connection in the meantime.
+// attempt may have waited for a connection in the meantime. It also gives the attempt a new write permit.
 func (a *attempt) maySubmitNow(request *call) bool {
 	startBy := min(a.deadline, a.scheduler.SendDeadline(a.query.id, a.number), a.now+submitWriteTimeout)
 	wanted := !a.ended && !a.query.answered && a.now < startBy && a.engine.state == scheduler.EngineActive
@@ -44,6 +45,8 @@
 	return wanted
 }
 
+// encodeSubmission appends the request that submits the query to dst. The caller is about to write the
+// request, so encodeSubmission also records the attempt as sent.
 func (a *attempt) encodeSubmission(dst []byte) []byte {
 	a.sent = true
 	a.polledAt = a.now
@@ -115,6 +118,8 @@
 	}
 }
 
+// handleResponse passes a response to a submission or a poll, and the load report in it, on to their
+// handlers.
 func (a *attempt) handleResponse(page, status int, field func(string) string, body []byte) {
 	a.pollRetryDelay = 0
 	a.lastResponseAt = a.now
--- a/internal/controller/client.go
+++ b/internal/controller/client.go
@@ -95,7 +95,8 @@
 	return cl
 }
 
-// disconnect closes the connection from the controller's side; its open calls get no answers.
+// disconnect closes the connection from the controller's side; its open calls get no answers. For graceful,
+// see closeConnectionWithin.
 func (cl *client) disconnect(graceful bool) {
 	cl.closeConnection(cl.connection, graceful)
 	cl.abandonAllCalls()
--- a/internal/controller/client_bounds.go
+++ b/internal/controller/client_bounds.go
@@ -32,6 +32,7 @@
 	neverEvict                          // a query is open, or the client is reading an answer
 )
 
+// evictionOrder returns the rank of a client for eviction. newcomer is the client that was just accepted.
 func (c *Controller) evictionOrder(cl, newcomer *client) evictionOrder {
 	isTaking := cl.stalledSince < 0 || c.now-cl.stalledSince < messageTimeout
 	isReading := cl.connection.unwrittenBytes > 0 && isTaking
--- a/internal/controller/client_calls.go
+++ b/internal/controller/client_calls.go
@@ -12,7 +12,8 @@
 	_ queryOwner         = (*rpcCall)(nil)
 )
 
-// Query implements msgpackrpc.Handler: it accepts or rejects a query.
+// Query implements msgpackrpc.Handler: it accepts, rejects or defers a query. A client that sends a query
+// over its limit of open ones, or reuses the message id of an open one, is disconnected.
 func (cl *client) Query(messageID uint32, name, id []byte, timeout time.Duration, key []byte, hasKey bool,
 	statement []byte, fields msgpackrpc.Fields) {
 	if cl.findCall(messageID) != nil {
@@ -71,8 +72,8 @@
 	}
 }
 
-// Invalid implements msgpackrpc.Handler: it answers an invalid call. A connection with more than
-// maxBadCalls of them is closed.
+// Invalid implements msgpackrpc.Handler: it answers an invalid call. A connection is closed after more than
+// maxBadCalls invalid calls, or after one that reuses the message id of an open query.
 func (cl *client) Invalid(messageID uint32, reason string) {
 	cl.counters.malformed++
 	if cl.findCall(messageID) != nil {
--- a/internal/controller/connection.go
+++ b/internal/controller/connection.go
@@ -61,7 +61,8 @@
 	immediately = false
 )
 
-// closeConnection closes a connection; ConnectionClosed follows once its descriptor is free.
+// closeConnection closes a connection, within messageTimeout if graceful. ConnectionClosed follows once its
+// descriptor is free.
 func (c *Controller) closeConnection(conn *Connection, graceful bool) {
 	c.closeConnectionWithin(conn, graceful, messageTimeout)
 }
--- a/internal/controller/connection_pool.go
+++ b/internal/controller/connection_pool.go
@@ -19,7 +19,8 @@
 // engine's last response, sent late, must not be read as the response to that call.
 const connectionReuseDelay = 10 * time.Millisecond
 
-// startCall writes a call to an idle or a new connection, or queues the call until there is one.
+// startCall writes a call to an idle or a new connection, or queues the call until there is one. A call to an
+// engine without an address ends as refused.
 func (c *Controller) startCall(request *call) {
 	if request.timeout == 0 {
 		request.timeout = responseTimeout
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -102,7 +102,8 @@
 	return c, c.effects
 }
 
-// readLimits computes the limits that do not change while the controller runs.
+// readLimits reads the settings that do not change while the controller runs, and computes the limits on
+// clients, connections and memory.
 func (c *Controller) readLimits() {
 	c.connectTimeout = c.durationSetting("connect.timeout")
 	c.engineIdleTimeout = c.durationSetting("idle.most")
@@ -162,6 +163,8 @@
 	return c.effects
 }
 
+// step does the work of Step. It is a function of its own so that Step still returns the effects after
+// recoverStep has recovered from a panic. With invariant.Debug, a panic is not recovered from.
 func (c *Controller) step(now time.Duration, event Event) {
 	c.now = max(now, c.now)
 	clear(c.effects)
@@ -238,8 +241,8 @@
 	}
 }
 
-// recoverStep recovers from a panic in a step. It closes the connection that the event came from and keeps
-// serving the others.
+// recoverStep recovers from a panic in a step. It closes the connection that the event came from, and
+// requests another step if no timer is set. All other connections are kept.
 func (c *Controller) recoverStep(conn *Connection) {
 	fault := recover()
 	if fault == nil {
@@ -257,7 +260,8 @@
 }
 
 // runPending ends a step: it runs the callbacks, the timers that are due and the fair queue until nothing is
-// left to do. While events are backlogged, timers wait.
+// left to do, continues a shutdown, and requests a TimerFired for the next timer. While events are
+// backlogged, timers and the shutdown wait.
 func (c *Controller) runPending(backlogged bool) {
 	for c.runNext(backlogged) {
 	}
--- a/internal/controller/discovery.go
+++ b/internal/controller/discovery.go
@@ -51,7 +51,8 @@
 	return limit
 }
 
-// connectDiscovery dials the discovery service and requests the events after the last applied one.
+// connectDiscovery dials the discovery service and requests the events after the last applied one. It does
+// nothing without an address of the service, or while a connection exists.
 func (c *Controller) connectDiscovery() {
 	d := &c.discovery
 	if c.DiscoveryAddress == "" || d.connection != nil { // changeDiscoveryAddress may run during the backoff
@@ -268,8 +269,8 @@
 	}
 }
 
-// removeEngine marks an engine as removed and closes its idle connections. Polling of the attempts that run
-// there goes on.
+// removeEngine marks an engine as removed, revokes the permits of attempts that are not written yet, and
+// closes the engine's idle connections. Polling of the attempts that run there goes on.
 func (c *Controller) removeEngine(e *engine) {
 	e.revokePermits()
 	e.state = scheduler.EngineRemoved
--- a/internal/controller/engine.go
+++ b/internal/controller/engine.go
@@ -11,7 +11,7 @@
 // of one that is gone.
 type engine struct {
 	id      string
-	address string // "" once another engine has the address
+	address string // "" after releaseAddress, until the engine is listed with an address
 
 	// as last listed
 	state         scheduler.EngineState
@@ -68,8 +68,9 @@
 	}
 }
 
-// releaseAddress removes an engine's address because another engine has it now. The old process is gone, and
-// calls meant for it must not reach the new one, which may run a query of the same id.
+// releaseAddress removes an engine's address and closes the engine's connections: another engine is listed
+// at the address, the engine has moved to another one, or a removed engine is forgotten. Calls meant for the
+// old process must not reach a new process at the address, which may run a query of the same id.
 func (c *Controller) releaseAddress(e *engine) {
 	if c.engineByAddress[e.address] == e {
 		delete(c.engineByAddress, e.address)
--- a/internal/controller/engine_connection.go
+++ b/internal/controller/engine_connection.go
@@ -49,6 +49,8 @@
 	c.emit(Effect{Kind: Dial, Connection: ec.connection, Address: e.address, Timeout: c.connectTimeout})
 }
 
+// engineConnected writes the call that a connection was dialled for, or makes the connection idle if that
+// call has ended.
 func (c *Controller) engineConnected(ec *engineConnection) {
 	ec.connected = true
 	request := ec.call
@@ -69,6 +71,8 @@
 	}
 }
 
+// engineConnectionClosed handles the end of a connection, by either side: it removes the connection and ends
+// the call in progress as lost, or as not written if none of its bytes were sent.
 func (c *Controller) engineConnectionClosed(ec *engineConnection) {
 	c.removeEngineConnection(ec)
 	if ec.call != nil && ec.connection.unwrittenBytes >= ec.call.requestBytes {
@@ -87,7 +91,8 @@
 	}
 }
 
-// removeEngineConnection records that a connection no longer holds a descriptor.
+// removeEngineConnection records that a connection no longer holds a descriptor, and that its last request
+// arrives within maxNetworkDelay or never. A waiting call may then use the descriptor.
 func (c *Controller) removeEngineConnection(ec *engineConnection) {
 	isThis := func(x *engineConnection) bool { return x == ec }
 	ec.engine.connections = slices.DeleteFunc(ec.engine.connections, isThis)
@@ -101,7 +106,8 @@
 	c.enqueueCallback(c.serveWaitingCalls)
 }
 
-// writeCall writes a call on an established connection that carries none.
+// writeCall writes a call on an established connection that carries none. A call that is no longer wanted
+// ends instead, and the connection stays idle.
 func (c *Controller) writeCall(ec *engineConnection, request *call) {
 	isFree := ec.connected && ec.call == nil && ec.engine == request.engine
 	invariant.Check(isFree, "a connection carries one call at a time")
@@ -131,6 +137,7 @@
 	request.timer = c.timers.Add(c.now+request.timeout, func() { c.responseTimedOut(ec, request) })
 }
 
+// responseTimedOut closes a connection and ends its call if the response did not come in time.
 func (c *Controller) responseTimedOut(ec *engineConnection, request *call) {
 	if !request.done {
 		c.closeEngineConnection(ec)
--- a/internal/controller/fair_queue.go
+++ b/internal/controller/fair_queue.go
@@ -80,6 +80,8 @@
 	})
 }
 
+// priorityChanged tells the engines of a query's attempts that fair queueing has lowered or restored the
+// query's priority.
 func (f *fairQueue) priorityChanged(w *fairqueue.Query, lowered bool) {
 	q := w.Owner.(*query)
 	if lowered {
@@ -94,7 +96,9 @@
 	return LogFields{Query: q.id, Group: q.group.name, Tenant: f.queue.TenantName(w.Tenant)}
 }
 
-// enqueue adds a query to the queue, or defers the query at once if its wait would be too long.
+// enqueue adds a query to the queue, or defers the query at once if the queue does not admit it, for example
+// because the wait would be too long. It then submits the queries that have a turn, and tells the client of a
+// waiting query the expected wait if the client asked for that.
 func (f *fairQueue) enqueue(q *query, from CallOrigin) {
 	if f.isDraining() { // the scheduler rejects the query
 		f.scheduler.QueryArrived(f.now, q.id, q.group.index, q.customer, q.deadline-f.now,
@@ -172,6 +176,7 @@
 	return false
 }
 
+// attemptStarted tells the queue that an attempt of a query is being sent.
 func (f *fairQueue) attemptStarted(q *query) {
 	if q.fairEntry != nil {
 		f.queue.Started(f.now, q.fairEntry)
--- a/internal/controller/health_check.go
+++ b/internal/controller/health_check.go
@@ -7,9 +7,11 @@
 
 const statusOK = 200
 
-// checkHealth sends a health check to an engine and reports the outcome to the scheduler. The check times out
-// after connectTimeout, which is an outcome, too. While a check is in progress, checkHealth does nothing:
-// when connections are short, queued checks would pile up and starve the polls.
+// checkHealth sends a health check to an engine, and reports the outcome and the engine's load report, if it
+// sends one, to the scheduler. The check times out after connectTimeout, which is an outcome, too.
+//
+// While a check of the engine is in progress, checkHealth does nothing. Otherwise, when connections are
+// scarce, queued checks would pile up and starve the polls of running attempts, which are served last.
 func (c *Controller) checkHealth(e *engine) {
 	if e.healthCheck != nil && !e.healthCheck.done {
 		return
--- a/internal/controller/held_queries.go
+++ b/internal/controller/held_queries.go
@@ -112,7 +112,8 @@
 	}
 }
 
-// readmit dispatches a held query again, by the current settings.
+// readmit dispatches a held query again, by the current settings. It kills a query whose timeout is longer
+// than its group allows now.
 func (l *servingLease) readmit(h *pendingAdmission) {
 	q := h.query
 	l.endHold(q)
@@ -156,9 +157,9 @@
 	}
 }
 
-// expireHeld gives up the queries that have waited for MaxHold in the fair queue, with the scheduler or with
-// a chosen engine. None of them was sent, or their attempts are proven never to have run. Queries held before
-// admission have timers of their own.
+// expireHeld defers the queries that have waited for MaxHold in the fair queue, with the scheduler or with a
+// chosen engine, unless an attempt of theirs may have run. Of a query that may have run, only the blocked
+// attempt is withdrawn. Queries held before admission have timers of their own.
 func (l *servingLease) expireHeld() {
 	for _, a := range l.blockedAttempts {
 		if !a.ended && l.holdExpired(a.query) && a.query.mayHaveRun() {
@@ -204,7 +205,8 @@
 	return queries
 }
 
-// deferUnsent defers a query of which no attempt has run.
+// deferUnsent defers a query of which no attempt has run, tells the scheduler to drop the query, and
+// withdraws its unsent attempts.
 func (l *servingLease) deferUnsent(q *query) {
 	l.deferredHeld++
 	l.logWithFields(q.logFields(), "deferred: this controller is paused")
--- a/internal/controller/invalidation.go
+++ b/internal/controller/invalidation.go
@@ -67,8 +67,9 @@
 	return v.logIndex
 }
 
-// servingBarred reports whether no retained data may be served now. Without a lease other
-// controllers may complete an invalidation without waiting for this one.
+// servingBarred reports whether no retained data may be served now, because this controller has peers and no
+// valid lease for confined queries. Without a lease, other controllers may complete an invalidation
+// without waiting for this one.
 func (v *invalidation) servingBarred() bool {
 	return v.servingLease != nil && v.servingLease.servingVersion(confinedQueries) == 0
 }
--- a/internal/controller/invalidation_calls.go
+++ b/internal/controller/invalidation_calls.go
@@ -90,7 +90,8 @@
 	return &fleet.Request{Kind: kind, ID: call.id, RequestedBy: call.tenant, Team: call.tenant, WaitMs: wait}
 }
 
-// tooManyCalls reports whether a further call of the tenant must be deferred.
+// tooManyCalls reports whether a further call of the tenant must be deferred, because too many of its calls
+// are pending or too many requests of all tenants are unconfirmed.
 func (v *invalidation) tooManyCalls(tenant string) bool {
 	waiting := 0
 	for _, calls := range v.pendingCalls {
@@ -158,6 +159,8 @@
 	}
 }
 
+// answerState answers a call with the state of its invalidation. The answer contains the counts, the stage
+// and the outstanding controllers as far as they are given.
 func (v *invalidation) answerState(
 	call *invalidationCall, state, stage string, n *fleet.InvalidationCounts, outstanding []string,
 ) {
--- a/internal/controller/policy_update.go
+++ b/internal/controller/policy_update.go
@@ -9,7 +9,7 @@
 	"railrelay.dev/railrelay/internal/fleet"
 )
 
-// Policy is the part of the configuration that the whole fleet shares. An OpenPolicy order carries it.
+// Policy is the part of the configuration that the whole fleet shares. An ActivatePolicy order carries it.
 type Policy struct {
 	Version uint64
 	// Tenants configures the tenants of fair queueing; nil keeps the current configuration.
@@ -21,8 +21,8 @@
 	Rules any
 }
 
-// openPolicy applies a committed version and resumes serving by it. After an aborted change the fleet
-// opens the previous version again.
+// openPolicy applies a committed version, reports it as activated, and resumes serving by it. After an
+// aborted change the fleet opens the previous version again; its settings then apply already.
 func (l *servingLease) openPolicy(order *fleet.Order) {
 	l.fencingChange = ""
 	if order.Version != l.policyVersion {
--- a/internal/controller/query.go
+++ b/internal/controller/query.go
@@ -17,7 +17,8 @@
 	finished(pages [][]byte)
 	// paged answers with the first page of a spooled result and where to read the rest.
 	paged(first []byte, rest msgpackrpc.PageInfo)
-	// deferred rejects a query that has not run. The client may resend it after retryAfter; 0: no time given.
+	// deferred rejects a query that the client may resend without a second effect, after retryAfter; 0: no
+	// time given.
 	deferred(retryAfter time.Duration)
 	killed(reason string)
 	// notifyWait reports how long the query is expected to wait, to owners that asked for it.
@@ -28,8 +29,8 @@
 	connection() *Connection
 }
 
-// query is a query from its arrival until it is answered and all of its attempts are reported. It belongs to
-// the controller.
+// query is a query from its arrival until it is answered and all of its attempts are reported. The scheduler
+// keeps a record of its own, which has the same id.
 type query struct {
 	// as the client sent it
 	id             string
@@ -58,7 +59,7 @@
 	answered bool // closeQuery was called: the query is answered, or no answer is owed
 
 	// with peers
-	confined  bool // needs the lease of confined tenants
+	confined  bool // needs the lease of confined tenants, see servingLease
 	held      bool // arrived while the controller was paused, and waits for admission
 	residency *queryResidency
 
@@ -71,8 +72,8 @@
 	fairOutcome fairqueue.Outcome // how the query was closed
 }
 
-// effectivePriority returns the query's priority at engines: the scheduler's, unless fair queueing has
-// lowered it. No other code combines the two.
+// effectivePriority returns the query's priority at engines: the scheduler's, and at most 0 while fair
+// queueing has lowered the query's priority. No other code combines the two.
 func (q *query) effectivePriority() int {
 	if q.fairEntry != nil && q.fairEntry.PriorityLowered() {
 		return min(q.priority, 0)
@@ -121,6 +122,8 @@
 	return c.servingLease == nil || c.servingLease.residency.mayRetain(q)
 }
 
+// submitToScheduler passes a query to the scheduler. With a serving lease, the query passes through data
+// residency, which may answer it instead.
 func (c *Controller) submitToScheduler(q *query) {
 	if c.servingLease != nil {
 		c.servingLease.residency.forwardToScheduler(q)
@@ -133,7 +136,8 @@
 // abandonQuery closes a query without an answer, because its client cancelled it or disconnected.
 func (c *Controller) abandonQuery(q *query) {
 	c.counters.abandoned++
-	// the scheduler must learn this before the ends of unsent attempts, which count as answered
+	// The scheduler must learn that the client left before it learns that unsent attempts ended, because it
+	// would take their end to mean that the query was answered.
 	c.enqueueCallback(func() { c.scheduler.ClientLeft(c.now, q.id) })
 	c.closeQuery(q, fairqueue.ClientGone)
 }
@@ -146,7 +150,10 @@
 }
 
 // closeQuery records that a query is answered, or that no answer is owed; the caller answers right after it.
-// It withdraws attempts that were not sent. It returns false if the query was already closed.
+// It revokes the write permits of all attempts and withdraws those that were not sent, ends the hold of a
+// held query, tells the owner, the fair queue and the cache, and releases the query if it is over.
+//
+// The query must not be closed yet. If it is, closeQuery counts a violated invariant and returns false.
 func (c *Controller) closeQuery(q *query, end fairqueue.Outcome) bool {
 	if !invariant.Check(!q.answered, "a query has one final answer") {
 		return false
@@ -155,7 +162,8 @@
 	for _, a := range q.attempts {
 		a.permit.Revoke()
 		if !a.sent {
-			// even if engines take no cancellations: the key's next query would wait for a dial
+			// Also withdrawn if engines support no cancellation. Otherwise the next query of the same key
+			// would wait until the connection for this attempt is established.
 			c.withdrawAttempt(a, scheduler.NeverSent)
 		}
 	}
@@ -176,7 +184,8 @@
 	return true
 }
 
-// answerFinished answers a query, and the queries that wait for the same answer, with its result.
+// answerFinished answers a query, and the queries that wait for the same answer, with its result in one
+// piece. A result that the client reads page by page is answered by resultPaging.answerFirstPage.
 func (c *Controller) answerFinished(q *query, pages [][]byte) {
 	var followers []*query
 	if c.caching != nil && !q.answered {
@@ -191,6 +200,8 @@
 	}
 }
 
+// answerDeferred answers an open query with a deferral: the client may resend it after retryAfter; 0: no time
+// given.
 func (c *Controller) answerDeferred(q *query, retryAfter time.Duration) {
 	if !q.answered && c.closeQuery(q, fairqueue.Deferred) {
 		c.counters.deferred++
@@ -198,6 +209,7 @@
 	}
 }
 
+// answerKilled answers an open query with a failure and its reason.
 func (c *Controller) answerKilled(q *query, reason string) {
 	if !q.answered && c.closeQuery(q, fairqueue.Killed) {
 		c.counters.killed++
@@ -205,7 +217,8 @@
 	}
 }
 
-// releaseIfOver releases a query once it is answered and all of its attempts are reported.
+// releaseIfOver schedules the release of a query that is over: it is answered, and all of its attempts are
+// reported to the scheduler. Each change of that state calls releaseIfOver.
 func (c *Controller) releaseIfOver(q *query) {
 	if !q.answered || c.queries[q.id] != q {
 		return
@@ -223,6 +236,8 @@
 	})
 }
 
+// releaseQuery removes a query that is over from the table, tells paging, the fair queue and the cache, and
+// frees the memory and the key of the query.
 func (c *Controller) releaseQuery(q *query) {
 	delete(c.queries, q.id)
 	if c.paging != nil {
--- a/internal/controller/residency.go
+++ b/internal/controller/residency.go
@@ -176,7 +176,7 @@
 }
 
 // requiredBinding returns the binding that the log must have before a query may be sent, or nil if
-// nothing is missing.
+// nothing is missing. It returns an error if the tables are unknown and a rule applies to loads.
 func (r *residencyState) requiredBinding(q *query) (*fleet.Binding, error) {
 	x := q.residency
 	readOnly := r.Settings["group."+strconv.Itoa(q.group.index)+".effect"] == "read-only"
@@ -300,6 +300,9 @@
 	}
 }
 
+// reevaluateQuery applies changed rules to an open query. A query that has not run is deferred if a binding
+// is missing, and answered if this controller may no longer serve it. Any other query goes on, and its next
+// attempts are limited to the locations that the rules allow now.
 func (r *residencyState) reevaluateQuery(q *query) {
 	v := r.verdict(q)
 	q.confined = v.RuleApplies
@@ -384,7 +387,8 @@
 	return q.residency == nil || r.verdict(q).MayRetain
 }
 
-// mayServe reports whether a retained result over these tables may be served by this controller.
+// mayServe reports whether this controller may serve a retained result over these tables. It may if the rules
+// allow it to retain the result.
 func (r *residencyState) mayServe(tenant string, tables []int64) bool {
 	return r.core.Decide(tenant, tables, len(tables) > 0).MayRetain
 }
@@ -409,6 +413,7 @@
 	return n
 }
 
+// isOutside reports whether the current rules forbid the query of an attempt at the attempt's engine.
 func (r *residencyState) isOutside(a *attempt) bool {
 	x := a.query.residency
 	if x == nil || !r.core.HasRules(x.tenant) {
--- a/internal/controller/result_paging.go
+++ b/internal/controller/result_paging.go
@@ -105,7 +105,8 @@
 	}
 }
 
-// addPage spools a page of an attempt's result that was received from its engine.
+// addPage spools a page of an attempt's result that was received from its engine, and polls the next page, or
+// retains the result after the last page. A page that the spool refuses kills the query.
 func (p *resultPaging) addPage(a *attempt, number, of int, rows []byte) {
 	if a.result == nil {
 		a.result = p.core.AdmitAgain(p.now, a.query.spooled)
@@ -192,6 +193,8 @@
 	}
 }
 
+// answerFirstPage answers a query with the first page of its retained result, and ends the attempt. A result
+// that the client does not get is dropped.
 func (p *resultPaging) answerFirstPage(a *attempt, r *spool.Result, token string, body []byte, err error) {
 	drop := func() { p.core.Drop(p.now, r) }
 	switch {
--- a/internal/controller/scheduler_actions.go
+++ b/internal/controller/scheduler_actions.go
@@ -14,10 +14,12 @@
 // directly: results are reported by callbacks before the step ends, or by later events.
 var _ scheduler.Actions = (*Controller)(nil)
 
-// notDone is the answer to a query that may have run, or for which no engine was found in time.
+// notDone tells a client that its query failed: the query may have run and must not be resent, or the
+// scheduler doesn't know its group. The text is part of the protocol's answers.
 const notDone = "not done"
 
-// SendAttempt starts an attempt of a query.
+// SendAttempt starts an attempt of a query at an engine. The attempt is withdrawn unless its answer arrives
+// within the given time, or by the query's deadline if that time is 0.
 func (c *Controller) SendAttempt(id, engine string, within time.Duration) {
 	q, e := c.queries[id], c.engines[engine]
 	if !invariant.Check(q != nil && e != nil, "attempts name a known query and engine") {
@@ -48,7 +50,7 @@
 	}
 }
 
-// DeferQuery answers a query that has not run with the time after which it may be sent again, or with the
+// DeferQuery answers a query with a deferral. The client may resend the query after retryAfter, or after the
 // fair queue's estimate if that is longer.
 func (c *Controller) DeferQuery(id string, retryAfter time.Duration) {
 	q := c.queries[id]
@@ -62,7 +64,7 @@
 	c.answerDeferred(q, retryAfter)
 }
 
-// FailQuery answers a query that cannot be finished.
+// FailQuery answers a query that cannot be finished and that the client must not resend.
 func (c *Controller) FailQuery(id string) {
 	q := c.queries[id]
 	if q != nil {
--- a/internal/controller/serving_lease.go
+++ b/internal/controller/serving_lease.go
@@ -40,8 +40,10 @@
 // Queries, and attempts not yet sent, wait while the controller is paused. A controller without peers
 // has no servingLease.
 //
-// Confined tenants (those under data residency rules) have a shorter lease of their own. There are
-// therefore two states, one for all queries and one for theirs, each with these transitions:
+// A query is confined if data residency rules apply to its tenant and tables, or if FleetConfig.IsConfined
+// says so. Tenants with such queries are called confined, and their confined queries have a shorter lease of
+// their own. There are therefore two states, one for all queries and one for confined ones, each with these
+// transitions:
 //
 //	serving -> paused   a FencePolicy order fences the version, or the lease ends
 //	paused  -> serving  an open version and a valid lease, after an ActivatePolicy or LeaseRenewed order
--- a/internal/controller/shutdown.go
+++ b/internal/controller/shutdown.go
@@ -62,6 +62,8 @@
 	}
 }
 
+// rejectNewQueries makes the scheduler reject all queries from now on, and defers those that have not reached
+// the scheduler.
 func (c *Controller) rejectNewQueries() {
 	c.scheduler.DrainStarted(c.now)
 	if c.fairQueue != nil {
--- a/internal/controller/write_permit.go
+++ b/internal/controller/write_permit.go
@@ -7,8 +7,9 @@
 
 // WritePermit guards the first byte of an attempt's request. By the time the request is written, the reason
 // to send it may be gone: the client left, the engine is draining, the deadline or the retry window has
-// passed, or this process was stalled. The controller then revokes the permit. The writer checks the permit
-// last, so that no queue between the controller and the write needs a check of its own.
+// passed, or this process was stalled. The controller has then revoked the permit, or the permit has expired.
+// The writer checks the permit last, so that no queue between the controller and the write needs a check of
+// its own.
 type WritePermit struct {
 	revoked   atomic.Bool
 	expiresAt time.Duration // since the program's start; no write may begin from then on
