--- a/internal/controller/engine_call.go
+++ b/internal/controller/engine_call.go
@@ -56,7 +56,7 @@
 
 	startsAttempt    bool // submits the query; written only under the attempt's permit and policy version
 	extendsRetention bool // makes the engine retain the query for some time after the call arrives
-	isPoll           bool // served after all other calls when connections are short
+	isPoll           bool // served after all other calls when connections are scarce
 
 	timeout      time.Duration // for the response; 0: responseTimeout
 	timer        *timerqueue.Timer
--- a/internal/controller/key_order.go
+++ b/internal/controller/key_order.go
@@ -89,6 +89,7 @@
 	return number
 }
 
+// release ends the use of a key by one query that is over.
 func (t *keyTable) release(k *orderKey, now time.Duration) {
 	k.openQueries--
 	k.idleSince = now
--- a/internal/controller/receive.go
+++ b/internal/controller/receive.go
@@ -83,6 +83,8 @@
 	return q, ""
 }
 
+// newQuery returns the query of a valid call. For a group whose queries run in order, newQuery acquires the
+// query's key, and derives the deadline from the time at which the client may have requested the query.
 func (c *Controller) newQuery(owner queryOwner, call *queryCall) *query {
 	fields := call.from.Fields
 	g := c.groups[settings.SanitizeName(call.groupName)]
--- a/internal/controller/result_cache.go
+++ b/internal/controller/result_cache.go
@@ -133,7 +133,8 @@
 	return followers
 }
 
-// queryAnswered removes an answered or cancelled query from the cache's leaders and followers.
+// queryAnswered removes an answered or cancelled query from the cache's leaders and followers. If a leader
+// leaves followers behind, one of them becomes the leader.
 func (a *resultCaching) queryAnswered(q *query) {
 	if q.cacheState == nil || q.cacheState.request == nil {
 		return
--- a/internal/scheduler/chain.go
+++ b/internal/scheduler/chain.go
@@ -9,8 +9,8 @@
 )
 
 // chain serializes the writes of one table group at this controller. One write runs while others
-// wait, for at most maxChainWait. The next one goes to the same engine if it has capacity, because it
-// has the tables in memory.
+// wait, for at most maxChainWait. The next one goes to the same engine if that engine has capacity,
+// because the tables are in its memory.
 type chain struct {
 	running          *query  // queued or in flight
 	engine           *engine // engine of the last write
--- a/internal/scheduler/health_check.go
+++ b/internal/scheduler/health_check.go
@@ -38,8 +38,8 @@
 
 // awaitHealthChecks returns whether a query waits for load reports, and requests them if too few
 // engines are known to have capacity. Among many controllers, a controller's own attempts don't
-// show how full an engine is. A query waits for at most maxHealthCheckWait. It requests reports once,
-// and again after healthCheckRetryDelay if no engine has capacity.
+// show how full an engine is. A query waits for the reports for at most maxHealthCheckWait. It requests
+// reports once, and again after healthCheckRetryDelay while no engine is known to have capacity.
 //
 // Each health check uses up a token, and arriving queries add tokens. If no token is left and no
 // engine is known to have capacity, the utilization of a few engines without a report is estimated
