--- a/internal/resultcache/entries.go
+++ b/internal/resultcache/entries.go
@@ -31,10 +31,10 @@
 		c.Counts.Evicted++
 		c.remove(c.evictionCandidate())
 	}
-	t := c.tenants[r.Team]
+	t := c.tenants[r.Tenant]
 	if t == nil {
-		t = &tenant{name: r.Team}
-		c.tenants[r.Team] = t
+		t = &tenant{name: r.Tenant}
+		c.tenants[r.Tenant] = t
 	}
 	e := &entry{
 		hash:        f.hash,
@@ -74,6 +74,7 @@
 	return candidate
 }
 
+// appendToLRU adds an entry to its tenant's list as the most recently used one.
 func (c *Cache) appendToLRU(e *entry) {
 	c.serial++
 	e.lastUse = c.serial
--- a/internal/resultstore/spool_store.go
+++ b/internal/resultstore/spool_store.go
@@ -17,10 +17,10 @@
 // methods must be called by one goroutine.
 type SpoolStore struct {
 	*Store
-	Recovery   Recovery
+	Recovery   Recovery // what Open found
 	files      Files
 	dir        *Dir
-	erasedWork []*spool.DiskTask // finished, and not returned by TakeErased yet
+	erasedWork []*spool.DiskTask // finished erasures that TakeErased hasn't returned yet
 }
 
 // OpenSpoolStore locks a directory and opens the store in it. It returns ErrInUse if another process has
@@ -70,8 +70,8 @@
 func (s *SpoolStore) Restore(visit func(f *spool.StoredResult)) error {
 	return s.Each(func(meta *Meta) error {
 		visit(&spool.StoredResult{Metadata: spool.Metadata{ResultID: meta.Result, Query: meta.QueryID,
-			Team:        meta.Tenant,
-			CreatedWall: meta.CreatedMillis, ExpiresWall: meta.ExpiresMillis, PageRows: meta.PageRows,
+			Tenant:            meta.Tenant,
+			CreatedUnixMillis: meta.CreatedMillis, ExpiresUnixMillis: meta.ExpiresMillis, PageRows: meta.PageRows,
 			InvalidationTag: spool.InvalidationTag{LogIndex: meta.FleetIndex,
 				Tables: meta.TableGroups, Owner: meta.Owner}},
 			PageBytes: meta.PageBytes})
@@ -84,8 +84,8 @@
 	work.FetchedPage, work.Err = s.Fetch(work.Fetch.ResultID, work.Fetch.Page)
 }
 
-// Write performs all work other than fetches, in order, with one sync. It only requests erasures;
-// TakeErased returns their work once it is done.
+// Write performs all work other than fetches. It performs the changes to results by one call of Do, then
+// saves the keys. It only requests erasures; TakeErased returns their work once it is done.
 func (s *SpoolStore) Write(works []*spool.DiskTask) {
 	jobs := make([]*Job, 0, len(works))
 	for _, work := range works {
@@ -95,8 +95,9 @@
 				Body: page.Body})
 		}
 		if metadata := work.Metadata; metadata != nil {
-			job.Commit = &Meta{Result: metadata.ResultID, QueryID: metadata.Query, Tenant: metadata.Team,
-				CreatedMillis: metadata.CreatedWall, ExpiresMillis: metadata.ExpiresWall, PageRows: metadata.PageRows,
+			job.Commit = &Meta{Result: metadata.ResultID, QueryID: metadata.Query, Tenant: metadata.Tenant,
+				CreatedMillis: metadata.CreatedUnixMillis, ExpiresMillis: metadata.ExpiresUnixMillis,
+				PageRows:   metadata.PageRows,
 				FleetIndex: metadata.LogIndex, TableGroups: metadata.Tables, Owner: metadata.Owner}
 		}
 		jobs = append(jobs, job)
--- a/internal/setup/check.go
+++ b/internal/setup/check.go
@@ -13,6 +13,7 @@
 	"railrelay.dev/railrelay/internal/settings"
 )
 
+// check checks the file of a controller or of a control process.
 func (c *checker) check(s *Setup) {
 	if s.IsControlProcess() {
 		c.checkControlProcess(s)
@@ -67,10 +68,10 @@
 		c.optionalNumber("fairness.waiting", float64(f.MaxWaiting), 1, 10_000_000)
 		c.optionalNumber("fairness.overrun", f.OverrunFactor, 1.01, 1000)
 		c.optionalNumber("fairness.tell_change", f.NotifyThreshold, 0.01, 1)
-		if len(f.Teams) == 0 {
+		if len(f.Tenants) == 0 {
 			c.addError("fairness.teams", "is missing: remove fairness if there are no teams")
 		}
-		c.checkTeams(f.Teams, "fairness.teams")
+		c.checkTenants(f.Tenants, "fairness.teams")
 	}
 }
 
@@ -129,7 +130,8 @@
 // engineActions are the values allowed in engines.may.
 var engineActions = []string{"probe", "cancel", "copy", "grant", "prioritise", "name-return"}
 
-func (c *checker) checkTeams(l []Team, path string) {
+// checkTeams checks each value of the teams and their subteams by itself.
+func (c *checker) checkTenants(l []Tenant, path string) {
 	for i, t := range l {
 		at := fmt.Sprintf("%s[%d].", path, i)
 		c.checkName(at+"name", t.Name)
@@ -139,10 +141,12 @@
 		c.optionalNumber(at+"budget", t.Budget, 0, 1e9)
 		c.optionalNumber(at+"burst", t.Burst, 0, 1e12)
 		c.optionalNumber(at+"waiting", float64(t.MaxWaiting), 1, 1e8)
-		c.checkTeams(t.Teams, at+"teams")
+		c.checkTenants(t.Tenants, at+"teams")
 	}
 }
 
+// checkReferences checks that kinds, groups and client addresses occur once, that the kinds and locations
+// that groups name exist, and that no group's objective is longer than its timeout.
 func (c *checker) checkReferences(s *Setup) {
 	kinds, places := map[string]bool{}, map[string]bool{}
 	for i, k := range s.Engines.Kinds {
@@ -189,11 +193,13 @@
 // addressOwner is the team that an address prefix belongs to, and its path in the file.
 type addressOwner struct{ team, path string }
 
+// checkFairness checks that the teams fit together: their names, their addresses, the default team and the
+// limits of the fair queue.
 func (c *checker) checkFairness(f *Fairness) {
 	seen := map[string]string{}
 	var owned bart.Table[addressOwner]
-	var walk func(l []Team, path string)
-	walk = func(l []Team, path string) {
+	var walk func(l []Tenant, path string)
+	walk = func(l []Tenant, path string) {
 		for i, t := range l {
 			at := fmt.Sprintf("%s[%d]", path, i)
 			if first, had := seen[t.Name]; had {
@@ -203,7 +209,7 @@
 			if t.Burst > 0 && t.Budget == 0 {
 				c.addError(at+".burst", "is set, but budget is missing")
 			}
-			if len(t.Teams) > 0 && len(t.Addresses) > 0 {
+			if len(t.Tenants) > 0 && len(t.Addresses) > 0 {
 				c.addError(at+".addresses", "must be those of a team without subteams, but %q has some", t.Name)
 			}
 			for j, a := range prefixes(t.Addresses) {
@@ -213,17 +219,17 @@
 				}
 				owned.Insert(a.Masked(), addressOwner{t.Name, at})
 			}
-			if len(t.Teams) > 0 {
+			if len(t.Tenants) > 0 {
 				delete(seen, t.Name) // a team may have the same name as one of its subteams
-				walk(t.Teams, at+".teams")
+				walk(t.Tenants, at+".teams")
 			}
 		}
 	}
-	walk(f.Teams, "fairness.teams")
+	walk(f.Tenants, "fairness.teams")
 	if _, ok := seen[f.Default]; f.Default != "" && !ok {
 		c.addError("fairness.default", "no team is named %q", f.Default)
 	}
-	if len(f.Trusted) > 0 && f.Fields.Team == "" {
+	if len(f.Trusted) > 0 && f.Fields.Tenant == "" {
 		c.addError("fairness.trusted", "has no effect, because fields.team is empty")
 	}
 	if shape := fairQueueConfig(f); len(c.errors) == 0 {
