--- a/internal/controller/residency.go
+++ b/internal/controller/residency.go
@@ -270,8 +270,11 @@
 	default:
 		delete(r.pendingBindings, id)
 		why := cmp.Or(reply.Reason, reply.Outcome)
-		r.logMessage(warningLevel, (&residency.BindingNotLoggedError{Tenant: b.binding.Tenant, Tables: b.binding.Tables,
-			Reason: why}).Error())
+		r.logMessage(warningLevel, (&residency.BindingNotLoggedError{
+			Tenant: b.binding.Tenant,
+			Tables: b.binding.Tables,
+			Reason: why,
+		}).Error())
 	}
 	return true
 }
