--- a/internal/controller/client.go
+++ b/internal/controller/client.go
@@ -57,7 +57,7 @@
 		n, err := msgpackrpc.Read(cl.connection.Received.Bytes(), cl.maxMessageBytes, cl.messageHandler())
 		if err != nil {
 			cl.counters.malformed++
-			cl.disconnect(true)
+			cl.disconnect(gracefully)
 			return
 		}
 		if n == 0 {
@@ -71,7 +71,7 @@
 		cl.messagesSinceSweep++
 		if cl.messagesSinceSweep > cl.limits.MaxMessagesPerSweep {
 			cl.counters.disconnected++
-			cl.disconnect(true)
+			cl.disconnect(gracefully)
 		}
 	}
 }
@@ -95,7 +95,8 @@
 	return cl
 }
 
-// disconnect closes the connection from the controller's side; its open calls get no answers.
+// disconnect closes the connection from the controller's side; its open calls get no answers. For graceful,
+// see closeConnectionWithin.
 func (cl *client) disconnect(graceful bool) {
 	cl.closeConnection(cl.connection, graceful)
 	cl.abandonAllCalls()
--- a/internal/controller/client_calls.go
+++ b/internal/controller/client_calls.go
@@ -12,13 +12,14 @@
 	_ queryOwner         = (*rpcCall)(nil)
 )
 
-// Query implements msgpackrpc.Handler: it accepts or rejects a query.
+// Query implements msgpackrpc.Handler: it accepts, rejects or defers a query. A client that sends a query
+// over its limit of open ones, or reuses the message id of an open one, is disconnected.
 func (cl *client) Query(messageID uint32, name, id []byte, timeout time.Duration, key []byte, hasKey bool,
 	statement []byte, fields msgpackrpc.Fields) {
 	if cl.findCall(messageID) != nil {
 		// the answers to the two calls could not be told apart
 		cl.counters.malformed++
-		cl.disconnect(true)
+		cl.disconnect(gracefully)
 		return
 	}
 	call := &queryCall{
@@ -37,7 +38,7 @@
 			return
 		}
 		cl.Invalid(messageID, "too many are open")
-		cl.disconnect(true)
+		cl.disconnect(gracefully)
 		return
 	}
 	rc := &rpcCall{client: cl, messageID: messageID}
@@ -71,18 +72,18 @@
 	}
 }
 
-// Invalid implements msgpackrpc.Handler: it answers an invalid call. A connection with more than
-// maxBadCalls of them is closed.
+// Invalid implements msgpackrpc.Handler: it answers an invalid call. A connection is closed after more than
+// maxBadCalls invalid calls, or after one that reuses the message id of an open query.
 func (cl *client) Invalid(messageID uint32, reason string) {
 	cl.counters.malformed++
 	if cl.findCall(messageID) != nil {
-		cl.disconnect(true)
+		cl.disconnect(gracefully)
 		return
 	}
 	cl.reply(msgpackrpc.AppendFailure(nil, messageID, reason))
 	cl.badCalls++
 	if cl.badCalls > maxBadCalls {
-		cl.disconnect(true)
+		cl.disconnect(gracefully)
 	}
 }
 
--- a/internal/controller/connection.go
+++ b/internal/controller/connection.go
@@ -55,7 +55,14 @@
 	conn.bufferBytes = bytes
 }
 
-// closeConnection closes a connection; ConnectionClosed follows once its descriptor is free.
+// Values of the parameter graceful of closeConnection, closeConnectionWithin and client.disconnect.
+const (
+	gracefully  = true
+	immediately = false
+)
+
+// closeConnection closes a connection, within messageTimeout if graceful. ConnectionClosed follows once its
+// descriptor is free.
 func (c *Controller) closeConnection(conn *Connection, graceful bool) {
 	c.closeConnectionWithin(conn, graceful, messageTimeout)
 }
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -90,18 +90,20 @@
 	if len(config.InitialEndpoints) > 0 {
 		err := discovery.ReadSnapshot(config.InitialEndpoints, c)
 		if err != nil {
-			c.logMessage(true, "cannot read the initial endpoint list: "+err.Error())
+			c.logMessage(warningLevel, "cannot read the initial endpoint list: "+err.Error())
 		}
 	}
 	c.initOptionalComponents()
 	c.discovery.unreadableAfter = -1
 	c.connectDiscovery()
 	c.sweep()
-	c.runPending(false)
+	const backlogged = false // no event has arrived yet
+	c.runPending(backlogged)
 	return c, c.effects
 }
 
-// readLimits computes the limits that do not change while the controller runs.
+// readLimits reads the settings that do not change while the controller runs, and computes the limits on
+// clients, connections and memory.
 func (c *Controller) readLimits() {
 	c.connectTimeout = c.durationSetting("connect.timeout")
 	c.engineIdleTimeout = c.durationSetting("idle.most")
@@ -161,6 +163,8 @@
 	return c.effects
 }
 
+// step does the work of Step. It is a function of its own so that Step still returns the effects after
+// recoverStep has recovered from a panic. With invariant.Debug, a panic is not recovered from.
 func (c *Controller) step(now time.Duration, event Event) {
 	c.now = max(now, c.now)
 	clear(c.effects)
@@ -237,17 +241,17 @@
 	}
 }
 
-// recoverStep recovers from a panic in a step. It closes the connection that the event came from and keeps
-// serving the others.
+// recoverStep recovers from a panic in a step. It closes the connection that the event came from, and
+// requests another step if no timer is set. All other connections are kept.
 func (c *Controller) recoverStep(conn *Connection) {
 	fault := recover()
 	if fault == nil {
 		return
 	}
 	invariant.Check(false, "a step does not panic")
-	c.logMessage(true, fmt.Sprintf("panic in a step: %v at %s", fault, debug.Stack()))
+	c.logMessage(warningLevel, fmt.Sprintf("panic in a step: %v at %s", fault, debug.Stack()))
 	if conn != nil {
-		c.closeConnection(conn, false)
+		c.closeConnection(conn, immediately)
 	}
 	if c.timerAt < 0 { // the next step runs the callbacks that this one did not
 		c.timerAt = c.now + time.Millisecond
@@ -256,7 +260,8 @@
 }
 
 // runPending ends a step: it runs the callbacks, the timers that are due and the fair queue until nothing is
-// left to do. While events are backlogged, timers wait.
+// left to do, continues a shutdown, and requests a TimerFired for the next timer. While events are
+// backlogged, timers and the shutdown wait.
 func (c *Controller) runPending(backlogged bool) {
 	for c.runNext(backlogged) {
 	}
--- a/internal/controller/discovery.go
+++ b/internal/controller/discovery.go
@@ -51,7 +51,8 @@
 	return limit
 }
 
-// connectDiscovery dials the discovery service and requests the events after the last applied one.
+// connectDiscovery dials the discovery service and requests the events after the last applied one. It does
+// nothing without an address of the service, or while a connection exists.
 func (c *Controller) connectDiscovery() {
 	d := &c.discovery
 	if c.DiscoveryAddress == "" || d.connection != nil { // changeDiscoveryAddress may run during the backoff
@@ -103,10 +104,10 @@
 		}
 		if err != nil {
 			c.counters.discoveryFaults++
-			c.logMessage(true, "unreadable event from discovery: "+err.Error()+
+			c.logMessage(warningLevel, "unreadable event from discovery: "+err.Error()+
 				"; requested once more, then skipped")
 			d.unreadableAfter = d.lastEvent
-			c.closeConnection(conn, false)
+			c.closeConnection(conn, immediately)
 			c.reconnectDiscovery(conn)
 			return
 		}
@@ -130,7 +131,7 @@
 	c.DiscoveryAddress = address
 	d.retryDelay = 0
 	if d.connection != nil {
-		c.closeConnection(d.connection, false)
+		c.closeConnection(d.connection, immediately)
 		d.connection = nil
 	}
 	c.connectDiscovery()
@@ -152,7 +153,7 @@
 			c.watchHeartbeat(conn)
 		default:
 			c.counters.discoveryFaults++
-			c.closeConnection(conn, false)
+			c.closeConnection(conn, immediately)
 			c.reconnectDiscovery(conn)
 		}
 	})
@@ -196,7 +197,7 @@
 	conn := c.discovery.connection
 	if conn != nil {
 		c.counters.discoveryFaults++
-		c.closeConnection(conn, false)
+		c.closeConnection(conn, immediately)
 	}
 }
 
@@ -268,8 +269,8 @@
 	}
 }
 
-// removeEngine marks an engine as removed and closes its idle connections. Polling of the attempts that run
-// there goes on.
+// removeEngine marks an engine as removed, revokes the permits of attempts that are not written yet, and
+// closes the engine's idle connections. Polling of the attempts that run there goes on.
 func (c *Controller) removeEngine(e *engine) {
 	e.revokePermits()
 	e.state = scheduler.EngineRemoved
@@ -284,5 +285,5 @@
 // InvalidEntry counts and logs an entry of an event that was skipped as invalid.
 func (c *Controller) InvalidEntry(why string) {
 	c.counters.unexpectedMessages++
-	c.logMessage(true, "skipped an invalid entry of the endpoint list: "+why)
+	c.logMessage(warningLevel, "skipped an invalid entry of the endpoint list: "+why)
 }
--- a/internal/controller/invalidation_calls.go
+++ b/internal/controller/invalidation_calls.go
@@ -90,7 +90,8 @@
 	return &fleet.Request{Kind: kind, ID: call.id, RequestedBy: call.tenant, Tenant: call.tenant, WaitMs: wait}
 }
 
-// tooManyCalls reports whether a further call of the tenant must be deferred.
+// tooManyCalls reports whether a further call of the tenant must be deferred, because too many of its calls
+// are pending or too many requests of all tenants are unconfirmed.
 func (v *invalidation) tooManyCalls(tenant string) bool {
 	waiting := 0
 	for _, calls := range v.pendingCalls {
@@ -110,7 +111,7 @@
 	for _, call := range v.pendingCallsFor(id) {
 		switch {
 		case entry == nil || entry.tenant != call.tenant:
-			v.finishCall(call, msgpackrpc.AppendFailure(nil, call.msg, unknownInvalidationText))
+			v.sendAnswer(call, msgpackrpc.AppendFailure(nil, call.msg, unknownInvalidationText))
 		case entry.done:
 			v.answerState(call, "purged", "", &entry.counts, nil)
 		}
@@ -152,12 +153,14 @@
 			v.answerState(call, statePending, stageNames[r.Stage], nil, r.Outstanding)
 		}
 	case r.Outcome == "refused" && r.Reason != "":
-		v.finishCall(call, msgpackrpc.AppendFailure(nil, call.msg, r.Reason))
+		v.sendAnswer(call, msgpackrpc.AppendFailure(nil, call.msg, r.Reason))
 	default:
-		v.finishCall(call, msgpackrpc.AppendFailure(nil, call.msg, unknownInvalidationText))
+		v.sendAnswer(call, msgpackrpc.AppendFailure(nil, call.msg, unknownInvalidationText))
 	}
 }
 
+// answerState answers a call with the state of its invalidation. The answer contains the counts, the stage
+// and the outstanding controllers as far as they are given.
 func (v *invalidation) answerState(
 	call *invalidationCall, state, stage string, n *fleet.InvalidationCounts, outstanding []string,
 ) {
@@ -174,11 +177,11 @@
 	if len(outstanding) > 0 {
 		fields = append(fields, "outstanding", strings.Join(outstanding, ","))
 	}
-	v.finishCall(call, msgpackrpc.AppendPurgeStatus(nil, call.msg, fields...))
+	v.sendAnswer(call, msgpackrpc.AppendPurgeStatus(nil, call.msg, fields...))
 }
 
-// finishCall answers a call unless it was answered before.
-func (v *invalidation) finishCall(call *invalidationCall, answer []byte) {
+// sendAnswer answers a call unless it was answered before.
+func (v *invalidation) sendAnswer(call *invalidationCall, answer []byte) {
 	if call.answered {
 		return
 	}
--- a/internal/controller/result_paging.go
+++ b/internal/controller/result_paging.go
@@ -54,7 +54,7 @@
 		p.core.Restore(f)
 	})
 	if err != nil {
-		p.logMessage(true, "can't restore spooled results: "+err.Error())
+		p.logMessage(warningLevel, "can't restore spooled results: "+err.Error())
 	}
 }
 
@@ -105,7 +105,8 @@
 	}
 }
 
-// addPage spools a page of an attempt's result that was received from its engine.
+// addPage spools a page of an attempt's result that was received from its engine, and polls the next page, or
+// retains the result after the last page. A page that the spool refuses kills the query.
 func (p *resultPaging) addPage(a *attempt, number, of int, rows []byte) {
 	if a.result == nil {
 		a.result = p.core.AdmitAgain(p.now, a.query.spooled)
@@ -192,6 +193,8 @@
 	}
 }
 
+// answerFirstPage answers a query with the first page of its retained result, and ends the attempt. A result
+// that the client does not get is dropped.
 func (p *resultPaging) answerFirstPage(a *attempt, r *spool.Result, token string, body []byte, err error) {
 	drop := func() { p.core.Drop(p.now, r) }
 	switch {
@@ -228,9 +231,9 @@
 	switch {
 	case w.Err == nil:
 	case w.Fetch == nil:
-		p.logMessage(true, "spool disk: "+w.Err.Error())
+		p.logMessage(warningLevel, "spool disk: "+w.Err.Error())
 	default:
-		p.logMessage(true, fmt.Sprintf("spool disk: page %d of result %016x: %v",
+		p.logMessage(warningLevel, fmt.Sprintf("spool disk: page %d of result %016x: %v",
 			w.Fetch.Page, w.Fetch.ResultID, w.Err))
 	}
 	w.OnDone(p.now)
--- a/internal/controller/serving_lease.go
+++ b/internal/controller/serving_lease.go
@@ -40,8 +40,10 @@
 // Queries, and attempts not yet sent, wait while the controller is paused. A controller without peers
 // has no servingLease.
 //
-// Confined tenants (those under data residency rules) have a shorter lease of their own. There are
-// therefore two states, one for all queries and one for theirs, each with these transitions:
+// A query is confined if data residency rules apply to its tenant and tables, or if FleetConfig.IsConfined
+// says so. Tenants with such queries are called confined, and their confined queries have a shorter lease of
+// their own. There are therefore two states, one for all queries and one for confined ones, each with these
+// transitions:
 //
 //	serving -> paused   a FencePolicy order fences the version, or the lease ends
 //	paused  -> serving  an open version and a valid lease, after an ActivatePolicy or LeaseRenewed order
@@ -102,8 +104,14 @@
 	return l
 }
 
+// Values of the parameter of servingVersion.
+const (
+	confinedQueries   = true
+	unconfinedQueries = false
+)
+
 // servingVersion returns the policy version by which queries are decided, or 0 while paused: for confined
-// tenants' queries if confined is set, otherwise for all others.
+// queries if confined is set, otherwise for all others.
 func (l *servingLease) servingVersion(confined bool) uint64 {
 	return l.ServingState.ServingVersion(l.now, confined)
 }
@@ -202,11 +210,11 @@
 // updateServing runs before every event, because the timer of scheduleLeaseCheck runs only after an event
 // that arrives when the lease has already ended.
 func (l *servingLease) updateServing() {
-	all := l.updatePausedSince(&l.pausedSince, l.servingVersion(false) != 0)
+	all := l.updatePausedSince(&l.pausedSince, l.servingVersion(unconfinedQueries) != 0)
 	if all == servingPaused {
 		l.scheduler.SetPaused(l.now, true)
 	}
-	confined := l.updatePausedSince(&l.confinedPausedSince, l.servingVersion(true) != 0)
+	confined := l.updatePausedSince(&l.confinedPausedSince, l.servingVersion(confinedQueries) != 0)
 	if all != servingUnchanged || confined != servingUnchanged {
 		l.scheduleHoldExpiry()
 	}
@@ -246,6 +254,6 @@
 func (l *servingLease) countersText() string {
 	return fmt.Sprintf("; fleet version %d switches %d, held %d in all %d longest s %.3f"+
 		" deferred for want of a lease %d, writes refused %d",
-		l.servingVersion(false), l.policySwitches, l.heldCount, l.heldTotal, l.longestHold.Seconds(),
+		l.servingVersion(unconfinedQueries), l.policySwitches, l.heldCount, l.heldTotal, l.longestHold.Seconds(),
 		l.deferredHeld, l.rejectedWrites) + l.residency.countersText()
 }
--- a/internal/controller/shutdown.go
+++ b/internal/controller/shutdown.go
@@ -35,7 +35,7 @@
 	}
 	c.shutdown = gracePeriod
 	c.shutdownRequestedAt = c.now
-	c.logMessage(false, "stopping once all queries are answered")
+	c.logMessage(infoLevel, "stopping once all queries are answered")
 	// continueShutdown runs at the end of every step; these timers cause the steps
 	c.runAfter(shutdownGrace, func() {})
 	c.runAfter(shutdownMinimum, func() {})
@@ -62,6 +62,8 @@
 	}
 }
 
+// rejectNewQueries makes the scheduler reject all queries from now on, and defers those that have not reached
+// the scheduler.
 func (c *Controller) rejectNewQueries() {
 	c.scheduler.DrainStarted(c.now)
 	if c.fairQueue != nil {
