--- a/internal/bench/scale.go
+++ b/internal/bench/scale.go
@@ -11,34 +11,36 @@
 )
 
 // Scale configures a run of a fleet that is too large to run as processes on one machine. Some
-// controllers are real processes that connect to all engines. The others are hollow (package hollow).
-// The run measures the fleet at rest, during policy changes, and during policy changes with faults.
+// controllers are real processes that connect to all engines. The other controllers are hollow: package
+// hollow simulates many of them in one process, with the real consensus and peer connections, but without
+// clients, engines or files. The run measures the fleet at rest, which means without policy changes and
+// faults, then during policy changes, and then during policy changes with faults.
 //
 // With LinkDelays, proxies (package faultproxy) between the real controllers add the latency between
-// their zones and regions. A hollow controller delays what it sends and receives in its own process.
-// Opening a connection takes no extra time, nor do operators' requests and the messages between
-// controllers and engines. Byte counts are those of the connections between peers, including HTTP
+// their zones and regions. A hollow controller delays the messages that it sends and receives in its own
+// process. The opening of a connection, operators' requests, and the messages between controllers and
+// engines aren't delayed. The run counts the bytes of the connections between peers, including HTTP
 // headers and excluding TCP headers.
 type Scale struct {
-	Program      string // the controller; railrelay-fleet must be in the same directory
+	Program      string // path of the controller; railrelay-fleet must be in the same directory
 	BenchProgram string // the program that runs hollow controllers; "": the running executable
 	Controllers  int
 	Real         int // real controllers, including the voters
 	Voters       int
-	Relays       int // real controllers that relay the lease renewals of others; 0: all renew with the leader
+	Relays       int // real controllers that relay lease renewals; 0: all controllers renew with the leader
 	Engines      int
 	Seed         uint64
 	Lease        time.Duration
 	Settle       time.Duration // time between the start of the fleet and the first measurement
-	Rest         time.Duration // duration of the measurement at rest
-	Changes      int           // policy changes at rest
-	LargeChanges int           // those of Changes whose policy has LargeBytes
-	PolicyBytes  int
+	Rest         time.Duration // duration of the measurement without policy changes and faults
+	Changes      int           // policy changes without faults
+	LargeChanges int           // how many of the Changes have a policy of LargeBytes
+	PolicyBytes  int           // size of the policies of all other changes
 	LargeBytes   int
 	Faults       []string // keys of scaleFaults, in the order in which they are injected
 	Compare      int      // controllers in each fleet that compares hollow with real ones; 0: no comparison
 	LinkDelays   bool     // add the latencies between regions and zones
-	SetAside     bool     // voters have the role control, on machines set aside for it; relays always do
+	SetAside     bool     // voters too, not only relays, have the role control and machines set aside for it
 	Detail       bool     // has no effect
 	// Record receives the results. It may be nil.
 	Record func([]ScaleRow) error
@@ -61,8 +63,8 @@
 	scalePollInterval   = 50 * time.Millisecond
 )
 
-// Run runs the fleet and prints the results. The last line begins with "measured ". The error says
-// which invariant was violated, if any was.
+// Run runs the fleet and prints the results. The last line begins with "measured ". If invariants were
+// violated, Run returns an error that describes the first violations.
 func (s Scale) Run(ctx context.Context, out io.Writer) error {
 	if err := s.validate(); err != nil {
 		return err
@@ -149,11 +151,12 @@
 	}
 }
 
-// hasSlowDisk returns whether the run slows down a voter's disk. The voter must be hollow for that.
+// hasSlowDisk returns whether the run slows down a voter's disk. The voter must be a hollow controller,
+// because only the log of a hollow controller can delay its writes.
 func (s Scale) hasSlowDisk() bool { return slices.Contains(s.Faults, slowDiskFault) }
 
-// isReal returns whether the controller with an index is a real process. With a slow disk the last voter
-// is hollow, and the controller after the real ones is real in its place.
+// isReal returns whether the controller with index i is a real process. With a slow disk the last voter is
+// hollow, and the controller with the index Real is a real process instead.
 func (s Scale) isReal(i int) bool {
 	if !s.hasSlowDisk() {
 		return i < s.Real
@@ -169,5 +172,5 @@
 	return os.Executable()
 }
 
-// newRand returns a random generator that depends only on the seed and the stream.
+// newRand returns a random generator whose numbers depend only on the seed and the stream.
 func (s Scale) newRand(stream uint64) *rand.Rand { return rand.New(rand.NewPCG(s.Seed, stream)) }
--- a/internal/bench/scale_changes.go
+++ b/internal/bench/scale_changes.go
@@ -18,7 +18,7 @@
 	Name          string
 	IsFault       bool
 	Changes       []scaleChange
-	ServingShares []float64     // share of the hollow controllers that serve, at each full second of the phase
+	ServingShares []float64     // share of the hollow controllers that serve, for each second of the phase
 	RecoveryTime  time.Duration // from the start of the fault until all controllers serve again
 	CostPerChange changeCost    // only in a phase without a fault
 }
@@ -29,7 +29,7 @@
 	PolicyBytes  int
 	Outcome      string
 	OutcomeAfter time.Duration // from the first request until the outcome was reported
-	ServedAfter  time.Duration // from the first request until the last hollow controller served under it
+	ServedAfter  time.Duration // from the first request until the last hollow controller served the new policy
 	Requests     int           // number of requests until the outcome was reported
 }
 
@@ -49,11 +49,11 @@
 }
 
 const (
-	scaleChangeWait    = 2 * time.Second // for which a controller waits for an outcome before it answers
+	scaleChangeWait    = 2 * time.Second // how long a controller waits for an outcome before it answers
 	scaleRetryInterval = 20 * time.Millisecond
 )
 
-// newChangeRequest returns a request for a policy with a new ID, based on the version in force.
+// newChangeRequest records and returns a request, with a new ID, that replaces the policy in force.
 func (f *scaleFleet) newChangeRequest(text []byte) *fleet.Request {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -84,8 +84,8 @@
 	return change, nil
 }
 
-// requestUntilOutcome sends a request to one real controller after the other, until one of them knows
-// the outcome.
+// requestUntilOutcome sends a request to the real controllers in turn, until one of them reports the
+// outcome.
 func (f *scaleFleet) requestUntilOutcome(request *fleet.Request) (
 	change scaleChange, version uint64, err error,
 ) {
@@ -118,8 +118,8 @@
 		change.Requests)
 }
 
-// nextReal returns the next real controller, in turn, that accepts requests. If none does, it returns the
-// first real controller.
+// nextReal returns the real controllers that accept requests in turn, one at each call. If no real
+// controller accepts requests, nextReal returns the first one.
 func (f *scaleFleet) nextReal() *scaleMember {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -141,7 +141,8 @@
 	}
 }
 
-// sampleStatus requests a controller's status and adds it to the checker. A failed request adds nothing.
+// sampleStatus requests a controller's status and adds the status to the checker. A request that fails
+// adds no sample.
 func (f *scaleFleet) sampleStatus(ctx context.Context, name string, client operatorClient) {
 	requestedAt := time.Now()
 	response, err := client.sendRequest(ctx, &fleet.Request{Kind: "status", WaitMs: 500})
@@ -152,8 +153,9 @@
 	f.checker.addSample(servingSample{name, requestedAt, time.Now(), s.Serves, s.Version, s.LeaseRemainingMs})
 }
 
-// measureChangesAtRest changes the policy several times, also to large policies, and checks that an
-// invalid policy is withdrawn.
+// measureChangesAtRest changes the policy several times while no fault is injected, first to policies of
+// PolicyBytes and then to policies of LargeBytes. At the end it checks that an invalid policy doesn't come
+// into force.
 func (f *scaleFleet) measureChangesAtRest(out io.Writer, rest scaleUsage) (phases []scalePhase, err error) {
 	for _, part := range []struct {
 		name     string
@@ -186,16 +188,16 @@
 	return phases, f.checkInvalidPolicyWithdrawn()
 }
 
-// changeCost is what one change costs a controller in addition to its usage at rest. Its figures are sums,
-// not rates, except MemoryMB, which is the memory after the changes.
+// changeCost is the usage that one policy change adds to a controller's usage at rest. Its figures are
+// totals for one change, not rates. MemoryMB is the memory after the changes.
 type changeCost struct {
 	Leader, Voter scaleRate // zero if LeaderChanged
 	Controller    scaleRate // mean of the controllers without a role
 	LeaderChanged bool      // no controller was the leader at both the start and the end
 }
 
-// costOfChange returns the cost of one change from the usage during a number of changes and the usage
-// at rest.
+// costOfChange subtracts the usage at rest from the usage during a number of changes, and returns the
+// difference for one change.
 func costOfChange(during, rest scaleUsage, changes int) changeCost {
 	perChange := func(busy, idle scaleRate) (cost scaleRate) {
 		for i, x := range busy.fields() {
@@ -213,7 +215,7 @@
 }
 
 // checkInvalidPolicyWithdrawn requests a policy that real controllers reject. It returns an error if the
-// policy is in force nevertheless.
+// policy comes into force.
 func (f *scaleFleet) checkInvalidPolicyWithdrawn() error {
 	change, _, err := f.requestUntilOutcome(f.newChangeRequest(invalidPolicyText(f.changeCount)))
 	if err == nil && change.Outcome == "in force" {
@@ -224,8 +226,8 @@
 
 const outcomeRechecks = 3 // real controllers that are asked for the outcome of each change at the end
 
-// recheckOutcomes asks several real controllers for the outcome of each change once more, and checks
-// that each real controller has the policy that is in force.
+// recheckOutcomes asks several real controllers for the outcome of each change once more and adds the
+// answers to the checker. It returns an error if a real controller doesn't have the policy in force.
 func (f *scaleFleet) recheckOutcomes() error {
 	for _, request := range f.changeRequests {
 		for range outcomeRechecks {
--- a/internal/bench/scale_compare.go
+++ b/internal/bench/scale_compare.go
@@ -14,10 +14,12 @@
 	compareSettle  = 2 * time.Second
 )
 
-// compareHollowWithReal runs two fleets of s.Compare controllers at rest at the same time: one of real
-// controllers only, and one in which half of the controllers are hollow. It returns the ratio of the
-// second fleet's figure to the first one's that is furthest from 1. The figures are the leader's bytes
-// and messages, sent and received, its CPU time, and the other controllers' mean bytes and messages.
+// compareHollowWithReal runs two fleets of s.Compare controllers at the same time, without policy changes
+// and faults. One fleet has only real controllers. In the other fleet half of the controllers are hollow:
+// package hollow simulates them in one process. compareHollowWithReal divides each figure of the half
+// hollow fleet by the same figure of the real fleet, and returns the ratio that is furthest from 1. The
+// figures are the leader's CPU time and the bytes and messages that the leader sends and receives, and
+// the mean bytes and messages of the controllers without a role.
 func (s Scale) compareHollowWithReal(ctx context.Context, out io.Writer) (worst float64, err error) {
 	half := s
 	half.Controllers, half.Real, half.Relays, half.SetAside = s.Compare, (s.Compare+1)/2, 0, false
@@ -44,7 +46,8 @@
 	return worst, nil
 }
 
-// measureRestOnly starts a fleet and measures it at rest, once all fleets of the comparison are ready.
+// measureRestOnly starts a fleet, waits until the other fleet of the comparison has started too, and
+// measures its own fleet at rest.
 func (s Scale) measureRestOnly(ctx context.Context, ready *sync.WaitGroup) (scaleUsage, error) {
 	f, err := s.startFleet(ctx, scaleFleetCount.Add(1))
 	ready.Done()
@@ -57,7 +60,8 @@
 	return f.measureRest(s.Rest)
 }
 
-// worstRatio returns the ratio of a figure in b to the same figure in a that is furthest from 1.
+// worstRatio divides each compared figure of b by the same figure of a, and returns the ratio that is
+// furthest from 1.
 func worstRatio(a, b scaleUsage) float64 {
 	worst := 1.0
 	compare := func(x, y float64) {
--- a/internal/bench/scale_faults.go
+++ b/internal/bench/scale_faults.go
@@ -17,7 +17,7 @@
 	inject      func(*scaleFleet, *scalePhase) error
 }
 
-// scaleFaults has the faults by the names that the flag --faults accepts.
+// scaleFaults maps the names that the flag --faults accepts to the faults.
 var scaleFaults map[string]*scaleFault
 
 func init() {
@@ -50,7 +50,7 @@
 
 func (e *UnknownScaleFaultError) Error() string { return fmt.Sprintf("unknown fault %q", e.Name) }
 
-// Remedy returns what an operator can do.
+// Remedy tells the operator which names are valid.
 func (e *UnknownScaleFaultError) Remedy() string {
 	return "use only the faults " + fmt.Sprint(slices.Sorted(maps.Keys(scaleFaults)))
 }
@@ -91,7 +91,7 @@
 func (f *scaleFleet) startSampling(ctx context.Context) {
 	for _, m := range f.real {
 		f.samplers.Go(func() {
-			for ctx.Err() == nil { // also while the controller is paused or down: the request then fails
+			for ctx.Err() == nil { // a request to a paused or stopped controller fails and adds no sample
 				f.sampleStatus(ctx, m.name, m.process.operatorClient)
 				sleep(ctx, scaleSampleInterval)
 			}
@@ -99,7 +99,7 @@
 	}
 }
 
-// changePolicyInPhase changes the policy to one of PolicyBytes and adds the result to the phase.
+// changePolicyInPhase changes the policy to a policy of PolicyBytes and adds the result to the phase.
 func (f *scaleFleet) changePolicyInPhase(phase *scalePhase) error {
 	change, err := f.changePolicy(f.PolicyBytes)
 	if err == nil {
@@ -122,7 +122,7 @@
 	return slices.DeleteFunc(slices.Clone(f.real), func(m *scaleMember) bool { return m == leader })
 }
 
-// pickRealWithoutRole returns a random controller of realWithoutRole.
+// pickRealWithoutRole returns a random one of the controllers that realWithoutRole returns.
 func (f *scaleFleet) pickRealWithoutRole() (*scaleMember, error) {
 	leader, err := f.findLeader()
 	if err != nil {
@@ -163,7 +163,7 @@
 			return f.changePolicyWhileDown(phase, m)
 		}
 	}
-	return nil // the fleet has no relays: the phase has no change, which the results show
+	return nil // without relays there is nothing to kill, and the results show a phase with 0 changes
 }
 
 func (f *scaleFleet) pauseController(phase *scalePhase) error {
@@ -181,8 +181,8 @@
 	return err
 }
 
-// restartZone stops all controllers of a zone except voters and relays, changes the policy, and starts all of
-// them again. It changes the policy once more while they start.
+// restartZone stops all controllers of a zone except voters and relays, changes the policy, and starts the
+// stopped controllers again. It changes the policy once more while the controllers recover.
 func (f *scaleFleet) restartZone(phase *scalePhase) error {
 	zone := f.real[len(f.real)-1].place.Zone
 	var hollowNames []string
@@ -216,8 +216,8 @@
 	return f.changePolicyInPhase(phase)
 }
 
-// sendHollowAction sends an action to the hollow controllers with some names. Without names it does
-// nothing, because a command without names would go to all hollow controllers.
+// sendHollowAction sends an action to the named hollow controllers. It sends no command if the list of
+// names is empty, because a command without names goes to all hollow controllers.
 func (f *scaleFleet) sendHollowAction(action string, names []string) error {
 	if len(names) == 0 {
 		return nil
@@ -225,8 +225,9 @@
 	return f.sendHollowCommand(hollow.Command{Do: action, Names: names})
 }
 
-// restartMany restarts 100 hollow controllers, or a sixth of the fleet if that is fewer, evenly spread
-// over 10 s. Meanwhile it changes the policy again and again. Voters aren't restarted.
+// restartMany restarts 100 hollow controllers that aren't voters, evenly spread over 10 s. In a fleet of
+// fewer than 600 controllers it restarts at most a sixth of the fleet. It changes the policy repeatedly
+// until the last restart.
 func (f *scaleFleet) restartMany(phase *scalePhase) error {
 	var names []string
 	for _, m := range f.hollow {
@@ -266,8 +267,8 @@
 	}
 }
 
-// cutRegionsTemporarily holds all messages between the regions for two leases. It changes the policy
-// during the cut and again afterwards.
+// cutRegionsTemporarily holds all messages between the regions for two lease durations. It changes the
+// policy once during the cut and once afterwards.
 func (f *scaleFleet) cutRegionsTemporarily(phase *scalePhase) error {
 	if !f.LinkDelays {
 		return &ScaleSizeError{"links", 0, "means that there are no links to cut"}
@@ -289,8 +290,8 @@
 	return f.changePolicyInPhase(phase)
 }
 
-// setRegionCut holds all bytes between real controllers of different regions, or restores the latencies
-// of their links.
+// setRegionCut holds all bytes between real controllers of different regions if cut is true, and leaves
+// their connections open. Otherwise it restores the latencies of all links.
 func (f *scaleFleet) setRegionCut(cut bool) {
 	if !cut {
 		f.delayLinks()
--- a/internal/bench/scale_fleet.go
+++ b/internal/bench/scale_fleet.go
@@ -28,27 +28,28 @@
 	realClientSockets      = 256
 	scaleElectionTimeout   = 500 * time.Millisecond // the default of a controller's configuration
 	scaleHeartbeatInterval = 100 * time.Millisecond
-	scaleWriteDelay        = time.Millisecond // of a hollow controller's log
+	scaleWriteDelay        = time.Millisecond // duration of a write to a hollow controller's log
 )
 
 // scaleLinks has the one-way latencies within a zone, between zones and between regions.
 var scaleLinks = hollow.Links{Zone: 500 * time.Microsecond, Region: time.Millisecond,
 	Regions: 20 * time.Millisecond, Jitter: 0.2}
 
-// scaleFleetCount counts the fleets that this process has started. Each has addresses of its own.
+// scaleFleetCount counts the fleets that this process has started. The count gives each fleet its own
+// loopback addresses.
 var scaleFleetCount atomic.Int64
 
 // scaleMember is one controller of a scale run.
 type scaleMember struct {
 	name              string
-	index             int // in scaleFleet.members
+	index             int // position in scaleFleet.members
 	place             hollow.Place
-	clientAddress     string // on which the controller accepts clients
-	listenAddress     string // on which the controller accepts peers
-	advertisedAddress string // to which peers connect: listenAddress, or a proxy's address
+	clientAddress     string // the controller listens for clients
+	listenAddress     string // the controller listens for peers
+	advertisedAddress string // peers connect to this address: listenAddress, or a proxy's address
 	isVoter           bool
 	isRelay           bool
-	process           *controllerProcess // nil for a hollow controller
+	process           *controllerProcess // nil for a hollow controller, which package hollow simulates
 }
 
 // scaleFleet is the running fleet of a scale run.
@@ -97,8 +98,8 @@
 	return f, nil
 }
 
-// hostAddress returns the loopback IP address of the host with an index in an address block. Each fleet of
-// this process has blocks of its own; the process ID makes those of concurrent runs differ.
+// hostAddress returns the loopback IP address of host i in an address block. Each fleet of this process
+// has its own blocks. The address depends on the process ID, so that concurrent runs rarely use the same.
 func (f *scaleFleet) hostAddress(block, i int) string {
 	const blocks = 3
 	return fmt.Sprintf("127.%d.%d.%d", 100+(int64(os.Getpid())*7+f.number*blocks+int64(block))%150,
@@ -136,7 +137,7 @@
 	return nil
 }
 
-// zonesWithEngines returns the zones that have at least one engine of a number of engines.
+// zonesWithEngines returns the zones that have at least one engine in a fleet with a number of engines.
 func zonesWithEngines(engines int) (zones []string) {
 	for i := range min(engines, scaleZones) {
 		zones = append(zones, scaleZone(i))
@@ -147,7 +148,8 @@
 // scaleZone returns the zone of the engine or controller with an index.
 func scaleZone(i int) string { return fmt.Sprint("z", i%scaleZones) }
 
-// scalePlace distributes the controllers over the zones, and the zones over the regions, in turns.
+// scalePlace returns the zone and the region of the controller with an index. Consecutive controllers are
+// in different zones, and consecutive zones are in different regions.
 func scalePlace(i int) hollow.Place {
 	return hollow.Place{Region: []string{"east", "west"}[i%scaleRegions], Zone: scaleZone(i)}
 }
@@ -194,7 +196,7 @@
 }
 
 // planRealMember chooses the addresses of a real controller. With LinkDelays, peers connect to an address
-// of the mesh, which forwards through the links.
+// of the mesh, which forwards the bytes with the latency of the link.
 func (f *scaleFleet) planRealMember(i int, m *scaleMember) (err error) {
 	host := f.hostAddress(realBlock, i)
 	if f.LinkDelays {
@@ -223,9 +225,9 @@
 	return nil
 }
 
-// freeAddress returns an address with a port that is free on a controller's own loopback IP address. The
-// port stays free until the controller listens on it, because connections from that IP address, which
-// could take the port, are opened only later.
+// freeAddress returns an address with a port that is free on a controller's own loopback IP address. Only
+// an outgoing connection from the same IP address could take the port before the controller listens on
+// the address, and such connections are opened later.
 func freeAddress(host string) (string, error) {
 	listener, err := net.Listen("tcp", host+":0")
 	if err != nil {
@@ -256,8 +258,8 @@
 	return peers
 }
 
-// relaysFor returns the two relays that a controller uses. Both are in the controller's region if the
-// region has two relays. Voters and relays use none.
+// relaysFor returns the two relays that a controller uses. Both relays are in the controller's region if
+// the region has at least two. For a voter or a relay, relaysFor returns no relays.
 func (f *scaleFleet) relaysFor(m *scaleMember) (peers []hollow.Peer) {
 	if f.Relays == 0 || m.isVoter || m.isRelay {
 		return nil
@@ -291,8 +293,8 @@
 	return s
 }
 
-// isSetAside returns whether a member is on a machine set aside for control and has the role control.
-// Relays always are.
+// isSetAside returns whether a member has the role control and a machine set aside for control. All relays
+// have both, and with SetAside all voters too.
 func (f *scaleFleet) isSetAside(m *scaleMember) bool { return m.isRelay || m.isVoter && f.SetAside }
 
 func (f *scaleFleet) startRealControllers() error {
@@ -304,7 +306,8 @@
 	return nil
 }
 
-// startHollowControllers starts the processes of hollow controllers, and the controllers in them.
+// startHollowControllers starts the processes that simulate the hollow controllers, and then starts the
+// hollow controllers.
 func (f *scaleFleet) startHollowControllers() error {
 	if len(f.hollow) == 0 {
 		return nil
@@ -354,8 +357,8 @@
 	}
 }
 
-// sendHollowCommand sends a command to all processes of hollow controllers. It also returns their earlier
-// failures.
+// sendHollowCommand sends a command to all processes that simulate hollow controllers. Its error includes
+// the first failure that each process has reported before.
 func (f *scaleFleet) sendHollowCommand(command hollow.Command) (err error) {
 	for _, p := range f.hollowProcesses {
 		err = errors.Join(err, p.failure(), p.send(command))
@@ -392,8 +395,8 @@
 	return nil
 }
 
-// findLeader returns the leader once it is a real controller that reports itself as the leader. A hollow
-// leader is restarted, so that a real controller is elected.
+// findLeader waits until a real controller reports itself as the leader, and returns that controller. If a
+// hollow controller leads, findLeader restarts the hollow controller, so that another voter is elected.
 func (f *scaleFleet) findLeader() (*scaleMember, error) {
 	for end := time.Now().Add(scaleLeaderTimeout); time.Now().Before(end) &&
 		f.ctx.Err() == nil; sleep(f.ctx, scalePollInterval) {
@@ -415,15 +418,15 @@
 	return nil, errors.New("no real controller became leader")
 }
 
-// restartHollowLeader stops a hollow leader for three election timeouts, in which another voter is
-// elected, and starts it again.
+// restartHollowLeader stops a hollow leader, waits for three election timeouts so that another voter is
+// elected, and starts the hollow controller again.
 func (f *scaleFleet) restartHollowLeader(m *scaleMember) error {
 	err := f.sendHollowCommand(hollow.Command{Do: hollow.Stop, Names: []string{m.name}})
 	sleep(f.ctx, 3*scaleElectionTimeout)
 	return errors.Join(err, f.sendHollowCommand(hollow.Command{Do: hollow.Start, Names: []string{m.name}}))
 }
 
-// close stops all processes and listeners. It may be called twice.
+// close stops all processes and listeners and removes the fleet's files. Further calls have no effect.
 func (f *scaleFleet) close() {
 	f.stop()
 	f.samplers.Wait()
--- a/internal/bench/scale_growth.go
+++ b/internal/bench/scale_growth.go
@@ -11,13 +11,13 @@
 	"railrelay.dev/railrelay/internal/fleet"
 )
 
-// Growth measures how the fleet's log affects a voter as it grows with time: with members that joined and
-// left, and with policy changes.
+// Growth measures how a voter's start time, memory and policy changes depend on the size of the fleet's
+// log. The log grows with each member that joins and leaves, and with each policy change.
 type Growth struct {
 	Program string
-	Members int // members that joined and were forgotten
-	Changes int
-	Steps   int // number of log sizes, after the empty log, at which a voter is measured
+	Members int // number of members that join and are forgotten
+	Changes int // number of policy changes
+	Steps   int // number of log sizes at which a voter is measured, besides the empty log
 	Lease   time.Duration
 	Seed    uint64 // only recorded with the results
 	Record  func([]ScaleRow) error
@@ -28,10 +28,10 @@
 	Members, Changes int
 	LogEntries       int
 	SnapshotBytes    int
-	FileBytes        int64         // of the log's files, after the voter has started
-	StartTime        time.Duration // until the voter serves
-	MemoryMB         float64       // resident, once the voter serves
-	ChangeTime       time.Duration // of a policy change, from the request until it is in force
+	FileBytes        int64         // size of the log's files at the end of the measurement
+	StartTime        time.Duration // from the start of the voter until it serves
+	MemoryMB         float64       // resident memory when the voter starts to serve
+	ChangeTime       time.Duration // from the request of a policy change until the policy is in force
 }
 
 const entriesBetweenSnapshots = 50_000
@@ -135,7 +135,7 @@
 	return sum, err
 }
 
-// rows returns the rows of a result. Their size is the number of members that joined and were forgotten.
+// rows returns the rows of a result. The Size of each row is the number of members that were forgotten.
 func (g Growth) rows(result GrowthResult) (rows []ScaleRow) {
 	add := func(what string, value float64, unit string) {
 		rows = append(rows, ScaleRow{"voter", fmt.Sprintf("grown by %d changes, %s", result.Changes, what),
--- a/internal/bench/scale_hollow.go
+++ b/internal/bench/scale_hollow.go
@@ -18,7 +18,8 @@
 
 const maxHollowPerProcess = 200
 
-// hollowProcess is a process with hollow controllers, which this process controls.
+// hollowProcess is a child process that simulates hollow controllers, see package hollow. This process
+// sends commands to the child's input and reads events from the child's output.
 type hollowProcess struct {
 	names   []string
 	command *exec.Cmd
@@ -30,8 +31,8 @@
 	reports  map[int]map[string]*hollow.Counts // by round of hollow.Report and by controller
 }
 
-// startHollowProcess starts a process with hollow controllers, which wait for hollow.Start. One goroutine
-// calls onEvent with the events Serving and Ended.
+// startHollowProcess starts a process that simulates hollow controllers. The controllers wait for the
+// command hollow.Start. A single goroutine calls onEvent for each event Serving or Ended.
 func startHollowProcess(ctx context.Context, program string, config hollow.Config,
 	onEvent func(hollow.Event)) (*hollowProcess, error) {
 	command := exec.CommandContext(ctx, program, "hollow")
@@ -88,8 +89,8 @@
 	p.command.Wait()
 }
 
-// send sends a command to the controllers that the command names and this process has. A command without
-// names goes to all controllers of the process.
+// send sends a command to those controllers of the process that the command names. A command without names
+// goes to all controllers of the process.
 func (p *hollowProcess) send(command hollow.Command) error {
 	if len(command.Names) > 0 {
 		command.Names = slices.DeleteFunc(slices.Clone(command.Names), func(name string) bool {
@@ -114,7 +115,8 @@
 
 const hollowCountTimeout = 10 * time.Second
 
-// collectCounts returns the counters of all controllers of the process. The round must be a new number.
+// collectCounts returns the counters of all controllers of the process. Each call needs a new round number,
+// by which collectCounts recognizes the reports that answer its request.
 func (p *hollowProcess) collectCounts(round int) (map[string]*hollow.Counts, error) {
 	if err := p.send(hollow.Command{Do: hollow.Report, Round: round}); err != nil {
 		return nil, err
--- a/internal/bench/scale_judge.go
+++ b/internal/bench/scale_judge.go
@@ -9,9 +9,10 @@
 )
 
 // scaleChecker compares the policy versions that controllers served under with the outcomes of changes
-// that operators received. Hollow controllers report exactly when they serve. Real controllers are
-// sampled: each status was true at some time between the request and the response. All times are from
-// the clock of one machine. A scaleChecker may be used by several goroutines.
+// that operators received. A hollow controller, which package hollow simulates, reports the times at which
+// it starts and stops serving. The status of a real controller is sampled, and was true at some time
+// between the request and the response. All times are from the clock of one machine. Several goroutines
+// may use a scaleChecker at the same time.
 type scaleChecker struct {
 	mu            sync.Mutex
 	activeSpans   map[string]servingSpan // by controller
@@ -21,7 +22,7 @@
 	policyDigests map[string]uint64 // by ID of the change
 }
 
-// servingSpan is a time in which a controller served under one version of the policy.
+// servingSpan is a period in which a controller served under one version of the policy.
 type servingSpan struct {
 	controller   string
 	version      uint64
@@ -48,10 +49,10 @@
 
 // scaleViolations counts the violations by kind and describes the first of them.
 type scaleViolations struct {
-	Mixed        int // a controller served under a version after another had served under a later one
-	Half         int // a withdrawn policy was served, or one in force wasn't by a controller that served
+	Mixed        int // a controller served under a version after a later version was first served
+	Half         int // a withdrawn policy was served, or a serving controller didn't serve the policy in force
 	FalseWord    int // two reported outcomes contradict each other
-	ServedAfter  int // a controller served anew under a replaced version, or without a lease
+	ServedAfter  int // a controller started to serve under a replaced version, or served without a lease
 	Spans        int // number of checked spans
 	Samples      int
 	Outcomes     int
@@ -62,7 +63,7 @@
 	return &scaleChecker{activeSpans: map[string]servingSpan{}, policyDigests: map[string]uint64{}}
 }
 
-// beginSpan records that a controller serves under a version from a time on.
+// beginSpan records that a controller starts to serve under a version at a time.
 func (c *scaleChecker) beginSpan(controller string, version, policyDigest uint64, at time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -70,7 +71,7 @@
 		from: at}
 }
 
-// endSpan records that a controller served until a time.
+// endSpan records that a controller stops serving at a time.
 func (c *scaleChecker) endSpan(controller string, at time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -137,7 +138,7 @@
 	return last
 }
 
-// allSpans returns all spans. Active spans end now.
+// allSpans returns the ended spans, and the active spans as if they ended now.
 func (c *scaleChecker) allSpans(now time.Time) []servingSpan {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -149,7 +150,7 @@
 	return spans
 }
 
-// findViolations checks everything that was recorded so far.
+// findViolations checks all spans, samples and outcomes that were recorded until now.
 func (c *scaleChecker) findViolations() scaleViolations {
 	spans := c.allSpans(time.Now())
 	c.mu.Lock()
@@ -185,7 +186,7 @@
 	return v
 }
 
-// add counts one violation. It adds the description unless there are enough of them.
+// add counts one violation. It also adds the description while there are fewer than maxDescribedViolations.
 func (v *scaleViolations) add(count *int, format string, args ...any) {
 	*count++
 	if len(v.Descriptions) < maxDescribedViolations {
@@ -195,7 +196,7 @@
 
 const maxDescribedViolations = 20
 
-// firstServedTimes has the time at which each version was served for the first time.
+// firstServedTimes maps each version to the time at which a controller first served under the version.
 type firstServedTimes map[uint64]time.Time
 
 func (c *scaleChecker) firstServed(spans []servingSpan) firstServedTimes {
@@ -216,8 +217,8 @@
 	return first
 }
 
-// laterVersionBefore returns a version later than the given one that was served before a time, and when
-// that version was first served. It returns 0 if there is none.
+// laterVersionBefore looks for a version that is later than the given version and was served before end.
+// It returns the later version and the time at which that version was first served, or 0 if there is none.
 func (f firstServedTimes) laterVersionBefore(version uint64, end time.Time) (later uint64, at time.Time) {
 	for v, at := range f {
 		if v > version && at.Before(end) {
@@ -227,8 +228,8 @@
 	return 0, time.Time{}
 }
 
-// checkOutcomesAgree checks that the outcomes of each change don't contradict each other, and that no two
-// changes are in force as the same version. It returns the first outcome of each change.
+// checkOutcomesAgree adds a violation if two outcomes of a change contradict each other, or if two changes
+// are reported in force as the same version. It returns the first outcome of each change.
 func (c *scaleChecker) checkOutcomesAgree(v *scaleViolations) []observedOutcome {
 	first, byVersion, list := map[string]observedOutcome{}, map[uint64]string{}, []observedOutcome(nil)
 	for _, o := range c.outcomes {
@@ -254,7 +255,7 @@
 	return list
 }
 
-// checkServedAsReported compares what was served with the first reported outcome of a change.
+// checkServedAsReported adds a violation for each span and sample that contradicts a change's first outcome.
 func (c *scaleChecker) checkServedAsReported(v *scaleViolations, o observedOutcome, spans []servingSpan) {
 	policyDigest := c.policyDigests[o.changeID]
 	for _, s := range spans {
--- a/internal/bench/scale_judge_test.go
+++ b/internal/bench/scale_judge_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// timedChecker is a checker whose input has times in seconds after a common start.
+// timedChecker is a scaleChecker whose methods accept times as seconds after start.
 type timedChecker struct {
 	*scaleChecker
 	start time.Time
@@ -20,7 +20,7 @@
 	return c.start.Add(time.Duration(second * float64(time.Second)))
 }
 
-// span records that a controller served under a version between two times.
+// span records that a controller served under a version from one time to another.
 func (c timedChecker) span(controller string, version, policyDigest uint64, from, to float64) {
 	c.beginSpan(controller, version, policyDigest, c.at(from))
 	c.endSpan(controller, c.at(to))
--- a/internal/bench/scale_limits.go
+++ b/internal/bench/scale_limits.go
@@ -13,7 +13,7 @@
 	"railrelay.dev/railrelay/internal/fleet"
 )
 
-// ScaleSizeError reports a setting whose value a scale run can't have.
+// ScaleSizeError reports a setting whose value is invalid for a scale run.
 type ScaleSizeError struct {
 	Setting string
 	Value   int
@@ -34,7 +34,7 @@
 	Resource          string
 	Needed, Available int
 	Unit              string
-	Advice            string // how to make more available
+	Advice            string // how an operator can make more of the resource available
 }
 
 func (e *ScaleResourceError) Error() string {
@@ -49,18 +49,18 @@
 
 const (
 	maxRealControllers  = 1024
-	maxScaleControllers = 1200 // a fleet has up to 1,024 members besides its voters; runs go a little beyond
+	maxScaleControllers = 1200 // a fleet has up to 1,024 members besides its voters; a run may exceed this limit
 	maxScaleEngines     = 10_000
 
-	// Memory and descriptors of one item of a kind, rounded up.
+	// Memory and file descriptors that one controller, engine, connection or process needs, rounded up.
 	realControllerMB        = 30
 	realMBPerEngine         = 0.02
 	engineConnectionMB      = 0.04
-	hollowControllerMB      = 6 // while large policies are changed
+	hollowControllerMB      = 6 // peak during changes to large policies
 	benchProcessMB          = 150
 	hollowDescriptors       = 12
 	benchProcessDescriptors = 500
-	linkDescriptors         = 16 // of the connections of one real controller through links
+	linkDescriptors         = 16 // for the connections of one real controller through the delaying proxies
 )
 
 // validate returns an error if the run is impossible with these settings or on this machine.
@@ -106,14 +106,16 @@
 	return s.checkMemory()
 }
 
-// requiredDescriptors returns the number of file descriptors of the process that needs the most. This
-// process holds the engines' ends of all connections.
+// requiredDescriptors returns the largest number of file descriptors that a process of the run needs. It
+// compares three kinds of processes: this process, which holds the engines' ends of all connections, a
+// process that simulates hollow controllers, and a real controller, which may have two connections to
+// each other controller and one to each engine.
 func (s Scale) requiredDescriptors() int {
 	own := s.Engines + s.Real*s.Engines + benchProcessDescriptors + linkDescriptors*s.Real
 	return max(own, hollowDescriptors*maxHollowPerProcess, 2*s.Controllers+s.Engines+benchProcessDescriptors)
 }
 
-// checkDescriptors checks that a process of the run may open enough file descriptors.
+// checkDescriptors returns an error if a process may open fewer file descriptors than the run requires.
 func (s Scale) checkDescriptors() error {
 	var limit syscall.Rlimit
 	if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &limit); err != nil {
@@ -138,7 +140,7 @@
 	return benchProcessMB + int(float64(s.Real)*perReal+float64(s.Controllers-s.Real)*hollowControllerMB)
 }
 
-// checkMemory checks that the run fits into the available memory and into half of the machine's memory.
+// checkMemory returns an error if the run needs more than the available memory or half of the total memory.
 func (s Scale) checkMemory() error {
 	total, available, err := machineMemory()
 	if err != nil {
--- a/internal/bench/scale_measure.go
+++ b/internal/bench/scale_measure.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// DefaultScale returns the scale run of the capacity page for a number of controllers.
+// DefaultScale returns the scale run that the capacity page describes, for a number of controllers.
 func DefaultScale(program string, controllers int) Scale {
 	return Scale{Program: program, Controllers: controllers, Real: min(controllers, 12), Voters: 3,
 		Engines: 740, Seed: 1, Lease: 2 * time.Second, Settle: 5 * time.Second, Rest: 20 * time.Second,
@@ -18,8 +18,8 @@
 // recommendedRelays is the number of relays that the capacity page recommends for 580 controllers.
 const recommendedRelays = 4
 
-// WithRelays returns the run with voters and relays on machines set aside for control. The relays are
-// additional real controllers, and one of them is killed as the first fault.
+// WithRelays returns the run with relays, which are additional real controllers. Voters and relays run on
+// machines set aside for control. The first fault of the run kills a relay.
 func (s Scale) WithRelays() Scale {
 	s.SetAside, s.Relays = true, recommendedRelays
 	s.Real = min(s.Controllers, s.Real+recommendedRelays)
@@ -27,7 +27,7 @@
 	return s
 }
 
-// MeasureScale runs a short form of the run with 580 controllers and relays, which takes less than 50 s.
+// MeasureScale runs a short scale run with 580 controllers and with relays. The run takes less than 50 s.
 func MeasureScale(ctx context.Context, out io.Writer, program string, seed uint64) error {
 	s := DefaultScale(program, 580)
 	s.Seed, s.Settle, s.Rest, s.Changes, s.LargeChanges = seed, time.Second, 3*time.Second, 15, 2
--- a/internal/bench/scale_report.go
+++ b/internal/bench/scale_report.go
@@ -12,14 +12,14 @@
 // scaleResult has the results of a run.
 type scaleResult struct {
 	Scale
-	StartTime   time.Duration // from the first start until all controllers serve
+	StartTime   time.Duration // from the start of the fleet until all controllers serve
 	Rest        scaleUsage
 	WholeRun    scaleUsage
 	Phases      []scalePhase
 	Violations  scaleViolations
-	HollowRatio float64 // of compareHollowWithReal; 0: not compared
+	HollowRatio float64 // result of compareHollowWithReal; 0: not compared
 	Processes   int
-	MemoryMB    float64 // of all processes together
+	MemoryMB    float64 // sum over all processes
 	Duration    time.Duration
 }
 
@@ -44,7 +44,7 @@
 	return n
 }
 
-// print prints the descriptions of violations and a line with all measurements.
+// print prints the descriptions of the violations, and then one line with all measurements.
 func (r *scaleResult) print(out io.Writer) {
 	for _, description := range r.Violations.Descriptions {
 		fmt.Fprintln(out, description)
--- a/internal/bench/scale_test.go
+++ b/internal/bench/scale_test.go
@@ -156,10 +156,10 @@
 		return scaleSnapshot{at: start.Add(time.Duration(second) * time.Second), leader: leader,
 			usage: map[string]scaleControllerUsage{"a": usage(pidA, bytesA), "b": usage(1, bytesB)}}
 	}
-	// a is the leader for 10 s and is killed. After its restart its counters start at zero and b leads.
+	// Controller a leads for 10 s and is killed. After the restart, a's counters start at zero and b leads.
 	s := f.usageOver(snapshot(0, 1, 0, 0, "a"), snapshot(10, 1, 1000, 100, "a"),
 		snapshot(12, 2, 10, 120, "b"), snapshot(22, 2, 110, 220, "b"))
-	if s.Leader.BytesOut != (1000+100)/20. { // a's bytes in the first interval and b's in the last
+	if s.Leader.BytesOut != (1000+100)/20. { // bytes of a in the first interval and of b in the last
 		t.Errorf("the leaders sent %v bytes/s", s.Leader.BytesOut)
 	}
 	if s.Worst.BytesOut != 1100/20. || s.Mean.BytesOut != 10 || s.Controllers != 2 {
--- a/internal/bench/scale_usage.go
+++ b/internal/bench/scale_usage.go
@@ -8,18 +8,18 @@
 	"railrelay.dev/railrelay/internal/emulator/hollow"
 )
 
-// scaleSnapshot has the usage of the controllers up to a point in time.
+// scaleSnapshot has the leader and the usage of each controller at one time.
 type scaleSnapshot struct {
 	at     time.Time
 	leader string
 	usage  map[string]scaleControllerUsage // by controller
 }
 
-// scaleControllerUsage is the usage of one controller since its start. A hollow controller has an equal
-// share of its process's usage.
+// scaleControllerUsage is the usage of one controller since the start of its process. The CPU time and
+// memory of a process that simulates hollow controllers are divided equally among these controllers.
 type scaleControllerUsage struct {
 	processUsage
-	pid    int // of the controller's process; a new process counts from zero
+	pid    int // process ID; the counters start at zero in each new process
 	counts hollow.Counts
 }
 
@@ -67,11 +67,11 @@
 
 // scaleRate is the usage of a controller per second.
 type scaleRate struct {
-	BytesOut, BytesIn       float64 // of connections, including HTTP headers
+	BytesOut, BytesIn       float64 // all bytes of the connections, including HTTP headers
 	FramesOut, FramesIn     float64 // bytes of frames only
 	MessagesOut, MessagesIn float64
 	CPU                     float64 // milliseconds
-	MemoryMB                float64 // resident at the end, not a rate
+	MemoryMB                float64 // resident memory at the end, not a rate
 }
 
 // bytes returns the sum of the bytes sent and received.
@@ -81,18 +81,18 @@
 type scaleUsage struct {
 	Duration    time.Duration
 	Controllers int       // controllers that ran between at least two consecutive snapshots
-	Leader      scaleRate // over the time between snapshots with the same leader
-	LeaderName  string    // at the end
+	Leader      scaleRate // over the intervals with the same leader at both ends
+	LeaderName  string    // leader at the end
 	Voter       scaleRate // mean of the real voters except the leader
 	Relay       scaleRate // maximum of each figure
-	Mean        scaleRate // of controllers without a role; CPU and MemoryMB of the real ones
-	Worst       scaleRate // maximum of each figure of controllers not set aside; CPU and MemoryMB of real ones
+	Mean        scaleRate // mean of the controllers without a role; CPU and MemoryMB only of real controllers
+	Worst       scaleRate // maximum of each figure over controllers not set aside; CPU and MemoryMB of real ones
 }
 
 // scaleRateTotal sums the usage of one controller over the intervals in which it ran.
 type scaleRateTotal struct {
 	seconds float64
-	sum     scaleRate // of rates times seconds; MemoryMB is the maximum
+	sum     scaleRate // sum of each rate times its seconds; MemoryMB is the maximum
 }
 
 func (t *scaleRateTotal) add(rate scaleRate, seconds float64) {
@@ -117,8 +117,8 @@
 	return mean
 }
 
-// rateBetween returns a member's usage between two snapshots. It returns false if the member is missing in
-// one of them or was restarted between them.
+// rateBetween returns a member's usage between two snapshots. It returns false if a snapshot lacks the
+// member, or if the member was restarted between the snapshots.
 func (m *scaleMember) rateBetween(a, b scaleSnapshot) (rate scaleRate, ok bool) {
 	x, inFirst := a.usage[m.name]
 	y, inSecond := b.usage[m.name]
@@ -129,8 +129,8 @@
 }
 
 // usageOver returns the usage between the first and the last snapshot. The figures of a controller cover the
-// intervals between consecutive snapshots in which it ran all the time, and those of the leader only the
-// intervals that have the same leader at the start and the end.
+// intervals between consecutive snapshots in which the controller wasn't restarted. The figures of the
+// leader cover the intervals that have the same leader at the start and the end.
 func (f *scaleFleet) usageOver(snapshots ...scaleSnapshot) scaleUsage {
 	last := snapshots[len(snapshots)-1]
 	usage := scaleUsage{Duration: last.at.Sub(snapshots[0].at), LeaderName: last.leader}
@@ -156,7 +156,7 @@
 		rate := total.rate()
 		switch {
 		case m.isVoter && m.name == last.leader:
-		case m.isVoter && m.process != nil: // a hollow voter has no CPU time and memory of its own
+		case m.isVoter && m.process != nil: // only a real voter's CPU time and memory are measured
 			voters = append(voters, rate)
 		case m.isVoter:
 		case m.isRelay:
@@ -170,7 +170,7 @@
 		if f.isSetAside(m) {
 			continue
 		}
-		if m.process == nil { // a share of a process with many controllers isn't the usage of one
+		if m.process == nil { // the CPU time and memory of one hollow controller aren't measured
 			rate.CPU, rate.MemoryMB = 0, 0
 		}
 		usage.Worst = maxRate(usage.Worst, rate)
@@ -182,7 +182,7 @@
 	return usage
 }
 
-// rateOf returns the usage per second between two readings that are a duration apart.
+// rateOf returns the usage per second from reading a to reading b, which is later by a duration.
 func rateOf(a, b scaleControllerUsage, duration time.Duration) scaleRate {
 	seconds := duration.Seconds()
 	perSecond := func(x, y int) float64 { return float64(y-x) / seconds }
@@ -202,8 +202,8 @@
 		&r.MessagesOut, &r.MessagesIn, &r.CPU, &r.MemoryMB}
 }
 
-// maxRate returns the maximum of each figure. BytesOut and BytesIn are both from the rate that has the
-// greater sum of them.
+// maxRate returns the maximum of each figure. BytesOut and BytesIn are an exception: both are from the rate
+// in which their sum is greater.
 func maxRate(a, b scaleRate) scaleRate {
 	result := a
 	for i, x := range b.fields() {
@@ -227,7 +227,7 @@
 	return mean
 }
 
-// measureRest measures the fleet for a duration in which nothing is changed.
+// measureRest measures the fleet for a duration without policy changes and faults.
 func (f *scaleFleet) measureRest(duration time.Duration) (scaleUsage, error) {
 	before, err := f.takeSnapshot()
 	if err != nil {
