--- a/internal/bench/schedule_actors.go
+++ b/internal/bench/schedule_actors.go
@@ -12,8 +12,8 @@
 	"railrelay.dev/railrelay/internal/fleet/node"
 )
 
-// simulatedController is a controller in virtual time: the real core of its fleet side, the content of its
-// disk, and a model of its reducer.
+// simulatedController is a controller in virtual time. It consists of the real core of package node, which
+// takes part in the fleet, the content of the controller's disk, and a model of the controller's reducer.
 type simulatedController struct {
 	name                 string
 	diskID               string
@@ -21,37 +21,37 @@
 	core                 *node.Core
 	incarnation          uint64
 	startedAt            time.Duration
-	clockRate            float64 // speed of its clock relative to virtual time
+	clockRate            float64 // speed of the controller's clock relative to virtual time
 	persisted            consensus.PersistentState
-	pendingWrites        *consensus.PersistentState // writes that are not synced yet, nil: none
+	pendingWrites        *consensus.PersistentState // writes that are not synced yet; nil: none
 	slowDiskUntil        time.Duration
-	lastTimer            int           // number of the current timer; earlier timers are void
-	pausedUntil          time.Duration // its events wait until then
+	lastTimer            int           // number of the current timer; earlier timers are ignored
+	pausedUntil          time.Duration // the controller's events are delayed until this time
 	down                 bool
-	forgotten            bool // an operator asked the fleet to forget its name
-	reportedForgottenAct bool // its first act after it was forgotten was added to the violations
+	forgotten            bool // an operator asked the fleet to forget the controller
+	reportedForgottenAct bool // an act after it was forgotten is in the violations
 
-	// The state of its reducer.
+	// The fields below are the state of the reducer's model.
 	servingState    *fleet.ServingState
 	version         uint64
 	policy          string
 	orders          []fleet.Order
 	processingOrder bool
 	viewIndex       uint64
-	fencedChange    string // change whose fence is reported once no write is in progress, "": none
+	fencedChange    string // change whose fence is reported once no write is in progress; "": none
 	invalidations   map[string]fleet.Order
-	results         map[string]simulatedResult // stored results by query, on its disk
+	results         map[string]simulatedResult // stored results on the disk, by query
 }
 
 // simulatedResult is the result of a query.
 type simulatedResult struct {
 	team      string
 	table     int64
-	viewIndex uint64 // log index of the view with which the query was admitted
+	viewIndex uint64 // log index of the view when the controller accepted the query
 	startedAt time.Duration
 }
 
-// startController starts a controller's process with the content of its disk.
+// startController starts a controller's process, which recovers the state on the controller's disk.
 func (run *scheduleRun) startController(controller *simulatedController) {
 	controller.incarnation = run.rng.Uint64() | 1
 	controller.startedAt, controller.down, controller.pausedUntil, controller.pendingWrites =
@@ -93,8 +93,9 @@
 	}
 }
 
-// upstreamsOf reports whether a controller is a relay. For a follower, upstreamsOf returns the relays, at
-// most two, through which the follower renews its lease. Voters and relays have none.
+// upstreamsOf returns whether a controller is a relay. For a follower in a fleet with relays, it also
+// returns the one or two relays through which the follower renews its lease. Voters and relays renew their
+// leases with the leader.
 func (run *scheduleRun) upstreamsOf(
 	controller *simulatedController,
 ) (isRelay bool, upstreams []node.Upstream) {
@@ -114,12 +115,12 @@
 	return state
 }
 
-// localTime returns the time since the controller's start by its own clock.
+// localTime returns the time since the controller's start by the controller's clock.
 func (c *simulatedController) localTime(run *scheduleRun) time.Duration {
 	return time.Duration(float64(run.now-c.startedAt) * c.clockRate)
 }
 
-// step passes an event to the controller's core and performs the effects.
+// step passes an event to the controller's core and performs the effects that the core returns.
 func (run *scheduleRun) step(controller *simulatedController, event node.Event) {
 	run.perform(controller, controller.core.Step(controller.localTime(run), event))
 }
@@ -184,8 +185,8 @@
 	}
 }
 
-// persist writes the snapshot and the first entryCount log entries of writes to the controller's disk. The
-// hard state is written only together with all entries.
+// persist writes the snapshot and the first entryCount log entries of writes to the controller's disk. It
+// writes the hard state only if it writes all entries.
 func (c *simulatedController) persist(writes consensus.PersistentState, entryCount int) {
 	if snapshot := writes.Snapshot; snapshot != nil {
 		c.persisted.Snapshot = snapshot
@@ -216,7 +217,7 @@
 	run.history.Note(run.now, controller.name+" is killed", controller.name)
 }
 
-// processNextOrder schedules the reducer's processing of its oldest order, unless an order is in progress.
+// processNextOrder schedules the processing of the reducer's oldest order, unless an order is in progress.
 func (run *scheduleRun) processNextOrder(controller *simulatedController) {
 	if controller.processingOrder || len(controller.orders) == 0 {
 		return
@@ -298,8 +299,9 @@
 	})
 }
 
-// receiveQueries lets a controller accept a query, which it later submits and whose result it stores, and
-// serve a stored result. receiveQueries then schedules itself.
+// receiveQueries simulates a new query and a request for a stored result, and schedules its own next call.
+// If the controller serves, it accepts the query, later submits the query to an engine, and stores the
+// result.
 func (run *scheduleRun) receiveQueries(controller *simulatedController) {
 	run.scheduleAfter(run.randomDuration(5*time.Millisecond, 60*time.Millisecond), controller,
 		func() { run.receiveQueries(controller) })
@@ -320,7 +322,7 @@
 			run.history.ResultStarted(run.now, id, result.team, result.table)
 			run.scheduleAfter(run.randomDuration(0, 200*time.Microsecond), controller,
 				controller.servingState.EndWrite)
-			// The engine's response arrives.
+			// The engine's response arrives and is stored, unless an invalidation covers it.
 			run.scheduleAfter(run.randomDuration(0, 500*time.Millisecond), controller, func() {
 				for _, order := range controller.invalidations {
 					if invalidates(order, result) {
@@ -356,7 +358,8 @@
 		id, _, _ := strings.Cut(rest, " ")
 		run.history.ActedByChange(run.now, controller.name, query, id)
 	}
-	// Only the first act is a violation: further ones would crowd out violations of other kinds.
+	// Only a controller's first act is added: the result keeps few violations, and further acts would leave
+	// no room for violations of other kinds.
 	if controller.forgotten && !controller.reportedForgottenAct {
 		controller.reportedForgottenAct = true
 		run.addViolation("%s acts on %s although it was forgotten", controller.name, query)
--- a/internal/bench/schedule_faults.go
+++ b/internal/bench/schedule_faults.go
@@ -12,8 +12,8 @@
 	"railrelay.dev/railrelay/internal/fleet/node"
 )
 
-// send delivers a message to another controller. Faults may drop, delay or duplicate the message; a
-// MessageFault may hit its sender or receiver.
+// send delivers a message to another controller. Faults may drop, delay or duplicate the message. A
+// MessageFault may also kill the sender, or kill or pause the receiver.
 func (run *scheduleRun) send(sender *simulatedController, effect node.Effect) {
 	receiver := run.byName[effect.To]
 	if receiver == nil {
@@ -95,8 +95,9 @@
 	}
 }
 
-// describeState returns the kinds of the operations whose outcome no operator has received, and how many
-// controllers are fenced, for example "apply+purge, some fenced, 2 versions".
+// describeState returns the kinds of the operations in progress, whether no, some or all controllers are
+// fenced, and the number of their policy versions. An example is "apply+purge, some fenced, 2 versions".
+// An operation is in progress until an operator receives its outcome.
 func (run *scheduleRun) describeState() string {
 	kinds := map[string]bool{}
 	for _, operation := range run.operations {
@@ -122,7 +123,8 @@
 		fmt.Sprintf(", %d versions", len(versions))
 }
 
-// countFault counts a fault that hits the named controllers, by its kind and by the state in which it occurs.
+// countFault counts a fault on the named controllers by its kind. It also counts the fault by the role of
+// these controllers and the state of the operations.
 func (run *scheduleRun) countFault(kind string, names ...string) {
 	run.result.FaultsByKind[kind]++
 	role := "followers"
@@ -137,8 +139,8 @@
 	run.result.FaultStates[kind+" of "+role+": "+run.describeState()]++
 }
 
-// injectFaults injects a random fault and schedules the next one. With a probability of one half the fault
-// hits the leader, if there is one.
+// injectFaults injects a random fault and schedules its own next call. It injects half of the faults at the
+// leader, if there is one, and the other half at random controllers.
 func (run *scheduleRun) injectFaults() {
 	if run.settling || run.FaultsPerSecond <= 0 {
 		return
@@ -173,14 +175,14 @@
 			target.pausedUntil = run.now + duration
 			run.history.Note(run.now, fmt.Sprintf("%s is paused for %v", target.name, duration), target.name)
 		}
-	case 4: // cut off from all controllers
+	case 4: // the links to and from all other controllers are cut
 		run.countFault("cut off", target.name)
 		for _, other := range run.fleet {
 			run.cutUntil[[2]string{target.name, other.name}], run.cutUntil[[2]string{other.name, target.name}] =
 				run.now+duration, run.now+duration
 		}
 		run.history.Note(run.now, fmt.Sprintf("%s is cut off for %v", target.name, duration), target.name)
-	case 5: // only sends or only receives
+	case 5: // the target can only send or only receive messages
 		run.countFault("one way", target.name)
 		onlySends := run.rng.IntN(2) == 0
 		for _, other := range run.fleet {
@@ -208,7 +210,7 @@
 	case 8:
 		run.countFault("slow disk", target.name)
 		target.slowDiskUntil = run.now + duration
-	case 10: // killed and restarted while it is cut off: it knows only what is on its disk
+	case 10: // the target restarts while it is cut off, and knows only the state on its disk
 		if target.down {
 			return
 		}
@@ -234,9 +236,9 @@
 	}
 }
 
-// restartIsolated kills a follower and restarts it after more than two leases, in which the fleet may decide
-// changes. The follower is cut off until two leases after its restart: it knows only what is on its disk.
-// restartIsolated then schedules itself.
+// restartIsolated kills a random follower and restarts it after two to three lease durations, in which the
+// fleet may decide changes. The follower is cut off for two more lease durations after the restart, so that
+// it knows only the state on its disk. restartIsolated then schedules its own next call.
 func (run *scheduleRun) restartIsolated() {
 	if run.settling {
 		return
@@ -257,7 +259,7 @@
 	run.scheduleAfter(downtime+3*run.Lease, nil, run.restartIsolated)
 }
 
-// heal ends all faults and restarts the controllers that are down, except forgotten ones.
+// heal ends all faults and restarts the controllers that are down, except forgotten controllers.
 func (run *scheduleRun) heal() {
 	clear(run.cutUntil)
 	run.lossyUntil = 0
--- a/internal/bench/schedule_operators.go
+++ b/internal/bench/schedule_operators.go
@@ -12,33 +12,34 @@
 	"railrelay.dev/railrelay/internal/historycheck"
 )
 
-// scheduleOperation is a change, a purge or the forgetting of a member. Its request may be sent to several
-// controllers.
+// scheduleOperation is an operator's request to change the policy, to purge data or to forget a member. The
+// request may be sent to several controllers.
 type scheduleOperation struct {
 	request  fleet.Request
-	done     bool   // an operator received its outcome
-	unfitFor string // controller that can't serve by the change's policy, "": none
+	done     bool   // an operator received the outcome
+	unfitFor string // name of a controller that rejects the change's policy; "": none
 }
 
-// scheduleRequest is a request for an operation that a controller has not answered.
+// scheduleRequest is the request of an operation that was sent to a controller and is not answered yet.
 type scheduleRequest struct {
 	operation   *scheduleOperation
 	controller  *simulatedController
 	incarnation uint64
 	requestedAt time.Duration
-	final       bool // sent after all faults ended: it must get an outcome
+	final       bool // sent after all faults ended, so that the response must have an outcome
 }
 
-// issueOperations sends a random request of an operator, and schedules itself until the period
-// with faults is over. The text of a change's policy is "policy of ID", optionally followed by
-// " voters NAME,NAME,..." (the new voters) and by " unfit for NAME" (a controller that rejects the policy).
+// issueOperations sends a random request of an operator, and schedules its own next call until the period
+// with faults is over. The text of a change's policy is "policy of ID". The text " voters NAME,NAME,..." may
+// follow, which names the new voters, and the text " unfit for NAME", which names a controller that rejects
+// the policy.
 func (run *scheduleRun) issueOperations() {
 	if run.settling {
 		return
 	}
 	run.scheduleAfter(run.randomDuration(50*time.Millisecond, 900*time.Millisecond), nil, run.issueOperations)
 	base := uint64(1)
-	for _, controller := range run.fleet { // the latest version, as an operator reads it from a controller
+	for _, controller := range run.fleet { // an operator reads the latest version from a controller
 		base = max(base, controller.version)
 	}
 	count := len(run.operations)
@@ -53,7 +54,7 @@
 		text := "policy of " + operation.request.ID
 		if run.ChangeVoters && run.Controllers > run.Voters && run.rng.IntN(6) == 0 &&
 			!slices.ContainsFunc(run.fleet, func(c *simulatedController) bool { return c.forgotten }) {
-			run.votersChanged = true // if the change comes into force
+			run.votersChanged = true // the change may come into force
 			first, names := run.rng.IntN(len(run.fleet)), []string{}
 			for i := range run.Voters {
 				names = append(names, run.fleet[(first+i)%len(run.fleet)].name)
@@ -74,7 +75,7 @@
 	case choice < 3 || count == 0:
 		run.operations = append(run.operations, newChange(count))
 		run.sendRequest(run.operations[count], false)
-	case choice < 5: // two concurrent changes
+	case choice < 5: // two operators request changes at the same time
 		run.operations = append(run.operations, newChange(count), newChange(count+1))
 		run.sendRequest(run.operations[count], false)
 		run.sendRequest(run.operations[count+1], false)
@@ -119,10 +120,11 @@
 	run.countMessages = true
 }
 
-// scheduleTeams are the owners of the simulated queries and results.
+// scheduleTeams lists the teams that submit queries and own results.
 var scheduleTeams = []string{"linz", "steyr"}
 
-// sendRequest sends the request for an operation to a random running controller, if one is found in 8 draws.
+// sendRequest sends an operation's request to a random running controller. It tries up to 8 random
+// controllers, and sends nothing if none of them runs.
 func (run *scheduleRun) sendRequest(operation *scheduleOperation, final bool) {
 	for range 8 {
 		controller := run.fleet[run.rng.IntN(len(run.fleet))]
@@ -144,8 +146,8 @@
 	}
 }
 
-// receiveResponse adds a response to the history. When a purge is reported as done, receiveResponse also adds
-// the results that are still on the disks.
+// receiveResponse adds a response to the history. When a response reports that a purge is complete,
+// receiveResponse also adds the results that are still on the disks.
 func (run *scheduleRun) receiveResponse(handle uint64, response *fleet.Response) {
 	pending := run.pendingRequests[handle]
 	if pending == nil {
@@ -186,7 +188,7 @@
 	case "forget":
 		if response.Outcome == "forgotten" {
 			run.result.Forgotten++
-			// The forgotten controller is started again by mistake, and must not act.
+			// An operator starts the forgotten controller by mistake. The controller must not act.
 			if controller := run.byName[operation.request.Name]; controller.down {
 				run.scheduleAfter(run.randomDuration(0, run.Lease), nil, func() {
 					if controller.down {
@@ -202,7 +204,7 @@
 	}
 }
 
-// repeatAllRequests sends the requests of all operations again.
+// repeatAllRequests sends the request of each operation once more. The responses must have outcomes.
 func (run *scheduleRun) repeatAllRequests() {
 	for _, operation := range run.operations {
 		run.sendRequest(operation, true)
--- a/internal/bench/schedules.go
+++ b/internal/bench/schedules.go
@@ -15,47 +15,48 @@
 	"railrelay.dev/railrelay/internal/historycheck"
 )
 
-// Schedule is a simulation of a fleet in virtual time, with the real cores of the controllers. The seed
-// determines the operators' requests and all faults: messages that are lost, delayed or duplicated, links
-// that are cut, and controllers that are paused, killed and restarted.
+// Schedule configures the simulation of a fleet in virtual time, with the real cores of the controllers.
+// The seed determines the operators' requests and all faults. A fault loses, delays or duplicates messages,
+// cuts links, slows down a disk, or pauses, kills and restarts controllers.
 type Schedule struct {
 	Seed            uint64
-	Controllers     int // voters, relays and followers, in this order
+	Controllers     int // number of voters, relays and followers, which are created in this order
 	Voters          int
-	ControlOnly     bool          // voters and relays take no queries
-	Relays          int           // relays that aggregate the followers' renewals, 0: none
-	Duration        time.Duration // of the period with faults; afterwards the fleet must recover
+	ControlOnly     bool          // voters and relays accept no queries
+	Relays          int           // relays that aggregate the followers' lease renewals; 0: none
+	Duration        time.Duration // length of the period with faults, after which the fleet must recover
 	Lease           time.Duration
 	FaultsPerSecond float64
-	MessageFault    *MessageFault // a single fault, which replaces the random ones
+	MessageFault    *MessageFault // if not nil, the only fault of the schedule
 	ChangeVoters    bool          // some changes replace the voters
-	EncodeMessages  bool          // messages are encoded and decoded on their way
-	RestartIsolated bool          // the only faults are restarts of followers that are cut off
+	EncodeMessages  bool          // each message is encoded and decoded before its delivery
+	RestartIsolated bool          // isolated followers are restarted, without any other fault
 }
 
-// MessageFault is a fault at one message between controllers. The messages are counted from the first
-// operator's request on, beginning with 1.
+// MessageFault is a fault at one message between controllers. MessageNumber 1 is the first message after
+// the first request of an operator.
 type MessageFault struct {
 	MessageNumber int
 	Kind          string // one of MessageFaultKinds
 }
 
-// MessageFaultKinds lists the kinds of a MessageFault. "sender" and "receiver" kill that controller,
-// "stopped" pauses the receiver, and "cut" cuts the link from the sender to the receiver.
+// MessageFaultKinds lists the kinds of a MessageFault. The kinds "sender" and "receiver" kill the message's
+// sender or receiver, "stopped" pauses the receiver, and "cut" cuts the link from the sender to the
+// receiver.
 var MessageFaultKinds = []string{"lost", "doubled", "late", "sender", "receiver", "stopped", "cut"}
 
 // ScheduleResult is the result of one or several schedules.
 type ScheduleResult struct {
 	Schedules, Events, Messages int
 	FaultsByKind                map[string]int // number of faults of each kind
-	FaultStates                 map[string]int // number of faults by kind, role and state of the operations
+	FaultStates                 map[string]int // number of faults by kind, role and state, see describeState
 	Changes, Withdrawn, Purges  int
 	Acts, Forgotten             int
-	Violations                  []string // violated invariants
+	Violations                  []string // descriptions of the violated invariants
 	TraceHash                   uint64   // hash of the times of all events, equal for equal seeds
 }
 
-// Add adds the result of other schedules.
+// Add adds the counts and violations of another result.
 func (r *ScheduleResult) Add(o *ScheduleResult) {
 	r.Schedules, r.Events, r.Messages = r.Schedules+o.Schedules, r.Events+o.Events, r.Messages+o.Messages
 	r.Changes, r.Withdrawn, r.Purges, r.Acts =
@@ -74,7 +75,7 @@
 	r.TraceHash = r.TraceHash*31 + o.TraceHash
 }
 
-// DistinctFaultStates returns the number of different states in which faults occurred.
+// DistinctFaultStates returns the number of different combinations of fault, role and state.
 func (r *ScheduleResult) DistinctFaultStates() int { return len(r.FaultStates) }
 
 // scheduleRun is the state of a running Schedule.
@@ -86,9 +87,9 @@
 	lastSequence    int
 	fleet           []*simulatedController
 	byName          map[string]*simulatedController
-	cutUntil        map[[2]string]time.Duration // end of the cut of the link from one controller to another
+	cutUntil        map[[2]string]time.Duration // end of the cut of each link, by sender and receiver
 	lossyUntil      time.Duration               // end of the period with lost, delayed and duplicated messages
-	leader          string                      // name of the controller that last granted a lease
+	leader          string                      // name of the controller that granted the latest lease
 	history         historycheck.FleetHistory
 	result          *ScheduleResult
 	pendingRequests map[uint64]*scheduleRequest // by handle
@@ -105,12 +106,13 @@
 type scheduleEvent struct {
 	at          time.Duration
 	sequence    int
-	controller  *simulatedController // controller whose process the event belongs to; nil: none
-	incarnation uint64               // the event is dropped if the controller has another one
+	controller  *simulatedController // the event belongs to this controller's process; nil: none
+	incarnation uint64               // the event is dropped if the controller was restarted since
 	action      func()
 }
 
-// scheduleEventQueue is a heap of events by time, and by the order of scheduling for equal times.
+// scheduleEventQueue is a heap of events. It orders the events by time, and events of the same time by the
+// order in which they were scheduled.
 type scheduleEventQueue []*scheduleEvent
 
 func (q scheduleEventQueue) Len() int { return len(q) }
@@ -126,8 +128,8 @@
 	return last
 }
 
-// scheduleAfter schedules an action after a delay. If the controller isn't nil, the action is dropped when
-// the controller's process ends, and delayed while it is paused.
+// scheduleAfter schedules an action after a delay. If the controller isn't nil, the action belongs to the
+// controller's process: it is dropped if the process ends, and delayed while the process is paused.
 func (run *scheduleRun) scheduleAfter(delay time.Duration, controller *simulatedController, action func()) {
 	run.lastSequence++
 	event := &scheduleEvent{at: run.now + delay, sequence: run.lastSequence, controller: controller,
@@ -143,9 +145,9 @@
 	return shortest + time.Duration(run.rng.Int64N(int64(longest-shortest)+1))
 }
 
-// Run runs the schedule and returns its result. After the period with faults all links are restored and all
-// controllers restarted. Then the fleet gets time to recover, all operations are requested again, and the
-// final state is checked.
+// Run runs the schedule and returns its result. After the period with faults, Run restores all links and
+// restarts all controllers. It then gives the fleet time to recover, requests all operations again and
+// checks the final state.
 func (s Schedule) Run() *ScheduleResult {
 	run := &scheduleRun{
 		Schedule: s,
@@ -190,7 +192,7 @@
 	run.runUntil(s.Duration)
 	run.heal()
 	run.settling = true
-	// Time for elections, the expiry of leases and the operations in progress.
+	// The fleet needs time for elections, for the expiry of leases and for the operations in progress.
 	run.runUntil(run.now + 4*s.Lease + 8*time.Second)
 	run.repeatAllRequests()
 	run.runUntil(run.now + 3*s.Lease + 6*time.Second)
@@ -207,7 +209,7 @@
 			if controller.down || event.incarnation != controller.incarnation {
 				continue
 			}
-			// The events of a paused controller keep their order when it resumes.
+			// A new sequence number keeps the order of the events that are delayed until the controller resumes.
 			if run.now < controller.pausedUntil {
 				run.lastSequence++
 				event.at, event.sequence = controller.pausedUntil, run.lastSequence
@@ -222,7 +224,7 @@
 	run.now = end
 }
 
-// addViolation adds a violation to the result, which keeps at most 20.
+// addViolation adds a violation to the result, unless the result has 20 violations.
 func (run *scheduleRun) addViolation(format string, args ...any) {
 	if len(run.result.Violations) < 20 {
 		run.result.Violations = append(run.result.Violations,
@@ -230,9 +232,9 @@
 	}
 }
 
-// checkFinalState checks that all controllers serve by the latest version, that all repeated requests were
-// answered, and that the operators' reports agree with each other. It adds the history's faults to the
-// violations.
+// checkFinalState adds a violation for each controller that doesn't serve by the latest version, for each
+// repeated request without a response, and for responses to operators that contradict each other. It also
+// adds the faults of the history.
 func (run *scheduleRun) checkFinalState() {
 	version := uint64(0)
 	for _, controller := range run.fleet {
@@ -245,7 +247,8 @@
 		}
 	}
 	for _, controller := range run.fleet {
-		// The controller was down when the change was decided, and can't serve by this policy.
+		// A controller that rejects the policy can't serve. The change came into force nevertheless, because
+		// the controller was down when the fleet decided.
 		if strings.HasSuffix(policy, " unfit for "+controller.name) {
 			continue
 		}
@@ -257,7 +260,7 @@
 	}
 	for _, handle := range slices.Sorted(maps.Keys(run.pendingRequests)) {
 		pending := run.pendingRequests[handle]
-		// The controller's process has ended. It may have forwarded the change before.
+		// The controller's process ended before it sent a response, but it may have forwarded the change.
 		if pending.operation.request.Kind == "apply" {
 			run.changeReports = append(run.changeReports, historycheck.ChangeReport{
 				Client:   len(run.changeReports) % 7,
@@ -305,8 +308,8 @@
 	}
 }
 
-// AddMessageFaults adds schedules of one seed that differ in their MessageFault: one for each kind of fault
-// at each step-th message from first to last.
+// AddMessageFaults adds schedules with one seed, each with a different MessageFault. It adds a schedule for
+// each kind of fault at each of the messages first, first+step and so on up to last.
 func (plan *SchedulePlan) AddMessageFaults(seed uint64, first, last, step int) {
 	for number := first; number <= last; number += step {
 		for _, kind := range MessageFaultKinds {
@@ -322,8 +325,8 @@
 	}
 }
 
-// Run runs the schedules on a number of threads and returns the sum of their results. Run starts no schedule
-// after the time until, unless until is zero; ScheduleResult.Schedules counts the schedules that were run.
+// Run runs the schedules on a number of threads and returns the sum of their results. If until isn't zero,
+// Run starts no schedule after that time. The result's field Schedules counts the schedules that were run.
 func (plan *SchedulePlan) Run(threads int, until time.Time) *ScheduleResult {
 	results := make([]*ScheduleResult, len(plan.Schedules))
 	var next atomic.Int64
--- a/internal/bench/schedules_test.go
+++ b/internal/bench/schedules_test.go
@@ -33,8 +33,8 @@
 	}
 }
 
-// Random faults violate no invariant while followers renew their leases through relays, which fail as other
-// controllers do.
+// Random faults violate no invariant while followers renew their leases through relays. The faults hit
+// relays as well as other controllers.
 func TestSchedulesWithRelays(t *testing.T) {
 	plan := &SchedulePlan{}
 	plan.AddRandom(2000, 80, 9, 3, 6*time.Second, 2)
@@ -87,7 +87,8 @@
 	}
 }
 
-// Short schedules with more faults. They must find the planted faults "force" and "down" of planted.go.
+// Random faults in short schedules violate no invariant. With the planted fault "force" or "down" of
+// planted.go, this test must fail.
 func TestBriefSchedules(t *testing.T) {
 	plan := &SchedulePlan{}
 	plan.AddRandom(900, 24, 5, 3, 5*time.Second, 3)
@@ -98,7 +99,8 @@
 	}
 }
 
-// Short schedules with relays. They must find the planted fault "relay" of planted.go.
+// Random faults in short schedules with relays violate no invariant. With the planted fault "relay" of
+// planted.go, this test must fail.
 func TestBriefSchedulesWithRelays(t *testing.T) {
 	plan := &SchedulePlan{}
 	plan.AddRandom(2900, 16, 8, 3, 5*time.Second, 3)
@@ -111,8 +113,8 @@
 	}
 }
 
-// Followers that miss changes while they are down, and are cut off when they restart, must not serve by the
-// state on their disks. These schedules must find the planted fault "fence" of planted.go.
+// A follower that missed changes while it was down, and that is cut off after its restart, must not serve
+// by the outdated state on its disk. With the planted fault "fence" of planted.go, this test must fail.
 func TestStartedCutOff(t *testing.T) {
 	plan := &SchedulePlan{}
 	for i := range uint64(12) {
--- a/internal/bench/speed.go
+++ b/internal/bench/speed.go
@@ -19,10 +19,11 @@
 	"railrelay.dev/railrelay/internal/fairqueue"
 )
 
-// CompareFairnessThroughput returns the ratio of a controller's queries per second with fairness on to that
-// with fairness off, and prints both. The controller has one core and eight emulated engines that answer at
-// once; the clients keep 64 queries open on four connections. Turns of a fixed duration with fairness off
-// and on alternate, and the medians count.
+// CompareFairnessThroughput measures a controller's queries per second with fairness off and with fairness
+// on, prints both rates, and returns the rate with fairness on divided by the rate with fairness off. The
+// controller has one core and eight emulated engines, which answer at once. The clients keep 64 queries
+// open on four connections. Turns with fairness off and on alternate, and each rate is the median over its
+// turns.
 func CompareFairnessThroughput(
 	ctx context.Context, out io.Writer, program string, duration time.Duration, turns int,
 ) (float64, error) {
@@ -66,8 +67,8 @@
 	return ratio, nil
 }
 
-// keepQueriesOpen keeps a number of lookups open on one connection until ctx ends, and adds the finished
-// ones to finished. connection distinguishes the query IDs of concurrent calls.
+// keepQueriesOpen keeps a number of lookups open on one connection until ctx ends, and adds the number of
+// finished lookups to finished. The number connection makes the query IDs of concurrent calls differ.
 func keepQueriesOpen(ctx context.Context, address string, connection, open int, finished *int64) error {
 	conn, err := net.Dial("tcp", address)
 	if err != nil {
@@ -118,8 +119,9 @@
 	return nil
 }
 
-// TimeFairQueue returns the mean time of adding a query to the fair queue and taking one out, in
-// microseconds, with many tenants and waiting queries. tenants must be 10,000, see tenantNumber.
+// TimeFairQueue returns the mean time in microseconds of adding a query to the fair queue and taking a query
+// out, with many tenants and waiting queries. The number of tenants must be 10,000, because tenantNumber
+// assumes 100 groups of 100 tenants.
 func TimeFairQueue(tenants, waiting, rounds int) float64 {
 	config := fairqueue.Config{
 		Lanes: []fairqueue.Lane{
@@ -152,7 +154,7 @@
 	for i := range waiting {
 		enqueue(&queries[i])
 	}
-	free := []*fairqueue.Query{&queries[waiting]} // a round takes out at most one query for the one that it adds
+	free := []*fairqueue.Query{&queries[waiting]} // outside the queue; a round takes out one query or none
 	runtime.GC()
 	start := time.Now()
 	for i := range rounds {
@@ -172,8 +174,8 @@
 	return float64(time.Since(start).Microseconds()) / float64(rounds)
 }
 
-// tenantNumber returns the queue's index of the n-th leaf tenant of TimeFairQueue. Each of its 100 groups
-// has an index, followed by those of the group's 100 tenants.
+// tenantNumber returns the index by which the fair queue knows the n-th tenant of TimeFairQueue. The queue
+// numbers the groups too: the index of each group precedes the indexes of the group's 100 tenants.
 func tenantNumber(n int) int {
 	return n/100*101 + n%100 + 1
 }
