--- a/internal/bench/spool.go
+++ b/internal/bench/spool.go
@@ -20,8 +20,8 @@
 	"railrelay.dev/railrelay/internal/resultstore"
 )
 
-// spoolSetupText returns the set-up file of a controller that spools results to a directory, or of one
-// without a spool if directory is empty.
+// spoolSetupText returns the set-up file of a controller that spools results to a directory. If directory
+// is empty, the controller has no spool.
 func spoolSetupText(t *Trial, s *controllerTestbed, directory string) string {
 	text, _, _ := strings.Cut(t.setupText(s.feedAddress, s.controllerAddress), "fairness:")
 	text = strings.Replace(text, "memory_mb: 256", "memory_mb: 64", 1)
@@ -43,9 +43,9 @@
 	return kb / 1024
 }
 
-// measureSlowReaders lets clients read results at 1 KB/s, in pages or whole. It returns the 99th
-// percentile of the time in seconds for which engines held finished queries, and the controller's peak
-// resident memory in MB.
+// measureSlowReaders starts clients that read results at 1 KB/s, either in pages or as one answer. Engines
+// hold a finished query until the controller releases it. measureSlowReaders returns the 99th percentile
+// of the hold times in seconds, and the controller's peak resident memory in MB.
 func measureSlowReaders(ctx context.Context, t *Trial, out io.Writer, readers int, paged bool,
 	duration time.Duration) (p99, rss float64, err error) {
 	releases := &releaseRecorder{finishedAt: map[string]time.Time{}, releasedAt: map[string]time.Time{}}
@@ -99,12 +99,13 @@
 	return p99, rss, s.stopController()
 }
 
-// spoolKillCounts counts kills of the controller, and the outcomes of reads of acknowledged results after a
-// restart.
+// spoolKillCounts counts kills of the controller. After each restart clients read acknowledged results. The
+// fields readAttempts, intact, lost and corrupt count all these reads and their outcomes.
 type spoolKillCounts struct{ readAttempts, intact, lost, corrupt, kills int }
 
-// countLostAfterKills kills the controller at a random time in each round while clients submit queries. After
-// each restart it reads the results that were acknowledged before.
+// countLostAfterKills kills and restarts the controller in each round. The kill comes at a random time while
+// clients submit queries. After each restart countLostAfterKills reads the results that the controller
+// acknowledged before the kill.
 func countLostAfterKills(ctx context.Context, t *Trial, rounds int) (counts spoolKillCounts, err error) {
 	s, err := newControllerTestbed(ctx, t.Program, t.Engines, trialEngineConfig(), t.ControllerLog,
 		func(int, *engine.Server) {})
@@ -191,19 +192,19 @@
 		s.killController()
 		counts.kills++
 		wg.Wait()
-		if len(results) > 60 { // a kill mainly endangers the latest results
+		if len(results) > 60 { // the latest results are the most likely to be lost in a kill
 			results = results[len(results)-60:]
 		}
 	}
 	return counts, nil
 }
 
-// measureSpoolWriteRates returns the write rate of the result store, and the rate of plain writes to one file
-// with the same number of syncs, both in MB/s.
+// measureSpoolWriteRates returns two write rates in MB/s. storeRate is the write rate of the result store.
+// plainRate is the rate of plain writes to one file with the same number of syncs.
 func measureSpoolWriteRates(dir string, policy resultstore.SyncPolicy) (storeRate, plainRate float64,
 	err error) {
 	const results, pages, size = 60, 32, 32 << 10
-	const resultsPerSegment = 16 // results of 1 MB; a full segment is synced under all policies but SyncNever
+	const resultsPerSegment = 16 // a result has 1 MB; every policy except SyncNever syncs a full segment
 	body := bytes.Repeat([]byte("0123456789abcde\n"), size/16)
 	start := time.Now()
 	file, err := os.Create(filepath.Join(dir, "plain"))
@@ -253,8 +254,8 @@
 	return storeRate, plainRate, nil
 }
 
-// measurePageCPUTime returns the controller's CPU time for serving one page from memory, and for an unpaged
-// answer of the same size to a query that an engine starts at once.
+// measurePageCPUTime returns the controller's CPU time for serving one page from memory, and the CPU time
+// for a query with an unpaged answer of the same size. An engine starts each query at once.
 func measurePageCPUTime(ctx context.Context, t *Trial) (pageMicroseconds, answerMicroseconds float64,
 	err error) {
 	s, err := newControllerTestbed(ctx, t.Program, t.Engines, trialEngineConfig(), t.ControllerLog,
@@ -314,10 +315,10 @@
 	fields := strings.Fields(rest)
 	user, _ := strconv.ParseFloat(fields[11], 64)
 	system, _ := strconv.ParseFloat(fields[12], 64)
-	return (user + system) / 100 // clock ticks of 10 ms
+	return (user + system) / 100 // the kernel counts in ticks of 10 ms
 }
 
-// measureSpoolReopen returns the time that opening a store with a number of results takes.
+// measureSpoolReopen stores a number of results, and returns the time that it takes to reopen the store.
 func measureSpoolReopen(dir string, results int) (time.Duration, error) {
 	path := filepath.Join(dir, "many")
 	store, err := resultstore.OpenSpoolStore(path,
@@ -355,9 +356,9 @@
 	return duration, errors.Join(err, store.Close())
 }
 
-// MeasureSpool measures spooled results with a controller process and the file system: slow readers, kills,
-// write rates, the CPU time of a page and the time to reopen a store. It returns an error if an acknowledged
-// result was lost or corrupted.
+// MeasureSpool measures how a controller spools results: with slow readers, with kills, the write rates, the
+// CPU time of a page and the time to reopen a store. It uses a controller process and the file system. It
+// returns an error if an acknowledged result was lost or corrupted.
 func MeasureSpool(ctx context.Context, out io.Writer, program string, seed uint64) error {
 	t := &Trial{Program: program, Engines: 4, Seed: seed, ControllerLog: io.Discard}
 	const readers = 200
--- a/internal/bench/spool_client.go
+++ b/internal/bench/spool_client.go
@@ -14,7 +14,7 @@
 	"railrelay.dev/railrelay/internal/emulator/world"
 )
 
-// spoolPatience is the time for which clients wait for an answer.
+// spoolPatience is how long clients wait for an answer.
 const spoolPatience = 12 * time.Second
 
 // resultReader is a client connection that reads one answer at a time, optionally at a limited rate.
@@ -26,7 +26,7 @@
 }
 
 // dialController connects to a controller. If bytesPerSecond isn't 0, it limits the rate at which the client
-// reads, and makes the receive buffer small so that the controller notices.
+// reads. It then also makes the receive buffer small, so that the controller notices the slow reads.
 func dialController(address string, bytesPerSecond int) (*resultReader, error) {
 	c, err := net.Dial("tcp", address)
 	if err != nil {
@@ -63,7 +63,8 @@
 	}
 }
 
-// submitQuery submits a query whose result has a number of rows and is returned in pages or whole.
+// submitQuery submits a query whose result has a number of rows. If paged is true, it requests the result
+// in pages.
 func (r *resultReader) submitQuery(id string, rows int, paged bool, patience time.Duration) error {
 	r.lastMessage++
 	fields := []string{"trace", id, "patience", strconv.FormatInt(patience.Milliseconds(), 10)}
@@ -84,12 +85,12 @@
 	return r.readAnswer(ctx)
 }
 
-// acknowledgedResult is a spooled result whose first page and token a client has received.
+// acknowledgedResult is a spooled result. A client has received the result's first page and token.
 type acknowledgedResult struct {
 	id        string
 	rows      int
 	firstPage []byte
-	fields    map[string]string // of the answer: the token and the number of pages
+	fields    map[string]string // fields of the answer, with the token and the number of pages
 }
 
 // verify reads the other pages of a result and compares all pages with the rows that the engines
@@ -115,7 +116,7 @@
 	releasedAt map[string]time.Time
 }
 
-// observe registers the recorder's callbacks at an engine.
+// observe sets the recorder's methods as callbacks of an engine.
 func (r *releaseRecorder) observe(_ int, s *engine.Server) {
 	s.Model.OnEnd = func(id string, outcome engine.Outcome, _ time.Duration) {
 		r.mu.Lock()
@@ -133,9 +134,8 @@
 	}
 }
 
-// p99HoldSeconds returns the 99th percentile of the time for which engines held finished queries. A query
-// that the controller didn't release counts as held for abandonAfter, the time after which the engine
-// deletes it.
+// p99HoldSeconds returns the 99th percentile of the times for which engines held finished queries. If the
+// controller didn't release a query, its hold time is abandonAfter, after which the engine deletes the query.
 func (r *releaseRecorder) p99HoldSeconds(abandonAfter time.Duration) float64 {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/bench/spool_large.go
+++ b/internal/bench/spool_large.go
@@ -17,9 +17,9 @@
 	"railrelay.dev/railrelay/internal/emulator/engine"
 )
 
-// MeasureLargeResults spools a number of results of resultMB MB each, one after another, through a
-// controller with a memory limit of 64 MB, and reads each completely. All results stay on disk until the
-// end, so that the measurement can need much time and disk space.
+// MeasureLargeResults spools a number of results of resultMB MB each through a controller with a memory limit
+// of 64 MB, and reads each result completely before it requests the next. All results stay on disk until
+// the end, so that the measurement can need much time and disk space.
 func MeasureLargeResults(ctx context.Context, out io.Writer, program string, results, resultMB int) error {
 	const padding = 4000
 	rows := resultMB << 20 / (padding + 28)
@@ -90,7 +90,7 @@
 			}
 			got.Write(page.Rows)
 			resultBytes += int64(len(page.Rows))
-			if i%30 == 0 { // stays below the limit on a connection's messages
+			if i%30 == 0 { // a controller closes a connection with too many messages in a quarter of a second
 				time.Sleep(2 * time.Millisecond)
 			}
 		}
--- a/internal/bench/spool_test.go
+++ b/internal/bench/spool_test.go
@@ -16,8 +16,8 @@
 	"railrelay.dev/railrelay/internal/emulator/world"
 )
 
-// Every result that was acknowledged to a client must be readable and unchanged after the controller was
-// killed and restarted. The kills come at random times while results are being written.
+// After the controller is killed and restarted, every result that it acknowledged to a client must be
+// readable and unchanged. The kills come at random times while the controller writes results.
 func TestSpooledResultsSurviveKills(t *testing.T) {
 	counts, err := countLostAfterKills(t.Context(),
 		&Trial{Program: buildDebugController(t), Engines: 2, Seed: 3, ControllerLog: io.Discard}, 4)
@@ -30,8 +30,8 @@
 }
 
 // Only one process at a time can use the spool's directory. The controller and the verify command report a
-// corrupt page, which isn't served, while the other pages of its result are. A spool that can't be opened or
-// is configured with invalid values prevents the start.
+// corrupt page. The controller serves the other pages of the same result, but not the corrupt page. It
+// doesn't start if the spool can't be opened or has an invalid configuration.
 func TestSpoolCommandsAndCorruptPage(t *testing.T) {
 	var log strings.Builder
 	program := buildDebugController(t)
@@ -105,7 +105,7 @@
 	}
 	defer r.Close()
 	want := world.ExpectedRows(&world.Query{ID: id, Work: engine.Work{Rows: 5000}})
-	for i := range 5 { // all pages but the corrupt one are served
+	for i := range 5 { // the controller serves all pages except page 1, which is corrupt
 		page, err := r.requestPage(t.Context(), answer.Fields["token"], i)
 		if err != nil || (page.Kind == client.Finished) != (i != 1) ||
 			!strings.Contains(string(want), string(page.Rows)) {
@@ -118,7 +118,7 @@
 	if !strings.Contains(log.String(), "the page is spoilt") {
 		t.Error("the controller did not log the corrupt page")
 	}
-	// The spool's directory can't be created.
+	// The controller can't create the spool's directory, because the parent is a file.
 	file := filepath.Join(s.dir, "file")
 	if err := os.WriteFile(file, nil, 0o600); err != nil {
 		t.Fatal(err)
