--- a/internal/bench/storm.go
+++ b/internal/bench/storm.go
@@ -28,17 +28,18 @@
 	inject    func(ff *faultFleet)
 	heal      func(ff *faultFleet)
 	duration  func(ff *faultFleet) time.Duration
-	withPurge bool // a purge is in progress as well
+	withPurge bool // a purge is also in progress during the fault
 }
 
-// pastLease returns the duration of a fault in which every lease expires, even one that was just renewed.
+// pastLease returns the duration of a fault in which every lease expires, even one renewed at its beginning.
 func pastLease(ff *faultFleet) time.Duration { return ff.Lease*3/2 + 200*time.Millisecond }
 
-// shortFault returns a duration in which a lease of one second that was just renewed does not expire.
+// shortFault returns the duration of a fault that ends before a lease of one second expires, if the lease was
+// renewed shortly before the fault.
 func shortFault(*faultFleet) time.Duration { return 500 * time.Millisecond }
 
-// linkFaultRound returns a round with a fault on the links from one process to another, which pick returns.
-// An empty name selects any process.
+// linkFaultRound returns a round with a fault on the links from one process to another. pick returns the
+// names of the two processes, of which an empty name selects every process.
 func linkFaultRound(name string, fault faultproxy.Fault, pick func(ff *faultFleet) (from, to string),
 	withPurge bool, duration func(*faultFleet) time.Duration) faultRound {
 	return faultRound{name, func(ff *faultFleet) {
@@ -54,8 +55,8 @@
 // anyLink selects all links.
 func (ff *faultFleet) anyLink() (from, to string) { return "", "" }
 
-// processFaultRound returns a round that pauses or kills the process that pick returns, and then resumes or
-// restarts it.
+// processFaultRound returns a round whose fault hits the process that pick returns. If pause is true, the
+// round pauses and resumes the process. Otherwise it kills and restarts the process.
 func processFaultRound(name string, pick func(ff *faultFleet) *fleetProcess, pause bool,
 	duration func(*faultFleet) time.Duration, withPurge bool) faultRound {
 	var p *fleetProcess
@@ -74,14 +75,14 @@
 	}, duration, withPurge}
 }
 
-// addFault adds an error of the run itself to the faults.
+// addFault adds an error of the measurement itself to the violations.
 func (ff *faultFleet) addFault(err error) {
 	ff.mu.Lock()
 	defer ff.mu.Unlock()
 	ff.queryHistory.AddFault(ff.elapsed(), err.Error())
 }
 
-// faultRounds returns the rounds of a measurement, which runs them in an order that its seed determines.
+// faultRounds returns the rounds of MeasureFaultFleet, which runs the rounds in a random order.
 func faultRounds() []faultRound {
 	leader := func(ff *faultFleet) *fleetProcess { return ff.leader() }
 	follower := func(ff *faultFleet) *fleetProcess { return ff.randomFollower() }
@@ -135,9 +136,9 @@
 	}
 }
 
-// runRound injects a round's fault before or while two operators apply changes to the same policy version,
-// and, if the round says so, while a purge is in progress. It waits until the changes and the purge have an
-// outcome and all controllers serve.
+// runRound injects a round's fault before or while two operators apply changes to the same policy version.
+// If the round is withPurge, a purge is in progress too. After the fault runRound waits until the changes
+// and the purge have an outcome and all controllers serve.
 func (ff *faultFleet) runRound(r faultRound) error {
 	before := ff.mesh.HitCounts()
 	base := ff.latestVersion
@@ -166,7 +167,7 @@
 		wg.Go(func() { _, purgeErr = ff.purgeTeam(ff.members[0], team, 15*time.Second) })
 	}
 	if !faultFirst {
-		time.Sleep(delay) // so that the fault hits any stage of the changes and the purge
+		time.Sleep(delay) // the random delay lets the fault hit different stages of the changes and the purge
 		r.inject(ff)
 	}
 	time.Sleep(r.duration(ff))
@@ -194,8 +195,9 @@
 	return nil
 }
 
-// startFromDamagedRecord starts a follower from a truncated and from a corrupted record file. The follower
-// must exit and log what is wrong. Then startFromDamagedRecord starts the follower from the intact file.
+// startFromDamagedRecord starts a follower from a truncated record file and from a corrupted record file.
+// Each time the follower must exit and log what is wrong with the file. At the end startFromDamagedRecord
+// starts the follower from the intact file.
 func (ff *faultFleet) startFromDamagedRecord() error {
 	p := ff.randomFollower()
 	ff.kill(p)
@@ -246,9 +248,9 @@
 	return ff.awaitAllServing(15 * time.Second)
 }
 
-// runEmergency drains all engines of the site east for longer than the policy's emergency delay, and waits
-// until the team bound to the site runs queries at its emergency site. Then it restores the engines and waits
-// for the end of the emergency.
+// runEmergency drains all engines of the site east, to which the policy binds the team linz. It waits until
+// the policy's emergency delay is over and queries of linz run at the emergency site. Then it restores the
+// engines and waits for the end of the emergency.
 func (ff *faultFleet) runEmergency() error {
 	publishPhase := func(phase string) {
 		var engines []feed.Engine
@@ -295,8 +297,8 @@
 	return err
 }
 
-// replaceVoter changes the policy so that the first follower votes in place of the first voter, while clients
-// send queries.
+// replaceVoter changes the policy so that the first follower replaces the first voter. Meanwhile the clients
+// continue to send queries.
 func (ff *faultFleet) replaceVoter() error {
 	change := ff.newChange(ff.latestVersion, 0, false)
 	policy := string(change.Policy) + "voters:\n"
@@ -318,8 +320,8 @@
 	})
 }
 
-// finish applies a last change, queries the outcomes of all changes once more, waits until all controllers
-// act on the last version and stops the clients. It returns all violations of the invariants in the run.
+// finish applies a last change, requests the outcomes of all changes once more, waits until all controllers
+// act on the last version, and stops the clients. It returns descriptions of all violated invariants.
 func (ff *faultFleet) finish() ([]string, error) {
 	last := ff.newChange(ff.latestVersion, 0, false)
 	if outcome, err := ff.awaitOutcome(last, 10*time.Second); err != nil || outcome != "in force" {
@@ -358,7 +360,7 @@
 	return violations, nil
 }
 
-// median sorts the durations and returns their median, or 0 if there are none.
+// median sorts the durations and returns their median. It returns 0 for an empty list.
 func median(durations []time.Duration) time.Duration {
 	if len(durations) == 0 {
 		return 0
@@ -369,8 +371,9 @@
 
 func toMilliseconds(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
 
-// measureWithoutFaults applies changes and purges without faults. It returns the medians of the hold of a
-// controller when it switches versions, of a round trip, of the sync of one page to disk and of a purge.
+// measureWithoutFaults applies changes and purges without faults, and returns four medians. hold is the time
+// in which a controller that switches versions sends no queries, see switchHolds. trip is the time of a
+// network round trip, diskSync the time to sync one page to disk, and purge the duration of a purge.
 func (ff *faultFleet) measureWithoutFaults(changes int) (
 	hold, trip, diskSync, purge time.Duration, err error) {
 	var holds, trips, syncs, purges []time.Duration
@@ -414,7 +417,7 @@
 	for range 15 {
 		begin := time.Now()
 		ff.status(ff.members[0])
-		trips = append(trips, time.Since(begin)/2) // a handshake and the request
+		trips = append(trips, time.Since(begin)/2) // the time covers two round trips, a handshake and the request
 		begin = time.Now()
 		file.Write(make([]byte, 4096))
 		if err := file.Sync(); err != nil {
@@ -425,12 +428,12 @@
 	return median(holds), median(trips), median(syncs), median(purges), nil
 }
 
-// fleetThroughputRatio returns the throughput of a controller that is the only member of a fleet, relative to
-// a controller without a fleet. The two controllers are measured alternately, in short turns.
+// fleetThroughputRatio returns the throughput of a controller that is the only member of a fleet, divided by
+// the throughput of a controller without a fleet. It measures the two controllers in alternating short turns.
 func fleetThroughputRatio(ctx context.Context, program string, turns int, turn time.Duration) (
 	float64, error) {
 	trial := &Trial{Program: program, Engines: 8, Seed: 1, ControllerLog: io.Discard}
-	var answered [2]float64 // without and with a fleet
+	var answered [2]float64 // numbers of finished queries, without and with a fleet
 	run := func(ctx context.Context, address string) (int64, error) {
 		turnCtx, cancel := context.WithTimeout(ctx, turn)
 		defer cancel()
@@ -480,7 +483,7 @@
 			if err != nil {
 				return 0, err
 			}
-			if i > 0 { // the first turn warms the controllers up
+			if i > 0 { // the first turn isn't counted, because the controllers still warm up
 				answered[inFleet] += float64(done)
 			}
 		}
@@ -488,9 +491,10 @@
 	return answered[1] / max(answered[0], 1), nil
 }
 
-// MeasureFaultFleet injects all faults into a fleet of real processes, runs schedules in virtual time and the
-// tests of the planted faults beside it, and writes the measurements to out. It returns an error if an
-// invariant was violated, a planted fault was not detected, or an event that the run must contain is missing.
+// MeasureFaultFleet injects all faults into a fleet of real processes and writes the measurements to out. At
+// the same time it runs schedules in virtual time and the tests that must detect the planted faults. It
+// returns an error if an invariant was violated, if a planted fault was not detected, or if the run lacks
+// an event of a required kind, such as a purge.
 func MeasureFaultFleet(ctx context.Context, out io.Writer, program, plantedDir string, seed uint64,
 	detail bool) error {
 	config := FaultFleetConfig{Program: program, Voters: 3, Followers: 6, Seed: seed, Lease: time.Second}
--- a/internal/bench/together.go
+++ b/internal/bench/together.go
@@ -23,8 +23,8 @@
 	"railrelay.dev/railrelay/internal/historycheck"
 )
 
-// FaultFleetConfig configures a fleet of real processes for fault injection. The fleet has a faulty link
-// between every two processes, engines in several sites, a discovery feed, clients and operators.
+// FaultFleetConfig configures a fleet of real processes for fault injection. Between every two processes a
+// proxy can inject faults. The fleet has engines at several sites, a discovery feed, clients and operators.
 type FaultFleetConfig struct {
 	Program           string // path of the program; railrelay-fleet must be in the same directory
 	Voters, Followers int
@@ -32,7 +32,8 @@
 	Lease             time.Duration // duration of a serving lease
 }
 
-// faultFleet is a running fleet with its engines and clients, and the history that they observed.
+// faultFleet is a running fleet with its engines and clients. It also has the history of the events that the
+// engines, clients and operators observed.
 type faultFleet struct {
 	FaultFleetConfig
 	ctx         context.Context
@@ -47,21 +48,21 @@
 	members     []*fleetProcess
 	cleanups    []func()
 	clients     sync.WaitGroup
-	stopClients chan struct{} // when closed, clients send no more queries
+	stopClients chan struct{} // closed when the clients must stop
 
 	mu               sync.Mutex
 	queryHistory     historycheck.History
 	fleetHistory     historycheck.FleetHistory
 	changeReports    []historycheck.ChangeReport
 	sentQueries      map[string]*fleetSentQuery // by query ID
-	serial           int                        // of the latest query or purge
+	serial           int                        // number of the latest query or purge
 	storedResults    []fleetStoredResult
 	markerVersions   map[int]markerVersion  // by number of the marker site
 	nextMarker       int                    // next marker, counted without wrapping at markerSites
-	latestVersion    uint64                 // latest policy version that was reported as in force
-	observedVersions [][]versionObservation // by controller, as the engines observed them
+	latestVersion    uint64                 // latest policy version that a controller reported as in force
+	observedVersions [][]versionObservation // versions that engines observed, by controller and in order of time
 	faultCounts      map[string]int         // by description of the fault
-	emergencyQueries int                    // queries of the bound team that ran at its emergency site
+	emergencyQueries int                    // queries of team linz that ran at the emergency site west
 	emergencies      int
 	changeRequests   []*fleet.Request
 	knownOutcomes    map[string]string // latest reported outcome by ID of the change
@@ -166,8 +167,8 @@
 
 func (ff *faultFleet) path(name string) string { return filepath.Join(ff.dir, name) }
 
-// startEngines starts two engines in each of the sites east and west, one in each marker site, and the
-// feed that lists them.
+// startEngines starts two engines at each of the sites east and west, one engine at each marker site, and
+// the feed that lists all engines.
 func (ff *faultFleet) startEngines() error {
 	sites := []string{"east", "east", "west", "west"}
 	for marker := range markerSites {
@@ -204,8 +205,8 @@
 	return nil
 }
 
-// recordSubmission adds the submission of a query to an engine to the histories. For a query of the team
-// mark, the engine's site identifies the policy version that the controller acted on.
+// recordSubmission adds to the histories that an engine received a query. For a query of the team mark, the
+// engine's site identifies the policy version that the controller acted on.
 func (ff *faultFleet) recordSubmission(id, engineName, site string, _ int) {
 	ff.mu.Lock()
 	defer ff.mu.Unlock()
@@ -241,8 +242,8 @@
 	return historycheck.Rule{Tenant: "linz", Sites: []string{"east"}}
 }
 
-// placementYAML returns the policy that binds the team mark to a marker site. In an emergency, the team linz
-// may also run at the site west.
+// placementYAML returns a policy that binds the team mark to a marker site and the team linz to the site
+// east. In an emergency, queries of linz may also run at the site west.
 func placementYAML(marker int) string {
 	return fmt.Sprintf("placement:\n"+
 		"  - {name: linz-east, team: linz, engines: [east], controllers: [east, west], "+
--- a/internal/bench/together_clients.go
+++ b/internal/bench/together_clients.go
@@ -21,16 +21,17 @@
 // that the engine that runs a query identifies the policy version that the controller acted on.
 const markerSites = 12
 
-// storedResultsToRead bounds the stored results, the newest ones, that are read again.
+// storedResultsToRead limits which stored results clients read again: only this many of the newest results.
 const storedResultsToRead = 60
 
-// fleetStoredResult is a result that a controller stores, with the token that reads it.
+// fleetStoredResult is a result that a controller stores. A client needs the token to read the result.
 type fleetStoredResult struct {
 	id, team, token string
 	controller      int // index in members
 }
 
-// markerVersion is the change that bound the team mark to a marker site, and the version that it creates.
+// markerVersion is the latest change that binds the team mark to a marker site. The version is the one that
+// the change creates if it comes into force.
 type markerVersion struct {
 	change  string
 	version uint64
@@ -90,7 +91,8 @@
 	return true
 }
 
-// scanSpools searches all spool files for the rows of stored results and adds those found to the history.
+// scanSpools searches all spool files for rows of stored results, and adds the results whose rows it finds to
+// the history.
 func (ff *faultFleet) scanSpools() error {
 	const queryIDLength = 16 // hexadecimal digits
 	for _, p := range ff.members {
@@ -128,8 +130,9 @@
 // engineRowMarker follows the query's ID in each row that engines produce.
 var engineRowMarker = []byte("\trow\t")
 
-// runClient sends queries to one controller, one at a time, until stopClients is closed. It waits for a pause
-// before each query. A paged client requests stored results and reads one of them after each answer.
+// runClient sends queries to one controller, one at a time, until stopClients is closed. It waits for the
+// duration pause before each query. If paged is true, the controller stores the results, and after an answer
+// the client may read one of the newest stored results again.
 func (ff *faultFleet) runClient(controller int, team, group string, pause time.Duration, paged bool) {
 	defer ff.clients.Done()
 	rng := rand.New(rand.NewPCG(ff.Seed, uint64(controller)<<8|uint64(len(team))))
@@ -186,7 +189,7 @@
 			answer, err = r.readAnswer(ff.ctx)
 		}
 		ff.mu.Lock()
-		if err != nil { // the controller was killed, or the answer is late
+		if err != nil { // the controller was killed or the answer is late
 			ff.queryHistory.ClientLeft(ff.elapsed(), id)
 			r.Close()
 			r = nil
@@ -195,7 +198,7 @@
 		}
 		expected := world.ExpectedRows(&world.Query{ID: id, Work: work})
 		if paged && len(answer.Rows) > 0 && bytes.HasPrefix(expected, answer.Rows) {
-			expected = answer.Rows // the answer has the first page only
+			expected = answer.Rows // a paged answer has only the first page
 		}
 		ff.queryHistory.Answered(ff.elapsed(), id, historycheck.Answer(answer.Kind), answer.Rows, expected)
 		if answer.Kind == client.Finished && answer.Fields["token"] != "" {
--- a/internal/bench/together_operators.go
+++ b/internal/bench/together_operators.go
@@ -8,8 +8,8 @@
 	"railrelay.dev/railrelay/internal/historycheck"
 )
 
-// newChange creates a request for a policy change that moves the team mark to a marker site that is not in
-// use. An invalid policy has a group that no controller knows, so that the fleet withdraws the change.
+// newChange creates a request for a policy change that binds the team mark to an unused marker site. If
+// invalid is true, the policy has a group that no controller knows, so that the fleet withdraws the change.
 func (ff *faultFleet) newChange(base uint64, abortAfter time.Duration, invalid bool) *fleet.Request {
 	ff.mu.Lock()
 	defer ff.mu.Unlock()
@@ -34,7 +34,8 @@
 	return change
 }
 
-// applyChange sends a change to a controller, records the outcome and returns it: "unknown" if there is none.
+// applyChange sends a change to a controller, records the outcome and returns it. The outcome is "unknown"
+// if the request fails or the controller reports no outcome.
 func (ff *faultFleet) applyChange(p *fleetProcess, change *fleet.Request) string {
 	from := ff.elapsed()
 	response, err := ff.sendRequest(p, change)
@@ -56,7 +57,7 @@
 	return report.Outcome
 }
 
-// awaitOutcome sends a change to random controllers until one reports its outcome.
+// awaitOutcome sends a change to random controllers until one of them reports the change's outcome.
 func (ff *faultFleet) awaitOutcome(change *fleet.Request, within time.Duration) (string, error) {
 	outcome := "unknown"
 	err := ff.waitFor(within, "there is an outcome of "+change.ID, func() bool {
@@ -72,8 +73,9 @@
 	return outcome, err
 }
 
-// purgeTeam purges a team's results. Once the purge is reported as complete, it scans all spools for purged
-// results. It returns how long the purge took, without the time spent on reading results in between.
+// purgeTeam purges a team's results. When a controller reports that the purge is complete, purgeTeam reads
+// stored results and scans all spools, so that the history shows results that weren't purged. It returns
+// the duration of the purge, without the time of its own reads during the purge.
 func (ff *faultFleet) purgeTeam(p *fleetProcess, team string, within time.Duration) (
 	took time.Duration, err error) {
 	ff.mu.Lock()
@@ -111,8 +113,9 @@
 	return took, err
 }
 
-// switchHolds returns for each controller how long the engines received no marker query from it when it
-// switched to a policy version.
+// switchHolds returns a duration for each controller that switched to a policy version. The duration is the
+// time between the last marker query under an earlier version and the first one under the given version,
+// as the engines received the queries.
 func (ff *faultFleet) switchHolds(version uint64) (holds []time.Duration) {
 	ff.mu.Lock()
 	defer ff.mu.Unlock()
--- a/internal/bench/together_processes.go
+++ b/internal/bench/together_processes.go
@@ -17,10 +17,10 @@
 // fleetProcess is the process of one controller.
 type fleetProcess struct {
 	name, site     string
-	clientAddress  string    // listens for clients
-	listenAddress  string    // listens for peers
-	peerAddress    string    // where peers connect to, through the mesh
-	controlAddress string    // listens for operators
+	clientAddress  string    // the controller listens for clients
+	listenAddress  string    // the controller listens for peers
+	peerAddress    string    // peers connect to this address of the mesh
+	controlAddress string    // the controller listens for operators
 	command        *exec.Cmd // nil while the process is down
 	paused         bool
 	exited         chan struct{}
@@ -67,7 +67,7 @@
 	return b.String()
 }
 
-// startProcess starts a controller, which recovers the state that its directories hold.
+// startProcess starts a controller, which recovers the state in its directories.
 func (ff *faultFleet) startProcess(p *fleetProcess) error {
 	command := exec.CommandContext(ff.ctx, ff.Program, "serve", "--setup", ff.path(p.name+".yaml"))
 	command.Stderr = p.logFile
@@ -86,7 +86,7 @@
 	return nil
 }
 
-// recordFault counts an injected fault and notes it in the history. fault completes "PROCESS is".
+// recordFault counts an injected fault and adds it to the history as the text "PROCESS is FAULT".
 func (ff *faultFleet) recordFault(p *fleetProcess, fault string) {
 	ff.mu.Lock()
 	defer ff.mu.Unlock()
@@ -122,8 +122,8 @@
 	return transport.SendControlRequest(ctx, p.controlAddress, ff.keys, request)
 }
 
-// status returns the state of the fleet as a controller knows it, or an empty status if the controller does
-// not answer.
+// status returns the state of the fleet that a controller reports. It returns an empty status if the
+// controller doesn't answer.
 func (ff *faultFleet) status(p *fleetProcess) *fleet.Status {
 	response, err := ff.sendRequest(p, &fleet.Request{Kind: "status", WaitMs: 500})
 	if err != nil || response.Status == nil {
@@ -132,8 +132,8 @@
 	return response.Status
 }
 
-// waitFor polls until a condition holds. After a timeout it returns an error with the condition in words and
-// the diagnostics of the fleet.
+// waitFor polls until holds returns true. After a timeout it returns an error with the description of the
+// condition and the diagnostics of the fleet.
 func (ff *faultFleet) waitFor(timeout time.Duration, condition string, holds func() bool) error {
 	for end := time.Now().Add(timeout); ; time.Sleep(20 * time.Millisecond) {
 		if holds() {
@@ -145,7 +145,8 @@
 	}
 }
 
-// diagnostics returns the status of every controller and the end of its log, without the lines of queries.
+// diagnostics returns the status of each controller and the last lines of the controller's log, without the
+// lines about queries.
 func (ff *faultFleet) diagnostics() string {
 	var b strings.Builder
 	for _, p := range ff.members {
@@ -166,7 +167,7 @@
 	return b.String()
 }
 
-// awaitAllServing waits until every controller serves, for up to timeout for each of them.
+// awaitAllServing waits until every controller serves. It waits up to timeout for each controller in turn.
 func (ff *faultFleet) awaitAllServing(timeout time.Duration) error {
 	for _, p := range ff.members {
 		if err := ff.waitFor(timeout, p.name+" serves",
@@ -177,8 +178,8 @@
 	return nil
 }
 
-// leader returns the running leader that the first answering controller names. If none is named within 100
-// attempts, it returns the first member.
+// leader asks the running controllers for the leader and returns the first named leader that runs. If no
+// controller names a running leader in 100 attempts, it returns the first member.
 func (ff *faultFleet) leader() *fleetProcess {
 	for range 100 {
 		for _, p := range ff.members {
--- a/internal/bench/together_test.go
+++ b/internal/bench/together_test.go
@@ -20,7 +20,7 @@
 }
 
 // TestFaultFleetKeepsInvariants injects some faults into a fleet of five processes while changes and purges
-// are in progress. `make measure IN=together` injects all faults into a fleet of nine.
+// are in progress. The command `make measure IN=together` injects all faults into a fleet of nine processes.
 func TestFaultFleetKeepsInvariants(t *testing.T) {
 	ff, err := FaultFleetConfig{Program: buildPrograms(t), Voters: 3, Followers: 2, Seed: 1,
 		Lease: time.Second}.start(t.Context())
--- a/internal/bench/try.go
+++ b/internal/bench/try.go
@@ -25,11 +25,11 @@
 )
 
 // Trial runs a controller process for a short time, with emulated engines, an emulated feed, and clients of
-// several teams. All of them communicate over sockets of this machine.
+// several teams. The controller, engines, feed and clients communicate over sockets of this machine.
 type Trial struct {
 	Program       string // path of the railrelay executable
 	Engines       int
-	Duration      time.Duration // for which queries are submitted
+	Duration      time.Duration // how long the clients submit queries
 	Seed          uint64
 	ControllerLog io.Writer // receives the controller's log
 }
@@ -37,7 +37,7 @@
 // trialTeams lists the teams of a trial. The last team submits far more queries than its share allows.
 var trialTeams = []struct {
 	kind, name             string
-	share, demand          float64 // fractions of the engines' cores: by weight, and requested
+	share, demand          float64 // fractions of the engines' cores: due by weight, and requested
 	kindWeight, teamWeight int
 }{
 	{"municipalities", "linz", 0.30, 0.28, 5, 3}, {"municipalities", "steyr", 0.20, 0.15, 5, 2},
@@ -49,20 +49,20 @@
 type TrialTeamResult struct {
 	Team                                  string
 	Submitted, Finished, Deferred, Killed int
-	WorkShare, WeightShare                float64       // fractions: of the finished work, and by weight
-	MeanEstimate, MeanWait                time.Duration // time to the start: first estimate, and actual
-	AccurateEstimates                     float64       // fraction of the first estimates
+	WorkShare, WeightShare                float64       // fractions of finished work: actual, and due by weight
+	MeanEstimate, MeanWait                time.Duration // times to the start: estimated first, and measured
+	AccurateEstimates                     float64       // fraction that isEstimateAccurate accepts
 }
 
-// trialEngineConfig returns the configuration of the emulated engines. An emulated engine only computes
-// the progress of its queries, so that six engines use a small part of one core.
+// trialEngineConfig returns the configuration of the emulated engines. An emulated engine computes the
+// progress of its queries instead of running them, so that six engines use a small part of one core.
 func trialEngineConfig() engine.Config {
 	config := engine.DefaultConfig()
 	config.Cores, config.DiskParallelism, config.MemoryMB = 8, 16, 16384
 	return config
 }
 
-// setupText returns the set-up file of a controller for the feed and the listening address.
+// setupText returns the set-up file of a controller that uses the feed and listens on the given address.
 func (t *Trial) setupText(feedAddress, listen string) string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "name: try\nlisten: %s\nfeed: %s\nseed: %x\nlog: warn\n"+
@@ -99,12 +99,12 @@
 	id                    string
 	work                  engine.Work
 	sentAt                time.Time
-	firstEstimate         time.Duration // of the time to the start; negative without an estimate
+	firstEstimate         time.Duration // first estimate of the time to the start; negative if there was none
 	startedAt, answeredAt time.Time     // startedAt is zero if no engine accepted the query
 	outcome               client.Kind
 }
 
-// trialRecorder collects the queries of a trial. The clients and the engines update it.
+// trialRecorder collects the queries of a trial. The clients and the engines update the queries.
 type trialRecorder struct {
 	mu        sync.Mutex
 	queryByID map[string]*trialQuery
@@ -139,9 +139,10 @@
 	return t.teamResults(recorder), nil
 }
 
-// withController starts engines, a feed and a controller, calls run with the controller's address, and stops
-// all of them. setup returns the controller's set-up file for the feed's and the controller's address.
-// onSubmit, if not nil, is called with the id of each query that an engine accepts.
+// withController starts engines, a feed and a controller, calls run with the controller's address, and then
+// stops the engines, the feed and the controller. setup returns the controller's set-up file for the
+// addresses of the feed and the controller. If onSubmit isn't nil, each engine calls it with the ID of each
+// query that the engine accepts.
 func (t *Trial) withController(ctx context.Context, setup func(feedAddress, listen string) string,
 	onSubmit func(id string), run func(ctx context.Context, address string) error) (err error) {
 	s, err := newControllerTestbed(ctx, t.Program, t.Engines, trialEngineConfig(), t.ControllerLog,
@@ -222,8 +223,7 @@
 	}
 }
 
-// startController writes the set-up file, starts the controller with it and waits until the controller is
-// ready.
+// startController writes the set-up file, starts the controller and waits until the controller is ready.
 func (s *controllerTestbed) startController(setup string) error {
 	path := filepath.Join(s.dir, "stage.yaml")
 	if err := os.WriteFile(path, []byte(setup), 0o600); err != nil {
@@ -288,8 +288,8 @@
 	return errors.New("controller was not ready within 20 s")
 }
 
-// runClient submits one team's queries at the team's rate, independent of the answers, and reads the answers
-// until all queries are answered.
+// runClient submits one team's queries at the team's rate, without waiting for answers. Concurrently it reads
+// the answers until all queries are answered.
 func (t *Trial) runClient(ctx context.Context, address string, team int, recorder *trialRecorder) error {
 	c, err := net.Dial("tcp", address)
 	if err != nil {
