--- a/internal/bench/relays_fleet_test.go
+++ b/internal/bench/relays_fleet_test.go
@@ -94,7 +94,7 @@
 		stopClients:      make(chan struct{}),
 		sentQueries:      map[string]*fleetSentQuery{},
 		markerVersions:   map[int]markerVersion{0: {"the set-up's", 1}},
-		nextMarker:       1,
+		lastMarker:       1,
 		latestVersion:    1,
 		faultCounts:      map[string]int{},
 		knownOutcomes:    map[string]string{},
--- a/internal/bench/together.go
+++ b/internal/bench/together.go
@@ -58,7 +58,7 @@
 	serial           int                        // number of the latest query or purge
 	storedResults    []fleetStoredResult
 	markerVersions   map[int]markerVersion  // by number of the marker site
-	nextMarker       int                    // next marker, counted without wrapping at markerSites
+	lastMarker       int                    // last marker that newChange tried, not reduced modulo markerSites
 	latestVersion    uint64                 // latest policy version that a controller reported as in force
 	observedVersions [][]versionObservation // versions that engines observed, by controller and in order of time
 	faultCounts      map[string]int         // by description of the fault
@@ -90,7 +90,7 @@
 		stopClients:      make(chan struct{}),
 		sentQueries:      map[string]*fleetSentQuery{},
 		markerVersions:   map[int]markerVersion{0: {"initial setup", 1}},
-		nextMarker:       1,
+		lastMarker:       1,
 		latestVersion:    1,
 		faultCounts:      map[string]int{},
 		knownOutcomes:    map[string]string{},
--- a/internal/bench/together_operators.go
+++ b/internal/bench/together_operators.go
@@ -14,15 +14,15 @@
 	ff.mu.Lock()
 	defer ff.mu.Unlock()
 	for {
-		ff.nextMarker++
-		previous, isUsed := ff.markerVersions[ff.nextMarker%markerSites]
+		ff.lastMarker++
+		previous, isUsed := ff.markerVersions[ff.lastMarker%markerSites]
 		if outcome := ff.knownOutcomes[previous.change]; !isUsed ||
 			previous.version+2 <= ff.latestVersion && outcome != "" ||
 			outcome == "withdrawn" || outcome == "refused" {
 			break
 		}
 	}
-	marker := ff.nextMarker % markerSites
+	marker := ff.lastMarker % markerSites
 	change := &fleet.Request{Kind: "apply", ID: fmt.Sprintf("change-%d", len(ff.changeRequests)),
 		RequestedBy: "bench", BaseVersion: base, Policy: []byte(placementYAML(marker)),
 		AbortAfterMs: abortAfter.Milliseconds(), WaitMs: 3000}
