--- a/internal/bench/scale.go
+++ b/internal/bench/scale.go
@@ -38,7 +38,7 @@
 	PolicyBytes  int           // size of the policies of all other changes
 	LargeBytes   int
 	Faults       []string // keys of scaleFaults, in the order in which they are injected
-	Compare      int      // controllers in each fleet that compares hollow with real ones; 0: no comparison
+	Compare      int      // controllers in each fleet of compareHollowWithReal; 0: no comparison
 	LinkDelays   bool     // add the latencies between regions and zones
 	SetAside     bool     // voters too, not only relays, have the role control and machines set aside for it
 	Detail       bool     // has no effect
--- a/internal/bench/scale_changes.go
+++ b/internal/bench/scale_changes.go
@@ -66,7 +66,7 @@
 	return request
 }
 
-// changePolicy requests a policy of a size and waits until it is in force.
+// changePolicy requests a new policy of at least size bytes and waits until the policy is in force.
 func (f *scaleFleet) changePolicy(size int) (scaleChange, error) {
 	text := policyText(f.changeCount, size)
 	request := f.newChangeRequest(text)
--- a/internal/bench/scale_compare.go
+++ b/internal/bench/scale_compare.go
@@ -16,10 +16,10 @@
 
 // compareHollowWithReal runs two fleets of s.Compare controllers at the same time, without policy changes
 // and faults. One fleet has only real controllers. In the other fleet half of the controllers are hollow:
-// package hollow simulates them in one process. compareHollowWithReal divides each figure of the half
-// hollow fleet by the same figure of the real fleet, and returns the ratio that is furthest from 1. The
-// figures are the leader's CPU time and the bytes and messages that the leader sends and receives, and
-// the mean bytes and messages of the controllers without a role.
+// package hollow simulates them in a few processes. compareHollowWithReal divides each figure of the second
+// fleet by the same figure of the first fleet, and returns the ratio that is furthest from 1. The compared
+// figures are the leader's CPU time, the bytes and messages that the leader sends and receives, and the
+// mean bytes and messages that the controllers without a role send and receive.
 func (s Scale) compareHollowWithReal(ctx context.Context, out io.Writer) (worst float64, err error) {
 	half := s
 	half.Controllers, half.Real, half.Relays, half.SetAside = s.Compare, (s.Compare+1)/2, 0, false
--- a/internal/bench/scale_faults.go
+++ b/internal/bench/scale_faults.go
@@ -108,8 +108,8 @@
 	return err
 }
 
-// realWithoutRole returns the real controllers that are neither voters nor relays. If there are none, it
-// returns all real controllers except the leader.
+// realWithoutRole returns the real controllers that are neither voters nor relays. If all real controllers
+// are voters or relays, it returns all of them except the leader.
 func (f *scaleFleet) realWithoutRole(leader *scaleMember) (members []*scaleMember) {
 	for _, m := range f.real {
 		if !m.isVoter && !m.isRelay {
--- a/internal/bench/scale_fleet.go
+++ b/internal/bench/scale_fleet.go
@@ -71,7 +71,7 @@
 	samplers        sync.WaitGroup
 
 	mu             sync.Mutex
-	version        uint64 // of the policy in force
+	version        uint64 // version of the policy in force
 	policy         []byte // text of the policy in force
 	changeCount    int
 	countRound     int // number of the last command hollow.Report
@@ -99,7 +99,8 @@
 }
 
 // hostAddress returns the loopback IP address of host i in an address block. Each fleet of this process
-// has its own blocks. The address depends on the process ID, so that concurrent runs rarely use the same.
+// has its own blocks. The address depends on the process ID, so that concurrent runs rarely use the same
+// addresses.
 func (f *scaleFleet) hostAddress(block, i int) string {
 	const blocks = 3
 	return fmt.Sprintf("127.%d.%d.%d", 100+(int64(os.Getpid())*7+f.number*blocks+int64(block))%150,
@@ -113,7 +114,7 @@
 	realBlock
 )
 
-// startEngines starts all engines in this process, and the feed that lists them.
+// startEngines starts all engines in this process, and the feed that lists the engines.
 func (f *scaleFleet) startEngines() error {
 	var list []feed.Engine
 	for i := range f.Engines {
@@ -155,7 +156,7 @@
 }
 
 // planMembers chooses the role, place and addresses of all controllers, and writes the configuration files
-// of the real ones.
+// of the real controllers.
 func (f *scaleFleet) planMembers() error {
 	var names []string
 	for i := range f.Controllers {
--- a/internal/bench/scale_growth.go
+++ b/internal/bench/scale_growth.go
@@ -19,7 +19,7 @@
 	Changes int // number of policy changes
 	Steps   int // number of log sizes at which a voter is measured, besides the empty log
 	Lease   time.Duration
-	Seed    uint64 // only recorded with the results
+	Seed    uint64 // recorded with the results; has no other effect
 	Record  func([]ScaleRow) error
 }
 
--- a/internal/bench/scale_judge.go
+++ b/internal/bench/scale_judge.go
@@ -47,7 +47,7 @@
 	at                   time.Time
 }
 
-// scaleViolations counts the violations by kind and describes the first of them.
+// scaleViolations counts the violations by kind and describes the first violations.
 type scaleViolations struct {
 	Mixed        int // a controller served under a version after a later version was first served
 	Half         int // a withdrawn policy was served, or a serving controller didn't serve the policy in force
--- a/internal/bench/scale_limits.go
+++ b/internal/bench/scale_limits.go
@@ -24,7 +24,7 @@
 	return fmt.Sprintf("%s: %d %s", e.Setting, e.Value, e.Problem)
 }
 
-// Remedy returns what an operator can do.
+// Remedy tells an operator where the valid values are listed.
 func (e *ScaleSizeError) Remedy() string {
 	return "use another number; railrelay-bench scale --help has the possible ones"
 }
@@ -42,7 +42,7 @@
 		e.Resource, e.Needed, e.Unit, e.Available)
 }
 
-// Remedy returns what an operator can do.
+// Remedy tells an operator how to make the run possible.
 func (e *ScaleResourceError) Remedy() string {
 	return e.Advice + ", or use fewer controllers or engines"
 }
--- a/internal/bench/scale_report.go
+++ b/internal/bench/scale_report.go
@@ -62,7 +62,7 @@
 		v.Mixed, v.Half, v.FalseWord, v.ServedAfter)
 }
 
-// violationError returns an error that describes the first violations, or nil if there are none.
+// violationError returns an error that describes the first violations. Without violations it returns nil.
 func (r *scaleResult) violationError() error {
 	if v := r.Violations; v.Mixed+v.Half+v.FalseWord+v.ServedAfter > 0 {
 		return fmt.Errorf("the run violated invariants: %s",
--- a/internal/bench/scale_usage.go
+++ b/internal/bench/scale_usage.go
@@ -84,7 +84,7 @@
 	Leader      scaleRate // over the intervals with the same leader at both ends
 	LeaderName  string    // leader at the end
 	Voter       scaleRate // mean of the real voters except the leader
-	Relay       scaleRate // maximum of each figure
+	Relay       scaleRate // maximum of each figure over the relays
 	Mean        scaleRate // mean of the controllers without a role; CPU and MemoryMB only of real controllers
 	Worst       scaleRate // maximum of each figure over controllers not set aside; CPU and MemoryMB of real ones
 }
@@ -196,7 +196,7 @@
 		CPU:         toMilliseconds(b.CPU-a.CPU) / seconds, MemoryMB: b.ResidentMB}
 }
 
-// fields returns pointers to all figures, for operations on each of them.
+// fields returns pointers to all figures, so that a caller can loop over the figures.
 func (r *scaleRate) fields() []*float64 {
 	return []*float64{&r.BytesOut, &r.BytesIn, &r.FramesOut, &r.FramesIn,
 		&r.MessagesOut, &r.MessagesIn, &r.CPU, &r.MemoryMB}
--- a/internal/bench/schedule_actors.go
+++ b/internal/bench/schedule_actors.go
@@ -29,7 +29,7 @@
 	pausedUntil          time.Duration // the controller's events are delayed until this time
 	down                 bool
 	forgotten            bool // an operator asked the fleet to forget the controller
-	reportedForgottenAct bool // an act after it was forgotten is in the violations
+	reportedForgottenAct bool // the violations have an act of the forgotten controller
 
 	// The fields below are the state of the reducer's model.
 	servingState    *fleet.ServingState
@@ -94,8 +94,8 @@
 }
 
 // upstreamsOf returns whether a controller is a relay. For a follower in a fleet with relays, it also
-// returns the one or two relays through which the follower renews its lease. Voters and relays renew their
-// leases with the leader.
+// returns the one or two relays through which the follower renews its lease. It returns no relays
+// for voters and relays.
 func (run *scheduleRun) upstreamsOf(
 	controller *simulatedController,
 ) (isRelay bool, upstreams []node.Upstream) {
--- a/internal/bench/schedule_operators.go
+++ b/internal/bench/schedule_operators.go
@@ -30,9 +30,9 @@
 }
 
 // issueOperations sends a random request of an operator, and schedules its own next call until the period
-// with faults is over. The text of a change's policy is "policy of ID". The text " voters NAME,NAME,..." may
-// follow, which names the new voters, and the text " unfit for NAME", which names a controller that rejects
-// the policy.
+// with faults is over. The text of a change's policy is "policy of ID". In some policies
+// " voters NAME,NAME,..." follows, which names the new voters. In some policies " unfit for NAME" follows at
+// the end, which names a controller that rejects the policy.
 func (run *scheduleRun) issueOperations() {
 	if run.settling {
 		return
@@ -124,7 +124,7 @@
 var scheduleTeams = []string{"linz", "steyr"}
 
 // sendRequest sends an operation's request to a random running controller. It tries up to 8 random
-// controllers, and sends nothing if none of them runs.
+// controllers, and sends nothing if all of these are down or forgotten.
 func (run *scheduleRun) sendRequest(operation *scheduleOperation, final bool) {
 	for range 8 {
 		controller := run.fleet[run.rng.IntN(len(run.fleet))]
--- a/internal/bench/schedules.go
+++ b/internal/bench/schedules.go
@@ -15,9 +15,10 @@
 	"railrelay.dev/railrelay/internal/historycheck"
 )
 
-// Schedule configures the simulation of a fleet in virtual time, with the real cores of the controllers.
-// The seed determines the operators' requests and all faults. A fault loses, delays or duplicates messages,
-// cuts links, slows down a disk, or pauses, kills and restarts controllers.
+// Schedule configures the simulation of a fleet in virtual time. Package node is the core of each simulated
+// controller, as it is in a real controller. The seed determines the operators' requests and all faults. A
+// fault loses, delays or duplicates messages, cuts links, slows down a disk, or pauses, kills and restarts
+// controllers.
 type Schedule struct {
 	Seed            uint64
 	Controllers     int // number of voters, relays and followers, which are created in this order
--- a/internal/bench/spool_client.go
+++ b/internal/bench/spool_client.go
@@ -109,7 +109,7 @@
 		world.ExpectedRows(&world.Query{ID: result.id, Work: engine.Work{Rows: result.rows}}))
 }
 
-// releaseRecorder records when queries finish at the engines and when the controller releases them there.
+// releaseRecorder records when queries finish at the engines, and when the controller releases the queries.
 type releaseRecorder struct {
 	mu         sync.Mutex
 	finishedAt map[string]time.Time
--- a/internal/bench/storm.go
+++ b/internal/bench/storm.go
@@ -22,7 +22,7 @@
 	"railrelay.dev/railrelay/internal/historycheck"
 )
 
-// faultRound injects one fault while changes are in progress, and heals it after a duration.
+// faultRound injects one fault while changes are in progress, and ends the fault after a duration.
 type faultRound struct {
 	name      string
 	inject    func(ff *faultFleet)
@@ -39,7 +39,7 @@
 func shortFault(*faultFleet) time.Duration { return 500 * time.Millisecond }
 
 // linkFaultRound returns a round with a fault on the links from one process to another. pick returns the
-// names of the two processes, of which an empty name selects every process.
+// names of the two processes. An empty name selects every process.
 func linkFaultRound(name string, fault faultproxy.Fault, pick func(ff *faultFleet) (from, to string),
 	withPurge bool, duration func(*faultFleet) time.Duration) faultRound {
 	return faultRound{name, func(ff *faultFleet) {
--- a/internal/bench/try.go
+++ b/internal/bench/try.go
@@ -265,7 +265,7 @@
 	}
 }
 
-// waitUntilControllerReady polls the controller at an address until it reports that it is ready.
+// waitUntilControllerReady polls the controller at an address until the controller reports that it is ready.
 func waitUntilControllerReady(ctx context.Context, address string) error {
 	for deadline := time.Now().Add(20 * time.Second); time.Now().Before(deadline); {
 		c, err := net.Dial("tcp", address)
