--- a/cmd/railrelay-bench/main.go
+++ b/cmd/railrelay-bench/main.go
@@ -21,7 +21,8 @@
 func main() {
 	// an interrupted run ends the processes that it started
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
-	root := &cobra.Command{Use: "railrelay-bench", Short: "railrelay's laboratory", SilenceUsage: true}
+	root := &cobra.Command{Use: "railrelay-bench", Short: "run railrelay against emulated engines and clients",
+		SilenceUsage: true}
 	root.AddCommand(fleetsCommand(), manyCommand(), plantedCommand(), measureCommand(), tryCommand(),
 		speedCommand(), largeCommand(), scaleCommand(), hollowCommand(), datapathCommand(), pageCommand())
 	err := root.ExecuteContext(ctx)
--- a/internal/bench/scale_changes.go
+++ b/internal/bench/scale_changes.go
@@ -59,7 +59,7 @@
 	defer f.mu.Unlock()
 	f.changeCount++
 	request := &fleet.Request{Kind: "apply", ID: fmt.Sprintf("change-%d-%d", f.Seed, f.changeCount),
-		RequestedBy: "the laboratory", BaseVersion: f.version, Policy: text,
+		RequestedBy: "bench", BaseVersion: f.version, Policy: text,
 		WaitMs: scaleChangeWait.Milliseconds()}
 	f.changeRequests = append(f.changeRequests, request)
 	f.checker.addChange(request.ID, xxhash.Sum64(text))
