--- a/internal/capacity/room.go
+++ b/internal/capacity/room.go
@@ -22,10 +22,10 @@
 	if err := syscall.Sysinfo(&info); err != nil {
 		return err
 	}
-	has := float64(info.Totalram) * float64(info.Unit) * fraction / (1 << 20)
-	if needMB <= has {
+	availableMB := float64(info.Totalram) * float64(info.Unit) * fraction / (1 << 20)
+	if needMB <= availableMB {
 		return nil
 	}
-	return &RoomError{What: "memory", Need: needMB, Has: has, Unit: "MB",
+	return &RoomError{What: "memory", Need: needMB, Has: availableMB, Unit: "MB",
 		Raise: "run it on a machine with more memory"}
 }
--- a/internal/scheduler/learning.go
+++ b/internal/scheduler/learning.go
@@ -16,7 +16,7 @@
 	minEngineSlowdown          = 0.3 // lower bound for an answer's slowdown over its group's best slowdown
 	slowdownSampleWeight       = 0.1 // weight of an answer in its engine's slowdown
 	slowdownRecoveryRate       = 0.01
-	utilizationSamples         = 20 // reports, for the mean utilization
+	utilizationSamples         = 20 // load reports, for the mean utilization of the engines
 	reportedQueriesSamples     = 60 // load reports, for the mean number of queries on an engine
 	unreportedUtilizationDecay = 0.93
 )
