--- a/cmd/railrelay-fleet/command.go
+++ b/cmd/railrelay-fleet/command.go
@@ -105,7 +105,7 @@
 }
 
 func (d *controlClient) purgeCommand() *cobra.Command {
-	var id, team, before, until string
+	var id, tenant, before, until string
 	var tables []int64
 	c := &cobra.Command{Use: "purge --team T", Short: "Have what is kept of a team go, on every controller",
 		Args: cobra.NoArgs,
@@ -113,13 +113,13 @@
 			"that are down. The purge is done when the data is erased from every memory and disk. With\n" +
 			"--until unreachable the command ends once no controller serves any of the data.",
 		RunE: func(c *cobra.Command, _ []string) error {
-			if team == "" {
+			if tenant == "" {
 				return errors.New("--team is missing")
 			}
 			if err := checkUntil(until, "", "unreachable", "erased"); err != nil {
 				return err
 			}
-			a := &fleet.Request{Kind: "purge", ID: id, Scope: &fleet.Scope{Tenant: team, Tables: tables},
+			a := &fleet.Request{Kind: "purge", ID: id, Scope: &fleet.Scope{Tenant: tenant, Tables: tables},
 				AwaitedStage: until, WaitMs: d.timeout.Milliseconds()}
 			if until == "erased" {
 				a.AwaitedStage = ""
@@ -134,7 +134,7 @@
 			return d.sendAndPrint(c, a)
 		}}
 	c.Flags().StringVar(&id, "id", "", "id of the purge, for repeating the command (random)")
-	c.Flags().StringVar(&team, "team", "", "whose")
+	c.Flags().StringVar(&tenant, "team", "", "whose")
 	c.Flags().Int64SliceVar(&tables, "tables", nil, "purge only data of these table groups (all)")
 	c.Flags().StringVar(&before, "before", "",
 		"purge only data kept before a time, as 2026-11-30T18:00:00Z, or for longer than a duration, as 2h (no limit)")
--- a/cmd/railrelay-fleet/join.go
+++ b/cmd/railrelay-fleet/join.go
@@ -82,7 +82,7 @@
 }
 
 // checkControlPolicy parses a policy for a control process and determines the purges that it
-// requires. A control process knows no teams, groups or engines. It checks everything else, and
+// requires. A control process knows no tenants, groups or engines. It checks everything else, and
 // each controller checks those names.
 func checkControlPolicy(own *setup.Setup, change string, text []byte,
 	inForce driver.PolicyContext) driver.PolicyVerdict {
--- a/cmd/railrelay-fleet/purge_test.go
+++ b/cmd/railrelay-fleet/purge_test.go
@@ -17,7 +17,7 @@
 	"railrelay.dev/railrelay/internal/fleet"
 )
 
-// customer is a client connection of a team.
+// customer is a client connection of a tenant.
 type customer struct {
 	t           *testing.T
 	conn        net.Conn
@@ -90,7 +90,7 @@
 	})
 }
 
-// A customer purges its team's data while a controller that keeps some of it is down. The answer
+// A customer purges its tenant's data while a controller that keeps some of it is down. The answer
 // names that controller as outstanding. After its restart the controller serves none of the data,
 // and another controller reports the purge as done once no file contains the data.
 func TestCustomerPurge(t *testing.T) {
--- a/internal/controller/invalidation_test.go
+++ b/internal/controller/invalidation_test.go
@@ -44,12 +44,12 @@
 	})
 }
 
-// sendAs sends a query of a team over a table group.
-func (s *spoolWorld) sendAs(c *world.Client, team string, tables int64, more ...string) *world.Query {
+// sendAs sends a query of a tenant over a table group.
+func (s *spoolWorld) sendAs(c *world.Client, tenant string, tables int64, more ...string) *world.Query {
 	s.serial++
 	return c.Submit(fmt.Sprintf("%016x", s.serial), "report", "", 12*time.Second,
 		engine.Work{Threads: 1, CPU: 200 * time.Millisecond, MemoryMB: 10, Rows: 3000, TableGroup: tables},
-		append(more, "team", team)...)
+		append(more, "team", tenant)...)
 }
 
 // purge calls for an invalidation. The returned answer is filled in when it arrives.
@@ -260,9 +260,9 @@
 	s := newRetainingWorld(t, nil)
 	c := s.client()
 	runs := func() int { return len(s.finished) }
-	sendEqual := func(n int, team string, tables int64) (queries []*world.Query) {
+	sendEqual := func(n int, tenant string, tables int64) (queries []*world.Query) {
 		for range n {
-			queries = append(queries, s.sendAs(c, team, tables))
+			queries = append(queries, s.sendAs(c, tenant, tables))
 		}
 		s.RunUntil(s.Now + 2*time.Second)
 		for _, a := range queries {
--- a/internal/controller/result_paging_test.go
+++ b/internal/controller/result_paging_test.go
@@ -488,8 +488,8 @@
 	a := s.ask(c, 3000, "team", "gauges-1")
 	s.RunUntil(3 * time.Second)
 	got := map[string]client.Kind{}
-	for _, team := range []string{"gauges-1", "gauges-2", ""} {
-		c.Page(a.Paging["token"], 1, func(ans client.Answer) { got[team] = ans.Kind }, "team", team)
+	for _, tenant := range []string{"gauges-1", "gauges-2", ""} {
+		c.Page(a.Paging["token"], 1, func(ans client.Answer) { got[tenant] = ans.Kind }, "team", tenant)
 	}
 	s.RunUntil(s.Now + time.Second)
 	if got["gauges-1"] != client.Finished || got["gauges-2"] != client.Killed || got[""] != client.Killed {
--- a/internal/controller/serving_lease_test.go
+++ b/internal/controller/serving_lease_test.go
@@ -297,9 +297,9 @@
 	rapid.Check(t, func(t *rapid.T) {
 		choices := rapid.SliceOfN(rapid.Uint16(), 60, 150).Draw(t, "choices")
 		orders := rapid.SliceOfN(rapid.IntRange(0, 7), 8, 8).Draw(t, "orders")
-		teams := rapid.Bool().Draw(t, "teams")
+		tenants := rapid.Bool().Draw(t, "teams")
 		s := newFleetHarness(t, 3, nil, func(m *Config) {
-			if teams {
+			if tenants {
 				m.Tenants = &fairqueue.Config{Tenants: []fairqueue.Tenant{{Name: "a", Weight: 1}}}
 			}
 		})
--- a/internal/emulator/client/caller.go
+++ b/internal/emulator/client/caller.go
@@ -34,7 +34,7 @@
 	return dst
 }
 
-// AppendPurgeRequest appends a request to purge the stored results of the client's team. With
+// AppendPurgeRequest appends a request to purge the stored results of the client's tenant. With
 // an id field, it asks for the progress of that purge instead. Fields are pairs of names and
 // values.
 func AppendPurgeRequest(dst []byte, msg uint32, fields ...string) []byte {
--- a/internal/emulator/world/world.go
+++ b/internal/emulator/world/world.go
@@ -450,7 +450,7 @@
 	c.world.deliverToController(c.connection, request)
 }
 
-// Purge requests a purge of the team's stored results and calls then with the response.
+// Purge requests a purge of the tenant's stored results and calls then with the response.
 func (c *Client) Purge(then func(ans client.Answer), fields ...string) {
 	c.lastMsg++
 	c.pending[c.lastMsg] = then
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -1,7 +1,7 @@
 // Package fleet has the types that the controllers of a fleet share: the entries of the
 // replicated log, and the orders and reports that a controller's fleet side and request side
 // exchange. It does no I/O, reads no clock and starts no goroutine. Times are durations since
-// the start of the program; wall times are in milliseconds since 1970.
+// the start of the program; fields that end in Ms and name a moment are Unix times in milliseconds.
 package fleet
 
 import (
@@ -38,7 +38,7 @@
 type Entry struct {
 	Kind string `cbor:"1,keyasint"`
 	ID   string `cbor:"2,keyasint,omitempty"`
-	// RequestedBy is an operator, a team, or the fleet itself.
+	// RequestedBy is an operator, a tenant, or the fleet itself.
 	RequestedBy string `cbor:"3,keyasint,omitempty"`
 	// Name is the name of a controller (EntryJoin, EntryForget) or of a rule
 	// (EntryBeginEmergency, EntryEndEmergency).
@@ -62,7 +62,7 @@
 	SourceTables []int64 `cbor:"13,keyasint,omitempty"`
 	// Counts (EntryErased) has the number of items that were erased.
 	Counts *InvalidationCounts `cbor:"14,keyasint,omitempty"`
-	// RequestedAtMs is the wall time of the request, by the requester's clock.
+	// RequestedAtMs is the Unix time of the request in milliseconds, by the requester's clock.
 	RequestedAtMs int64 `cbor:"15,keyasint,omitempty"`
 	// Voters (EntryFence) are the voters once the change is in force, as name=address;
 	// none: the voters don't change.
@@ -72,12 +72,12 @@
 	Scopes []Scope `cbor:"17,keyasint,omitempty"`
 }
 
-// Scope selects the data of a team that an invalidation covers.
+// Scope selects the data of a tenant that an invalidation covers.
 type Scope struct {
 	Tenant string `cbor:"1,keyasint" json:"team"`
-	// Tables are table groups, none: all of the team's.
+	// Tables are table groups, none: all of the tenant's.
 	Tables []int64 `cbor:"2,keyasint,omitempty" json:"tables,omitempty"`
-	// RetainedBeforeMs is a wall time: only data retained before it is covered, 0: all data.
+	// RetainedBeforeMs is a Unix time in milliseconds: only data retained before it is covered, 0: all data.
 	RetainedBeforeMs int64 `cbor:"3,keyasint,omitempty" json:"before,omitempty"`
 	// OutsideSites restricts the invalidation to controllers in none of these sites; none: all
 	// controllers.
@@ -218,7 +218,7 @@
 	Members     []Member          // members that aren't forgotten, in the order of their names
 }
 
-// Binding says that Tables of a team follow the boundary of SourceTables.
+// Binding says that Tables of a tenant follow the boundary of SourceTables.
 type Binding struct {
 	Tenant       string  `cbor:"1,keyasint" json:"team"`
 	Tables       []int64 `cbor:"2,keyasint" json:"tables"`
@@ -272,7 +272,7 @@
 	Name  string `json:"name,omitempty"`
 	Scope *Scope `json:"scope,omitempty"`
 	// Tenant (bind) owns the tables. In a customer's purge or status it restricts the answer to
-	// the team's own purges.
+	// the tenant's own purges.
 	Tenant string `json:"team,omitempty"`
 	// Tables (bind) follow the boundary of SourceTables.
 	Tables       []int64 `json:"tables,omitempty"`
--- a/internal/fleet/scope.go
+++ b/internal/fleet/scope.go
@@ -2,13 +2,12 @@
 
 import "slices"
 
-// Matches reports whether the scope covers data of a team and its table groups that was
-// retained at a wall time, in milliseconds since 1970. Data whose team ("") or tables (none)
-// are unknown is covered too.
-func (s *Scope) Matches(team string, tables []int64, wall int64) bool {
-	return (s.Tenant == team || team == "") &&
+// Matches reports whether the scope covers data of a tenant and of table groups that was retained at
+// retainedUnixMillis. Data whose tenant ("") or tables (none) are unknown is covered too.
+func (s *Scope) Matches(tenant string, tables []int64, retainedUnixMillis int64) bool {
+	return (s.Tenant == tenant || tenant == "") &&
 		(len(s.Tables) == 0 || len(tables) == 0 || TablesOverlap(tables, s.Tables)) &&
-		(s.RetainedBeforeMs == 0 || wall < s.RetainedBeforeMs)
+		(s.RetainedBeforeMs == 0 || retainedUnixMillis < s.RetainedBeforeMs)
 }
 
 // TablesOverlap reports whether two lists of table groups have a group in common.
--- a/internal/fleet/statemachine/apply.go
+++ b/internal/fleet/statemachine/apply.go
@@ -181,7 +181,7 @@
 	}
 }
 
-// mergeBindings merges the bindings of a team that have the same source tables, so that the
+// mergeBindings merges the bindings of a tenant that have the same source tables, so that the
 // state doesn't grow with the number of loads.
 func (s *State) mergeBindings() {
 	var merged []fleet.Binding
--- a/internal/fleet/statemachine/outcome.go
+++ b/internal/fleet/statemachine/outcome.go
@@ -51,7 +51,8 @@
 	if purge == nil {
 		return
 	}
-	if a.Tenant != "" && purge.Scope.Tenant != a.Tenant { // other teams must not learn whether the purge exists
+	// Other tenants must not learn whether the purge exists.
+	if a.Tenant != "" && purge.Scope.Tenant != a.Tenant {
 		r.Outcome, r.Reason = Refused, "no purge of this team has this id"
 		return
 	}
--- a/internal/fleet/statemachine/state.go
+++ b/internal/fleet/statemachine/state.go
@@ -49,7 +49,7 @@
 	return c.Phase == InForce || c.Phase == Aborted || c.Phase == Refused
 }
 
-// Purge is one purge of a team's data.
+// Purge is one purge of a tenant's data.
 type Purge struct {
 	ID          string                   `cbor:"ID"`
 	RequestedBy string                   `cbor:"By"`
--- a/internal/fleet/transport/keys.go
+++ b/internal/fleet/transport/keys.go
@@ -23,7 +23,7 @@
 
 // ReadKeys reads a key file: one key per line in hex or base64; # begins a comment. A line that is
 // valid hex is decoded as hex. ReadKeys returns a KeyFileError for a file that users other than
-// its owner can read or write, because anyone who has a key can change every team's policy.
+// its owner can read or write, because anyone who has a key can change every tenant's policy.
 func ReadKeys(path string) (Keys, error) {
 	f, err := os.Open(path)
 	if err != nil {
--- a/internal/historycheck/fleet.go
+++ b/internal/historycheck/fleet.go
@@ -16,7 +16,7 @@
 	Contradiction    = "false_word"        // a later report on a change or purge contradicts an earlier one
 	ServedAfterPurge = "served_after"      // a result was served after its purge was reported
 	FalsePurge       = "confirmed_wrongly" // a disk held a result after its purge was reported as complete
-	PlacementFault   = "crossed"           // a query ran outside the sites that its team is bound to
+	PlacementFault   = "crossed"           // a query ran outside the sites that its tenant is bound to
 )
 
 // Kinds lists all kinds of faults.
@@ -97,11 +97,11 @@
 
 type resultStart struct {
 	at     time.Duration
-	team   string
+	tenant string
 	tables []int64
 }
 
-// Rule binds a team's queries on some tables to sites. A rule without tables covers all of them.
+// Rule binds a tenant's queries on some tables to sites. A rule without tables covers all of them.
 type Rule struct {
 	Tenant string
 	Tables []int64
@@ -115,9 +115,9 @@
 	from, to time.Duration // to is when a later change was reported as in force
 }
 
-// siteAllowance is a period in which a team's queries may run at further sites.
+// siteAllowance is a period in which a tenant's queries may run at further sites.
 type siteAllowance struct {
-	team     string
+	tenant   string
 	sites    []string
 	from, to time.Duration
 }
@@ -325,17 +325,17 @@
 }
 
 // ResultStarted records that an engine started to produce a result, whose bytes contain the query's ID.
-func (f *FleetHistory) ResultStarted(now time.Duration, query, team string, tables ...int64) {
+func (f *FleetHistory) ResultStarted(now time.Duration, query, tenant string, tables ...int64) {
 	f.initMaps()
 	f.noteFrequent(now, "an engine starts "+query, query)
 	if _, had := f.results[query]; !had {
-		f.results[query] = resultStart{now, team, tables}
+		f.results[query] = resultStart{now, tenant, tables}
 	}
 }
 
 // covers reports whether the purge must remove a result.
 func (p *purge) covers(result resultStart) bool {
-	if p.scope.Tenant != result.team || result.at >= p.requested ||
+	if p.scope.Tenant != result.tenant || result.at >= p.requested ||
 		p.scope.RetainedBeforeMs > 0 || len(p.scope.OutsideSites) > 0 {
 		return false // scopes by retention time or site are checked where these are known
 	}
@@ -395,31 +395,31 @@
 	}
 }
 
-// AllowSites records that a team's queries may run at further sites from now on, until RevokeSites.
-func (f *FleetHistory) AllowSites(now time.Duration, team string, sites ...string) {
-	f.siteAllowances = append(f.siteAllowances, siteAllowance{team, sites, now, never})
+// AllowSites records that a tenant's queries may run at further sites from now on, until RevokeSites.
+func (f *FleetHistory) AllowSites(now time.Duration, tenant string, sites ...string) {
+	f.siteAllowances = append(f.siteAllowances, siteAllowance{tenant, sites, now, never})
 }
 
 // RevokeSites ends the effect of AllowSites for queries sent from now on.
-func (f *FleetHistory) RevokeSites(now time.Duration, team string) {
+func (f *FleetHistory) RevokeSites(now time.Duration, tenant string) {
 	for i := range f.siteAllowances {
-		if f.siteAllowances[i].team == team {
+		if f.siteAllowances[i].tenant == tenant {
 			f.siteAllowances[i].to = min(f.siteAllowances[i].to, now)
 		}
 	}
 }
 
-// covers reports whether the rule binds a team's query on tables.
-func (r Rule) covers(team string, tables []int64) bool {
+// covers reports whether the rule binds a tenant's query on tables.
+func (r Rule) covers(tenant string, tables []int64) bool {
 	bound := func(table int64) bool { return slices.Contains(tables, table) }
-	return r.Tenant == team && (len(r.Tables) == 0 || slices.ContainsFunc(r.Tables, bound))
+	return r.Tenant == tenant && (len(r.Tables) == 0 || slices.ContainsFunc(r.Tables, bound))
 }
 
-// Ran records that an engine at a site runs a team's query on tables. sent is when the client sent the
+// Ran records that an engine at a site runs a tenant's query on tables. sent is when the client sent the
 // query. The run is valid if any set of rules that could be in force between sent and now allows it.
-func (f *FleetHistory) Ran(now, sent time.Duration, controller, query, team, site string, tables ...int64) {
-	step := f.noteFrequent(now, fmt.Sprintf("%s of %s runs at %s, by %s", query, team, site, controller),
-		query, team)
+func (f *FleetHistory) Ran(now, sent time.Duration, controller, query, tenant, site string, tables ...int64) {
+	step := f.noteFrequent(now, fmt.Sprintf("%s of %s runs at %s, by %s", query, tenant, site, controller),
+		query, tenant)
 	bound, allowed, any := false, false, false
 	for _, set := range f.ruleSets {
 		if set.from > now || set.to < sent {
@@ -428,7 +428,7 @@
 		any = true
 		ok := true
 		for _, r := range set.rules {
-			if r.covers(team, tables) {
+			if r.covers(tenant, tables) {
 				bound = true
 				ok = ok && slices.Contains(r.Sites, site)
 			}
@@ -439,10 +439,10 @@
 		f.Bound++
 	}
 	for _, l := range f.siteAllowances {
-		allowed = allowed || l.team == team && l.from <= now && sent <= l.to && slices.Contains(l.sites, site)
+		allowed = allowed || l.tenant == tenant && l.from <= now && sent <= l.to && slices.Contains(l.sites, site)
 	}
 	if any && !allowed {
-		f.addFault(PlacementFault, fmt.Sprintf("%s sent %s of %s to %s", controller, query, team, site), -1, step)
+		f.addFault(PlacementFault, fmt.Sprintf("%s sent %s of %s to %s", controller, query, tenant, site), -1, step)
 	}
 }
 
--- a/internal/residency/change.go
+++ b/internal/residency/change.go
@@ -9,32 +9,32 @@
 	"railrelay.dev/railrelay/internal/fleet"
 )
 
-// ValidateRules returns the flaws of rules: missing or duplicate names, unknown sites and teams, and
-// rules for the same tables that leave no site. nil for sites or teams allows any name.
-func ValidateRules(rules []Rule, sites, teams []string) (flaws []*InvalidRuleError) {
-	addFlaw := func(i int, field, format string, args ...any) {
-		flaws = append(flaws, &InvalidRuleError{i, field, fmt.Sprintf(format, args...)})
+// ValidateRules returns the errors in rules: missing or duplicate names, unknown sites and tenants, and
+// rules for the same tables that leave no site. nil for sites or tenants allows any name.
+func ValidateRules(rules []Rule, sites, tenants []string) (ruleErrors []*InvalidRuleError) {
+	addError := func(i int, field, format string, args ...any) {
+		ruleErrors = append(ruleErrors, &InvalidRuleError{i, field, fmt.Sprintf(format, args...)})
 	}
 	names := map[string]bool{}
 	for i, r := range rules {
 		switch {
 		case r.Name == "":
-			addFlaw(i, "name", "is missing")
+			addError(i, "name", "is missing")
 		case names[r.Name]:
-			addFlaw(i, "name", "a second rule is called %q", r.Name)
+			addError(i, "name", "a second rule is called %q", r.Name)
 		}
 		names[r.Name] = true
 		switch {
 		case r.Tenant == "":
-			addFlaw(i, "team", "is missing: a rule binds one team")
-		case teams != nil && !slices.Contains(teams, r.Tenant):
-			addFlaw(i, "team", "no team is called %q", r.Tenant)
+			addError(i, "team", "is missing: a rule binds one team")
+		case tenants != nil && !slices.Contains(tenants, r.Tenant):
+			addError(i, "team", "no team is called %q", r.Tenant)
 		}
 		if len(r.EngineSites) == 0 && r.ControllerSites == nil && r.RetentionSites == nil {
-			addFlaw(i, "engines", "is missing: the rule binds nothing to a site")
+			addError(i, "engines", "is missing: the rule binds nothing to a site")
 		}
 		if r.ControllerSites != nil && len(r.ControllerSites) == 0 {
-			addFlaw(i, "controllers", "is empty: no controller could take a query")
+			addError(i, "controllers", "is empty: no controller could take a query")
 		}
 		for _, l := range []struct {
 			field string
@@ -43,31 +43,31 @@
 			{"emergency.sites", r.Emergency.Sites}} {
 			for j, s := range l.sites {
 				if sites != nil && !slices.Contains(sites, s) {
-					addFlaw(i, fmt.Sprintf("%s[%d]", l.field, j), "no location is called %q", s)
+					addError(i, fmt.Sprintf("%s[%d]", l.field, j), "no location is called %q", s)
 				}
 				if l.field == "emergency.sites" && slices.Contains(r.EngineSites, s) {
-					addFlaw(i, fmt.Sprintf("%s[%d]", l.field, j), "%q is one of the rule's engine sites already", s)
+					addError(i, fmt.Sprintf("%s[%d]", l.field, j), "%q is one of the rule's engine sites already", s)
 				}
 			}
 		}
 		for j, t := range r.Tables {
 			if t < 0 {
-				addFlaw(i, fmt.Sprintf("tables[%d]", j), "%d is not a table group", t)
+				addError(i, fmt.Sprintf("tables[%d]", j), "%d is not a table group", t)
 			}
 		}
 		switch e := r.Emergency; {
 		case len(e.Sites) > 0 && e.After <= 0:
-			addFlaw(i, "emergency.after", "is missing: how long must all engine sites be lost")
+			addError(i, "emergency.after", "is missing: how long must all engine sites be lost")
 		case len(e.Sites) == 0 && e.After > 0:
-			addFlaw(i, "emergency.sites", "is missing: which additional sites are allowed")
+			addError(i, "emergency.sites", "is missing: which additional sites are allowed")
 		case len(e.Sites) > 0 && len(r.EngineSites) == 0:
-			addFlaw(i, "emergency", "has no effect: the rule names no engines")
+			addError(i, "emergency", "has no effect: the rule names no engines")
 		}
 	}
-	if len(flaws) > 0 {
-		return flaws // a flawed rule would be reported again as a conflict
+	if len(ruleErrors) > 0 {
+		return ruleErrors // an invalid rule would be reported again as a conflict
 	}
-	for team, l := range bindTables(rules, nil) {
+	for tenant, l := range bindTables(rules, nil) {
 		for _, tables := range tableClasses(l) {
 			v := evaluateRules(l, tables, true, nil)
 			if v.Conflict == nil {
@@ -75,15 +75,15 @@
 			}
 			last := v.Conflict.Rules[len(v.Conflict.Rules)-1]
 			i := slices.IndexFunc(rules, func(r Rule) bool { return r.Name == last })
-			if !slices.ContainsFunc(flaws, func(f *InvalidRuleError) bool { return f.RuleIndex == i }) {
-				addFlaw(i, v.Conflict.Role+"s", "rules %s leave team %q no %s for %s",
-					strings.Join(v.Conflict.Rules, " and "), team,
+			if !slices.ContainsFunc(ruleErrors, func(f *InvalidRuleError) bool { return f.RuleIndex == i }) {
+				addError(i, v.Conflict.Role+"s", "rules %s leave team %q no %s for %s",
+					strings.Join(v.Conflict.Rules, " and "), tenant,
 					v.Conflict.Role, describeTables(tables))
 			}
 		}
 	}
-	slices.SortFunc(flaws, func(a, b *InvalidRuleError) int { return a.RuleIndex - b.RuleIndex })
-	return flaws
+	slices.SortFunc(ruleErrors, func(a, b *InvalidRuleError) int { return a.RuleIndex - b.RuleIndex })
+	return ruleErrors
 }
 
 // tableClasses splits the tables into classes that all rules treat alike: one class for each table
@@ -127,16 +127,17 @@
 }
 
 // FindTightenings returns the boundaries that new rules make narrower. Boundaries that become wider
-// need no action and are left out. A result whose tables are unknown matches each purge of its team.
+// need no action and are left out. A result whose tables are unknown matches each purge of its tenant.
 func FindTightenings(old, next []Rule, bindings []fleet.Binding) (l []Tightening) {
 	before, after := bindTables(old, bindings), bindTables(next, bindings)
-	for _, team := range teamNames(next) { // a team without new rules has no boundary that could be narrower
-		for _, tables := range tableClasses(before[team], after[team]) {
-			a, b := evaluateRules(before[team], tables, true, nil), evaluateRules(after[team], tables, true, nil)
-			t := Tightening{Tenant: team, Rules: b.RuleNames, Tables: tables, EngineSites: b.EngineSites,
+	// A tenant without new rules has no boundary that could be narrower.
+	for _, tenant := range tenantNames(next) {
+		for _, tables := range tableClasses(before[tenant], after[tenant]) {
+			a, b := evaluateRules(before[tenant], tables, true, nil), evaluateRules(after[tenant], tables, true, nil)
+			t := Tightening{Tenant: tenant, Rules: b.RuleNames, Tables: tables, EngineSites: b.EngineSites,
 				EndsRunningQueries: isNarrower(a.EngineSites, b.EngineSites)}
 			if isNarrower(a.RetentionSites, b.RetentionSites) {
-				t.PurgeScope = &fleet.Scope{Tenant: team, Tables: tables, OutsideSites: b.RetentionSites}
+				t.PurgeScope = &fleet.Scope{Tenant: tenant, Tables: tables, OutsideSites: b.RetentionSites}
 			}
 			if !t.EndsRunningQueries && t.PurgeScope == nil && !isNarrower(a.ControllerSites, b.ControllerSites) {
 				continue
@@ -176,8 +177,8 @@
 	return slices.Equal(t.PurgeScope.OutsideSites, x.PurgeScope.OutsideSites)
 }
 
-// teamNames returns the names of the teams that have rules, without duplicates.
-func teamNames(rules []Rule) (l []string) {
+// tenantNames returns the names of the tenants that have rules, without duplicates.
+func tenantNames(rules []Rule) (l []string) {
 	for _, r := range rules {
 		if !slices.Contains(l, r.Tenant) {
 			l = append(l, r.Tenant)
@@ -200,7 +201,7 @@
 	Threads    float64
 }
 
-// RetainedData counts the data of a team that a controller retains.
+// RetainedData counts the data of a tenant that a controller retains.
 type RetainedData struct {
 	Controller, Tenant string
 	Counts             fleet.InvalidationCounts
@@ -210,48 +211,48 @@
 // threads, from 0 to 1.
 type ChangePlan struct {
 	Rows []PlanRow `json:"rows"`
-	// teams that would have no engine or controller for some of their tables
+	// tenants that would have no engine or controller for some of their tables
 	TenantsWithoutSite []string `json:"none"`
 }
 
-// PlanRow describes the effects on tables of one team that all rules treat alike.
+// PlanRow describes the effects on tables of one tenant that all rules treat alike.
 type PlanRow struct {
 	Tenant         string   `json:"team"`
 	Tables         []int64  `json:"tables,omitempty"` // empty: all tables that no rule names
 	Rules          []string `json:"rules"`
 	ShareBefore    float64  `json:"share_before"`
 	ShareAfter     float64  `json:"share_after"`
-	EnginesOutside []string `json:"engines_outside"` // engines that the team would lose
+	EnginesOutside []string `json:"engines_outside"` // engines that the tenant would lose
 	// controllers that could no longer serve its queries
 	ControllersOutside []string `json:"controllers_outside"`
 	// controllers whose retained data would be purged
 	PurgeOn []string `json:"purge_on"`
-	// retained data of the whole team on the controllers of PurgeOn
+	// retained data of the whole tenant on the controllers of PurgeOn
 	RetainedOutside fleet.InvalidationCounts `json:"kept_outside"`
 	Conflict        string                   `json:"conflict,omitempty"`
 }
 
 // PlanChange returns the effects that new rules would have.
-func PlanChange(old, next []Rule, w PlanInput) *ChangePlan {
-	before, after := bindTables(old, w.Bindings), bindTables(next, w.Bindings)
+func PlanChange(old, next []Rule, input PlanInput) *ChangePlan {
+	before, after := bindTables(old, input.Bindings), bindTables(next, input.Bindings)
 	plan := &ChangePlan{Rows: []PlanRow{}, TenantsWithoutSite: []string{}}
 	total := 0.0
-	for _, e := range w.Engines {
+	for _, e := range input.Engines {
 		total += e.Threads
 	}
 	total = max(total, 1e-9)
-	for _, team := range teamNames(slices.Concat(old, next)) {
-		for _, tables := range tableClasses(before[team], after[team]) {
-			a, b := evaluateRules(before[team], tables, true, nil), evaluateRules(after[team], tables, true, nil)
+	for _, tenant := range tenantNames(slices.Concat(old, next)) {
+		for _, tables := range tableClasses(before[tenant], after[tenant]) {
+			a, b := evaluateRules(before[tenant], tables, true, nil), evaluateRules(after[tenant], tables, true, nil)
 			if !a.RuleApplies && !b.RuleApplies {
 				continue
 			}
-			row := PlanRow{Tenant: team, Tables: tables, Rules: b.RuleNames, EnginesOutside: []string{},
+			row := PlanRow{Tenant: tenant, Tables: tables, Rules: b.RuleNames, EnginesOutside: []string{},
 				ControllersOutside: []string{}, PurgeOn: []string{}}
 			if b.Conflict != nil {
 				row.Conflict = b.Conflict.Error()
 			}
-			for _, e := range w.Engines {
+			for _, e := range input.Engines {
 				if a.AllowsEngineSite(e.Site) {
 					row.ShareBefore += e.Threads / total
 				}
@@ -262,7 +263,7 @@
 				}
 			}
 			servingControllers := 0
-			for _, m := range w.Controllers {
+			for _, m := range input.Controllers {
 				if m.Forgotten {
 					continue
 				}
@@ -273,16 +274,16 @@
 				}
 				if includes(a.RetentionSites, m.Site) && !includes(b.RetentionSites, m.Site) {
 					row.PurgeOn = append(row.PurgeOn, m.Name)
-					for _, k := range w.Retained {
-						if k.Controller == m.Name && k.Tenant == team {
+					for _, k := range input.Retained {
+						if k.Controller == m.Name && k.Tenant == tenant {
 							row.RetainedOutside.Add(k.Counts)
 						}
 					}
 				}
 			}
 			if none := row.ShareAfter == 0 || servingControllers == 0; none &&
-				!slices.Contains(plan.TenantsWithoutSite, team) {
-				plan.TenantsWithoutSite = append(plan.TenantsWithoutSite, team)
+				!slices.Contains(plan.TenantsWithoutSite, tenant) {
+				plan.TenantsWithoutSite = append(plan.TenantsWithoutSite, tenant)
 			}
 			plan.Rows = append(plan.Rows, row)
 		}
--- a/internal/residency/residency.go
+++ b/internal/residency/residency.go
@@ -73,7 +73,7 @@
 // each table that a load filled from a bound table, regardless of the order in which the loads were
 // logged. The result may contain tables that hold no bound data, but it misses none that does.
 func bindTables(rules []Rule, bindings []fleet.Binding) map[string][]*boundRule {
-	teams := map[string][]*boundRule{}
+	rulesByTenant := map[string][]*boundRule{}
 	for _, r := range rules {
 		b := &boundRule{Rule: r, allTables: len(r.Tables) == 0, tables: map[int64]bool{}}
 		for _, t := range r.Tables {
@@ -93,9 +93,9 @@
 				}
 			}
 		}
-		teams[r.Tenant] = append(teams[r.Tenant], b)
+		rulesByTenant[r.Tenant] = append(rulesByTenant[r.Tenant], b)
 	}
-	return teams
+	return rulesByTenant
 }
 
 // Decision holds what the rules allow for one query. Its slices are shared and must not be modified.
@@ -206,7 +206,7 @@
 type Core struct {
 	site           string // of this controller
 	rules          []Rule
-	rulesByTeam    map[string][]*boundRule // derived from rules, fleetView and unseenBindings
+	rulesByTenant  map[string][]*boundRule // derived from rules, fleetView and unseenBindings
 	fleetView      fleet.View
 	unseenBindings []fleet.Binding // logged, but not in fleetView yet
 
@@ -219,7 +219,7 @@
 
 // decisionKey identifies a cached decision.
 type decisionKey struct {
-	team    string
+	tenant  string
 	table   int64
 	noTable bool
 }
@@ -279,7 +279,7 @@
 
 // rebuild derives the bound tables again and clears the cached decisions.
 func (c *Core) rebuild() {
-	c.rulesByTeam = bindTables(c.rules, slices.Concat(c.fleetView.Bindings, c.unseenBindings))
+	c.rulesByTenant = bindTables(c.rules, slices.Concat(c.fleetView.Bindings, c.unseenBindings))
 	c.generation++
 	clear(c.decisions)
 }
@@ -289,16 +289,16 @@
 func (c *Core) Generation() uint64 { return c.generation }
 
 // HasRules reports whether a tenant has any rule. Without one, the tables of its queries don't matter.
-func (c *Core) HasRules(team string) bool { return len(c.rulesByTeam[team]) > 0 }
+func (c *Core) HasRules(tenant string) bool { return len(c.rulesByTenant[tenant]) > 0 }
 
 // Decide returns where a tenant's query on these tables may run, be served and be retained. known
 // says that the query uses no other tables.
-func (c *Core) Decide(team string, tables []int64, known bool) Decision {
-	rules := c.rulesByTeam[team]
+func (c *Core) Decide(tenant string, tables []int64, known bool) Decision {
+	rules := c.rulesByTenant[tenant]
 	if len(rules) == 0 {
 		return Decision{MayServe: true, MayRetain: true}
 	}
-	key := decisionKey{team: team, noTable: len(tables) == 0}
+	key := decisionKey{tenant: tenant, noTable: len(tables) == 0}
 	if !key.noTable {
 		key.table = tables[0]
 	}
@@ -318,14 +318,14 @@
 // MissingBinding returns the binding that the log must have before a load may be sent; nil: none is
 // missing. read and written are the tables of the load's statement. If they are unknown and a rule
 // follows loads, the error is an *UnknownTablesError.
-func (c *Core) MissingBinding(team string, read, written []int64, known bool) (*fleet.Binding, error) {
-	need := &fleet.Binding{Tenant: team}
-	for _, b := range c.rulesByTeam[team] {
+func (c *Core) MissingBinding(tenant string, read, written []int64, known bool) (*fleet.Binding, error) {
+	need := &fleet.Binding{Tenant: tenant}
+	for _, b := range c.rulesByTenant[tenant] {
 		switch {
 		case !b.FollowsLoads || b.allTables:
 			continue // a rule that binds all tables has no further tables to bind
 		case !known:
-			return nil, &UnknownTablesError{Tenant: team, Rule: b.Name}
+			return nil, &UnknownTablesError{Tenant: tenant, Rule: b.Name}
 		case !b.appliesTo(read, true):
 			continue
 		}
@@ -365,8 +365,8 @@
 
 // RecordAttempt records an attempt at an engine of a site. It reports whether the site is outside the
 // sites of a rule, which only an emergency allows.
-func (c *Core) RecordAttempt(query, team string, v *Decision, site string) (outside bool) {
-	for _, b := range c.rulesByTeam[team] {
+func (c *Core) RecordAttempt(query, tenant string, v *Decision, site string) (outside bool) {
+	for _, b := range c.rulesByTenant[tenant] {
 		if !slices.Contains(v.RuleNames, b.Name) || includes(emptyAsAll(b.EngineSites), site) {
 			continue
 		}
@@ -375,7 +375,7 @@
 		if len(c.crossings) >= maxCrossings {
 			c.crossings = slices.Delete(c.crossings, 0, 1)
 		}
-		c.crossings = append(c.crossings, EmergencyCrossing{Query: query, Tenant: team, Rule: b.Name, Site: site})
+		c.crossings = append(c.crossings, EmergencyCrossing{Query: query, Tenant: tenant, Rule: b.Name, Site: site})
 	}
 	return outside
 }
@@ -386,8 +386,8 @@
 }
 
 // IsOutsideRules reports whether the rules forbid a query at a site when no emergency is declared.
-func (c *Core) IsOutsideRules(team string, tables []int64, known bool, site string) bool {
-	rules := c.rulesByTeam[team]
+func (c *Core) IsOutsideRules(tenant string, tables []int64, known bool, site string) bool {
+	rules := c.rulesByTenant[tenant]
 	if len(rules) == 0 {
 		return false
 	}
@@ -422,9 +422,9 @@
 	return nil
 }
 
-func retentionScope(team string, tables []int64, sites []string, anywhere bool) *fleet.Scope {
+func retentionScope(tenant string, tables []int64, sites []string, anywhere bool) *fleet.Scope {
 	if anywhere {
 		return nil
 	}
-	return &fleet.Scope{Tenant: team, Tables: tables, OutsideSites: sites}
+	return &fleet.Scope{Tenant: tenant, Tables: tables, OutsideSites: sites}
 }
--- a/internal/residency/residency_test.go
+++ b/internal/residency/residency_test.go
@@ -150,8 +150,8 @@
 	}
 }
 
-func TestValidateRulesReportsEachFlaw(t *testing.T) {
-	sites, teams := []string{"linz", "wien"}, []string{"bank"}
+func TestValidateRulesReportsEachError(t *testing.T) {
+	sites, tenants := []string{"linz", "wien"}, []string{"bank"}
 	for want, rules := range map[string][]Rule{
 		`no location is called "graz"`: {{Name: "a", Tenant: "bank", EngineSites: []string{"linz", "graz"}}},
 		`no team is called "shop"`:     {{Name: "a", Tenant: "shop", EngineSites: []string{"linz"}}},
@@ -163,15 +163,15 @@
 		"must all engine sites": {{Name: "a", Tenant: "bank", EngineSites: []string{"linz"},
 			Emergency: Emergency{Sites: []string{"wien"}}}},
 	} {
-		if flaws := ValidateRules(rules, sites, teams); len(flaws) != 1 ||
-			!strings.Contains(flaws[0].Error(), want) {
-			t.Errorf("%q: %v", want, flaws)
+		if ruleErrors := ValidateRules(rules, sites, tenants); len(ruleErrors) != 1 ||
+			!strings.Contains(ruleErrors[0].Error(), want) {
+			t.Errorf("%q: %v", want, ruleErrors)
 		}
 	}
 	apart := []Rule{{Name: "a", Tenant: "bank", Tables: []int64{1}, EngineSites: []string{"linz"}},
 		{Name: "b", Tenant: "bank", Tables: []int64{2}, EngineSites: []string{"wien"}}}
-	if flaws := ValidateRules(apart, sites, teams); len(flaws) > 0 {
-		t.Error("rules for different tables are reported as a conflict", flaws)
+	if ruleErrors := ValidateRules(apart, sites, tenants); len(ruleErrors) > 0 {
+		t.Error("rules for different tables are reported as a conflict", ruleErrors)
 	}
 }
 
--- a/internal/resultcache/entries.go
+++ b/internal/resultcache/entries.go
@@ -37,16 +37,16 @@
 		c.tenants[r.Tenant] = t
 	}
 	e := &entry{
-		hash:        f.hash,
-		tenant:      t,
-		group:       r.Group,
-		statement:   r.Statement,
-		tables:      r.Tables,
-		pages:       pages,
-		size:        size,
-		expiresAt:   expiresAt,
-		startedWall: f.startedWall,
-		logIndex:    f.logIndex,
+		hash:              f.hash,
+		tenant:            t,
+		group:             r.Group,
+		statement:         r.Statement,
+		tables:            r.Tables,
+		pages:             pages,
+		size:              size,
+		expiresAt:         expiresAt,
+		startedUnixMillis: f.startedUnixMillis,
+		logIndex:          f.logIndex,
 	}
 	c.Counts.Cached++
 	c.entries[f.hash] = append(c.entries[f.hash], e)
--- a/internal/resultcache/invalidation.go
+++ b/internal/resultcache/invalidation.go
@@ -18,7 +18,7 @@
 	c.advance(now)
 	c.logIndex = max(c.logIndex, index)
 	inScope := func(e *entry) bool {
-		return e.logIndex < index && scope.Matches(e.tenant.name, e.tables, e.startedWall)
+		return e.logIndex < index && scope.Matches(e.tenant.name, e.tables, e.startedUnixMillis)
 	}
 	for _, e := range c.entriesWhere(inScope) {
 		c.Counts.Purged++
@@ -27,7 +27,7 @@
 		c.remove(e)
 	}
 	askedBefore := func(f *flight) bool {
-		return f.logIndex < index && scope.Matches(f.leader.Tenant, f.leader.Tables, f.startedWall)
+		return f.logIndex < index && scope.Matches(f.leader.Tenant, f.leader.Tables, f.startedUnixMillis)
 	}
 	for _, f := range c.invalidateFlights(askedBefore) {
 		if leader := c.promote(f); leader != nil {
--- a/internal/resultcache/result_cache.go
+++ b/internal/resultcache/result_cache.go
@@ -2,8 +2,7 @@
 // entry is its tenant, resource group and exact statement, and the entry is fresh for a configured
 // time. Of equal requests at the same time, one leads and the others follow: one execution at an
 // engine, called a flight, answers all of them. The package is a pure core: no I/O, clock or
-// goroutine. Times are durations since the start unless a name says wall (milliseconds since 1970);
-// sizes are bytes.
+// goroutine. Times are durations since the start unless a name ends in UnixMillis; sizes are bytes.
 //
 // Entries and flights are invalidated by a mutation of their tables, from when it was received until
 // no attempt of it is in flight any more, and by an invalidation. An invalidated flight still answers
@@ -32,7 +31,7 @@
 	Statement          []byte
 	Tables             []int64       // all tables that the query reads; empty: unknown
 	LogIndex           uint64        // index in the fleet's log when the query was received
-	ReceivedUnixMillis int64         // time when the query was received
+	ReceivedUnixMillis int64         // when the query was received
 	Deadline           time.Duration // from then on the request can't become a leader
 	CallerData         any           // not used by the cache
 
@@ -46,10 +45,10 @@
 	leader    *Request
 	followers []*Request
 
-	startedAt   time.Duration
-	startedWall int64
-	logIndex    uint64 // index in the fleet's log when the flight began
-	invalidated bool   // by a mutation or an invalidation: the answer is not cached or shared
+	startedAt         time.Duration
+	startedUnixMillis int64
+	logIndex          uint64 // index in the fleet's log when the flight began
+	invalidated       bool   // by a mutation or an invalidation: the answer is not cached or shared
 }
 
 // entry is one cached answer.
@@ -62,9 +61,9 @@
 	pages     [][]byte
 	size      int64
 
-	expiresAt   time.Duration
-	startedWall int64  // when its flight began
-	logIndex    uint64 // index in the fleet's log when its flight began
+	expiresAt         time.Duration
+	startedUnixMillis int64  // when its flight began
+	logIndex          uint64 // index in the fleet's log when its flight began
 
 	lastUse    uint64 // value of Cache.serial at the last use
 	lruElement intrusivelist.Element[entry]
@@ -89,10 +88,10 @@
 	Limits
 	Counts Counts
 
-	now       time.Duration // latest time passed in by the caller
-	startWall int64
-	logIndex  uint64 // latest index passed in by the caller
-	serial    uint64 // last number given to a flight or a use
+	now             time.Duration // latest time passed in by the caller
+	startUnixMillis int64
+	logIndex        uint64 // latest index passed in by the caller
+	serial          uint64 // last number given to a flight or a use
 
 	// Cached answers.
 	entries map[uint64][]*entry // by hash
@@ -109,19 +108,19 @@
 	unknownMutations int           // number with unknown tables
 }
 
-// New returns an empty cache. wall is the start in milliseconds since 1970. The error is an *Unusable.
-func New(l Limits, wall int64) (*Cache, error) {
+// New returns an empty cache. startUnixMillis is the Unix time of the start. The error is an *Unusable.
+func New(l Limits, startUnixMillis int64) (*Cache, error) {
 	if err := l.Check(); err != nil {
 		return nil, err
 	}
 	return &Cache{
-		Limits:    l,
-		startWall: wall,
-		entries:   map[uint64][]*entry{},
-		tenants:   map[string]*tenant{},
-		joinable:  map[uint64][]*flight{},
-		flights:   map[*flight]bool{},
-		mutations: map[int64]int{},
+		Limits:          l,
+		startUnixMillis: startUnixMillis,
+		entries:         map[uint64][]*entry{},
+		tenants:         map[string]*tenant{},
+		joinable:        map[uint64][]*flight{},
+		flights:         map[*flight]bool{},
+		mutations:       map[int64]int{},
 	}, nil
 }
 
@@ -207,13 +206,13 @@
 	c.Counts.Led++
 	c.serial++
 	f := &flight{
-		hash:        hash,
-		serial:      c.serial,
-		leader:      leader,
-		startedAt:   c.now,
-		startedWall: c.startWall + c.now.Milliseconds(),
-		logIndex:    c.logIndex,
-		invalidated: c.isChanging(leader.Tables),
+		hash:              hash,
+		serial:            c.serial,
+		leader:            leader,
+		startedAt:         c.now,
+		startedUnixMillis: c.startUnixMillis + c.now.Milliseconds(),
+		logIndex:          c.logIndex,
+		invalidated:       c.isChanging(leader.Tables),
 	}
 	leader.flight = f
 	c.flights[f] = true
--- a/internal/resultcache/result_cache_test.go
+++ b/internal/resultcache/result_cache_test.go
@@ -48,10 +48,10 @@
 
 // answerPage is the content of an answer: the request, and the state that the engine read.
 type answerPage struct {
-	team, statement string
-	startedAt       time.Duration
-	index           uint64
-	mutations       [4]int
+	tenant, statement string
+	startedAt         time.Duration
+	index             uint64
+	mutations         [4]int
 }
 
 func (w *model) startFlight(x *modelRequest) {
@@ -69,12 +69,12 @@
 	var p answerPage
 	var l string
 	parts := splitPage(string(pages[0]))
-	p.team, p.statement, l = parts[0], parts[1], parts[4]
+	p.tenant, p.statement, l = parts[0], parts[1], parts[4]
 	fmt.Sscan(parts[2], (*int64)(&p.startedAt))
 	fmt.Sscan(parts[3], &p.index)
 	fmt.Sscanf(l, "[%d %d %d %d]", &p.mutations[0], &p.mutations[1], &p.mutations[2], &p.mutations[3])
-	if p.team != x.Tenant || p.statement != string(x.Statement) {
-		w.t.Fatalf("%s requested %s and got the answer of %s to %s", x.Tenant, x.Statement, p.team, p.statement)
+	if p.tenant != x.Tenant || p.statement != string(x.Statement) {
+		w.t.Fatalf("%s requested %s and got the answer of %s to %s", x.Tenant, x.Statement, p.tenant, p.statement)
 	}
 	if x.receivedAt >= p.startedAt+w.c.Freshness {
 		w.t.Fatalf("requested at %v and answered with the state of %v", x.receivedAt, p.startedAt)
@@ -129,17 +129,17 @@
 			count, size = count+1, size+k.size
 		}
 	}
-	byTeam, n := int64(0), 0
+	byTenant, n := int64(0), 0
 	for _, t := range w.c.tenants {
-		byTeam += t.bytes
+		byTenant += t.bytes
 		for e := t.lru.First(); e != nil; e = e.Next() {
 			n++
 		}
 	}
-	if c, b, _ := w.c.Usage(); c != count || b != size || byTeam != size || n != count || c > w.c.MaxEntries ||
+	if c, b, _ := w.c.Usage(); c != count || b != size || byTenant != size || n != count || c > w.c.MaxEntries ||
 		b > w.c.MaxBytes {
 		w.t.Fatalf("the cache has %d answers of %d bytes, but reports %d of %d, and by tenant %d of %d", count,
-			size, c, b, n, byTeam)
+			size, c, b, n, byTenant)
 	}
 	for _, x := range w.outstanding {
 		if !x.leading && x.flight == nil && w.now < x.Deadline {
@@ -277,8 +277,8 @@
 	l := Limits{Freshness: time.Minute, MaxBytes: 4 * (entryOverheadBytes + 24 + 10 + 100), MaxEntries: 100,
 		MaxAnswerBytes: 1000, TenantShare: 0.5}
 	c, _ := New(l, 0)
-	put := func(team string, n int) LookupResult {
-		a := &Request{Tenant: team, Statement: fmt.Appendf(nil, "select %03d", n), Tables: []int64{1},
+	put := func(tenant string, n int) LookupResult {
+		a := &Request{Tenant: tenant, Statement: fmt.Appendf(nil, "select %03d", n), Tables: []int64{1},
 			Deadline: time.Hour}
 		v, _ := c.Lookup(0, a)
 		c.Complete(0, a, [][]byte{make([]byte, 100)})
--- a/internal/setup/check.go
+++ b/internal/setup/check.go
@@ -186,8 +186,8 @@
 	}
 }
 
-// addressOwner is the team that an address prefix belongs to, and its path in the file.
-type addressOwner struct{ team, path string }
+// addressOwner is the tenant that an address prefix belongs to, and its path in the file.
+type addressOwner struct{ tenant, path string }
 
 func (c *checker) checkFairness(f *Fairness) {
 	seen := map[string]string{}
@@ -207,14 +207,14 @@
 				c.addError(at+".addresses", "must be those of a team without subteams, but %q has some", t.Name)
 			}
 			for j, a := range prefixes(t.Addresses) {
-				spot := fmt.Sprintf("%s.addresses[%d]", at, j)
+				addressPath := fmt.Sprintf("%s.addresses[%d]", at, j)
 				if other, overlaps := findOverlap(&owned, a); overlaps && other.path != at {
-					c.addError(spot, "%v overlaps addresses of %q", a, other.team)
+					c.addError(addressPath, "%v overlaps addresses of %q", a, other.tenant)
 				}
 				owned.Insert(a.Masked(), addressOwner{t.Name, at})
 			}
 			if len(t.Tenants) > 0 {
-				delete(seen, t.Name) // a team may have the same name as one of its subteams
+				delete(seen, t.Name) // a tenant may have the same name as one of its subtenants
 				walk(t.Tenants, at+".teams")
 			}
 		}
--- a/internal/setup/control.go
+++ b/internal/setup/control.go
@@ -79,7 +79,7 @@
 }
 
 // ParseControlPolicy reads a policy for a control process and checks everything but the names of
-// teams, groups and locations. Only controllers know those, and each of them checks the policy
+// tenants, groups and locations. Only controllers know those, and each of them checks the policy
 // before it can be in force. An invalid policy is an *Unfit.
 func ParseControlPolicy(file string, text []byte, own *Setup) (*ControlPolicy, error) {
 	next, policy, err := own.mergePolicy(file, text)
--- a/internal/setup/control_test.go
+++ b/internal/setup/control_test.go
@@ -140,7 +140,7 @@
 	return nil
 }
 
-func TestControlPolicyIsCheckedWithoutNamesOfTeams(t *testing.T) {
+func TestControlPolicyIsCheckedWithoutTenantNames(t *testing.T) {
 	own := mustParse(t, readExample(t, "control.yaml"))
 	text := `
 fairness: {default: x, teams: [{name: x, weight: 3}, {name: y, weight: 1}]}
--- a/internal/setup/controller_config.go
+++ b/internal/setup/controller_config.go
@@ -52,7 +52,7 @@
 	return config
 }
 
-// FairQueueConfig returns the teams, which a reload replaces. It is nil without fairness.
+// FairQueueConfig returns the tenants, which a reload replaces. It is nil without fairness.
 func (x *Setup) FairQueueConfig() *fairqueue.Config {
 	if x.Fairness == nil {
 		return nil
@@ -182,7 +182,7 @@
 func decimal(a, absent float64) string { return strconv.FormatFloat(cmp.Or(a, absent), 'f', -1, 64) }
 
 // PartsNeedingRestart lists the parts of next that differ and that a reload can't change: all
-// but the address of the discovery service and the teams.
+// but the address of the discovery service and the tenants.
 func (x *Setup) PartsNeedingRestart(next *Setup) (parts []string) {
 	for name, same := range map[string]bool{
 		"name": x.Name == next.Name, "listen": x.Listen == next.Listen, "seed": x.Seed == next.Seed,
--- a/internal/setup/fleet.go
+++ b/internal/setup/fleet.go
@@ -34,7 +34,7 @@
 	// Lease is the time for which a controller keeps serving after it lost the leader. A change
 	// may have to wait so long for that controller. The value is a duration or unbounded.
 	Lease Lease `yaml:"lease"` // default 5s
-	// ConfinedLease is the lease for queries of teams that placement rules confine to sites.
+	// ConfinedLease is the lease for queries of tenants that placement rules confine to sites.
 	ConfinedLease Lease   `yaml:"lease_bound"` // default lease
 	ClockDrift    float64 `yaml:"drift"`       // largest relative error between two clocks; default 0.01
 	// ElectionTimeout is the time without a message of a leader after which an election starts,
--- a/internal/setup/placement.go
+++ b/internal/setup/placement.go
@@ -18,12 +18,12 @@
 	"railrelay.dev/railrelay/internal/residency"
 )
 
-// PlacementRule confines tables of a team to some of the engines' locations. The team is one of
+// PlacementRule confines tables of a tenant to some of the engines' locations. The tenant is one of
 // Fairness or a customer of Shares.
 type PlacementRule struct {
 	Name        string   `yaml:"name"`
 	Tenant      string   `yaml:"team"`
-	Tables      []int64  `yaml:"tables"`  // table groups; default all of the team
+	Tables      []int64  `yaml:"tables"`  // table groups; default all of the tenant
 	EngineSites []string `yaml:"engines"` // sites whose engines may process the tables; default all
 	// ControllerSites lists the sites whose controllers may accept queries on the tables; default as
 	// EngineSites.
@@ -52,8 +52,8 @@
 	return l
 }
 
-// teamNames returns the teams and customers that a query can belong to.
-func (x *Setup) teamNames() []string {
+// tenantNames returns the tenants and customers that a query can belong to.
+func (x *Setup) tenantNames() []string {
 	names := []string{}
 	var walk func(l []Tenant)
 	walk = func(l []Tenant) {
@@ -92,11 +92,11 @@
 	if len(sites) == 0 {
 		sites = []string{"here"}
 	}
-	teams := x.teamNames()
+	tenants := x.tenantNames()
 	if x.IsControlProcess() { // only controllers know which exist
-		sites, teams = nil, nil
+		sites, tenants = nil, nil
 	}
-	for _, f := range residency.ValidateRules(x.placementRules(), sites, teams) {
+	for _, f := range residency.ValidateRules(x.placementRules(), sites, tenants) {
 		c.addError(fmt.Sprintf("placement[%d].%s", f.RuleIndex, f.Field), "%s", f.Reason)
 	}
 }
@@ -111,7 +111,7 @@
 	Voters    []Voter         `yaml:"voters"` // voters from now on; default unchanged
 }
 
-// PolicyTenants are all teams of the fleet.
+// PolicyTenants are all tenants of the fleet.
 type PolicyTenants struct {
 	Default     string   `yaml:"default"`
 	AgeingLimit Duration `yaml:"age"`
@@ -233,7 +233,7 @@
 	if p.Placement != nil {
 		s.Placement = p.Placement
 	}
-	c.checkPlacement(s) // rules that the policy omits may name teams that it removes
+	c.checkPlacement(s) // rules that the policy omits may name tenants that it removes
 	c.checkPolicyVoters(p.Voters)
 }
 
--- a/internal/setup/policy_bench_test.go
+++ b/internal/setup/policy_bench_test.go
@@ -9,7 +9,7 @@
 // largePolicyBytes is the size of large policies in the scale benchmark.
 const largePolicyBytes = 100_000
 
-// BenchmarkLargePolicy parses a policy with about 3,000 teams. Each controller does so once for
+// BenchmarkLargePolicy parses a policy with about 3,000 tenants. Each controller does so once for
 // each change.
 func BenchmarkLargePolicy(b *testing.B) {
 	var text bytes.Buffer
--- a/internal/setup/result_cache.go
+++ b/internal/setup/result_cache.go
@@ -17,7 +17,7 @@
 	MemoryMB    float64  `yaml:"memory_mb"` // of all answers; default 16
 	MaxEntries  int      `yaml:"count"`     // default 10000
 	MaxAnswerKB float64  `yaml:"answer_kb"` // a larger answer is not cached; default 1024, at most MemoryMB
-	// TenantShare is the fraction of the memory above which a team's answers are evicted first;
+	// TenantShare is the fraction of the memory above which a tenant's answers are evicted first;
 	// default 0.25.
 	TenantShare float64 `yaml:"team_share"`
 	// Groups lists the groups whose answers are cached; default all read-only groups that keep no
--- a/internal/setup/setup.go
+++ b/internal/setup/setup.go
@@ -1,7 +1,7 @@
 // Package setup reads and checks the YAML files of railrelay: the configuration of a process,
 // which operators call its set-up, and the policy of a fleet.
 //
-// Reading is strict. An unknown key, a value with a wrong unit or a second team with the same
+// Reading is strict. An unknown key, a value with a wrong unit or a second tenant with the same
 // name is an error that names the file, the line and the field and shows the line. A file with
 // an error has no effect. Comments on the fields tell their defaults.
 package setup
@@ -31,7 +31,7 @@
 	Answers          *ResultCache `yaml:"answers"`  // nil: every query goes to an engine
 	Shares           *Shares      `yaml:"shares"`   // nil: customers have no quotas
 	Fleet            *Fleet       `yaml:"fleet"`    // nil: the controller is in no fleet
-	// Placement restricts the sites of teams' data; nil: unrestricted.
+	// Placement restricts the sites of tenants' data; nil: unrestricted.
 	Placement []PlacementRule `yaml:"placement"`
 	// Estimates names the call fields with a query's estimated work, in milliseconds of one
 	// thread, and its estimated memory, in MB. Empty: calls have no such field.
@@ -155,12 +155,12 @@
 // Fairness configures the fair queue, which decides whose query starts next.
 type Fairness struct {
 	Fields  Fields   `yaml:"fields"`
-	Trusted []Prefix `yaml:"trusted"` // clients whose calls may name a team; default none
-	// Default is the team of all other clients; default a further team of weight 1.
+	Trusted []Prefix `yaml:"trusted"` // clients whose calls may name a tenant; default none
+	// Default is the tenant of all other clients; default a further tenant of weight 1.
 	Default string `yaml:"default"`
 	// AgeingLimit is the wait after which a query starts before all younger ones; default 10s.
 	AgeingLimit Duration `yaml:"age"`
-	MaxWaiting  int      `yaml:"waiting"` // queries of all teams; default 100000
+	MaxWaiting  int      `yaml:"waiting"` // queries of all tenants; default 100000
 	// OverrunFactor is the multiple of its estimated work that a query may use before its priority
 	// is lowered; default 4.
 	OverrunFactor float64 `yaml:"overrun"`
@@ -172,7 +172,7 @@
 
 // Fields are the names of the call fields that the fair queue reads. An empty name disables the field.
 type Fields struct {
-	Tenant     string `yaml:"team"`  // names the team
+	Tenant     string `yaml:"team"`  // names the tenant
 	NotifyWait string `yaml:"tell"`  // asks for notifications of the estimated wait
 	RepeatOf   string `yaml:"again"` // trace of the call that this one repeats
 }
--- a/internal/setup/spool.go
+++ b/internal/setup/spool.go
@@ -23,11 +23,11 @@
 	// MaxResultMB limits one result; default 1024, at most the space in memory and on disk.
 	MaxResultMB float64 `yaml:"result_mb"`
 	MaxResults  int     `yaml:"results"` // at once; default 10000
-	// TenantShare is the fraction of the space above which a team's results are evicted first;
+	// TenantShare is the fraction of the space above which a tenant's results are evicted first;
 	// default 0.25.
 	TenantShare      float64  `yaml:"team_share"`
-	MaxTenantResults int      `yaml:"team_results"` // of one team at once; default 1000
-	MaxTenantMB      float64  `yaml:"team_mb"`      // of one team; default unlimited
+	MaxTenantResults int      `yaml:"team_results"` // of one tenant at once; default 1000
+	MaxTenantMB      float64  `yaml:"team_mb"`      // of one tenant; default unlimited
 	IdleTimeout      Duration `yaml:"idle"`         // after its last read, a result expires; default 15m
 	// MaxAge is the time from its creation until a result expires, even if it is read; default 2h.
 	MaxAge       Duration `yaml:"life"`
--- a/internal/spool/purge.go
+++ b/internal/spool/purge.go
@@ -24,7 +24,7 @@
 	c.advance(now)
 	var matching []*Result
 	collect := func(r *Result) {
-		if r.tag.LogIndex < index && s.Matches(r.owner(), r.tag.Tables, r.createdWall) {
+		if r.tag.LogIndex < index && s.Matches(r.owner(), r.tag.Tables, r.createdUnixMillis) {
 			matching = append(matching, r)
 		}
 	}
@@ -65,9 +65,9 @@
 	c.submit(w)
 }
 
-// TagOf returns the tag of the result that a token opens for a team, or an empty tag if it opens none.
-func (c *Core) TagOf(token []byte, teamName string) InvalidationTag {
-	if r := c.openToken(token, teamName); r != nil {
+// TagOf returns the tag of the result that a token opens for a tenant, or an empty tag if it opens none.
+func (c *Core) TagOf(token []byte, tenantName string) InvalidationTag {
+	if r := c.openToken(token, tenantName); r != nil {
 		return r.tag
 	}
 	return InvalidationTag{}
--- a/internal/spool/reading.go
+++ b/internal/spool/reading.go
@@ -25,10 +25,10 @@
 // ReadPage passes a page of the result that a token opens to tell, at once or after a disk read. The
 // error is ErrPageNotFound for every token or page number that is not valid, ErrTooManyReads, or the
 // error of the disk.
-func (c *Core) ReadPage(now time.Duration, token []byte, teamName string, number int,
+func (c *Core) ReadPage(now time.Duration, token []byte, tenantName string, number int,
 	tell func(body []byte, err error)) {
 	c.advance(now)
-	r := c.openToken(token, teamName)
+	r := c.openToken(token, tenantName)
 	if r == nil || number < 0 || number >= r.pageCount || !c.mayServe(r) {
 		c.Counts.BadTokens++
 		tell(nil, ErrPageNotFound)
@@ -61,7 +61,7 @@
 }
 
 // owner returns the data owner that purges and residency rules name.
-func (r *Result) owner() string { return cmp.Or(r.tag.Owner, r.team.name) }
+func (r *Result) owner() string { return cmp.Or(r.tag.Owner, r.tenant.name) }
 
 func (c *Core) fetch(r *Result, number int, tell func(body []byte, err error)) {
 	c.activeReads++
--- a/internal/spool/room.go
+++ b/internal/spool/room.go
@@ -6,12 +6,12 @@
 // being written, dropped results are not compacted yet, or another result expires, is being read or
 // is being written.
 func (c *Core) spaceMayCome(until time.Duration, waiting *Result) bool {
-	teamIsFull := c.exceedsTeamLimit(waiting, 1) // then only space of the same team helps
-	if !teamIsFull && (c.writingBytes > 0 || c.deadBytes > 0) {
+	tenantIsFull := c.exceedsTenantLimit(waiting, 1) // then only space of the same tenant helps
+	if !tenantIsFull && (c.writingBytes > 0 || c.deadBytes > 0) {
 		return true
 	}
 	for _, r := range c.results {
-		if teamIsFull && r.team != waiting.team {
+		if tenantIsFull && r.tenant != waiting.tenant {
 			continue
 		}
 		if r.expiry(c) <= until || r.pendingReads > 0 || r.pendingWrites > 0 {
@@ -21,9 +21,9 @@
 	return false
 }
 
-// exceedsTeamLimit reports whether size more bytes of a result would exceed the limit of its team.
-func (c *Core) exceedsTeamLimit(r *Result, size int64) bool {
-	return c.MaxTenantBytes > 0 && r.team.bytes+size > c.MaxTenantBytes
+// exceedsTenantLimit reports whether size more bytes of a result would exceed the limit of its tenant.
+func (c *Core) exceedsTenantLimit(r *Result, size int64) bool {
+	return c.MaxTenantBytes > 0 && r.tenant.bytes+size > c.MaxTenantBytes
 }
 
 // sizeLimit returns the largest size that a result can ever have.
@@ -40,8 +40,8 @@
 
 // makeSpace reports whether a page of a result fits, and evicts other results to make it fit.
 func (c *Core) makeSpace(r *Result, size int64) bool {
-	for c.exceedsTeamLimit(r, size) {
-		if !c.evictOne(r.team, afterRead|expired) {
+	for c.exceedsTenantLimit(r, size) {
+		if !c.evictOne(r.tenant, afterRead|expired) {
 			return false
 		}
 	}
@@ -111,17 +111,17 @@
 	return r.readPastFirst && r.unreadCount > 0 && c.now < r.expiry(c)
 }
 
-// evictOne drops one result of a team (nil: of any team), for one of the given reasons: a result that
-// was read to its end before one that has expired, before one of a team over its share; of equal
+// evictOne drops one result of a tenant (nil: of any tenant), for one of the given reasons: a result that
+// was read to its end before one that has expired, before one of a tenant over its share; of equal
 // results the largest. It never drops a result that is being read and has not expired.
-func (c *Core) evictOne(of *team, reasons int) bool {
+func (c *Core) evictOne(of *tenant, reasons int) bool {
 	if c.nothingEvictable && c.now-c.nothingEvictableAt < evictionRetryInterval {
 		return false
 	}
 	var best *Result
 	bestRank := 0
 	for _, r := range c.results {
-		if !r.isIdle() || of != nil && r.team != of || r.isBeingRead(c) {
+		if !r.isIdle() || of != nil && r.tenant != of || r.isBeingRead(c) {
 			continue
 		}
 		rank := 0
@@ -130,7 +130,7 @@
 			rank = 3
 		case reasons&expired != 0 && c.now >= r.expiry(c):
 			rank = 2
-		case reasons&overShare != 0 && c.isOverShare(r.team):
+		case reasons&overShare != 0 && c.isOverShare(r.tenant):
 			rank = 1
 		default:
 			continue
@@ -158,9 +158,9 @@
 	return true
 }
 
-// isOverShare reports whether a team holds more than its share of the disk, or of the memory without
+// isOverShare reports whether a tenant holds more than its share of the disk, or of the memory without
 // a disk.
-func (c *Core) isOverShare(t *team) bool {
+func (c *Core) isOverShare(t *tenant) bool {
 	capacity := c.MaxDiskBytes
 	if capacity == 0 {
 		capacity = c.MaxMemoryBytes
--- a/internal/spool/spool.go
+++ b/internal/spool/spool.go
@@ -6,7 +6,7 @@
 //
 // A result is received page by page from its engine, then committed, then read by its client. With
 // a disk, a result of more than one page is committed once the disk holds all of its pages. Times
-// are durations since the start unless a name says wall (milliseconds since 1970); sizes are bytes.
+// are durations since the start unless a name ends in UnixMillis; sizes are bytes.
 package spool
 
 import (
@@ -27,9 +27,9 @@
 	MaxDiskBytes     int64         // pages on disk; 0: no disk, and results are lost when the process ends
 	MaxResults       int           // results at the same time
 	MaxResultBytes   int64         // size of one result
-	TenantShare      float64       // fraction of the space beyond which a team's results are evicted first
-	MaxTenantResults int           // results of one team at the same time
-	MaxTenantBytes   int64         // all results of one team; 0: no limit but TenantShare, when space is short
+	TenantShare      float64       // fraction of the space beyond which a tenant's results are evicted first
+	MaxTenantResults int           // results of one tenant at the same time
+	MaxTenantBytes   int64         // all results of one tenant; 0: no limit but TenantShare, when space is short
 	IdleTimeout      time.Duration // a result expires this long after its last read
 	MaxAge           time.Duration // and at the latest this long after its commit
 	PageBytes        int           // pages from the engine are merged up to this size
@@ -73,14 +73,14 @@
 type Metadata struct {
 	ResultID                             uint64
 	Query, Tenant                        string
-	CreatedUnixMillis, ExpiresUnixMillis int64 // milliseconds since 1970
+	CreatedUnixMillis, ExpiresUnixMillis int64
 	PageRows                             []uint32
 	InvalidationTag
 }
 
 // InvalidationTag holds what a purge matches a result by.
 type InvalidationTag struct {
-	Owner    string  // the data owner, if the team doesn't identify it
+	Owner    string  // the data owner, if the tenant doesn't identify it
 	LogIndex uint64  // index in the fleet's log when the query was received
 	Tables   []int64 // table groups that the query reads; empty: unknown
 }
@@ -109,7 +109,7 @@
 type Core struct {
 	Limits
 	keys               *Keyring
-	startWall          int64 // the start, in milliseconds since 1970
+	startUnixMillis    int64
 	lastID             uint64
 	now                time.Duration
 	submit             func(*DiskTask)
@@ -118,7 +118,7 @@
 	serial             uint64
 	nothingEvictableAt time.Duration // when the last scan found nothing to evict
 	nothingEvictable   bool
-	teams              map[string]*team
+	tenants            map[string]*tenant
 	count              int // results, including those being received
 	memoryBytes        int64
 	diskBytes          int64
@@ -146,7 +146,7 @@
 	BytesIn                                            int64
 }
 
-type team struct {
+type tenant struct {
 	name    string
 	results int
 	bytes   int64
@@ -154,35 +154,35 @@
 
 // Result is a result that is being received or was committed.
 type Result struct {
-	id            uint64
-	serial        uint64 // order of admission
-	query         string
-	team          *team
-	tag           InvalidationTag
-	createdWall   int64 // time of the admission, then of the commit, in milliseconds since 1970
-	purged        bool
-	pages         []page // while it is received, and as long as any page is in memory
-	pageChecksum  uint64
-	bytes         int64
-	rows          int64
-	onDisk        int64 // bytes on disk, with the overhead of records
-	inMemory      int64
-	pageCount     int
-	complete      bool
-	dropped       bool
-	pendingWrites int // write tasks that are not done
-	failure       error
-	onCommitted   func(error) // set while a commit is in progress
-	pendingReads  int         // read tasks that are not done
-	readPages     []uint64    // bitmap of the pages that were read, except the first
-	unreadCount   int         // pages after the first that were never read
-	createdAt     time.Duration
-	lastReadAt    time.Duration
-	expiresAt     time.Duration
-	expiresWall   int64
-	lruElement    intrusivelist.Element[Result] // in Core.cachedLRU
-	inLRU         bool
-	readPastFirst bool // its client has asked for a page by token
+	id                uint64
+	serial            uint64 // order of admission
+	query             string
+	tenant            *tenant
+	tag               InvalidationTag
+	createdUnixMillis int64 // of the admission, then of the commit
+	purged            bool
+	pages             []page // while it is received, and as long as any page is in memory
+	pageChecksum      uint64
+	bytes             int64
+	rows              int64
+	onDisk            int64 // bytes on disk, with the overhead of records
+	inMemory          int64
+	pageCount         int
+	complete          bool
+	dropped           bool
+	pendingWrites     int // write tasks that are not done
+	failure           error
+	onCommitted       func(error) // set while a commit is in progress
+	pendingReads      int         // read tasks that are not done
+	readPages         []uint64    // bitmap of the pages that were read, except the first
+	unreadCount       int         // pages after the first that were never read
+	createdAt         time.Duration
+	lastReadAt        time.Duration
+	expiresAt         time.Duration
+	expiresUnixMillis int64
+	lruElement        intrusivelist.Element[Result] // in Core.cachedLRU
+	inLRU             bool
+	readPastFirst     bool // its client has asked for a page by token
 }
 
 type page struct {
@@ -211,20 +211,20 @@
 	return d.Sum64()
 }
 
-// New returns an empty spool. wall is the start in milliseconds since 1970, first+1 is the ID of the
+// New returns an empty spool. startUnixMillis is the Unix time of the start, first+1 is the ID of the
 // first new result, and submit receives the disk tasks.
-func New(l Limits, keys *Keyring, wall int64, first uint64, submit func(*DiskTask)) *Core {
-	return &Core{Limits: l, keys: keys, startWall: wall, lastID: first, submit: submit,
-		results: map[uint64]*Result{}, receiving: map[*Result]bool{}, teams: map[string]*team{}}
+func New(l Limits, keys *Keyring, startUnixMillis int64, first uint64, submit func(*DiskTask)) *Core {
+	return &Core{Limits: l, keys: keys, startUnixMillis: startUnixMillis, lastID: first, submit: submit,
+		results: map[uint64]*Result{}, receiving: map[*Result]bool{}, tenants: map[string]*tenant{}}
 }
 
 func (c *Core) advance(now time.Duration) { c.now = max(c.now, now) }
 
-// Restore adds a result that was on disk at the start. It expires at the stored wall clock time, but
+// Restore adds a result that was on disk at the start. It expires at the stored Unix time, but
 // no later than a new result would, so that a changed clock can't extend its life.
 func (c *Core) Restore(f *StoredResult) {
-	r := &Result{id: f.ResultID, query: f.Query, team: c.teamOf(f.Tenant), pageCount: len(f.PageRows),
-		complete: true, tag: f.InvalidationTag, createdWall: f.CreatedUnixMillis}
+	r := &Result{id: f.ResultID, query: f.Query, tenant: c.findOrAddTenant(f.Tenant), pageCount: len(f.PageRows),
+		complete: true, tag: f.InvalidationTag, createdUnixMillis: f.CreatedUnixMillis}
 	r.pageChecksum = checksumPages(func(i int) uint32 { return f.PageBytes[i] },
 		func(i int) uint32 { return f.PageRows[i] }, r.pageCount)
 	for i, rows := range f.PageRows {
@@ -233,28 +233,30 @@
 		r.onDisk += int64(f.PageBytes[i]) + recordOverheadBytes
 	}
 	r.unreadCount = max(0, r.pageCount-1)
-	r.expiresWall = f.ExpiresUnixMillis
-	r.expiresAt = min(time.Duration(f.ExpiresUnixMillis-c.startWall)*time.Millisecond, c.MaxAge)
+	r.expiresUnixMillis = f.ExpiresUnixMillis
+	r.expiresAt = min(time.Duration(f.ExpiresUnixMillis-c.startUnixMillis)*time.Millisecond, c.MaxAge)
 	r.lastReadAt = 0
 	c.results[r.id] = r
 	c.count++
 	c.diskBytes += r.onDisk
-	r.team.results++
-	r.team.bytes += r.bytes
+	r.tenant.results++
+	r.tenant.bytes += r.bytes
 }
 
-func (c *Core) teamOf(name string) *team {
-	t := c.teams[name]
+// findOrAddTenant returns the tenant of a name, and adds the tenant if it has no results yet.
+func (c *Core) findOrAddTenant(name string) *tenant {
+	t := c.tenants[name]
 	if t == nil {
-		t = &team{name: name}
-		c.teams[name] = t
+		t = &tenant{name: name}
+		c.tenants[name] = t
 	}
 	return t
 }
 
-func (c *Core) forgetTeam(t *team) {
+// removeTenantIfEmpty forgets a tenant that has no results.
+func (c *Core) removeTenantIfEmpty(t *tenant) {
 	if t.results == 0 && t.bytes == 0 {
-		delete(c.teams, t.name)
+		delete(c.tenants, t.name)
 	}
 }
 
@@ -263,17 +265,17 @@
 
 // Admit begins the result of a paged query before the query is sent to an engine. The error is a
 // RefusalError if there are too many results.
-func (c *Core) Admit(now time.Duration, query, teamName string, tag InvalidationTag) (*Result, error) {
+func (c *Core) Admit(now time.Duration, query, tenantName string, tag InvalidationTag) (*Result, error) {
 	c.advance(now)
-	t := c.teamOf(teamName)
+	t := c.findOrAddTenant(tenantName)
 	if t.results >= c.MaxTenantResults && !c.evictOne(t, afterRead|expired) {
 		c.Counts.Refused++
-		c.forgetTeam(t)
+		c.removeTenantIfEmpty(t)
 		return nil, RefusalError("too many results of this team are retained")
 	}
 	if c.count >= c.MaxResults && !c.evictOne(nil, afterRead|expired|overShare) {
 		c.Counts.Refused++
-		c.forgetTeam(t)
+		c.removeTenantIfEmpty(t)
 		return nil, RefusalError("too many results are retained")
 	}
 	c.Counts.Admitted++
@@ -283,20 +285,20 @@
 // AdmitAgain begins another result for the same query, for a further attempt that returns pages.
 func (c *Core) AdmitAgain(now time.Duration, r *Result) *Result {
 	c.advance(now)
-	again := c.begin(r.query, r.team, r.tag)
+	again := c.begin(r.query, r.tenant, r.tag)
 	if r.purged {
 		again.purged, again.failure = true, ErrPurged
 	}
 	return again
 }
 
-func (c *Core) begin(query string, t *team, tag InvalidationTag) *Result {
+func (c *Core) begin(query string, t *tenant, tag InvalidationTag) *Result {
 	c.count++
 	t.results++
-	c.teams[t.name] = t
+	c.tenants[t.name] = t
 	c.serial++
-	r := &Result{query: query, team: t, serial: c.serial, tag: tag,
-		createdWall: c.startWall + c.now.Milliseconds()}
+	r := &Result{query: query, tenant: t, serial: c.serial, tag: tag,
+		createdUnixMillis: c.startUnixMillis + c.now.Milliseconds()}
 	c.receiving[r] = true
 	return r
 }
@@ -338,7 +340,7 @@
 	c.Counts.BytesIn += size
 	r.bytes += size
 	r.rows += int64(rows)
-	r.team.bytes += size
+	r.tenant.bytes += size
 	c.memoryBytes += size
 	r.inMemory += size
 	if n := len(r.pages); n > 0 && r.pages[n-1].state == inMemory &&
@@ -364,8 +366,8 @@
 	c.advance(now)
 	r.onCommitted = tell
 	r.assignID(c)
-	r.createdAt, r.expiresAt, r.createdWall = c.now, c.now+c.MaxAge, c.startWall+c.now.Milliseconds()
-	r.expiresWall = c.startWall + r.expiresAt.Milliseconds()
+	r.createdAt, r.expiresAt, r.createdUnixMillis = c.now, c.now+c.MaxAge, c.startUnixMillis+c.now.Milliseconds()
+	r.expiresUnixMillis = c.startUnixMillis + r.expiresAt.Milliseconds()
 	r.pageCount = len(r.pages)
 	r.pageChecksum = checksumPages(func(i int) uint32 { return r.pages[i].size },
 		func(i int) uint32 { return r.pages[i].rows }, r.pageCount)
@@ -377,9 +379,9 @@
 	for i := range r.pages {
 		rows[i] = r.pages[i].rows
 	}
-	c.write(r, r.pageCount, &Metadata{ResultID: r.id, Query: r.query, Tenant: r.team.name,
-		CreatedUnixMillis: c.startWall + c.now.Milliseconds(), ExpiresUnixMillis: r.expiresWall, PageRows: rows,
-		InvalidationTag: r.tag})
+	c.write(r, r.pageCount, &Metadata{ResultID: r.id, Query: r.query, Tenant: r.tenant.name,
+		CreatedUnixMillis: c.startUnixMillis + c.now.Milliseconds(), ExpiresUnixMillis: r.expiresUnixMillis,
+		PageRows: rows, InvalidationTag: r.tag})
 }
 
 // assignID gives the result its ID, unless it has one.
@@ -421,9 +423,9 @@
 	delete(c.receiving, r)
 	c.releaseMemory(r)
 	c.nothingEvictable = false
-	r.team.bytes -= r.bytes
-	r.team.results--
-	c.forgetTeam(r.team)
+	r.tenant.bytes -= r.bytes
+	r.tenant.results--
+	c.removeTenantIfEmpty(r.tenant)
 	c.count--
 	if c.results[r.id] == r {
 		delete(c.results, r.id)
--- a/internal/spool/spool_test.go
+++ b/internal/spool/spool_test.go
@@ -41,7 +41,7 @@
 type committedResult struct {
 	r      *Result
 	token  string
-	team   string
+	tenant string
 	pages  [][]byte
 	read   map[int]bool
 	readAt time.Duration
@@ -64,7 +64,7 @@
 
 type incomingResult struct {
 	r               *Result
-	team            string
+	tenant          string
 	bytes           []byte
 	waiting         bool
 	commitRequested bool // Commit was called
@@ -123,7 +123,7 @@
 		if h.r.purged {
 			purgedIDs = append(purgedIDs, id)
 			delete(b.committed, id)
-			b.c.ReadPage(b.now, []byte(h.token), h.team, 0, func(_ []byte, err error) {
+			b.c.ReadPage(b.now, []byte(h.token), h.tenant, 0, func(_ []byte, err error) {
 				if err != ErrPageNotFound {
 					b.t.Fatal("a token opens a purged result: ", err)
 				}
@@ -132,7 +132,7 @@
 	}
 	for _, l := range []map[uint64]*Result{b.c.results} {
 		for _, r := range l {
-			if s.Matches(r.team.name, r.tag.Tables, r.createdWall) {
+			if s.Matches(r.tenant.name, r.tag.Tables, r.createdUnixMillis) {
 				b.t.Fatal("a result in the scope is left after the purge")
 			}
 		}
@@ -173,25 +173,25 @@
 		b.t.Fatalf("over a limit: %d results, %d of %d in memory, %d of %d on disk", count, m, b.c.MaxMemoryBytes,
 			d, b.c.MaxDiskBytes)
 	}
-	for name, team := range b.c.teams {
+	for name, tenant := range b.c.tenants {
 		n, size := 0, int64(0)
 		for _, l := range []map[*Result]bool{b.c.receiving} {
 			for r := range l {
-				if r.team == team {
+				if r.tenant == tenant {
 					n, size = n+1, size+r.bytes
 				}
 			}
 		}
 		for _, r := range b.c.results {
-			if r.team == team {
+			if r.tenant == tenant {
 				n, size = n+1, size+r.bytes
 			}
 		}
 		if size > b.c.MaxTenantBytes {
 			b.t.Fatalf("team %s has %d bytes of %d", name, size, b.c.MaxTenantBytes)
 		}
-		if n != team.results || size != team.bytes {
-			b.t.Fatalf("team %s has %d results of %d bytes, not %d of %d", name, n, size, team.results, team.bytes)
+		if n != tenant.results || size != tenant.bytes {
+			b.t.Fatalf("team %s has %d results of %d bytes, not %d of %d", name, n, size, tenant.results, tenant.bytes)
 		}
 	}
 }
@@ -230,10 +230,10 @@
 			b.writesFail = rapid.IntRange(0, 30).Draw(t, "fails") == 0
 			switch x := rapid.IntRange(0, 12).Draw(t, "what"); {
 			case x == 0:
-				team := []string{"linz", "steyr", "enns"}[rapid.IntRange(0, 2).Draw(t, "team")]
-				if r, err := b.c.Admit(b.now, fmt.Sprint("q", len(b.incoming)), team,
+				tenant := []string{"linz", "steyr", "enns"}[rapid.IntRange(0, 2).Draw(t, "team")]
+				if r, err := b.c.Admit(b.now, fmt.Sprint("q", len(b.incoming)), tenant,
 					InvalidationTag{LogIndex: b.index, Tables: []int64{int64(len(b.incoming) % 3)}}); err == nil {
-					b.incoming = append(b.incoming, &incomingResult{r: r, team: team})
+					b.incoming = append(b.incoming, &incomingResult{r: r, tenant: tenant})
 				}
 			case x < 6 && len(b.incoming) > 0:
 				k := b.incoming[rapid.IntRange(0, len(b.incoming)-1).Draw(t, "take")]
@@ -256,7 +256,8 @@
 						return
 					}
 					committed++
-					h := &committedResult{r: k.r, token: b.c.Token(k.r), team: k.team, read: map[int]bool{}, readAt: b.now,
+					h := &committedResult{r: k.r, token: b.c.Token(k.r), tenant: k.tenant,
+						read: map[int]bool{}, readAt: b.now,
 						made: k.r.createdAt}
 					from := 0
 					for i := range k.r.pages {
@@ -289,7 +290,7 @@
 				i := rapid.IntRange(0, len(h.pages)-1).Draw(t, "page")
 				live := !h.r.dropped && b.now < min(h.readAt+l.IdleTimeout, h.made+l.MaxAge)
 				called := false
-				b.c.ReadPage(b.now, []byte(h.token), h.team, i, func(p []byte, err error) {
+				b.c.ReadPage(b.now, []byte(h.token), h.tenant, i, func(p []byte, err error) {
 					called = true
 					switch {
 					case err == nil && h.r.purged:
@@ -349,8 +350,8 @@
 }
 
 // commitTwoPages adds and commits a result of two pages.
-func commitTwoPages(t testing.TB, c *Core, team string) (*Result, string) {
-	r, err := c.Admit(c.now, "q", team, InvalidationTag{})
+func commitTwoPages(t testing.TB, c *Core, tenant string) (*Result, string) {
+	r, err := c.Admit(c.now, "q", tenant, InvalidationTag{})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -377,15 +378,17 @@
 		func(w *DiskTask) { t.Fatal("a disk task without a disk") })
 }
 
-// A wall clock that was set back or forward doesn't make a restored result live longer than a new one.
+// A system clock that was set back or forward doesn't make a restored result live longer than a new one.
 func TestClockChangeDoesNotExtendResultLife(t *testing.T) {
 	for _, off := range []time.Duration{-48 * time.Hour, -time.Minute, 0, time.Hour, 48 * time.Hour} {
 		l := DefaultLimits()
 		l.MaxDiskBytes = 1 << 30
-		wall := int64(1_700_000_000_000)
-		c := New(l, newKeyring(t), wall+off.Milliseconds(), 2<<32, func(w *DiskTask) { w.OnDone(0) })
-		c.Restore(&StoredResult{Metadata{ResultID: 1, Query: "q", Tenant: "linz", CreatedUnixMillis: wall,
-			ExpiresUnixMillis: wall + l.MaxAge.Milliseconds(), PageRows: []uint32{1, 1}}, []uint32{10, 10}})
+		createdUnixMillis := int64(1_700_000_000_000)
+		c := New(l, newKeyring(t), createdUnixMillis+off.Milliseconds(), 2<<32, func(w *DiskTask) { w.OnDone(0) })
+		c.Restore(&StoredResult{Metadata{ResultID: 1, Query: "q", Tenant: "linz",
+			CreatedUnixMillis: createdUnixMillis,
+			ExpiresUnixMillis: createdUnixMillis + l.MaxAge.Milliseconds(),
+			PageRows:          []uint32{1, 1}}, []uint32{10, 10}})
 		r := c.results[1]
 		left := c.TimeToLive(r)
 		if want := min(l.IdleTimeout, max(0, l.MaxAge-max(0, off))); left > l.IdleTimeout ||
@@ -458,7 +461,7 @@
 	}
 }
 
-// The order of eviction: results read to the end, expired results, the largest results of a team
+// The order of eviction: results read to the end, expired results, the largest results of a tenant
 // over its share. A result that is being read and has not expired is never evicted.
 func TestEvictionOrderSparesResultsBeingRead(t *testing.T) {
 	l := Limits{MaxMemoryBytes: 100_000, MaxDiskBytes: 0, MaxResults: 100, MaxResultBytes: 50_000,
@@ -470,8 +473,8 @@
 		r     *Result
 		token string
 	}
-	keep := func(team string, pages int) (k retained, v AddOutcome) {
-		r, err := c.Admit(c.now, "q", team, InvalidationTag{})
+	keep := func(tenant string, pages int) (k retained, v AddOutcome) {
+		r, err := c.Admit(c.now, "q", tenant, InvalidationTag{})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -486,7 +489,7 @@
 	}
 	read := func(k retained, pages ...int) {
 		for _, i := range pages {
-			c.ReadPage(c.now, []byte(k.token), k.r.team.name, i, func(_ []byte, err error) {
+			c.ReadPage(c.now, []byte(k.token), k.r.tenant.name, i, func(_ []byte, err error) {
 				if err != nil {
 					t.Fatal(err)
 				}
@@ -495,7 +498,7 @@
 	}
 	old, _ := keep("enns", 20) // has expired when space is short
 	c.now += 50 * time.Second
-	reading, _ := keep("linz", 25) // the largest result of a team over its share, but being read
+	reading, _ := keep("linz", 25) // the largest result of a tenant over its share, but being read
 	unread, _ := keep("linz", 20)
 	small, _ := keep("linz", 5)
 	done, _ := keep("steyr", 25)
--- a/internal/spool/token.go
+++ b/internal/spool/token.go
@@ -17,7 +17,7 @@
 //	version (1), key ID (4), result ID (8), expiry (8, milliseconds since 1970), MAC (16)
 //
 // The MAC is the first half of HMAC-SHA-256 (RFC 2104) with that key. It covers the fields before it,
-// the checksum of the sizes and row counts of all pages, the query and the team.
+// the checksum of the sizes and row counts of all pages, the query and the tenant.
 const (
 	tokenVersion  = 1
 	tokenHeadSize = 1 + 4 + 8 + 8
@@ -28,7 +28,7 @@
 // Key signs tokens.
 type Key struct {
 	ID                uint32 `json:"ID"`
-	CreatedUnixMillis int64  `json:"Made"`   // milliseconds since 1970
+	CreatedUnixMillis int64  `json:"Made"`
 	Secret            []byte `json:"Secret"` // 32 bytes
 }
 
@@ -46,7 +46,9 @@
 // NewKeyring decodes a keyring from the text that Encode returned before; with no text it makes the
 // first key. A new key follows after each rotation interval; 0: never. newSecret returns 32 random
 // bytes that can't be guessed.
-func NewKeyring(text []byte, rotate time.Duration, wall int64, newSecret func() []byte) (*Keyring, error) {
+func NewKeyring(
+	text []byte, rotate time.Duration, nowUnixMillis int64, newSecret func() []byte,
+) (*Keyring, error) {
 	k := &Keyring{rotationInterval: rotate, newSecret: newSecret, dummyKey: Key{Secret: make([]byte, 32)}}
 	if len(text) > 0 {
 		if err := json.Unmarshal(text, &k.keys); err != nil {
@@ -59,17 +61,17 @@
 		}
 	}
 	if len(k.keys) == 0 {
-		k.add(wall)
+		k.add(nowUnixMillis)
 	}
 	return k, nil
 }
 
-func (k *Keyring) add(wall int64) {
+func (k *Keyring) add(createdUnixMillis int64) {
 	id := uint32(1)
 	if n := len(k.keys); n > 0 {
 		id = k.keys[n-1].ID + 1
 	}
-	k.keys = append(k.keys, Key{id, wall, k.newSecret()})
+	k.keys = append(k.keys, Key{id, createdUnixMillis, k.newSecret()})
 }
 
 // Encode returns the keys as JSON. The text holds the secrets: it must be stored where nobody else
@@ -88,7 +90,7 @@
 	h.Write(head)
 	p := binary.BigEndian.AppendUint64(nil, r.pageChecksum)
 	p = binary.BigEndian.AppendUint32(p, uint32(len(r.query)))
-	h.Write(append(append(p, r.query...), r.team.name...))
+	h.Write(append(append(p, r.query...), r.tenant.name...))
 	return h.Sum(nil)[:macSize]
 }
 
@@ -97,17 +99,17 @@
 	x := &c.keys.keys[len(c.keys.keys)-1]
 	p := binary.BigEndian.AppendUint32([]byte{tokenVersion}, x.ID)
 	p = binary.BigEndian.AppendUint64(p, r.id)
-	p = binary.BigEndian.AppendUint64(p, uint64(r.expiresWall))
+	p = binary.BigEndian.AppendUint64(p, uint64(r.expiresUnixMillis))
 	return base64.RawURLEncoding.EncodeToString(append(p, c.keys.mac(x, p, r)...))
 }
 
-// noTeam stands in for the team of a result that doesn't exist.
-var noTeam = &team{}
+// missingTenant stands in for the tenant of a result that doesn't exist.
+var missingTenant = &tenant{}
 
-// openToken returns the result that a token opens for a team, nil if it opens none. Every token,
+// openToken returns the result that a token opens for a tenant, nil if it opens none. Every token,
 // valid or not, costs one lookup of the key, one of the result and one MAC, so that a client can't
 // learn from the time taken which part was wrong.
-func (c *Core) openToken(text []byte, teamName string) *Result {
+func (c *Core) openToken(text []byte, tenantName string) *Result {
 	valid := 1
 	require := func(ok bool) {
 		if !ok {
@@ -132,11 +134,11 @@
 	r := c.results[binary.BigEndian.Uint64(p[5:])]
 	if r == nil {
 		require(false)
-		r = &Result{team: noTeam}
+		r = &Result{tenant: missingTenant}
 	}
 	valid &= subtle.ConstantTimeCompare(c.keys.mac(x, p[:tokenHeadSize], r), p[tokenHeadSize:])
-	valid &= subtle.ConstantTimeCompare([]byte(r.team.name), []byte(teamName))
-	require(int64(binary.BigEndian.Uint64(p[13:])) == r.expiresWall)
+	valid &= subtle.ConstantTimeCompare([]byte(r.tenant.name), []byte(tenantName))
+	require(int64(binary.BigEndian.Uint64(p[13:])) == r.expiresUnixMillis)
 	require(c.now < r.expiry(c) && !r.dropped)
 	if valid != 1 {
 		return nil
@@ -151,20 +153,20 @@
 // tokens have all expired. The new keys are used once the disk has stored them.
 func (c *Core) rotateKeys() {
 	k := c.keys
-	wall := c.startWall + c.now.Milliseconds()
+	nowUnixMillis := c.startUnixMillis + c.now.Milliseconds()
 	newest := k.keys[len(k.keys)-1]
 	if k.rotating || k.rotationInterval <= 0 ||
-		time.Duration(wall-newest.CreatedUnixMillis)*time.Millisecond < k.rotationInterval &&
-			wall >= newest.CreatedUnixMillis {
+		time.Duration(nowUnixMillis-newest.CreatedUnixMillis)*time.Millisecond < k.rotationInterval &&
+			nowUnixMillis >= newest.CreatedUnixMillis {
 		return
 	}
 	next := *k
 	next.keys = slices.DeleteFunc(slices.Clone(k.keys), func(x Key) bool {
 		return x.ID != newest.ID &&
-			time.Duration(wall-x.CreatedUnixMillis)*time.Millisecond > 2*k.rotationInterval+c.MaxAge
+			time.Duration(nowUnixMillis-x.CreatedUnixMillis)*time.Millisecond > 2*k.rotationInterval+c.MaxAge
 	})
 	next.keys = next.keys[max(0, len(next.keys)-maxKeys+1):]
-	next.add(wall)
+	next.add(nowUnixMillis)
 	if c.MaxDiskBytes == 0 {
 		k.keys = next.keys
 		return
--- a/internal/spool/token_test.go
+++ b/internal/spool/token_test.go
@@ -12,9 +12,9 @@
 func TestInvalidTokensAreIndistinguishable(t *testing.T) {
 	c := newMemoryCore(t)
 	r, good := commitTwoPages(t, c, "linz")
-	read := func(token, team string, page int) (macs int, err error) {
+	read := func(token, tenant string, page int) (macs int, err error) {
 		before := c.keys.macCount
-		c.ReadPage(c.now, []byte(token), team, page, func(_ []byte, e error) { err = e })
+		c.ReadPage(c.now, []byte(token), tenant, page, func(_ []byte, e error) { err = e })
 		return c.keys.macCount - before, err
 	}
 	if _, err := read(good, "linz", 1); err != nil {
@@ -78,9 +78,9 @@
 	f.Add([]byte(good), "linz")
 	f.Add([]byte(good), "")
 	f.Add([]byte("AQAAAAEAAAABAAAAAQ"), "linz")
-	f.Fuzz(func(t *testing.T, token []byte, team string) {
-		if r := c.openToken(token, team); (r != nil) != (string(token) == good && team == "linz") {
-			t.Fatalf("%q opens %v for %q", token, r, team)
+	f.Fuzz(func(t *testing.T, token []byte, tenant string) {
+		if r := c.openToken(token, tenant); (r != nil) != (string(token) == good && tenant == "linz") {
+			t.Fatalf("%q opens %v for %q", token, r, tenant)
 		}
 	})
 }
