--- a/cmd/railrelay/endings_test.go
+++ b/cmd/railrelay/controlled_engine_test.go
@@ -8,7 +8,6 @@
 	"net"
 	"net/http"
 	"os"
-	"slices"
 	"strings"
 	"sync"
 	"syscall"
@@ -268,59 +267,6 @@
 	}
 }
 
-// 60 controllers start at once while the feed is down, the engine hangs and idle clients use up the
-// connections. Nine in ten must be ready within 10 s, since the configuration has a list of engines. When
-// the feed is back, each controller must connect to it.
-func TestManyControllersBecomeReadyWithoutFeedAndEngines(t *testing.T) {
-	const count = 60
-	closedListener, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	address := closedListener.Addr().String()
-	closedListener.Close()
-	silentEngine, err := net.Listen("tcp", "127.0.0.1:0") // accepts connections and never responds
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer silentEngine.Close()
-	startedAt := time.Now()
-	readyAfter := make([]time.Duration, count)
-	controllers := make([]*controller, count)
-	var wg sync.WaitGroup
-	for i := range controllers {
-		controllers[i] = start(t, address, 96, "127.0.0.1:0", entry("e1", silentEngine.Addr().String(), "SERVING"))
-		wg.Go(func() {
-			for range 60 { // idle connections opened before the client's
-				if x, err := net.Dial("tcp", controllers[i].address); err == nil {
-					defer x.Close()
-				}
-			}
-			for a := controllers[i].client(); !a.ready(); a = controllers[i].client() {
-				a.Close()
-			}
-			readyAfter[i] = time.Since(startedAt)
-		})
-	}
-	wg.Wait()
-	if slices.Sort(readyAfter); readyAfter[count*9/10] > 10*time.Second {
-		t.Fatalf("nine in ten were ready after %v", readyAfter[count*9/10])
-	}
-	restartedFeed, err := net.Listen("tcp", address)
-	if err != nil {
-		t.Skip("the feed's address is in use: ", err)
-	}
-	defer restartedFeed.Close()
-	for range controllers {
-		restartedFeed.(*net.TCPListener).SetDeadline(time.Now().Add(waitLimit))
-		x, err := restartedFeed.Accept()
-		if err != nil {
-			t.Fatal("not every controller connected to the feed: ", err)
-		}
-		defer x.Close()
-	}
-}
-
 // Names, sizes, limits and effects in the settings are random, as those of an unknown customer. The test
 // checks the requests to engines and the responses to clients against these settings.
 func TestServesRandomSettings(t *testing.T) {
--- a/cmd/railrelay/shape_test.go
+++ b/cmd/railrelay/deployment_settings_test.go
@@ -25,9 +25,9 @@
 }
 
 func TestServesAllDeployments(t *testing.T) {
-	for name, shape := range deployments {
+	for name, replacer := range deployments {
 		e, f := newFakeEngine(t, twoPages(false)), newFakeFeed(t)
-		text := shape.Replace(testSettings)
+		text := replacer.Replace(testSettings)
 		if name != "as before" && text == testSettings {
 			t.Fatal("the settings are unchanged in ", name)
 		}
@@ -63,9 +63,9 @@
 			t.Errorf("%s: %v %s", c.new, err, out)
 		}
 	}
-	for name, shape := range deployments {
-		facts, err := settings.FromJSON([]byte(shape.Replace(testSettings)))
-		if refused, warnings := settings.Conflicts(facts); err != nil || len(refused)+len(warnings) > 0 {
+	for name, replacer := range deployments {
+		values, err := settings.FromJSON([]byte(replacer.Replace(testSettings)))
+		if refused, warnings := settings.Conflicts(values); err != nil || len(refused)+len(warnings) > 0 {
 			t.Errorf("%s has conflicts: %v %v %v", name, err, refused, warnings)
 		}
 	}
@@ -90,8 +90,8 @@
 		if text == testSettings {
 			t.Fatalf("%s is not in the settings", c.old)
 		}
-		facts, err := settings.FromJSON([]byte(text))
-		refused, warnings := settings.Conflicts(facts)
+		values, err := settings.FromJSON([]byte(text))
+		refused, warnings := settings.Conflicts(values)
 		if err != nil || len(refused) > 0 || len(warnings) != min(1, len(c.key)) ||
 			len(warnings) == 1 && "settings."+settings.ExternalName(warnings[0][0])+":" != c.key {
 			t.Errorf("%s: %v, refused %v, odd %v", c.new, err, refused, warnings)
--- a/internal/controller/attempt_cancel_test.go
+++ b/internal/controller/attempt_cancel_test.go
@@ -78,3 +78,19 @@
 		t.Fatalf("first query %q, next query sent %d times", first.answer, len(next.runs))
 	}
 }
+
+// A duplicate of the response to a priority change must not be read as the response to a cancellation, which
+// must have arrived before the key's next query is sent.
+func TestDuplicateResponseConfirmsNoCancellation(t *testing.T) {
+	h := newHarness(t, 1, 256, map[string]string{"may.probe": "false"})
+	query := h.sendQuery(h.connect(), "load", "k", 20*time.Second, 1)
+	h.respond(h.waitForCall("POST", query.id), "runs")
+	h.waitForCall("GET", query.id)
+	h.runUntil(h.now + 1500*time.Millisecond)
+	call := h.waitForCall("PUT", query.id) // its latency objective has passed
+	h.respond(call, "ok")
+	h.cancel(query)
+	if h.waitForCall("DELETE", query.id).connection == call.connection {
+		t.Fatal("cancellation sent on a connection that may still deliver a duplicate response")
+	}
+}
--- a/internal/controller/discovery_heartbeat_test.go
+++ b/internal/controller/discovery_heartbeat_test.go
@@ -62,3 +62,27 @@
 		t.Fatal("a connection that fell silent was not replaced")
 	}
 }
+
+// A discovery connection that stays open without messages is replaced well within the 7 s after which the
+// endpoint list counts as known. The events that it missed also apply to an attempt that is being sent.
+func TestSilentDiscoveryIsReplacedInTime(t *testing.T) {
+	h := newHarness(t, 1, 256, map[string]string{"may.probe": "false"})
+	h.runUntil(10 * time.Millisecond)
+	h.listEngines("") // the last message on this connection
+	silent, from, engine := h.discovery, h.now, h.sortedEngines()[0]
+	for h.discovery == silent || !h.discovery.established {
+		if h.runUntil(h.now + time.Millisecond); h.now-from > 1400*time.Millisecond {
+			t.Fatal("silent connection not replaced after ", h.now-from)
+		}
+	}
+	query := h.sendQuery(h.connect(), "lookup", "", time.Second, 1)
+	if h.controller.pool.open != 1 || len(query.runs) > 0 {
+		t.Fatal("no connection is being dialled for the query, so the test proves nothing")
+	}
+	engine.state = "DRAINING"
+	h.listEngines(engine.endpointJSON(0))
+	h.runUntil(h.now + 2*time.Second)
+	if len(query.runs) > 0 || query.answer != "deferred" {
+		t.Fatalf("sent %d times to a draining engine, answer %q", len(query.runs), query.answer)
+	}
+}
