--- a/cmd/railrelay-bench/datapath.go
+++ b/cmd/railrelay-bench/datapath.go
@@ -15,26 +15,27 @@
 func datapathCommand() *cobra.Command {
 	path := bench.DefaultDatapath()
 	file := ""
-	c := &cobra.Command{Use: "datapath", Short: "what engines, clients and queries cost one controller",
-		Args: cobra.NoArgs,
-		Long: "Measures the process of one controller with emulated engines, clients and a discovery service:\n" +
+	c := &cobra.Command{Use: "datapath", Args: cobra.NoArgs,
+		Short: "Measure the cost of engines, clients and queries on one controller",
+		Long: "Measure the process of one controller with emulated engines, clients and a discovery service:\n" +
 			"idle with each number of engines, with each number of idle clients, with queries at each rate, and\n" +
 			"after the loss of an engine that runs a chain. Takes about five minutes.",
 		RunE: func(c *cobra.Command, _ []string) error {
 			return measureDatapath(c.Context(), c.OutOrStdout(), path, file)
 		}}
 	flags := c.Flags()
-	flags.StringVar(&path.Program, "program", path.Program, "the controller")
+	flags.StringVar(&path.Program, "program", path.Program, "path of the railrelay program")
 	flags.IntVar(&path.Controllers, "controllers", path.Controllers,
-		"number of controllers that share the engines, in the set-up")
+		"number of controllers in the set-up, which share the engines")
 	flags.IntSliceVar(&path.EngineCounts, "engines", path.EngineCounts,
-		"numbers of engines to idle with; the largest is used in all other steps")
-	flags.IntSliceVar(&path.QueryRates, "rates", path.QueryRates, "queries a second")
+		"numbers of engines for the idle steps; all other steps use the largest number")
+	flags.IntSliceVar(&path.QueryRates, "rates", path.QueryRates,
+		"queries a second, one rate for each step with queries")
 	flags.IntSliceVar(&path.ClientCounts, "clients", path.ClientCounts,
 		"numbers of idle clients, one for each step")
 	flags.DurationVar(&path.StepDuration, "rest", path.StepDuration, "duration of each step")
 	flags.Uint64Var(&path.Seed, "seed", path.Seed, seedUsage)
-	flags.StringVar(&file, "csv", "", "the file that the results are appended to")
+	flags.StringVar(&file, "csv", "", "file to append the results to")
 	return c
 }
 
--- a/cmd/railrelay-bench/fleets.go
+++ b/cmd/railrelay-bench/fleets.go
@@ -10,21 +10,22 @@
 )
 
 func fleetsCommand() *cobra.Command {
-	var from uint64
-	var plays int
+	var firstSeed uint64
+	var maxRuns int
 	c := &cobra.Command{Use: "fleets",
-		Short: "play drawn fleets in virtual time, and say how the first broke a rule", Args: cobra.NoArgs}
+		Short: "Run random fleet scenarios in virtual time and explain the first violation", Args: cobra.NoArgs}
 	c.RunE = func(c *cobra.Command, _ []string) error {
-		runs, ordered, late, broken, first := bench.SearchFleetScenarios(c.Context(), from, plays, time.Hour)
-		fmt.Fprintf(c.OutOrStdout(), "runs=%d rules_broken=%d order_checked=%d late_deliveries=%d\n", runs, broken,
-			ordered, late)
-		if first == nil {
+		runs, orderChecks, lateDeliveries, violations, failed := bench.SearchFleetScenarios(
+			c.Context(), firstSeed, maxRuns, time.Hour)
+		fmt.Fprintf(c.OutOrStdout(), "runs=%d rules_broken=%d order_checked=%d late_deliveries=%d\n", runs,
+			violations, orderChecks, lateDeliveries)
+		if failed == nil {
 			return nil
 		}
-		first.Explain(c.OutOrStdout())
-		return fmt.Errorf("seed %d breaks a rule", first.Seed)
+		failed.Explain(c.OutOrStdout())
+		return fmt.Errorf("seed %d breaks a rule", failed.Seed)
 	}
-	c.Flags().Uint64Var(&from, "seed", 1, "seed of the first run")
-	c.Flags().IntVar(&plays, "plays", 2000, "number of runs")
+	c.Flags().Uint64Var(&firstSeed, "seed", 1, "seed of the first run")
+	c.Flags().IntVar(&maxRuns, "plays", 2000, "maximum number of runs")
 	return c
 }
--- a/cmd/railrelay-bench/main.go
+++ b/cmd/railrelay-bench/main.go
@@ -19,9 +19,10 @@
 )
 
 func main() {
-	// an interrupted run ends the processes that it started
+	// An interrupted run stops the processes that it started.
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
-	root := &cobra.Command{Use: "railrelay-bench", Short: "railrelay's laboratory", SilenceUsage: true}
+	root := &cobra.Command{Use: "railrelay-bench", SilenceUsage: true,
+		Short: "Run and measure railrelay with emulated engines and clients"}
 	root.AddCommand(fleetsCommand(), manyCommand(), plantedCommand(), measureCommand(), tryCommand(),
 		speedCommand(), largeCommand(), scaleCommand(), hollowCommand(), datapathCommand(), pageCommand())
 	err := root.ExecuteContext(ctx)
--- a/cmd/railrelay-bench/many.go
+++ b/cmd/railrelay-bench/many.go
@@ -9,19 +9,20 @@
 )
 
 func manyCommand() *cobra.Command {
-	play := bench.IdleFleet{Lease: 2 * time.Second, Changes: 5, RecordEntries: 100_000}
+	fleet := bench.IdleFleet{Lease: 2 * time.Second, Changes: 5, RecordEntries: 100_000}
 	c := &cobra.Command{Use: "many",
-		Short: "a fleet of many processes: what each costs, how soon a change is in force on all",
+		Short: "Measure an idle fleet of many processes and its policy changes",
 		Args:  cobra.NoArgs}
 	c.RunE = func(c *cobra.Command, _ []string) error {
-		cost, err := play.Measure(c.Context())
+		cost, err := fleet.Measure(c.Context())
 		if err == nil {
-			play.Print(c.OutOrStdout(), cost)
+			fleet.Print(c.OutOrStdout(), cost)
 		}
 		return err
 	}
-	c.Flags().StringVar(&play.Program, "program", defaultProgram, "the controller")
-	c.Flags().IntVar(&play.Controllers, "controllers", 50, "processes")
-	c.Flags().DurationVar(&play.IdleTime, "rest", 10*time.Second, "duration of the measurement at rest")
+	c.Flags().StringVar(&fleet.Program, "program", defaultProgram, "path of the railrelay program")
+	c.Flags().IntVar(&fleet.Controllers, "controllers", 50, "number of controller processes")
+	c.Flags().DurationVar(&fleet.IdleTime, "rest", 10*time.Second,
+		"duration of the measurement of the idle fleet")
 	return c
 }
--- a/cmd/railrelay-bench/page.go
+++ b/cmd/railrelay-bench/page.go
@@ -12,7 +12,7 @@
 // pageCommand fills the tables of the capacity page with the measured results.
 func pageCommand() *cobra.Command {
 	path, file := "docs/CAPACITY.md", "docs/capacity.csv"
-	c := &cobra.Command{Use: "page", Short: "fill the tables of the capacity page from the measured figures",
+	c := &cobra.Command{Use: "page", Short: "Fill the tables of the capacity page with the measured results",
 		Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
 			text, err := os.ReadFile(path)
@@ -38,7 +38,7 @@
 			}
 			return os.WriteFile(path, []byte(filled.Text), 0o644)
 		}}
-	c.Flags().StringVar(&path, "page", path, "the page")
-	c.Flags().StringVar(&file, "csv", file, "the file with the measured results")
+	c.Flags().StringVar(&path, "page", path, "path of the page")
+	c.Flags().StringVar(&file, "csv", file, "file with the measured results")
 	return c
 }
--- a/cmd/railrelay-bench/planted.go
+++ b/cmd/railrelay-bench/planted.go
@@ -9,7 +9,7 @@
 func plantedCommand() *cobra.Command {
 	var directory string
 	var build bool
-	c := &cobra.Command{Use: "planted", Short: "play the tests that have one planted fault each",
+	c := &cobra.Command{Use: "planted", Short: "Run the tests with one planted fault each",
 		Args: cobra.NoArgs}
 	c.RunE = func(c *cobra.Command, _ []string) error {
 		if build {
@@ -17,7 +17,7 @@
 		}
 		return bench.DetectPlantedFaults(c.Context(), c.OutOrStdout(), directory)
 	}
-	c.Flags().StringVar(&directory, "planted", defaultPlantedDirectory, "directory of the tests")
-	c.Flags().BoolVar(&build, "build", false, "only build them, from the root of the tree")
+	c.Flags().StringVar(&directory, "planted", defaultPlantedDirectory, "directory of the test programs")
+	c.Flags().BoolVar(&build, "build", false, "only build the test programs, from the root of the repository")
 	return c
 }
--- a/cmd/railrelay-bench/scale.go
+++ b/cmd/railrelay-bench/scale.go
@@ -14,10 +14,10 @@
 func scaleCommand() *cobra.Command {
 	s := bench.DefaultScale(defaultProgram, 580)
 	c := &cobra.Command{Use: "scale", Args: cobra.NoArgs,
-		Short: "a fleet of real and hollow controllers: what each role costs, how soon a change is in force, in faults too",
-		Long: "Starts real controllers and hollow ones, which run the fleet's node and transport with a log in memory\n" +
-			"and serve no queries, with idle engines. Measures them at rest, during policy changes, and during\n" +
-			"policy changes with faults:\n\n  " +
+		Short: "Measure a fleet of real and hollow controllers, its policy changes and faults",
+		Long: "Start real controllers, hollow controllers and idle engines. Hollow controllers run the fleet's\n" +
+			"node and transport with a log in memory and serve no queries. Measure the controllers at rest,\n" +
+			"during policy changes, and during policy changes with faults:\n\n  " +
 			strings.Join(bench.ScaleFaults(), "\n  ")}
 	growth := bench.Growth{Members: 73_000, Changes: 365_000, Steps: 4, Lease: 2 * time.Second}
 	var grow bool
@@ -36,42 +36,42 @@
 		return s.Run(c.Context(), c.OutOrStdout())
 	}
 	f := c.Flags()
-	f.StringVar(&csv, "csv", "", "the file that the results are appended to")
+	f.StringVar(&csv, "csv", "", "file to append the results to")
 	f.BoolVar(&grow, "growth", false,
-		"measure a log that has grown over time instead of a fleet of a given size")
+		"measure a log that grew over time instead of a fleet of a given size")
 	f.IntVar(&growth.Members, "growth-members", growth.Members, "number of members that joined and left")
 	f.IntVar(&growth.Changes, "growth-changes", growth.Changes, "number of policy changes")
 	f.IntVar(&growth.Steps, "growth-steps", growth.Steps,
 		"number of log sizes at which a voter is started from the log")
-	f.StringVar(&s.Program, "program", s.Program, "the controller")
-	f.IntVar(&s.Controllers, "controllers", s.Controllers, "controllers in the fleet, 2 to 1200")
+	f.StringVar(&s.Program, "program", s.Program, "path of the railrelay program")
+	f.IntVar(&s.Controllers, "controllers", s.Controllers, "number of controllers in the fleet, 2 to 1200")
 	f.IntVar(&s.Real, "real", s.Real,
-		"controllers that are real processes with all engines, at most 1024; the others are hollow")
-	f.IntVar(&s.Voters, "voters", s.Voters, "real controllers that vote: 1, 3, 5 or 7")
+		"number of real controller processes with all engines, at most 1024; the others are hollow")
+	f.IntVar(&s.Voters, "voters", s.Voters, "number of real controllers that vote: 1, 3, 5 or 7")
 	f.IntVar(&s.Relays, "relays", s.Relays,
-		"non-voting real controllers that relay the lease renewals of others; 0: none")
+		"number of non-voting real controllers that relay the lease renewals of other controllers")
 	f.BoolVar(&s.SetAside, "set-aside", s.SetAside,
-		"voters have the role control, on machines set aside for it; relays always do")
-	f.IntVar(&s.Engines, "engines", s.Engines, "engines in the discovery list")
+		"run voters with the role control, on machines set aside for it; relays always run so")
+	f.IntVar(&s.Engines, "engines", s.Engines, "number of engines in the discovery list")
 	f.Uint64Var(&s.Seed, "seed", s.Seed, seedUsage)
-	f.DurationVar(&s.Lease, "lease", s.Lease, "lease of the fleet")
+	f.DurationVar(&s.Lease, "lease", s.Lease, "duration of a serving lease")
 	f.DurationVar(&s.Settle, "settle", s.Settle, "time to wait before the first measurement")
 	f.DurationVar(&s.Rest, "rest", s.Rest, "duration of the measurement at rest")
-	f.IntVar(&s.Changes, "changes", s.Changes, "policy changes at rest")
-	f.IntVar(&s.LargeChanges, "large", s.LargeChanges, "policy changes with a large policy")
-	f.IntVar(&s.PolicyBytes, "policy-bytes", s.PolicyBytes, "size of a policy")
-	f.IntVar(&s.LargeBytes, "large-bytes", s.LargeBytes, "size of a large policy")
+	f.IntVar(&s.Changes, "changes", s.Changes, "number of policy changes without faults")
+	f.IntVar(&s.LargeChanges, "large", s.LargeChanges, "number of policy changes with a large policy")
+	f.IntVar(&s.PolicyBytes, "policy-bytes", s.PolicyBytes, "size of a policy in bytes")
+	f.IntVar(&s.LargeBytes, "large-bytes", s.LargeBytes, "size of a large policy in bytes")
 	f.StringSliceVar(&s.Faults, "faults", s.Faults, "faults to inject, in this order")
 	f.IntVar(&s.Compare, "compare", s.Compare,
-		"controllers in the comparison of hollow with real ones; 0: no comparison")
-	f.BoolVar(&s.LinkDelays, "links", s.LinkDelays, "add the delays between zones and regions to links")
+		"number of controllers in the comparison of hollow with real ones; 0 skips the comparison")
+	f.BoolVar(&s.LinkDelays, "links", s.LinkDelays, "add network delays between zones and regions")
 	return c
 }
 
 // hollowCommand runs the hollow controllers of a scale run, which starts it as a process.
 func hollowCommand() *cobra.Command {
 	return &cobra.Command{Use: "hollow", Hidden: true,
-		Short: "run hollow controllers, as told on standard input", Args: cobra.NoArgs,
+		Short: "Run hollow controllers as configured on standard input", Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
 			return hollow.Run(c.Context(), c.InOrStdin(), c.OutOrStdout())
 		}}
--- a/cmd/railrelay-fleet/command.go
+++ b/cmd/railrelay-fleet/command.go
@@ -34,16 +34,17 @@
 // command returns the command `railrelay fleet`.
 func command() *cobra.Command {
 	d := &controlClient{}
-	root := &cobra.Command{Use: "fleet", Short: "See and change what the fleet has decided",
-		Long: "See and change what the fleet has decided. --setup names a controller's set-up, or --control\n" +
-			"and --keys its control address and the key file. Exit status: 0 done, 3 failed for good, 4 not\n" +
-			"known yet: repeat the command with the same id, on any controller; 1 and 2: no request was made."}
+	root := &cobra.Command{Use: "fleet", Short: "Show and change the state of the fleet",
+		Long: "Show and change the state of the fleet. --setup names the set-up file of a controller, or\n" +
+			"--control and --keys give its control address and the key file. Exit status: 0: the request\n" +
+			"succeeded; 1 or 2: no request was sent; 3: the request failed permanently; 4: the outcome is not\n" +
+			"known yet, repeat the command with the same id, on any controller."}
 	root.PersistentFlags().StringVar(&d.setupFile, "setup", "",
-		"the set-up of the controller that receives the request")
+		"set-up file of the controller that receives the request")
 	root.PersistentFlags().StringVar(&d.controlAddress, "control", "",
-		"its control address, instead of the one in the set-up")
-	root.PersistentFlags().StringVar(&d.keyFile, "keys", "", "the key file, instead of the one in the set-up")
-	root.PersistentFlags().BoolVar(&d.printAsJSON, "json", false, "print the answer as one JSON object")
+		"control address of the controller, instead of the one in the set-up")
+	root.PersistentFlags().StringVar(&d.keyFile, "keys", "", "key file, instead of the one in the set-up")
+	root.PersistentFlags().BoolVar(&d.printAsJSON, "json", false, "print the response as one JSON object")
 	root.AddCommand(d.statusCommand(), d.applyCommand(), d.purgeCommand(), d.forgetCommand(), d.policyCommand(),
 		d.planCommand())
 	return root
@@ -52,7 +53,8 @@
 func (d *controlClient) statusCommand() *cobra.Command {
 	var id, until string
 	c := &cobra.Command{Use: "status",
-		Short: "Tell how a controller sees the fleet, or with --id what became of a run", Args: cobra.NoArgs,
+		Short: "Show a controller's view of the fleet, or with --id the outcome of a change or purge",
+		Args:  cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
 			if err := checkUntil(until, "", "unreachable", "settled"); err != nil {
 				return err
@@ -61,9 +63,10 @@
 				WaitMs: d.timeout.Milliseconds()})
 		}}
 	c.Flags().StringVar(&until, "until", "",
-		"with --id: unreachable for a purge, settled for a change (erased, in force)")
-	c.Flags().StringVar(&id, "id", "", "id of a change or purge, whose outcome is awaited")
-	c.Flags().DurationVar(&d.timeout, "at-most", 10*time.Second, "time to wait")
+		"with --id, stage to wait for: unreachable for a purge (default erased), "+
+			"settled for a change (default in force)")
+	c.Flags().StringVar(&id, "id", "", "id of the change or purge whose outcome to wait for")
+	c.Flags().DurationVar(&d.timeout, "at-most", 10*time.Second, "maximum time to wait")
 	return c
 }
 
@@ -71,11 +74,12 @@
 	var id, until string
 	var base uint64
 	var wait time.Duration
-	c := &cobra.Command{Use: "apply FILE --base N", Short: "Change the policy everywhere or nowhere",
+	c := &cobra.Command{Use: "apply FILE --base N", Short: "Apply a policy to all controllers or to none",
 		Args: cobra.ExactArgs(1),
-		Long: "Change the policy everywhere or nowhere. FILE is the whole policy, made against version N, as\n" +
-			"printed by status. A change that isn't in force after --at-most is withdrawn. A command that is\n" +
-			"repeated with the same id refers to the same change and makes no second one.",
+		Long: "Apply a policy to all controllers or to none. FILE contains the complete policy, and N is the\n" +
+			"policy version that it is based on, as printed by status. A change that isn't in force after\n" +
+			"--at-most is withdrawn. A repeated command with the same id refers to the same change and makes\n" +
+			"no second one.",
 		RunE: func(c *cobra.Command, args []string) error {
 			text, err := os.ReadFile(args[0])
 			if err != nil {
@@ -94,24 +98,25 @@
 			}
 			return d.sendAndPrint(c, a)
 		}}
-	c.Flags().StringVar(&id, "id", "", "id of the change, for repeating the command (random)")
-	c.Flags().Uint64Var(&base, "base", 0, "the version that the file was made against")
+	c.Flags().StringVar(&id, "id", "", "id of the change, for repeating the command (default random)")
+	c.Flags().Uint64Var(&base, "base", 0, "policy version that the file is based on")
 	c.Flags().DurationVar(&d.timeout, "at-most", 30*time.Second,
-		"time after which a change that isn't in force is withdrawn; 0: never")
+		"time after which a change that isn't in force is withdrawn; 0 never withdraws it")
 	c.Flags().StringVar(&until, "until", "",
-		"settled: wait also for the purge of data outside tighter placement rules (in force)")
-	c.Flags().DurationVar(&wait, "wait", 0, "time to wait for the outcome (--at-most and five seconds)")
+		"settled: also wait for the purge of data outside narrower placement rules (default in force)")
+	c.Flags().DurationVar(&wait, "wait", 0, "maximum time to wait for the outcome (default --at-most plus 5s)")
 	return c
 }
 
 func (d *controlClient) purgeCommand() *cobra.Command {
 	var id, tenant, before, until string
 	var tables []int64
-	c := &cobra.Command{Use: "purge --team T", Short: "Have what is kept of a team go, on every controller",
+	c := &cobra.Command{Use: "purge --team T", Short: "Purge the retained data of a team on all controllers",
 		Args: cobra.NoArgs,
-		Long: "Have what is kept of a team go: results and cached answers, on every controller, including those\n" +
-			"that are down. The purge is done when the data is erased from every memory and disk. With\n" +
-			"--until unreachable the command ends once no controller serves any of the data.",
+		Long: "Purge the retained data of a team, which is results and cached answers, on all controllers,\n" +
+			"including those that are down. The purge is complete when the data is erased from the memory and\n" +
+			"disk of every controller. With --until unreachable the command ends once no controller serves the\n" +
+			"data any more.",
 		RunE: func(c *cobra.Command, _ []string) error {
 			if tenant == "" {
 				return errors.New("--team is missing")
@@ -133,23 +138,25 @@
 			}
 			return d.sendAndPrint(c, a)
 		}}
-	c.Flags().StringVar(&id, "id", "", "id of the purge, for repeating the command (random)")
-	c.Flags().StringVar(&tenant, "team", "", "whose")
-	c.Flags().Int64SliceVar(&tables, "tables", nil, "purge only data of these table groups (all)")
+	c.Flags().StringVar(&id, "id", "", "id of the purge, for repeating the command (default random)")
+	c.Flags().StringVar(&tenant, "team", "", "team whose data to purge")
+	c.Flags().Int64SliceVar(&tables, "tables", nil, "purge only data of these table groups; none: of all tables")
 	c.Flags().StringVar(&before, "before", "",
-		"purge only data kept before a time, as 2026-11-30T18:00:00Z, or for longer than a duration, as 2h (no limit)")
-	c.Flags().StringVar(&until, "until", "", "unreachable or erased (erased)")
-	c.Flags().DurationVar(&d.timeout, "at-most", time.Minute, "time to wait; the purge continues after it")
+		"purge only data retained before a time, such as 2026-11-30T18:00:00Z, or for longer than a duration, "+
+			"such as 2h (default no limit)")
+	c.Flags().StringVar(&until, "until", "", "stage to wait for: unreachable or erased (default erased)")
+	c.Flags().DurationVar(&d.timeout, "at-most", time.Minute,
+		"maximum time to wait; the purge continues after it")
 	return c
 }
 
 func (d *controlClient) forgetCommand() *cobra.Command {
 	id, anyway := "", false
 	c := &cobra.Command{Use: "forget NAME",
-		Short: "Say that a controller's disk is destroyed: it never serves again", Args: cobra.ExactArgs(1),
-		Long: "Say that a controller's disk is destroyed. Nothing, not even a purge, waits for the controller any\n" +
-			"more, and its name and its disk never serve again. The command can't be undone: don't use it\n" +
-			"for a controller that is only stopped.",
+		Short: "Remove a controller whose disk is destroyed", Args: cobra.ExactArgs(1),
+		Long: "Remove a controller whose disk is destroyed. No change or purge waits for the controller any\n" +
+			"more, and no controller with its name or its disk can serve again. The command can't be undone:\n" +
+			"don't use it for a controller that is only stopped.",
 		RunE: func(c *cobra.Command, args []string) error {
 			r, err := d.send(c, &fleet.Request{Kind: "status"})
 			if err != nil {
@@ -157,24 +164,24 @@
 			}
 			known := r.Status != nil && slices.ContainsFunc(r.Status.Members,
 				func(m fleet.MemberStatus) bool { return m.Name == args[0] })
-			if !known && !anyway { // a typing error would bar a name permanently
+			if !known && !anyway { // a typing error would exclude a name permanently
 				return fmt.Errorf("no controller named %q is known to the fleet; --anyway bars the name nevertheless",
 					args[0])
 			}
 			return d.sendAndPrint(c, &fleet.Request{Kind: "forget", ID: id, Name: args[0],
 				WaitMs: d.timeout.Milliseconds()})
 		}}
-	c.Flags().StringVar(&id, "id", "", "id for repeating the command (random)")
-	c.Flags().BoolVar(&anyway, "anyway", false, "accept a name that isn't known")
-	c.Flags().DurationVar(&d.timeout, "at-most", 10*time.Second, "time to wait")
+	c.Flags().StringVar(&id, "id", "", "id of the request, for repeating the command (default random)")
+	c.Flags().BoolVar(&anyway, "anyway", false, "accept a name that the fleet doesn't know")
+	c.Flags().DurationVar(&d.timeout, "at-most", 10*time.Second, "maximum time to wait")
 	return c
 }
 
 func (d *controlClient) policyCommand() *cobra.Command {
-	return &cobra.Command{Use: "policy", Short: "Print the policy in force, to be changed and applied again",
+	return &cobra.Command{Use: "policy", Short: "Print the policy in force",
 		Args: cobra.NoArgs,
-		Long: "Print the text of the policy in force, and to standard error its version, for apply --base. There\n" +
-			"is no text while every controller uses the policy in its own set-up.",
+		Long: "Print the text of the policy in force to standard output, and its version to standard error, for\n" +
+			"apply --base. The text is empty while each controller uses the policy in its own set-up.",
 		RunE: func(c *cobra.Command, _ []string) error {
 			r, err := d.send(c, &fleet.Request{Kind: "policy"})
 			if err != nil {
--- a/cmd/railrelay-fleet/plan.go
+++ b/cmd/railrelay-fleet/plan.go
@@ -23,11 +23,11 @@
 func (d *controlClient) planCommand() *cobra.Command {
 	alone := false
 	c := &cobra.Command{Use: "plan FILE --setup SETUP",
-		Short: "Tell what a policy would do before it is applied", Args: cobra.ExactArgs(1),
-		Long: "Check a policy against a controller's set-up and tell what its placement rules would do: which\n" +
-			"engines and controllers would be outside, where kept data would be purged, how many of the\n" +
-			"engines' threads each team would have and which team would have none. The command requests the\n" +
-			"policy in force, the controllers and the bindings from the fleet, and the engines from the\n" +
+		Short: "Show the effects of a policy without applying it", Args: cobra.ExactArgs(1),
+		Long: "Check a policy against a controller's set-up and show the effects of its placement rules: which\n" +
+			"engines and controllers a team would lose, where retained data would be purged, which fraction of\n" +
+			"the engines' threads each team could use, and which teams could use none. The command requests\n" +
+			"the policy in force, the controllers and the bindings from the fleet, and the engines from the\n" +
 			"discovery service. Exit status 3: the policy can't be applied, or a team would have no engine\n" +
 			"or controller.",
 		RunE: func(c *cobra.Command, args []string) error {
@@ -57,55 +57,55 @@
 				_, err = fmt.Fprintln(c.OutOrStdout(), args[0]+": good")
 				return err
 			}
-			now, world, err := d.fleetState(c, own)
+			current, input, err := d.fleetState(c, own)
 			if err != nil {
 				return err
 			}
-			was, _ := now.Rules.([]residency.Rule)
-			rules, _ := next.Rules.([]residency.Rule)
-			o := residency.PlanChange(was, rules, world)
+			currentRules, _ := current.Rules.([]residency.Rule)
+			nextRules, _ := next.Rules.([]residency.Rule)
+			plan := residency.PlanChange(currentRules, nextRules, input)
 			if d.printAsJSON {
-				err = printJSON(c, o)
-			} else if len(o.Rows) == 0 {
+				err = printJSON(c, plan)
+			} else if len(plan.Rows) == 0 {
 				_, err = fmt.Fprintln(c.OutOrStdout(), args[0]+": good; it binds no team to any site")
 			} else {
-				_, err = fmt.Fprint(c.OutOrStdout(), args[0]+": good\n"+o.Table())
+				_, err = fmt.Fprint(c.OutOrStdout(), args[0]+": good\n"+plan.Table())
 			}
-			if len(o.TenantsWithoutSite) > 0 && err == nil {
+			if len(plan.TenantsWithoutSite) > 0 && err == nil {
 				return cli.ExitError{Code: 3}
 			}
 			return err
 		}}
 	c.Flags().BoolVar(&alone, "alone", false,
-		"only check the file, without requests to the fleet and the discovery service")
+		"check only the file, without requests to the fleet and the discovery service")
 	return c
 }
 
 // fleetState requests the policy in force, the controllers, the bindings and the engines.
-func (d *controlClient) fleetState(c *cobra.Command, own *setup.Setup) (now *controller.Policy,
-	w residency.PlanInput, err error) {
+func (d *controlClient) fleetState(c *cobra.Command, own *setup.Setup) (current *controller.Policy,
+	input residency.PlanInput, err error) {
 	policy, err := d.send(c, &fleet.Request{Kind: "policy"})
 	if err != nil {
-		return nil, w, err
+		return nil, input, err
 	}
-	if now, _, _, err = setup.ParsePolicy("the policy in force", policy.Policy, own); err != nil {
-		return nil, w, withRemedy(err)
+	if current, _, _, err = setup.ParsePolicy("the policy in force", policy.Policy, own); err != nil {
+		return nil, input, withRemedy(err)
 	}
 	status, err := d.send(c, &fleet.Request{Kind: "status"})
 	if err != nil {
-		return nil, w, err
+		return nil, input, err
 	}
 	if status.Status == nil {
-		return nil, w, fmt.Errorf("the controller returned no status: %s", status.Reason)
+		return nil, input, fmt.Errorf("the controller returned no status: %s", status.Reason)
 	}
 	for _, m := range status.Status.Members {
 		if m.ClientAddress != "" { // a control process has none and serves no queries
-			w.Controllers = append(w.Controllers, m.Member)
+			input.Controllers = append(input.Controllers, m.Member)
 		}
 	}
-	w.Bindings = status.Status.Bindings
-	w.Engines, err = activeEngines(own, discoveryTimeout)
-	return now, w, err
+	input.Bindings = status.Status.Bindings
+	input.Engines, err = activeEngines(own, discoveryTimeout)
+	return current, input, err
 }
 
 // discoveryTimeout bounds the time until the discovery service has listed all engines.
--- a/internal/cli/program.go
+++ b/internal/cli/program.go
@@ -107,18 +107,19 @@
 		return servePlatform(signals)
 	}
 	root := &cobra.Command{Use: "railrelay",
-		Short: "A front for query engines with limited memory", Args: cobra.NoArgs,
-		Long: "A front for query engines with limited memory. Without a command it serves.", RunE: start,
+		Short: "Route queries to engines with limited memory", Args: cobra.NoArgs,
+		Long: "Route queries to engines with limited memory. Without a command, railrelay runs serve.", RunE: start,
 		SilenceUsage: true, SilenceErrors: true}
 	serve := &cobra.Command{Use: "serve",
-		Short: "Serve as one controller, until SIGTERM", Args: cobra.NoArgs, RunE: start,
-		Long: "Serve as one controller. --setup names the product's YAML; without it ROUTER_CONFIG, ROUTER_LISTEN and ROUTER_NAME\n" +
-			"say what the platform wants. SIGHUP reads the file again, SIGUSR1 logs the counters, SIGTERM ends once all that was\n" +
-			"taken is answered."}
-	serve.Flags().StringVar(&path, "setup", "", "the set-up, YAML; deploy/railrelay.yaml shows all there is")
+		Short: "Run a controller until SIGTERM", Args: cobra.NoArgs, RunE: start,
+		Long: "Run a controller. --setup names its YAML set-up file. Without --setup, the environment variables\n" +
+			"ROUTER_CONFIG, ROUTER_LISTEN and ROUTER_NAME give the configuration file of the platform, the\n" +
+			"address to listen on and the controller's name. SIGHUP reloads the configuration, SIGUSR1 logs the\n" +
+			"counters, and SIGTERM stops the controller once it has answered all accepted queries."}
+	serve.Flags().StringVar(&path, "setup", "", "YAML set-up file; deploy/railrelay.yaml lists all settings")
 	serve.MarkFlagFilename("setup", "yaml", "yml")
 	check := &cobra.Command{Use: "check FILE...",
-		Short: "Check set-up files and say all that is wrong", Args: cobra.MinimumNArgs(1),
+		Short: "Check set-up files and print all errors", Args: cobra.MinimumNArgs(1),
 		RunE: func(c *cobra.Command, files []string) error {
 			bad := 0
 			for _, f := range files {
@@ -143,7 +144,7 @@
 		root.AddCommand(support.Command())
 	} else {
 		root.AddCommand(&cobra.Command{Use: "fleet",
-			Short: "See and change what the fleet has decided", DisableFlagParsing: true,
+			Short: "Show and change the state of the fleet", DisableFlagParsing: true,
 			RunE: func(*cobra.Command, []string) error { return execFleetProgram() }})
 	}
 	return root
--- a/internal/cli/spool.go
+++ b/internal/cli/spool.go
@@ -14,7 +14,7 @@
 
 // spoolCommand returns the commands that inspect and clean a spool directory that no process uses.
 func spoolCommand() *cobra.Command {
-	root := &cobra.Command{Use: "spool", Short: "Look at a spool's directory, check or clean it; none that is in use"}
+	root := &cobra.Command{Use: "spool", Short: "List, check or clean a spool directory that no process uses"}
 	withStore := func(
 		action func(c *cobra.Command, store *resultstore.SpoolStore) error) func(*cobra.Command, []string) error {
 		return func(c *cobra.Command, args []string) (err error) {
@@ -34,7 +34,7 @@
 			return action(c, store)
 		}
 	}
-	ls := &cobra.Command{Use: "ls DIR", Short: "List what is kept", Args: cobra.ExactArgs(1),
+	ls := &cobra.Command{Use: "ls DIR", Short: "List the stored results", Args: cobra.ExactArgs(1),
 		RunE: withStore(func(c *cobra.Command, store *resultstore.SpoolStore) error {
 			w := tabwriter.NewWriter(c.OutOrStdout(), 0, 0, 2, ' ', 0)
 			fmt.Fprintln(w, "result\tquery\tteam\tpages\trows\tbytes\tmade\tends")
@@ -47,7 +47,7 @@
 			})
 			return errors.Join(err, w.Flush())
 		})}
-	verify := &cobra.Command{Use: "verify DIR", Short: "Check every sum", Args: cobra.ExactArgs(1),
+	verify := &cobra.Command{Use: "verify DIR", Short: "Verify the checksums", Args: cobra.ExactArgs(1),
 		RunE: withStore(func(c *cobra.Command, store *resultstore.SpoolStore) error {
 			v, err := store.Verify()
 			if err != nil {
@@ -62,7 +62,7 @@
 			}
 			return nil
 		})}
-	gc := &cobra.Command{Use: "gc DIR", Short: "Drop what is past its life and give the space back", Args: cobra.ExactArgs(1),
+	gc := &cobra.Command{Use: "gc DIR", Short: "Delete expired results and free space", Args: cobra.ExactArgs(1),
 		RunE: withStore(func(c *cobra.Command, store *resultstore.SpoolStore) error {
 			before := store.TotalBytes()
 			n, err := store.GC(time.Now().UnixMilli())
