--- a/cmd/railrelay-bench/scale.go
+++ b/cmd/railrelay-bench/scale.go
@@ -14,7 +14,7 @@
 func scaleCommand() *cobra.Command {
 	s := bench.DefaultScale(defaultProgram, 580)
 	c := &cobra.Command{Use: "scale", Args: cobra.NoArgs,
-		Short: "Measure a fleet of real and hollow controllers, its policy changes and faults",
+		Short: "Measure a fleet of real and hollow controllers: usage by role, time until a change is in force",
 		Long: "Start real controllers, hollow controllers and idle engines. Hollow controllers run the fleet's\n" +
 			"node and transport with a log in memory and serve no queries. Measure the controllers at rest,\n" +
 			"during policy changes, and during policy changes with faults:\n\n  " +
--- a/internal/fairqueue/config.go
+++ b/internal/fairqueue/config.go
@@ -20,8 +20,8 @@
 
 	// AgeingLimit is the wait after which a query is dispatched before all younger queries of
 	// its lane, regardless of tenant. A query that has queries of its own tenant ahead is only
-	// admitted if its estimated wait is at most three fifths of this limit. The zero value
-	// means DefaultAgeingLimit.
+	// admitted if its estimated age at the start is at most three fifths of this limit, or its
+	// estimated wait at most a fifth. The zero value means DefaultAgeingLimit.
 	AgeingLimit time.Duration
 	// MaxWaiting limits the waiting queries of all tenants together. The zero value means
 	// DefaultMaxWaiting.
@@ -91,6 +91,7 @@
 	return nil
 }
 
+// validateTenants checks tenants and their descendants, and adds the names of those without children to seen.
 func validateTenants(tenants []Tenant, parentPath string, seen map[string]bool) error {
 	for _, tenant := range tenants {
 		path := parentPath + tenant.Name
--- a/internal/fleet/node/lease.go
+++ b/internal/fleet/node/lease.go
@@ -173,7 +173,8 @@
 	c.confinedLeaseUntil = 0
 }
 
-// activateLeases activates the granted leases whose log index is applied.
+// activateLeases activates the granted leases whose log index is applied, and drops the other ones that have
+// already ended.
 func (c *Core) activateLeases() {
 	// The two ends are tracked separately: one lease may have no end while the other is renewed.
 	until := c.leaseUntil
@@ -192,7 +193,7 @@
 	}
 	if !c.caughtUp {
 		c.caughtUp = true
-		c.logf(false, "caught up with the replicated log, at index %d", c.state.Index)
+		c.logf(atInfoLevel, "caught up with the replicated log, at index %d", c.state.Index)
 	}
 	c.leaseUntil = until
 	c.confinedLeaseUntil = confinedUntil
