--- a/cmd/railrelay-bench/datapath.go
+++ b/cmd/railrelay-bench/datapath.go
@@ -60,14 +60,14 @@
 // printSlopes prints a fitted line for each quantity that was measured at several sizes.
 func printSlopes(out io.Writer, rows []capacity.Row) {
 	type figure struct{ role, what, unit string }
-	told := map[figure]bool{}
+	printed := map[figure]bool{}
 	for _, row := range rows {
 		f := figure{row.Role, row.What, row.Unit}
 		line := capacity.FitLine(capacity.Select(rows, f.role, f.what))
-		if told[f] || line.Slope != line.Slope {
+		if printed[f] || line.Slope != line.Slope {
 			continue
 		}
-		told[f] = true
+		printed[f] = true
 		fmt.Fprintf(out, "%s %s: %.4g + %.4g each, residual %.3g %s, %d points\n", f.role, f.what, line.Intercept,
 			line.Slope,
 			line.Residual, f.unit, line.Points)
--- a/internal/residency/change.go
+++ b/internal/residency/change.go
@@ -69,16 +69,16 @@
 	}
 	for tenant, l := range bindTables(rules, nil) {
 		for _, tables := range tableClasses(l) {
-			v := evaluateRules(l, tables, true, nil)
-			if v.Conflict == nil {
+			decision := evaluateRules(l, tables, true, nil)
+			if decision.Conflict == nil {
 				continue
 			}
-			last := v.Conflict.Rules[len(v.Conflict.Rules)-1]
+			last := decision.Conflict.Rules[len(decision.Conflict.Rules)-1]
 			i := slices.IndexFunc(rules, func(r Rule) bool { return r.Name == last })
 			if !slices.ContainsFunc(ruleErrors, func(f *InvalidRuleError) bool { return f.RuleIndex == i }) {
-				addError(i, v.Conflict.Role+"s", "rules %s leave team %q no %s for %s",
-					strings.Join(v.Conflict.Rules, " and "), tenant,
-					v.Conflict.Role, describeTables(tables))
+				addError(i, decision.Conflict.Role+"s", "rules %s leave team %q no %s for %s",
+					strings.Join(decision.Conflict.Rules, " and "), tenant,
+					decision.Conflict.Role, describeTables(tables))
 			}
 		}
 	}
@@ -97,14 +97,14 @@
 			}
 		}
 	}
-	all := [][]int64{nil}
+	classes := [][]int64{nil}
 	for _, t := range sorted(named) {
-		all = append(all, []int64{t})
+		classes = append(classes, []int64{t})
 	}
-	return all
+	return classes
 }
 
-// Tightening is a boundary that a change makes narrower.
+// Tightening is a reduction of the sites that the rules allow for some tables of a tenant.
 type Tightening struct {
 	Tenant string   `json:"team"`
 	Rules  []string `json:"rules"`            // the new rules that apply
@@ -113,7 +113,8 @@
 	// EndsRunningQueries, queries at other sites must have ended before the change is complete.
 	EngineSites        []string `json:"engines"`
 	EndsRunningQueries bool     `json:"ends"`
-	// PurgeScope matches the data retained outside the new boundary; nil: there can be none.
+	// PurgeScope matches the data retained at sites that are not allowed any more; nil: there can be no
+	// such data.
 	PurgeScope *fleet.Scope `json:"purge,omitempty"`
 }
 
@@ -126,20 +127,24 @@
 		func(s string) bool { return !slices.Contains(after, s) })
 }
 
-// FindTightenings returns the boundaries that new rules make narrower. Boundaries that become wider
-// need no action and are left out. A result whose tables are unknown matches each purge of its tenant.
+// FindTightenings returns the tables for which new rules allow fewer sites. Tables for which sites are
+// only added need no action and are left out. A result whose tables are unknown
+// matches each purge of its tenant.
 func FindTightenings(old, next []Rule, bindings []fleet.Binding) (l []Tightening) {
 	before, after := bindTables(old, bindings), bindTables(next, bindings)
-	// A tenant without new rules has no boundary that could be narrower.
+	// Without new rules, all sites are allowed for a tenant.
 	for _, tenant := range tenantNames(next) {
 		for _, tables := range tableClasses(before[tenant], after[tenant]) {
-			a, b := evaluateRules(before[tenant], tables, true, nil), evaluateRules(after[tenant], tables, true, nil)
-			t := Tightening{Tenant: tenant, Rules: b.RuleNames, Tables: tables, EngineSites: b.EngineSites,
-				EndsRunningQueries: isNarrower(a.EngineSites, b.EngineSites)}
-			if isNarrower(a.RetentionSites, b.RetentionSites) {
-				t.PurgeScope = &fleet.Scope{Tenant: tenant, Tables: tables, OutsideSites: b.RetentionSites}
+			oldDecision := evaluateRules(before[tenant], tables, true, nil)
+			newDecision := evaluateRules(after[tenant], tables, true, nil)
+			t := Tightening{Tenant: tenant, Rules: newDecision.RuleNames, Tables: tables,
+				EngineSites:        newDecision.EngineSites,
+				EndsRunningQueries: isNarrower(oldDecision.EngineSites, newDecision.EngineSites)}
+			if isNarrower(oldDecision.RetentionSites, newDecision.RetentionSites) {
+				t.PurgeScope = &fleet.Scope{Tenant: tenant, Tables: tables, OutsideSites: newDecision.RetentionSites}
 			}
-			if !t.EndsRunningQueries && t.PurgeScope == nil && !isNarrower(a.ControllerSites, b.ControllerSites) {
+			if !t.EndsRunningQueries && t.PurgeScope == nil &&
+				!isNarrower(oldDecision.ControllerSites, newDecision.ControllerSites) {
 				continue
 			}
 			if i := slices.IndexFunc(l, func(x Tightening) bool {
@@ -243,22 +248,23 @@
 	total = max(total, 1e-9)
 	for _, tenant := range tenantNames(slices.Concat(old, next)) {
 		for _, tables := range tableClasses(before[tenant], after[tenant]) {
-			a, b := evaluateRules(before[tenant], tables, true, nil), evaluateRules(after[tenant], tables, true, nil)
-			if !a.RuleApplies && !b.RuleApplies {
+			oldDecision := evaluateRules(before[tenant], tables, true, nil)
+			newDecision := evaluateRules(after[tenant], tables, true, nil)
+			if !oldDecision.RuleApplies && !newDecision.RuleApplies {
 				continue
 			}
-			row := PlanRow{Tenant: tenant, Tables: tables, Rules: b.RuleNames, EnginesOutside: []string{},
+			row := PlanRow{Tenant: tenant, Tables: tables, Rules: newDecision.RuleNames, EnginesOutside: []string{},
 				ControllersOutside: []string{}, PurgeOn: []string{}}
-			if b.Conflict != nil {
-				row.Conflict = b.Conflict.Error()
+			if newDecision.Conflict != nil {
+				row.Conflict = newDecision.Conflict.Error()
 			}
 			for _, e := range input.Engines {
-				if a.AllowsEngineSite(e.Site) {
+				if oldDecision.AllowsEngineSite(e.Site) {
 					row.ShareBefore += e.Threads / total
 				}
-				if b.AllowsEngineSite(e.Site) {
+				if newDecision.AllowsEngineSite(e.Site) {
 					row.ShareAfter += e.Threads / total
-				} else if a.AllowsEngineSite(e.Site) {
+				} else if oldDecision.AllowsEngineSite(e.Site) {
 					row.EnginesOutside = append(row.EnginesOutside, e.Name)
 				}
 			}
@@ -267,12 +273,12 @@
 				if m.Forgotten {
 					continue
 				}
-				if includes(b.ControllerSites, m.Site) {
+				if includes(newDecision.ControllerSites, m.Site) {
 					servingControllers++
-				} else if includes(a.ControllerSites, m.Site) {
+				} else if includes(oldDecision.ControllerSites, m.Site) {
 					row.ControllersOutside = append(row.ControllersOutside, m.Name)
 				}
-				if includes(a.RetentionSites, m.Site) && !includes(b.RetentionSites, m.Site) {
+				if includes(oldDecision.RetentionSites, m.Site) && !includes(newDecision.RetentionSites, m.Site) {
 					row.PurgeOn = append(row.PurgeOn, m.Name)
 					for _, k := range input.Retained {
 						if k.Controller == m.Name && k.Tenant == tenant {
@@ -300,7 +306,7 @@
 }
 
 // Table formats the plan as a text table.
-func (o *ChangePlan) Table() string {
+func (plan *ChangePlan) Table() string {
 	var text strings.Builder
 	w := tabwriter.NewWriter(&text, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "TEAM\tTABLES\tRULES\tTHREADS NOW\tTHREADS THEN\tENGINES LOST\t"+
@@ -311,7 +317,7 @@
 		}
 		return strings.Join(l, ",")
 	}
-	for _, r := range o.Rows {
+	for _, r := range plan.Rows {
 		tables := "others"
 		if len(r.Tables) > 0 {
 			tables = strings.Trim(fmt.Sprint(r.Tables), "[]")
@@ -321,9 +327,9 @@
 			list(r.EnginesOutside), list(r.ControllersOutside), list(r.PurgeOn))
 	}
 	w.Flush()
-	if len(o.TenantsWithoutSite) > 0 {
+	if len(plan.TenantsWithoutSite) > 0 {
 		fmt.Fprintf(&text, "no engine or controller would be left for: %s\n",
-			strings.Join(o.TenantsWithoutSite, ", "))
+			strings.Join(plan.TenantsWithoutSite, ", "))
 	}
 	return text.String()
 }
--- a/internal/residency/errors.go
+++ b/internal/residency/errors.go
@@ -15,13 +15,13 @@
 	Rules  []string
 }
 
-func (c *NoCommonSiteError) Error() string {
-	return fmt.Sprintf("rules %s of team %q have no %s site in common", strings.Join(c.Rules, " and "), c.Tenant,
-		c.Role)
+func (e *NoCommonSiteError) Error() string {
+	return fmt.Sprintf("rules %s of team %q have no %s site in common", strings.Join(e.Rules, " and "), e.Tenant,
+		e.Role)
 }
 
 // Remedy tells an operator how to resolve the error.
-func (c *NoCommonSiteError) Remedy() string {
+func (e *NoCommonSiteError) Remedy() string {
 	return "split the query, or give these rules a site in common with `fleet apply`"
 }
 
@@ -33,30 +33,30 @@
 	AllowedControllers []string
 }
 
-func (o *ControllerNotAllowedError) Error() string {
-	return fmt.Sprintf("a controller at site %q is not allowed by rule %s of team %q", o.Site,
-		strings.Join(o.Rules, ", "), o.Tenant)
+func (e *ControllerNotAllowedError) Error() string {
+	return fmt.Sprintf("a controller at site %q is not allowed by rule %s of team %q", e.Site,
+		strings.Join(e.Rules, ", "), e.Tenant)
 }
 
 // Remedy tells an operator how to resolve the error.
-func (o *ControllerNotAllowedError) Remedy() string {
-	if len(o.AllowedControllers) == 0 {
+func (e *ControllerNotAllowedError) Remedy() string {
+	if len(e.AllowedControllers) == 0 {
 		return "start a controller at an allowed site: no known controller may serve this team's queries"
 	}
-	return "send this team's queries to " + strings.Join(o.AllowedControllers, ", ")
+	return "send this team's queries to " + strings.Join(e.AllowedControllers, ", ")
 }
 
 // UnknownTablesError means that the tables of a load can't be determined although a rule follows loads.
 // It is then unknown which tables the rule has to bind.
 type UnknownTablesError struct{ Tenant, Rule string }
 
-func (u *UnknownTablesError) Error() string {
+func (e *UnknownTablesError) Error() string {
 	return fmt.Sprintf("the tables that this load reads and writes can't be determined, "+
-		"and rule %s of team %q follows loads", u.Rule, u.Tenant)
+		"and rule %s of team %q follows loads", e.Rule, e.Tenant)
 }
 
 // Remedy tells an operator how to resolve the error.
-func (u *UnknownTablesError) Remedy() string {
+func (e *UnknownTablesError) Remedy() string {
 	return "write each table with its schema's name, as in sales_3.orders, or bind all tables of the team"
 }
 
@@ -67,12 +67,12 @@
 	Reason string
 }
 
-func (u *BindingNotLoggedError) Error() string {
-	return fmt.Sprintf("the log has no binding of tables %v of team %q: %s", u.Tables, u.Tenant, u.Reason)
+func (e *BindingNotLoggedError) Error() string {
+	return fmt.Sprintf("the log has no binding of tables %v of team %q: %s", e.Tables, e.Tenant, e.Reason)
 }
 
 // Remedy tells an operator how to resolve the error.
-func (u *BindingNotLoggedError) Remedy() string {
+func (e *BindingNotLoggedError) Remedy() string {
 	return "see `fleet status`: without a majority of the voters nothing can be recorded"
 }
 
@@ -83,12 +83,12 @@
 	Reason    string
 }
 
-func (f *InvalidRuleError) Error() string {
-	return fmt.Sprintf("placement[%d].%s: %s", f.RuleIndex, f.Field, f.Reason)
+func (e *InvalidRuleError) Error() string {
+	return fmt.Sprintf("placement[%d].%s: %s", e.RuleIndex, e.Field, e.Reason)
 }
 
 // Remedy tells an operator how to resolve the error.
-func (f *InvalidRuleError) Remedy() string {
+func (e *InvalidRuleError) Remedy() string {
 	return "correct the rule in the file: no part of the file was applied"
 }
 
--- a/internal/residency/residency.go
+++ b/internal/residency/residency.go
@@ -64,9 +64,10 @@
 	tables    map[int64]bool
 }
 
-// appliesTo reports whether the rule binds one of these tables. It applies if the tables are unknown.
-func (b *boundRule) appliesTo(tables []int64, known bool) bool {
-	return !known || b.allTables || slices.ContainsFunc(tables, func(t int64) bool { return b.tables[t] })
+// appliesTo reports whether the rule binds one of these tables. A rule also applies if not all tables of
+// the query are known.
+func (b *boundRule) appliesTo(tables []int64, tablesKnown bool) bool {
+	return !tablesKnown || b.allTables || slices.ContainsFunc(tables, func(t int64) bool { return b.tables[t] })
 }
 
 // bindTables determines which tables each rule binds, by tenant. A rule that follows loads also binds
@@ -111,8 +112,8 @@
 }
 
 // AllowsEngineSite reports whether an engine of this site may run the query.
-func (v *Decision) AllowsEngineSite(site string) bool {
-	return v.Conflict == nil && includes(v.EngineSites, site)
+func (d *Decision) AllowsEngineSite(site string) bool {
+	return d.Conflict == nil && includes(d.EngineSites, site)
 }
 
 // includes reports whether a list contains a site; nil stands for all sites.
@@ -126,17 +127,18 @@
 		}
 		return a
 	}
-	both := []string{}
+	common := []string{}
 	for _, s := range a {
 		if slices.Contains(b, s) {
-			both = append(both, s)
+			common = append(common, s)
 		}
 	}
-	return both
+	return common
 }
 
-// emptyAsAll turns an empty list of a rule, which stands for all sites, into nil.
-func emptyAsAll(sites []string) []string {
+// nilIfEmpty returns nil for an empty list. An empty list of a rule stands for all sites, as nil does in
+// a Decision.
+func nilIfEmpty(sites []string) []string {
 	if len(sites) == 0 {
 		return nil
 	}
@@ -146,42 +148,43 @@
 // evaluateRules applies all rules of a tenant to a query. emergencies has the names of the rules with
 // a declared emergency; nil: none.
 func evaluateRules(
-	rules []*boundRule, tables []int64, known bool, emergencies map[string]uint64,
-) (v Decision) {
+	rules []*boundRule, tables []int64, tablesKnown bool, emergencies map[string]uint64,
+) (decision Decision) {
 	var applicable []*boundRule
-	allowed := func(b *boundRule) []string {
+	engineSites := func(b *boundRule) []string {
 		if _, on := emergencies[b.Name]; on && len(b.EngineSites) > 0 {
 			return append(slices.Clone(b.EngineSites), b.Emergency.Sites...)
 		}
-		return emptyAsAll(b.EngineSites)
+		return nilIfEmpty(b.EngineSites)
 	}
 	for _, b := range rules {
-		if !b.appliesTo(tables, known) {
+		if !b.appliesTo(tables, tablesKnown) {
 			continue
 		}
 		applicable = append(applicable, b)
-		v.RuleApplies = true
-		v.RuleNames = append(v.RuleNames, b.Name)
-		v.EngineSites = intersect(v.EngineSites, allowed(b))
-		v.ControllerSites = intersect(v.ControllerSites, emptyAsAll(b.effectiveControllerSites()))
+		decision.RuleApplies = true
+		decision.RuleNames = append(decision.RuleNames, b.Name)
+		decision.EngineSites = intersect(decision.EngineSites, engineSites(b))
+		decision.ControllerSites = intersect(decision.ControllerSites, nilIfEmpty(b.effectiveControllerSites()))
 		if b.RetentionSites != nil {
-			v.RetentionSites = intersect(v.RetentionSites, b.RetentionSites) // an empty list allows no site
+			// An empty list allows no site.
+			decision.RetentionSites = intersect(decision.RetentionSites, b.RetentionSites)
 		} else {
-			v.RetentionSites = intersect(v.RetentionSites, emptyAsAll(b.effectiveRetentionSites()))
+			decision.RetentionSites = intersect(decision.RetentionSites, nilIfEmpty(b.effectiveRetentionSites()))
 		}
 	}
 	switch {
-	case v.EngineSites != nil && len(v.EngineSites) == 0:
-		v.Conflict = findConflict(applicable, "engine", allowed)
-	case v.ControllerSites != nil && len(v.ControllerSites) == 0:
-		controllers := func(b *boundRule) []string { return emptyAsAll(b.effectiveControllerSites()) }
-		v.Conflict = findConflict(applicable, "controller", controllers)
+	case decision.EngineSites != nil && len(decision.EngineSites) == 0:
+		decision.Conflict = findConflict(applicable, "engine", engineSites)
+	case decision.ControllerSites != nil && len(decision.ControllerSites) == 0:
+		controllers := func(b *boundRule) []string { return nilIfEmpty(b.effectiveControllerSites()) }
+		decision.Conflict = findConflict(applicable, "controller", controllers)
 	}
-	return v
+	return decision
 }
 
-// findConflict names two rules that have no site in common, or, if each two have one, all rules that
-// restrict the sites.
+// findConflict returns an error that names two rules without a common site. If each pair of rules has a
+// common site, the error names all rules that restrict the sites.
 func findConflict(
 	applicable []*boundRule, role string, sitesOf func(*boundRule) []string,
 ) *NoCommonSiteError {
@@ -291,9 +294,9 @@
 // HasRules reports whether a tenant has any rule. Without one, the tables of its queries don't matter.
 func (c *Core) HasRules(tenant string) bool { return len(c.rulesByTenant[tenant]) > 0 }
 
-// Decide returns where a tenant's query on these tables may run, be served and be retained. known
+// Decide returns where a tenant's query on these tables may run, be served and be retained. tablesKnown
 // says that the query uses no other tables.
-func (c *Core) Decide(tenant string, tables []int64, known bool) Decision {
+func (c *Core) Decide(tenant string, tables []int64, tablesKnown bool) Decision {
 	rules := c.rulesByTenant[tenant]
 	if len(rules) == 0 {
 		return Decision{MayServe: true, MayRetain: true}
@@ -302,29 +305,31 @@
 	if !key.noTable {
 		key.table = tables[0]
 	}
-	cacheable := known && len(tables) <= 1
-	if v, ok := c.decisions[key]; ok && cacheable {
-		return v
+	cacheable := tablesKnown && len(tables) <= 1
+	if decision, ok := c.decisions[key]; ok && cacheable {
+		return decision
 	}
-	v := evaluateRules(rules, tables, known, c.fleetView.Emergencies)
-	v.MayServe = v.Conflict == nil && includes(v.ControllerSites, c.site)
-	v.MayRetain = v.Conflict == nil && includes(v.RetentionSites, c.site)
+	decision := evaluateRules(rules, tables, tablesKnown, c.fleetView.Emergencies)
+	decision.MayServe = decision.Conflict == nil && includes(decision.ControllerSites, c.site)
+	decision.MayRetain = decision.Conflict == nil && includes(decision.RetentionSites, c.site)
 	if cacheable && len(c.decisions) < maxDecisions {
-		c.decisions[key] = v
+		c.decisions[key] = decision
 	}
-	return v
+	return decision
 }
 
 // MissingBinding returns the binding that the log must have before a load may be sent; nil: none is
-// missing. read and written are the tables of the load's statement. If they are unknown and a rule
-// follows loads, the error is an *UnknownTablesError.
-func (c *Core) MissingBinding(tenant string, read, written []int64, known bool) (*fleet.Binding, error) {
-	need := &fleet.Binding{Tenant: tenant}
+// missing. read and written are the tables of the load's statement. If the tables are
+// unknown and a rule follows loads, the error is an *UnknownTablesError.
+func (c *Core) MissingBinding(
+	tenant string, read, written []int64, tablesKnown bool,
+) (*fleet.Binding, error) {
+	binding := &fleet.Binding{Tenant: tenant}
 	for _, b := range c.rulesByTenant[tenant] {
 		switch {
 		case !b.FollowsLoads || b.allTables:
 			continue // a rule that binds all tables has no further tables to bind
-		case !known:
+		case !tablesKnown:
 			return nil, &UnknownTablesError{Tenant: tenant, Rule: b.Name}
 		case !b.appliesTo(read, true):
 			continue
@@ -333,18 +338,18 @@
 		if len(missing) == 0 {
 			continue
 		}
-		need.Tables = append(need.Tables, missing...)
+		binding.Tables = append(binding.Tables, missing...)
 		for _, t := range read {
 			if b.tables[t] {
-				need.SourceTables = append(need.SourceTables, t)
+				binding.SourceTables = append(binding.SourceTables, t)
 			}
 		}
 	}
-	if len(need.Tables) == 0 {
+	if len(binding.Tables) == 0 {
 		return nil, nil
 	}
-	need.Tables, need.SourceTables = sorted(need.Tables), sorted(need.SourceTables)
-	return need, nil
+	binding.Tables, binding.SourceTables = sorted(binding.Tables), sorted(binding.SourceTables)
+	return binding, nil
 }
 
 func sorted(l []int64) []int64 {
@@ -365,9 +370,9 @@
 
 // RecordAttempt records an attempt at an engine of a site. It reports whether the site is outside the
 // sites of a rule, which only an emergency allows.
-func (c *Core) RecordAttempt(query, tenant string, v *Decision, site string) (outside bool) {
+func (c *Core) RecordAttempt(query, tenant string, decision *Decision, site string) (outside bool) {
 	for _, b := range c.rulesByTenant[tenant] {
-		if !slices.Contains(v.RuleNames, b.Name) || includes(emptyAsAll(b.EngineSites), site) {
+		if !slices.Contains(decision.RuleNames, b.Name) || includes(nilIfEmpty(b.EngineSites), site) {
 			continue
 		}
 		outside = true
@@ -380,23 +385,23 @@
 	return outside
 }
 
-// RecentCrossings returns the most recent crossings, and the number of all since the start.
+// RecentCrossings returns the most recent crossings, and the number of all crossings since the start.
 func (c *Core) RecentCrossings() ([]EmergencyCrossing, int) {
 	return slices.Clone(c.crossings), c.crossingCount
 }
 
 // IsOutsideRules reports whether the rules forbid a query at a site when no emergency is declared.
-func (c *Core) IsOutsideRules(tenant string, tables []int64, known bool, site string) bool {
+func (c *Core) IsOutsideRules(tenant string, tables []int64, tablesKnown bool, site string) bool {
 	rules := c.rulesByTenant[tenant]
 	if len(rules) == 0 {
 		return false
 	}
-	v := evaluateRules(rules, tables, known, nil)
-	return !v.AllowsEngineSite(site)
+	decision := evaluateRules(rules, tables, tablesKnown, nil)
+	return !decision.AllowsEngineSite(site)
 }
 
-// EmergencyRules returns the rules with emergency sites. The fleet declares an emergency when it has
-// lost all engine sites of one of them.
+// EmergencyRules returns the rules with emergency sites. The fleet declares the emergency of a rule when
+// it has lost all engine sites of the rule.
 func EmergencyRules(rules []Rule) (l []fleet.EmergencyRule) {
 	for _, r := range rules {
 		if len(r.Emergency.Sites) > 0 && len(r.EngineSites) > 0 {
@@ -422,6 +427,7 @@
 	return nil
 }
 
+// retentionScope returns the scope of data retained outside the sites; nil if any site may retain data.
 func retentionScope(tenant string, tables []int64, sites []string, anywhere bool) *fleet.Scope {
 	if anywhere {
 		return nil
--- a/internal/resultcache/result_cache.go
+++ b/internal/resultcache/result_cache.go
@@ -49,7 +49,9 @@
 	startedAt         time.Duration
 	startedUnixMillis int64
 	logIndex          uint64 // index in the fleet's log when the flight began
-	invalidated       bool   // by a mutation or an invalidation: the answer is not cached, nor given to later requests
+	// invalidated is set by a mutation or an invalidation: the answer is not cached, nor given to later
+	// requests.
+	invalidated bool
 }
 
 // entry is one cached answer.
--- a/internal/setup/check.go
+++ b/internal/setup/check.go
@@ -193,8 +193,8 @@
 // addressOwner is the tenant that an address prefix belongs to, and its path in the file.
 type addressOwner struct{ tenant, path string }
 
-// checkFairness checks that the tenants fit together: their names, their addresses, the default tenant and the
-// limits of the fair queue.
+// checkFairness checks that the tenants fit together: their names, their addresses, the default tenant
+// and the limits of the fair queue.
 func (c *checker) checkFairness(f *Fairness) {
 	seen := map[string]string{}
 	var owned bart.Table[addressOwner]
--- a/internal/setup/controller_config.go
+++ b/internal/setup/controller_config.go
@@ -110,9 +110,9 @@
 	if x.Shares != nil {
 		result["teams"], result["over.worth"] = strconv.Itoa(len(x.Shares.Customers)),
 			strconv.FormatFloat(x.Shares.OverQuotaWeight, 'f', -1, 64)
-		for i, who := range x.Shares.Customers {
+		for i, customer := range x.Shares.Customers {
 			at := "team." + strconv.Itoa(i) + "."
-			result[at+"name"], result[at+"quota"] = who.Name, decimal(who.Rate, 0)
+			result[at+"name"], result[at+"quota"] = customer.Name, decimal(customer.Rate, 0)
 		}
 	}
 	for _, m := range engineActions {
--- a/internal/setup/placement.go
+++ b/internal/setup/placement.go
@@ -68,14 +68,15 @@
 		walk(x.Fairness.Tenants)
 	}
 	if x.Shares != nil {
-		for _, who := range x.Shares.Customers {
-			names = append(names, who.Name)
+		for _, customer := range x.Shares.Customers {
+			names = append(names, customer.Name)
 		}
 	}
 	return names
 }
 
-// checkPlacement checks the placement rules. A control process doesn't know which tenants and locations exist.
+// checkPlacement checks the placement rules. A control process doesn't know which tenants and locations
+// exist.
 func (c *checker) checkPlacement(x *Setup) {
 	if len(x.Placement) == 0 {
 		return
@@ -253,15 +254,15 @@
 			next.OverQuotaWeight = *x.OverQuotaWeight
 			c.optionalNumber("shares.over", next.OverQuotaWeight, 0, 1)
 		}
-		for i, who := range x.Customers {
+		for i, customer := range x.Customers {
 			at := fmt.Sprintf("shares.customers[%d].", i)
-			c.requiredNumber(at+"rate", who.Rate, 1e-9, 1e9)
-			j := slices.IndexFunc(next.Customers, func(y Customer) bool { return y.Name == who.Name })
+			c.requiredNumber(at+"rate", customer.Rate, 1e-9, 1e9)
+			j := slices.IndexFunc(next.Customers, func(y Customer) bool { return y.Name == customer.Name })
 			if j < 0 {
-				c.addError(at+"name", "no customer is named %q in the set-up", who.Name)
+				c.addError(at+"name", "no customer is named %q in the set-up", customer.Name)
 				continue
 			}
-			next.Customers[j].Rate = who.Rate
+			next.Customers[j].Rate = customer.Rate
 		}
 	}
 }
--- a/internal/spool/spool_test.go
+++ b/internal/spool/spool_test.go
@@ -422,30 +422,30 @@
 			w.OnDone(c.now)
 		}
 	}
-	var all []*Result
+	var results []*Result
 	for i := range 10 {
 		r, err := c.Admit(c.now, fmt.Sprint(i), "linz", InvalidationTag{})
 		if err != nil {
 			t.Fatal(err)
 		}
-		all = append(all, r)
+		results = append(results, r)
 	}
 	finished, refused := 0, 0
 	for range 1000 {
-		for i, r := range all {
+		for i, r := range results {
 			if r == nil {
 				continue
 			}
 			switch v, err := c.AddPage(c.now, r, make([]byte, 1000), 1, c.now+10*time.Second); {
 			case v == PageRefused:
 				c.Drop(c.now, r)
-				all[i] = nil
+				results[i] = nil
 				refused++
 				if !bytes.Contains([]byte(err.Error()), []byte("no room")) {
 					t.Fatal(err)
 				}
 			case v == PageAccepted && r.bytes >= 9000:
-				all[i] = nil
+				results[i] = nil
 				c.Commit(c.now, r, func(err error) {
 					if err != nil {
 						t.Error(err)
