--- a/cmd/railrelay-bench/datapath.go
+++ b/cmd/railrelay-bench/datapath.go
@@ -15,26 +15,27 @@
 func datapathCommand() *cobra.Command {
 	path := bench.DefaultDatapath()
 	file := ""
-	c := &cobra.Command{Use: "datapath", Short: "what engines, clients and queries cost one controller",
-		Args: cobra.NoArgs,
-		Long: "Measures the process of one controller with emulated engines, clients and a discovery service:\n" +
+	c := &cobra.Command{Use: "datapath", Args: cobra.NoArgs,
+		Short: "Measure the cost of engines, clients and queries on one controller",
+		Long: "Measure the process of one controller with emulated engines, clients and a discovery service:\n" +
 			"idle with each number of engines, with each number of idle clients, with queries at each rate, and\n" +
 			"after the loss of an engine that runs a chain. Takes about five minutes.",
 		RunE: func(c *cobra.Command, _ []string) error {
 			return measureDatapath(c.Context(), c.OutOrStdout(), path, file)
 		}}
 	flags := c.Flags()
-	flags.StringVar(&path.Program, "program", path.Program, "the controller")
+	flags.StringVar(&path.Program, "program", path.Program, "path of the railrelay program")
 	flags.IntVar(&path.Controllers, "controllers", path.Controllers,
-		"number of controllers that share the engines, in the set-up")
+		"number of controllers in the set-up, which share the engines")
 	flags.IntSliceVar(&path.EngineCounts, "engines", path.EngineCounts,
-		"numbers of engines to idle with; the largest is used in all other steps")
-	flags.IntSliceVar(&path.QueryRates, "rates", path.QueryRates, "queries a second")
+		"numbers of engines for the idle steps; all other steps use the largest number")
+	flags.IntSliceVar(&path.QueryRates, "rates", path.QueryRates,
+		"queries a second, one rate for each step with queries")
 	flags.IntSliceVar(&path.ClientCounts, "clients", path.ClientCounts,
 		"numbers of idle clients, one for each step")
 	flags.DurationVar(&path.StepDuration, "rest", path.StepDuration, "duration of each step")
 	flags.Uint64Var(&path.Seed, "seed", path.Seed, seedUsage)
-	flags.StringVar(&file, "csv", "", "the file that the results are appended to")
+	flags.StringVar(&file, "csv", "", "file to append the results to")
 	return c
 }
 
@@ -59,14 +60,14 @@
 // printSlopes prints a fitted line for each quantity that was measured at several sizes.
 func printSlopes(out io.Writer, rows []capacity.Row) {
 	type figure struct{ role, what, unit string }
-	told := map[figure]bool{}
+	printed := map[figure]bool{}
 	for _, row := range rows {
 		f := figure{row.Role, row.What, row.Unit}
 		line := capacity.FitLine(capacity.Select(rows, f.role, f.what))
-		if told[f] || line.Slope != line.Slope {
+		if printed[f] || line.Slope != line.Slope {
 			continue
 		}
-		told[f] = true
+		printed[f] = true
 		fmt.Fprintf(out, "%s %s: %.4g + %.4g each, residual %.3g %s, %d points\n", f.role, f.what, line.Intercept,
 			line.Slope,
 			line.Residual, f.unit, line.Points)
--- a/internal/fleet/statemachine/outcome.go
+++ b/internal/fleet/statemachine/outcome.go
@@ -51,7 +51,7 @@
 	}
 }
 
-// purgeOutcome sets the outcome of a purge request: "refused" if the request is of a team that doesn't
+// purgeOutcome sets the outcome of a purge request: "refused" if the request is of a tenant that doesn't
 // own the purge, "purged" once the data is erased, and "unreachable" before that if the request awaits
 // this stage. The stages are named like the kinds of the log entries that begin them.
 func (s *State) purgeOutcome(a *fleet.Request, r *fleet.Response) {
@@ -59,7 +59,7 @@
 	if purge == nil {
 		return
 	}
-	// The refusal tells nothing of another team's purge but that the ID is taken: for an ID without a
+	// The refusal tells nothing of another tenant's purge but that the ID is taken: for an ID without a
 	// purge the outcome is unknown.
 	if a.Tenant != "" && purge.Scope.Tenant != a.Tenant {
 		r.Outcome, r.Reason = Refused, "no purge of this team has this id"
--- a/internal/fleet/transport/keys.go
+++ b/internal/fleet/transport/keys.go
@@ -24,7 +24,7 @@
 // ReadKeys reads a key file: one key per line in hex or base64; # begins a comment. A line that is
 // valid hex is decoded as hex. Every error is a *KeyFileError. The file must be a regular file of at
 // most 64 KiB with one or two keys. Users other than its owner must have no access to it, because
-// anyone who has a key can change every team's policy.
+// anyone who has a key can change every tenant's policy.
 func ReadKeys(path string) (Keys, error) {
 	f, err := os.Open(path)
 	if err != nil {
--- a/internal/residency/change.go
+++ b/internal/residency/change.go
@@ -9,32 +9,32 @@
 	"railrelay.dev/railrelay/internal/fleet"
 )
 
-// ValidateRules returns the flaws of rules: missing or duplicate names, unknown sites and teams, and
-// rules for the same tables that leave no site. nil for sites or teams allows any name.
-func ValidateRules(rules []Rule, sites, teams []string) (flaws []*InvalidRuleError) {
-	addFlaw := func(i int, field, format string, args ...any) {
-		flaws = append(flaws, &InvalidRuleError{i, field, fmt.Sprintf(format, args...)})
+// ValidateRules returns the errors in rules: missing or duplicate names, unknown sites and tenants, and
+// rules for the same tables that leave no site. nil for sites or tenants allows any name.
+func ValidateRules(rules []Rule, sites, tenants []string) (ruleErrors []*InvalidRuleError) {
+	addError := func(i int, field, format string, args ...any) {
+		ruleErrors = append(ruleErrors, &InvalidRuleError{i, field, fmt.Sprintf(format, args...)})
 	}
 	names := map[string]bool{}
 	for i, r := range rules {
 		switch {
 		case r.Name == "":
-			addFlaw(i, "name", "is missing")
+			addError(i, "name", "is missing")
 		case names[r.Name]:
-			addFlaw(i, "name", "a second rule is called %q", r.Name)
+			addError(i, "name", "a second rule is called %q", r.Name)
 		}
 		names[r.Name] = true
 		switch {
 		case r.Tenant == "":
-			addFlaw(i, "team", "is missing: a rule binds one team")
-		case teams != nil && !slices.Contains(teams, r.Tenant):
-			addFlaw(i, "team", "no team is called %q", r.Tenant)
+			addError(i, "team", "is missing: a rule binds one team")
+		case tenants != nil && !slices.Contains(tenants, r.Tenant):
+			addError(i, "team", "no team is called %q", r.Tenant)
 		}
 		if len(r.EngineSites) == 0 && r.ControllerSites == nil && r.RetentionSites == nil {
-			addFlaw(i, "engines", "is missing: the rule binds nothing to a site")
+			addError(i, "engines", "is missing: the rule binds nothing to a site")
 		}
 		if r.ControllerSites != nil && len(r.ControllerSites) == 0 {
-			addFlaw(i, "controllers", "is empty: no controller could take a query")
+			addError(i, "controllers", "is empty: no controller could take a query")
 		}
 		for _, l := range []struct {
 			field string
@@ -43,47 +43,47 @@
 			{"emergency.sites", r.Emergency.Sites}} {
 			for j, s := range l.sites {
 				if sites != nil && !slices.Contains(sites, s) {
-					addFlaw(i, fmt.Sprintf("%s[%d]", l.field, j), "no location is called %q", s)
+					addError(i, fmt.Sprintf("%s[%d]", l.field, j), "no location is called %q", s)
 				}
 				if l.field == "emergency.sites" && slices.Contains(r.EngineSites, s) {
-					addFlaw(i, fmt.Sprintf("%s[%d]", l.field, j), "%q is one of the rule's engine sites already", s)
+					addError(i, fmt.Sprintf("%s[%d]", l.field, j), "%q is one of the rule's engine sites already", s)
 				}
 			}
 		}
 		for j, t := range r.Tables {
 			if t < 0 {
-				addFlaw(i, fmt.Sprintf("tables[%d]", j), "%d is not a table group", t)
+				addError(i, fmt.Sprintf("tables[%d]", j), "%d is not a table group", t)
 			}
 		}
 		switch e := r.Emergency; {
 		case len(e.Sites) > 0 && e.After <= 0:
-			addFlaw(i, "emergency.after", "is missing: how long must all engine sites be lost")
+			addError(i, "emergency.after", "is missing: how long must all engine sites be lost")
 		case len(e.Sites) == 0 && e.After > 0:
-			addFlaw(i, "emergency.sites", "is missing: which additional sites are allowed")
+			addError(i, "emergency.sites", "is missing: which additional sites are allowed")
 		case len(e.Sites) > 0 && len(r.EngineSites) == 0:
-			addFlaw(i, "emergency", "has no effect: the rule names no engines")
+			addError(i, "emergency", "has no effect: the rule names no engines")
 		}
 	}
-	if len(flaws) > 0 {
-		return flaws // a flawed rule would be reported again as a conflict
+	if len(ruleErrors) > 0 {
+		return ruleErrors // an invalid rule would be reported again as a conflict
 	}
-	for team, l := range bindTables(rules, nil) {
+	for tenant, l := range bindTables(rules, nil) {
 		for _, tables := range tableClasses(l) {
-			v := evaluateRules(l, tables, true, nil)
-			if v.Conflict == nil {
+			decision := evaluateRules(l, tables, true, nil)
+			if decision.Conflict == nil {
 				continue
 			}
-			last := v.Conflict.Rules[len(v.Conflict.Rules)-1]
+			last := decision.Conflict.Rules[len(decision.Conflict.Rules)-1]
 			i := slices.IndexFunc(rules, func(r Rule) bool { return r.Name == last })
-			if !slices.ContainsFunc(flaws, func(f *InvalidRuleError) bool { return f.RuleIndex == i }) {
-				addFlaw(i, v.Conflict.Role+"s", "rules %s leave team %q no %s for %s",
-					strings.Join(v.Conflict.Rules, " and "), team,
-					v.Conflict.Role, describeTables(tables))
+			if !slices.ContainsFunc(ruleErrors, func(f *InvalidRuleError) bool { return f.RuleIndex == i }) {
+				addError(i, decision.Conflict.Role+"s", "rules %s leave team %q no %s for %s",
+					strings.Join(decision.Conflict.Rules, " and "), tenant,
+					decision.Conflict.Role, describeTables(tables))
 			}
 		}
 	}
-	slices.SortFunc(flaws, func(a, b *InvalidRuleError) int { return a.RuleIndex - b.RuleIndex })
-	return flaws
+	slices.SortFunc(ruleErrors, func(a, b *InvalidRuleError) int { return a.RuleIndex - b.RuleIndex })
+	return ruleErrors
 }
 
 // tableClasses splits the tables into classes that all rules treat alike: one class for each table
@@ -97,14 +97,14 @@
 			}
 		}
 	}
-	all := [][]int64{nil}
+	classes := [][]int64{nil}
 	for _, t := range sorted(named) {
-		all = append(all, []int64{t})
+		classes = append(classes, []int64{t})
 	}
-	return all
+	return classes
 }
 
-// Tightening is a boundary that a change makes narrower.
+// Tightening is a reduction of the sites that the rules allow for some tables of a tenant.
 type Tightening struct {
 	Tenant string   `json:"team"`
 	Rules  []string `json:"rules"`            // the new rules that apply
@@ -113,7 +113,8 @@
 	// EndsRunningQueries, queries at other sites must have ended before the change is complete.
 	EngineSites        []string `json:"engines"`
 	EndsRunningQueries bool     `json:"ends"`
-	// PurgeScope matches the data retained outside the new boundary; nil: there can be none.
+	// PurgeScope matches the data retained at sites that are not allowed any more; nil: there can be no
+	// such data.
 	PurgeScope *fleet.Scope `json:"purge,omitempty"`
 }
 
@@ -126,19 +127,24 @@
 		func(s string) bool { return !slices.Contains(after, s) })
 }
 
-// FindTightenings returns the boundaries that new rules make narrower. Boundaries that become wider
-// need no action and are left out. A result whose tables are unknown matches each purge of its team.
+// FindTightenings returns the tables for which new rules allow fewer sites. Tables for which sites are
+// only added need no action and are left out. A result whose tables are unknown
+// matches each purge of its tenant.
 func FindTightenings(old, next []Rule, bindings []fleet.Binding) (l []Tightening) {
 	before, after := bindTables(old, bindings), bindTables(next, bindings)
-	for _, team := range teamNames(next) { // a team without new rules has no boundary that could be narrower
-		for _, tables := range tableClasses(before[team], after[team]) {
-			a, b := evaluateRules(before[team], tables, true, nil), evaluateRules(after[team], tables, true, nil)
-			t := Tightening{Tenant: team, Rules: b.RuleNames, Tables: tables, EngineSites: b.EngineSites,
-				EndsRunningQueries: isNarrower(a.EngineSites, b.EngineSites)}
-			if isNarrower(a.RetentionSites, b.RetentionSites) {
-				t.PurgeScope = &fleet.Scope{Tenant: team, Tables: tables, OutsideSites: b.RetentionSites}
+	// Without new rules, all sites are allowed for a tenant.
+	for _, tenant := range tenantNames(next) {
+		for _, tables := range tableClasses(before[tenant], after[tenant]) {
+			oldDecision := evaluateRules(before[tenant], tables, true, nil)
+			newDecision := evaluateRules(after[tenant], tables, true, nil)
+			t := Tightening{Tenant: tenant, Rules: newDecision.RuleNames, Tables: tables,
+				EngineSites:        newDecision.EngineSites,
+				EndsRunningQueries: isNarrower(oldDecision.EngineSites, newDecision.EngineSites)}
+			if isNarrower(oldDecision.RetentionSites, newDecision.RetentionSites) {
+				t.PurgeScope = &fleet.Scope{Tenant: tenant, Tables: tables, OutsideSites: newDecision.RetentionSites}
 			}
-			if !t.EndsRunningQueries && t.PurgeScope == nil && !isNarrower(a.ControllerSites, b.ControllerSites) {
+			if !t.EndsRunningQueries && t.PurgeScope == nil &&
+				!isNarrower(oldDecision.ControllerSites, newDecision.ControllerSites) {
 				continue
 			}
 			if i := slices.IndexFunc(l, func(x Tightening) bool {
@@ -176,8 +182,8 @@
 	return slices.Equal(t.PurgeScope.OutsideSites, x.PurgeScope.OutsideSites)
 }
 
-// teamNames returns the names of the teams that have rules, without duplicates.
-func teamNames(rules []Rule) (l []string) {
+// tenantNames returns the names of the tenants that have rules, without duplicates.
+func tenantNames(rules []Rule) (l []string) {
 	for _, r := range rules {
 		if !slices.Contains(l, r.Tenant) {
 			l = append(l, r.Tenant)
@@ -200,7 +206,7 @@
 	Threads    float64
 }
 
-// RetainedData counts the data of a team that a controller retains.
+// RetainedData counts the data of a tenant that a controller retains.
 type RetainedData struct {
 	Controller, Tenant string
 	Counts             fleet.InvalidationCounts
@@ -210,79 +216,80 @@
 // threads, from 0 to 1.
 type ChangePlan struct {
 	Rows []PlanRow `json:"rows"`
-	// teams that would have no engine or controller for some of their tables
+	// tenants that would have no engine or controller for some of their tables
 	TenantsWithoutSite []string `json:"none"`
 }
 
-// PlanRow describes the effects on tables of one team that all rules treat alike.
+// PlanRow describes the effects on tables of one tenant that all rules treat alike.
 type PlanRow struct {
 	Tenant         string   `json:"team"`
 	Tables         []int64  `json:"tables,omitempty"` // empty: all tables that no rule names
 	Rules          []string `json:"rules"`
 	ShareBefore    float64  `json:"share_before"`
 	ShareAfter     float64  `json:"share_after"`
-	EnginesOutside []string `json:"engines_outside"` // engines that the team would lose
+	EnginesOutside []string `json:"engines_outside"` // engines that the tenant would lose
 	// controllers that could no longer serve its queries
 	ControllersOutside []string `json:"controllers_outside"`
 	// controllers whose retained data would be purged
 	PurgeOn []string `json:"purge_on"`
-	// retained data of the whole team on the controllers of PurgeOn
+	// retained data of the whole tenant on the controllers of PurgeOn
 	RetainedOutside fleet.InvalidationCounts `json:"kept_outside"`
 	Conflict        string                   `json:"conflict,omitempty"`
 }
 
 // PlanChange returns the effects that new rules would have.
-func PlanChange(old, next []Rule, w PlanInput) *ChangePlan {
-	before, after := bindTables(old, w.Bindings), bindTables(next, w.Bindings)
+func PlanChange(old, next []Rule, input PlanInput) *ChangePlan {
+	before, after := bindTables(old, input.Bindings), bindTables(next, input.Bindings)
 	plan := &ChangePlan{Rows: []PlanRow{}, TenantsWithoutSite: []string{}}
 	total := 0.0
-	for _, e := range w.Engines {
+	for _, e := range input.Engines {
 		total += e.Threads
 	}
 	total = max(total, 1e-9)
-	for _, team := range teamNames(slices.Concat(old, next)) {
-		for _, tables := range tableClasses(before[team], after[team]) {
-			a, b := evaluateRules(before[team], tables, true, nil), evaluateRules(after[team], tables, true, nil)
-			if !a.RuleApplies && !b.RuleApplies {
+	for _, tenant := range tenantNames(slices.Concat(old, next)) {
+		for _, tables := range tableClasses(before[tenant], after[tenant]) {
+			oldDecision := evaluateRules(before[tenant], tables, true, nil)
+			newDecision := evaluateRules(after[tenant], tables, true, nil)
+			if !oldDecision.RuleApplies && !newDecision.RuleApplies {
 				continue
 			}
-			row := PlanRow{Tenant: team, Tables: tables, Rules: b.RuleNames, EnginesOutside: []string{},
+			row := PlanRow{Tenant: tenant, Tables: tables, Rules: newDecision.RuleNames, EnginesOutside: []string{},
 				ControllersOutside: []string{}, PurgeOn: []string{}}
-			if b.Conflict != nil {
-				row.Conflict = b.Conflict.Error()
+			if newDecision.Conflict != nil {
+				row.Conflict = newDecision.Conflict.Error()
 			}
-			for _, e := range w.Engines {
-				if a.AllowsEngineSite(e.Site) {
+			for _, e := range input.Engines {
+				if oldDecision.AllowsEngineSite(e.Site) {
 					row.ShareBefore += e.Threads / total
 				}
-				if b.AllowsEngineSite(e.Site) {
+				if newDecision.AllowsEngineSite(e.Site) {
 					row.ShareAfter += e.Threads / total
-				} else if a.AllowsEngineSite(e.Site) {
+				} else if oldDecision.AllowsEngineSite(e.Site) {
 					row.EnginesOutside = append(row.EnginesOutside, e.Name)
 				}
 			}
 			servingControllers := 0
-			for _, m := range w.Controllers {
+			for _, m := range input.Controllers {
 				if m.Forgotten {
 					continue
 				}
-				if includes(b.ControllerSites, m.Site) {
+				if includes(newDecision.ControllerSites, m.Site) {
 					servingControllers++
-				} else if includes(a.ControllerSites, m.Site) {
+				} else if includes(oldDecision.ControllerSites, m.Site) {
 					row.ControllersOutside = append(row.ControllersOutside, m.Name)
 				}
-				if includes(a.RetentionSites, m.Site) && !includes(b.RetentionSites, m.Site) {
+				if includes(oldDecision.RetentionSites, m.Site) && !includes(newDecision.RetentionSites, m.Site) {
 					row.PurgeOn = append(row.PurgeOn, m.Name)
-					for _, k := range w.Retained {
-						if k.Controller == m.Name && k.Tenant == team {
+					for _, k := range input.Retained {
+						if k.Controller == m.Name && k.Tenant == tenant {
 							row.RetainedOutside.Add(k.Counts)
 						}
 					}
 				}
 			}
 			if none := row.ShareAfter == 0 || servingControllers == 0; none &&
-				!slices.Contains(plan.TenantsWithoutSite, team) {
-				plan.TenantsWithoutSite = append(plan.TenantsWithoutSite, team)
+				!slices.Contains(plan.TenantsWithoutSite, tenant) {
+				plan.TenantsWithoutSite = append(plan.TenantsWithoutSite, tenant)
 			}
 			plan.Rows = append(plan.Rows, row)
 		}
@@ -299,7 +306,7 @@
 }
 
 // Table formats the plan as a text table.
-func (o *ChangePlan) Table() string {
+func (plan *ChangePlan) Table() string {
 	var text strings.Builder
 	w := tabwriter.NewWriter(&text, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "TEAM\tTABLES\tRULES\tTHREADS NOW\tTHREADS THEN\tENGINES LOST\t"+
@@ -310,7 +317,7 @@
 		}
 		return strings.Join(l, ",")
 	}
-	for _, r := range o.Rows {
+	for _, r := range plan.Rows {
 		tables := "others"
 		if len(r.Tables) > 0 {
 			tables = strings.Trim(fmt.Sprint(r.Tables), "[]")
@@ -320,9 +327,9 @@
 			list(r.EnginesOutside), list(r.ControllersOutside), list(r.PurgeOn))
 	}
 	w.Flush()
-	if len(o.TenantsWithoutSite) > 0 {
+	if len(plan.TenantsWithoutSite) > 0 {
 		fmt.Fprintf(&text, "no engine or controller would be left for: %s\n",
-			strings.Join(o.TenantsWithoutSite, ", "))
+			strings.Join(plan.TenantsWithoutSite, ", "))
 	}
 	return text.String()
 }
--- a/internal/setup/controller_config.go
+++ b/internal/setup/controller_config.go
@@ -52,7 +52,7 @@
 	return config
 }
 
-// FairQueueConfig returns the teams, which a reload replaces. It is nil without fairness.
+// FairQueueConfig returns the tenants, which a reload replaces. It is nil without fairness.
 func (x *Setup) FairQueueConfig() *fairqueue.Config {
 	if x.Fairness == nil {
 		return nil
@@ -110,9 +110,9 @@
 	if x.Shares != nil {
 		result["teams"], result["over.worth"] = strconv.Itoa(len(x.Shares.Customers)),
 			strconv.FormatFloat(x.Shares.OverQuotaWeight, 'f', -1, 64)
-		for i, who := range x.Shares.Customers {
+		for i, customer := range x.Shares.Customers {
 			at := "team." + strconv.Itoa(i) + "."
-			result[at+"name"], result[at+"quota"] = who.Name, decimal(who.Rate, 0)
+			result[at+"name"], result[at+"quota"] = customer.Name, decimal(customer.Rate, 0)
 		}
 	}
 	for _, m := range engineActions {
@@ -182,7 +182,7 @@
 func decimal(a, absent float64) string { return strconv.FormatFloat(cmp.Or(a, absent), 'f', -1, 64) }
 
 // PartsNeedingRestart lists the parts of next that differ and that a reload can't change: all
-// but the address of the discovery service and the teams.
+// but the address of the discovery service and the tenants.
 func (x *Setup) PartsNeedingRestart(next *Setup) (parts []string) {
 	for name, same := range map[string]bool{
 		"name": x.Name == next.Name, "listen": x.Listen == next.Listen, "seed": x.Seed == next.Seed,
--- a/internal/setup/placement.go
+++ b/internal/setup/placement.go
@@ -18,12 +18,12 @@
 	"railrelay.dev/railrelay/internal/residency"
 )
 
-// PlacementRule confines tables of a team to some of the engines' locations. The team is one of
+// PlacementRule confines tables of a tenant to some of the engines' locations. The tenant is one of
 // Fairness or a customer of Shares.
 type PlacementRule struct {
 	Name        string   `yaml:"name"`
 	Tenant      string   `yaml:"team"`
-	Tables      []int64  `yaml:"tables"`  // table groups; default all of the team
+	Tables      []int64  `yaml:"tables"`  // table groups; default all of the tenant
 	EngineSites []string `yaml:"engines"` // sites whose engines may process the tables; default all
 	// ControllerSites lists the sites whose controllers may accept queries on the tables; default as
 	// EngineSites.
@@ -52,8 +52,8 @@
 	return l
 }
 
-// teamNames returns the teams and customers that a query can belong to.
-func (x *Setup) teamNames() []string {
+// tenantNames returns the tenants and customers that a query can belong to.
+func (x *Setup) tenantNames() []string {
 	names := []string{}
 	var walk func(l []Tenant)
 	walk = func(l []Tenant) {
@@ -68,14 +68,15 @@
 		walk(x.Fairness.Tenants)
 	}
 	if x.Shares != nil {
-		for _, who := range x.Shares.Customers {
-			names = append(names, who.Name)
+		for _, customer := range x.Shares.Customers {
+			names = append(names, customer.Name)
 		}
 	}
 	return names
 }
 
-// checkPlacement checks the placement rules. A control process doesn't know which teams and locations exist.
+// checkPlacement checks the placement rules. A control process doesn't know which tenants and locations
+// exist.
 func (c *checker) checkPlacement(x *Setup) {
 	if len(x.Placement) == 0 {
 		return
@@ -93,11 +94,11 @@
 	if len(sites) == 0 {
 		sites = []string{"here"}
 	}
-	teams := x.teamNames()
+	tenants := x.tenantNames()
 	if x.IsControlProcess() {
-		sites, teams = nil, nil
+		sites, tenants = nil, nil
 	}
-	for _, f := range residency.ValidateRules(x.placementRules(), sites, teams) {
+	for _, f := range residency.ValidateRules(x.placementRules(), sites, tenants) {
 		c.addError(fmt.Sprintf("placement[%d].%s", f.RuleIndex, f.Field), "%s", f.Reason)
 	}
 }
@@ -112,7 +113,7 @@
 	Voters    []Voter         `yaml:"voters"` // voters from now on; default unchanged
 }
 
-// PolicyTenants are all teams of the fleet.
+// PolicyTenants are all tenants of the fleet.
 type PolicyTenants struct {
 	Default     string   `yaml:"default"`
 	AgeingLimit Duration `yaml:"age"`
@@ -235,7 +236,7 @@
 	if p.Placement != nil {
 		s.Placement = p.Placement
 	}
-	c.checkPlacement(s) // rules that the policy omits may name teams that it removes
+	c.checkPlacement(s) // rules that the policy omits may name tenants that it removes
 	c.checkPolicyVoters(p.Voters)
 }
 
@@ -253,15 +254,15 @@
 			next.OverQuotaWeight = *x.OverQuotaWeight
 			c.optionalNumber("shares.over", next.OverQuotaWeight, 0, 1)
 		}
-		for i, who := range x.Customers {
+		for i, customer := range x.Customers {
 			at := fmt.Sprintf("shares.customers[%d].", i)
-			c.requiredNumber(at+"rate", who.Rate, 1e-9, 1e9)
-			j := slices.IndexFunc(next.Customers, func(y Customer) bool { return y.Name == who.Name })
+			c.requiredNumber(at+"rate", customer.Rate, 1e-9, 1e9)
+			j := slices.IndexFunc(next.Customers, func(y Customer) bool { return y.Name == customer.Name })
 			if j < 0 {
-				c.addError(at+"name", "no customer is named %q in the set-up", who.Name)
+				c.addError(at+"name", "no customer is named %q in the set-up", customer.Name)
 				continue
 			}
-			next.Customers[j].Rate = who.Rate
+			next.Customers[j].Rate = customer.Rate
 		}
 	}
 }
