--- a/internal/fleet/node/leader.go
+++ b/internal/fleet/node/leader.go
@@ -142,7 +142,7 @@
 		}
 	}
 	if len(c.toConfirm) > 0 && len(c.confirming) == 0 {
-		at = min(at, c.confirmAskedAt+c.batchingDelay())
+		at = min(at, c.confirmAskedAt+c.batchInterval())
 	}
 	return at
 }
--- a/internal/fleet/node/lease_granting.go
+++ b/internal/fleet/node/lease_granting.go
@@ -14,9 +14,9 @@
 // (confirming), and grants the leases of the batch once a majority has confirmed.
 
 const (
-	// Renewals wait to share a confirmation with others, but no longer than maxBatchingDelay
-	// and 1/batchesPerInterval of the renewal interval.
-	maxBatchingDelay   = 5 * time.Millisecond
+	// Confirmations start at least maxBatchInterval or 1/batchesPerInterval of the renewal interval
+	// apart, whichever is shorter. The renewals that arrive between them share the next confirmation.
+	maxBatchInterval   = 5 * time.Millisecond
 	batchesPerInterval = 10
 )
 
@@ -71,8 +71,8 @@
 
 // The reasons for refusing a controller for good.
 const (
-	forgottenName = "its name was forgotten: the disk that had it is taken for destroyed"
-	foreignDisk   = "another disk has this name"
+	forgottenReason   = "its name was forgotten: the disk that had it is taken for destroyed"
+	foreignDiskReason = "another disk has this name"
 )
 
 // refusalReason returns why a controller is refused for good, "" if it isn't.
@@ -82,15 +82,16 @@
 	case m == nil:
 		return ""
 	case m.Forgotten:
-		return forgottenName
+		return forgottenReason
 	case m.DiskID != disk:
-		return foreignDisk
+		return foreignDiskReason
 	}
 	return ""
 }
 
-// repeatRule says how to treat the last renewal of an incarnation when it is received again after
-// a renewal of another incarnation.
+// repeatRule says how to treat a renewal that is received a second time. In between, the controller
+// sent a renewal under another incarnation. The rule says whether the repeated renewal becomes the
+// controller's last report again.
 type repeatRule bool
 
 const (
@@ -123,8 +124,8 @@
 	if logged == nil || *logged != member {
 		c.proposeOnce("join "+name, &fleet.Entry{Kind: fleet.EntryJoin, ID: name, Name: name, Member: &member})
 	}
-	// Changes don't wait for control processes. A former control process that now takes queries
-	// must be in the log as a controller before it gets a lease.
+	// A policy change waits only for the controllers in the log, not for control processes. A former
+	// control process that now takes queries must thus be in the log as a controller before it gets a lease.
 	return "", logged != nil && logged.ControlOnly == member.ControlOnly
 }
 
@@ -155,10 +156,11 @@
 		!maps.Equal(r.Erased, o.Erased)
 }
 
-// batchingDelay returns how long renewals wait to share a confirmation. Without the delay, a
-// thousand controllers would cause a thousand confirmations a second.
-func (c *Core) batchingDelay() time.Duration {
-	return min(maxBatchingDelay, c.renewalInterval()/batchesPerInterval)
+// batchInterval returns the minimum time between the starts of two confirmations. Without this
+// minimum, a thousand controllers would cause a thousand confirmations a second. It is also the
+// minimum time between a relay's last message to the leader and an urgent one.
+func (c *Core) batchInterval() time.Duration {
+	return min(maxBatchInterval, c.renewalInterval()/batchesPerInterval)
 }
 
 // awaitConfirmation queues a renewal for the next confirmation. A relay's message replaces the
@@ -172,13 +174,14 @@
 	c.toConfirm = append(c.toConfirm, next)
 }
 
-// confirmWaitingRenewals starts the next confirmation when one is due.
+// confirmWaitingRenewals first drops the expired coverage of relays. It then starts a confirmation if
+// renewals wait, no confirmation is under way, and batchInterval has passed since the last one started.
 func (c *Core) confirmWaitingRenewals() {
 	if !c.isLeader {
 		return
 	}
 	c.expireCoverage()
-	if len(c.toConfirm) > 0 && len(c.confirming) == 0 && c.now >= c.confirmAskedAt+c.batchingDelay() {
+	if len(c.toConfirm) > 0 && len(c.confirming) == 0 && c.now >= c.confirmAskedAt+c.batchInterval() {
 		c.confirmLeadership()
 	}
 }
@@ -224,8 +227,8 @@
 	}
 }
 
-// grantLease grants the lease of a confirmed renewal, unless its controller was forgotten or
-// restarted in the meantime.
+// grantLease grants the lease of a confirmed renewal that the controller itself sent, unless the
+// controller was forgotten or restarted in the meantime. grantRelayed handles relayed renewals.
 func (c *Core) grantLease(q unconfirmedRenewal, index uint64) {
 	m := c.state.Members[q.name]
 	if m == nil || m.Forgotten || c.peers[q.name].incarnation != q.renewal.Incarnation {
--- a/internal/fleet/node/relay.go
+++ b/internal/fleet/node/relay.go
@@ -52,7 +52,7 @@
 	if !c.aggregates() || !c.otherLeaderKnown() {
 		return fleet.Forever
 	}
-	return c.aggregator.due(c.batchingDelay(), c.renewalInterval()/messagesPerInterval)
+	return c.aggregator.due(c.batchInterval(), c.renewalInterval()/messagesPerInterval)
 }
 
 // sendAggregate sends the aggregated renewals to the leader when a message is due.
--- a/internal/fleet/node/relay_coverage.go
+++ b/internal/fleet/node/relay_coverage.go
@@ -182,7 +182,7 @@
 	}
 	for _, name := range c.forgottenAmong(q.coverage) {
 		c.uncover(q.coverage, name, q.coverage.heardAt)
-		answer.Withheld = append(answer.Withheld, WithheldLease{Name: name, RefusedReason: forgottenName})
+		answer.Withheld = append(answer.Withheld, WithheldLease{Name: name, RefusedReason: forgottenReason})
 	}
 	answer.Resend = sorted(q.coverage.resend)
 	c.send(q.name, c.addressOf(q.name), &Message{RelayedGrants: answer})
--- a/internal/fleet/node/relay_coverage_test.go
+++ b/internal/fleet/node/relay_coverage_test.go
@@ -121,11 +121,11 @@
 	l.request(1, &fleet.Request{Kind: "forget", ID: "x", Name: "f0"})
 	s.waitFor(2*time.Second, "forgotten", func() bool { return l.core.state.Members["f0"].Forgotten })
 	if a := send(&RelayedRenewals{Seq: 2, BaseSeq: 1}); a == nil || len(a.Withheld) != 1 ||
-		a.Withheld[0].RefusedReason != forgottenName {
+		a.Withheld[0].RefusedReason != forgottenReason {
 		t.Errorf("%+v", a)
 	}
 	if a := send(&RelayedRenewals{Seq: 3, Renewals: []RelayedRenewal{{Name: "f1", DiskID: "another",
-		Renewal: testRenewal("f1", 51, 1)}}}); a == nil || a.Withheld[0].RefusedReason != foreignDisk {
+		Renewal: testRenewal("f1", 51, 1)}}}); a == nil || a.Withheld[0].RefusedReason != foreignDiskReason {
 		t.Errorf("%+v", a)
 	}
 }
--- a/internal/fleet/node/replicated_log.go
+++ b/internal/fleet/node/replicated_log.go
@@ -65,6 +65,6 @@
 // stopIfForgotten stops this controller for good if the log has its name as forgotten.
 func (c *Core) stopIfForgotten() {
 	if m := c.state.Members[c.config.Self.Name]; m != nil && m.Forgotten {
-		c.stopForGood(forgottenName)
+		c.stopForGood(forgottenReason)
 	}
 }
