--- a/cmd/railrelay-fleet/join.go
+++ b/cmd/railrelay-fleet/join.go
@@ -43,8 +43,8 @@
 	member, err := driver.Open(driver.Options{Node: nodeConfig(own), Fleet: f.Name, PeerAddress: f.ListenAddress,
 		ControlAddress: f.ControlAddress, Directory: f.Directory, KeyFile: f.KeyFile,
 		StartTime: config.StartedAt, Log: log,
-		CheckPolicy: func(change string, text []byte, now driver.PolicyContext) driver.PolicyVerdict {
-			return check(own, change, text, now)
+		CheckPolicy: func(validationKey string, text []byte, now driver.PolicyContext) driver.PolicyVerdict {
+			return check(own, validationKey, text, now)
 		}})
 	if err != nil {
 		return cli.FleetMembership{}, withRemedy(err)
@@ -60,9 +60,9 @@
 
 // checkPolicy parses a policy for a controller and determines the purges for placement rules that
 // are tighter than those in force.
-func checkPolicy(own *setup.Setup, change string, text []byte,
+func checkPolicy(own *setup.Setup, validationKey string, text []byte,
 	inForce driver.PolicyContext) driver.PolicyVerdict {
-	policy, watched, voters, err := setup.ParsePolicy("policy "+change, text, own)
+	policy, watched, voters, err := setup.ParsePolicy("policy "+validationKey, text, own)
 	if err != nil {
 		return rejectPolicy(err)
 	}
@@ -84,9 +84,9 @@
 // checkControlPolicy parses a policy for a control process and determines the purges that it
 // requires. A control process knows no teams, groups or engines. It checks everything else, and
 // each controller checks those names.
-func checkControlPolicy(own *setup.Setup, change string, text []byte,
+func checkControlPolicy(own *setup.Setup, validationKey string, text []byte,
 	inForce driver.PolicyContext) driver.PolicyVerdict {
-	file := "policy " + change
+	file := "policy " + validationKey
 	policy, err := setup.ParseControlPolicy(file, text, own)
 	if err != nil {
 		return rejectPolicy(err)
--- a/internal/fleet/driver/driver.go
+++ b/internal/fleet/driver/driver.go
@@ -12,8 +12,8 @@
 //     that exceed the queue wait at the core, at most one for each change since the last snapshot
 //   - reports of the controller: the controller fills the queue and never blocks on it
 //   - orders for the controller: consecutive lease renewals that wait are merged into the last one;
-//     at maxPendingOrders the core processes no events until there is room, so that its leases
-//     expire meanwhile, which is safe
+//     at maxPendingOrders the core receives only abandoned requests until there is room, so that
+//     its leases expire meanwhile, which is safe
 //   - requests of operators: beyond the limit the response says that the outcome is unknown
 package driver
 
@@ -34,14 +34,15 @@
 
 const (
 	maxQueuedMessages  = 4096 // messages from peers for the core
-	maxPendingOrders   = 256  // orders for the controller, beyond which the core processes no events
+	maxPendingOrders   = 256  // orders for the controller; a full queue blocks most events
 	maxQueuedReports   = 256  // reports of the controller for the core
 	maxQueuedRequests  = 64   // requests of operators for the core
 	maxOpenRequests    = 1024 // requests of operators that wait for their response
 	maxQueuedChecks    = 4    // policy texts to check
 	failureLogInterval = time.Minute
 
-	committedKeyPrefix = "in force " // of the validation key of the committed policy, as in package node
+	// committedKeyPrefix begins the validation key of the committed policy. Package node has the same.
+	committedKeyPrefix = "in force "
 )
 
 // stateMachine is the part of node.Core that Driver uses.
@@ -93,7 +94,7 @@
 	initialEffects []node.Effect // requested by the core when it was created
 	store          persister
 	peers          peerSender
-	checkPolicy    func(change string, text []byte, context PolicyContext) PolicyVerdict
+	checkPolicy    func(validationKey string, text []byte, context PolicyContext) PolicyVerdict
 	log            zerolog.Logger
 	started        time.Time // origin of the core's time
 	name           string    // of this controller
@@ -175,8 +176,8 @@
 	}
 }
 
-// Request passes an operator's request to the core and waits for the response. If ctx ends first,
-// or too many requests wait, the outcome in the response is "unknown".
+// Request passes an operator's request to the core and waits for the response. If ctx or the core's
+// goroutine ends first, or too many requests wait, the outcome in the response is "unknown".
 func (d *Driver) Request(ctx context.Context, request *fleet.Request) *fleet.Response {
 	r := pendingRequest{request, make(chan *fleet.Response, 1), make(chan uint64, 1), &atomic.Bool{}}
 	select {
@@ -190,7 +191,7 @@
 	case <-ctx.Done():
 	case <-d.coreEnded:
 	}
-	r.abandoned.Store(true) // before reading the handle: the core checks abandoned after sending the handle
+	r.abandoned.Store(true) // before reading the handle: the core reads r.abandoned after it sends the handle
 	select {
 	case handle := <-r.handle:
 		select {
@@ -277,7 +278,8 @@
 
 // nextEvent waits until it can send a pending order or check, or receives an input. isForCore reports
 // whether event is to be passed to the core. While maxPendingOrders orders or more wait for the
-// controller, nextEvent receives only from abandoned.
+// controller, nextEvent receives only from d.abandoned. If the committed policy passes its check,
+// nextEvent also stores the policy in policyContext, for later checks.
 func (d *Driver) nextEvent(ctx context.Context) (event node.Event, isForCore bool) {
 	messages, reports, requests := d.messages, d.reports, d.requests
 	timer, written, checked := d.timer.C, d.written, d.checked
@@ -406,7 +408,8 @@
 
 // queueOrder appends an order to the pending orders. If the last pending order and the new one both
 // renew the lease, the new one replaces the last, so that a slow controller doesn't accumulate
-// renewals. Merging renewals never lengthens a lease.
+// renewals. Merging renewals never lengthens a lease. queueOrder also stores the policy of
+// ActivatePolicy and the bindings of ViewChanged in policyContext, for later policy checks.
 func (d *Driver) queueOrder(o fleet.Order) {
 	n := len(d.pendingOrders)
 	lastIsLease := n > 0 && d.pendingOrders[n-1].Kind == fleet.LeaseRenewed
@@ -458,6 +461,7 @@
 	d.storeFailure = err
 	// revoke the lease: a lease without an end would never expire
 	d.queueOrder(fleet.Order{Kind: fleet.LeaseRenewed})
+	// fence the policy: no change has the ID "the disk", which only names the cause
 	d.queueOrder(fleet.Order{Kind: fleet.FencePolicy, ChangeID: "the disk"})
 	for handle, response := range d.openRequests {
 		delete(d.openRequests, handle)
--- a/internal/fleet/driver/driver_test.go
+++ b/internal/fleet/driver/driver_test.go
@@ -84,8 +84,8 @@
 	*Driver, *fakeCore, *syncBuffer) {
 	core, log := &fakeCore{make(chan node.Event, 10_000), step}, &syncBuffer{}
 	d := newDriver(core, []node.Effect{{Kind: node.SetTimer, Delay: time.Hour}}, &Options{StartTime: time.Now(), Log: zerolog.New(log),
-		CheckPolicy: func(changeID string, text []byte, policyContext PolicyContext) PolicyVerdict {
-			return PolicyVerdict{Reason: changeID + string(text) + policyContext.Policy.(string)}
+		CheckPolicy: func(validationKey string, text []byte, policyContext PolicyContext) PolicyVerdict {
+			return PolicyVerdict{Reason: validationKey + string(text) + policyContext.Policy.(string)}
 		}})
 	d.store, d.peers = &fakeStore{writeErr, make(chan consensus.PersistentState, 100)}, fakePeers{}
 	ctx, stop := context.WithCancel(context.Background())
--- a/internal/fleet/driver/errors.go
+++ b/internal/fleet/driver/errors.go
@@ -33,7 +33,8 @@
 	return "retry with the same id, at this controller later or at another one now"
 }
 
-// RequestTimeoutError says that the outcome of a request wasn't known when the caller stopped waiting.
+// RequestTimeoutError says that the outcome of a request wasn't known when the caller stopped waiting
+// or the core's goroutine ended.
 type RequestTimeoutError struct{ Kind, ID string }
 
 func (e *RequestTimeoutError) Error() string {
