--- a/internal/fleet/storage/disk.go
+++ b/internal/fleet/storage/disk.go
@@ -125,7 +125,8 @@
 }
 
 // after returns the range once p is written. The error is a *consensus.LogGapError if the entries
-// would leave a gap.
+// have a gap, or, without a snapshot, if they begin after the next index of the log. With a snapshot,
+// the range begins at the first entry: a gap between the snapshot and that entry isn't reported.
 func (r logRange) after(p consensus.PersistentState) (logRange, error) {
 	if p.Snapshot != nil {
 		r = logRange{p.Snapshot.Index + 1, p.Snapshot.Index}
--- a/internal/fleet/storage/errors.go
+++ b/internal/fleet/storage/errors.go
@@ -11,8 +11,8 @@
 	"railrelay.dev/railrelay/internal/fleet"
 )
 
-// rejoinRemedy ends the remedies of errors after which a vote may be lost: the controller must
-// not return as the same voter, since it could vote twice in one term.
+// rejoinRemedy is the last part of the remedies for errors after which a vote may be lost: the
+// controller must not return as the same voter, since it could vote twice in one term.
 const rejoinRemedy = "; never use an older copy: instead, end this controller by `fleet forget NAME`, " +
 	"empty the directory and start it under a new name, so that it gets its data from the other controllers"
 
@@ -90,7 +90,8 @@
 	return "correct the name or directory in the settings; a controller with a new name needs an empty directory"
 }
 
-// classify converts an error to one of this package's types, whose Remedy tells an operator what to do.
+// classify returns an error whose Remedy tells an operator what to do: the first error in err's chain
+// that has a Remedy, of any package, or else one of this package's types.
 func classify(path string, err error) error {
 	var known interface {
 		error
