--- a/cmd/railrelay-fleet/plan.go
+++ b/cmd/railrelay-fleet/plan.go
@@ -108,7 +108,8 @@
 	return now, w, err
 }
 
-// discoveryTimeout bounds the time until the discovery service has listed all engines.
+// discoveryTimeout bounds the connection attempt to the discovery service, and after it the time until
+// the service has listed all engines.
 const discoveryTimeout = 5 * time.Second
 
 // activeEngines returns the engines that the discovery service lists as active.
@@ -146,10 +147,12 @@
 type engineCollector struct {
 	coresByKind   map[string]float64
 	engines       map[string]residency.Engine
-	current, last int64
-	complete      bool
+	current, last int64 // numbers of the event being read and of the latest event
+	complete      bool  // an event that lists all engines has begun
 }
 
+// BeginEvent begins an event. A whole event lists all engines and replaces those collected before. The
+// result is always true: no event is skipped.
 func (h *engineCollector) BeginEvent(number int64, whole bool) bool {
 	if whole {
 		h.complete = true
@@ -165,6 +168,7 @@
 	}
 }
 
+// EndEvent does nothing, because Engine applies each engine at once.
 func (h *engineCollector) EndEvent()                {}
 func (h *engineCollector) LatestEvent(number int64) { h.last = number }
 func (h *engineCollector) InvalidEntry(string)      {}
--- a/internal/capacity/capacity.go
+++ b/internal/capacity/capacity.go
@@ -19,7 +19,8 @@
 	Role string
 	// What names the figure within its role, such as "memory_idle_engines".
 	What string
-	// Size is the number of objects in the measurement, such as engines; What names their kind.
+	// Size is the number of objects in the measurement, such as engines. The field What names
+	// the kind of the objects.
 	Size int
 	// Seed is the seed of the run's random numbers.
 	Seed uint64
--- a/internal/capacity/room.go
+++ b/internal/capacity/room.go
@@ -2,7 +2,7 @@
 
 import "syscall"
 
-// CheckDescriptors returns a *RoomError if this process may not open as many files and connections at
+// CheckDescriptors returns a *RoomError if this process may not have need files and connections open at
 // once. It compares with the soft limit, which a Go program raises to the hard limit when it starts.
 func CheckDescriptors(need int) error {
 	var limit syscall.Rlimit
--- a/internal/setup/control.go
+++ b/internal/setup/control.go
@@ -82,7 +82,7 @@
 // teams, groups and locations. Only controllers know those, and each of them checks the policy
 // before it can be in force. An invalid policy is an *Unfit.
 func ParseControlPolicy(file string, text []byte, own *Setup) (*ControlPolicy, error) {
-	next, policy, err := own.mergePolicy(file, text)
+	next, policy, err := own.parseAndMergePolicy(file, text)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/setup/placement.go
+++ b/internal/setup/placement.go
@@ -18,20 +18,20 @@
 	"railrelay.dev/railrelay/internal/residency"
 )
 
-// PlacementRule confines tables of a team to some of the engines' locations. The team is one of
-// Fairness or a customer of Shares.
+// PlacementRule confines table groups of a team to some of the sites, which Engines.Locations lists. The
+// team is one of Fairness or a customer of Shares.
 type PlacementRule struct {
 	Name        string   `yaml:"name"`
 	Tenant      string   `yaml:"team"`
 	Tables      []int64  `yaml:"tables"`  // table groups; default all of the team
-	EngineSites []string `yaml:"engines"` // sites whose engines may process the tables; default all
-	// ControllerSites lists the sites whose controllers may accept queries on the tables; default as
+	EngineSites []string `yaml:"engines"` // sites whose engines may process the table groups; default all
+	// ControllerSites lists the sites whose controllers may accept queries on the table groups; default as
 	// EngineSites.
 	ControllerSites []string `yaml:"controllers"`
 	// RetentionSites lists the sites that may retain results and cached answers; default as
 	// ControllerSites, [] for none.
 	RetentionSites []string `yaml:"keep"`
-	// FollowsLoads confines also the tables that loads from the rule's tables fill.
+	// FollowsLoads also confines the table groups that loads from the rule's table groups fill.
 	FollowsLoads bool               `yaml:"follows"`
 	Emergency    PlacementEmergency `yaml:"emergency"`
 }
@@ -75,7 +75,7 @@
 	return names
 }
 
-// checkPlacement checks the placement rules. A control process doesn't know which teams and locations exist.
+// checkPlacement checks the placement rules. A control process doesn't know which teams and sites exist.
 func (c *checker) checkPlacement(x *Setup) {
 	if len(x.Placement) == 0 {
 		return
@@ -157,7 +157,7 @@
 func Errors() []fleet.ErrorWithRemedy {
 	return []fleet.ErrorWithRemedy{&Unfit{"policy.yaml",
 		[]error{&FieldError{File: "policy.yaml", Line: 3, Field: "groups[0].name",
-			Reason: `no group is named "lookup"`}}}}
+			Reason: `no group is named "lookup" in the set-up`}}}}
 }
 
 // BasePolicy returns the policy in the process's own file, version 0, which applies before any change, and
@@ -173,7 +173,7 @@
 // third lists the voters as name=address; it is empty if they are unchanged.
 func ParsePolicy(file string, text []byte, own *Setup) (*controller.Policy, []fleet.EmergencyRule, []string,
 	error) {
-	x, p, err := own.mergePolicy(file, text)
+	x, p, err := own.parseAndMergePolicy(file, text)
 	if err != nil {
 		return nil, nil, nil, err
 	}
@@ -189,8 +189,10 @@
 	return l
 }
 
-// mergePolicy returns a copy of the configuration with the settings of a policy.
-func (x *Setup) mergePolicy(file string, text []byte) (*Setup, *Policy, error) {
+// parseAndMergePolicy parses a policy and returns a copy of the configuration with the policy's
+// settings, and the parsed policy. In a control process, the customers and groups of the policy count
+// as those of the configuration. An empty text is a valid policy without settings.
+func (x *Setup) parseAndMergePolicy(file string, text []byte) (*Setup, *Policy, error) {
 	tree, err := parser.ParseBytes(text, 0)
 	if err != nil {
 		return nil, nil, &Unfit{file, []error{yamlError(file, err)}}
@@ -235,7 +237,9 @@
 	if p.Placement != nil {
 		s.Placement = p.Placement
 	}
-	c.checkPlacement(s) // rules that the policy omits may name teams that it removes
+	// Check the placement also if the policy has none: the rules kept from the set-up may name teams that
+	// the policy removes.
+	c.checkPlacement(s)
 	c.checkPolicyVoters(p.Voters)
 }
 
