--- a/internal/historycheck/check.go
+++ b/internal/historycheck/check.go
@@ -1,6 +1,19 @@
 // Package historycheck checks recorded histories of controllers against the delivery rules. Tests,
 // simulations and fuzzing share the checker. It sees only the queries received, sent, run and
 // answered, with their times, and nothing of the controller's internals.
+//
+// The fault texts name the delivery rules by number:
+//
+//	rule 1  a query whose client hasn't left gets one answer by its deadline, and no query is sent to
+//	        an engine after its answer
+//	rule 2  a mutating query that an engine has started is neither run again nor deferred; with
+//	        ForbidSecondCopies, no query runs on two engines at once
+//	rule 3  a query is sent only to an engine that serves, or stopped serving at most DrainGrace ago
+//	rule 5  the queries of a key in an ordered group run one at a time, in the order of their arrival
+//	rule 7  a query is submitted at most MaxSubmissions times
+//
+// Rule 4 (the slow start of engines) and rule 6 (the locations of engines) are checked by the
+// simulations, with AddFault.
 package historycheck
 
 import (
@@ -11,7 +24,8 @@
 	"time"
 )
 
-// Answer is the final outcome that a client received. The values equal those of the emulated clients.
+// Answer is the final outcome that a client received. The values equal those of client.Kind in
+// package internal/emulator/client.
 type Answer int
 
 // The final outcomes of a query.
@@ -21,11 +35,13 @@
 	Killed
 )
 
-// History records the events of one run and checks each event as it is added. It collects the
-// faults as text, so that a run can continue to its end and report all of them.
+// History records the events of one test or simulation and checks each event as it is added. It
+// collects the faults as text, so that the simulation can continue to its end and report all faults.
 type History struct {
-	KeyRest            time.Duration // delay before the next query of a key after an uncertain end
-	RestAfterFailure   bool          // treat every failed run as an uncertain end
+	// KeyRest is the delay between a failed run and the next run of the same key. It is checked only
+	// with RestAfterFailure, and then after every failed run.
+	KeyRest            time.Duration
+	RestAfterFailure   bool
 	ForbidSecondCopies bool          // a query may run on one engine at a time only
 	DrainGrace         time.Duration // time during which a draining engine may still be sent queries
 	MaxSubmissions     int           // most submissions of one query; 0 means no limit
@@ -54,6 +70,7 @@
 	since   time.Duration
 }
 
+// query is the state of one query. Its runs are its executions at engines.
 type query struct {
 	id, key    string
 	group      resourceGroup
@@ -71,16 +88,16 @@
 	ended, ok          bool
 }
 
-// maxFaults bounds the faults that are recorded for one run.
+// maxFaults bounds the faults that one history records.
 const maxFaults = 50
 
 // answerTolerance is how long after its deadline a query may be answered.
 const answerTolerance = 50 * time.Millisecond
 
 // AddFault records a fault, with the time and a description. It drops faults beyond maxFaults.
-func (h *History) AddFault(now time.Duration, what string) {
+func (h *History) AddFault(now time.Duration, description string) {
 	if len(h.Faults) < maxFaults {
-		h.Faults = append(h.Faults, fmt.Sprintf("%v: %s", now, what))
+		h.Faults = append(h.Faults, fmt.Sprintf("%v: %s", now, description))
 	}
 }
 
@@ -118,13 +135,16 @@
 	}
 }
 
-// Submitted records that a query was sent to an engine, which started it at once.
+// Submitted checks that a query may be sent to an engine, and records that the engine started the
+// query at once. The bool (whether the engine serves) is ignored: the check uses SetServing.
 func (h *History) Submitted(now time.Duration, id, engine string, _ bool) {
 	h.Sent(now, id, engine)
 	h.Started(now, id, engine)
 }
 
-// Sent records that a query was sent to an engine. The query may arrive later or never.
+// Sent checks that a query may be sent to an engine at this time: the query was received and isn't
+// answered, and the engine serves, or stopped serving at most DrainGrace ago. Sent records nothing,
+// because the query may arrive later or never; Started records and checks the run.
 func (h *History) Sent(now time.Duration, id, engine string) {
 	q := h.queries[id]
 	if q == nil {
@@ -140,7 +160,8 @@
 	}
 }
 
-// Started records that an engine started a query, however long ago the query was sent.
+// Started records that an engine started a query, however long ago the query was sent. It checks the
+// number of the query's runs and the order within its key.
 func (h *History) Started(now time.Duration, id, engine string) {
 	h.StartedRuns++
 	q := h.queries[id]
@@ -168,8 +189,10 @@
 	q.runs = append(q.runs, &run{engine: engine, startedAt: now})
 }
 
-// checkKeyOrder adds a fault if an earlier query with the same key is unanswered or running, or if
-// a later one has already run.
+// checkKeyOrder checks, when an engine starts q, the other queries with the same key. It adds a fault
+// for an earlier query that is unanswered (unless its client left) or has an unfinished run, and for
+// a later query that has already started. With RestAfterFailure it also adds a fault if a run of an
+// earlier query failed less than KeyRest ago.
 func (h *History) checkKeyOrder(now time.Duration, q *query) {
 	before := true
 	for _, other := range h.keys[q.key] {
@@ -207,8 +230,8 @@
 	}
 }
 
-// Answered records the answer to a client. rows are the bytes that the client received, expected the
-// bytes that engines produce for the query.
+// Answered records and checks the answer to a client. rows are the bytes that the client received,
+// expected the bytes that engines produce for the query.
 func (h *History) Answered(now time.Duration, id string, outcome Answer, rows, expected []byte) {
 	q := h.queries[id]
 	switch {
@@ -222,13 +245,13 @@
 	}
 	q.answered, q.answeredAt = true, now
 	h.Answers[outcome]++
-	good := false
+	completed := false
 	for _, r := range q.runs {
-		good = good || r.ok
+		completed = completed || r.ok
 	}
 	switch outcome {
 	case Finished:
-		if !good {
+		if !completed {
 			h.AddFault(now, "query answered as finished, but no engine completed it: "+id)
 		}
 		if !bytes.Equal(rows, expected) {
@@ -245,8 +268,8 @@
 	}
 }
 
-// Finish checks the completed run and returns all faults: every query past its deadline must have an
-// answer, unless its client left.
+// Finish checks the completed history and returns all recorded faults: every query past its deadline
+// must have an answer, unless its client left.
 func (h *History) Finish(now time.Duration) []string {
 	for _, id := range slices.Sorted(maps.Keys(h.queries)) {
 		q := h.queries[id]
--- a/internal/historycheck/check_test.go
+++ b/internal/historycheck/check_test.go
@@ -17,7 +17,7 @@
 		h.Received(1, "l2", "load", "k", time.Minute)
 		return h
 	}
-	for want, do := range map[string]func(h *History){
+	for want, violate := range map[string]func(h *History){
 		"rule 1: second answer to a": func(h *History) {
 			h.Answered(2, "a", Deferred, nil, nil)
 			h.Answered(3, "a", Deferred, nil, nil)
@@ -76,9 +76,15 @@
 			h.Answered(4, "a", Finished, nil, []byte("x"))
 		},
 		"sent a query that was never received": func(h *History) { h.Submitted(2, "z", "e", true) },
-		"whose client left":                    func(h *History) { h.ClientLeft(2, "a"); h.Answered(3, "a", Deferred, nil, nil) },
-		"query received twice":                 func(h *History) { h.Received(2, "a", "read", "", time.Minute) },
-		"query runs twice at one engine":       func(h *History) { h.Submitted(2, "a", "e", true); h.Submitted(3, "a", "e", true) },
+		"whose client left": func(h *History) {
+			h.ClientLeft(2, "a")
+			h.Answered(3, "a", Deferred, nil, nil)
+		},
+		"query received twice": func(h *History) { h.Received(2, "a", "read", "", time.Minute) },
+		"query runs twice at one engine": func(h *History) {
+			h.Submitted(2, "a", "e", true)
+			h.Submitted(3, "a", "e", true)
+		},
 		"after its deadline": func(h *History) {
 			h.Submitted(2, "a", "e", true)
 			h.Ended(3, "a", "e", true)
@@ -86,7 +92,7 @@
 		},
 	} {
 		h := fresh()
-		do(h)
+		violate(h)
 		if !strings.Contains(strings.Join(h.Faults, "\n"), want) {
 			t.Errorf("%s: %q", want, h.Faults)
 		}
@@ -100,6 +106,6 @@
 	h.Answered(7, "l2", Finished, nil, nil)
 	h.ClientLeft(8, "a")
 	if faults := h.Finish(2 * time.Minute); len(faults) > 0 {
-		t.Errorf("faults in a run without violations: %q", faults)
+		t.Errorf("faults in a history without violations: %q", faults)
 	}
 }
--- a/internal/historycheck/fleet.go
+++ b/internal/historycheck/fleet.go
@@ -55,11 +55,12 @@
 // the order of their times.
 type FleetHistory struct {
 	// Slack is the largest difference between two observers' times of one event: 0 in virtual time,
-	// and the longest sleep of a reader in real time. A query received after an observation is
-	// checked against the observation without slack.
+	// and in real time the longest delay with which an observer records an event. A query that its
+	// client sent after an observation is checked against the observation without slack.
 	Slack  time.Duration
 	Faults []Fault
-	// Counts of the checked events: a run without any proves nothing.
+	// Counts of the checked events: a history without events of a kind proves nothing about them.
+	// Changes counts the changes in force, Bound the runs of queries that a placement rule binds.
 	Acts, Changes, Withdrawn, Purges, Bound int
 
 	steps            []Step
@@ -79,6 +80,7 @@
 	step int
 }
 
+// change is the first final outcome that was reported for a policy change.
 type change struct {
 	outcome string
 	version uint64
@@ -89,12 +91,13 @@
 type purge struct {
 	scope       fleet.Scope
 	requested   time.Duration
-	unreachable observation
-	purged      observation
+	unreachable observation // first report as unreachable or purged: the results are no longer served
+	purged      observation // first report as purged: the results are no longer on any disk
 	counts      fleet.InvalidationCounts
 	counted     bool
 }
 
+// resultStart is the time at which an engine first started the query that produces a result.
 type resultStart struct {
 	at     time.Duration
 	team   string
@@ -125,15 +128,16 @@
 // never is the time of an event that has not happened.
 const never = time.Duration(1<<63 - 1)
 
-// maxSteps bounds the steps that are kept.
+// maxSteps bounds the steps that one history keeps.
 const maxSteps = 400_000
 
-// maxExcerptSteps bounds the steps between the first and last of an excerpt.
+// maxExcerptSteps bounds the steps between the first and last step of an excerpt.
 const maxExcerptSteps = 12
 
-// Note adds a step that no check uses but that excerpts show. It returns the step's index.
+// Note adds a step for excerpts and returns its index. Note itself checks nothing. A full history
+// drops the step, and Note returns the index of the last kept step.
 func (f *FleetHistory) Note(now time.Duration, description string, subjects ...string) int {
-	if len(f.steps) > maxSteps { // long runs drop later steps, which excerpts then miss
+	if len(f.steps) > maxSteps {
 		return len(f.steps) - 1
 	}
 	f.steps = append(f.steps, Step{now, description, subjects, false})
@@ -148,8 +152,9 @@
 	return i
 }
 
-// addFault records a fault between two steps. Its excerpt holds both steps and the steps between
-// them that share a subject with the last one. A negative from means that there is no first step.
+// addFault records a fault between two steps. Its excerpt holds both steps and, of the steps between
+// them that share a subject with the last step and aren't frequent, the last maxExcerptSteps. If from
+// is negative, the excerpt has no first step, and the steps between begin at index 1.
 func (f *FleetHistory) addFault(kind, description string, from, to int) {
 	if len(f.Faults) >= maxFaults {
 		return
@@ -193,8 +198,9 @@
 }
 
 // Acted records that a controller accepted, released or submitted a query under a policy version.
-// sent is when the client sent the query. A query sent after a later version was observed is
-// checked without slack.
+// sent is when the client sent the query. Acted adds a StaleVersion fault if another act used a newer
+// version before sent, or more than Slack before now. It adds a PartialChange fault if a newer version
+// was reported as in force before sent.
 func (f *FleetHistory) Acted(now, sent time.Duration, controller, query string, version uint64) {
 	f.initMaps()
 	f.Acts++
@@ -220,8 +226,9 @@
 	}
 }
 
-// ActedByChange is Acted for observers that see only the ID of the change behind the policy. A
-// withdrawn or refused change must never take effect.
+// ActedByChange records that a controller acted by the policy of a change, for observers that don't see
+// the policy's version. It checks only that the change wasn't withdrawn or refused, and doesn't count
+// in Acts.
 func (f *FleetHistory) ActedByChange(now time.Duration, controller, query, id string) {
 	f.initMaps()
 	step := f.noteFrequent(now, fmt.Sprintf("%s acted on %s by change %s", controller, query, id),
@@ -235,12 +242,16 @@
 	}
 }
 
+// isFinal reports whether ChangeReported checks an outcome against other reports.
 func isFinal(outcome string) bool {
 	return outcome == "in force" || outcome == "withdrawn" || outcome == "refused"
 }
 
 // ChangeReported records the outcome of a change that an operator received, from the first request
-// or a later one. The outcome "unknown" is not checked; "settled" counts as "in force".
+// or a later one. It adds a Contradiction fault if a change was in force by one report but not by
+// another, if its version differs between two reports, or if two changes have the same version. It
+// adds a PartialChange fault if a controller acted by a change that isn't in force. "settled" counts
+// as "in force", and "withdrawn" doesn't contradict "refused". Other outcomes are not checked.
 func (f *FleetHistory) ChangeReported(now time.Duration, by, id, outcome string, version uint64) {
 	f.initMaps()
 	step := f.Note(now, fmt.Sprintf("%s reports change %s: %s, version %d", by, id, outcome, version), id, by)
@@ -287,8 +298,9 @@
 		unreachable: observation{at: never}, purged: observation{at: never}}
 }
 
-// PurgeReported records the outcome of a purge that an operator received. Only "unreachable", "purged"
-// and "refused" are checked.
+// PurgeReported records the outcome of a purge that an operator received. It adds a Contradiction fault
+// if the purge is refused after a report as unreachable or purged, or if the counts of two final
+// reports differ. Other outcomes are not checked.
 func (f *FleetHistory) PurgeReported(now time.Duration, by, id, outcome string,
 	counts *fleet.InvalidationCounts) {
 	f.initMaps()
@@ -306,7 +318,7 @@
 		return
 	}
 	if outcome == "refused" && p.unreachable.at != never {
-		f.addFault(Contradiction, "purge "+id+" was reported as done and later as refused",
+		f.addFault(Contradiction, "purge "+id+" was reported as unreachable or purged and later as refused",
 			p.unreachable.step, step)
 		return
 	}
@@ -324,7 +336,8 @@
 	}
 }
 
-// ResultStarted records that an engine started to produce a result, whose bytes contain the query's ID.
+// ResultStarted records that an engine started to produce the result of a query. Only the first start
+// counts. The bytes of the result contain the query's ID.
 func (f *FleetHistory) ResultStarted(now time.Duration, query, team string, tables ...int64) {
 	f.initMaps()
 	f.noteFrequent(now, "an engine starts "+query, query)
@@ -333,18 +346,21 @@
 	}
 }
 
-// covers reports whether the purge must remove a result.
+// covers reports whether the purge must remove a result. It always returns false for a purge by
+// retention time or site, because results have neither here.
 func (p *purge) covers(result resultStart) bool {
 	if p.scope.Tenant != result.team || result.at >= p.requested ||
 		p.scope.RetainedBeforeMs > 0 || len(p.scope.OutsideSites) > 0 {
-		return false // scopes by retention time or site are checked where these are known
+		return false
 	}
 	usesTable := func(table int64) bool { return slices.Contains(result.tables, table) }
 	return len(p.scope.Tables) == 0 || slices.ContainsFunc(p.scope.Tables, usesTable)
 }
 
 // Served records that a controller served stored bytes of the query source, as a page or as the answer
-// to another query. requested is when the client asked for them.
+// to another query. requested is when the client requested the bytes. Served adds a fault if a purge
+// that covers the result was reported as unreachable or purged before requested. If Slack is 0, a
+// report between requested and now is a fault too.
 func (f *FleetHistory) Served(now, requested time.Duration, controller, source string) {
 	f.initMaps()
 	step := f.noteFrequent(now, controller+" serves the result of "+source, controller, source)
@@ -359,14 +375,15 @@
 	}
 }
 
-// FoundOnDisk records that a controller's disk holds bytes of the query source.
+// FoundOnDisk records that a controller's disk holds bytes of the query source. It adds a fault if a
+// purge that covers the result was reported as purged before.
 func (f *FleetHistory) FoundOnDisk(now time.Duration, controller, source string) {
 	f.initMaps()
 	for id, p := range f.purges {
 		if p.covers(f.results[source]) && now > p.purged.at {
 			step := f.noteFrequent(now, "the disk of "+controller+" holds "+source, controller, source)
 			f.addFault(FalsePurge,
-				fmt.Sprintf("%s holds %s after purge %s was reported as done", controller, source, id),
+				fmt.Sprintf("%s holds %s after purge %s was reported as purged", controller, source, id),
 				p.purged.step, step)
 		}
 	}
@@ -377,8 +394,8 @@
 	f.ruleSets = append(f.ruleSets, ruleSet{change, rules, now, never})
 }
 
-// SettleRules records that a change was reported as in force, which ends the earlier rules for queries
-// sent from now on. If the change is not in force, SettleRules removes its rules.
+// SettleRules records the final outcome of a change with rules. If the change is in force, the earlier
+// rules end for queries sent from now on. If it isn't in force, SettleRules removes its rules.
 func (f *FleetHistory) SettleRules(now time.Duration, change string, inForce bool) {
 	i := slices.IndexFunc(f.ruleSets, func(r ruleSet) bool { return r.change == change })
 	if i < 0 {
@@ -416,24 +433,25 @@
 }
 
 // Ran records that an engine at a site runs a team's query on tables. sent is when the client sent the
-// query. The run is valid if any set of rules that could be in force between sent and now allows it.
+// query. The run is valid if any set of rules that could be in force between sent and now allows it,
+// or if AllowSites does.
 func (f *FleetHistory) Ran(now, sent time.Duration, controller, query, team, site string, tables ...int64) {
 	step := f.noteFrequent(now, fmt.Sprintf("%s of %s runs at %s, by %s", query, team, site, controller),
 		query, team)
-	bound, allowed, any := false, false, false
+	bound, allowed, rulesKnown := false, false, false
 	for _, set := range f.ruleSets {
 		if set.from > now || set.to < sent {
 			continue
 		}
-		any = true
-		ok := true
+		rulesKnown = true
+		setAllows := true
 		for _, r := range set.rules {
 			if r.covers(team, tables) {
 				bound = true
-				ok = ok && slices.Contains(r.Sites, site)
+				setAllows = setAllows && slices.Contains(r.Sites, site)
 			}
 		}
-		allowed = allowed || ok
+		allowed = allowed || setAllows
 	}
 	if bound {
 		f.Bound++
@@ -441,7 +459,7 @@
 	for _, l := range f.siteAllowances {
 		allowed = allowed || l.team == team && l.from <= now && sent <= l.to && slices.Contains(l.sites, site)
 	}
-	if any && !allowed {
+	if rulesKnown && !allowed {
 		f.addFault(PlacementFault, fmt.Sprintf("%s sent %s of %s to %s", controller, query, team, site), -1, step)
 	}
 }
--- a/internal/historycheck/record.go
+++ b/internal/historycheck/record.go
@@ -54,10 +54,10 @@
 	}
 	// Find the shortest prefix without a valid order, sorted by the times of the answers. Changes that
 	// may take effect at any time belong to every prefix.
-	open := func(o porcupine.Operation) bool { return o.Return == noReturn }
+	mayEndLater := func(o porcupine.Operation) bool { return o.Return == noReturn }
 	slices.SortFunc(ops, func(a, b porcupine.Operation) int {
-		if open(a) != open(b) {
-			if open(a) {
+		if mayEndLater(a) != mayEndLater(b) {
+			if mayEndLater(a) {
 				return -1
 			}
 			return 1
@@ -72,31 +72,39 @@
 		}
 	}
 	var b strings.Builder
-	for _, o := range ops[max(0, shortest-8):shortest] {
+	for _, o := range ops[max(0, shortest-maxReportsShown):shortest] {
 		w := o.Input.(ChangeReport)
 		fmt.Fprintf(&b, "  %v to %v: %s\n", w.From, w.To, model.DescribeOperation(w, w))
 	}
 	return false, b.String()
 }
 
+// maxReportsShown bounds the reports that Linearizable returns from a history without an order.
+const maxReportsShown = 8
+
 // noReturn is the return time of an operation that may take effect at any time.
 const noReturn = int64(1) << 62
 
 // policyState is the state of the model: the policy version and the outcome of each change.
 type policyState struct {
-	version  uint64
-	outcomes string // ";id=outcome" of each change, in the order of the outcomes
+	version uint64
+	// outcomes is ";id=outcome" for each change, in the order of the outcomes. An outcome is
+	// "in force VERSION", or "not" for a change that was withdrawn or refused.
+	outcomes string
 }
 
+// outcomeOf returns the outcome of a change, "" if it has none yet.
 func (r policyState) outcomeOf(id string) string {
-	_, rest, had := strings.Cut(r.outcomes, ";"+id+"=")
-	if !had {
+	_, rest, found := strings.Cut(r.outcomes, ";"+id+"=")
+	if !found {
 		return ""
 	}
-	word, _, _ := strings.Cut(rest, ";")
-	return word
+	outcome, _, _ := strings.Cut(rest, ";")
+	return outcome
 }
 
+// step returns the states that may follow a report, none if the report contradicts the state. Version 0
+// means that the version isn't known yet, so that the first report may have any base.
 func (r policyState) step(w ChangeReport) []any {
 	if w.VersionRead {
 		if w.Version <= r.version || r.version == 0 {
@@ -104,28 +112,28 @@
 		}
 		return nil
 	}
-	with := func(word string, version uint64) policyState {
-		return policyState{version, r.outcomes + ";" + w.ID + "=" + word}
+	withOutcome := func(outcome string, version uint64) policyState {
+		return policyState{version, r.outcomes + ";" + w.ID + "=" + outcome}
 	}
-	had := r.outcomeOf(w.ID)
-	force := fmt.Sprint("in force ", w.Version)
+	earlier := r.outcomeOf(w.ID)
+	inForce := fmt.Sprint("in force ", w.Version)
 	switch {
-	case w.Outcome == "in force" && had == force:
+	case w.Outcome == "in force" && earlier == inForce:
 		return []any{r}
-	case w.Outcome == "in force" && had == "" && (r.version == w.Base || r.version == 0) &&
+	case w.Outcome == "in force" && earlier == "" && (r.version == w.Base || r.version == 0) &&
 		w.Version == w.Base+1:
-		return []any{with(force, w.Version)}
+		return []any{withOutcome(inForce, w.Version)}
 	case w.Outcome == "in force":
 		return nil
 	case w.Outcome == "unknown":
 		all := []any{r}
-		if had == "" && (r.version == w.Base || r.version == 0) {
-			all = append(all, with(fmt.Sprint("in force ", w.Base+1), w.Base+1))
+		if earlier == "" && (r.version == w.Base || r.version == 0) {
+			all = append(all, withOutcome(fmt.Sprint("in force ", w.Base+1), w.Base+1))
 		}
 		return all
-	case had == "":
-		return []any{with("not", r.version)}
-	case had == "not":
+	case earlier == "":
+		return []any{withOutcome("not", r.version)}
+	case earlier == "not":
 		return []any{r}
 	}
 	return nil
