--- a/internal/historycheck/fleet.go
+++ b/internal/historycheck/fleet.go
@@ -67,7 +67,7 @@
 	firstByVersion   map[uint64]observation // first act on each version
 	changes          map[string]*change
 	changeByVersion  map[uint64]string // ID of the change that created a version
-	firstActByChange map[string]int    // index of the first step that acted on a change
+	firstActByChange map[string]int    // index of the first step that acted by the policy of a change
 	purges           map[string]*purge
 	results          map[string]resultStart
 	ruleSets         []ruleSet
@@ -347,7 +347,7 @@
 }
 
 // covers reports whether the purge must remove a result. It always returns false for a purge by
-// retention time or site, because results have neither here.
+// retention time or site: such purges are checked where the retention times and sites are known.
 func (p *purge) covers(result resultStart) bool {
 	if p.scope.Tenant != result.team || result.at >= p.requested ||
 		p.scope.RetainedBeforeMs > 0 || len(p.scope.OutsideSites) > 0 {
