--- a/internal/scheduler/key_order.go
+++ b/internal/scheduler/key_order.go
@@ -10,6 +10,7 @@
 	cooldownQuery *query        // query of that attempt, which may be retried meanwhile
 }
 
+// remove removes q and reports whether it was in the queue.
 func (k *keyQueue) remove(q *query) bool { return removeFrom(&k.queries, q) }
 
 // keyQueueOf returns the queue of a query's key, nil if its group doesn't order queries by key.
--- a/internal/scheduler/outlier.go
+++ b/internal/scheduler/outlier.go
@@ -12,11 +12,12 @@
 	stalledAvoidance      = 2 * time.Second // time for which queries on the same tables avoid the engine
 )
 
-// attemptStalled handles an attempt that is late without a note that explains the delay. If another
-// query finished on its engine since it was sent, the attempt is assumed to wait for a load, and later
-// queries on the same tables avoid the engine. Otherwise the engine is an outlier and is ejected, and
-// the query is moved. An engine that has run out of memory makes almost no progress and shows idle
-// cores, so that every controller would prefer it.
+// attemptStalled handles an attempt that is late without a progress note from the engine that explains
+// the delay. If another query finished on its engine since the attempt was sent, the attempt is assumed
+// to wait for a load, and later queries on the same tables avoid the engine. Otherwise the engine is
+// ejected, unless it already is, and the query is moved if moveOrReject allows it. Without the ejection,
+// every controller would prefer an engine that has run out of memory: it shows idle cores because it
+// makes almost no progress.
 func (s *Scheduler) attemptStalled(a *attempt) {
 	e := a.engine
 	if e.lastFinishAt > a.sentAt {
