--- a/internal/controller/engine_call.go
+++ b/internal/controller/engine_call.go
@@ -34,14 +34,16 @@
 
 const (
 	// responseTimeout bounds the wait for a response. An engine holds a poll for at most longPollTimeout.
-	// The time spent waiting for a lost response is lost to queries with a short timeout.
+	// It is kept short because a query with a short timeout can't use the time that it waits for a lost
+	// response.
 	responseTimeout = longPollTimeout + 3*maxNetworkDelay
-	// maxResponseBytes bounds a response. No page of a result is larger, whatever length its header claims.
+	// maxResponseBytes bounds a response. No page of a result is larger, so that a response whose
+	// Content-Length claims more is malformed.
 	maxResponseBytes = 64 << 10
 )
 
-// call is one HTTP request to an engine. It waits for a connection, is written, and ends with onResult, which
-// is called exactly once.
+// call is one HTTP request to an engine. It waits for a connection, is written, and ends with a call of
+// onResult. onResult is called at most once, and not at all if the serving lease doesn't permit the attempt.
 type call struct {
 	method  string // HTTP method; "probe" for a health check, which is sent as a GET
 	engine  *engine
--- a/internal/controller/fair_queue.go
+++ b/internal/controller/fair_queue.go
@@ -39,6 +39,7 @@
 	f.tenants = tenants
 	config := *tenants
 	config.Lanes = f.lanes()
+	// "teams" in the log message are the tenants; in the names of settings, teams are customers
 	f.queue.Reload(f.now, config)
 	f.logMessage(warningLevel, fmt.Sprintf("configuration of teams reloaded, %d queries are waiting",
 		f.queue.WaitingCount()))
@@ -92,13 +93,16 @@
 	}
 }
 
+// entryLogFields returns the log fields that identify a query: its ID, group and tenant.
 func (f *fairQueue) entryLogFields(q *query, w *fairqueue.Query) LogFields {
 	return LogFields{Query: q.id, Group: q.group.name, Tenant: f.queue.TenantName(w.Tenant)}
 }
 
 // enqueue adds a query to the queue, or defers the query at once if the queue does not admit it, for example
 // because the wait would be too long. It then submits the queries that have a turn, and tells the client of a
-// waiting query the expected wait if the client asked for that.
+// waiting query the expected wait if the client asked for that. A query that still waits at its latest start
+// is deferred then. While the controller drains, enqueue bypasses the queue, and the scheduler rejects the
+// query.
 func (f *fairQueue) enqueue(q *query, from CallOrigin) {
 	if f.isDraining() { // the scheduler rejects the query
 		f.scheduler.QueryArrived(f.now, q.id, q.group.index, q.customer, q.deadline-f.now,
@@ -148,7 +152,8 @@
 	return w
 }
 
-// idHash returns the hash by which the fair queue identifies a query. It is never 0.
+// idHash returns the hash of a query's ID by which the fair queue identifies the query. The hash ignores
+// case and is never 0.
 func idHash(id string) uint64 { return xxhash.Sum64String(strings.ToLower(id)) | 1 }
 
 // limitRetryAfter returns the part of an estimated wait that a client may be told to wait before it retries.
@@ -183,7 +188,8 @@
 	}
 }
 
-// queryClosed removes a query that is still waiting. A query that was submitted is removed by queryOver.
+// queryClosed records a query's outcome, and removes the query if it is still waiting. queryOver removes a
+// query that was submitted.
 func (f *fairQueue) queryClosed(q *query, end fairqueue.Outcome) {
 	if q.fairEntry == nil {
 		return
@@ -218,7 +224,8 @@
 	})
 }
 
-// countersText formats the counters of all tenants together.
+// countersText formats the counters of all tenants together. The waits are the mean estimate ("told"), the
+// mean of the actual waits ("had") and the longest actual wait ("worst"), in seconds.
 func (f *fairQueue) countersText() string {
 	n := f.queue.Total
 	return fmt.Sprintf("; fairness waiting %d started %d deferred %d repeated %d lowered %d,"+
--- a/internal/controller/policy_update.go
+++ b/internal/controller/policy_update.go
@@ -10,6 +10,8 @@
 )
 
 // Policy is the part of the configuration that the whole fleet shares. An ActivatePolicy order carries it.
+// In the names of settings, "team" and "teams" mean customers, which have quotas, and not the tenants of fair
+// queueing.
 type Policy struct {
 	Version uint64
 	// Tenants configures the tenants of fair queueing; nil keeps the current configuration.
--- a/internal/controller/retained_writes.go
+++ b/internal/controller/retained_writes.go
@@ -15,7 +15,8 @@
 	minWritesSweep = 64
 )
 
-// retainedWrite is a write of a tenant's retained data to a connection.
+// retainedWrite is a write of a tenant's retained data to a connection. It counts as flushed only once the
+// whole connection has no unwritten bytes, since bytes are not tracked by message.
 type retainedWrite struct {
 	connection *Connection
 	tenant     string // "" if it is unknown
@@ -77,7 +78,7 @@
 }
 
 // awaitWritesFlushed calls then once all tracked writes of a tenant's retained data are flushed.
-// Clients that have not read the data by the time until are disconnected.
+// At the time until, connections to which such data is still unwritten are closed.
 func (v *invalidation) awaitWritesFlushed(tenant string, until time.Duration, then func()) {
 	switch {
 	case v.writesFlushed(tenant):
