--- a/internal/spool/purge.go
+++ b/internal/spool/purge.go
@@ -16,11 +16,12 @@
 
 // Purge drops all results that match a scope and whose query was received before an index in the
 // fleet's log. From the call on, no token opens them, a page that is being read from disk is not
-// served, and results that are being received fail with ErrPurged. Purge calls unreached before it
-// returns, and wiped with the counts once the disk holds no byte of these results. If the process
-// ends before that, the caller must run the same purge after the restart, before it serves pages.
-func (c *Core) Purge(now time.Duration, s *fleet.Scope, index uint64, unreached func(),
-	wiped func(fleet.InvalidationCounts)) {
+// served, and results that are being received fail with ErrPurged. Purge calls unreachable before
+// it returns, when no client can get these results any more, and erased with the counts once the disk
+// holds no byte of them. If the process ends before erased is called, the caller must run the same purge
+// after the restart, before it serves pages.
+func (c *Core) Purge(now time.Duration, s *fleet.Scope, index uint64, unreachable func(),
+	erased func(fleet.InvalidationCounts)) {
 	c.advance(now)
 	var matching []*Result
 	collect := func(r *Result) {
@@ -50,16 +51,16 @@
 		c.Counts.Purged++
 		c.Drop(c.now, r)
 	}
-	unreached()
+	unreachable()
 	if c.MaxDiskBytes == 0 {
-		wiped(found)
+		erased(found)
 		return
 	}
 	w := &DiskTask{Erase: true}
 	w.OnDone = func(now time.Duration) {
 		c.advance(now)
 		c.deadBytes = max(0, w.BytesOnDisk-c.diskBytes)
-		wiped(found)
+		erased(found)
 		c.notifySpaceWaiters()
 	}
 	c.submit(w)
--- a/internal/spool/reading.go
+++ b/internal/spool/reading.go
@@ -34,7 +34,7 @@
 		tell(nil, ErrPageNotFound)
 		return
 	}
-	r.lastReadAt, r.readPastFirst = c.now, true
+	r.lastReadAt, r.requestedByToken = c.now, true
 	if r.inMemory > 0 && c.MaxDiskBytes > 0 && r.inLRU {
 		c.addToLRU(r)
 	}
@@ -56,6 +56,7 @@
 	})
 }
 
+// mayServe reports whether the residency rules allow the result to be served here.
 func (c *Core) mayServe(r *Result) bool {
 	return c.MayServe == nil || c.MayServe(r.owner(), r.tag.Tables)
 }
@@ -63,6 +64,8 @@
 // owner returns the data owner that purges and residency rules name.
 func (r *Result) owner() string { return cmp.Or(r.tag.Owner, r.team.name) }
 
+// fetch reads a page from disk and passes it to tell. The error is ErrPurged if the result was purged
+// meanwhile, or the error of the disk.
 func (c *Core) fetch(r *Result, number int, tell func(body []byte, err error)) {
 	c.activeReads++
 	r.pendingReads++
@@ -87,7 +90,8 @@
 	c.submit(w)
 }
 
-// pageServed counts a page and marks it as read.
+// pageServed counts a served page and, except for the first page, marks it as read. Once the last unread
+// page is read, the result may be evicted, so that the next eviction scan is allowed at once.
 func (c *Core) pageServed(r *Result, number int) {
 	c.Counts.PagesServed++
 	if number == 0 || r.unreadCount == 0 {
--- a/internal/spool/room.go
+++ b/internal/spool/room.go
@@ -2,9 +2,9 @@
 
 import "time"
 
-// spaceMayCome reports whether space for a result may become free before a time, because pages are
-// being written, dropped results are not compacted yet, or another result expires, is being read or
-// is being written.
+// spaceMayCome reports whether space for a result may become free by a time: because pages are being
+// written, dropped results are not compacted yet, or a committed result expires by then or has a disk
+// read or write in progress. If the tenant is at its limit, only committed results of that tenant count.
 func (c *Core) spaceMayCome(until time.Duration, waiting *Result) bool {
 	teamIsFull := c.exceedsTeamLimit(waiting, 1) // then only space of the same team helps
 	if !teamIsFull && (c.writingBytes > 0 || c.deadBytes > 0) {
@@ -38,7 +38,10 @@
 	return most
 }
 
-// makeSpace reports whether a page of a result fits, and evicts other results to make it fit.
+// makeSpace reports whether a page of a result fits now. To make it fit, it releases cached pages and
+// evicts other results. If memory is full and there is a disk, it starts to write pages to disk and
+// returns false. It also returns false if nothing can be evicted for the page, if more than
+// MaxWritingBytes are being written, or if dropped results still take too much of the disk.
 func (c *Core) makeSpace(r *Result, size int64) bool {
 	for c.exceedsTeamLimit(r, size) {
 		if !c.evictOne(r.team, afterRead|expired) {
@@ -90,13 +93,14 @@
 
 // Reasons to evict a result, as bits.
 const (
-	afterRead = 1 << iota
+	afterRead = 1 << iota // no page after the first is unread
 	expired
-	overShare
+	overShare // its tenant is over its share
 )
 
-// evictionRetryInterval passes after a scan found nothing to evict, before the next scan. A result
-// that is dropped or read to its end allows the next scan at once.
+// evictionRetryInterval is the time until the next scan, after a scan of all results for all reasons
+// found nothing to evict. Once a result is dropped or its last unread page is read, the next scan is
+// allowed at once.
 const evictionRetryInterval = 100 * time.Millisecond
 
 // expiry returns when a result expires unless it is read before.
@@ -105,15 +109,16 @@
 // isIdle reports whether a complete result has no read or write task in progress.
 func (r *Result) isIdle() bool { return r.complete && r.pendingReads == 0 && r.pendingWrites == 0 }
 
-// isBeingRead reports whether a client has begun to read the result, has not read all of its pages,
-// and the result has not expired.
+// isBeingRead reports whether a client has asked for a page by token, has not read all pages after the
+// first, and the result has not expired.
 func (r *Result) isBeingRead(c *Core) bool {
-	return r.readPastFirst && r.unreadCount > 0 && c.now < r.expiry(c)
+	return r.requestedByToken && r.unreadCount > 0 && c.now < r.expiry(c)
 }
 
-// evictOne drops one result of a team (nil: of any team), for one of the given reasons: a result that
-// was read to its end before one that has expired, before one of a team over its share; of equal
-// results the largest. It never drops a result that is being read and has not expired.
+// evictOne drops one result of a tenant (nil: of any tenant) for one of the given reasons, and reports
+// whether there was one. It prefers a result whose pages after the first were all read (or that has
+// none), then an expired one, then one of a tenant over its share; of equal results the largest. It
+// never drops a result that is being read and has not expired.
 func (c *Core) evictOne(of *team, reasons int) bool {
 	if c.nothingEvictable && c.now-c.nothingEvictableAt < evictionRetryInterval {
 		return false
--- a/internal/spool/spool.go
+++ b/internal/spool/spool.go
@@ -50,7 +50,8 @@
 	Pages    []Page
 	Metadata *Metadata // of a result that is complete with Pages; nil: none
 	Drop     []uint64  // IDs of results to delete
-	// Erase is done once the disk holds no byte of the results that were dropped before.
+	// Erase asks to erase the results that were dropped before. The task is done once the disk holds no
+	// byte of them.
 	Erase bool
 	Fetch *Fetch
 	Keys  []byte // the encoded keyring to store
@@ -136,7 +137,9 @@
 	Counts   Counts
 }
 
-// Counts holds event counters since the start.
+// Counts holds event counters since the start. Refused counts queries that Admit rejected; NoRoom counts
+// pages that were refused since no space could become free, and Waited those told to wait for space.
+// Failed counts results of which a write failed.
 type Counts struct {
 	Admitted, Committed, Refused, TooLarge, Failed     int
 	NoRoom                                             int
@@ -182,7 +185,8 @@
 	expiresWall   int64
 	lruElement    intrusivelist.Element[Result] // in Core.cachedLRU
 	inLRU         bool
-	readPastFirst bool // its client has asked for a page by token
+	// requestedByToken is set once its client has asked for a page by token, be it the first or another.
+	requestedByToken bool
 }
 
 type page struct {
@@ -280,7 +284,8 @@
 	return c.begin(query, t, tag), nil
 }
 
-// AdmitAgain begins another result for the same query, for a further attempt that returns pages.
+// AdmitAgain begins another result for the same query, for a further attempt that returns pages. If r
+// was purged, the new result fails with ErrPurged.
 func (c *Core) AdmitAgain(now time.Duration, r *Result) *Result {
 	c.advance(now)
 	again := c.begin(r.query, r.team, r.tag)
@@ -310,9 +315,10 @@
 	PageRefused                    // the error says why; the result can't be completed
 )
 
-// AddPage adds a page from the engine and copies its body. If there is no space for the page, AddPage
-// returns WaitForSpace, or PageRefused if no space can become free by the time given in until. It
-// refuses such a page at once, since another result may wait for the space that this result holds.
+// AddPage adds a page from the engine and copies its body. It returns PageRefused if the result has
+// failed or would be too large. If there is no space for the page, AddPage returns WaitForSpace, or
+// PageRefused if no space can become free by the time given in until. It refuses such a page at once,
+// since another result may wait for the space that this result holds.
 func (c *Core) AddPage(now time.Duration, r *Result, body []byte, rows uint32,
 	until time.Duration) (AddOutcome, error) {
 	c.advance(now)
@@ -359,7 +365,8 @@
 }
 
 // Commit completes a result whose last page was added. It calls tell once the result can be read by
-// token, with nil, or once writing it to disk has failed. tell may be called before Commit returns.
+// token, with nil, or once writing it to disk has failed. tell may be called before Commit returns, and
+// is never called if the result is dropped first.
 func (c *Core) Commit(now time.Duration, r *Result, tell func(error)) {
 	c.advance(now)
 	r.onCommitted = tell
@@ -411,7 +418,8 @@
 // TimeToLive returns for how long after a read a result can be read again.
 func (c *Core) TimeToLive(r *Result) time.Duration { return min(c.IdleTimeout, r.expiresAt-c.now) }
 
-// Drop deletes a result, complete or not, from memory and from disk.
+// Drop deletes a result, complete or not, from memory and from disk, and discards the callback of a
+// commit in progress.
 func (c *Core) Drop(now time.Duration, r *Result) {
 	c.advance(now)
 	if r.dropped {
@@ -444,8 +452,8 @@
 	c.notifySpaceWaiters()
 }
 
-// Sweep drops expired results and rotates the token keys, at most once a second. The caller runs it
-// periodically.
+// Sweep drops expired results, rotates the token keys and notifies the results that wait for space, at
+// most once a second. The caller runs it periodically.
 func (c *Core) Sweep(now time.Duration) {
 	c.advance(now)
 	if c.now-c.lastSweep < time.Second {
--- a/internal/spool/spool_test.go
+++ b/internal/spool/spool_test.go
@@ -103,21 +103,21 @@
 }
 
 // purge checks that no result of a scope is found from the call on, and that the disk holds none once
-// wiped is called.
+// erased is called.
 func (b *model) purge(s *fleet.Scope) {
 	b.index++
 	var purgedIDs []uint64
-	unreached := false
-	b.c.Purge(b.now, s, b.index, func() { unreached = true }, func(n fleet.InvalidationCounts) {
+	unreachable := false
+	b.c.Purge(b.now, s, b.index, func() { unreachable = true }, func(n fleet.InvalidationCounts) {
 		b.purged += int(n.Results)
 		for _, id := range purgedIDs {
 			if b.disk[id] != nil {
-				b.t.Fatal("wiped was called with a purged result left on disk")
+				b.t.Fatal("erased was called with a purged result left on disk")
 			}
 		}
 	})
-	if !unreached {
-		b.t.Fatal("Purge returned without calling unreached")
+	if !unreachable {
+		b.t.Fatal("Purge returned without calling unreachable")
 	}
 	for id, h := range b.committed {
 		if h.r.purged {
--- a/internal/spool/token.go
+++ b/internal/spool/token.go
@@ -39,7 +39,7 @@
 	rotationInterval time.Duration
 	newSecret        func() []byte
 	rotating         bool
-	dummyKey         Key
+	dummyKey         Key // computes the MAC for a token that names no known key
 	macCount         int // MACs computed so far
 }
 
@@ -147,8 +147,9 @@
 // maxKeys bounds the number of keys, since a clock that is set often can cause many rotations.
 const maxKeys = 64
 
-// rotateKeys adds a key if the newest one has reached the rotation interval, and deletes keys whose
-// tokens have all expired. The new keys are used once the disk has stored them.
+// rotateKeys adds a key if the newest one has reached the rotation interval or lies in the future. It
+// then deletes keys whose tokens have all expired, and the oldest keys above maxKeys. Without a disk,
+// the changed keys are used at once, otherwise once the disk has stored them.
 func (c *Core) rotateKeys() {
 	k := c.keys
 	wall := c.startWall + c.now.Milliseconds()
