--- a/internal/residency/change.go
+++ b/internal/residency/change.go
@@ -9,8 +9,9 @@
 	"railrelay.dev/railrelay/internal/fleet"
 )
 
-// ValidateRules returns the flaws of rules: missing or duplicate names, unknown sites and teams, and
-// rules for the same tables that leave no site. nil for sites or teams allows any name.
+// ValidateRules returns the flaws of rules, for example unknown names or missing sites. Only if there
+// are none, it looks for rules for the same tables that leave no site. nil for sites or teams allows any
+// name.
 func ValidateRules(rules []Rule, sites, teams []string) (flaws []*InvalidRuleError) {
 	addFlaw := func(i int, field, format string, args ...any) {
 		flaws = append(flaws, &InvalidRuleError{i, field, fmt.Sprintf(format, args...)})
@@ -107,13 +108,15 @@
 // Tightening is a boundary that a change makes narrower.
 type Tightening struct {
 	Tenant string   `json:"team"`
-	Rules  []string `json:"rules"`            // the new rules that apply
-	Tables []int64  `json:"tables,omitempty"` // empty: all tables that no rule names
+	Rules  []string `json:"rules"` // the new rules that apply
+	// Tables are table groups; empty: all tables that no rule names.
+	Tables []int64 `json:"tables,omitempty"`
 	// EngineSites are the sites whose engines may run queries after the change; nil: all. With
 	// EndsRunningQueries, queries at other sites must have ended before the change is complete.
 	EngineSites        []string `json:"engines"`
 	EndsRunningQueries bool     `json:"ends"`
-	// PurgeScope matches the data retained outside the new boundary; nil: there can be none.
+	// PurgeScope matches the data retained outside the new boundary; nil: there can be none. For the
+	// tables that no rule names it matches all data of the tenant.
 	PurgeScope *fleet.Scope `json:"purge,omitempty"`
 }
 
@@ -127,7 +130,8 @@
 }
 
 // FindTightenings returns the boundaries that new rules make narrower. Boundaries that become wider
-// need no action and are left out. A result whose tables are unknown matches each purge of its team.
+// need no action and are left out. Boundaries that differ only in the tables that rules name are merged.
+// A stored query result whose tables are unknown matches each PurgeScope of its tenant.
 func FindTightenings(old, next []Rule, bindings []fleet.Binding) (l []Tightening) {
 	before, after := bindTables(old, bindings), bindTables(next, bindings)
 	for _, team := range teamNames(next) { // a team without new rules has no boundary that could be narrower
@@ -298,7 +302,8 @@
 	return "table group " + strings.Trim(fmt.Sprint(tables), "[]")
 }
 
-// Table formats the plan as a text table.
+// Table formats the plan as a text table, without conflicts and counts of retained data. A line below
+// the table names the tenants that would have no engine or controller.
 func (o *ChangePlan) Table() string {
 	var text strings.Builder
 	w := tabwriter.NewWriter(&text, 0, 0, 2, ' ', 0)
--- a/internal/residency/errors.go
+++ b/internal/residency/errors.go
@@ -46,8 +46,9 @@
 	return "send this team's queries to " + strings.Join(o.AllowedControllers, ", ")
 }
 
-// UnknownTablesError means that the tables of a load can't be determined although a rule follows loads.
-// It is then unknown which tables the rule has to bind.
+// UnknownTablesError means that the tables of a load can't be determined although a rule follows loads,
+// which means that the rule also binds each table that a load fills from one of its tables. It is then
+// unknown which tables the rule has to bind.
 type UnknownTablesError struct{ Tenant, Rule string }
 
 func (u *UnknownTablesError) Error() string {
@@ -63,7 +64,7 @@
 // BindingNotLoggedError means that the binding of a load could not be logged before the load had to be sent.
 type BindingNotLoggedError struct {
 	Tenant string
-	Tables []int64
+	Tables []int64 // table groups
 	Reason string
 }
 
--- a/internal/residency/residency.go
+++ b/internal/residency/residency.go
@@ -5,6 +5,9 @@
 //
 // A query to which several rules apply must comply with all of them. If the tables of a query are
 // unknown, all rules of its tenant apply.
+//
+// A site is the same as a location, the word in the names of settings and in some messages. Tables are
+// identified by the numbers of their table groups.
 package residency
 
 import (
@@ -49,7 +52,7 @@
 }
 
 // effectiveRetentionSites returns the sites where the rule allows retained data. If RetentionSites
-// is nil, an empty list means all sites.
+// is nil, an empty list means all sites, otherwise none.
 func (r *Rule) effectiveRetentionSites() []string {
 	if r.RetentionSites != nil {
 		return r.RetentionSites
@@ -143,8 +146,9 @@
 	return sites
 }
 
-// evaluateRules applies all rules of a tenant to a query. emergencies has the names of the rules with
-// a declared emergency; nil: none.
+// evaluateRules combines the rules of a tenant that apply to a query. It doesn't set MayServe and
+// MayRetain, which depend on the controller. emergencies has the names of the rules with a declared
+// emergency; nil: none.
 func evaluateRules(
 	rules []*boundRule, tables []int64, known bool, emergencies map[string]uint64,
 ) (v Decision) {
@@ -239,7 +243,8 @@
 	c.rebuild()
 }
 
-// SetFleetView replaces the bindings of loads and the declared emergencies by those of a view.
+// SetFleetView replaces the bindings of loads and the declared emergencies by those of a view. Recorded
+// bindings that the view doesn't contain yet stay in force.
 func (c *Core) SetFleetView(view *fleet.View) {
 	same := slices.EqualFunc(view.Bindings, c.fleetView.Bindings, equalBindings) &&
 		maps.Equal(view.Emergencies, c.fleetView.Emergencies)
@@ -363,8 +368,9 @@
 // maxCrossings bounds the list of recent crossings; the count includes all of them.
 const maxCrossings = 1000
 
-// RecordAttempt records an attempt at an engine of a site. It reports whether the site is outside the
-// sites of a rule, which only an emergency allows.
+// RecordAttempt records an EmergencyCrossing for each rule of the decision whose engine sites don't
+// include the site of an attempt's engine. It reports whether there was such a rule, which only an
+// emergency allows.
 func (c *Core) RecordAttempt(query, team string, v *Decision, site string) (outside bool) {
 	for _, b := range c.rulesByTeam[team] {
 		if !slices.Contains(v.RuleNames, b.Name) || includes(emptyAsAll(b.EngineSites), site) {
@@ -411,7 +417,8 @@
 func (c *Core) EmergencyRules() []fleet.EmergencyRule { return EmergencyRules(c.rules) }
 
 // ScopeAfterEmergency returns the scope to purge once the emergency of a rule has ended: the data
-// retained at sites that the rule forbids. nil: the rule allows retained data at all sites.
+// retained at sites that the rule forbids. nil: the rule allows retained data at all sites, or no rule
+// has the name.
 func ScopeAfterEmergency(rules []Rule, name string) *fleet.Scope {
 	for _, r := range rules {
 		if r.Name == name {
@@ -422,6 +429,7 @@
 	return nil
 }
 
+// retentionScope returns the scope of data on these tables outside sites; nil if anywhere is allowed.
 func retentionScope(team string, tables []int64, sites []string, anywhere bool) *fleet.Scope {
 	if anywhere {
 		return nil
