--- a/internal/residency/residency_test.go
+++ b/internal/residency/residency_test.go
@@ -20,7 +20,7 @@
 	return c
 }
 
-func TestIntersection(t *testing.T) {
+func TestQueryMustComplyWithAllRules(t *testing.T) {
 	c := newCore("linz",
 		Rule{Name: "a", Tenant: "bank", Tables: []int64{1}, EngineSites: []string{"linz", "wien"},
 			RetentionSites: []string{"linz"}},
--- a/internal/spool/spool_test.go
+++ b/internal/spool/spool_test.go
@@ -39,13 +39,13 @@
 
 // committedResult is the model's record of a committed result.
 type committedResult struct {
-	r      *Result
-	token  string
-	team   string
-	pages  [][]byte
-	read   map[int]bool
-	readAt time.Duration
-	made   time.Duration
+	r           *Result
+	token       string
+	team        string
+	pages       [][]byte
+	read        map[int]bool
+	readAt      time.Duration
+	committedAt time.Duration
 }
 
 // model runs random operations on a spool whose disk tasks complete later, and checks its limits.
@@ -139,9 +139,10 @@
 	}
 }
 
-// checkEvictable checks that a dropped result was purged, read to its end, expired or not being read.
+// checkEvictable checks that a dropped result was purged or expired, or that none or all of its pages after
+// the first were read.
 func (b *model) checkEvictable(h *committedResult) {
-	within := b.now < min(h.readAt+b.c.IdleTimeout, h.made+b.c.MaxAge)
+	within := b.now < min(h.readAt+b.c.IdleTimeout, h.committedAt+b.c.MaxAge)
 	if !h.r.purged && within && len(h.read) > 0 && len(h.read) < len(h.pages)-1 {
 		b.t.Fatalf("dropped while it was being read: %d of %d pages", len(h.read), len(h.pages))
 	}
@@ -257,7 +258,7 @@
 					}
 					committed++
 					h := &committedResult{r: k.r, token: b.c.Token(k.r), team: k.team, read: map[int]bool{}, readAt: b.now,
-						made: k.r.createdAt}
+						committedAt: k.r.createdAt}
 					from := 0
 					for i := range k.r.pages {
 						h.pages = append(h.pages, k.bytes[from:from+int(k.r.pages[i].size)])
@@ -287,7 +288,7 @@
 					}
 				}
 				i := rapid.IntRange(0, len(h.pages)-1).Draw(t, "page")
-				live := !h.r.dropped && b.now < min(h.readAt+l.IdleTimeout, h.made+l.MaxAge)
+				live := !h.r.dropped && b.now < min(h.readAt+l.IdleTimeout, h.committedAt+l.MaxAge)
 				called := false
 				b.c.ReadPage(b.now, []byte(h.token), h.team, i, func(p []byte, err error) {
 					called = true
@@ -458,8 +459,8 @@
 	}
 }
 
-// The order of eviction: results read to the end, expired results, the largest results of a team
-// over its share. A result that is being read and has not expired is never evicted.
+// The order of eviction: results whose pages after the first were all read, expired results, the largest
+// results of a tenant over its share. A result that is being read and has not expired is never evicted.
 func TestEvictionOrderSparesResultsBeingRead(t *testing.T) {
 	l := Limits{MaxMemoryBytes: 100_000, MaxDiskBytes: 0, MaxResults: 100, MaxResultBytes: 50_000,
 		TenantShare: 0.3, MaxTenantResults: 100, IdleTimeout: time.Minute, MaxAge: time.Hour,
