--- a/internal/residency/change.go
+++ b/internal/residency/change.go
@@ -9,8 +9,9 @@
 	"railrelay.dev/railrelay/internal/fleet"
 )
 
-// ValidateRules returns the errors in rules: missing or duplicate names, unknown sites and tenants, and
-// rules for the same tables that leave no site. nil for sites or tenants allows any name.
+// ValidateRules returns the errors in rules, for example unknown names or missing sites. Only if there
+// are none, it looks for rules for the same tables that leave no site. nil for sites or tenants allows any
+// name.
 func ValidateRules(rules []Rule, sites, tenants []string) (ruleErrors []*InvalidRuleError) {
 	addError := func(i int, field, format string, args ...any) {
 		ruleErrors = append(ruleErrors, &InvalidRuleError{i, field, fmt.Sprintf(format, args...)})
@@ -107,14 +108,15 @@
 // Tightening is a reduction of the sites that the rules allow for some tables of a tenant.
 type Tightening struct {
 	Tenant string   `json:"team"`
-	Rules  []string `json:"rules"`            // the new rules that apply
-	Tables []int64  `json:"tables,omitempty"` // empty: all tables that no rule names
+	Rules  []string `json:"rules"` // the new rules that apply
+	// Tables are table groups; empty: all tables that no rule names.
+	Tables []int64 `json:"tables,omitempty"`
 	// EngineSites are the sites whose engines may run queries after the change; nil: all. With
 	// EndsRunningQueries, queries at other sites must have ended before the change is complete.
 	EngineSites        []string `json:"engines"`
 	EndsRunningQueries bool     `json:"ends"`
 	// PurgeScope matches the data retained at sites that are not allowed any more; nil: there can be no
-	// such data.
+	// such data. For the tables that no rule names it matches all data of the tenant.
 	PurgeScope *fleet.Scope `json:"purge,omitempty"`
 }
 
@@ -128,8 +130,8 @@
 }
 
 // FindTightenings returns the tables for which new rules allow fewer sites. Tables for which sites are
-// only added need no action and are left out. A result whose tables are unknown
-// matches each purge of its tenant.
+// only added need no action and are left out. Results that differ only in the tables that rules name are
+// merged. A stored query result whose tables are unknown matches each PurgeScope of its tenant.
 func FindTightenings(old, next []Rule, bindings []fleet.Binding) (l []Tightening) {
 	before, after := bindTables(old, bindings), bindTables(next, bindings)
 	// Without new rules, all sites are allowed for a tenant.
@@ -305,7 +307,8 @@
 	return "table group " + strings.Trim(fmt.Sprint(tables), "[]")
 }
 
-// Table formats the plan as a text table.
+// Table formats the plan as a text table, without conflicts and counts of retained data. A line below
+// the table names the tenants that would have no engine or controller.
 func (plan *ChangePlan) Table() string {
 	var text strings.Builder
 	w := tabwriter.NewWriter(&text, 0, 0, 2, ' ', 0)
